--- a/benches/cost/src/client.rs
+++ b/benches/cost/src/client.rs
@@ -68,7 +68,13 @@
 
 /// Framed requests of so many functions, `echo` if it is one.
 fn requests(functions: usize) -> Rc<Vec<Bytes>> {
-    let name = |n: usize| if functions == 1 { "echo".to_string() } else { format!("f{n}") };
+    let name = |n: usize| {
+        if functions == 1 {
+            "echo".to_string()
+        } else {
+            format!("f{n}")
+        }
+    };
     Rc::new((0..functions).map(|n| request(name(n))).collect())
 }
 
@@ -91,16 +97,26 @@
 }
 
 async fn call(link: &Rc<Link>, body: Bytes) -> bool {
-    let Ok(mut connection) = link.connection().await else { return false };
+    let Ok(mut connection) = link.connection().await else {
+        return false;
+    };
     if poll_fn(|cx| connection.send.poll_ready(cx)).await.is_err() {
         return false;
     }
     let mut request = Request::new(());
     *request.method_mut() = Method::POST;
-    *request.uri_mut() = http::Uri::from_static("http://bench/inference.GRPCInferenceService/ModelInfer");
-    request.headers_mut().insert("te", http::HeaderValue::from_static("trailers"));
-    request.headers_mut().insert("content-type", http::HeaderValue::from_static("application/grpc"));
-    let Ok(mut exchange) = Exchange::start(connection, request, body, true, 1 << 22) else { return false };
+    *request.uri_mut() =
+        http::Uri::from_static("http://bench/inference.GRPCInferenceService/ModelInfer");
+    request
+        .headers_mut()
+        .insert("te", http::HeaderValue::from_static("trailers"));
+    request.headers_mut().insert(
+        "content-type",
+        http::HeaderValue::from_static("application/grpc"),
+    );
+    let Ok(mut exchange) = Exchange::start(connection, request, body, true, 1 << 22) else {
+        return false;
+    };
     loop {
         if let News::Ended(ending, _) = poll_fn(|cx| exchange.poll(cx)).await {
             return matches!(ending, Ending::Status(Code::Ok, _));
@@ -121,8 +137,9 @@
 pub fn run(target: SocketAddr, load: Load) -> Result<Measured, crate::Error> {
     let mut event_loop: EventLoop<'static, ()> = EventLoop::try_new()?;
     let spawner = Spawner::new(event_loop.handle())?;
-    let links: Vec<Rc<Link>> =
-        (0..CONNECTIONS).map(|_| Link::new(spawner.clone(), target, Limits::default())).collect();
+    let links: Vec<Rc<Link>> = (0..CONNECTIONS)
+        .map(|_| Link::new(spawner.clone(), target, Limits::default()))
+        .collect();
     let bodies = requests(load.functions);
     let run = Rc::new(Run {
         served: Cell::new(0),
@@ -141,14 +158,17 @@
             let count = if ok { &run.served } else { &run.failed };
             count.set(count.get() + 1);
             if ok {
-                run.latencies.borrow_mut().saturating_record(due.elapsed().as_nanos() as u64);
+                run.latencies
+                    .borrow_mut()
+                    .saturating_record(due.elapsed().as_nanos() as u64);
             }
         }
     };
     match load.rate {
         None => {
             for n in 0..load.open {
-                let (run, link, bodies) = (run.clone(), links[n % CONNECTIONS].clone(), bodies.clone());
+                let (run, link, bodies) =
+                    (run.clone(), links[n % CONNECTIONS].clone(), bodies.clone());
                 let mut next = n;
                 spawner.spawn(async move {
                     while start.elapsed() < load.span {
@@ -160,7 +180,9 @@
                         count.set(count.get() + 1);
                         if ok {
                             SERVED.fetch_add(1, Ordering::Relaxed);
-                            run.latencies.borrow_mut().saturating_record(due.elapsed().as_nanos() as u64);
+                            run.latencies
+                                .borrow_mut()
+                                .saturating_record(due.elapsed().as_nanos() as u64);
                         }
                     }
                 });
@@ -190,15 +212,21 @@
     }
     let seconds = load.span.as_secs_f64();
     let latencies = run.latencies.borrow().clone();
-    Ok(Measured { served: run.served.get(), failed: run.failed.get(), seconds, latencies })
+    Ok(Measured {
+        served: run.served.get(),
+        failed: run.failed.get(),
+        seconds,
+        latencies,
+    })
 }
 
 /// Starts so many calls that are not answered, and reads a figure while they are held.
 pub fn hold(target: SocketAddr, calls: usize, read: impl Fn() -> f64) -> Result<f64, crate::Error> {
     let mut event_loop: EventLoop<'static, ()> = EventLoop::try_new()?;
     let spawner = Spawner::new(event_loop.handle())?;
-    let links: Vec<Rc<Link>> =
-        (0..CONNECTIONS).map(|_| Link::new(spawner.clone(), target, Limits::default())).collect();
+    let links: Vec<Rc<Link>> = (0..CONNECTIONS)
+        .map(|_| Link::new(spawner.clone(), target, Limits::default()))
+        .collect();
     let body = request("echo".into());
     for n in 0..calls {
         let (link, body) = (links[n % CONNECTIONS].clone(), body.clone());
--- a/benches/cost/src/fleet.rs
+++ b/benches/cost/src/fleet.rs
@@ -14,7 +14,16 @@
 
 fn start(a: &Arguments, file: &Path, more: &[String]) -> Result<Process, Error> {
     let mut c = Command::new(&a.gateway);
-    c.args(["--listen", "127.0.0.1:0", "--http", "127.0.0.1:0", "--log", "off", "--settings"]).arg(file);
+    c.args([
+        "--listen",
+        "127.0.0.1:0",
+        "--http",
+        "127.0.0.1:0",
+        "--log",
+        "off",
+        "--settings",
+    ])
+    .arg(file);
     c.args(more);
     Process::start(&mut c)
 }
@@ -28,7 +37,10 @@
 pub fn run(a: &Arguments, members: usize, rounds: usize) -> Result<(), Error> {
     let folder = std::env::temp_dir().join(format!("tansy-bench-fleet-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
-    let workers = [Process::start(&mut me("worker")?)?, Process::start(&mut me("worker")?)?];
+    let workers = [
+        Process::start(&mut me("worker")?)?,
+        Process::start(&mut me("worker")?)?,
+    ];
     let list: Vec<String> = workers
         .iter()
         .enumerate()
@@ -40,19 +52,36 @@
         list.join(", ")
     );
     // Addresses of their own for the names: what the kernel gives to connections is none of these.
-    let host = |n: usize| [127, 1 + (std::process::id() % 250) as u8, (n >> 8) as u8, n as u8 | 1];
+    let host = |n: usize| {
+        [
+            127,
+            1 + (std::process::id() % 250) as u8,
+            (n >> 8) as u8,
+            n as u8 | 1,
+        ]
+    };
     let port = |n: usize| 20_000 + (n & 1) as u16;
     let at = |n: usize| SocketAddr::from((host(n), port(n)));
     drop(TcpListener::bind(at(0))?);
     let (alone, joined) = (folder.join("alone.cue"), folder.join("fleet.cue"));
     std::fs::write(&alone, &text)?;
     let seat = at(0);
-    let fleet = format!("{text}fleet: {{name: \"bench\", seats: [{{name: \"f0\", address: \"{seat}\"}}]}}\n");
+    let fleet = format!(
+        "{text}fleet: {{name: \"bench\", seats: [{{name: \"f0\", address: \"{seat}\"}}]}}\n"
+    );
     std::fs::write(&joined, fleet)?;
     let place = |n: usize| {
-        let mut place = vec!["--name".to_string(), format!("f{n}"), "--peers".into(), at(n).to_string()];
+        let mut place = vec![
+            "--name".to_string(),
+            format!("f{n}"),
+            "--peers".into(),
+            at(n).to_string(),
+        ];
         if n == 0 {
-            place.extend(["--state".to_string(), folder.join("seat.redb").display().to_string()]);
+            place.extend([
+                "--state".to_string(),
+                folder.join("seat.redb").display().to_string(),
+            ]);
         }
         place
     };
@@ -64,7 +93,12 @@
     let on = start(a, &joined, &place(1))?;
     // Until it may act: a call is served.
     let began = std::time::Instant::now();
-    let one = Load { open: 1, rate: None, span: Duration::from_millis(50), functions: 1 };
+    let one = Load {
+        open: 1,
+        rate: None,
+        span: Duration::from_millis(50),
+        functions: 1,
+    };
     while client::run(on.1, one).map_or(0, |m| m.served) == 0 {
         if began.elapsed() > FIND {
             return Err("the fleet did not find itself".into());
@@ -79,7 +113,12 @@
         rest(&on, before.0), rest(&others[0], before.1), rest(&off, before.2), on.memory(), others[0].memory(), off.memory()
     );
     let span = Duration::from_secs(a.seconds);
-    let paced = Load { open: 100_000, rate: Some(a.rate), span, functions: 1 };
+    let paced = Load {
+        open: 100_000,
+        rate: Some(a.rate),
+        span,
+        functions: 1,
+    };
     let (mut with, mut without) = (Vec::new(), Vec::new());
     for round in 0..rounds + 1 {
         let (m, w) = (client::run(off.1, paced)?, client::run(on.1, paced)?);
@@ -90,7 +129,10 @@
         }
     }
     let of = |all: &[(f64, f64)]| {
-        (median(all.iter().map(|m| m.0).collect()), median(all.iter().map(|m| m.1).collect()))
+        (
+            median(all.iter().map(|m| m.0).collect()),
+            median(all.iter().map(|m| m.1).collect()),
+        )
     };
     let (w, o) = (of(&with), of(&without));
     println!(
--- a/benches/cost/src/grown.rs
+++ b/benches/cost/src/grown.rs
@@ -31,9 +31,15 @@
         let before = gated.cpu();
         // Each stretch from a process of its own, whose connections end with it.
         let mut load = me("load")?;
-        let out = load.args([&gated.1.to_string(), "--open", &a.open.to_string()]).output()?;
+        let out = load
+            .args([&gated.1.to_string(), "--open", &a.open.to_string()])
+            .output()?;
         let text = String::from_utf8_lossy(&out.stdout).into_owned();
-        let served: u64 = text.split_whitespace().next().and_then(|n| n.parse().ok()).ok_or(text)?;
+        let served: u64 = text
+            .split_whitespace()
+            .next()
+            .and_then(|n| n.parse().ok())
+            .ok_or(text)?;
         done += served;
         rates.push(served as f64);
         costs.push((gated.cpu() - before) * 1e6 / served.max(1) as f64);
@@ -63,9 +69,19 @@
             for open in [16, 256, 2_000, 20_000] {
                 let gated = gateway_of(a, &standing.ports(), functions, 1)?;
                 let span = Duration::from_secs(a.seconds);
-                let (target, load) = (gated.1, Load { open, rate: None, span: SETTLE + span, functions });
+                let (target, load) = (
+                    gated.1,
+                    Load {
+                        open,
+                        rate: None,
+                        span: SETTLE + span,
+                        functions,
+                    },
+                );
                 let clients = std::thread::spawn(move || {
-                    client::run(target, load).map(drop).map_err(|e| e.to_string())
+                    client::run(target, load)
+                        .map(drop)
+                        .map_err(|e| e.to_string())
                 });
                 // What it costs to take them all is not what it costs to hold them.
                 std::thread::sleep(SETTLE);
@@ -73,7 +89,9 @@
                 std::thread::sleep(span);
                 let after = (gated.cpu(), client::SERVED.load(Ordering::Relaxed));
                 drop(gated);
-                clients.join().map_err(|_| "the clients' thread ended early")??;
+                clients
+                    .join()
+                    .map_err(|_| "the clients' thread ended early")??;
                 let served = after.1 - before.1;
                 let each = (after.0 - before.0) * 1e6 / served.max(1) as f64;
                 let rate = served as f64 / span.as_secs_f64();
@@ -120,21 +138,47 @@
 pub fn slow(a: &Arguments, clients: usize) -> Result<(), Error> {
     let limit = rlimit::increase_nofile_limit(clients as u64 + 1_000)?;
     if limit < clients as u64 + 500 {
-        return Err(format!("{clients} clients need as many descriptors; {limit} are allowed").into());
+        return Err(
+            format!("{clients} clients need as many descriptors; {limit} are allowed").into(),
+        );
     }
     let (one, two) = (workers(&[])?, workers(&[])?);
     let gated = gateway(a, &[one.1, two.1])?;
-    let paced =
-        Load { open: 100_000, rate: Some(a.rate), span: Duration::from_secs(a.seconds), functions: 1 };
-    client::run(gated.1, Load { span: Duration::from_secs(1), ..paced })?;
+    let paced = Load {
+        open: 100_000,
+        rate: Some(a.rate),
+        span: Duration::from_secs(a.seconds),
+        functions: 1,
+    };
+    client::run(
+        gated.1,
+        Load {
+            span: Duration::from_secs(1),
+            ..paced
+        },
+    )?;
     let free = client::run(gated.1, paced)?;
     let held = connect(gated.1, clients)?;
     // They are all taken before the next is measured.
-    client::run(gated.1, Load { span: Duration::from_secs(1), ..paced })?;
+    client::run(
+        gated.1,
+        Load {
+            span: Duration::from_secs(1),
+            ..paced
+        },
+    )?;
     let crowded = client::run(gated.1, paced)?;
-    println!("| slow clients | p50 us at {}/s | p99 us | failed |", a.rate);
+    println!(
+        "| slow clients | p50 us at {}/s | p99 us | failed |",
+        a.rate
+    );
     println!("|---|---|---|---|");
-    println!("| 0 | {:.0} | {:.0} | {} |", free.micros(0.5), free.micros(0.99), free.failed);
+    println!(
+        "| 0 | {:.0} | {:.0} | {} |",
+        free.micros(0.5),
+        free.micros(0.99),
+        free.failed
+    );
     println!(
         "| {} | {:.0} | {:.0} | {} |",
         held.len(),
@@ -142,7 +186,10 @@
         crowded.micros(0.99),
         crowded.failed
     );
-    println!("added p99: {:.0} us", crowded.micros(0.99) - free.micros(0.99));
+    println!(
+        "added p99: {:.0} us",
+        crowded.micros(0.99) - free.micros(0.99)
+    );
     Ok(())
 }
 
--- a/benches/cost/src/main.rs
+++ b/benches/cost/src/main.rs
@@ -102,12 +102,20 @@
 impl Process {
     /// Starts it and reads the address from its line `ready grpc=ADDRESS ...`.
     fn start(command: &mut Command) -> Result<Process, Error> {
-        let mut child = command.stdout(Stdio::piped()).spawn().map_err(|e| format!("{command:?}: {e}"))?;
+        let mut child = command
+            .stdout(Stdio::piped())
+            .spawn()
+            .map_err(|e| format!("{command:?}: {e}"))?;
         let out = child.stdout.take().ok_or("no output")?;
         let mut line = String::new();
         BufReader::new(out).read_line(&mut line)?;
-        let address = line.split("grpc=").nth(1).and_then(|r| r.split_whitespace().next());
-        let address = address.ok_or(format!("no `ready` line but {line:?}"))?.parse()?;
+        let address = line
+            .split("grpc=")
+            .nth(1)
+            .and_then(|r| r.split_whitespace().next());
+        let address = address
+            .ok_or(format!("no `ready` line but {line:?}"))?
+            .parse()?;
         Ok(Process(child, address, line))
     }
     /// All ports of a worker process.
@@ -117,34 +125,64 @@
     }
     /// CPU time used so far, seconds.
     fn cpu(&self) -> f64 {
-        let text = std::fs::read_to_string(format!("/proc/{}/stat", self.0.id())).unwrap_or_default();
-        let fields: Vec<&str> = text.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-        let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
+        let text =
+            std::fs::read_to_string(format!("/proc/{}/stat", self.0.id())).unwrap_or_default();
+        let fields: Vec<&str> = text
+            .rsplit(')')
+            .next()
+            .unwrap_or("")
+            .split_whitespace()
+            .collect();
+        let ticks = |n: usize| {
+            fields
+                .get(n)
+                .and_then(|f| f.parse::<f64>().ok())
+                .unwrap_or(0.0)
+        };
         // utime and stime, in ticks of a hundredth second (proc(5), USER_HZ).
         (ticks(11) + ticks(12)) / 100.0
     }
     /// Resident memory, MB.
     fn memory(&self) -> f64 {
-        let text = std::fs::read_to_string(format!("/proc/{}/status", self.0.id())).unwrap_or_default();
+        let text =
+            std::fs::read_to_string(format!("/proc/{}/status", self.0.id())).unwrap_or_default();
         let line = text.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or("");
-        line.split_whitespace().nth(1).and_then(|k| k.parse::<f64>().ok()).unwrap_or(0.0) / 1000.0
+        line.split_whitespace()
+            .nth(1)
+            .and_then(|k| k.parse::<f64>().ok())
+            .unwrap_or(0.0)
+            / 1000.0
     }
 }
 
 fn main() -> Result<(), Error> {
     let a = Arguments::parse();
     match a.role {
-        Some(Role::Worker { silent, delay, ports }) => {
-            worker::run(silent, Duration::from_millis(delay), ports.max(1))
-        }
+        Some(Role::Worker {
+            silent,
+            delay,
+            ports,
+        }) => worker::run(silent, Duration::from_millis(delay), ports.max(1)),
         Some(Role::Growth { calls }) => grown::growth(&a, calls),
         Some(Role::Waiting) => grown::waiting(&a),
         Some(Role::Fleet { members, rounds }) => fleet::run(&a, members, rounds),
         Some(Role::Slow { clients }) => grown::slow(&a, clients),
         Some(Role::Proxy { workers }) => proxy::run(workers),
-        Some(Role::Load { target, open, seconds }) => {
+        Some(Role::Load {
+            target,
+            open,
+            seconds,
+        }) => {
             let span = Duration::from_secs(seconds);
-            let m = client::run(target, Load { open, rate: None, span, functions: 1 })?;
+            let m = client::run(
+                target,
+                Load {
+                    open,
+                    rate: None,
+                    span,
+                    functions: 1,
+                },
+            )?;
             let rate = m.served as f64 / m.seconds;
             println!(
                 "{rate:.0} calls/s, p50 {:.0} us, p99 {:.0} us, {} failed",
@@ -179,7 +217,8 @@
     } else {
         (0..functions).map(|n| format!("f{n}")).collect::<Vec<_>>()
     };
-    let function = |n: &String| format!("{n}: {{class: \"c\", lanes: {lanes}, memory: 1MB, load_time: 5ms}}");
+    let function =
+        |n: &String| format!("{n}: {{class: \"c\", lanes: {lanes}, memory: 1MB, load_time: 5ms}}");
     let functions: Vec<String> = names.iter().map(function).collect();
     let path = std::env::temp_dir().join(format!("tansy-bench-{}.cue", std::process::id()));
     let line = |(n, w): (usize, &SocketAddr)| format!("{{name: \"w{n}\", address: \"{w}\"}}");
@@ -192,18 +231,40 @@
     );
     std::fs::File::create(&path)?.write_all(text.as_bytes())?;
     let mut c = Command::new(&a.gateway);
-    c.args(["--listen", "127.0.0.1:0", "--http", "127.0.0.1:0", "--log", "warn", "--settings"]).arg(&path);
+    c.args([
+        "--listen",
+        "127.0.0.1:0",
+        "--http",
+        "127.0.0.1:0",
+        "--log",
+        "warn",
+        "--settings",
+    ])
+    .arg(&path);
     let process = Process::start(&mut c);
     let _ = std::fs::remove_file(path);
     process
 }
 
 fn measure(a: &Arguments) -> Result<(), Error> {
-    let workers = [Process::start(&mut me("worker")?)?, Process::start(&mut me("worker")?)?];
+    let workers = [
+        Process::start(&mut me("worker")?)?,
+        Process::start(&mut me("worker")?)?,
+    ];
     let at: Vec<SocketAddr> = workers.iter().map(|w| w.1).collect();
     let span = Duration::from_secs(a.seconds);
-    let full = Load { open: a.open, rate: None, span, functions: 1 };
-    let paced = Load { open: 100_000, rate: Some(a.rate), span, functions: 1 };
+    let full = Load {
+        open: a.open,
+        rate: None,
+        span,
+        functions: 1,
+    };
+    let paced = Load {
+        open: 100_000,
+        rate: Some(a.rate),
+        span,
+        functions: 1,
+    };
     let proxied = {
         let mut c = me("proxy")?;
         c.args(at.iter().map(SocketAddr::to_string));
@@ -222,27 +283,48 @@
         ("through tansy-gateway", gated.1, Some(&gated)),
         ("through the tonic pass-through", proxied.1, Some(&proxied)),
     ] {
-        client::run(target, Load { span: Duration::from_secs(1), ..full })?;
+        client::run(
+            target,
+            Load {
+                span: Duration::from_secs(1),
+                ..full
+            },
+        )?;
         let before = process.map_or(0.0, Process::cpu);
         let m: Measured = client::run(target, full)?;
         let cpu = process.map_or(0.0, Process::cpu) - before;
         let p = client::run(target, paced)?;
-        let (rate, each) = (m.served as f64 / m.seconds, cpu * 1e6 / m.served.max(1) as f64);
+        let (rate, each) = (
+            m.served as f64 / m.seconds,
+            cpu * 1e6 / m.served.max(1) as f64,
+        );
         let (p50, p99) = (p.micros(0.5), p.micros(0.99));
-        println!("| {name} | {rate:.0} | {each:.1} | {p50:.0} | {p99:.0} | {} |", m.failed + p.failed);
+        println!(
+            "| {name} | {rate:.0} | {each:.1} | {p50:.0} | {p99:.0} | {} |",
+            m.failed + p.failed
+        );
         rows.push((rate, p50, p99));
     }
-    println!("gateway over tonic pass-through, calls/s: {:.2}", rows[1].0 / rows[2].0.max(1.0));
+    println!(
+        "gateway over tonic pass-through, calls/s: {:.2}",
+        rows[1].0 / rows[2].0.max(1.0)
+    );
     println!(
         "added by the gateway at {}/s: p50 {:.0} us, p99 {:.0} us",
         a.rate,
         rows[1].1 - rows[0].1,
         rows[1].2 - rows[0].2
     );
-    println!("added by tonic: p50 {:.0} us, p99 {:.0} us", rows[2].1 - rows[0].1, rows[2].2 - rows[0].2);
+    println!(
+        "added by tonic: p50 {:.0} us, p99 {:.0} us",
+        rows[2].1 - rows[0].1,
+        rows[2].2 - rows[0].2
+    );
     drop((gated, proxied));
-    let silent =
-        [Process::start(me("worker")?.arg("--silent"))?, Process::start(me("worker")?.arg("--silent"))?];
+    let silent = [
+        Process::start(me("worker")?.arg("--silent"))?,
+        Process::start(me("worker")?.arg("--silent"))?,
+    ];
     let gated = gateway(a, &[silent[0].1, silent[1].1])?;
     let before = gated.memory();
     let after = client::hold(gated.1, a.held, || gated.memory())?;
--- a/benches/cost/src/proxy.rs
+++ b/benches/cost/src/proxy.rs
@@ -27,8 +27,14 @@
 
 type Pieces = Pin<Box<dyn Stream + Send>>;
 /// The stream type that the generated trait wants; only unary calls are measured.
-trait Stream: tonic::codegen::tokio_stream::Stream<Item = Result<ModelStreamInferResponse, Status>> {}
-impl<T: tonic::codegen::tokio_stream::Stream<Item = Result<ModelStreamInferResponse, Status>>> Stream for T {}
+trait Stream:
+    tonic::codegen::tokio_stream::Stream<Item = Result<ModelStreamInferResponse, Status>>
+{
+}
+impl<T: tonic::codegen::tokio_stream::Stream<Item = Result<ModelStreamInferResponse, Status>>>
+    Stream for T
+{
+}
 
 fn no<T>() -> Result<Response<T>, Status> {
     Err(Status::unimplemented("only ModelInfer is passed through"))
@@ -100,7 +106,9 @@
 }
 
 pub fn run(workers: Vec<SocketAddr>) -> Result<(), crate::Error> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     runtime.block_on(async {
         let mut clients = Vec::new();
         for w in workers {
@@ -110,9 +118,16 @@
         }
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
         println!("ready grpc={}", listener.local_addr()?);
-        let incoming = tonic::transport::server::TcpIncoming::from(listener).with_nodelay(Some(true));
-        let service = GrpcInferenceServiceServer::new(Proxy { clients, next: AtomicUsize::new(0) });
-        Server::builder().add_service(service).serve_with_incoming(incoming).await?;
+        let incoming =
+            tonic::transport::server::TcpIncoming::from(listener).with_nodelay(Some(true));
+        let service = GrpcInferenceServiceServer::new(Proxy {
+            clients,
+            next: AtomicUsize::new(0),
+        });
+        Server::builder()
+            .add_service(service)
+            .serve_with_incoming(incoming)
+            .await?;
         Ok(())
     })
 }
--- a/benches/cost/src/worker.rs
+++ b/benches/cost/src/worker.rs
@@ -20,7 +20,8 @@
     let answer = frame(&crate::client::answer().encode_to_vec());
     let tasks = spawner.clone();
     let handler = Rc::new(
-        move |request: http::Request<h2::RecvStream>, mut respond: h2::server::SendResponse<Bytes>| {
+        move |request: http::Request<h2::RecvStream>,
+              mut respond: h2::server::SendResponse<Bytes>| {
             let (answer, again) = (answer.clone(), tasks.clone());
             tasks.spawn(async move {
                 let (parts, body) = request.into_parts();
@@ -43,12 +44,17 @@
                     frame(&pb::ServerReadyResponse { ready: true }.encode_to_vec())
                 };
                 if let Ok(mut send) = respond.send_response(head(), false) {
-                    let _ = send.send_data(body, false).and_then(|()| send.send_trailers(map));
+                    let _ = send
+                        .send_data(body, false)
+                        .and_then(|()| send.send_trailers(map));
                 }
             });
         },
     );
-    let limits = Limits { streams: 100_000, ..Limits::default() };
+    let limits = Limits {
+        streams: 100_000,
+        ..Limits::default()
+    };
     let mut all = Vec::new();
     for _ in 0..ports {
         let listener = listen("127.0.0.1:0".parse()?, false)?;
--- a/benches/state/src/calls.rs
+++ b/benches/state/src/calls.rs
@@ -6,7 +6,8 @@
 use crate::{Args, Wrong};
 use tansy_front::{Front, Input};
 use tansyrouter::{
-    Event, FunctionId, ListKind, Outcome, RequestId, Router, Span, Time, WorkerEntry, WorkerId, SECOND,
+    Event, FunctionId, ListKind, Outcome, RequestId, Router, Span, Time, WorkerEntry, WorkerId,
+    SECOND,
 };
 
 /// Virtual time until a day is steady, and that which is measured of it.
@@ -21,7 +22,12 @@
 const COLD_S: f64 = 1.0;
 
 fn entry(n: usize) -> WorkerEntry {
-    WorkerEntry { worker: WorkerId(n as u64), cell: (n / 100) as u64, share: 1.0, ..WorkerEntry::default() }
+    WorkerEntry {
+        worker: WorkerId(n as u64),
+        cell: (n / 100) as u64,
+        share: 1.0,
+        ..WorkerEntry::default()
+    }
 }
 
 /// So many workers have so many instances.
@@ -49,7 +55,15 @@
         .map_err(|e| Wrong::run("the module's settings", e))?;
     let mut module = Module::new(router);
     let entries = (0..workers).map(entry).collect();
-    let (_, took) = timed(|| module.tell(0, Event::Workers { kind: ListKind::Full, entries }));
+    let (_, took) = timed(|| {
+        module.tell(
+            0,
+            Event::Workers {
+                kind: ListKind::Full,
+                entries,
+            },
+        )
+    });
     line.figure("list_ms", ms(took));
     // Time passes between: what the module does by the clock is done.
     let mut now = 0;
@@ -64,7 +78,12 @@
     for f in 0..a.functions {
         let now = pass(&mut module, f);
         module.tell(now, Event::Arrival(arrival(first + f as u64, f)));
-        module.tell(now, Event::Departed { request: RequestId(first + f as u64) });
+        module.tell(
+            now,
+            Event::Departed {
+                request: RequestId(first + f as u64),
+            },
+        );
     }
     line.figure("functions_mb", grown.mb());
     for n in 0..a.instances {
@@ -73,7 +92,16 @@
         let function = (n / WARM + (n % WARM) * (a.functions / WARM).max(1)) % a.functions;
         let (worker, function) = (WorkerId((n / WARM) as u64), FunctionId(function as u64));
         let (outcome, latency) = (Outcome::Served, LOAD);
-        module.tell(now, Event::OrderDone { worker, function, outcome, latency, instances: 1 });
+        module.tell(
+            now,
+            Event::OrderDone {
+                worker,
+                function,
+                outcome,
+                latency,
+                instances: 1,
+            },
+        );
     }
     let now = pass(&mut module, 0);
     let mut day = Day::new(module, draw, a.front_ends, rng.u64(..));
@@ -95,7 +123,10 @@
 }
 
 fn workers_listed(workers: usize) -> Input {
-    Input::Workers { whole: true, list: (0..workers).map(inputs::listed).collect() }
+    Input::Workers {
+        whole: true,
+        list: (0..workers).map(inputs::listed).collect(),
+    }
 }
 
 /// The ledger with the module in it, in a steady day.
@@ -121,8 +152,14 @@
         let first = u64::MAX / 2;
         for (n, name) in names.iter().enumerate() {
             let at = (n / AT_ONCE) as Span * 20_000;
-            day.machine.tell(at, day::call(first + n as u64, name, true));
-            day.machine.tell(at, Input::ClientLeft { call: tansy_front::CallId(first + n as u64) });
+            day.machine
+                .tell(at, day::call(first + n as u64, name, true));
+            day.machine.tell(
+                at,
+                Input::ClientLeft {
+                    call: tansy_front::CallId(first + n as u64),
+                },
+            );
         }
         day.begin((names.len() / AT_ONCE + 1) as Span * 20_000);
         day.run(SECOND);
--- a/benches/state/src/connections.rs
+++ b/benches/state/src/connections.rs
@@ -76,7 +76,11 @@
         }
         let serial = self.opened;
         self.opened += 1;
-        all.push(Connection { serial, streams: 1, used: now });
+        all.push(Connection {
+            serial,
+            streams: 1,
+            used: now,
+        });
         if let Some(at) = self.at.get_mut(worker) {
             at.change(now, 1);
         }
@@ -86,8 +90,12 @@
     /// A stream ends. One of a connection that is none is nothing.
     pub fn end(&mut self, now: Span, front: usize, worker: usize, serial: u64) {
         self.pass(now);
-        let Some(all) = self.between.get_mut(&(front, worker)) else { return };
-        let Some(place) = all.iter().position(|c| c.serial == serial && c.streams > 0) else { return };
+        let Some(all) = self.between.get_mut(&(front, worker)) else {
+            return;
+        };
+        let Some(place) = all.iter().position(|c| c.serial == serial && c.streams > 0) else {
+            return;
+        };
         let mut c = all.remove(place);
         (c.streams, c.used) = (c.streams - 1, now);
         if let Some(idle) = self.keeping.idle.filter(|_| c.streams == 0) {
@@ -98,12 +106,19 @@
 
     /// Closes what has been idle for long by now.
     pub fn pass(&mut self, now: Span) {
-        let Some(idle) = self.keeping.idle else { return };
+        let Some(idle) = self.keeping.idle else {
+            return;
+        };
         while let Some((due, pair, serial)) = self.idle.front().copied().filter(|i| i.0 <= now) {
             self.idle.pop_front();
-            let Some(all) = self.between.get_mut(&pair) else { continue };
-            let over = |c: &Connection| c.serial == serial && c.streams == 0 && c.used + idle == due;
-            let Some(place) = all.iter().position(over) else { continue };
+            let Some(all) = self.between.get_mut(&pair) else {
+                continue;
+            };
+            let over =
+                |c: &Connection| c.serial == serial && c.streams == 0 && c.used + idle == due;
+            let Some(place) = all.iter().position(over) else {
+                continue;
+            };
             all.remove(place);
             self.closed += 1;
             if let Some(at) = self.at.get_mut(pair.1) {
@@ -124,7 +139,11 @@
 
     /// Those that were opened, closed and stand, since the beginning.
     pub fn counts(&self) -> (u64, u64, u64) {
-        (self.opened, self.closed, self.between.values().map(|all| all.len() as u64).sum())
+        (
+            self.opened,
+            self.closed,
+            self.between.values().map(|all| all.len() as u64).sum(),
+        )
     }
 
     /// Those that stand at each worker.
@@ -137,9 +156,16 @@
     pub fn seen(&mut self, now: Span) -> (f64, u32, f64) {
         self.pass(now);
         self.at.iter_mut().for_each(|a| a.change(now, 0));
-        let (span, workers) = ((now - self.from.0).max(1) as f64, self.at.len().max(1) as f64);
+        let (span, workers) = (
+            (now - self.from.0).max(1) as f64,
+            self.at.len().max(1) as f64,
+        );
         let mean = self.at.iter().map(|a| a.area).sum::<f64>() / span / workers;
         let most = self.at.iter().map(|a| a.most).max().unwrap_or(0);
-        (mean, most, (self.opened - self.from.1) as f64 / (span / 1e6) / workers)
+        (
+            mean,
+            most,
+            (self.opened - self.from.1) as f64 / (span / 1e6) / workers,
+        )
     }
 }
--- a/benches/state/src/day.rs
+++ b/benches/state/src/day.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 use tansy_front::{Call, CallId, Command, Front, Input, OrderId, Seen, Shape, Stage, Told};
 use tansyrouter::{
-    Action, Arrival, AttemptDone, Event, FunctionId, LoadReport, Note, Outcome, RequestId, Router, Span,
-    Time, WorkerId, SECOND,
+    Action, Arrival, AttemptDone, Event, FunctionId, LoadReport, Note, Outcome, RequestId, Router,
+    Span, Time, WorkerId, SECOND,
 };
 
 /// A call's work at a worker, and the way there and back.
@@ -84,7 +84,11 @@
 impl Module {
     /// Around a router that knows its workers.
     pub fn new(router: Router) -> Module {
-        Module { router, actions: Vec::new(), due: Some(0) }
+        Module {
+            router,
+            actions: Vec::new(),
+            due: Some(0),
+        }
     }
 
     /// An event before the day: what it leads to is done at once.
@@ -98,11 +102,23 @@
         self.router.handle(Time(now), event, &mut self.actions);
         for action in self.actions.drain(..) {
             match action {
-                Action::Send { request, worker, .. } => {
+                Action::Send {
+                    request, worker, ..
+                } => {
                     let worker = worker.0 as usize;
-                    out.push(Want::Send(Sent { call: request.0, attempt: 0, worker, at: now, warm: true }));
+                    out.push(Want::Send(Sent {
+                        call: request.0,
+                        attempt: 0,
+                        worker,
+                        at: now,
+                        warm: true,
+                    }));
                 }
-                Action::Load { worker, function, instances } => out.push(Want::Order(Order {
+                Action::Load {
+                    worker,
+                    function,
+                    instances,
+                } => out.push(Want::Order(Order {
                     number: 0,
                     worker: worker.0 as usize,
                     function: function.0 as usize,
@@ -148,9 +164,16 @@
             outcome: Outcome::Served,
             concluded: true,
             latency: now - sent.at,
-            note: if sent.warm { Note::Warm } else { Note::BeganLoad },
+            note: if sent.warm {
+                Note::Warm
+            } else {
+                Note::BeganLoad
+            },
             crowd: None,
-            report: Some(LoadReport { busy: Some(BUSY), ..LoadReport::default() }),
+            report: Some(LoadReport {
+                busy: Some(BUSY),
+                ..LoadReport::default()
+            }),
         };
         self.handle(now, Event::AttemptDone(done), out);
         out.push(Want::End(sent.call, true));
@@ -191,7 +214,13 @@
     /// Around a front that knows its workers; functions beyond the settings' ones are told of by their calls.
     pub fn new(front: Front, names: Vec<String>, unlisted: bool) -> Ledger {
         let places = inputs::places(&names);
-        Ledger { front, names, places, unlisted, commands: Vec::new() }
+        Ledger {
+            front,
+            names,
+            places,
+            unlisted,
+            commands: Vec::new(),
+        }
     }
 
     /// A function that nobody has called before.
@@ -225,14 +254,35 @@
 
     fn step(&mut self, now: Span, input: Input, out: &mut Vec<Want>) {
         self.front.step(Time(now), input, &mut self.commands);
-        let worker = |name: &str| name.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(0);
+        let worker = |name: &str| {
+            name.rsplit('-')
+                .next()
+                .and_then(|n| n.parse().ok())
+                .unwrap_or(0)
+        };
         for command in self.commands.drain(..) {
             match command {
-                Command::Open { call, attempt, worker: name, .. } => {
+                Command::Open {
+                    call,
+                    attempt,
+                    worker: name,
+                    ..
+                } => {
                     let worker = worker(&name);
-                    out.push(Want::Send(Sent { call: call.0, attempt, worker, at: now, warm: true }));
+                    out.push(Want::Send(Sent {
+                        call: call.0,
+                        attempt,
+                        worker,
+                        at: now,
+                        warm: true,
+                    }));
                 }
-                Command::Load { order, worker: name, function, instances } => out.push(Want::Order(Order {
+                Command::Load {
+                    order,
+                    worker: name,
+                    function,
+                    instances,
+                } => out.push(Want::Order(Order {
                     number: order.0,
                     worker: worker(&name),
                     function: self.places.get(&function).copied().unwrap_or(0),
@@ -250,7 +300,11 @@
 
 /// A call as the ledger is told of it.
 pub fn call(call: u64, function: &str, unlisted: bool) -> Input {
-    let shape = Shape { lanes: 1, memory_mb: 256.0, load_time: Some(LOAD) };
+    let shape = Shape {
+        lanes: 1,
+        memory_mb: 256.0,
+        load_time: Some(LOAD),
+    };
     Input::Call(Call {
         call: CallId(call),
         function: function.to_string(),
@@ -265,27 +319,71 @@
     })
 }
 
-const SERVED: Seen = Seen::Status { code: 0, stage: Stage::Last };
+const SERVED: Seen = Seen::Status {
+    code: 0,
+    stage: Stage::Last,
+};
 
 impl Machine for Ledger {
     fn call(&mut self, now: Span, number: u64, function: usize, out: &mut Vec<Want>) {
-        let Some(name) = self.names.get(function) else { return };
+        let Some(name) = self.names.get(function) else {
+            return;
+        };
         let input = call(number, name, self.unlisted);
         self.step(now, input, out);
     }
 
     fn served(&mut self, now: Span, sent: Sent, out: &mut Vec<Want>) {
-        let note = if sent.warm { tansy_front::Note::Warm } else { tansy_front::Note::BeganLoad };
-        let report = tansy_front::Report { busy: Some(BUSY), ..Default::default() };
-        let told = Told { note, report: Some(report), ..Told::default() };
+        let note = if sent.warm {
+            tansy_front::Note::Warm
+        } else {
+            tansy_front::Note::BeganLoad
+        };
+        let report = tansy_front::Report {
+            busy: Some(BUSY),
+            ..Default::default()
+        };
+        let told = Told {
+            note,
+            report: Some(report),
+            ..Told::default()
+        };
         let (call, attempt) = (CallId(sent.call), sent.attempt);
-        self.step(now, Input::Piece { call, attempt, last: true }, out);
-        self.step(now, Input::Ended { call, attempt, seen: SERVED, told }, out);
+        self.step(
+            now,
+            Input::Piece {
+                call,
+                attempt,
+                last: true,
+            },
+            out,
+        );
+        self.step(
+            now,
+            Input::Ended {
+                call,
+                attempt,
+                seen: SERVED,
+                told,
+            },
+            out,
+        );
     }
 
     fn ordered(&mut self, now: Span, order: Order, stand: u32, out: &mut Vec<Want>) {
-        let told = Told { instances: Some(stand), ..Told::default() };
-        self.step(now, Input::OrderEnded { order: OrderId(order.number), seen: SERVED, told }, out);
+        let told = Told {
+            instances: Some(stand),
+            ..Told::default()
+        };
+        self.step(
+            now,
+            Input::OrderEnded {
+                order: OrderId(order.number),
+                seen: SERVED,
+                told,
+            },
+            out,
+        );
     }
 
     fn tick(&mut self, now: Span, out: &mut Vec<Want>) {
@@ -368,7 +466,11 @@
     pub fn new(machine: M, draw: Draw, front_ends: usize, seed: u64) -> Day<M> {
         // A function stands somewhere if the fleet calls it at least once in the time that an idle instance stays.
         let life = 10.0;
-        let kept = draw.shares().iter().map(|s| s * CALLS_S * front_ends as f64 * life >= 1.0).collect();
+        let kept = draw
+            .shares()
+            .iter()
+            .map(|s| s * CALLS_S * front_ends as f64 * life >= 1.0)
+            .collect();
         let mut day = Day {
             machine,
             draw,
@@ -416,7 +518,8 @@
 
     fn comes(&mut self, after: Span, what: Comes) {
         self.count += 1;
-        self.coming.push(Reverse((self.now + after.max(0), self.count, what)));
+        self.coming
+            .push(Reverse((self.now + after.max(0), self.count, what)));
     }
 
     /// What was measured so far is left out.
@@ -444,7 +547,9 @@
         loop {
             let due = self.machine.due();
             let next = self.coming.peek().map(|Reverse(e)| e.0);
-            let Some(at) = due.into_iter().chain(next).min().filter(|at| *at <= end) else { break };
+            let Some(at) = due.into_iter().chain(next).min().filter(|at| *at <= end) else {
+                break;
+            };
             self.now = self.now.max(at);
             if due.is_some_and(|d| d <= self.now) {
                 let began = Instant::now();
@@ -455,7 +560,9 @@
                 self.carry_out(&mut out, took);
                 continue;
             }
-            let Some(Reverse((_, _, what))) = self.coming.pop() else { break };
+            let Some(Reverse((_, _, what))) = self.coming.pop() else {
+                break;
+            };
             match what {
                 Comes::Call => {
                     let function = self.draw.next(&mut self.rng);
@@ -469,7 +576,14 @@
                     let Some(fresh) = self.fresh else { continue };
                     let function = fresh(&mut self.machine, self.count);
                     self.comes(self.gap, Comes::Cold);
-                    self.waiting.insert(function, ColdCall { at: self.now, loaded: None, ordered: false });
+                    self.waiting.insert(
+                        function,
+                        ColdCall {
+                            at: self.now,
+                            loaded: None,
+                            ordered: false,
+                        },
+                    );
                     let took = self.call(function, &mut out);
                     self.carry_out(&mut out, took);
                 }
@@ -482,9 +596,12 @@
                 }
                 Comes::Ordered(order, stand) => {
                     if order.wanted > 0 {
-                        self.warm.insert((order.worker, order.function), self.now + 10 * SECOND);
+                        self.warm
+                            .insert((order.worker, order.function), self.now + 10 * SECOND);
                         let now = self.now;
-                        self.waiting.entry(order.function).and_modify(|c| c.loaded = Some(now));
+                        self.waiting
+                            .entry(order.function)
+                            .and_modify(|c| c.loaded = Some(now));
                     }
                     let began = Instant::now();
                     self.machine.ordered(self.now, order, stand, &mut out);
@@ -507,14 +624,19 @@
 
     fn stands(&self, worker: usize, function: usize) -> bool {
         let kept = self.kept.get(function).copied().unwrap_or(false);
-        kept || self.warm.get(&(worker, function)).is_some_and(|until| *until > self.now)
+        kept || self
+            .warm
+            .get(&(worker, function))
+            .is_some_and(|until| *until > self.now)
     }
 
     fn carry_out(&mut self, out: &mut Vec<Want>, took: Duration) {
         for want in out.drain(..) {
             match want {
                 Want::Send(mut sent) => {
-                    let Some(function) = self.open.get(&sent.call).copied() else { continue };
+                    let Some(function) = self.open.get(&sent.call).copied() else {
+                        continue;
+                    };
                     sent.warm = self.stands(sent.worker, function);
                     if let Some(c) = self.waiting.remove(&function) {
                         // One that was sent to a sibling's instance, or without a load, is no cold start.
@@ -524,18 +646,27 @@
                             self.cold.send.add(took);
                         }
                     }
-                    self.warm.insert((sent.worker, function), self.now + 10 * SECOND);
+                    self.warm
+                        .insert((sent.worker, function), self.now + 10 * SECOND);
                     self.comes(WORK + if sent.warm { 0 } else { LOAD }, Comes::Served(sent));
                 }
                 Want::Order(order) => {
-                    if let Some(c) = self.waiting.get_mut(&order.function).filter(|_| order.wanted > 0) {
+                    if let Some(c) = self
+                        .waiting
+                        .get_mut(&order.function)
+                        .filter(|_| order.wanted > 0)
+                    {
                         if !std::mem::replace(&mut c.ordered, true) {
                             self.cold.order_wait.add_us(self.now - c.at);
                             self.cold.order.add(took);
                         }
                     }
                     let stands = self.stands(order.worker, order.function);
-                    let after = if order.wanted > 0 && !stands { LOAD } else { ASK };
+                    let after = if order.wanted > 0 && !stands {
+                        LOAD
+                    } else {
+                        ASK
+                    };
                     let stand = u32::from(stands || order.wanted > 0);
                     self.comes(after, Comes::Ordered(order, stand));
                 }
--- a/benches/state/src/fleet.rs
+++ b/benches/state/src/fleet.rs
@@ -45,9 +45,18 @@
 
 impl Known {
     fn new(size: usize, seed: u64) -> Known {
-        let pace = Pace { size: u32::try_from(size).unwrap_or(u32::MAX), ..Pace::default() };
+        let pace = Pace {
+            size: u32::try_from(size).unwrap_or(u32::MAX),
+            ..Pace::default()
+        };
         let members = Members::new(FLEET, Name::new(SEAT, 1, at(1 << 23)), pace, seed);
-        Known { members, pace, seed, bytes: 0, datagrams: 0 }
+        Known {
+            members,
+            pace,
+            seed,
+            bytes: 0,
+            datagrams: 0,
+        }
     }
 
     fn other(&self, name: Name) -> Members {
@@ -115,7 +124,8 @@
     line.figure("datagram_bytes_s", known.bytes as f64 / seconds);
     line.count("news", up + known.members.take_news().len());
     // What each piece of news makes a front end do: `Peer::spread`, with `Front::knows` and `View::parent`.
-    let (mut view, mut compare, mut parent) = (Spread::default(), Spread::default(), Spread::default());
+    let (mut view, mut compare, mut parent) =
+        (Spread::default(), Spread::default(), Spread::default());
     let before = Grown::begin();
     let mut held = known.members.view(SEAT);
     line.figure("view_mb", before.mb());
@@ -128,7 +138,10 @@
         let (found, took) = timed(|| now_seen.parent(asks, n % 3));
         parent.add(took);
         if !same || found.is_none() {
-            return Err(Wrong::run("the view", "it changed, or the front end isn't in it"));
+            return Err(Wrong::run(
+                "the view",
+                "it changed, or the front end isn't in it",
+            ));
         }
         held = now_seen;
     }
@@ -151,7 +164,10 @@
         make.add(took);
         let (_, took) = timed(|| made.parent(*name, 0));
         parent.add(took);
-        let links = (0..64).take_while(|choice| made.parent(*name, *choice) != Some(SEAT)).count() + 1;
+        let links = (0..64)
+            .take_while(|choice| made.parent(*name, *choice) != Some(SEAT))
+            .count()
+            + 1;
         depth = depth.max(links);
     }
     line.put("view_us", make.us());
@@ -164,13 +180,23 @@
 
 /// The roster of the log, and the stays that a seat gives.
 pub fn roster(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let member = |n: usize| Member { id: id(n, a.seed), incarnation: 1 };
-    let stays = Terms { span: 3600 * SECOND, ppm: 1000 };
+    let member = |n: usize| Member {
+        id: id(n, a.seed),
+        incarnation: 1,
+    };
+    let stays = Terms {
+        span: 3600 * SECOND,
+        ppm: 1000,
+    };
     let grown = Grown::begin();
     let mut log = Log::new(Fields::new(), [(SEAT, at(0))]);
     let (mut joins, mut refused) = (Spread::default(), 0);
     for n in 0..a.front_ends {
-        let entry = Entry::Join { member: member(n), name: format!("front-end-{n}"), at: Step(1) };
+        let entry = Entry::Join {
+            member: member(n),
+            name: format!("front-end-{n}"),
+            at: Step(1),
+        };
         let (joined, took) = timed(|| log.apply(entry));
         joins.add(took);
         match joined {
@@ -184,7 +210,10 @@
     line.count("not_rostered", refused);
     line.count("most_front_ends", MEMBERS);
     if refused > 0 {
-        line.note(format!("{}: {refused} front ends are not on it", Refused::Full));
+        line.note(format!(
+            "{}: {refused} front ends are not on it",
+            Refused::Full
+        ));
     }
     line.put("apply_us", joins.us());
     let (bytes, took) = timed(|| postcard::to_stdvec(&log).map_or(0, |b| b.len()));
@@ -195,9 +224,15 @@
     let roster: Vec<Member> = log.roster().map(|(m, _)| m).collect();
     let mut register = Register::new(stays, roster.iter().copied(), 0);
     line.figure("register_mb", before.mb());
-    let (mut grants, mut looks, mut rejoins) = (Spread::default(), Spread::default(), Spread::default());
+    let (mut grants, mut looks, mut rejoins) =
+        (Spread::default(), Spread::default(), Spread::default());
     for (n, from) in roster.iter().enumerate() {
-        let ask = Ask { from: *from, seq: 1, at: Step(1), scopes: true };
+        let ask = Ask {
+            from: *from,
+            seq: 1,
+            at: Step(1),
+            scopes: true,
+        };
         let (granted, took) = timed(|| register.grant(n as i64, ask));
         grants.add(took);
         if granted.is_none() {
@@ -210,7 +245,10 @@
         looks.add(took);
     }
     for from in roster.iter().take(200) {
-        let later = Member { incarnation: 2, ..*from };
+        let later = Member {
+            incarnation: 2,
+            ..*from
+        };
         let (_, took) = timed(|| register.joined(1, later, Step(1)));
         rejoins.add(took);
     }
--- a/benches/state/src/inputs.rs
+++ b/benches/state/src/inputs.rs
@@ -24,7 +24,9 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let name = |n: usize| {
         let letters = rng.usize(1..=17);
-        let word: String = std::iter::repeat_with(|| rng.lowercase()).take(letters).collect();
+        let word: String = std::iter::repeat_with(|| rng.lowercase())
+            .take(letters)
+            .collect();
         format!("{word}-{n:06x}")
     };
     (0..functions).map(name).collect()
@@ -50,7 +52,10 @@
     fields.insert("worker.max_attempts".into(), Value::Int(4));
     for (n, name) in names.iter().enumerate() {
         let under = format!("functions.{}", part(name));
-        fields.insert(format!("{under}.class"), Value::Text(class_name(n % CLASSES)));
+        fields.insert(
+            format!("{under}.class"),
+            Value::Text(class_name(n % CLASSES)),
+        );
         fields.insert(format!("{under}.lanes"), Value::Int(1));
         fields.insert(format!("{under}.memory"), Value::Bytes(MEMORY));
         fields.insert(format!("{under}.load_time"), Value::Span(LOAD));
@@ -73,14 +78,22 @@
         deadline: 5 * SECOND,
         effect: match n % 2 {
             0 => Effect::Safe,
-            _ => Effect::Keyed { group: Group::All, window: 30 * SECOND },
+            _ => Effect::Keyed {
+                group: Group::All,
+                window: 30 * SECOND,
+            },
         },
         worth: 1.0,
         late_worth: 0.5,
         streamed: false,
     };
     let siblings = front_ends.max(1);
-    Settings { me: siblings / 2, siblings, classes: (0..CLASSES).map(class).collect(), ..Settings::default() }
+    Settings {
+        me: siblings / 2,
+        siblings,
+        classes: (0..CLASSES).map(class).collect(),
+        ..Settings::default()
+    }
 }
 
 /// A ledger's configuration with these functions in its settings.
@@ -111,7 +124,15 @@
 
 /// A line of the list of workers.
 pub fn listed(n: usize) -> Listed {
-    Listed { name: worker(n), kind: 0, cell: (n / 100) as u64, zone: 0, state: 0, age: None, share: 1.0 }
+    Listed {
+        name: worker(n),
+        kind: 0,
+        cell: (n / 100) as u64,
+        zone: 0,
+        state: 0,
+        age: None,
+        share: 1.0,
+    }
 }
 
 /// Which function is called next, and how often each is.
@@ -140,7 +161,10 @@
     /// The next call's function.
     pub fn next(&self, rng: &mut fastrand::Rng) -> usize {
         let at = rng.f64();
-        let rank = self.sums.partition_point(|s| *s <= at).min(self.ranked.len().saturating_sub(1));
+        let rank = self
+            .sums
+            .partition_point(|s| *s <= at)
+            .min(self.ranked.len().saturating_sub(1));
         self.ranked[rank] as usize
     }
 
@@ -164,5 +188,9 @@
 
 /// Functions by name.
 pub fn places(names: &[String]) -> BTreeMap<String, usize> {
-    names.iter().enumerate().map(|(n, name)| (name.clone(), n)).collect()
+    names
+        .iter()
+        .enumerate()
+        .map(|(n, name)| (name.clone(), n))
+        .collect()
 }
--- a/benches/state/src/letters.rs
+++ b/benches/state/src/letters.rs
@@ -27,8 +27,15 @@
 /// What a front end is granted a lease for: a version in force and, if so, one of which a function's lanes differ.
 pub fn state(names: &[String], next: bool) -> State {
     let fields = inputs::version(names);
-    let changed = names.first().map_or_else(Fields::new, |one| inputs::changed(&fields, one, 2));
-    let version = |n: u64, fields| Settings { version: Version(n), fields, why: "bench".into(), id: n };
+    let changed = names
+        .first()
+        .map_or_else(Fields::new, |one| inputs::changed(&fields, one, 2));
+    let version = |n: u64, fields| Settings {
+        version: Version(n),
+        fields,
+        why: "bench".into(),
+        id: n,
+    };
     State {
         step: Step(2),
         force: version(1, fields),
@@ -42,17 +49,37 @@
 
 /// The letter that carries it.
 pub fn grant(state: State) -> Vec<u8> {
-    let to = Member { id: 2, incarnation: 1 };
-    let grant = Grant { to, seq: 1, span: 600_000, step: state.step, state: Some(state), delta: None };
-    letter(FLEET, &me(), Root { term: 1, id: 1 }, Body::Lease(Message::Grant(grant)))
+    let to = Member {
+        id: 2,
+        incarnation: 1,
+    };
+    let grant = Grant {
+        to,
+        seq: 1,
+        span: 600_000,
+        step: state.step,
+        state: Some(state),
+        delta: None,
+    };
+    letter(
+        FLEET,
+        &me(),
+        Root { term: 1, id: 1 },
+        Body::Lease(Message::Grant(grant)),
+    )
 }
 
 /// Takes a letter as a front end does: out of a stream of bytes, no longer than any letter may be.
 pub fn taken(letter: &[u8]) -> Result<Body, String> {
     let mut stream = Assembler::new(LARGEST);
     stream.push(&frame(letter));
-    let whole = stream.take().map_err(|e| format!("{e:?}"))?.ok_or("the stream ends within it")?;
-    read(FLEET, &whole).map(|(_, _, body)| body).map_err(|e: Bad| e.to_string())
+    let whole = stream
+        .take()
+        .map_err(|e| format!("{e:?}"))?
+        .ok_or("the stream ends within it")?;
+    read(FLEET, &whole)
+        .map(|(_, _, body)| body)
+        .map_err(|e: Bad| e.to_string())
 }
 
 /// The most for which it holds, where it holds for all up to some number; 0: for none.
@@ -90,7 +117,10 @@
     let (body, took) = timed(|| taken(&bytes));
     line.count("letter_bytes", bytes.len());
     line.count("force_bytes", alone.len());
-    line.figure("function_bytes", alone.len() as f64 / names.len().max(1) as f64);
+    line.figure(
+        "function_bytes",
+        alone.len() as f64 / names.len().max(1) as f64,
+    );
     line.figure("encode_ms", ms(encode));
     line.figure("read_ms", ms(took));
     line.count("largest_bytes", LARGEST);
@@ -122,7 +152,14 @@
 
     /// One that goes on from what its file holds.
     pub(crate) fn again(held: Held) -> Result<Seat, Wrong> {
-        Seat::of(Fields::new(), &Saved { whole: held.whole, records: held.records }, None)
+        Seat::of(
+            Fields::new(),
+            &Saved {
+                whole: held.whole,
+                records: held.records,
+            },
+            None,
+        )
     }
 
     fn of(first: Fields, saved: &Saved, file: Option<Records>) -> Result<Seat, Wrong> {
@@ -130,14 +167,27 @@
             me: 1,
             incarnation: 1,
             seats: [(1, me().address)].into(),
-            terms: Terms { span: 600_000, ppm: 1000 },
+            terms: Terms {
+                span: 600_000,
+                ppm: 1000,
+            },
             first,
             seed: 1,
         };
-        let seats = Seats::new(setup, saved, 0).map_err(|e| Wrong::run("the seat's first file", e))?;
+        let seats =
+            Seats::new(setup, saved, 0).map_err(|e| Wrong::run("the seat's first file", e))?;
         let (records, whole_records) = Default::default();
         let (wholes, wholes_held, last_record) = (0, 0, 0);
-        let mut seat = Seat { seats, now: 0, records, whole_records, wholes, wholes_held, last_record, file };
+        let mut seat = Seat {
+            seats,
+            now: 0,
+            records,
+            whole_records,
+            wholes,
+            wholes_held,
+            last_record,
+            file,
+        };
         let mut out = Vec::new();
         seat.seats.tick(0, &mut out);
         seat.carry_out(out)?;
@@ -155,8 +205,11 @@
                         if let Some(file) = &mut self.file {
                             let (held, took) = timed(|| file.hold(record, whole.as_deref()));
                             held.map_err(|e| Wrong::run("the seat's file", e))?;
-                            let spread =
-                                if whole.is_some() { &mut self.whole_records } else { &mut self.records };
+                            let spread = if whole.is_some() {
+                                &mut self.whole_records
+                            } else {
+                                &mut self.records
+                            };
                             spread.add(took);
                         }
                         self.wholes_held += usize::from(whole.is_some());
@@ -174,7 +227,9 @@
     }
 
     pub(crate) fn log(&self) -> Result<&Log, Wrong> {
-        self.seats.log().ok_or_else(|| Wrong::run("the seat", "it has no log"))
+        self.seats
+            .log()
+            .ok_or_else(|| Wrong::run("the seat", "it has no log"))
     }
 
     /// The number of the entry as of which the log was encoded last.
@@ -187,8 +242,12 @@
         let mut out = Vec::new();
         self.seats.tick(self.now, &mut out);
         self.carry_out(std::mem::take(&mut out))?;
-        self.seats.propose(entry, &mut out).ok_or_else(|| Wrong::run("the seat", "it does not lead"))?;
-        self.carry_out(out)?.map(drop).ok_or_else(|| Wrong::run("the entry", "it was not applied"))
+        self.seats
+            .propose(entry, &mut out)
+            .ok_or_else(|| Wrong::run("the seat", "it does not lead"))?;
+        self.carry_out(out)?
+            .map(drop)
+            .ok_or_else(|| Wrong::run("the entry", "it was not applied"))
     }
 
     /// One function's lanes change, through all steps; the bytes of the record with the proposal.
@@ -199,7 +258,12 @@
         // Each time another value than the last one.
         let fields = inputs::changed(&force.fields, one, 2 + (n / names.len()) as i64);
         let id = n as u64 + 1;
-        self.enter(Entry::Propose { id, base, fields, why: "bench".into() })?;
+        self.enter(Entry::Propose {
+            id,
+            base,
+            fields,
+            why: "bench".into(),
+        })?;
         let proposed = self.last_record;
         for _ in 0..2 {
             let from = self.seats.log().ok_or_else(log)?.state().step;
@@ -212,7 +276,12 @@
 /// Bytes of all that a log remembers, as an operator's request for its history brings them.
 fn history_bytes(log: &Log) -> usize {
     let versions = log.history().map(settings).collect();
-    pb::HistoryReply { versions, force: 1, next: 0 }.encoded_len()
+    pb::HistoryReply {
+        versions,
+        force: 1,
+        next: 0,
+    }
+    .encoded_len()
 }
 
 /// The agreed log at a seat with as many past versions as it keeps, in memory and in what is encoded of it.
@@ -233,7 +302,10 @@
     line.count("changes", a.changes);
     line.count("entry_bytes", entry);
     line.count("whole_bytes", seat.wholes);
-    let log = seat.seats.log().ok_or_else(|| Wrong::run("the seat", "it has no log"))?;
+    let log = seat
+        .seats
+        .log()
+        .ok_or_else(|| Wrong::run("the seat", "it has no log"))?;
     let (encoded, took) = timed(|| postcard::to_stdvec(log).map_or(0, |b| b.len()));
     line.count("versions", log.history().count());
     line.count("log_bytes", encoded);
@@ -245,7 +317,9 @@
     drop(copy);
     line.count("largest_bytes", LARGEST);
     if encoded > LARGEST {
-        line.note("the whole log is more than a letter may hold: no other seat can be given it".into());
+        line.note(
+            "the whole log is more than a letter may hold: no other seat can be given it".into(),
+        );
     }
     Ok(())
 }
@@ -272,7 +346,12 @@
         for n in 1..KEPT as u64 {
             let fields = inputs::changed(&fields, &names[0], 1 + n as i64 % 4000);
             let base = log.state().force.version;
-            let _ = log.apply(Entry::Propose { id: n, base, fields, why: "bench".into() });
+            let _ = log.apply(Entry::Propose {
+                id: n,
+                base,
+                fields,
+                why: "bench".into(),
+            });
             for _ in 0..2 {
                 let from = log.state().step;
                 let _ = log.apply(Entry::Advance { from });
@@ -305,7 +384,10 @@
     line.count("first_bytes", first as usize);
     line.count("file_bytes", size() as usize);
     line.count("most_file_bytes", largest as usize);
-    line.figure("change_bytes", (size() as f64 - first as f64) / a.changes.max(1) as f64);
+    line.figure(
+        "change_bytes",
+        (size() as f64 - first as f64) / a.changes.max(1) as f64,
+    );
     line.put("hold_ms", seat.records.ms());
     Ok(())
 }
--- a/benches/state/src/lib.rs
+++ b/benches/state/src/lib.rs
@@ -128,7 +128,10 @@
 
 impl Wrong {
     fn run(what: &str, why: impl std::fmt::Display) -> Wrong {
-        Wrong::Run(format!("{what}: {}", why.to_string().lines().next().unwrap_or("no reason given")))
+        Wrong::Run(format!(
+            "{what}: {}",
+            why.to_string().lines().next().unwrap_or("no reason given")
+        ))
     }
 
     /// The exit code: 2 for wrong arguments, 1 for a measurement that failed.
@@ -152,8 +155,10 @@
 /// What is wrong with arguments, in one line: what, where, and what would be right.
 pub fn one_line(e: &clap::Error) -> String {
     let text = e.to_string();
-    let told =
-        text.lines().map(str::trim).take_while(|l| !l.starts_with("Usage:") && !l.starts_with("For more"));
+    let told = text
+        .lines()
+        .map(str::trim)
+        .take_while(|l| !l.starts_with("Usage:") && !l.starts_with("For more"));
     let told: Vec<&str> = told.filter(|l| !l.is_empty()).collect();
     told.join("; ").trim_start_matches("error: ").to_string()
 }
@@ -190,7 +195,11 @@
             ("--held", self.held as u64),
             ("--seed", self.seed),
         ];
-        words.extend(sizes.into_iter().flat_map(|(name, n)| [name.to_string(), n.to_string()]));
+        words.extend(
+            sizes
+                .into_iter()
+                .flat_map(|(name, n)| [name.to_string(), n.to_string()]),
+        );
         words.extend(self.unlisted.then(|| "--unlisted".to_string()));
         words.extend(self.miss.then(|| "--miss".to_string()));
         words
@@ -198,13 +207,20 @@
 
     /// MB that it will hold, no less than was seen at the sizes of the campaign, by bytes of each thing that it makes.
     fn needs_mb(&self) -> f64 {
-        let (f, i, n, c) = (self.functions, self.instances, self.front_ends, self.changes);
+        let (f, i, n, c) = (
+            self.functions,
+            self.instances,
+            self.front_ends,
+            self.changes,
+        );
         let workers = i.div_ceil(inputs::WARM);
         let bytes = match self.what {
             Some(What::Module) => f * (1_600 + 24 * workers) + i * 400 + workers * 2_000,
             // Each function that was called has an order of all workers.
             Some(What::Ledger) if self.unlisted => f * (3_000 + 24 * workers) + workers * 3_000,
-            Some(What::Ledger | What::ColdStart) => f * 3_000 + f.min(4_000) * 24 * workers + workers * 3_000,
+            Some(What::Ledger | What::ColdStart) => {
+                f * 3_000 + f.min(4_000) * 24 * workers + workers * 3_000
+            }
             Some(What::Terms) => f * 40_000,
             Some(What::Adopt) => f * 4_000,
             Some(What::Letter) => f * 6_000,
@@ -247,11 +263,16 @@
 /// Measures one size in this process.
 pub fn here(a: &Args) -> Result<Line, Wrong> {
     a.bounded()?;
-    let none = || Wrong::Arguments("--what: nothing to measure is named: want one, as --what module".into());
+    let none = || {
+        Wrong::Arguments("--what: nothing to measure is named: want one, as --what module".into())
+    };
     let what = a.what.ok_or_else(none)?;
     let mut line = Line::default();
     line.put("tool", json!("state"));
-    line.put("what", json!(what.to_possible_value().map(|w| w.get_name().to_string())));
+    line.put(
+        "what",
+        json!(what.to_possible_value().map(|w| w.get_name().to_string())),
+    );
     line.count("functions", a.functions);
     line.count("instances", a.instances);
     line.count("front_ends", a.front_ends);
@@ -287,7 +308,10 @@
 
 /// The words before the first of ours, as a program that has this as one of its commands was given them.
 fn leading() -> Vec<String> {
-    std::env::args().skip(1).take_while(|w| !w.starts_with('-')).collect()
+    std::env::args()
+        .skip(1)
+        .take_while(|w| !w.starts_with('-'))
+        .collect()
 }
 
 fn say(line: &Value) {
@@ -302,14 +326,27 @@
     let mut words = leading();
     words.extend(a.words());
     let mut command = Command::new(exe);
-    command.args(&words).arg("--here").stdin(Stdio::null()).stderr(Stdio::piped());
-    let out = command.output().map_err(|e| Wrong::run("this program", e))?;
+    command
+        .args(&words)
+        .arg("--here")
+        .stdin(Stdio::null())
+        .stderr(Stdio::piped());
+    let out = command
+        .output()
+        .map_err(|e| Wrong::run("this program", e))?;
     let text = String::from_utf8_lossy(&out.stdout);
-    match text.lines().last().and_then(|l| serde_json::from_str(l).ok()) {
+    match text
+        .lines()
+        .last()
+        .and_then(|l| serde_json::from_str(l).ok())
+    {
         Some(line) if out.status.success() => Ok(line),
         _ => {
             let told = String::from_utf8_lossy(&out.stderr);
-            let why = told.lines().next().map_or_else(|| out.status.to_string(), str::to_string);
+            let why = told
+                .lines()
+                .next()
+                .map_or_else(|| out.status.to_string(), str::to_string);
             Err(Wrong::run(&words.join(" "), why))
         }
     }
@@ -363,7 +400,8 @@
 
 fn program() -> String {
     let exe = std::env::current_exe().unwrap_or_default();
-    exe.file_name().map_or_else(String::new, |n| n.to_string_lossy().into_owned())
+    exe.file_name()
+        .map_or_else(String::new, |n| n.to_string_lossy().into_owned())
 }
 
 /// All sizes that the page needs, each with three seeds; the largest list, which takes longest, with one.
@@ -373,7 +411,10 @@
     let mut sizes = |what: What, sizes: &[usize], set: &dyn Fn(&mut Args, usize)| {
         for size in sizes {
             for seed in 1..=if *size == TARGET { 1 } else { 3 } {
-                let mut a = Args { seed, ..Args::of(what) };
+                let mut a = Args {
+                    seed,
+                    ..Args::of(what)
+                };
                 set(&mut a, *size);
                 all.push(a);
             }
@@ -388,28 +429,44 @@
     sizes(Module, &warm, &instances);
     sizes(Ledger, &known, &functions);
     sizes(Ledger, &warm, &instances);
-    sizes(Ledger, &known[..4], &|a, n| (a.functions, a.unlisted) = (n, true));
+    sizes(Ledger, &known[..4], &|a, n| {
+        (a.functions, a.unlisted) = (n, true)
+    });
     // With few workers to many front ends hardly any cold call is sent at all, whatever the functions.
-    sizes(ColdStart, &known[..4], &|a, n| (a.functions, a.instances) = (n, 160_000));
+    sizes(ColdStart, &known[..4], &|a, n| {
+        (a.functions, a.instances) = (n, 160_000)
+    });
     sizes(ColdStart, &warm, &instances);
-    sizes(ColdStart, &[1_000, 4_000, 30_000, 60_000], &|a, n| (a.front_ends, a.instances) = (n, 160_000));
+    sizes(ColdStart, &[1_000, 4_000, 30_000, 60_000], &|a, n| {
+        (a.front_ends, a.instances) = (n, 160_000)
+    });
     sizes(Terms, &[250, 1_000, 4_000, 8_000], &functions);
     sizes(Adopt, &[1_000, 4_000, 10_000, 40_000], &functions);
     sizes(Letter, &[1_000, 4_000, 10_000, 40_000, 100_000], &functions);
     sizes(Largest, &[1_000], &functions);
     sizes(Log, &[64, 125, 250, 500], &functions);
-    sizes(File, &[64, 125, 250, 500], &|a, n| (a.functions, a.changes) = (n, 60));
+    sizes(File, &[64, 125, 250, 500], &|a, n| {
+        (a.functions, a.changes) = (n, 60)
+    });
     sizes(Members, &[250, 1_000, 4_000, 16_000], &front_ends);
     sizes(View, &[250, 1_000, 4_000, 16_000], &front_ends);
     sizes(Roster, &[250, 1_000, 4_000, 10_000, 16_000], &front_ends);
     sizes(List, &[1_000, 4_000, 16_000, 64_000], &instances);
-    sizes(Listed, &[1_000, 10_000, 100_000, 400_000, TARGET], &instances);
+    sizes(
+        Listed,
+        &[1_000, 10_000, 100_000, 400_000, TARGET],
+        &instances,
+    );
     sizes(PlatformList, &[1_000, 4_000, 16_000], &instances);
     sizes(Leaving, &[1_000, 4_000, 16_000, 40_000], &instances);
     sizes(Catalog, &known, &functions);
     sizes(CatalogFile, &known, &functions);
-    sizes(Holding, &[100, 400, 1_000, 4_096], &|a, n| (a.functions, a.held) = (340_000, n));
-    sizes(Holders, &[250, 1_000, 4_000, 15_000], &|a, n| (a.functions, a.front_ends) = (340_000, n));
+    sizes(Holding, &[100, 400, 1_000, 4_096], &|a, n| {
+        (a.functions, a.held) = (340_000, n)
+    });
+    sizes(Holders, &[250, 1_000, 4_000, 15_000], &|a, n| {
+        (a.functions, a.front_ends) = (340_000, n)
+    });
     for miss in [false, true] {
         sizes(Workers, &[10, 30, 100, 300], &|a, n| {
             // The fleet asked for at a smaller scale: 340,000 functions and 1,300,000 instances of 15,000 front ends.
--- a/benches/state/src/lists.rs
+++ b/benches/state/src/lists.rs
@@ -52,7 +52,10 @@
     line.figure("peak_mb", grown.peak_mb());
     line.count("lines", lines.len());
     line.figure("line_bytes", text.len() as f64 / a.instances.max(1) as f64);
-    line.figure("peak_line_bytes", grown.peak_mb() * 1e6 / a.instances.max(1) as f64);
+    line.figure(
+        "peak_line_bytes",
+        grown.peak_mb() * 1e6 / a.instances.max(1) as f64,
+    );
     Ok(())
 }
 
@@ -65,17 +68,32 @@
     let names = inputs::names(a.functions, a.seed);
     let whole = |skip: usize| Input::Workers {
         whole: true,
-        list: (0..a.instances).filter(|n| *n != skip).map(listed).collect(),
+        list: (0..a.instances)
+            .filter(|n| *n != skip)
+            .map(listed)
+            .collect(),
     };
-    let mut front = Front::new(inputs::config(&names, a.front_ends, a.seed), Time(0)).map_err(bad)?;
+    let mut front =
+        Front::new(inputs::config(&names, a.front_ends, a.seed), Time(0)).map_err(bad)?;
     let mut out = Vec::new();
-    let inputs = [whole(usize::MAX), whole(usize::MAX), whole(a.seed as usize % a.instances.max(1))];
+    let inputs = [
+        whole(usize::MAX),
+        whole(usize::MAX),
+        whole(a.seed as usize % a.instances.max(1)),
+    ];
     let grown = Grown::begin();
-    for (n, (input, what)) in inputs.into_iter().zip(["first_ms", "again_ms", "one_gone_ms"]).enumerate() {
+    for (n, (input, what)) in inputs
+        .into_iter()
+        .zip(["first_ms", "again_ms", "one_gone_ms"])
+        .enumerate()
+    {
         let (_, took) = timed(|| front.step(Time(n as i64), input, &mut out));
         line.figure(what, ms(took));
     }
-    let one = Input::Workers { whole: false, list: vec![listed(a.seed as usize % a.instances.max(1))] };
+    let one = Input::Workers {
+        whole: false,
+        list: vec![listed(a.seed as usize % a.instances.max(1))],
+    };
     let (_, took) = timed(|| front.step(Time(4), one, &mut out));
     line.figure("one_comes_ms", ms(took));
     let (mut ticks, mut now) = (Spread::default(), 0);
@@ -88,17 +106,24 @@
     line.count("ready", front.ready_workers());
     line.figure("memory_mb", grown.mb());
     line.figure("peak_mb", grown.peak_mb());
-    line.figure("instance_bytes", grown.mb() * 1e6 / a.instances.max(1) as f64);
+    line.figure(
+        "instance_bytes",
+        grown.mb() * 1e6 / a.instances.max(1) as f64,
+    );
     Ok(())
 }
 
 /// The list as the platform's coordinator tells it.
 pub fn platform(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let mut text = String::from(r#"{"index":1,"updates":[{"index":1,"endpoints":{"full":true,"servers":["#);
+    let mut text =
+        String::from(r#"{"index":1,"updates":[{"index":1,"endpoints":{"full":true,"servers":["#);
     for n in 0..a.instances {
         let comma = if n > 0 { "," } else { "" };
         let (id, at) = (worker(n), at(n));
-        let _ = write!(text, r#"{comma}{{"id":"{id}","addr":"{at}","zone":"local","state":"Ready"}}"#);
+        let _ = write!(
+            text,
+            r#"{comma}{{"id":"{id}","addr":"{at}","zone":"local","state":"Ready"}}"#
+        );
     }
     text.push_str("]}}]}");
     let grown = Grown::begin();
@@ -116,8 +141,15 @@
 }
 
 fn leaves(n: usize, rng: &mut fastrand::Rng) -> Told {
-    let worker = Worker { name: worker(n), address: at(n).to_string() };
-    Told { worker, incarnation: incarnation(rng), standing: Standing::Gone }
+    let worker = Worker {
+        name: worker(n),
+        address: at(n).to_string(),
+    };
+    Told {
+        worker,
+        incarnation: incarnation(rng),
+        standing: Standing::Gone,
+    }
 }
 
 /// Workers that leave, as every front end remembers them for a day, and the exchange of what another one lacks.
@@ -144,8 +176,14 @@
         name: "a".into(),
         me: me.clone(),
         seats: vec![(2, at(1))],
-        lease: Terms { span: SECOND / 2, ppm: 1000 },
-        stay: Terms { span: 3600 * SECOND, ppm: 1000 },
+        lease: Terms {
+            span: SECOND / 2,
+            ppm: 1000,
+        },
+        stay: Terms {
+            span: 3600 * SECOND,
+            ppm: 1000,
+        },
         pace: Pace::default(),
         schema: Schema::default(),
         seed: a.seed,
@@ -164,7 +202,10 @@
     let (_, took) = timed(|| peer.list(2, lines.clone(), &mut out));
     line.figure("again_ms", ms(took));
     if lines.len() > LEAVING {
-        line.note(format!("{} of the workers that leave are not remembered", lines.len() - LEAVING));
+        line.note(format!(
+            "{} of the workers that leave are not remembered",
+            lines.len() - LEAVING
+        ));
     }
     Ok(())
 }
--- a/benches/state/src/measure.rs
+++ b/benches/state/src/measure.rs
@@ -14,7 +14,10 @@
 /// MB that this process holds in memory.
 pub fn memory_mb() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages = text.split_whitespace().nth(1).and_then(|p| p.parse::<f64>().ok());
+    let pages = text
+        .split_whitespace()
+        .nth(1)
+        .and_then(|p| p.parse::<f64>().ok());
     pages.unwrap_or(0.0) * page() / MB
 }
 
@@ -22,15 +25,24 @@
 fn most_mb() -> f64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find(|l| l.starts_with("VmHWM:")).unwrap_or("");
-    let kib = line.split_whitespace().nth(1).and_then(|k| k.parse::<f64>().ok());
+    let kib = line
+        .split_whitespace()
+        .nth(1)
+        .and_then(|k| k.parse::<f64>().ok());
     kib.unwrap_or(0.0) * 1024.0 / MB
 }
 
 /// Half of the machine's memory, MB: what a run may hold.
 pub fn allowed_mb() -> f64 {
     let text = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
-    let line = text.lines().find(|l| l.starts_with("MemTotal:")).unwrap_or("");
-    let kib = line.split_whitespace().nth(1).and_then(|k| k.parse::<f64>().ok());
+    let line = text
+        .lines()
+        .find(|l| l.starts_with("MemTotal:"))
+        .unwrap_or("");
+    let kib = line
+        .split_whitespace()
+        .nth(1)
+        .and_then(|k| k.parse::<f64>().ok());
     kib.unwrap_or(0.0) * 1024.0 / MB / 2.0
 }
 
@@ -79,7 +91,9 @@
     /// A time, kept to the nanosecond.
     pub fn add(&mut self, t: Duration) {
         // It grows to hold what is recorded; to saturate would not let it.
-        self.0.record(u64::try_from(t.as_nanos()).unwrap_or(u64::MAX).max(1)).expect("it grows");
+        self.0
+            .record(u64::try_from(t.as_nanos()).unwrap_or(u64::MAX).max(1))
+            .expect("it grows");
     }
 
     /// Microseconds of virtual time.
--- a/benches/state/src/scopes.rs
+++ b/benches/state/src/scopes.rs
@@ -28,13 +28,20 @@
 /// What a scope holds of a function: the four fields of [`inputs::version`].
 fn fields(lanes: i64) -> Fields {
     let all = inputs::changed(&inputs::version(&["one".to_string()]), "one", lanes);
-    let mine = all.iter().filter_map(|(path, v)| Some((path.strip_prefix("functions.one.")?, v)));
-    mine.map(|(field, v)| (field.to_string(), v.clone())).collect()
+    let mine = all
+        .iter()
+        .filter_map(|(path, v)| Some((path.strip_prefix("functions.one.")?, v)));
+    mine.map(|(field, v)| (field.to_string(), v.clone()))
+        .collect()
 }
 
 fn change(log: &Log, name: &str, lanes: i64) -> ScopeChange {
     let base = log.catalog().get(name).map_or(Step(0), |s| s.revision);
-    ScopeChange { scope: name.to_string(), base, fields: Some(fields(lanes)) }
+    ScopeChange {
+        scope: name.to_string(),
+        base,
+        fields: Some(fields(lanes)),
+    }
 }
 
 /// A seat whose functions all stand in the catalog; the versions have their classes and one function.
@@ -51,7 +58,10 @@
 
 impl Kept {
     fn new(file: Option<Records>) -> Result<Kept, Wrong> {
-        Ok(Kept { seat: Seat::new(inputs::version(&["one".to_string()]), file)?, id: 0 })
+        Ok(Kept {
+            seat: Seat::new(inputs::version(&["one".to_string()]), file)?,
+            id: 0,
+        })
     }
 
     fn log(&self) -> Result<&Log, Wrong> {
@@ -63,26 +73,49 @@
         self.id += 1;
         let log = self.log()?;
         let changes = names.iter().map(|n| change(log, n, lanes)).collect();
-        let request = ScopeRequest { id: self.id, changes, why: "bench".into() };
+        let request = ScopeRequest {
+            id: self.id,
+            changes,
+            why: "bench".into(),
+        };
         let (judged, judging) = timed(|| log.judge_request(&request));
         judged.map_err(|e| Wrong::run("the change", e))?;
-        let (done, took) = timed(|| self.seat.enter(Entry::Change { requests: vec![request] }));
+        let (done, took) = timed(|| {
+            self.seat.enter(Entry::Change {
+                requests: vec![request],
+            })
+        });
         done?;
         let entry = self.seat.last_record;
         let (force, second) = self.go_on(true)?;
         let (settled, third) = self.go_on(false)?;
         if (force, settled) != (names.len(), names.len()) {
-            return Err(Wrong::run("the change", format!("{force} came in force, {settled} were settled")));
+            return Err(Wrong::run(
+                "the change",
+                format!("{force} came in force, {settled} were settled"),
+            ));
         }
-        Ok(Took { all: [judging + took, second, third], entry })
+        Ok(Took {
+            all: [judging + took, second, third],
+            entry,
+        })
     }
 
     fn go_on(&mut self, joint: bool) -> Result<(usize, Duration), Wrong> {
-        let open = self.log()?.catalog().open().filter(|(_, s)| s.next().is_some() == joint);
-        let all: Vec<(String, Step)> =
-            open.filter_map(|(name, s)| Some((name.to_string(), s.standing.since()?))).collect();
+        let open = self
+            .log()?
+            .catalog()
+            .open()
+            .filter(|(_, s)| s.next().is_some() == joint);
+        let all: Vec<(String, Step)> = open
+            .filter_map(|(name, s)| Some((name.to_string(), s.standing.since()?)))
+            .collect();
         let n = all.len();
-        let (force, settled) = if joint { (all, Vec::new()) } else { (Vec::new(), all) };
+        let (force, settled) = if joint {
+            (all, Vec::new())
+        } else {
+            (Vec::new(), all)
+        };
         let (done, took) = timed(|| self.seat.enter(Entry::Carry { force, settled }));
         done.map(|()| (n, took))
     }
@@ -100,7 +133,9 @@
 
 /// The log as a seat tells another one of it, and holds it: what `decide/seats` makes of it, but for eleven bytes before.
 fn encoded(log: &Log) -> Vec<u8> {
-    log.kept().and_then(|kept| postcard::to_stdvec(&(log, kept)).ok()).unwrap_or_default()
+    log.kept()
+        .and_then(|kept| postcard::to_stdvec(&(log, kept)).ok())
+        .unwrap_or_default()
 }
 
 /// The catalog at a seat: memory, bytes as it is told and held, time of a change, of a burst, and of encoding all of it.
@@ -123,7 +158,10 @@
         encodings += usize::from(kept.seat.encoded_at() != encoded_at);
         encoded_at = kept.seat.encoded_at();
     }
-    for (name, step) in ["joint_ms", "force_ms", "settled_ms"].into_iter().zip(&steps) {
+    for (name, step) in ["joint_ms", "force_ms", "settled_ms"]
+        .into_iter()
+        .zip(&steps)
+    {
         line.put(name, step.ms());
     }
     line.put("change_ms", whole_change.ms());
@@ -150,7 +188,10 @@
     let same = read.map_err(|e| Wrong::run("the log", e))?;
     line.figure("read_ms", ms(took));
     if same.0.with(same.1) != *log {
-        return Err(Wrong::run("the log", "it is read as another one than was written"));
+        return Err(Wrong::run(
+            "the log",
+            "it is read as another one than was written",
+        ));
     }
     line.count("moves_bytes", log.state().moves.weight());
     line.count("largest_bytes", LARGEST);
@@ -189,7 +230,9 @@
     drop(kept);
     let (seat, took) = timed(|| {
         let opened = Records::open(path);
-        opened.map_err(|e| Wrong::run("the seat's file", e)).and_then(|(_, held)| Seat::again(held))
+        opened
+            .map_err(|e| Wrong::run("the seat's file", e))
+            .and_then(|(_, held)| Seat::again(held))
     });
     let again = seat?;
     line.figure("start_ms", ms(took));
@@ -201,12 +244,17 @@
 }
 
 fn member(n: usize, seed: u64) -> Member {
-    let id = fastrand::Rng::with_seed(seed ^ (n as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15)).u64(2..);
+    let id =
+        fastrand::Rng::with_seed(seed ^ (n as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15)).u64(2..);
     Member { id, incarnation: 1 }
 }
 
 fn scoped(revision: Step, lanes: i64) -> Scoped {
-    Scoped { revision, fields: Some(fields(lanes)), ..Scoped::default() }
+    Scoped {
+        revision,
+        fields: Some(fields(lanes)),
+        ..Scoped::default()
+    }
 }
 
 /// What is acted on, with as many moves as are remembered.
@@ -235,11 +283,19 @@
     let all = (0..moves).map(|n| {
         let step = Step(from.0 + 1 + n as u64);
         let to = scoped(step, 1 + n as i64 % 4000);
-        std::sync::Arc::new(Move { step, scope: names[n % names.len()].clone(), to })
+        std::sync::Arc::new(Move {
+            step,
+            scope: names[n % names.len()].clone(),
+            to,
+        })
     });
     let all: Vec<_> = all.collect();
     let to = all.last().map_or(from, |m| m.step);
-    state.follow(&tansy_agree::scope::Delta { from, to, moves: all });
+    state.follow(&tansy_agree::scope::Delta {
+        from,
+        to,
+        moves: all,
+    });
     state
 }
 
@@ -256,7 +312,13 @@
     let mut holding = Holding::new(me, Bounds::default(), 0);
     holding.follow(0, &state, &schema);
     let epoch = Epoch { term: 1, count: 1 };
-    let begins = Reply { to: me, epoch, seq: None, at: state.step, scopes: Vec::new() };
+    let begins = Reply {
+        to: me,
+        epoch,
+        seq: None,
+        at: state.step,
+        scopes: Vec::new(),
+    };
     holding.granted(0, begins, Some(&state), &schema);
     let (mut now, mut asks) = (0, Spread::default());
     for n in order.iter().take(a.held) {
@@ -275,7 +337,10 @@
         let (call, took) = timed(|| holding.called(now, &schema, name, true));
         calls.add(took);
         if !matches!(call, Call::Acts(_)) {
-            return Err(Wrong::run("a call", format!("of a function that is held: {call:?}")));
+            return Err(Wrong::run(
+                "a call",
+                format!("of a function that is held: {call:?}"),
+            ));
         }
     }
     line.put("call_us", calls.us());
@@ -305,17 +370,39 @@
 }
 
 /// A first call, with the ask and its answer.
-fn asked(holding: &mut Holding, now: i64, name: &str, state: &State, schema: &Schema) -> Result<(), Wrong> {
+fn asked(
+    holding: &mut Holding,
+    now: i64,
+    name: &str,
+    state: &State,
+    schema: &Schema,
+) -> Result<(), Wrong> {
     holding.called(now, schema, name, true);
     for n in 0..20 {
         let at = now + n * SECOND / 1000;
-        let Some(Want { from: to, epoch, seq, scopes, .. }) = holding.tick(at, state.step, true) else {
+        let Some(Want {
+            from: to,
+            epoch,
+            seq,
+            scopes,
+            ..
+        }) = holding.tick(at, state.step, true)
+        else {
             continue;
         };
-        let all = scopes.into_iter().map(|s| (s, Some(scoped(Step(2), 1)))).collect();
+        let all = scopes
+            .into_iter()
+            .map(|s| (s, Some(scoped(Step(2), 1))))
+            .collect();
         holding.granted(
             at,
-            Reply { to, epoch, seq: Some(seq), at: state.step, scopes: all },
+            Reply {
+                to,
+                epoch,
+                seq: Some(seq),
+                at: state.step,
+                scopes: all,
+            },
             Some(state),
             schema,
         );
@@ -335,11 +422,18 @@
     let mut drawn = || {
         let mut mine = BTreeSet::new();
         while mine.len() < a.held.min(names.len()) {
-            mine.insert(if rng.bool() { draw.next(&mut rng) } else { rng.usize(..names.len()) });
+            mine.insert(if rng.bool() {
+                draw.next(&mut rng)
+            } else {
+                rng.usize(..names.len())
+            });
         }
         mine
     };
-    let stays = Terms { span: 3600 * SECOND, ppm: 1000 };
+    let stays = Terms {
+        span: 3600 * SECOND,
+        ppm: 1000,
+    };
     let grown = Grown::begin();
     let members: Vec<Member> = (0..a.front_ends).map(|n| member(n, a.seed)).collect();
     let mut register = Register::new(stays, members.iter().copied(), 0);
@@ -353,7 +447,15 @@
         other => Err(Wrong::run("a letter", format!("{other:?}"))),
     };
     for from in &members {
-        register.grant(1, Ask { from: *from, seq: 1, at: STEP, scopes: true });
+        register.grant(
+            1,
+            Ask {
+                from: *from,
+                seq: 1,
+                at: STEP,
+                scopes: true,
+            },
+        );
         let all: Vec<u64> = drawn().into_iter().map(|n| number(&names[n])).collect();
         let letter = Want {
             from: *from,
@@ -377,7 +479,15 @@
     line.figure("tell_all_ms", ms(telling));
     for from in members.iter().take(2000) {
         let scopes = vec![names[rng.usize(..names.len())].clone()];
-        let letter = Want { from: *from, epoch, seq: 2, at: STEP, scopes, drops: Vec::new(), all: None };
+        let letter = Want {
+            from: *from,
+            epoch,
+            seq: 2,
+            at: STEP,
+            scopes,
+            drops: Vec::new(),
+            all: None,
+        };
         let (taken, took) = timed(|| hear(&mut register, &letter));
         taken?;
         want.add(took);
@@ -391,7 +501,10 @@
         waits.add(took);
     }
     line.put("waits_us", waits.us());
-    let most = names.iter().map(|name| (register.holders_behind(number(name), after).count(), name)).max();
+    let most = names
+        .iter()
+        .map(|name| (register.holders_behind(number(name), after).count(), name))
+        .max();
     if let Some((n, name)) = most {
         line.count("most_holders", n);
         let (_, took) = timed(|| register.holders_behind(number(name), after).count());
--- a/benches/state/src/steer.rs
+++ b/benches/state/src/steer.rs
@@ -43,11 +43,17 @@
         from = to(share).max(from);
         stages.extend(Some(stage).filter(|s| !s.is_empty()));
     }
-    Plan { stages, ..Plan::default() }
+    Plan {
+        stages,
+        ..Plan::default()
+    }
 }
 
 fn begin(front_ends: usize) -> Result<Roll, Refused> {
-    let what = What::Program { label: NEW.into(), path: "/programs/new".into() };
+    let what = What::Program {
+        label: NEW.into(),
+        path: "/programs/new".into(),
+    };
     Roll::begin(1, what, plan(front_ends), "measured".into())
 }
 
@@ -82,14 +88,30 @@
             since: -3600 * SECOND,
             back: None,
         };
-        let all: Vec<Answering> = plan(front_ends).stages.into_iter().flatten().map(one).collect();
-        let places = all.iter().enumerate().map(|(n, a)| (a.name.clone(), n)).collect();
-        Fleet { all, places, classes, rng: fastrand::Rng::with_seed(seed) }
+        let all: Vec<Answering> = plan(front_ends)
+            .stages
+            .into_iter()
+            .flatten()
+            .map(one)
+            .collect();
+        let places = all
+            .iter()
+            .enumerate()
+            .map(|(n, a)| (a.name.clone(), n))
+            .collect();
+        Fleet {
+            all,
+            places,
+            classes,
+            rng: fastrand::Rng::with_seed(seed),
+        }
     }
 
     /// One is let go: it ends, and is back with the new program.
     fn let_go(&mut self, name: &str, now: Time) {
-        let Some(a) = self.places.get(name).and_then(|n| self.all.get_mut(*n)) else { return };
+        let Some(a) = self.places.get(name).and_then(|n| self.all.get_mut(*n)) else {
+            return;
+        };
         (a.ready, a.back) = (false, Some(now + RESTART));
     }
 
@@ -113,7 +135,9 @@
                 let lost = (calls * 0.001 * (0.9 + 0.2 * rng.f64())) as u64;
                 let served = calls as u64 - lost.min(calls as u64);
                 let each = served / LATENCIES as u64;
-                let took: Vec<u64> = (1..=LATENCIES as u64).map(|l| 4_000 + l * l * 100).collect();
+                let took: Vec<u64> = (1..=LATENCIES as u64)
+                    .map(|l| 4_000 + l * l * 100)
+                    .collect();
                 pb::Counted {
                     class: format!("class-{n}"),
                     asked: calls as u64,
@@ -140,7 +164,11 @@
             };
             reply.encode_to_vec()
         };
-        self.all.iter().filter(|a| a.ready).map(&mut answer).collect()
+        self.all
+            .iter()
+            .filter(|a| a.ready)
+            .map(&mut answer)
+            .collect()
     }
 }
 
@@ -156,7 +184,10 @@
 
 fn refused(why: &Refused, a: &Args, line: &mut Line) {
     line.count("refused", 1);
-    line.note(format!("a roll over {} front ends is refused: {why}", a.front_ends));
+    line.note(format!(
+        "a roll over {} front ends is refused: {why}",
+        a.front_ends
+    ));
 }
 
 /// What a look costs whoever steers, and what it holds.
@@ -180,7 +211,8 @@
     drop(first);
     let grown = Grown::begin();
     let mut steer = Steer::new("steerer".into());
-    let (mut take, mut slices, mut moving) = (Spread::default(), Spread::default(), Spread::default());
+    let (mut take, mut slices, mut moving) =
+        (Spread::default(), Spread::default(), Spread::default());
     let mut now = 0;
     let mut entries = Vec::new();
     // What is usual is learnt before the first one is let go: a look that compares every slice.
@@ -198,7 +230,8 @@
         }
         if let Some(entry) = entry {
             let let_go = matches!(entry, Entry::Let { .. });
-            roll.apply(entry).map_err(|e| Wrong::run("a step of the roll", e))?;
+            roll.apply(entry)
+                .map_err(|e| Wrong::run("a step of the roll", e))?;
             if let_go {
                 break;
             }
@@ -213,15 +246,28 @@
     for name in half.iter().take(half.len() / 2) {
         let (at, fence) = (roll.at, roll.fence);
         if !roll.moving.contains(name) {
-            let go = Entry::Let { at, fence, name: name.clone() };
-            roll.apply(go).map_err(|e| Wrong::run("a step of the roll", e))?;
+            let go = Entry::Let {
+                at,
+                fence,
+                name: name.clone(),
+            };
+            roll.apply(go)
+                .map_err(|e| Wrong::run("a step of the roll", e))?;
         }
-        let moved = Entry::Moved { at: roll.at, fence, name: name.clone() };
-        roll.apply(moved).map_err(|e| Wrong::run("a step of the roll", e))?;
+        let moved = Entry::Moved {
+            at: roll.at,
+            fence,
+            name: name.clone(),
+        };
+        roll.apply(moved)
+            .map_err(|e| Wrong::run("a step of the roll", e))?;
         fleet.let_go(name, now - RESTART);
     }
     fleet.pass(now);
-    fronts.iter_mut().filter(|f| roll.moved.contains(&f.report.name)).for_each(|f| f.report.new = true);
+    fronts
+        .iter_mut()
+        .filter(|f| roll.moved.contains(&f.report.name))
+        .for_each(|f| f.report.new = true);
     // The look that a slice begins with is one of the others.
     let _ = steer.look(now, &roll, &fronts);
     for _ in 0..TIMED {
@@ -230,12 +276,16 @@
         moving.add(took);
         let Some(entry) = entry else { continue };
         entries.push(roll_entry(&entry, None).encode_to_vec().len());
-        roll.apply(entry).map_err(|e| Wrong::run("a step of the roll", e))?;
+        roll.apply(entry)
+            .map_err(|e| Wrong::run("a step of the roll", e))?;
     }
     line.put("take_ms", take.ms());
     line.put("slice_ms", slices.ms());
     line.put("look_ms", moving.ms());
-    line.figure("step_bytes", entries.iter().sum::<usize>() as f64 / entries.len().max(1) as f64);
+    line.figure(
+        "step_bytes",
+        entries.iter().sum::<usize>() as f64 / entries.len().max(1) as f64,
+    );
     let (text, took) = timed(|| serde_json::to_string(&roll).unwrap_or_default());
     line.count("roll_bytes", text.len());
     line.figure("roll_encode_ms", ms(took));
@@ -281,8 +331,12 @@
             fresh = now + slice;
         }
         for f in &mut fronts {
-            let a = fleet.places.get(&f.report.name).and_then(|n| fleet.all.get(*n));
-            a.into_iter().for_each(|a| (f.ready, f.report.new) = (a.ready, a.new));
+            let a = fleet
+                .places
+                .get(&f.report.name)
+                .and_then(|n| fleet.all.get(*n));
+            a.into_iter()
+                .for_each(|a| (f.ready, f.report.new) = (a.ready, a.new));
         }
         if let Some(entry) = steer.look(now, &roll, &fronts) {
             played.bytes += roll_entry(&entry, None).encode_to_vec().len() as u64;
@@ -316,7 +370,10 @@
         Err(why) => return Err(Wrong::run("a step of the roll", why)),
     };
     if !played.done {
-        return Err(Wrong::run("the roll", format!("it is not done: {}", roll.why)));
+        return Err(Wrong::run(
+            "the roll",
+            format!("it is not done: {}", roll.why),
+        ));
     }
     line.count("refused", 0);
     line.count("zones", ZONES);
@@ -326,7 +383,13 @@
     line.count("steps", played.steps as usize);
     line.count("beats", played.beats as usize);
     line.count("away", played.away);
-    line.figure("step_bytes", played.bytes as f64 / (played.steps + played.beats).max(1) as f64);
-    line.count("roll_bytes", serde_json::to_string(&roll).unwrap_or_default().len());
+    line.figure(
+        "step_bytes",
+        played.bytes as f64 / (played.steps + played.beats).max(1) as f64,
+    );
+    line.count(
+        "roll_bytes",
+        serde_json::to_string(&roll).unwrap_or_default().len(),
+    );
     Ok(())
 }
--- a/benches/state/src/terms.rs
+++ b/benches/state/src/terms.rs
@@ -43,13 +43,18 @@
         let (settings, took) = timed(|| agree::settings(&self.own, fields));
         self.spent.settings += took;
         self.spent.calls += 1;
-        Ok(settings.map_err(|e| Wrong::run("the version's settings", e))?.front)
+        Ok(settings
+            .map_err(|e| Wrong::run("the version's settings", e))?
+            .front)
     }
 
     fn terms(&mut self, rules: &Rules) -> Result<Terms, Wrong> {
         let config = self.config(&rules.fields)?;
-        let mut contested =
-            Contested { unlisted: rules.unlisted, for_about: SECOND / 2, ..Contested::default() };
+        let mut contested = Contested {
+            unlisted: rules.unlisted,
+            for_about: SECOND / 2,
+            ..Contested::default()
+        };
         for touch in &rules.refused {
             match touch {
                 Touch::All => contested.all = true,
@@ -73,7 +78,11 @@
         let whole = self.terms(&rules)?;
         let apart = self.terms(&apart(&self.schema, rules))?;
         let lapsed = self.terms(&lapsed(&self.schema, &filled.force.fields))?;
-        Ok(Ready { whole, apart, lapsed })
+        Ok(Ready {
+            whole,
+            apart,
+            lapsed,
+        })
     }
 }
 
@@ -84,17 +93,26 @@
     ];
     let whole = ready.whole.clone();
     let (adopted, took) = timed(|| front.adopt(Time(now), whole, ends));
-    adopted.map_err(|e| Wrong::run("the terms", e)).map(|()| took)
+    adopted
+        .map_err(|e| Wrong::run("the terms", e))
+        .map(|()| took)
 }
 
 /// The steps of a change of one function's lanes: told, joint, in force.
 pub fn terms(a: &Args, line: &mut Line) -> Result<(), Wrong> {
     let names = inputs::names(a.functions, a.seed);
     let fields = inputs::version(&names);
-    let one = names.get(a.seed as usize % names.len().max(1)).cloned().unwrap_or_default();
+    let one = names
+        .get(a.seed as usize % names.len().max(1))
+        .cloned()
+        .unwrap_or_default();
     let grown = Grown::begin();
     let own = Fields::from([("front.me".to_string(), Value::Int(7))]);
-    let mut adopter = Adopter { own, schema: agree::agreement(), spent: Spent::default() };
+    let mut adopter = Adopter {
+        own,
+        schema: agree::agreement(),
+        spent: Spent::default(),
+    };
     let mut log = Log::new(fields, []);
     let mut ready = adopter.ready(log.state())?;
     let mut front =
@@ -103,10 +121,18 @@
     adopter.spent = Spent::default();
     let next = inputs::changed(&log.state().force.fields, &one, 2);
     let refused = |e| Wrong::run("the change", e);
-    log.apply(Entry::Propose { id: 1, base: Version(1), fields: next, why: "bench".into() })
-        .map_err(refused)?;
+    log.apply(Entry::Propose {
+        id: 1,
+        base: Version(1),
+        fields: next,
+        why: "bench".into(),
+    })
+    .map_err(refused)?;
     let (mut all, mut adopted) = (Duration::ZERO, Duration::ZERO);
-    for (n, step) in ["told_ms", "joint_ms", "in_force_ms"].into_iter().enumerate() {
+    for (n, step) in ["told_ms", "joint_ms", "in_force_ms"]
+        .into_iter()
+        .enumerate()
+    {
         // A front end has a copy of the state of its own.
         let state = log.state().clone();
         let (made, took) = timed(|| adopter.ready(&state));
@@ -115,14 +141,22 @@
         line.figure(step, ms(took + took_up));
         (all, adopted) = (all + took + took_up, adopted + took_up);
         let from = log.state().step;
-        if log.state().next.as_ref().is_some_and(|(_, p)| matches!(p, Phase::Told | Phase::Joint)) {
+        if log
+            .state()
+            .next
+            .as_ref()
+            .is_some_and(|(_, p)| matches!(p, Phase::Told | Phase::Joint))
+        {
             log.apply(Entry::Advance { from }).map_err(refused)?;
         }
     }
     line.figure("change_ms", ms(all));
     line.figure("adopt_ms", ms(adopted) / 3.0);
     line.figure("filled_ms", ms(adopter.spent.filled) / 5.0);
-    line.figure("settings_ms", ms(adopter.spent.settings) / adopter.spent.calls.max(1) as f64);
+    line.figure(
+        "settings_ms",
+        ms(adopter.spent.settings) / adopter.spent.calls.max(1) as f64,
+    );
     line.figure("memory_mb", grown.mb());
     line.figure("peak_mb", grown.peak_mb());
     // What is kept is kept until here.
@@ -142,7 +176,11 @@
         f.lanes = 2;
     }
     let terms = Terms::from(next);
-    let ready = Ready { whole: terms.clone(), apart: terms.clone(), lapsed: terms };
+    let ready = Ready {
+        whole: terms.clone(),
+        apart: terms.clone(),
+        lapsed: terms,
+    };
     line.figure("adopt_ms", ms(adopt(&mut front, 1, &ready)?));
     // The lease runs out: the terms that come after it are taken up by the next input, before that itself.
     let mut out = Vec::new();
--- a/benches/state/src/workers.rs
+++ b/benches/state/src/workers.rs
@@ -12,7 +12,8 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Instant;
 use tansy_front::{
-    Account, Call, CallId, Command, Front, Input, NeverRan, Note, OrderId, Report, Seen, Shape, Stage, Told,
+    Account, Call, CallId, Command, Front, Input, NeverRan, Note, OrderId, Report, Seen, Shape,
+    Stage, Told,
 };
 use tansyrouter::{Reports, Settings, Span, Time, WhenAbsent, SECOND};
 
@@ -37,8 +38,10 @@
 /// Calls that keep all cores of a worker at work.
 const BUSY: f64 = 8.0;
 /// Idle time after which a site's workers close a connection, of which front ends let three quarters pass; streams of one.
-const SITES: [(&str, Span, u32); 2] =
-    [("connections_12s", 12 * SECOND, 1), ("connections_20s", 20 * SECOND, 8)];
+const SITES: [(&str, Span, u32); 2] = [
+    ("connections_12s", 12 * SECOND, 1),
+    ("connections_20s", 20 * SECOND, 8),
+];
 
 /// Kinds of orders, by their place in [`Got::orders`].
 pub const LOADED: usize = 0;
@@ -62,8 +65,16 @@
 
 #[derive(Clone, Copy)]
 enum Job {
-    Call { front: usize, call: u64, attempt: u32, note: Note },
-    Order { front: usize, order: u64 },
+    Call {
+        front: usize,
+        call: u64,
+        attempt: u32,
+        note: Note,
+    },
+    Order {
+        front: usize,
+        order: u64,
+    },
 }
 
 #[derive(Default)]
@@ -193,9 +204,13 @@
             self.unserved += 1;
             return;
         };
-        c.ordered.into_iter().for_each(|at| self.order_wait.add_us(at - c.came));
+        c.ordered
+            .into_iter()
+            .for_each(|at| self.order_wait.add_us(at - c.came));
         let loaded = c.loaded.filter(|at| *at <= sent);
-        loaded.into_iter().for_each(|at| self.send_wait.add_us(sent - at));
+        loaded
+            .into_iter()
+            .for_each(|at| self.send_wait.add_us(sent - at));
         let load = c.ordered.zip(loaded).map_or(0, |(from, to)| to - from);
         self.ours.add_us(sent - c.came - load);
         self.in_all.add_us(now - c.came);
@@ -236,8 +251,14 @@
     Told::default()
 }
 
-const OK: Seen = Seen::Status { code: 0, stage: Stage::Last };
-const AWAY: Seen = Seen::Status { code: 14, stage: Stage::Nothing };
+const OK: Seen = Seen::Status {
+    code: 0,
+    stage: Stage::Last,
+};
+const AWAY: Seen = Seen::Status {
+    code: 14,
+    stage: Stage::Nothing,
+};
 
 impl Play {
     /// None of the workers has anything, and nobody is connected.
@@ -247,7 +268,11 @@
         // What is not said is as the settings have it without a word (settings/src/schema.cue).
         let settings = |me: usize| Settings {
             me,
-            when_absent: if a.miss { WhenAbsent::Miss } else { WhenAbsent::Load },
+            when_absent: if a.miss {
+                WhenAbsent::Miss
+            } else {
+                WhenAbsent::Load
+            },
             may_probe: true,
             reports: Reports::Attached,
             ..inputs::settings(a.front_ends)
@@ -257,10 +282,13 @@
         for me in 0..a.front_ends {
             let mut config = inputs::config(&[], a.front_ends, a.seed.wrapping_add(me as u64));
             config.settings = settings(me);
-            let front = Front::new(config, Time(0)).map_err(|e| Wrong::run("the ledger's settings", e))?;
+            let front =
+                Front::new(config, Time(0)).map_err(|e| Wrong::run("the ledger's settings", e))?;
             members.push(Member {
                 front,
-                rng: fastrand::Rng::with_seed(a.seed.wrapping_mul(1_000_003).wrapping_add(me as u64)),
+                rng: fastrand::Rng::with_seed(
+                    a.seed.wrapping_mul(1_000_003).wrapping_add(me as u64),
+                ),
                 due: None,
                 calls: 0,
                 open: HashMap::new(),
@@ -271,14 +299,32 @@
             });
         }
         let ours = |idle: Span| Some(idle / 4 * 3);
-        let mut links = vec![Connections::new(workers, Keeping { idle: None, streams: u32::MAX })];
-        let site = |(_, idle, streams)| Connections::new(workers, Keeping { idle: ours(idle), streams });
+        let mut links = vec![Connections::new(
+            workers,
+            Keeping {
+                idle: None,
+                streams: u32::MAX,
+            },
+        )];
+        let site = |(_, idle, streams)| {
+            Connections::new(
+                workers,
+                Keeping {
+                    idle: ours(idle),
+                    streams,
+                },
+            )
+        };
         links.extend(SITES.map(site));
         let mut play = Play {
             now: 0,
             count: 0,
             coming: BTreeMap::new(),
-            places: names.iter().enumerate().map(|(n, name)| (name.clone(), n)).collect(),
+            places: names
+                .iter()
+                .enumerate()
+                .map(|(n, name)| (name.clone(), n))
+                .collect(),
             draw: Draw::new(a.functions, a.seed),
             members,
             workers: (0..workers).map(|_| Worker::default()).collect(),
@@ -296,7 +342,13 @@
             decide: Spread::default(),
         };
         for n in 0..a.front_ends {
-            play.step(n, Input::Workers { whole: true, list: listed.clone() });
+            play.step(
+                n,
+                Input::Workers {
+                    whole: true,
+                    list: listed.clone(),
+                },
+            );
             play.next_call(n);
         }
         Ok(play)
@@ -304,11 +356,14 @@
 
     fn comes(&mut self, after: Span, event: Event) {
         self.count += 1;
-        self.coming.insert((self.now + after.max(0), self.count), event);
+        self.coming
+            .insert((self.now + after.max(0), self.count), event);
     }
 
     fn next_call(&mut self, front: usize) {
-        let Some(m) = self.members.get_mut(front) else { return };
+        let Some(m) = self.members.get_mut(front) else {
+            return;
+        };
         let gap = -(1.0 - m.rng.f64()).ln() / CALLS_S * 1e6;
         self.comes(gap as Span, Event::Call(front));
     }
@@ -318,7 +373,9 @@
         let end = self.now + span;
         while let Some((&(at, _), _)) = self.coming.first_key_value().filter(|(k, _)| k.0 <= end) {
             self.now = at;
-            let Some((_, event)) = self.coming.pop_first() else { break };
+            let Some((_, event)) = self.coming.pop_first() else {
+                break;
+            };
             self.happens(event);
         }
         self.now = end;
@@ -334,7 +391,10 @@
 
     /// Each n-th worker answers nothing from here on.
     pub fn silence(&mut self, of: usize) {
-        self.workers.iter_mut().step_by(of.max(1)).for_each(|w| w.silent = true);
+        self.workers
+            .iter_mut()
+            .step_by(of.max(1))
+            .for_each(|w| w.silent = true);
     }
 
     /// What each worker got since it is measured, and whether it is silent.
@@ -344,7 +404,10 @@
 
     /// What each front end counted since its start.
     pub fn accounts(&self) -> Vec<Account> {
-        self.members.iter().map(|m| m.front.account().clone()).collect()
+        self.members
+            .iter()
+            .map(|m| m.front.account().clone())
+            .collect()
     }
 
     /// Orders and attempts on their way to a worker now.
@@ -352,12 +415,18 @@
         let orders = |e: &&Event| matches!(e, Event::Order { .. });
         let attempts = |e: &&Event| matches!(e, Event::Attempt { .. });
         let all = || self.coming.values();
-        (all().filter(orders).count() as u64, all().filter(attempts).count() as u64)
+        (
+            all().filter(orders).count() as u64,
+            all().filter(attempts).count() as u64,
+        )
     }
 
     /// Streams that are open by the front ends.
     pub fn streams(&self) -> u64 {
-        self.members.iter().map(|m| (m.attempts.len() + m.orders.len()) as u64).sum()
+        self.members
+            .iter()
+            .map(|m| (m.attempts.len() + m.orders.len()) as u64)
+            .sum()
     }
 
     /// Connections by the ways to keep them: as the program does, then as each site would have it.
@@ -368,7 +437,9 @@
     // ---- Front ends ----
 
     fn step(&mut self, n: usize, input: Input) {
-        let Some(m) = self.members.get_mut(n) else { return };
+        let Some(m) = self.members.get_mut(n) else {
+            return;
+        };
         let mut commands = std::mem::take(&mut self.commands);
         m.front.step(Time(self.now), input, &mut commands);
         let due = m.front.next_due().map(|t| (t.0 + 500).max(self.now));
@@ -385,10 +456,26 @@
 
     fn begin(&mut self, n: usize, worker: usize, function: usize) -> (Stream, Span) {
         let now = self.now;
-        let begun: Vec<(u64, bool)> = self.links.iter_mut().map(|l| l.begin(now, n, worker)).collect();
+        let begun: Vec<(u64, bool)> = self
+            .links
+            .iter_mut()
+            .map(|l| l.begin(now, n, worker))
+            .collect();
         // A new one is made first, as the program makes it.
-        let way = WAY + if begun.first().is_some_and(|b| b.1) { 2 * WAY } else { 0 };
-        (Stream { worker, function, serials: begun.into_iter().map(|b| b.0).collect() }, way)
+        let way = WAY
+            + if begun.first().is_some_and(|b| b.1) {
+                2 * WAY
+            } else {
+                0
+            };
+        (
+            Stream {
+                worker,
+                function,
+                serials: begun.into_iter().map(|b| b.0).collect(),
+            },
+            way,
+        )
     }
 
     fn end(&mut self, n: usize, stream: &Stream) {
@@ -398,73 +485,159 @@
     }
 
     fn worker_of(name: &str) -> usize {
-        name.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(0)
+        name.rsplit('-')
+            .next()
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(0)
     }
 
-    fn give(&mut self, n: usize, order: OrderId, to: &str, kind: usize, function: usize, instances: u32) {
+    fn give(
+        &mut self,
+        n: usize,
+        order: OrderId,
+        to: &str,
+        kind: usize,
+        function: usize,
+        instances: u32,
+    ) {
         let worker = Self::worker_of(to);
         let (stream, way) = self.begin(n, worker, function);
         if let Some(m) = self.members.get_mut(n) {
             m.orders.insert(order.0, stream);
         }
-        self.comes(way, Event::Order { worker, front: n, order: order.0, kind, function, instances });
+        self.comes(
+            way,
+            Event::Order {
+                worker,
+                front: n,
+                order: order.0,
+                kind,
+                function,
+                instances,
+            },
+        );
     }
 
     fn carry_out(&mut self, n: usize, command: Command) {
         match command {
-            Command::Open { call, attempt, worker, .. } => {
+            Command::Open {
+                call,
+                attempt,
+                worker,
+                ..
+            } => {
                 let worker = Self::worker_of(&worker);
-                let Some(function) = self.members.get(n).and_then(|m| m.open.get(&call.0)).map(|o| o.0)
+                let Some(function) = self
+                    .members
+                    .get(n)
+                    .and_then(|m| m.open.get(&call.0))
+                    .map(|o| o.0)
                 else {
                     return;
                 };
                 let (stream, way) = self.begin(n, worker, function);
-                let Some(m) = self.members.get_mut(n) else { return };
+                let Some(m) = self.members.get_mut(n) else {
+                    return;
+                };
                 m.attempts.insert((call.0, attempt), stream);
                 if let Some(c) = m.cold.get_mut(&function).filter(|c| c.call == call.0) {
                     c.sent = Some(self.now);
                 }
                 let (front, call) = (n, call.0);
-                self.comes(way, Event::Attempt { worker, function, front, call, attempt });
+                self.comes(
+                    way,
+                    Event::Attempt {
+                        worker,
+                        function,
+                        front,
+                        call,
+                        attempt,
+                    },
+                );
             }
-            Command::Load { order, worker, function, instances } => {
+            Command::Load {
+                order,
+                worker,
+                function,
+                instances,
+            } => {
                 let function = self.places.get(&function).copied().unwrap_or(0);
                 let now = self.now;
-                let cold = self.members.get_mut(n).and_then(|m| m.cold.get_mut(&function));
+                let cold = self
+                    .members
+                    .get_mut(n)
+                    .and_then(|m| m.cold.get_mut(&function));
                 if let Some(c) = cold.filter(|_| instances > 0) {
                     c.ordered.get_or_insert(now);
                 }
                 let kind = if instances > 0 { LOADED } else { ASKED };
                 self.give(n, order, &worker, kind, function, instances);
             }
-            Command::Unload { order, worker, function } => {
+            Command::Unload {
+                order,
+                worker,
+                function,
+            } => {
                 let function = self.places.get(&function).copied().unwrap_or(0);
                 self.give(n, order, &worker, UNLOADED, function, 0);
             }
             Command::Probe { order, worker } => self.give(n, order, &worker, PROBED, 0, 0),
             Command::Answer { call, answer } => {
-                let Some(m) = self.members.get_mut(n) else { return };
-                let Some((function, _)) = m.open.remove(&call.0) else { return };
+                let Some(m) = self.members.get_mut(n) else {
+                    return;
+                };
+                let Some((function, _)) = m.open.remove(&call.0) else {
+                    return;
+                };
                 let served = answer == tansy_front::Answer::Served;
                 self.unserved += u64::from(!served);
                 if m.cold.get(&function).is_some_and(|c| c.call == call.0) {
                     let cold = m.cold.remove(&function);
-                    cold.into_iter().for_each(|c| self.cold.ends(&c, self.now, served));
+                    cold.into_iter()
+                        .for_each(|c| self.cold.ends(&c, self.now, served));
                 }
             }
             Command::Confirm { call, attempt } => {
                 // It left at once, or waits for its connection, which is made soon.
-                if self.members.get(n).is_some_and(|m| m.attempts.contains_key(&(call.0, attempt))) {
-                    self.comes(0, Event::Opened { front: n, call: call.0, attempt });
+                if self
+                    .members
+                    .get(n)
+                    .is_some_and(|m| m.attempts.contains_key(&(call.0, attempt)))
+                {
+                    self.comes(
+                        0,
+                        Event::Opened {
+                            front: n,
+                            call: call.0,
+                            attempt,
+                        },
+                    );
                 }
             }
             Command::Withdraw { call, attempt } => {
                 let (front, call, seen, told) = (n, call.0, Seen::Withdrawn, told());
-                self.comes(0, Event::Ended { front, call, attempt, seen, told });
+                self.comes(
+                    0,
+                    Event::Ended {
+                        front,
+                        call,
+                        attempt,
+                        seen,
+                        told,
+                    },
+                );
             }
             Command::WithdrawOrder { order } => {
                 let (front, order, seen, told) = (n, order.0, Seen::Withdrawn, told());
-                self.comes(0, Event::OrderEnded { front, order, seen, told });
+                self.comes(
+                    0,
+                    Event::OrderEnded {
+                        front,
+                        order,
+                        seen,
+                        told,
+                    },
+                );
             }
             Command::Pass { .. }
             | Command::Recall { .. }
@@ -479,7 +652,9 @@
     fn call(&mut self, n: usize) {
         self.next_call(n);
         let (now, lately) = (self.now, self.idle_life);
-        let Some(m) = self.members.get_mut(n) else { return };
+        let Some(m) = self.members.get_mut(n) else {
+            return;
+        };
         let function = self.draw.next(&mut m.rng);
         m.calls += 1;
         let number = m.calls;
@@ -491,10 +666,18 @@
         self.known.1 += fresh(any);
         if self.stand.get(function).is_some_and(|s| *s == 0) {
             self.cold.calls += 1;
-            let call = ColdCall { call: number, came: now, ordered: None, loaded: None, sent: None };
+            let call = ColdCall {
+                call: number,
+                came: now,
+                ordered: None,
+                loaded: None,
+                sent: None,
+            };
             m.cold.entry(function).or_insert(call);
         }
-        let Some(name) = self.names.get(function) else { return };
+        let Some(name) = self.names.get(function) else {
+            return;
+        };
         let input = Input::Call(Call {
             call: CallId(number),
             function: name.clone(),
@@ -503,7 +686,11 @@
             budget: Some(5 * SECOND),
             hint: None,
             repeat: false,
-            shape: Some(Shape { lanes: LANES, memory_mb: 256.0, load_time: Some(LOAD) }),
+            shape: Some(Shape {
+                lanes: LANES,
+                memory_mb: 256.0,
+                load_time: Some(LOAD),
+            }),
             unlisted: false,
             waited: 0,
         });
@@ -519,56 +706,138 @@
             Event::Call(n) => self.call(n),
             Event::Tick(n, at) => {
                 if self.members.get(n).is_some_and(|m| m.due == Some(at)) {
-                    self.members.get_mut(n).into_iter().for_each(|m| m.due = None);
+                    self.members
+                        .get_mut(n)
+                        .into_iter()
+                        .for_each(|m| m.due = None);
                     self.step(n, Input::Tick);
                 }
             }
-            Event::Attempt { worker, function, front, call, attempt } => {
-                self.attempt(worker, function, front, call, attempt)
-            }
-            Event::Order { worker, front, order, kind, function, instances } => {
-                self.order(worker, front, order, kind, function, instances)
-            }
+            Event::Attempt {
+                worker,
+                function,
+                front,
+                call,
+                attempt,
+            } => self.attempt(worker, function, front, call, attempt),
+            Event::Order {
+                worker,
+                front,
+                order,
+                kind,
+                function,
+                instances,
+            } => self.order(worker, front, order, kind, function, instances),
             Event::Loaded { worker, function } => self.loaded(worker, function),
-            Event::Ran { worker, function, job } => self.ran(worker, function, job),
-            Event::Idle { worker, function, since } => {
-                let Some(w) = self.workers.get_mut(worker) else { return };
+            Event::Ran {
+                worker,
+                function,
+                job,
+            } => self.ran(worker, function, job),
+            Event::Idle {
+                worker,
+                function,
+                since,
+            } => {
+                let Some(w) = self.workers.get_mut(worker) else {
+                    return;
+                };
                 let over = |i: &Instance| i.ready && i.running == 0 && i.idle_since == since;
                 if w.instances.get(&function).is_some_and(over) {
                     self.remove(worker, function);
                 }
             }
-            Event::Opened { front, call, attempt } => {
-                if self.members.get(front).is_some_and(|m| m.attempts.contains_key(&(call, attempt))) {
-                    self.step(front, Input::Opened { call: CallId(call), attempt });
+            Event::Opened {
+                front,
+                call,
+                attempt,
+            } => {
+                if self
+                    .members
+                    .get(front)
+                    .is_some_and(|m| m.attempts.contains_key(&(call, attempt)))
+                {
+                    self.step(
+                        front,
+                        Input::Opened {
+                            call: CallId(call),
+                            attempt,
+                        },
+                    );
                 }
             }
-            Event::Ended { front, call, attempt, seen, told } => {
-                let Some(m) = self.members.get_mut(front) else { return };
-                let Some(stream) = m.attempts.remove(&(call, attempt)) else { return };
+            Event::Ended {
+                front,
+                call,
+                attempt,
+                seen,
+                told,
+            } => {
+                let Some(m) = self.members.get_mut(front) else {
+                    return;
+                };
+                let Some(stream) = m.attempts.remove(&(call, attempt)) else {
+                    return;
+                };
                 self.end(front, &stream);
                 let call = CallId(call);
                 if seen == OK {
-                    self.step(front, Input::Piece { call, attempt, last: true });
+                    self.step(
+                        front,
+                        Input::Piece {
+                            call,
+                            attempt,
+                            last: true,
+                        },
+                    );
                 }
-                self.step(front, Input::Ended { call, attempt, seen, told });
+                self.step(
+                    front,
+                    Input::Ended {
+                        call,
+                        attempt,
+                        seen,
+                        told,
+                    },
+                );
             }
-            Event::OrderEnded { front, order, seen, told } => {
+            Event::OrderEnded {
+                front,
+                order,
+                seen,
+                told,
+            } => {
                 let now = self.now;
-                let Some(m) = self.members.get_mut(front) else { return };
-                let Some(stream) = m.orders.remove(&order) else { return };
-                let cold = m.cold.get_mut(&stream.function).filter(|c| c.ordered.is_some());
+                let Some(m) = self.members.get_mut(front) else {
+                    return;
+                };
+                let Some(stream) = m.orders.remove(&order) else {
+                    return;
+                };
+                let cold = m
+                    .cold
+                    .get_mut(&stream.function)
+                    .filter(|c| c.ordered.is_some());
                 if let Some(c) = cold.filter(|_| told.instances.is_some_and(|i| i > 0)) {
                     c.loaded.get_or_insert(now);
                 }
                 self.end(front, &stream);
-                self.step(front, Input::OrderEnded { order: OrderId(order), seen, told });
+                self.step(
+                    front,
+                    Input::OrderEnded {
+                        order: OrderId(order),
+                        seen,
+                        told,
+                    },
+                );
             }
         }
     }
 
     fn remove(&mut self, worker: usize, function: usize) {
-        let Some(w) = self.workers.get_mut(worker) else { return };
+        let Some(w) = self.workers.get_mut(worker) else {
+            return;
+        };
         if w.instances.remove(&function).is_some() {
             if let Some(stand) = self.stand.get_mut(function) {
                 *stand -= 1;
@@ -578,12 +847,19 @@
 
     /// Whether there is room for one more, after one that is idle made it.
     fn room(&mut self, worker: usize) -> bool {
-        let Some(w) = self.workers.get(worker) else { return false };
+        let Some(w) = self.workers.get(worker) else {
+            return false;
+        };
         if w.instances.len() < ROOM {
             return true;
         }
-        let idle = w.instances.iter().filter(|(_, i)| i.ready && i.running == 0);
-        let oldest = idle.min_by_key(|(f, i)| (i.idle_since, **f)).map(|(f, _)| *f);
+        let idle = w
+            .instances
+            .iter()
+            .filter(|(_, i)| i.ready && i.running == 0);
+        let oldest = idle
+            .min_by_key(|(f, i)| (i.idle_since, **f))
+            .map(|(f, _)| *f);
         oldest.is_some_and(|f| {
             self.remove(worker, f);
             true
@@ -595,9 +871,17 @@
         if !self.room(worker) {
             return false;
         }
-        let Some(w) = self.workers.get_mut(worker) else { return false };
+        let Some(w) = self.workers.get_mut(worker) else {
+            return false;
+        };
         w.got.loads += 1;
-        w.instances.insert(function, Instance { waiting: VecDeque::from([job]), ..Instance::default() });
+        w.instances.insert(
+            function,
+            Instance {
+                waiting: VecDeque::from([job]),
+                ..Instance::default()
+            },
+        );
         w.to_load.push_back(function);
         if let Some(stand) = self.stand.get_mut(function) {
             *stand += 1;
@@ -607,44 +891,89 @@
     }
 
     fn loads(&mut self, worker: usize) {
-        let Some(w) = self.workers.get_mut(worker) else { return };
+        let Some(w) = self.workers.get_mut(worker) else {
+            return;
+        };
         let mut begun = Vec::new();
         while w.loading < LOADS {
-            let Some(function) = w.to_load.pop_front() else { break };
+            let Some(function) = w.to_load.pop_front() else {
+                break;
+            };
             w.loading += 1;
             begun.push(function);
         }
-        begun.into_iter().for_each(|function| self.comes(LOAD, Event::Loaded { worker, function }));
+        begun
+            .into_iter()
+            .for_each(|function| self.comes(LOAD, Event::Loaded { worker, function }));
     }
 
     fn report(&self, worker: usize) -> Option<Report> {
         let w = self.workers.get(worker)?;
         let busy = Some((f64::from(w.running) / BUSY).min(1.0));
-        Some(Report { busy, loads: Some((w.loading + w.to_load.len()) as f64), ..Report::default() })
+        Some(Report {
+            busy,
+            loads: Some((w.loading + w.to_load.len()) as f64),
+            ..Report::default()
+        })
     }
 
     fn answers(&mut self, worker: usize, job: Job, seen: Seen, told: Told) {
         if self.workers.get(worker).is_none_or(|w| w.silent) {
             return;
         }
-        let told = Told { report: self.report(worker), ..told };
+        let told = Told {
+            report: self.report(worker),
+            ..told
+        };
         match job {
-            Job::Call { front, call, attempt, note } => {
+            Job::Call {
+                front,
+                call,
+                attempt,
+                note,
+            } => {
                 let told = Told { note, ..told };
-                self.comes(WAY, Event::Ended { front, call, attempt, seen, told });
+                self.comes(
+                    WAY,
+                    Event::Ended {
+                        front,
+                        call,
+                        attempt,
+                        seen,
+                        told,
+                    },
+                );
             }
-            Job::Order { front, order } => self.comes(WAY, Event::OrderEnded { front, order, seen, told }),
+            Job::Order { front, order } => self.comes(
+                WAY,
+                Event::OrderEnded {
+                    front,
+                    order,
+                    seen,
+                    told,
+                },
+            ),
         }
     }
 
     fn attempt(&mut self, worker: usize, function: usize, front: usize, call: u64, attempt: u32) {
-        let Some(w) = self.workers.get_mut(worker) else { return };
+        let Some(w) = self.workers.get_mut(worker) else {
+            return;
+        };
         w.got.calls += 1;
         if w.silent {
             return;
         }
-        let job = |note| Job::Call { front, call, attempt, note };
-        let found = w.instances.get(&function).map(|i| (i.ready, i.running < LANES));
+        let job = |note| Job::Call {
+            front,
+            call,
+            attempt,
+            note,
+        };
+        let found = w
+            .instances
+            .get(&function)
+            .map(|i| (i.ready, i.running < LANES));
         match found {
             Some((true, true)) => self.runs(worker, function, job(Note::Warm)),
             Some((ready, _)) => {
@@ -654,12 +983,18 @@
                 }
             }
             None if self.miss => {
-                let told = Told { never_ran: Some(NeverRan::NotLoaded), ..told() };
+                let told = Told {
+                    never_ran: Some(NeverRan::NotLoaded),
+                    ..told()
+                };
                 self.answers(worker, job(Note::Silent), AWAY, told);
             }
             None => {
                 if !self.load(worker, function, job(Note::BeganLoad)) {
-                    let told = Told { never_ran: Some(NeverRan::TurnedAway), ..told() };
+                    let told = Told {
+                        never_ran: Some(NeverRan::TurnedAway),
+                        ..told()
+                    };
                     self.answers(worker, job(Note::Silent), AWAY, told);
                 }
             }
@@ -667,16 +1002,31 @@
     }
 
     fn runs(&mut self, worker: usize, function: usize, job: Job) {
-        let Some(w) = self.workers.get_mut(worker) else { return };
-        let Some(i) = w.instances.get_mut(&function) else { return };
+        let Some(w) = self.workers.get_mut(worker) else {
+            return;
+        };
+        let Some(i) = w.instances.get_mut(&function) else {
+            return;
+        };
         (w.running, i.running) = (w.running + 1, i.running + 1);
-        self.comes(WORK, Event::Ran { worker, function, job });
+        self.comes(
+            WORK,
+            Event::Ran {
+                worker,
+                function,
+                job,
+            },
+        );
     }
 
     fn ran(&mut self, worker: usize, function: usize, job: Job) {
         self.answers(worker, job, OK, told());
-        let Some(w) = self.workers.get_mut(worker) else { return };
-        let Some(i) = w.instances.get_mut(&function) else { return };
+        let Some(w) = self.workers.get_mut(worker) else {
+            return;
+        };
+        let Some(i) = w.instances.get_mut(&function) else {
+            return;
+        };
         (w.running, i.running) = (w.running.saturating_sub(1), i.running.saturating_sub(1));
         self.goes_on(worker, function);
     }
@@ -684,14 +1034,28 @@
     /// Runs what waits for an instance, as far as its lanes go; one with nothing to run is idle from here on.
     fn goes_on(&mut self, worker: usize, function: usize) {
         loop {
-            let Some(i) = self.workers.get_mut(worker).and_then(|w| w.instances.get_mut(&function)) else {
+            let Some(i) = self
+                .workers
+                .get_mut(worker)
+                .and_then(|w| w.instances.get_mut(&function))
+            else {
                 return;
             };
             let free = i.running < LANES;
-            let Some(job) = free.then(|| i.waiting.pop_front()).flatten() else { break };
+            let Some(job) = free.then(|| i.waiting.pop_front()).flatten() else {
+                break;
+            };
             match job {
                 Job::Call { .. } => self.runs(worker, function, job),
-                Job::Order { .. } => self.answers(worker, job, OK, Told { instances: Some(1), ..told() }),
+                Job::Order { .. } => self.answers(
+                    worker,
+                    job,
+                    OK,
+                    Told {
+                        instances: Some(1),
+                        ..told()
+                    },
+                ),
             }
         }
         self.idles(worker, function);
@@ -699,17 +1063,30 @@
 
     fn idles(&mut self, worker: usize, function: usize) {
         let (now, life) = (self.now, self.idle_life);
-        let Some(i) = self.workers.get_mut(worker).and_then(|w| w.instances.get_mut(&function)) else {
+        let Some(i) = self
+            .workers
+            .get_mut(worker)
+            .and_then(|w| w.instances.get_mut(&function))
+        else {
             return;
         };
         if i.ready && i.running == 0 {
             i.idle_since = now;
-            self.comes(life, Event::Idle { worker, function, since: now });
+            self.comes(
+                life,
+                Event::Idle {
+                    worker,
+                    function,
+                    since: now,
+                },
+            );
         }
     }
 
     fn loaded(&mut self, worker: usize, function: usize) {
-        let Some(w) = self.workers.get_mut(worker) else { return };
+        let Some(w) = self.workers.get_mut(worker) else {
+            return;
+        };
         w.loading = w.loading.saturating_sub(1);
         if let Some(i) = w.instances.get_mut(&function) {
             i.ready = true;
@@ -727,7 +1104,9 @@
         function: usize,
         instances: u32,
     ) {
-        let Some(w) = self.workers.get_mut(worker) else { return };
+        let Some(w) = self.workers.get_mut(worker) else {
+            return;
+        };
         if let Some(count) = w.got.orders.get_mut(kind) {
             *count += 1;
         }
@@ -736,7 +1115,10 @@
         }
         let job = Job::Order { front, order };
         let ready = w.instances.get(&function).map(|i| i.ready);
-        let stand = |n: u32| Told { instances: Some(n), ..told() };
+        let stand = |n: u32| Told {
+            instances: Some(n),
+            ..told()
+        };
         match (kind, ready) {
             (LOADED, Some(false)) => {
                 if let Some(i) = w.instances.get_mut(&function) {
@@ -745,7 +1127,10 @@
             }
             (LOADED, None) if instances > 0 => {
                 if !self.load(worker, function, job) {
-                    let told = Told { never_ran: Some(NeverRan::TurnedAway), ..told() };
+                    let told = Told {
+                        never_ran: Some(NeverRan::TurnedAway),
+                        ..told()
+                    };
                     self.answers(worker, job, AWAY, told);
                 }
             }
@@ -779,15 +1164,25 @@
     line.figure("steady_s", STEADY as f64 / 1e6);
     line.figure("measured_s", seconds);
     line.figure("seldom", inputs::seldom(&play.draw.shares()));
-    for (name, link) in ["connections"].into_iter().chain(SITES.map(|s| s.0)).zip(&mut play.links) {
+    for (name, link) in ["connections"]
+        .into_iter()
+        .chain(SITES.map(|s| s.0))
+        .zip(&mut play.links)
+    {
         let (mean, most, opened_s) = link.seen(play.now);
-        line.put(name, json!({"mean": four(mean), "most": most, "opened_s": four(opened_s)}));
+        line.put(
+            name,
+            json!({"mean": four(mean), "most": most, "opened_s": four(opened_s)}),
+        );
     }
     let each = |name: &str, of: &dyn Fn(&Got) -> u64, line: &mut Line| {
         let all = || got.iter().map(|(g, _)| of(g));
         let most = all().max().unwrap_or(0) as f64;
         let mean = all().sum::<u64>() as f64 / workers;
-        line.put(name, json!({"mean": four(mean / seconds), "most": four(most / seconds)}));
+        line.put(
+            name,
+            json!({"mean": four(mean / seconds), "most": four(most / seconds)}),
+        );
     };
     each("calls_s", &|g| g.calls, line);
     each("load_orders_s", &|g| g.orders[LOADED], line);
@@ -796,7 +1191,10 @@
     each("probes_s", &|g| g.orders[PROBED], line);
     each("orders_s", &|g| g.orders.iter().sum(), line);
     each("loads_s", &|g| g.loads, line);
-    line.figure("fleet_loads_s", got.iter().map(|g| g.0.loads).sum::<u64>() as f64 / seconds);
+    line.figure(
+        "fleet_loads_s",
+        got.iter().map(|g| g.0.loads).sum::<u64>() as f64 / seconds,
+    );
     let share = |n: u64| n as f64 / play.taken.max(1) as f64;
     line.count("calls", play.taken as usize);
     line.count("unserved", play.unserved as usize);
@@ -816,12 +1214,23 @@
     play.silence(SILENT_OF);
     play.measure();
     play.run(SILENT);
-    let got: Vec<Got> = play.got().into_iter().filter(|g| g.1).map(|g| g.0).collect();
+    let got: Vec<Got> = play
+        .got()
+        .into_iter()
+        .filter(|g| g.1)
+        .map(|g| g.0)
+        .collect();
     let all = || got.iter().map(|g| g.orders[PROBED]);
-    let (mean, most) = (all().sum::<u64>() as f64 / got.len().max(1) as f64, all().max().unwrap_or(0) as f64);
+    let (mean, most) = (
+        all().sum::<u64>() as f64 / got.len().max(1) as f64,
+        all().max().unwrap_or(0) as f64,
+    );
     let silent_s = SILENT as f64 / 1e6;
     line.count("silent", got.len());
-    line.put("silent_probes_s", json!({"mean": four(mean / silent_s), "most": four(most / silent_s)}));
+    line.put(
+        "silent_probes_s",
+        json!({"mean": four(mean / silent_s), "most": four(most / silent_s)}),
+    );
     line.figure("silent_unserved", share_of(play.unserved, play.taken));
     Ok(())
 }
--- a/benches/state/tests/state.rs
+++ b/benches/state/tests/state.rs
@@ -10,20 +10,38 @@
 use tansy_settings::agree;
 
 fn run(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_tansy-bench-state")).args(words).output().expect("the program")
+    Command::new(env!("CARGO_BIN_EXE_tansy-bench-state"))
+        .args(words)
+        .output()
+        .expect("the program")
 }
 
 fn measured(what: &str, more: &[&str]) -> Value {
-    let small =
-        ["--what", what, "--functions", "50", "--instances", "300", "--front-ends", "40", "--changes", "3"];
+    let small = [
+        "--what",
+        what,
+        "--functions",
+        "50",
+        "--instances",
+        "300",
+        "--front-ends",
+        "40",
+        "--changes",
+        "3",
+    ];
     let out = run(&[&small[..], more].concat());
-    let (text, told) = (String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr));
+    let (text, told) = (
+        String::from_utf8_lossy(&out.stdout),
+        String::from_utf8_lossy(&out.stderr),
+    );
     assert!(out.status.success(), "{what}: {told}");
     serde_json::from_str(text.lines().last().expect("a line")).expect("JSON")
 }
 
 fn count(line: &Value, field: &str) -> u64 {
-    line[field].as_u64().unwrap_or_else(|| panic!("no count {field} in {line}"))
+    line[field]
+        .as_u64()
+        .unwrap_or_else(|| panic!("no count {field} in {line}"))
 }
 
 fn line(a: &Args) -> Value {
@@ -34,24 +52,113 @@
 fn each_run_prints_one_line_with_its_fields() {
     let all: [(&str, &[&str]); 19] = [
         ("module", &["memory_mb", "decide_us", "tick_us", "workers"]),
-        ("ledger", &["memory_mb", "decide_us", "tick_us", "functions_held"]),
-        ("cold_start", &["order_us", "send_us", "order_wait_ms", "send_wait_ms", "cold_sent"]),
-        ("terms", &["memory_mb", "peak_mb", "change_ms", "adopt_ms", "filled_ms"]),
+        (
+            "ledger",
+            &["memory_mb", "decide_us", "tick_us", "functions_held"],
+        ),
+        (
+            "cold_start",
+            &[
+                "order_us",
+                "send_us",
+                "order_wait_ms",
+                "send_wait_ms",
+                "cold_sent",
+            ],
+        ),
+        (
+            "terms",
+            &["memory_mb", "peak_mb", "change_ms", "adopt_ms", "filled_ms"],
+        ),
         ("adopt", &["memory_mb", "adopt_ms", "lapse_ms"]),
-        ("letter", &["letter_bytes", "force_bytes", "function_bytes", "encode_ms"]),
-        ("log", &["memory_mb", "entry_bytes", "log_bytes", "history_bytes"]),
+        (
+            "letter",
+            &["letter_bytes", "force_bytes", "function_bytes", "encode_ms"],
+        ),
+        (
+            "log",
+            &["memory_mb", "entry_bytes", "log_bytes", "history_bytes"],
+        ),
         ("file", &["file_bytes", "change_bytes", "entry_bytes"]),
-        ("members", &["memory_mb", "view_us", "compare_us", "join_us", "datagram_bytes_s"]),
+        (
+            "members",
+            &[
+                "memory_mb",
+                "view_us",
+                "compare_us",
+                "join_us",
+                "datagram_bytes_s",
+            ],
+        ),
         ("view", &["memory_mb", "view_us", "parent_us", "links"]),
-        ("roster", &["memory_mb", "register_mb", "look_us", "log_bytes", "most_front_ends"]),
+        (
+            "roster",
+            &[
+                "memory_mb",
+                "register_mb",
+                "look_us",
+                "log_bytes",
+                "most_front_ends",
+            ],
+        ),
         ("list", &["memory_mb", "file_bytes", "read_ms", "lines"]),
-        ("listed", &["memory_mb", "first_ms", "again_ms", "one_comes_ms", "ready"]),
-        ("platform_list", &["memory_mb", "file_bytes", "take_ms", "lines"]),
-        ("leaving", &["memory_mb", "letter_bytes", "digest_bytes", "remembered"]),
-        ("catalog", &["memory_mb", "log_mb", "log_bytes", "change_ms", "burst_ms", "encode_ms", "read_ms"]),
-        ("catalog_file", &["whole_bytes", "file_bytes", "record_ms", "whole_ms", "start_ms"]),
-        ("holding", &["memory_mb", "state_mb", "call_us", "ask_us", "more_us", "burst_ms", "told_ms"]),
-        ("holders", &["memory_mb", "holdings", "tell_us", "want_us", "waits_us", "most_waits_us"]),
+        (
+            "listed",
+            &["memory_mb", "first_ms", "again_ms", "one_comes_ms", "ready"],
+        ),
+        (
+            "platform_list",
+            &["memory_mb", "file_bytes", "take_ms", "lines"],
+        ),
+        (
+            "leaving",
+            &["memory_mb", "letter_bytes", "digest_bytes", "remembered"],
+        ),
+        (
+            "catalog",
+            &[
+                "memory_mb",
+                "log_mb",
+                "log_bytes",
+                "change_ms",
+                "burst_ms",
+                "encode_ms",
+                "read_ms",
+            ],
+        ),
+        (
+            "catalog_file",
+            &[
+                "whole_bytes",
+                "file_bytes",
+                "record_ms",
+                "whole_ms",
+                "start_ms",
+            ],
+        ),
+        (
+            "holding",
+            &[
+                "memory_mb",
+                "state_mb",
+                "call_us",
+                "ask_us",
+                "more_us",
+                "burst_ms",
+                "told_ms",
+            ],
+        ),
+        (
+            "holders",
+            &[
+                "memory_mb",
+                "holdings",
+                "tell_us",
+                "want_us",
+                "waits_us",
+                "most_waits_us",
+            ],
+        ),
     ];
     for (what, fields) in all {
         let line = measured(what, &[]);
@@ -63,11 +170,16 @@
             ["functions", "instances", "front_ends", "seed"].map(|f| count(&line, f)),
             [50, 300, 40, 1]
         );
-        assert!(line["command"].as_str().is_some_and(|c| c.contains(&format!("--what {what} "))), "{line}");
+        assert!(
+            line["command"]
+                .as_str()
+                .is_some_and(|c| c.contains(&format!("--what {what} "))),
+            "{line}"
+        );
         assert!(line["notes"].is_array(), "{line}");
         for field in fields {
-            let figure =
-                line[field].is_number() || line[field]["p50"].is_number() && line[field]["p99"].is_number();
+            let figure = line[field].is_number()
+                || line[field]["p50"].is_number() && line[field]["p99"].is_number();
             assert!(figure, "{what} without {field}: {line}");
         }
     }
@@ -91,19 +203,30 @@
     let few = ["--held", "7"];
     let catalog = measured("catalog", &[]);
     assert_eq!(
-        (count(&catalog, "scopes"), count(&catalog, "burst"), count(&catalog, "readable")),
+        (
+            count(&catalog, "scopes"),
+            count(&catalog, "burst"),
+            count(&catalog, "readable")
+        ),
         (50, 50, 1)
     );
     assert!(count(&catalog, "encodings") > 0, "{catalog}");
     assert_eq!(count(&measured("catalog_file", &[]), "scopes"), 50);
     let holding = measured("holding", &few);
-    assert_eq!(["held", "told", "squeezed"].map(|f| count(&holding, f)), [7, 50, 0], "{holding}");
+    assert_eq!(
+        ["held", "told", "squeezed"].map(|f| count(&holding, f)),
+        [7, 50, 0],
+        "{holding}"
+    );
     let holders = measured("holders", &few);
     assert_eq!(count(&holders, "holdings"), 40 * 7, "{holders}");
     let most = count(&holders, "most_holders");
     assert!((7..=40).contains(&most), "{holders}");
     let cold = measured("cold_start", &[]);
-    assert!(count(&cold, "cold_sent") + count(&cold, "cold_refused") > 0, "{cold}");
+    assert!(
+        count(&cold, "cold_sent") + count(&cold, "cold_refused") > 0,
+        "{cold}"
+    );
 }
 
 #[test]
@@ -122,7 +245,10 @@
 fn the_version_is_what_a_settings_file_gives() {
     let version = inputs::version(&inputs::names(30, 3));
     let text = agree::text(&version);
-    assert_eq!(agree::version("bench.cue", &text).expect("right settings"), version);
+    assert_eq!(
+        agree::version("bench.cue", &text).expect("right settings"),
+        version
+    );
     let (filled, strange) = agree::filled(&version).expect("right settings");
     assert!(strange.is_empty());
     let settings = agree::settings(&Default::default(), &filled).expect("right settings");
@@ -134,18 +260,43 @@
     let mut before = [0; 3];
     for functions in [50, 100, 200] {
         let names = inputs::names(functions, 2);
-        let a = |what| Args { functions, seed: 2, changes: 2, ..Args::of(what) };
+        let a = |what| Args {
+            functions,
+            seed: 2,
+            changes: 2,
+            ..Args::of(what)
+        };
         let (letter, log) = (line(&a(What::Letter)), line(&a(What::Log)));
-        assert_eq!(count(&letter, "letter_bytes"), grant(state(&names, true)).len() as u64);
-        assert_eq!(count(&letter, "force_bytes"), grant(state(&names, false)).len() as u64);
+        assert_eq!(
+            count(&letter, "letter_bytes"),
+            grant(state(&names, true)).len() as u64
+        );
+        assert_eq!(
+            count(&letter, "force_bytes"),
+            grant(state(&names, false)).len() as u64
+        );
         // A record holds the proposal, and little else.
         let fields = inputs::changed(&inputs::version(&names), &names[0], 2);
-        let entry = Entry::Propose { id: 1, base: Version(1), fields, why: "bench".into() };
+        let entry = Entry::Propose {
+            id: 1,
+            base: Version(1),
+            fields,
+            why: "bench".into(),
+        };
         let entry = postcard::to_stdvec(&entry).expect("an encoding").len() as u64;
-        assert!((entry..entry + 100).contains(&count(&log, "entry_bytes")), "{entry}: {log}");
-        let now = [count(&letter, "letter_bytes"), count(&log, "entry_bytes"), count(&log, "log_bytes")];
         assert!(
-            now.iter().zip(before).all(|(now, before)| *now > before + before / 2),
+            (entry..entry + 100).contains(&count(&log, "entry_bytes")),
+            "{entry}: {log}"
+        );
+        let now = [
+            count(&letter, "letter_bytes"),
+            count(&log, "entry_bytes"),
+            count(&log, "log_bytes"),
+        ];
+        assert!(
+            now.iter()
+                .zip(before)
+                .all(|(now, before)| *now > before + before / 2),
             "{now:?} after {before:?}"
         );
         before = now;
@@ -155,11 +306,20 @@
 #[test]
 fn a_catalog_is_told_in_bytes_that_grow_with_its_functions() {
     let bytes = |functions| {
-        let line = line(&Args { functions, ..Args::of(What::Catalog) });
+        let line = line(&Args {
+            functions,
+            ..Args::of(What::Catalog)
+        });
         assert_eq!(count(&line, "scopes"), functions as u64);
         // What a seat holds has the log in it.
-        let file = self::line(&Args { functions, ..Args::of(What::CatalogFile) });
-        assert!(count(&file, "whole_bytes") > count(&line, "log_bytes"), "{line} {file}");
+        let file = self::line(&Args {
+            functions,
+            ..Args::of(What::CatalogFile)
+        });
+        assert!(
+            count(&file, "whole_bytes") > count(&line, "log_bytes"),
+            "{line} {file}"
+        );
         count(&line, "log_bytes")
     };
     let (few, many) = (bytes(5_000), bytes(10_000));
@@ -172,7 +332,12 @@
     let most = most_functions(1, true);
     let letter = |functions| grant(state(&inputs::names(functions, 1), true));
     let (under, over) = (letter(most), letter(most + 1));
-    assert!(under.len() <= LARGEST && over.len() > LARGEST, "{} and {}", under.len(), over.len());
+    assert!(
+        under.len() <= LARGEST && over.len() > LARGEST,
+        "{} and {}",
+        under.len(),
+        over.len()
+    );
     assert!(taken(&under).is_ok());
     assert!(taken(&over).is_err_and(|why| why.contains("TooLong")));
 }
@@ -186,7 +351,14 @@
 
 #[test]
 fn what_is_too_large_or_wrong_is_refused_in_one_line() {
-    let large = ["--what", "module", "--functions", "1000000", "--instances", "4000000"];
+    let large = [
+        "--what",
+        "module",
+        "--functions",
+        "1000000",
+        "--instances",
+        "4000000",
+    ];
     let refusals: [(&[&str], &str); 7] = [
         (&large, "half of this machine's memory"),
         (&["--what", "module", "--functions", "0"], "--functions"),
--- a/decide/agree/src/hold.rs
+++ b/decide/agree/src/hold.rs
@@ -41,7 +41,9 @@
 const ROOM: usize = 32;
 
 /// Counts how often the root began anew with a front end, knowing nothing of what it holds.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Epoch {
     /// The term in which the root leads.
     pub term: u64,
@@ -52,7 +54,10 @@
 impl Epoch {
     /// The one after it.
     pub fn next(self) -> Epoch {
-        Epoch { count: self.count.saturating_add(1), ..self }
+        Epoch {
+            count: self.count.saturating_add(1),
+            ..self
+        }
     }
 }
 
@@ -121,10 +126,22 @@
 impl std::fmt::Display for Why {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Why::Changing => write!(f, "the function's settings are being changed: try again in a second"),
-            Why::NoStay => write!(f, "this front end has not heard from the fleet for long: try another"),
-            Why::Name => write!(f, "the function's name is over {NAME} bytes long, which none is"),
-            Why::Full => write!(f, "{HELD} functions are asked for at once here: try again in a second"),
+            Why::Changing => write!(
+                f,
+                "the function's settings are being changed: try again in a second"
+            ),
+            Why::NoStay => write!(
+                f,
+                "this front end has not heard from the fleet for long: try another"
+            ),
+            Why::Name => write!(
+                f,
+                "the function's name is over {NAME} bytes long, which none is"
+            ),
+            Why::Full => write!(
+                f,
+                "{HELD} functions are asked for at once here: try again in a second"
+            ),
         }
     }
 }
@@ -167,7 +184,10 @@
 
 impl Default for Bounds {
     fn default() -> Bounds {
-        Bounds { held: HELD, idle: IDLE }
+        Bounds {
+            held: HELD,
+            idle: IDLE,
+        }
     }
 }
 
@@ -201,7 +221,10 @@
     /// Nothing is held yet.
     pub fn new(me: Member, bounds: Bounds, now: Time) -> Holding {
         Holding {
-            bounds: Bounds { held: bounds.held.clamp(1, HELD), ..bounds },
+            bounds: Bounds {
+                held: bounds.held.clamp(1, HELD),
+                ..bounds
+            },
             me,
             began: false,
             epoch: Epoch::default(),
@@ -249,8 +272,17 @@
 
     /// Bytes that what is held takes, about.
     pub fn weight(&self) -> usize {
-        let held: usize = self.held.iter().map(|(name, h)| 2 * name.len() + 64 + h.scoped.weight()).sum();
-        held + self.wanted.keys().map(|name| 2 * name.len() + 64).sum::<usize>() + 24 * self.drops.len()
+        let held: usize = self
+            .held
+            .iter()
+            .map(|(name, h)| 2 * name.len() + 64 + h.scoped.weight())
+            .sum();
+        held + self
+            .wanted
+            .keys()
+            .map(|name| 2 * name.len() + 64)
+            .sum::<usize>()
+            + 24 * self.drops.len()
     }
 
     /// The last step in which a scope that the root may wait for went into a change of strict fields: it is to be told that
@@ -261,14 +293,20 @@
 
     /// Whether such a change goes on.
     pub fn awaited(&self, schema: &Schema) -> bool {
-        let held = |(name, h): (&String, &Held)| h.scoped.next().is_some() && h.scoped.strict(schema, name);
+        let held = |(name, h): (&String, &Held)| {
+            h.scoped.next().is_some() && h.scoped.strict(schema, name)
+        };
         self.wanted.values().any(|w| w.joint) || self.held.iter().any(held)
     }
 
     /// What it acts on of a scope, without a call of it; none: it may not act on it. `lease`: whether its lease lives.
     pub fn acts(&self, schema: &Schema, scope: &str, lease: bool) -> Option<Acts> {
         let held = self.held.get(scope).filter(|h| h.from <= self.step)?;
-        let acts = if lease { held.scoped.acts(schema, scope) } else { held.scoped.apart(schema, scope) };
+        let acts = if lease {
+            held.scoped.acts(schema, scope)
+        } else {
+            held.scoped.apart(schema, scope)
+        };
         Some(acts)
     }
 
@@ -282,7 +320,10 @@
             return match self.acts(schema, scope, lease) {
                 None => Call::Wait,
                 Some(Acts { refused: true, .. }) => Call::Refused(Why::Changing),
-                Some(Acts { fields: Some(fields), .. }) => Call::Acts(fields),
+                Some(Acts {
+                    fields: Some(fields),
+                    ..
+                }) => Call::Acts(fields),
                 Some(Acts { fields: None, .. }) => Call::Unknown,
             };
         }
@@ -293,8 +334,15 @@
         if !self.room() {
             return Call::Refused(Why::Full);
         }
-        self.wanted
-            .insert(scope.to_string(), Wanted { since: None, sent: Time::MIN, called: now, joint: false });
+        self.wanted.insert(
+            scope.to_string(),
+            Wanted {
+                since: None,
+                sent: Time::MIN,
+                called: now,
+                joint: false,
+            },
+        );
         self.count(scope);
         self.soon(now);
         Call::Wait
@@ -305,8 +353,11 @@
         if self.held.len() + self.wanted.len() < self.bounds.held {
             return true;
         }
-        let mut oldest: Vec<(Time, String)> =
-            self.held.iter().map(|(name, h)| (h.called, name.clone())).collect();
+        let mut oldest: Vec<(Time, String)> = self
+            .held
+            .iter()
+            .map(|(name, h)| (h.called, name.clone()))
+            .collect();
         oldest.sort_unstable();
         oldest.truncate((self.bounds.held / ROOM).max(1));
         self.squeezed += oldest.len() as u64;
@@ -392,8 +443,12 @@
             right_at < known && right_at < state.step
         };
         if before < known {
-            let gone: Vec<String> =
-                self.held.iter().filter(|(_, h)| forgotten(h)).map(|(name, _)| name.clone()).collect();
+            let gone: Vec<String> = self
+                .held
+                .iter()
+                .filter(|(_, h)| forgotten(h))
+                .map(|(name, _)| name.clone())
+                .collect();
             gone.iter().for_each(|name| self.let_go(name));
             if !gone.is_empty() {
                 self.soon(now);
@@ -435,18 +490,26 @@
             }
             return self.soon(now);
         }
-        let Some(seq) = reply.seq.filter(|s| *s <= self.seq) else { return };
+        let Some(seq) = reply.seq.filter(|s| *s <= self.seq) else {
+            return;
+        };
         self.unanswered = 0;
         self.drops.retain(|_, first| first.is_none_or(|f| f > seq));
         if matches!(self.told, Told::Since(first) if first <= seq) {
             self.told = Told::Yes;
         }
         for (name, scoped) in reply.scopes {
-            let Some(wanted) = self.wanted.get_mut(&name) else { continue };
+            let Some(wanted) = self.wanted.get_mut(&name) else {
+                continue;
+            };
             if wanted.since.is_none_or(|since| since > seq) {
                 continue;
             }
-            let mut held = Held { scoped: scoped.unwrap_or_default(), from: reply.at, called: wanted.called };
+            let mut held = Held {
+                scoped: scoped.unwrap_or_default(),
+                from: reply.at,
+                called: wanted.called,
+            };
             if reply.at < self.step {
                 // What moved since has to be known.
                 let known = state.filter(|s| s.step == self.step);
@@ -460,7 +523,10 @@
                 }
                 held.from = self.step;
             }
-            if let (Some(since), true) = (held.scoped.standing.since(), held.scoped.strict(schema, &name)) {
+            if let (Some(since), true) = (
+                held.scoped.standing.since(),
+                held.scoped.strict(schema, &name),
+            ) {
                 self.contested = self.contested.max(since);
             }
             self.wanted.remove(&name);
@@ -474,10 +540,18 @@
     pub fn tick(&mut self, now: Time, at: Step, stay: bool) -> Option<Want> {
         if now >= self.sweep {
             self.sweep = now + SWEEP;
-            let idle = self.held.iter().filter(|(_, h)| now.saturating_sub(h.called) >= self.bounds.idle);
-            let uncalled = self.wanted.iter().filter(|(_, w)| now.saturating_sub(w.called) >= UNCALLED);
-            let gone: BTreeSet<String> =
-                idle.map(|i| i.0.clone()).chain(uncalled.map(|w| w.0.clone())).collect();
+            let idle = self
+                .held
+                .iter()
+                .filter(|(_, h)| now.saturating_sub(h.called) >= self.bounds.idle);
+            let uncalled = self
+                .wanted
+                .iter()
+                .filter(|(_, w)| now.saturating_sub(w.called) >= UNCALLED);
+            let gone: BTreeSet<String> = idle
+                .map(|i| i.0.clone())
+                .chain(uncalled.map(|w| w.0.clone()))
+                .collect();
             gone.iter().for_each(|name| self.let_go(name));
             if !gone.is_empty() {
                 self.soon(now);
@@ -508,8 +582,17 @@
                 if self.told == Told::No {
                     self.told = Told::Since(seq);
                 }
-                let asked = self.wanted.iter().filter(|(_, w)| w.since.is_some()).map(|(name, _)| name);
-                let all: BTreeSet<u64> = self.held.keys().chain(asked).map(|name| number(name)).collect();
+                let asked = self
+                    .wanted
+                    .iter()
+                    .filter(|(_, w)| w.since.is_some())
+                    .map(|(name, _)| name);
+                let all: BTreeSet<u64> = self
+                    .held
+                    .keys()
+                    .chain(asked)
+                    .map(|name| number(name))
+                    .collect();
                 Some(all.into_iter().collect())
             }
         };
@@ -536,7 +619,15 @@
         self.drops.values_mut().for_each(|first| {
             first.get_or_insert(seq);
         });
-        Want { from: self.me, epoch: self.epoch, seq, at, scopes, drops, all }
+        Want {
+            from: self.me,
+            epoch: self.epoch,
+            seq,
+            at,
+            scopes,
+            drops,
+            all,
+        }
     }
 
     /// When [`Holding::tick`] has something to do.
--- a/decide/agree/src/lease.rs
+++ b/decide/agree/src/lease.rs
@@ -47,7 +47,9 @@
 }
 
 /// A front end's process: a name that comes back is another one with a larger incarnation.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Member {
     /// Its name's number.
     pub id: u64,
@@ -176,12 +178,22 @@
 impl<S: Stepped> Holder<S> {
     /// One that knows nothing and holds no lease.
     pub fn new(terms: Terms, me: Member) -> Holder<S> {
-        Holder { terms, me, seq: 0, asks: VecDeque::new(), state: None, until: None }
+        Holder {
+            terms,
+            me,
+            seq: 0,
+            asks: VecDeque::new(),
+            state: None,
+            until: None,
+        }
     }
 
     /// The same, knowing this from before; it holds no lease for it.
     pub fn knowing(terms: Terms, me: Member, state: S) -> Holder<S> {
-        Holder { state: Some(state), ..Holder::new(terms, me) }
+        Holder {
+            state: Some(state),
+            ..Holder::new(terms, me)
+        }
     }
 
     /// What it knows last, acted on or not.
@@ -207,23 +219,38 @@
     /// An ask, to be sent at once. `below`: the least step of a live lease that it granted itself, if any.
     pub fn ask(&mut self, now: Time, below: Option<Step>) -> Ask {
         self.seq += 1;
-        self.asks.push_back(Asked { seq: self.seq, at: now, answered: false });
+        self.asks.push_back(Asked {
+            seq: self.seq,
+            at: now,
+            answered: false,
+        });
         if self.asks.len() > ASKS {
             self.asks.pop_front();
         }
         let has = self.step();
-        Ask { from: self.me, seq: self.seq, at: below.map_or(has, |b| b.min(has)), has, deltas: true }
+        Ask {
+            from: self.me,
+            seq: self.seq,
+            at: below.map_or(has, |b| b.min(has)),
+            has,
+            deltas: true,
+        }
     }
 
     /// When the ask of this number was sent, if it is remembered, and whether it was answered.
     pub fn asked(&self, seq: u64) -> Option<(Time, bool)> {
-        self.asks.iter().find(|a| a.seq == seq).map(|a| (a.at, a.answered))
+        self.asks
+            .iter()
+            .find(|a| a.seq == seq)
+            .map(|a| (a.at, a.answered))
     }
 
     /// Takes a grant. True: it now acts on, or knows of, a later step than before.
     pub fn granted(&mut self, grant: Grant<S, S::Delta>) -> bool {
         let asked = self.asks.iter_mut().find(|a| a.seq == grant.seq);
-        let (Some(asked), true) = (asked, grant.to == self.me) else { return false };
+        let (Some(asked), true) = (asked, grant.to == self.me) else {
+            return false;
+        };
         asked.answered = true;
         let asked = asked.at;
         let later = grant.step > self.step();
@@ -279,7 +306,12 @@
     /// that was there before its process, or had by another.
     pub fn new(terms: Terms, most: usize, before: Option<Time>) -> Granter {
         let quiet = before.map(|now| now.saturating_add(terms.out(terms.span)));
-        Granter { terms, children: BTreeMap::new(), quiet, most }
+        Granter {
+            terms,
+            children: BTreeMap::new(),
+            quiet,
+            most,
+        }
     }
 
     /// Answers an ask out of a right that lasts for `left` more by its own clock. None: it has none to give, or too many
@@ -301,15 +333,32 @@
         // A lease of this granter comes with this step, so that a first one is for no earlier step; of several the
         // holder may have got the first alone.
         let asked = (ask.seq, ask.has);
-        let new = Child { at: step, out, asked, since: now, span };
+        let new = Child {
+            at: step,
+            out,
+            asked,
+            since: now,
+            span,
+        };
         let child = self.children.entry(ask.from).or_insert(new);
         child.at = child.at.max(ask.at.min(step));
         child.out = child.out.max(out);
         (child.asked, child.since, child.span) = (asked, now, span);
-        let delta = if ask.deltas && ask.has < step { state.since(ask.has) } else { None };
+        let delta = if ask.deltas && ask.has < step {
+            state.since(ask.has)
+        } else {
+            None
+        };
         let whole = ask.has < step && (delta.is_none() || ask.has < state.whole_at());
         let state = whole.then(|| state.bare());
-        Some(Grant { to: ask.from, seq: ask.seq, span, step, state, delta })
+        Some(Grant {
+            to: ask.from,
+            seq: ask.seq,
+            span,
+            step,
+            state,
+            delta,
+        })
     }
 
     /// Its own right was renewed and lasts for `left` more: answers the last asks once more that got much less of it, as
@@ -317,10 +366,13 @@
     pub fn renewed(&mut self, now: Time, step: Step, left: i64) -> Vec<(Member, u64, i64)> {
         let span = self.terms.lent(left);
         let more = (self.terms.span / WORTH).max(1);
-        let due = |c: &Child| c.out > now && c.asked.1 >= step && span >= c.span.saturating_add(more);
+        let due =
+            |c: &Child| c.out > now && c.asked.1 >= step && span >= c.span.saturating_add(more);
         let mut again = Vec::new();
         for (member, child) in self.children.iter_mut().filter(|(_, c)| due(c)) {
-            child.out = child.out.max(child.since.saturating_add(self.terms.out(span)));
+            child.out = child
+                .out
+                .max(child.since.saturating_add(self.terms.out(span)));
             child.span = span;
             again.push((*member, child.asked.0, span));
         }
@@ -336,7 +388,11 @@
 
     /// The least step for which a lease that it granted may live; none: there is no such lease.
     pub fn least(&self, now: Time) -> Option<Step> {
-        self.children.values().filter(|c| c.out > now).map(|c| c.at).min()
+        self.children
+            .values()
+            .filter(|c| c.out > now)
+            .map(|c| c.at)
+            .min()
     }
 
     /// Whether no lease may live for a step before this one: what a step that changes rules waits for.
@@ -346,7 +402,10 @@
 
     /// Who may hold a lease.
     pub fn children(&self, now: Time) -> impl Iterator<Item = Member> + '_ {
-        self.children.iter().filter(move |(_, c)| c.out > now).map(|(m, _)| *m)
+        self.children
+            .iter()
+            .filter(move |(_, c)| c.out > now)
+            .map(|(m, _)| *m)
     }
 
     fn forget(&mut self, now: Time) {
--- a/decide/agree/src/list.rs
+++ b/decide/agree/src/list.rs
@@ -69,10 +69,16 @@
             if line.standing == Standing::Ready {
                 continue;
             }
-            let word = Word { incarnation: line.incarnation, standing: line.standing, heard: now };
+            let word = Word {
+                incarnation: line.incarnation,
+                standing: line.standing,
+                heard: now,
+            };
             let full = self.words.len() >= LEAVING;
             match self.words.get_mut(&line.worker) {
-                Some(k) if (k.incarnation, k.standing) < (word.incarnation, word.standing) => *k = word,
+                Some(k) if (k.incarnation, k.standing) < (word.incarnation, word.standing) => {
+                    *k = word
+                }
                 Some(k) => {
                     // Told again it is remembered anew, and that is no news.
                     if (k.incarnation, k.standing) == (word.incarnation, word.standing) {
@@ -109,6 +115,7 @@
 
     /// Forgets what nobody has told for [`KEPT_FOR`].
     pub fn forget(&mut self, now: Time) {
-        self.words.retain(|_, w| now.saturating_sub(w.heard) < KEPT_FOR);
+        self.words
+            .retain(|_, w| now.saturating_sub(w.heard) < KEPT_FOR);
     }
 }
--- a/decide/agree/src/log.rs
+++ b/decide/agree/src/log.rs
@@ -27,11 +27,15 @@
 use tansy_rollout::{Phase as Rolled, Roll, What};
 
 /// A version of the settings; 1 is the first, 0 is none.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Version(pub u64);
 
 /// A step of the fleet; each is one more than the one before.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Step(pub u64);
 
 impl Step {
@@ -368,12 +372,22 @@
 impl fmt::Debug for State {
     /// Where functions never were agreed on one by one, nothing is said of them.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let State { step, force, next, trial, .. } = self;
+        let State {
+            step,
+            force,
+            next,
+            trial,
+            ..
+        } = self;
         let mut all = f.debug_struct("State");
-        all.field("step", step).field("force", force).field("next", next).field("trial", trial);
+        all.field("step", step)
+            .field("force", force)
+            .field("next", next)
+            .field("trial", trial);
         if self.scopes_since.is_some() {
             all.field("versions_at", &self.versions_at);
-            all.field("scopes_since", &self.scopes_since).field("moves", &self.moves);
+            all.field("scopes_since", &self.scopes_since)
+                .field("moves", &self.moves);
         }
         all.finish()
     }
@@ -384,13 +398,30 @@
     pub fn bare(&self) -> State {
         let (force, next, trial) = (self.force.clone(), self.next.clone(), self.trial.clone());
         let (step, versions_at, moves) = (self.step, self.versions_at, Moves::after(self.step));
-        State { step, force, next, trial, versions_at, scopes_since: self.scopes_since, moves }
+        State {
+            step,
+            force,
+            next,
+            trial,
+            versions_at,
+            scopes_since: self.scopes_since,
+            moves,
+        }
     }
 
     /// The moves of functions after a step; none: they are not all remembered.
     pub fn since(&self, from: Step) -> Option<Delta> {
-        let moves = self.moves.since(from).filter(|_| from <= self.step)?.cloned().collect();
-        Some(Delta { from, to: self.step, moves })
+        let moves = self
+            .moves
+            .since(from)
+            .filter(|_| from <= self.step)?
+            .cloned()
+            .collect();
+        Some(Delta {
+            from,
+            to: self.step,
+            moves,
+        })
     }
 
     /// Takes up moves of functions. False: some between are missing, and nothing is done.
@@ -400,8 +431,11 @@
         }
         if delta.to > self.step {
             let known = self.step;
-            self.scopes_since = self.scopes_since.or_else(|| delta.moves.first().map(|m| m.step));
-            self.moves.push(delta.moves.iter().filter(|m| m.step > known).cloned());
+            self.scopes_since = self
+                .scopes_since
+                .or_else(|| delta.moves.first().map(|m| m.step));
+            self.moves
+                .push(delta.moves.iter().filter(|m| m.step > known).cloned());
             self.step = delta.to;
         }
         true
@@ -409,12 +443,25 @@
 
     /// The same as the front end of this name acts on it: one that tries settings is in their joint step.
     pub fn at(&self, name: &str) -> State {
-        let tries = self.trial.as_ref().filter(|t| self.next.is_none() && t.names.contains(name));
+        let tries = self
+            .trial
+            .as_ref()
+            .filter(|t| self.next.is_none() && t.names.contains(name));
         let mut state = self.clone();
         state.next = state.next.or_else(|| {
             let version = self.force.version;
             let why = "tried in stages".to_string();
-            tries.map(|t| (Settings { version, fields: t.fields.clone(), why, id: 0 }, Phase::Joint))
+            tries.map(|t| {
+                (
+                    Settings {
+                        version,
+                        fields: t.fields.clone(),
+                        why,
+                        id: 0,
+                    },
+                    Phase::Joint,
+                )
+            })
         });
         state
     }
@@ -429,7 +476,9 @@
 
     /// The latest version, whether in force or not.
     pub fn latest(&self) -> Version {
-        self.next.as_ref().map_or(self.force.version, |(n, _)| n.version)
+        self.next
+            .as_ref()
+            .map_or(self.force.version, |(n, _)| n.version)
     }
 
     /// What the change under way touches in a way that is felt.
@@ -480,11 +529,23 @@
 impl Log {
     /// A fleet that begins with these fields as its first version, and these seats.
     pub fn new(fields: Fields, seats: impl IntoIterator<Item = (u64, SocketAddr)>) -> Log {
-        let force = Settings { version: Version(1), fields, why: "the first".into(), id: 0 };
+        let force = Settings {
+            version: Version(1),
+            fields,
+            why: "the first".into(),
+            id: 0,
+        };
         let past = VecDeque::from([force.clone()]);
         let (step, moves) = (Step(1), Moves::default());
-        let state =
-            State { step, force, next: None, trial: None, versions_at: step, scopes_since: None, moves };
+        let state = State {
+            step,
+            force,
+            next: None,
+            trial: None,
+            versions_at: step,
+            scopes_since: None,
+            moves,
+        };
         let seats = seats.into_iter().collect();
         Log {
             state,
@@ -507,9 +568,13 @@
 
     /// What is to be held of functions beside what the log itself is held as; none: there never were any.
     pub fn kept(&self) -> Option<impl Serialize + '_> {
-        let State { versions_at, moves, .. } = &self.state;
+        let State {
+            versions_at, moves, ..
+        } = &self.state;
         // In the order of the fields of `Kept`.
-        self.catalog.since().map(|_| (&self.catalog, versions_at, moves))
+        self.catalog
+            .since()
+            .map(|_| (&self.catalog, versions_at, moves))
     }
 
     /// The same log with what was held of functions.
@@ -527,7 +592,9 @@
 
     /// The program that all are to run once no roll says otherwise: its label, and where it is found.
     pub fn program(&self) -> Option<(&str, &str)> {
-        self.program.as_ref().map(|(label, path)| (label.as_str(), path.as_str()))
+        self.program
+            .as_ref()
+            .map(|(label, path)| (label.as_str(), path.as_str()))
     }
 
     /// Who keeps the log, and where each is reached.
@@ -552,19 +619,30 @@
 
     /// Who may act by a stay, with the names in words.
     pub fn roster(&self) -> impl Iterator<Item = (Member, &str)> {
-        self.roster
-            .iter()
-            .map(|(id, (incarnation, name))| (Member { id: *id, incarnation: *incarnation }, name.as_str()))
+        self.roster.iter().map(|(id, (incarnation, name))| {
+            (
+                Member {
+                    id: *id,
+                    incarnation: *incarnation,
+                },
+                name.as_str(),
+            )
+        })
     }
 
     /// Whether this process is on the roster.
     pub fn lists(&self, member: Member) -> bool {
-        self.roster.get(&member.id).is_some_and(|(incarnation, _)| *incarnation == member.incarnation)
+        self.roster
+            .get(&member.id)
+            .is_some_and(|(incarnation, _)| *incarnation == member.incarnation)
     }
 
     /// Whether the change under way touches a strict field: it then waits for all on the roster.
     pub fn strict(&self, schema: &Schema) -> bool {
-        self.state.contested(schema).iter().any(|c| c.kind == Kind::Strict)
+        self.state
+            .contested(schema)
+            .iter()
+            .any(|c| c.kind == Kind::Strict)
     }
 
     /// Whether the change under way has a step to take, once all have reached the one before it.
@@ -577,7 +655,12 @@
     pub fn judge(&self, entry: &Entry) -> Result<Option<Version>, Refused> {
         let next = self.state.next.as_ref();
         let refused = match *entry {
-            Entry::Propose { id, base, ref fields, .. } => {
+            Entry::Propose {
+                id,
+                base,
+                ref fields,
+                ..
+            } => {
                 if let Some(known) = self.past.iter().find(|s| s.id == id && id != 0) {
                     return Ok(Some(known.version));
                 }
@@ -594,7 +677,8 @@
                 (from != self.state.versions_at || next.is_none()).then_some(Refused::Past)
             }
             Entry::Abandon { version } => {
-                let there = next.is_some_and(|(n, phase)| n.version == version && *phase != Phase::Back);
+                let there =
+                    next.is_some_and(|(n, phase)| n.version == version && *phase != Phase::Back);
                 (!there).then_some(Refused::Over)
             }
             Entry::Join { at, .. } if at < self.state.versions_at || at > self.state.step => {
@@ -607,39 +691,63 @@
             Entry::Leave { .. } => None,
             Entry::Seat { .. } if self.seating.is_some() => Some(Refused::Seating),
             Entry::Seat { new, .. } if self.seats.contains_key(&new) => Some(Refused::IsSeat),
-            Entry::Seat { instead, .. } => (!self.seats.contains_key(&instead)).then_some(Refused::NoSeat),
+            Entry::Seat { instead, .. } => {
+                (!self.seats.contains_key(&instead)).then_some(Refused::NoSeat)
+            }
             Entry::Swap { new, instead } => {
-                let at = self.at(new, Hand::Learning).is_some_and(|s| s.instead == instead);
+                let at = self
+                    .at(new, Hand::Learning)
+                    .is_some_and(|s| s.instead == instead);
                 (!at).then_some(Refused::NoSeating)
             }
-            Entry::Seated { new } => self.at(new, Hand::Both).is_none().then_some(Refused::NoSeating),
-            Entry::Unseat { new } => self.at(new, Hand::Learning).is_none().then_some(Refused::NoSeating),
-            Entry::Roll { ref entry, ref fields } => self.judge_roll(entry, fields.as_ref()),
+            Entry::Seated { new } => self
+                .at(new, Hand::Both)
+                .is_none()
+                .then_some(Refused::NoSeating),
+            Entry::Unseat { new } => self
+                .at(new, Hand::Learning)
+                .is_none()
+                .then_some(Refused::NoSeating),
+            Entry::Roll {
+                ref entry,
+                ref fields,
+            } => self.judge_roll(entry, fields.as_ref()),
             // Each of its requests has an outcome of its own.
             Entry::Change { ref requests } => requests.is_empty().then_some(Refused::Same),
-            Entry::Carry { ref force, ref settled } => {
+            Entry::Carry {
+                ref force,
+                ref settled,
+            } => {
                 let any = self.catalog.stands(force, true) || self.catalog.stands(settled, false);
                 (!any).then_some(Refused::Past)
             }
-            Entry::Return { ref scopes } => (!self.catalog.stands(scopes, true)).then_some(Refused::Past),
+            Entry::Return { ref scopes } => {
+                (!self.catalog.stands(scopes, true)).then_some(Refused::Past)
+            }
         };
         refused.map_or(Ok(None), Err)
     }
 
     /// What a request for functions would do: refused, nothing since it went joint before in that step, or something.
     pub fn judge_request(&self, request: &ScopeRequest) -> Result<Option<Step>, Refused> {
-        let versions = [Some(&self.state.force.fields), self.state.next.as_ref().map(|(n, _)| &n.fields)];
+        let versions = [
+            Some(&self.state.force.fields),
+            self.state.next.as_ref().map(|(n, _)| &n.fields),
+        ];
         let tried = self.tried.as_ref().filter(|_| self.trying());
         let versions: Vec<&Fields> = versions.into_iter().chain([tried]).flatten().collect();
-        self.catalog.judge(request, |scope| versions.iter().any(|fields| scope::names(fields, scope)))
+        self.catalog.judge(request, |scope| {
+            versions.iter().any(|fields| scope::names(fields, scope))
+        })
     }
 
     /// A function of the catalog that these fields of a version name.
     fn elsewhere(&self, fields: &Fields) -> Option<Refused> {
         // There is none in a catalog that no change ever went into.
         self.catalog.since()?;
-        let functions =
-            fields.range("functions.".to_string()..).take_while(|(p, _)| p.starts_with("functions."));
+        let functions = fields
+            .range("functions.".to_string()..)
+            .take_while(|(p, _)| p.starts_with("functions."));
         let names = functions.filter_map(|(path, _)| match Touch::of(path) {
             Touch::Function(name) => Some(name),
             _ => None,
@@ -666,7 +774,9 @@
 
     /// Whether settings are tried in stages.
     fn trying(&self) -> bool {
-        self.roll.as_ref().is_some_and(|r| !r.over() && r.what == What::Settings)
+        self.roll
+            .as_ref()
+            .is_some_and(|r| !r.over() && r.what == What::Settings)
     }
 
     fn judge_roll(&self, entry: &tansy_rollout::Entry, fields: Option<&Fields>) -> Option<Refused> {
@@ -703,7 +813,12 @@
             (Some(fields), true) => {
                 let names = roll.plan.stages.iter().flatten().map(|p| &p.name);
                 let names: BTreeSet<String> = names.filter(|n| roll.new_side(n)).cloned().collect();
-                (!names.is_empty()).then(|| Box::new(Trial { fields: fields.clone(), names }))
+                (!names.is_empty()).then(|| {
+                    Box::new(Trial {
+                        fields: fields.clone(),
+                        names,
+                    })
+                })
             }
             _ => None,
         };
@@ -720,7 +835,12 @@
     /// A version is told.
     fn tell(&mut self, id: u64, fields: Fields, why: String) -> Applied {
         self.given = Version(self.given.0 + 1);
-        let next = Settings { version: self.given, fields, why, id };
+        let next = Settings {
+            version: self.given,
+            fields,
+            why,
+            id,
+        };
         self.past.push_back(next.clone());
         if self.past.len() > KEPT {
             self.past.pop_front();
@@ -741,7 +861,9 @@
             return Ok(Applied::Again(known));
         }
         Ok(match entry {
-            Entry::Propose { id, fields, why, .. } => self.tell(id, fields, why),
+            Entry::Propose {
+                id, fields, why, ..
+            } => self.tell(id, fields, why),
             Entry::Advance { .. } => {
                 match self.state.next.take() {
                     Some((next, Phase::Told)) => self.state.next = Some((next, Phase::Joint)),
@@ -753,7 +875,11 @@
             }
             Entry::Abandon { .. } => {
                 // From told on nobody acts on it yet; from joint on all have to be back before another change may begin.
-                let joint = self.state.next.take().filter(|(_, phase)| *phase == Phase::Joint);
+                let joint = self
+                    .state
+                    .next
+                    .take()
+                    .filter(|(_, phase)| *phase == Phase::Joint);
                 self.state.next = joint.map(|(next, _)| (next, Phase::Back));
                 self.step();
                 Applied::Stepped(self.state.step)
@@ -768,8 +894,17 @@
                 }
                 Applied::Roster
             }
-            Entry::Seat { new, address, instead } => {
-                self.seating = Some(Seating { new, address, instead, hand: Hand::Learning });
+            Entry::Seat {
+                new,
+                address,
+                instead,
+            } => {
+                self.seating = Some(Seating {
+                    new,
+                    address,
+                    instead,
+                    hand: Hand::Learning,
+                });
                 Applied::Seats
             }
             Entry::Swap { new, .. } => {
@@ -789,7 +924,15 @@
             }
             Entry::Roll { entry, fields } => {
                 match (*entry, &mut self.roll) {
-                    (tansy_rollout::Entry::Begin { id, what, plan, why }, roll) => {
+                    (
+                        tansy_rollout::Entry::Begin {
+                            id,
+                            what,
+                            plan,
+                            why,
+                        },
+                        roll,
+                    ) => {
                         self.tried = fields.filter(|_| what == What::Settings);
                         *roll = Some(Roll::begin(id, what, plan, why).map_err(Refused::Roll)?);
                     }
@@ -800,7 +943,8 @@
                 Applied::Roll
             }
             Entry::Change { requests } => {
-                let (mut at, mut moves, mut refused) = (self.state.step.next(), Vec::new(), Vec::new());
+                let (mut at, mut moves, mut refused) =
+                    (self.state.step.next(), Vec::new(), Vec::new());
                 for (n, request) in requests.into_iter().enumerate() {
                     match self.judge_request(&request) {
                         Ok(None) => self.catalog.change(at, request, &mut moves),
@@ -814,12 +958,14 @@
             Entry::Carry { force, settled } => {
                 let mut moves = Vec::new();
                 self.catalog.settle(&settled);
-                self.catalog.end(self.state.step.next(), force, false, &mut moves);
+                self.catalog
+                    .end(self.state.step.next(), force, false, &mut moves);
                 Applied::Stepped(self.moved(moves))
             }
             Entry::Return { scopes } => {
                 let mut moves = Vec::new();
-                self.catalog.end(self.state.step.next(), scopes, true, &mut moves);
+                self.catalog
+                    .end(self.state.step.next(), scopes, true, &mut moves);
                 Applied::Stepped(self.moved(moves))
             }
         })
