--- a/model/src/agree.rs
+++ b/model/src/agree.rs
@@ -88,7 +88,10 @@
         Play {
             fronts,
             seats: 1,
-            terms: Terms { span: SECOND * 6 / 10, ppm: 1_000 },
+            terms: Terms {
+                span: SECOND * 6 / 10,
+                ppm: 1_000,
+            },
             stay: 6 * SECOND,
             until: 40 * SECOND,
             calm: 18 * SECOND,
@@ -144,7 +147,10 @@
     Schema::new([
         ("worker.max_attempts", least(Value::Int(1))),
         ("worker.fall_multiple", least(Value::Number(1.0))),
-        ("front.siblings", Kind::Joint(Stricter::Most, Lapsed::Strictest(Value::Int(100_000)))),
+        (
+            "front.siblings",
+            Kind::Joint(Stricter::Most, Lapsed::Strictest(Value::Int(100_000))),
+        ),
         ("classes.*.effect", {
             let order = Stricter::First(&["unsafe", "keyed", "safe"]);
             Kind::Joint(order, Lapsed::Strictest(Value::Text("unsafe".into())))
@@ -154,7 +160,10 @@
         ("functions.*.class", Kind::Strict),
         ("functions.*.lanes", least(Value::Int(1))),
         ("functions.*.memory", Kind::Free),
-        ("tenants.*.quota", Kind::Joint(Stricter::Least, Lapsed::Refuse)),
+        (
+            "tenants.*.quota",
+            Kind::Joint(Stricter::Least, Lapsed::Refuse),
+        ),
     ])
 }
 
@@ -175,7 +184,10 @@
     ];
     let of_function = |n: usize| {
         let class = (format!("functions.f{n:06}.class"), text("chat"));
-        [class, (format!("functions.f{n:06}.memory"), Value::Bytes(128 << 20))]
+        [
+            class,
+            (format!("functions.f{n:06}.memory"), Value::Bytes(128 << 20)),
+        ]
     };
     let all = all.into_iter().map(|(p, v)| (p.to_string(), v));
     all.chain((0..functions).flat_map(of_function)).collect()
@@ -212,27 +224,57 @@
 
 fn place(address: SocketAddr) -> usize {
     match address.ip() {
-        std::net::IpAddr::V4(ip) => ip.octets()[1..].iter().fold(0, |n, o| n << 8 | usize::from(*o)),
+        std::net::IpAddr::V4(ip) => ip.octets()[1..]
+            .iter()
+            .fold(0, |n, o| n << 8 | usize::from(*o)),
         std::net::IpAddr::V6(_) => usize::MAX,
     }
 }
 
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    Letter { to: usize, letter: Box<(Name, Root, Body)> },
-    Tick { who: usize, incarnation: u64, at: Time },
-    Start { who: usize },
-    Stop { who: usize },
-    Leave { who: usize },
-    Pause { who: usize },
-    Wake { who: usize },
+    Letter {
+        to: usize,
+        letter: Box<(Name, Root, Body)>,
+    },
+    Tick {
+        who: usize,
+        incarnation: u64,
+        at: Time,
+    },
+    Start {
+        who: usize,
+    },
+    Stop {
+        who: usize,
+    },
+    Leave {
+        who: usize,
+    },
+    Pause {
+        who: usize,
+    },
+    Wake {
+        who: usize,
+    },
     Propose,
     Replace,
     Abandon,
-    Call { who: usize, forget: bool },
-    Change { again: Option<u64> },
-    Carry { scope: String, since: Step },
-    Synced { who: usize, incarnation: u64 },
+    Call {
+        who: usize,
+        forget: bool,
+    },
+    Change {
+        again: Option<u64>,
+    },
+    Carry {
+        scope: String,
+        since: Step,
+    },
+    Synced {
+        who: usize,
+        incarnation: u64,
+    },
     Size(Happens),
 }
 
@@ -306,7 +348,10 @@
     }
     /// Whether it runs and acts by its lease on an earlier step than this.
     pub(crate) fn behind(&self, now: Time, step: Step) -> bool {
-        self.runs() && self.acting(now).is_some_and(|(s, right)| right == Right::Whole && s.step < step)
+        self.runs()
+            && self
+                .acting(now)
+                .is_some_and(|(s, right)| right == Right::Whole && s.step < step)
     }
     /// What it would act on now, and by which right; none: nothing is known to it, and it takes no call.
     fn acting(&self, now: Time) -> Option<(&State, Right)> {
@@ -336,7 +381,12 @@
             return;
         }
         match self.written.remove(0) {
-            (_, Some(whole)) => self.saved = Saved { whole: Some(whole), records: Vec::new() },
+            (_, Some(whole)) => {
+                self.saved = Saved {
+                    whole: Some(whole),
+                    records: Vec::new(),
+                }
+            }
             (record, None) => self.saved.records.push(record),
         }
     }
@@ -387,7 +437,9 @@
 
 /// The shortest script of faults with which a run breaks as it does.
 pub fn script(play: &Play, seed: u64) -> Vec<Fault> {
-    shrink(faults(play, seed), |f| !with(play, seed, f).broken.is_empty())
+    shrink(faults(play, seed), |f| {
+        !with(play, seed, f).broken.is_empty()
+    })
 }
 
 /// Plays one run with these faults.
@@ -418,7 +470,11 @@
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
         let wild = play.plant == Some(Plant::WildClock);
         let all = (0..play.fronts).map(|_| {
-            let bound = if wild { 0.4 } else { play.terms.ppm as f64 / 1e6 };
+            let bound = if wild {
+                0.4
+            } else {
+                play.terms.ppm as f64 / 1e6
+            };
             Process {
                 peer: None,
                 incarnation: if play.size.is_some() { SINCE } else { 0 },
@@ -444,7 +500,9 @@
             queue: BinaryHeap::new(),
             numbers: 0,
             all,
-            disks: (0..(play.seats + play.spares).min(play.fronts)).map(|_| Disk::default()).collect(),
+            disks: (0..(play.seats + play.spares).min(play.fronts))
+                .map(|_| Disk::default())
+                .collect(),
             agreed: None,
             states: BTreeMap::new(),
             seats: Vec::new(),
@@ -453,8 +511,14 @@
             proposed: BTreeMap::new(),
             waiting: None,
             lags: 0,
-            outcome: Outcome { seed, ..Outcome::default() },
-            scale: play.size.clone().map(|size| Box::new(Scale::new(size, play.fronts))),
+            outcome: Outcome {
+                seed,
+                ..Outcome::default()
+            },
+            scale: play
+                .size
+                .clone()
+                .map(|size| Box::new(Scale::new(size, play.fronts))),
             shared: (play.tier == Tier::Hollow).then(|| Shared::new(play.fronts)),
             scopes: None,
             sent: 0,
@@ -463,14 +527,21 @@
             rng,
         };
         for who in 0..play.fronts {
-            let at = run.rng.i64(0..run.scale.as_ref().map_or(SECOND / 2, |_| Scale::starts(play.fronts)));
+            let at = run.rng.i64(
+                0..run
+                    .scale
+                    .as_ref()
+                    .map_or(SECOND / 2, |_| Scale::starts(play.fronts)),
+            );
             run.plan(at, Event::Start { who });
         }
         let by_scope = play.size.as_ref().map_or(play.scopes, |s| s.by_scope);
-        run.scopes = (by_scope > 0).then(|| Scopes::new(by_scope, play.fronts, seed, play.size.is_none()));
+        run.scopes =
+            (by_scope > 0).then(|| Scopes::new(by_scope, play.fronts, seed, play.size.is_none()));
         run.size_begins();
         if run.scale.is_some() {
-            run.net.place(play.size.as_ref().map_or(1, |s| s.regions), &mut run.rng);
+            run.net
+                .place(play.size.as_ref().map_or(1, |s| s.regions), &mut run.rng);
             return run;
         }
         for f in faults {
@@ -504,7 +575,11 @@
 
     pub(crate) fn plan(&mut self, at: Time, event: Event) {
         self.numbers += 1;
-        self.queue.push(Planned { at: at.max(self.now), number: self.numbers, event });
+        self.queue.push(Planned {
+            at: at.max(self.now),
+            number: self.numbers,
+            event,
+        });
     }
 
     fn on(&mut self, event: Event) {
@@ -512,7 +587,11 @@
             Event::Pause { who } => {
                 self.account(who);
                 let p = &mut self.all[who];
-                p.stopped = p.stopped.take().or(Some(Vec::new())).filter(|_| p.peer.is_some());
+                p.stopped = p
+                    .stopped
+                    .take()
+                    .or(Some(Vec::new()))
+                    .filter(|_| p.peer.is_some());
             }
             Event::Letter { to, letter } => {
                 let (from, root, body) = *letter;
@@ -528,7 +607,11 @@
                     self.hear(to, &from, root, body);
                 }
             }
-            Event::Tick { who, incarnation, at } => {
+            Event::Tick {
+                who,
+                incarnation,
+                at,
+            } => {
                 // One that was planned anew since then is over: each that was taken would plan a further one.
                 if self.all[who].incarnation == incarnation && self.all[who].planned == at {
                     self.all[who].planned = Time::MAX;
@@ -543,7 +626,10 @@
             }
             Event::Wake { who } => {
                 let held = self.all[who].stopped.take().unwrap_or_default();
-                let owed = self.disks.get_mut(who).map_or(0, |d| std::mem::take(&mut d.owed));
+                let owed = self
+                    .disks
+                    .get_mut(who)
+                    .map_or(0, |d| std::mem::take(&mut d.owed));
                 (0..owed).for_each(|_| self.act(who, |p, now, out| p.held(now, Ok(()), out)));
                 for (from, root, body) in held {
                     self.hear(who, &from, root, body);
@@ -552,24 +638,40 @@
             }
             Event::Propose => {
                 let id = self.rng.u64(1..);
-                let Some((root, state)) = self.root() else { return };
+                let Some((root, state)) = self.root() else {
+                    return;
+                };
                 let (base, fields) = (state.latest(), changed(&mut self.rng, &state.force.fields));
-                let entry = Entry::Propose { id, base, fields, why: "a change".into() };
+                let entry = Entry::Propose {
+                    id,
+                    base,
+                    fields,
+                    why: "a change".into(),
+                };
                 self.act(root, |p, now, out| p.request(now, id, entry, out));
             }
             Event::Replace => {
                 let Some((root, _)) = self.root() else { return };
                 let candidate = self.rng.usize(0..self.disks.len());
-                let Some(&instead) = self.seats.get(self.rng.usize(0..self.seats.len().max(1))) else {
+                let Some(&instead) = self.seats.get(self.rng.usize(0..self.seats.len().max(1)))
+                else {
                     return;
                 };
-                let entry = Entry::Seat { new: id(candidate, false), address: address(candidate), instead };
+                let entry = Entry::Seat {
+                    new: id(candidate, false),
+                    address: address(candidate),
+                    instead,
+                };
                 self.act(root, |p, now, out| p.request(now, 0, entry, out));
             }
             Event::Abandon => {
-                let Some((root, state)) = self.root() else { return };
+                let Some((root, state)) = self.root() else {
+                    return;
+                };
                 if let Some((next, _)) = state.next {
-                    let entry = Entry::Abandon { version: next.version };
+                    let entry = Entry::Abandon {
+                        version: next.version,
+                    };
                     self.act(root, |p, now, out| p.request(now, 0, entry, out));
                 }
             }
@@ -595,8 +697,13 @@
 
     /// The seat that leads and runs, and the log's state there.
     pub(crate) fn root(&self) -> Option<(usize, State)> {
-        let leads =
-            |p: &Process| p.peer.as_ref().filter(|_| p.stopped.is_none())?.log().map(|l| l.state().clone());
+        let leads = |p: &Process| {
+            p.peer
+                .as_ref()
+                .filter(|_| p.stopped.is_none())?
+                .log()
+                .map(|l| l.state().clone())
+        };
         let may = self.all.iter().enumerate().take(self.disks.len());
         may.into_iter().find_map(|(n, p)| Some((n, leads(p)?)))
     }
@@ -628,7 +735,11 @@
         // A new process has a clock of its own beginning.
         p.offset = self.rng.i64(0..1000 * SECOND);
         // The seat with this mistake takes strict fields for free ones.
-        let strict = if play.plant == Some(Plant::NoRoster) { Kind::Free } else { Kind::Strict };
+        let strict = if play.plant == Some(Plant::NoRoster) {
+            Kind::Free
+        } else {
+            Kind::Strict
+        };
         let wide = play.size.is_some();
         let setup = Setup {
             fleet: 1,
@@ -636,14 +747,27 @@
             me: Name::new(id(who, wide), p.incarnation, address(who)),
             seats: (0..play.seats).map(|n| (id(n, wide), address(n))).collect(),
             lease: play.terms,
-            stay: Terms { span: play.stay, ..play.terms },
-            pace: Pace { size: play.fronts as u32, ..Pace::default() },
-            schema: if who < self.disks.len() { schema_with(strict) } else { schema() },
+            stay: Terms {
+                span: play.stay,
+                ..play.terms
+            },
+            pace: Pace {
+                size: play.fronts as u32,
+                ..Pace::default()
+            },
+            schema: if who < self.disks.len() {
+                schema_with(strict)
+            } else {
+                schema()
+            },
             seed,
         };
         let now = p.local(self.now);
         let functions = play.size.as_ref().map_or(0, |s| s.functions);
-        let held = self.disks.get(who).map(|d| Held { saved: d.saved.clone(), first: first(functions) });
+        let held = self.disks.get(who).map(|d| Held {
+            saved: d.saved.clone(),
+            first: first(functions),
+        });
         match Peer::new(setup, held, now) {
             Ok(mut peer) => {
                 if let Some(shared) = &mut self.shared {
@@ -660,13 +784,21 @@
     /// Looks at what a seat knows to be agreed on: all have to have one order of it.
     fn agree(&mut self, who: usize) {
         let p = &mut self.all[who];
-        let Some((applied, log)) = p.peer.as_ref().and_then(Peer::agreed) else { return };
+        let Some((applied, log)) = p.peer.as_ref().and_then(Peer::agreed) else {
+            return;
+        };
         // A log is another only when more was applied to it.
         if p.looked.replace((p.incarnation, applied)) == Some((p.incarnation, applied)) {
             return;
         }
-        let same = self.agreed.as_ref().map(|a| &a.1).filter(|a| ***a == *log.state());
-        let state = same.cloned().unwrap_or_else(|| Rc::new(log.state().clone()));
+        let same = self
+            .agreed
+            .as_ref()
+            .map(|a| &a.1)
+            .filter(|a| ***a == *log.state());
+        let state = same
+            .cloned()
+            .unwrap_or_else(|| Rc::new(log.state().clone()));
         let unsettled = log.unsettled();
         let here = (state.clone(), log.seats().keys().copied().collect());
         let known = self.states.entry(applied).or_insert_with(|| here.clone());
@@ -685,13 +817,21 @@
             self.proposed.entry(next.version).or_insert(self.now);
         }
         if self.seats != here.1 {
-            self.outcome.replaced += u64::from(here.1.len() == self.play.seats && !self.seats.is_empty());
+            self.outcome.replaced +=
+                u64::from(here.1.len() == self.play.seats && !self.seats.is_empty());
             self.seats = here.1;
         }
-        let before = self.agreed.as_ref().map_or(Version(1), |a| a.1.force.version);
+        let before = self
+            .agreed
+            .as_ref()
+            .map_or(Version(1), |a| a.1.force.version);
         if state.force.version > before {
             self.outcome.in_force += 1;
-            let since = self.proposed.get(&state.force.version).copied().unwrap_or(self.now);
+            let since = self
+                .proposed
+                .get(&state.force.version)
+                .copied()
+                .unwrap_or(self.now);
             self.waiting = Some((state.force.version, since));
         }
         let (from, joint) = (state.step, matches!(state.next, Some((_, Phase::Joint))));
@@ -704,7 +844,9 @@
         }
         if self.play.plant == Some(Plant::NoJoint) && joint {
             if let Some((root, _)) = self.root() {
-                self.act(root, |p, now, out| p.request(now, 0, Entry::Advance { from }, out));
+                self.act(root, |p, now, out| {
+                    p.request(now, 0, Entry::Advance { from }, out)
+                });
             }
         }
     }
@@ -719,11 +861,17 @@
             };
             // Whoever was found not there is looked at first: while it is not, nobody else need be.
             let many = self.all.len();
-            let lags = (0..many).map(|n| (self.lags + n) % many).find(|n| !there(&self.all[*n]));
+            let lags = (0..many)
+                .map(|n| (self.lags + n) % many)
+                .find(|n| !there(&self.all[*n]));
             self.lags = lags.unwrap_or(0);
             if lags.is_none() {
-                self.outcome.force_ms.push(((self.now - since) / 1000) as u64);
-                self.scale.iter_mut().for_each(|s| s.in_force(self.now, version));
+                self.outcome
+                    .force_ms
+                    .push(((self.now - since) / 1000) as u64);
+                self.scale
+                    .iter_mut()
+                    .for_each(|s| s.in_force(self.now, version));
                 self.waiting = None;
             }
         }
@@ -734,23 +882,34 @@
         match self.play.plant {
             Some(Plant::OldReply) => {
                 if let (Body::Scopes(r), Some(peer)) = (&mut body, &self.all[to].peer) {
-                    r.at = r.at.max(peer.acting(self.now).state.map_or(Step(0), |s| s.step));
+                    r.at =
+                        r.at.max(peer.acting(self.now).state.map_or(Step(0), |s| s.step));
                 }
             }
             Some(Plant::LateDrop) => self.late_drops(&mut body),
             _ => {}
         }
-        if let (Body::Lease(Message::Grant(g)), Some(Plant::CountedFromAnswer)) = (&mut body, self.play.plant)
+        if let (Body::Lease(Message::Grant(g)), Some(Plant::CountedFromAnswer)) =
+            (&mut body, self.play.plant)
         {
             // An ask of this moment takes the place of the one that was answered.
             let p = &mut self.all[to];
             let now = p.local(self.now);
             let mut asks = Vec::new();
             if let Some(peer) = p.peer.as_mut() {
-                peer.hear(now, from, root, Body::Lease(Message::Step(NEVER)), &mut asks);
+                peer.hear(
+                    now,
+                    from,
+                    root,
+                    Body::Lease(Message::Step(NEVER)),
+                    &mut asks,
+                );
             }
             let seq = asks.iter().find_map(|c| match c {
-                Command::Send { body: Body::Lease(Message::Ask(a)), .. } => Some(a.seq),
+                Command::Send {
+                    body: Body::Lease(Message::Ask(a)),
+                    ..
+                } => Some(a.seq),
                 _ => None,
             });
             if let (Some(seq), true) = (seq, g.to.incarnation == p.incarnation) {
@@ -765,21 +924,32 @@
         self.account(who);
         let p = &mut self.all[who];
         let now = p.local(self.now);
-        let (Some(peer), None) = (p.peer.as_mut(), p.stopped.as_ref()) else { return };
+        let (Some(peer), None) = (p.peer.as_mut(), p.stopped.as_ref()) else {
+            return;
+        };
         let mut out = Vec::new();
         act(peer, now, &mut out);
         let unsynced = self.play.plant == Some(Plant::Unsynced);
         let mut n = 0;
         while n < out.len() {
             if let Command::Hold { record, whole } = &out[n] {
-                self.disks[who].written.push((record.clone(), whole.clone()));
+                self.disks[who]
+                    .written
+                    .push((record.clone(), whole.clone()));
                 if unsynced {
                     peer.held(now, Ok(()), &mut out);
                 }
                 let takes = self.rng.i64(SECOND / 2000..SECOND / 20);
                 self.numbers += 1;
-                let event = Event::Synced { who, incarnation: p.incarnation };
-                self.queue.push(Planned { at: self.now + takes, number: self.numbers, event });
+                let event = Event::Synced {
+                    who,
+                    incarnation: p.incarnation,
+                };
+                self.queue.push(Planned {
+                    at: self.now + takes,
+                    number: self.numbers,
+                    event,
+                });
             }
             n += 1;
         }
@@ -788,9 +958,20 @@
             p.planned = next;
             let wait = ((next - now).max(1) as f64 / p.rate).ceil() as Time;
             let incarnation = p.incarnation;
-            self.plan(self.now + wait, Event::Tick { who, incarnation, at: next });
+            self.plan(
+                self.now + wait,
+                Event::Tick {
+                    who,
+                    incarnation,
+                    at: next,
+                },
+            );
         }
-        let Some((from, root)) = self.all[who].peer.as_ref().map(|p| (p.setup().me.clone(), p.root())) else {
+        let Some((from, root)) = self.all[who]
+            .peer
+            .as_ref()
+            .map(|p| (p.setup().me.clone(), p.root()))
+        else {
             return;
         };
         self.agree(who);
@@ -818,7 +999,9 @@
             self.sent += 1;
             let bytes = size(&from, root, &body) as u64;
             self.sent_bytes += bytes;
-            self.scale.iter_mut().for_each(|s| s.letter(who, &body, bytes));
+            self.scale
+                .iter_mut()
+                .for_each(|s| s.letter(who, &body, bytes));
             self.sent_seat += u64::from(to < self.play.seats || who < self.play.seats);
             let old = self.play.plant == Some(Plant::OldReply) && matches!(body, Body::Scopes(_));
             let late = if old { LATE } else { 0 };
@@ -840,7 +1023,9 @@
             match p.acting(now).map(|a| a.1) {
                 Some(Right::Whole) => p.live = now,
                 Some(Right::Apart) => p.out += span,
-                Some(Right::Lapsed) | None => (p.out, p.stayless) = (p.out + span, p.stayless + span),
+                Some(Right::Lapsed) | None => {
+                    (p.out, p.stayless) = (p.out + span, p.stayless + span)
+                }
             }
         }
     }
@@ -852,9 +1037,13 @@
         if !p.runs() {
             return;
         }
-        let Some((_, agreed, _)) = &self.agreed else { return };
+        let Some((_, agreed, _)) = &self.agreed else {
+            return;
+        };
         let (force, step) = (&agreed.force, agreed.step);
-        let Some((known, right)) = p.acting(self.now) else { return };
+        let Some((known, right)) = p.acting(self.now) else {
+            return;
+        };
         if right == Right::Whole && known.step > step {
             let told = format!("acts on step {}, agreed is {}", known.step.0, step.0);
             return self.broken(who, told);
@@ -870,14 +1059,18 @@
         };
         let wrong = contradictions(&self.schema, &force.fields, &rules);
         if let Some((path, _)) = wrong.first() {
-            let told =
-                format!("{right:?} at step {}: {path} against version {}", known.step.0, force.version.0);
+            let told = format!(
+                "{right:?} at step {}: {path} against version {}",
+                known.step.0, force.version.0
+            );
             self.broken(who, told);
         }
     }
 
     pub(crate) fn broken(&mut self, who: usize, what: String) {
-        self.outcome.broken.push(format!("{} ms: front end {who} {what}", self.now / 1000));
+        self.outcome
+            .broken
+            .push(format!("{} ms: front end {who} {what}", self.now / 1000));
     }
 
     fn close(mut self) -> Outcome {
@@ -885,7 +1078,11 @@
             self.account(who);
             let p = &self.all[who];
             let behind = match p.acting(self.now) {
-                Some((s, Right::Whole)) if self.agreed.as_ref().is_some_and(|a| a.1.step == s.step) => None,
+                Some((s, Right::Whole))
+                    if self.agreed.as_ref().is_some_and(|a| a.1.step == s.step) =>
+                {
+                    None
+                }
                 Some((s, Right::Whole)) => Some(format!("still acts on step {}", s.step.0)),
                 // One that fell out for a moment, by messages lost in a row, is not one that found no way back.
                 _ if self.now - p.live < 2 * SECOND => None,
@@ -901,7 +1098,9 @@
         }
         self.scopes_close();
         let up: Time = self.all.iter().map(|p| p.up).sum();
-        let part = |of: fn(&Process) -> Time| self.all.iter().map(of).sum::<Time>() as f64 / up.max(1) as f64;
+        let part = |of: fn(&Process) -> Time| {
+            self.all.iter().map(of).sum::<Time>() as f64 / up.max(1) as f64
+        };
         let (lapsed, stayless) = (part(|p| p.out), part(|p| p.stayless));
         let seconds = self.now as f64 / SECOND as f64;
         let each = seconds * self.play.fronts as f64;
@@ -953,9 +1152,13 @@
     let mut all: Vec<Outcome> = crate::spread(from, seeds, threads, |seed| run(play, seed));
     all.sort_by_key(|o| o.seed);
     let mut force = Histogram::<u64>::new_with_bounds(1, 3_600_000, 3).expect("an hour at most");
-    all.iter().flat_map(|o| &o.force_ms).for_each(|ms| force.saturating_record(*ms));
+    all.iter()
+        .flat_map(|o| &o.force_ms)
+        .for_each(|ms| force.saturating_record(*ms));
     let mean = |f: fn(&Outcome) -> f64| all.iter().map(f).sum::<f64>() / all.len().max(1) as f64;
-    let broken = all.iter().filter_map(|o| Some((o.seed, o.broken.first()?.clone())));
+    let broken = all
+        .iter()
+        .filter_map(|o| Some((o.seed, o.broken.first()?.clone())));
     Summary {
         fronts: play.fronts,
         seeds,
--- a/model/src/fault.rs
+++ b/model/src/fault.rs
@@ -95,16 +95,29 @@
         let who = rng.usize(0..fronts);
         all.push(match rng.u32(0..10) {
             // A seat that is back at once has leases out that it knows nothing of.
-            0 => Fault::Kill { who: 0, at, away: rng.i64(SECOND / 100..SECOND / 2) },
+            0 => Fault::Kill {
+                who: 0,
+                at,
+                away: rng.i64(SECOND / 100..SECOND / 2),
+            },
             1..3 => Fault::Kill { who, at, away },
             3..5 => Fault::Pause { who, at, away },
-            5..7 => Fault::Cut { from: who, to: rng.usize(0..fronts), at, away },
+            5..7 => Fault::Cut {
+                from: who,
+                to: rng.usize(0..fronts),
+                at,
+                away,
+            },
             7..9 => {
                 let share = rng.f64() * 0.6 + 0.1;
                 let side = (0..fronts).filter(|_| rng.f64() < share).collect();
                 Fault::Split { side, at, away }
             }
-            _ => Fault::Slow { at, away, by: rng.i64(SECOND / 100..2 * SECOND) },
+            _ => Fault::Slow {
+                at,
+                away,
+                by: rng.i64(SECOND / 100..2 * SECOND),
+            },
         });
     }
     if rng.u32(0..3) == 0 {
--- a/model/src/letter.rs
+++ b/model/src/letter.rs
@@ -15,11 +15,19 @@
     let address = match from.address {
         std::net::SocketAddr::V4(at) => {
             let digits = |n: u16| 1 + n.checked_ilog10().unwrap_or(0) as usize;
-            3 + at.ip().octets().iter().map(|o| digits((*o).into())).sum::<usize>() + 1 + digits(at.port())
+            3 + at
+                .ip()
+                .octets()
+                .iter()
+                .map(|o| digits((*o).into()))
+                .sum::<usize>()
+                + 1
+                + digits(at.port())
         }
         at => at.to_string().len(),
     };
-    let process = fixed(from.id) + number(from.incarnation) + number(from.life.into()) + part(address);
+    let process =
+        fixed(from.id) + number(from.incarnation) + number(from.life.into()) + part(address);
     // The form and the fleet's number, which is a hash.
     2 + 9 + part(process) + number(root.term) + fixed(root.id) + body_size(body)
 }
@@ -73,7 +81,14 @@
         Body::Lease(Message::Grant(g)) => {
             let state = g.state.as_ref().map_or(0, |s| part(state(s)));
             let delta = g.delta.as_ref().map_or(0, |d| part(delta(d)));
-            part(member(g.to) + number(g.seq) + number(g.span as u64) + number(g.step.0) + state + delta)
+            part(
+                member(g.to)
+                    + number(g.seq)
+                    + number(g.span as u64)
+                    + number(g.step.0)
+                    + state
+                    + delta,
+            )
         }
         Body::Lease(Message::Step(s)) => 1 + digits(s.0),
         Body::Lease(Message::Reached { from, at }) => part(member(*from) + number(at.0)),
@@ -87,7 +102,12 @@
             let leaves = lines.iter().filter(|l| l.standing != Standing::Ready);
             let line = |l: &tansy_agree::list::Line| {
                 let gone = flag(l.standing == Standing::Gone);
-                part(text(l.worker.name.len()) + text(l.worker.address.len()) + number(l.incarnation) + gone)
+                part(
+                    text(l.worker.name.len())
+                        + text(l.worker.address.len())
+                        + number(l.incarnation)
+                        + gone,
+                )
             };
             1 + part(leaves.map(line).sum::<usize>() + flag(*back))
         }
@@ -95,15 +115,20 @@
         Body::Seats(bytes) => 1 + part(bytes.len()),
         Body::Want(w) => {
             let names: usize = w.scopes.iter().map(|s| part(s.len())).sum();
-            let numbers = packed(w.drops.len()) + w.all.as_ref().map_or(0, |a| part(packed(a.len())));
-            1 + part(member(w.from) + epoch(w.epoch) + number(w.seq) + number(w.at.0) + names + numbers)
+            let numbers =
+                packed(w.drops.len()) + w.all.as_ref().map_or(0, |a| part(packed(a.len())));
+            1 + part(
+                member(w.from) + epoch(w.epoch) + number(w.seq) + number(w.at.0) + names + numbers,
+            )
         }
         Body::Scopes(r) => {
             let named = |(name, s): &(String, Option<Scoped>)| {
                 part(text(name.len()) + s.as_ref().map_or(0, |s| part(scoped(s))))
             };
             let names: usize = r.scopes.iter().map(named).sum();
-            1 + part(member(r.to) + epoch(r.epoch) + number(r.seq.unwrap_or(0)) + number(r.at.0) + names)
+            1 + part(
+                member(r.to) + epoch(r.epoch) + number(r.seq.unwrap_or(0)) + number(r.at.0) + names,
+            )
         }
         Body::Head => 2 + 1,
     }
@@ -127,24 +152,38 @@
 }
 
 fn scoped(s: &Scoped) -> usize {
-    let next = s.next().and_then(Option::as_ref).map_or(0, |f| part(fields(f)));
-    let (moves, since) = (flag(s.standing != Stands::Settled), s.standing.since().map_or(0, |s| s.0));
-    number(s.revision.0) + s.fields.as_ref().map_or(0, |f| part(fields(f))) + moves + next + number(since)
+    let next = s
+        .next()
+        .and_then(Option::as_ref)
+        .map_or(0, |f| part(fields(f)));
+    let (moves, since) = (
+        flag(s.standing != Stands::Settled),
+        s.standing.since().map_or(0, |s| s.0),
+    );
+    number(s.revision.0)
+        + s.fields.as_ref().map_or(0, |f| part(fields(f)))
+        + moves
+        + next
+        + number(since)
 }
 
 fn delta(d: &Delta) -> usize {
-    let one =
-        |m: &tansy_agree::scope::Move| part(number(m.step.0) + text(m.scope.len()) + part(scoped(&m.to)));
+    let one = |m: &tansy_agree::scope::Move| {
+        part(number(m.step.0) + text(m.scope.len()) + part(scoped(&m.to)))
+    };
     number(d.from.0) + number(d.to.0) + d.moves.iter().map(|m| one(m)).sum::<usize>()
 }
 
 fn state(s: &State) -> usize {
     let next = s.next.as_ref().map_or(0, |(n, _)| part(settings(n)) + 2);
-    let trial = s
-        .trial
-        .as_ref()
-        .map_or(0, |t| part(fields(&t.fields) + t.names.iter().map(|n| part(n.len())).sum::<usize>()));
-    let versions = if s.versions_at == s.step { 0 } else { number(s.versions_at.0) };
+    let trial = s.trial.as_ref().map_or(0, |t| {
+        part(fields(&t.fields) + t.names.iter().map(|n| part(n.len())).sum::<usize>())
+    });
+    let versions = if s.versions_at == s.step {
+        0
+    } else {
+        number(s.versions_at.0)
+    };
     let scopes = s.scopes_since.map_or(0, |s| number(s.0));
     number(s.step.0) + part(settings(&s.force)) + next + trial + versions + scopes
 }
@@ -154,7 +193,9 @@
 }
 
 fn fields(all: &Fields) -> usize {
-    all.iter().map(|(path, v)| part(text(path.len()) + part(value(v)))).sum()
+    all.iter()
+        .map(|(path, v)| part(text(path.len()) + part(value(v))))
+        .sum()
 }
 
 fn value(v: &Value) -> usize {
--- a/model/src/lib.rs
+++ b/model/src/lib.rs
@@ -28,6 +28,9 @@
     };
     std::thread::scope(|s| {
         let spawned: Vec<_> = (0..threads.max(1)).map(|_| s.spawn(work)).collect();
-        spawned.into_iter().flat_map(|t| t.join().unwrap_or_default()).collect()
+        spawned
+            .into_iter()
+            .flat_map(|t| t.join().unwrap_or_default())
+            .collect()
     })
 }
--- a/model/src/main.rs
+++ b/model/src/main.rs
@@ -205,11 +205,23 @@
     let all = [
         (a.evenly, " --evenly".into()),
         (a.held > 0.0, format!(" --held {}", a.held)),
-        (a.held_by_dead > 0.0, format!(" --held-by-dead {}", a.held_by_dead)),
+        (
+            a.held_by_dead > 0.0,
+            format!(" --held-by-dead {}", a.held_by_dead),
+        ),
         (a.rack > 0, format!(" --rack {}", a.rack)),
-        (a.zone > 0, format!(" --zone {} --zone-seconds {}", a.zone, a.zone_seconds)),
+        (
+            a.zone > 0,
+            format!(" --zone {} --zone-seconds {}", a.zone, a.zone_seconds),
+        ),
         (a.with_root, " --with-root".into()),
-        (a.rolling > 0, format!(" --rolling {} --rolling-seconds {}", a.rolling, a.rolling_seconds)),
+        (
+            a.rolling > 0,
+            format!(
+                " --rolling {} --rolling-seconds {}",
+                a.rolling, a.rolling_seconds
+            ),
+        ),
     ];
     all.into_iter().filter(|o| o.0).map(|o| o.1).collect()
 }
@@ -250,8 +262,13 @@
             rolling: a.rolling.min(fronts),
             rolling_away: seconds(rolling_seconds),
         };
-        let mut play =
-            Play { tier, seats, stay: seconds(a.stay.max(1)), size: Some(size), ..Play::of(fronts) };
+        let mut play = Play {
+            tier,
+            seats,
+            stay: seconds(a.stay.max(1)),
+            size: Some(size),
+            ..Play::of(fronts)
+        };
         play.terms.span = a.lease.clamp(1, 3_600_000) * 1000;
         play.ways = tansy_model::size::WAYS;
         for (report, wall_seconds) in tansy_model::size::many(&play, a.from, a.seeds, threads) {
@@ -299,7 +316,9 @@
                 continue;
             }
             let ms = |q: &Option<Quantiles>| {
-                q.map_or("none".into(), |q| format!("{} and {} ms of {}", q.p50, q.p99, q.count))
+                q.map_or("none".into(), |q| {
+                    format!("{} and {} ms of {}", q.p50, q.p99, q.count)
+                })
             };
             println!(
                 "{fronts} front ends, {tier:?}, seed {}: {:.0} bytes and {:.1} messages a front end a second ({:.0} and {:.1} at the \
@@ -381,12 +400,22 @@
     let mut played = Vec::new();
     for rule in rules {
         for harm in &harms {
-            let play = Play { fronts: a.front_ends, rate: a.rate, harm: *harm, rule, ..Play::default() };
+            let play = Play {
+                fronts: a.front_ends,
+                rate: a.rate,
+                harm: *harm,
+                rule,
+                ..Play::default()
+            };
             let s = many(&play, a.from, a.rolls, threads);
             if a.json {
                 println!("{}", serde_json::to_string(&s).unwrap_or_default());
             } else {
-                let stages: Vec<String> = s.stages.iter().map(|x| format!("{:.0}%", x * 100.0)).collect();
+                let stages: Vec<String> = s
+                    .stages
+                    .iter()
+                    .map(|x| format!("{:.0}%", x * 100.0))
+                    .collect();
                 println!(
                     "{rule:?} {harm:?}: {} rolls, {:.2}% stopped, in stages {}; after {} s (median), {} s (90 of 100); {:.2}% of the \
                      calls met it; done after {} s; {:?}",
@@ -396,7 +425,10 @@
             played.push(s);
         }
     }
-    if let Some(Err(e)) = a.plot.map(|path| tansy_model::plot::stopped(&path, &played)) {
+    if let Some(Err(e)) = a
+        .plot
+        .map(|path| tansy_model::plot::stopped(&path, &played))
+    {
         eprintln!("{e}");
         return ExitCode::from(2);
     }
@@ -483,7 +515,11 @@
             println!("{}", serde_json::to_string(&outcome).unwrap_or_default());
             if !outcome.broken.is_empty() {
                 let short = script(&play, seed);
-                println!("{} of {} faults are enough:", short.len(), faults(&play, seed).len());
+                println!(
+                    "{} of {} faults are enough:",
+                    short.len(),
+                    faults(&play, seed).len()
+                );
                 short.iter().for_each(|f| println!("  {f:?}"));
                 broken = true;
             }
@@ -514,9 +550,15 @@
             sum.seat_messages,
         );
         if scopes > 0 {
-            println!("{} changes of scopes in force, {} given up", sum.scopes_in_force, sum.scopes_back);
+            println!(
+                "{} changes of scopes in force, {} given up",
+                sum.scopes_in_force, sum.scopes_back
+            );
         }
-        sum.broken.iter().take(5).for_each(|(seed, what)| println!("  seed {seed}: {what}"));
+        sum.broken
+            .iter()
+            .take(5)
+            .for_each(|(seed, what)| println!("  seed {seed}: {what}"));
     }
     if let Some(Err(e)) = plot.map(|path| tansy_model::plot::in_force(&path, &played)) {
         eprintln!("{e}");
--- a/model/src/net.rs
+++ b/model/src/net.rs
@@ -17,7 +17,12 @@
 
 impl Default for Ways {
     fn default() -> Ways {
-        Ways { least: SECOND / 5000, most: SECOND / 50, lost: 0.01, twice: 0.01 }
+        Ways {
+            least: SECOND / 5000,
+            most: SECOND / 50,
+            lost: 0.01,
+            twice: 0.01,
+        }
     }
 }
 
@@ -39,7 +44,12 @@
     /// With these faults.
     pub fn new(ways: Ways, faults: &[Fault]) -> Net {
         let of_net = |f: &&Fault| !matches!(f, Fault::Kill { .. } | Fault::Pause { .. });
-        Net { ways, faults: faults.iter().filter(of_net).cloned().collect(), between: Vec::new(), cut: None }
+        Net {
+            ways,
+            faults: faults.iter().filter(of_net).cloned().collect(),
+            between: Vec::new(),
+            cut: None,
+        }
     }
 
     /// Puts the front ends into so many regions, each two of them a way of its own apart.
@@ -71,7 +81,8 @@
 
     /// Whether regions are cut off at this time.
     pub fn cut_at(&self, now: Time) -> bool {
-        self.cut.is_some_and(|(regions, from, to)| regions > 0 && from <= now && now < to)
+        self.cut
+            .is_some_and(|(regions, from, to)| regions > 0 && from <= now && now < to)
     }
 
     /// The side of a cut on which a front end stands: 0 with most regions, else one for each region cut off.
@@ -88,10 +99,16 @@
     /// When the copies of a message that is sent now arrive, as far as they do.
     pub fn carry(&self, rng: &mut fastrand::Rng, now: Time, from: usize, to: usize) -> Vec<Time> {
         let mut added = 0;
-        for f in self.faults.iter().filter(|f| f.at() <= now && now < f.over()) {
+        for f in self
+            .faults
+            .iter()
+            .filter(|f| f.at() <= now && now < f.over())
+        {
             match f {
                 Fault::Cut { from: a, to: b, .. } if (*a, *b) == (from, to) => return Vec::new(),
-                Fault::Split { side, .. } if side.contains(&from) != side.contains(&to) => return Vec::new(),
+                Fault::Split { side, .. } if side.contains(&from) != side.contains(&to) => {
+                    return Vec::new()
+                }
                 Fault::Slow { by, .. } => added += rng.i64(0..=*by),
                 _ => {}
             }
@@ -99,7 +116,11 @@
         if self.cut_at(now) && self.side(from) != self.side(to) {
             return Vec::new();
         }
-        if let Some(way) = self.between.get(self.region(from)).and_then(|b| b.get(self.region(to))) {
+        if let Some(way) = self
+            .between
+            .get(self.region(from))
+            .and_then(|b| b.get(self.region(to)))
+        {
             added += way;
         }
         if rng.f64() < self.ways.lost {
@@ -107,6 +128,8 @@
         }
         let copies = 1 + usize::from(rng.f64() < self.ways.twice);
         // Each copy takes its own time, so that messages overtake each other.
-        (0..copies).map(|_| now + added + rng.i64(self.ways.least..=self.ways.most)).collect()
+        (0..copies)
+            .map(|_| now + added + rng.i64(self.ways.least..=self.ways.most))
+            .collect()
     }
 }
--- a/model/src/plot.rs
+++ b/model/src/plot.rs
@@ -8,13 +8,15 @@
 /// Time from a proposal to force everywhere against the fleet's size, median and 99th percentile.
 pub fn in_force(path: &Path, all: &[Summary]) -> Result<(), String> {
     let sizes: Vec<f64> = all.iter().map(|s| s.fronts as f64).collect();
-    let (Some(least), Some(most)) =
-        (sizes.iter().copied().reduce(f64::min), sizes.iter().copied().reduce(f64::max))
-    else {
+    let (Some(least), Some(most)) = (
+        sizes.iter().copied().reduce(f64::min),
+        sizes.iter().copied().reduce(f64::max),
+    ) else {
         return Err("no size was played".into());
     };
     let highest = all.iter().map(|s| s.force_ms[1]).max().unwrap_or(1).max(1) as f64 * 1.1;
-    draw(path, all, least, most.max(least + 1.0), highest).map_err(|e| format!("{}: {e}", path.display()))
+    draw(path, all, least, most.max(least + 1.0), highest)
+        .map_err(|e| format!("{}: {e}", path.display()))
 }
 
 fn draw(
@@ -27,7 +29,10 @@
     let area = SVGBackend::new(path, (720, 420)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
-        .caption("From a proposal to force at every front end", ("sans-serif", 18))
+        .caption(
+            "From a proposal to force at every front end",
+            ("sans-serif", 18),
+        )
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(60)
@@ -41,12 +46,26 @@
         .y_label_formatter(&whole)
         .draw()?;
     for (n, name, color) in [(0, "median", BLUE), (1, "99th percentile", RED)] {
-        let points: Vec<(f64, f64)> = all.iter().map(|s| (s.fronts as f64, s.force_ms[n] as f64)).collect();
+        let points: Vec<(f64, f64)> = all
+            .iter()
+            .map(|s| (s.fronts as f64, s.force_ms[n] as f64))
+            .collect();
         let key = move |(x, y)| PathElement::new(vec![(x, y), (x + 20, y)], color);
-        chart.draw_series(LineSeries::new(points.clone(), color))?.label(name).legend(key);
-        chart.draw_series(points.into_iter().map(|p| Circle::new(p, 3, color.filled())))?;
+        chart
+            .draw_series(LineSeries::new(points.clone(), color))?
+            .label(name)
+            .legend(key);
+        chart.draw_series(
+            points
+                .into_iter()
+                .map(|p| Circle::new(p, 3, color.filled())),
+        )?;
     }
-    chart.configure_series_labels().background_style(WHITE).border_style(BLACK).draw()?;
+    chart
+        .configure_series_labels()
+        .background_style(WHITE)
+        .border_style(BLACK)
+        .draw()?;
     area.present()?;
     Ok(())
 }
@@ -60,8 +79,9 @@
     };
     let line = |name: &'static str, is: fn(&Rule) -> bool| {
         let of = all.iter().filter(|s| is(&s.play.rule));
-        let points: Vec<(f64, f64)> =
-            of.filter_map(|s| Some((lost(s.play.harm)?, s.stopped * 100.0))).collect();
+        let points: Vec<(f64, f64)> = of
+            .filter_map(|s| Some((lost(s.play.harm)?, s.stopped * 100.0)))
+            .collect();
         (name, points)
     };
     let lines = [
@@ -72,7 +92,10 @@
     rolls(path, &lines).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn rolls(path: &Path, lines: &[(&'static str, Vec<(f64, f64)>)]) -> Result<(), Box<dyn std::error::Error>> {
+fn rolls(
+    path: &Path,
+    lines: &[(&'static str, Vec<(f64, f64)>)],
+) -> Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::new(path, (720, 420)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -91,10 +114,17 @@
             continue;
         }
         let key = move |(x, y)| PathElement::new(vec![(x, y), (x + 20, y)], color);
-        chart.draw_series(LineSeries::new(points.iter().copied(), color))?.label(*name).legend(key);
+        chart
+            .draw_series(LineSeries::new(points.iter().copied(), color))?
+            .label(*name)
+            .legend(key);
         chart.draw_series(points.iter().map(|p| Circle::new(*p, 3, color.filled())))?;
     }
-    chart.configure_series_labels().background_style(WHITE).border_style(BLACK).draw()?;
+    chart
+        .configure_series_labels()
+        .background_style(WHITE)
+        .border_style(BLACK)
+        .draw()?;
     area.present()?;
     Ok(())
 }
--- a/model/src/roll.rs
+++ b/model/src/roll.rs
@@ -105,7 +105,13 @@
 const CLASSES: [&str; 2] = ["read", "pay"];
 
 /// Milliseconds of answers, and the share of those that took no longer one listed before; the rest take 10 ms.
-const LATENCIES: [(u64, f64); 5] = [(SLOWEST, 0.005), (160, 0.015), (80, 0.06), (40, 0.13), (20, 0.4)];
+const LATENCIES: [(u64, f64); 5] = [
+    (SLOWEST, 0.005),
+    (160, 0.015),
+    (80, 0.06),
+    (40, 0.13),
+    (20, 0.4),
+];
 const SLOWEST: u64 = 320;
 
 struct One {
@@ -123,7 +129,11 @@
 
 /// The plan of a play: one front end of each zone, then a tenth, a third, all.
 pub fn plan(play: &Play) -> Plan {
-    let place = |n: usize| Place { name: format!("f{n}"), zone: format!("z{}", n % play.zones), seat: n < 3 };
+    let place = |n: usize| Place {
+        name: format!("f{n}"),
+        zone: format!("z{}", n % play.zones),
+        seat: n < 3,
+    };
     let ends = [play.zones, play.fronts / 5, play.fronts / 2, play.fronts];
     let mut from = 0;
     let stages = ends.into_iter().filter_map(|to| {
@@ -158,13 +168,23 @@
             since: -1000,
             incarnation: 1,
             memory: 20.0,
-            tallies: CLASSES.iter().map(|c| (c.to_string(), Tally::default())).collect(),
+            tallies: CLASSES
+                .iter()
+                .map(|c| (c.to_string(), Tally::default()))
+                .collect(),
         })
         .collect();
     let mut weather = vec![0.0_f64; play.zones];
-    let mut roll =
-        Roll::begin(1, What::Program { label: "new".into(), path: "new".into() }, plan, "a play".into())
-            .expect("a plan");
+    let mut roll = Roll::begin(
+        1,
+        What::Program {
+            label: "new".into(),
+            path: "new".into(),
+        },
+        plan,
+        "a play".into(),
+    )
+    .expect("a plan");
     let mut steer = Steer::new("s".into());
     let mut out = Outcome::default();
     let mut plain = Plain::default();
@@ -182,12 +202,17 @@
         };
         // Bad moments that a zone shares: they come and go over some seconds.
         let shock = Normal::new(0.0, 0.004).expect("a spread");
-        weather.iter_mut().for_each(|w| *w = 0.9 * *w + shock.sample(&mut rng));
+        weather
+            .iter_mut()
+            .for_each(|w| *w = 0.9 * *w + shock.sample(&mut rng));
         let shed: Vec<f64> = (0..play.zones)
             .map(|z| match play.harm {
                 Harm::Shed(s) => {
                     let of = |new: bool| {
-                        all.iter().filter(|f| f.zone == z && f.new == new).map(|f| f.rate).sum::<f64>()
+                        all.iter()
+                            .filter(|f| f.zone == z && f.new == new)
+                            .map(|f| f.rate)
+                            .sum::<f64>()
                     };
                     s * of(true) / of(false).max(1.0)
                 }
@@ -240,12 +265,20 @@
                 let lost = binomial(&mut rng, n - turned, loss);
                 let served = n - turned - lost;
                 let t = f.tallies.get_mut(*class).expect("a class");
-                (t.asked, t.served, t.refused) = (t.asked + n, t.served + served, t.refused + turned);
-                (t.failed, t.wanted, t.worth) =
-                    (t.failed + lost, t.wanted + n as f64, t.worth + served as f64);
+                (t.asked, t.served, t.refused) =
+                    (t.asked + n, t.served + served, t.refused + turned);
+                (t.failed, t.wanted, t.worth) = (
+                    t.failed + lost,
+                    t.wanted + n as f64,
+                    t.worth + served as f64,
+                );
                 let mut left = served;
                 for (ms, share) in LATENCIES {
-                    let of = binomial(&mut rng, left, share + if ms == SLOWEST { slow } else { 0.0 });
+                    let of = binomial(
+                        &mut rng,
+                        left,
+                        share + if ms == SLOWEST { slow } else { 0.0 },
+                    );
                     let _ = t.latency.record_n(ms * 1000, of);
                     left -= of;
                 }
@@ -272,9 +305,13 @@
             .collect();
         // Several entries may follow each other in a second.
         for _ in 0..4 {
-            let Some(mut entry) = steer.look(now * SECOND, &roll, &fronts) else { break };
+            let Some(mut entry) = steer.look(now * SECOND, &roll, &fronts) else {
+                break;
+            };
             if play.rule != Rule::Verdict {
-                let Some(other) = plain.entry(play, &roll, &fronts, now, entry) else { continue };
+                let Some(other) = plain.entry(play, &roll, &fronts, now, entry) else {
+                    continue;
+                };
                 entry = other;
             }
             if let Entry::Let { name, .. } = &entry {
@@ -308,7 +345,8 @@
 }
 
 fn poisson(rng: &mut StdRng, mean: f64) -> u64 {
-    rand_distr::Poisson::new(mean.max(1e-9)).map_or(0, |p: rand_distr::Poisson<f64>| p.sample(rng) as u64)
+    rand_distr::Poisson::new(mean.max(1e-9))
+        .map_or(0, |p: rand_distr::Poisson<f64>| p.sample(rng) as u64)
 }
 
 /// The plain rules: a stage is judged once, when its least time is over.
@@ -320,12 +358,25 @@
 }
 
 impl Plain {
-    fn entry(&mut self, play: &Play, roll: &Roll, fronts: &[Front], now: i64, entry: Entry) -> Option<Entry> {
-        let total = |r: &Report| r.classes.values().fold((0.0, 0.0), |(a, b), t| (a + t.worth, b + t.wanted));
+    fn entry(
+        &mut self,
+        play: &Play,
+        roll: &Roll,
+        fronts: &[Front],
+        now: i64,
+        entry: Entry,
+    ) -> Option<Entry> {
+        let total = |r: &Report| {
+            r.classes
+                .values()
+                .fold((0.0, 0.0), |(a, b), t| (a + t.worth, b + t.wanted))
+        };
         if self.before.is_none() {
             if let Entry::Let { .. } = entry {
-                let all =
-                    fronts.iter().map(|f| total(&f.report)).fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1));
+                let all = fronts
+                    .iter()
+                    .map(|f| total(&f.report))
+                    .fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1));
                 self.before = Some(1.0 - all.0 / all.1.max(1.0));
             }
         }
@@ -334,7 +385,10 @@
         }
         if self.stage.is_none_or(|s| s.0 != roll.stage) {
             self.stage = Some((roll.stage, now));
-            self.began = fronts.iter().map(|f| (f.report.name.clone(), total(&f.report))).collect();
+            self.began = fronts
+                .iter()
+                .map(|f| (f.report.name.clone(), total(&f.report)))
+                .collect();
         }
         let since = self.stage.map_or(now, |s| s.1);
         let (at, fence) = (roll.at, roll.fence);
@@ -343,7 +397,10 @@
         }
         let loss = |new: bool| {
             let of = fronts.iter().filter(|f| f.report.new == new).map(|f| {
-                let (a, b) = (total(&f.report), self.began.get(&f.report.name).copied().unwrap_or_default());
+                let (a, b) = (
+                    total(&f.report),
+                    self.began.get(&f.report.name).copied().unwrap_or_default(),
+                );
                 (a.0 - b.0, a.1 - b.1)
             });
             let (worth, wanted) = of.fold((0.0, 0.0), |x, y| (x.0 + y.0, x.1 + y.1));
@@ -355,7 +412,11 @@
             Rule::Verdict => false,
         };
         let why = "the plain rule".to_string();
-        Some(if over { Entry::Worse { at, fence, why } } else { Entry::Pass { at, fence, why } })
+        Some(if over {
+            Entry::Worse { at, fence, why }
+        } else {
+            Entry::Pass { at, fence, why }
+        })
     }
 }
 
@@ -382,18 +443,35 @@
 
 /// Plays seeds from `from` on so many threads; the outcome does not depend on their number.
 pub fn many(play: &Play, from: u64, rolls: u64, threads: usize) -> Summary {
-    let mut all: Vec<(u64, Outcome)> = crate::spread(from, rolls, threads, |seed| (seed, run(play, seed)));
+    let mut all: Vec<(u64, Outcome)> =
+        crate::spread(from, rolls, threads, |seed| (seed, run(play, seed)));
     all.sort_by_key(|o| o.0);
-    let stopped: Vec<&Outcome> = all.iter().map(|o| &o.1).filter(|o| o.end == "stopped").collect();
+    let stopped: Vec<&Outcome> = all
+        .iter()
+        .map(|o| &o.1)
+        .filter(|o| o.end == "stopped")
+        .collect();
     let at = |mut v: Vec<u64>, q: f64| {
         v.sort();
-        v.get(((v.len() as f64 - 1.0) * q).round().max(0.0) as usize).copied().unwrap_or(0)
+        v.get(((v.len() as f64 - 1.0) * q).round().max(0.0) as usize)
+            .copied()
+            .unwrap_or(0)
     };
     let n = stopped.len().max(1) as f64;
-    let stages = (1..=4).map(|s| stopped.iter().filter(|o| o.stage == s).count() as f64 / n).collect();
+    let stages = (1..=4)
+        .map(|s| stopped.iter().filter(|o| o.stage == s).count() as f64 / n)
+        .collect();
     let times: Vec<u64> = stopped.iter().map(|o| o.seconds).collect();
-    let exposed = stopped.iter().map(|o| (1e6 * o.exposed / o.calls.max(1.0)) as u64).collect();
-    let done = all.iter().map(|o| &o.1).filter(|o| o.end == "done").map(|o| o.seconds).collect();
+    let exposed = stopped
+        .iter()
+        .map(|o| (1e6 * o.exposed / o.calls.max(1.0)) as u64)
+        .collect();
+    let done = all
+        .iter()
+        .map(|o| &o.1)
+        .filter(|o| o.end == "done")
+        .map(|o| o.seconds)
+        .collect();
     let mut why = BTreeMap::new();
     for o in &stopped {
         let word = o.why.split(':').next().unwrap_or("").to_string();
--- a/model/src/scope.rs
+++ b/model/src/scope.rs
@@ -70,9 +70,15 @@
 }
 
 pub(crate) fn fields(class: &str, lanes: Option<i64>, number: i64) -> Fields {
-    let all = [("class", Value::Text(class.into())), ("memory", Value::Bytes(number))];
+    let all = [
+        ("class", Value::Text(class.into())),
+        ("memory", Value::Bytes(number)),
+    ];
     let lanes = lanes.map(|n| ("lanes", Value::Int(n)));
-    all.into_iter().chain(lanes).map(|(k, v)| (k.to_string(), v)).collect()
+    all.into_iter()
+        .chain(lanes)
+        .map(|(k, v)| (k.to_string(), v))
+        .collect()
 }
 
 impl Scopes {
@@ -120,12 +126,19 @@
     /// A scope's name, and how it stands.
     pub(crate) fn known(&self, n: usize) -> Option<(String, Scoped)> {
         let name = self.names.get(n)?;
-        Some((name.clone(), self.all.get(name).map(|s| s.to.clone()).unwrap_or_default()))
+        Some((
+            name.clone(),
+            self.all.get(name).map(|s| s.to.clone()).unwrap_or_default(),
+        ))
     }
 
     /// The class in force of a scope.
     pub(crate) fn class(&self, scope: &str) -> String {
-        match self.all.get(scope).and_then(|s| s.to.fields.as_ref()?.get("class")) {
+        match self
+            .all
+            .get(scope)
+            .and_then(|s| s.to.fields.as_ref()?.get("class"))
+        {
             Some(Value::Text(class)) => class.clone(),
             _ => "chat".into(),
         }
@@ -138,8 +151,13 @@
 
     /// One of the functions that a front end drawn alike of these was called for.
     pub(crate) fn one_of_called(&mut self, of: &[usize]) -> Option<usize> {
-        let called = of.get(self.rng.usize(0..of.len().max(1))).map(|who| &self.called[*who])?;
-        called.iter().nth(self.rng.usize(0..called.len().max(1))).copied()
+        let called = of
+            .get(self.rng.usize(0..of.len().max(1)))
+            .map(|who| &self.called[*who])?;
+        called
+            .iter()
+            .nth(self.rng.usize(0..called.len().max(1)))
+            .copied()
     }
 
     /// Whether one of these was called for it.
@@ -149,7 +167,10 @@
 
     /// All seats have one catalog after as many entries.
     fn compare(&mut self, applied: u64, log: &Log) -> Option<String> {
-        let known = self.catalogs.entry(applied).or_insert_with(|| log.catalog().clone());
+        let known = self
+            .catalogs
+            .entry(applied)
+            .or_insert_with(|| log.catalog().clone());
         (known != log.catalog()).then(|| format!("has another catalog after {applied} entries"))
     }
 
@@ -172,10 +193,15 @@
                 Standing::Joint { next, since } => {
                     let number = mark(next);
                     if open.is_some() || was.fields != m.to.fields {
-                        wrong.push(format!("{} went joint in step {} out of turn", m.scope, since.0));
+                        wrong.push(format!(
+                            "{} went joint in step {} out of turn",
+                            m.scope, since.0
+                        ));
                     }
-                    let twice =
-                        self.joint.iter().any(|(s, n, _)| *s == m.scope && n.is_some() && *n == number);
+                    let twice = self
+                        .joint
+                        .iter()
+                        .any(|(s, n, _)| *s == m.scope && n.is_some() && *n == number);
                     if twice {
                         wrong.push(format!("{}: change {number:?} went joint twice", m.scope));
                     }
@@ -193,21 +219,31 @@
                 }
                 Standing::Back { .. } => {
                     if open.is_none() || was.fields != m.to.fields {
-                        wrong.push(format!("{} went back in step {} not from a change", m.scope, m.step.0));
+                        wrong.push(format!(
+                            "{} went back in step {} not from a change",
+                            m.scope, m.step.0
+                        ));
                     }
                     self.back += 1;
-                    self.ends.push((m.step, open.as_ref().and_then(mark), false));
+                    self.ends
+                        .push((m.step, open.as_ref().and_then(mark), false));
                 }
                 Standing::Settled => wrong.push(format!("{} moved to settled", m.scope)),
             }
         }
         self.step = state.step;
-        let over = |name: &String| log.catalog().get(name).is_none_or(|s| s.standing == Standing::Settled);
+        let over = |name: &String| {
+            log.catalog()
+                .get(name)
+                .is_none_or(|s| s.standing == Standing::Settled)
+        };
         let settled: Vec<String> = self.unsettled.iter().filter(|n| over(n)).cloned().collect();
         for name in settled {
             self.unsettled.remove(&name);
             self.round += 1;
-            let Some(stood) = self.all.get_mut(&name) else { continue };
+            let Some(stood) = self.all.get_mut(&name) else {
+                continue;
+            };
             let there = log.catalog().get(&name).cloned().unwrap_or_default();
             if there.fields != stood.to.fields {
                 wrong.push(format!("{name} is settled as what it was not"));
@@ -220,9 +256,17 @@
 
     /// What is wrong with what a front end acts on.
     fn wrong(&self, schema: &Schema, scope: &str, acts: &Acts, lease: bool) -> Option<String> {
-        let none = Stood { to: Scoped::default(), may: vec![Acts::default()] };
+        let none = Stood {
+            to: Scoped::default(),
+            may: vec![Acts::default()],
+        };
         let stood = self.all.get(scope).unwrap_or(&none);
-        let told = |why: &str| Some(format!("{scope}: acts on {acts:?}, {why}, agreed is {:?}", stood.to));
+        let told = |why: &str| {
+            Some(format!(
+                "{scope}: acts on {acts:?}, {why}, agreed is {:?}",
+                stood.to
+            ))
+        };
         if lease && !stood.may.contains(acts) {
             return told("with a lease");
         }
@@ -231,7 +275,8 @@
         }
         match (&stood.to.fields, &acts.fields) {
             (Some(force), Some(mine)) => {
-                let wrong = contradictions(schema, &full(scope, force), &Rules::of(&full(scope, mine)));
+                let wrong =
+                    contradictions(schema, &full(scope, force), &Rules::of(&full(scope, mine)));
                 wrong.first().and_then(|(path, _)| told(path))
             }
             (None, None) => None,
@@ -241,12 +286,16 @@
 
     /// What never came to an end.
     fn close(&self, log: &Log) -> Vec<String> {
-        let open = log.catalog().open().map(|(name, s)| format!("has {name} never ended: {:?}", s.standing));
+        let open = log
+            .catalog()
+            .open()
+            .map(|(name, s)| format!("has {name} never ended: {:?}", s.standing));
         let lost = |(id, step): (&u64, &Step)| match log.catalog().requested(*id) {
             None => Some(format!("lost request {id} of step {}", step.0)),
-            Some(r) if r.step != *step => {
-                Some(format!("has request {id} in step {}, was {}", r.step.0, step.0))
-            }
+            Some(r) if r.step != *step => Some(format!(
+                "has request {id} in step {}, was {}",
+                r.step.0, step.0
+            )),
             Some(r) if r.joint > 0 => Some(format!("has request {id} open still")),
             Some(_) => None,
         };
@@ -257,12 +306,20 @@
 impl Run<'_> {
     /// Plans calls and changes.
     pub(crate) fn scopes_begin(&mut self) {
-        let Some(mut s) = self.scopes.take() else { return };
+        let Some(mut s) = self.scopes.take() else {
+            return;
+        };
         let end = self.play.until + self.play.calm;
         for who in 0..self.play.fronts {
             for _ in 0..end / SECOND * CALLS {
                 let at = s.rng.i64(SECOND..end);
-                self.plan(at, Event::Call { who, forget: s.rng.u32(0..3) == 0 });
+                self.plan(
+                    at,
+                    Event::Call {
+                        who,
+                        forget: s.rng.u32(0..3) == 0,
+                    },
+                );
             }
         }
         for _ in 0..CHANGES {
@@ -290,39 +347,55 @@
     pub(crate) fn scope_change(&mut self, again: Option<u64>) {
         let Some((root, _)) = self.root() else { return };
         let Some(s) = &mut self.scopes else { return };
-        let request = again.and_then(|id| s.asked.get(&id).cloned()).unwrap_or_else(|| {
-            let id = s.asked.len() as u64 + 1;
-            let mut names = s.names.clone();
-            s.rng.shuffle(&mut names);
-            names.truncate(s.rng.usize(1..4));
-            let changes = names.into_iter().enumerate().map(|(n, scope)| {
-                let known = s.all.get(&scope).map(|k| k.to.clone()).unwrap_or_default();
-                let gone = known.fields.is_some() && s.rng.u32(0..6) == 0;
-                let class = ["chat", "pay", "batch"][s.rng.usize(0..3)];
-                let lanes = (s.rng.u32(0..3) > 0).then(|| s.rng.i64(2..20));
-                let next = fields(class, lanes, (id * 4) as i64 + n as i64);
-                let stale = s.rng.u32(0..20) == 0;
-                let base = if stale { Step(1) } else { known.revision };
-                ScopeChange { scope, base, fields: (!gone).then_some(next) }
+        let request = again
+            .and_then(|id| s.asked.get(&id).cloned())
+            .unwrap_or_else(|| {
+                let id = s.asked.len() as u64 + 1;
+                let mut names = s.names.clone();
+                s.rng.shuffle(&mut names);
+                names.truncate(s.rng.usize(1..4));
+                let changes = names.into_iter().enumerate().map(|(n, scope)| {
+                    let known = s.all.get(&scope).map(|k| k.to.clone()).unwrap_or_default();
+                    let gone = known.fields.is_some() && s.rng.u32(0..6) == 0;
+                    let class = ["chat", "pay", "batch"][s.rng.usize(0..3)];
+                    let lanes = (s.rng.u32(0..3) > 0).then(|| s.rng.i64(2..20));
+                    let next = fields(class, lanes, (id * 4) as i64 + n as i64);
+                    let stale = s.rng.u32(0..20) == 0;
+                    let base = if stale { Step(1) } else { known.revision };
+                    ScopeChange {
+                        scope,
+                        base,
+                        fields: (!gone).then_some(next),
+                    }
+                });
+                let changes = changes.collect();
+                ScopeRequest {
+                    id,
+                    changes,
+                    why: "a change".into(),
+                }
             });
-            let changes = changes.collect();
-            ScopeRequest { id, changes, why: "a change".into() }
-        });
         let id = request.id;
         if s.asked.insert(id, request.clone()).is_none() && s.rng.u32(0..3) == 0 {
             let at = self.now + s.rng.i64(0..3 * SECOND);
             self.plan(at, Event::Change { again: Some(id) });
         }
-        let entry = Entry::Change { requests: vec![request] };
+        let entry = Entry::Change {
+            requests: vec![request],
+        };
         self.act(root, |p, now, out| p.request(now, id, entry, out));
     }
 
     /// What a front end tells of scopes.
     pub(crate) fn scopes_told(&mut self, who: usize, command: &Command) {
         match (command, &mut self.scopes) {
-            (Command::Answer { request, outcome: Ok(Applied::Changed { step, refused }) }, Some(s))
-                if refused.is_empty() && s.asked.contains_key(request) =>
-            {
+            (
+                Command::Answer {
+                    request,
+                    outcome: Ok(Applied::Changed { step, refused }),
+                },
+                Some(s),
+            ) if refused.is_empty() && s.asked.contains_key(request) => {
                 let first = *s.taken.entry(*request).or_insert(*step);
                 if first != *step {
                     let told = format!("has request {request} in step {} and {}", first.0, step.0);
@@ -340,11 +413,21 @@
 
     /// A mistake: the root that begins takes each on its roster for one that holds nothing.
     fn none_hold(&mut self, who: usize) {
-        let Some(peer) = self.all[who].peer.as_ref() else { return };
-        let roster: Vec<Member> = peer.log().into_iter().flat_map(Log::roster).map(|(m, _)| m).collect();
+        let Some(peer) = self.all[who].peer.as_ref() else {
+            return;
+        };
+        let roster: Vec<Member> = peer
+            .log()
+            .into_iter()
+            .flat_map(Log::roster)
+            .map(|(m, _)| m)
+            .collect();
         for member in roster.into_iter().filter(|m| m.id != who as u64 + 1) {
-            let from =
-                Name::new(member.id, member.incarnation, crate::agree::address(member.id as usize - 1));
+            let from = Name::new(
+                member.id,
+                member.incarnation,
+                crate::agree::address(member.id as usize - 1),
+            );
             let want = |epoch, seq| Want {
                 from: member,
                 epoch,
@@ -356,9 +439,18 @@
             };
             self.act(who, |p: &mut Peer, now, out| {
                 let mut answers = Vec::new();
-                p.hear(now, &from, Root::default(), Body::Want(want(Epoch::default(), 1)), &mut answers);
+                p.hear(
+                    now,
+                    &from,
+                    Root::default(),
+                    Body::Want(want(Epoch::default(), 1)),
+                    &mut answers,
+                );
                 let epoch = answers.iter().find_map(|c| match c {
-                    Command::Send { body: Body::Scopes(r), .. } => Some(r.epoch),
+                    Command::Send {
+                        body: Body::Scopes(r),
+                        ..
+                    } => Some(r.epoch),
                     _ => None,
                 });
                 if let Some(epoch) = epoch {
@@ -371,7 +463,10 @@
     /// A mistake: a change comes in force once every lease was out or renewed, whoever holds the scope.
     pub(crate) fn carry_early(&mut self, scope: String, since: Step) {
         let Some((root, _)) = self.root() else { return };
-        let entry = Entry::Carry { force: vec![(scope, since)], settled: Vec::new() };
+        let entry = Entry::Carry {
+            force: vec![(scope, since)],
+            settled: Vec::new(),
+        };
         self.act(root, |p, now, out| p.request(now, 0, entry, out));
     }
 
@@ -387,7 +482,9 @@
 
     /// Changes of single functions that are in force at every front end that runs, or were given up.
     pub(crate) fn scopes_reached(&mut self) {
-        let (Some(s), Some(scale)) = (&mut self.scopes, &mut self.scale) else { return };
+        let (Some(s), Some(scale)) = (&mut self.scopes, &mut self.scale) else {
+            return;
+        };
         let number = |mark: Option<i64>| usize::try_from(mark? - 1).ok();
         for (step, mark, force) in s.ends.drain(..) {
             match number(mark) {
@@ -412,8 +509,14 @@
 
     /// Holds a seat's catalog against the others'.
     pub(crate) fn scopes_compare(&mut self, who: usize, applied: u64) {
-        let Some(s) = self.scopes.as_mut().filter(|s| s.compares) else { return };
-        let log = self.all[who].peer.as_ref().and_then(Peer::agreed).map(|a| a.1);
+        let Some(s) = self.scopes.as_mut().filter(|s| s.compares) else {
+            return;
+        };
+        let log = self.all[who]
+            .peer
+            .as_ref()
+            .and_then(Peer::agreed)
+            .map(|a| a.1);
         if let Some(told) = log.and_then(|log| s.compare(applied, log)) {
             self.broken(who, told);
         }
@@ -421,13 +524,23 @@
 
     /// Follows a seat that applied more than any before. True: all are to be judged anew.
     pub(crate) fn scopes_moved(&mut self, who: usize) -> bool {
-        let Some(s) = self.scopes.as_mut() else { return false };
-        let Some((_, log)) = self.all[who].peer.as_ref().and_then(Peer::agreed) else { return false };
+        let Some(s) = self.scopes.as_mut() else {
+            return false;
+        };
+        let Some((_, log)) = self.all[who].peer.as_ref().and_then(Peer::agreed) else {
+            return false;
+        };
         let before = s.step;
         let (moved, wrong) = s.moved(log, &self.schema);
         let joint = |m: &&std::sync::Arc<Move>| matches!(m.to.standing, Standing::Joint { .. });
         let early = self.play.plant == Some(Plant::NoHolders);
-        let new = log.state().moves.since(before).into_iter().flatten().filter(|m| early && joint(m));
+        let new = log
+            .state()
+            .moves
+            .since(before)
+            .into_iter()
+            .flatten()
+            .filter(|m| early && joint(m));
         let new: Vec<(String, Step)> = new.map(|m| (m.scope.clone(), m.step)).collect();
         for (scope, since) in new {
             // By then no lease is for an earlier step.
@@ -441,7 +554,9 @@
     /// What this process would act on of each scope that it ever called.
     pub(crate) fn judge_scopes(&mut self, who: usize) {
         let p = &self.all[who];
-        let (Some(s), Some(peer), true) = (&mut self.scopes, p.peer.as_ref(), p.runs()) else { return };
+        let (Some(s), Some(peer), true) = (&mut self.scopes, p.peer.as_ref(), p.runs()) else {
+            return;
+        };
         let now = p.local(self.now);
         let acting = peer.acting(now);
         let (lease, stay) = (acting.lease > 0, acting.stay > 0);
@@ -449,7 +564,9 @@
         if s.judged[who].replace(key) == Some(key) {
             return;
         }
-        let acts = s.called[who].iter().filter_map(|n| Some((&s.names[*n], peer.acts(now, &s.names[*n])?)));
+        let acts = s.called[who]
+            .iter()
+            .filter_map(|n| Some((&s.names[*n], peer.acts(now, &s.names[*n])?)));
         let wrong = acts.filter_map(|(name, acts)| s.wrong(&self.schema, name, &acts, lease));
         let wrong: Vec<String> = wrong.take(1).collect();
         wrong.into_iter().for_each(|told| self.broken(who, told));
@@ -457,13 +574,24 @@
 
     /// What never ended, once all faults are over.
     pub(crate) fn scopes_close(&mut self) {
-        let Some(s) = self.scopes.as_ref().filter(|s| s.compares) else { return };
+        let Some(s) = self.scopes.as_ref().filter(|s| s.compares) else {
+            return;
+        };
         (self.outcome.scopes_in_force, self.outcome.scopes_back) = (s.in_force, s.back);
-        let latest = self.all.iter().enumerate().filter_map(|(n, p)| Some((n, p.peer.as_ref()?.agreed()?)));
-        let Some((who, (_, log))) = latest.max_by_key(|(_, (applied, _))| *applied) else { return };
+        let latest = self
+            .all
+            .iter()
+            .enumerate()
+            .filter_map(|(n, p)| Some((n, p.peer.as_ref()?.agreed()?)));
+        let Some((who, (_, log))) = latest.max_by_key(|(_, (applied, _))| *applied) else {
+            return;
+        };
         let wrong = s.close(log);
         if self.outcome.broken.is_empty() {
-            wrong.into_iter().take(2).for_each(|told| self.broken(who, told));
+            wrong
+                .into_iter()
+                .take(2)
+                .for_each(|told| self.broken(who, told));
         }
     }
 }
--- a/model/src/size.rs
+++ b/model/src/size.rs
@@ -68,7 +68,12 @@
 pub const MEMBERSHIP_AWAY: (f64, f64) = (0.011, 2.1);
 
 /// How letters travel inside a region: over connections, so that none is lost or doubled.
-pub const WAYS: Ways = Ways { least: SECOND / 5000, most: SECOND * 3 / 1000, lost: 0.0, twice: 0.0 };
+pub const WAYS: Ways = Ways {
+    least: SECOND / 5000,
+    most: SECOND * 3 / 1000,
+    lost: 0.0,
+    twice: 0.0,
+};
 
 /// What befalls a fleet once all act.
 #[derive(Clone, Debug)]
@@ -321,12 +326,22 @@
 impl Shared {
     pub(crate) fn new(fronts: usize) -> Shared {
         let sides = vec![Arc::default()];
-        Shared { shown: vec![None; fronts], due: VecDeque::new(), sides, split: false }
+        Shared {
+            shown: vec![None; fronts],
+            due: VecDeque::new(),
+            sides,
+            split: false,
+        }
     }
 
     /// A process began or ended. Of one that ended with a word the others hear as soon as of one that began.
     pub(crate) fn news(&mut self, now: Time, who: usize, name: Name, up: bool, word: bool) {
-        let due = now + if up || word { SHOWN_AFTER } else { HIDDEN_AFTER };
+        let due = now
+            + if up || word {
+                SHOWN_AFTER
+            } else {
+                HIDDEN_AFTER
+            };
         let at = self.due.partition_point(|d| d.0 <= due);
         self.due.insert(at, (due, who, name, up));
     }
@@ -341,7 +356,9 @@
     fn look(&mut self, net: &crate::net::Net, now: Time) -> bool {
         let mut changed = false;
         while self.due.front().is_some_and(|d| d.0 <= now) {
-            let Some((_, who, name, up)) = self.due.pop_front() else { break };
+            let Some((_, who, name, up)) = self.due.pop_front() else {
+                break;
+            };
             let here = self.shown[who].as_ref().map(|n| n.incarnation);
             if up && here.is_none_or(|i| i < name.incarnation) {
                 self.shown[who] = Some(name);
@@ -358,7 +375,11 @@
         self.split = split;
         let sides = if split { net.sides() } else { 1 };
         let of = |side: usize| {
-            let there = self.shown.iter().enumerate().filter(|(n, _)| !split || net.side(*n) == side);
+            let there = self
+                .shown
+                .iter()
+                .enumerate()
+                .filter(|(n, _)| !split || net.side(*n) == side);
             Arc::new(Directory::new(there.filter_map(|(_, name)| name.clone())))
         };
         self.sides = (0..sides).map(of).collect();
@@ -510,7 +531,11 @@
 
     /// One holds a lease and a stay for the first time.
     fn acts(&mut self, after: Time) {
-        let all = if self.steady.is_some() { &mut self.join } else { &mut self.start_join };
+        let all = if self.steady.is_some() {
+            &mut self.join
+        } else {
+            &mut self.start_join
+        };
         all.push((after / 1000) as u64);
     }
 
@@ -530,20 +555,37 @@
 
     /// A change is in force at all that can be reached.
     pub(crate) fn done(&mut self, now: Time, n: usize) {
-        let Some(want) = self.wants.get_mut(n) else { return };
+        let Some(want) = self.wants.get_mut(n) else {
+            return;
+        };
         want.over = true;
         let took = ((now - want.asked) / 1000) as u64;
-        if want.strict { &mut self.strict } else { &mut self.plain }.push(took);
+        if want.strict {
+            &mut self.strict
+        } else {
+            &mut self.plain
+        }
+        .push(took);
         if want.dead_held {
             self.dead_held.push(took);
         }
         if let (Some(loss), Some(losing)) = (&mut self.loss, &self.losing) {
             loss.changes_in_force += u64::from(want.asked >= losing.since);
         }
-        let (asked, strict, begun) =
-            (want.asked, want.strict, self.steady.unwrap_or(0) + self.size.counted / 5);
-        if let (Some(cut), true) = (self.cut.as_mut(), asked >= begun && now < begun + self.size.cut) {
-            *if strict { &mut cut.strict_in_force } else { &mut cut.plain_in_force } += 1;
+        let (asked, strict, begun) = (
+            want.asked,
+            want.strict,
+            self.steady.unwrap_or(0) + self.size.counted / 5,
+        );
+        if let (Some(cut), true) = (
+            self.cut.as_mut(),
+            asked >= begun && now < begun + self.size.cut,
+        ) {
+            *if strict {
+                &mut cut.strict_in_force
+            } else {
+                &mut cut.plain_in_force
+            } += 1;
         }
     }
 }
@@ -562,7 +604,9 @@
         match command {
             Command::Answer { request, outcome } if *request > 0 => {
                 let n = *request as usize - 1;
-                let Some(want) = scale.wants.get_mut(n) else { return };
+                let Some(want) = scale.wants.get_mut(n) else {
+                    return;
+                };
                 let again = match outcome {
                     Ok(Applied::Told(v) | Applied::Again(v)) => {
                         want.version = Some(*v);
@@ -595,8 +639,13 @@
                 self.plan(now + wait, Event::Size(Happens::Ask { want: n, tries }));
             }
             Command::Note(Note::GivenUp { version, .. }) => {
-                if let Some(n) = scale.versions.get(&Version(*version)).filter(|_| who < self.play.seats) {
-                    scale.given_up += u64::from(!std::mem::replace(&mut scale.wants[*n].over, true));
+                if let Some(n) = scale
+                    .versions
+                    .get(&Version(*version))
+                    .filter(|_| who < self.play.seats)
+                {
+                    scale.given_up +=
+                        u64::from(!std::mem::replace(&mut scale.wants[*n].over, true));
                 }
             }
             Command::Note(Note::Member(news)) if scale.steady.is_some() => match news {
@@ -640,12 +689,19 @@
                     let (mut up, mut out, mut stayless, mut many) = (0, 0, 0, 0);
                     for n in (0..self.all.len()).filter(there) {
                         let (p, b) = (&self.all[n], scale.before[n]);
-                        (up, out, stayless) =
-                            (up + p.up - b.0, out + p.out - b.1, stayless + p.stayless - b.2);
+                        (up, out, stayless) = (
+                            up + p.up - b.0,
+                            out + p.out - b.1,
+                            stayless + p.stayless - b.2,
+                        );
                         many += 1;
                     }
                     let part = |t: Time| t as f64 / up.max(1) as f64;
-                    Side { front_ends: many, lease_lost: part(out), stay_lost: part(stayless) }
+                    Side {
+                        front_ends: many,
+                        lease_lost: part(out),
+                        stay_lost: part(stayless),
+                    }
                 };
                 if let Some(cut) = &mut scale.cut {
                     (cut.main, cut.cut) = (side(false), side(true));
@@ -659,7 +715,9 @@
     /// The time up, without a lease and without a stay of all, by now.
     fn accounts(&mut self) -> (Time, Time, Time) {
         (0..self.all.len()).for_each(|who| self.account(who));
-        self.all.iter().fold((0, 0, 0), |sum, p| (sum.0 + p.up, sum.1 + p.out, sum.2 + p.stayless))
+        self.all.iter().fold((0, 0, 0), |sum, p| {
+            (sum.0 + p.up, sum.1 + p.out, sum.2 + p.stayless)
+        })
     }
 
     /// Those of a rack or of a zone, which stand in one region: the first there, seats left out but for the one that leads.
@@ -675,7 +733,9 @@
     fn lose(&mut self) {
         let before = self.accounts();
         let (now, fronts, span) = (self.now, self.all.len(), self.play.terms.span);
-        let Some(size) = self.scale.as_ref().map(|s| s.size.clone()) else { return };
+        let Some(size) = self.scale.as_ref().map(|s| s.size.clone()) else {
+            return;
+        };
         let mut parts = Vec::new();
         let mut least = now;
         let ended = if size.rolling > 0 {
@@ -696,13 +756,25 @@
             .collect();
         let seats = ended.iter().filter(|n| **n < self.play.seats).count();
         let Some(scale) = &mut self.scale else { return };
-        scale.loss = Some(Loss { front_ends: ended.len(), seats, ..Loss::default() });
-        scale.losing = Some(Losing { since: now, least, before, parts, part: Vec::new() });
+        scale.loss = Some(Loss {
+            front_ends: ended.len(),
+            seats,
+            ..Loss::default()
+        });
+        scale.losing = Some(Losing {
+            since: now,
+            least,
+            before,
+            parts,
+            part: Vec::new(),
+        });
         if size.rolling > 0 {
             return;
         }
         if size.zone == 0 {
-            scale.dead.extend(named.into_iter().map(|(who, member)| (who, member, now)));
+            scale
+                .dead
+                .extend(named.into_iter().map(|(who, member)| (who, member, now)));
             scale.gone.extend(&ended);
         }
         for who in ended {
@@ -717,8 +789,14 @@
     /// Goes on with a rolling restart, and looks whether all act again.
     fn regain(&mut self) {
         let now = self.now;
-        let Some(losing) = self.scale.as_mut().and_then(|s| s.losing.as_mut()) else { return };
-        if losing.part.iter().any(|who| !self.all[*who].runs() || !self.all[*who].joined) {
+        let Some(losing) = self.scale.as_mut().and_then(|s| s.losing.as_mut()) else {
+            return;
+        };
+        if losing
+            .part
+            .iter()
+            .any(|who| !self.all[*who].runs() || !self.all[*who].joined)
+        {
             return;
         }
         if let Some(part) = losing.parts.pop() {
@@ -733,7 +811,8 @@
         }
         let back = self.scale.as_ref().is_some_and(|s| {
             let there = |(n, p): (usize, &Process)| p.runs() || s.gone.contains(&n);
-            s.losing.as_ref().is_some_and(|l| now > l.least) && self.all.iter().enumerate().all(there)
+            s.losing.as_ref().is_some_and(|l| now > l.least)
+                && self.all.iter().enumerate().all(there)
         });
         if back && self.all.iter().filter(|p| p.runs()).all(|p| p.whole(now)) {
             self.regained(true);
@@ -745,12 +824,17 @@
         let now = self.now;
         let (up, out, stayless) = self.accounts();
         let Some(scale) = &mut self.scale else { return };
-        let (Some(loss), Some(l)) = (&mut scale.loss, &scale.losing) else { return };
+        let (Some(loss), Some(l)) = (&mut scale.loss, &scale.losing) else {
+            return;
+        };
         loss.again_ms = again.then_some(((now - l.since) / 1000) as u64);
         let part = |t: Time| t as f64 / (up - l.before.0).max(1) as f64;
         (loss.lease_lost, loss.stay_lost) = (part(out - l.before.1), part(stayless - l.before.2));
-        loss.changes_asked =
-            scale.wants.iter().filter(|w| l.since <= w.asked && w.asked <= now).count() as u64;
+        loss.changes_asked = scale
+            .wants
+            .iter()
+            .filter(|w| l.since <= w.asked && w.asked <= now)
+            .count() as u64;
         if again {
             scale.losing = None;
         }
@@ -764,7 +848,10 @@
         let called = scale.steady.is_some() && (scale.size.zone > 0 || scale.size.rolling > 0);
         if let (Some(s), true) = (&mut self.scopes, called) {
             // One that is back is called for a few functions again.
-            let (at, scopes) = (self.now + s.rng.i64(0..CALLED), 1 + s.rng.usize(0..2 * HOLDS - 1));
+            let (at, scopes) = (
+                self.now + s.rng.i64(0..CALLED),
+                1 + s.rng.usize(0..2 * HOLDS - 1),
+            );
             self.plan(at, Event::Size(Happens::Calls { who, scopes }));
         }
     }
@@ -791,12 +878,17 @@
                 scale.joined = Some(now);
                 if late {
                     let lack = self.all.iter().filter(|p| !p.joined).count();
-                    scale
-                        .notes
-                        .push(format!("{lack} front ends did not act {} s after the start", now / SECOND));
+                    scale.notes.push(format!(
+                        "{lack} front ends did not act {} s after the start",
+                        now / SECOND
+                    ));
                 }
                 let by_scope = scale.size.by_scope > 0;
-                let (after, next) = if by_scope { (0, Happens::Fill) } else { (SETTLED, Happens::Steady) };
+                let (after, next) = if by_scope {
+                    (0, Happens::Fill)
+                } else {
+                    (SETTLED, Happens::Steady)
+                };
                 self.plan(now + after, Event::Size(next));
                 return;
             }
@@ -808,10 +900,14 @@
             scale.healing = None;
         }
         if !scale.dead.is_empty() {
-            let leads = self.all[..self.disks.len()].iter().find_map(|p| p.peer.as_ref()?.log());
+            let leads = self.all[..self.disks.len()]
+                .iter()
+                .find_map(|p| p.peer.as_ref()?.log());
             if let Some(log) = leads {
                 let freed = scale.dead.extract_if(.., |d| !log.lists(d.1));
-                scale.freed.extend(freed.map(|d| ((now - d.2) / 1000) as u64));
+                scale
+                    .freed
+                    .extend(freed.map(|d| ((now - d.2) / 1000) as u64));
             }
         }
     }
@@ -819,15 +915,26 @@
     /// Sets up the functions that are changed by scope; then each front end is called for a few, and counting begins.
     fn fill(&mut self) {
         let now = self.now;
-        let (Some(s), Some(scale)) = (&mut self.scopes, &mut self.scale) else { return };
+        let (Some(s), Some(scale)) = (&mut self.scopes, &mut self.scale) else {
+            return;
+        };
         let joined = scale.joined.unwrap_or(now);
         let missing: Vec<String> = s.missing().take(FILLED).collect();
         let late = now - joined > START;
         if late {
-            scale.notes.push(format!("functions were not set up {} s after all acted", START / SECOND));
+            scale.notes.push(format!(
+                "functions were not set up {} s after all acted",
+                START / SECOND
+            ));
         }
         if late || s.settled() && missing.is_empty() {
-            let mut one = |who| (now + s.rng.i64(0..CALLED), who, 1 + s.rng.usize(0..2 * HOLDS - 1));
+            let mut one = |who| {
+                (
+                    now + s.rng.i64(0..CALLED),
+                    who,
+                    1 + s.rng.usize(0..2 * HOLDS - 1),
+                )
+            };
             let calls: Vec<(Time, usize, usize)> = (0..self.play.fronts).map(&mut one).collect();
             for (at, who, scopes) in calls {
                 self.plan(at, Event::Size(Happens::Calls { who, scopes }));
@@ -841,9 +948,19 @@
         if !settled {
             return;
         }
-        let new = |scope| ScopeChange { scope, base: Step(0), fields: Some(fields("chat", None, 0)) };
+        let new = |scope| ScopeChange {
+            scope,
+            base: Step(0),
+            fields: Some(fields("chat", None, 0)),
+        };
         let changes = missing.into_iter().map(new).collect();
-        let entry = Entry::Change { requests: vec![ScopeRequest { id, changes, why: "a beginning".into() }] };
+        let entry = Entry::Change {
+            requests: vec![ScopeRequest {
+                id,
+                changes,
+                why: "a beginning".into(),
+            }],
+        };
         if let Some((root, _)) = self.root() {
             self.act(root, |p, now, out| p.request(now, 0, entry, out));
         }
@@ -863,13 +980,19 @@
 
     /// Draws the function that a change is of, where a share of them goes to what is held.
     fn draw_scope(&mut self, n: usize) {
-        let (Some(s), Some(scale)) = (&mut self.scopes, &mut self.scale) else { return };
+        let (Some(s), Some(scale)) = (&mut self.scopes, &mut self.scale) else {
+            return;
+        };
         let (held, by_dead) = (scale.size.held, scale.size.held_by_dead);
         let spread = n.wrapping_mul(SPREAD) % s.names.len().max(1);
         let mut drawn = spread;
         if held + by_dead > 0.0 {
             let share = s.rng.f64();
-            let from = if share < by_dead { scale.gone.clone() } else { (0..self.all.len()).collect() };
+            let from = if share < by_dead {
+                scale.gone.clone()
+            } else {
+                (0..self.all.len()).collect()
+            };
             if share < held + by_dead {
                 drawn = s.one_of_called(&from).unwrap_or(spread);
             }
@@ -884,10 +1007,22 @@
     fn change_of(&self, n: usize, strict: bool) -> Option<ScopeRequest> {
         let s = self.scopes.as_ref()?;
         let (scope, known) = s.known(self.scale.as_ref()?.wants.get(n)?.scope?)?;
-        let class = if strict { format!("class-{n}") } else { s.class(&scope) };
+        let class = if strict {
+            format!("class-{n}")
+        } else {
+            s.class(&scope)
+        };
         let next = fields(&class, None, n as i64 + 1);
-        let changes = vec![ScopeChange { scope, base: known.revision, fields: Some(next) }];
-        Some(ScopeRequest { id: n as u64 + 1, changes, why: "a change".into() })
+        let changes = vec![ScopeChange {
+            scope,
+            base: known.revision,
+            fields: Some(next),
+        }];
+        Some(ScopeRequest {
+            id: n as u64 + 1,
+            changes,
+            why: "a change".into(),
+        })
     }
 
     /// Counting begins, and what is to happen is planned.
@@ -906,13 +1041,16 @@
         let mut planned = Vec::new();
         let hours = size.counted as f64 / (3600 * SECOND) as f64;
         let asked = (size.changes_hour * hours).round() as usize;
-        let mut times: Vec<Time> =
-            (0..asked).map(|_| now + self.rng.i64(0..size.counted * 4 / 5 + 1)).collect();
+        let mut times: Vec<Time> = (0..asked)
+            .map(|_| now + self.rng.i64(0..size.counted * 4 / 5 + 1))
+            .collect();
         times.extend(std::iter::repeat_n(now + size.counted * 3 / 10, size.burst));
         if size.evenly && size.changes_hour > 0.0 {
             let apart = 3600.0 * SECOND as f64 / size.changes_hour;
             let many = (size.counted as f64 * 0.8 / apart) as usize;
-            times = (0..many).map(|n| now + (apart * (n as f64 + 0.5)) as Time).collect();
+            times = (0..many)
+                .map(|n| now + (apart * (n as f64 + 0.5)) as Time)
+                .collect();
         }
         times.sort_unstable();
         for (n, at) in times.into_iter().enumerate() {
@@ -943,7 +1081,10 @@
             let at = now + self.rng.i64(0..size.counted * 9 / 10 + 1);
             let who = others[self.rng.usize(0..others.len())];
             planned.push((at, Event::Stop { who }));
-            planned.push((at + self.rng.i64(2 * SECOND..10 * SECOND), Event::Start { who }));
+            planned.push((
+                at + self.rng.i64(2 * SECOND..10 * SECOND),
+                Event::Start { who },
+            ));
         }
         if size.cut_regions > 0 && size.cut > 0 {
             let from = now + size.counted / 5;
@@ -954,35 +1095,57 @@
         if size.rack > 0 || size.zone > 0 || size.rolling > 0 {
             planned.push((now + size.counted / 5, Event::Size(Happens::Loss)));
         }
-        planned.into_iter().for_each(|(at, event)| self.plan(at, event));
+        planned
+            .into_iter()
+            .for_each(|(at, event)| self.plan(at, event));
     }
 
     /// An operator asks the seat that leads for a change.
     fn ask_change(&mut self, n: usize, tries: u64) {
         let now = self.now;
         let Some(scale) = &mut self.scale else { return };
-        let cut = scale.cut.as_mut().filter(|_| tries == 0 && scale.healing.is_none());
+        let cut = scale
+            .cut
+            .as_mut()
+            .filter(|_| tries == 0 && scale.healing.is_none());
         let want = &mut scale.wants[n];
         if want.tries != tries || want.version.is_some() || want.over {
             return;
         }
         if let Some(cut) = cut {
-            *if want.strict { &mut cut.strict_asked } else { &mut cut.plain_asked } += 1;
+            *if want.strict {
+                &mut cut.strict_asked
+            } else {
+                &mut cut.plain_asked
+            } += 1;
         }
         want.tries += 1;
         let (strict, tries) = (want.strict, want.tries);
         // It is asked for again if no answer comes; the same id makes it one change.
-        self.plan(now + UNANSWERED, Event::Size(Happens::Ask { want: n, tries }));
+        self.plan(
+            now + UNANSWERED,
+            Event::Size(Happens::Ask { want: n, tries }),
+        );
         if self.scopes.is_some() {
-            if self.scale.as_ref().is_some_and(|s| s.wants[n].scope.is_none()) {
+            if self
+                .scale
+                .as_ref()
+                .is_some_and(|s| s.wants[n].scope.is_none())
+            {
                 self.draw_scope(n);
             }
-            let (Some((root, _)), Some(request)) = (self.root(), self.change_of(n, strict)) else { return };
+            let (Some((root, _)), Some(request)) = (self.root(), self.change_of(n, strict)) else {
+                return;
+            };
             let id = request.id;
-            let entry = Entry::Change { requests: vec![request] };
+            let entry = Entry::Change {
+                requests: vec![request],
+            };
             return self.act(root, |p, now, out| p.request(now, id, entry, out));
         }
-        let Some((root, state)) = self.root() else { return };
+        let Some((root, state)) = self.root() else {
+            return;
+        };
         let mut fields = state.force.fields.clone();
         let (path, value) = match strict {
             true => ("classes.chat.group", Value::Text(format!("group-{n}"))),
@@ -990,12 +1153,19 @@
         };
         fields.insert(path.into(), value);
         let (base, id) = (state.latest(), n as u64 + 1);
-        let entry = Entry::Propose { id, base, fields, why: "a change".into() };
+        let entry = Entry::Propose {
+            id,
+            base,
+            fields,
+            why: "a change".into(),
+        };
         self.act(root, |p, now, out| p.request(now, id, entry, out));
     }
 
     pub(crate) fn ended(&mut self, who: usize, word: bool) {
-        let Some(name) = self.all[who].peer.as_ref().map(|p| p.setup().me.clone()) else { return };
+        let Some(name) = self.all[who].peer.as_ref().map(|p| p.setup().me.clone()) else {
+            return;
+        };
         if let Some(scale) = &mut self.scale {
             scale.ends.insert(name.id, self.now);
         }
@@ -1009,40 +1179,67 @@
         (0..self.all.len()).for_each(|who| self.account(who));
         self.regained(false);
         let seats = self.play.seats;
-        let Some(scale) = self.scale.take() else { return Report::default() };
+        let Some(scale) = self.scale.take() else {
+            return Report::default();
+        };
         let counted = (self.now - scale.steady.unwrap_or(self.now)).max(1) as f64 / SECOND as f64;
         let hollow = self.play.tier == Tier::Hollow;
         let away = scale.size.away_hour;
-        let added = (MEMBERSHIP.0 + MEMBERSHIP_AWAY.0 * away, MEMBERSHIP.1 + MEMBERSHIP_AWAY.1 * away);
+        let added = (
+            MEMBERSHIP.0 + MEMBERSHIP_AWAY.0 * away,
+            MEMBERSHIP.1 + MEMBERSHIP_AWAY.1 * away,
+        );
         let added = if hollow { added } else { (0.0, 0.0) };
         let others = &scale.traffic[seats.min(scale.traffic.len())..];
         // One that was away for good takes no part in the mean.
-        let lives: Vec<&Traffic> =
-            others.iter().zip(&self.all[seats..]).filter(|(_, p)| p.peer.is_some()).map(|x| x.0).collect();
+        let lives: Vec<&Traffic> = others
+            .iter()
+            .zip(&self.all[seats..])
+            .filter(|(_, p)| p.peer.is_some())
+            .map(|x| x.0)
+            .collect();
         let mean = |of: fn(&Traffic) -> u64| {
             lives.iter().map(|t| of(t)).sum::<u64>() as f64 / lives.len().max(1) as f64 / counted
         };
-        let most =
-            |all: &[Traffic], of: fn(&Traffic) -> u64| all.iter().map(of).max().unwrap_or(0) as f64 / counted;
+        let most = |all: &[Traffic], of: fn(&Traffic) -> u64| {
+            all.iter().map(of).max().unwrap_or(0) as f64 / counted
+        };
         let at_seats = &scale.traffic[..seats.min(scale.traffic.len())];
         let up: Time = self.all.iter().map(|p| p.up).sum();
         let part = |t: Time| t as f64 / up.max(1) as f64;
-        let known: usize = self.all.iter().filter_map(|p| p.peer.as_ref()).map(|p| p.others().count()).sum();
+        let known: usize = self
+            .all
+            .iter()
+            .filter_map(|p| p.peer.as_ref())
+            .map(|p| p.others().count())
+            .sum();
         let running = self.all.iter().filter(|p| p.peer.is_some()).count().max(1);
-        let held: usize = self.all.iter().filter_map(|p| p.peer.as_ref()).map(|p| p.holds()).sum();
+        let held: usize = self
+            .all
+            .iter()
+            .filter_map(|p| p.peer.as_ref())
+            .map(|p| p.holds())
+            .sum();
         let over = scale.wants.iter().filter(|w| w.over).count() as u64;
         let in_force = (scale.plain.len() + scale.strict.len()) as u64;
         let all: Vec<u64> = scale.plain.iter().chain(&scale.strict).copied().collect();
         let mut notes = scale.notes;
         if hollow {
-            notes.push("membership's letters are added as measured in the whole tier, not played".into());
+            notes.push(
+                "membership's letters are added as measured in the whole tier, not played".into(),
+            );
         }
         let open = scale.wants.len() as u64 - over;
         if open > 0 {
-            notes.push(format!("{open} changes neither in force nor given up at the end"));
+            notes.push(format!(
+                "{open} changes neither in force nor given up at the end"
+            ));
         }
         if !scale.dead.is_empty() {
-            notes.push(format!("{} of the dead still on the roster at the end", scale.dead.len()));
+            notes.push(format!(
+                "{} of the dead still on the roster at the end",
+                scale.dead.len()
+            ));
         }
         if scale.healing.is_some() {
             notes.push("not all act again after the cut".into());
@@ -1058,7 +1255,8 @@
         let dead_held = DeadHeld {
             asked: strict_held().count() as u64,
             in_force: scale.dead_held.len() as u64,
-            given_up: strict_held().filter(|w| w.over).count() as u64 - scale.dead_held.len() as u64,
+            given_up: strict_held().filter(|w| w.over).count() as u64
+                - scale.dead_held.len() as u64,
             in_force_ms: Quantiles::of(&scale.dead_held),
         };
         let broken = !self.outcome.broken.is_empty();
--- a/model/tests/agree.rs
+++ b/model/tests/agree.rs
@@ -5,18 +5,52 @@
 #[test]
 fn no_fleet_acts_on_contradicting_rules_through_kills_pauses_cuts_and_clocks() {
     for (fronts, seats) in [(2, 1), (5, 1), (5, 3), (9, 5), (30, 3)] {
-        let sum = many(&Play { seats, ..Play::of(fronts) }, 1, 30, 2);
-        assert!(sum.broken.is_empty(), "{fronts} front ends, {seats} seats: {:?}", sum.broken);
-        assert!(sum.in_force > 100, "{fronts} front ends, {seats} seats: {} versions in force", sum.in_force);
+        let sum = many(
+            &Play {
+                seats,
+                ..Play::of(fronts)
+            },
+            1,
+            30,
+            2,
+        );
+        assert!(
+            sum.broken.is_empty(),
+            "{fronts} front ends, {seats} seats: {:?}",
+            sum.broken
+        );
+        assert!(
+            sum.in_force > 100,
+            "{fronts} front ends, {seats} seats: {} versions in force",
+            sum.in_force
+        );
     }
 }
 
 #[test]
 fn seats_are_replaced_through_the_same_faults() {
     for (fronts, seats, spares) in [(6, 1, 2), (8, 3, 3), (11, 5, 3)] {
-        let sum = many(&Play { seats, spares, replacements: 8, ..Play::of(fronts) }, 1, 30, 2);
-        assert!(sum.broken.is_empty(), "{fronts} front ends, {seats} seats: {:?}", sum.broken);
-        assert!(sum.replaced > 30, "{fronts} front ends, {seats} seats: {} were replaced", sum.replaced);
+        let sum = many(
+            &Play {
+                seats,
+                spares,
+                replacements: 8,
+                ..Play::of(fronts)
+            },
+            1,
+            30,
+            2,
+        );
+        assert!(
+            sum.broken.is_empty(),
+            "{fronts} front ends, {seats} seats: {:?}",
+            sum.broken
+        );
+        assert!(
+            sum.replaced > 30,
+            "{fronts} front ends, {seats} seats: {} were replaced",
+            sum.replaced
+        );
     }
 }
 
@@ -38,8 +72,13 @@
 }
 
 fn found(plant: Plant, seeds: u64) -> u64 {
-    let play = Play { plant: Some(plant), ..Play::of(7) };
-    (1..=seeds).find(|s| !run(&play, *s).broken.is_empty()).expect("a run that breaks")
+    let play = Play {
+        plant: Some(plant),
+        ..Play::of(7)
+    };
+    (1..=seeds)
+        .find(|s| !run(&play, *s).broken.is_empty())
+        .expect("a run that breaks")
 }
 
 #[test]
@@ -57,9 +96,17 @@
 
 #[test]
 fn a_failure_comes_with_a_short_script_of_faults_that_still_shows_it() {
-    let play = Play { plant: Some(Plant::CountedFromAnswer), ..Play::of(7) };
+    let play = Play {
+        plant: Some(Plant::CountedFromAnswer),
+        ..Play::of(7)
+    };
     let seed = found(Plant::CountedFromAnswer, 200);
     let (all, short) = (faults(&play, seed), script(&play, seed));
-    assert!(short.len() < all.len(), "{} of {}: {short:?}", short.len(), all.len());
+    assert!(
+        short.len() < all.len(),
+        "{} of {}: {short:?}",
+        short.len(),
+        all.len()
+    );
     assert!(!with(&play, seed, &short).broken.is_empty());
 }
--- a/model/tests/roll.rs
+++ b/model/tests/roll.rs
@@ -3,7 +3,15 @@
 use tansy_model::roll::{many, Harm, Play};
 
 fn stopped(harm: Harm) -> (f64, f64) {
-    let s = many(&Play { harm, ..Play::default() }, 1, 10, 2);
+    let s = many(
+        &Play {
+            harm,
+            ..Play::default()
+        },
+        1,
+        10,
+        2,
+    );
     (s.stopped, s.stages[0])
 }
 
@@ -33,13 +41,25 @@
 
 #[test]
 fn what_harms_after_two_minutes_is_stopped_before_the_last_stage() {
-    let s = many(&Play { harm: Harm::Late(0.05), ..Play::default() }, 1, 10, 2);
+    let s = many(
+        &Play {
+            harm: Harm::Late(0.05),
+            ..Play::default()
+        },
+        1,
+        10,
+        2,
+    );
     assert_eq!((s.stopped, s.stages[2] + s.stages[3]), (1.0, 0.0), "{s:?}");
 }
 
 #[test]
 fn a_roll_depends_on_its_seed_alone() {
-    let play = Play { harm: Harm::All(0.03), fronts: 9, ..Play::default() };
+    let play = Play {
+        harm: Harm::All(0.03),
+        fronts: 9,
+        ..Play::default()
+    };
     let text = |threads| serde_json::to_string(&many(&play, 3, 6, threads)).expect("a summary");
     assert_eq!(text(1), text(4));
 }
--- a/model/tests/scopes.rs
+++ b/model/tests/scopes.rs
@@ -6,7 +6,11 @@
 use tansy_model::size::{run as size, Size, Tier, WAYS};
 
 fn play() -> Play {
-    Play { seats: 3, scopes: 6, ..Play::of(7) }
+    Play {
+        seats: 3,
+        scopes: 6,
+        ..Play::of(7)
+    }
 }
 
 #[test]
@@ -18,24 +22,57 @@
 
 #[test]
 fn seats_are_replaced_while_scopes_change() {
-    let sum = many(&Play { spares: 3, replacements: 8, ..play() }, 1, 10, 2);
+    let sum = many(
+        &Play {
+            spares: 3,
+            replacements: 8,
+            ..play()
+        },
+        1,
+        10,
+        2,
+    );
     assert!(sum.broken.is_empty(), "{:?}", sum.broken);
     assert!(sum.scopes_in_force > 100 && sum.replaced > 5, "{sum:?}");
 }
 
 #[test]
 fn one_whose_stay_ran_out_and_is_back_acts_on_no_scope_as_it_was() {
-    let one = run(&Play { scopes: 12, ..Play::of(5) }, 153);
-    let many = run(&Play { seats: 5, spares: 3, replacements: 6, scopes: 3, ..Play::of(13) }, 688);
-    assert_eq!((one.broken, many.broken), (Vec::<String>::new(), Vec::new()));
+    let one = run(
+        &Play {
+            scopes: 12,
+            ..Play::of(5)
+        },
+        153,
+    );
+    let many = run(
+        &Play {
+            seats: 5,
+            spares: 3,
+            replacements: 6,
+            scopes: 3,
+            ..Play::of(13)
+        },
+        688,
+    );
+    assert_eq!(
+        (one.broken, many.broken),
+        (Vec::<String>::new(), Vec::new())
+    );
 }
 
 #[test]
 fn each_planted_mistake_with_scopes_is_found() {
-    for (plant, seeds) in
-        [(Plant::NoHolders, 20), (Plant::NoneHold, 60), (Plant::OldReply, 60), (Plant::LateDrop, 60)]
-    {
-        let planted = Play { plant: Some(plant), ..play() };
+    for (plant, seeds) in [
+        (Plant::NoHolders, 20),
+        (Plant::NoneHold, 60),
+        (Plant::OldReply, 60),
+        (Plant::LateDrop, 60),
+    ] {
+        let planted = Play {
+            plant: Some(plant),
+            ..play()
+        };
         let found = (1..=seeds).find_map(|s| run(&planted, s).broken.first().cloned());
         let told = found.unwrap_or_else(|| panic!("{plant:?}: no run breaks"));
         assert!(told.contains("acts on"), "{plant:?}: {told}");
@@ -50,8 +87,13 @@
 
 #[test]
 fn a_fleet_at_its_size_changes_functions_one_by_one() {
-    let by_scope =
-        Size { counted: 20 * SECOND, regions: 2, changes_hour: 7200.0, by_scope: 200, ..Size::default() };
+    let by_scope = Size {
+        counted: 20 * SECOND,
+        regions: 2,
+        changes_hour: 7200.0,
+        by_scope: 200,
+        ..Size::default()
+    };
     let mut play = Play {
         tier: Tier::Hollow,
         seats: 3,
@@ -83,7 +125,10 @@
         tier: Tier::Hollow,
         seats: 3,
         stay: 30 * SECOND,
-        size: Some(Size { held_by_dead: 0.3, ..size.clone() }),
+        size: Some(Size {
+            held_by_dead: 0.3,
+            ..size.clone()
+        }),
         ways: WAYS,
         ..Play::of(40)
     };
@@ -91,16 +136,41 @@
     let dead = self::size(&play, 1);
     assert!(dead.ok, "{:?}", dead.notes);
     let held = dead.dead_held.expect("some are dead");
-    assert!(held.asked >= 5 && held.given_up + held.in_force <= held.asked, "{held:?}");
-    assert!(held.given_up > 0 && dead.changes_given_up == held.given_up, "{dead:?}");
-    assert!(held.in_force_ms.expect("some after the stays").max > 5_000.0, "{held:?}");
+    assert!(
+        held.asked >= 5 && held.given_up + held.in_force <= held.asked,
+        "{held:?}"
+    );
+    assert!(
+        held.given_up > 0 && dead.changes_given_up == held.given_up,
+        "{dead:?}"
+    );
+    assert!(
+        held.in_force_ms.expect("some after the stays").max > 5_000.0,
+        "{held:?}"
+    );
     // A plain one of a function whose strict change waits has to wait too; all others do not.
     assert!(dead.in_force_ms.expect("changes").p50 < 1_000.0, "{dead:?}");
     assert!(dead.changes_of_held < dead.changes_asked, "{dead:?}");
     // Changes of functions that the living hold wait for nobody.
-    let live = Size { dead: 0, held: 1.0, ..size };
-    let live = self::size(&Play { size: Some(live), ..play }, 1);
-    assert!(live.ok && live.changes_given_up == 0 && live.dead_held.is_none(), "{live:?}");
+    let live = Size {
+        dead: 0,
+        held: 1.0,
+        ..size
+    };
+    let live = self::size(
+        &Play {
+            size: Some(live),
+            ..play
+        },
+        1,
+    );
+    assert!(
+        live.ok && live.changes_given_up == 0 && live.dead_held.is_none(),
+        "{live:?}"
+    );
     assert_eq!(live.changes_of_held, live.changes_asked);
-    assert!(live.strict_in_force_ms.expect("strict changes").max < 15_000.0, "{live:?}");
+    assert!(
+        live.strict_in_force_ms.expect("strict changes").max < 15_000.0,
+        "{live:?}"
+    );
 }
--- a/model/tests/size.rs
+++ b/model/tests/size.rs
@@ -6,40 +6,79 @@
 use tansy_model::size::{run, Report, Size, Tier, WAYS};
 
 fn play(tier: Tier, fronts: usize, size: Size) -> Play {
-    let mut play =
-        Play { tier, seats: 3, stay: 20 * SECOND, size: Some(size), ways: WAYS, ..Play::of(fronts) };
+    let mut play = Play {
+        tier,
+        seats: 3,
+        stay: 20 * SECOND,
+        size: Some(size),
+        ways: WAYS,
+        ..Play::of(fronts)
+    };
     play.terms.span = 2 * SECOND;
     play
 }
 
 fn busy() -> Size {
-    Size { counted: 30 * SECOND, regions: 2, changes_hour: 1200.0, away_hour: 240.0, ..Size::default() }
+    Size {
+        counted: 30 * SECOND,
+        regions: 2,
+        changes_hour: 1200.0,
+        away_hour: 240.0,
+        ..Size::default()
+    }
 }
 
 /// The mean of both tiers over these seeds.
 fn near(what: &str, all: &[[Report; 2]], share: f64, of: fn(&Report) -> f64) {
     let mean = |tier: usize| all.iter().map(|r| of(&r[tier])).sum::<f64>() / all.len() as f64;
     let (whole, hollow) = (mean(0), mean(1));
-    assert!((whole - hollow).abs() <= share * whole, "{what}: whole {whole}, hollow {hollow}");
+    assert!(
+        (whole - hollow).abs() <= share * whole,
+        "{what}: whole {whole}, hollow {hollow}"
+    );
 }
 
 #[test]
 fn the_hollow_tier_measures_what_the_whole_one_does() {
-    let size = Size { counted: 60 * SECOND, changes_hour: 1800.0, away_hour: 0.0, ..busy() };
-    let both = |seed| [Tier::Whole, Tier::Hollow].map(|tier| run(&play(tier, 40, size.clone()), seed));
+    let size = Size {
+        counted: 60 * SECOND,
+        changes_hour: 1800.0,
+        away_hour: 0.0,
+        ..busy()
+    };
+    let both =
+        |seed| [Tier::Whole, Tier::Hollow].map(|tier| run(&play(tier, 40, size.clone()), seed));
     let all: Vec<[Report; 2]> = (1..=4).map(both).collect();
     for r in all.iter().flatten() {
-        assert!(r.ok && r.changes_in_force == r.changes_asked, "seed {}: {:?}", r.seed, r.notes);
+        assert!(
+            r.ok && r.changes_in_force == r.changes_asked,
+            "seed {}: {:?}",
+            r.seed,
+            r.notes
+        );
     }
-    near("messages beside membership's", &all, 0.15, |r| r.control_messages_s - r.membership_messages_s);
-    near("bytes beside membership's", &all, 0.15, |r| r.control_bytes_s - r.membership_bytes_s);
-    near("messages at the seat", &all, 0.15, |r| r.seat_messages_s - r.membership_messages_s);
-    near("changes in force", &all, 0.3, |r| r.in_force_ms.expect("changes").p50);
+    near("messages beside membership's", &all, 0.15, |r| {
+        r.control_messages_s - r.membership_messages_s
+    });
+    near("bytes beside membership's", &all, 0.15, |r| {
+        r.control_bytes_s - r.membership_bytes_s
+    });
+    near("messages at the seat", &all, 0.15, |r| {
+        r.seat_messages_s - r.membership_messages_s
+    });
+    near("changes in force", &all, 0.3, |r| {
+        r.in_force_ms.expect("changes").p50
+    });
 }
 
 #[test]
 fn a_run_depends_on_its_seed_alone() {
-    let size = Size { cut_regions: 1, cut: 8 * SECOND, dead: 1, ..busy() };
+    let size = Size {
+        cut_regions: 1,
+        cut: 8 * SECOND,
+        dead: 1,
+        ..busy()
+    };
     let play = play(Tier::Hollow, 30, size);
     assert_eq!(run(&play, 5), run(&play, 5));
     assert_ne!(run(&play, 5), run(&play, 6));
@@ -47,57 +86,129 @@
 
 #[test]
 fn a_region_cut_off_loses_its_leases_and_comes_back() {
-    let size =
-        Size { cut_regions: 1, cut: 10 * SECOND, regions: 4, away_hour: 0.0, strict_every: 0, ..busy() };
+    let size = Size {
+        cut_regions: 1,
+        cut: 10 * SECOND,
+        regions: 4,
+        away_hour: 0.0,
+        strict_every: 0,
+        ..busy()
+    };
     let report = run(&play(Tier::Hollow, 40, size), 3);
     assert!(report.ok, "{:?}", report.notes);
     let cut = report.cut.expect("a cut");
     assert_eq!((cut.main.front_ends, cut.cut.front_ends), (30, 10));
     assert!(cut.cut.lease_lost > 0.6, "{cut:?}");
     assert!(cut.main.lease_lost < 0.2, "{cut:?}");
-    assert!(cut.plain_in_force > 0 && cut.healed_ms.is_some_and(|ms| ms < 10_000), "{cut:?}");
+    assert!(
+        cut.plain_in_force > 0 && cut.healed_ms.is_some_and(|ms| ms < 10_000),
+        "{cut:?}"
+    );
 }
 
 #[test]
 fn a_strict_change_waits_for_the_dead_until_their_stays_are_out() {
-    let size = Size { dead: 2, regions: 1, away_hour: 0.0, counted: 40 * SECOND, ..busy() };
+    let size = Size {
+        dead: 2,
+        regions: 1,
+        away_hour: 0.0,
+        counted: 40 * SECOND,
+        ..busy()
+    };
     let report = run(&play(Tier::Hollow, 30, size), 2);
     assert!(report.ok, "{:?}", report.notes);
     let freed = report.freed_ms.expect("the dead leave the roster");
     // From the last grant before the end a stay's length, and the seat's look.
-    assert!(freed.count == 2 && freed.p50 > 10_000.0 && freed.max < 22_000.0, "{freed:?}");
+    assert!(
+        freed.count == 2 && freed.p50 > 10_000.0 && freed.max < 22_000.0,
+        "{freed:?}"
+    );
     let (plain, strict) = (report.plain_in_force_ms, report.strict_in_force_ms);
-    assert!(strict.expect("strict changes").max > 8_000.0, "{plain:?} {strict:?}");
+    assert!(
+        strict.expect("strict changes").max > 8_000.0,
+        "{plain:?} {strict:?}"
+    );
 }
 
 #[test]
 fn a_rack_that_ends_for_good_leaves_the_roster_and_the_others_act() {
-    let size = Size { rack: 6, regions: 4, counted: 60 * SECOND, away_hour: 0.0, ..busy() };
+    let size = Size {
+        rack: 6,
+        regions: 4,
+        counted: 60 * SECOND,
+        away_hour: 0.0,
+        ..busy()
+    };
     let report = run(&play(Tier::Hollow, 40, size.clone()), 1);
     assert!(report.ok && report.view_members == 34.0, "{report:?}");
     let loss = report.loss.expect("a rack");
     assert_eq!((loss.front_ends, loss.seats), (6, 0));
-    assert!(loss.again_ms.is_some_and(|ms| (2_000..15_000).contains(&ms)), "{loss:?}");
+    assert!(
+        loss.again_ms
+            .is_some_and(|ms| (2_000..15_000).contains(&ms)),
+        "{loss:?}"
+    );
     assert_eq!(loss.stay_lost, 0.0);
     assert_eq!(report.freed_ms.expect("they leave the roster").count, 6);
     let strict = report.strict_in_force_ms.expect("strict changes");
     assert!(strict.max > 8_000.0, "none waited for the rack: {strict:?}");
-    let rooted = run(&play(Tier::Hollow, 40, Size { with_root: true, ..size }), 1);
+    let rooted = run(
+        &play(
+            Tier::Hollow,
+            40,
+            Size {
+                with_root: true,
+                ..size
+            },
+        ),
+        1,
+    );
     let loss = rooted.loss.clone().expect("a rack");
-    assert!(rooted.ok && (loss.front_ends, loss.seats) == (6, 1), "{rooted:?}");
+    assert!(
+        rooted.ok && (loss.front_ends, loss.seats) == (6, 1),
+        "{rooted:?}"
+    );
 }
 
 #[test]
 fn a_zone_that_ends_comes_back_and_is_called_again() {
-    let size = Size { zone: 5, zone_away: 8 * SECOND, regions: 4, away_hour: 0.0, by_scope: 100, ..busy() };
-    let report = run(&play(Tier::Hollow, 40, Size { counted: 60 * SECOND, ..size }), 2);
+    let size = Size {
+        zone: 5,
+        zone_away: 8 * SECOND,
+        regions: 4,
+        away_hour: 0.0,
+        by_scope: 100,
+        ..busy()
+    };
+    let report = run(
+        &play(
+            Tier::Hollow,
+            40,
+            Size {
+                counted: 60 * SECOND,
+                ..size
+            },
+        ),
+        2,
+    );
     assert!(report.ok && report.view_members == 40.0, "{report:?}");
     let loss = report.loss.expect("a zone");
     assert_eq!((loss.front_ends, loss.seats), (8, 0));
-    assert!(loss.again_ms.is_some_and(|ms| (8_000..25_000).contains(&ms)), "{loss:?}");
-    assert!(loss.changes_asked >= loss.changes_in_force && loss.changes_in_force > 0, "{loss:?}");
+    assert!(
+        loss.again_ms
+            .is_some_and(|ms| (8_000..25_000).contains(&ms)),
+        "{loss:?}"
+    );
+    assert!(
+        loss.changes_asked >= loss.changes_in_force && loss.changes_in_force > 0,
+        "{loss:?}"
+    );
     assert_eq!(report.join_ms.expect("they come back").count, 8);
-    assert!(report.holds > 3.0, "those that are back hold nothing: {}", report.holds);
+    assert!(
+        report.holds > 3.0,
+        "those that are back hold nothing: {}",
+        report.holds
+    );
 }
 
 #[test]
@@ -115,7 +226,10 @@
         assert!(report.ok && report.view_members == 40.0, "{report:?}");
         let loss = report.loss.as_ref().expect("a restart");
         assert_eq!((loss.front_ends, loss.seats), (40, 3));
-        assert!(loss.again_ms.is_some_and(|ms| ms > parts * 6_000), "{loss:?}");
+        assert!(
+            loss.again_ms.is_some_and(|ms| ms > parts * 6_000),
+            "{loss:?}"
+        );
         assert_eq!(report.join_ms.expect("they come back").count, 40);
         // Those that end tell of it: a strict change does not wait until they are back.
         let strict = report.strict_in_force_ms.expect("strict changes");
@@ -127,33 +241,83 @@
 
 #[test]
 fn a_rolling_restart_that_does_not_end_is_not_ok() {
-    let size = Size { rolling: 20, rolling_away: 2 * SECOND, away_hour: 0.0, ..busy() };
+    let size = Size {
+        rolling: 20,
+        rolling_away: 2 * SECOND,
+        away_hour: 0.0,
+        ..busy()
+    };
     let report = run(&play(Tier::Hollow, 40, size), 3);
-    assert!(!report.ok && report.loss.is_some_and(|l| l.again_ms.is_none()), "{:?}", report.notes);
-    assert!(report.notes.iter().any(|n| n.contains("parts not yet restarted")), "{:?}", report.notes);
+    assert!(
+        !report.ok && report.loss.is_some_and(|l| l.again_ms.is_none()),
+        "{:?}",
+        report.notes
+    );
+    assert!(
+        report
+            .notes
+            .iter()
+            .any(|n| n.contains("parts not yet restarted")),
+        "{:?}",
+        report.notes
+    );
 }
 
 #[test]
 fn changes_in_even_steps_do_not_meet() {
-    let size = Size { regions: 1, away_hour: 0.0, strict_every: 0, changes_hour: 14_400.0, ..busy() };
+    let size = Size {
+        regions: 1,
+        away_hour: 0.0,
+        strict_every: 0,
+        changes_hour: 14_400.0,
+        ..busy()
+    };
     let alike = run(&play(Tier::Hollow, 20, size.clone()), 4);
-    let even = run(&play(Tier::Hollow, 20, Size { evenly: true, ..size }), 4);
-    assert!(even.ok && even.changes_asked == 96 && even.changes_in_force == 96, "{even:?}");
+    let even = run(
+        &play(
+            Tier::Hollow,
+            20,
+            Size {
+                evenly: true,
+                ..size
+            },
+        ),
+        4,
+    );
+    assert!(
+        even.ok && even.changes_asked == 96 && even.changes_in_force == 96,
+        "{even:?}"
+    );
     assert_eq!(even.changes_refused, 0);
     assert!(alike.changes_refused > 0, "{alike:?}");
 }
 
 #[test]
 fn the_audit_finds_planted_mistakes_in_the_hollow_tier() {
-    for (plant, seeds) in [(Plant::NoJoint, 20), (Plant::NoRoster, 100), (Plant::WildClock, 300)] {
-        let play = Play { plant: Some(plant), tier: Tier::Hollow, ..Play::of(7) };
-        assert!((1..=seeds).any(|s| !agree(&play, s).broken.is_empty()), "{plant:?}");
+    for (plant, seeds) in [
+        (Plant::NoJoint, 20),
+        (Plant::NoRoster, 100),
+        (Plant::WildClock, 300),
+    ] {
+        let play = Play {
+            plant: Some(plant),
+            tier: Tier::Hollow,
+            ..Play::of(7)
+        };
+        assert!(
+            (1..=seeds).any(|s| !agree(&play, s).broken.is_empty()),
+            "{plant:?}"
+        );
     }
 }
 
 #[test]
 fn nothing_breaks_through_faults_in_the_hollow_tier() {
-    let play = Play { seats: 3, tier: Tier::Hollow, ..Play::of(9) };
+    let play = Play {
+        seats: 3,
+        tier: Tier::Hollow,
+        ..Play::of(9)
+    };
     for seed in 1..=20 {
         let outcome = agree(&play, seed);
         assert_eq!(outcome.broken, Vec::<String>::new(), "seed {seed}");
--- a/net/front/src/answers.rs
+++ b/net/front/src/answers.rs
@@ -53,12 +53,22 @@
 /// What a failure says, and its code.
 pub fn failure(why: Why) -> (Code, &'static str) {
     match why {
-        Why::Deadline => {
-            (Code::DeadlineExceeded, "failed: no answer within the call's time; it may have run")
-        }
-        Why::Lost => (Code::Aborted, "failed: the worker's connection was lost; the call may have run"),
-        Why::Worker => (Code::Internal, "failed: the worker failed; the call may have run"),
-        Why::Closing => (Code::Aborted, "failed: this front end is closing; the call may have run"),
+        Why::Deadline => (
+            Code::DeadlineExceeded,
+            "failed: no answer within the call's time; it may have run",
+        ),
+        Why::Lost => (
+            Code::Aborted,
+            "failed: the worker's connection was lost; the call may have run",
+        ),
+        Why::Worker => (
+            Code::Internal,
+            "failed: the worker failed; the call may have run",
+        ),
+        Why::Closing => (
+            Code::Aborted,
+            "failed: this front end is closing; the call may have run",
+        ),
     }
 }
 
@@ -69,20 +79,29 @@
 /// The trailers of a unary call's final answer; of `Served` and `Passed` the worker's own.
 pub fn unary(answer: Answer, model: &str, worker: Option<&HeaderMap>) -> HeaderMap {
     match answer {
-        Answer::Served | Answer::Passed => {
-            worker.map(crate::trailers::answer).unwrap_or_else(|| trailers(Code::Ok, ""))
-        }
+        Answer::Served | Answer::Passed => worker
+            .map(crate::trailers::answer)
+            .unwrap_or_else(|| trailers(Code::Ok, "")),
         Answer::Refused { stay_away } => {
             let mut map = trailers(Code::Unavailable, REFUSAL);
             map.insert(names::PUSHBACK, HeaderValue::from(millis(stay_away)));
-            let delay =
-                Duration { seconds: stay_away / 1_000_000, nanos: (stay_away % 1_000_000) as i32 * 1000 };
+            let delay = Duration {
+                seconds: stay_away / 1_000_000,
+                nanos: (stay_away % 1_000_000) as i32 * 1000,
+            };
             let detail = Any {
                 type_url: "type.googleapis.com/google.rpc.RetryInfo".into(),
-                value: RetryInfo { retry_delay: Some(delay) }.encode_to_vec(),
+                value: RetryInfo {
+                    retry_delay: Some(delay),
+                }
+                .encode_to_vec(),
             };
             let code = i32::from(Code::Unavailable.number());
-            let status = Status { code, message: REFUSAL.into(), details: vec![detail] };
+            let status = Status {
+                code,
+                message: REFUSAL.into(),
+                details: vec![detail],
+            };
             if let Ok(value) = HeaderValue::from_str(&BINARY.encode(status.encode_to_vec())) {
                 map.insert("grpc-status-details-bin", value);
             }
@@ -95,7 +114,10 @@
             map
         }
         Answer::Unknown => {
-            let mut map = trailers(Code::NotFound, &format!("no function {model:?} in the settings"));
+            let mut map = trailers(
+                Code::NotFound,
+                &format!("no function {model:?} in the settings"),
+            );
             map.insert(names::PUSHBACK, HeaderValue::from(-1));
             map
         }
@@ -103,18 +125,32 @@
 }
 
 /// The text of a streamed call's refusal or failure, with its advice in milliseconds; none: it was served.
-pub fn streamed(answer: Answer, model: &str, worker: Option<&HeaderMap>) -> Option<(String, Option<i64>)> {
+pub fn streamed(
+    answer: Answer,
+    model: &str,
+    worker: Option<&HeaderMap>,
+) -> Option<(String, Option<i64>)> {
     match answer {
         Answer::Served => None,
         Answer::Passed => {
-            let text =
-                |key: &str| worker.and_then(|m| m.get(key)).and_then(|v| v.to_str().ok()).unwrap_or("");
+            let text = |key: &str| {
+                worker
+                    .and_then(|m| m.get(key))
+                    .and_then(|v| v.to_str().ok())
+                    .unwrap_or("")
+            };
             let (code, message) = (text("grpc-status"), text("grpc-message"));
-            Some((format!("failed: the function answered status {code}: {message}"), None))
+            Some((
+                format!("failed: the function answered status {code}: {message}"),
+                None,
+            ))
         }
         Answer::Refused { stay_away } => Some((REFUSAL.into(), Some(millis(stay_away)))),
         Answer::Failed(why) => Some((failure(why).1.into(), None)),
-        Answer::Unknown => Some((format!("failed: no function {model:?} in the settings"), None)),
+        Answer::Unknown => Some((
+            format!("failed: no function {model:?} in the settings"),
+            None,
+        )),
     }
 }
 
@@ -124,20 +160,37 @@
 
     #[test]
     fn a_refusal_tells_when_to_come_back_in_both_forms() {
-        let map = unary(Answer::Refused { stay_away: 1_500_001 }, "f", None);
+        let map = unary(
+            Answer::Refused {
+                stay_away: 1_500_001,
+            },
+            "f",
+            None,
+        );
         assert_eq!(map["grpc-status"], "14");
         assert_eq!(map[names::PUSHBACK], "1501");
-        let details = BINARY.decode(map["grpc-status-details-bin"].as_bytes()).unwrap();
+        let details = BINARY
+            .decode(map["grpc-status-details-bin"].as_bytes())
+            .unwrap();
         let status = Status::decode(&details[..]).unwrap();
         let info = RetryInfo::decode(&status.details[0].value[..]).unwrap();
-        assert_eq!(info.retry_delay, Some(Duration { seconds: 1, nanos: 500_001_000 }));
+        assert_eq!(
+            info.retry_delay,
+            Some(Duration {
+                seconds: 1,
+                nanos: 500_001_000
+            })
+        );
     }
 
     #[test]
     fn a_failure_promises_nothing_and_asks_for_no_repeat() {
-        for (why, code) in
-            [(Why::Deadline, "4"), (Why::Lost, "10"), (Why::Worker, "13"), (Why::Closing, "10")]
-        {
+        for (why, code) in [
+            (Why::Deadline, "4"),
+            (Why::Lost, "10"),
+            (Why::Worker, "13"),
+            (Why::Closing, "10"),
+        ] {
             let map = unary(Answer::Failed(why), "f", None);
             assert_eq!(
                 (map["grpc-status"].to_str().unwrap(), &map[names::PUSHBACK]),
--- a/net/front/src/attempts.rs
+++ b/net/front/src/attempts.rs
@@ -18,7 +18,14 @@
 use tansy_net_grpc::link::{Connection, Link};
 
 /// One attempt of a call.
-pub async fn attempt(hub: Rc<Hub>, io: Rc<CallIo>, number: u32, link: Rc<Link>, budget: i64, flag: Rc<Flag>) {
+pub async fn attempt(
+    hub: Rc<Hub>,
+    io: Rc<CallIo>,
+    number: u32,
+    link: Rc<Link>,
+    budget: i64,
+    flag: Rc<Flag>,
+) {
     let (seen, trailers) = run(&hub, &io, number, &link, budget, &flag).await;
     let told = trailers.as_ref().map(told).unwrap_or_default();
     *io.trailers.borrow_mut() = trailers;
@@ -39,7 +46,8 @@
     };
     let request = request(link, io.path, Some(budget), Some(&io.metadata));
     let limit = hub.setup.clients.message_bytes;
-    let mut exchange = match Exchange::start(connection, request, io.body.clone(), io.unary, limit) {
+    let mut exchange = match Exchange::start(connection, request, io.body.clone(), io.unary, limit)
+    {
         Ok(e) => e,
         // Not queued: nothing of it can leave.
         Err(_) => return (Seen::NeverLeft, None),
@@ -52,7 +60,10 @@
             }
             if flag.asked() {
                 if exchange.left() {
-                    hub.feed(Input::Opened { call: io.id, attempt: number });
+                    hub.feed(Input::Opened {
+                        call: io.id,
+                        attempt: number,
+                    });
                 } else {
                     exchange.withdraw();
                 }
@@ -70,7 +81,11 @@
                     if ends && !last {
                         io.complete.set(true);
                     }
-                    hub.feed(Input::Piece { call: io.id, attempt: number, last: ends });
+                    hub.feed(Input::Piece {
+                        call: io.id,
+                        attempt: number,
+                        last: ends,
+                    });
                     // What the ledger did not pass on must not be taken for a later piece.
                     io.staged.borrow_mut().take();
                     last |= ends;
@@ -111,12 +126,20 @@
     ready.await.map(|()| connection)
 }
 
-fn request(link: &Link, path: &str, budget: Option<i64>, metadata: Option<&HeaderMap>) -> Request<()> {
+fn request(
+    link: &Link,
+    path: &str,
+    budget: Option<i64>,
+    metadata: Option<&HeaderMap>,
+) -> Request<()> {
     let mut request = Request::new(());
     *request.method_mut() = Method::POST;
     *request.version_mut() = Version::HTTP_2;
     let authority = link.address().to_string();
-    let uri = http::Uri::builder().scheme("http").authority(authority).path_and_query(path);
+    let uri = http::Uri::builder()
+        .scheme("http")
+        .authority(authority)
+        .path_and_query(path);
     // A socket address and a path of ours always make a URI.
     *request.uri_mut() = uri.build().unwrap_or_default();
     let headers = request.headers_mut();
@@ -124,7 +147,10 @@
         headers.extend(metadata.iter().map(|(k, v)| (k.clone(), v.clone())));
     }
     headers.insert(http::header::TE, HeaderValue::from_static("trailers"));
-    headers.insert(http::header::CONTENT_TYPE, HeaderValue::from_static("application/grpc"));
+    headers.insert(
+        http::header::CONTENT_TYPE,
+        HeaderValue::from_static("application/grpc"),
+    );
     if let Some(mut value) = budget.and_then(|b| HeaderValue::from_str(&spell_timeout(b)).ok()) {
         // Never the same twice: it would only push useful entries out of the header table (RFC 7541, 7.1.3).
         value.set_sensitive(true);
@@ -141,7 +167,13 @@
         Progress::Messages => Stage::Pieces,
     };
     match ending {
-        Ending::Status(code, trailers) => (Seen::Status { code: code.number(), stage }, Some(trailers)),
+        Ending::Status(code, trailers) => (
+            Seen::Status {
+                code: code.number(),
+                stage,
+            },
+            Some(trailers),
+        ),
         Ending::Reset(code) => (Seen::Reset { code, stage }, None),
         Ending::Cut => (Seen::Cut { stage }, None),
         Ending::GoawayBelow => (Seen::GoawayBelow, None),
@@ -164,26 +196,40 @@
 impl OrderRequest {
     /// `ServerReady`, whose trailers carry the load report.
     pub fn probe() -> OrderRequest {
-        OrderRequest { path: "/inference.GRPCInferenceService/ServerReady", body: frame(&[]) }
+        OrderRequest {
+            path: "/inference.GRPCInferenceService/ServerReady",
+            body: frame(&[]),
+        }
     }
     /// `RepositoryModelLoad` with the parameter `instances`.
     pub fn load(function: &str, instances: u32) -> OrderRequest {
         use pb::model_repository_parameter::ParameterChoice;
         let count = ParameterChoice::Int64Param(i64::from(instances));
-        let parameter = pb::ModelRepositoryParameter { parameter_choice: Some(count) };
+        let parameter = pb::ModelRepositoryParameter {
+            parameter_choice: Some(count),
+        };
         let message = pb::RepositoryModelLoadRequest {
             model_name: function.into(),
             parameters: BTreeMap::from([(names::LOAD_INSTANCES.into(), parameter)]),
             ..Default::default()
         };
         let path = "/inference.GRPCInferenceService/RepositoryModelLoad";
-        OrderRequest { path, body: frame(&message.encode_to_vec()) }
+        OrderRequest {
+            path,
+            body: frame(&message.encode_to_vec()),
+        }
     }
     /// `RepositoryModelUnload`.
     pub fn unload(function: &str) -> OrderRequest {
-        let message = pb::RepositoryModelUnloadRequest { model_name: function.into(), ..Default::default() };
+        let message = pb::RepositoryModelUnloadRequest {
+            model_name: function.into(),
+            ..Default::default()
+        };
         let path = "/inference.GRPCInferenceService/RepositoryModelUnload";
-        OrderRequest { path, body: frame(&message.encode_to_vec()) }
+        OrderRequest {
+            path,
+            body: frame(&message.encode_to_vec()),
+        }
     }
 }
 
@@ -191,7 +237,13 @@
 const ORDER_ANSWER: usize = 64 * 1024;
 
 /// One probe or order.
-pub async fn order(hub: Rc<Hub>, order: OrderId, what: OrderRequest, link: Rc<Link>, flag: Rc<Flag>) {
+pub async fn order(
+    hub: Rc<Hub>,
+    order: OrderId,
+    what: OrderRequest,
+    link: Rc<Link>,
+    flag: Rc<Flag>,
+) {
     let (seen, trailers) = run_order(what, &link, &flag).await;
     let told = trailers.as_ref().map_or_else(Told::default, told);
     hub.order_ended(order, seen, told);
@@ -203,7 +255,8 @@
         Err(seen) => return (seen, None),
     };
     let request = request(link, what.path, None, None);
-    let Ok(mut exchange) = Exchange::start(connection, request, what.body, true, ORDER_ANSWER) else {
+    let Ok(mut exchange) = Exchange::start(connection, request, what.body, true, ORDER_ANSWER)
+    else {
         return (Seen::NeverLeft, None);
     };
     loop {
--- a/net/front/src/clients.rs
+++ b/net/front/src/clients.rs
@@ -42,18 +42,30 @@
 async fn serve(hub: Rc<Hub>, request: Request<RecvStream>, mut respond: SendResponse<Bytes>) {
     let came = Instant::now();
     let (parts, body) = request.into_parts();
-    let kind = parts.headers.get(http::header::CONTENT_TYPE).map_or(&b""[..], |v| v.as_bytes());
-    let grpc =
-        kind.strip_prefix(b"application/grpc").is_some_and(|r| matches!(r.first(), None | Some(b'+' | b';')));
+    let kind = parts
+        .headers
+        .get(http::header::CONTENT_TYPE)
+        .map_or(&b""[..], |v| v.as_bytes());
+    let grpc = kind
+        .strip_prefix(b"application/grpc")
+        .is_some_and(|r| matches!(r.first(), None | Some(b'+' | b';')));
     if !grpc || parts.method != Method::POST {
         let mut response = Response::new(());
-        let status = if grpc { StatusCode::METHOD_NOT_ALLOWED } else { StatusCode::UNSUPPORTED_MEDIA_TYPE };
+        let status = if grpc {
+            StatusCode::METHOD_NOT_ALLOWED
+        } else {
+            StatusCode::UNSUPPORTED_MEDIA_TYPE
+        };
         *response.status_mut() = status;
         // Fails only if the client has gone.
         let _ = respond.send_response(response, true);
         return;
     }
-    let budget = match parts.headers.get("grpc-timeout").map(|v| (timeout(v.as_bytes()), v)) {
+    let budget = match parts
+        .headers
+        .get("grpc-timeout")
+        .map(|v| (timeout(v.as_bytes()), v))
+    {
         None => None,
         Some((Some(micros), _)) => Some(micros),
         Some((None, value)) => {
@@ -61,12 +73,20 @@
             return refuse(&mut respond, trailers(Code::InvalidArgument, &why));
         }
     };
-    let call = Incoming { hub, headers: parts.headers, budget, came };
+    let call = Incoming {
+        hub,
+        headers: parts.headers,
+        budget,
+        came,
+    };
     match parts.uri.path().strip_prefix(names::SERVICE) {
         Some("ModelInfer") => call.unary(body, respond).await,
         Some("ModelStreamInfer") => call.stream(body, respond).await,
         Some(method) => call.ask(method, body, respond).await,
-        None => refuse(&mut respond, trailers(Code::Unimplemented, "unknown service")),
+        None => refuse(
+            &mut respond,
+            trailers(Code::Unimplemented, "unknown service"),
+        ),
     }
 }
 
@@ -88,15 +108,26 @@
         return done;
     }
     let limit = hub.spawner.sleep(MESSAGE_WITHIN);
-    let late = || Err(Status(Code::DeadlineExceeded, "the request's message did not come in time".into()));
+    let late = || {
+        Err(Status(
+            Code::DeadlineExceeded,
+            "the request's message did not come in time".into(),
+        ))
+    };
     within(limit, poll_fn(read)).await.unwrap_or_else(late)
 }
 
 fn bad_stream(bad: BadStream) -> Status {
     match bad {
         BadStream::Gone => Status(Code::Cancelled, "the client left".into()),
-        BadStream::SecondMessage => Status(Code::InvalidArgument, "two messages in a unary request".into()),
-        BadStream::CutShort => Status(Code::InvalidArgument, "the stream ended within a message".into()),
+        BadStream::SecondMessage => Status(
+            Code::InvalidArgument,
+            "two messages in a unary request".into(),
+        ),
+        BadStream::CutShort => Status(
+            Code::InvalidArgument,
+            "the stream ended within a message".into(),
+        ),
         BadStream::Frame(bad) => {
             let code = match bad {
                 BadFrame::TooLong { .. } => Code::ResourceExhausted,
@@ -114,7 +145,10 @@
         let setup = self.hub.names();
         let text = |key: &str| -> Option<String> {
             let header = self.headers.get(key).and_then(|v| v.to_str().ok());
-            r.parameter(key).and_then(|v| v.as_str()).or(header).map(str::to_string)
+            r.parameter(key)
+                .and_then(|v| v.as_str())
+                .or(header)
+                .map(str::to_string)
         };
         let (class, tenant) = (text(&setup.class), text(&setup.tenant));
         let found = self.hub.with_front(|f| {
@@ -128,7 +162,10 @@
         // The whole stream's time-out bounds each of its calls; the clock of both began with the headers.
         let since = i64::try_from(self.came.elapsed().as_micros()).unwrap_or(i64::MAX);
         let left = self.budget.map(|b| b.saturating_sub(since).max(0));
-        let own = r.parameter(names::TIMEOUT).and_then(|v| v.as_int()).filter(|t| on_stream && *t > 0);
+        let own = r
+            .parameter(names::TIMEOUT)
+            .and_then(|v| v.as_int())
+            .filter(|t| on_stream && *t > 0);
         let budget = match (own, left) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
@@ -169,11 +206,13 @@
 
     async fn unary(self, body: RecvStream, mut respond: SendResponse<Bytes>) {
         let read = one(&self.hub, body).await;
-        let checked = read.and_then(|m| m.ok_or(Status(Code::InvalidArgument, "no message came".into())));
+        let checked =
+            read.and_then(|m| m.ok_or(Status(Code::InvalidArgument, "no message came".into())));
         let sink = Rc::new(Sink::default());
         let started = checked.and_then(|message| {
-            let malformed =
-                |e: scan::Malformed| Status(Code::InvalidArgument, format!("malformed request: {e}"));
+            let malformed = |e: scan::Malformed| {
+                Status(Code::InvalidArgument, format!("malformed request: {e}"))
+            };
             let r = scan::Request::read(&message).map_err(malformed)?;
             self.start(&message, &r, &sink, true);
             Ok(())
@@ -186,7 +225,9 @@
                 return Poll::Ready(Some((None, end)));
             }
             if let Some(message) = sink.pop() {
-                let end = sink.take_end().unwrap_or_else(|| trailers(Code::Internal, "no status"));
+                let end = sink
+                    .take_end()
+                    .unwrap_or_else(|| trailers(Code::Internal, "no status"));
                 return Poll::Ready(Some((Some(message), end)));
             }
             sink.watch(cx);
@@ -199,14 +240,18 @@
             Some((Some(message), end)) => {
                 // Fails only if the client has gone.
                 if let Ok(mut send) = respond.send_response(head(), false) {
-                    let _ = send.send_data(message, false).and_then(|()| send.send_trailers(end));
+                    let _ = send
+                        .send_data(message, false)
+                        .and_then(|()| send.send_trailers(end));
                 }
             }
         }
     }
 
     async fn stream(self, body: RecvStream, mut respond: SendResponse<Bytes>) {
-        let Ok(mut send) = respond.send_response(head(), false) else { return };
+        let Ok(mut send) = respond.send_response(head(), false) else {
+            return;
+        };
         let sink = Rc::new(Sink::default());
         let mut messages = Some(Messages::new(body, self.hub.setup.clients.message_bytes));
         let mut writing = Bytes::new();
@@ -250,7 +295,9 @@
             Ok(r) => self.start(message, &r, sink, false),
             Err(e) => {
                 let text = format!("failed: malformed request: {e}");
-                sink.push(frame(&tansy_inference::amend::stream_error("", "", text, None)));
+                sink.push(frame(&tansy_inference::amend::stream_error(
+                    "", "", text, None,
+                )));
             }
         }
     }
@@ -280,7 +327,10 @@
         self.hub.with_front(|front| {
             Ok(match method {
                 "ServerLive" => pb::ServerLiveResponse { live: true }.encode_to_vec(),
-                "ServerReady" => pb::ServerReadyResponse { ready: front.ready() }.encode_to_vec(),
+                "ServerReady" => pb::ServerReadyResponse {
+                    ready: front.ready(),
+                }
+                .encode_to_vec(),
                 "ServerMetadata" => pb::ServerMetadataResponse {
                     name: "tansyrouter".into(),
                     version: env!("CARGO_PKG_VERSION").into(),
@@ -310,7 +360,10 @@
                 }
                 "RepositoryIndex" => {
                     let asked: pb::RepositoryIndexRequest = read(message)?;
-                    let all = front.index().into_iter().filter(|(_, s)| !asked.ready || *s == "READY");
+                    let all = front
+                        .index()
+                        .into_iter()
+                        .filter(|(_, s)| !asked.ready || *s == "READY");
                     let model = |(f, state): (&tansy_front::FunctionSpec, &str)| {
                         pb::repository_index_response::ModelIndex {
                             name: f.name.clone(),
@@ -319,7 +372,10 @@
                             reason: "as this front end believes".into(),
                         }
                     };
-                    pb::RepositoryIndexResponse { models: all.map(model).collect() }.encode_to_vec()
+                    pb::RepositoryIndexResponse {
+                        models: all.map(model).collect(),
+                    }
+                    .encode_to_vec()
                 }
                 "RepositoryModelLoad" | "RepositoryModelUnload" => {
                     let why = "what is loaded where is the front ends' to decide";
--- a/net/front/src/hub.rs
+++ b/net/front/src/hub.rs
@@ -15,8 +15,8 @@
 use tansy_frames::grpc::frame;
 use tansy_front::record::Step;
 use tansy_front::{
-    Account, Answer, BadConfig, Call, CallId, Command, Found, Front, Input, Listed, OrderId, Seen, Shape,
-    Terms, Told,
+    Account, Answer, BadConfig, Call, CallId, Command, Found, Front, Input, Listed, OrderId, Seen,
+    Shape, Terms, Told,
 };
 use tansy_inference::{amend, scan};
 use tansy_net_grpc::link::{Limits as LinkLimits, Link};
@@ -37,7 +37,11 @@
 
 impl Default for Names {
     fn default() -> Names {
-        Names { class: "tansy-class".into(), tenant: "tansy-tenant".into(), work_ms: "tansy-work-ms".into() }
+        Names {
+            class: "tansy-class".into(),
+            tenant: "tansy-tenant".into(),
+            work_ms: "tansy-work-ms".into(),
+        }
     }
 }
 
@@ -134,7 +138,11 @@
         self.confirm.take()
     }
     fn wake(&self) {
-        self.waker.borrow_mut().take().into_iter().for_each(Waker::wake);
+        self.waker
+            .borrow_mut()
+            .take()
+            .into_iter()
+            .for_each(Waker::wake);
     }
     /// Whether it is raised; wakes the task when it is.
     pub fn poll(&self, cx: &Context<'_>) -> bool {
@@ -176,7 +184,12 @@
 
 impl Hub {
     /// A hub around a ledger. `record` gets every step of the ledger as a line.
-    pub fn new(spawner: Spawner, front: Front, setup: Setup, record: Option<Box<dyn Write>>) -> Rc<Hub> {
+    pub fn new(
+        spawner: Spawner,
+        front: Front,
+        setup: Setup,
+        record: Option<Box<dyn Write>>,
+    ) -> Rc<Hub> {
         let state = RefCell::new(State {
             front,
             inputs: VecDeque::new(),
@@ -191,7 +204,14 @@
             list: Vec::new(),
         });
         let names = RefCell::new(Rc::new(setup.names.clone()));
-        Rc::new(Hub { spawner, setup, names, epoch: clock::now(), state, lookup: OnceCell::new() })
+        Rc::new(Hub {
+            spawner,
+            setup,
+            names,
+            epoch: clock::now(),
+            state,
+            lookup: OnceCell::new(),
+        })
     }
 
     /// The ledger's clock.
@@ -206,9 +226,17 @@
 
     /// Takes calls by these terms from now on, and by each of `ends` when so many microseconds have passed. On an error
     /// nothing changes.
-    pub fn adopt(&self, terms: Terms, names: Names, ends: Vec<(i64, Terms)>) -> Result<(), BadConfig> {
+    pub fn adopt(
+        &self,
+        terms: Terms,
+        names: Names,
+        ends: Vec<(i64, Terms)>,
+    ) -> Result<(), BadConfig> {
         let now = self.now();
-        let ends = ends.into_iter().map(|(after, t)| (now.plus(after), t)).collect();
+        let ends = ends
+            .into_iter()
+            .map(|(after, t)| (now.plus(after), t))
+            .collect();
         self.state.borrow_mut().front.adopt(now, terms, ends)?;
         *self.names.borrow_mut() = Rc::new(names);
         Ok(())
@@ -225,7 +253,9 @@
     pub fn sleep(&self) -> Option<Duration> {
         let due = self.state.borrow().front.next_due()?;
         // A little past it, so that the wheel's tick has begun.
-        Some(Duration::from_micros(due.since(self.now()).max(0) as u64 + 50))
+        Some(Duration::from_micros(
+            due.since(self.now()).max(0) as u64 + 50,
+        ))
     }
 
     /// Lets the ledger's timers run if one is due.
@@ -241,9 +271,14 @@
         let mut retired = Vec::new();
         {
             let mut state = self.state.borrow_mut();
-            state.addresses = workers.iter().map(|w| (w.listed.name.clone(), w.address)).collect();
+            state.addresses = workers
+                .iter()
+                .map(|w| (w.listed.name.clone(), w.address))
+                .collect();
             // A worker that came back elsewhere is reached there, and no longer where it was.
-            let State { links, addresses, .. } = &mut *state;
+            let State {
+                links, addresses, ..
+            } = &mut *state;
             links.retain(|name, link| {
                 let same = addresses.get(name).is_none_or(|a| *a == link.address());
                 if !same {
@@ -286,13 +321,21 @@
 
     /// Looks again for what the calls that wait wait for.
     pub fn look_again(self: &Rc<Self>) {
-        let functions: Vec<String> = self.with_front(|f| f.waits_for().map(str::to_string).collect());
+        let functions: Vec<String> =
+            self.with_front(|f| f.waits_for().map(str::to_string).collect());
         for function in functions {
             // A version may name it by now.
             let named = self.with_front(|f| {
                 let s = f.function(&function).filter(|_| f.names(&function))?;
-                let shape = Shape { lanes: s.lanes, memory_mb: s.memory_mb, load_time: s.load_time };
-                Some(Found::Acts { class: s.class, shape })
+                let shape = Shape {
+                    lanes: s.lanes,
+                    memory_mb: s.memory_mb,
+                    load_time: s.load_time,
+                };
+                Some(Found::Acts {
+                    class: s.class,
+                    shape,
+                })
             });
             match named.or_else(|| self.look(&function)) {
                 None | Some(Found::Wait) => {}
@@ -303,7 +346,8 @@
 
     /// Whether calls of this function would be taken now, as far as its settings say; what is not known yet is asked for.
     pub fn knows(&self, function: &str) -> bool {
-        self.with_front(|f| f.names(function)) || matches!(self.look(function), Some(Found::Acts { .. }))
+        self.with_front(|f| f.names(function))
+            || matches!(self.look(function), Some(Found::Acts { .. }))
     }
 
     /// What is known of a function; none: the settings in use name it, or nobody looks any up.
@@ -368,7 +412,11 @@
                 let recorded = state.record.is_some().then(|| input.clone());
                 state.front.step(now, input, &mut commands);
                 if let (Some(input), Some(record)) = (recorded, &mut state.record) {
-                    let step = Step { at: now.0, input, commands: commands.clone() };
+                    let step = Step {
+                        at: now.0,
+                        input,
+                        commands: commands.clone(),
+                    };
                     if let Err(e) = writeln!(record, "{}", step.line()) {
                         tracing::error!(error = %e, "the record can't be written; recording ends");
                         state.record = None;
@@ -383,7 +431,12 @@
 
     fn carry_out(self: &Rc<Self>, command: Command) {
         match command {
-            Command::Open { call, attempt, worker, budget } => {
+            Command::Open {
+                call,
+                attempt,
+                worker,
+                budget,
+            } => {
                 let found = {
                     let mut state = self.state.borrow_mut();
                     let link = self.link(&mut state, &worker);
@@ -391,11 +444,23 @@
                 };
                 let Some((io, link)) = found else {
                     let (seen, told) = (Seen::NeverLeft, Told::default());
-                    return self.feed(Input::Ended { call, attempt, seen, told });
+                    return self.feed(Input::Ended {
+                        call,
+                        attempt,
+                        seen,
+                        told,
+                    });
                 };
                 let flag = Rc::new(Flag::default());
                 self.state.borrow_mut().attempts.insert(call, flag.clone());
-                self.spawner.spawn(attempts::attempt(self.clone(), io, attempt, link, budget, flag));
+                self.spawner.spawn(attempts::attempt(
+                    self.clone(),
+                    io,
+                    attempt,
+                    link,
+                    budget,
+                    flag,
+                ));
             }
             Command::Withdraw { call, .. } => {
                 if let Some(flag) = self.state.borrow().attempts.get(&call) {
@@ -423,10 +488,23 @@
             Command::Probe { order, worker } => {
                 self.start_order(order, &worker, attempts::OrderRequest::probe());
             }
-            Command::Load { order, worker, function, instances } => {
-                self.start_order(order, &worker, attempts::OrderRequest::load(&function, instances));
+            Command::Load {
+                order,
+                worker,
+                function,
+                instances,
+            } => {
+                self.start_order(
+                    order,
+                    &worker,
+                    attempts::OrderRequest::load(&function, instances),
+                );
             }
-            Command::Unload { order, worker, function } => {
+            Command::Unload {
+                order,
+                worker,
+                function,
+            } => {
                 self.start_order(order, &worker, attempts::OrderRequest::unload(&function));
             }
             Command::Recall { order } => {
@@ -452,13 +530,24 @@
                     link.retire();
                 }
             }
-            Command::Tell { worker, function, seen, count } => {
+            Command::Tell {
+                worker,
+                function,
+                seen,
+                count,
+            } => {
                 tracing::warn!(%worker, %function, status = %seen, count,
                     "a load order left no instance (an OK has to tell tansy-instances); orders there become rare");
             }
             // The list comes unasked here; asked for, it comes again as it stands.
             Command::FetchList | Command::Subscribe => {
-                let list = self.state.borrow().list.iter().map(|w| w.listed.clone()).collect();
+                let list = self
+                    .state
+                    .borrow()
+                    .list
+                    .iter()
+                    .map(|w| w.listed.clone())
+                    .collect();
                 self.feed(Input::Workers { whole: true, list });
             }
         }
@@ -467,7 +556,13 @@
     fn link(&self, state: &mut State, worker: &str) -> Option<Rc<Link>> {
         let address = *state.addresses.get(worker)?;
         let fresh = || Link::new(self.spawner.clone(), address, self.setup.workers);
-        Some(state.links.entry(worker.to_string()).or_insert_with(fresh).clone())
+        Some(
+            state
+                .links
+                .entry(worker.to_string())
+                .or_insert_with(fresh)
+                .clone(),
+        )
     }
 
     fn start_order(self: &Rc<Self>, order: OrderId, worker: &str, request: attempts::OrderRequest) {
@@ -478,13 +573,19 @@
         };
         let flag = Rc::new(Flag::default());
         self.state.borrow_mut().orders.insert(order, flag.clone());
-        self.spawner.spawn(attempts::order(self.clone(), order, request, link, flag));
+        self.spawner
+            .spawn(attempts::order(self.clone(), order, request, link, flag));
     }
 
     /// An attempt has ended.
     pub fn attempt_ended(self: &Rc<Self>, call: CallId, attempt: u32, seen: Seen, told: Told) {
         self.state.borrow_mut().attempts.remove(&call);
-        self.feed(Input::Ended { call, attempt, seen, told });
+        self.feed(Input::Ended {
+            call,
+            attempt,
+            seen,
+            told,
+        });
     }
 
     /// An order has ended.
@@ -501,12 +602,14 @@
         if let (Answer::Served, Some(message)) = (answer, io.staged.borrow_mut().take()) {
             io.sink.push(message);
         }
-        io.sink.end(answers::unary(answer, &io.model, worker.as_ref()));
+        io.sink
+            .end(answers::unary(answer, &io.model, worker.as_ref()));
     } else if let Some((text, advice)) = answers::streamed(answer, &io.model, worker.as_ref()) {
         let message = amend::stream_error(&io.model, &io.request_id, text, advice);
         io.sink.push(frame(&message));
     } else if !io.complete.get() {
-        io.sink.push(frame(&amend::empty_final(&io.model, &io.request_id)));
+        io.sink
+            .push(frame(&amend::empty_final(&io.model, &io.request_id)));
     }
     tracing::debug!(call = io.id.0, function = %io.model, id = %io.request_id, answer = ?answer, "answered");
     io.sink.closed(io.id);
@@ -514,18 +617,27 @@
 
 /// A piece as the client gets it: with its own id.
 pub fn piece(io: &CallIo, message: &Bytes) -> Result<(Bytes, bool), String> {
-    let read = scan::Piece::read(message).map_err(|e| format!("a piece that is no message: {e}"))?;
+    let read =
+        scan::Piece::read(message).map_err(|e| format!("a piece that is no message: {e}"))?;
     if !read.error.is_empty() {
         return Err(format!("the worker reports: {}", read.error));
     }
     if read.id == io.request_id {
         return Ok((frame(message), read.last));
     }
-    Ok((frame(&amend::piece(message, &io.request_id, read.last)), read.last))
+    Ok((
+        frame(&amend::piece(message, &io.request_id, read.last)),
+        read.last,
+    ))
 }
 
 /// A unary answer as the client gets it: with its own id.
 pub fn response(io: &CallIo, message: &Bytes) -> Result<Bytes, String> {
-    let id = scan::response_id(message).map_err(|e| format!("an answer that is no message: {e}"))?;
-    Ok(if id == io.request_id { frame(message) } else { frame(&amend::response(message, &io.request_id)) })
+    let id =
+        scan::response_id(message).map_err(|e| format!("an answer that is no message: {e}"))?;
+    Ok(if id == io.request_id {
+        frame(message)
+    } else {
+        frame(&amend::response(message, &io.request_id))
+    })
 }
--- a/net/front/src/trailers.rs
+++ b/net/front/src/trailers.rs
@@ -43,7 +43,9 @@
         never_ran,
         crowd: text(map, names::CROWD).and_then(|t| t.parse().ok()),
         instances: text(map, names::INSTANCES).and_then(|t| t.parse().ok()),
-        report: map.get(names::LOAD_REPORT).and_then(|v| report(v.as_bytes())),
+        report: map
+            .get(names::LOAD_REPORT)
+            .and_then(|v| report(v.as_bytes())),
     }
 }
 
@@ -71,21 +73,35 @@
 fn passed_on(key: &str) -> bool {
     let reserved = matches!(
         key,
-        "te" | "content-type" | "content-length" | "user-agent" | "host" | "connection" | "accept-encoding"
+        "te" | "content-type"
+            | "content-length"
+            | "user-agent"
+            | "host"
+            | "connection"
+            | "accept-encoding"
     );
-    !reserved && !key.starts_with("grpc-") && !key.starts_with("tansy-") && key != names::LOAD_REPORT
+    !reserved
+        && !key.starts_with("grpc-")
+        && !key.starts_with("tansy-")
+        && key != names::LOAD_REPORT
 }
 
 /// A call's own metadata, for the worker.
 pub fn metadata(map: &HeaderMap) -> HeaderMap {
-    map.iter().filter(|(k, _)| passed_on(k.as_str())).map(|(k, v)| (k.clone(), v.clone())).collect()
+    map.iter()
+        .filter(|(k, _)| passed_on(k.as_str()))
+        .map(|(k, v)| (k.clone(), v.clone()))
+        .collect()
 }
 
 /// A worker's status and own metadata, for the client.
 pub fn answer(map: &HeaderMap) -> HeaderMap {
     const STATUS: [&str; 3] = ["grpc-status", "grpc-message", "grpc-status-details-bin"];
     let keep = |k: &str| passed_on(k) || STATUS.contains(&k);
-    map.iter().filter(|(k, _)| keep(k.as_str())).map(|(k, v)| (k.clone(), v.clone())).collect()
+    map.iter()
+        .filter(|(k, _)| keep(k.as_str()))
+        .map(|(k, v)| (k.clone(), v.clone()))
+        .collect()
 }
 
 #[cfg(test)]
--- a/net/grpc/src/exchange.rs
+++ b/net/grpc/src/exchange.rs
@@ -102,7 +102,11 @@
 
     /// Whether its HEADERS have left.
     pub fn left(&self) -> bool {
-        self.connection.wire.borrow().peek(self.stream).is_some_and(|m| m.headers_out)
+        self.connection
+            .wire
+            .borrow()
+            .peek(self.stream)
+            .is_some_and(|m| m.headers_out)
     }
 
     /// Withdraws it: RST_STREAM with CANCEL once its HEADERS have left.
@@ -125,7 +129,9 @@
     pub fn release(&mut self) {
         if let Some(body) = &mut self.body {
             // Fails only on more than was read.
-            let _ = body.flow_control().release_capacity(std::mem::take(&mut self.unread));
+            let _ = body
+                .flow_control()
+                .release_capacity(std::mem::take(&mut self.unread));
         }
     }
 
@@ -150,7 +156,11 @@
             if !(cut || headers_out && closed) {
                 return Poll::Pending;
             }
-            let ending = self.closing.take().filter(|_| headers_out).unwrap_or(Ending::NeverLeft);
+            let ending = self
+                .closing
+                .take()
+                .filter(|_| headers_out)
+                .unwrap_or(Ending::NeverLeft);
             return self.end(ending);
         }
         match self.poll_answer(cx) {
@@ -185,9 +195,15 @@
                 return Poll::Ready(Ok(News::Ended(status(head.headers), self.progress)));
             }
             if head.status != http::StatusCode::OK {
-                return Poll::Ready(Err(format!("HTTP status {} without a grpc-status", head.status)));
+                return Poll::Ready(Err(format!(
+                    "HTTP status {} without a grpc-status",
+                    head.status
+                )));
             }
-            let kind = head.headers.get(http::header::CONTENT_TYPE).map(|v| v.as_bytes());
+            let kind = head
+                .headers
+                .get(http::header::CONTENT_TYPE)
+                .map(|v| v.as_bytes());
             if !kind.is_some_and(|k| k.starts_with(b"application/grpc")) {
                 return Poll::Ready(Err("a content-type other than application/grpc".into()));
             }
@@ -205,7 +221,9 @@
                 Ok(None) => {}
                 Err(bad) => return Poll::Ready(Err(bad.to_string())),
             }
-            let Some(body) = &mut self.body else { return Poll::Pending };
+            let Some(body) = &mut self.body else {
+                return Poll::Pending;
+            };
             if self.data_done {
                 return match body.poll_trailers(cx) {
                     Poll::Pending => Poll::Pending,
@@ -216,7 +234,9 @@
                     Poll::Ready(Ok(Some(trailers))) if trailers.contains_key("grpc-status") => {
                         Poll::Ready(Ok(News::Ended(status(trailers), self.progress)))
                     }
-                    Poll::Ready(Ok(_)) => Poll::Ready(Ok(News::Ended(Ending::NoTrailers, self.progress))),
+                    Poll::Ready(Ok(_)) => {
+                        Poll::Ready(Ok(News::Ended(Ending::NoTrailers, self.progress)))
+                    }
                 };
             }
             match body.poll_data(cx) {
@@ -265,6 +285,8 @@
 }
 
 fn status(headers: HeaderMap) -> Ending {
-    let code = headers.get("grpc-status").map_or(Code::Unknown, |v| Code::read(v.as_bytes()));
+    let code = headers
+        .get("grpc-status")
+        .map_or(Code::Unknown, |v| Code::read(v.as_bytes()));
     Ending::Status(code, headers)
 }
--- a/net/grpc/src/io.rs
+++ b/net/grpc/src/io.rs
@@ -66,7 +66,11 @@
     /// What has passed on a stream; wakes the task when that changes.
     pub fn marks(&mut self, stream: u32, cx: &Context<'_>) -> Option<&Marks> {
         let marks = self.streams.get_mut(&stream)?;
-        if !marks.waker.as_ref().is_some_and(|w| w.will_wake(cx.waker())) {
+        if !marks
+            .waker
+            .as_ref()
+            .is_some_and(|w| w.will_wake(cx.waker()))
+        {
             marks.waker = Some(cx.waker().clone());
         }
         Some(marks)
@@ -97,7 +101,9 @@
     fn wrote(&mut self, bytes: &[u8]) {
         let Wire { out, streams, .. } = self;
         out.take(bytes, |f: Frame| {
-            let Some(m) = streams.get_mut(&f.stream) else { return };
+            let Some(m) = streams.get_mut(&f.stream) else {
+                return;
+            };
             let wake = match f.kind {
                 kind::HEADERS => !std::mem::replace(&mut m.headers_out, true),
                 kind::RST_STREAM => !std::mem::replace(&mut m.reset_out, true),
@@ -112,7 +118,12 @@
     }
 
     fn read(&mut self, bytes: &[u8]) {
-        let Wire { inward, streams, goaway, .. } = self;
+        let Wire {
+            inward,
+            streams,
+            goaway,
+            ..
+        } = self;
         inward.take(bytes, |f: Frame| {
             if let Some(last) = f.last_stream() {
                 *goaway = Some(goaway.map_or(last, |g| g.min(last)));
@@ -158,7 +169,10 @@
 
 /// Both ends of a socket; with a wire, its frames are watched as they truly leave and come.
 pub fn ends(socket: Socket, wire: Option<Rc<RefCell<Wire>>>) -> (Io, Flusher) {
-    let out = RefCell::new(Outbox { bytes: Vec::new(), sent: 0 });
+    let out = RefCell::new(Outbox {
+        bytes: Vec::new(),
+        sent: 0,
+    });
     let shared = Rc::new(Shared { socket, wire, out });
     (Io(shared.clone()), Flusher(shared))
 }
@@ -195,7 +209,11 @@
 }
 
 impl AsyncRead for Io {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let s = &self.0;
         if s.aborted() {
             return Poll::Ready(Err(gone()));
@@ -214,7 +232,11 @@
 }
 
 impl AsyncWrite for Io {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let waiting = {
             let out = self.0.out.borrow();
             out.bytes.len() - out.sent
--- a/net/grpc/src/link.rs
+++ b/net/grpc/src/link.rs
@@ -25,7 +25,10 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { stream_window: 256 * 1024, header_bytes: 16 * 1024 }
+        Limits {
+            stream_window: 256 * 1024,
+            header_bytes: 16 * 1024,
+        }
     }
 }
 
@@ -75,7 +78,13 @@
 impl Link {
     /// A link that is not connected yet.
     pub fn new(spawner: Spawner, address: SocketAddr, limits: Limits) -> Rc<Link> {
-        Rc::new(Link { spawner, address, limits, state: RefCell::new(State::Idle), tries: RefCell::new(0) })
+        Rc::new(Link {
+            spawner,
+            address,
+            limits,
+            state: RefCell::new(State::Idle),
+            tries: RefCell::new(0),
+        })
     }
 
     /// Where it leads.
@@ -86,7 +95,10 @@
     /// The connection, made first if there is none that takes streams.
     pub fn connection(self: &Rc<Self>) -> Connected {
         let attempt = self.ensure();
-        Connected { link: self.clone(), attempt }
+        Connected {
+            link: self.clone(),
+            attempt,
+        }
     }
 
     /// Ends the connection at once: nothing more leaves on it; a try to connect is given up.
@@ -126,14 +138,24 @@
             *tries += 1;
             *tries
         };
-        *state = State::Connecting { waiting: Vec::new(), attempt };
+        *state = State::Connecting {
+            waiting: Vec::new(),
+            attempt,
+        };
         let link = self.clone();
         self.spawner.spawn(async move {
             let made = link.connect().await;
             let mut driver = None;
             {
                 let mut state = link.state.borrow_mut();
-                let State::Connecting { waiting, attempt: current, .. } = &mut *state else { return };
+                let State::Connecting {
+                    waiting,
+                    attempt: current,
+                    ..
+                } = &mut *state
+                else {
+                    return;
+                };
                 if *current != attempt {
                     return;
                 }
@@ -222,7 +244,9 @@
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
         match &mut *self.link.state.borrow_mut() {
             State::Up(c) => Poll::Ready(Ok(c.clone())),
-            State::Connecting { waiting, attempt, .. } if *attempt == self.attempt => {
+            State::Connecting {
+                waiting, attempt, ..
+            } if *attempt == self.attempt => {
                 if !waiting.iter().any(|w| w.will_wake(cx.waker())) {
                     waiting.push(cx.waker().clone());
                 }
--- a/net/grpc/src/server.rs
+++ b/net/grpc/src/server.rs
@@ -120,14 +120,18 @@
         sources.push(accepts.map_err(|e| inserted(e.to_string()))?);
         let (a, b) = (server.clone(), listener.clone());
         let pinged = Uninterrupted(pinged);
-        let pinged = spawner.handle().insert_source(pinged, move |(), _, ()| a.accept(&b));
+        let pinged = spawner
+            .handle()
+            .insert_source(pinged, move |(), _, ()| a.accept(&b));
         sources.push(pinged.map_err(|e| inserted(e.to_string()))?);
         *server.listens.borrow_mut() = Some((listener, sources));
         Ok(server)
     }
 
     fn wake_all(&self) {
-        std::mem::take(&mut *self.wakers.borrow_mut()).into_values().for_each(Waker::wake);
+        std::mem::take(&mut *self.wakers.borrow_mut())
+            .into_values()
+            .for_each(Waker::wake);
     }
 
     /// Takes no new connection, and tells clients to open no new stream; those open go on.
@@ -137,7 +141,9 @@
     pub fn close(self: &Rc<Self>) {
         if let Some((listener, sources)) = self.listens.borrow_mut().take() {
             self.accept(&listener);
-            sources.into_iter().for_each(|s| self.spawner.handle().remove(s));
+            sources
+                .into_iter()
+                .for_each(|s| self.spawner.handle().remove(s));
         }
         self.closing.set(true);
         self.wake_all();
@@ -311,7 +317,10 @@
 impl Messages {
     /// Of a request's body, with a limit on one message.
     pub fn new(body: RecvStream, limit: usize) -> Messages {
-        Messages { body, assembler: Assembler::new(limit) }
+        Messages {
+            body,
+            assembler: Assembler::new(limit),
+        }
     }
 
     /// The one message of a unary request, read to the end of its stream: a client that ends it with a frame of its own
@@ -332,7 +341,10 @@
     }
 
     /// The next message; `None` when the client has sent its last.
-    pub fn poll_next(&mut self, cx: &mut std::task::Context<'_>) -> Poll<Result<Option<Bytes>, BadStream>> {
+    pub fn poll_next(
+        &mut self,
+        cx: &mut std::task::Context<'_>,
+    ) -> Poll<Result<Option<Bytes>, BadStream>> {
         loop {
             match self.assembler.take() {
                 Ok(Some(message)) => return Poll::Ready(Ok(Some(message))),
@@ -381,7 +393,9 @@
 pub fn head() -> Response<()> {
     let mut response = Response::new(());
     let kind = HeaderValue::from_static("application/grpc");
-    response.headers_mut().insert(http::header::CONTENT_TYPE, kind);
+    response
+        .headers_mut()
+        .insert(http::header::CONTENT_TYPE, kind);
     response
 }
 
@@ -401,7 +415,9 @@
 pub fn answer(mut respond: SendResponse<Bytes>, message: &[u8], trailers: HeaderMap) {
     // Fails only if the client has gone.
     if let Ok(mut send) = respond.send_response(head(), false) {
-        let _ = send.send_data(frame(message), false).and_then(|()| send.send_trailers(trailers));
+        let _ = send
+            .send_data(frame(message), false)
+            .and_then(|()| send.send_trailers(trailers));
     }
 }
 
--- a/net/grpc/src/side.rs
+++ b/net/grpc/src/side.rs
@@ -42,17 +42,24 @@
             Err(_) => return Ok(PostAction::Continue),
         }
     });
-    inserted.map(drop).map_err(|e| io::Error::other(e.to_string()))
+    inserted
+        .map(drop)
+        .map_err(|e| io::Error::other(e.to_string()))
 }
 
 async fn serve(spawner: &Spawner, answers: &Answers, socket: Socket) {
     let mut buffer = Vec::new();
     loop {
         let read = within(spawner.sleep(WITHIN), request(&socket, &mut buffer)).await;
-        let Some(Ok(Some((path, keep)))) = read else { return };
+        let Some(Ok(Some((path, keep)))) = read else {
+            return;
+        };
         let (status, body) = answers(&path);
         let close = if keep { "" } else { "Connection: close\r\n" };
-        let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{close}\r\n{body}", body.len());
+        let head = format!(
+            "HTTP/1.1 {status}\r\nContent-Length: {}\r\n{close}\r\n{body}",
+            body.len()
+        );
         let written = within(spawner.sleep(WITHIN), write(&socket, head.as_bytes())).await;
         if !keep || !matches!(written, Some(Ok(()))) {
             return;
@@ -66,9 +73,14 @@
     loop {
         let mut headers = [httparse::EMPTY_HEADER; 64];
         let mut parsed = httparse::Request::new(&mut headers);
-        if let httparse::Status::Complete(n) = parsed.parse(buffer).map_err(|e| bad(&e.to_string()))? {
+        if let httparse::Status::Complete(n) =
+            parsed.parse(buffer).map_err(|e| bad(&e.to_string()))?
+        {
             let has = |name: &str, value: &str| {
-                let mut all = parsed.headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name));
+                let mut all = parsed
+                    .headers
+                    .iter()
+                    .filter(|h| h.name.eq_ignore_ascii_case(name));
                 all.any(|h| h.value.eq_ignore_ascii_case(value.as_bytes()))
             };
             let body = parsed.headers.iter().any(|h| {
@@ -77,7 +89,11 @@
             });
             let keep = parsed.version == Some(1) && !has("connection", "close") && !body;
             let get = parsed.method == Some("GET") && !body;
-            let path = if get { parsed.path.unwrap_or("").to_string() } else { String::new() };
+            let path = if get {
+                parsed.path.unwrap_or("").to_string()
+            } else {
+                String::new()
+            };
             buffer.drain(..n);
             return Ok(Some((path, keep)));
         }
--- a/net/peers/src/ask.rs
+++ b/net/peers/src/ask.rs
@@ -40,7 +40,12 @@
     limit: Duration,
 ) -> Result<Bytes, Failed> {
     let asked = within(spawner.sleep(limit), one(link, method, frame(body)));
-    asked.await.unwrap_or_else(|| Err(Failed::Away(format!("no answer of {} in {limit:?}", link.address()))))
+    asked.await.unwrap_or_else(|| {
+        Err(Failed::Away(format!(
+            "no answer of {} in {limit:?}",
+            link.address()
+        )))
+    })
 }
 
 async fn one(link: &Rc<Link>, method: &str, body: Bytes) -> Result<Bytes, Failed> {
@@ -54,19 +59,30 @@
     let authority = link.address().to_string();
     let uri = http::Uri::builder().scheme("http").authority(authority);
     // A socket address and a path of ours always make a URI.
-    *request.uri_mut() = uri.path_and_query(format!("{SERVICE}{method}")).build().unwrap_or_default();
-    request.headers_mut().insert(http::header::TE, HeaderValue::from_static("trailers"));
+    *request.uri_mut() = uri
+        .path_and_query(format!("{SERVICE}{method}"))
+        .build()
+        .unwrap_or_default();
+    request
+        .headers_mut()
+        .insert(http::header::TE, HeaderValue::from_static("trailers"));
     let kind = HeaderValue::from_static("application/grpc");
-    request.headers_mut().insert(http::header::CONTENT_TYPE, kind);
+    request
+        .headers_mut()
+        .insert(http::header::CONTENT_TYPE, kind);
     let exchange = Exchange::start(connection, request, body, true, LARGEST);
     let mut exchange = exchange.map_err(|_| away("the connection ended"))?;
     let mut answer = None;
     loop {
         match poll_fn(|cx| exchange.poll(cx)).await {
             News::Message(message) => answer = Some(message),
-            News::Ended(Ending::Status(Code::Ok, _), _) => return answer.ok_or(away("an empty answer")),
+            News::Ended(Ending::Status(Code::Ok, _), _) => {
+                return answer.ok_or(away("an empty answer"))
+            }
             News::Ended(Ending::Status(code, trailers), _) => {
-                let text = trailers.get("grpc-message").map_or(&b""[..], |v| v.as_bytes());
+                let text = trailers
+                    .get("grpc-message")
+                    .map_or(&b""[..], |v| v.as_bytes());
                 let text = percent_decode(text).decode_utf8_lossy().into_owned();
                 return Err(Failed::Refused(code, text));
             }
--- a/net/peers/src/disk.rs
+++ b/net/peers/src/disk.rs
@@ -70,7 +70,11 @@
 }
 
 /// Tries until the record is held, the error is one that does not pass, or nobody waits for it.
-fn hold(file: &mut RetryingRecords, (record, whole): &Entry, stop: &AtomicBool) -> Result<(), Error> {
+fn hold(
+    file: &mut RetryingRecords,
+    (record, whole): &Entry,
+    stop: &AtomicBool,
+) -> Result<(), Error> {
     let began = Instant::now();
     let mut pause = PAUSE;
     let mut next_line = began;
--- a/net/peers/src/hub.rs
+++ b/net/peers/src/hub.rs
@@ -175,7 +175,10 @@
         if let Some((path, first)) = setup.seat {
             file = path.display().to_string();
             let (d, h, c) = Disk::open(&path).map_err(|e| format!("{file}: {e}"))?;
-            let saved = Saved { whole: h.whole, records: h.records };
+            let saved = Saved {
+                whole: h.whole,
+                records: h.records,
+            };
             (disk, held, done) = (Some(d), Some(Held { saved, first }), Some(c));
         }
         let peer = Peer::new(setup.peer, held, clock::now()).map_err(|e| format!("{file}: {e}"))?;
@@ -203,15 +206,22 @@
         });
         if let Some(done) = done {
             let p = peers.clone();
-            let inserted = spawner.handle().insert_source(Uninterrupted(done), move |event, _, ()| {
-                if let Event::Msg(done) = event {
-                    p.held(done);
-                }
-            });
+            let inserted =
+                spawner
+                    .handle()
+                    .insert_source(Uninterrupted(done), move |event, _, ()| {
+                        if let Event::Msg(done) = event {
+                            p.held(done);
+                        }
+                    });
             inserted.map_err(|e| io::Error::other(e.to_string()))?;
         }
-        let server =
-            Server::start(spawner.clone(), listener, limits(), serve::handler(peers.clone(), fleet))?;
+        let server = Server::start(
+            spawner.clone(),
+            listener,
+            limits(),
+            serve::handler(peers.clone(), fleet),
+        )?;
         *peers.server.borrow_mut() = Some(server);
         let p = peers.clone();
         spawner.spawn(async move {
@@ -249,7 +259,11 @@
         out.into_iter().for_each(|c| self.carry_out(c));
         if call == Call::Wait && next < clock::now() + LOOK_MOST {
             self.nudged.set(true);
-            self.looks.borrow_mut().take().into_iter().for_each(Waker::wake);
+            self.looks
+                .borrow_mut()
+                .take()
+                .into_iter()
+                .for_each(Waker::wake);
         }
         call
     }
@@ -283,13 +297,17 @@
             server.close();
             server.cut();
         }
-        self.ways.borrow_mut().drain().for_each(|(_, w)| w.link.drop_now());
+        self.ways
+            .borrow_mut()
+            .drain()
+            .for_each(|(_, w)| w.link.drop_now());
     }
 
     /// Takes a letter that came another way than by this place's own listener.
     pub fn take(self: &Rc<Self>, bytes: &[u8]) -> Result<(), Bad> {
         let mut letters = self.letters.get();
-        (letters.taken, letters.taken_bytes) = (letters.taken + 1, letters.taken_bytes + bytes.len() as u64);
+        (letters.taken, letters.taken_bytes) =
+            (letters.taken + 1, letters.taken_bytes + bytes.len() as u64);
         self.letters.set(letters);
         let fleet = self.peer.borrow().setup().fleet;
         let (from, root, body) = read(fleet, bytes)?;
@@ -342,13 +360,18 @@
             Command::Hold { record, whole } => {
                 if !self.disk.as_ref().is_some_and(|d| d.hold(record, whole)) {
                     let me = self.clone();
-                    self.spawner.spawn(async move { me.held(Err("the seat's thread has ended".into())) });
+                    self.spawner
+                        .spawn(async move { me.held(Err("the seat's thread has ended".into())) });
                 }
             }
             Command::Answer { request, outcome } => {
                 if let Some(slot) = self.slots.borrow_mut().remove(&request) {
                     *slot.outcome.borrow_mut() = Some(outcome);
-                    slot.waker.borrow_mut().take().into_iter().for_each(Waker::wake);
+                    slot.waker
+                        .borrow_mut()
+                        .take()
+                        .into_iter()
+                        .for_each(Waker::wake);
                 }
             }
             Command::Note(note) => tell(&note),
@@ -368,7 +391,12 @@
             let fresh = || {
                 let at = self.via.get(&to).copied().unwrap_or(to);
                 let link = Link::new(self.spawner.clone(), at, LinkLimits::default());
-                Rc::new(Way { link, letters: Cell::new(0), told: Cell::new(None), used: Cell::new(0) })
+                Rc::new(Way {
+                    link,
+                    letters: Cell::new(0),
+                    told: Cell::new(None),
+                    used: Cell::new(0),
+                })
             };
             ways.entry(to).or_insert_with(fresh).clone()
         };
@@ -429,7 +457,12 @@
     match note {
         Note::Member(news) => tracing::info!(member = ?news, "membership"),
         Note::Step { step, force, next } => {
-            tracing::info!(step = step.0, force, next = next.unwrap_or(0), "a step of the fleet");
+            tracing::info!(
+                step = step.0,
+                force,
+                next = next.unwrap_or(0),
+                "a step of the fleet"
+            );
         }
         Note::Lease { live: true } => tracing::info!("a lease is held"),
         Note::Lease { live: false } => {
@@ -467,7 +500,11 @@
             );
         }
         Note::ScopesGivenUp { scopes, behind } => {
-            tracing::error!(?scopes, ?behind, "changes of functions were stuck, and are given up");
+            tracing::error!(
+                ?scopes,
+                ?behind,
+                "changes of functions were stuck, and are given up"
+            );
         }
         Note::Disk { why } => {
             tracing::error!(%why, "the seat's disk takes no entry: no change until it is mended and the seat started again");
