--- a/net/peers/src/serve.rs
+++ b/net/peers/src/serve.rs
@@ -14,8 +14,8 @@
 use tansy_agree::rule::{changes, Fields, Kind, Touch};
 use tansy_agree::scope::{ScopeRequest, CHANGES};
 use tansy_fleet_wire::{
-    member, of_roll_entry, of_scope_request, of_settings, pb, process, scoped, settings, state, Bad, LARGEST,
-    SERVICE,
+    member, of_roll_entry, of_scope_request, of_settings, pb, process, scoped, settings, state,
+    Bad, LARGEST, SERVICE,
 };
 use tansy_frames::grpc::Code;
 use tansy_net_grpc::server::{answer as reply, refuse, trailers, Handler, Messages};
@@ -44,13 +44,21 @@
     mut respond: SendResponse<Bytes>,
 ) {
     let (parts, body) = request.into_parts();
-    let method = parts.uri.path().strip_prefix(SERVICE).unwrap_or("").to_string();
+    let method = parts
+        .uri
+        .path()
+        .strip_prefix(SERVICE)
+        .unwrap_or("")
+        .to_string();
     let mut messages = Messages::new(body, LARGEST);
     let mut first = None;
     let message = poll_fn(|cx| messages.poll_one(&mut first, cx));
     let message = within(peers.spawner.sleep(REQUEST_WITHIN), message).await;
     let Some(Ok(Some(message))) = message else {
-        return refuse(&mut respond, trailers(Code::InvalidArgument, "no message came whole"));
+        return refuse(
+            &mut respond,
+            trailers(Code::InvalidArgument, "no message came whole"),
+        );
     };
     let answer = match method.as_str() {
         "Tell" => tell(peers, &message),
@@ -60,7 +68,10 @@
         "Counts" => counts(peers, fleet, &message),
         "Roll" => roll(peers, fleet, &message),
         "Functions" => functions(peers, fleet, &message),
-        _ => Err((Code::Unimplemented, format!("{method:?} is no method of a fleet's front end"))),
+        _ => Err((
+            Code::Unimplemented,
+            format!("{method:?} is no method of a fleet's front end"),
+        )),
     };
     match answer {
         Ok(bytes) => reply(respond, &bytes, trailers(Code::Ok, "")),
@@ -86,7 +97,10 @@
     if asked == 0 || asked == fleet {
         return Ok(());
     }
-    Err((Code::FailedPrecondition, format!("this front end is of the fleet {:?}", peers.fleet)))
+    Err((
+        Code::FailedPrecondition,
+        format!("this front end is of the fleet {:?}", peers.fleet),
+    ))
 }
 
 fn bad(e: &impl std::fmt::Display) -> (Code, String) {
@@ -107,11 +121,17 @@
     same(peers, asked.fleet, fleet)?;
     let reply = peers.with_peer(|p, now| {
         let (setup, acting) = (p.setup(), p.acting(now));
-        let contested = acting.state.map(|s| s.contested(&setup.schema)).unwrap_or_default();
+        let contested = acting
+            .state
+            .map(|s| s.contested(&setup.schema))
+            .unwrap_or_default();
         let mut contested: Vec<String> = contested.iter().map(|c| in_words(&c.touch)).collect();
         contested.sort();
         contested.dedup();
-        let roster = p.log().map(|l| l.roster().collect::<Vec<_>>()).unwrap_or_default();
+        let roster = p
+            .log()
+            .map(|l| l.roster().collect::<Vec<_>>())
+            .unwrap_or_default();
         let waits = p.waits(now);
         pb::StatusReply {
             fleet: peers.fleet.clone(),
@@ -120,22 +140,36 @@
             seat: p.root_address().to_string(),
             seats: p.seats().iter().map(|s| s.1.to_string()).collect(),
             keeps_log: p.log().is_some(),
-            seating: p.agreed().and_then(|(_, l)| l.seating()).map(|s| pb::Seating {
-                new: s.address.to_string(),
-                instead: p.address(s.instead).map(|a| a.to_string()).unwrap_or_default(),
-                votes: s.hand == Hand::Both,
-            }),
+            seating: p
+                .agreed()
+                .and_then(|(_, l)| l.seating())
+                .map(|s| pb::Seating {
+                    new: s.address.to_string(),
+                    instead: p
+                        .address(s.instead)
+                        .map(|a| a.to_string())
+                        .unwrap_or_default(),
+                    votes: s.hand == Hand::Both,
+                }),
             state: acting.state.map(state),
             lease_left: acting.lease,
             stay_left: acting.stay,
             others: p.others().map(process).collect(),
-            contested: contested.into_iter().map(|calls| pb::Contested { calls }).collect(),
+            contested: contested
+                .into_iter()
+                .map(|calls| pb::Contested { calls })
+                .collect(),
             roster: roster
                 .into_iter()
-                .map(|(m, n)| pb::Rostered { member: Some(member(m)), name: n.into() })
+                .map(|(m, n)| pb::Rostered {
+                    member: Some(member(m)),
+                    name: n.into(),
+                })
                 .collect(),
             waits_for_leases: waits.as_ref().is_some_and(|w| w.leases),
-            waits_for: waits.map(|w| w.stays.into_iter().map(member).collect()).unwrap_or_default(),
+            waits_for: waits
+                .map(|w| w.stays.into_iter().map(member).collect())
+                .unwrap_or_default(),
             error: peers.error.borrow().clone().unwrap_or_default(),
             holds: p.holds() as u64,
             changing: changing(p, now),
@@ -157,9 +191,16 @@
                 ));
             }
             (peers.check)(&s.fields).map_err(|e| bad(&e))?;
-            Entry::Propose { id: s.id, base: s.version, fields: s.fields, why: s.why }
+            Entry::Propose {
+                id: s.id,
+                base: s.version,
+                fields: s.fields,
+                why: s.why,
+            }
         }
-        E::Abandon(version) => Entry::Abandon { version: Version(version) },
+        E::Abandon(version) => Entry::Abandon {
+            version: Version(version),
+        },
         E::Dismiss(name) => {
             let found = peers.with_peer(|p, _| {
                 let log = p.log()?;
@@ -169,9 +210,14 @@
             match found {
                 Some(Some(member)) => Entry::Leave { member },
                 Some(None) => {
-                    return Err((Code::NotFound, format!("nobody named {name:?} is on the roster")))
+                    return Err((
+                        Code::NotFound,
+                        format!("nobody named {name:?} is on the roster"),
+                    ))
                 }
-                None => Entry::Abandon { version: Version(0) },
+                None => Entry::Abandon {
+                    version: Version(0),
+                },
             }
         }
         E::Seat(s) => seat(peers, &s)?,
@@ -181,7 +227,10 @@
                 (peers.check)(fields).map_err(|e| bad(&e))?;
                 staged(peers, fields)?;
             }
-            Entry::Roll { entry: Box::new(entry), fields }
+            Entry::Roll {
+                entry: Box::new(entry),
+                fields,
+            }
         }
         E::Change(c) => {
             let request = of_scope_request(c).map_err(|e| bad(&e))?;
@@ -191,12 +240,21 @@
                 ));
             }
             sensible(peers, &request)?;
-            Entry::Change { requests: vec![request] }
+            Entry::Change {
+                requests: vec![request],
+            }
         }
     };
     let slot = peers.enter(entry);
-    let slot = slot.ok_or((Code::ResourceExhausted, "too many requests wait: ask again later".into()))?;
-    let outcome = within(peers.spawner.sleep(ENTRY_WITHIN), poll_fn(|cx| slot.poll(cx))).await;
+    let slot = slot.ok_or((
+        Code::ResourceExhausted,
+        "too many requests wait: ask again later".into(),
+    ))?;
+    let outcome = within(
+        peers.spawner.sleep(ENTRY_WITHIN),
+        poll_fn(|cx| slot.poll(cx)),
+    )
+    .await;
     let Some(outcome) = outcome else {
         let why =
             "the seat's disk did not hold it in time: ask again, with the same id, to learn what came of it";
@@ -213,7 +271,12 @@
                 Applied::Changed { step, .. } => step.0,
                 _ => 0,
             };
-            Ok(pb::EnterReply { version, again: matches!(applied, Applied::Again(_)), step }.encode_to_vec())
+            Ok(pb::EnterReply {
+                version,
+                again: matches!(applied, Applied::Again(_)),
+                step,
+            }
+            .encode_to_vec())
         }
         Err(refusal) => {
             let code = match refusal {
@@ -231,9 +294,15 @@
 fn sensible(peers: &Peers, request: &ScopeRequest) -> Result<(), (Code, String)> {
     peers.with_peer(|p, now| {
         // Nobody knows the classes yet: the seat that leads does, or says who does.
-        let Some(state) = p.acting(now).state else { return Ok(()) };
-        let set = request.changes.iter().filter_map(|c| Some((&c.scope, c.fields.as_ref()?)));
-        let mut wrong = set.filter_map(|(name, fields)| (peers.check_function)(name, fields, state).err());
+        let Some(state) = p.acting(now).state else {
+            return Ok(());
+        };
+        let set = request
+            .changes
+            .iter()
+            .filter_map(|c| Some((&c.scope, c.fields.as_ref()?)));
+        let mut wrong =
+            set.filter_map(|(name, fields)| (peers.check_function)(name, fields, state).err());
         wrong.next().map_or(Ok(()), |why| Err(bad(&why)))
     })
 }
@@ -242,14 +311,20 @@
     let asked = pb::FunctionsRequest::decode(bytes).map_err(|e| bad(&e))?;
     same(peers, asked.fleet, fleet)?;
     if asked.names.len() > CHANGES {
-        return Err(bad(&format!("{} functions are asked for: want at most {CHANGES}", asked.names.len())));
+        return Err(bad(&format!(
+            "{} functions are asked for: want at most {CHANGES}",
+            asked.names.len()
+        )));
     }
     peers.with_peer(|p, now| {
         let Some((_, log)) = p.agreed() else {
             let why = format!("this front end keeps no log: ask {}", p.root_address());
             return Err((Code::FailedPrecondition, why));
         };
-        let one = |name: String| pb::Named { scoped: log.catalog().get(&name).map(scoped), name };
+        let one = |name: String| pb::Named {
+            scoped: log.catalog().get(&name).map(scoped),
+            name,
+        };
         let requested = log.catalog().requested(asked.id).map(|r| pb::Requested {
             step: r.step.0,
             joint: r.joint,
@@ -268,8 +343,17 @@
 /// Functions that change one by one, with whom each waits for, by name.
 fn changing(p: &Peer, now: Time) -> Vec<pb::Waiting> {
     let roster: Vec<(Member, &str)> = p.log().map(|l| l.roster().collect()).unwrap_or_default();
-    let name = |m: &Member| roster.iter().find(|r| r.0 == *m).map_or("", |r| r.1).to_string();
-    let rostered = |m: Member| pb::Rostered { member: Some(member(m)), name: name(&m) };
+    let name = |m: &Member| {
+        roster
+            .iter()
+            .find(|r| r.0 == *m)
+            .map_or("", |r| r.1)
+            .to_string()
+    };
+    let rostered = |m: Member| pb::Rostered {
+        member: Some(member(m)),
+        name: name(&m),
+    };
     let all = p.waits(now).map(|w| w.scopes).unwrap_or_default();
     let one = |(name, behind): (String, Vec<Member>)| pb::Waiting {
         name,
@@ -283,10 +367,17 @@
     let (new, instead) = (number(&asked.new), number(&asked.instead));
     let address = peers.with_peer(|p, _| p.others().find(|o| o.id == new).map(|o| o.address));
     match address {
-        Some(address) => Ok(Entry::Seat { new, address, instead }),
+        Some(address) => Ok(Entry::Seat {
+            new,
+            address,
+            instead,
+        }),
         None => Err((
             Code::NotFound,
-            format!("no front end named {:?} is there: start it with --state, then ask again", asked.new),
+            format!(
+                "no front end named {:?} is there: start it with --state, then ask again",
+                asked.new
+            ),
         )),
     }
 }
@@ -296,7 +387,10 @@
     let strict = peers.with_peer(|p, now| {
         let state = p.acting(now).state?;
         let all = changes(&p.setup().schema, &state.force.fields, fields);
-        let strict = all.into_iter().filter(|c| c.kind == Kind::Strict).map(|c| c.path);
+        let strict = all
+            .into_iter()
+            .filter(|c| c.kind == Kind::Strict)
+            .map(|c| c.path);
         Some(strict.collect::<Vec<_>>().join(", "))
     });
     match strict {
@@ -318,7 +412,10 @@
         };
         let (label, path) = log.program().unwrap_or_default();
         let reply = pb::RollReply {
-            roll: log.roll().and_then(|r| serde_json::to_string(r).ok()).unwrap_or_default(),
+            roll: log
+                .roll()
+                .and_then(|r| serde_json::to_string(r).ok())
+                .unwrap_or_default(),
             label: label.into(),
             path: path.into(),
             leads: p.log().is_some(),
@@ -333,7 +430,13 @@
     let mut reply = (peers.counts)();
     let l = peers.letters();
     let (taken, taken_bytes, sent, sent_bytes) = (l.taken, l.taken_bytes, l.sent, l.sent_bytes);
-    reply.letters = Some(pb::Letters { taken, taken_bytes, sent, sent_bytes, dropped: peers.dropped() });
+    reply.letters = Some(pb::Letters {
+        taken,
+        taken_bytes,
+        sent,
+        sent_bytes,
+        dropped: peers.dropped(),
+    });
     peers.with_peer(|p, now| {
         let (setup, acting) = (p.setup(), p.acting(now));
         reply.name = setup.name.clone();
@@ -341,8 +444,12 @@
         reply.ready = acting.lease > 0 && acting.stay > 0 && acting.state.is_some();
         reply.up = p.acts_for(now);
         reply.seat = p.seats().iter().any(|s| s.0 == setup.me.id);
-        let tries =
-            |s: &State| s.next.is_none() && s.trial.as_ref().is_some_and(|t| t.names.contains(&setup.name));
+        let tries = |s: &State| {
+            s.next.is_none()
+                && s.trial
+                    .as_ref()
+                    .is_some_and(|t| t.names.contains(&setup.name))
+        };
         reply.tries = acting.state.is_some_and(tries);
     });
     Ok(reply.encode_to_vec())
@@ -353,7 +460,10 @@
     same(peers, asked.fleet, fleet)?;
     peers.with_peer(|p, _| {
         let Some(log) = p.log() else {
-            let why = format!("this front end does not lead the fleet: ask {}", p.root_address());
+            let why = format!(
+                "this front end does not lead the fleet: ask {}",
+                p.root_address()
+            );
             return Err((Code::FailedPrecondition, why));
         };
         let s = log.state();
--- a/net/peers/tests/connections.rs
+++ b/net/peers/tests/connections.rs
@@ -28,7 +28,10 @@
     let mut event_loop: EventLoop<'static, ()> = EventLoop::try_new().expect("a loop");
     let spawner = Spawner::new(event_loop.handle()).expect("a spawner");
     let address = listener.local_addr().expect("an address");
-    let terms = Terms { span: 600_000, ppm: 1000 };
+    let terms = Terms {
+        span: 600_000,
+        ppm: 1000,
+    };
     let peer = tansy_peer::Setup {
         fleet: 1,
         name: "a".into(),
@@ -52,7 +55,9 @@
     };
     let _peers = Peers::start(spawner, listener, setup, Rc::new(|_, _| None)).expect("its place");
     while !over.load(Ordering::Relaxed) {
-        event_loop.dispatch(Some(Duration::from_millis(20)), &mut ()).expect("it goes on");
+        event_loop
+            .dispatch(Some(Duration::from_millis(20)), &mut ())
+            .expect("it goes on");
     }
 }
 
@@ -71,9 +76,19 @@
 fn a_seat_has_room_for_more_front_ends_than_two_thousand() {
     // Both ends are in this process, and a seat takes up half of its descriptors.
     let limit = getrlimit(Resource::Nofile);
-    setrlimit(Resource::Nofile, Rlimit { current: limit.maximum, ..limit }).expect("as many as are allowed");
+    setrlimit(
+        Resource::Nofile,
+        Rlimit {
+            current: limit.maximum,
+            ..limit
+        },
+    )
+    .expect("as many as are allowed");
     let least = 2 * FRONT_ENDS as u64 + 100;
-    assert!(limit.maximum.is_none_or(|n| n >= least), "want {least} descriptors, {limit:?} are allowed");
+    assert!(
+        limit.maximum.is_none_or(|n| n >= least),
+        "want {least} descriptors, {limit:?} are allowed"
+    );
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let over = Arc::new(AtomicBool::new(false));
@@ -81,7 +96,9 @@
     let seat = std::thread::spawn(move || serve(listener, &told));
     let mut held = Vec::new();
     for n in 0..FRONT_ENDS {
-        held.push(connect(address).unwrap_or_else(|e| panic!("front end {n} of {FRONT_ENDS}: {e}")));
+        held.push(
+            connect(address).unwrap_or_else(|e| panic!("front end {n} of {FRONT_ENDS}: {e}")),
+        );
     }
     over.store(true, Ordering::Relaxed);
     seat.join().expect("the seat ends");
--- a/net/platform/src/call.rs
+++ b/net/platform/src/call.rs
@@ -56,7 +56,10 @@
         let asked = &self.io.asked;
         let fields = asked.fields(setup.shapes.class(asked.class), (patience / 1000).max(1));
         let mut bytes = Vec::new();
-        tansy_resp::write(&mut bytes, &[b"fire", &asked.id, fields.as_bytes(), &self.io.body]);
+        tansy_resp::write(
+            &mut bytes,
+            &[b"fire", &asked.id, fields.as_bytes(), &self.io.body],
+        );
         bytes
     }
 }
--- a/net/platform/src/client.rs
+++ b/net/platform/src/client.rs
@@ -15,7 +15,10 @@
 use tansyrouter::Span;
 
 /// Bounds of one request: the page's 16 KiB of body, and a head well over any honest one.
-const REQUEST: Limits = Limits { head: 4 * 1024, body: 16 * 1024 };
+const REQUEST: Limits = Limits {
+    head: 4 * 1024,
+    body: 16 * 1024,
+};
 /// A connection's first request is whole by then: the page's 3 s, less the way of the answer.
 const FIRST_WITHIN: Duration = Duration::from_millis(2300);
 /// A request is whole so long after its first byte.
@@ -53,7 +56,12 @@
 impl Slot {
     fn new(socket: Rc<Socket>) -> Slot {
         let (answer, waker) = (RefCell::default(), RefCell::default());
-        Slot { answer, waker, socket, heard: Cell::new(Heard::Nothing) }
+        Slot {
+            answer,
+            waker,
+            socket,
+            heard: Cell::new(Heard::Nothing),
+        }
     }
 
     fn hear(&self, read: io::Result<usize>) -> Heard {
@@ -64,7 +72,11 @@
         };
         if heard != Heard::Nothing {
             self.heard.set(heard);
-            self.waker.borrow_mut().take().into_iter().for_each(Waker::wake);
+            self.waker
+                .borrow_mut()
+                .take()
+                .into_iter()
+                .for_each(Waker::wake);
         }
         heard
     }
@@ -79,7 +91,11 @@
     /// Gives the answer: status, advice to stay away (microseconds; 0: none) and body.
     pub fn give(&self, status: u16, stay_away: Span, body: Vec<u8>) {
         *self.answer.borrow_mut() = Some((status, stay_away, body));
-        self.waker.borrow_mut().take().into_iter().for_each(Waker::wake);
+        self.waker
+            .borrow_mut()
+            .take()
+            .into_iter()
+            .for_each(Waker::wake);
     }
     /// Ready: the answer, or what came from the client instead.
     fn poll(&self, cx: &Context<'_>) -> Poll<Result<Final, Heard>> {
@@ -121,7 +137,11 @@
 impl Client {
     /// One that has sent nothing yet.
     pub fn new() -> Rc<Client> {
-        let (phase, shed, waker) = (Cell::new(Phase::Silent), Cell::new(false), RefCell::new(None));
+        let (phase, shed, waker) = (
+            Cell::new(Phase::Silent),
+            Cell::new(false),
+            RefCell::new(None),
+        );
         Rc::new(Client { phase, shed, waker })
     }
 }
@@ -154,9 +174,20 @@
 
 impl Connection {
     /// One that was accepted; what the kernel held of it then can have come since `waits_since`.
-    pub fn new(clients: Rc<Clients>, client: Rc<Client>, socket: Socket, waits_since: Instant) -> Connection {
+    pub fn new(
+        clients: Rc<Clients>,
+        client: Rc<Client>,
+        socket: Socket,
+        waits_since: Instant,
+    ) -> Connection {
         let (accepted, arrived) = (Cell::new(Some(waits_since)), Cell::new(waits_since));
-        Connection { clients, client, socket: Rc::new(socket), accepted, arrived }
+        Connection {
+            clients,
+            client,
+            socket: Rc::new(socket),
+            accepted,
+            arrived,
+        }
     }
 
     fn hub(&self) -> &Rc<Hub> {
@@ -211,10 +242,19 @@
                 return Came::Gone(self.why_none(read.is_some(), first));
             }
         }
-        let whole = if first { rest.saturating_sub(began.elapsed()).max(LEAST_WHOLE) } else { WHOLE_WITHIN };
+        let whole = if first {
+            rest.saturating_sub(began.elapsed()).max(LEAST_WHOLE)
+        } else {
+            WHOLE_WITHIN
+        };
         let limit = self.hub().spawner.sleep(whole);
-        let late = BadCall { status: 408, what: "a request not whole in time" };
-        within(limit, self.request(reader)).await.unwrap_or(Came::Bad(late))
+        let late = BadCall {
+            status: 408,
+            what: "a request not whole in time",
+        };
+        within(limit, self.request(reader))
+            .await
+            .unwrap_or(Came::Bad(late))
     }
 
     /// The guard of closing: a connection is closed for its silence only if the kernel holds nothing of it either. Whether
@@ -256,8 +296,11 @@
 
     /// Writes an answer; whether it was taken.
     async fn give(&self, (status, wait, body): Final, keep: bool) -> bool {
-        let extra =
-            if wait > 0 { format!("Retry-After-Ms: {}\r\n", (wait + 999) / 1000) } else { String::new() };
+        let extra = if wait > 0 {
+            format!("Retry-After-Ms: {}\r\n", (wait + 999) / 1000)
+        } else {
+            String::new()
+        };
         let mut out = Vec::new();
         tansy_http1::answer(&mut out, status, &extra, &body, keep);
         self.write(&out).await
@@ -309,9 +352,10 @@
                         }
                     }
                     Ok(Some((Err(bad), _))) => Came::Bad(bad),
-                    Err(bad) => {
-                        Came::Bad(BadCall { status: bad.status(), what: "not a message of the protocol" })
-                    }
+                    Err(bad) => Came::Bad(BadCall {
+                        status: bad.status(),
+                        what: "not a message of the protocol",
+                    }),
                     Ok(None) => {
                         if share >= SHARE {
                             // The other connections come first.
@@ -345,12 +389,22 @@
             return if m.body.is_empty() {
                 Ok(Wanted::Alive)
             } else {
-                Err(BadCall { status: 400, what: "a body; want none" })
+                Err(BadCall {
+                    status: 400,
+                    what: "a body; want none",
+                })
             };
         }
-        let asked = self.hub().setup.shapes.read(m.method, m.target, |name| m.one(name))?;
+        let asked = self
+            .hub()
+            .setup
+            .shapes
+            .read(m.method, m.target, |name| m.one(name))?;
         if self.hub().is_open(&asked.id) {
-            return Err(BadCall { status: 409, what: "X-Request-Id of a request that is open" });
+            return Err(BadCall {
+                status: 409,
+                what: "X-Request-Id of a request that is open",
+            });
         }
         Ok(Wanted::Call(asked, m.body.to_vec()))
     }
@@ -365,11 +419,17 @@
             }
             true
         };
-        within(self.hub().spawner.sleep(TAKEN_WITHIN), written).await.unwrap_or(false)
+        within(self.hub().spawner.sleep(TAKEN_WITHIN), written)
+            .await
+            .unwrap_or(false)
     }
 
     async fn turn_away(&self, bad: BadCall) -> CloseReason {
-        tracing::debug!(status = bad.status, what = bad.what, "a client is turned away");
+        tracing::debug!(
+            status = bad.status,
+            what = bad.what,
+            "a client is turned away"
+        );
         let mut out = Vec::new();
         tansy_http1::answer(&mut out, bad.status, "", bad.what.as_bytes(), false);
         if self.write(&out).await {
--- a/net/platform/src/clients.rs
+++ b/net/platform/src/clients.rs
@@ -71,7 +71,9 @@
             inner.rest();
             Ok(PostAction::Disable)
         });
-        clients.token.set(Some(token.map_err(|e| io::Error::other(e.to_string()))?));
+        clients
+            .token
+            .set(Some(token.map_err(|e| io::Error::other(e.to_string()))?));
         Ok(clients)
     }
 
@@ -97,7 +99,8 @@
         self.closed.set(true);
         let accepted = self.accept();
         let open: Vec<_> = self.open.borrow().values().cloned().collect();
-        let waits = |c: &&Rc<Client>| matches!(c.phase.get(), Phase::Silent | Phase::Idle) && !c.shed.get();
+        let waits =
+            |c: &&Rc<Client>| matches!(c.phase.get(), Phase::Silent | Phase::Idle) && !c.shed.get();
         open.iter().filter(waits).for_each(|c| self.shed(c));
         if accepted != Accepted::All {
             return false;
@@ -120,7 +123,9 @@
     }
 
     fn accept_since(self: &Rc<Self>, waits_since: Instant) -> Accepted {
-        let Some(listener) = self.listener.borrow().clone() else { return Accepted::All };
+        let Some(listener) = self.listener.borrow().clone() else {
+            return Accepted::All;
+        };
         for _ in 0..ACCEPTS {
             if self.len() >= self.hub.setup.clients + self.shedding.get() && !self.make_room() {
                 return Accepted::Full;
@@ -153,13 +158,18 @@
     /// been in the making for longest, if that is long.
     fn make_room(&self) -> bool {
         let open = self.open.borrow();
-        let of = |phase| open.values().find(|c| c.phase.get() == phase && !c.shed.get());
+        let of = |phase| {
+            open.values()
+                .find(|c| c.phase.get() == phase && !c.shed.get())
+        };
         let half = || {
             let since = |c: &&Rc<Client>| match c.phase.get() {
                 Phase::Half(since) if !c.shed.get() && since.elapsed() >= HALF_FOR => Some(since),
                 _ => None,
             };
-            open.values().filter(|c| since(c).is_some()).min_by_key(since)
+            open.values()
+                .filter(|c| since(c).is_some())
+                .min_by_key(since)
         };
         let client = of(Phase::Silent).or_else(|| of(Phase::Idle)).or_else(half);
         client.map(|c| self.shed(c)).is_some()
@@ -168,7 +178,12 @@
     fn shed(&self, client: &Client) {
         client.shed.set(true);
         self.shedding.set(self.shedding.get() + 1);
-        client.waker.borrow_mut().take().into_iter().for_each(Waker::wake);
+        client
+            .waker
+            .borrow_mut()
+            .take()
+            .into_iter()
+            .for_each(Waker::wake);
     }
 
     /// A connection that was to be shed holds a request: it stays, and another has to go if there are too many.
@@ -187,7 +202,9 @@
             self.hub.spawner.spawn(async move {
                 clients.hub.spawner.sleep(REST).await;
                 clients.resting.set(false);
-                let Some(token) = clients.token.get() else { return };
+                let Some(token) = clients.token.get() else {
+                    return;
+                };
                 if let Err(e) = clients.hub.spawner.handle().enable(&token) {
                     tracing::warn!(error = %e, "accepting rests on");
                     clients.rest();
@@ -206,9 +223,15 @@
             let connection = Connection::new(clients.clone(), client.clone(), socket, waits_since);
             let reason = connection.run().await;
             clients.hub.reasons.closed(reason);
-            tracing::debug!(connection = id, reason = reason.as_str(), "a client's connection is closed");
+            tracing::debug!(
+                connection = id,
+                reason = reason.as_str(),
+                "a client's connection is closed"
+            );
             if client.shed.get() {
-                clients.shedding.set(clients.shedding.get().saturating_sub(1));
+                clients
+                    .shedding
+                    .set(clients.shedding.get().saturating_sub(1));
             }
             clients.open.borrow_mut().remove(&id);
         });
--- a/net/platform/src/connection.rs
+++ b/net/platform/src/connection.rs
@@ -18,7 +18,10 @@
 use tansy_resp::{Limits, Reader};
 
 /// Bytes of one answer's body, and of its other strings.
-const ANSWER: Limits = Limits { string: 256 * 1024, strings: 4 };
+const ANSWER: Limits = Limits {
+    string: 256 * 1024,
+    strings: 4,
+};
 /// Bytes read in one turn of the loop from one connection.
 const SHARE: usize = 64 * 1024;
 /// Bytes that may wait for the kernel on one connection; more means that the worker takes nothing.
@@ -90,7 +93,12 @@
             partial: false,
             waker: None,
         };
-        Connection { serial, worker: worker.to_string(), carries, state: RefCell::new(state) }
+        Connection {
+            serial,
+            worker: worker.to_string(),
+            carries,
+            state: RefCell::new(state),
+        }
     }
 
     /// Its number; never used twice.
@@ -149,7 +157,9 @@
         s.outbox.push(message, size);
         s.used = Instant::now();
         if s.outbox.bytes() > OUTBOX {
-            s.abort.get_or_insert(Seen::Cut { stage: Stage::Nothing });
+            s.abort.get_or_insert(Seen::Cut {
+                stage: Stage::Nothing,
+            });
         }
         drop(s);
         self.wake();
@@ -159,7 +169,11 @@
     pub fn fire(&self, attempt: Attempt) {
         let id = attempt.io.asked.id;
         let size = ATTEMPT + attempt.io.body.len();
-        let open = Open { what: attempt, left: false, at: Instant::now() };
+        let open = Open {
+            what: attempt,
+            left: false,
+            at: Instant::now(),
+        };
         self.state.borrow_mut().calls.insert(id, open);
         self.push(Message::Attempt(id), size);
     }
@@ -173,12 +187,22 @@
     /// Sends an order; its tag follows the first word.
     pub fn order(&self, order: OrderId, words: &[&str]) {
         let tag = format!("o{}", order.0);
-        let mut all: Vec<&[u8]> = vec![words.first().map_or(&b""[..], |w| w.as_bytes()), tag.as_bytes()];
+        let mut all: Vec<&[u8]> = vec![
+            words.first().map_or(&b""[..], |w| w.as_bytes()),
+            tag.as_bytes(),
+        ];
         all.extend(words.iter().skip(1).map(|w| w.as_bytes()));
         let mut bytes = Vec::new();
         tansy_resp::write(&mut bytes, &all);
         let size = bytes.len();
-        self.state.borrow_mut().orders.insert(order, Open { what: (), left: false, at: Instant::now() });
+        self.state.borrow_mut().orders.insert(
+            order,
+            Open {
+                what: (),
+                left: false,
+                at: Instant::now(),
+            },
+        );
         self.push(Message::Order(order, bytes), size);
     }
 
@@ -207,7 +231,11 @@
             return Ok(());
         }
         s.calls.remove(id);
-        Err(if s.up { Seen::NeverLeft } else { Seen::ConnectTimedOut })
+        Err(if s.up {
+            Seen::NeverLeft
+        } else {
+            Seen::ConnectTimedOut
+        })
     }
     /// Takes an order back if nothing of it has left; some: its end.
     pub fn recall(&self, order: OrderId) -> Option<Seen> {
@@ -246,8 +274,12 @@
         hub.hear_list();
         let waiting: Vec<RequestId> = self.state.borrow().outbox.attempts().collect();
         for id in waiting {
-            let Some(attempt) = self.state.borrow().calls.get(&id).map(|o| o.what.clone()) else { continue };
-            let Err(denied) = hub.may_send(&attempt) else { continue };
+            let Some(attempt) = self.state.borrow().calls.get(&id).map(|o| o.what.clone()) else {
+                continue;
+            };
+            let Err(denied) = hub.may_send(&attempt) else {
+                continue;
+            };
             // Its end may have taken it back already.
             let taken_back = {
                 let mut s = self.state.borrow_mut();
@@ -279,13 +311,16 @@
         let (calls, orders) = (&mut s.calls, &mut s.orders);
         // The same moment for all: what is told to a worker is checked against it.
         let now = hub.now();
-        let patience = |a: &Attempt| hub.with_front(|f| f.may_send(now, a.call, a.number)).unwrap_or(0);
+        let patience = |a: &Attempt| {
+            hub.with_front(|f| f.may_send(now, a.call, a.number))
+                .unwrap_or(0)
+        };
         let mut begun = Vec::new();
         let flushed = s.outbox.flush(
             |message| match message {
-                Message::Attempt(id) => {
-                    calls.get(id).map_or(Vec::new(), |o| o.what.encode(&hub.setup, patience(&o.what)))
-                }
+                Message::Attempt(id) => calls
+                    .get(id)
+                    .map_or(Vec::new(), |o| o.what.encode(&hub.setup, patience(&o.what))),
                 Message::Order(_, bytes) | Message::Plain(bytes) => bytes.clone(),
             },
             |message| begun.push(message.clone()),
@@ -294,12 +329,22 @@
         for message in begun {
             match message {
                 Message::Attempt(id) => {
-                    let Some(open) = calls.get_mut(&id) else { continue };
+                    let Some(open) = calls.get_mut(&id) else {
+                        continue;
+                    };
                     open.left = true;
-                    hub.sent(now, &open.what, &self.worker, patience(&open.what), self.serial);
+                    hub.sent(
+                        now,
+                        &open.what,
+                        &self.worker,
+                        patience(&open.what),
+                        self.serial,
+                    );
                 }
                 Message::Order(order, _) => {
-                    let Some(open) = orders.get_mut(&order) else { continue };
+                    let Some(open) = orders.get_mut(&order) else {
+                        continue;
+                    };
                     open.left = true;
                     hub.order_sent(order, &self.worker);
                 }
@@ -310,8 +355,16 @@
     }
 
     /// One turn: sends what waits, reads a share of what came.
-    fn poll(&self, hub: &Rc<Hub>, socket: &Socket, reader: &mut Reader, cx: &Context<'_>) -> Poll<Seen> {
-        let cut = Seen::Cut { stage: Stage::Nothing };
+    fn poll(
+        &self,
+        hub: &Rc<Hub>,
+        socket: &Socket,
+        reader: &mut Reader,
+        cx: &Context<'_>,
+    ) -> Poll<Seen> {
+        let cut = Seen::Cut {
+            stage: Stage::Nothing,
+        };
         {
             let mut s = self.state.borrow_mut();
             s.waker = Some(cx.waker().clone());
@@ -346,7 +399,11 @@
                 match reader.array() {
                     Ok(Some(strings)) => self.take(hub, &strings),
                     Ok(None) => break,
-                    Err(_) => return Poll::Ready(Seen::BadAnswer { stage: Stage::Headers }),
+                    Err(_) => {
+                        return Poll::Ready(Seen::BadAnswer {
+                            stage: Stage::Headers,
+                        })
+                    }
                 }
             }
             self.state.borrow_mut().partial = reader.partial();
@@ -369,8 +426,10 @@
         if let Some(open) = open {
             return hub.answered(&open.what, answered.seen, answered.told, body.to_vec());
         }
-        let order =
-            tag.strip_prefix(b"o").and_then(|t| std::str::from_utf8(t).ok()?.parse().ok()).map(OrderId);
+        let order = tag
+            .strip_prefix(b"o")
+            .and_then(|t| std::str::from_utf8(t).ok()?.parse().ok())
+            .map(OrderId);
         let order = order.filter(|o| take_left(&mut self.state.borrow_mut().orders, o).is_some());
         if let Some(order) = order {
             hub.order_ended(order, answered.seen, answered.told);
@@ -391,13 +450,26 @@
         calls.sort_by_key(|o| o.what.call);
         orders.sort_by_key(|(o, _)| *o);
         let connected = !matches!(seen, Seen::ConnectRefused | Seen::ConnectTimedOut);
-        let of = |left: bool| if connected && !left { Seen::NeverLeft } else { seen };
+        let of = |left: bool| {
+            if connected && !left {
+                Seen::NeverLeft
+            } else {
+                seen
+            }
+        };
         for open in calls {
-            hub.attempt_ended(open.what.call, open.what.number, of(open.left), Told::default());
+            hub.attempt_ended(
+                open.what.call,
+                open.what.number,
+                of(open.left),
+                Told::default(),
+            );
         }
         // Of an order whose connection ended nothing was heard, whatever ended the connection.
         let lost = |seen| match seen {
-            Seen::BadAnswer { .. } => Seen::Cut { stage: Stage::Nothing },
+            Seen::BadAnswer { .. } => Seen::Cut {
+                stage: Stage::Nothing,
+            },
             other => other,
         };
         for (order, open) in orders {
@@ -407,7 +479,10 @@
 }
 
 /// Takes what is open under this name. What has not left can't have been answered: that is noise.
-fn take_left<K: Eq + std::hash::Hash, T>(open: &mut HashMap<K, Open<T>>, name: &K) -> Option<Open<T>> {
+fn take_left<K: Eq + std::hash::Hash, T>(
+    open: &mut HashMap<K, Open<T>>,
+    name: &K,
+) -> Option<Open<T>> {
     open.get(name).filter(|o| o.left)?;
     open.remove(name)
 }
@@ -415,7 +490,8 @@
 /// Drives one connection from its making to its end.
 pub async fn drive(hub: Rc<Hub>, address: SocketAddr, connection: Rc<Connection>) {
     let seen = run(&hub, address, &connection).await;
-    hub.worker_connections.set(hub.worker_connections.get().saturating_sub(1));
+    hub.worker_connections
+        .set(hub.worker_connections.get().saturating_sub(1));
     connection.end(&hub, seen);
 }
 
--- a/net/platform/src/coordinator.rs
+++ b/net/platform/src/coordinator.rs
@@ -15,7 +15,10 @@
 use tansy_platform::{List, Updates};
 
 /// Bounds of one reply: an outage and a roll of some thousand workers leave some megabytes of events.
-const REPLY: Limits = Limits { head: 8 * 1024, body: 4 * 1024 * 1024 };
+const REPLY: Limits = Limits {
+    head: 8 * 1024,
+    body: 4 * 1024 * 1024,
+};
 /// The coordinator may hold a poll for so long, ...
 const WAIT: Duration = Duration::from_millis(1000);
 /// ... and its reply is whole so much later: then the next is asked on another connection.
@@ -62,7 +65,12 @@
 
 impl Coordinator {
     /// Starts with the events that are known.
-    pub fn start(hub: Rc<Hub>, list: List, address: SocketAddr, known: &Updates) -> Rc<Coordinator> {
+    pub fn start(
+        hub: Rc<Hub>,
+        list: List,
+        address: SocketAddr,
+        known: &Updates,
+    ) -> Rc<Coordinator> {
         let c = Rc::new(Coordinator {
             hub,
             list: RefCell::new(list),
@@ -75,7 +83,9 @@
         c.take(known);
         let (task, early) = (c.clone(), Rc::downgrade(&c));
         c.hub.spawner.spawn(async move { task.run().await });
-        c.hub.watch(Rc::new(move || early.upgrade().into_iter().for_each(|c| c.hear())));
+        c.hub.watch(Rc::new(move || {
+            early.upgrade().into_iter().for_each(|c| c.hear())
+        }));
         c
     }
 
@@ -100,7 +110,10 @@
     /// Whether there was a later event.
     fn take(&self, updates: &Updates) -> bool {
         let before = self.index();
-        let changes = self.list.borrow_mut().take(updates, self.hub.unix.earliest_ms());
+        let changes = self
+            .list
+            .borrow_mut()
+            .take(updates, self.hub.unix.earliest_ms());
         for (whole, list) in changes {
             self.hub.list(whole, list);
         }
@@ -145,7 +158,8 @@
         moves: u64,
         pause: &mut Duration,
     ) -> Result<(), String> {
-        let socket = Socket::connect(self.hub.spawner.handle(), address).map_err(|e| e.to_string())?;
+        let socket =
+            Socket::connect(self.hub.spawner.handle(), address).map_err(|e| e.to_string())?;
         let limit = self.hub.spawner.sleep(self.hub.setup.connect_within);
         let up = self.unless_moved(moves, |cx| socket.poll_connected(cx));
         match within(limit, up).await {
@@ -153,11 +167,19 @@
             Some(None) => return Ok(()),
             Some(Some(up)) => up.map_err(|e| e.to_string())?,
         }
-        *self.watch.borrow_mut() = Some(Watch { socket, reader: Reader::answers(REPLY), ended: None });
+        *self.watch.borrow_mut() = Some(Watch {
+            socket,
+            reader: Reader::answers(REPLY),
+            ended: None,
+        });
         loop {
             let began = Instant::now();
             let mut out = Vec::new();
-            let target = format!("/v2/stream?follow={}&wait_ms={}", self.index(), WAIT.as_millis());
+            let target = format!(
+                "/v2/stream?follow={}&wait_ms={}",
+                self.index(),
+                WAIT.as_millis()
+            );
             tansy_http1::get(&mut out, &target, &address.to_string());
             let limit = self.hub.spawner.sleep(WAIT + LATE);
             let reply = match within(limit, self.exchange(&out, moves)).await {
@@ -188,7 +210,9 @@
         let coordinator = self.clone();
         self.hub.spawner.spawn(async move {
             let reply = coordinator.unless_moved(moves, |cx| {
-                coordinator.poll_reply(&coordinator.overdue, |w, buffer| w.socket.poll_read(cx, buffer))
+                coordinator.poll_reply(&coordinator.overdue, |w, buffer| {
+                    w.socket.poll_read(cx, buffer)
+                })
             });
             let limit = coordinator.hub.spawner.sleep(OVERDUE_WITHIN);
             let answered = matches!(within(limit, reply).await, Some(Some(Ok(_))));
@@ -210,8 +234,9 @@
                 Err(e) => return Some(Err(e.to_string())),
             }
         }
-        let read =
-            |cx: &Context<'_>| self.poll_reply(&self.watch, |w, buffer| w.socket.poll_read(cx, buffer));
+        let read = |cx: &Context<'_>| {
+            self.poll_reply(&self.watch, |w, buffer| w.socket.poll_read(cx, buffer))
+        };
         self.unless_moved(moves, read).await
     }
 
@@ -225,7 +250,9 @@
         loop {
             let updates = {
                 let mut watch = watch.borrow_mut();
-                let Some(w) = watch.as_mut() else { return Poll::Ready(Err("no connection".into())) };
+                let Some(w) = watch.as_mut() else {
+                    return Poll::Ready(Err("no connection".into()));
+                };
                 if let Some(ended) = w.ended.take() {
                     return Poll::Ready(ended);
                 }
@@ -235,7 +262,9 @@
                     Err(e) => return Poll::Ready(Err(e.to_string())),
                 }
                 let parsed = w.reader.message(|m| match m.status {
-                    200 => serde_json::from_slice(m.body).map(|u| (u, m.keep)).map_err(|e| e.to_string()),
+                    200 => serde_json::from_slice(m.body)
+                        .map(|u| (u, m.keep))
+                        .map_err(|e| e.to_string()),
                     other => Err(format!("status {other}")),
                 });
                 match parsed {
@@ -247,7 +276,10 @@
                     Err(e) => Err(e.to_string()),
                 }
             };
-            let taken = |(updates, keep): (Updates, bool)| Reply { keep, news: self.take(&updates) };
+            let taken = |(updates, keep): (Updates, bool)| Reply {
+                keep,
+                news: self.take(&updates),
+            };
             return Poll::Ready(updates.map(taken));
         }
     }
@@ -279,7 +311,11 @@
     }
 
     /// The poll's outcome, or none once the address has changed.
-    async fn unless_moved<T>(&self, moves: u64, mut poll: impl FnMut(&Context<'_>) -> Poll<T>) -> Option<T> {
+    async fn unless_moved<T>(
+        &self,
+        moves: u64,
+        mut poll: impl FnMut(&Context<'_>) -> Poll<T>,
+    ) -> Option<T> {
         poll_fn(|cx| {
             if self.moves.get() != moves {
                 return Poll::Ready(None);
--- a/net/platform/src/hub.rs
+++ b/net/platform/src/hub.rs
@@ -12,7 +12,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tansy_front::{
-    Account, Answer, Call, CallId, Command, Denied, Front, Input, Invariants, OrderId, Seen, Told, Violation,
+    Account, Answer, Call, CallId, Command, Denied, Front, Input, Invariants, OrderId, Seen, Told,
+    Violation,
 };
 use tansy_net_sockets::clock::UnixClock;
 use tansy_net_sockets::lag::Lag;
@@ -116,7 +117,9 @@
     pub fn sleep(&self) -> Option<Duration> {
         let due = self.state.borrow().front.next_due()?;
         // A little past it, so that the wheel's tick has begun.
-        Some(Duration::from_micros(due.since(self.now()).max(0) as u64 + 50))
+        Some(Duration::from_micros(
+            due.since(self.now()).max(0) as u64 + 50,
+        ))
     }
     /// A turn of the loop has ended: the ledger's timers run if one is due.
     pub fn tick(self: &Rc<Self>) {
@@ -137,7 +140,12 @@
     /// Sizes of what is held, for logs and tests: calls, ids, orders, links.
     pub fn held(&self) -> [usize; 4] {
         let s = self.state.borrow();
-        [s.calls.len().max(s.attempts.len()), s.open.len(), s.orders.len(), s.links.len()]
+        [
+            s.calls.len().max(s.attempts.len()),
+            s.open.len(),
+            s.orders.len(),
+            s.links.len(),
+        ]
     }
 
     /// Changes of the list of workers.
@@ -156,7 +164,11 @@
             tracing::debug!(worker = %l.name, state = l.state, age = ?l.age, "a worker is listed");
             self.invariants.borrow_mut().worker(&l.name, l.state == 0);
         }
-        let gone: Vec<String> = list.iter().filter(|l| l.state > 1).map(|l| l.name.clone()).collect();
+        let gone: Vec<String> = list
+            .iter()
+            .filter(|l| l.state > 1)
+            .map(|l| l.name.clone())
+            .collect();
         self.feed(Input::Workers { whole, list });
         let mut s = self.state.borrow_mut();
         for name in gone {
@@ -170,7 +182,13 @@
     }
 
     /// Takes a call that came whole at `arrived`; its answer comes to its slot.
-    pub fn call(self: &Rc<Self>, asked: Asked, body: Vec<u8>, arrived: Instant, slot: &Rc<Slot>) -> CallId {
+    pub fn call(
+        self: &Rc<Self>,
+        asked: Asked,
+        body: Vec<u8>,
+        arrived: Instant,
+        slot: &Rc<Slot>,
+    ) -> CallId {
         let taken = Instant::now();
         let waited = Span::try_from(taken.duration_since(arrived).as_micros()).unwrap_or(Span::MAX);
         let now = self.now();
@@ -203,7 +221,12 @@
             waited,
             taken,
         };
-        tracing::debug!(request = io.request(), call = id.0, waited, "a request is taken");
+        tracing::debug!(
+            request = io.request(),
+            call = id.0,
+            waited,
+            "a request is taken"
+        );
         s.calls.insert(id, Rc::new(io));
         drop(s);
         self.invariants.borrow_mut().taken(id, effect, deadline);
@@ -262,7 +285,12 @@
 
     fn carry_out(self: &Rc<Self>, command: Command) {
         match command {
-            Command::Open { call, attempt, worker, .. } => self.open(call, attempt, &worker),
+            Command::Open {
+                call,
+                attempt,
+                worker,
+                ..
+            } => self.open(call, attempt, &worker),
             Command::Withdraw { call, attempt } => {
                 let conn = self.attempt(call);
                 if let Some((io, conn)) = conn {
@@ -272,7 +300,9 @@
                 }
             }
             Command::Confirm { call, attempt } => {
-                let Some((io, conn)) = self.attempt(call) else { return };
+                let Some((io, conn)) = self.attempt(call) else {
+                    return;
+                };
                 match conn.confirm(&io.asked.id) {
                     Ok(()) => self.feed(Input::Opened { call, attempt }),
                     Err(seen) => self.attempt_ended(call, attempt, seen, Told::default()),
@@ -282,11 +312,20 @@
             Command::Pass { .. } => {}
             Command::Answer { call, answer } => self.answer(call, answer),
             Command::Probe { order, worker } => self.order(order, &worker, &["there"]),
-            Command::Load { order, worker, function, instances } => {
+            Command::Load {
+                order,
+                worker,
+                function,
+                instances,
+            } => {
                 let fields = format!("asset={function},replicas={instances}");
                 self.order(order, &worker, &["provision", &fields]);
             }
-            Command::Unload { order, worker, function } => {
+            Command::Unload {
+                order,
+                worker,
+                function,
+            } => {
                 if let Some(conn) = self.link(&worker).and_then(|l| l.pick_for_order(self)) {
                     conn.tell(&[b"retire", function.as_bytes()]);
                 }
@@ -319,7 +358,12 @@
                     link.retire();
                 }
             }
-            Command::Tell { worker, function, seen, count } => {
+            Command::Tell {
+                worker,
+                function,
+                seen,
+                count,
+            } => {
                 tracing::warn!(%worker, %function, status = %seen, count, "a load order left no instance");
             }
             // The list comes unasked.
@@ -337,7 +381,12 @@
         });
         let Some((io, connection)) = io.zip(connection) else {
             let (seen, told) = (Seen::NeverLeft, Told::default());
-            return self.feed(Input::Ended { call, attempt: number, seen, told });
+            return self.feed(Input::Ended {
+                call,
+                attempt: number,
+                seen,
+                told,
+            });
         };
         if let Some(last) = io.last_end.get() {
             self.reasons.repeated(last);
@@ -360,16 +409,34 @@
             let reason = RefusalReason::of(attempts, io.waited, io.asked.budget);
             self.reasons.refused(reason);
             let reason = reason.as_str();
-            tracing::debug!(request = io.request(), reason, attempts, ?last, after_ms, "refused");
+            tracing::debug!(
+                request = io.request(),
+                reason,
+                attempts,
+                ?last,
+                after_ms,
+                "refused"
+            );
         } else {
-            tracing::debug!(request = io.request(), ?answer, attempts, ?last, after_ms, "answered");
+            tracing::debug!(
+                request = io.request(),
+                ?answer,
+                attempts,
+                ?last,
+                after_ms,
+                "answered"
+            );
         }
         finish(&io, answer);
     }
 
     fn violated(&self, violations: &[Violation], call: CallId) {
         for violation in violations {
-            tracing::error!(?violation, call = call.0, "a rule does not hold: a defect of this program");
+            tracing::error!(
+                ?violation,
+                call = call.0,
+                "a rule does not hold: a defect of this program"
+            );
         }
     }
     /// Violations of the rules that were counted.
@@ -386,7 +453,10 @@
     fn link(self: &Rc<Self>, worker: &str) -> Option<Rc<Link>> {
         let mut s = self.state.borrow_mut();
         let address = *s.addresses.get(worker)?;
-        let link = s.links.entry(worker.to_string()).or_insert_with(|| Link::new(worker, address));
+        let link = s
+            .links
+            .entry(worker.to_string())
+            .or_insert_with(|| Link::new(worker, address));
         Some(link.clone())
     }
 
@@ -411,14 +481,34 @@
     /// An attempt was taken back as it was about to leave.
     pub fn held_back(self: &Rc<Self>, attempt: &Attempt, denied: Denied) {
         let reason = denied.as_str();
-        tracing::debug!(request = attempt.io.request(), attempt = attempt.number, reason, "held back");
-        self.attempt_ended(attempt.call, attempt.number, Seen::NeverLeft, Told::default());
+        tracing::debug!(
+            request = attempt.io.request(),
+            attempt = attempt.number,
+            reason,
+            "held back"
+        );
+        self.attempt_ended(
+            attempt.call,
+            attempt.number,
+            Seen::NeverLeft,
+            Told::default(),
+        );
     }
     /// The first byte of an attempt has left.
-    pub fn sent(&self, now: Time, attempt: &Attempt, worker: &str, patience: Span, connection: u64) {
+    pub fn sent(
+        &self,
+        now: Time,
+        attempt: &Attempt,
+        worker: &str,
+        patience: Span,
+        connection: u64,
+    ) {
         let (request, number) = (attempt.io.request(), attempt.number);
         tracing::debug!(request, attempt = number, %worker, patience, connection, "sent");
-        let violated = self.invariants.borrow_mut().sent(now, attempt.call, worker, patience);
+        let violated = self
+            .invariants
+            .borrow_mut()
+            .sent(now, attempt.call, worker, patience);
         self.violated(&violated, attempt.call);
     }
     /// The first byte of an order has left.
@@ -443,14 +533,21 @@
     }
     /// An attempt has ended.
     pub fn attempt_ended(self: &Rc<Self>, call: CallId, attempt: u32, seen: Seen, told: Told) {
-        let never_ran = tansy_front::outcome::verdict(seen, &told).outcome.never_ran();
+        let never_ran = tansy_front::outcome::verdict(seen, &told)
+            .outcome
+            .never_ran();
         self.invariants.borrow_mut().ended(call, never_ran);
         if let Some(io) = self.state.borrow_mut().attempts.remove(&call) {
             tracing::debug!(request = io.request(), attempt, seen = %seen, never_ran, "an attempt has ended");
             io.at.borrow_mut().take();
             io.last_end.set(Some(seen));
         }
-        self.feed(Input::Ended { call, attempt, seen, told });
+        self.feed(Input::Ended {
+            call,
+            attempt,
+            seen,
+            told,
+        });
     }
     /// An order has ended.
     pub fn order_ended(self: &Rc<Self>, order: OrderId, seen: Seen, told: Told) {
--- a/net/platform/src/link.rs
+++ b/net/platform/src/link.rs
@@ -20,12 +20,23 @@
 impl Link {
     /// Without a connection yet.
     pub fn new(worker: &str, address: SocketAddr) -> Rc<Link> {
-        Rc::new(Link { worker: worker.to_string(), address, connections: RefCell::new(Vec::new()) })
+        Rc::new(Link {
+            worker: worker.to_string(),
+            address,
+            connections: RefCell::new(Vec::new()),
+        })
     }
 
     /// A connection for one more attempt at a call, none of those it used before; made if there is none. None: no room.
-    pub fn pick_for(self: &Rc<Self>, hub: &Rc<Hub>, id: &RequestId, used: &[u64]) -> Option<Rc<Connection>> {
-        self.pick(hub, Carries::Calls, |c| !used.contains(&c.serial()) && !c.gave_up(id))
+    pub fn pick_for(
+        self: &Rc<Self>,
+        hub: &Rc<Hub>,
+        id: &RequestId,
+        used: &[u64],
+    ) -> Option<Rc<Connection>> {
+        self.pick(hub, Carries::Calls, |c| {
+            !used.contains(&c.serial()) && !c.gave_up(id)
+        })
     }
     /// A connection for one more order; made if there is none. None: no room.
     pub fn pick_for_order(self: &Rc<Self>, hub: &Rc<Hub>) -> Option<Rc<Connection>> {
@@ -50,13 +61,18 @@
         let connection = Rc::new(Connection::new(hub.next_serial(), &self.worker, carries));
         self.connections.borrow_mut().push(connection.clone());
         hub.worker_connections.set(hub.worker_connections.get() + 1);
-        hub.spawner.spawn(drive(hub.clone(), self.address, connection.clone()));
+        hub.spawner
+            .spawn(drive(hub.clone(), self.address, connection.clone()));
         Some(connection)
     }
 
     /// Ends all connections at once.
     pub fn drop_now(&self) {
-        self.connections.borrow().iter().for_each(|c| c.abort(Seen::Cut { stage: Stage::Nothing }));
+        self.connections.borrow().iter().for_each(|c| {
+            c.abort(Seen::Cut {
+                stage: Stage::Nothing,
+            })
+        });
     }
     /// The worker has left: its connections close once nothing is open on them.
     pub fn retire(&self) {
@@ -72,7 +88,9 @@
     pub fn look_over(&self, setup: &Setup) {
         for connection in self.connections.borrow().iter() {
             if connection.stopped_short(setup.connect_within) {
-                connection.abort(Seen::BadAnswer { stage: Stage::Headers });
+                connection.abort(Seen::BadAnswer {
+                    stage: Stage::Headers,
+                });
             } else if connection.idle_for(fresh_for(setup)) {
                 connection.retire();
             }
--- a/net/platform/src/outbox.rs
+++ b/net/platform/src/outbox.rs
@@ -77,7 +77,9 @@
     }
 
     fn remove(&mut self, is: impl Fn(&Message) -> bool) -> bool {
-        let Some(at) = self.waiting.iter().position(|w| is(&w.message)) else { return false };
+        let Some(at) = self.waiting.iter().position(|w| is(&w.message)) else {
+            return false;
+        };
         if let Some(gone) = self.waiting.remove(at) {
             self.bytes -= gone.size;
         }
--- a/net/platform/src/reasons.rs
+++ b/net/platform/src/reasons.rs
@@ -61,8 +61,11 @@
 }
 
 impl RefusalReason {
-    const ALL: [RefusalReason; 3] =
-        [RefusalReason::TooLate, RefusalReason::NeverSent, RefusalReason::NoneRan];
+    const ALL: [RefusalReason; 3] = [
+        RefusalReason::TooLate,
+        RefusalReason::NeverSent,
+        RefusalReason::NoneRan,
+    ];
 
     /// By the attempts made, and the time waited and given, microseconds.
     pub fn of(attempts: usize, waited: Span, budget: Span) -> RefusalReason {
@@ -113,7 +116,11 @@
     }
     /// A connection to a worker has ended so.
     pub fn disconnected(&self, seen: Seen) {
-        *self.disconnected.borrow_mut().entry(label(seen)).or_default() += 1;
+        *self
+            .disconnected
+            .borrow_mut()
+            .entry(label(seen))
+            .or_default() += 1;
     }
 }
 
@@ -124,8 +131,14 @@
 
 impl std::fmt::Display for Reasons {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let closed = CloseReason::ALL.iter().zip(&self.closed).map(|(r, n)| (r.as_str(), n.get()));
-        let refused = RefusalReason::ALL.iter().zip(&self.refused).map(|(r, n)| (r.as_str(), n.get()));
+        let closed = CloseReason::ALL
+            .iter()
+            .zip(&self.closed)
+            .map(|(r, n)| (r.as_str(), n.get()));
+        let refused = RefusalReason::ALL
+            .iter()
+            .zip(&self.refused)
+            .map(|(r, n)| (r.as_str(), n.get()));
         for (reason, n) in closed.filter(|c| c.1 > 0) {
             write!(f, "closed.{reason}={n} ")?;
         }
--- a/net/platform/src/setup.rs
+++ b/net/platform/src/setup.rs
@@ -32,7 +32,12 @@
     pub fn new(config: &tansy_platform::Config, descriptors: usize) -> Setup {
         let conf = &config.settings;
         let span = |s: f64, least: f64| Duration::from_secs_f64(s.clamp(least, 3600.0));
-        let free = config.limits.sockets.min(descriptors).saturating_sub(RESERVED).max(16);
+        let free = config
+            .limits
+            .sockets
+            .min(descriptors)
+            .saturating_sub(RESERVED)
+            .max(16);
         Setup {
             shapes: Shapes::new(conf),
             crowd: conf.specifics.tells_crowd,
--- a/net/platform/tests/outbox.rs
+++ b/net/platform/tests/outbox.rs
@@ -27,7 +27,9 @@
         room -= n;
         Poll::Ready(Ok(n))
     };
-    outbox.flush(encode, |m| began.push(m.clone()), write).expect("no error");
+    outbox
+        .flush(encode, |m| began.push(m.clone()), write)
+        .expect("no error");
     (taken, began)
 }
 
@@ -41,7 +43,11 @@
         let whole: Vec<u8> = [&FIRST[..], b"12345678", &SECOND[..]].concat();
         let (taken, began) = flush(&mut outbox, room);
         assert_eq!(taken, whole[..room], "room {room}");
-        assert_eq!(began.len(), [0, 16, 24].iter().filter(|start| **start < room).count(), "room {room}");
+        assert_eq!(
+            began.len(),
+            [0, 16, 24].iter().filter(|start| **start < room).count(),
+            "room {room}"
+        );
         assert_eq!(outbox.take_back(&FIRST), room == 0, "room {room}");
         assert_eq!(outbox.take_back(&SECOND), room <= 24, "room {room}");
         // What had begun is finished, and nothing that was taken back leaves.
@@ -81,7 +87,9 @@
         taken.extend_from_slice(bytes);
         Poll::Ready(Ok(bytes.len()))
     };
-    outbox.flush(none, |_| began += 1, write).expect("nothing to write is no error");
+    outbox
+        .flush(none, |_| began += 1, write)
+        .expect("nothing to write is no error");
     assert!(outbox.is_empty() && taken.is_empty());
     assert_eq!((began, outbox.bytes()), (0, 0));
 }
--- a/net/sockets/src/clock.rs
+++ b/net/sockets/src/clock.rs
@@ -15,7 +15,10 @@
 impl UnixClock {
     /// From now on.
     pub fn new() -> UnixClock {
-        UnixClock { start: Instant::now(), start_ms: system_ms() }
+        UnixClock {
+            start: Instant::now(),
+            start_ms: system_ms(),
+        }
     }
     /// Milliseconds of the Unix clock, rather too early than too late.
     pub fn earliest_ms(&self) -> f64 {
@@ -26,7 +29,9 @@
 
 /// What the system's clock says, milliseconds.
 fn system_ms() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1e3)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0.0, |d| d.as_secs_f64() * 1e3)
 }
 
 impl Default for UnixClock {
@@ -39,5 +44,7 @@
 /// all processes of one machine until that starts anew.
 pub fn now() -> i64 {
     let t = clock_gettime(ClockId::Boottime);
-    t.tv_sec.saturating_mul(1_000_000).saturating_add(t.tv_nsec / 1000)
+    t.tv_sec
+        .saturating_mul(1_000_000)
+        .saturating_add(t.tv_nsec / 1000)
 }
--- a/net/sockets/src/interrupt.rs
+++ b/net/sockets/src/interrupt.rs
@@ -17,7 +17,10 @@
     while let Some(e) = cause {
         let kind = e.downcast_ref::<io::Error>().map(io::Error::kind);
         let kind = kind.or_else(|| e.downcast_ref::<rustix::io::Errno>().map(|e| e.kind()));
-        if matches!(kind, Some(io::ErrorKind::Interrupted | io::ErrorKind::WouldBlock)) {
+        if matches!(
+            kind,
+            Some(io::ErrorKind::Interrupted | io::ErrorKind::WouldBlock)
+        ) {
             return true;
         }
         cause = e.source();
--- a/net/sockets/src/lag.rs
+++ b/net/sockets/src/lag.rs
@@ -58,7 +58,8 @@
     }
 
     fn fell_behind(&self, since: Instant) {
-        self.behind_since.set(self.behind_since.get().or(Some(since)));
+        self.behind_since
+            .set(self.behind_since.get().or(Some(since)));
         self.turns.set(TURNS);
     }
 
--- a/net/sockets/src/lib.rs
+++ b/net/sockets/src/lib.rs
@@ -38,7 +38,11 @@
         let inserted = handle.insert_source(Uninterrupted(executor), |(), _, _| {});
         inserted.map_err(|e| std::io::Error::other(e.to_string()))?;
         let timers = Timers::new(handle.clone())?;
-        Ok(Spawner { handle, scheduler, timers })
+        Ok(Spawner {
+            handle,
+            scheduler,
+            timers,
+        })
     }
     /// Runs a task on the loop until it ends.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
--- a/net/sockets/src/socket.rs
+++ b/net/sockets/src/socket.rs
@@ -23,7 +23,11 @@
 impl Side {
     fn rouse(&self) {
         self.ready.set(true);
-        self.waker.borrow_mut().take().into_iter().for_each(Waker::wake);
+        self.waker
+            .borrow_mut()
+            .take()
+            .into_iter()
+            .for_each(Waker::wake);
     }
     fn wait(&self, cx: &Context<'_>) {
         let mut waker = self.waker.borrow_mut();
@@ -32,7 +36,11 @@
         }
     }
     /// Runs a system call while the socket may be ready.
-    fn poll<T>(&self, cx: &Context<'_>, mut call: impl FnMut() -> io::Result<T>) -> Poll<io::Result<T>> {
+    fn poll<T>(
+        &self,
+        cx: &Context<'_>,
+        mut call: impl FnMut() -> io::Result<T>,
+    ) -> Poll<io::Result<T>> {
         while self.ready.get() {
             match call() {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.ready.set(false),
@@ -50,7 +58,8 @@
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => {
                     // What comes after this is told anew.
-                    self.ready.set(self.ready.get() && e.kind() != io::ErrorKind::WouldBlock);
+                    self.ready
+                        .set(self.ready.get() && e.kind() != io::ErrorKind::WouldBlock);
                     return Err(e);
                 }
                 done => return done,
@@ -98,7 +107,12 @@
             Ok(PostAction::Continue)
         });
         let token = token.map_err(|e| io::Error::other(e.to_string()))?;
-        Ok(Socket { socket, sides, handle: handle.clone(), token })
+        Ok(Socket {
+            socket,
+            sides,
+            handle: handle.clone(),
+            token,
+        })
     }
 
     /// The socket itself.
@@ -156,7 +170,8 @@
 
 /// Whether an error says that there is no descriptor left.
 pub fn no_descriptor(e: &io::Error) -> bool {
-    e.raw_os_error().is_some_and(|code| NO_DESCRIPTOR.contains(&code))
+    e.raw_os_error()
+        .is_some_and(|code| NO_DESCRIPTOR.contains(&code))
 }
 
 /// Whether an error at a start may pass by itself.
@@ -166,7 +181,11 @@
 
 /// Tries again what failed with an error that may pass, until it has done so for `within`; the first error is told with what it
 /// was of.
-pub fn retry<T>(within: Duration, what: &str, mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry<T>(
+    within: Duration,
+    what: &str,
+    mut attempt: impl FnMut() -> io::Result<T>,
+) -> io::Result<T> {
     let began = Instant::now();
     let mut told = false;
     loop {
@@ -185,7 +204,11 @@
 impl Socket {
     /// A socket that connects, or has failed to begin: [`Socket::poll_connected`] tells.
     pub fn connect(handle: &LoopHandle<'static, ()>, address: SocketAddr) -> io::Result<Socket> {
-        let domain = if address.is_ipv6() { Domain::IPV6 } else { Domain::IPV4 };
+        let domain = if address.is_ipv6() {
+            Domain::IPV6
+        } else {
+            Domain::IPV4
+        };
         let socket = socket2::Socket::new(domain, Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
@@ -193,7 +216,9 @@
         let mut begun = socket.connect(&address.into());
         for _ in 0..INTERRUPTIONS {
             match &begun {
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => begun = socket.connect(&address.into()),
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {
+                    begun = socket.connect(&address.into())
+                }
                 _ => break,
             }
         }
@@ -218,7 +243,11 @@
 
 /// A listening socket; `shared` lets several processes take connections from one port.
 pub fn listen(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
-    let domain = if address.is_ipv6() { Domain::IPV6 } else { Domain::IPV4 };
+    let domain = if address.is_ipv6() {
+        Domain::IPV6
+    } else {
+        Domain::IPV4
+    };
     let socket = socket2::Socket::new(domain, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     if shared {
--- a/net/sockets/src/timers.rs
+++ b/net/sockets/src/timers.rs
@@ -65,7 +65,10 @@
         if self.armed.get().is_none_or(|t| at < t) {
             self.arm(at);
         }
-        Sleep { timers: self.clone(), handle }
+        Sleep {
+            timers: self.clone(),
+            handle,
+        }
     }
 
     /// How long the loop may wait for the next of them.
@@ -86,7 +89,9 @@
     fn instant(&self, at: i64) -> Instant {
         // The tick after it has begun by then. What can't be said in the clock's range is looked at in a day.
         let span = Duration::from_micros(at.saturating_add(TICK).max(0) as u64);
-        self.epoch.checked_add(span).unwrap_or_else(|| Instant::now() + Duration::from_secs(86_400))
+        self.epoch
+            .checked_add(span)
+            .unwrap_or_else(|| Instant::now() + Duration::from_secs(86_400))
     }
 
     /// Wakes what is due; the loop's timer runs again at the next.
@@ -149,7 +154,9 @@
     fn run(event_loop: &mut EventLoop<'static, ()>, done: &Cell<bool>, seconds: u64) {
         let until = Instant::now() + Duration::from_secs(seconds);
         while !done.get() && Instant::now() < until {
-            event_loop.dispatch(Some(Duration::from_millis(100)), &mut ()).unwrap();
+            event_loop
+                .dispatch(Some(Duration::from_millis(100)), &mut ())
+                .unwrap();
         }
         assert!(done.get(), "not done in {seconds} s");
     }
@@ -165,7 +172,10 @@
             spawner.spawn(async move {
                 let began = Instant::now();
                 s.sleep(Duration::from_millis(ms)).await;
-                assert!(began.elapsed() >= Duration::from_millis(ms), "{ms} ms ended early");
+                assert!(
+                    began.elapsed() >= Duration::from_millis(ms),
+                    "{ms} ms ended early"
+                );
                 ended.borrow_mut().push(ms);
                 done.set(ended.borrow().len() == 6);
             });
--- a/net/sockets/tests/lag.rs
+++ b/net/sockets/tests/lag.rs
@@ -68,7 +68,11 @@
     lag.turn_ends(start + 5 * MS);
     let woken = start + 500 * MS;
     lag.turn_begins(woken, 10 * MS);
-    assert_eq!(lag.arrived(woken + MS), start + 5 * MS, "in the turn after the stop");
+    assert_eq!(
+        lag.arrived(woken + MS),
+        start + 5 * MS,
+        "in the turn after the stop"
+    );
     lag.turn_ends(woken + MS);
     lag.turn_begins(woken + MS, Duration::ZERO);
     assert_eq!(lag.arrived(woken + 2 * MS), start + 5 * MS, "in the next");
--- a/programs/capacity/src/figures.rs
+++ b/programs/capacity/src/figures.rs
@@ -226,14 +226,21 @@
 impl Definitions {
     /// Reads `figures.toml`. Each error is one line: file, line, what, what would be right.
     pub fn read(name: &str, text: &str) -> Result<Definitions, Vec<String>> {
-        let line = |at: usize| text.get(..at).map_or(1, |before| before.matches('\n').count() + 1);
+        let line = |at: usize| {
+            text.get(..at)
+                .map_or(1, |before| before.matches('\n').count() + 1)
+        };
         let file: File = toml::from_str(text).map_err(|e| {
             let at = e.span().map_or(1, |s| line(s.start));
             vec![format!("{name}:{at}: {}", e.message().replace('\n', "; "))]
         })?;
         let mut wrong: Vec<String> = Vec::new();
         let mut names: Vec<String> = file.given.keys().cloned().collect();
-        let ids = file.assumptions.iter().map(|a| &a.id).chain(file.slopes.iter().map(|s| &s.id));
+        let ids = file
+            .assumptions
+            .iter()
+            .map(|a| &a.id)
+            .chain(file.slopes.iter().map(|s| &s.id));
         for id in ids.chain(file.figures.iter().map(|f| &f.id)) {
             let at = line(id.span().start);
             let id = id.get_ref();
@@ -243,7 +250,9 @@
                 ));
             }
             if names.contains(id) {
-                wrong.push(format!("{name}:{at}: {id} is there twice; right is a name of its own"));
+                wrong.push(format!(
+                    "{name}:{at}: {id} is there twice; right is a name of its own"
+                ));
             }
             names.push(id.clone());
         }
@@ -255,7 +264,11 @@
         };
         for slope in &made.slopes {
             if let Err(e) = known_tool(&slope.tool) {
-                wrong.push(format!("{name}:{}: {}: {e}", line(slope.id.span().start), slope.id.get_ref()));
+                wrong.push(format!(
+                    "{name}:{}: {}: {e}",
+                    line(slope.id.span().start),
+                    slope.id.get_ref()
+                ));
             }
             for number in slope.budget.iter().chain([&slope.at]) {
                 if let Err(e) = made.number(number.get_ref(), &Instead::new()) {
@@ -315,26 +328,41 @@
     }
 
     fn known(&self, name: &str, instead: &Instead) -> Option<f64> {
-        let assumed = || self.assumptions.iter().find(|a| a.id.get_ref() == name).map(|a| a.value);
-        instead.get(name).copied().or_else(|| self.given.get(name).copied()).or_else(assumed)
+        let assumed = || {
+            self.assumptions
+                .iter()
+                .find(|a| a.id.get_ref() == name)
+                .map(|a| a.value)
+        };
+        instead
+            .get(name)
+            .copied()
+            .or_else(|| self.given.get(name).copied())
+            .or_else(assumed)
     }
 
     fn names(&self) -> String {
         let given = self.given.keys().map(String::as_str);
-        let all: Vec<&str> = given.chain(self.assumptions.iter().map(|a| a.id.get_ref().as_str())).collect();
+        let all: Vec<&str> = given
+            .chain(self.assumptions.iter().map(|a| a.id.get_ref().as_str()))
+            .collect();
         format!("or one of {}", all.join(", "))
     }
 
     fn term(&self, text: &str) -> Result<Term, String> {
         let all = text.trim();
-        let (minus, all) = all.strip_prefix('-').map_or((false, all), |rest| (true, rest));
+        let (minus, all) = all
+            .strip_prefix('-')
+            .map_or((false, all), |rest| (true, rest));
         let mut factors = Vec::new();
         let mut rest = all;
         let mut divide = false;
         loop {
             let end = rest.find(['*', '/']).unwrap_or(rest.len());
             factors.push((divide, self.factor(rest[..end].trim())?));
-            let Some(sign) = rest[end..].chars().next() else { break };
+            let Some(sign) = rest[end..].chars().next() else {
+                break;
+            };
             divide = sign == '/';
             rest = &rest[end + 1..];
         }
@@ -342,17 +370,30 @@
     }
 
     fn factor(&self, text: &str) -> Result<Factor, String> {
-        let plain = |t: &str| t.replace('_', "").parse::<f64>().ok().filter(|n| n.is_finite());
+        let plain = |t: &str| {
+            t.replace('_', "")
+                .parse::<f64>()
+                .ok()
+                .filter(|n| n.is_finite())
+        };
         if let Some((slope, size)) = text.strip_suffix(')').and_then(|t| t.split_once('(')) {
             if !self.slopes.iter().any(|s| s.id.get_ref() == slope) {
-                let all: Vec<&str> = self.slopes.iter().map(|s| s.id.get_ref().as_str()).collect();
-                return Err(format!("{slope} is no slope; right is one of {}", all.join(", ")));
+                let all: Vec<&str> = self
+                    .slopes
+                    .iter()
+                    .map(|s| s.id.get_ref().as_str())
+                    .collect();
+                return Err(format!(
+                    "{slope} is no slope; right is one of {}",
+                    all.join(", ")
+                ));
             }
             let size = plain(size).map_or_else(|| Number::Named(size.trim().into()), Number::Plain);
             self.number(&size, &Instead::new())?;
             return Ok(Factor::Slope(slope.into(), size));
         }
-        if let Some(number) = plain(text).filter(|_| text.starts_with(|c: char| c.is_ascii_digit())) {
+        if let Some(number) = plain(text).filter(|_| text.starts_with(|c: char| c.is_ascii_digit()))
+        {
             return Ok(Factor::Plain(number));
         }
         if let Some(n) = self.figures.iter().position(|f| f.id == text) {
@@ -415,18 +456,32 @@
 
     /// A slope and what was measured of it.
     pub fn slope(&self, id: &str) -> Option<(&Slope, &Measured)> {
-        self.defined.slopes.iter().zip(&self.measured).find(|(s, _)| s.id.get_ref() == id)
+        self.defined
+            .slopes
+            .iter()
+            .zip(&self.measured)
+            .find(|(s, _)| s.id.get_ref() == id)
     }
 
     /// A slope's value at a size.
     pub fn at(&self, id: &str, x: f64) -> Told {
         let (_, measured) = self.slope(id).ok_or_else(|| format!("{id} is no slope"))?;
-        let fit = measured.fit.as_ref().map_err(|e| format!("{id}: {}", unfit(*e)))?;
-        let value = fit.line.value(x).ok_or_else(|| format!("{id}: no {} at {x}", fit.line.form.name()))?;
+        let fit = measured
+            .fit
+            .as_ref()
+            .map_err(|e| format!("{id}: {}", unfit(*e)))?;
+        let value = fit
+            .line
+            .value(x)
+            .ok_or_else(|| format!("{id}: no {} at {x}", fit.line.form.name()))?;
         // A cost is never under nothing, whatever a straight line says.
         let floor = |y: f64| y.max(0.0);
         Ok((
-            Value { mid: floor(value.mid), low: floor(value.low), high: floor(value.high) },
+            Value {
+                mid: floor(value.mid),
+                low: floor(value.low),
+                high: floor(value.high),
+            },
             fit.held.missed(),
         ))
     }
@@ -435,12 +490,27 @@
     pub fn figures(&self, instead: &Instead) -> Vec<Told> {
         let mut told: Vec<Told> = Vec::new();
         for figure in &self.defined.figures {
-            let sum = figure.terms.iter().try_fold((exact(0.0), false), |(sum, missed), term| {
-                let (v, m) = self.term(term, instead, &told)?;
-                let v = if term.minus { Value { mid: -v.mid, low: -v.high, high: -v.low } } else { v };
-                let sum = Value { mid: sum.mid + v.mid, low: sum.low + v.low, high: sum.high + v.high };
-                Ok::<_, String>((sum, missed || m))
-            });
+            let sum = figure
+                .terms
+                .iter()
+                .try_fold((exact(0.0), false), |(sum, missed), term| {
+                    let (v, m) = self.term(term, instead, &told)?;
+                    let v = if term.minus {
+                        Value {
+                            mid: -v.mid,
+                            low: -v.high,
+                            high: -v.low,
+                        }
+                    } else {
+                        v
+                    };
+                    let sum = Value {
+                        mid: sum.mid + v.mid,
+                        low: sum.low + v.low,
+                        high: sum.high + v.high,
+                    };
+                    Ok::<_, String>((sum, missed || m))
+                });
             told.push(sum);
         }
         told
@@ -449,9 +519,19 @@
     /// Each term of a figure with its value.
     pub fn terms(&self, figure: usize) -> Vec<(&str, Told)> {
         let told = self.figures(&Instead::new());
-        let Some(figure) = self.defined.figures.get(figure) else { return Vec::new() };
-        let values = figure.terms.iter().map(|t| self.term(t, &Instead::new(), &told));
-        figure.written.iter().map(String::as_str).zip(values).collect()
+        let Some(figure) = self.defined.figures.get(figure) else {
+            return Vec::new();
+        };
+        let values = figure
+            .terms
+            .iter()
+            .map(|t| self.term(t, &Instead::new(), &told));
+        figure
+            .written
+            .iter()
+            .map(String::as_str)
+            .zip(values)
+            .collect()
     }
 
     /// The slopes that a figure rests on, through other figures too.
@@ -460,7 +540,11 @@
         for (_, factor) in figure.terms.iter().flat_map(|t| &t.factors) {
             let more = match factor {
                 Factor::Slope(id, _) => vec![id.as_str()],
-                Factor::Figure(n) => self.defined.figures.get(*n).map_or(vec![], |f| self.rests_on(f)),
+                Factor::Figure(n) => self
+                    .defined
+                    .figures
+                    .get(*n)
+                    .map_or(vec![], |f| self.rests_on(f)),
                 _ => vec![],
             };
             for id in more {
@@ -478,10 +562,14 @@
         for (divide, factor) in &term.factors {
             let (value, m) = match factor {
                 Factor::Plain(n) => (exact(*n), false),
-                Factor::Known(name) => {
-                    (exact(self.defined.number(&Number::Named(name.clone()), instead)?), false)
-                }
-                Factor::Figure(n) => figures.get(*n).cloned().unwrap_or(Err("no such figure".into()))?,
+                Factor::Known(name) => (
+                    exact(self.defined.number(&Number::Named(name.clone()), instead)?),
+                    false,
+                ),
+                Factor::Figure(n) => figures
+                    .get(*n)
+                    .cloned()
+                    .unwrap_or(Err("no such figure".into()))?,
                 Factor::Slope(id, size) => self.at(id, self.defined.number(size, instead)?)?,
             };
             missed |= m;
@@ -489,7 +577,11 @@
                 true if value.low <= 0.0 && value.high >= 0.0 => {
                     return Err("divides by what may be nothing".into())
                 }
-                true => Value { mid: 1.0 / value.mid, low: 1.0 / value.high, high: 1.0 / value.low },
+                true => Value {
+                    mid: 1.0 / value.mid,
+                    low: 1.0 / value.high,
+                    high: 1.0 / value.low,
+                },
                 false => value,
             };
             product = times(product, value);
@@ -503,26 +595,45 @@
     match why {
         Unfit::TooFew(0) => "not measured".into(),
         Unfit::TooFew(1) => {
-            format!("too few sizes to claim anything (1 of {} at least)", crate::fit::LEAST_SIZES)
+            format!(
+                "too few sizes to claim anything (1 of {} at least)",
+                crate::fit::LEAST_SIZES
+            )
         }
         Unfit::TooFew(n) => {
-            format!("too few sizes to claim anything ({n} of {} at least)", crate::fit::LEAST_SIZES)
+            format!(
+                "too few sizes to claim anything ({n} of {} at least)",
+                crate::fit::LEAST_SIZES
+            )
         }
         Unfit::NotMeasured(x) => format!("the size kept out, {x}, was not measured"),
     }
 }
 
 fn exact(n: f64) -> Value {
-    Value { mid: n, low: n, high: n }
+    Value {
+        mid: n,
+        low: n,
+        high: n,
+    }
 }
 
 fn times(a: Value, b: Value) -> Value {
-    let ends = [a.low * b.low, a.low * b.high, a.high * b.low, a.high * b.high];
+    let ends = [
+        a.low * b.low,
+        a.low * b.high,
+        a.high * b.low,
+        a.high * b.high,
+    ];
     let (low, high) = (
         ends.iter().copied().fold(f64::INFINITY, f64::min),
         ends.iter().copied().fold(f64::NEG_INFINITY, f64::max),
     );
-    Value { mid: a.mid * b.mid, low, high }
+    Value {
+        mid: a.mid * b.mid,
+        low,
+        high,
+    }
 }
 
 /// Whether a run's field is what a filter asks for.
@@ -541,20 +652,45 @@
 
 fn measure(slope: &Slope, runs: &[Run]) -> Result<Measured, String> {
     let about = |r: &&Run| {
-        let small = slope.most.is_none_or(|most| r.number(&slope.x).is_none_or(|x| x <= most));
+        let small = slope
+            .most
+            .is_none_or(|most| r.number(&slope.x).is_none_or(|x| x <= most));
         small
             && r.tool() == slope.tool
-            && slope.filter.iter().all(|(name, wanted)| passes(r.value.get(name), wanted))
+            && slope
+                .filter
+                .iter()
+                .all(|(name, wanted)| passes(r.value.get(name), wanted))
+    };
+    let point = |r: &Run| {
+        Some(Point {
+            x: r.number(&slope.x)?,
+            y: r.number(&slope.y)?,
+        })
     };
-    let point = |r: &Run| Some(Point { x: r.number(&slope.x)?, y: r.number(&slope.y)? });
-    let without = runs.iter().filter(about).filter(|r| r.ok() && point(r).is_none()).count();
-    let all: Vec<(&Run, Point)> = runs.iter().filter(about).filter_map(|r| Some((r, point(r)?))).collect();
+    let without = runs
+        .iter()
+        .filter(about)
+        .filter(|r| r.ok() && point(r).is_none())
+        .count();
+    let all: Vec<(&Run, Point)> = runs
+        .iter()
+        .filter(about)
+        .filter_map(|r| Some((r, point(r)?)))
+        .collect();
     let not_ok = all.iter().filter(|(r, _)| !r.ok()).count();
     let used: Vec<(&Run, Point)> = all.into_iter().filter(|(r, _)| r.ok()).collect();
-    for input in INPUTS.into_iter().filter(|i| *i != slope.x && !slope.filter.contains_key(*i)) {
+    for input in INPUTS
+        .into_iter()
+        .filter(|i| *i != slope.x && !slope.filter.contains_key(*i))
+    {
         let mut values: Vec<String> = used
             .iter()
-            .map(|(r, _)| r.value.get(input).map_or_else(|| "nothing".into(), ToString::to_string))
+            .map(|(r, _)| {
+                r.value
+                    .get(input)
+                    .map_or_else(|| "nothing".into(), ToString::to_string)
+            })
             .collect();
         values.sort();
         values.dedup();
--- a/programs/capacity/src/fit.rs
+++ b/programs/capacity/src/fit.rs
@@ -40,7 +40,13 @@
 
 impl Form {
     /// All, simplest first.
-    pub const ALL: [Form; 5] = [Form::Flat, Form::Log, Form::Linear, Form::LinearLog, Form::Square];
+    pub const ALL: [Form; 5] = [
+        Form::Flat,
+        Form::Log,
+        Form::Linear,
+        Form::LinearLog,
+        Form::Square,
+    ];
 
     fn z(self, x: f64) -> f64 {
         match self {
@@ -119,18 +125,44 @@
         }
         let mean_z = points.iter().map(|p| form.z(p.x)).sum::<f64>() / n;
         let mean_y = points.iter().map(|p| p.y).sum::<f64>() / n;
-        let spread_z = points.iter().map(|p| (form.z(p.x) - mean_z).powi(2)).sum::<f64>();
+        let spread_z = points
+            .iter()
+            .map(|p| (form.z(p.x) - mean_z).powi(2))
+            .sum::<f64>();
         let b = match form {
             Form::Flat => 0.0,
             _ if spread_z <= 0.0 => return None,
-            _ => points.iter().map(|p| (form.z(p.x) - mean_z) * (p.y - mean_y)).sum::<f64>() / spread_z,
+            _ => {
+                points
+                    .iter()
+                    .map(|p| (form.z(p.x) - mean_z) * (p.y - mean_y))
+                    .sum::<f64>()
+                    / spread_z
+            }
         };
         let a = mean_y - b * mean_z;
-        let squares = points.iter().map(|p| (p.y - a - b * form.z(p.x)).powi(2)).sum::<f64>();
-        let deviation = if freedom > 0.0 { (squares / freedom).sqrt() } else { f64::NAN };
+        let squares = points
+            .iter()
+            .map(|p| (p.y - a - b * form.z(p.x)).powi(2))
+            .sum::<f64>();
+        let deviation = if freedom > 0.0 {
+            (squares / freedom).sqrt()
+        } else {
+            f64::NAN
+        };
         let student = StudentsT::new(0.0, 1.0, freedom);
         let t = student.map_or(f64::NAN, |s| s.inverse_cdf((1.0 + LEVEL) / 2.0));
-        Some(Line { form, a, b, rms: (squares / n).sqrt(), points: n, mean_z, spread_z, deviation, t })
+        Some(Line {
+            form,
+            a,
+            b,
+            rms: (squares / n).sqrt(),
+            points: n,
+            mean_z,
+            spread_z,
+            deviation,
+            t,
+        })
     }
 
     /// What is predicted at a size.
@@ -153,7 +185,11 @@
         };
         let half = self.t * self.deviation * (1.0 + 1.0 / self.points + lever).sqrt();
         let mid = self.at(x);
-        Some(Value { mid, low: mid - half, high: mid + half })
+        Some(Value {
+            mid,
+            low: mid - half,
+            high: mid + half,
+        })
     }
 
     /// Whether the cost grows, at the 97.5% level.
@@ -220,7 +256,9 @@
 /// Chooses the form for points, with one size kept out: the given one, or else the largest.
 pub fn fit(points: &[Point], keep_out: Option<f64>) -> Result<Fit, Unfit> {
     let sizes = sizes(points);
-    let Some(&largest) = sizes.last() else { return Err(Unfit::TooFew(0)) };
+    let Some(&largest) = sizes.last() else {
+        return Err(Unfit::TooFew(0));
+    };
     let out = keep_out.unwrap_or(largest);
     if !sizes.contains(&out) {
         return Err(Unfit::NotMeasured(out));
@@ -230,15 +268,24 @@
     }
     let (held, used): (Vec<Point>, Vec<Point>) = points.iter().partition(|p| p.x == out);
     let left: Vec<f64> = sizes.iter().copied().filter(|x| *x != out).collect();
-    let errors: Vec<(Form, f64)> =
-        Form::ALL.into_iter().filter_map(|f| Some((f, left_out(f, &used, &left)?))).collect();
+    let errors: Vec<(Form, f64)> = Form::ALL
+        .into_iter()
+        .filter_map(|f| Some((f, left_out(f, &used, &left)?)))
+        .collect();
     let counts = |f: Form| Line::through(f, &used).filter(|l| l.grows() && l.value(out).is_some());
-    let able: Vec<(Line, f64)> = errors.iter().filter_map(|(f, e)| Some((counts(*f)?, *e))).collect();
+    let able: Vec<(Line, f64)> = errors
+        .iter()
+        .filter_map(|(f, e)| Some((counts(*f)?, *e)))
+        .collect();
     let best = able.iter().map(|(_, e)| *e).fold(f64::INFINITY, f64::min);
     let scale = mean(&used).abs();
     let near = |e: f64| e <= best * NEAR_TIE + scale * 1e-9;
     let unfit = Unfit::TooFew(sizes.len());
-    let line = able.iter().find(|(_, e)| near(*e)).map(|(l, _)| *l).ok_or(unfit)?;
+    let line = able
+        .iter()
+        .find(|(_, e)| near(*e))
+        .map(|(l, _)| *l)
+        .ok_or(unfit)?;
     let others = able.iter().filter(|(l, _)| l.form != line.form);
     let next = others.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(l, _)| *l);
     let predicted = line.value(out).ok_or(unfit)?;
@@ -247,7 +294,11 @@
         relative: line.rms / scale.max(f64::MIN_POSITIVE),
         errors,
         next,
-        held: Held { x: out, measured: mean(&held), predicted },
+        held: Held {
+            x: out,
+            measured: mean(&held),
+            predicted,
+        },
         sizes: sizes.len(),
         runs: used.len(),
         span: (left[0], left[left.len() - 1]),
--- a/programs/capacity/src/lib.rs
+++ b/programs/capacity/src/lib.rs
@@ -114,7 +114,11 @@
     for (path, text) in &files {
         write(&docs.join(path), text)?;
     }
-    Ok(format!("made CAPACITY.md and {} plots from {} runs", files.len() - 1, kept.runs.len()))
+    Ok(format!(
+        "made CAPACITY.md and {} plots from {} runs",
+        files.len() - 1,
+        kept.runs.len()
+    ))
 }
 
 /// Plots of the page that lie there and would not be made.
@@ -126,8 +130,10 @@
     let entries = std::fs::read_dir(&img).map_err(|e| vec![format!("{}: {e}", img.display())])?;
     let names = entries.filter_map(|e| e.ok()?.file_name().into_string().ok());
     let ours = names.filter(|n| n.starts_with("capacity-") && n.ends_with(".svg"));
-    let mut stray: Vec<PathBuf> =
-        ours.map(|n| Path::new("img").join(n)).filter(|p| files.iter().all(|(f, _)| f != p)).collect();
+    let mut stray: Vec<PathBuf> = ours
+        .map(|n| Path::new("img").join(n))
+        .filter(|p| files.iter().all(|(f, _)| f != p))
+        .collect();
     stray.sort();
     Ok(stray)
 }
@@ -147,19 +153,26 @@
         }
     }
     wrong.extend(
-        stray(docs, &files)?.iter().map(|p| format!("{}: of no slope; `page` takes it away", p.display())),
+        stray(docs, &files)?
+            .iter()
+            .map(|p| format!("{}: of no slope; `page` takes it away", p.display())),
     );
     match wrong.is_empty() {
-        true => {
-            Ok(format!("CAPACITY.md and {} plots are what {} runs give", files.len() - 1, kept.runs.len()))
-        }
+        true => Ok(format!(
+            "CAPACITY.md and {} plots are what {} runs give",
+            files.len() - 1,
+            kept.runs.len()
+        )),
         false => Err(wrong),
     }
 }
 
 /// Without the runs that are there twice.
 fn once(kept: &Kept) -> Kept {
-    let mut once = Kept { runs: Vec::new(), ..kept.clone() };
+    let mut once = Kept {
+        runs: Vec::new(),
+        ..kept.clone()
+    };
     for run in &kept.runs {
         once.add(run.clone());
     }
@@ -172,14 +185,18 @@
     if !folder.is_dir() {
         return Ok(Vec::new());
     }
-    let entries = std::fs::read_dir(&folder).map_err(|e| vec![format!("{}: {e}", folder.display())])?;
+    let entries =
+        std::fs::read_dir(&folder).map_err(|e| vec![format!("{}: {e}", folder.display())])?;
     let mut files: Vec<PathBuf> = entries.filter_map(|e| Some(e.ok()?.path())).collect();
     files.retain(|f| f.extension().is_some_and(|e| e == "jsonl"));
     files.sort();
     let mut wrong = Vec::new();
     for file in files {
         let name = format!("capacity/runs/{}", short(&file));
-        let missing = read_lines(&name, &read(&file)?)?.iter().filter(|r| !kept.holds(r)).count();
+        let missing = read_lines(&name, &read(&file)?)?
+            .iter()
+            .filter(|r| !kept.holds(r))
+            .count();
         if missing > 0 {
             wrong.push(format!(
                 "{name}: {missing} of its runs are not in slopes.json; right is `record` of it"
@@ -200,9 +217,16 @@
             (Some(x), Some(y)) if x == y => at += 1,
             (None, None) => return Some(format!("{name}:{at}: differs in how it ends")),
             (x, y) => {
-                let brief =
-                    |l: Option<&str>| l.map_or("nothing".into(), |l| l.chars().take(160).collect::<String>());
-                return Some(format!("{name}:{at}: there is {:?}, right is {:?}", brief(y), brief(x)));
+                let brief = |l: Option<&str>| {
+                    l.map_or("nothing".into(), |l| {
+                        l.chars().take(160).collect::<String>()
+                    })
+                };
+                return Some(format!(
+                    "{name}:{at}: there is {:?}, right is {:?}",
+                    brief(y),
+                    brief(x)
+                ));
             }
         }
     }
@@ -212,7 +236,11 @@
 pub fn record(a: &RecordArgs) -> Result<String, Vec<String>> {
     let day = time::OffsetDateTime::now_utc().date().to_string();
     let machine = Machine::this().map_err(|e| vec![e])?;
-    let begun = Kept { day: day.clone(), machine: machine.clone(), runs: Vec::new() };
+    let begun = Kept {
+        day: day.clone(),
+        machine: machine.clone(),
+        runs: Vec::new(),
+    };
     let mut kept = match a.into.exists() && !a.anew {
         true => Kept::read(&a.into.display().to_string(), &read(&a.into)?)?,
         false => begun,
@@ -232,7 +260,12 @@
     let mut new = 0;
     for file in &a.files {
         match read(file).and_then(|text| read_lines(&file.display().to_string(), &text)) {
-            Ok(runs) => new += runs.into_iter().map(|r| usize::from(kept.add(r))).sum::<usize>(),
+            Ok(runs) => {
+                new += runs
+                    .into_iter()
+                    .map(|r| usize::from(kept.add(r)))
+                    .sum::<usize>()
+            }
             Err(lines) => wrong.extend(lines),
         }
     }
--- a/programs/capacity/src/page.rs
+++ b/programs/capacity/src/page.rs
@@ -37,9 +37,14 @@
         let mut rest = line;
         while let Some((before, from)) = rest.split_once("{{") {
             page.push_str(before);
-            let Some((asked, after)) = from.split_once("}}").filter(|(asked, _)| !asked.contains("{{"))
+            let Some((asked, after)) = from
+                .split_once("}}")
+                .filter(|(asked, _)| !asked.contains("{{"))
             else {
-                wrong.push(format!("{name}:{}: {{{{ without }}}}; right is both on one line", n + 1));
+                wrong.push(format!(
+                    "{name}:{}: {{{{ without }}}}; right is both on one line",
+                    n + 1
+                ));
                 rest = "";
                 break;
             };
@@ -63,7 +68,12 @@
     let words: Vec<&str> = asked.split_whitespace().collect();
     let slope = |id: &str| {
         made.slope(id).ok_or_else(|| {
-            let all: Vec<&str> = made.defined.slopes.iter().map(|s| s.id.get_ref().as_str()).collect();
+            let all: Vec<&str> = made
+                .defined
+                .slopes
+                .iter()
+                .map(|s| s.id.get_ref().as_str())
+                .collect();
             format!("{id} is no slope; right is one of {}", all.join(", "))
         })
     };
@@ -113,10 +123,14 @@
 
 fn position<'a>(made: &'a Made, id: &str) -> Result<(usize, &'a Figure), String> {
     let figures = &made.defined.figures;
-    figures.iter().enumerate().find(|(_, f)| f.id == id).ok_or_else(|| {
-        let all: Vec<&str> = figures.iter().map(|f| f.id.as_str()).collect();
-        format!("{id} is no figure; right is one of {}", all.join(", "))
-    })
+    figures
+        .iter()
+        .enumerate()
+        .find(|(_, f)| f.id == id)
+        .ok_or_else(|| {
+            let all: Vec<&str> = figures.iter().map(|f| f.id.as_str()).collect();
+            format!("{id} is no figure; right is one of {}", all.join(", "))
+        })
 }
 
 /// A number as the page shows it, with commas: three digits that count below 100, whole from there, four that count from
@@ -127,7 +141,11 @@
     }
     let digits = 2 - value.abs().log10().floor() as i32;
     let scale = 10f64.powi(-1 - digits);
-    let value = if value.abs() >= 1e5 { (value / scale).round() * scale } else { value };
+    let value = if value.abs() >= 1e5 {
+        (value / scale).round() * scale
+    } else {
+        value
+    };
     if digits > 9 {
         return format!("{value:.2e}");
     }
@@ -160,14 +178,22 @@
 fn interval(v: Value) -> String {
     match v.low == v.high {
         true => figure(v.mid),
-        false => format!("{} ({} to {})", figure(v.mid), figure(v.low), figure(v.high)),
+        false => format!(
+            "{} ({} to {})",
+            figure(v.mid),
+            figure(v.low),
+            figure(v.high)
+        ),
     }
 }
 
 fn told(value: &Told, unit: &str) -> String {
     match value {
         Ok((v, false)) => format!("{} {unit}", interval(*v)),
-        Ok((v, true)) => format!("{} {unit}, by a fit that missed the size kept out", interval(*v)),
+        Ok((v, true)) => format!(
+            "{} {unit}, by a fit that missed the size kept out",
+            interval(*v)
+        ),
         Err(why) => format!("not told: {why}"),
     }
 }
@@ -175,7 +201,10 @@
 fn measured(kept: &Kept) -> String {
     let ok = kept.runs.iter().filter(|r| r.ok()).count();
     let (m, n) = (&kept.machine, kept.runs.len());
-    format!("{}, {} cores, {} GiB, {n} runs, {ok} of them ok", kept.day, m.cores, m.memory_gb)
+    format!(
+        "{}, {} cores, {} GiB, {n} runs, {ok} of them ok",
+        kept.day, m.cores, m.memory_gb
+    )
 }
 
 fn formula(fit: &Fit) -> String {
@@ -184,13 +213,20 @@
         Form::Flat => figure(line.a),
         form => {
             let sign = if line.b < 0.0 { '-' } else { '+' };
-            format!("{} {sign} {} {}", figure(line.a), figure(line.b.abs()), form.of_x())
+            format!(
+                "{} {sign} {} {}",
+                figure(line.a),
+                figure(line.b.abs()),
+                form.of_x()
+            )
         }
     }
 }
 
 fn asked(made: &Made, slope: &Slope) -> f64 {
-    made.defined.number(slope.at.get_ref(), &Instead::new()).unwrap_or(f64::NAN)
+    made.defined
+        .number(slope.at.get_ref(), &Instead::new())
+        .unwrap_or(f64::NAN)
 }
 
 fn slope_inline(made: &Made, (slope, measured): (&Slope, &Measured)) -> String {
@@ -199,13 +235,20 @@
         Ok(fit) => {
             let x = asked(made, slope);
             let value = told(&made.at(slope.id.get_ref(), x), &slope.unit);
-            format!("{}, {}; at {}: {value}", fit.line.form.name(), formula(fit), figure(x))
+            format!(
+                "{}, {}; at {}: {value}",
+                fit.line.form.name(),
+                formula(fit),
+                figure(x)
+            )
         }
     }
 }
 
 fn slope_verdict(made: &Made, slope: &Slope) -> String {
-    let Some(budget) = &slope.budget else { return "no budget".into() };
+    let Some(budget) = &slope.budget else {
+        return "no budget".into();
+    };
     let budget = made.defined.number(budget.get_ref(), &Instead::new());
     match (made.at(slope.id.get_ref(), asked(made, slope)), budget) {
         (Ok(value), Ok(budget)) => verdict(value, budget).to_string(),
@@ -213,13 +256,23 @@
     }
 }
 
-fn judged(defined: &Definitions, figure: &Figure, value: &Told, instead: &Instead) -> Option<(Verdict, f64)> {
+fn judged(
+    defined: &Definitions,
+    figure: &Figure,
+    value: &Told,
+    instead: &Instead,
+) -> Option<(Verdict, f64)> {
     let budget = defined.number(figure.budget.as_ref()?, instead).ok()?;
     let value = *value.as_ref().ok()?;
     Some((verdict(value, budget), value.0.mid / budget))
 }
 
-fn figure_verdict(defined: &Definitions, figure: &Figure, value: &Told, instead: &Instead) -> String {
+fn figure_verdict(
+    defined: &Definitions,
+    figure: &Figure,
+    value: &Told,
+    instead: &Instead,
+) -> String {
     match (judged(defined, figure, value, instead), &figure.budget) {
         (Some((verdict, _)), _) => verdict.to_string(),
         (None, None) => "no budget".into(),
@@ -228,7 +281,10 @@
 }
 
 fn budget(made: &Made, figure_: &Figure) -> String {
-    let number = figure_.budget.as_ref().and_then(|b| made.defined.number(b, &Instead::new()).ok());
+    let number = figure_
+        .budget
+        .as_ref()
+        .and_then(|b| made.defined.number(b, &Instead::new()).ok());
     number.map_or_else(|| "-".into(), |b| format!("{} {}", figure(b), figure_.unit))
 }
 
@@ -236,8 +292,10 @@
     let (n, figure_) = position(made, id)?;
     let mut text = String::new();
     for (n, (written, value)) in made.terms(n).into_iter().enumerate() {
-        let (minus, written) =
-            written.trim().strip_prefix('-').map_or((false, written), |rest| (true, rest.trim()));
+        let (minus, written) = written
+            .trim()
+            .strip_prefix('-')
+            .map_or((false, written), |rest| (true, rest.trim()));
         let sign = match (n, minus) {
             (0, false) => "",
             (0, true) => "-",
@@ -253,8 +311,9 @@
 fn run(kept: &Kept, tool: &str, field: &str, inputs: &[&str]) -> Result<String, String> {
     let mut wanted = vec![("tool", toml::Value::from(tool))];
     for input in inputs {
-        let (name, value) =
-            input.split_once('=').ok_or_else(|| format!("{input} is no input; right is NAME=VALUE"))?;
+        let (name, value) = input
+            .split_once('=')
+            .ok_or_else(|| format!("{input} is no input; right is NAME=VALUE"))?;
         let value = match (value.parse::<f64>(), value.parse::<bool>()) {
             (Ok(n), _) => toml::Value::from(n),
             (_, Ok(b)) => toml::Value::from(b),
@@ -262,14 +321,24 @@
         };
         wanted.push((name, value));
     }
-    let these = kept.runs.iter().filter(|r| wanted.iter().all(|(name, w)| passes(r.value.get(*name), w)));
+    let these = kept
+        .runs
+        .iter()
+        .filter(|r| wanted.iter().all(|(name, w)| passes(r.value.get(*name), w)));
     let values: Vec<f64> = these.filter_map(|r| r.number(field)).collect();
-    let Some(least) = values.iter().copied().reduce(f64::min) else { return Ok("not measured".into()) };
+    let Some(least) = values.iter().copied().reduce(f64::min) else {
+        return Ok("not measured".into());
+    };
     let most = values.iter().copied().fold(least, f64::max);
     let mean = values.iter().sum::<f64>() / values.len() as f64;
     Ok(match values.len() {
         1 => format!("{} (1 run)", figure(mean)),
-        n => format!("{} ({} to {}, {n} runs)", figure(mean), figure(least), figure(most)),
+        n => format!(
+            "{} ({} to {}, {n} runs)",
+            figure(mean),
+            figure(least),
+            figure(most)
+        ),
     })
 }
 
@@ -279,7 +348,10 @@
         let _ = write!(
             text,
             "\n| {} |",
-            row.iter().map(|c| c.replace('|', "\\|")).collect::<Vec<_>>().join(" | ")
+            row.iter()
+                .map(|c| c.replace('|', "\\|"))
+                .collect::<Vec<_>>()
+                .join(" | ")
         );
     }
     text
@@ -302,23 +374,47 @@
     ];
     let row = |(slope, measured): (&Slope, &Measured)| {
         let x = asked(made, slope);
-        let most = slope.most.map_or_else(String::new, |m| format!(" up to {}", figure(m)));
-        let mut row =
-            vec![format!("`{}`: {}", slope.id.get_ref(), slope.what), format!("`{}`{most}", slope.x)];
+        let most = slope
+            .most
+            .map_or_else(String::new, |m| format!(" up to {}", figure(m)));
+        let mut row = vec![
+            format!("`{}`: {}", slope.id.get_ref(), slope.what),
+            format!("`{}`{most}", slope.x),
+        ];
         match &measured.fit {
             Err(why) => {
                 row.extend([unfit(*why), "-".into()]);
                 row.push(format!("({})", measured.points.len()));
-                row.extend(["-".into(), "-".into(), "-".into(), "not told".into(), "-".into()]);
+                row.extend([
+                    "-".into(),
+                    "-".into(),
+                    "-".into(),
+                    "not told".into(),
+                    "-".into(),
+                ]);
             }
             Ok(fit) => {
                 let held = &fit.held;
                 row.push(format!("{}: {}", fit.line.form.name(), formula(fit)));
-                row.push(format!("{} ({})", figure(fit.line.rms), percent(fit.relative)));
+                row.push(format!(
+                    "{} ({})",
+                    figure(fit.line.rms),
+                    percent(fit.relative)
+                ));
                 let (least, most) = fit.span;
-                row.push(format!("{}, {} to {} ({})", fit.sizes - 1, figure(least), figure(most), fit.runs));
+                row.push(format!(
+                    "{}, {} to {} ({})",
+                    fit.sizes - 1,
+                    figure(least),
+                    figure(most),
+                    fit.runs
+                ));
                 row.push(figure(held.x));
-                row.push(format!("{}, {}", interval(held.predicted), figure(held.measured)));
+                row.push(format!(
+                    "{}, {}",
+                    interval(held.predicted),
+                    figure(held.measured)
+                ));
                 let missed = if held.missed() { ", **missed**" } else { "" };
                 row.push(format!("{}{missed}", percent(held.error())));
                 let far = if x > most {
@@ -333,29 +429,60 @@
                     format!(
                         "{} ({})",
                         figure(l.at(x).max(0.0)),
-                        if l.form == Form::Flat { "flat" } else { l.form.of_x() }
+                        if l.form == Form::Flat {
+                            "flat"
+                        } else {
+                            l.form.of_x()
+                        }
                     )
                 };
                 row.push(fit.next.as_ref().map_or_else(|| "-".into(), next));
             }
         }
-        let number =
-            slope.budget.as_ref().and_then(|b| made.defined.number(b.get_ref(), &Instead::new()).ok());
+        let number = slope
+            .budget
+            .as_ref()
+            .and_then(|b| made.defined.number(b.get_ref(), &Instead::new()).ok());
         row.push(number.map_or_else(|| "-".into(), |b| format!("{} {}", figure(b), slope.unit)));
         row.push(slope_verdict(made, slope));
         row
     };
-    table(&head, &made.defined.slopes.iter().zip(&made.measured).map(row).collect::<Vec<_>>())
+    table(
+        &head,
+        &made
+            .defined
+            .slopes
+            .iter()
+            .zip(&made.measured)
+            .map(row)
+            .collect::<Vec<_>>(),
+    )
 }
 
 fn commands_table(made: &Made) -> String {
     let count = |n: usize| if n == 0 { "-".into() } else { n.to_string() };
     let row = |(slope, m): (&Slope, &Measured)| {
-        let command = if m.command.is_empty() { "not measured".into() } else { format!("`{}`", m.command) };
+        let command = if m.command.is_empty() {
+            "not measured".into()
+        } else {
+            format!("`{}`", m.command)
+        };
         let left = count(m.not_ok);
-        vec![format!("`{}`", slope.id.get_ref()), command, m.points.len().to_string(), left, count(m.without)]
+        vec![
+            format!("`{}`", slope.id.get_ref()),
+            command,
+            m.points.len().to_string(),
+            left,
+            count(m.without),
+        ]
     };
-    let rows: Vec<_> = made.defined.slopes.iter().zip(&made.measured).map(row).collect();
+    let rows: Vec<_> = made
+        .defined
+        .slopes
+        .iter()
+        .zip(&made.measured)
+        .map(row)
+        .collect();
     table(
         &[
             "slope",
@@ -370,10 +497,20 @@
 
 fn role_table(made: &Made, role: &str) -> Result<String, String> {
     let values = all(made);
-    let of: Vec<(&Figure, &Told)> =
-        made.defined.figures.iter().zip(&values).filter(|(f, _)| f.role == role).collect();
+    let of: Vec<(&Figure, &Told)> = made
+        .defined
+        .figures
+        .iter()
+        .zip(&values)
+        .filter(|(f, _)| f.role == role)
+        .collect();
     if of.is_empty() {
-        let mut roles: Vec<&str> = made.defined.figures.iter().map(|f| f.role.as_str()).collect();
+        let mut roles: Vec<&str> = made
+            .defined
+            .figures
+            .iter()
+            .map(|f| f.role.as_str())
+            .collect();
         roles.dedup();
         return Err(format!(
             "{role} is no table; right is slopes, commands, assumptions, first, {}",
@@ -381,17 +518,32 @@
         ));
     }
     let row = |(figure, value): (&Figure, &Told)| {
-        let slopes: Vec<String> = made.rests_on(figure).iter().map(|s| format!("`{s}`")).collect();
+        let slopes: Vec<String> = made
+            .rests_on(figure)
+            .iter()
+            .map(|s| format!("`{s}`"))
+            .collect();
         vec![
             figure.what.clone(),
             told(value, &figure.unit),
             budget(made, figure),
             figure_verdict(&made.defined, figure, value, &Instead::new()),
-            if slopes.is_empty() { "no slope".into() } else { slopes.join(", ") },
+            if slopes.is_empty() {
+                "no slope".into()
+            } else {
+                slopes.join(", ")
+            },
             figure.by.clone(),
         ]
     };
-    let head = ["what", "at the size", "budget", "verdict", "from", "carried by"];
+    let head = [
+        "what",
+        "at the size",
+        "budget",
+        "verdict",
+        "from",
+        "carried by",
+    ];
     Ok(table(&head, &of.into_iter().map(row).collect::<Vec<_>>()))
 }
 
@@ -404,8 +556,9 @@
         for ((f, was), is) in made.defined.figures.iter().zip(&now).zip(&then) {
             if was != is {
                 let judged = figure_verdict(&made.defined, f, is, &instead);
-                let mid =
-                    is.as_ref().map_or_else(Clone::clone, |(v, _)| format!("{} {}", figure(v.mid), f.unit));
+                let mid = is.as_ref().map_or_else(Clone::clone, |(v, _)| {
+                    format!("{} {}", figure(v.mid), f.unit)
+                });
                 text.push(format!("`{}` {mid}, {judged}", f.id));
             }
         }
@@ -423,10 +576,19 @@
             let id = a.id.get_ref();
             let value = format!("{} {}", figure(a.value), a.unit);
             let (half, double) = (moved(id, a.value / 2.0), moved(id, a.value * 2.0));
-            vec![format!("`{id}`: {}", a.what), value, a.why.clone(), half, double]
+            vec![
+                format!("`{id}`: {}", a.what),
+                value,
+                a.why.clone(),
+                half,
+                double,
+            ]
         })
         .collect();
-    table(&["assumption", "value", "why", "at half", "at double"], &rows)
+    table(
+        &["assumption", "value", "why", "at half", "at double"],
+        &rows,
+    )
 }
 
 fn first_table(made: &Made) -> String {
@@ -450,18 +612,31 @@
     rows.sort_by(|a, b| b.0.total_cmp(&a.0));
     let rows: Vec<Vec<String>> = rows.into_iter().map(|(_, row)| row).collect();
     table(
-        &["figure", "share of the budget", "verdict", "front ends at which it is used up, all else as given"],
+        &[
+            "figure",
+            "share of the budget",
+            "verdict",
+            "front ends at which it is used up, all else as given",
+        ],
         &rows,
     )
 }
 
 /// The fleet at which a figure reaches its budget, by halving between nothing and a hundred times the given one.
 fn used_up(made: &Made, n: usize) -> String {
-    let Some(given) = made.defined.given.get("front_ends").copied() else { return "-".into() };
+    let Some(given) = made.defined.given.get("front_ends").copied() else {
+        return "-".into();
+    };
     let share = |times: f64| {
         let instead = Instead::from([("front_ends", given * times)]);
         let figure = made.defined.figures.get(n)?;
-        judged(&made.defined, figure, made.figures(&instead).get(n)?, &instead).map(|(_, share)| share)
+        judged(
+            &made.defined,
+            figure,
+            made.figures(&instead).get(n)?,
+            &instead,
+        )
+        .map(|(_, share)| share)
     };
     let (low, high) = (1.0 / given, FARTHEST);
     match (share(low), share(high)) {
--- a/programs/capacity/src/plot.rs
+++ b/programs/capacity/src/plot.rs
@@ -18,7 +18,9 @@
 pub fn all(made: &Made) -> Result<Vec<(String, String)>, String> {
     let mut plots = Vec::new();
     for (slope, measured) in made.defined.slopes.iter().zip(&made.measured) {
-        let Some(axes) = slope.plot.filter(|_| !measured.points.is_empty()) else { continue };
+        let Some(axes) = slope.plot.filter(|_| !measured.points.is_empty()) else {
+            continue;
+        };
         let svg = draw(made, slope, measured, axes).map_err(|e| format!("{}: {e}", name(slope)))?;
         plots.push((name(slope), svg));
     }
@@ -67,15 +69,37 @@
         Some((x, v.mid, v.low, v.high))
     };
     let curve: Vec<(f64, f64, f64, f64)> = (0..=STEPS).filter_map(on_curve).collect();
-    let ys =
-        || measured.points.iter().map(|p| p.y).chain(curve.iter().flat_map(|c| [c.1, c.3])).chain(budget);
+    let ys = || {
+        measured
+            .points
+            .iter()
+            .map(|p| p.y)
+            .chain(curve.iter().flat_map(|c| [c.1, c.3]))
+            .chain(budget)
+    };
     let top = ys().fold(0.0, f64::max);
     let bottom = ys().filter(|y| *y > 0.0).fold(top, f64::min);
     let logs = axes == Axes::LogLog && bottom > 0.0;
     // Ends of axes a little beyond what is drawn, and never the same.
-    let x = if powers { (least * 0.9, most.max(least * 1.01) * 1.1) } else { (0.0, most.max(1e-9) * 1.05) };
-    let y = if logs { (bottom * 0.7, top * 1.4) } else { (0.0, top.max(1e-9) * 1.1) };
-    let picture = Picture { slope, measured, fit, budget, x, y, curve };
+    let x = if powers {
+        (least * 0.9, most.max(least * 1.01) * 1.1)
+    } else {
+        (0.0, most.max(1e-9) * 1.05)
+    };
+    let y = if logs {
+        (bottom * 0.7, top * 1.4)
+    } else {
+        (0.0, top.max(1e-9) * 1.1)
+    };
+    let picture = Picture {
+        slope,
+        measured,
+        fit,
+        budget,
+        x,
+        y,
+        curve,
+    };
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, (720, 420)).into_drawing_area();
@@ -115,27 +139,42 @@
             .x_label_formatter(&label)
             .y_label_formatter(&label)
             .draw()?;
-        let key = |(x, y): (i32, i32), color: RGBColor| PathElement::new(vec![(x, y), (x + 20, y)], color);
+        let key = |(x, y): (i32, i32), color: RGBColor| {
+            PathElement::new(vec![(x, y), (x + 20, y)], color)
+        };
         let within = |y: f64| y.clamp(self.y.0, self.y.1);
         if let Some(fit) = self.fit {
             let upper = self.curve.iter().map(|c| (c.0, within(c.3)));
             let lower = self.curve.iter().rev().map(|c| (c.0, within(c.2)));
-            chart.draw_series([Polygon::new(upper.chain(lower).collect::<Vec<_>>(), BLUE.mix(0.15))])?;
+            chart.draw_series([Polygon::new(
+                upper.chain(lower).collect::<Vec<_>>(),
+                BLUE.mix(0.15),
+            )])?;
             let middle = self.curve.iter().map(|c| (c.0, within(c.1)));
             chart
                 .draw_series(LineSeries::new(middle, BLUE))?
-                .label(format!("fit, {}, with its 95% interval", fit.line.form.name()))
+                .label(format!(
+                    "fit, {}, with its 95% interval",
+                    fit.line.form.name()
+                ))
                 .legend(move |at| key(at, BLUE));
         }
         if let Some(budget) = self.budget {
             chart
-                .draw_series(LineSeries::new([(self.x.0, budget), (self.x.1, budget)], RED))?
+                .draw_series(LineSeries::new(
+                    [(self.x.0, budget), (self.x.1, budget)],
+                    RED,
+                ))?
                 .label("budget")
                 .legend(move |at| key(at, RED));
         }
         let out = self.fit.map(|f| f.held.x);
         let dots = |kept_out: bool| {
-            let of = self.measured.points.iter().filter(move |p| (Some(p.x) == out) == kept_out);
+            let of = self
+                .measured
+                .points
+                .iter()
+                .filter(move |p| (Some(p.x) == out) == kept_out);
             of.map(|p| (p.x, within(p.y)))
         };
         chart
--- a/programs/capacity/src/runs.rs
+++ b/programs/capacity/src/runs.rs
@@ -6,13 +6,21 @@
 use std::path::Path;
 
 /// The commands that measure, and the fields without which a run of each says nothing.
-const TOOLS: [(&str, &[&str]); 3] =
-    [("run", &["front_ends", "seed"]), ("virtual", &["front_ends", "seed"]), ("state", &["what", "seed"])];
+const TOOLS: [(&str, &[&str]); 3] = [
+    ("run", &["front_ends", "seed"]),
+    ("virtual", &["front_ends", "seed"]),
+    ("state", &["what", "seed"]),
+];
 
 /// The fields that a run of a tool has; the error says which tools there are.
 pub fn known_tool(tool: &str) -> Result<&'static [&'static str], String> {
-    let known = TOOLS.iter().find(|(t, _)| *t == tool).map(|(_, needed)| *needed);
-    known.ok_or_else(|| format!("tool {tool:?} is not known; right are \"run\", \"virtual\", \"state\""))
+    let known = TOOLS
+        .iter()
+        .find(|(t, _)| *t == tool)
+        .map(|(_, needed)| *needed);
+    known.ok_or_else(|| {
+        format!("tool {tool:?} is not known; right are \"run\", \"virtual\", \"state\"")
+    })
 }
 
 /// One run, as it was written.
@@ -35,7 +43,11 @@
         let tool = fields.get("tool").and_then(Value::as_str).unwrap_or("");
         let needed = known_tool(tool)?;
         // One that failed tells no more than what it was.
-        let needed = if fields.get("ok") == Some(&Value::Bool(true)) { needed } else { &[] };
+        let needed = if fields.get("ok") == Some(&Value::Bool(true)) {
+            needed
+        } else {
+            &[]
+        };
         let there = |f: &&&str| fields.get(**f).is_some_and(|v| !v.is_null());
         if let Some(field) = ["command", "ok"].iter().chain(needed).find(|f| !there(f)) {
             return Err(format!(
@@ -46,12 +58,17 @@
         for (name, field) in fields {
             check(name, field)?;
         }
-        Ok(Run { text: line.trim().into(), value })
+        Ok(Run {
+            text: line.trim().into(),
+            value,
+        })
     }
 
     /// A number by its dotted path.
     pub fn number(&self, path: &str) -> Option<f64> {
-        path.split('.').try_fold(&self.value, |v, name| v.get(name))?.as_f64()
+        path.split('.')
+            .try_fold(&self.value, |v, name| v.get(name))?
+            .as_f64()
     }
 
     /// The tool that made it.
@@ -83,36 +100,52 @@
         "tool" | "what" | "tier" => is(field.is_string(), "a word"),
         "ok" => is(field.is_boolean(), "true or false"),
         "notes" => is(
-            field.as_array().is_some_and(|a| a.iter().all(Value::is_string)),
+            field
+                .as_array()
+                .is_some_and(|a| a.iter().all(Value::is_string)),
             "a list of texts, such as [\"1 change refused\"]",
         ),
         "command" => {
             let text = field.as_str().unwrap_or("");
             let paths = text.split([' ', '=']).any(|w| w.starts_with('/'));
-            is(!text.is_empty() && !paths, "the command line that measures it again, without absolute paths")
+            is(
+                !text.is_empty() && !paths,
+                "the command line that measures it again, without absolute paths",
+            )
         }
         _ => match field {
-            Value::Object(parts) => {
-                parts.iter().try_for_each(|(part, v)| check(&format!("{name}.{part}"), v))
-            }
+            Value::Object(parts) => parts
+                .iter()
+                .try_for_each(|(part, v)| check(&format!("{name}.{part}"), v)),
             // What was not measured may be told as null; a quantile that is there is a number.
-            Value::Null => is(!name.rsplit('.').next().is_some_and(quantile), "a finite number"),
+            Value::Null => is(
+                !name.rsplit('.').next().is_some_and(quantile),
+                "a finite number",
+            ),
             Value::String(_) | Value::Bool(_) => Ok(()),
-            _ => is(field.as_f64().is_some_and(f64::is_finite), "a finite number, or the field left out"),
+            _ => is(
+                field.as_f64().is_some_and(f64::is_finite),
+                "a finite number, or the field left out",
+            ),
         },
     }
 }
 
 /// Whether a name is that of a quantile, such as `p99`.
 fn quantile(name: &str) -> bool {
-    name.strip_prefix('p').is_some_and(|n| n.parse::<u32>().is_ok())
+    name.strip_prefix('p')
+        .is_some_and(|n| n.parse::<u32>().is_ok())
 }
 
 /// Reads lines of runs; empty ones are passed over. Each error is one line: file, line, what, what would be right.
 pub fn read_lines(name: &str, text: &str) -> Result<Vec<Run>, Vec<String>> {
     let mut runs = Vec::new();
     let mut wrong = Vec::new();
-    for (n, line) in text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()) {
+    for (n, line) in text
+        .lines()
+        .enumerate()
+        .filter(|(_, l)| !l.trim().is_empty())
+    {
         match Run::read(line) {
             Ok(run) => runs.push(run),
             Err(e) => wrong.push(format!("{name}:{}: {e}", n + 1)),
@@ -138,13 +171,18 @@
 impl Machine {
     /// This one.
     pub fn this() -> Result<Machine, String> {
-        let cores = std::thread::available_parallelism().map_err(|e| format!("cores: {e}"))?.get();
+        let cores = std::thread::available_parallelism()
+            .map_err(|e| format!("cores: {e}"))?
+            .get();
         let file = "/proc/meminfo";
         let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
         let total = text.lines().find_map(|l| l.strip_prefix("MemTotal:"));
         let kb = total.and_then(|t| t.split_whitespace().next()?.parse::<u64>().ok());
         let kb = kb.ok_or_else(|| format!("{file}: no line MemTotal: with a number of kB"))?;
-        Ok(Machine { cores, memory_gb: (kb + (1 << 19)) >> 20 })
+        Ok(Machine {
+            cores,
+            memory_gb: (kb + (1 << 19)) >> 20,
+        })
     }
 }
 
@@ -186,7 +224,11 @@
             }
         }
         if wrong.is_empty() {
-            Ok(Kept { day: file.day, machine: file.machine, runs })
+            Ok(Kept {
+                day: file.day,
+                machine: file.machine,
+                runs,
+            })
         } else {
             Err(wrong)
         }
@@ -211,11 +253,17 @@
         let machine = serde_json::to_string(&self.machine).unwrap_or_default();
         let runs: Vec<&str> = self.runs.iter().map(|r| r.text.as_str()).collect();
         let day = Value::from(self.day.as_str());
-        format!("{{\"day\": {day}, \"machine\": {machine}, \"runs\": [\n{}\n]}}\n", runs.join(",\n"))
+        format!(
+            "{{\"day\": {day}, \"machine\": {machine}, \"runs\": [\n{}\n]}}\n",
+            runs.join(",\n")
+        )
     }
 }
 
 /// A path's last part, as lines name it.
 pub fn short(path: &Path) -> String {
-    path.file_name().map_or_else(|| path.display().to_string(), |n| n.to_string_lossy().into_owned())
+    path.file_name().map_or_else(
+        || path.display().to_string(),
+        |n| n.to_string_lossy().into_owned(),
+    )
 }
--- a/programs/capacity/tests/fit.rs
+++ b/programs/capacity/tests/fit.rs
@@ -12,7 +12,12 @@
     let mut random = StdRng::seed_from_u64(seed);
     let noise = Normal::new(0.0, deviation).expect("a deviation above nothing");
     let sizes = SIZES.into_iter().flat_map(|x| [x; 3]);
-    sizes.map(|x| Point { x, y: truth(x) + noise.sample(&mut random) }).collect()
+    sizes
+        .map(|x| Point {
+            x,
+            y: truth(x) + noise.sample(&mut random),
+        })
+        .collect()
 }
 
 /// Of a hundred seeds, how many give a form of this name; the last fit of them too.
@@ -21,7 +26,10 @@
         .map(|seed| fit(&drawn(truth, deviation, seed), None).expect("six sizes"))
         .filter(|f| f.line.form.name() == name)
         .collect();
-    (fits.len(), fits.last().cloned().expect("found once at least"))
+    (
+        fits.len(),
+        fits.last().cloned().expect("found once at least"),
+    )
 }
 
 #[test]
@@ -83,7 +91,10 @@
             within += usize::from((value.low..=value.high).contains(&next));
         }
         // 1,900 expected; four standard deviations are 39.
-        assert!((1_861..=1_939).contains(&within), "{form:?}: {within} of 2,000");
+        assert!(
+            (1_861..=1_939).contains(&within),
+            "{form:?}: {within} of 2,000"
+        );
     }
 }
 
@@ -97,15 +108,26 @@
     let value = line.value(3.0).expect("one left over");
     // s^2 = 1/6, 1 + 1/3 + 4/2.
     let half = 12.7062 * (1.0f64 / 6.0 * (1.0 + 1.0 / 3.0 + 2.0)).sqrt();
-    assert!((value.high - value.mid - half).abs() < 1e-3, "{value:?} {half}");
+    assert!(
+        (value.high - value.mid - half).abs() < 1e-3,
+        "{value:?} {half}"
+    );
 }
 
 #[test]
 fn the_size_kept_out_is_predicted_and_not_fitted() {
-    let mut points: Vec<Point> = SIZES.map(|x| Point { x, y: 10.0 + 2.0 * x }).to_vec();
+    let mut points: Vec<Point> = SIZES
+        .map(|x| Point {
+            x,
+            y: 10.0 + 2.0 * x,
+        })
+        .to_vec();
     points[5].y = 16_020.0; // twice what the others say
     let f = fit(&points, None).expect("six sizes");
-    assert_eq!((f.line.form, f.sizes, f.runs, f.held.x), (Form::Linear, 6, 5, 4_000.0));
+    assert_eq!(
+        (f.line.form, f.sizes, f.runs, f.held.x),
+        (Form::Linear, 6, 5, 4_000.0)
+    );
     assert!((f.held.predicted.mid - 8_010.0).abs() < 1e-6);
     assert!((f.held.error() + 0.5).abs() < 1e-9 && f.held.missed());
     assert_eq!(f.span, (50.0, 2_000.0));
@@ -117,8 +139,16 @@
 #[test]
 fn a_miss_is_outside_the_interval_and_off_by_a_tenth() {
     let of = |measured: f64, half: f64| {
-        Held { x: 1.0, measured, predicted: Value { mid: 100.0, low: 100.0 - half, high: 100.0 + half } }
-            .missed()
+        Held {
+            x: 1.0,
+            measured,
+            predicted: Value {
+                mid: 100.0,
+                low: 100.0 - half,
+                high: 100.0 + half,
+            },
+        }
+        .missed()
     };
     assert!(of(150.0, 10.0) && of(60.0, 10.0));
     assert!(!of(150.0, 60.0) && !of(105.0, 1.0) && !of(100.0, 0.0));
@@ -127,11 +157,17 @@
 #[test]
 fn too_few_sizes_claim_nothing() {
     let points = |n: usize| -> Vec<Point> {
-        SIZES[..n].iter().flat_map(|x| [10.0, 11.0].map(|y| Point { x: *x, y })).collect()
+        SIZES[..n]
+            .iter()
+            .flat_map(|x| [10.0, 11.0].map(|y| Point { x: *x, y }))
+            .collect()
     };
     for n in 0..4 {
         assert_eq!(fit(&points(n), None).map(|_| ()), Err(Unfit::TooFew(n)));
     }
     assert!(fit(&points(4), None).is_ok());
-    assert_eq!(fit(&points(5), Some(7.0)).map(|_| ()), Err(Unfit::NotMeasured(7.0)));
+    assert_eq!(
+        fit(&points(5), Some(7.0)).map(|_| ()),
+        Err(Unfit::NotMeasured(7.0))
+    );
 }
--- a/programs/capacity/tests/page.rs
+++ b/programs/capacity/tests/page.rs
@@ -11,7 +11,9 @@
 #[test]
 fn the_page_of_this_repository_is_what_its_runs_give() {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs");
-    check(&docs).unwrap_or_else(|lines| panic!("`page` makes it anew; these differ:\n{}", lines.join("\n")));
+    check(&docs).unwrap_or_else(|lines| {
+        panic!("`page` makes it anew; these differ:\n{}", lines.join("\n"))
+    });
 }
 
 const FIGURES: &str = r#"
@@ -77,7 +79,10 @@
     fs::write(docs.join("capacity/figures.toml"), FIGURES).unwrap();
     fs::write(docs.join("capacity/CAPACITY.in.md"), TEMPLATE).unwrap();
     let sizes = [100, 300, 1_000, 2_000, 4_000];
-    let lines: Vec<String> = sizes.iter().flat_map(|s| [1, 2, 3].map(|seed| line(*s, seed))).collect();
+    let lines: Vec<String> = sizes
+        .iter()
+        .flat_map(|s| [1, 2, 3].map(|seed| line(*s, seed)))
+        .collect();
     fs::write(docs.join("capacity/runs/virtual.jsonl"), lines.join("\n")).unwrap();
     assert_eq!(recorded(&docs).as_deref(), Ok("15 runs added, 15 kept"));
     make(&docs).unwrap();
@@ -94,7 +99,11 @@
 
 fn change(path: PathBuf, from: &str, to: &str) {
     let text = fs::read_to_string(&path).unwrap();
-    assert!(text.contains(from), "{from:?} is not in {}:\n{text}", path.display());
+    assert!(
+        text.contains(from),
+        "{from:?} is not in {}:\n{text}",
+        path.display()
+    );
     fs::write(path, text.replacen(from, to, 1)).unwrap();
 }
 
@@ -118,16 +127,38 @@
     }
     assert!(check(&docs).is_ok());
     // Without the largest size the next one is kept out.
-    change(docs.join("capacity/figures.toml"), "plot =", "most = 2_000\nplot =");
+    change(
+        docs.join("capacity/figures.toml"),
+        "plot =",
+        "most = 2_000\nplot =",
+    );
     make(&docs).unwrap();
     let page = fs::read_to_string(docs.join("CAPACITY.md")).unwrap();
-    assert!(page.contains("`front_ends` up to 2,000 | linear: 11 + 2 x"), "{page}");
-    assert!(page.contains("| 3, 100 to 1,000 (9) | 2,000 | 4,011 "), "{page}");
+    assert!(
+        page.contains("`front_ends` up to 2,000 | linear: 11 + 2 x"),
+        "{page}"
+    );
+    assert!(
+        page.contains("| 3, 100 to 1,000 (9) | 2,000 | 4,011 "),
+        "{page}"
+    );
 }
 
 #[test]
 fn verdicts_go_by_figure_interval_and_missed_fits() {
-    let of = |mid: f64, high: f64, missed: bool| verdict((Value { mid, low: 0.0, high }, missed), 30.0);
+    let of = |mid: f64, high: f64, missed: bool| {
+        verdict(
+            (
+                Value {
+                    mid,
+                    low: 0.0,
+                    high,
+                },
+                missed,
+            ),
+            30.0,
+        )
+    };
     assert_eq!(of(20.0, 30.0, false), Verdict::Holds);
     assert_eq!(of(20.1, 30.0, false), Verdict::Tight);
     assert_eq!(of(10.0, 30.1, false), Verdict::Tight);
@@ -140,13 +171,31 @@
 fn what_was_changed_by_hand_is_found() {
     type Change = fn(&Path);
     let changes: [(&str, &str, Change); 7] = [
-        ("page", "CAPACITY.md:", |d| change(d.join("CAPACITY.md"), "30,0", "29,0")),
-        ("verdict", "CAPACITY.md:", |d| change(d.join("CAPACITY.md"), "**fails**", "holds")),
-        ("plot", "img/capacity-bytes.svg:", |d| change(d.join("img/capacity-bytes.svg"), "cx=\"", "cx=\"1")),
-        ("stray", "img/capacity-old.svg: ", |d| fs::write(d.join("img/capacity-old.svg"), "").unwrap()),
-        ("run", "CAPACITY.md:", |d| change(d.join("capacity/slopes.json"), "\"p99\":212", "\"p99\":2120")),
+        ("page", "CAPACITY.md:", |d| {
+            change(d.join("CAPACITY.md"), "30,0", "29,0")
+        }),
+        ("verdict", "CAPACITY.md:", |d| {
+            change(d.join("CAPACITY.md"), "**fails**", "holds")
+        }),
+        ("plot", "img/capacity-bytes.svg:", |d| {
+            change(d.join("img/capacity-bytes.svg"), "cx=\"", "cx=\"1")
+        }),
+        ("stray", "img/capacity-old.svg: ", |d| {
+            fs::write(d.join("img/capacity-old.svg"), "").unwrap()
+        }),
+        ("run", "CAPACITY.md:", |d| {
+            change(
+                d.join("capacity/slopes.json"),
+                "\"p99\":212",
+                "\"p99\":2120",
+            )
+        }),
         ("unrecorded", "capacity/runs/virtual.jsonl: ", |d| {
-            change(d.join("capacity/runs/virtual.jsonl"), "\"seed\":1,", "\"seed\":9,")
+            change(
+                d.join("capacity/runs/virtual.jsonl"),
+                "\"seed\":1,",
+                "\"seed\":9,",
+            )
         }),
         ("twice", "capacity/slopes.json:", |d| {
             let first = format!("[\n{},\n", line(100, 1));
@@ -158,7 +207,10 @@
         assert!(check(&docs).is_ok());
         change(&docs);
         let lines = check(&docs).expect_err(name);
-        assert!(lines.iter().any(|l| l.starts_with(told)), "{name}: {lines:?}");
+        assert!(
+            lines.iter().any(|l| l.starts_with(told)),
+            "{name}: {lines:?}"
+        );
         assert!(lines.iter().all(|l| !l.contains('\n')), "{name}: {lines:?}");
     }
 }
@@ -176,25 +228,50 @@
 fn a_bad_line_is_told_and_nothing_is_added() {
     let good = line(100, 1);
     for (from, to, told) in [
-        ("\"virtual\"", "\"vertical\"", "tool \"vertical\" is not known"),
+        (
+            "\"virtual\"",
+            "\"vertical\"",
+            "tool \"vertical\" is not known",
+        ),
         ("\"seed\":1,", "", "seed is not there"),
         ("212}", "1e999}", "out of range"),
-        ("212}", "null}", "in_force_ms.p99 is null; right is a finite number"),
+        (
+            "212}",
+            "null}",
+            "in_force_ms.p99 is null; right is a finite number",
+        ),
         ("\"ok\":true", "\"ok\":1", "ok is 1; right is true or false"),
         ("[]", "[1]", "notes is [1]; right is a list of texts"),
-        ("tansy-lab size", "/home/me/tansy-lab size", "without absolute paths"),
+        (
+            "tansy-lab size",
+            "/home/me/tansy-lab size",
+            "without absolute paths",
+        ),
         ("{\"tool\"", "[\"tool\"", "right is one JSON object a line"),
     ] {
         let text = format!("\n{}\n", good.replacen(from, to, 1));
         let lines = read_lines("runs.jsonl", &text).expect_err(from);
-        assert!(lines.len() == 1 && lines[0].starts_with("runs.jsonl:2: "), "{lines:?}");
-        assert!(lines[0].contains(told) && !lines[0].contains('\n'), "{told:?} is not in {lines:?}");
+        assert!(
+            lines.len() == 1 && lines[0].starts_with("runs.jsonl:2: "),
+            "{lines:?}"
+        );
+        assert!(
+            lines[0].contains(told) && !lines[0].contains('\n'),
+            "{told:?} is not in {lines:?}"
+        );
     }
     let docs = docs("bad");
     let kept = fs::read_to_string(docs.join("capacity/slopes.json")).unwrap();
-    fs::write(docs.join("capacity/runs/virtual.jsonl"), format!("{}\n{{}}\n", line(9, 9))).unwrap();
+    fs::write(
+        docs.join("capacity/runs/virtual.jsonl"),
+        format!("{}\n{{}}\n", line(9, 9)),
+    )
+    .unwrap();
     assert!(recorded(&docs).is_err());
-    assert_eq!(fs::read_to_string(docs.join("capacity/slopes.json")).unwrap(), kept);
+    assert_eq!(
+        fs::read_to_string(docs.join("capacity/slopes.json")).unwrap(),
+        kept
+    );
 }
 
 #[test]
@@ -206,31 +283,66 @@
             "bites(front_ends)",
             "bites is no slope; right is one of bytes",
         ),
-        ("figures.toml", "share * ", "chair * ", "\"chair\" is no factor; right is a number"),
-        ("figures.toml", "id = \"twice\"", "id = \"half\"", "half is there twice"),
+        (
+            "figures.toml",
+            "share * ",
+            "chair * ",
+            "\"chair\" is no factor; right is a number",
+        ),
+        (
+            "figures.toml",
+            "id = \"twice\"",
+            "id = \"half\"",
+            "half is there twice",
+        ),
         (
             "figures.toml",
             "tool = \"virtual\"",
             "tool = \"vitual\"",
             "tool \"vitual\" is not known; right are",
         ),
-        ("figures.toml", "at = \"front_ends\"", "at = []", "right is a number, or a name from [given]"),
-        ("figures.toml", "plot = \"log-log\"", "plot = \"log\"", "unknown variant"),
+        (
+            "figures.toml",
+            "at = \"front_ends\"",
+            "at = []",
+            "right is a number, or a name from [given]",
+        ),
+        (
+            "figures.toml",
+            "plot = \"log-log\"",
+            "plot = \"log\"",
+            "unknown variant",
+        ),
         (
             "figures.toml",
             "at = \"front_ends\"",
             "at = \"back_ends\"",
             "back_ends: right is a number, or one of budget",
         ),
-        ("figures.toml", "filter = { tier = \"whole\" }", "filter = { tier = \"any\", seed = 1 }", ""),
+        (
+            "figures.toml",
+            "filter = { tier = \"whole\" }",
+            "filter = { tier = \"any\", seed = 1 }",
+            "",
+        ),
         (
             "CAPACITY.in.md",
             "{{verdict half}}",
             "{{verdict whole}}",
             "whole is no figure; right is one of half, twice",
         ),
-        ("CAPACITY.in.md", "{{measured}}", "{{weighed}}", "no such placeholder; right is measured"),
-        ("CAPACITY.in.md", "{{measured}}", "{{measured", "right is both on one line"),
+        (
+            "CAPACITY.in.md",
+            "{{measured}}",
+            "{{weighed}}",
+            "no such placeholder; right is measured",
+        ),
+        (
+            "CAPACITY.in.md",
+            "{{measured}}",
+            "{{measured",
+            "right is both on one line",
+        ),
     ] {
         let docs = docs("wrong");
         change(docs.join("capacity").join(file), from, to);
@@ -239,9 +351,17 @@
             continue;
         }
         let lines = make(&docs).expect_err(to);
-        let at = lines[0].strip_prefix(&format!("{file}:")).and_then(|l| l.split_once(": "));
-        assert!(at.is_some_and(|(n, _)| n.parse::<u32>().is_ok_and(|n| n > 1)), "{lines:?}");
-        assert!(lines[0].contains(told) && !lines[0].contains('\n'), "{told:?} is not in {lines:?}");
+        let at = lines[0]
+            .strip_prefix(&format!("{file}:"))
+            .and_then(|l| l.split_once(": "));
+        assert!(
+            at.is_some_and(|(n, _)| n.parse::<u32>().is_ok_and(|n| n > 1)),
+            "{lines:?}"
+        );
+        assert!(
+            lines[0].contains(told) && !lines[0].contains('\n'),
+            "{told:?} is not in {lines:?}"
+        );
     }
 }
 
@@ -253,7 +373,10 @@
     fs::write(apart.join("capacity/runs/virtual.jsonl"), other).unwrap();
     recorded(&apart).unwrap();
     let lines = make(&apart).expect_err("two counts of functions");
-    assert!(lines[0].starts_with("figures.toml: slope bytes: its runs differ in functions"), "{lines:?}");
+    assert!(
+        lines[0].starts_with("figures.toml: slope bytes: its runs differ in functions"),
+        "{lines:?}"
+    );
 
     let few = docs("few");
     let text = [100, 300, 1_000].map(|s| line(s, 1)).join("\n");
@@ -262,6 +385,12 @@
     recorded(&few).unwrap();
     make(&few).unwrap();
     let page = fs::read_to_string(few.join("CAPACITY.md")).unwrap();
-    assert!(page.contains("too few sizes to claim anything (3 of 4 at least)"), "{page}");
-    assert!(page.contains("not told not told not told") && !page.contains("holds"), "{page}");
+    assert!(
+        page.contains("too few sizes to claim anything (3 of 4 at least)"),
+        "{page}"
+    );
+    assert!(
+        page.contains("not told not told not told") && !page.contains("holds"),
+        "{page}"
+    );
 }
--- a/programs/day/src/agree.rs
+++ b/programs/day/src/agree.rs
@@ -113,18 +113,26 @@
         match (round + play.seed as usize) % 5 {
             // Those that were not killed yet come first, so that each is in time.
             0 | 1 => {
-                let many = if round % 2 == 0 { (play.fronts * 7).div_ceil(10) } else { 1 };
+                let many = if round % 2 == 0 {
+                    (play.fronts * 7).div_ceil(10)
+                } else {
+                    1
+                };
                 for _ in 0..many.max(1) {
                     let who = unkilled.pop().unwrap_or_else(|| rng.usize(0..play.fronts));
                     let (at, back) = (at + rng.f64() * 0.2, rng.f64() * 0.5);
-                    all.extend([(at, Step::Kill(who)), (at + 0.3 + away + back, Step::Revive(who))]);
+                    all.extend([
+                        (at, Step::Kill(who)),
+                        (at + 0.3 + away + back, Step::Revive(who)),
+                    ]);
                 }
             }
             2 => all.extend([(at, Step::Stop(one)), (at + 1.2 + away, Step::Wake(one))]),
             // A minority is cut off, or hears and is not heard.
             3 => {
-                let side: BTreeSet<usize> =
-                    (0..1 + play.fronts / 3).map(|_| rng.usize(0..play.fronts)).collect();
+                let side: BTreeSet<usize> = (0..1 + play.fronts / 3)
+                    .map(|_| rng.usize(0..play.fronts))
+                    .collect();
                 let ways = rng.usize(0..3);
                 for a in 0..play.fronts {
                     for b in (0..play.fronts).filter(|b| side.contains(&a) != side.contains(b)) {
@@ -140,7 +148,10 @@
             _ => {
                 let other = (one + 1 + rng.usize(0..play.fronts - 1)) % play.fronts;
                 for (a, b) in [(one, other), (other, one)] {
-                    all.extend([(at, Step::Hold(a, b, true)), (at + 1.0 + away, Step::Hold(a, b, false))]);
+                    all.extend([
+                        (at, Step::Hold(a, b, true)),
+                        (at + 1.0 + away, Step::Hold(a, b, false)),
+                    ]);
                 }
                 let flaps = 1 + rng.usize(0..play.fronts - 1);
                 for n in 0..6 {
@@ -157,7 +168,10 @@
     for round in 0..play.rounds {
         let (worker, by) = (round % (WORKERS - 2), rng.usize(0..play.fronts));
         let at = round as f64 * ROUND;
-        all.extend([(at + 0.3, Step::Drain(by, worker)), (at + ROUND - 0.1, Step::Back(worker))]);
+        all.extend([
+            (at + 0.3, Step::Drain(by, worker)),
+            (at + ROUND - 0.1, Step::Back(worker)),
+        ]);
     }
     all.sort_by(|a, b| a.0.total_cmp(&b.0));
     all
@@ -217,17 +231,31 @@
 
 impl Fleet {
     fn start(play: &Play) -> Result<Fleet, Error> {
-        let folder = std::env::temp_dir().join(format!("tansy-agree-{}-{}", std::process::id(), play.seed));
+        let folder =
+            std::env::temp_dir().join(format!("tansy-agree-{}-{}", std::process::id(), play.seed));
         std::fs::create_dir_all(&folder)?;
         // Each name keeps its address over its processes. Loopback addresses that nothing else here connects from: what the
         // kernel gives to connections is never one of these while a process is away.
         let (pid, seed) = (std::process::id(), play.seed as u32);
-        let host = |n: usize| [127, 1 + (pid % 200) as u8, 1 + (seed % 250) as u8, 1 + n as u8];
-        let free = |n: usize| TcpListener::bind(SocketAddr::from((host(n), 0))).and_then(|l| l.local_addr());
+        let host = |n: usize| {
+            [
+                127,
+                1 + (pid % 200) as u8,
+                1 + (seed % 250) as u8,
+                1 + n as u8,
+            ]
+        };
+        let free = |n: usize| {
+            TcpListener::bind(SocketAddr::from((host(n), 0))).and_then(|l| l.local_addr())
+        };
         let peers = (0..play.fronts).map(free).collect::<Result<Vec<_>, _>>()?;
         let first = text(play, &peers, says(play)[0]);
         std::fs::write(folder.join("day.cue"), &first)?;
-        let alone: String = first.lines().filter(|l| !l.starts_with("fleet:")).collect::<Vec<_>>().join("\n");
+        let alone: String = first
+            .lines()
+            .filter(|l| !l.starts_with("fleet:"))
+            .collect::<Vec<_>>()
+            .join("\n");
         std::fs::write(folder.join("alone.cue"), alone)?;
         let middle = Arc::new(Middle::start());
         let mut fleet = Fleet {
@@ -251,7 +279,15 @@
         };
         for n in 0..WORKERS {
             let file = fleet.folder.join("alone.cue").display().to_string();
-            let a = ["worker", "--settings", &file, "--name", &format!("w{n}"), "--cores", "16"];
+            let a = [
+                "worker",
+                "--settings",
+                &file,
+                "--name",
+                &format!("w{n}"),
+                "--cores",
+                "16",
+            ];
             let w = Process::start(&a.map(str::to_string))?;
             w.control("/fault/lose=lost")?;
             fleet.workers.push(w);
@@ -260,7 +296,10 @@
             let (mut list, mut vias) = (Vec::new(), Vec::new());
             for worker in 0..WORKERS {
                 let target = fleet.workers[worker].address("grpc")?;
-                let link = Link::Worker { front: from, worker };
+                let link = Link::Worker {
+                    front: from,
+                    worker,
+                };
                 let at = fleet.middle.with(move |r| r.route(link, target))??;
                 // One of no fleet has no way round; the others' lists tell where a worker is, the same to all.
                 let outside = fleet.outsider == Some(from);
@@ -271,7 +310,9 @@
             fleet.write_list(from)?;
             for to in (0..play.fronts).filter(|to| *to != from) {
                 let target = fleet.peers[to];
-                let at = fleet.middle.with(move |r| r.route(Link::Peer { from, to }, target))??;
+                let at = fleet
+                    .middle
+                    .with(move |r| r.route(Link::Peer { from, to }, target))??;
                 vias.push(format!("{target}={at}"));
             }
             fleet.vias.push(vias);
@@ -282,7 +323,11 @@
             let (grpc, http) = (g.address("grpc")?, g.address("http")?);
             fleet.ports.push((grpc, http));
             fleet.gateways.push(Some(g));
-            fleet.fronts.push(fleet.middle.with(move |r| r.route(Link::Client { front }, grpc))??);
+            fleet.fronts.push(
+                fleet
+                    .middle
+                    .with(move |r| r.route(Link::Client { front }, grpc))??,
+            );
         }
         fleet.found()?;
         Ok(fleet)
@@ -298,8 +343,10 @@
             )
         };
         let lines: Vec<String> = self.lists[front].iter().enumerate().map(line).collect();
-        let (file, fresh) =
-            (self.folder.join(format!("list-{front}.cue")), self.folder.join(format!("new-{front}")));
+        let (file, fresh) = (
+            self.folder.join(format!("list-{front}.cue")),
+            self.folder.join(format!("new-{front}")),
+        );
         std::fs::File::create(&fresh)?
             .write_all(format!("workers: [\n{}\n]\n", lines.join("\n")).as_bytes())?;
         Ok(std::fs::rename(fresh, file)?)
@@ -308,10 +355,15 @@
     fn gateway(&self, front: usize, grpc: SocketAddr, http: SocketAddr) -> Result<Process, Error> {
         let path = |name: String| self.folder.join(name).display().to_string();
         let outside = self.outsider == Some(front);
-        let settings = path(if outside { "alone.cue".into() } else { "day.cue".into() });
+        let settings = path(if outside {
+            "alone.cue".into()
+        } else {
+            "day.cue".into()
+        });
         let level = if self.logs.is_some() { "info" } else { "error" };
-        let mut a: Vec<String> =
-            ["gateway", "--settings", &settings, "--log", level].map(str::to_string).into();
+        let mut a: Vec<String> = ["gateway", "--settings", &settings, "--log", level]
+            .map(str::to_string)
+            .into();
         let mut add = |name: &str, value: String| a.extend([name.to_string(), value]);
         add("--workers", path(format!("list-{front}.cue")));
         add("--me", front.to_string());
@@ -323,7 +375,9 @@
             if front < self.seats {
                 add("--state", path(format!("seat-{front}.redb")));
             }
-            self.vias[front].iter().for_each(|v| add("--via", v.clone()));
+            self.vias[front]
+                .iter()
+                .for_each(|v| add("--via", v.clone()));
         }
         let logs = self.logs.as_ref().map(|d| d.join(format!("f{front}.log")));
         Process::logged(&a, logs.as_deref())
@@ -333,8 +387,10 @@
     fn found(&self) -> Result<(), Error> {
         let mut client = Client::new()?;
         let began = Instant::now();
-        let members: Vec<SocketAddr> =
-            (0..self.peers.len()).filter(|n| self.outsider != Some(*n)).map(|n| self.peers[n]).collect();
+        let members: Vec<SocketAddr> = (0..self.peers.len())
+            .filter(|n| self.outsider != Some(*n))
+            .map(|n| self.peers[n])
+            .collect();
         loop {
             let answers = client.statuses(&members);
             let ready = |s: &tansy_fleet_wire::pb::StatusReply| {
@@ -344,7 +400,9 @@
                 return Ok(());
             }
             if began.elapsed() > START {
-                return Err(format!("the fleet did not find itself in {START:?}: {answers:?}").into());
+                return Err(
+                    format!("the fleet did not find itself in {START:?}: {answers:?}").into(),
+                );
             }
             client.wait(Duration::from_millis(50));
         }
@@ -381,18 +439,28 @@
             }
             Step::Wake(front) => {
                 if let Some(g) = &self.gateways[front] {
-                    crate::told(&[Mark::Woken { front }], |m| self.mark(m), || g.signal(Signal::CONT))?;
+                    crate::told(
+                        &[Mark::Woken { front }],
+                        |m| self.mark(m),
+                        || g.signal(Signal::CONT),
+                    )?;
                     self.stopped.remove(&front);
                     self.touched.insert(front, Instant::now());
                 }
             }
             Step::Hold(from, to, held) => {
-                self.touched.extend([(from, Instant::now()), (to, Instant::now())]);
-                self.middle.with(move |r| r.hold(Link::Peer { from, to }, held))?;
+                self.touched
+                    .extend([(from, Instant::now()), (to, Instant::now())]);
+                self.middle
+                    .with(move |r| r.hold(Link::Peer { from, to }, held))?;
             }
             Step::Drain(front, worker) => {
                 self.lists[front][worker].2 = true;
-                crate::told(&[Mark::Leaves { front, worker }], |m| self.mark(m), || self.write_list(front))?;
+                crate::told(
+                    &[Mark::Leaves { front, worker }],
+                    |m| self.mark(m),
+                    || self.write_list(front),
+                )?;
                 self.drains.push((worker, Instant::now()));
             }
             Step::Back(worker) => {
@@ -403,7 +471,10 @@
                     list[worker] = (at, incarnation + 1, false);
                 }
                 // One whose list tells it tells its siblings, whose own lists are not written yet: all are marked first.
-                let marks: Vec<Mark> = fronts.clone().map(|front| Mark::Returns { front, worker }).collect();
+                let marks: Vec<Mark> = fronts
+                    .clone()
+                    .map(|front| Mark::Returns { front, worker })
+                    .collect();
                 crate::told(
                     &marks,
                     |m| self.mark(m),
@@ -420,15 +491,24 @@
         let mut marks = Vec::new();
         for (worker, told) in &self.drains {
             for front in (0..self.gateways.len()).filter(|f| self.outsider != Some(*f)) {
-                let since = self.touched.get(&front).copied().unwrap_or(*told).max(*told);
+                let since = self
+                    .touched
+                    .get(&front)
+                    .copied()
+                    .unwrap_or(*told)
+                    .max(*told);
                 let runs = self.gateways[front].is_some() && !self.stopped.contains(&front);
                 if runs && now - since >= BOUND && self.marked.insert((*worker, front)) {
-                    marks.push(Mark::Leaves { front, worker: *worker });
+                    marks.push(Mark::Leaves {
+                        front,
+                        worker: *worker,
+                    });
                 }
             }
         }
         let drains = &self.drains;
-        self.marked.retain(|(worker, _)| drains.iter().any(|d| d.0 == *worker));
+        self.marked
+            .retain(|(worker, _)| drains.iter().any(|d| d.0 == *worker));
         marks.into_iter().try_for_each(|m| self.mark(m))
     }
 }
@@ -454,14 +534,20 @@
     // Whoever leads, as far as any seat knows that leads itself.
     let leads = |client: &mut Client| {
         let of = client.statuses(seats);
-        seats.iter().zip(of).find_map(|(at, s)| s.ok().filter(|s| s.keeps_log).map(|s| (*at, s)))
+        seats
+            .iter()
+            .zip(of)
+            .find_map(|(at, s)| s.ok().filter(|s| s.keeps_log).map(|s| (*at, s)))
     };
     while let Ok(fields) = orders.recv() {
         let said = pending.next().copied();
         let (began, id) = (Instant::now(), fastrand::u64(1..));
         let at = middle.with(|r| r.now()).map_err(failed)?;
         let limit = Duration::from_secs_f64(ROUND - 0.6);
-        let mut proposal = Proposal { version: None, force_ms: None };
+        let mut proposal = Proposal {
+            version: None,
+            force_ms: None,
+        };
         let mut base = None;
         while began.elapsed() < limit {
             // The seat may be away, or another change under way: asked again with the same id it is the same proposal.
@@ -474,13 +560,22 @@
             }
             let (seat, version) = base.unwrap_or((seats[0], 1));
             let version = Version(version);
-            let asked = Settings { version, fields: fields.clone(), why: "the day's".into(), id };
+            let asked = Settings {
+                version,
+                fields: fields.clone(),
+                why: "the day's".into(),
+                id,
+            };
             match client.enter(seat, Entry::Propose(tansy_fleet_wire::settings(&asked))) {
                 Ok(reply) => {
                     let version = reply.version;
                     proposal.version = Some(version);
-                    says.lock().map_err(|e| e.to_string())?.extend(said.map(|s| (version, s)));
-                    middle.with(move |r| r.mark_at(at, Mark::Proposed { version })).map_err(failed)?;
+                    says.lock()
+                        .map_err(|e| e.to_string())?
+                        .extend(said.map(|s| (version, s)));
+                    middle
+                        .with(move |r| r.mark_at(at, Mark::Proposed { version }))
+                        .map_err(failed)?;
                     break;
                 }
                 Err(_) => {
@@ -493,7 +588,9 @@
             let state = leads(&mut client).and_then(|(_, s)| s.state);
             if let Some(s) = state.filter(|s| s.next.is_none()) {
                 if s.force.is_some_and(|f| f.version >= version) {
-                    middle.with(move |r| r.mark(Mark::InForce { version })).map_err(failed)?;
+                    middle
+                        .with(move |r| r.mark(Mark::InForce { version }))
+                        .map_err(failed)?;
                     proposal.force_ms = Some(began.elapsed().as_millis() as u64);
                 }
                 break;
@@ -514,15 +611,21 @@
     let seconds = play.rounds as f64 * ROUND + CALM;
     let functions = |witness: bool| {
         let named = settings.front.functions.iter();
-        let deadline = |f: &tansy_settings::FunctionSpec| settings.front.settings.classes[f.class].deadline;
+        let deadline =
+            |f: &tansy_settings::FunctionSpec| settings.front.settings.classes[f.class].deadline;
         let of = named.filter(|f| (f.name == "flip" || f.name == "lost") == witness);
-        of.map(|f| (f.name.clone(), if witness { 0 } else { deadline(f) })).collect::<Vec<_>>()
+        of.map(|f| (f.name.clone(), if witness { 0 } else { deadline(f) }))
+            .collect::<Vec<_>>()
     };
     let plan = |witness: bool| Plan {
         fronts: fleet.fronts.clone(),
         functions: functions(witness),
         work: if witness { 1..=1 } else { 5..=20 },
-        rate: if witness { WITNESS_RATE * play.fronts as u64 } else { play.rate },
+        rate: if witness {
+            WITNESS_RATE * play.fronts as u64
+        } else {
+            play.rate
+        },
         seconds,
         seed: play.seed ^ u64::from(witness),
         prefix: if witness { "witness" } else { "call" },
@@ -537,12 +640,18 @@
     };
     let (main, witnesses) = (clients(plan(false)), clients(plan(true)));
     let deadline = |long: bool| if long { 3_000_000 } else { 2_000_000 };
-    let of = |(long, safe, _): &(bool, bool, u32)| Says { deadline: deadline(*long), safe: *safe };
+    let of = |(long, safe, _): &(bool, bool, u32)| Says {
+        deadline: deadline(*long),
+        safe: *safe,
+    };
     let known = Arc::new(Mutex::new(BTreeMap::from([(1, of(&all[0]))])));
     let (order, orders) = mpsc::channel();
     let asks = {
-        let (middle, seats, known) =
-            (fleet.middle.clone(), fleet.peers[..play.seats].to_vec(), known.clone());
+        let (middle, seats, known) = (
+            fleet.middle.clone(),
+            fleet.peers[..play.seats].to_vec(),
+            known.clone(),
+        );
         let of: Vec<Says> = all.iter().skip(1).map(of).collect();
         std::thread::spawn(move || operator(&middle, &seats, &orders, &known, &of))
     };
@@ -560,7 +669,9 @@
         }
         if step == Step::Propose && play.changes {
             let text = text(play, &fleet.peers, all[next]);
-            order.send(fields_of("day.cue", &text)?).map_err(|_| "the operator ended early")?;
+            order
+                .send(fields_of("day.cue", &text)?)
+                .map_err(|_| "the operator ended early")?;
             next += 1;
         }
         if play.logs.is_some() {
@@ -574,17 +685,29 @@
     let seen = main.join().map_err(ended)??;
     witnesses.join().map_err(ended)??;
     // All together: each waits for its own calls.
-    fleet.gateways.iter().flatten().try_for_each(|g| g.signal(Signal::TERM))?;
+    fleet
+        .gateways
+        .iter()
+        .flatten()
+        .try_for_each(|g| g.signal(Signal::TERM))?;
     for g in fleet.gateways.iter_mut().flatten() {
         g.stop()?;
     }
     let mut entries = fleet.middle.with(|r| r.take())?;
     entries.sort_by_key(|e| e.at);
     // More processes than cores: a wake-up may take longer than on the other days.
-    let rules = tansy_audit::Rules { slack: SLACK, ..crate::rules(&settings, 16.0) };
+    let rules = tansy_audit::Rules {
+        slack: SLACK,
+        ..crate::rules(&settings, 16.0)
+    };
     let (audit, calls) = judge(&entries, &rules);
     let says = known.lock().map_err(|_| "no map of versions")?.clone();
-    let witnesses = Witnesses { flip: "flip".into(), lost: "lost".into(), says, reserve: RESERVE };
+    let witnesses = Witnesses {
+        flip: "flip".into(),
+        lost: "lost".into(),
+        says,
+        reserve: RESERVE,
+    };
     let found = versions(&entries, &calls, &witnesses);
     let _ = std::fs::remove_dir_all(&fleet.folder);
     Ok(day(&proposals, &seen, &audit, found, fleet.killed))
@@ -593,10 +716,15 @@
 fn day(proposals: &[Proposal], seen: &Seen, audit: &Audit, found: Found, killed: usize) -> Day {
     let mut force_ms: Vec<u64> = proposals.iter().filter_map(|p| p.force_ms).collect();
     force_ms.sort();
-    let in_words = audit
-        .breaches
-        .iter()
-        .map(|b| format!("rule {} at {:.3} s, {}: {}", b.rule, b.at as f64 / 1e6, b.what, b.why));
+    let in_words = audit.breaches.iter().map(|b| {
+        format!(
+            "rule {} at {:.3} s, {}: {}",
+            b.rule,
+            b.at as f64 / 1e6,
+            b.what,
+            b.why
+        )
+    });
     let over = found.strict.max(found.joint) > BOUND.as_micros() as i64;
     Day {
         in_force: force_ms.len(),
@@ -606,7 +734,9 @@
         shown: found.shown,
         strict_ms: found.strict as f64 / 1000.0,
         joint_ms: found.joint as f64 / 1000.0,
-        breaches: in_words.chain(found.told.iter().filter(|_| over).cloned()).collect(),
+        breaches: in_words
+            .chain(found.told.iter().filter(|_| over).cloned())
+            .collect(),
         force_ms,
     }
 }
--- a/programs/day/src/cast.rs
+++ b/programs/day/src/cast.rs
@@ -34,7 +34,12 @@
     pub fn logged(arguments: &[String], logs: Option<&Path>) -> Result<Process, Error> {
         let mut command = Command::new(std::env::current_exe()?);
         if let Some(path) = logs {
-            command.stderr(std::fs::OpenOptions::new().append(true).create(true).open(path)?);
+            command.stderr(
+                std::fs::OpenOptions::new()
+                    .append(true)
+                    .create(true)
+                    .open(path)?,
+            );
         }
         let mut child = command.args(arguments).stdout(Stdio::piped()).spawn()?;
         let mut out = BufReader::new(child.stdout.take().ok_or("no output")?);
@@ -47,8 +52,13 @@
     }
     /// An address of its `ready` line.
     pub fn address(&self, name: &str) -> Result<SocketAddr, Error> {
-        let word = self.line.split_whitespace().find_map(|w| w.strip_prefix(name)?.strip_prefix('='));
-        Ok(word.ok_or(format!("no {name} in {:?}", self.line))?.parse()?)
+        let word = self
+            .line
+            .split_whitespace()
+            .find_map(|w| w.strip_prefix(name)?.strip_prefix('='));
+        Ok(word
+            .ok_or(format!("no {name} in {:?}", self.line))?
+            .parse()?)
     }
     /// Kills it at once, and waits until it has ended.
     pub fn kill(&mut self) {
@@ -100,10 +110,17 @@
     pub fn start() -> Middle {
         let (jobs, queue) = mpsc::channel::<Job>();
         std::thread::spawn(move || {
-            let Ok(mut event_loop) = EventLoop::<'static, ()>::try_new() else { return };
-            let Ok(spawner) = Spawner::new(event_loop.handle()) else { return };
+            let Ok(mut event_loop) = EventLoop::<'static, ()>::try_new() else {
+                return;
+            };
+            let Ok(spawner) = Spawner::new(event_loop.handle()) else {
+                return;
+            };
             let relay = Relay::new(spawner);
-            while event_loop.dispatch(Some(Duration::from_millis(1)), &mut ()).is_ok() {
+            while event_loop
+                .dispatch(Some(Duration::from_millis(1)), &mut ())
+                .is_ok()
+            {
                 loop {
                     match queue.try_recv() {
                         Ok(job) => job(&relay),
@@ -121,7 +138,9 @@
         job: impl FnOnce(&Rc<Relay>) -> T + Send + 'static,
     ) -> Result<T, Error> {
         let (told, result) = mpsc::channel();
-        self.0.send(Box::new(move |r| drop(told.send(job(r))))).map_err(|_| "the relay has ended")?;
+        self.0
+            .send(Box::new(move |r| drop(told.send(job(r)))))
+            .map_err(|_| "the relay has ended")?;
         Ok(result.recv()?)
     }
 }
@@ -154,7 +173,12 @@
 
 impl Cast {
     /// Starts workers and gateways, with the relay between all of them.
-    pub fn start(settings: &str, workers: usize, gateways: usize, cores: f64) -> Result<Cast, Error> {
+    pub fn start(
+        settings: &str,
+        workers: usize,
+        gateways: usize,
+        cores: f64,
+    ) -> Result<Cast, Error> {
         let folder = std::env::temp_dir().join(format!("tansy-day-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let file = folder.join("day.cue");
@@ -168,7 +192,16 @@
             fronts: Vec::new(),
             gateway_ports: Vec::new(),
             routes: vec![Vec::new(); gateways],
-            lists: vec![vec![Listed { draining: false, started: None }; workers]; gateways],
+            lists: vec![
+                vec![
+                    Listed {
+                        draining: false,
+                        started: None
+                    };
+                    workers
+                ];
+                gateways
+            ],
             folder,
             accounts: Vec::new(),
         };
@@ -198,7 +231,10 @@
             let (grpc, http) = (g.address("grpc")?, g.address("http")?);
             cast.gateway_ports.push((grpc, http));
             cast.gateways.push(Some(g));
-            cast.fronts.push(cast.middle.with(move |r| r.route(Link::Client { front }, grpc))??);
+            cast.fronts.push(
+                cast.middle
+                    .with(move |r| r.route(Link::Client { front }, grpc))??,
+            );
         }
         Ok(cast)
     }
@@ -227,18 +263,29 @@
         let mut lines = Vec::new();
         for (n, l) in self.lists[front].iter().enumerate() {
             // The first half stands in room-a.
-            let zone = if n < self.lists[front].len() / 2 { "room-a" } else { "room-b" };
+            let zone = if n < self.lists[front].len() / 2 {
+                "room-a"
+            } else {
+                "room-b"
+            };
             let state = if l.draining { "draining" } else { "ready" };
-            let started =
-                l.started.map_or(String::new(), |s| format!(", started: {}us", s.elapsed().as_micros()));
+            let started = l.started.map_or(String::new(), |s| {
+                format!(", started: {}us", s.elapsed().as_micros())
+            });
             let at = self.routes[front][n];
             lines.push(format!(
                 "    {{name: \"w{n}\", address: \"{at}\", zone: \"{zone}\", state: \"{state}\"{started}}}"
             ));
         }
-        let text = format!("workers: [\n{}\n] // {}\n", lines.join("\n"), self.lists[front].len());
-        let (file, fresh) =
-            (self.folder.join(format!("list-{front}.cue")), self.folder.join(format!("new-{front}")));
+        let text = format!(
+            "workers: [\n{}\n] // {}\n",
+            lines.join("\n"),
+            self.lists[front].len()
+        );
+        let (file, fresh) = (
+            self.folder.join(format!("list-{front}.cue")),
+            self.folder.join(format!("new-{front}")),
+        );
         std::fs::File::create(&fresh)?.write_all(text.as_bytes())?;
         std::fs::rename(fresh, file)?;
         Ok(())
@@ -247,14 +294,23 @@
     /// Tells one front end's list of a worker.
     pub fn list(&mut self, front: usize, worker: usize, draining: bool) -> Result<(), Error> {
         self.lists[front][worker].draining = draining;
-        let mark = if draining { Mark::Leaves { front, worker } } else { Mark::Returns { front, worker } };
-        crate::told(&[mark], |m| self.middle.with(move |r| r.mark(m)), || self.write_list(front))
+        let mark = if draining {
+            Mark::Leaves { front, worker }
+        } else {
+            Mark::Returns { front, worker }
+        };
+        crate::told(
+            &[mark],
+            |m| self.middle.with(move |r| r.mark(m)),
+            || self.write_list(front),
+        )
     }
 
     /// Restarts a worker in cold state, and tells all lists.
     pub fn restart(&mut self, worker: usize) -> Result<(), Error> {
         self.control(worker, "/restart")?;
-        self.middle.with(move |r| r.mark(Mark::Started { worker }))?;
+        self.middle
+            .with(move |r| r.mark(Mark::Started { worker }))?;
         for front in 0..self.lists.len() {
             self.lists[front][worker].started = Some(Instant::now());
             self.write_list(front)?;
--- a/programs/day/src/lib.rs
+++ b/programs/day/src/lib.rs
@@ -54,7 +54,12 @@
         (f.name.clone(), (effect, c.deadline))
     };
     Rules {
-        functions: settings.front.functions.iter().map(function).collect::<BTreeMap<_, _>>(),
+        functions: settings
+            .front
+            .functions
+            .iter()
+            .map(function)
+            .collect::<BTreeMap<_, _>>(),
         list_read: LIST_READ,
         drain_grace: m.drain_grace,
         cold: (m.cold_from, m.warm_up, cores),
--- a/programs/day/src/load.rs
+++ b/programs/day/src/load.rs
@@ -68,7 +68,16 @@
     fn nothing() -> Result<Seen, hdrhistogram::CreationError> {
         let histogram = || Histogram::new_with_bounds(1, 60_000_000, 3);
         let (latency, first) = (histogram()?, histogram()?);
-        Ok(Seen { begun: 0, served: 0, refused: 0, failed: 0, cancelled: 0, lost: 0, latency, first })
+        Ok(Seen {
+            begun: 0,
+            served: 0,
+            refused: 0,
+            failed: 0,
+            cancelled: 0,
+            lost: 0,
+            latency,
+            first,
+        })
     }
 }
 
@@ -101,21 +110,42 @@
 pub fn run(plan: &Plan, told: &mpsc::Sender<f64>) -> Result<Seen, crate::cast::Error> {
     let mut event_loop: EventLoop<'static, ()> = EventLoop::try_new()?;
     let spawner = Spawner::new(event_loop.handle())?;
-    let link = |n: usize| Link::new(spawner.clone(), plan.fronts[n / CONNECTIONS], Limits::default());
+    let link = |n: usize| {
+        Link::new(
+            spawner.clone(),
+            plan.fronts[n / CONNECTIONS],
+            Limits::default(),
+        )
+    };
     let links: Vec<Rc<Link>> = (0..plan.fronts.len() * CONNECTIONS).map(link).collect();
     let seen = Seen::nothing()?;
-    let counts = Rc::new(Counts { open: Cell::new(0), seen: RefCell::new(seen) });
+    let counts = Rc::new(Counts {
+        open: Cell::new(0),
+        seen: RefCell::new(seen),
+    });
     let mut rng = fastrand::Rng::with_seed(plan.seed);
     let (start, mut total) = (Instant::now(), (plan.rate as f64 * plan.seconds) as u64);
     let (mut sent, mut announced) = (0u64, 0);
     let mut seconds = plan.seconds;
     while sent < total || counts.open.get() > 0 && start.elapsed().as_secs_f64() < seconds + 5.0 {
-        if sent < total && plan.until.as_ref().is_some_and(|u| u.load(Ordering::Relaxed)) {
+        if sent < total
+            && plan
+                .until
+                .as_ref()
+                .is_some_and(|u| u.load(Ordering::Relaxed))
+        {
             (total, seconds) = (sent, start.elapsed().as_secs_f64());
         }
         let due = start + Duration::from_nanos(1_000_000_000 * sent / plan.rate);
         if sent < total && due <= Instant::now() {
-            let call = one(spawner.clone(), counts.clone(), &links, plan, sent, &mut rng);
+            let call = one(
+                spawner.clone(),
+                counts.clone(),
+                &links,
+                plan,
+                sent,
+                &mut rng,
+            );
             spawner.spawn(call);
             sent += 1;
             continue;
@@ -152,15 +182,18 @@
 ) -> impl std::future::Future<Output = ()> + 'static {
     // A client that reaches nobody asks the next front end.
     let first = rng.usize(..links.len());
-    let others: Vec<Rc<Link>> =
-        (0..TRIES).map(|n| links[(first + n * (CONNECTIONS + 1)) % links.len()].clone()).collect();
+    let others: Vec<Rc<Link>> = (0..TRIES)
+        .map(|n| links[(first + n * (CONNECTIONS + 1)) % links.len()].clone())
+        .collect();
     // Some functions are asked for more often than others.
-    let place = (rng.f64() * if plan.plain { 1.0 } else { rng.f64() } * plan.functions.len() as f64) as usize;
+    let place = (rng.f64() * if plan.plain { 1.0 } else { rng.f64() } * plan.functions.len() as f64)
+        as usize;
     let (function, budget) = plan.functions[place.min(plan.functions.len() - 1)].clone();
     let stream = !plan.plain && rng.f64() < 0.7;
     let pieces = if stream { rng.i64(1..=5) } else { 1 };
     let work = rng.i64(plan.work.clone());
-    let cancel = (!plan.plain && rng.f64() < 0.05).then(|| Duration::from_micros(rng.u64(200..40_000)));
+    let cancel =
+        (!plan.plain && rng.f64() < 0.05).then(|| Duration::from_micros(rng.u64(200..40_000)));
     let slow = (!plan.plain && rng.f64() < 0.02).then(|| Duration::from_millis(rng.u64(5..60)));
     let integer = |n| pb::InferParameter {
         parameter_choice: Some(pb::infer_parameter::ParameterChoice::Int64Param(n)),
@@ -169,7 +202,10 @@
         name: "x".into(),
         datatype: "INT64".into(),
         shape: vec![1],
-        contents: Some(pb::InferTensorContents { int64_contents: vec![n as i64], ..Default::default() }),
+        contents: Some(pb::InferTensorContents {
+            int64_contents: vec![n as i64],
+            ..Default::default()
+        }),
         ..Default::default()
     };
     let message = pb::ModelInferRequest {
@@ -192,7 +228,16 @@
         let call = async {
             let mut ended = Ended::NotSent;
             for link in &others {
-                ended = exchange(&spawner, link, body.clone(), stream, budget, slow, &mut first).await;
+                ended = exchange(
+                    &spawner,
+                    link,
+                    body.clone(),
+                    stream,
+                    budget,
+                    slow,
+                    &mut first,
+                )
+                .await;
                 if ended != Ended::NotSent {
                     break;
                 }
@@ -200,9 +245,9 @@
             ended
         };
         let ended = match cancel {
-            Some(after) => {
-                tansy_net_sockets::within(spawner.sleep(after), call).await.unwrap_or(Ended::Cancelled)
-            }
+            Some(after) => tansy_net_sockets::within(spawner.sleep(after), call)
+                .await
+                .unwrap_or(Ended::Cancelled),
             None => call.await,
         };
         counts.open.set(counts.open.get() - 1);
@@ -210,7 +255,8 @@
         match ended {
             Ended::Served => {
                 s.served += 1;
-                s.latency.saturating_record(began.elapsed().as_micros() as u64);
+                s.latency
+                    .saturating_record(began.elapsed().as_micros() as u64);
                 if let Some(first) = first {
                     s.first.saturating_record(first);
                 }
@@ -233,7 +279,9 @@
     first: &mut Option<u64>,
 ) -> Ended {
     let began = Instant::now();
-    let Ok(mut connection) = link.connection().await else { return Ended::NotSent };
+    let Ok(mut connection) = link.connection().await else {
+        return Ended::NotSent;
+    };
     if poll_fn(|cx| connection.send.poll_ready(cx)).await.is_err() {
         return Ended::NotSent;
     }
@@ -276,7 +324,9 @@
                     Ending::Status(Code::Unavailable, _) => Ended::Refused,
                     Ending::Status(..) => Ended::Failed,
                     // The server says that it has not looked at it.
-                    Ending::GoawayBelow | Ending::NeverLeft | Ending::Reset(REFUSED_STREAM) => Ended::NotSent,
+                    Ending::GoawayBelow | Ending::NeverLeft | Ending::Reset(REFUSED_STREAM) => {
+                        Ended::NotSent
+                    }
                     _ => Ended::Lost,
                 };
             }
--- a/programs/day/src/main.rs
+++ b/programs/day/src/main.rs
@@ -116,7 +116,13 @@
         }
         Ok(audit) => {
             for b in audit.breaches.iter().take(a.show) {
-                println!("breach of rule {} at {:.3} s, {}: {}", b.rule, b.at as f64 / 1e6, b.what, b.why);
+                println!(
+                    "breach of rule {} at {:.3} s, {}: {}",
+                    b.rule,
+                    b.at as f64 / 1e6,
+                    b.what,
+                    b.why
+                );
             }
             println!("verdict: {} breaches", audit.breaches.len());
             ExitCode::from(3)
@@ -150,11 +156,17 @@
 fn agree(a: &Arguments) -> ExitCode {
     let fronts = a.front_ends.unwrap_or(7);
     if !(3..=40).contains(&fronts) || !(1..=1000).contains(&a.rounds) {
-        eprintln!("--front-ends {fronts} --rounds {}: want 3 to 40, and 1 to 1000", a.rounds);
+        eprintln!(
+            "--front-ends {fronts} --rounds {}: want 3 to 40, and 1 to 1000",
+            a.rounds
+        );
         return ExitCode::from(1);
     }
     if ![1, 3, 5, 7].contains(&a.seats) || a.seats > fronts {
-        eprintln!("--seats {}: want 1, 3, 5 or 7, and no more than front ends", a.seats);
+        eprintln!(
+            "--seats {}: want 1, 3, 5 or 7, and no more than front ends",
+            a.seats
+        );
         return ExitCode::from(1);
     }
     let rate = a.rate.unwrap_or(300);
@@ -168,8 +180,18 @@
         outsider: a.outsider,
         logs: a.logs.clone(),
     };
-    let plain = tansy_day::agree::Play { changes: false, logs: None, ..play.clone() };
-    let other = || if a.no_plain { Ok(None) } else { tansy_day::agree::play(&plain).map(Some) };
+    let plain = tansy_day::agree::Play {
+        changes: false,
+        logs: None,
+        ..play.clone()
+    };
+    let other = || {
+        if a.no_plain {
+            Ok(None)
+        } else {
+            tansy_day::agree::play(&plain).map(Some)
+        }
+    };
     let days = tansy_day::agree::play(&play).and_then(|d| Ok((d, other()?)));
     let (day, plain) = match days {
         Ok(days) => days,
@@ -178,8 +200,14 @@
             return ExitCode::from(1);
         }
     };
-    let all: Vec<&String> = day.breaches.iter().chain(plain.iter().flat_map(|p| &p.breaches)).collect();
-    all.iter().take(a.show).for_each(|b| println!("breach: {b}"));
+    let all: Vec<&String> = day
+        .breaches
+        .iter()
+        .chain(plain.iter().flat_map(|p| &p.breaches))
+        .collect();
+    all.iter()
+        .take(a.show)
+        .for_each(|b| println!("breach: {b}"));
     // A day on which nothing changed, or whose witnesses showed nothing, shows nothing.
     let ok = all.is_empty() && day.in_force > 0 && day.shown > 0;
     let line = Line {
@@ -204,9 +232,18 @@
             "changes: in force {} not {} ({:?} ms); contradiction {:.1} ms of {} allowed, shown by {} calls",
             line.in_force, line.not_in_force, line.force_ms, line.contradiction_ms, line.bound_ms, line.shown
         );
-        let plain = line.served_plain.map_or(String::new(), |p| format!(", without changes {p:.4}"));
+        let plain = line
+            .served_plain
+            .map_or(String::new(), |p| format!(", without changes {p:.4}"));
         println!("served {:.4}{plain}; killed {}", line.served, line.killed);
-        println!("verdict: {}", if ok { "no rule broken".into() } else { format!("{} breaches", all.len()) });
+        println!(
+            "verdict: {}",
+            if ok {
+                "no rule broken".into()
+            } else {
+                format!("{} breaches", all.len())
+            }
+        );
     }
     ExitCode::from(if ok { 0 } else { 3 })
 }
@@ -235,7 +272,10 @@
 fn roll(a: &Arguments) -> ExitCode {
     let fronts = a.front_ends.unwrap_or(12);
     if !(6..=48).contains(&fronts) || !fronts.is_multiple_of(3) || a.least == 0 {
-        eprintln!("--front-ends {fronts} --least {}: want 6 to 48, a multiple of 3, and 1 or more", a.least);
+        eprintln!(
+            "--front-ends {fronts} --least {}: want 6 to 48, a multiple of 3, and 1 or more",
+            a.least
+        );
         return ExitCode::from(1);
     }
     let rate = a.rate.unwrap_or(400);
@@ -253,8 +293,12 @@
         true => Ok(None),
         false => {
             let plain = Some(seconds.clamp(5.0, 60.0));
-            tansy_day::roll::play(&tansy_day::roll::Play { plain, plant: Plant::None, ..play.clone() })
-                .map(Some)
+            tansy_day::roll::play(&tansy_day::roll::Play {
+                plain,
+                plant: Plant::None,
+                ..play.clone()
+            })
+            .map(Some)
         }
     };
     let days = tansy_day::roll::play(&play).and_then(|d| Ok((other(d.seconds)?, d)));
@@ -266,16 +310,26 @@
         }
     };
     if let (Some(path), Some(roll)) = (&a.report, &day.roll) {
-        let written =
-            tansy_fleet::report::page(roll).and_then(|p| std::fs::write(path, p).map_err(|e| e.to_string()));
+        let written = tansy_fleet::report::page(roll)
+            .and_then(|p| std::fs::write(path, p).map_err(|e| e.to_string()));
         if let Err(e) = written {
             eprintln!("{}: {e}", path.display());
         }
     }
-    let all: Vec<&String> = day.breaches.iter().chain(plain.iter().flat_map(|p| &p.breaches)).collect();
-    all.iter().take(a.show).for_each(|b| println!("breach: {b}"));
+    let all: Vec<&String> = day
+        .breaches
+        .iter()
+        .chain(plain.iter().flat_map(|p| &p.breaches))
+        .collect();
+    all.iter()
+        .take(a.show)
+        .for_each(|b| println!("breach: {b}"));
     day.steps.iter().for_each(|s| println!("step: {s}"));
-    let wanted = if matches!(a.plant, Plant::None | Plant::Zone) { "done" } else { "stopped" };
+    let wanted = if matches!(a.plant, Plant::None | Plant::Zone) {
+        "done"
+    } else {
+        "stopped"
+    };
     let line = RollLine {
         scenario: "roll",
         seed: a.seed,
@@ -302,13 +356,22 @@
         Which::Bad | Which::Agree | Which::Roll => scenario::BAD,
         Which::ColdRoom => scenario::COLD,
     };
-    let (workers, cores) = (a.workers.unwrap_or(day.workers), a.cores.unwrap_or(day.cores));
+    let (workers, cores) = (
+        a.workers.unwrap_or(day.workers),
+        a.cores.unwrap_or(day.cores),
+    );
     let settings = tansy_settings::settings(day.settings.0, day.settings.1)?;
     let mut cast = Cast::start(day.settings.1, workers, day.gateways, cores)?;
-    let deadline = |f: &tansy_settings::FunctionSpec| settings.front.settings.classes[f.class].deadline;
+    let deadline =
+        |f: &tansy_settings::FunctionSpec| settings.front.settings.classes[f.class].deadline;
     let plan = Plan {
         fronts: cast.fronts.clone(),
-        functions: settings.front.functions.iter().map(|f| (f.name.clone(), deadline(f))).collect(),
+        functions: settings
+            .front
+            .functions
+            .iter()
+            .map(|f| (f.name.clone(), deadline(f)))
+            .collect(),
         work: day.work,
         rate: a.rate.unwrap_or(day.rate),
         seconds: a.seconds,
@@ -325,7 +388,9 @@
             perform(&mut cast, *step)?;
         }
     }
-    let seen = clients.join().map_err(|_| "the clients' thread ended early")??;
+    let seen = clients
+        .join()
+        .map_err(|_| "the clients' thread ended early")??;
     let (entries, accounts) = cast.end()?;
     let found = audit(&entries, &rules(&settings, cores));
     println!(
@@ -339,7 +404,11 @@
     for account in accounts {
         println!("gateway: {account}");
     }
-    let ends: Vec<String> = found.ends.iter().map(|(e, n)| format!("{e:?} {n}").to_lowercase()).collect();
+    let ends: Vec<String> = found
+        .ends
+        .iter()
+        .map(|(e, n)| format!("{e:?} {n}").to_lowercase())
+        .collect();
     println!(
         "sockets: started {} {}; attempts {} repeats {} loads {}",
         found.started,
--- a/programs/day/src/plant.rs
+++ b/programs/day/src/plant.rs
@@ -45,9 +45,10 @@
     let mut arguments: Vec<OsString> = arguments.collect();
     match plant.as_str() {
         "slow" => through(&mut arguments, Arc::new(move || Some(LATE_BY))),
-        "late" => {
-            through(&mut arguments, Arc::new(move || Some(LATE_BY).filter(|_| began.elapsed() >= LATE_FROM)))
-        }
+        "late" => through(
+            &mut arguments,
+            Arc::new(move || Some(LATE_BY).filter(|_| began.elapsed() >= LATE_FROM)),
+        ),
         "refuse" => {
             // Workers that can't be reached for a second out of three.
             REFUSES.get_or_init(|| began);
@@ -72,7 +73,9 @@
 static REFUSES: std::sync::OnceLock<Instant> = std::sync::OnceLock::new();
 
 fn refuses() -> bool {
-    REFUSES.get().is_some_and(|began| began.elapsed().as_millis() % 3000 < 1000)
+    REFUSES
+        .get()
+        .is_some_and(|began| began.elapsed().as_millis() % 3000 < 1000)
 }
 
 type Delay = Arc<dyn Fn() -> Option<Duration> + Send + Sync>;
@@ -84,10 +87,18 @@
             continue;
         }
         let text = arguments[n].to_string_lossy().into_owned();
-        let Some((worker, at)) = text.split_once('=') else { continue };
-        let Ok(at) = at.parse::<SocketAddr>() else { continue };
-        let Ok(listener) = TcpListener::bind("127.0.0.1:0") else { continue };
-        let Ok(here) = listener.local_addr() else { continue };
+        let Some((worker, at)) = text.split_once('=') else {
+            continue;
+        };
+        let Ok(at) = at.parse::<SocketAddr>() else {
+            continue;
+        };
+        let Ok(listener) = TcpListener::bind("127.0.0.1:0") else {
+            continue;
+        };
+        let Ok(here) = listener.local_addr() else {
+            continue;
+        };
         arguments[n] = format!("{worker}={here}").into();
         let delay = delay.clone();
         std::thread::spawn(move || {
@@ -103,9 +114,13 @@
     if refuses() {
         return;
     }
-    let Ok(worker) = TcpStream::connect(at) else { return };
+    let Ok(worker) = TcpStream::connect(at) else {
+        return;
+    };
     let _ = (client.set_nodelay(true), worker.set_nodelay(true));
-    let (Ok(from), Ok(to)) = (client.try_clone(), worker.try_clone()) else { return };
+    let (Ok(from), Ok(to)) = (client.try_clone(), worker.try_clone()) else {
+        return;
+    };
     std::thread::spawn(move || copy(&from, &to, |_| None));
     copy(&worker, client, |began| delay().map(|d| began + d));
 }
@@ -117,9 +132,9 @@
     std::thread::scope(|s| {
         s.spawn(move || {
             while let Ok((at, bytes)) = queue.recv() {
-                std::thread::sleep(
-                    due(at).map_or(Duration::ZERO, |d| d.saturating_duration_since(Instant::now())),
-                );
+                std::thread::sleep(due(at).map_or(Duration::ZERO, |d| {
+                    d.saturating_duration_since(Instant::now())
+                }));
                 if refuses() || to.write_all(&bytes).is_err() {
                     break;
                 }
