--- a/programs/day/src/roll.rs
+++ b/programs/day/src/roll.rs
@@ -124,23 +124,39 @@
 
 impl Rig {
     fn start(play: &Play) -> Result<Rig, Error> {
-        let folder =
-            std::env::temp_dir().join(format!("tansy-day-roll-{}-{}", std::process::id(), play.seed));
+        let folder = std::env::temp_dir().join(format!(
+            "tansy-day-roll-{}-{}",
+            std::process::id(),
+            play.seed
+        ));
         std::fs::create_dir_all(&folder)?;
         let folder = folder.canonicalize()?;
         let (pid, seed) = (std::process::id(), play.seed as u32);
         // Addresses that nothing else connects from, so that a name's stay free while its process is away.
-        let host =
-            |n: usize, m: u8| [127, 2 + (pid % 200) as u8, 1 + (seed % 200) as u8, 1 + 4 * n as u8 + m];
+        let host = |n: usize, m: u8| {
+            [
+                127,
+                2 + (pid % 200) as u8,
+                1 + (seed % 200) as u8,
+                1 + 4 * n as u8 + m,
+            ]
+        };
         let free = |n: usize, m: u8| {
             TcpListener::bind(SocketAddr::from((host(n, m), 0))).and_then(|l| l.local_addr())
         };
-        let peers = (0..play.fronts).map(|n| free(n, 0)).collect::<Result<Vec<_>, _>>()?;
-        let ports = (0..play.fronts).map(|n| free(n, 1)).collect::<Result<Vec<_>, _>>()?;
-        let sides = (0..play.fronts).map(|n| free(n, 2)).collect::<Result<Vec<_>, _>>()?;
+        let peers = (0..play.fronts)
+            .map(|n| free(n, 0))
+            .collect::<Result<Vec<_>, _>>()?;
+        let ports = (0..play.fronts)
+            .map(|n| free(n, 1))
+            .collect::<Result<Vec<_>, _>>()?;
+        let sides = (0..play.fronts)
+            .map(|n| free(n, 2))
+            .collect::<Result<Vec<_>, _>>()?;
         // One seat in each zone.
-        let seats: Vec<String> =
-            (0..ZONES.len()).map(|n| format!("{{name: \"f{n}\", address: \"{}\"}}", peers[n])).collect();
+        let seats: Vec<String> = (0..ZONES.len())
+            .map(|n| format!("{{name: \"f{n}\", address: \"{}\"}}", peers[n]))
+            .collect();
         for name in ZONES {
             let text = TEXT
                 .replace("ZONE", name)
@@ -151,8 +167,13 @@
             std::fs::write(folder.join(format!("alone-{name}.cue")), alone.join("\n"))?;
         }
         let own = std::fs::read(std::env::current_exe()?)?;
-        let old = play.old.as_ref().map_or_else(|| Ok(own.clone()), std::fs::read)?;
-        let plant = serde_json::to_string(&play.plant)?.trim_matches('"').to_string();
+        let old = play
+            .old
+            .as_ref()
+            .map_or_else(|| Ok(own.clone()), std::fs::read)?;
+        let plant = serde_json::to_string(&play.plant)?
+            .trim_matches('"')
+            .to_string();
         for (name, bytes) in [("old", planted(&old, "")), ("new", planted(&own, &plant))] {
             std::fs::write(folder.join(name), bytes)?;
             std::fs::set_permissions(folder.join(name), std::fs::Permissions::from_mode(0o755))?;
@@ -169,21 +190,42 @@
         };
         for n in 0..ZONES.len() * WORKERS {
             let file = rig.path(&format!("alone-{}.cue", ZONES[n % ZONES.len()]));
-            let a = ["worker", "--settings", &file, "--name", &format!("w{n}"), "--cores", "16"];
+            let a = [
+                "worker",
+                "--settings",
+                &file,
+                "--name",
+                &format!("w{n}"),
+                "--cores",
+                "16",
+            ];
             rig.workers.push(Process::start(&a.map(str::to_string))?);
         }
-        let targets = rig.workers.iter().map(|w| w.address("grpc")).collect::<Result<Vec<_>, _>>()?;
+        let targets = rig
+            .workers
+            .iter()
+            .map(|w| w.address("grpc"))
+            .collect::<Result<Vec<_>, _>>()?;
         let lines: Vec<String> = targets
             .iter()
             .enumerate()
             .map(|(n, at)| {
-                format!("    {{name: \"w{n}\", address: \"{at}\", zone: \"{}\"}}", ZONES[n % ZONES.len()])
+                format!(
+                    "    {{name: \"w{n}\", address: \"{at}\", zone: \"{}\"}}",
+                    ZONES[n % ZONES.len()]
+                )
             })
             .collect();
-        std::fs::write(rig.folder.join("list.cue"), format!("workers: [\n{}\n]\n", lines.join("\n")))?;
+        std::fs::write(
+            rig.folder.join("list.cue"),
+            format!("workers: [\n{}\n]\n", lines.join("\n")),
+        )?;
         let mut files = vec![String::new(); ZONES.len()];
         for (z, file) in files.iter_mut().enumerate() {
-            let at: Vec<String> = rig.peers[..ZONES.len()].iter().map(|p| format!("\"{p}\"")).collect();
+            let at: Vec<String> = rig.peers[..ZONES.len()]
+                .iter()
+                .map(|p| format!("\"{p}\""))
+                .collect();
             *file = format!(
                 "name = \"{}\"\nprogram = \"old\"\nfolder = \"run-{}\"\nat = [{}]\nready = 20\ndrain = 8\n",
                 ZONES[z],
@@ -192,9 +234,16 @@
             );
         }
         for front in 0..play.fronts {
-            let mut a: Vec<String> = ["gateway", "--log", "error", "--settings"].map(str::to_string).into();
+            let mut a: Vec<String> = ["gateway", "--log", "error", "--settings"]
+                .map(str::to_string)
+                .into();
             a.push(rig.path(&format!("{}.cue", ZONES[zone(front)])));
-            a.extend(["--workers".into(), rig.path("list.cue"), "--me".into(), front.to_string()]);
+            a.extend([
+                "--workers".into(),
+                rig.path("list.cue"),
+                "--me".into(),
+                front.to_string(),
+            ]);
             a.extend([
                 "--listen".into(),
                 rig.ports[front].to_string(),
@@ -205,11 +254,16 @@
                 a.extend(["--state".into(), rig.path(&format!("seat-{front}.redb"))]);
             }
             for (worker, target) in targets.iter().copied().enumerate() {
-                let at = rig.middle.with(move |r| r.route(Link::Worker { front, worker }, target))??;
+                let at = rig
+                    .middle
+                    .with(move |r| r.route(Link::Worker { front, worker }, target))??;
                 a.extend(["--via".into(), format!("{target}={at}")]);
             }
             let port = rig.ports[front];
-            rig.fronts.push(rig.middle.with(move |r| r.route(Link::Client { front }, port))??);
+            rig.fronts.push(
+                rig.middle
+                    .with(move |r| r.route(Link::Client { front }, port))??,
+            );
             files[zone(front)] += &format!(
                 "[[front]]\nname = \"f{front}\"\npeers = \"{}\"\narguments = {a:?}\n",
                 rig.peers[front]
@@ -233,7 +287,10 @@
     fn supervisor(&self, z: usize) -> Result<Process, Error> {
         let file = self.path(&format!("machine-{}.toml", ZONES[z]));
         let a = ["fleet", "up", "--log", "error", "--fleet", &file];
-        Process::logged(&a.map(str::to_string), Some(&self.folder.join(format!("{}.log", ZONES[z]))))
+        Process::logged(
+            &a.map(str::to_string),
+            Some(&self.folder.join(format!("{}.log", ZONES[z]))),
+        )
     }
 
     fn found(&mut self) -> Result<(), Error> {
@@ -248,7 +305,9 @@
                 return Ok(());
             }
             if began.elapsed() > START {
-                return Err(format!("the fleet did not find itself in {START:?}: {answers:?}").into());
+                return Err(
+                    format!("the fleet did not find itself in {START:?}: {answers:?}").into(),
+                );
             }
             self.client.wait(Duration::from_millis(100));
         }
@@ -263,8 +322,11 @@
     }
 
     fn begin(&mut self, play: &Play) -> Result<(), Error> {
-        let place =
-            |n: usize| Place { name: format!("f{n}"), zone: ZONES[zone(n)].into(), seat: n < ZONES.len() };
+        let place = |n: usize| Place {
+            name: format!("f{n}"),
+            zone: ZONES[zone(n)].into(),
+            seat: n < ZONES.len(),
+        };
         let shares = [0.25, 0.5, 1.0];
         let plan = tansy_rollout::Plan {
             stages: stages((0..play.fronts).map(place).collect(), &shares)?,
@@ -281,14 +343,31 @@
             ..tansy_rollout::Plan::default()
         };
         let path = self.folder.join("new");
-        let what = What::Program { label: label(&path)?, path: path.display().to_string() };
-        let entry = Entry::Begin { id: 1 + play.seed, what, plan, why: "the day's".into() };
+        let what = What::Program {
+            label: label(&path)?,
+            path: path.display().to_string(),
+        };
+        let entry = Entry::Begin {
+            id: 1 + play.seed,
+            what,
+            plan,
+            why: "the day's".into(),
+        };
         let end = Instant::now() + Duration::from_secs(10);
         while Instant::now() < end {
             let statuses = self.client.statuses(&self.peers[..ZONES.len()]);
-            let at = statuses.iter().zip(&self.peers).find(|(s, _)| s.as_ref().is_ok_and(|s| s.keeps_log));
-            let Some(at) = at.map(|(_, at)| *at) else { continue };
-            if self.client.enter(at, Enter::Roll(roll_entry(&entry, None))).is_ok() {
+            let at = statuses
+                .iter()
+                .zip(&self.peers)
+                .find(|(s, _)| s.as_ref().is_ok_and(|s| s.keeps_log));
+            let Some(at) = at.map(|(_, at)| *at) else {
+                continue;
+            };
+            if self
+                .client
+                .enter(at, Enter::Roll(roll_entry(&entry, None)))
+                .is_ok()
+            {
                 return Ok(());
             }
         }
@@ -297,14 +376,19 @@
 
     /// Processes of front ends: by name, number and program, as the kernel has them.
     fn processes(&self) -> Vec<(String, u32, String)> {
-        let all = kept().into_iter().filter(|k| k.folder.starts_with(&self.folder));
+        let all = kept()
+            .into_iter()
+            .filter(|k| k.folder.starts_with(&self.folder));
         all.map(|k| (k.name, k.pid, k.program)).collect()
     }
 }
 
 impl Drop for Rig {
     fn drop(&mut self) {
-        self.supervisors.iter_mut().flatten().for_each(Process::kill);
+        self.supervisors
+            .iter_mut()
+            .flatten()
+            .for_each(Process::kill);
         for (_, pid, _) in self.processes() {
             let raw = i32::try_from(pid).ok().and_then(Pid::from_raw);
             let _ = raw.map(|p| kill_process(p, Signal::KILL));
@@ -331,12 +415,20 @@
             if !names.insert(name.clone()) {
                 self.breaches.push(format!("two processes under {name}"));
             }
-            self.seen.entry(*pid).or_insert_with(|| (name.clone(), program.clone()));
+            self.seen
+                .entry(*pid)
+                .or_insert_with(|| (name.clone(), program.clone()));
         }
-        let gone: Vec<u32> =
-            self.seen.keys().filter(|p| !all.iter().any(|(_, pid, _)| pid == *p)).copied().collect();
+        let gone: Vec<u32> = self
+            .seen
+            .keys()
+            .filter(|p| !all.iter().any(|(_, pid, _)| pid == *p))
+            .copied()
+            .collect();
         for pid in gone {
-            let Some((name, program)) = self.seen.remove(&pid) else { continue };
+            let Some((name, program)) = self.seen.remove(&pid) else {
+                continue;
+            };
             // One that ends in the middle of its calls answers none of them; only the planted ones do.
             if play.plant == Plant::Crash && program == new {
                 if let Ok(front) = name.trim_start_matches('f').parse::<usize>() {
@@ -344,19 +436,25 @@
                 }
             }
         }
-        let takes = |n: usize| TcpStream::connect_timeout(&rig.ports[n], Duration::from_millis(100)).is_ok();
+        let takes = |n: usize| {
+            TcpStream::connect_timeout(&rig.ports[n], Duration::from_millis(100)).is_ok()
+        };
         let taking: Vec<bool> = (0..play.fronts).map(takes).collect();
         let on_new = all.iter().filter(|(_, _, program)| program == new).count();
         self.exposed += on_new as f64 / play.fronts as f64;
         self.looks += 1.0;
         if play.plant != Plant::Crash {
             for (z, name) in ZONES.iter().enumerate() {
-                let of: Vec<bool> = (0..play.fronts).filter(|n| zone(*n) == z).map(|n| taking[n]).collect();
+                let of: Vec<bool> = (0..play.fronts)
+                    .filter(|n| zone(*n) == z)
+                    .map(|n| taking[n])
+                    .collect();
                 let away = of.iter().filter(|t| !**t).count();
                 self.least = self.least.min(1.0 - away as f64 / of.len() as f64);
                 if away > 1 {
-                    self.breaches
-                        .push(format!("{away} front ends of zone {name} took no connections at once"));
+                    self.breaches.push(format!(
+                        "{away} front ends of zone {name} took no connections at once"
+                    ));
                 }
             }
         }
@@ -368,12 +466,24 @@
 pub fn play(play: &Play) -> Result<Day, Error> {
     let mut rig = Rig::start(play)?;
     let mut rng = fastrand::Rng::with_seed(play.seed);
-    let settings = tansy_settings::settings("roll.cue", &std::fs::read_to_string(rig.folder.join("a.cue"))?)?;
-    let deadline = |f: &tansy_settings::FunctionSpec| settings.front.settings.classes[f.class].deadline;
-    let (stop, stopped) = (std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false)), play.longest);
+    let settings = tansy_settings::settings(
+        "roll.cue",
+        &std::fs::read_to_string(rig.folder.join("a.cue"))?,
+    )?;
+    let deadline =
+        |f: &tansy_settings::FunctionSpec| settings.front.settings.classes[f.class].deadline;
+    let (stop, stopped) = (
+        std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false)),
+        play.longest,
+    );
     let plan = Plan {
         fronts: rig.fronts.clone(),
-        functions: settings.front.functions.iter().map(|f| (f.name.clone(), deadline(f))).collect(),
+        functions: settings
+            .front
+            .functions
+            .iter()
+            .map(|f| (f.name.clone(), deadline(f)))
+            .collect(),
         work: 5..=20,
         rate: play.rate,
         seconds: play.plain.unwrap_or(stopped),
@@ -387,7 +497,10 @@
         load::run(&plan, &told).map_err(|e| e.to_string())
     });
     let new = label(&rig.folder.join("new"))?;
-    let mut watch = Watch { least: 1.0, ..Watch::default() };
+    let mut watch = Watch {
+        least: 1.0,
+        ..Watch::default()
+    };
     let began = Instant::now();
     let (mut roll, mut killed, mut dead) = (None, 0, None::<(usize, Instant)>);
     let (mut kill_at, mut zone_at) = (None, None);
@@ -406,14 +519,19 @@
             }
             // Whoever steers is killed at some moment after the first one was let go, and comes back.
             if kill_at.is_none() && !r.moving.is_empty() {
-                kill_at = Some(Instant::now() + Duration::from_secs_f64(rng.f64() * 0.5 * play.least as f64));
+                kill_at = Some(
+                    Instant::now() + Duration::from_secs_f64(rng.f64() * 0.5 * play.least as f64),
+                );
             }
             if killed == 0 && kill_at.is_some_and(|at| Instant::now() >= at) {
                 if let Some(z) = ZONES.iter().position(|n| *n == r.steerer) {
                     if let Some(mut s) = rig.supervisors[z].take() {
                         s.kill();
                         killed += 1;
-                        dead = Some((z, Instant::now() + Duration::from_secs_f64(1.0 + rng.f64() * 3.0)));
+                        dead = Some((
+                            z,
+                            Instant::now() + Duration::from_secs_f64(1.0 + rng.f64() * 3.0),
+                        ));
                     }
                 }
             }
@@ -435,16 +553,23 @@
             };
             if let Some(signal) = signal {
                 *still = !*still;
-                rig.workers.iter().step_by(ZONES.len()).try_for_each(|w| w.signal(signal))?;
+                rig.workers
+                    .iter()
+                    .step_by(ZONES.len())
+                    .try_for_each(|w| w.signal(signal))?;
             }
         }
         std::thread::sleep(LOOK);
     }
-    rig.workers.iter().try_for_each(|w| w.signal(Signal::CONT))?;
+    rig.workers
+        .iter()
+        .try_for_each(|w| w.signal(Signal::CONT))?;
     let seconds = began.elapsed().as_secs_f64();
     // What was begun last is answered before anything ends.
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
-    let seen = clients.join().map_err(|_| "the clients' thread ended early")??;
+    let seen = clients
+        .join()
+        .map_err(|_| "the clients' thread ended early")??;
     watch.look(&rig, play, &new)?;
     let side = match roll.as_ref().map(|r| r.phase) {
         Some(Phase::Done) => Some(true),
@@ -453,27 +578,46 @@
     };
     if let Some(side) = side {
         // Whatever was last started may still be on its way.
-        let half = |rig: &Rig| rig.processes().iter().filter(|(_, _, p)| (*p == new) != side).count();
+        let half = |rig: &Rig| {
+            rig.processes()
+                .iter()
+                .filter(|(_, _, p)| (*p == new) != side)
+                .count()
+        };
         let end = Instant::now() + Duration::from_secs(15);
         while half(&rig) > 0 && Instant::now() < end {
             std::thread::sleep(LOOK);
         }
         if half(&rig) > 0 {
-            watch.breaches.push(format!("{} front ends are on the other side than the log says", half(&rig)));
+            watch.breaches.push(format!(
+                "{} front ends are on the other side than the log says",
+                half(&rig)
+            ));
         }
     }
-    rig.supervisors.iter().flatten().try_for_each(|s| s.signal(Signal::TERM))?;
+    rig.supervisors
+        .iter()
+        .flatten()
+        .try_for_each(|s| s.signal(Signal::TERM))?;
     for s in rig.supervisors.iter_mut().flatten() {
         s.stop()?;
     }
     let mut entries = rig.middle.with(|r| r.take())?;
     entries.sort_by_key(|e| e.at);
-    let rules = tansy_audit::Rules { slack: SLACK, ..crate::rules(&settings, 16.0) };
+    let rules = tansy_audit::Rules {
+        slack: SLACK,
+        ..crate::rules(&settings, 16.0)
+    };
     let (audit, _) = judge(&entries, &rules);
-    let in_words = audit
-        .breaches
-        .iter()
-        .map(|b| format!("rule {} at {:.3} s, {}: {}", b.rule, b.at as f64 / 1e6, b.what, b.why));
+    let in_words = audit.breaches.iter().map(|b| {
+        format!(
+            "rule {} at {:.3} s, {}: {}",
+            b.rule,
+            b.at as f64 / 1e6,
+            b.what,
+            b.why
+        )
+    });
     let breaches = in_words.chain(watch.breaches.iter().cloned()).collect();
     let verdict = match side {
         Some(true) => "done",
--- a/programs/day/src/script.rs
+++ b/programs/day/src/script.rs
@@ -53,17 +53,22 @@
 ];
 
 /// A room comes back cold, all its workers at once.
-pub const COLD_ROOM: &[(f64, Step)] =
-    &[(0.35, Step::Restart(3)), (0.35, Step::Restart(4)), (0.35, Step::Restart(5))];
+pub const COLD_ROOM: &[(f64, Step)] = &[
+    (0.35, Step::Restart(3)),
+    (0.35, Step::Restart(4)),
+    (0.35, Step::Restart(5)),
+];
 
 /// Does a step.
 pub fn perform(cast: &mut Cast, step: Step) -> Result<(), Error> {
     match step {
         Step::Fault(worker, word) => cast.control(worker, &format!("/fault/{word}")),
-        Step::Cut(front, worker) => cast.middle.with(move |r| r.cut(Link::Worker { front, worker })),
-        Step::Hold(front, worker, held) => {
-            cast.middle.with(move |r| r.hold(Link::Worker { front, worker }, held))
-        }
+        Step::Cut(front, worker) => cast
+            .middle
+            .with(move |r| r.cut(Link::Worker { front, worker })),
+        Step::Hold(front, worker, held) => cast
+            .middle
+            .with(move |r| r.hold(Link::Worker { front, worker }, held)),
         Step::List(front, worker, draining) => cast.list(front, worker, draining),
         Step::Restart(worker) => cast.restart(worker),
         Step::Kill(front) => cast.kill(front),
--- a/programs/day/tests/day.rs
+++ b/programs/day/tests/day.rs
@@ -7,16 +7,27 @@
 
 fn day(arguments: &[&str]) -> (Option<i32>, String) {
     let _one = DAY.lock().unwrap_or_else(|e| e.into_inner());
-    let out = Command::new(env!("CARGO_BIN_EXE_tansy-day")).args(arguments).output().expect("the day starts");
-    let text = format!("{}{}", String::from_utf8_lossy(&out.stdout), String::from_utf8_lossy(&out.stderr));
+    let out = Command::new(env!("CARGO_BIN_EXE_tansy-day"))
+        .args(arguments)
+        .output()
+        .expect("the day starts");
+    let text = format!(
+        "{}{}",
+        String::from_utf8_lossy(&out.stdout),
+        String::from_utf8_lossy(&out.stderr)
+    );
     (out.status.code(), text)
 }
 
 fn count(text: &str, line: &str, name: &str) -> u64 {
-    let line =
-        text.lines().find(|l| l.starts_with(line)).unwrap_or_else(|| panic!("no line {line} in {text}"));
+    let line = text
+        .lines()
+        .find(|l| l.starts_with(line))
+        .unwrap_or_else(|| panic!("no line {line} in {text}"));
     let mut words = line.split_whitespace();
-    words.find(|w| *w == name).unwrap_or_else(|| panic!("no {name} in {line}"));
+    words
+        .find(|w| *w == name)
+        .unwrap_or_else(|| panic!("no {name} in {line}"));
     words
         .next()
         .and_then(|w| w.trim_end_matches(';').parse().ok())
@@ -27,21 +38,36 @@
 fn a_short_bad_day_breaks_no_rule() {
     let (code, text) = day(&["--seconds", "10", "--rate", "150", "--seed", "7"]);
     assert_eq!(code, Some(0), "{text}");
-    assert!(text.contains("verdict: no rule broken, no call with two attempts open"), "{text}");
-    let (begun, started) = (count(&text, "clients:", "begun"), count(&text, "sockets:", "started"));
+    assert!(
+        text.contains("verdict: no rule broken, no call with two attempts open"),
+        "{text}"
+    );
+    let (begun, started) = (
+        count(&text, "clients:", "begun"),
+        count(&text, "sockets:", "started"),
+    );
     assert_eq!(begun, 1500, "{text}");
     // What was begun while a front end was dead never started; the rest did.
     assert!(started > 1300 && started <= begun, "{text}");
     assert!(count(&text, "sockets:", "served") > 1200, "{text}");
-    assert!(count(&text, "sockets:", "repeats") > 0, "faults led to further attempts: {text}");
-    assert!(!text.contains(" open "), "each started call has an end: {text}");
+    assert!(
+        count(&text, "sockets:", "repeats") > 0,
+        "faults led to further attempts: {text}"
+    );
+    assert!(
+        !text.contains(" open "),
+        "each started call has an end: {text}"
+    );
 }
 
 #[test]
 fn a_room_that_comes_back_cold_is_not_pushed_over() {
     let (code, text) = day(&["--scenario", "cold-room", "--seconds", "10", "--seed", "3"]);
     assert_eq!(code, Some(0), "{text}");
-    assert!(text.contains("verdict: no rule broken, no call with two attempts open"), "{text}");
+    assert!(
+        text.contains("verdict: no rule broken, no call with two attempts open"),
+        "{text}"
+    );
     // The workers that came back are loaded anew and used: the warm room alone has too few lanes for this load.
     assert!(count(&text, "sockets:", "loads") > 30, "{text}");
     assert!(count(&text, "sockets:", "served") > 1400, "{text}");
@@ -49,9 +75,21 @@
 
 /// A short day of versions: kills of all, a stop, links held; the last line of its output.
 fn agree(more: &[&str]) -> (Option<i32>, serde_json::Value, String) {
-    let day_of = ["--scenario", "agree", "--front-ends", "4", "--rate", "60", "--no-plain", "--json"];
+    let day_of = [
+        "--scenario",
+        "agree",
+        "--front-ends",
+        "4",
+        "--rate",
+        "60",
+        "--no-plain",
+        "--json",
+    ];
     let (code, text) = day(&[&day_of[..], more].concat());
-    let line = text.lines().rfind(|l| l.starts_with('{')).unwrap_or_else(|| panic!("no line in {text}"));
+    let line = text
+        .lines()
+        .rfind(|l| l.starts_with('{'))
+        .unwrap_or_else(|| panic!("no line in {text}"));
     (code, serde_json::from_str(line).expect("JSON"), text)
 }
 
@@ -60,8 +98,14 @@
     let (code, line, text) = agree(&["--rounds", "3", "--seed", "5"]);
     assert_eq!(code, Some(0), "{text}");
     assert!(line["ok"] == true && line["breaches"] == 0, "{text}");
-    assert!(line["killed"].as_u64() >= Some(4), "every process is killed at least once: {text}");
-    assert!(line["in_force"].as_u64() >= Some(2) && line["shown"].as_u64() > Some(300), "{text}");
+    assert!(
+        line["killed"].as_u64() >= Some(4),
+        "every process is killed at least once: {text}"
+    );
+    assert!(
+        line["in_force"].as_u64() >= Some(2) && line["shown"].as_u64() > Some(300),
+        "{text}"
+    );
 }
 
 #[test]
--- a/programs/day/tests/marks.rs
+++ b/programs/day/tests/marks.rs
@@ -17,18 +17,36 @@
 
 #[test]
 fn a_worker_takes_work_again_for_all_before_any_list_says_so() {
-    let (one, other) = (Mark::Returns { front: 0, worker: 1 }, Mark::Returns { front: 1, worker: 1 });
-    assert_eq!(order(&[one.clone(), other.clone()]), [Some(one), Some(other), None]);
+    let (one, other) = (
+        Mark::Returns {
+            front: 0,
+            worker: 1,
+        },
+        Mark::Returns {
+            front: 1,
+            worker: 1,
+        },
+    );
+    assert_eq!(
+        order(&[one.clone(), other.clone()]),
+        [Some(one), Some(other), None]
+    );
 }
 
 #[test]
 fn a_process_is_awake_before_it_is_woken() {
-    assert_eq!(order(&[Mark::Woken { front: 2 }]), [Some(Mark::Woken { front: 2 }), None]);
+    assert_eq!(
+        order(&[Mark::Woken { front: 2 }]),
+        [Some(Mark::Woken { front: 2 }), None]
+    );
 }
 
 #[test]
 fn a_worker_leaves_once_a_list_says_so() {
-    let leaves = Mark::Leaves { front: 0, worker: 1 };
+    let leaves = Mark::Leaves {
+        front: 0,
+        worker: 1,
+    };
     assert_eq!(order(std::slice::from_ref(&leaves)), [None, Some(leaves)]);
 }
 
@@ -36,7 +54,10 @@
 fn what_failed_is_not_marked() {
     let seen = RefCell::new(Vec::new());
     let failed = told(
-        &[Mark::Leaves { front: 0, worker: 1 }],
+        &[Mark::Leaves {
+            front: 0,
+            worker: 1,
+        }],
         |m| {
             seen.borrow_mut().push(m);
             Ok(())
--- a/programs/fleet/src/client.rs
+++ b/programs/fleet/src/client.rs
@@ -38,7 +38,11 @@
     pub fn new() -> io::Result<Client> {
         let event_loop = EventLoop::try_new().map_err(io::Error::other)?;
         let spawner = Spawner::new(event_loop.handle())?;
-        Ok(Client { event_loop, spawner, links: HashMap::new() })
+        Ok(Client {
+            event_loop,
+            spawner,
+            links: HashMap::new(),
+        })
     }
 
     /// The same to several; the answers in their order.
@@ -64,12 +68,14 @@
         for (n, (address, request)) in to.iter().enumerate() {
             let fresh = || Link::new(self.spawner.clone(), *address, Limits::default());
             let link = self.links.entry(*address).or_insert_with(fresh).clone();
-            let (spawner, answers, request) = (self.spawner.clone(), answers.clone(), request.clone());
+            let (spawner, answers, request) =
+                (self.spawner.clone(), answers.clone(), request.clone());
             let address = *address;
             self.spawner.spawn(async move {
                 let answer = ask(&spawner, &link, method, &request, within).await;
                 let read = answer.and_then(|bytes| {
-                    let wrong = |e| Failed::Away(format!("{address}: an answer that can't be read: {e}"));
+                    let wrong =
+                        |e| Failed::Away(format!("{address}: an answer that can't be read: {e}"));
                     T::decode(bytes).map_err(wrong)
                 });
                 if let Some(place) = answers.borrow_mut().get_mut(n) {
@@ -79,13 +85,21 @@
         }
         let end = Instant::now() + within + Duration::from_millis(300);
         while answers.borrow().iter().any(Option::is_none) && Instant::now() < end {
-            if self.event_loop.dispatch(Some(Duration::from_millis(20)), &mut ()).is_err() {
+            if self
+                .event_loop
+                .dispatch(Some(Duration::from_millis(20)), &mut ())
+                .is_err()
+            {
                 break;
             }
         }
         let late = |n: usize| Err(Failed::Away(format!("{}: no answer", to[n].0)));
         let taken = std::mem::take(&mut *answers.borrow_mut());
-        taken.into_iter().enumerate().map(|(n, a)| a.unwrap_or_else(|| late(n))).collect()
+        taken
+            .into_iter()
+            .enumerate()
+            .map(|(n, a)| a.unwrap_or_else(|| late(n)))
+            .collect()
     }
 
     fn one<T: Message + Default + 'static>(
@@ -101,7 +115,12 @@
 
     /// The status of several.
     pub fn statuses(&mut self, to: &[SocketAddr]) -> Vec<Result<pb::StatusReply, Failed>> {
-        self.all(to, "Status", &pb::StatusRequest { fleet: 0 }.encode_to_vec(), WITHIN)
+        self.all(
+            to,
+            "Status",
+            &pb::StatusRequest { fleet: 0 }.encode_to_vec(),
+            WITHIN,
+        )
     }
 
     /// The status of one.
@@ -111,7 +130,12 @@
 
     /// The versions that a seat remembers.
     pub fn history(&mut self, seat: SocketAddr) -> Result<pb::HistoryReply, Failed> {
-        self.one(seat, "History", &pb::HistoryRequest { fleet: 0 }.encode_to_vec(), WITHIN)
+        self.one(
+            seat,
+            "History",
+            &pb::HistoryRequest { fleet: 0 }.encode_to_vec(),
+            WITHIN,
+        )
     }
 
     /// An entry for the log.
@@ -124,18 +148,45 @@
     }
 
     /// The status of one, within this time.
-    pub fn status_within(&mut self, to: SocketAddr, within: Duration) -> Result<pb::StatusReply, Failed> {
-        self.one(to, "Status", &pb::StatusRequest { fleet: 0 }.encode_to_vec(), within)
+    pub fn status_within(
+        &mut self,
+        to: SocketAddr,
+        within: Duration,
+    ) -> Result<pb::StatusReply, Failed> {
+        self.one(
+            to,
+            "Status",
+            &pb::StatusRequest { fleet: 0 }.encode_to_vec(),
+            within,
+        )
     }
 
     /// What several know of the last roll.
-    pub fn rolls(&mut self, to: &[SocketAddr], within: Duration) -> Vec<Result<pb::RollReply, Failed>> {
-        self.all(to, "Roll", &pb::RollRequest { fleet: 0 }.encode_to_vec(), within)
+    pub fn rolls(
+        &mut self,
+        to: &[SocketAddr],
+        within: Duration,
+    ) -> Vec<Result<pb::RollReply, Failed>> {
+        self.all(
+            to,
+            "Roll",
+            &pb::RollRequest { fleet: 0 }.encode_to_vec(),
+            within,
+        )
     }
 
     /// What several counted.
-    pub fn counts(&mut self, to: &[SocketAddr], within: Duration) -> Vec<Result<pb::CountsReply, Failed>> {
-        self.all(to, "Counts", &pb::CountsRequest { fleet: 0 }.encode_to_vec(), within)
+    pub fn counts(
+        &mut self,
+        to: &[SocketAddr],
+        within: Duration,
+    ) -> Vec<Result<pb::CountsReply, Failed>> {
+        self.all(
+            to,
+            "Counts",
+            &pb::CountsRequest { fleet: 0 }.encode_to_vec(),
+            within,
+        )
     }
 
     /// An entry for the log, within this time.
@@ -145,7 +196,10 @@
         entry: pb::enter_request::Entry,
         within: Duration,
     ) -> Result<pb::EnterReply, Failed> {
-        let request = pb::EnterRequest { fleet: 0, entry: Some(entry) };
+        let request = pb::EnterRequest {
+            fleet: 0,
+            entry: Some(entry),
+        };
         self.one(seat, "Enter", &request.encode_to_vec(), within)
     }
 
@@ -155,8 +209,15 @@
         seat: SocketAddr,
         entries: Vec<pb::enter_request::Entry>,
     ) -> Vec<Result<pb::EnterReply, Failed>> {
-        let request = |entry| pb::EnterRequest { fleet: 0, entry: Some(entry) }.encode_to_vec();
-        let all: Vec<(SocketAddr, Vec<u8>)> = entries.into_iter().map(|e| (seat, request(e))).collect();
+        let request = |entry| {
+            pb::EnterRequest {
+                fleet: 0,
+                entry: Some(entry),
+            }
+            .encode_to_vec()
+        };
+        let all: Vec<(SocketAddr, Vec<u8>)> =
+            entries.into_iter().map(|e| (seat, request(e))).collect();
         self.each(&all, "Enter", ENTRY_WITHIN)
     }
 
@@ -173,8 +234,13 @@
     pub fn on_end(&self, end: Arc<AtomicBool>) -> io::Result<()> {
         let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT])?;
         let told = move |_, _: &mut (), _: &mut ()| end.store(true, Ordering::Relaxed);
-        let inserted = self.event_loop.handle().insert_source(Uninterrupted(signals), told);
-        inserted.map(|_| ()).map_err(|e| io::Error::other(e.to_string()))
+        let inserted = self
+            .event_loop
+            .handle()
+            .insert_source(Uninterrupted(signals), told);
+        inserted
+            .map(|_| ())
+            .map_err(|e| io::Error::other(e.to_string()))
     }
 
     /// Lets time pass.
--- a/programs/fleet/src/lib.rs
+++ b/programs/fleet/src/lib.rs
@@ -37,7 +37,12 @@
 #[command(name = "tansy-fleet", version)]
 struct Arguments {
     /// Any front end of the fleet, by the address at which its siblings reach it.
-    #[arg(long, global = true, env = "TANSY_FLEET", default_value = "127.0.0.1:7001")]
+    #[arg(
+        long,
+        global = true,
+        env = "TANSY_FLEET",
+        default_value = "127.0.0.1:7001"
+    )]
     at: SocketAddr,
     /// Print one JSON value.
     #[arg(long, global = true)]
@@ -212,13 +217,24 @@
             show(a, &fleet, || fleet.plain());
             Ok(())
         }
-        What::Propose { file, expect, why, dry_run, wait } => {
+        What::Propose {
+            file,
+            expect,
+            why,
+            dry_run,
+            wait,
+        } => {
             let path = file.display().to_string();
-            let text = std::fs::read_to_string(file).map_err(|e| Not::Right(format!("{path}: {e}")))?;
+            let text =
+                std::fs::read_to_string(file).map_err(|e| Not::Right(format!("{path}: {e}")))?;
             let fields = version(&path, &text).map_err(|e| Not::Right(e.to_string()))?;
             propose(a, &mut client, fields, *expect, why, *dry_run, wait)
         }
-        What::Revert { version, dry_run, wait } => {
+        What::Revert {
+            version,
+            dry_run,
+            wait,
+        } => {
             let (_, history) = history(&mut client, a.at)?;
             let found = find(&history, *version)?;
             let why = format!("back to version {version}: {}", found.why);
@@ -227,15 +243,21 @@
         }
         What::History => {
             let (reply, all) = history(&mut client, a.at)?;
-            let lines: Vec<VersionLine> =
-                all.iter().map(|s| VersionLine::of(s, reply.force, reply.next)).collect();
-            show(a, &lines, || lines.iter().map(|l| l.plain() + "\n").collect());
+            let lines: Vec<VersionLine> = all
+                .iter()
+                .map(|s| VersionLine::of(s, reply.force, reply.next))
+                .collect();
+            show(a, &lines, || {
+                lines.iter().map(|l| l.plain() + "\n").collect()
+            });
             Ok(())
         }
         What::Diff { old, new } => {
             let (_, all) = history(&mut client, a.at)?;
             let lines = differ(&find(&all, *old)?.fields, &find(&all, *new)?.fields)?;
-            show(a, &lines, || lines.iter().map(|l| l.plain() + "\n").collect());
+            show(a, &lines, || {
+                lines.iter().map(|l| l.plain() + "\n").collect()
+            });
             Ok(())
         }
         What::Abandon => {
@@ -263,7 +285,11 @@
             // A seat knows who they are; others know those of their settings.
             let leader = seat(&mut client, a.at)?;
             let s = client.status(leader).or_else(|_| client.status(a.at))?;
-            let at = s.seats.iter().map(|a| address(a)).collect::<Result<Vec<_>, _>>()?;
+            let at = s
+                .seats
+                .iter()
+                .map(|a| address(a))
+                .collect::<Result<Vec<_>, _>>()?;
             let answers = client.statuses(&at);
             let line = |(at, answer): (&SocketAddr, Result<pb::StatusReply, Failed>)| match answer {
                 Ok(s) => FrontLine::of(&s),
@@ -271,7 +297,12 @@
             };
             let lines: Vec<FrontLine> = at.iter().zip(answers).map(line).collect();
             let plain = |l: &FrontLine| match &l.error {
-                None => format!("{} at {}{}\n", l.name, l.address, if l.seat { ", leads" } else { "" }),
+                None => format!(
+                    "{} at {}{}\n",
+                    l.name,
+                    l.address,
+                    if l.seat { ", leads" } else { "" }
+                ),
                 Some(e) => format!("{}: {e}\n", l.address),
             };
             show(a, &lines, || lines.iter().map(plain).collect());
@@ -280,14 +311,28 @@
     }
 }
 
-fn replace(a: &Arguments, client: &mut Client, new: &str, instead: &str, wait: f64) -> Result<(), Not> {
+fn replace(
+    a: &Arguments,
+    client: &mut Client,
+    new: &str,
+    instead: &str,
+    wait: f64,
+) -> Result<(), Not> {
     let leader = seat(client, a.at)?;
-    client.enter(leader, Entry::Seat(pb::Seat { new: new.to_string(), instead: instead.to_string() }))?;
+    client.enter(
+        leader,
+        Entry::Seat(pb::Seat {
+            new: new.to_string(),
+            instead: instead.to_string(),
+        }),
+    )?;
     let end = Instant::now() + Duration::from_secs_f64(wait.clamp(0.0, 86_400.0));
     let (mut last, mut learns) = (leader, true);
     while Instant::now() < end {
         // Who is replaced and leads hands over, so that another may have to be asked.
-        last = seat(client, a.at).or_else(|_| seat(client, last)).unwrap_or(last);
+        last = seat(client, a.at)
+            .or_else(|_| seat(client, last))
+            .unwrap_or(last);
         match client.status(last) {
             Ok(s) if s.keeps_log => match s.seating {
                 Some(seating) => learns = !seating.votes,
@@ -306,11 +351,20 @@
         client.wait(LOOK_EVERY);
     }
     if wait <= 0.0 {
-        say(a, &format!("{new} is to become a seat instead of {instead}"));
+        say(
+            a,
+            &format!("{new} is to become a seat instead of {instead}"),
+        );
         return Ok(());
     }
-    let what = if learns { "still learns the log" } else { "is a seat, and so is still the other" };
-    Err(Not::InTime(format!("{new} {what} after {wait} s: `seats` tells how far it is")))
+    let what = if learns {
+        "still learns the log"
+    } else {
+        "is a seat, and so is still the other"
+    };
+    Err(Not::InTime(format!(
+        "{new} {what} after {wait} s: `seats` tells how far it is"
+    )))
 }
 
 /// Where the front end of a name is reached, by one that knows all.
@@ -337,7 +391,8 @@
 }
 
 fn address(text: &str) -> Result<SocketAddr, Not> {
-    text.parse().map_err(|_| Not::Reached(format!("{text:?} is no address")))
+    text.parse()
+        .map_err(|_| Not::Reached(format!("{text:?} is no address")))
 }
 
 fn seat(client: &mut Client, at: SocketAddr) -> Result<SocketAddr, Not> {
@@ -355,20 +410,37 @@
 
 fn find(all: &[Settings], version: u64) -> Result<&Settings, Not> {
     let found = all.iter().find(|s| s.version.0 == version);
-    let range = (all.first().map_or(0, |s| s.version.0), all.last().map_or(0, |s| s.version.0));
+    let range = (
+        all.first().map_or(0, |s| s.version.0),
+        all.last().map_or(0, |s| s.version.0),
+    );
     found.ok_or_else(|| {
-        Not::Right(format!("version {version} is not remembered: want one from {} to {}", range.0, range.1))
+        Not::Right(format!(
+            "version {version} is not remembered: want one from {} to {}",
+            range.0, range.1
+        ))
     })
 }
 
 fn differ(old: &Fields, new: &Fields) -> Result<Vec<ChangeLine>, Not> {
-    let fill = |f: &Fields| filled(f).map(|f| f.0).map_err(|e| Not::Right(e.to_string()));
-    Ok(changes(&agreement(), &fill(old)?, &fill(new)?).iter().map(ChangeLine::of).collect())
+    let fill = |f: &Fields| {
+        filled(f)
+            .map(|f| f.0)
+            .map_err(|e| Not::Right(e.to_string()))
+    };
+    Ok(changes(&agreement(), &fill(old)?, &fill(new)?)
+        .iter()
+        .map(ChangeLine::of)
+        .collect())
 }
 
 fn status(client: &mut Client, at: SocketAddr) -> Result<FleetLine, Not> {
     let first = client.status(at)?;
-    let others: Vec<SocketAddr> = first.others.iter().filter_map(|p| p.address.parse().ok()).collect();
+    let others: Vec<SocketAddr> = first
+        .others
+        .iter()
+        .filter_map(|p| p.address.parse().ok())
+        .collect();
     let answers = client.statuses(&others);
     let mut fronts = vec![FrontLine::of(&first)];
     let mut of_seat = Some(first.clone()).filter(|s| s.keeps_log);
@@ -382,9 +454,14 @@
         }
     }
     fronts.sort_by(|a, b| a.name.cmp(&b.name));
-    let roster = of_seat.as_ref().map(|s| s.roster.clone()).unwrap_or_default();
+    let roster = of_seat
+        .as_ref()
+        .map(|s| s.roster.clone())
+        .unwrap_or_default();
     let name = |m: &pb::Member| {
-        let found = roster.iter().find(|r| r.member.as_ref().is_some_and(|x| x.id == m.id));
+        let found = roster
+            .iter()
+            .find(|r| r.member.as_ref().is_some_and(|x| x.id == m.id));
         found.map_or_else(|| format!("{:x}", m.id), |r| r.name.clone())
     };
     let seen = |r: &&pb::Rostered| !fronts.iter().any(|f| f.name == r.name);
@@ -392,10 +469,22 @@
         fleet: first.fleet.clone(),
         seat: first.seat.clone(),
         away: roster.iter().filter(seen).map(|r| r.name.clone()).collect(),
-        contested: of_seat.as_ref().unwrap_or(&first).contested.iter().map(|c| c.calls.clone()).collect(),
-        waits_for: of_seat.as_ref().map(|s| s.waits_for.iter().map(&name).collect()).unwrap_or_default(),
+        contested: of_seat
+            .as_ref()
+            .unwrap_or(&first)
+            .contested
+            .iter()
+            .map(|c| c.calls.clone())
+            .collect(),
+        waits_for: of_seat
+            .as_ref()
+            .map(|s| s.waits_for.iter().map(&name).collect())
+            .unwrap_or_default(),
         waits_for_leases: of_seat.as_ref().is_some_and(|s| s.waits_for_leases),
-        changing: of_seat.as_ref().map(|s| scope::waiting(&s.changing)).unwrap_or_default(),
+        changing: of_seat
+            .as_ref()
+            .map(|s| scope::waiting(&s.changing))
+            .unwrap_or_default(),
         fronts,
     })
 }
@@ -429,7 +518,12 @@
         return Ok(());
     }
     let id = wait.id.unwrap_or_else(|| fastrand::u64(1..));
-    let proposal = Settings { version: base.version, fields, why: why.to_string(), id };
+    let proposal = Settings {
+        version: base.version,
+        fields,
+        why: why.to_string(),
+        id,
+    };
     let entered = client.enter(seat, Entry::Propose(tansy_fleet_wire::settings(&proposal)))?;
     let version = entered.version;
     let began = Instant::now();
@@ -437,7 +531,11 @@
     let done = |is: &str| {
         let text = format!("version {version} is {is}");
         let ms = u64::try_from(began.elapsed().as_millis()).unwrap_or(u64::MAX);
-        show(a, &serde_json::json!({"version": version, "is": is, "ms": ms, "changes": lines}), || text);
+        show(
+            a,
+            &serde_json::json!({"version": version, "is": is, "ms": ms, "changes": lines}),
+            || text,
+        );
     };
     if limit.is_zero() {
         done("proposed");
@@ -462,8 +560,14 @@
         }
         client.wait(LOOK_EVERY);
     }
-    let waits = status(client, a.at).map(|f| f.waits_for.join(", ")).unwrap_or_default();
-    let whom = if waits.is_empty() { String::new() } else { format!("; it waits for {waits}") };
+    let waits = status(client, a.at)
+        .map(|f| f.waits_for.join(", "))
+        .unwrap_or_default();
+    let whom = if waits.is_empty() {
+        String::new()
+    } else {
+        format!("; it waits for {waits}")
+    };
     Err(Not::InTime(format!(
         "version {version} is not in force after {limit:?}{whom}: `status` tells how far it is"
     )))
--- a/programs/fleet/src/processes.rs
+++ b/programs/fleet/src/processes.rs
@@ -66,11 +66,26 @@
         let kept = value(KEPT)?;
         let (folder, name) = kept.rsplit_once(':')?;
         let program = std::fs::read_link(entry.path().join("exe")).ok()?;
-        let program = program.file_name().unwrap_or_default().to_string_lossy().into_owned();
+        let program = program
+            .file_name()
+            .unwrap_or_default()
+            .to_string_lossy()
+            .into_owned();
         let (folder, name) = (PathBuf::from(folder), name.to_string());
-        Some(Running { pid, folder, name, label: value(LABEL).unwrap_or_default(), program })
+        Some(Running {
+            pid,
+            folder,
+            name,
+            label: value(LABEL).unwrap_or_default(),
+            program,
+        })
     };
-    std::fs::read_dir("/proc").into_iter().flatten().flatten().filter_map(one).collect()
+    std::fs::read_dir("/proc")
+        .into_iter()
+        .flatten()
+        .flatten()
+        .filter_map(one)
+        .collect()
 }
 
 /// The processes under one folder.
@@ -102,7 +117,11 @@
         let lock = File::create(folder.join("lock")).map_err(told)?;
         let held = rustix::fs::flock(&lock, rustix::fs::FlockOperation::NonBlockingLockExclusive);
         held.map_err(|_| format!("{}: another supervisor keeps this folder", folder.display()))?;
-        let mut processes = Processes { folder, all: BTreeMap::new(), _lock: lock };
+        let mut processes = Processes {
+            folder,
+            all: BTreeMap::new(),
+            _lock: lock,
+        };
         let found = processes.find();
         Ok((processes, found))
     }
@@ -117,7 +136,11 @@
         for k in kept().into_iter().filter(|k| k.folder == self.folder) {
             let Some(began) = began(k.pid) else { continue };
             self.all.insert(k.pid, Kept { child: None, began });
-            all.push(Found { pid: k.pid, name: k.name, label: k.label });
+            all.push(Found {
+                pid: k.pid,
+                name: k.name,
+                label: k.label,
+            });
         }
         all
     }
@@ -127,11 +150,17 @@
         let stored = self.folder.join("programs").join(label_wanted);
         let told = |e: io::Error| format!("{}: {e}", path.display());
         if !stored.exists() {
-            let part = self.folder.join("programs").join(format!("{label_wanted}.part"));
+            let part = self
+                .folder
+                .join("programs")
+                .join(format!("{label_wanted}.part"));
             std::fs::copy(path, &part).map_err(told)?;
             let is = label(&part).map_err(told)?;
             if is != label_wanted {
-                return Err(format!("{}: it is another program, {is}, than {label_wanted}", path.display()));
+                return Err(format!(
+                    "{}: it is another program, {is}, than {label_wanted}",
+                    path.display()
+                ));
             }
             std::fs::rename(&part, &stored).map_err(told)?;
         }
@@ -147,16 +176,28 @@
         arguments: &[String],
     ) -> Result<Pid, String> {
         let told = |e: io::Error| format!("{}: {e}", program.display());
-        let log = OpenOptions::new().create(true).append(true).open(self.folder.join(format!("{name}.log")));
+        let log = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.folder.join(format!("{name}.log")));
         let out = File::create(self.out(name)).map_err(told)?;
         let mut command = Command::new(program);
-        command.args(arguments).env(KEPT, self.kept(name)).env(LABEL, label);
-        command.stdin(Stdio::null()).stdout(out).stderr(log.map_err(told)?);
+        command
+            .args(arguments)
+            .env(KEPT, self.kept(name))
+            .env(LABEL, label);
+        command
+            .stdin(Stdio::null())
+            .stdout(out)
+            .stderr(log.map_err(told)?);
         // Of a group of its own: what ends a terminal's programs does not end it.
         command.process_group(0);
         let child = command.spawn().map_err(told)?;
         let pid = child.id();
-        let kept = Kept { child: Some(child), began: began(pid).unwrap_or(0) };
+        let kept = Kept {
+            child: Some(child),
+            began: began(pid).unwrap_or(0),
+        };
         self.all.insert(pid, kept);
         Ok(pid)
     }
@@ -199,7 +240,10 @@
 
     /// Sends a signal to one that is known to be the same process still.
     pub fn signal(&self, pid: Pid, signal: Signal) {
-        let same = self.all.get(&pid).is_some_and(|k| k.child.is_some() || began(pid) == Some(k.began));
+        let same = self
+            .all
+            .get(&pid)
+            .is_some_and(|k| k.child.is_some() || began(pid) == Some(k.began));
         let raw = i32::try_from(pid).ok().and_then(Raw::from_raw);
         if let (Some(raw), true) = (raw, same) {
             // It may have ended this moment.
--- a/programs/fleet/src/report.rs
+++ b/programs/fleet/src/report.rs
@@ -16,7 +16,10 @@
 }
 
 fn escaped(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
+        .replace('"', "&quot;")
 }
 
 /// Losses with their intervals.
@@ -45,7 +48,9 @@
     let name = |y: &f64| {
         let n = y.round();
         let is = (y - n).abs() < 1e-6 && n >= 0.0;
-        all.get(n as usize).filter(|_| is).map_or(String::new(), |m| m.what.clone())
+        all.get(n as usize)
+            .filter(|_| is)
+            .map_or(String::new(), |m| m.what.clone())
     };
     chart
         .configure_mesh()
@@ -57,10 +62,16 @@
     for (n, m) in all.iter().enumerate() {
         let (y, x, half) = (n as f64, m.loss * 100.0, m.half.min(0.2) * 100.0);
         let color = if x - half > 0.0 { RED } else { BLUE };
-        chart.draw_series([PathElement::new(vec![(x - half, y), (x + half, y)], color.stroke_width(2))])?;
+        chart.draw_series([PathElement::new(
+            vec![(x - half, y), (x + half, y)],
+            color.stroke_width(2),
+        )])?;
         chart.draw_series([Circle::new((x, y), 4, color.filled())])?;
     }
-    chart.draw_series([PathElement::new(vec![(0.0, -0.5), (0.0, count - 0.5)], BLACK)])?;
+    chart.draw_series([PathElement::new(
+        vec![(0.0, -0.5), (0.0, count - 0.5)],
+        BLACK,
+    )])?;
     area.present()?;
     Ok(())
 }
@@ -82,11 +93,22 @@
          max-width:60em;margin:2em auto;padding:0 1em}table{border-collapse:collapse}td,th{border-bottom:1px solid #ccc;\
          padding:.2em .8em;text-align:right}td:first-child,th:first-child{text-align:left}</style></head><body>",
     );
-    out += &format!("<h1>Roll {}</h1><p>Of {}. <b>{}</b></p>", roll.id, escaped(&what), end);
+    out += &format!(
+        "<h1>Roll {}</h1><p>Of {}. <b>{}</b></p>",
+        roll.id,
+        escaped(&what),
+        end
+    );
     out += &format!("<p>{}</p>", escaped(&roll.why));
     for seen in &roll.seen {
-        let names: Vec<&str> =
-            roll.plan.stages.get(seen.stage).into_iter().flatten().map(|p| p.name.as_str()).collect();
+        let names: Vec<&str> = roll
+            .plan
+            .stages
+            .get(seen.stage)
+            .into_iter()
+            .flatten()
+            .map(|p| p.name.as_str())
+            .collect();
         out += &format!(
             "<h2>Stage {}</h2><p>{}. Stood for {} s. {}</p>",
             seen.stage + 1,
@@ -113,7 +135,9 @@
         out += &bars(&seen.measured)?;
     }
     out += "<h2>Steps</h2><ol>";
-    roll.steps.iter().for_each(|s| out += &format!("<li>{}</li>", escaped(s)));
+    roll.steps
+        .iter()
+        .for_each(|s| out += &format!("<li>{}</li>", escaped(s)));
     out += "</ol><details><summary>All as JSON</summary><pre>";
     out += &escaped(&serde_json::to_string_pretty(roll).map_err(|e| e.to_string())?);
     out += "</pre></details></body></html>";
--- a/programs/fleet/src/roll.rs
+++ b/programs/fleet/src/roll.rs
@@ -28,7 +28,11 @@
     /// Begins a change. It goes on by itself, steered by whichever supervisor or `tansy-fleet steer` is there.
     Begin {
         /// The new program's file, at the same place on every machine.
-        #[arg(long, required_unless_present = "settings", conflicts_with = "settings")]
+        #[arg(
+            long,
+            required_unless_present = "settings",
+            conflicts_with = "settings"
+        )]
         program: Option<PathBuf>,
         /// The new settings' file.
         #[arg(long)]
@@ -96,7 +100,9 @@
 }
 
 fn plan(path: Option<&Path>) -> Result<Plan, Not> {
-    let Some(path) = path else { return Ok(Plan::default()) };
+    let Some(path) = path else {
+        return Ok(Plan::default());
+    };
     let told = |e: String| Not::Right(format!("{}: {e}", path.display()));
     let text = std::fs::read_to_string(path).map_err(|e| told(e.to_string()))?;
     let f: PlanFile = toml::from_str(&text).map_err(|e| told(e.to_string()))?;
@@ -121,7 +127,8 @@
 /// Stages by shares: front ends of all zones in turn, those that keep no log first, so that no stage takes more of one zone
 /// than of another.
 pub fn stages(places: Vec<Place>, shares: &[f64]) -> Result<Vec<Vec<Place>>, String> {
-    let rising = shares.windows(2).all(|w| w[0] < w[1]) && shares.iter().all(|s| *s > 0.0 && *s <= 1.0);
+    let rising =
+        shares.windows(2).all(|w| w[0] < w[1]) && shares.iter().all(|s| *s > 0.0 && *s <= 1.0);
     if !rising || shares.is_empty() {
         return Err(format!(
             "--stages {shares:?}: want shares over 0 and up to 1, each more than the one before"
@@ -131,7 +138,9 @@
     let (mut others, seats): (Vec<Place>, Vec<Place>) = places.into_iter().partition(|p| !p.seat);
     others.extend(seats);
     let all = others.len();
-    others.into_iter().for_each(|p| zones.entry(p.zone.clone()).or_default().push_back(p));
+    others
+        .into_iter()
+        .for_each(|p| zones.entry(p.zone.clone()).or_default().push_back(p));
     let mut turn = Vec::new();
     while zones.values().any(|z| !z.is_empty()) {
         turn.extend(zones.values_mut().filter_map(VecDeque::pop_front));
@@ -152,7 +161,15 @@
 /// Runs what is asked.
 pub(crate) fn run(a: &Arguments, client: &mut Client, asked: &Asked) -> Result<(), Not> {
     match asked {
-        Asked::Begin { program, settings, plan: file, stages: shares, why, id, dry_run } => {
+        Asked::Begin {
+            program,
+            settings,
+            plan: file,
+            stages: shares,
+            why,
+            id,
+            dry_run,
+        } => {
             let mut plan = plan(file.as_deref())?;
             plan.stages = stages(places(a, client)?, shares).map_err(Not::Right)?;
             if let Some(wrong) = plan.wrong() {
@@ -163,15 +180,29 @@
                     let told = |e: std::io::Error| Not::Right(format!("{}: {e}", path.display()));
                     let path = path.canonicalize().map_err(told)?;
                     let label = label(&path).map_err(told)?;
-                    (What::Program { label, path: path.display().to_string() }, None)
+                    (
+                        What::Program {
+                            label,
+                            path: path.display().to_string(),
+                        },
+                        None,
+                    )
                 }
                 (None, Some(path)) => {
                     let name = path.display().to_string();
-                    let text =
-                        std::fs::read_to_string(path).map_err(|e| Not::Right(format!("{name}: {e}")))?;
+                    let text = std::fs::read_to_string(path)
+                        .map_err(|e| Not::Right(format!("{name}: {e}")))?;
                     let fields = version(&name, &text).map_err(|e| Not::Right(e.to_string()))?;
                     let why = why.clone();
-                    (What::Settings, Some(Settings { version: Version(0), fields, why, id: 0 }))
+                    (
+                        What::Settings,
+                        Some(Settings {
+                            version: Version(0),
+                            fields,
+                            why,
+                            id: 0,
+                        }),
+                    )
                 }
                 (None, None) => return Err(Not::Right("want --program or --settings".into())),
             };
@@ -181,9 +212,17 @@
             }
             let id = id.unwrap_or_else(|| fastrand::u64(1..1 << 53));
             let leader = seat(client, a.at)?;
-            let entry = Entry::Begin { id, what, plan, why: why.clone() };
+            let entry = Entry::Begin {
+                id,
+                what,
+                plan,
+                why: why.clone(),
+            };
             client.enter(leader, Enter::Roll(roll_entry(&entry, fields.as_ref())))?;
-            crate::say(a, &format!("roll {id} has begun; `tansy-fleet roll status --watch` shows it"));
+            crate::say(
+                a,
+                &format!("roll {id} has begun; `tansy-fleet roll status --watch` shows it"),
+            );
             Ok(())
         }
         Asked::Status { watch: false } => {
@@ -193,7 +232,11 @@
         }
         Asked::Status { watch: true } => {
             let terminal = !a.json && std::io::stdout().is_terminal();
-            let roll = if terminal { in_terminal(a, client)? } else { in_lines(a, client)? };
+            let roll = if terminal {
+                in_terminal(a, client)?
+            } else {
+                in_lines(a, client)?
+            };
             if terminal {
                 show(a, &roll, || plain(&roll));
             }
@@ -203,14 +246,33 @@
                 Ok(())
             }
         }
-        Asked::Pause { why } => step(a, client, |id| Entry::Pause { id, why: why.clone() }, "is paused"),
+        Asked::Pause { why } => step(
+            a,
+            client,
+            |id| Entry::Pause {
+                id,
+                why: why.clone(),
+            },
+            "is paused",
+        ),
         Asked::Resume => step(a, client, |id| Entry::Resume { id }, "goes on"),
-        Asked::Abort { why } => step(a, client, |id| Entry::Abort { id, why: why.clone() }, "goes back"),
+        Asked::Abort { why } => step(
+            a,
+            client,
+            |id| Entry::Abort {
+                id,
+                why: why.clone(),
+            },
+            "goes back",
+        ),
         Asked::Report { out } => {
             let roll = last(a, client)?;
             let page = crate::report::page(&roll).map_err(Not::Right)?;
             std::fs::write(out, page).map_err(|e| Not::Right(format!("{}: {e}", out.display())))?;
-            crate::say(a, &format!("{} holds the report of roll {}", out.display(), roll.id));
+            crate::say(
+                a,
+                &format!("{} holds the report of roll {}", out.display(), roll.id),
+            );
             Ok(())
         }
     }
@@ -258,15 +320,27 @@
 /// All front ends that are there.
 fn places(a: &Arguments, client: &mut Client) -> Result<Vec<Place>, Not> {
     let s = client.status(a.at)?;
-    let all: Vec<SocketAddr> =
-        s.others.iter().chain(&s.process).filter_map(|p| p.address.parse().ok()).collect();
+    let all: Vec<SocketAddr> = s
+        .others
+        .iter()
+        .chain(&s.process)
+        .filter_map(|p| p.address.parse().ok())
+        .collect();
     let mut places: Vec<Place> = look_at(client, &all, |_| false)
         .into_iter()
-        .map(|(f, seat)| Place { name: f.report.name, zone: f.report.zone, seat })
+        .map(|(f, seat)| Place {
+            name: f.report.name,
+            zone: f.report.zone,
+            seat,
+        })
         .collect();
     places.sort();
     if places.len() < all.len() {
-        let why = format!("{} of {} front ends answer: look at `status` first", places.len(), all.len());
+        let why = format!(
+            "{} of {} front ends answer: look at `status` first",
+            places.len(),
+            all.len()
+        );
         return Err(Not::Reached(why));
     }
     Ok(places)
@@ -275,12 +349,18 @@
 fn last(a: &Arguments, client: &mut Client) -> Result<Roll, Not> {
     let leader = seat(client, a.at)?;
     let reply = client.rolls(&[leader], WITHIN).pop();
-    let reply = reply.unwrap_or_else(|| Err(tansy_net_peers::ask::Failed::Away("no answer".into())))?;
+    let reply =
+        reply.unwrap_or_else(|| Err(tansy_net_peers::ask::Failed::Away("no answer".into())))?;
     let roll = of_roll(&reply.roll).map_err(|e| Not::Reached(e.to_string()))?;
     roll.ok_or_else(|| Not::Taken("there was no roll yet".into()))
 }
 
-fn step(a: &Arguments, client: &mut Client, make: impl FnOnce(u64) -> Entry, does: &str) -> Result<(), Not> {
+fn step(
+    a: &Arguments,
+    client: &mut Client,
+    make: impl FnOnce(u64) -> Entry,
+    does: &str,
+) -> Result<(), Not> {
     let roll = last(a, client)?;
     let leader = seat(client, a.at)?;
     client.enter(leader, Enter::Roll(roll_entry(&make(roll.id), None)))?;
@@ -291,7 +371,10 @@
 fn plain_plan(plan: &Plan) -> String {
     let mut lines = Vec::new();
     for (n, stage) in plan.stages.iter().enumerate() {
-        let names: Vec<String> = stage.iter().map(|p| format!("{} ({})", p.name, p.zone)).collect();
+        let names: Vec<String> = stage
+            .iter()
+            .map(|p| format!("{} ({})", p.name, p.zone))
+            .collect();
         lines.push(format!("stage {}: {}", n + 1, names.join(", ")));
     }
     lines.push(format!(
@@ -307,7 +390,9 @@
 /// What is printed of a roll, for people.
 pub fn plain(roll: &Roll) -> String {
     let what = match &roll.what {
-        What::Program { label, path } => format!("program {path} ({})", label.get(..12).unwrap_or(label)),
+        What::Program { label, path } => {
+            format!("program {path} ({})", label.get(..12).unwrap_or(label))
+        }
         What::Settings => "settings".to_string(),
     };
     let phase = match roll.phase {
@@ -336,10 +421,19 @@
         } else {
             roll.moving.iter().cloned().collect::<Vec<_>>().join(", ")
         },
-        if roll.steerer.is_empty() { "nobody yet: run `tansy-fleet up` or `steer`" } else { &roll.steerer }
+        if roll.steerer.is_empty() {
+            "nobody yet: run `tansy-fleet up` or `steer`"
+        } else {
+            &roll.steerer
+        }
     ));
     for seen in &roll.seen {
-        lines.push(format!("  stage {}, {} s, {}:", seen.stage + 1, seen.stood, crate::report::said(seen)));
+        lines.push(format!(
+            "  stage {}, {} s, {}:",
+            seen.stage + 1,
+            seen.stood,
+            crate::report::said(seen)
+        ));
         for m in &seen.measured {
             lines.push(format!(
                 "    {:<24} old {:>7.3}%  new {:>7.3}%  loss {:>+7.3} +- {:.3} points ({} slices)",
--- a/programs/fleet/src/scope.rs
+++ b/programs/fleet/src/scope.rs
@@ -89,7 +89,10 @@
 }
 
 fn texts(fields: &Fields) -> BTreeMap<String, String> {
-    fields.iter().map(|(name, v)| (name.clone(), v.to_string())).collect()
+    fields
+        .iter()
+        .map(|(name, v)| (name.clone(), v.to_string()))
+        .collect()
 }
 
 impl ScopeLine {
@@ -103,7 +106,14 @@
         };
         let next = scoped.next().and_then(Option::as_ref).map(texts);
         let fields = scoped.fields.as_ref().map(texts);
-        ScopeLine { name, revision: scoped.revision.0, is, fields, next, waits_for }
+        ScopeLine {
+            name,
+            revision: scoped.revision.0,
+            is,
+            fields,
+            next,
+            waits_for,
+        }
     }
 
     fn plain(&self) -> String {
@@ -112,8 +122,14 @@
             all.join(", ")
         };
         let mut line = format!("{}: {}, revision {}", self.name, self.is, self.revision);
-        line += &self.fields.as_ref().map_or(String::new(), |f| format!("\n    {}", fields(f)));
-        line += &self.next.as_ref().map_or(String::new(), |f| format!("\n    is to be {}", fields(f)));
+        line += &self
+            .fields
+            .as_ref()
+            .map_or(String::new(), |f| format!("\n    {}", fields(f)));
+        line += &self
+            .next
+            .as_ref()
+            .map_or(String::new(), |f| format!("\n    is to be {}", fields(f)));
         if !self.waits_for.is_empty() {
             line += &format!("\n    waits for {}", self.waits_for.join(", "));
         }
@@ -122,31 +138,62 @@
 }
 
 pub(crate) fn run(a: &Arguments, client: &mut Client, asked: &Asked) -> Result<(), Not> {
-    let read = |name: &str, text: &str| functions(name, text).map_err(|e| Not::Right(e.to_string()));
+    let read =
+        |name: &str, text: &str| functions(name, text).map_err(|e| Not::Right(e.to_string()));
     match asked {
-        Asked::Set { name, class, memory, lanes, load_time, versions, how } => {
-            let mut text = format!("functions: {}: {{class: {}", label(&part(name)), quoted(class));
+        Asked::Set {
+            name,
+            class,
+            memory,
+            lanes,
+            load_time,
+            versions,
+            how,
+        } => {
+            let mut text = format!(
+                "functions: {}: {{class: {}",
+                label(&part(name)),
+                quoted(class)
+            );
             text += &format!(", memory: {memory}");
             text += &lanes.map_or(String::new(), |n| format!(", lanes: {n}"));
-            text += &load_time.as_ref().map_or(String::new(), |t| format!(", load_time: {t}"));
+            text += &load_time
+                .as_ref()
+                .map_or(String::new(), |t| format!(", load_time: {t}"));
             if !versions.is_empty() {
                 let all: Vec<String> = versions.iter().map(|v| quoted(v)).collect();
                 text += &format!(", versions: [{}]", all.join(", "));
             }
             let all = read("the arguments", &(text + "}\n"))?;
-            change(a, client, all.into_iter().map(|(n, f)| (n, Some(f))).collect(), how)
-        }
-        Asked::Remove { names, how } => {
-            change(a, client, names.iter().map(|n| (n.clone(), None)).collect(), how)
+            change(
+                a,
+                client,
+                all.into_iter().map(|(n, f)| (n, Some(f))).collect(),
+                how,
+            )
         }
+        Asked::Remove { names, how } => change(
+            a,
+            client,
+            names.iter().map(|n| (n.clone(), None)).collect(),
+            how,
+        ),
         Asked::Apply { file, how } => {
             let path = file.display().to_string();
-            let text = std::fs::read_to_string(file).map_err(|e| Not::Right(format!("{path}: {e}")))?;
+            let text =
+                std::fs::read_to_string(file).map_err(|e| Not::Right(format!("{path}: {e}")))?;
             let all = read(&path, &text)?;
             if all.is_empty() {
-                return Err(Not::Right(format!("{path}: no function is given: want functions: {{...}}")));
+                return Err(Not::Right(format!(
+                    "{path}: no function is given: want functions: {{...}}"
+                )));
             }
-            change(a, client, all.into_iter().map(|(n, f)| (n, Some(f))).collect(), how)
+            change(
+                a,
+                client,
+                all.into_iter().map(|(n, f)| (n, Some(f))).collect(),
+                how,
+            )
         }
         Asked::Show { names } => {
             let at = seat(client, a.at)?;
@@ -174,19 +221,28 @@
 
 /// Whom functions that change wait for.
 pub(crate) fn waiting(all: &[pb::Waiting]) -> BTreeMap<String, Vec<String>> {
-    all.iter().map(|w| (w.name.clone(), w.behind.iter().map(name).collect())).collect()
+    all.iter()
+        .map(|w| (w.name.clone(), w.behind.iter().map(name).collect()))
+        .collect()
 }
 
 type Known = (Vec<Option<Scoped>>, BTreeMap<String, Vec<String>>);
 
 fn known(client: &mut Client, seat: SocketAddr, names: &[String]) -> Result<Known, Not> {
-    let asked = pb::FunctionsRequest { names: names.to_vec(), ..Default::default() };
+    let asked = pb::FunctionsRequest {
+        names: names.to_vec(),
+        ..Default::default()
+    };
     let reply = client.functions(seat, asked)?;
     let read = |n: pb::Named| n.scoped.map(of_scoped).transpose();
     let all: Result<Vec<_>, _> = reply.functions.into_iter().map(read).collect();
     let all = all.map_err(|e| Not::Reached(e.to_string()))?;
     if all.len() != names.len() {
-        return Err(Not::Reached(format!("{seat}: tells of {} functions, not {}", all.len(), names.len())));
+        return Err(Not::Reached(format!(
+            "{seat}: tells of {} functions, not {}",
+            all.len(),
+            names.len()
+        )));
     }
     Ok((all, waiting(&reply.waits)))
 }
@@ -209,11 +265,21 @@
                 base.0
             )));
         }
-        changes.push(ScopeChange { scope, base, fields });
+        changes.push(ScopeChange {
+            scope,
+            base,
+            fields,
+        });
     }
     let id = how.wait.id.unwrap_or_else(|| fastrand::u64(1..));
-    let request = ScopeRequest { id, changes, why: how.why.clone() };
-    let step = client.enter(at, Entry::Change(scope_request(&request)))?.step;
+    let request = ScopeRequest {
+        id,
+        changes,
+        why: how.why.clone(),
+    };
+    let step = client
+        .enter(at, Entry::Change(scope_request(&request)))?
+        .step;
     let began = Instant::now();
     let limit = Duration::from_secs_f64(how.wait.wait.clamp(0.0, 86_400.0));
     let done = |is: &str| {
@@ -227,7 +293,10 @@
     }
     let mut waits = BTreeMap::new();
     while began.elapsed() < limit {
-        let asked = pb::FunctionsRequest { id, ..Default::default() };
+        let asked = pb::FunctionsRequest {
+            id,
+            ..Default::default()
+        };
         if let Ok(reply) = client.functions(at, asked) {
             waits = waiting(&reply.waits);
             match reply.request {
@@ -248,9 +317,12 @@
         }
         client.wait(LOOK_EVERY);
     }
-    let mine = waits.into_iter().filter(|(n, behind)| names.contains(n) && !behind.is_empty());
-    let whom: Vec<String> =
-        mine.map(|(n, behind)| format!("; {n} waits for {}", behind.join(", "))).collect();
+    let mine = waits
+        .into_iter()
+        .filter(|(n, behind)| names.contains(n) && !behind.is_empty());
+    let whom: Vec<String> = mine
+        .map(|(n, behind)| format!("; {n} waits for {}", behind.join(", ")))
+        .collect();
     if !a.json && !whom.is_empty() {
         print("start those that are waited for again, or dismiss those that are gone for good");
     }
--- a/programs/fleet/src/show.rs
+++ b/programs/fleet/src/show.rs
@@ -67,11 +67,17 @@
         let next = state.and_then(|s| Some((s.next.as_ref()?.version, phase(s).to_string())));
         FrontLine {
             name: s.name.clone(),
-            address: s.process.as_ref().map(|p| p.address.clone()).unwrap_or_default(),
+            address: s
+                .process
+                .as_ref()
+                .map(|p| p.address.clone())
+                .unwrap_or_default(),
             error: Some(s.error.clone()).filter(|e| !e.is_empty()),
             seat: s.keeps_log,
             step: state.map_or(0, |s| s.step),
-            version: state.and_then(|s| s.force.as_ref()).map_or(0, |f| f.version),
+            version: state
+                .and_then(|s| s.force.as_ref())
+                .map_or(0, |f| f.version),
             next,
             lease_ms: s.lease_left / 1000,
             stay_s: s.stay_left / 1_000_000,
@@ -139,18 +145,26 @@
             out += &format!("on the roster, not seen: {}\n", self.away.join(", "));
         }
         if !self.contested.is_empty() {
-            out += &format!("the change under way touches: {}\n", self.contested.join(", "));
+            out += &format!(
+                "the change under way touches: {}\n",
+                self.contested.join(", ")
+            );
         }
         if self.waits_for_leases {
             out += "it waits for leases: each comes as far or runs out\n";
         }
         if !self.waits_for.is_empty() {
             let who = self.waits_for.join(", ");
-            out +=
-                &format!("it waits for {who}: start them again, or dismiss those that are gone for good\n");
+            out += &format!(
+                "it waits for {who}: start them again, or dismiss those that are gone for good\n"
+            );
         }
         for (function, behind) in &self.changing {
-            let whom = if behind.is_empty() { "leases".into() } else { behind.join(", ") };
+            let whom = if behind.is_empty() {
+                "leases".into()
+            } else {
+                behind.join(", ")
+            };
             out += &format!("function {function} changes, and waits for {whom}\n");
         }
         out
@@ -200,7 +214,10 @@
     /// A line for people.
     pub fn plain(&self) -> String {
         let none = || "nothing".to_string();
-        let (old, new) = (self.old.clone().unwrap_or_else(none), self.new.clone().unwrap_or_else(none));
+        let (old, new) = (
+            self.old.clone().unwrap_or_else(none),
+            self.new.clone().unwrap_or_else(none),
+        );
         let what = match self.kind {
             "strict" => format!("{} are refused for a moment", self.calls),
             "joint" => format!("the stricter holds meanwhile, for {}", self.calls),
@@ -235,11 +252,20 @@
             () if n == next => "under way",
             () => "",
         };
-        VersionLine { version: n, is, why: s.why.clone(), id: s.id, fields: s.fields.len() }
+        VersionLine {
+            version: n,
+            is,
+            why: s.why.clone(),
+            id: s.id,
+            fields: s.fields.len(),
+        }
     }
 
     /// A line for people.
     pub fn plain(&self) -> String {
-        format!("{:>6}  {:<10} {:>4} fields  {}", self.version, self.is, self.fields, self.why)
+        format!(
+            "{:>6}  {:<10} {:>4} fields  {}",
+            self.version, self.is, self.fields, self.why
+        )
     }
 }
--- a/programs/fleet/src/up.rs
+++ b/programs/fleet/src/up.rs
@@ -12,7 +12,9 @@
 use std::time::{Duration, Instant};
 use tansy_fleet_wire::pb::enter_request::Entry as Enter;
 use tansy_fleet_wire::{of_counts, of_roll, pb, roll_entry};
-use tansy_rollout::{Act, Ended, Entry, Fallen, Front, Keep, Limits, Roll, Steer, Time, Wanted, What};
+use tansy_rollout::{
+    Act, Ended, Entry, Fallen, Front, Keep, Limits, Roll, Steer, Time, Wanted, What,
+};
 
 /// Time between two looks at processes.
 const LOOK: Duration = Duration::from_millis(50);
@@ -72,7 +74,10 @@
     let mut file: File = toml::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
     let names: BTreeSet<&String> = file.fronts.iter().map(|f| &f.name).collect();
     if names.len() != file.fronts.len() || names.is_empty() {
-        return Err(format!("{}: want one front end or more, each with a name of its own", path.display()));
+        return Err(format!(
+            "{}: want one front end or more, each with a name of its own",
+            path.display()
+        ));
     }
     let beside = path.parent().unwrap_or(Path::new("."));
     file.program = beside.join(&file.program);
@@ -125,7 +130,11 @@
     let mut client = Client::new().map_err(|e| e.to_string())?;
     let end = Arc::new(AtomicBool::new(false));
     client.on_end(end.clone()).map_err(|e| e.to_string())?;
-    let (mut steer, mut fleet, began) = (Steer::new(name.to_string()), Fleet::default(), Instant::now());
+    let (mut steer, mut fleet, began) = (
+        Steer::new(name.to_string()),
+        Fleet::default(),
+        Instant::now(),
+    );
     while !end.load(Ordering::Relaxed) {
         look(&mut client, &mut fleet, at, began);
         steers(&mut client, &mut steer, &fleet, began);
@@ -154,13 +163,16 @@
             continue;
         };
         let of = |r: &Option<Roll>| r.as_ref().map_or((0, 0), |r| (r.id, r.at));
-        let later = fleet.roll.is_none() || of(&roll).0 != of(&fleet.roll).0 || of(&roll) >= of(&fleet.roll);
+        let later = fleet.roll.is_none()
+            || of(&roll).0 != of(&fleet.roll).0
+            || of(&roll) >= of(&fleet.roll);
         if reply.leads {
             (fleet.fresh, fleet.leader) = (true, Some(*address));
         }
         if reply.leads || (!fleet.fresh && later && roll.is_some()) {
             fleet.roll = roll;
-            fleet.program = (!reply.label.is_empty()).then(|| (reply.label.clone(), reply.path.clone()));
+            fleet.program =
+                (!reply.label.is_empty()).then(|| (reply.label.clone(), reply.path.clone()));
         }
     }
     if fleet.fresh {
@@ -176,7 +188,9 @@
 
 /// Takes the next step of the roll, if it is this one's to take.
 fn steers(client: &mut Client, steer: &mut Steer, fleet: &Fleet, began: Instant) {
-    let (Some(roll), Some(leader)) = (&fleet.roll, fleet.leader) else { return };
+    let (Some(roll), Some(leader)) = (&fleet.roll, fleet.leader) else {
+        return;
+    };
     if !fleet.fresh {
         return;
     }
@@ -279,22 +293,45 @@
 
     /// What the fleet wants of these front ends.
     fn ask(&mut self) {
-        let at: Vec<SocketAddr> =
-            self.file.at.iter().copied().chain(self.file.fronts.iter().map(|f| f.peers)).collect();
+        let at: Vec<SocketAddr> = self
+            .file
+            .at
+            .iter()
+            .copied()
+            .chain(self.file.fronts.iter().map(|f| f.peers))
+            .collect();
         look(&mut self.client, &mut self.fleet, &at, self.began);
         if let Some((label, path)) = &self.fleet.program {
             self.base.clone_from(label);
-            self.programs.entry(label.clone()).or_insert_with(|| PathBuf::from(path));
+            self.programs
+                .entry(label.clone())
+                .or_insert_with(|| PathBuf::from(path));
         }
         let roll = self.fleet.roll.as_ref().filter(|r| !r.over());
         // One that was started while nobody could say what the fleet is to run is changed by itself, one after the other.
         let settled = roll.is_none() && self.fleet.fresh && self.fleet.program.is_some();
-        let other = |f: &&Own| self.keep.process(&f.name).and_then(|p| p.1).is_some_and(|l| l != self.base);
-        let stray = self.file.fronts.iter().find(other).filter(|_| settled).map(|f| f.name.clone());
+        let other = |f: &&Own| {
+            self.keep
+                .process(&f.name)
+                .and_then(|p| p.1)
+                .is_some_and(|l| l != self.base)
+        };
+        let stray = self
+            .file
+            .fronts
+            .iter()
+            .find(other)
+            .filter(|_| settled)
+            .map(|f| f.name.clone());
         for f in &self.file.fronts {
-            let mut wanted = Wanted { label: self.base.clone(), may: stray.as_ref() == Some(&f.name) };
+            let mut wanted = Wanted {
+                label: self.base.clone(),
+                may: stray.as_ref() == Some(&f.name),
+            };
             if let Some((roll, What::Program { label, path })) = roll.map(|r| (r, &r.what)) {
-                self.programs.entry(label.clone()).or_insert_with(|| PathBuf::from(path));
+                self.programs
+                    .entry(label.clone())
+                    .or_insert_with(|| PathBuf::from(path));
                 if roll.new_side(&f.name) {
                     wanted.label.clone_from(label);
                 }
@@ -312,9 +349,19 @@
                 Act::Start { name, label } => self.begin(&name, &label),
                 Act::End { pid } => self.processes.signal(pid, Signal::TERM),
                 Act::Kill { pid } => self.processes.signal(pid, Signal::KILL),
-                Act::Tell { name, pid, sort, again } => {
+                Act::Tell {
+                    name,
+                    pid,
+                    sort,
+                    again,
+                } => {
                     tracing::warn!(name, pid, sort, again, "ended by itself");
-                    self.told.push(Fallen { name, process: u64::from(pid), sort, again });
+                    self.told.push(Fallen {
+                        name,
+                        process: u64::from(pid),
+                        sort,
+                        again,
+                    });
                     if self.told.len() > 256 {
                         self.told.remove(0);
                     }
@@ -324,9 +371,16 @@
     }
 
     fn begin(&mut self, name: &str, label: &str) {
-        let Some(own) = self.file.fronts.iter().find(|f| f.name == name) else { return };
+        let Some(own) = self.file.fronts.iter().find(|f| f.name == name) else {
+            return;
+        };
         let mut arguments = own.arguments.clone();
-        arguments.extend(["--name".into(), own.name.clone(), "--peers".into(), own.peers.to_string()]);
+        arguments.extend([
+            "--name".into(),
+            own.name.clone(),
+            "--peers".into(),
+            own.peers.to_string(),
+        ]);
         let known = self.programs.get(label).cloned();
         let path = known.ok_or_else(|| format!("the program {label} is not known here"));
         let stored = path.and_then(|p| self.processes.store(label, &p));
@@ -350,7 +404,9 @@
         if !going {
             self.told.clear();
         }
-        let Some(leader) = self.fleet.leader.filter(|_| self.fleet.fresh) else { return };
+        let Some(leader) = self.fleet.leader.filter(|_| self.fleet.fresh) else {
+            return;
+        };
         while let Some(fallen) = self.told.first().cloned() {
             let entry = Enter::Roll(roll_entry(&Entry::Fell(fallen), None));
             match self.client.enter_within(leader, entry, WITHIN) {
--- a/programs/fleet/src/view.rs
+++ b/programs/fleet/src/view.rs
@@ -35,7 +35,9 @@
     ];
     let title = format!("roll {}, steered by {}", roll.id, roll.steerer);
     frame.render_widget(
-        Paragraph::new(text).wrap(Wrap { trim: true }).block(Block::bordered().title(title)),
+        Paragraph::new(text)
+            .wrap(Wrap { trim: true })
+            .block(Block::bordered().title(title)),
         head,
     );
     let all = roll.plan.stages.iter().flatten().count().max(1);
@@ -47,12 +49,24 @@
         roll.moved.len(),
         roll.moving.iter().cloned().collect::<Vec<_>>().join(" ")
     );
-    let gauge = Gauge::default().block(Block::bordered()).gauge_style(color).ratio(share).label(label);
+    let gauge = Gauge::default()
+        .block(Block::bordered())
+        .gauge_style(color)
+        .ratio(share)
+        .label(label);
     frame.render_widget(gauge, bar);
     measured(frame, middle, roll);
     let late = roll.steps.len().saturating_sub(7);
-    let items: Vec<ListItem<'_>> = roll.steps.iter().skip(late).map(|s| ListItem::new(s.as_str())).collect();
-    frame.render_widget(List::new(items).block(Block::bordered().title("steps")), steps);
+    let items: Vec<ListItem<'_>> = roll
+        .steps
+        .iter()
+        .skip(late)
+        .map(|s| ListItem::new(s.as_str()))
+        .collect();
+    frame.render_widget(
+        List::new(items).block(Block::bordered().title("steps")),
+        steps,
+    );
 }
 
 fn measured(frame: &mut Frame<'_>, area: Rect, roll: &Roll) {
@@ -61,7 +75,11 @@
         return frame.render_widget(waits, area);
     };
     let row = |m: &tansy_verdict::Measured| {
-        let color = if m.loss - m.half > 0.0 { Color::Red } else { Color::Reset };
+        let color = if m.loss - m.half > 0.0 {
+            Color::Red
+        } else {
+            Color::Reset
+        };
         Row::new(vec![
             m.what.clone(),
             format!("{:.3}%", m.old * 100.0),
@@ -75,7 +93,14 @@
     let widths = [30, 10, 10, 10, 12, 8].map(Constraint::Length);
     let title = format!("stage {}, {} s: {}", seen.stage + 1, seen.stood, said(seen));
     let table = Table::new(seen.measured.iter().map(row), widths)
-        .header(Row::new(["share lost", "old", "new", "loss", "give or take", "slices"]))
+        .header(Row::new([
+            "share lost",
+            "old",
+            "new",
+            "loss",
+            "give or take",
+            "slices",
+        ]))
         .block(Block::bordered().title(title));
     frame.render_widget(table, area);
 }
@@ -90,11 +115,25 @@
 
     #[test]
     fn a_roll_is_drawn_whole_in_a_small_terminal_too() {
-        let place = Place { name: "f1".into(), zone: "a".into(), seat: false };
-        let plan = Plan { stages: vec![vec![place]], ..Plan::default() };
-        let what = What::Program { label: "l".into(), path: "/opt/new".into() };
+        let place = Place {
+            name: "f1".into(),
+            zone: "a".into(),
+            seat: false,
+        };
+        let plan = Plan {
+            stages: vec![vec![place]],
+            ..Plan::default()
+        };
+        let what = What::Program {
+            label: "l".into(),
+            path: "/opt/new".into(),
+        };
         let mut roll = Roll::begin(5, what, plan, "why it is done".into()).expect("a plan");
-        roll.apply(Entry::Steer { fence: 1, who: "machine-1".into() }).expect("nobody steers");
+        roll.apply(Entry::Steer {
+            fence: 1,
+            who: "machine-1".into(),
+        })
+        .expect("nobody steers");
         let measured = Measured {
             what: "service".into(),
             old: 0.01,
@@ -104,15 +143,27 @@
             lately: 0.04,
             slices: 9,
         };
-        roll.seen.push(Seen { stage: 0, stood: 45, measured: vec![measured], verdict: None });
+        roll.seen.push(Seen {
+            stage: 0,
+            stood: 45,
+            measured: vec![measured],
+            verdict: None,
+        });
         for (wide, high) in [(100, 30), (20, 6)] {
             let mut terminal = Terminal::new(TestBackend::new(wide, high)).expect("a terminal");
-            terminal.draw(|frame| draw(frame, &roll)).expect("it is drawn");
+            terminal
+                .draw(|frame| draw(frame, &roll))
+                .expect("it is drawn");
             if wide == 100 {
                 let text = terminal.backend().to_string();
-                for part in
-                    ["machine-1", "/opt/new", "why it is done", "service", "+4.000", "machine-1 steers"]
-                {
+                for part in [
+                    "machine-1",
+                    "/opt/new",
+                    "why it is done",
+                    "service",
+                    "+4.000",
+                    "machine-1 steers",
+                ] {
                     assert!(text.contains(part), "{part}: {text}");
                 }
             }
--- a/programs/fleet/tests/fleet.rs
+++ b/programs/fleet/tests/fleet.rs
@@ -9,9 +9,15 @@
 
 /// The gateway, built beside this program.
 fn gateway() -> PathBuf {
-    let dir = Path::new(env!("CARGO_BIN_EXE_tansy-fleet")).parent().expect("a directory");
+    let dir = Path::new(env!("CARGO_BIN_EXE_tansy-fleet"))
+        .parent()
+        .expect("a directory");
     let path = dir.join("tansy-gateway");
-    assert!(path.exists(), "cargo build -p tansy-gateway first: {} is not there", path.display());
+    assert!(
+        path.exists(),
+        "cargo build -p tansy-gateway first: {} is not there",
+        path.display()
+    );
     path
 }
 
@@ -33,16 +39,27 @@
 
 impl Fleet {
     fn start(name: &str, size: usize, host: u8) -> Fleet {
-        let folder = std::env::temp_dir().join(format!("tansy-fleet-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("tansy-fleet-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         // A name keeps its address; nothing else here connects from these.
         let pid = std::process::id();
         let at = |n: usize| SocketAddr::from(([127, host, (pid % 250) as u8, 1 + n as u8], 0));
-        let free = |n| TcpListener::bind(at(n)).and_then(|l| l.local_addr()).expect("a port");
+        let free = |n| {
+            TcpListener::bind(at(n))
+                .and_then(|l| l.local_addr())
+                .expect("a port")
+        };
         let addresses: Vec<SocketAddr> = (0..size).map(free).collect();
-        let text = TEXT.replace("NAME", name).replace("SEAT", &addresses[0].to_string());
+        let text = TEXT
+            .replace("NAME", name)
+            .replace("SEAT", &addresses[0].to_string());
         std::fs::write(folder.join("a.cue"), text).expect("a file");
-        let mut fleet = Fleet { folder, addresses, processes: Vec::new() };
+        let mut fleet = Fleet {
+            folder,
+            addresses,
+            processes: Vec::new(),
+        };
         fleet.processes.resize_with(size, || None);
         (0..size).for_each(|n| fleet.run(n));
         fleet
@@ -56,18 +73,35 @@
         let mut command = Command::new(gateway());
         more(&mut command);
         command.arg("--settings").arg(self.folder.join("a.cue"));
-        command.args(["--name", &format!("f{n}"), "--peers", &self.addresses[n].to_string()]);
-        command.args(["--listen", "127.0.0.1:0", "--http", "127.0.0.1:0", "--log", "off"]);
+        command.args([
+            "--name",
+            &format!("f{n}"),
+            "--peers",
+            &self.addresses[n].to_string(),
+        ]);
+        command.args([
+            "--listen",
+            "127.0.0.1:0",
+            "--http",
+            "127.0.0.1:0",
+            "--log",
+            "off",
+        ]);
         // The last one may become a seat.
         if n == 0 || n + 1 == self.addresses.len() {
-            command.arg("--state").arg(self.folder.join(format!("seat{n}.redb")));
+            command
+                .arg("--state")
+                .arg(self.folder.join(format!("seat{n}.redb")));
         }
         let mut child = command.stdout(Stdio::piped()).spawn().expect("a gateway");
         let mut line = String::new();
         let out = child.stdout.take().expect("its output");
         BufReader::new(out).read_line(&mut line).expect("a line");
         self.processes[n] = Some(child);
-        assert!(line.starts_with("ready ") && line.contains(" peers="), "{line:?}");
+        assert!(
+            line.starts_with("ready ") && line.contains(" peers="),
+            "{line:?}"
+        );
     }
 
     fn kill(&mut self, n: usize) {
@@ -79,10 +113,13 @@
 
     fn ask(&self, arguments: &[&str]) -> (i32, serde_json::Value) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_tansy-fleet"));
-        command.args(["--json", "--at", &self.addresses[1].to_string()]).args(arguments);
+        command
+            .args(["--json", "--at", &self.addresses[1].to_string()])
+            .args(arguments);
         let out = command.output().expect("it starts");
         let text = String::from_utf8_lossy(&out.stdout).into_owned();
-        let value = serde_json::from_str(&text).unwrap_or_else(|e| panic!("{arguments:?}: {e}: {text:?}"));
+        let value =
+            serde_json::from_str(&text).unwrap_or_else(|e| panic!("{arguments:?}: {e}: {text:?}"));
         (out.status.code().unwrap_or(-1), value)
     }
 
@@ -142,8 +179,15 @@
     fleet.found();
     let shorter = fleet.file("b.cue", "window: 30s", "window: 20s");
     let (code, would) = fleet.ask(&["propose", &shorter, "--dry-run"]);
-    assert_eq!((code, would[0]["field"].as_str()), (0, Some("classes.pay.window")), "{would}");
-    assert_eq!((would[0]["kind"].as_str(), would[0]["new"].as_str()), (Some("joint"), Some("20s")));
+    assert_eq!(
+        (code, would[0]["field"].as_str()),
+        (0, Some("classes.pay.window")),
+        "{would}"
+    );
+    assert_eq!(
+        (would[0]["kind"].as_str(), would[0]["new"].as_str()),
+        (Some("joint"), Some("20s"))
+    );
     let (code, done) = fleet.ask(&["propose", &shorter, "--expect", "1", "--why", "shorter"]);
     assert_eq!(
         (code, done["is"].as_str(), done["version"].as_u64()),
@@ -154,14 +198,29 @@
     let cells = fleet.file("c.cue", "group: \"zone\"", "group: \"cell\"");
     let (code, not) = fleet.ask(&["propose", &cells, "--expect", "1"]);
     assert!(
-        code == 3 && not["error"].as_str().is_some_and(|e| e.contains("version 2 is in force, not 1")),
+        code == 3
+            && not["error"]
+                .as_str()
+                .is_some_and(|e| e.contains("version 2 is in force, not 1")),
         "{not}"
     );
     let (code, not) = fleet.ask(&["propose", &shorter]);
-    assert!(code == 3 && not["error"].as_str().is_some_and(|e| e.contains("no field differs")), "{not}");
+    assert!(
+        code == 3
+            && not["error"]
+                .as_str()
+                .is_some_and(|e| e.contains("no field differs")),
+        "{not}"
+    );
     let wrong = fleet.file("d.cue", "deadline: 2s}\n    pay", "deadline: 0s}\n    pay");
     let (code, not) = fleet.ask(&["propose", &wrong]);
-    assert!(code == 2 && not["error"].as_str().is_some_and(|e| e.contains("classes.chat.deadline")), "{not}");
+    assert!(
+        code == 2
+            && not["error"]
+                .as_str()
+                .is_some_and(|e| e.contains("classes.chat.deadline")),
+        "{not}"
+    );
     // The same proposal by its id is one, though the version that it was made from is past.
     let (_, first) = fleet.ask(&["propose", &cells, "--id", "77"]);
     assert_eq!(first["version"].as_u64(), Some(3), "{first}");
@@ -172,9 +231,17 @@
     let (_, none) = fleet.ask(&["diff", "1", "4"]);
     assert_eq!(none.as_array().map(Vec::len), Some(0), "{none}");
     let (_, history) = fleet.ask(&["history"]);
-    let whys: Vec<&str> =
-        history.as_array().into_iter().flatten().filter_map(|v| v["why"].as_str()).collect();
-    assert_eq!(whys, ["the first", "shorter", "", "back to version 1: the first"], "{history}");
+    let whys: Vec<&str> = history
+        .as_array()
+        .into_iter()
+        .flatten()
+        .filter_map(|v| v["why"].as_str())
+        .collect();
+    assert_eq!(
+        whys,
+        ["the first", "shorter", "", "back to version 1: the first"],
+        "{history}"
+    );
     let (code, _) = fleet.ask(&["revert", "9"]);
     assert_eq!(code, 2);
     let (code, not) = fleet.ask(&["abandon"]);
@@ -188,7 +255,13 @@
     fleet.kill(3);
     let cells = fleet.file("c.cue", "group: \"zone\"", "group: \"cell\"");
     let (code, not) = fleet.ask(&["propose", &cells, "--wait", "1.5"]);
-    assert!(code == 4 && not["error"].as_str().is_some_and(|e| e.contains("waits for f3")), "{not}");
+    assert!(
+        code == 4
+            && not["error"]
+                .as_str()
+                .is_some_and(|e| e.contains("waits for f3")),
+        "{not}"
+    );
     fleet.run(3);
     fleet.until(|s| {
         let fronts = s["fronts"].as_array().cloned().unwrap_or_default();
@@ -223,13 +296,19 @@
     let mut fleet = Fleet::start("disk", 3, 106);
     fleet.found();
     fleet.kill(0);
-    let rules = ["write:ENOSPC", "sync:EIO"].map(|r| format!("{r}:from={}:until={}", FAILS.start, FAILS.end));
+    let rules = ["write:ENOSPC", "sync:EIO"]
+        .map(|r| format!("{r}:from={}:until={}", FAILS.start, FAILS.end));
     let began = Instant::now();
     fleet.run_with(0, |command| {
-        command.env("LD_PRELOAD", tansy_soak::shim::library()).env("FAULT_RULES", rules.join(";"));
+        command
+            .env("LD_PRELOAD", tansy_soak::shim::library())
+            .env("FAULT_RULES", rules.join(";"));
     });
     fleet.found();
-    assert!(began.elapsed() < Duration::from_secs(FAILS.start), "too slow for this test");
+    assert!(
+        began.elapsed() < Duration::from_secs(FAILS.start),
+        "too slow for this test"
+    );
     while began.elapsed() < Duration::from_secs(FAILS.start) + Duration::from_millis(300) {
         std::thread::yield_now();
     }
@@ -238,7 +317,10 @@
     let (code, asked) = fleet.ask(&["propose", &shorter, "--wait", "0.5", "--id", "5"]);
     // It is not refused, and not told in force before the disk that has to hold it is back.
     let back = began.elapsed() >= Duration::from_secs(FAILS.end);
-    assert!(code == 4 || code == 0 && back, "code {code}, disk back: {back}: {asked}");
+    assert!(
+        code == 4 || code == 0 && back,
+        "code {code}, disk back: {back}: {asked}"
+    );
     fleet.until(|s| {
         let fronts = s["fronts"].as_array().cloned().unwrap_or_default();
         fronts.len() == 3 && fronts.iter().all(|f| f["version"] == 2)
@@ -248,7 +330,11 @@
     // And what was told in force is there after a kill.
     fleet.kill(0);
     fleet.run(0);
-    fleet.until(|s| s["fronts"].as_array().is_some_and(|f| f.iter().any(|f| f["version"] == 2)));
+    fleet.until(|s| {
+        s["fronts"]
+            .as_array()
+            .is_some_and(|f| f.iter().any(|f| f["version"] == 2))
+    });
 }
 
 #[test]
@@ -259,17 +345,28 @@
     // One of the south looks for its seat at the north's.
     south.kill(1);
     let text = std::fs::read_to_string(south.folder.join("a.cue")).expect("a file");
-    let wrong = text.replace(&south.addresses[0].to_string(), &north.addresses[0].to_string());
+    let wrong = text.replace(
+        &south.addresses[0].to_string(),
+        &north.addresses[0].to_string(),
+    );
     std::fs::write(south.folder.join("a.cue"), wrong).expect("a file");
     south.run(1);
     let shorter = north.file("b.cue", "window: 30s", "window: 20s");
     let (code, done) = north.ask(&["propose", &shorter]);
     assert_eq!(code, 0, "{done}");
     let (_, status) = north.ask(&["status"]);
-    assert_eq!(status["fronts"].as_array().map(Vec::len), Some(2), "{status}");
+    assert_eq!(
+        status["fronts"].as_array().map(Vec::len),
+        Some(2),
+        "{status}"
+    );
     let (_, status) = south.ask(&["status"]);
     let lost = &status["fronts"][0];
-    assert_eq!((lost["name"].as_str(), lost["step"].as_u64()), (Some("f1"), Some(0)), "{status}");
+    assert_eq!(
+        (lost["name"].as_str(), lost["step"].as_u64()),
+        (Some("f1"), Some(0)),
+        "{status}"
+    );
 }
 
 #[test]
@@ -278,14 +375,23 @@
     fleet.found();
     let (code, said) = fleet.ask(&["seat", "f1", "--instead", "f9"]);
     assert_eq!(code, 3, "{said}");
-    assert!(said["error"].as_str().is_some_and(|e| e.contains("no seat")), "{said}");
+    assert!(
+        said["error"]
+            .as_str()
+            .is_some_and(|e| e.contains("no seat")),
+        "{said}"
+    );
     let (code, said) = fleet.ask(&["seat", "f8", "--instead", "f0"]);
     assert_eq!(code, 3, "{said}");
     let (code, said) = fleet.ask(&["seat", "f3", "--instead", "f0"]);
     assert_eq!(code, 0, "{said}");
     let (_, seats) = fleet.ask(&["seats"]);
-    let names: Vec<&str> =
-        seats.as_array().into_iter().flatten().filter_map(|s| s["name"].as_str()).collect();
+    let names: Vec<&str> = seats
+        .as_array()
+        .into_iter()
+        .flatten()
+        .filter_map(|s| s["name"].as_str())
+        .collect();
     assert_eq!(names, ["f3"], "{seats}");
     // The old one is gone for good; a change goes through, and holds when the new one starts again.
     fleet.kill(0);
@@ -305,8 +411,16 @@
 fn functions_are_set_applied_shown_removed_and_refused_one_by_one() {
     let fleet = Fleet::start("scopes", 2, 105);
     fleet.found();
-    let set = ["scope", "set", "a.b", "--class", "chat", "--memory", "100MB"];
-    let (code, done) = fleet.ask(&[&set[..], &["--lanes", "4", "--load-time", "50ms", "--id", "7"]].concat());
+    let set = [
+        "scope", "set", "a.b", "--class", "chat", "--memory", "100MB",
+    ];
+    let (code, done) = fleet.ask(
+        &[
+            &set[..],
+            &["--lanes", "4", "--load-time", "50ms", "--id", "7"],
+        ]
+        .concat(),
+    );
     assert_eq!(
         (code, done["is"].as_str(), &done["functions"][0]),
         (0, Some("in force"), &"a.b".into()),
@@ -324,14 +438,41 @@
     );
     let revision = known["revision"].as_u64().unwrap_or(0).to_string();
     // What is wrong is said; nothing of it is taken.
-    let text = "functions: {c: {class: \"pay\", memory: 1GB}, d: {class: \"pay\", memory: 2GB, lanes: 2}}";
+    let text =
+        "functions: {c: {class: \"pay\", memory: 1GB}, d: {class: \"pay\", memory: 2GB, lanes: 2}}";
     let cases: [(&[&str], i32, &str); 6] = [
-        (&["scope", "set", "e", "--class", "none", "--memory", "1GB"], 3, "\"none\" is not there"),
-        (&["scope", "set", "e", "--class", "chat", "--memory", "0B"], 2, "memory"),
-        (&["scope", "set", "pay", "--class", "pay", "--memory", "1GB"], 3, "stands in both"),
-        (&["scope", "set", "a.b", "--class", "chat", "--memory", "1GB", "--expect", "999"], 3, "not 999"),
+        (
+            &["scope", "set", "e", "--class", "none", "--memory", "1GB"],
+            3,
+            "\"none\" is not there",
+        ),
+        (
+            &["scope", "set", "e", "--class", "chat", "--memory", "0B"],
+            2,
+            "memory",
+        ),
+        (
+            &["scope", "set", "pay", "--class", "pay", "--memory", "1GB"],
+            3,
+            "stands in both",
+        ),
+        (
+            &[
+                "scope", "set", "a.b", "--class", "chat", "--memory", "1GB", "--expect", "999",
+            ],
+            3,
+            "not 999",
+        ),
         (&["scope", "remove", "nobody"], 3, "differs"),
-        (&["scope", "apply", &fleet.text("wrong.cue", &text.replace("lanes: 2", "lanes: 0"))], 2, "lanes"),
+        (
+            &[
+                "scope",
+                "apply",
+                &fleet.text("wrong.cue", &text.replace("lanes: 2", "lanes: 0")),
+            ],
+            2,
+            "lanes",
+        ),
     ];
     for (asked, code, wanted) in cases {
         let (is, not) = fleet.ask(asked);
@@ -342,10 +483,23 @@
     }
     assert_eq!(show("c")["is"], "not there");
     // Many at once; one by its revision; away.
-    let (code, done) = fleet.ask(&["scope", "apply", &fleet.text("two.cue", text), "--why", "two"]);
-    assert_eq!((code, done["functions"].as_array().map(Vec::len)), (0, Some(2)), "{done}");
+    let (code, done) = fleet.ask(&[
+        "scope",
+        "apply",
+        &fleet.text("two.cue", text),
+        "--why",
+        "two",
+    ]);
     assert_eq!(
-        (&show("c")["fields"]["memory"], &show("d")["fields"]["lanes"]),
+        (code, done["functions"].as_array().map(Vec::len)),
+        (0, Some(2)),
+        "{done}"
+    );
+    assert_eq!(
+        (
+            &show("c")["fields"]["memory"],
+            &show("d")["fields"]["lanes"]
+        ),
         (&"1000000000B".into(), &"2".into())
     );
     fleet.until(|_| show("a.b")["is"] == "in force");
@@ -354,5 +508,8 @@
     fleet.until(|_| show("c")["is"] == "in force" && show("d")["is"] == "in force");
     let (code, done) = fleet.ask(&["scope", "remove", "c", "d"]);
     assert_eq!(code, 0, "{done}");
-    assert_eq!((&show("c")["is"], &show("a.b")["fields"]["lanes"]), (&"not there".into(), &"9".into()));
+    assert_eq!(
+        (&show("c")["is"], &show("a.b")["fields"]["lanes"]),
+        (&"not there".into(), &"9".into())
+    );
 }
--- a/programs/gateway/src/cli.rs
+++ b/programs/gateway/src/cli.rs
@@ -77,7 +77,9 @@
 }
 
 fn pair(text: &str) -> Result<(SocketAddr, SocketAddr), String> {
-    let read = text.split_once('=').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
+    let read = text
+        .split_once('=')
+        .and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
     read.ok_or_else(|| "want two addresses, as 127.0.0.1:7001=127.0.0.1:9001".to_string())
 }
 
@@ -136,8 +138,13 @@
         Ok(fleet) => fleet,
         Err(why) => return wrong(&why),
     };
-    let options =
-        Options { embedded: a.embedded, shared: a.shared, workers: a.workers, record: a.record, fleet };
+    let options = Options {
+        embedded: a.embedded,
+        shared: a.shared,
+        workers: a.workers,
+        record: a.record,
+        fleet,
+    };
     let gateway = match Gateway::start(settings, &options) {
         Ok(gateway) => gateway,
         Err(e) => {
@@ -172,9 +179,15 @@
     fleet.listen = a.peers.unwrap_or(fleet.listen);
     fleet.state = a.state.clone().or(fleet.state.clone());
     if fleet.me.is_empty() {
-        return Err("fleet.me: the front end has no name in its fleet: want one, as --name a".into());
+        return Err(
+            "fleet.me: the front end has no name in its fleet: want one, as --name a".into(),
+        );
     }
-    if let Some(seat) = fleet.seats.iter().find(|s| s.name == fleet.me && s.address != fleet.listen) {
+    if let Some(seat) = fleet
+        .seats
+        .iter()
+        .find(|s| s.name == fleet.me && s.address != fleet.listen)
+    {
         return Err(format!(
             "fleet.listen {}: the seat {:?} is looked for at {}: want the same address",
             fleet.listen, seat.name, seat.address
@@ -183,14 +196,25 @@
     let mut own = agree::fields(name, text).map_err(|e| e.to_string())?;
     let count = |n: usize| Value::Int(i64::try_from(n).unwrap_or(i64::MAX));
     own.insert("front.me".into(), count(settings.front.settings.me));
-    own.insert("front.listen".into(), Value::Text(settings.gateway.listen.to_string()));
-    own.insert("front.http".into(), Value::Text(settings.gateway.http.to_string()));
+    own.insert(
+        "front.listen".into(),
+        Value::Text(settings.gateway.listen.to_string()),
+    );
+    own.insert(
+        "front.http".into(),
+        Value::Text(settings.gateway.http.to_string()),
+    );
     let first = agree::version(name, text).map_err(|e| e.to_string())?;
     let zone = match own.get("front.zone") {
         Some(Value::Text(zone)) => zone.clone(),
         _ => String::new(),
     };
-    Ok(Some(Place { own, first, via: a.via.iter().copied().collect(), zone }))
+    Ok(Some(Place {
+        own,
+        first,
+        via: a.via.iter().copied().collect(),
+        zone,
+    }))
 }
 
 /// Serves on the platform.
@@ -209,7 +233,10 @@
     };
     if check {
         let (classes, index) = (config.settings.classes.len(), config.known.index);
-        say(&format!("{}: {classes} classes, list up to event {index}", path.display()));
+        say(&format!(
+            "{}: {classes} classes, list up to event {index}",
+            path.display()
+        ));
         return ExitCode::SUCCESS;
     }
     ended(platform::Platform::start(&config).and_then(|p| p.run(&path, signals)))
--- a/programs/gateway/src/fleet.rs
+++ b/programs/gateway/src/fleet.rs
@@ -103,7 +103,9 @@
 
 impl Lookup for Scopes {
     fn look(&self, function: &str) -> Looked {
-        let Some(peers) = self.peers.upgrade() else { return Looked::Refused };
+        let Some(peers) = self.peers.upgrade() else {
+            return Looked::Refused;
+        };
         match peers.called(function) {
             Call::Acts(fields) => self.read(function, fields),
             // Versions say all, and this one is not in them.
@@ -122,8 +124,15 @@
         }
         let looked = match agree::function(function, &fields) {
             Ok(f) => {
-                let shape = Shape { lanes: f.lanes, memory_mb: f.memory_mb, load_time: f.load_time };
-                Looked::Acts { class: f.class.into(), shape }
+                let shape = Shape {
+                    lanes: f.lanes,
+                    memory_mb: f.memory_mb,
+                    load_time: f.load_time,
+                };
+                Looked::Acts {
+                    class: f.class.into(),
+                    shape,
+                }
             }
             Err(why) => {
                 tracing::error!(%function, %why, "its settings can't be acted on here: its calls are refused");
@@ -141,16 +150,28 @@
 /// What the state machine of a process that starts now is told by its settings.
 pub fn peer(fleet: &tansy_settings::Fleet, address: SocketAddr) -> tansy_peer::Setup {
     // A process that comes back under its name is a later one; clocks of calendars do not go back by a restart's time.
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let since = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
     let incarnation = u64::try_from(since.as_micros()).unwrap_or(u64::MAX);
     let id = number(&fleet.me);
     tansy_peer::Setup {
         fleet: number(&fleet.name),
         name: fleet.me.clone(),
         me: tansy_members::Name::new(id, incarnation, address),
-        seats: fleet.seats.iter().map(|s| (number(&s.name), s.address)).collect(),
-        lease: LeaseTerms { span: fleet.within * LEASE_TENTHS / 10, ppm: fleet.clock_ppm },
-        stay: LeaseTerms { span: fleet.stay, ppm: fleet.clock_ppm },
+        seats: fleet
+            .seats
+            .iter()
+            .map(|s| (number(&s.name), s.address))
+            .collect(),
+        lease: LeaseTerms {
+            span: fleet.within * LEASE_TENTHS / 10,
+            ppm: fleet.clock_ppm,
+        },
+        stay: LeaseTerms {
+            span: fleet.stay,
+            ppm: fleet.clock_ppm,
+        },
         pace: tansy_members::Pace::default(),
         schema: agree::agreement(),
         seed: id ^ incarnation,
@@ -212,7 +233,10 @@
     let acts = adopter.clone();
     let hear = Rc::new(move |peer: &Peer, now| acts.hears(peer, now));
     let peers = Peers::start(spawner, listener, setup, hear)?;
-    let scopes = Scopes { peers: Rc::downgrade(&peers), read: RefCell::new(HashMap::new()) };
+    let scopes = Scopes {
+        peers: Rc::downgrade(&peers),
+        read: RefCell::new(HashMap::new()),
+    };
     adopter.hub.look_up_with(Rc::new(scopes));
     Ok(Member { peers, adopter })
 }
@@ -242,8 +266,11 @@
     let (account, _) = hub.account();
     let classes = hub.with_front(|f| {
         let one = |(name, c): (&String, &Counted)| {
-            let (took, calls) =
-                c.latency.iter_recorded().map(|v| (v.value_iterated_to(), v.count_at_value())).unzip();
+            let (took, calls) = c
+                .latency
+                .iter_recorded()
+                .map(|v| (v.value_iterated_to(), v.count_at_value()))
+                .unzip();
             pb::Counted {
                 class: name.clone(),
                 asked: c.asked,
@@ -256,7 +283,10 @@
                 calls,
             }
         };
-        f.counts().into_iter().flat_map(|c| c.classes().iter().map(one)).collect()
+        f.counts()
+            .into_iter()
+            .flat_map(|c| c.classes().iter().map(one))
+            .collect()
     });
     pb::CountsReply {
         zone: zone.into(),
@@ -271,18 +301,28 @@
 /// Bytes that this process holds in memory; 0: it can't be told.
 fn memory() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages = text.split_whitespace().nth(1).and_then(|p| p.parse::<u64>().ok());
+    let pages = text
+        .split_whitespace()
+        .nth(1)
+        .and_then(|p| p.parse::<u64>().ok());
     pages.unwrap_or(0) * rustix::param::page_size() as u64
 }
 
 fn line(w: &WorkerLine) -> Line {
-    let worker = Named { name: w.listed.name.clone(), address: w.address.to_string() };
+    let worker = Named {
+        name: w.listed.name.clone(),
+        address: w.address.to_string(),
+    };
     let standing = match w.listed.state {
         0 => Standing::Ready,
         1 => Standing::Draining,
         _ => Standing::Gone,
     };
-    Line { worker, incarnation: w.incarnation, standing }
+    Line {
+        worker,
+        incarnation: w.incarnation,
+        standing,
+    }
 }
 
 impl Adopter {
@@ -319,7 +359,10 @@
         let given = Given { step, lease, stay };
         // What comes after each of them, in their order; a lease that outlasts the stay ends with that.
         let within = lease && stay && acting.lease < acting.stay;
-        let ends = [(within, acting.lease, Right::Apart), (stay, acting.stay, Right::Lapsed)];
+        let ends = [
+            (within, acting.lease, Right::Apart),
+            (stay, acting.stay, Right::Lapsed),
+        ];
         let ends = ends.into_iter().filter(|(there, ..)| *there);
         let ends: Vec<(i64, Right)> = ends.map(|(_, left, after)| (left, after)).collect();
         let left: Vec<i64> = ends.iter().map(|e| e.0).collect();
@@ -344,8 +387,13 @@
             (false, true) => Right::Apart,
             (_, false) => Right::Lapsed,
         };
-        let after = ends.into_iter().map(|(left, right)| (left, ready.by(right).clone())).collect();
-        let adopted = self.hub.adopt(ready.by(first).clone(), ready.names.clone(), after);
+        let after = ends
+            .into_iter()
+            .map(|(left, right)| (left, ready.by(right).clone()))
+            .collect();
+        let adopted = self
+            .hub
+            .adopt(ready.by(first).clone(), ready.names.clone(), after);
         *self.given.borrow_mut() = Some(given);
         if let Err(e) = adopted {
             *self.ready.borrow_mut() = Some((step, Err(e.to_string())));
@@ -360,12 +408,19 @@
         let stands = |w: &WorkerLine| {
             let told = line(w);
             let mut listed = w.listed.clone();
-            listed.state = match peer.leaving().standing(&told.worker, told.incarnation, told.standing) {
-                Standing::Ready => 0,
-                Standing::Draining => 1,
-                Standing::Gone => 2,
-            };
-            Worker { listed, address: self.via.get(&w.address).copied().unwrap_or(w.address) }
+            listed.state =
+                match peer
+                    .leaving()
+                    .standing(&told.worker, told.incarnation, told.standing)
+                {
+                    Standing::Ready => 0,
+                    Standing::Draining => 1,
+                    Standing::Gone => 2,
+                };
+            Worker {
+                listed,
+                address: self.via.get(&w.address).copied().unwrap_or(w.address),
+            }
         };
         let list: Vec<Worker> = self.workers.borrow().iter().map(stands).collect();
         if !list.is_empty() {
@@ -374,16 +429,25 @@
     }
 
     fn wrong(&self) -> Option<String> {
-        self.ready.borrow().as_ref().and_then(|r| r.1.as_ref().err().cloned())
+        self.ready
+            .borrow()
+            .as_ref()
+            .and_then(|r| r.1.as_ref().err().cloned())
     }
 
     /// What it knows can't be acted on: it takes no call.
     fn refuse_all(&self) {
         let config = self.hub.with_front(|f| f.settings());
-        let contested = Contested { all: true, for_about: self.for_about, ..Contested::default() };
+        let contested = Contested {
+            all: true,
+            for_about: self.for_about,
+            ..Contested::default()
+        };
         let names = self.hub.names();
         // The ledger acts on this configuration already.
-        let _ = self.hub.adopt(Terms { config, contested }, (*names).clone(), Vec::new());
+        let _ = self
+            .hub
+            .adopt(Terms { config, contested }, (*names).clone(), Vec::new());
         *self.given.borrow_mut() = None;
     }
 
@@ -401,20 +465,36 @@
             }
         }
         // Those that try other settings are valued as their siblings are.
-        let force = agree::settings(&self.own, &filled.force.fields).map_err(|e| e.to_string())?.front;
-        self.hub.value_by(force.classes.into_iter().zip(force.settings.classes).collect());
+        let force = agree::settings(&self.own, &filled.force.fields)
+            .map_err(|e| e.to_string())?
+            .front;
+        self.hub.value_by(
+            force
+                .classes
+                .into_iter()
+                .zip(force.settings.classes)
+                .collect(),
+        );
         let mut rules = filled.rules(&self.schema);
         rules.refused.extend(strange);
         let made = |rules: &Rules| self.terms(rules).map_err(|e| e.to_string());
         let (whole, names) = made(&rules)?;
         let (apart, _) = made(&apart(&self.schema, rules))?;
         let (lapsed, _) = made(&lapsed(&self.schema, &filled.force.fields))?;
-        Ok(Ready { whole, apart, lapsed, names })
+        Ok(Ready {
+            whole,
+            apart,
+            lapsed,
+            names,
+        })
     }
 
     fn terms(&self, rules: &Rules) -> Result<(Terms, Names), Error> {
         let settings = agree::settings(&self.own, &rules.fields)?;
-        let mut contested = Contested { unlisted: rules.unlisted, ..Contested::default() };
+        let mut contested = Contested {
+            unlisted: rules.unlisted,
+            ..Contested::default()
+        };
         contested.for_about = self.for_about;
         for touch in &rules.refused {
             match touch {
@@ -425,8 +505,18 @@
             }
         }
         let g = settings.gateway;
-        let names = Names { class: g.class_key, tenant: g.tenant_key, work_ms: g.work_key };
-        Ok((Terms { config: settings.front, contested }, names))
+        let names = Names {
+            class: g.class_key,
+            tenant: g.tenant_key,
+            work_ms: g.work_key,
+        };
+        Ok((
+            Terms {
+                config: settings.front,
+                contested,
+            },
+            names,
+        ))
     }
 }
 
@@ -435,7 +525,10 @@
     let f = agree::function(name, fields).map_err(|e| e.to_string())?;
     let there = |v: &Version| {
         let under = format!("classes.{}.", part(&f.class));
-        v.fields.range(under.clone()..).next().is_some_and(|(path, _)| path.starts_with(&under))
+        v.fields
+            .range(under.clone()..)
+            .next()
+            .is_some_and(|(path, _)| path.starts_with(&under))
     };
     let all = [Some(&state.force), state.next.as_ref().map(|n| &n.0)];
     match all.into_iter().flatten().find(|v| !there(v)) {
--- a/programs/gateway/src/lib.rs
+++ b/programs/gateway/src/lib.rs
@@ -64,7 +64,10 @@
 }
 
 fn worker(line: WorkerLine) -> Worker {
-    Worker { listed: line.listed, address: line.address }
+    Worker {
+        listed: line.listed,
+        address: line.address,
+    }
 }
 
 /// How a gateway could not start, or stopped.
@@ -75,9 +78,16 @@
     pub fn start(settings: Settings, options: &Options) -> Result<Gateway, Error> {
         let event_loop: EventLoop<'static, ()> = EventLoop::try_new()?;
         let spawner = Spawner::new(event_loop.handle())?;
-        let Settings { front: config, gateway: g, workers, fleet } = settings;
-        let grpc = listen(g.listen, options.shared).map_err(|e| format!("front.listen {}: {e}", g.listen))?;
-        let http = listen(g.http, options.shared).map_err(|e| format!("front.http {}: {e}", g.http))?;
+        let Settings {
+            front: config,
+            gateway: g,
+            workers,
+            fleet,
+        } = settings;
+        let grpc = listen(g.listen, options.shared)
+            .map_err(|e| format!("front.listen {}: {e}", g.listen))?;
+        let http =
+            listen(g.http, options.shared).map_err(|e| format!("front.http {}: {e}", g.http))?;
         let (grpc_at, http_at) = (grpc.local_addr()?, http.local_addr()?);
         let setup = Setup {
             clients: Limits {
@@ -88,13 +98,22 @@
                 message_bytes: g.message,
                 preface_within: Duration::from_micros(g.preface.max(0) as u64),
             },
-            workers: LinkLimits { stream_window: g.worker_window, header_bytes: g.headers },
-            names: Names { class: g.class_key, tenant: g.tenant_key, work_ms: g.work_key },
+            workers: LinkLimits {
+                stream_window: g.worker_window,
+                header_bytes: g.headers,
+            },
+            names: Names {
+                class: g.class_key,
+                tenant: g.tenant_key,
+                work_ms: g.work_key,
+            },
         };
         let (zones, home) = (config.zones.clone(), config.settings.zone);
         let functions = config.functions.clone();
         let record: Option<Box<dyn Write>> = match &options.record {
-            Some(path) => Some(Box::new(BufWriter::new(File::create(path).map_err(|e| at(path, e))?))),
+            Some(path) => Some(Box::new(BufWriter::new(
+                File::create(path).map_err(|e| at(path, e))?,
+            ))),
             None => None,
         };
         let front = Front::new(config, Time(0))?;
@@ -105,7 +124,16 @@
                 let at = fleet.listen;
                 let listener = listen(at, false).map_err(|e| format!("fleet.listen {at}: {e}"))?;
                 let address = listener.local_addr()?;
-                Some((Rc::new(fleet::start(spawner.clone(), hub.clone(), listener, fleet, place)?), address))
+                Some((
+                    Rc::new(fleet::start(
+                        spawner.clone(),
+                        hub.clone(),
+                        listener,
+                        fleet,
+                        place,
+                    )?),
+                    address,
+                ))
             }
             _ => None,
         };
@@ -123,10 +151,21 @@
         });
         match &options.workers {
             Some(path) => {
-                let mut watch = ListFile { path: path.clone(), zones, home, seen: None };
+                let mut watch = ListFile {
+                    path: path.clone(),
+                    zones,
+                    home,
+                    seen: None,
+                };
                 let fixed = list;
                 // The first reading must succeed: a gateway that starts without workers by a slip serves nobody.
-                take(fixed.iter().cloned().chain(watch.read()?.unwrap_or_default()).collect());
+                take(
+                    fixed
+                        .iter()
+                        .cloned()
+                        .chain(watch.read()?.unwrap_or_default())
+                        .collect(),
+                );
                 let task_hub = hub.clone();
                 spawner.spawn(async move {
                     loop {
@@ -155,7 +194,15 @@
                 tracing::info!(%account, open, "totals");
             }
         });
-        Ok(Gateway { event_loop, hub, server, grpc: grpc_at, http: http_at, fleet: peers, drain: g.drain })
+        Ok(Gateway {
+            event_loop,
+            hub,
+            server,
+            grpc: grpc_at,
+            http: http_at,
+            fleet: peers,
+            drain: g.drain,
+        })
     }
 
     /// What takes its calls.
@@ -180,9 +227,14 @@
     /// is called once these signals are taken: whoever is told earlier could end the process by one.
     pub fn run(mut self, ready: impl FnOnce(&Gateway)) -> Result<String, Error> {
         let stop = Rc::new(std::cell::Cell::new(false));
-        let (told, signals) = (stop.clone(), Signals::new(&[Signal::SIGTERM, Signal::SIGINT])?);
-        let inserted =
-            self.event_loop.handle().insert_source(Uninterrupted(signals), move |_, _, ()| told.set(true));
+        let (told, signals) = (
+            stop.clone(),
+            Signals::new(&[Signal::SIGTERM, Signal::SIGINT])?,
+        );
+        let inserted = self
+            .event_loop
+            .handle()
+            .insert_source(Uninterrupted(signals), move |_, _, ()| told.set(true));
         inserted.map_err(|e| e.to_string())?;
         ready(&self);
         while !stop.get() {
@@ -192,9 +244,12 @@
         self.hub.feed(Input::Close { within: self.drain });
         self.server.close();
         // The last answers leave with the connections; a client that does not read does not hold up the end.
-        let end =
-            Instant::now() + Duration::from_micros(self.drain.max(0) as u64) + Duration::from_millis(500);
-        while Instant::now() < end && !(self.hub.with_front(Front::idle) && self.server.connections() == 0) {
+        let end = Instant::now()
+            + Duration::from_micros(self.drain.max(0) as u64)
+            + Duration::from_millis(500);
+        while Instant::now() < end
+            && !(self.hub.with_front(Front::idle) && self.server.connections() == 0)
+        {
             self.turn(Duration::from_millis(20))?;
         }
         if let Some((member, _)) = &self.fleet {
@@ -203,7 +258,8 @@
             peers.leave();
             let end = Instant::now() + LAST_LETTERS;
             while Instant::now() < end && !peers.quiet() {
-                self.event_loop.dispatch(Some(Duration::from_millis(5)), &mut ())?;
+                self.event_loop
+                    .dispatch(Some(Duration::from_millis(5)), &mut ())?;
             }
         }
         Ok(self.account())
@@ -257,7 +313,11 @@
     }
 }
 
-fn embedded(spawner: &Spawner, n: usize, functions: &[tansy_front::FunctionSpec]) -> io::Result<WorkerLine> {
+fn embedded(
+    spawner: &Spawner,
+    n: usize,
+    functions: &[tansy_front::FunctionSpec],
+) -> io::Result<WorkerLine> {
     let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0)), false)?;
     let function = |f: &tansy_front::FunctionSpec| Function {
         name: f.name.clone(),
@@ -282,6 +342,18 @@
     };
     let name = profile.name.clone();
     let standin = Standin::start(spawner.clone(), listener, profile, true)?;
-    let listed = tansy_front::Listed { name, kind: 0, cell: 0, zone: 0, state: 0, age: None, share: 1.0 };
-    Ok(WorkerLine { listed, address: standin.address(), incarnation: 0 })
+    let listed = tansy_front::Listed {
+        name,
+        kind: 0,
+        cell: 0,
+        zone: 0,
+        state: 0,
+        age: None,
+        share: 1.0,
+    };
+    Ok(WorkerLine {
+        listed,
+        address: standin.address(),
+        incarnation: 0,
+    })
 }
--- a/programs/gateway/src/logs.rs
+++ b/programs/gateway/src/logs.rs
@@ -24,7 +24,10 @@
 
     /// Whether a piece is taken without waiting.
     fn takes(&self) -> bool {
-        let none = Timespec { tv_sec: 0, tv_nsec: 0 };
+        let none = Timespec {
+            tv_sec: 0,
+            tv_nsec: 0,
+        };
         for _ in 0..INTERRUPTIONS {
             let mut asked = [PollFd::new(&self.0, PollFlags::OUT)];
             match poll(&mut asked, Some(&none)) {
@@ -52,7 +55,9 @@
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let dropped = DROPPED.swap(0, Ordering::Relaxed);
         if dropped > 0
-            && !self.piece(format!("{dropped} lines of logs were dropped: nobody read them\n").as_bytes())
+            && !self.piece(
+                format!("{dropped} lines of logs were dropped: nobody read them\n").as_bytes(),
+            )
         {
             DROPPED.fetch_add(dropped + 1, Ordering::Relaxed);
             return Ok(line.len());
--- a/programs/gateway/src/platform.rs
+++ b/programs/gateway/src/platform.rs
@@ -43,7 +43,9 @@
 
 /// Reads the configuration at a start, when no descriptor may be left for a moment.
 pub fn read_first(path: &Path) -> Result<Config, String> {
-    let text = retry(START_WITHIN, "the configuration", || std::fs::read_to_string(path));
+    let text = retry(START_WITHIN, "the configuration", || {
+        std::fs::read_to_string(path)
+    });
     parse(path, &text.map_err(|e| format!("{}: {e}", path.display()))?)
 }
 
@@ -57,8 +59,9 @@
 impl Signals {
     /// Before all else, so that none comes too early.
     pub fn new() -> Result<Signals, Error> {
-        let source =
-            retry_loop("signals", || Source::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]))?;
+        let source = retry_loop("signals", || {
+            Source::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])
+        })?;
         Ok(Signals(source))
     }
 }
@@ -96,26 +99,45 @@
     /// Listens, and begins to follow the list.
     pub fn start(config: &Config) -> Result<Platform, Error> {
         let event_loop: EventLoop<'static, ()> = retry_loop("the event loop", EventLoop::try_new)?;
-        let spawner = retry(START_WITHIN, "the tasks", || Spawner::new(event_loop.handle()))?;
-        let settings = tansy_conf::settings(&config.settings).map_err(|e| format!("settings: {e}"))?;
-        let longest = settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0).max(LEAST_DEADLINE);
+        let spawner = retry(START_WITHIN, "the tasks", || {
+            Spawner::new(event_loop.handle())
+        })?;
+        let settings =
+            tansy_conf::settings(&config.settings).map_err(|e| format!("settings: {e}"))?;
+        let longest = settings
+            .classes
+            .iter()
+            .map(|c| c.deadline)
+            .max()
+            .unwrap_or(0)
+            .max(LEAST_DEADLINE);
         let front = tansy_front::Config {
             settings,
-            classes: config.settings.classes.iter().map(|c| c.name.clone()).collect(),
+            classes: config
+                .settings
+                .classes
+                .iter()
+                .map(|c| c.name.clone())
+                .collect(),
             tenants: Vec::new(),
             zones: config.settings.zones.clone(),
             functions: Vec::new(),
             longest,
             seed: config.seed(),
         };
-        let listener = retry(START_WITHIN, "the listener", || listen(config.listen, false))
-            .map_err(|e| format!("listen {}: {e}", config.listen))?;
+        let listener = retry(START_WITHIN, "the listener", || {
+            listen(config.listen, false)
+        })
+        .map_err(|e| format!("listen {}: {e}", config.listen))?;
         let address = listener.local_addr()?;
         let front = Front::new(front, Time(0))?;
         // The machine's bound goes before the stated one where it is lower.
         let setup = Setup::new(config, descriptors());
         let hub = Hub::new(spawner.clone(), front, setup, Instant::now());
-        let list = List::new(config.settings.zones.clone(), config.settings.machine_types.clone());
+        let list = List::new(
+            config.settings.zones.clone(),
+            config.settings.machine_types.clone(),
+        );
         let coordinator = Coordinator::start(hub.clone(), list, config.coordinator, &config.known);
         let clients = Clients::start(hub.clone(), listener)?;
         let looks = hub.clone();
@@ -133,7 +155,14 @@
             }
         });
         let deadline = Duration::from_micros(longest.max(0) as u64);
-        Ok(Platform { event_loop, hub, clients, coordinator, address, deadline })
+        Ok(Platform {
+            event_loop,
+            hub,
+            clients,
+            coordinator,
+            address,
+            deadline,
+        })
     }
 
     /// Where clients connect.
@@ -156,7 +185,12 @@
     /// One turn of the loop, at most so long.
     pub fn turn(&mut self, most: Duration) -> Result<(), Error> {
         let sleep = self.hub.sleep().map_or(most, |s| s.min(most));
-        let next = self.hub.spawner.timers().next_in().map_or(sleep, |t| t.min(sleep));
+        let next = self
+            .hub
+            .spawner
+            .timers()
+            .next_in()
+            .map_or(sleep, |t| t.min(sleep));
         self.hub.lag.turn_begins(Instant::now(), next);
         self.event_loop.dispatch(Some(sleep), &mut ())?;
         self.hub.tick();
@@ -183,13 +217,23 @@
     pub fn run(mut self, path: &Path, signals: Signals) -> Result<String, Error> {
         let asked = Rc::new(Asked::default());
         let told = asked.clone();
-        let inserted =
-            self.event_loop.handle().insert_source(Uninterrupted(signals.0), move |event, _, ()| {
-                let flag = if event.signal() == Signal::SIGHUP { &told.reload } else { &told.stop };
+        let inserted = self.event_loop.handle().insert_source(
+            Uninterrupted(signals.0),
+            move |event, _, ()| {
+                let flag = if event.signal() == Signal::SIGHUP {
+                    &told.reload
+                } else {
+                    &told.stop
+                };
                 flag.set(true);
-            });
+            },
+        );
         inserted.map_err(|e| e.to_string())?;
-        let mut reload = Reload { path: path.to_path_buf(), due: None, left: 0 };
+        let mut reload = Reload {
+            path: path.to_path_buf(),
+            due: None,
+            left: 0,
+        };
         tracing::info!(listen = %self.address, index = self.coordinator.index(), "serving");
         while !asked.stop.get() {
             self.turn_and_reload(Duration::from_secs(60), &asked, &mut reload)?;
@@ -198,15 +242,26 @@
     }
 
     /// One turn, and the configuration if it was asked for meanwhile.
-    fn turn_and_reload(&mut self, most: Duration, asked: &Asked, reload: &mut Reload) -> Result<(), Error> {
-        let due = reload.due.map(|t| t.saturating_duration_since(Instant::now()));
+    fn turn_and_reload(
+        &mut self,
+        most: Duration,
+        asked: &Asked,
+        reload: &mut Reload,
+    ) -> Result<(), Error> {
+        let due = reload
+            .due
+            .map(|t| t.saturating_duration_since(Instant::now()));
         self.turn(due.map_or(most, |d| d.min(most)))?;
         if asked.reload.take() {
             (reload.due, reload.left) = (Some(Instant::now()), READS);
         }
         if reload.due.is_some_and(|t| t <= Instant::now()) {
             let done = self.reload(&reload.path);
-            reload.left = if done { 0 } else { reload.left.saturating_sub(1) };
+            reload.left = if done {
+                0
+            } else {
+                reload.left.saturating_sub(1)
+            };
             reload.due = (reload.left > 0).then(|| Instant::now() + READ_AGAIN);
         }
         Ok(())
@@ -218,7 +273,9 @@
         let end = told + self.deadline + GRACE;
         tracing::info!(open = self.hub.account().1, "stopping");
         while told.elapsed() < WINDOW {
-            let left = WINDOW.saturating_sub(told.elapsed()).max(Duration::from_millis(1));
+            let left = WINDOW
+                .saturating_sub(told.elapsed())
+                .max(Duration::from_millis(1));
             self.turn_and_reload(left, asked, reload)?;
         }
         // What the machine has taken for us is ours: it is read, and served, before calls are refused.
@@ -227,8 +284,12 @@
         }
         self.turn_and_reload(Duration::ZERO, asked, reload)?;
         let left = end.saturating_duration_since(Instant::now());
-        self.hub.feed(Input::Close { within: left.as_micros() as Span });
-        while Instant::now() < end + GRACE / 2 && !(self.hub.account().1 == 0 && self.clients.is_empty()) {
+        self.hub.feed(Input::Close {
+            within: left.as_micros() as Span,
+        });
+        while Instant::now() < end + GRACE / 2
+            && !(self.hub.account().1 == 0 && self.clients.is_empty())
+        {
             self.turn_and_reload(Duration::from_millis(20), asked, reload)?;
         }
         let (account, open) = self.hub.account();
--- a/programs/gateway/tests/fleet.rs
+++ b/programs/gateway/tests/fleet.rs
@@ -10,14 +10,21 @@
 "#;
 
 fn settings(name: &str, text: &str) -> PathBuf {
-    let path = std::env::temp_dir().join(format!("tansy-gateway-fleet-{}-{name}.cue", std::process::id()));
+    let path = std::env::temp_dir().join(format!(
+        "tansy-gateway-fleet-{}-{name}.cue",
+        std::process::id()
+    ));
     std::fs::write(&path, text).expect("a file");
     path
 }
 
 fn run(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_tansy-gateway"));
-    command.args(arguments).env_remove("EDGE_CONFIG").output().expect("it starts")
+    command
+        .args(arguments)
+        .env_remove("EDGE_CONFIG")
+        .output()
+        .expect("it starts")
 }
 
 #[test]
@@ -40,16 +47,30 @@
 fn a_place_in_a_fleet_that_makes_no_sense_is_refused_with_what_would() {
     let fleet = settings("whole", FLEET);
     let alone = settings("alone", &FLEET.replace("fleet:", "// fleet:"));
-    let two = FLEET
-        .replace("\"127.0.0.1:7001\"}", "\"127.0.0.1:7001\"}, {name: \"b\", address: \"127.0.0.1:7002\"}");
+    let two = FLEET.replace(
+        "\"127.0.0.1:7001\"}",
+        "\"127.0.0.1:7001\"}, {name: \"b\", address: \"127.0.0.1:7002\"}",
+    );
     let two = settings("two", &two);
     let at = |path: &PathBuf| path.display().to_string();
     let cases: [(&PathBuf, &[&str], &str); 5] = [
         (&fleet, &[], "want one, as --name a"),
         (&fleet, &["--name", "a"], "want the same address"),
-        (&fleet, &["--name", "b", "--record", "/tmp/none"], "--record"),
-        (&alone, &["--name", "b"], "want fleet: {...} in the settings"),
-        (&two, &["--name", "b"], "want 1, 3, 5 or 7 front ends that keep the agreed log"),
+        (
+            &fleet,
+            &["--name", "b", "--record", "/tmp/none"],
+            "--record",
+        ),
+        (
+            &alone,
+            &["--name", "b"],
+            "want fleet: {...} in the settings",
+        ),
+        (
+            &two,
+            &["--name", "b"],
+            "want 1, 3, 5 or 7 front ends that keep the agreed log",
+        ),
     ];
     for (file, more, wanted) in cases {
         let mut arguments = vec!["--settings".to_string(), at(file)];
@@ -60,12 +81,23 @@
         assert!(text.contains(wanted), "{more:?}: {text}");
     }
     // The seat without its file can't begin.
-    let seat =
-        ["--settings", &at(&fleet), "--name", "a", "--peers", "127.0.0.1:7001", "--listen", "127.0.0.1:0"];
+    let seat = [
+        "--settings",
+        &at(&fleet),
+        "--name",
+        "a",
+        "--peers",
+        "127.0.0.1:7001",
+        "--listen",
+        "127.0.0.1:0",
+    ];
     let out = run(&[&seat[..], &["--http", "127.0.0.1:0"]].concat());
     let text = String::from_utf8_lossy(&out.stderr).into_owned();
     assert_eq!(out.status.code(), Some(1), "{text}");
-    assert!(text.contains("--state") || text.contains("in use"), "{text}");
+    assert!(
+        text.contains("--state") || text.contains("in use"),
+        "{text}"
+    );
     for path in [fleet, alone, two] {
         let _ = std::fs::remove_file(path);
     }
--- a/programs/gateway/tests/platform/departures.rs
+++ b/programs/gateway/tests/platform/departures.rs
@@ -62,8 +62,15 @@
     }
     hand.pass(Duration::from_millis(60));
     worker.look();
-    assert_eq!(worker.fires(id), before, "{name}, {end:?}: sent on for a client that has gone");
-    assert!(open(hand) <= others, "{name}, {end:?}: the call is still open");
+    assert_eq!(
+        worker.fires(id),
+        before,
+        "{name}, {end:?}: sent on for a client that has gone"
+    );
+    assert!(
+        open(hand) <= others,
+        "{name}, {end:?}: the call is still open"
+    );
 }
 
 /// A worker whose two lanes are taken by calls 1 and 2, and call 3 held behind them.
@@ -73,9 +80,14 @@
     site.coordinator = source.unwrap_or(site.coordinator);
     let mut hand = Hand::start(&site);
     let first = vec![hand.send(&call(1)), hand.send(&call(2))];
-    let out = [hand.next(&mut worker, "fire"), hand.next(&mut worker, "fire")];
+    let out = [
+        hand.next(&mut worker, "fire"),
+        hand.next(&mut worker, "fire"),
+    ];
     let third = hand.send(&call(3));
-    hand.until("the third call is taken", |p| (p.hub().held()[1] == 3).then_some(()));
+    hand.until("the third call is taken", |p| {
+        (p.hub().held()[1] == 3).then_some(())
+    });
     assert_eq!(worker.fires(3), 0, "it is held");
     (hand, worker, out, first, third)
 }
@@ -100,8 +112,19 @@
     crossings(|end, client_first| {
         let (mut hand, mut worker, out, _first, third) = full(None);
         let mut stays = None;
-        both(client_first, || stays = end.of(third), || worker.serve(&out[0]));
-        sent(&mut hand, &mut worker, 3, end, 0, "a held call as a lane comes free");
+        both(
+            client_first,
+            || stays = end.of(third),
+            || worker.serve(&out[0]),
+        );
+        sent(
+            &mut hand,
+            &mut worker,
+            3,
+            end,
+            0,
+            "a held call as a lane comes free",
+        );
     });
 }
 
@@ -114,8 +137,19 @@
         let client = hand.send(&call(1));
         let order = hand.next(&mut worker, "provision");
         let mut stays = None;
-        both(client_first, || stays = end.of(client), || worker.say(&order, "200", "replicas=1"));
-        sent(&mut hand, &mut worker, 1, end, 0, "a held call as its load ends");
+        both(
+            client_first,
+            || stays = end.of(client),
+            || worker.say(&order, "200", "replicas=1"),
+        );
+        sent(
+            &mut hand,
+            &mut worker,
+            1,
+            end,
+            0,
+            "a held call as its load ends",
+        );
     });
 }
 
@@ -143,7 +177,9 @@
 /// then tried again by the kernel a second after the first time.
 pub fn slow() -> TcpListener {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     socket.listen(0).unwrap();
     socket.into()
 }
@@ -152,14 +188,22 @@
 pub fn late(source: Option<SocketAddr>) -> (Hand, Peer, Client, TcpStream) {
     let mut worker = Peer::on(slow());
     worker.loads = false;
-    let mut site = Site { connect_timeout_s: 5.0, ..Site::at(&[worker.address]) };
+    let mut site = Site {
+        connect_timeout_s: 5.0,
+        ..Site::at(&[worker.address])
+    };
     site.coordinator = source.unwrap_or(site.coordinator);
     let mut hand = Hand::start(&site);
-    let client = hand.send(&Call { timeout_ms: 2000, ..call(1) });
+    let client = hand.send(&Call {
+        timeout_ms: 2000,
+        ..call(1)
+    });
     let order = hand.next(&mut worker, "provision");
     let filler = TcpStream::connect(worker.address).unwrap();
     worker.say(&order, "200", "replicas=1");
-    hand.until("the attempt waits", |p| (p.hub().worker_connections.get() == 2).then_some(()));
+    hand.until("the attempt waits", |p| {
+        (p.hub().worker_connections.get() == 2).then_some(())
+    });
     hand.pass(Duration::from_millis(20));
     (hand, worker, client, filler)
 }
@@ -178,7 +222,14 @@
         let (mut hand, mut worker, client, _filler) = late(None);
         comes_up(&mut worker, 3);
         let stays = end.of(client);
-        sent(&mut hand, &mut worker, 1, end, 0, "a connection that comes up late");
+        sent(
+            &mut hand,
+            &mut worker,
+            1,
+            end,
+            0,
+            "a connection that comes up late",
+        );
         drop(stays);
     }
 }
@@ -192,7 +243,9 @@
         let came = hand.next(&mut worker, "fire");
         // More than the kernel takes for a client that reads nothing.
         let body = "x".repeat(250_000);
-        socket2::SockRef::from(&client.0).set_recv_buffer_size(4096).unwrap();
+        socket2::SockRef::from(&client.0)
+            .set_recv_buffer_size(4096)
+            .unwrap();
         worker.write(came.on, &array(&[came.id(), "200", "n=ready", &body]));
         hand.pass(Duration::from_millis(20));
         end.of(client);
--- a/programs/gateway/tests/platform/deploy.rs
+++ b/programs/gateway/tests/platform/deploy.rs
@@ -13,7 +13,9 @@
 fn deployed(key: &str) -> String {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/balancer.toml");
     let text = fs::read_to_string(&file).expect("the deploy file");
-    let line = text.lines().find_map(|l| l.strip_prefix(key)?.trim_start().strip_prefix('='));
+    let line = text
+        .lines()
+        .find_map(|l| l.strip_prefix(key)?.trim_start().strip_prefix('='));
     line.expect("the key").trim().trim_matches('"').to_string()
 }
 
@@ -27,7 +29,8 @@
             fs::create_dir_all(root.join(d)).expect("a directory");
         }
         let program = root.join("target/release/tansy-gateway");
-        std::os::unix::fs::symlink(env!("CARGO_BIN_EXE_tansy-gateway"), program).expect("the program");
+        std::os::unix::fs::symlink(env!("CARGO_BIN_EXE_tansy-gateway"), program)
+            .expect("the program");
         Root(root)
     }
 
@@ -73,7 +76,10 @@
 
 impl Drop for Running {
     fn drop(&mut self) {
-        for pid in children(self.0.id()).into_iter().filter_map(|p| Pid::from_raw(p as i32)) {
+        for pid in children(self.0.id())
+            .into_iter()
+            .filter_map(|p| Pid::from_raw(p as i32))
+        {
             let _ = kill_process(pid, Signal::KILL);
         }
         let _ = self.0.kill();
@@ -91,7 +97,9 @@
 fn children(pid: u32) -> Vec<u32> {
     let all = fs::read_dir("/proc").expect("the process table").flatten();
     let numbers = all.filter_map(|e| e.file_name().to_str()?.parse::<u32>().ok());
-    numbers.filter(|n| stat(Path::new(&format!("/proc/{n}/stat"))).is_some_and(|s| s.1 == pid)).collect()
+    numbers
+        .filter(|n| stat(Path::new(&format!("/proc/{n}/stat"))).is_some_and(|s| s.1 == pid))
+        .collect()
 }
 
 /// What is against the deploy terms at this process, which should listen at this port alone.
@@ -102,15 +110,25 @@
     if exe.file_name().is_none_or(|n| n != "tansy-gateway") {
         found.push(format!("the process is {}", exe.display()));
     }
-    if !fs::read_to_string(proc.join("maps")).unwrap_or_default().contains("/libc.so") {
+    if !fs::read_to_string(proc.join("maps"))
+        .unwrap_or_default()
+        .contains("/libc.so")
+    {
         found.push("no C library is mapped: it is not linked dynamically".into());
     }
     found.extend(children(pid).into_iter().map(|c| format!("child {c}")));
     // What whoever runs the tests leaves open to all below is not the program's.
-    let given = fs::read_dir("/proc/self/fd").expect("our descriptors").flatten();
-    let given: BTreeSet<PathBuf> = given.filter_map(|fd| fs::read_link(fd.path()).ok()).collect();
+    let given = fs::read_dir("/proc/self/fd")
+        .expect("our descriptors")
+        .flatten();
+    let given: BTreeSet<PathBuf> = given
+        .filter_map(|fd| fs::read_link(fd.path()).ok())
+        .collect();
     let mut sockets = BTreeSet::new();
-    for fd in fs::read_dir(proc.join("fd")).expect("its descriptors").flatten() {
+    for fd in fs::read_dir(proc.join("fd"))
+        .expect("its descriptors")
+        .flatten()
+    {
         let to = fs::read_link(fd.path()).unwrap_or_default();
         if given.contains(&to) {
             continue;
@@ -122,7 +140,10 @@
             "anon_inode:[signalfd]",
             "anon_inode:[timerfd]",
         ];
-        if let Some(inode) = to.strip_prefix("socket:[").and_then(|s| s.strip_suffix(']')) {
+        if let Some(inode) = to
+            .strip_prefix("socket:[")
+            .and_then(|s| s.strip_suffix(']'))
+        {
             sockets.insert(inode.to_string());
         } else if !waits.contains(&to.as_str()) && to != "/dev/null" && !to.is_empty() {
             found.push(format!("descriptor of {to}"));
@@ -151,12 +172,19 @@
 }
 
 fn threads_wait(pid: u32) -> bool {
-    let tasks = fs::read_dir(format!("/proc/{pid}/task")).expect("its threads").flatten();
-    tasks.into_iter().all(|t| stat(&t.path().join("stat")).is_none_or(|s| s.0 == "S"))
+    let tasks = fs::read_dir(format!("/proc/{pid}/task"))
+        .expect("its threads")
+        .flatten();
+    tasks
+        .into_iter()
+        .all(|t| stat(&t.path().join("stat")).is_none_or(|s| s.0 == "S"))
 }
 
 fn free_port() -> std::net::SocketAddr {
-    TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address")
+    TcpListener::bind("127.0.0.1:0")
+        .expect("a port")
+        .local_addr()
+        .expect("its address")
 }
 
 #[test]
@@ -178,7 +206,10 @@
     client.send(&call(21).text());
     assert_eq!(client.answer().map(|a| a.0), Some(200), "after SIGHUP");
     // The shell's own id: it has become the program.
-    assert_eq!(against_terms(running.0.id(), port.port()), Vec::<String>::new());
+    assert_eq!(
+        against_terms(running.0.id(), port.port()),
+        Vec::<String>::new()
+    );
     until("every thread waits", || threads_wait(running.0.id()));
     assert_eq!(root.files(), before, "files come and go");
     fs::remove_file(config).expect("the configuration");
@@ -190,16 +221,31 @@
     let none = root.0.join("none");
     let (grpc, http) = (free_port(), free_port());
     // Two listeners and a file open for its output, under a shell that does not become the program.
-    let line =
-        format!("target/release/tansy-gateway --embedded --listen {grpc} --http {http} >tmp/out 2>&1; true");
+    let line = format!(
+        "target/release/tansy-gateway --embedded --listen {grpc} --http {http} >tmp/out 2>&1; true"
+    );
     let shell = root.shell(&line, &none);
     until("it listens", || std::net::TcpStream::connect(http).is_ok());
     let of_shell = against_terms(shell.0.id(), grpc.port());
-    assert!(of_shell.iter().any(|f| f.starts_with("child")), "{of_shell:?}");
-    assert!(of_shell.iter().any(|f| f.starts_with("the process is")), "{of_shell:?}");
+    assert!(
+        of_shell.iter().any(|f| f.starts_with("child")),
+        "{of_shell:?}"
+    );
+    assert!(
+        of_shell.iter().any(|f| f.starts_with("the process is")),
+        "{of_shell:?}"
+    );
     let program = children(shell.0.id())[0];
     let of_program = against_terms(program, grpc.port());
-    assert!(of_program.iter().any(|f| f.contains(&format!(":{:04X}", http.port()))), "{of_program:?}");
-    assert!(of_program.iter().any(|f| f.contains("tmp/out")), "{of_program:?}");
+    assert!(
+        of_program
+            .iter()
+            .any(|f| f.contains(&format!(":{:04X}", http.port()))),
+        "{of_program:?}"
+    );
+    assert!(
+        of_program.iter().any(|f| f.contains("tmp/out")),
+        "{of_program:?}"
+    );
     assert!(root.files().iter().any(|f| f.ends_with("tmp/out")));
 }
--- a/programs/gateway/tests/platform/descriptors.rs
+++ b/programs/gateway/tests/platform/descriptors.rs
@@ -26,12 +26,21 @@
 
 #[test]
 fn the_list_its_new_worker_and_an_honest_client_get_theirs() {
-    let (old, new) = (Worker::start(serving(|_| None)), Worker::start(serving(|_| None)));
+    let (old, new) = (
+        Worker::start(serving(|_| None)),
+        Worker::start(serving(|_| None)),
+    );
     // Nobody listens there yet.
     let waits = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    waits.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    waits
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     let source = waits.local_addr().unwrap().as_socket().unwrap();
-    let site = Site { sockets: SOCKETS, coordinator: source, ..Site::of(&[&old]) };
+    let site = Site {
+        sockets: SOCKETS,
+        coordinator: source,
+        ..Site::of(&[&old])
+    };
     let program = Program::start(&site);
     program.limit(SOCKETS as u64);
     let filling = fill(&program);
@@ -46,12 +55,18 @@
         new.address
     );
     std::io::Write::write_all(&mut asked, &reply(&event)).unwrap();
-    until("the new worker is called", || honest(&program, 2) == 200 && !new.all("fire").is_empty());
+    until("the new worker is called", || {
+        honest(&program, 2) == 200 && !new.all("fire").is_empty()
+    });
     let more = fill(&program);
     assert_eq!(honest(&program, 3), 200, "and again");
     drop((filling, more));
     assert!(program.descriptors() <= SOCKETS);
-    assert!(program.ticks() < 100, "{} hundredths of a second of CPU: it spins", program.ticks());
+    assert!(
+        program.ticks() < 100,
+        "{} hundredths of a second of CPU: it spins",
+        program.ticks()
+    );
 }
 
 /// The status of a new client's call, which is not made to wait until those in its way give up.
@@ -64,7 +79,11 @@
     };
     // A request that crosses the close of its connection, silent until then, is sent once more: the page's clients do.
     let status = once().or_else(once).unwrap_or(0);
-    assert!(began.elapsed() < Duration::from_millis(1200), "call {id} took {:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(1200),
+        "call {id} took {:?}",
+        began.elapsed()
+    );
     status
 }
 
@@ -77,13 +96,26 @@
     assert_eq!(c.answer().map(|a| a.0), Some(200));
     // Not one more.
     program.limit(0);
-    c.send(&Call { timeout_ms: 300, ..call(1) }.text());
-    assert_eq!(c.answer().map(|a| a.0), Some(503), "nothing was sent: trying again is harmless");
+    c.send(
+        &Call {
+            timeout_ms: 300,
+            ..call(1)
+        }
+        .text(),
+    );
+    assert_eq!(
+        c.answer().map(|a| a.0),
+        Some(503),
+        "nothing was sent: trying again is harmless"
+    );
     program.limit(256);
     c.send(&call(2).text());
     assert_eq!(c.answer().map(|a| a.0), Some(200));
     // A worker under suspicion is asked whether it answers, at no load.
-    let asks = worker.all("provision").into_iter().filter(|c| c.words[2].ends_with("replicas=0"));
+    let asks = worker
+        .all("provision")
+        .into_iter()
+        .filter(|c| c.words[2].ends_with("replicas=0"));
     assert_eq!(asks.count(), 0);
 }
 
@@ -91,7 +123,10 @@
 fn a_connection_with_a_request_in_its_buffer_is_not_the_one_to_make_room() {
     let mut worker = Peer::start();
     // Room for ten clients.
-    let mut hand = Hand::start(&Site { sockets: 56, ..Site::at(&[worker.address]) });
+    let mut hand = Hand::start(&Site {
+        sockets: 56,
+        ..Site::at(&[worker.address])
+    });
     let mut idle = Vec::new();
     for id in 0..10 {
         let mut c = hand.send(&call(id));
@@ -108,14 +143,22 @@
         let came = hand.next(&mut worker, "fire");
         worker.serve(&came);
     }
-    assert_eq!((hand.answer(&mut new), hand.answer(&mut idle[0])), (200, 200));
-    hand.until("another gives way", |p| (p.clients().len() <= 10).then_some(()));
+    assert_eq!(
+        (hand.answer(&mut new), hand.answer(&mut idle[0])),
+        (200, 200)
+    );
+    hand.until("another gives way", |p| {
+        (p.clients().len() <= 10).then_some(())
+    });
 }
 
 #[test]
 fn a_flood_of_clients_that_connect_and_reset() {
     let worker = Worker::start(serving(|_| None));
-    let program = Program::start(&Site { sockets: SOCKETS, ..Site::of(&[&worker]) });
+    let program = Program::start(&Site {
+        sockets: SOCKETS,
+        ..Site::of(&[&worker])
+    });
     program.limit(SOCKETS as u64);
     for round in 0..10 {
         program.halt();
--- a/programs/gateway/tests/platform/faults.rs
+++ b/programs/gateway/tests/platform/faults.rs
@@ -17,7 +17,9 @@
 
 /// The time that a worker was told for a call, milliseconds.
 fn patience(words: &[String]) -> u64 {
-    let value = words[2].split(',').find_map(|f| f.strip_prefix("patience="));
+    let value = words[2]
+        .split(',')
+        .find_map(|f| f.strip_prefix("patience="));
     value.expect("a patience").parse().expect("milliseconds")
 }
 
@@ -59,23 +61,49 @@
     program.halt();
     let mut fresh = Client::to(program.address);
     let mut short = Client::to(program.address);
-    known.send(&Call { timeout_ms: 2000, ..call(2) }.text());
-    fresh.send(&Call { timeout_ms: 2000, ..call(3) }.text());
-    short.send(&Call { timeout_ms: 300, ..call(4) }.text());
+    known.send(
+        &Call {
+            timeout_ms: 2000,
+            ..call(2)
+        }
+        .text(),
+    );
+    fresh.send(
+        &Call {
+            timeout_ms: 2000,
+            ..call(3)
+        }
+        .text(),
+    );
+    short.send(
+        &Call {
+            timeout_ms: 300,
+            ..call(4)
+        }
+        .text(),
+    );
     let sent = Instant::now();
-    until("they have waited", || sent.elapsed() > Duration::from_millis(900));
+    until("they have waited", || {
+        sent.elapsed() > Duration::from_millis(900)
+    });
     let waited = sent.elapsed().as_millis() as u64;
     program.resume();
     for client in [&mut known, &mut fresh] {
         assert_eq!(client.answer().map(|a| a.0), Some(200));
     }
     let status = short.answer().map(|a| a.0);
-    assert!(matches!(status, Some(503 | 504)), "its time was over: {status:?}");
+    assert!(
+        matches!(status, Some(503 | 504)),
+        "its time was over: {status:?}"
+    );
     let fires = worker.all("fire");
     assert_eq!(fires.len(), 3, "a call whose time was over was sent on");
     for came in &fires[1..] {
         let (told, left) = (patience(&came.words), 2000 - waited);
-        assert!(told <= left + SLACK_MS, "told {told} ms where the client had {left} left");
+        assert!(
+            told <= left + SLACK_MS,
+            "told {told} ms where the client had {left} left"
+        );
     }
     program.signal(Signal::TERM);
     assert_eq!(program.ends(), Some(0));
@@ -91,7 +119,10 @@
     // The call has 2 s from before it was chosen; a little of it is kept for the answer's way.
     let left = 2000 - chosen.elapsed().as_millis() as u64;
     let told = patience(&came.words);
-    assert!(told <= left + SLACK_MS, "told {told} ms where the client had {left} left");
+    assert!(
+        told <= left + SLACK_MS,
+        "told {told} ms where the client had {left} left"
+    );
 }
 
 #[test]
@@ -101,15 +132,18 @@
     let mut site = Site::at(&[worker.address]);
     site.coordinator = source.address;
     let mut hand = Hand::start(&site);
-    let drains =
-        r#"{"index":2,"updates":[{"index":2,"endpoints":{"servers":[{"id":"s-0","state":"Terminating"}]}}]}"#;
+    let drains = r#"{"index":2,"updates":[{"index":2,"endpoints":{"servers":[{"id":"s-0","state":"Terminating"}]}}]}"#;
     // Each reply takes this long from its poll.
     let slow = Duration::from_millis(1700);
     let mut due: Vec<(Instant, usize)> = Vec::new();
     let began = Instant::now();
     while hand.platform.coordinator().index() < 2 {
         // An event counts as told 7 s after it happened, whatever discovery does.
-        assert!(began.elapsed() < Duration::from_secs(7), "never heard; asked {} times", source.asked.len());
+        assert!(
+            began.elapsed() < Duration::from_secs(7),
+            "never heard; asked {} times",
+            source.asked.len()
+        );
         hand.pass(Duration::from_millis(10));
         if let Some(on) = source.look() {
             due.push((Instant::now() + slow, on));
@@ -125,9 +159,12 @@
 fn a_start_bears_what_accept_bears() {
     let worker = plain();
     let site = Site::of(&[&worker]);
-    for rules in
-        ["socket:ENOBUFS:first=3", "socket:ENFILE:first=1", "read:EINTR:rate=0.5", "socket:EINTR:first=1"]
-    {
+    for rules in [
+        "socket:ENOBUFS:first=3",
+        "socket:ENFILE:first=1",
+        "read:EINTR:rate=0.5",
+        "socket:EINTR:first=1",
+    ] {
         let address = free();
         let mut program = Program::spawn_under(&site, address, rules);
         program.serves();
@@ -181,10 +218,18 @@
 #[test]
 fn a_stepped_wall_clock_makes_no_worker_older() {
     // Stepped in service, and wrong at the start and set right in service.
-    for (when, by) in [("from", 3600), ("from", -3600), ("until", 3600), ("until", -3600)] {
+    for (when, by) in [
+        ("from", 3600),
+        ("from", -3600),
+        ("until", 3600),
+        ("until", -3600),
+    ] {
         let worker = plain();
         let mut source = Source::start();
-        let site = Site { coordinator: source.address, ..Site::of(&[&worker]) };
+        let site = Site {
+            coordinator: source.address,
+            ..Site::of(&[&worker])
+        };
         let address = free();
         let (logs, write) = std::io::pipe().unwrap();
         let rules = format!("clock:STEP:{when}=0.3:by={by}");
@@ -198,16 +243,30 @@
             on = source.look().or(on);
             began.elapsed() > Duration::from_millis(500) && on.is_some()
         });
-        let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis();
+        let now = std::time::SystemTime::now()
+            .duration_since(std::time::UNIX_EPOCH)
+            .unwrap()
+            .as_millis();
         let event = format!(
             r#"{{"index":2,"updates":[{{"index":2,"endpoints":{{"servers":[{{"id":"s-9","addr":"{}","state":"Ready",
             "zone":"a","kind":"k","weight":1,"started_ms":{now}}}]}}}}]}}"#,
             worker.address
         );
         source.try_reply(on.unwrap(), &event);
-        let mut lines = std::io::BufRead::lines(std::io::BufReader::new(logs)).map_while(Result::ok);
-        let line = lines.find(|l| l.contains("is listed") && l.contains("s-9")).expect("it is listed");
-        let age: i64 = line.split("age=Some(").nth(1).unwrap().split(')').next().unwrap().parse().unwrap();
+        let mut lines =
+            std::io::BufRead::lines(std::io::BufReader::new(logs)).map_while(Result::ok);
+        let line = lines
+            .find(|l| l.contains("is listed") && l.contains("s-9"))
+            .expect("it is listed");
+        let age: i64 = line
+            .split("age=Some(")
+            .nth(1)
+            .unwrap()
+            .split(')')
+            .next()
+            .unwrap()
+            .parse()
+            .unwrap();
         assert!(
             (0..2_000_000).contains(&age),
             "a worker that started now is {age} us old, clock off by {by} s {when} 0.3 s"
@@ -241,14 +300,20 @@
     let mut out: Option<(usize, usize)> = None;
     let began = Instant::now();
     while hand.platform.coordinator().index() < EVENTS {
-        assert!(began.elapsed() < Duration::from_secs(7), "never heard; asked {} times", source.asked.len());
+        assert!(
+            began.elapsed() < Duration::from_secs(7),
+            "never heard; asked {} times",
+            source.asked.len()
+        );
         hand.pass(Duration::from_millis(1));
         if let Some(on) = source.look() {
             out = Some((on, 0));
         }
         // As much as the kernel takes, turn by turn.
         if let Some((on, from)) = out {
-            out = source.write_some(on, &bytes[from..]).map(|n| (on, from + n));
+            out = source
+                .write_some(on, &bytes[from..])
+                .map(|n| (on, from + n));
         }
     }
 }
@@ -268,17 +333,30 @@
         let mut client = Client::to(program.address);
         client.send(&call(1).text());
         assert_eq!(client.answer().map(|a| a.0), Some(200));
-        let second = Call { timeout_ms: 2000, ..call(2) };
+        let second = Call {
+            timeout_ms: 2000,
+            ..call(2)
+        };
         client.send(&if safe { second } else { second.once() }.text());
         until("the call is out", || worker.all("fire").len() == 2);
         program.halt();
         let halted = Instant::now();
         go.send(()).unwrap();
-        until("it has stood still", || halted.elapsed() > Duration::from_millis(stands_still_ms));
+        until("it has stood still", || {
+            halted.elapsed() > Duration::from_millis(stands_still_ms)
+        });
         program.resume();
         let answer = client.answer();
-        assert_eq!(answer, Some((200, "body 2".into())), "safe: {safe}, {stands_still_ms} ms");
-        assert_eq!(worker.all("fire").len(), 2, "safe: {safe}: sent again though it was answered");
+        assert_eq!(
+            answer,
+            Some((200, "body 2".into())),
+            "safe: {safe}, {stands_still_ms} ms"
+        );
+        assert_eq!(
+            worker.all("fire").len(),
+            2,
+            "safe: {safe}: sent again though it was answered"
+        );
         program.signal(Signal::TERM);
         assert_eq!(program.ends(), Some(0));
     }
@@ -295,15 +373,37 @@
     let mut clients = vec![warm];
     clients.extend((0..6).map(|_| Client::to(program.address)));
     let began = Instant::now();
-    let texts: Vec<String> = (2..).map(|id| Call { timeout_ms: 2000, ..call(id) }.text()).take(7).collect();
-    clients.iter_mut().zip(&texts).for_each(|(c, text)| c.send(&text[..60]));
+    let texts: Vec<String> = (2..)
+        .map(|id| {
+            Call {
+                timeout_ms: 2000,
+                ..call(id)
+            }
+            .text()
+        })
+        .take(7)
+        .collect();
+    clients
+        .iter_mut()
+        .zip(&texts)
+        .for_each(|(c, text)| c.send(&text[..60]));
     // A request may be in the making for 2 s, the first of a connection for 2.3 s.
-    until("half of it has been read for long", || began.elapsed() > Duration::from_millis(1300));
+    until("half of it has been read for long", || {
+        began.elapsed() > Duration::from_millis(1300)
+    });
     program.halt();
-    clients.iter_mut().zip(&texts).for_each(|(c, text)| c.send(&text[60..]));
-    until("its time to be whole is over", || began.elapsed() > Duration::from_millis(2500));
+    clients
+        .iter_mut()
+        .zip(&texts)
+        .for_each(|(c, text)| c.send(&text[60..]));
+    until("its time to be whole is over", || {
+        began.elapsed() > Duration::from_millis(2500)
+    });
     program.resume();
-    let answers: Vec<_> = clients.iter_mut().map(|c| c.answer().map(|a| a.0)).collect();
+    let answers: Vec<_> = clients
+        .iter_mut()
+        .map(|c| c.answer().map(|a| a.0))
+        .collect();
     assert_eq!(answers, [Some(200); 7]);
     program.signal(Signal::TERM);
     assert_eq!(program.ends(), Some(0));
--- a/programs/gateway/tests/platform/hand.rs
+++ b/programs/gateway/tests/platform/hand.rs
@@ -131,17 +131,32 @@
     pub fn on(listener: TcpListener) -> Peer {
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap();
-        Peer { listener, address, links: Vec::new(), log: Vec::new(), inbox: VecDeque::new(), loads: true }
+        Peer {
+            listener,
+            address,
+            links: Vec::new(),
+            log: Vec::new(),
+            inbox: VecDeque::new(),
+            loads: true,
+        }
     }
 
     /// Takes a connection that waits, if there is one.
     pub fn accept(&mut self) -> bool {
-        let Ok((socket, _)) = self.listener.accept() else { return false };
+        let Ok((socket, _)) = self.listener.accept() else {
+            return false;
+        };
         socket.set_nonblocking(true).unwrap();
         // What is written is to be in the kernel at the other end, not behind an acknowledgement that is late.
         socket.set_nodelay(true).unwrap();
-        let reader = Reader::new(Limits { string: 64 * 1024, strings: 4 });
-        self.links.push(Link { socket: Some(socket), reader });
+        let reader = Reader::new(Limits {
+            string: 64 * 1024,
+            strings: 4,
+        });
+        self.links.push(Link {
+            socket: Some(socket),
+            reader,
+        });
         true
     }
 
@@ -155,16 +170,23 @@
     pub fn read(&mut self) {
         let mut buffer = [0u8; 4096];
         for (on, link) in self.links.iter_mut().enumerate() {
-            let Some(socket) = &mut link.socket else { continue };
+            let Some(socket) = &mut link.socket else {
+                continue;
+            };
             while let Ok(n @ 1..) = socket.read(&mut buffer) {
                 link.reader.take(&buffer[..n]);
             }
             while let Ok(Some(strings)) = link.reader.array() {
-                let words = strings.iter().map(|s| String::from_utf8_lossy(s).into_owned()).collect();
+                let words = strings
+                    .iter()
+                    .map(|s| String::from_utf8_lossy(s).into_owned())
+                    .collect();
                 let came = Came { on, words };
                 self.log.push(came.clone());
                 if self.loads && came.words[0] == "provision" {
-                    socket.write_all(&array(&[came.id(), "200", "replicas=1", ""])).unwrap();
+                    socket
+                        .write_all(&array(&[came.id(), "200", "replicas=1", ""]))
+                        .unwrap();
                 } else {
                     self.inbox.push_back(came);
                 }
@@ -185,12 +207,20 @@
 
     /// Answers a command; it is in the kernel when this returns.
     pub fn say(&mut self, to: &Came, word: &str, fields: &str) {
-        let body = if word == "200" { to.words.get(3).map_or("", String::as_str) } else { "" };
+        let body = if word == "200" {
+            to.words.get(3).map_or("", String::as_str)
+        } else {
+            ""
+        };
         self.write(to.on, &array(&[to.id(), word, fields, body]));
     }
     /// Writes to a connection; it is in the kernel when this returns, unless the other side has gone.
     pub fn write(&mut self, on: usize, bytes: &[u8]) {
-        let _ = self.links[on].socket.as_mut().expect("not reset").write_all(bytes);
+        let _ = self.links[on]
+            .socket
+            .as_mut()
+            .expect("not reset")
+            .write_all(bytes);
     }
 
     /// Serves a call.
@@ -219,13 +249,18 @@
     /// The calls that came for this id.
     pub fn fires(&self, id: u64) -> usize {
         let id = format!("{id:016x}");
-        self.log.iter().filter(|c| c.words[0] == "fire" && c.id() == id).count()
+        self.log
+            .iter()
+            .filter(|c| c.words[0] == "fire" && c.id() == id)
+            .count()
     }
 }
 
 /// Has a socket end by a reset when it is closed.
 pub fn reset(socket: &TcpStream) {
-    socket2::SockRef::from(socket).set_linger(Some(Duration::ZERO)).unwrap();
+    socket2::SockRef::from(socket)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
 }
 
 /// A coordinator that the test plays.
@@ -244,7 +279,13 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap();
-        Source { listener, address, asks: Vec::new(), asked: Vec::new(), connected: 0 }
+        Source {
+            listener,
+            address,
+            asks: Vec::new(),
+            asked: Vec::new(),
+            connected: 0,
+        }
     }
 
     /// Accepts and reads what waits; the number of the connection with a new poll, if there is one.
@@ -256,11 +297,14 @@
         }
         let mut buffer = [0u8; 4096];
         for (n, socket) in self.asks.iter_mut().enumerate() {
-            let Ok(read @ 1..) = socket.read(&mut buffer) else { continue };
+            let Ok(read @ 1..) = socket.read(&mut buffer) else {
+                continue;
+            };
             // A poll is one small write.
             let text = String::from_utf8_lossy(&buffer[..read]).into_owned();
             assert!(text.ends_with("\r\n\r\n"), "{text}");
-            self.asked.push(text.split(' ').nth(1).unwrap_or("").to_string());
+            self.asked
+                .push(text.split(' ').nth(1).unwrap_or("").to_string());
             return Some(n);
         }
         None
--- a/programs/gateway/tests/platform/links.rs
+++ b/programs/gateway/tests/platform/links.rs
@@ -6,7 +6,11 @@
 use std::time::{Duration, Instant};
 
 fn keyed(id: u64) -> Call {
-    Call { class: "keyed", timeout_ms: 2000, ..call(id) }
+    Call {
+        class: "keyed",
+        timeout_ms: 2000,
+        ..call(id)
+    }
 }
 
 #[test]
@@ -16,15 +20,27 @@
         let mut hand = Hand::start(&Site::at(&[worker.address]));
         let mut client = hand.send(&keyed(1));
         let first = hand.next(&mut worker, "fire");
-        assert!(first.words[2].ends_with(",op=k1"), "the key goes on as it came: {:?}", first.words);
+        assert!(
+            first.words[2].ends_with(",op=k1"),
+            "the key goes on as it came: {:?}",
+            first.words
+        );
         let began = Instant::now();
         // It may have run; the class's repeats are dropped for one second.
         worker.say(&first, "500", "-");
-        hand.until("a further attempt is chosen", |p| (p.hub().worker_connections.get() == 3).then_some(()));
+        hand.until("a further attempt is chosen", |p| {
+            (p.hub().worker_connections.get() == 3).then_some(())
+        });
         if behind {
             // Its connection stands, in the kernel; the loop does not run.
-            until("the window is over", || began.elapsed() > Duration::from_millis(1050));
-            assert_eq!(hand.answer(&mut client), 503, "refused: its repeats are dropped everywhere");
+            until("the window is over", || {
+                began.elapsed() > Duration::from_millis(1050)
+            });
+            assert_eq!(
+                hand.answer(&mut client),
+                503,
+                "refused: its repeats are dropped everywhere"
+            );
             worker.look();
             assert_eq!(worker.fires(1), 1, "a repeat after the window");
         } else {
@@ -49,20 +65,32 @@
     assert_eq!((hand.answer(&mut other), came.on), (200, first.on));
     drop(client);
     hand.next(&mut worker, "never_mind");
-    let mut again = hand.send(&Call { body: "another".into(), ..call(1) }.once());
+    let mut again = hand.send(
+        &Call {
+            body: "another".into(),
+            ..call(1)
+        }
+        .once(),
+    );
     let second = hand.next(&mut worker, "fire");
     worker.serve(&first);
     hand.pass(Duration::from_millis(20));
     worker.serve(&second);
     assert_eq!(hand.answer(&mut again), 200);
-    assert_ne!(first.on, second.on, "on one connection the two can't be told apart");
+    assert_ne!(
+        first.on, second.on,
+        "on one connection the two can't be told apart"
+    );
 }
 
 #[test]
 fn answers_that_come_when_nobody_waits_for_them_change_nothing() {
     let mut worker = Peer::start();
     let mut hand = Hand::start(&Site::at(&[worker.address]));
-    let mut client = hand.send(&Call { timeout_ms: 150, ..call(1) });
+    let mut client = hand.send(&Call {
+        timeout_ms: 150,
+        ..call(1)
+    });
     let first = hand.next(&mut worker, "fire");
     let status = hand.answer(&mut client);
     assert!(status == 503 || status == 504, "{status}: its time is up");
@@ -98,7 +126,10 @@
             }
             second.0.set_nonblocking(true).unwrap();
             hand.until("an answer", |_| {
-                worker.take("fire").into_iter().for_each(|came| worker.serve(&came));
+                worker
+                    .take("fire")
+                    .into_iter()
+                    .for_each(|came| worker.serve(&came));
                 readable(&second.0)
             });
             let status = hand.answer(&mut second);
--- a/programs/gateway/tests/platform/main.rs
+++ b/programs/gateway/tests/platform/main.rs
@@ -38,7 +38,10 @@
     assert_eq!(fires.len(), 3);
     assert_eq!(fires[0].words[1], "0000000000000001");
     let fields = &fires[0].words[2];
-    assert!(fields.starts_with("sort=safe,asset=0000000000000007,patience="), "{fields}");
+    assert!(
+        fields.starts_with("sort=safe,asset=0000000000000007,patience="),
+        "{fields}"
+    );
     c.send("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(c.answer().map(|a| a.0), Some(200));
     assert_eq!(worker.all("provision").len(), 1);
@@ -72,13 +75,25 @@
         format!("{}{}", good.text(), call(2).text()),
     ];
     for (name, values) in [
-        ("Content-Length", &["-1", "+6", "6,6", "99999999999999999999", "0x6", "5"][..]),
+        (
+            "Content-Length",
+            &["-1", "+6", "6,6", "99999999999999999999", "0x6", "5"][..],
+        ),
         ("X-Class", &["none", ""]),
         ("X-Request-Id", &["", "1", "zzzzzzzzzzzzzzzz"]),
-        ("X-Timeout-Ms", &["0", "-5", "abc", "1e9", "99999999", "nan"]),
+        (
+            "X-Timeout-Ms",
+            &["0", "-5", "abc", "1e9", "99999999", "nan"],
+        ),
         (
             "X-Extras",
-            &["memory_mb:300", "memory_mb:-1;lanes:1", "memory_mb:1e9;lanes:1", "lanes:x;memory_mb:1", "-"],
+            &[
+                "memory_mb:300",
+                "memory_mb:-1;lanes:1",
+                "memory_mb:1e9;lanes:1",
+                "lanes:x;memory_mb:1",
+                "-",
+            ],
         ),
     ] {
         bad.extend(values.iter().map(|v| with(name, v)));
@@ -94,7 +109,10 @@
             status.is_some_and(|s| (400..600).contains(&s) && s != 503 && s != 429),
             "{status:?} to {name:?}"
         );
-        assert!(c.ends_within(Duration::from_secs(3)), "still open: {name:?}");
+        assert!(
+            c.ends_within(Duration::from_secs(3)),
+            "still open: {name:?}"
+        );
         assert!(began.elapsed() < Duration::from_secs(3));
     }
     assert_eq!(front.call(&call(9)).0, 200);
@@ -119,7 +137,8 @@
                 if c.0.write_all(&[sent.next().unwrap_or(b'x')]).is_err() {
                     break;
                 }
-                c.0.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
+                c.0.set_read_timeout(Some(Duration::from_millis(50)))
+                    .unwrap();
                 let mut buffer = [0u8; 512];
                 match std::io::Read::read(&mut c.0, &mut buffer) {
                     Ok(_) => break,
@@ -133,15 +152,25 @@
     };
     let mut half = front.connect();
     half.send(&call(3).text()[..40]);
-    let all = [ends(front.connect(), false), ends(front.connect(), true), ends(half, false)];
+    let all = [
+        ends(front.connect(), false),
+        ends(front.connect(), true),
+        ends(half, false),
+    ];
     for one in all {
         let (ended, took) = one.join().unwrap();
-        assert!(ended && took < Duration::from_secs(3), "{ended} after {took:?}");
+        assert!(
+            ended && took < Duration::from_secs(3),
+            "{ended} after {took:?}"
+        );
     }
     // A connection that has been answered may be idle for the page's four seconds.
     let left = Duration::from_secs(4).saturating_sub(idle.elapsed());
     assert!(!honest.ends_within(left));
-    honest.0.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+    honest
+        .0
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .unwrap();
     honest.send(&call(4).text());
     assert_eq!(honest.answer().map(|a| a.0), Some(200));
 }
@@ -156,7 +185,14 @@
     let sending = std::thread::spawn(move || {
         let mut h = call(1).headers();
         h.insert("Content-Length", "60000000".into());
-        let _ = sender.write_all(Call { body: String::new(), ..call(1) }.text_with(&h, "").as_bytes());
+        let _ = sender.write_all(
+            Call {
+                body: String::new(),
+                ..call(1)
+            }
+            .text_with(&h, "")
+            .as_bytes(),
+        );
         let block = vec![b'x'; 1 << 20];
         for _ in 0..60 {
             if sender.write_all(&block).is_err() {
@@ -189,7 +225,10 @@
     let mut first = front.connect();
     first.send(&call(1).text());
     until("the first call is out", || worker.all("fire").len() == 1);
-    let other = Call { body: "another".into(), ..call(1) };
+    let other = Call {
+        body: "another".into(),
+        ..call(1)
+    };
     assert_eq!(front.call(&other).0, 409);
     go.send(()).unwrap();
     assert_eq!(first.answer(), Some((200, "body 1".into())));
@@ -202,7 +241,9 @@
 #[test]
 fn a_client_that_leaves_or_sends_more_has_its_attempt_given_up() {
     for more in [false, true] {
-        let worker = Worker::start(serving(|c| (c.words[1].ends_with('1')).then(|| (Vec::new(), true))));
+        let worker = Worker::start(serving(|c| {
+            (c.words[1].ends_with('1')).then(|| (Vec::new(), true))
+        }));
         let front = Front::start(&Site::of(&[&worker]));
         let mut c = front.connect();
         c.send(&call(1).text());
@@ -215,30 +256,51 @@
         until("it is given up", || worker.all("never_mind").len() == 1);
         assert_eq!(worker.all("never_mind")[0].words[1], "0000000000000001");
         assert_eq!(front.call(&call(2)).0, 200);
-        assert_eq!(worker.all("fire").len(), 2, "what came beside an open call goes nowhere");
+        assert_eq!(
+            worker.all("fire").len(),
+            2,
+            "what came beside an open call goes nowhere"
+        );
     }
 }
 
 #[test]
 fn silent_connections_make_room_and_memory_stays_flat() {
     let worker = plain();
-    let site = Site { sockets: 64, ..Site::of(&[&worker]) };
+    let site = Site {
+        sockets: 64,
+        ..Site::of(&[&worker])
+    };
     let front = Front::start(&site);
     let silent: Vec<Client> = (0..100).map(|_| front.connect()).collect();
     for id in 0..300 {
-        let ever_new = Call { function: id, ..call(id) };
-        assert_eq!(front.call(&ever_new).0, 200, "call {id} beside 100 silent connections");
+        let ever_new = Call {
+            function: id,
+            ..call(id)
+        };
+        assert_eq!(
+            front.call(&ever_new).0,
+            200,
+            "call {id} beside 100 silent connections"
+        );
     }
     drop(silent);
     let (held, (functions, workers), clients) = front.stop();
     assert_eq!(&held[..3], [0, 0, 0]);
-    assert!(functions <= 300 && workers == 1 && clients <= 24, "{functions} {workers} {clients}");
+    assert!(
+        functions <= 300 && workers == 1 && clients <= 24,
+        "{functions} {workers} {clients}"
+    );
 }
 
 #[test]
 fn a_spoilt_answer_is_not_served_and_ends_all_that_is_open_on_its_connection() {
-    let spoilt: [&[u8]; 4] =
-        [b"noise\r\n", b"*4\r\n$3000000000\r\nxx", b"*4\r\n$16\r\nnot sixteen bytes long\r\n", b"*999\r\n"];
+    let spoilt: [&[u8]; 4] = [
+        b"noise\r\n",
+        b"*4\r\n$3000000000\r\nxx",
+        b"*4\r\n$16\r\nnot sixteen bytes long\r\n",
+        b"*999\r\n",
+    ];
     for bytes in spoilt {
         let worker = Worker::start(serving(move |c| match c.words[1].as_str() {
             "0000000000000001" => Some((bytes.to_vec(), true)),
@@ -251,22 +313,31 @@
         until("one call is out", || worker.all("fire").len() == 1);
         assert_eq!(front.call(&call(1).once()).0, 502, "it may have run");
         assert_eq!(waiting.answer().map(|a| a.0), Some(502), "so may the other");
-        until("the connection is spent", || worker.ended.load(Ordering::SeqCst) > 0);
+        until("the connection is spent", || {
+            worker.ended.load(Ordering::SeqCst) > 0
+        });
         assert_eq!(front.call(&call(3)).0, 200);
         let fires = worker.all("fire");
         assert_eq!(fires.len(), 3, "an unsafe call is sent once");
-        assert_ne!(fires[2].on, fires[1].on, "a spent connection is of no further use");
+        assert_ne!(
+            fires[2].on, fires[1].on,
+            "a spent connection is of no further use"
+        );
     }
 }
 
 #[test]
 fn an_answer_that_stops_short_ends_its_connection() {
-    let worker =
-        Worker::start(serving(|c| (c.words[1].ends_with('1')).then(|| (served(c)[..20].to_vec(), true))));
+    let worker = Worker::start(serving(|c| {
+        (c.words[1].ends_with('1')).then(|| (served(c)[..20].to_vec(), true))
+    }));
     let front = Front::start(&Site::of(&[&worker]));
     let began = Instant::now();
     assert_eq!(front.call(&call(1).once()).0, 502);
-    assert!(began.elapsed() < Duration::from_millis(1200), "not sat on until the deadline");
+    assert!(
+        began.elapsed() < Duration::from_millis(1200),
+        "not sat on until the deadline"
+    );
     assert_eq!(front.call(&call(2)).0, 200);
 }
 
@@ -282,7 +353,10 @@
     for id in 1..=5 {
         assert_eq!(front.call(&call(id)), (200, format!("body {id}")));
     }
-    assert!(worker.all("fire").iter().all(|c| c.on == worker.all("fire")[0].on));
+    assert!(worker
+        .all("fire")
+        .iter()
+        .all(|c| c.on == worker.all("fire")[0].on));
 }
 
 #[test]
@@ -291,11 +365,19 @@
     let worker = Worker::start(serving(move |c| {
         tries += 1;
         // Turned away, and a late copy of that behind it.
-        let away = [array(&[&c.words[1], "503", "-", ""]), array(&[&c.words[1], "503", "-", ""])].concat();
+        let away = [
+            array(&[&c.words[1], "503", "-", ""]),
+            array(&[&c.words[1], "503", "-", ""]),
+        ]
+        .concat();
         (tries == 1).then_some((away, true))
     }));
     let front = Front::start(&Site::of(&[&worker]));
-    assert_eq!(front.call(&call(1).once()), (200, "body 1".into()), "turned away never ran: it may go again");
+    assert_eq!(
+        front.call(&call(1).once()),
+        (200, "body 1".into()),
+        "turned away never ran: it may go again"
+    );
     let fires = worker.all("fire");
     assert_eq!(fires.len(), 2);
     assert_ne!(fires[0].on, fires[1].on);
@@ -304,7 +386,11 @@
 #[test]
 fn a_refused_connect_never_ran_and_a_cut_one_may_have() {
     let front = Front::start(&Site::at(&[nobody()]));
-    let refused = Call { timeout_ms: 600, ..call(1) }.once();
+    let refused = Call {
+        timeout_ms: 600,
+        ..call(1)
+    }
+    .once();
     assert_eq!(front.call(&refused).0, 503, "trying again is harmless");
     let worker = Worker::start(serving(|_| Some((Vec::new(), false))));
     let front = Front::start(&Site::of(&[&worker]));
@@ -315,21 +401,36 @@
 #[test]
 fn idle_connections_to_workers_are_closed_before_the_worker_would() {
     let worker = plain();
-    let front = Front::start(&Site { keepalive_s: 0.6, ..Site::of(&[&worker]) });
+    let front = Front::start(&Site {
+        keepalive_s: 0.6,
+        ..Site::of(&[&worker])
+    });
     assert_eq!(front.call(&call(1)).0, 200);
     let began = Instant::now();
-    until("both are closed", || worker.ended.load(Ordering::SeqCst) == 2);
-    assert!(began.elapsed() < Duration::from_millis(600), "{:?}", began.elapsed());
+    until("both are closed", || {
+        worker.ended.load(Ordering::SeqCst) == 2
+    });
+    assert!(
+        began.elapsed() < Duration::from_millis(600),
+        "{:?}",
+        began.elapsed()
+    );
     assert_eq!(front.call(&call(2)).0, 200);
 }
 
 #[test]
 fn a_poll_that_breaks_or_stalls_is_asked_again_from_the_last_whole_event() {
     let (worker, coordinator) = (plain(), Coordinator::start());
-    let site = Site { coordinator: coordinator.address, ..Site::of(&[&worker]) };
+    let site = Site {
+        coordinator: coordinator.address,
+        ..Site::of(&[&worker])
+    };
     let front = Front::start(&site);
     let (target, mut socket) = coordinator.next();
-    assert!(target.starts_with("/v2/stream?follow=1&wait_ms="), "{target}");
+    assert!(
+        target.starts_with("/v2/stream?follow=1&wait_ms="),
+        "{target}"
+    );
     // Broken off in the middle of an event.
     let gone = format!(
         r#"{{"index":2,"updates":[{{"index":2,"endpoints":{{"full":false,"servers":[{}]}}}}]}}"#,
@@ -349,17 +450,31 @@
     let (target, _socket) = coordinator.next();
     assert!(target.contains("follow=2&"), "{target}");
     let fires = worker.all("fire").len();
-    assert_eq!(front.call(&Call { timeout_ms: 300, ..call(2) }).0, 503, "the only worker is gone");
+    assert_eq!(
+        front
+            .call(&Call {
+                timeout_ms: 300,
+                ..call(2)
+            })
+            .0,
+        503,
+        "the only worker is gone"
+    );
     assert_eq!(worker.all("fire").len(), fires);
 }
 
 #[test]
 fn a_new_configuration_moves_the_poll_and_a_bad_one_changes_nothing() {
     let (worker, old, new) = (plain(), Coordinator::start(), Coordinator::start());
-    let mut site = Site { coordinator: old.address, ..Site::of(&[&worker]) };
+    let mut site = Site {
+        coordinator: old.address,
+        ..Site::of(&[&worker])
+    };
     let front = Front::start(&site);
     let (_, mut socket) = old.next();
-    socket.write_all(&reply(r#"{"index":5,"updates":[]}"#)).unwrap();
+    socket
+        .write_all(&reply(r#"{"index":5,"updates":[]}"#))
+        .unwrap();
     let (target, _held) = old.next();
     assert!(target.contains("follow=5&"), "{target}");
     site.coordinator = new.address;
@@ -378,7 +493,10 @@
 #[test]
 fn sigterm_serves_through_the_window_and_ends_well() {
     let worker = Worker::start(serving(|_| None));
-    let port = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let port = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let path = Site::of(&[&worker]).file(&port.to_string());
     let mut child = Command::new(env!("CARGO_BIN_EXE_tansy-gateway"))
         .arg("--platform")
@@ -395,20 +513,32 @@
     kill_process(pid, Signal::HUP).unwrap();
     let mut open = Client::to(port);
     open.send(&call(1).text());
-    assert_eq!(open.answer().map(|a| a.0), Some(200), "a configuration read again ends nothing");
+    assert_eq!(
+        open.answer().map(|a| a.0),
+        Some(200),
+        "a configuration read again ends nothing"
+    );
     let told = Instant::now();
     kill_process(pid, Signal::TERM).unwrap();
     let mut id = 2;
     while told.elapsed() < Duration::from_millis(600) {
         open.send(&call(id).text());
-        assert_eq!(open.answer().map(|a| a.0), Some(200), "on an open connection");
+        assert_eq!(
+            open.answer().map(|a| a.0),
+            Some(200),
+            "on an open connection"
+        );
         let mut new = Client::to(port);
         new.send(&call(id + 1).text());
         assert_eq!(new.answer().map(|a| a.0), Some(200), "on a new one");
         id += 2;
     }
     assert_eq!(child.wait().unwrap().code(), Some(0));
-    assert!(told.elapsed() < Duration::from_secs(3), "{:?}", told.elapsed());
+    assert!(
+        told.elapsed() < Duration::from_secs(3),
+        "{:?}",
+        told.elapsed()
+    );
     std::fs::remove_file(path).unwrap();
 }
 
@@ -424,8 +554,16 @@
             _ => (Vec::new(), true),
         }));
         let front = Front::start(&Site::of(&[&worker]));
-        let silent = Call { timeout_ms: 300, ..call(1) }.once();
-        assert_eq!(front.call(&silent).0, 504, "its time is up, and it may have run");
+        let silent = Call {
+            timeout_ms: 300,
+            ..call(1)
+        }
+        .once();
+        assert_eq!(
+            front.call(&silent).0,
+            504,
+            "its time is up, and it may have run"
+        );
         until("it is given up", || worker.all("never_mind").len() == 1);
         for id in 2..6 {
             let (status, body) = front.call(&call(id));
@@ -442,10 +580,17 @@
 #[test]
 fn without_descriptors_accepting_rests_and_serving_goes_on() {
     let worker = plain();
-    let port = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let port = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let path = Site::of(&[&worker]).file(&port.to_string());
     let mut child = Command::new("sh")
-        .args(["-c", "ulimit -n 32; exec \"$0\" --platform", env!("CARGO_BIN_EXE_tansy-gateway")])
+        .args([
+            "-c",
+            "ulimit -n 32; exec \"$0\" --platform",
+            env!("CARGO_BIN_EXE_tansy-gateway"),
+        ])
         .env("EDGE_CONFIG", &path)
         .stdout(Stdio::null())
         .spawn()
@@ -457,15 +602,31 @@
     // Far more than there are descriptors for; they say nothing, and give way or are closed in time.
     let silent: Vec<Client> = (0..60).map(|_| Client::to(port)).collect();
     open.send(&call(2).text());
-    assert_eq!(open.answer().map(|a| a.0), Some(200), "on a connection that stands");
+    assert_eq!(
+        open.answer().map(|a| a.0),
+        Some(200),
+        "on a connection that stands"
+    );
     let mut new = Client::to(port);
     new.send(&call(3).text());
-    assert_eq!(new.answer().map(|a| a.0), Some(200), "on a new one, behind them all");
+    assert_eq!(
+        new.answer().map(|a| a.0),
+        Some(200),
+        "on a new one, behind them all"
+    );
     drop(silent);
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap();
     let after = stat.rsplit(')').next().unwrap_or("");
-    let ticks: u64 = after.split_whitespace().skip(11).take(2).filter_map(|t| t.parse::<u64>().ok()).sum();
-    assert!(ticks < 60, "{ticks} hundredths of a second of CPU: it spins");
+    let ticks: u64 = after
+        .split_whitespace()
+        .skip(11)
+        .take(2)
+        .filter_map(|t| t.parse::<u64>().ok())
+        .sum();
+    assert!(
+        ticks < 60,
+        "{ticks} hundredths of a second of CPU: it spins"
+    );
     kill_process(Pid::from_child(&child), Signal::TERM).unwrap();
     assert_eq!(child.wait().unwrap().code(), Some(0));
     std::fs::remove_file(path).unwrap();
