--- a/protocol/resp/src/lib.rs
+++ b/protocol/resp/src/lib.rs
@@ -45,14 +45,23 @@
 impl Reader {
     /// A reader at the start of a connection.
     pub fn new(limits: Limits) -> Reader {
-        Reader { limits, buffer: Vec::new(), at: 0, wanted: None, strings: Vec::new(), cursor: 0 }
+        Reader {
+            limits,
+            buffer: Vec::new(),
+            at: 0,
+            wanted: None,
+            strings: Vec::new(),
+            cursor: 0,
+        }
     }
 
     /// Adds what came; ask for [`Reader::array`] until it has none before more is added.
     pub fn take(&mut self, bytes: &[u8]) {
         if self.at > 0 {
             self.buffer.drain(..self.at);
-            self.strings.iter_mut().for_each(|r| *r = r.start - self.at..r.end - self.at);
+            self.strings
+                .iter_mut()
+                .for_each(|r| *r = r.start - self.at..r.end - self.at);
             (self.cursor, self.at) = (self.cursor - self.at, 0);
             self.buffer.shrink_to(4096);
         }
@@ -67,7 +76,9 @@
     /// The next array, whole; none: more has to come. After an error nothing more can be read.
     pub fn array(&mut self) -> Result<Option<Vec<&[u8]>>, Spoilt> {
         if self.wanted.is_none() {
-            let Some(n) = self.line(b'*')? else { return Ok(None) };
+            let Some(n) = self.line(b'*')? else {
+                return Ok(None);
+            };
             if n == 0 || n > self.limits.strings {
                 return Err(Spoilt);
             }
@@ -76,7 +87,9 @@
         let wanted = self.wanted.unwrap_or(0);
         while self.strings.len() < wanted {
             let start = self.cursor;
-            let Some(n) = self.line(b'$')? else { return Ok(None) };
+            let Some(n) = self.line(b'$')? else {
+                return Ok(None);
+            };
             if n > self.limits.string {
                 return Err(Spoilt);
             }
@@ -106,10 +119,18 @@
         if rest.first().is_some_and(|b| *b != kind) {
             return Err(Spoilt);
         }
-        let digits = rest.iter().skip(1).take_while(|b| b.is_ascii_digit()).count();
+        let digits = rest
+            .iter()
+            .skip(1)
+            .take_while(|b| b.is_ascii_digit())
+            .count();
         let Some(end) = rest.get(1 + digits..3 + digits) else {
             let odd = rest.get(1 + digits).is_some_and(|b| *b != b'\r');
-            return if odd || digits > LINE { Err(Spoilt) } else { Ok(None) };
+            return if odd || digits > LINE {
+                Err(Spoilt)
+            } else {
+                Ok(None)
+            };
         };
         if end != b"\r\n" || digits == 0 || digits > LINE {
             return Err(Spoilt);
@@ -125,7 +146,10 @@
 mod tests {
     use super::*;
 
-    const LIMITS: Limits = Limits { string: 64, strings: 4 };
+    const LIMITS: Limits = Limits {
+        string: 64,
+        strings: 4,
+    };
 
     fn all(r: &mut Reader) -> Result<Vec<Vec<Vec<u8>>>, Spoilt> {
         let mut out = Vec::new();
@@ -138,8 +162,18 @@
     #[test]
     fn arrays_are_read_however_they_are_cut_into_pieces() {
         let sent: Vec<Vec<Vec<u8>>> = vec![
-            vec![b"9b".to_vec(), b"200".to_vec(), b"-".to_vec(), b"a\r\n$3\r\n".to_vec()],
-            vec![b"9c".to_vec(), b"404".to_vec(), b"n=ready".to_vec(), Vec::new()],
+            vec![
+                b"9b".to_vec(),
+                b"200".to_vec(),
+                b"-".to_vec(),
+                b"a\r\n$3\r\n".to_vec(),
+            ],
+            vec![
+                b"9c".to_vec(),
+                b"404".to_vec(),
+                b"n=ready".to_vec(),
+                Vec::new(),
+            ],
             vec![b"T1".to_vec(), b"alive".to_vec()],
         ];
         let mut bytes = Vec::new();
@@ -178,7 +212,12 @@
         ] {
             let mut r = Reader::new(LIMITS);
             r.take(text);
-            assert_eq!(all(&mut r), Err(Spoilt), "{:?}", String::from_utf8_lossy(text));
+            assert_eq!(
+                all(&mut r),
+                Err(Spoilt),
+                "{:?}",
+                String::from_utf8_lossy(text)
+            );
         }
     }
 
--- a/settings/src/agree.rs
+++ b/settings/src/agree.rs
@@ -33,7 +33,10 @@
         ("front.*", Free),
         ("zones", Free),
         // What a repeat may do.
-        ("classes.*.effect", Kind::Joint(effects, Lapsed::Strictest(Value::Text("unsafe".into())))),
+        (
+            "classes.*.effect",
+            Kind::Joint(effects, Lapsed::Strictest(Value::Text("unsafe".into()))),
+        ),
         ("classes.*.window", least(Value::Span(0))),
         ("classes.*.group", Strict),
         ("classes.*.deadline", Free),
@@ -85,8 +88,19 @@
 
 /// Whether a front end takes a change of this field up only when it starts: sizes of what it made at its start.
 pub fn at_start(path: &str) -> bool {
-    let of_front = ["connections", "streams", "message", "headers", "stream_window", "preface", "drain"];
-    path == "worker.stream_window" || path.strip_prefix("front.").is_some_and(|f| of_front.contains(&f))
+    let of_front = [
+        "connections",
+        "streams",
+        "message",
+        "headers",
+        "stream_window",
+        "preface",
+        "drain",
+    ];
+    path == "worker.stream_window"
+        || path
+            .strip_prefix("front.")
+            .is_some_and(|f| of_front.contains(&f))
 }
 
 /// A text's fields by their paths, with the schema's defaults filled in; all errors at once.
@@ -111,7 +125,9 @@
     let mut all: BTreeMap<String, Fields> = BTreeMap::new();
     for (path, v) in fields.into_iter().filter(|(path, _)| stands(path)) {
         if let [_, function, field] = path.splitn(3, '.').collect::<Vec<_>>()[..] {
-            all.entry(rule::name(function)).or_default().insert(field.to_string(), v);
+            all.entry(rule::name(function))
+                .or_default()
+                .insert(field.to_string(), v);
         }
     }
     Ok(all)
@@ -121,7 +137,16 @@
 fn stands(text: &str) -> impl Fn(&String) -> bool {
     let (schema, mut list) = parse(SCHEMA_TEXT, SCHEMA);
     let (file, _) = parse(text, 1);
-    let written = evaluate(&file, &schema, Span { source: 1, start: 0, end: text.len() }, &mut list);
+    let written = evaluate(
+        &file,
+        &schema,
+        Span {
+            source: 1,
+            start: 0,
+            end: text.len(),
+        },
+        &mut list,
+    );
     move |path: &String| {
         let mut node = Some(&written);
         for part in path.split('.') {
@@ -142,9 +167,13 @@
     let knows = |path: &String| {
         let mut node = &all;
         for part in path.split('.') {
-            let Sort::Record(r) = &node.kind else { return false };
+            let Sort::Record(r) = &node.kind else {
+                return false;
+            };
             let any = r.any.as_deref();
-            let Some(next) = r.fields.get(&rule::name(part)).map(|f| &f.node).or(any) else { return false };
+            let Some(next) = r.fields.get(&rule::name(part)).map(|f| &f.node).or(any) else {
+                return false;
+            };
             node = next;
         }
         !matches!(node.kind, Sort::Record(_))
@@ -180,7 +209,9 @@
 pub fn label(part: &str) -> String {
     let name = rule::name(part);
     let plain = name.starts_with(|c: char| c.is_ascii_lowercase())
-        && name.chars().all(|c| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_')
+        && name
+            .chars()
+            .all(|c| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_')
         && !matches!(name.as_str(), "true" | "false" | "null");
     if plain {
         name
@@ -209,26 +240,42 @@
 /// What these fields, by their names under `functions.NAME`, say of a function; the schema's defaults are filled in. A field
 /// that this program's schema does not know is an error: nobody here can say what it asks of the function's calls.
 pub fn function(name: &str, fields: &Fields) -> Result<crate::Function, Errors> {
-    crate::checked(&format!("functions.{name}"), &text(fields), "#Function", crate::read::one_function)
+    crate::checked(
+        &format!("functions.{name}"),
+        &text(fields),
+        "#Function",
+        crate::read::one_function,
+    )
 }
 
 /// The settings by which a front end acts: these rules, with what is its own from its file's fields.
 pub fn settings(own_fields: &Fields, rules: &Fields) -> Result<crate::Settings, Errors> {
-    let mut all: Fields =
-        rules.iter().filter(|(p, _)| !own(p)).map(|(p, v)| (p.clone(), v.clone())).collect();
+    let mut all: Fields = rules
+        .iter()
+        .filter(|(p, _)| !own(p))
+        .map(|(p, v)| (p.clone(), v.clone()))
+        .collect();
     // The stricter window of a keyed and another class is none: its workers drop no repeat.
     let unkeyed = all.iter().filter(|(p, v)| {
         let keyed = p.ends_with(".effect") && **v == Value::Text("keyed".into());
-        let window = keyed.then(|| p.replace(".effect", ".window")).and_then(|w| all.get(&w));
+        let window = keyed
+            .then(|| p.replace(".effect", ".window"))
+            .and_then(|w| all.get(&w));
         keyed && window.is_none_or(|w| *w <= Value::Span(0))
     });
     let unkeyed: Vec<String> = unkeyed.map(|(p, _)| p.clone()).collect();
-    all.extend(unkeyed.into_iter().map(|p| (p, Value::Text("unsafe".into()))));
+    all.extend(
+        unkeyed
+            .into_iter()
+            .map(|p| (p, Value::Text("unsafe".into()))),
+    );
     // Its workers and its fleet are read with its file alone.
     let apart = |p: &str| p == "workers" || p.starts_with("fleet.");
     let kept = own_fields.iter().filter(|(p, _)| own(p) && !apart(p));
     all.extend(kept.map(|(p, v)| (p.clone(), v.clone())));
-    if let (Some(Value::Int(me)), Some(Value::Int(n))) = (all.get("front.me"), all.get("front.siblings")) {
+    if let (Some(Value::Int(me)), Some(Value::Int(n))) =
+        (all.get("front.me"), all.get("front.siblings"))
+    {
         // One more than a version counts is a smaller part for each, never a larger one.
         let least = Value::Int((me + 1).max(*n));
         all.insert("front.siblings".into(), least);
@@ -249,7 +296,11 @@
     };
     for (name, field) in &record.fields {
         let name = rule::part(name);
-        let under = if path.is_empty() { name } else { format!("{path}.{name}") };
+        let under = if path.is_empty() {
+            name
+        } else {
+            format!("{path}.{name}")
+        };
         flatten(&field.node, under, into);
     }
 }
@@ -265,10 +316,9 @@
         Sort::List(all, _) => Some(Value::List(all.iter().filter_map(value).collect())),
         // A record within a list, as a line of a list of workers: its fields, each with its name.
         Sort::Record(r) => {
-            let named = r
-                .fields
-                .iter()
-                .filter_map(|(n, f)| Some(Value::List(vec![Value::Text(n.clone()), value(&f.node)?])));
+            let named = r.fields.iter().filter_map(|(n, f)| {
+                Some(Value::List(vec![Value::Text(n.clone()), value(&f.node)?]))
+            });
             Some(Value::List(named.collect()))
         }
         _ => None,
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -27,7 +27,11 @@
 
 impl std::fmt::Display for Errors {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let lines: Vec<String> = self.list.iter().map(|d| d.show(&self.sources).to_string()).collect();
+        let lines: Vec<String> = self
+            .list
+            .iter()
+            .map(|d| d.show(&self.sources).to_string())
+            .collect();
         f.write_str(&lines.join("\n"))
     }
 }
@@ -39,8 +43,15 @@
 }
 
 /// The workers of a list's text; zones are names of `zones`, the one left out is `zones[home]`.
-pub fn workers(name: &str, text: &str, zones: &[String], home: usize) -> Result<Vec<WorkerLine>, Errors> {
-    checked(name, text, "#WorkerList", |node, errors| read::worker_list(node, zones, home, errors))
+pub fn workers(
+    name: &str,
+    text: &str,
+    zones: &[String],
+    home: usize,
+) -> Result<Vec<WorkerLine>, Errors> {
+    checked(name, text, "#WorkerList", |node, errors| {
+        read::worker_list(node, zones, home, errors)
+    })
 }
 
 fn checked<T>(
@@ -49,17 +60,28 @@
     wanted: &str,
     read: impl FnOnce(&Node, &mut Vec<Diagnostic>) -> Option<T>,
 ) -> Result<T, Errors> {
-    let source = |name: &str, text: &str| Source { name: name.into(), text: text.into() };
+    let source = |name: &str, text: &str| Source {
+        name: name.into(),
+        text: text.into(),
+    };
     let sources = vec![source("schema.cue", SCHEMA_TEXT), source(name, text)];
     let (schema, mut list) = parse(SCHEMA_TEXT, SCHEMA);
     let (fields, wrong) = parse(text, 1);
     list.extend(wrong);
-    let whole = Span { source: 1, start: 0, end: text.len() };
+    let whole = Span {
+        source: 1,
+        start: 0,
+        end: text.len(),
+    };
     let written = evaluate(&fields, &schema, whole, &mut list);
     let wanted = definition(wanted, &schema, &mut list);
     let both = unify(written, wanted, "", &mut list);
     let node = concrete(both, "", Span { end: 0, ..whole }, &mut list);
-    let value = if list.is_empty() { read(&node, &mut list) } else { None };
+    let value = if list.is_empty() {
+        read(&node, &mut list)
+    } else {
+        None
+    };
     list.sort_by_key(|d| d.span);
     list.dedup();
     match value {
--- a/settings/src/read.rs
+++ b/settings/src/read.rs
@@ -152,7 +152,12 @@
     }
     fn records(self, name: &str) -> Option<Vec<(&'a str, Fields<'a>)>> {
         let inner = self.inner(name)?;
-        inner.record.fields.iter().map(|(n, f)| Some((n.as_str(), Fields::of(&f.node)?))).collect()
+        inner
+            .record
+            .fields
+            .iter()
+            .map(|(n, f)| Some((n.as_str(), Fields::of(&f.node)?)))
+            .collect()
     }
     fn wrong(self, name: &str, path: &str, what: String, help: &str) -> Diagnostic {
         let span = self.node(name).unwrap_or(self.node).span;
@@ -168,7 +173,12 @@
     nodes.iter().filter_map(text).collect()
 }
 
-fn address(f: Fields<'_>, name: &str, path: &str, errors: &mut Vec<Diagnostic>) -> Option<SocketAddr> {
+fn address(
+    f: Fields<'_>,
+    name: &str,
+    path: &str,
+    errors: &mut Vec<Diagnostic>,
+) -> Option<SocketAddr> {
     let text = f.text(name)?;
     let read = text.parse::<SocketAddr>().ok();
     if read.is_none() {
@@ -223,7 +233,12 @@
     }
     if f.int("aim")? > f.int("deadline")? {
         let what = "the aim is after the deadline".to_string();
-        errors.push(f.wrong("aim", &path("aim"), what, "want an aim of at most the deadline"));
+        errors.push(f.wrong(
+            "aim",
+            &path("aim"),
+            what,
+            "want an aim of at most the deadline",
+        ));
     }
     Some(module::Class {
         aim: f.int("aim")?,
@@ -304,11 +319,18 @@
         let name = f.text("name")?;
         if !names.insert(name) {
             let what = format!("a second worker named {name:?}");
-            errors.push(f.wrong("name", &path("name"), what, "want a name of its own for each"));
+            errors.push(f.wrong(
+                "name",
+                &path("name"),
+                what,
+                "want a name of its own for each",
+            ));
         }
         let address = address(f, "address", &path("address"), errors);
         let zone = place(f, "zone", &path("zone"), zones, home, errors);
-        let (Some(address), Some(zone)) = (address, zone) else { continue };
+        let (Some(address), Some(zone)) = (address, zone) else {
+            continue;
+        };
         let listed = tansy_front::Listed {
             name: name.to_string(),
             kind: usize::try_from(f.int("kind")?).ok()?,
@@ -323,7 +345,11 @@
             share: f.number("share")?,
         };
         let incarnation = u64::try_from(f.int("incarnation")?).ok()?;
-        out.push(WorkerLine { listed, address, incarnation });
+        out.push(WorkerLine {
+            listed,
+            address,
+            incarnation,
+        });
     }
     Some(out)
 }
@@ -332,14 +358,27 @@
     let mut seats = Vec::new();
     for (n, item) in f.list("seats")?.iter().enumerate() {
         let seat = Fields::of(item)?;
-        let address = address(seat, "address", &format!("fleet.seats[{n}].address"), errors);
-        seats.push(Seat { name: seat.text("name")?.to_string(), address: address? });
+        let address = address(
+            seat,
+            "address",
+            &format!("fleet.seats[{n}].address"),
+            errors,
+        );
+        seats.push(Seat {
+            name: seat.text("name")?.to_string(),
+            address: address?,
+        });
     }
     let names: BTreeSet<&str> = seats.iter().map(|s| s.name.as_str()).collect();
     let addresses: BTreeSet<SocketAddr> = seats.iter().map(|s| s.address).collect();
     let each_once = names.len() == seats.len() && addresses.len() == seats.len();
     if ![1, 3, 5, 7].contains(&seats.len()) || !each_once {
-        let what = format!("{} seats, {} names, {} addresses", seats.len(), names.len(), addresses.len());
+        let what = format!(
+            "{} seats, {} names, {} addresses",
+            seats.len(),
+            names.len(),
+            addresses.len()
+        );
         let help = "want 1, 3, 5 or 7 front ends that keep the agreed log, each once, as \
                     seats: [{name: \"a\", address: \"127.0.0.1:7001\"}]";
         errors.push(f.wrong("seats", "fleet.seats", what, help));
@@ -360,7 +399,11 @@
 
 pub(crate) fn settings(node: &Node, errors: &mut Vec<Diagnostic>) -> Option<Settings> {
     let all = Fields::of(node)?;
-    let (front, worker, prices) = (all.inner("front")?, all.inner("worker")?, all.inner("prices")?);
+    let (front, worker, prices) = (
+        all.inner("front")?,
+        all.inner("worker")?,
+        all.inner("prices")?,
+    );
     let zones = texts(all.list("zones")?);
     let classes = all.records("classes")?;
     let class_names: Vec<String> = classes.iter().map(|(n, _)| n.to_string()).collect();
@@ -385,7 +428,12 @@
     let (me, siblings) = (front.int("me")?, front.int("siblings")?);
     if me >= siblings {
         let what = format!("front end {me} of {siblings}");
-        errors.push(front.wrong("me", "front.me", what, "want a number below siblings, from 0"));
+        errors.push(front.wrong(
+            "me",
+            "front.me",
+            what,
+            "want a number below siblings, from 0",
+        ));
     }
     let mut module_classes = Vec::new();
     for (name, f) in &classes {
@@ -397,13 +445,20 @@
     }
     let tenants = all.records("tenants")?;
     let tenant = |(_, f): &(&str, Fields<'_>)| {
-        Some(module::Tenant { quota_per_s: f.number("quota_per_s")?, fraction: f.number("fraction")? })
+        Some(module::Tenant {
+            quota_per_s: f.number("quota_per_s")?,
+            fraction: f.number("fraction")?,
+        })
     };
     let listen = address(front, "listen", "front.listen", errors);
     let http = address(front, "http", "front.http", errors);
     let workers = worker_list(node, &zones, zone.unwrap_or(0), errors)?;
     let ration = worker.inner("ration").map(|r| {
-        Some(module::Ration { free: r.number("free")?, part: r.number("part")?, period: r.int("period")? })
+        Some(module::Ration {
+            free: r.number("free")?,
+            part: r.number("part")?,
+            period: r.int("period")?,
+        })
     });
     let kinds = |n: &Node| match n.kind {
         Kind::Scalar(Scalar::Size(b)) => Some(b as f64 / 1e6),
@@ -447,7 +502,11 @@
             "absent" => module::Reports::Absent,
             _ => module::Reports::Attached,
         },
-        kind_memory_mb: worker.list("kind_memory")?.iter().filter_map(kinds).collect(),
+        kind_memory_mb: worker
+            .list("kind_memory")?
+            .iter()
+            .filter_map(kinds)
+            .collect(),
         cross_zone_price: prices.number("cross_zone")?,
         fetch_price: prices.number("fetch")?,
         idle_price: prices.number("idle")?,
@@ -486,5 +545,10 @@
         Some(f) => Some(fleet(f, errors)?),
         None => None,
     };
-    Some(Settings { front, gateway, workers, fleet })
+    Some(Settings {
+        front,
+        gateway,
+        workers,
+        fleet,
+    })
 }
--- a/settings/src/value.rs
+++ b/settings/src/value.rs
@@ -82,15 +82,30 @@
             Scalar::Int(n) => write!(f, "{n}"),
             Scalar::Float(x) => write!(f, "{x}"),
             Scalar::Duration(us) => {
-                let units =
-                    [(3_600_000_000, "h"), (60_000_000, "m"), (1_000_000, "s"), (1000, "ms"), (1, "us")];
-                let (size, unit) =
-                    units.into_iter().find(|(n, _)| us % n == 0 && *us != 0).unwrap_or((1_000_000, "s"));
+                let units = [
+                    (3_600_000_000, "h"),
+                    (60_000_000, "m"),
+                    (1_000_000, "s"),
+                    (1000, "ms"),
+                    (1, "us"),
+                ];
+                let (size, unit) = units
+                    .into_iter()
+                    .find(|(n, _)| us % n == 0 && *us != 0)
+                    .unwrap_or((1_000_000, "s"));
                 write!(f, "{}{unit}", us / size)
             }
             Scalar::Size(b) => {
-                let units = [(1 << 30, "GiB"), (1 << 20, "MiB"), (1 << 10, "KiB"), (1, "B")];
-                let (size, unit) = units.into_iter().find(|(n, _)| b % n == 0 && *b != 0).unwrap_or((1, "B"));
+                let units = [
+                    (1 << 30, "GiB"),
+                    (1 << 20, "MiB"),
+                    (1 << 10, "KiB"),
+                    (1, "B"),
+                ];
+                let (size, unit) = units
+                    .into_iter()
+                    .find(|(n, _)| b % n == 0 && *b != 0)
+                    .unwrap_or((1, "B"));
                 write!(f, "{}{unit}", b / size)
             }
             Scalar::Text(t) => write!(f, "{t:?}"),
@@ -194,14 +209,26 @@
 
 /// Evaluates a file's fields where the schema's definitions are known.
 pub fn evaluate(file: &[Decl], schema: &[Decl], span: Span, errors: &mut Vec<Diagnostic>) -> Node {
-    let outer = Scope { fields: schema, outer: None };
-    let scope = Scope { fields: file, outer: Some(&outer) };
-    Node { kind: Kind::Record(record(file, &scope, span.source == SCHEMA, 0, errors)), span }
+    let outer = Scope {
+        fields: schema,
+        outer: None,
+    };
+    let scope = Scope {
+        fields: file,
+        outer: Some(&outer),
+    };
+    Node {
+        kind: Kind::Record(record(file, &scope, span.source == SCHEMA, 0, errors)),
+        span,
+    }
 }
 
 /// A definition of the schema.
 pub fn definition(name: &str, schema: &[Decl], errors: &mut Vec<Diagnostic>) -> Node {
-    let scope = Scope { fields: schema, outer: None };
+    let scope = Scope {
+        fields: schema,
+        outer: None,
+    };
     let path = [name.to_string()];
     reference(&path, Span::default(), &scope, 0, errors)
 }
@@ -213,7 +240,10 @@
     hops: usize,
     errors: &mut Vec<Diagnostic>,
 ) -> Record {
-    let mut out = Record { closed, ..Record::default() };
+    let mut out = Record {
+        closed,
+        ..Record::default()
+    };
     for d in fields {
         let node = value(&d.value, scope, hops, errors);
         match &d.label.node {
@@ -226,7 +256,14 @@
                     Some(before) => unify(node, before.node, name, errors),
                     None => node,
                 };
-                out.fields.insert(name.clone(), Field { node, optional: d.optional, span });
+                out.fields.insert(
+                    name.clone(),
+                    Field {
+                        node,
+                        optional: d.optional,
+                        span,
+                    },
+                );
             }
         }
     }
@@ -243,20 +280,39 @@
         Expr::Duration(d) => scalar(Scalar::Duration(*d)),
         Expr::Size(b) => scalar(Scalar::Size(*b)),
         Expr::Text(t) => scalar(Scalar::Text(t.clone())),
-        Expr::Name(path) => return Node { span, ..reference(path, span, scope, hops, errors) },
+        Expr::Name(path) => {
+            return Node {
+                span,
+                ..reference(path, span, scope, hops, errors)
+            }
+        }
         Expr::Record(fields) => {
-            let inner = Scope { fields, outer: Some(scope) };
+            let inner = Scope {
+                fields,
+                outer: Some(scope),
+            };
             Kind::Record(record(fields, &inner, span.source == SCHEMA, hops, errors))
         }
         Expr::List(items, rest) => {
-            let items = items.iter().map(|i| value(i, scope, hops, errors)).collect();
-            let rest = rest.as_ref().map(|r| Box::new(value(r, scope, hops, errors)));
+            let items = items
+                .iter()
+                .map(|i| value(i, scope, hops, errors))
+                .collect();
+            let rest = rest
+                .as_ref()
+                .map(|r| Box::new(value(r, scope, hops, errors)));
             Kind::List(items, rest)
         }
         Expr::Bound(relation, limit) => {
             let limit = value(limit, scope, hops, errors);
             match limit.kind {
-                Kind::Scalar(limit) => Kind::Typed(None, vec![Bound { relation: *relation, limit }]),
+                Kind::Scalar(limit) => Kind::Typed(
+                    None,
+                    vec![Bound {
+                        relation: *relation,
+                        limit,
+                    }],
+                ),
                 _ => Kind::Bad,
             }
         }
@@ -270,7 +326,10 @@
                 .collect(),
         ),
         Expr::And(list) => {
-            let mut all = Node { kind: Kind::Any, span };
+            let mut all = Node {
+                kind: Kind::Any,
+                span,
+            };
             for e in list {
                 let next = value(e, scope, hops, errors);
                 all = unify(all, next, "", errors);
@@ -289,7 +348,10 @@
     hops: usize,
     errors: &mut Vec<Diagnostic>,
 ) -> Node {
-    let bad = Node { kind: Kind::Bad, span };
+    let bad = Node {
+        kind: Kind::Bad,
+        span,
+    };
     let name = path.join(".");
     if hops > HOPS {
         errors.push(Diagnostic::new(span, format!("`{name}` refers to itself")));
@@ -297,19 +359,29 @@
     }
     let mut at = Some(scope);
     while let Some(s) = at {
-        let found = s.fields.iter().find(|d| d.label.node == Label::Name(path[0].clone()));
+        let found = s
+            .fields
+            .iter()
+            .find(|d| d.label.node == Label::Name(path[0].clone()));
         if let Some(mut d) = found {
             // Fields of records that stand as they are written can be reached by their path.
             let mut scopes: Vec<&[Decl]> = Vec::new();
             for part in &path[1..] {
-                let Expr::Record(fields) = &d.value.node else { break };
-                let next = fields.iter().find(|d| d.label.node == Label::Name(part.clone()));
+                let Expr::Record(fields) = &d.value.node else {
+                    break;
+                };
+                let next = fields
+                    .iter()
+                    .find(|d| d.label.node == Label::Name(part.clone()));
                 let Some(next) = next else {
                     let known = fields.iter().filter_map(|d| match &d.label.node {
                         Label::Name(n) => Some(n.as_str()),
                         Label::Any => None,
                     });
-                    let d = Diagnostic::new(span, format!("`{name}`: no field `{part}` is written there"));
+                    let d = Diagnostic::new(
+                        span,
+                        format!("`{name}`: no field `{part}` is written there"),
+                    );
                     errors.push(d.help(near(part, known)));
                     return bad;
                 };
@@ -321,7 +393,10 @@
         at = s.outer;
     }
     match Type::named(&name) {
-        Some(t) => Node { kind: Kind::Typed(Some(t), Vec::new()), span },
+        Some(t) => Node {
+            kind: Kind::Typed(Some(t), Vec::new()),
+            span,
+        },
         None => {
             let types = ["bool", "int", "number", "duration", "size", "string"];
             let mut known: Vec<&str> = types.to_vec();
@@ -356,7 +431,10 @@
     match scopes.split_first() {
         None => value(e, outer, hops, errors),
         Some((fields, rest)) => {
-            let scope = Scope { fields, outer: Some(outer) };
+            let scope = Scope {
+                fields,
+                outer: Some(outer),
+            };
             within(rest, &scope, e, hops, errors)
         }
     }
@@ -365,7 +443,10 @@
 /// "did you mean", if a name is near.
 fn near<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> String {
     let scored = known.map(|k| (strsim::damerau_levenshtein(name, k), k));
-    match scored.min().filter(|(d, k)| *d <= (k.len() / 3).clamp(1, 3)) {
+    match scored
+        .min()
+        .filter(|(d, k)| *d <= (k.len() / 3).clamp(1, 3))
+    {
         Some((_, k)) => format!("did you mean `{k}`?"),
         None => String::new(),
     }
@@ -389,7 +470,9 @@
         Kind::Or(list) => {
             let scalars = list.iter().all(|(_, n)| matches!(n.kind, Kind::Scalar(_)));
             // A default beside a type says nothing new of what is allowed.
-            let shown = list.iter().filter(|(d, n)| scalars || !*d || !matches!(n.kind, Kind::Scalar(_)));
+            let shown = list
+                .iter()
+                .filter(|(d, n)| scalars || !*d || !matches!(n.kind, Kind::Scalar(_)));
             let shown: Vec<String> = shown.map(|(_, n)| describe(n)).collect();
             shown.join(" or ")
         }
@@ -400,7 +483,11 @@
 /// What both allow. `a` is what was written, `b` what is wanted; errors point at `a`.
 pub fn unify(a: Node, b: Node, path: &str, errors: &mut Vec<Diagnostic>) -> Node {
     // What is shown is the file's place, never the schema's.
-    let span = if a.span.source == SCHEMA { b.span } else { a.span };
+    let span = if a.span.source == SCHEMA {
+        b.span
+    } else {
+        a.span
+    };
     let clash = |a: &Node, b: &Node, errors: &mut Vec<Diagnostic>| {
         let d = Diagnostic::new(span, format!("{} does not fit", found(a))).at(path);
         errors.push(d.help(format!("want {}", describe(b))));
@@ -409,8 +496,28 @@
     let kind = match (a.kind, b.kind) {
         (Kind::Bad, _) | (_, Kind::Bad) => Kind::Bad,
         (Kind::Any, k) | (k, Kind::Any) => k,
-        (Kind::Or(list), k) => alternatives(list, Node { kind: k, span: b.span }, true, span, path, errors),
-        (k, Kind::Or(list)) => alternatives(list, Node { kind: k, span: a.span }, false, span, path, errors),
+        (Kind::Or(list), k) => alternatives(
+            list,
+            Node {
+                kind: k,
+                span: b.span,
+            },
+            true,
+            span,
+            path,
+            errors,
+        ),
+        (k, Kind::Or(list)) => alternatives(
+            list,
+            Node {
+                kind: k,
+                span: a.span,
+            },
+            false,
+            span,
+            path,
+            errors,
+        ),
         (Kind::Scalar(x), Kind::Scalar(y)) if equal(&x, &y) => Kind::Scalar(x),
         (Kind::Scalar(s), Kind::Typed(t, bounds)) | (Kind::Typed(t, bounds), Kind::Scalar(s)) => {
             let fits = t.is_none_or(|t| t.holds(&s)) && bounds.iter().all(|b| b.holds(&s));
@@ -418,8 +525,14 @@
                 Kind::Scalar(s)
             } else {
                 clash(
-                    &Node { kind: Kind::Scalar(s), span },
-                    &Node { kind: Kind::Typed(t, bounds), span },
+                    &Node {
+                        kind: Kind::Scalar(s),
+                        span,
+                    },
+                    &Node {
+                        kind: Kind::Typed(t, bounds),
+                        span,
+                    },
                     errors,
                 )
             }
@@ -435,8 +548,14 @@
                     Kind::Typed(t, p)
                 }
                 None => clash(
-                    &Node { kind: Kind::Typed(s, p), span },
-                    &Node { kind: Kind::Typed(t, q), span },
+                    &Node {
+                        kind: Kind::Typed(s, p),
+                        span,
+                    },
+                    &Node {
+                        kind: Kind::Typed(t, q),
+                        span,
+                    },
                     errors,
                 ),
             }
@@ -472,7 +591,10 @@
     path: &str,
     errors: &mut Vec<Diagnostic>,
 ) -> Kind {
-    let shown = Node { kind: Kind::Or(list.clone()), span };
+    let shown = Node {
+        kind: Kind::Or(list.clone()),
+        span,
+    };
     let (mut fits, mut nearest): (Vec<(bool, Node)>, Option<Vec<Diagnostic>>) = (Vec::new(), None);
     for (default, n) in list {
         let mut wrong = Vec::new();
@@ -498,7 +620,11 @@
             match nearest {
                 Some(wrong) => errors.extend(wrong),
                 None => {
-                    let (a, b) = if list_is_written { (&shown, &other) } else { (&other, &shown) };
+                    let (a, b) = if list_is_written {
+                        (&shown, &other)
+                    } else {
+                        (&other, &shown)
+                    };
                     let d = Diagnostic::new(span, format!("{} does not fit", found(a))).at(path);
                     errors.push(d.help(format!("want {}", describe(b))));
                 }
@@ -513,19 +639,32 @@
 }
 
 fn records(mut a: Record, b: Record, path: &str, errors: &mut Vec<Diagnostic>) -> Record {
-    let mut out = Record { closed: a.closed || b.closed, ..Record::default() };
+    let mut out = Record {
+        closed: a.closed || b.closed,
+        ..Record::default()
+    };
     let names: Vec<String> = a.fields.keys().cloned().collect();
     for name in names {
-        let Some(f) = a.fields.shift_remove(&name) else { continue };
+        let Some(f) = a.fields.shift_remove(&name) else {
+            continue;
+        };
         let here = join(path, &name);
         let field = match (b.fields.get(&name), &b.any) {
             (Some(g), _) => {
                 let optional = f.optional && g.optional;
-                Field { node: unify(f.node, g.node.clone(), &here, errors), optional, span: f.span }
+                Field {
+                    node: unify(f.node, g.node.clone(), &here, errors),
+                    optional,
+                    span: f.span,
+                }
             }
-            (None, Some(any)) => Field { node: unify(f.node, (**any).clone(), &here, errors), ..f },
+            (None, Some(any)) => Field {
+                node: unify(f.node, (**any).clone(), &here, errors),
+                ..f
+            },
             (None, None) if b.closed => {
-                let d = Diagnostic::new(f.span, format!("no field `{name}` belongs here")).at(&here);
+                let d =
+                    Diagnostic::new(f.span, format!("no field `{name}` belongs here")).at(&here);
                 let help = near(&name, b.fields.keys().map(String::as_str));
                 let all: Vec<&str> = b.fields.keys().map(String::as_str).collect();
                 errors.push(d.help(if help.is_empty() {
@@ -568,9 +707,15 @@
     let (mut x, mut y, mut out) = (x.into_iter(), y.into_iter(), Vec::new());
     for n in 0..a.max(b) {
         let here = format!("{path}[{n}]");
-        let any = || Node { kind: Kind::Any, span };
+        let any = || Node {
+            kind: Kind::Any,
+            span,
+        };
         let rest = |r: &Option<Box<Node>>| r.as_ref().map_or_else(any, |r| (**r).clone());
-        let (one, two) = (x.next().unwrap_or_else(|| rest(&xr)), y.next().unwrap_or_else(|| rest(&yr)));
+        let (one, two) = (
+            x.next().unwrap_or_else(|| rest(&xr)),
+            y.next().unwrap_or_else(|| rest(&yr)),
+        );
         out.push(unify(one, two, &here, errors));
     }
     let rest = match (xr, yr) {
@@ -590,7 +735,11 @@
 
 /// Takes defaults, leaves out what may be, and tells of what is missing. `near` is the nearest place in the file.
 pub fn concrete(node: Node, path: &str, near: Span, errors: &mut Vec<Diagnostic>) -> Node {
-    let span = if node.span.source == SCHEMA { near } else { node.span };
+    let span = if node.span.source == SCHEMA {
+        near
+    } else {
+        node.span
+    };
     let missing = |node: &Node, errors: &mut Vec<Diagnostic>| {
         let d = Diagnostic::new(span, "no value is given").at(path);
         errors.push(d.help(format!("want {}", describe(node))));
@@ -606,7 +755,13 @@
                 let chosen = list.swap_remove(n).1;
                 concrete(chosen, path, span, errors).kind
             }
-            None => missing(&Node { kind: Kind::Or(list), span }, errors),
+            None => missing(
+                &Node {
+                    kind: Kind::Or(list),
+                    span,
+                },
+                errors,
+            ),
         },
         Kind::Record(r) => {
             let mut fields = IndexMap::new();
@@ -614,11 +769,26 @@
                 if f.optional && !is_given(&f.node) {
                     continue;
                 }
-                let at = if f.span.source == SCHEMA { span } else { f.span };
+                let at = if f.span.source == SCHEMA {
+                    span
+                } else {
+                    f.span
+                };
                 let node = concrete(f.node, &join(path, &name), at, errors);
-                fields.insert(name, Field { node, optional: false, span: at });
+                fields.insert(
+                    name,
+                    Field {
+                        node,
+                        optional: false,
+                        span: at,
+                    },
+                );
             }
-            Kind::Record(Record { fields, any: None, closed: true })
+            Kind::Record(Record {
+                fields,
+                any: None,
+                closed: true,
+            })
         }
         Kind::List(items, _) => {
             let one = |(n, i)| concrete(i, &format!("{path}[{n}]"), span, errors);
--- a/settings/tests/agree.rs
+++ b/settings/tests/agree.rs
@@ -1,8 +1,12 @@
 //! Every field of the schema says how it agrees, and what it says is what two front ends would need.
 
 use std::collections::BTreeSet;
-use tansy_agree::rule::{changes, contradictions, joint, lapsed, Fields, Kind, Rules, Touch, Value};
-use tansy_settings::agree::{agreement, fields, filled, function, settings, text, unknown, version};
+use tansy_agree::rule::{
+    changes, contradictions, joint, lapsed, Fields, Kind, Rules, Touch, Value,
+};
+use tansy_settings::agree::{
+    agreement, fields, filled, function, settings, text, unknown, version,
+};
 
 /// A text in which every field of the schema stands, optional ones among them.
 const FULL: &str = r#"
@@ -71,20 +75,40 @@
     }
     assert!(seen.len() > 60, "{} fields", seen.len());
     // What no pattern names would be strict for every call. These alone are meant to be.
-    let strict: Vec<&String> = full.keys().filter(|p| *agreement().kind(p) == Kind::Strict).collect();
-    assert_eq!(strict, ["classes.chat.group", "front.class_key", "front.tenant_key", "functions.f.class"]);
+    let strict: Vec<&String> = full
+        .keys()
+        .filter(|p| *agreement().kind(p) == Kind::Strict)
+        .collect();
+    assert_eq!(
+        strict,
+        [
+            "classes.chat.group",
+            "front.class_key",
+            "front.tenant_key",
+            "functions.f.class"
+        ]
+    );
 }
 
 #[test]
 fn of_two_versions_the_stricter_holds_and_contested_calls_alone_stop() {
     let old = of(FULL);
-    let new = with("group: \"zone\", window: 20s", "group: \"cell\", window: 30s");
+    let new = with(
+        "group: \"zone\", window: 20s",
+        "group: \"cell\", window: 30s",
+    );
     let rules = joint(&agreement(), &old, &new);
     assert_eq!(rules.fields["classes.chat.window"], Value::Span(20_000_000));
     assert_eq!(rules.refused, BTreeSet::from([Touch::Class("chat".into())]));
-    let changed: Vec<String> = changes(&agreement(), &old, &new).into_iter().map(|c| c.path).collect();
+    let changed: Vec<String> = changes(&agreement(), &old, &new)
+        .into_iter()
+        .map(|c| c.path)
+        .collect();
     assert_eq!(changed, ["classes.chat.group", "classes.chat.window"]);
-    assert!(!contradictions(&agreement(), &old, &Rules::of(&new)).is_empty(), "side by side they contradict");
+    assert!(
+        !contradictions(&agreement(), &old, &Rules::of(&new)).is_empty(),
+        "side by side they contradict"
+    );
 }
 
 #[test]
@@ -96,13 +120,20 @@
         with("effect: \"keyed\"", "effect: \"unsafe\""),
         with("quota_per_s: 10", "quota_per_s: 1"),
         with("class: \"chat\"", "class: \"post\""),
-        with("front: {zone: \"a\"}", "front: {zone: \"a\", siblings: 400}"),
+        with(
+            "front: {zone: \"a\"}",
+            "front: {zone: \"a\", siblings: 400}",
+        ),
         with("acme", "other"),
         with("free: 3", "free: 0"),
     ] {
         assert_eq!(contradictions(&agreement(), &force, &rules), vec![]);
     }
-    assert_eq!(rules.fields["worker.may_order"], Value::Flag(false), "it loads nothing");
+    assert_eq!(
+        rules.fields["worker.may_order"],
+        Value::Flag(false),
+        "it loads nothing"
+    );
 }
 
 #[test]
@@ -127,13 +158,18 @@
     assert_eq!(paths, wanted);
     assert_eq!(Touch::of(paths[0]), Touch::Class("a.b%".into()));
     // The text of it is read to the same, and so is what is filled in.
-    assert_eq!(version("t.cue", &text(&held)).expect("its text is right"), held);
+    assert_eq!(
+        version("t.cue", &text(&held)).expect("its text is right"),
+        held
+    );
     let (all, strange) = filled(&held).expect("it loads");
     assert!(strange.is_empty());
     assert_eq!(all["worker.max_attempts"], Value::Int(4));
     assert!(!all.contains_key("front.me"));
     assert_eq!(
-        fields("t.cue", &text(&all)).map(|mut f| f.remove("front.siblings")).ok(),
+        fields("t.cue", &text(&all))
+            .map(|mut f| f.remove("front.siblings"))
+            .ok(),
         Some(Some(Value::Int(3)))
     );
 }
@@ -145,15 +181,24 @@
     held.insert("classes.chat.sorrow".into(), Value::Int(3));
     held.insert("worker.mood".into(), Value::Text("blue".into()));
     let (all, strange) = filled(&held).expect("the rest loads");
-    assert_eq!(strange, BTreeSet::from([Touch::All, Touch::Class("chat".into())]));
+    assert_eq!(
+        strange,
+        BTreeSet::from([Touch::All, Touch::Class("chat".into())])
+    );
     assert!(!all.contains_key("worker.mood"));
 }
 
 #[test]
 fn rules_of_any_step_make_settings() {
-    let own = of(&FULL.replace("front: {zone: \"a\"}", "front: {zone: \"a\", me: 2, siblings: 5}"));
+    let own = of(&FULL.replace(
+        "front: {zone: \"a\"}",
+        "front: {zone: \"a\", me: 2, siblings: 5}",
+    ));
     let now = of(FULL);
-    let safe = with("effect: \"keyed\", group: \"zone\", window: 20s", "effect: \"safe\"");
+    let safe = with(
+        "effect: \"keyed\", group: \"zone\", window: 20s",
+        "effect: \"safe\"",
+    );
     for rules in [
         Rules::of(&now),
         joint(&agreement(), &now, &safe),
@@ -167,18 +212,27 @@
     }
     // Keyed at one and safe at the other is a class whose workers drop no repeat: no second attempt.
     let both = settings(&own, &joint(&agreement(), &now, &safe).fields).expect("it makes sense");
-    assert_eq!(both.front.settings.classes[0].effect, tansyrouter::Effect::Unsafe);
+    assert_eq!(
+        both.front.settings.classes[0].effect,
+        tansyrouter::Effect::Unsafe
+    );
 }
 
 /// A function's fields, as they stand by themselves.
 fn alone(fields: &[(&str, Value)]) -> Fields {
-    fields.iter().map(|(name, v)| (name.to_string(), v.clone())).collect()
+    fields
+        .iter()
+        .map(|(name, v)| (name.to_string(), v.clone()))
+        .collect()
 }
 
 #[test]
 fn a_function_by_itself_is_what_it_is_among_all_settings() {
     let text = |t: &str| Value::Text(t.into());
-    let least = alone(&[("class", text("chat")), ("memory", Value::Bytes(250_000_000))]);
+    let least = alone(&[
+        ("class", text("chat")),
+        ("memory", Value::Bytes(250_000_000)),
+    ]);
     let mut most = least.clone();
     most.extend(alone(&[
         ("lanes", Value::Int(7)),
@@ -186,24 +240,42 @@
         ("versions", Value::List(vec![text("2"), text("3")])),
     ]));
     for fields in [least, most] {
-        let whole = fields.iter().map(|(name, v)| (format!("functions.f.{name}"), v.clone()));
-        let base = of(FULL).into_iter().filter(|(p, _)| !p.starts_with("functions."));
-        let whole = settings(&Fields::new(), &base.chain(whole).collect()).unwrap_or_else(|e| panic!("{e}"));
-        let (spec, f) = (&whole.front.functions[0], function("f", &fields).unwrap_or_else(|e| panic!("{e}")));
+        let whole = fields
+            .iter()
+            .map(|(name, v)| (format!("functions.f.{name}"), v.clone()));
+        let base = of(FULL)
+            .into_iter()
+            .filter(|(p, _)| !p.starts_with("functions."));
+        let whole = settings(&Fields::new(), &base.chain(whole).collect())
+            .unwrap_or_else(|e| panic!("{e}"));
+        let (spec, f) = (
+            &whole.front.functions[0],
+            function("f", &fields).unwrap_or_else(|e| panic!("{e}")),
+        );
         assert_eq!(whole.front.classes[spec.class], f.class);
-        assert_eq!((spec.lanes, spec.memory_mb, spec.load_time), (f.lanes, f.memory_mb, f.load_time));
+        assert_eq!(
+            (spec.lanes, spec.memory_mb, spec.load_time),
+            (f.lanes, f.memory_mb, f.load_time)
+        );
         assert_eq!(spec.versions, f.versions);
     }
 }
 
 #[test]
 fn a_function_by_itself_that_makes_no_sense_is_told_with_what_would() {
-    let good = alone(&[("class", Value::Text("chat".into())), ("memory", Value::Bytes(1_000))]);
+    let good = alone(&[
+        ("class", Value::Text("chat".into())),
+        ("memory", Value::Bytes(1_000)),
+    ]);
     assert!(function("f", &good).is_ok());
     let cases: [(&str, Option<Value>, &str); 7] = [
         ("memory", None, "memory"),
         ("class", None, "class"),
-        ("class", Some(Value::Text(String::new())), "want the name of a class"),
+        (
+            "class",
+            Some(Value::Text(String::new())),
+            "want the name of a class",
+        ),
         ("lanes", Some(Value::Int(0)), "lanes"),
         ("lanes", Some(Value::Text("many".into())), "lanes"),
         ("load_time", Some(Value::Span(0)), "load_time"),
@@ -214,6 +286,9 @@
         bad.remove(field);
         bad.extend(value.map(|v| (field.to_string(), v)));
         let why = function("f", &bad).expect_err(field).to_string();
-        assert!(why.contains("functions.f") && why.contains(wanted), "{field}: {why}");
+        assert!(
+            why.contains("functions.f") && why.contains(wanted),
+            "{field}: {why}"
+        );
     }
 }
--- a/settings/tests/settings.rs
+++ b/settings/tests/settings.rs
@@ -26,9 +26,21 @@
     let m = &s.front.settings;
     assert_eq!((m.me, m.siblings, m.zone), (1, 3, 1));
     assert_eq!(s.front.classes, ["overlay", "post", "keyed"]);
-    assert_eq!((m.classes[0].aim, m.classes[0].deadline), (250_000, 1_000_000));
-    assert_eq!((m.classes[1].aim, m.classes[1].effect), (250_000, Effect::Unsafe));
-    assert_eq!(m.classes[2].effect, Effect::Keyed { group: Group::Zone, window: 30_000_000 });
+    assert_eq!(
+        (m.classes[0].aim, m.classes[0].deadline),
+        (250_000, 1_000_000)
+    );
+    assert_eq!(
+        (m.classes[1].aim, m.classes[1].effect),
+        (250_000, Effect::Unsafe)
+    );
+    assert_eq!(
+        m.classes[2].effect,
+        Effect::Keyed {
+            group: Group::Zone,
+            window: 30_000_000
+        }
+    );
     let f = &s.front.functions[0];
     assert_eq!(
         (f.name.as_str(), f.class, f.lanes, f.memory_mb, f.load_time),
@@ -39,7 +51,8 @@
     assert_eq!(s.gateway.listen.port(), 8001);
 }
 
-const LEAST: &str = "classes: {c: {aim: 1s, deadline: 2s}}\nfunctions: {f: {class: \"c\", memory: 1MB}}\n";
+const LEAST: &str =
+    "classes: {c: {aim: 1s, deadline: 2s}}\nfunctions: {f: {class: \"c\", memory: 1MB}}\n";
 
 fn errors(extra: &str) -> Vec<String> {
     match settings("t.cue", &format!("{LEAST}{extra}")) {
@@ -73,7 +86,10 @@
     ];
     for (extra, want) in cases {
         let got = errors(extra);
-        assert!(got.iter().any(|line| line.starts_with(want)), "{extra}\n want {want}\n  got {got:#?}");
+        assert!(
+            got.iter().any(|line| line.starts_with(want)),
+            "{extra}\n want {want}\n  got {got:#?}"
+        );
     }
 }
 
@@ -82,8 +98,13 @@
     let text = "classes: {c: {aim: 3s, deadline: 2s, effect: \"keyed\"}}\nfunctions: {f: {class: \"d\", memory: 0B}}\nfront: {me: -1, siblings: \"two\"}";
     let e = settings("t.cue", text).unwrap_err();
     assert_eq!(e.list.len(), 3, "{e}");
-    let e =
-        settings("t.cue", &text.replace("0B", "1B").replace("me: -1, siblings: \"two\"", "")).unwrap_err();
+    let e = settings(
+        "t.cue",
+        &text
+            .replace("0B", "1B")
+            .replace("me: -1, siblings: \"two\"", ""),
+    )
+    .unwrap_err();
     assert_eq!(e.list.len(), 3, "the checks across fields: {e}");
 }
 
@@ -94,7 +115,9 @@
     for _ in 0..600 {
         let text: String = (0..24)
             .map(|_| {
-                seed = seed.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+                seed = seed
+                    .wrapping_mul(6364136223846793005)
+                    .wrapping_add(1442695040888963407);
                 bytes[(seed >> 33) as usize % bytes.len()]
             })
             .collect();
@@ -105,11 +128,26 @@
 #[test]
 fn a_list_of_workers_is_read_with_the_zones_it_is_told() {
     let zones = ["a".to_string(), "b".to_string()];
-    let text = "workers: [\n {name: \"w1\", address: \"127.0.0.1:9001\", zone: \"b\", started: 2s}\n \
+    let text =
+        "workers: [\n {name: \"w1\", address: \"127.0.0.1:9001\", zone: \"b\", started: 2s}\n \
                 {name: \"w2\", address: \"[::1]:9002\", state: \"draining\"}\n]";
     let list = workers("w.cue", text, &zones, 0).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!((list[0].listed.zone, list[0].listed.age, list[0].listed.state), (1, Some(2_000_000), 0));
-    assert_eq!((list[1].listed.zone, list[1].listed.age, list[1].listed.state), (0, None, 1));
+    assert_eq!(
+        (
+            list[0].listed.zone,
+            list[0].listed.age,
+            list[0].listed.state
+        ),
+        (1, Some(2_000_000), 0)
+    );
+    assert_eq!(
+        (
+            list[1].listed.zone,
+            list[1].listed.age,
+            list[1].listed.state
+        ),
+        (0, None, 1)
+    );
     let twice = text.replace("w2", "w1").replace("\"b\"", "\"c\"");
     let e = workers("w.cue", &twice, &zones, 0).unwrap_err();
     assert_eq!(e.list.len(), 2, "{e}");
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -149,7 +149,10 @@
 impl Typical {
     fn add(&mut self, x: f64) {
         if self.mean == 0.0 {
-            *self = Typical { mean: x, dev: x / 2.0 };
+            *self = Typical {
+                mean: x,
+                dev: x / 2.0,
+            };
         } else {
             self.dev += GAIN * ((x - self.mean).abs() - self.dev);
             self.mean += GAIN * (x - self.mean);
@@ -166,7 +169,10 @@
 
 impl Recent {
     fn add(&mut self, now: Time, x: f64, memory: f64) {
-        *self = Recent { sum: x + self.sum * (-(now.since(self.at) as f64) / memory).exp(), at: now };
+        *self = Recent {
+            sum: x + self.sum * (-(now.since(self.at) as f64) / memory).exp(),
+            at: now,
+        };
     }
 }
 
@@ -181,7 +187,9 @@
     }
     /// What its slowness is never under, whatever is presumed: that is no less than one's own.
     fn least(&self) -> f64 {
-        Some(self.0.sum / self.1.sum).filter(|r| *r >= 0.0).unwrap_or(1.0)
+        Some(self.0.sum / self.1.sum)
+            .filter(|r| *r >= 0.0)
+            .unwrap_or(1.0)
     }
     fn slowness(&self, presumed: f64) -> f64 {
         (self.0.sum + FEW * presumed) / (self.1.sum + FEW)
@@ -238,7 +246,13 @@
     /// A router that knows nothing yet. The seed is for its random numbers.
     pub fn new(set: Settings, seed: u64, now: Time) -> Result<Router, BadSettings> {
         let listed_at = now.plus(-set.ask_within);
-        let mut new = Router { seed, next_sweep: now, listed_at, began: now, ..Router::default() };
+        let mut new = Router {
+            seed,
+            next_sweep: now,
+            listed_at,
+            began: now,
+            ..Router::default()
+        };
         new.change(set).map(|()| new)
     }
 
@@ -246,7 +260,9 @@
     pub fn change(&mut self, set: Settings) -> Result<(), BadSettings> {
         let last = self.requests.values().map(|r| r.class).max().unwrap_or(0);
         if set.classes.len() <= last || set.siblings == 0 || set.max_attempts == 0 {
-            return Err(BadSettings("no class of requests, no front end or no attempt".into()));
+            return Err(BadSettings(
+                "no class of requests, no front end or no attempt".into(),
+            ));
         } else if set.classes.iter().any(|c| c.aim <= 0 || c.deadline <= 0) {
             return Err(BadSettings("an aim or deadline not above zero".into()));
         }
@@ -273,10 +289,16 @@
             }
             Event::AttemptDone(d) => self.on_done(now, d, out),
             Event::Departed { request } => self.conclude(request),
-            Event::ProbeDone { worker, outcome, .. } => self.on_test(worker, outcome == Served),
-            Event::OrderDone { worker, function, outcome, latency, instances } => {
-                self.on_order(now, (worker, function), (outcome, latency, instances), out)
-            }
+            Event::ProbeDone {
+                worker, outcome, ..
+            } => self.on_test(worker, outcome == Served),
+            Event::OrderDone {
+                worker,
+                function,
+                outcome,
+                latency,
+                instances,
+            } => self.on_order(now, (worker, function), (outcome, latency, instances), out),
         }
         self.answer_due(now, out);
         if now >= self.next_sweep {
@@ -284,7 +306,11 @@
             self.next_sweep = now.plus(SWEEP);
         }
         let calm = self.waiting.is_empty() && self.requests.is_empty();
-        let at = if calm { now.plus(SECOND) } else { self.next_sweep };
+        let at = if calm {
+            now.plus(SECOND)
+        } else {
+            self.next_sweep
+        };
         if self.timer_at.is_none_or(|t| t <= now || t > at) {
             self.timer_at = Some(at);
             out.push(Action::SetTimer { at, token: 0 });
@@ -300,27 +326,53 @@
         }
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             let named: BTreeSet<WorkerId> = entries.iter().map(|e| e.worker).collect();
-            let omitted = self.workers.iter_mut().filter(|(id, _)| !named.contains(id));
-            omitted.for_each(|(_, w)| (w.entry.state, w.left) = (WorkerState::Gone, w.left.or(Some(now))));
+            let omitted = self
+                .workers
+                .iter_mut()
+                .filter(|(id, _)| !named.contains(id));
+            omitted.for_each(|(_, w)| {
+                (w.entry.state, w.left) = (WorkerState::Gone, w.left.or(Some(now)))
+            });
         }
         let siblings = self.set.siblings as u64;
         for mut e in entries {
-            e.share = if e.share.is_finite() && e.share > 0.0 { e.share } else { 1.0 };
+            e.share = if e.share.is_finite() && e.share > 0.0 {
+                e.share
+            } else {
+                1.0
+            };
             let id = e.worker;
-            let known = self.workers.get(&id).is_some_and(|w| e.started <= w.entry.started);
+            let known = self
+                .workers
+                .get(&id)
+                .is_some_and(|w| e.started <= w.entry.started);
             let mut w = self.workers.remove(&id).unwrap_or_default();
             w.left = (e.state != WorkerState::Ready).then(|| w.left.unwrap_or(now));
             w.entry = e;
             if !known {
                 // A restart voids what was believed of the process before it (see `alive`), good or bad.
-                let places = self.functions.values_mut().filter_map(|f| f.places.get_mut(&id));
-                places.filter(|p| p.vain > 0).for_each(|p| (p.vain, p.barred_until) = (0, now));
+                let places = self
+                    .functions
+                    .values_mut()
+                    .filter_map(|f| f.places.get_mut(&id));
+                places
+                    .filter(|p| p.vain > 0)
+                    .for_each(|p| (p.vain, p.barred_until) = (0, now));
                 let (entry, left, in_flight, out) = (w.entry, w.left, w.in_flight, w.out);
-                w = Worker { entry, left, in_flight, out, limit: FIRST_LIMIT, ..Worker::default() };
+                w = Worker {
+                    entry,
+                    left,
+                    in_flight,
+                    out,
+                    limit: FIRST_LIMIT,
+                    ..Worker::default()
+                };
                 (w.heard, w.credit_at) = (now, now);
                 let turn = (mix(id.0) % siblings + self.set.me as u64 % siblings) % siblings;
                 let first = self.service(0) * turn as f64 / siblings as f64;
-                w.credit = self.cold_rate(&w, now).map_or(0.0, |r| first.max(r * self.set.fall_after as f64));
+                w.credit = self
+                    .cold_rate(&w, now)
+                    .map_or(0.0, |r| first.max(r * self.set.fall_after as f64));
             }
             self.workers.insert(id, w);
         }
@@ -334,7 +386,9 @@
     }
 
     fn ready(&self) -> impl Iterator<Item = (&WorkerId, &Worker)> {
-        self.workers.iter().filter(|(_, w)| w.entry.state == WorkerState::Ready)
+        self.workers
+            .iter()
+            .filter(|(_, w)| w.entry.state == WorkerState::Ready)
     }
 
     /// EXCEPTION (rule 4): a worker told to have started lately is sent no more than my share of half the
@@ -373,7 +427,15 @@
 
     /// How much of a function belongs at a worker: the same order at every front end, or an own one of each.
     fn claim(&self, f: FunctionId, id: WorkerId, w: &Worker, own: bool) -> f64 {
-        rendezvous(if own { FunctionId(mix(f.0 ^ self.set.me as u64)) } else { f }, id, self.strength(w))
+        rendezvous(
+            if own {
+                FunctionId(mix(f.0 ^ self.set.me as u64))
+            } else {
+                f
+            },
+            id,
+            self.strength(w),
+        )
     }
 
     /// Whether a worker may take new work at all: what every send and every load order passes.
@@ -399,7 +461,9 @@
     /// How long a worker must rest yet for a limit under one call, where a call takes so long.
     fn rest(w: &Worker, service: f64, now: Time) -> f64 {
         let since = w.last.map_or(f64::MAX, |t| now.since(t) as f64);
-        Some(service / w.limit - since).filter(|_| w.limit < 1.0).unwrap_or(0.0)
+        Some(service / w.limit - since)
+            .filter(|_| w.limit < 1.0)
+            .unwrap_or(0.0)
     }
 
     /// Rule 2: whether a further attempt is allowed, at this worker or (none) anywhere.
@@ -415,17 +479,23 @@
             Effect::Safe => true,
             Effect::Unsafe => ran.next().is_none(),
             // The margin covers the way to the worker, a connection made anew included.
-            Effect::Keyed { group, window } => {
-                ran.all(|a| in_group(a, group) && now.since(a.sent) < window - 2 * self.set.connect_timeout)
-            }
+            Effect::Keyed { group, window } => ran.all(|a| {
+                in_group(a, group) && now.since(a.sent) < window - 2 * self.set.connect_timeout
+            }),
         };
         effect && r.attempts.len() < self.set.max_attempts as usize
     }
 
     fn may_refuse(&self, r: &Request) -> bool {
         let effect = self.set.classes[r.class].effect;
-        matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. })
-            || r.attempts.iter().all(|a| a.ran == Some(false))
+        matches!(
+            effect,
+            Effect::Safe
+                | Effect::Keyed {
+                    group: Group::All,
+                    ..
+                }
+        ) || r.attempts.iter().all(|a| a.ran == Some(false))
     }
 
     /// EXCEPTION (rule 1): what can't be held until the next sweep is answered at once, also what comes with
@@ -433,14 +503,27 @@
     fn answer_due(&mut self, now: Time, out: &mut Vec<Action>) {
         let soon = now.plus(2 * self.set.tick + SWEEP);
         let due = self.deadlines.range(..(soon, RequestId(u64::MAX)));
-        let over = due.filter(|(at, id)| *at <= now || self.requests.get(id).is_some_and(|r| !r.pending()));
-        over.map(|k| k.1).collect::<Vec<_>>().into_iter().for_each(|id| self.finish(id, out));
+        let over = due
+            .filter(|(at, id)| *at <= now || self.requests.get(id).is_some_and(|r| !r.pending()));
+        over.map(|k| k.1)
+            .collect::<Vec<_>>()
+            .into_iter()
+            .for_each(|id| self.finish(id, out));
     }
 
     fn finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id).filter(|r| !r.concluded) else { return };
-        let refuse = Action::Refuse { request: id, stay_away: 0 };
-        out.push(if self.may_refuse(r) { refuse } else { Action::Fail { request: id } });
+        let Some(r) = self.requests.get(&id).filter(|r| !r.concluded) else {
+            return;
+        };
+        let refuse = Action::Refuse {
+            request: id,
+            stay_away: 0,
+        };
+        out.push(if self.may_refuse(r) {
+            refuse
+        } else {
+            Action::Fail { request: id }
+        });
         self.conclude(id);
     }
 
@@ -456,8 +539,12 @@
     }
 
     fn unline(&mut self, id: RequestId) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let (Some(turn), Some(f)) = (r.line.take(), self.functions.get_mut(&r.function)) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let (Some(turn), Some(f)) = (r.line.take(), self.functions.get_mut(&r.function)) else {
+            return;
+        };
         f.line.remove(&turn);
         f.again.remove(&turn);
         if f.line.is_empty() {
@@ -468,8 +555,13 @@
 
     fn enline(&mut self, id: RequestId, now: Time) {
         self.unline(id);
-        let Some(r) = self.requests.get(&id) else { return };
-        let late = now.since(r.aim_at).saturating_add(self.expected(r).0 as Span) > 0;
+        let Some(r) = self.requests.get(&id) else {
+            return;
+        };
+        let late = now
+            .since(r.aim_at)
+            .saturating_add(self.expected(r).0 as Span)
+            > 0;
         let (turn, fid) = ((2 * late as u8, r.aim_at, id), r.function);
         if let (Some(r), Some(f)) = (self.requests.get_mut(&id), self.functions.get_mut(&fid)) {
             r.line = Some(turn);
@@ -485,7 +577,8 @@
             return;
         }
         let class = a.class.min(self.set.classes.len() - 1);
-        self.arrivals.extend((self.set.ration.is_some() && self.set.may_order).then_some(now));
+        self.arrivals
+            .extend((self.set.ration.is_some() && self.set.may_order).then_some(now));
         let memory = self.memory();
         let f = self.functions.entry(a.function).or_default();
         f.lanes = a.lanes.max(1);
@@ -494,13 +587,26 @@
         f.calls.add(now, 1.0, memory);
         let hint = a.work_hint.filter(|h| *h > 0);
         if let Some(h) = hint {
-            f.mean_hint += if f.mean_hint == 0.0 { h as f64 } else { GAIN * (h as f64 - f.mean_hint) };
+            f.mean_hint += if f.mean_hint == 0.0 {
+                h as f64
+            } else {
+                GAIN * (h as f64 - f.mean_hint)
+            };
         }
         let c = &self.set.classes[class];
-        let aim = c.aim.saturating_add((c.aim_stretch * hint.unwrap_or(0) as f64) as Span);
+        let aim = c
+            .aim
+            .saturating_add((c.aim_stretch * hint.unwrap_or(0) as f64) as Span);
         let deadline = now.plus(a.budget.max(0));
         let aim_at = now.plus(aim.min(c.deadline)).min(deadline);
-        let r = Request { class, function: a.function, aim_at, deadline, hint, ..Request::default() };
+        let r = Request {
+            class,
+            function: a.function,
+            aim_at,
+            deadline,
+            hint,
+            ..Request::default()
+        };
         self.requests.insert(a.request, r);
         self.deadlines.insert((deadline, a.request));
         self.enline(a.request, now);
@@ -512,7 +618,10 @@
         let f = self.functions.get(&r.function);
         let base = f.and_then(|f| f.service).unwrap_or(self.service(r.class));
         let mean = f.map_or(0.0, |f| f.mean_hint);
-        let weight = r.hint.filter(|_| mean > 0.0).map_or(1.0, |h| h as f64 / mean);
+        let weight = r
+            .hint
+            .filter(|_| mean > 0.0)
+            .map_or(1.0, |h| h as f64 / mean);
         (base * weight, weight)
     }
 
@@ -525,19 +634,32 @@
     /// What an answer usually takes of late, queues and chance included.
     fn answer_time(&self) -> f64 {
         let seen = self.answers.mean + self.answers.dev;
-        Some(seen).filter(|s| *s > 0.0).unwrap_or(2.0 * self.service(0))
+        Some(seen)
+            .filter(|s| *s > 0.0)
+            .unwrap_or(2.0 * self.service(0))
     }
 
     fn on_done(&mut self, now: Time, d: AttemptDone, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get_mut(&d.request) else { return };
-        let Some(a) = r.attempts.get_mut(d.attempt as usize) else { return };
+        let Some(r) = self.requests.get_mut(&d.request) else {
+            return;
+        };
+        let Some(a) = r.attempts.get_mut(d.attempt as usize) else {
+            return;
+        };
         if a.ran.replace(!d.outcome.never_ran()).is_some() {
             return;
         }
         let (wid, sent, fid, class) = (a.to.worker, a.sent, r.function, r.class);
         let owed = !r.concluded && !d.concluded;
-        let (usual, weight) = self.requests.get(&d.request).map_or((0.0, 1.0), |r| self.expected(r));
-        let (aim, memory, filled) = (self.set.classes[class].aim as f64, self.memory(), self.filled(now));
+        let (usual, weight) = self
+            .requests
+            .get(&d.request)
+            .map_or((0.0, 1.0), |r| self.expected(r));
+        let (aim, memory, filled) = (
+            self.set.classes[class].aim as f64,
+            self.memory(),
+            self.filled(now),
+        );
         if let Some(w) = self.workers.get_mut(&wid) {
             w.out.remove(&(sent, d.request));
             w.in_flight = w.in_flight.saturating_sub(1);
@@ -570,7 +692,11 @@
             }
             let bad = slow || matches!(d.outcome, TurnedAway | TimedOut);
             if bad && now.since(w.cut_at) > usual as Span {
-                let used = if w.in_flight > 0 { w.limit } else { (usual * w.sends.sum / filled).min(1.0) };
+                let used = if w.in_flight > 0 {
+                    w.limit
+                } else {
+                    (usual * w.sends.sum / filled).min(1.0)
+                };
                 let least = (LEAST_LIMIT / self.set.siblings as f64).min(1.0);
                 (w.limit, w.cut_at) = ((w.limit.min(used) * CUT).max(least), now);
             } else if !bad && ran && w.in_flight as f64 + 1.5 >= w.limit {
@@ -596,12 +722,22 @@
                         let x = d.latency.max(1) as f64 / weight;
                         self.answers.add(d.latency.max(1) as f64);
                         // A low estimate: falls fast, rises slowly, so that queues weigh little.
-                        let step = |old: f64| old + (x - old) * if x < old { 2.0 * GAIN } else { GAIN / 2.0 };
+                        let step = |old: f64| {
+                            old + (x - old) * if x < old { 2.0 * GAIN } else { GAIN / 2.0 }
+                        };
                         f.service = Some(f.service.map_or(x, step));
                         self.services.insert(class, step(served));
                     }
                     let work = self.services.get(&class).copied().unwrap_or(served);
-                    self.work.add(now, if self.shares > 0.0 { work / self.shares } else { 0.0 }, memory);
+                    self.work.add(
+                        now,
+                        if self.shares > 0.0 {
+                            work / self.shares
+                        } else {
+                            0.0
+                        },
+                        memory,
+                    );
                 }
                 NotLoaded => (p.warm, p.missed) = (false, Some(now)),
                 ConnectFailed => p.warm = false,
@@ -628,8 +764,14 @@
     fn pump(&mut self, now: Time, fid: FunctionId, out: &mut Vec<Action>) {
         let mut after = (0, Time(i64::MIN), RequestId(0));
         let mut sent = false;
-        while let Some(turn) = self.functions.get(&fid).and_then(|f| f.line.range(after..).next().copied()) {
-            let Some(r) = self.requests.get(&turn.2) else { break };
+        while let Some(turn) = self
+            .functions
+            .get(&fid)
+            .and_then(|f| f.line.range(after..).next().copied())
+        {
+            let Some(r) = self.requests.get(&turn.2) else {
+                break;
+            };
             let fresh = r.attempts.is_empty();
             if let Some(w) = self.pick(r, now) {
                 self.send(now, turn.2, w, out);
@@ -661,8 +803,13 @@
     }
 
     /// Its places with their workers.
-    fn seats<'a>(&'a self, f: &'a Function) -> impl Iterator<Item = (WorkerId, &'a Place, &'a Worker)> {
-        f.places.iter().filter_map(|(id, p)| Some((*id, p, self.workers.get(id)?)))
+    fn seats<'a>(
+        &'a self,
+        f: &'a Function,
+    ) -> impl Iterator<Item = (WorkerId, &'a Place, &'a Worker)> {
+        f.places
+            .iter()
+            .filter_map(|(id, p)| Some((*id, p, self.workers.get(id)?)))
     }
 
     fn alive(&self, w: &Worker, p: &Place, now: Time) -> bool {
@@ -674,7 +821,8 @@
     /// Silent for long, or at rest for it: it does not count as a place, so that another may be loaded.
     fn stuck(&self, w: &Worker, p: &Place, now: Time) -> bool {
         let last = p.last_send.map_or(p.touched, |t| t.max(p.touched));
-        let silent = p.in_flight > 0 && now.since(last) as f64 > PATIENCE / 2.0 * self.answer_time();
+        let silent =
+            p.in_flight > 0 && now.since(last) as f64 > PATIENCE / 2.0 * self.answer_time();
         let bad = Self::rest(w, self.service(0), now) > self.answer_time();
         now < p.barred_until || silent || bad
     }
@@ -686,19 +834,36 @@
     /// not served there has lost one attempt and the time of the way.
     fn pick(&self, r: &Request, now: Time) -> Option<WorkerId> {
         let f = self.functions.get(&r.function)?;
-        let lane = |p: &Place| p.warm && p.in_flight < p.copies.max(1) * f.lanes && now >= p.barred_until;
-        let free = self.seats(f).filter(|(_, p, w)| lane(p) && self.alive(w, p, now)).map(|s| s.0);
+        let lane =
+            |p: &Place| p.warm && p.in_flight < p.copies.max(1) * f.lanes && now >= p.barred_until;
+        let free = self
+            .seats(f)
+            .filter(|(_, p, w)| lane(p) && self.alive(w, p, now))
+            .map(|s| s.0);
         let spare = self.shared() && r.attempts.len() + 2 < self.set.max_attempts as usize;
-        let kept = if spare { self.gaps(r.function, now, 0.0, |_| true) } else { Vec::new() };
-        let missed = |p: &Place| p.missed.is_some_and(|t| now.since(t) < 3 * self.load_wait(f));
-        let kept = kept.into_iter().filter(|id| !f.places.get(id).is_some_and(missed));
+        let kept = if spare {
+            self.gaps(r.function, now, 0.0, |_| true)
+        } else {
+            Vec::new()
+        };
+        let missed = |p: &Place| {
+            p.missed
+                .is_some_and(|t| now.since(t) < 3 * self.load_wait(f))
+        };
+        let kept = kept
+            .into_iter()
+            .filter(|id| !f.places.get(id).is_some_and(missed));
         let aged = free.chain(kept).filter_map(|id| {
             let w = self.workers.get(&id).filter(|w| self.may_send(r, w, now))?;
             let unused = || (1, self.claim(r.function, id, w, true));
             let last = f.places.get(&id).and_then(|p| p.last_send);
-            Some((last.map_or_else(unused, |t| (0, now.since(t) as f64 * self.strength(w))), id))
+            Some((
+                last.map_or_else(unused, |t| (0, now.since(t) as f64 * self.strength(w))),
+                id,
+            ))
         });
-        aged.max_by(|a, b| a.0 .0.cmp(&b.0 .0).then(a.0 .1.total_cmp(&b.0 .1))).map(|(_, w)| w)
+        aged.max_by(|a, b| a.0 .0.cmp(&b.0 .0).then(a.0 .1.total_cmp(&b.0 .1)))
+            .map(|(_, w)| w)
     }
 
     /// Whether siblings are likely to keep instances that a call finds for the asking.
@@ -709,7 +874,9 @@
     /// Calls that one place takes at a time: its lanes, but no more than a worker's usual load, by all.
     fn takes(&self, f: &Function, now: Time) -> f64 {
         let all = self.work.sum / self.filled(now) * self.set.siblings as f64 * self.shares;
-        (all / self.ready.max(1.0)).max(LEAST_PLACE).min(f.lanes as f64)
+        (all / self.ready.max(1.0))
+            .max(LEAST_PLACE)
+            .min(f.lanes as f64)
     }
 
     /// How many places a function may have: by the crowds told, else by its calls and each sibling's.
@@ -725,35 +892,70 @@
 
     /// Where a function with fewer places than its cap may get one: at home, on workers that all front ends
     /// name for it (rendezvous hashing over function and worker, weighted by size).
-    fn gaps(&self, fid: FunctionId, now: Time, less: f64, room: impl Fn(&Worker) -> bool) -> Vec<WorkerId> {
-        let Some(f) = self.functions.get(&fid) else { return Vec::new() };
+    fn gaps(
+        &self,
+        fid: FunctionId,
+        now: Time,
+        less: f64,
+        room: impl Fn(&Worker) -> bool,
+    ) -> Vec<WorkerId> {
+        let Some(f) = self.functions.get(&fid) else {
+            return Vec::new();
+        };
         let (cap, wait) = (self.cap(f, now, less), self.load_wait(f));
         let ordered = |p: &Place| p.ordered.is_some_and(|t| now.since(t) < 3 * wait);
         let taken = |w: &Worker, p: &Place| self.alive(w, p, now) || ordered(p);
         let weight = self.service(f.class);
-        let able =
-            |w: &Worker| !self.shared() || self.cold_credit(w, weight, now).is_none_or(|c| c >= weight);
-        let has = |w: &Worker, p: &Place| Self::open(w) && !self.stuck(w, p, now) && taken(w, p) && able(w);
-        let have = self.seats(f).filter(|(_, p, w)| has(w, p)).take(cap).count();
+        let able = |w: &Worker| {
+            !self.shared() || self.cold_credit(w, weight, now).is_none_or(|c| c >= weight)
+        };
+        let has = |w: &Worker, p: &Place| {
+            Self::open(w) && !self.stuck(w, p, now) && taken(w, p) && able(w)
+        };
+        let have = self
+            .seats(f)
+            .filter(|(_, p, w)| has(w, p))
+            .take(cap)
+            .count();
         if have >= cap || have as f64 >= self.ready {
             return Vec::new();
         }
-        let out = |w: &Worker, p: &Place| self.stuck(w, p, now) || p.ordered.is_some() && !taken(w, p);
+        let out =
+            |w: &Worker, p: &Place| self.stuck(w, p, now) || p.ordered.is_some() && !taken(w, p);
         let at = |id: &WorkerId, so: &dyn Fn(&Worker, &Place) -> bool| {
-            self.workers.get(id).zip(f.places.get(id)).is_some_and(|(w, p)| so(w, p))
+            self.workers
+                .get(id)
+                .zip(f.places.get(id))
+                .is_some_and(|(w, p)| so(w, p))
         };
-        let may = |id: &WorkerId, w: &Worker| (!w.suspect || w.trial) && able(w) && room(w) && !at(id, &out);
-        self.home(fid, cap, may).into_iter().filter(|id| !at(id, &taken)).collect()
+        let may = |id: &WorkerId, w: &Worker| {
+            (!w.suspect || w.trial) && able(w) && room(w) && !at(id, &out)
+        };
+        self.home(fid, cap, may)
+            .into_iter()
+            .filter(|id| !at(id, &taken))
+            .collect()
     }
 
     fn send(&mut self, now: Time, id: RequestId, wid: WorkerId, out: &mut Vec<Action>) {
         self.unline(id);
-        let Some(r) = self.requests.get(&id) else { return };
+        let Some(r) = self.requests.get(&id) else {
+            return;
+        };
         let (weight, memory) = (self.service(r.class), self.memory());
-        let credit = self.workers.get(&wid).and_then(|w| self.cold_credit(w, weight, now));
-        let (Some(r), Some(w)) = (self.requests.get_mut(&id), self.workers.get_mut(&wid)) else { return };
+        let credit = self
+            .workers
+            .get(&wid)
+            .and_then(|w| self.cold_credit(w, weight, now));
+        let (Some(r), Some(w)) = (self.requests.get_mut(&id), self.workers.get_mut(&wid)) else {
+            return;
+        };
         let to = w.entry.clone();
-        r.attempts.push(Attempt { to, sent: now, ran: None });
+        r.attempts.push(Attempt {
+            to,
+            sent: now,
+            ran: None,
+        });
         (w.credit, w.credit_at) = (credit.unwrap_or(0.0) - weight, now);
         w.in_flight += 1;
         w.out.insert((now, id));
@@ -764,7 +966,11 @@
             p.in_flight += 1;
             p.last_send = Some(now);
         }
-        out.push(Action::Send { request: id, worker: wid, give_up: None });
+        out.push(Action::Send {
+            request: id,
+            worker: wid,
+            give_up: None,
+        });
     }
 
     /// A load where the function has fewer places than its cap; where siblings may keep it, only once a call
@@ -776,47 +982,81 @@
             let sendable = !direct || request.is_some_and(|r| self.may_send(r, w, now));
             sendable && !(now < self.loads.next_vain && (w.vain || self.loads.vain))
         };
-        let Some(f) = self.functions.get(&fid) else { return };
+        let Some(f) = self.functions.get(&fid) else {
+            return;
+        };
         // EXCEPTION: loads in hand are few over all front ends; a share under one comes in turns of its own.
         // Holds for a release of many functions, a slow store, an empty zone. Harm: loads wait with us then.
         let (window, wait, out_now) = (self.loads.window, self.load_wait(f), self.loads.out);
-        let turn = (out_now as f64) < window && window >= 1.0 || out_now == 0 && now >= self.loads.next;
+        let turn =
+            (out_now as f64) < window && window >= 1.0 || out_now == 0 && now >= self.loads.next;
         let best = |less: f64, rest: Span| {
-            let missed = |id: &WorkerId| f.places.get(id).and_then(|p| p.missed).map(|t| now.since(t));
-            let fits =
-                |id: &WorkerId| missed(id).map_or(request.is_some() || !self.shared(), |ago| ago >= rest);
+            let missed = |id: &WorkerId| {
+                f.places
+                    .get(id)
+                    .and_then(|p| p.missed)
+                    .map(|t| now.since(t))
+            };
+            let fits = |id: &WorkerId| {
+                missed(id).map_or(request.is_some() || !self.shared(), |ago| ago >= rest)
+            };
             let known = self.gaps(fid, now, less, room).into_iter().filter(fits);
-            let own = known.filter_map(|id| Some((self.claim(fid, id, self.workers.get(&id)?, true), id)));
+            let own = known
+                .filter_map(|id| Some((self.claim(fid, id, self.workers.get(&id)?, true), id)));
             own.max_by(|a, b| a.0.total_cmp(&b.0)).map(|o| o.1)
         };
-        let load = if direct || allowed && turn { best(1.0, 0) } else { None };
+        let load = if direct || allowed && turn {
+            best(1.0, 0)
+        } else {
+            None
+        };
         // EXCEPTION: where a miss would load, what siblings keep is asked for, at no load. Harm: the price.
         let asks = self.set.siblings > 1 && !direct && !self.shared() && load.is_none();
         let ask = || best(1.0, wait).or_else(|| best(0.0, self.set.idle_life));
-        let Some(wid) = load.or_else(|| asks.then(ask)?) else { return };
+        let Some(wid) = load.or_else(|| asks.then(ask)?) else {
+            return;
+        };
         if direct {
             return self.send(now, id, wid, out);
         }
         if self.loads.vain || self.workers.get(&wid).is_some_and(|w| w.vain) {
             self.loads.next_vain = now.plus(VAIN_PACE);
         }
-        let p = self.functions.entry(fid).or_default().places.entry(wid).or_default();
+        let p = self
+            .functions
+            .entry(fid)
+            .or_default()
+            .places
+            .entry(wid)
+            .or_default();
         if load.is_some() {
             p.ordered = Some(now);
             self.workers.entry(wid).and_modify(|w| w.trial = false);
             self.loads.out += 1;
             self.loads.orders.push_back(now);
-            self.loads.next = now.plus((wait as f64 / window.max(1.0 / self.set.siblings as f64)) as Span);
+            self.loads.next =
+                now.plus((wait as f64 / window.max(1.0 / self.set.siblings as f64)) as Span);
         } else {
             p.missed = Some(now);
         }
-        out.push(Action::Load { worker: wid, function: fid, instances: load.is_some() as u32 });
+        out.push(Action::Load {
+            worker: wid,
+            function: fid,
+            instances: load.is_some() as u32,
+        });
     }
 
     /// The highest claims of a function, so many, among the workers that may have it. Strength is little more
     /// than one for most, so that the order at strength one ends the search early; it changes nothing.
-    fn home(&self, fid: FunctionId, size: usize, may: impl Fn(&WorkerId, &Worker) -> bool) -> Vec<WorkerId> {
-        let Some(f) = self.functions.get(&fid) else { return Vec::new() };
+    fn home(
+        &self,
+        fid: FunctionId,
+        size: usize,
+        may: impl Fn(&WorkerId, &Worker) -> bool,
+    ) -> Vec<WorkerId> {
+        let Some(f) = self.functions.get(&fid) else {
+            return Vec::new();
+        };
         let mut order = f.order.borrow_mut();
         if order.0 != self.readings {
             let ranked = self.ready().map(|(id, _)| (rendezvous(fid, *id, 1.0), *id));
@@ -829,7 +1069,9 @@
             if home.len() >= size && home.last().is_some_and(|l| l.0 > claim * strongest) {
                 break;
             }
-            let Some(w) = self.workers.get(&id).filter(|w| may(&id, w)) else { continue };
+            let Some(w) = self.workers.get(&id).filter(|w| may(&id, w)) else {
+                continue;
+            };
             let own = (self.claim(fid, id, w, false), id);
             let at = home.partition_point(|h| h.0 > own.0 || h.0 == own.0 && h.1 < own.1);
             home.insert(at, own);
@@ -849,29 +1091,50 @@
     /// Rule 5: orders in the window, this one included, within the free part and the share of arrivals.
     fn ration(&mut self, now: Time) -> bool {
         let period = self.set.ration.map_or(0, |r| r.period);
-        let old = self.arrivals.partition_point(|t| now.since(*t) >= period - self.set.tick);
+        let old = self
+            .arrivals
+            .partition_point(|t| now.since(*t) >= period - self.set.tick);
         self.arrivals.drain(..old);
-        let old = self.loads.orders.partition_point(|t| now.since(*t) > period + self.set.tick);
+        let old = self
+            .loads
+            .orders
+            .partition_point(|t| now.since(*t) > period + self.set.tick);
         self.loads.orders.drain(..old);
         let given = self.loads.orders.len() as f64 + 1.0;
-        self.set.ration.is_none_or(|r| given <= r.free + r.part * self.arrivals.len() as f64)
+        self.set
+            .ration
+            .is_none_or(|r| given <= r.free + r.part * self.arrivals.len() as f64)
     }
 
-    fn on_order(&mut self, now: Time, (wid, fid): (WorkerId, FunctionId), told: Told, out: &mut Vec<Action>) {
+    fn on_order(
+        &mut self,
+        now: Time,
+        (wid, fid): (WorkerId, FunctionId),
+        told: Told,
+        out: &mut Vec<Action>,
+    ) {
         let (o, took, n) = told;
         self.on_test(wid, matches!(o, Served | TurnedAway | Error));
         // EXCEPTION: an order counts, from when it left, though its connection ends. Where a miss says so, a
         // call goes and sees; an end at once makes a suspect. Harm: a worker that died costs an attempt.
         let due = o == ConnectionLost && self.shared() && took > self.set.connect_timeout;
-        let Some(f) = self.functions.get_mut(&fid) else { return };
+        let Some(f) = self.functions.get_mut(&fid) else {
+            return;
+        };
         let p = f.places.entry(wid).or_default();
         let (left, ordered) = (p.ordered, p.ordered.take().is_some());
         if o != ConnectionLost {
             (p.copies, p.warm, p.told, p.touched) = (n, n > 0, n > 0, now);
             p.missed = p.missed.filter(|_| n == 0);
-            p.barred_until = if o == Served { now } else { now.plus(SECOND / 2) };
+            p.barred_until = if o == Served {
+                now
+            } else {
+                now.plus(SECOND / 2)
+            };
         }
-        (p.warm, p.touched) = left.filter(|_| due).map_or((p.warm, p.touched), |t| (true, t.max(p.touched)));
+        (p.warm, p.touched) = left
+            .filter(|_| due)
+            .map_or((p.warm, p.touched), |t| (true, t.max(p.touched)));
         let told_load = f.told_load;
         if n > 0 {
             self.workers.entry(wid).and_modify(|w| w.vain = false);
@@ -881,11 +1144,19 @@
         }
         self.loads.out -= (ordered && self.loads.out > 0) as usize;
         if ordered && !due && matches!(o, ConnectFailed | ConnectionLost | TimedOut) {
-            let gap = if o == TimedOut { self.set.connect_timeout } else { 0 };
-            self.workers.entry(wid).and_modify(|w| Self::suspect(w, now, gap));
+            let gap = if o == TimedOut {
+                self.set.connect_timeout
+            } else {
+                0
+            };
+            self.workers
+                .entry(wid)
+                .and_modify(|w| Self::suspect(w, now, gap));
         }
         if ordered && o == Served && took > self.set.connect_timeout {
-            self.loads.took.add(took as f64 / told_load.map_or(1.0, |t| t as f64));
+            self.loads
+                .took
+                .add(took as f64 / told_load.map_or(1.0, |t| t as f64));
         } else if ordered && o == Served && n > 0 {
             self.loads.next = now; // It stood already: no load was made.
         }
@@ -897,7 +1168,13 @@
     /// next orders one by one, and so do all while it was the last word of any. Else one that answers at once
     /// and wrongly is ordered at the loop's speed. Harm: one mended without a restart is found seconds later.
     fn in_vain(&mut self, now: Time, wid: WorkerId, fid: FunctionId, missed: bool) {
-        let Some(p) = self.functions.get_mut(&fid).and_then(|f| f.places.get_mut(&wid)) else { return };
+        let Some(p) = self
+            .functions
+            .get_mut(&fid)
+            .and_then(|f| f.places.get_mut(&wid))
+        else {
+            return;
+        };
         let before = p.vain;
         p.vain = before.saturating_add(1);
         if before > 0 {
@@ -923,25 +1200,39 @@
     }
 
     fn on_test(&mut self, wid: WorkerId, heard: bool) {
-        let told =
-            |w: &mut Worker| (w.suspect, w.trial) = (w.suspect && (w.mute || !heard), w.trial || heard);
+        let told = |w: &mut Worker| {
+            (w.suspect, w.trial) = (w.suspect && (w.mute || !heard), w.trial || heard)
+        };
         self.workers.entry(wid).and_modify(told);
     }
 
     fn sweep(&mut self, now: Time, out: &mut Vec<Action>) {
-        let paces = self.workers.values().map(|w| &w.pace).chain(self.kinds.values());
+        let paces = self
+            .workers
+            .values()
+            .map(|w| &w.pace)
+            .chain(self.kinds.values());
         self.quickest = paces.map(Pace::least).fold(1.0, f64::min);
         if now >= self.next_tidy {
             self.next_tidy = now.plus(SECOND);
             // What was called once, long ago, is forgotten, or one-off functions would fill our memory.
-            let long = self.set.idle_life.saturating_mul(FORGET).max(self.set.order_timeout);
+            let long = self
+                .set
+                .idle_life
+                .saturating_mul(FORGET)
+                .max(self.set.order_timeout);
             let last = |p: &Place| p.touched.max(p.last_send.unwrap_or(p.touched));
-            let stays = |p: &Place| p.in_flight > 0 || p.ordered.is_some() || now.since(last(p)) <= long;
-            self.functions.values_mut().for_each(|f| f.places.retain(|_, p| stays(p)));
+            let stays =
+                |p: &Place| p.in_flight > 0 || p.ordered.is_some() || now.since(last(p)) <= long;
+            self.functions
+                .values_mut()
+                .for_each(|f| f.places.retain(|_, p| stays(p)));
             let used = |f: &Function| !f.line.is_empty() || !f.places.is_empty();
-            self.functions.retain(|_, f| used(f) || now.since(f.calls.at) < long);
+            self.functions
+                .retain(|_, f| used(f) || now.since(f.calls.at) < long);
             let gone = |w: &Worker| w.entry.state == WorkerState::Gone && w.in_flight == 0;
-            self.workers.retain(|_, w| !gone(w) || w.left.is_some_and(|t| now.since(t) < long));
+            self.workers
+                .retain(|_, w| !gone(w) || w.left.is_some_and(|t| now.since(t) < long));
         }
         if !self.set.list_pushed && now.since(self.listed_at) > self.set.ask_within / 2 {
             out.push(Action::Subscribe);
@@ -950,14 +1241,20 @@
         self.watch(now, out);
         // Held calls: those now late step back. EXCEPTION: while calls that can be in time wait for a lane
         // (not a load), late ones are refused: they would make the next late. Harm: their small worth.
-        let contended = self.waiting.iter().filter_map(|f| self.functions.get(f)).any(|f| {
-            let timely = f.line.first().is_some_and(|t| t.0 < 2);
-            timely && self.seats(f).any(|(_, p, w)| self.alive(w, p, now))
-        });
+        let contended = self
+            .waiting
+            .iter()
+            .filter_map(|f| self.functions.get(f))
+            .any(|f| {
+                let timely = f.line.first().is_some_and(|t| t.0 < 2);
+                timely && self.seats(f).any(|(_, p, w)| self.alive(w, p, now))
+            });
         let mut heads = Vec::new();
         for fid in self.waiting.iter().copied().collect::<Vec<_>>() {
             for turn in self.looked_over(fid, now) {
-                let Some(r) = self.requests.get(&turn.2) else { continue };
+                let Some(r) = self.requests.get(&turn.2) else {
+                    continue;
+                };
                 let past = |t: Time, span: f64| now.since(t) as f64 + span > 0.0;
                 let expected = self.expected(r).0;
                 let late = past(r.aim_at, expected);
@@ -971,12 +1268,24 @@
                     self.enline(turn.2, now);
                 }
             }
-            heads.extend(self.functions.get(&fid).and_then(|f| f.line.first()).map(|t| (*t, fid)));
+            heads.extend(
+                self.functions
+                    .get(&fid)
+                    .and_then(|f| f.line.first())
+                    .map(|t| (*t, fid)),
+            );
         }
         heads.sort();
         // EXCEPTION: no more than so many functions at one look, in turns. With very many it would last until
         // after the next is due, and nothing else be done. Harm: some are looked over later.
-        let (n, skip) = (heads.len(), if heads.len() > SWEPT { self.swept % heads.len() } else { 0 });
+        let (n, skip) = (
+            heads.len(),
+            if heads.len() > SWEPT {
+                self.swept % heads.len()
+            } else {
+                0
+            },
+        );
         self.swept = skip + SWEPT;
         let turns = heads.into_iter().cycle().skip(skip).take(n.min(SWEPT));
         turns.for_each(|(_, fid)| self.pump(now, fid, out));
@@ -985,13 +1294,28 @@
     /// Those of a function's line that a sweep may find late, lost or not to be sent again, in their order. A
     /// first try whose aim is further off than any answer takes is none of these.
     fn looked_over(&self, fid: FunctionId, now: Time) -> Vec<Turn> {
-        let Some(f) = self.functions.get(&fid) else { return Vec::new() };
-        let slowest = (0..self.set.classes.len()).map(|c| self.service(c)).fold(0.0, f64::max);
-        let heavy = if f.mean_hint > 0.0 { f.heaviest as f64 / f.mean_hint } else { 1.0 };
+        let Some(f) = self.functions.get(&fid) else {
+            return Vec::new();
+        };
+        let slowest = (0..self.set.classes.len())
+            .map(|c| self.service(c))
+            .fold(0.0, f64::max);
+        let heavy = if f.mean_hint > 0.0 {
+            f.heaviest as f64 / f.mean_hint
+        } else {
+            1.0
+        };
         let longest = (f.service.unwrap_or(slowest) * heavy.max(1.0)).max(self.answer_time());
-        let near = (0, now.plus((longest as Span).saturating_add(2)), RequestId(u64::MAX));
+        let near = (
+            0,
+            now.plus((longest as Span).saturating_add(2)),
+            RequestId(u64::MAX),
+        );
         let mut turns: Vec<Turn> = f.line.range(..=near).copied().collect();
-        turns.extend(f.again.range((Excluded(near), Excluded((2, Time(i64::MIN), RequestId(0))))));
+        turns.extend(
+            f.again
+                .range((Excluded(near), Excluded((2, Time(i64::MIN), RequestId(0))))),
+        );
         turns.extend(f.line.range((2, Time(i64::MIN), RequestId(0))..));
         turns
     }
@@ -1013,41 +1337,71 @@
             });
             evidence.sum::<f64>() > PATIENCE
         };
-        let found = self.workers.iter().filter(|(_, w)| !w.suspect && !w.out.is_empty() && silent(w));
+        let found = self
+            .workers
+            .iter()
+            .filter(|(_, w)| !w.suspect && !w.out.is_empty() && silent(w));
         for id in found.map(|(id, _)| *id).collect::<Vec<_>>() {
-            self.workers.entry(id).and_modify(|w| Self::suspect(w, now, unit as Span));
+            self.workers
+                .entry(id)
+                .and_modify(|w| Self::suspect(w, now, unit as Span));
         }
         // All tests together are paced, the longest due first: a lost zone would cost a probe a worker.
         let suspects = self.workers.iter().filter(|(_, w)| w.suspect);
-        let due = suspects.clone().filter(|(_, w)| now >= w.next_test && w.entry.state == WorkerState::Ready);
-        let test = due.min_by_key(|(_, w)| w.next_test).map(|(id, _)| *id).filter(|_| now >= self.next_test);
+        let due = suspects
+            .clone()
+            .filter(|(_, w)| now >= w.next_test && w.entry.state == WorkerState::Ready);
+        let test = due
+            .min_by_key(|(_, w)| w.next_test)
+            .map(|(id, _)| *id)
+            .filter(|_| now >= self.next_test);
         for wid in suspects.map(|(id, _)| *id).collect::<Vec<_>>() {
-            let Some(w) = self.workers.get_mut(&wid) else { continue };
+            let Some(w) = self.workers.get_mut(&wid) else {
+                continue;
+            };
             if test == Some(wid) {
                 self.next_test = now.plus(unit as Span);
                 w.next_test = now.plus(spread(self.seed, now, w.test_gap));
                 w.test_gap = (w.test_gap * 2).min(4 * SECOND);
-                let asked = self.functions.iter().find(|(_, f)| f.places.contains_key(&wid)).map(|f| *f.0);
+                let asked = self
+                    .functions
+                    .iter()
+                    .find(|(_, f)| f.places.contains_key(&wid))
+                    .map(|f| *f.0);
                 if self.set.may_probe {
                     out.push(Action::Probe { worker: wid });
                 } else if let (true, Some(function)) = (self.set.may_order, asked) {
-                    out.push(Action::Load { worker: wid, function, instances: 0 });
+                    out.push(Action::Load {
+                        worker: wid,
+                        function,
+                        instances: 0,
+                    });
                 } else {
                     w.trial = true;
                 }
             }
-            let (requests, classes, most) =
-                (&self.requests, &self.set.classes, self.set.max_attempts as usize);
+            let (requests, classes, most) = (
+                &self.requests,
+                &self.set.classes,
+                self.set.max_attempts as usize,
+            );
             // What was sent as a trial has the time that an answer takes.
             let tried = |t: Time| t > w.since && (now.since(t) as f64) < 2.0 * unit;
             let stuck = w.out.iter().filter(|(sent, id)| {
-                let r = requests.get(id).filter(|r| !r.streaming && !r.concluded && r.attempts.len() < most);
+                let r = requests
+                    .get(id)
+                    .filter(|r| !r.streaming && !r.concluded && r.attempts.len() < most);
                 let safe = r.is_some_and(|r| classes[r.class].effect == Effect::Safe);
                 w.mute && !tried(*sent) && self.set.may_cancel && safe
             });
             for key in stuck.copied().collect::<Vec<_>>() {
-                let attempt = requests.get(&key.1).map_or(0, |r| r.attempts.len() as u32 - 1);
-                out.push(Action::Cancel { request: key.1, attempt });
+                let attempt = requests
+                    .get(&key.1)
+                    .map_or(0, |r| r.attempts.len() as u32 - 1);
+                out.push(Action::Cancel {
+                    request: key.1,
+                    attempt,
+                });
                 w.out.remove(&key);
             }
         }
--- a/standins/audit/src/judge.rs
+++ b/standins/audit/src/judge.rs
@@ -172,7 +172,11 @@
         at: c.at,
         function: c.function.clone(),
         end: c.end,
-        attempts: c.attempts.iter().map(|a| (a.from, a.timeout, a.never_ran)).collect(),
+        attempts: c
+            .attempts
+            .iter()
+            .map(|a| (a.from, a.timeout, a.never_ran))
+            .collect(),
     };
     let mut calls: Vec<History> = judge.calls.iter().map(history).collect();
     calls.sort_by_key(|c| c.at);
@@ -217,12 +221,20 @@
 }
 
 fn field<'a>(fields: &'a [(String, String)], name: &str) -> Option<&'a str> {
-    fields.iter().find(|(k, _)| k == name).map(|(_, v)| v.as_str())
+    fields
+        .iter()
+        .find(|(k, _)| k == name)
+        .map(|(_, v)| v.as_str())
 }
 
 impl Judge<'_> {
     fn breach(&mut self, rule: u8, at: i64, what: impl Into<String>, why: impl Into<String>) {
-        self.out.breaches.push(Breach { rule, at, what: what.into(), why: why.into() });
+        self.out.breaches.push(Breach {
+            rule,
+            at,
+            what: what.into(),
+            why: why.into(),
+        });
     }
 
     fn entry(&mut self, e: &Entry) {
@@ -230,19 +242,33 @@
             What::Open(Link::Peer { .. }) => {}
             What::Open(link) => {
                 let (up, down) = (Direction::new(true), Direction::new(false));
-                let c = Connection { link: *link, opened: e.at, up, down, streams: BTreeMap::new() };
+                let c = Connection {
+                    link: *link,
+                    opened: e.at,
+                    up,
+                    down,
+                    streams: BTreeMap::new(),
+                };
                 self.connections.insert(e.connection, c);
             }
             What::Bytes(from_client, bytes) => {
-                let Some(c) = self.connections.get_mut(&e.connection) else { return };
-                let seen = if *from_client { c.up.take(bytes) } else { c.down.take(bytes) };
+                let Some(c) = self.connections.get_mut(&e.connection) else {
+                    return;
+                };
+                let seen = if *from_client {
+                    c.up.take(bytes)
+                } else {
+                    c.down.take(bytes)
+                };
                 let link = c.link;
                 for (stream, seen) in seen {
                     self.seen(e.at, e.connection, link, *from_client, stream, seen);
                 }
             }
             What::Close(by) => {
-                let Some(c) = self.connections.remove(&e.connection) else { return };
+                let Some(c) = self.connections.remove(&e.connection) else {
+                    return;
+                };
                 if matches!(c.link, Link::Client { .. }) && *by != Some(true) {
                     // A front end that drops its clients still owes them their answers.
                     return;
@@ -269,7 +295,10 @@
                 Mark::Killed { front } => {
                     self.woken(front, e.at);
                     self.kills.push((e.at, front));
-                    let held = self.calls.values_mut().filter(|c| c.front == front && c.end == End::Open);
+                    let held = self
+                        .calls
+                        .values_mut()
+                        .filter(|c| c.front == front && c.end == End::Open);
                     held.for_each(|c| (c.end, c.ended) = (End::Killed, Some(e.at)));
                 }
                 Mark::Stopped { front } => self.stops.push((front, e.at, None)),
@@ -279,15 +308,32 @@
         }
     }
 
-    fn seen(&mut self, at: i64, connection: u64, link: Link, from_client: bool, stream: u32, seen: Seen) {
-        let Some(c) = self.connections.get_mut(&connection) else { return };
+    fn seen(
+        &mut self,
+        at: i64,
+        connection: u64,
+        link: Link,
+        from_client: bool,
+        stream: u32,
+        seen: Seen,
+    ) {
+        let Some(c) = self.connections.get_mut(&connection) else {
+            return;
+        };
         if let Seen::Goaway(last) = seen {
             if !from_client {
                 let above: Vec<u32> = c.streams.range(last + 1..).map(|(n, _)| *n).collect();
                 for n in above {
                     if let Some(s) = c.streams.remove(&n).filter(|s| !s.closed) {
                         self.closed(at, link, &s, Some(true));
-                        return self.seen(at, connection, link, from_client, stream, Seen::Goaway(last));
+                        return self.seen(
+                            at,
+                            connection,
+                            link,
+                            from_client,
+                            stream,
+                            Seen::Goaway(last),
+                        );
                     }
                 }
             }
@@ -296,7 +342,12 @@
         let mut s = c.streams.remove(&stream).unwrap_or_default();
         match (link, seen) {
             (_, Seen::Headers(fields)) if from_client => {
-                s.path = field(&fields, ":path").unwrap_or("").rsplit('/').next().unwrap_or("").to_string();
+                s.path = field(&fields, ":path")
+                    .unwrap_or("")
+                    .rsplit('/')
+                    .next()
+                    .unwrap_or("")
+                    .to_string();
                 s.timeout = field(&fields, "grpc-timeout").and_then(timeout);
                 s.began = at;
             }
@@ -307,10 +358,14 @@
             (Link::Worker { front, worker }, Seen::Message(m)) if from_client => {
                 self.sent(at, front, worker, &mut s, &m);
             }
-            (Link::Client { .. }, Seen::Message(m)) if s.path == "ModelStreamInfer" => self.piece(at, &m),
+            (Link::Client { .. }, Seen::Message(m)) if s.path == "ModelStreamInfer" => {
+                self.piece(at, &m)
+            }
             (Link::Worker { .. }, Seen::Message(_)) => self.answering(&s),
             (Link::Client { .. }, Seen::Headers(fields)) => {
-                if let (Some(status), "ModelInfer") = (field(&fields, "grpc-status"), s.path.as_str()) {
+                if let (Some(status), "ModelInfer") =
+                    (field(&fields, "grpc-status"), s.path.as_str())
+                {
                     let end = match status {
                         "0" => End::Served,
                         "14" => End::Refused,
@@ -347,25 +402,35 @@
     }
 
     fn woken(&mut self, front: usize, at: i64) {
-        let open = self.stops.iter_mut().filter(|s| s.0 == front && s.2.is_none());
+        let open = self
+            .stops
+            .iter_mut()
+            .filter(|s| s.0 == front && s.2.is_none());
         open.for_each(|s| s.2 = Some(at));
     }
 
     /// Whether its front end's process was stopped in the call's time: it can't have kept that.
     fn stopped(&self, c: &Call) -> bool {
-        self.stops.iter().any(|s| s.0 == c.front && s.1 <= c.due && s.2.is_none_or(|to| to >= c.at))
+        self.stops
+            .iter()
+            .any(|s| s.0 == c.front && s.1 <= c.due && s.2.is_none_or(|to| to >= c.at))
     }
 
     fn has_headers(&self, s: &Stream) -> bool {
-        let attempt =
-            |id: &String| self.calls.get(id).and_then(|c| c.attempts.iter().rfind(|a| a.from >= s.began));
+        let attempt = |id: &String| {
+            self.calls
+                .get(id)
+                .and_then(|c| c.attempts.iter().rfind(|a| a.from >= s.began))
+        };
         s.ids.iter().filter_map(attempt).any(|a| a.headers)
     }
 
     fn answering(&mut self, s: &Stream) {
         for id in &s.ids {
-            if let Some(a) =
-                self.calls.get_mut(id).and_then(|c| c.attempts.iter_mut().rfind(|a| a.from >= s.began))
+            if let Some(a) = self
+                .calls
+                .get_mut(id)
+                .and_then(|c| c.attempts.iter_mut().rfind(|a| a.from >= s.began))
             {
                 a.headers = true;
             }
@@ -377,10 +442,18 @@
         if s.path != "ModelInfer" && s.path != "ModelStreamInfer" {
             return;
         }
-        let Ok(m) = pb::ModelInferRequest::decode(message) else { return };
-        let Some((_, deadline)) = self.rules.functions.get(&m.model_name).copied() else { return };
+        let Ok(m) = pb::ModelInferRequest::decode(message) else {
+            return;
+        };
+        let Some((_, deadline)) = self.rules.functions.get(&m.model_name).copied() else {
+            return;
+        };
         let own = number(m.parameters.get("timeout")).filter(|_| s.path == "ModelStreamInfer");
-        let told = [own, s.timeout].into_iter().flatten().min().unwrap_or(deadline);
+        let told = [own, s.timeout]
+            .into_iter()
+            .flatten()
+            .min()
+            .unwrap_or(deadline);
         s.ids.push(m.id.clone());
         self.out.started += 1;
         // What was written to a process that was killed meanwhile reached nobody.
@@ -397,21 +470,28 @@
             attempts: Vec::new(),
         };
         if self.calls.insert(m.id.clone(), call).is_some() {
-            self.breach(1, at, m.id, "the driver used an id twice: the record can't be judged");
+            self.breach(
+                1,
+                at,
+                m.id,
+                "the driver used an id twice: the record can't be judged",
+            );
         }
     }
 
     /// An attempt or an order has left for a worker.
     fn sent(&mut self, at: i64, front: usize, worker: usize, s: &mut Stream, message: &[u8]) {
         let infer = s.path == "ModelInfer" || s.path == "ModelStreamInfer";
-        let late = self
-            .leaves
-            .get(&(front, worker))
-            .is_some_and(|told| at > told + self.rules.list_read + self.rules.drain_grace + self.rules.slack);
+        let late = self.leaves.get(&(front, worker)).is_some_and(|told| {
+            at > told + self.rules.list_read + self.rules.drain_grace + self.rules.slack
+        });
         if s.path == "RepositoryModelLoad" {
             use pb::model_repository_parameter::ParameterChoice::Int64Param;
             let m = pb::RepositoryModelLoadRequest::decode(message).unwrap_or_default();
-            let n = m.parameters.get("instances").and_then(|p| p.parameter_choice.clone());
+            let n = m
+                .parameters
+                .get("instances")
+                .and_then(|p| p.parameter_choice.clone());
             s.order = true;
             if n != Some(Int64Param(0)) {
                 self.orders.push((at, front));
@@ -429,7 +509,9 @@
         if !infer {
             return;
         }
-        let Ok(m) = pb::ModelInferRequest::decode(message) else { return };
+        let Ok(m) = pb::ModelInferRequest::decode(message) else {
+            return;
+        };
         self.out.attempts += 1;
         if late {
             self.breach(
@@ -442,27 +524,55 @@
         let work = number(m.parameters.get("work_ms")).unwrap_or(0) * 1000;
         let slack = self.rules.slack;
         let Some(c) = self.calls.get_mut(&m.id) else {
-            return self.breach(1, at, m.id, "an attempt of a call that no client has started");
+            return self.breach(
+                1,
+                at,
+                m.id,
+                "an attempt of a call that no client has started",
+            );
         };
-        let effect = self.rules.functions.get(&c.function).map_or(Effect::Unsafe, |f| f.0);
+        let effect = self
+            .rules
+            .functions
+            .get(&c.function)
+            .map_or(Effect::Unsafe, |f| f.0);
         let mut found: Vec<(u8, String)> = Vec::new();
         if c.ended.is_some_and(|t| at > t + slack) && c.end != End::Killed {
             found.push((1, "an attempt after the final answer".into()));
         }
-        let ran: Vec<i64> = c.attempts.iter().filter(|a| !a.never_ran).map(|a| a.from).collect();
+        let ran: Vec<i64> = c
+            .attempts
+            .iter()
+            .filter(|a| !a.never_ran)
+            .map(|a| a.from)
+            .collect();
         match (effect, ran.first()) {
             (Effect::Unsafe, Some(_)) => {
-                found.push((2, "a further attempt of an unsafe call that may have run".into()));
+                found.push((
+                    2,
+                    "a further attempt of an unsafe call that may have run".into(),
+                ));
             }
             (Effect::Keyed(window), Some(first)) if at > first + window => {
-                found.push((2, "a further attempt of a keyed call after its window".into()));
+                found.push((
+                    2,
+                    "a further attempt of a keyed call after its window".into(),
+                ));
             }
             _ => {}
         }
         self.out.repeats += usize::from(!c.attempts.is_empty());
         let timeout = s.timeout;
-        let attempt =
-            Attempt { front, worker, from: at, to: None, never_ran: false, headers: false, work, timeout };
+        let attempt = Attempt {
+            front,
+            worker,
+            from: at,
+            to: None,
+            never_ran: false,
+            headers: false,
+            work,
+            timeout,
+        };
         c.attempts.push(attempt);
         s.ids = vec![m.id.clone()];
         for (rule, why) in found {
@@ -473,7 +583,9 @@
     /// A stream has closed: an attempt has ended, or a client has left. `proof`: it never ran.
     fn closed(&mut self, at: i64, link: Link, s: &Stream, proof: Option<bool>) {
         for id in &s.ids {
-            let Some(c) = self.calls.get_mut(id) else { continue };
+            let Some(c) = self.calls.get_mut(id) else {
+                continue;
+            };
             match link {
                 Link::Client { .. } if !s.answered => {
                     if c.end == End::Open {
@@ -484,7 +596,10 @@
                 Link::Client { .. } | Link::Peer { .. } => {}
                 Link::Worker { front, worker } => {
                     let open = c.attempts.iter_mut().rfind(|a| {
-                        a.to.is_none() && a.front == front && a.worker == worker && a.from >= s.began
+                        a.to.is_none()
+                            && a.front == front
+                            && a.worker == worker
+                            && a.from >= s.began
                     });
                     if let Some(a) = open {
                         a.to = Some(at);
@@ -502,7 +617,10 @@
             return self.breach(1, at, "", "a piece that is no message");
         };
         let r = m.infer_response.unwrap_or_default();
-        let last = r.parameters.get("triton_final_response").and_then(|p| p.parameter_choice.clone());
+        let last = r
+            .parameters
+            .get("triton_final_response")
+            .and_then(|p| p.parameter_choice.clone());
         let end = match m.error_message.as_str() {
             "" => End::Served,
             e if e.starts_with("refused:") => End::Refused,
@@ -531,10 +649,23 @@
             found.push((1, "a second final answer".into()));
         }
         if at > c.due + slack && c.end == End::Open && !excused {
-            found.push((1, format!("its final answer comes {} us after its client's time", at - c.due)));
+            found.push((
+                1,
+                format!(
+                    "its final answer comes {} us after its client's time",
+                    at - c.due
+                ),
+            ));
         }
-        let effect = self.rules.functions.get(&c.function).map_or(Effect::Unsafe, |f| f.0);
-        if end == End::Refused && effect == Effect::Unsafe && c.attempts.iter().any(|a| !a.never_ran) {
+        let effect = self
+            .rules
+            .functions
+            .get(&c.function)
+            .map_or(Effect::Unsafe, |f| f.0);
+        if end == End::Refused
+            && effect == Effect::Unsafe
+            && c.attempts.iter().any(|a| !a.never_ran)
+        {
             found.push((2, "a refusal of an unsafe call that may have run".into()));
         }
         if c.end == End::Open {
@@ -551,7 +682,12 @@
             *self.out.ends.entry(c.end).or_default() += 1;
             if c.end == End::Open && end > c.due + self.rules.slack && !self.stopped(c) {
                 let why = "no final answer within its client's time".to_string();
-                found.push(Breach { rule: 1, at: c.due, what: id.clone(), why });
+                found.push(Breach {
+                    rule: 1,
+                    at: c.due,
+                    what: id.clone(),
+                    why,
+                });
             }
         }
         // The relay reads two connections in no order of its own, so ends and beginnings are compared at the end.
@@ -563,7 +699,12 @@
                         "an attempt at worker {} while the one at worker {} is open",
                         next.worker, open.worker
                     );
-                    found.push(Breach { rule: 0, at: next.from, what: id.clone(), why });
+                    found.push(Breach {
+                        rule: 0,
+                        at: next.from,
+                        what: id.clone(),
+                        why,
+                    });
                 }
             }
         }
@@ -589,14 +730,23 @@
             if at - started < span {
                 continue;
             }
-            let work: i64 = sent[..=n].iter().filter(|(t, _)| at - t <= span).map(|(_, w)| w).sum();
+            let work: i64 = sent[..=n]
+                .iter()
+                .filter(|(t, _)| at - t <= span)
+                .map(|(_, w)| w)
+                .sum();
             let part = (from + (1.0 - from) * (at - started) as f64 / warm as f64).min(1.0);
             let able = multiple * part * cores * span as f64;
             if work as f64 > able {
                 let why = format!(
                     "{work} us of work in {span} us, over {multiple} times what it can do ({able:.0} us)"
                 );
-                return Some(Breach { rule: 4, at: *at, what: format!("worker {worker}"), why });
+                return Some(Breach {
+                    rule: 4,
+                    at: *at,
+                    what: format!("worker {worker}"),
+                    why,
+                });
             }
         }
         None
@@ -604,21 +754,40 @@
 
     /// Rule 5: orders to load against calls taken, by front end, in every window that ends with an order.
     fn rationed(&self) -> Vec<Breach> {
-        let Some((free, part, span)) = self.rules.ration else { return Vec::new() };
+        let Some((free, part, span)) = self.rules.ration else {
+            return Vec::new();
+        };
         let mut out = Vec::new();
         for (n, (at, front)) in self.orders.iter().enumerate() {
             // One that was killed comes back as another, with nothing given and nothing taken.
-            let born =
-                self.kills.iter().filter(|(t, f)| f == front && t <= at).map(|(t, _)| *t).max().unwrap_or(0);
+            let born = self
+                .kills
+                .iter()
+                .filter(|(t, f)| f == front && t <= at)
+                .map(|(t, _)| *t)
+                .max()
+                .unwrap_or(0);
             // Given in two windows, they may leave within one: what is sure to be of one window is counted.
             let within = |t: i64| t >= born && t <= *at && at - t < span - self.rules.connect;
-            let given = self.orders[..=n].iter().filter(|(t, f)| f == front && within(*t)).count() as f64;
+            let given = self.orders[..=n]
+                .iter()
+                .filter(|(t, f)| f == front && within(*t))
+                .count() as f64;
             // A call that came just before the window's edge at the relay may have come just after it at the front end.
             let near = |t: i64| t >= born && t <= *at && at - t < span + self.rules.slack;
-            let taken = self.calls.values().filter(|c| c.front == *front && near(c.at)).count() as f64;
+            let taken = self
+                .calls
+                .values()
+                .filter(|c| c.front == *front && near(c.at))
+                .count() as f64;
             if given > free + part * taken {
                 let why = format!("{given} orders to load for {taken} calls taken");
-                out.push(Breach { rule: 5, at: *at, what: format!("front end {front}"), why });
+                out.push(Breach {
+                    rule: 5,
+                    at: *at,
+                    what: format!("front end {front}"),
+                    why,
+                });
             }
         }
         out
--- a/standins/audit/src/versions.rs
+++ b/standins/audit/src/versions.rs
@@ -55,7 +55,11 @@
 }
 
 fn marks(entries: &[Entry]) -> Marks {
-    let mut m = Marks { proposed: Vec::new(), in_force: BTreeMap::new(), stops: Vec::new() };
+    let mut m = Marks {
+        proposed: Vec::new(),
+        in_force: BTreeMap::new(),
+        stops: Vec::new(),
+    };
     let mut stopped: BTreeMap<usize, i64> = BTreeMap::new();
     for e in entries {
         match &e.what {
@@ -63,7 +67,8 @@
             What::Mark(Mark::InForce { version }) => drop(m.in_force.insert(*version, e.at)),
             What::Mark(Mark::Stopped { front }) => drop(stopped.insert(*front, e.at)),
             What::Mark(Mark::Woken { front } | Mark::Killed { front }) => {
-                m.stops.extend(stopped.remove(front).map(|from| (*front, from, e.at)));
+                m.stops
+                    .extend(stopped.remove(front).map(|from| (*front, from, e.at)));
             }
             _ => {}
         }
@@ -75,7 +80,10 @@
 pub fn versions(entries: &[Entry], calls: &[History], witnesses: &Witnesses) -> Found {
     let m = marks(entries);
     let decided_from = |c: &History| {
-        let stop = m.stops.iter().find(|(f, from, to)| *f == c.front && *from <= c.at && c.at < *to);
+        let stop = m
+            .stops
+            .iter()
+            .find(|(f, from, to)| *f == c.front && *from <= c.at && c.at < *to);
         stop.map_or(c.at, |s| s.2)
     };
     let mut found = Found::default();
@@ -83,7 +91,9 @@
     let mut strict: Vec<(i64, i64, usize, i64, &str)> = Vec::new();
     let mut loose: Vec<(i64, usize, &str)> = Vec::new();
     for c in calls {
-        let Some((sent, told, _)) = c.attempts.first().copied() else { continue };
+        let Some((sent, told, _)) = c.attempts.first().copied() else {
+            continue;
+        };
         if c.function == witnesses.flip {
             let fits = |s: &&Says| {
                 let told = told.unwrap_or(0) as f64;
@@ -104,13 +114,20 @@
     let ends = m.proposed.iter().skip(1).map(|p| p.1).chain([i64::MAX]);
     let mut before = 1;
     for ((version, from), to) in m.proposed.iter().zip(ends) {
-        let (Some(old), Some(new)) = (witnesses.says.get(&before), witnesses.says.get(version)) else {
+        let (Some(old), Some(new)) = (witnesses.says.get(&before), witnesses.says.get(version))
+        else {
             continue;
         };
-        let of = |rule: i64| strict.iter().filter(move |s| s.3 == rule && s.0 >= *from && s.0 < to);
+        let of = |rule: i64| {
+            strict
+                .iter()
+                .filter(move |s| s.3 == rule && s.0 >= *from && s.0 < to)
+        };
         let first_new = of(new.deadline).min_by_key(|s| s.1);
         if let (Some(new_by), false) = (first_new, old.deadline == new.deadline) {
-            let last_old = of(old.deadline).filter(|s| s.2 != new_by.2).max_by_key(|s| s.0);
+            let last_old = of(old.deadline)
+                .filter(|s| s.2 != new_by.2)
+                .max_by_key(|s| s.0);
             if let Some(old_by) = last_old.filter(|o| o.0 > new_by.1) {
                 found.strict = found.strict.max(old_by.0 - new_by.1);
                 found.told.push(format!(
@@ -120,7 +137,10 @@
             }
         }
         if let (Some(force), false) = (m.in_force.get(version), new.safe) {
-            let late = loose.iter().filter(|l| l.0 > *force && l.0 < to).max_by_key(|l| l.0);
+            let late = loose
+                .iter()
+                .filter(|l| l.0 > *force && l.0 < to)
+                .max_by_key(|l| l.0);
             if let Some((at, front, id)) = late {
                 found.joint = found.joint.max(at - force);
                 found.told.push(format!(
--- a/standins/audit/src/wire.rs
+++ b/standins/audit/src/wire.rs
@@ -59,7 +59,9 @@
             let length = u32::from_be_bytes([0, head[0], head[1], head[2]]) as usize;
             let (kind, flags) = (head[3], head[4]);
             let stream = u32::from_be_bytes([head[5], head[6], head[7], head[8]]) & 0x7fff_ffff;
-            let Some(payload) = self.buffer.get(at + 9..at + 9 + length) else { break };
+            let Some(payload) = self.buffer.get(at + 9..at + 9 + length) else {
+                break;
+            };
             let payload = payload.to_vec();
             at += 9 + length;
             if let Err(why) = self.frame(kind, flags, stream, &payload, &mut out) {
@@ -79,14 +81,19 @@
         payload: &[u8],
         out: &mut Vec<(u32, Seen)>,
     ) -> Result<(), String> {
-        let word = |b: &[u8]| b.get(..4).map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]));
+        let word = |b: &[u8]| {
+            b.get(..4)
+                .map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]))
+        };
         match kind {
             0 => {
                 let data = unpad(flags, payload)?;
                 let held = self.messages.entry(stream).or_default();
                 held.extend_from_slice(data);
                 while let Some(length) = held.get(1..5).and_then(word).map(|n| n as usize) {
-                    let Some(message) = held.get(5..5 + length) else { break };
+                    let Some(message) = held.get(5..5 + length) else {
+                        break;
+                    };
                     out.push((stream, Seen::Message(message.to_vec())));
                     held.drain(..5 + length);
                 }
@@ -113,19 +120,37 @@
                     self.headers(out)?;
                 }
             }
-            3 => out.push((stream, Seen::Reset(word(payload).ok_or("RST_STREAM cut short")?))),
-            7 => out.push((0, Seen::Goaway(word(payload).ok_or("GOAWAY cut short")? & 0x7fff_ffff))),
+            3 => out.push((
+                stream,
+                Seen::Reset(word(payload).ok_or("RST_STREAM cut short")?),
+            )),
+            7 => out.push((
+                0,
+                Seen::Goaway(word(payload).ok_or("GOAWAY cut short")? & 0x7fff_ffff),
+            )),
             _ => {}
         }
         Ok(())
     }
 
     fn headers(&mut self, out: &mut Vec<(u32, Seen)>) -> Result<(), String> {
-        let Some((stream, flags, block)) = self.block.take() else { return Ok(()) };
-        let fields =
-            self.decoder.decode(&block).map_err(|e| format!("a header block that can't be read: {e:?}"))?;
+        let Some((stream, flags, block)) = self.block.take() else {
+            return Ok(());
+        };
+        let fields = self
+            .decoder
+            .decode(&block)
+            .map_err(|e| format!("a header block that can't be read: {e:?}"))?;
         let text = |b: Vec<u8>| String::from_utf8_lossy(&b).into_owned();
-        out.push((stream, Seen::Headers(fields.into_iter().map(|(k, v)| (text(k), text(v))).collect())));
+        out.push((
+            stream,
+            Seen::Headers(
+                fields
+                    .into_iter()
+                    .map(|(k, v)| (text(k), text(v)))
+                    .collect(),
+            ),
+        ));
         if flags & 1 != 0 {
             out.push((stream, Seen::End));
         }
@@ -137,7 +162,12 @@
     if flags & 8 == 0 {
         return Ok(payload);
     }
-    let (pad, rest) = payload.split_first().ok_or("a padded frame without a length")?;
-    let end = rest.len().checked_sub(usize::from(*pad)).ok_or("more padding than frame")?;
+    let (pad, rest) = payload
+        .split_first()
+        .ok_or("a padded frame without a length")?;
+    let end = rest
+        .len()
+        .checked_sub(usize::from(*pad))
+        .ok_or("more padding than frame")?;
     Ok(&rest[..end])
 }
--- a/standins/audit/tests/breaches.rs
+++ b/standins/audit/tests/breaches.rs
@@ -7,9 +7,16 @@
 use tansy_inference::inference as pb;
 
 fn rules() -> Rules {
-    let functions = [("read", Effect::Safe), ("book", Effect::Keyed(1_000_000)), ("post", Effect::Unsafe)];
+    let functions = [
+        ("read", Effect::Safe),
+        ("book", Effect::Keyed(1_000_000)),
+        ("post", Effect::Unsafe),
+    ];
     Rules {
-        functions: functions.iter().map(|(n, e)| (n.to_string(), (*e, 2_000_000))).collect(),
+        functions: functions
+            .iter()
+            .map(|(n, e)| (n.to_string(), (*e, 2_000_000)))
+            .collect(),
         list_read: 100_000,
         drain_grace: 500_000,
         cold: (0.25, 4_000_000, 1.0),
@@ -33,7 +40,13 @@
 }
 
 fn frame(kind: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
-    [&(payload.len() as u32).to_be_bytes()[1..], &[kind, flags], &stream.to_be_bytes(), payload].concat()
+    [
+        &(payload.len() as u32).to_be_bytes()[1..],
+        &[kind, flags],
+        &stream.to_be_bytes(),
+        payload,
+    ]
+    .concat()
 }
 
 fn message(m: &[u8]) -> Vec<u8> {
@@ -42,11 +55,18 @@
 
 impl Record {
     fn write(&mut self, connection: u64, what: What) {
-        self.entries.push(Entry { at: self.at, connection, what });
+        self.entries.push(Entry {
+            at: self.at,
+            connection,
+            what,
+        });
     }
     fn open(&mut self, connection: u64, link: Link) {
         self.write(connection, What::Open(link));
-        self.write(connection, What::Bytes(true, b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_vec()));
+        self.write(
+            connection,
+            What::Bytes(true, b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_vec()),
+        );
     }
     fn up(&mut self, connection: u64, bytes: Vec<u8>) {
         self.write(connection, What::Bytes(true, bytes));
@@ -55,13 +75,18 @@
         self.write(connection, What::Bytes(false, bytes));
     }
     fn ask(&mut self, connection: u64, stream: u32, method: &str, body: &[u8]) {
-        let block = literal(":path", &format!("/inference.GRPCInferenceService/{method}"));
+        let block = literal(
+            ":path",
+            &format!("/inference.GRPCInferenceService/{method}"),
+        );
         self.up(connection, frame(1, 4, stream, &block));
         self.up(connection, frame(0, 1, stream, &message(body)));
     }
     fn infer(&mut self, connection: u64, stream: u32, function: &str, id: &str, work_ms: i64) {
         use pb::infer_parameter::ParameterChoice::Int64Param;
-        let work = pb::InferParameter { parameter_choice: Some(Int64Param(work_ms)) };
+        let work = pb::InferParameter {
+            parameter_choice: Some(Int64Param(work_ms)),
+        };
         let m = pb::ModelInferRequest {
             model_name: function.into(),
             id: id.into(),
@@ -75,20 +100,44 @@
         self.down(connection, frame(1, 5, stream, &block));
     }
     fn load(&mut self, connection: u64, stream: u32) {
-        let m = pb::RepositoryModelLoadRequest { model_name: "read".into(), ..Default::default() };
-        self.ask(connection, stream, "RepositoryModelLoad", &m.encode_to_vec());
+        let m = pb::RepositoryModelLoadRequest {
+            model_name: "read".into(),
+            ..Default::default()
+        };
+        self.ask(
+            connection,
+            stream,
+            "RepositoryModelLoad",
+            &m.encode_to_vec(),
+        );
     }
     /// A client's connection (1) and two workers' (2, 3), all of front end 0.
     fn start() -> Record {
         let mut r = Record::default();
         r.open(1, Link::Client { front: 0 });
-        r.open(2, Link::Worker { front: 0, worker: 0 });
-        r.open(3, Link::Worker { front: 0, worker: 1 });
+        r.open(
+            2,
+            Link::Worker {
+                front: 0,
+                worker: 0,
+            },
+        );
+        r.open(
+            3,
+            Link::Worker {
+                front: 0,
+                worker: 1,
+            },
+        );
         r
     }
     /// The rules that are broken.
     fn broken(&self) -> Vec<u8> {
-        audit(&self.entries, &rules()).breaches.iter().map(|b| b.rule).collect()
+        audit(&self.entries, &rules())
+            .breaches
+            .iter()
+            .map(|b| b.rule)
+            .collect()
     }
 }
 
@@ -104,7 +153,10 @@
     r.status(2, 1, OK);
     r.status(1, 1, OK);
     let a = audit(&r.entries, &rules());
-    assert_eq!((a.started, a.attempts, a.ends.get(&End::Served)), (1, 1, Some(&1)));
+    assert_eq!(
+        (a.started, a.attempts, a.ends.get(&End::Served)),
+        (1, 1, Some(&1))
+    );
     assert_eq!(a.breaches, []);
 }
 
@@ -126,7 +178,10 @@
     let mut dropped = Record::start();
     dropped.infer(1, 1, "read", "a", 1);
     dropped.write(1, What::Close(Some(false)));
-    let mut killed = Record { entries: dropped.entries.clone(), at: 0 };
+    let mut killed = Record {
+        entries: dropped.entries.clone(),
+        at: 0,
+    };
     killed.write(0, What::Mark(Mark::Killed { front: 0 }));
     for (r, broken) in [(&mut dropped, vec![1]), (&mut killed, vec![])] {
         r.at = 3_000_000;
@@ -159,10 +214,20 @@
     let reset = |code: u32| move |r: &mut Record| r.down(2, frame(3, 0, 1, &code.to_be_bytes()));
     let cut = |r: &mut Record| r.write(2, What::Close(Some(false)));
     let goaway = |last: u32| {
-        move |r: &mut Record| r.down(2, frame(7, 0, 0, &[last.to_be_bytes(), 0u32.to_be_bytes()].concat()))
+        move |r: &mut Record| {
+            r.down(
+                2,
+                frame(7, 0, 0, &[last.to_be_bytes(), 0u32.to_be_bytes()].concat()),
+            )
+        }
+    };
+    let promise = |r: &mut Record| {
+        r.status(
+            2,
+            1,
+            &[("grpc-status", "14"), ("tansy-never-ran", "not-loaded")],
+        )
     };
-    let promise =
-        |r: &mut Record| r.status(2, 1, &[("grpc-status", "14"), ("tansy-never-ran", "not-loaded")]);
     assert_eq!(again("post", &reset(7), 1000), [0u8; 0]);
     assert_eq!(again("post", &goaway(0), 1000), [0u8; 0]);
     assert_eq!(again("post", &promise, 1000), [0u8; 0]);
@@ -199,7 +264,13 @@
     for (at, broken) in [(590_000, vec![]), (620_000, vec![3, 3])] {
         let mut r = Record::start();
         r.infer(1, 1, "read", "a", 1);
-        r.write(0, What::Mark(Mark::Leaves { front: 0, worker: 0 }));
+        r.write(
+            0,
+            What::Mark(Mark::Leaves {
+                front: 0,
+                worker: 0,
+            }),
+        );
         r.at = at;
         r.infer(2, 1, "read", "a", 1);
         r.load(2, 3);
@@ -214,7 +285,13 @@
     for (each, broken) in [(440, vec![]), (490, vec![4])] {
         let mut r = Record::start();
         r.open(4, Link::Client { front: 1 });
-        r.open(5, Link::Worker { front: 1, worker: 0 });
+        r.open(
+            5,
+            Link::Worker {
+                front: 1,
+                worker: 0,
+            },
+        );
         r.write(0, What::Mark(Mark::Started { worker: 0 }));
         r.at = 1_200_000;
         for (client, worker, id) in [(1, 2, "a"), (4, 5, "b")] {
--- a/standins/relay/src/lib.rs
+++ b/standins/relay/src/lib.rs
@@ -45,7 +45,13 @@
     /// A relay without routes.
     pub fn new(spawner: Spawner) -> Rc<Relay> {
         let (entries, routes) = (RefCell::new(Vec::new()), RefCell::new(BTreeMap::new()));
-        Rc::new(Relay { spawner, epoch: Instant::now(), next: Cell::new(0), entries, routes })
+        Rc::new(Relay {
+            spawner,
+            epoch: Instant::now(),
+            next: Cell::new(0),
+            entries,
+            routes,
+        })
     }
 
     /// Microseconds since the record began.
@@ -65,7 +71,11 @@
 
     /// Writes down what no socket shows, of a moment that has passed.
     pub fn mark_at(&self, at: i64, mark: Mark) {
-        self.entries.borrow_mut().push(Entry { at, connection: 0, what: What::Mark(mark) });
+        self.entries.borrow_mut().push(Entry {
+            at,
+            connection: 0,
+            what: What::Mark(mark),
+        });
     }
 
     /// Leads connections to a listener on to a target; gives the listener's address.
@@ -82,14 +92,19 @@
         self.routes.borrow_mut().insert(link, route.clone());
         let relay = self.clone();
         let source = Generic::new(listener, Interest::READ, Mode::Level);
-        let inserted = self.spawner.handle().insert_source(source, move |_, listener, ()| {
-            while let Ok((socket, _)) = listener.accept() {
-                let task = relay.clone().join(link, route.clone(), socket);
-                relay.spawner.spawn(task);
-            }
-            Ok(PostAction::Continue)
-        });
-        inserted.map(|_| address).map_err(|e| io::Error::other(e.to_string()))
+        let inserted = self
+            .spawner
+            .handle()
+            .insert_source(source, move |_, listener, ()| {
+                while let Ok((socket, _)) = listener.accept() {
+                    let task = relay.clone().join(link, route.clone(), socket);
+                    relay.spawner.spawn(task);
+                }
+                Ok(PostAction::Continue)
+            });
+        inserted
+            .map(|_| address)
+            .map_err(|e| io::Error::other(e.to_string()))
     }
 
     /// Ends all connections of a route.
@@ -110,24 +125,35 @@
 
     fn write(&self, connection: u64, what: What) {
         let at = self.now();
-        self.entries.borrow_mut().push(Entry { at, connection, what });
+        self.entries.borrow_mut().push(Entry {
+            at,
+            connection,
+            what,
+        });
     }
 
     async fn join(self: Rc<Self>, link: Link, route: Rc<Route>, near: TcpStream) {
         let connection = self.next.get() + 1;
         self.next.set(connection);
         // Loopback: made or refused at once.
-        let Ok(far) = TcpStream::connect(route.target.get()) else { return };
+        let Ok(far) = TcpStream::connect(route.target.get()) else {
+            return;
+        };
         let _ = near.set_nodelay(true).and_then(|()| far.set_nodelay(true));
         let handle = self.spawner.handle();
-        let (Ok(near), Ok(far)) = (Socket::new(handle, near), Socket::new(handle, far)) else { return };
+        let (Ok(near), Ok(far)) = (Socket::new(handle, near), Socket::new(handle, far)) else {
+            return;
+        };
         self.write(connection, What::Open(link));
         let cuts = route.cuts.get();
         // What counts is what the front end did and what it could know: its end of the relay is written down.
         let front_connects = matches!(link, Link::Worker { .. });
         // What front ends write to each other is not judged, and would be most of the record.
         let kept = !matches!(link, Link::Peer { .. });
-        let mut ways = [Way::new(true, front_connects), Way::new(false, !front_connects)];
+        let mut ways = [
+            Way::new(true, front_connects),
+            Way::new(false, !front_connects),
+        ];
         let mut chunk = vec![0; CHUNK];
         let by = poll_fn(|cx| {
             {
@@ -147,7 +173,9 @@
                         self.write(connection, What::Bytes(up, bytes.to_vec()));
                     }
                 };
-                if let Some(ended_up) = way.turn(from, to, route.held.get(), &mut chunk, cx, &mut passed) {
+                if let Some(ended_up) =
+                    way.turn(from, to, route.held.get(), &mut chunk, cx, &mut passed)
+                {
                     return Poll::Ready(Some(ended_up));
                 }
             }
@@ -169,7 +197,12 @@
 
 impl Way {
     fn new(up: bool, at_read: bool) -> Way {
-        Way { up, at_read, waiting: Vec::new(), sent: 0 }
+        Way {
+            up,
+            at_read,
+            waiting: Vec::new(),
+            sent: 0,
+        }
     }
 
     /// Reads and passes on as far as it goes; some: one side has ended (`true`: the one that connected).
--- a/standins/worker/src/fault.rs
+++ b/standins/worker/src/fault.rs
@@ -39,7 +39,9 @@
     /// Sets or clears a fault by a word: `silent`, `silent-after=N`, `cut-after=N`, `slow=X`, `refuse`, `reset=CODE`,
     /// `corrupt`, `twice`, `no-trailers`, `status=CODE`, `hollow`, `hollow=CODE`, `boast`, `lose=FUNCTION`, or `clear` for none.
     pub fn set(&self, word: &str) -> Result<(), String> {
-        let (name, value) = word.split_once('=').map_or((word, None), |(n, v)| (n, Some(v)));
+        let (name, value) = word
+            .split_once('=')
+            .map_or((word, None), |(n, v)| (n, Some(v)));
         let number = || {
             let bad = || format!("{word:?}: want {name}=NUMBER");
             value.ok_or_else(bad)?.parse::<u32>().map_err(|_| bad())
@@ -49,8 +51,11 @@
             "silent-after" => self.silent_after.set(Some(number()?)),
             "cut-after" => self.cut_after.set(Some(number()?)),
             "slow" => {
-                let factor = value.and_then(|v| v.parse::<f64>().ok()).filter(|x| x.is_finite() && *x > 0.0);
-                self.slow.set(factor.ok_or_else(|| format!("{word:?}: want slow=FACTOR above 0"))?);
+                let factor = value
+                    .and_then(|v| v.parse::<f64>().ok())
+                    .filter(|x| x.is_finite() && *x > 0.0);
+                self.slow
+                    .set(factor.ok_or_else(|| format!("{word:?}: want slow=FACTOR above 0"))?);
             }
             "refuse" => self.refuse.set(true),
             "reset" => self.reset.set(Some(number()?)),
@@ -62,8 +67,9 @@
             "hollow" => self.hollow_status.set(Some(number()?.min(16) as u8)),
             "boast" => self.boast.set(true),
             "lose" => {
-                let name =
-                    value.filter(|v| !v.is_empty()).ok_or_else(|| format!("{word:?}: want lose=FUNCTION"))?;
+                let name = value
+                    .filter(|v| !v.is_empty())
+                    .ok_or_else(|| format!("{word:?}: want lose=FUNCTION"))?;
                 *self.lose.borrow_mut() = Some(name.to_string());
             }
             "clear" => self.clear(),
@@ -103,21 +109,48 @@
     #[test]
     fn faults_are_set_by_words_and_bad_words_are_refused() {
         let f = Faults::default();
-        for word in
-            ["silent", "silent-after=2", "slow=2.5", "status=14", "hollow", "hollow=12", "boast", "lose=f"]
-        {
+        for word in [
+            "silent",
+            "silent-after=2",
+            "slow=2.5",
+            "status=14",
+            "hollow",
+            "hollow=12",
+            "boast",
+            "lose=f",
+        ] {
             f.set(word).unwrap();
         }
-        assert_eq!((f.silent.get(), f.silent_after.get(), f.slowness()), (true, Some(2), 2.5));
+        assert_eq!(
+            (f.silent.get(), f.silent_after.get(), f.slowness()),
+            (true, Some(2), 2.5)
+        );
         f.set("clear").unwrap();
         assert_eq!(
-            (f.silent.get(), f.silent_after.get(), f.slowness(), f.status.get()),
+            (
+                f.silent.get(),
+                f.silent_after.get(),
+                f.slowness(),
+                f.status.get()
+            ),
             (false, None, 1.0, None)
         );
         assert!(
-            !f.hollow.get() && !f.boast.get() && f.hollow_status.get().is_none() && f.lose.borrow().is_none()
+            !f.hollow.get()
+                && !f.boast.get()
+                && f.hollow_status.get().is_none()
+                && f.lose.borrow().is_none()
         );
-        for word in ["", "quiet", "slow=0", "slow=nan", "cut-after", "cut-after=x", "lose", "lose="] {
+        for word in [
+            "",
+            "quiet",
+            "slow=0",
+            "slow=nan",
+            "cut-after",
+            "cut-after=x",
+            "lose",
+            "lose=",
+        ] {
             assert!(f.set(word).is_err(), "{word:?}");
         }
     }
--- a/standins/worker/src/machine.rs
+++ b/standins/worker/src/machine.rs
@@ -112,7 +112,15 @@
 impl Machine {
     /// A worker that has just started, empty. `warm`: it is taken as having run for long.
     pub fn new(profile: Profile, now: i64, warm: bool) -> Machine {
-        let pool = |(spec, f): (usize, &Function)| (f.name.clone(), Pool { spec, ..Pool::default() });
+        let pool = |(spec, f): (usize, &Function)| {
+            (
+                f.name.clone(),
+                Pool {
+                    spec,
+                    ..Pool::default()
+                },
+            )
+        };
         let pools = profile.functions.iter().enumerate().map(pool).collect();
         let started = if warm { now - profile.warm_up } else { now };
         Machine {
@@ -149,14 +157,18 @@
     }
     /// Usual work of a function's call.
     pub fn work(&self, function: &str) -> i64 {
-        self.pools.get(function).map_or(0, |p| self.profile.functions[p.spec].work)
+        self.pools
+            .get(function)
+            .map_or(0, |p| self.profile.functions[p.spec].work)
     }
 
     /// A call arrives that will take this much work, microseconds.
     pub fn arrive(&mut self, call: Call, function: &str, work: i64, now: i64) -> Entry {
         self.weigh(work, now);
         let queued: usize = self.pools.values().map(|p| p.waiting.len()).sum();
-        let Some(p) = self.pools.get_mut(function) else { return Entry::Unknown };
+        let Some(p) = self.pools.get_mut(function) else {
+            return Entry::Unknown;
+        };
         let f = &self.profile.functions[p.spec];
         if p.running < p.loaded * f.lanes {
             p.running += 1;
@@ -168,7 +180,11 @@
         let pending = p.loading + p.queued_loads;
         if p.loaded + pending > 0 {
             p.waiting.push_back(call);
-            return Entry::Wait(if p.loaded > 0 { Met::Warm } else { Met::Awaited });
+            return Entry::Wait(if p.loaded > 0 {
+                Met::Warm
+            } else {
+                Met::Awaited
+            });
         }
         if self.profile.when_absent == WhenAbsent::Miss {
             return Entry::NotLoaded;
@@ -189,19 +205,27 @@
             return;
         }
         self.sent.push_back((now, work));
-        while self.sent.front().is_some_and(|(at, _)| now - at > self.profile.fall_after) {
+        while self
+            .sent
+            .front()
+            .is_some_and(|(at, _)| now - at > self.profile.fall_after)
+        {
             self.sent.pop_front();
         }
         let sent: i64 = self.sent.iter().map(|(_, w)| w).sum();
         let able = self.part(now) * self.profile.cores * self.profile.fall_after as f64;
-        if now - self.started >= self.profile.fall_after && sent as f64 > self.profile.fall_multiple * able {
+        if now - self.started >= self.profile.fall_after
+            && sent as f64 > self.profile.fall_multiple * able
+        {
             self.fallen = true;
         }
     }
 
     /// A call has left: it ran to its end, or it was cancelled while it waited.
     pub fn leave(&mut self, call: Call, function: &str, ran: bool, now: i64) {
-        let Some(p) = self.pools.get_mut(function) else { return };
+        let Some(p) = self.pools.get_mut(function) else {
+            return;
+        };
         if !ran {
             p.waiting.retain(|c| *c != call);
             return;
@@ -214,10 +238,14 @@
     }
 
     fn serve(&mut self, function: &str) {
-        let Some(p) = self.pools.get_mut(function) else { return };
+        let Some(p) = self.pools.get_mut(function) else {
+            return;
+        };
         let lanes = self.profile.functions[p.spec].lanes;
         while p.running < p.loaded * lanes {
-            let Some(call) = p.waiting.pop_front() else { return };
+            let Some(call) = p.waiting.pop_front() else {
+                return;
+            };
             p.running += 1;
             self.ready.push(call);
         }
@@ -250,7 +278,9 @@
 
     /// An order to unload idle instances; how many stand then.
     pub fn unload(&mut self, function: &str) -> u32 {
-        let Some(p) = self.pools.get_mut(function) else { return 0 };
+        let Some(p) = self.pools.get_mut(function) else {
+            return 0;
+        };
         let lanes = self.profile.functions[p.spec].lanes;
         p.loaded = p.running.div_ceil(lanes);
         p.loaded
@@ -263,19 +293,27 @@
 
     fn used(&self) -> f64 {
         let of = |p: &Pool| {
-            f64::from(p.loaded + p.loading + p.queued_loads) * self.profile.functions[p.spec].memory_mb
+            f64::from(p.loaded + p.loading + p.queued_loads)
+                * self.profile.functions[p.spec].memory_mb
         };
         self.pools.values().map(of).sum()
     }
 
     fn load(&mut self, function: &str, now: i64) -> bool {
-        let Some(p) = self.pools.get(function) else { return false };
+        let Some(p) = self.pools.get(function) else {
+            return false;
+        };
         let need = self.profile.functions[p.spec].memory_mb;
         // Idle instances make room, the longest idle first.
         while self.used() + need > self.profile.memory_mb {
-            let idle =
-                self.pools.iter().filter(|(n, p)| n.as_str() != function && p.loaded > 0 && p.running == 0);
-            let Some(name) = idle.min_by_key(|(_, p)| p.idle_since).map(|(n, _)| n.clone()) else {
+            let idle = self
+                .pools
+                .iter()
+                .filter(|(n, p)| n.as_str() != function && p.loaded > 0 && p.running == 0);
+            let Some(name) = idle
+                .min_by_key(|(_, p)| p.idle_since)
+                .map(|(n, _)| n.clone())
+            else {
                 return false;
             };
             if let Some(p) = self.pools.get_mut(&name) {
@@ -292,19 +330,29 @@
 
     fn begin_loads(&mut self, now: i64) {
         while self.loading.len() < self.profile.loads {
-            let Some(name) = self.load_queue.pop_front() else { return };
-            let Some(p) = self.pools.get_mut(&name) else { continue };
+            let Some(name) = self.load_queue.pop_front() else {
+                return;
+            };
+            let Some(p) = self.pools.get_mut(&name) else {
+                continue;
+            };
             p.queued_loads -= 1;
             p.loading += 1;
-            self.loading.push((now + self.profile.functions[p.spec].load, name));
+            self.loading
+                .push((now + self.profile.functions[p.spec].load, name));
         }
     }
 
     /// When [`Machine::tick`] is wanted next.
     pub fn next(&self) -> Option<i64> {
         let loads = self.loading.iter().map(|(at, _)| *at);
-        let idle = self.pools.values().filter(|p| p.loaded > 0 && p.running == 0);
-        loads.chain(idle.map(|p| p.idle_since + self.profile.idle_life)).min()
+        let idle = self
+            .pools
+            .values()
+            .filter(|p| p.loaded > 0 && p.running == 0);
+        loads
+            .chain(idle.map(|p| p.idle_since + self.profile.idle_life))
+            .min()
     }
 
     /// Ends loads and idle lives that are due.
@@ -316,7 +364,8 @@
                 p.loaded += 1;
                 p.idle_since = now;
                 let (loaded, orders) = (p.loaded, std::mem::take(&mut p.wanted_by));
-                self.orders_done.extend(orders.into_iter().map(|o| (o, loaded)));
+                self.orders_done
+                    .extend(orders.into_iter().map(|o| (o, loaded)));
             }
             self.serve(&name);
             self.begin_loads(now);
@@ -344,7 +393,9 @@
     }
     /// Calls of a function held here.
     pub fn crowd(&self, function: &str) -> u32 {
-        self.pools.get(function).map_or(0, |p| p.running + p.waiting.len() as u32)
+        self.pools
+            .get(function)
+            .map_or(0, |p| p.running + p.waiting.len() as u32)
     }
     /// Share of its memory that can't be freed.
     pub fn pinned(&self) -> f64 {
@@ -361,8 +412,13 @@
     use super::*;
 
     fn profile() -> Profile {
-        let f =
-            |name: &str, lanes| Function { name: name.into(), memory_mb: 400.0, lanes, load: 100, work: 10 };
+        let f = |name: &str, lanes| Function {
+            name: name.into(),
+            memory_mb: 400.0,
+            lanes,
+            load: 100,
+            work: 10,
+        };
         Profile {
             name: "w".into(),
             functions: vec![f("a", 1), f("b", 2), f("c", 1)],
--- a/standins/worker/src/serve.rs
+++ b/standins/worker/src/serve.rs
@@ -21,7 +21,9 @@
 use tansy_inference::names;
 use tansy_inference::orca::OrcaLoadReport;
 use tansy_inference::scan;
-use tansy_net_grpc::server::{answer as unary, head, poll_write, refuse, trailers, Limits, Messages, Server};
+use tansy_net_grpc::server::{
+    answer as unary, head, poll_write, refuse, trailers, Limits, Messages, Server,
+};
 use tansy_net_grpc::side;
 use tansy_net_sockets::{within, Spawner};
 
@@ -61,7 +63,9 @@
         // What ran before a restart took no lane of what came after.
         if self.life == s.life.get() {
             let now = s.now();
-            s.machine.borrow_mut().leave(self.call, &self.function, self.running || started, now);
+            s.machine
+                .borrow_mut()
+                .leave(self.call, &self.function, self.running || started, now);
             s.wake();
         }
     }
@@ -166,10 +170,16 @@
                     );
                     ("200 OK", text)
                 }
-                _ => match path.strip_prefix("/fault/").map(|word| inner.faults.set(word)) {
+                _ => match path
+                    .strip_prefix("/fault/")
+                    .map(|word| inner.faults.set(word))
+                {
                     Some(Ok(())) => done(()),
                     Some(Err(why)) => ("400 Bad Request", format!("{why}\n")),
-                    None => ("404 Not Found", "GET /fault/WORD, /cut, /shed, /restart or /state\n".into()),
+                    None => (
+                        "404 Not Found",
+                        "GET /fault/WORD, /cut, /shed, /restart or /state\n".into(),
+                    ),
                 },
             }
         });
@@ -184,7 +194,11 @@
     fn wake(&self) {
         self.let_run();
         self.changed.set(true);
-        self.keeper.borrow_mut().take().into_iter().for_each(Waker::wake);
+        self.keeper
+            .borrow_mut()
+            .take()
+            .into_iter()
+            .for_each(Waker::wake);
     }
 
     fn let_run(&self) {
@@ -251,9 +265,18 @@
     }
 }
 
-async fn serve(standin: Rc<Standin>, request: Request<RecvStream>, mut respond: SendResponse<Bytes>) {
+async fn serve(
+    standin: Rc<Standin>,
+    request: Request<RecvStream>,
+    mut respond: SendResponse<Bytes>,
+) {
     let (parts, body) = request.into_parts();
-    let method = parts.uri.path().strip_prefix(names::SERVICE).unwrap_or("").to_string();
+    let method = parts
+        .uri
+        .path()
+        .strip_prefix(names::SERVICE)
+        .unwrap_or("")
+        .to_string();
     let mut messages = Messages::new(body, Limits::default().message_bytes);
     let mut first = None;
     let message = poll_fn(|cx| messages.poll_one(&mut first, cx)).await;
@@ -294,7 +317,9 @@
         };
     }
     match method.as_str() {
-        "ModelInfer" | "ModelStreamInfer" => infer(standin, method == "ModelInfer", message, respond).await,
+        "ModelInfer" | "ModelStreamInfer" => {
+            infer(standin, method == "ModelInfer", message, respond).await
+        }
         "RepositoryModelLoad" => load(standin, message, respond).await,
         "RepositoryModelUnload" => {
             let asked = pb::RepositoryModelUnloadRequest::decode(message).unwrap_or_default();
@@ -313,20 +338,30 @@
             let answer = pb::ServerLiveResponse { live: true }.encode_to_vec();
             unary(respond, &answer, trailers(Code::Ok, ""));
         }
-        _ => refuse(&mut respond, trailers(Code::Unimplemented, "not of this stand-in")),
+        _ => refuse(
+            &mut respond,
+            trailers(Code::Unimplemented, "not of this stand-in"),
+        ),
     }
 }
 
 async fn load(standin: Rc<Standin>, message: Bytes, mut respond: SendResponse<Bytes>) {
     use pb::model_repository_parameter::ParameterChoice;
     let asked = pb::RepositoryModelLoadRequest::decode(message).unwrap_or_default();
-    let wanted = match asked.parameters.get(names::LOAD_INSTANCES).and_then(|p| p.parameter_choice.clone()) {
+    let wanted = match asked
+        .parameters
+        .get(names::LOAD_INSTANCES)
+        .and_then(|p| p.parameter_choice.clone())
+    {
         Some(ParameterChoice::Int64Param(n)) => u32::try_from(n).unwrap_or(0),
         _ => 1,
     };
     let order = 1 << 63 | standin.next.replace(standin.next.get() + 1);
     let now = standin.now();
-    let standing = standin.machine.borrow_mut().order(order, &asked.model_name, wanted, now);
+    let standing = standin
+        .machine
+        .borrow_mut()
+        .order(order, &asked.model_name, wanted, now);
     standin.wake();
     let instances = match standing {
         Some(n) => n,
@@ -335,7 +370,10 @@
                 if let Some(n) = standin.running.borrow_mut().remove(&order) {
                     return Poll::Ready(Some(n));
                 }
-                standin.waiting.borrow_mut().insert(order, cx.waker().clone());
+                standin
+                    .waiting
+                    .borrow_mut()
+                    .insert(order, cx.waker().clone());
                 respond.poll_reset(cx).map(|_| None)
             });
             let done = done.await;
@@ -354,18 +392,29 @@
 async fn infer(standin: Rc<Standin>, one: bool, message: Bytes, mut respond: SendResponse<Bytes>) {
     let read = match scan::Request::read(&message) {
         Ok(read) => read,
-        Err(e) => return refuse(&mut respond, trailers(Code::InvalidArgument, &e.to_string())),
+        Err(e) => {
+            return refuse(
+                &mut respond,
+                trailers(Code::InvalidArgument, &e.to_string()),
+            )
+        }
     };
     let number = |name: &str| read.parameter(name).and_then(|v| v.as_int());
     let pieces = number(names::PIECES).map_or(1, |n| n.clamp(0, 100_000) as u32);
-    let empty_final = read.parameter(names::EMPTY_FINAL).and_then(|v| v.as_bool()).unwrap_or(false);
+    let empty_final = read
+        .parameter(names::EMPTY_FINAL)
+        .and_then(|v| v.as_bool())
+        .unwrap_or(false);
     let function = read.model.to_string();
     let work = number(names::WORK_MS).map(|ms| ms.clamp(0, 3_600_000) * 1000);
     let work = work.unwrap_or_else(|| standin.machine.borrow().work(&function));
     let call = standin.next.replace(standin.next.get() + 1);
     let crowd = standin.machine.borrow().crowd(&function);
     let now = standin.now();
-    let entry = standin.machine.borrow_mut().arrive(call, &function, work, now);
+    let entry = standin
+        .machine
+        .borrow_mut()
+        .arrive(call, &function, work, now);
     let promise = |value: &'static str, why: &str| {
         let mut map = standin.told(Code::Unavailable, why);
         map.insert(names::NEVER_RAN, HeaderValue::from_static(value));
@@ -382,14 +431,23 @@
         }
     };
     let life = standin.life.get();
-    let mut visit = Visit { standin: standin.clone(), call, function, running: runs, life };
+    let mut visit = Visit {
+        standin: standin.clone(),
+        call,
+        function,
+        running: runs,
+        life,
+    };
     standin.wake();
     if !runs {
         let began = poll_fn(|cx| {
             if standin.running.borrow().contains_key(&call) {
                 return Poll::Ready(true);
             }
-            standin.waiting.borrow_mut().insert(call, cx.waker().clone());
+            standin
+                .waiting
+                .borrow_mut()
+                .insert(call, cx.waker().clone());
             // What waits is dropped when its caller leaves; what runs goes on.
             respond.poll_reset(cx).map(|_| false)
         });
@@ -412,7 +470,11 @@
     let steps = if one { 1 } else { pieces };
     let span = standin.machine.borrow().stretched(work, standin.now()) as f64 * faults.slowness();
     let step = Duration::from_micros((span / f64::from(steps.max(1))) as u64);
-    let mut send = if one { None } else { respond.send_response(head(), false).ok() };
+    let mut send = if one {
+        None
+    } else {
+        respond.send_response(head(), false).ok()
+    };
     for n in 0..steps {
         if !step.is_zero() {
             standin.spawner.sleep(step).await;
@@ -466,14 +528,21 @@
             }
             Some(send)
         }
-        None => respond.send_response(head(), false).ok().and_then(|mut send| {
-            let bytes = frame(&response.encode_to_vec());
-            let bytes = if faults.corrupt.get() { Bytes::from_static(&[0, 0, 0, 0, 1, 0xff]) } else { bytes };
-            if faults.twice.get() {
-                let _ = send.send_data(bytes.clone(), false);
-            }
-            send.send_data(bytes, false).ok().map(|()| send)
-        }),
+        None => respond
+            .send_response(head(), false)
+            .ok()
+            .and_then(|mut send| {
+                let bytes = frame(&response.encode_to_vec());
+                let bytes = if faults.corrupt.get() {
+                    Bytes::from_static(&[0, 0, 0, 0, 1, 0xff])
+                } else {
+                    bytes
+                };
+                if faults.twice.get() {
+                    let _ = send.send_data(bytes.clone(), false);
+                }
+                send.send_data(bytes, false).ok().map(|()| send)
+            }),
     };
     if let Some(mut send) = send {
         // Fails only if the other side has gone.
@@ -488,16 +557,22 @@
 /// Every input as an output of the same name, datatype, shape and contents.
 fn answer(message: &Bytes) -> pb::ModelInferResponse {
     let asked = pb::ModelInferRequest::decode(message.clone()).unwrap_or_default();
-    let output = |t: pb::model_infer_request::InferInputTensor| pb::model_infer_response::InferOutputTensor {
-        name: t.name,
-        datatype: t.datatype,
-        shape: t.shape,
-        parameters: BTreeMap::new(),
-        contents: t.contents,
+    let output = |t: pb::model_infer_request::InferInputTensor| {
+        pb::model_infer_response::InferOutputTensor {
+            name: t.name,
+            datatype: t.datatype,
+            shape: t.shape,
+            parameters: BTreeMap::new(),
+            contents: t.contents,
+        }
     };
     pb::ModelInferResponse {
         model_name: asked.model_name,
-        model_version: if asked.model_version.is_empty() { "1".into() } else { asked.model_version },
+        model_version: if asked.model_version.is_empty() {
+            "1".into()
+        } else {
+            asked.model_version
+        },
         id: asked.id,
         parameters: BTreeMap::new(),
         outputs: asked.inputs.into_iter().map(output).collect(),
@@ -508,9 +583,14 @@
 fn piece(response: &pb::ModelInferResponse, last: bool) -> Bytes {
     use pb::infer_parameter::ParameterChoice;
     let mut response = response.clone();
-    let flag = pb::InferParameter { parameter_choice: Some(ParameterChoice::BoolParam(last)) };
+    let flag = pb::InferParameter {
+        parameter_choice: Some(ParameterChoice::BoolParam(last)),
+    };
     response.parameters.insert(names::FINAL.into(), flag);
-    let piece = pb::ModelStreamInferResponse { error_message: String::new(), infer_response: Some(response) };
+    let piece = pb::ModelStreamInferResponse {
+        error_message: String::new(),
+        infer_response: Some(response),
+    };
     frame(&piece.encode_to_vec())
 }
 
--- a/state/src/seat.rs
+++ b/state/src/seat.rs
@@ -76,7 +76,14 @@
     pub fn with(mut open: Open) -> Result<(RetryingRecords, Held), Error> {
         let (records, held) = open()?;
         let next = records.next();
-        Ok((RetryingRecords { open, records: Some(records), next }, held))
+        Ok((
+            RetryingRecords {
+                open,
+                records: Some(records),
+                next,
+            },
+            held,
+        ))
     }
 
     /// Holds a record, and a whole that takes the place of all up to it: both are synced when this returns. After an error
@@ -101,7 +108,10 @@
         } else if records.next() == self.next {
             records.hold(record.to_vec(), whole)?;
         } else {
-            return Err(Error::Gap { wanted: self.next, found: records.next() });
+            return Err(Error::Gap {
+                wanted: self.next,
+                found: records.next(),
+            });
         }
         self.records = Some(records);
         Ok(())
--- a/state/src/store.rs
+++ b/state/src/store.rs
@@ -4,7 +4,9 @@
 //! numbered without gaps; several that come together are synced together. The format's number stands in the file, and a
 //! program refuses a file of a later one before it reads anything of it.
 
-use redb::{Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition, TableError};
+use redb::{
+    Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition, TableError,
+};
 use std::path::Path;
 
 /// This program's format.
@@ -110,7 +112,11 @@
 
     /// The same on another sort of storage, for tests of what goes wrong there.
     pub fn on(backend: impl StorageBackend) -> Result<(Store, Recovered), Error> {
-        Store::of(redb::Builder::new().set_cache_size(CACHE).create_with_backend(backend)?)
+        Store::of(
+            redb::Builder::new()
+                .set_cache_size(CACHE)
+                .create_with_backend(backend)?,
+        )
     }
 
     fn of(db: Database) -> Result<(Store, Recovered), Error> {
@@ -132,20 +138,35 @@
             write.commit()?;
         }
         let recovered = Store::recover(&db)?;
-        let last = recovered.entries.last().map(|e| e.0).or(recovered.snapshot.as_ref().map(|s| s.0));
-        Ok((Store { db, next: last.map_or(1, |l| l + 1) }, recovered))
+        let last = recovered
+            .entries
+            .last()
+            .map(|e| e.0)
+            .or(recovered.snapshot.as_ref().map(|s| s.0));
+        Ok((
+            Store {
+                db,
+                next: last.map_or(1, |l| l + 1),
+            },
+            recovered,
+        ))
     }
 
     fn recover(db: &Database) -> Result<Recovered, Error> {
         let read = db.begin_read()?;
-        let snapshot =
-            read.open_table(SNAPSHOT)?.last()?.map(|(n, bytes)| (n.value(), bytes.value().to_vec()));
+        let snapshot = read
+            .open_table(SNAPSHOT)?
+            .last()?
+            .map(|(n, bytes)| (n.value(), bytes.value().to_vec()));
         let first = snapshot.as_ref().map_or(1, |s| s.0 + 1);
         let mut entries = Vec::new();
         for (wanted, entry) in (first..).zip(read.open_table(ENTRIES)?.range(first..)?) {
             let (n, bytes) = entry?;
             if n.value() != wanted {
-                return Err(Error::Gap { wanted, found: n.value() });
+                return Err(Error::Gap {
+                    wanted,
+                    found: n.value(),
+                });
             }
             entries.push((wanted, bytes.value().to_vec()));
         }
@@ -161,7 +182,10 @@
     /// of the file nothing more is taken until it is opened again.
     pub fn append(&mut self, first: u64, entries: &[Vec<u8>]) -> Result<(), Error> {
         if first != self.next {
-            return Err(Error::Order { wanted: self.next, given: first });
+            return Err(Error::Order {
+                wanted: self.next,
+                given: first,
+            });
         }
         if let Some(large) = entries.iter().find(|e| e.len() > LARGEST) {
             return Err(Error::Large { bytes: large.len() });
@@ -181,7 +205,10 @@
     /// Holds a snapshot that covers entries up to this one, and lets go of those and of the snapshot before.
     pub fn snapshot(&mut self, upto: u64, bytes: &[u8]) -> Result<(), Error> {
         if upto >= self.next {
-            return Err(Error::Order { wanted: self.next, given: upto });
+            return Err(Error::Order {
+                wanted: self.next,
+                given: upto,
+            });
         } else if bytes.len() > LARGEST {
             return Err(Error::Large { bytes: bytes.len() });
         }
--- a/state/tests/disk.rs
+++ b/state/tests/disk.rs
@@ -100,7 +100,11 @@
                 }
             }
         }
-        Disk(Arc::new(Mutex::new(Inner { now: left.clone(), synced: left, ..Inner::default() })))
+        Disk(Arc::new(Mutex::new(Inner {
+            now: left.clone(),
+            synced: left,
+            ..Inner::default()
+        })))
     }
 }
 
@@ -114,7 +118,12 @@
     let whole = (n % 37 == 36).then(|| format!("whole {n}").into_bytes());
     records.hold(record.clone(), whole.as_deref())?;
     match whole {
-        Some(whole) => *told = Held { whole: Some(whole), records: Vec::new() },
+        Some(whole) => {
+            *told = Held {
+                whole: Some(whole),
+                records: Vec::new(),
+            }
+        }
         None => told.records.push(record),
     }
     Ok(())
@@ -169,15 +178,32 @@
     let disk = Disk::default();
     let (mut store, held) = Store::on(disk.clone()).expect("a store");
     assert_eq!(held, Default::default());
-    store.append(1, &[vec![1], vec![2], vec![3]]).expect("three");
-    assert!(matches!(store.append(3, &[vec![9]]), Err(Error::Order { wanted: 4, given: 3 })));
-    assert!(matches!(store.snapshot(4, &[7]), Err(Error::Order { .. })), "it covers what there isn't");
+    store
+        .append(1, &[vec![1], vec![2], vec![3]])
+        .expect("three");
+    assert!(matches!(
+        store.append(3, &[vec![9]]),
+        Err(Error::Order {
+            wanted: 4,
+            given: 3
+        })
+    ));
+    assert!(
+        matches!(store.snapshot(4, &[7]), Err(Error::Order { .. })),
+        "it covers what there isn't"
+    );
     store.snapshot(2, &[7]).expect("a snapshot");
     let large = vec![0; tansy_state::store::LARGEST + 1];
-    assert!(matches!(store.append(4, &[large]), Err(Error::Large { .. })));
+    assert!(matches!(
+        store.append(4, &[large]),
+        Err(Error::Large { .. })
+    ));
     drop(store);
     let (store, held) = Store::on(disk).expect("the store");
-    assert_eq!((held.snapshot, held.entries, store.next()), (Some((2, vec![7])), vec![(3, vec![3])], 4));
+    assert_eq!(
+        (held.snapshot, held.entries, store.next()),
+        (Some((2, vec![7])), vec![(3, vec![3])], 4)
+    );
 }
 
 #[test]
@@ -196,10 +222,16 @@
 fn a_file_of_a_later_program_is_refused_and_left_as_it_is() {
     let disk = Disk::default();
     drop(Store::on(disk.clone()).expect("a store"));
-    let db = redb::Builder::new().create_with_backend(disk.clone()).expect("the file");
+    let db = redb::Builder::new()
+        .create_with_backend(disk.clone())
+        .expect("the file");
     let write = db.begin_write().expect("a transaction");
     let meta = redb::TableDefinition::<&str, u64>::new("meta");
-    write.open_table(meta).expect("the table").insert("format", 7).expect("a value");
+    write
+        .open_table(meta)
+        .expect("the table")
+        .insert("format", 7)
+        .expect("a value");
     write.commit().expect("written");
     drop(db);
     let refused = Store::on(disk.clone()).expect_err("refused");
@@ -231,7 +263,12 @@
                 assert!(tries < 100, "seed {seed}: {e}");
             }
             match whole {
-                Some(whole) => told = Held { whole: Some(whole), records: Vec::new() },
+                Some(whole) => {
+                    told = Held {
+                        whole: Some(whole),
+                        records: Vec::new(),
+                    }
+                }
                 None => told.records.push(record),
             }
         }
@@ -250,7 +287,10 @@
 #[test]
 fn what_does_not_pass_is_not_tried_again() {
     let large = Error::Large { bytes: 1 };
-    let gap = Error::Gap { wanted: 1, found: 3 };
+    let gap = Error::Gap {
+        wanted: 1,
+        found: 3,
+    };
     assert!(!large.may_pass() && !gap.may_pass());
     assert!(Error::Used.may_pass());
 }
--- a/state/tests/processes.rs
+++ b/state/tests/processes.rs
@@ -12,7 +12,9 @@
 #[test]
 #[ignore = "started by the others, with a file"]
 fn a_seat_that_tells_each_step() {
-    let Some(path) = std::env::var_os(FILE) else { return };
+    let Some(path) = std::env::var_os(FILE) else {
+        return;
+    };
     let (mut records, held) = Records::open(&PathBuf::from(path)).expect("a seat");
     for n in held.records.len() as u64 + 1.. {
         records.hold(n.to_be_bytes().to_vec(), None).expect("held");
@@ -32,7 +34,12 @@
 
 fn start(path: &PathBuf) -> Running {
     let child = Command::new(std::env::current_exe().expect("this program"))
-        .args(["a_seat_that_tells_each_step", "--exact", "--ignored", "--nocapture"])
+        .args([
+            "a_seat_that_tells_each_step",
+            "--exact",
+            "--ignored",
+            "--nocapture",
+        ])
         .env(FILE, path)
         .stdout(Stdio::piped())
         .stderr(Stdio::null())
@@ -43,7 +50,9 @@
 fn steps(child: &mut Running) -> impl Iterator<Item = u64> {
     let lines = BufReader::new(child.0.stdout.take().expect("its output")).lines();
     // The first line may stand behind what the test program says of itself.
-    lines.map_while(Result::ok).filter_map(|l| l.rsplit("held ").next()?.parse().ok())
+    lines
+        .map_while(Result::ok)
+        .filter_map(|l| l.rsplit("held ").next()?.parse().ok())
 }
 
 struct File(PathBuf);
@@ -70,7 +79,11 @@
         let mut steps = steps(&mut child);
         for _ in 0..rng.usize(1..25) {
             let step = steps.next().expect("a step");
-            assert_eq!(step, told + 1, "round {round}: no step is lost, none taken twice");
+            assert_eq!(
+                step,
+                told + 1,
+                "round {round}: no step is lost, none taken twice"
+            );
             told = step;
         }
         // With SIGKILL, wherever it is by now; what it told meanwhile counts as well.
@@ -80,9 +93,18 @@
         let (records, all) = Records::open(&file.0).expect("the seat");
         drop(records);
         let held = all.records.len() as u64;
-        let numbers = all.records.iter().map(|r| u64::from_be_bytes(r[..].try_into().expect("a number")));
-        assert!(numbers.eq(1..=held), "round {round}: each once, in its order");
-        assert!(held == told || held == told + 1, "round {round}: told {told}, held {held}");
+        let numbers = all
+            .records
+            .iter()
+            .map(|r| u64::from_be_bytes(r[..].try_into().expect("a number")));
+        assert!(
+            numbers.eq(1..=held),
+            "round {round}: each once, in its order"
+        );
+        assert!(
+            held == told || held == told + 1,
+            "round {round}: told {told}, held {held}"
+        );
         told = held;
     }
 }
