--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -169,7 +169,9 @@
 
 impl World {
     fn new(play: Play, seed: u64) -> World {
-        let weights = (0..play.siblings).map(|n| if play.uneven && n % 5 == 0 { 4.0 } else { 1.0 }).collect();
+        let weights = (0..play.siblings)
+            .map(|n| if play.uneven && n % 5 == 0 { 4.0 } else { 1.0 })
+            .collect();
         let mut w = World {
             play,
             rng: fastrand::Rng::with_seed(seed),
@@ -178,7 +180,9 @@
             events: HashMap::new(),
             serial: 0,
             routers: Vec::new(),
-            workers: (0..play.workers as u64).map(|n| (n, Worker::default())).collect(),
+            workers: (0..play.workers as u64)
+                .map(|n| (n, Worker::default()))
+                .collect(),
             calls: HashMap::new(),
             next: 0,
             weights,
@@ -189,7 +193,13 @@
             let router = w.router(fe, false);
             w.routers.push((router, 0, None));
             let entries = w.list();
-            w.tell(fe, Event::Workers { kind: ListKind::Full, entries });
+            w.tell(
+                fe,
+                Event::Workers {
+                    kind: ListKind::Full,
+                    entries,
+                },
+            );
         }
         w.at(Time(0), Ev::Arrival);
         w.at(Time(START), Ev::Start);
@@ -211,7 +221,11 @@
         let set = Settings {
             me: if alone { 0 } else { fe },
             siblings: if alone { 1 } else { self.play.siblings },
-            classes: if self.play.mixed { vec![class(WORK / 2), class(2 * WORK)] } else { vec![class(WORK)] },
+            classes: if self.play.mixed {
+                vec![class(WORK / 2), class(2 * WORK)]
+            } else {
+                vec![class(WORK)]
+            },
             may_order: true,
             when_absent: WhenAbsent::Miss,
             idle_life: IDLE_LIFE,
@@ -229,7 +243,8 @@
 
     fn at(&mut self, at: Time, ev: Ev) {
         self.serial += 1;
-        self.queue.push(Reverse((at, self.serial as u64, self.serial)));
+        self.queue
+            .push(Reverse((at, self.serial as u64, self.serial)));
         self.events.insert(self.serial, ev);
     }
 
@@ -239,7 +254,11 @@
             kind: self.kind(*id),
             cell: *id,
             zone: 0,
-            state: if w.gone { WorkerState::Gone } else { WorkerState::Ready },
+            state: if w.gone {
+                WorkerState::Gone
+            } else {
+                WorkerState::Ready
+            },
             started: w.started,
             share: 1.0,
         };
@@ -252,26 +271,53 @@
         let life = self.routers[fe].1;
         for a in out {
             match a {
-                Action::Send { request, worker, .. } => {
-                    let Some(c) = self.calls.get_mut(&(fe, life, request.0)) else { continue };
+                Action::Send {
+                    request, worker, ..
+                } => {
+                    let Some(c) = self.calls.get_mut(&(fe, life, request.0)) else {
+                        continue;
+                    };
                     let (function, class, work, attempt) = *c;
                     c.3 += 1;
-                    let ev =
-                        Ev::Reach { fe, life, request, attempt, worker: worker.0, function, class, work };
+                    let ev = Ev::Reach {
+                        fe,
+                        life,
+                        request,
+                        attempt,
+                        worker: worker.0,
+                        function,
+                        class,
+                        work,
+                    };
                     self.at(self.now.plus(WAY), ev);
                 }
                 Action::Refuse { request, .. } | Action::Fail { request } => {
                     self.calls.remove(&(fe, life, request.0));
                     self.answered[1] += 1;
                 }
-                Action::Load { worker, function, instances } => {
-                    let took = if instances == 0 { MS } else { 400 * MS + self.rng.i64(0..400) * MS };
+                Action::Load {
+                    worker,
+                    function,
+                    instances,
+                } => {
+                    let took = if instances == 0 {
+                        MS
+                    } else {
+                        400 * MS + self.rng.i64(0..400) * MS
+                    };
                     let sent = self.now;
-                    let loaded = Ev::Loaded { fe, life, worker: worker.0, function: function.0, sent };
+                    let loaded = Ev::Loaded {
+                        fe,
+                        life,
+                        worker: worker.0,
+                        function: function.0,
+                        sent,
+                    };
                     if instances > 0 {
                         self.at(self.now.plus(took), loaded);
                     } else {
-                        let stands = self.workers[&worker.0].loaded.contains_key(&function.0) as u32;
+                        let stands =
+                            self.workers[&worker.0].loaded.contains_key(&function.0) as u32;
                         let done = Event::OrderDone {
                             worker,
                             function,
@@ -279,7 +325,14 @@
                             latency: took,
                             instances: stands,
                         };
-                        self.at(self.now.plus(took), Ev::Told { fe, life, event: done });
+                        self.at(
+                            self.now.plus(took),
+                            Ev::Told {
+                                fe,
+                                life,
+                                event: done,
+                            },
+                        );
                     }
                 }
                 Action::SetTimer { at, .. } => {
@@ -301,7 +354,9 @@
     }
     fn part(&self, id: u64, at: Time) -> f64 {
         let speed = [1.0, self.play.speed][self.kind(id)];
-        let Some(started) = self.workers[&id].started else { return speed };
+        let Some(started) = self.workers[&id].started else {
+            return speed;
+        };
         let age = at.since(started).clamp(0, self.play.warm_up) as f64 / self.play.warm_up as f64;
         speed * (self.play.cold_from + (1.0 - self.play.cold_from) * age)
     }
@@ -328,7 +383,8 @@
         let work = self.exponential(mean as f64) as Span + 1;
         self.next += 1;
         let (request, life) = (RequestId(self.next), self.routers[fe].1);
-        self.calls.insert((fe, life, request.0), (function, class, work, 0));
+        self.calls
+            .insert((fe, life, request.0), (function, class, work, 0));
         let arrival = Arrival {
             request,
             function: FunctionId(function),
@@ -347,7 +403,9 @@
     fn fill(&mut self, id: u64) {
         let part = self.part(id, self.now);
         let now = self.now;
-        let Some(w) = self.workers.get_mut(&id) else { return };
+        let Some(w) = self.workers.get_mut(&id) else {
+            return;
+        };
         let mut began = Vec::new();
         while w.running.len() < CORES && !w.waiting.is_empty() {
             let held = w.waiting.remove(0);
@@ -368,12 +426,26 @@
             outcome,
             concluded: outcome == Outcome::Served,
             latency: self.now.since(held.sent) + WAY,
-            note: if outcome == Outcome::Served { Note::Warm } else { Note::Silent },
+            note: if outcome == Outcome::Served {
+                Note::Warm
+            } else {
+                Note::Silent
+            },
             crowd: Some(held.crowd),
-            report: Some(LoadReport { busy: Some(busy), ..LoadReport::default() }),
+            report: Some(LoadReport {
+                busy: Some(busy),
+                ..LoadReport::default()
+            }),
         };
         let event = Event::AttemptDone(done);
-        self.at(self.now.plus(WAY), Ev::Told { fe: held.fe, life: held.life, event });
+        self.at(
+            self.now.plus(WAY),
+            Ev::Told {
+                fe: held.fe,
+                life: held.life,
+                event,
+            },
+        );
     }
 
     fn step(&mut self, ev: Ev) {
@@ -385,18 +457,53 @@
                     self.tell(fe, Event::Timer { token: 0 });
                 }
             }
-            Ev::Reach { fe, life, request, attempt, worker, function, class, work } => {
-                let mean = if self.play.mixed { [0.5, 2.0][class] } else { 1.0 };
+            Ev::Reach {
+                fe,
+                life,
+                request,
+                attempt,
+                worker,
+                function,
+                class,
+                work,
+            } => {
+                let mean = if self.play.mixed {
+                    [0.5, 2.0][class]
+                } else {
+                    1.0
+                };
                 if self.workers[&worker].started.is_some() {
-                    self.reached.entry(worker).or_default().push((self.now, mean));
+                    self.reached
+                        .entry(worker)
+                        .or_default()
+                        .push((self.now, mean));
                 }
                 self.serial += 1;
                 let (serial, sent, now) = (self.serial as u64, self.now.plus(-WAY), self.now);
-                let Some(w) = self.workers.get_mut(&worker) else { return };
-                let crowd =
-                    w.running.iter().chain(&w.waiting).filter(|h| h.function == function).count() as u32;
-                let held = Held { fe, life, request, attempt, function, left: work, sent, crowd, serial };
-                let fresh = w.loaded.get(&function).is_some_and(|t| now.since(*t) < IDLE_LIFE);
+                let Some(w) = self.workers.get_mut(&worker) else {
+                    return;
+                };
+                let crowd = w
+                    .running
+                    .iter()
+                    .chain(&w.waiting)
+                    .filter(|h| h.function == function)
+                    .count() as u32;
+                let held = Held {
+                    fe,
+                    life,
+                    request,
+                    attempt,
+                    function,
+                    left: work,
+                    sent,
+                    crowd,
+                    serial,
+                };
+                let fresh = w
+                    .loaded
+                    .get(&function)
+                    .is_some_and(|t| now.since(*t) < IDLE_LIFE);
                 let full = w.waiting.len() > 4 * CORES;
                 if w.gone || !fresh {
                     return self.ended(&held, worker, Outcome::NotLoaded);
@@ -408,8 +515,12 @@
                 self.fill(worker);
             }
             Ev::Ran { worker, serial } => {
-                let Some(w) = self.workers.get_mut(&worker) else { return };
-                let Some(at) = w.running.iter().position(|h| h.serial == serial) else { return };
+                let Some(w) = self.workers.get_mut(&worker) else {
+                    return;
+                };
+                let Some(at) = w.running.iter().position(|h| h.serial == serial) else {
+                    return;
+                };
                 let held = w.running.swap_remove(at);
                 self.ended(&held, worker, Outcome::Served);
                 self.fill(worker);
@@ -427,9 +538,17 @@
                 }
                 self.tell(fe, event);
             }
-            Ev::Loaded { fe, life, worker, function, sent } => {
+            Ev::Loaded {
+                fe,
+                life,
+                worker,
+                function,
+                sent,
+            } => {
                 let now = self.now;
-                let Some(w) = self.workers.get_mut(&worker) else { return };
+                let Some(w) = self.workers.get_mut(&worker) else {
+                    return;
+                };
                 let instances = !w.gone as u32;
                 if instances > 0 {
                     w.loaded.insert(function, now);
@@ -437,7 +556,11 @@
                 let event = Event::OrderDone {
                     worker: WorkerId(worker),
                     function: FunctionId(function),
-                    outcome: if instances > 0 { Outcome::Served } else { Outcome::ConnectFailed },
+                    outcome: if instances > 0 {
+                        Outcome::Served
+                    } else {
+                        Outcome::ConnectFailed
+                    },
                     latency: now.since(sent),
                     instances,
                 };
@@ -446,15 +569,29 @@
             Ev::Start => {
                 let (now, first) = (self.now, self.play.workers as u64);
                 // Of both kinds in turns, the slow one first.
-                for n in (0..self.play.cold as u64).map(|n| (first / 2 * (n % 2 + 1) + n / 2) % first) {
+                for n in
+                    (0..self.play.cold as u64).map(|n| (first / 2 * (n % 2 + 1) + n / 2) % first)
+                {
                     self.workers.entry(n).or_default().gone = true;
-                    self.workers.insert(first + n, Worker { started: Some(now), ..Worker::default() });
+                    self.workers.insert(
+                        first + n,
+                        Worker {
+                            started: Some(now),
+                            ..Worker::default()
+                        },
+                    );
                 }
                 for fe in 0..self.play.siblings {
-                    let after =
-                        if self.play.told_over > 0 { self.rng.i64(0..self.play.told_over) } else { 0 };
+                    let after = if self.play.told_over > 0 {
+                        self.rng.i64(0..self.play.told_over)
+                    } else {
+                        0
+                    };
                     let (life, entries) = (self.routers[fe].1, self.list());
-                    let event = Event::Workers { kind: ListKind::Full, entries };
+                    let event = Event::Workers {
+                        kind: ListKind::Full,
+                        entries,
+                    };
                     self.at(now.plus(after), Ev::Told { fe, life, event });
                 }
                 if let Some(after) = self.play.lost_after {
@@ -467,10 +604,19 @@
                 }
             }
             Ev::Lost => {
-                self.workers.values_mut().filter(|w| w.started.is_none()).for_each(|w| w.gone = true);
+                self.workers
+                    .values_mut()
+                    .filter(|w| w.started.is_none())
+                    .for_each(|w| w.gone = true);
                 for fe in 0..self.play.siblings {
                     let entries = self.list();
-                    self.tell(fe, Event::Workers { kind: ListKind::Full, entries });
+                    self.tell(
+                        fe,
+                        Event::Workers {
+                            kind: ListKind::Full,
+                            entries,
+                        },
+                    );
                 }
             }
             Ev::Restart(fe) => {
@@ -478,7 +624,13 @@
                 let life = self.routers[fe].1 + 1;
                 self.routers[fe] = (router, life, None);
                 let entries = self.list();
-                self.tell(fe, Event::Workers { kind: ListKind::Full, entries });
+                self.tell(
+                    fe,
+                    Event::Workers {
+                        kind: ListKind::Full,
+                        entries,
+                    },
+                );
             }
         }
     }
@@ -500,12 +652,19 @@
     /// Counts every window that begins with a call at a cold worker against what it may have then.
     fn judge(&self) -> Count {
         let per_s = CORES as f64 / WORK as f64;
-        let mut result = Count { worst: f64::MIN, ..Count::default() };
+        let mut result = Count {
+            worst: f64::MIN,
+            ..Count::default()
+        };
         let (mut sent, mut allowed) = (0.0, 0.0);
         for (id, reached) in &self.reached {
             for (first, (from, _)) in reached.iter().enumerate() {
                 let until = from.plus(FALL_AFTER);
-                let count: f64 = reached[first..].iter().take_while(|r| r.0 <= until).map(|r| r.1).sum();
+                let count: f64 = reached[first..]
+                    .iter()
+                    .take_while(|r| r.0 <= until)
+                    .map(|r| r.1)
+                    .sum();
                 let n = self.play.multiple * self.part(*id, *from) * per_s * FALL_AFTER as f64;
                 result.windows += 1;
                 result.over += (count > n + 2.0 * n.sqrt() + 2.0) as usize;
@@ -516,14 +675,18 @@
             allowed += mean * per_s * self.play.warm_up as f64;
         }
         result.used = sent / allowed;
-        result.served = self.answered[0] as f64 / (self.answered[0] + self.answered[1]).max(1) as f64;
+        result.served =
+            self.answered[0] as f64 / (self.answered[0] + self.answered[1]).max(1) as f64;
         result
     }
 }
 
 /// Plays until so many windows were counted.
 fn windows(play: Play, least: usize) -> Count {
-    let mut all = Count { worst: f64::MIN, ..Count::default() };
+    let mut all = Count {
+        worst: f64::MIN,
+        ..Count::default()
+    };
     let mut plays = 0.0;
     for seed in 1.. {
         let c = World::new(play, seed).run();
@@ -536,16 +699,29 @@
             break;
         }
     }
-    Count { used: all.used / plays, served: all.served / plays, ..all }
+    Count {
+        used: all.used / plays,
+        served: all.served / plays,
+        ..all
+    }
 }
 
 /// A room that comes back cold under more load than what is warm can bear.
 fn room() -> Play {
-    Play { cold: 11, load: 0.8, ..Play::default() }
+    Play {
+        cold: 11,
+        load: 0.8,
+        ..Play::default()
+    }
 }
 /// Some start, and while they are cold all others are lost.
 fn lost() -> Play {
-    Play { cold: 4, load: 0.5, lost_after: Some(4 * SECOND), ..Play::default() }
+    Play {
+        cold: 4,
+        load: 0.5,
+        lost_after: Some(4 * SECOND),
+        ..Play::default()
+    }
 }
 
 /// All settings of a table keep to the bound in every window; the figures are printed for the table in the docs.
@@ -570,7 +746,16 @@
         ("20", of(20)),
         ("30", of(30)),
         ("64", of(64)),
-        ("300 at 60 workers", Play { siblings: 300, workers: 60, cold: 20, load: 0.5, ..Play::default() }),
+        (
+            "300 at 60 workers",
+            Play {
+                siblings: 300,
+                workers: 60,
+                cold: 20,
+                load: 0.5,
+                ..Play::default()
+            },
+        ),
     ];
     keep(&table);
 }
@@ -578,61 +763,193 @@
 #[test]
 fn whoever_has_more_traffic_hears_late_or_starts_anew() {
     let table = [
-        ("uneven", Play { uneven: true, ..room() }),
-        ("told over 3 s", Play { told_over: 3 * SECOND, ..room() }),
-        ("all restarted meanwhile", Play { restarted: 100, ..room() }),
-        ("8, all restarted", Play { siblings: 8, restarted: 100, ..room() }),
+        (
+            "uneven",
+            Play {
+                uneven: true,
+                ..room()
+            },
+        ),
+        (
+            "told over 3 s",
+            Play {
+                told_over: 3 * SECOND,
+                ..room()
+            },
+        ),
+        (
+            "all restarted meanwhile",
+            Play {
+                restarted: 100,
+                ..room()
+            },
+        ),
+        (
+            "8, all restarted",
+            Play {
+                siblings: 8,
+                restarted: 100,
+                ..room()
+            },
+        ),
         (
             "uneven, a third restarted, told late",
-            Play { uneven: true, restarted: 33, told_over: SECOND, ..room() },
+            Play {
+                uneven: true,
+                restarted: 33,
+                told_over: SECOND,
+                ..room()
+            },
+        ),
+        (
+            "restarted as the rest is lost",
+            Play {
+                restarted: 100,
+                ..lost()
+            },
         ),
-        ("restarted as the rest is lost", Play { restarted: 100, ..lost() }),
     ];
     keep(&table);
 }
 
 #[test]
 fn whatever_the_calls_and_the_workers_are() {
-    let slow = Play { speed: 0.6, load: 0.65, ..room() };
+    let slow = Play {
+        speed: 0.6,
+        load: 0.65,
+        ..room()
+    };
     let table = [
-        ("classes of 4 to 1 in work", Play { mixed: true, ..room() }),
+        (
+            "classes of 4 to 1 in work",
+            Play {
+                mixed: true,
+                ..room()
+            },
+        ),
         ("half the workers slower by 0.6", slow),
-        ("and classes of 4 to 1", Play { mixed: true, ..slow }),
-        ("slower, 8", Play { siblings: 8, ..slow }),
-        ("slower, 64", Play { siblings: 64, ..slow }),
-        ("long ramp from 0.1", Play { cold_from: 0.1, warm_up: 30 * SECOND, ..room() }),
+        (
+            "and classes of 4 to 1",
+            Play {
+                mixed: true,
+                ..slow
+            },
+        ),
+        (
+            "slower, 8",
+            Play {
+                siblings: 8,
+                ..slow
+            },
+        ),
+        (
+            "slower, 64",
+            Play {
+                siblings: 64,
+                ..slow
+            },
+        ),
+        (
+            "long ramp from 0.1",
+            Play {
+                cold_from: 0.1,
+                warm_up: 30 * SECOND,
+                ..room()
+            },
+        ),
     ];
     keep(&table);
 }
 
 #[test]
 fn when_all_calls_come_at_once_to_workers_that_had_few() {
-    let long = Play { warm_up: 30 * SECOND, lost_after: Some(15 * SECOND), ..lost() };
+    let long = Play {
+        warm_up: 30 * SECOND,
+        lost_after: Some(15 * SECOND),
+        ..lost()
+    };
     let table = [
-        ("8", Play { siblings: 8, ..lost() }),
+        (
+            "8",
+            Play {
+                siblings: 8,
+                ..lost()
+            },
+        ),
         ("30", lost()),
-        ("64", Play { siblings: 64, ..lost() }),
+        (
+            "64",
+            Play {
+                siblings: 64,
+                ..lost()
+            },
+        ),
         ("30, long ramp", long),
-        ("64, long ramp", Play { siblings: 64, ..long }),
-        ("300 at 60 workers", Play { siblings: 300, workers: 60, cold: 20, ..lost() }),
+        (
+            "64, long ramp",
+            Play {
+                siblings: 64,
+                ..long
+            },
+        ),
+        (
+            "300 at 60 workers",
+            Play {
+                siblings: 300,
+                workers: 60,
+                cold: 20,
+                ..lost()
+            },
+        ),
     ];
     keep(&table);
 }
 
 /// A multiple so low that the credit is what binds, not the workers' queues.
 fn tight(play: Play) -> Play {
-    Play { multiple: 1.5, ..play }
+    Play {
+        multiple: 1.5,
+        ..play
+    }
 }
 
 #[test]
 fn where_nothing_but_the_credit_binds() {
-    let slow = Play { speed: 0.6, load: 0.65, ..room() };
+    let slow = Play {
+        speed: 0.6,
+        load: 0.65,
+        ..room()
+    };
     let table = [
         ("1.5 times", tight(room())),
-        ("8", tight(Play { siblings: 8, ..room() })),
-        ("64", tight(Play { siblings: 64, ..room() })),
-        ("uneven", tight(Play { uneven: true, ..room() })),
-        ("all restarted", tight(Play { restarted: 100, ..room() })),
+        (
+            "8",
+            tight(Play {
+                siblings: 8,
+                ..room()
+            }),
+        ),
+        (
+            "64",
+            tight(Play {
+                siblings: 64,
+                ..room()
+            }),
+        ),
+        (
+            "uneven",
+            tight(Play {
+                uneven: true,
+                ..room()
+            }),
+        ),
+        (
+            "all restarted",
+            tight(Play {
+                restarted: 100,
+                ..room()
+            }),
+        ),
         ("slower", tight(slow)),
     ];
     keep(&table);
@@ -643,11 +960,42 @@
 fn where_nothing_but_the_credit_binds_and_the_rest_is_lost() {
     let table = [
         ("30", tight(lost())),
-        ("uneven", tight(Play { uneven: true, ..lost() })),
-        ("slower", tight(Play { speed: 0.6, load: 0.4, ..lost() })),
-        ("8", tight(Play { siblings: 8, ..lost() })),
-        ("64", tight(Play { siblings: 64, ..lost() })),
-        ("long ramp", tight(Play { warm_up: 30 * SECOND, ..lost() })),
+        (
+            "uneven",
+            tight(Play {
+                uneven: true,
+                ..lost()
+            }),
+        ),
+        (
+            "slower",
+            tight(Play {
+                speed: 0.6,
+                load: 0.4,
+                ..lost()
+            }),
+        ),
+        (
+            "8",
+            tight(Play {
+                siblings: 8,
+                ..lost()
+            }),
+        ),
+        (
+            "64",
+            tight(Play {
+                siblings: 64,
+                ..lost()
+            }),
+        ),
+        (
+            "long ramp",
+            tight(Play {
+                warm_up: 30 * SECOND,
+                ..lost()
+            }),
+        ),
     ];
     keep(&table);
 }
@@ -655,12 +1003,41 @@
 /// The check itself: front ends that give twice what they may, and such as believe to be alone after a restart.
 #[test]
 fn what_is_planted_is_found() {
-    let restarted = tight(Play { restarted: 100, ..room() });
+    let restarted = tight(Play {
+        restarted: 100,
+        ..room()
+    });
     let table = [
-        ("doubled", Play { planted: Some(Planted::Doubled), ..tight(room()) }),
-        ("doubled, 8", Play { siblings: 8, planted: Some(Planted::Doubled), ..tight(room()) }),
-        ("doubled, 64", Play { siblings: 64, planted: Some(Planted::Doubled), ..tight(room()) }),
-        ("renewed", Play { planted: Some(Planted::RenewedWhole), ..restarted }),
+        (
+            "doubled",
+            Play {
+                planted: Some(Planted::Doubled),
+                ..tight(room())
+            },
+        ),
+        (
+            "doubled, 8",
+            Play {
+                siblings: 8,
+                planted: Some(Planted::Doubled),
+                ..tight(room())
+            },
+        ),
+        (
+            "doubled, 64",
+            Play {
+                siblings: 64,
+                planted: Some(Planted::Doubled),
+                ..tight(room())
+            },
+        ),
+        (
+            "renewed",
+            Play {
+                planted: Some(Planted::RenewedWhole),
+                ..restarted
+            },
+        ),
     ];
     for (name, play) in table {
         let c = windows(play, WINDOWS);
--- a/tests/fault-shim/src/lib.rs
+++ b/tests/fault-shim/src/lib.rs
@@ -135,8 +135,12 @@
             step_by: 0.0,
         };
         for part in parts {
-            let Some((key, value)) = part.split_once('=') else { unreadable(text) };
-            let Ok(number) = value.parse::<f64>() else { unreadable(text) };
+            let Some((key, value)) = part.split_once('=') else {
+                unreadable(text)
+            };
+            let Ok(number) = value.parse::<f64>() else {
+                unreadable(text)
+            };
             match key {
                 "first" => rule.first = Some(number as usize),
                 "rate" => rule.rate = number,
@@ -153,8 +157,15 @@
 impl Rules {
     fn read() -> Rules {
         let text = std::env::var("FAULT_RULES").unwrap_or_default();
-        let seed: u64 = std::env::var("FAULT_SEED").ok().and_then(|s| s.parse().ok()).unwrap_or(1);
-        let rules = text.split(';').filter(|r| !r.is_empty()).map(Rule::read).collect();
+        let seed: u64 = std::env::var("FAULT_SEED")
+            .ok()
+            .and_then(|s| s.parse().ok())
+            .unwrap_or(1);
+        let rules = text
+            .split(';')
+            .filter(|r| !r.is_empty())
+            .map(Rule::read)
+            .collect();
         Rules {
             rules,
             random: AtomicU64::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1),
@@ -179,7 +190,10 @@
 
     /// What happens to this call, if a rule has it fail.
     fn fault(&self, call: Call) -> Option<Fault> {
-        let mut rules = self.rules.iter().filter(|r| r.call == call && self.holds(r));
+        let mut rules = self
+            .rules
+            .iter()
+            .filter(|r| r.call == call && self.holds(r));
         let strikes = |r: &&Rule| match r.first {
             Some(first) => r.seen.fetch_add(1, Ordering::Relaxed) < first,
             None => self.draw() < r.rate,
@@ -189,7 +203,11 @@
 
     /// Seconds by which the wall clock is off now.
     fn clock_step(&self) -> f64 {
-        self.rules.iter().filter(|r| r.call == Call::Clock && self.holds(r)).map(|r| r.step_by).sum()
+        self.rules
+            .iter()
+            .filter(|r| r.call == Call::Clock && self.holds(r))
+            .map(|r| r.step_by)
+            .sum()
     }
 }
 
@@ -217,7 +235,10 @@
 }
 
 fn monotonic() -> f64 {
-    let mut time = Timespec { seconds: 0, nanoseconds: 0 };
+    let mut time = Timespec {
+        seconds: 0,
+        nanoseconds: 0,
+    };
     real_clock(MONOTONIC, &mut time);
     time.seconds as f64 + time.nanoseconds as f64 / 1e9
 }
@@ -241,7 +262,9 @@
 /// As of clock_gettime(2).
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: c_int, time: *mut Timespec) -> c_int {
-    let Some(time) = time.as_mut() else { return fail(14) as c_int };
+    let Some(time) = time.as_mut() else {
+        return fail(14) as c_int;
+    };
     let done = real_clock(clock, time);
     if done == 0 && clock == REALTIME {
         let step = rules().clock_step();
@@ -258,7 +281,9 @@
     if let Some(Fault::Error(error)) = rules().fault(Call::Socket) {
         return fail(error) as c_int;
     }
-    next::<unsafe extern "C" fn(c_int, c_int, c_int) -> c_int>(&SLOT, c"socket")(domain, kind, protocol)
+    next::<unsafe extern "C" fn(c_int, c_int, c_int) -> c_int>(&SLOT, c"socket")(
+        domain, kind, protocol,
+    )
 }
 
 /// # Safety
@@ -269,13 +294,20 @@
     if let Some(Fault::Error(error)) = rules().fault(Call::Connect) {
         return fail(error) as c_int;
     }
-    next::<unsafe extern "C" fn(c_int, *const c_void, u32) -> c_int>(&SLOT, c"connect")(fd, address, length)
+    next::<unsafe extern "C" fn(c_int, *const c_void, u32) -> c_int>(&SLOT, c"connect")(
+        fd, address, length,
+    )
 }
 
 /// # Safety
 /// As of accept4(2).
 #[no_mangle]
-pub unsafe extern "C" fn accept4(fd: c_int, address: *mut c_void, length: *mut u32, flags: c_int) -> c_int {
+pub unsafe extern "C" fn accept4(
+    fd: c_int,
+    address: *mut c_void,
+    length: *mut u32,
+    flags: c_int,
+) -> c_int {
     static SLOT: OnceLock<usize> = OnceLock::new();
     if let Some(Fault::Error(error)) = rules().fault(Call::Accept) {
         return fail(error) as c_int;
@@ -287,7 +319,12 @@
 /// # Safety
 /// As of recv(2).
 #[no_mangle]
-pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, wanted: usize, flags: c_int) -> isize {
+pub unsafe extern "C" fn recv(
+    fd: c_int,
+    buffer: *mut c_void,
+    wanted: usize,
+    flags: c_int,
+) -> isize {
     static SLOT: OnceLock<usize> = OnceLock::new();
     match length(Call::Receive, wanted) {
         Err(error) => fail(error),
@@ -301,7 +338,12 @@
 /// # Safety
 /// As of send(2).
 #[no_mangle]
-pub unsafe extern "C" fn send(fd: c_int, buffer: *const c_void, wanted: usize, flags: c_int) -> isize {
+pub unsafe extern "C" fn send(
+    fd: c_int,
+    buffer: *const c_void,
+    wanted: usize,
+    flags: c_int,
+) -> isize {
     static SLOT: OnceLock<usize> = OnceLock::new();
     match length(Call::Send, wanted) {
         Err(error) => fail(error),
@@ -329,7 +371,12 @@
 /// # Safety
 /// As of pwrite(2).
 #[no_mangle]
-pub unsafe extern "C" fn pwrite64(fd: c_int, buffer: *const c_void, wanted: usize, offset: i64) -> isize {
+pub unsafe extern "C" fn pwrite64(
+    fd: c_int,
+    buffer: *const c_void,
+    wanted: usize,
+    offset: i64,
+) -> isize {
     static SLOT: OnceLock<usize> = OnceLock::new();
     match length(Call::Write, wanted) {
         Err(error) => fail(error),
--- a/tests/odd_events.rs
+++ b/tests/odd_events.rs
@@ -27,12 +27,20 @@
 impl Checker {
     fn action(&mut self, now: Time, a: &Action) {
         match a {
-            Action::Send { request, worker, .. } => {
+            Action::Send {
+                request, worker, ..
+            } => {
                 self.no_bar(now, *worker);
-                let entry = self.entries.get(worker).expect("a worker that a list named");
+                let entry = self
+                    .entries
+                    .get(worker)
+                    .expect("a worker that a list named");
                 let c = self.calls.get_mut(request).expect("a known call");
                 assert!(!c.over, "rule 1: sent after its end");
-                assert!(c.attempts.iter().all(|x| x.2.is_some()), "rule 2: two attempts out at once");
+                assert!(
+                    c.attempts.iter().all(|x| x.2.is_some()),
+                    "rule 2: two attempts out at once"
+                );
                 assert!(c.attempts.len() < self.set.max_attempts as usize);
                 for (w, sent, outcome) in &c.attempts {
                     if outcome.unwrap().never_ran() {
@@ -57,8 +65,18 @@
             Action::Refuse { request, .. } => {
                 let c = self.calls.get_mut(request).expect("a known call");
                 assert!(!c.over, "rule 1: answered twice");
-                let clean = c.attempts.iter().all(|x| x.2.is_some_and(Outcome::never_ran));
-                let all = matches!(c.effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+                let clean = c
+                    .attempts
+                    .iter()
+                    .all(|x| x.2.is_some_and(Outcome::never_ran));
+                let all = matches!(
+                    c.effect,
+                    Effect::Safe
+                        | Effect::Keyed {
+                            group: Group::All,
+                            ..
+                        }
+                );
                 assert!(clean || all, "rule 2: refused though it may have run");
                 c.over = true;
             }
@@ -67,13 +85,19 @@
                 assert!(!c.over, "rule 1: answered twice");
                 c.over = true;
             }
-            Action::Load { worker, instances, .. } if *instances > 0 => {
+            Action::Load {
+                worker, instances, ..
+            } if *instances > 0 => {
                 self.no_bar(now, *worker);
                 self.orders.push_back(now);
                 if let Some(r) = self.set.ration {
-                    let inside =
-                        |q: &VecDeque<Time>| q.iter().filter(|t| now.since(**t) < r.period).count() as f64;
-                    assert!(inside(&self.orders) <= r.free + r.part * inside(&self.arrivals), "rule 5");
+                    let inside = |q: &VecDeque<Time>| {
+                        q.iter().filter(|t| now.since(**t) < r.period).count() as f64
+                    };
+                    assert!(
+                        inside(&self.orders) <= r.free + r.part * inside(&self.arrivals),
+                        "rule 5"
+                    );
                 }
             }
             Action::Cancel { request, attempt } => {
@@ -91,7 +115,10 @@
     }
     fn overdue(&self, now: Time) {
         for c in self.calls.values().filter(|c| !c.over && c.budget_at_start) {
-            assert!(now.since(c.deadline) <= self.set.answer_slack, "rule 1: no answer in time");
+            assert!(
+                now.since(c.deadline) <= self.set.answer_slack,
+                "rule 1: no answer in time"
+            );
         }
     }
 }
@@ -107,16 +134,31 @@
         late_worth: if rng.bool() { 0.2 } else { 0.0 },
         streamed: false,
     };
-    let keyed = Effect::Keyed { group: groups[rng.usize(0..3)], window: rng.i64(0..3_000) * MS };
+    let keyed = Effect::Keyed {
+        group: groups[rng.usize(0..3)],
+        window: rng.i64(0..3_000) * MS,
+    };
     Settings {
         siblings: rng.usize(1..4),
-        classes: vec![class(Effect::Safe, rng), class(keyed, rng), class(Effect::Unsafe, rng)],
+        classes: vec![
+            class(Effect::Safe, rng),
+            class(keyed, rng),
+            class(Effect::Unsafe, rng),
+        ],
         may_cancel: rng.bool(),
         may_probe: rng.bool(),
         may_order: rng.u8(0..4) > 0,
-        when_absent: if rng.bool() { WhenAbsent::Load } else { WhenAbsent::Miss },
+        when_absent: if rng.bool() {
+            WhenAbsent::Load
+        } else {
+            WhenAbsent::Miss
+        },
         max_attempts: rng.u32(1..6),
-        ration: rng.bool().then(|| Ration { free: rng.f64() * 3.0, part: rng.f64(), period: 2_000 * MS }),
+        ration: rng.bool().then(|| Ration {
+            free: rng.f64() * 3.0,
+            part: rng.f64(),
+            period: 2_000 * MS,
+        }),
         drain_grace: 0,
         ..Settings::default()
     }
@@ -145,7 +187,11 @@
             let worker = WorkerId(rng.u64(0..8));
             let event = match if step == 0 { 0 } else { rng.u8(0..100) } {
                 0..=3 => {
-                    let kind = if rng.bool() { ListKind::Full } else { ListKind::Changes };
+                    let kind = if rng.bool() {
+                        ListKind::Full
+                    } else {
+                        ListKind::Changes
+                    };
                     let named: Vec<u64> = (0..8).filter(|_| rng.u8(0..3) > 0).collect();
                     let entries: Vec<WorkerEntry> = named
                         .iter()
@@ -209,8 +255,11 @@
                         .calls
                         .iter()
                         .flat_map(|(id, c)| {
-                            let pending = c.attempts.iter().enumerate().filter(|(_, a)| a.2.is_none());
-                            pending.map(|(n, a)| (*id, n as u32, a.0, a.1)).collect::<Vec<_>>()
+                            let pending =
+                                c.attempts.iter().enumerate().filter(|(_, a)| a.2.is_none());
+                            pending
+                                .map(|(n, a)| (*id, n as u32, a.0, a.1))
+                                .collect::<Vec<_>>()
                         })
                         .collect();
                     let Some((request, attempt, worker, sent)) =
@@ -242,15 +291,34 @@
                         latency: now.since(sent),
                         note: Note::Warm,
                         crowd: Some(rng.u32(0..4)),
-                        report: Some(LoadReport { queued: Some(f64::NAN), ..LoadReport::default() }),
+                        report: Some(LoadReport {
+                            queued: Some(f64::NAN),
+                            ..LoadReport::default()
+                        }),
                     })
                 }
                 71..=84 => {
-                    let Some((worker, function)) = orders.pop() else { continue };
-                    let outcome = [Outcome::Served, Outcome::Error, Outcome::TurnedAway, Outcome::TimedOut]
-                        [rng.usize(0..4)];
-                    let instances = if outcome == Outcome::Served { rng.u32(0..3) } else { 0 };
-                    Event::OrderDone { worker, function, outcome, latency: rng.i64(-3..900) * MS, instances }
+                    let Some((worker, function)) = orders.pop() else {
+                        continue;
+                    };
+                    let outcome = [
+                        Outcome::Served,
+                        Outcome::Error,
+                        Outcome::TurnedAway,
+                        Outcome::TimedOut,
+                    ][rng.usize(0..4)];
+                    let instances = if outcome == Outcome::Served {
+                        rng.u32(0..3)
+                    } else {
+                        0
+                    };
+                    Event::OrderDone {
+                        worker,
+                        function,
+                        outcome,
+                        latency: rng.i64(-3..900) * MS,
+                        instances,
+                    }
                 }
                 85 => {
                     let request = RequestId(rng.u64(0..next.max(1) + 3));
@@ -259,8 +327,16 @@
                     }
                     Event::Departed { request }
                 }
-                86 => Event::ProbeDone { worker, outcome: Outcome::Served, latency: -1, report: None },
-                87 => Event::StreamBegan { request: RequestId(u64::MAX), attempt: 7 },
+                86 => Event::ProbeDone {
+                    worker,
+                    outcome: Outcome::Served,
+                    latency: -1,
+                    report: None,
+                },
+                87 => Event::StreamBegan {
+                    request: RequestId(u64::MAX),
+                    attempt: 7,
+                },
                 _ => Event::Timer { token: rng.u64(..) },
             };
             let mut out = Vec::new();
@@ -269,12 +345,18 @@
                 check.action(now, a);
                 sends += matches!(a, Action::Send { .. }) as u64;
                 answers += matches!(a, Action::Refuse { .. } | Action::Fail { .. }) as u64;
-                if let Action::Load { worker, function, .. } = a {
+                if let Action::Load {
+                    worker, function, ..
+                } = a
+                {
                     orders.push((*worker, *function));
                 }
             }
             check.overdue(now);
         }
     }
-    assert!(sends > 500 && answers > 2_000, "the sequences reach the rules: {sends} {answers}");
+    assert!(
+        sends > 500 && answers > 2_000,
+        "the sequences reach the rules: {sends} {answers}"
+    );
 }
--- a/tests/path/src/lib.rs
+++ b/tests/path/src/lib.rs
@@ -24,7 +24,8 @@
 }
 
 /// The client, on a connection of its own.
-pub type Client = pb::grpc_inference_service_client::GrpcInferenceServiceClient<tonic::transport::Channel>;
+pub type Client =
+    pb::grpc_inference_service_client::GrpcInferenceServiceClient<tonic::transport::Channel>;
 
 /// Functions and classes of most tests: `echo` is safe, `keyed` keyed, `post` must not run twice.
 pub const SETTINGS: &str = r#"
@@ -79,11 +80,17 @@
         workers: &[(&str, SocketAddr)],
         fleet: Option<(String, SocketAddr, Option<PathBuf>)>,
     ) -> Gate {
-        let name = format!("tansy-path-{}-{}.cue", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+        let name = format!(
+            "tansy-path-{}-{}.cue",
+            std::process::id(),
+            NEXT.fetch_add(1, Ordering::Relaxed)
+        );
         let list = std::env::temp_dir().join(name);
-        let lines: Vec<(&str, SocketAddr, &str)> = workers.iter().map(|(n, a)| (*n, *a, "ready")).collect();
+        let lines: Vec<(&str, SocketAddr, &str)> =
+            workers.iter().map(|(n, a)| (*n, *a, "ready")).collect();
         write_list(&list, &lines);
-        let mut read = tansy_settings::settings("test.cue", settings).unwrap_or_else(|e| panic!("{e}"));
+        let mut read =
+            tansy_settings::settings("test.cue", settings).unwrap_or_else(|e| panic!("{e}"));
         read.gateway.listen = ([127, 0, 0, 1], 0).into();
         read.gateway.http = ([127, 0, 0, 1], 0).into();
         let place = fleet.map(|(me, listen, state)| {
@@ -91,7 +98,11 @@
             (of_fleet.me, of_fleet.listen, of_fleet.state) = (me, listen, state);
             let own = agree::fields("test.cue", settings).unwrap_or_else(|e| panic!("{e}"));
             let first = agree::version("test.cue", settings).unwrap_or_else(|e| panic!("{e}"));
-            Place { own, first, ..Place::default() }
+            Place {
+                own,
+                first,
+                ..Place::default()
+            }
         });
         let stop = Arc::new(AtomicBool::new(false));
         let state = Arc::new(Mutex::new((String::new(), false)));
@@ -99,17 +110,33 @@
         let (jobs, queue) = mpsc::channel::<GateJob>();
         let (stopped, shared, options_list) = (stop.clone(), state.clone(), list.clone());
         let thread = std::thread::spawn(move || {
-            let options = Options { workers: Some(options_list), fleet: place, ..Options::default() };
+            let options = Options {
+                workers: Some(options_list),
+                fleet: place,
+                ..Options::default()
+            };
             let mut gateway = Gateway::start(read, &options).expect("the gateway starts");
-            told.send((gateway.grpc(), gateway.http())).expect("the test waits for the addresses");
+            told.send((gateway.grpc(), gateway.http()))
+                .expect("the test waits for the addresses");
             while !stopped.load(Ordering::Relaxed) {
-                gateway.turn(Duration::from_millis(5)).expect("the loop turns");
+                gateway
+                    .turn(Duration::from_millis(5))
+                    .expect("the loop turns");
                 queue.try_iter().for_each(|job| job(&gateway));
-                *shared.lock().expect("no test panicked with it") = (gateway.account(), gateway.idle());
+                *shared.lock().expect("no test panicked with it") =
+                    (gateway.account(), gateway.idle());
             }
         });
         let (grpc, http) = addresses.recv().expect("the gateway starts");
-        Gate { grpc, http, stop, state, thread: Some(thread), list, jobs }
+        Gate {
+            grpc,
+            http,
+            stop,
+            state,
+            thread: Some(thread),
+            list,
+            jobs,
+        }
     }
 
     /// Does something with the gateway on its thread, and gives what it gives.
@@ -149,9 +176,15 @@
 
     /// A client on a connection of its own.
     pub async fn client(&self) -> Client {
-        let channel =
-            tonic::transport::Channel::from_shared(format!("http://{}", self.grpc)).expect("an address");
-        Client::new(channel.tcp_nodelay(true).connect().await.expect("the gateway takes connections"))
+        let channel = tonic::transport::Channel::from_shared(format!("http://{}", self.grpc))
+            .expect("an address");
+        Client::new(
+            channel
+                .tcp_nodelay(true)
+                .connect()
+                .await
+                .expect("the gateway takes connections"),
+        )
     }
 }
 
@@ -172,13 +205,21 @@
 impl Account {
     /// A count by name.
     pub fn get(&self, name: &str) -> u64 {
-        let found = self.0.split_whitespace().find_map(|w| w.strip_prefix(name)?.strip_prefix('='));
-        found.unwrap_or_else(|| panic!("no {name} in {}", self.0)).parse().expect("a number")
+        let found = self
+            .0
+            .split_whitespace()
+            .find_map(|w| w.strip_prefix(name)?.strip_prefix('='));
+        found
+            .unwrap_or_else(|| panic!("no {name} in {}", self.0))
+            .parse()
+            .expect("a number")
     }
     /// What was taken is answered or departed, and no guard had to act.
     pub fn check(&self) {
-        let ended: u64 =
-            ["served", "refused", "failed", "departed", "open"].iter().map(|n| self.get(n)).sum();
+        let ended: u64 = ["served", "refused", "failed", "departed", "open"]
+            .iter()
+            .map(|n| self.get(n))
+            .sum();
         assert_eq!(self.get("taken"), ended, "{}", self.0);
         assert_eq!(self.get("guarded"), 0, "{}", self.0);
     }
@@ -189,7 +230,11 @@
         format!("{{name: \"{name}\", address: \"{address}\", state: \"{state}\"}}")
     };
     let lines: Vec<String> = workers.iter().map(line).collect();
-    let text = format!("workers: [{}] // {}\n", lines.join(", "), NEXT.fetch_add(1, Ordering::Relaxed));
+    let text = format!(
+        "workers: [{}] // {}\n",
+        lines.join(", "),
+        NEXT.fetch_add(1, Ordering::Relaxed)
+    );
     let fresh = path.with_extension("new");
     std::fs::write(&fresh, text)
         .and_then(|()| std::fs::rename(&fresh, path))
@@ -231,12 +276,16 @@
             let spawner = Spawner::new(event_loop.handle()).expect("an executor");
             let start = |n: usize| {
                 let listener = listen(([127, 0, 0, 1], 0).into(), false).expect("a port");
-                Standin::start(spawner.clone(), listener, profile(n, &functions), true).expect("a worker")
+                Standin::start(spawner.clone(), listener, profile(n, &functions), true)
+                    .expect("a worker")
             };
             let workers: Vec<Rc<Standin>> = (0..count).map(start).collect();
-            told.send(workers.iter().map(|w| w.address()).collect()).expect("the test waits");
+            told.send(workers.iter().map(|w| w.address()).collect())
+                .expect("the test waits");
             loop {
-                event_loop.dispatch(Some(Duration::from_millis(2)), &mut ()).expect("the loop turns");
+                event_loop
+                    .dispatch(Some(Duration::from_millis(2)), &mut ())
+                    .expect("the loop turns");
                 loop {
                     match queue.try_recv() {
                         Ok(job) => job(&workers),
@@ -246,11 +295,17 @@
                 }
             }
         });
-        Workers { addresses: addresses.recv().expect("the workers start"), jobs }
+        Workers {
+            addresses: addresses.recv().expect("the workers start"),
+            jobs,
+        }
     }
 
     /// Does something with the workers on their thread, and gives what it gives.
-    pub fn with<T: Send + 'static>(&self, job: impl FnOnce(&[Rc<Standin>]) -> T + Send + 'static) -> T {
+    pub fn with<T: Send + 'static>(
+        &self,
+        job: impl FnOnce(&[Rc<Standin>]) -> T + Send + 'static,
+    ) -> T {
         let (told, result) = mpsc::channel();
         let job: Job = Box::new(move |w| drop(told.send(job(w))));
         self.jobs.send(job).expect("the workers run");
@@ -272,7 +327,12 @@
 pub fn start(workers: usize) -> (Gate, Workers) {
     let w = Workers::start(workers);
     let names = ["w0", "w1", "w2"];
-    let list: Vec<_> = w.addresses.iter().enumerate().map(|(n, a)| (names[n], *a)).collect();
+    let list: Vec<_> = w
+        .addresses
+        .iter()
+        .enumerate()
+        .map(|(n, a)| (names[n], *a))
+        .collect();
     (Gate::start(SETTINGS, &list), w)
 }
 
@@ -302,7 +362,9 @@
 
 /// A parameter.
 pub fn parameter(choice: pb::infer_parameter::ParameterChoice) -> pb::InferParameter {
-    pb::InferParameter { parameter_choice: Some(choice) }
+    pb::InferParameter {
+        parameter_choice: Some(choice),
+    }
 }
 
 /// A request with one tensor of 3 numbers and whole-number parameters.
@@ -312,13 +374,19 @@
         name: "x".into(),
         datatype: "FP32".into(),
         shape: vec![1, 3],
-        contents: Some(pb::InferTensorContents { fp32_contents: vec![1.0, 2.0, 3.0], ..Default::default() }),
+        contents: Some(pb::InferTensorContents {
+            fp32_contents: vec![1.0, 2.0, 3.0],
+            ..Default::default()
+        }),
         ..Default::default()
     };
     pb::ModelInferRequest {
         model_name: function.into(),
         id: id.into(),
-        parameters: parameters.iter().map(|(k, v)| (k.to_string(), parameter(Int64Param(*v)))).collect(),
+        parameters: parameters
+            .iter()
+            .map(|(k, v)| (k.to_string(), parameter(Int64Param(*v))))
+            .collect(),
         inputs: vec![input],
         ..Default::default()
     }
@@ -327,8 +395,14 @@
 /// Whether a piece is its call's last.
 pub fn last(piece: &pb::ModelStreamInferResponse) -> bool {
     use pb::infer_parameter::ParameterChoice::BoolParam;
-    let flag = piece.infer_response.as_ref().and_then(|r| r.parameters.get("triton_final_response"));
-    matches!(flag.and_then(|p| p.parameter_choice.clone()), Some(BoolParam(true)))
+    let flag = piece
+        .infer_response
+        .as_ref()
+        .and_then(|r| r.parameters.get("triton_final_response"));
+    matches!(
+        flag.and_then(|p| p.parameter_choice.clone()),
+        Some(BoolParam(true))
+    )
 }
 
 /// The id that a piece carries.
@@ -338,6 +412,13 @@
 
 /// Runs a test's client on one thread, for at most 20 s.
 pub fn run<T>(test: impl std::future::Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    runtime.block_on(async { tokio::time::timeout(Duration::from_secs(20), test).await.expect("in time") })
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
+    runtime.block_on(async {
+        tokio::time::timeout(Duration::from_secs(20), test)
+            .await
+            .expect("in time")
+    })
 }
--- a/tests/path/src/peer.rs
+++ b/tests/path/src/peer.rs
@@ -35,7 +35,9 @@
 impl Wire {
     /// Of a connection that stands; reads give up after 5 s.
     pub fn new(socket: TcpStream) -> Wire {
-        socket.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
+        socket
+            .set_read_timeout(Some(Duration::from_secs(5)))
+            .expect("a time-out");
         socket.set_nodelay(true).expect("no delay");
         Wire(socket)
     }
@@ -58,13 +60,20 @@
         let mut payload = vec![0; length];
         self.0.read_exact(&mut payload).ok()?;
         let stream = u32::from_be_bytes([head[5], head[6], head[7], head[8]]);
-        Some(Frame { kind: head[3], flags: head[4], stream, payload })
+        Some(Frame {
+            kind: head[3],
+            flags: head[4],
+            stream,
+            payload,
+        })
     }
     /// The streams of the next `n` requests that are whole, settings acknowledged on the way.
     pub fn requests(&mut self, n: usize) -> Vec<u32> {
         let mut streams = Vec::new();
         while streams.len() < n {
-            let Some(f) = self.frame() else { return streams };
+            let Some(f) = self.frame() else {
+                return streams;
+            };
             match f.kind {
                 kind::SETTINGS if f.flags & 1 == 0 => self.send(kind::SETTINGS, 1, 0, &[]),
                 kind::PING if f.flags & 1 == 0 => self.send(kind::PING, 1, 0, &f.payload),
@@ -80,7 +89,12 @@
     }
     /// GOAWAY with the last stream that was taken.
     pub fn goaway(&mut self, last: u32) {
-        self.send(kind::GOAWAY, 0, 0, &[last.to_be_bytes(), 0u32.to_be_bytes()].concat());
+        self.send(
+            kind::GOAWAY,
+            0,
+            0,
+            &[last.to_be_bytes(), 0u32.to_be_bytes()].concat(),
+        );
     }
     /// Response headers.
     pub fn headers(&mut self, stream: u32) {
@@ -150,8 +164,13 @@
 
 /// The header block of a gRPC request, with further fields.
 pub fn request_block(path: &str, more: &[(&str, &str)]) -> Vec<u8> {
-    let fields =
-        [(":method", "POST"), (":scheme", "http"), (":path", path), (":authority", "t"), ("te", "trailers")];
+    let fields = [
+        (":method", "POST"),
+        (":scheme", "http"),
+        (":path", path),
+        (":authority", "t"),
+        ("te", "trailers"),
+    ];
     let mut block: Vec<u8> = fields.iter().flat_map(|(k, v)| literal(k, v)).collect();
     block.extend(literal("content-type", "application/grpc"));
     block.extend(more.iter().flat_map(|(k, v)| literal(k, v)));
--- a/tests/path/tests/abuse.rs
+++ b/tests/path/tests/abuse.rs
@@ -16,14 +16,23 @@
 fn still_serves(gate: &Gate) {
     run(async {
         let mut c = gate.client().await;
-        assert_eq!(c.model_infer(request("echo", "ok", &[])).await.unwrap().into_inner().id, "ok");
+        assert_eq!(
+            c.model_infer(request("echo", "ok", &[]))
+                .await
+                .unwrap()
+                .into_inner()
+                .id,
+            "ok"
+        );
     });
     gate.account().check();
 }
 
 /// Reads until the other side ends; fails if it does not within 10 s.
 fn ended(socket: &mut TcpStream) {
-    socket.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
+    socket
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .unwrap();
     let mut buffer = [0; 4096];
     loop {
         match socket.read(&mut buffer) {
@@ -67,7 +76,9 @@
     let mut c = peer::client(gate.grpc);
     // 200 fields of 200 bytes: 40 KB, over the 16 KiB allowed, in continuation frames.
     let value = "v".repeat(120);
-    let more: Vec<(String, String)> = (0..250).map(|n| (format!("x-{n}"), value.clone())).collect();
+    let more: Vec<(String, String)> = (0..250)
+        .map(|n| (format!("x-{n}"), value.clone()))
+        .collect();
     let more: Vec<(&str, &str)> = more.iter().map(|(k, v)| (k.as_str(), v.as_str())).collect();
     let block = peer::request_block(INFER, &more);
     let chunks: Vec<&[u8]> = block.chunks(16_000).collect();
@@ -96,8 +107,15 @@
         let mut big = request("echo", "big", &[]);
         big.raw_input_contents = vec![vec![0u8; 100 << 20]];
         let refused = c.model_infer(big).await.unwrap_err();
-        assert_eq!(refused.code(), tonic::Code::ResourceExhausted, "{refused:?}");
-        assert!(refused.message().contains("over the limit of 4194304"), "{refused:?}");
+        assert_eq!(
+            refused.code(),
+            tonic::Code::ResourceExhausted,
+            "{refused:?}"
+        );
+        assert!(
+            refused.message().contains("over the limit of 4194304"),
+            "{refused:?}"
+        );
     });
     assert_eq!(workers.ran(), [0]);
     still_serves(&gate);
@@ -135,8 +153,13 @@
     // ModelInferRequest: echo, pieces = 100000, one raw input of 30,000 bytes: 3 GB if all of it were read.
     let raw = vec![7u8; 30_000];
     let length = [0xb0u8, 0xea, 0x01];
-    let message =
-        [&b"\x0a\x04echo\x22\x0e\x0a\x06pieces\x12\x04\x10\xa0\x8d\x06"[..], b"\x3a", &length, &raw].concat();
+    let message = [
+        &b"\x0a\x04echo\x22\x0e\x0a\x06pieces\x12\x04\x10\xa0\x8d\x06"[..],
+        b"\x3a",
+        &length,
+        &raw,
+    ]
+    .concat();
     let head = [&[0u8][..], &(message.len() as u32).to_be_bytes()].concat();
     let all = [head, message].concat();
     for part in all.chunks(16_000) {
@@ -147,15 +170,23 @@
     run(async {
         let mut c = gate.client().await;
         for _ in 0..40 {
-            c.model_infer(request("echo", "other", &[("work_ms", 10)])).await.unwrap();
+            c.model_infer(request("echo", "other", &[("work_ms", 10)]))
+                .await
+                .unwrap();
         }
     });
     let pieces = gate.peek().get("pieces");
-    assert!(pieces < 200, "{pieces} pieces of 30 KB wait for a client that reads none");
+    assert!(
+        pieces < 200,
+        "{pieces} pieces of 30 KB wait for a client that reads none"
+    );
     drop(c);
     let a = gate.account();
     a.check();
-    assert_eq!((a.get("served"), a.get("departed") + a.get("failed")), (40, 1));
+    assert_eq!(
+        (a.get("served"), a.get("departed") + a.get("failed")),
+        (40, 1)
+    );
 }
 
 #[test]
--- a/tests/path/tests/failures.rs
+++ b/tests/path/tests/failures.rs
@@ -23,7 +23,12 @@
         let (send, calls) = tokio::sync::mpsc::unbounded_channel();
         let calls = tokio_stream::wrappers::UnboundedReceiverStream::new(calls);
         let mut pieces = c.model_stream_infer(calls).await.unwrap().into_inner();
-        send.send(request("echo", "half", &[("pieces", 4), ("timeout", 1_000_000)])).unwrap();
+        send.send(request(
+            "echo",
+            "half",
+            &[("pieces", 4), ("timeout", 1_000_000)],
+        ))
+        .unwrap();
         let mut got = Vec::new();
         loop {
             let p = pieces.next().await.unwrap().unwrap();
@@ -33,11 +38,17 @@
             }
         }
         assert_eq!(got.len(), 3, "{got:?}");
-        assert!(got[2].0.starts_with("failed:") && got[0].0.is_empty(), "{got:?}");
+        assert!(
+            got[2].0.starts_with("failed:") && got[0].0.is_empty(),
+            "{got:?}"
+        );
         workers.fault("clear");
         send.send(request("echo", "again", &[])).unwrap();
         let p = pieces.next().await.unwrap().unwrap();
-        assert_eq!((id(&p), p.error_message.as_str(), last(&p)), ("again", "", true));
+        assert_eq!(
+            (id(&p), p.error_message.as_str(), last(&p)),
+            ("again", "", true)
+        );
     });
     let a = gate.account();
     a.check();
@@ -51,7 +62,11 @@
     run(async {
         let mut c = gate.client().await;
         let call = vec![request("post", "p", &[("pieces", 3)])];
-        let pieces = c.model_stream_infer(tokio_stream::iter(call)).await.unwrap().into_inner();
+        let pieces = c
+            .model_stream_infer(tokio_stream::iter(call))
+            .await
+            .unwrap()
+            .into_inner();
         let all: Vec<_> = pieces.map(|p| p.unwrap()).collect().await;
         assert_eq!(all.len(), 3, "{all:?}");
         assert!(last(&all[2]) && all.iter().all(|p| p.error_message.is_empty()));
@@ -72,7 +87,11 @@
             let mut c = c.clone();
             let call = async move {
                 let call = vec![request("echo", "x", &[("pieces", 2)])];
-                let mut pieces = c.model_stream_infer(tokio_stream::iter(call)).await.unwrap().into_inner();
+                let mut pieces = c
+                    .model_stream_infer(tokio_stream::iter(call))
+                    .await
+                    .unwrap()
+                    .into_inner();
                 while pieces.next().await.is_some() {}
             };
             // Around the time that such a call takes: before, at and after its last piece.
@@ -83,7 +102,9 @@
     a.check();
     assert!(a.get("departed") > 0 && a.get("served") > 1, "{a:?}");
     assert_eq!(a.get("refused") + a.get("failed"), 0, "{a:?}");
-    until("the worker is idle", || workers.with(|w| w.iter().all(|w| w.held() == 0)));
+    until("the worker is idle", || {
+        workers.with(|w| w.iter().all(|w| w.held() == 0))
+    });
 }
 
 #[test]
@@ -125,7 +146,9 @@
     let gate = Gate::start(&plain(), &[("w", p.address)]);
     let code = run(async {
         let mut c = gate.client().await;
-        c.model_infer(request("post", "u", &[])).await.map_or_else(|s| s.code(), |_| Code::Ok)
+        c.model_infer(request("post", "u", &[]))
+            .await
+            .map_or_else(|s| s.code(), |_| Code::Ok)
     });
     gate.account().check();
     (code, p.reports.try_iter().count())
@@ -140,7 +163,10 @@
     assert_eq!(refused, (Code::Ok, 2), "REFUSED_STREAM");
     let promised = unsafe_call(|wire, s| {
         wire.headers(s);
-        wire.trailers(s, &[("grpc-status", "14"), ("tansy-never-ran", "turned-away")]);
+        wire.trailers(
+            s,
+            &[("grpc-status", "14"), ("tansy-never-ran", "turned-away")],
+        );
         std::thread::sleep(Duration::from_millis(50));
     });
     assert_eq!(promised, (Code::Ok, 2), "the worker's promise");
@@ -152,31 +178,59 @@
         (Code::Aborted, 1),
         "GOAWAY at our stream, then the end"
     );
-    assert_eq!(unsafe_call(|_, _| {}), (Code::Aborted, 1), "cut before headers");
-    assert_eq!(unsafe_call(|wire, s| wire.headers(s)), (Code::Aborted, 1), "cut after headers");
+    assert_eq!(
+        unsafe_call(|_, _| {}),
+        (Code::Aborted, 1),
+        "cut before headers"
+    );
+    assert_eq!(
+        unsafe_call(|wire, s| wire.headers(s)),
+        (Code::Aborted, 1),
+        "cut after headers"
+    );
     let message = unsafe_call(|wire, s| {
         wire.headers(s);
         wire.message(s, b"\x0a\x04echo");
     });
-    assert_eq!(message, (Code::Aborted, 1), "cut between message and trailers");
+    assert_eq!(
+        message,
+        (Code::Aborted, 1),
+        "cut between message and trailers"
+    );
     for code in [0, 1, 2, 8, 11] {
-        assert_eq!(unsafe_call(move |wire, s| wire.reset(s, code)), (Code::Internal, 1), "RST with {code}");
+        assert_eq!(
+            unsafe_call(move |wire, s| wire.reset(s, code)),
+            (Code::Internal, 1),
+            "RST with {code}"
+        );
     }
     let after = unsafe_call(|wire, s| {
         wire.headers(s);
         wire.reset(s, 7);
     });
-    assert_eq!(after, (Code::Internal, 1), "REFUSED_STREAM after headers proves nothing");
+    assert_eq!(
+        after,
+        (Code::Internal, 1),
+        "REFUSED_STREAM after headers proves nothing"
+    );
     let status = unsafe_call(|wire, s| {
         wire.headers(s);
         wire.trailers(s, &[("grpc-status", "14")]);
     });
-    assert_eq!(status, (Code::Internal, 1), "UNAVAILABLE without the promise");
+    assert_eq!(
+        status,
+        (Code::Internal, 1),
+        "UNAVAILABLE without the promise"
+    );
     let own = unsafe_call(|wire, s| {
         wire.headers(s);
         wire.trailers(s, &[("grpc-status", "9"), ("grpc-message", "no")]);
     });
-    assert_eq!(own, (Code::FailedPrecondition, 1), "the function's own verdict");
+    assert_eq!(
+        own,
+        (Code::FailedPrecondition, 1),
+        "the function's own verdict"
+    );
     let twice = unsafe_call(|wire, s| {
         wire.headers(s);
         wire.message(s, b"\x0a\x04echo");
@@ -240,7 +294,11 @@
         tasks.join_all().await
     });
     codes.sort_by_key(|c| *c as i32);
-    assert_eq!(codes, [Code::Ok, Code::Aborted], "the one above is sent again, the one below may have run");
+    assert_eq!(
+        codes,
+        [Code::Ok, Code::Aborted],
+        "the one above is sent again, the one below may have run"
+    );
     gate.account().check();
 }
 
@@ -250,7 +308,14 @@
     let gate = Gate::start(&plain(), &[("w", p.address)]);
     run(async {
         let mut c = gate.client().await;
-        assert_eq!(c.model_infer(request("echo", "s", &[])).await.unwrap().into_inner().id, "s");
+        assert_eq!(
+            c.model_infer(request("echo", "s", &[]))
+                .await
+                .unwrap()
+                .into_inner()
+                .id,
+            "s"
+        );
     });
     let a = gate.account();
     a.check();
@@ -265,7 +330,8 @@
         let mut tasks = tokio::task::JoinSet::new();
         for n in 0..400 {
             let mut c = c.clone();
-            let mut asked = tonic::Request::new(request("echo", &n.to_string(), &[("work_ms", 20)]));
+            let mut asked =
+                tonic::Request::new(request("echo", &n.to_string(), &[("work_ms", 20)]));
             // It is not of interest here how fast the machine is.
             asked.set_timeout(Duration::from_secs(15));
             tasks.spawn(async move { c.model_infer(asked).await });
@@ -274,14 +340,19 @@
         for _ in 0..40 {
             tasks.join_next().await.unwrap().unwrap().unwrap();
         }
-        gate.list(&[("w0", workers.addresses[0], "draining"), ("w1", workers.addresses[1], "ready")]);
+        gate.list(&[
+            ("w0", workers.addresses[0], "draining"),
+            ("w1", workers.addresses[1], "ready"),
+        ]);
         while let Some(done) = tasks.join_next().await {
             done.unwrap().unwrap();
         }
         let before = workers.ran();
         for n in 0..50 {
             let mut c = c.clone();
-            c.model_infer(request("echo", &n.to_string(), &[])).await.unwrap();
+            c.model_infer(request("echo", &n.to_string(), &[]))
+                .await
+                .unwrap();
         }
         let after = workers.ran();
         assert_eq!(
--- a/tests/path/tests/scopes.rs
+++ b/tests/path/tests/scopes.rs
@@ -32,8 +32,15 @@
         script.asked.push(function.into());
         match script.says.expect("the test said what is there") {
             Says::Class(class) => {
-                let shape = Shape { lanes: 64, memory_mb: 100.0, load_time: Some(5_000) };
-                Looked::Acts { class: class.into(), shape }
+                let shape = Shape {
+                    lanes: 64,
+                    memory_mb: 100.0,
+                    load_time: Some(5_000),
+                };
+                Looked::Acts {
+                    class: class.into(),
+                    shape,
+                }
             }
             Says::Refused => Looked::Refused,
             Says::Unknown => Looked::Unknown,
@@ -52,13 +59,22 @@
 impl Scene {
     fn start(says: Says) -> Scene {
         let workers = Workers::start(1);
-        let settings = SETTINGS.lines().filter(|l| !l.contains("    keyed: {c") && !l.contains("    post:"));
+        let settings = SETTINGS
+            .lines()
+            .filter(|l| !l.contains("    keyed: {c") && !l.contains("    post:"));
         let settings: Vec<&str> = settings.collect();
         let gate = Gate::start(&settings.join("\n"), &[("w0", workers.addresses[0])]);
-        let script = Arc::new(Mutex::new(Script { says: Some(says), ..Script::default() }));
+        let script = Arc::new(Mutex::new(Script {
+            says: Some(says),
+            ..Script::default()
+        }));
         let shared = script.clone();
         gate.with(move |g| g.hub().look_up_with(Rc::new(Scripted(shared))));
-        Scene { gate, workers, script }
+        Scene {
+            gate,
+            workers,
+            script,
+        }
     }
 
     /// The script says something else from now on, and those that wait are looked up again.
@@ -69,7 +85,9 @@
 
     /// Until so many calls wait.
     fn wait(&self, calls: usize) {
-        until("they wait", || self.gate.with(|g| g.hub().with_front(|f| f.parked())) == calls);
+        until("they wait", || {
+            self.gate.with(|g| g.hub().with_front(|f| f.parked())) == calls
+        });
     }
 
     fn counts(&self, names: [&str; 4]) -> [u64; 4] {
@@ -85,7 +103,10 @@
         let call = threads.spawn(|| {
             run(async {
                 let mut c = scene.gate.client().await;
-                Ok(c.model_infer(request("post", "mine", &[])).await?.into_inner().id)
+                Ok(c.model_infer(request("post", "mine", &[]))
+                    .await?
+                    .into_inner()
+                    .id)
             })
         });
         during(scene);
@@ -94,7 +115,10 @@
 }
 
 fn pushback(status: &Status) -> Option<&str> {
-    status.metadata().get("grpc-retry-pushback-ms").and_then(|v| v.to_str().ok())
+    status
+        .metadata()
+        .get("grpc-retry-pushback-ms")
+        .and_then(|v| v.to_str().ok())
 }
 
 #[test]
@@ -106,7 +130,10 @@
             for n in 0..20 {
                 let asked = request("echo", &n.to_string(), &[("pieces", 2)]);
                 ends.push(
-                    c.model_infer(asked.clone()).await.map(|r| r.into_inner().id).map_err(|s| s.code()),
+                    c.model_infer(asked.clone())
+                        .await
+                        .map(|r| r.into_inner().id)
+                        .map_err(|s| s.code()),
                 );
                 let calls = tokio_stream::iter(vec![asked]);
                 let pieces = c.model_stream_infer(calls).await.unwrap().into_inner();
@@ -121,7 +148,8 @@
     let bare = Gate::start(SETTINGS, &[("w0", workers.addresses[0])]);
     assert_eq!(calls(&scene.gate), calls(&bare));
     assert_eq!(scene.script.lock().unwrap().asked, Vec::<String>::new());
-    let counts = |g: &Gate| ["taken", "served", "refused", "attempts", "pieces"].map(|n| g.account().get(n));
+    let counts =
+        |g: &Gate| ["taken", "served", "refused", "attempts", "pieces"].map(|n| g.account().get(n));
     assert_eq!(counts(&scene.gate), counts(&bare));
 }
 
@@ -135,7 +163,10 @@
     });
     assert_eq!(end.unwrap(), "mine");
     assert_eq!(scene.workers.ran(), [1]);
-    assert_eq!(scene.counts(["taken", "served", "refused", "unknown"]), [1, 1, 0, 0]);
+    assert_eq!(
+        scene.counts(["taken", "served", "refused", "unknown"]),
+        [1, 1, 0, 0]
+    );
     // It is looked up again for each of its calls, and needs not wait.
     let before = scene.script.lock().unwrap().asked.len();
     assert_eq!(post(&scene, |_| {}).unwrap(), "mine");
@@ -149,13 +180,20 @@
     let refused = || {
         let began = Instant::now();
         let status = post(&scene, |_| {}).unwrap_err();
-        assert_eq!((status.code(), pushback(&status).is_some()), (Code::Unavailable, true), "{status:?}");
+        assert_eq!(
+            (status.code(), pushback(&status).is_some()),
+            (Code::Unavailable, true),
+            "{status:?}"
+        );
         began.elapsed()
     };
     let quickest = (0..5).map(|_| refused()).min().unwrap();
     assert!(quickest < Duration::from_millis(500), "{quickest:?}");
     assert_eq!(scene.workers.ran(), [0]);
-    assert_eq!(scene.counts(["taken", "refused", "contested", "attempts"]), [5, 5, 5, 0]);
+    assert_eq!(
+        scene.counts(["taken", "refused", "contested", "attempts"]),
+        [5, 5, 5, 0]
+    );
 }
 
 #[test]
@@ -175,8 +213,15 @@
             scene.say(says);
         });
         let later = later.unwrap_err();
-        assert_eq!((later.code(), pushback(&later).is_some()), (code, advised), "{later:?}");
-        assert_eq!((later.code(), later.message()), (at_once.code(), at_once.message()));
+        assert_eq!(
+            (later.code(), pushback(&later).is_some()),
+            (code, advised),
+            "{later:?}"
+        );
+        assert_eq!(
+            (later.code(), later.message()),
+            (at_once.code(), at_once.message())
+        );
         assert_eq!(scene.workers.ran(), [0]);
         let unknown = if says == Says::Unknown { 2 } else { 0 };
         assert_eq!(
@@ -204,7 +249,10 @@
     });
     scene.wait(0);
     scene.say(Says::Class("unsafe"));
-    assert_eq!(scene.counts(["taken", "departed", "refused", "attempts"]), [1, 1, 0, 0]);
+    assert_eq!(
+        scene.counts(["taken", "departed", "refused", "attempts"]),
+        [1, 1, 0, 0]
+    );
     assert_eq!(scene.workers.ran(), [0]);
 }
 
@@ -213,14 +261,27 @@
     let scene = Scene::start(Says::Wait);
     let end = post(&scene, |scene| {
         scene.wait(1);
-        scene.gate.with(|g| g.hub().feed(Input::Close { within: 10_000_000 }));
+        scene
+            .gate
+            .with(|g| g.hub().feed(Input::Close { within: 10_000_000 }));
         scene.say(Says::Class("unsafe"));
     });
     let status = end.unwrap_err();
-    assert_eq!((status.code(), pushback(&status)), (Code::Unavailable, Some("0")), "{status:?}");
+    assert_eq!(
+        (status.code(), pushback(&status)),
+        (Code::Unavailable, Some("0")),
+        "{status:?}"
+    );
     let late = post(&scene, |_| {}).unwrap_err();
-    assert_eq!((late.code(), pushback(&late)), (Code::Unavailable, Some("0")), "{late:?}");
-    assert_eq!(scene.counts(["taken", "refused", "served", "attempts"]), [2, 2, 0, 0]);
+    assert_eq!(
+        (late.code(), pushback(&late)),
+        (Code::Unavailable, Some("0")),
+        "{late:?}"
+    );
+    assert_eq!(
+        scene.counts(["taken", "refused", "served", "attempts"]),
+        [2, 2, 0, 0]
+    );
     assert_eq!(scene.workers.ran(), [0]);
 }
 
@@ -229,8 +290,13 @@
     let scene = Scene::start(Says::Wait);
     run(async {
         let mut c = scene.gate.client().await;
-        let calls = [("echo", "named"), ("post", "a"), ("post", "b")].map(|(f, id)| request(f, id, &[]));
-        let mut pieces = c.model_stream_infer(tokio_stream::iter(calls)).await.unwrap().into_inner();
+        let calls =
+            [("echo", "named"), ("post", "a"), ("post", "b")].map(|(f, id)| request(f, id, &[]));
+        let mut pieces = c
+            .model_stream_infer(tokio_stream::iter(calls))
+            .await
+            .unwrap()
+            .into_inner();
         let first = pieces.next().await.unwrap().unwrap();
         assert_eq!((id(&first), first.error_message.as_str()), ("named", ""));
         while scene.gate.with(|g| g.hub().with_front(|f| f.parked())) < 2 {
@@ -239,8 +305,14 @@
         scene.say(Says::Class("safe"));
         let mut rest: Vec<_> = pieces.map(|p| p.unwrap()).filter(last).collect().await;
         rest.sort_by_key(|p| id(p).to_string());
-        let rest: Vec<_> = rest.iter().map(|p| (id(p), p.error_message.as_str())).collect();
+        let rest: Vec<_> = rest
+            .iter()
+            .map(|p| (id(p), p.error_message.as_str()))
+            .collect();
         assert_eq!(rest, [("a", ""), ("b", "")]);
     });
-    assert_eq!(scene.counts(["taken", "served", "refused", "unknown"]), [3, 3, 0, 0]);
+    assert_eq!(
+        scene.counts(["taken", "served", "refused", "unknown"]),
+        [3, 3, 0, 0]
+    );
 }
--- a/tests/path/tests/storms.rs
+++ b/tests/path/tests/storms.rs
@@ -22,7 +22,10 @@
 /// Has calls wait for five seconds on a gateway with one worker at this address; gives its account.
 fn try_peer(address: SocketAddr) -> Account {
     let gate = Gate::start(SETTINGS, &[("w", address)]);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     runtime.block_on(async {
         let c = gate.client().await;
         let end = Instant::now() + SPAN;
@@ -60,7 +63,10 @@
 const MOST_ORDERS: u64 = 2 * 8;
 
 fn orders_are_few(peer: &str, a: &Account) {
-    assert!(a.get("loads") + a.get("asks") <= MOST_ORDERS, "{peer}: {a:?}");
+    assert!(
+        a.get("loads") + a.get("asks") <= MOST_ORDERS,
+        "{peer}: {a:?}"
+    );
     assert!(a.get("loads") >= 2, "{peer} was ordered at all: {a:?}");
     assert!(a.get("probes") <= 12, "{peer}: {a:?}");
     assert!(a.get("attempts") <= 4 * a.get("taken"), "{peer}: {a:?}");
@@ -69,7 +75,14 @@
 #[test]
 fn a_worker_that_is_no_model_server_is_ordered_seldom() {
     // OK with the request's bytes, UNIMPLEMENTED, UNAVAILABLE, PERMISSION_DENIED, RESOURCE_EXHAUSTED, INTERNAL.
-    let peers = ["hollow", "hollow=12", "hollow=14", "hollow=7", "hollow=8", "hollow=13"];
+    let peers = [
+        "hollow",
+        "hollow=12",
+        "hollow=14",
+        "hollow=7",
+        "hollow=8",
+        "hollow=13",
+    ];
     let tried = peers.map(|word| (word, std::thread::spawn(move || faulty(word))));
     for (word, t) in tried {
         let a = t.join().expect("no panic");
@@ -115,7 +128,10 @@
     let (address, count) = closer();
     let a = try_peer(address);
     let connects = count.load(Ordering::Relaxed);
-    assert!(connects <= 24 && connects > 0, "{connects} connections in 5 s: {a:?}");
+    assert!(
+        connects <= 24 && connects > 0,
+        "{connects} connections in 5 s: {a:?}"
+    );
     orders_are_few("closer", &a);
     let refused = {
         // Bound, then closed: nobody listens there.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -5,7 +5,15 @@
 const MS: i64 = 1_000;
 
 fn worker(id: u64, state: WorkerState, started: Option<Time>) -> WorkerEntry {
-    WorkerEntry { worker: WorkerId(id), state, started, share: 1.0, cell: id, zone: id as usize % 2, kind: 0 }
+    WorkerEntry {
+        worker: WorkerId(id),
+        state,
+        started,
+        share: 1.0,
+        cell: id,
+        zone: id as usize % 2,
+        kind: 0,
+    }
 }
 
 struct Bench {
@@ -16,18 +24,28 @@
 
 impl Bench {
     fn new(set: Settings) -> Bench {
-        Bench { router: Router::new(set, 1, Time(0)).unwrap(), now: Time(0), out: Vec::new() }
+        Bench {
+            router: Router::new(set, 1, Time(0)).unwrap(),
+            now: Time(0),
+            out: Vec::new(),
+        }
     }
     fn tell(&mut self, event: Event) -> Vec<Action> {
         self.out.clear();
         self.router.handle(self.now, event, &mut self.out);
-        self.out.iter().filter(|a| !matches!(a, Action::SetTimer { .. })).cloned().collect()
+        self.out
+            .iter()
+            .filter(|a| !matches!(a, Action::SetTimer { .. }))
+            .cloned()
+            .collect()
     }
     fn list(&mut self, kind: ListKind, entries: Vec<WorkerEntry>) -> Vec<Action> {
         self.tell(Event::Workers { kind, entries })
     }
     fn ready(&mut self, n: u64) {
-        let entries = (1..=n).map(|i| worker(i, WorkerState::Ready, None)).collect();
+        let entries = (1..=n)
+            .map(|i| worker(i, WorkerState::Ready, None))
+            .collect();
         self.list(ListKind::Full, entries);
     }
     fn call(&mut self, request: u64, function: u64, class: usize, budget: Span) -> Vec<Action> {
@@ -44,7 +62,13 @@
             repeat: false,
         }))
     }
-    fn done(&mut self, request: u64, attempt: u32, worker: WorkerId, outcome: Outcome) -> Vec<Action> {
+    fn done(
+        &mut self,
+        request: u64,
+        attempt: u32,
+        worker: WorkerId,
+        outcome: Outcome,
+    ) -> Vec<Action> {
         self.tell(Event::AttemptDone(AttemptDone {
             request: RequestId(request),
             attempt,
@@ -84,7 +108,13 @@
     fn loaded(&mut self, worker: WorkerId, function: u64, outcome: Outcome) -> Vec<Action> {
         let instances = (outcome == Outcome::Served) as u32;
         let function = FunctionId(function);
-        self.tell(Event::OrderDone { worker, function, outcome, latency: 500 * MS, instances })
+        self.tell(Event::OrderDone {
+            worker,
+            function,
+            outcome,
+            latency: 500 * MS,
+            instances,
+        })
     }
     fn wait(&mut self, span: Span) -> Vec<Action> {
         let mut all = Vec::new();
@@ -124,7 +154,11 @@
 
 fn ordered(actions: &[Action]) -> Option<WorkerId> {
     actions.iter().find_map(|a| match a {
-        Action::Load { worker, instances: 1.., .. } => Some(*worker),
+        Action::Load {
+            worker,
+            instances: 1..,
+            ..
+        } => Some(*worker),
         _ => None,
     })
 }
@@ -149,9 +183,21 @@
     b.ready(3);
     let at = b.sent(1, 9, 0);
     b.done(1, 0, at, Outcome::Served);
-    assert_eq!(sent(&b.call(2, 9, 0, 5_000 * MS)), Some(at), "a warm free lane is used");
-    assert_eq!(sent(&b.call(3, 9, 0, 5_000 * MS)), None, "with the lane taken the next one is held");
-    assert_eq!(sent(&b.done(2, 0, at, Outcome::Served)), Some(at), "the returning lane goes to the line");
+    assert_eq!(
+        sent(&b.call(2, 9, 0, 5_000 * MS)),
+        Some(at),
+        "a warm free lane is used"
+    );
+    assert_eq!(
+        sent(&b.call(3, 9, 0, 5_000 * MS)),
+        None,
+        "with the lane taken the next one is held"
+    );
+    assert_eq!(
+        sent(&b.done(2, 0, at, Outcome::Served)),
+        Some(at),
+        "the returning lane goes to the line"
+    );
 }
 
 #[test]
@@ -160,29 +206,52 @@
     b.ready(1);
     b.call(1, 9, 0, 300 * MS);
     let actions = b.wait(300 * MS);
-    assert!(actions.contains(&Action::Refuse { request: RequestId(1), stay_away: 0 }));
+    assert!(actions.contains(&Action::Refuse {
+        request: RequestId(1),
+        stay_away: 0
+    }));
 }
 
 #[test]
 fn an_unsafe_call_that_may_have_run_fails_and_is_not_sent_again() {
-    for o in [Outcome::Error, Outcome::TimedOut, Outcome::ConnectionLost, Outcome::Cancelled] {
+    for o in [
+        Outcome::Error,
+        Outcome::TimedOut,
+        Outcome::ConnectionLost,
+        Outcome::Cancelled,
+    ] {
         let mut b = Bench::new(of(Effect::Unsafe));
         b.ready(3);
         let at = b.sent(1, 9, 0);
         let actions = b.done(1, 0, at, o);
-        assert!(actions.contains(&Action::Fail { request: RequestId(1) }), "{o:?}: {actions:?}");
+        assert!(
+            actions.contains(&Action::Fail {
+                request: RequestId(1)
+            }),
+            "{o:?}: {actions:?}"
+        );
         assert_eq!(sent(&actions), None);
     }
 }
 
 #[test]
 fn an_unsafe_call_proven_not_run_is_sent_again() {
-    for o in [Outcome::TurnedAway, Outcome::ConnectFailed, Outcome::NotLoaded, Outcome::NotSent] {
+    for o in [
+        Outcome::TurnedAway,
+        Outcome::ConnectFailed,
+        Outcome::NotLoaded,
+        Outcome::NotSent,
+    ] {
         let mut b = Bench::new(of(Effect::Unsafe));
         b.ready(3);
         let at = b.sent(1, 9, 0);
         let mut actions = b.done(1, 0, at, o);
-        assert!(!actions.contains(&Action::Fail { request: RequestId(1) }), "{o:?}");
+        assert!(
+            !actions.contains(&Action::Fail {
+                request: RequestId(1)
+            }),
+            "{o:?}"
+        );
         if let Some(w) = ordered(&actions) {
             actions = b.loaded(w, 9, Outcome::Served);
         }
@@ -203,13 +272,24 @@
             1 => vec![worker(1, WorkerState::Gone, None)],
             _ => Vec::new(),
         };
-        b.list(if how == 2 { ListKind::Full } else { ListKind::Changes }, entries);
+        b.list(
+            if how == 2 {
+                ListKind::Full
+            } else {
+                ListKind::Changes
+            },
+            entries,
+        );
         let mut actions = b.call(2, 9, 0, 2_000 * MS);
         actions.extend(b.call(3, 10, 0, 2_000 * MS));
         actions.extend(b.wait(2_000 * MS));
         assert_eq!((sent(&actions), ordered(&actions)), (None, None), "{how}");
         b.list(ListKind::Changes, vec![worker(1, WorkerState::Ready, None)]);
-        assert_eq!(ordered(&b.call(4, 11, 0, 2_000 * MS)), Some(WorkerId(1)), "back under the same id");
+        assert_eq!(
+            ordered(&b.call(4, 11, 0, 2_000 * MS)),
+            Some(WorkerId(1)),
+            "back under the same id"
+        );
     }
 }
 
@@ -217,15 +297,27 @@
 fn sends_to_a_cold_worker(siblings: usize, for_seconds: i64) -> usize {
     let mut sends = 0;
     for me in 0..siblings {
-        let set = Settings { siblings, me, may_order: false, max_attempts: 1, ..of(Effect::Safe) };
+        let set = Settings {
+            siblings,
+            me,
+            may_order: false,
+            max_attempts: 1,
+            ..of(Effect::Safe)
+        };
         let mut b = Bench::new(set);
         b.now = Time(1_000 * MS);
-        b.list(ListKind::Full, vec![worker(1, WorkerState::Ready, Some(b.now))]);
+        b.list(
+            ListKind::Full,
+            vec![worker(1, WorkerState::Ready, Some(b.now))],
+        );
         for request in 0..for_seconds as u64 * 5 {
             let mut actions = b.call(request, 20 + request, 0, 600 * MS);
             actions.extend(b.wait(200 * MS));
             for a in actions {
-                if let Action::Send { request, worker, .. } = a {
+                if let Action::Send {
+                    request, worker, ..
+                } = a
+                {
                     sends += 1;
                     b.done(request.0, 0, worker, Outcome::NotLoaded);
                 }
@@ -242,28 +334,47 @@
 fn a_cold_worker_is_neither_pushed_over_nor_left_idle_at_any_number_of_front_ends() {
     for siblings in [1, 3, 30, 120] {
         let first = sends_to_a_cold_worker(siblings, 2);
-        assert!(first as f64 * 0.2 <= 2.0 * 0.2 * 2.0 * 1.5, "{siblings}: {first} sends in the first 2 s");
+        assert!(
+            first as f64 * 0.2 <= 2.0 * 0.2 * 2.0 * 1.5,
+            "{siblings}: {first} sends in the first 2 s"
+        );
         let whole = sends_to_a_cold_worker(siblings, 9);
-        assert!(whole >= 8, "{siblings}: {whole} sends in nine tenths of the warm-up");
+        assert!(
+            whole >= 8,
+            "{siblings}: {whole} sends in nine tenths of the warm-up"
+        );
     }
 }
 
 #[test]
 fn a_restarted_worker_is_taken_as_empty() {
-    let mut b = Bench::new(Settings { siblings: 3, ..of(Effect::Safe) });
+    let mut b = Bench::new(Settings {
+        siblings: 3,
+        ..of(Effect::Safe)
+    });
     b.ready(1);
     let at = b.sent(1, 9, 0);
     b.done(1, 0, at, Outcome::Served);
     b.now = b.now.plus(1_000 * MS);
-    b.list(ListKind::Changes, vec![worker(1, WorkerState::Ready, Some(b.now))]);
+    b.list(
+        ListKind::Changes,
+        vec![worker(1, WorkerState::Ready, Some(b.now))],
+    );
     b.now = b.now.plus(20_000 * MS);
     assert_eq!(sent(&b.call(2, 9, 0, 5_000 * MS)), None);
 }
 
 #[test]
 fn load_orders_stay_within_the_ration() {
-    let ration = Some(Ration { free: 2.0, part: 0.25, period: 5_000 * MS });
-    let mut b = Bench::new(Settings { ration, ..of(Effect::Safe) });
+    let ration = Some(Ration {
+        free: 2.0,
+        part: 0.25,
+        period: 5_000 * MS,
+    });
+    let mut b = Bench::new(Settings {
+        ration,
+        ..of(Effect::Safe)
+    });
     b.ready(8);
     let mut orders = 0;
     for i in 0..40 {
@@ -280,8 +391,15 @@
 
 #[test]
 fn settings_without_sense_are_an_error() {
-    let none = Settings { classes: Vec::new(), ..Settings::default() };
-    assert!(Router::new(none, 1, Time(0)).err().unwrap().to_string().contains("no class"));
+    let none = Settings {
+        classes: Vec::new(),
+        ..Settings::default()
+    };
+    assert!(Router::new(none, 1, Time(0))
+        .err()
+        .unwrap()
+        .to_string()
+        .contains("no class"));
 }
 
 /// Incidents i7100b7 and i39140c: a stalled front end is handed calls whose time has already run out.
@@ -293,7 +411,13 @@
         for (i, budget) in [0, 3 * MS, -5].into_iter().enumerate() {
             let actions = b.call(i as u64, 9, 0, budget);
             let request = RequestId(i as u64);
-            assert!(actions.contains(&Action::Refuse { request, stay_away: 0 }), "{actions:?}");
+            assert!(
+                actions.contains(&Action::Refuse {
+                    request,
+                    stay_away: 0
+                }),
+                "{actions:?}"
+            );
         }
     }
 }
@@ -308,7 +432,10 @@
     b.call(2, 9, 0, 5_000 * MS);
     b.now = b.now.plus(3_000 * MS);
     let actions = b.tell(Event::Timer { token: 0 });
-    assert!(!actions.iter().any(|a| matches!(a, Action::Cancel { .. })), "{actions:?}");
+    assert!(
+        !actions.iter().any(|a| matches!(a, Action::Cancel { .. })),
+        "{actions:?}"
+    );
 }
 
 /// Incident i808d55: one place keeps silent while its worker answers for other functions.
@@ -330,7 +457,11 @@
 fn a_busy_function_is_spread_over_several_homes_and_front_ends_begin_at_different_ones() {
     let mut firsts = std::collections::BTreeSet::new();
     for me in 0..12 {
-        let mut b = Bench::new(Settings { siblings: 100, me, ..of(Effect::Safe) });
+        let mut b = Bench::new(Settings {
+            siblings: 100,
+            me,
+            ..of(Effect::Safe)
+        });
         b.ready(10);
         let mut used = std::collections::BTreeSet::new();
         for i in 0..20 {
@@ -357,7 +488,13 @@
 
 /// A fleet at full size in which a call that finds nothing loaded says so.
 fn of_a_hundred(me: usize) -> Settings {
-    Settings { siblings: 100, me, when_absent: WhenAbsent::Miss, tells_crowd: true, ..of(Effect::Safe) }
+    Settings {
+        siblings: 100,
+        me,
+        when_absent: WhenAbsent::Miss,
+        tells_crowd: true,
+        ..of(Effect::Safe)
+    }
 }
 
 /// An answer to the only attempt of a call, with the calls of its function that the worker held.
@@ -368,13 +505,18 @@
 /// A release at full size: a hundred front ends with one load each in hand push the store over. The fleet takes few
 /// a worker, so a front end's share comes in turns; what siblings had loaded is found by the call itself.
 #[test]
-fn loads_after_a_release_are_few_over_all_front_ends_and_standing_instances_are_found_by_the_call() {
+fn loads_after_a_release_are_few_over_all_front_ends_and_standing_instances_are_found_by_the_call()
+{
     let mut b = Bench::new(of_a_hundred(0));
     b.ready(10);
     let (mut orders, mut found) = (0, 0);
     for i in 0..40 {
         let actions = b.call(i, 100 + i, 0, 2_000 * MS);
-        assert_eq!(ordered(&actions), None, "loaded before a call found it missing");
+        assert_eq!(
+            ordered(&actions),
+            None,
+            "loaded before a call found it missing"
+        );
         let at = sent(&actions).expect("presumed at its home");
         if i % 2 == 0 {
             orders += ordered(&b.done(i, 0, at, Outcome::NotLoaded)).is_some() as u32;
@@ -384,19 +526,29 @@
         }
         b.wait(50 * MS);
     }
-    assert!((1..=2).contains(&orders) && found == 20, "{orders} orders, {found} found in 2 s");
+    assert!(
+        (1..=2).contains(&orders) && found == 20,
+        "{orders} orders, {found} found in 2 s"
+    );
 }
 
 /// Where a miss would load, a call must not go and see: what siblings had loaded is asked for, at no load.
 #[test]
 fn where_a_miss_would_load_standing_instances_are_found_by_asking() {
-    let mut b = Bench::new(Settings { siblings: 100, ..of(Effect::Safe) });
+    let mut b = Bench::new(Settings {
+        siblings: 100,
+        ..of(Effect::Safe)
+    });
     b.ready(10);
     let (mut orders, mut asked) = (0, 0);
     for i in 0..40 {
         for a in b.call(i, 100 + i, 0, 2_000 * MS) {
             match a {
-                Action::Load { instances: 0, worker, .. } => {
+                Action::Load {
+                    instances: 0,
+                    worker,
+                    ..
+                } => {
                     asked += 1;
                     let found = b.loaded(worker, 100 + i, Outcome::Served);
                     assert_eq!(sent(&found), Some(worker), "a sibling had it loaded");
@@ -408,7 +560,10 @@
         }
         b.wait(50 * MS);
     }
-    assert!((1..=2).contains(&orders) && asked > 30, "{orders} orders, {asked} asked in 2 s");
+    assert!(
+        (1..=2).contains(&orders) && asked > 30,
+        "{orders} orders, {asked} asked in 2 s"
+    );
 }
 
 /// All front ends presume a function at the same place, so that the one that has it loaded is met by all.
@@ -439,7 +594,10 @@
         used.len()
     };
     let (quiet, busy) = (places(0), places(20));
-    assert!(quiet <= 2 && busy >= 6, "{quiet} places without a crowd, {busy} with one");
+    assert!(
+        quiet <= 2 && busy >= 6,
+        "{quiet} places without a crowd, {busy} with one"
+    );
 }
 
 /// What found nothing at the presumed places ends as a held call with a load, and never uses its last attempts so.
@@ -460,8 +618,13 @@
         load = load.or(ordered(&actions));
         attempt += 1;
     }
-    assert!((1..=2).contains(&attempt), "{attempt} attempts of four spent on presuming");
-    let at = load.or_else(|| ordered(&b.wait(1_000 * MS))).expect("a load");
+    assert!(
+        (1..=2).contains(&attempt),
+        "{attempt} attempts of four spent on presuming"
+    );
+    let at = load
+        .or_else(|| ordered(&b.wait(1_000 * MS)))
+        .expect("a load");
     assert_eq!(sent(&b.loaded(at, 9, Outcome::Served)), Some(at));
 }
 
@@ -477,7 +640,10 @@
     let at = sent(&b.call(1, 9, 0, 5_000 * MS)).expect("presumed");
     b.done(1, 0, at, Outcome::Served);
     b.wait(1_000 * MS);
-    let entries = vec![worker(1, WorkerState::Ready, Some(b.now)), worker(2, WorkerState::Ready, None)];
+    let entries = vec![
+        worker(1, WorkerState::Ready, Some(b.now)),
+        worker(2, WorkerState::Ready, None),
+    ];
     b.list(ListKind::Full, entries);
     // Until its credit is used up the cold one takes calls; then they go to the other one.
     let mut to = [0, 0];
@@ -487,7 +653,9 @@
         while let Some(a) = actions.pop() {
             match a {
                 Action::Load { worker, .. } => actions.extend(b.loaded(worker, 9, Outcome::Served)),
-                Action::Send { request, worker, .. } => {
+                Action::Send {
+                    request, worker, ..
+                } => {
                     to[worker.0 as usize - 1] += 1;
                     actions.extend(b.served_after(request, worker, 100 * MS));
                 }
@@ -506,12 +674,17 @@
         (set.warm_up, set.siblings) = (600 * SECOND, 2);
         let mut b = Bench::new(set);
         b.ready(2);
-        let report = Some(LoadReport { busy: Some(busy), ..LoadReport::default() });
+        let report = Some(LoadReport {
+            busy: Some(busy),
+            ..LoadReport::default()
+        });
         let mut out: std::collections::VecDeque<(Time, RequestId, WorkerId)> = Default::default();
         let mut cold = 0;
         for i in 0..4000u64 {
             if i == 2000 {
-                let mut entries: Vec<_> = (1..=2).map(|n| worker(n, WorkerState::Ready, None)).collect();
+                let mut entries: Vec<_> = (1..=2)
+                    .map(|n| worker(n, WorkerState::Ready, None))
+                    .collect();
                 entries.push(worker(3, WorkerState::Ready, Some(b.now)));
                 b.list(ListKind::Full, entries);
             }
@@ -524,10 +697,12 @@
             }
             while let Some(a) = actions.pop() {
                 match a {
-                    Action::Load { worker, function, .. } => {
-                        actions.extend(b.loaded(worker, function.0, Outcome::Served))
-                    }
-                    Action::Send { request, worker, .. } => {
+                    Action::Load {
+                        worker, function, ..
+                    } => actions.extend(b.loaded(worker, function.0, Outcome::Served)),
+                    Action::Send {
+                        request, worker, ..
+                    } => {
                         cold += (worker.0 == 3) as u32;
                         out.push_back((b.now.plus(100 * MS), request, worker));
                     }
@@ -538,13 +713,19 @@
         cold
     };
     let (full, half) = (to_cold(1.0), to_cold(0.5));
-    assert!(half * 10 > full * 15, "{full} calls where workers are full, {half} where they are half busy");
+    assert!(
+        half * 10 > full * 15,
+        "{full} calls where workers are full, {half} where they are half busy"
+    );
 }
 
 /// Slow answers at full size (ageing, few cores, a jam): a worker whose answers come late gets fewer calls.
 #[test]
 fn a_worker_that_answers_slowly_gets_less() {
-    let mut b = Bench::new(Settings { siblings: 3, ..of(Effect::Safe) });
+    let mut b = Bench::new(Settings {
+        siblings: 3,
+        ..of(Effect::Safe)
+    });
     b.ready(2);
     let mut sends = [0, 0];
     for i in 0..120u64 {
@@ -553,7 +734,9 @@
         while let Some(a) = actions.pop() {
             match a {
                 Action::Load { worker, .. } => actions.extend(b.loaded(worker, 9, Outcome::Served)),
-                Action::Send { request, worker, .. } => {
+                Action::Send {
+                    request, worker, ..
+                } => {
                     sends[worker.0 as usize - 1] += (i >= 60) as u32;
                     let latency = if worker.0 == 1 { 700 * MS } else { 70 * MS };
                     actions.extend(b.served_after(request, worker, latency));
@@ -585,7 +768,10 @@
 /// paced, and each suspect still gets its turn.
 #[test]
 fn many_suspects_are_tested_in_turn_and_not_all_at_once() {
-    let mut b = Bench::new(Settings { may_probe: true, ..of(Effect::Safe) });
+    let mut b = Bench::new(Settings {
+        may_probe: true,
+        ..of(Effect::Safe)
+    });
     b.ready(30);
     let mut lost = std::collections::BTreeSet::new();
     for i in 0..400 {
@@ -598,26 +784,55 @@
     }
     assert!(lost.len() > 25, "{} suspects", lost.len());
     let probed = |actions: &[Action]| -> Vec<WorkerId> {
-        let probe = |a: &Action| if let Action::Probe { worker } = a { Some(*worker) } else { None };
+        let probe = |a: &Action| {
+            if let Action::Probe { worker } = a {
+                Some(*worker)
+            } else {
+                None
+            }
+        };
         actions.iter().filter_map(probe).collect()
     };
     b.wait(1_000 * MS);
     let first = probed(&b.wait(5_000 * MS));
-    assert!((8..=16).contains(&first.len()), "{} probes in 5 s", first.len());
-    let all: std::collections::BTreeSet<WorkerId> = probed(&b.wait(30_000 * MS)).into_iter().collect();
-    assert!(lost.is_subset(&all), "{} of {} tested", all.len(), lost.len());
+    assert!(
+        (8..=16).contains(&first.len()),
+        "{} probes in 5 s",
+        first.len()
+    );
+    let all: std::collections::BTreeSet<WorkerId> =
+        probed(&b.wait(30_000 * MS)).into_iter().collect();
+    assert!(
+        lost.is_subset(&all),
+        "{} of {} tested",
+        all.len(),
+        lost.len()
+    );
 }
 
 /// Odd settings and lists: own number outside the count, a very large count, an empty zone.
 #[test]
 fn an_own_number_outside_the_count_and_a_huge_count_still_serve() {
-    for (me, siblings) in [(7, 1), (usize::MAX, 3), (0, 1_000_000), (usize::MAX, usize::MAX)] {
-        let mut b = Bench::new(Settings { me, siblings, zone: 99, ..of(Effect::Safe) });
+    for (me, siblings) in [
+        (7, 1),
+        (usize::MAX, 3),
+        (0, 1_000_000),
+        (usize::MAX, usize::MAX),
+    ] {
+        let mut b = Bench::new(Settings {
+            me,
+            siblings,
+            zone: 99,
+            ..of(Effect::Safe)
+        });
         b.list(ListKind::Full, Vec::new());
         b.call(1, 9, 0, 500 * MS);
         b.list(
             ListKind::Full,
-            vec![worker(1, WorkerState::Ready, Some(b.now)), worker(2, WorkerState::Ready, None)],
+            vec![
+                worker(1, WorkerState::Ready, Some(b.now)),
+                worker(2, WorkerState::Ready, None),
+            ],
         );
         let mut actions = b.call(2, 9, 0, 30_000 * MS);
         actions.extend(b.wait(30_000 * MS));
@@ -628,10 +843,15 @@
 
 #[test]
 fn a_keyed_call_is_repeated_within_its_group_and_window_only() {
-    for (group, window, late) in
-        [(Group::Zone, 4_000, false), (Group::Cell, 4_000, false), (Group::All, 600, true)]
-    {
-        let mut b = Bench::new(of(Effect::Keyed { group, window: window * MS }));
+    for (group, window, late) in [
+        (Group::Zone, 4_000, false),
+        (Group::Cell, 4_000, false),
+        (Group::All, 600, true),
+    ] {
+        let mut b = Bench::new(of(Effect::Keyed {
+            group,
+            window: window * MS,
+        }));
         b.ready(4);
         let first = b.sent(1, 9, 0);
         b.now = b.now.plus(if late { 300 * MS } else { 10 * MS });
@@ -642,14 +862,20 @@
             }
             if let Some(w) = sent(&actions) {
                 assert!(!late, "out of its window");
-                assert!(w == first || group == Group::Zone && w.0 % 2 == first.0 % 2, "{group:?}: {w:?}");
+                assert!(
+                    w == first || group == Group::Zone && w.0 % 2 == first.0 % 2,
+                    "{group:?}: {w:?}"
+                );
                 break;
             }
             b.now = b.now.plus(50 * MS);
             actions = b.tell(Event::Timer { token: 0 });
         }
         let refused = actions.iter().any(|a| matches!(a, Action::Refuse { .. }));
-        assert!(!refused || group == Group::All, "{group:?} may have run: no refusal");
+        assert!(
+            !refused || group == Group::All,
+            "{group:?} may have run: no refusal"
+        );
     }
 }
 
@@ -662,7 +888,11 @@
         b.done(1, 0, at, Outcome::Served);
         b.call(2, 9, 0, 5_000 * MS);
         let actions = b.wait(4_000 * MS);
-        assert_eq!(actions.iter().any(|a| matches!(a, Action::Cancel { .. })), cancels, "{effect:?}");
+        assert_eq!(
+            actions.iter().any(|a| matches!(a, Action::Cancel { .. })),
+            cancels,
+            "{effect:?}"
+        );
     }
 }
 
@@ -671,9 +901,16 @@
     let mut b = Bench::new(of(Effect::Safe));
     b.ready(1);
     b.call(1, 9, 0, 500 * MS);
-    b.tell(Event::Departed { request: RequestId(1) });
+    b.tell(Event::Departed {
+        request: RequestId(1),
+    });
     let actions = b.wait(1_000 * MS);
-    assert!(!actions.iter().any(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })), "{actions:?}");
+    assert!(
+        !actions
+            .iter()
+            .any(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })),
+        "{actions:?}"
+    );
 }
 
 #[test]
@@ -682,7 +919,10 @@
     set.classes[0].aim_stretch = 1e9;
     let mut b = Bench::new(set);
     b.ready(2);
-    for (i, (budget, hint)) in [(i64::MAX, i64::MAX), (i64::MIN, i64::MIN), (1, 0)].into_iter().enumerate() {
+    for (i, (budget, hint)) in [(i64::MAX, i64::MAX), (i64::MIN, i64::MIN), (1, 0)]
+        .into_iter()
+        .enumerate()
+    {
         b.tell(Event::Arrival(Arrival {
             request: RequestId(i as u64),
             function: FunctionId(1),
@@ -704,7 +944,12 @@
 
 /// One worker, orders answered by `answer` as soon as they are given, calls likewise missed; counts the orders of
 /// five seconds. `functions` functions have calls waiting all the time.
-fn orders_in_five_seconds(set: Settings, workers: u64, functions: u64, answer: (Outcome, u32)) -> usize {
+fn orders_in_five_seconds(
+    set: Settings,
+    workers: u64,
+    functions: u64,
+    answer: (Outcome, u32),
+) -> usize {
     let mut b = Bench::new(set);
     b.ready(workers);
     let (mut orders, mut next) = (0, 0);
@@ -720,13 +965,25 @@
             steps += 1;
             assert!(steps < 100_000, "orders at the loop's speed");
             match a {
-                Action::Load { worker, function, instances: wanted } => {
+                Action::Load {
+                    worker,
+                    function,
+                    instances: wanted,
+                } => {
                     orders += (wanted > 0) as usize;
                     let (outcome, instances) = answer;
                     let latency = 100;
-                    todo.extend(b.tell(Event::OrderDone { worker, function, outcome, latency, instances }));
+                    todo.extend(b.tell(Event::OrderDone {
+                        worker,
+                        function,
+                        outcome,
+                        latency,
+                        instances,
+                    }));
                 }
-                Action::Send { request, worker, .. } => {
+                Action::Send {
+                    request, worker, ..
+                } => {
                     let d = AttemptDone {
                         request,
                         attempt: 0,
@@ -750,14 +1007,20 @@
 
 #[test]
 fn orders_in_vain_wait_longer_each_time_at_a_place_and_are_paced_over_all() {
-    for answer in
-        [(Outcome::Served, 0), (Outcome::Error, 0), (Outcome::TurnedAway, 0), (Outcome::NotLoaded, 0)]
-    {
+    for answer in [
+        (Outcome::Served, 0),
+        (Outcome::Error, 0),
+        (Outcome::TurnedAway, 0),
+        (Outcome::NotLoaded, 0),
+    ] {
         // At one place: at once, once more, then after half a second to three quarters, twice that, four times.
         let n = orders_in_five_seconds(of(Effect::Safe), 1, 1, answer);
         assert!((3..=6).contains(&n), "{answer:?}: {n}");
         let n = orders_in_five_seconds(of(Effect::Safe), 1, 40, answer);
-        assert!((90..=102).contains(&n), "{answer:?}: {n} for many functions at one worker");
+        assert!(
+            (90..=102).contains(&n),
+            "{answer:?}: {n} for many functions at one worker"
+        );
         let n = orders_in_five_seconds(of(Effect::Safe), 20, 40, answer);
         // Those in hand before the first answer, two a worker, then the pace.
         assert!((60..=142).contains(&n), "{answer:?}: {n} at twenty workers");
@@ -783,7 +1046,10 @@
         let next = if restart {
             b.loaded(at, 9, Outcome::Error);
             let now = b.now;
-            b.list(ListKind::Full, vec![worker(1, WorkerState::Ready, Some(now))]);
+            b.list(
+                ListKind::Full,
+                vec![worker(1, WorkerState::Ready, Some(now))],
+            );
             b.wait(60 * MS)
         } else {
             assert_eq!(sent(&b.loaded(at, 9, Outcome::Served)), Some(at));
@@ -794,7 +1060,11 @@
             b.loaded(at, 9, Outcome::Error);
             b.wait(600 * MS)
         };
-        assert!(ordered(&next).is_some(), "restart {restart}, {} us on", b.now.since(since));
+        assert!(
+            ordered(&next).is_some(),
+            "restart {restart}, {} us on",
+            b.now.since(since)
+        );
     }
 }
 
@@ -833,7 +1103,9 @@
         }
         if !out.is_empty() {
             let (request, worker, attempt) = out.remove(0);
-            let outcome = *rng.choice(&[Outcome::Served, Outcome::Served, Outcome::TurnedAway]).unwrap();
+            let outcome = *rng
+                .choice(&[Outcome::Served, Outcome::Served, Outcome::TurnedAway])
+                .unwrap();
             let concluded = outcome == Outcome::Served;
             if concluded {
                 ended.insert(request, b.now);
@@ -856,23 +1128,33 @@
         actions.extend(b.tell(Event::Timer { token: 0 }));
         while let Some(a) = actions.pop() {
             match a {
-                Action::Load { worker, function, .. } => {
+                Action::Load {
+                    worker, function, ..
+                } => {
                     actions.extend(b.loaded(worker, function.0, Outcome::Served));
                 }
-                Action::Send { request, worker, .. } => {
+                Action::Send {
+                    request, worker, ..
+                } => {
                     let n = attempts.entry(request).or_default();
                     out.push((request, worker, *n));
                     *n += 1;
                 }
                 Action::Refuse { request, .. } | Action::Fail { request } => {
-                    assert!(ended.insert(request, b.now).is_none(), "{request:?} ended twice");
+                    assert!(
+                        ended.insert(request, b.now).is_none(),
+                        "{request:?} ended twice"
+                    );
                 }
                 _ => {}
             }
         }
     }
     assert_eq!(ended.len() as u64, next, "every call has an end");
-    let late = ended.iter().filter(|(r, at)| at.since(began[r]) > 6 * SECOND).count();
+    let late = ended
+        .iter()
+        .filter(|(r, at)| at.since(began[r]) > 6 * SECOND)
+        .count();
     assert_eq!(late, 0, "none after its client's time");
 }
 
@@ -880,30 +1162,60 @@
 fn a_held_call_ends_when_it_can_no_longer_be_of_use_and_not_at_its_deadline() {
     // Too late for any worth, behind calls whose aims are further off.
     let mut set = of(Effect::Safe);
-    (set.classes[0].late_worth, set.classes[0].aim, set.classes[0].deadline) = (0.0, SECOND, 30 * SECOND);
-    set.classes.push(Class { aim: 20 * SECOND, ..set.classes[0].clone() });
+    (
+        set.classes[0].late_worth,
+        set.classes[0].aim,
+        set.classes[0].deadline,
+    ) = (0.0, SECOND, 30 * SECOND);
+    set.classes.push(Class {
+        aim: 20 * SECOND,
+        ..set.classes[0].clone()
+    });
     let mut b = Bench::new(set);
     b.ready(1);
     for n in 2..200 {
         b.call(n, 9, 1, 30_000 * MS);
     }
     b.call(1, 9, 0, 30_000 * MS);
-    let refused = Action::Refuse { request: RequestId(1), stay_away: 0 };
-    assert!(!b.wait(500 * MS).contains(&refused), "half of its aim is left");
+    let refused = Action::Refuse {
+        request: RequestId(1),
+        stay_away: 0,
+    };
+    assert!(
+        !b.wait(500 * MS).contains(&refused),
+        "half of its aim is left"
+    );
     let actions = b.wait(500 * MS);
-    assert_eq!(actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).collect::<Vec<_>>(), [&refused]);
+    assert_eq!(
+        actions
+            .iter()
+            .filter(|a| matches!(a, Action::Refuse { .. }))
+            .collect::<Vec<_>>(),
+        [&refused]
+    );
 
     // Sent once, and from a moment on not to be sent again, with its aim far off.
-    let mut set = of(Effect::Keyed { group: Group::Zone, window: 3 * SECOND });
+    let mut set = of(Effect::Keyed {
+        group: Group::Zone,
+        window: 3 * SECOND,
+    });
     (set.classes[0].aim, set.classes[0].deadline) = (5 * SECOND, 60 * SECOND);
     let mut b = Bench::new(set);
     b.ready(1);
     let at = b.sent(1, 9, 0);
     b.call(2, 9, 0, 60_000 * MS);
     b.done(1, 0, at, Outcome::ConnectionLost);
-    let failed = Action::Fail { request: RequestId(1) };
-    assert!(!b.wait(2_000 * MS).contains(&failed), "it may be sent again yet");
-    assert!(b.wait(600 * MS).contains(&failed), "its window, less two connect time-outs, is over");
+    let failed = Action::Fail {
+        request: RequestId(1),
+    };
+    assert!(
+        !b.wait(2_000 * MS).contains(&failed),
+        "it may be sent again yet"
+    );
+    assert!(
+        b.wait(600 * MS).contains(&failed),
+        "its window, less two connect time-outs, is over"
+    );
 }
 
 #[test]
@@ -911,10 +1223,16 @@
     let (workers, functions) = (300, 600);
     let mut b = Bench::new(of(Effect::Safe));
     b.ready(workers);
-    let none = (1..=workers).map(|i| worker(i, WorkerState::Draining, None)).collect();
+    let none = (1..=workers)
+        .map(|i| worker(i, WorkerState::Draining, None))
+        .collect();
     b.list(ListKind::Full, none);
     for f in 0..functions {
-        assert_eq!(ordered(&b.call(f + 1, f, 0, 60_000 * MS)), None, "no worker to load it");
+        assert_eq!(
+            ordered(&b.call(f + 1, f, 0, 60_000 * MS)),
+            None,
+            "no worker to load it"
+        );
     }
     // Once there are workers again, only a look can find that a function may be loaded.
     b.ready(workers);
@@ -927,13 +1245,24 @@
         }));
         most = most.max(looked.len() - before);
     }
-    assert_eq!(looked.len() as u64, functions, "looked over within twelve looks");
-    assert!(most < functions as usize / 2, "{most} of {functions} in one look");
+    assert_eq!(
+        looked.len() as u64,
+        functions,
+        "looked over within twelve looks"
+    );
+    assert!(
+        most < functions as usize / 2,
+        "{most} of {functions} in one look"
+    );
 }
 
 #[test]
 fn a_list_that_fails_at_once_is_asked_for_seldom() {
-    let set = Settings { list_pushed: false, ask_within: SECOND, ..of(Effect::Safe) };
+    let set = Settings {
+        list_pushed: false,
+        ask_within: SECOND,
+        ..of(Effect::Safe)
+    };
     let mut b = Bench::new(set);
     b.ready(1);
     let (mut asked, mut todo) = (0, Vec::new());
@@ -954,7 +1283,11 @@
 
 fn asked(actions: &[Action]) -> Option<WorkerId> {
     actions.iter().find_map(|a| match a {
-        Action::Load { worker, instances: 0, .. } => Some(*worker),
+        Action::Load {
+            worker,
+            instances: 0,
+            ..
+        } => Some(*worker),
         _ => None,
     })
 }
@@ -982,7 +1315,8 @@
     let (mut b, at) = served_once();
     // Silence: a call is taken back, and the worker gets no further one.
     assert_eq!(sent(&b.call(2, 9, 0, 5_000 * MS)), Some(at));
-    let taken_back = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
+    let taken_back =
+        |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
     assert!(taken_back(&b.wait(3_000 * MS)));
     b.done(2, 0, at, Outcome::Cancelled);
     assert_eq!(sent(&b.call(3, 9, 0, 400 * MS)), None);
@@ -991,10 +1325,21 @@
     answered(&mut b, at);
     let trial = b.call(4, 9, 0, 5_000 * MS);
     assert_eq!(sent(&trial), Some(at));
-    assert!(!taken_back(&b.wait(100 * MS)), "taken back before it could be answered");
-    assert_eq!(sent(&b.call(5, 9, 0, 5_000 * MS)), None, "one trial at a time");
+    assert!(
+        !taken_back(&b.wait(100 * MS)),
+        "taken back before it could be answered"
+    );
+    assert_eq!(
+        sent(&b.call(5, 9, 0, 5_000 * MS)),
+        None,
+        "one trial at a time"
+    );
     let next = b.done(4, 0, at, Outcome::Served);
-    assert_eq!(sent(&next), Some(at), "a trial that was served clears the worker");
+    assert_eq!(
+        sent(&next),
+        Some(at),
+        "a trial that was served clears the worker"
+    );
 }
 
 #[test]
@@ -1004,14 +1349,28 @@
     assert_eq!(sent(&b.done(2, 0, at, Outcome::ConnectionLost)), None);
     let began = b.now;
     let actions = answered(&mut b, at);
-    assert!(b.now.since(began) <= 60 * MS, "asked only after {} us", b.now.since(began));
-    assert_eq!(sent(&actions), Some(at), "its process answers: the call goes there again");
+    assert!(
+        b.now.since(began) <= 60 * MS,
+        "asked only after {} us",
+        b.now.since(began)
+    );
+    assert_eq!(
+        sent(&actions),
+        Some(at),
+        "its process answers: the call goes there again"
+    );
     // Again at once: this time a call has to be served before there is more than one.
     b.done(2, 1, at, Outcome::ConnectionLost);
     let mut actions = answered(&mut b, at);
     actions.extend((20..24).flat_map(|id| b.call(id, 9, 0, 5_000 * MS)));
-    let sends = actions.iter().filter(|a| matches!(a, Action::Send { .. })).count();
-    assert!(sends <= 1, "{sends} sent to one that loses every connection");
+    let sends = actions
+        .iter()
+        .filter(|a| matches!(a, Action::Send { .. }))
+        .count();
+    assert!(
+        sends <= 1,
+        "{sends} sent to one that loses every connection"
+    );
 }
 
 /// Answers that are slow now and then, one call at a time: what a worker with idle cores is given stays as it was, what
@@ -1026,7 +1385,9 @@
         b.ready(1);
         for n in 0..8 {
             let at = sent(&b.call(n, 9, 0, 5_000 * MS));
-            let at = at.unwrap_or_else(|| sent(&b.loaded(WorkerId(1), 9, Outcome::Served)).expect("a send"));
+            let at = at.unwrap_or_else(|| {
+                sent(&b.loaded(WorkerId(1), 9, Outcome::Served)).expect("a send")
+            });
             let latency = if n % 4 == 3 { 900 * MS } else { 100 * MS };
             b.now = b.now.plus(latency);
             b.tell(Event::AttemptDone(AttemptDone {
@@ -1038,7 +1399,10 @@
                 latency,
                 note: Note::Warm,
                 crowd: None,
-                report: Some(LoadReport { busy, ..LoadReport::default() }),
+                report: Some(LoadReport {
+                    busy,
+                    ..LoadReport::default()
+                }),
             }));
             b.wait(400 * MS);
         }
@@ -1078,7 +1442,13 @@
         b.ready(10);
         let at = b.held_for_load(1, 9);
         let (function, outcome) = (FunctionId(9), Outcome::ConnectionLost);
-        let told = Event::OrderDone { worker: at, function, outcome, latency, instances: 0 };
+        let told = Event::OrderDone {
+            worker: at,
+            function,
+            outcome,
+            latency,
+            instances: 0,
+        };
         let actions = b.tell(told);
         assert_eq!(sent(&actions) == Some(at), stands, "{latency}: {actions:?}");
         assert_eq!(ordered(&actions), None, "{latency}: ordered again");
@@ -1099,13 +1469,26 @@
         let at = b.held_for_load(1, 9);
         b.wait(200 * MS);
         if restarts {
-            b.list(ListKind::Changes, vec![worker(at.0, WorkerState::Ready, Some(b.now))]);
+            b.list(
+                ListKind::Changes,
+                vec![worker(at.0, WorkerState::Ready, Some(b.now))],
+            );
         }
         b.wait(300 * MS);
         let (function, outcome) = (FunctionId(9), Outcome::ConnectionLost);
-        let told = Event::OrderDone { worker: at, function, outcome, latency: 500 * MS, instances: 0 };
+        let told = Event::OrderDone {
+            worker: at,
+            function,
+            outcome,
+            latency: 500 * MS,
+            instances: 0,
+        };
         let actions = b.tell(told);
-        assert_eq!(sent(&actions) == Some(at), !restarts, "{restarts}: {actions:?}");
+        assert_eq!(
+            sent(&actions) == Some(at),
+            !restarts,
+            "{restarts}: {actions:?}"
+        );
     }
 }
 
@@ -1120,6 +1503,10 @@
     b.call(3, 11, 0, 9_000 * MS);
     let mut actions = answered(&mut b, at);
     actions.extend(b.wait(100 * MS));
-    assert_eq!(ordered(&actions), Some(at), "no load, and so no call, would ever go there");
+    assert_eq!(
+        ordered(&actions),
+        Some(at),
+        "no load, and so no call, would ever go there"
+    );
     assert_eq!(sent(&b.loaded(at, 11, Outcome::Served)), Some(at));
 }
--- a/tests/soak/src/abuse.rs
+++ b/tests/soak/src/abuse.rs
@@ -25,7 +25,10 @@
         3 => format!("{head}{rest}Content-Length: -1\r\n\r\n"),
         4 => format!("{head}{rest}Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc"),
         5 => format!("{head}X-Request-Id: none\r\nContent-Length: 0\r\n\r\n"),
-        6 => format!("{head}{}Content-Length: 0\r\n\r\n", rest.replace("900", "1e9")),
+        6 => format!(
+            "{head}{}Content-Length: 0\r\n\r\n",
+            rest.replace("900", "1e9")
+        ),
         7 => format!("GET / HTTP/9.9\r\n{}", "x".repeat(random.usize(1..9000))),
         _ => return (0..random.usize(1..400)).map(|_| random.u8(..)).collect(),
     };
@@ -52,7 +55,10 @@
     address: std::net::SocketAddr,
     bytes: Vec<u8>,
 ) -> Option<()> {
-    let mut socket = timeout(OWED_WITHIN, TcpStream::connect(address)).await.ok()?.ok()?;
+    let mut socket = timeout(OWED_WITHIN, TcpStream::connect(address))
+        .await
+        .ok()?
+        .ok()?;
     let began = Instant::now();
     // One that is closed meanwhile has been answered.
     let _ = socket.write_all(&bytes).await;
@@ -60,6 +66,11 @@
     let read = timeout(OWED_WITHIN + BEYOND, socket.read(&mut first)).await;
     let served = matches!(read, Ok(Ok(n)) if first[..n].starts_with(b"HTTP/1.1 200"));
     let after = read.is_ok().then(|| began.elapsed());
-    facts.note(Fact::Abused { place, process, after, served });
+    facts.note(Fact::Abused {
+        place,
+        process,
+        after,
+        served,
+    });
     Some(())
 }
--- a/tests/soak/src/clients.rs
+++ b/tests/soak/src/clients.rs
@@ -100,9 +100,16 @@
         if !door.open {
             return None;
         }
-        let socket = timeout(Duration::from_secs(2), TcpStream::connect(door.address)).await.ok()?.ok()?;
+        let socket = timeout(Duration::from_secs(2), TcpStream::connect(door.address))
+            .await
+            .ok()?
+            .ok()?;
         let _ = socket.set_nodelay(true);
-        Some(Connection { socket, process: door.process, rested: false })
+        Some(Connection {
+            socket,
+            process: door.process,
+            rested: false,
+        })
     }
 
     /// One request; some: the connection for the next, if it stays.
@@ -119,7 +126,10 @@
         }
         let request = self.request();
         match self.exchange(&mut connection, &request).await {
-            End::Keeps => Some(Some(Connection { rested: true, ..connection })),
+            End::Keeps => Some(Some(Connection {
+                rested: true,
+                ..connection
+            })),
             End::Gone => Some(None),
             End::Crossed => {
                 let mut again = self.connect().await?;
@@ -146,7 +156,11 @@
             2 | 3 => (Effect::Unsafe, "once"),
             _ => (Effect::Keyed, "keyed"),
         };
-        let key = if effect == Effect::Keyed { format!("Idempotency-Key: k{id}\r\n") } else { String::new() };
+        let key = if effect == Effect::Keyed {
+            format!("Idempotency-Key: k{id}\r\n")
+        } else {
+            String::new()
+        };
         let wait_ms = match self.random.u32(0..10) {
             0 => self.random.u64(5..80),
             1..=4 => self.random.u64(200..800),
@@ -159,11 +173,22 @@
              X-Timeout-Ms: {wait_ms}\r\nX-Extras: memory_mb:300;lanes:2\r\n{key}Content-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        Request { id, effect, timeout: Duration::from_millis(wait_ms), text: text.into_bytes(), body }
+        Request {
+            id,
+            effect,
+            timeout: Duration::from_millis(wait_ms),
+            text: text.into_bytes(),
+            body,
+        }
     }
 
     async fn exchange(&mut self, connection: &mut Connection, request: &Request) -> End {
-        let Request { id, effect, timeout: wait, .. } = *request;
+        let Request {
+            id,
+            effect,
+            timeout: wait,
+            ..
+        } = *request;
         let socket = &mut connection.socket;
         if self.write(socket, &request.text).await.is_err() {
             // It was never whole on a connection that stood.
@@ -171,7 +196,14 @@
         }
         let sent = Instant::now();
         let (place, process, idle_before) = (self.place, connection.process, connection.rested);
-        self.facts.note(Fact::Sent { id, place, process, effect, timeout: wait, idle_before });
+        self.facts.note(Fact::Sent {
+            id,
+            place,
+            process,
+            effect,
+            timeout: wait,
+            idle_before,
+        });
         // One in ten leaves early; of the others every second stays beyond its time, as if it had not noticed.
         let stays = match self.random.u32(0..10) {
             0 => wait.mul_f64(self.random.f64()),
@@ -187,13 +219,21 @@
                 if let Ok(std_socket) = std::mem::replace(socket, unconnected()).into_std() {
                     drop(std_socket);
                 }
-                let fact = if stays > wait { Fact::Unanswered { id } } else { Fact::Left { id } };
+                let fact = if stays > wait {
+                    Fact::Unanswered { id }
+                } else {
+                    Fact::Left { id }
+                };
                 self.facts.note(fact);
                 End::Gone
             }
             Ok(Ok((status, body, keep))) => {
                 let own_body = body == request.body.as_bytes();
-                self.facts.note(Fact::Answered { id, status, own_body });
+                self.facts.note(Fact::Answered {
+                    id,
+                    status,
+                    own_body,
+                });
                 if keep {
                     End::Keeps
                 } else {
@@ -202,7 +242,8 @@
             }
             Ok(Err(how)) => {
                 self.facts.note(Fact::Dropped { id, how });
-                let crossed = how == ConnectionEnd::Closed && idle_before && sent.elapsed() <= CROSSING;
+                let crossed =
+                    how == ConnectionEnd::Closed && idle_before && sent.elapsed() <= CROSSING;
                 if crossed {
                     End::Crossed
                 } else {
@@ -226,7 +267,8 @@
 
 /// A socket in the place of one that is closed.
 fn unconnected() -> TcpStream {
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    let socket =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.set_nonblocking(true).expect("a socket");
     TcpStream::from_std(socket.into()).expect("within a runtime")
 }
@@ -240,11 +282,22 @@
     }
     let rest = head(socket).await.ok_or(ConnectionEnd::HalfAnswer)?;
     let lines: Vec<&str> = rest.lines().collect();
-    let status = lines.first().and_then(|l| l.split(' ').nth(1)?.parse().ok());
-    let length = lines.iter().find_map(|l| l.strip_prefix("Content-Length: ")?.trim().parse().ok());
-    let (Some(status), Some(length)) = (status, length) else { return Err(ConnectionEnd::HalfAnswer) };
+    let status = lines
+        .first()
+        .and_then(|l| l.split(' ').nth(1)?.parse().ok());
+    let length = lines
+        .iter()
+        .find_map(|l| l.strip_prefix("Content-Length: ")?.trim().parse().ok());
+    let (Some(status), Some(length)) = (status, length) else {
+        return Err(ConnectionEnd::HalfAnswer);
+    };
     let mut body = vec![0u8; length];
-    socket.read_exact(&mut body).await.map_err(|_| ConnectionEnd::HalfAnswer)?;
-    let keep = !lines.iter().any(|l| l.eq_ignore_ascii_case("connection: close"));
+    socket
+        .read_exact(&mut body)
+        .await
+        .map_err(|_| ConnectionEnd::HalfAnswer)?;
+    let keep = !lines
+        .iter()
+        .any(|l| l.eq_ignore_ascii_case("connection: close"));
     Ok((status, body, keep))
 }
--- a/tests/soak/src/discovery.rs
+++ b/tests/soak/src/discovery.rs
@@ -73,7 +73,11 @@
         let mut events = self.events.lock().expect("not poisoned");
         events.push(server.clone());
         let event = events.len() as u64;
-        self.facts.note(Fact::Listed { event, worker, ready: state == "Ready" });
+        self.facts.note(Fact::Listed {
+            event,
+            worker,
+            ready: state == "Ready",
+        });
         self.newest.send_replace(event);
     }
 
@@ -85,7 +89,12 @@
     }
 
     /// A coordinator for a process that knows all events up to `known`.
-    pub async fn feed(self: &Arc<Self>, place: Place, process: u64, known: u64) -> std::io::Result<Feed> {
+    pub async fn feed(
+        self: &Arc<Self>,
+        place: Place,
+        process: u64,
+        known: u64,
+    ) -> std::io::Result<Feed> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let discovery = self.clone();
@@ -93,28 +102,51 @@
             let mut connections = tokio::task::JoinSet::new();
             while let Ok((socket, _)) = listener.accept().await {
                 let discovery = discovery.clone();
-                connections.spawn(async move { discovery.serve(socket, place, process, known).await });
+                connections
+                    .spawn(async move { discovery.serve(socket, place, process, known).await });
             }
         });
-        Ok(Feed { address, task: task.abort_handle() })
+        Ok(Feed {
+            address,
+            task: task.abort_handle(),
+        })
     }
 
-    async fn serve(&self, mut socket: TcpStream, place: Place, process: u64, known: u64) -> Option<()> {
+    async fn serve(
+        &self,
+        mut socket: TcpStream,
+        place: Place,
+        process: u64,
+        known: u64,
+    ) -> Option<()> {
         let mut newest = self.newest.subscribe();
         loop {
             let head = head(&mut socket).await?;
             let query = |name: &str| -> Option<u64> {
-                head.split(name).nth(1)?.split(['&', ' ']).next()?.parse().ok()
+                head.split(name)
+                    .nth(1)?
+                    .split(['&', ' '])
+                    .next()?
+                    .parse()
+                    .ok()
             };
             // The first event of a process is the whole list in its configuration.
             let held = known + query("follow=")? - 1;
-            self.facts.note(Fact::Polled { place, process, event: held });
+            self.facts.note(Fact::Polled {
+                place,
+                process,
+                event: held,
+            });
             let wait = Duration::from_millis(query("wait_ms=")?);
             // Ends early with an event, or after the time that was asked for.
             let _ = tokio::time::timeout(wait, newest.wait_for(|n| *n > held)).await;
             let (reply, event) = self.reply(held, known);
             let mode = *self.mode.borrow();
-            self.facts.note(Fact::Told { place, process, event });
+            self.facts.note(Fact::Told {
+                place,
+                process,
+                event,
+            });
             match mode {
                 Mode::Plain => socket.write_all(&reply).await.ok()?,
                 Mode::Slow(by) => {
@@ -148,7 +180,10 @@
             .collect();
         let index = number(events.len() as u64);
         let body = format!(r#"{{"index":{index},"updates":[{}]}}"#, lines.join(","));
-        let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        let text = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         (text.into_bytes(), events.len() as u64)
     }
 }
--- a/tests/soak/src/facts.rs
+++ b/tests/soak/src/facts.rs
@@ -217,7 +217,10 @@
 
 impl Default for Facts {
     fn default() -> Facts {
-        Facts { began: Instant::now(), all: Mutex::default() }
+        Facts {
+            began: Instant::now(),
+            all: Mutex::default(),
+        }
     }
 }
 
--- a/tests/soak/src/lib.rs
+++ b/tests/soak/src/lib.rs
@@ -73,7 +73,12 @@
         let worker = worker::start(random.u64(..)).await?;
         let proxy = Proxy::start(facts.clone(), number, worker).await?;
         let (id, address) = (format!("s-{number}"), proxy.address);
-        servers.push(Server { id, address, state: "Ready", started_ms: 0 });
+        servers.push(Server {
+            id,
+            address,
+            state: "Ready",
+            started_ms: 0,
+        });
         proxies.push(proxy);
     }
     let proxies = Arc::new(proxies);
@@ -87,15 +92,28 @@
         sockets: SOCKETS[random.usize(0..SOCKETS.len())],
     });
     let addresses = process::free_addresses(options.front_ends)?;
-    let door = |address| RwLock::new(Door { address, process: 0, open: false });
+    let door = |address| {
+        RwLock::new(Door {
+            address,
+            process: 0,
+            open: false,
+        })
+    };
     let doors: Arc<Doors> = Arc::new(addresses.into_iter().map(door).collect());
     let watchdog = tokio::spawn(watch_harness(facts.clone()));
 
     let mut fronts = Vec::new();
     for place in 0..options.front_ends {
-        let parts = (facts.clone(), discovery.clone(), doors.clone(), launch.clone());
+        let parts = (
+            facts.clone(),
+            discovery.clone(),
+            doors.clone(),
+            launch.clone(),
+        );
         let mut front = FrontEnd::new(parts.0, parts.1, parts.2, parts.3, place);
-        front.start(&plan::rules(&mut random), random.u64(1..u64::MAX)).await?;
+        front
+            .start(&plan::rules(&mut random), random.u64(1..u64::MAX))
+            .await?;
         fronts.push(front);
     }
     let until = Instant::now() + options.span;
@@ -114,18 +132,51 @@
             tasks.spawn(client.run());
         }
     }
-    tasks.spawn(plan::network(facts.clone(), proxies.clone(), random.fork(), until));
-    tasks.spawn(plan::network(facts.clone(), proxies.clone(), random.fork(), until));
-    tasks.spawn(plan::discovery(facts.clone(), discovery.clone(), random.fork(), until));
-    tasks.spawn(plan::workers(discovery.clone(), options.workers, random.fork(), until));
-    tasks.spawn(abuse::run(facts.clone(), doors.clone(), random.fork(), until));
-    tasks.spawn(plan::crowds(facts.clone(), doors.clone(), random.fork(), until));
+    tasks.spawn(plan::network(
+        facts.clone(),
+        proxies.clone(),
+        random.fork(),
+        until,
+    ));
+    tasks.spawn(plan::network(
+        facts.clone(),
+        proxies.clone(),
+        random.fork(),
+        until,
+    ));
+    tasks.spawn(plan::discovery(
+        facts.clone(),
+        discovery.clone(),
+        random.fork(),
+        until,
+    ));
+    tasks.spawn(plan::workers(
+        discovery.clone(),
+        options.workers,
+        random.fork(),
+        until,
+    ));
+    tasks.spawn(abuse::run(
+        facts.clone(),
+        doors.clone(),
+        random.fork(),
+        until,
+    ));
+    tasks.spawn(plan::crowds(
+        facts.clone(),
+        doors.clone(),
+        random.fork(),
+        until,
+    ));
     for front in fronts {
         tasks.spawn(plan::processes(front, random.fork(), until + SETTLE));
     }
     while tasks.join_next().await.is_some() {}
     watchdog.abort();
-    Ok(Outcome { oracle: Oracle::judge(facts.take()), folder })
+    Ok(Outcome {
+        oracle: Oracle::judge(facts.take()),
+        folder,
+    })
 }
 
 /// Notes when this harness itself ran late.
--- a/tests/soak/src/main.rs
+++ b/tests/soak/src/main.rs
@@ -39,7 +39,10 @@
 
 fn main() -> ExitCode {
     let a = Arguments::parse();
-    let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
+    let runtime = match tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime,
         Err(e) => return unplayable(&e.to_string()),
     };
@@ -95,7 +98,10 @@
     }
     for (invariant, (sure, doubtful)) in &kinds {
         println!("  {invariant:?}: {sure}, doubtful {doubtful}");
-        let examples = oracle.violations().iter().filter(|v| v.invariant == *invariant && !v.doubtful);
+        let examples = oracle
+            .violations()
+            .iter()
+            .filter(|v| v.invariant == *invariant && !v.doubtful);
         for v in examples.take(show) {
             println!(
                 "    {:9.3} s  {} {}",
@@ -103,7 +109,9 @@
                 v.id.map_or(String::new(), |id| format!("{id:016x}")),
                 v.what
             );
-            v.id.into_iter().flat_map(|id| oracle.timeline(id)).for_each(|line| println!("      {line}"));
+            v.id.into_iter()
+                .flat_map(|id| oracle.timeline(id))
+                .for_each(|line| println!("      {line}"));
         }
     }
     if oracle.violations().is_empty() {
--- a/tests/soak/src/oracle.rs
+++ b/tests/soak/src/oracle.rs
@@ -115,7 +115,11 @@
     /// Whether it stood still then, or had just come out of that, and so could not answer in time what was due.
     fn was_still(&self, at: Duration) -> bool {
         let still = self.stopped_since.is_some_and(|since| since <= at);
-        still || self.stops.iter().any(|(from, to)| *from <= at && at <= *to + LATE)
+        still
+            || self
+                .stops
+                .iter()
+                .any(|(from, to)| *from <= at && at <= *to + LATE)
     }
 }
 
@@ -164,7 +168,9 @@
             counts: Counts::default(),
         };
         let facts = std::mem::take(&mut oracle.facts);
-        facts.iter().for_each(|(at, fact)| oracle.collect(*at, fact));
+        facts
+            .iter()
+            .for_each(|(at, fact)| oracle.collect(*at, fact));
         facts.iter().for_each(|(at, fact)| oracle.check(*at, fact));
         oracle.check_list(&facts);
         oracle.check_ready();
@@ -180,9 +186,21 @@
 
     /// The facts of one request, and those of its processes around it.
     pub fn timeline(&self, id: RequestId) -> Vec<String> {
-        let processes: Vec<ProcessId> = self.sent.get(&id).into_iter().flatten().map(|s| s.process).collect();
-        let mine: Vec<_> = self.facts.iter().filter(|(_, f)| about(f) == Some(id)).collect();
-        let (Some(first), Some(last)) = (mine.first(), mine.last()) else { return Vec::new() };
+        let processes: Vec<ProcessId> = self
+            .sent
+            .get(&id)
+            .into_iter()
+            .flatten()
+            .map(|s| s.process)
+            .collect();
+        let mine: Vec<_> = self
+            .facts
+            .iter()
+            .filter(|(_, f)| about(f) == Some(id))
+            .collect();
+        let (Some(first), Some(last)) = (mine.first(), mine.last()) else {
+            return Vec::new();
+        };
         let around = first.0.saturating_sub(Duration::from_secs(2))..=last.0;
         let shown = self.facts.iter().filter(|(at, f)| {
             let process = matches!(f, Fact::Signalled { place, process, .. } | Fact::Ready { place, process }
@@ -190,14 +208,29 @@
                 if processes.contains(&(*place, *process)));
             about(f) == Some(id) || process && around.contains(at)
         });
-        shown.map(|(at, f)| format!("{:9.3} s  {f:?}", at.as_secs_f64())).collect()
+        shown
+            .map(|(at, f)| format!("{:9.3} s  {f:?}", at.as_secs_f64()))
+            .collect()
     }
 
     fn collect(&mut self, at: Duration, fact: &Fact) {
         match *fact {
-            Fact::Sent { id, place, process, effect, timeout, idle_before } => {
+            Fact::Sent {
+                id,
+                place,
+                process,
+                effect,
+                timeout,
+                idle_before,
+            } => {
                 self.counts.sent += 1;
-                let sent = Sent { at, process: (place, process), effect, timeout, idle_before };
+                let sent = Sent {
+                    at,
+                    process: (place, process),
+                    effect,
+                    timeout,
+                    idle_before,
+                };
                 self.sent.entry(id).or_default().push(sent);
             }
             Fact::Answered { id, status, .. } => {
@@ -211,23 +244,39 @@
             Fact::Unanswered { id } => {
                 self.ends.insert(id, at);
             }
-            Fact::Listed { event, worker, ready } => {
+            Fact::Listed {
+                event,
+                worker,
+                ready,
+            } => {
                 self.states.entry(worker).or_default().push((event, ready));
             }
             Fact::Began { id, .. } => {
                 self.counts.attempts += 1;
-                self.attempts.entry(id).or_default().push(Attempt { began: at, ended: None });
+                self.attempts.entry(id).or_default().push(Attempt {
+                    began: at,
+                    ended: None,
+                });
             }
             Fact::Ended { id, never_ran, .. } => {
                 // Two at once are told apart below; the end belongs to the first that is open.
-                let open = self.attempts.get_mut(&id).and_then(|a| a.iter_mut().find(|a| a.ended.is_none()));
+                let open = self
+                    .attempts
+                    .get_mut(&id)
+                    .and_then(|a| a.iter_mut().find(|a| a.ended.is_none()));
                 if let Some(attempt) = open {
                     attempt.ended = Some((at, never_ran));
                 }
             }
             Fact::Started { place, process } => {
                 self.counts.processes += 1;
-                self.processes.insert((place, process), Lifetime { started: at, ..Lifetime::default() });
+                self.processes.insert(
+                    (place, process),
+                    Lifetime {
+                        started: at,
+                        ..Lifetime::default()
+                    },
+                );
             }
             Fact::Trouble(_) => self.counts.troubles += 1,
             _ => self.collect_process(at, fact),
@@ -243,7 +292,9 @@
         else {
             return;
         };
-        let Some(life) = self.processes.get_mut(&(*place, *process)) else { return };
+        let Some(life) = self.processes.get_mut(&(*place, *process)) else {
+            return;
+        };
         match fact {
             Fact::Ready { .. } => life.ready = Some(at),
             Fact::Exited { .. } => life.exited = Some(at),
@@ -266,32 +317,68 @@
         }
     }
 
-    fn violated(&mut self, invariant: Invariant, at: Duration, id: Option<RequestId>, what: String) {
-        self.violations.push(Violation { invariant, at, id, what, doubtful: false });
+    fn violated(
+        &mut self,
+        invariant: Invariant,
+        at: Duration,
+        id: Option<RequestId>,
+        what: String,
+    ) {
+        self.violations.push(Violation {
+            invariant,
+            at,
+            id,
+            what,
+            doubtful: false,
+        });
     }
 
     /// The last time that a request was sent before this moment, as far as the order is known.
     fn sent_before(&self, id: RequestId, at: Duration) -> Option<Sent> {
         let all = self.sent.get(&id)?;
-        all.iter().rev().find(|s| s.at <= at + ORDER_SLACK).or(all.first()).copied()
+        all.iter()
+            .rev()
+            .find(|s| s.at <= at + ORDER_SLACK)
+            .or(all.first())
+            .copied()
     }
 
     fn check(&mut self, at: Duration, fact: &Fact) {
         match *fact {
-            Fact::Answered { id, status, own_body } => self.check_answer(at, id, status, own_body),
+            Fact::Answered {
+                id,
+                status,
+                own_body,
+            } => self.check_answer(at, id, status, own_body),
             Fact::Dropped { id, how } => self.check_lost(at, id, Some(how)),
             Fact::Unanswered { id } => self.check_lost(at, id, None),
-            Fact::Began { id, worker, patience_ms, waited, .. } => {
+            Fact::Began {
+                id,
+                worker,
+                patience_ms,
+                waited,
+                ..
+            } => {
                 self.check_repeat(at, id);
                 if !waited {
                     self.check_attempt(at, id, patience_ms);
                     self.check_drain(at, id, worker);
                 }
             }
-            Fact::Abused { place, process, after, served } => {
+            Fact::Abused {
+                place,
+                process,
+                after,
+                served,
+            } => {
                 self.check_abuse(at, (place, process), after, served);
             }
-            Fact::Exited { place, process, code, ref account } => {
+            Fact::Exited {
+                place,
+                process,
+                code,
+                ref account,
+            } => {
                 self.check_exit(at, (place, process), code, account);
             }
             _ => {}
@@ -299,7 +386,9 @@
     }
 
     fn check_answer(&mut self, at: Duration, id: RequestId, status: u16, own_body: bool) {
-        let Some(sent) = self.sent_before(id, at) else { return };
+        let Some(sent) = self.sent_before(id, at) else {
+            return;
+        };
         if !matches!(status, 200 | 502 | 503 | 504) {
             self.violated(
                 Invariant::ProperAnswer,
@@ -309,10 +398,18 @@
             );
         }
         if status == 200 && !own_body {
-            self.violated(Invariant::ProperAnswer, at, Some(id), "served with another body".into());
+            self.violated(
+                Invariant::ProperAnswer,
+                at,
+                Some(id),
+                "served with another body".into(),
+            );
         }
         let took = at.saturating_sub(sent.at);
-        let still = self.processes.get(&sent.process).is_some_and(|life| life.was_still(at));
+        let still = self
+            .processes
+            .get(&sent.process)
+            .is_some_and(|life| life.was_still(at));
         if took > sent.timeout + LATE && !still {
             let what = format!("answered after {took:?} of {:?}", sent.timeout);
             self.violated(Invariant::InTime, at, Some(id), what);
@@ -321,24 +418,42 @@
 
     /// A request ended without an answer, by its connection's end (some) or by its time.
     fn check_lost(&mut self, at: Duration, id: RequestId, how: Option<ConnectionEnd>) {
-        let Some(sent) = self.sent_before(id, at) else { return };
-        let Some(life) = self.processes.get(&sent.process) else { return };
-        let outright = life.killed.is_some_and(|k| k <= at + ORDER_SLACK) && life.terminated.is_none();
-        let nobodys = life.terminated.is_some_and(|t| sent.at > t + TAKEN_AFTER_TERM);
+        let Some(sent) = self.sent_before(id, at) else {
+            return;
+        };
+        let Some(life) = self.processes.get(&sent.process) else {
+            return;
+        };
+        let outright =
+            life.killed.is_some_and(|k| k <= at + ORDER_SLACK) && life.terminated.is_none();
+        let nobodys = life
+            .terminated
+            .is_some_and(|t| sent.at > t + TAKEN_AFTER_TERM);
         let crossed = how == Some(ConnectionEnd::Closed) && at.saturating_sub(sent.at) <= CROSSING;
         let still = how.is_none() && life.was_still(at);
         if outright || nobodys || crossed || still {
             self.counts.excused += 1;
             return;
         }
-        let ended = how.map_or("no answer".to_string(), |how| format!("connection ended: {how:?}"));
-        let idle = if sent.idle_before { ", on a connection that had rested" } else { "" };
-        let what = format!("{ended} {:?} after it was sent{idle}", at.saturating_sub(sent.at));
+        let ended = how.map_or("no answer".to_string(), |how| {
+            format!("connection ended: {how:?}")
+        });
+        let idle = if sent.idle_before {
+            ", on a connection that had rested"
+        } else {
+            ""
+        };
+        let what = format!(
+            "{ended} {:?} after it was sent{idle}",
+            at.saturating_sub(sent.at)
+        );
         self.violated(Invariant::Answered, at, Some(id), what);
     }
 
     fn check_attempt(&mut self, at: Duration, id: RequestId, patience_ms: u64) {
-        let Some(sent) = self.sent_before(id, at) else { return };
+        let Some(sent) = self.sent_before(id, at) else {
+            return;
+        };
         let left = (sent.at + sent.timeout).saturating_sub(at);
         let patience = Duration::from_millis(patience_ms);
         if patience > left + PATIENCE_SLACK {
@@ -353,9 +468,17 @@
     }
 
     fn check_repeat(&mut self, at: Duration, id: RequestId) {
-        let Some(sent) = self.sent_before(id, at) else { return };
-        let before: Vec<Attempt> =
-            self.attempts.get(&id).into_iter().flatten().filter(|a| a.began < at).copied().collect();
+        let Some(sent) = self.sent_before(id, at) else {
+            return;
+        };
+        let before: Vec<Attempt> = self
+            .attempts
+            .get(&id)
+            .into_iter()
+            .flatten()
+            .filter(|a| a.began < at)
+            .copied()
+            .collect();
         for earlier in before {
             let (end, never_ran) = earlier.ended.unwrap_or((Duration::MAX, false));
             if end > at + ORDER_SLACK {
@@ -369,22 +492,44 @@
                 Effect::Keyed => after > REPEAT_WINDOW + ORDER_SLACK,
             };
             if twice && !never_ran {
-                let what = format!("sent again after {after:?} though it may have run: {:?}", sent.effect);
+                let what = format!(
+                    "sent again after {after:?} though it may have run: {:?}",
+                    sent.effect
+                );
                 self.violated(Invariant::NoEffectTwice, at, Some(id), what);
             }
         }
     }
 
     fn check_drain(&mut self, at: Duration, id: RequestId, worker: WorkerId) {
-        let Some(sent) = self.sent_before(id, at) else { return };
-        let Some(life) = self.processes.get(&sent.process) else { return };
-        let held = life.held.iter().rev().find(|(heard, _)| *heard + DRAIN_SLACK <= at).map(|h| h.1);
+        let Some(sent) = self.sent_before(id, at) else {
+            return;
+        };
+        let Some(life) = self.processes.get(&sent.process) else {
+            return;
+        };
+        let held = life
+            .held
+            .iter()
+            .rev()
+            .find(|(heard, _)| *heard + DRAIN_SLACK <= at)
+            .map(|h| h.1);
         let Some(held) = held else { return };
-        let told = life.told.iter().filter(|(told, _)| *told <= at).map(|t| t.1);
+        let told = life
+            .told
+            .iter()
+            .filter(|(told, _)| *told <= at)
+            .map(|t| t.1);
         let newest = told.max().unwrap_or(held);
         // Not ready by all that it knew, from well before until now.
         let states = self.states.get(&worker).map_or(&[][..], Vec::as_slice);
-        let known = |event: u64| states.iter().rev().find(|(e, _)| *e <= event).is_none_or(|s| s.1);
+        let known = |event: u64| {
+            states
+                .iter()
+                .rev()
+                .find(|(e, _)| *e <= event)
+                .is_none_or(|s| s.1)
+        };
         let changed = states.iter().any(|(e, _)| *e > held && *e <= newest);
         if !known(held) && !changed {
             let what = format!("sent to worker {worker}, which it knew to drain (event {held})");
@@ -392,20 +537,44 @@
         }
     }
 
-    fn check_abuse(&mut self, at: Duration, process: ProcessId, after: Option<Duration>, served: bool) {
+    fn check_abuse(
+        &mut self,
+        at: Duration,
+        process: ProcessId,
+        after: Option<Duration>,
+        served: bool,
+    ) {
         if served {
-            self.violated(Invariant::Abuse, at, None, format!("{process:?} served what is no request"));
+            self.violated(
+                Invariant::Abuse,
+                at,
+                None,
+                format!("{process:?} served what is no request"),
+            );
         }
-        let Some(life) = self.processes.get(&process) else { return };
+        let Some(life) = self.processes.get(&process) else {
+            return;
+        };
         // One that stood still meanwhile could not answer.
-        let still = life.stops.iter().any(|(_, to)| *to + OWED_WITHIN + LATE >= at) || life.was_still(at);
+        let still = life
+            .stops
+            .iter()
+            .any(|(_, to)| *to + OWED_WITHIN + LATE >= at)
+            || life.was_still(at);
         if !still && after.is_none_or(|after| after > OWED_WITHIN + LATE) {
-            self.violated(Invariant::Abuse, at, None, format!("{process:?} left it open: {after:?}"));
+            self.violated(
+                Invariant::Abuse,
+                at,
+                None,
+                format!("{process:?} left it open: {after:?}"),
+            );
         }
     }
 
     fn check_exit(&mut self, at: Duration, process: ProcessId, code: Option<i32>, account: &str) {
-        let Some(life) = self.processes.get(&process) else { return };
+        let Some(life) = self.processes.get(&process) else {
+            return;
+        };
         let (terminated, killed) = (life.terminated.is_some(), life.killed.is_some());
         let fine = match code {
             Some(0) => terminated,
@@ -413,7 +582,10 @@
             None => killed,
         };
         if !fine {
-            let what = format!("front end {} process {} ended with {code:?}", process.0, process.1);
+            let what = format!(
+                "front end {} process {} ended with {code:?}",
+                process.0, process.1
+            );
             self.violated(Invariant::Process, at, None, what);
         }
         if code == Some(0) {
@@ -421,7 +593,12 @@
                 let name = wanted.split('=').next().unwrap_or(wanted);
                 let stands = account.split(' ').any(|w| w == wanted);
                 if !stands && account.contains(&format!("{name}=")) {
-                    self.violated(Invariant::OwnChecks, at, None, format!("{process:?}: {account}"));
+                    self.violated(
+                        Invariant::OwnChecks,
+                        at,
+                        None,
+                        format!("{process:?}: {account}"),
+                    );
                 }
             }
         }
@@ -437,19 +614,33 @@
         let mut late = Vec::new();
         for (process, life) in &self.processes {
             let Some(ready) = life.ready else { continue };
-            let end = [life.terminated, life.killed, life.exited].into_iter().flatten().min();
+            let end = [life.terminated, life.killed, life.exited]
+                .into_iter()
+                .flatten()
+                .min();
             for (at, event) in &listed {
-                let unheard: Duration = down.iter().filter(|d| d.1 > *at).map(|d| d.1 - d.0.max(*at)).sum();
+                let unheard: Duration = down
+                    .iter()
+                    .filter(|d| d.1 > *at)
+                    .map(|d| d.1 - d.0.max(*at))
+                    .sum();
                 let due = (*at).max(ready) + TOLD_WITHIN + life.stopped() + unheard;
                 let alive = end.is_none_or(|end| end > due);
-                let heard = life.held.iter().any(|(heard, held)| held >= event && *heard <= due);
+                let heard = life
+                    .held
+                    .iter()
+                    .any(|(heard, held)| held >= event && *heard <= due);
                 if alive && !heard && facts.last().is_some_and(|f| f.0 > due) {
-                    late.push((due, format!("front end {process:?} had not heard event {event} by then")));
+                    late.push((
+                        due,
+                        format!("front end {process:?} had not heard event {event} by then"),
+                    ));
                     break;
                 }
             }
         }
-        late.into_iter().for_each(|(at, what)| self.violated(Invariant::ListHeard, at, None, what));
+        late.into_iter()
+            .for_each(|(at, what)| self.violated(Invariant::ListHeard, at, None, what));
     }
 
     fn check_ready(&mut self) {
@@ -458,10 +649,14 @@
             let by = life.started + READY_WITHIN;
             let ready = life.ready.is_some_and(|r| r <= by);
             if !ready && life.killed.is_none_or(|k| k > by) && life.exited.is_none_or(|e| e > by) {
-                slow.push((by, format!("front end {process:?} was not ready in {READY_WITHIN:?}")));
+                slow.push((
+                    by,
+                    format!("front end {process:?} was not ready in {READY_WITHIN:?}"),
+                ));
             }
         }
-        slow.into_iter().for_each(|(at, what)| self.violated(Invariant::Ready, at, None, what));
+        slow.into_iter()
+            .for_each(|(at, what)| self.violated(Invariant::Ready, at, None, what));
     }
 
     fn mark_doubtful(&mut self) {
@@ -487,7 +682,9 @@
     for (at, fact) in facts {
         match fact {
             Fact::Discovery { answers: false } => since = since.or(Some(*at)),
-            Fact::Discovery { answers: true } => outages.extend(since.take().map(|from| (from, *at))),
+            Fact::Discovery { answers: true } => {
+                outages.extend(since.take().map(|from| (from, *at)))
+            }
             _ => {}
         }
     }
--- a/tests/soak/src/plan.rs
+++ b/tests/soak/src/plan.rs
@@ -39,7 +39,11 @@
 
 /// The rules of one process.
 pub fn rules(random: &mut fastrand::Rng) -> String {
-    let drawn: Vec<&str> = RULES.iter().filter(|r| random.f64() < r.0).map(|r| r.1).collect();
+    let drawn: Vec<&str> = RULES
+        .iter()
+        .filter(|r| random.f64() < r.0)
+        .map(|r| r.1)
+        .collect();
     drawn.join(";")
 }
 
@@ -86,7 +90,12 @@
 }
 
 /// Troubles of the way to workers until the end.
-pub async fn network(facts: Arc<Facts>, proxies: Arc<Vec<Proxy>>, mut random: fastrand::Rng, until: Instant) {
+pub async fn network(
+    facts: Arc<Facts>,
+    proxies: Arc<Vec<Proxy>>,
+    mut random: fastrand::Rng,
+    until: Instant,
+) {
     while Instant::now() < until {
         sleep(span(&mut random, 200..1200)).await;
         let worker = random.usize(0..proxies.len());
@@ -135,7 +144,12 @@
 }
 
 /// Workers drain and come back, as long ago started or as started now, until the end.
-pub async fn workers(discovery: Arc<Discovery>, count: usize, mut random: fastrand::Rng, until: Instant) {
+pub async fn workers(
+    discovery: Arc<Discovery>,
+    count: usize,
+    mut random: fastrand::Rng,
+    until: Instant,
+) {
     let mut drained: Vec<usize> = Vec::new();
     while Instant::now() < until {
         sleep(span(&mut random, 300..1500)).await;
@@ -148,14 +162,21 @@
             }
         } else if !drained.is_empty() {
             let worker = drained.swap_remove(random.usize(0..drained.len()));
-            let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
+            let now = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .map_or(0, |d| d.as_millis() as u64);
             discovery.change(worker, "Ready", if random.bool() { now } else { 0 });
         }
     }
 }
 
 /// Crowds of clients that connect and say nothing, until the end.
-pub async fn crowds(facts: Arc<Facts>, doors: Arc<Doors>, mut random: fastrand::Rng, until: Instant) {
+pub async fn crowds(
+    facts: Arc<Facts>,
+    doors: Arc<Doors>,
+    mut random: fastrand::Rng,
+    until: Instant,
+) {
     while Instant::now() < until {
         sleep(span(&mut random, 2000..6000)).await;
         let place = random.usize(0..doors.len());
--- a/tests/soak/src/process.rs
+++ b/tests/soak/src/process.rs
@@ -71,11 +71,24 @@
         place: Place,
     ) -> FrontEnd {
         let address = doors[place].read().expect("not poisoned").address;
-        FrontEnd { facts, discovery, doors, launch, place, address, number: 0, process: None }
+        FrontEnd {
+            facts,
+            discovery,
+            doors,
+            launch,
+            place,
+            address,
+            number: 0,
+            process: None,
+        }
     }
 
     fn door(&self, open: bool) {
-        let door = Door { address: self.address, process: self.number, open };
+        let door = Door {
+            address: self.address,
+            process: self.number,
+            open,
+        };
         *self.doors[self.place].write().expect("not poisoned") = door;
     }
 
@@ -94,9 +107,15 @@
             siblings: self.launch.front_ends,
             me: self.place,
         };
-        let path = self.launch.folder.join(format!("front-{}.json", self.place));
+        let path = self
+            .launch
+            .folder
+            .join(format!("front-{}.json", self.place));
         std::fs::write(&path, site.text())?;
-        let log = self.launch.folder.join(format!("front-{}-{}.log", self.place, self.number));
+        let log = self
+            .launch
+            .folder
+            .join(format!("front-{}-{}.log", self.place, self.number));
         let mut child = Command::new(&self.launch.gateway)
             .args(["--platform", "--log", "debug"])
             .env("EDGE_CONFIG", &path)
@@ -107,11 +126,23 @@
             .stderr(File::create(log)?)
             .kill_on_drop(true)
             .spawn()?;
-        self.facts.note(Fact::Started { place: self.place, process: self.number });
-        let Some(stdout) = child.stdout.take() else { return Ok(()) };
+        self.facts.note(Fact::Started {
+            place: self.place,
+            process: self.number,
+        });
+        let Some(stdout) = child.stdout.take() else {
+            return Ok(());
+        };
         let account = BufReader::new(stdout);
         let feeds = vec![feed];
-        self.process = Some(Process { child, account, feeds, known, site, path });
+        self.process = Some(Process {
+            child,
+            account,
+            feeds,
+            known,
+            site,
+            path,
+        });
         self.ready().await;
         Ok(())
     }
@@ -120,7 +151,10 @@
         let began = Instant::now();
         while began.elapsed() < READY_WITHIN {
             if alive(self.address).await {
-                self.facts.note(Fact::Ready { place: self.place, process: self.number });
+                self.facts.note(Fact::Ready {
+                    place: self.place,
+                    process: self.number,
+                });
                 return self.door(true);
             }
             if let Some(Ok(Some(_))) = self.process.as_mut().map(|p| p.child.try_wait()) {
@@ -132,8 +166,12 @@
 
     fn signal(&mut self, signal: Signal) {
         let (place, process) = (self.place, self.number);
-        let Some(pid) = self.process.as_ref().and_then(|p| p.child.id()) else { return };
-        let Some(pid) = Pid::from_raw(pid as i32) else { return };
+        let Some(pid) = self.process.as_ref().and_then(|p| p.child.id()) else {
+            return;
+        };
+        let Some(pid) = Pid::from_raw(pid as i32) else {
+            return;
+        };
         let number = match signal {
             Signal::Terminate => rustix::process::Signal::TERM,
             Signal::Kill => rustix::process::Signal::KILL,
@@ -141,7 +179,11 @@
             Signal::Stop => rustix::process::Signal::STOP,
             Signal::Continue => rustix::process::Signal::CONT,
         };
-        self.facts.note(Fact::Signalled { place, process, signal });
+        self.facts.note(Fact::Signalled {
+            place,
+            process,
+            signal,
+        });
         // One that has ended by itself is told of when it is reaped.
         let _ = kill_process(pid, number);
     }
@@ -156,7 +198,9 @@
     /// A new configuration in its place: another coordinator, the old one going after a while.
     pub async fn reload(&mut self) -> std::io::Result<()> {
         let (place, number) = (self.place, self.number);
-        let Some(p) = self.process.as_mut() else { return Ok(()) };
+        let Some(p) = self.process.as_mut() else {
+            return Ok(());
+        };
         let feed = self.discovery.feed(place, number, p.known).await?;
         p.site.coordinator = feed.address;
         p.feeds.push(feed);
@@ -188,7 +232,9 @@
         sleep((CONNECTIONS_AFTER + REQUESTS_AFTER).saturating_sub(told.elapsed())).await;
         self.door(false);
         let left = KILL_AFTER.saturating_sub(told.elapsed());
-        let Some(p) = self.process.as_mut() else { return };
+        let Some(p) = self.process.as_mut() else {
+            return;
+        };
         if timeout(left, p.child.wait()).await.is_err() {
             self.signal(Signal::Kill);
         }
@@ -204,13 +250,20 @@
 
     /// Waits for its end.
     async fn reap(&mut self) {
-        let Some(mut p) = self.process.take() else { return };
+        let Some(mut p) = self.process.take() else {
+            return;
+        };
         self.door(false);
         let code = p.child.wait().await.ok().and_then(|s| s.code());
         let mut text = String::new();
         let _ = p.account.read_to_string(&mut text).await;
         let account = text.lines().last().unwrap_or("").to_string();
-        self.facts.note(Fact::Exited { place: self.place, process: self.number, code, account });
+        self.facts.note(Fact::Exited {
+            place: self.place,
+            process: self.number,
+            code,
+            account,
+        });
     }
 
     /// Looks whether it has ended by itself.
@@ -229,24 +282,35 @@
 async fn alive(address: SocketAddr) -> bool {
     let asked = async {
         let mut socket = TcpStream::connect(address).await.ok()?;
-        socket.write_all(b"GET /alive HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n").await.ok()?;
+        socket
+            .write_all(b"GET /alive HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n")
+            .await
+            .ok()?;
         let mut line = String::new();
         BufReader::new(socket).read_line(&mut line).await.ok()?;
         line.contains(" 200 ").then_some(())
     };
-    timeout(Duration::from_secs(1), asked).await.ok().flatten().is_some()
+    timeout(Duration::from_secs(1), asked)
+        .await
+        .ok()
+        .flatten()
+        .is_some()
 }
 
 /// Addresses at which nobody listens, each on an address of its own: connections that go out from 127.0.0.1 can't take their
 /// ports while a front end is down.
 pub fn free_addresses(count: usize) -> std::io::Result<Vec<SocketAddr>> {
-    let address = |n: usize| SocketAddr::from(([127, 0, 1 + (n / 250) as u8, 1 + (n % 250) as u8], 0));
-    (0..count).map(|n| std::net::TcpListener::bind(address(n))?.local_addr()).collect()
+    let address =
+        |n: usize| SocketAddr::from(([127, 0, 1 + (n / 250) as u8, 1 + (n % 250) as u8], 0));
+    (0..count)
+        .map(|n| std::net::TcpListener::bind(address(n))?.local_addr())
+        .collect()
 }
 
 /// A folder of this run.
 pub fn folder(seed: u64) -> std::io::Result<PathBuf> {
-    let folder = Path::new(&std::env::temp_dir()).join(format!("tansy-soak-{}-{seed}", std::process::id()));
+    let folder =
+        Path::new(&std::env::temp_dir()).join(format!("tansy-soak-{}-{seed}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     Ok(folder)
 }
--- a/tests/soak/src/proxy.rs
+++ b/tests/soak/src/proxy.rs
@@ -65,7 +65,11 @@
 
 impl Proxy {
     /// Starts the proxy of a worker.
-    pub async fn start(facts: Arc<Facts>, worker: WorkerId, to: SocketAddr) -> std::io::Result<Proxy> {
+    pub async fn start(
+        facts: Arc<Facts>,
+        worker: WorkerId,
+        to: SocketAddr,
+    ) -> std::io::Result<Proxy> {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
         socket.listen(BACKLOG)?;
@@ -84,11 +88,20 @@
                     drop(filled);
                     resumed = Some(Instant::now());
                 }
-                let Ok((socket, _)) = listener.accept().await else { continue };
+                let Ok((socket, _)) = listener.accept().await else {
+                    continue;
+                };
                 let (facts, mode) = (facts.clone(), told.clone());
                 let connection = CONNECTIONS.fetch_add(1, Ordering::Relaxed);
                 let waited = resumed.is_some_and(|at| at.elapsed() < QUEUE_WITHIN);
-                let way = Way { facts, worker, connection, mode, open: HashSet::new(), waited };
+                let way = Way {
+                    facts,
+                    worker,
+                    connection,
+                    mode,
+                    open: HashSet::new(),
+                    waited,
+                };
                 tokio::spawn(way.run(socket, to));
             }
         });
@@ -104,7 +117,8 @@
 /// Fills the queue of a listener whose connections are not accepted.
 async fn fill(address: SocketAddr) -> Vec<TcpStream> {
     let mut filled = Vec::new();
-    while let Ok(Ok(socket)) = tokio::time::timeout(FILL_WITHIN, TcpStream::connect(address)).await {
+    while let Ok(Ok(socket)) = tokio::time::timeout(FILL_WITHIN, TcpStream::connect(address)).await
+    {
         filled.push(socket);
     }
     filled
@@ -123,14 +137,21 @@
         }
         let _ = front.set_nodelay(true);
         if let Ok(peer) = front.peer_addr() {
-            self.facts.note(Fact::Connected { connection: self.connection, port: peer.port() });
+            self.facts.note(Fact::Connected {
+                connection: self.connection,
+                port: peer.port(),
+            });
         }
         if let Ok(worker) = TcpStream::connect(to).await {
             let _ = worker.set_nodelay(true);
             self.relay(front, worker).await;
         }
         for id in self.open.drain() {
-            self.facts.note(Fact::Ended { id, connection: self.connection, never_ran: false });
+            self.facts.note(Fact::Ended {
+                id,
+                connection: self.connection,
+                never_ran: false,
+            });
         }
     }
 
@@ -215,11 +236,20 @@
                 let (worker, connection) = (self.worker, self.connection);
                 self.open.insert(id);
                 let waited = self.waited;
-                self.facts.note(Fact::Began { id, worker, connection, patience_ms, waited });
+                self.facts.note(Fact::Began {
+                    id,
+                    worker,
+                    connection,
+                    patience_ms,
+                    waited,
+                });
             }
             [b"never_mind", id] => self.ended(id, false),
             [b"provision", _, fields] if field(fields, b"replicas=") != b"0" => {
-                self.facts.note(Fact::LoadBegan { worker: self.worker, connection: self.connection });
+                self.facts.note(Fact::LoadBegan {
+                    worker: self.worker,
+                    connection: self.connection,
+                });
             }
             _ => {}
         }
@@ -233,7 +263,11 @@
 
     fn ended(&mut self, id: &[u8], never_ran: bool) {
         if let Some(id) = request(id).filter(|id| self.open.remove(id)) {
-            self.facts.note(Fact::Ended { id, connection: self.connection, never_ran });
+            self.facts.note(Fact::Ended {
+                id,
+                connection: self.connection,
+                never_ran,
+            });
         }
     }
 }
--- a/tests/soak/src/shim.rs
+++ b/tests/soak/src/shim.rs
@@ -11,7 +11,8 @@
 /// The library's path; it is built at the first call.
 pub fn library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
-    LIBRARY.get_or_init(|| build(&std::env::temp_dir()).expect("the compiler that built this program"))
+    LIBRARY
+        .get_or_init(|| build(&std::env::temp_dir()).expect("the compiler that built this program"))
 }
 
 /// Builds the library into a folder, unless it is there, and gives its path.
@@ -24,10 +25,20 @@
     }
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../fault-shim/src/lib.rs");
     // Other processes may build it at the same time; it appears whole, by a new name.
-    let own = folder.join(format!("libtansy_fault_shim-{}.building.so", std::process::id()));
+    let own = folder.join(format!(
+        "libtansy_fault_shim-{}.building.so",
+        std::process::id()
+    ));
     let compiler = std::env::var("RUSTC").unwrap_or_else(|_| "rustc".to_string());
     let output = Command::new(&compiler)
-        .args(["--edition", "2021", "--crate-type", "cdylib", "--crate-name", "tansy_fault_shim"])
+        .args([
+            "--edition",
+            "2021",
+            "--crate-type",
+            "cdylib",
+            "--crate-name",
+            "tansy_fault_shim",
+        ])
         .args(["-C", "opt-level=2", "-C", "panic=abort", "-o"])
         .arg(&own)
         .arg(&source)
--- a/tests/soak/src/site.rs
+++ b/tests/soak/src/site.rs
@@ -26,7 +26,12 @@
 impl Server {
     /// Its line in an event.
     pub fn line(&self) -> String {
-        let Server { id, address, state, started_ms } = self;
+        let Server {
+            id,
+            address,
+            state,
+            started_ms,
+        } = self;
         format!(
             r#"{{"id":"{id}","addr":"{address}","zone":"a","kind":"k","cell":0,"state":"{state}","weight":1,"started_ms":{started_ms}}}"#
         )
@@ -62,7 +67,12 @@
                 r#"{{"name":"{name}","aim_s":0.8,"deadline_s":2.0,"effect":"{effect}","late_worth":0.1,"gain":1}}"#
             )
         };
-        let servers = self.servers.iter().map(Server::line).collect::<Vec<_>>().join(",");
+        let servers = self
+            .servers
+            .iter()
+            .map(Server::line)
+            .collect::<Vec<_>>()
+            .join(",");
         format!(
             r#"{{"name":"n{}","listen":"{}","seed":"{:016x}",
             "limits":{{"cores":1.0,"memory_mb":64,"sockets":{}}},"coordinator":"{}",
@@ -84,7 +94,10 @@
             class("once", "non_idempotent"),
             class("keyed", "idempotency_key").replace(
                 "\"gain\"",
-                &format!("\"repeat_window_s\":{},\"group\":\"all\",\"gain\"", REPEAT_WINDOW.as_secs())
+                &format!(
+                    "\"repeat_window_s\":{},\"group\":\"all\",\"gain\"",
+                    REPEAT_WINDOW.as_secs()
+                )
             ),
             self.connect_timeout_s,
         )
