--- a/benches/state/src/calls.rs
+++ b/benches/state/src/calls.rs
@@ -4,7 +4,7 @@
 use crate::inputs::{self, Draw, LOAD, WARM};
 use crate::measure::{ms, timed, Grown, Line};
 use crate::{Args, Wrong};
-use tansy_front::{Front, Input};
+use tansy_dispatch::{Front, Input};
 use tansyrouter::{
     Event, FunctionId, ListKind, Outcome, RequestId, Router, Span, Time, WorkerEntry, WorkerId,
     SECOND,
@@ -157,7 +157,7 @@
             day.machine.tell(
                 at,
                 Input::ClientLeft {
-                    call: tansy_front::CallId(first + n as u64),
+                    call: tansy_dispatch::CallId(first + n as u64),
                 },
             );
         }
--- a/benches/state/src/day.rs
+++ b/benches/state/src/day.rs
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::time::{Duration, Instant};
-use tansy_front::{Call, CallId, Command, Front, Input, OrderId, Seen, Shape, Stage, Told};
+use tansy_dispatch::{Call, CallId, Command, Front, Input, OrderId, Seen, Shape, Stage, Told};
 use tansyrouter::{
     Action, Arrival, AttemptDone, Event, FunctionId, LoadReport, Note, Outcome, RequestId, Router,
     Span, Time, WorkerId, SECOND,
@@ -290,7 +290,7 @@
                     at: now,
                 })),
                 Command::Answer { call, answer } => {
-                    out.push(Want::End(call.0, answer == tansy_front::Answer::Served));
+                    out.push(Want::End(call.0, answer == tansy_dispatch::Answer::Served));
                 }
                 _ => {}
             }
@@ -335,11 +335,11 @@
 
     fn served(&mut self, now: Span, sent: Sent, out: &mut Vec<Want>) {
         let note = if sent.warm {
-            tansy_front::Note::Warm
+            tansy_dispatch::Note::Warm
         } else {
-            tansy_front::Note::BeganLoad
+            tansy_dispatch::Note::BeganLoad
         };
-        let report = tansy_front::Report {
+        let report = tansy_dispatch::Report {
             busy: Some(BUSY),
             ..Default::default()
         };
--- a/benches/state/src/fleet.rs
+++ b/benches/state/src/fleet.rs
@@ -4,12 +4,12 @@
 use crate::{Args, Wrong};
 use serde_json::json;
 use std::net::SocketAddr;
-use tansy_agree::lease::{Member, Terms};
-use tansy_agree::log::{Entry, Log, Refused, Step, MEMBERS};
-use tansy_agree::member::View;
-use tansy_agree::rule::Fields;
-use tansy_agree::stay::{Ask, Register};
-use tansy_members::{Members, Name, Pace};
+use tansy_agreement::lease::{Member, Terms};
+use tansy_agreement::log::{Entry, Log, Refused, Step, MEMBERS};
+use tansy_agreement::member::View;
+use tansy_agreement::rule::Fields;
+use tansy_agreement::stay::{Ask, Register};
+use tansy_membership::{Members, Name, Pace};
 
 const FLEET: u64 = 7;
 const SECOND: i64 = 1_000_000;
--- a/benches/state/src/letters.rs
+++ b/benches/state/src/letters.rs
@@ -5,17 +5,17 @@
 use crate::{Args, Wrong};
 use prost::Message as _;
 use std::net::SocketAddr;
-use tansy_agree::lease::{Grant, Member, Terms};
-use tansy_agree::log::{Applied, Entry, Log, Phase, Settings, State, Step, Version, KEPT};
-use tansy_agree::member::Message;
-use tansy_agree::rule::Fields;
-use tansy_agree::scope::Moves;
+use tansy_agreement::lease::{Grant, Member, Terms};
+use tansy_agreement::log::{Applied, Entry, Log, Phase, Settings, State, Step, Version, KEPT};
+use tansy_agreement::member::Message;
+use tansy_agreement::rule::Fields;
+use tansy_agreement::scope::Moves;
+use tansy_consensus::{Out, Saved, Seats, Setup};
+use tansy_fleet_node::{Body, Root};
 use tansy_fleet_wire::{letter, pb, read, settings, Bad, LARGEST};
 use tansy_frames::grpc::{frame, Assembler};
-use tansy_members::Name;
-use tansy_peer::{Body, Root};
-use tansy_seats::{Out, Saved, Seats, Setup};
-use tansy_state::seat::{Held, Records};
+use tansy_membership::Name;
+use tansy_storage::seat::{Held, Records};
 
 /// The fleet's number.
 const FLEET: u64 = 7;
--- a/benches/state/src/lists.rs
+++ b/benches/state/src/lists.rs
@@ -5,13 +5,13 @@
 use crate::{Args, Wrong};
 use std::fmt::Write;
 use std::net::SocketAddr;
-use tansy_agree::lease::Terms;
-use tansy_agree::list::{Leaving, Line as Told, Standing, Worker, LEAVING};
-use tansy_agree::rule::Schema;
+use tansy_agreement::lease::Terms;
+use tansy_agreement::list::{Leaving, Line as Told, Standing, Worker, LEAVING};
+use tansy_agreement::rule::Schema;
+use tansy_dispatch::{Front, Input};
+use tansy_fleet_node::{Body, Peer, Root, Setup};
 use tansy_fleet_wire::letter;
-use tansy_front::{Front, Input};
-use tansy_members::{Name, Pace};
-use tansy_peer::{Body, Peer, Root, Setup};
+use tansy_membership::{Name, Pace};
 use tansy_platform::list::{List, Updates};
 use tansyrouter::{Time, SECOND};
 
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-fn bad(e: tansy_front::BadConfig) -> Wrong {
+fn bad(e: tansy_dispatch::BadConfig) -> Wrong {
     Wrong::run("the ledger's settings", e)
 }
 
--- a/benches/state/src/scopes.rs
+++ b/benches/state/src/scopes.rs
@@ -7,15 +7,15 @@
 use crate::{Args, Wrong};
 use std::collections::BTreeSet;
 use std::time::Duration;
-use tansy_agree::hold::{Bounds, Call, Epoch, Holding, Reply, Want};
-use tansy_agree::lease::{Member, Terms};
-use tansy_agree::log::{Entry, Log, Settings, State, Step, Version};
-use tansy_agree::rule::{Fields, Schema};
-use tansy_agree::scope::{number, Move, Moves, ScopeChange, ScopeRequest, Scoped, REQUEST};
-use tansy_agree::stay::{Ask, Heard, Register};
+use tansy_agreement::hold::{Bounds, Call, Epoch, Holding, Reply, Want};
+use tansy_agreement::lease::{Member, Terms};
+use tansy_agreement::log::{Entry, Log, Settings, State, Step, Version};
+use tansy_agreement::rule::{Fields, Schema};
+use tansy_agreement::scope::{number, Move, Moves, ScopeChange, ScopeRequest, Scoped, REQUEST};
+use tansy_agreement::stay::{Ask, Heard, Register};
 use tansy_fleet_wire::LARGEST;
 use tansy_settings::agree;
-use tansy_state::seat::Records;
+use tansy_storage::seat::Records;
 
 const SECOND: i64 = 1_000_000;
 /// Changes that are asked for in one minute at the most.
@@ -131,7 +131,7 @@
     }
 }
 
-/// The log as a seat tells another one of it, and holds it: what `decide/seats` makes of it, but for eleven bytes before.
+/// The log as a seat tells another one of it, and holds it: what `decide/consensus` makes of it, but for eleven bytes before.
 fn encoded(log: &Log) -> Vec<u8> {
     log.kept()
         .and_then(|kept| postcard::to_stdvec(&(log, kept)).ok())
@@ -184,7 +184,8 @@
     line.count("log_bytes", bytes.len());
     line.figure("scope_bytes", bytes.len() as f64 / a.functions as f64);
     line.figure("encode_ms", ms(took));
-    let (read, took) = timed(|| postcard::from_bytes::<(Log, tansy_agree::scope::Kept)>(&bytes));
+    let (read, took) =
+        timed(|| postcard::from_bytes::<(Log, tansy_agreement::scope::Kept)>(&bytes));
     let same = read.map_err(|e| Wrong::run("the log", e))?;
     line.figure("read_ms", ms(took));
     if same.0.with(same.1) != *log {
@@ -274,7 +275,7 @@
         scopes_since: Some(Step(2)),
         moves: Moves::after(Step(2)),
     };
-    moved(state, names, tansy_agree::scope::MOVES)
+    moved(state, names, tansy_agreement::scope::MOVES)
 }
 
 /// The same after so many moves, each in a step of its own.
@@ -291,7 +292,7 @@
     });
     let all: Vec<_> = all.collect();
     let to = all.last().map_or(from, |m| m.step);
-    state.follow(&tansy_agree::scope::Delta {
+    state.follow(&tansy_agreement::scope::Delta {
         from,
         to,
         moves: all,
--- a/benches/state/src/terms.rs
+++ b/benches/state/src/terms.rs
@@ -4,9 +4,9 @@
 use crate::measure::{ms, timed, Grown, Line};
 use crate::{Args, Wrong};
 use std::time::Duration;
-use tansy_agree::log::{Entry, Log, Phase, State, Version};
-use tansy_agree::rule::{apart, lapsed, Fields, Rules, Schema, Touch, Value};
-use tansy_front::{Config, Contested, Front, Terms};
+use tansy_agreement::log::{Entry, Log, Phase, State, Version};
+use tansy_agreement::rule::{apart, lapsed, Fields, Rules, Schema, Touch, Value};
+use tansy_dispatch::{Config, Contested, Front, Terms};
 use tansy_settings::agree;
 use tansyrouter::{Time, SECOND};
 
@@ -184,7 +184,7 @@
     line.figure("adopt_ms", ms(adopt(&mut front, 1, &ready)?));
     // The lease runs out: the terms that come after it are taken up by the next input, before that itself.
     let mut out = Vec::new();
-    let (_, took) = timed(|| front.step(Time(SECOND), tansy_front::Input::Tick, &mut out));
+    let (_, took) = timed(|| front.step(Time(SECOND), tansy_dispatch::Input::Tick, &mut out));
     line.figure("lapse_ms", ms(took));
     line.figure("memory_mb", grown.mb());
     line.figure("peak_mb", grown.peak_mb());
--- a/benches/state/src/workers.rs
+++ b/benches/state/src/workers.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Instant;
-use tansy_front::{
+use tansy_dispatch::{
     Account, Call, CallId, Command, Front, Input, NeverRan, Note, OrderId, Report, Seen, Shape,
     Stage, Told,
 };
@@ -589,7 +589,7 @@
                 let Some((function, _)) = m.open.remove(&call.0) else {
                     return;
                 };
-                let served = answer == tansy_front::Answer::Served;
+                let served = answer == tansy_dispatch::Answer::Served;
                 self.unserved += u64::from(!served);
                 if m.cold.get(&function).is_some_and(|c| c.call == call.0) {
                     let cold = m.cold.remove(&function);
--- a/benches/state/tests/state.rs
+++ b/benches/state/tests/state.rs
@@ -3,7 +3,7 @@
 
 use serde_json::Value;
 use std::process::{Command, Output};
-use tansy_agree::log::{Entry, Version};
+use tansy_agreement::log::{Entry, Version};
 use tansy_bench_state::letters::{grant, most, most_functions, state, taken};
 use tansy_bench_state::{here, inputs, Args, What};
 use tansy_fleet_wire::LARGEST;
--- a/benches/state/tests/workers.rs
+++ b/benches/state/tests/workers.rs
@@ -148,7 +148,7 @@
         }
         let (calls, orders, loads) = sums(&play.got());
         let accounts = play.accounts();
-        let sum = |of: fn(&tansy_front::Account) -> u64| accounts.iter().map(of).sum::<u64>();
+        let sum = |of: fn(&tansy_dispatch::Account) -> u64| accounts.iter().map(of).sum::<u64>();
         let (orders_away, calls_away) = play.under_way();
         assert_eq!(
             sum(|a| a.attempts),
--- a/decide/agree/tests/checked.rs
+++ b/decide/agreement/tests/checked.rs
@@ -4,8 +4,8 @@
 
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
-use tansy_agree::lease::{Ask, Grant, Granter, Holder, Member, Terms};
-use tansy_agree::log::Step;
+use tansy_agreement::lease::{Ask, Grant, Granter, Holder, Member, Terms};
+use tansy_agreement::log::Step;
 
 const TERMS: Terms = Terms { span: 2, ppm: 0 };
 const FRONTS: usize = 3;
--- a/decide/agree/tests/list.rs
+++ b/decide/agreement/tests/list.rs
@@ -1,7 +1,7 @@
 //! Workers that leave: told in any order and any number of times, by anyone, to the same; never taken back.
 
 use proptest::prelude::*;
-use tansy_agree::list::{Leaving, Line, Standing, Worker, KEPT_FOR};
+use tansy_agreement::list::{Leaving, Line, Standing, Worker, KEPT_FOR};
 
 fn worker(n: u8) -> Worker {
     Worker {
--- a/decide/agree/tests/member.rs
+++ b/decide/agreement/tests/member.rs
@@ -1,7 +1,7 @@
 //! Whom one asks for a lease: the order of names is the same however they came and went.
 
 use std::collections::BTreeSet;
-use tansy_agree::member::{Order, View, FAN};
+use tansy_agreement::member::{Order, View, FAN};
 
 #[test]
 fn an_order_kept_is_the_order_made_anew() {
--- a/decide/agree/tests/rules.rs
+++ b/decide/agreement/tests/rules.rs
@@ -1,8 +1,8 @@
 //! Kinds of fields: what holds while two versions are about, and what a front end does that knows neither.
 
 use proptest::prelude::*;
-use tansy_agree::log::{Applied, Entry, Log, Phase, Refused, Step, Version};
-use tansy_agree::rule::*;
+use tansy_agreement::log::{Applied, Entry, Log, Phase, Refused, Step, Version};
+use tansy_agreement::rule::*;
 
 fn values() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
@@ -271,7 +271,7 @@
     for entry in [begin(2, &Plan::default()), begin(1, &right)] {
         assert!(matches!(
             log.apply(entry),
-            Err(tansy_agree::log::Refused::Roll(_))
+            Err(tansy_agreement::log::Refused::Roll(_))
         ));
         assert_eq!(log, before);
     }
--- a/decide/agree/tests/scopes.rs
+++ b/decide/agreement/tests/scopes.rs
@@ -1,15 +1,15 @@
 //! Functions that are agreed on one by one: what the log takes, what a front end holds of them, and random histories of a root
 //! and three holders, in which whoever acts on another strict field than the one in force is found.
 
-use tansy_agree::hold::{Bounds, Call, Holding, Reply, Want, Why, DROPS, HELD, WANTS};
-use tansy_agree::lease::{Granter, Holder, Member, Stepped, Terms};
-use tansy_agree::log::{Applied, Entry, Log, Phase, Refused, State, Step, Version};
-use tansy_agree::rule::{Fields, Kind, Lapsed, Schema, Stricter, Value};
-use tansy_agree::scope::{
+use tansy_agreement::hold::{Bounds, Call, Holding, Reply, Want, Why, DROPS, HELD, WANTS};
+use tansy_agreement::lease::{Granter, Holder, Member, Stepped, Terms};
+use tansy_agreement::log::{Applied, Entry, Log, Phase, Refused, State, Step, Version};
+use tansy_agreement::rule::{Fields, Kind, Lapsed, Schema, Stricter, Value};
+use tansy_agreement::scope::{
     number, Delta, Move, Moves, ScopeChange, ScopeRequest, Scoped, Standing, CHANGES, FIELDS,
     MOVES, NAME,
 };
-use tansy_agree::stay::{self, Heard, Register, Stay};
+use tansy_agreement::stay::{self, Heard, Register, Stay};
 
 const LEASE: Terms = Terms {
     span: 600_000,
@@ -603,8 +603,8 @@
 }
 
 enum Letter {
-    AskLease(usize, tansy_agree::lease::Ask),
-    Lease(usize, tansy_agree::lease::Grant<State, Delta>),
+    AskLease(usize, tansy_agreement::lease::Ask),
+    Lease(usize, tansy_agreement::lease::Grant<State, Delta>),
     AskStay(usize, stay::Ask),
     Stay(usize, stay::Grant),
     Want(usize, Want),
@@ -645,7 +645,7 @@
     let scopes = ["a", "b", "c"];
     let mut log = log();
     let mut now = 0i64;
-    let mut epoch = tansy_agree::hold::Epoch::default().next();
+    let mut epoch = tansy_agreement::hold::Epoch::default().next();
     let mut register = Register::begin(STAY, [], now, epoch);
     let mut granter = Granter::new(LEASE, 8, None);
     let mut fronts: Vec<Front> = (0..3).map(|n| Front::new(m(n), now)).collect();
--- a/decide/agree/tests/stay.rs
+++ b/decide/agreement/tests/stay.rs
@@ -1,9 +1,9 @@
 //! Stays under random histories of one seat and its guests: whoever acts on a step while the fleet goes on past it is found.
 
-use tansy_agree::lease::{Member, Terms};
-use tansy_agree::log::{Applied, Entry, Log, Refused, Step};
-use tansy_agree::rule::{Fields, Value};
-use tansy_agree::stay::{Register, Stay};
+use tansy_agreement::lease::{Member, Terms};
+use tansy_agreement::log::{Applied, Entry, Log, Refused, Step};
+use tansy_agreement::rule::{Fields, Value};
+use tansy_agreement::stay::{Register, Stay};
 
 const SPAN: i64 = 1_000_000;
 
--- a/decide/agree/tests/tree.rs
+++ b/decide/agreement/tests/tree.rs
@@ -2,9 +2,9 @@
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use tansy_agree::lease::{Grant, Member, Terms};
-use tansy_agree::log::Step;
-use tansy_agree::member::{Front, Message, View};
+use tansy_agreement::lease::{Grant, Member, Terms};
+use tansy_agreement::log::Step;
+use tansy_agreement::member::{Front, Message, View};
 
 const SECOND: i64 = 1_000_000;
 const TERMS: Terms = Terms {
--- a/decide/seats/src/lib.rs
+++ b/decide/consensus/src/lib.rs
@@ -17,9 +17,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use tansy_agree::lease::{Terms, Time};
-use tansy_agree::log::{Applied, Entry, Log, Refused};
-use tansy_agree::rule::Fields;
+use tansy_agreement::lease::{Terms, Time};
+use tansy_agreement::log::{Applied, Entry, Log, Refused};
+use tansy_agreement::rule::Fields;
 use wire::{Conf, Ent, Snap};
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/decide/seats/src/wire.rs
+++ b/decide/consensus/src/wire.rs
@@ -10,8 +10,8 @@
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
-use tansy_agree::log::{Entry, Log};
-use tansy_agree::scope::Kept;
+use tansy_agreement::log::{Entry, Log};
+use tansy_agreement::scope::Kept;
 
 /// Entries of one message.
 const ENTRIES: usize = 4096;
--- a/decide/seats/tests/seats.rs
+++ b/decide/consensus/tests/seats.rs
@@ -3,11 +3,11 @@
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use tansy_agree::lease::{Member, Terms};
-use tansy_agree::log::{Entry, Log, Step, Version};
-use tansy_agree::rule::{Fields, Value};
-use tansy_agree::scope::{ScopeChange, ScopeRequest};
-use tansy_seats::{Out, Saved, Seats, Setup};
+use tansy_agreement::lease::{Member, Terms};
+use tansy_agreement::log::{Entry, Log, Step, Version};
+use tansy_agreement::rule::{Fields, Value};
+use tansy_agreement::scope::{ScopeChange, ScopeRequest};
+use tansy_consensus::{Out, Saved, Seats, Setup};
 
 const SECOND: i64 = 1_000_000;
 
--- a/decide/front/benches/run/mod.rs
+++ b/decide/dispatch/benches/run/mod.rs
@@ -1,7 +1,7 @@
 //! A ledger without sockets for the benches: calls in, attempts answered, orders carried out at once.
 
 use std::collections::VecDeque;
-use tansy_front::{
+use tansy_dispatch::{
     Call, CallId, Command, Config, Front, FunctionSpec, Input, Listed, Note, Seen, Stage, Told,
 };
 use tansyrouter::{Class, Effect, Settings, Time, SECOND};
--- a/decide/front/src/ledger.rs
+++ b/decide/dispatch/src/ledger.rs
@@ -21,7 +21,7 @@
 use crate::outcome::{verdict, Report, Seen, Told};
 use crate::parked::Parked;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use tansy_wheel::{Handle, Wheel};
+use tansy_timer_wheel::{Handle, Wheel};
 use tansyrouter as module;
 use tansyrouter::{
     Action, Effect, Event, FunctionId, ListKind, Outcome, RequestId, Router, Span, Time, WorkerId,
--- a/decide/front/tests/count.rs
+++ b/decide/dispatch/tests/count.rs
@@ -1,7 +1,7 @@
 //! What is counted of served calls for whoever compares front ends.
 
 use std::collections::VecDeque;
-use tansy_front::{
+use tansy_dispatch::{
     Call, CallId, Command, Config, Front, FunctionSpec, Input, Listed, Note, Seen, Stage, Told,
 };
 use tansyrouter::{Class, Effect, Settings, Time, SECOND};
--- a/decide/front/tests/invariants.rs
+++ b/decide/dispatch/tests/invariants.rs
@@ -1,6 +1,6 @@
 //! The check at run time counts each rule that does not hold, and nothing else.
 
-use tansy_front::{CallId, Invariants, Violation};
+use tansy_dispatch::{CallId, Invariants, Violation};
 use tansyrouter::{Effect, Group, Span, Time, SECOND};
 
 const CALL: CallId = CallId(1);
--- a/decide/front/tests/leaving.rs
+++ b/decide/dispatch/tests/leaving.rs
@@ -1,7 +1,7 @@
 //! Whether an attempt may leave, asked when it is about to: between its choice and that moment its call, its worker or the
 //! time in which repeats are dropped may have ended.
 
-use tansy_front::{
+use tansy_dispatch::{
     Answer, Call, CallId, Command, Config, Denied, Front, FunctionSpec, Input, Listed, OrderId,
     Seen, Stage, Told,
 };
--- a/decide/front/tests/ledger.rs
+++ b/decide/dispatch/tests/ledger.rs
@@ -1,8 +1,8 @@
 //! The ledger under random histories: the rules, the account, and the same commands again from the record.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use tansy_front::record::{replay, Step};
-use tansy_front::{
+use tansy_dispatch::record::{replay, Step};
+use tansy_dispatch::{
     Answer, Call, CallId, Command, Config, Front, FunctionSpec, Input, Listed, NeverRan, Note,
     OrderId, Seen, Stage, Told,
 };
@@ -455,7 +455,7 @@
     );
     out.clear();
     front.step(Time(SECOND / 5), Input::Tick, &mut out);
-    let failed = Answer::Failed(tansy_front::Why::Closing);
+    let failed = Answer::Failed(tansy_dispatch::Why::Closing);
     assert_eq!(
         answers(&out),
         [(2, failed), (3, failed)],
@@ -584,7 +584,7 @@
 }
 
 fn told_of(n: u64, function: &str) -> Input {
-    let shape = tansy_front::Shape {
+    let shape = tansy_dispatch::Shape {
         lanes: 1,
         memory_mb: 50.0,
         load_time: None,
--- a/decide/front/tests/parked.rs
+++ b/decide/dispatch/tests/parked.rs
@@ -1,13 +1,13 @@
 //! Calls that wait for their function's settings: each has one end, in its time, and none once its client has left.
 
 use std::collections::{BTreeMap, BTreeSet};
-use tansy_front::count::AWAITED;
-use tansy_front::parked::{End, Learned, Parked, Refusal, LONGEST, MOST, MOST_OF_ONE};
-use tansy_front::{
+use tansy_canary::{Judge, Report, Tally, Terms as Judged, Verdict};
+use tansy_dispatch::count::AWAITED;
+use tansy_dispatch::parked::{End, Learned, Parked, Refusal, LONGEST, MOST, MOST_OF_ONE};
+use tansy_dispatch::{
     Answer, Call, CallId, Command, Config, Contested, Found, Front, Input, Listed, Seen, Shape,
     Stage, Terms, Told,
 };
-use tansy_verdict::{Judge, Report, Tally, Terms as Judged, Verdict};
 use tansyrouter::{Class, Effect, Settings, Span, Time, SECOND};
 
 fn call(id: u64, function: &str, budget: Option<Span>) -> Call {
--- a/decide/front/tests/terms.rs
+++ b/decide/dispatch/tests/terms.rs
@@ -1,7 +1,7 @@
 //! Versions of the settings at one front end: what a call that came before a change may do after it, and what comes when a
 //! lease runs out.
 
-use tansy_front::{
+use tansy_dispatch::{
     Answer, Call, CallId, Command, Config, Contested, Front, FunctionSpec, Input, Listed, Seen,
     Stage, Terms, Told,
 };
--- a/decide/peer/src/changes.rs
+++ b/decide/fleet-node/src/changes.rs
@@ -4,13 +4,13 @@
 use crate::seat::{Asked, Keeper, Pending, Refusal, LOOK, PATIENCE};
 use crate::{Command, Note};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use tansy_agree::hold::{Reply, Want};
-use tansy_agree::lease::{Member, Time};
-use tansy_agree::log::{Applied, Entry, Log, Refused, State, Step};
-use tansy_agree::member::Front;
-use tansy_agree::rule::Schema;
-use tansy_agree::scope::{number, ScopeRequest, Standing, CHANGES, REQUEST};
-use tansy_agree::stay::{Heard, Register};
+use tansy_agreement::hold::{Reply, Want};
+use tansy_agreement::lease::{Member, Time};
+use tansy_agreement::log::{Applied, Entry, Log, Refused, State, Step};
+use tansy_agreement::member::Front;
+use tansy_agreement::rule::Schema;
+use tansy_agreement::scope::{number, ScopeRequest, Standing, CHANGES, REQUEST};
+use tansy_agreement::stay::{Heard, Register};
 
 /// Requests that wait to be put into an entry ...
 const ASKED: usize = 4096;
@@ -125,7 +125,7 @@
         .open()
         .filter(|(_, s)| s.next().is_some())
         .take(TOLD);
-    let one = |(name, s): (&str, &tansy_agree::scope::Scoped)| {
+    let one = |(name, s): (&str, &tansy_agreement::scope::Scoped)| {
         let since = s.standing.since().filter(|_| s.strict(schema, name));
         let behind = since.map(|since| register.holders_behind(number(name), since).collect());
         (name.to_string(), behind.unwrap_or_default())
@@ -165,7 +165,7 @@
                     .scopes
                     .iter()
                     .map(|name| (name.clone(), log.catalog().get(name).cloned()));
-                let fits = |(name, scoped): &(String, Option<tansy_agree::scope::Scoped>)| {
+                let fits = |(name, scoped): &(String, Option<tansy_agreement::scope::Scoped>)| {
                     weight += name.len() + scoped.as_ref().map_or(8, |s| s.weight());
                     weight <= ANSWER
                 };
--- a/decide/peer/src/known.rs
+++ b/decide/fleet-node/src/known.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 use std::sync::Arc;
-use tansy_agree::lease::Time;
-use tansy_agree::member::{Order, View};
-use tansy_members::{Datagram, Members, Name, News, Stranger};
+use tansy_agreement::lease::Time;
+use tansy_agreement::member::{Order, View};
+use tansy_membership::{Datagram, Members, Name, News, Stranger};
 
 /// Who is there, as something beside the fleet knows it: one for all that are told, in place of a view that each has to
 /// find and keep. A model of a large fleet has no memory for these.
--- a/decide/peer/src/lib.rs
+++ b/decide/fleet-node/src/lib.rs
@@ -1,6 +1,6 @@
 //! One front end of a fleet, as one state machine.
 //!
-//! [`Peer`] joins what `tansy-agree` and `tansy-members` hold apart: who is there, under which lease and stay this front
+//! [`Peer`] joins what `tansy-agreement` and `tansy-membership` hold apart: who is there, under which lease and stay this front
 //! end acts and on what, and, at a seat, the agreed log. It takes what arrives with the time and gives [`Command`]s. It
 //! holds no clock, no sockets and no disk, so the gateway and the model run the same code.
 //!
@@ -21,16 +21,16 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use tansy_agree::hold::{self, Bounds, Holding};
-use tansy_agree::lease::{Member, Terms, Time};
-use tansy_agree::list::{Leaving, Line};
-use tansy_agree::log::{Applied, Entry, Log, State, Step};
-use tansy_agree::member::{Front, Message};
-use tansy_agree::rule::{Fields, Kind, Schema};
-use tansy_agree::scope::Delta;
-use tansy_agree::stay::{self, Stay};
-use tansy_members::{Members, Name, News, Pace, Stranger};
-use tansy_seats::{Saved, Seats, Unreadable};
+use tansy_agreement::hold::{self, Bounds, Holding};
+use tansy_agreement::lease::{Member, Terms, Time};
+use tansy_agreement::list::{Leaving, Line};
+use tansy_agreement::log::{Applied, Entry, Log, State, Step};
+use tansy_agreement::member::{Front, Message};
+use tansy_agreement::rule::{Fields, Kind, Schema};
+use tansy_agreement::scope::Delta;
+use tansy_agreement::stay::{self, Stay};
+use tansy_consensus::{Saved, Seats, Unreadable};
+use tansy_membership::{Members, Name, News, Pace, Stranger};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Time between two tries to find the fleet, and between two asks for a first stay.
@@ -273,7 +273,7 @@
         let front = Front::new(setup.lease, me, members.view(root.id), now);
         let keeper = match held {
             Some(held) => {
-                let seats = tansy_seats::Setup {
+                let seats = tansy_consensus::Setup {
                     me: me.id,
                     incarnation: me.incarnation,
                     seats: setup.seats.iter().copied().collect(),
--- a/decide/peer/src/lists.rs
+++ b/decide/fleet-node/src/lists.rs
@@ -3,9 +3,9 @@
 
 use crate::known::Known;
 use crate::{Body, Command};
-use tansy_agree::lease::Time;
-use tansy_agree::list::{Leaving, Line, Standing};
-use tansy_members::Name;
+use tansy_agreement::lease::Time;
+use tansy_agreement::list::{Leaving, Line, Standing};
+use tansy_membership::Name;
 use xxhash_rust::xxh3::Xxh3Default;
 
 /// Front ends that are told of what is new here; each tells as many.
--- a/decide/peer/src/scopes.rs
+++ b/decide/fleet-node/src/scopes.rs
@@ -3,11 +3,11 @@
 
 use crate::{Body, Command, Note, Peer, STAY_AWAITED};
 use std::net::SocketAddr;
-use tansy_agree::hold::{Call, Reply, Want, Why};
-use tansy_agree::lease::{Member, Time};
-use tansy_agree::log::Step;
-use tansy_agree::scope::Acts;
-use tansy_members::Name;
+use tansy_agreement::hold::{Call, Reply, Want, Why};
+use tansy_agreement::lease::{Member, Time};
+use tansy_agreement::log::Step;
+use tansy_agreement::scope::Acts;
+use tansy_membership::Name;
 
 /// Time between two notes of scopes that were let go.
 const NOTE_EVERY: Time = 60_000_000;
--- a/decide/peer/src/seat.rs
+++ b/decide/fleet-node/src/seat.rs
@@ -4,13 +4,13 @@
 use crate::{Command, Note};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
-use tansy_agree::hold::Epoch;
-use tansy_agree::lease::{Member, Terms, Time};
-use tansy_agree::log::{Applied, Entry, Hand, Log, Phase, Refused, State, Step};
-use tansy_agree::member::Front;
-use tansy_agree::rule::Schema;
-use tansy_agree::stay::{self, Register};
-use tansy_seats::{Out, Seats};
+use tansy_agreement::hold::Epoch;
+use tansy_agreement::lease::{Member, Terms, Time};
+use tansy_agreement::log::{Applied, Entry, Hand, Log, Phase, Refused, State, Step};
+use tansy_agreement::member::Front;
+use tansy_agreement::rule::Schema;
+use tansy_agreement::stay::{self, Register};
+use tansy_consensus::{Out, Seats};
 
 /// Requests that wait.
 pub(crate) const WAITING: usize = 512;
--- a/decide/peer/tests/fleet.rs
+++ b/decide/fleet-node/tests/fleet.rs
@@ -3,12 +3,12 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
-use tansy_agree::lease::Terms;
-use tansy_agree::log::{Applied, Entry, Log, Refused, Version};
-use tansy_agree::rule::{Fields, Kind, Lapsed, Schema, Stricter, Value};
-use tansy_members::{Name, Pace};
-use tansy_peer::{Body, Command, Held, Note, Peer, Refusal, Root, Setup};
-use tansy_seats::Saved;
+use tansy_agreement::lease::Terms;
+use tansy_agreement::log::{Applied, Entry, Log, Refused, Version};
+use tansy_agreement::rule::{Fields, Kind, Lapsed, Schema, Stricter, Value};
+use tansy_consensus::Saved;
+use tansy_fleet_node::{Body, Command, Held, Note, Peer, Refusal, Root, Setup};
+use tansy_membership::{Name, Pace};
 
 const SECOND: i64 = 1_000_000;
 const STAY: i64 = 60 * SECOND;
--- a/decide/members/src/lib.rs
+++ b/decide/membership/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Joining, suspicion, refutation and leaving are SWIM's, by `foca`, which does no I/O; this package gives it names, a
 //! clock that is told, bounds, and the fleet's name on every datagram. What comes out is who is there, for
-//! [`tansy_agree::member::View`]: membership says whom to ask and never who may act. A view that is wrong costs time.
+//! [`tansy_agreement::member::View`]: membership says whom to ask and never who may act. A view that is wrong costs time.
 //!
 //! A process is a name with an incarnation. One that comes back is another one and begins from nothing; it takes the place
 //! of the one before wherever it is heard of. One that was taken for down though it lives takes a further life and goes on.
@@ -18,8 +18,8 @@
 use std::net::SocketAddr;
 use std::num::NonZeroU32;
 use std::time::Duration;
-use tansy_agree::lease::{Member, Time};
-use tansy_agree::member::{Order, View};
+use tansy_agreement::lease::{Member, Time};
+use tansy_agreement::member::{Order, View};
 
 /// The form of a datagram. One of another form is not read.
 pub const FORM: u8 = 1;
--- a/decide/members/tests/fleet.rs
+++ b/decide/membership/tests/fleet.rs
@@ -3,8 +3,8 @@
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use tansy_agree::member::View;
-use tansy_members::{Members, Name, News, Pace, Stranger, FORM, LARGEST};
+use tansy_agreement::member::View;
+use tansy_membership::{Members, Name, News, Pace, Stranger, FORM, LARGEST};
 
 const SECOND: i64 = 1_000_000;
 
--- a/decide/rollout/src/roll.rs
+++ b/decide/rollout/src/roll.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
-use tansy_verdict::{Measured, Verdict};
+use tansy_canary::{Measured, Verdict};
 
 /// Front ends that a roll may have.
 const FRONTS: usize = 10_000;
@@ -49,7 +49,7 @@
     pub slice: u64,
     /// The share of all calls' worth that may be lost to the change before it goes back whatever the evidence says.
     pub spend: f64,
-    /// See `tansy_verdict::Terms`.
+    /// See `tansy_canary::Terms`.
     pub error: f64,
     /// The same.
     pub matters: f64,
--- a/decide/rollout/src/steer.rs
+++ b/decide/rollout/src/steer.rs
@@ -3,7 +3,7 @@
 use crate::roll::{Entry, Phase, Roll, Seen, Undecided, What};
 use crate::{Time, SECOND};
 use std::collections::BTreeMap;
-use tansy_verdict::{Death, Judge, Report, Terms, Verdict};
+use tansy_canary::{Death, Judge, Report, Terms, Verdict};
 
 /// Whoever steers tells that it is there so often.
 const BEAT: Time = SECOND;
--- a/decide/rollout/tests/crash.rs
+++ b/decide/rollout/tests/crash.rs
@@ -3,11 +3,11 @@
 //! zone away than the plan allows.
 
 use std::collections::BTreeMap;
+use tansy_canary::{Report, Tally};
 use tansy_rollout::{
     Act, Ended, Entry, Front, Keep, Limits, Phase, Place, Plan, Roll, Steer, Time, Wanted, What,
     SECOND,
 };
-use tansy_verdict::{Report, Tally};
 
 const TICK: Time = SECOND / 10;
 const ZONES: usize = 3;
--- a/decide/wheel/benches/wheel.rs
+++ b/decide/timer-wheel/benches/wheel.rs
@@ -6,7 +6,7 @@
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use std::collections::BTreeSet;
 use std::hint::black_box;
-use tansy_wheel::Wheel;
+use tansy_timer_wheel::Wheel;
 
 /// Time-outs of calls: 0.2 to 5 s, from a plain sequence.
 fn span(n: u64) -> i64 {
--- a/model/src/agree.rs
+++ b/model/src/agree.rs
@@ -14,15 +14,15 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use tansy_agree::lease::Terms;
-use tansy_agree::log::{Entry, Phase, State, Step, Version};
-use tansy_agree::member::Message;
-use tansy_agree::rule::{
+use tansy_agreement::lease::Terms;
+use tansy_agreement::log::{Entry, Phase, State, Step, Version};
+use tansy_agreement::member::Message;
+use tansy_agreement::rule::{
     apart, contradictions, lapsed, Fields, Kind, Lapsed, Rules, Schema, Stricter, Value,
 };
-use tansy_members::{Name, Pace};
-use tansy_peer::{Body, Command, Held, Peer, Root, Setup};
-use tansy_seats::Saved;
+use tansy_consensus::Saved;
+use tansy_fleet_node::{Body, Command, Held, Peer, Root, Setup};
+use tansy_membership::{Name, Pace};
 
 /// A mistake planted into a run, to see that the audit finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
--- a/model/src/letter.rs
+++ b/model/src/letter.rs
@@ -1,14 +1,14 @@
 //! What a letter takes on a link, without writing it: the bytes of `protocol/fleet`'s message, not what carries it.
 
-use tansy_agree::hold::Epoch;
-use tansy_agree::lease::Member;
-use tansy_agree::list::Standing;
-use tansy_agree::log::{Settings, State};
-use tansy_agree::member::Message;
-use tansy_agree::rule::{Fields, Value};
-use tansy_agree::scope::{Delta, Scoped, Standing as Stands};
-use tansy_members::Name;
-use tansy_peer::{Body, Root};
+use tansy_agreement::hold::Epoch;
+use tansy_agreement::lease::Member;
+use tansy_agreement::list::Standing;
+use tansy_agreement::log::{Settings, State};
+use tansy_agreement::member::Message;
+use tansy_agreement::rule::{Fields, Value};
+use tansy_agreement::scope::{Delta, Scoped, Standing as Stands};
+use tansy_fleet_node::{Body, Root};
+use tansy_membership::Name;
 
 /// Bytes of a letter. `tests/letter.rs` holds it against the letters themselves.
 pub fn size(from: &Name, root: Root, body: &Body) -> usize {
@@ -100,7 +100,7 @@
         Body::Gone(m) => 1 + part(fixed(m.id) + number(m.incarnation)),
         Body::Leaving(lines, back) => {
             let leaves = lines.iter().filter(|l| l.standing != Standing::Ready);
-            let line = |l: &tansy_agree::list::Line| {
+            let line = |l: &tansy_agreement::list::Line| {
                 let gone = flag(l.standing == Standing::Gone);
                 part(
                     text(l.worker.name.len())
@@ -168,7 +168,7 @@
 }
 
 fn delta(d: &Delta) -> usize {
-    let one = |m: &tansy_agree::scope::Move| {
+    let one = |m: &tansy_agreement::scope::Move| {
         part(number(m.step.0) + text(m.scope.len()) + part(scoped(&m.to)))
     };
     number(d.from.0) + number(d.to.0) + d.moves.iter().map(|m| one(m)).sum::<usize>()
--- a/model/src/roll.rs
+++ b/model/src/roll.rs
@@ -10,8 +10,8 @@
 use rand_distr::{Binomial, Distribution, LogNormal, Normal};
 use serde::Serialize;
 use std::collections::BTreeMap;
+use tansy_canary::{Report, Tally};
 use tansy_rollout::{Entry, Front, Phase, Place, Plan, Roll, Steer, Undecided, What, SECOND};
-use tansy_verdict::{Report, Tally};
 
 /// What the change does to a front end that runs it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
--- a/model/src/scope.rs
+++ b/model/src/scope.rs
@@ -7,13 +7,15 @@
 use crate::agree::{Event, Plant, Run};
 use crate::fault::{Time, SECOND};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use tansy_agree::hold::{Epoch, Want, IDLE};
-use tansy_agree::lease::Member;
-use tansy_agree::log::{Applied, Entry, Log, Step};
-use tansy_agree::rule::{contradictions, Fields, Rules, Schema, Value};
-use tansy_agree::scope::{full, Acts, Catalog, Move, ScopeChange, ScopeRequest, Scoped, Standing};
-use tansy_members::Name;
-use tansy_peer::{Body, Command, Note, Peer, Root};
+use tansy_agreement::hold::{Epoch, Want, IDLE};
+use tansy_agreement::lease::Member;
+use tansy_agreement::log::{Applied, Entry, Log, Step};
+use tansy_agreement::rule::{contradictions, Fields, Rules, Schema, Value};
+use tansy_agreement::scope::{
+    full, Acts, Catalog, Move, ScopeChange, ScopeRequest, Scoped, Standing,
+};
+use tansy_fleet_node::{Body, Command, Note, Peer, Root};
+use tansy_membership::Name;
 
 /// Calls a front end makes in a second.
 const CALLS: i64 = 3;
--- a/model/src/size.rs
+++ b/model/src/size.rs
@@ -15,12 +15,12 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
-use tansy_agree::lease::Member;
-use tansy_agree::log::{Applied, Entry, Refused, Step, Version};
-use tansy_agree::rule::Value;
-use tansy_agree::scope::{ScopeChange, ScopeRequest};
-use tansy_members::{Name, News};
-use tansy_peer::{Body, Command, Directory, Note, Refusal};
+use tansy_agreement::lease::Member;
+use tansy_agreement::log::{Applied, Entry, Refused, Step, Version};
+use tansy_agreement::rule::Value;
+use tansy_agreement::scope::{ScopeChange, ScopeRequest};
+use tansy_fleet_node::{Body, Command, Directory, Note, Refusal};
+use tansy_membership::{Name, News};
 
 /// Who plays.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
--- a/model/tests/letter.rs
+++ b/model/tests/letter.rs
@@ -2,18 +2,18 @@
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
-use tansy_agree::hold::{Epoch, Reply, Want};
-use tansy_agree::lease::{Ask, Grant, Member};
-use tansy_agree::list::{Line, Standing, Worker};
-use tansy_agree::log::{Phase, Settings, State, Step, Trial, Version};
-use tansy_agree::member::Message;
-use tansy_agree::rule::{Fields, Value};
-use tansy_agree::scope::{Delta, Move, Moves, Scoped, Standing as Stands};
-use tansy_agree::stay;
+use tansy_agreement::hold::{Epoch, Reply, Want};
+use tansy_agreement::lease::{Ask, Grant, Member};
+use tansy_agreement::list::{Line, Standing, Worker};
+use tansy_agreement::log::{Phase, Settings, State, Step, Trial, Version};
+use tansy_agreement::member::Message;
+use tansy_agreement::rule::{Fields, Value};
+use tansy_agreement::scope::{Delta, Move, Moves, Scoped, Standing as Stands};
+use tansy_agreement::stay;
+use tansy_fleet_node::{Body, Root};
 use tansy_fleet_wire::letter;
-use tansy_members::Name;
+use tansy_membership::Name;
 use tansy_model::letter::size;
-use tansy_peer::{Body, Root};
 
 /// Numbers of all lengths, nought among them.
 fn number(rng: &mut fastrand::Rng) -> u64 {
--- a/net/peers/src/disk.rs
+++ b/net/fleet/src/disk.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
-use tansy_state::seat::{Held, RetryingRecords};
-use tansy_state::store::Error;
+use tansy_storage::seat::{Held, RetryingRecords};
+use tansy_storage::store::Error;
 
 /// Between two tries, the first time; it doubles, ...
 const PAUSE: Duration = Duration::from_millis(20);
--- a/net/peers/src/hub.rs
+++ b/net/fleet/src/hub.rs
@@ -13,19 +13,19 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
-use tansy_agree::hold::Call;
-use tansy_agree::lease::Time;
-use tansy_agree::list::Line;
-use tansy_agree::log::{Applied, Entry, State, MEMBERS};
-use tansy_agree::rule::Fields;
+use tansy_agreement::hold::Call;
+use tansy_agreement::lease::Time;
+use tansy_agreement::list::Line;
+use tansy_agreement::log::{Applied, Entry, State, MEMBERS};
+use tansy_agreement::rule::Fields;
+use tansy_consensus::Saved;
+use tansy_fleet_node::{Body, Command, Held, Note, Peer, Refusal};
 use tansy_fleet_wire::{letter, read, Bad};
 use tansy_net_grpc::link::{Limits as LinkLimits, Link};
 use tansy_net_grpc::server::{Limits, Server};
 use tansy_net_sockets::interrupt::Uninterrupted;
 use tansy_net_sockets::socket::descriptors;
 use tansy_net_sockets::{clock, within, Spawner};
-use tansy_peer::{Body, Command, Held, Note, Peer, Refusal};
-use tansy_seats::Saved;
 
 /// Letters on their way to one front end; further ones are dropped, as a network drops them.
 const ON_THE_WAY: usize = 64;
@@ -77,7 +77,7 @@
 /// What a front end's place in a fleet is made of.
 pub struct Setup {
     /// The state machine's; its own address is filled in.
-    pub peer: tansy_peer::Setup,
+    pub peer: tansy_fleet_node::Setup,
     /// The fleet's name in words.
     pub fleet: String,
     /// A seat's file, and the fields that a fleet which begins has as its first version.
--- a/net/peers/src/serve.rs
+++ b/net/fleet/src/serve.rs
@@ -9,10 +9,11 @@
 use std::future::poll_fn;
 use std::rc::Rc;
 use std::time::Duration;
-use tansy_agree::lease::{Member, Time};
-use tansy_agree::log::{Applied, Entry, Hand, State, Version};
-use tansy_agree::rule::{changes, Fields, Kind, Touch};
-use tansy_agree::scope::{ScopeRequest, CHANGES};
+use tansy_agreement::lease::{Member, Time};
+use tansy_agreement::log::{Applied, Entry, Hand, State, Version};
+use tansy_agreement::rule::{changes, Fields, Kind, Touch};
+use tansy_agreement::scope::{ScopeRequest, CHANGES};
+use tansy_fleet_node::{number, Peer, Refusal};
 use tansy_fleet_wire::{
     member, of_roll_entry, of_scope_request, of_settings, pb, process, scoped, settings, state,
     Bad, LARGEST, SERVICE,
@@ -20,7 +21,6 @@
 use tansy_frames::grpc::Code;
 use tansy_net_grpc::server::{answer as reply, refuse, trailers, Handler, Messages};
 use tansy_net_sockets::within;
-use tansy_peer::{number, Peer, Refusal};
 
 /// Time for a request to come in whole.
 const REQUEST_WITHIN: Duration = Duration::from_secs(5);
--- a/net/peers/tests/connections.rs
+++ b/net/fleet/tests/connections.rs
@@ -8,10 +8,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use tansy_agree::lease::Terms;
-use tansy_agree::rule::Schema;
-use tansy_members::{Name, Pace};
-use tansy_net_peers::{Peers, Setup};
+use tansy_agreement::lease::Terms;
+use tansy_agreement::rule::Schema;
+use tansy_membership::{Name, Pace};
+use tansy_net_fleet::{Peers, Setup};
 use tansy_net_sockets::Spawner;
 
 /// Front ends that a seat had room for before it asked what descriptors there are, and more than that.
@@ -32,7 +32,7 @@
         span: 600_000,
         ppm: 1000,
     };
-    let peer = tansy_peer::Setup {
+    let peer = tansy_fleet_node::Setup {
         fleet: 1,
         name: "a".into(),
         me: Name::new(1, 1, address),
--- a/net/front/src/answers.rs
+++ b/net/inference/src/answers.rs
@@ -4,8 +4,8 @@
 use base64::Engine as _;
 use http::{HeaderMap, HeaderValue};
 use prost::Message;
+use tansy_dispatch::{Answer, Why};
 use tansy_frames::grpc::Code;
-use tansy_front::{Answer, Why};
 use tansy_inference::names;
 use tansy_net_grpc::server::trailers;
 
--- a/net/front/src/clients.rs
+++ b/net/inference/src/clients.rs
@@ -12,8 +12,8 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
+use tansy_dispatch::{Call, CallId};
 use tansy_frames::grpc::{frame, timeout, BadFrame, Code};
-use tansy_front::{Call, CallId};
 use tansy_inference::inference as pb;
 use tansy_inference::names;
 use tansy_inference::scan;
@@ -364,7 +364,7 @@
                         .index()
                         .into_iter()
                         .filter(|(_, s)| !asked.ready || *s == "READY");
-                    let model = |(f, state): (&tansy_front::FunctionSpec, &str)| {
+                    let model = |(f, state): (&tansy_dispatch::FunctionSpec, &str)| {
                         pb::repository_index_response::ModelIndex {
                             name: f.name.clone(),
                             version: f.versions.last().cloned().unwrap_or_default(),
--- a/net/front/src/hub.rs
+++ b/net/inference/src/hub.rs
@@ -12,12 +12,12 @@
 use std::rc::Rc;
 use std::task::{Context, Waker};
 use std::time::Duration;
-use tansy_frames::grpc::frame;
-use tansy_front::record::Step;
-use tansy_front::{
+use tansy_dispatch::record::Step;
+use tansy_dispatch::{
     Account, Answer, BadConfig, Call, CallId, Command, Found, Front, Input, Listed, OrderId, Seen,
     Shape, Terms, Told,
 };
+use tansy_frames::grpc::frame;
 use tansy_inference::{amend, scan};
 use tansy_net_grpc::link::{Limits as LinkLimits, Link};
 use tansy_net_grpc::server::Limits;
--- a/net/front/src/sink.rs
+++ b/net/inference/src/sink.rs
@@ -6,7 +6,7 @@
 use std::cell::RefCell;
 use std::collections::{BTreeSet, VecDeque};
 use std::task::{Context, Poll, Waker};
-use tansy_front::CallId;
+use tansy_dispatch::CallId;
 
 /// Bytes that may wait for a client before its calls' workers are no longer read.
 const ROOM: usize = 256 * 1024;
--- a/net/front/src/trailers.rs
+++ b/net/inference/src/trailers.rs
@@ -5,7 +5,7 @@
 use base64::Engine as _;
 use http::HeaderMap;
 use prost::Message;
-use tansy_front::{NeverRan, Note, Report, Told};
+use tansy_dispatch::{NeverRan, Note, Report, Told};
 use tansy_inference::names;
 use tansy_inference::orca::OrcaLoadReport;
 
--- a/net/platform/src/call.rs
+++ b/net/platform/src/call.rs
@@ -6,7 +6,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Instant;
-use tansy_front::{Answer, CallId, Seen};
+use tansy_dispatch::{Answer, CallId, Seen};
 use tansy_platform::call::Asked;
 use tansyrouter::Span;
 
@@ -74,7 +74,7 @@
         },
         Answer::Refused { stay_away } => (503, stay_away, Vec::new()),
         Answer::Failed(why) => match why {
-            tansy_front::Why::Deadline => (504, 0, Vec::new()),
+            tansy_dispatch::Why::Deadline => (504, 0, Vec::new()),
             _ => (502, 0, Vec::new()),
         },
         Answer::Passed => (500, 0, Vec::new()),
--- a/net/platform/src/connection.rs
+++ b/net/platform/src/connection.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
-use tansy_front::{OrderId, Seen, Stage, Told};
+use tansy_dispatch::{OrderId, Seen, Stage, Told};
 use tansy_net_sockets::socket::{no_room, Socket};
 use tansy_net_sockets::within;
 use tansy_platform::call::RequestId;
--- a/net/platform/src/hub.rs
+++ b/net/platform/src/hub.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use tansy_front::{
+use tansy_dispatch::{
     Account, Answer, Call, CallId, Command, Denied, Front, Input, Invariants, OrderId, Seen, Told,
     Violation,
 };
@@ -533,7 +533,7 @@
     }
     /// An attempt has ended.
     pub fn attempt_ended(self: &Rc<Self>, call: CallId, attempt: u32, seen: Seen, told: Told) {
-        let never_ran = tansy_front::outcome::verdict(seen, &told)
+        let never_ran = tansy_dispatch::outcome::verdict(seen, &told)
             .outcome
             .never_ran();
         self.invariants.borrow_mut().ended(call, never_ran);
--- a/net/platform/src/link.rs
+++ b/net/platform/src/link.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tansy_front::{Seen, Stage};
+use tansy_dispatch::{Seen, Stage};
 use tansy_platform::call::RequestId;
 
 /// The connections to one worker.
--- a/net/platform/src/outbox.rs
+++ b/net/platform/src/outbox.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::io;
 use std::task::Poll;
-use tansy_front::OrderId;
+use tansy_dispatch::OrderId;
 use tansy_platform::call::RequestId;
 
 /// One message.
--- a/net/platform/src/reasons.rs
+++ b/net/platform/src/reasons.rs
@@ -2,7 +2,7 @@
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use tansy_front::Seen;
+use tansy_dispatch::Seen;
 use tansyrouter::Span;
 
 /// Why a client's connection was closed.
--- a/net/sockets/src/timers.rs
+++ b/net/sockets/src/timers.rs
@@ -2,7 +2,7 @@
 //!
 //! The library keeps its sources in a list that is searched when one is added, and its timers in a heap that is searched
 //! when one is taken out: with a timer for each slow client, each client would make every other's timers slower. A wheel
-//! sets and clears in a few steps however many there are (`tansy_wheel`).
+//! sets and clears in a few steps however many there are (`tansy_timer_wheel`).
 
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{Dispatcher, LoopHandle, RegistrationToken};
@@ -13,7 +13,7 @@
 use std::rc::{Rc, Weak};
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
-use tansy_wheel::{Handle, Wheel};
+use tansy_timer_wheel::{Handle, Wheel};
 
 /// Ticks of the wheel, microseconds: a time-out ends at most so late.
 const TICK: i64 = 100;
--- a/programs/day/src/agree.rs
+++ b/programs/day/src/agree.rs
@@ -14,7 +14,7 @@
 use std::path::PathBuf;
 use std::sync::{mpsc, Arc, Mutex};
 use std::time::{Duration, Instant};
-use tansy_agree::log::{Settings, Version};
+use tansy_agreement::log::{Settings, Version};
 use tansy_audit::versions::{versions, Found, Says, Witnesses};
 use tansy_audit::{judge, Audit, Link, Mark};
 use tansy_fleet::client::Client;
@@ -523,7 +523,7 @@
 fn operator(
     middle: &Middle,
     seats: &[SocketAddr],
-    orders: &mpsc::Receiver<tansy_agree::rule::Fields>,
+    orders: &mpsc::Receiver<tansy_agreement::rule::Fields>,
     says: &Mutex<BTreeMap<u64, Says>>,
     of: &[Says],
 ) -> Result<Vec<Proposal>, String> {
--- a/programs/fleet/src/client.rs
+++ b/programs/fleet/src/client.rs
@@ -12,8 +12,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tansy_fleet_wire::pb;
+use tansy_net_fleet::ask::{ask, Failed};
 use tansy_net_grpc::link::{Limits, Link};
-use tansy_net_peers::ask::{ask, Failed};
 use tansy_net_sockets::interrupt::Uninterrupted;
 use tansy_net_sockets::Spawner;
 
--- a/programs/fleet/src/lib.rs
+++ b/programs/fleet/src/lib.rs
@@ -19,11 +19,11 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
-use tansy_agree::log::Settings;
-use tansy_agree::rule::{changes, Fields};
+use tansy_agreement::log::Settings;
+use tansy_agreement::rule::{changes, Fields};
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_fleet_wire::{of_settings, pb};
-use tansy_net_peers::ask::Failed;
+use tansy_net_fleet::ask::Failed;
 use tansy_settings::agree::{agreement, filled, version};
 
 /// Time between two looks at a change under way.
@@ -369,7 +369,7 @@
 
 /// Where the front end of a name is reached, by one that knows all.
 fn front(s: &pb::StatusReply, name: &str) -> Option<String> {
-    let id = tansy_peer::number(name);
+    let id = tansy_fleet_node::number(name);
     let all = s.others.iter().chain(&s.process);
     all.filter(|p| p.id == id).map(|p| p.address.clone()).next()
 }
--- a/programs/fleet/src/report.rs
+++ b/programs/fleet/src/report.rs
@@ -1,8 +1,8 @@
 //! One page on a roll, with everything in it.
 
 use plotters::prelude::*;
+use tansy_canary::{Measured, Verdict};
 use tansy_rollout::{Phase, Roll, Seen, What};
-use tansy_verdict::{Measured, Verdict};
 
 /// What was said of a stage, in words.
 pub fn said(seen: &Seen) -> String {
--- a/programs/fleet/src/roll.rs
+++ b/programs/fleet/src/roll.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use tansy_agree::log::{Settings, Version};
+use tansy_agreement::log::{Settings, Version};
 use tansy_fleet_wire::pb::enter_request::Entry as Enter;
 use tansy_fleet_wire::{of_roll, roll_entry};
 use tansy_rollout::{Entry, Phase, Place, Plan, Roll, Undecided, What};
@@ -350,7 +350,7 @@
     let leader = seat(client, a.at)?;
     let reply = client.rolls(&[leader], WITHIN).pop();
     let reply =
-        reply.unwrap_or_else(|| Err(tansy_net_peers::ask::Failed::Away("no answer".into())))?;
+        reply.unwrap_or_else(|| Err(tansy_net_fleet::ask::Failed::Away("no answer".into())))?;
     let roll = of_roll(&reply.roll).map_err(|e| Not::Reached(e.to_string()))?;
     roll.ok_or_else(|| Not::Taken("there was no roll yet".into()))
 }
--- a/programs/fleet/src/show.rs
+++ b/programs/fleet/src/show.rs
@@ -2,8 +2,8 @@
 
 use serde::Serialize;
 use std::collections::BTreeMap;
-use tansy_agree::log::Settings;
-use tansy_agree::rule::{Change, Kind, Touch, Value};
+use tansy_agreement::log::Settings;
+use tansy_agreement::rule::{Change, Kind, Touch, Value};
 use tansy_fleet_wire::pb;
 
 /// A front end's line.
--- a/programs/fleet/src/up.rs
+++ b/programs/fleet/src/up.rs
@@ -410,7 +410,7 @@
         while let Some(fallen) = self.told.first().cloned() {
             let entry = Enter::Roll(roll_entry(&Entry::Fell(fallen), None));
             match self.client.enter_within(leader, entry, WITHIN) {
-                Err(tansy_net_peers::ask::Failed::Away(_)) => return,
+                Err(tansy_net_fleet::ask::Failed::Away(_)) => return,
                 _ => drop(self.told.remove(0)),
             }
         }
--- a/programs/fleet/src/view.rs
+++ b/programs/fleet/src/view.rs
@@ -74,7 +74,7 @@
         let waits = Paragraph::new("nothing is compared yet").block(Block::bordered());
         return frame.render_widget(waits, area);
     };
-    let row = |m: &tansy_verdict::Measured| {
+    let row = |m: &tansy_canary::Measured| {
         let color = if m.loss - m.half > 0.0 {
             Color::Red
         } else {
@@ -110,8 +110,8 @@
     use super::*;
     use ratatui::backend::TestBackend;
     use ratatui::Terminal;
+    use tansy_canary::Measured;
     use tansy_rollout::{Entry, Place, Plan, Seen};
-    use tansy_verdict::Measured;
 
     #[test]
     fn a_roll_is_drawn_whole_in_a_small_terminal_too() {
--- a/programs/gateway/src/cli.rs
+++ b/programs/gateway/src/cli.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use tansy_agree::rule::Value;
+use tansy_agreement::rule::Value;
 use tansy_settings::agree;
 use tracing_subscriber::EnvFilter;
 
@@ -71,7 +71,7 @@
     /// Form of the logs.
     #[arg(long, value_enum, default_value = "plain")]
     logs: Logs,
-    /// What is logged: error, warn, info, debug (a line for each call), trace, or filters as `tansy_net_front=debug`.
+    /// What is logged: error, warn, info, debug (a line for each call), trace, or filters as `tansy_net_inference=debug`.
     #[arg(long, default_value = "info")]
     log: String,
 }
--- a/programs/gateway/src/fleet.rs
+++ b/programs/gateway/src/fleet.rs
@@ -6,17 +6,17 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::{Rc, Weak};
 use std::time::SystemTime;
-use tansy_agree::hold::{Call, HELD};
-use tansy_agree::lease::{Terms as LeaseTerms, Time};
-use tansy_agree::list::{Line, Standing, Worker as Named};
-use tansy_agree::log::{Phase, Settings as Version, State};
-use tansy_agree::rule::{apart, lapsed, part, Fields, Rules, Schema, Touch};
+use tansy_agreement::hold::{Call, HELD};
+use tansy_agreement::lease::{Terms as LeaseTerms, Time};
+use tansy_agreement::list::{Line, Standing, Worker as Named};
+use tansy_agreement::log::{Phase, Settings as Version, State};
+use tansy_agreement::rule::{apart, lapsed, part, Fields, Rules, Schema, Touch};
+use tansy_dispatch::{Contested, Counted, Shape, Terms};
+use tansy_fleet_node::{number, Peer};
 use tansy_fleet_wire::pb;
-use tansy_front::{Contested, Counted, Shape, Terms};
-use tansy_net_front::{Hub, Looked, Lookup, Names, Worker};
-use tansy_net_peers::{Peers, Setup};
+use tansy_net_fleet::{Peers, Setup};
+use tansy_net_inference::{Hub, Looked, Lookup, Names, Worker};
 use tansy_net_sockets::Spawner;
-use tansy_peer::{number, Peer};
 use tansy_settings::{agree, WorkerLine};
 
 /// A lease's part of the time within which no two front ends contradict each other, in tenths.
@@ -148,17 +148,17 @@
 }
 
 /// What the state machine of a process that starts now is told by its settings.
-pub fn peer(fleet: &tansy_settings::Fleet, address: SocketAddr) -> tansy_peer::Setup {
+pub fn peer(fleet: &tansy_settings::Fleet, address: SocketAddr) -> tansy_fleet_node::Setup {
     // A process that comes back under its name is a later one; clocks of calendars do not go back by a restart's time.
     let since = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
     let incarnation = u64::try_from(since.as_micros()).unwrap_or(u64::MAX);
     let id = number(&fleet.me);
-    tansy_peer::Setup {
+    tansy_fleet_node::Setup {
         fleet: number(&fleet.name),
         name: fleet.me.clone(),
-        me: tansy_members::Name::new(id, incarnation, address),
+        me: tansy_membership::Name::new(id, incarnation, address),
         seats: fleet
             .seats
             .iter()
@@ -172,7 +172,7 @@
             span: fleet.stay,
             ppm: fleet.clock_ppm,
         },
-        pace: tansy_members::Pace::default(),
+        pace: tansy_membership::Pace::default(),
         schema: agree::agreement(),
         seed: id ^ incarnation,
     }
--- a/programs/gateway/src/lib.rs
+++ b/programs/gateway/src/lib.rs
@@ -14,10 +14,10 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime};
-use tansy_front::{Front, Input};
-use tansy_net_front::{clients, side, Hub, Names, Setup, Worker};
+use tansy_dispatch::{Front, Input};
 use tansy_net_grpc::link::Limits as LinkLimits;
 use tansy_net_grpc::server::{Limits, Server};
+use tansy_net_inference::{clients, side, Hub, Names, Setup, Worker};
 use tansy_net_sockets::interrupt::Uninterrupted;
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::Spawner;
@@ -316,10 +316,10 @@
 fn embedded(
     spawner: &Spawner,
     n: usize,
-    functions: &[tansy_front::FunctionSpec],
+    functions: &[tansy_dispatch::FunctionSpec],
 ) -> io::Result<WorkerLine> {
     let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0)), false)?;
-    let function = |f: &tansy_front::FunctionSpec| Function {
+    let function = |f: &tansy_dispatch::FunctionSpec| Function {
         name: f.name.clone(),
         memory_mb: f.memory_mb,
         lanes: f.lanes,
@@ -342,7 +342,7 @@
     };
     let name = profile.name.clone();
     let standin = Standin::start(spawner.clone(), listener, profile, true)?;
-    let listed = tansy_front::Listed {
+    let listed = tansy_dispatch::Listed {
         name,
         kind: 0,
         cell: 0,
--- a/programs/gateway/src/platform.rs
+++ b/programs/gateway/src/platform.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use tansy_front::{Front, Input};
+use tansy_dispatch::{Front, Input};
 use tansy_net_platform::clients::Clients;
 use tansy_net_platform::coordinator::Coordinator;
 use tansy_net_platform::{Hub, Setup};
@@ -111,7 +111,7 @@
             .max()
             .unwrap_or(0)
             .max(LEAST_DEADLINE);
-        let front = tansy_front::Config {
+        let front = tansy_dispatch::Config {
             settings,
             classes: config
                 .settings
--- a/programs/scale/src/cast.rs
+++ b/programs/scale/src/cast.rs
@@ -12,14 +12,14 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tansy_agree::log::{Settings, Version};
-use tansy_agree::member::View;
-use tansy_agree::rule::Fields;
+use tansy_agreement::log::{Settings, Version};
+use tansy_agreement::member::View;
+use tansy_agreement::rule::Fields;
 use tansy_fleet::client::Client;
+use tansy_fleet_node::number;
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_fleet_wire::{of_state, pb, settings};
 use tansy_net_sockets::clock;
-use tansy_peer::number;
 
 /// Hollow front ends of one process, at least and at most: one thread runs them all.
 const EACH: (usize, usize) = (4, 100);
@@ -396,7 +396,7 @@
             "--http",
             "127.0.0.1:0",
         ]);
-        command.args(["--logs", "json", "--log", "error,tansy_net_peers=info"]);
+        command.args(["--logs", "json", "--log", "error,tansy_net_fleet=info"]);
         if seat {
             command.arg("--state").arg(state);
         }
--- a/programs/scale/src/hollow.rs
+++ b/programs/scale/src/hollow.rs
@@ -17,14 +17,14 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
-use tansy_agree::log::Step;
-use tansy_agree::rule::Fields;
-use tansy_agree::scope::Move;
+use tansy_agreement::log::Step;
+use tansy_agreement::rule::Fields;
+use tansy_agreement::scope::Move;
+use tansy_fleet_node::Peer;
 use tansy_gateway::fleet::peer;
-use tansy_net_peers::{Peers, Setup};
+use tansy_net_fleet::{Peers, Setup};
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::{clock, Spawner};
-use tansy_peer::Peer;
 
 /// The loopback address of the front end at a place; `net` keeps runs apart.
 pub fn host(net: u8, place: u32) -> IpAddr {
--- a/programs/scale/src/run.rs
+++ b/programs/scale/src/run.rs
@@ -8,14 +8,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
-use tansy_agree::lease::Member;
-use tansy_agree::log::{Phase, Settings, State, Step, Version};
-use tansy_agree::rule::{Fields, Value};
-use tansy_agree::scope::{Moves, ScopeChange};
-use tansy_agree::{lease::Grant, member::Message};
+use tansy_agreement::lease::Member;
+use tansy_agreement::log::{Phase, Settings, State, Step, Version};
+use tansy_agreement::rule::{Fields, Value};
+use tansy_agreement::scope::{Moves, ScopeChange};
+use tansy_agreement::{lease::Grant, member::Message};
+use tansy_fleet_node::{Body, Root};
 use tansy_fleet_wire::{letter, pb, LARGEST};
 use tansy_net_sockets::clock;
-use tansy_peer::{Body, Root};
 
 /// Processes of a run, at most.
 const PROCESSES: usize = 300;
@@ -361,7 +361,7 @@
 }
 
 /// Bytes of the letter that carries these settings: in force alone, and while one such change is under way.
-fn letters(fields: &Fields, seat: &tansy_members::Name) -> (usize, usize) {
+fn letters(fields: &Fields, seat: &tansy_membership::Name) -> (usize, usize) {
     let settings = Settings {
         version: Version(1),
         fields: fields.clone(),
@@ -418,7 +418,7 @@
     let began = Instant::now();
     let text = shape.text(&[("f0".into(), ([127, 0, 0, 1], 1).into())]);
     let fields = tansy_settings::agree::version("scale.cue", &text)?;
-    let name = tansy_members::Name::new(1, 1, ([127, 0, 0, 1], 1).into());
+    let name = tansy_membership::Name::new(1, 1, ([127, 0, 0, 1], 1).into());
     let (alone, changing) = letters(&fields, &name);
     put(line, "letter_bytes", alone);
     put(line, "change_letter_bytes", changing);
--- a/programs/scale/src/scopes.rs
+++ b/programs/scale/src/scopes.rs
@@ -4,13 +4,13 @@
 use crate::Error;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
-use tansy_agree::log::Step;
-use tansy_agree::rule::Fields;
-use tansy_agree::scope::{ScopeChange, ScopeRequest, Standing};
+use tansy_agreement::log::Step;
+use tansy_agreement::rule::Fields;
+use tansy_agreement::scope::{ScopeChange, ScopeRequest, Standing};
+use tansy_fleet_node::number;
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_fleet_wire::{of_scoped, pb, scope_request};
 use tansy_net_sockets::clock;
-use tansy_peer::number;
 
 /// Functions that a hollow front end calls at most; of few functions a fourth.
 const FEW: usize = 30;
--- a/protocol/fleet/src/lib.rs
+++ b/protocol/fleet/src/lib.rs
@@ -1,5 +1,5 @@
 //! What front ends of a fleet write to each other, and what its operators ask: messages as bytes, and back as the types of
-//! `tansy-agree`. What comes back is checked: lengths, depths, and that what must be there is.
+//! `tansy-agreement`. What comes back is checked: lengths, depths, and that what must be there is.
 
 /// The messages, as the file `proto/fleet.proto` has them.
 #[allow(missing_docs, clippy::all)]
@@ -11,15 +11,15 @@
 
 use prost::Message as _;
 use std::net::SocketAddr;
-use tansy_agree::lease::{Ask, Grant, Member};
-use tansy_agree::list::{Line, Standing, Worker, LEAVING};
-use tansy_agree::log::{Phase, Settings, State, Step, Trial, Version};
-use tansy_agree::member::Message;
-use tansy_agree::rule::{Fields, Value};
-use tansy_agree::scope::Moves;
-use tansy_agree::stay;
-use tansy_members::Name;
-use tansy_peer::{Body, Root};
+use tansy_agreement::lease::{Ask, Grant, Member};
+use tansy_agreement::list::{Line, Standing, Worker, LEAVING};
+use tansy_agreement::log::{Phase, Settings, State, Step, Trial, Version};
+use tansy_agreement::member::Message;
+use tansy_agreement::rule::{Fields, Value};
+use tansy_agreement::scope::Moves;
+use tansy_agreement::stay;
+use tansy_fleet_node::{Body, Root};
+use tansy_membership::Name;
 
 /// The form of the messages; another one is turned away.
 pub const FORM: u32 = 1;
@@ -461,7 +461,7 @@
         if !(c.wanted.is_finite() && c.worth.is_finite()) {
             return Err(Bad::Part("worth"));
         }
-        let mut t = tansy_verdict::Tally {
+        let mut t = tansy_canary::Tally {
             asked: c.asked,
             served: c.served,
             refused: c.refused,
@@ -478,7 +478,7 @@
         }
         classes.insert(words(c.class, "class")?, t);
     }
-    let report = tansy_verdict::Report {
+    let report = tansy_canary::Report {
         name: words(c.name, "name")?,
         zone: words(c.zone, "zone")?,
         new,
--- a/protocol/fleet/src/scopes.rs
+++ b/protocol/fleet/src/scopes.rs
@@ -2,10 +2,10 @@
 
 use crate::{member, of_fields, of_member, pb, value, words, Bad};
 use std::sync::Arc;
-use tansy_agree::hold::{Epoch, Reply, Want, DROPS, HELD, WANTS};
-use tansy_agree::log::Step;
-use tansy_agree::rule::Fields;
-use tansy_agree::scope::{
+use tansy_agreement::hold::{Epoch, Reply, Want, DROPS, HELD, WANTS};
+use tansy_agreement::log::Step;
+use tansy_agreement::rule::Fields;
+use tansy_agreement::scope::{
     Delta, Move, ScopeChange, ScopeRequest, Scoped, Standing, CHANGES, MOVES, NAME,
 };
 
--- a/protocol/fleet/tests/changes.rs
+++ b/protocol/fleet/tests/changes.rs
@@ -1,9 +1,9 @@
 //! Requests for changes of functions come back as they were written, and wrong ones are turned away.
 
 use prost::Message;
-use tansy_agree::log::Step;
-use tansy_agree::rule::Value;
-use tansy_agree::scope::{ScopeChange, ScopeRequest, CHANGES, NAME};
+use tansy_agreement::log::Step;
+use tansy_agreement::rule::Value;
+use tansy_agreement::scope::{ScopeChange, ScopeRequest, CHANGES, NAME};
 use tansy_fleet_wire::{of_scope_request, pb, scope_request, Bad};
 
 fn request() -> ScopeRequest {
--- a/protocol/fleet/tests/letters.rs
+++ b/protocol/fleet/tests/letters.rs
@@ -1,16 +1,16 @@
 //! Letters come back as they were written; what was not written by us is turned away with a reason and harms nothing.
 
-use tansy_agree::hold::{Epoch, Reply, Want, WANTS};
-use tansy_agree::lease::{Ask, Grant, Member};
-use tansy_agree::list::{Line, Standing, Worker};
-use tansy_agree::log::{Phase, Settings, State, Step, Trial, Version};
-use tansy_agree::member::Message;
-use tansy_agree::rule::Value;
-use tansy_agree::scope::{self, Delta, Move, Moves, Scoped};
-use tansy_agree::stay;
+use tansy_agreement::hold::{Epoch, Reply, Want, WANTS};
+use tansy_agreement::lease::{Ask, Grant, Member};
+use tansy_agreement::list::{Line, Standing, Worker};
+use tansy_agreement::log::{Phase, Settings, State, Step, Trial, Version};
+use tansy_agreement::member::Message;
+use tansy_agreement::rule::Value;
+use tansy_agreement::scope::{self, Delta, Move, Moves, Scoped};
+use tansy_agreement::stay;
+use tansy_fleet_node::{Body, Root};
 use tansy_fleet_wire::{letter, pb, read, Bad, FORM};
-use tansy_members::Name;
-use tansy_peer::{Body, Root};
+use tansy_membership::Name;
 
 const ROOT: Root = Root {
     term: 3,
--- a/protocol/platform/src/answer.rs
+++ b/protocol/platform/src/answer.rs
@@ -8,7 +8,7 @@
 //! | `504` | the promise that its time was over | no |
 //! | `500`, and any other | an error | yes |
 
-use tansy_front::{NeverRan, Note, Report, Seen, Stage, Told};
+use tansy_dispatch::{NeverRan, Note, Report, Seen, Stage, Told};
 
 /// What an answer says.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -122,7 +122,7 @@
 
     #[test]
     fn only_the_pages_words_promise_that_nothing_ran() {
-        use tansy_front::outcome::verdict;
+        use tansy_dispatch::outcome::verdict;
         for (word, never) in [
             ("200", false),
             ("404", true),
--- a/protocol/platform/src/call.rs
+++ b/protocol/platform/src/call.rs
@@ -1,7 +1,7 @@
 //! A client's request to a call: only the page's exact form is one.
 
 use tansy_conf::Conf;
-use tansy_front::Shape;
+use tansy_dispatch::Shape;
 use tansyrouter::Span;
 
 /// Digits of an id.
--- a/protocol/platform/src/list.rs
+++ b/protocol/platform/src/list.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use tansy_front::Listed;
+use tansy_dispatch::Listed;
 
 /// A reply of the coordinator, and `known` of the configuration.
 #[derive(Clone, Debug, Deserialize)]
--- a/protocol/platform/tests/call.rs
+++ b/protocol/platform/tests/call.rs
@@ -1,6 +1,6 @@
 //! A client's request to a call: the page's exact form, and nothing else.
 
-use tansy_front::Shape;
+use tansy_dispatch::Shape;
 use tansy_platform::{Asked, BadCall, Shapes};
 
 fn shapes() -> Shapes {
--- a/settings/src/agree.rs
+++ b/settings/src/agree.rs
@@ -5,7 +5,7 @@
 use crate::value::{definition, evaluate, Kind as Sort, Node, Scalar, SCHEMA};
 use crate::{Errors, SCHEMA_TEXT};
 use std::collections::{BTreeMap, BTreeSet};
-use tansy_agree::rule::{self, Fields, Kind, Lapsed, Schema, Stricter, Touch, Value};
+use tansy_agreement::rule::{self, Fields, Kind, Lapsed, Schema, Stricter, Touch, Value};
 use tansy_syntax::{parse, Span};
 
 /// The least share or multiple that the schema takes, and a time longer than any.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod value;
 
 pub use read::{Fleet, Function, Gateway, Seat, Settings, WorkerLine};
-pub use tansy_front::FunctionSpec;
+pub use tansy_dispatch::FunctionSpec;
 pub use tansyrouter::WhenAbsent;
 
 use tansy_syntax::{parse, Diagnostic, Source, Span};
--- a/settings/src/read.rs
+++ b/settings/src/read.rs
@@ -3,7 +3,7 @@
 use crate::value::{Kind, Node, Record, Scalar};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use tansy_front::{Config, FunctionSpec};
+use tansy_dispatch::{Config, FunctionSpec};
 use tansy_syntax::Diagnostic;
 use tansyrouter as module;
 
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerLine {
     /// For the ledger.
-    pub listed: tansy_front::Listed,
+    pub listed: tansy_dispatch::Listed,
     /// Where it is.
     pub address: SocketAddr,
     /// Which process of it; a later one is larger.
@@ -331,7 +331,7 @@
         let (Some(address), Some(zone)) = (address, zone) else {
             continue;
         };
-        let listed = tansy_front::Listed {
+        let listed = tansy_dispatch::Listed {
             name: name.to_string(),
             kind: usize::try_from(f.int("kind")?).ok()?,
             cell: u64::try_from(f.int("cell")?).ok()?,
--- a/settings/tests/agree.rs
+++ b/settings/tests/agree.rs
@@ -1,7 +1,7 @@
 //! Every field of the schema says how it agrees, and what it says is what two front ends would need.
 
 use std::collections::BTreeSet;
-use tansy_agree::rule::{
+use tansy_agreement::rule::{
     changes, contradictions, joint, lapsed, Fields, Kind, Rules, Touch, Value,
 };
 use tansy_settings::agree::{
--- a/drill/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -13,7 +13,7 @@
     match run(&mut input, &mut output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("tansyrouter-drill: {fault}");
+            eprintln!("tansyrouter-simulator-adapter: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/drill/tests/wire.rs
+++ b/simulator-adapter/tests/wire.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn play(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_tansyrouter-drill"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_tansyrouter-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/state/tests/disk.rs
+++ b/storage/tests/disk.rs
@@ -2,8 +2,8 @@
 
 use redb::StorageBackend;
 use std::sync::{Arc, Mutex};
-use tansy_state::seat::{Held, Records, RetryingRecords};
-use tansy_state::store::{Error, Store};
+use tansy_storage::seat::{Held, Records, RetryingRecords};
+use tansy_storage::store::{Error, Store};
 
 #[derive(Debug, Default)]
 struct Inner {
@@ -193,7 +193,7 @@
         "it covers what there isn't"
     );
     store.snapshot(2, &[7]).expect("a snapshot");
-    let large = vec![0; tansy_state::store::LARGEST + 1];
+    let large = vec![0; tansy_storage::store::LARGEST + 1];
     assert!(matches!(
         store.append(4, &[large]),
         Err(Error::Large { .. })
--- a/state/tests/processes.rs
+++ b/storage/tests/processes.rs
@@ -3,8 +3,8 @@
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
-use tansy_state::seat::Records;
-use tansy_state::store::Error;
+use tansy_storage::seat::Records;
+use tansy_storage::store::Error;
 
 const FILE: &str = "TANSY_STATE_TEST_FILE";
 
--- a/tests/path/tests/scopes.rs
+++ b/tests/path/tests/scopes.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use tansy_front::{Input, Shape};
-use tansy_net_front::{Looked, Lookup};
+use tansy_dispatch::{Input, Shape};
+use tansy_net_inference::{Looked, Lookup};
 use tansy_path_tests::{id, last, request, run, until, Gate, Workers, SETTINGS};
 use tokio_stream::StreamExt;
 use tonic::{Code, Status};
