--- a/benches/state/src/fleet.rs
+++ b/benches/state/src/fleet.rs
@@ -4,12 +4,12 @@
 use crate::{Args, Wrong};
 use serde_json::json;
 use std::net::SocketAddr;
-use tansy_agreement::lease::{Member, Terms};
-use tansy_agreement::log::{Entry, Log, Refused, Step, MEMBERS};
-use tansy_agreement::member::View;
-use tansy_agreement::rule::Fields;
-use tansy_agreement::stay::{Ask, Register};
-use tansy_membership::{Members, Name, Pace};
+use tansy_agreement::compatibility::Fields;
+use tansy_agreement::lease::{LeaseTiming, Member};
+use tansy_agreement::lease_tree::LeaseTopology;
+use tansy_agreement::log::{EntryRejection, Log, LogEntry, Revision, MAX_MEMBERS};
+use tansy_agreement::session::{SessionRequest, SessionTable};
+use tansy_membership::{GossipTiming, Membership, NodeId};
 
 const FLEET: u64 = 7;
 const SECOND: i64 = 1_000_000;
@@ -30,14 +30,14 @@
     fastrand::Rng::with_seed(seed ^ (n as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15)).u64(2..)
 }
 
-fn name(n: usize, seed: u64) -> Name {
-    Name::new(id(n, seed), 1, at(n))
+fn name(n: usize, seed: u64) -> NodeId {
+    NodeId::new(id(n, seed), 1, at(n))
 }
 
 /// One front end among others, each of which is there only for as long as it writes or answers.
 struct Known {
-    members: Members,
-    pace: Pace,
+    members: Membership,
+    pace: GossipTiming,
     seed: u64,
     bytes: usize,
     datagrams: usize,
@@ -45,11 +45,11 @@
 
 impl Known {
     fn new(size: usize, seed: u64) -> Known {
-        let pace = Pace {
+        let pace = GossipTiming {
             size: u32::try_from(size).unwrap_or(u32::MAX),
-            ..Pace::default()
+            ..GossipTiming::default()
         };
-        let members = Members::new(FLEET, Name::new(SEAT, 1, at(1 << 23)), pace, seed);
+        let members = Membership::new(FLEET, NodeId::new(SEAT, 1, at(1 << 23)), pace, seed);
         Known {
             members,
             pace,
@@ -59,33 +59,37 @@
         }
     }
 
-    fn other(&self, name: Name) -> Members {
-        Members::new(FLEET, name, self.pace, self.seed)
+    fn other(&self, name: NodeId) -> Membership {
+        Membership::new(FLEET, name, self.pace, self.seed)
     }
 
     /// Another one joins; how long that took here.
     fn joins(&mut self, now: i64, n: usize) -> Result<std::time::Duration, Wrong> {
         let mut other = self.other(name(n, self.seed));
-        other.join(now, self.members.me().clone());
+        other.join(now, self.members.local().clone());
         let mut all = std::time::Duration::ZERO;
-        for d in other.take_out() {
-            let (heard, took) = timed(|| self.members.hear(now, &d.bytes));
+        for d in other.take_datagrams() {
+            let (heard, took) = timed(|| self.members.on_datagram(now, &d.bytes));
             heard.map_err(|e| Wrong::run("a datagram", e))?;
             all += took;
         }
-        self.members.take_out();
+        self.members.take_datagrams();
         Ok(all)
     }
 
     /// What it sends is answered by whom it is sent to.
     fn answered(&mut self, now: i64) -> Result<(), Wrong> {
-        for d in self.members.take_out() {
+        for d in self.members.take_datagrams() {
             (self.bytes, self.datagrams) = (self.bytes + d.bytes.len(), self.datagrams + 1);
             let mut other = self.other(d.to);
             // One that is asked by somebody it does not know yet answers all the same.
-            let _ = other.hear(now, &d.bytes);
-            for back in other.take_out().into_iter().filter(|b| b.to.id == SEAT) {
-                let _ = self.members.hear(now, &back.bytes);
+            let _ = other.on_datagram(now, &d.bytes);
+            for back in other
+                .take_datagrams()
+                .into_iter()
+                .filter(|b| b.to.id == SEAT)
+            {
+                let _ = self.members.on_datagram(now, &back.bytes);
             }
         }
         Ok(())
@@ -106,13 +110,13 @@
             joins.add(took);
         }
     }
-    let up = known.members.take_news().len();
+    let up = known.members.take_events().len();
     line.count("members", known.members.all().count() + 1);
     line.figure("memory_mb", grown.mb());
     line.put("join_us", joins.us());
     // Probes that are answered, and the news of all who joined, which are told on meanwhile.
     let (mut ticks, end) = (Spread::default(), now + PROBED);
-    while let Some(next) = known.members.next().filter(|t| *t <= end) {
+    while let Some(next) = known.members.next_deadline().filter(|t| *t <= end) {
         now = now.max(next);
         let (_, took) = timed(|| known.members.tick(now));
         ticks.add(took);
@@ -122,16 +126,16 @@
     line.put("tick_us", ticks.us());
     line.figure("datagrams_s", known.datagrams as f64 / seconds);
     line.figure("datagram_bytes_s", known.bytes as f64 / seconds);
-    line.count("news", up + known.members.take_news().len());
+    line.count("news", up + known.members.take_events().len());
     // What each piece of news makes a front end do: `Peer::spread`, with `Front::knows` and `View::parent`.
     let (mut view, mut compare, mut parent) =
         (Spread::default(), Spread::default(), Spread::default());
     let before = Grown::begin();
-    let mut held = known.members.view(SEAT);
+    let mut held = known.members.topology(SEAT);
     line.figure("view_mb", before.mb());
     let asks = id(0, a.seed);
     for n in 0..50 {
-        let (now_seen, took) = timed(|| known.members.view(SEAT));
+        let (now_seen, took) = timed(|| known.members.topology(SEAT));
         view.add(took);
         let (same, took) = timed(|| now_seen == held);
         compare.add(took);
@@ -152,15 +156,15 @@
     Ok(())
 }
 
-/// [`View`] alone, of names that are at hand.
+/// [`LeaseTopology`] alone, of names that are at hand.
 pub fn view(a: &Args, line: &mut Line) -> Result<(), Wrong> {
     let names: Vec<u64> = (0..a.front_ends).map(|n| id(n, a.seed)).collect();
     let grown = Grown::begin();
-    let kept = View::new(SEAT, names.iter().copied());
+    let kept = LeaseTopology::new(SEAT, names.iter().copied());
     line.figure("memory_mb", grown.mb());
     let (mut make, mut parent, mut depth) = (Spread::default(), Spread::default(), 0);
     for name in names.iter().take(200) {
-        let (made, took) = timed(|| View::new(SEAT, names.iter().copied()));
+        let (made, took) = timed(|| LeaseTopology::new(SEAT, names.iter().copied()));
         make.add(took);
         let (_, took) = timed(|| made.parent(*name, 0));
         parent.add(took);
@@ -184,35 +188,35 @@
         id: id(n, a.seed),
         incarnation: 1,
     };
-    let stays = Terms {
+    let stays = LeaseTiming {
         span: 3600 * SECOND,
-        ppm: 1000,
+        drift_ppm: 1000,
     };
     let grown = Grown::begin();
     let mut log = Log::new(Fields::new(), [(SEAT, at(0))]);
     let (mut joins, mut refused) = (Spread::default(), 0);
     for n in 0..a.front_ends {
-        let entry = Entry::Join {
+        let entry = LogEntry::Join {
             member: member(n),
             name: format!("front-end-{n}"),
-            at: Step(1),
+            revision: Revision(1),
         };
         let (joined, took) = timed(|| log.apply(entry));
         joins.add(took);
         match joined {
             Ok(_) => {}
-            Err(Refused::Full) => refused += 1,
+            Err(EntryRejection::TooManyMembers) => refused += 1,
             Err(e) => return Err(Wrong::run("a front end that joins", e)),
         }
     }
     line.figure("memory_mb", grown.mb());
     line.count("rostered", log.roster().count());
     line.count("not_rostered", refused);
-    line.count("most_front_ends", MEMBERS);
+    line.count("most_front_ends", MAX_MEMBERS);
     if refused > 0 {
         line.note(format!(
             "{}: {refused} front ends are not on it",
-            Refused::Full
+            EntryRejection::TooManyMembers
         ));
     }
     line.put("apply_us", joins.us());
@@ -222,16 +226,16 @@
     line.figure("encode_ms", ms(took));
     let before = Grown::begin();
     let roster: Vec<Member> = log.roster().map(|(m, _)| m).collect();
-    let mut register = Register::new(stays, roster.iter().copied(), 0);
+    let mut register = SessionTable::new(stays, roster.iter().copied(), 0);
     line.figure("register_mb", before.mb());
     let (mut grants, mut looks, mut rejoins) =
         (Spread::default(), Spread::default(), Spread::default());
     for (n, from) in roster.iter().enumerate() {
-        let ask = Ask {
+        let ask = SessionRequest {
             from: *from,
             seq: 1,
-            at: Step(1),
-            scopes: true,
+            revision: Revision(1),
+            supports_scopes: true,
         };
         let (granted, took) = timed(|| register.grant(n as i64, ask));
         grants.add(took);
@@ -241,7 +245,12 @@
     }
     for n in 0..200 {
         // What the seat looks at every 50 ms.
-        let (_, took) = timed(|| (register.out(n).count(), register.reached(Step(1))));
+        let (_, took) = timed(|| {
+            (
+                register.expired(n).count(),
+                register.all_at_least(Revision(1)),
+            )
+        });
         looks.add(took);
     }
     for from in roster.iter().take(200) {
@@ -249,7 +258,7 @@
             incarnation: 2,
             ..*from
         };
-        let (_, took) = timed(|| register.joined(1, later, Step(1)));
+        let (_, took) = timed(|| register.on_join(1, later, Revision(1)));
         rejoins.add(took);
     }
     line.put("grant_us", grants.us());
--- a/benches/state/src/inputs.rs
+++ b/benches/state/src/inputs.rs
@@ -1,7 +1,7 @@
 //! What is measured with: functions, a version of settings that names them, and how often each is called.
 
 use std::collections::BTreeMap;
-use tansy_agreement::rule::{part, Fields, Value};
+use tansy_agreement::compatibility::{part, Fields, Value};
 use tansy_dispatch::{Config, FunctionSpec, Listed};
 use tansyrouter::{Class, Effect, Group, Settings, Span, SECOND};
 
--- a/benches/state/src/letters.rs
+++ b/benches/state/src/letters.rs
@@ -5,81 +5,86 @@
 use crate::{Args, Wrong};
 use prost::Message as _;
 use std::net::SocketAddr;
-use tansy_agreement::lease::{Grant, Member, Terms};
-use tansy_agreement::log::{Applied, Entry, Log, Phase, Settings, State, Step, Version, KEPT};
-use tansy_agreement::member::Message;
-use tansy_agreement::rule::Fields;
-use tansy_agreement::scope::Moves;
-use tansy_consensus::{Out, Saved, Seats, Setup};
-use tansy_fleet_node::{Body, Root};
-use tansy_fleet_wire::{letter, pb, read, settings, Bad, LARGEST};
+use tansy_agreement::compatibility::Fields;
+use tansy_agreement::lease::{LeaseGrant, LeaseTiming, Member};
+use tansy_agreement::lease_tree::LeaseMessage;
+use tansy_agreement::log::{
+    ApplyOutcome, ChangePhase, FleetState, Log, LogEntry, Revision, Version, VersionedSettings,
+    MAX_PAST_VERSIONS,
+};
+use tansy_agreement::scope::ChangeHistory;
+use tansy_consensus::{Effect, PersistentState, Replica, ReplicaConfig};
+use tansy_fleet_node::{Leader, MessageBody};
+use tansy_fleet_wire::{
+    decode_message, encode_message, pb, settings, DecodeError, MAX_MESSAGE_BYTES,
+};
 use tansy_frames::grpc::{frame, Assembler};
-use tansy_membership::Name;
-use tansy_storage::seat::{Held, Records};
+use tansy_membership::NodeId;
+use tansy_storage::voter_log::{LogStorage, RecoveredRecords};
 
 /// The fleet's number.
 const FLEET: u64 = 7;
 
-fn me() -> Name {
-    Name::new(1, 1, SocketAddr::from(([10, 0, 0, 1], 7000)))
+fn me() -> NodeId {
+    NodeId::new(1, 1, SocketAddr::from(([10, 0, 0, 1], 7000)))
 }
 
 /// What a front end is granted a lease for: a version in force and, if so, one of which a function's lanes differ.
-pub fn state(names: &[String], next: bool) -> State {
+pub fn state(names: &[String], next: bool) -> FleetState {
     let fields = inputs::version(names);
     let changed = names
         .first()
         .map_or_else(Fields::new, |one| inputs::changed(&fields, one, 2));
-    let version = |n: u64, fields| Settings {
+    let version = |n: u64, fields| VersionedSettings {
         version: Version(n),
         fields,
-        why: "bench".into(),
+        reason: "bench".into(),
         id: n,
     };
-    State {
-        step: Step(2),
-        force: version(1, fields),
-        next: next.then(|| (version(2, changed), Phase::Joint)),
-        trial: None,
-        versions_at: Step(2),
+    FleetState {
+        revision: Revision(2),
+        in_force: version(1, fields),
+        next: next.then(|| (version(2, changed), ChangePhase::Joint)),
+        canary: None,
+        versions_revision: Revision(2),
         scopes_since: None,
-        moves: Moves::after(Step(2)),
+        history: ChangeHistory::after(Revision(2)),
     }
 }
 
 /// The letter that carries it.
-pub fn grant(state: State) -> Vec<u8> {
+pub fn grant(state: FleetState) -> Vec<u8> {
     let to = Member {
         id: 2,
         incarnation: 1,
     };
-    let grant = Grant {
+    let grant = LeaseGrant {
         to,
         seq: 1,
         span: 600_000,
-        step: state.step,
+        revision: state.revision,
         state: Some(state),
         delta: None,
     };
-    letter(
+    encode_message(
         FLEET,
         &me(),
-        Root { term: 1, id: 1 },
-        Body::Lease(Message::Grant(grant)),
+        Leader { term: 1, id: 1 },
+        MessageBody::Lease(LeaseMessage::Grant(grant)),
     )
 }
 
 /// Takes a letter as a front end does: out of a stream of bytes, no longer than any letter may be.
-pub fn taken(letter: &[u8]) -> Result<Body, String> {
-    let mut stream = Assembler::new(LARGEST);
+pub fn taken(letter: &[u8]) -> Result<MessageBody, String> {
+    let mut stream = Assembler::new(MAX_MESSAGE_BYTES);
     stream.push(&frame(letter));
     let whole = stream
         .take()
         .map_err(|e| format!("{e:?}"))?
         .ok_or("the stream ends within it")?;
-    read(FLEET, &whole)
+    decode_message(FLEET, &whole)
         .map(|(_, _, body)| body)
-        .map_err(|e: Bad| e.to_string())
+        .map_err(|e: DecodeError| e.to_string())
 }
 
 /// The most for which it holds, where it holds for all up to some number; 0: for none.
@@ -123,7 +128,7 @@
     );
     line.figure("encode_ms", ms(encode));
     line.figure("read_ms", ms(took));
-    line.count("largest_bytes", LARGEST);
+    line.count("largest_bytes", MAX_MESSAGE_BYTES);
     line.count("readable", usize::from(body.is_ok()));
     if let Err(why) = body {
         line.note(format!("no front end can read this grant: {why}"));
@@ -133,7 +138,7 @@
 
 /// A single seat; what it wants held goes to its file, if it has one.
 pub(crate) struct Seat {
-    seats: Seats,
+    seats: Replica,
     now: i64,
     /// Times of records alone, and of those with all that there is.
     pub(crate) records: Spread,
@@ -142,40 +147,40 @@
     pub(crate) wholes: usize,
     pub(crate) wholes_held: usize,
     pub(crate) last_record: usize,
-    file: Option<Records>,
+    file: Option<LogStorage>,
 }
 
 impl Seat {
-    pub(crate) fn new(first: Fields, file: Option<Records>) -> Result<Seat, Wrong> {
-        Seat::of(first, &Saved::default(), file)
+    pub(crate) fn new(first: Fields, file: Option<LogStorage>) -> Result<Seat, Wrong> {
+        Seat::of(first, &PersistentState::default(), file)
     }
 
     /// One that goes on from what its file holds.
-    pub(crate) fn again(held: Held) -> Result<Seat, Wrong> {
+    pub(crate) fn again(held: RecoveredRecords) -> Result<Seat, Wrong> {
         Seat::of(
             Fields::new(),
-            &Saved {
-                whole: held.whole,
+            &PersistentState {
+                snapshot: held.snapshot,
                 records: held.records,
             },
             None,
         )
     }
 
-    fn of(first: Fields, saved: &Saved, file: Option<Records>) -> Result<Seat, Wrong> {
-        let setup = Setup {
-            me: 1,
+    fn of(first: Fields, saved: &PersistentState, file: Option<LogStorage>) -> Result<Seat, Wrong> {
+        let setup = ReplicaConfig {
+            id: 1,
             incarnation: 1,
-            seats: [(1, me().address)].into(),
-            terms: Terms {
+            voters: [(1, me().address)].into(),
+            terms: LeaseTiming {
                 span: 600_000,
-                ppm: 1000,
+                drift_ppm: 1000,
             },
-            first,
+            initial_fields: first,
             seed: 1,
         };
         let seats =
-            Seats::new(setup, saved, 0).map_err(|e| Wrong::run("the seat's first file", e))?;
+            Replica::new(setup, saved, 0).map_err(|e| Wrong::run("the seat's first file", e))?;
         let (records, whole_records) = Default::default();
         let (wholes, wholes_held, last_record) = (0, 0, 0);
         let mut seat = Seat {
@@ -194,16 +199,19 @@
         Ok(seat)
     }
 
-    fn carry_out(&mut self, mut out: Vec<Out>) -> Result<Option<Applied>, Wrong> {
+    fn carry_out(&mut self, mut out: Vec<Effect>) -> Result<Option<ApplyOutcome>, Wrong> {
         let mut done = None;
         while !out.is_empty() {
             for o in std::mem::take(&mut out) {
                 match o {
-                    Out::Hold { record, whole } => {
+                    Effect::Persist {
+                        record,
+                        snapshot: whole,
+                    } => {
                         self.last_record = record.len();
                         self.wholes = whole.as_ref().map_or(self.wholes, Vec::len);
                         if let Some(file) = &mut self.file {
-                            let (held, took) = timed(|| file.hold(record, whole.as_deref()));
+                            let (held, took) = timed(|| file.append(record, whole.as_deref()));
                             held.map_err(|e| Wrong::run("the seat's file", e))?;
                             let spread = if whole.is_some() {
                                 &mut self.whole_records
@@ -213,13 +221,15 @@
                             spread.add(took);
                         }
                         self.wholes_held += usize::from(whole.is_some());
-                        self.seats.held(true, &mut out);
+                        self.seats.on_persisted(true, &mut out);
                     }
-                    Out::Applied { outcome, .. } => {
+                    Effect::Applied { outcome, .. } => {
                         done = Some(outcome.map_err(|e| Wrong::run("the change", e))?);
                     }
-                    Out::Strange => return Err(Wrong::run("the log", "it is of a later program")),
-                    Out::Send { .. } => {}
+                    Effect::UnknownEntry => {
+                        return Err(Wrong::run("the log", "it is of a later program"))
+                    }
+                    Effect::Send { .. } => {}
                 }
             }
         }
@@ -237,7 +247,7 @@
         self.seats.encoded_at()
     }
 
-    pub(crate) fn enter(&mut self, entry: Entry) -> Result<(), Wrong> {
+    pub(crate) fn enter(&mut self, entry: LogEntry) -> Result<(), Wrong> {
         self.now += 50_000;
         let mut out = Vec::new();
         self.seats.tick(self.now, &mut out);
@@ -253,21 +263,21 @@
     /// One function's lanes change, through all steps; the bytes of the record with the proposal.
     fn change(&mut self, names: &[String], n: usize) -> Result<usize, Wrong> {
         let log = || Wrong::run("the seat", "it has no log");
-        let force = &self.seats.log().ok_or_else(log)?.state().force;
+        let force = &self.seats.log().ok_or_else(log)?.state().in_force;
         let (base, one) = (force.version, &names[n % names.len()]);
         // Each time another value than the last one.
         let fields = inputs::changed(&force.fields, one, 2 + (n / names.len()) as i64);
         let id = n as u64 + 1;
-        self.enter(Entry::Propose {
+        self.enter(LogEntry::Propose {
             id,
             base,
             fields,
-            why: "bench".into(),
+            reason: "bench".into(),
         })?;
         let proposed = self.last_record;
         for _ in 0..2 {
-            let from = self.seats.log().ok_or_else(log)?.state().step;
-            self.enter(Entry::Advance { from })?;
+            let from = self.seats.log().ok_or_else(log)?.state().revision;
+            self.enter(LogEntry::Advance { from })?;
         }
         Ok(proposed)
     }
@@ -315,8 +325,8 @@
     let copy = log.clone();
     line.figure("log_mb", before.mb());
     drop(copy);
-    line.count("largest_bytes", LARGEST);
-    if encoded > LARGEST {
+    line.count("largest_bytes", MAX_MESSAGE_BYTES);
+    if encoded > MAX_MESSAGE_BYTES {
         line.note(
             "the whole log is more than a letter may hold: no other seat can be given it".into(),
         );
@@ -328,7 +338,7 @@
 pub fn largest(a: &Args, line: &mut Line) -> Result<(), Wrong> {
     let both = most_functions(a.seed, true);
     let bytes = |functions| grant(state(&inputs::names(functions, a.seed), true)).len();
-    line.count("largest_bytes", LARGEST);
+    line.count("largest_bytes", MAX_MESSAGE_BYTES);
     line.count("most_functions", both);
     line.count("letter_bytes", bytes(both));
     line.count("one_more_bytes", bytes(both + 1));
@@ -343,21 +353,21 @@
         let names = inputs::names(n, seed);
         let fields = inputs::version(&names);
         let mut log = Log::new(fields.clone(), [(1, me().address)]);
-        for n in 1..KEPT as u64 {
+        for n in 1..MAX_PAST_VERSIONS as u64 {
             let fields = inputs::changed(&fields, &names[0], 1 + n as i64 % 4000);
-            let base = log.state().force.version;
-            let _ = log.apply(Entry::Propose {
+            let base = log.state().in_force.version;
+            let _ = log.apply(LogEntry::Propose {
                 id: n,
                 base,
                 fields,
-                why: "bench".into(),
+                reason: "bench".into(),
             });
             for _ in 0..2 {
-                let from = log.state().step;
-                let _ = log.apply(Entry::Advance { from });
+                let from = log.state().revision;
+                let _ = log.apply(LogEntry::Advance { from });
             }
         }
-        postcard::to_stdvec(&log).is_ok_and(|b| b.len() <= LARGEST)
+        postcard::to_stdvec(&log).is_ok_and(|b| b.len() <= MAX_MESSAGE_BYTES)
     })
 }
 
@@ -372,7 +382,7 @@
 
 fn grow(a: &Args, names: &[String], path: &std::path::Path, line: &mut Line) -> Result<(), Wrong> {
     let size = || std::fs::metadata(path).map_or(0, |m| m.len());
-    let (records, _) = Records::open(path).map_err(|e| Wrong::run("the seat's file", e))?;
+    let (records, _) = LogStorage::open(path).map_err(|e| Wrong::run("the seat's file", e))?;
     let mut seat = Seat::new(inputs::version(names), Some(records))?;
     let (first, mut entry, mut largest) = (size(), 0, 0);
     for n in 0..a.changes {
--- a/benches/state/src/lists.rs
+++ b/benches/state/src/lists.rs
@@ -5,13 +5,15 @@
 use crate::{Args, Wrong};
 use std::fmt::Write;
 use std::net::SocketAddr;
-use tansy_agreement::lease::Terms;
-use tansy_agreement::list::{Leaving, Line as Told, Standing, Worker, LEAVING};
-use tansy_agreement::rule::Schema;
+use tansy_agreement::compatibility::Schema;
+use tansy_agreement::endpoints::{
+    DrainTable, Endpoint, EndpointRecord as Told, EndpointState, MAX_DRAINS,
+};
+use tansy_agreement::lease::LeaseTiming;
 use tansy_dispatch::{Front, Input};
-use tansy_fleet_node::{Body, Peer, Root, Setup};
-use tansy_fleet_wire::letter;
-use tansy_membership::{Name, Pace};
+use tansy_fleet_node::{FleetNode, FleetNodeConfig, Leader, MessageBody};
+use tansy_fleet_wire::encode_message;
+use tansy_membership::{GossipTiming, NodeId};
 use tansy_platform::list::{List, Updates};
 use tansyrouter::{Time, SECOND};
 
@@ -141,14 +143,14 @@
 }
 
 fn leaves(n: usize, rng: &mut fastrand::Rng) -> Told {
-    let worker = Worker {
+    let worker = Endpoint {
         name: worker(n),
         address: at(n).to_string(),
     };
     Told {
-        worker,
+        endpoint: worker,
         incarnation: incarnation(rng),
-        standing: Standing::Gone,
+        state: EndpointState::Gone,
     }
 }
 
@@ -157,54 +159,54 @@
     let mut rng = fastrand::Rng::with_seed(a.seed);
     let lines: Vec<Told> = (0..a.instances).map(|n| leaves(n, &mut rng)).collect();
     let grown = Grown::begin();
-    let mut leaving = Leaving::default();
-    let (new, took) = timed(|| leaving.hear(0, lines.iter().cloned()));
+    let mut leaving = DrainTable::default();
+    let (new, took) = timed(|| leaving.merge(0, lines.iter().cloned()));
     line.figure("memory_mb", grown.mb());
     line.figure("hear_ms", ms(took));
-    line.count("remembered", leaving.lines().count());
-    line.count("most_remembered", LEAVING);
+    line.count("remembered", leaving.records().count());
+    line.count("most_remembered", MAX_DRAINS);
     line.count("forgotten", lines.len() - new.len());
-    let told = || leaving.lines().collect();
-    let me = Name::new(1, 1, at(0));
-    let of = |body| letter(7, &me, Root { term: 1, id: 1 }, body).len();
-    line.count("letter_bytes", of(Body::Leaving(told(), false)));
-    line.count("digest_bytes", of(Body::Digest(7)));
+    let told = || leaving.records().collect();
+    let me = NodeId::new(1, 1, at(0));
+    let of = |body| encode_message(7, &me, Leader { term: 1, id: 1 }, body).len();
+    line.count("letter_bytes", of(MessageBody::Drains(told(), false)));
+    line.count("digest_bytes", of(MessageBody::DrainDigest(7)));
     drop(leaving);
     // A front end hears of them one by one, and makes a digest of all after each.
-    let setup = Setup {
+    let setup = FleetNodeConfig {
         fleet: 7,
         name: "a".into(),
-        me: me.clone(),
-        seats: vec![(2, at(1))],
-        lease: Terms {
+        node: me.clone(),
+        voters: vec![(2, at(1))],
+        lease: LeaseTiming {
             span: SECOND / 2,
-            ppm: 1000,
+            drift_ppm: 1000,
         },
-        stay: Terms {
+        session: LeaseTiming {
             span: 3600 * SECOND,
-            ppm: 1000,
+            drift_ppm: 1000,
         },
-        pace: Pace::default(),
+        gossip: GossipTiming::default(),
         schema: Schema::default(),
         seed: a.seed,
     };
-    let mut peer = Peer::new(setup, None, 0).map_err(|e| Wrong::run("a front end", e))?;
+    let mut peer = FleetNode::new(setup, None, 0).map_err(|e| Wrong::run("a front end", e))?;
     let mut out = Vec::new();
     let (first, rest) = lines.split_at(lines.len().saturating_sub(100));
-    peer.list(0, first.to_vec(), &mut out);
+    peer.update_endpoints(0, first.to_vec(), &mut out);
     let mut one = Spread::default();
     for told in rest {
-        let (_, took) = timed(|| peer.list(1, vec![told.clone()], &mut out));
+        let (_, took) = timed(|| peer.update_endpoints(1, vec![told.clone()], &mut out));
         one.add(took);
     }
     line.put("one_us", one.us());
     // The list as it is read again and again, each line of which says what was told already.
-    let (_, took) = timed(|| peer.list(2, lines.clone(), &mut out));
+    let (_, took) = timed(|| peer.update_endpoints(2, lines.clone(), &mut out));
     line.figure("again_ms", ms(took));
-    if lines.len() > LEAVING {
+    if lines.len() > MAX_DRAINS {
         line.note(format!(
             "{} of the workers that leave are not remembered",
-            lines.len() - LEAVING
+            lines.len() - MAX_DRAINS
         ));
     }
     Ok(())
--- a/benches/state/src/scopes.rs
+++ b/benches/state/src/scopes.rs
@@ -7,15 +7,21 @@
 use crate::{Args, Wrong};
 use std::collections::BTreeSet;
 use std::time::Duration;
-use tansy_agreement::hold::{Bounds, Call, Epoch, Holding, Reply, Want};
-use tansy_agreement::lease::{Member, Terms};
-use tansy_agreement::log::{Entry, Log, Settings, State, Step, Version};
-use tansy_agreement::rule::{Fields, Schema};
-use tansy_agreement::scope::{number, Move, Moves, ScopeChange, ScopeRequest, Scoped, REQUEST};
-use tansy_agreement::stay::{Ask, Heard, Register};
-use tansy_fleet_wire::LARGEST;
+use tansy_agreement::compatibility::{Fields, Schema};
+use tansy_agreement::lease::{LeaseTiming, Member};
+use tansy_agreement::log::{FleetState, Log, LogEntry, Revision, Version, VersionedSettings};
+use tansy_agreement::scope::{
+    scope_number, ChangeHistory, ScopeChange, ScopeRecord, ScopeTransaction, ScopeUpdate,
+    MAX_TRANSACTION_BYTES,
+};
+use tansy_agreement::session::{SessionRequest, SessionTable, SubscribeOutcome};
+use tansy_agreement::subscription::{
+    Admission, ResyncEpoch, ScopeSubscriptions, SubscribeReply, SubscribeRequest,
+    SubscriptionLimits,
+};
+use tansy_fleet_wire::MAX_MESSAGE_BYTES;
 use tansy_settings::agree;
-use tansy_storage::seat::Records;
+use tansy_storage::voter_log::LogStorage;
 
 const SECOND: i64 = 1_000_000;
 /// Changes that are asked for in one minute at the most.
@@ -23,7 +29,7 @@
 /// Changes of one function that are timed.
 const CHANGES: usize = 100;
 /// Steps that a held log has: more than a function's moves.
-const STEP: Step = Step(1 << 20);
+const STEP: Revision = Revision(1 << 20);
 
 /// What a scope holds of a function: the four fields of [`inputs::version`].
 fn fields(lanes: i64) -> Fields {
@@ -35,9 +41,9 @@
         .collect()
 }
 
-fn change(log: &Log, name: &str, lanes: i64) -> ScopeChange {
-    let base = log.catalog().get(name).map_or(Step(0), |s| s.revision);
-    ScopeChange {
+fn change(log: &Log, name: &str, lanes: i64) -> ScopeUpdate {
+    let base = log.catalog().get(name).map_or(Revision(0), |s| s.revision);
+    ScopeUpdate {
         scope: name.to_string(),
         base,
         fields: Some(fields(lanes)),
@@ -57,7 +63,7 @@
 }
 
 impl Kept {
-    fn new(file: Option<Records>) -> Result<Kept, Wrong> {
+    fn new(file: Option<LogStorage>) -> Result<Kept, Wrong> {
         Ok(Kept {
             seat: Seat::new(inputs::version(&["one".to_string()]), file)?,
             id: 0,
@@ -73,16 +79,16 @@
         self.id += 1;
         let log = self.log()?;
         let changes = names.iter().map(|n| change(log, n, lanes)).collect();
-        let request = ScopeRequest {
+        let request = ScopeTransaction {
             id: self.id,
-            changes,
-            why: "bench".into(),
+            updates: changes,
+            reason: "bench".into(),
         };
-        let (judged, judging) = timed(|| log.judge_request(&request));
+        let (judged, judging) = timed(|| log.validate_transaction(&request));
         judged.map_err(|e| Wrong::run("the change", e))?;
         let (done, took) = timed(|| {
-            self.seat.enter(Entry::Change {
-                requests: vec![request],
+            self.seat.enter(LogEntry::UpdateScopes {
+                transactions: vec![request],
             })
         });
         done?;
@@ -107,8 +113,8 @@
             .catalog()
             .open()
             .filter(|(_, s)| s.next().is_some() == joint);
-        let all: Vec<(String, Step)> = open
-            .filter_map(|(name, s)| Some((name.to_string(), s.standing.since()?)))
+        let all: Vec<(String, Revision)> = open
+            .filter_map(|(name, s)| Some((name.to_string(), s.phase.since()?)))
             .collect();
         let n = all.len();
         let (force, settled) = if joint {
@@ -116,14 +122,19 @@
         } else {
             (Vec::new(), all)
         };
-        let (done, took) = timed(|| self.seat.enter(Entry::Carry { force, settled }));
+        let (done, took) = timed(|| {
+            self.seat.enter(LogEntry::AdvanceScopes {
+                in_force: force,
+                settled,
+            })
+        });
         done.map(|()| (n, took))
     }
 
     /// All of them come to be.
     fn fill(&mut self, names: &[String]) -> Result<(), Wrong> {
         // Each weighs no more than this.
-        let most = REQUEST / 160;
+        let most = MAX_TRANSACTION_BYTES / 160;
         for some in names.chunks(most) {
             self.change(&some.iter().collect::<Vec<_>>(), 1)?;
         }
@@ -133,7 +144,7 @@
 
 /// The log as a seat tells another one of it, and holds it: what `decide/consensus` makes of it, but for eleven bytes before.
 fn encoded(log: &Log) -> Vec<u8> {
-    log.kept()
+    log.catalog_snapshot()
         .and_then(|kept| postcard::to_stdvec(&(log, kept)).ok())
         .unwrap_or_default()
 }
@@ -185,19 +196,19 @@
     line.figure("scope_bytes", bytes.len() as f64 / a.functions as f64);
     line.figure("encode_ms", ms(took));
     let (read, took) =
-        timed(|| postcard::from_bytes::<(Log, tansy_agreement::scope::Kept)>(&bytes));
+        timed(|| postcard::from_bytes::<(Log, tansy_agreement::scope::CatalogSnapshot)>(&bytes));
     let same = read.map_err(|e| Wrong::run("the log", e))?;
     line.figure("read_ms", ms(took));
-    if same.0.with(same.1) != *log {
+    if same.0.with_catalog(same.1) != *log {
         return Err(Wrong::run(
             "the log",
             "it is read as another one than was written",
         ));
     }
-    line.count("moves_bytes", log.state().moves.weight());
-    line.count("largest_bytes", LARGEST);
-    line.count("readable", usize::from(bytes.len() <= LARGEST));
-    if bytes.len() > LARGEST {
+    line.count("moves_bytes", log.state().history.memory_bytes());
+    line.count("largest_bytes", MAX_MESSAGE_BYTES);
+    line.count("readable", usize::from(bytes.len() <= MAX_MESSAGE_BYTES));
+    if bytes.len() > MAX_MESSAGE_BYTES {
         line.note("the whole log is more than one letter may hold".into());
     }
     Ok(())
@@ -214,7 +225,7 @@
 
 fn kept_in(names: &[String], path: &std::path::Path, line: &mut Line) -> Result<(), Wrong> {
     let size = || std::fs::metadata(path).map_or(0, |m| m.len()) as usize;
-    let (records, _) = Records::open(path).map_err(|e| Wrong::run("the seat's file", e))?;
+    let (records, _) = LogStorage::open(path).map_err(|e| Wrong::run("the seat's file", e))?;
     let mut kept = Kept::new(Some(records))?;
     kept.fill(names)?;
     // On until the next whole, which has all of them.
@@ -230,7 +241,7 @@
     let log = kept.log()?.clone();
     drop(kept);
     let (seat, took) = timed(|| {
-        let opened = Records::open(path);
+        let opened = LogStorage::open(path);
         opened
             .map_err(|e| Wrong::run("the seat's file", e))
             .and_then(|(_, held)| Seat::again(held))
@@ -250,52 +261,52 @@
     Member { id, incarnation: 1 }
 }
 
-fn scoped(revision: Step, lanes: i64) -> Scoped {
-    Scoped {
+fn scoped(revision: Revision, lanes: i64) -> ScopeRecord {
+    ScopeRecord {
         revision,
         fields: Some(fields(lanes)),
-        ..Scoped::default()
+        ..ScopeRecord::default()
     }
 }
 
 /// What is acted on, with as many moves as are remembered.
-fn acted_on(names: &[String]) -> State {
-    let force = Settings {
+fn acted_on(names: &[String]) -> FleetState {
+    let force = VersionedSettings {
         version: Version(1),
         fields: inputs::version(&["one".to_string()]),
-        why: "bench".into(),
+        reason: "bench".into(),
         id: 1,
     };
-    let state = State {
-        step: Step(2),
-        force,
+    let state = FleetState {
+        revision: Revision(2),
+        in_force: force,
         next: None,
-        trial: None,
-        versions_at: Step(2),
-        scopes_since: Some(Step(2)),
-        moves: Moves::after(Step(2)),
+        canary: None,
+        versions_revision: Revision(2),
+        scopes_since: Some(Revision(2)),
+        history: ChangeHistory::after(Revision(2)),
     };
-    moved(state, names, tansy_agreement::scope::MOVES)
+    moved(state, names, tansy_agreement::scope::MAX_HISTORY)
 }
 
 /// The same after so many moves, each in a step of its own.
-fn moved(mut state: State, names: &[String], moves: usize) -> State {
-    let from = state.step;
+fn moved(mut state: FleetState, names: &[String], moves: usize) -> FleetState {
+    let from = state.revision;
     let all = (0..moves).map(|n| {
-        let step = Step(from.0 + 1 + n as u64);
+        let step = Revision(from.0 + 1 + n as u64);
         let to = scoped(step, 1 + n as i64 % 4000);
-        std::sync::Arc::new(Move {
-            step,
+        std::sync::Arc::new(ScopeChange {
+            revision: step,
             scope: names[n % names.len()].clone(),
-            to,
+            record: to,
         })
     });
     let all: Vec<_> = all.collect();
-    let to = all.last().map_or(from, |m| m.step);
-    state.follow(&tansy_agreement::scope::Delta {
+    let to = all.last().map_or(from, |m| m.revision);
+    state.apply_delta(&tansy_agreement::scope::StateDelta {
         from,
         to,
-        moves: all,
+        changes: all,
     });
     state
 }
@@ -310,17 +321,17 @@
     let grown = Grown::begin();
     let state = acted_on(&names);
     line.figure("state_mb", grown.mb());
-    let mut holding = Holding::new(me, Bounds::default(), 0);
-    holding.follow(0, &state, &schema);
-    let epoch = Epoch { term: 1, count: 1 };
-    let begins = Reply {
+    let mut holding = ScopeSubscriptions::new(me, SubscriptionLimits::default(), 0);
+    holding.on_state(0, &state, &schema);
+    let epoch = ResyncEpoch { term: 1, count: 1 };
+    let begins = SubscribeReply {
         to: me,
         epoch,
         seq: None,
-        at: state.step,
+        revision: state.revision,
         scopes: Vec::new(),
     };
-    holding.granted(0, begins, Some(&state), &schema);
+    holding.on_reply(0, begins, Some(&state), &schema);
     let (mut now, mut asks) = (0, Spread::default());
     for n in order.iter().take(a.held) {
         now += SECOND / 10;
@@ -328,16 +339,16 @@
         done?;
         asks.add(took);
     }
-    line.count("held", holding.held());
-    line.count("weight_bytes", holding.weight());
+    line.count("held", holding.len());
+    line.count("weight_bytes", holding.memory_bytes());
     line.figure("memory_mb", grown.mb());
     line.put("ask_us", asks.us());
     let mut calls = Spread::default();
     for n in 0..20_000 {
         let name = &names[order[n % a.held.min(names.len())]];
-        let (call, took) = timed(|| holding.called(now, &schema, name, true));
+        let (call, took) = timed(|| holding.admit(now, &schema, name, true));
         calls.add(took);
-        if !matches!(call, Call::Acts(_)) {
+        if !matches!(call, Admission::Admit(_)) {
             return Err(Wrong::run(
                 "a call",
                 format!("of a function that is held: {call:?}"),
@@ -354,16 +365,16 @@
         over.add(took);
     }
     line.put("more_us", over.us());
-    line.count("squeezed", holding.squeezed() as usize);
+    line.count("squeezed", holding.evicted() as usize);
     // A burst, as its moves come: joint, force.
     let after = moved(state.clone(), &names, 2 * BURST);
-    let ((), took) = timed(|| holding.follow(now, &after, &schema));
+    let ((), took) = timed(|| holding.on_state(now, &after, &schema));
     line.figure("burst_ms", ms(took));
     // Another root is told of all.
-    holding.rooted(now);
+    holding.on_new_leader(now);
     now += SECOND;
-    let (letter, took) = timed(|| holding.tick(now, after.step, true));
-    let told = letter.and_then(|l| l.all).map_or(0, |all| all.len());
+    let (letter, took) = timed(|| holding.tick(now, after.revision, true));
+    let told = letter.and_then(|l| l.full_list).map_or(0, |all| all.len());
     line.count("told", told);
     line.figure("told_ms", ms(took));
     line.figure("peak_mb", grown.peak_mb());
@@ -372,42 +383,42 @@
 
 /// A first call, with the ask and its answer.
 fn asked(
-    holding: &mut Holding,
+    holding: &mut ScopeSubscriptions,
     now: i64,
     name: &str,
-    state: &State,
+    state: &FleetState,
     schema: &Schema,
 ) -> Result<(), Wrong> {
-    holding.called(now, schema, name, true);
+    holding.admit(now, schema, name, true);
     for n in 0..20 {
         let at = now + n * SECOND / 1000;
-        let Some(Want {
+        let Some(SubscribeRequest {
             from: to,
             epoch,
             seq,
             scopes,
             ..
-        }) = holding.tick(at, state.step, true)
+        }) = holding.tick(at, state.revision, true)
         else {
             continue;
         };
         let all = scopes
             .into_iter()
-            .map(|s| (s, Some(scoped(Step(2), 1))))
+            .map(|s| (s, Some(scoped(Revision(2), 1))))
             .collect();
-        holding.granted(
+        holding.on_reply(
             at,
-            Reply {
+            SubscribeReply {
                 to,
                 epoch,
                 seq: Some(seq),
-                at: state.step,
+                revision: state.revision,
                 scopes: all,
             },
             Some(state),
             schema,
         );
-        if matches!(holding.called(at, schema, name, true), Call::Acts(_)) {
+        if matches!(holding.admit(at, schema, name, true), Admission::Admit(_)) {
             return Ok(());
         }
     }
@@ -431,41 +442,46 @@
         }
         mine
     };
-    let stays = Terms {
+    let stays = LeaseTiming {
         span: 3600 * SECOND,
-        ppm: 1000,
+        drift_ppm: 1000,
     };
     let grown = Grown::begin();
     let members: Vec<Member> = (0..a.front_ends).map(|n| member(n, a.seed)).collect();
-    let mut register = Register::new(stays, members.iter().copied(), 0);
+    let mut register = SessionTable::new(stays, members.iter().copied(), 0);
     let before = grown.mb();
     line.figure("register_mb", before);
     let epoch = register.epoch();
     let (mut tell, mut want) = (Spread::default(), Spread::default());
     let mut telling = Duration::ZERO;
-    let hear = |register: &mut Register, letter: &Want| match register.want(letter) {
-        Heard::Taken => Ok(()),
+    let hear = |register: &mut SessionTable, letter: &SubscribeRequest| match register
+        .on_subscribe(letter)
+    {
+        SubscribeOutcome::Taken => Ok(()),
         other => Err(Wrong::run("a letter", format!("{other:?}"))),
     };
     for from in &members {
         register.grant(
             1,
-            Ask {
+            SessionRequest {
                 from: *from,
                 seq: 1,
-                at: STEP,
-                scopes: true,
+                revision: STEP,
+                supports_scopes: true,
             },
         );
-        let all: Vec<u64> = drawn().into_iter().map(|n| number(&names[n])).collect();
-        let letter = Want {
+        let all: Vec<u64> = drawn()
+            .into_iter()
+            .map(|n| scope_number(&names[n]))
+            .collect();
+        let letter = SubscribeRequest {
             from: *from,
             epoch,
             seq: 1,
-            at: STEP,
+            revision: STEP,
             scopes: Vec::new(),
-            drops: Vec::new(),
-            all: Some(all),
+            unsubscribed: Vec::new(),
+            full_list: Some(all),
         };
         let (taken, took) = timed(|| hear(&mut register, &letter));
         taken?;
@@ -473,21 +489,21 @@
         telling += took;
     }
     line.count("held", a.held);
-    line.count("holdings", register.holdings());
+    line.count("holdings", register.subscription_count());
     line.figure("memory_mb", grown.mb());
     line.put("tell_us", tell.us());
     // All tell a new root what they hold, which it does while it does nothing else.
     line.figure("tell_all_ms", ms(telling));
     for from in members.iter().take(2000) {
         let scopes = vec![names[rng.usize(..names.len())].clone()];
-        let letter = Want {
+        let letter = SubscribeRequest {
             from: *from,
             epoch,
             seq: 2,
-            at: STEP,
+            revision: STEP,
             scopes,
-            drops: Vec::new(),
-            all: None,
+            unsubscribed: Vec::new(),
+            full_list: None,
         };
         let (taken, took) = timed(|| hear(&mut register, &letter));
         taken?;
@@ -498,22 +514,37 @@
     let after = STEP.next();
     let mut waits = Spread::default();
     for name in names.iter().take(5_000) {
-        let (_, took) = timed(|| register.holders_behind(number(name), after).count());
+        let (_, took) = timed(|| {
+            register
+                .subscribers_behind(scope_number(name), after)
+                .count()
+        });
         waits.add(took);
     }
     line.put("waits_us", waits.us());
     let most = names
         .iter()
-        .map(|name| (register.holders_behind(number(name), after).count(), name))
+        .map(|name| {
+            (
+                register
+                    .subscribers_behind(scope_number(name), after)
+                    .count(),
+                name,
+            )
+        })
         .max();
     if let Some((n, name)) = most {
         line.count("most_holders", n);
-        let (_, took) = timed(|| register.holders_behind(number(name), after).count());
+        let (_, took) = timed(|| {
+            register
+                .subscribers_behind(scope_number(name), after)
+                .count()
+        });
         line.figure("most_waits_us", took.as_secs_f64() * 1e6);
     }
     let mut gone = Spread::default();
     for from in members.iter().take(200) {
-        let ((), took) = timed(|| register.dismiss(*from));
+        let ((), took) = timed(|| register.remove(*from));
         gone.add(took);
     }
     line.put("dismiss_us", gone.us());
--- a/benches/state/src/steer.rs
+++ b/benches/state/src/steer.rs
@@ -7,7 +7,10 @@
 use prost::Message;
 use std::collections::BTreeMap;
 use tansy_fleet_wire::{of_counts, pb, roll_entry};
-use tansy_rollout::{Entry, Front, Place, Plan, Refused, Roll, Steer, Time, What, SECOND};
+use tansy_rollout::{
+    FrontEndObservation, Rollout, RolloutChange, RolloutController, RolloutEntry, RolloutPlan,
+    RolloutRejection, Target, Time, SECOND,
+};
 
 /// Zones of the fleet.
 const ZONES: usize = 17;
@@ -29,8 +32,8 @@
 const GIVEN_UP: Time = 200_000 * SECOND;
 
 /// The plan for so many front ends: all zones in turn, the seats last.
-pub fn plan(front_ends: usize) -> Plan {
-    let place = |n: usize| Place {
+pub fn plan(front_ends: usize) -> RolloutPlan {
+    let place = |n: usize| Target {
         name: format!("front-{n:05}"),
         zone: format!("zone-{}", n % ZONES),
         seat: n + SEATS >= front_ends,
@@ -39,22 +42,22 @@
     let mut stages = Vec::new();
     let mut from = 0;
     for share in STAGES {
-        let stage: Vec<Place> = (from..to(share)).map(place).collect();
+        let stage: Vec<Target> = (from..to(share)).map(place).collect();
         from = to(share).max(from);
         stages.extend(Some(stage).filter(|s| !s.is_empty()));
     }
-    Plan {
+    RolloutPlan {
         stages,
-        ..Plan::default()
+        ..RolloutPlan::default()
     }
 }
 
-fn begin(front_ends: usize) -> Result<Roll, Refused> {
-    let what = What::Program {
+fn begin(front_ends: usize) -> Result<Rollout, RolloutRejection> {
+    let what = RolloutChange::Program {
         label: NEW.into(),
         path: "/programs/new".into(),
     };
-    Roll::begin(1, what, plan(front_ends), "measured".into())
+    Rollout::begin(1, what, plan(front_ends), "measured".into())
 }
 
 /// One front end, as it answers.
@@ -79,7 +82,7 @@
 impl Fleet {
     /// So many that have run for a while.
     pub fn new(front_ends: usize, classes: usize, seed: u64) -> Fleet {
-        let one = |p: Place| Answering {
+        let one = |p: Target| Answering {
             name: p.name,
             zone: p.zone,
             seat: p.seat,
@@ -173,7 +176,7 @@
 }
 
 /// Answers as a steerer takes them.
-pub fn taken(answers: &[Vec<u8>]) -> Vec<Front> {
+pub fn taken(answers: &[Vec<u8>]) -> Vec<FrontEndObservation> {
     let one = |bytes: &Vec<u8>| {
         let c = pb::CountsReply::decode(bytes.as_slice()).ok()?;
         let new = c.label == NEW;
@@ -182,7 +185,7 @@
     answers.iter().filter_map(one).collect()
 }
 
-fn refused(why: &Refused, a: &Args, line: &mut Line) {
+fn refused(why: &RolloutRejection, a: &Args, line: &mut Line) {
     line.count("refused", 1);
     line.note(format!(
         "a roll over {} front ends is refused: {why}",
@@ -210,7 +213,7 @@
     line.figure("look_kb_s", bytes as f64 / 1e3 * (SECOND / ASK) as f64);
     drop(first);
     let grown = Grown::begin();
-    let mut steer = Steer::new("steerer".into());
+    let mut steer = RolloutController::new("steerer".into());
     let (mut take, mut slices, mut moving) =
         (Spread::default(), Spread::default(), Spread::default());
     let mut now = 0;
@@ -224,12 +227,12 @@
         take.add(took);
         fronts = all;
         // A look that the fence is asked with does nothing else.
-        let (entry, took) = timed(|| steer.look(now, &roll, &fronts));
+        let (entry, took) = timed(|| steer.poll(now, &roll, &fronts));
         if roll.fence > 0 {
             slices.add(took);
         }
         if let Some(entry) = entry {
-            let let_go = matches!(entry, Entry::Let { .. });
+            let let_go = matches!(entry, RolloutEntry::Let { .. });
             roll.apply(entry)
                 .map_err(|e| Wrong::run("a step of the roll", e))?;
             if let_go {
@@ -246,7 +249,7 @@
     for name in half.iter().take(half.len() / 2) {
         let (at, fence) = (roll.at, roll.fence);
         if !roll.moving.contains(name) {
-            let go = Entry::Let {
+            let go = RolloutEntry::Let {
                 at,
                 fence,
                 name: name.clone(),
@@ -254,7 +257,7 @@
             roll.apply(go)
                 .map_err(|e| Wrong::run("a step of the roll", e))?;
         }
-        let moved = Entry::Moved {
+        let moved = RolloutEntry::Moved {
             at: roll.at,
             fence,
             name: name.clone(),
@@ -269,10 +272,10 @@
         .filter(|f| roll.moved.contains(&f.report.name))
         .for_each(|f| f.report.new = true);
     // The look that a slice begins with is one of the others.
-    let _ = steer.look(now, &roll, &fronts);
+    let _ = steer.poll(now, &roll, &fronts);
     for _ in 0..TIMED {
         now += ASK;
-        let (entry, took) = timed(|| steer.look(now, &roll, &fronts));
+        let (entry, took) = timed(|| steer.poll(now, &roll, &fronts));
         moving.add(took);
         let Some(entry) = entry else { continue };
         entries.push(roll_entry(&entry, None).encode_to_vec().len());
@@ -315,10 +318,10 @@
 }
 
 /// Plays a roll from its beginning to its end.
-pub fn play(front_ends: usize, seed: u64) -> Result<(Played, Roll), Refused> {
+pub fn play(front_ends: usize, seed: u64) -> Result<(Played, Rollout), RolloutRejection> {
     let mut roll = begin(front_ends)?;
     let mut fleet = Fleet::new(front_ends, 1, seed);
-    let mut steer = Steer::new("steerer".into());
+    let mut steer = RolloutController::new("steerer".into());
     let (mut now, mut played) = (0, Played::default());
     let slice = roll.plan.slice as Time * SECOND;
     let mut fronts = taken(&fleet.answers(0));
@@ -338,24 +341,24 @@
             a.into_iter()
                 .for_each(|a| (f.ready, f.report.new) = (a.ready, a.new));
         }
-        if let Some(entry) = steer.look(now, &roll, &fronts) {
+        if let Some(entry) = steer.poll(now, &roll, &fronts) {
             played.bytes += roll_entry(&entry, None).encode_to_vec().len() as u64;
             match &entry {
-                Entry::Beat { .. } => played.beats += 1,
-                Entry::Let { name, .. } => {
+                RolloutEntry::Beat { .. } => played.beats += 1,
+                RolloutEntry::Let { name, .. } => {
                     played.moved.0 += 1;
                     fleet.let_go(name, now);
                 }
-                Entry::Moved { .. } => played.moved.1 += 1,
+                RolloutEntry::Moved { .. } => played.moved.1 += 1,
                 _ => {}
             }
-            played.steps += u64::from(!matches!(entry, Entry::Beat { .. }));
+            played.steps += u64::from(!matches!(entry, RolloutEntry::Beat { .. }));
             roll.apply(entry)?;
         }
         played.away = played.away.max(roll.moving.len());
         now += ASK;
     }
-    (played.took, played.done) = (now, roll.phase == tansy_rollout::Phase::Done);
+    (played.took, played.done) = (now, roll.phase == tansy_rollout::RolloutPhase::Done);
     Ok((played, roll))
 }
 
@@ -363,7 +366,7 @@
 pub fn roll(a: &Args, line: &mut Line) -> Result<(), Wrong> {
     let (played, roll) = match play(a.front_ends, a.seed) {
         Ok(played) => played,
-        Err(why @ Refused::Plan(_)) => {
+        Err(why @ RolloutRejection::Plan(_)) => {
             refused(&why, a, line);
             return Ok(());
         }
--- a/benches/state/src/terms.rs
+++ b/benches/state/src/terms.rs
@@ -4,8 +4,10 @@
 use crate::measure::{ms, timed, Grown, Line};
 use crate::{Args, Wrong};
 use std::time::Duration;
-use tansy_agreement::log::{Entry, Log, Phase, State, Version};
-use tansy_agreement::rule::{apart, lapsed, Fields, Rules, Schema, Touch, Value};
+use tansy_agreement::compatibility::{
+    rules_after_expiry, rules_without_lease, AffectedCalls, EffectiveRules, Fields, Schema, Value,
+};
+use tansy_agreement::log::{ChangePhase, FleetState, Log, LogEntry, Version};
 use tansy_dispatch::{Config, Contested, Front, Terms};
 use tansy_settings::agree;
 use tansyrouter::{Time, SECOND};
@@ -48,36 +50,36 @@
             .front)
     }
 
-    fn terms(&mut self, rules: &Rules) -> Result<Terms, Wrong> {
+    fn terms(&mut self, rules: &EffectiveRules) -> Result<Terms, Wrong> {
         let config = self.config(&rules.fields)?;
         let mut contested = Contested {
             unlisted: rules.unlisted,
             for_about: SECOND / 2,
             ..Contested::default()
         };
-        for touch in &rules.refused {
+        for touch in &rules.rejected {
             match touch {
-                Touch::All => contested.all = true,
-                Touch::Class(n) => drop(contested.classes.insert(n.clone())),
-                Touch::Tenant(n) => drop(contested.tenants.insert(n.clone())),
-                Touch::Function(n) => drop(contested.functions.insert(n.clone())),
+                AffectedCalls::All => contested.all = true,
+                AffectedCalls::Class(n) => drop(contested.classes.insert(n.clone())),
+                AffectedCalls::Tenant(n) => drop(contested.tenants.insert(n.clone())),
+                AffectedCalls::Function(n) => drop(contested.functions.insert(n.clone())),
             }
         }
         Ok(Terms { config, contested })
     }
 
-    fn ready(&mut self, state: &State) -> Result<Ready, Wrong> {
-        let mut filled = state.at("a");
-        filled.force.fields = self.filled(&filled.force.fields)?;
+    fn ready(&mut self, state: &FleetState) -> Result<Ready, Wrong> {
+        let mut filled = state.for_member("a");
+        filled.in_force.fields = self.filled(&filled.in_force.fields)?;
         if let Some((next, _)) = &mut filled.next {
             next.fields = self.filled(&next.fields)?;
         }
         // By these classes answers are valued.
-        self.config(&filled.force.fields)?;
+        self.config(&filled.in_force.fields)?;
         let rules = filled.rules(&self.schema);
         let whole = self.terms(&rules)?;
-        let apart = self.terms(&apart(&self.schema, rules))?;
-        let lapsed = self.terms(&lapsed(&self.schema, &filled.force.fields))?;
+        let apart = self.terms(&rules_without_lease(&self.schema, rules))?;
+        let lapsed = self.terms(&rules_after_expiry(&self.schema, &filled.in_force.fields))?;
         Ok(Ready {
             whole,
             apart,
@@ -119,13 +121,13 @@
         Front::new(ready.whole.config.clone(), Time(0)).map_err(|e| Wrong::run("the ledger", e))?;
     adopt(&mut front, 1, &ready)?;
     adopter.spent = Spent::default();
-    let next = inputs::changed(&log.state().force.fields, &one, 2);
+    let next = inputs::changed(&log.state().in_force.fields, &one, 2);
     let refused = |e| Wrong::run("the change", e);
-    log.apply(Entry::Propose {
+    log.apply(LogEntry::Propose {
         id: 1,
         base: Version(1),
         fields: next,
-        why: "bench".into(),
+        reason: "bench".into(),
     })
     .map_err(refused)?;
     let (mut all, mut adopted) = (Duration::ZERO, Duration::ZERO);
@@ -140,14 +142,14 @@
         let took_up = adopt(&mut front, 2 + n as i64, &ready)?;
         line.figure(step, ms(took + took_up));
         (all, adopted) = (all + took + took_up, adopted + took_up);
-        let from = log.state().step;
+        let from = log.state().revision;
         if log
             .state()
             .next
             .as_ref()
-            .is_some_and(|(_, p)| matches!(p, Phase::Told | Phase::Joint))
+            .is_some_and(|(_, p)| matches!(p, ChangePhase::Announced | ChangePhase::Joint))
         {
-            log.apply(Entry::Advance { from }).map_err(refused)?;
+            log.apply(LogEntry::Advance { from }).map_err(refused)?;
         }
     }
     line.figure("change_ms", ms(all));
--- a/benches/state/tests/state.rs
+++ b/benches/state/tests/state.rs
@@ -3,10 +3,10 @@
 
 use serde_json::Value;
 use std::process::{Command, Output};
-use tansy_agreement::log::{Entry, Version};
+use tansy_agreement::log::{LogEntry, Version};
 use tansy_bench_state::letters::{grant, most, most_functions, state, taken};
 use tansy_bench_state::{here, inputs, Args, What};
-use tansy_fleet_wire::LARGEST;
+use tansy_fleet_wire::MAX_MESSAGE_BYTES;
 use tansy_settings::agree;
 
 fn run(words: &[&str]) -> Output {
@@ -277,11 +277,11 @@
         );
         // A record holds the proposal, and little else.
         let fields = inputs::changed(&inputs::version(&names), &names[0], 2);
-        let entry = Entry::Propose {
+        let entry = LogEntry::Propose {
             id: 1,
             base: Version(1),
             fields,
-            why: "bench".into(),
+            reason: "bench".into(),
         };
         let entry = postcard::to_stdvec(&entry).expect("an encoding").len() as u64;
         assert!(
@@ -333,7 +333,7 @@
     let letter = |functions| grant(state(&inputs::names(functions, 1), true));
     let (under, over) = (letter(most), letter(most + 1));
     assert!(
-        under.len() <= LARGEST && over.len() > LARGEST,
+        under.len() <= MAX_MESSAGE_BYTES && over.len() > MAX_MESSAGE_BYTES,
         "{} and {}",
         under.len(),
         over.len()
--- a/decide/agreement/src/rule.rs
+++ b/decide/agreement/src/compatibility.rs
@@ -89,7 +89,7 @@
                 "B",
             ),
             Value::Number(x) => write!(f, "{x}"),
-            Value::Text(t) => f.write_str(&quoted(t)),
+            Value::Text(t) => f.write_str(&quote(t)),
             Value::List(all) => {
                 let all: Vec<String> = all.iter().map(Value::to_string).collect();
                 write!(f, "[{}]", all.join(", "))
@@ -112,7 +112,7 @@
 }
 
 /// A text in quotes, as a settings file writes it.
-pub fn quoted(text: &str) -> String {
+pub fn quote(text: &str) -> String {
     let mut out = String::from("\"");
     for c in text.chars() {
         match c {
@@ -156,22 +156,22 @@
 
 /// Which of two values binds more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stricter {
+pub enum Restrictiveness {
     /// The smaller: limits, windows, budgets; of flags that allow something, `false`.
-    Least,
+    Smallest,
     /// The larger: counts that a budget is divided by, times to go easy.
-    Most,
+    Largest,
     /// The one named first here. What is not named binds most of all, so that a value of a newer schema is safe.
-    First(&'static [&'static str]),
+    Ranked(&'static [&'static str]),
 }
 
-impl Stricter {
+impl Restrictiveness {
     /// The order from what binds most.
     fn order(self, a: &Value, b: &Value) -> Ordering {
         match self {
-            Stricter::Least => a.cmp(b),
-            Stricter::Most => b.cmp(a),
-            Stricter::First(names) => {
+            Restrictiveness::Smallest => a.cmp(b),
+            Restrictiveness::Largest => b.cmp(a),
+            Restrictiveness::Ranked(names) => {
                 let place = |v: &Value| match v {
                     Value::Text(t) => names.iter().position(|n| n == t).map_or(-1, |p| p as isize),
                     _ => -1,
@@ -182,7 +182,7 @@
     }
 
     /// The one of two that binds more. A field left out binds nothing.
-    pub fn of<'a>(self, a: Option<&'a Value>, b: Option<&'a Value>) -> Option<&'a Value> {
+    pub fn stricter<'a>(self, a: Option<&'a Value>, b: Option<&'a Value>) -> Option<&'a Value> {
         match (a, b) {
             (Some(a), Some(b)) => Some(if self.order(a, b).is_le() { a } else { b }),
             (a, b) => a.or(b),
@@ -190,7 +190,7 @@
     }
 
     /// Whether the first binds at least as much as the second.
-    pub fn binds(self, a: Option<&Value>, b: Option<&Value>) -> bool {
+    pub fn at_least_as_strict(self, a: Option<&Value>, b: Option<&Value>) -> bool {
         match (a, b) {
             (_, None) => true,
             (None, Some(_)) => false,
@@ -201,27 +201,27 @@
 
 /// What a front end does with a field when its lease ran out, so that it contradicts no version that it can't know.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Lapsed {
+pub enum ExpiredLeasePolicy {
     /// It takes the value that binds most of all that may ever be set.
     Strictest(Value),
     /// It refuses the calls that the field touches.
-    Refuse,
+    Reject,
 }
 
 /// How a field agrees.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum Compatibility {
     /// Old and new side by side are harmless.
     Free,
     /// While both may be about, the one that binds more holds.
-    Joint(Stricter, Lapsed),
+    Joint(Restrictiveness, ExpiredLeasePolicy),
     /// Never both: meanwhile the calls that it touches are refused.
     Strict,
 }
 
 /// The calls that a field touches.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Touch {
+pub enum AffectedCalls {
     /// Every call.
     All,
     /// Calls of a class.
@@ -234,7 +234,7 @@
 
 /// A call, as far as rules tell calls apart.
 #[derive(Clone, Copy, Debug)]
-pub struct Call<'a> {
+pub struct CallAttributes<'a> {
     /// Its class.
     pub class: &'a str,
     /// Its tenant.
@@ -243,41 +243,43 @@
     pub function: &'a str,
 }
 
-impl Touch {
+impl AffectedCalls {
     /// Whether this call is among them.
-    pub fn touches(&self, call: Call<'_>) -> bool {
+    pub fn includes(&self, call: CallAttributes<'_>) -> bool {
         match self {
-            Touch::All => true,
-            Touch::Class(c) => c == call.class,
-            Touch::Tenant(t) => t == call.tenant,
-            Touch::Function(f) => f == call.function,
+            AffectedCalls::All => true,
+            AffectedCalls::Class(c) => c == call.class,
+            AffectedCalls::Tenant(t) => t == call.tenant,
+            AffectedCalls::Function(f) => f == call.function,
         }
     }
 
     fn name(&self) -> Option<&str> {
         match self {
-            Touch::All => None,
-            Touch::Class(n) | Touch::Tenant(n) | Touch::Function(n) => Some(n),
+            AffectedCalls::All => None,
+            AffectedCalls::Class(n) | AffectedCalls::Tenant(n) | AffectedCalls::Function(n) => {
+                Some(n)
+            }
         }
     }
 
     fn group(&self) -> &'static str {
         match self {
-            Touch::All => "",
-            Touch::Class(_) => "classes",
-            Touch::Tenant(_) => "tenants",
-            Touch::Function(_) => "functions",
+            AffectedCalls::All => "",
+            AffectedCalls::Class(_) => "classes",
+            AffectedCalls::Tenant(_) => "tenants",
+            AffectedCalls::Function(_) => "functions",
         }
     }
 
     /// By a field's place: what stands under a class, tenant or function touches the calls of that one.
-    pub fn of(path: &str) -> Touch {
+    pub fn of_path(path: &str) -> AffectedCalls {
         let mut parts = path.splitn(3, '.');
         match (parts.next(), parts.next(), parts.next()) {
-            (Some("classes"), Some(c), Some(_)) => Touch::Class(name(c)),
-            (Some("tenants"), Some(t), Some(_)) => Touch::Tenant(name(t)),
-            (Some("functions"), Some(f), Some(_)) => Touch::Function(name(f)),
-            _ => Touch::All,
+            (Some("classes"), Some(c), Some(_)) => AffectedCalls::Class(name(c)),
+            (Some("tenants"), Some(t), Some(_)) => AffectedCalls::Tenant(name(t)),
+            (Some("functions"), Some(f), Some(_)) => AffectedCalls::Function(name(f)),
+            _ => AffectedCalls::All,
         }
     }
 }
@@ -289,12 +291,12 @@
 /// that no pattern fits is strict for all calls, so that what a newer program adds is never taken lightly.
 #[derive(Clone, Debug, Default)]
 pub struct Schema {
-    patterns: Vec<(Vec<String>, Kind)>,
+    patterns: Vec<(Vec<String>, Compatibility)>,
 }
 
 impl Schema {
     /// A schema of these patterns.
-    pub fn new<'a>(patterns: impl IntoIterator<Item = (&'a str, Kind)>) -> Schema {
+    pub fn new<'a>(patterns: impl IntoIterator<Item = (&'a str, Compatibility)>) -> Schema {
         let split = |p: &str| p.split('.').map(String::from).collect();
         Schema {
             patterns: patterns.into_iter().map(|(p, k)| (split(p), k)).collect(),
@@ -302,7 +304,7 @@
     }
 
     /// How the field at this path agrees.
-    pub fn kind(&self, path: &str) -> &Kind {
+    pub fn compatibility(&self, path: &str) -> &Compatibility {
         let fits = |pattern: &[String]| {
             let mut names = path.splitn(pattern.len(), '.');
             pattern
@@ -312,44 +314,44 @@
         self.patterns
             .iter()
             .find(|(p, _)| fits(p))
-            .map_or(&Kind::Strict, |(_, k)| k)
+            .map_or(&Compatibility::Strict, |(_, k)| k)
     }
 }
 
 /// Rules that a front end acts on: values, and the calls that it refuses meanwhile.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Rules {
+pub struct EffectiveRules {
     /// The values in use.
     pub fields: Fields,
     /// Calls that no version agrees on.
-    pub refused: BTreeSet<Touch>,
+    pub rejected: BTreeSet<AffectedCalls>,
     /// Whether calls that name a class, tenant or function of which no field is known are refused as well: a version
     /// that can't be known may have it.
     pub unlisted: bool,
 }
 
-impl Rules {
+impl EffectiveRules {
     /// Those of one version alone.
-    pub fn of(fields: &Fields) -> Rules {
-        Rules {
+    pub fn from_fields(fields: &Fields) -> EffectiveRules {
+        EffectiveRules {
             fields: fields.clone(),
-            ..Rules::default()
+            ..EffectiveRules::default()
         }
     }
 
     /// Whether this call is refused.
-    pub fn refuses(&self, call: Call<'_>) -> bool {
+    pub fn rejects(&self, call: CallAttributes<'_>) -> bool {
         let named = [
-            Touch::Class(call.class.into()),
-            Touch::Tenant(call.tenant.into()),
-            Touch::Function(call.function.into()),
+            AffectedCalls::Class(call.class.into()),
+            AffectedCalls::Tenant(call.tenant.into()),
+            AffectedCalls::Function(call.function.into()),
         ];
-        let unknown = |t: &Touch| !t.name().is_some_and(str::is_empty) && !self.lists(t);
-        self.refused.iter().any(|t| t.touches(call)) || self.unlisted && named.iter().any(unknown)
+        let unknown = |t: &AffectedCalls| !t.name().is_some_and(str::is_empty) && !self.lists(t);
+        self.rejected.iter().any(|t| t.includes(call)) || self.unlisted && named.iter().any(unknown)
     }
 
     /// Whether some field stands under what this names.
-    fn lists(&self, touch: &Touch) -> bool {
+    fn lists(&self, touch: &AffectedCalls) -> bool {
         let (group, Some(name)) = (touch.group(), touch.name()) else {
             return true;
         };
@@ -361,16 +363,16 @@
     }
 
     /// Whether every call that this names is refused.
-    fn out(&self, touch: &Touch) -> bool {
-        self.refused.contains(touch)
-            || self.refused.contains(&Touch::All)
+    fn out(&self, touch: &AffectedCalls) -> bool {
+        self.rejected.contains(touch)
+            || self.rejected.contains(&AffectedCalls::All)
             || self.unlisted && !self.lists(touch)
     }
 }
 
 /// One field that differs between two versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct FieldChange {
     /// Where it stands.
     pub path: String,
     /// Its value before; none: left out.
@@ -378,38 +380,38 @@
     /// And after.
     pub new: Option<Value>,
     /// How it agrees.
-    pub kind: Kind,
+    pub compatibility: Compatibility,
     /// The calls that it touches.
-    pub touch: Touch,
+    pub affected: AffectedCalls,
 }
 
 /// What differs between two versions, in the paths' order.
-pub fn changes(schema: &Schema, old: &Fields, new: &Fields) -> Vec<Change> {
+pub fn changes(schema: &Schema, old: &Fields, new: &Fields) -> Vec<FieldChange> {
     let paths: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
     let differs = paths.into_iter().filter(|p| old.get(*p) != new.get(*p));
-    let change = |p: &String| Change {
+    let change = |p: &String| FieldChange {
         path: p.clone(),
         old: old.get(p).cloned(),
         new: new.get(p).cloned(),
-        kind: schema.kind(p).clone(),
-        touch: Touch::of(p),
+        compatibility: schema.compatibility(p).clone(),
+        affected: AffectedCalls::of_path(p),
     };
     differs.map(change).collect()
 }
 
 /// The rules under which either version may be in force elsewhere: of joint fields the stricter value; calls that a
 /// changed strict field touches are refused; free fields are the newer version's already.
-pub fn joint(schema: &Schema, old: &Fields, new: &Fields) -> Rules {
-    let mut rules = Rules::of(new);
+pub fn joint_rules(schema: &Schema, old: &Fields, new: &Fields) -> EffectiveRules {
+    let mut rules = EffectiveRules::from_fields(new);
     for c in changes(schema, old, new) {
-        match c.kind {
-            Kind::Free => {}
-            Kind::Joint(by, _) => {
-                let held = by.of(c.old.as_ref(), c.new.as_ref()).cloned();
+        match c.compatibility {
+            Compatibility::Free => {}
+            Compatibility::Joint(by, _) => {
+                let held = by.stricter(c.old.as_ref(), c.new.as_ref()).cloned();
                 rules.fields.extend(held.map(|v| (c.path, v)));
             }
-            Kind::Strict => {
-                rules.refused.insert(c.touch);
+            Compatibility::Strict => {
+                rules.rejected.insert(c.affected);
             }
         }
     }
@@ -418,33 +420,42 @@
 
 /// The rules of a front end whose lease is out while its stay is not: every joint field at the value that binds most, since
 /// a version that it doesn't know may be in force; strict fields as they are, since no change of one goes by without it.
-pub fn apart(schema: &Schema, known: Rules) -> Rules {
-    let without = lapsed(schema, &known.fields);
-    let joint = |path: &str| matches!(schema.kind(path), Kind::Joint(..));
+pub fn rules_without_lease(schema: &Schema, known: EffectiveRules) -> EffectiveRules {
+    let without = rules_after_expiry(schema, &known.fields);
+    let joint_rules = |path: &str| matches!(schema.compatibility(path), Compatibility::Joint(..));
     let mut fields = known.fields;
-    fields.extend(without.fields.into_iter().filter(|(path, _)| joint(path)));
+    fields.extend(
+        without
+            .fields
+            .into_iter()
+            .filter(|(path, _)| joint_rules(path)),
+    );
     let refuses = |(path, _): (&String, &Value)| {
-        matches!(schema.kind(path), Kind::Joint(_, Lapsed::Refuse)).then(|| Touch::of(path))
+        matches!(
+            schema.compatibility(path),
+            Compatibility::Joint(_, ExpiredLeasePolicy::Reject)
+        )
+        .then(|| AffectedCalls::of_path(path))
     };
     let refused = fields
         .iter()
         .filter_map(refuses)
-        .chain(known.refused)
+        .chain(known.rejected)
         .collect();
     // A tenant of whom nothing is known may have a limit by now.
-    Rules {
+    EffectiveRules {
         fields,
-        refused,
+        rejected: refused,
         unlisted: true,
     }
 }
 
 /// The rules of a front end that can't know what is in force by now: free fields as they were, joint ones at the value
 /// that binds most, calls that any other field touches refused, and so are calls of what is not known at all.
-pub fn lapsed(schema: &Schema, known: &Fields) -> Rules {
-    let mut rules = Rules {
+pub fn rules_after_expiry(schema: &Schema, known: &Fields) -> EffectiveRules {
+    let mut rules = EffectiveRules {
         unlisted: true,
-        ..Rules::of(known)
+        ..EffectiveRules::from_fields(known)
     };
     // What was left out may be set by now, in general or under any name that is known.
     let names: BTreeSet<(&str, &str)> = known
@@ -465,26 +476,32 @@
             all if all.iter().all(|n| n != "*") => vec![all.join(".")],
             _ => Vec::new(),
         };
-        for path in paths.into_iter().filter(|p| schema.kind(p) == kind) {
+        for path in paths
+            .into_iter()
+            .filter(|p| schema.compatibility(p) == kind)
+        {
             match kind {
-                Kind::Free => {}
-                Kind::Joint(_, Lapsed::Strictest(least)) => {
+                Compatibility::Free => {}
+                Compatibility::Joint(_, ExpiredLeasePolicy::Strictest(least)) => {
                     rules.fields.entry(path).or_insert_with(|| least.clone());
                 }
-                Kind::Joint(_, Lapsed::Refuse) | Kind::Strict => {
-                    rules.refused.insert(Touch::of(&path));
+                Compatibility::Joint(_, ExpiredLeasePolicy::Reject) | Compatibility::Strict => {
+                    rules.rejected.insert(AffectedCalls::of_path(&path));
                 }
             }
         }
     }
     for (path, value) in &mut rules.fields {
-        match schema.kind(path) {
-            Kind::Free => {}
-            Kind::Joint(by, Lapsed::Strictest(least)) => {
-                *value = by.of(Some(value), Some(least)).unwrap_or(least).clone();
+        match schema.compatibility(path) {
+            Compatibility::Free => {}
+            Compatibility::Joint(by, ExpiredLeasePolicy::Strictest(least)) => {
+                *value = by
+                    .stricter(Some(value), Some(least))
+                    .unwrap_or(least)
+                    .clone();
             }
-            Kind::Joint(_, Lapsed::Refuse) | Kind::Strict => {
-                rules.refused.insert(Touch::of(path));
+            Compatibility::Joint(_, ExpiredLeasePolicy::Reject) | Compatibility::Strict => {
+                rules.rejected.insert(AffectedCalls::of_path(path));
             }
         }
     }
@@ -495,21 +512,25 @@
 /// values, or a joint one of which neither is in force where the other binds less than the version in force allows.
 ///
 /// `force` is what is in force by the agreed log; a front end may always bind more than that, never less.
-pub fn contradictions(schema: &Schema, force: &Fields, acting: &Rules) -> Vec<(String, Touch)> {
+pub fn contradictions(
+    schema: &Schema,
+    force: &Fields,
+    acting: &EffectiveRules,
+) -> Vec<(String, AffectedCalls)> {
     let paths: BTreeSet<&String> = force.keys().chain(acting.fields.keys()).collect();
     let wrong = |p: &&String| {
         let (ours, theirs) = (acting.fields.get(*p), force.get(*p));
-        let touch = Touch::of(p);
+        let touch = AffectedCalls::of_path(p);
         !acting.out(&touch)
-            && match schema.kind(p) {
-                Kind::Free => false,
-                Kind::Joint(by, _) => !by.binds(ours, theirs),
-                Kind::Strict => ours != theirs,
+            && match schema.compatibility(p) {
+                Compatibility::Free => false,
+                Compatibility::Joint(by, _) => !by.at_least_as_strict(ours, theirs),
+                Compatibility::Strict => ours != theirs,
             }
     };
     paths
         .into_iter()
         .filter(wrong)
-        .map(|p| (p.clone(), Touch::of(p)))
+        .map(|p| (p.clone(), AffectedCalls::of_path(p)))
         .collect()
 }
--- a/decide/agreement/src/list.rs
+++ b/decide/agreement/src/endpoints.rs
@@ -14,7 +14,7 @@
 
 /// A worker: a name at an address.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Worker {
+pub struct Endpoint {
     /// Its name.
     pub name: String,
     /// Where it listens, as the list writes it.
@@ -23,7 +23,7 @@
 
 /// What is said of a process of a worker, from the least to the last word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Standing {
+pub enum EndpointState {
     /// Takes work.
     Ready,
     /// Finishes what it has.
@@ -34,48 +34,52 @@
 
 /// One line of a list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Line {
+pub struct EndpointRecord {
     /// Whose.
-    pub worker: Worker,
+    pub endpoint: Endpoint,
     /// Which of its processes; a later one is larger.
     pub incarnation: u64,
     /// What is said.
-    pub standing: Standing,
+    pub state: EndpointState,
 }
 
 /// Workers of which leaving is remembered at most; more than any installation has.
-pub const LEAVING: usize = 20_000;
+pub const MAX_DRAINS: usize = 20_000;
 /// For so long what was told is kept after it was last told: longer than any list may lag.
-pub const KEPT_FOR: Time = 24 * 3_600_000_000;
+pub const DRAIN_RETENTION: Time = 24 * 3_600_000_000;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Word {
     incarnation: u64,
-    standing: Standing,
+    standing: EndpointState,
     heard: Time,
 }
 
 /// What was told of workers that leave.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Leaving {
-    words: BTreeMap<Worker, Word>,
+pub struct DrainTable {
+    words: BTreeMap<Endpoint, Word>,
 }
 
-impl Leaving {
+impl DrainTable {
     /// Takes lines that somebody told. Those that tell anything new are returned, to be told on.
-    pub fn hear(&mut self, now: Time, lines: impl IntoIterator<Item = Line>) -> Vec<Line> {
+    pub fn merge(
+        &mut self,
+        now: Time,
+        lines: impl IntoIterator<Item = EndpointRecord>,
+    ) -> Vec<EndpointRecord> {
         let mut new = Vec::new();
         for line in lines {
-            if line.standing == Standing::Ready {
+            if line.state == EndpointState::Ready {
                 continue;
             }
             let word = Word {
                 incarnation: line.incarnation,
-                standing: line.standing,
+                standing: line.state,
                 heard: now,
             };
-            let full = self.words.len() >= LEAVING;
-            match self.words.get_mut(&line.worker) {
+            let full = self.words.len() >= MAX_DRAINS;
+            match self.words.get_mut(&line.endpoint) {
                 Some(k) if (k.incarnation, k.standing) < (word.incarnation, word.standing) => {
                     *k = word
                 }
@@ -87,7 +91,7 @@
                     continue;
                 }
                 None if full => continue,
-                None => drop(self.words.insert(line.worker.clone(), word)),
+                None => drop(self.words.insert(line.endpoint.clone(), word)),
             }
             new.push(line);
         }
@@ -95,27 +99,32 @@
     }
 
     /// What a process of a worker is to be taken for, where a list says this of it.
-    pub fn standing(&self, worker: &Worker, incarnation: u64, listed: Standing) -> Standing {
+    pub fn state_of(
+        &self,
+        worker: &Endpoint,
+        incarnation: u64,
+        listed: EndpointState,
+    ) -> EndpointState {
         match self.words.get(worker) {
             // The one process ended before the other began.
-            Some(w) if w.incarnation > incarnation => Standing::Gone,
+            Some(w) if w.incarnation > incarnation => EndpointState::Gone,
             Some(w) if w.incarnation == incarnation => w.standing.max(listed),
             _ => listed,
         }
     }
 
     /// All that is remembered.
-    pub fn lines(&self) -> impl Iterator<Item = Line> + '_ {
-        self.words.iter().map(|(worker, w)| Line {
-            worker: worker.clone(),
+    pub fn records(&self) -> impl Iterator<Item = EndpointRecord> + '_ {
+        self.words.iter().map(|(worker, w)| EndpointRecord {
+            endpoint: worker.clone(),
             incarnation: w.incarnation,
-            standing: w.standing,
+            state: w.standing,
         })
     }
 
-    /// Forgets what nobody has told for [`KEPT_FOR`].
-    pub fn forget(&mut self, now: Time) {
+    /// Forgets what nobody has told for [`DRAIN_RETENTION`].
+    pub fn expire(&mut self, now: Time) {
         self.words
-            .retain(|_, w| now.saturating_sub(w.heard) < KEPT_FOR);
+            .retain(|_, w| now.saturating_sub(w.heard) < DRAIN_RETENTION);
     }
 }
--- a/decide/agreement/src/log.rs
+++ b/decide/agreement/src/log.rs
@@ -8,7 +8,7 @@
 //! 2. **joint**: both versions may be about; the stricter of the two holds, contested calls are refused.
 //! 3. **in force**: it alone.
 //!
-//! [`Entry::Advance`] is entered only when no front end with a live lease is behind the step that it goes on from (see
+//! [`LogEntry::Advance`] is entered only when no front end with a live lease is behind the step that it goes on from (see
 //! [`crate::lease`]). The other entries need not wait: telling a version changes no rule, and giving one up leads from the
 //! stricter of two back to one of them. One change goes on at a time: a proposal says the version that it starts from, and
 //! is refused when that is not the latest.
@@ -16,15 +16,19 @@
 //! Beside the versions, functions are changed one by one ([`crate::scope`]): these entries take steps of the same count, so
 //! that a lease is for both. What goes by the versions alone is judged by the last step that changed them.
 
+use crate::compatibility::{
+    changes, joint_rules, AffectedCalls, Compatibility, EffectiveRules, FieldChange, Fields, Schema,
+};
 use crate::lease::Member;
-use crate::rule::{changes, joint, Change, Fields, Kind, Rules, Schema, Touch};
-use crate::scope::{self, Catalog, Delta, Kept, Move, Moves, ScopeRequest};
+use crate::scope::{
+    self, CatalogSnapshot, ChangeHistory, ScopeCatalog, ScopeChange, ScopeTransaction, StateDelta,
+};
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use tansy_rollout::{Phase as Rolled, Roll, What};
+use tansy_rollout::{Rollout, RolloutChange, RolloutPhase as Rolled};
 
 /// A version of the settings; 1 is the first, 0 is none.
 #[derive(
@@ -36,29 +40,29 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Step(pub u64);
+pub struct Revision(pub u64);
 
-impl Step {
+impl Revision {
     /// The one after it.
-    pub fn next(self) -> Step {
-        Step(self.0.saturating_add(1))
+    pub fn next(self) -> Revision {
+        Revision(self.0.saturating_add(1))
     }
 }
 
 /// Where the change of a version stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Phase {
+pub enum ChangePhase {
     /// Known to all, acted on by none.
-    Told,
+    Announced,
     /// Both may be about.
     Joint,
     /// It was given up after it had been joint; the one before is acted on alone again.
-    Back,
+    RolledBack,
 }
 
 /// One agreed entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Entry {
+pub enum LogEntry {
     /// A new version, to follow the latest.
     Propose {
         /// The proposer's own id for it: the same proposal told twice is one.
@@ -68,12 +72,12 @@
         /// All of its fields.
         fields: Fields,
         /// Why, for people.
-        why: String,
+        reason: String,
     },
     /// The change goes on by a step, from this one.
     Advance {
         /// The step that all had reached.
-        from: Step,
+        from: Revision,
     },
     /// The change under way is given up.
     Abandon {
@@ -89,7 +93,7 @@
         name: String,
         /// The step that it acts on: none before the last one of the versions, so that whoever is on the roster was waited
         /// for ever since. What functions it holds is not known, so that changes of any wait until it has told.
-        at: Step,
+        revision: Revision,
     },
     /// It is known to act no more.
     Leave {
@@ -97,369 +101,370 @@
         member: Member,
     },
     /// A front end is to keep the log in the place of another: it learns the log first.
-    Seat {
+    BeginVoterReplacement {
         /// The new one.
         new: u64,
         /// Where it is reached.
         address: SocketAddr,
         /// The seat that it takes over.
-        instead: u64,
+        replaced: u64,
     },
     /// It knows the log: from here on what is agreed on needs most of the seats with the old one and most with the new.
-    Swap {
+    EnterJointConsensus {
         /// The new one.
         new: u64,
         /// The old one.
-        instead: u64,
+        replaced: u64,
     },
     /// The old one is a seat no more.
-    Seated {
+    CompleteVoterReplacement {
         /// The new one.
         new: u64,
     },
     /// It did not learn the log in time, or is not wanted any more.
-    Unseat {
+    CancelVoterReplacement {
         /// The new one.
         new: u64,
     },
     /// A step of a change in stages.
-    Roll {
+    Rollout {
         /// Which.
-        entry: Box<tansy_rollout::Entry>,
+        entry: Box<tansy_rollout::RolloutEntry>,
         /// With the beginning of one of settings: all fields of the version that it tries.
         fields: Option<Fields>,
     },
     /// Settings of functions change: they go joint. Each request is taken as a whole or not at all.
-    Change {
+    UpdateScopes {
         /// In the order in which they were made.
-        requests: Vec<ScopeRequest>,
+        transactions: Vec<ScopeTransaction>,
     },
     /// Functions of which all have come as far.
-    Carry {
+    AdvanceScopes {
         /// These come in force, joint since these steps.
-        force: Vec<(String, Step)>,
+        in_force: Vec<(String, Revision)>,
         /// These may change again, in force or given up since these steps.
-        settled: Vec<(String, Step)>,
+        settled: Vec<(String, Revision)>,
     },
     /// Changes of functions are given up.
-    Return {
+    RevertScopes {
         /// Joint since these steps.
-        scopes: Vec<(String, Step)>,
+        scopes: Vec<(String, Revision)>,
     },
 }
 
 /// How far a seat's replacement is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Hand {
+pub enum ReplacementPhase {
     /// The new one learns the log; it has no vote.
     Learning,
     /// Both have a vote.
-    Both,
+    JointConsensus,
 }
 
 /// A seat's replacement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seating {
+pub struct VoterReplacement {
     /// The new one.
     pub new: u64,
     /// Where it is reached.
     pub address: SocketAddr,
     /// The seat that it takes over.
-    pub instead: u64,
+    pub replaced: u64,
     /// How far it is.
-    pub hand: Hand,
+    pub phase: ReplacementPhase,
 }
 
 /// Why an entry changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum EntryRejection {
     /// The proposal was made from another version than the latest.
-    Base {
+    StaleBase {
         /// The latest.
         latest: Version,
     },
     /// Another change is under way.
-    Busy {
+    ChangeInProgress {
         /// Its version.
         with: Version,
     },
     /// It changes no field.
-    Same,
+    NoChange,
     /// The step was taken already, or there is none to take.
-    Past,
+    StaleRevision,
     /// It is in force already, or was never under way.
-    Over,
+    NotInProgress,
     /// A later process of its name has joined.
     Superseded,
     /// It joins from a step that is not the log's.
     Behind,
     /// More front ends than a fleet may have.
-    Full,
+    TooManyMembers,
     /// Another seat is being replaced.
-    Seating,
+    ReplacementInProgress,
     /// It is a seat already.
-    IsSeat,
+    AlreadyVoter,
     /// It is no seat.
-    NoSeat,
+    NotVoter,
     /// No replacement stands at this step.
-    NoSeating,
+    NoReplacement,
     /// Settings are tried in stages.
-    Tried,
+    CanaryInProgress,
     /// The roll refuses it.
-    Roll(tansy_rollout::Refused),
+    Rollout(tansy_rollout::RolloutRejection),
     /// A change of this function is under way.
-    ScopeBusy {
+    ScopeChangeInProgress {
         /// Which.
         scope: String,
     },
     /// The change of this function was made from another revision than its latest.
-    ScopeBase {
+    StaleScopeBase {
         /// Which.
         scope: String,
         /// The latest; the zeroth: there is no such function.
-        revision: Step,
+        revision: Revision,
     },
     /// A request names this function twice.
-    Twice {
+    DuplicateScope {
         /// Which.
         scope: String,
     },
     /// A request has a change without a function's name.
-    NoName,
+    MissingName,
     /// This function stands among the versions' settings, and is to be changed on its own, or the other way round.
-    Elsewhere {
+    DefinedElsewhere {
         /// Which.
         scope: String,
     },
     /// More than may be.
     TooMany {
         /// Of what.
-        what: &'static str,
+        items: &'static str,
         /// How many may be.
-        most: usize,
+        limit: usize,
     },
     /// A front end does not know, or has not said that it knows, settings of single functions.
-    OldProgram {
+    UnsupportedByMember {
         /// Its name.
         name: String,
     },
 }
 
-impl std::fmt::Display for Refused {
+impl std::fmt::Display for EntryRejection {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Refused::Base { latest } => {
+            EntryRejection::StaleBase { latest } => {
                 write!(
                     f,
                     "made from a version that is not the latest, {}: look at it and propose again",
                     latest.0
                 )
             }
-            Refused::Busy { with } => {
+            EntryRejection::ChangeInProgress { with } => {
                 write!(f, "the change to version {} goes on: wait, or abandon it first", with.0)
             }
-            Refused::Same => write!(f, "no field differs from the latest version"),
-            Refused::Past => write!(f, "that step is taken already"),
-            Refused::Over => write!(f, "that version is no change under way"),
-            Refused::Behind => {
+            EntryRejection::NoChange => write!(f, "no field differs from the latest version"),
+            EntryRejection::StaleRevision => write!(f, "that step is taken already"),
+            EntryRejection::NotInProgress => write!(f, "that version is no change under way"),
+            EntryRejection::Behind => {
                 write!(f, "it acts on a step that is past: it has to hear of the present one first")
             }
-            Refused::Superseded => write!(f, "a later process of its name has joined"),
-            Refused::Seating => write!(f, "another seat is being replaced: seats are replaced one at a time"),
-            Refused::IsSeat => write!(f, "the one that is to take over is a seat already"),
-            Refused::NoSeat => write!(f, "the one that is to be replaced is no seat"),
-            Refused::Tried => {
+            EntryRejection::Superseded => write!(f, "a later process of its name has joined"),
+            EntryRejection::ReplacementInProgress => write!(f, "another seat is being replaced: seats are replaced one at a time"),
+            EntryRejection::AlreadyVoter => write!(f, "the one that is to take over is a seat already"),
+            EntryRejection::NotVoter => write!(f, "the one that is to be replaced is no seat"),
+            EntryRejection::CanaryInProgress => {
                 write!(f, "other settings are tried in stages: wait for the end of the roll, or abort it")
             }
-            Refused::Roll(r) => write!(f, "{r}"),
-            Refused::ScopeBusy { scope } => {
+            EntryRejection::Rollout(r) => write!(f, "{r}"),
+            EntryRejection::ScopeChangeInProgress { scope } => {
                 write!(f, "a change of function {scope} goes on: ask again once it is settled")
             }
-            Refused::ScopeBase { scope, revision } => write!(
+            EntryRejection::StaleScopeBase { scope, revision } => write!(
                 f,
                 "made from a revision of function {scope} that is not its latest, {}: look at it and ask again",
                 revision.0
             ),
-            Refused::Twice { scope } => write!(f, "function {scope} is named twice: put its changes into one"),
-            Refused::NoName => write!(f, "a change names no function: each needs a name"),
-            Refused::Elsewhere { scope } => write!(
+            EntryRejection::DuplicateScope { scope } => write!(f, "function {scope} is named twice: put its changes into one"),
+            EntryRejection::MissingName => write!(f, "a change names no function: each needs a name"),
+            EntryRejection::DefinedElsewhere { scope } => write!(
                 f,
                 "function {scope} stands in both the versions' settings and those of single functions: remove it from one first"
             ),
-            Refused::TooMany { what, most } => write!(f, "too many {what}: at most {most}"),
-            Refused::OldProgram { name } => write!(
+            EntryRejection::TooMany { items: what, limit: most } => write!(f, "too many {what}: at most {most}"),
+            EntryRejection::UnsupportedByMember { name } => write!(
                 f,
                 "front end {name} has not said that it knows settings of single functions: update its program, or ask again in a moment"
             ),
-            Refused::NoSeating => write!(f, "no replacement of a seat is that far"),
-            Refused::Full => {
-                write!(f, "{MEMBERS} front ends are in the fleet already: dismiss those that are gone")
+            EntryRejection::NoReplacement => write!(f, "no replacement of a seat is that far"),
+            EntryRejection::TooManyMembers => {
+                write!(f, "{MAX_MEMBERS} front ends are in the fleet already: dismiss those that are gone")
             }
         }
     }
 }
-impl std::error::Error for Refused {}
+impl std::error::Error for EntryRejection {}
 
 /// What an entry did.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// A version is told; its number.
-    Told(Version),
+    Announced(Version),
     /// This proposal was applied before, as this version.
-    Again(Version),
+    Duplicate(Version),
     /// A step was taken.
-    Stepped(Step),
+    Advanced(Revision),
     /// Who may act is another set, or the same.
     Roster,
     /// Who keeps the log, or is about to, is another set.
-    Seats,
+    Voters,
     /// A change in stages went on.
-    Roll,
+    Rollout,
     /// Requests for functions: those that are not among the refused went joint in this step, or did so before.
-    Changed {
+    ScopesChanged {
         /// Which step.
-        step: Step,
+        revision: Revision,
         /// By their places in the entry.
-        refused: Vec<(usize, Refused)>,
+        rejected: Vec<(usize, EntryRejection)>,
     },
 }
 
 /// A version with its fields.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Settings {
+pub struct VersionedSettings {
     /// Its number.
     pub version: Version,
     /// Its fields.
     pub fields: Fields,
     /// Why it was proposed.
-    pub why: String,
+    pub reason: String,
     /// The proposal's id.
     pub id: u64,
 }
 
 /// What all front ends act on: what a lease is for.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
+pub struct FleetState {
     /// The fleet's step.
-    pub step: Step,
+    pub revision: Revision,
     /// In force, or in force until the change under way ends.
-    pub force: Settings,
+    pub in_force: VersionedSettings,
     /// The change under way.
-    pub next: Option<(Settings, Phase)>,
+    pub next: Option<(VersionedSettings, ChangePhase)>,
     /// Settings that some front ends try, in stages, beside the version in force.
-    pub trial: Option<Box<Trial>>,
+    pub canary: Option<Box<Canary>>,
     /// The last step that changed any of these; those after it moved functions alone.
     #[serde(skip)]
-    pub versions_at: Step,
+    pub versions_revision: Revision,
     /// The step from which on functions are agreed on one by one, beside the versions; none: they never were.
     #[serde(skip)]
-    pub scopes_since: Option<Step>,
+    pub scopes_since: Option<Revision>,
     /// How functions moved lately.
     #[serde(skip)]
-    pub moves: Moves,
+    pub history: ChangeHistory,
 }
 
 /// Settings that are tried. Whoever tries them acts on their free fields and on the stricter of both versions' joint ones, so
 /// that it contradicts nobody who acts on the version in force; strict fields can't differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Trial {
+pub struct Canary {
     /// All of its fields.
     pub fields: Fields,
     /// The names of those who try them.
-    pub names: BTreeSet<String>,
+    pub members: BTreeSet<String>,
 }
 
-impl fmt::Debug for State {
-    /// Where functions never were agreed on one by one, nothing is said of them.
+impl fmt::Debug for FleetState {
+    /// Leaves out the fields of single functions in a fleet that never had any.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let State {
-            step,
-            force,
-            next,
-            trial,
-            ..
-        } = self;
-        let mut all = f.debug_struct("State");
-        all.field("step", step)
-            .field("force", force)
-            .field("next", next)
-            .field("trial", trial);
+        let mut text = f.debug_struct("FleetState");
+        text.field("revision", &self.revision)
+            .field("in_force", &self.in_force)
+            .field("next", &self.next)
+            .field("canary", &self.canary);
         if self.scopes_since.is_some() {
-            all.field("versions_at", &self.versions_at);
-            all.field("scopes_since", &self.scopes_since)
-                .field("moves", &self.moves);
+            text.field("versions_revision", &self.versions_revision)
+                .field("scopes_since", &self.scopes_since)
+                .field("history", &self.history);
         }
-        all.finish()
+        text.finish()
     }
 }
 
-impl State {
+impl FleetState {
     /// The same without the moves of functions.
-    pub fn bare(&self) -> State {
-        let (force, next, trial) = (self.force.clone(), self.next.clone(), self.trial.clone());
-        let (step, versions_at, moves) = (self.step, self.versions_at, Moves::after(self.step));
-        State {
-            step,
-            force,
+    pub fn without_history(&self) -> FleetState {
+        let (force, next, trial) = (
+            self.in_force.clone(),
+            self.next.clone(),
+            self.canary.clone(),
+        );
+        let (step, versions_at, moves) = (
+            self.revision,
+            self.versions_revision,
+            ChangeHistory::after(self.revision),
+        );
+        FleetState {
+            revision: step,
+            in_force: force,
             next,
-            trial,
-            versions_at,
+            canary: trial,
+            versions_revision: versions_at,
             scopes_since: self.scopes_since,
-            moves,
+            history: moves,
         }
     }
 
     /// The moves of functions after a step; none: they are not all remembered.
-    pub fn since(&self, from: Step) -> Option<Delta> {
+    pub fn delta_since(&self, from: Revision) -> Option<StateDelta> {
         let moves = self
-            .moves
+            .history
             .since(from)
-            .filter(|_| from <= self.step)?
+            .filter(|_| from <= self.revision)?
             .cloned()
             .collect();
-        Some(Delta {
+        Some(StateDelta {
             from,
-            to: self.step,
-            moves,
+            to: self.revision,
+            changes: moves,
         })
     }
 
     /// Takes up moves of functions. False: some between are missing, and nothing is done.
-    pub fn follow(&mut self, delta: &Delta) -> bool {
-        if delta.from > self.step {
+    pub fn apply_delta(&mut self, delta: &StateDelta) -> bool {
+        if delta.from > self.revision {
             return false;
         }
-        if delta.to > self.step {
-            let known = self.step;
+        if delta.to > self.revision {
+            let known = self.revision;
             self.scopes_since = self
                 .scopes_since
-                .or_else(|| delta.moves.first().map(|m| m.step));
-            self.moves
-                .push(delta.moves.iter().filter(|m| m.step > known).cloned());
-            self.step = delta.to;
+                .or_else(|| delta.changes.first().map(|m| m.revision));
+            self.history
+                .push(delta.changes.iter().filter(|m| m.revision > known).cloned());
+            self.revision = delta.to;
         }
         true
     }
 
     /// The same as the front end of this name acts on it: one that tries settings is in their joint step.
-    pub fn at(&self, name: &str) -> State {
+    pub fn for_member(&self, name: &str) -> FleetState {
         let tries = self
-            .trial
+            .canary
             .as_ref()
-            .filter(|t| self.next.is_none() && t.names.contains(name));
+            .filter(|t| self.next.is_none() && t.members.contains(name));
         let mut state = self.clone();
         state.next = state.next.or_else(|| {
-            let version = self.force.version;
+            let version = self.in_force.version;
             let why = "tried in stages".to_string();
             tries.map(|t| {
                 (
-                    Settings {
+                    VersionedSettings {
                         version,
                         fields: t.fields.clone(),
-                        why,
+                        reason: why,
                         id: 0,
                     },
-                    Phase::Joint,
+                    ChangePhase::Joint,
                 )
             })
         });
@@ -467,10 +472,12 @@
     }
 
     /// The rules of this step.
-    pub fn rules(&self, schema: &Schema) -> Rules {
+    pub fn rules(&self, schema: &Schema) -> EffectiveRules {
         match &self.next {
-            Some((next, Phase::Joint)) => joint(schema, &self.force.fields, &next.fields),
-            _ => Rules::of(&self.force.fields),
+            Some((next, ChangePhase::Joint)) => {
+                joint_rules(schema, &self.in_force.fields, &next.fields)
+            }
+            _ => EffectiveRules::from_fields(&self.in_force.fields),
         }
     }
 
@@ -478,73 +485,75 @@
     pub fn latest(&self) -> Version {
         self.next
             .as_ref()
-            .map_or(self.force.version, |(n, _)| n.version)
+            .map_or(self.in_force.version, |(n, _)| n.version)
     }
 
     /// What the change under way touches in a way that is felt.
-    pub fn contested(&self, schema: &Schema) -> Vec<Change> {
+    pub fn conflicting_fields(&self, schema: &Schema) -> Vec<FieldChange> {
         let next = self.next.as_ref().map(|(n, _)| &n.fields);
-        let all = next.map_or_else(Vec::new, |n| changes(schema, &self.force.fields, n));
-        all.into_iter().filter(|c| c.kind != Kind::Free).collect()
+        let all = next.map_or_else(Vec::new, |n| changes(schema, &self.in_force.fields, n));
+        all.into_iter()
+            .filter(|c| c.compatibility != Compatibility::Free)
+            .collect()
     }
 }
 
 /// Versions that are remembered for `history` and `revert`.
-pub const KEPT: usize = 256;
+pub const MAX_PAST_VERSIONS: usize = 256;
 /// Names that the roster holds at most.
-pub const MEMBERS: usize = 1 << 15;
+pub const MAX_MEMBERS: usize = 1 << 15;
 
 /// The outcome of all entries so far.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Log {
     #[serde(deserialize_with = "of_versions")]
-    state: State,
+    state: FleetState,
     given: Version,
-    past: VecDeque<Settings>,
+    past: VecDeque<VersionedSettings>,
     /// Who may act by a stay: by name, the process and the name in words.
     roster: BTreeMap<u64, (u64, String)>,
     /// Who keeps the log, and where each is reached.
-    seats: BTreeMap<u64, SocketAddr>,
-    seating: Option<Seating>,
+    voters: BTreeMap<u64, SocketAddr>,
+    voter_replacement: Option<VoterReplacement>,
     /// The last change in stages, over or not.
-    roll: Option<Roll>,
+    rollout: Option<Rollout>,
     /// What that tries, if it is one of settings.
     tried: Option<Fields>,
     /// The program that all are to run, by its label and where it is found; none: whatever they were started with.
     program: Option<(String, String)>,
-    /// Functions that are changed one by one. It is held apart ([`Log::kept`]), so that a log from before there were any is
+    /// Functions that are changed one by one. It is held apart ([`Log::catalog_snapshot`]), so that a log from before there were any is
     /// read as it was.
     #[serde(skip)]
-    catalog: Catalog,
+    catalog: ScopeCatalog,
 }
 
 /// A state without functions: all of its steps were of versions.
-fn of_versions<'de, D: Deserializer<'de>>(from: D) -> Result<State, D::Error> {
-    let mut state = State::deserialize(from)?;
+fn of_versions<'de, D: Deserializer<'de>>(from: D) -> Result<FleetState, D::Error> {
+    let mut state = FleetState::deserialize(from)?;
     // Nor is any move forgotten.
-    (state.versions_at, state.moves) = (state.step, Moves::default());
+    (state.versions_revision, state.history) = (state.revision, ChangeHistory::default());
     Ok(state)
 }
 
 impl Log {
     /// A fleet that begins with these fields as its first version, and these seats.
     pub fn new(fields: Fields, seats: impl IntoIterator<Item = (u64, SocketAddr)>) -> Log {
-        let force = Settings {
+        let force = VersionedSettings {
             version: Version(1),
             fields,
-            why: "the first".into(),
+            reason: "the first".into(),
             id: 0,
         };
         let past = VecDeque::from([force.clone()]);
-        let (step, moves) = (Step(1), Moves::default());
-        let state = State {
-            step,
-            force,
+        let (step, moves) = (Revision(1), ChangeHistory::default());
+        let state = FleetState {
+            revision: step,
+            in_force: force,
             next: None,
-            trial: None,
-            versions_at: step,
+            canary: None,
+            versions_revision: step,
             scopes_since: None,
-            moves,
+            history: moves,
         };
         let seats = seats.into_iter().collect();
         Log {
@@ -552,24 +561,26 @@
             given: Version(1),
             past,
             roster: BTreeMap::new(),
-            seats,
-            seating: None,
-            roll: None,
+            voters: seats,
+            voter_replacement: None,
+            rollout: None,
             tried: None,
             program: None,
-            catalog: Catalog::default(),
+            catalog: ScopeCatalog::default(),
         }
     }
 
     /// Functions that are changed one by one.
-    pub fn catalog(&self) -> &Catalog {
+    pub fn catalog(&self) -> &ScopeCatalog {
         &self.catalog
     }
 
     /// What is to be held of functions beside what the log itself is held as; none: there never were any.
-    pub fn kept(&self) -> Option<impl Serialize + '_> {
-        let State {
-            versions_at, moves, ..
+    pub fn catalog_snapshot(&self) -> Option<impl Serialize + '_> {
+        let FleetState {
+            versions_revision: versions_at,
+            history: moves,
+            ..
         } = &self.state;
         // In the order of the fields of `Kept`.
         self.catalog
@@ -578,16 +589,16 @@
     }
 
     /// The same log with what was held of functions.
-    pub fn with(mut self, kept: Kept) -> Log {
+    pub fn with_catalog(mut self, kept: CatalogSnapshot) -> Log {
         self.catalog = kept.catalog;
         self.state.scopes_since = self.catalog.since();
-        (self.state.versions_at, self.state.moves) = (kept.versions_at, kept.moves);
+        (self.state.versions_revision, self.state.history) = (kept.versions_at, kept.moves);
         self
     }
 
     /// The last change in stages, over or not.
-    pub fn roll(&self) -> Option<&Roll> {
-        self.roll.as_ref()
+    pub fn rollout(&self) -> Option<&Rollout> {
+        self.rollout.as_ref()
     }
 
     /// The program that all are to run once no roll says otherwise: its label, and where it is found.
@@ -598,22 +609,22 @@
     }
 
     /// Who keeps the log, and where each is reached.
-    pub fn seats(&self) -> &BTreeMap<u64, SocketAddr> {
-        &self.seats
+    pub fn voters(&self) -> &BTreeMap<u64, SocketAddr> {
+        &self.voters
     }
 
     /// The replacement of a seat under way.
-    pub fn seating(&self) -> Option<Seating> {
-        self.seating
+    pub fn voter_replacement(&self) -> Option<VoterReplacement> {
+        self.voter_replacement
     }
 
     /// What is to be acted on.
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &FleetState {
         &self.state
     }
 
     /// Versions so far, the oldest first, given up ones among them.
-    pub fn history(&self) -> impl Iterator<Item = &Settings> {
+    pub fn history(&self) -> impl Iterator<Item = &VersionedSettings> {
         self.past.iter()
     }
 
@@ -631,7 +642,7 @@
     }
 
     /// Whether this process is on the roster.
-    pub fn lists(&self, member: Member) -> bool {
+    pub fn has_member(&self, member: Member) -> bool {
         self.roster
             .get(&member.id)
             .is_some_and(|(incarnation, _)| *incarnation == member.incarnation)
@@ -640,22 +651,22 @@
     /// Whether the change under way touches a strict field: it then waits for all on the roster.
     pub fn strict(&self, schema: &Schema) -> bool {
         self.state
-            .contested(schema)
+            .conflicting_fields(schema)
             .iter()
-            .any(|c| c.kind == Kind::Strict)
+            .any(|c| c.compatibility == Compatibility::Strict)
     }
 
     /// Whether the change under way has a step to take, once all have reached the one before it.
-    pub fn unsettled(&self) -> bool {
+    pub fn has_open_changes(&self) -> bool {
         self.state.next.is_some()
     }
 
     /// What an entry would do, without doing it: refused, nothing since this proposal was applied before as a version, or
     /// something.
-    pub fn judge(&self, entry: &Entry) -> Result<Option<Version>, Refused> {
+    pub fn validate(&self, entry: &LogEntry) -> Result<Option<Version>, EntryRejection> {
         let next = self.state.next.as_ref();
         let refused = match *entry {
-            Entry::Propose {
+            LogEntry::Propose {
                 id,
                 base,
                 ref fields,
@@ -664,159 +675,193 @@
                 if let Some(known) = self.past.iter().find(|s| s.id == id && id != 0) {
                     return Ok(Some(known.version));
                 }
-                let latest = self.state.force.version;
+                let latest = self.state.in_force.version;
                 match next {
                     _ if self.elsewhere(fields).is_some() => self.elsewhere(fields),
-                    _ if self.trying() => Some(Refused::Tried),
-                    Some((next, _)) => Some(Refused::Busy { with: next.version }),
-                    None if base != latest => Some(Refused::Base { latest }),
-                    None => (*fields == self.state.force.fields).then_some(Refused::Same),
+                    _ if self.trying() => Some(EntryRejection::CanaryInProgress),
+                    Some((next, _)) => {
+                        Some(EntryRejection::ChangeInProgress { with: next.version })
+                    }
+                    None if base != latest => Some(EntryRejection::StaleBase { latest }),
+                    None => {
+                        (*fields == self.state.in_force.fields).then_some(EntryRejection::NoChange)
+                    }
                 }
             }
-            Entry::Advance { from } => {
-                (from != self.state.versions_at || next.is_none()).then_some(Refused::Past)
-            }
-            Entry::Abandon { version } => {
-                let there =
-                    next.is_some_and(|(n, phase)| n.version == version && *phase != Phase::Back);
-                (!there).then_some(Refused::Over)
+            LogEntry::Advance { from } => (from != self.state.versions_revision || next.is_none())
+                .then_some(EntryRejection::StaleRevision),
+            LogEntry::Abandon { version } => {
+                let there = next.is_some_and(|(n, phase)| {
+                    n.version == version && *phase != ChangePhase::RolledBack
+                });
+                (!there).then_some(EntryRejection::NotInProgress)
             }
-            Entry::Join { at, .. } if at < self.state.versions_at || at > self.state.step => {
-                Some(Refused::Behind)
+            LogEntry::Join { revision: at, .. }
+                if at < self.state.versions_revision || at > self.state.revision =>
+            {
+                Some(EntryRejection::Behind)
             }
-            Entry::Join { member, .. } => match self.roster.get(&member.id) {
-                Some((known, _)) => (*known > member.incarnation).then_some(Refused::Superseded),
-                None => (self.roster.len() >= MEMBERS).then_some(Refused::Full),
+            LogEntry::Join { member, .. } => match self.roster.get(&member.id) {
+                Some((known, _)) => {
+                    (*known > member.incarnation).then_some(EntryRejection::Superseded)
+                }
+                None => {
+                    (self.roster.len() >= MAX_MEMBERS).then_some(EntryRejection::TooManyMembers)
+                }
             },
-            Entry::Leave { .. } => None,
-            Entry::Seat { .. } if self.seating.is_some() => Some(Refused::Seating),
-            Entry::Seat { new, .. } if self.seats.contains_key(&new) => Some(Refused::IsSeat),
-            Entry::Seat { instead, .. } => {
-                (!self.seats.contains_key(&instead)).then_some(Refused::NoSeat)
+            LogEntry::Leave { .. } => None,
+            LogEntry::BeginVoterReplacement { .. } if self.voter_replacement.is_some() => {
+                Some(EntryRejection::ReplacementInProgress)
             }
-            Entry::Swap { new, instead } => {
+            LogEntry::BeginVoterReplacement { new, .. } if self.voters.contains_key(&new) => {
+                Some(EntryRejection::AlreadyVoter)
+            }
+            LogEntry::BeginVoterReplacement {
+                replaced: instead, ..
+            } => (!self.voters.contains_key(&instead)).then_some(EntryRejection::NotVoter),
+            LogEntry::EnterJointConsensus {
+                new,
+                replaced: instead,
+            } => {
                 let at = self
-                    .at(new, Hand::Learning)
-                    .is_some_and(|s| s.instead == instead);
-                (!at).then_some(Refused::NoSeating)
+                    .at(new, ReplacementPhase::Learning)
+                    .is_some_and(|s| s.replaced == instead);
+                (!at).then_some(EntryRejection::NoReplacement)
             }
-            Entry::Seated { new } => self
-                .at(new, Hand::Both)
+            LogEntry::CompleteVoterReplacement { new } => self
+                .at(new, ReplacementPhase::JointConsensus)
                 .is_none()
-                .then_some(Refused::NoSeating),
-            Entry::Unseat { new } => self
-                .at(new, Hand::Learning)
+                .then_some(EntryRejection::NoReplacement),
+            LogEntry::CancelVoterReplacement { new } => self
+                .at(new, ReplacementPhase::Learning)
                 .is_none()
-                .then_some(Refused::NoSeating),
-            Entry::Roll {
+                .then_some(EntryRejection::NoReplacement),
+            LogEntry::Rollout {
                 ref entry,
                 ref fields,
-            } => self.judge_roll(entry, fields.as_ref()),
+            } => self.validate_rollout(entry, fields.as_ref()),
             // Each of its requests has an outcome of its own.
-            Entry::Change { ref requests } => requests.is_empty().then_some(Refused::Same),
-            Entry::Carry {
-                ref force,
+            LogEntry::UpdateScopes {
+                transactions: ref requests,
+            } => requests.is_empty().then_some(EntryRejection::NoChange),
+            LogEntry::AdvanceScopes {
+                in_force: ref force,
                 ref settled,
             } => {
                 let any = self.catalog.stands(force, true) || self.catalog.stands(settled, false);
-                (!any).then_some(Refused::Past)
+                (!any).then_some(EntryRejection::StaleRevision)
             }
-            Entry::Return { ref scopes } => {
-                (!self.catalog.stands(scopes, true)).then_some(Refused::Past)
+            LogEntry::RevertScopes { ref scopes } => {
+                (!self.catalog.stands(scopes, true)).then_some(EntryRejection::StaleRevision)
             }
         };
         refused.map_or(Ok(None), Err)
     }
 
     /// What a request for functions would do: refused, nothing since it went joint before in that step, or something.
-    pub fn judge_request(&self, request: &ScopeRequest) -> Result<Option<Step>, Refused> {
+    pub fn validate_transaction(
+        &self,
+        request: &ScopeTransaction,
+    ) -> Result<Option<Revision>, EntryRejection> {
         let versions = [
-            Some(&self.state.force.fields),
+            Some(&self.state.in_force.fields),
             self.state.next.as_ref().map(|(n, _)| &n.fields),
         ];
         let tried = self.tried.as_ref().filter(|_| self.trying());
         let versions: Vec<&Fields> = versions.into_iter().chain([tried]).flatten().collect();
-        self.catalog.judge(request, |scope| {
+        self.catalog.validate(request, |scope| {
             versions.iter().any(|fields| scope::names(fields, scope))
         })
     }
 
     /// A function of the catalog that these fields of a version name.
-    fn elsewhere(&self, fields: &Fields) -> Option<Refused> {
+    fn elsewhere(&self, fields: &Fields) -> Option<EntryRejection> {
         // There is none in a catalog that no change ever went into.
         self.catalog.since()?;
         let functions = fields
             .range("functions.".to_string()..)
             .take_while(|(p, _)| p.starts_with("functions."));
-        let names = functions.filter_map(|(path, _)| match Touch::of(path) {
-            Touch::Function(name) => Some(name),
+        let names = functions.filter_map(|(path, _)| match AffectedCalls::of_path(path) {
+            AffectedCalls::Function(name) => Some(name),
             _ => None,
         });
         let mut named = names.filter(|name| self.catalog.get(name).is_some());
-        named.next().map(|scope| Refused::Elsewhere { scope })
+        named
+            .next()
+            .map(|scope| EntryRejection::DefinedElsewhere { scope })
     }
 
     /// A step that changes the versions, or who tries one.
     fn step(&mut self) {
-        self.state.step = self.state.step.next();
-        self.state.versions_at = self.state.step;
+        self.state.revision = self.state.revision.next();
+        self.state.versions_revision = self.state.revision;
     }
 
     /// A step that moves functions, if it moves any.
-    fn moved(&mut self, moves: Vec<Arc<Move>>) -> Step {
+    fn moved(&mut self, moves: Vec<Arc<ScopeChange>>) -> Revision {
         if !moves.is_empty() {
-            self.state.step = self.state.step.next();
+            self.state.revision = self.state.revision.next();
             self.state.scopes_since = self.catalog.since();
-            self.state.moves.push(moves);
+            self.state.history.push(moves);
         }
-        self.state.step
+        self.state.revision
     }
 
     /// Whether settings are tried in stages.
     fn trying(&self) -> bool {
-        self.roll
+        self.rollout
             .as_ref()
-            .is_some_and(|r| !r.over() && r.what == What::Settings)
+            .is_some_and(|r| !r.over() && r.what == RolloutChange::Settings)
     }
 
-    fn judge_roll(&self, entry: &tansy_rollout::Entry, fields: Option<&Fields>) -> Option<Refused> {
-        use tansy_rollout::{Entry as Step, Refused as No};
-        let Step::Begin { id, what, plan, .. } = entry else {
-            let judged = self.roll.as_ref().map_or(Err(No::Over), |r| r.judge(entry));
-            return judged.err().map(Refused::Roll);
+    fn validate_rollout(
+        &self,
+        entry: &tansy_rollout::RolloutEntry,
+        fields: Option<&Fields>,
+    ) -> Option<EntryRejection> {
+        use tansy_rollout::{RolloutEntry as Revision, RolloutRejection as No};
+        let Revision::Begin { id, what, plan, .. } = entry else {
+            let judged = self
+                .rollout
+                .as_ref()
+                .map_or(Err(No::Over), |r| r.judge(entry));
+            return judged.err().map(EntryRejection::Rollout);
         };
-        match &self.roll {
-            Some(r) if r.id == *id => return Some(Refused::Roll(No::Same)),
-            Some(r) if !r.over() => return Some(Refused::Roll(No::Busy)),
+        match &self.rollout {
+            Some(r) if r.id == *id => return Some(EntryRejection::Rollout(No::Same)),
+            Some(r) if !r.over() => return Some(EntryRejection::Rollout(No::Busy)),
             _ => {}
         }
         if let Some(wrong) = plan.wrong() {
-            return Some(Refused::Roll(No::Plan(wrong)));
+            return Some(EntryRejection::Rollout(No::Plan(wrong)));
         }
         match (&self.state.next, fields) {
-            _ if *what != What::Settings => None,
+            _ if *what != RolloutChange::Settings => None,
             (_, Some(f)) if self.elsewhere(f).is_some() => self.elsewhere(f),
-            (Some((next, _)), _) => Some(Refused::Busy { with: next.version }),
-            (None, Some(f)) if *f != self.state.force.fields => None,
-            (None, _) => Some(Refused::Same),
+            (Some((next, _)), _) => Some(EntryRejection::ChangeInProgress { with: next.version }),
+            (None, Some(f)) if *f != self.state.in_force.fields => None,
+            (None, _) => Some(EntryRejection::NoChange),
         }
     }
 
     /// What follows of a step of a roll: who tries settings; what is in force, or about to be, once it is done.
     fn rolled(&mut self) {
-        let Some(roll) = &self.roll else { return };
+        let Some(roll) = &self.rollout else { return };
         let done = roll.phase == Rolled::Done;
-        if let (What::Program { label, path }, true) = (&roll.what, done) {
+        if let (RolloutChange::Program { label, path }, true) = (&roll.what, done) {
             self.program = Some((label.clone(), path.clone()));
         }
-        let trial = match (&self.tried, roll.what == What::Settings && !roll.over()) {
+        let trial = match (
+            &self.tried,
+            roll.what == RolloutChange::Settings && !roll.over(),
+        ) {
             (Some(fields), true) => {
                 let names = roll.plan.stages.iter().flatten().map(|p| &p.name);
                 let names: BTreeSet<String> = names.filter(|n| roll.new_side(n)).cloned().collect();
                 (!names.is_empty()).then(|| {
-                    Box::new(Trial {
+                    Box::new(Canary {
                         fields: fields.clone(),
-                        names,
+                        members: names,
                     })
                 })
             }
@@ -824,108 +869,117 @@
         };
         let (id, why) = (roll.id, roll.why.clone());
         if let (Some(fields), true) = (self.tried.take_if(|_| roll.over()), done) {
-            self.state.trial = None;
-            self.tell(id, fields, why);
-        } else if self.state.trial != trial {
-            self.state.trial = trial;
+            self.state.canary = None;
+            self.announce(id, fields, why);
+        } else if self.state.canary != trial {
+            self.state.canary = trial;
             self.step();
         }
     }
 
     /// A version is told.
-    fn tell(&mut self, id: u64, fields: Fields, why: String) -> Applied {
+    fn announce(&mut self, id: u64, fields: Fields, why: String) -> ApplyOutcome {
         self.given = Version(self.given.0 + 1);
-        let next = Settings {
+        let next = VersionedSettings {
             version: self.given,
             fields,
-            why,
+            reason: why,
             id,
         };
         self.past.push_back(next.clone());
-        if self.past.len() > KEPT {
+        if self.past.len() > MAX_PAST_VERSIONS {
             self.past.pop_front();
         }
-        self.state.next = Some((next, Phase::Told));
+        self.state.next = Some((next, ChangePhase::Announced));
         self.step();
-        Applied::Told(self.given)
+        ApplyOutcome::Announced(self.given)
     }
 
     /// The replacement of a seat, if it is this one and so far.
-    fn at(&self, new: u64, hand: Hand) -> Option<Seating> {
-        self.seating.filter(|s| (s.new, s.hand) == (new, hand))
+    fn at(&self, new: u64, hand: ReplacementPhase) -> Option<VoterReplacement> {
+        self.voter_replacement
+            .filter(|s| (s.new, s.phase) == (new, hand))
     }
 
     /// Applies one entry. What it returns depends on the entries alone, so that every seat finds the same.
-    pub fn apply(&mut self, entry: Entry) -> Result<Applied, Refused> {
-        if let Some(known) = self.judge(&entry)? {
-            return Ok(Applied::Again(known));
+    pub fn apply(&mut self, entry: LogEntry) -> Result<ApplyOutcome, EntryRejection> {
+        if let Some(known) = self.validate(&entry)? {
+            return Ok(ApplyOutcome::Duplicate(known));
         }
         Ok(match entry {
-            Entry::Propose {
-                id, fields, why, ..
-            } => self.tell(id, fields, why),
-            Entry::Advance { .. } => {
+            LogEntry::Propose {
+                id,
+                fields,
+                reason: why,
+                ..
+            } => self.announce(id, fields, why),
+            LogEntry::Advance { .. } => {
                 match self.state.next.take() {
-                    Some((next, Phase::Told)) => self.state.next = Some((next, Phase::Joint)),
-                    Some((next, Phase::Joint)) => self.state.force = next,
-                    Some((_, Phase::Back)) | None => {}
+                    Some((next, ChangePhase::Announced)) => {
+                        self.state.next = Some((next, ChangePhase::Joint))
+                    }
+                    Some((next, ChangePhase::Joint)) => self.state.in_force = next,
+                    Some((_, ChangePhase::RolledBack)) | None => {}
                 }
                 self.step();
-                Applied::Stepped(self.state.step)
+                ApplyOutcome::Advanced(self.state.revision)
             }
-            Entry::Abandon { .. } => {
+            LogEntry::Abandon { .. } => {
                 // From told on nobody acts on it yet; from joint on all have to be back before another change may begin.
                 let joint = self
                     .state
                     .next
                     .take()
-                    .filter(|(_, phase)| *phase == Phase::Joint);
-                self.state.next = joint.map(|(next, _)| (next, Phase::Back));
+                    .filter(|(_, phase)| *phase == ChangePhase::Joint);
+                self.state.next = joint.map(|(next, _)| (next, ChangePhase::RolledBack));
                 self.step();
-                Applied::Stepped(self.state.step)
+                ApplyOutcome::Advanced(self.state.revision)
             }
-            Entry::Join { member, name, .. } => {
+            LogEntry::Join { member, name, .. } => {
                 self.roster.insert(member.id, (member.incarnation, name));
-                Applied::Roster
+                ApplyOutcome::Roster
             }
-            Entry::Leave { member } => {
-                if self.lists(member) {
+            LogEntry::Leave { member } => {
+                if self.has_member(member) {
                     self.roster.remove(&member.id);
                 }
-                Applied::Roster
+                ApplyOutcome::Roster
             }
-            Entry::Seat {
+            LogEntry::BeginVoterReplacement {
                 new,
                 address,
-                instead,
+                replaced: instead,
             } => {
-                self.seating = Some(Seating {
+                self.voter_replacement = Some(VoterReplacement {
                     new,
                     address,
-                    instead,
-                    hand: Hand::Learning,
+                    replaced: instead,
+                    phase: ReplacementPhase::Learning,
                 });
-                Applied::Seats
+                ApplyOutcome::Voters
             }
-            Entry::Swap { new, .. } => {
-                self.seating.iter_mut().for_each(|s| s.hand = Hand::Both);
-                self.seats.extend(self.seating.map(|s| (new, s.address)));
-                Applied::Seats
+            LogEntry::EnterJointConsensus { new, .. } => {
+                self.voter_replacement
+                    .iter_mut()
+                    .for_each(|s| s.phase = ReplacementPhase::JointConsensus);
+                self.voters
+                    .extend(self.voter_replacement.map(|s| (new, s.address)));
+                ApplyOutcome::Voters
             }
-            Entry::Seated { .. } => {
-                if let Some(seating) = self.seating.take() {
-                    self.seats.remove(&seating.instead);
+            LogEntry::CompleteVoterReplacement { .. } => {
+                if let Some(seating) = self.voter_replacement.take() {
+                    self.voters.remove(&seating.replaced);
                 }
-                Applied::Seats
+                ApplyOutcome::Voters
             }
-            Entry::Unseat { .. } => {
-                self.seating = None;
-                Applied::Seats
+            LogEntry::CancelVoterReplacement { .. } => {
+                self.voter_replacement = None;
+                ApplyOutcome::Voters
             }
-            Entry::Roll { entry, fields } => {
-                match (*entry, &mut self.roll) {
+            LogEntry::Rollout { entry, fields } => {
+                match (*entry, &mut self.rollout) {
                     (
-                        tansy_rollout::Entry::Begin {
+                        tansy_rollout::RolloutEntry::Begin {
                             id,
                             what,
                             plan,
@@ -933,40 +987,50 @@
                         },
                         roll,
                     ) => {
-                        self.tried = fields.filter(|_| what == What::Settings);
-                        *roll = Some(Roll::begin(id, what, plan, why).map_err(Refused::Roll)?);
+                        self.tried = fields.filter(|_| what == RolloutChange::Settings);
+                        *roll = Some(
+                            Rollout::begin(id, what, plan, why).map_err(EntryRejection::Rollout)?,
+                        );
                     }
-                    (entry, Some(roll)) => roll.apply(entry).map_err(Refused::Roll)?,
+                    (entry, Some(roll)) => roll.apply(entry).map_err(EntryRejection::Rollout)?,
                     (_, None) => {}
                 }
                 self.rolled();
-                Applied::Roll
+                ApplyOutcome::Rollout
             }
-            Entry::Change { requests } => {
+            LogEntry::UpdateScopes {
+                transactions: requests,
+            } => {
                 let (mut at, mut moves, mut refused) =
-                    (self.state.step.next(), Vec::new(), Vec::new());
+                    (self.state.revision.next(), Vec::new(), Vec::new());
                 for (n, request) in requests.into_iter().enumerate() {
-                    match self.judge_request(&request) {
+                    match self.validate_transaction(&request) {
                         Ok(None) => self.catalog.change(at, request, &mut moves),
                         Ok(Some(_)) => {}
                         Err(why) => refused.push((n, why)),
                     }
                 }
                 at = self.moved(moves);
-                Applied::Changed { step: at, refused }
+                ApplyOutcome::ScopesChanged {
+                    revision: at,
+                    rejected: refused,
+                }
             }
-            Entry::Carry { force, settled } => {
+            LogEntry::AdvanceScopes {
+                in_force: force,
+                settled,
+            } => {
                 let mut moves = Vec::new();
                 self.catalog.settle(&settled);
                 self.catalog
-                    .end(self.state.step.next(), force, false, &mut moves);
-                Applied::Stepped(self.moved(moves))
+                    .end(self.state.revision.next(), force, false, &mut moves);
+                ApplyOutcome::Advanced(self.moved(moves))
             }
-            Entry::Return { scopes } => {
+            LogEntry::RevertScopes { scopes } => {
                 let mut moves = Vec::new();
                 self.catalog
-                    .end(self.state.step.next(), scopes, true, &mut moves);
-                Applied::Stepped(self.moved(moves))
+                    .end(self.state.revision.next(), scopes, true, &mut moves);
+                ApplyOutcome::Advanced(self.moved(moves))
             }
         })
     }
--- a/decide/agreement/src/hold.rs
+++ b/decide/agreement/src/subscription.rs
@@ -2,7 +2,7 @@
 //!
 //! A front end **wants** a scope from the root, which writes down that it holds it and answers with the scope as it is at a
 //! step. It acts on it once it acts on that step itself, and is told what moves after it with its lease. What it lets **go**
-//! of it acts on no more before it tells. The root's side is [`crate::stay::Register`].
+//! of it acts on no more before it tells. The root's side is [`crate::session::SessionTable`].
 //!
 //! What the two know of each other may never differ such that the root takes it for less than it holds:
 //!
@@ -10,23 +10,23 @@
 //! - An answer counts for what is wanted since a letter that is no later than the one that it answers.
 //! - A letter that tells all that is held tells what is wanted too, since the answer to that may be under way.
 //! - Whenever the root forgot what it knew of this front end it takes it for a holder of everything, and begins a later
-//!   [`Epoch`] with it. Letters and answers of another epoch are not taken, and a front end goes on to later ones alone.
+//!   [`ResyncEpoch`] with it. Letters and answers of another epoch are not taken, and a front end goes on to later ones alone.
 
+use crate::compatibility::{Fields, Schema};
 use crate::lease::{Member, Time};
-use crate::log::{State, Step};
-use crate::rule::{Fields, Schema};
-use crate::scope::{number, Acts, Scoped, NAME};
+use crate::log::{FleetState, Revision};
+use crate::scope::{scope_number, EffectiveSettings, ScopeRecord, MAX_NAME_BYTES};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Scopes that one front end holds, those that it wants among them.
-pub const HELD: usize = 4096;
+pub const MAX_SUBSCRIPTIONS: usize = 4096;
 /// Scopes wanted in one letter.
-pub const WANTS: usize = 256;
+pub const MAX_SCOPES_PER_REQUEST: usize = 256;
 /// Scopes let go in one letter.
-pub const DROPS: usize = 4096;
+pub const MAX_UNSUBSCRIBES_PER_REQUEST: usize = 4096;
 /// What nobody called for so long is let go.
-pub const IDLE: Time = 600_000_000;
+pub const IDLE_TIMEOUT: Time = 600_000_000;
 /// A want that no call waits for any more is given up after this time.
 const UNCALLED: Time = 10_000_000;
 /// What was not answered is told again after this time, the first few times; then ever less often.
@@ -44,17 +44,17 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Epoch {
+pub struct ResyncEpoch {
     /// The term in which the root leads.
     pub term: u64,
     /// Counts up within it.
     pub count: u64,
 }
 
-impl Epoch {
+impl ResyncEpoch {
     /// The one after it.
-    pub fn next(self) -> Epoch {
-        Epoch {
+    pub fn next(self) -> ResyncEpoch {
+        ResyncEpoch {
             count: self.count.saturating_add(1),
             ..self
         }
@@ -63,84 +63,84 @@
 
 /// A front end tells the root what it wants and what it let go.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Want {
+pub struct SubscribeRequest {
     /// Who.
     pub from: Member,
     /// In which epoch.
-    pub epoch: Epoch,
+    pub epoch: ResyncEpoch,
     /// Its letters count up.
     pub seq: u64,
     /// It acts on this step from before it wrote, never on an earlier one again.
-    pub at: Step,
-    /// Scopes that it wants; at most [`WANTS`].
+    pub revision: Revision,
+    /// Scopes that it wants; at most [`MAX_SCOPES_PER_REQUEST`].
     pub scopes: Vec<String>,
-    /// The numbers of those that it let go; at most [`DROPS`].
-    pub drops: Vec<u64>,
-    /// The numbers of all that it may hold beside what it wants with this letter; at most [`HELD`].
-    pub all: Option<Vec<u64>>,
+    /// The numbers of those that it let go; at most [`MAX_UNSUBSCRIBES_PER_REQUEST`].
+    pub unsubscribed: Vec<u64>,
+    /// The numbers of all that it may hold beside what it wants with this letter; at most [`MAX_SUBSCRIPTIONS`].
+    pub full_list: Option<Vec<u64>>,
 }
 
 /// The root's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reply {
+pub struct SubscribeReply {
     /// Whom it is for.
     pub to: Member,
     /// In which epoch.
-    pub epoch: Epoch,
+    pub epoch: ResyncEpoch,
     /// The letter that was taken; none: none was, since all that is held has to be told first.
     pub seq: Option<u64>,
     /// The step that the scopes are of.
-    pub at: Step,
+    pub revision: Revision,
     /// Scopes that it is written down for; none: there is no such function.
-    pub scopes: Vec<(String, Option<Scoped>)>,
+    pub scopes: Vec<(String, Option<ScopeRecord>)>,
 }
 
 /// What is done with a call of a function.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum Admission {
     /// No function is agreed on one by one: the versions say all.
-    Versions,
+    Unscoped,
     /// It is served by these settings of its function.
-    Acts(Fields),
+    Admit(Fields),
     /// There is no such function.
     Unknown,
     /// It is refused.
-    Refused(Why),
+    Reject(RejectReason),
     /// The root is asked: the call waits for that.
     Wait,
 }
 
 /// Why a call is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RejectReason {
     /// Its function's settings are just being changed.
     Changing,
     /// This front end has no stay.
-    NoStay,
+    NoSession,
     /// No function has a name of this length.
-    Name,
+    NameTooLong,
     /// Too many functions are waited for.
-    Full,
+    TooManyPending,
 }
 
-impl std::fmt::Display for Why {
+impl std::fmt::Display for RejectReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Why::Changing => write!(
+            RejectReason::Changing => write!(
                 f,
                 "the function's settings are being changed: try again in a second"
             ),
-            Why::NoStay => write!(
+            RejectReason::NoSession => write!(
                 f,
                 "this front end has not heard from the fleet for long: try another"
             ),
-            Why::Name => write!(
+            RejectReason::NameTooLong => write!(
                 f,
-                "the function's name is over {NAME} bytes long, which none is"
+                "the function's name is over {MAX_NAME_BYTES} bytes long, which none is"
             ),
-            Why::Full => write!(
+            RejectReason::TooManyPending => write!(
                 f,
-                "{HELD} functions are asked for at once here: try again in a second"
+                "{MAX_SUBSCRIPTIONS} functions are asked for at once here: try again in a second"
             ),
         }
     }
@@ -148,9 +148,9 @@
 
 #[derive(Clone, Debug)]
 struct Held {
-    scoped: Scoped,
+    scoped: ScopeRecord,
     /// It may be acted on from this step on.
-    from: Step,
+    from: Revision,
     called: Time,
 }
 
@@ -175,94 +175,94 @@
 
 /// How much a front end holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
-    /// So many scopes, those that it wants among them; at most [`HELD`].
-    pub held: usize,
+pub struct SubscriptionLimits {
+    /// So many scopes, those that it wants among them; at most [`MAX_SUBSCRIPTIONS`].
+    pub subscriptions: usize,
     /// What nobody called for so long is let go, microseconds.
     pub idle: Time,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds {
-            held: HELD,
-            idle: IDLE,
+impl Default for SubscriptionLimits {
+    fn default() -> SubscriptionLimits {
+        SubscriptionLimits {
+            subscriptions: MAX_SUBSCRIPTIONS,
+            idle: IDLE_TIMEOUT,
         }
     }
 }
 
 /// A front end's side.
 #[derive(Clone, Debug)]
-pub struct Holding {
-    bounds: Bounds,
+pub struct ScopeSubscriptions {
+    bounds: SubscriptionLimits,
     me: Member,
-    began: bool,
-    epoch: Epoch,
+    has_scopes: bool,
+    epoch: ResyncEpoch,
     seq: u64,
     told: Told,
     /// What is held is right as of this step.
-    step: Step,
-    held: BTreeMap<String, Held>,
-    wanted: BTreeMap<String, Wanted>,
+    step: Revision,
+    len: BTreeMap<String, Held>,
+    pending: BTreeMap<String, Wanted>,
     /// How many of them share a number.
     numbers: BTreeMap<u64, u32>,
     /// Let go, with the first letter that told it.
     drops: BTreeMap<u64, Option<u64>>,
     last: Time,
-    next: Time,
+    next_deadline: Time,
     sweep: Time,
     unanswered: u32,
     changes: u64,
-    squeezed: u64,
-    contested: Step,
+    evicted: u64,
+    conflicting_revision: Revision,
 }
 
-impl Holding {
+impl ScopeSubscriptions {
     /// Nothing is held yet.
-    pub fn new(me: Member, bounds: Bounds, now: Time) -> Holding {
-        Holding {
-            bounds: Bounds {
-                held: bounds.held.clamp(1, HELD),
+    pub fn new(me: Member, bounds: SubscriptionLimits, now: Time) -> ScopeSubscriptions {
+        ScopeSubscriptions {
+            bounds: SubscriptionLimits {
+                subscriptions: bounds.subscriptions.clamp(1, MAX_SUBSCRIPTIONS),
                 ..bounds
             },
             me,
-            began: false,
-            epoch: Epoch::default(),
+            has_scopes: false,
+            epoch: ResyncEpoch::default(),
             seq: 0,
             told: Told::Yes,
-            step: Step(0),
-            held: BTreeMap::new(),
-            wanted: BTreeMap::new(),
+            step: Revision(0),
+            len: BTreeMap::new(),
+            pending: BTreeMap::new(),
             numbers: BTreeMap::new(),
             drops: BTreeMap::new(),
             last: now - PACE,
-            next: Time::MAX,
+            next_deadline: Time::MAX,
             sweep: now + SWEEP,
             unanswered: 0,
             changes: 0,
-            squeezed: 0,
-            contested: Step(0),
+            evicted: 0,
+            conflicting_revision: Revision(0),
         }
     }
 
     /// Whether there are scopes, as far as it knows.
-    pub fn began(&self) -> bool {
-        self.began || self.epoch > Epoch::default()
+    pub fn has_scopes(&self) -> bool {
+        self.has_scopes || self.epoch > ResyncEpoch::default()
     }
 
     /// How many scopes are held.
-    pub fn held(&self) -> usize {
-        self.held.len()
+    pub fn len(&self) -> usize {
+        self.len.len()
     }
 
     /// How many are wanted.
-    pub fn wanted(&self) -> usize {
-        self.wanted.len()
+    pub fn pending(&self) -> usize {
+        self.pending.len()
     }
 
     /// How many were let go since there was no room for others.
-    pub fn squeezed(&self) -> u64 {
-        self.squeezed
+    pub fn evicted(&self) -> u64 {
+        self.evicted
     }
 
     /// Counts up whenever a call might be answered otherwise than before.
@@ -271,14 +271,14 @@
     }
 
     /// Bytes that what is held takes, about.
-    pub fn weight(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         let held: usize = self
-            .held
+            .len
             .iter()
-            .map(|(name, h)| 2 * name.len() + 64 + h.scoped.weight())
+            .map(|(name, h)| 2 * name.len() + 64 + h.scoped.memory_bytes())
             .sum();
         held + self
-            .wanted
+            .pending
             .keys()
             .map(|name| 2 * name.len() + 64)
             .sum::<usize>()
@@ -287,54 +287,61 @@
 
     /// The last step in which a scope that the root may wait for went into a change of strict fields: it is to be told that
     /// this step is acted on.
-    pub fn contested(&self) -> Step {
-        self.contested
+    pub fn conflicting_revision(&self) -> Revision {
+        self.conflicting_revision
     }
 
     /// Whether such a change goes on.
-    pub fn awaited(&self, schema: &Schema) -> bool {
+    pub fn delays_change(&self, schema: &Schema) -> bool {
         let held = |(name, h): (&String, &Held)| {
             h.scoped.next().is_some() && h.scoped.strict(schema, name)
         };
-        self.wanted.values().any(|w| w.joint) || self.held.iter().any(held)
+        self.pending.values().any(|w| w.joint) || self.len.iter().any(held)
     }
 
     /// What it acts on of a scope, without a call of it; none: it may not act on it. `lease`: whether its lease lives.
-    pub fn acts(&self, schema: &Schema, scope: &str, lease: bool) -> Option<Acts> {
-        let held = self.held.get(scope).filter(|h| h.from <= self.step)?;
+    pub fn effective_settings(
+        &self,
+        schema: &Schema,
+        scope: &str,
+        lease: bool,
+    ) -> Option<EffectiveSettings> {
+        let held = self.len.get(scope).filter(|h| h.from <= self.step)?;
         let acts = if lease {
-            held.scoped.acts(schema, scope)
+            held.scoped.effective(schema, scope)
         } else {
-            held.scoped.apart(schema, scope)
+            held.scoped.effective_without_lease(schema, scope)
         };
         Some(acts)
     }
 
     /// A call of a function arrives; `lease`: whether its lease lives, while its stay does.
-    pub fn called(&mut self, now: Time, schema: &Schema, scope: &str, lease: bool) -> Call {
-        if scope.len() > NAME {
-            return Call::Refused(Why::Name);
+    pub fn admit(&mut self, now: Time, schema: &Schema, scope: &str, lease: bool) -> Admission {
+        if scope.len() > MAX_NAME_BYTES {
+            return Admission::Reject(RejectReason::NameTooLong);
         }
-        if let Some(held) = self.held.get_mut(scope) {
+        if let Some(held) = self.len.get_mut(scope) {
             held.called = now;
-            return match self.acts(schema, scope, lease) {
-                None => Call::Wait,
-                Some(Acts { refused: true, .. }) => Call::Refused(Why::Changing),
-                Some(Acts {
+            return match self.effective_settings(schema, scope, lease) {
+                None => Admission::Wait,
+                Some(EffectiveSettings { rejected: true, .. }) => {
+                    Admission::Reject(RejectReason::Changing)
+                }
+                Some(EffectiveSettings {
                     fields: Some(fields),
                     ..
-                }) => Call::Acts(fields),
-                Some(Acts { fields: None, .. }) => Call::Unknown,
+                }) => Admission::Admit(fields),
+                Some(EffectiveSettings { fields: None, .. }) => Admission::Unknown,
             };
         }
-        if let Some(wanted) = self.wanted.get_mut(scope) {
+        if let Some(wanted) = self.pending.get_mut(scope) {
             wanted.called = now;
-            return Call::Wait;
+            return Admission::Wait;
         }
         if !self.room() {
-            return Call::Refused(Why::Full);
+            return Admission::Reject(RejectReason::TooManyPending);
         }
-        self.wanted.insert(
+        self.pending.insert(
             scope.to_string(),
             Wanted {
                 since: None,
@@ -345,40 +352,40 @@
         );
         self.count(scope);
         self.soon(now);
-        Call::Wait
+        Admission::Wait
     }
 
     /// Makes room for one more, by what was called least recently.
     fn room(&mut self) -> bool {
-        if self.held.len() + self.wanted.len() < self.bounds.held {
+        if self.len.len() + self.pending.len() < self.bounds.subscriptions {
             return true;
         }
         let mut oldest: Vec<(Time, String)> = self
-            .held
+            .len
             .iter()
             .map(|(name, h)| (h.called, name.clone()))
             .collect();
         oldest.sort_unstable();
-        oldest.truncate((self.bounds.held / ROOM).max(1));
-        self.squeezed += oldest.len() as u64;
+        oldest.truncate((self.bounds.subscriptions / ROOM).max(1));
+        self.evicted += oldest.len() as u64;
         oldest.iter().for_each(|(_, name)| self.let_go(name));
         !oldest.is_empty()
     }
 
     fn count(&mut self, scope: &str) {
-        let number = number(scope);
+        let number = scope_number(scope);
         *self.numbers.entry(number).or_insert(0) += 1;
         self.drops.remove(&number);
     }
 
     /// Acts on it no more, and tells.
     fn let_go(&mut self, scope: &str) {
-        let held = self.held.remove(scope).is_some();
-        let sent = self.wanted.remove(scope).map(|w| w.since.is_some());
+        let held = self.len.remove(scope).is_some();
+        let sent = self.pending.remove(scope).map(|w| w.since.is_some());
         if !held && sent.is_none() {
             return;
         }
-        let number = number(scope);
+        let number = scope_number(scope);
         let left = self.numbers.get_mut(&number).map_or(0, |n| {
             *n -= 1;
             *n
@@ -389,7 +396,7 @@
                 self.drops.insert(number, None);
             }
         }
-        if self.drops.len() > DROPS {
+        if self.drops.len() > MAX_UNSUBSCRIBES_PER_REQUEST {
             // All that is left is told instead.
             self.drops.clear();
             self.told = Told::No;
@@ -398,12 +405,12 @@
 
     /// Something is to be told.
     fn soon(&mut self, now: Time) {
-        self.next = self.next.min(now.max(self.last + PACE));
+        self.next_deadline = self.next_deadline.min(now.max(self.last + PACE));
     }
 
     /// Another root is seen: what it knows of this front end is asked for at once, if any root ever did.
-    pub fn rooted(&mut self, now: Time) {
-        if self.epoch > Epoch::default() {
+    pub fn on_new_leader(&mut self, now: Time) {
+        if self.epoch > ResyncEpoch::default() {
             self.told = Told::No;
             self.unanswered = 0;
             self.soon(now);
@@ -412,39 +419,39 @@
 
     /// Its stay ran out: others may have gone on without it since. It lets go of all that it held, and what was asked before is not
     /// answered by what the root said then. Has to come before another stay is taken up.
-    pub fn lapsed(&mut self, now: Time) {
-        let held: Vec<String> = self.held.keys().cloned().collect();
+    pub fn on_session_expired(&mut self, now: Time) {
+        let held: Vec<String> = self.len.keys().cloned().collect();
         held.iter().for_each(|name| self.let_go(name));
-        for w in self.wanted.values_mut() {
+        for w in self.pending.values_mut() {
             (w.since, w.sent) = (None, Time::MIN);
         }
-        if !held.is_empty() || !self.wanted.is_empty() {
+        if !held.is_empty() || !self.pending.is_empty() {
             self.changes += 1;
             self.soon(now);
         }
     }
 
     /// What is acted on is at a later step. Has to come before anything is told of that step.
-    pub fn follow(&mut self, now: Time, state: &State, schema: &Schema) {
-        if state.step <= self.step {
+    pub fn on_state(&mut self, now: Time, state: &FleetState, schema: &Schema) {
+        if state.revision <= self.step {
             return;
         }
-        let (before, known) = (self.step, state.moves.from());
-        self.step = state.step;
+        let (before, known) = (self.step, state.history.from());
+        self.step = state.revision;
         self.changes += 1;
-        if state.scopes_since.is_some() && !self.began() {
+        if state.scopes_since.is_some() && !self.has_scopes() {
             // No change goes on before all have said so.
-            (self.began, self.told) = (true, Told::No);
+            (self.has_scopes, self.told) = (true, Told::No);
             self.soon(now);
         }
         // What moved meanwhile is not known of these.
         let forgotten = |h: &Held| {
             let right_at = h.from.max(before);
-            right_at < known && right_at < state.step
+            right_at < known && right_at < state.revision
         };
         if before < known {
             let gone: Vec<String> = self
-                .held
+                .len
                 .iter()
                 .filter(|(_, h)| forgotten(h))
                 .map(|(name, _)| name.clone())
@@ -454,29 +461,35 @@
                 self.soon(now);
             }
         }
-        for m in state.moves.since(before.max(known)).into_iter().flatten() {
-            let held = self.held.get_mut(&m.scope).filter(|h| m.step > h.from);
-            let wanted = self.wanted.get_mut(&m.scope);
+        for m in state.history.since(before.max(known)).into_iter().flatten() {
+            let held = self.len.get_mut(&m.scope).filter(|h| m.revision > h.from);
+            let wanted = self.pending.get_mut(&m.scope);
             if held.is_none() && wanted.is_none() {
                 continue;
             }
-            let joint = m.to.strict(schema, &m.scope);
+            let joint = m.record.strict(schema, &m.scope);
             if let Some(held) = held {
-                held.scoped = m.to.clone();
+                held.scoped = m.record.clone();
             }
             if let Some(wanted) = wanted {
                 wanted.joint = joint;
             }
             if joint {
-                self.contested = self.contested.max(m.step);
+                self.conflicting_revision = self.conflicting_revision.max(m.revision);
             }
         }
     }
 
     /// Takes an answer. `state`: what is acted on.
-    pub fn granted(&mut self, now: Time, reply: Reply, state: Option<&State>, schema: &Schema) {
+    pub fn on_reply(
+        &mut self,
+        now: Time,
+        reply: SubscribeReply,
+        state: Option<&FleetState>,
+        schema: &Schema,
+    ) {
         if let Some(state) = state {
-            self.follow(now, state, schema);
+            self.on_state(now, state, schema);
         }
         if reply.to != self.me || reply.epoch < self.epoch {
             return;
@@ -485,7 +498,7 @@
             // The root knows nothing of this front end, whatever else it says.
             (self.epoch, self.told, self.unanswered) = (reply.epoch, Told::No, 0);
             self.drops.clear();
-            for w in self.wanted.values_mut() {
+            for w in self.pending.values_mut() {
                 (w.since, w.sent) = (None, Time::MIN);
             }
             return self.soon(now);
@@ -499,7 +512,7 @@
             self.told = Told::Yes;
         }
         for (name, scoped) in reply.scopes {
-            let Some(wanted) = self.wanted.get_mut(&name) else {
+            let Some(wanted) = self.pending.get_mut(&name) else {
                 continue;
             };
             if wanted.since.is_none_or(|since| since > seq) {
@@ -507,45 +520,44 @@
             }
             let mut held = Held {
                 scoped: scoped.unwrap_or_default(),
-                from: reply.at,
+                from: reply.revision,
                 called: wanted.called,
             };
-            if reply.at < self.step {
+            if reply.revision < self.step {
                 // What moved since has to be known.
-                let known = state.filter(|s| s.step == self.step);
-                let Some(moves) = known.and_then(|s| s.moves.since(reply.at)) else {
+                let known = state.filter(|s| s.revision == self.step);
+                let Some(moves) = known.and_then(|s| s.history.since(reply.revision)) else {
                     (wanted.since, wanted.sent) = (None, Time::MIN);
                     self.soon(now);
                     continue;
                 };
                 if let Some(m) = moves.filter(|m| m.scope == name).last() {
-                    held.scoped = m.to.clone();
+                    held.scoped = m.record.clone();
                 }
                 held.from = self.step;
             }
-            if let (Some(since), true) = (
-                held.scoped.standing.since(),
-                held.scoped.strict(schema, &name),
-            ) {
-                self.contested = self.contested.max(since);
+            if let (Some(since), true) =
+                (held.scoped.phase.since(), held.scoped.strict(schema, &name))
+            {
+                self.conflicting_revision = self.conflicting_revision.max(since);
             }
-            self.wanted.remove(&name);
-            self.held.insert(name, held);
+            self.pending.remove(&name);
+            self.len.insert(name, held);
             self.changes += 1;
         }
     }
 
     /// What time brings: what was not called lately is let go; a letter, if one is to be sent. `stay`: whether its stay
     /// lives; without one nothing is asked for. `at`: the step that is acted on.
-    pub fn tick(&mut self, now: Time, at: Step, stay: bool) -> Option<Want> {
+    pub fn tick(&mut self, now: Time, at: Revision, stay: bool) -> Option<SubscribeRequest> {
         if now >= self.sweep {
             self.sweep = now + SWEEP;
             let idle = self
-                .held
+                .len
                 .iter()
                 .filter(|(_, h)| now.saturating_sub(h.called) >= self.bounds.idle);
             let uncalled = self
-                .wanted
+                .pending
                 .iter()
                 .filter(|(_, w)| now.saturating_sub(w.called) >= UNCALLED);
             let gone: BTreeSet<String> = idle
@@ -557,21 +569,21 @@
                 self.soon(now);
             }
         }
-        if now < self.next {
+        if now < self.next_deadline {
             return None;
         }
-        let nothing = self.told == Told::Yes && self.wanted.is_empty() && self.drops.is_empty();
+        let nothing = self.told == Told::Yes && self.pending.is_empty() && self.drops.is_empty();
         if nothing {
-            self.next = Time::MAX;
+            self.next_deadline = Time::MAX;
             return None;
         }
         let (most, doublings) = (UNANSWERED.0, UNANSWERED.1);
         let wait = AGAIN << (self.unanswered / most).min(doublings);
-        self.next = now + wait;
-        stay.then(|| self.letter(now, at, wait))
+        self.next_deadline = now + wait;
+        stay.then(|| self.request(now, at, wait))
     }
 
-    fn letter(&mut self, now: Time, at: Step, wait: Time) -> Want {
+    fn request(&mut self, now: Time, at: Revision, wait: Time) -> SubscribeRequest {
         self.seq += 1;
         self.last = now;
         self.unanswered = self.unanswered.saturating_add(1);
@@ -583,31 +595,31 @@
                     self.told = Told::Since(seq);
                 }
                 let asked = self
-                    .wanted
+                    .pending
                     .iter()
                     .filter(|(_, w)| w.since.is_some())
                     .map(|(name, _)| name);
                 let all: BTreeSet<u64> = self
-                    .held
+                    .len
                     .keys()
                     .chain(asked)
-                    .map(|name| number(name))
+                    .map(|name| scope_number(name))
                     .collect();
                 Some(all.into_iter().collect())
             }
         };
         let mut due: Vec<(Time, &String)> = self
-            .wanted
+            .pending
             .iter()
             .filter(|(_, w)| w.sent.saturating_add(wait) <= now)
             .map(|(name, w)| (w.sent, name))
             .collect();
         due.sort_unstable();
-        let more = due.len() > WANTS;
-        due.truncate(WANTS);
+        let more = due.len() > MAX_SCOPES_PER_REQUEST;
+        due.truncate(MAX_SCOPES_PER_REQUEST);
         let scopes: Vec<String> = due.into_iter().map(|(_, name)| name.clone()).collect();
         for name in &scopes {
-            if let Some(w) = self.wanted.get_mut(name) {
+            if let Some(w) = self.pending.get_mut(name) {
                 w.sent = now;
                 w.since.get_or_insert(seq);
             }
@@ -619,19 +631,19 @@
         self.drops.values_mut().for_each(|first| {
             first.get_or_insert(seq);
         });
-        Want {
+        SubscribeRequest {
             from: self.me,
             epoch: self.epoch,
             seq,
-            at,
+            revision: at,
             scopes,
-            drops,
-            all,
+            unsubscribed: drops,
+            full_list: all,
         }
     }
 
-    /// When [`Holding::tick`] has something to do.
-    pub fn next(&self) -> Time {
-        self.next.min(self.sweep)
+    /// When [`ScopeSubscriptions::tick`] has something to do.
+    pub fn next_deadline(&self) -> Time {
+        self.next_deadline.min(self.sweep)
     }
 }
--- a/decide/agreement/tests/checked.rs
+++ b/decide/agreement/tests/checked.rs
@@ -4,16 +4,21 @@
 
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
-use tansy_agreement::lease::{Ask, Grant, Granter, Holder, Member, Terms};
-use tansy_agreement::log::Step;
+use tansy_agreement::lease::{
+    LeaseGrant, LeaseGranter, LeaseHolder, LeaseRequest, LeaseTiming, Member,
+};
+use tansy_agreement::log::Revision;
 
-const TERMS: Terms = Terms { span: 2, ppm: 0 };
+const TERMS: LeaseTiming = LeaseTiming {
+    span: 2,
+    drift_ppm: 0,
+};
 const FRONTS: usize = 3;
 /// Asks that a front end may send, and all together.
 const ASKS: u8 = 2;
 const ALL_ASKS: u8 = 3;
 /// Two changes of three steps each.
-const LAST: Step = Step(7);
+const LAST: Revision = Revision(7);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Plant {
@@ -34,7 +39,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Front {
-    holder: Holder<Step>,
+    holder: LeaseHolder<Revision>,
     incarnation: u64,
     asks: u8,
 }
@@ -42,13 +47,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     now: i64,
-    step: Step,
-    granter: Granter,
+    step: Revision,
+    granter: LeaseGranter,
     fronts: Vec<Front>,
     asked: u8,
     renewed: bool,
-    asks: BTreeSet<Ask>,
-    grants: BTreeSet<Grant<Step>>,
+    asks: BTreeSet<LeaseRequest>,
+    grants: BTreeSet<LeaseGrant<Revision>>,
     seat_may_crash: bool,
     front_may_crash: bool,
 }
@@ -57,9 +62,9 @@
 enum Act {
     Time,
     Ask(usize),
-    Answer(Ask),
+    Answer(LeaseRequest),
     Renew,
-    Take(Grant<Step>),
+    Take(LeaseGrant<Revision>),
     Advance,
     CrashSeat,
     CrashFront(usize),
@@ -71,14 +76,14 @@
         incarnation,
     };
     Front {
-        holder: Holder::new(TERMS, me),
+        holder: LeaseHolder::new(TERMS, me),
         incarnation,
         asks: 0,
     }
 }
 
 /// The version that a step acts on alone; none while two may be about.
-fn alone(step: Step) -> Option<u64> {
+fn alone(step: Revision) -> Option<u64> {
     match step.0 {
         3 | 6 => None,
         1 | 2 => Some(1),
@@ -88,8 +93,8 @@
 }
 
 /// Whether a step may be acted on beside another.
-fn agree(a: Step, b: Step) -> bool {
-    let about = |s: Step| match s.0 {
+fn agree(a: Revision, b: Revision) -> bool {
+    let about = |s: Revision| match s.0 {
         3 => vec![1, 2],
         6 => vec![2, 3],
         _ => alone(s).into_iter().collect(),
@@ -109,8 +114,8 @@
     fn init_states(&self) -> Vec<World> {
         vec![World {
             now: 0,
-            step: Step(1),
-            granter: Granter::new(TERMS, 8, None),
+            step: Revision(1),
+            granter: LeaseGranter::new(TERMS, 8, None),
             fronts: (0..FRONTS).map(|n| front(n, 1)).collect(),
             asked: 0,
             renewed: false,
@@ -140,7 +145,7 @@
             acts.push(Act::Renew);
         }
         acts.extend(w.grants.iter().map(|g| Act::Take(g.clone())));
-        let reached = w.granter.reached(w.now, w.step) || self.plant == Plant::NotReached;
+        let reached = w.granter.all_at_least(w.now, w.step) || self.plant == Plant::NotReached;
         if w.step < LAST && reached {
             acts.push(Act::Advance);
         }
@@ -157,7 +162,7 @@
                 let f = &mut w.fronts[n];
                 f.asks += 1;
                 w.asked += 1;
-                w.asks.insert(f.holder.ask(w.now, None));
+                w.asks.insert(f.holder.request(w.now, None));
             }
             Act::Answer(ask) => {
                 w.asks.remove(&ask);
@@ -169,13 +174,13 @@
                 w.grants.extend(w.granter.grant(w.now, &ask, &w.step, left));
             }
             Act::Renew => {
-                for (to, seq, span) in w.granter.renewed(w.now, w.step, i64::MAX) {
+                for (to, seq, span) in w.granter.extend_live_leases(w.now, w.step, i64::MAX) {
                     w.renewed = true;
-                    w.grants.insert(Grant {
+                    w.grants.insert(LeaseGrant {
                         to,
                         seq,
                         span,
-                        step: w.step,
+                        revision: w.step,
                         state: None,
                         delta: None,
                     });
@@ -185,9 +190,9 @@
                 w.grants.remove(&grant);
                 let f = &mut w.fronts[grant.to.id as usize - 1];
                 if self.plant == Plant::CountedFromAnswer && f.incarnation == grant.to.incarnation {
-                    grant.seq = f.holder.ask(w.now, None).seq;
+                    grant.seq = f.holder.request(w.now, None).seq;
                 }
-                f.holder.granted(grant);
+                f.holder.on_grant(grant);
             }
             Act::Advance => {
                 let skip = self.plant == Plant::NoJoint && alone(w.step.next()).is_none();
@@ -201,7 +206,7 @@
                 w.seat_may_crash = false;
                 // Its step is on its disk; whom it granted to is not.
                 let waits = (self.plant != Plant::NoWait).then_some(w.now);
-                w.granter = Granter::new(TERMS, 8, waits);
+                w.granter = LeaseGranter::new(TERMS, 8, waits);
             }
             Act::CrashFront(n) => {
                 w.front_may_crash = false;
@@ -233,18 +238,20 @@
                 w.step == LAST
             }),
             Property::sometimes("a front end acts on the last of them", |_, w: &World| {
-                w.fronts.iter().any(|f| f.holder.acts(w.now) == Some(&LAST))
+                w.fronts
+                    .iter()
+                    .any(|f| f.holder.active_state(w.now) == Some(&LAST))
             }),
         ]
     }
 }
 
 /// What each would act on now, the seat among them.
-fn acting(w: &World) -> Vec<Step> {
+fn acting(w: &World) -> Vec<Revision> {
     let fronts = w
         .fronts
         .iter()
-        .filter_map(|f| f.holder.acts(w.now).copied());
+        .filter_map(|f| f.holder.active_state(w.now).copied());
     fronts.chain([w.step]).collect()
 }
 
--- a/decide/agreement/tests/member.rs
+++ b/decide/agreement/tests/member.rs
@@ -1,12 +1,12 @@
 //! Whom one asks for a lease: the order of names is the same however they came and went.
 
 use std::collections::BTreeSet;
-use tansy_agreement::member::{Order, View, FAN};
+use tansy_agreement::lease_tree::{LeaseTopology, RendezvousOrder, FAN_OUT};
 
 #[test]
 fn an_order_kept_is_the_order_made_anew() {
     let mut rng = fastrand::Rng::with_seed(1);
-    let (mut kept, mut names) = (Order::default(), BTreeSet::new());
+    let (mut kept, mut names) = (RendezvousOrder::default(), BTreeSet::new());
     for n in 0..3000 {
         let name = rng.u64(0..200);
         let grows = rng.f64() < if n < 1500 { 0.7 } else { 0.3 };
@@ -23,24 +23,30 @@
             },
             changed
         );
-        assert_eq!(kept, names.iter().copied().collect::<Order>());
+        assert_eq!(kept, names.iter().copied().collect::<RendezvousOrder>());
         assert_eq!(
             (kept.len(), kept.is_empty()),
             (names.len(), names.is_empty())
         );
         let seat = rng.u64(0..220);
         let (of, new) = (
-            View::of(seat, kept.clone()),
-            View::new(seat, names.iter().copied()),
+            LeaseTopology::with_order(seat, kept.clone()),
+            LeaseTopology::new(seat, names.iter().copied()),
         );
         assert_eq!(of, new);
         // The seat counts as there, known or not.
-        assert_eq!(of, View::new(seat, names.iter().copied().chain([seat])));
-        assert_ne!(of, View::new(seat + 1, names.iter().copied()));
+        assert_eq!(
+            of,
+            LeaseTopology::new(seat, names.iter().copied().chain([seat]))
+        );
+        assert_ne!(of, LeaseTopology::new(seat + 1, names.iter().copied()));
         let other = (seat + 1..)
             .find(|n| !names.contains(n))
             .expect("a name that is not there");
-        assert_ne!(of, View::new(seat, names.iter().copied().chain([other])));
+        assert_ne!(
+            of,
+            LeaseTopology::new(seat, names.iter().copied().chain([other]))
+        );
     }
 }
 
@@ -48,7 +54,7 @@
 fn all_find_the_seat_and_none_has_more_children_than_its_part() {
     for many in [1, 2, 8, 9, 10, 73, 74, 500] {
         for seat in [1, many / 2 + 1, many, many + 5] {
-            let view = View::new(seat, 1..=many);
+            let view = LeaseTopology::new(seat, 1..=many);
             let mut children = std::collections::BTreeMap::new();
             for me in (1..=many).filter(|n| *n != seat) {
                 let parent = view.parent(me, 0).expect("one that is there has a parent");
@@ -60,7 +66,7 @@
                 }
             }
             assert!(
-                children.values().all(|c| *c <= FAN),
+                children.values().all(|c| *c <= FAN_OUT),
                 "{many} under {seat}: {children:?}"
             );
             assert_eq!(view.parent(seat, 0), None);
--- a/decide/agreement/tests/rules.rs
+++ b/decide/agreement/tests/rules.rs
@@ -1,8 +1,10 @@
 //! Kinds of fields: what holds while two versions are about, and what a front end does that knows neither.
 
 use proptest::prelude::*;
-use tansy_agreement::log::{Applied, Entry, Log, Phase, Refused, Step, Version};
-use tansy_agreement::rule::*;
+use tansy_agreement::compatibility::*;
+use tansy_agreement::log::{
+    ApplyOutcome, ChangePhase, EntryRejection, Log, LogEntry, Revision, Version,
+};
 
 fn values() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
@@ -19,11 +21,11 @@
     })
 }
 
-fn orders() -> impl Strategy<Value = Stricter> {
+fn orders() -> impl Strategy<Value = Restrictiveness> {
     prop_oneof![
-        Just(Stricter::Least),
-        Just(Stricter::Most),
-        Just(Stricter::First(&["unsafe", "keyed", "safe"])),
+        Just(Restrictiveness::Smallest),
+        Just(Restrictiveness::Largest),
+        Just(Restrictiveness::Ranked(&["unsafe", "keyed", "safe"])),
     ]
 }
 
@@ -31,17 +33,23 @@
     Schema::new([
         (
             "limit",
-            Kind::Joint(Stricter::Least, Lapsed::Strictest(Value::Int(0))),
+            Compatibility::Joint(
+                Restrictiveness::Smallest,
+                ExpiredLeasePolicy::Strictest(Value::Int(0)),
+            ),
         ),
         (
             "count",
-            Kind::Joint(Stricter::Most, Lapsed::Strictest(Value::Int(1000))),
+            Compatibility::Joint(
+                Restrictiveness::Largest,
+                ExpiredLeasePolicy::Strictest(Value::Int(1000)),
+            ),
         ),
-        ("classes.*.aim", Kind::Free),
-        ("classes.*.group", Kind::Strict),
+        ("classes.*.aim", Compatibility::Free),
+        ("classes.*.group", Compatibility::Strict),
         (
             "tenants.*.quota",
-            Kind::Joint(Stricter::Least, Lapsed::Refuse),
+            Compatibility::Joint(Restrictiveness::Smallest, ExpiredLeasePolicy::Reject),
         ),
     ])
 }
@@ -73,23 +81,23 @@
         c in proptest::option::of(values()),
     ) {
         let (a, b, c) = (a.as_ref(), b.as_ref(), c.as_ref());
-        let ab = by.of(a, b);
-        prop_assert_eq!(ab, by.of(b, a));
-        prop_assert_eq!(by.of(a, a), a);
-        prop_assert_eq!(by.of(ab, c), by.of(a, by.of(b, c)));
-        prop_assert!(by.binds(ab, a) && by.binds(ab, b), "looser than one of the two");
+        let ab = by.stricter(a, b);
+        prop_assert_eq!(ab, by.stricter(b, a));
+        prop_assert_eq!(by.stricter(a, a), a);
+        prop_assert_eq!(by.stricter(ab, c), by.stricter(a, by.stricter(b, c)));
+        prop_assert!(by.at_least_as_strict(ab, a) && by.at_least_as_strict(ab, b), "looser than one of the two");
     }
 
     #[test]
     fn joint_rules_contradict_neither_version(old in versions(), new in versions()) {
-        let rules = joint(&schema(), &old, &new);
+        let rules = joint_rules(&schema(), &old, &new);
         prop_assert_eq!(contradictions(&schema(), &old, &rules), vec![]);
         prop_assert_eq!(contradictions(&schema(), &new, &rules), vec![]);
     }
 
     #[test]
     fn who_holds_no_lease_contradicts_no_version_at_all(known in versions(), force in versions()) {
-        let rules = lapsed(&schema(), &known);
+        let rules = rules_after_expiry(&schema(), &known);
         // A strict field that it has never heard of, and that stands for all calls, is beyond what it can know.
         let found = contradictions(&schema(), &force, &rules);
         prop_assert!(found.iter().all(|(p, _)| p == "novel" && !known.contains_key("novel")), "{:?}", found);
@@ -100,31 +108,31 @@
         let mut new = old.clone();
         new.insert("classes.a.aim".into(), Value::Int(aim));
         new.insert("limit".into(), Value::Int(aim));
-        let rules = joint(&schema(), &old, &new);
-        prop_assert!(rules.refused.is_empty());
+        let rules = joint_rules(&schema(), &old, &new);
+        prop_assert!(rules.rejected.is_empty());
     }
 
     #[test]
     fn the_log_never_jumps_and_forgets_no_version(entries in proptest::collection::vec((0u8..4, versions(), 0u64..6), 0..60)) {
         let mut log = Log::new(Fields::new(), []);
-        let (mut step, mut force) = (Step(1), Version(1));
+        let (mut step, mut force) = (Revision(1), Version(1));
         for (sort, fields, n) in entries {
             let latest = log.state().latest();
             let entry = match sort {
-                0 | 1 => Entry::Propose { id: 0, base: latest, fields, why: String::new() },
-                2 => Entry::Advance { from: Step(n.max(1)).max(if n > 2 { log.state().step } else { Step(1) }) },
-                _ => Entry::Abandon { version: Version(n) },
+                0 | 1 => LogEntry::Propose { id: 0, base: latest, fields, reason: String::new() },
+                2 => LogEntry::Advance { from: Revision(n.max(1)).max(if n > 2 { log.state().revision } else { Revision(1) }) },
+                _ => LogEntry::Abandon { version: Version(n) },
             };
             let known = log.history().count();
             let before = log.clone();
             match log.apply(entry) {
-                Ok(Applied::Again(_)) => {}
-                Ok(_) => prop_assert_eq!(log.state().step, step.next()),
+                Ok(ApplyOutcome::Duplicate(_)) => {}
+                Ok(_) => prop_assert_eq!(log.state().revision, step.next()),
                 Err(_) => prop_assert_eq!(&before, &log, "a refused entry changed something"),
             }
             prop_assert!(log.history().count() >= known);
-            prop_assert!(log.state().force.version >= force, "an older version came back");
-            (step, force) = (log.state().step, log.state().force.version);
+            prop_assert!(log.state().in_force.version >= force, "an older version came back");
+            (step, force) = (log.state().revision, log.state().in_force.version);
         }
     }
 }
@@ -134,26 +142,29 @@
     let with = |group: &str| -> Fields {
         [("classes.pay.group".to_string(), Value::Text(group.into()))].into()
     };
-    let rules = joint(&schema(), &with("zone"), &with("cell"));
-    let call = |class| Call {
+    let rules = joint_rules(&schema(), &with("zone"), &with("cell"));
+    let call = |class| CallAttributes {
         class,
         tenant: "",
         function: "",
     };
-    assert!(rules.refuses(call("pay")) && !rules.refuses(call("chat")));
+    assert!(rules.rejects(call("pay")) && !rules.rejects(call("chat")));
 }
 
 #[test]
 fn a_version_goes_by_told_and_joint_into_force() {
     let one = |n: i64| -> Fields { [("limit".to_string(), Value::Int(n))].into() };
     let mut log = Log::new(one(4), []);
-    let propose = |id, base, n| Entry::Propose {
+    let propose = |id, base, n| LogEntry::Propose {
         id,
         base: Version(base),
         fields: one(n),
-        why: "less".into(),
+        reason: "less".into(),
     };
-    assert_eq!(log.apply(propose(7, 1, 2)), Ok(Applied::Told(Version(2))));
+    assert_eq!(
+        log.apply(propose(7, 1, 2)),
+        Ok(ApplyOutcome::Announced(Version(2)))
+    );
     assert_eq!(
         log.state().rules(&schema()).fields["limit"],
         Value::Int(4),
@@ -161,66 +172,69 @@
     );
     assert_eq!(
         log.apply(propose(7, 1, 2)),
-        Ok(Applied::Again(Version(2))),
+        Ok(ApplyOutcome::Duplicate(Version(2))),
         "told twice is one"
     );
     assert_eq!(
         log.apply(propose(8, 1, 3)),
-        Err(Refused::Busy { with: Version(2) })
+        Err(EntryRejection::ChangeInProgress { with: Version(2) })
     );
-    log.apply(Entry::Advance { from: Step(2) }).expect("joint");
+    log.apply(LogEntry::Advance { from: Revision(2) })
+        .expect("joint");
     assert_eq!(
         log.state().rules(&schema()).fields["limit"],
         Value::Int(2),
         "the stricter holds"
     );
     assert_eq!(
-        log.apply(Entry::Advance { from: Step(2) }),
-        Err(Refused::Past),
+        log.apply(LogEntry::Advance { from: Revision(2) }),
+        Err(EntryRejection::StaleRevision),
         "a step is taken once"
     );
-    log.apply(Entry::Advance { from: Step(3) })
+    log.apply(LogEntry::Advance { from: Revision(3) })
         .expect("in force");
-    assert_eq!(log.state().force.version, Version(2));
+    assert_eq!(log.state().in_force.version, Version(2));
     assert_eq!(
         log.apply(propose(9, 1, 3)),
-        Err(Refused::Base { latest: Version(2) }),
+        Err(EntryRejection::StaleBase { latest: Version(2) }),
         "a lost update"
     );
-    assert_eq!(log.apply(propose(10, 2, 2)), Err(Refused::Same));
+    assert_eq!(log.apply(propose(10, 2, 2)), Err(EntryRejection::NoChange));
 }
 
 #[test]
 fn a_change_given_up_while_joint_goes_back_by_a_step_of_its_own() {
     let one = |n: i64| -> Fields { [("limit".to_string(), Value::Int(n))].into() };
     let mut log = Log::new(one(4), []);
-    log.apply(Entry::Propose {
+    log.apply(LogEntry::Propose {
         id: 1,
         base: Version(1),
         fields: one(9),
-        why: String::new(),
+        reason: String::new(),
     })
     .expect("told");
-    log.apply(Entry::Advance { from: Step(2) }).expect("joint");
-    log.apply(Entry::Abandon {
+    log.apply(LogEntry::Advance { from: Revision(2) })
+        .expect("joint");
+    log.apply(LogEntry::Abandon {
         version: Version(2),
     })
     .expect("back");
     assert!(
-        matches!(log.state().next, Some((_, Phase::Back))),
+        matches!(log.state().next, Some((_, ChangePhase::RolledBack))),
         "another change has to wait for all to be back"
     );
     assert_eq!(log.state().rules(&schema()).fields["limit"], Value::Int(4));
-    log.apply(Entry::Advance { from: Step(4) }).expect("over");
+    log.apply(LogEntry::Advance { from: Revision(4) })
+        .expect("over");
     assert_eq!(
-        (log.state().force.version, log.unsettled()),
+        (log.state().in_force.version, log.has_open_changes()),
         (Version(1), false)
     );
-    log.apply(Entry::Propose {
+    log.apply(LogEntry::Propose {
         id: 2,
         base: Version(1),
         fields: one(5),
-        why: String::new(),
+        reason: String::new(),
     })
     .expect("the next");
     assert_eq!(
@@ -232,31 +246,31 @@
 
 #[test]
 fn a_roll_that_is_refused_leaves_the_log_as_it_was() {
-    use tansy_rollout::{Entry as Step, Place, Plan, What};
+    use tansy_rollout::{RolloutChange, RolloutEntry as Step, RolloutPlan, Target};
     let one = |n| Fields::from([("worker.max_attempts".to_string(), Value::Int(n))]);
     let mut log = Log::new(one(4), []);
-    let place = Place {
+    let place = Target {
         name: "f0".into(),
         zone: "a".into(),
         seat: false,
     };
-    let right = Plan {
+    let right = RolloutPlan {
         stages: vec![vec![place]],
-        ..Plan::default()
+        ..RolloutPlan::default()
     };
-    let begin = |id, plan: &Plan| {
+    let begin = |id, plan: &RolloutPlan| {
         let entry = Step::Begin {
             id,
-            what: What::Settings,
+            what: RolloutChange::Settings,
             plan: plan.clone(),
             why: String::new(),
         };
-        Entry::Roll {
+        LogEntry::Rollout {
             entry: Box::new(entry),
             fields: Some(one(3)),
         }
     };
-    let abort = Entry::Roll {
+    let abort = LogEntry::Rollout {
         entry: Box::new(Step::Abort {
             id: 1,
             why: String::new(),
@@ -268,10 +282,10 @@
     }
     let before = log.clone();
     // Wrong though another roll has been; the same one again.
-    for entry in [begin(2, &Plan::default()), begin(1, &right)] {
+    for entry in [begin(2, &RolloutPlan::default()), begin(1, &right)] {
         assert!(matches!(
             log.apply(entry),
-            Err(tansy_agreement::log::Refused::Roll(_))
+            Err(tansy_agreement::log::EntryRejection::Rollout(_))
         ));
         assert_eq!(log, before);
     }
