--- a/decide/agreement/tests/scopes.rs
+++ b/decide/agreement/tests/scopes.rs
@@ -1,34 +1,45 @@
 //! Functions that are agreed on one by one: what the log takes, what a front end holds of them, and random histories of a root
 //! and three holders, in which whoever acts on another strict field than the one in force is found.
 
-use tansy_agreement::hold::{Bounds, Call, Holding, Reply, Want, Why, DROPS, HELD, WANTS};
-use tansy_agreement::lease::{Granter, Holder, Member, Stepped, Terms};
-use tansy_agreement::log::{Applied, Entry, Log, Phase, Refused, State, Step, Version};
-use tansy_agreement::rule::{Fields, Kind, Lapsed, Schema, Stricter, Value};
+use tansy_agreement::compatibility::{
+    Compatibility, ExpiredLeasePolicy, Fields, Restrictiveness, Schema, Value,
+};
+use tansy_agreement::lease::{LeaseGranter, LeaseHolder, LeaseTiming, Member, Versioned};
+use tansy_agreement::log::{
+    ApplyOutcome, ChangePhase, EntryRejection, FleetState, Log, LogEntry, Revision, Version,
+};
 use tansy_agreement::scope::{
-    number, Delta, Move, Moves, ScopeChange, ScopeRequest, Scoped, Standing, CHANGES, FIELDS,
-    MOVES, NAME,
+    scope_number, ChangeHistory, ScopeChange, ScopePhase, ScopeRecord, ScopeTransaction,
+    ScopeUpdate, StateDelta, MAX_FIELDS_BYTES, MAX_HISTORY, MAX_NAME_BYTES,
+    MAX_UPDATES_PER_TRANSACTION,
+};
+use tansy_agreement::session::{self, Session, SessionTable, SubscribeOutcome};
+use tansy_agreement::subscription::{
+    Admission, RejectReason, ScopeSubscriptions, SubscribeReply, SubscribeRequest,
+    SubscriptionLimits, MAX_SCOPES_PER_REQUEST, MAX_SUBSCRIPTIONS, MAX_UNSUBSCRIBES_PER_REQUEST,
 };
-use tansy_agreement::stay::{self, Heard, Register, Stay};
 
-const LEASE: Terms = Terms {
+const LEASE: LeaseTiming = LeaseTiming {
     span: 600_000,
-    ppm: 1_000,
+    drift_ppm: 1_000,
 };
-const STAY: Terms = Terms {
+const STAY: LeaseTiming = LeaseTiming {
     span: 6_000_000,
-    ppm: 1_000,
+    drift_ppm: 1_000,
 };
 /// In histories: there is always something to let go.
-const BOUNDS: Bounds = Bounds {
-    held: 2,
+const BOUNDS: SubscriptionLimits = SubscriptionLimits {
+    subscriptions: 2,
     idle: 2_000_000,
 };
 
 fn schema() -> Schema {
-    let least = Kind::Joint(Stricter::Least, Lapsed::Strictest(Value::Int(1)));
+    let least = Compatibility::Joint(
+        Restrictiveness::Smallest,
+        ExpiredLeasePolicy::Strictest(Value::Int(1)),
+    );
     Schema::new([
-        ("functions.*.class", Kind::Strict),
+        ("functions.*.class", Compatibility::Strict),
         ("functions.*.lanes", least),
     ])
 }
@@ -39,25 +50,29 @@
         .into()
 }
 
-fn change(scope: &str, base: u64, fields: Option<Fields>) -> ScopeChange {
-    ScopeChange {
+fn change(scope: &str, base: u64, fields: Option<Fields>) -> ScopeUpdate {
+    ScopeUpdate {
         scope: scope.into(),
-        base: Step(base),
+        base: Revision(base),
         fields,
     }
 }
 
-fn request(id: u64, changes: Vec<ScopeChange>) -> ScopeRequest {
-    ScopeRequest {
+fn request(id: u64, changes: Vec<ScopeUpdate>) -> ScopeTransaction {
+    ScopeTransaction {
         id,
-        changes,
-        why: String::new(),
+        updates: changes,
+        reason: String::new(),
     }
 }
 
-fn apply(log: &mut Log, requests: Vec<ScopeRequest>) -> Vec<(usize, Refused)> {
-    match log.apply(Entry::Change { requests }) {
-        Ok(Applied::Changed { refused, .. }) => refused,
+fn apply(log: &mut Log, requests: Vec<ScopeTransaction>) -> Vec<(usize, EntryRejection)> {
+    match log.apply(LogEntry::UpdateScopes {
+        transactions: requests,
+    }) {
+        Ok(ApplyOutcome::ScopesChanged {
+            rejected: refused, ..
+        }) => refused,
         other => panic!("{other:?}"),
     }
 }
@@ -65,23 +80,23 @@
 /// What is open goes on to force, or back, and is settled.
 fn finish(log: &mut Log, back: bool) {
     for _ in 0..2 {
-        let open: Vec<(String, Step, bool)> = log
+        let open: Vec<(String, Revision, bool)> = log
             .catalog()
             .open()
-            .filter_map(|(n, s)| Some((n.to_string(), s.standing.since()?, s.next().is_some())))
+            .filter_map(|(n, s)| Some((n.to_string(), s.phase.since()?, s.next().is_some())))
             .collect();
         let (joint, over): (Vec<_>, Vec<_>) = open.into_iter().partition(|o| o.2);
-        let pairs = |all: Vec<(String, Step, bool)>| {
+        let pairs = |all: Vec<(String, Revision, bool)>| {
             all.into_iter().map(|(n, s, _)| (n, s)).collect::<Vec<_>>()
         };
         if back && !joint.is_empty() {
-            log.apply(Entry::Return {
+            log.apply(LogEntry::RevertScopes {
                 scopes: pairs(joint),
             })
             .expect("it goes back");
         } else {
-            let _ = log.apply(Entry::Carry {
-                force: pairs(joint),
+            let _ = log.apply(LogEntry::AdvanceScopes {
+                in_force: pairs(joint),
                 settled: pairs(over),
             });
         }
@@ -114,56 +129,69 @@
     );
     let apart = request(3, vec![change("d", 0, Some(fields(1, 1)))]);
     let refused = apply(&mut log, vec![one.clone(), overlaps, apart]);
-    assert_eq!(refused, [(1, Refused::ScopeBusy { scope: "a".into() })]);
+    assert_eq!(
+        refused,
+        [(
+            1,
+            EntryRejection::ScopeChangeInProgress { scope: "a".into() }
+        )]
+    );
     let names = |log: &Log| log.catalog().all().keys().cloned().collect::<String>();
     assert_eq!(
-        (names(&log), log.state().step, log.state().versions_at),
-        ("abd".into(), Step(2), Step(1))
+        (
+            names(&log),
+            log.state().revision,
+            log.state().versions_revision
+        ),
+        ("abd".into(), Revision(2), Revision(1))
     );
     finish(&mut log, false);
-    let settled = Scoped {
-        revision: Step(3),
+    let settled = ScopeRecord {
+        revision: Revision(3),
         fields: Some(fields(1, 1)),
-        standing: Standing::Settled,
+        phase: ScopePhase::Settled,
     };
     assert!(log.catalog().all().values().all(|s| *s == settled));
     // Told twice it is one; from another revision, or naming one twice, or of no name, it is nothing.
-    assert_eq!(log.judge_request(&one), Ok(Some(Step(2))));
-    let judged = |changes| log.judge_request(&request(9, changes));
+    assert_eq!(log.validate_transaction(&one), Ok(Some(Revision(2))));
+    let judged = |changes| log.validate_transaction(&request(9, changes));
     let to = || Some(fields(2, 2));
     let base = |scope: &str, revision| {
-        Err(Refused::ScopeBase {
+        Err(EntryRejection::StaleScopeBase {
             scope: scope.into(),
-            revision: Step(revision),
+            revision: Revision(revision),
         })
     };
     assert_eq!(judged(vec![change("a", 2, to())]), base("a", 3));
     assert_eq!(judged(vec![change("e", 3, to())]), base("e", 0));
     assert_eq!(
         judged(vec![change("a", 3, Some(fields(1, 1)))]),
-        Err(Refused::Same)
+        Err(EntryRejection::NoChange)
     );
     assert_eq!(
         judged(vec![change("e", 0, None)]),
-        Err(Refused::Same),
+        Err(EntryRejection::NoChange),
         "there is none to remove"
     );
     assert_eq!(
         judged(vec![change("a", 3, to()), change("a", 3, None)]),
-        Err(Refused::Twice { scope: "a".into() })
+        Err(EntryRejection::DuplicateScope { scope: "a".into() })
+    );
+    assert_eq!(
+        judged(vec![change("", 0, to())]),
+        Err(EntryRejection::MissingName)
     );
-    assert_eq!(judged(vec![change("", 0, to())]), Err(Refused::NoName));
     for changes in [
-        vec![change(&"n".repeat(NAME + 1), 0, to())],
+        vec![change(&"n".repeat(MAX_NAME_BYTES + 1), 0, to())],
         vec![change(
             "e",
             0,
             Some(Fields::from([(
                 "class".into(),
-                Value::Text("x".repeat(FIELDS)),
+                Value::Text("x".repeat(MAX_FIELDS_BYTES)),
             )])),
         )],
-        (0..=CHANGES)
+        (0..=MAX_UPDATES_PER_TRANSACTION)
             .map(|n| change(&n.to_string(), 0, to()))
             .collect(),
         (0..30)
@@ -176,27 +204,35 @@
             })
             .collect(),
     ] {
-        assert!(matches!(judged(changes), Err(Refused::TooMany { .. })));
+        assert!(matches!(
+            judged(changes),
+            Err(EntryRejection::TooMany { .. })
+        ));
     }
     // What is not at that step is not touched.
     let before = log.clone();
-    let none = || vec![("a".to_string(), Step(2)), ("zz".to_string(), Step(2))];
+    let none = || {
+        vec![
+            ("a".to_string(), Revision(2)),
+            ("zz".to_string(), Revision(2)),
+        ]
+    };
     assert_eq!(
-        log.apply(Entry::Carry {
-            force: none(),
+        log.apply(LogEntry::AdvanceScopes {
+            in_force: none(),
             settled: none()
         }),
-        Err(Refused::Past)
+        Err(EntryRejection::StaleRevision)
     );
     assert_eq!(
-        log.apply(Entry::Return { scopes: none() }),
-        Err(Refused::Past)
+        log.apply(LogEntry::RevertScopes { scopes: none() }),
+        Err(EntryRejection::StaleRevision)
     );
     assert_eq!(
-        log.apply(Entry::Change {
-            requests: Vec::new()
+        log.apply(LogEntry::UpdateScopes {
+            transactions: Vec::new()
         }),
-        Err(Refused::Same)
+        Err(EntryRejection::NoChange)
     );
     assert_eq!(log, before);
     // Given up, it is what it was, and is told so.
@@ -206,8 +242,8 @@
     );
     finish(&mut log, true);
     assert!(log.catalog().all().values().all(|s| *s == settled));
-    let r = *log.catalog().requested(4).expect("it was taken");
-    assert_eq!((r.joint, r.force, r.back), (0, 0, 2));
+    let r = *log.catalog().transaction_result(4).expect("it was taken");
+    assert_eq!((r.joint, r.in_force, r.reverted), (0, 0, 2));
 }
 
 #[test]
@@ -218,13 +254,13 @@
         vec![request(1, vec![change("a.b", 0, Some(fields(1, 1)))])],
     );
     let with = |path: &str| Fields::from([(path.to_string(), Value::Int(1))]);
-    let propose = |base, fields| Entry::Propose {
+    let propose = |base, fields| LogEntry::Propose {
         id: 0,
         base: Version(base),
         fields,
-        why: String::new(),
+        reason: String::new(),
     };
-    let elsewhere = |scope: &str| Refused::Elsewhere {
+    let elsewhere = |scope: &str| EntryRejection::DefinedElsewhere {
         scope: scope.into(),
     };
     assert_eq!(
@@ -233,49 +269,52 @@
     );
     assert_eq!(
         log.apply(propose(1, with("functions.a.lanes"))),
-        Ok(Applied::Told(Version(2)))
+        Ok(ApplyOutcome::Announced(Version(2)))
     );
     assert_eq!(
-        log.judge_request(&request(2, vec![change("a", 0, Some(fields(1, 1)))])),
+        log.validate_transaction(&request(2, vec![change("a", 0, Some(fields(1, 1)))])),
         Err(elsewhere("a"))
     );
     // Steps of functions neither hold up a version nor are taken for its own.
-    let told = log.state().versions_at;
+    let told = log.state().versions_revision;
     apply(
         &mut log,
         vec![request(3, vec![change("c", 0, Some(fields(1, 1)))])],
     );
     assert_eq!(
-        log.apply(Entry::Advance {
-            from: log.state().step
+        log.apply(LogEntry::Advance {
+            from: log.state().revision
         }),
-        Err(Refused::Past)
+        Err(EntryRejection::StaleRevision)
     );
-    assert!(log.apply(Entry::Advance { from: told }).is_ok());
-    assert!(matches!(log.state().next, Some((_, Phase::Joint))));
+    assert!(log.apply(LogEntry::Advance { from: told }).is_ok());
+    assert!(matches!(log.state().next, Some((_, ChangePhase::Joint))));
     // One that joins needs to know the versions alone.
-    let joins = |at| Entry::Join {
+    let joins = |at| LogEntry::Join {
         member: Member {
             id: 1,
             incarnation: 1,
         },
         name: "g".into(),
-        at,
+        revision: at,
     };
     apply(
         &mut log,
         vec![request(4, vec![change("d", 0, Some(fields(1, 1)))])],
     );
     assert_eq!(
-        log.judge(&joins(Step(log.state().versions_at.0 - 1))),
-        Err(Refused::Behind)
+        log.validate(&joins(Revision(log.state().versions_revision.0 - 1))),
+        Err(EntryRejection::Behind)
     );
     assert_eq!(
-        log.judge(&joins(log.state().step.next())),
-        Err(Refused::Behind)
+        log.validate(&joins(log.state().revision.next())),
+        Err(EntryRejection::Behind)
     );
-    assert_eq!(log.judge(&joins(log.state().versions_at)), Ok(None));
-    assert_eq!(log.judge(&joins(log.state().step)), Ok(None));
+    assert_eq!(
+        log.validate(&joins(log.state().versions_revision)),
+        Ok(None)
+    );
+    assert_eq!(log.validate(&joins(log.state().revision)), Ok(None));
 }
 
 #[test]
@@ -300,42 +339,48 @@
             log.catalog().get(&scope).expect("it is there").revision.0,
         );
         if rng.u32(0..3) == 0 {
-            let delta = log.state().since(follower.step).expect("it is remembered");
+            let delta = log
+                .state()
+                .delta_since(follower.revision)
+                .expect("it is remembered");
             // A delta that starts after what is known is not taken.
             let mut behind = follower.clone();
-            let gap = Delta {
-                from: behind.step.next(),
+            let gap = StateDelta {
+                from: behind.revision.next(),
                 ..delta.clone()
             };
-            assert!(!behind.follow(&gap) && behind == follower);
+            assert!(!behind.apply_delta(&gap) && behind == follower);
             assert!(
-                follower.follow(&delta) && follower.follow(&delta),
+                follower.apply_delta(&delta) && follower.apply_delta(&delta),
                 "told twice it is one"
             );
             assert_eq!(
-                (follower.step, &follower.moves),
-                (log.state().step, &log.state().moves)
+                (follower.revision, &follower.history),
+                (log.state().revision, &log.state().history)
             );
         }
     }
     // A whole is told without moves; with those since then nothing is forgotten.
     let mut whole = follower.clone();
-    whole.replace(
-        log.state().bare(),
-        log.state().since(follower.step).as_ref(),
+    whole.replace_with_snapshot(
+        log.state().without_history(),
+        log.state().delta_since(follower.revision).as_ref(),
     );
     assert_eq!(&whole, log.state());
-    whole.replace(log.state().bare(), None);
-    assert!(whole.moves.is_empty() && whole.moves.since(Step(1)).is_none());
+    whole.replace_with_snapshot(log.state().without_history(), None);
+    assert!(whole.history.is_empty() && whole.history.since(Revision(1)).is_none());
     let many = |n: u64| {
         (0..1500)
             .map(|i| change(&format!("m{n}-{i}"), 0, Some(fields(1, 1))))
             .collect()
     };
-    let before = log.state().step;
+    let before = log.state().revision;
     (0..4).for_each(|n| assert_eq!(apply(&mut log, vec![request(1000 + n, many(n))]), []));
-    assert!(log.state().moves.len() <= MOVES && log.state().since(before).is_none());
-    assert!(log.state().since(log.state().moves.from()).is_some());
+    assert!(log.state().history.len() <= MAX_HISTORY && log.state().delta_since(before).is_none());
+    assert!(log
+        .state()
+        .delta_since(log.state().history.from())
+        .is_some());
 }
 
 fn m(id: u64) -> Member {
@@ -343,7 +388,7 @@
 }
 
 /// A front end, a register that knows it, and a log of one function.
-fn pair() -> (Log, Register, Holding) {
+fn pair() -> (Log, SessionTable, ScopeSubscriptions) {
     let mut log = log();
     apply(
         &mut log,
@@ -352,47 +397,51 @@
     finish(&mut log, false);
     (
         log,
-        Register::new(STAY, [m(1)], 0),
-        Holding::new(m(1), Bounds::default(), 0),
+        SessionTable::new(STAY, [m(1)], 0),
+        ScopeSubscriptions::new(m(1), SubscriptionLimits::default(), 0),
     )
 }
 
-fn reply(log: &Log, register: &mut Register, want: &Want) -> Option<Reply> {
-    let (to, at) = (want.from, log.state().step);
-    match register.want(want) {
-        Heard::Untold(epoch) => Some(Reply {
+fn reply(
+    log: &Log,
+    register: &mut SessionTable,
+    want: &SubscribeRequest,
+) -> Option<SubscribeReply> {
+    let (to, at) = (want.from, log.state().revision);
+    match register.on_subscribe(want) {
+        SubscribeOutcome::Untold(epoch) => Some(SubscribeReply {
             to,
             epoch,
             seq: None,
-            at,
+            revision: at,
             scopes: Vec::new(),
         }),
-        Heard::Taken => {
+        SubscribeOutcome::Taken => {
             let scopes = want
                 .scopes
                 .iter()
                 .map(|s| (s.clone(), log.catalog().get(s).cloned()))
                 .collect();
-            Some(Reply {
+            Some(SubscribeReply {
                 to,
                 epoch: want.epoch,
                 seq: Some(want.seq),
-                at,
+                revision: at,
                 scopes,
             })
         }
-        Heard::Late | Heard::Stranger => None,
+        SubscribeOutcome::Late | SubscribeOutcome::Stranger => None,
     }
 }
 
 /// Lets letters go to and fro until nothing is to be told.
-fn talk(log: &Log, register: &mut Register, holding: &mut Holding, now: &mut i64) {
+fn talk(log: &Log, register: &mut SessionTable, holding: &mut ScopeSubscriptions, now: &mut i64) {
     for _ in 0..200 {
         *now += 20_000;
-        holding.follow(*now, log.state(), &schema());
-        if let Some(want) = holding.tick(*now, log.state().step, true) {
+        holding.on_state(*now, log.state(), &schema());
+        if let Some(want) = holding.tick(*now, log.state().revision, true) {
             if let Some(reply) = reply(log, register, &want) {
-                holding.granted(*now, reply, Some(log.state()), &schema());
+                holding.on_reply(*now, reply, Some(log.state()), &schema());
             }
         }
     }
@@ -404,120 +453,135 @@
     let mut now = 0;
     let s = &schema();
     assert_eq!(
-        holding.called(now, s, &"x".repeat(NAME + 1), true),
-        Call::Refused(Why::Name)
+        holding.admit(now, s, &"x".repeat(MAX_NAME_BYTES + 1), true),
+        Admission::Reject(RejectReason::NameTooLong)
     );
     assert_eq!(
-        register.holders_behind(number("a"), Step(0)).count(),
+        register
+            .subscribers_behind(scope_number("a"), Revision(0))
+            .count(),
         1,
         "whoever has not told may hold any"
     );
-    assert_eq!(holding.called(now, s, "a", true), Call::Wait);
-    assert_eq!(holding.called(now, s, "none", true), Call::Wait);
+    assert_eq!(holding.admit(now, s, "a", true), Admission::Wait);
+    assert_eq!(holding.admit(now, s, "none", true), Admission::Wait);
     talk(&log, &mut register, &mut holding, &mut now);
-    assert_eq!(holding.called(now, s, "a", true), Call::Acts(fields(1, 4)));
     assert_eq!(
-        holding.called(now, s, "a", false),
-        Call::Acts(fields(1, 1)),
+        holding.admit(now, s, "a", true),
+        Admission::Admit(fields(1, 4))
+    );
+    assert_eq!(
+        holding.admit(now, s, "a", false),
+        Admission::Admit(fields(1, 1)),
         "without a lease by what binds most"
     );
-    assert_eq!(holding.called(now, s, "none", true), Call::Unknown);
-    assert_eq!(register.holders_behind(number("b"), Step(99)).count(), 0);
+    assert_eq!(holding.admit(now, s, "none", true), Admission::Unknown);
+    assert_eq!(
+        register
+            .subscribers_behind(scope_number("b"), Revision(99))
+            .count(),
+        0
+    );
     assert_eq!(
         register
-            .holders_behind(number("a"), Step(99))
+            .subscribers_behind(scope_number("a"), Revision(99))
             .collect::<Vec<_>>(),
         [m(1)]
     );
     // Answers for another, of a letter never written, to an older letter than the one that wants it now.
-    assert_eq!(holding.called(now, s, "b", true), Call::Wait);
+    assert_eq!(holding.admit(now, s, "b", true), Admission::Wait);
     now += 200_000;
     let want = holding
-        .tick(now, log.state().step, true)
+        .tick(now, log.state().revision, true)
         .expect("it wants b");
     assert_eq!(want.scopes, ["b"]);
-    let good = Reply {
+    let good = SubscribeReply {
         to: m(1),
         epoch: want.epoch,
         seq: Some(want.seq),
-        at: log.state().step,
+        revision: log.state().revision,
         scopes: vec![(
             "b".into(),
-            Some(Scoped {
+            Some(ScopeRecord {
                 fields: Some(fields(9, 9)),
-                ..Scoped::default()
+                ..ScopeRecord::default()
             }),
         )],
     };
     for bad in [
-        Reply {
+        SubscribeReply {
             to: m(2),
             ..good.clone()
         },
-        Reply {
+        SubscribeReply {
             seq: Some(want.seq + 1),
             ..good.clone()
         },
-        Reply {
+        SubscribeReply {
             seq: Some(want.seq - 1),
             ..good.clone()
         },
-        Reply {
+        SubscribeReply {
             seq: None,
             ..good.clone()
         },
-        Reply {
+        SubscribeReply {
             epoch: Default::default(),
             ..good.clone()
         },
     ] {
-        holding.granted(now, bad.clone(), Some(log.state()), s);
-        assert_eq!(holding.called(now, s, "b", true), Call::Wait, "{bad:?}");
+        holding.on_reply(now, bad.clone(), Some(log.state()), s);
+        assert_eq!(holding.admit(now, s, "b", true), Admission::Wait, "{bad:?}");
     }
     // Of a step that it does not act on yet: it waits for that.
-    let ahead = Reply {
-        at: Step(log.state().step.0 + 2),
+    let ahead = SubscribeReply {
+        revision: Revision(log.state().revision.0 + 2),
         ..good.clone()
     };
-    holding.granted(now, ahead, Some(log.state()), s);
-    assert_eq!(holding.called(now, s, "b", true), Call::Wait);
+    holding.on_reply(now, ahead, Some(log.state()), s);
+    assert_eq!(holding.admit(now, s, "b", true), Admission::Wait);
     // Letters that a root leaves out: of a stranger, an earlier one, one that drops what a later one wants.
-    let old = Want {
-        drops: vec![number("a")],
+    let old = SubscribeRequest {
+        unsubscribed: vec![scope_number("a")],
         scopes: vec![],
         ..want.clone()
     };
     assert_eq!(
-        register.want(&Want {
+        register.on_subscribe(&SubscribeRequest {
             from: m(7),
             ..want.clone()
         }),
-        Heard::Stranger
+        SubscribeOutcome::Stranger
     );
-    assert_eq!(register.want(&want), Heard::Taken);
-    assert_eq!(register.want(&old), Heard::Late);
+    assert_eq!(register.on_subscribe(&want), SubscribeOutcome::Taken);
+    assert_eq!(register.on_subscribe(&old), SubscribeOutcome::Late);
     assert_eq!(
-        register.want(&Want {
+        register.on_subscribe(&SubscribeRequest {
             epoch: Default::default(),
             seq: 99,
             ..old
         }),
-        Heard::Untold(want.epoch)
+        SubscribeOutcome::Untold(want.epoch)
+    );
+    assert_eq!(
+        register
+            .subscribers_behind(scope_number("a"), Revision(99))
+            .count(),
+        1
     );
-    assert_eq!(register.holders_behind(number("a"), Step(99)).count(), 1);
     // What moved is forgotten: it acts on it no more, and tells.
     let mut state = log.state().clone();
-    state.replace(
-        State {
-            step: Step(state.step.0 + 1),
-            ..state.bare()
+    state.replace_with_snapshot(
+        FleetState {
+            revision: Revision(state.revision.0 + 1),
+            ..state.without_history()
         },
         None,
     );
-    state.moves = Moves::after(state.step);
-    holding.follow(now, &state, s);
-    assert_eq!(holding.acts(s, "a", true), None);
-    assert_eq!(holding.called(now, s, "a", true), Call::Wait);
+    state.history = ChangeHistory::after(state.revision);
+    holding.on_state(now, &state, s);
+    assert_eq!(holding.effective_settings(s, "a", true), None);
+    assert_eq!(holding.admit(now, s, "a", true), Admission::Wait);
     // A reply of a step before the moves that are known is not used.
     apply(
         &mut log,
@@ -526,66 +590,75 @@
     let want = loop {
         now += 50_000;
         if let Some(want) = holding
-            .tick(now, state.step, true)
+            .tick(now, state.revision, true)
             .filter(|w| w.scopes.contains(&"a".into()))
         {
             break want;
         }
     };
-    let stale = Reply {
+    let stale = SubscribeReply {
         seq: Some(want.seq),
-        at: Step(2),
-        scopes: vec![("a".into(), Some(Scoped::default()))],
+        revision: Revision(2),
+        scopes: vec![("a".into(), Some(ScopeRecord::default()))],
         ..good
     };
-    holding.granted(now, stale, Some(&state), s);
-    assert_eq!(holding.acts(s, "a", true), None, "it asks again");
+    holding.on_reply(now, stale, Some(&state), s);
+    assert_eq!(
+        holding.effective_settings(s, "a", true),
+        None,
+        "it asks again"
+    );
 }
 
 #[test]
 fn all_that_is_kept_is_bounded() {
     let (log, mut register, mut holding) = pair();
     let (mut now, s) = (0, &schema());
-    holding.follow(now, log.state(), s);
-    let refused = (0..HELD + 10)
-        .filter(|n| holding.called(now, s, &format!("f{n}"), true) == Call::Refused(Why::Full));
+    holding.on_state(now, log.state(), s);
+    let refused = (0..MAX_SUBSCRIPTIONS + 10).filter(|n| {
+        holding.admit(now, s, &format!("f{n}"), true)
+            == Admission::Reject(RejectReason::TooManyPending)
+    });
     assert_eq!(
         refused.count(),
         10,
         "while all are waited for there is nothing to let go"
     );
-    let letter = holding.tick(100_000, Step(1), true).expect("a letter");
-    assert!(letter.scopes.len() <= WANTS && letter.drops.len() <= DROPS);
+    let letter = holding.tick(100_000, Revision(1), true).expect("a letter");
+    assert!(
+        letter.scopes.len() <= MAX_SCOPES_PER_REQUEST
+            && letter.unsubscribed.len() <= MAX_UNSUBSCRIBES_PER_REQUEST
+    );
     now += 100_000;
     talk(&log, &mut register, &mut holding, &mut now);
-    assert_eq!((holding.held(), holding.wanted()), (HELD, 0));
-    assert_eq!(holding.called(now, s, "f5", true), Call::Unknown);
+    assert_eq!((holding.len(), holding.pending()), (MAX_SUBSCRIPTIONS, 0));
+    assert_eq!(holding.admit(now, s, "f5", true), Admission::Unknown);
     // Ever new ones: those called least recently go, and the root is told.
-    for n in 0..3 * HELD {
+    for n in 0..3 * MAX_SUBSCRIPTIONS {
         now += 1_000;
-        holding.called(now, s, &format!("g{n}"), true);
-        holding.called(now, s, "f5", true);
+        holding.admit(now, s, &format!("g{n}"), true);
+        holding.admit(now, s, "f5", true);
         if n % 100 == 0 {
             talk(&log, &mut register, &mut holding, &mut now);
         }
-        assert!(holding.held() + holding.wanted() <= HELD);
+        assert!(holding.len() + holding.pending() <= MAX_SUBSCRIPTIONS);
     }
     talk(&log, &mut register, &mut holding, &mut now);
-    assert!(holding.squeezed() > 2 * HELD as u64);
+    assert!(holding.evicted() > 2 * MAX_SUBSCRIPTIONS as u64);
     assert_eq!(
-        holding.called(now, s, "f5", true),
-        Call::Unknown,
+        holding.admit(now, s, "f5", true),
+        Admission::Unknown,
         "it was called all the while"
     );
     assert_eq!(
-        register.holdings(),
-        holding.held(),
+        register.subscription_count(),
+        holding.len(),
         "the root knows what is held"
     );
     // Nobody calls: all goes.
     now += 700_000_000;
     talk(&log, &mut register, &mut holding, &mut now);
-    assert_eq!((holding.held(), register.holdings()), (0, 0));
+    assert_eq!((holding.len(), register.subscription_count()), (0, 0));
 }
 
 /// A mistake that is planted.
@@ -603,37 +676,40 @@
 }
 
 enum Letter {
-    AskLease(usize, tansy_agreement::lease::Ask),
-    Lease(usize, tansy_agreement::lease::Grant<State, Delta>),
-    AskStay(usize, stay::Ask),
-    Stay(usize, stay::Grant),
-    Want(usize, Want),
-    Reply(usize, Reply),
+    AskLease(usize, tansy_agreement::lease::LeaseRequest),
+    Lease(
+        usize,
+        tansy_agreement::lease::LeaseGrant<FleetState, StateDelta>,
+    ),
+    AskStay(usize, session::SessionRequest),
+    Stay(usize, session::SessionGrant),
+    Want(usize, SubscribeRequest),
+    Reply(usize, SubscribeReply),
 }
 
 struct Front {
     me: Member,
-    lease: Holder<State>,
-    stay: Stay,
-    holding: Holding,
-    told: Step,
+    lease: LeaseHolder<FleetState>,
+    stay: Session,
+    holding: ScopeSubscriptions,
+    told: Revision,
 }
 
 impl Front {
     fn new(me: Member, now: i64) -> Front {
-        let (lease, stay) = (Holder::new(LEASE, me), Stay::new(STAY, me));
+        let (lease, stay) = (LeaseHolder::new(LEASE, me), Session::new(STAY, me));
         Front {
             me,
             lease,
             stay,
-            holding: Holding::new(me, BOUNDS, now),
-            told: Step(0),
+            holding: ScopeSubscriptions::new(me, BOUNDS, now),
+            told: Revision(0),
         }
     }
 
     fn follow(&mut self, now: i64) {
-        if let Some(state) = self.lease.known() {
-            self.holding.follow(now, state, &schema());
+        if let Some(state) = self.lease.known_state() {
+            self.holding.on_state(now, state, &schema());
         }
     }
 }
@@ -645,9 +721,9 @@
     let scopes = ["a", "b", "c"];
     let mut log = log();
     let mut now = 0i64;
-    let mut epoch = tansy_agreement::hold::Epoch::default().next();
-    let mut register = Register::begin(STAY, [], now, epoch);
-    let mut granter = Granter::new(LEASE, 8, None);
+    let mut epoch = tansy_agreement::subscription::ResyncEpoch::default().next();
+    let mut register = SessionTable::begin(STAY, [], now, epoch);
+    let mut granter = LeaseGranter::new(LEASE, 8, None);
     let mut fronts: Vec<Front> = (0..3).map(|n| Front::new(m(n), now)).collect();
     let mut mail: Vec<Letter> = Vec::new();
     let mut last = [0u64; 3];
@@ -657,24 +733,24 @@
         let n = rng.usize(0..3);
         let f = &mut fronts[n];
         match rng.u32(0..40) {
-            0..=5 => mail.push(Letter::AskLease(n, f.lease.ask(now, None))),
+            0..=5 => mail.push(Letter::AskLease(n, f.lease.request(now, None))),
             6..=7 => {
-                f.told = f.lease.step();
-                mail.push(Letter::AskStay(n, f.stay.ask(now, f.told)));
+                f.told = f.lease.revision();
+                mail.push(Letter::AskStay(n, f.stay.request(now, f.told)));
             }
             8..=11 => {
-                let (stay, lease) = (f.stay.left(now) > 0, f.lease.left(now) > 0);
+                let (stay, lease) = (f.stay.remaining(now) > 0, f.lease.remaining(now) > 0);
                 if stay {
-                    f.holding.called(now, &s, scopes[rng.usize(0..3)], lease);
+                    f.holding.admit(now, &s, scopes[rng.usize(0..3)], lease);
                 }
             }
             12..=16 => {
-                let at = f.lease.step();
-                if f.holding.contested() > f.told {
+                let at = f.lease.revision();
+                if f.holding.conflicting_revision() > f.told {
                     f.told = at;
-                    mail.push(Letter::AskStay(n, f.stay.ask(now, at)));
+                    mail.push(Letter::AskStay(n, f.stay.request(now, at)));
                 }
-                let stay = f.stay.left(now) > 0;
+                let stay = f.stay.remaining(now) > 0;
                 mail.extend(f.holding.tick(now, at, stay).map(|w| Letter::Want(n, w)));
             }
             // Killed and back as a later process.
@@ -691,32 +767,32 @@
             // Another root begins, or the same anew.
             18 if rng.u32(0..4) == 0 => {
                 epoch = register.epoch().next();
-                register = Register::begin(
+                register = SessionTable::begin(
                     STAY,
                     log.roster().map(|r| r.0).collect::<Vec<_>>(),
                     now,
                     epoch,
                 );
-                granter = Granter::new(LEASE, 8, Some(now));
+                granter = LeaseGranter::new(LEASE, 8, Some(now));
                 if plant == Plant::RootForgets {
                     for (from, _) in log.roster() {
-                        let (at, scopes, drops) = (Step(0), Vec::new(), Vec::new());
-                        register.want(&Want {
+                        let (at, scopes, drops) = (Revision(0), Vec::new(), Vec::new());
+                        register.on_subscribe(&SubscribeRequest {
                             from,
                             epoch,
                             seq: 1,
-                            at,
+                            revision: at,
                             scopes,
-                            drops,
-                            all: Some(Vec::new()),
+                            unsubscribed: drops,
+                            full_list: Some(Vec::new()),
                         });
                     }
                 }
             }
             19 => {
-                for member in register.out(now).collect::<Vec<_>>() {
-                    log.apply(Entry::Leave { member }).expect("it may leave");
-                    register.dismiss(member);
+                for member in register.expired(now).collect::<Vec<_>>() {
+                    log.apply(LogEntry::Leave { member }).expect("it may leave");
+                    register.remove(member);
                 }
             }
             20..=22 => {
@@ -724,22 +800,22 @@
                 let scope = scopes[rng.usize(0..3)];
                 let base = log.catalog().get(scope).map_or(0, |k| k.revision.0);
                 let to = (rng.u32(0..6) > 0).then(|| fields(rng.i64(0..3), rng.i64(1..5)));
-                let _ = log.apply(Entry::Change {
-                    requests: vec![request(id, vec![change(scope, base, to)])],
+                let _ = log.apply(LogEntry::UpdateScopes {
+                    transactions: vec![request(id, vec![change(scope, base, to)])],
                 });
             }
             // What is ready goes on; what is not goes back now and then.
             23..=25 => {
                 let (mut force, mut settled, mut back) = (Vec::new(), Vec::new(), Vec::new());
                 for (name, k) in log.catalog().open() {
-                    let Some(since) = k.standing.since() else {
+                    let Some(since) = k.phase.since() else {
                         continue;
                     };
-                    let reached = granter.reached(now, since);
+                    let reached = granter.all_at_least(now, since);
                     let behind = k.strict(&s, name)
                         && plant != Plant::NobodyWaited
                         && register
-                            .holders_behind(number(name), since)
+                            .subscribers_behind(scope_number(name), since)
                             .next()
                             .is_some();
                     match k.next() {
@@ -752,8 +828,11 @@
                         _ => {}
                     }
                 }
-                let _ = log.apply(Entry::Return { scopes: back });
-                let _ = log.apply(Entry::Carry { force, settled });
+                let _ = log.apply(LogEntry::RevertScopes { scopes: back });
+                let _ = log.apply(LogEntry::AdvanceScopes {
+                    in_force: force,
+                    settled,
+                });
             }
             // A letter arrives, in any order, may come twice, or never.
             _ if !mail.is_empty() => {
@@ -766,23 +845,23 @@
                         mail.extend(grant.map(|g| Letter::Lease(n, g)));
                     }
                     Letter::Lease(n, grant) => {
-                        fronts[n].lease.granted(grant);
+                        fronts[n].lease.on_grant(grant);
                         fronts[n].follow(now);
                     }
-                    Letter::AskStay(n, ask) if log.lists(ask.from) => {
+                    Letter::AskStay(n, ask) if log.has_member(ask.from) => {
                         mail.extend(register.grant(now, ask).map(|g| Letter::Stay(n, g)));
                         let epoch = register
-                            .untold(ask.from)
+                            .awaiting_resync(ask.from)
                             .filter(|_| log.catalog().since().is_some());
-                        let (to, at) = (ask.from, log.state().step);
+                        let (to, at) = (ask.from, log.state().revision);
                         let tell = |epoch| {
                             Letter::Reply(
                                 n,
-                                Reply {
+                                SubscribeReply {
                                     to,
                                     epoch,
                                     seq: None,
-                                    at,
+                                    revision: at,
                                     scopes: vec![],
                                 },
                             )
@@ -790,22 +869,23 @@
                         mail.extend(epoch.map(tell));
                     }
                     Letter::AskStay(_, ask) => {
-                        let join = Entry::Join {
+                        let join = LogEntry::Join {
                             member: ask.from,
                             name: "g".into(),
-                            at: ask.at,
+                            revision: ask.revision,
                         };
                         if log.apply(join).is_ok() {
-                            register.joined(now, ask.from, ask.at);
+                            register.on_join(now, ask.from, ask.revision);
                         }
                     }
-                    Letter::Stay(n, grant) => fronts[n].stay.granted(grant),
+                    Letter::Stay(n, grant) => fronts[n].stay.on_grant(grant),
                     Letter::Want(n, mut want) => {
                         if plant == Plant::AnyOrder
                             && want.seq <= last[n]
                             && fronts[n].me == want.from
                         {
-                            (want.seq, want.scopes, want.all) = (last[n] + 1, Vec::new(), None);
+                            (want.seq, want.scopes, want.full_list) =
+                                (last[n] + 1, Vec::new(), None);
                         }
                         last[n] = last[n].max(want.seq);
                         mail.extend(reply(&log, &mut register, &want).map(|r| Letter::Reply(n, r)));
@@ -813,9 +893,9 @@
                     Letter::Reply(n, mut reply) => {
                         let f = &mut fronts[n];
                         if plant == Plant::StaleAnswer {
-                            reply.at = reply.at.max(f.lease.step());
+                            reply.revision = reply.revision.max(f.lease.revision());
                         }
-                        f.holding.granted(now, reply, f.lease.known(), &s);
+                        f.holding.on_reply(now, reply, f.lease.known_state(), &s);
                     }
                 }
                 if mail.len() > 40 {
@@ -824,12 +904,12 @@
             }
             _ => {}
         }
-        for f in fronts.iter().filter(|f| f.stay.left(now) > 0) {
+        for f in fronts.iter().filter(|f| f.stay.remaining(now) > 0) {
             for scope in scopes {
                 let acts = f
                     .holding
-                    .acts(&s, scope, f.lease.left(now) > 0)
-                    .filter(|a| !a.refused);
+                    .effective_settings(&s, scope, f.lease.remaining(now) > 0)
+                    .filter(|a| !a.rejected);
                 let agreed = log.catalog().get(scope).cloned().unwrap_or_default();
                 let class = |f: &Option<Fields>| f.as_ref().and_then(|f| f.get("class").cloned());
                 let lanes = |f: &Option<Fields>| f.as_ref().and_then(|f| f.get("lanes").cloned());
@@ -837,7 +917,7 @@
                 if class(&acts.fields) != class(&agreed.fields)
                     || lanes(&acts.fields) > lanes(&agreed.fields)
                 {
-                    let (me, step) = (f.me, f.lease.step());
+                    let (me, step) = (f.me, f.lease.revision());
                     return Err(format!(
                         "seed {seed}: {me:?} at {step:?} acts on {scope} as {acts:?}, agreed is {agreed:?}"
                     ));
@@ -877,17 +957,21 @@
 #[test]
 fn moves_know_what_they_forgot() {
     assert_eq!(
-        Moves::after(Step(3)).since(Step(2)).map(|m| m.count()),
+        ChangeHistory::after(Revision(3))
+            .since(Revision(2))
+            .map(|m| m.count()),
         None
     );
     assert_eq!(
-        Moves::after(Step(3)).since(Step(3)).map(|m| m.count()),
+        ChangeHistory::after(Revision(3))
+            .since(Revision(3))
+            .map(|m| m.count()),
         Some(0)
     );
-    let m = Move {
-        step: Step(4),
+    let m = ScopeChange {
+        revision: Revision(4),
         scope: "a".into(),
-        to: Scoped::default(),
+        record: ScopeRecord::default(),
     };
-    assert!(m.weight() > 0);
+    assert!(m.memory_bytes() > 0);
 }
--- a/decide/agreement/tests/stay.rs
+++ b/decide/agreement/tests/stay.rs
@@ -1,30 +1,30 @@
 //! Stays under random histories of one seat and its guests: whoever acts on a step while the fleet goes on past it is found.
 
-use tansy_agreement::lease::{Member, Terms};
-use tansy_agreement::log::{Applied, Entry, Log, Refused, Step};
-use tansy_agreement::rule::{Fields, Value};
-use tansy_agreement::stay::{Register, Stay};
+use tansy_agreement::compatibility::{Fields, Value};
+use tansy_agreement::lease::{LeaseTiming, Member};
+use tansy_agreement::log::{ApplyOutcome, EntryRejection, Log, LogEntry, Revision};
+use tansy_agreement::session::{Session, SessionTable};
 
 const SPAN: i64 = 1_000_000;
 
 struct Guest {
-    stay: Stay,
+    stay: Session,
     me: Member,
     /// The step that it acts on; it follows the log when it hears of it.
-    at: Step,
+    at: Revision,
     rate: f64,
 }
 
 /// One history; the number of strict steps taken, or what broke.
 fn history(seed: u64, joins_behind: bool, forgets_leavers: bool) -> Result<u64, String> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let terms = Terms {
+    let terms = LeaseTiming {
         span: SPAN,
-        ppm: 10_000,
+        drift_ppm: 10_000,
     };
     let fields = |n: i64| Fields::from([("classes.a.group".to_string(), Value::Int(n))]);
     let mut log = Log::new(fields(0), []);
-    let mut register = Register::new(terms, [], 0);
+    let mut register = SessionTable::new(terms, [], 0);
     let mut guests: Vec<Guest> = (0..3)
         .map(|n| {
             let me = Member {
@@ -32,9 +32,9 @@
                 incarnation: 1,
             };
             Guest {
-                stay: Stay::new(terms, me),
+                stay: Session::new(terms, me),
                 me,
-                at: Step(0),
+                at: Revision(0),
                 rate: 0.99 + rng.f64() * 0.02,
             }
         })
@@ -42,7 +42,7 @@
     let (mut now, mut steps, mut version) = (0i64, 0u64, 0i64);
     for _ in 0..400 {
         now += rng.i64(0..SPAN / 4);
-        let step = log.state().step;
+        let step = log.state().revision;
         let g = &mut guests[rng.usize(0..3)];
         let local = |g: &Guest, now: i64| (now as f64 * g.rate) as i64;
         match rng.u32(0..12) {
@@ -51,60 +51,60 @@
             // It asks; the answer takes its time, or never comes.
             3..=6 => {
                 let asked = local(g, now);
-                let ask = g.stay.ask(asked, g.at);
-                let grant = if log.lists(ask.from) {
+                let ask = g.stay.request(asked, g.at);
+                let grant = if log.has_member(ask.from) {
                     register.grant(now, ask)
                 } else {
-                    let at = if joins_behind { step } else { ask.at };
-                    let join = Entry::Join {
+                    let at = if joins_behind { step } else { ask.revision };
+                    let join = LogEntry::Join {
                         member: ask.from,
                         name: "g".into(),
-                        at,
+                        revision: at,
                     };
                     match log.apply(join) {
-                        Ok(_) => register.joined(now, ask.from, ask.at),
-                        Err(e) => assert_eq!(e, Refused::Behind),
+                        Ok(_) => register.on_join(now, ask.from, ask.revision),
+                        Err(e) => assert_eq!(e, EntryRejection::Behind),
                     }
                     None
                 };
                 if let Some(grant) = grant.filter(|_| rng.u32(0..5) > 0) {
                     now += rng.i64(0..SPAN / 2);
-                    g.stay.granted(grant);
+                    g.stay.on_grant(grant);
                 }
             }
             // It is killed and back as a later process, which knows nothing.
             7 => {
                 g.me.incarnation += 1;
-                (g.stay, g.at) = (Stay::new(terms, g.me), Step(0));
+                (g.stay, g.at) = (Session::new(terms, g.me), Revision(0));
             }
             // The seat starts again.
-            8 => register = Register::new(terms, log.roster().map(|r| r.0), now),
+            8 => register = SessionTable::new(terms, log.roster().map(|r| r.0), now),
             // Whose stay is out leaves.
             9 => {
-                for member in register.out(now).collect::<Vec<_>>() {
+                for member in register.expired(now).collect::<Vec<_>>() {
                     if !forgets_leavers {
-                        let left = log.apply(Entry::Leave { member }).expect("it may leave");
-                        assert_eq!(left, Applied::Roster);
+                        let left = log.apply(LogEntry::Leave { member }).expect("it may leave");
+                        assert_eq!(left, ApplyOutcome::Roster);
                     }
-                    register.dismiss(member);
+                    register.remove(member);
                 }
             }
             // A change of a strict field goes on, if nobody on the roster is behind.
             _ => {
-                if !register.reached(step) {
+                if !register.all_at_least(step) {
                     continue;
                 }
-                if log.unsettled() {
-                    log.apply(Entry::Advance { from: step })
+                if log.has_open_changes() {
+                    log.apply(LogEntry::Advance { from: step })
                         .expect("a step to take");
                 } else {
                     version += 1;
-                    let base = log.state().force.version;
-                    let entry = Entry::Propose {
+                    let base = log.state().in_force.version;
+                    let entry = LogEntry::Propose {
                         id: 0,
                         base,
                         fields: fields(version),
-                        why: String::new(),
+                        reason: String::new(),
                     };
                     log.apply(entry).expect("a change");
                 }
@@ -112,9 +112,9 @@
             }
         }
         // Nobody with a stay acts on a step that the fleet has left behind by more than one.
-        let step = log.state().step;
+        let step = log.state().revision;
         for g in &guests {
-            if g.stay.left(local(g, now)) > 0 && g.at.0 + 1 < step.0 {
+            if g.stay.remaining(local(g, now)) > 0 && g.at.0 + 1 < step.0 {
                 return Err(format!(
                     "seed {seed}: at step {} of {} with a stay",
                     g.at.0, step.0
--- a/decide/agreement/tests/tree.rs
+++ b/decide/agreement/tests/tree.rs
@@ -2,22 +2,22 @@
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use tansy_agreement::lease::{Grant, Member, Terms};
-use tansy_agreement::log::Step;
-use tansy_agreement::member::{Front, Message, View};
+use tansy_agreement::lease::{LeaseGrant, LeaseTiming, Member};
+use tansy_agreement::lease_tree::{LeaseMessage, LeaseNode, LeaseTopology};
+use tansy_agreement::log::Revision;
 
 const SECOND: i64 = 1_000_000;
-const TERMS: Terms = Terms {
+const TERMS: LeaseTiming = LeaseTiming {
     span: 5 * SECOND,
-    ppm: 1_000,
+    drift_ppm: 1_000,
 };
 
-type Letter = (u64, u64, Message<Step>);
+type Letter = (u64, u64, LeaseMessage<Revision>);
 
 /// Front ends 1 and on under the seat 1, each in one of some regions, its clock as the others'.
 struct Tree {
     now: i64,
-    all: Vec<Front<Step>>,
+    all: Vec<LeaseNode<Revision>>,
     /// Time of the way between two regions.
     between: Vec<Vec<i64>>,
     mail: BinaryHeap<Reverse<(i64, u64)>>,
@@ -41,12 +41,12 @@
                 (between[a][b], between[b][a]) = (way, way);
             }
         }
-        let view = View::new(1, 1..=fronts);
+        let view = LeaseTopology::new(1, 1..=fronts);
         let mut one = |id| {
             let me = Member { id, incarnation: 1 };
             match id {
-                1 => Front::seat(TERMS, me, view.clone(), Step(1), TERMS.span, 0),
-                _ => Front::new(TERMS, me, view.clone(), rng.i64(0..starts)),
+                1 => LeaseNode::leader(TERMS, me, view.clone(), Revision(1), TERMS.span, 0),
+                _ => LeaseNode::new(TERMS, me, view.clone(), rng.i64(0..starts)),
             }
         };
         let all = (1..=fronts).map(&mut one).collect();
@@ -62,7 +62,7 @@
         }
     }
 
-    fn post(&mut self, from: u64, letters: Vec<(u64, Message<Step>)>) {
+    fn post(&mut self, from: u64, letters: Vec<(u64, LeaseMessage<Revision>)>) {
         for (to, message) in letters {
             let region = |id: u64| id as usize % self.between.len();
             let way = self.between[region(from)][region(to)]
@@ -80,7 +80,7 @@
             self.now += SECOND / 100;
             if self.now % (SECOND / 10) == 0 {
                 let mut out = Vec::new();
-                self.all[0].extend(self.now, self.now + TERMS.span, &mut out);
+                self.all[0].extend_leader_lease(self.now, self.now + TERMS.span, &mut out);
                 self.post(1, out);
             }
             while let Some(Reverse((at, n))) =
@@ -89,7 +89,7 @@
                 self.mail.pop();
                 let (from, to, message) = self.letters.remove(&n).expect("a letter under way");
                 let mut out = Vec::new();
-                self.all[to as usize - 1].hear(at, from, message, &mut out);
+                self.all[to as usize - 1].on_message(at, from, message, &mut out);
                 self.post(to, out);
             }
             for id in 1..=self.all.len() as u64 {
@@ -102,7 +102,10 @@
     }
 
     fn without(&self) -> usize {
-        self.all.iter().filter(|f| f.left(self.now) == 0).count()
+        self.all
+            .iter()
+            .filter(|f| f.remaining(self.now) == 0)
+            .count()
     }
 }
 
@@ -124,34 +127,36 @@
 /// Asks of one that stands four links under the seat, by whom it asks, in some lease's lengths. Its own parent answers each
 /// with so much, after a tenth of a second; nobody else does.
 fn asked(own: i64) -> BTreeMap<u64, usize> {
-    let view = View::new(1, 1..=700);
+    let view = LeaseTopology::new(1, 1..=700);
     let depth = |id| (0..9).find(|c| view.parent(id, *c) == Some(1));
     let id = (2..=700)
         .find(|id| depth(*id) == Some(3))
         .expect("one four links down");
     let (me, parent) = (Member { id, incarnation: 1 }, view.parent(id, 0));
-    let mut front: Front<Step> = Front::new(TERMS, me, view, 0);
+    let mut front: LeaseNode<Revision> = LeaseNode::new(TERMS, me, view, 0);
     let mut asked = BTreeMap::new();
     for n in 0..60 {
         let (mut out, now) = (Vec::new(), n * TERMS.span / 4);
         front.tick(now, &mut out);
         for (to, message) in out {
-            let Message::Ask(ask) = message else { continue };
+            let LeaseMessage::Request(ask) = message else {
+                continue;
+            };
             *asked.entry(to).or_insert(0) += 1;
             if Some(to) == parent && own > 0 {
-                let state = (ask.has < Step(1)).then_some(Step(1));
-                let grant = Grant {
+                let state = (ask.known < Revision(1)).then_some(Revision(1));
+                let grant = LeaseGrant {
                     to: me,
                     seq: ask.seq,
                     span: own,
-                    step: Step(1),
+                    revision: Revision(1),
                     state,
                     delta: None,
                 };
-                front.hear(
+                front.on_message(
                     now + SECOND / 10,
                     to,
-                    Message::Grant(grant),
+                    LeaseMessage::Grant(grant),
                     &mut Vec::new(),
                 );
             }
--- a/decide/canary/src/evidence.rs
+++ b/decide/canary/src/evidence.rs
@@ -10,7 +10,7 @@
 
 /// One slice's difference.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Point {
+pub struct Observation {
     /// New less old; over zero is worse.
     pub x: f64,
     /// Variance that counting alone gives it.
@@ -19,7 +19,7 @@
 
 /// Differences before the change, between the same front ends: what is theirs and not the change's.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Before {
+pub struct Prior {
     /// Their mean.
     pub mean: f64,
     /// Its variance.
@@ -28,12 +28,12 @@
     pub spread: f64,
 }
 
-impl Before {
+impl Prior {
     /// From slices. Few say little: the spread is taken larger then.
-    pub fn of(points: &[Point]) -> Before {
+    pub fn of(points: &[Observation]) -> Prior {
         let information: f64 = points.iter().map(|p| 1.0 / p.v).sum();
         if points.len() < 2 || information <= 0.0 {
-            return Before {
+            return Prior {
                 mean: 0.0,
                 variance: f64::INFINITY,
                 spread: 1.0,
@@ -46,7 +46,7 @@
             .map(|p| (p.x - mean).powi(2) / p.v)
             .sum::<f64>();
         let spread = (chi / (n - 1.0)).max(1.0) * (1.0 + (2.0 / (n - 1.0)).sqrt());
-        Before {
+        Prior {
             mean,
             variance: spread / information,
             spread,
@@ -81,16 +81,16 @@
 
 /// The evidence, as it came in.
 #[derive(Clone, Debug, Default)]
-pub struct Evidence {
-    points: Vec<Point>,
+pub struct SequentialTest {
+    points: Vec<Observation>,
 }
 
 /// Slices that are remembered; older ones are taken together by twos.
 const MOST: usize = 1024;
 
-impl Evidence {
+impl SequentialTest {
     /// A further slice. One without a difference of a known exactness says nothing.
-    pub fn take(&mut self, p: Point) {
+    pub fn add(&mut self, p: Observation) {
         if p.x.is_finite() && p.v.is_finite() && p.v > 0.0 {
             self.points.push(p);
         }
@@ -98,7 +98,7 @@
             let joined = self.points.chunks(2).map(|c| match c {
                 [a, b] => {
                     let (i, j) = (1.0 / a.v, 1.0 / b.v);
-                    Point {
+                    Observation {
                         x: (a.x * i + b.x * j) / (i + j),
                         v: 1.0 / (i + j),
                     }
@@ -135,7 +135,7 @@
 
     /// What it says. `effect`: the size of an effect that would matter. `error`: the probability with which it may say that
     /// something is worse when nothing is.
-    pub fn estimate(&self, before: &Before, effect: f64, error: f64) -> Estimate {
+    pub fn estimate(&self, before: &Prior, effect: f64, error: f64) -> Estimate {
         let spread = self.spread().max(before.spread).max(1.0);
         if !before.variance.is_finite() {
             // What is the front ends' own can't be told from what is the change's.
@@ -191,7 +191,7 @@
     }
 
     /// About how many further slices like those so far bring the interval to this half; none: it can't be said, or none do.
-    pub fn needs(&self, before: &Before, effect: f64, error: f64, half: f64) -> Option<usize> {
+    pub fn needs(&self, before: &Prior, effect: f64, error: f64, half: f64) -> Option<usize> {
         let now = self.estimate(before, effect, error);
         if now.slices == 0 || !half.is_finite() || half <= 0.0 {
             return None;
--- a/decide/canary/src/judge.rs
+++ b/decide/canary/src/judge.rs
@@ -1,13 +1,13 @@
 //! Looks in, verdicts out.
 
-use crate::evidence::{Before, Estimate, Evidence, Point};
-use crate::tally::{Report, Tally};
+use crate::evidence::{Estimate, Observation, Prior, SequentialTest};
+use crate::tally::{FrontEndReport, RequestCounters};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a verdict rests on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct AnalysisParameters {
     /// The probability with which a change that changes nothing may be called worse, at all looks of this judge together.
     pub error: f64,
     /// The least loss of service that matters, as a share of what the calls are worth.
@@ -24,9 +24,9 @@
     pub horizon: f64,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms {
+impl Default for AnalysisParameters {
+    fn default() -> AnalysisParameters {
+        AnalysisParameters {
             error: 0.01,
             least: 0.01,
             accept: 0.03,
@@ -40,7 +40,7 @@
 
 /// One difference that was looked at.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Measured {
+pub struct Measurement {
     /// Which: `service`, `service class NAME`, `service zone NAME`, `slow`, `refused`, `spill`.
     pub what: String,
     /// Shares of the old and the new side over all slices, as they were.
@@ -84,7 +84,7 @@
 
 /// A front end's process that ended though nobody had asked it to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Death {
+pub struct UnplannedExit {
     /// Whose.
     pub name: String,
     /// How: two of one sort are no accident.
@@ -96,7 +96,7 @@
 struct Part {
     name: String,
     zone: String,
-    classes: BTreeMap<String, Tally>,
+    classes: BTreeMap<String, RequestCounters>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -110,11 +110,11 @@
 }
 
 impl Sum {
-    fn add(&mut self, t: &Tally, slow_over: Option<u64>) {
-        self.asked += t.asked as f64;
+    fn add(&mut self, t: &RequestCounters, slow_over: Option<u64>) {
+        self.asked += t.requested as f64;
         self.wanted += t.wanted;
         self.worth += t.worth;
-        self.refused += t.refused as f64;
+        self.refused += t.rejected as f64;
         self.served += t.served as f64;
         self.slow += slow_over.map_or(0.0, |o| t.slower(o) as f64);
     }
@@ -176,14 +176,14 @@
 
 /// Judges one stage: these front ends are its new side, all others the old one.
 #[derive(Clone, Debug)]
-pub struct Judge {
-    terms: Terms,
+pub struct CanaryAnalysis {
+    terms: AnalysisParameters,
     new: BTreeSet<String>,
-    last: BTreeMap<String, Report>,
+    last: BTreeMap<String, FrontEndReport>,
     before: Vec<Vec<Part>>,
     /// By class, microseconds: one in a hundred answers took longer before.
     slow_over: BTreeMap<String, u64>,
-    evidence: BTreeMap<Metric, (Evidence, Before, [f64; 4])>,
+    evidence: BTreeMap<Metric, (SequentialTest, Prior, [f64; 4])>,
     judging: bool,
     /// Loss of the old side before.
     usual: Option<f64>,
@@ -194,10 +194,10 @@
     stopped: Option<String>,
 }
 
-impl Judge {
+impl CanaryAnalysis {
     /// One that has seen nothing.
-    pub fn new(terms: Terms, new: impl IntoIterator<Item = String>) -> Judge {
-        Judge {
+    pub fn new(terms: AnalysisParameters, new: impl IntoIterator<Item = String>) -> CanaryAnalysis {
+        CanaryAnalysis {
             terms,
             new: new.into_iter().collect(),
             last: BTreeMap::new(),
@@ -226,7 +226,7 @@
     }
 
     /// Takes a look at all front ends. `judging`: the new side is in place; until then it is only learnt what is usual.
-    pub fn look(&mut self, reports: &[Report], judging: bool) {
+    pub fn observe(&mut self, reports: &[FrontEndReport], judging: bool) {
         let parts: Vec<Part> = reports.iter().filter_map(|r| self.part(r)).collect();
         let was_new = self.last.values().any(|r| r.new);
         self.last = reports
@@ -275,7 +275,7 @@
     }
 
     /// A process ended by itself.
-    pub fn died(&mut self, death: Death) {
+    pub fn on_unplanned_exit(&mut self, death: UnplannedExit) {
         let side = usize::from(self.new.contains(&death.name));
         self.deaths[side]
             .entry(death.sort.clone())
@@ -298,7 +298,7 @@
     }
 
     /// The same front end ended by itself again.
-    pub fn loops(&mut self, name: &str, sort: &str) {
+    pub fn on_crash_loop(&mut self, name: &str, sort: &str) {
         if self.new.contains(name) {
             self.stop(format!("{name} ends again and again: {sort}"));
         }
@@ -363,10 +363,10 @@
     }
 
     /// All that is compared, as it stands.
-    pub fn measured(&self) -> Vec<Measured> {
+    pub fn measurements(&self) -> Vec<Measurement> {
         let one = |(metric, e, sums): (&Metric, Estimate, [f64; 4])| {
             let [old, of_old, new, of_new] = sums;
-            Measured {
+            Measurement {
                 what: metric.name(),
                 old: old / of_old.max(1.0),
                 new: new / of_new.max(1.0),
@@ -400,7 +400,7 @@
     }
 
     /// What came since the last look, if the process is the same and knows enough.
-    fn part(&self, r: &Report) -> Option<Part> {
+    fn part(&self, r: &FrontEndReport) -> Option<Part> {
         let last = self
             .last
             .get(&r.name)
@@ -409,8 +409,8 @@
         if last.up < self.terms.warm_up {
             return None;
         }
-        let none = Tally::default();
-        let since = |(class, t): (&String, &Tally)| {
+        let none = RequestCounters::default();
+        let since = |(class, t): (&String, &RequestCounters)| {
             (
                 class.clone(),
                 t.since(last.classes.get(class).unwrap_or(&none)),
@@ -433,13 +433,13 @@
 
     /// The stage is in place: what the two sides differed by before anything had changed, and what is slow.
     fn begin(&mut self) {
-        let mut classes: BTreeMap<String, Tally> = BTreeMap::new();
+        let mut classes: BTreeMap<String, RequestCounters> = BTreeMap::new();
         for part in self.before.iter().flatten() {
             for (class, t) in &part.classes {
                 classes.entry(class.clone()).or_default().add(t);
             }
         }
-        let p99 = |(c, t): (String, Tally)| {
+        let p99 = |(c, t): (String, RequestCounters)| {
             (t.latency.len() >= 200).then(|| (c, t.latency.value_at_quantile(0.99)))
         };
         self.slow_over = classes.into_iter().filter_map(p99).collect();
@@ -469,7 +469,7 @@
     }
 
     /// The difference of a slice, and shares of both sides.
-    fn point(&self, metric: &Metric, cells: &Cells) -> Option<(Point, [f64; 4])> {
+    fn point(&self, metric: &Metric, cells: &Cells) -> Option<(Observation, [f64; 4])> {
         if *metric == Metric::Spill {
             return self.spill(cells);
         }
@@ -489,7 +489,7 @@
             weight += w;
             sums = [sums[0] + p * n, sums[1] + n, sums[2] + q * m, sums[3] + m];
         }
-        let point = Point {
+        let point = Observation {
             x: x / weight,
             v: v / (weight * weight),
         };
@@ -497,7 +497,7 @@
     }
 
     /// What old front ends lose in zones where new ones stand, beside old ones in zones where none does.
-    fn spill(&self, cells: &Cells) -> Option<(Point, [f64; 4])> {
+    fn spill(&self, cells: &Cells) -> Option<(Observation, [f64; 4])> {
         let of = self.last.values().filter(|r| self.new.contains(&r.name));
         let staged: BTreeSet<&String> = of.map(|r| &r.zone).collect();
         let mut all = [Sum::default(); 2];
@@ -519,7 +519,7 @@
         let both = (p * n + q * m) / (n + m);
         let spread = (both * (1.0 - both)).max(0.0) + 0.5 / (n + m + 1.0);
         Some((
-            Point {
+            Observation {
                 x: q - p,
                 v: spread * (1.0 / n + 1.0 / m),
             },
@@ -567,19 +567,21 @@
                     continue;
                 }
                 let was = |p: &Vec<Part>| self.point(&metric, &self.cells(p)).map(|p| p.0);
-                let points: Vec<Point> = self.before.iter().filter_map(was).collect();
-                let before = match Before::of(&points) {
+                let points: Vec<Observation> = self.before.iter().filter_map(was).collect();
+                let before = match Prior::of(&points) {
                     b if b.variance.is_finite() => b,
-                    b => Before {
+                    b => Prior {
                         variance: self.apart(&metric),
                         ..b
                     },
                 };
-                self.evidence
-                    .insert(metric.clone(), (Evidence::default(), before, [0.0; 4]));
+                self.evidence.insert(
+                    metric.clone(),
+                    (SequentialTest::default(), before, [0.0; 4]),
+                );
             }
             if let Some((evidence, _, all)) = self.evidence.get_mut(&metric) {
-                evidence.take(point);
+                evidence.add(point);
                 all.iter_mut().zip(sums).for_each(|(a, s)| *a += s);
             }
         }
@@ -587,7 +589,7 @@
 
     /// Where nothing was seen before: how far the means of so many front ends may lie apart, by how far old ones do.
     fn apart(&self, metric: &Metric) -> f64 {
-        let share = |r: &Report| {
+        let share = |r: &FrontEndReport| {
             let mut sum = Sum::default();
             r.classes
                 .iter()
@@ -613,8 +615,8 @@
     }
 
     /// Memory that grows on the new side and not on the old, and will be over the limit within the horizon.
-    fn growth(&mut self, reports: &[Report]) {
-        let slope = |r: &Report| {
+    fn growth(&mut self, reports: &[FrontEndReport]) {
+        let slope = |r: &FrontEndReport| {
             let all = self
                 .memory
                 .get(&format!("{} {}", r.name, r.incarnation))
--- a/decide/canary/src/lib.rs
+++ b/decide/canary/src/lib.rs
@@ -5,7 +5,7 @@
 //! both sides share (a zone lost, a storm, traffic that doubles) is no difference. What the same front ends differed by before
 //! the change is taken off.
 //!
-//! A [`Judge`] sees looks and says [`Verdict`]s. It knows no clock and no names of metrics beyond those here. The new side is
+//! A [`CanaryAnalysis`] sees looks and says [`Verdict`]s. It knows no clock and no names of metrics beyond those here. The new side is
 //! *worse* when the evidence passes its bound (see [`evidence`]) and the loss is as large as matters, or when something shows
 //! that needs no statistics; *fine* when the loss that may be hidden is small enough; else it is *open*, and it is said what
 //! would settle it.
@@ -14,5 +14,5 @@
 mod judge;
 mod tally;
 
-pub use judge::{Death, Judge, Measured, Terms, Verdict};
-pub use tally::{Report, Tally};
+pub use judge::{AnalysisParameters, CanaryAnalysis, Measurement, UnplannedExit, Verdict};
+pub use tally::{FrontEndReport, RequestCounters};
--- a/decide/canary/src/tally.rs
+++ b/decide/canary/src/tally.rs
@@ -5,13 +5,13 @@
 
 /// Final answers of one class since a process began. Counts only grow while the process lives.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Tally {
+pub struct RequestCounters {
     /// Calls that ended.
-    pub asked: u64,
+    pub requested: u64,
     /// Answered by a worker.
     pub served: u64,
     /// Refused: nothing ran.
-    pub refused: u64,
+    pub rejected: u64,
     /// Failed.
     pub failed: u64,
     /// What the calls would have been worth, answered in time; a call's most is 1.
@@ -22,14 +22,14 @@
     pub latency: Histogram<u64>,
 }
 
-impl Default for Tally {
-    fn default() -> Tally {
+impl Default for RequestCounters {
+    fn default() -> RequestCounters {
         // Grown as needed: some 20 kB for a minute.
         let latency = Histogram::new(2).expect("two digits are allowed");
-        Tally {
-            asked: 0,
+        RequestCounters {
+            requested: 0,
             served: 0,
-            refused: 0,
+            rejected: 0,
             failed: 0,
             wanted: 0.0,
             worth: 0.0,
@@ -38,12 +38,12 @@
     }
 }
 
-impl Tally {
+impl RequestCounters {
     /// Adds another's counts.
-    pub fn add(&mut self, other: &Tally) {
-        self.asked += other.asked;
+    pub fn add(&mut self, other: &RequestCounters) {
+        self.requested += other.requested;
         self.served += other.served;
-        self.refused += other.refused;
+        self.rejected += other.rejected;
         self.failed += other.failed;
         self.wanted += other.wanted;
         self.worth += other.worth;
@@ -52,15 +52,15 @@
     }
 
     /// What came since an earlier look at the same process.
-    pub fn since(&self, before: &Tally) -> Tally {
+    pub fn since(&self, before: &RequestCounters) -> RequestCounters {
         let mut latency = self.latency.clone();
         if latency.subtract(&before.latency).is_err() {
             latency.reset();
         }
-        Tally {
-            asked: self.asked.saturating_sub(before.asked),
+        RequestCounters {
+            requested: self.requested.saturating_sub(before.requested),
             served: self.served.saturating_sub(before.served),
-            refused: self.refused.saturating_sub(before.refused),
+            rejected: self.rejected.saturating_sub(before.rejected),
             failed: self.failed.saturating_sub(before.failed),
             wanted: (self.wanted - before.wanted).max(0.0),
             worth: (self.worth - before.worth).max(0.0),
@@ -78,7 +78,7 @@
 
 /// One look at a front end.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct FrontEndReport {
     /// Its name.
     pub name: String,
     /// Where it stands.
@@ -90,7 +90,7 @@
     /// Seconds for which it has acted.
     pub up: f64,
     /// By class, since its process began.
-    pub classes: BTreeMap<String, Tally>,
+    pub classes: BTreeMap<String, RequestCounters>,
     /// Megabytes.
     pub memory: f64,
     /// Times that a guard held something back, which never happens unless something is wrong.
--- a/decide/consensus/src/lib.rs
+++ b/decide/consensus/src/lib.rs
@@ -6,7 +6,7 @@
 //! term is applied here, so that whatever the one before it entered after a check is known by whoever checks next. A new root
 //! waits one lease before a step: the quorum that elected it met the one that answered the last root.
 //!
-//! [`Seats`] takes time, messages and what became of records, and gives [`Out`]s, in order.
+//! [`Replica`] takes time, messages and what became of records, and gives [`Effect`]s, in order.
 
 mod mem;
 mod wire;
@@ -17,9 +17,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use tansy_agreement::lease::{Terms, Time};
-use tansy_agreement::log::{Applied, Entry, Log, Refused};
-use tansy_agreement::rule::Fields;
+use tansy_agreement::compatibility::Fields;
+use tansy_agreement::lease::{LeaseTiming, Time};
+use tansy_agreement::log::{ApplyOutcome, EntryRejection, Log, LogEntry};
 use wire::{Conf, Ent, Snap};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -47,29 +47,29 @@
 
 /// What a disk holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Saved {
+pub struct PersistentState {
     /// The whole as it was once.
-    pub whole: Option<Vec<u8>>,
+    pub snapshot: Option<Vec<u8>>,
     /// Records after it, in their order.
     pub records: Vec<Vec<u8>>,
 }
 
 /// What a disk holds can't be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unreadable {
+pub struct CorruptState {
     /// Which record, from 1; 0 is the whole.
     pub record: usize,
     /// Why.
-    pub why: String,
+    pub cause: String,
 }
 
-impl std::fmt::Display for Unreadable {
+impl std::fmt::Display for CorruptState {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let (n, why) = (self.record, &self.why);
+        let (n, why) = (self.record, &self.cause);
         write!(f, "record {n} of the seat's file can't be read: {why}; restore the file, or start the seat anew without it")
     }
 }
-impl std::error::Error for Unreadable {}
+impl std::error::Error for CorruptState {}
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum Record {
@@ -82,7 +82,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Whole {
-    /// [`FORM`].
+    /// [`FORMAT_VERSION`].
     form: u64,
     hard: (u64, u64, u64),
     base: (u64, u64),
@@ -96,12 +96,12 @@
     /// The fields and the seats that the fleet begins with; the first of these counts.
     Begin(Fields, BTreeMap<u64, SocketAddr>),
     /// An entry of the log, with its proposer's seat, process and number.
-    Entry(u64, u64, u64, Entry),
+    Entry(u64, u64, u64, LogEntry),
 }
 
 /// What is to be done, in this order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Effect {
     /// Send to another seat. It may be lost, late or doubled.
     Send {
         /// Which seat.
@@ -109,48 +109,48 @@
         /// What.
         bytes: Vec<u8>,
     },
-    /// Hold a record, then call [`Seats::held`]; in order. With `whole`, that takes the place of all before it once held.
-    Hold {
+    /// Hold a record, then call [`Replica::on_persisted`]; in order. With `whole`, that takes the place of all before it once held.
+    Persist {
         /// The record.
         record: Vec<u8>,
         /// All that there is, this record included.
-        whole: Option<Vec<u8>>,
+        snapshot: Option<Vec<u8>>,
     },
     /// The order holds what this program does not know: a later one's. This seat takes part no more, since whatever it
     /// made of it would be another log than the others'.
-    Strange,
+    UnknownEntry,
     /// An entry was agreed on and applied.
     Applied {
         /// The number that it was proposed with here; none: by another, or by an earlier process.
-        mine: Option<u64>,
+        proposal: Option<u64>,
         /// The entry.
-        entry: Entry,
+        entry: LogEntry,
         /// What it did.
-        outcome: Result<Applied, Refused>,
+        outcome: Result<ApplyOutcome, EntryRejection>,
     },
 }
 
 /// What a seat is made of.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct ReplicaConfig {
     /// Which of the seats it is.
-    pub me: u64,
+    pub id: u64,
     /// Its process; a later one has a larger number.
     pub incarnation: u64,
     /// Those that a fleet which begins has, and where each is reached. One that is not among them learns the log when it is
     /// to take over from another, and is no seat until then.
-    pub seats: BTreeMap<u64, SocketAddr>,
+    pub voters: BTreeMap<u64, SocketAddr>,
     /// Of leases.
-    pub terms: Terms,
+    pub terms: LeaseTiming,
     /// The fields that a fleet which begins has first.
-    pub first: Fields,
+    pub initial_fields: Fields,
     /// Of its random choices.
     pub seed: u64,
 }
 
 /// One seat.
-pub struct Seats {
-    setup: Setup,
+pub struct Replica {
+    setup: ReplicaConfig,
     node: RawNode<Mem>,
     log: Option<Log>,
     applied: u64,
@@ -163,37 +163,41 @@
     round: u64,
     until: Option<Time>,
     /// Records that the disk has not answered for, with what may be sent once it has.
-    held: VecDeque<(u64, Vec<Vec<u8>>, Vec<u64>)>,
+    on_persisted: VecDeque<(u64, Vec<Vec<u8>>, Vec<u64>)>,
     /// Of these the ones that hold a whole taken over from another seat: nothing after it is applied before that.
     wholes: VecDeque<u64>,
     records: u64,
     next_number: u64,
     began: bool,
-    broken: bool,
+    is_failed: bool,
     rng: fastrand::Rng,
     timeout_term: Option<(u64, StateRole)>,
 }
 
-impl Seats {
+impl Replica {
     /// A seat that goes on from what its disk holds.
-    pub fn new(setup: Setup, saved: &Saved, now: Time) -> Result<Seats, Unreadable> {
+    pub fn new(
+        setup: ReplicaConfig,
+        saved: &PersistentState,
+        now: Time,
+    ) -> Result<Replica, CorruptState> {
         let bad = |record: usize| {
-            move |e: postcard::Error| Unreadable {
+            move |e: postcard::Error| CorruptState {
                 record,
-                why: e.to_string(),
+                cause: e.to_string(),
             }
         };
-        if setup.me == 0 || setup.seats.contains_key(&0) {
-            return Err(Unreadable {
+        if setup.id == 0 || setup.voters.contains_key(&0) {
+            return Err(CorruptState {
                 record: 0,
-                why: "a seat's number is 0".into(),
+                cause: "a seat's number is 0".into(),
             });
         }
         let mut mem = Mem::default();
-        if setup.seats.contains_key(&setup.me) {
+        if setup.voters.contains_key(&setup.id) {
             // The seats that the order begins with stand before its first entry, as an entry that nobody has: whoever is
             // not among them has to learn them with a whole.
-            let voters: Vec<u64> = setup.seats.keys().copied().collect();
+            let voters: Vec<u64> = setup.voters.keys().copied().collect();
             let first = xxh3_64(&postcard::to_stdvec(&voters).map_err(bad(0))?).max(1);
             let conf = Conf {
                 voters,
@@ -207,11 +211,14 @@
                 log: Vec::new(),
             });
         }
-        if let Some(bytes) = &saved.whole {
+        if let Some(bytes) = &saved.snapshot {
             let whole: Whole = postcard::from_bytes(bytes).map_err(bad(0))?;
             if whole.form != FORM {
                 let why = "it is of a form that this program does not know".into();
-                return Err(Unreadable { record: 0, why });
+                return Err(CorruptState {
+                    record: 0,
+                    cause: why,
+                });
             }
             mem.hard = hard(whole.hard);
             (mem.base, mem.latest) = (whole.base, whole.latest);
@@ -244,7 +251,7 @@
             false => Some(wire::of_log(&mem.latest.log).map_err(bad(0))?),
         };
         let config = Config {
-            id: setup.me,
+            id: setup.id,
             election_tick: ELECTION,
             heartbeat_tick: ROUND,
             applied,
@@ -257,13 +264,13 @@
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let term = mem.latest.term;
-        let why = |e: raft::Error| Unreadable {
+        let why = |e: raft::Error| CorruptState {
             record: 0,
-            why: e.to_string(),
+            cause: e.to_string(),
         };
         let node = RawNode::new(&config, mem, &logger).map_err(why)?;
         let rng = fastrand::Rng::with_seed(setup.seed);
-        let mut seats = Seats {
+        let mut seats = Replica {
             setup,
             node,
             log,
@@ -274,12 +281,12 @@
             rounds: VecDeque::new(),
             round: 0,
             until: None,
-            held: VecDeque::new(),
+            on_persisted: VecDeque::new(),
             wholes: VecDeque::new(),
             records: saved.records.len() as u64,
             next_number: 1,
             began: false,
-            broken: false,
+            is_failed: false,
             rng,
             timeout_term: None,
         };
@@ -292,8 +299,8 @@
     }
 
     /// Its own number.
-    pub fn me(&self) -> u64 {
-        self.setup.me
+    pub fn id(&self) -> u64 {
+        self.setup.id
     }
 
     fn conf(&self) -> &Conf {
@@ -302,7 +309,7 @@
 
     /// Whether it is the only seat.
     fn alone(&self) -> bool {
-        self.conf().voters == [self.setup.me] && self.conf().outgoing.is_empty()
+        self.conf().voters == [self.setup.id] && self.conf().outgoing.is_empty()
     }
 
     /// Whether one that learns the log knows all of it that is agreed on, as far as it answered; only the leader knows.
@@ -314,7 +321,7 @@
     }
 
     /// Hands leadership over to another seat, if that is well; it may come to nothing.
-    pub fn hand_over(&mut self, to: u64, out: &mut Vec<Out>) {
+    pub fn transfer_leadership(&mut self, to: u64, out: &mut Vec<Effect>) {
         if self.node.raft.lead_transferee.is_none() {
             self.node.transfer_leader(to);
             self.collect(out);
@@ -342,23 +349,23 @@
     }
 
     /// Until when it may act as the fleet's root; none: it may not.
-    pub fn right(&self, now: Time) -> Option<Time> {
+    pub fn leader_lease(&self, now: Time) -> Option<Time> {
         let leads = self.node.raft.state == StateRole::Leader && self.log.is_some();
         self.until
             .filter(|u| leads && *u > now && self.term == self.node.raft.term)
     }
 
-    /// When [`Seats::tick`] has something to do.
-    pub fn next(&self) -> Time {
-        if self.broken && !self.alone() {
+    /// When [`Replica::tick`] has something to do.
+    pub fn next_deadline(&self) -> Time {
+        if self.is_failed && !self.alone() {
             return Time::MAX;
         }
         self.next_tick
     }
 
     /// What time brings.
-    pub fn tick(&mut self, now: Time, out: &mut Vec<Out>) {
-        if self.broken && !self.alone() {
+    pub fn tick(&mut self, now: Time, out: &mut Vec<Effect>) {
+        if self.is_failed && !self.alone() {
             return;
         }
         while now >= self.next_tick {
@@ -372,11 +379,11 @@
             };
         }
         let seat =
-            |c: &Conf| c.voters.contains(&self.setup.me) || c.outgoing.contains(&self.setup.me);
+            |c: &Conf| c.voters.contains(&self.setup.id) || c.outgoing.contains(&self.setup.id);
         if self.node.raft.state == StateRole::Leader && !seat(self.conf()) {
             // The end of its own seat was agreed on while it led: another has to.
             let to = self.rng.choice(self.conf().voters.clone()).unwrap_or(0);
-            self.hand_over(to, out);
+            self.transfer_leadership(to, out);
         }
         if self.node.raft.state != StateRole::Leader {
             self.rounds.clear();
@@ -395,12 +402,12 @@
     }
 
     /// Takes a message of the seat of this number.
-    pub fn hear(&mut self, from: u64, bytes: &[u8], out: &mut Vec<Out>) {
-        if self.broken {
+    pub fn on_message(&mut self, from: u64, bytes: &[u8], out: &mut Vec<Effect>) {
+        if self.is_failed {
             return;
         }
         let here = self.node.store().latest.first;
-        let Some((m, first)) = wire::read(bytes, from, self.setup.me, here) else {
+        let Some((m, first)) = wire::read(bytes, from, self.setup.id, here) else {
             return;
         };
         if here == 0 {
@@ -429,9 +436,9 @@
     }
 
     /// Proposes an entry, where it leads; its number, by which it is known when it is applied. None: it does not lead.
-    pub fn propose(&mut self, entry: Entry, out: &mut Vec<Out>) -> Option<u64> {
+    pub fn propose(&mut self, entry: LogEntry, out: &mut Vec<Effect>) -> Option<u64> {
         let number = self.next_number;
-        let said = Said::Entry(self.setup.me, self.setup.incarnation, number, entry);
+        let said = Said::Entry(self.setup.id, self.setup.incarnation, number, entry);
         self.say(&said).then(|| {
             self.next_number += 1;
             self.collect(out);
@@ -440,7 +447,7 @@
     }
 
     fn say(&mut self, said: &Said) -> bool {
-        let leads = self.node.raft.state == StateRole::Leader && !self.broken;
+        let leads = self.node.raft.state == StateRole::Leader && !self.is_failed;
         let bytes = postcard::to_stdvec(said).unwrap_or_default();
         let change = match said {
             Said::Entry(_, _, _, entry) => wire::change(entry),
@@ -456,21 +463,21 @@
     }
 
     /// The first record that the disk was given is held, or can't be. Then this seat takes part no more.
-    pub fn held(&mut self, done: bool, out: &mut Vec<Out>) {
+    pub fn on_persisted(&mut self, done: bool, out: &mut Vec<Effect>) {
         if !done {
-            self.broken = true;
+            self.is_failed = true;
             return;
         }
-        let Some((number, messages, to)) = self.held.pop_front() else {
+        let Some((number, messages, to)) = self.on_persisted.pop_front() else {
             return;
         };
         out.extend(
             messages
                 .into_iter()
                 .zip(to)
-                .map(|(bytes, to)| Out::Send { to, bytes }),
+                .map(|(bytes, to)| Effect::Send { to, bytes }),
         );
-        if !self.broken {
+        if !self.is_failed {
             self.node.on_persist_ready(number);
             self.wholes.retain(|n| *n > number);
             self.applied_all();
@@ -485,8 +492,8 @@
     }
 
     /// Whether its disk failed.
-    pub fn broken(&self) -> bool {
-        self.broken
+    pub fn is_failed(&self) -> bool {
+        self.is_failed
     }
 
     /// Election time-outs by our own random numbers, drawn anew with each term and part in it.
@@ -500,7 +507,7 @@
     }
 
     /// Carries out what the library wants.
-    fn collect(&mut self, out: &mut Vec<Out>) {
+    fn collect(&mut self, out: &mut Vec<Effect>) {
         while self.node.has_ready() {
             let mut ready = self.node.ready();
             let first = self.node.store().latest.first;
@@ -519,8 +526,8 @@
                         (self.log, self.applied, self.term) = (Some(log), snap.index, snap.term)
                     }
                     Err(_) => {
-                        self.broken = true;
-                        out.push(Out::Strange);
+                        self.is_failed = true;
+                        out.push(Effect::UnknownEntry);
                         return;
                     }
                 }
@@ -543,7 +550,8 @@
                 let began = self.rounds.iter().find(|r| r.0 == round).map(|r| r.1);
                 self.rounds.retain(|r| r.0 > round);
                 if let Some(began) = began.filter(|_| state.index <= self.applied) {
-                    let until = began.saturating_add(self.setup.terms.held(self.setup.terms.span));
+                    let until =
+                        began.saturating_add(self.setup.terms.holder_span(self.setup.terms.span));
                     self.until = Some(self.until.map_or(until, |u| u.max(until)));
                 }
             }
@@ -567,12 +575,15 @@
                     .then(|| self.whole());
                 let to = persisted.iter().map(|m| m.to).collect();
                 let messages = persisted.iter().map(|m| wire::bytes(m, first)).collect();
-                self.held.push_back((number, messages, to));
-                out.push(Out::Hold { record, whole });
+                self.on_persisted.push_back((number, messages, to));
+                out.push(Effect::Persist {
+                    record,
+                    snapshot: whole,
+                });
                 self.node.advance_append_async(ready);
             } else {
                 // What follows on what is with the disk must not overtake it.
-                match self.held.back_mut() {
+                match self.on_persisted.back_mut() {
                     Some((n, messages, to)) => {
                         *n = number;
                         messages.extend(persisted.iter().map(|m| wire::bytes(m, first)));
@@ -591,14 +602,14 @@
         }
         if !self.began && self.log.is_none() && self.node.raft.state == StateRole::Leader {
             self.began = true;
-            let first = Said::Begin(self.setup.first.clone(), self.setup.seats.clone());
+            let first = Said::Begin(self.setup.initial_fields.clone(), self.setup.voters.clone());
             if self.say(&first) {
                 self.collect(out);
             }
         }
     }
 
-    fn apply(&mut self, entries: Vec<raft::eraftpb::Entry>, out: &mut Vec<Out>) {
+    fn apply(&mut self, entries: Vec<raft::eraftpb::Entry>, out: &mut Vec<Effect>) {
         if entries.is_empty() {
             return;
         }
@@ -611,8 +622,8 @@
             };
             let read = postcard::from_bytes(said);
             if read.is_err() && !said.is_empty() {
-                self.broken = true;
-                out.push(Out::Strange);
+                self.is_failed = true;
+                out.push(Effect::UnknownEntry);
                 return;
             }
             (self.applied, self.term) = (e.index, e.term);
@@ -621,7 +632,7 @@
                     self.log = Some(Log::new(fields, seats));
                 }
                 Ok(Said::Entry(seat, incarnation, number, entry)) => {
-                    let mine = (seat, incarnation) == (self.setup.me, self.setup.incarnation);
+                    let mine = (seat, incarnation) == (self.setup.id, self.setup.incarnation);
                     if let Some(log) = &mut self.log {
                         let outcome = log.apply(entry.clone());
                         // Who keeps the log changes with the log that says so, in the same place of the order.
@@ -630,8 +641,8 @@
                             self.node.mut_store().latest.conf = wire::conf(&conf);
                             seats = true;
                         }
-                        out.push(Out::Applied {
-                            mine: mine.then_some(number),
+                        out.push(Effect::Applied {
+                            proposal: mine.then_some(number),
                             entry,
                             outcome,
                         });
@@ -687,8 +698,8 @@
     }
 }
 
-fn send(messages: Vec<raft::eraftpb::Message>, first: u64, out: &mut Vec<Out>) {
-    out.extend(messages.iter().map(|m| Out::Send {
+fn send(messages: Vec<raft::eraftpb::Message>, first: u64, out: &mut Vec<Effect>) {
+    out.extend(messages.iter().map(|m| Effect::Send {
         to: m.to,
         bytes: wire::bytes(m, first),
     }));
@@ -701,23 +712,24 @@
     #[test]
     fn an_entry_of_a_later_program_stops_a_seat_and_changes_nothing() {
         let at = ([127, 0, 0, 1], 7000).into();
-        let setup = Setup {
-            me: 1,
+        let setup = ReplicaConfig {
+            id: 1,
             incarnation: 1,
-            seats: [(1, at)].into(),
-            terms: Terms {
+            voters: [(1, at)].into(),
+            terms: LeaseTiming {
                 span: 600_000,
-                ppm: 1000,
+                drift_ppm: 1000,
             },
-            first: Fields::new(),
+            initial_fields: Fields::new(),
             seed: 1,
         };
-        let mut seat = Seats::new(setup, &Saved::default(), 0).expect("nothing was held");
-        let held = |seat: &mut Seats, out: &mut Vec<Out>| {
+        let mut seat =
+            Replica::new(setup, &PersistentState::default(), 0).expect("nothing was held");
+        let held = |seat: &mut Replica, out: &mut Vec<Effect>| {
             let mut n = 0;
             while n < out.len() {
-                if matches!(out[n], Out::Hold { .. }) {
-                    seat.held(true, out);
+                if matches!(out[n], Effect::Persist { .. }) {
+                    seat.on_persisted(true, out);
                 }
                 n += 1;
             }
@@ -726,13 +738,13 @@
         seat.tick(0, &mut out);
         held(&mut seat, &mut out);
         let (log, applied) = (seat.log().cloned(), seat.applied());
-        assert!(log.is_some() && !out.contains(&Out::Strange));
+        assert!(log.is_some() && !out.contains(&Effect::UnknownEntry));
         seat.node
             .propose(Vec::new(), vec![250, 1, 2, 3])
             .expect("it leads");
         seat.collect(&mut out);
         held(&mut seat, &mut out);
-        assert!(out.contains(&Out::Strange) && seat.broken());
+        assert!(out.contains(&Effect::UnknownEntry) && seat.is_failed());
         assert_eq!((seat.log().cloned(), seat.applied()), (log, applied));
     }
 }
--- a/decide/consensus/src/wire.rs
+++ b/decide/consensus/src/wire.rs
@@ -10,8 +10,8 @@
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
-use tansy_agreement::log::{Entry, Log};
-use tansy_agreement::scope::Kept;
+use tansy_agreement::log::{Log, LogEntry};
+use tansy_agreement::scope::CatalogSnapshot;
 
 /// Entries of one message.
 const ENTRIES: usize = 4096;
@@ -94,7 +94,7 @@
 }
 
 /// What an entry changes about who keeps the log.
-pub(crate) fn change(entry: &Entry) -> Option<pb::ConfChangeV2> {
+pub(crate) fn change(entry: &LogEntry) -> Option<pb::ConfChangeV2> {
     use ConfChangeType::{AddLearnerNode, AddNode, RemoveNode};
     let one = |kind, id| {
         let mut c = ConfChangeSingle {
@@ -106,14 +106,21 @@
     };
     let mut change = pb::ConfChangeV2::default();
     match *entry {
-        Entry::Seat { new, .. } => change.set_changes(vec![one(AddLearnerNode, new)].into()),
-        Entry::Unseat { new } => change.set_changes(vec![one(RemoveNode, new)].into()),
-        Entry::Swap { new, instead } => {
+        LogEntry::BeginVoterReplacement { new, .. } => {
+            change.set_changes(vec![one(AddLearnerNode, new)].into())
+        }
+        LogEntry::CancelVoterReplacement { new } => {
+            change.set_changes(vec![one(RemoveNode, new)].into())
+        }
+        LogEntry::EnterJointConsensus {
+            new,
+            replaced: instead,
+        } => {
             change.set_changes(vec![one(AddNode, new), one(RemoveNode, instead)].into());
             change.set_transition(ConfChangeTransition::Explicit);
         }
         // One without changes ends the time in which both count.
-        Entry::Seated { .. } => {}
+        LogEntry::CompleteVoterReplacement { .. } => {}
         _ => return None,
     }
     Some(change)
@@ -125,7 +132,7 @@
 
 /// A log, as it is held and told as a whole. One without functions is as it always was.
 pub(crate) fn log(log: &Log) -> postcard::Result<Vec<u8>> {
-    match log.kept() {
+    match log.catalog_snapshot() {
         None => postcard::to_stdvec(log),
         Some(kept) => postcard::to_extend(&(log, kept), SCOPED.to_vec()),
     }
@@ -136,8 +143,8 @@
     match bytes.strip_prefix(&SCOPED) {
         None => postcard::from_bytes(bytes),
         Some(bytes) => {
-            let (log, kept): (Log, Kept) = postcard::from_bytes(bytes)?;
-            Ok(log.with(kept))
+            let (log, kept): (Log, CatalogSnapshot) = postcard::from_bytes(bytes)?;
+            Ok(log.with_catalog(kept))
         }
     }
 }
--- a/decide/consensus/tests/seats.rs
+++ b/decide/consensus/tests/seats.rs
@@ -3,11 +3,11 @@
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use tansy_agreement::lease::{Member, Terms};
-use tansy_agreement::log::{Entry, Log, Step, Version};
-use tansy_agreement::rule::{Fields, Value};
-use tansy_agreement::scope::{ScopeChange, ScopeRequest};
-use tansy_consensus::{Out, Saved, Seats, Setup};
+use tansy_agreement::compatibility::{Fields, Value};
+use tansy_agreement::lease::{LeaseTiming, Member};
+use tansy_agreement::log::{Log, LogEntry, Revision, Version};
+use tansy_agreement::scope::{ScopeTransaction, ScopeUpdate};
+use tansy_consensus::{Effect, PersistentState, Replica, ReplicaConfig};
 
 const SECOND: i64 = 1_000_000;
 
@@ -17,7 +17,7 @@
 
 #[derive(Default)]
 struct Disk {
-    saved: Saved,
+    saved: PersistentState,
     /// Written, and not synced yet: each with the whole that takes the place of all.
     written: Vec<(Vec<u8>, Option<Vec<u8>>)>,
 }
@@ -27,8 +27,8 @@
         let (record, whole) = self.written.remove(0);
         match whole {
             Some(whole) => {
-                self.saved = Saved {
-                    whole: Some(whole),
+                self.saved = PersistentState {
+                    snapshot: Some(whole),
                     records: Vec::new(),
                 }
             }
@@ -45,7 +45,7 @@
 struct Group {
     now: i64,
     rng: fastrand::Rng,
-    all: Vec<Option<Seats>>,
+    all: Vec<Option<Replica>>,
     lives: Vec<u64>,
     disks: Vec<Disk>,
     queue: BinaryHeap<Reverse<(i64, u64)>>,
@@ -95,19 +95,19 @@
 
     fn start(&mut self, n: usize) {
         self.lives[n] += 1;
-        let setup = Setup {
-            me: n as u64 + 1,
+        let setup = ReplicaConfig {
+            id: n as u64 + 1,
             incarnation: self.lives[n],
-            seats: (1..=self.first as u64).map(|n| (n, at(n))).collect(),
-            terms: Terms {
+            voters: (1..=self.first as u64).map(|n| (n, at(n))).collect(),
+            terms: LeaseTiming {
                 span: SECOND * 6 / 10,
-                ppm: 1000,
+                drift_ppm: 1000,
             },
-            first: fields(n as i64),
+            initial_fields: fields(n as i64),
             seed: self.rng.u64(..),
         };
         self.all[n] =
-            Some(Seats::new(setup, &self.disks[n].saved, self.now).expect("what it held"));
+            Some(Replica::new(setup, &self.disks[n].saved, self.now).expect("what it held"));
     }
 
     fn kill(&mut self, n: usize) {
@@ -124,30 +124,33 @@
         self.events.insert(self.count, event);
     }
 
-    fn act(&mut self, n: usize, act: impl FnOnce(&mut Seats, i64, &mut Vec<Out>)) {
+    fn act(&mut self, n: usize, act: impl FnOnce(&mut Replica, i64, &mut Vec<Effect>)) {
         let mut out = Vec::new();
         let Some(seat) = &mut self.all[n] else { return };
         act(seat, self.now, &mut out);
         let mut at = 0;
         while at < out.len() {
             match out[at].clone() {
-                Out::Send { to, bytes } => {
+                Effect::Send { to, bytes } => {
                     let to = to as usize - 1;
                     if !self.cut.contains(&(n, to)) && self.rng.u32(0..50) > 0 {
                         let late = self.rng.i64(200..20_000);
                         self.plan(late, Event::Letter(to, n as u64 + 1, bytes));
                     }
                 }
-                Out::Hold { record, whole } => {
+                Effect::Persist {
+                    record,
+                    snapshot: whole,
+                } => {
                     self.disks[n].written.push((record, whole));
                     let late = self.rng.i64(500..10_000);
                     self.plan(late, Event::Synced(n, self.lives[n]));
                     if self.unsynced {
                         let seat = self.all[n].as_mut().expect("it runs");
-                        seat.held(true, &mut out);
+                        seat.on_persisted(true, &mut out);
                     }
                 }
-                Out::Applied { .. } | Out::Strange => {}
+                Effect::Applied { .. } | Effect::UnknownEntry => {}
             }
             at += 1;
         }
@@ -169,7 +172,7 @@
                 .all
                 .iter()
                 .flatten()
-                .map(Seats::next)
+                .map(Replica::next_deadline)
                 .min()
                 .unwrap_or(until);
             let next = self.queue.peek().map_or(until, |e| e.0 .0);
@@ -180,47 +183,53 @@
                 self.queue.pop();
                 match self.events.remove(&id).expect("an event") {
                     Event::Letter(to, from, bytes) => {
-                        self.act(to, |s, _, out| s.hear(from, &bytes, out))
+                        self.act(to, |s, _, out| s.on_message(from, &bytes, out))
                     }
                     Event::Synced(n, life) => {
                         if self.lives[n] == life && self.all[n].is_some() {
                             self.disks[n].sync();
                             if !self.unsynced {
-                                self.act(n, |s, _, out| s.held(true, out));
+                                self.act(n, |s, _, out| s.on_persisted(true, out));
                             }
                         }
                     }
                 }
             }
             for n in 0..self.all.len() {
-                if self.all[n].as_ref().is_some_and(|s| s.next() <= self.now) {
-                    self.act(n, Seats::tick);
+                if self.all[n]
+                    .as_ref()
+                    .is_some_and(|s| s.next_deadline() <= self.now)
+                {
+                    self.act(n, Replica::tick);
                 }
             }
         }
     }
 
     fn root(&self) -> Option<usize> {
-        self.all
-            .iter()
-            .position(|s| s.as_ref().is_some_and(|s| s.right(self.now).is_some()))
+        self.all.iter().position(|s| {
+            s.as_ref()
+                .is_some_and(|s| s.leader_lease(self.now).is_some())
+        })
     }
 
     fn propose(&mut self, n: i64) {
         let Some(root) = self.root() else { return };
         let state = self.all[root]
             .as_ref()
-            .and_then(Seats::log)
+            .and_then(Replica::log)
             .expect("a log")
             .state()
             .clone();
         let entry = match state.next {
-            Some(_) => Entry::Advance { from: state.step },
-            None => Entry::Propose {
+            Some(_) => LogEntry::Advance {
+                from: state.revision,
+            },
+            None => LogEntry::Propose {
                 id: 0,
                 base: state.latest(),
                 fields: fields(1000 + n),
-                why: String::new(),
+                reason: String::new(),
             },
         };
         self.act(root, |s, _, out| {
@@ -240,23 +249,23 @@
     }
     let before = g.all[0]
         .as_ref()
-        .and_then(Seats::log)
+        .and_then(Replica::log)
         .expect("a log")
         .state()
         .clone();
     assert!(
-        before.force.version > Version(200),
+        before.in_force.version > Version(200),
         "{:?}",
-        before.force.version
+        before.in_force.version
     );
     assert!(
-        g.disks[0].saved.whole.is_some(),
+        g.disks[0].saved.snapshot.is_some(),
         "the whole takes the place of records"
     );
     g.kill(0);
     g.start(0);
     g.run(0.5);
-    let log = g.all[0].as_ref().and_then(Seats::log).expect("a log");
+    let log = g.all[0].as_ref().and_then(Replica::log).expect("a log");
     assert_eq!(log.state(), &before);
     assert_eq!(g.root(), Some(0));
 }
@@ -275,7 +284,7 @@
     assert!(
         g.all[first]
             .as_ref()
-            .is_some_and(|s| s.right(g.now).is_none()),
+            .is_some_and(|s| s.leader_lease(g.now).is_none()),
         "its right is out after a lease"
     );
     g.run(3.0);
@@ -290,7 +299,7 @@
     let state = |n: usize| {
         g.all[n]
             .as_ref()
-            .and_then(Seats::log)
+            .and_then(Replica::log)
             .map(|l| l.state().clone())
     };
     assert_eq!(state(first), state(second));
@@ -376,8 +385,8 @@
     let mut g = Group::new(3, 9);
     g.run(3.0);
     let root = g.root().expect("a root");
-    g.act(root, |s, _, out| s.held(false, out));
-    assert!(g.all[root].as_ref().is_some_and(Seats::broken));
+    g.act(root, |s, _, out| s.on_persisted(false, out));
+    assert!(g.all[root].as_ref().is_some_and(Replica::is_failed));
     g.run(5.0);
     assert!(g.root().is_some_and(|r| r != root), "the others go on");
 }
@@ -389,13 +398,16 @@
     let mut letters = Vec::new();
     for n in 0..400 {
         let seating = match n {
-            100 => Some(Entry::Seat {
+            100 => Some(LogEntry::BeginVoterReplacement {
                 new: 4,
                 address: at(4),
-                instead: 3,
+                replaced: 3,
+            }),
+            200 => Some(LogEntry::EnterJointConsensus {
+                new: 4,
+                replaced: 3,
             }),
-            200 => Some(Entry::Swap { new: 4, instead: 3 }),
-            300 => Some(Entry::Seated { new: 4 }),
+            300 => Some(LogEntry::CompleteVoterReplacement { new: 4 }),
             _ => None,
         };
         match (seating, g.root()) {
@@ -413,8 +425,8 @@
     assert!(letters.len() > 300, "{}", letters.len());
     let seats = g.all[0]
         .as_ref()
-        .and_then(Seats::log)
-        .map(|l| l.seats().keys().copied().collect::<Vec<_>>());
+        .and_then(Replica::log)
+        .map(|l| l.voters().keys().copied().collect::<Vec<_>>());
     assert_eq!(
         seats,
         Some(vec![1, 2, 4]),
@@ -430,7 +442,7 @@
                 _ => bytes[at] = g.rng.u8(..),
             }
         }
-        g.act(to, |s, _, out| s.hear(from, &bytes, out));
+        g.act(to, |s, _, out| s.on_message(from, &bytes, out));
         g.queue.clear();
         g.events.clear();
     }
@@ -441,11 +453,11 @@
 #[test]
 fn what_an_earlier_program_held_is_read() {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/recorded/seat-0.bin");
-    let state = |s: &Seats| {
+    let state = |s: &Replica| {
         format!(
             "{:?} {:?}",
             s.log().map(|l| l.state()),
-            s.log().map(|l| l.seats())
+            s.log().map(|l| l.voters())
         )
     };
     if std::env::var_os("RECORD").is_some() {
@@ -457,10 +469,10 @@
         }
         let (root, entry) = (
             g.root().expect("a root"),
-            Entry::Seat {
+            LogEntry::BeginVoterReplacement {
                 new: 4,
                 address: at(4),
-                instead: 3,
+                replaced: 3,
             },
         );
         g.act(root, |s, _, out| {
@@ -469,7 +481,8 @@
         g.run(2.0);
         let held = &g.disks[0].saved;
         let told = state(g.all[0].as_ref().expect("it runs"));
-        let bytes = postcard::to_stdvec(&(&held.whole, &held.records, &told)).expect("plain data");
+        let bytes =
+            postcard::to_stdvec(&(&held.snapshot, &held.records, &told)).expect("plain data");
         std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
         std::fs::write(&path, bytes).expect("a file");
     }
@@ -478,8 +491,8 @@
         postcard::from_bytes(&bytes).expect("what was recorded");
     let mut g = Group::with(4, 3, 12);
     (0..3).for_each(|n| {
-        g.disks[n].saved = Saved {
-            whole: whole.clone(),
+        g.disks[n].saved = PersistentState {
+            snapshot: whole.clone(),
             records: records.clone(),
         };
         g.start(n);
@@ -487,17 +500,35 @@
     g.run(6.0);
     assert_eq!(
         state(g.all[0].as_ref().expect("it runs")),
-        told,
+        in_todays_names(&told),
         "the same log, whoever reads it"
     );
 }
 
+/// The recorded text of a state was written by `Debug` and carries the names that its types had then; only those are
+/// replaced, so that every value is still compared.
+fn in_todays_names(recorded: &str) -> String {
+    let names = [
+        ("State {", "FleetState {"),
+        ("step: Step(", "revision: Revision("),
+        ("force: Settings {", "in_force: VersionedSettings {"),
+        ("(Settings {", "(VersionedSettings {"),
+        ("why: ", "reason: "),
+        ("trial: ", "canary: "),
+    ];
+    names
+        .iter()
+        .fold(recorded.to_string(), |text, (then, now)| {
+            text.replace(then, now)
+        })
+}
+
 /// The n-th entry of those that change functions: each goes joint, in force, and settled.
-fn next_of_functions(log: &Log, n: u64) -> Entry {
+fn next_of_functions(log: &Log, n: u64) -> LogEntry {
     let open = || {
         log.catalog()
             .open()
-            .filter_map(|(n, s)| Some((n.to_string(), s.standing.since()?, s.next().is_some())))
+            .filter_map(|(n, s)| Some((n.to_string(), s.phase.since()?, s.next().is_some())))
     };
     let of = |joint| {
         open()
@@ -506,31 +537,34 @@
             .collect::<Vec<_>>()
     };
     if open().next().is_some() {
-        return Entry::Carry {
-            force: of(true),
+        return LogEntry::AdvanceScopes {
+            in_force: of(true),
             settled: of(false),
         };
     }
     let change = |scope: String| {
-        let base = log.catalog().get(&scope).map_or(Step(0), |s| s.revision);
+        let base = log
+            .catalog()
+            .get(&scope)
+            .map_or(Revision(0), |s| s.revision);
         let fields = [
             ("class".to_string(), Value::Text(format!("c{n}"))),
             ("lanes".to_string(), Value::Int(n as i64)),
         ];
-        ScopeChange {
+        ScopeUpdate {
             scope,
             base,
-            fields: (!n.is_multiple_of(7) || base == Step(0)).then(|| fields.into()),
+            fields: (!n.is_multiple_of(7) || base == Revision(0)).then(|| fields.into()),
         }
     };
     let changes = (0..3)
         .map(|i| change(format!("f{}", (n + i) % 20)))
         .collect();
-    Entry::Change {
-        requests: vec![ScopeRequest {
+    LogEntry::UpdateScopes {
+        transactions: vec![ScopeTransaction {
             id: n,
-            changes,
-            why: "a test".into(),
+            updates: changes,
+            reason: "a test".into(),
         }],
     }
 }
@@ -543,8 +577,10 @@
     g.kill(lost);
     for n in 1..=600 {
         if let Some(root) = g.root() {
-            let entry =
-                next_of_functions(g.all[root].as_ref().and_then(Seats::log).expect("a log"), n);
+            let entry = next_of_functions(
+                g.all[root].as_ref().and_then(Replica::log).expect("a log"),
+                n,
+            );
             g.act(root, |s, _, out| {
                 s.propose(entry, out);
             });
@@ -563,11 +599,11 @@
     };
     let told = logs(&g);
     assert!(
-        told[0].catalog().all().len() >= 15 && told[0].state().step.0 > 150,
+        told[0].catalog().all().len() >= 15 && told[0].state().revision.0 > 150,
         "{:?}",
-        told[0].state().step
+        told[0].state().revision
     );
-    assert!(told[0].state().moves.len() > 100);
+    assert!(told[0].state().history.len() > 100);
     assert!(
         told.iter().all(|l| *l == told[0]),
         "the one that was away knows the same"
@@ -590,46 +626,52 @@
         incarnation: 6,
     };
     let text = |t: &str| t.to_string();
-    let all: [(&[u8], Entry); 9] = [
+    let all: [(&[u8], LogEntry); 9] = [
         (&[0, 1, 2, 1, 1, b'a', 1, 8, 1, b'w'], {
             let fields = [(text("a"), Value::Int(4))].into();
-            Entry::Propose {
+            LogEntry::Propose {
                 id: 1,
                 base: Version(2),
                 fields,
-                why: text("w"),
+                reason: text("w"),
             }
         }),
-        (&[1, 7], Entry::Advance { from: Step(7) }),
+        (&[1, 7], LogEntry::Advance { from: Revision(7) }),
         (
             &[2, 3],
-            Entry::Abandon {
+            LogEntry::Abandon {
                 version: Version(3),
             },
         ),
         (
             &[3, 5, 6, 1, b'n', 9],
-            Entry::Join {
+            LogEntry::Join {
                 member: m,
                 name: text("n"),
-                at: Step(9),
+                revision: Revision(9),
             },
         ),
-        (&[4, 5, 6], Entry::Leave { member: m }),
+        (&[4, 5, 6], LogEntry::Leave { member: m }),
         (
             &[5, 8, 0, 10, 0, 0, 1, 216, 54, 9],
-            Entry::Seat {
+            LogEntry::BeginVoterReplacement {
                 new: 8,
                 address: at(1),
-                instead: 9,
+                replaced: 9,
+            },
+        ),
+        (
+            &[6, 8, 9],
+            LogEntry::EnterJointConsensus {
+                new: 8,
+                replaced: 9,
             },
         ),
-        (&[6, 8, 9], Entry::Swap { new: 8, instead: 9 }),
-        (&[7, 8], Entry::Seated { new: 8 }),
-        (&[8, 8], Entry::Unseat { new: 8 }),
+        (&[7, 8], LogEntry::CompleteVoterReplacement { new: 8 }),
+        (&[8, 8], LogEntry::CancelVoterReplacement { new: 8 }),
     ];
     for (bytes, entry) in all {
-        assert_eq!(postcard::from_bytes::<Entry>(bytes), Ok(entry.clone()));
+        assert_eq!(postcard::from_bytes::<LogEntry>(bytes), Ok(entry.clone()));
         assert_eq!(
             postcard::to_stdvec(&entry).as_deref(),
             Ok(bytes),
--- a/decide/dispatch/tests/parked.rs
+++ b/decide/dispatch/tests/parked.rs
@@ -1,7 +1,9 @@
 //! Calls that wait for their function's settings: each has one end, in its time, and none once its client has left.
 
 use std::collections::{BTreeMap, BTreeSet};
-use tansy_canary::{Judge, Report, Tally, Terms as Judged, Verdict};
+use tansy_canary::{
+    AnalysisParameters as Judged, CanaryAnalysis, FrontEndReport, RequestCounters, Verdict,
+};
 use tansy_dispatch::count::AWAITED;
 use tansy_dispatch::parked::{End, Learned, Parked, Refusal, LONGEST, MOST, MOST_OF_ONE};
 use tansy_dispatch::{
@@ -530,7 +532,7 @@
 }
 
 /// What a roll is told of a front end: its counts, beside a thousand calls a slice that all were served.
-fn report(n: usize, slice: u64, s: &Scene, new: bool, with_awaited: bool) -> Report {
+fn report(n: usize, slice: u64, s: &Scene, new: bool, with_awaited: bool) -> FrontEndReport {
     let mut classes = BTreeMap::new();
     let counts = s.front.counts().expect("they are counted");
     for (name, c) in counts
@@ -538,30 +540,30 @@
         .iter()
         .filter(|(name, _)| with_awaited || *name != AWAITED)
     {
-        let mut t = Tally {
-            asked: c.asked,
+        let mut t = RequestCounters {
+            requested: c.asked,
             served: c.served,
-            refused: c.refused,
+            rejected: c.refused,
             failed: c.failed,
             wanted: c.wanted,
             worth: c.worth,
-            ..Tally::default()
+            ..RequestCounters::default()
         };
         t.latency.add(&c.latency).expect("it grows");
         classes.insert(name.clone(), t);
     }
     let held = 1_000 * slice;
-    let mut t = Tally {
-        asked: held,
+    let mut t = RequestCounters {
+        requested: held,
         served: held,
         wanted: held as f64,
         worth: held as f64,
-        ..Tally::default()
+        ..RequestCounters::default()
     };
     t.latency.record_n(20_000, held).expect("it grows");
     classes.entry("safe".to_string()).or_default().add(&t);
     let (name, zone) = (format!("f{n}"), "z".to_string());
-    Report {
+    FrontEndReport {
         name,
         zone,
         new,
@@ -578,7 +580,7 @@
     let mut scenes: Vec<Scene> = (0..8).map(|_| scene()).collect();
     scenes.iter_mut().for_each(|s| s.front.count());
     let new = |n: usize| n < 3;
-    let mut judge = Judge::new(
+    let mut judge = CanaryAnalysis::new(
         Judged::default(),
         (0..8).filter(|n| new(*n)).map(|n| format!("f{n}")),
     );
@@ -623,12 +625,12 @@
             }
         }
         let each = |(n, s)| report(n, slice, s, judging && new(n), with_awaited);
-        let reports: Vec<Report> = scenes.iter().enumerate().map(each).collect();
-        judge.look(&reports, judging);
+        let reports: Vec<FrontEndReport> = scenes.iter().enumerate().map(each).collect();
+        judge.observe(&reports, judging);
     }
     (
         judge.verdict(),
-        judge.measured().into_iter().map(|m| m.what).collect(),
+        judge.measurements().into_iter().map(|m| m.what).collect(),
     )
 }
 
--- a/decide/fleet-node/src/known.rs
+++ b/decide/fleet-node/src/known.rs
@@ -3,22 +3,22 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tansy_agreement::lease::Time;
-use tansy_agreement::member::{Order, View};
-use tansy_membership::{Datagram, Members, Name, News, Stranger};
+use tansy_agreement::lease_tree::{LeaseTopology, RendezvousOrder};
+use tansy_membership::{Datagram, Membership, MembershipEvent, NodeId, RejectedDatagram};
 
 /// Who is there, as something beside the fleet knows it: one for all that are told, in place of a view that each has to
 /// find and keep. A model of a large fleet has no memory for these.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     /// By their numbers.
-    names: Vec<Name>,
-    order: Order,
+    names: Vec<NodeId>,
+    order: RendezvousOrder,
 }
 
 impl Directory {
     /// Of these processes; of two of one name the later.
-    pub fn new(names: impl IntoIterator<Item = Name>) -> Directory {
-        let mut names: Vec<Name> = names.into_iter().collect();
+    pub fn new(names: impl IntoIterator<Item = NodeId>) -> Directory {
+        let mut names: Vec<NodeId> = names.into_iter().collect();
         names.sort_by(|a, b| (a.id, b.incarnation, b.life).cmp(&(b.id, a.incarnation, a.life)));
         names.dedup_by_key(|n| n.id);
         let order = names.iter().map(|n| n.id).collect();
@@ -41,17 +41,17 @@
 }
 
 /// What a peer knows of the others.
-pub(crate) enum Known {
-    Found(Box<Members>),
+pub(crate) enum KnownNodes {
+    Found(Box<Membership>),
     Told { me: u64, all: Arc<Directory> },
 }
 
-impl Known {
+impl KnownNodes {
     /// The others.
-    pub(crate) fn all(&self) -> impl Iterator<Item = &Name> {
+    pub(crate) fn all(&self) -> impl Iterator<Item = &NodeId> {
         let (found, told) = match self {
-            Known::Found(members) => (Some(members.all()), None),
-            Known::Told { me, all } => (None, Some(all.names.iter().filter(|n| n.id != *me))),
+            KnownNodes::Found(members) => (Some(members.all()), None),
+            KnownNodes::Told { me, all } => (None, Some(all.names.iter().filter(|n| n.id != *me))),
         };
         found
             .into_iter()
@@ -62,16 +62,16 @@
     /// How many others there are.
     pub(crate) fn count(&self) -> usize {
         match self {
-            Known::Found(members) => members.count(),
-            Known::Told { me, all } => all.len() - usize::from(all.place(*me).is_ok()),
+            KnownNodes::Found(members) => members.count(),
+            KnownNodes::Told { me, all } => all.len() - usize::from(all.place(*me).is_ok()),
         }
     }
 
-    /// Where one of them is heard, by its place among [`Known::all`].
+    /// Where one of them is heard, by its place among [`KnownNodes::all`].
     pub(crate) fn nth(&self, n: usize) -> Option<SocketAddr> {
         match self {
-            Known::Found(members) => members.all().nth(n).map(|n| n.address),
-            Known::Told { me, all } => {
+            KnownNodes::Found(members) => members.all().nth(n).map(|n| n.address),
+            KnownNodes::Told { me, all } => {
                 let skip = all.place(*me).is_ok_and(|at| at <= n);
                 all.names.get(n + usize::from(skip)).map(|n| n.address)
             }
@@ -81,61 +81,61 @@
     /// Where the one of this number is heard.
     pub(crate) fn address(&self, id: u64) -> Option<SocketAddr> {
         match self {
-            Known::Found(members) => members.address(id),
-            Known::Told { me, .. } if *me == id => None,
-            Known::Told { all, .. } => all.place(id).ok().map(|at| all.names[at].address),
+            KnownNodes::Found(members) => members.address(id),
+            KnownNodes::Told { me, .. } if *me == id => None,
+            KnownNodes::Told { all, .. } => all.place(id).ok().map(|at| all.names[at].address),
         }
     }
 
     /// The view for leases.
-    pub(crate) fn view(&self, seat: u64) -> View {
+    pub(crate) fn view(&self, seat: u64) -> LeaseTopology {
         match self {
-            Known::Found(members) => members.view(seat),
-            Known::Told { me, all } => {
+            KnownNodes::Found(members) => members.topology(seat),
+            KnownNodes::Told { me, all } => {
                 // Itself is there, told or not.
                 let mut order = all.order.clone();
                 order.insert(*me);
-                View::of(seat, order)
+                LeaseTopology::with_order(seat, order)
             }
         }
     }
 
-    pub(crate) fn join(&mut self, now: Time, to: Name) {
-        if let Known::Found(members) = self {
+    pub(crate) fn join(&mut self, now: Time, to: NodeId) {
+        if let KnownNodes::Found(members) = self {
             members.join(now, to);
         }
     }
 
     pub(crate) fn leave(&mut self, now: Time) {
-        if let Known::Found(members) = self {
+        if let KnownNodes::Found(members) = self {
             members.leave(now);
         }
     }
 
-    pub(crate) fn hear(&mut self, now: Time, bytes: &[u8]) -> Result<(), Stranger> {
+    pub(crate) fn hear(&mut self, now: Time, bytes: &[u8]) -> Result<(), RejectedDatagram> {
         match self {
-            Known::Found(members) => members.hear(now, bytes),
-            Known::Told { .. } => Ok(()),
+            KnownNodes::Found(members) => members.on_datagram(now, bytes),
+            KnownNodes::Told { .. } => Ok(()),
         }
     }
 
     pub(crate) fn tick(&mut self, now: Time) {
-        if let Known::Found(members) = self {
+        if let KnownNodes::Found(members) = self {
             members.tick(now);
         }
     }
 
     pub(crate) fn next(&self) -> Time {
         match self {
-            Known::Found(members) => members.next().unwrap_or(Time::MAX),
-            Known::Told { .. } => Time::MAX,
+            KnownNodes::Found(members) => members.next_deadline().unwrap_or(Time::MAX),
+            KnownNodes::Told { .. } => Time::MAX,
         }
     }
 
-    pub(crate) fn take(&mut self) -> (Vec<Datagram>, Vec<News>) {
+    pub(crate) fn take(&mut self) -> (Vec<Datagram>, Vec<MembershipEvent>) {
         match self {
-            Known::Found(members) => (members.take_out(), members.take_news()),
-            Known::Told { .. } => (Vec::new(), Vec::new()),
+            KnownNodes::Found(members) => (members.take_datagrams(), members.take_events()),
+            KnownNodes::Told { .. } => (Vec::new(), Vec::new()),
         }
     }
 }
--- a/decide/fleet-node/src/lib.rs
+++ b/decide/fleet-node/src/lib.rs
@@ -1,6 +1,6 @@
 //! One front end of a fleet, as one state machine.
 //!
-//! [`Peer`] joins what `tansy-agreement` and `tansy-membership` hold apart: who is there, under which lease and stay this front
+//! [`FleetNode`] joins what `tansy-agreement` and `tansy-membership` hold apart: who is there, under which lease and stay this front
 //! end acts and on what, and, at a seat, the agreed log. It takes what arrives with the time and gives [`Command`]s. It
 //! holds no clock, no sockets and no disk, so the gateway and the model run the same code.
 //!
@@ -13,24 +13,24 @@
 mod seat;
 
 pub use known::Directory;
-pub use seat::{Refusal, Waits};
+pub use seat::{ChangeBlockers, RequestRejection};
 
-use known::Known;
+use known::KnownNodes;
 use lists::Lists;
-use seat::Keeper;
+use seat::ChangeController;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use tansy_agreement::hold::{self, Bounds, Holding};
-use tansy_agreement::lease::{Member, Terms, Time};
-use tansy_agreement::list::{Leaving, Line};
-use tansy_agreement::log::{Applied, Entry, Log, State, Step};
-use tansy_agreement::member::{Front, Message};
-use tansy_agreement::rule::{Fields, Kind, Schema};
-use tansy_agreement::scope::Delta;
-use tansy_agreement::stay::{self, Stay};
-use tansy_consensus::{Saved, Seats, Unreadable};
-use tansy_membership::{Members, Name, News, Pace, Stranger};
+use tansy_agreement::compatibility::{Compatibility, Fields, Schema};
+use tansy_agreement::endpoints::{DrainTable, EndpointRecord};
+use tansy_agreement::lease::{LeaseTiming, Member, Time};
+use tansy_agreement::lease_tree::{LeaseMessage, LeaseNode};
+use tansy_agreement::log::{ApplyOutcome, FleetState, Log, LogEntry, Revision};
+use tansy_agreement::scope::StateDelta;
+use tansy_agreement::session::{self, Session};
+use tansy_agreement::subscription::{self, ScopeSubscriptions, SubscriptionLimits};
+use tansy_consensus::{CorruptState, PersistentState, Replica};
+use tansy_membership::{GossipTiming, Membership, MembershipEvent, NodeId, RejectedDatagram};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Time between two tries to find the fleet, and between two asks for a first stay.
@@ -53,22 +53,22 @@
 
 /// What a front end of a fleet is.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct FleetNodeConfig {
     /// The fleet's number.
     pub fleet: u64,
     /// Its name in words.
     pub name: String,
     /// Its process, and where it is reached.
-    pub me: Name,
+    pub node: NodeId,
     /// The numbers of the front ends that keep the log where the fleet begins, and where they are reached; by these one that
     /// starts finds the fleet.
-    pub seats: Vec<(u64, SocketAddr)>,
+    pub voters: Vec<(u64, SocketAddr)>,
     /// Leases.
-    pub lease: Terms,
+    pub lease: LeaseTiming,
     /// Stays.
-    pub stay: Terms,
+    pub session: LeaseTiming,
     /// Of membership.
-    pub pace: Pace,
+    pub gossip: GossipTiming,
     /// How fields agree.
     pub schema: Schema,
     /// Of its random choices.
@@ -77,34 +77,34 @@
 
 /// What passes between two front ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Body {
+pub enum MessageBody {
     /// A datagram of membership.
-    Members(Vec<u8>),
+    Gossip(Vec<u8>),
     /// Of leases and steps.
-    Lease(Message<State, Delta>),
+    Lease(LeaseMessage<FleetState, StateDelta>),
     /// For a stay, with the name in words and the digest of the workers that leave.
-    AskStay(stay::Ask, String, u64),
+    SessionRequest(session::SessionRequest, String, u64),
     /// A stay.
-    Stay(stay::Grant),
+    SessionGrant(session::SessionGrant),
     /// To the seat: it acts no more, and never again.
-    Gone(Member),
+    Departed(Member),
     /// Workers that leave; whether all that the other knows is wanted back.
-    Leaving(Vec<Line>, bool),
+    Drains(Vec<EndpointRecord>, bool),
     /// The digest of the workers that leave, for one that knows others to tell of them.
-    Digest(u64),
+    DrainDigest(u64),
     /// From seat to seat.
-    Seats(Vec<u8>),
+    Consensus(Vec<u8>),
     /// To the root: which scopes it wants and holds.
-    Want(hold::Want),
+    Subscribe(subscription::SubscribeRequest),
     /// The root's answer.
-    Scopes(hold::Reply),
+    SubscribeReply(subscription::SubscribeReply),
     /// Nothing but what stands in the head of every letter.
-    Head,
+    HeaderOnly,
 }
 
 /// The seat that leads, by the term in which it does; of two the later term is right. It stands in the head of every letter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Root {
+pub struct Leader {
     /// Counts up with each change.
     pub term: u64,
     /// The front end's number.
@@ -113,11 +113,11 @@
 
 /// What a seat is started from.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
+pub struct RecoveredState {
     /// What its disk holds.
-    pub saved: Saved,
+    pub persistent: PersistentState,
     /// The fields that a fleet which begins has first.
-    pub first: Fields,
+    pub initial_fields: Fields,
 }
 
 /// What is to be done, in this order.
@@ -132,42 +132,42 @@
         /// Where.
         to: SocketAddr,
         /// What.
-        body: Body,
+        body: MessageBody,
     },
-    /// Send to the seat of this number, at [`Peer::address`].
-    Seat {
+    /// Send to the seat of this number, at [`FleetNode::address`].
+    SendToVoter {
         /// Which.
         to: u64,
         /// What.
         bytes: Vec<u8>,
     },
-    /// Hold a record, then call [`Peer::held`]; in order. A whole takes the place of all before it.
-    Hold {
+    /// Hold a record, then call [`FleetNode::on_persisted`]; in order. A whole takes the place of all before it.
+    Persist {
         /// The record.
         record: Vec<u8>,
         /// All that there is, this record included.
-        whole: Option<Vec<u8>>,
+        snapshot: Option<Vec<u8>>,
     },
     /// The outcome of a request for an entry.
-    Answer {
+    Respond {
         /// The request's number.
         request: u64,
         /// What came of it.
-        outcome: Result<Applied, Refusal>,
+        outcome: Result<ApplyOutcome, RequestRejection>,
     },
     /// Tell the operator.
-    Note(Note),
+    Notify(FleetEvent),
 }
 
 /// What an operator wants to read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum FleetEvent {
     /// A front end is there, or is no more.
-    Member(News),
+    Membership(MembershipEvent),
     /// This front end's step: the log's at a seat, else what its lease is for. Those that move functions alone are not told.
-    Step {
+    RevisionChanged {
         /// Which.
-        step: Step,
+        step: Revision,
         /// The version in force there.
         force: u64,
         /// The version under way, if any.
@@ -179,119 +179,123 @@
         live: bool,
     },
     /// The stay ran out, or there is one again.
-    Stay {
+    Session {
         /// Whether there is one.
         live: bool,
     },
     /// This seat leads the fleet, or does no more.
-    Leads {
+    Leadership {
         /// Whether it does.
         live: bool,
     },
     /// A datagram was thrown away.
-    Stranger(Stranger),
+    DatagramRejected(RejectedDatagram),
     /// A change that touches strict fields did not get through in time and is given up.
-    GivenUp {
+    ChangeAbandoned {
         /// The version.
         version: u64,
         /// Who was not known to have come as far.
         behind: Vec<Member>,
     },
     /// One that was to become a seat did not learn the log in time, and does not become one.
-    NotSeated {
+    VoterReplacementAbandoned {
         /// Which.
         new: u64,
     },
     /// Scopes that were called were let go, since more are called than one front end may hold.
-    Squeezed {
+    SubscriptionsEvicted {
         /// How many so far.
         total: u64,
         /// How many are held.
-        held: usize,
+        subscribed: usize,
     },
     /// Changes of scopes did not get through in time and are given up.
-    ScopesGivenUp {
+    ScopeChangesAbandoned {
         /// Which; the first ones of many.
         scopes: Vec<String>,
         /// Who holds them and was not known to have come as far; the first ones of many.
         behind: Vec<Member>,
     },
     /// The seat's disk failed: it takes no entry until it is started again.
-    Disk {
+    StorageFailed {
         /// Why.
-        why: String,
+        cause: String,
     },
 }
 
 /// What a front end acts on.
 #[derive(Clone, Copy, Debug)]
-pub struct Acting<'a> {
+pub struct ActiveState<'a> {
     /// What it knows last; none: nothing yet.
-    pub state: Option<&'a State>,
+    pub state: Option<&'a FleetState>,
     /// What is left of its lease, microseconds.
     pub lease: Time,
     /// What is left of its stay, microseconds.
-    pub stay: Time,
+    pub session: Time,
 }
 
 /// A front end.
-pub struct Peer {
-    setup: Setup,
-    members: Known,
-    front: Front<State>,
-    stay: Stay,
+pub struct FleetNode {
+    setup: FleetNodeConfig,
+    members: KnownNodes,
+    front: LeaseNode<FleetState>,
+    stay: Session,
     next_stay: Time,
     next_join: Time,
-    keeper: Option<Keeper>,
-    root: Root,
+    keeper: Option<ChangeController>,
+    leader: Leader,
     /// It is the root.
     leads: bool,
     /// Asks for a stay in a row that nobody answered.
     unanswered: usize,
     lists: Lists,
-    holding: Holding,
+    holding: ScopeSubscriptions,
     /// The step that it told the root last.
-    told: Step,
+    update_members: Revision,
     /// Up to then it says nothing more of scopes that were let go, and how many it said.
     squeezed: (Time, u64),
     heard: BTreeMap<u64, SocketAddr>,
-    noted: (Step, bool, bool),
+    noted: (Revision, bool, bool),
     /// When it first held a lease and a stay.
     acts_since: Option<Time>,
 }
 
-impl Peer {
+impl FleetNode {
     /// One that starts from nothing; a seat from what it held.
-    pub fn new(setup: Setup, held: Option<Held>, now: Time) -> Result<Peer, Unreadable> {
-        let members = Members::new(setup.fleet, setup.me.clone(), setup.pace, setup.seed);
-        let members = Known::Found(Box::new(members));
-        let me = setup.me.member();
-        let root = Root {
+    pub fn new(
+        setup: FleetNodeConfig,
+        held: Option<RecoveredState>,
+        now: Time,
+    ) -> Result<FleetNode, CorruptState> {
+        let members = Membership::new(setup.fleet, setup.node.clone(), setup.gossip, setup.seed);
+        let members = KnownNodes::Found(Box::new(members));
+        let me = setup.node.member();
+        let root = Leader {
             term: 0,
-            id: setup.seats.first().map_or(0, |s| s.0),
+            id: setup.voters.first().map_or(0, |s| s.0),
         };
-        let front = Front::new(setup.lease, me, members.view(root.id), now);
+        let front = LeaseNode::new(setup.lease, me, members.view(root.id), now);
         let keeper = match held {
             Some(held) => {
-                let seats = tansy_consensus::Setup {
-                    me: me.id,
+                let seats = tansy_consensus::ReplicaConfig {
+                    id: me.id,
                     incarnation: me.incarnation,
-                    seats: setup.seats.iter().copied().collect(),
+                    voters: setup.voters.iter().copied().collect(),
                     terms: setup.lease,
-                    first: held.first,
+                    initial_fields: held.initial_fields,
                     seed: setup.seed,
                 };
-                Some(Keeper::new(
-                    Seats::new(seats, &held.saved, now)?,
-                    setup.stay,
+                Some(ChangeController::new(
+                    Replica::new(seats, &held.persistent, now)?,
+                    setup.session,
                     now,
                 ))
             }
             None => None,
         };
-        let stay = Stay::new(setup.stay, me);
+        let stay = Session::new(setup.session, me);
         let lists = Lists::new(setup.seed, now);
-        Ok(Peer {
+        Ok(FleetNode {
             setup,
             members,
             front,
@@ -299,40 +303,40 @@
             next_stay: now,
             next_join: now,
             keeper,
-            root,
+            leader: root,
             leads: false,
             unanswered: 0,
             lists,
-            holding: Holding::new(me, Bounds::default(), now),
-            told: Step(0),
+            holding: ScopeSubscriptions::new(me, SubscriptionLimits::default(), now),
+            update_members: Revision(0),
             squeezed: (now, 0),
             heard: BTreeMap::new(),
-            noted: (Step(0), false, false),
+            noted: (Revision(0), false, false),
             acts_since: None,
         })
     }
 
     /// Its setup.
-    pub fn setup(&self) -> &Setup {
+    pub fn setup(&self) -> &FleetNodeConfig {
         &self.setup
     }
 
     /// What it acts on now. Whoever acts has to look again once the lease or the stay is over.
-    pub fn acting(&self, now: Time) -> Acting<'_> {
-        Acting {
-            state: self.front.known(),
-            lease: self.front.left(now),
-            stay: self.stay.left(now),
+    pub fn active_state(&self, now: Time) -> ActiveState<'_> {
+        ActiveState {
+            state: self.front.known_state(),
+            lease: self.front.remaining(now),
+            session: self.stay.remaining(now),
         }
     }
 
     /// For how long it has acted: since it first held a lease and a stay.
-    pub fn acts_for(&self, now: Time) -> Time {
+    pub fn active_for(&self, now: Time) -> Time {
         self.acts_since.map_or(0, |since| (now - since).max(0))
     }
 
     /// The others that are there.
-    pub fn others(&self) -> impl Iterator<Item = &Name> {
+    pub fn others(&self) -> impl Iterator<Item = &NodeId> {
         self.members.all()
     }
 
@@ -341,7 +345,7 @@
         self.keeper
             .as_ref()
             .filter(|_| self.leads)
-            .and_then(Keeper::log)
+            .and_then(ChangeController::log)
     }
 
     /// What any seat knows to be agreed on, and how many entries that is.
@@ -351,39 +355,39 @@
     }
 
     /// Who leads, as far as it is known.
-    pub fn root(&self) -> Root {
-        self.root
+    pub fn leader(&self) -> Leader {
+        self.leader
     }
 
     /// Where the seat that leads is reached.
-    pub fn root_address(&self) -> SocketAddr {
-        let first = || self.setup.seats.first().map(|s| s.1);
-        self.address(self.root.id)
+    pub fn leader_address(&self) -> SocketAddr {
+        let first = || self.setup.voters.first().map(|s| s.1);
+        self.address(self.leader.id)
             .or_else(first)
-            .unwrap_or(self.setup.me.address)
+            .unwrap_or(self.setup.node.address)
     }
 
     /// Who keeps the log, and where each is reached, as far as it is known here.
-    pub fn seats(&self) -> Vec<(u64, SocketAddr)> {
-        let agreed = self.agreed().map(|(_, log)| log.seats());
+    pub fn voters(&self) -> Vec<(u64, SocketAddr)> {
+        let agreed = self.agreed().map(|(_, log)| log.voters());
         agreed.map_or_else(
-            || self.setup.seats.clone(),
+            || self.setup.voters.clone(),
             |s| s.iter().map(|(id, at)| (*id, *at)).collect(),
         )
     }
 
     /// Where a front end is reached.
     pub fn address(&self, id: u64) -> Option<SocketAddr> {
-        let me = Some(&self.setup.me).filter(|me| me.id == id);
+        let me = Some(&self.setup.node).filter(|me| me.id == id);
         let member = || me.map(|n| n.address).or_else(|| self.members.address(id));
         let log = self.agreed().map(|(_, log)| log);
-        let agreed = log.and_then(|l| l.seats().get(&id).copied());
+        let agreed = log.and_then(|l| l.voters().get(&id).copied());
         let learns = || {
-            log.and_then(|l| l.seating())
+            log.and_then(|l| l.voter_replacement())
                 .filter(|s| s.new == id)
                 .map(|s| s.address)
         };
-        let first = || self.setup.seats.iter().find(|s| s.0 == id).map(|s| s.1);
+        let first = || self.setup.voters.iter().find(|s| s.0 == id).map(|s| s.1);
         agreed
             .or_else(learns)
             .or_else(first)
@@ -392,20 +396,23 @@
     }
 
     /// What the change under way waits for, at the seat that leads.
-    pub fn waits(&self, now: Time) -> Option<Waits> {
+    pub fn change_blockers(&self, now: Time) -> Option<ChangeBlockers> {
         self.keeper
             .as_ref()?
             .waits(now, &self.front, &self.setup.schema)
     }
 
-    /// When [`Peer::tick`] has something to do.
-    pub fn next(&self) -> Time {
+    /// When [`FleetNode::tick`] has something to do.
+    pub fn next_deadline(&self) -> Time {
         let stay = self.next_stay;
-        let seat = self.keeper.as_ref().map_or(Time::MAX, Keeper::next);
-        let (members, holding) = (self.members.next(), self.holding.next());
+        let seat = self
+            .keeper
+            .as_ref()
+            .map_or(Time::MAX, ChangeController::next);
+        let (members, holding) = (self.members.next(), self.holding.next_deadline());
         let all = [
             members,
-            self.front.next(),
+            self.front.next_deadline(),
             stay,
             self.next_join,
             seat,
@@ -425,9 +432,9 @@
             // Until somebody is known the seats are asked; they know the others.
             let alone = self.members.count() == 0;
             if alone {
-                for (id, address) in self.setup.seats.clone() {
-                    if id != self.setup.me.id {
-                        self.members.join(now, Name::new(id, 0, address));
+                for (id, address) in self.setup.voters.clone() {
+                    if id != self.setup.node.id {
+                        self.members.join(now, NodeId::new(id, 0, address));
                     }
                 }
             }
@@ -446,32 +453,45 @@
     }
 
     /// From now on it is told who is there: it finds nobody itself, and sends and reads no letters of membership.
-    pub fn told(&mut self, all: Arc<Directory>) {
-        self.members = Known::Told {
-            me: self.setup.me.id,
+    pub fn update_members(&mut self, all: Arc<Directory>) {
+        self.members = KnownNodes::Told {
+            me: self.setup.node.id,
             all,
         };
-        self.front.knows(self.members.view(self.root.id));
+        self.front
+            .update_topology(self.members.view(self.leader.id));
     }
 
     /// A list of workers was read here: what it says of those that leave is told on.
-    pub fn list(&mut self, now: Time, lines: Vec<Line>, out: &mut Vec<Command>) {
+    pub fn update_endpoints(
+        &mut self,
+        now: Time,
+        lines: Vec<EndpointRecord>,
+        out: &mut Vec<Command>,
+    ) {
         self.lists.hear(now, lines, self.members.all(), out);
     }
 
     /// Workers that leave, as anyone in the fleet was told.
-    pub fn leaving(&self) -> &Leaving {
+    pub fn drains(&self) -> &DrainTable {
         self.lists.leaving()
     }
 
-    /// Counts up with each change of [`Peer::leaving`].
-    pub fn leavings(&self) -> u64 {
+    /// Counts up with each change of [`FleetNode::drains`].
+    pub fn drain_changes(&self) -> u64 {
         self.lists.changes()
     }
 
     /// Takes what a front end wrote.
-    pub fn hear(&mut self, now: Time, from: &Name, root: Root, body: Body, out: &mut Vec<Command>) {
-        if from.id == self.setup.me.id {
+    pub fn on_message(
+        &mut self,
+        now: Time,
+        from: &NodeId,
+        root: Leader,
+        body: MessageBody,
+        out: &mut Vec<Command>,
+    ) {
+        if from.id == self.setup.node.id {
             return;
         }
         self.learn(now, root);
@@ -481,20 +501,20 @@
             self.heard.insert(from.id, from.address);
         }
         match body {
-            Body::Members(bytes) => {
+            MessageBody::Gossip(bytes) => {
                 if let Err(stranger) = self.members.hear(now, &bytes) {
-                    out.push(Command::Note(Note::Stranger(stranger)));
+                    out.push(Command::Notify(FleetEvent::DatagramRejected(stranger)));
                 }
                 self.spread(now, out);
             }
-            Body::Lease(message) => {
+            MessageBody::Lease(message) => {
                 let mut letters = Vec::new();
-                self.front.hear(now, from.id, message, &mut letters);
+                self.front.on_message(now, from.id, message, &mut letters);
                 self.post(letters, out);
             }
-            Body::Want(want) => self.wanted(now, from, want, out),
-            Body::Scopes(reply) => self.granted(now, reply),
-            Body::AskStay(ask, name, digest) => {
+            MessageBody::Subscribe(want) => self.on_subscribe(now, from, want, out),
+            MessageBody::SubscribeReply(reply) => self.on_subscribe_reply(now, reply),
+            MessageBody::SessionRequest(ask, name, digest) => {
                 let member = from.member();
                 if let Some(keeper) = self.keeper.as_mut().filter(|_| ask.from == member) {
                     // One that starts from nothing hears first of the workers that leave.
@@ -506,19 +526,19 @@
                         None
                     };
                     let body = match grant {
-                        Some(grant) => Body::Stay(grant),
+                        Some(grant) => MessageBody::SessionGrant(grant),
                         None if !told => self.lists.whole(true),
                         // It hears at least who leads.
-                        None => Body::Head,
+                        None => MessageBody::HeaderOnly,
                     };
                     out.push(Command::Send {
                         to: from.address,
                         body,
                     });
-                    self.untold(member, from.address, out);
+                    self.send_resync(member, from.address, out);
                 }
             }
-            Body::Leaving(lines, back) => {
+            MessageBody::Drains(lines, back) => {
                 self.lists.hear(now, lines, self.members.all(), out);
                 if back {
                     out.push(Command::Send {
@@ -527,7 +547,7 @@
                     });
                 }
             }
-            Body::Digest(digest) => {
+            MessageBody::DrainDigest(digest) => {
                 if digest != self.lists.digest() {
                     out.push(Command::Send {
                         to: from.address,
@@ -535,44 +555,44 @@
                     });
                 }
             }
-            Body::Gone(member) => {
+            MessageBody::Departed(member) => {
                 if let Some(keeper) = self.keeper.as_mut().filter(|_| member == from.member()) {
                     keeper.gone(member);
                 }
             }
-            Body::Stay(grant) => {
-                if from.id == self.root.id || self.seats().iter().any(|s| s.0 == from.id) {
+            MessageBody::SessionGrant(grant) => {
+                if from.id == self.leader.id || self.voters().iter().any(|s| s.0 == from.id) {
                     self.stays(now, grant);
                 }
             }
-            Body::Seats(bytes) => {
+            MessageBody::Consensus(bytes) => {
                 if let Some(keeper) = &mut self.keeper {
                     keeper.hear(now, from.id, &bytes, out);
                 }
             }
-            Body::Head => {}
+            MessageBody::HeaderOnly => {}
         }
         self.lead(now, out);
         self.go_on(now, out);
     }
 
     /// Asks for an entry; the answer comes with this number.
-    pub fn request(&mut self, now: Time, request: u64, entry: Entry, out: &mut Vec<Command>) {
+    pub fn request(&mut self, now: Time, request: u64, entry: LogEntry, out: &mut Vec<Command>) {
         self.lead(now, out);
         match &mut self.keeper {
             Some(keeper) if self.leads => keeper.request(request, entry, out),
             _ => {
-                let outcome = Err(Refusal::NotSeat {
-                    seat: self.root_address(),
+                let outcome = Err(RequestRejection::NotLeader {
+                    leader: self.leader_address(),
                 });
-                out.push(Command::Answer { request, outcome });
+                out.push(Command::Respond { request, outcome });
             }
         }
         self.go_on(now, out);
     }
 
     /// The first record that was to be held is held, or can't be.
-    pub fn held(&mut self, now: Time, done: Result<(), String>, out: &mut Vec<Command>) {
+    pub fn on_persisted(&mut self, now: Time, done: Result<(), String>, out: &mut Vec<Command>) {
         let Some(keeper) = &mut self.keeper else {
             return;
         };
@@ -583,12 +603,12 @@
 
     /// It acts no more: the others need not find out, and nothing waits for it.
     pub fn leave(&mut self, now: Time, out: &mut Vec<Command>) {
-        let member = self.setup.me.member();
+        let member = self.setup.node.member();
         match &mut self.keeper {
             Some(keeper) if self.leads => keeper.gone(member),
             _ => out.push(Command::Send {
-                to: self.root_address(),
-                body: Body::Gone(member),
+                to: self.leader_address(),
+                body: MessageBody::Departed(member),
             }),
         }
         self.go_on(now, out);
@@ -601,47 +621,55 @@
         for d in datagrams {
             out.push(Command::Send {
                 to: d.to.address,
-                body: Body::Members(d.bytes),
+                body: MessageBody::Gossip(d.bytes),
             });
         }
         if !news.is_empty() {
-            self.front.knows(self.members.view(self.root.id));
+            self.front
+                .update_topology(self.members.view(self.leader.id));
             let mut letters = Vec::new();
             self.front.tick(now, &mut letters);
             self.post(letters, out);
         }
-        out.extend(news.into_iter().map(|n| Command::Note(Note::Member(n))));
+        out.extend(
+            news.into_iter()
+                .map(|n| Command::Notify(FleetEvent::Membership(n))),
+        );
     }
 
     /// Puts addresses on letters; one to nobody known is dropped, as the network might.
-    fn post(&mut self, letters: Vec<(u64, Message<State, Delta>)>, out: &mut Vec<Command>) {
+    fn post(
+        &mut self,
+        letters: Vec<(u64, LeaseMessage<FleetState, StateDelta>)>,
+        out: &mut Vec<Command>,
+    ) {
         for (id, message) in letters {
             let to = self.address(id);
             out.extend(to.map(|to| Command::Send {
                 to,
-                body: Body::Lease(message),
+                body: MessageBody::Lease(message),
             }));
         }
     }
 
     fn ask_stay(&mut self, now: Time, out: &mut Vec<Command>) {
-        let at = self.front.known().map_or(Step(0), |s| s.step);
-        let awaited = self.front.known().is_some_and(|s| self.strict(s))
-            || self.holding.awaited(&self.setup.schema);
+        let at = self.front.known_state().map_or(Revision(0), |s| s.revision);
+        let awaited = self.front.known_state().is_some_and(|s| self.strict(s))
+            || self.holding.delays_change(&self.setup.schema);
         let most = if awaited { STAY_AWAITED } else { STAY_MOST };
-        let often = (self.setup.stay.span / STAY_PART).min(most);
+        let often = (self.setup.session.span / STAY_PART).min(most);
         self.next_stay = now
-            + if self.stay.left(now) == 0 || self.unanswered > 0 {
+            + if self.stay.remaining(now) == 0 || self.unanswered > 0 {
                 AGAIN
             } else {
                 often
             };
         // One that knows nothing acts on nothing: it has no need of a stay.
-        if at == Step(0) {
+        if at == Revision(0) {
             return;
         }
-        self.told = at;
-        let (ask, name) = (self.stay.ask(now, at), self.setup.name.clone());
+        self.update_members = at;
+        let (ask, name) = (self.stay.request(now, at), self.setup.name.clone());
         if let Some(keeper) = self.keeper.as_mut().filter(|_| self.leads) {
             // The root is on the roster as any other is: the next root has to wait for it.
             if let Some(grant) = keeper.stay(now, ask, name) {
@@ -651,36 +679,36 @@
         }
         self.unanswered += 1;
         // Who leads may be gone: then any seat may know who does by now.
-        let others = self.seats();
+        let others = self.voters();
         // Every other time, since those that are known here may all have been replaced.
         let to = match self.unanswered.checked_sub(UNANSWERED) {
             Some(n) if n % 2 == 1 => others.get(n / 2 % others.len().max(1)).map(|s| s.1),
             _ => None,
         };
-        let to = to.unwrap_or_else(|| self.root_address());
+        let to = to.unwrap_or_else(|| self.leader_address());
         let digest = self.lists.digest();
         out.push(Command::Send {
             to,
-            body: Body::AskStay(ask, name, digest),
+            body: MessageBody::SessionRequest(ask, name, digest),
         });
     }
 
     /// Takes a stay. After one that ran out nobody waited for it any more.
-    fn stays(&mut self, now: Time, grant: stay::Grant) {
+    fn stays(&mut self, now: Time, grant: session::SessionGrant) {
         self.unanswered = 0;
-        if self.stay.left(now) == 0 {
-            self.holding.lapsed(now);
+        if self.stay.remaining(now) == 0 {
+            self.holding.on_session_expired(now);
         }
-        self.stay.granted(grant);
+        self.stay.on_grant(grant);
     }
 
     /// Another seat leads, as somebody says.
-    fn learn(&mut self, now: Time, root: Root) {
+    fn learn(&mut self, now: Time, root: Leader) {
         // It says whom to ask, and is right only while that one grants: it may be a seat that is not known here yet.
-        if root > self.root && root.id != self.setup.me.id && !self.leads {
-            self.root = root;
-            self.front.knows(self.members.view(root.id));
-            self.holding.rooted(now);
+        if root > self.leader && root.id != self.setup.node.id && !self.leads {
+            self.leader = root;
+            self.front.update_topology(self.members.view(root.id));
+            self.holding.on_new_leader(now);
         }
     }
 
@@ -689,94 +717,97 @@
         let Some(keeper) = &mut self.keeper else {
             return;
         };
-        let me = self.setup.me.member();
+        let me = self.setup.node.member();
         match (keeper.right(now), keeper.log().map(Log::state)) {
             (Some(until), Some(state)) if !self.leads => {
                 let (state, term) = (state.clone(), keeper.leader().map_or(0, |l| l.0));
                 keeper.begin(now);
-                (self.leads, self.root) = (true, Root { term, id: me.id });
+                (self.leads, self.leader) = (true, Leader { term, id: me.id });
                 let view = self.members.view(me.id);
-                self.front = Front::seat(self.setup.lease, me, view, state, until, now);
+                self.front = LeaseNode::leader(self.setup.lease, me, view, state, until, now);
                 self.next_stay = now;
-                self.holding.rooted(now);
-                out.push(Command::Note(Note::Leads { live: true }));
+                self.holding.on_new_leader(now);
+                out.push(Command::Notify(FleetEvent::Leadership { live: true }));
             }
             (Some(until), Some(state)) => {
                 let mut letters = Vec::new();
                 let stepped = self
                     .front
-                    .known()
-                    .is_none_or(|known| known.step != state.step);
+                    .known_state()
+                    .is_none_or(|known| known.revision != state.revision);
                 if let Some(state) = stepped.then(|| state.clone()) {
-                    self.front.stepped(now, state, &mut letters);
+                    self.front.on_state_change(now, state, &mut letters);
                 }
-                self.front.extend(now, until, &mut letters);
+                self.front.extend_leader_lease(now, until, &mut letters);
                 self.post(letters, out);
             }
             _ if self.leads => {
                 keeper.end(out);
                 self.leads = false;
-                let view = self.members.view(self.root.id);
-                let known = self.front.known().cloned();
+                let view = self.members.view(self.leader.id);
+                let known = self.front.known_state().cloned();
                 self.front = match known {
-                    Some(state) => Front::knowing(self.setup.lease, me, view, state, now),
-                    None => Front::new(self.setup.lease, me, view, now),
+                    Some(state) => LeaseNode::with_state(self.setup.lease, me, view, state, now),
+                    None => LeaseNode::new(self.setup.lease, me, view, now),
                 };
-                out.push(Command::Note(Note::Leads { live: false }));
+                out.push(Command::Notify(FleetEvent::Leadership { live: false }));
             }
             _ => {}
         }
         if let Some((term, id)) = self
             .keeper
             .as_ref()
-            .and_then(Keeper::leader)
+            .and_then(ChangeController::leader)
             .filter(|l| l.1 != me.id)
         {
-            self.learn(now, Root { term, id });
+            self.learn(now, Leader { term, id });
         }
     }
 
     /// Whether a change of strict fields is under way.
-    fn strict(&self, state: &State) -> bool {
+    fn strict(&self, state: &FleetState) -> bool {
         state
-            .contested(&self.setup.schema)
+            .conflicting_fields(&self.setup.schema)
             .iter()
-            .any(|c| c.kind == Kind::Strict)
+            .any(|c| c.compatibility == Compatibility::Strict)
     }
 
     /// What follows of what happened: steps of the log, and what is told.
     fn go_on(&mut self, now: Time, out: &mut Vec<Command>) {
         self.follow(now);
-        let versions_at = self.front.known().map_or(Step(0), |s| s.versions_at);
+        let versions_at = self
+            .front
+            .known_state()
+            .map_or(Revision(0), |s| s.versions_revision);
         if versions_at != self.noted.0 {
             let mut strict = false;
-            if let Some(s) = self.front.known() {
-                let step = s.step;
+            if let Some(s) = self.front.known_state() {
+                let step = s.revision;
                 let next = s.next.as_ref().map(|(n, _)| n.version.0);
-                out.push(Command::Note(Note::Step {
+                out.push(Command::Notify(FleetEvent::RevisionChanged {
                     step,
-                    force: s.force.version.0,
+                    force: s.in_force.version.0,
                     next,
                 }));
                 strict = self.strict(s);
             }
             // The seat waits for all where the change is of what must never be two things; and a first stay is urgent.
-            if strict || self.stay.left(now) == 0 {
+            if strict || self.stay.remaining(now) == 0 {
                 self.ask_stay(now, out);
             }
         }
-        self.hold(now, out);
+        self.update_subscriptions(now, out);
         if let Some(keeper) = self.keeper.as_mut().filter(|_| self.leads) {
             keeper.go_on(now, &self.front, &self.setup.schema, out);
         }
         self.follow(now);
-        let acting = self.acting(now);
-        let (lease, stay) = (acting.lease > 0, acting.stay > 0);
+        let acting = self.active_state(now);
+        let (lease, stay) = (acting.lease > 0, acting.session > 0);
         if lease != self.noted.1 {
-            out.push(Command::Note(Note::Lease { live: lease }));
+            out.push(Command::Notify(FleetEvent::Lease { live: lease }));
         }
         if stay != self.noted.2 {
-            out.push(Command::Note(Note::Stay { live: stay }));
+            out.push(Command::Notify(FleetEvent::Session { live: stay }));
         }
         if lease && stay {
             self.acts_since.get_or_insert(now);
--- a/decide/fleet-node/src/lists.rs
+++ b/decide/fleet-node/src/lists.rs
@@ -1,11 +1,11 @@
 //! Workers that leave, told on: news at once to a few, and now and then a digest to one, so that what was lost on the way
 //! is found.
 
-use crate::known::Known;
-use crate::{Body, Command};
+use crate::known::KnownNodes;
+use crate::{Command, MessageBody};
+use tansy_agreement::endpoints::{DrainTable, EndpointRecord, EndpointState};
 use tansy_agreement::lease::Time;
-use tansy_agreement::list::{Leaving, Line, Standing};
-use tansy_membership::Name;
+use tansy_membership::NodeId;
 use xxhash_rust::xxh3::Xxh3Default;
 
 /// Front ends that are told of what is new here; each tells as many.
@@ -14,7 +14,7 @@
 const DIGEST_EVERY: Time = 500_000;
 
 pub(crate) struct Lists {
-    leaving: Leaving,
+    leaving: DrainTable,
     digest: u64,
     changes: u64,
     next: Time,
@@ -23,7 +23,7 @@
 
 impl Lists {
     pub(crate) fn new(seed: u64, now: Time) -> Lists {
-        let leaving = Leaving::default();
+        let leaving = DrainTable::default();
         let digest = digest(&leaving);
         Lists {
             leaving,
@@ -34,7 +34,7 @@
         }
     }
 
-    pub(crate) fn leaving(&self) -> &Leaving {
+    pub(crate) fn leaving(&self) -> &DrainTable {
         &self.leaving
     }
 
@@ -51,40 +51,40 @@
     }
 
     /// All that is known, for one that knows something else.
-    pub(crate) fn whole(&self, back: bool) -> Body {
-        Body::Leaving(self.leaving.lines().collect(), back)
+    pub(crate) fn whole(&self, back: bool) -> MessageBody {
+        MessageBody::Drains(self.leaving.records().collect(), back)
     }
 
     /// Takes lines; what is new of them goes on to a few others.
     pub(crate) fn hear<'a>(
         &mut self,
         now: Time,
-        lines: Vec<Line>,
-        others: impl Iterator<Item = &'a Name>,
+        lines: Vec<EndpointRecord>,
+        others: impl Iterator<Item = &'a NodeId>,
         out: &mut Vec<Command>,
     ) {
-        let new = self.leaving.hear(now, lines);
+        let new = self.leaving.merge(now, lines);
         if new.is_empty() {
             return;
         }
         self.changed();
-        let others: Vec<&Name> = others.collect();
+        let others: Vec<&NodeId> = others.collect();
         for to in self.rng.choose_multiple(others, TELLS) {
             out.push(Command::Send {
                 to: to.address,
-                body: Body::Leaving(new.clone(), false),
+                body: MessageBody::Drains(new.clone(), false),
             });
         }
     }
 
-    pub(crate) fn tick(&mut self, now: Time, others: &Known, out: &mut Vec<Command>) {
+    pub(crate) fn tick(&mut self, now: Time, others: &KnownNodes, out: &mut Vec<Command>) {
         if now < self.next {
             return;
         }
         self.next = now + DIGEST_EVERY;
-        let count = self.leaving.lines().count();
-        self.leaving.forget(now);
-        if self.leaving.lines().count() != count {
+        let count = self.leaving.records().count();
+        self.leaving.expire(now);
+        if self.leaving.records().count() != count {
             self.changed();
         }
         let count = others.count();
@@ -94,7 +94,7 @@
         {
             out.push(Command::Send {
                 to,
-                body: Body::Digest(self.digest),
+                body: MessageBody::DrainDigest(self.digest),
             });
         }
     }
@@ -106,15 +106,15 @@
 }
 
 /// The same for the same lines, at every front end.
-fn digest(leaving: &Leaving) -> u64 {
+fn digest(leaving: &DrainTable) -> u64 {
     let mut hash = Xxh3Default::new();
-    for line in leaving.lines() {
-        for text in [&line.worker.name, &line.worker.address] {
+    for line in leaving.records() {
+        for text in [&line.endpoint.name, &line.endpoint.address] {
             hash.update(&(text.len() as u64).to_le_bytes());
             hash.update(text.as_bytes());
         }
         hash.update(&line.incarnation.to_le_bytes());
-        hash.update(&[u8::from(line.standing == Standing::Gone)]);
+        hash.update(&[u8::from(line.state == EndpointState::Gone)]);
     }
     hash.digest()
 }
--- a/decide/fleet-node/src/scopes.rs
+++ b/decide/fleet-node/src/scopes.rs
@@ -1,75 +1,79 @@
 //! A front end's part in settings of functions that are agreed on one by one: what it may act on, what it asks the root for,
 //! and, at the root, what it answers.
 
-use crate::{Body, Command, Note, Peer, STAY_AWAITED};
+use crate::{Command, FleetEvent, FleetNode, MessageBody, STAY_AWAITED};
 use std::net::SocketAddr;
-use tansy_agreement::hold::{Call, Reply, Want, Why};
 use tansy_agreement::lease::{Member, Time};
-use tansy_agreement::log::Step;
-use tansy_agreement::scope::Acts;
-use tansy_membership::Name;
+use tansy_agreement::log::Revision;
+use tansy_agreement::scope::EffectiveSettings;
+use tansy_agreement::subscription::{Admission, RejectReason, SubscribeReply, SubscribeRequest};
+use tansy_membership::NodeId;
 
 /// Time between two notes of scopes that were let go.
 const NOTE_EVERY: Time = 60_000_000;
 
-impl Peer {
+impl FleetNode {
     /// What is done with a call of a function now.
-    pub fn called(&mut self, now: Time, function: &str, out: &mut Vec<Command>) -> Call {
-        if !self.holding.began() {
-            return Call::Versions;
+    pub fn admit(&mut self, now: Time, function: &str, out: &mut Vec<Command>) -> Admission {
+        if !self.holding.has_scopes() {
+            return Admission::Unscoped;
         }
-        let acting = self.acting(now);
-        let (lease, stay) = (acting.lease > 0, acting.stay > 0);
+        let acting = self.active_state(now);
+        let (lease, stay) = (acting.lease > 0, acting.session > 0);
         if !stay {
-            return Call::Refused(Why::NoStay);
+            return Admission::Reject(RejectReason::NoSession);
         }
-        let call = self
-            .holding
-            .called(now, &self.setup.schema, function, lease);
-        if call == Call::Wait {
-            self.hold(now, out);
+        let call = self.holding.admit(now, &self.setup.schema, function, lease);
+        if call == Admission::Wait {
+            self.update_subscriptions(now, out);
         }
         call
     }
 
-    /// Counts up whenever [`Peer::called`] might say another thing than before.
+    /// Counts up whenever [`FleetNode::admit`] might say another thing than before.
     pub fn scopes_changed(&self) -> u64 {
         self.holding.changes()
     }
 
     /// How many functions it holds.
-    pub fn holds(&self) -> usize {
-        self.holding.held()
+    pub fn subscription_count(&self) -> usize {
+        self.holding.len()
     }
 
     /// Bytes that these take, about.
-    pub fn holds_weight(&self) -> usize {
-        let moves = self.front.known().map_or(0, |s| s.moves.weight());
-        self.holding.weight() + moves
+    pub fn subscription_bytes(&self) -> usize {
+        let moves = self
+            .front
+            .known_state()
+            .map_or(0, |s| s.history.memory_bytes());
+        self.holding.memory_bytes() + moves
     }
 
     /// What it acts on of a function, without a call of it; none: it may not act on it now.
-    pub fn acts(&self, now: Time, function: &str) -> Option<Acts> {
-        let acting = self.acting(now);
-        let live = acting.stay > 0;
+    pub fn effective_settings(&self, now: Time, function: &str) -> Option<EffectiveSettings> {
+        let acting = self.active_state(now);
+        let live = acting.session > 0;
         self.holding
-            .acts(&self.setup.schema, function, acting.lease > 0)
+            .effective_settings(&self.setup.schema, function, acting.lease > 0)
             .filter(|_| live)
     }
 
     /// Follows what it acts on; before anything is told of it.
     pub(crate) fn follow(&mut self, now: Time) {
-        if let Some(state) = self.front.known() {
-            self.holding.follow(now, state, &self.setup.schema);
+        if let Some(state) = self.front.known_state() {
+            self.holding.on_state(now, state, &self.setup.schema);
         }
     }
 
     /// Tells the root what it is owed.
-    pub(crate) fn hold(&mut self, now: Time, out: &mut Vec<Command>) {
-        let at = self.front.known().map_or(Step(0), |s| s.step);
-        let stay = self.stay.left(now) > 0;
+    pub(crate) fn update_subscriptions(&mut self, now: Time, out: &mut Vec<Command>) {
+        let at = self.front.known_state().map_or(Revision(0), |s| s.revision);
+        let stay = self.stay.remaining(now) > 0;
         // The root waits for this one before a change of strict fields that it holds goes on.
-        if stay && self.holding.contested() > self.told && at >= self.holding.contested() {
+        if stay
+            && self.holding.conflicting_revision() > self.update_members
+            && at >= self.holding.conflicting_revision()
+        {
             self.ask_stay(now, out);
         }
         // An answer of its own may let it ask on.
@@ -79,26 +83,32 @@
             };
             if !self.leads {
                 out.push(Command::Send {
-                    to: self.root_address(),
-                    body: Body::Want(want),
+                    to: self.leader_address(),
+                    body: MessageBody::Subscribe(want),
                 });
             } else if let Some(reply) = self.keeper.as_mut().and_then(|k| k.want(&want)) {
-                self.granted(now, reply);
+                self.on_subscribe_reply(now, reply);
             }
         }
         let (after, said) = self.squeezed;
-        let total = self.holding.squeezed();
+        let total = self.holding.evicted();
         if total > said && now >= after {
             self.squeezed = (now + NOTE_EVERY, total);
-            out.push(Command::Note(Note::Squeezed {
+            out.push(Command::Notify(FleetEvent::SubscriptionsEvicted {
                 total,
-                held: self.holding.held(),
+                subscribed: self.holding.len(),
             }));
         }
     }
 
     /// A front end tells what it wants and holds.
-    pub(crate) fn wanted(&mut self, now: Time, from: &Name, want: Want, out: &mut Vec<Command>) {
+    pub(crate) fn on_subscribe(
+        &mut self,
+        now: Time,
+        from: &NodeId,
+        want: SubscribeRequest,
+        out: &mut Vec<Command>,
+    ) {
         if want.from != from.member() {
             return;
         }
@@ -109,7 +119,7 @@
             .as_mut()
             .filter(|_| self.leads)
             .and_then(|k| k.want(&want));
-        let body = reply.map_or(Body::Head, Body::Scopes);
+        let body = reply.map_or(MessageBody::HeaderOnly, MessageBody::SubscribeReply);
         out.push(Command::Send {
             to: from.address,
             body,
@@ -117,17 +127,17 @@
     }
 
     /// The root's answer.
-    pub(crate) fn granted(&mut self, now: Time, reply: Reply) {
+    pub(crate) fn on_subscribe_reply(&mut self, now: Time, reply: SubscribeReply) {
         self.holding
-            .granted(now, reply, self.front.known(), &self.setup.schema);
-        if self.holding.awaited(&self.setup.schema) {
+            .on_reply(now, reply, self.front.known_state(), &self.setup.schema);
+        if self.holding.delays_change(&self.setup.schema) {
             // What it told of its step may be lost.
             self.next_stay = self.next_stay.min(now + STAY_AWAITED);
         }
     }
 
     /// One that has not told what it holds, while there are scopes, is asked.
-    pub(crate) fn untold(&self, member: Member, to: SocketAddr, out: &mut Vec<Command>) {
+    pub(crate) fn send_resync(&self, member: Member, to: SocketAddr, out: &mut Vec<Command>) {
         let reply = self
             .keeper
             .as_ref()
@@ -135,7 +145,7 @@
             .and_then(|k| k.untold(member));
         out.extend(reply.map(|reply| Command::Send {
             to,
-            body: Body::Scopes(reply),
+            body: MessageBody::SubscribeReply(reply),
         }));
     }
 }
--- a/decide/fleet-node/tests/fleet.rs
+++ b/decide/fleet-node/tests/fleet.rs
@@ -3,12 +3,17 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
-use tansy_agreement::lease::Terms;
-use tansy_agreement::log::{Applied, Entry, Log, Refused, Version};
-use tansy_agreement::rule::{Fields, Kind, Lapsed, Schema, Stricter, Value};
-use tansy_consensus::Saved;
-use tansy_fleet_node::{Body, Command, Held, Note, Peer, Refusal, Root, Setup};
-use tansy_membership::{Name, Pace};
+use tansy_agreement::compatibility::{
+    Compatibility, ExpiredLeasePolicy, Fields, Restrictiveness, Schema, Value,
+};
+use tansy_agreement::lease::LeaseTiming;
+use tansy_agreement::log::{ApplyOutcome, EntryRejection, Log, LogEntry, Version};
+use tansy_consensus::PersistentState;
+use tansy_fleet_node::{
+    Command, FleetEvent, FleetNode, FleetNodeConfig, Leader, MessageBody, RecoveredState,
+    RequestRejection,
+};
+use tansy_membership::{GossipTiming, NodeId};
 
 const SECOND: i64 = 1_000_000;
 const STAY: i64 = 60 * SECOND;
@@ -31,29 +36,32 @@
 }
 
 fn schema() -> Schema {
-    let least = Kind::Joint(Stricter::Least, Lapsed::Strictest(Value::Int(1)));
+    let least = Compatibility::Joint(
+        Restrictiveness::Smallest,
+        ExpiredLeasePolicy::Strictest(Value::Int(1)),
+    );
     Schema::new([
         ("worker.max_attempts", least),
-        ("classes.*.group", Kind::Strict),
+        ("classes.*.group", Compatibility::Strict),
     ])
 }
 
 /// The seat is number 0.
 struct Fleet {
     now: i64,
-    all: Vec<Option<Peer>>,
+    all: Vec<Option<FleetNode>>,
     incarnations: Vec<u64>,
     /// How many begin as seats.
     seats: usize,
     /// What the disks of seats and of those that may become one hold, and whether the first one's is full.
-    disks: Vec<Saved>,
+    disks: Vec<PersistentState>,
     full: bool,
     mail: BinaryHeap<Reverse<(i64, u64)>>,
-    letters: BTreeMap<u64, (usize, Name, Root, Body)>,
+    letters: BTreeMap<u64, (usize, NodeId, Leader, MessageBody)>,
     count: u64,
     cut: BTreeSet<(usize, usize)>,
-    answers: BTreeMap<u64, Result<Applied, Refusal>>,
-    notes: Vec<(usize, Note)>,
+    answers: BTreeMap<u64, Result<ApplyOutcome, RequestRejection>>,
+    notes: Vec<(usize, FleetEvent)>,
     rng: fastrand::Rng,
 }
 
@@ -72,7 +80,7 @@
             seats,
             all: Vec::new(),
             incarnations: vec![0; size],
-            disks: vec![Saved::default(); disks],
+            disks: vec![PersistentState::default(); disks],
             full: false,
             mail: BinaryHeap::new(),
             letters: BTreeMap::new(),
@@ -89,31 +97,31 @@
 
     fn start(&mut self, n: usize) {
         self.incarnations[n] += 1;
-        let setup = Setup {
+        let setup = FleetNodeConfig {
             fleet: 7,
             name: format!("f{n}"),
-            me: Name::new(id(n), self.incarnations[n], address(n)),
-            seats: (0..self.seats).map(|n| (id(n), address(n))).collect(),
-            lease: Terms {
+            node: NodeId::new(id(n), self.incarnations[n], address(n)),
+            voters: (0..self.seats).map(|n| (id(n), address(n))).collect(),
+            lease: LeaseTiming {
                 span: SECOND * 6 / 10,
-                ppm: 1_000,
+                drift_ppm: 1_000,
             },
-            stay: Terms {
+            session: LeaseTiming {
                 span: STAY,
-                ppm: 1_000,
+                drift_ppm: 1_000,
             },
-            pace: Pace::default(),
+            gossip: GossipTiming::default(),
             schema: schema(),
             seed: self.rng.u64(..),
         };
-        let held = self.disks.get(n).map(|d| Held {
-            saved: d.clone(),
-            first: fields("zone", 4),
+        let held = self.disks.get(n).map(|d| RecoveredState {
+            persistent: d.clone(),
+            initial_fields: fields("zone", 4),
         });
-        self.all[n] = Some(Peer::new(setup, held, self.now).expect("what it held"));
+        self.all[n] = Some(FleetNode::new(setup, held, self.now).expect("what it held"));
     }
 
-    fn act(&mut self, n: usize, act: impl FnOnce(&mut Peer, i64, &mut Vec<Command>)) {
+    fn act(&mut self, n: usize, act: impl FnOnce(&mut FleetNode, i64, &mut Vec<Command>)) {
         let mut out = Vec::new();
         let now = self.now;
         let Some(peer) = &mut self.all[n] else { return };
@@ -125,20 +133,20 @@
         let (now, mut then) = (self.now, Vec::new());
         let Some((from, root)) = self.all[n]
             .as_ref()
-            .map(|p| (p.setup().me.clone(), p.root()))
+            .map(|p| (p.setup().node.clone(), p.leader()))
         else {
             return;
         };
         for command in out {
             let command = match command {
-                Command::Seat { to, bytes } => Command::Send {
+                Command::SendToVoter { to, bytes } => Command::Send {
                     to: address(to as usize - 1),
-                    body: Body::Seats(bytes),
+                    body: MessageBody::Consensus(bytes),
                 },
                 command => command,
             };
             match command {
-                Command::Seat { .. } => {}
+                Command::SendToVoter { .. } => {}
                 Command::Send { to, body } => {
                     let to = (0..self.all.len())
                         .find(|n| address(*n) == to)
@@ -151,7 +159,10 @@
                         self.mail.push(Reverse((now + late, self.count)));
                     }
                 }
-                Command::Hold { record, whole } => {
+                Command::Persist {
+                    record,
+                    snapshot: whole,
+                } => {
                     let done = if self.full && n == 0 {
                         Err("no room".to_string())
                     } else {
@@ -160,20 +171,20 @@
                     match whole {
                         _ if done.is_err() => {}
                         Some(whole) => {
-                            self.disks[n] = Saved {
-                                whole: Some(whole),
+                            self.disks[n] = PersistentState {
+                                snapshot: Some(whole),
                                 records: Vec::new(),
                             }
                         }
                         None => self.disks[n].records.push(record),
                     }
                     let peer = self.all[n].as_mut().expect("it runs");
-                    peer.held(now, done, &mut then);
+                    peer.on_persisted(now, done, &mut then);
                 }
-                Command::Answer { request, outcome } => {
+                Command::Respond { request, outcome } => {
                     self.answers.insert(request, outcome);
                 }
-                Command::Note(note) => self.notes.push((n, note)),
+                Command::Notify(note) => self.notes.push((n, note)),
             }
         }
         if !then.is_empty() {
@@ -188,7 +199,7 @@
                 .all
                 .iter()
                 .flatten()
-                .map(Peer::next)
+                .map(FleetNode::next_deadline)
                 .min()
                 .unwrap_or(until);
             let mail = self.mail.peek().map_or(until, |m| m.0 .0);
@@ -198,10 +209,13 @@
             {
                 self.mail.pop();
                 let (to, from, root, body) = self.letters.remove(&id).expect("a letter");
-                self.act(to, |p, now, out| p.hear(now, &from, root, body, out));
+                self.act(to, |p, now, out| p.on_message(now, &from, root, body, out));
             }
             for n in 0..self.all.len() {
-                if self.all[n].as_ref().is_some_and(|p| p.next() <= self.now) {
+                if self.all[n]
+                    .as_ref()
+                    .is_some_and(|p| p.next_deadline() <= self.now)
+                {
                     self.act(n, |p, now, out| p.tick(now, out));
                 }
             }
@@ -210,7 +224,7 @@
 
     /// The log, as the seat that knows most of it has it.
     fn log(&self) -> &Log {
-        let all = self.all.iter().flatten().filter_map(Peer::agreed);
+        let all = self.all.iter().flatten().filter_map(FleetNode::agreed);
         all.max_by_key(|a| a.0).expect("a seat that runs").1
     }
 
@@ -222,11 +236,11 @@
     }
 
     fn propose(&mut self, request: u64, base: u64, fields: Fields) {
-        let entry = Entry::Propose {
+        let entry = LogEntry::Propose {
             id: request,
             base: Version(base),
             fields,
-            why: "a test".into(),
+            reason: "a test".into(),
         };
         let root = self.root();
         self.act(root, |p, now, out| p.request(now, request, entry, out));
@@ -234,12 +248,12 @@
 
     /// The version in force at each, as far as it acts; none: it has no lease, or no stay.
     fn force(&self) -> Vec<Option<u64>> {
-        let one = |p: &Option<Peer>| {
-            let acting = p.as_ref()?.acting(self.now);
+        let one = |p: &Option<FleetNode>| {
+            let acting = p.as_ref()?.active_state(self.now);
             let state = acting
                 .state
-                .filter(|_| acting.lease > 0 && acting.stay > 0)?;
-            Some(state.force.version.0).filter(|_| state.next.is_none())
+                .filter(|_| acting.lease > 0 && acting.session > 0)?;
+            Some(state.in_force.version.0).filter(|_| state.next.is_none())
         };
         self.all.iter().map(one).collect()
     }
@@ -264,22 +278,27 @@
     assert_eq!(f.log().roster().count(), 20);
     f.propose(9, 1, fields("cell", 2));
     f.run(2.0);
-    assert_eq!(f.answers[&9], Ok(Applied::Told(Version(2))));
+    assert_eq!(f.answers[&9], Ok(ApplyOutcome::Announced(Version(2))));
     assert_eq!(f.force(), vec![Some(2); 20], "{:?}", f.notes.last());
     // Told again it is the same; made from another version, or by one that keeps no log, it is refused.
     f.propose(9, 1, fields("cell", 2));
     f.propose(10, 1, fields("all", 2));
     f.run(0.1);
-    assert_eq!(f.answers[&9], Ok(Applied::Again(Version(2))));
+    assert_eq!(f.answers[&9], Ok(ApplyOutcome::Duplicate(Version(2))));
     assert_eq!(
         f.answers[&10],
-        Err(Refusal::Log(Refused::Base { latest: Version(2) }))
+        Err(RequestRejection::Log(EntryRejection::StaleBase {
+            latest: Version(2)
+        }))
     );
-    let entry = Entry::Abandon {
+    let entry = LogEntry::Abandon {
         version: Version(2),
     };
     f.act(3, |p, now, out| p.request(now, 11, entry, out));
-    assert_eq!(f.answers[&11], Err(Refusal::NotSeat { seat: address(0) }));
+    assert_eq!(
+        f.answers[&11],
+        Err(RequestRejection::NotLeader { leader: address(0) })
+    );
 }
 
 #[test]
@@ -289,8 +308,15 @@
     f.isolate(4);
     f.run(3.0);
     let acting = |f: &Fleet| {
-        let a = f.all[4].as_ref().map(|p| p.acting(f.now)).expect("it runs");
-        (a.lease > 0, a.stay > 0, a.state.map(|s| s.force.version.0))
+        let a = f.all[4]
+            .as_ref()
+            .map(|p| p.active_state(f.now))
+            .expect("it runs");
+        (
+            a.lease > 0,
+            a.session > 0,
+            a.state.map(|s| s.in_force.version.0),
+        )
     };
     assert_eq!(
         acting(&f),
@@ -307,16 +333,16 @@
     f.propose(2, 2, fields("cell", 2));
     f.run(20.0);
     assert_eq!(
-        f.log().state().force.version,
+        f.log().state().in_force.version,
         Version(2),
         "a strict one does"
     );
     let waits = f.all[0]
         .as_ref()
-        .and_then(|p| p.waits(f.now))
+        .and_then(|p| p.change_blockers(f.now))
         .expect("a change goes on");
     assert_eq!(
-        waits.stays.iter().map(|m| m.id).collect::<Vec<_>>(),
+        waits.sessions.iter().map(|m| m.id).collect::<Vec<_>>(),
         [id(4)]
     );
     assert!(!waits.leases);
@@ -345,7 +371,7 @@
     f.run(3.0);
     f.propose(1, 1, fields("cell", 4));
     f.run(5.0);
-    assert_eq!(f.log().state().force.version, Version(1));
+    assert_eq!(f.log().state().in_force.version, Version(1));
     f.start(3);
     f.run(5.0);
     assert_eq!(f.force(), vec![Some(2); 6]);
@@ -359,7 +385,7 @@
     f.run(3.0);
     f.propose(2, 2, fields("all", 4));
     f.run(5.0);
-    assert_eq!(f.log().state().force.version, Version(2));
+    assert_eq!(f.log().state().in_force.version, Version(2));
     let member = f
         .log()
         .roster()
@@ -367,7 +393,7 @@
         .map(|(m, _)| m)
         .expect("it is on the roster");
     f.act(0, |p, now, out| {
-        p.request(now, 3, Entry::Leave { member }, out)
+        p.request(now, 3, LogEntry::Leave { member }, out)
     });
     f.run(3.0);
     assert_eq!(f.force()[2..5], vec![Some(3); 3]);
@@ -379,15 +405,17 @@
     f.run(5.0);
     f.propose(1, 1, fields("cell", 4));
     // Until it is joint at the seat; then one front end is lost.
-    while f.log().state().step.0 < 3 {
+    while f.log().state().revision.0 < 3 {
         f.run(0.002);
     }
     f.isolate(2);
     f.run(14.0);
-    assert!(f
-        .notes
-        .iter()
-        .any(|(n, note)| *n == 0 && matches!(note, Note::GivenUp { version: 2, .. })));
+    assert!(
+        f.notes
+            .iter()
+            .any(|(n, note)| *n == 0
+                && matches!(note, FleetEvent::ChangeAbandoned { version: 2, .. }))
+    );
     f.cut.clear();
     f.run(5.0);
     assert_eq!(f.force(), vec![Some(1); 5]);
@@ -402,7 +430,7 @@
         let mut f = Fleet::new(6);
         f.run(5.0);
         f.propose(1, 1, fields("cell", 4));
-        while f.log().state().step.0 < step {
+        while f.log().state().revision.0 < step {
             f.run(0.001);
         }
         // All have told it how far they are, and it forgets that.
@@ -431,7 +459,7 @@
     f.propose(1, 1, fields("cell", 4));
     f.run(20.0);
     assert_eq!(
-        f.log().state().force.version,
+        f.log().state().in_force.version,
         Version(1),
         "it knows of the one that it has not heard since"
     );
@@ -450,14 +478,14 @@
     f.run(3.0);
     for n in [1, 2] {
         assert!(
-            matches!(&f.answers[&n], Err(Refusal::Disk(why)) if why == "no room"),
+            matches!(&f.answers[&n], Err(RequestRejection::Storage(why)) if why == "no room"),
             "{n}"
         );
     }
     assert!(f
         .notes
         .iter()
-        .any(|(n, note)| *n == 0 && matches!(note, Note::Disk { .. })));
+        .any(|(n, note)| *n == 0 && matches!(note, FleetEvent::StorageFailed { .. })));
     f.run(30.0);
     assert_eq!(f.force(), vec![Some(1); 5], "leases and stays go on");
     f.full = false;
@@ -483,14 +511,14 @@
         f.run(wait);
         killed.iter().for_each(|n| f.start(*n));
         f.run(15.0);
-        let version = f.log().state().force.version.0;
+        let version = f.log().state().in_force.version.0;
         assert_eq!(
             f.force(),
             vec![Some(version); 10],
             "seed {seed}: {:?}",
             f.log().state()
         );
-        assert!(!f.log().unsettled(), "seed {seed}");
+        assert!(!f.log().has_open_changes(), "seed {seed}");
     }
 }
 
@@ -532,8 +560,8 @@
     f.run(8.0);
     let acting = f.all[old]
         .as_ref()
-        .map(|p| p.acting(f.now))
-        .map(|a| (a.lease > 0, a.stay > 0));
+        .map(|p| p.active_state(f.now))
+        .map(|a| (a.lease > 0, a.session > 0));
     assert_eq!(
         acting,
         Some((false, true)),
@@ -545,16 +573,16 @@
         .enumerate()
         .filter(|(n, p)| *n != old && p.as_ref().is_some_and(|p| p.log().is_some()));
     let new = new.next().expect("another root").0;
-    let entry = Entry::Propose {
+    let entry = LogEntry::Propose {
         id: 5,
         base: Version(1),
         fields: fields("cell", 2),
-        why: String::new(),
+        reason: String::new(),
     };
     f.act(new, |p, now, out| p.request(now, 5, entry, out));
     f.run(20.0);
     assert_eq!(
-        f.log().state().force.version,
+        f.log().state().in_force.version,
         Version(1),
         "a strict change waits for the one that was the root"
     );
@@ -565,10 +593,10 @@
 
 impl Fleet {
     fn replace(&mut self, request: u64, new: usize, instead: usize) {
-        let entry = Entry::Seat {
+        let entry = LogEntry::BeginVoterReplacement {
             new: id(new),
             address: address(new),
-            instead: id(instead),
+            replaced: id(instead),
         };
         let root = self.root();
         self.act(root, |p, now, out| p.request(now, request, entry, out));
@@ -576,7 +604,7 @@
 
     fn seats_now(&self) -> Vec<usize> {
         self.log()
-            .seats()
+            .voters()
             .keys()
             .map(|id| *id as usize - 1)
             .collect()
@@ -593,7 +621,7 @@
     f.run(3.0);
     f.replace(1, 3, dead);
     f.run(5.0);
-    assert_eq!(f.answers[&1], Ok(Applied::Seats));
+    assert_eq!(f.answers[&1], Ok(ApplyOutcome::Voters));
     assert!(
         f.seats_now().contains(&3) && !f.seats_now().contains(&dead),
         "{:?}",
@@ -617,7 +645,7 @@
         .for_each(|n| f.all[n] = None);
     f.propose(7, 1, fields("zone", 2));
     f.run(3.0);
-    assert_eq!(f.log().state().force.version, Version(2));
+    assert_eq!(f.log().state().in_force.version, Version(2));
     seats.iter().for_each(|n| f.all[*n] = None);
     f.run(1.0);
     seats.iter().for_each(|n| f.start(*n));
@@ -656,7 +684,7 @@
     f.run(5.0);
     assert_eq!(
         f.answers[&2],
-        Err(Refusal::Log(Refused::Seating)),
+        Err(RequestRejection::Log(EntryRejection::ReplacementInProgress)),
         "one at a time"
     );
     f.propose(3, 1, fields("zone", 2));
@@ -667,14 +695,22 @@
         "one that learns holds nothing up"
     );
     f.run(30.0);
-    assert!(f
-        .notes
-        .iter()
-        .any(|(_, note)| matches!(note, Note::NotSeated { new } if *new == id(4))));
-    assert_eq!((f.seats_now(), f.log().seating()), (vec![0, 1, 2], None));
+    assert!(f.notes.iter().any(
+        |(_, note)| matches!(note, FleetEvent::VoterReplacementAbandoned { new } if *new == id(4))
+    ));
+    assert_eq!(
+        (f.seats_now(), f.log().voter_replacement()),
+        (vec![0, 1, 2], None)
+    );
     f.replace(4, 0, 1);
     f.replace(5, 4, 4);
     f.run(0.1);
-    assert_eq!(f.answers[&4], Err(Refusal::Log(Refused::IsSeat)));
-    assert_eq!(f.answers[&5], Err(Refusal::Log(Refused::NoSeat)));
+    assert_eq!(
+        f.answers[&4],
+        Err(RequestRejection::Log(EntryRejection::AlreadyVoter))
+    );
+    assert_eq!(
+        f.answers[&5],
+        Err(RequestRejection::Log(EntryRejection::NotVoter))
+    );
 }
