--- a/decide/fleet-node/tests/scopes.rs
+++ b/decide/fleet-node/tests/scopes.rs
@@ -4,16 +4,22 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
-use tansy_agreement::hold::{Call, Why, HELD};
-use tansy_agreement::lease::Terms;
-use tansy_agreement::log::{Applied, Entry, Log, Refused, Step};
-use tansy_agreement::rule::{
-    contradictions, Fields, Kind, Lapsed, Rules, Schema, Stricter, Touch, Value,
+use tansy_agreement::compatibility::{
+    contradictions, AffectedCalls, Compatibility, EffectiveRules, ExpiredLeasePolicy, Fields,
+    Restrictiveness, Schema, Value,
 };
-use tansy_agreement::scope::{full, ScopeChange, ScopeRequest, Scoped, Standing, MOVES_BYTES};
-use tansy_consensus::Saved;
-use tansy_fleet_node::{Body, Command, Held, Note, Peer, Refusal, Root, Setup};
-use tansy_membership::{Name, Pace};
+use tansy_agreement::lease::LeaseTiming;
+use tansy_agreement::log::{ApplyOutcome, EntryRejection, Log, LogEntry, Revision};
+use tansy_agreement::scope::{
+    qualified_fields, ScopePhase, ScopeRecord, ScopeTransaction, ScopeUpdate, MAX_HISTORY_BYTES,
+};
+use tansy_agreement::subscription::{Admission, RejectReason, MAX_SUBSCRIPTIONS};
+use tansy_consensus::PersistentState;
+use tansy_fleet_node::{
+    Command, FleetEvent, FleetNode, FleetNodeConfig, Leader, MessageBody, RecoveredState,
+    RequestRejection,
+};
+use tansy_membership::{GossipTiming, NodeId};
 
 const SECOND: i64 = 1_000_000;
 const STAY: i64 = 60 * SECOND;
@@ -27,12 +33,17 @@
 }
 
 fn schema() -> Schema {
-    let least = || Kind::Joint(Stricter::Least, Lapsed::Strictest(Value::Int(1)));
+    let least = || {
+        Compatibility::Joint(
+            Restrictiveness::Smallest,
+            ExpiredLeasePolicy::Strictest(Value::Int(1)),
+        )
+    };
     let all = [
         ("worker.max_attempts", least()),
-        ("functions.*.class", Kind::Strict),
+        ("functions.*.class", Compatibility::Strict),
         ("functions.*.lanes", least()),
-        ("functions.*.memory", Kind::Free),
+        ("functions.*.memory", Compatibility::Free),
     ];
     Schema::new(all)
 }
@@ -46,8 +57,8 @@
     all.into_iter().map(|(p, v)| (p.to_string(), v)).collect()
 }
 
-fn change(scope: &str, base: Step, fields: Option<Fields>) -> ScopeChange {
-    ScopeChange {
+fn change(scope: &str, base: Revision, fields: Option<Fields>) -> ScopeUpdate {
+    ScopeUpdate {
         scope: scope.into(),
         base,
         fields,
@@ -56,24 +67,24 @@
 
 struct Fleet {
     now: i64,
-    all: Vec<Option<Peer>>,
+    all: Vec<Option<FleetNode>>,
     incarnations: Vec<u64>,
     seats: usize,
-    disks: Vec<Saved>,
+    disks: Vec<PersistentState>,
     mail: BinaryHeap<Reverse<(i64, u64)>>,
-    letters: BTreeMap<u64, (usize, Name, Root, Body)>,
+    letters: BTreeMap<u64, (usize, NodeId, Leader, MessageBody)>,
     count: u64,
     cut: BTreeSet<(usize, usize)>,
     /// How late letters are, microseconds, and of a hundred how many are lost.
     late: i64,
     lost: u32,
-    answers: BTreeMap<u64, Vec<Result<Applied, Refusal>>>,
-    notes: Vec<(usize, Note)>,
+    answers: BTreeMap<u64, Vec<Result<ApplyOutcome, RequestRejection>>>,
+    notes: Vec<(usize, FleetEvent)>,
     rng: fastrand::Rng,
     /// Functions that are judged, and the latest that is agreed on of each.
-    judged: BTreeMap<String, (Step, Scoped)>,
+    judged: BTreeMap<String, (Revision, ScopeRecord)>,
     /// What came of letters with functions: the step that they are of, and the one that their reader had.
-    granted: Vec<(usize, Step, Step)>,
+    granted: Vec<(usize, Revision, Revision)>,
 }
 
 impl Fleet {
@@ -83,7 +94,7 @@
             seats,
             all: Vec::new(),
             incarnations: vec![0; size],
-            disks: vec![Saved::default(); seats],
+            disks: vec![PersistentState::default(); seats],
             mail: BinaryHeap::new(),
             letters: BTreeMap::new(),
             count: 0,
@@ -104,35 +115,35 @@
 
     fn start(&mut self, n: usize) {
         self.incarnations[n] += 1;
-        let setup = Setup {
+        let setup = FleetNodeConfig {
             fleet: 7,
             name: format!("f{n}"),
-            me: Name::new(id(n), self.incarnations[n], address(n)),
-            seats: (0..self.seats).map(|n| (id(n), address(n))).collect(),
-            lease: Terms {
+            node: NodeId::new(id(n), self.incarnations[n], address(n)),
+            voters: (0..self.seats).map(|n| (id(n), address(n))).collect(),
+            lease: LeaseTiming {
                 span: SECOND * 6 / 10,
-                ppm: 1_000,
+                drift_ppm: 1_000,
             },
-            stay: Terms {
+            session: LeaseTiming {
                 span: STAY,
-                ppm: 1_000,
+                drift_ppm: 1_000,
             },
-            pace: Pace::default(),
+            gossip: GossipTiming::default(),
             schema: schema(),
             seed: self.rng.u64(..),
         };
         let first = Fields::from([("worker.max_attempts".to_string(), Value::Int(4))]);
-        let held = self.disks.get(n).map(|d| Held {
-            saved: d.clone(),
-            first,
+        let held = self.disks.get(n).map(|d| RecoveredState {
+            persistent: d.clone(),
+            initial_fields: first,
         });
-        self.all[n] = Some(Peer::new(setup, held, self.now).expect("what it held"));
+        self.all[n] = Some(FleetNode::new(setup, held, self.now).expect("what it held"));
     }
 
     fn act<R: Default>(
         &mut self,
         n: usize,
-        act: impl FnOnce(&mut Peer, i64, &mut Vec<Command>) -> R,
+        act: impl FnOnce(&mut FleetNode, i64, &mut Vec<Command>) -> R,
     ) -> R {
         let mut out = Vec::new();
         let now = self.now;
@@ -150,20 +161,20 @@
         let (now, mut then) = (self.now, Vec::new());
         let Some((from, root)) = self.all[n]
             .as_ref()
-            .map(|p| (p.setup().me.clone(), p.root()))
+            .map(|p| (p.setup().node.clone(), p.leader()))
         else {
             return;
         };
         for command in out {
             let command = match command {
-                Command::Seat { to, bytes } => Command::Send {
+                Command::SendToVoter { to, bytes } => Command::Send {
                     to: address(to as usize - 1),
-                    body: Body::Seats(bytes),
+                    body: MessageBody::Consensus(bytes),
                 },
                 command => command,
             };
             match command {
-                Command::Seat { .. } => {}
+                Command::SendToVoter { .. } => {}
                 Command::Send { to, body } => {
                     let to = (0..self.all.len())
                         .find(|n| address(*n) == to)
@@ -176,23 +187,26 @@
                         self.mail.push(Reverse((now + late, self.count)));
                     }
                 }
-                Command::Hold { record, whole } => {
+                Command::Persist {
+                    record,
+                    snapshot: whole,
+                } => {
                     match whole {
                         Some(whole) => {
-                            self.disks[n] = Saved {
-                                whole: Some(whole),
+                            self.disks[n] = PersistentState {
+                                snapshot: Some(whole),
                                 records: Vec::new(),
                             }
                         }
                         None => self.disks[n].records.push(record),
                     }
                     let peer = self.all[n].as_mut().expect("it runs");
-                    peer.held(now, Ok(()), &mut then);
+                    peer.on_persisted(now, Ok(()), &mut then);
                 }
-                Command::Answer { request, outcome } => {
+                Command::Respond { request, outcome } => {
                     self.answers.entry(request).or_default().push(outcome)
                 }
-                Command::Note(note) => self.notes.push((n, note)),
+                Command::Notify(note) => self.notes.push((n, note)),
             }
         }
         if !then.is_empty() {
@@ -207,7 +221,7 @@
                 .all
                 .iter()
                 .flatten()
-                .map(Peer::next)
+                .map(FleetNode::next_deadline)
                 .min()
                 .unwrap_or(until);
             let mail = self.mail.peek().map_or(until, |m| m.0 .0);
@@ -217,15 +231,18 @@
             {
                 self.mail.pop();
                 let (to, from, root, body) = self.letters.remove(&id).expect("a letter");
-                if let Body::Scopes(r) = &body {
+                if let MessageBody::SubscribeReply(r) = &body {
                     let step = self.step(to);
                     self.granted
-                        .extend((!r.scopes.is_empty()).then_some((to, r.at, step)));
+                        .extend((!r.scopes.is_empty()).then_some((to, r.revision, step)));
                 }
-                self.act(to, |p, now, out| p.hear(now, &from, root, body, out));
+                self.act(to, |p, now, out| p.on_message(now, &from, root, body, out));
             }
             for n in 0..self.all.len() {
-                if self.all[n].as_ref().is_some_and(|p| p.next() <= self.now) {
+                if self.all[n]
+                    .as_ref()
+                    .is_some_and(|p| p.next_deadline() <= self.now)
+                {
                     self.act(n, |p, now, out| p.tick(now, out));
                 }
             }
@@ -242,19 +259,19 @@
     }
 
     /// The step that one acts on.
-    fn step(&self, n: usize) -> Step {
+    fn step(&self, n: usize) -> Revision {
         let peer = self.all[n].as_ref();
-        peer.and_then(|p| p.acting(self.now).state)
-            .map_or(Step(0), |s| s.step)
+        peer.and_then(|p| p.active_state(self.now).state)
+            .map_or(Revision(0), |s| s.revision)
     }
 
     /// The log, as the seat that knows most of it has it.
     fn log(&self) -> &Log {
-        let all = self.all.iter().flatten().filter_map(Peer::agreed);
+        let all = self.all.iter().flatten().filter_map(FleetNode::agreed);
         all.max_by_key(|a| a.0).expect("a seat that runs").1
     }
 
-    fn scoped(&self, scope: &str) -> Scoped {
+    fn scoped(&self, scope: &str) -> ScopeRecord {
         self.log().catalog().get(scope).cloned().unwrap_or_default()
     }
 
@@ -264,14 +281,14 @@
             .position(|p| p.as_ref().is_some_and(|p| p.log().is_some()))
     }
 
-    fn ask(&mut self, request: u64, changes: Vec<ScopeChange>) {
-        let asked = ScopeRequest {
+    fn ask(&mut self, request: u64, changes: Vec<ScopeUpdate>) {
+        let asked = ScopeTransaction {
             id: request,
-            changes,
-            why: "a test".into(),
+            updates: changes,
+            reason: "a test".into(),
         };
-        let entry = Entry::Change {
-            requests: vec![asked],
+        let entry = LogEntry::UpdateScopes {
+            transactions: vec![asked],
         };
         let root = self.root().expect("a root");
         self.act(root, |p, now, out| p.request(now, request, entry, out));
@@ -283,7 +300,7 @@
         let base = self.scoped(scope).revision;
         self.ask(request, vec![change(scope, base, to.clone())]);
         let settled = |f: &Fleet| {
-            f.scoped(scope).fields == to && f.scoped(scope).standing == Standing::Settled
+            f.scoped(scope).fields == to && f.scoped(scope).phase == ScopePhase::Settled
         };
         assert!(
             self.until(10.0, settled),
@@ -293,8 +310,8 @@
         );
     }
 
-    fn call(&mut self, n: usize, scope: &str) -> Option<Call> {
-        self.act(n, |p, now, out| Some(p.called(now, scope, out)))
+    fn call(&mut self, n: usize, scope: &str) -> Option<Admission> {
+        self.act(n, |p, now, out| Some(p.admit(now, scope, out)))
     }
 
     fn isolate(&mut self, n: usize) {
@@ -310,13 +327,13 @@
             .all
             .iter()
             .flatten()
-            .filter_map(Peer::agreed)
+            .filter_map(FleetNode::agreed)
             .max_by_key(|a| a.0);
         if let Some((_, log)) = step {
             for (name, known) in &mut self.judged {
-                if log.state().step >= known.0 {
+                if log.state().revision >= known.0 {
                     *known = (
-                        log.state().step,
+                        log.state().revision,
                         log.catalog().get(name).cloned().unwrap_or_default(),
                     );
                 }
@@ -329,17 +346,22 @@
             .filter_map(|(n, p)| Some((n, p.as_ref()?)))
         {
             for (name, (step, agreed)) in &self.judged {
-                let Some(acts) = peer.acts(self.now, name).filter(|a| !a.refused) else {
+                let Some(acts) = peer
+                    .effective_settings(self.now, name)
+                    .filter(|a| !a.rejected)
+                else {
                     continue;
                 };
-                let all =
-                    |f: &Option<Fields>| f.as_ref().map_or_else(Fields::new, |f| full(name, f));
+                let all = |f: &Option<Fields>| {
+                    f.as_ref()
+                        .map_or_else(Fields::new, |f| qualified_fields(name, f))
+                };
                 let wrong = contradictions(
                     &schema(),
                     &all(&agreed.fields),
-                    &Rules::of(&all(&acts.fields)),
+                    &EffectiveRules::from_fields(&all(&acts.fields)),
                 );
-                let mine = |w: &&(String, Touch)| matches!(&w.1, Touch::Function(f) if f == name);
+                let mine = |w: &&(String, AffectedCalls)| matches!(&w.1, AffectedCalls::Function(f) if f == name);
                 // Without a lease the joint fields are the strictest, which bind as much as any.
                 assert!(
                     !wrong.iter().any(|w| mine(&w)),
@@ -352,9 +374,9 @@
     }
 }
 
-fn class(call: Option<Call>) -> String {
+fn class(call: Option<Admission>) -> String {
     match call {
-        Some(Call::Acts(f)) => format!("{}", f["class"]).replace('"', ""),
+        Some(Admission::Admit(f)) => format!("{}", f["class"]).replace('"', ""),
         other => format!("{other:?}"),
     }
 }
@@ -363,7 +385,7 @@
 fn answered(f: &mut Fleet, n: usize, scope: &str) -> String {
     for _ in 0..250 {
         match f.call(n, scope) {
-            Some(Call::Wait) => f.run(0.002),
+            Some(Admission::Wait) => f.run(0.002),
             call => return class(call),
         }
     }
@@ -375,7 +397,7 @@
     let mut f = Fleet::new(6, 1, 1);
     assert_eq!(
         f.call(2, "a"),
-        Some(Call::Versions),
+        Some(Admission::Unscoped),
         "nothing is agreed on one by one yet"
     );
     f.set(1, "a", Some(fields("chat", 4)));
@@ -397,7 +419,7 @@
         "that there was none is held as well"
     );
     assert_eq!(f.granted.len(), asked, "what moves is told with the lease");
-    assert_eq!(f.log().state().versions_at, Step(1));
+    assert_eq!(f.log().state().versions_revision, Revision(1));
 }
 
 #[test]
@@ -420,10 +442,10 @@
             "seed {seed}: {:?}",
             f.scoped("b")
         );
-        assert!(matches!(f.scoped("a").standing, Standing::Joint { .. }));
+        assert!(matches!(f.scoped("a").phase, ScopePhase::Joint { .. }));
         let waits = f.all[0]
             .as_ref()
-            .and_then(|p| p.waits(f.now))
+            .and_then(|p| p.change_blockers(f.now))
             .expect("a change goes on");
         assert_eq!(
             waits
@@ -435,7 +457,7 @@
         );
         // A joint field waits for leases alone, which the dead has none of.
         assert!(
-            f.until(12.0, |f| f.scoped("a").standing == Standing::Settled),
+            f.until(12.0, |f| f.scoped("a").phase == ScopePhase::Settled),
             "seed {seed}"
         );
         assert!(f.now - begun >= 10 * SECOND, "seed {seed}");
@@ -447,7 +469,7 @@
         assert!(f
             .notes
             .iter()
-            .any(|(_, n)| matches!(n, Note::ScopesGivenUp { scopes, .. } if scopes == &["a"])));
+            .any(|(_, n)| matches!(n, FleetEvent::ScopeChangesAbandoned { scopes, .. } if scopes == &["a"])));
         f.set(5, "a", Some(fields("chat", 2)));
         assert_eq!(answered(&mut f, 3, "b"), "batch");
         // Once it is over, or its stay is out, it is not waited for.
@@ -465,11 +487,11 @@
         f.set(1, "b", Some(fields("chat", 4)));
         let b = f.scoped("b").revision;
         let one = vec![
-            change("a", Step(0), Some(fields("chat", 1))),
+            change("a", Revision(0), Some(fields("chat", 1))),
             change("b", b, Some(fields("batch", 1))),
         ];
         let two = vec![
-            change("c", Step(0), Some(fields("chat", 1))),
+            change("c", Revision(0), Some(fields("chat", 1))),
             change("b", b, Some(fields("bulk", 1))),
         ];
         let (one, two) = if first == 0 { (one, two) } else { (two, one) };
@@ -479,24 +501,27 @@
         f.ask(4, two.clone());
         f.run(5.0);
         assert!(
-            matches!(f.answers[&2][..], [Ok(Applied::Changed { .. })]),
+            matches!(f.answers[&2][..], [Ok(ApplyOutcome::ScopesChanged { .. })]),
             "{:?}",
             f.answers[&2]
         );
         for request in [3, 4] {
-            let busy = Refusal::Log(Refused::ScopeBusy { scope: "b".into() });
+            let busy =
+                RequestRejection::Log(EntryRejection::ScopeChangeInProgress { scope: "b".into() });
             assert_eq!(f.answers[&request], [Err(busy)]);
         }
         assert_eq!(f.scoped("b").fields, one[1].fields);
         assert_eq!(f.scoped(&one[0].scope).fields, one[0].fields);
         assert_eq!(
             f.scoped(&two[0].scope),
-            Scoped::default(),
+            ScopeRecord::default(),
             "nothing of it is half done"
         );
         f.ask(5, two);
         f.run(0.5);
-        let Err(Refusal::Log(Refused::ScopeBase { scope, revision })) = &f.answers[&5][0] else {
+        let Err(RequestRejection::Log(EntryRejection::StaleScopeBase { scope, revision })) =
+            &f.answers[&5][0]
+        else {
             panic!()
         };
         assert_eq!((scope.as_str(), *revision), ("b", f.scoped("b").revision));
@@ -525,7 +550,7 @@
             f.ask(2, vec![change("a", base, to.clone())]);
         }
         let done = |f: &Fleet| {
-            f.scoped("a").standing == Standing::Settled && f.scoped("a").revision != base
+            f.scoped("a").phase == ScopePhase::Settled && f.scoped("a").revision != base
         };
         assert!(
             f.until(20.0, done),
@@ -535,7 +560,12 @@
             f.notes.last()
         );
         f.run(2.0);
-        let joint = f.log().catalog().requested(2).expect("it was taken").step;
+        let joint = f
+            .log()
+            .catalog()
+            .transaction_result(2)
+            .expect("it was taken")
+            .revision;
         orders.extend(
             f.granted
                 .iter()
@@ -580,14 +610,18 @@
     );
     f.isolate(4);
     f.run(2.0);
-    let Some(Call::Acts(apart)) = f.call(4, "a") else {
+    let Some(Admission::Admit(apart)) = f.call(4, "a") else {
         panic!("it goes on")
     };
     assert_eq!(
         (&apart["class"], &apart["lanes"]),
         (&Value::Text("chat".into()), &Value::Int(1))
     );
-    assert_eq!(f.call(4, "b"), Some(Call::Wait), "another it can't know");
+    assert_eq!(
+        f.call(4, "b"),
+        Some(Admission::Wait),
+        "another it can't know"
+    );
     f.set(3, "b", Some(fields("batch", 2)));
     f.set(4, "c", Some(fields("batch", 2)));
     let a = f.scoped("a").revision;
@@ -602,7 +636,7 @@
     f.run(60.0);
     assert_eq!(
         f.call(4, "a"),
-        Some(Call::Refused(Why::NoStay)),
+        Some(Admission::Reject(RejectReason::NoSession)),
         "its stay is out"
     );
     f.set(6, "a", Some(fields("bulk", 4)));
@@ -618,7 +652,7 @@
 fn a_burst_of_changes_comes_in_force_in_few_steps() {
     let mut f = Fleet::new(8, 1, 5);
     f.set(10_000, "x", Some(fields("chat", 4)));
-    let before = f.log().state().step;
+    let before = f.log().state().revision;
     // Five hundred in a minute, the half of them within a second.
     let mut taken = 0;
     for n in 0..500u64 {
@@ -626,7 +660,7 @@
             n + 1,
             vec![change(
                 &format!("f{n}"),
-                Step(0),
+                Revision(0),
                 Some(fields("chat", 1 + n as i64)),
             )],
         );
@@ -651,8 +685,8 @@
         .catalog()
         .all()
         .values()
-        .all(|s| s.standing == Standing::Settled));
-    let steps = f.log().state().step.0 - before.0;
+        .all(|s| s.phase == ScopePhase::Settled));
+    let steps = f.log().state().revision.0 - before.0;
     assert!(steps < 700, "{steps} steps of {} and more", 500 * 2 + taken);
     for n in (0..500).step_by(25) {
         assert_eq!(answered(&mut f, 1 + (n / 25) % 7, &format!("f{n}")), "chat");
@@ -671,7 +705,7 @@
         let wanted = |n: u64| {
             vec![change(
                 &format!("f{n}"),
-                Step(0),
+                Revision(0),
                 Some(fields("chat", n as i64)),
             )]
         };
@@ -688,7 +722,7 @@
         let mut left: Vec<u64> = all.clone();
         for _ in 0..40 {
             f.run(1.0);
-            let taken = |f: &Fleet, n: u64| f.log().catalog().requested(n).is_some();
+            let taken = |f: &Fleet, n: u64| f.log().catalog().transaction_result(n).is_some();
             left.retain(|n| !taken(&f, *n));
             if left.is_empty() && f.log().catalog().open().next().is_none() {
                 break;
@@ -702,12 +736,16 @@
         );
         let catalog = f.log().catalog();
         for n in &all {
-            let r = catalog.requested(*n).expect("it was taken");
-            assert_eq!((r.joint, r.force + r.back), (0, 1), "seed {seed}: {n}");
+            let r = catalog.transaction_result(*n).expect("it was taken");
+            assert_eq!(
+                (r.joint, r.in_force + r.reverted),
+                (0, 1),
+                "seed {seed}: {n}"
+            );
             let there = catalog.get(&format!("f{n}")).and_then(|s| s.fields.clone());
             assert_eq!(
                 there,
-                (r.force == 1).then(|| fields("chat", *n as i64)),
+                (r.in_force == 1).then(|| fields("chat", *n as i64)),
                 "seed {seed}: {n}"
             );
         }
@@ -721,7 +759,13 @@
     const ALL: usize = 340_000;
     const PART: usize = 2_000;
     for (request, from) in (0..ALL).step_by(PART).enumerate() {
-        let one = |n| change(&name(n), Step(0), Some(fields("chat", 1 + n as i64 % 8)));
+        let one = |n| {
+            change(
+                &name(n),
+                Revision(0),
+                Some(fields("chat", 1 + n as i64 % 8)),
+            )
+        };
         f.ask(request as u64 + 1, (from..from + PART).map(one).collect());
         f.run(0.4);
     }
@@ -736,13 +780,16 @@
         assert_eq!(answered(&mut f, 2, &name(n * 3_000)), "chat");
     }
     let peer = f.all[2].as_ref().expect("it runs");
-    assert_eq!(peer.holds(), 100);
-    let moves = peer.acting(f.now).state.map_or(0, |s| s.moves.weight());
-    assert!(moves <= MOVES_BYTES, "{moves}");
+    assert_eq!(peer.subscription_count(), 100);
+    let moves = peer
+        .active_state(f.now)
+        .state
+        .map_or(0, |s| s.history.memory_bytes());
+    assert!(moves <= MAX_HISTORY_BYTES, "{moves}");
     assert!(
-        peer.holds_weight() - moves < 100 * 500,
+        peer.subscription_bytes() - moves < 100 * 500,
         "{}",
-        peer.holds_weight()
+        peer.subscription_bytes()
     );
     let scope = name(3_000);
     f.set(9_999, &scope, Some(fields("batch", 1)));
@@ -753,7 +800,7 @@
 #[test]
 fn one_that_calls_for_everything_holds_a_bounded_part_and_says_so() {
     let mut f = Fleet::new(3, 1, 7);
-    let one = |n: usize| change(&format!("f{n}"), Step(0), Some(fields("chat", 1)));
+    let one = |n: usize| change(&format!("f{n}"), Revision(0), Some(fields("chat", 1)));
     f.ask(1, (0..2_500).map(one).collect());
     f.run(2.0);
     f.ask(2, (2_500..5_000).map(one).collect());
@@ -761,17 +808,21 @@
     assert_eq!(f.log().catalog().all().len(), 5_000);
     for n in 0..5_000 {
         let call = f.call(2, &format!("f{n}"));
-        assert_ne!(call, Some(Call::Versions));
+        assert_ne!(call, Some(Admission::Unscoped));
         f.run(0.001);
     }
     f.run(1.0);
     assert_eq!(answered(&mut f, 2, "f4999"), "chat");
-    let holds = f.all[2].as_ref().map(Peer::holds).expect("it runs");
-    assert!(holds > HELD / 2 && holds <= HELD, "{holds}");
-    assert!(f
-        .notes
-        .iter()
-        .any(|(n, note)| *n == 2 && matches!(note, Note::Squeezed { total, .. } if *total > 0)));
+    let holds = f.all[2]
+        .as_ref()
+        .map(FleetNode::subscription_count)
+        .expect("it runs");
+    assert!(
+        holds > MAX_SUBSCRIPTIONS / 2 && holds <= MAX_SUBSCRIPTIONS,
+        "{holds}"
+    );
+    assert!(f.notes.iter().any(|(n, note)| *n == 2
+        && matches!(note, FleetEvent::SubscriptionsEvicted { total, .. } if *total > 0)));
     // Those called longest ago went first, and may be had again.
     assert_eq!(answered(&mut f, 2, "f0"), "chat");
 }
--- a/decide/membership/src/lib.rs
+++ b/decide/membership/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Joining, suspicion, refutation and leaving are SWIM's, by `foca`, which does no I/O; this package gives it names, a
 //! clock that is told, bounds, and the fleet's name on every datagram. What comes out is who is there, for
-//! [`tansy_agreement::member::View`]: membership says whom to ask and never who may act. A view that is wrong costs time.
+//! [`tansy_agreement::lease_tree::LeaseTopology`]: membership says whom to ask and never who may act. A view that is wrong costs time.
 //!
 //! A process is a name with an incarnation. One that comes back is another one and begins from nothing; it takes the place
 //! of the one before wherever it is heard of. One that was taken for down though it lives takes a further life and goes on.
@@ -19,12 +19,12 @@
 use std::num::NonZeroU32;
 use std::time::Duration;
 use tansy_agreement::lease::{Member, Time};
-use tansy_agreement::member::{Order, View};
+use tansy_agreement::lease_tree::{LeaseTopology, RendezvousOrder};
 
 /// The form of a datagram. One of another form is not read.
-pub const FORM: u8 = 1;
+pub const FORMAT_VERSION: u8 = 1;
 /// Bytes of a datagram at most.
-pub const LARGEST: usize = 1400 + HEAD;
+pub const MAX_DATAGRAM_BYTES: usize = 1400 + HEAD;
 const HEAD: usize = 9;
 /// For so long one that is down is known, and asked whether it is back.
 const DOWN_KNOWN: Duration = Duration::from_secs(24 * 3600);
@@ -33,7 +33,7 @@
 
 /// A process of a front end, as the others know it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Name {
+pub struct NodeId {
     /// Its name's number and which of its processes it is.
     pub id: u64,
     /// A later process of the same name has a larger one.
@@ -44,10 +44,10 @@
     pub address: SocketAddr,
 }
 
-impl Name {
+impl NodeId {
     /// A new process.
-    pub fn new(id: u64, incarnation: u64, address: SocketAddr) -> Name {
-        Name {
+    pub fn new(id: u64, incarnation: u64, address: SocketAddr) -> NodeId {
+        NodeId {
             id,
             incarnation,
             life: 0,
@@ -64,11 +64,11 @@
     }
 }
 
-impl Identity for Name {
+impl Identity for NodeId {
     type Addr = u64;
 
-    fn renew(&self) -> Option<Name> {
-        Some(Name {
+    fn renew(&self) -> Option<NodeId> {
+        Some(NodeId {
             life: self.life.checked_add(1)?,
             ..self.clone()
         })
@@ -78,14 +78,14 @@
         self.id
     }
 
-    fn win_addr_conflict(&self, other: &Name) -> bool {
+    fn win_addr_conflict(&self, other: &NodeId) -> bool {
         (self.incarnation, self.life) > (other.incarnation, other.life)
     }
 }
 
 /// How quickly others are found and lost.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct GossipTiming {
     /// One other is looked at in each of these times, microseconds.
     pub probe: Time,
     /// Who was looked at in vain is asked about, then suspected, and is down after this time unless it says otherwise.
@@ -94,9 +94,9 @@
     pub size: u32,
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
-        Pace {
+impl Default for GossipTiming {
+    fn default() -> GossipTiming {
+        GossipTiming {
             probe: 500_000,
             suspect: 2_000_000,
             size: 300,
@@ -106,66 +106,69 @@
 
 /// Why a datagram is thrown away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stranger {
+pub enum RejectedDatagram {
     /// It is of another form: a program that can't be understood.
-    Form(u8),
+    UnknownFormat(u8),
     /// It is of another fleet.
-    Fleet,
+    OtherFleet,
     /// It is too short, too long, or can't be read.
-    Noise,
+    Malformed,
 }
 
-impl std::fmt::Display for Stranger {
+impl std::fmt::Display for RejectedDatagram {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Stranger::Form(n) => {
-                write!(f, "a datagram of form {n}, this program knows form {FORM}")
+            RejectedDatagram::UnknownFormat(n) => {
+                write!(
+                    f,
+                    "a datagram of form {n}, this program knows form {FORMAT_VERSION}"
+                )
             }
-            Stranger::Fleet => write!(
+            RejectedDatagram::OtherFleet => write!(
                 f,
                 "a datagram of another fleet: two fleets are wired to each other"
             ),
-            Stranger::Noise => write!(f, "a datagram that can't be read"),
+            RejectedDatagram::Malformed => write!(f, "a datagram that can't be read"),
         }
     }
 }
 
 /// What happened to the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum MembershipEvent {
     /// It is there.
-    Up(Name),
+    Up(NodeId),
     /// It left, or is taken for down.
-    Down(Name),
+    Down(NodeId),
 }
 
 /// A datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
     /// To whom.
-    pub to: Name,
+    pub to: NodeId,
     /// What.
     pub bytes: Vec<u8>,
 }
 
 /// One front end's view.
-pub struct Members {
+pub struct Membership {
     fleet: u64,
-    foca: Foca<Name, PostcardCodec, StdRng, NoCustomBroadcast>,
-    runtime: AccumulatingRuntime<Name>,
-    timers: BTreeMap<(Time, u64), Timer<Name>>,
+    foca: Foca<NodeId, PostcardCodec, StdRng, NoCustomBroadcast>,
+    runtime: AccumulatingRuntime<NodeId>,
+    timers: BTreeMap<(Time, u64), Timer<NodeId>>,
     count: u64,
     out: Vec<Datagram>,
-    news: Vec<News>,
+    news: Vec<MembershipEvent>,
     /// Those that are there and itself, as their coming and going was told.
-    order: Order,
+    order: RendezvousOrder,
     /// Where each that is there is heard, itself not among them.
     addresses: BTreeMap<u64, SocketAddr>,
 }
 
-impl Members {
+impl Membership {
     /// One that knows nobody. `fleet`: a hash of the fleet's name.
-    pub fn new(fleet: u64, me: Name, pace: Pace, seed: u64) -> Members {
+    pub fn new(fleet: u64, me: NodeId, pace: GossipTiming, seed: u64) -> Membership {
         let mut config =
             Config::new_lan(NonZeroU32::new(pace.size.max(2)).unwrap_or(NonZeroU32::MIN));
         let span = |t: Time| Duration::from_micros(t.max(1000) as u64);
@@ -178,8 +181,8 @@
         if let Some(down) = &mut config.periodic_announce_to_down_members {
             down.frequency = span(pace.suspect);
         }
-        let order = Order::from_iter([me.id]);
-        Members {
+        let order = RendezvousOrder::from_iter([me.id]);
+        Membership {
             fleet,
             order,
             addresses: BTreeMap::new(),
@@ -193,16 +196,16 @@
     }
 
     /// Who it is by now.
-    pub fn me(&self) -> &Name {
+    pub fn local(&self) -> &NodeId {
         self.foca.identity()
     }
 
     /// Those that are there, itself not among them.
-    pub fn all(&self) -> impl Iterator<Item = &Name> {
+    pub fn all(&self) -> impl Iterator<Item = &NodeId> {
         self.foca.iter_members().map(|m| m.id())
     }
 
-    /// How many [`Members::all`] gives.
+    /// How many [`Membership::all`] gives.
     pub fn count(&self) -> usize {
         self.foca.num_members()
     }
@@ -213,12 +216,12 @@
     }
 
     /// The view for leases: the seat, itself and all that are there.
-    pub fn view(&self, seat: u64) -> View {
-        View::of(seat, self.order.clone())
+    pub fn topology(&self, seat: u64) -> LeaseTopology {
+        LeaseTopology::with_order(seat, self.order.clone())
     }
 
     /// Makes itself known to one that may be there.
-    pub fn join(&mut self, now: Time, to: Name) {
+    pub fn join(&mut self, now: Time, to: NodeId) {
         let _ = self.foca.announce(to, &mut self.runtime);
         self.collect(now);
     }
@@ -230,20 +233,22 @@
     }
 
     /// Takes a datagram. What can't be read changes nothing.
-    pub fn hear(&mut self, now: Time, bytes: &[u8]) -> Result<(), Stranger> {
-        let (Some(form), Some(fleet), true) =
-            (bytes.first(), bytes.get(1..HEAD), bytes.len() <= LARGEST)
-        else {
-            return Err(Stranger::Noise);
+    pub fn on_datagram(&mut self, now: Time, bytes: &[u8]) -> Result<(), RejectedDatagram> {
+        let (Some(form), Some(fleet), true) = (
+            bytes.first(),
+            bytes.get(1..HEAD),
+            bytes.len() <= MAX_DATAGRAM_BYTES,
+        ) else {
+            return Err(RejectedDatagram::Malformed);
         };
-        if *form != FORM {
-            return Err(Stranger::Form(*form));
+        if *form != FORMAT_VERSION {
+            return Err(RejectedDatagram::UnknownFormat(*form));
         } else if fleet != self.fleet.to_be_bytes() {
-            return Err(Stranger::Fleet);
+            return Err(RejectedDatagram::OtherFleet);
         }
         let read = self.foca.handle_data(&bytes[HEAD..], &mut self.runtime);
         self.collect(now);
-        read.map_err(|_| Stranger::Noise)
+        read.map_err(|_| RejectedDatagram::Malformed)
     }
 
     /// What time brings.
@@ -256,25 +261,25 @@
         }
     }
 
-    /// When [`Members::tick`] has something to do.
-    pub fn next(&self) -> Option<Time> {
+    /// When [`Membership::tick`] has something to do.
+    pub fn next_deadline(&self) -> Option<Time> {
         self.timers.first_key_value().map(|(k, _)| k.0)
     }
 
     /// Datagrams to send since the last call.
-    pub fn take_out(&mut self) -> Vec<Datagram> {
+    pub fn take_datagrams(&mut self) -> Vec<Datagram> {
         std::mem::take(&mut self.out)
     }
 
     /// What happened since the last call.
-    pub fn take_news(&mut self) -> Vec<News> {
+    pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.news)
     }
 
     fn collect(&mut self, now: Time) {
         while let Some((to, data)) = self.runtime.to_send() {
             let mut bytes = Vec::with_capacity(HEAD + data.len());
-            bytes.push(FORM);
+            bytes.push(FORMAT_VERSION);
             bytes.extend(self.fleet.to_be_bytes());
             bytes.extend(data);
             self.out.push(Datagram { to, bytes });
@@ -291,15 +296,15 @@
                 OwnedNotification::MemberUp(n) => {
                     self.order.insert(n.id);
                     self.addresses.insert(n.id, n.address);
-                    self.news.push(News::Up(n));
+                    self.news.push(MembershipEvent::Up(n));
                 }
                 OwnedNotification::MemberDown(n) => {
                     // Itself is there, whatever is said of a process before it.
-                    if n.id != self.me().id {
+                    if n.id != self.local().id {
                         self.order.remove(n.id);
                     }
                     self.addresses.remove(&n.id);
-                    self.news.push(News::Down(n));
+                    self.news.push(MembershipEvent::Down(n));
                 }
                 // A later process or life of one that is there, which may be heard elsewhere.
                 OwnedNotification::Rename(_, n) => {
--- a/decide/membership/tests/fleet.rs
+++ b/decide/membership/tests/fleet.rs
@@ -3,15 +3,18 @@
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use tansy_agreement::member::View;
-use tansy_membership::{Members, Name, News, Pace, Stranger, FORM, LARGEST};
+use tansy_agreement::lease_tree::LeaseTopology;
+use tansy_membership::{
+    GossipTiming, Membership, MembershipEvent, NodeId, RejectedDatagram, FORMAT_VERSION,
+    MAX_DATAGRAM_BYTES,
+};
 
 const SECOND: i64 = 1_000_000;
 
 struct Fleet {
     now: i64,
     rng: fastrand::Rng,
-    all: Vec<Option<Members>>,
+    all: Vec<Option<Membership>>,
     incarnations: Vec<u64>,
     mail: BinaryHeap<Reverse<(i64, u64)>>,
     letters: BTreeMap<u64, (usize, Vec<u8>)>,
@@ -20,11 +23,11 @@
     /// Pairs between which nothing passes, by direction.
     cut: BTreeSet<(usize, usize)>,
     sent: u64,
-    downs: Vec<(i64, usize, Name)>,
+    downs: Vec<(i64, usize, NodeId)>,
 }
 
-fn name(n: usize, incarnation: u64) -> Name {
-    Name::new(n as u64, incarnation, ([10, 0, 0, n as u8], 7000).into())
+fn name(n: usize, incarnation: u64) -> NodeId {
+    NodeId::new(n as u64, incarnation, ([10, 0, 0, n as u8], 7000).into())
 }
 
 impl Fleet {
@@ -51,7 +54,12 @@
     fn start(&mut self, n: usize) {
         self.incarnations[n] += 1;
         let seed = self.rng.u64(..);
-        let mut m = Members::new(77, name(n, self.incarnations[n]), Pace::default(), seed);
+        let mut m = Membership::new(
+            77,
+            name(n, self.incarnations[n]),
+            GossipTiming::default(),
+            seed,
+        );
         for _ in 0..2 {
             let other = self.rng.usize(0..self.all.len());
             if other != n {
@@ -64,7 +72,7 @@
 
     fn post(&mut self, n: usize) {
         let Some(m) = &mut self.all[n] else { return };
-        for d in m.take_out() {
+        for d in m.take_datagrams() {
             self.sent += 1;
             let to = d.to.id as usize;
             if self.rng.f64() < self.lost || self.cut.contains(&(n, to)) {
@@ -75,14 +83,14 @@
                 .push(Reverse((self.now + self.rng.i64(200..20_000), self.count)));
             self.letters.insert(self.count, (to, d.bytes));
         }
-        for news in m.take_news() {
-            if let News::Down(name) = news {
+        for news in m.take_events() {
+            if let MembershipEvent::Down(name) = news {
                 self.downs.push((self.now, n, name));
             }
         }
         // What is kept as news come is what is there.
-        let there = m.all().map(|n| n.id).chain([m.me().id]);
-        assert_eq!(m.view(0), View::new(0, there));
+        let there = m.all().map(|n| n.id).chain([m.local().id]);
+        assert_eq!(m.topology(0), LeaseTopology::new(0, there));
         assert_eq!(m.count(), m.all().count());
         assert!(m.all().all(|n| m.address(n.id) == Some(n.address)));
     }
@@ -91,7 +99,12 @@
         let end = self.now + span;
         loop {
             let mail = self.mail.peek().map(|Reverse((at, _))| *at);
-            let ticks = self.all.iter().flatten().filter_map(Members::next).min();
+            let ticks = self
+                .all
+                .iter()
+                .flatten()
+                .filter_map(Membership::next_deadline)
+                .min();
             let Some(at) = mail.into_iter().chain(ticks).min().filter(|at| *at <= end) else {
                 break;
             };
@@ -102,14 +115,14 @@
                 self.mail.pop();
                 let (to, bytes) = self.letters.remove(&number).expect("a letter");
                 if let Some(m) = &mut self.all[to] {
-                    let _ = m.hear(self.now, &bytes);
+                    let _ = m.on_datagram(self.now, &bytes);
                     self.post(to);
                 }
             }
             for n in 0..self.all.len() {
                 if let Some(m) = self.all[n]
                     .as_mut()
-                    .filter(|m| m.next().is_some_and(|t| t <= self.now))
+                    .filter(|m| m.next_deadline().is_some_and(|t| t <= self.now))
                 {
                     m.tick(self.now);
                     self.post(n);
@@ -125,10 +138,10 @@
             .all
             .iter()
             .flatten()
-            .map(|m| (m.me().id, m.me().incarnation))
+            .map(|m| (m.local().id, m.local().incarnation))
             .collect();
         self.all.iter().flatten().all(|m| {
-            let seen = m.all().chain([m.me()]).map(|n| (n.id, n.incarnation));
+            let seen = m.all().chain([m.local()]).map(|n| (n.id, n.incarnation));
             seen.collect::<BTreeSet<_>>() == there
         })
     }
@@ -234,15 +247,24 @@
 
 #[test]
 fn what_is_not_the_fleets_is_thrown_away_with_its_reason() {
-    let mut a = Members::new(1, name(1, 1), Pace::default(), 1);
-    let mut b = Members::new(2, name(2, 1), Pace::default(), 2);
+    let mut a = Membership::new(1, name(1, 1), GossipTiming::default(), 1);
+    let mut b = Membership::new(2, name(2, 1), GossipTiming::default(), 2);
     b.join(0, name(1, 1));
-    let datagram = b.take_out().remove(0).bytes;
-    assert_eq!(a.hear(0, &datagram), Err(Stranger::Fleet));
+    let datagram = b.take_datagrams().remove(0).bytes;
+    assert_eq!(
+        a.on_datagram(0, &datagram),
+        Err(RejectedDatagram::OtherFleet)
+    );
     let mut later = datagram.clone();
-    later[0] = FORM + 1;
-    assert_eq!(a.hear(0, &later), Err(Stranger::Form(FORM + 1)));
-    assert_eq!(a.hear(0, &vec![FORM; LARGEST + 1]), Err(Stranger::Noise));
+    later[0] = FORMAT_VERSION + 1;
+    assert_eq!(
+        a.on_datagram(0, &later),
+        Err(RejectedDatagram::UnknownFormat(FORMAT_VERSION + 1))
+    );
+    assert_eq!(
+        a.on_datagram(0, &vec![FORMAT_VERSION; MAX_DATAGRAM_BYTES + 1]),
+        Err(RejectedDatagram::Malformed)
+    );
     let mut rng = fastrand::Rng::with_seed(1);
     for _ in 0..20_000 {
         let mut noise = datagram.clone();
@@ -252,8 +274,8 @@
             noise[at] = rng.u8(..);
         }
         noise.truncate(rng.usize(0..=noise.len()));
-        let _ = a.hear(0, &noise);
-        a.take_out();
+        let _ = a.on_datagram(0, &noise);
+        a.take_datagrams();
     }
     assert!(a.all().count() < 20_000);
 }
--- a/decide/rollout/src/keep.rs
+++ b/decide/rollout/src/keep.rs
@@ -1,18 +1,18 @@
 //! A supervisor's part: one process under each of its names.
 //!
 //! A name has a process or none. It is asked to end only while the roll lets it go, by a word of the roll that is not older
-//! than [`Limits::word`]: a supervisor that slept asks again before it touches anything. A process that ends by itself is
+//! than [`SupervisorLimits::word`]: a supervisor that slept asks again before it touches anything. A process that ends by itself is
 //! started again, after a pause that doubles, on the side where it was to be.
 
 use crate::{Time, SECOND};
 use std::collections::BTreeMap;
 
 /// The number by which a process is known to whoever runs it.
-pub type Pid = u32;
+pub type ProcessId = u32;
 
 /// How long things may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct SupervisorLimits {
     /// From the start to ready; longer: it is ended and started again.
     pub ready: Time,
     /// From the request to end to the end; longer: it is killed.
@@ -25,9 +25,9 @@
     pub word: Time,
 }
 
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits {
+impl Default for SupervisorLimits {
+    fn default() -> SupervisorLimits {
+        SupervisorLimits {
             ready: 30 * SECOND,
             drain: 15 * SECOND,
             pause: (SECOND / 2, 30 * SECOND),
@@ -39,7 +39,7 @@
 
 /// What is wanted of a name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Wanted {
+pub struct DesiredProcess {
     /// Which program, by its label.
     pub label: String,
     /// It may be asked to end, to be changed.
@@ -48,15 +48,15 @@
 
 /// How a process ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct ProcessExit {
     /// In words that are the same for the same sort of end.
     pub sort: String,
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
-    /// Start a process, then call [`Keep::started`].
+pub enum SupervisorCommand {
+    /// Start a process, then call [`Supervisor::on_started`].
     Start {
         /// Under which name.
         name: String,
@@ -66,19 +66,19 @@
     /// Ask it to end (SIGTERM).
     End {
         /// Which.
-        pid: Pid,
+        pid: ProcessId,
     },
     /// End it at once (SIGKILL).
     Kill {
         /// Which.
-        pid: Pid,
+        pid: ProcessId,
     },
     /// Tell the roll that it ended by itself.
     Tell {
         /// Whose.
         name: String,
         /// Which process.
-        pid: Pid,
+        pid: ProcessId,
         /// How.
         sort: String,
         /// How often lately.
@@ -93,14 +93,14 @@
     /// It was asked for; its number is not known yet.
     Asked,
     Runs {
-        pid: Pid,
+        pid: ProcessId,
         label: String,
         since: Time,
         ready: Option<Time>,
     },
     /// It was asked to end.
     Ending {
-        pid: Pid,
+        pid: ProcessId,
         by: Time,
         killed: bool,
         well: bool,
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug)]
 struct Name {
     child: Child,
-    wanted: Wanted,
+    wanted: DesiredProcess,
     /// When the word that says so was asked for.
     word: Time,
     again: u32,
@@ -118,17 +118,21 @@
 
 /// The names of one supervisor.
 #[derive(Clone, Debug)]
-pub struct Keep {
-    limits: Limits,
+pub struct Supervisor {
+    limits: SupervisorLimits,
     names: BTreeMap<String, Name>,
     ends: bool,
 }
 
-impl Keep {
+impl Supervisor {
     /// These names, none of which has a process that is known, each to run this program until something else is heard.
-    pub fn new(limits: Limits, names: impl IntoIterator<Item = String>, label: &str) -> Keep {
+    pub fn new(
+        limits: SupervisorLimits,
+        names: impl IntoIterator<Item = String>,
+        label: &str,
+    ) -> Supervisor {
         let one = |name| {
-            let wanted = Wanted {
+            let wanted = DesiredProcess {
                 label: label.to_string(),
                 may: false,
             };
@@ -142,7 +146,7 @@
                 },
             )
         };
-        Keep {
+        Supervisor {
             limits,
             names: names.into_iter().map(one).collect(),
             ends: false,
@@ -150,7 +154,7 @@
     }
 
     /// A process of an earlier supervisor that lives on.
-    pub fn adopt(&mut self, now: Time, name: &str, pid: Pid, label: String) {
+    pub fn adopt(&mut self, now: Time, name: &str, pid: ProcessId, label: String) {
         if let Some(n) = self.names.get_mut(name) {
             n.child = Child::Runs {
                 pid,
@@ -162,14 +166,14 @@
     }
 
     /// What the roll wants of a name, by a word that was asked for at this time.
-    pub fn wants(&mut self, asked: Time, name: &str, wanted: Wanted) {
+    pub fn set_desired(&mut self, asked: Time, name: &str, wanted: DesiredProcess) {
         if let Some(n) = self.names.get_mut(name).filter(|n| asked >= n.word) {
             (n.wanted, n.word) = (wanted, asked);
         }
     }
 
     /// A process was started.
-    pub fn started(&mut self, now: Time, name: &str, pid: Pid, label: String) {
+    pub fn on_started(&mut self, now: Time, name: &str, pid: ProcessId, label: String) {
         if let Some(n) = self.names.get_mut(name) {
             n.child = Child::Runs {
                 pid,
@@ -181,7 +185,13 @@
     }
 
     /// It could not be started.
-    pub fn not_started(&mut self, now: Time, name: &str, why: String, out: &mut Vec<Act>) {
+    pub fn on_start_failed(
+        &mut self,
+        now: Time,
+        name: &str,
+        why: String,
+        out: &mut Vec<SupervisorCommand>,
+    ) {
         let limits = self.limits;
         if let Some(n) = self.names.get_mut(name) {
             n.fell(now, &limits, name, 0, why, out);
@@ -189,14 +199,20 @@
     }
 
     /// A process serves.
-    pub fn ready(&mut self, now: Time, name: &str) {
+    pub fn on_ready(&mut self, now: Time, name: &str) {
         if let Some(Child::Runs { ready, .. }) = self.names.get_mut(name).map(|n| &mut n.child) {
             ready.get_or_insert(now);
         }
     }
 
     /// A process has ended.
-    pub fn ended(&mut self, now: Time, pid: Pid, how: Ended, out: &mut Vec<Act>) {
+    pub fn on_exit(
+        &mut self,
+        now: Time,
+        pid: ProcessId,
+        how: ProcessExit,
+        out: &mut Vec<SupervisorCommand>,
+    ) {
         let limits = self.limits;
         for (name, n) in &mut self.names {
             match n.child.clone() {
@@ -217,7 +233,7 @@
     }
 
     /// All are to end.
-    pub fn end(&mut self, now: Time, out: &mut Vec<Act>) {
+    pub fn shut_down(&mut self, now: Time, out: &mut Vec<SupervisorCommand>) {
         self.ends = true;
         let drain = self.limits.drain;
         for n in self.names.values_mut() {
@@ -228,20 +244,20 @@
                     killed: false,
                     well: true,
                 };
-                out.push(Act::End { pid });
+                out.push(SupervisorCommand::End { pid });
             }
         }
     }
 
     /// Whether no process is left.
-    pub fn over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.names
             .values()
             .all(|n| matches!(n.child, Child::None { .. }))
     }
 
     /// The process of a name, and its program.
-    pub fn process(&self, name: &str) -> Option<(Pid, Option<&str>)> {
+    pub fn process(&self, name: &str) -> Option<(ProcessId, Option<&str>)> {
         match &self.names.get(name)?.child {
             Child::Runs { pid, label, .. } => Some((*pid, Some(label))),
             Child::Ending { pid, .. } => Some((*pid, None)),
@@ -250,14 +266,14 @@
     }
 
     /// What time brings.
-    pub fn tick(&mut self, now: Time, out: &mut Vec<Act>) {
+    pub fn tick(&mut self, now: Time, out: &mut Vec<SupervisorCommand>) {
         let limits = self.limits;
         for (name, n) in &mut self.names {
             let fresh = now.saturating_sub(n.word) <= limits.word;
             match n.child.clone() {
                 Child::None { from } if now >= from && !self.ends => {
                     n.child = Child::Asked;
-                    out.push(Act::Start {
+                    out.push(SupervisorCommand::Start {
                         name: name.clone(),
                         label: n.wanted.label.clone(),
                     });
@@ -271,7 +287,7 @@
                         killed: false,
                         well: true,
                     };
-                    out.push(Act::End { pid });
+                    out.push(SupervisorCommand::End { pid });
                 }
                 Child::Runs {
                     pid,
@@ -285,9 +301,9 @@
                         killed: true,
                         well: false,
                     };
-                    out.push(Act::Kill { pid });
+                    out.push(SupervisorCommand::Kill { pid });
                     n.again += 1;
-                    out.push(Act::Tell {
+                    out.push(SupervisorCommand::Tell {
                         name: name.clone(),
                         pid,
                         sort: "not ready in time".into(),
@@ -306,15 +322,15 @@
                         killed: true,
                         well,
                     };
-                    out.push(Act::Kill { pid });
+                    out.push(SupervisorCommand::Kill { pid });
                 }
                 _ => {}
             }
         }
     }
 
-    /// When [`Keep::tick`] has something to do, if nothing is heard before.
-    pub fn next(&self) -> Time {
+    /// When [`Supervisor::tick`] has something to do, if nothing is heard before.
+    pub fn next_deadline(&self) -> Time {
         let one = |n: &Name| match &n.child {
             Child::None { from } if !self.ends => *from,
             Child::Runs {
@@ -334,17 +350,17 @@
     fn fell(
         &mut self,
         now: Time,
-        limits: &Limits,
+        limits: &SupervisorLimits,
         name: &str,
-        pid: Pid,
+        pid: ProcessId,
         sort: String,
-        out: &mut Vec<Act>,
+        out: &mut Vec<SupervisorCommand>,
     ) {
         self.again += 1;
         self.child = Child::None {
             from: now + self.pause(limits),
         };
-        out.push(Act::Tell {
+        out.push(SupervisorCommand::Tell {
             name: name.to_string(),
             pid,
             sort,
@@ -352,7 +368,7 @@
         });
     }
 
-    fn pause(&self, limits: &Limits) -> Time {
+    fn pause(&self, limits: &SupervisorLimits) -> Time {
         let doubled = limits
             .pause
             .0
--- a/decide/rollout/src/roll.rs
+++ b/decide/rollout/src/roll.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
-use tansy_canary::{Measured, Verdict};
+use tansy_canary::{Measurement, Verdict};
 
 /// Front ends that a roll may have.
 const FRONTS: usize = 10_000;
@@ -11,7 +11,7 @@
 
 /// A front end of a plan.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Place {
+pub struct Target {
     /// Its name.
     pub name: String,
     /// Its zone.
@@ -23,7 +23,7 @@
 /// What happens to a stage that is neither worse nor fine when its longest time is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Undecided {
+pub enum InconclusivePolicy {
     /// It waits for an operator.
     Hold,
     /// The change goes back.
@@ -34,9 +34,9 @@
 
 /// How a change is to go.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Plan {
+pub struct RolloutPlan {
     /// The stages, each with the front ends that it adds.
-    pub stages: Vec<Vec<Place>>,
+    pub stages: Vec<Vec<Target>>,
     /// Front ends of one zone that may be away at once.
     pub at_once: usize,
     /// Seconds that a stage lasts at least, and at most.
@@ -60,12 +60,12 @@
     /// Megabytes that a front end may take.
     pub memory: u64,
     /// What happens to a stage without a verdict.
-    pub undecided: Undecided,
+    pub undecided: InconclusivePolicy,
 }
 
-impl Default for Plan {
-    fn default() -> Plan {
-        Plan {
+impl Default for RolloutPlan {
+    fn default() -> RolloutPlan {
+        RolloutPlan {
             stages: Vec::new(),
             at_once: 1,
             least: 60,
@@ -78,12 +78,12 @@
             accept: 0.03,
             warm_up: 10,
             memory: 1024,
-            undecided: Undecided::Hold,
+            undecided: InconclusivePolicy::Hold,
         }
     }
 }
 
-impl Plan {
+impl RolloutPlan {
     /// What is wrong with it; none: nothing.
     pub fn wrong(&self) -> Option<String> {
         let names: Vec<&String> = self.stages.iter().flatten().map(|p| &p.name).collect();
@@ -115,12 +115,12 @@
     }
 
     /// The place of a name.
-    pub fn place(&self, name: &str) -> Option<&Place> {
+    pub fn place(&self, name: &str) -> Option<&Target> {
         self.stages.iter().flatten().find(|p| p.name == name)
     }
 
     /// The front ends of all stages up to this one.
-    pub fn up_to(&self, stage: usize) -> impl Iterator<Item = &Place> {
+    pub fn up_to(&self, stage: usize) -> impl Iterator<Item = &Target> {
         self.stages.iter().take(stage + 1).flatten()
     }
 }
@@ -128,7 +128,7 @@
 /// What changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum RolloutChange {
     /// The program.
     Program {
         /// What tells the new one from the old, such as its digest; a process tells it of itself.
@@ -143,7 +143,7 @@
 /// Where a roll stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Phase {
+pub enum RolloutPhase {
     /// The stage's front ends are changed.
     Moving,
     /// The stage stands and is judged.
@@ -158,7 +158,7 @@
 
 /// A process that ended by itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fallen {
+pub struct Crash {
     /// Whose.
     pub name: String,
     /// Which of its processes.
@@ -171,28 +171,28 @@
 
 /// What whoever steers sees of a stage.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct StageObservation {
     /// The stage, from 0.
     pub stage: usize,
     /// For how long it has stood, seconds.
     pub stood: u64,
     /// What is compared.
-    pub measured: Vec<Measured>,
+    pub measured: Vec<Measurement>,
     /// What is said.
     pub verdict: Option<Verdict>,
 }
 
 /// One agreed step. `at`: the step that it goes on from. `fence`: of whoever steers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Entry {
+pub enum RolloutEntry {
     /// A change begins.
     Begin {
         /// The operator's own id for it: asked twice, it is one.
         id: u64,
         /// What changes.
-        what: What,
+        what: RolloutChange,
         /// How it is to go.
-        plan: Plan,
+        plan: RolloutPlan,
         /// Why, for people.
         why: String,
     },
@@ -208,7 +208,7 @@
         /// Its fence.
         fence: u64,
         /// What it sees by now, if there is more than at the last beat.
-        seen: Option<Box<Seen>>,
+        seen: Option<Box<StageObservation>>,
     },
     /// This front end may be changed now, and be away for it.
     Let {
@@ -254,8 +254,8 @@
         why: String,
     },
     /// A process ended by itself, as its supervisor saw.
-    Fell(Fallen),
-    /// Nothing further is changed until [`Entry::Resume`]. What goes back goes on.
+    Fell(Crash),
+    /// Nothing further is changed until [`RolloutEntry::Resume`]. What goes back goes on.
     Pause {
         /// Which roll.
         id: u64,
@@ -278,7 +278,7 @@
 
 /// Why an entry changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum RolloutRejection {
     /// Another roll goes on.
     Busy,
     /// It was begun before.
@@ -295,37 +295,37 @@
     NotNow,
 }
 
-impl std::fmt::Display for Refused {
+impl std::fmt::Display for RolloutRejection {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Refused::Busy => write!(
+            RolloutRejection::Busy => write!(
                 f,
                 "another roll goes on: wait for its end, or abort it first"
             ),
-            Refused::Same => write!(f, "this roll was begun before"),
-            Refused::Plan(why) => write!(f, "the plan: {why}"),
-            Refused::Over => write!(f, "no such roll goes on"),
-            Refused::Past => write!(f, "the roll is past that step"),
-            Refused::Fenced => write!(f, "another steers the roll by now"),
-            Refused::NotNow => write!(f, "not at this step of the roll"),
+            RolloutRejection::Same => write!(f, "this roll was begun before"),
+            RolloutRejection::Plan(why) => write!(f, "the plan: {why}"),
+            RolloutRejection::Over => write!(f, "no such roll goes on"),
+            RolloutRejection::Past => write!(f, "the roll is past that step"),
+            RolloutRejection::Fenced => write!(f, "another steers the roll by now"),
+            RolloutRejection::NotNow => write!(f, "not at this step of the roll"),
         }
     }
 }
-impl std::error::Error for Refused {}
+impl std::error::Error for RolloutRejection {}
 
 /// A change, as far as it is agreed on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Roll {
+pub struct Rollout {
     /// The operator's id for it.
     pub id: u64,
     /// Counts up with each step.
     pub at: u64,
     /// What changes.
-    pub what: What,
+    pub what: RolloutChange,
     /// How it is to go.
-    pub plan: Plan,
+    pub plan: RolloutPlan,
     /// Where it stands.
-    pub phase: Phase,
+    pub phase: RolloutPhase,
     /// The stage, from 0.
     pub stage: usize,
     /// Nothing further is changed.
@@ -343,28 +343,33 @@
     /// Judgements that were begun: each has a part of the error that may be made.
     pub judged: u32,
     /// Processes that ended by themselves in this stage.
-    pub fallen: Vec<Fallen>,
+    pub fallen: Vec<Crash>,
     /// Why it stands as it does.
     pub why: String,
     /// Its steps in words, the latest last.
     pub steps: Vec<String>,
     /// Each stage as it was seen last.
-    pub seen: Vec<Seen>,
+    pub seen: Vec<StageObservation>,
 }
 
-impl Roll {
+impl Rollout {
     /// One that begins.
-    pub fn begin(id: u64, what: What, plan: Plan, why: String) -> Result<Roll, Refused> {
+    pub fn begin(
+        id: u64,
+        what: RolloutChange,
+        plan: RolloutPlan,
+        why: String,
+    ) -> Result<Rollout, RolloutRejection> {
         if let Some(wrong) = plan.wrong() {
-            return Err(Refused::Plan(wrong));
+            return Err(RolloutRejection::Plan(wrong));
         }
         let steps = vec![format!("begun: {why}")];
-        Ok(Roll {
+        Ok(Rollout {
             id,
             at: 1,
             what,
             plan,
-            phase: Phase::Moving,
+            phase: RolloutPhase::Moving,
             stage: 0,
             paused: false,
             fence: 0,
@@ -382,17 +387,17 @@
 
     /// Whether it is over.
     pub fn over(&self) -> bool {
-        matches!(self.phase, Phase::Done | Phase::Stopped)
+        matches!(self.phase, RolloutPhase::Done | RolloutPhase::Stopped)
     }
 
     /// Whether this front end is to be on the new side.
     pub fn new_side(&self, name: &str) -> bool {
         match self.phase {
-            Phase::Done => true,
-            Phase::Stopped => false,
+            RolloutPhase::Done => true,
+            RolloutPhase::Stopped => false,
             // One that was let go to be changed back is in neither any more.
-            Phase::Back => self.moved.contains(name),
-            Phase::Moving | Phase::Judging => {
+            RolloutPhase::Back => self.moved.contains(name),
+            RolloutPhase::Moving | RolloutPhase::Judging => {
                 self.moved.contains(name) || self.moving.contains(name)
             }
         }
@@ -404,16 +409,16 @@
             return false;
         };
         let wanted = match self.phase {
-            Phase::Moving => {
+            RolloutPhase::Moving => {
                 !self.paused
                     && !self.moved.contains(name)
                     && self.plan.up_to(self.stage).any(|p| p.name == name)
             }
-            Phase::Back => self.moved.contains(name),
-            Phase::Judging | Phase::Done | Phase::Stopped => false,
+            RolloutPhase::Back => self.moved.contains(name),
+            RolloutPhase::Judging | RolloutPhase::Done | RolloutPhase::Stopped => false,
         };
         let away = || self.moving.iter().filter_map(|n| self.plan.place(n));
-        let settings = self.what == What::Settings;
+        let settings = self.what == RolloutChange::Settings;
         let room = settings || away().filter(|p| p.zone == place.zone).count() < self.plan.at_once;
         let seats = settings || !place.seat || !away().any(|p| p.seat);
         wanted && room && seats && !self.moving.contains(name)
@@ -429,97 +434,107 @@
     }
 
     /// What the entry would do: refused, or something.
-    pub fn judge(&self, entry: &Entry) -> Result<(), Refused> {
+    pub fn judge(&self, entry: &RolloutEntry) -> Result<(), RolloutRejection> {
         let step = |at: u64, fence: u64| match (at == self.at, fence == self.fence) {
-            _ if self.over() => Err(Refused::Over),
-            (_, false) => Err(Refused::Fenced),
-            (false, _) => Err(Refused::Past),
+            _ if self.over() => Err(RolloutRejection::Over),
+            (_, false) => Err(RolloutRejection::Fenced),
+            (false, _) => Err(RolloutRejection::Past),
             _ => Ok(()),
         };
-        let when = |right: bool| if right { Ok(()) } else { Err(Refused::NotNow) };
+        let when = |right: bool| {
+            if right {
+                Ok(())
+            } else {
+                Err(RolloutRejection::NotNow)
+            }
+        };
         match entry {
-            Entry::Begin { .. } if !self.over() => Err(Refused::Busy),
-            Entry::Begin { plan, .. } => plan.wrong().map_or(Ok(()), |w| Err(Refused::Plan(w))),
-            _ if self.over() => Err(Refused::Over),
-            Entry::Steer { fence, .. } => {
+            RolloutEntry::Begin { .. } if !self.over() => Err(RolloutRejection::Busy),
+            RolloutEntry::Begin { plan, .. } => plan
+                .wrong()
+                .map_or(Ok(()), |w| Err(RolloutRejection::Plan(w))),
+            _ if self.over() => Err(RolloutRejection::Over),
+            RolloutEntry::Steer { fence, .. } => {
                 if *fence == self.fence + 1 {
                     Ok(())
                 } else {
-                    Err(Refused::Fenced)
+                    Err(RolloutRejection::Fenced)
                 }
             }
-            Entry::Beat { fence, .. } => {
+            RolloutEntry::Beat { fence, .. } => {
                 if *fence == self.fence {
                     Ok(())
                 } else {
-                    Err(Refused::Fenced)
+                    Err(RolloutRejection::Fenced)
                 }
             }
-            Entry::Let { at, fence, name } => step(*at, *fence).and(when(self.may(name))),
-            Entry::Moved { at, fence, name } => {
+            RolloutEntry::Let { at, fence, name } => step(*at, *fence).and(when(self.may(name))),
+            RolloutEntry::Moved { at, fence, name } => {
                 step(*at, *fence).and(when(self.moving.contains(name)))
             }
-            Entry::Judge { at, fence } => {
-                step(*at, *fence).and(when(self.phase == Phase::Moving && self.in_place()))
+            RolloutEntry::Judge { at, fence } => {
+                step(*at, *fence).and(when(self.phase == RolloutPhase::Moving && self.in_place()))
             }
-            Entry::Pass { at, fence, .. } => {
-                step(*at, *fence).and(when(self.phase == Phase::Judging && !self.paused))
+            RolloutEntry::Pass { at, fence, .. } => {
+                step(*at, *fence).and(when(self.phase == RolloutPhase::Judging && !self.paused))
             }
-            Entry::Worse { at, fence, .. } => {
-                step(*at, *fence).and(when(self.phase != Phase::Back))
+            RolloutEntry::Worse { at, fence, .. } => {
+                step(*at, *fence).and(when(self.phase != RolloutPhase::Back))
             }
-            Entry::Fell(fallen) => {
+            RolloutEntry::Fell(fallen) => {
                 when(self.plan.place(&fallen.name).is_some() && !self.fallen.contains(fallen))
             }
-            Entry::Pause { id, .. } | Entry::Resume { id } | Entry::Abort { id, .. }
+            RolloutEntry::Pause { id, .. }
+            | RolloutEntry::Resume { id }
+            | RolloutEntry::Abort { id, .. }
                 if *id != self.id =>
             {
-                Err(Refused::Over)
+                Err(RolloutRejection::Over)
             }
-            Entry::Pause { .. } => when(!self.paused),
-            Entry::Resume { .. } => when(self.paused),
-            Entry::Abort { .. } => when(self.phase != Phase::Back),
+            RolloutEntry::Pause { .. } => when(!self.paused),
+            RolloutEntry::Resume { .. } => when(self.paused),
+            RolloutEntry::Abort { .. } => when(self.phase != RolloutPhase::Back),
         }
     }
 
     /// Applies an entry. The outcome depends on the entries alone.
-    pub fn apply(&mut self, entry: Entry) -> Result<(), Refused> {
+    pub fn apply(&mut self, entry: RolloutEntry) -> Result<(), RolloutRejection> {
         self.judge(&entry)?;
-        if !matches!(entry, Entry::Beat { .. }) {
+        if !matches!(entry, RolloutEntry::Beat { .. }) {
             self.at += 1;
         }
         match entry {
-            Entry::Begin {
+            RolloutEntry::Begin {
                 id,
                 what,
                 plan,
                 why,
-            } => *self = Roll::begin(id, what, plan, why)?,
-            Entry::Steer { fence, who } => {
+            } => *self = Rollout::begin(id, what, plan, why)?,
+            RolloutEntry::Steer { fence, who } => {
                 self.say(format!("{who} steers"));
                 (self.fence, self.steerer) = (fence, who);
                 // What was seen of a stage is gone with whoever saw it.
-                if self.phase == Phase::Judging {
+                if self.phase == RolloutPhase::Judging {
                     self.judged = self.judged.saturating_add(1);
                 }
             }
-            Entry::Beat { seen, .. } => {
+            RolloutEntry::Beat { seen, .. } => {
                 self.beat += 1;
                 if let Some(seen) = seen {
                     self.seen.retain(|s| s.stage < seen.stage);
                     self.seen.push(*seen);
                 }
             }
-            Entry::Let { name, .. } => {
+            RolloutEntry::Let { name, .. } => {
                 self.moved.remove(&name);
                 self.moving.insert(name);
             }
-            Entry::Moved { name, .. } => {
+            RolloutEntry::Moved { name, .. } => {
                 self.moving.remove(&name);
                 match self.phase {
-                    Phase::Back => {
+                    RolloutPhase::Back => {
                         if self.moving.is_empty() && self.moved.is_empty() {
-                            self.phase = Phase::Stopped;
+                            self.phase = RolloutPhase::Stopped;
                             self.say("all are as they were".into());
                         }
                     }
@@ -528,35 +543,35 @@
                     }
                 }
             }
-            Entry::Judge { .. } => {
-                self.phase = Phase::Judging;
+            RolloutEntry::Judge { .. } => {
+                self.phase = RolloutPhase::Judging;
                 self.judged = self.judged.saturating_add(1);
                 self.say(format!("stage {} stands", self.stage + 1));
             }
-            Entry::Pass { why, .. } => {
+            RolloutEntry::Pass { why, .. } => {
                 self.say(format!("stage {} passed: {why}", self.stage + 1));
                 self.why = why;
                 self.fallen.clear();
                 if self.stage + 1 < self.plan.stages.len() {
-                    (self.stage, self.phase) = (self.stage + 1, Phase::Moving);
+                    (self.stage, self.phase) = (self.stage + 1, RolloutPhase::Moving);
                 } else {
-                    self.phase = Phase::Done;
+                    self.phase = RolloutPhase::Done;
                 }
             }
-            Entry::Worse { why, .. } => self.back(why),
-            Entry::Abort { why, .. } => self.back(format!("by hand: {why}")),
-            Entry::Fell(fallen) => {
+            RolloutEntry::Worse { why, .. } => self.back(why),
+            RolloutEntry::Abort { why, .. } => self.back(format!("by hand: {why}")),
+            RolloutEntry::Fell(fallen) => {
                 self.say(format!("{} ended by itself: {}", fallen.name, fallen.sort));
                 self.fallen.push(fallen);
                 if self.fallen.len() > FALLEN {
                     self.fallen.remove(0);
                 }
             }
-            Entry::Pause { why, .. } => {
+            RolloutEntry::Pause { why, .. } => {
                 self.say(format!("paused: {why}"));
                 (self.paused, self.why) = (true, why);
             }
-            Entry::Resume { .. } => {
+            RolloutEntry::Resume { .. } => {
                 self.say("goes on".into());
                 self.paused = false;
             }
@@ -572,9 +587,9 @@
         let moving = std::mem::take(&mut self.moving);
         self.moved.extend(moving);
         self.phase = if self.moved.is_empty() {
-            Phase::Stopped
+            RolloutPhase::Stopped
         } else {
-            Phase::Back
+            RolloutPhase::Back
         };
         self.paused = false;
     }
--- a/decide/rollout/src/steer.rs
+++ b/decide/rollout/src/steer.rs
@@ -1,9 +1,11 @@
 //! Whoever steers.
 
-use crate::roll::{Entry, Phase, Roll, Seen, Undecided, What};
+use crate::roll::{
+    InconclusivePolicy, Rollout, RolloutChange, RolloutEntry, RolloutPhase, StageObservation,
+};
 use crate::{Time, SECOND};
 use std::collections::BTreeMap;
-use tansy_canary::{Death, Judge, Report, Terms, Verdict};
+use tansy_canary::{AnalysisParameters, CanaryAnalysis, FrontEndReport, UnplannedExit, Verdict};
 
 /// Whoever steers tells that it is there so often.
 const BEAT: Time = SECOND;
@@ -12,18 +14,18 @@
 
 /// A front end, as it is seen.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Front {
+pub struct FrontEndObservation {
     /// It answers and may act.
     pub ready: bool,
     /// What it counted. `report.new`: it is on the new side.
-    pub report: Report,
+    pub report: FrontEndReport,
 }
 
 /// One that may steer. Several may look at once; what one of them enters counts.
 #[derive(Clone, Debug)]
-pub struct Steer {
+pub struct RolloutController {
     me: String,
-    judge: Option<(u64, Judge)>,
+    judge: Option<(u64, CanaryAnalysis)>,
     /// The fence under which it steers; it was granted by the log.
     fence: Option<u64>,
     /// When it asked for it.
@@ -42,13 +44,13 @@
     spent: (f64, f64),
     last: Option<Verdict>,
     /// What the next beat tells.
-    news: Option<Seen>,
+    news: Option<StageObservation>,
 }
 
-impl Steer {
+impl RolloutController {
     /// One of this name.
-    pub fn new(me: String) -> Steer {
-        Steer {
+    pub fn new(me: String) -> RolloutController {
+        RolloutController {
             me,
             judge: None,
             fence: None,
@@ -67,9 +69,14 @@
     }
 
     /// The next step, if there is one to take.
-    pub fn look(&mut self, now: Time, roll: &Roll, fronts: &[Front]) -> Option<Entry> {
+    pub fn poll(
+        &mut self,
+        now: Time,
+        roll: &Rollout,
+        fronts: &[FrontEndObservation],
+    ) -> Option<RolloutEntry> {
         if roll.over() {
-            *self = Steer::new(std::mem::take(&mut self.me));
+            *self = RolloutController::new(std::mem::take(&mut self.me));
             return None;
         }
         let key = (roll.fence, roll.beat);
@@ -88,66 +95,66 @@
                 return None;
             }
             (self.fence, self.asked) = (Some(roll.fence + 1), now);
-            return Some(Entry::Steer {
+            return Some(RolloutEntry::Steer {
                 fence: roll.fence + 1,
                 who: self.me.clone(),
             });
         }
         self.watch(now, roll, fronts);
         let step = match roll.phase {
-            Phase::Moving | Phase::Back => self.moves(now, roll, fronts),
-            Phase::Judging => self.judges(now, roll),
-            Phase::Done | Phase::Stopped => None,
+            RolloutPhase::Moving | RolloutPhase::Back => self.moves(now, roll, fronts),
+            RolloutPhase::Judging => self.judges(now, roll),
+            RolloutPhase::Done | RolloutPhase::Stopped => None,
         };
-        if step.is_some() && (self.news.is_none() || roll.phase != Phase::Judging) {
+        if step.is_some() && (self.news.is_none() || roll.phase != RolloutPhase::Judging) {
             return step;
         }
         // What a stage is judged by is told before its verdict.
         let tells = step.is_some();
         (tells || now >= self.next_beat).then(|| {
             self.next_beat = now + BEAT;
-            Entry::Beat {
+            RolloutEntry::Beat {
                 fence: roll.fence,
                 seen: self.news.take().map(Box::new),
             }
         })
     }
 
-    fn terms(roll: &Roll) -> Terms {
+    fn terms(roll: &Rollout) -> AnalysisParameters {
         let p = &roll.plan;
-        Terms {
-            error: Steer::error(roll),
+        AnalysisParameters {
+            error: RolloutController::error(roll),
             least: p.matters,
             accept: p.accept,
             warm_up: p.warm_up as f64,
             memory: p.memory as f64,
-            ..Terms::default()
+            ..AnalysisParameters::default()
         }
     }
 
     /// The part of the plan's error that this judgement has: of all that may ever be begun the parts add up to the whole.
-    fn error(roll: &Roll) -> f64 {
+    fn error(roll: &Rollout) -> f64 {
         let n = f64::from(roll.judged.max(1));
         roll.plan.error * 6.0 / (std::f64::consts::PI * std::f64::consts::PI * n * n)
     }
 
     /// Gives the judge what is seen.
-    fn watch(&mut self, now: Time, roll: &Roll, fronts: &[Front]) {
+    fn watch(&mut self, now: Time, roll: &Rollout, fronts: &[FrontEndObservation]) {
         let names = || roll.plan.up_to(roll.stage).map(|p| p.name.clone());
         if self.judge.is_none() {
             self.judge = Some((
                 u64::from(roll.judged),
-                Judge::new(Steer::terms(roll), names()),
+                CanaryAnalysis::new(RolloutController::terms(roll), names()),
             ));
             self.told = 0;
         }
-        let judging = roll.phase == Phase::Judging;
+        let judging = roll.phase == RolloutPhase::Judging;
         let Some((judged, judge)) = &mut self.judge else {
             return;
         };
         if judging && *judged != u64::from(roll.judged) {
             *judged = u64::from(roll.judged);
-            judge.next(names(), Steer::error(roll));
+            judge.next(names(), RolloutController::error(roll));
             self.told = 0;
         }
         if !judging {
@@ -156,12 +163,12 @@
             self.judging = Some((u64::from(roll.judged), now));
         }
         for f in roll.fallen.iter().skip(self.told) {
-            judge.died(Death {
+            judge.on_unplanned_exit(UnplannedExit {
                 name: f.name.clone(),
                 sort: f.sort.clone(),
             });
             if f.again >= 3 {
-                judge.loops(&f.name, &f.sort);
+                judge.on_crash_loop(&f.name, &f.sort);
             }
         }
         self.told = roll.fallen.len();
@@ -169,15 +176,15 @@
             return;
         }
         self.next_slice = now + roll.plan.slice as Time * SECOND;
-        let reports: Vec<Report> = fronts.iter().map(|f| f.report.clone()).collect();
-        judge.look(&reports, judging);
+        let reports: Vec<FrontEndReport> = fronts.iter().map(|f| f.report.clone()).collect();
+        judge.observe(&reports, judging);
         if judging {
             let stood = self.judging.map_or(0, |j| ((now - j.1) / SECOND) as u64);
             let verdict = Some(judge.verdict());
-            self.news = Some(Seen {
+            self.news = Some(StageObservation {
                 stage: roll.stage,
                 stood,
-                measured: judge.measured(),
+                measured: judge.measurements(),
                 verdict,
             });
             let all: f64 = fronts
@@ -192,7 +199,7 @@
                 .map(|t| t.wanted)
                 .sum();
             let lost = judge
-                .measured()
+                .measurements()
                 .iter()
                 .find(|m| m.what == "service")
                 .map_or(0.0, |m| (m.loss - m.half).max(0.0));
@@ -200,15 +207,20 @@
         }
     }
 
-    fn moves(&mut self, now: Time, roll: &Roll, fronts: &[Front]) -> Option<Entry> {
+    fn moves(
+        &mut self,
+        now: Time,
+        roll: &Rollout,
+        fronts: &[FrontEndObservation],
+    ) -> Option<RolloutEntry> {
         let (at, fence) = (roll.at, roll.fence);
         let front = |name: &str| fronts.iter().find(|f| f.report.name == name);
         self.let_go.retain(|n, _| roll.moving.contains(n));
         for name in &roll.moving {
             let since = *self.let_go.entry(name.clone()).or_insert(now);
-            let wanted = roll.phase != Phase::Back;
+            let wanted = roll.phase != RolloutPhase::Back;
             if front(name).is_some_and(|f| f.ready && f.report.new == wanted) {
-                return Some(Entry::Moved {
+                return Some(RolloutEntry::Moved {
                     at,
                     fence,
                     name: name.clone(),
@@ -219,12 +231,12 @@
                     "{name} was not ready {} s after it was let go",
                     roll.plan.ready
                 );
-                return Some(Entry::Worse { at, fence, why });
+                return Some(RolloutEntry::Worse { at, fence, why });
             }
         }
         // Whoever changes a process is not to take a zone's last one: one that is away counts.
         let away = |zone: &str, but: &str| {
-            let there = |p: &&crate::roll::Place| p.zone == zone && p.name != but;
+            let there = |p: &&crate::roll::Target| p.zone == zone && p.name != but;
             let places = roll.plan.stages.iter().flatten().filter(there);
             places
                 .filter(|p| {
@@ -239,12 +251,12 @@
             let moving = roll.moving.iter().filter_map(|n| roll.plan.place(n));
             let of_zone = moving.filter(|p| p.zone == place.zone).count();
             let down = !front(name).is_some_and(|f| f.ready);
-            roll.what == What::Settings
+            roll.what == RolloutChange::Settings
                 || down
                 || of_zone + away(&place.zone, name) < roll.plan.at_once
         };
         let stage: Vec<&str> = match roll.phase {
-            Phase::Back => roll.moved.iter().map(String::as_str).collect(),
+            RolloutPhase::Back => roll.moved.iter().map(String::as_str).collect(),
             _ => roll
                 .plan
                 .up_to(roll.stage)
@@ -253,25 +265,25 @@
         };
         if let Some(name) = stage.iter().find(|n| roll.may(n) && room(n)) {
             // Time to learn what is usual, before the first one.
-            let learnt = roll.phase == Phase::Back || self.learnt(now, roll);
-            return learnt.then(|| Entry::Let {
+            let learnt = roll.phase == RolloutPhase::Back || self.learnt(now, roll);
+            return learnt.then(|| RolloutEntry::Let {
                 at,
                 fence,
                 name: name.to_string(),
             });
         }
-        (roll.phase == Phase::Moving && roll.in_place() && !roll.paused)
-            .then_some(Entry::Judge { at, fence })
+        (roll.phase == RolloutPhase::Moving && roll.in_place() && !roll.paused)
+            .then_some(RolloutEntry::Judge { at, fence })
     }
 
     /// Whether whoever steers has seen for long enough what is usual.
-    fn learnt(&mut self, now: Time, roll: &Roll) -> bool {
+    fn learnt(&mut self, now: Time, roll: &Rollout) -> bool {
         let first = roll.moved.is_empty() && roll.moving.is_empty() && roll.stage == 0;
         let since = *self.learns.get_or_insert(now);
         !first || now - since >= roll.plan.least as Time * SECOND
     }
 
-    fn judges(&mut self, now: Time, roll: &Roll) -> Option<Entry> {
+    fn judges(&mut self, now: Time, roll: &Rollout) -> Option<RolloutEntry> {
         let (at, fence) = (roll.at, roll.fence);
         let since = self.judging.map_or(now, |j| j.1);
         let stood = (now - since) / SECOND;
@@ -279,7 +291,7 @@
         self.last = Some(verdict.clone());
         let (least, longest) = (roll.plan.least as Time, roll.plan.longest as Time);
         if let Verdict::Worse { why } = verdict {
-            return Some(Entry::Worse { at, fence, why });
+            return Some(RolloutEntry::Worse { at, fence, why });
         }
         let (lost, all) = self.spent;
         if all > 0.0 && lost / all >= roll.plan.spend {
@@ -288,13 +300,13 @@
                 lost / all * 100.0,
                 roll.plan.spend * 100.0
             );
-            return Some(Entry::Worse { at, fence, why });
+            return Some(RolloutEntry::Worse { at, fence, why });
         }
         if roll.paused || stood < least {
             return None;
         }
         match verdict {
-            Verdict::Fine => Some(Entry::Pass {
+            Verdict::Fine => Some(RolloutEntry::Pass {
                 at,
                 fence,
                 why: "no worse than its siblings".into(),
@@ -305,19 +317,19 @@
                 let why = format!(
                     "both sides were in trouble for {slices} slices: nobody can tell whose it is"
                 );
-                Some(Entry::Worse { at, fence, why })
+                Some(RolloutEntry::Worse { at, fence, why })
             }
             Verdict::Open { needs, .. } => Some(match roll.plan.undecided {
-                Undecided::Hold => Entry::Pause {
+                InconclusivePolicy::Hold => RolloutEntry::Pause {
                     id: roll.id,
                     why: format!("no verdict after {stood} s: {needs}"),
                 },
-                Undecided::Back => Entry::Worse {
+                InconclusivePolicy::Back => RolloutEntry::Worse {
                     at,
                     fence,
                     why: format!("no verdict after {stood} s: {needs}"),
                 },
-                Undecided::Pass => Entry::Pass {
+                InconclusivePolicy::Pass => RolloutEntry::Pass {
                     at,
                     fence,
                     why: format!("no verdict after {stood} s: {needs}"),
--- a/decide/rollout/tests/crash.rs
+++ b/decide/rollout/tests/crash.rs
@@ -3,10 +3,11 @@
 //! zone away than the plan allows.
 
 use std::collections::BTreeMap;
-use tansy_canary::{Report, Tally};
+use tansy_canary::{FrontEndReport, RequestCounters};
 use tansy_rollout::{
-    Act, Ended, Entry, Front, Keep, Limits, Phase, Place, Plan, Roll, Steer, Time, Wanted, What,
-    SECOND,
+    DesiredProcess, FrontEndObservation, ProcessExit, Rollout, RolloutChange, RolloutController,
+    RolloutEntry, RolloutPhase, RolloutPlan, Supervisor, SupervisorCommand, SupervisorLimits,
+    Target, Time, SECOND,
 };
 
 const TICK: Time = SECOND / 10;
@@ -17,15 +18,15 @@
     format!("z{}", n / EACH)
 }
 
-fn plan() -> Plan {
-    let place = |n: usize| Place {
+fn plan() -> RolloutPlan {
+    let place = |n: usize| Target {
         name: format!("f{n}"),
         zone: zone(n),
         seat: n.is_multiple_of(EACH),
     };
     // One of each zone, among them all seats; then the others.
     let (first, rest): (Vec<usize>, Vec<usize>) = (0..ZONES * EACH).partition(|n| n % EACH == 0);
-    Plan {
+    RolloutPlan {
         stages: [first, rest]
             .into_iter()
             .map(|s| s.into_iter().map(place).collect())
@@ -36,7 +37,7 @@
         slice: 1,
         warm_up: 1,
         accept: 0.3,
-        ..Plan::default()
+        ..RolloutPlan::default()
     }
 }
 
@@ -48,20 +49,20 @@
     ends: Option<Time>,
 }
 
-struct Supervisor {
-    keep: Option<Keep>,
-    steer: Steer,
+struct ZoneHost {
+    keep: Option<Supervisor>,
+    steer: RolloutController,
     /// What it read last, and when it asked; a stopped one acts on it when it wakes.
-    read: Option<(Time, Roll)>,
+    read: Option<(Time, Rollout)>,
     stopped: bool,
 }
 
 struct World {
     now: Time,
-    roll: Roll,
+    roll: Rollout,
     processes: BTreeMap<u32, Process>,
     pids: u32,
-    supervisors: Vec<Supervisor>,
+    supervisors: Vec<ZoneHost>,
     bad: bool,
     /// The next process of this name does not become ready.
     stuck: bool,
@@ -77,11 +78,11 @@
 
 impl World {
     fn new(bad: bool, stuck: bool) -> World {
-        let what = What::Program {
+        let what = RolloutChange::Program {
             label: "new".into(),
             path: "new".into(),
         };
-        let roll = Roll::begin(7, what, plan(), "a test".into()).expect("a plan");
+        let roll = Rollout::begin(7, what, plan(), "a test".into()).expect("a plan");
         let mut w = World {
             now: 0,
             roll,
@@ -98,10 +99,10 @@
         w
     }
 
-    fn supervisor(z: usize) -> Supervisor {
-        Supervisor {
+    fn supervisor(z: usize) -> ZoneHost {
+        ZoneHost {
             keep: None,
-            steer: Steer::new(format!("s{z}")),
+            steer: RolloutController::new(format!("s{z}")),
             read: None,
             stopped: false,
         }
@@ -113,12 +114,12 @@
 
     /// A supervisor starts: processes of its names that live are taken over.
     fn begin(&mut self, z: usize) {
-        let limits = Limits {
+        let limits = SupervisorLimits {
             drain: 2 * SECOND,
             ready: 4 * SECOND,
-            ..Limits::default()
+            ..SupervisorLimits::default()
         };
-        let mut keep = Keep::new(limits, World::names(z), "old");
+        let mut keep = Supervisor::new(limits, World::names(z), "old");
         for (pid, p) in &self.processes {
             keep.adopt(self.now, &p.name, *pid, p.label.clone());
         }
@@ -126,18 +127,18 @@
         self.supervisors[z].keep = Some(keep);
     }
 
-    fn fronts(&self) -> Vec<Front> {
+    fn fronts(&self) -> Vec<FrontEndObservation> {
         let one = |n: usize| {
             let name = format!("f{n}");
             let p = self.processes.iter().find(|(_, p)| p.name == name);
             let up = p.map_or(0, |(_, p)| self.now - p.ready).max(0);
-            let mut t = Tally::default();
+            let mut t = RequestCounters::default();
             let calls = (up / SECOND) as u64 * 200;
-            (t.asked, t.served, t.wanted, t.worth) = (calls, calls, calls as f64, calls as f64);
+            (t.requested, t.served, t.wanted, t.worth) = (calls, calls, calls as f64, calls as f64);
             let new = p.is_some_and(|(_, p)| p.label == "new");
-            Front {
+            FrontEndObservation {
                 ready: p.is_some_and(|(_, p)| p.ready <= self.now && p.ends.is_none()),
-                report: Report {
+                report: FrontEndReport {
                     name,
                     zone: zone(n),
                     new,
@@ -152,7 +153,11 @@
         (0..ZONES * EACH).map(one).collect()
     }
 
-    fn act(&mut self, z: usize, act: impl FnOnce(&mut Keep, Time, &mut Vec<Act>)) {
+    fn act(
+        &mut self,
+        z: usize,
+        act: impl FnOnce(&mut Supervisor, Time, &mut Vec<SupervisorCommand>),
+    ) {
         let mut out = Vec::new();
         let Some(keep) = &mut self.supervisors[z].keep else {
             return;
@@ -160,7 +165,7 @@
         act(keep, self.now, &mut out);
         for a in out {
             match a {
-                Act::Start { name, label } => {
+                SupervisorCommand::Start { name, label } => {
                     if self.processes.values().any(|p| p.name == name) {
                         self.broken.push(format!("two processes of {name}"));
                     }
@@ -177,36 +182,36 @@
                     self.processes.insert(self.pids, p);
                     let (pid, now) = (self.pids, self.now);
                     if let Some(keep) = &mut self.supervisors[z].keep {
-                        keep.started(now, &name, pid, label);
+                        keep.on_started(now, &name, pid, label);
                     }
                 }
-                Act::End { pid } => {
+                SupervisorCommand::End { pid } => {
                     let at = self.now + SECOND / 2;
                     self.processes
                         .get_mut(&pid)
                         .into_iter()
                         .for_each(|p| p.ends = Some(at));
                 }
-                Act::Kill { pid } => {
+                SupervisorCommand::Kill { pid } => {
                     let at = self.now;
                     self.processes
                         .get_mut(&pid)
                         .into_iter()
                         .for_each(|p| p.ends = Some(at));
                 }
-                Act::Tell {
+                SupervisorCommand::Tell {
                     name,
                     pid,
                     sort,
                     again,
                 } => {
-                    let fell = tansy_rollout::Fallen {
+                    let fell = tansy_rollout::Crash {
                         name,
                         process: u64::from(pid),
                         sort,
                         again,
                     };
-                    let _ = self.roll.apply(Entry::Fell(fell));
+                    let _ = self.roll.apply(RolloutEntry::Fell(fell));
                 }
             }
         }
@@ -225,10 +230,10 @@
             self.processes.remove(&pid);
             for z in 0..ZONES {
                 self.act(z, |k, now, out| {
-                    k.ended(
+                    k.on_exit(
                         now,
                         pid,
-                        Ended {
+                        ProcessExit {
                             sort: "ended".into(),
                         },
                         out,
@@ -245,12 +250,12 @@
             if let Some((asked, roll)) = read {
                 for name in World::names(z) {
                     let label = if roll.new_side(&name) { "new" } else { "old" };
-                    let wanted = Wanted {
+                    let wanted = DesiredProcess {
                         label: label.into(),
                         may: roll.moving.contains(&name),
                     };
                     if let Some(keep) = &mut self.supervisors[z].keep {
-                        keep.wants(asked, &name, wanted);
+                        keep.set_desired(asked, &name, wanted);
                     }
                 }
             }
@@ -261,11 +266,11 @@
                 .map(|p| p.name.clone())
                 .collect();
             self.act(z, |k, now, out| {
-                ready.iter().for_each(|n| k.ready(now, n));
+                ready.iter().for_each(|n| k.on_ready(now, n));
                 k.tick(now, out);
             });
             let (fronts, roll) = (self.fronts(), self.roll.clone());
-            if let Some(entry) = self.supervisors[z].steer.look(now, &roll, &fronts) {
+            if let Some(entry) = self.supervisors[z].steer.poll(now, &roll, &fronts) {
                 let _ = self.roll.apply(entry);
             }
             self.supervisors[z].read = Some((now, self.roll.clone()));
@@ -322,8 +327,8 @@
     fn check(&self, bad: bool, what: &str) {
         assert!(self.broken.is_empty(), "{what}: {:?}", self.broken.first());
         let label = match self.roll.phase {
-            Phase::Done if !bad => "new",
-            Phase::Stopped => "old",
+            RolloutPhase::Done if !bad => "new",
+            RolloutPhase::Stopped => "old",
             _ => panic!("{what}: {:?} {:?}", self.roll.phase, self.roll.steps),
         };
         let half: Vec<&String> = self
@@ -344,7 +349,7 @@
 fn without_a_blow_a_good_one_is_done_and_a_bad_one_goes_back() {
     let (good, _) = World::play(false, false, None);
     good.check(false, "good");
-    assert_eq!(good.roll.phase, Phase::Done);
+    assert_eq!(good.roll.phase, RolloutPhase::Done);
     let (bad, _) = World::play(true, false, None);
     bad.check(true, "bad");
     assert!(bad.roll.why.contains("guard"), "{}", bad.roll.why);
--- a/decide/rollout/tests/roll.rs
+++ b/decide/rollout/tests/roll.rs
@@ -1,16 +1,19 @@
 //! Steps that are past, of who steers no more, or not to be taken now, change nothing.
 
-use tansy_rollout::{Entry, Fallen, Phase, Place, Plan, Refused, Roll, What};
+use tansy_rollout::{
+    Crash, Rollout, RolloutChange, RolloutEntry, RolloutPhase, RolloutPlan, RolloutRejection,
+    Target,
+};
 
-fn place(n: usize, zone: &str, seat: bool) -> Place {
-    Place {
+fn place(n: usize, zone: &str, seat: bool) -> Target {
+    Target {
         name: format!("f{n}"),
         zone: zone.into(),
         seat,
     }
 }
 
-fn roll(what: What) -> Roll {
+fn roll(what: RolloutChange) -> Rollout {
     let stages = vec![
         vec![
             place(0, "a", true),
@@ -19,17 +22,17 @@
         ],
         vec![place(3, "b", false)],
     ];
-    let mut r = Roll::begin(
+    let mut r = Rollout::begin(
         1,
         what,
-        Plan {
+        RolloutPlan {
             stages,
-            ..Plan::default()
+            ..RolloutPlan::default()
         },
         "a test".into(),
     )
     .expect("a plan");
-    r.apply(Entry::Steer {
+    r.apply(RolloutEntry::Steer {
         fence: 1,
         who: "s".into(),
     })
@@ -37,27 +40,27 @@
     r
 }
 
-fn program() -> What {
-    What::Program {
+fn program() -> RolloutChange {
+    RolloutChange::Program {
         label: "new".into(),
         path: "new".into(),
     }
 }
 
-fn step(r: &mut Roll, make: impl Fn(u64, u64) -> Entry) -> Result<(), Refused> {
+fn step(r: &mut Rollout, make: impl Fn(u64, u64) -> RolloutEntry) -> Result<(), RolloutRejection> {
     r.apply(make(r.at, r.fence))
 }
 
-fn let_go(r: &mut Roll, name: &str) -> Result<(), Refused> {
-    step(r, |at, fence| Entry::Let {
+fn let_go(r: &mut Rollout, name: &str) -> Result<(), RolloutRejection> {
+    step(r, |at, fence| RolloutEntry::Let {
         at,
         fence,
         name: name.into(),
     })
 }
 
-fn moved(r: &mut Roll, name: &str) -> Result<(), Refused> {
-    step(r, |at, fence| Entry::Moved {
+fn moved(r: &mut Rollout, name: &str) -> Result<(), RolloutRejection> {
+    step(r, |at, fence| RolloutEntry::Moved {
         at,
         fence,
         name: name.into(),
@@ -69,25 +72,33 @@
     let mut r = roll(program());
     assert_eq!(
         let_go(&mut r, "f3"),
-        Err(Refused::NotNow),
+        Err(RolloutRejection::NotNow),
         "it is of a later stage"
     );
     assert_eq!(
         let_go(&mut r, "f9"),
-        Err(Refused::NotNow),
+        Err(RolloutRejection::NotNow),
         "it is of no stage"
     );
     assert_eq!(let_go(&mut r, "f0"), Ok(()));
-    assert_eq!(let_go(&mut r, "f1"), Err(Refused::NotNow), "the same zone");
-    assert_eq!(let_go(&mut r, "f2"), Err(Refused::NotNow), "another seat");
+    assert_eq!(
+        let_go(&mut r, "f1"),
+        Err(RolloutRejection::NotNow),
+        "the same zone"
+    );
+    assert_eq!(
+        let_go(&mut r, "f2"),
+        Err(RolloutRejection::NotNow),
+        "another seat"
+    );
     assert_eq!(moved(&mut r, "f0"), Ok(()));
-    assert_eq!(moved(&mut r, "f0"), Err(Refused::NotNow));
+    assert_eq!(moved(&mut r, "f0"), Err(RolloutRejection::NotNow));
     assert_eq!(
         (let_go(&mut r, "f1"), let_go(&mut r, "f2")),
         (Ok(()), Ok(()))
     );
     // Settings take nothing away.
-    let mut r = roll(What::Settings);
+    let mut r = roll(RolloutChange::Settings);
     assert_eq!(
         (
             let_go(&mut r, "f0"),
@@ -104,61 +115,64 @@
     let (at, fence) = (r.at, r.fence);
     let_go(&mut r, "f0").expect("it may");
     assert_eq!(
-        r.apply(Entry::Let {
+        r.apply(RolloutEntry::Let {
             at,
             fence,
             name: "f2".into()
         }),
-        Err(Refused::Past)
+        Err(RolloutRejection::Past)
     );
     assert_eq!(
-        r.apply(Entry::Steer {
+        r.apply(RolloutEntry::Steer {
             fence: 3,
             who: "t".into()
         }),
-        Err(Refused::Fenced)
+        Err(RolloutRejection::Fenced)
     );
     assert_eq!(
-        r.apply(Entry::Steer {
+        r.apply(RolloutEntry::Steer {
             fence: 2,
             who: "t".into()
         }),
         Ok(())
     );
     assert_eq!(
-        r.apply(Entry::Steer {
+        r.apply(RolloutEntry::Steer {
             fence: 2,
             who: "u".into()
         }),
-        Err(Refused::Fenced),
+        Err(RolloutRejection::Fenced),
         "one was first"
     );
     let at = r.at;
     assert_eq!(
-        r.apply(Entry::Moved {
+        r.apply(RolloutEntry::Moved {
             at,
             fence,
             name: "f0".into()
         }),
-        Err(Refused::Fenced)
+        Err(RolloutRejection::Fenced)
     );
     assert_eq!(
-        r.apply(Entry::Beat { fence, seen: None }),
-        Err(Refused::Fenced)
+        r.apply(RolloutEntry::Beat { fence, seen: None }),
+        Err(RolloutRejection::Fenced)
     );
     assert_eq!(moved(&mut r, "f0"), Ok(()));
 }
 
 #[test]
 fn an_abort_as_the_last_stage_passes_is_one_or_the_other() {
-    let mut r = roll(What::Settings);
+    let mut r = roll(RolloutChange::Settings);
     for name in ["f0", "f1", "f2"] {
         (let_go(&mut r, name), moved(&mut r, name))
             .0
             .expect("it may");
     }
-    assert_eq!(step(&mut r, |at, fence| Entry::Judge { at, fence }), Ok(()));
-    let pass = |at, fence| Entry::Pass {
+    assert_eq!(
+        step(&mut r, |at, fence| RolloutEntry::Judge { at, fence }),
+        Ok(())
+    );
+    let pass = |at, fence| RolloutEntry::Pass {
         at,
         fence,
         why: "well".into(),
@@ -167,129 +181,133 @@
     (let_go(&mut r, "f3"), moved(&mut r, "f3"))
         .1
         .expect("it moves");
-    step(&mut r, |at, fence| Entry::Judge { at, fence }).expect("it stands");
+    step(&mut r, |at, fence| RolloutEntry::Judge { at, fence }).expect("it stands");
     let mut first = r.clone();
     assert_eq!(step(&mut first, pass), Ok(()));
     assert_eq!(
-        first.apply(Entry::Abort {
+        first.apply(RolloutEntry::Abort {
             id: 1,
             why: "no".into()
         }),
-        Err(Refused::Over),
+        Err(RolloutRejection::Over),
         "it is done"
     );
-    assert_eq!(first.phase, Phase::Done);
+    assert_eq!(first.phase, RolloutPhase::Done);
     let (at, fence) = (r.at, r.fence);
     assert_eq!(
-        r.apply(Entry::Abort {
+        r.apply(RolloutEntry::Abort {
             id: 1,
             why: "no".into()
         }),
         Ok(())
     );
     assert_eq!(
-        r.apply(Entry::Pass {
+        r.apply(RolloutEntry::Pass {
             at,
             fence,
             why: "well".into()
         }),
-        Err(Refused::Past)
+        Err(RolloutRejection::Past)
     );
-    assert_eq!(step(&mut r, pass), Err(Refused::NotNow));
+    assert_eq!(step(&mut r, pass), Err(RolloutRejection::NotNow));
     assert_eq!(
-        r.apply(Entry::Abort {
+        r.apply(RolloutEntry::Abort {
             id: 1,
             why: "again".into()
         }),
-        Err(Refused::NotNow),
+        Err(RolloutRejection::NotNow),
         "it goes back already"
     );
     assert_eq!(
-        r.apply(Entry::Abort {
+        r.apply(RolloutEntry::Abort {
             id: 2,
             why: "another".into()
         }),
-        Err(Refused::Over)
+        Err(RolloutRejection::Over)
     );
     for name in ["f0", "f1", "f2", "f3"] {
         (let_go(&mut r, name), moved(&mut r, name))
             .0
             .expect("it may");
     }
-    assert_eq!(r.phase, Phase::Stopped);
+    assert_eq!(r.phase, RolloutPhase::Stopped);
 }
 
 #[test]
 fn a_second_roll_waits_for_the_first_and_a_wrong_plan_is_told() {
     let mut r = roll(program());
-    let begin = |plan: Plan| Entry::Begin {
+    let begin = |plan: RolloutPlan| RolloutEntry::Begin {
         id: 2,
-        what: What::Settings,
+        what: RolloutChange::Settings,
         plan,
         why: String::new(),
     };
-    let plan = Plan {
+    let plan = RolloutPlan {
         stages: vec![vec![place(0, "a", false)]],
-        ..Plan::default()
+        ..RolloutPlan::default()
     };
-    assert_eq!(r.apply(begin(plan.clone())), Err(Refused::Busy));
-    r.apply(Entry::Abort {
+    assert_eq!(r.apply(begin(plan.clone())), Err(RolloutRejection::Busy));
+    r.apply(RolloutEntry::Abort {
         id: 1,
         why: "no".into(),
     })
     .expect("it goes on");
-    assert_eq!(r.phase, Phase::Stopped, "nothing had changed");
-    let twice = Plan {
+    assert_eq!(r.phase, RolloutPhase::Stopped, "nothing had changed");
+    let twice = RolloutPlan {
         stages: vec![vec![place(0, "a", false)], vec![place(0, "a", false)]],
         ..plan.clone()
     };
     for wrong in [
-        Plan::default(),
+        RolloutPlan::default(),
         twice,
-        Plan {
+        RolloutPlan {
             at_once: 0,
             ..plan.clone()
         },
-        Plan {
+        RolloutPlan {
             error: 0.0,
             ..plan.clone()
         },
     ] {
-        assert!(matches!(r.apply(begin(wrong)), Err(Refused::Plan(_))));
+        assert!(matches!(
+            r.apply(begin(wrong)),
+            Err(RolloutRejection::Plan(_))
+        ));
     }
     assert_eq!(r.apply(begin(plan)), Ok(()));
-    assert_eq!((r.id, r.phase, r.at), (2, Phase::Moving, 1));
+    assert_eq!((r.id, r.phase, r.at), (2, RolloutPhase::Moving, 1));
 }
 
 #[test]
 fn a_pause_holds_what_goes_forward_and_not_what_goes_back() {
     let mut r = roll(program());
-    r.apply(Entry::Pause {
+    r.apply(RolloutEntry::Pause {
         id: 1,
         why: "a look".into(),
     })
     .expect("it goes on");
-    assert_eq!(let_go(&mut r, "f0"), Err(Refused::NotNow));
-    r.apply(Entry::Resume { id: 1 }).expect("it is paused");
+    assert_eq!(let_go(&mut r, "f0"), Err(RolloutRejection::NotNow));
+    r.apply(RolloutEntry::Resume { id: 1 })
+        .expect("it is paused");
     let_go(&mut r, "f0").expect("it may");
-    let fell = Fallen {
+    let fell = Crash {
         name: "f0".into(),
         process: 3,
         sort: "signal 6".into(),
         again: 1,
     };
-    assert_eq!(r.apply(Entry::Fell(fell.clone())), Ok(()));
+    assert_eq!(r.apply(RolloutEntry::Fell(fell.clone())), Ok(()));
     assert_eq!(
-        r.apply(Entry::Fell(fell)),
-        Err(Refused::NotNow),
+        r.apply(RolloutEntry::Fell(fell)),
+        Err(RolloutRejection::NotNow),
         "told twice it is one"
     );
-    r.apply(Entry::Pause {
+    r.apply(RolloutEntry::Pause {
         id: 1,
         why: "a look".into(),
     })
     .expect("it goes on");
-    r.apply(Entry::Abort {
+    r.apply(RolloutEntry::Abort {
         id: 1,
         why: "no".into(),
     })
@@ -298,5 +316,5 @@
         (let_go(&mut r, "f0"), moved(&mut r, "f0")),
         (Ok(()), Ok(()))
     );
-    assert_eq!(r.phase, Phase::Stopped);
+    assert_eq!(r.phase, RolloutPhase::Stopped);
 }
--- a/model/src/agree.rs
+++ b/model/src/agree.rs
@@ -14,15 +14,16 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use tansy_agreement::lease::Terms;
-use tansy_agreement::log::{Entry, Phase, State, Step, Version};
-use tansy_agreement::member::Message;
-use tansy_agreement::rule::{
-    apart, contradictions, lapsed, Fields, Kind, Lapsed, Rules, Schema, Stricter, Value,
+use tansy_agreement::compatibility::{
+    contradictions, rules_after_expiry, rules_without_lease, Compatibility, EffectiveRules,
+    ExpiredLeasePolicy, Fields, Restrictiveness, Schema, Value,
 };
-use tansy_consensus::Saved;
-use tansy_fleet_node::{Body, Command, Held, Peer, Root, Setup};
-use tansy_membership::{Name, Pace};
+use tansy_agreement::lease::LeaseTiming;
+use tansy_agreement::lease_tree::LeaseMessage;
+use tansy_agreement::log::{ChangePhase, FleetState, LogEntry, Revision, Version};
+use tansy_consensus::PersistentState;
+use tansy_fleet_node::{Command, FleetNode, FleetNodeConfig, Leader, MessageBody, RecoveredState};
+use tansy_membership::{GossipTiming, NodeId};
 
 /// A mistake planted into a run, to see that the audit finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -55,7 +56,7 @@
     /// How many of them keep the log.
     pub seats: usize,
     /// Length of a lease and bound on clock rates.
-    pub terms: Terms,
+    pub terms: LeaseTiming,
     /// Length of a stay.
     pub stay: Time,
     /// Faults are over by then; the run ends [`Play::calm`] later.
@@ -88,9 +89,9 @@
         Play {
             fronts,
             seats: 1,
-            terms: Terms {
+            terms: LeaseTiming {
                 span: SECOND * 6 / 10,
-                ppm: 1_000,
+                drift_ppm: 1_000,
             },
             stay: 6 * SECOND,
             until: 40 * SECOND,
@@ -139,30 +140,37 @@
 
 /// How the fields of the played settings agree.
 fn schema() -> Schema {
-    schema_with(Kind::Strict)
+    schema_with(Compatibility::Strict)
 }
 
-fn schema_with(strict: Kind) -> Schema {
-    let least = |v| Kind::Joint(Stricter::Least, Lapsed::Strictest(v));
+fn schema_with(strict: Compatibility) -> Schema {
+    let least =
+        |v| Compatibility::Joint(Restrictiveness::Smallest, ExpiredLeasePolicy::Strictest(v));
     Schema::new([
         ("worker.max_attempts", least(Value::Int(1))),
         ("worker.fall_multiple", least(Value::Number(1.0))),
         (
             "front.siblings",
-            Kind::Joint(Stricter::Most, Lapsed::Strictest(Value::Int(100_000))),
+            Compatibility::Joint(
+                Restrictiveness::Largest,
+                ExpiredLeasePolicy::Strictest(Value::Int(100_000)),
+            ),
         ),
         ("classes.*.effect", {
-            let order = Stricter::First(&["unsafe", "keyed", "safe"]);
-            Kind::Joint(order, Lapsed::Strictest(Value::Text("unsafe".into())))
+            let order = Restrictiveness::Ranked(&["unsafe", "keyed", "safe"]);
+            Compatibility::Joint(
+                order,
+                ExpiredLeasePolicy::Strictest(Value::Text("unsafe".into())),
+            )
         }),
-        ("classes.*.aim", Kind::Free),
+        ("classes.*.aim", Compatibility::Free),
         ("classes.*.group", strict),
-        ("functions.*.class", Kind::Strict),
+        ("functions.*.class", Compatibility::Strict),
         ("functions.*.lanes", least(Value::Int(1))),
-        ("functions.*.memory", Kind::Free),
+        ("functions.*.memory", Compatibility::Free),
         (
             "tenants.*.quota",
-            Kind::Joint(Stricter::Least, Lapsed::Refuse),
+            Compatibility::Joint(Restrictiveness::Smallest, ExpiredLeasePolicy::Reject),
         ),
     ])
 }
@@ -235,7 +243,7 @@
 pub(crate) enum Event {
     Letter {
         to: usize,
-        letter: Box<(Name, Root, Body)>,
+        letter: Box<(NodeId, Leader, MessageBody)>,
     },
     Tick {
         who: usize,
@@ -269,7 +277,7 @@
     },
     Carry {
         scope: String,
-        since: Step,
+        since: Revision,
     },
     Synced {
         who: usize,
@@ -305,10 +313,10 @@
 
 /// A process, or the place of one.
 pub(crate) struct Process {
-    pub(crate) peer: Option<Peer>,
+    pub(crate) peer: Option<FleetNode>,
     pub(crate) incarnation: u64,
     /// Letters that came while it was stopped.
-    stopped: Option<Vec<(Name, Root, Body)>>,
+    stopped: Option<Vec<(NodeId, Leader, MessageBody)>>,
     /// Its clock: local time is `offset + rate` times the true one.
     rate: f64,
     offset: Time,
@@ -347,16 +355,16 @@
         self.acting(now).is_some_and(|a| a.1 == Right::Whole)
     }
     /// Whether it runs and acts by its lease on an earlier step than this.
-    pub(crate) fn behind(&self, now: Time, step: Step) -> bool {
+    pub(crate) fn behind(&self, now: Time, step: Revision) -> bool {
         self.runs()
             && self
                 .acting(now)
-                .is_some_and(|(s, right)| right == Right::Whole && s.step < step)
+                .is_some_and(|(s, right)| right == Right::Whole && s.revision < step)
     }
     /// What it would act on now, and by which right; none: nothing is known to it, and it takes no call.
-    fn acting(&self, now: Time) -> Option<(&State, Right)> {
-        let acting = self.peer.as_ref()?.acting(self.local(now));
-        let right = match (acting.lease > 0, acting.stay > 0) {
+    fn acting(&self, now: Time) -> Option<(&FleetState, Right)> {
+        let acting = self.peer.as_ref()?.active_state(self.local(now));
+        let right = match (acting.lease > 0, acting.session > 0) {
             (true, true) => Right::Whole,
             (false, true) => Right::Apart,
             (_, false) => Right::Lapsed,
@@ -368,7 +376,7 @@
 /// A seat's disk: what it holds for sure, and what was written and may be lost.
 #[derive(Default)]
 pub(crate) struct Disk {
-    saved: Saved,
+    saved: PersistentState,
     written: Vec<(Vec<u8>, Option<Vec<u8>>)>,
     /// Records that were synced while the process stood still: it hears of them when it wakes.
     owed: usize,
@@ -382,8 +390,8 @@
         }
         match self.written.remove(0) {
             (_, Some(whole)) => {
-                self.saved = Saved {
-                    whole: Some(whole),
+                self.saved = PersistentState {
+                    snapshot: Some(whole),
                     records: Vec::new(),
                 }
             }
@@ -402,9 +410,9 @@
     pub(crate) all: Vec<Process>,
     pub(crate) disks: Vec<Disk>,
     /// What is agreed on, as the seat has it that applied most, and how many entries that is.
-    agreed: Option<(u64, Rc<State>, bool)>,
+    agreed: Option<(u64, Rc<FleetState>, bool)>,
     /// The same at each number of entries.
-    states: BTreeMap<u64, (Rc<State>, Vec<u64>)>,
+    states: BTreeMap<u64, (Rc<FleetState>, Vec<u64>)>,
     /// Who keeps the log, by what is agreed on.
     seats: Vec<u64>,
     pub(crate) schema: Schema,
@@ -473,7 +481,7 @@
             let bound = if wild {
                 0.4
             } else {
-                play.terms.ppm as f64 / 1e6
+                play.terms.drift_ppm as f64 / 1e6
             };
             Process {
                 peer: None,
@@ -615,13 +623,13 @@
                 // One that was planned anew since then is over: each that was taken would plan a further one.
                 if self.all[who].incarnation == incarnation && self.all[who].planned == at {
                     self.all[who].planned = Time::MAX;
-                    self.act(who, Peer::tick);
+                    self.act(who, FleetNode::tick);
                 }
             }
             Event::Start { who } => self.start(who),
             Event::Stop { who } => self.stop(who, false),
             Event::Leave { who } => {
-                self.act(who, Peer::leave);
+                self.act(who, FleetNode::leave);
                 self.stop(who, true);
             }
             Event::Wake { who } => {
@@ -630,23 +638,27 @@
                     .disks
                     .get_mut(who)
                     .map_or(0, |d| std::mem::take(&mut d.owed));
-                (0..owed).for_each(|_| self.act(who, |p, now, out| p.held(now, Ok(()), out)));
+                (0..owed)
+                    .for_each(|_| self.act(who, |p, now, out| p.on_persisted(now, Ok(()), out)));
                 for (from, root, body) in held {
                     self.hear(who, &from, root, body);
                 }
-                self.act(who, Peer::tick);
+                self.act(who, FleetNode::tick);
             }
             Event::Propose => {
                 let id = self.rng.u64(1..);
                 let Some((root, state)) = self.root() else {
                     return;
                 };
-                let (base, fields) = (state.latest(), changed(&mut self.rng, &state.force.fields));
-                let entry = Entry::Propose {
+                let (base, fields) = (
+                    state.latest(),
+                    changed(&mut self.rng, &state.in_force.fields),
+                );
+                let entry = LogEntry::Propose {
                     id,
                     base,
                     fields,
-                    why: "a change".into(),
+                    reason: "a change".into(),
                 };
                 self.act(root, |p, now, out| p.request(now, id, entry, out));
             }
@@ -657,10 +669,10 @@
                 else {
                     return;
                 };
-                let entry = Entry::Seat {
+                let entry = LogEntry::BeginVoterReplacement {
                     new: id(candidate, false),
                     address: address(candidate),
-                    instead,
+                    replaced: instead,
                 };
                 self.act(root, |p, now, out| p.request(now, 0, entry, out));
             }
@@ -669,7 +681,7 @@
                     return;
                 };
                 if let Some((next, _)) = state.next {
-                    let entry = Entry::Abandon {
+                    let entry = LogEntry::Abandon {
                         version: next.version,
                     };
                     self.act(root, |p, now, out| p.request(now, 0, entry, out));
@@ -685,7 +697,7 @@
                     self.disks[who].sync();
                     if self.play.plant != Some(Plant::Unsynced) {
                         match self.all[who].runs() {
-                            true => self.act(who, |p, now, out| p.held(now, Ok(()), out)),
+                            true => self.act(who, |p, now, out| p.on_persisted(now, Ok(()), out)),
                             false => self.disks[who].owed += 1,
                         }
                     }
@@ -696,7 +708,7 @@
     }
 
     /// The seat that leads and runs, and the log's state there.
-    pub(crate) fn root(&self) -> Option<(usize, State)> {
+    pub(crate) fn root(&self) -> Option<(usize, FleetState)> {
         let leads = |p: &Process| {
             p.peer
                 .as_ref()
@@ -736,24 +748,24 @@
         p.offset = self.rng.i64(0..1000 * SECOND);
         // The seat with this mistake takes strict fields for free ones.
         let strict = if play.plant == Some(Plant::NoRoster) {
-            Kind::Free
+            Compatibility::Free
         } else {
-            Kind::Strict
+            Compatibility::Strict
         };
         let wide = play.size.is_some();
-        let setup = Setup {
+        let setup = FleetNodeConfig {
             fleet: 1,
             name: format!("f{who}"),
-            me: Name::new(id(who, wide), p.incarnation, address(who)),
-            seats: (0..play.seats).map(|n| (id(n, wide), address(n))).collect(),
+            node: NodeId::new(id(who, wide), p.incarnation, address(who)),
+            voters: (0..play.seats).map(|n| (id(n, wide), address(n))).collect(),
             lease: play.terms,
-            stay: Terms {
+            session: LeaseTiming {
                 span: play.stay,
                 ..play.terms
             },
-            pace: Pace {
+            gossip: GossipTiming {
                 size: play.fronts as u32,
-                ..Pace::default()
+                ..GossipTiming::default()
             },
             schema: if who < self.disks.len() {
                 schema_with(strict)
@@ -764,27 +776,27 @@
         };
         let now = p.local(self.now);
         let functions = play.size.as_ref().map_or(0, |s| s.functions);
-        let held = self.disks.get(who).map(|d| Held {
-            saved: d.saved.clone(),
-            first: first(functions),
+        let held = self.disks.get(who).map(|d| RecoveredState {
+            persistent: d.saved.clone(),
+            initial_fields: first(functions),
         });
-        match Peer::new(setup, held, now) {
+        match FleetNode::new(setup, held, now) {
             Ok(mut peer) => {
                 if let Some(shared) = &mut self.shared {
-                    peer.told(shared.directory(&self.net, who));
-                    shared.news(self.now, who, peer.setup().me.clone(), true, false);
+                    peer.update_members(shared.directory(&self.net, who));
+                    shared.news(self.now, who, peer.setup().node.clone(), true, false);
                 }
                 p.peer = Some(peer);
             }
             Err(e) => return self.broken(who, e.to_string()),
         }
-        self.act(who, Peer::tick);
+        self.act(who, FleetNode::tick);
     }
 
     /// Looks at what a seat knows to be agreed on: all have to have one order of it.
     fn agree(&mut self, who: usize) {
         let p = &mut self.all[who];
-        let Some((applied, log)) = p.peer.as_ref().and_then(Peer::agreed) else {
+        let Some((applied, log)) = p.peer.as_ref().and_then(FleetNode::agreed) else {
             return;
         };
         // A log is another only when more was applied to it.
@@ -799,13 +811,13 @@
         let state = same
             .cloned()
             .unwrap_or_else(|| Rc::new(log.state().clone()));
-        let unsettled = log.unsettled();
-        let here = (state.clone(), log.seats().keys().copied().collect());
+        let unsettled = log.has_open_changes();
+        let here = (state.clone(), log.voters().keys().copied().collect());
         let known = self.states.entry(applied).or_insert_with(|| here.clone());
         if *known != here {
             let told = format!(
                 "has step {} and seats {:?} after {applied} entries, another has step {} and seats {:?}",
-                state.step.0, here.1, known.0.step.0, known.1
+                state.revision.0, here.1, known.0.revision.0, known.1
             );
             return self.broken(who, told);
         }
@@ -824,17 +836,20 @@
         let before = self
             .agreed
             .as_ref()
-            .map_or(Version(1), |a| a.1.force.version);
-        if state.force.version > before {
+            .map_or(Version(1), |a| a.1.in_force.version);
+        if state.in_force.version > before {
             self.outcome.in_force += 1;
             let since = self
                 .proposed
-                .get(&state.force.version)
+                .get(&state.in_force.version)
                 .copied()
                 .unwrap_or(self.now);
-            self.waiting = Some((state.force.version, since));
+            self.waiting = Some((state.in_force.version, since));
         }
-        let (from, joint) = (state.step, matches!(state.next, Some((_, Phase::Joint))));
+        let (from, joint) = (
+            state.revision,
+            matches!(state.next, Some((_, ChangePhase::Joint))),
+        );
         let moved = self.agreed.as_ref().is_none_or(|a| a.1 != state);
         self.agreed = Some((applied, state, unsettled));
         let moved = self.scopes_moved(who) || moved;
@@ -845,7 +860,7 @@
         if self.play.plant == Some(Plant::NoJoint) && joint {
             if let Some((root, _)) = self.root() {
                 self.act(root, |p, now, out| {
-                    p.request(now, 0, Entry::Advance { from }, out)
+                    p.request(now, 0, LogEntry::Advance { from }, out)
                 });
             }
         }
@@ -856,7 +871,7 @@
         self.scopes_reached();
         if let Some((version, since)) = self.waiting {
             let there = |p: &Process| match p.acting(self.now) {
-                Some((s, Right::Whole)) if p.runs() => s.force.version >= version,
+                Some((s, Right::Whole)) if p.runs() => s.in_force.version >= version,
                 _ => true,
             };
             // Whoever was found not there is looked at first: while it is not, nobody else need be.
@@ -877,19 +892,24 @@
         }
     }
 
-    fn hear(&mut self, to: usize, from: &Name, root: Root, body: Body) {
+    fn hear(&mut self, to: usize, from: &NodeId, root: Leader, body: MessageBody) {
         let mut body = body;
         match self.play.plant {
             Some(Plant::OldReply) => {
-                if let (Body::Scopes(r), Some(peer)) = (&mut body, &self.all[to].peer) {
-                    r.at =
-                        r.at.max(peer.acting(self.now).state.map_or(Step(0), |s| s.step));
+                if let (MessageBody::SubscribeReply(r), Some(peer)) =
+                    (&mut body, &self.all[to].peer)
+                {
+                    r.revision = r.revision.max(
+                        peer.active_state(self.now)
+                            .state
+                            .map_or(Revision(0), |s| s.revision),
+                    );
                 }
             }
             Some(Plant::LateDrop) => self.late_drops(&mut body),
             _ => {}
         }
-        if let (Body::Lease(Message::Grant(g)), Some(Plant::CountedFromAnswer)) =
+        if let (MessageBody::Lease(LeaseMessage::Grant(g)), Some(Plant::CountedFromAnswer)) =
             (&mut body, self.play.plant)
         {
             // An ask of this moment takes the place of the one that was answered.
@@ -897,17 +917,17 @@
             let now = p.local(self.now);
             let mut asks = Vec::new();
             if let Some(peer) = p.peer.as_mut() {
-                peer.hear(
+                peer.on_message(
                     now,
                     from,
                     root,
-                    Body::Lease(Message::Step(NEVER)),
+                    MessageBody::Lease(LeaseMessage::Revision(NEVER)),
                     &mut asks,
                 );
             }
             let seq = asks.iter().find_map(|c| match c {
                 Command::Send {
-                    body: Body::Lease(Message::Ask(a)),
+                    body: MessageBody::Lease(LeaseMessage::Request(a)),
                     ..
                 } => Some(a.seq),
                 _ => None,
@@ -916,11 +936,17 @@
                 g.seq = seq;
             }
         }
-        self.act(to, |peer, now, out| peer.hear(now, from, root, body, out));
+        self.act(to, |peer, now, out| {
+            peer.on_message(now, from, root, body, out)
+        });
     }
 
     /// Lets a process act, carries out what it wants and plans its next tick; it is judged before and after.
-    pub(crate) fn act(&mut self, who: usize, act: impl FnOnce(&mut Peer, Time, &mut Vec<Command>)) {
+    pub(crate) fn act(
+        &mut self,
+        who: usize,
+        act: impl FnOnce(&mut FleetNode, Time, &mut Vec<Command>),
+    ) {
         self.account(who);
         let p = &mut self.all[who];
         let now = p.local(self.now);
@@ -932,12 +958,16 @@
         let unsynced = self.play.plant == Some(Plant::Unsynced);
         let mut n = 0;
         while n < out.len() {
-            if let Command::Hold { record, whole } = &out[n] {
+            if let Command::Persist {
+                record,
+                snapshot: whole,
+            } = &out[n]
+            {
                 self.disks[who]
                     .written
                     .push((record.clone(), whole.clone()));
                 if unsynced {
-                    peer.held(now, Ok(()), &mut out);
+                    peer.on_persisted(now, Ok(()), &mut out);
                 }
                 let takes = self.rng.i64(SECOND / 2000..SECOND / 20);
                 self.numbers += 1;
@@ -953,7 +983,7 @@
             }
             n += 1;
         }
-        let next = peer.next();
+        let next = peer.next_deadline();
         if next < Time::MAX && next != p.planned {
             p.planned = next;
             let wait = ((next - now).max(1) as f64 / p.rate).ceil() as Time;
@@ -970,7 +1000,7 @@
         let Some((from, root)) = self.all[who]
             .peer
             .as_ref()
-            .map(|p| (p.setup().me.clone(), p.root()))
+            .map(|p| (p.setup().node.clone(), p.leader()))
         else {
             return;
         };
@@ -986,7 +1016,9 @@
         for command in out {
             let (to, body) = match command {
                 Command::Send { to, body } => (place(to), body),
-                Command::Seat { to, bytes } => ((to & !WIDE) as usize - 1, Body::Seats(bytes)),
+                Command::SendToVoter { to, bytes } => {
+                    ((to & !WIDE) as usize - 1, MessageBody::Consensus(bytes))
+                }
                 other => {
                     self.scopes_told(who, &other);
                     self.told_of(who, &other);
@@ -1003,7 +1035,8 @@
                 .iter_mut()
                 .for_each(|s| s.letter(who, &body, bytes));
             self.sent_seat += u64::from(to < self.play.seats || who < self.play.seats);
-            let old = self.play.plant == Some(Plant::OldReply) && matches!(body, Body::Scopes(_));
+            let old = self.play.plant == Some(Plant::OldReply)
+                && matches!(body, MessageBody::SubscribeReply(_));
             let late = if old { LATE } else { 0 };
             for at in self.net.carry(&mut self.rng, self.now + late, who, to) {
                 let letter = Box::new((from.clone(), root, body.clone()));
@@ -1040,28 +1073,31 @@
         let Some((_, agreed, _)) = &self.agreed else {
             return;
         };
-        let (force, step) = (&agreed.force, agreed.step);
+        let (force, step) = (&agreed.in_force, agreed.revision);
         let Some((known, right)) = p.acting(self.now) else {
             return;
         };
-        if right == Right::Whole && known.step > step {
-            let told = format!("acts on step {}, agreed is {}", known.step.0, step.0);
+        if right == Right::Whole && known.revision > step {
+            let told = format!("acts on step {}, agreed is {}", known.revision.0, step.0);
             return self.broken(who, told);
         }
         // The same step against the same version was judged before.
-        if !self.judged.insert((known.step.0, force.version.0, right)) {
+        if !self
+            .judged
+            .insert((known.revision.0, force.version.0, right))
+        {
             return;
         }
-        let rules: Rules = match right {
+        let rules: EffectiveRules = match right {
             Right::Whole => known.rules(&self.schema),
-            Right::Apart => apart(&self.schema, known.rules(&self.schema)),
-            Right::Lapsed => lapsed(&self.schema, &known.force.fields),
+            Right::Apart => rules_without_lease(&self.schema, known.rules(&self.schema)),
+            Right::Lapsed => rules_after_expiry(&self.schema, &known.in_force.fields),
         };
         let wrong = contradictions(&self.schema, &force.fields, &rules);
         if let Some((path, _)) = wrong.first() {
             let told = format!(
                 "{right:?} at step {}: {path} against version {}",
-                known.step.0, force.version.0
+                known.revision.0, force.version.0
             );
             self.broken(who, told);
         }
@@ -1079,11 +1115,14 @@
             let p = &self.all[who];
             let behind = match p.acting(self.now) {
                 Some((s, Right::Whole))
-                    if self.agreed.as_ref().is_some_and(|a| a.1.step == s.step) =>
+                    if self
+                        .agreed
+                        .as_ref()
+                        .is_some_and(|a| a.1.revision == s.revision) =>
                 {
                     None
                 }
-                Some((s, Right::Whole)) => Some(format!("still acts on step {}", s.step.0)),
+                Some((s, Right::Whole)) => Some(format!("still acts on step {}", s.revision.0)),
                 // One that fell out for a moment, by messages lost in a row, is not one that found no way back.
                 _ if self.now - p.live < 2 * SECOND => None,
                 Some((_, Right::Lapsed)) | None => Some("holds no stay".into()),
@@ -1114,7 +1153,7 @@
 }
 
 /// A step that no log reaches: whoever hears of it asks at once.
-const NEVER: Step = Step(u64::MAX);
+const NEVER: Revision = Revision(u64::MAX);
 
 /// Many runs together.
 #[derive(Clone, Debug, Serialize)]
--- a/model/src/letter.rs
+++ b/model/src/letter.rs
@@ -1,17 +1,17 @@
 //! What a letter takes on a link, without writing it: the bytes of `protocol/fleet`'s message, not what carries it.
 
-use tansy_agreement::hold::Epoch;
+use tansy_agreement::compatibility::{Fields, Value};
+use tansy_agreement::endpoints::EndpointState;
 use tansy_agreement::lease::Member;
-use tansy_agreement::list::Standing;
-use tansy_agreement::log::{Settings, State};
-use tansy_agreement::member::Message;
-use tansy_agreement::rule::{Fields, Value};
-use tansy_agreement::scope::{Delta, Scoped, Standing as Stands};
-use tansy_fleet_node::{Body, Root};
-use tansy_membership::Name;
+use tansy_agreement::lease_tree::LeaseMessage;
+use tansy_agreement::log::{FleetState, VersionedSettings};
+use tansy_agreement::scope::{ScopePhase as Stands, ScopeRecord, StateDelta};
+use tansy_agreement::subscription::ResyncEpoch;
+use tansy_fleet_node::{Leader, MessageBody};
+use tansy_membership::NodeId;
 
 /// Bytes of a letter. `tests/letter.rs` holds it against the letters themselves.
-pub fn size(from: &Name, root: Root, body: &Body) -> usize {
+pub fn size(from: &NodeId, root: Leader, body: &MessageBody) -> usize {
     let address = match from.address {
         std::net::SocketAddr::V4(at) => {
             let digits = |n: u16| 1 + n.checked_ilog10().unwrap_or(0) as usize;
@@ -71,66 +71,83 @@
     part(fixed(m.id) + number(m.incarnation))
 }
 
-fn body_size(body: &Body) -> usize {
+fn body_size(body: &MessageBody) -> usize {
     // From the 16th field on its number takes two bytes.
     match body {
-        Body::Members(bytes) => part(bytes.len()),
-        Body::Lease(Message::Ask(a)) => {
-            part(member(a.from) + number(a.seq) + number(a.at.0) + number(a.has.0) + flag(a.deltas))
-        }
-        Body::Lease(Message::Grant(g)) => {
+        MessageBody::Gossip(bytes) => part(bytes.len()),
+        MessageBody::Lease(LeaseMessage::Request(a)) => part(
+            member(a.from)
+                + number(a.seq)
+                + number(a.acknowledged.0)
+                + number(a.known.0)
+                + flag(a.accepts_deltas),
+        ),
+        MessageBody::Lease(LeaseMessage::Grant(g)) => {
             let state = g.state.as_ref().map_or(0, |s| part(state(s)));
             let delta = g.delta.as_ref().map_or(0, |d| part(delta(d)));
             part(
                 member(g.to)
                     + number(g.seq)
                     + number(g.span as u64)
-                    + number(g.step.0)
+                    + number(g.revision.0)
                     + state
                     + delta,
             )
         }
-        Body::Lease(Message::Step(s)) => 1 + digits(s.0),
-        Body::Lease(Message::Reached { from, at }) => part(member(*from) + number(at.0)),
-        Body::AskStay(a, name, digest) => {
-            let told = text(name.len()) + fixed(*digest) + flag(a.scopes);
-            part(member(a.from) + number(a.seq) + number(a.at.0) + told)
+        MessageBody::Lease(LeaseMessage::Revision(s)) => 1 + digits(s.0),
+        MessageBody::Lease(LeaseMessage::Acknowledge { from, revision: at }) => {
+            part(member(*from) + number(at.0))
+        }
+        MessageBody::SessionRequest(a, name, digest) => {
+            let told = text(name.len()) + fixed(*digest) + flag(a.supports_scopes);
+            part(member(a.from) + number(a.seq) + number(a.revision.0) + told)
+        }
+        MessageBody::SessionGrant(g) => {
+            1 + part(member(g.to) + number(g.seq) + number(g.span as u64))
         }
-        Body::Stay(g) => 1 + part(member(g.to) + number(g.seq) + number(g.span as u64)),
-        Body::Gone(m) => 1 + part(fixed(m.id) + number(m.incarnation)),
-        Body::Leaving(lines, back) => {
-            let leaves = lines.iter().filter(|l| l.standing != Standing::Ready);
-            let line = |l: &tansy_agreement::list::Line| {
-                let gone = flag(l.standing == Standing::Gone);
+        MessageBody::Departed(m) => 1 + part(fixed(m.id) + number(m.incarnation)),
+        MessageBody::Drains(lines, back) => {
+            let leaves = lines.iter().filter(|l| l.state != EndpointState::Ready);
+            let line = |l: &tansy_agreement::endpoints::EndpointRecord| {
+                let gone = flag(l.state == EndpointState::Gone);
                 part(
-                    text(l.worker.name.len())
-                        + text(l.worker.address.len())
+                    text(l.endpoint.name.len())
+                        + text(l.endpoint.address.len())
                         + number(l.incarnation)
                         + gone,
                 )
             };
             1 + part(leaves.map(line).sum::<usize>() + flag(*back))
         }
-        Body::Digest(_) => 2 + 8,
-        Body::Seats(bytes) => 1 + part(bytes.len()),
-        Body::Want(w) => {
+        MessageBody::DrainDigest(_) => 2 + 8,
+        MessageBody::Consensus(bytes) => 1 + part(bytes.len()),
+        MessageBody::Subscribe(w) => {
             let names: usize = w.scopes.iter().map(|s| part(s.len())).sum();
-            let numbers =
-                packed(w.drops.len()) + w.all.as_ref().map_or(0, |a| part(packed(a.len())));
+            let numbers = packed(w.unsubscribed.len())
+                + w.full_list.as_ref().map_or(0, |a| part(packed(a.len())));
             1 + part(
-                member(w.from) + epoch(w.epoch) + number(w.seq) + number(w.at.0) + names + numbers,
+                member(w.from)
+                    + epoch(w.epoch)
+                    + number(w.seq)
+                    + number(w.revision.0)
+                    + names
+                    + numbers,
             )
         }
-        Body::Scopes(r) => {
-            let named = |(name, s): &(String, Option<Scoped>)| {
+        MessageBody::SubscribeReply(r) => {
+            let named = |(name, s): &(String, Option<ScopeRecord>)| {
                 part(text(name.len()) + s.as_ref().map_or(0, |s| part(scoped(s))))
             };
             let names: usize = r.scopes.iter().map(named).sum();
             1 + part(
-                member(r.to) + epoch(r.epoch) + number(r.seq.unwrap_or(0)) + number(r.at.0) + names,
+                member(r.to)
+                    + epoch(r.epoch)
+                    + number(r.seq.unwrap_or(0))
+                    + number(r.revision.0)
+                    + names,
             )
         }
-        Body::Head => 2 + 1,
+        MessageBody::HeaderOnly => 2 + 1,
     }
 }
 
@@ -147,18 +164,18 @@
     text(8 * n)
 }
 
-fn epoch(e: Epoch) -> usize {
+fn epoch(e: ResyncEpoch) -> usize {
     part(number(e.term) + number(e.count))
 }
 
-fn scoped(s: &Scoped) -> usize {
+fn scoped(s: &ScopeRecord) -> usize {
     let next = s
         .next()
         .and_then(Option::as_ref)
         .map_or(0, |f| part(fields(f)));
     let (moves, since) = (
-        flag(s.standing != Stands::Settled),
-        s.standing.since().map_or(0, |s| s.0),
+        flag(s.phase != Stands::Settled),
+        s.phase.since().map_or(0, |s| s.0),
     );
     number(s.revision.0)
         + s.fields.as_ref().map_or(0, |f| part(fields(f)))
@@ -167,29 +184,29 @@
         + number(since)
 }
 
-fn delta(d: &Delta) -> usize {
-    let one = |m: &tansy_agreement::scope::Move| {
-        part(number(m.step.0) + text(m.scope.len()) + part(scoped(&m.to)))
+fn delta(d: &StateDelta) -> usize {
+    let one = |m: &tansy_agreement::scope::ScopeChange| {
+        part(number(m.revision.0) + text(m.scope.len()) + part(scoped(&m.record)))
     };
-    number(d.from.0) + number(d.to.0) + d.moves.iter().map(|m| one(m)).sum::<usize>()
+    number(d.from.0) + number(d.to.0) + d.changes.iter().map(|m| one(m)).sum::<usize>()
 }
 
-fn state(s: &State) -> usize {
+fn state(s: &FleetState) -> usize {
     let next = s.next.as_ref().map_or(0, |(n, _)| part(settings(n)) + 2);
-    let trial = s.trial.as_ref().map_or(0, |t| {
-        part(fields(&t.fields) + t.names.iter().map(|n| part(n.len())).sum::<usize>())
+    let trial = s.canary.as_ref().map_or(0, |t| {
+        part(fields(&t.fields) + t.members.iter().map(|n| part(n.len())).sum::<usize>())
     });
-    let versions = if s.versions_at == s.step {
+    let versions = if s.versions_revision == s.revision {
         0
     } else {
-        number(s.versions_at.0)
+        number(s.versions_revision.0)
     };
     let scopes = s.scopes_since.map_or(0, |s| number(s.0));
-    number(s.step.0) + part(settings(&s.force)) + next + trial + versions + scopes
+    number(s.revision.0) + part(settings(&s.in_force)) + next + trial + versions + scopes
 }
 
-fn settings(s: &Settings) -> usize {
-    number(s.version.0) + fields(&s.fields) + text(s.why.len()) + fixed(s.id)
+fn settings(s: &VersionedSettings) -> usize {
+    number(s.version.0) + fields(&s.fields) + text(s.reason.len()) + fixed(s.id)
 }
 
 fn fields(all: &Fields) -> usize {
--- a/model/src/roll.rs
+++ b/model/src/roll.rs
@@ -10,8 +10,11 @@
 use rand_distr::{Binomial, Distribution, LogNormal, Normal};
 use serde::Serialize;
 use std::collections::BTreeMap;
-use tansy_canary::{Report, Tally};
-use tansy_rollout::{Entry, Front, Phase, Place, Plan, Roll, Steer, Undecided, What, SECOND};
+use tansy_canary::{FrontEndReport, RequestCounters};
+use tansy_rollout::{
+    FrontEndObservation, InconclusivePolicy, Rollout, RolloutChange, RolloutController,
+    RolloutEntry, RolloutPhase, RolloutPlan, Target, SECOND,
+};
 
 /// What the change does to a front end that runs it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
@@ -124,12 +127,12 @@
     since: i64,
     incarnation: u64,
     memory: f64,
-    tallies: BTreeMap<String, Tally>,
+    tallies: BTreeMap<String, RequestCounters>,
 }
 
 /// The plan of a play: one front end of each zone, then a tenth, a third, all.
-pub fn plan(play: &Play) -> Plan {
-    let place = |n: usize| Place {
+pub fn plan(play: &Play) -> RolloutPlan {
+    let place = |n: usize| Target {
         name: format!("f{n}"),
         zone: format!("z{}", n % play.zones),
         seat: n < 3,
@@ -137,17 +140,17 @@
     let ends = [play.zones, play.fronts / 5, play.fronts / 2, play.fronts];
     let mut from = 0;
     let stages = ends.into_iter().filter_map(|to| {
-        let stage: Vec<Place> = (from..to.max(from)).map(place).collect();
+        let stage: Vec<Target> = (from..to.max(from)).map(place).collect();
         from = to.max(from);
         (!stage.is_empty()).then_some(stage)
     });
-    Plan {
+    RolloutPlan {
         stages: stages.collect(),
         least: play.least,
         longest: play.longest,
-        undecided: Undecided::Pass,
+        undecided: InconclusivePolicy::Pass,
         spend: 0.5,
-        ..Plan::default()
+        ..RolloutPlan::default()
     }
 }
 
@@ -170,14 +173,14 @@
             memory: 20.0,
             tallies: CLASSES
                 .iter()
-                .map(|c| (c.to_string(), Tally::default()))
+                .map(|c| (c.to_string(), RequestCounters::default()))
                 .collect(),
         })
         .collect();
     let mut weather = vec![0.0_f64; play.zones];
-    let mut roll = Roll::begin(
+    let mut roll = Rollout::begin(
         1,
-        What::Program {
+        RolloutChange::Program {
             label: "new".into(),
             path: "new".into(),
         },
@@ -185,7 +188,7 @@
         "a play".into(),
     )
     .expect("a plan");
-    let mut steer = Steer::new("s".into());
+    let mut steer = RolloutController::new("s".into());
     let mut out = Outcome::default();
     let mut plain = Plain::default();
     let (mut judged, mut seconds) = (None, 0);
@@ -224,7 +227,9 @@
                 f.away -= 1;
                 if f.away == 0 {
                     (f.since, f.incarnation) = (now, f.incarnation + 1);
-                    f.tallies.values_mut().for_each(|t| *t = Tally::default());
+                    f.tallies
+                        .values_mut()
+                        .for_each(|t| *t = RequestCounters::default());
                 }
                 continue;
             }
@@ -265,8 +270,8 @@
                 let lost = binomial(&mut rng, n - turned, loss);
                 let served = n - turned - lost;
                 let t = f.tallies.get_mut(*class).expect("a class");
-                (t.asked, t.served, t.refused) =
-                    (t.asked + n, t.served + served, t.refused + turned);
+                (t.requested, t.served, t.rejected) =
+                    (t.requested + n, t.served + served, t.rejected + turned);
                 (t.failed, t.wanted, t.worth) = (
                     t.failed + lost,
                     t.wanted + n as f64,
@@ -287,11 +292,11 @@
                 out.exposed += if f.new { n as f64 } else { 0.0 };
             }
         }
-        let fronts: Vec<Front> = all
+        let fronts: Vec<FrontEndObservation> = all
             .iter()
-            .map(|f| Front {
+            .map(|f| FrontEndObservation {
                 ready: f.away == 0,
-                report: Report {
+                report: FrontEndReport {
                     name: f.name.clone(),
                     zone: format!("z{}", f.zone),
                     new: f.new,
@@ -305,7 +310,7 @@
             .collect();
         // Several entries may follow each other in a second.
         for _ in 0..4 {
-            let Some(mut entry) = steer.look(now * SECOND, &roll, &fronts) else {
+            let Some(mut entry) = steer.poll(now * SECOND, &roll, &fronts) else {
                 break;
             };
             if play.rule != Rule::Verdict {
@@ -314,25 +319,25 @@
                 };
                 entry = other;
             }
-            if let Entry::Let { name, .. } = &entry {
+            if let RolloutEntry::Let { name, .. } = &entry {
                 if let Some(f) = all.iter_mut().find(|f| f.name == *name) {
-                    (f.new, f.away) = (roll.phase != Phase::Back, 3);
+                    (f.new, f.away) = (roll.phase != RolloutPhase::Back, 3);
                 }
             }
             let _ = roll.apply(entry);
         }
-        if roll.phase == Phase::Judging && judged.is_none() {
+        if roll.phase == RolloutPhase::Judging && judged.is_none() {
             judged = Some(now);
         }
-        if roll.phase == Phase::Back {
+        if roll.phase == RolloutPhase::Back {
             break;
         }
     }
     out.stage = roll.stage + 1;
     out.seconds = seconds;
     out.end = match roll.phase {
-        Phase::Done => "done",
-        Phase::Back | Phase::Stopped => "stopped",
+        RolloutPhase::Done => "done",
+        RolloutPhase::Back | RolloutPhase::Stopped => "stopped",
         _ => "undecided",
     }
     .into();
@@ -361,18 +366,18 @@
     fn entry(
         &mut self,
         play: &Play,
-        roll: &Roll,
-        fronts: &[Front],
+        roll: &Rollout,
+        fronts: &[FrontEndObservation],
         now: i64,
-        entry: Entry,
-    ) -> Option<Entry> {
-        let total = |r: &Report| {
+        entry: RolloutEntry,
+    ) -> Option<RolloutEntry> {
+        let total = |r: &FrontEndReport| {
             r.classes
                 .values()
                 .fold((0.0, 0.0), |(a, b), t| (a + t.worth, b + t.wanted))
         };
         if self.before.is_none() {
-            if let Entry::Let { .. } = entry {
+            if let RolloutEntry::Let { .. } = entry {
                 let all = fronts
                     .iter()
                     .map(|f| total(&f.report))
@@ -380,7 +385,7 @@
                 self.before = Some(1.0 - all.0 / all.1.max(1.0));
             }
         }
-        if roll.phase != Phase::Judging {
+        if roll.phase != RolloutPhase::Judging {
             return Some(entry);
         }
         if self.stage.is_none_or(|s| s.0 != roll.stage) {
@@ -393,7 +398,7 @@
         let since = self.stage.map_or(now, |s| s.1);
         let (at, fence) = (roll.at, roll.fence);
         if now - since < play.least as i64 {
-            return matches!(entry, Entry::Beat { .. }).then_some(entry);
+            return matches!(entry, RolloutEntry::Beat { .. }).then_some(entry);
         }
         let loss = |new: bool| {
             let of = fronts.iter().filter(|f| f.report.new == new).map(|f| {
@@ -413,9 +418,9 @@
         };
         let why = "the plain rule".to_string();
         Some(if over {
-            Entry::Worse { at, fence, why }
+            RolloutEntry::Worse { at, fence, why }
         } else {
-            Entry::Pass { at, fence, why }
+            RolloutEntry::Pass { at, fence, why }
         })
     }
 }
--- a/model/src/scope.rs
+++ b/model/src/scope.rs
@@ -7,15 +7,16 @@
 use crate::agree::{Event, Plant, Run};
 use crate::fault::{Time, SECOND};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use tansy_agreement::hold::{Epoch, Want, IDLE};
+use tansy_agreement::compatibility::{contradictions, EffectiveRules, Fields, Schema, Value};
 use tansy_agreement::lease::Member;
-use tansy_agreement::log::{Applied, Entry, Log, Step};
-use tansy_agreement::rule::{contradictions, Fields, Rules, Schema, Value};
+use tansy_agreement::log::{ApplyOutcome, Log, LogEntry, Revision};
 use tansy_agreement::scope::{
-    full, Acts, Catalog, Move, ScopeChange, ScopeRequest, Scoped, Standing,
+    qualified_fields, EffectiveSettings, ScopeCatalog, ScopeChange, ScopePhase, ScopeRecord,
+    ScopeTransaction, ScopeUpdate,
 };
-use tansy_fleet_node::{Body, Command, Note, Peer, Root};
-use tansy_membership::Name;
+use tansy_agreement::subscription::{ResyncEpoch, SubscribeRequest, IDLE_TIMEOUT};
+use tansy_fleet_node::{Command, FleetEvent, FleetNode, Leader, MessageBody};
+use tansy_membership::NodeId;
 
 /// Calls a front end makes in a second.
 const CALLS: i64 = 3;
@@ -25,8 +26,8 @@
 /// A scope as it is agreed on, and what may be acted on under a lease.
 #[derive(Default)]
 struct Stood {
-    to: Scoped,
-    may: Vec<Acts>,
+    to: ScopeRecord,
+    may: Vec<EffectiveSettings>,
 }
 
 /// What a front end was judged by last.
@@ -39,25 +40,25 @@
     called: Vec<BTreeSet<usize>>,
     all: BTreeMap<String, Stood>,
     unsettled: BTreeSet<String>,
-    step: Step,
+    step: Revision,
     /// Counts up with each move and settling.
     round: u64,
     judged: Vec<Option<Judged>>,
     /// By the number of entries.
-    catalogs: BTreeMap<u64, Catalog>,
+    catalogs: BTreeMap<u64, ScopeCatalog>,
     /// Whether the catalogs of seats are held against each other, and changes have to end.
     compares: bool,
-    asked: BTreeMap<u64, ScopeRequest>,
+    asked: BTreeMap<u64, ScopeTransaction>,
     /// Requests that were answered well, with their step.
-    taken: BTreeMap<u64, Step>,
+    taken: BTreeMap<u64, Revision>,
     /// Changes that went joint, by scope and the number that stands in their fields.
-    joint: BTreeSet<(String, Option<i64>, Step)>,
+    joint: BTreeSet<(String, Option<i64>, Revision)>,
     pub(crate) in_force: u64,
     pub(crate) back: u64,
     /// Moves that the model has not looked at yet: step, number of the change, in force or back.
-    pub(crate) ends: Vec<(Step, Option<i64>, bool)>,
+    pub(crate) ends: Vec<(Revision, Option<i64>, bool)>,
     /// Changes that came in force in these steps, but not everywhere yet, and one that was found behind.
-    waiting: VecDeque<(Step, usize)>,
+    waiting: VecDeque<(Revision, usize)>,
     lags: usize,
     /// Drops that the root heard, by front end; for a mistake.
     drops: BTreeMap<Member, BTreeSet<u64>>,
@@ -91,7 +92,7 @@
             called: vec![BTreeSet::new(); fronts],
             all: BTreeMap::new(),
             unsettled: BTreeSet::new(),
-            step: Step(0),
+            step: Revision(0),
             round: 0,
             judged: vec![None; fronts],
             catalogs: BTreeMap::new(),
@@ -126,7 +127,7 @@
     }
 
     /// A scope's name, and how it stands.
-    pub(crate) fn known(&self, n: usize) -> Option<(String, Scoped)> {
+    pub(crate) fn known(&self, n: usize) -> Option<(String, ScopeRecord)> {
         let name = self.names.get(n)?;
         Some((
             name.clone(),
@@ -180,21 +181,24 @@
     fn moved(&mut self, log: &Log, schema: &Schema) -> (bool, Vec<String>) {
         let (mut wrong, before) = (Vec::new(), self.round);
         let state = log.state();
-        let Some(moves) = state.moves.since(self.step) else {
+        let Some(moves) = state.history.since(self.step) else {
             wrong.push(format!("has forgotten moves since step {}", self.step.0));
             return (false, wrong);
         };
         for m in moves {
             let stood = self.all.entry(m.scope.clone()).or_default();
-            let was = std::mem::replace(&mut stood.to, m.to.clone());
-            stood.may = vec![was.acts(schema, &m.scope), m.to.acts(schema, &m.scope)];
+            let was = std::mem::replace(&mut stood.to, m.record.clone());
+            stood.may = vec![
+                was.effective(schema, &m.scope),
+                m.record.effective(schema, &m.scope),
+            ];
             self.round += 1;
             self.unsettled.insert(m.scope.clone());
             let open = was.next().cloned();
-            match &m.to.standing {
-                Standing::Joint { next, since } => {
+            match &m.record.phase {
+                ScopePhase::Joint { next, since } => {
                     let number = mark(next);
-                    if open.is_some() || was.fields != m.to.fields {
+                    if open.is_some() || was.fields != m.record.fields {
                         wrong.push(format!(
                             "{} went joint in step {} out of turn",
                             m.scope, since.0
@@ -209,35 +213,35 @@
                     }
                     self.joint.insert((m.scope.clone(), number, *since));
                 }
-                Standing::Settling { .. } => {
-                    if open.as_ref() != Some(&m.to.fields) {
+                ScopePhase::Settling { .. } => {
+                    if open.as_ref() != Some(&m.record.fields) {
                         wrong.push(format!(
                             "{} came in force in step {} not from a change",
-                            m.scope, m.step.0
+                            m.scope, m.revision.0
                         ));
                     }
                     self.in_force += 1;
-                    self.ends.push((m.step, mark(&m.to.fields), true));
+                    self.ends.push((m.revision, mark(&m.record.fields), true));
                 }
-                Standing::Back { .. } => {
-                    if open.is_none() || was.fields != m.to.fields {
+                ScopePhase::Reverting { .. } => {
+                    if open.is_none() || was.fields != m.record.fields {
                         wrong.push(format!(
                             "{} went back in step {} not from a change",
-                            m.scope, m.step.0
+                            m.scope, m.revision.0
                         ));
                     }
                     self.back += 1;
                     self.ends
-                        .push((m.step, open.as_ref().and_then(mark), false));
+                        .push((m.revision, open.as_ref().and_then(mark), false));
                 }
-                Standing::Settled => wrong.push(format!("{} moved to settled", m.scope)),
+                ScopePhase::Settled => wrong.push(format!("{} moved to settled", m.scope)),
             }
         }
-        self.step = state.step;
+        self.step = state.revision;
         let over = |name: &String| {
             log.catalog()
                 .get(name)
-                .is_none_or(|s| s.standing == Standing::Settled)
+                .is_none_or(|s| s.phase == ScopePhase::Settled)
         };
         let settled: Vec<String> = self.unsettled.iter().filter(|n| over(n)).cloned().collect();
         for name in settled {
@@ -250,17 +254,23 @@
             if there.fields != stood.to.fields {
                 wrong.push(format!("{name} is settled as what it was not"));
             }
-            stood.may = vec![there.acts(schema, &name)];
+            stood.may = vec![there.effective(schema, &name)];
             stood.to = there;
         }
         (self.round > before, wrong)
     }
 
     /// What is wrong with what a front end acts on.
-    fn wrong(&self, schema: &Schema, scope: &str, acts: &Acts, lease: bool) -> Option<String> {
+    fn wrong(
+        &self,
+        schema: &Schema,
+        scope: &str,
+        acts: &EffectiveSettings,
+        lease: bool,
+    ) -> Option<String> {
         let none = Stood {
-            to: Scoped::default(),
-            may: vec![Acts::default()],
+            to: ScopeRecord::default(),
+            may: vec![EffectiveSettings::default()],
         };
         let stood = self.all.get(scope).unwrap_or(&none);
         let told = |why: &str| {
@@ -272,13 +282,16 @@
         if lease && !stood.may.contains(acts) {
             return told("with a lease");
         }
-        if acts.refused {
+        if acts.rejected {
             return None;
         }
         match (&stood.to.fields, &acts.fields) {
             (Some(force), Some(mine)) => {
-                let wrong =
-                    contradictions(schema, &full(scope, force), &Rules::of(&full(scope, mine)));
+                let wrong = contradictions(
+                    schema,
+                    &qualified_fields(scope, force),
+                    &EffectiveRules::from_fields(&qualified_fields(scope, mine)),
+                );
                 wrong.first().and_then(|(path, _)| told(path))
             }
             (None, None) => None,
@@ -291,12 +304,12 @@
         let open = log
             .catalog()
             .open()
-            .map(|(name, s)| format!("has {name} never ended: {:?}", s.standing));
-        let lost = |(id, step): (&u64, &Step)| match log.catalog().requested(*id) {
+            .map(|(name, s)| format!("has {name} never ended: {:?}", s.phase));
+        let lost = |(id, step): (&u64, &Revision)| match log.catalog().transaction_result(*id) {
             None => Some(format!("lost request {id} of step {}", step.0)),
-            Some(r) if r.step != *step => Some(format!(
+            Some(r) if r.revision != *step => Some(format!(
                 "has request {id} in step {}, was {}",
-                r.step.0, step.0
+                r.revision.0, step.0
             )),
             Some(r) if r.joint > 0 => Some(format!("has request {id} open still")),
             Some(_) => None,
@@ -338,9 +351,9 @@
         let name = s.calls(who, scope);
         self.act(who, |p, now, out| {
             if !forget {
-                p.called(now, &name, out);
-            } else if p.acts(now, &name).is_some() {
-                p.called(now - IDLE, &name, out);
+                p.admit(now, &name, out);
+            } else if p.effective_settings(now, &name).is_some() {
+                p.admit(now - IDLE_TIMEOUT, &name, out);
             }
         });
     }
@@ -363,18 +376,18 @@
                     let lanes = (s.rng.u32(0..3) > 0).then(|| s.rng.i64(2..20));
                     let next = fields(class, lanes, (id * 4) as i64 + n as i64);
                     let stale = s.rng.u32(0..20) == 0;
-                    let base = if stale { Step(1) } else { known.revision };
-                    ScopeChange {
+                    let base = if stale { Revision(1) } else { known.revision };
+                    ScopeUpdate {
                         scope,
                         base,
                         fields: (!gone).then_some(next),
                     }
                 });
                 let changes = changes.collect();
-                ScopeRequest {
+                ScopeTransaction {
                     id,
-                    changes,
-                    why: "a change".into(),
+                    updates: changes,
+                    reason: "a change".into(),
                 }
             });
         let id = request.id;
@@ -382,8 +395,8 @@
             let at = self.now + s.rng.i64(0..3 * SECOND);
             self.plan(at, Event::Change { again: Some(id) });
         }
-        let entry = Entry::Change {
-            requests: vec![request],
+        let entry = LogEntry::UpdateScopes {
+            transactions: vec![request],
         };
         self.act(root, |p, now, out| p.request(now, id, entry, out));
     }
@@ -392,9 +405,13 @@
     pub(crate) fn scopes_told(&mut self, who: usize, command: &Command) {
         match (command, &mut self.scopes) {
             (
-                Command::Answer {
+                Command::Respond {
                     request,
-                    outcome: Ok(Applied::Changed { step, refused }),
+                    outcome:
+                        Ok(ApplyOutcome::ScopesChanged {
+                            revision: step,
+                            rejected: refused,
+                        }),
                 },
                 Some(s),
             ) if refused.is_empty() && s.asked.contains_key(request) => {
@@ -404,7 +421,7 @@
                     self.broken(who, told);
                 }
             }
-            (Command::Note(Note::Leads { live: true }), Some(_))
+            (Command::Notify(FleetEvent::Leadership { live: true }), Some(_))
                 if self.play.plant == Some(Plant::NoneHold) =>
             {
                 self.none_hold(who);
@@ -425,60 +442,66 @@
             .map(|(m, _)| m)
             .collect();
         for member in roster.into_iter().filter(|m| m.id != who as u64 + 1) {
-            let from = Name::new(
+            let from = NodeId::new(
                 member.id,
                 member.incarnation,
                 crate::agree::address(member.id as usize - 1),
             );
-            let want = |epoch, seq| Want {
+            let want = |epoch, seq| SubscribeRequest {
                 from: member,
                 epoch,
                 seq,
-                at: Step(0),
+                revision: Revision(0),
                 scopes: Vec::new(),
-                drops: Vec::new(),
-                all: Some(Vec::new()),
+                unsubscribed: Vec::new(),
+                full_list: Some(Vec::new()),
             };
-            self.act(who, |p: &mut Peer, now, out| {
+            self.act(who, |p: &mut FleetNode, now, out| {
                 let mut answers = Vec::new();
-                p.hear(
+                p.on_message(
                     now,
                     &from,
-                    Root::default(),
-                    Body::Want(want(Epoch::default(), 1)),
+                    Leader::default(),
+                    MessageBody::Subscribe(want(ResyncEpoch::default(), 1)),
                     &mut answers,
                 );
                 let epoch = answers.iter().find_map(|c| match c {
                     Command::Send {
-                        body: Body::Scopes(r),
+                        body: MessageBody::SubscribeReply(r),
                         ..
                     } => Some(r.epoch),
                     _ => None,
                 });
                 if let Some(epoch) = epoch {
-                    p.hear(now, &from, Root::default(), Body::Want(want(epoch, 1)), out);
+                    p.on_message(
+                        now,
+                        &from,
+                        Leader::default(),
+                        MessageBody::Subscribe(want(epoch, 1)),
+                        out,
+                    );
                 }
             });
         }
     }
 
     /// A mistake: a change comes in force once every lease was out or renewed, whoever holds the scope.
-    pub(crate) fn carry_early(&mut self, scope: String, since: Step) {
+    pub(crate) fn carry_early(&mut self, scope: String, since: Revision) {
         let Some((root, _)) = self.root() else { return };
-        let entry = Entry::Carry {
-            force: vec![(scope, since)],
+        let entry = LogEntry::AdvanceScopes {
+            in_force: vec![(scope, since)],
             settled: Vec::new(),
         };
         self.act(root, |p, now, out| p.request(now, 0, entry, out));
     }
 
     /// A mistake: what was let go once is taken for let go with every later letter.
-    pub(crate) fn late_drops(&mut self, body: &mut Body) {
-        if let (Body::Want(w), Some(s)) = (body, &mut self.scopes) {
+    pub(crate) fn late_drops(&mut self, body: &mut MessageBody) {
+        if let (MessageBody::Subscribe(w), Some(s)) = (body, &mut self.scopes) {
             let known = s.drops.entry(w.from).or_default();
             let before: Vec<u64> = known.iter().copied().collect();
-            known.extend(w.drops.iter().copied());
-            w.drops.extend(before);
+            known.extend(w.unsubscribed.iter().copied());
+            w.unsubscribed.extend(before);
         }
     }
 
@@ -517,7 +540,7 @@
         let log = self.all[who]
             .peer
             .as_ref()
-            .and_then(Peer::agreed)
+            .and_then(FleetNode::agreed)
             .map(|a| a.1);
         if let Some(told) = log.and_then(|log| s.compare(applied, log)) {
             self.broken(who, told);
@@ -529,21 +552,22 @@
         let Some(s) = self.scopes.as_mut() else {
             return false;
         };
-        let Some((_, log)) = self.all[who].peer.as_ref().and_then(Peer::agreed) else {
+        let Some((_, log)) = self.all[who].peer.as_ref().and_then(FleetNode::agreed) else {
             return false;
         };
         let before = s.step;
         let (moved, wrong) = s.moved(log, &self.schema);
-        let joint = |m: &&std::sync::Arc<Move>| matches!(m.to.standing, Standing::Joint { .. });
+        let joint =
+            |m: &&std::sync::Arc<ScopeChange>| matches!(m.record.phase, ScopePhase::Joint { .. });
         let early = self.play.plant == Some(Plant::NoHolders);
         let new = log
             .state()
-            .moves
+            .history
             .since(before)
             .into_iter()
             .flatten()
             .filter(|m| early && joint(m));
-        let new: Vec<(String, Step)> = new.map(|m| (m.scope.clone(), m.step)).collect();
+        let new: Vec<(String, Revision)> = new.map(|m| (m.scope.clone(), m.revision)).collect();
         for (scope, since) in new {
             // By then no lease is for an earlier step.
             let at = self.now + 3 * self.play.terms.span;
@@ -560,15 +584,15 @@
             return;
         };
         let now = p.local(self.now);
-        let acting = peer.acting(now);
-        let (lease, stay) = (acting.lease > 0, acting.stay > 0);
+        let acting = peer.active_state(now);
+        let (lease, stay) = (acting.lease > 0, acting.session > 0);
         let key = (s.round, p.incarnation, peer.scopes_changed(), lease, stay);
         if s.judged[who].replace(key) == Some(key) {
             return;
         }
         let acts = s.called[who]
             .iter()
-            .filter_map(|n| Some((&s.names[*n], peer.acts(now, &s.names[*n])?)));
+            .filter_map(|n| Some((&s.names[*n], peer.effective_settings(now, &s.names[*n])?)));
         let wrong = acts.filter_map(|(name, acts)| s.wrong(&self.schema, name, &acts, lease));
         let wrong: Vec<String> = wrong.take(1).collect();
         wrong.into_iter().for_each(|told| self.broken(who, told));
--- a/model/src/size.rs
+++ b/model/src/size.rs
@@ -15,12 +15,12 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
+use tansy_agreement::compatibility::Value;
 use tansy_agreement::lease::Member;
-use tansy_agreement::log::{Applied, Entry, Refused, Step, Version};
-use tansy_agreement::rule::Value;
-use tansy_agreement::scope::{ScopeChange, ScopeRequest};
-use tansy_fleet_node::{Body, Command, Directory, Note, Refusal};
-use tansy_membership::{Name, News};
+use tansy_agreement::log::{ApplyOutcome, EntryRejection, LogEntry, Revision, Version};
+use tansy_agreement::scope::{ScopeTransaction, ScopeUpdate};
+use tansy_fleet_node::{Command, Directory, FleetEvent, MessageBody, RequestRejection};
+use tansy_membership::{MembershipEvent, NodeId};
 
 /// Who plays.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
@@ -316,8 +316,8 @@
 
 /// The directories of the hollow tier: one for all that hear each other.
 pub(crate) struct Shared {
-    shown: Vec<Option<Name>>,
-    due: VecDeque<(Time, usize, Name, bool)>,
+    shown: Vec<Option<NodeId>>,
+    due: VecDeque<(Time, usize, NodeId, bool)>,
     sides: Vec<Arc<Directory>>,
     /// The cut as it is told of: none, or that of some time ago.
     split: bool,
@@ -335,7 +335,7 @@
     }
 
     /// A process began or ended. Of one that ended with a word the others hear as soon as of one that began.
-    pub(crate) fn news(&mut self, now: Time, who: usize, name: Name, up: bool, word: bool) {
+    pub(crate) fn news(&mut self, now: Time, who: usize, name: NodeId, up: bool, word: bool) {
         let due = now
             + if up || word {
                 SHOWN_AFTER
@@ -519,11 +519,11 @@
     }
 
     /// A letter was sent by, or came to, this front end.
-    pub(crate) fn letter(&mut self, who: usize, body: &Body, bytes: u64) {
+    pub(crate) fn letter(&mut self, who: usize, body: &MessageBody, bytes: u64) {
         let t = &mut self.traffic[who];
         t.messages += 1;
         t.bytes += bytes;
-        if matches!(body, Body::Members(_)) {
+        if matches!(body, MessageBody::Gossip(_)) {
             t.members += 1;
             t.members_bytes += bytes;
         }
@@ -602,31 +602,33 @@
         let now = self.now;
         let Some(scale) = &mut self.scale else { return };
         match command {
-            Command::Answer { request, outcome } if *request > 0 => {
+            Command::Respond { request, outcome } if *request > 0 => {
                 let n = *request as usize - 1;
                 let Some(want) = scale.wants.get_mut(n) else {
                     return;
                 };
                 let again = match outcome {
-                    Ok(Applied::Told(v) | Applied::Again(v)) => {
+                    Ok(ApplyOutcome::Announced(v) | ApplyOutcome::Duplicate(v)) => {
                         want.version = Some(*v);
                         scale.versions.insert(*v, n);
                         return;
                     }
-                    Ok(Applied::Changed { refused, .. }) if refused.is_empty() => {
+                    Ok(ApplyOutcome::ScopesChanged {
+                        rejected: refused, ..
+                    }) if refused.is_empty() => {
                         // It has no number of its own; that it was taken is all that is known.
                         want.version = Some(Version(0));
                         return;
                     }
                     Ok(_) => return,
                     Err(
-                        Refusal::Log(
-                            Refused::Busy { .. }
-                            | Refused::Base { .. }
-                            | Refused::ScopeBusy { .. }
-                            | Refused::ScopeBase { .. },
+                        RequestRejection::Log(
+                            EntryRejection::ChangeInProgress { .. }
+                            | EntryRejection::StaleBase { .. }
+                            | EntryRejection::ScopeChangeInProgress { .. }
+                            | EntryRejection::StaleScopeBase { .. },
                         )
-                        | Refusal::Busy,
+                        | RequestRejection::Busy,
                     ) => {
                         scale.refused += u64::from(want.version.is_none());
                         ASKED_AGAIN
@@ -638,7 +640,7 @@
                 let wait = again + self.rng.i64(0..ASKED_AGAIN);
                 self.plan(now + wait, Event::Size(Happens::Ask { want: n, tries }));
             }
-            Command::Note(Note::GivenUp { version, .. }) => {
+            Command::Notify(FleetEvent::ChangeAbandoned { version, .. }) => {
                 if let Some(n) = scale
                     .versions
                     .get(&Version(*version))
@@ -648,15 +650,15 @@
                         u64::from(!std::mem::replace(&mut scale.wants[*n].over, true));
                 }
             }
-            Command::Note(Note::Member(news)) if scale.steady.is_some() => match news {
-                News::Up(name) => {
+            Command::Notify(FleetEvent::Membership(news)) if scale.steady.is_some() => match news {
+                MembershipEvent::Up(name) => {
                     let born = (name.id & !WIDE) as usize - 1;
                     let (born, since) = (self.all[born].born, scale.steady.unwrap_or(0));
                     if born > since {
                         scale.up_known.push(((now - born) / 1000) as u64);
                     }
                 }
-                News::Down(name) => {
+                MembershipEvent::Down(name) => {
                     if let Some(at) = scale.ends.get(&name.id) {
                         scale.down_known.push(((now - at) / 1000) as u64);
                     }
@@ -752,7 +754,7 @@
         };
         let named: Vec<(usize, Member)> = ended
             .iter()
-            .filter_map(|n| Some((*n, self.all[*n].peer.as_ref()?.setup().me.member())))
+            .filter_map(|n| Some((*n, self.all[*n].peer.as_ref()?.setup().node.member())))
             .collect();
         let seats = ended.iter().filter(|n| **n < self.play.seats).count();
         let Some(scale) = &mut self.scale else { return };
@@ -863,7 +865,7 @@
             if shared.look(&self.net, now) {
                 for (who, p) in self.all.iter_mut().enumerate() {
                     if let Some(peer) = &mut p.peer {
-                        peer.told(shared.directory(&self.net, who));
+                        peer.update_members(shared.directory(&self.net, who));
                     }
                 }
             }
@@ -904,7 +906,7 @@
                 .iter()
                 .find_map(|p| p.peer.as_ref()?.log());
             if let Some(log) = leads {
-                let freed = scale.dead.extract_if(.., |d| !log.lists(d.1));
+                let freed = scale.dead.extract_if(.., |d| !log.has_member(d.1));
                 scale
                     .freed
                     .extend(freed.map(|d| ((now - d.2) / 1000) as u64));
@@ -948,17 +950,17 @@
         if !settled {
             return;
         }
-        let new = |scope| ScopeChange {
+        let new = |scope| ScopeUpdate {
             scope,
-            base: Step(0),
+            base: Revision(0),
             fields: Some(fields("chat", None, 0)),
         };
         let changes = missing.into_iter().map(new).collect();
-        let entry = Entry::Change {
-            requests: vec![ScopeRequest {
+        let entry = LogEntry::UpdateScopes {
+            transactions: vec![ScopeTransaction {
                 id,
-                changes,
-                why: "a beginning".into(),
+                updates: changes,
+                reason: "a beginning".into(),
             }],
         };
         if let Some((root, _)) = self.root() {
@@ -973,7 +975,7 @@
             let scope = s.skewed();
             let name = s.calls(who, scope);
             self.act(who, |p, now, out| {
-                p.called(now, &name, out);
+                p.admit(now, &name, out);
             });
         }
     }
@@ -1004,7 +1006,7 @@
     }
 
     /// The change of a single function that an operator asks for.
-    fn change_of(&self, n: usize, strict: bool) -> Option<ScopeRequest> {
+    fn change_of(&self, n: usize, strict: bool) -> Option<ScopeTransaction> {
         let s = self.scopes.as_ref()?;
         let (scope, known) = s.known(self.scale.as_ref()?.wants.get(n)?.scope?)?;
         let class = if strict {
@@ -1013,15 +1015,15 @@
             s.class(&scope)
         };
         let next = fields(&class, None, n as i64 + 1);
-        let changes = vec![ScopeChange {
+        let changes = vec![ScopeUpdate {
             scope,
             base: known.revision,
             fields: Some(next),
         }];
-        Some(ScopeRequest {
+        Some(ScopeTransaction {
             id: n as u64 + 1,
-            changes,
-            why: "a change".into(),
+            updates: changes,
+            reason: "a change".into(),
         })
     }
 
@@ -1071,7 +1073,7 @@
         let mut others: Vec<usize> = (seats..fronts).collect();
         self.rng.shuffle(&mut others);
         for who in others.drain(..size.dead.min(others.len())) {
-            let name = self.all[who].peer.as_ref().map(|p| p.setup().me.member());
+            let name = self.all[who].peer.as_ref().map(|p| p.setup().node.member());
             scale.dead.extend(name.map(|m| (who, m, now)));
             scale.gone.push(who);
             planned.push((now, Event::Stop { who }));
@@ -1138,32 +1140,32 @@
                 return;
             };
             let id = request.id;
-            let entry = Entry::Change {
-                requests: vec![request],
+            let entry = LogEntry::UpdateScopes {
+                transactions: vec![request],
             };
             return self.act(root, |p, now, out| p.request(now, id, entry, out));
         }
         let Some((root, state)) = self.root() else {
             return;
         };
-        let mut fields = state.force.fields.clone();
+        let mut fields = state.in_force.fields.clone();
         let (path, value) = match strict {
             true => ("classes.chat.group", Value::Text(format!("group-{n}"))),
             false => ("front.siblings", Value::Int(1000 + n as i64)),
         };
         fields.insert(path.into(), value);
         let (base, id) = (state.latest(), n as u64 + 1);
-        let entry = Entry::Propose {
+        let entry = LogEntry::Propose {
             id,
             base,
             fields,
-            why: "a change".into(),
+            reason: "a change".into(),
         };
         self.act(root, |p, now, out| p.request(now, id, entry, out));
     }
 
     pub(crate) fn ended(&mut self, who: usize, word: bool) {
-        let Some(name) = self.all[who].peer.as_ref().map(|p| p.setup().me.clone()) else {
+        let Some(name) = self.all[who].peer.as_ref().map(|p| p.setup().node.clone()) else {
             return;
         };
         if let Some(scale) = &mut self.scale {
@@ -1218,7 +1220,7 @@
             .all
             .iter()
             .filter_map(|p| p.peer.as_ref())
-            .map(|p| p.holds())
+            .map(|p| p.subscription_count())
             .sum();
         let over = scale.wants.iter().filter(|w| w.over).count() as u64;
         let in_force = (scale.plain.len() + scale.strict.len()) as u64;
--- a/model/tests/letter.rs
+++ b/model/tests/letter.rs
@@ -2,17 +2,19 @@
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
-use tansy_agreement::hold::{Epoch, Reply, Want};
-use tansy_agreement::lease::{Ask, Grant, Member};
-use tansy_agreement::list::{Line, Standing, Worker};
-use tansy_agreement::log::{Phase, Settings, State, Step, Trial, Version};
-use tansy_agreement::member::Message;
-use tansy_agreement::rule::{Fields, Value};
-use tansy_agreement::scope::{Delta, Move, Moves, Scoped, Standing as Stands};
-use tansy_agreement::stay;
-use tansy_fleet_node::{Body, Root};
-use tansy_fleet_wire::letter;
-use tansy_membership::Name;
+use tansy_agreement::compatibility::{Fields, Value};
+use tansy_agreement::endpoints::{Endpoint, EndpointRecord, EndpointState};
+use tansy_agreement::lease::{LeaseGrant, LeaseRequest, Member};
+use tansy_agreement::lease_tree::LeaseMessage;
+use tansy_agreement::log::{Canary, ChangePhase, FleetState, Revision, Version, VersionedSettings};
+use tansy_agreement::scope::{
+    ChangeHistory, ScopeChange, ScopePhase as Stands, ScopeRecord, StateDelta,
+};
+use tansy_agreement::session;
+use tansy_agreement::subscription::{ResyncEpoch, SubscribeReply, SubscribeRequest};
+use tansy_fleet_node::{Leader, MessageBody};
+use tansy_fleet_wire::encode_message;
+use tansy_membership::NodeId;
 use tansy_model::letter::size;
 
 /// Numbers of all lengths, nought among them.
@@ -61,182 +63,190 @@
         .collect()
 }
 
-fn settings(rng: &mut fastrand::Rng) -> Settings {
+fn settings(rng: &mut fastrand::Rng) -> VersionedSettings {
     let (version, fields, why) = (Version(number(rng)), fields(rng), text(rng));
-    Settings {
+    VersionedSettings {
         version,
         fields,
-        why,
+        reason: why,
         id: number(rng),
     }
 }
 
-fn state(rng: &mut fastrand::Rng) -> State {
+fn state(rng: &mut fastrand::Rng) -> FleetState {
     let names = |rng: &mut fastrand::Rng| {
         (0..rng.usize(0..5))
             .map(|_| text(rng))
             .collect::<BTreeSet<_>>()
     };
-    let step = Step(number(rng));
-    State {
-        step,
-        versions_at: if rng.bool() { step } else { Step(number(rng)) },
-        scopes_since: rng.bool().then(|| Step(number(rng))),
-        moves: Moves::after(step),
-        force: settings(rng),
-        next: rng.bool().then(|| (settings(rng), Phase::Joint)),
-        trial: rng.bool().then(|| {
-            Box::new(Trial {
+    let step = Revision(number(rng));
+    FleetState {
+        revision: step,
+        versions_revision: if rng.bool() {
+            step
+        } else {
+            Revision(number(rng))
+        },
+        scopes_since: rng.bool().then(|| Revision(number(rng))),
+        history: ChangeHistory::after(step),
+        in_force: settings(rng),
+        next: rng.bool().then(|| (settings(rng), ChangePhase::Joint)),
+        canary: rng.bool().then(|| {
+            Box::new(Canary {
                 fields: fields(rng),
-                names: names(rng),
+                members: names(rng),
             })
         }),
     }
 }
 
-fn scoped(rng: &mut fastrand::Rng) -> Scoped {
-    let (since, next) = (Step(number(rng)), rng.bool().then(|| fields(rng)));
+fn scoped(rng: &mut fastrand::Rng) -> ScopeRecord {
+    let (since, next) = (Revision(number(rng)), rng.bool().then(|| fields(rng)));
     let standing = match rng.u32(0..4) {
         0 => Stands::Settled,
         1 => Stands::Joint { next, since },
         2 => Stands::Settling { since },
-        _ => Stands::Back { since },
+        _ => Stands::Reverting { since },
     };
-    Scoped {
-        revision: Step(number(rng)),
+    ScopeRecord {
+        revision: Revision(number(rng)),
         fields: rng.bool().then(|| fields(rng)),
-        standing,
+        phase: standing,
     }
 }
 
-fn delta(rng: &mut fastrand::Rng) -> Delta {
+fn delta(rng: &mut fastrand::Rng) -> StateDelta {
     let one = |rng: &mut fastrand::Rng| {
-        Arc::new(Move {
-            step: Step(number(rng)),
+        Arc::new(ScopeChange {
+            revision: Revision(number(rng)),
             scope: text(rng),
-            to: scoped(rng),
+            record: scoped(rng),
         })
     };
-    let (from, to) = (Step(number(rng)), Step(number(rng)));
-    Delta {
+    let (from, to) = (Revision(number(rng)), Revision(number(rng)));
+    StateDelta {
         from,
         to,
-        moves: (0..rng.usize(0..4)).map(|_| one(rng)).collect(),
+        changes: (0..rng.usize(0..4)).map(|_| one(rng)).collect(),
     }
 }
 
-fn epoch(rng: &mut fastrand::Rng) -> Epoch {
-    Epoch {
+fn epoch(rng: &mut fastrand::Rng) -> ResyncEpoch {
+    ResyncEpoch {
         term: number(rng),
         count: number(rng),
     }
 }
 
-fn want(rng: &mut fastrand::Rng) -> Want {
+fn want(rng: &mut fastrand::Rng) -> SubscribeRequest {
     let numbers = |rng: &mut fastrand::Rng| {
         (0..rng.usize(0..20))
             .map(|_| number(rng))
             .collect::<Vec<_>>()
     };
-    let (from, epoch, seq, at) = (member(rng), epoch(rng), number(rng), Step(number(rng)));
+    let (from, epoch, seq, at) = (member(rng), epoch(rng), number(rng), Revision(number(rng)));
     let scopes = (0..rng.usize(0..5)).map(|_| text(rng)).collect();
-    Want {
+    SubscribeRequest {
         from,
         epoch,
         seq,
-        at,
+        revision: at,
         scopes,
-        drops: numbers(rng),
-        all: rng.bool().then(|| numbers(rng)),
+        unsubscribed: numbers(rng),
+        full_list: rng.bool().then(|| numbers(rng)),
     }
 }
 
-fn reply(rng: &mut fastrand::Rng) -> Reply {
-    let (to, epoch, at) = (member(rng), epoch(rng), Step(number(rng)));
+fn reply(rng: &mut fastrand::Rng) -> SubscribeReply {
+    let (to, epoch, at) = (member(rng), epoch(rng), Revision(number(rng)));
     let seq = rng.bool().then(|| 1 + (number(rng) >> 1));
     let one = |rng: &mut fastrand::Rng| (text(rng), rng.bool().then(|| scoped(rng)));
-    Reply {
+    SubscribeReply {
         to,
         epoch,
         seq,
-        at,
+        revision: at,
         scopes: (0..rng.usize(0..5)).map(|_| one(rng)).collect(),
     }
 }
 
-fn line(rng: &mut fastrand::Rng) -> Line {
+fn line(rng: &mut fastrand::Rng) -> EndpointRecord {
     let standing = rng
-        .choice([Standing::Ready, Standing::Draining, Standing::Gone])
+        .choice([
+            EndpointState::Ready,
+            EndpointState::Draining,
+            EndpointState::Gone,
+        ])
         .expect("one of three");
-    Line {
-        worker: Worker {
+    EndpointRecord {
+        endpoint: Endpoint {
             name: text(rng),
             address: text(rng),
         },
         incarnation: number(rng),
-        standing,
+        state: standing,
     }
 }
 
-fn body(rng: &mut fastrand::Rng) -> Body {
+fn body(rng: &mut fastrand::Rng) -> MessageBody {
     let bytes = |rng: &mut fastrand::Rng| vec![7; number(rng) as usize % 3000];
-    let step = |rng: &mut fastrand::Rng| Step(number(rng));
+    let step = |rng: &mut fastrand::Rng| Revision(number(rng));
     match rng.u32(0..14) {
-        0 => Body::Members(bytes(rng)),
+        0 => MessageBody::Gossip(bytes(rng)),
         1 => {
             let from = member(rng);
             let deltas = rng.bool();
-            Body::Lease(Message::Ask(Ask {
+            MessageBody::Lease(LeaseMessage::Request(LeaseRequest {
                 from,
                 seq: number(rng),
-                at: step(rng),
-                has: step(rng),
-                deltas,
+                acknowledged: step(rng),
+                known: step(rng),
+                accepts_deltas: deltas,
             }))
         }
         2 | 3 => {
             let (to, seq, span) = (member(rng), number(rng), rng.i64(-1..600_000));
             let state = rng.bool().then(|| state(rng));
             let delta = rng.bool().then(|| delta(rng));
-            Body::Lease(Message::Grant(Grant {
+            MessageBody::Lease(LeaseMessage::Grant(LeaseGrant {
                 to,
                 seq,
                 span,
-                step: step(rng),
+                revision: step(rng),
                 state,
                 delta,
             }))
         }
-        4 => Body::Lease(Message::Step(step(rng))),
-        5 => Body::Lease(Message::Reached {
+        4 => MessageBody::Lease(LeaseMessage::Revision(step(rng))),
+        5 => MessageBody::Lease(LeaseMessage::Acknowledge {
             from: member(rng),
-            at: step(rng),
+            revision: step(rng),
         }),
         6 => {
             let scopes = rng.bool();
-            let ask = stay::Ask {
+            let ask = session::SessionRequest {
                 from: member(rng),
                 seq: number(rng),
-                at: step(rng),
-                scopes,
+                revision: step(rng),
+                supports_scopes: scopes,
             };
-            Body::AskStay(ask, text(rng), number(rng))
+            MessageBody::SessionRequest(ask, text(rng), number(rng))
         }
-        7 => Body::Stay(stay::Grant {
+        7 => MessageBody::SessionGrant(session::SessionGrant {
             to: member(rng),
             seq: number(rng),
             span: rng.i64(0..3_600_000_000),
         }),
-        8 => Body::Gone(member(rng)),
-        9 => Body::Leaving(
+        8 => MessageBody::Departed(member(rng)),
+        9 => MessageBody::Drains(
             (0..rng.usize(0..20)).map(|_| line(rng)).collect(),
             rng.bool(),
         ),
-        10 => Body::Digest(number(rng)),
-        11 => Body::Want(want(rng)),
-        12 => Body::Scopes(reply(rng)),
-        _ if rng.bool() => Body::Seats(bytes(rng)),
-        _ => Body::Head,
+        10 => MessageBody::DrainDigest(number(rng)),
+        11 => MessageBody::Subscribe(want(rng)),
+        12 => MessageBody::SubscribeReply(reply(rng)),
+        _ if rng.bool() => MessageBody::Consensus(bytes(rng)),
+        _ => MessageBody::HeaderOnly,
     }
 }
 
@@ -248,19 +258,23 @@
             true => (rng.u32(..).to_be_bytes(), rng.u16(..)).into(),
             false => (rng.u128(..).to_be_bytes(), rng.u16(..)).into(),
         };
-        let from = Name {
+        let from = NodeId {
             id: number(&mut rng),
             incarnation: number(&mut rng),
             life: rng.u32(0..3),
             address,
         };
-        let root = Root {
+        let root = Leader {
             term: number(&mut rng),
             id: number(&mut rng),
         };
         let body = body(&mut rng);
         let counted = size(&from, root, &body);
         let told = format!("{body:?}");
-        assert_eq!(letter(u64::MAX, &from, root, body).len(), counted, "{told}");
+        assert_eq!(
+            encode_message(u64::MAX, &from, root, body).len(),
+            counted,
+            "{told}"
+        );
     }
 }
--- a/net/fleet/src/ask.rs
+++ b/net/fleet/src/client.rs
@@ -6,7 +6,7 @@
 use std::future::poll_fn;
 use std::rc::Rc;
 use std::time::Duration;
-use tansy_fleet_wire::{LARGEST, SERVICE};
+use tansy_fleet_wire::{MAX_MESSAGE_BYTES, SERVICE};
 use tansy_frames::grpc::{frame, Code};
 use tansy_net_grpc::exchange::{Ending, Exchange, News};
 use tansy_net_grpc::link::Link;
@@ -14,22 +14,22 @@
 
 /// Why there is no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Failed {
+pub enum RequestError {
     /// It could not be reached, or did not answer in time.
-    Away(String),
+    Unreachable(String),
     /// It answers that it does not do it.
-    Refused(Code, String),
+    Rejected(Code, String),
 }
 
-impl std::fmt::Display for Failed {
+impl std::fmt::Display for RequestError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Failed::Away(why) => f.write_str(why),
-            Failed::Refused(code, why) => write!(f, "{why} ({code:?})"),
+            RequestError::Unreachable(why) => f.write_str(why),
+            RequestError::Rejected(code, why) => write!(f, "{why} ({code:?})"),
         }
     }
 }
-impl std::error::Error for Failed {}
+impl std::error::Error for RequestError {}
 
 /// Sends a message to a method of the service; the answer's message.
 pub async fn ask(
@@ -38,18 +38,18 @@
     method: &str,
     body: &[u8],
     limit: Duration,
-) -> Result<Bytes, Failed> {
+) -> Result<Bytes, RequestError> {
     let asked = within(spawner.sleep(limit), one(link, method, frame(body)));
     asked.await.unwrap_or_else(|| {
-        Err(Failed::Away(format!(
+        Err(RequestError::Unreachable(format!(
             "no answer of {} in {limit:?}",
             link.address()
         )))
     })
 }
 
-async fn one(link: &Rc<Link>, method: &str, body: Bytes) -> Result<Bytes, Failed> {
-    let away = |why: &str| Failed::Away(format!("{}: {why}", link.address()));
+async fn one(link: &Rc<Link>, method: &str, body: Bytes) -> Result<Bytes, RequestError> {
+    let away = |why: &str| RequestError::Unreachable(format!("{}: {why}", link.address()));
     let mut connection = link.connection().await.map_err(|_| away("no connection"))?;
     let ready = poll_fn(|cx| connection.send.poll_ready(cx)).await;
     ready.map_err(|_| away("the connection ended"))?;
@@ -70,7 +70,7 @@
     request
         .headers_mut()
         .insert(http::header::CONTENT_TYPE, kind);
-    let exchange = Exchange::start(connection, request, body, true, LARGEST);
+    let exchange = Exchange::start(connection, request, body, true, MAX_MESSAGE_BYTES);
     let mut exchange = exchange.map_err(|_| away("the connection ended"))?;
     let mut answer = None;
     loop {
@@ -84,7 +84,7 @@
                     .get("grpc-message")
                     .map_or(&b""[..], |v| v.as_bytes());
                 let text = percent_decode(text).decode_utf8_lossy().into_owned();
-                return Err(Failed::Refused(code, text));
+                return Err(RequestError::Rejected(code, text));
             }
             News::Ended(ending, _) => return Err(away(&format!("it ended with {ending:?}"))),
         }
--- a/net/fleet/src/disk.rs
+++ b/net/fleet/src/disk.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
-use tansy_storage::seat::{Held, RetryingRecords};
 use tansy_storage::store::Error;
+use tansy_storage::voter_log::{RecoveredRecords, RetryingLogStorage};
 
 /// Between two tries, the first time; it doubles, ...
 const PAUSE: Duration = Duration::from_millis(20);
@@ -37,14 +37,14 @@
 
 impl Disk {
     /// Opens the file, or makes it; what it holds, and where what became of records comes out.
-    pub fn open(path: &Path) -> Result<(Disk, Held, Channel<Done>), Error> {
-        let (file, held) = RetryingRecords::open(path)?;
+    pub fn open(path: &Path) -> Result<(Disk, RecoveredRecords, Channel<Done>), Error> {
+        let (file, held) = RetryingLogStorage::open(path)?;
         let (disk, done) = Disk::start(file);
         Ok((disk, held, done))
     }
 
     /// On a file that is open.
-    pub fn start(mut file: RetryingRecords) -> (Disk, Channel<Done>) {
+    pub fn start(mut file: RetryingLogStorage) -> (Disk, Channel<Done>) {
         let (records, received) = mpsc::channel::<Entry>();
         let (told, done) = channel();
         let ended = Arc::new(AtomicBool::new(false));
@@ -71,7 +71,7 @@
 
 /// Tries until the record is held, the error is one that does not pass, or nobody waits for it.
 fn hold(
-    file: &mut RetryingRecords,
+    file: &mut RetryingLogStorage,
     (record, whole): &Entry,
     stop: &AtomicBool,
 ) -> Result<(), Error> {
@@ -79,7 +79,7 @@
     let mut pause = PAUSE;
     let mut next_line = began;
     loop {
-        match file.hold(record, whole.as_deref()) {
+        match file.append(record, whole.as_deref()) {
             Err(e) if e.may_pass() && !stop.load(Ordering::SeqCst) => {
                 if Instant::now() >= next_line {
                     next_line = Instant::now() + TELL_EVERY;
