--- a/net/fleet/src/serve.rs
+++ b/net/fleet/src/service.rs
@@ -1,6 +1,6 @@
 //! What is asked of this front end: letters of its siblings, and operators' requests.
 
-use crate::hub::Peers;
+use crate::transport::FleetTransport;
 use bytes::Bytes;
 use h2::server::SendResponse;
 use h2::RecvStream;
@@ -9,14 +9,14 @@
 use std::future::poll_fn;
 use std::rc::Rc;
 use std::time::Duration;
+use tansy_agreement::compatibility::{changes, AffectedCalls, Compatibility, Fields};
 use tansy_agreement::lease::{Member, Time};
-use tansy_agreement::log::{Applied, Entry, Hand, State, Version};
-use tansy_agreement::rule::{changes, Fields, Kind, Touch};
-use tansy_agreement::scope::{ScopeRequest, CHANGES};
-use tansy_fleet_node::{number, Peer, Refusal};
+use tansy_agreement::log::{ApplyOutcome, FleetState, LogEntry, ReplacementPhase, Version};
+use tansy_agreement::scope::{ScopeTransaction, MAX_UPDATES_PER_TRANSACTION};
+use tansy_fleet_node::{number, FleetNode, RequestRejection};
 use tansy_fleet_wire::{
     member, of_roll_entry, of_scope_request, of_settings, pb, process, scoped, settings, state,
-    Bad, LARGEST, SERVICE,
+    DecodeError, MAX_MESSAGE_BYTES, SERVICE,
 };
 use tansy_frames::grpc::Code;
 use tansy_net_grpc::server::{answer as reply, refuse, trailers, Handler, Messages};
@@ -29,7 +29,7 @@
 
 type Answer = Result<Vec<u8>, (Code, String)>;
 
-pub(crate) fn handler(peers: Rc<Peers>, fleet: u64) -> Handler {
+pub(crate) fn handler(peers: Rc<FleetTransport>, fleet: u64) -> Handler {
     Rc::new(move |request, respond| {
         let peers = peers.clone();
         let spawner = peers.spawner.clone();
@@ -38,7 +38,7 @@
 }
 
 async fn serve(
-    peers: &Rc<Peers>,
+    peers: &Rc<FleetTransport>,
     fleet: u64,
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
@@ -50,7 +50,7 @@
         .strip_prefix(SERVICE)
         .unwrap_or("")
         .to_string();
-    let mut messages = Messages::new(body, LARGEST);
+    let mut messages = Messages::new(body, MAX_MESSAGE_BYTES);
     let mut first = None;
     let message = poll_fn(|cx| messages.poll_one(&mut first, cx));
     let message = within(peers.spawner.sleep(REQUEST_WITHIN), message).await;
@@ -79,13 +79,13 @@
     }
 }
 
-fn tell(peers: &Rc<Peers>, bytes: &[u8]) -> Answer {
-    match peers.take(bytes) {
+fn tell(peers: &Rc<FleetTransport>, bytes: &[u8]) -> Answer {
+    match peers.on_datagram(bytes) {
         Ok(()) => Ok(pb::Taken {}.encode_to_vec()),
         Err(bad) => {
             let code = match bad {
-                Bad::Form(_) | Bad::Fleet => Code::FailedPrecondition,
-                Bad::Noise(_) | Bad::Part(_) => Code::InvalidArgument,
+                DecodeError::UnknownFormat(_) | DecodeError::OtherFleet => Code::FailedPrecondition,
+                DecodeError::Malformed(_) | DecodeError::MissingPart(_) => Code::InvalidArgument,
             };
             Err((code, bad.to_string()))
         }
@@ -93,7 +93,7 @@
 }
 
 /// An operator may leave the fleet out; one that names another is turned away.
-fn same(peers: &Peers, asked: u64, fleet: u64) -> Result<(), (Code, String)> {
+fn same(peers: &FleetTransport, asked: u64, fleet: u64) -> Result<(), (Code, String)> {
     if asked == 0 || asked == fleet {
         return Ok(());
     }
@@ -107,53 +107,53 @@
     (Code::InvalidArgument, e.to_string())
 }
 
-fn in_words(touch: &Touch) -> String {
+fn in_words(touch: &AffectedCalls) -> String {
     match touch {
-        Touch::All => "all".into(),
-        Touch::Class(n) => format!("class {n}"),
-        Touch::Tenant(n) => format!("tenant {n}"),
-        Touch::Function(n) => format!("function {n}"),
+        AffectedCalls::All => "all".into(),
+        AffectedCalls::Class(n) => format!("class {n}"),
+        AffectedCalls::Tenant(n) => format!("tenant {n}"),
+        AffectedCalls::Function(n) => format!("function {n}"),
     }
 }
 
-fn status(peers: &Peers, fleet: u64, bytes: &[u8]) -> Answer {
+fn status(peers: &FleetTransport, fleet: u64, bytes: &[u8]) -> Answer {
     let asked = pb::StatusRequest::decode(bytes).map_err(|e| bad(&e))?;
     same(peers, asked.fleet, fleet)?;
-    let reply = peers.with_peer(|p, now| {
-        let (setup, acting) = (p.setup(), p.acting(now));
+    let reply = peers.with_node(|p, now| {
+        let (setup, acting) = (p.setup(), p.active_state(now));
         let contested = acting
             .state
-            .map(|s| s.contested(&setup.schema))
+            .map(|s| s.conflicting_fields(&setup.schema))
             .unwrap_or_default();
-        let mut contested: Vec<String> = contested.iter().map(|c| in_words(&c.touch)).collect();
+        let mut contested: Vec<String> = contested.iter().map(|c| in_words(&c.affected)).collect();
         contested.sort();
         contested.dedup();
         let roster = p
             .log()
             .map(|l| l.roster().collect::<Vec<_>>())
             .unwrap_or_default();
-        let waits = p.waits(now);
+        let waits = p.change_blockers(now);
         pb::StatusReply {
             fleet: peers.fleet.clone(),
             name: setup.name.clone(),
-            process: Some(process(&setup.me)),
-            seat: p.root_address().to_string(),
-            seats: p.seats().iter().map(|s| s.1.to_string()).collect(),
+            process: Some(process(&setup.node)),
+            seat: p.leader_address().to_string(),
+            seats: p.voters().iter().map(|s| s.1.to_string()).collect(),
             keeps_log: p.log().is_some(),
             seating: p
                 .agreed()
-                .and_then(|(_, l)| l.seating())
+                .and_then(|(_, l)| l.voter_replacement())
                 .map(|s| pb::Seating {
                     new: s.address.to_string(),
                     instead: p
-                        .address(s.instead)
+                        .address(s.replaced)
                         .map(|a| a.to_string())
                         .unwrap_or_default(),
-                    votes: s.hand == Hand::Both,
+                    votes: s.phase == ReplacementPhase::JointConsensus,
                 }),
             state: acting.state.map(state),
             lease_left: acting.lease,
-            stay_left: acting.stay,
+            stay_left: acting.session,
             others: p.others().map(process).collect(),
             contested: contested
                 .into_iter()
@@ -168,17 +168,17 @@
                 .collect(),
             waits_for_leases: waits.as_ref().is_some_and(|w| w.leases),
             waits_for: waits
-                .map(|w| w.stays.into_iter().map(member).collect())
+                .map(|w| w.sessions.into_iter().map(member).collect())
                 .unwrap_or_default(),
             error: peers.error.borrow().clone().unwrap_or_default(),
-            holds: p.holds() as u64,
+            holds: p.subscription_count() as u64,
             changing: changing(p, now),
         }
     });
     Ok(reply.encode_to_vec())
 }
 
-async fn enter(peers: &Rc<Peers>, fleet: u64, bytes: &[u8]) -> Answer {
+async fn enter(peers: &Rc<FleetTransport>, fleet: u64, bytes: &[u8]) -> Answer {
     use pb::enter_request::Entry as E;
     let asked = pb::EnterRequest::decode(bytes).map_err(|e| bad(&e))?;
     same(peers, asked.fleet, fleet)?;
@@ -191,31 +191,31 @@
                 ));
             }
             (peers.check)(&s.fields).map_err(|e| bad(&e))?;
-            Entry::Propose {
+            LogEntry::Propose {
                 id: s.id,
                 base: s.version,
                 fields: s.fields,
-                why: s.why,
+                reason: s.reason,
             }
         }
-        E::Abandon(version) => Entry::Abandon {
+        E::Abandon(version) => LogEntry::Abandon {
             version: Version(version),
         },
         E::Dismiss(name) => {
-            let found = peers.with_peer(|p, _| {
+            let found = peers.with_node(|p, _| {
                 let log = p.log()?;
                 let found = log.roster().find(|(_, n)| *n == name).map(|(m, _)| m);
                 Some(found)
             });
             match found {
-                Some(Some(member)) => Entry::Leave { member },
+                Some(Some(member)) => LogEntry::Leave { member },
                 Some(None) => {
                     return Err((
                         Code::NotFound,
                         format!("nobody named {name:?} is on the roster"),
                     ))
                 }
-                None => Entry::Abandon {
+                None => LogEntry::Abandon {
                     version: Version(0),
                 },
             }
@@ -227,7 +227,7 @@
                 (peers.check)(fields).map_err(|e| bad(&e))?;
                 staged(peers, fields)?;
             }
-            Entry::Roll {
+            LogEntry::Rollout {
                 entry: Box::new(entry),
                 fields,
             }
@@ -240,8 +240,8 @@
                 ));
             }
             sensible(peers, &request)?;
-            Entry::Change {
-                requests: vec![request],
+            LogEntry::UpdateScopes {
+                transactions: vec![request],
             }
         }
     };
@@ -263,27 +263,32 @@
     match outcome {
         Ok(applied) => {
             let version = match &applied {
-                Applied::Told(v) | Applied::Again(v) => v.0,
-                Applied::Stepped(_) | Applied::Roster | Applied::Seats | Applied::Roll => 0,
-                Applied::Changed { .. } => 0,
+                ApplyOutcome::Announced(v) | ApplyOutcome::Duplicate(v) => v.0,
+                ApplyOutcome::Advanced(_)
+                | ApplyOutcome::Roster
+                | ApplyOutcome::Voters
+                | ApplyOutcome::Rollout => 0,
+                ApplyOutcome::ScopesChanged { .. } => 0,
             };
             let step = match &applied {
-                Applied::Changed { step, .. } => step.0,
+                ApplyOutcome::ScopesChanged { revision: step, .. } => step.0,
                 _ => 0,
             };
             Ok(pb::EnterReply {
                 version,
-                again: matches!(applied, Applied::Again(_)),
+                again: matches!(applied, ApplyOutcome::Duplicate(_)),
                 step,
             }
             .encode_to_vec())
         }
         Err(refusal) => {
             let code = match refusal {
-                Refusal::Log(_) => Code::Aborted,
-                Refusal::NotSeat { .. } => Code::FailedPrecondition,
-                Refusal::Busy => Code::ResourceExhausted,
-                Refusal::Disk(_) | Refusal::Lost => Code::Unavailable,
+                RequestRejection::Log(_) => Code::Aborted,
+                RequestRejection::NotLeader { .. } => Code::FailedPrecondition,
+                RequestRejection::Busy => Code::ResourceExhausted,
+                RequestRejection::Storage(_) | RequestRejection::LeadershipLost => {
+                    Code::Unavailable
+                }
             };
             Err((code, refusal.to_string()))
         }
@@ -291,14 +296,14 @@
 }
 
 /// Whether functions would make sense as they are to be.
-fn sensible(peers: &Peers, request: &ScopeRequest) -> Result<(), (Code, String)> {
-    peers.with_peer(|p, now| {
+fn sensible(peers: &FleetTransport, request: &ScopeTransaction) -> Result<(), (Code, String)> {
+    peers.with_node(|p, now| {
         // Nobody knows the classes yet: the seat that leads does, or says who does.
-        let Some(state) = p.acting(now).state else {
+        let Some(state) = p.active_state(now).state else {
             return Ok(());
         };
         let set = request
-            .changes
+            .updates
             .iter()
             .filter_map(|c| Some((&c.scope, c.fields.as_ref()?)));
         let mut wrong =
@@ -307,30 +312,33 @@
     })
 }
 
-fn functions(peers: &Peers, fleet: u64, bytes: &[u8]) -> Answer {
+fn functions(peers: &FleetTransport, fleet: u64, bytes: &[u8]) -> Answer {
     let asked = pb::FunctionsRequest::decode(bytes).map_err(|e| bad(&e))?;
     same(peers, asked.fleet, fleet)?;
-    if asked.names.len() > CHANGES {
+    if asked.names.len() > MAX_UPDATES_PER_TRANSACTION {
         return Err(bad(&format!(
-            "{} functions are asked for: want at most {CHANGES}",
+            "{} functions are asked for: want at most {MAX_UPDATES_PER_TRANSACTION}",
             asked.names.len()
         )));
     }
-    peers.with_peer(|p, now| {
+    peers.with_node(|p, now| {
         let Some((_, log)) = p.agreed() else {
-            let why = format!("this front end keeps no log: ask {}", p.root_address());
+            let why = format!("this front end keeps no log: ask {}", p.leader_address());
             return Err((Code::FailedPrecondition, why));
         };
         let one = |name: String| pb::Named {
             scoped: log.catalog().get(&name).map(scoped),
             name,
         };
-        let requested = log.catalog().requested(asked.id).map(|r| pb::Requested {
-            step: r.step.0,
-            joint: r.joint,
-            force: r.force,
-            back: r.back,
-        });
+        let requested = log
+            .catalog()
+            .transaction_result(asked.id)
+            .map(|r| pb::Requested {
+                step: r.revision.0,
+                joint: r.joint,
+                force: r.in_force,
+                back: r.reverted,
+            });
         let reply = pb::FunctionsReply {
             functions: asked.names.into_iter().map(one).collect(),
             request: requested,
@@ -341,7 +349,7 @@
 }
 
 /// Functions that change one by one, with whom each waits for, by name.
-fn changing(p: &Peer, now: Time) -> Vec<pb::Waiting> {
+fn changing(p: &FleetNode, now: Time) -> Vec<pb::Waiting> {
     let roster: Vec<(Member, &str)> = p.log().map(|l| l.roster().collect()).unwrap_or_default();
     let name = |m: &Member| {
         roster
@@ -354,7 +362,7 @@
         member: Some(member(m)),
         name: name(&m),
     };
-    let all = p.waits(now).map(|w| w.scopes).unwrap_or_default();
+    let all = p.change_blockers(now).map(|w| w.scopes).unwrap_or_default();
     let one = |(name, behind): (String, Vec<Member>)| pb::Waiting {
         name,
         behind: behind.into_iter().map(rostered).collect(),
@@ -363,14 +371,14 @@
 }
 
 /// The entry by which a front end that is there begins to take over from a seat, dead or alive.
-fn seat(peers: &Peers, asked: &pb::Seat) -> Result<Entry, (Code, String)> {
+fn seat(peers: &FleetTransport, asked: &pb::Seat) -> Result<LogEntry, (Code, String)> {
     let (new, instead) = (number(&asked.new), number(&asked.instead));
-    let address = peers.with_peer(|p, _| p.others().find(|o| o.id == new).map(|o| o.address));
+    let address = peers.with_node(|p, _| p.others().find(|o| o.id == new).map(|o| o.address));
     match address {
-        Some(address) => Ok(Entry::Seat {
+        Some(address) => Ok(LogEntry::BeginVoterReplacement {
             new,
             address,
-            instead,
+            replaced: instead,
         }),
         None => Err((
             Code::NotFound,
@@ -383,13 +391,13 @@
 }
 
 /// Whether these settings may be tried by some front ends while others act on those in force.
-fn staged(peers: &Peers, fields: &Fields) -> Result<(), (Code, String)> {
-    let strict = peers.with_peer(|p, now| {
-        let state = p.acting(now).state?;
-        let all = changes(&p.setup().schema, &state.force.fields, fields);
+fn staged(peers: &FleetTransport, fields: &Fields) -> Result<(), (Code, String)> {
+    let strict = peers.with_node(|p, now| {
+        let state = p.active_state(now).state?;
+        let all = changes(&p.setup().schema, &state.in_force.fields, fields);
         let strict = all
             .into_iter()
-            .filter(|c| c.kind == Kind::Strict)
+            .filter(|c| c.compatibility == Compatibility::Strict)
             .map(|c| c.path);
         Some(strict.collect::<Vec<_>>().join(", "))
     });
@@ -402,18 +410,18 @@
     }
 }
 
-fn roll(peers: &Peers, fleet: u64, bytes: &[u8]) -> Answer {
+fn roll(peers: &FleetTransport, fleet: u64, bytes: &[u8]) -> Answer {
     let asked = pb::RollRequest::decode(bytes).map_err(|e| bad(&e))?;
     same(peers, asked.fleet, fleet)?;
-    peers.with_peer(|p, _| {
+    peers.with_node(|p, _| {
         let Some((_, log)) = p.agreed() else {
-            let why = format!("this front end keeps no log: ask {}", p.root_address());
+            let why = format!("this front end keeps no log: ask {}", p.leader_address());
             return Err((Code::FailedPrecondition, why));
         };
         let (label, path) = log.program().unwrap_or_default();
         let reply = pb::RollReply {
             roll: log
-                .roll()
+                .rollout()
                 .and_then(|r| serde_json::to_string(r).ok())
                 .unwrap_or_default(),
             label: label.into(),
@@ -424,12 +432,13 @@
     })
 }
 
-fn counts(peers: &Peers, fleet: u64, bytes: &[u8]) -> Answer {
+fn counts(peers: &FleetTransport, fleet: u64, bytes: &[u8]) -> Answer {
     let asked = pb::CountsRequest::decode(bytes).map_err(|e| bad(&e))?;
     same(peers, asked.fleet, fleet)?;
     let mut reply = (peers.counts)();
-    let l = peers.letters();
-    let (taken, taken_bytes, sent, sent_bytes) = (l.taken, l.taken_bytes, l.sent, l.sent_bytes);
+    let l = peers.traffic();
+    let (taken, taken_bytes, sent, sent_bytes) =
+        (l.received, l.received_bytes, l.sent, l.sent_bytes);
     reply.letters = Some(pb::Letters {
         taken,
         taken_bytes,
@@ -437,39 +446,39 @@
         sent_bytes,
         dropped: peers.dropped(),
     });
-    peers.with_peer(|p, now| {
-        let (setup, acting) = (p.setup(), p.acting(now));
+    peers.with_node(|p, now| {
+        let (setup, acting) = (p.setup(), p.active_state(now));
         reply.name = setup.name.clone();
-        reply.incarnation = setup.me.incarnation;
-        reply.ready = acting.lease > 0 && acting.stay > 0 && acting.state.is_some();
-        reply.up = p.acts_for(now);
-        reply.seat = p.seats().iter().any(|s| s.0 == setup.me.id);
-        let tries = |s: &State| {
+        reply.incarnation = setup.node.incarnation;
+        reply.ready = acting.lease > 0 && acting.session > 0 && acting.state.is_some();
+        reply.up = p.active_for(now);
+        reply.seat = p.voters().iter().any(|s| s.0 == setup.node.id);
+        let tries = |s: &FleetState| {
             s.next.is_none()
-                && s.trial
+                && s.canary
                     .as_ref()
-                    .is_some_and(|t| t.names.contains(&setup.name))
+                    .is_some_and(|t| t.members.contains(&setup.name))
         };
         reply.tries = acting.state.is_some_and(tries);
     });
     Ok(reply.encode_to_vec())
 }
 
-fn history(peers: &Peers, fleet: u64, bytes: &[u8]) -> Answer {
+fn history(peers: &FleetTransport, fleet: u64, bytes: &[u8]) -> Answer {
     let asked = pb::HistoryRequest::decode(bytes).map_err(|e| bad(&e))?;
     same(peers, asked.fleet, fleet)?;
-    peers.with_peer(|p, _| {
+    peers.with_node(|p, _| {
         let Some(log) = p.log() else {
             let why = format!(
                 "this front end does not lead the fleet: ask {}",
-                p.root_address()
+                p.leader_address()
             );
             return Err((Code::FailedPrecondition, why));
         };
         let s = log.state();
         let reply = pb::HistoryReply {
             versions: log.history().map(settings).collect(),
-            force: s.force.version.0,
+            force: s.in_force.version.0,
             next: s.next.as_ref().map_or(0, |(n, _)| n.version.0),
         };
         Ok(reply.encode_to_vec())
--- a/net/fleet/src/hub.rs
+++ b/net/fleet/src/transport.rs
@@ -1,8 +1,8 @@
 //! Gives what arrives to the state machine and carries out its commands.
 
-use crate::ask::ask;
+use crate::client::ask;
 use crate::disk::{Disk, Done};
-use crate::serve;
+use crate::service;
 use calloop::channel::Event;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -13,14 +13,16 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
-use tansy_agreement::hold::Call;
+use tansy_agreement::compatibility::Fields;
+use tansy_agreement::endpoints::EndpointRecord;
 use tansy_agreement::lease::Time;
-use tansy_agreement::list::Line;
-use tansy_agreement::log::{Applied, Entry, State, MEMBERS};
-use tansy_agreement::rule::Fields;
-use tansy_consensus::Saved;
-use tansy_fleet_node::{Body, Command, Held, Note, Peer, Refusal};
-use tansy_fleet_wire::{letter, read, Bad};
+use tansy_agreement::log::{ApplyOutcome, FleetState, LogEntry, MAX_MEMBERS};
+use tansy_agreement::subscription::Admission;
+use tansy_consensus::PersistentState;
+use tansy_fleet_node::{
+    Command, FleetEvent, FleetNode, MessageBody, RecoveredState, RequestRejection,
+};
+use tansy_fleet_wire::{decode_message, encode_message, DecodeError};
 use tansy_net_grpc::link::{Limits as LinkLimits, Link};
 use tansy_net_grpc::server::{Limits, Server};
 use tansy_net_sockets::interrupt::Uninterrupted;
@@ -49,11 +51,11 @@
 /// as half of its descriptors go. One that finds no room acts never, since it gets no stay.
 fn limits() -> Limits {
     Limits {
-        connections: (descriptors() / 2).clamp(CONNECTIONS, MEMBERS),
+        connections: (descriptors() / 2).clamp(CONNECTIONS, MAX_MEMBERS),
         streams: 256,
         header_bytes: 8 * 1024,
         stream_window: 64 * 1024,
-        message_bytes: tansy_fleet_wire::LARGEST,
+        message_bytes: tansy_fleet_wire::MAX_MESSAGE_BYTES,
         preface_within: Duration::from_secs(5),
     }
 }
@@ -62,30 +64,30 @@
 pub type Check = Rc<dyn Fn(&Fields) -> Result<(), String>>;
 /// Is told, before anything that follows from it leaves, that the front end may act on something else by now; gives what
 /// is wrong if it can't.
-pub type Acts = Rc<dyn Fn(&Peer, Time) -> Option<String>>;
+pub type Acts = Rc<dyn Fn(&FleetNode, Time) -> Option<String>>;
 
 /// Whether a function's fields make sense by themselves, with the classes of this state; the reason, if not.
-pub type CheckFunction = Rc<dyn Fn(&str, &Fields, &State) -> Result<(), String>>;
+pub type CheckFunction = Rc<dyn Fn(&str, &Fields, &FleetState) -> Result<(), String>>;
 
 /// What the front end counted, and of which program it is; its name and what it acts on are filled in.
 pub type Counts = Rc<dyn Fn() -> tansy_fleet_wire::pb::CountsReply>;
 
 /// Takes a letter that goes another way than by a link to its address; false: it knows no way there. Nothing rests on a
 /// letter's arrival.
-pub type Carrier = Rc<dyn Fn(SocketAddr, &[u8]) -> bool>;
+pub type MessageCarrier = Rc<dyn Fn(SocketAddr, &[u8]) -> bool>;
 
 /// What a front end's place in a fleet is made of.
-pub struct Setup {
+pub struct TransportConfig {
     /// The state machine's; its own address is filled in.
-    pub peer: tansy_fleet_node::Setup,
+    pub node: tansy_fleet_node::FleetNodeConfig,
     /// The fleet's name in words.
     pub fleet: String,
     /// A seat's file, and the fields that a fleet which begins has as its first version.
-    pub seat: Option<(PathBuf, Fields)>,
+    pub voter: Option<(PathBuf, Fields)>,
     /// Front ends that are reached through another address than their own.
-    pub via: HashMap<SocketAddr, SocketAddr>,
+    pub proxies: HashMap<SocketAddr, SocketAddr>,
     /// Asked first, where many front ends of one process share their ways.
-    pub carrier: Option<Carrier>,
+    pub carrier: Option<MessageCarrier>,
     /// Of versions.
     pub check: Check,
     /// Of functions that are agreed on one by one.
@@ -96,11 +98,11 @@
 
 /// Letters of this place since it was taken, and the bytes of their messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Letters {
+pub struct TrafficCounters {
     /// Taken from others, those that could not be read among them.
-    pub taken: u64,
+    pub received: u64,
     /// Their bytes.
-    pub taken_bytes: u64,
+    pub received_bytes: u64,
     /// Sent, whether they arrive or not; those dropped here are not among them.
     pub sent: u64,
     /// Their bytes.
@@ -118,12 +120,12 @@
 /// The outcome of a request for an entry, once it is there.
 #[derive(Default)]
 pub(crate) struct Slot {
-    outcome: RefCell<Option<Result<Applied, Refusal>>>,
+    outcome: RefCell<Option<Result<ApplyOutcome, RequestRejection>>>,
     waker: RefCell<Option<Waker>>,
 }
 
 impl Slot {
-    pub(crate) fn poll(&self, cx: &Context<'_>) -> Poll<Result<Applied, Refusal>> {
+    pub(crate) fn poll(&self, cx: &Context<'_>) -> Poll<Result<ApplyOutcome, RequestRejection>> {
         if let Some(outcome) = self.outcome.borrow_mut().take() {
             return Poll::Ready(outcome);
         }
@@ -133,23 +135,23 @@
 }
 
 /// A front end's place in a fleet.
-pub struct Peers {
+pub struct FleetTransport {
     pub(crate) spawner: Spawner,
     pub(crate) fleet: String,
     pub(crate) check: Check,
     pub(crate) check_function: CheckFunction,
     pub(crate) counts: Counts,
-    pub(crate) peer: RefCell<Peer>,
+    pub(crate) peer: RefCell<FleetNode>,
     pub(crate) error: RefCell<Option<String>>,
     acts: Acts,
     disk: Option<Disk>,
     via: HashMap<SocketAddr, SocketAddr>,
-    carrier: Option<Carrier>,
+    carrier: Option<MessageCarrier>,
     ways: RefCell<HashMap<SocketAddr, Rc<Way>>>,
     slots: RefCell<HashMap<u64, Rc<Slot>>>,
     next_request: Cell<u64>,
     dropped: Cell<u64>,
-    letters: Cell<Letters>,
+    traffic: Cell<TrafficCounters>,
     ended: Cell<bool>,
     server: RefCell<Option<Rc<Server>>>,
     /// The state machine has to be looked at anew, and who is to do it.
@@ -160,29 +162,37 @@
 /// Why a place in a fleet can't be taken.
 pub type Error = Box<dyn std::error::Error>;
 
-impl Peers {
+impl FleetTransport {
     /// Takes its place, on a listener whose address its siblings know.
     pub fn start(
         spawner: Spawner,
         listener: TcpListener,
-        mut setup: Setup,
+        mut setup: TransportConfig,
         acts: Acts,
-    ) -> Result<Rc<Peers>, Error> {
-        setup.peer.me.address = listener.local_addr()?;
-        let fleet = setup.peer.fleet;
+    ) -> Result<Rc<FleetTransport>, Error> {
+        setup.node.node.address = listener.local_addr()?;
+        let fleet = setup.node.fleet;
         let (mut disk, mut held, mut done) = (None, None, None);
         let mut file = String::new();
-        if let Some((path, first)) = setup.seat {
+        if let Some((path, first)) = setup.voter {
             file = path.display().to_string();
             let (d, h, c) = Disk::open(&path).map_err(|e| format!("{file}: {e}"))?;
-            let saved = Saved {
-                whole: h.whole,
+            let saved = PersistentState {
+                snapshot: h.snapshot,
                 records: h.records,
             };
-            (disk, held, done) = (Some(d), Some(Held { saved, first }), Some(c));
+            (disk, held, done) = (
+                Some(d),
+                Some(RecoveredState {
+                    persistent: saved,
+                    initial_fields: first,
+                }),
+                Some(c),
+            );
         }
-        let peer = Peer::new(setup.peer, held, clock::now()).map_err(|e| format!("{file}: {e}"))?;
-        let peers = Rc::new(Peers {
+        let peer =
+            FleetNode::new(setup.node, held, clock::now()).map_err(|e| format!("{file}: {e}"))?;
+        let peers = Rc::new(FleetTransport {
             spawner: spawner.clone(),
             fleet: setup.fleet,
             check: setup.check,
@@ -192,13 +202,13 @@
             error: RefCell::new(None),
             acts,
             disk,
-            via: setup.via,
+            via: setup.proxies,
             carrier: setup.carrier,
             ways: RefCell::new(HashMap::new()),
             slots: RefCell::new(HashMap::new()),
             next_request: Cell::new(0),
             dropped: Cell::new(0),
-            letters: Cell::new(Letters::default()),
+            traffic: Cell::new(TrafficCounters::default()),
             ended: Cell::new(false),
             server: RefCell::new(None),
             nudged: Cell::new(false),
@@ -220,17 +230,17 @@
             spawner.clone(),
             listener,
             limits(),
-            serve::handler(peers.clone(), fleet),
+            service::handler(peers.clone(), fleet),
         )?;
         *peers.server.borrow_mut() = Some(server);
         let p = peers.clone();
         spawner.spawn(async move {
             while !p.ended.get() {
-                let next = p.peer.borrow().next() - clock::now();
+                let next = p.peer.borrow().next_deadline() - clock::now();
                 let sleep = Duration::from_micros(next.clamp(LOOK_LEAST, LOOK_MOST) as u64);
                 within(p.spawner.sleep(sleep), poll_fn(|cx| p.nudge(cx))).await;
-                if p.peer.borrow().next() <= clock::now() {
-                    p.turn(Peer::tick);
+                if p.peer.borrow().next_deadline() <= clock::now() {
+                    p.turn(FleetNode::tick);
                 }
                 p.let_go();
             }
@@ -239,25 +249,25 @@
     }
 
     /// Reads the state machine.
-    pub fn with_peer<T>(&self, f: impl FnOnce(&Peer, Time) -> T) -> T {
+    pub fn with_node<T>(&self, f: impl FnOnce(&FleetNode, Time) -> T) -> T {
         f(&self.peer.borrow(), clock::now())
     }
 
     /// What is done with a call of a function that the versions don't name, now.
-    pub fn called(self: &Rc<Self>, function: &str) -> Call {
+    pub fn admit(self: &Rc<Self>, function: &str) -> Admission {
         let mut out = Vec::new();
         let (call, next) = {
             let mut peer = self.peer.borrow_mut();
             let (now, before) = (clock::now(), peer.scopes_changed());
-            let mut call = peer.called(now, function, &mut out);
+            let mut call = peer.admit(now, function, &mut out);
             // The seat that leads answers itself.
-            if call == Call::Wait && peer.scopes_changed() != before {
-                call = peer.called(now, function, &mut out);
+            if call == Admission::Wait && peer.scopes_changed() != before {
+                call = peer.admit(now, function, &mut out);
             }
-            (call, peer.next())
+            (call, peer.next_deadline())
         };
         out.into_iter().for_each(|c| self.carry_out(c));
-        if call == Call::Wait && next < clock::now() + LOOK_MOST {
+        if call == Admission::Wait && next < clock::now() + LOOK_MOST {
             self.nudged.set(true);
             self.looks
                 .borrow_mut()
@@ -278,20 +288,20 @@
     }
 
     /// A list of workers was read.
-    pub fn list(self: &Rc<Self>, lines: Vec<Line>) {
-        self.turn(|p, now, out| p.list(now, lines, out));
+    pub fn update_endpoints(self: &Rc<Self>, lines: Vec<EndpointRecord>) {
+        self.turn(|p, now, out| p.update_endpoints(now, lines, out));
     }
 
     /// Tells the others that it leaves, and takes no more connections.
     pub fn leave(self: &Rc<Self>) {
-        self.turn(Peer::leave);
+        self.turn(FleetNode::leave);
         if let Some(server) = &*self.server.borrow() {
             server.close();
         }
     }
 
     /// It is over at once, as with a process that is killed: nobody is told, nothing leaves and nothing is taken any more.
-    pub fn end(&self) {
+    pub fn shut_down(&self) {
         self.ended.set(true);
         if let Some(server) = self.server.borrow_mut().take() {
             server.close();
@@ -304,24 +314,26 @@
     }
 
     /// Takes a letter that came another way than by this place's own listener.
-    pub fn take(self: &Rc<Self>, bytes: &[u8]) -> Result<(), Bad> {
-        let mut letters = self.letters.get();
-        (letters.taken, letters.taken_bytes) =
-            (letters.taken + 1, letters.taken_bytes + bytes.len() as u64);
-        self.letters.set(letters);
+    pub fn on_datagram(self: &Rc<Self>, bytes: &[u8]) -> Result<(), DecodeError> {
+        let mut letters = self.traffic.get();
+        (letters.received, letters.received_bytes) = (
+            letters.received + 1,
+            letters.received_bytes + bytes.len() as u64,
+        );
+        self.traffic.set(letters);
         let fleet = self.peer.borrow().setup().fleet;
-        let (from, root, body) = read(fleet, bytes)?;
-        self.turn(|p, now, out| p.hear(now, &from, root, body, out));
+        let (from, root, body) = decode_message(fleet, bytes)?;
+        self.turn(|p, now, out| p.on_message(now, &from, root, body, out));
         Ok(())
     }
 
     /// Letters that passed.
-    pub fn letters(&self) -> Letters {
-        self.letters.get()
+    pub fn traffic(&self) -> TrafficCounters {
+        self.traffic.get()
     }
 
     /// Whether no letter is on its way.
-    pub fn quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.ways.borrow().values().all(|w| w.letters.get() == 0)
     }
 
@@ -330,7 +342,7 @@
         self.dropped.get()
     }
 
-    pub(crate) fn turn(self: &Rc<Self>, act: impl FnOnce(&mut Peer, Time, &mut Vec<Command>)) {
+    pub(crate) fn turn(self: &Rc<Self>, act: impl FnOnce(&mut FleetNode, Time, &mut Vec<Command>)) {
         if self.ended.get() {
             return;
         }
@@ -346,25 +358,28 @@
     }
 
     fn held(self: &Rc<Self>, done: Done) {
-        self.turn(|p, now, out| p.held(now, done, out));
+        self.turn(|p, now, out| p.on_persisted(now, done, out));
     }
 
     fn carry_out(self: &Rc<Self>, command: Command) {
         match command {
             Command::Send { to, body } => self.send(to, body),
-            Command::Seat { to, bytes } => {
-                if let Some(address) = self.with_peer(|p, _| p.address(to)) {
-                    self.send(address, Body::Seats(bytes));
+            Command::SendToVoter { to, bytes } => {
+                if let Some(address) = self.with_node(|p, _| p.address(to)) {
+                    self.send(address, MessageBody::Consensus(bytes));
                 }
             }
-            Command::Hold { record, whole } => {
+            Command::Persist {
+                record,
+                snapshot: whole,
+            } => {
                 if !self.disk.as_ref().is_some_and(|d| d.hold(record, whole)) {
                     let me = self.clone();
                     self.spawner
                         .spawn(async move { me.held(Err("the seat's thread has ended".into())) });
                 }
             }
-            Command::Answer { request, outcome } => {
+            Command::Respond { request, outcome } => {
                 if let Some(slot) = self.slots.borrow_mut().remove(&request) {
                     *slot.outcome.borrow_mut() = Some(outcome);
                     slot.waker
@@ -374,14 +389,14 @@
                         .for_each(Waker::wake);
                 }
             }
-            Command::Note(note) => tell(&note),
+            Command::Notify(note) => tell(&note),
         }
     }
 
-    fn send(self: &Rc<Self>, to: SocketAddr, body: Body) {
+    fn send(self: &Rc<Self>, to: SocketAddr, body: MessageBody) {
         let bytes = {
             let peer = self.peer.borrow();
-            letter(peer.setup().fleet, &peer.setup().me, peer.root(), body)
+            encode_message(peer.setup().fleet, &peer.setup().node, peer.leader(), body)
         };
         if self.carrier.as_ref().is_some_and(|carry| carry(to, &bytes)) {
             return self.sent(bytes.len());
@@ -413,7 +428,7 @@
                 tracing::debug!(%to, error = %e, "a letter did not arrive");
                 let now = clock::now();
                 let lately = way.told.get().is_some_and(|at| now - at < TELL_AGAIN);
-                if matches!(e, crate::ask::Failed::Refused(..)) && !lately {
+                if matches!(e, crate::client::RequestError::Rejected(..)) && !lately {
                     way.told.set(Some(now));
                     tracing::warn!(%to, error = %e, "a front end turns letters away");
                 }
@@ -423,9 +438,9 @@
     }
 
     fn sent(&self, bytes: usize) {
-        let mut letters = self.letters.get();
+        let mut letters = self.traffic.get();
         (letters.sent, letters.sent_bytes) = (letters.sent + 1, letters.sent_bytes + bytes as u64);
-        self.letters.set(letters);
+        self.traffic.set(letters);
     }
 
     fn let_go(&self) {
@@ -440,7 +455,7 @@
     }
 
     /// Asks for an entry; none: too many wait.
-    pub(crate) fn enter(self: &Rc<Self>, entry: Entry) -> Option<Rc<Slot>> {
+    pub(crate) fn enter(self: &Rc<Self>, entry: LogEntry) -> Option<Rc<Slot>> {
         if self.slots.borrow().len() >= REQUESTS {
             return None;
         }
@@ -453,10 +468,10 @@
     }
 }
 
-fn tell(note: &Note) {
+fn tell(note: &FleetEvent) {
     match note {
-        Note::Member(news) => tracing::info!(member = ?news, "membership"),
-        Note::Step { step, force, next } => {
+        FleetEvent::Membership(news) => tracing::info!(member = ?news, "membership"),
+        FleetEvent::RevisionChanged { step, force, next } => {
             tracing::info!(
                 step = step.0,
                 force,
@@ -464,49 +479,54 @@
                 "a step of the fleet"
             );
         }
-        Note::Lease { live: true } => tracing::info!("a lease is held"),
-        Note::Lease { live: false } => {
+        FleetEvent::Lease { live: true } => tracing::info!("a lease is held"),
+        FleetEvent::Lease { live: false } => {
             tracing::warn!(
                 "the lease is out: the stricter side of every limit holds until there is one again"
             );
         }
-        Note::Stay { live: true } => tracing::info!("a stay is held"),
-        Note::Stay { live: false } => {
+        FleetEvent::Session { live: true } => tracing::info!("a stay is held"),
+        FleetEvent::Session { live: false } => {
             tracing::error!(
                 "the stay is out: calls that strict fields touch are refused until the seat is reached"
             );
         }
-        Note::Leads { live: true } => tracing::info!("this seat leads the fleet"),
-        Note::Leads { live: false } => tracing::warn!("this seat leads the fleet no more"),
-        Note::Stranger(why) => tracing::warn!(%why, "a datagram was thrown away"),
-        Note::GivenUp { version, behind } => {
+        FleetEvent::Leadership { live: true } => tracing::info!("this seat leads the fleet"),
+        FleetEvent::Leadership { live: false } => {
+            tracing::warn!("this seat leads the fleet no more")
+        }
+        FleetEvent::DatagramRejected(why) => tracing::warn!(%why, "a datagram was thrown away"),
+        FleetEvent::ChangeAbandoned { version, behind } => {
             tracing::error!(
                 version,
                 ?behind,
                 "a change was stuck while calls were refused for it, and is given up"
             );
         }
-        Note::NotSeated { new } => {
+        FleetEvent::VoterReplacementAbandoned { new } => {
             tracing::error!(
                 new = format!("{new:x}"),
                 "it did not learn the agreed log in time and does not become a seat: was it started with --state?"
             );
         }
-        Note::Squeezed { total, held } => {
+        FleetEvent::SubscriptionsEvicted {
+            total,
+            subscribed: held,
+        } => {
             tracing::warn!(
                 total,
                 held,
                 "functions were let go to make room: more are called here than one front end holds"
             );
         }
-        Note::ScopesGivenUp { scopes, behind } => {
+        FleetEvent::ScopeChangesAbandoned { scopes, behind } => {
             tracing::error!(
                 ?scopes,
                 ?behind,
                 "changes of functions were stuck, and are given up"
             );
         }
-        Note::Disk { why } => {
+        FleetEvent::StorageFailed { cause: why } => {
             tracing::error!(%why, "the seat's disk takes no entry: no change until it is mended and the seat started again");
         }
     }
--- a/net/fleet/tests/connections.rs
+++ b/net/fleet/tests/connections.rs
@@ -8,10 +8,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use tansy_agreement::lease::Terms;
-use tansy_agreement::rule::Schema;
-use tansy_membership::{Name, Pace};
-use tansy_net_fleet::{Peers, Setup};
+use tansy_agreement::compatibility::Schema;
+use tansy_agreement::lease::LeaseTiming;
+use tansy_membership::{GossipTiming, NodeId};
+use tansy_net_fleet::{FleetTransport, TransportConfig};
 use tansy_net_sockets::Spawner;
 
 /// Front ends that a seat had room for before it asked what descriptors there are, and more than that.
@@ -28,32 +28,33 @@
     let mut event_loop: EventLoop<'static, ()> = EventLoop::try_new().expect("a loop");
     let spawner = Spawner::new(event_loop.handle()).expect("a spawner");
     let address = listener.local_addr().expect("an address");
-    let terms = Terms {
+    let terms = LeaseTiming {
         span: 600_000,
-        ppm: 1000,
+        drift_ppm: 1000,
     };
-    let peer = tansy_fleet_node::Setup {
+    let peer = tansy_fleet_node::FleetNodeConfig {
         fleet: 1,
         name: "a".into(),
-        me: Name::new(1, 1, address),
-        seats: vec![(1, address)],
+        node: NodeId::new(1, 1, address),
+        voters: vec![(1, address)],
         lease: terms,
-        stay: terms,
-        pace: Pace::default(),
+        session: terms,
+        gossip: GossipTiming::default(),
         schema: Schema::default(),
         seed: 1,
     };
-    let setup = Setup {
-        peer,
+    let setup = TransportConfig {
+        node: peer,
         fleet: "test".into(),
-        seat: None,
-        via: Default::default(),
+        voter: None,
+        proxies: Default::default(),
         carrier: None,
         check: Rc::new(|_| Ok(())),
         check_function: Rc::new(|_, _, _| Ok(())),
         counts: Rc::new(Default::default),
     };
-    let _peers = Peers::start(spawner, listener, setup, Rc::new(|_, _| None)).expect("its place");
+    let _peers =
+        FleetTransport::start(spawner, listener, setup, Rc::new(|_, _| None)).expect("its place");
     while !over.load(Ordering::Relaxed) {
         event_loop
             .dispatch(Some(Duration::from_millis(20)), &mut ())
--- a/programs/day/src/agree.rs
+++ b/programs/day/src/agree.rs
@@ -14,7 +14,7 @@
 use std::path::PathBuf;
 use std::sync::{mpsc, Arc, Mutex};
 use std::time::{Duration, Instant};
-use tansy_agreement::log::{Settings, Version};
+use tansy_agreement::log::{Version, VersionedSettings};
 use tansy_audit::versions::{versions, Found, Says, Witnesses};
 use tansy_audit::{judge, Audit, Link, Mark};
 use tansy_fleet::client::Client;
@@ -523,7 +523,7 @@
 fn operator(
     middle: &Middle,
     seats: &[SocketAddr],
-    orders: &mpsc::Receiver<tansy_agreement::rule::Fields>,
+    orders: &mpsc::Receiver<tansy_agreement::compatibility::Fields>,
     says: &Mutex<BTreeMap<u64, Says>>,
     of: &[Says],
 ) -> Result<Vec<Proposal>, String> {
@@ -560,10 +560,10 @@
             }
             let (seat, version) = base.unwrap_or((seats[0], 1));
             let version = Version(version);
-            let asked = Settings {
+            let asked = VersionedSettings {
                 version,
                 fields: fields.clone(),
-                why: "the day's".into(),
+                reason: "the day's".into(),
                 id,
             };
             match client.enter(seat, Entry::Propose(tansy_fleet_wire::settings(&asked))) {
--- a/programs/day/src/roll.rs
+++ b/programs/day/src/roll.rs
@@ -21,7 +21,9 @@
 use tansy_fleet::roll::stages;
 use tansy_fleet_wire::pb::enter_request::Entry as Enter;
 use tansy_fleet_wire::{of_roll, roll_entry};
-use tansy_rollout::{Entry, Phase, Place, Roll, Undecided, What};
+use tansy_rollout::{
+    InconclusivePolicy, Rollout, RolloutChange, RolloutEntry, RolloutPhase, Target,
+};
 
 const TEXT: &str = include_str!("roll.cue");
 const ZONES: [&str; 3] = ["a", "b", "c"];
@@ -104,7 +106,7 @@
     pub steps: Vec<String>,
     /// The roll as it is agreed on.
     #[serde(skip)]
-    pub roll: Option<Roll>,
+    pub roll: Option<Rollout>,
 }
 
 struct Rig {
@@ -314,7 +316,7 @@
     }
 
     /// The roll, by the seat that leads; none: none leads this moment, or there was none.
-    fn roll(&mut self) -> Option<Roll> {
+    fn roll(&mut self) -> Option<Rollout> {
         let seats = self.peers[..ZONES.len()].to_vec();
         let answers = self.client.rolls(&seats, WITHIN);
         let leads = answers.into_iter().flatten().find(|r| r.leads)?;
@@ -322,13 +324,13 @@
     }
 
     fn begin(&mut self, play: &Play) -> Result<(), Error> {
-        let place = |n: usize| Place {
+        let place = |n: usize| Target {
             name: format!("f{n}"),
             zone: ZONES[zone(n)].into(),
             seat: n < ZONES.len(),
         };
         let shares = [0.25, 0.5, 1.0];
-        let plan = tansy_rollout::Plan {
+        let plan = tansy_rollout::RolloutPlan {
             stages: stages((0..play.fronts).map(place).collect(), &shares)?,
             least: play.least,
             longest: 4 * play.least,
@@ -339,15 +341,15 @@
             accept: 0.1,
             spend: 0.2,
             memory: 400,
-            undecided: Undecided::Hold,
-            ..tansy_rollout::Plan::default()
+            undecided: InconclusivePolicy::Hold,
+            ..tansy_rollout::RolloutPlan::default()
         };
         let path = self.folder.join("new");
-        let what = What::Program {
+        let what = RolloutChange::Program {
             label: label(&path)?,
             path: path.display().to_string(),
         };
-        let entry = Entry::Begin {
+        let entry = RolloutEntry::Begin {
             id: 1 + play.seed,
             what,
             plan,
@@ -535,7 +537,7 @@
                     }
                 }
             }
-            if play.plant == Plant::Zone && r.phase == Phase::Judging && zone_at.is_none() {
+            if play.plant == Plant::Zone && r.phase == RolloutPhase::Judging && zone_at.is_none() {
                 let at = Instant::now() + Duration::from_secs(3);
                 zone_at = Some((at, at + Duration::from_secs(5), false));
             }
@@ -572,8 +574,8 @@
         .map_err(|_| "the clients' thread ended early")??;
     watch.look(&rig, play, &new)?;
     let side = match roll.as_ref().map(|r| r.phase) {
-        Some(Phase::Done) => Some(true),
-        Some(Phase::Stopped) => Some(false),
+        Some(RolloutPhase::Done) => Some(true),
+        Some(RolloutPhase::Stopped) => Some(false),
         _ => None,
     };
     if let Some(side) = side {
--- a/programs/fleet/src/client.rs
+++ b/programs/fleet/src/client.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tansy_fleet_wire::pb;
-use tansy_net_fleet::ask::{ask, Failed};
+use tansy_net_fleet::client::{ask, RequestError};
 use tansy_net_grpc::link::{Limits, Link};
 use tansy_net_sockets::interrupt::Uninterrupted;
 use tansy_net_sockets::Spawner;
@@ -23,7 +23,7 @@
 const ENTRY_WITHIN: Duration = Duration::from_secs(12);
 
 /// By the place of whom was asked; none: no answer yet.
-type Answers<T> = Rc<RefCell<Vec<Option<Result<T, Failed>>>>>;
+type Answers<T> = Rc<RefCell<Vec<Option<Result<T, RequestError>>>>>;
 
 /// Asks front ends.
 pub struct Client {
@@ -52,7 +52,7 @@
         method: &'static str,
         request: &[u8],
         within: Duration,
-    ) -> Vec<Result<T, Failed>> {
+    ) -> Vec<Result<T, RequestError>> {
         let all: Vec<(SocketAddr, Vec<u8>)> = to.iter().map(|at| (*at, request.to_vec())).collect();
         self.each(&all, method, within)
     }
@@ -63,7 +63,7 @@
         to: &[(SocketAddr, Vec<u8>)],
         method: &'static str,
         within: Duration,
-    ) -> Vec<Result<T, Failed>> {
+    ) -> Vec<Result<T, RequestError>> {
         let answers: Answers<T> = Rc::new(RefCell::new(to.iter().map(|_| None).collect()));
         for (n, (address, request)) in to.iter().enumerate() {
             let fresh = || Link::new(self.spawner.clone(), *address, Limits::default());
@@ -74,8 +74,11 @@
             self.spawner.spawn(async move {
                 let answer = ask(&spawner, &link, method, &request, within).await;
                 let read = answer.and_then(|bytes| {
-                    let wrong =
-                        |e| Failed::Away(format!("{address}: an answer that can't be read: {e}"));
+                    let wrong = |e| {
+                        RequestError::Unreachable(format!(
+                            "{address}: an answer that can't be read: {e}"
+                        ))
+                    };
                     T::decode(bytes).map_err(wrong)
                 });
                 if let Some(place) = answers.borrow_mut().get_mut(n) {
@@ -93,7 +96,7 @@
                 break;
             }
         }
-        let late = |n: usize| Err(Failed::Away(format!("{}: no answer", to[n].0)));
+        let late = |n: usize| Err(RequestError::Unreachable(format!("{}: no answer", to[n].0)));
         let taken = std::mem::take(&mut *answers.borrow_mut());
         taken
             .into_iter()
@@ -108,13 +111,13 @@
         method: &'static str,
         request: &[u8],
         within: Duration,
-    ) -> Result<T, Failed> {
+    ) -> Result<T, RequestError> {
         let answer = self.all(&[to], method, request, within).pop();
-        answer.unwrap_or_else(|| Err(Failed::Away(format!("{to}: no answer"))))
+        answer.unwrap_or_else(|| Err(RequestError::Unreachable(format!("{to}: no answer"))))
     }
 
     /// The status of several.
-    pub fn statuses(&mut self, to: &[SocketAddr]) -> Vec<Result<pb::StatusReply, Failed>> {
+    pub fn statuses(&mut self, to: &[SocketAddr]) -> Vec<Result<pb::StatusReply, RequestError>> {
         self.all(
             to,
             "Status",
@@ -124,12 +127,12 @@
     }
 
     /// The status of one.
-    pub fn status(&mut self, to: SocketAddr) -> Result<pb::StatusReply, Failed> {
+    pub fn status(&mut self, to: SocketAddr) -> Result<pb::StatusReply, RequestError> {
         self.status_within(to, WITHIN)
     }
 
     /// The versions that a seat remembers.
-    pub fn history(&mut self, seat: SocketAddr) -> Result<pb::HistoryReply, Failed> {
+    pub fn history(&mut self, seat: SocketAddr) -> Result<pb::HistoryReply, RequestError> {
         self.one(
             seat,
             "History",
@@ -143,7 +146,7 @@
         &mut self,
         seat: SocketAddr,
         entry: pb::enter_request::Entry,
-    ) -> Result<pb::EnterReply, Failed> {
+    ) -> Result<pb::EnterReply, RequestError> {
         self.enter_within(seat, entry, ENTRY_WITHIN)
     }
 
@@ -152,7 +155,7 @@
         &mut self,
         to: SocketAddr,
         within: Duration,
-    ) -> Result<pb::StatusReply, Failed> {
+    ) -> Result<pb::StatusReply, RequestError> {
         self.one(
             to,
             "Status",
@@ -166,7 +169,7 @@
         &mut self,
         to: &[SocketAddr],
         within: Duration,
-    ) -> Vec<Result<pb::RollReply, Failed>> {
+    ) -> Vec<Result<pb::RollReply, RequestError>> {
         self.all(
             to,
             "Roll",
@@ -180,7 +183,7 @@
         &mut self,
         to: &[SocketAddr],
         within: Duration,
-    ) -> Vec<Result<pb::CountsReply, Failed>> {
+    ) -> Vec<Result<pb::CountsReply, RequestError>> {
         self.all(
             to,
             "Counts",
@@ -195,7 +198,7 @@
         seat: SocketAddr,
         entry: pb::enter_request::Entry,
         within: Duration,
-    ) -> Result<pb::EnterReply, Failed> {
+    ) -> Result<pb::EnterReply, RequestError> {
         let request = pb::EnterRequest {
             fleet: 0,
             entry: Some(entry),
@@ -208,7 +211,7 @@
         &mut self,
         seat: SocketAddr,
         entries: Vec<pb::enter_request::Entry>,
-    ) -> Vec<Result<pb::EnterReply, Failed>> {
+    ) -> Vec<Result<pb::EnterReply, RequestError>> {
         let request = |entry| {
             pb::EnterRequest {
                 fleet: 0,
@@ -226,7 +229,7 @@
         &mut self,
         seat: SocketAddr,
         asked: pb::FunctionsRequest,
-    ) -> Result<pb::FunctionsReply, Failed> {
+    ) -> Result<pb::FunctionsReply, RequestError> {
         self.one(seat, "Functions", &asked.encode_to_vec(), WITHIN)
     }
 
--- a/programs/fleet/src/lib.rs
+++ b/programs/fleet/src/lib.rs
@@ -19,11 +19,11 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
-use tansy_agreement::log::Settings;
-use tansy_agreement::rule::{changes, Fields};
+use tansy_agreement::compatibility::{changes, Fields};
+use tansy_agreement::log::VersionedSettings;
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_fleet_wire::{of_settings, pb};
-use tansy_net_fleet::ask::Failed;
+use tansy_net_fleet::client::RequestError;
 use tansy_settings::agree::{agreement, filled, version};
 
 /// Time between two looks at a change under way.
@@ -156,11 +156,11 @@
     Kept(String),
 }
 
-impl From<Failed> for Not {
-    fn from(e: Failed) -> Not {
+impl From<RequestError> for Not {
+    fn from(e: RequestError) -> Not {
         match e {
-            Failed::Away(why) => Not::Reached(why),
-            Failed::Refused(..) => Not::Taken(e.to_string()),
+            RequestError::Unreachable(why) => Not::Reached(why),
+            RequestError::Rejected(..) => Not::Taken(e.to_string()),
         }
     }
 }
@@ -237,7 +237,7 @@
         } => {
             let (_, history) = history(&mut client, a.at)?;
             let found = find(&history, *version)?;
-            let why = format!("back to version {version}: {}", found.why);
+            let why = format!("back to version {version}: {}", found.reason);
             let fields = found.fields.clone();
             propose(a, &mut client, fields, None, &why, *dry_run, wait)
         }
@@ -291,10 +291,11 @@
                 .map(|a| address(a))
                 .collect::<Result<Vec<_>, _>>()?;
             let answers = client.statuses(&at);
-            let line = |(at, answer): (&SocketAddr, Result<pb::StatusReply, Failed>)| match answer {
-                Ok(s) => FrontLine::of(&s),
-                Err(e) => FrontLine::silent(at.to_string(), e.to_string()),
-            };
+            let line =
+                |(at, answer): (&SocketAddr, Result<pb::StatusReply, RequestError>)| match answer {
+                    Ok(s) => FrontLine::of(&s),
+                    Err(e) => FrontLine::silent(at.to_string(), e.to_string()),
+                };
             let lines: Vec<FrontLine> = at.iter().zip(answers).map(line).collect();
             let plain = |l: &FrontLine| match &l.error {
                 None => format!(
@@ -400,7 +401,10 @@
     address(&s.seat)
 }
 
-fn history(client: &mut Client, at: SocketAddr) -> Result<(pb::HistoryReply, Vec<Settings>), Not> {
+fn history(
+    client: &mut Client,
+    at: SocketAddr,
+) -> Result<(pb::HistoryReply, Vec<VersionedSettings>), Not> {
     let seat = seat(client, at)?;
     let reply = client.history(seat)?;
     let read = |s: &pb::Settings| of_settings(s.clone()).map_err(|e| Not::Reached(e.to_string()));
@@ -408,7 +412,7 @@
     Ok((reply, all))
 }
 
-fn find(all: &[Settings], version: u64) -> Result<&Settings, Not> {
+fn find(all: &[VersionedSettings], version: u64) -> Result<&VersionedSettings, Not> {
     let found = all.iter().find(|s| s.version.0 == version);
     let range = (
         all.first().map_or(0, |s| s.version.0),
@@ -518,10 +522,10 @@
         return Ok(());
     }
     let id = wait.id.unwrap_or_else(|| fastrand::u64(1..));
-    let proposal = Settings {
+    let proposal = VersionedSettings {
         version: base.version,
         fields,
-        why: why.to_string(),
+        reason: why.to_string(),
         id,
     };
     let entered = client.enter(seat, Entry::Propose(tansy_fleet_wire::settings(&proposal)))?;
--- a/programs/fleet/src/processes.rs
+++ b/programs/fleet/src/processes.rs
@@ -7,7 +7,7 @@
 use std::os::unix::process::{CommandExt, ExitStatusExt};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
-use tansy_rollout::Pid;
+use tansy_rollout::ProcessId;
 use xxhash_rust::xxh3::Xxh3;
 
 /// The variable that says which supervisor's folder and which name a process belongs to.
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct Running {
     /// Its number.
-    pub pid: Pid,
+    pub pid: ProcessId,
     /// Its supervisor's folder.
     pub folder: PathBuf,
     /// Its front end's name.
@@ -92,7 +92,7 @@
 #[derive(Debug)]
 pub struct Processes {
     folder: PathBuf,
-    all: BTreeMap<Pid, Kept>,
+    all: BTreeMap<ProcessId, Kept>,
     /// Held while this supervisor runs: a second one on the folder is turned away.
     _lock: File,
 }
@@ -101,7 +101,7 @@
 #[derive(Debug)]
 pub struct Found {
     /// Its number.
-    pub pid: Pid,
+    pub pid: ProcessId,
     /// Its name.
     pub name: String,
     /// Its program.
@@ -174,7 +174,7 @@
         label: &str,
         program: &Path,
         arguments: &[String],
-    ) -> Result<Pid, String> {
+    ) -> Result<ProcessId, String> {
         let told = |e: io::Error| format!("{}: {e}", program.display());
         let log = OpenOptions::new()
             .create(true)
@@ -215,7 +215,7 @@
     }
 
     /// Those that have ended, and how.
-    pub fn ended(&mut self) -> Vec<(Pid, String)> {
+    pub fn ended(&mut self) -> Vec<(ProcessId, String)> {
         let mut over = Vec::new();
         for (pid, kept) in &mut self.all {
             let how = match &mut kept.child {
@@ -239,7 +239,7 @@
     }
 
     /// Sends a signal to one that is known to be the same process still.
-    pub fn signal(&self, pid: Pid, signal: Signal) {
+    pub fn signal(&self, pid: ProcessId, signal: Signal) {
         let same = self
             .all
             .get(&pid)
@@ -253,7 +253,7 @@
 }
 
 /// When the process of this number began, in the kernel's ticks; none: there is none, or it has ended and waits to be read.
-fn began(pid: Pid) -> Option<u64> {
+fn began(pid: ProcessId) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     // The name in parentheses may hold anything.
     let mut rest = text.rsplit_once(')')?.1.split_whitespace();
--- a/programs/fleet/src/report.rs
+++ b/programs/fleet/src/report.rs
@@ -1,11 +1,11 @@
 //! One page on a roll, with everything in it.
 
 use plotters::prelude::*;
-use tansy_canary::{Measured, Verdict};
-use tansy_rollout::{Phase, Roll, Seen, What};
+use tansy_canary::{Measurement, Verdict};
+use tansy_rollout::{Rollout, RolloutChange, RolloutPhase, StageObservation};
 
 /// What was said of a stage, in words.
-pub fn said(seen: &Seen) -> String {
+pub fn said(seen: &StageObservation) -> String {
     match &seen.verdict {
         None => "nothing said yet".into(),
         Some(Verdict::Fine) => "no worse".into(),
@@ -23,7 +23,7 @@
 }
 
 /// Losses with their intervals.
-fn bars(all: &[Measured]) -> Result<String, String> {
+fn bars(all: &[Measurement]) -> Result<String, String> {
     let mut svg = String::new();
     {
         let height = 60 + 28 * all.len() as u32;
@@ -35,9 +35,9 @@
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 
-fn draw(area: &Area<'_>, all: &[Measured]) -> Result<(), Box<dyn std::error::Error>> {
+fn draw(area: &Area<'_>, all: &[Measurement]) -> Result<(), Box<dyn std::error::Error>> {
     area.fill(&WHITE)?;
-    let far = |m: &Measured| (m.loss.abs() + m.half.min(0.2)) * 100.0;
+    let far = |m: &Measurement| (m.loss.abs() + m.half.min(0.2)) * 100.0;
     let most = all.iter().map(far).fold(1.0, f64::max) * 1.1;
     let count = all.len() as f64;
     let mut chart = ChartBuilder::on(area)
@@ -77,16 +77,16 @@
 }
 
 /// The page.
-pub fn page(roll: &Roll) -> Result<String, String> {
+pub fn page(roll: &Rollout) -> Result<String, String> {
     let what = match &roll.what {
-        What::Program { label, path } => format!("the program {path}, {label}"),
-        What::Settings => "settings".to_string(),
+        RolloutChange::Program { label, path } => format!("the program {path}, {label}"),
+        RolloutChange::Settings => "settings".to_string(),
     };
     let end = match roll.phase {
-        Phase::Done => "done: all front ends are changed",
-        Phase::Stopped => "stopped: all front ends are as they were",
-        Phase::Back => "going back",
-        Phase::Moving | Phase::Judging => "under way",
+        RolloutPhase::Done => "done: all front ends are changed",
+        RolloutPhase::Stopped => "stopped: all front ends are as they were",
+        RolloutPhase::Back => "going back",
+        RolloutPhase::Moving | RolloutPhase::Judging => "under way",
     };
     let mut out = String::from(
         "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>Roll</title><style>body{font:15px sans-serif;\
--- a/programs/fleet/src/roll.rs
+++ b/programs/fleet/src/roll.rs
@@ -11,10 +11,12 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use tansy_agreement::log::{Settings, Version};
+use tansy_agreement::log::{Version, VersionedSettings};
 use tansy_fleet_wire::pb::enter_request::Entry as Enter;
 use tansy_fleet_wire::{of_roll, roll_entry};
-use tansy_rollout::{Entry, Phase, Place, Plan, Roll, Undecided, What};
+use tansy_rollout::{
+    InconclusivePolicy, Rollout, RolloutChange, RolloutEntry, RolloutPhase, RolloutPlan, Target,
+};
 use tansy_settings::agree::version;
 
 /// Time for an answer.
@@ -96,18 +98,18 @@
     accept: Option<f64>,
     warm_up: Option<u64>,
     memory: Option<u64>,
-    undecided: Option<Undecided>,
+    undecided: Option<InconclusivePolicy>,
 }
 
-fn plan(path: Option<&Path>) -> Result<Plan, Not> {
+fn plan(path: Option<&Path>) -> Result<RolloutPlan, Not> {
     let Some(path) = path else {
-        return Ok(Plan::default());
+        return Ok(RolloutPlan::default());
     };
     let told = |e: String| Not::Right(format!("{}: {e}", path.display()));
     let text = std::fs::read_to_string(path).map_err(|e| told(e.to_string()))?;
     let f: PlanFile = toml::from_str(&text).map_err(|e| told(e.to_string()))?;
-    let d = Plan::default();
-    Ok(Plan {
+    let d = RolloutPlan::default();
+    Ok(RolloutPlan {
         at_once: f.at_once.unwrap_or(d.at_once),
         least: f.least.unwrap_or(d.least),
         longest: f.longest.unwrap_or(d.longest),
@@ -126,7 +128,7 @@
 
 /// Stages by shares: front ends of all zones in turn, those that keep no log first, so that no stage takes more of one zone
 /// than of another.
-pub fn stages(places: Vec<Place>, shares: &[f64]) -> Result<Vec<Vec<Place>>, String> {
+pub fn stages(places: Vec<Target>, shares: &[f64]) -> Result<Vec<Vec<Target>>, String> {
     let rising =
         shares.windows(2).all(|w| w[0] < w[1]) && shares.iter().all(|s| *s > 0.0 && *s <= 1.0);
     if !rising || shares.is_empty() {
@@ -134,8 +136,8 @@
             "--stages {shares:?}: want shares over 0 and up to 1, each more than the one before"
         ));
     }
-    let mut zones: BTreeMap<String, VecDeque<Place>> = BTreeMap::new();
-    let (mut others, seats): (Vec<Place>, Vec<Place>) = places.into_iter().partition(|p| !p.seat);
+    let mut zones: BTreeMap<String, VecDeque<Target>> = BTreeMap::new();
+    let (mut others, seats): (Vec<Target>, Vec<Target>) = places.into_iter().partition(|p| !p.seat);
     others.extend(seats);
     let all = others.len();
     others
@@ -149,7 +151,7 @@
     let (mut done, mut stages) = (0, Vec::new());
     for share in shares {
         let to = ((share * all as f64).ceil() as usize).clamp(done + 1, all.max(done + 1));
-        let stage: Vec<Place> = turn.by_ref().take(to - done).collect();
+        let stage: Vec<Target> = turn.by_ref().take(to - done).collect();
         done = to;
         if !stage.is_empty() {
             stages.push(stage);
@@ -181,7 +183,7 @@
                     let path = path.canonicalize().map_err(told)?;
                     let label = label(&path).map_err(told)?;
                     (
-                        What::Program {
+                        RolloutChange::Program {
                             label,
                             path: path.display().to_string(),
                         },
@@ -195,11 +197,11 @@
                     let fields = version(&name, &text).map_err(|e| Not::Right(e.to_string()))?;
                     let why = why.clone();
                     (
-                        What::Settings,
-                        Some(Settings {
+                        RolloutChange::Settings,
+                        Some(VersionedSettings {
                             version: Version(0),
                             fields,
-                            why,
+                            reason: why,
                             id: 0,
                         }),
                     )
@@ -212,7 +214,7 @@
             }
             let id = id.unwrap_or_else(|| fastrand::u64(1..1 << 53));
             let leader = seat(client, a.at)?;
-            let entry = Entry::Begin {
+            let entry = RolloutEntry::Begin {
                 id,
                 what,
                 plan,
@@ -240,7 +242,7 @@
             if terminal {
                 show(a, &roll, || plain(&roll));
             }
-            if roll.phase == Phase::Stopped {
+            if roll.phase == RolloutPhase::Stopped {
                 Err(Not::Kept(roll.why))
             } else {
                 Ok(())
@@ -249,17 +251,17 @@
         Asked::Pause { why } => step(
             a,
             client,
-            |id| Entry::Pause {
+            |id| RolloutEntry::Pause {
                 id,
                 why: why.clone(),
             },
             "is paused",
         ),
-        Asked::Resume => step(a, client, |id| Entry::Resume { id }, "goes on"),
+        Asked::Resume => step(a, client, |id| RolloutEntry::Resume { id }, "goes on"),
         Asked::Abort { why } => step(
             a,
             client,
-            |id| Entry::Abort {
+            |id| RolloutEntry::Abort {
                 id,
                 why: why.clone(),
             },
@@ -279,7 +281,7 @@
 }
 
 /// Prints a roll again and again until it is over.
-fn in_lines(a: &Arguments, client: &mut Client) -> Result<Roll, Not> {
+fn in_lines(a: &Arguments, client: &mut Client) -> Result<Rollout, Not> {
     loop {
         let roll = last(a, client)?;
         show(a, &roll, || plain(&roll));
@@ -291,7 +293,7 @@
 }
 
 /// Draws it until it is over, or `q` or Ctrl-C is pressed.
-fn in_terminal(a: &Arguments, client: &mut Client) -> Result<Roll, Not> {
+fn in_terminal(a: &Arguments, client: &mut Client) -> Result<Rollout, Not> {
     let mut roll = last(a, client)?;
     let drawn = ratatui::run(|terminal| -> std::io::Result<()> {
         while !roll.over() {
@@ -318,7 +320,7 @@
 }
 
 /// All front ends that are there.
-fn places(a: &Arguments, client: &mut Client) -> Result<Vec<Place>, Not> {
+fn places(a: &Arguments, client: &mut Client) -> Result<Vec<Target>, Not> {
     let s = client.status(a.at)?;
     let all: Vec<SocketAddr> = s
         .others
@@ -326,9 +328,9 @@
         .chain(&s.process)
         .filter_map(|p| p.address.parse().ok())
         .collect();
-    let mut places: Vec<Place> = look_at(client, &all, |_| false)
+    let mut places: Vec<Target> = look_at(client, &all, |_| false)
         .into_iter()
-        .map(|(f, seat)| Place {
+        .map(|(f, seat)| Target {
             name: f.report.name,
             zone: f.report.zone,
             seat,
@@ -346,11 +348,14 @@
     Ok(places)
 }
 
-fn last(a: &Arguments, client: &mut Client) -> Result<Roll, Not> {
+fn last(a: &Arguments, client: &mut Client) -> Result<Rollout, Not> {
     let leader = seat(client, a.at)?;
     let reply = client.rolls(&[leader], WITHIN).pop();
-    let reply =
-        reply.unwrap_or_else(|| Err(tansy_net_fleet::ask::Failed::Away("no answer".into())))?;
+    let reply = reply.unwrap_or_else(|| {
+        Err(tansy_net_fleet::client::RequestError::Unreachable(
+            "no answer".into(),
+        ))
+    })?;
     let roll = of_roll(&reply.roll).map_err(|e| Not::Reached(e.to_string()))?;
     roll.ok_or_else(|| Not::Taken("there was no roll yet".into()))
 }
@@ -358,7 +363,7 @@
 fn step(
     a: &Arguments,
     client: &mut Client,
-    make: impl FnOnce(u64) -> Entry,
+    make: impl FnOnce(u64) -> RolloutEntry,
     does: &str,
 ) -> Result<(), Not> {
     let roll = last(a, client)?;
@@ -368,7 +373,7 @@
     Ok(())
 }
 
-fn plain_plan(plan: &Plan) -> String {
+fn plain_plan(plan: &RolloutPlan) -> String {
     let mut lines = Vec::new();
     for (n, stage) in plan.stages.iter().enumerate() {
         let names: Vec<String> = stage
@@ -388,19 +393,19 @@
 }
 
 /// What is printed of a roll, for people.
-pub fn plain(roll: &Roll) -> String {
+pub fn plain(roll: &Rollout) -> String {
     let what = match &roll.what {
-        What::Program { label, path } => {
+        RolloutChange::Program { label, path } => {
             format!("program {path} ({})", label.get(..12).unwrap_or(label))
         }
-        What::Settings => "settings".to_string(),
+        RolloutChange::Settings => "settings".to_string(),
     };
     let phase = match roll.phase {
-        Phase::Moving => "changing front ends",
-        Phase::Judging => "under judgement",
-        Phase::Back => "going back",
-        Phase::Done => "done",
-        Phase::Stopped => "stopped: all are as they were",
+        RolloutPhase::Moving => "changing front ends",
+        RolloutPhase::Judging => "under judgement",
+        RolloutPhase::Back => "going back",
+        RolloutPhase::Done => "done",
+        RolloutPhase::Stopped => "stopped: all are as they were",
     };
     let mut lines = vec![format!(
         "roll {} of {what}: stage {} of {}, {phase}{}",
--- a/programs/fleet/src/scope.rs
+++ b/programs/fleet/src/scope.rs
@@ -8,9 +8,9 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
-use tansy_agreement::log::Step;
-use tansy_agreement::rule::{part, quoted, Fields};
-use tansy_agreement::scope::{ScopeChange, ScopeRequest, Scoped, Standing};
+use tansy_agreement::compatibility::{part, quote, Fields};
+use tansy_agreement::log::Revision;
+use tansy_agreement::scope::{ScopePhase, ScopeRecord, ScopeTransaction, ScopeUpdate};
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_fleet_wire::{of_scoped, pb, scope_request};
 use tansy_settings::agree::{functions, label};
@@ -96,13 +96,13 @@
 }
 
 impl ScopeLine {
-    fn of(name: String, scoped: &Scoped, waits_for: Vec<String>) -> ScopeLine {
-        let is = match scoped.standing {
-            Standing::Joint { .. } => "changing",
+    fn of(name: String, scoped: &ScopeRecord, waits_for: Vec<String>) -> ScopeLine {
+        let is = match scoped.phase {
+            ScopePhase::Joint { .. } => "changing",
             _ if scoped.fields.is_none() => "not there",
-            Standing::Settled => "in force",
-            Standing::Settling { .. } => "in force, settling",
-            Standing::Back { .. } => "in force, a change of it was given up",
+            ScopePhase::Settled => "in force",
+            ScopePhase::Settling { .. } => "in force, settling",
+            ScopePhase::Reverting { .. } => "in force, a change of it was given up",
         };
         let next = scoped.next().and_then(Option::as_ref).map(texts);
         let fields = scoped.fields.as_ref().map(texts);
@@ -153,7 +153,7 @@
             let mut text = format!(
                 "functions: {}: {{class: {}",
                 label(&part(name)),
-                quoted(class)
+                quote(class)
             );
             text += &format!(", memory: {memory}");
             text += &lanes.map_or(String::new(), |n| format!(", lanes: {n}"));
@@ -161,7 +161,7 @@
                 .as_ref()
                 .map_or(String::new(), |t| format!(", load_time: {t}"));
             if !versions.is_empty() {
-                let all: Vec<String> = versions.iter().map(|v| quoted(v)).collect();
+                let all: Vec<String> = versions.iter().map(|v| quote(v)).collect();
                 text += &format!(", versions: [{}]", all.join(", "));
             }
             let all = read("the arguments", &(text + "}\n"))?;
@@ -198,7 +198,7 @@
         Asked::Show { names } => {
             let at = seat(client, a.at)?;
             let (known, waits) = known(client, at, names)?;
-            let line = |(name, scoped): (&String, &Option<Scoped>)| {
+            let line = |(name, scoped): (&String, &Option<ScopeRecord>)| {
                 let behind = waits.get(name).cloned().unwrap_or_default();
                 ScopeLine::of(name.clone(), &scoped.clone().unwrap_or_default(), behind)
             };
@@ -226,7 +226,7 @@
         .collect()
 }
 
-type Known = (Vec<Option<Scoped>>, BTreeMap<String, Vec<String>>);
+type Known = (Vec<Option<ScopeRecord>>, BTreeMap<String, Vec<String>>);
 
 fn known(client: &mut Client, seat: SocketAddr, names: &[String]) -> Result<Known, Not> {
     let asked = pb::FunctionsRequest {
@@ -258,24 +258,24 @@
     let (known, _) = known(client, at, &names)?;
     let mut changes = Vec::new();
     for ((scope, fields), known) in wanted.into_iter().zip(known) {
-        let base = known.as_ref().map_or(Step(0), |k| k.revision);
+        let base = known.as_ref().map_or(Revision(0), |k| k.revision);
         if let Some(wrong) = how.expect.filter(|e| *e != base.0) {
             return Err(Not::Taken(format!(
                 "function {scope} is at revision {}, not {wrong}: look at `scope show` and make the change from that",
                 base.0
             )));
         }
-        changes.push(ScopeChange {
+        changes.push(ScopeUpdate {
             scope,
             base,
             fields,
         });
     }
     let id = how.wait.id.unwrap_or_else(|| fastrand::u64(1..));
-    let request = ScopeRequest {
+    let request = ScopeTransaction {
         id,
-        changes,
-        why: how.why.clone(),
+        updates: changes,
+        reason: how.why.clone(),
     };
     let step = client
         .enter(at, Entry::Change(scope_request(&request)))?
--- a/programs/fleet/src/show.rs
+++ b/programs/fleet/src/show.rs
@@ -2,8 +2,8 @@
 
 use serde::Serialize;
 use std::collections::BTreeMap;
-use tansy_agreement::log::Settings;
-use tansy_agreement::rule::{Change, Kind, Touch, Value};
+use tansy_agreement::compatibility::{AffectedCalls, Compatibility, FieldChange, Value};
+use tansy_agreement::log::VersionedSettings;
 use tansy_fleet_wire::pb;
 
 /// A front end's line.
@@ -190,22 +190,22 @@
 
 impl ChangeLine {
     /// Of a change.
-    pub fn of(c: &Change) -> ChangeLine {
+    pub fn of(c: &FieldChange) -> ChangeLine {
         let text = |v: &Option<Value>| v.as_ref().map(Value::to_string);
         ChangeLine {
             field: c.path.clone(),
             old: text(&c.old),
             new: text(&c.new),
-            kind: match c.kind {
-                Kind::Free => "free",
-                Kind::Joint(..) => "joint",
-                Kind::Strict => "strict",
+            kind: match c.compatibility {
+                Compatibility::Free => "free",
+                Compatibility::Joint(..) => "joint",
+                Compatibility::Strict => "strict",
             },
-            calls: match &c.touch {
-                Touch::All => "all calls".into(),
-                Touch::Class(n) => format!("calls of class {n}"),
-                Touch::Tenant(n) => format!("calls of tenant {n}"),
-                Touch::Function(n) => format!("calls of {n}"),
+            calls: match &c.affected {
+                AffectedCalls::All => "all calls".into(),
+                AffectedCalls::Class(n) => format!("calls of class {n}"),
+                AffectedCalls::Tenant(n) => format!("calls of tenant {n}"),
+                AffectedCalls::Function(n) => format!("calls of {n}"),
             },
             at_start: tansy_settings::agree::at_start(&c.path),
         }
@@ -245,7 +245,7 @@
 
 impl VersionLine {
     /// Of a version, beside the one in force and the one under way.
-    pub fn of(s: &Settings, force: u64, next: u64) -> VersionLine {
+    pub fn of(s: &VersionedSettings, force: u64, next: u64) -> VersionLine {
         let n = s.version.0;
         let is = match () {
             () if n == force => "in force",
@@ -255,7 +255,7 @@
         VersionLine {
             version: n,
             is,
-            why: s.why.clone(),
+            why: s.reason.clone(),
             id: s.id,
             fields: s.fields.len(),
         }
--- a/programs/fleet/src/up.rs
+++ b/programs/fleet/src/up.rs
@@ -13,7 +13,8 @@
 use tansy_fleet_wire::pb::enter_request::Entry as Enter;
 use tansy_fleet_wire::{of_counts, of_roll, pb, roll_entry};
 use tansy_rollout::{
-    Act, Ended, Entry, Fallen, Front, Keep, Limits, Roll, Steer, Time, Wanted, What,
+    Crash, DesiredProcess, FrontEndObservation, ProcessExit, Rollout, RolloutChange,
+    RolloutController, RolloutEntry, Supervisor, SupervisorCommand, SupervisorLimits, Time,
 };
 
 /// Time between two looks at processes.
@@ -90,7 +91,7 @@
 struct Fleet {
     /// When it was asked for.
     asked: Time,
-    roll: Option<Roll>,
+    roll: Option<Rollout>,
     /// Of a seat that leads: nothing later was agreed on.
     fresh: bool,
     /// The program that all are to run, by the log.
@@ -104,14 +105,14 @@
     file: File,
     began: Instant,
     processes: Processes,
-    keep: Keep,
+    keep: Supervisor,
     client: Client,
-    steer: Steer,
+    steer: RolloutController,
     fleet: Fleet,
     /// Programs by label, and where they are found.
     programs: BTreeMap<String, PathBuf>,
     base: String,
-    told: Vec<Fallen>,
+    told: Vec<Crash>,
 }
 
 /// Keeps the front ends of a file until it is told to end.
@@ -131,7 +132,7 @@
     let end = Arc::new(AtomicBool::new(false));
     client.on_end(end.clone()).map_err(|e| e.to_string())?;
     let (mut steer, mut fleet, began) = (
-        Steer::new(name.to_string()),
+        RolloutController::new(name.to_string()),
         Fleet::default(),
         Instant::now(),
     );
@@ -162,7 +163,7 @@
             tracing::error!(%address, "a roll that this program can't read: finish the update of `tansy-fleet`");
             continue;
         };
-        let of = |r: &Option<Roll>| r.as_ref().map_or((0, 0), |r| (r.id, r.at));
+        let of = |r: &Option<Rollout>| r.as_ref().map_or((0, 0), |r| (r.id, r.at));
         let later = fleet.roll.is_none()
             || of(&roll).0 != of(&fleet.roll).0
             || of(&roll) >= of(&fleet.roll);
@@ -187,7 +188,7 @@
 }
 
 /// Takes the next step of the roll, if it is this one's to take.
-fn steers(client: &mut Client, steer: &mut Steer, fleet: &Fleet, began: Instant) {
+fn steers(client: &mut Client, steer: &mut RolloutController, fleet: &Fleet, began: Instant) {
     let (Some(roll), Some(leader)) = (&fleet.roll, fleet.leader) else {
         return;
     };
@@ -198,8 +199,8 @@
         true => Vec::new(),
         false => fronts(client, fleet, roll),
     };
-    if let Some(entry) = steer.look(micros(began), roll, &fronts) {
-        let step = !matches!(entry, Entry::Beat { .. });
+    if let Some(entry) = steer.poll(micros(began), roll, &fronts) {
+        let step = !matches!(entry, RolloutEntry::Beat { .. });
         match client.enter_within(leader, Enter::Roll(roll_entry(&entry, None)), WITHIN) {
             Ok(_) if step => tracing::info!(?entry, "a step of the roll"),
             Ok(_) => {}
@@ -213,7 +214,7 @@
     client: &mut Client,
     at: &[SocketAddr],
     new: impl Fn(&pb::CountsReply) -> bool,
-) -> Vec<(Front, bool)> {
+) -> Vec<(FrontEndObservation, bool)> {
     let answers = client.counts(at, WITHIN);
     let one = |a: Result<pb::CountsReply, _>| {
         let c = a.ok()?;
@@ -223,11 +224,11 @@
     answers.into_iter().filter_map(one).collect()
 }
 
-fn fronts(client: &mut Client, fleet: &Fleet, roll: &Roll) -> Vec<Front> {
+fn fronts(client: &mut Client, fleet: &Fleet, roll: &Rollout) -> Vec<FrontEndObservation> {
     let at: Vec<SocketAddr> = fleet.known.iter().copied().collect();
     let new = |c: &pb::CountsReply| match &roll.what {
-        What::Program { label, .. } => c.label == *label,
-        What::Settings => c.tries,
+        RolloutChange::Program { label, .. } => c.label == *label,
+        RolloutChange::Settings => c.tries,
     };
     look_at(client, &at, new).into_iter().map(|f| f.0).collect()
 }
@@ -236,17 +237,17 @@
     fn start(file: File) -> Result<Up, String> {
         let base = label(&file.program).map_err(|e| format!("{}: {e}", file.program.display()))?;
         let (processes, found) = Processes::open(&file.folder)?;
-        let limits = Limits {
+        let limits = SupervisorLimits {
             ready: file.ready as Time * tansy_rollout::SECOND,
             drain: file.drain as Time * tansy_rollout::SECOND,
-            ..Limits::default()
+            ..SupervisorLimits::default()
         };
         let names = file.fronts.iter().map(|f| f.name.clone());
         let mut up = Up {
-            keep: Keep::new(limits, names, &base),
+            keep: Supervisor::new(limits, names, &base),
             programs: BTreeMap::from([(base.clone(), file.program.clone())]),
             client: Client::new().map_err(|e| e.to_string())?,
-            steer: Steer::new(file.name.clone()),
+            steer: RolloutController::new(file.name.clone()),
             fleet: Fleet::default(),
             began: Instant::now(),
             told: Vec::new(),
@@ -266,19 +267,19 @@
     fn serve(&mut self, end: &AtomicBool) {
         let mut next = Instant::now();
         let mut ending = false;
-        while !(ending && self.keep.over()) {
+        while !(ending && self.keep.is_finished()) {
             if end.load(Ordering::Relaxed) && !ending {
                 ending = true;
-                self.act(|k, now, out| k.end(now, out));
+                self.act(|k, now, out| k.shut_down(now, out));
             }
             for (pid, sort) in self.processes.ended() {
                 tracing::info!(pid, sort, "ended");
-                self.act(|k, now, out| k.ended(now, pid, Ended { sort }, out));
+                self.act(|k, now, out| k.on_exit(now, pid, ProcessExit { sort }, out));
             }
             let names: Vec<String> = self.file.fronts.iter().map(|f| f.name.clone()).collect();
             let now = micros(self.began);
             for name in names.iter().filter(|n| self.processes.ready(n)) {
-                self.keep.ready(now, name);
+                self.keep.on_ready(now, name);
             }
             if Instant::now() >= next && !ending {
                 next = Instant::now() + ASK;
@@ -324,11 +325,12 @@
             .filter(|_| settled)
             .map(|f| f.name.clone());
         for f in &self.file.fronts {
-            let mut wanted = Wanted {
+            let mut wanted = DesiredProcess {
                 label: self.base.clone(),
                 may: stray.as_ref() == Some(&f.name),
             };
-            if let Some((roll, What::Program { label, path })) = roll.map(|r| (r, &r.what)) {
+            if let Some((roll, RolloutChange::Program { label, path })) = roll.map(|r| (r, &r.what))
+            {
                 self.programs
                     .entry(label.clone())
                     .or_insert_with(|| PathBuf::from(path));
@@ -337,26 +339,26 @@
                 }
                 wanted.may = roll.moving.contains(&f.name) && self.fleet.fresh;
             }
-            self.keep.wants(self.fleet.asked, &f.name, wanted);
+            self.keep.set_desired(self.fleet.asked, &f.name, wanted);
         }
     }
 
-    fn act(&mut self, act: impl FnOnce(&mut Keep, Time, &mut Vec<Act>)) {
+    fn act(&mut self, act: impl FnOnce(&mut Supervisor, Time, &mut Vec<SupervisorCommand>)) {
         let (now, mut out) = (micros(self.began), Vec::new());
         act(&mut self.keep, now, &mut out);
         for a in out {
             match a {
-                Act::Start { name, label } => self.begin(&name, &label),
-                Act::End { pid } => self.processes.signal(pid, Signal::TERM),
-                Act::Kill { pid } => self.processes.signal(pid, Signal::KILL),
-                Act::Tell {
+                SupervisorCommand::Start { name, label } => self.begin(&name, &label),
+                SupervisorCommand::End { pid } => self.processes.signal(pid, Signal::TERM),
+                SupervisorCommand::Kill { pid } => self.processes.signal(pid, Signal::KILL),
+                SupervisorCommand::Tell {
                     name,
                     pid,
                     sort,
                     again,
                 } => {
                     tracing::warn!(name, pid, sort, again, "ended by itself");
-                    self.told.push(Fallen {
+                    self.told.push(Crash {
                         name,
                         process: u64::from(pid),
                         sort,
@@ -389,11 +391,11 @@
         match started {
             Ok(pid) => {
                 tracing::info!(name, pid, label, "started");
-                self.keep.started(now, name, pid, label.to_string());
+                self.keep.on_started(now, name, pid, label.to_string());
             }
             Err(why) => {
                 tracing::error!(name, why, "could not be started");
-                self.act(|k, now, out| k.not_started(now, name, why, out));
+                self.act(|k, now, out| k.on_start_failed(now, name, why, out));
             }
         }
     }
@@ -408,9 +410,9 @@
             return;
         };
         while let Some(fallen) = self.told.first().cloned() {
-            let entry = Enter::Roll(roll_entry(&Entry::Fell(fallen), None));
+            let entry = Enter::Roll(roll_entry(&RolloutEntry::Fell(fallen), None));
             match self.client.enter_within(leader, entry, WITHIN) {
-                Err(tansy_net_fleet::ask::Failed::Away(_)) => return,
+                Err(tansy_net_fleet::client::RequestError::Unreachable(_)) => return,
                 _ => drop(self.told.remove(0)),
             }
         }
--- a/programs/fleet/src/view.rs
+++ b/programs/fleet/src/view.rs
@@ -6,10 +6,10 @@
 use ratatui::text::Line;
 use ratatui::widgets::{Block, Gauge, List, ListItem, Paragraph, Row, Table, Wrap};
 use ratatui::Frame;
-use tansy_rollout::{Phase, Roll, What};
+use tansy_rollout::{Rollout, RolloutChange, RolloutPhase};
 
 /// Draws it.
-pub(crate) fn draw(frame: &mut Frame<'_>, roll: &Roll) {
+pub(crate) fn draw(frame: &mut Frame<'_>, roll: &Rollout) {
     let [head, bar, middle, steps] = Layout::vertical([
         Constraint::Length(4),
         Constraint::Length(3),
@@ -18,15 +18,15 @@
     ])
     .areas(frame.area());
     let what = match &roll.what {
-        What::Program { path, .. } => format!("program {path}"),
-        What::Settings => "settings".to_string(),
+        RolloutChange::Program { path, .. } => format!("program {path}"),
+        RolloutChange::Settings => "settings".to_string(),
     };
     let (phase, color) = match roll.phase {
-        Phase::Moving => ("changing front ends", Color::Yellow),
-        Phase::Judging => ("under judgement", Color::Yellow),
-        Phase::Back => ("going back", Color::Red),
-        Phase::Done => ("done", Color::Green),
-        Phase::Stopped => ("stopped", Color::Red),
+        RolloutPhase::Moving => ("changing front ends", Color::Yellow),
+        RolloutPhase::Judging => ("under judgement", Color::Yellow),
+        RolloutPhase::Back => ("going back", Color::Red),
+        RolloutPhase::Done => ("done", Color::Green),
+        RolloutPhase::Stopped => ("stopped", Color::Red),
     };
     let paused = if roll.paused { ", paused" } else { "" };
     let text = vec![
@@ -69,12 +69,12 @@
     );
 }
 
-fn measured(frame: &mut Frame<'_>, area: Rect, roll: &Roll) {
+fn measured(frame: &mut Frame<'_>, area: Rect, roll: &Rollout) {
     let Some(seen) = roll.seen.last() else {
         let waits = Paragraph::new("nothing is compared yet").block(Block::bordered());
         return frame.render_widget(waits, area);
     };
-    let row = |m: &tansy_canary::Measured| {
+    let row = |m: &tansy_canary::Measurement| {
         let color = if m.loss - m.half > 0.0 {
             Color::Red
         } else {
@@ -110,31 +110,31 @@
     use super::*;
     use ratatui::backend::TestBackend;
     use ratatui::Terminal;
-    use tansy_canary::Measured;
-    use tansy_rollout::{Entry, Place, Plan, Seen};
+    use tansy_canary::Measurement;
+    use tansy_rollout::{RolloutEntry, RolloutPlan, StageObservation, Target};
 
     #[test]
     fn a_roll_is_drawn_whole_in_a_small_terminal_too() {
-        let place = Place {
+        let place = Target {
             name: "f1".into(),
             zone: "a".into(),
             seat: false,
         };
-        let plan = Plan {
+        let plan = RolloutPlan {
             stages: vec![vec![place]],
-            ..Plan::default()
+            ..RolloutPlan::default()
         };
-        let what = What::Program {
+        let what = RolloutChange::Program {
             label: "l".into(),
             path: "/opt/new".into(),
         };
-        let mut roll = Roll::begin(5, what, plan, "why it is done".into()).expect("a plan");
-        roll.apply(Entry::Steer {
+        let mut roll = Rollout::begin(5, what, plan, "why it is done".into()).expect("a plan");
+        roll.apply(RolloutEntry::Steer {
             fence: 1,
             who: "machine-1".into(),
         })
         .expect("nobody steers");
-        let measured = Measured {
+        let measured = Measurement {
             what: "service".into(),
             old: 0.01,
             new: 0.05,
@@ -143,7 +143,7 @@
             lately: 0.04,
             slices: 9,
         };
-        roll.seen.push(Seen {
+        roll.seen.push(StageObservation {
             stage: 0,
             stood: 45,
             measured: vec![measured],
--- a/programs/gateway/src/cli.rs
+++ b/programs/gateway/src/cli.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use tansy_agreement::rule::Value;
+use tansy_agreement::compatibility::Value;
 use tansy_settings::agree;
 use tracing_subscriber::EnvFilter;
 
--- a/programs/gateway/src/fleet.rs
+++ b/programs/gateway/src/fleet.rs
@@ -6,15 +6,17 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::{Rc, Weak};
 use std::time::SystemTime;
-use tansy_agreement::hold::{Call, HELD};
-use tansy_agreement::lease::{Terms as LeaseTerms, Time};
-use tansy_agreement::list::{Line, Standing, Worker as Named};
-use tansy_agreement::log::{Phase, Settings as Version, State};
-use tansy_agreement::rule::{apart, lapsed, part, Fields, Rules, Schema, Touch};
+use tansy_agreement::compatibility::{
+    part, rules_after_expiry, rules_without_lease, AffectedCalls, EffectiveRules, Fields, Schema,
+};
+use tansy_agreement::endpoints::{Endpoint as Named, EndpointRecord, EndpointState};
+use tansy_agreement::lease::{LeaseTiming as LeaseTerms, Time};
+use tansy_agreement::log::{ChangePhase, FleetState, VersionedSettings as Version};
+use tansy_agreement::subscription::{Admission, MAX_SUBSCRIPTIONS};
 use tansy_dispatch::{Contested, Counted, Shape, Terms};
-use tansy_fleet_node::{number, Peer};
+use tansy_fleet_node::{number, FleetNode};
 use tansy_fleet_wire::pb;
-use tansy_net_fleet::{Peers, Setup};
+use tansy_net_fleet::{FleetTransport, TransportConfig};
 use tansy_net_inference::{Hub, Looked, Lookup, Names, Worker};
 use tansy_net_sockets::Spawner;
 use tansy_settings::{agree, WorkerLine};
@@ -96,7 +98,7 @@
 
 /// Functions that are agreed on one by one.
 struct Scopes {
-    peers: Weak<Peers>,
+    peers: Weak<FleetTransport>,
     /// What was read of them, for as long as their fields are the same.
     read: RefCell<HashMap<String, (Fields, Looked)>>,
 }
@@ -106,12 +108,12 @@
         let Some(peers) = self.peers.upgrade() else {
             return Looked::Refused;
         };
-        match peers.called(function) {
-            Call::Acts(fields) => self.read(function, fields),
+        match peers.admit(function) {
+            Admission::Admit(fields) => self.read(function, fields),
             // Versions say all, and this one is not in them.
-            Call::Versions | Call::Unknown => Looked::Unknown,
-            Call::Refused(_) => Looked::Refused,
-            Call::Wait => Looked::Wait,
+            Admission::Unscoped | Admission::Unknown => Looked::Unknown,
+            Admission::Reject(_) => Looked::Refused,
+            Admission::Wait => Looked::Wait,
         }
     }
 }
@@ -139,7 +141,7 @@
                 Looked::Refused
             }
         };
-        if read.len() >= HELD {
+        if read.len() >= MAX_SUBSCRIPTIONS {
             read.clear();
         }
         read.insert(function.to_string(), (fields, looked.clone()));
@@ -148,31 +150,34 @@
 }
 
 /// What the state machine of a process that starts now is told by its settings.
-pub fn peer(fleet: &tansy_settings::Fleet, address: SocketAddr) -> tansy_fleet_node::Setup {
+pub fn peer(
+    fleet: &tansy_settings::Fleet,
+    address: SocketAddr,
+) -> tansy_fleet_node::FleetNodeConfig {
     // A process that comes back under its name is a later one; clocks of calendars do not go back by a restart's time.
     let since = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
     let incarnation = u64::try_from(since.as_micros()).unwrap_or(u64::MAX);
     let id = number(&fleet.me);
-    tansy_fleet_node::Setup {
+    tansy_fleet_node::FleetNodeConfig {
         fleet: number(&fleet.name),
         name: fleet.me.clone(),
-        me: tansy_membership::Name::new(id, incarnation, address),
-        seats: fleet
+        node: tansy_membership::NodeId::new(id, incarnation, address),
+        voters: fleet
             .seats
             .iter()
             .map(|s| (number(&s.name), s.address))
             .collect(),
         lease: LeaseTerms {
             span: fleet.within * LEASE_TENTHS / 10,
-            ppm: fleet.clock_ppm,
+            drift_ppm: fleet.clock_ppm,
         },
-        stay: LeaseTerms {
+        session: LeaseTerms {
             span: fleet.stay,
-            ppm: fleet.clock_ppm,
+            drift_ppm: fleet.clock_ppm,
         },
-        pace: tansy_membership::Pace::default(),
+        gossip: tansy_membership::GossipTiming::default(),
         schema: agree::agreement(),
         seed: id ^ incarnation,
     }
@@ -220,19 +225,19 @@
     adopter.hub.count();
     let label = std::env::var(LABEL).unwrap_or_default();
     let counts = Rc::new(move || counts(&counted, &zone, &label));
-    let setup = Setup {
-        peer,
+    let setup = TransportConfig {
+        node: peer,
         fleet: fleet.name.clone(),
-        seat: file,
-        via: place.via.clone(),
+        voter: file,
+        proxies: place.via.clone(),
         carrier: None,
         check,
         check_function: Rc::new(check_function),
         counts,
     };
     let acts = adopter.clone();
-    let hear = Rc::new(move |peer: &Peer, now| acts.hears(peer, now));
-    let peers = Peers::start(spawner, listener, setup, hear)?;
+    let hear = Rc::new(move |peer: &FleetNode, now| acts.hears(peer, now));
+    let peers = FleetTransport::start(spawner, listener, setup, hear)?;
     let scopes = Scopes {
         peers: Rc::downgrade(&peers),
         read: RefCell::new(HashMap::new()),
@@ -243,13 +248,13 @@
 
 /// A gateway's place in its fleet.
 pub struct Member {
-    peers: Rc<Peers>,
+    peers: Rc<FleetTransport>,
     adopter: Rc<Adopter>,
 }
 
 impl Member {
     /// Its links.
-    pub fn peers(&self) -> &Rc<Peers> {
+    pub fn peers(&self) -> &Rc<FleetTransport> {
         &self.peers
     }
 
@@ -257,8 +262,8 @@
     pub fn list(&self, list: Vec<WorkerLine>) {
         let lines = list.iter().map(line).collect();
         *self.adopter.workers.borrow_mut() = list;
-        self.peers.list(lines);
-        self.peers.with_peer(|peer, _| self.adopter.apply(peer));
+        self.peers.update_endpoints(lines);
+        self.peers.with_node(|peer, _| self.adopter.apply(peer));
     }
 }
 
@@ -308,20 +313,20 @@
     pages.unwrap_or(0) * rustix::param::page_size() as u64
 }
 
-fn line(w: &WorkerLine) -> Line {
+fn line(w: &WorkerLine) -> EndpointRecord {
     let worker = Named {
         name: w.listed.name.clone(),
         address: w.address.to_string(),
     };
     let standing = match w.listed.state {
-        0 => Standing::Ready,
-        1 => Standing::Draining,
-        _ => Standing::Gone,
+        0 => EndpointState::Ready,
+        1 => EndpointState::Draining,
+        _ => EndpointState::Gone,
     };
-    Line {
-        worker,
+    EndpointRecord {
+        endpoint: worker,
         incarnation: w.incarnation,
-        standing,
+        state: standing,
     }
 }
 
@@ -329,12 +334,12 @@
     /// Before anything is known: by what binds most of all.
     fn nothing_yet(&self, first: &Fields) -> Result<(), Error> {
         let (filled, _) = agree::filled(first)?;
-        let (terms, names) = self.terms(&lapsed(&self.schema, &filled))?;
+        let (terms, names) = self.terms(&rules_after_expiry(&self.schema, &filled))?;
         Ok(self.hub.adopt(terms, names, Vec::new())?)
     }
 
     /// The front end may act on something else by now; what is wrong, if it can't act on what it knows.
-    fn hears(&self, peer: &Peer, now: Time) -> Option<String> {
+    fn hears(&self, peer: &FleetNode, now: Time) -> Option<String> {
         let before = *self.given.borrow();
         let wrong = self.acts(peer, now);
         let changes = peer.scopes_changed();
@@ -348,20 +353,20 @@
     }
 
     /// Gives the ledger what the front end may act on by now; what is wrong, if it can't act on what it knows.
-    fn acts(&self, peer: &Peer, now: Time) -> Option<String> {
-        if peer.leavings() != self.leavings.get() {
+    fn acts(&self, peer: &FleetNode, now: Time) -> Option<String> {
+        if peer.drain_changes() != self.leavings.get() {
             self.apply(peer);
         }
-        let acting = peer.acting(now);
+        let acting = peer.active_state(now);
         let state = acting.state?;
-        let step = state.step.0;
-        let (lease, stay) = (acting.lease > 0, acting.stay > 0);
+        let step = state.revision.0;
+        let (lease, stay) = (acting.lease > 0, acting.session > 0);
         let given = Given { step, lease, stay };
         // What comes after each of them, in their order; a lease that outlasts the stay ends with that.
-        let within = lease && stay && acting.lease < acting.stay;
+        let within = lease && stay && acting.lease < acting.session;
         let ends = [
             (within, acting.lease, Right::Apart),
-            (stay, acting.stay, Right::Lapsed),
+            (stay, acting.session, Right::Lapsed),
         ];
         let ends = ends.into_iter().filter(|(there, ..)| *there);
         let ends: Vec<(i64, Right)> = ends.map(|(_, left, after)| (left, after)).collect();
@@ -403,19 +408,19 @@
     }
 
     /// Gives the ledger the workers as they stand by the list and by what anybody told.
-    fn apply(&self, peer: &Peer) {
-        self.leavings.set(peer.leavings());
+    fn apply(&self, peer: &FleetNode) {
+        self.leavings.set(peer.drain_changes());
         let stands = |w: &WorkerLine| {
             let told = line(w);
             let mut listed = w.listed.clone();
             listed.state =
                 match peer
-                    .leaving()
-                    .standing(&told.worker, told.incarnation, told.standing)
+                    .drains()
+                    .state_of(&told.endpoint, told.incarnation, told.state)
                 {
-                    Standing::Ready => 0,
-                    Standing::Draining => 1,
-                    Standing::Gone => 2,
+                    EndpointState::Ready => 0,
+                    EndpointState::Draining => 1,
+                    EndpointState::Gone => 2,
                 };
             Worker {
                 listed,
@@ -451,21 +456,21 @@
         *self.given.borrow_mut() = None;
     }
 
-    fn ready_for(&self, state: &State) -> Result<Ready, String> {
-        let state = &state.at(&self.name);
+    fn ready_for(&self, state: &FleetState) -> Result<Ready, String> {
+        let state = &state.for_member(&self.name);
         let fill = |v: &Version| agree::filled(&v.fields).map_err(|e| e.to_string());
-        let (force, mut strange) = fill(&state.force)?;
+        let (force, mut strange) = fill(&state.in_force)?;
         let mut filled = state.clone();
-        filled.force.fields = force;
+        filled.in_force.fields = force;
         if let Some((next, phase)) = &mut filled.next {
             let (fields, unknown) = fill(next)?;
             next.fields = fields;
-            if *phase == Phase::Joint {
+            if *phase == ChangePhase::Joint {
                 strange.extend(unknown);
             }
         }
         // Those that try other settings are valued as their siblings are.
-        let force = agree::settings(&self.own, &filled.force.fields)
+        let force = agree::settings(&self.own, &filled.in_force.fields)
             .map_err(|e| e.to_string())?
             .front;
         self.hub.value_by(
@@ -476,11 +481,11 @@
                 .collect(),
         );
         let mut rules = filled.rules(&self.schema);
-        rules.refused.extend(strange);
-        let made = |rules: &Rules| self.terms(rules).map_err(|e| e.to_string());
+        rules.rejected.extend(strange);
+        let made = |rules: &EffectiveRules| self.terms(rules).map_err(|e| e.to_string());
         let (whole, names) = made(&rules)?;
-        let (apart, _) = made(&apart(&self.schema, rules))?;
-        let (lapsed, _) = made(&lapsed(&self.schema, &filled.force.fields))?;
+        let (apart, _) = made(&rules_without_lease(&self.schema, rules))?;
+        let (lapsed, _) = made(&rules_after_expiry(&self.schema, &filled.in_force.fields))?;
         Ok(Ready {
             whole,
             apart,
@@ -489,19 +494,19 @@
         })
     }
 
-    fn terms(&self, rules: &Rules) -> Result<(Terms, Names), Error> {
+    fn terms(&self, rules: &EffectiveRules) -> Result<(Terms, Names), Error> {
         let settings = agree::settings(&self.own, &rules.fields)?;
         let mut contested = Contested {
             unlisted: rules.unlisted,
             ..Contested::default()
         };
         contested.for_about = self.for_about;
-        for touch in &rules.refused {
+        for touch in &rules.rejected {
             match touch {
-                Touch::All => contested.all = true,
-                Touch::Class(n) => note(&mut contested.classes, n),
-                Touch::Tenant(n) => note(&mut contested.tenants, n),
-                Touch::Function(n) => note(&mut contested.functions, n),
+                AffectedCalls::All => contested.all = true,
+                AffectedCalls::Class(n) => note(&mut contested.classes, n),
+                AffectedCalls::Tenant(n) => note(&mut contested.tenants, n),
+                AffectedCalls::Function(n) => note(&mut contested.functions, n),
             }
         }
         let g = settings.gateway;
@@ -521,7 +526,7 @@
 }
 
 /// Whether a function's fields make sense, of a class that the settings in force have and go on to have.
-fn check_function(name: &str, fields: &Fields, state: &State) -> Result<(), String> {
+fn check_function(name: &str, fields: &Fields, state: &FleetState) -> Result<(), String> {
     let f = agree::function(name, fields).map_err(|e| e.to_string())?;
     let there = |v: &Version| {
         let under = format!("classes.{}.", part(&f.class));
@@ -530,7 +535,7 @@
             .next()
             .is_some_and(|(path, _)| path.starts_with(&under))
     };
-    let all = [Some(&state.force), state.next.as_ref().map(|n| &n.0)];
+    let all = [Some(&state.in_force), state.next.as_ref().map(|n| &n.0)];
     match all.into_iter().flatten().find(|v| !there(v)) {
         None => Ok(()),
         Some(v) => Err(format!(
--- a/programs/gateway/src/lib.rs
+++ b/programs/gateway/src/lib.rs
@@ -257,7 +257,7 @@
             // It has ended every call: from here on nobody need wait for it.
             peers.leave();
             let end = Instant::now() + LAST_LETTERS;
-            while Instant::now() < end && !peers.quiet() {
+            while Instant::now() < end && !peers.is_idle() {
                 self.event_loop
                     .dispatch(Some(Duration::from_millis(5)), &mut ())?;
             }
--- a/programs/scale/src/cast.rs
+++ b/programs/scale/src/cast.rs
@@ -12,9 +12,9 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tansy_agreement::log::{Settings, Version};
-use tansy_agreement::member::View;
-use tansy_agreement::rule::Fields;
+use tansy_agreement::compatibility::Fields;
+use tansy_agreement::lease_tree::LeaseTopology;
+use tansy_agreement::log::{Version, VersionedSettings};
 use tansy_fleet::client::Client;
 use tansy_fleet_node::number;
 use tansy_fleet_wire::pb::enter_request::Entry;
@@ -148,7 +148,7 @@
     ended: Arc<AtomicBool>,
     failed: Option<String>,
     leader: SocketAddr,
-    force: Settings,
+    force: VersionedSettings,
     proposals: u64,
     watches: BTreeMap<u64, Watch>,
 }
@@ -207,10 +207,10 @@
             tell,
             ended,
             failed: None,
-            force: Settings {
+            force: VersionedSettings {
                 version: Version(0),
                 fields: first,
-                why: String::new(),
+                reason: String::new(),
                 id: 0,
             },
             proposals: 0,
@@ -584,7 +584,7 @@
         if state.next.is_some() {
             return Err("a change is under way".into());
         }
-        self.force = state.force;
+        self.force = state.in_force;
         Ok(())
     }
 
@@ -735,10 +735,10 @@
         let entry = |fields: Fields| {
             let id = self.next_id();
             let (version, why) = (self.force.version, "burst".into());
-            Entry::Propose(settings(&Settings {
+            Entry::Propose(settings(&VersionedSettings {
                 version,
                 fields,
-                why,
+                reason: why,
                 id,
             }))
         };
@@ -759,10 +759,10 @@
         let id = number(&format!("{}/{}/{began}", self.shape.seed, self.proposals));
         let mut last: Error = "no try".into();
         for _ in 0..TRIES {
-            let s = Settings {
+            let s = VersionedSettings {
                 version: self.force.version,
                 fields: fields.clone(),
-                why: why.into(),
+                reason: why.into(),
                 id,
             };
             match self
@@ -770,7 +770,7 @@
                 .enter_within(self.leader, Entry::Propose(settings(&s)), REQUEST)
             {
                 Ok(pb::EnterReply { version, .. }) => {
-                    self.force = Settings {
+                    self.force = VersionedSettings {
                         version: Version(version),
                         ..s
                     };
@@ -857,7 +857,7 @@
 /// Which of these names others ask for leases, where the one at this place leads.
 pub fn relays(names: &[String], leader: usize) -> Vec<bool> {
     let ids: Vec<u64> = names.iter().map(|n| number(n)).collect();
-    let view = View::new(ids[leader], ids.iter().copied());
+    let view = LeaseTopology::new(ids[leader], ids.iter().copied());
     let parents: BTreeSet<u64> = ids.iter().filter_map(|id| view.parent(*id, 0)).collect();
     ids.iter().map(|id| parents.contains(id)).collect()
 }
--- a/programs/scale/src/hollow.rs
+++ b/programs/scale/src/hollow.rs
@@ -17,12 +17,12 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
-use tansy_agreement::log::Step;
-use tansy_agreement::rule::Fields;
-use tansy_agreement::scope::Move;
-use tansy_fleet_node::Peer;
+use tansy_agreement::compatibility::Fields;
+use tansy_agreement::log::Revision;
+use tansy_agreement::scope::ScopeChange;
+use tansy_fleet_node::FleetNode;
 use tansy_gateway::fleet::peer;
-use tansy_net_fleet::{Peers, Setup};
+use tansy_net_fleet::{FleetTransport, TransportConfig};
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::{clock, Spawner};
 
@@ -176,7 +176,7 @@
     first: u32,
     each: u32,
     mesh: RefCell<Option<Rc<Mesh>>>,
-    all: RefCell<BTreeMap<u32, Rc<Peers>>>,
+    all: RefCell<BTreeMap<u32, Rc<FleetTransport>>>,
     /// Versions in force by place; apart, since the state machines tell of them while they run.
     force: RefCell<BTreeMap<u32, u64>>,
     since: RefCell<BTreeMap<u32, i64>>,
@@ -187,7 +187,7 @@
     calls: RefCell<Option<(usize, u64)>>,
     few: RefCell<BTreeMap<u32, Vec<String>>>,
     /// The steps that front ends act on.
-    steps: RefCell<BTreeMap<u32, Step>>,
+    steps: RefCell<BTreeMap<u32, Revision>>,
     watched: RefCell<BTreeMap<u64, Vec<Watched>>>,
 }
 
@@ -196,7 +196,7 @@
     name: String,
     wanted: Fields,
     /// Moves after this step count.
-    since: Step,
+    since: Revision,
     /// Who held it as the watch began, and does not act on the change.
     behind: BTreeSet<u32>,
     told: bool,
@@ -206,35 +206,37 @@
 
 impl Watched {
     /// Whether this one was told that the change is in force; none: it may have been told so with a whole state.
-    fn carried(&self, peer: &Peer, now: i64) -> Option<bool> {
-        let Some(state) = peer.acting(now).state else {
+    fn carried(&self, peer: &FleetNode, now: i64) -> Option<bool> {
+        let Some(state) = peer.active_state(now).state else {
             return Some(false);
         };
-        let mine = |m: &Move| {
+        let mine = |m: &ScopeChange| {
             m.scope == self.name
-                && m.to.next().is_none()
-                && m.to.fields.as_ref() == Some(&self.wanted)
+                && m.record.next().is_none()
+                && m.record.fields.as_ref() == Some(&self.wanted)
         };
         state
-            .moves
+            .history
             .since(self.since)
             .map(|mut all| all.any(|m| mine(m)))
     }
 
     /// Whether this one does not act on it, which it holds.
-    fn is_behind(&self, peer: &Peer, now: i64) -> bool {
-        let Some(acts) = peer.acts(now, &self.name) else {
+    fn is_behind(&self, peer: &FleetNode, now: i64) -> bool {
+        let Some(acts) = peer.effective_settings(now, &self.name) else {
             return false;
         };
-        acts.refused
+        acts.rejected
             || acts.fields.as_ref() != Some(&self.wanted)
             || self.carried(peer, now) == Some(false)
     }
 
     /// Whether this one takes calls by another class.
-    fn old_class(&self, peer: &Peer, now: i64) -> bool {
+    fn old_class(&self, peer: &FleetNode, now: i64) -> bool {
         let class = |f: &Fields| f.get("class").cloned();
-        let acts = peer.acts(now, &self.name).filter(|a| !a.refused);
+        let acts = peer
+            .effective_settings(now, &self.name)
+            .filter(|a| !a.rejected);
         acts.is_some_and(|a| a.fields.is_some_and(|f| class(&f) != class(&self.wanted)))
     }
 }
@@ -374,7 +376,7 @@
     fn take(&self, to: u32, letter: &[u8]) {
         let peers = self.all.borrow().get(&to).cloned();
         // What can't be read was counted; a front end answers that to its sender, who isn't there.
-        peers.into_iter().for_each(|p| drop(p.take(letter)));
+        peers.into_iter().for_each(|p| drop(p.on_datagram(letter)));
     }
 
     fn start(self: &Rc<Self>, place: u32, name: String) -> Result<(), Error> {
@@ -396,22 +398,22 @@
             mesh.send((nth / each) as usize, nth + first, letter);
             true
         };
-        let setup = Setup {
-            peer: peer(&fleet, address),
+        let setup = TransportConfig {
+            node: peer(&fleet, address),
             fleet: fleet.name.clone(),
-            seat: None,
-            via: Default::default(),
+            voter: None,
+            proxies: Default::default(),
             carrier: Some(Rc::new(carry)),
             check: Rc::new(|_| Ok(())),
             check_function: Rc::new(|_, _, _| Ok(())),
             counts: Rc::new(Default::default),
         };
         let me = self.clone();
-        let acts = Rc::new(move |peer: &Peer, now: i64| {
+        let acts = Rc::new(move |peer: &FleetNode, now: i64| {
             me.acts(place, since, peer, now);
             None
         });
-        let peers = Peers::start(self.spawner.clone(), listener, setup, acts)?;
+        let peers = FleetTransport::start(self.spawner.clone(), listener, setup, acts)?;
         self.all.borrow_mut().insert(place, peers);
         Ok(())
     }
@@ -420,10 +422,10 @@
         let Some(peers) = self.all.borrow_mut().remove(&place) else {
             return;
         };
-        peers.end();
-        let (letters, mut over) = (peers.letters(), self.over.borrow_mut());
-        over.taken += letters.taken;
-        over.taken_bytes += letters.taken_bytes;
+        peers.shut_down();
+        let (letters, mut over) = (peers.traffic(), self.over.borrow_mut());
+        over.taken += letters.received;
+        over.taken_bytes += letters.received_bytes;
         over.sent += letters.sent;
         over.sent_bytes += letters.sent_bytes;
         over.dropped += peers.dropped();
@@ -450,7 +452,7 @@
         self.spawner.spawn(async move {
             for n in 0.. {
                 me.spawner.sleep(CALL_EVERY).await;
-                let all: Vec<(u32, Rc<Peers>)> = me
+                let all: Vec<(u32, Rc<FleetTransport>)> = me
                     .all
                     .borrow()
                     .iter()
@@ -461,7 +463,7 @@
                         .calls_of(place)
                         .get(n % me.calls_of(place).len().max(1))
                         .cloned();
-                    function.into_iter().for_each(|f| drop(peers.called(&f)));
+                    function.into_iter().for_each(|f| drop(peers.admit(&f)));
                 }
             }
         });
@@ -482,10 +484,14 @@
 
     fn watch(&self, id: u64, functions: Vec<(String, Fields)>) {
         let (all, now) = (self.all.borrow(), clock::now());
-        let step = |p: &Peer, now| p.acting(now).state.map_or(Step(0), |s| s.step);
+        let step = |p: &FleetNode, now| {
+            p.active_state(now)
+                .state
+                .map_or(Revision(0), |s| s.revision)
+        };
         let since = all
             .values()
-            .map(|o| o.with_peer(step))
+            .map(|o| o.with_node(step))
             .max()
             .unwrap_or_default();
         let one = |(name, wanted): (String, Fields)| {
@@ -499,7 +505,7 @@
             };
             let behind = all
                 .iter()
-                .filter(|(_, o)| o.with_peer(|p, _| w.is_behind(p, now)));
+                .filter(|(_, o)| o.with_node(|p, _| w.is_behind(p, now)));
             w.behind = behind.map(|(place, _)| *place).collect();
             w
         };
@@ -512,14 +518,14 @@
     }
 
     /// One may act on something else: looks at what is watched for.
-    fn look(&self, place: u32, peer: &Peer, now: i64, stepped: bool) {
+    fn look(&self, place: u32, peer: &FleetNode, now: i64, stepped: bool) {
         let all = self.all.borrow();
         for (id, watched) in self.watched.borrow_mut().iter_mut() {
             for (nth, w) in watched.iter_mut().enumerate() {
                 if stepped && !w.known && w.carried(peer, now) == Some(true) {
                     w.known = true;
                     let others = all.iter().filter(|(p, _)| **p != place);
-                    for (p, _) in others.filter(|(_, o)| o.with_peer(|p, now| w.old_class(p, now)))
+                    for (p, _) in others.filter(|(_, o)| o.with_node(|p, now| w.old_class(p, now)))
                     {
                         tell(&News::Broken {
                             place: *p,
@@ -541,18 +547,19 @@
         }
     }
 
-    fn acts(&self, place: u32, since: i64, peer: &Peer, now: i64) {
+    fn acts(&self, place: u32, since: i64, peer: &FleetNode, now: i64) {
         // One that is over has no say.
         if self.since.borrow().get(&place) != Some(&since) {
             return;
         }
-        let acting = peer.acting(now);
+        let acting = peer.active_state(now);
         let Some(state) = acting.state else { return };
-        let stepped = self.steps.borrow_mut().insert(place, state.step) != Some(state.step);
+        let stepped = self.steps.borrow_mut().insert(place, state.revision) != Some(state.revision);
         self.look(place, peer, now, stepped);
-        let version = state.force.version.0;
+        let version = state.in_force.version.0;
         let before = self.force.borrow().get(&place).copied();
-        if before == Some(version) || (before.is_none() && (acting.lease <= 0 || acting.stay <= 0))
+        if before == Some(version)
+            || (before.is_none() && (acting.lease <= 0 || acting.session <= 0))
         {
             return;
         }
@@ -580,21 +587,25 @@
         let mut c = self.over.borrow().clone();
         let views: Vec<usize> = all
             .values()
-            .map(|o| o.with_peer(|p, _| p.others().count()))
+            .map(|o| o.with_node(|p, _| p.others().count()))
             .collect();
         c.alive = all.len();
         c.calls = all.keys().map(|place| self.calls_of(*place).len()).sum();
         c.least_view = views.iter().min().copied().unwrap_or(0);
         c.most_view = views.iter().max().copied().unwrap_or(0);
         for peers in all.values() {
-            let (lease, stay) =
-                peers.with_peer(|p, now| (p.acting(now).lease > 0, p.acting(now).stay > 0));
+            let (lease, stay) = peers.with_node(|p, now| {
+                (
+                    p.active_state(now).lease > 0,
+                    p.active_state(now).session > 0,
+                )
+            });
             c.without_lease += usize::from(!lease);
             c.without_stay += usize::from(!stay);
-            c.holds += peers.with_peer(|p, _| p.holds());
-            let l = peers.letters();
-            c.taken += l.taken;
-            c.taken_bytes += l.taken_bytes;
+            c.holds += peers.with_node(|p, _| p.subscription_count());
+            let l = peers.traffic();
+            c.taken += l.received;
+            c.taken_bytes += l.received_bytes;
             c.sent += l.sent;
             c.sent_bytes += l.sent_bytes;
             c.dropped += peers.dropped();
--- a/programs/scale/src/mesh.rs
+++ b/programs/scale/src/mesh.rs
@@ -11,13 +11,13 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::task::{Poll, Waker};
-use tansy_fleet_wire::LARGEST;
+use tansy_fleet_wire::MAX_MESSAGE_BYTES;
 use tansy_net_sockets::socket::Socket;
 use tansy_net_sockets::{Spawner, Yield};
 
 const HEAD: usize = 8;
 /// Bytes on their way to one process; letters beyond are dropped, as a network drops them.
-const ON_THE_WAY: usize = 4 * LARGEST;
+const ON_THE_WAY: usize = 4 * MAX_MESSAGE_BYTES;
 
 /// Takes a letter for the front end at this place.
 pub type Take = Rc<dyn Fn(u32, &[u8])>;
@@ -153,7 +153,7 @@
         return Ok(None);
     };
     let length = u32::from_be_bytes([*a, *b, *c, *d]) as usize;
-    if length > LARGEST {
+    if length > MAX_MESSAGE_BYTES {
         return Err(io::Error::other("a letter longer than any"));
     }
     let Some((to, _)) = rest.split_first_chunk::<4>() else {
--- a/programs/scale/src/run.rs
+++ b/programs/scale/src/run.rs
@@ -8,13 +8,13 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
+use tansy_agreement::compatibility::{Fields, Value};
 use tansy_agreement::lease::Member;
-use tansy_agreement::log::{Phase, Settings, State, Step, Version};
-use tansy_agreement::rule::{Fields, Value};
-use tansy_agreement::scope::{Moves, ScopeChange};
-use tansy_agreement::{lease::Grant, member::Message};
-use tansy_fleet_node::{Body, Root};
-use tansy_fleet_wire::{letter, pb, LARGEST};
+use tansy_agreement::log::{ChangePhase, FleetState, Revision, Version, VersionedSettings};
+use tansy_agreement::scope::{ChangeHistory, ScopeUpdate};
+use tansy_agreement::{lease::LeaseGrant, lease_tree::LeaseMessage};
+use tansy_fleet_node::{Leader, MessageBody};
+use tansy_fleet_wire::{encode_message, pb, MAX_MESSAGE_BYTES};
 use tansy_net_sockets::clock;
 
 /// Processes of a run, at most.
@@ -361,40 +361,49 @@
 }
 
 /// Bytes of the letter that carries these settings: in force alone, and while one such change is under way.
-fn letters(fields: &Fields, seat: &tansy_membership::Name) -> (usize, usize) {
-    let settings = Settings {
+fn letters(fields: &Fields, seat: &tansy_membership::NodeId) -> (usize, usize) {
+    let settings = VersionedSettings {
         version: Version(1),
         fields: fields.clone(),
-        why: String::new(),
+        reason: String::new(),
         id: 1,
     };
-    let bytes = |next: Option<(Settings, Phase)>| {
-        let (step, moves) = (Step(1), Moves::after(Step(1)));
+    let bytes = |next: Option<(VersionedSettings, ChangePhase)>| {
+        let (step, moves) = (Revision(1), ChangeHistory::after(Revision(1)));
         let (force, trial) = (settings.clone(), None);
-        let state = State {
-            step,
-            force,
+        let state = FleetState {
+            revision: step,
+            in_force: force,
             next,
-            trial,
-            versions_at: step,
+            canary: trial,
+            versions_revision: step,
             scopes_since: None,
-            moves,
+            history: moves,
         };
         let to = Member {
             id: 1,
             incarnation: 1,
         };
-        let grant = Grant {
+        let grant = LeaseGrant {
             to,
             seq: 1,
             span: 1,
-            step,
+            revision: step,
             state: Some(state),
             delta: None,
         };
-        letter(1, seat, Root::default(), Body::Lease(Message::Grant(grant))).len()
+        encode_message(
+            1,
+            seat,
+            Leader::default(),
+            MessageBody::Lease(LeaseMessage::Grant(grant)),
+        )
+        .len()
     };
-    (bytes(None), bytes(Some((settings.clone(), Phase::Joint))))
+    (
+        bytes(None),
+        bytes(Some((settings.clone(), ChangePhase::Joint))),
+    )
 }
 
 fn measure(a: &Arguments, shape: Shape, line: &mut Line) -> Result<bool, Error> {
@@ -418,13 +427,13 @@
     let began = Instant::now();
     let text = shape.text(&[("f0".into(), ([127, 0, 0, 1], 1).into())]);
     let fields = tansy_settings::agree::version("scale.cue", &text)?;
-    let name = tansy_membership::Name::new(1, 1, ([127, 0, 0, 1], 1).into());
+    let name = tansy_membership::NodeId::new(1, 1, ([127, 0, 0, 1], 1).into());
     let (alone, changing) = letters(&fields, &name);
     put(line, "letter_bytes", alone);
     put(line, "change_letter_bytes", changing);
-    if alone > LARGEST {
+    if alone > MAX_MESSAGE_BYTES {
         return Err(format!(
-            "a version of {} functions is a letter of {alone} bytes, which may have {LARGEST}: it can't be carried",
+            "a version of {} functions is a letter of {alone} bytes, which may have {MAX_MESSAGE_BYTES}: it can't be carried",
             shape.functions
         )
         .into());
@@ -451,10 +460,10 @@
         notes: Vec::new(),
         away: VecDeque::new(),
     };
-    if changing > LARGEST {
+    if changing > MAX_MESSAGE_BYTES {
         run.failed = true;
         run.notes.push(format!(
-            "a change of {} functions is a letter of {changing} bytes, which may have {LARGEST}: it can't come in force",
+            "a change of {} functions is a letter of {changing} bytes, which may have {MAX_MESSAGE_BYTES}: it can't come in force",
             shape.functions
         ));
     }
@@ -783,14 +792,14 @@
     }
 
     /// The seat's fields of a function, changed; none: it knows no such function.
-    fn scope_change(&mut self, kind: Kind, nth: usize) -> Result<ScopeChange, Error> {
+    fn scope_change(&mut self, kind: Kind, nth: usize) -> Result<ScopeUpdate, Error> {
         let scope = scope(nth);
         let known = self.cast.scopes(std::slice::from_ref(&scope))?.pop();
         let Some((base, Some(fields), _)) = known else {
             return Err(format!("the seat that leads knows no function {scope}").into());
         };
         self.changes += 1;
-        Ok(ScopeChange {
+        Ok(ScopeUpdate {
             scope,
             base,
             fields: Some(kind.change_one(fields, self.changes)),
--- a/programs/scale/src/scopes.rs
+++ b/programs/scale/src/scopes.rs
@@ -4,9 +4,9 @@
 use crate::Error;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
-use tansy_agreement::log::Step;
-use tansy_agreement::rule::Fields;
-use tansy_agreement::scope::{ScopeChange, ScopeRequest, Standing};
+use tansy_agreement::compatibility::Fields;
+use tansy_agreement::log::Revision;
+use tansy_agreement::scope::{ScopePhase, ScopeTransaction, ScopeUpdate};
 use tansy_fleet_node::number;
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_fleet_wire::{of_scoped, pb, scope_request};
@@ -83,9 +83,9 @@
         let all = tansy_settings::agree::functions("scopes", &(text + "}\n"))?;
         let all: Vec<(String, Fields)> = all.into_iter().collect();
         for some in all.chunks(AT_ONCE) {
-            let change = |(scope, fields): &(String, Fields)| ScopeChange {
+            let change = |(scope, fields): &(String, Fields)| ScopeUpdate {
                 scope: scope.clone(),
-                base: Step(0),
+                base: Revision(0),
                 fields: Some(fields.clone()),
             };
             let mut asked = self.change(some.iter().map(change).collect())?;
@@ -127,7 +127,10 @@
     }
 
     /// What the seat that leads has of functions: the revision, the fields, and whether a change is under way.
-    pub fn scopes(&mut self, names: &[String]) -> Result<Vec<(Step, Option<Fields>, bool)>, Error> {
+    pub fn scopes(
+        &mut self,
+        names: &[String],
+    ) -> Result<Vec<(Revision, Option<Fields>, bool)>, Error> {
         let asked = pb::FunctionsRequest {
             names: names.to_vec(),
             ..Default::default()
@@ -135,7 +138,7 @@
         let reply = self.client.functions(self.leader_address(), asked)?;
         let one = |n: pb::Named| -> Result<_, Error> {
             let s = n.scoped.map(of_scoped).transpose()?.unwrap_or_default();
-            let joint = matches!(s.standing, Standing::Joint { .. });
+            let joint = matches!(s.phase, ScopePhase::Joint { .. });
             Ok((s.revision, s.fields, joint))
         };
         let all: Vec<_> = reply
@@ -155,7 +158,7 @@
     }
 
     /// Has all changes watched for.
-    fn asked(&mut self, changes: &[ScopeChange]) -> Result<Asked, Error> {
+    fn asked(&mut self, changes: &[ScopeUpdate]) -> Result<Asked, Error> {
         let id = self.next_id();
         let wanted: Vec<(String, Fields)> = changes
             .iter()
@@ -174,12 +177,12 @@
     }
 
     /// Asks for changes in one request.
-    pub fn change(&mut self, changes: Vec<ScopeChange>) -> Result<Asked, Error> {
+    pub fn change(&mut self, changes: Vec<ScopeUpdate>) -> Result<Asked, Error> {
         let asked = self.asked(&changes)?;
-        let request = ScopeRequest {
+        let request = ScopeTransaction {
             id: asked.id,
-            changes,
-            why: "measured".into(),
+            updates: changes,
+            reason: "measured".into(),
         };
         self.enter(Entry::Change(scope_request(&request)))?;
         Ok(asked)
@@ -188,15 +191,15 @@
     /// Asks for changes at once, each in a request of its own; and which were refused, in words.
     pub fn burst(
         &mut self,
-        changes: Vec<ScopeChange>,
+        changes: Vec<ScopeUpdate>,
     ) -> Result<(Asked, Vec<Option<String>>), Error> {
         let asked = self.asked(&changes)?;
-        let entry = |c: ScopeChange| {
+        let entry = |c: ScopeUpdate| {
             let id = number(&format!("{}/{}", asked.id, c.scope));
-            Entry::Change(scope_request(&ScopeRequest {
+            Entry::Change(scope_request(&ScopeTransaction {
                 id,
-                changes: vec![c],
-                why: "burst".into(),
+                updates: vec![c],
+                reason: "burst".into(),
             }))
         };
         let entries = changes.into_iter().map(entry).collect();
--- a/protocol/fleet/src/lib.rs
+++ b/protocol/fleet/src/lib.rs
@@ -11,22 +11,22 @@
 
 use prost::Message as _;
 use std::net::SocketAddr;
-use tansy_agreement::lease::{Ask, Grant, Member};
-use tansy_agreement::list::{Line, Standing, Worker, LEAVING};
-use tansy_agreement::log::{Phase, Settings, State, Step, Trial, Version};
-use tansy_agreement::member::Message;
-use tansy_agreement::rule::{Fields, Value};
-use tansy_agreement::scope::Moves;
-use tansy_agreement::stay;
-use tansy_fleet_node::{Body, Root};
-use tansy_membership::Name;
+use tansy_agreement::compatibility::{Fields, Value};
+use tansy_agreement::endpoints::{Endpoint, EndpointRecord, EndpointState, MAX_DRAINS};
+use tansy_agreement::lease::{LeaseGrant, LeaseRequest, Member};
+use tansy_agreement::lease_tree::LeaseMessage;
+use tansy_agreement::log::{Canary, ChangePhase, FleetState, Revision, Version, VersionedSettings};
+use tansy_agreement::scope::ChangeHistory;
+use tansy_agreement::session;
+use tansy_fleet_node::{Leader, MessageBody};
+use tansy_membership::NodeId;
 
 /// The form of the messages; another one is turned away.
-pub const FORM: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 /// Bytes of a letter.
-pub const LARGEST: usize = 4 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 /// Bytes of a name, an address or a reason.
-pub const WORDS: usize = 4096;
+pub const MAX_TEXT_BYTES: usize = 4096;
 /// Lists within lists.
 const DEPTH: usize = 8;
 /// The service's path.
@@ -34,87 +34,91 @@
 
 /// Why a letter is thrown away.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum DecodeError {
     /// It can't be read at all.
-    Noise(String),
+    Malformed(String),
     /// It is of another form: of a program that can't be understood.
-    Form(u32),
+    UnknownFormat(u32),
     /// It is of another fleet.
-    Fleet,
+    OtherFleet,
     /// A part is missing, or is no such thing.
-    Part(&'static str),
+    MissingPart(&'static str),
 }
 
-impl std::fmt::Display for Bad {
+impl std::fmt::Display for DecodeError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Bad::Noise(why) => write!(f, "a letter that can't be read: {why}"),
-            Bad::Form(n) => {
-                write!(f, "a letter of form {n}, this program knows form {FORM}: one of the two is too old")
+            DecodeError::Malformed(why) => write!(f, "a letter that can't be read: {why}"),
+            DecodeError::UnknownFormat(n) => {
+                write!(f, "a letter of form {n}, this program knows form {FORMAT_VERSION}: one of the two is too old")
             }
-            Bad::Fleet => {
+            DecodeError::OtherFleet => {
                 write!(f, "a letter of another fleet: two fleets are wired to each other; look at fleet.name and fleet.seats")
             }
-            Bad::Part(part) => write!(f, "a letter without a right {part}"),
+            DecodeError::MissingPart(part) => write!(f, "a letter without a right {part}"),
         }
     }
 }
-impl std::error::Error for Bad {}
+impl std::error::Error for DecodeError {}
 
 /// A letter as bytes.
-pub fn letter(fleet: u64, from: &Name, root: Root, body: Body) -> Vec<u8> {
+pub fn encode_message(fleet: u64, from: &NodeId, root: Leader, body: MessageBody) -> Vec<u8> {
     use pb::letter::Body as B;
     let body = match body {
-        Body::Members(bytes) => B::Members(bytes),
-        Body::Lease(Message::Ask(a)) => {
+        MessageBody::Gossip(bytes) => B::Members(bytes),
+        MessageBody::Lease(LeaseMessage::Request(a)) => {
             let from = Some(member(a.from));
             B::Ask(pb::Ask {
                 from,
                 seq: a.seq,
-                at: a.at.0,
-                has: a.has.0,
-                deltas: a.deltas,
+                at: a.acknowledged.0,
+                has: a.known.0,
+                deltas: a.accepts_deltas,
             })
         }
-        Body::Lease(Message::Grant(g)) => B::Grant(pb::Grant {
+        MessageBody::Lease(LeaseMessage::Grant(g)) => B::Grant(pb::Grant {
             to: Some(member(g.to)),
             seq: g.seq,
             span: g.span,
-            step: g.step.0,
+            step: g.revision.0,
             state: g.state.as_ref().map(state),
             delta: g.delta.as_ref().map(scopes::delta),
         }),
-        Body::Lease(Message::Step(s)) => B::Step(s.0),
-        Body::Lease(Message::Reached { from, at }) => B::Reached(pb::Reached {
-            from: Some(member(from)),
-            at: at.0,
-        }),
-        Body::AskStay(a, name, digest) => {
-            let (from, scopes) = (Some(member(a.from)), a.scopes);
+        MessageBody::Lease(LeaseMessage::Revision(s)) => B::Step(s.0),
+        MessageBody::Lease(LeaseMessage::Acknowledge { from, revision: at }) => {
+            B::Reached(pb::Reached {
+                from: Some(member(from)),
+                at: at.0,
+            })
+        }
+        MessageBody::SessionRequest(a, name, digest) => {
+            let (from, scopes) = (Some(member(a.from)), a.supports_scopes);
             B::StayAsk(pb::StayAsk {
                 from,
                 seq: a.seq,
-                at: a.at.0,
+                at: a.revision.0,
                 name,
                 digest,
                 scopes,
             })
         }
-        Body::Leaving(lines, back) => {
+        MessageBody::Drains(lines, back) => {
             // One that is ready is no news to anybody.
-            let leaves = lines.into_iter().filter(|l| l.standing != Standing::Ready);
+            let leaves = lines
+                .into_iter()
+                .filter(|l| l.state != EndpointState::Ready);
             B::Leaving(pb::Leaving {
                 lines: leaves.map(line).collect(),
                 back,
             })
         }
-        Body::Digest(digest) => B::Digest(digest),
-        Body::Seats(bytes) => B::Seats(bytes),
-        Body::Want(want) => B::Want(scopes::want(want)),
-        Body::Scopes(reply) => B::Scopes(scopes::reply(reply)),
-        Body::Head => B::Head(true),
-        Body::Gone(m) => B::Gone(member(m)),
-        Body::Stay(g) => B::StayGrant(pb::StayGrant {
+        MessageBody::DrainDigest(digest) => B::Digest(digest),
+        MessageBody::Consensus(bytes) => B::Seats(bytes),
+        MessageBody::Subscribe(want) => B::Want(scopes::want(want)),
+        MessageBody::SubscribeReply(reply) => B::Scopes(scopes::reply(reply)),
+        MessageBody::HeaderOnly => B::Head(true),
+        MessageBody::Departed(m) => B::Gone(member(m)),
+        MessageBody::SessionGrant(g) => B::StayGrant(pb::StayGrant {
             to: Some(member(g.to)),
             seq: g.seq,
             span: g.span,
@@ -122,7 +126,7 @@
     };
     let (root_term, root) = (root.term, root.id);
     pb::Letter {
-        form: FORM,
+        form: FORMAT_VERSION,
         fleet,
         from: Some(process(from)),
         root_term,
@@ -133,65 +137,76 @@
 }
 
 /// A letter of this fleet, with its sender and who leads in its eyes.
-pub fn read(fleet: u64, bytes: &[u8]) -> Result<(Name, Root, Body), Bad> {
-    let letter = pb::Letter::decode(bytes).map_err(|e| Bad::Noise(e.to_string()))?;
-    if letter.form != FORM {
-        return Err(Bad::Form(letter.form));
-    } else if letter.fleet != fleet {
-        return Err(Bad::Fleet);
+pub fn decode_message(
+    fleet: u64,
+    bytes: &[u8],
+) -> Result<(NodeId, Leader, MessageBody), DecodeError> {
+    let encode_message =
+        pb::Letter::decode(bytes).map_err(|e| DecodeError::Malformed(e.to_string()))?;
+    if encode_message.form != FORMAT_VERSION {
+        return Err(DecodeError::UnknownFormat(encode_message.form));
+    } else if encode_message.fleet != fleet {
+        return Err(DecodeError::OtherFleet);
     }
-    let root = Root {
-        term: letter.root_term,
-        id: letter.root,
+    let root = Leader {
+        term: encode_message.root_term,
+        id: encode_message.root,
     };
-    let from = name(letter.from.ok_or(Bad::Part("sender"))?)?;
+    let from = name(
+        encode_message
+            .from
+            .ok_or(DecodeError::MissingPart("sender"))?,
+    )?;
     use pb::letter::Body as B;
-    let body = match letter.body.ok_or(Bad::Part("body"))? {
-        B::Members(bytes) => Body::Members(bytes),
-        B::Ask(a) => Body::Lease(Message::Ask(Ask {
+    let body = match encode_message
+        .body
+        .ok_or(DecodeError::MissingPart("body"))?
+    {
+        B::Members(bytes) => MessageBody::Gossip(bytes),
+        B::Ask(a) => MessageBody::Lease(LeaseMessage::Request(LeaseRequest {
             from: of_member(a.from)?,
             seq: a.seq,
-            at: Step(a.at),
-            has: Step(a.has),
-            deltas: a.deltas,
+            acknowledged: Revision(a.at),
+            known: Revision(a.has),
+            accepts_deltas: a.deltas,
         })),
-        B::Grant(g) => Body::Lease(Message::Grant(Grant {
+        B::Grant(g) => MessageBody::Lease(LeaseMessage::Grant(LeaseGrant {
             to: of_member(g.to)?,
             seq: g.seq,
             span: g.span,
-            step: Step(g.step),
+            revision: Revision(g.step),
             state: g.state.map(of_state).transpose()?,
             delta: g.delta.map(|d| scopes::of_delta(d, g.step)).transpose()?,
         })),
-        B::Step(n) => Body::Lease(Message::Step(Step(n))),
-        B::Reached(r) => Body::Lease(Message::Reached {
+        B::Step(n) => MessageBody::Lease(LeaseMessage::Revision(Revision(n))),
+        B::Reached(r) => MessageBody::Lease(LeaseMessage::Acknowledge {
             from: of_member(r.from)?,
-            at: Step(r.at),
+            revision: Revision(r.at),
         }),
         B::StayAsk(a) => {
-            let (from, at) = (of_member(a.from)?, Step(a.at));
-            let ask = stay::Ask {
+            let (from, at) = (of_member(a.from)?, Revision(a.at));
+            let ask = session::SessionRequest {
                 from,
                 seq: a.seq,
-                at,
-                scopes: a.scopes,
+                revision: at,
+                supports_scopes: a.scopes,
             };
-            Body::AskStay(ask, words(a.name, "name")?, a.digest)
+            MessageBody::SessionRequest(ask, words(a.name, "name")?, a.digest)
         }
         B::Leaving(l) => {
-            if l.lines.len() > LEAVING {
-                return Err(Bad::Part("number of workers"));
+            if l.lines.len() > MAX_DRAINS {
+                return Err(DecodeError::MissingPart("number of workers"));
             }
             let lines = l.lines.into_iter().map(of_line).collect::<Result<_, _>>()?;
-            Body::Leaving(lines, l.back)
+            MessageBody::Drains(lines, l.back)
         }
-        B::Digest(digest) => Body::Digest(digest),
-        B::Seats(bytes) => Body::Seats(bytes),
-        B::Want(want) => Body::Want(scopes::of_want(want)?),
-        B::Scopes(reply) => Body::Scopes(scopes::of_reply(reply)?),
-        B::Head(_) => Body::Head,
-        B::Gone(m) => Body::Gone(of_member(Some(m))?),
-        B::StayGrant(g) => Body::Stay(stay::Grant {
+        B::Digest(digest) => MessageBody::DrainDigest(digest),
+        B::Seats(bytes) => MessageBody::Consensus(bytes),
+        B::Want(want) => MessageBody::Subscribe(scopes::of_want(want)?),
+        B::Scopes(reply) => MessageBody::SubscribeReply(scopes::of_reply(reply)?),
+        B::Head(_) => MessageBody::HeaderOnly,
+        B::Gone(m) => MessageBody::Departed(of_member(Some(m))?),
+        B::StayGrant(g) => MessageBody::SessionGrant(session::SessionGrant {
             to: of_member(g.to)?,
             seq: g.seq,
             span: g.span,
@@ -200,43 +215,43 @@
     Ok((from, root, body))
 }
 
-fn line(l: Line) -> pb::Line {
-    let gone = l.standing == Standing::Gone;
+fn line(l: EndpointRecord) -> pb::Line {
+    let gone = l.state == EndpointState::Gone;
     pb::Line {
-        name: l.worker.name,
-        address: l.worker.address,
+        name: l.endpoint.name,
+        address: l.endpoint.address,
         incarnation: l.incarnation,
         gone,
     }
 }
 
-fn of_line(l: pb::Line) -> Result<Line, Bad> {
-    let worker = Worker {
+fn of_line(l: pb::Line) -> Result<EndpointRecord, DecodeError> {
+    let worker = Endpoint {
         name: words(l.name, "worker's name")?,
         address: words(l.address, "worker's address")?,
     };
     let standing = if l.gone {
-        Standing::Gone
+        EndpointState::Gone
     } else {
-        Standing::Draining
+        EndpointState::Draining
     };
-    Ok(Line {
-        worker,
+    Ok(EndpointRecord {
+        endpoint: worker,
         incarnation: l.incarnation,
-        standing,
+        state: standing,
     })
 }
 
-fn words(text: String, what: &'static str) -> Result<String, Bad> {
-    if text.len() > WORDS {
-        Err(Bad::Part(what))
+fn words(text: String, what: &'static str) -> Result<String, DecodeError> {
+    if text.len() > MAX_TEXT_BYTES {
+        Err(DecodeError::MissingPart(what))
     } else {
         Ok(text)
     }
 }
 
 /// A process as it is written.
-pub fn process(name: &Name) -> pb::Process {
+pub fn process(name: &NodeId) -> pb::Process {
     let (id, incarnation, life) = (name.id, name.incarnation, name.life);
     pb::Process {
         id,
@@ -246,12 +261,12 @@
     }
 }
 
-fn name(p: pb::Process) -> Result<Name, Bad> {
+fn name(p: pb::Process) -> Result<NodeId, DecodeError> {
     let address: SocketAddr = p
         .address
         .parse()
-        .map_err(|_| Bad::Part("sender's address"))?;
-    Ok(Name {
+        .map_err(|_| DecodeError::MissingPart("sender's address"))?;
+    Ok(NodeId {
         id: p.id,
         incarnation: p.incarnation,
         life: p.life,
@@ -267,8 +282,8 @@
     }
 }
 
-fn of_member(m: Option<pb::Member>) -> Result<Member, Bad> {
-    let m = m.ok_or(Bad::Part("member"))?;
+fn of_member(m: Option<pb::Member>) -> Result<Member, DecodeError> {
+    let m = m.ok_or(DecodeError::MissingPart("member"))?;
     Ok(Member {
         id: m.id,
         incarnation: m.incarnation,
@@ -291,17 +306,19 @@
     pb::Value { kind: Some(kind) }
 }
 
-fn of_value(v: pb::Value, depth: usize) -> Result<Value, Bad> {
+fn of_value(v: pb::Value, depth: usize) -> Result<Value, DecodeError> {
     use pb::value::Kind as K;
-    Ok(match v.kind.ok_or(Bad::Part("value"))? {
+    Ok(match v.kind.ok_or(DecodeError::MissingPart("value"))? {
         K::Flag(b) => Value::Flag(b),
         K::Int(n) => Value::Int(n),
         K::Span(n) => Value::Span(n),
         K::Bytes(n) => Value::Bytes(n),
         K::Number(x) if x.is_finite() => Value::Number(x),
-        K::Number(_) => return Err(Bad::Part("number")),
+        K::Number(_) => return Err(DecodeError::MissingPart("number")),
         K::Text(t) => Value::Text(t),
-        K::List(_) if depth == 0 => return Err(Bad::Part("value: lists within lists")),
+        K::List(_) if depth == 0 => {
+            return Err(DecodeError::MissingPart("value: lists within lists"))
+        }
         K::List(all) => {
             let all = all.values.into_iter().map(|v| of_value(v, depth - 1));
             Value::List(all.collect::<Result<_, _>>()?)
@@ -310,7 +327,7 @@
 }
 
 /// A version as it is written.
-pub fn settings(s: &Settings) -> pb::Settings {
+pub fn settings(s: &VersionedSettings) -> pb::Settings {
     pb::Settings {
         version: s.version.0,
         fields: s
@@ -318,72 +335,75 @@
             .iter()
             .map(|(p, v)| (p.clone(), value(v)))
             .collect(),
-        why: s.why.clone(),
+        why: s.reason.clone(),
         id: s.id,
     }
 }
 
-fn of_fields(fields: impl IntoIterator<Item = (String, pb::Value)>) -> Result<Fields, Bad> {
+fn of_fields(fields: impl IntoIterator<Item = (String, pb::Value)>) -> Result<Fields, DecodeError> {
     let field = |(path, v)| Ok((words(path, "field's path")?, of_value(v, DEPTH)?));
     fields.into_iter().map(field).collect()
 }
 
 /// A version as it was written.
-pub fn of_settings(s: pb::Settings) -> Result<Settings, Bad> {
+pub fn of_settings(s: pb::Settings) -> Result<VersionedSettings, DecodeError> {
     let fields = of_fields(s.fields)?;
-    Ok(Settings {
+    Ok(VersionedSettings {
         version: Version(s.version),
         fields,
-        why: words(s.why, "reason")?,
+        reason: words(s.why, "reason")?,
         id: s.id,
     })
 }
 
 /// What is acted on, as it is written.
-pub fn state(s: &State) -> pb::State {
+pub fn state(s: &FleetState) -> pb::State {
     let phase = match s.next.as_ref().map(|(_, p)| p) {
         None => pb::Phase::None,
-        Some(Phase::Told) => pb::Phase::Told,
-        Some(Phase::Joint) => pb::Phase::Joint,
-        Some(Phase::Back) => pb::Phase::Back,
+        Some(ChangePhase::Announced) => pb::Phase::Told,
+        Some(ChangePhase::Joint) => pb::Phase::Joint,
+        Some(ChangePhase::RolledBack) => pb::Phase::Back,
     };
     pb::State {
-        step: s.step.0,
-        force: Some(settings(&s.force)),
+        step: s.revision.0,
+        force: Some(settings(&s.in_force)),
         next: s.next.as_ref().map(|(n, _)| settings(n)),
         phase: phase as i32,
-        trial: s.trial.as_ref().map(|t| pb::Trial {
+        trial: s.canary.as_ref().map(|t| pb::Trial {
             fields: t
                 .fields
                 .iter()
                 .map(|(p, v)| (p.clone(), value(v)))
                 .collect(),
-            names: t.names.iter().cloned().collect(),
+            names: t.members.iter().cloned().collect(),
         }),
         // What says nothing to programs from before there were functions on their own is left out.
-        versions_at: if s.versions_at == s.step {
+        versions_at: if s.versions_revision == s.revision {
             0
         } else {
-            s.versions_at.0
+            s.versions_revision.0
         },
         scopes_since: s.scopes_since.map_or(0, |s| s.0),
     }
 }
 
 /// What is acted on, as it was written.
-pub fn of_state(s: pb::State) -> Result<State, Bad> {
+pub fn of_state(s: pb::State) -> Result<FleetState, DecodeError> {
     let phase = match pb::Phase::try_from(s.phase) {
         Ok(pb::Phase::None) => None,
-        Ok(pb::Phase::Told) => Some(Phase::Told),
-        Ok(pb::Phase::Joint) => Some(Phase::Joint),
-        Ok(pb::Phase::Back) => Some(Phase::Back),
-        Err(_) => return Err(Bad::Part("phase")),
+        Ok(pb::Phase::Told) => Some(ChangePhase::Announced),
+        Ok(pb::Phase::Joint) => Some(ChangePhase::Joint),
+        Ok(pb::Phase::Back) => Some(ChangePhase::RolledBack),
+        Err(_) => return Err(DecodeError::MissingPart("phase")),
     };
-    let force = of_settings(s.force.ok_or(Bad::Part("version in force"))?)?;
+    let force = of_settings(
+        s.force
+            .ok_or(DecodeError::MissingPart("version in force"))?,
+    )?;
     let next = match (s.next, phase) {
         (Some(next), Some(phase)) => Some((of_settings(next)?, phase)),
         (None, None) => None,
-        _ => return Err(Bad::Part("version under way")),
+        _ => return Err(DecodeError::MissingPart("version under way")),
     };
     let trial = s.trial.map(|t| {
         let names = t
@@ -391,37 +411,40 @@
             .into_iter()
             .map(|n| words(n, "name"))
             .collect::<Result<_, _>>()?;
-        Ok(Box::new(Trial {
+        Ok(Box::new(Canary {
             fields: of_fields(t.fields)?,
-            names,
+            members: names,
         }))
     });
-    let step = Step(s.step);
+    let step = Revision(s.step);
     let versions_at = if s.versions_at == 0 {
         step
     } else {
-        Step(s.versions_at)
+        Revision(s.versions_at)
     };
     if versions_at > step {
-        return Err(Bad::Part("step of the versions"));
+        return Err(DecodeError::MissingPart("step of the versions"));
     }
     let (scopes_since, moves) = (
-        Some(Step(s.scopes_since)).filter(|s| s.0 != 0),
-        Moves::after(step),
+        Some(Revision(s.scopes_since)).filter(|s| s.0 != 0),
+        ChangeHistory::after(step),
     );
-    Ok(State {
-        step,
-        force,
+    Ok(FleetState {
+        revision: step,
+        in_force: force,
         next,
-        trial: trial.transpose()?,
-        versions_at,
+        canary: trial.transpose()?,
+        versions_revision: versions_at,
         scopes_since,
-        moves,
+        history: moves,
     })
 }
 
 /// A roll's step as it is written.
-pub fn roll_entry(entry: &tansy_rollout::Entry, fields: Option<&Settings>) -> pb::Roll {
+pub fn roll_entry(
+    entry: &tansy_rollout::RolloutEntry,
+    fields: Option<&VersionedSettings>,
+) -> pb::Roll {
     // Plain data always has an encoding.
     let entry = serde_json::to_string(entry).unwrap_or_default();
     pb::Roll {
@@ -431,40 +454,45 @@
 }
 
 /// A roll's step as it was written.
-pub fn of_roll_entry(r: pb::Roll) -> Result<(tansy_rollout::Entry, Option<Fields>), Bad> {
-    let entry =
-        serde_json::from_str(&r.entry).map_err(|e| Bad::Noise(format!("a roll's step: {e}")))?;
+pub fn of_roll_entry(
+    r: pb::Roll,
+) -> Result<(tansy_rollout::RolloutEntry, Option<Fields>), DecodeError> {
+    let entry = serde_json::from_str(&r.entry)
+        .map_err(|e| DecodeError::Malformed(format!("a roll's step: {e}")))?;
     let fields = r.fields.map(of_settings).transpose()?.map(|s| s.fields);
     Ok((entry, fields))
 }
 
 /// What a seat knows of the last roll; none: there was none.
-pub fn of_roll(text: &str) -> Result<Option<tansy_rollout::Roll>, Bad> {
+pub fn of_roll(text: &str) -> Result<Option<tansy_rollout::Rollout>, DecodeError> {
     if text.is_empty() {
         return Ok(None);
     }
     serde_json::from_str(text)
         .map(Some)
-        .map_err(|e| Bad::Noise(format!("a roll: {e}")))
+        .map_err(|e| DecodeError::Malformed(format!("a roll: {e}")))
 }
 
 /// Distinct latencies of a class that are taken.
 const LATENCIES: usize = 4096;
 
 /// What a front end counted, as a look for a verdict. `new`: whether it is on the new side.
-pub fn of_counts(c: pb::CountsReply, new: bool) -> Result<tansy_rollout::Front, Bad> {
+pub fn of_counts(
+    c: pb::CountsReply,
+    new: bool,
+) -> Result<tansy_rollout::FrontEndObservation, DecodeError> {
     let mut classes = std::collections::BTreeMap::new();
     for c in c.classes {
         if c.took.len() != c.calls.len() || c.took.len() > LATENCIES {
-            return Err(Bad::Part("list of latencies"));
+            return Err(DecodeError::MissingPart("list of latencies"));
         }
         if !(c.wanted.is_finite() && c.worth.is_finite()) {
-            return Err(Bad::Part("worth"));
+            return Err(DecodeError::MissingPart("worth"));
         }
-        let mut t = tansy_canary::Tally {
-            asked: c.asked,
+        let mut t = tansy_canary::RequestCounters {
+            requested: c.asked,
             served: c.served,
-            refused: c.refused,
+            rejected: c.refused,
             failed: c.failed,
             wanted: c.wanted,
             worth: c.worth,
@@ -474,11 +502,11 @@
             // A histogram of two digits grows by some bytes for each time it doubles.
             t.latency
                 .record_n(took, calls)
-                .map_err(|_| Bad::Part("latency"))?;
+                .map_err(|_| DecodeError::MissingPart("latency"))?;
         }
         classes.insert(words(c.class, "class")?, t);
     }
-    let report = tansy_canary::Report {
+    let report = tansy_canary::FrontEndReport {
         name: words(c.name, "name")?,
         zone: words(c.zone, "zone")?,
         new,
@@ -488,7 +516,7 @@
         memory: c.memory as f64 / 1e6,
         guarded: c.guarded,
     };
-    Ok(tansy_rollout::Front {
+    Ok(tansy_rollout::FrontEndObservation {
         ready: c.ready,
         report,
     })
--- a/protocol/fleet/tests/letters.rs
+++ b/protocol/fleet/tests/letters.rs
@@ -1,23 +1,25 @@
 //! Letters come back as they were written; what was not written by us is turned away with a reason and harms nothing.
 
-use tansy_agreement::hold::{Epoch, Reply, Want, WANTS};
-use tansy_agreement::lease::{Ask, Grant, Member};
-use tansy_agreement::list::{Line, Standing, Worker};
-use tansy_agreement::log::{Phase, Settings, State, Step, Trial, Version};
-use tansy_agreement::member::Message;
-use tansy_agreement::rule::Value;
-use tansy_agreement::scope::{self, Delta, Move, Moves, Scoped};
-use tansy_agreement::stay;
-use tansy_fleet_node::{Body, Root};
-use tansy_fleet_wire::{letter, pb, read, Bad, FORM};
-use tansy_membership::Name;
+use tansy_agreement::compatibility::Value;
+use tansy_agreement::endpoints::{Endpoint, EndpointRecord, EndpointState};
+use tansy_agreement::lease::{LeaseGrant, LeaseRequest, Member};
+use tansy_agreement::lease_tree::LeaseMessage;
+use tansy_agreement::log::{Canary, ChangePhase, FleetState, Revision, Version, VersionedSettings};
+use tansy_agreement::scope::{self, ChangeHistory, ScopeChange, ScopeRecord, StateDelta};
+use tansy_agreement::session;
+use tansy_agreement::subscription::{
+    ResyncEpoch, SubscribeReply, SubscribeRequest, MAX_SCOPES_PER_REQUEST,
+};
+use tansy_fleet_node::{Leader, MessageBody};
+use tansy_fleet_wire::{decode_message, encode_message, pb, DecodeError, FORMAT_VERSION};
+use tansy_membership::NodeId;
 
-const ROOT: Root = Root {
+const ROOT: Leader = Leader {
     term: 3,
     id: u64::MAX,
 };
 
-fn state() -> State {
+fn state() -> FleetState {
     let fields = [
         ("classes.a%2eb.window", Value::Span(5)),
         ("front.siblings", Value::Int(-3)),
@@ -36,121 +38,124 @@
         .into_iter()
         .map(|(p, v)| (p.to_string(), v))
         .collect();
-    let force = Settings {
+    let force = VersionedSettings {
         version: Version(7),
         fields,
-        why: "because".into(),
+        reason: "because".into(),
         id: u64::MAX,
     };
-    let next = Settings {
+    let next = VersionedSettings {
         version: Version(8),
         fields: Default::default(),
         ..force.clone()
     };
     let names = ["f1".to_string(), "f2".to_string()].into();
-    let trial = Some(Box::new(Trial {
+    let trial = Some(Box::new(Canary {
         fields: force.fields.clone(),
-        names,
+        members: names,
     }));
-    let (step, next) = (Step(19), Some((next, Phase::Joint)));
-    State {
-        step,
-        force,
+    let (step, next) = (Revision(19), Some((next, ChangePhase::Joint)));
+    FleetState {
+        revision: step,
+        in_force: force,
         next,
-        trial,
-        versions_at: step,
+        canary: trial,
+        versions_revision: step,
         scopes_since: None,
-        moves: Moves::after(step),
+        history: ChangeHistory::after(step),
     }
 }
 
-fn bodies() -> Vec<Body> {
+fn bodies() -> Vec<MessageBody> {
     let m = Member {
         id: u64::MAX,
         incarnation: 3,
     };
-    let grant = |state| Grant {
+    let grant = |state| LeaseGrant {
         to: m,
         seq: 9,
         span: 600_000,
-        step: Step(19),
+        revision: Revision(19),
         state,
         delta: None,
     };
     vec![
-        Body::Members(vec![0, 255, 3]),
-        Body::Lease(Message::Ask(Ask {
+        MessageBody::Gossip(vec![0, 255, 3]),
+        MessageBody::Lease(LeaseMessage::Request(LeaseRequest {
             from: m,
             seq: 1,
-            at: Step(2),
-            has: Step(3),
-            deltas: false,
+            acknowledged: Revision(2),
+            known: Revision(3),
+            accepts_deltas: false,
         })),
-        Body::Lease(Message::Grant(grant(None))),
-        Body::Lease(Message::Grant(grant(Some(state())))),
-        Body::Lease(Message::Step(Step(4))),
-        Body::Lease(Message::Reached {
+        MessageBody::Lease(LeaseMessage::Grant(grant(None))),
+        MessageBody::Lease(LeaseMessage::Grant(grant(Some(state())))),
+        MessageBody::Lease(LeaseMessage::Revision(Revision(4))),
+        MessageBody::Lease(LeaseMessage::Acknowledge {
             from: m,
-            at: Step(5),
+            revision: Revision(5),
         }),
-        Body::AskStay(
-            stay::Ask {
+        MessageBody::SessionRequest(
+            session::SessionRequest {
                 from: m,
                 seq: 6,
-                at: Step(7),
-                scopes: false,
+                revision: Revision(7),
+                supports_scopes: false,
             },
             "front-1".into(),
             99,
         ),
-        Body::Stay(stay::Grant {
+        MessageBody::SessionGrant(session::SessionGrant {
             to: m,
             seq: 8,
             span: 1,
         }),
-        Body::Gone(m),
-        Body::Leaving(vec![line(Standing::Draining), line(Standing::Gone)], true),
-        Body::Digest(u64::MAX),
-        Body::Seats(vec![1, 2, 255]),
-        Body::Head,
+        MessageBody::Departed(m),
+        MessageBody::Drains(
+            vec![line(EndpointState::Draining), line(EndpointState::Gone)],
+            true,
+        ),
+        MessageBody::DrainDigest(u64::MAX),
+        MessageBody::Consensus(vec![1, 2, 255]),
+        MessageBody::HeaderOnly,
         // Since functions are agreed on one by one.
-        Body::Lease(Message::Ask(Ask {
+        MessageBody::Lease(LeaseMessage::Request(LeaseRequest {
             from: m,
             seq: 1,
-            at: Step(2),
-            has: Step(3),
-            deltas: true,
+            acknowledged: Revision(2),
+            known: Revision(3),
+            accepts_deltas: true,
         })),
-        Body::Lease(Message::Grant(Grant {
+        MessageBody::Lease(LeaseMessage::Grant(LeaseGrant {
             delta: Some(delta()),
             ..grant(None)
         })),
-        Body::Lease(Message::Grant(Grant {
+        MessageBody::Lease(LeaseMessage::Grant(LeaseGrant {
             delta: Some(delta()),
             ..grant(Some(later()))
         })),
-        Body::AskStay(
-            stay::Ask {
+        MessageBody::SessionRequest(
+            session::SessionRequest {
                 from: m,
                 seq: 6,
-                at: Step(7),
-                scopes: true,
+                revision: Revision(7),
+                supports_scopes: true,
             },
             "front-1".into(),
             99,
         ),
-        Body::Want(want()),
-        Body::Want(Want {
-            drops: vec![7, u64::MAX],
-            all: Some(vec![]),
+        MessageBody::Subscribe(want()),
+        MessageBody::Subscribe(SubscribeRequest {
+            unsubscribed: vec![7, u64::MAX],
+            full_list: Some(vec![]),
             ..want()
         }),
-        Body::Want(Want {
-            all: Some(vec![1, u64::MAX]),
+        MessageBody::Subscribe(SubscribeRequest {
+            full_list: Some(vec![1, u64::MAX]),
             ..want()
         }),
-        Body::Scopes(reply()),
-        Body::Scopes(Reply {
+        MessageBody::SubscribeReply(reply()),
+        MessageBody::SubscribeReply(SubscribeReply {
             seq: None,
             scopes: vec![],
             ..reply()
@@ -158,15 +163,15 @@
     ]
 }
 
-fn later() -> State {
-    State {
-        versions_at: Step(17),
-        scopes_since: Some(Step(4)),
+fn later() -> FleetState {
+    FleetState {
+        versions_revision: Revision(17),
+        scopes_since: Some(Revision(4)),
         ..state()
     }
 }
 
-fn scoped(standing: scope::Standing, fields: bool) -> Scoped {
+fn scoped(standing: scope::ScopePhase, fields: bool) -> ScopeRecord {
     let all = || {
         [
             ("class".to_string(), Value::Text("chat".into())),
@@ -174,107 +179,117 @@
         ]
         .into()
     };
-    Scoped {
-        revision: Step(3),
+    ScopeRecord {
+        revision: Revision(3),
         fields: fields.then(all),
-        standing,
+        phase: standing,
     }
 }
 
 /// One of each way in which a function may stand.
-fn standings() -> Vec<Scoped> {
-    let next = |fields| scoped(scope::Standing::Settled, fields).fields;
+fn standings() -> Vec<ScopeRecord> {
+    let next = |fields| scoped(scope::ScopePhase::Settled, fields).fields;
     vec![
-        Scoped::default(),
-        scoped(scope::Standing::Settled, true),
+        ScopeRecord::default(),
+        scoped(scope::ScopePhase::Settled, true),
         scoped(
-            scope::Standing::Joint {
+            scope::ScopePhase::Joint {
                 next: next(true),
-                since: Step(18),
+                since: Revision(18),
             },
             false,
         ),
         scoped(
-            scope::Standing::Joint {
+            scope::ScopePhase::Joint {
                 next: next(false),
-                since: Step(18),
+                since: Revision(18),
             },
             true,
         ),
-        scoped(scope::Standing::Settling { since: Step(18) }, false),
-        scoped(scope::Standing::Back { since: Step(19) }, true),
-        Scoped {
+        scoped(
+            scope::ScopePhase::Settling {
+                since: Revision(18),
+            },
+            false,
+        ),
+        scoped(
+            scope::ScopePhase::Reverting {
+                since: Revision(19),
+            },
+            true,
+        ),
+        ScopeRecord {
             fields: Some(Default::default()),
-            ..Scoped::default()
+            ..ScopeRecord::default()
         },
     ]
 }
 
-fn delta() -> Delta {
-    let one = |(n, to): (usize, Scoped)| {
-        std::sync::Arc::new(Move {
-            step: Step(18 + n as u64 / 4),
+fn delta() -> StateDelta {
+    let one = |(n, to): (usize, ScopeRecord)| {
+        std::sync::Arc::new(ScopeChange {
+            revision: Revision(18 + n as u64 / 4),
             scope: format!("f.{n}"),
-            to,
+            record: to,
         })
     };
-    Delta {
-        from: Step(17),
-        to: Step(19),
-        moves: standings().into_iter().enumerate().map(one).collect(),
+    StateDelta {
+        from: Revision(17),
+        to: Revision(19),
+        changes: standings().into_iter().enumerate().map(one).collect(),
     }
 }
 
-fn want() -> Want {
+fn want() -> SubscribeRequest {
     let from = Member {
         id: u64::MAX,
         incarnation: 3,
     };
-    let epoch = Epoch {
+    let epoch = ResyncEpoch {
         term: 7,
         count: u64::MAX,
     };
     let scopes = vec!["a.b".to_string(), "é".to_string()];
-    Want {
+    SubscribeRequest {
         from,
         epoch,
         seq: 1,
-        at: Step(5),
+        revision: Revision(5),
         scopes,
-        drops: vec![],
-        all: None,
+        unsubscribed: vec![],
+        full_list: None,
     }
 }
 
-fn reply() -> Reply {
+fn reply() -> SubscribeReply {
     let mut scopes: Vec<_> = standings()
         .into_iter()
         .map(|s| ("f".to_string(), Some(s)))
         .collect();
     scopes.push(("none".into(), None));
-    Reply {
+    SubscribeReply {
         to: want().from,
         epoch: want().epoch,
         seq: Some(3),
-        at: Step(19),
+        revision: Revision(19),
         scopes,
     }
 }
 
-fn line(standing: Standing) -> Line {
-    let worker = Worker {
+fn line(standing: EndpointState) -> EndpointRecord {
+    let worker = Endpoint {
         name: "w".into(),
         address: "10.0.0.1:80".into(),
     };
-    Line {
-        worker,
+    EndpointRecord {
+        endpoint: worker,
         incarnation: 7,
-        standing,
+        state: standing,
     }
 }
 
-fn sender() -> Name {
-    Name {
+fn sender() -> NodeId {
+    NodeId {
         id: 5,
         incarnation: 6,
         life: 7,
@@ -285,8 +300,8 @@
 #[test]
 fn every_letter_comes_back_as_it_was_written() {
     for body in bodies() {
-        let bytes = letter(77, &sender(), ROOT, body.clone());
-        assert_eq!(read(77, &bytes), Ok((sender(), ROOT, body)));
+        let bytes = encode_message(77, &sender(), ROOT, body.clone());
+        assert_eq!(decode_message(77, &bytes), Ok((sender(), ROOT, body)));
     }
 }
 
@@ -295,16 +310,17 @@
 #[test]
 fn letters_that_an_earlier_program_wrote_are_read() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join(format!("tests/recorded/form-{FORM}"));
+        .join(format!("tests/recorded/form-{FORMAT_VERSION}"));
     for (n, body) in bodies().into_iter().enumerate() {
         let path = folder.join(format!("{n:02}.bin"));
         if std::env::var_os("RECORD").is_some() {
             std::fs::create_dir_all(&folder).expect("a folder");
-            std::fs::write(&path, letter(77, &sender(), ROOT, body.clone())).expect("a file");
+            std::fs::write(&path, encode_message(77, &sender(), ROOT, body.clone()))
+                .expect("a file");
         }
         let bytes = std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
         assert_eq!(
-            read(77, &bytes),
+            decode_message(77, &bytes),
             Ok((sender(), ROOT, body)),
             "{}",
             path.display()
@@ -315,35 +331,49 @@
 #[test]
 fn letters_of_another_fleet_or_program_are_turned_away_with_the_reason() {
     use prost::Message as _;
-    let bytes = letter(77, &sender(), ROOT, bodies().remove(0));
-    assert_eq!(read(78, &bytes), Err(Bad::Fleet));
+    let bytes = encode_message(77, &sender(), ROOT, bodies().remove(0));
+    assert_eq!(decode_message(78, &bytes), Err(DecodeError::OtherFleet));
     let mut later = pb::Letter::decode(bytes.as_slice()).expect("a letter");
-    later.form = FORM + 1;
-    assert_eq!(read(77, &later.encode_to_vec()), Err(Bad::Form(FORM + 1)));
-    later.form = FORM;
+    later.form = FORMAT_VERSION + 1;
+    assert_eq!(
+        decode_message(77, &later.encode_to_vec()),
+        Err(DecodeError::UnknownFormat(FORMAT_VERSION + 1))
+    );
+    later.form = FORMAT_VERSION;
     let mut nobody = later.clone();
     nobody.from = None;
-    assert_eq!(read(77, &nobody.encode_to_vec()), Err(Bad::Part("sender")));
+    assert_eq!(
+        decode_message(77, &nobody.encode_to_vec()),
+        Err(DecodeError::MissingPart("sender"))
+    );
     // A body that a later program has and this one does not.
     later.body = None;
-    assert_eq!(read(77, &later.encode_to_vec()), Err(Bad::Part("body")));
+    assert_eq!(
+        decode_message(77, &later.encode_to_vec()),
+        Err(DecodeError::MissingPart("body"))
+    );
     let mut deep = Value::Int(1);
     (0..40).for_each(|_| deep = Value::List(vec![deep.clone()]));
     let mut s = state();
-    s.force.fields.insert("deep".into(), deep);
+    s.in_force.fields.insert("deep".into(), deep);
     let m = Member::default();
-    let grant = Grant {
+    let grant = LeaseGrant {
         to: m,
         seq: 1,
         span: 1,
-        step: s.step,
+        revision: s.revision,
         state: Some(s),
         delta: None,
     };
-    let bytes = letter(77, &sender(), ROOT, Body::Lease(Message::Grant(grant)));
+    let bytes = encode_message(
+        77,
+        &sender(),
+        ROOT,
+        MessageBody::Lease(LeaseMessage::Grant(grant)),
+    );
     assert!(matches!(
-        read(77, &bytes),
-        Err(Bad::Part(_) | Bad::Noise(_))
+        decode_message(77, &bytes),
+        Err(DecodeError::MissingPart(_) | DecodeError::Malformed(_))
     ));
 }
 
@@ -351,97 +381,97 @@
 fn letters_about_functions_that_are_out_of_bounds_are_turned_away_with_the_reason() {
     let m = want().from;
     let grant = |delta| {
-        let grant = Grant {
+        let grant = LeaseGrant {
             to: m,
             seq: 9,
             span: 1,
-            step: Step(19),
+            revision: Revision(19),
             state: None,
             delta: Some(delta),
         };
-        Body::Lease(Message::Grant(grant))
+        MessageBody::Lease(LeaseMessage::Grant(grant))
     };
     let mut backwards = delta();
-    backwards.moves.reverse();
+    backwards.changes.reverse();
     let name = |n: usize| vec!["x".repeat(n)];
     let bad = [
         (
-            Body::Want(Want {
-                scopes: vec!["f".into(); WANTS + 1],
+            MessageBody::Subscribe(SubscribeRequest {
+                scopes: vec!["f".into(); MAX_SCOPES_PER_REQUEST + 1],
                 ..want()
             }),
             "number of functions",
         ),
         (
-            Body::Want(Want {
-                drops: vec![0; 4097],
+            MessageBody::Subscribe(SubscribeRequest {
+                unsubscribed: vec![0; 4097],
                 ..want()
             }),
             "number of functions",
         ),
         (
-            Body::Want(Want {
-                all: Some(vec![0; 4097]),
+            MessageBody::Subscribe(SubscribeRequest {
+                full_list: Some(vec![0; 4097]),
                 ..want()
             }),
             "number of functions",
         ),
         (
-            Body::Want(Want { seq: 0, ..want() }),
+            MessageBody::Subscribe(SubscribeRequest { seq: 0, ..want() }),
             "number of the letter",
         ),
         (
-            Body::Want(Want {
+            MessageBody::Subscribe(SubscribeRequest {
                 scopes: name(0),
                 ..want()
             }),
             "function's name",
         ),
         (
-            Body::Want(Want {
+            MessageBody::Subscribe(SubscribeRequest {
                 scopes: name(257),
                 ..want()
             }),
             "function's name",
         ),
         (
-            Body::Scopes(Reply {
-                scopes: vec![("f".into(), None); WANTS + 1],
+            MessageBody::SubscribeReply(SubscribeReply {
+                scopes: vec![("f".into(), None); MAX_SCOPES_PER_REQUEST + 1],
                 ..reply()
             }),
             "number of functions",
         ),
         (
-            grant(Delta {
-                to: Step(18),
+            grant(StateDelta {
+                to: Revision(18),
                 ..delta()
             }),
             "order of moves",
         ),
         (
-            grant(Delta {
-                from: Step(18),
+            grant(StateDelta {
+                from: Revision(18),
                 ..delta()
             }),
             "order of moves",
         ),
         (
-            grant(Delta {
-                from: Step(20),
-                moves: vec![],
+            grant(StateDelta {
+                from: Revision(20),
+                changes: vec![],
                 ..delta()
             }),
             "order of moves",
         ),
         (grant(backwards), "order of moves"),
         (
-            Body::Lease(Message::Grant(Grant {
+            MessageBody::Lease(LeaseMessage::Grant(LeaseGrant {
                 to: m,
                 seq: 9,
                 span: 1,
-                step: Step(19),
-                state: Some(State {
-                    versions_at: Step(20),
+                revision: Revision(19),
+                state: Some(FleetState {
+                    versions_revision: Revision(20),
                     ..later()
                 }),
                 delta: None,
@@ -451,8 +481,8 @@
     ];
     for (body, part) in bad {
         assert_eq!(
-            read(77, &letter(77, &sender(), ROOT, body.clone())),
-            Err(Bad::Part(part)),
+            decode_message(77, &encode_message(77, &sender(), ROOT, body.clone())),
+            Err(DecodeError::MissingPart(part)),
             "{body:?}"
         );
     }
@@ -463,7 +493,7 @@
     let mut rng = fastrand::Rng::with_seed(4);
     let whole: Vec<Vec<u8>> = bodies()
         .into_iter()
-        .map(|b| letter(77, &sender(), ROOT, b))
+        .map(|b| encode_message(77, &sender(), ROOT, b))
         .collect();
     let (mut read_well, mut turned_away) = (0, 0);
     for n in 0..40_000 {
@@ -479,7 +509,7 @@
                 }
             }
         }
-        match read(77, &bytes) {
+        match decode_message(77, &bytes) {
             Ok(_) => read_well += 1,
             Err(e) => {
                 assert!(!e.to_string().is_empty());
--- a/settings/src/agree.rs
+++ b/settings/src/agree.rs
@@ -5,25 +5,27 @@
 use crate::value::{definition, evaluate, Kind as Sort, Node, Scalar, SCHEMA};
 use crate::{Errors, SCHEMA_TEXT};
 use std::collections::{BTreeMap, BTreeSet};
-use tansy_agreement::rule::{self, Fields, Kind, Lapsed, Schema, Stricter, Touch, Value};
+use tansy_agreement::compatibility::{
+    self, AffectedCalls, Compatibility, ExpiredLeasePolicy, Fields, Restrictiveness, Schema, Value,
+};
 use tansy_syntax::{parse, Span};
 
 /// The least share or multiple that the schema takes, and a time longer than any.
 const LEAST: f64 = 0.000001;
 const LONG: i64 = 1_000_000_000_000_000;
 
-fn least(v: Value) -> Kind {
-    Kind::Joint(Stricter::Least, Lapsed::Strictest(v))
+fn least(v: Value) -> Compatibility {
+    Compatibility::Joint(Restrictiveness::Smallest, ExpiredLeasePolicy::Strictest(v))
 }
 
-fn most(v: Value) -> Kind {
-    Kind::Joint(Stricter::Most, Lapsed::Strictest(v))
+fn most(v: Value) -> Compatibility {
+    Compatibility::Joint(Restrictiveness::Largest, ExpiredLeasePolicy::Strictest(v))
 }
 
 /// The kinds of all fields. Fields that are a front end's own are free: `front.me`, its addresses, what it holds.
 pub fn agreement() -> Schema {
-    use Kind::{Free, Strict};
-    let effects = Stricter::First(&["unsafe", "keyed", "safe"]);
+    use Compatibility::{Free, Strict};
+    let effects = Restrictiveness::Ranked(&["unsafe", "keyed", "safe"]);
     Schema::new([
         // What a call is counted as must be one thing over all.
         ("front.class_key", Strict),
@@ -35,7 +37,10 @@
         // What a repeat may do.
         (
             "classes.*.effect",
-            Kind::Joint(effects, Lapsed::Strictest(Value::Text("unsafe".into()))),
+            Compatibility::Joint(
+                effects,
+                ExpiredLeasePolicy::Strictest(Value::Text("unsafe".into())),
+            ),
         ),
         ("classes.*.window", least(Value::Span(0))),
         ("classes.*.group", Strict),
@@ -125,7 +130,7 @@
     let mut all: BTreeMap<String, Fields> = BTreeMap::new();
     for (path, v) in fields.into_iter().filter(|(path, _)| stands(path)) {
         if let [_, function, field] = path.splitn(3, '.').collect::<Vec<_>>()[..] {
-            all.entry(rule::name(function))
+            all.entry(compatibility::name(function))
                 .or_default()
                 .insert(field.to_string(), v);
         }
@@ -151,7 +156,7 @@
         let mut node = Some(&written);
         for part in path.split('.') {
             node = match node.map(|n| &n.kind) {
-                Some(Sort::Record(r)) => r.fields.get(&rule::name(part)).map(|f| &f.node),
+                Some(Sort::Record(r)) => r.fields.get(&compatibility::name(part)).map(|f| &f.node),
                 // What is written by a reference or an alternative is taken to stand there.
                 other => return other.is_some(),
             };
@@ -171,7 +176,12 @@
                 return false;
             };
             let any = r.any.as_deref();
-            let Some(next) = r.fields.get(&rule::name(part)).map(|f| &f.node).or(any) else {
+            let Some(next) = r
+                .fields
+                .get(&compatibility::name(part))
+                .map(|f| &f.node)
+                .or(any)
+            else {
                 return false;
             };
             node = next;
@@ -207,7 +217,7 @@
 
 /// A part of a path as a text writes it before its colon.
 pub fn label(part: &str) -> String {
-    let name = rule::name(part);
+    let name = compatibility::name(part);
     let plain = name.starts_with(|c: char| c.is_ascii_lowercase())
         && name
             .chars()
@@ -216,19 +226,22 @@
     if plain {
         name
     } else {
-        rule::quoted(&name)
+        compatibility::quote(&name)
     }
 }
 
 /// All fields of a version, with this program's defaults filled in. What the schema does not know is left out; the calls
 /// that it touches are to be refused, since nobody here can say what it would ask of them.
-pub fn filled(version: &Fields) -> Result<(Fields, BTreeSet<Touch>), Errors> {
+pub fn filled(version: &Fields) -> Result<(Fields, BTreeSet<AffectedCalls>), Errors> {
     let strange = unknown(version);
     let mut known = version.clone();
     strange.iter().for_each(|p| drop(known.remove(p)));
     let mut all = fields("the version", &text(&known))?;
     all.retain(|path, _| !own(path));
-    Ok((all, strange.iter().map(|p| Touch::of(p)).collect()))
+    Ok((
+        all,
+        strange.iter().map(|p| AffectedCalls::of_path(p)).collect(),
+    ))
 }
 
 /// Whether a version makes settings for whoever reads it, of a program that knows all of its fields.
@@ -295,7 +308,7 @@
         return;
     };
     for (name, field) in &record.fields {
-        let name = rule::part(name);
+        let name = compatibility::part(name);
         let under = if path.is_empty() {
             name
         } else {
--- a/settings/tests/agree.rs
+++ b/settings/tests/agree.rs
@@ -1,8 +1,9 @@
 //! Every field of the schema says how it agrees, and what it says is what two front ends would need.
 
 use std::collections::BTreeSet;
-use tansy_agreement::rule::{
-    changes, contradictions, joint, lapsed, Fields, Kind, Rules, Touch, Value,
+use tansy_agreement::compatibility::{
+    changes, contradictions, joint_rules, rules_after_expiry, AffectedCalls, Compatibility,
+    EffectiveRules, Fields, Value,
 };
 use tansy_settings::agree::{
     agreement, fields, filled, function, settings, text, unknown, version,
@@ -77,7 +78,7 @@
     // What no pattern names would be strict for every call. These alone are meant to be.
     let strict: Vec<&String> = full
         .keys()
-        .filter(|p| *agreement().kind(p) == Kind::Strict)
+        .filter(|p| *agreement().compatibility(p) == Compatibility::Strict)
         .collect();
     assert_eq!(
         strict,
@@ -97,16 +98,19 @@
         "group: \"zone\", window: 20s",
         "group: \"cell\", window: 30s",
     );
-    let rules = joint(&agreement(), &old, &new);
+    let rules = joint_rules(&agreement(), &old, &new);
     assert_eq!(rules.fields["classes.chat.window"], Value::Span(20_000_000));
-    assert_eq!(rules.refused, BTreeSet::from([Touch::Class("chat".into())]));
+    assert_eq!(
+        rules.rejected,
+        BTreeSet::from([AffectedCalls::Class("chat".into())])
+    );
     let changed: Vec<String> = changes(&agreement(), &old, &new)
         .into_iter()
         .map(|c| c.path)
         .collect();
     assert_eq!(changed, ["classes.chat.group", "classes.chat.window"]);
     assert!(
-        !contradictions(&agreement(), &old, &Rules::of(&new)).is_empty(),
+        !contradictions(&agreement(), &old, &EffectiveRules::from_fields(&new)).is_empty(),
         "side by side they contradict"
     );
 }
@@ -114,7 +118,7 @@
 #[test]
 fn what_a_front_end_without_a_lease_does_contradicts_none_of_these() {
     let known = of(&FULL.replace("worker: ration: {free: 3, part: 0.5, period: 10s}", ""));
-    let rules = lapsed(&agreement(), &known);
+    let rules = rules_after_expiry(&agreement(), &known);
     for force in [
         of(FULL),
         with("effect: \"keyed\"", "effect: \"unsafe\""),
@@ -156,7 +160,10 @@
         "worker.cold_from",
     ];
     assert_eq!(paths, wanted);
-    assert_eq!(Touch::of(paths[0]), Touch::Class("a.b%".into()));
+    assert_eq!(
+        AffectedCalls::of_path(paths[0]),
+        AffectedCalls::Class("a.b%".into())
+    );
     // The text of it is read to the same, and so is what is filled in.
     assert_eq!(
         version("t.cue", &text(&held)).expect("its text is right"),
@@ -183,7 +190,7 @@
     let (all, strange) = filled(&held).expect("the rest loads");
     assert_eq!(
         strange,
-        BTreeSet::from([Touch::All, Touch::Class("chat".into())])
+        BTreeSet::from([AffectedCalls::All, AffectedCalls::Class("chat".into())])
     );
     assert!(!all.contains_key("worker.mood"));
 }
@@ -200,18 +207,19 @@
         "effect: \"safe\"",
     );
     for rules in [
-        Rules::of(&now),
-        joint(&agreement(), &now, &safe),
-        joint(&agreement(), &safe, &now),
-        lapsed(&agreement(), &now),
-        lapsed(&agreement(), &safe),
+        EffectiveRules::from_fields(&now),
+        joint_rules(&agreement(), &now, &safe),
+        joint_rules(&agreement(), &safe, &now),
+        rules_after_expiry(&agreement(), &now),
+        rules_after_expiry(&agreement(), &safe),
     ] {
         let made = settings(&own, &rules.fields).unwrap_or_else(|e| panic!("{e}"));
         assert!(made.front.settings.siblings > made.front.settings.me);
         assert_eq!(made.front.settings.me, 2, "it is its own");
     }
     // Keyed at one and safe at the other is a class whose workers drop no repeat: no second attempt.
-    let both = settings(&own, &joint(&agreement(), &now, &safe).fields).expect("it makes sense");
+    let both =
+        settings(&own, &joint_rules(&agreement(), &now, &safe).fields).expect("it makes sense");
     assert_eq!(
         both.front.settings.classes[0].effect,
         tansyrouter::Effect::Unsafe
--- a/storage/src/store.rs
+++ b/storage/src/store.rs
@@ -90,7 +90,7 @@
 
 /// What a file held when it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Recovered {
+pub struct RecoveredLog {
     /// The last entry that the snapshot covers, and the snapshot.
     pub snapshot: Option<(u64, Vec<u8>)>,
     /// Entries after it, in order, without gaps.
@@ -106,12 +106,12 @@
 
 impl Store {
     /// Opens a file, or makes it; what it holds comes with it.
-    pub fn open(path: &Path) -> Result<(Store, Recovered), Error> {
+    pub fn open(path: &Path) -> Result<(Store, RecoveredLog), Error> {
         Store::of(redb::Builder::new().set_cache_size(CACHE).create(path)?)
     }
 
     /// The same on another sort of storage, for tests of what goes wrong there.
-    pub fn on(backend: impl StorageBackend) -> Result<(Store, Recovered), Error> {
+    pub fn on(backend: impl StorageBackend) -> Result<(Store, RecoveredLog), Error> {
         Store::of(
             redb::Builder::new()
                 .set_cache_size(CACHE)
@@ -119,7 +119,7 @@
         )
     }
 
-    fn of(db: Database) -> Result<(Store, Recovered), Error> {
+    fn of(db: Database) -> Result<(Store, RecoveredLog), Error> {
         let read = db.begin_read()?;
         let format = match read.open_table(META) {
             Ok(meta) => meta.get("format")?.map(|f| f.value()),
@@ -152,7 +152,7 @@
         ))
     }
 
-    fn recover(db: &Database) -> Result<Recovered, Error> {
+    fn recover(db: &Database) -> Result<RecoveredLog, Error> {
         let read = db.begin_read()?;
         let snapshot = read
             .open_table(SNAPSHOT)?
@@ -170,7 +170,7 @@
             }
             entries.push((wanted, bytes.value().to_vec()));
         }
-        Ok(Recovered { snapshot, entries })
+        Ok(RecoveredLog { snapshot, entries })
     }
 
     /// The number that the next entry has.
--- a/storage/tests/disk.rs
+++ b/storage/tests/disk.rs
@@ -2,8 +2,8 @@
 
 use redb::StorageBackend;
 use std::sync::{Arc, Mutex};
-use tansy_storage::seat::{Held, Records, RetryingRecords};
 use tansy_storage::store::{Error, Store};
+use tansy_storage::voter_log::{LogStorage, RecoveredRecords, RetryingLogStorage};
 
 #[derive(Debug, Default)]
 struct Inner {
@@ -108,19 +108,19 @@
     }
 }
 
-fn open(disk: &Disk) -> (Records, Held) {
-    Records::of(Store::on(disk.clone()).expect("a store"))
+fn open(disk: &Disk) -> (LogStorage, RecoveredRecords) {
+    LogStorage::of(Store::on(disk.clone()).expect("a store"))
 }
 
 /// Holds a record, now and then with the whole that takes the place of all; `told` is what has to be there then.
-fn hold(records: &mut Records, told: &mut Held, n: u64) -> Result<(), Error> {
+fn hold(records: &mut LogStorage, told: &mut RecoveredRecords, n: u64) -> Result<(), Error> {
     let record = n.to_be_bytes().repeat(1 + n as usize % 5);
     let whole = (n % 37 == 36).then(|| format!("whole {n}").into_bytes());
-    records.hold(record.clone(), whole.as_deref())?;
+    records.append(record.clone(), whole.as_deref())?;
     match whole {
         Some(whole) => {
-            *told = Held {
-                whole: Some(whole),
+            *told = RecoveredRecords {
+                snapshot: Some(whole),
                 records: Vec::new(),
             }
         }
@@ -157,7 +157,7 @@
     let mut failed = None;
     for n in 0..400 {
         let record = vec![n as u8; 100_000 + n];
-        match records.hold(record.clone(), None) {
+        match records.append(record.clone(), None) {
             Ok(()) => told.records.push(record),
             Err(e) => {
                 failed = Some(e.to_string());
@@ -213,7 +213,7 @@
     for n in 0..1000 {
         hold(&mut records, &mut told, n).expect("held");
     }
-    assert!(told.whole.is_some() && told.records.len() == 1000 % 37);
+    assert!(told.snapshot.is_some() && told.records.len() == 1000 % 37);
     drop(records);
     assert_eq!(open(&disk).1, told);
 }
@@ -245,9 +245,9 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let disk = Disk::default();
         let again = disk.clone();
-        let open = move || Store::on(again.clone()).map(Records::of);
-        let (mut records, _) = RetryingRecords::with(Box::new(open)).expect("a store");
-        let mut told = Held::default();
+        let open = move || Store::on(again.clone()).map(LogStorage::of);
+        let (mut records, _) = RetryingLogStorage::with(Box::new(open)).expect("a store");
+        let mut told = RecoveredRecords::default();
         for n in 0..120u64 {
             let record = n.to_be_bytes().to_vec();
             let whole = (n % 37 == 36).then(|| format!("whole {n}").into_bytes());
@@ -257,15 +257,15 @@
                 disk.0.lock().unwrap().in_calls = rng.u32(0..12);
             }
             let mut tries = 0;
-            while let Err(e) = records.hold(&record, whole.as_deref()) {
+            while let Err(e) = records.append(&record, whole.as_deref()) {
                 assert!(e.may_pass(), "seed {seed}: {e}");
                 tries += 1;
                 assert!(tries < 100, "seed {seed}: {e}");
             }
             match whole {
                 Some(whole) => {
-                    told = Held {
-                        whole: Some(whole),
+                    told = RecoveredRecords {
+                        snapshot: Some(whole),
                         records: Vec::new(),
                     }
                 }
@@ -279,7 +279,7 @@
 }
 
 /// What a disk holds that fails no more.
-fn open_after(disk: &Disk) -> (Records, Held) {
+fn open_after(disk: &Disk) -> (LogStorage, RecoveredRecords) {
     disk.0.lock().unwrap().failures = 0;
     open(disk)
 }
--- a/storage/tests/processes.rs
+++ b/storage/tests/processes.rs
@@ -3,8 +3,8 @@
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
-use tansy_storage::seat::Records;
 use tansy_storage::store::Error;
+use tansy_storage::voter_log::LogStorage;
 
 const FILE: &str = "TANSY_STATE_TEST_FILE";
 
@@ -15,9 +15,11 @@
     let Some(path) = std::env::var_os(FILE) else {
         return;
     };
-    let (mut records, held) = Records::open(&PathBuf::from(path)).expect("a seat");
+    let (mut records, held) = LogStorage::open(&PathBuf::from(path)).expect("a seat");
     for n in held.records.len() as u64 + 1.. {
-        records.hold(n.to_be_bytes().to_vec(), None).expect("held");
+        records
+            .append(n.to_be_bytes().to_vec(), None)
+            .expect("held");
         println!("held {n}");
     }
 }
@@ -90,7 +92,7 @@
         child.0.kill().expect("it runs");
         told = steps.last().unwrap_or(told);
         drop(child);
-        let (records, all) = Records::open(&file.0).expect("the seat");
+        let (records, all) = LogStorage::open(&file.0).expect("the seat");
         drop(records);
         let held = all.records.len() as u64;
         let numbers = all
@@ -114,8 +116,8 @@
     let file = File::new("two");
     let mut child = start(&file.0);
     assert!(steps(&mut child).next().is_some());
-    let second = Records::open(&file.0);
+    let second = LogStorage::open(&file.0);
     assert!(matches!(second, Err(Error::Used)), "{second:?}");
     drop(child);
-    Records::open(&file.0).expect("free again");
+    LogStorage::open(&file.0).expect("free again");
 }
--- a/tests/path/tests/scoped_fleet.rs
+++ b/tests/path/tests/scoped_fleet.rs
@@ -7,9 +7,9 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
-use tansy_agreement::log::Step;
-use tansy_agreement::rule::{Fields, Value};
-use tansy_agreement::scope::{ScopeChange, ScopeRequest};
+use tansy_agreement::compatibility::{Fields, Value};
+use tansy_agreement::log::Revision;
+use tansy_agreement::scope::{ScopeTransaction, ScopeUpdate};
 use tansy_fleet::client::Client;
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_fleet_wire::{of_scoped, scope_request};
@@ -95,18 +95,18 @@
                 .into_iter()
                 .find_map(|n| n.scoped)
                 .map(|s| of_scoped(s).expect("it reads"));
-            let base = known.map_or(Step(0), |s| s.revision);
-            ScopeChange {
+            let base = known.map_or(Revision(0), |s| s.revision);
+            ScopeUpdate {
                 scope: name.to_string(),
                 base,
                 fields: fields.cloned(),
             }
         });
         let changes = changes.collect();
-        let asked = ScopeRequest {
+        let asked = ScopeTransaction {
             id: self.ids,
-            changes,
-            why: "a test".into(),
+            updates: changes,
+            reason: "a test".into(),
         };
         self.client
             .enter(self.seat_at, Entry::Change(scope_request(&asked)))
