--- a/benches/state/src/steer.rs
+++ b/benches/state/src/steer.rs
@@ -141,7 +141,7 @@
                 let took: Vec<u64> = (1..=LATENCIES as u64)
                     .map(|l| 4_000 + l * l * 100)
                     .collect();
-                pb::Counted {
+                pb::ClassCounters {
                     class: format!("class-{n}"),
                     asked: calls as u64,
                     served: each * LATENCIES as u64,
--- a/net/fleet/src/service.rs
+++ b/net/fleet/src/service.rs
@@ -81,7 +81,7 @@
 
 fn tell(peers: &Rc<FleetTransport>, bytes: &[u8]) -> Answer {
     match peers.on_datagram(bytes) {
-        Ok(()) => Ok(pb::Taken {}.encode_to_vec()),
+        Ok(()) => Ok(pb::Accepted {}.encode_to_vec()),
         Err(bad) => {
             let code = match bad {
                 DecodeError::UnknownFormat(_) | DecodeError::OtherFleet => Code::FailedPrecondition,
@@ -143,7 +143,7 @@
             seating: p
                 .agreed()
                 .and_then(|(_, l)| l.voter_replacement())
-                .map(|s| pb::Seating {
+                .map(|s| pb::VoterReplacement {
                     new: s.address.to_string(),
                     instead: p
                         .address(s.replaced)
@@ -157,7 +157,7 @@
             others: p.others().map(process).collect(),
             contested: contested
                 .into_iter()
-                .map(|calls| pb::Contested { calls })
+                .map(|calls| pb::ConflictingCalls { calls })
                 .collect(),
             roster: roster
                 .into_iter()
@@ -333,7 +333,7 @@
         let requested = log
             .catalog()
             .transaction_result(asked.id)
-            .map(|r| pb::Requested {
+            .map(|r| pb::TransactionResult {
                 step: r.revision.0,
                 joint: r.joint,
                 force: r.in_force,
--- a/programs/gateway/src/fleet.rs
+++ b/programs/gateway/src/fleet.rs
@@ -276,7 +276,7 @@
                 .iter_recorded()
                 .map(|v| (v.value_iterated_to(), v.count_at_value()))
                 .unzip();
-            pb::Counted {
+            pb::ClassCounters {
                 class: name.clone(),
                 asked: c.asked,
                 served: c.served,
--- /dev/null
+++ b/protocol/fleet/src/fleet_state.rs
@@ -0,0 +1,109 @@
+//! Versions of settings and the state that a front end acts on.
+
+use crate::values::{bounded_text, fields, of_fields};
+use crate::{pb, DecodeError};
+use tansy_agreement::log::{Canary, ChangePhase, FleetState, Revision, Version, VersionedSettings};
+use tansy_agreement::scope::ChangeHistory;
+
+/// Encodes a version of the settings.
+pub fn settings(settings: &VersionedSettings) -> pb::Settings {
+    pb::Settings {
+        version: settings.version.0,
+        fields: fields(&settings.fields),
+        why: settings.reason.clone(),
+        id: settings.id,
+    }
+}
+
+/// Decodes a version of the settings.
+pub fn of_settings(settings: pb::Settings) -> Result<VersionedSettings, DecodeError> {
+    let fields = of_fields(settings.fields)?;
+    Ok(VersionedSettings {
+        version: Version(settings.version),
+        fields,
+        reason: bounded_text(settings.why, "reason")?,
+        id: settings.id,
+    })
+}
+
+/// Encodes the state that a front end acts on.
+pub fn state(state: &FleetState) -> pb::State {
+    let next = state.next.as_ref();
+    // Left out where it says nothing: programs that know no scopes do not read it.
+    let versions_revision = if state.versions_revision == state.revision {
+        0
+    } else {
+        state.versions_revision.0
+    };
+    pb::State {
+        step: state.revision.0,
+        force: Some(settings(&state.in_force)),
+        next: next.map(|(next, _)| settings(next)),
+        phase: phase(next.map(|(_, phase)| phase)) as i32,
+        canary: state.canary.as_ref().map(|canary| pb::Canary {
+            fields: fields(&canary.fields),
+            members: canary.members.iter().cloned().collect(),
+        }),
+        versions_revision,
+        scopes_since: state.scopes_since.map_or(0, |since| since.0),
+    }
+}
+
+fn phase(phase: Option<&ChangePhase>) -> pb::Phase {
+    match phase {
+        None => pb::Phase::None,
+        Some(ChangePhase::Announced) => pb::Phase::Told,
+        Some(ChangePhase::Joint) => pb::Phase::Joint,
+        Some(ChangePhase::RolledBack) => pb::Phase::Back,
+    }
+}
+
+fn of_phase(phase: i32) -> Result<Option<ChangePhase>, DecodeError> {
+    match pb::Phase::try_from(phase) {
+        Ok(pb::Phase::None) => Ok(None),
+        Ok(pb::Phase::Told) => Ok(Some(ChangePhase::Announced)),
+        Ok(pb::Phase::Joint) => Ok(Some(ChangePhase::Joint)),
+        Ok(pb::Phase::Back) => Ok(Some(ChangePhase::RolledBack)),
+        Err(_) => Err(DecodeError::MissingPart("phase")),
+    }
+}
+
+fn of_canary(canary: pb::Canary) -> Result<Box<Canary>, DecodeError> {
+    let members = canary.members.into_iter();
+    let members = members.map(|name| bounded_text(name, "name"));
+    let members = members.collect::<Result<_, _>>()?;
+    Ok(Box::new(Canary {
+        fields: of_fields(canary.fields)?,
+        members,
+    }))
+}
+
+/// Decodes the state that a front end acts on.
+pub fn of_state(state: pb::State) -> Result<FleetState, DecodeError> {
+    let phase = of_phase(state.phase)?;
+    let in_force = state.force;
+    let in_force = of_settings(in_force.ok_or(DecodeError::MissingPart("version in force"))?)?;
+    let next = match (state.next, phase) {
+        (Some(next), Some(phase)) => Some((of_settings(next)?, phase)),
+        (None, None) => None,
+        _ => return Err(DecodeError::MissingPart("version under way")),
+    };
+    let revision = Revision(state.step);
+    let versions_revision = match state.versions_revision {
+        0 => revision,
+        versions_revision => Revision(versions_revision),
+    };
+    if versions_revision > revision {
+        return Err(DecodeError::MissingPart("step of the versions"));
+    }
+    let scopes_since = Some(Revision(state.scopes_since)).filter(|since| since.0 != 0);
+    Ok(FleetState {
+        revision,
+        in_force,
+        next,
+        canary: state.canary.map(of_canary).transpose()?,
+        versions_revision,
+        scopes_since,
+        history: ChangeHistory::after(revision),
+    })
+}
--- /dev/null
+++ b/protocol/fleet/src/identity.rs
@@ -0,0 +1,45 @@
+//! Processes and members.
+
+use crate::{pb, DecodeError};
+use std::net::SocketAddr;
+use tansy_agreement::lease::Member;
+use tansy_membership::NodeId;
+
+/// Encodes the identity of a process.
+pub fn process(node: &NodeId) -> pb::Process {
+    pb::Process {
+        id: node.id,
+        incarnation: node.incarnation,
+        life: node.life,
+        address: node.address.to_string(),
+    }
+}
+
+pub(crate) fn of_process(process: pb::Process) -> Result<NodeId, DecodeError> {
+    let address: SocketAddr = process
+        .address
+        .parse()
+        .map_err(|_| DecodeError::MissingPart("sender's address"))?;
+    Ok(NodeId {
+        id: process.id,
+        incarnation: process.incarnation,
+        life: process.life,
+        address,
+    })
+}
+
+/// Encodes a member.
+pub fn member(member: Member) -> pb::Member {
+    pb::Member {
+        id: member.id,
+        incarnation: member.incarnation,
+    }
+}
+
+pub(crate) fn of_member(member: Option<pb::Member>) -> Result<Member, DecodeError> {
+    let member = member.ok_or(DecodeError::MissingPart("member"))?;
+    Ok(Member {
+        id: member.id,
+        incarnation: member.incarnation,
+    })
+}
--- /dev/null
+++ b/protocol/fleet/src/rollout.rs
@@ -0,0 +1,90 @@
+//! Entries of a rollout, its state, and the observations that its analysis reads.
+
+use crate::fleet_state::{of_settings, settings};
+use crate::values::bounded_text;
+use crate::{pb, DecodeError};
+use std::collections::BTreeMap;
+use tansy_agreement::compatibility::Fields;
+use tansy_agreement::log::VersionedSettings;
+use tansy_canary::{FrontEndReport, RequestCounters};
+use tansy_rollout::{FrontEndObservation, Rollout, RolloutEntry};
+
+/// The most distinct latencies that a class may report.
+const MAX_LATENCIES: usize = 4096;
+
+/// Encodes an entry of a rollout; `fields` are those of a rollout of settings that starts.
+pub fn roll_entry(entry: &RolloutEntry, fields: Option<&VersionedSettings>) -> pb::Roll {
+    pb::Roll {
+        // Plain data always has an encoding.
+        entry: serde_json::to_string(entry).unwrap_or_default(),
+        fields: fields.map(settings),
+    }
+}
+
+/// Decodes an entry of a rollout.
+pub fn of_roll_entry(rollout: pb::Roll) -> Result<(RolloutEntry, Option<Fields>), DecodeError> {
+    let entry = serde_json::from_str(&rollout.entry)
+        .map_err(|error| DecodeError::Malformed(format!("a roll's step: {error}")))?;
+    let settings = rollout.fields.map(of_settings).transpose()?;
+    Ok((entry, settings.map(|settings| settings.fields)))
+}
+
+/// Decodes the last rollout that a voter knows; `None`: there was none.
+pub fn of_roll(text: &str) -> Result<Option<Rollout>, DecodeError> {
+    if text.is_empty() {
+        return Ok(None);
+    }
+    serde_json::from_str(text)
+        .map(Some)
+        .map_err(|error| DecodeError::Malformed(format!("a roll: {error}")))
+}
+
+/// Decodes a front end's counters as an observation of a rollout's stage. `new`: whether it is in the new group.
+pub fn of_counts(reply: pb::CountsReply, new: bool) -> Result<FrontEndObservation, DecodeError> {
+    let mut classes = BTreeMap::new();
+    for mut class in reply.classes {
+        let name = std::mem::take(&mut class.class);
+        let counters = request_counters(class)?;
+        classes.insert(bounded_text(name, "class")?, counters);
+    }
+    let report = FrontEndReport {
+        name: bounded_text(reply.name, "name")?,
+        zone: bounded_text(reply.zone, "zone")?,
+        new,
+        incarnation: reply.incarnation,
+        up: reply.up as f64 / 1e6,
+        classes,
+        memory: reply.memory as f64 / 1e6,
+        guarded: reply.guarded,
+    };
+    Ok(FrontEndObservation {
+        ready: reply.ready,
+        report,
+    })
+}
+
+fn request_counters(class: pb::ClassCounters) -> Result<RequestCounters, DecodeError> {
+    if class.took.len() != class.calls.len() || class.took.len() > MAX_LATENCIES {
+        return Err(DecodeError::MissingPart("list of latencies"));
+    }
+    if !(class.wanted.is_finite() && class.worth.is_finite()) {
+        return Err(DecodeError::MissingPart("worth"));
+    }
+    let mut counters = RequestCounters {
+        requested: class.asked,
+        served: class.served,
+        rejected: class.refused,
+        failed: class.failed,
+        wanted: class.wanted,
+        worth: class.worth,
+        ..Default::default()
+    };
+    for (latency, calls) in class.took.into_iter().zip(class.calls) {
+        // A histogram of two digits grows by some bytes for each time it doubles, so that no latency can exhaust memory.
+        counters
+            .latency
+            .record_n(latency, calls)
+            .map_err(|_| DecodeError::MissingPart("latency"))?;
+    }
+    Ok(counters)
+}
--- /dev/null
+++ b/protocol/fleet/src/subscriptions.rs
@@ -0,0 +1,96 @@
+//! Subscriptions of front ends to functions that are agreed on one by one.
+
+use crate::identity::{member, of_member};
+use crate::scopes::{of_scope_name, of_scoped, scoped};
+use crate::{pb, DecodeError};
+use tansy_agreement::log::Revision;
+use tansy_agreement::scope::ScopeRecord;
+use tansy_agreement::subscription::{
+    ResyncEpoch, SubscribeReply, SubscribeRequest, MAX_SCOPES_PER_REQUEST, MAX_SUBSCRIPTIONS,
+    MAX_UNSUBSCRIBES_PER_REQUEST,
+};
+
+fn epoch(epoch: ResyncEpoch) -> pb::ResyncEpoch {
+    pb::ResyncEpoch {
+        term: epoch.term,
+        count: epoch.count,
+    }
+}
+
+fn of_epoch(epoch: Option<pb::ResyncEpoch>) -> Result<ResyncEpoch, DecodeError> {
+    let epoch = epoch.ok_or(DecodeError::MissingPart("epoch"))?;
+    Ok(ResyncEpoch {
+        term: epoch.term,
+        count: epoch.count,
+    })
+}
+
+pub(crate) fn subscribe(request: SubscribeRequest) -> pb::SubscribeRequest {
+    let full_list = request.full_list;
+    pb::SubscribeRequest {
+        from: Some(member(request.from)),
+        epoch: Some(epoch(request.epoch)),
+        seq: request.seq,
+        revision: request.revision.0,
+        scopes: request.scopes,
+        unsubscribed: request.unsubscribed,
+        full_list: full_list.map(|numbers| pb::ScopeNumbers { numbers }),
+    }
+}
+
+pub(crate) fn of_subscribe(request: pb::SubscribeRequest) -> Result<SubscribeRequest, DecodeError> {
+    let full_list = request.full_list.map(|list| list.numbers);
+    let listed = full_list.as_ref().map_or(0, Vec::len);
+    if request.scopes.len() > MAX_SCOPES_PER_REQUEST
+        || request.unsubscribed.len() > MAX_UNSUBSCRIBES_PER_REQUEST
+        || listed > MAX_SUBSCRIPTIONS
+    {
+        return Err(DecodeError::MissingPart("number of functions"));
+    } else if request.seq == 0 {
+        return Err(DecodeError::MissingPart("number of the letter"));
+    }
+    let scopes = request.scopes.into_iter().map(of_scope_name);
+    let scopes = scopes.collect::<Result<_, _>>()?;
+    Ok(SubscribeRequest {
+        from: of_member(request.from)?,
+        epoch: of_epoch(request.epoch)?,
+        seq: request.seq,
+        revision: Revision(request.revision),
+        scopes,
+        unsubscribed: request.unsubscribed,
+        full_list,
+    })
+}
+
+pub(crate) fn subscribe_reply(reply: SubscribeReply) -> pb::SubscribeReply {
+    let named = |(name, record): (String, Option<ScopeRecord>)| pb::Named {
+        name,
+        scoped: record.as_ref().map(scoped),
+    };
+    pb::SubscribeReply {
+        to: Some(member(reply.to)),
+        epoch: Some(epoch(reply.epoch)),
+        seq: reply.seq.unwrap_or(0),
+        revision: reply.revision.0,
+        scopes: reply.scopes.into_iter().map(named).collect(),
+    }
+}
+
+pub(crate) fn of_subscribe_reply(reply: pb::SubscribeReply) -> Result<SubscribeReply, DecodeError> {
+    if reply.scopes.len() > MAX_SCOPES_PER_REQUEST {
+        return Err(DecodeError::MissingPart("number of functions"));
+    }
+    let named = |named: pb::Named| {
+        let name = of_scope_name(named.name)?;
+        Ok((name, named.scoped.map(of_scoped).transpose()?))
+    };
+    let scopes = reply.scopes.into_iter().map(named);
+    let scopes = scopes.collect::<Result<_, _>>()?;
+    Ok(SubscribeReply {
+        to: of_member(reply.to)?,
+        epoch: of_epoch(reply.epoch)?,
+        seq: Some(reply.seq).filter(|seq| *seq != 0),
+        revision: Revision(reply.revision),
+        scopes,
+    })
+}
--- a/protocol/fleet/tests/letters.rs
+++ b/protocol/fleet/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Letters come back as they were written; what was not written by us is turned away with a reason and harms nothing.
+//! Messages decode to what was encoded; what this program did not encode is rejected with a reason and harms nothing.
 
 use tansy_agreement::compatibility::Value;
 use tansy_agreement::endpoints::{Endpoint, EndpointRecord, EndpointState};
@@ -14,7 +14,7 @@
 use tansy_fleet_wire::{decode_message, encode_message, pb, DecodeError, FORMAT_VERSION};
 use tansy_membership::NodeId;
 
-const ROOT: Leader = Leader {
+const LEADER: Leader = Leader {
     term: 3,
     id: u64::MAX,
 };
@@ -38,7 +38,7 @@
         .into_iter()
         .map(|(p, v)| (p.to_string(), v))
         .collect();
-    let force = VersionedSettings {
+    let in_force = VersionedSettings {
         version: Version(7),
         fields,
         reason: "because".into(),
@@ -47,22 +47,23 @@
     let next = VersionedSettings {
         version: Version(8),
         fields: Default::default(),
-        ..force.clone()
+        ..in_force.clone()
     };
-    let names = ["f1".to_string(), "f2".to_string()].into();
-    let trial = Some(Box::new(Canary {
-        fields: force.fields.clone(),
-        members: names,
+    let members = ["f1".to_string(), "f2".to_string()].into();
+    let canary = Some(Box::new(Canary {
+        fields: in_force.fields.clone(),
+        members,
     }));
-    let (step, next) = (Revision(19), Some((next, ChangePhase::Joint)));
+    let revision = Revision(19);
+    let next = Some((next, ChangePhase::Joint));
     FleetState {
-        revision: step,
-        in_force: force,
+        revision,
+        in_force,
         next,
-        canary: trial,
-        versions_revision: step,
+        canary,
+        versions_revision: revision,
         scopes_since: None,
-        history: ChangeHistory::after(step),
+        history: ChangeHistory::after(revision),
     }
 }
 
@@ -112,13 +113,16 @@
         }),
         MessageBody::Departed(m),
         MessageBody::Drains(
-            vec![line(EndpointState::Draining), line(EndpointState::Gone)],
+            vec![
+                endpoint(EndpointState::Draining),
+                endpoint(EndpointState::Gone),
+            ],
             true,
         ),
         MessageBody::DrainDigest(u64::MAX),
         MessageBody::Consensus(vec![1, 2, 255]),
         MessageBody::HeaderOnly,
-        // Since functions are agreed on one by one.
+        // Of programs that agree on functions one by one.
         MessageBody::Lease(LeaseMessage::Request(LeaseRequest {
             from: m,
             seq: 1,
@@ -132,7 +136,7 @@
         })),
         MessageBody::Lease(LeaseMessage::Grant(LeaseGrant {
             delta: Some(delta()),
-            ..grant(Some(later()))
+            ..grant(Some(state_with_scopes()))
         })),
         MessageBody::SessionRequest(
             session::SessionRequest {
@@ -144,26 +148,26 @@
             "front-1".into(),
             99,
         ),
-        MessageBody::Subscribe(want()),
+        MessageBody::Subscribe(subscribe_request()),
         MessageBody::Subscribe(SubscribeRequest {
             unsubscribed: vec![7, u64::MAX],
             full_list: Some(vec![]),
-            ..want()
+            ..subscribe_request()
         }),
         MessageBody::Subscribe(SubscribeRequest {
             full_list: Some(vec![1, u64::MAX]),
-            ..want()
+            ..subscribe_request()
         }),
-        MessageBody::SubscribeReply(reply()),
+        MessageBody::SubscribeReply(subscribe_reply()),
         MessageBody::SubscribeReply(SubscribeReply {
             seq: None,
             scopes: vec![],
-            ..reply()
+            ..subscribe_reply()
         }),
     ]
 }
 
-fn later() -> FleetState {
+fn state_with_scopes() -> FleetState {
     FleetState {
         versions_revision: Revision(17),
         scopes_since: Some(Revision(4)),
@@ -171,7 +175,7 @@
     }
 }
 
-fn scoped(standing: scope::ScopePhase, fields: bool) -> ScopeRecord {
+fn scoped(phase: scope::ScopePhase, fields: bool) -> ScopeRecord {
     let all = || {
         [
             ("class".to_string(), Value::Text("chat".into())),
@@ -182,12 +186,12 @@
     ScopeRecord {
         revision: Revision(3),
         fields: fields.then(all),
-        phase: standing,
+        phase,
     }
 }
 
-/// One of each way in which a function may stand.
-fn standings() -> Vec<ScopeRecord> {
+/// A record for each phase of a function.
+fn scope_records() -> Vec<ScopeRecord> {
     let next = |fields| scoped(scope::ScopePhase::Settled, fields).fields;
     vec![
         ScopeRecord::default(),
@@ -236,11 +240,11 @@
     StateDelta {
         from: Revision(17),
         to: Revision(19),
-        changes: standings().into_iter().enumerate().map(one).collect(),
+        changes: scope_records().into_iter().enumerate().map(one).collect(),
     }
 }
 
-fn want() -> SubscribeRequest {
+fn subscribe_request() -> SubscribeRequest {
     let from = Member {
         id: u64::MAX,
         incarnation: 3,
@@ -261,30 +265,30 @@
     }
 }
 
-fn reply() -> SubscribeReply {
-    let mut scopes: Vec<_> = standings()
+fn subscribe_reply() -> SubscribeReply {
+    let mut scopes: Vec<_> = scope_records()
         .into_iter()
         .map(|s| ("f".to_string(), Some(s)))
         .collect();
     scopes.push(("none".into(), None));
     SubscribeReply {
-        to: want().from,
-        epoch: want().epoch,
+        to: subscribe_request().from,
+        epoch: subscribe_request().epoch,
         seq: Some(3),
         revision: Revision(19),
         scopes,
     }
 }
 
-fn line(standing: EndpointState) -> EndpointRecord {
-    let worker = Endpoint {
+fn endpoint(state: EndpointState) -> EndpointRecord {
+    let endpoint = Endpoint {
         name: "w".into(),
         address: "10.0.0.1:80".into(),
     };
     EndpointRecord {
-        endpoint: worker,
+        endpoint,
         incarnation: 7,
-        state: standing,
+        state,
     }
 }
 
@@ -298,30 +302,30 @@
 }
 
 #[test]
-fn every_letter_comes_back_as_it_was_written() {
+fn every_message_decodes_to_what_was_encoded() {
     for body in bodies() {
-        let bytes = encode_message(77, &sender(), ROOT, body.clone());
-        assert_eq!(decode_message(77, &bytes), Ok((sender(), ROOT, body)));
+        let bytes = encode_message(77, &sender(), LEADER, body.clone());
+        assert_eq!(decode_message(77, &bytes), Ok((sender(), LEADER, body)));
     }
 }
 
-/// Letters as a program of each form has written them. `RECORD=1` writes those of this one anew, which is right only with
-/// another form.
+/// Messages as a program of each format version encoded them. `RECORD=1` records those of this program, which is right only
+/// with a new format version.
 #[test]
-fn letters_that_an_earlier_program_wrote_are_read() {
+fn messages_recorded_by_an_earlier_program_decode() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
         .join(format!("tests/recorded/form-{FORMAT_VERSION}"));
     for (n, body) in bodies().into_iter().enumerate() {
         let path = folder.join(format!("{n:02}.bin"));
         if std::env::var_os("RECORD").is_some() {
             std::fs::create_dir_all(&folder).expect("a folder");
-            std::fs::write(&path, encode_message(77, &sender(), ROOT, body.clone()))
+            std::fs::write(&path, encode_message(77, &sender(), LEADER, body.clone()))
                 .expect("a file");
         }
         let bytes = std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
         assert_eq!(
             decode_message(77, &bytes),
-            Ok((sender(), ROOT, body)),
+            Ok((sender(), LEADER, body)),
             "{}",
             path.display()
         );
@@ -329,27 +333,27 @@
 }
 
 #[test]
-fn letters_of_another_fleet_or_program_are_turned_away_with_the_reason() {
+fn messages_of_another_fleet_or_format_are_rejected_with_the_reason() {
     use prost::Message as _;
-    let bytes = encode_message(77, &sender(), ROOT, bodies().remove(0));
+    let bytes = encode_message(77, &sender(), LEADER, bodies().remove(0));
     assert_eq!(decode_message(78, &bytes), Err(DecodeError::OtherFleet));
-    let mut later = pb::Letter::decode(bytes.as_slice()).expect("a letter");
-    later.form = FORMAT_VERSION + 1;
+    let mut envelope = pb::Envelope::decode(bytes.as_slice()).expect("a letter");
+    envelope.format_version = FORMAT_VERSION + 1;
     assert_eq!(
-        decode_message(77, &later.encode_to_vec()),
+        decode_message(77, &envelope.encode_to_vec()),
         Err(DecodeError::UnknownFormat(FORMAT_VERSION + 1))
     );
-    later.form = FORMAT_VERSION;
-    let mut nobody = later.clone();
+    envelope.format_version = FORMAT_VERSION;
+    let mut nobody = envelope.clone();
     nobody.from = None;
     assert_eq!(
         decode_message(77, &nobody.encode_to_vec()),
         Err(DecodeError::MissingPart("sender"))
     );
-    // A body that a later program has and this one does not.
-    later.body = None;
+    // A body that a later program knows and this one does not.
+    envelope.body = None;
     assert_eq!(
-        decode_message(77, &later.encode_to_vec()),
+        decode_message(77, &envelope.encode_to_vec()),
         Err(DecodeError::MissingPart("body"))
     );
     let mut deep = Value::Int(1);
@@ -368,7 +372,7 @@
     let bytes = encode_message(
         77,
         &sender(),
-        ROOT,
+        LEADER,
         MessageBody::Lease(LeaseMessage::Grant(grant)),
     );
     assert!(matches!(
@@ -378,8 +382,8 @@
 }
 
 #[test]
-fn letters_about_functions_that_are_out_of_bounds_are_turned_away_with_the_reason() {
-    let m = want().from;
+fn messages_about_functions_that_are_out_of_bounds_are_rejected_with_the_reason() {
+    let m = subscribe_request().from;
     let grant = |delta| {
         let grant = LeaseGrant {
             to: m,
@@ -398,46 +402,49 @@
         (
             MessageBody::Subscribe(SubscribeRequest {
                 scopes: vec!["f".into(); MAX_SCOPES_PER_REQUEST + 1],
-                ..want()
+                ..subscribe_request()
             }),
             "number of functions",
         ),
         (
             MessageBody::Subscribe(SubscribeRequest {
                 unsubscribed: vec![0; 4097],
-                ..want()
+                ..subscribe_request()
             }),
             "number of functions",
         ),
         (
             MessageBody::Subscribe(SubscribeRequest {
                 full_list: Some(vec![0; 4097]),
-                ..want()
+                ..subscribe_request()
             }),
             "number of functions",
         ),
         (
-            MessageBody::Subscribe(SubscribeRequest { seq: 0, ..want() }),
+            MessageBody::Subscribe(SubscribeRequest {
+                seq: 0,
+                ..subscribe_request()
+            }),
             "number of the letter",
         ),
         (
             MessageBody::Subscribe(SubscribeRequest {
                 scopes: name(0),
-                ..want()
+                ..subscribe_request()
             }),
             "function's name",
         ),
         (
             MessageBody::Subscribe(SubscribeRequest {
                 scopes: name(257),
-                ..want()
+                ..subscribe_request()
             }),
             "function's name",
         ),
         (
             MessageBody::SubscribeReply(SubscribeReply {
                 scopes: vec![("f".into(), None); MAX_SCOPES_PER_REQUEST + 1],
-                ..reply()
+                ..subscribe_reply()
             }),
             "number of functions",
         ),
@@ -472,7 +479,7 @@
                 revision: Revision(19),
                 state: Some(FleetState {
                     versions_revision: Revision(20),
-                    ..later()
+                    ..state_with_scopes()
                 }),
                 delta: None,
             })),
@@ -481,7 +488,7 @@
     ];
     for (body, part) in bad {
         assert_eq!(
-            decode_message(77, &encode_message(77, &sender(), ROOT, body.clone())),
+            decode_message(77, &encode_message(77, &sender(), LEADER, body.clone())),
             Err(DecodeError::MissingPart(part)),
             "{body:?}"
         );
@@ -489,13 +496,13 @@
 }
 
 #[test]
-fn no_bytes_end_it() {
+fn arbitrary_bytes_never_panic() {
     let mut rng = fastrand::Rng::with_seed(4);
     let whole: Vec<Vec<u8>> = bodies()
         .into_iter()
-        .map(|b| encode_message(77, &sender(), ROOT, b))
+        .map(|b| encode_message(77, &sender(), LEADER, b))
         .collect();
-    let (mut read_well, mut turned_away) = (0, 0);
+    let (mut decoded, mut rejected) = (0, 0);
     for n in 0..40_000 {
         let mut bytes = whole[n % whole.len()].clone();
         for _ in 0..rng.usize(1..4) {
@@ -510,15 +517,12 @@
             }
         }
         match decode_message(77, &bytes) {
-            Ok(_) => read_well += 1,
+            Ok(_) => decoded += 1,
             Err(e) => {
                 assert!(!e.to_string().is_empty());
-                turned_away += 1;
+                rejected += 1;
             }
         }
     }
-    assert!(
-        read_well > 1000 && turned_away > 1000,
-        "{read_well} {turned_away}"
-    );
+    assert!(decoded > 1000 && rejected > 1000, "{decoded} {rejected}");
 }
--- /dev/null
+++ b/protocol/fleet/tests/transactions.rs
@@ -0,0 +1,68 @@
+//! Transactions of functions decode to what was encoded, and invalid ones are rejected.
+
+use prost::Message;
+use tansy_agreement::compatibility::Value;
+use tansy_agreement::log::Revision;
+use tansy_agreement::scope::{
+    ScopeTransaction, ScopeUpdate, MAX_NAME_BYTES, MAX_UPDATES_PER_TRANSACTION,
+};
+use tansy_fleet_wire::{of_scope_request, pb, scope_request, DecodeError};
+
+fn transaction() -> ScopeTransaction {
+    let fields = [
+        ("class", Value::Text("chat".into())),
+        ("lanes", Value::Int(4)),
+    ];
+    let fields = fields.map(|(name, v)| (name.to_string(), v)).into();
+    let update = |scope: &str, base, fields| ScopeUpdate {
+        scope: scope.into(),
+        base: Revision(base),
+        fields,
+    };
+    let updates = vec![update("a.b", 0, Some(fields)), update("c", u64::MAX, None)];
+    ScopeTransaction {
+        id: u64::MAX,
+        updates,
+        reason: "because".into(),
+    }
+}
+
+#[test]
+fn a_transaction_decodes_to_what_was_encoded() {
+    let bytes = scope_request(&transaction()).encode_to_vec();
+    let decoded = pb::ScopeTransaction::decode(&bytes[..]).expect("it decodes");
+    assert_eq!(of_scope_request(decoded), Ok(transaction()));
+}
+
+#[test]
+fn invalid_transactions_are_rejected() {
+    type Case = (&'static str, fn(&mut pb::ScopeTransaction));
+    let invalid: [Case; 4] = [
+        ("function's name", |r| r.updates[0].scope.clear()),
+        ("function's name", |r| {
+            r.updates[0].scope = "x".repeat(MAX_NAME_BYTES + 1)
+        }),
+        ("number of changes", |r| {
+            r.updates = vec![r.updates[1].clone(); MAX_UPDATES_PER_TRANSACTION + 1]
+        }),
+        ("reason", |r| r.reason = "x".repeat(1 << 20)),
+    ];
+    for (part, change) in invalid {
+        let mut encoded = scope_request(&transaction());
+        change(&mut encoded);
+        assert_eq!(
+            of_scope_request(encoded),
+            Err(DecodeError::MissingPart(part))
+        );
+    }
+    let mut without_value = scope_request(&transaction());
+    let fields = without_value.updates[0]
+        .fields
+        .as_mut()
+        .expect("they are set");
+    fields.fields.insert("memory".into(), pb::Value::default());
+    assert!(matches!(
+        of_scope_request(without_value),
+        Err(DecodeError::MissingPart(_))
+    ));
+}
