--- a/net/fleet/src/client.rs
+++ b/net/fleet/src/client.rs
@@ -1,4 +1,4 @@
-//! One request and its answer.
+//! A request to a method of the service, and its reply.
 
 use bytes::Bytes;
 use http::{HeaderValue, Method, Request, Version};
@@ -11,27 +11,20 @@
 use tansy_net_grpc::exchange::{Ending, Exchange, News};
 use tansy_net_grpc::link::Link;
 use tansy_net_sockets::{within, Spawner};
+use thiserror::Error;
 
-/// Why there is no answer.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why there is no reply.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// It could not be reached, or did not answer in time.
+    /// The peer could not be reached, or did not reply in time.
+    #[error("{0}")]
     Unreachable(String),
-    /// It answers that it does not do it.
+    /// The peer rejects the request.
+    #[error("{1} ({0:?})")]
     Rejected(Code, String),
 }
 
-impl std::fmt::Display for RequestError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            RequestError::Unreachable(why) => f.write_str(why),
-            RequestError::Rejected(code, why) => write!(f, "{why} ({code:?})"),
-        }
-    }
-}
-impl std::error::Error for RequestError {}
-
-/// Sends a message to a method of the service; the answer's message.
+/// Sends a message to a method of the service; returns the reply's message.
 pub async fn ask(
     spawner: &Spawner,
     link: &Rc<Link>,
@@ -39,8 +32,8 @@
     body: &[u8],
     limit: Duration,
 ) -> Result<Bytes, RequestError> {
-    let asked = within(spawner.sleep(limit), one(link, method, frame(body)));
-    asked.await.unwrap_or_else(|| {
+    let reply = within(spawner.sleep(limit), exchange(link, method, frame(body))).await;
+    reply.unwrap_or_else(|| {
         Err(RequestError::Unreachable(format!(
             "no answer of {} in {limit:?}",
             link.address()
@@ -48,45 +41,50 @@
     })
 }
 
-async fn one(link: &Rc<Link>, method: &str, body: Bytes) -> Result<Bytes, RequestError> {
-    let away = |why: &str| RequestError::Unreachable(format!("{}: {why}", link.address()));
-    let mut connection = link.connection().await.map_err(|_| away("no connection"))?;
+async fn exchange(link: &Rc<Link>, method: &str, body: Bytes) -> Result<Bytes, RequestError> {
+    let unreachable =
+        |reason: &str| RequestError::Unreachable(format!("{}: {reason}", link.address()));
+    let connection = link.connection().await;
+    let mut connection = connection.map_err(|_| unreachable("no connection"))?;
     let ready = poll_fn(|cx| connection.send.poll_ready(cx)).await;
-    ready.map_err(|_| away("the connection ended"))?;
-    let mut request = Request::new(());
-    *request.method_mut() = Method::POST;
-    *request.version_mut() = Version::HTTP_2;
-    let authority = link.address().to_string();
-    let uri = http::Uri::builder().scheme("http").authority(authority);
-    // A socket address and a path of ours always make a URI.
-    *request.uri_mut() = uri
-        .path_and_query(format!("{SERVICE}{method}"))
-        .build()
-        .unwrap_or_default();
-    request
-        .headers_mut()
-        .insert(http::header::TE, HeaderValue::from_static("trailers"));
-    let kind = HeaderValue::from_static("application/grpc");
-    request
-        .headers_mut()
-        .insert(http::header::CONTENT_TYPE, kind);
+    ready.map_err(|_| unreachable("the connection ended"))?;
+    let request = request(link, method);
     let exchange = Exchange::start(connection, request, body, true, MAX_MESSAGE_BYTES);
-    let mut exchange = exchange.map_err(|_| away("the connection ended"))?;
-    let mut answer = None;
+    let mut exchange = exchange.map_err(|_| unreachable("the connection ended"))?;
+    let mut reply = None;
     loop {
         match poll_fn(|cx| exchange.poll(cx)).await {
-            News::Message(message) => answer = Some(message),
+            News::Message(message) => reply = Some(message),
             News::Ended(Ending::Status(Code::Ok, _), _) => {
-                return answer.ok_or(away("an empty answer"))
+                return reply.ok_or(unreachable("an empty answer"))
             }
             News::Ended(Ending::Status(code, trailers), _) => {
-                let text = trailers
-                    .get("grpc-message")
-                    .map_or(&b""[..], |v| v.as_bytes());
+                let text = trailers.get("grpc-message");
+                let text = text.map_or(&b""[..], |value| value.as_bytes());
                 let text = percent_decode(text).decode_utf8_lossy().into_owned();
                 return Err(RequestError::Rejected(code, text));
             }
-            News::Ended(ending, _) => return Err(away(&format!("it ended with {ending:?}"))),
+            News::Ended(ending, _) => {
+                return Err(unreachable(&format!("it ended with {ending:?}")))
+            }
         }
     }
 }
+
+fn request(link: &Rc<Link>, method: &str) -> Request<()> {
+    let mut request = Request::new(());
+    *request.method_mut() = Method::POST;
+    *request.version_mut() = Version::HTTP_2;
+    let authority = link.address().to_string();
+    let uri = http::Uri::builder().scheme("http").authority(authority);
+    let uri = uri.path_and_query(format!("{SERVICE}{method}"));
+    // A socket address and a path of the service always make a URI.
+    *request.uri_mut() = uri.build().unwrap_or_default();
+    let headers = request.headers_mut();
+    headers.insert(http::header::TE, HeaderValue::from_static("trailers"));
+    headers.insert(
+        http::header::CONTENT_TYPE,
+        HeaderValue::from_static("application/grpc"),
+    );
+    request
+}
--- /dev/null
+++ b/net/fleet/src/events.rs
@@ -0,0 +1,64 @@
+//! The node's events as log lines for operators.
+
+use tansy_fleet_node::FleetEvent;
+
+/// Logs an event. Operators' pages quote these lines.
+pub(crate) fn log_event(event: &FleetEvent) {
+    match event {
+        FleetEvent::Membership(event) => tracing::info!(member = ?event, "membership changed"),
+        FleetEvent::RevisionChanged { step, force, next } => tracing::info!(
+            revision = step.0,
+            in_force = force,
+            next = next.unwrap_or(0),
+            "fleet revision changed"
+        ),
+        FleetEvent::Lease { live } => log_lease(*live),
+        FleetEvent::Session { live } => log_session(*live),
+        FleetEvent::Leadership { live: true } => tracing::info!("leadership acquired"),
+        FleetEvent::Leadership { live: false } => tracing::warn!("leadership lost"),
+        FleetEvent::DatagramRejected(reason) => tracing::warn!(%reason, "datagram rejected"),
+        FleetEvent::ChangeAbandoned { version, behind } => tracing::error!(
+            version,
+            ?behind,
+            "change abandoned: calls were refused for it and it made no progress"
+        ),
+        FleetEvent::VoterReplacementAbandoned { new } => tracing::error!(
+            new = format!("{new:x}"),
+            "voter replacement abandoned: the new voter did not catch up in time; was it started with --state?"
+        ),
+        FleetEvent::SubscriptionsEvicted { total, subscribed } => tracing::warn!(
+            total,
+            subscribed,
+            "subscriptions evicted: more functions are called here than one front end can subscribe to"
+        ),
+        FleetEvent::ScopeChangesAbandoned { scopes, behind } => tracing::error!(
+            ?scopes,
+            ?behind,
+            "function changes abandoned: they made no progress"
+        ),
+        FleetEvent::StorageFailed { cause } => tracing::error!(
+            %cause,
+            "voter storage failed: no change until it is repaired and the voter restarted"
+        ),
+    }
+}
+
+fn log_lease(live: bool) {
+    if live {
+        tracing::info!("lease acquired");
+    } else {
+        tracing::warn!(
+            "lease expired: the stricter side of every limit applies until it is renewed"
+        );
+    }
+}
+
+fn log_session(live: bool) {
+    if live {
+        tracing::info!("session established");
+    } else {
+        tracing::error!(
+            "session expired: calls that strict fields affect are refused until the leader is reached"
+        );
+    }
+}
--- /dev/null
+++ b/net/fleet/src/links.rs
@@ -0,0 +1,116 @@
+//! Links to the other front ends, with bounds on what is in flight.
+
+use crate::client::{ask, RequestError};
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tansy_agreement::lease::Time;
+use tansy_net_grpc::link::{Limits, Link};
+use tansy_net_sockets::{clock, Spawner};
+
+/// Messages in flight to one front end; further ones are dropped, as a network drops them.
+const MAX_IN_FLIGHT: usize = 64;
+/// After this time a message that is not accepted is of no use.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(1);
+/// A link that nothing was sent on for so long is closed.
+const IDLE_TIMEOUT: Time = 60_000_000;
+/// Time between two log lines about a front end that rejects messages.
+const LOG_INTERVAL: Time = 10_000_000;
+
+/// A link to one front end.
+struct PeerLink {
+    link: Rc<Link>,
+    in_flight: Cell<usize>,
+    /// When a rejection was logged last.
+    rejection_logged: Cell<Option<Time>>,
+    last_used: Cell<Time>,
+}
+
+/// Links by the front ends' own addresses.
+pub(crate) struct PeerLinks {
+    spawner: Spawner,
+    /// Front ends that are reached through another address than their own.
+    proxies: HashMap<SocketAddr, SocketAddr>,
+    links: RefCell<HashMap<SocketAddr, Rc<PeerLink>>>,
+}
+
+impl PeerLinks {
+    pub(crate) fn new(spawner: Spawner, proxies: HashMap<SocketAddr, SocketAddr>) -> PeerLinks {
+        PeerLinks {
+            spawner,
+            proxies,
+            links: RefCell::new(HashMap::new()),
+        }
+    }
+
+    /// Sends a message; false: it is dropped, since too many are in flight.
+    pub(crate) fn send(&self, to: SocketAddr, bytes: Vec<u8>) -> bool {
+        let peer = self.link(to);
+        if peer.in_flight.get() >= MAX_IN_FLIGHT {
+            return false;
+        }
+        peer.in_flight.set(peer.in_flight.get() + 1);
+        peer.last_used.set(clock::now());
+        let spawner = self.spawner.clone();
+        self.spawner.spawn(async move {
+            if let Err(error) = ask(&spawner, &peer.link, "Tell", &bytes, MESSAGE_TIMEOUT).await {
+                peer.log_failure(to, &error);
+            }
+            peer.in_flight.set(peer.in_flight.get() - 1);
+        });
+        true
+    }
+
+    fn link(&self, to: SocketAddr) -> Rc<PeerLink> {
+        let open = || {
+            let address = self.proxies.get(&to).copied().unwrap_or(to);
+            Rc::new(PeerLink {
+                link: Link::new(self.spawner.clone(), address, Limits::default()),
+                in_flight: Cell::new(0),
+                rejection_logged: Cell::new(None),
+                last_used: Cell::new(0),
+            })
+        };
+        let mut links = self.links.borrow_mut();
+        links.entry(to).or_insert_with(open).clone()
+    }
+
+    /// Whether no message is in flight.
+    pub(crate) fn is_idle(&self) -> bool {
+        let links = self.links.borrow();
+        links.values().all(|peer| peer.in_flight.get() == 0)
+    }
+
+    /// Closes links that were not used for a while.
+    pub(crate) fn close_idle(&self) {
+        let now = clock::now();
+        self.links.borrow_mut().retain(|_, peer| {
+            let used = peer.in_flight.get() > 0 || now - peer.last_used.get() < IDLE_TIMEOUT;
+            if !used {
+                peer.link.retire();
+            }
+            used
+        });
+    }
+
+    /// Drops all links at once, with what is in flight.
+    pub(crate) fn drop_all(&self) {
+        let mut links = self.links.borrow_mut();
+        links.drain().for_each(|(_, peer)| peer.link.drop_now());
+    }
+}
+
+impl PeerLink {
+    fn log_failure(&self, to: SocketAddr, error: &RequestError) {
+        tracing::debug!(%to, %error, "message not delivered");
+        let now = clock::now();
+        let logged = self.rejection_logged.get();
+        let recently = logged.is_some_and(|at| now - at < LOG_INTERVAL);
+        if matches!(error, RequestError::Rejected(..)) && !recently {
+            self.rejection_logged.set(Some(now));
+            tracing::warn!(%to, %error, "peer rejects messages");
+        }
+    }
+}
--- /dev/null
+++ b/net/fleet/src/service/entries.rs
@@ -0,0 +1,216 @@
+//! Requests for entries of the agreed log.
+
+use super::{check_fleet, decode, Rejection, Reply};
+use crate::transport::FleetTransport;
+use pb::enter_request::Entry;
+use prost::Message;
+use std::future::poll_fn;
+use std::rc::Rc;
+use std::time::Duration;
+use tansy_agreement::compatibility::{changes, Compatibility, Fields};
+use tansy_agreement::log::{ApplyOutcome, LogEntry, Version};
+use tansy_agreement::scope::ScopeTransaction;
+use tansy_fleet_node::{number, RequestRejection};
+use tansy_fleet_wire::{of_roll_entry, of_scope_request, of_settings, pb};
+use tansy_frames::grpc::Code;
+use tansy_net_sockets::within;
+
+/// Time for an entry to be persisted.
+const ENTRY_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Appends an entry to the log and waits for its outcome.
+pub(super) async fn enter(transport: &Rc<FleetTransport>, fleet: u64, bytes: &[u8]) -> Reply {
+    let request: pb::EnterRequest = decode(bytes)?;
+    check_fleet(transport, request.fleet, fleet)?;
+    let entry = request.entry;
+    let entry = log_entry(
+        transport,
+        entry.ok_or_else(|| Rejection::invalid("no entry"))?,
+    )?;
+    let pending = transport.request(entry);
+    let pending = pending.ok_or_else(|| {
+        Rejection::new(
+            Code::ResourceExhausted,
+            "too many requests wait: ask again later",
+        )
+    })?;
+    let outcome = poll_fn(|cx| pending.poll(cx));
+    let outcome = within(transport.spawner.sleep(ENTRY_TIMEOUT), outcome).await;
+    let outcome = outcome.ok_or_else(|| {
+        Rejection::new(
+            Code::Unavailable,
+            "the seat's disk did not hold it in time: ask again, with the same id, to learn what came of it",
+        )
+    })?;
+    let applied = outcome.map_err(rejection)?;
+    Ok(enter_reply(&applied).encode_to_vec())
+}
+
+/// The log entry of a request, once its fields are checked.
+fn log_entry(transport: &FleetTransport, entry: Entry) -> Result<LogEntry, Rejection> {
+    match entry {
+        Entry::Propose(settings) => propose(transport, settings),
+        Entry::Abandon(version) => Ok(LogEntry::Abandon {
+            version: Version(version),
+        }),
+        Entry::Dismiss(name) => dismiss(transport, &name),
+        Entry::Seat(request) => replace_voter(transport, &request),
+        Entry::Roll(request) => rollout(transport, request),
+        Entry::Change(request) => update_scopes(transport, request),
+    }
+}
+
+fn propose(transport: &FleetTransport, settings: pb::Settings) -> Result<LogEntry, Rejection> {
+    let settings = of_settings(settings).map_err(Rejection::invalid)?;
+    if settings.id == 0 {
+        return Err(Rejection::invalid(
+            "a proposal without an id of its own: asked again, it could not be told from another",
+        ));
+    }
+    (transport.check)(&settings.fields).map_err(Rejection::invalid)?;
+    Ok(LogEntry::Propose {
+        id: settings.id,
+        base: settings.version,
+        fields: settings.fields,
+        reason: settings.reason,
+    })
+}
+
+fn dismiss(transport: &FleetTransport, name: &str) -> Result<LogEntry, Rejection> {
+    transport.with_node(|node, _| {
+        let Some(log) = node.log() else {
+            // The node rejects any entry where it does not lead, and names the leader.
+            let version = Version(0);
+            return Ok(LogEntry::Abandon { version });
+        };
+        match log.roster().find(|(_, rostered)| *rostered == name) {
+            Some((member, _)) => Ok(LogEntry::Leave { member }),
+            None => Err(Rejection::new(
+                Code::NotFound,
+                format!("nobody named {name:?} is on the roster"),
+            )),
+        }
+    })
+}
+
+/// Starts the replacement of a voter, alive or dead, by a front end that is present.
+fn replace_voter(transport: &FleetTransport, request: &pb::Seat) -> Result<LogEntry, Rejection> {
+    let new = number(&request.new);
+    let replaced = number(&request.instead);
+    let address = transport.with_node(|node, _| {
+        let found = node.others().find(|other| other.id == new);
+        found.map(|other| other.address)
+    });
+    let address = address.ok_or_else(|| {
+        Rejection::new(
+            Code::NotFound,
+            format!(
+                "no front end named {:?} is there: start it with --state, then ask again",
+                request.new
+            ),
+        )
+    })?;
+    Ok(LogEntry::BeginVoterReplacement {
+        new,
+        address,
+        replaced,
+    })
+}
+
+fn rollout(transport: &FleetTransport, request: pb::Roll) -> Result<LogEntry, Rejection> {
+    let (entry, fields) = of_roll_entry(request).map_err(Rejection::invalid)?;
+    if let Some(fields) = &fields {
+        (transport.check)(fields).map_err(Rejection::invalid)?;
+        check_no_strict_changes(transport, fields)?;
+    }
+    Ok(LogEntry::Rollout {
+        entry: Box::new(entry),
+        fields,
+    })
+}
+
+/// Whether some front ends may act on these settings while others act on those in force: strict fields must not differ.
+fn check_no_strict_changes(transport: &FleetTransport, fields: &Fields) -> Result<(), Rejection> {
+    let strict = transport.with_node(|node, now| {
+        let state = node.active_state(now).state?;
+        let changes = changes(&node.setup().schema, &state.in_force.fields, fields);
+        let strict = changes
+            .into_iter()
+            .filter(|change| change.compatibility == Compatibility::Strict);
+        let paths: Vec<_> = strict.map(|change| change.path).collect();
+        Some(paths.join(", "))
+    });
+    match strict {
+        Some(paths) if !paths.is_empty() => Err(Rejection::new(
+            Code::FailedPrecondition,
+            format!("{paths}: strict, never two things at once, so that it can't be tried in stages: propose it alone"),
+        )),
+        _ => Ok(()),
+    }
+}
+
+fn update_scopes(
+    transport: &FleetTransport,
+    request: pb::ScopeTransaction,
+) -> Result<LogEntry, Rejection> {
+    let transaction = of_scope_request(request).map_err(Rejection::invalid)?;
+    if transaction.id == 0 {
+        return Err(Rejection::invalid(
+            "a change without an id of its own: asked again, it could not be told from another",
+        ));
+    }
+    check_functions(transport, &transaction)?;
+    Ok(LogEntry::UpdateScopes {
+        transactions: vec![transaction],
+    })
+}
+
+/// Whether the functions would be valid after the transaction.
+fn check_functions(
+    transport: &FleetTransport,
+    transaction: &ScopeTransaction,
+) -> Result<(), Rejection> {
+    transport.with_node(|node, now| {
+        // Without a state the classes are not known here: the leader checks them, or the node names the leader.
+        let Some(state) = node.active_state(now).state else {
+            return Ok(());
+        };
+        for update in &transaction.updates {
+            if let Some(fields) = &update.fields {
+                (transport.check_function)(&update.scope, fields, state)
+                    .map_err(Rejection::invalid)?;
+            }
+        }
+        Ok(())
+    })
+}
+
+fn enter_reply(applied: &ApplyOutcome) -> pb::EnterReply {
+    let version = match applied {
+        ApplyOutcome::Announced(version) | ApplyOutcome::Duplicate(version) => version.0,
+        ApplyOutcome::Advanced(_)
+        | ApplyOutcome::Roster
+        | ApplyOutcome::Voters
+        | ApplyOutcome::Rollout
+        | ApplyOutcome::ScopesChanged { .. } => 0,
+    };
+    let step = match applied {
+        ApplyOutcome::ScopesChanged { revision, .. } => revision.0,
+        _ => 0,
+    };
+    pb::EnterReply {
+        version,
+        again: matches!(applied, ApplyOutcome::Duplicate(_)),
+        step,
+    }
+}
+
+fn rejection(rejection: RequestRejection) -> Rejection {
+    let code = match rejection {
+        RequestRejection::Log(_) => Code::Aborted,
+        RequestRejection::NotLeader { .. } => Code::FailedPrecondition,
+        RequestRejection::Busy => Code::ResourceExhausted,
+        RequestRejection::Storage(_) | RequestRejection::LeadershipLost => Code::Unavailable,
+    };
+    Rejection::new(code, rejection.to_string())
+}
--- /dev/null
+++ b/net/fleet/src/service/queries.rs
@@ -0,0 +1,114 @@
+//! What operators read beside the status: versions, counters, the last rollout, functions.
+
+use super::{changing_functions, check_fleet, decode, Rejection, Reply};
+use crate::transport::FleetTransport;
+use prost::Message;
+use tansy_agreement::log::FleetState;
+use tansy_agreement::scope::MAX_UPDATES_PER_TRANSACTION;
+use tansy_fleet_wire::{pb, scoped, settings};
+use tansy_frames::grpc::Code;
+
+/// The versions that the leader retains.
+pub(super) fn history(transport: &FleetTransport, fleet: u64, bytes: &[u8]) -> Reply {
+    let request: pb::HistoryRequest = decode(bytes)?;
+    check_fleet(transport, request.fleet, fleet)?;
+    transport.with_node(|node, _| {
+        let Some(log) = node.log() else {
+            let leader = node.leader_address();
+            let reason = format!("this front end does not lead the fleet: ask {leader}");
+            return Err(Rejection::new(Code::FailedPrecondition, reason));
+        };
+        let state = log.state();
+        let next = state.next.as_ref();
+        let reply = pb::HistoryReply {
+            versions: log.history().map(settings).collect(),
+            force: state.in_force.version.0,
+            next: next.map_or(0, |(next, _)| next.version.0),
+        };
+        Ok(reply.encode_to_vec())
+    })
+}
+
+/// The counters of this front end.
+pub(super) fn counts(transport: &FleetTransport, fleet: u64, bytes: &[u8]) -> Reply {
+    let request: pb::CountsRequest = decode(bytes)?;
+    check_fleet(transport, request.fleet, fleet)?;
+    let mut reply = (transport.counts)();
+    let traffic = transport.traffic();
+    reply.letters = Some(pb::Letters {
+        taken: traffic.received,
+        taken_bytes: traffic.received_bytes,
+        sent: traffic.sent,
+        sent_bytes: traffic.sent_bytes,
+        dropped: transport.dropped(),
+    });
+    transport.with_node(|node, now| {
+        let setup = node.setup();
+        let active = node.active_state(now);
+        reply.name = setup.name.clone();
+        reply.incarnation = setup.node.incarnation;
+        reply.ready = active.lease > 0 && active.session > 0 && active.state.is_some();
+        reply.up = node.active_for(now);
+        reply.seat = node.voters().iter().any(|voter| voter.0 == setup.node.id);
+        let state = active.state;
+        reply.tries = state.is_some_and(|state| acts_on_canary(state, &setup.name));
+    });
+    Ok(reply.encode_to_vec())
+}
+
+fn acts_on_canary(state: &FleetState, name: &str) -> bool {
+    let canary = state.canary.as_ref();
+    state.next.is_none() && canary.is_some_and(|canary| canary.members.contains(name))
+}
+
+/// The last rollout.
+pub(super) fn rollout(transport: &FleetTransport, fleet: u64, bytes: &[u8]) -> Reply {
+    let request: pb::RollRequest = decode(bytes)?;
+    check_fleet(transport, request.fleet, fleet)?;
+    transport.with_node(|node, _| {
+        let (_, log) = node.agreed().ok_or_else(|| Rejection::not_a_voter(node))?;
+        let (label, path) = log.program().unwrap_or_default();
+        let rollout = log.rollout();
+        let reply = pb::RollReply {
+            roll: rollout
+                .and_then(|rollout| serde_json::to_string(rollout).ok())
+                .unwrap_or_default(),
+            label: label.into(),
+            path: path.into(),
+            leads: node.log().is_some(),
+        };
+        Ok(reply.encode_to_vec())
+    })
+}
+
+/// Functions that are agreed on one by one, and the result of a transaction.
+pub(super) fn functions(transport: &FleetTransport, fleet: u64, bytes: &[u8]) -> Reply {
+    let request: pb::FunctionsRequest = decode(bytes)?;
+    check_fleet(transport, request.fleet, fleet)?;
+    let requested = request.names.len();
+    if requested > MAX_UPDATES_PER_TRANSACTION {
+        return Err(Rejection::invalid(format!(
+            "{requested} functions are asked for: want at most {MAX_UPDATES_PER_TRANSACTION}"
+        )));
+    }
+    transport.with_node(|node, now| {
+        let (_, log) = node.agreed().ok_or_else(|| Rejection::not_a_voter(node))?;
+        let catalog = log.catalog();
+        let named = |name: String| pb::Named {
+            scoped: catalog.get(&name).map(scoped),
+            name,
+        };
+        let result = catalog.transaction_result(request.id);
+        let reply = pb::FunctionsReply {
+            functions: request.names.into_iter().map(named).collect(),
+            request: result.map(|result| pb::TransactionResult {
+                step: result.revision.0,
+                joint: result.joint,
+                force: result.in_force,
+                back: result.reverted,
+            }),
+            waits: changing_functions(node, now),
+        };
+        Ok(reply.encode_to_vec())
+    })
+}
--- /dev/null
+++ b/net/fleet/src/service/status.rs
@@ -0,0 +1,97 @@
+//! The state that a front end acts on, and the members that it sees.
+
+use super::{changing_functions, check_fleet, decode, Reply};
+use crate::transport::FleetTransport;
+use prost::Message;
+use tansy_agreement::compatibility::AffectedCalls;
+use tansy_agreement::lease::Time;
+use tansy_agreement::log::ReplacementPhase;
+use tansy_fleet_node::{ActiveState, FleetNode};
+use tansy_fleet_wire::{member, pb, process, state};
+
+pub(super) fn status(transport: &FleetTransport, fleet: u64, bytes: &[u8]) -> Reply {
+    let request: pb::StatusRequest = decode(bytes)?;
+    check_fleet(transport, request.fleet, fleet)?;
+    let reply = transport.with_node(|node, now| status_reply(transport, node, now));
+    Ok(reply.encode_to_vec())
+}
+
+fn status_reply(transport: &FleetTransport, node: &FleetNode, now: Time) -> pb::StatusReply {
+    let setup = node.setup();
+    let active = node.active_state(now);
+    let voters = node.voters();
+    let blockers = node.change_blockers(now);
+    let waits_for_leases = blockers.as_ref().is_some_and(|blockers| blockers.leases);
+    let waits_for = blockers
+        .map(|blockers| blockers.sessions.into_iter().map(member).collect())
+        .unwrap_or_default();
+    pb::StatusReply {
+        fleet: transport.fleet.clone(),
+        name: setup.name.clone(),
+        process: Some(process(&setup.node)),
+        seat: node.leader_address().to_string(),
+        seats: voters.iter().map(|voter| voter.1.to_string()).collect(),
+        keeps_log: node.log().is_some(),
+        seating: voter_replacement(node),
+        state: active.state.map(state),
+        lease_left: active.lease,
+        stay_left: active.session,
+        others: node.others().map(process).collect(),
+        contested: conflicting_calls(node, &active),
+        roster: roster(node),
+        waits_for_leases,
+        waits_for,
+        error: transport.error.borrow().clone().unwrap_or_default(),
+        holds: node.subscription_count() as u64,
+        changing: changing_functions(node, now),
+    }
+}
+
+fn voter_replacement(node: &FleetNode) -> Option<pb::VoterReplacement> {
+    let (_, log) = node.agreed()?;
+    let replacement = log.voter_replacement()?;
+    let replaced = node.address(replacement.replaced);
+    Some(pb::VoterReplacement {
+        new: replacement.address.to_string(),
+        instead: replaced
+            .map(|address| address.to_string())
+            .unwrap_or_default(),
+        votes: replacement.phase == ReplacementPhase::JointConsensus,
+    })
+}
+
+fn conflicting_calls(node: &FleetNode, active: &ActiveState<'_>) -> Vec<pb::ConflictingCalls> {
+    let schema = &node.setup().schema;
+    let conflicts = active.state.map(|state| state.conflicting_fields(schema));
+    let mut calls: Vec<String> = conflicts
+        .unwrap_or_default()
+        .iter()
+        .map(|conflict| describe(&conflict.affected))
+        .collect();
+    calls.sort();
+    calls.dedup();
+    calls
+        .into_iter()
+        .map(|calls| pb::ConflictingCalls { calls })
+        .collect()
+}
+
+fn describe(affected: &AffectedCalls) -> String {
+    match affected {
+        AffectedCalls::All => "all".into(),
+        AffectedCalls::Class(name) => format!("class {name}"),
+        AffectedCalls::Tenant(name) => format!("tenant {name}"),
+        AffectedCalls::Function(name) => format!("function {name}"),
+    }
+}
+
+fn roster(node: &FleetNode) -> Vec<pb::Rostered> {
+    let Some(log) = node.log() else {
+        return Vec::new();
+    };
+    let rostered = |(entry, name): (_, &str)| pb::Rostered {
+        member: Some(member(entry)),
+        name: name.into(),
+    };
+    log.roster().map(rostered).collect()
+}
--- a/net/fleet/src/transport.rs
+++ b/net/fleet/src/transport.rs
@@ -1,533 +1,289 @@
-//! Gives what arrives to the state machine and carries out its commands.
+//! Feeds the node's state machine and carries out its commands.
 
-use crate::client::ask;
-use crate::disk::{Disk, Done};
-use crate::service;
-use calloop::channel::Event;
+use crate::config::{
+    ApplyState, MessageCarrier, ReadCounters, TransportConfig, ValidateFunction, ValidateVersion,
+};
+use crate::events::log_event;
+use crate::links::PeerLinks;
+use crate::pending::{PendingRequest, PendingRequests};
+use crate::voter_storage::{PersistError, PersistResult, VoterStorage};
 use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
 use std::future::poll_fn;
-use std::io;
-use std::net::{SocketAddr, TcpListener};
-use std::path::PathBuf;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
-use tansy_agreement::compatibility::Fields;
 use tansy_agreement::endpoints::EndpointRecord;
 use tansy_agreement::lease::Time;
-use tansy_agreement::log::{ApplyOutcome, FleetState, LogEntry, MAX_MEMBERS};
+use tansy_agreement::log::LogEntry;
 use tansy_agreement::subscription::Admission;
-use tansy_consensus::PersistentState;
-use tansy_fleet_node::{
-    Command, FleetEvent, FleetNode, MessageBody, RecoveredState, RequestRejection,
-};
+use tansy_consensus::CorruptState;
+use tansy_fleet_node::{Command, FleetNode, MessageBody, RecoveredState};
 use tansy_fleet_wire::{decode_message, encode_message, DecodeError};
-use tansy_net_grpc::link::{Limits as LinkLimits, Link};
-use tansy_net_grpc::server::{Limits, Server};
-use tansy_net_sockets::interrupt::Uninterrupted;
-use tansy_net_sockets::socket::descriptors;
+use tansy_net_grpc::server::Server;
 use tansy_net_sockets::{clock, within, Spawner};
 
-/// Letters on their way to one front end; further ones are dropped, as a network drops them.
-const ON_THE_WAY: usize = 64;
-/// A letter that is not taken by then is of no use.
-const LETTER_WITHIN: Duration = Duration::from_secs(1);
-/// The state machine is looked at at least so often, and at most.
-const LOOK_MOST: Time = 50_000;
-const LOOK_LEAST: Time = 500;
-/// A link that nothing was sent on for so long is let go.
-const UNUSED: Time = 60_000_000;
-/// A front end that turns letters away is told of again after this time.
-const TELL_AGAIN: Time = 10_000_000;
-/// Requests for entries that wait for their answer.
-const REQUESTS: usize = 256;
-/// Connections of siblings and operators, whatever descriptors there are.
-const CONNECTIONS: usize = 2048;
-
-/// Bounds of what siblings and operators send.
-///
-/// Each front end has a connection to the seat that leads, which has one back: it takes as many as the roster holds, as far
-/// as half of its descriptors go. One that finds no room acts never, since it gets no stay.
-fn limits() -> Limits {
-    Limits {
-        connections: (descriptors() / 2).clamp(CONNECTIONS, MAX_MEMBERS),
-        streams: 256,
-        header_bytes: 8 * 1024,
-        stream_window: 64 * 1024,
-        message_bytes: tansy_fleet_wire::MAX_MESSAGE_BYTES,
-        preface_within: Duration::from_secs(5),
-    }
-}
-
-/// Whether a version's fields make sense as a whole; the reason, if not.
-pub type Check = Rc<dyn Fn(&Fields) -> Result<(), String>>;
-/// Is told, before anything that follows from it leaves, that the front end may act on something else by now; gives what
-/// is wrong if it can't.
-pub type Acts = Rc<dyn Fn(&FleetNode, Time) -> Option<String>>;
-
-/// Whether a function's fields make sense by themselves, with the classes of this state; the reason, if not.
-pub type CheckFunction = Rc<dyn Fn(&str, &Fields, &FleetState) -> Result<(), String>>;
-
-/// What the front end counted, and of which program it is; its name and what it acts on are filled in.
-pub type Counts = Rc<dyn Fn() -> tansy_fleet_wire::pb::CountsReply>;
-
-/// Takes a letter that goes another way than by a link to its address; false: it knows no way there. Nothing rests on a
-/// letter's arrival.
-pub type MessageCarrier = Rc<dyn Fn(SocketAddr, &[u8]) -> bool>;
+/// The most time between two looks at the state machine's timers.
+const MAX_TIMER_SLEEP: Time = 50_000;
+/// The least time between two looks.
+const MIN_TIMER_SLEEP: Time = 500;
 
-/// What a front end's place in a fleet is made of.
-pub struct TransportConfig {
-    /// The state machine's; its own address is filled in.
-    pub node: tansy_fleet_node::FleetNodeConfig,
-    /// The fleet's name in words.
-    pub fleet: String,
-    /// A seat's file, and the fields that a fleet which begins has as its first version.
-    pub voter: Option<(PathBuf, Fields)>,
-    /// Front ends that are reached through another address than their own.
-    pub proxies: HashMap<SocketAddr, SocketAddr>,
-    /// Asked first, where many front ends of one process share their ways.
-    pub carrier: Option<MessageCarrier>,
-    /// Of versions.
-    pub check: Check,
-    /// Of functions that are agreed on one by one.
-    pub check_function: CheckFunction,
-    /// Of calls.
-    pub counts: Counts,
-}
-
-/// Letters of this place since it was taken, and the bytes of their messages.
+/// Messages of this node since it was started, and their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCounters {
-    /// Taken from others, those that could not be read among them.
+    /// Received from others, those that could not be decoded among them.
     pub received: u64,
     /// Their bytes.
     pub received_bytes: u64,
-    /// Sent, whether they arrive or not; those dropped here are not among them.
+    /// Sent, whether they arrive or not; without those dropped here.
     pub sent: u64,
     /// Their bytes.
     pub sent_bytes: u64,
 }
 
-struct Way {
-    link: Rc<Link>,
-    letters: Cell<usize>,
-    /// When it was last told that letters are turned away.
-    told: Cell<Option<Time>>,
-    used: Cell<Time>,
-}
-
-/// The outcome of a request for an entry, once it is there.
-#[derive(Default)]
-pub(crate) struct Slot {
-    outcome: RefCell<Option<Result<ApplyOutcome, RequestRejection>>>,
-    waker: RefCell<Option<Waker>>,
-}
-
-impl Slot {
-    pub(crate) fn poll(&self, cx: &Context<'_>) -> Poll<Result<ApplyOutcome, RequestRejection>> {
-        if let Some(outcome) = self.outcome.borrow_mut().take() {
-            return Poll::Ready(outcome);
-        }
-        *self.waker.borrow_mut() = Some(cx.waker().clone());
-        Poll::Pending
-    }
-}
-
-/// A front end's place in a fleet.
+/// A front end's node in a fleet, on the network.
 pub struct FleetTransport {
     pub(crate) spawner: Spawner,
     pub(crate) fleet: String,
-    pub(crate) check: Check,
-    pub(crate) check_function: CheckFunction,
-    pub(crate) counts: Counts,
-    pub(crate) peer: RefCell<FleetNode>,
+    pub(crate) check: ValidateVersion,
+    pub(crate) check_function: ValidateFunction,
+    pub(crate) counts: ReadCounters,
+    /// Why the state can't be applied, if so.
     pub(crate) error: RefCell<Option<String>>,
-    acts: Acts,
-    disk: Option<Disk>,
-    via: HashMap<SocketAddr, SocketAddr>,
+    node: RefCell<FleetNode>,
+    apply_state: ApplyState,
+    storage: Option<VoterStorage>,
     carrier: Option<MessageCarrier>,
-    ways: RefCell<HashMap<SocketAddr, Rc<Way>>>,
-    slots: RefCell<HashMap<u64, Rc<Slot>>>,
-    next_request: Cell<u64>,
+    links: PeerLinks,
+    pending: PendingRequests,
     dropped: Cell<u64>,
     traffic: Cell<TrafficCounters>,
-    ended: Cell<bool>,
+    stopped: Cell<bool>,
     server: RefCell<Option<Rc<Server>>>,
-    /// The state machine has to be looked at anew, and who is to do it.
-    nudged: Cell<bool>,
-    looks: RefCell<Option<Waker>>,
+    /// The next deadline may have come nearer, and who is to look at it anew.
+    timers_changed: Cell<bool>,
+    timer_waker: RefCell<Option<Waker>>,
 }
 
-/// Why a place in a fleet can't be taken.
-pub type Error = Box<dyn std::error::Error>;
-
 impl FleetTransport {
-    /// Takes its place, on a listener whose address its siblings know.
-    pub fn start(
+    /// A node that serves nobody yet, with a voter's storage and what was recovered from it.
+    pub(crate) fn new(
         spawner: Spawner,
-        listener: TcpListener,
-        mut setup: TransportConfig,
-        acts: Acts,
-    ) -> Result<Rc<FleetTransport>, Error> {
-        setup.node.node.address = listener.local_addr()?;
-        let fleet = setup.node.fleet;
-        let (mut disk, mut held, mut done) = (None, None, None);
-        let mut file = String::new();
-        if let Some((path, first)) = setup.voter {
-            file = path.display().to_string();
-            let (d, h, c) = Disk::open(&path).map_err(|e| format!("{file}: {e}"))?;
-            let saved = PersistentState {
-                snapshot: h.snapshot,
-                records: h.records,
-            };
-            (disk, held, done) = (
-                Some(d),
-                Some(RecoveredState {
-                    persistent: saved,
-                    initial_fields: first,
-                }),
-                Some(c),
-            );
-        }
-        let peer =
-            FleetNode::new(setup.node, held, clock::now()).map_err(|e| format!("{file}: {e}"))?;
-        let peers = Rc::new(FleetTransport {
-            spawner: spawner.clone(),
-            fleet: setup.fleet,
-            check: setup.check,
-            check_function: setup.check_function,
-            counts: setup.counts,
-            peer: RefCell::new(peer),
+        config: TransportConfig,
+        storage: Option<VoterStorage>,
+        recovered: Option<RecoveredState>,
+        apply_state: ApplyState,
+    ) -> Result<FleetTransport, CorruptState> {
+        let node = FleetNode::new(config.node, recovered, clock::now())?;
+        Ok(FleetTransport {
+            links: PeerLinks::new(spawner.clone(), config.proxies),
+            spawner,
+            fleet: config.fleet,
+            check: config.check,
+            check_function: config.check_function,
+            counts: config.counts,
             error: RefCell::new(None),
-            acts,
-            disk,
-            via: setup.proxies,
-            carrier: setup.carrier,
-            ways: RefCell::new(HashMap::new()),
-            slots: RefCell::new(HashMap::new()),
-            next_request: Cell::new(0),
+            node: RefCell::new(node),
+            apply_state,
+            storage,
+            carrier: config.carrier,
+            pending: PendingRequests::default(),
             dropped: Cell::new(0),
             traffic: Cell::new(TrafficCounters::default()),
-            ended: Cell::new(false),
+            stopped: Cell::new(false),
             server: RefCell::new(None),
-            nudged: Cell::new(false),
-            looks: RefCell::new(None),
-        });
-        if let Some(done) = done {
-            let p = peers.clone();
-            let inserted =
-                spawner
-                    .handle()
-                    .insert_source(Uninterrupted(done), move |event, _, ()| {
-                        if let Event::Msg(done) = event {
-                            p.held(done);
-                        }
-                    });
-            inserted.map_err(|e| io::Error::other(e.to_string()))?;
-        }
-        let server = Server::start(
-            spawner.clone(),
-            listener,
-            limits(),
-            service::handler(peers.clone(), fleet),
-        )?;
-        *peers.server.borrow_mut() = Some(server);
-        let p = peers.clone();
-        spawner.spawn(async move {
-            while !p.ended.get() {
-                let next = p.peer.borrow().next_deadline() - clock::now();
-                let sleep = Duration::from_micros(next.clamp(LOOK_LEAST, LOOK_MOST) as u64);
-                within(p.spawner.sleep(sleep), poll_fn(|cx| p.nudge(cx))).await;
-                if p.peer.borrow().next_deadline() <= clock::now() {
-                    p.turn(FleetNode::tick);
-                }
-                p.let_go();
-            }
-        });
-        Ok(peers)
+            timers_changed: Cell::new(false),
+            timer_waker: RefCell::new(None),
+        })
     }
 
-    /// Reads the state machine.
-    pub fn with_node<T>(&self, f: impl FnOnce(&FleetNode, Time) -> T) -> T {
-        f(&self.peer.borrow(), clock::now())
+    /// Sets the server that is closed with the node.
+    pub(crate) fn set_server(&self, server: Rc<Server>) {
+        *self.server.borrow_mut() = Some(server);
     }
 
-    /// What is done with a call of a function that the versions don't name, now.
-    pub fn admit(self: &Rc<Self>, function: &str) -> Admission {
-        let mut out = Vec::new();
-        let (call, next) = {
-            let mut peer = self.peer.borrow_mut();
-            let (now, before) = (clock::now(), peer.scopes_changed());
-            let mut call = peer.admit(now, function, &mut out);
-            // The seat that leads answers itself.
-            if call == Admission::Wait && peer.scopes_changed() != before {
-                call = peer.admit(now, function, &mut out);
+    /// Runs the state machine's timers until the node is stopped.
+    pub(crate) async fn run_timers(self: Rc<Self>) {
+        while !self.stopped.get() {
+            let remaining = self.node.borrow().next_deadline() - clock::now();
+            let sleep = remaining.clamp(MIN_TIMER_SLEEP, MAX_TIMER_SLEEP);
+            let sleep = Duration::from_micros(sleep as u64);
+            within(
+                self.spawner.sleep(sleep),
+                poll_fn(|cx| self.poll_timers_changed(cx)),
+            )
+            .await;
+            if self.node.borrow().next_deadline() <= clock::now() {
+                self.drive(FleetNode::tick);
             }
-            (call, peer.next_deadline())
-        };
-        out.into_iter().for_each(|c| self.carry_out(c));
-        if call == Admission::Wait && next < clock::now() + LOOK_MOST {
-            self.nudged.set(true);
-            self.looks
-                .borrow_mut()
-                .take()
-                .into_iter()
-                .for_each(Waker::wake);
+            self.links.close_idle();
         }
-        call
     }
 
-    /// Whether the state machine's next time may have come nearer.
-    fn nudge(&self, cx: &Context<'_>) -> Poll<()> {
-        if self.nudged.take() {
+    /// Whether the state machine's next deadline may have come nearer.
+    fn poll_timers_changed(&self, cx: &Context<'_>) -> Poll<()> {
+        if self.timers_changed.take() {
             return Poll::Ready(());
         }
-        *self.looks.borrow_mut() = Some(cx.waker().clone());
+        *self.timer_waker.borrow_mut() = Some(cx.waker().clone());
         Poll::Pending
     }
 
-    /// A list of workers was read.
-    pub fn update_endpoints(self: &Rc<Self>, lines: Vec<EndpointRecord>) {
-        self.turn(|p, now, out| p.update_endpoints(now, lines, out));
+    /// Reads the state machine.
+    pub fn with_node<T>(&self, read: impl FnOnce(&FleetNode, Time) -> T) -> T {
+        read(&self.node.borrow(), clock::now())
     }
 
-    /// Tells the others that it leaves, and takes no more connections.
+    /// Admission of a call, now, of a function that the versions do not name.
+    pub fn admit(self: &Rc<Self>, function: &str) -> Admission {
+        let mut commands = Vec::new();
+        let (admission, deadline) = {
+            let mut node = self.node.borrow_mut();
+            let now = clock::now();
+            let scopes_before = node.scopes_changed();
+            let mut admission = node.admit(now, function, &mut commands);
+            // The leader answers its own subscription at once.
+            if admission == Admission::Wait && node.scopes_changed() != scopes_before {
+                admission = node.admit(now, function, &mut commands);
+            }
+            (admission, node.next_deadline())
+        };
+        self.execute_all(commands);
+        if admission == Admission::Wait && deadline < clock::now() + MAX_TIMER_SLEEP {
+            self.timers_changed.set(true);
+            let waker = self.timer_waker.borrow_mut().take();
+            waker.into_iter().for_each(Waker::wake);
+        }
+        admission
+    }
+
+    /// Updates the node's table of workers from a list that was read.
+    pub fn update_endpoints(self: &Rc<Self>, records: Vec<EndpointRecord>) {
+        self.drive(|node, now, commands| node.update_endpoints(now, records, commands));
+    }
+
+    /// Notifies the others that it leaves, and accepts no more connections.
     pub fn leave(self: &Rc<Self>) {
-        self.turn(FleetNode::leave);
+        self.drive(FleetNode::leave);
         if let Some(server) = &*self.server.borrow() {
             server.close();
         }
     }
 
-    /// It is over at once, as with a process that is killed: nobody is told, nothing leaves and nothing is taken any more.
+    /// Stops at once, as a process that is killed: nobody is notified, nothing is sent or accepted any more.
     pub fn shut_down(&self) {
-        self.ended.set(true);
+        self.stopped.set(true);
         if let Some(server) = self.server.borrow_mut().take() {
             server.close();
             server.cut();
         }
-        self.ways
-            .borrow_mut()
-            .drain()
-            .for_each(|(_, w)| w.link.drop_now());
+        self.links.drop_all();
     }
 
-    /// Takes a letter that came another way than by this place's own listener.
+    /// Accepts a message, of this node's listener or of another carrier.
     pub fn on_datagram(self: &Rc<Self>, bytes: &[u8]) -> Result<(), DecodeError> {
-        let mut letters = self.traffic.get();
-        (letters.received, letters.received_bytes) = (
-            letters.received + 1,
-            letters.received_bytes + bytes.len() as u64,
-        );
-        self.traffic.set(letters);
-        let fleet = self.peer.borrow().setup().fleet;
-        let (from, root, body) = decode_message(fleet, bytes)?;
-        self.turn(|p, now, out| p.on_message(now, &from, root, body, out));
+        let mut traffic = self.traffic.get();
+        traffic.received += 1;
+        traffic.received_bytes += bytes.len() as u64;
+        self.traffic.set(traffic);
+        let fleet = self.node.borrow().setup().fleet;
+        let (from, leader, body) = decode_message(fleet, bytes)?;
+        self.drive(|node, now, commands| node.on_message(now, &from, leader, body, commands));
         Ok(())
     }
 
-    /// Letters that passed.
+    /// The messages that passed.
     pub fn traffic(&self) -> TrafficCounters {
         self.traffic.get()
     }
 
-    /// Whether no letter is on its way.
+    /// Whether no message is in flight.
     pub fn is_idle(&self) -> bool {
-        self.ways.borrow().values().all(|w| w.letters.get() == 0)
+        self.links.is_idle()
     }
 
-    /// Letters that were dropped because too many were on their way.
+    /// Messages that were dropped because too many were in flight.
     pub fn dropped(&self) -> u64 {
         self.dropped.get()
     }
 
-    pub(crate) fn turn(self: &Rc<Self>, act: impl FnOnce(&mut FleetNode, Time, &mut Vec<Command>)) {
-        if self.ended.get() {
+    /// Requests a log entry; `None`: too many requests wait.
+    pub(crate) fn request(self: &Rc<Self>, entry: LogEntry) -> Option<Rc<PendingRequest>> {
+        let (number, pending) = self.pending.add()?;
+        self.drive(|node, now, commands| node.request(now, number, entry, commands));
+        Some(pending)
+    }
+
+    /// Passes on the result of persisting a record.
+    pub(crate) fn on_persisted(self: &Rc<Self>, result: PersistResult) {
+        let result = result.map_err(|error| error.to_string());
+        self.drive(|node, now, commands| node.on_persisted(now, result, commands));
+    }
+
+    fn drive(self: &Rc<Self>, step: impl FnOnce(&mut FleetNode, Time, &mut Vec<Command>)) {
+        if self.stopped.get() {
             return;
         }
-        let mut out = Vec::new();
+        let mut commands = Vec::new();
         {
-            let mut peer = self.peer.borrow_mut();
-            act(&mut peer, clock::now(), &mut out);
-            // What it acts on comes before what it says of it: a letter that tells a step is the promise to act on none
-            // before it.
-            *self.error.borrow_mut() = (self.acts)(&peer, clock::now());
+            let mut node = self.node.borrow_mut();
+            step(&mut node, clock::now(), &mut commands);
+            // The state is applied before any message about it is sent: acknowledging a revision promises not to act on any
+            // earlier one.
+            *self.error.borrow_mut() = (self.apply_state)(&node, clock::now());
         }
-        out.into_iter().for_each(|c| self.carry_out(c));
+        self.execute_all(commands);
     }
 
-    fn held(self: &Rc<Self>, done: Done) {
-        self.turn(|p, now, out| p.on_persisted(now, done, out));
+    fn execute_all(self: &Rc<Self>, commands: Vec<Command>) {
+        commands
+            .into_iter()
+            .for_each(|command| self.execute(command));
     }
 
-    fn carry_out(self: &Rc<Self>, command: Command) {
+    fn execute(self: &Rc<Self>, command: Command) {
         match command {
             Command::Send { to, body } => self.send(to, body),
             Command::SendToVoter { to, bytes } => {
-                if let Some(address) = self.with_node(|p, _| p.address(to)) {
+                if let Some(address) = self.with_node(|node, _| node.address(to)) {
                     self.send(address, MessageBody::Consensus(bytes));
                 }
             }
-            Command::Persist {
-                record,
-                snapshot: whole,
-            } => {
-                if !self.disk.as_ref().is_some_and(|d| d.hold(record, whole)) {
-                    let me = self.clone();
-                    self.spawner
-                        .spawn(async move { me.held(Err("the seat's thread has ended".into())) });
-                }
-            }
-            Command::Respond { request, outcome } => {
-                if let Some(slot) = self.slots.borrow_mut().remove(&request) {
-                    *slot.outcome.borrow_mut() = Some(outcome);
-                    slot.waker
-                        .borrow_mut()
-                        .take()
-                        .into_iter()
-                        .for_each(Waker::wake);
-                }
-            }
-            Command::Notify(note) => tell(&note),
+            Command::Persist { record, snapshot } => self.persist(record, snapshot),
+            Command::Respond { request, outcome } => self.pending.complete(request, outcome),
+            Command::Notify(event) => log_event(&event),
+        }
+    }
+
+    fn persist(self: &Rc<Self>, record: Vec<u8>, snapshot: Option<Vec<u8>>) {
+        let storage = self.storage.as_ref();
+        if !storage.is_some_and(|storage| storage.persist(record, snapshot)) {
+            let transport = self.clone();
+            self.spawner
+                .spawn(async move { transport.on_persisted(Err(PersistError::ThreadEnded)) });
         }
     }
 
     fn send(self: &Rc<Self>, to: SocketAddr, body: MessageBody) {
         let bytes = {
-            let peer = self.peer.borrow();
-            encode_message(peer.setup().fleet, &peer.setup().node, peer.leader(), body)
-        };
-        if self.carrier.as_ref().is_some_and(|carry| carry(to, &bytes)) {
-            return self.sent(bytes.len());
-        }
-        let way = {
-            let mut ways = self.ways.borrow_mut();
-            let fresh = || {
-                let at = self.via.get(&to).copied().unwrap_or(to);
-                let link = Link::new(self.spawner.clone(), at, LinkLimits::default());
-                Rc::new(Way {
-                    link,
-                    letters: Cell::new(0),
-                    told: Cell::new(None),
-                    used: Cell::new(0),
-                })
-            };
-            ways.entry(to).or_insert_with(fresh).clone()
+            let node = self.node.borrow();
+            let setup = node.setup();
+            encode_message(setup.fleet, &setup.node, node.leader(), body)
         };
-        if way.letters.get() >= ON_THE_WAY {
+        let size = bytes.len();
+        let carrier = self.carrier.as_ref();
+        let carried = carrier.is_some_and(|carry| carry(to, &bytes));
+        if carried || self.links.send(to, bytes) {
+            self.count_sent(size);
+        } else {
             self.dropped.set(self.dropped.get() + 1);
-            return;
         }
-        self.sent(bytes.len());
-        way.letters.set(way.letters.get() + 1);
-        way.used.set(clock::now());
-        let spawner = self.spawner.clone();
-        self.spawner.spawn(async move {
-            if let Err(e) = ask(&spawner, &way.link, "Tell", &bytes, LETTER_WITHIN).await {
-                tracing::debug!(%to, error = %e, "a letter did not arrive");
-                let now = clock::now();
-                let lately = way.told.get().is_some_and(|at| now - at < TELL_AGAIN);
-                if matches!(e, crate::client::RequestError::Rejected(..)) && !lately {
-                    way.told.set(Some(now));
-                    tracing::warn!(%to, error = %e, "a front end turns letters away");
-                }
-            }
-            way.letters.set(way.letters.get() - 1);
-        });
     }
 
-    fn sent(&self, bytes: usize) {
-        let mut letters = self.traffic.get();
-        (letters.sent, letters.sent_bytes) = (letters.sent + 1, letters.sent_bytes + bytes as u64);
-        self.traffic.set(letters);
-    }
-
-    fn let_go(&self) {
-        let now = clock::now();
-        self.ways.borrow_mut().retain(|_, w| {
-            let stays = w.letters.get() > 0 || now - w.used.get() < UNUSED;
-            if !stays {
-                w.link.retire();
-            }
-            stays
-        });
-    }
-
-    /// Asks for an entry; none: too many wait.
-    pub(crate) fn enter(self: &Rc<Self>, entry: LogEntry) -> Option<Rc<Slot>> {
-        if self.slots.borrow().len() >= REQUESTS {
-            return None;
-        }
-        let request = self.next_request.get() + 1;
-        self.next_request.set(request);
-        let slot = Rc::new(Slot::default());
-        self.slots.borrow_mut().insert(request, slot.clone());
-        self.turn(|p, now, out| p.request(now, request, entry, out));
-        Some(slot)
-    }
-}
-
-fn tell(note: &FleetEvent) {
-    match note {
-        FleetEvent::Membership(news) => tracing::info!(member = ?news, "membership"),
-        FleetEvent::RevisionChanged { step, force, next } => {
-            tracing::info!(
-                step = step.0,
-                force,
-                next = next.unwrap_or(0),
-                "a step of the fleet"
-            );
-        }
-        FleetEvent::Lease { live: true } => tracing::info!("a lease is held"),
-        FleetEvent::Lease { live: false } => {
-            tracing::warn!(
-                "the lease is out: the stricter side of every limit holds until there is one again"
-            );
-        }
-        FleetEvent::Session { live: true } => tracing::info!("a stay is held"),
-        FleetEvent::Session { live: false } => {
-            tracing::error!(
-                "the stay is out: calls that strict fields touch are refused until the seat is reached"
-            );
-        }
-        FleetEvent::Leadership { live: true } => tracing::info!("this seat leads the fleet"),
-        FleetEvent::Leadership { live: false } => {
-            tracing::warn!("this seat leads the fleet no more")
-        }
-        FleetEvent::DatagramRejected(why) => tracing::warn!(%why, "a datagram was thrown away"),
-        FleetEvent::ChangeAbandoned { version, behind } => {
-            tracing::error!(
-                version,
-                ?behind,
-                "a change was stuck while calls were refused for it, and is given up"
-            );
-        }
-        FleetEvent::VoterReplacementAbandoned { new } => {
-            tracing::error!(
-                new = format!("{new:x}"),
-                "it did not learn the agreed log in time and does not become a seat: was it started with --state?"
-            );
-        }
-        FleetEvent::SubscriptionsEvicted {
-            total,
-            subscribed: held,
-        } => {
-            tracing::warn!(
-                total,
-                held,
-                "functions were let go to make room: more are called here than one front end holds"
-            );
-        }
-        FleetEvent::ScopeChangesAbandoned { scopes, behind } => {
-            tracing::error!(
-                ?scopes,
-                ?behind,
-                "changes of functions were stuck, and are given up"
-            );
-        }
-        FleetEvent::StorageFailed { cause: why } => {
-            tracing::error!(%why, "the seat's disk takes no entry: no change until it is mended and the seat started again");
-        }
+    fn count_sent(&self, bytes: usize) {
+        let mut traffic = self.traffic.get();
+        traffic.sent += 1;
+        traffic.sent_bytes += bytes as u64;
+        self.traffic.set(traffic);
     }
 }
--- a/net/fleet/tests/connections.rs
+++ b/net/fleet/tests/connections.rs
@@ -1,4 +1,4 @@
-//! A seat has a connection with each front end of its fleet: as many as there are must find room.
+//! A voter has a connection with each front end of its fleet: it must have room for as many as there are.
 
 use calloop::EventLoop;
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
@@ -14,37 +14,37 @@
 use tansy_net_fleet::{FleetTransport, TransportConfig};
 use tansy_net_sockets::Spawner;
 
-/// Front ends that a seat had room for before it asked what descriptors there are, and more than that.
+/// More front ends than the least number of connections that a node accepts.
 const FRONT_ENDS: usize = 2048 + 256;
-/// No check rests on how soon something happens, only on that it does; this is far beyond.
-const LONG: Duration = Duration::from_secs(60);
+/// Nothing here is checked for its time; this is far beyond what any step takes.
+const TIMEOUT: Duration = Duration::from_secs(60);
 /// What a client of HTTP/2 sends first: its preface, and settings that change nothing.
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0";
 /// The type of a frame of settings.
 const SETTINGS: u8 = 4;
 
-/// Takes a place in a fleet on this listener, until it is over.
-fn serve(listener: TcpListener, over: &AtomicBool) {
+/// Runs a node on this listener until it is stopped.
+fn serve(listener: TcpListener, stopped: &AtomicBool) {
     let mut event_loop: EventLoop<'static, ()> = EventLoop::try_new().expect("a loop");
     let spawner = Spawner::new(event_loop.handle()).expect("a spawner");
     let address = listener.local_addr().expect("an address");
-    let terms = LeaseTiming {
+    let timing = LeaseTiming {
         span: 600_000,
         drift_ppm: 1000,
     };
-    let peer = tansy_fleet_node::FleetNodeConfig {
+    let node = tansy_fleet_node::FleetNodeConfig {
         fleet: 1,
         name: "a".into(),
         node: NodeId::new(1, 1, address),
         voters: vec![(1, address)],
-        lease: terms,
-        session: terms,
+        lease: timing,
+        session: timing,
         gossip: GossipTiming::default(),
         schema: Schema::default(),
         seed: 1,
     };
-    let setup = TransportConfig {
-        node: peer,
+    let config = TransportConfig {
+        node,
         fleet: "test".into(),
         voter: None,
         proxies: Default::default(),
@@ -53,9 +53,9 @@
         check_function: Rc::new(|_, _, _| Ok(())),
         counts: Rc::new(Default::default),
     };
-    let _peers =
-        FleetTransport::start(spawner, listener, setup, Rc::new(|_, _| None)).expect("its place");
-    while !over.load(Ordering::Relaxed) {
+    let _transport =
+        FleetTransport::start(spawner, listener, config, Rc::new(|_, _| None)).expect("a node");
+    while !stopped.load(Ordering::Relaxed) {
         event_loop
             .dispatch(Some(Duration::from_millis(20)), &mut ())
             .expect("it goes on");
@@ -65,7 +65,7 @@
 /// A front end's connection, once it is answered with settings.
 fn connect(to: SocketAddr) -> Result<TcpStream, std::io::Error> {
     let mut socket = TcpStream::connect(to)?;
-    socket.set_read_timeout(Some(LONG))?;
+    socket.set_read_timeout(Some(TIMEOUT))?;
     socket.write_all(PREFACE)?;
     let mut head = [0; 9];
     socket.read_exact(&mut head)?;
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn a_seat_has_room_for_more_front_ends_than_two_thousand() {
-    // Both ends are in this process, and a seat takes up half of its descriptors.
+fn a_voter_accepts_connections_of_more_than_two_thousand_front_ends() {
+    // Both ends are in this process, and a node uses up to half of its descriptors.
     let limit = getrlimit(Resource::Nofile);
     setrlimit(
         Resource::Nofile,
@@ -84,7 +84,7 @@
             ..limit
         },
     )
-    .expect("as many as are allowed");
+    .expect("the limit is raised");
     let least = 2 * FRONT_ENDS as u64 + 100;
     assert!(
         limit.maximum.is_none_or(|n| n >= least),
@@ -92,15 +92,15 @@
     );
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let over = Arc::new(AtomicBool::new(false));
-    let told = over.clone();
-    let seat = std::thread::spawn(move || serve(listener, &told));
-    let mut held = Vec::new();
+    let stopped = Arc::new(AtomicBool::new(false));
+    let server_stopped = stopped.clone();
+    let server = std::thread::spawn(move || serve(listener, &server_stopped));
+    let mut connections = Vec::new();
     for n in 0..FRONT_ENDS {
-        held.push(
+        connections.push(
             connect(address).unwrap_or_else(|e| panic!("front end {n} of {FRONT_ENDS}: {e}")),
         );
     }
-    over.store(true, Ordering::Relaxed);
-    seat.join().expect("the seat ends");
+    stopped.store(true, Ordering::Relaxed);
+    server.join().expect("the server ends");
 }
--- a/programs/gateway/src/fleet.rs
+++ b/programs/gateway/src/fleet.rs
@@ -16,7 +16,7 @@
 use tansy_dispatch::{Contested, Counted, Shape, Terms};
 use tansy_fleet_node::{number, FleetNode};
 use tansy_fleet_wire::pb;
-use tansy_net_fleet::{FleetTransport, TransportConfig};
+use tansy_net_fleet::{FleetTransport, InvalidFields, TransportConfig};
 use tansy_net_inference::{Hub, Looked, Lookup, Names, Worker};
 use tansy_net_sockets::Spawner;
 use tansy_settings::{agree, WorkerLine};
@@ -220,7 +220,7 @@
         scopes: Cell::new(0),
     });
     adopter.nothing_yet(&place.first)?;
-    let check = Rc::new(|fields: &Fields| agree::check(fields).map_err(|e| e.to_string()));
+    let check = Rc::new(|fields: &Fields| agree::check(fields).map_err(invalid_fields));
     let (counted, zone) = (adopter.hub.clone(), place.zone.clone());
     adopter.hub.count();
     let label = std::env::var(LABEL).unwrap_or_default();
@@ -526,8 +526,8 @@
 }
 
 /// Whether a function's fields make sense, of a class that the settings in force have and go on to have.
-fn check_function(name: &str, fields: &Fields, state: &FleetState) -> Result<(), String> {
-    let f = agree::function(name, fields).map_err(|e| e.to_string())?;
+fn check_function(name: &str, fields: &Fields, state: &FleetState) -> Result<(), InvalidFields> {
+    let f = agree::function(name, fields).map_err(invalid_fields)?;
     let there = |v: &Version| {
         let under = format!("classes.{}.", part(&f.class));
         v.fields
@@ -538,13 +538,17 @@
     let all = [Some(&state.in_force), state.next.as_ref().map(|n| &n.0)];
     match all.into_iter().flatten().find(|v| !there(v)) {
         None => Ok(()),
-        Some(v) => Err(format!(
+        Some(v) => Err(InvalidFields(format!(
             "functions.{name}.class: {:?} is not there: want a class of version {}",
             f.class, v.version.0
-        )),
+        ))),
     }
 }
 
+fn invalid_fields(errors: tansy_settings::Errors) -> InvalidFields {
+    InvalidFields(errors.to_string())
+}
+
 fn note(names: &mut BTreeSet<String>, name: &str) {
     names.insert(name.to_string());
 }
--- a/programs/scale/src/cast.rs
+++ b/programs/scale/src/cast.rs
@@ -817,11 +817,11 @@
     let line: serde_json::Value = serde_json::from_str(line).ok()?;
     let fields = line.get("fields")?;
     match fields.get("message")?.as_str()? {
-        "a step of the fleet" => Some(Says::Force(fields.get("force")?.as_u64()?)),
-        "a lease is held" => Some(Says::Lease(true)),
-        "a stay is held" => Some(Says::Stay(true)),
-        m if m.starts_with("the lease is out") => Some(Says::Lease(false)),
-        m if m.starts_with("the stay is out") => Some(Says::Stay(false)),
+        "fleet revision changed" => Some(Says::Force(fields.get("in_force")?.as_u64()?)),
+        "lease acquired" => Some(Says::Lease(true)),
+        "session established" => Some(Says::Stay(true)),
+        m if m.starts_with("lease expired") => Some(Says::Lease(false)),
+        m if m.starts_with("session expired") => Some(Says::Stay(false)),
         _ => None,
     }
 }
