--- /dev/null
+++ b/tests/compatibility/examples/record.rs
@@ -0,0 +1,102 @@
+//! Writes the fixtures that are not there yet, as the program of the day writes what they hold. A file that is there stays
+//! as it is.
+
+use std::path::Path;
+use tansy_compatibility_tests::shape::{shape, Names};
+use tansy_compatibility_tests::{fixture, fleet, inference, membership, run, voters};
+use tansy_front::record::Step;
+use tansy_settings::agree;
+use tansy_state::seat::Records;
+
+/// Calls `write` with the path of a fixture, if that is not there.
+fn once(name: &str, write: impl FnOnce(&Path)) {
+    let path = fixture::path(name);
+    match path.exists() {
+        true => println!("{name}: it is there"),
+        false => write(&path),
+    }
+}
+
+fn text(name: &str, text: String) {
+    once(name, |path| {
+        std::fs::write(path, text).expect("room on the disk");
+        println!("{name}: written");
+    });
+}
+
+fn messages(name: &str, how: &str, all: impl IntoIterator<Item = (String, Vec<u8>)>) {
+    let line = |(name, bytes): (String, Vec<u8>)| format!("{name} {}\n", fixture::hex(&bytes));
+    let lines: String = all.into_iter().map(line).collect();
+    text(name, format!("# {how}\n{lines}"));
+}
+
+fn record_voters() {
+    let fleet = voters::recorded();
+    for voter in [1, 4] {
+        let writes = fleet.writes(voter);
+        once(&format!("voter-{voter}.redb"), |path| {
+            let (mut records, _) = Records::open(path).expect("a new file");
+            for (record, whole) in writes {
+                let held = records.hold(record.clone(), whole.as_deref());
+                held.expect("room on the disk");
+            }
+        });
+        let lines = writes.iter().flat_map(|(record, whole)| {
+            let whole = whole.iter().map(|w| ("whole".to_string(), w.clone()));
+            std::iter::once(("record".to_string(), record.clone())).chain(whole)
+        });
+        let how = format!("Writes of voter {voter} of the fleet in src/voters.rs, in their order.");
+        messages(&format!("voter-{voter}.txt"), &how, lines);
+        println!("voter {voter}: {:#?}", fleet.voter(voter).log());
+    }
+}
+
+fn main() {
+    record_voters();
+    let letters = fleet::bodies().into_iter().enumerate().map(|(n, body)| {
+        let bytes = tansy_fleet_wire::letter(fleet::FLEET, &fleet::sender(), fleet::ROOT, body);
+        (format!("{n:02}"), bytes)
+    });
+    messages(
+        "fleet-letters.txt",
+        "Each letter of src/fleet.rs, in their order.",
+        letters,
+    );
+    let requests = fleet::requests().into_iter();
+    messages(
+        "fleet-requests.txt",
+        "Each request and reply of src/fleet.rs.",
+        requests.map(|r| (r.name.to_string(), r.bytes)),
+    );
+    messages(
+        "membership.txt",
+        "All datagrams of src/membership.rs, in their order.",
+        membership::conversation(),
+    );
+    let inference = inference::messages().into_iter();
+    messages(
+        "inference.txt",
+        "Each message of src/inference.rs.",
+        inference.map(|(name, bytes)| (name.to_string(), bytes)),
+    );
+    for name in ["settings-full", "settings-least"] {
+        let file = format!("{name}.cue");
+        let fields = agree::fields(&file, &fixture::text(&file)).expect("a right file");
+        text(&format!("{name}.fields"), agree::text(&fields));
+    }
+    let file = "settings-full.cue";
+    let version = agree::version(file, &fixture::text(file)).expect("a right file");
+    text("settings-full.version", agree::text(&version));
+    let lines = |steps: Vec<Step>| steps.iter().map(|s| s.line() + "\n").collect();
+    text("run.jsonl", lines(run::recorded()));
+    text("steps.jsonl", lines(run::each_kind()));
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
+    for (folder, file, names) in [
+        ("protocol/fleet/proto", "fleet", Names::Free),
+        ("protocol/inference/proto", "inference", Names::Count),
+        ("protocol/inference/proto", "orca", Names::Count),
+    ] {
+        let shape = shape(&root.join(folder), &format!("{file}.proto"), names);
+        text(&format!("{file}.shape"), shape);
+    }
+}
--- /dev/null
+++ b/tests/compatibility/tests/fleet.rs
@@ -0,0 +1,39 @@
+//! Letters, requests and replies between front ends and operators of a fleet are read as they were written, and are written
+//! as they were.
+//!
+//! `fixtures/fleet-letters.txt` and `fixtures/fleet-requests.txt` hold the messages of `src/fleet.rs`, by
+//! `examples/record.rs`.
+
+use tansy_compatibility_tests::fixture;
+use tansy_compatibility_tests::fleet::{bodies, requests, sender, FLEET, ROOT};
+use tansy_fleet_wire::{letter, read};
+
+#[test]
+fn letters_are_read_and_written_as_before() {
+    let recorded = fixture::messages("fleet-letters.txt");
+    assert_eq!(recorded.len(), bodies().len());
+    for ((name, bytes), body) in recorded.into_iter().zip(bodies()) {
+        assert_eq!(
+            read(FLEET, &bytes),
+            Ok((sender(), ROOT, body.clone())),
+            "letter {name}"
+        );
+        let written = letter(FLEET, &sender(), ROOT, body);
+        assert_eq!(
+            fixture::hex(&written),
+            fixture::hex(&bytes),
+            "letter {name}"
+        );
+    }
+}
+
+#[test]
+fn requests_and_replies_are_read_and_written_as_before() {
+    let recorded = fixture::messages("fleet-requests.txt");
+    assert_eq!(recorded.len(), requests().len());
+    for ((name, bytes), present) in recorded.into_iter().zip(requests()) {
+        assert_eq!(name, present.name);
+        assert!((present.is)(&bytes), "{name} is read as another message");
+        assert_eq!(fixture::hex(&present.bytes), fixture::hex(&bytes), "{name}");
+    }
+}
--- /dev/null
+++ b/tests/compatibility/tests/inference.rs
@@ -0,0 +1,79 @@
+//! Messages of the inference protocol are read and written as before, by the scanner and by the generated types.
+//!
+//! `fixtures/inference.txt` holds the messages of `src/inference.rs`, by `examples/record.rs`.
+
+use prost::Message;
+use std::collections::BTreeMap;
+use tansy_compatibility_tests::{fixture, inference as expected};
+use tansy_inference::scan::{response_id, Piece, Request, Value};
+use tansy_inference::{inference as pb, orca};
+
+fn recorded() -> BTreeMap<String, Vec<u8>> {
+    fixture::messages("inference.txt").into_iter().collect()
+}
+
+#[test]
+fn messages_are_written_as_before() {
+    let recorded = recorded();
+    let present = expected::messages();
+    assert_eq!(recorded.len(), present.len());
+    for (name, bytes) in present {
+        assert_eq!(
+            fixture::hex(&bytes),
+            fixture::hex(&recorded[name]),
+            "{name}"
+        );
+    }
+}
+
+#[test]
+fn messages_are_read_by_the_generated_types_as_before() {
+    let recorded = recorded();
+    let bytes = |name: &str| recorded[name].as_slice();
+    let request = pb::ModelInferRequest::decode(bytes("request"));
+    assert_eq!(request, Ok(expected::request()));
+    let response = pb::ModelInferResponse::decode(bytes("response"));
+    assert_eq!(response, Ok(expected::response()));
+    let piece = pb::ModelStreamInferResponse::decode(bytes("piece"));
+    assert_eq!(piece, Ok(expected::piece()));
+    let report = orca::OrcaLoadReport::decode(bytes("load-report"));
+    assert_eq!(report, Ok(expected::report()));
+}
+
+#[test]
+fn messages_are_scanned_as_before() {
+    let recorded = recorded();
+    let request = Request::read(&recorded["request"]).expect("a request");
+    // In the order of the names, as they were sent.
+    let parameters = vec![
+        ("flag", Value::Bool(true)),
+        ("int", Value::Int(-7)),
+        ("number", Value::Double(0.25)),
+        ("text", Value::Str("250")),
+        ("uint", Value::Uint(u64::MAX)),
+    ];
+    let expected = Request {
+        model: "chat",
+        version: "2",
+        id: "request-1",
+        parameters,
+        inputs: 1,
+    };
+    assert_eq!(request, expected);
+    let piece = |name: &str, error, id, last| {
+        let expected = Piece {
+            error,
+            id,
+            response: true,
+            last,
+        };
+        assert_eq!(Piece::read(&recorded[name]), Ok(expected), "{name}");
+    };
+    piece("piece", "an error", "theirs", false);
+    piece("amended-piece", "an error", "ours", false);
+    piece("stream-error", "refused", "ours", true);
+    piece("stream-error-for-good", "refused", "ours", true);
+    piece("empty-final", "", "ours", true);
+    assert_eq!(response_id(&recorded["response"]), Ok("theirs"));
+    assert_eq!(response_id(&recorded["amended-response"]), Ok("ours"));
+}
--- /dev/null
+++ b/tests/compatibility/tests/recorded_run.rs
@@ -0,0 +1,41 @@
+//! A run that `--record` wrote is read, is written the same again, and plays to the same decisions.
+//!
+//! `fixtures/run.jsonl` is the run of `src/run.rs` with the settings `run.cue`, `steps.jsonl` a step of each kind; both by
+//! `examples/record.rs`.
+
+use tansy_compatibility_tests::{fixture, run};
+use tansy_front::record::{replay, Step};
+
+fn read(name: &str) -> Vec<Step> {
+    let text = fixture::text(name);
+    let step = |line| Step::read(line).unwrap_or_else(|e| panic!("{name}: {e}: {line}"));
+    text.lines().map(step).collect()
+}
+
+fn compare(steps: &[Step], name: &str) {
+    let text = fixture::text(name);
+    for (n, (step, line)) in steps.iter().zip(text.lines()).enumerate() {
+        assert_eq!(step.line(), line, "{name}:{}", n + 1);
+    }
+    assert_eq!(steps.len(), text.lines().count(), "{name}");
+}
+
+#[test]
+fn a_step_of_each_kind_is_read_and_written_as_before() {
+    assert_eq!(read("steps.jsonl"), run::each_kind());
+    compare(&run::each_kind(), "steps.jsonl");
+}
+
+#[test]
+fn a_run_is_read_and_plays_to_the_same_decisions() {
+    let steps = read("run.jsonl");
+    compare(&steps, "run.jsonl");
+    let mut front = run::front();
+    let played: Vec<Step> = replay(&mut front, steps.into_iter()).collect();
+    compare(&played, "run.jsonl");
+}
+
+#[test]
+fn the_same_calls_and_answers_make_the_same_run() {
+    compare(&run::recorded(), "run.jsonl");
+}
--- /dev/null
+++ b/tests/compatibility/tests/settings.rs
@@ -0,0 +1,163 @@
+//! Settings files are read as before: names, defaults and units of all fields.
+//!
+//! `fixtures/settings-full.cue` has every field of the schema, `settings-least.cue` only what must be there; of each the
+//! `.fields` beside it has all fields with their values as `tansy_settings::agree` told them, by `examples/record.rs`. The
+//! other files were written by hand.
+
+use tansy_agree::rule::Value;
+use tansy_compatibility_tests::fixture;
+use tansy_front::{FunctionSpec, Listed};
+use tansy_settings::{agree, settings, workers, Fleet, Seat, Settings, WorkerLine};
+
+fn read(name: &str) -> Settings {
+    settings(name, &fixture::text(name)).unwrap_or_else(|e| panic!("{e}"))
+}
+
+#[test]
+fn all_fields_have_their_names_values_and_defaults() {
+    for name in ["settings-full", "settings-least"] {
+        let file = format!("{name}.cue");
+        let fields = agree::fields(&file, &fixture::text(&file));
+        let fields = fields.unwrap_or_else(|e| panic!("{e}"));
+        assert_eq!(
+            agree::text(&fields),
+            fixture::text(&format!("{name}.fields")),
+            "{name}"
+        );
+    }
+}
+
+/// What a fleet agrees on of a file: nothing that is a front end's own.
+#[test]
+fn a_version_of_a_file_is_as_before() {
+    let file = "settings-full.cue";
+    let version = agree::version(file, &fixture::text(file)).unwrap_or_else(|e| panic!("{e}"));
+    assert_eq!(
+        agree::text(&version),
+        fixture::text("settings-full.version")
+    );
+}
+
+fn workers_of_the_file() -> [WorkerLine; 2] {
+    let first = Listed {
+        name: "w1".into(),
+        kind: 1,
+        cell: 2,
+        zone: 0,
+        state: 1,
+        age: Some(5_000_000),
+        share: 4.0,
+    };
+    let second = Listed {
+        name: "w2".into(),
+        kind: 0,
+        cell: 0,
+        zone: 1,
+        state: 0,
+        age: None,
+        share: 1.0,
+    };
+    [
+        WorkerLine {
+            listed: first,
+            address: ([127, 0, 0, 1], 7101).into(),
+            incarnation: 3,
+        },
+        WorkerLine {
+            listed: second,
+            address: "[::1]:7102".parse().expect("an address"),
+            incarnation: 0,
+        },
+    ]
+}
+
+#[test]
+fn a_file_becomes_the_same_settings() {
+    let all = read("settings-full.cue");
+    let fleet = Fleet {
+        name: "pool".into(),
+        me: "front-1".into(),
+        listen: ([127, 0, 0, 1], 7001).into(),
+        seats: vec![Seat {
+            name: "front-1".into(),
+            address: ([127, 0, 0, 1], 7001).into(),
+        }],
+        state: Some("/var/lib/tansy/front-1.redb".into()),
+        within: 3_000_000,
+        stay: 7_200_000_000,
+        clock_ppm: 500,
+    };
+    assert_eq!(all.fleet, Some(fleet));
+    assert_eq!(all.workers, workers_of_the_file());
+    let gateway = &all.gateway;
+    assert_eq!((gateway.listen.port(), gateway.http.port()), (9001, 9000));
+    assert_eq!((gateway.drain, gateway.preface), (11_000_000, 6_000_000));
+    assert_eq!((gateway.connections, gateway.streams), (20002, 10003));
+    assert_eq!((gateway.message, gateway.headers), (5 << 20, 17 << 10));
+    assert_eq!(
+        (gateway.stream_window, gateway.worker_window),
+        (65 << 10, 257 << 10)
+    );
+    let keys = [&gateway.class_key, &gateway.tenant_key, &gateway.work_key];
+    assert_eq!(keys, ["x-class", "x-tenant", "x-work"]);
+    let front = &all.front;
+    assert_eq!(front.classes, ["overlay", "post", "keyed.1"]);
+    assert_eq!(
+        (&front.zones, &front.tenants),
+        (&vec!["a".into(), "b".into()], &vec!["t".into()])
+    );
+    assert_eq!((front.longest, front.seed), (7_200_000_000, 7));
+    let functions = [
+        FunctionSpec {
+            name: "price-1".into(),
+            class: 0,
+            lanes: 4,
+            memory_mb: 1500.0,
+            load_time: Some(900_000),
+            versions: vec!["2".into(), "3".into()],
+        },
+        FunctionSpec {
+            name: "post".into(),
+            class: 1,
+            lanes: 1,
+            memory_mb: 209.7152,
+            load_time: None,
+            versions: vec!["1".into()],
+        },
+    ];
+    assert_eq!(front.functions, functions);
+}
+
+#[test]
+fn a_list_of_workers_is_read_as_before() {
+    let zones = ["a".to_string(), "b".to_string()];
+    let list = workers("workers.cue", &fixture::text("workers.cue"), &zones, 1);
+    assert_eq!(
+        list.unwrap_or_else(|e| panic!("{e}")),
+        workers_of_the_file()
+    );
+}
+
+#[test]
+fn a_file_of_functions_is_read_as_before() {
+    let text = |all: &[&str]| Value::List(all.iter().map(|t| Value::Text(t.to_string())).collect());
+    let file = "functions.cue";
+    let all = agree::functions(file, &fixture::text(file)).unwrap_or_else(|e| panic!("{e}"));
+    let first = [
+        ("class", Value::Text("overlay".into())),
+        ("lanes", Value::Int(4)),
+        ("load_time", Value::Span(900_000)),
+        ("memory", Value::Bytes(1_500_000_000)),
+        ("versions", text(&["2", "3"])),
+    ];
+    let second = [
+        ("class", Value::Text("post".into())),
+        ("memory", Value::Bytes(200 << 20)),
+    ];
+    let named = |(name, value): (&str, Value)| (name.to_string(), value);
+    let expected = [
+        ("price-1".to_string(), first.map(named).into()),
+        ("post".to_string(), second.map(named).into()),
+    ];
+    assert_eq!(all, expected.into());
+}
--- /dev/null
+++ b/tests/compatibility/tests/text_wires.rs
@@ -0,0 +1,286 @@
+//! Messages whose bytes can be read as they stand here: RESP, gRPC's frames and headers, and the platform's calls, answers
+//! and list. What is expected was taken from the program of the day that wrote the first fixtures.
+
+use tansy_compatibility_tests::fixture;
+use tansy_frames::grpc;
+use tansy_front::{Listed, NeverRan, Note, Report, Seen, Shape, Stage, Told};
+use tansy_platform::config::Config;
+use tansy_platform::list::{Change, List, Updates};
+use tansy_platform::{Answered, Asked, Shapes};
+
+#[test]
+fn arrays_of_resp_are_written_and_read_as_before() {
+    let (strings, bytes): ([&[u8]; 3], &[u8]) = (
+        [b"CALL", b"", &[0, 13, 10, 255]],
+        b"*3\r\n$4\r\nCALL\r\n$0\r\n\r\n$4\r\n\x00\r\n\xff\r\n",
+    );
+    let mut written = Vec::new();
+    tansy_resp::write(&mut written, &strings);
+    assert_eq!(written, bytes);
+    let limits = tansy_resp::Limits {
+        string: 64,
+        strings: 4,
+    };
+    let mut reader = tansy_resp::Reader::new(limits);
+    reader.take(bytes);
+    assert_eq!(reader.array(), Ok(Some(strings.to_vec())));
+    assert!(!reader.partial());
+}
+
+#[test]
+fn frames_of_grpc_are_written_and_read_as_before() {
+    let bytes = b"\x00\x00\x00\x01\x02";
+    let message = [7; 258];
+    let framed = [bytes.as_slice(), &message].concat();
+    assert_eq!(grpc::frame(&message), framed);
+    let mut assembler = grpc::Assembler::new(258);
+    assembler.push(&framed);
+    let read = assembler
+        .take()
+        .expect("a message")
+        .expect("the whole of it");
+    assert_eq!(read.as_ref(), message);
+    assert!(assembler.is_empty());
+    assert_eq!(grpc::Code::read(b"14"), grpc::Code::Unavailable);
+    assert_eq!(grpc::Code::read(b"17"), grpc::Code::Unknown);
+    assert_eq!(grpc::Code::ResourceExhausted.number(), 8);
+    assert_eq!(grpc::timeout(b"250m"), Some(250_000));
+    assert_eq!(grpc::spell_timeout(100_000_000), "100000m");
+    assert_eq!(grpc::encode_message("é 1%\n"), "%C3%A9 1%25%0A");
+}
+
+#[test]
+fn names_on_the_wire_of_inference_are_as_before() {
+    use tansy_inference::names;
+    let all = [
+        (names::SERVICE, "/inference.GRPCInferenceService/"),
+        (names::INSTANCE, "tansy-instance"),
+        (names::CROWD, "tansy-crowd"),
+        (names::NEVER_RAN, "tansy-never-ran"),
+        (names::INSTANCES, "tansy-instances"),
+        (names::LOAD_REPORT, "endpoint-load-metrics-bin"),
+        (names::PUSHBACK, "grpc-retry-pushback-ms"),
+        (names::FINAL, "triton_final_response"),
+        (names::EMPTY_FINAL, "triton_enable_empty_final_response"),
+        (names::RETRY_AFTER, "retry_after_ms"),
+        (names::TIMEOUT, "timeout"),
+        (names::LOAD_INSTANCES, "instances"),
+        (names::PIECES, "pieces"),
+        (names::WORK_MS, "work_ms"),
+    ];
+    for (present, before) in all {
+        assert_eq!(present, before);
+    }
+    assert_eq!(tansy_fleet_wire::SERVICE, "/tansy.fleet.Fleet/");
+}
+
+fn config() -> Config {
+    Config::read(&fixture::text("platform.json")).expect("settings of an earlier program")
+}
+
+/// Every key of the platform's settings file has a value of its own, so that none is read as another.
+#[test]
+fn the_platforms_settings_are_read_as_before() {
+    let config = config();
+    assert_eq!(config.name, "front-1");
+    assert_eq!(config.listen, ([127, 0, 0, 1], 4001).into());
+    assert_eq!(config.coordinator, ([127, 0, 0, 1], 4222).into());
+    assert_eq!(config.seed(), 0xab);
+    let limits = config.limits;
+    assert_eq!(
+        (limits.cores, limits.memory_mb, limits.sockets),
+        (2.0, 512.0, 1024)
+    );
+    let settings = &config.settings;
+    assert_eq!(settings.zones, ["west", "east"]);
+    assert_eq!(settings.machine_types, ["std", "big"]);
+    let names: Vec<&str> = settings.classes.iter().map(|c| c.name.as_str()).collect();
+    assert_eq!(names, ["call", "once", "cell", "send"]);
+    assert_eq!(settings.tenants[0].name, "t");
+    assert_eq!(settings.policy_limits.keepalive_s, 6.0);
+    assert_eq!(settings.policy_limits.multiplex, Some(10));
+    assert_eq!(settings.telemetry.fields, ["depth", "x0"]);
+    // What is decided by; it is compared as it is printed, since not all of it can be compared.
+    let read = tansy_conf::settings(settings).expect("settings that can be used");
+    assert_eq!(format!("{read:#?}"), format!("{:#?}", decided_by()));
+}
+
+/// The decision module's settings of `fixtures/platform.json`.
+fn decided_by() -> tansyrouter::Settings {
+    use tansyrouter::{Class, Effect, Group, Ration, Reports, Settings, Tenant, WhenAbsent};
+    let class = |deadline, effect| Class {
+        aim: 1_000_000,
+        aim_stretch: 0.0,
+        deadline,
+        effect,
+        worth: 1.0,
+        late_worth: 0.0,
+        streamed: false,
+    };
+    let keyed = |group, window| Effect::Keyed { group, window };
+    Settings {
+        me: 1,
+        siblings: 3,
+        zone: 2,
+        classes: vec![
+            Class {
+                aim: 1_500_000,
+                aim_stretch: 0.5,
+                worth: 2.0,
+                late_worth: 0.25,
+                streamed: true,
+                ..class(2_500_000, Effect::Safe)
+            },
+            class(3_000_000, keyed(Group::Zone, 5_000_000)),
+            class(3_000_000, keyed(Group::Cell, 0)),
+            class(4_000_000, Effect::Unsafe),
+        ],
+        tenants: vec![Tenant {
+            quota_per_s: 40.0,
+            fraction: 0.75,
+        }],
+        over_quota_worth: 0.125,
+        worth_by_work: true,
+        list_pushed: false,
+        ask_within: 11_000_000,
+        may_cancel: true,
+        may_probe: true,
+        may_order: true,
+        may_double: true,
+        max_attempts: 7,
+        max_held: 900,
+        max_stay_away: 8_000_000,
+        connect_timeout: 500_000,
+        when_absent: WhenAbsent::Miss,
+        idle_life: 15_000_000,
+        order_timeout: 18_000_000,
+        ration: Some(Ration {
+            free: 16.0,
+            part: 0.06,
+            period: 17_000_000,
+        }),
+        tells_warm: true,
+        tells_crowd: true,
+        reports: Reports::Pulled,
+        kind_memory_mb: vec![4000.0, 8000.0],
+        cross_zone_price: 0.01,
+        fetch_price: 0.02,
+        idle_price: 0.07,
+        probe_price: 0.03,
+        cold_from: 0.05,
+        warm_up: 14_000_000,
+        fall_multiple: 1.5,
+        fall_after: 13_000_000,
+        drain_grace: 12_000_000,
+        answer_slack: 40_000,
+        tick: 1_000,
+    }
+}
+
+#[test]
+fn the_platforms_list_is_read_as_before() {
+    let line = |name: &str, host: u8, (kind, cell, zone, state, age, share)| Change {
+        listed: Listed {
+            name: name.into(),
+            kind,
+            cell,
+            zone,
+            state,
+            age,
+            share,
+        },
+        address: ([127, 0, 0, host], 1).into(),
+    };
+    let config = config();
+    let mut list = List::new(config.settings.zones, config.settings.machine_types);
+    let whole = vec![
+        line("s-a", 2, (1, 2, 1, 0, None, 4.0)),
+        line("s-b", 3, (0, 3, 0, 0, Some(500_000), 1.0)),
+        line("s-c", 4, (0, 0, 0, 1, None, 1.0)),
+    ];
+    assert_eq!(list.take(&config.known, 2000.0), [(true, whole)]);
+    let later = r#"{"index":9,"updates":[{"index":2,"endpoints":{"servers":[{"id":"s-a","state":"Gone"}]}},{"index":3}]}"#;
+    let later: Updates = serde_json::from_str(later).expect("a reply of the coordinator");
+    let gone = vec![line("s-a", 2, (0, 0, 0, 2, None, 1.0))];
+    assert_eq!(list.take(&later, 2000.0), [(false, gone)]);
+    assert_eq!((list.index(), list.held()), (9, 2));
+}
+
+#[test]
+fn calls_of_the_platform_are_read_and_written_as_before() {
+    let shapes = Shapes::new(&config().settings);
+    let header = |name: &str| match name {
+        "x-class" => Some("once"),
+        "x-request-id" => Some("9b1f03aa5c7e2d41"),
+        "x-timeout-ms" => Some("1500.5"),
+        "x-extras" => Some("memory_mb:512;lanes:2;load_ms:70"),
+        "idempotency-key" => Some("045fa587-5B_"),
+        _ => None,
+    };
+    let asked = shapes.read("POST", "/ops/7f3a9c21e0b4d655/call", header);
+    let expected = Asked {
+        id: *b"9b1f03aa5c7e2d41",
+        function: "7f3a9c21e0b4d655".into(),
+        class: 1,
+        budget: 1_500_500,
+        shape: Shape {
+            lanes: 2,
+            memory_mb: 512.0,
+            load_time: Some(70_000),
+        },
+        key: Some("045fa587-5B_".into()),
+    };
+    assert_eq!(
+        expected.fields("once", 70),
+        "sort=once,asset=7f3a9c21e0b4d655,patience=70,op=045fa587-5B_"
+    );
+    assert_eq!(asked, Ok(expected));
+}
+
+#[test]
+fn answers_of_workers_are_read_as_before() {
+    let report = "queue:1;inflight:2;util:0.5;x0:0.25;x1:3;latency_ms:4;qps:5;eps:6";
+    let fields = format!("n=ready,peers_in=3,replicas=2,l={report}");
+    let expected = |code, stage, never_ran, note| Answered {
+        seen: Seen::Status { code, stage },
+        told: Told {
+            note,
+            never_ran,
+            crowd: Some(3),
+            instances: Some(2),
+            report: Some(Report {
+                queued: Some(1.0),
+                held: Some(2.0),
+                busy: Some(0.5),
+                memory_pinned: Some(0.25),
+                loads: Some(3.0),
+                mean_ms: Some(4.0),
+                served_per_s: Some(5.0),
+                errors_per_s: Some(6.0),
+            }),
+        },
+    };
+    let read =
+        |word: &str, fields: &str| tansy_platform::answer(word.as_bytes(), fields.as_bytes(), true);
+    for (word, code, stage, never_ran) in [
+        ("200", 0, Stage::Last, None),
+        ("404", 14, Stage::Headers, Some(NeverRan::NotLoaded)),
+        ("503", 14, Stage::Headers, Some(NeverRan::TurnedAway)),
+        ("504", 14, Stage::Headers, Some(NeverRan::Expired)),
+        ("500", 13, Stage::Headers, None),
+    ] {
+        let expected = expected(code, stage, never_ran, Note::Warm);
+        assert_eq!(read(word, &fields), expected, "{word}");
+    }
+    for (word, note) in [
+        ("ready", Note::Warm),
+        ("loaded", Note::BeganLoad),
+        ("queued", Note::AwaitedLoad),
+        ("no_image", Note::LoadFailed),
+        ("other", Note::Silent),
+    ] {
+        let fields = fields.replace("n=ready", &format!("n={word}"));
+        let expected = expected(0, Stage::Last, None, note);
+        assert_eq!(read("200", &fields), expected, "{word}");
+    }
+}
--- /dev/null
+++ b/tests/compatibility/tests/voters.rs
@@ -0,0 +1,218 @@
+//! What a voter stored is read, and is what the same fleet stores today.
+//!
+//! `fixtures/voter-1.redb` is the file of a voter that was there from the beginning, `voter-4.redb` that of one that took the
+//! place of voter 3 and learnt the log as a whole. `voter-*.txt` are the writes that went into them. `examples/record.rs`
+//! wrote them, of the fleet in `src/voters.rs`.
+
+use std::path::PathBuf;
+use tansy_agree::lease::Member;
+use tansy_agree::log::{Entry, Log, Phase, Step, Version};
+use tansy_agree::rule::Value;
+use tansy_agree::scope::{Requested, Scoped, Standing};
+use tansy_compatibility_tests::voters::{self, Fleet};
+use tansy_compatibility_tests::{fixture, voters::address};
+use tansy_rollout::{Fallen, Phase as Rolled, What};
+use tansy_seats::{Saved, Seats};
+use tansy_state::seat::Records;
+use tansy_verdict::Verdict;
+
+/// What a voter's file holds; a copy is opened, as opening writes to it.
+fn stored(voter: u64, test: &str) -> Saved {
+    let copy = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}-{voter}.redb"));
+    std::fs::copy(fixture::path(&format!("voter-{voter}.redb")), &copy).expect("a copy");
+    let (_, held) = Records::open(&copy).expect("a file of an earlier program");
+    Saved {
+        whole: held.whole,
+        records: held.records,
+    }
+}
+
+/// Its log, as far as the file says that it is agreed on.
+fn log(voter: u64, saved: &Saved) -> Log {
+    let mut seats =
+        Seats::new(voters::setup(voter, 2), saved, 0).expect("records of an earlier program");
+    let mut out = Vec::new();
+    seats.tick(0, &mut out);
+    seats.log().expect("it was begun").clone()
+}
+
+/// The log that the entries make, without anything that is stored.
+fn expected(entries: usize) -> Log {
+    let seats = (1..=3).map(|n| (n, address(n)));
+    let mut log = Log::new(voters::first_fields(), seats);
+    for entry in voters::entries().into_iter().take(entries) {
+        let text = format!("{entry:?}");
+        log.apply(entry).unwrap_or_else(|e| panic!("{text}: {e}"));
+    }
+    log
+}
+
+/// Entries that the last record of a file does not say to be agreed on: the last one, and for voter 4 what it says is told
+/// with the next.
+const BEHIND: usize = 1;
+
+#[test]
+fn a_file_holds_the_writes_that_went_into_it() {
+    for voter in [1, 4] {
+        let mut expected = Saved::default();
+        for (sort, bytes) in fixture::messages(&format!("voter-{voter}.txt")) {
+            match sort.as_str() {
+                "record" => expected.records.push(bytes),
+                _ => {
+                    expected.whole = Some(bytes);
+                    expected.records.clear();
+                }
+            }
+        }
+        assert_eq!(stored(voter, "holds"), expected, "voter {voter}");
+    }
+}
+
+#[test]
+fn the_log_of_a_file_is_the_one_that_its_entries_make() {
+    let entries = voters::entries().len();
+    for voter in [1, 4] {
+        let log = log(voter, &stored(voter, "whole"));
+        assert_eq!(log, expected(entries - BEHIND), "voter {voter}");
+    }
+}
+
+#[test]
+fn versions_roster_and_voters_of_a_file_are_as_they_were() {
+    for voter in [1, 4] {
+        let log = log(voter, &stored(voter, "versions"));
+        let state = log.state();
+        let attempts = |fields: &tansy_agree::rule::Fields| fields["worker.max_attempts"].clone();
+        assert_eq!((state.step, state.versions_at), (Step(20), Step(20)));
+        assert_eq!((state.force.version, state.force.id), (Version(2), 21));
+        assert_eq!(state.force.fields, voters::with_attempts(4));
+        assert_eq!(state.force.why, "more attempts");
+        let (next, phase) = state.next.as_ref().expect("a change under way");
+        assert_eq!((next.version, *phase), (Version(5), Phase::Joint));
+        assert_eq!(attempts(&next.fields), Value::Int(8));
+        assert_eq!(state.trial, None);
+        let history: Vec<(u64, &str)> = log
+            .history()
+            .map(|s| (s.version.0, s.why.as_str()))
+            .collect();
+        let before = [
+            (1, "the first"),
+            (2, "more attempts"),
+            (3, "given up while told"),
+            (4, "given up while joint"),
+            (5, "under way"),
+        ];
+        assert_eq!(history, before);
+        let member = |id| Member { id, incarnation: 1 };
+        let roster: Vec<_> = log.roster().collect();
+        assert_eq!(
+            roster,
+            [(member(11), "front-1"), (member(u64::MAX), "front-3")]
+        );
+        let keepers = [1, 2, 4].map(|n| (n, address(n)));
+        assert_eq!((log.seats(), log.seating()), (&keepers.into(), None));
+    }
+}
+
+#[test]
+fn functions_of_a_file_are_as_they_were() {
+    for voter in [1, 4] {
+        let log = log(voter, &stored(voter, "functions"));
+        let scoped = |revision, fields, standing| Scoped {
+            revision: Step(revision),
+            fields,
+            standing,
+        };
+        let back = Standing::Back { since: Step(14) };
+        let settling = Standing::Settling { since: Step(15) };
+        let joint = Standing::Joint {
+            next: Some(voters::function("fast", 3)),
+            since: Step(16),
+        };
+        let catalog = log.catalog();
+        let (chat, sound) = (voters::function("fast", 1), voters::function("slow", 2));
+        let all = [
+            ("chat".to_string(), scoped(12, Some(chat), back)),
+            ("image".to_string(), scoped(15, None, settling)),
+            ("sound".to_string(), scoped(12, Some(sound), joint)),
+        ];
+        assert_eq!(catalog.all(), &all.into(), "voter {voter}");
+        assert_eq!(catalog.since(), Some(Step(11)));
+        let request = |id, step, (joint, force, back)| Requested {
+            id,
+            step: Step(step),
+            joint,
+            force,
+            back,
+        };
+        for expected in [
+            request(31, 11, (0, 2, 0)),
+            request(32, 11, (0, 1, 0)),
+            request(33, 13, (0, 1, 1)),
+            request(34, 16, (1, 0, 0)),
+        ] {
+            assert_eq!(catalog.requested(expected.id), Some(&expected));
+        }
+    }
+}
+
+#[test]
+fn the_rollout_of_a_file_stands_where_it_stood() {
+    for voter in [1, 4] {
+        let log = log(voter, &stored(voter, "rollout"));
+        let rollout = log.roll().expect("a rollout");
+        let what = What::Program {
+            label: "0123abcd".into(),
+            path: "/opt/tansy/0123abcd".into(),
+        };
+        assert_eq!((rollout.id, &rollout.what), (42, &what));
+        assert_eq!((rollout.phase, rollout.stage), (Rolled::Moving, 1));
+        assert_eq!((rollout.at, rollout.fence, rollout.beat), (10, 1, 7));
+        assert_eq!((rollout.paused, rollout.judged), (false, 1));
+        assert_eq!(rollout.moved, ["front-1".to_string()].into());
+        assert_eq!(rollout.moving, ["front-2".to_string()].into());
+        let fallen = Fallen {
+            name: "front-2".into(),
+            process: 7,
+            sort: "signal 6".into(),
+            again: 2,
+        };
+        assert_eq!(rollout.fallen, [fallen]);
+        let seen: Vec<_> = rollout.seen.iter().map(|s| (s.stage, &s.verdict)).collect();
+        assert_eq!(seen, [(0, &Some(Verdict::Fine)), (1, &None)]);
+        assert_eq!(log.program(), None);
+    }
+}
+
+#[test]
+fn voters_go_on_from_their_files() {
+    // Two of three: enough for a leader.
+    let files = [1, 4].map(|voter| (voter, stored(voter, "go-on")));
+    let mut fleet = Fleet::new(&files.into(), 2);
+    fleet.agree(Entry::Abandon {
+        version: Version(5),
+    });
+    let mut expected = expected(voters::entries().len());
+    let back = expected.apply(Entry::Abandon {
+        version: Version(5),
+    });
+    back.expect("it is under way");
+    for voter in [1, 4] {
+        assert_eq!(fleet.voter(voter).log(), Some(&expected), "voter {voter}");
+    }
+}
+
+#[test]
+fn the_same_fleet_stores_the_same_bytes() {
+    let fleet = voters::recorded();
+    for voter in [1, 4] {
+        let mut written = Vec::new();
+        for (record, whole) in fleet.writes(voter) {
+            written.push(format!("record {}", fixture::hex(record)));
+            written.extend(whole.iter().map(|w| format!("whole {}", fixture::hex(w))));
+        }
+        let recorded = fixture::text(&format!("voter-{voter}.txt"));
+        let recorded: Vec<&str> = recorded.lines().skip(1).collect();
+        assert_eq!(written, recorded, "voter {voter}");
+    }
+}
