--- a/tests/compatibility/examples/record.rs
+++ b/tests/compatibility/examples/record.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 use tansy_compatibility_tests::shape::{shape, Names};
-use tansy_compatibility_tests::{fixture, fleet, inference, membership, run, voters};
+use tansy_compatibility_tests::{fixture, fleet, inference, json, membership, run, voters};
 use tansy_front::record::Step;
 use tansy_settings::agree;
 use tansy_state::seat::Records;
@@ -90,6 +90,10 @@
     let lines = |steps: Vec<Step>| steps.iter().map(|s| s.line() + "\n").collect();
     text("run.jsonl", lines(run::recorded()));
     text("steps.jsonl", lines(run::each_kind()));
+    let lines = |lines: Vec<String>| lines.join("\n") + "\n";
+    text("rollout-entries.jsonl", lines(json::rollout_entry_lines()));
+    text("rollouts.jsonl", lines(json::rollout_lines()));
+    text("printed.jsonl", lines(json::printed()));
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     for (folder, file, names) in [
         ("protocol/fleet/proto", "fleet", Names::Free),
--- a/tests/compatibility/src/fleet.rs
+++ b/tests/compatibility/src/fleet.rs
@@ -162,7 +162,8 @@
     ]
 }
 
-fn later() -> State {
+/// A state since functions are agreed on one by one.
+pub fn later() -> State {
     State {
         versions_at: Step(17),
         scopes_since: Some(Step(4)),
--- /dev/null
+++ b/tests/compatibility/src/json.rs
@@ -0,0 +1,152 @@
+//! JSON that programs read: a rollout's entries and state, as they travel and as the report has them, and the lines that
+//! `tansy-fleet --json` prints.
+
+use crate::{fleet, voters};
+use tansy_agree::log::Entry;
+use tansy_agree::rule::{Change, Kind, Lapsed, Stricter, Touch, Value};
+use tansy_fleet::show::{ChangeLine, FleetLine, FrontLine, VersionLine};
+use tansy_fleet_wire::{pb, roll_entry};
+use tansy_rollout::{Entry as Rollout, Phase, Plan, Roll, Undecided, What};
+
+/// The entries of the rollouts of `voters`, and one whose plan has no default.
+pub fn rollout_entries() -> Vec<Rollout> {
+    let of = |entry| match entry {
+        Entry::Roll { entry, .. } => Some(*entry),
+        _ => None,
+    };
+    let mut all: Vec<Rollout> = voters::entries().into_iter().filter_map(of).collect();
+    for undecided in [Undecided::Hold, Undecided::Back, Undecided::Pass] {
+        all.push(Rollout::Begin {
+            id: u64::MAX,
+            what: What::Settings,
+            plan: Plan {
+                stages: Vec::new(),
+                at_once: 2,
+                least: 61,
+                longest: 1801,
+                ready: 62,
+                slice: 6,
+                spend: 0.5,
+                error: 0.25,
+                matters: 0.125,
+                accept: 0.0625,
+                warm_up: 11,
+                memory: 1025,
+                undecided,
+            },
+            why: "é".into(),
+        });
+    }
+    all
+}
+
+/// The rollouts after each of their entries, and one that is done.
+pub fn rollouts() -> Vec<Roll> {
+    let mut all: Vec<Roll> = Vec::new();
+    for entry in rollout_entries() {
+        match (entry, all.last()) {
+            (Rollout::Begin { plan, .. }, _) if plan.stages.is_empty() => {}
+            (
+                Rollout::Begin {
+                    id,
+                    what,
+                    plan,
+                    why,
+                },
+                _,
+            ) => {
+                all.push(Roll::begin(id, what, plan, why).expect("a plan"));
+            }
+            (entry, Some(last)) => {
+                let mut next = last.clone();
+                next.apply(entry).expect("a step of the rollout");
+                all.push(next);
+            }
+            (entry, None) => panic!("{entry:?} before the beginning"),
+        }
+    }
+    let last = all.last().cloned().expect("a rollout");
+    all.push(Roll {
+        phase: Phase::Done,
+        paused: true,
+        ..last
+    });
+    all
+}
+
+fn line(value: &impl serde::Serialize) -> String {
+    serde_json::to_string(value).expect("plain data")
+}
+
+/// Each entry as it travels.
+pub fn rollout_entry_lines() -> Vec<String> {
+    let all = rollout_entries();
+    all.iter().map(|e| roll_entry(e, None).entry).collect()
+}
+
+/// Each rollout as it travels.
+pub fn rollout_lines() -> Vec<String> {
+    rollouts().iter().map(line).collect()
+}
+
+/// What `status`, `diff` and `history` of `tansy-fleet --json` print, of a fleet with something in every field.
+pub fn printed() -> Vec<String> {
+    let state = tansy_fleet_wire::state(&fleet::later());
+    let front = |phase: pb::Phase| {
+        FrontLine::of(&pb::StatusReply {
+            name: "front-1".into(),
+            process: Some(tansy_fleet_wire::process(&fleet::sender())),
+            keeps_log: true,
+            state: Some(pb::State {
+                phase: phase as i32,
+                ..state.clone()
+            }),
+            lease_left: 500_000,
+            stay_left: 7_000_000,
+            error: "an error".into(),
+            holds: 9,
+            ..Default::default()
+        })
+    };
+    let silent = FrontLine::silent("10.0.0.2:7000".into(), "no answer".into());
+    let of_fleet = FleetLine {
+        fleet: "pool".into(),
+        seat: "10.0.0.1:7000".into(),
+        fronts: vec![
+            front(pb::Phase::Told),
+            front(pb::Phase::Joint),
+            front(pb::Phase::Back),
+            silent,
+        ],
+        away: vec!["front-3".into()],
+        contested: vec!["class chat".into()],
+        waits_for: vec!["front-2".into()],
+        waits_for_leases: true,
+        changing: [("f".to_string(), vec!["front-2".to_string()])].into(),
+    };
+    let touches = [
+        Touch::All,
+        Touch::Class("a".into()),
+        Touch::Tenant("b".into()),
+        Touch::Function("c".into()),
+    ];
+    let kinds = [
+        Kind::Free,
+        Kind::Joint(Stricter::Least, Lapsed::Refuse),
+        Kind::Strict,
+        Kind::Free,
+    ];
+    let change = |(touch, kind): (Touch, Kind)| {
+        ChangeLine::of(&Change {
+            path: "front.streams".into(),
+            old: None,
+            new: Some(Value::Span(250_000)),
+            kind,
+            touch,
+        })
+    };
+    let changes: Vec<ChangeLine> = touches.into_iter().zip(kinds).map(change).collect();
+    let version = |force, next| VersionLine::of(&fleet::later().force, force, next);
+    let history = [version(7, 0), version(6, 7), version(8, 0)];
+    vec![line(&of_fleet), line(&changes), line(&history)]
+}
--- a/tests/compatibility/src/lib.rs
+++ b/tests/compatibility/src/lib.rs
@@ -7,6 +7,7 @@
 pub mod fixture;
 pub mod fleet;
 pub mod inference;
+pub mod json;
 pub mod membership;
 pub mod run;
 pub mod shape;
