--- /dev/null
+++ b/tests/compatibility/src/bin/compatibility-gateway.rs
@@ -0,0 +1,5 @@
+//! The gateway's program, for the tests of this package.
+
+fn main() -> std::process::ExitCode {
+    tansy_gateway::cli::main(std::env::args_os())
+}
