--- a/tests/compatibility/src/lib.rs
+++ b/tests/compatibility/src/lib.rs
@@ -4,6 +4,7 @@
 //! read one can't be started in the place of the one that wrote it. A new form gets a new file beside the old one.
 //! `examples/record.rs` writes those that are not there; it never writes over a file.
 
+pub mod entries;
 pub mod fixture;
 pub mod fleet;
 pub mod inference;
