--- a/tests/compatibility/examples/record.rs
+++ b/tests/compatibility/examples/record.rs
@@ -4,9 +4,9 @@
 use std::path::Path;
 use tansy_compatibility_tests::shape::{shape, Names};
 use tansy_compatibility_tests::{fixture, fleet, inference, json, membership, run, voters};
-use tansy_front::record::Step;
+use tansy_dispatch::record::Step;
 use tansy_settings::agree;
-use tansy_state::seat::Records;
+use tansy_storage::voter_log::LogStorage;
 
 /// Calls `write` with the path of a fixture, if that is not there.
 fn once(name: &str, write: impl FnOnce(&Path)) {
@@ -35,9 +35,9 @@
     for voter in [1, 4] {
         let writes = fleet.writes(voter);
         once(&format!("voter-{voter}.redb"), |path| {
-            let (mut records, _) = Records::open(path).expect("a new file");
+            let (mut records, _) = LogStorage::open(path).expect("a new file");
             for (record, whole) in writes {
-                let held = records.hold(record.clone(), whole.as_deref());
+                let held = records.append(record.clone(), whole.as_deref());
                 held.expect("room on the disk");
             }
         });
@@ -54,7 +54,8 @@
 fn main() {
     record_voters();
     let letters = fleet::bodies().into_iter().enumerate().map(|(n, body)| {
-        let bytes = tansy_fleet_wire::letter(fleet::FLEET, &fleet::sender(), fleet::ROOT, body);
+        let bytes =
+            tansy_fleet_wire::encode_message(fleet::FLEET, &fleet::sender(), fleet::ROOT, body);
         (format!("{n:02}"), bytes)
     });
     messages(
--- a/tests/compatibility/src/entries.rs
+++ b/tests/compatibility/src/entries.rs
@@ -1,12 +1,12 @@
 //! One entry of each kind that a fleet agrees on, in an order in which each is taken.
 
 use std::net::SocketAddr;
-use tansy_agree::lease::Member;
-use tansy_agree::log::{Entry, Step, Version};
-use tansy_agree::rule::{Fields, Value};
-use tansy_agree::scope::{ScopeChange, ScopeRequest};
-use tansy_rollout::{Entry as Rollout, Fallen, Place, Plan, Seen, What};
-use tansy_verdict::{Measured, Verdict};
+use tansy_agreement::compatibility::{Fields, Value};
+use tansy_agreement::lease::Member;
+use tansy_agreement::log::{LogEntry, Revision, Version};
+use tansy_agreement::scope::{ScopeTransaction, ScopeUpdate};
+use tansy_canary::{Measurement, Verdict};
+use tansy_rollout::{Crash, RolloutChange, RolloutEntry, RolloutPlan, StageObservation, Target};
 
 /// Where a voter is reached.
 pub fn address(voter: u64) -> SocketAddr {
@@ -48,32 +48,34 @@
     .into()
 }
 
-fn propose(id: u64, base: u64, attempts: i64, why: &str) -> Entry {
-    Entry::Propose {
+fn propose(id: u64, base: u64, attempts: i64, why: &str) -> LogEntry {
+    LogEntry::Propose {
         id,
         base: Version(base),
         fields: with_attempts(attempts),
-        why: why.into(),
+        reason: why.into(),
     }
 }
 
-fn advance(from: u64) -> Entry {
-    Entry::Advance { from: Step(from) }
+fn advance(from: u64) -> LogEntry {
+    LogEntry::Advance {
+        from: Revision(from),
+    }
 }
 
-fn abandon(version: u64) -> Entry {
-    Entry::Abandon {
+fn abandon(version: u64) -> LogEntry {
+    LogEntry::Abandon {
         version: Version(version),
     }
 }
 
 /// Changes of versions: in force, given up while told, given up while joint.
-fn versions() -> Vec<Entry> {
+fn versions() -> Vec<LogEntry> {
     let member = |id, incarnation| Member { id, incarnation };
-    let join = |id, name: &str| Entry::Join {
+    let join = |id, name: &str| LogEntry::Join {
         member: member(id, 1),
         name: name.into(),
-        at: Step(1),
+        revision: Revision(1),
     };
     vec![
         join(11, "front-1"),
@@ -88,35 +90,38 @@
         advance(7),
         abandon(4),
         advance(9),
-        Entry::Leave {
+        LogEntry::Leave {
             member: member(12, 1),
         },
     ]
 }
 
-fn change(scope: &str, base: u64, fields: Option<Fields>) -> ScopeChange {
-    ScopeChange {
+fn change(scope: &str, base: u64, fields: Option<Fields>) -> ScopeUpdate {
+    ScopeUpdate {
         scope: scope.into(),
-        base: Step(base),
+        base: Revision(base),
         fields,
     }
 }
 
-fn request(id: u64, changes: Vec<ScopeChange>, why: &str) -> ScopeRequest {
-    ScopeRequest {
+fn request(id: u64, changes: Vec<ScopeUpdate>, why: &str) -> ScopeTransaction {
+    ScopeTransaction {
         id,
-        changes,
-        why: why.into(),
+        updates: changes,
+        reason: why.into(),
     }
 }
 
 /// Changes of functions: in force, given up, removed, and two that stay under way.
-fn scopes() -> Vec<Entry> {
-    let since = |scope: &str, step| (scope.to_string(), Step(step));
-    let carry = |force: Vec<_>, settled: Vec<_>| Entry::Carry { force, settled };
+fn scopes() -> Vec<LogEntry> {
+    let since = |scope: &str, step| (scope.to_string(), Revision(step));
+    let carry = |force: Vec<_>, settled: Vec<_>| LogEntry::AdvanceScopes {
+        in_force: force,
+        settled,
+    };
     vec![
-        Entry::Change {
-            requests: vec![
+        LogEntry::UpdateScopes {
+            transactions: vec![
                 request(
                     31,
                     vec![
@@ -140,8 +145,8 @@
             vec![],
             vec![since("chat", 12), since("image", 12), since("sound", 12)],
         ),
-        Entry::Change {
-            requests: vec![request(
+        LogEntry::UpdateScopes {
+            transactions: vec![request(
                 33,
                 vec![
                     change("chat", 12, Some(function("fast", 9))),
@@ -150,12 +155,12 @@
                 "one changes, one is removed",
             )],
         },
-        Entry::Return {
+        LogEntry::RevertScopes {
             scopes: vec![since("chat", 13)],
         },
         carry(vec![since("image", 13)], vec![]),
-        Entry::Change {
-            requests: vec![request(
+        LogEntry::UpdateScopes {
+            transactions: vec![request(
                 34,
                 vec![change("sound", 12, Some(function("fast", 3)))],
                 "under way",
@@ -164,37 +169,37 @@
     ]
 }
 
-fn place(name: &str, zone: &str, seat: bool) -> Place {
-    Place {
+fn place(name: &str, zone: &str, seat: bool) -> Target {
+    Target {
         name: name.into(),
         zone: zone.into(),
         seat,
     }
 }
 
-fn plan() -> Plan {
-    Plan {
+fn plan() -> RolloutPlan {
+    RolloutPlan {
         stages: vec![
             vec![place("front-1", "a", true)],
             vec![place("front-2", "a", false), place("front-3", "b", false)],
         ],
-        ..Plan::default()
+        ..RolloutPlan::default()
     }
 }
 
-fn rollout(entry: Rollout) -> Entry {
-    Entry::Roll {
+fn rollout(entry: RolloutEntry) -> LogEntry {
+    LogEntry::Rollout {
         entry: Box::new(entry),
         fields: None,
     }
 }
 
 /// What is seen of a stage: a verdict of each sort.
-fn seen(stage: usize, verdict: Option<Verdict>) -> Option<Box<Seen>> {
-    Some(Box::new(Seen {
+fn seen(stage: usize, verdict: Option<Verdict>) -> Option<Box<StageObservation>> {
+    Some(Box::new(StageObservation {
         stage,
         stood: 61,
-        measured: vec![Measured {
+        measured: vec![Measurement {
             what: "service".into(),
             old: 0.5,
             new: 0.25,
@@ -208,43 +213,43 @@
 }
 
 /// A rollout of settings that is aborted.
-fn rollout_of_settings() -> Vec<Entry> {
+fn rollout_of_settings() -> Vec<LogEntry> {
     let name = || "front-1".to_string();
     let (fence, id) = (1, 41);
     vec![
-        Entry::Roll {
-            entry: Box::new(Rollout::Begin {
+        LogEntry::Rollout {
+            entry: Box::new(RolloutEntry::Begin {
                 id,
-                what: What::Settings,
+                what: RolloutChange::Settings,
                 plan: plan(),
                 why: "try settings".into(),
             }),
             fields: Some(with_attempts(7)),
         },
-        rollout(Rollout::Steer {
+        rollout(RolloutEntry::Steer {
             fence,
             who: "front-1".into(),
         }),
-        rollout(Rollout::Let {
+        rollout(RolloutEntry::Let {
             at: 2,
             fence,
             name: name(),
         }),
-        rollout(Rollout::Moved {
+        rollout(RolloutEntry::Moved {
             at: 3,
             fence,
             name: name(),
         }),
-        rollout(Rollout::Abort {
+        rollout(RolloutEntry::Abort {
             id,
             why: "not wanted".into(),
         }),
-        rollout(Rollout::Let {
+        rollout(RolloutEntry::Let {
             at: 5,
             fence,
             name: name(),
         }),
-        rollout(Rollout::Moved {
+        rollout(RolloutEntry::Moved {
             at: 6,
             fence,
             name: name(),
@@ -253,39 +258,39 @@
 }
 
 /// A rollout of a program that stands in its second stage, where a process ended and it was stopped and let on.
-fn rollout_of_program() -> Vec<Entry> {
+fn rollout_of_program() -> Vec<LogEntry> {
     let (fence, id) = (1, 42);
-    let beat = |seen| rollout(Rollout::Beat { fence, seen });
+    let beat = |seen| rollout(RolloutEntry::Beat { fence, seen });
     let open = |slices| Verdict::Open {
         needs: "more calls".into(),
         slices,
     };
     vec![
-        rollout(Rollout::Begin {
+        rollout(RolloutEntry::Begin {
             id,
-            what: What::Program {
+            what: RolloutChange::Program {
                 label: "0123abcd".into(),
                 path: "/opt/tansy/0123abcd".into(),
             },
             plan: plan(),
             why: "a new program".into(),
         }),
-        rollout(Rollout::Steer {
+        rollout(RolloutEntry::Steer {
             fence,
             who: "front-1".into(),
         }),
-        rollout(Rollout::Let {
+        rollout(RolloutEntry::Let {
             at: 2,
             fence,
             name: "front-1".into(),
         }),
         beat(None),
-        rollout(Rollout::Moved {
+        rollout(RolloutEntry::Moved {
             at: 3,
             fence,
             name: "front-1".into(),
         }),
-        rollout(Rollout::Judge { at: 4, fence }),
+        rollout(RolloutEntry::Judge { at: 4, fence }),
         beat(seen(0, Some(open(None)))),
         beat(seen(0, Some(open(Some(9))))),
         beat(seen(0, Some(Verdict::Held { slices: 2 }))),
@@ -296,54 +301,57 @@
             }),
         )),
         beat(seen(0, Some(Verdict::Fine))),
-        rollout(Rollout::Pass {
+        rollout(RolloutEntry::Pass {
             at: 5,
             fence,
             why: "fine".into(),
         }),
-        rollout(Rollout::Let {
+        rollout(RolloutEntry::Let {
             at: 6,
             fence,
             name: "front-2".into(),
         }),
-        rollout(Rollout::Fell(Fallen {
+        rollout(RolloutEntry::Fell(Crash {
             name: "front-2".into(),
             process: 7,
             sort: "signal 6".into(),
             again: 2,
         })),
-        rollout(Rollout::Pause {
+        rollout(RolloutEntry::Pause {
             id,
             why: "look at it".into(),
         }),
-        rollout(Rollout::Resume { id }),
+        rollout(RolloutEntry::Resume { id }),
         beat(seen(1, None)),
     ]
 }
 
 /// A replacement of a voter that is given up, and one that is made.
-fn replacement() -> Vec<Entry> {
+fn replacement() -> Vec<LogEntry> {
     let (new, instead) = (4, 3);
-    let seat = |new| Entry::Seat {
+    let seat = |new| LogEntry::BeginVoterReplacement {
         new,
         address: address(new),
-        instead,
+        replaced: instead,
     };
     vec![
         seat(5),
-        Entry::Unseat { new: 5 },
+        LogEntry::CancelVoterReplacement { new: 5 },
         seat(new),
-        Entry::Swap { new, instead },
-        Entry::Seated { new },
+        LogEntry::EnterJointConsensus {
+            new,
+            replaced: instead,
+        },
+        LogEntry::CompleteVoterReplacement { new },
     ]
 }
 
 /// All entries, in their order. With the last two the rollout goes back.
-pub fn entries() -> Vec<Entry> {
+pub fn entries() -> Vec<LogEntry> {
     let last = vec![
         propose(24, 2, 8, "under way"),
         advance(19),
-        rollout(Rollout::Worse {
+        rollout(RolloutEntry::Worse {
             at: 10,
             fence: 1,
             why: "worse".into(),
--- a/tests/compatibility/src/fleet.rs
+++ b/tests/compatibility/src/fleet.rs
@@ -1,27 +1,27 @@
 //! A letter of each kind, and a request and a reply of each method, as front ends and operators of a fleet write them.
 
-use tansy_agree::hold::{Epoch, Reply, Want};
-use tansy_agree::lease::{Ask, Grant, Member};
-use tansy_agree::list::{Line, Standing, Worker};
-use tansy_agree::log::{Phase, Settings, State, Step, Trial, Version};
-use tansy_agree::member::Message;
-use tansy_agree::rule::Value;
-use tansy_agree::scope::{self, Delta, Move, Moves, Scoped};
-use tansy_agree::stay;
+use tansy_agreement::compatibility::Value;
+use tansy_agreement::endpoints::{Endpoint, EndpointRecord, EndpointState};
+use tansy_agreement::lease::{LeaseGrant, LeaseRequest, Member};
+use tansy_agreement::lease_tree::LeaseMessage;
+use tansy_agreement::log::{Canary, ChangePhase, FleetState, Revision, Version, VersionedSettings};
+use tansy_agreement::scope::{self, ChangeHistory, ScopeChange, ScopeRecord, StateDelta};
+use tansy_agreement::session;
+use tansy_agreement::subscription::{ResyncEpoch, SubscribeReply, SubscribeRequest};
+use tansy_fleet_node::{Leader, MessageBody};
 use tansy_fleet_wire::pb;
-use tansy_members::Name;
-use tansy_peer::{Body, Root};
+use tansy_membership::NodeId;
 
 /// The fleet's number in the letters.
 pub const FLEET: u64 = 77;
 
 /// Who leads, in the letters.
-pub const ROOT: Root = Root {
+pub const ROOT: Leader = Leader {
     term: 3,
     id: u64::MAX,
 };
 
-fn state() -> State {
+fn state() -> FleetState {
     let fields = [
         ("classes.a%2eb.window", Value::Span(5)),
         ("front.siblings", Value::Int(-3)),
@@ -40,121 +40,124 @@
         .into_iter()
         .map(|(p, v)| (p.to_string(), v))
         .collect();
-    let force = Settings {
+    let force = VersionedSettings {
         version: Version(7),
         fields,
-        why: "because".into(),
+        reason: "because".into(),
         id: u64::MAX,
     };
-    let next = Settings {
+    let next = VersionedSettings {
         version: Version(8),
         fields: Default::default(),
         ..force.clone()
     };
     let names = ["f1".to_string(), "f2".to_string()].into();
-    let trial = Some(Box::new(Trial {
+    let trial = Some(Box::new(Canary {
         fields: force.fields.clone(),
-        names,
+        members: names,
     }));
-    let (step, next) = (Step(19), Some((next, Phase::Joint)));
-    State {
-        step,
-        force,
+    let (step, next) = (Revision(19), Some((next, ChangePhase::Joint)));
+    FleetState {
+        revision: step,
+        in_force: force,
         next,
-        trial,
-        versions_at: step,
+        canary: trial,
+        versions_revision: step,
         scopes_since: None,
-        moves: Moves::after(step),
+        history: ChangeHistory::after(step),
     }
 }
 
 /// A letter of each kind.
-pub fn bodies() -> Vec<Body> {
+pub fn bodies() -> Vec<MessageBody> {
     let m = Member {
         id: u64::MAX,
         incarnation: 3,
     };
-    let grant = |state| Grant {
+    let grant = |state| LeaseGrant {
         to: m,
         seq: 9,
         span: 600_000,
-        step: Step(19),
+        revision: Revision(19),
         state,
         delta: None,
     };
     vec![
-        Body::Members(vec![0, 255, 3]),
-        Body::Lease(Message::Ask(Ask {
+        MessageBody::Gossip(vec![0, 255, 3]),
+        MessageBody::Lease(LeaseMessage::Request(LeaseRequest {
             from: m,
             seq: 1,
-            at: Step(2),
-            has: Step(3),
-            deltas: false,
+            acknowledged: Revision(2),
+            known: Revision(3),
+            accepts_deltas: false,
         })),
-        Body::Lease(Message::Grant(grant(None))),
-        Body::Lease(Message::Grant(grant(Some(state())))),
-        Body::Lease(Message::Step(Step(4))),
-        Body::Lease(Message::Reached {
+        MessageBody::Lease(LeaseMessage::Grant(grant(None))),
+        MessageBody::Lease(LeaseMessage::Grant(grant(Some(state())))),
+        MessageBody::Lease(LeaseMessage::Revision(Revision(4))),
+        MessageBody::Lease(LeaseMessage::Acknowledge {
             from: m,
-            at: Step(5),
+            revision: Revision(5),
         }),
-        Body::AskStay(
-            stay::Ask {
+        MessageBody::SessionRequest(
+            session::SessionRequest {
                 from: m,
                 seq: 6,
-                at: Step(7),
-                scopes: false,
+                revision: Revision(7),
+                supports_scopes: false,
             },
             "front-1".into(),
             99,
         ),
-        Body::Stay(stay::Grant {
+        MessageBody::SessionGrant(session::SessionGrant {
             to: m,
             seq: 8,
             span: 1,
         }),
-        Body::Gone(m),
-        Body::Leaving(vec![line(Standing::Draining), line(Standing::Gone)], true),
-        Body::Digest(u64::MAX),
-        Body::Seats(vec![1, 2, 255]),
-        Body::Head,
-        Body::Lease(Message::Ask(Ask {
+        MessageBody::Departed(m),
+        MessageBody::Drains(
+            vec![line(EndpointState::Draining), line(EndpointState::Gone)],
+            true,
+        ),
+        MessageBody::DrainDigest(u64::MAX),
+        MessageBody::Consensus(vec![1, 2, 255]),
+        MessageBody::HeaderOnly,
+        MessageBody::Lease(LeaseMessage::Request(LeaseRequest {
             from: m,
             seq: 1,
-            at: Step(2),
-            has: Step(3),
-            deltas: true,
+            acknowledged: Revision(2),
+            known: Revision(3),
+            accepts_deltas: true,
         })),
-        Body::Lease(Message::Grant(Grant {
+        MessageBody::Lease(LeaseMessage::Grant(LeaseGrant {
             delta: Some(delta()),
             ..grant(None)
         })),
-        Body::Lease(Message::Grant(Grant {
+        MessageBody::Lease(LeaseMessage::Grant(LeaseGrant {
             delta: Some(delta()),
             ..grant(Some(later()))
         })),
-        Body::AskStay(
-            stay::Ask {
+        MessageBody::SessionRequest(
+            session::SessionRequest {
                 from: m,
                 seq: 6,
-                at: Step(7),
-                scopes: true,
+                revision: Revision(7),
+                supports_scopes: true,
             },
             "front-1".into(),
             99,
         ),
-        Body::Want(want()),
-        Body::Want(Want {
-            drops: vec![7, u64::MAX],
-            all: Some(vec![]),
+        MessageBody::Subscribe(want()),
+        MessageBody::Subscribe(SubscribeRequest {
+            unsubscribed: vec![7, u64::MAX],
+            full_list: Some(vec![]),
             ..want()
         }),
-        Body::Want(Want {
-            all: Some(vec![1, u64::MAX]),
+        MessageBody::Subscribe(SubscribeRequest {
+            full_list: Some(vec![1, u64::MAX]),
             ..want()
         }),
-        Body::Scopes(reply()),
-        Body::Scopes(Reply {
+        MessageBody::SubscribeReply(reply()),
+        MessageBody::SubscribeReply(SubscribeReply {
             seq: None,
             scopes: vec![],
             ..reply()
@@ -163,15 +166,15 @@
 }
 
 /// A state since functions are agreed on one by one.
-pub fn later() -> State {
-    State {
-        versions_at: Step(17),
-        scopes_since: Some(Step(4)),
+pub fn later() -> FleetState {
+    FleetState {
+        versions_revision: Revision(17),
+        scopes_since: Some(Revision(4)),
         ..state()
     }
 }
 
-fn scoped(standing: scope::Standing, fields: bool) -> Scoped {
+fn scoped(standing: scope::ScopePhase, fields: bool) -> ScopeRecord {
     let all = || {
         [
             ("class".to_string(), Value::Text("chat".into())),
@@ -179,108 +182,118 @@
         ]
         .into()
     };
-    Scoped {
-        revision: Step(3),
+    ScopeRecord {
+        revision: Revision(3),
         fields: fields.then(all),
-        standing,
+        phase: standing,
     }
 }
 
 /// One of each way in which a function may stand.
-fn standings() -> Vec<Scoped> {
-    let next = |fields| scoped(scope::Standing::Settled, fields).fields;
+fn standings() -> Vec<ScopeRecord> {
+    let next = |fields| scoped(scope::ScopePhase::Settled, fields).fields;
     vec![
-        Scoped::default(),
-        scoped(scope::Standing::Settled, true),
+        ScopeRecord::default(),
+        scoped(scope::ScopePhase::Settled, true),
         scoped(
-            scope::Standing::Joint {
+            scope::ScopePhase::Joint {
                 next: next(true),
-                since: Step(18),
+                since: Revision(18),
             },
             false,
         ),
         scoped(
-            scope::Standing::Joint {
+            scope::ScopePhase::Joint {
                 next: next(false),
-                since: Step(18),
+                since: Revision(18),
+            },
+            true,
+        ),
+        scoped(
+            scope::ScopePhase::Settling {
+                since: Revision(18),
+            },
+            false,
+        ),
+        scoped(
+            scope::ScopePhase::Reverting {
+                since: Revision(19),
             },
             true,
         ),
-        scoped(scope::Standing::Settling { since: Step(18) }, false),
-        scoped(scope::Standing::Back { since: Step(19) }, true),
-        Scoped {
+        ScopeRecord {
             fields: Some(Default::default()),
-            ..Scoped::default()
+            ..ScopeRecord::default()
         },
     ]
 }
 
-fn delta() -> Delta {
-    let one = |(n, to): (usize, Scoped)| {
-        std::sync::Arc::new(Move {
-            step: Step(18 + n as u64 / 4),
+fn delta() -> StateDelta {
+    let one = |(n, to): (usize, ScopeRecord)| {
+        std::sync::Arc::new(ScopeChange {
+            revision: Revision(18 + n as u64 / 4),
             scope: format!("f.{n}"),
-            to,
+            record: to,
         })
     };
-    Delta {
-        from: Step(17),
-        to: Step(19),
-        moves: standings().into_iter().enumerate().map(one).collect(),
+    StateDelta {
+        from: Revision(17),
+        to: Revision(19),
+        changes: standings().into_iter().enumerate().map(one).collect(),
     }
 }
 
-fn want() -> Want {
+fn want() -> SubscribeRequest {
     let from = Member {
         id: u64::MAX,
         incarnation: 3,
     };
-    let epoch = Epoch {
+    let epoch = ResyncEpoch {
         term: 7,
         count: u64::MAX,
     };
     let scopes = vec!["a.b".to_string(), "é".to_string()];
-    Want {
+    SubscribeRequest {
         from,
         epoch,
         seq: 1,
-        at: Step(5),
+        revision: Revision(5),
         scopes,
-        drops: vec![],
-        all: None,
+        unsubscribed: vec![],
+        full_list: None,
     }
 }
 
-fn reply() -> Reply {
+fn reply() -> SubscribeReply {
     let mut scopes: Vec<_> = standings()
         .into_iter()
         .map(|s| ("f".to_string(), Some(s)))
         .collect();
     scopes.push(("none".into(), None));
-    Reply {
+    SubscribeReply {
         to: want().from,
         epoch: want().epoch,
         seq: Some(3),
-        at: Step(19),
+        revision: Revision(19),
         scopes,
     }
 }
 
-fn line(standing: Standing) -> Line {
-    let worker = Worker {
+fn line(standing: EndpointState) -> EndpointRecord {
+    let worker = Endpoint {
         name: "w".into(),
         address: "10.0.0.1:80".into(),
     };
-    Line {
-        worker,
+    EndpointRecord {
+        endpoint: worker,
         incarnation: 7,
-        standing,
+        state: standing,
     }
 }
 
 /// Who wrote the letters.
-pub fn sender() -> Name {
-    Name {
+pub fn sender() -> NodeId {
+    NodeId {
         id: 5,
         incarnation: 6,
         life: 7,
@@ -315,7 +328,7 @@
 /// A request and a reply of each method beside the letters', with something in every field.
 pub fn requests() -> Vec<Encoded> {
     let state = || tansy_fleet_wire::state(&later());
-    let settings = || tansy_fleet_wire::settings(&later().force);
+    let settings = || tansy_fleet_wire::settings(&later().in_force);
     let process = tansy_fleet_wire::process(&sender());
     let member = tansy_fleet_wire::member(want().from);
     let rostered = pb::Rostered {
@@ -335,7 +348,7 @@
         base: 3,
         fields,
     };
-    let fields = tansy_fleet_wire::scoped(&scoped(scope::Standing::Settled, true)).fields;
+    let fields = tansy_fleet_wire::scoped(&scoped(scope::ScopePhase::Settled, true)).fields;
     vec![
         encoded("taken", pb::Taken {}),
         encoded("status-request", pb::StatusRequest { fleet: FLEET }),
--- a/tests/compatibility/src/json.rs
+++ b/tests/compatibility/src/json.rs
@@ -2,24 +2,32 @@
 //! `tansy-fleet --json` prints.
 
 use crate::{fleet, voters};
-use tansy_agree::log::Entry;
-use tansy_agree::rule::{Change, Kind, Lapsed, Stricter, Touch, Value};
+use tansy_agreement::compatibility::{
+    AffectedCalls, Compatibility, ExpiredLeasePolicy, FieldChange, Restrictiveness, Value,
+};
+use tansy_agreement::log::LogEntry;
 use tansy_fleet::show::{ChangeLine, FleetLine, FrontLine, VersionLine};
 use tansy_fleet_wire::{pb, roll_entry};
-use tansy_rollout::{Entry as Rollout, Phase, Plan, Roll, Undecided, What};
+use tansy_rollout::{
+    InconclusivePolicy, Rollout, RolloutChange, RolloutEntry, RolloutPhase, RolloutPlan,
+};
 
 /// The entries of the rollouts of `voters`, and one whose plan has no default.
-pub fn rollout_entries() -> Vec<Rollout> {
+pub fn rollout_entries() -> Vec<RolloutEntry> {
     let of = |entry| match entry {
-        Entry::Roll { entry, .. } => Some(*entry),
+        LogEntry::Rollout { entry, .. } => Some(*entry),
         _ => None,
     };
-    let mut all: Vec<Rollout> = voters::entries().into_iter().filter_map(of).collect();
-    for undecided in [Undecided::Hold, Undecided::Back, Undecided::Pass] {
-        all.push(Rollout::Begin {
+    let mut all: Vec<RolloutEntry> = voters::entries().into_iter().filter_map(of).collect();
+    for undecided in [
+        InconclusivePolicy::Hold,
+        InconclusivePolicy::Back,
+        InconclusivePolicy::Pass,
+    ] {
+        all.push(RolloutEntry::Begin {
             id: u64::MAX,
-            what: What::Settings,
-            plan: Plan {
+            what: RolloutChange::Settings,
+            plan: RolloutPlan {
                 stages: Vec::new(),
                 at_once: 2,
                 least: 61,
@@ -41,13 +49,13 @@
 }
 
 /// The rollouts after each of their entries, and one that is done.
-pub fn rollouts() -> Vec<Roll> {
-    let mut all: Vec<Roll> = Vec::new();
+pub fn rollouts() -> Vec<Rollout> {
+    let mut all: Vec<Rollout> = Vec::new();
     for entry in rollout_entries() {
         match (entry, all.last()) {
-            (Rollout::Begin { plan, .. }, _) if plan.stages.is_empty() => {}
+            (RolloutEntry::Begin { plan, .. }, _) if plan.stages.is_empty() => {}
             (
-                Rollout::Begin {
+                RolloutEntry::Begin {
                     id,
                     what,
                     plan,
@@ -55,7 +63,7 @@
                 },
                 _,
             ) => {
-                all.push(Roll::begin(id, what, plan, why).expect("a plan"));
+                all.push(Rollout::begin(id, what, plan, why).expect("a plan"));
             }
             (entry, Some(last)) => {
                 let mut next = last.clone();
@@ -66,8 +74,8 @@
         }
     }
     let last = all.last().cloned().expect("a rollout");
-    all.push(Roll {
-        phase: Phase::Done,
+    all.push(Rollout {
+        phase: RolloutPhase::Done,
         paused: true,
         ..last
     });
@@ -125,28 +133,28 @@
         changing: [("f".to_string(), vec!["front-2".to_string()])].into(),
     };
     let touches = [
-        Touch::All,
-        Touch::Class("a".into()),
-        Touch::Tenant("b".into()),
-        Touch::Function("c".into()),
+        AffectedCalls::All,
+        AffectedCalls::Class("a".into()),
+        AffectedCalls::Tenant("b".into()),
+        AffectedCalls::Function("c".into()),
     ];
     let kinds = [
-        Kind::Free,
-        Kind::Joint(Stricter::Least, Lapsed::Refuse),
-        Kind::Strict,
-        Kind::Free,
+        Compatibility::Free,
+        Compatibility::Joint(Restrictiveness::Smallest, ExpiredLeasePolicy::Reject),
+        Compatibility::Strict,
+        Compatibility::Free,
     ];
-    let change = |(touch, kind): (Touch, Kind)| {
-        ChangeLine::of(&Change {
+    let change = |(touch, kind): (AffectedCalls, Compatibility)| {
+        ChangeLine::of(&FieldChange {
             path: "front.streams".into(),
             old: None,
             new: Some(Value::Span(250_000)),
-            kind,
-            touch,
+            compatibility: kind,
+            affected: touch,
         })
     };
     let changes: Vec<ChangeLine> = touches.into_iter().zip(kinds).map(change).collect();
-    let version = |force, next| VersionLine::of(&fleet::later().force, force, next);
+    let version = |force, next| VersionLine::of(&fleet::later().in_force, force, next);
     let history = [version(7, 0), version(6, 7), version(8, 0)];
     vec![line(&of_fleet), line(&changes), line(&history)]
 }
--- a/tests/compatibility/src/membership.rs
+++ b/tests/compatibility/src/membership.rs
@@ -1,18 +1,18 @@
 //! Datagrams of membership: two front ends get to know each other, look at each other, and one leaves.
 
-use tansy_members::{Members, Name, Pace};
+use tansy_membership::{GossipTiming, Membership, NodeId};
 
 /// The fleet's number in the datagrams.
 pub const FLEET: u64 = 77;
 
 /// A front end's process.
-pub fn name(n: u64) -> Name {
-    Name::new(n, 3, ([10, 0, 0, n as u8], 7000).into())
+pub fn name(n: u64) -> NodeId {
+    NodeId::new(n, 3, ([10, 0, 0, n as u8], 7000).into())
 }
 
 /// One that knows nobody; its random choices are seeded.
-pub fn member(n: u64) -> Members {
-    Members::new(FLEET, name(n), Pace::default(), n)
+pub fn member(n: u64) -> Membership {
+    Membership::new(FLEET, name(n), GossipTiming::default(), n)
 }
 
 /// All datagrams in their order, each with who sends and who takes it: `1-to-2`.
@@ -31,14 +31,16 @@
     sent
 }
 
-fn deliver(all: &mut [Members; 2], now: i64, sent: &mut Vec<(String, Vec<u8>)>) {
+fn deliver(all: &mut [Membership; 2], now: i64, sent: &mut Vec<(String, Vec<u8>)>) {
     loop {
         let before = sent.len();
         for from in 0..2 {
-            for datagram in all[from].take_out() {
+            for datagram in all[from].take_datagrams() {
                 let to = datagram.to.id as usize;
                 sent.push((format!("{}-to-{to}", from + 1), datagram.bytes.clone()));
-                all[to - 1].hear(now, &datagram.bytes).expect("a datagram");
+                all[to - 1]
+                    .on_datagram(now, &datagram.bytes)
+                    .expect("a datagram");
             }
         }
         if sent.len() == before {
--- a/tests/compatibility/src/run.rs
+++ b/tests/compatibility/src/run.rs
@@ -3,8 +3,8 @@
 
 use crate::fixture;
 use std::collections::VecDeque;
-use tansy_front::record::Step;
-use tansy_front::{
+use tansy_dispatch::record::Step;
+use tansy_dispatch::{
     Answer, Call, CallId, Command, Found, Front, Input, Listed, NeverRan, Note, OrderId, Report,
     Seen, Shape, Stage, Told, Why,
 };
--- a/tests/compatibility/src/voters.rs
+++ b/tests/compatibility/src/voters.rs
@@ -4,9 +4,9 @@
 
 pub use crate::entries::{address, entries, first_fields, function, with_attempts};
 use std::collections::{BTreeMap, VecDeque};
-use tansy_agree::lease::Terms;
-use tansy_agree::log::Entry;
-use tansy_seats::{Out, Saved, Seats, Setup};
+use tansy_agreement::lease::LeaseTiming;
+use tansy_agreement::log::LogEntry;
+use tansy_consensus::{Effect, PersistentState, Replica, ReplicaConfig};
 
 /// Time between two looks at every voter, microseconds.
 const STEP: i64 = 10_000;
@@ -19,16 +19,16 @@
 pub type Write = (Vec<u8>, Option<Vec<u8>>);
 
 /// How a voter of the fleet is set up.
-pub fn setup(me: u64, incarnation: u64) -> Setup {
-    Setup {
-        me,
+pub fn setup(me: u64, incarnation: u64) -> ReplicaConfig {
+    ReplicaConfig {
+        id: me,
         incarnation,
-        seats: (1..=3).map(|n| (n, address(n))).collect(),
-        terms: Terms {
+        voters: (1..=3).map(|n| (n, address(n))).collect(),
+        terms: LeaseTiming {
             span: 600_000,
-            ppm: 1000,
+            drift_ppm: 1000,
         },
-        first: first_fields(),
+        initial_fields: first_fields(),
         seed: me,
     }
 }
@@ -36,7 +36,7 @@
 /// Voters in virtual time.
 pub struct Fleet {
     now: i64,
-    voters: BTreeMap<u64, Seats>,
+    voters: BTreeMap<u64, Replica>,
     writes: BTreeMap<u64, Vec<Write>>,
     messages: VecDeque<(u64, u64, Vec<u8>)>,
     applied: Option<u64>,
@@ -45,9 +45,9 @@
 
 impl Fleet {
     /// Voters that go on from what each of them stores.
-    pub fn new(stored: &BTreeMap<u64, Saved>, incarnation: u64) -> Fleet {
-        let voter = |(me, saved): (&u64, &Saved)| {
-            let voter = Seats::new(setup(*me, incarnation), saved, 0);
+    pub fn new(stored: &BTreeMap<u64, PersistentState>, incarnation: u64) -> Fleet {
+        let voter = |(me, saved): (&u64, &PersistentState)| {
+            let voter = Replica::new(setup(*me, incarnation), saved, 0);
             (*me, voter.expect("what it stored is read"))
         };
         Fleet {
@@ -61,7 +61,7 @@
     }
 
     /// A voter.
-    pub fn voter(&self, me: u64) -> &Seats {
+    pub fn voter(&self, me: u64) -> &Replica {
         &self.voters[&me]
     }
 
@@ -73,13 +73,13 @@
     /// The voter that may act as the fleet's root.
     pub fn leader(&self) -> Option<u64> {
         let mut all = self.voters.iter();
-        all.find_map(|(me, v)| v.right(self.now).map(|_| *me))
+        all.find_map(|(me, v)| v.leader_lease(self.now).map(|_| *me))
     }
 
     /// Has the fleet agree on an entry, and every voter get to know it.
-    pub fn agree(&mut self, entry: Entry) {
+    pub fn agree(&mut self, entry: LogEntry) {
         self.run("a leader", |fleet| fleet.leader().is_some());
-        if let Entry::Swap { new, .. } = entry {
+        if let LogEntry::EnterJointConsensus { new, .. } = entry {
             self.run("one that has caught up", |fleet| {
                 let leader = fleet.leader().map(|l| fleet.voter(l));
                 leader.is_some_and(|l| l.caught_up(new))
@@ -97,10 +97,10 @@
         self.run(&text, |fleet| {
             let log = fleet.voter(leader).log().expect("it was begun");
             let mut voters = log
-                .seats()
+                .voters()
                 .keys()
                 .copied()
-                .chain(log.seating().map(|s| s.new));
+                .chain(log.voter_replacement().map(|s| s.new));
             voters.all(|v| fleet.voters.get(&v).is_none_or(|v| v.applied() >= applied))
         });
     }
@@ -113,18 +113,18 @@
             self.now += STEP;
             let all: Vec<u64> = self.voters.keys().copied().collect();
             for me in all {
-                if self.voters[&me].next() <= self.now {
-                    self.act(me, Seats::tick);
+                if self.voters[&me].next_deadline() <= self.now {
+                    self.act(me, Replica::tick);
                 }
             }
             while let Some((from, to, bytes)) = self.messages.pop_front() {
-                self.act(to, |voter, _, out| voter.hear(from, &bytes, out));
+                self.act(to, |voter, _, out| voter.on_message(from, &bytes, out));
             }
         }
         panic!("not within {LOOKS} looks: {wanted}");
     }
 
-    fn act(&mut self, me: u64, act: impl FnOnce(&mut Seats, i64, &mut Vec<Out>)) {
+    fn act(&mut self, me: u64, act: impl FnOnce(&mut Replica, i64, &mut Vec<Effect>)) {
         let Some(voter) = self.voters.get_mut(&me) else {
             // It does not run: what is sent to it is lost.
             return;
@@ -134,22 +134,25 @@
         let mut at = 0;
         while at < out.len() {
             match out[at].clone() {
-                Out::Send { to, bytes } => {
+                Effect::Send { to, bytes } => {
                     self.messages.push_back((me, to, bytes));
                 }
-                Out::Hold { record, whole } => {
+                Effect::Persist {
+                    record,
+                    snapshot: whole,
+                } => {
                     self.writes.entry(me).or_default().push((record, whole));
-                    voter.held(true, &mut out);
+                    voter.on_persisted(true, &mut out);
                 }
-                Out::Applied {
-                    mine,
+                Effect::Applied {
+                    proposal: mine,
                     entry,
                     outcome,
                 } => {
                     assert!(outcome.is_ok(), "{entry:?}: {outcome:?}");
                     self.applied = mine.or(self.applied);
                 }
-                Out::Strange => panic!("voter {me} does not know an entry"),
+                Effect::UnknownEntry => panic!("voter {me} does not know an entry"),
             }
             at += 1;
         }
@@ -158,7 +161,9 @@
 
 /// The fleet after all entries.
 pub fn recorded() -> Fleet {
-    let stored = (1..=ALL).map(|me| (me, Saved::default())).collect();
+    let stored = (1..=ALL)
+        .map(|me| (me, PersistentState::default()))
+        .collect();
     let mut fleet = Fleet::new(&stored, 1);
     entries().into_iter().for_each(|e| fleet.agree(e));
     fleet
--- a/tests/compatibility/tests/fleet.rs
+++ b/tests/compatibility/tests/fleet.rs
@@ -6,7 +6,7 @@
 
 use tansy_compatibility_tests::fixture;
 use tansy_compatibility_tests::fleet::{bodies, requests, sender, FLEET, ROOT};
-use tansy_fleet_wire::{letter, read};
+use tansy_fleet_wire::{decode_message, encode_message};
 
 #[test]
 fn letters_are_read_and_written_as_before() {
@@ -14,11 +14,11 @@
     assert_eq!(recorded.len(), bodies().len());
     for ((name, bytes), body) in recorded.into_iter().zip(bodies()) {
         assert_eq!(
-            read(FLEET, &bytes),
+            decode_message(FLEET, &bytes),
             Ok((sender(), ROOT, body.clone())),
             "letter {name}"
         );
-        let written = letter(FLEET, &sender(), ROOT, body);
+        let written = encode_message(FLEET, &sender(), ROOT, body);
         assert_eq!(
             fixture::hex(&written),
             fixture::hex(&bytes),
--- a/tests/compatibility/tests/membership.rs
+++ b/tests/compatibility/tests/membership.rs
@@ -4,7 +4,7 @@
 
 use tansy_compatibility_tests::fixture;
 use tansy_compatibility_tests::membership::{conversation, member, name};
-use tansy_members::{Name, News};
+use tansy_membership::{MembershipEvent, NodeId};
 
 #[test]
 fn datagrams_are_written_as_before() {
@@ -24,18 +24,21 @@
     let mut news = Vec::new();
     for (way, bytes) in fixture::messages("membership.txt") {
         if way == "1-to-2" {
-            second.hear(0, &bytes).expect("a datagram");
-            news.extend(second.take_news());
+            second.on_datagram(0, &bytes).expect("a datagram");
+            news.extend(second.take_events());
         }
     }
-    assert_eq!(news, [News::Up(name(1)), News::Down(name(1))]);
+    assert_eq!(
+        news,
+        [MembershipEvent::Up(name(1)), MembershipEvent::Down(name(1))]
+    );
 }
 
 #[test]
 fn a_name_is_read_and_written_as_before() {
     // Number, process, life and address, by postcard.
     let recorded = fixture::bytes("05ac02070100000000000000000000000000000001d936");
-    let name = Name {
+    let name = NodeId {
         id: 5,
         incarnation: 300,
         life: 7,
--- a/tests/compatibility/tests/recorded_run.rs
+++ b/tests/compatibility/tests/recorded_run.rs
@@ -4,7 +4,7 @@
 //! `examples/record.rs`.
 
 use tansy_compatibility_tests::{fixture, run};
-use tansy_front::record::{replay, Step};
+use tansy_dispatch::record::{replay, Step};
 
 fn read(name: &str) -> Vec<Step> {
     let text = fixture::text(name);
--- a/tests/compatibility/tests/settings.rs
+++ b/tests/compatibility/tests/settings.rs
@@ -4,9 +4,9 @@
 //! `.fields` beside it has all fields with their values as `tansy_settings::agree` told them, by `examples/record.rs`. The
 //! other files were written by hand.
 
-use tansy_agree::rule::Value;
+use tansy_agreement::compatibility::Value;
 use tansy_compatibility_tests::fixture;
-use tansy_front::{FunctionSpec, Listed};
+use tansy_dispatch::{FunctionSpec, Listed};
 use tansy_settings::{agree, settings, workers, Fleet, Seat, Settings, WorkerLine};
 
 fn read(name: &str) -> Settings {
--- a/tests/compatibility/tests/text_wires.rs
+++ b/tests/compatibility/tests/text_wires.rs
@@ -2,8 +2,8 @@
 //! and list. What is expected was taken from the program of the day that wrote the first fixtures.
 
 use tansy_compatibility_tests::fixture;
+use tansy_dispatch::{Listed, NeverRan, Note, Report, Seen, Shape, Stage, Told};
 use tansy_frames::grpc;
-use tansy_front::{Listed, NeverRan, Note, Report, Seen, Shape, Stage, Told};
 use tansy_platform::config::Config;
 use tansy_platform::list::{Change, List, Updates};
 use tansy_platform::{Answered, Asked, Shapes};
--- a/tests/compatibility/tests/voters.rs
+++ b/tests/compatibility/tests/voters.rs
@@ -5,32 +5,32 @@
 //! wrote them, of the fleet in `src/voters.rs`.
 
 use std::path::PathBuf;
-use tansy_agree::lease::Member;
-use tansy_agree::log::{Entry, Log, Phase, Step, Version};
-use tansy_agree::rule::Value;
-use tansy_agree::scope::{Requested, Scoped, Standing};
+use tansy_agreement::compatibility::Value;
+use tansy_agreement::lease::Member;
+use tansy_agreement::log::{ChangePhase, Log, LogEntry, Revision, Version};
+use tansy_agreement::scope::{ScopePhase, ScopeRecord, TransactionResult};
+use tansy_canary::Verdict;
 use tansy_compatibility_tests::voters::{self, Fleet};
 use tansy_compatibility_tests::{fixture, voters::address};
-use tansy_rollout::{Fallen, Phase as Rolled, What};
-use tansy_seats::{Saved, Seats};
-use tansy_state::seat::Records;
-use tansy_verdict::Verdict;
+use tansy_consensus::{PersistentState, Replica};
+use tansy_rollout::{Crash, RolloutChange, RolloutPhase};
+use tansy_storage::voter_log::LogStorage;
 
 /// What a voter's file holds; a copy is opened, as opening writes to it.
-fn stored(voter: u64, test: &str) -> Saved {
+fn stored(voter: u64, test: &str) -> PersistentState {
     let copy = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}-{voter}.redb"));
     std::fs::copy(fixture::path(&format!("voter-{voter}.redb")), &copy).expect("a copy");
-    let (_, held) = Records::open(&copy).expect("a file of an earlier program");
-    Saved {
-        whole: held.whole,
+    let (_, held) = LogStorage::open(&copy).expect("a file of an earlier program");
+    PersistentState {
+        snapshot: held.snapshot,
         records: held.records,
     }
 }
 
 /// Its log, as far as the file says that it is agreed on.
-fn log(voter: u64, saved: &Saved) -> Log {
+fn log(voter: u64, saved: &PersistentState) -> Log {
     let mut seats =
-        Seats::new(voters::setup(voter, 2), saved, 0).expect("records of an earlier program");
+        Replica::new(voters::setup(voter, 2), saved, 0).expect("records of an earlier program");
     let mut out = Vec::new();
     seats.tick(0, &mut out);
     seats.log().expect("it was begun").clone()
@@ -54,12 +54,12 @@
 #[test]
 fn a_file_holds_the_writes_that_went_into_it() {
     for voter in [1, 4] {
-        let mut expected = Saved::default();
+        let mut expected = PersistentState::default();
         for (sort, bytes) in fixture::messages(&format!("voter-{voter}.txt")) {
             match sort.as_str() {
                 "record" => expected.records.push(bytes),
                 _ => {
-                    expected.whole = Some(bytes);
+                    expected.snapshot = Some(bytes);
                     expected.records.clear();
                 }
             }
@@ -82,18 +82,25 @@
     for voter in [1, 4] {
         let log = log(voter, &stored(voter, "versions"));
         let state = log.state();
-        let attempts = |fields: &tansy_agree::rule::Fields| fields["worker.max_attempts"].clone();
-        assert_eq!((state.step, state.versions_at), (Step(20), Step(20)));
-        assert_eq!((state.force.version, state.force.id), (Version(2), 21));
-        assert_eq!(state.force.fields, voters::with_attempts(4));
-        assert_eq!(state.force.why, "more attempts");
+        let attempts =
+            |fields: &tansy_agreement::compatibility::Fields| fields["worker.max_attempts"].clone();
+        assert_eq!(
+            (state.revision, state.versions_revision),
+            (Revision(20), Revision(20))
+        );
+        assert_eq!(
+            (state.in_force.version, state.in_force.id),
+            (Version(2), 21)
+        );
+        assert_eq!(state.in_force.fields, voters::with_attempts(4));
+        assert_eq!(state.in_force.reason, "more attempts");
         let (next, phase) = state.next.as_ref().expect("a change under way");
-        assert_eq!((next.version, *phase), (Version(5), Phase::Joint));
+        assert_eq!((next.version, *phase), (Version(5), ChangePhase::Joint));
         assert_eq!(attempts(&next.fields), Value::Int(8));
-        assert_eq!(state.trial, None);
+        assert_eq!(state.canary, None);
         let history: Vec<(u64, &str)> = log
             .history()
-            .map(|s| (s.version.0, s.why.as_str()))
+            .map(|s| (s.version.0, s.reason.as_str()))
             .collect();
         let before = [
             (1, "the first"),
@@ -110,7 +117,10 @@
             [(member(11), "front-1"), (member(u64::MAX), "front-3")]
         );
         let keepers = [1, 2, 4].map(|n| (n, address(n)));
-        assert_eq!((log.seats(), log.seating()), (&keepers.into(), None));
+        assert_eq!(
+            (log.voters(), log.voter_replacement()),
+            (&keepers.into(), None)
+        );
     }
 }
 
@@ -118,16 +128,20 @@
 fn functions_of_a_file_are_as_they_were() {
     for voter in [1, 4] {
         let log = log(voter, &stored(voter, "functions"));
-        let scoped = |revision, fields, standing| Scoped {
-            revision: Step(revision),
+        let scoped = |revision, fields, standing| ScopeRecord {
+            revision: Revision(revision),
             fields,
-            standing,
+            phase: standing,
+        };
+        let back = ScopePhase::Reverting {
+            since: Revision(14),
+        };
+        let settling = ScopePhase::Settling {
+            since: Revision(15),
         };
-        let back = Standing::Back { since: Step(14) };
-        let settling = Standing::Settling { since: Step(15) };
-        let joint = Standing::Joint {
+        let joint = ScopePhase::Joint {
             next: Some(voters::function("fast", 3)),
-            since: Step(16),
+            since: Revision(16),
         };
         let catalog = log.catalog();
         let (chat, sound) = (voters::function("fast", 1), voters::function("slow", 2));
@@ -137,13 +151,13 @@
             ("sound".to_string(), scoped(12, Some(sound), joint)),
         ];
         assert_eq!(catalog.all(), &all.into(), "voter {voter}");
-        assert_eq!(catalog.since(), Some(Step(11)));
-        let request = |id, step, (joint, force, back)| Requested {
+        assert_eq!(catalog.since(), Some(Revision(11)));
+        let request = |id, step, (joint, force, back)| TransactionResult {
             id,
-            step: Step(step),
+            revision: Revision(step),
             joint,
-            force,
-            back,
+            in_force: force,
+            reverted: back,
         };
         for expected in [
             request(31, 11, (0, 2, 0)),
@@ -151,7 +165,7 @@
             request(33, 13, (0, 1, 1)),
             request(34, 16, (1, 0, 0)),
         ] {
-            assert_eq!(catalog.requested(expected.id), Some(&expected));
+            assert_eq!(catalog.transaction_result(expected.id), Some(&expected));
         }
     }
 }
@@ -160,18 +174,18 @@
 fn the_rollout_of_a_file_stands_where_it_stood() {
     for voter in [1, 4] {
         let log = log(voter, &stored(voter, "rollout"));
-        let rollout = log.roll().expect("a rollout");
-        let what = What::Program {
+        let rollout = log.rollout().expect("a rollout");
+        let what = RolloutChange::Program {
             label: "0123abcd".into(),
             path: "/opt/tansy/0123abcd".into(),
         };
         assert_eq!((rollout.id, &rollout.what), (42, &what));
-        assert_eq!((rollout.phase, rollout.stage), (Rolled::Moving, 1));
+        assert_eq!((rollout.phase, rollout.stage), (RolloutPhase::Moving, 1));
         assert_eq!((rollout.at, rollout.fence, rollout.beat), (10, 1, 7));
         assert_eq!((rollout.paused, rollout.judged), (false, 1));
         assert_eq!(rollout.moved, ["front-1".to_string()].into());
         assert_eq!(rollout.moving, ["front-2".to_string()].into());
-        let fallen = Fallen {
+        let fallen = Crash {
             name: "front-2".into(),
             process: 7,
             sort: "signal 6".into(),
@@ -189,11 +203,11 @@
     // Two of three: enough for a leader.
     let files = [1, 4].map(|voter| (voter, stored(voter, "go-on")));
     let mut fleet = Fleet::new(&files.into(), 2);
-    fleet.agree(Entry::Abandon {
+    fleet.agree(LogEntry::Abandon {
         version: Version(5),
     });
     let mut expected = expected(voters::entries().len());
-    let back = expected.apply(Entry::Abandon {
+    let back = expected.apply(LogEntry::Abandon {
         version: Version(5),
     });
     back.expect("it is under way");
