--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,8 +22,20 @@
 //! assert!(todo.iter().any(|a| matches!(a, Action::Load { worker: WorkerId(1), .. })));
 //! ```
 
-mod api;
-mod rules;
+mod action;
+mod event;
+mod id;
+mod router;
+mod settings;
+mod time;
+mod worker;
 
-pub use api::*;
-pub use rules::Router;
+pub use action::Action;
+pub use event::{Arrival, AttemptDone, Event, Note, Outcome};
+pub use id::{FunctionId, RequestId, WorkerId};
+pub use router::Router;
+pub use settings::{
+    BadSettings, Class, Effect, Group, Ration, Reports, Settings, Tenant, WhenAbsent,
+};
+pub use time::{Span, Time, SECOND};
+pub use worker::{ListKind, LoadReport, WorkerEntry, WorkerState};
