--- a/src/router/loading.rs
+++ b/src/router/loading.rs
@@ -1,260 +1,382 @@
-//! Requests to load: how many may be in progress, the limit on them, and the delay after those without effect.
+//! Requests to load: when one may be given, and what follows from how it ended.
 
-use super::*;
+use super::estimate::LatencyEstimate;
+use super::instances::Function;
+use super::random::with_jitter;
+use super::request::Request;
+use super::workers::Worker;
+use super::{Router, CHECK_INTERVAL};
+use crate::{Action, FunctionId, Outcome, RequestId, Span, Time, WorkerId, SECOND};
+use std::collections::VecDeque;
 
-/// Loads in hand a worker, by all front ends together, at first: workers run few at a time.
+/// Loads in progress for each worker, by all front ends together: workers run few at a time.
 pub(super) const LOADS_PER_WORKER: usize = 3;
 
-/// Least time between two orders after one in vain, over all workers that have left nothing since.
-pub(super) const INEFFECTIVE_LOAD_INTERVAL: Span = SECOND / 20;
+/// How long no call is sent to an instance whose load failed.
+pub(super) const FAILED_LOAD_EXCLUSION: Span = SECOND / 2;
 
-/// How often the wait after an order in vain doubles at one place, from half a second.
-pub(super) const MAX_BACKOFF_DOUBLINGS: u32 = 4;
+/// Least time between two load requests to workers whose last one had no effect.
+const INEFFECTIVE_LOAD_INTERVAL: Span = SECOND / 20;
 
-/// How an order ended, after what time, with how many instances.
-pub(super) type LoadResult = (Outcome, Span, u32);
+/// The backoff of an instance after the second load without effect in a row; it doubles with each further one.
+const LOAD_BACKOFF: Span = SECOND / 2;
 
-/// Loads in hand, and how loads go: their times are over the told time of a load where that is told.
+/// How often that backoff doubles at most.
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
+
+/// How a load request ended.
+#[derive(Clone, Copy)]
+pub(super) struct LoadResult {
+    pub(super) worker: WorkerId,
+    pub(super) function: FunctionId,
+    pub(super) outcome: Outcome,
+    pub(super) latency: Span,
+    /// Instances that the worker reports as loaded.
+    pub(super) instances: u32,
+}
+
+/// The load requests of this front end.
 #[derive(Default)]
 pub(super) struct LoadState {
-    pub(super) durations: LatencyEstimate,
-    pub(super) in_progress: usize,
+    /// What loads take: microseconds, or multiples of the stated load time where there is one.
+    durations: LatencyEstimate,
+    in_progress: usize,
+    /// How many may be in progress at a time; under one where there are many siblings.
     pub(super) window: f64,
-    pub(super) next_turn: Time,
-    pub(super) next_after_ineffective: Time,
-    pub(super) last_ineffective: bool,
-    pub(super) recent: VecDeque<Time>,
+    /// When the next one may start where the window is under one.
+    next_turn: Time,
+    /// When the next one may start at a worker whose last one had no effect.
+    next_after_ineffective: Time,
+    /// The last one that ended had no effect.
+    last_ineffective: bool,
+    /// When those within the period of the budget were given.
+    recent: VecDeque<Time>,
 }
 
 impl Router {
-    /// A load where the function has fewer places than its cap; where siblings may keep it, only once a call
-    /// there found it missing.
+    /// Asks for a load where the function has fewer instances than its cap, or sends the call along where only
+    /// calls load. `request_id` is the call that waits for it, if there is one.
     pub(super) fn load_more(
         &mut self,
         now: Time,
-        id: RequestId,
+        request_id: Option<RequestId>,
         function_id: FunctionId,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        let allowed = self.within_load_budget(now);
-        let (direct, request) = (!self.settings.may_order, self.requests.get(&id));
-        let room = |w: &Worker| {
-            let sendable = !direct || request.is_some_and(|r| self.may_send(r, w, now));
-            sendable
-                && !(now < self.loads.next_after_ineffective
-                    && (w.last_load_ineffective || self.loads.last_ineffective))
-        };
-        let Some(f) = self.functions.get(&function_id) else {
+        let within_budget = self.within_load_budget(now);
+        let Some(function) = self.functions.get(&function_id) else {
             return;
         };
-        // EXCEPTION: loads in hand are few over all front ends; a share under one comes in turns of its own.
-        // Holds for a release of many functions, a slow store, an empty zone. Harm: loads wait with us then.
-        let (window, wait, out_now) = (
-            self.loads.window,
-            self.expected_load_time(f),
-            self.loads.in_progress,
-        );
-        let turn = (out_now as f64) < window && window >= 1.0
-            || out_now == 0 && now >= self.loads.next_turn;
-        let best = |less: f64, rest: Span| {
-            let missed = |id: &WorkerId| {
-                f.instances
-                    .get(id)
-                    .and_then(|p| p.missed_at)
-                    .map(|t| now.since(t))
-            };
-            let fits = |id: &WorkerId| {
-                missed(id).map_or(
-                    request.is_some() || !self.siblings_may_have_loaded(),
-                    |ago| ago >= rest,
-                )
-            };
-            let known = self
-                .missing_instances(function_id, now, less, room)
-                .into_iter()
-                .filter(fits);
-            let own = known.filter_map(|id| {
-                Some((
-                    self.affinity(function_id, id, self.workers.get(&id)?, true),
-                    id,
-                ))
-            });
-            own.max_by(|a, b| a.0.total_cmp(&b.0)).map(|o| o.1)
+        let load_time = self.expected_load_time(function);
+        let request = request_id.and_then(|id| self.requests.get(&id));
+        let candidate = |fewer: f64, retry_after: Span| {
+            self.load_candidate(now, request, function_id, fewer, retry_after)
         };
-        let load = if direct || allowed && turn {
-            best(1.0, 0)
-        } else {
-            None
-        };
-        // EXCEPTION: where a miss would load, what siblings keep is asked for, at no load. Harm: the price.
-        let asks = self.settings.siblings > 1
-            && !direct
-            && !self.siblings_may_have_loaded()
-            && load.is_none();
-        let ask = || best(1.0, wait).or_else(|| best(0.0, self.settings.idle_life));
-        let Some(worker_id) = load.or_else(|| asks.then(ask)?) else {
+        if !self.settings.may_order {
+            if let (Some(worker_id), Some(request_id)) = (candidate(1.0, 0), request_id) {
+                self.send(now, request_id, worker_id, actions);
+            }
             return;
-        };
-        if direct {
-            return self.send(now, id, worker_id, out);
         }
-        if self.loads.last_ineffective
-            || self
-                .workers
-                .get(&worker_id)
-                .is_some_and(|w| w.last_load_ineffective)
-        {
-            self.loads.next_after_ineffective = now.plus(INEFFECTIVE_LOAD_INTERVAL);
+        let may_load = within_budget && self.has_load_slot(now);
+        let load_at = may_load.then(|| candidate(1.0, 0)).flatten();
+        if let Some(worker_id) = load_at {
+            self.request_load(now, worker_id, function_id, load_time, actions);
+        } else if self.must_ask_siblings_instances() {
+            let idle_life = self.settings.idle_life;
+            let ask_at = candidate(1.0, load_time).or_else(|| candidate(0.0, idle_life));
+            if let Some(worker_id) = ask_at {
+                self.ask_for_instances(now, worker_id, function_id, actions);
+            }
         }
-        let p = self
-            .functions
-            .entry(function_id)
-            .or_default()
-            .instances
-            .entry(worker_id)
-            .or_default();
-        if load.is_some() {
-            p.load_requested = Some(now);
-            self.workers
-                .entry(worker_id)
-                .and_modify(|w| w.trial_allowed = false);
-            self.loads.in_progress += 1;
-            self.loads.recent.push_back(now);
-            self.loads.next_turn =
-                now.plus((wait as f64 / window.max(1.0 / self.settings.siblings as f64)) as Span);
-        } else {
-            p.missed_at = Some(now);
+    }
+
+    /// Whether one more load may be in progress.
+    ///
+    /// # Departure from the mechanism
+    ///
+    /// Reason: loads in progress are few over all front ends, which holds for a release of many functions, a
+    /// slow store and an empty zone. Where a front end's share of them is under one, it has turns of its own.
+    ///
+    /// Harm: loads wait here then.
+    fn has_load_slot(&self, now: Time) -> bool {
+        let loads = &self.loads;
+        let within_window = (loads.in_progress as f64) < loads.window && loads.window >= 1.0;
+        within_window || loads.in_progress == 0 && now >= loads.next_turn
+    }
+
+    /// Whether what siblings have loaded is found only by asking for it.
+    ///
+    /// # Departure from the mechanism
+    ///
+    /// Reason: where a miss would load, a call can't be sent to see whether siblings keep an instance; the
+    /// worker is asked instead, without a load.
+    ///
+    /// Harm: the price of a probe.
+    fn must_ask_siblings_instances(&self) -> bool {
+        self.settings.siblings > 1 && !self.siblings_may_have_loaded()
+    }
+
+    /// The worker where a function is to be loaded or asked for next. Where siblings may have loaded it, only
+    /// one where a call found it missing, or one for a call that waits. A worker where it was missed less than
+    /// `retry_after` ago is left out; `fewer` is as for [`Router::instance_cap`].
+    fn load_candidate(
+        &self,
+        now: Time,
+        request: Option<&Request>,
+        function_id: FunctionId,
+        fewer: f64,
+        retry_after: Span,
+    ) -> Option<WorkerId> {
+        let function = self.functions.get(&function_id)?;
+        let calls_load = !self.settings.may_order;
+        let can_take_load = |worker: &Worker| {
+            let sendable =
+                !calls_load || request.is_some_and(|call| self.may_send(call, worker, now));
+            sendable && !self.must_pace_loads(worker, now)
+        };
+        let unseen_is_enough = request.is_some() || !self.siblings_may_have_loaded();
+        let is_due = |worker_id: &WorkerId| {
+            let instance = function.instances.get(worker_id);
+            let missed_at = instance.and_then(|instance| instance.missed_at);
+            missed_at.map_or(unseen_is_enough, |at| now.since(at) >= retry_after)
+        };
+        self.missing_instances(function_id, now, fewer, can_take_load)
+            .into_iter()
+            .filter(is_due)
+            .filter_map(|id| Some((self.own_affinity(function_id, self.workers.get(&id)?), id)))
+            .max_by(|(left, _), (right, _)| left.total_cmp(right))
+            .map(|(_, id)| id)
+    }
+
+    /// Whether a load at this worker must wait because the last ones had no effect.
+    fn must_pace_loads(&self, worker: &Worker, now: Time) -> bool {
+        now < self.loads.next_after_ineffective
+            && (worker.last_load_ineffective || self.loads.last_ineffective)
+    }
+
+    /// Has a worker load one instance.
+    fn request_load(
+        &mut self,
+        now: Time,
+        worker_id: WorkerId,
+        function_id: FunctionId,
+        load_time: Span,
+        actions: &mut Vec<Action>,
+    ) {
+        self.pace_ineffective_loads(now, worker_id);
+        let least_window = 1.0 / self.settings.siblings as f64;
+        let turn_length = (load_time as f64 / self.loads.window.max(least_window)) as Span;
+        self.loads.in_progress += 1;
+        self.loads.recent.push_back(now);
+        self.loads.next_turn = now.plus(turn_length);
+        if let Some(worker) = self.workers.get_mut(&worker_id) {
+            worker.trial_allowed = false;
         }
-        out.push(Action::Load {
+        let function = self.functions.entry(function_id).or_default();
+        let instance = function.instances.entry(worker_id).or_default();
+        instance.load_requested = Some(now);
+        actions.push(Action::Load {
+            worker: worker_id,
+            function: function_id,
+            instances: 1,
+        });
+    }
+
+    /// Asks a worker for the instances it has, without a load.
+    fn ask_for_instances(
+        &mut self,
+        now: Time,
+        worker_id: WorkerId,
+        function_id: FunctionId,
+        actions: &mut Vec<Action>,
+    ) {
+        self.pace_ineffective_loads(now, worker_id);
+        let function = self.functions.entry(function_id).or_default();
+        let instance = function.instances.entry(worker_id).or_default();
+        instance.missed_at = Some(now);
+        actions.push(Action::Load {
             worker: worker_id,
             function: function_id,
-            instances: load.is_some() as u32,
+            instances: 0,
         });
     }
 
+    /// Delays the next load where the last ones had no effect, as one is asked for now.
+    fn pace_ineffective_loads(&mut self, now: Time, worker_id: WorkerId) {
+        let worker = self.workers.get(&worker_id);
+        let at_worker = worker.is_some_and(|worker| worker.last_load_ineffective);
+        if self.loads.last_ineffective || at_worker {
+            self.loads.next_after_ineffective = now.plus(INEFFECTIVE_LOAD_INTERVAL);
+        }
+    }
+
     /// How long a load of this function should take now.
-    pub(super) fn expected_load_time(&self, f: &Function) -> Span {
+    pub(super) fn expected_load_time(&self, function: &Function) -> Span {
         let mean = self.loads.durations.mean;
-        let untold = if mean > 0.0 { mean } else { SECOND as f64 };
-        let usual = f
-            .stated_load_time
-            .map_or(untold, |t| t as f64 * mean.max(1.0));
-        usual
-            .min(self.settings.order_timeout as f64)
-            .max(CHECK_INTERVAL as f64) as Span
+        let expected = match function.stated_load_time {
+            Some(stated) => stated as f64 * mean.max(1.0),
+            None if mean > 0.0 => mean,
+            None => SECOND as f64,
+        };
+        let longest = self.settings.order_timeout as f64;
+        expected.min(longest).max(CHECK_INTERVAL as f64) as Span
     }
 
-    /// Rule 5: orders in the window, this one included, within the free part and the share of arrivals.
-    pub(super) fn within_load_budget(&mut self, now: Time) -> bool {
-        let period = self.settings.ration.map_or(0, |r| r.period);
-        let old = self
-            .recent_arrivals
-            .partition_point(|t| now.since(*t) >= period - self.settings.tick);
-        self.recent_arrivals.drain(..old);
-        let old = self
-            .loads
-            .recent
-            .partition_point(|t| now.since(*t) > period + self.settings.tick);
-        self.loads.recent.drain(..old);
-        let given = self.loads.recent.len() as f64 + 1.0;
+    /// Rule 5: whether the load requests of the period, one more included, are within the free number and the
+    /// share of arrivals.
+    fn within_load_budget(&mut self, now: Time) -> bool {
+        let tick = self.settings.tick;
+        let period = self.settings.ration.map_or(0, |budget| budget.period);
+        let arrivals = &mut self.recent_arrivals;
+        let expired = arrivals.partition_point(|at| now.since(*at) >= period - tick);
+        arrivals.drain(..expired);
+        let loads = &mut self.loads.recent;
+        let expired = loads.partition_point(|at| now.since(*at) > period + tick);
+        loads.drain(..expired);
+        let given = loads.len() as f64 + 1.0;
+        let received = arrivals.len() as f64;
         self.settings
             .ration
-            .is_none_or(|r| given <= r.free + r.part * self.recent_arrivals.len() as f64)
+            .is_none_or(|budget| given <= budget.free + budget.part * received)
     }
 
+    /// A load request ended: learns from it and serves the function's queue.
     pub(super) fn on_load_result(
         &mut self,
         now: Time,
-        (worker_id, function_id): (WorkerId, FunctionId),
-        told: LoadResult,
-        out: &mut Vec<Action>,
+        result: LoadResult,
+        actions: &mut Vec<Action>,
     ) {
-        let (o, took, n) = told;
-        self.on_probe_result(worker_id, matches!(o, Served | TurnedAway | Error));
-        // EXCEPTION: an order counts, from when it left, though its connection ends. Where a miss says so, a
-        // call goes and sees; an end at once makes a suspect. Harm: a worker that died costs an attempt.
-        let due = o == ConnectionLost
-            && self.siblings_may_have_loaded()
-            && took > self.settings.connect_timeout;
-        let Some(f) = self.functions.get_mut(&function_id) else {
+        use Outcome::{ConnectFailed, ConnectionLost, Error, Served, TimedOut, TurnedAway};
+        let answered = matches!(result.outcome, Served | TurnedAway | Error);
+        self.on_probe_result(result.worker, answered);
+        let Some(function) = self.functions.get_mut(&result.function) else {
             return;
         };
-        let p = f.instances.entry(worker_id).or_default();
-        let (left, ordered) = (p.load_requested, p.load_requested.take().is_some());
-        if o != ConnectionLost {
-            (p.count, p.warm, p.load_unconfirmed, p.last_evidence) = (n, n > 0, n > 0, now);
-            p.missed_at = p.missed_at.filter(|_| n == 0);
-            p.excluded_until = if o == Served {
-                now
-            } else {
-                now.plus(SECOND / 2)
-            };
+        let instance = function.instances.entry(result.worker).or_default();
+        let load_requested = instance.load_requested.take();
+        if result.outcome != ConnectionLost {
+            instance.on_reported_count(now, result.outcome, result.instances);
         }
-        (p.warm, p.last_evidence) = left.filter(|_| due).map_or((p.warm, p.last_evidence), |t| {
-            (true, t.max(p.last_evidence))
-        });
-        let told_load = f.stated_load_time;
-        if n > 0 {
-            self.workers
-                .entry(worker_id)
-                .and_modify(|w| w.last_load_ineffective = false);
+        self.note_load_effect(now, &result, load_requested.is_some());
+        if let Some(requested_at) = load_requested {
+            self.loads.in_progress = self.loads.in_progress.saturating_sub(1);
+            let presumed = self.presume_loaded_after_lost_connection(&result, requested_at);
+            let failed = matches!(result.outcome, ConnectFailed | ConnectionLost | TimedOut);
+            if failed && !presumed {
+                self.suspect_after_failed_load(now, &result);
+            }
+            self.learn_load_time(now, &result);
+        }
+        self.dispatch_queue(now, result.function, actions);
+    }
+
+    /// Takes an instance for loaded, from when the load was asked for, though the connection of the load request
+    /// ended. Returns whether it does.
+    ///
+    /// # Departure from the mechanism
+    ///
+    /// Reason: connections close sooner than stated, which a load outlasts; each load was asked for again
+    /// elsewhere, and each worker became suspect. Where a miss says so, a call goes and sees. A connection that
+    /// ends at once makes a suspect.
+    ///
+    /// Harm: a worker that died meanwhile costs one attempt.
+    fn presume_loaded_after_lost_connection(
+        &mut self,
+        result: &LoadResult,
+        requested_at: Time,
+    ) -> bool {
+        let presumed = result.outcome == Outcome::ConnectionLost
+            && self.siblings_may_have_loaded()
+            && result.latency > self.settings.connect_timeout;
+        if presumed {
+            let function = self.functions.get_mut(&result.function);
+            let instances = function.map(|function| &mut function.instances);
+            if let Some(instance) = instances.and_then(|all| all.get_mut(&result.worker)) {
+                instance.presume_loaded(requested_at);
+            }
+        }
+        presumed
+    }
+
+    /// Notes whether a load request left an instance. Without a load requested here, the end of asking for
+    /// instances counts only if it failed.
+    fn note_load_effect(&mut self, now: Time, result: &LoadResult, load_requested: bool) {
+        if result.instances > 0 {
+            if let Some(worker) = self.workers.get_mut(&result.worker) {
+                worker.last_load_ineffective = false;
+            }
             self.loads.last_ineffective = false;
-        } else if o != ConnectionLost && (ordered || o != Served) {
-            self.load_without_effect(now, worker_id, function_id, false);
+        } else if result.outcome != Outcome::ConnectionLost
+            && (load_requested || result.outcome != Outcome::Served)
+        {
+            self.load_without_effect(now, result.worker, result.function, false);
+        }
+    }
+
+    fn suspect_after_failed_load(&mut self, now: Time, result: &LoadResult) {
+        let probe_after = if result.outcome == Outcome::TimedOut {
+            self.settings.connect_timeout
+        } else {
+            0
+        };
+        if let Some(worker) = self.workers.get_mut(&result.worker) {
+            worker.mark_suspect(now, probe_after);
         }
-        self.loads.in_progress -= (ordered && self.loads.in_progress > 0) as usize;
-        if ordered && !due && matches!(o, ConnectFailed | ConnectionLost | TimedOut) {
-            let gap = if o == TimedOut {
-                self.settings.connect_timeout
-            } else {
-                0
-            };
-            self.workers
-                .entry(worker_id)
-                .and_modify(|w| Self::mark_suspect(w, now, gap));
+    }
+
+    /// Learns what loads take from one that succeeded.
+    fn learn_load_time(&mut self, now: Time, result: &LoadResult) {
+        if result.outcome != Outcome::Served {
+            return;
         }
-        if ordered && o == Served && took > self.settings.connect_timeout {
-            self.loads
-                .durations
-                .add(took as f64 / told_load.map_or(1.0, |t| t as f64));
-        } else if ordered && o == Served && n > 0 {
-            self.loads.next_turn = now; // It stood already: no load was made.
+        if result.latency > self.settings.connect_timeout {
+            let function = self.functions.get(&result.function);
+            let stated = function.and_then(|function| function.stated_load_time);
+            let unit = stated.map_or(1.0, |time| time as f64);
+            self.loads.durations.add(result.latency as f64 / unit);
+        } else if result.instances > 0 {
+            // It was loaded already: the next load need not wait for this one.
+            self.loads.next_turn = now;
         }
-        self.dispatch_queue(now, function_id, out);
     }
 
-    /// EXCEPTION: an order that left no instance, or one told done whose first call missed, bars its place,
-    /// from the second in a row for twice as long each time. Workers where that was the last word get their
-    /// next orders one by one, and so do all while it was the last word of any. Else one that answers at once
-    /// and wrongly is ordered at the loop's speed. Harm: one mended without a restart is found seconds later.
+    /// A load left no instance, or (`missed_by_call`) the first call after one reported as done found none.
+    ///
+    /// # Departure from the mechanism
+    ///
+    /// Reason: a worker that answers at once and wrongly would be asked for loads without pause. From the second
+    /// load without effect in a row its instance is excluded, for twice as long each time. Workers whose last
+    /// load had no effect are asked for the next ones one by one, and so are all while that is how the last load
+    /// at any of them ended.
+    ///
+    /// Harm: a worker that is mended without a restart is found seconds later.
     pub(super) fn load_without_effect(
         &mut self,
         now: Time,
         worker_id: WorkerId,
         function_id: FunctionId,
-        missed: bool,
+        missed_by_call: bool,
     ) {
-        let Some(p) = self
-            .functions
-            .get_mut(&function_id)
-            .and_then(|f| f.instances.get_mut(&worker_id))
-        else {
+        let function = self.functions.get_mut(&function_id);
+        let instances = function.map(|function| &mut function.instances);
+        let Some(instance) = instances.and_then(|all| all.get_mut(&worker_id)) else {
             return;
         };
-        let before = p.ineffective_loads;
-        p.ineffective_loads = before.saturating_add(1);
+        let before = instance.ineffective_loads;
+        instance.ineffective_loads = before.saturating_add(1);
         if before > 0 {
-            let gap = (SECOND / 2) << (before - 1).min(MAX_BACKOFF_DOUBLINGS);
-            p.excluded_until = p.excluded_until.max(now.plus(spread(self.seed, now, gap)));
+            let backoff = LOAD_BACKOFF << (before - 1).min(MAX_BACKOFF_DOUBLINGS);
+            let until = now.plus(with_jitter(self.seed, now, backoff));
+            instance.excluded_until = instance.excluded_until.max(until);
         }
-        if before > 0 || !missed {
-            (
-                self.loads.next_after_ineffective,
-                self.loads.last_ineffective,
-            ) = (now.plus(INEFFECTIVE_LOAD_INTERVAL), true);
-            self.workers
-                .entry(worker_id)
-                .and_modify(|w| w.last_load_ineffective = true);
+        if before > 0 || !missed_by_call {
+            self.loads.next_after_ineffective = now.plus(INEFFECTIVE_LOAD_INTERVAL);
+            self.loads.last_ineffective = true;
+            if let Some(worker) = self.workers.get_mut(&worker_id) {
+                worker.last_load_ineffective = true;
+            }
         }
     }
 }
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,9 +1,16 @@
-//! Every decision of the router, by concern. Its interface - settings, events, actions, identifiers - stands in
-//! the modules beside this one.
+//! Every decision of the router, one concern a file. The interface - settings, events, actions, identifiers -
+//! stands in the modules beside this one.
 //!
-//! Ordinary path: among workers believed to hold a warm instance with a free lane, the one that this front
-//! end used least recently; else a load, under a per-function cap; else the call is held for a returning run.
-//! What departs from it is marked EXCEPTION, with the symptom it answers and where it could harm.
+//! # The mechanism
+//!
+//! Among workers that are believed to have a warm instance with a free lane, a call goes to the one that this
+//! front end used least recently ([`selection`]); else the function is loaded, under a cap of its own
+//! ([`loading`]); else the call waits for a lane ([`queue`]).
+//!
+//! # Departures from it
+//!
+//! Each departure is one function, whose comment has a section "Departure from the mechanism" with the symptom
+//! that it answers and where it could do harm. A search for these words finds all of them.
 
 mod attempt;
 mod concurrency;
@@ -18,230 +25,215 @@
 mod selection;
 mod workers;
 
-use self::concurrency::{IDLE_CORE_SHARE, INITIAL_LIMIT, LIMIT_DECREASE, MIN_FLEET_LIMIT};
-use self::estimate::{DecayingSum, LatencyEstimate, ServiceTimeRatio, ALL_KINDS, SMOOTHING};
-use self::health::SILENCE_THRESHOLD;
+use self::estimate::{DecayingMean, DecayingSum, LatencyEstimate, ServiceTimeRatio};
 use self::instances::{Function, Instance};
-use self::loading::{LoadState, LOADS_PER_WORKER};
-use self::queue::{QueueKey, FUNCTIONS_PER_CHECK};
-use self::random::{mix, rendezvous, spread};
-use self::request::{Attempt, Request};
+use self::loading::{LoadResult, LoadState};
+use self::request::Request;
 use self::workers::Worker;
-use crate::{Outcome::*, *};
-use std::cell::RefCell;
+use crate::{Action, BadSettings, Event, FunctionId, Outcome, RequestId, Settings, Span, Time};
+use crate::{WorkerId, WorkerState, SECOND};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::ops::Bound::Excluded;
 
-/// How often held calls and silent workers are looked over, microseconds. Well under any human-scale aim.
+/// How often queued calls and silent workers are looked over, microseconds. Well under any objective that people
+/// notice.
 const CHECK_INTERVAL: Span = 20_000;
 
-/// Idle lives after its last call that a function is remembered: its instances are long gone by then.
+/// How often the router looks over the state that it may forget.
+const CLEANUP_INTERVAL: Span = SECOND;
+
+/// How often the timer runs while nothing is waiting.
+const IDLE_TIMER_INTERVAL: Span = SECOND;
+
+/// Idle lives after its last call that a function is remembered: its instances are unloaded long before.
 const FORGET_AFTER_IDLE_LIVES: Span = 4;
 
-/// One front end's decisions. See the crate's example. The default knows nothing and has default settings.
+/// The decisions of one front end. See the example of the crate. The default knows nothing and has the default
+/// settings.
 #[derive(Default)]
 pub struct Router {
     settings: Settings,
     seed: u64,
+    started_at: Time,
+    /// Counts changes of the list of workers and of the settings.
+    configuration_revision: u64,
+
     workers: BTreeMap<WorkerId, Worker>,
     functions: BTreeMap<FunctionId, Function>,
     requests: BTreeMap<RequestId, Request>,
+    /// Functions with calls in their queues.
     functions_waiting: BTreeSet<FunctionId>,
+    /// Requests that are owed an answer and are not streaming.
     deadlines: BTreeSet<(Time, RequestId)>,
-    class_service_times: BTreeMap<usize, f64>,
-    answer_times: LatencyEstimate,
-    kind_ratios: BTreeMap<usize, ServiceTimeRatio>,
     loads: LoadState,
+    /// When the requests within the period of the load budget arrived.
     recent_arrivals: VecDeque<Time>,
-    /// Work of calls served over the sizes of the workers there were then.
-    recent_work: DecayingSum,
-    /// Shares of their cores that answering workers told to be at work.
-    busy_cores: ServiceTimeRatio,
-    next_cleanup: Time,
-    next_probe: Time,
+
     total_share: f64,
-    ready_count: f64,
-    configuration_revision: u64,
     largest_share: f64,
-    /// No more than any worker's slowness, since the last sweep.
+    ready_count: f64,
+    list_requested_at: Time,
+
+    /// Low estimates of what calls of each class take in a warm lane, microseconds.
+    class_service_times: BTreeMap<usize, f64>,
+    answer_times: LatencyEstimate,
+    /// Service times over those expected, by kind of worker and for all kinds.
+    kind_ratios: BTreeMap<usize, ServiceTimeRatio>,
+    /// No more than the slowness of any worker.
     lowest_slowness: f64,
-    started_at: Time,
+    /// Work of calls served, over the total share of the workers at that time.
+    recent_work: DecayingSum,
+    /// Shares of their cores that answering workers report as busy.
+    busy_cores: DecayingMean,
+
     next_check: Time,
+    next_cleanup: Time,
+    next_probe: Time,
+    /// Where the next check starts among the functions with queued calls.
     check_offset: usize,
     timer_at: Option<Time>,
-    list_requested_at: Time,
 }
 
 impl Router {
     /// A router that knows nothing yet. The seed is for its random numbers.
-    pub fn new(set: Settings, seed: u64, now: Time) -> Result<Router, BadSettings> {
-        let listed_at = now.plus(-set.ask_within);
-        let mut new = Router {
+    pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Router, BadSettings> {
+        let mut router = Router {
             seed,
             next_check: now,
-            list_requested_at: listed_at,
+            list_requested_at: now.plus(-settings.ask_within),
             started_at: now,
             ..Router::default()
         };
-        new.change(set).map(|()| new)
+        router.change(settings)?;
+        Ok(router)
     }
 
-    /// Other settings from here on; beliefs stay. Classes that open requests name must keep their places.
-    pub fn change(&mut self, set: Settings) -> Result<(), BadSettings> {
-        let last = self.requests.values().map(|r| r.class).max().unwrap_or(0);
-        if set.classes.len() <= last || set.siblings == 0 || set.max_attempts == 0 {
+    /// Replaces the settings; what was learned stays. Classes of open requests must keep their indexes.
+    pub fn change(&mut self, settings: Settings) -> Result<(), BadSettings> {
+        let classes_in_use = self.requests.values().map(|request| request.class);
+        let last_class = classes_in_use.max().unwrap_or(0);
+        if settings.classes.len() <= last_class
+            || settings.siblings == 0
+            || settings.max_attempts == 0
+        {
             return Err(BadSettings(
                 "no class of requests, no front end or no attempt".into(),
             ));
-        } else if set.classes.iter().any(|c| c.aim <= 0 || c.deadline <= 0) {
+        }
+        let mut classes = settings.classes.iter();
+        if classes.any(|class| class.aim <= 0 || class.deadline <= 0) {
             return Err(BadSettings("an aim or deadline not above zero".into()));
         }
-        (self.settings, self.configuration_revision) = (set, self.configuration_revision + 1);
+        self.settings = settings;
+        self.configuration_revision += 1;
         Ok(())
     }
 
-    /// Takes one event and adds to `out` what is to be done, in order.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
-        // EXCEPTION: after a stall of our own, silence says nothing about the workers: their clocks start
-        // anew. Also right for a suspended machine. Harm: a silent worker is found that much later.
-        if self
-            .timer_at
-            .is_some_and(|t| now.since(t) > 5 * CHECK_INTERVAL)
-        {
-            self.workers.values_mut().for_each(|w| w.last_answer = now);
+    /// Takes one event and adds to `actions` what is to be done, in order.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+        self.excuse_silence_after_stall(now);
+        self.on_event(now, event, actions);
+        self.answer_overdue(now, actions);
+        if now >= self.next_check {
+            self.on_timer(now, actions);
+            self.next_check = now.plus(CHECK_INTERVAL);
         }
+        self.set_timer(now, actions);
+    }
+
+    fn on_event(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Workers { kind, entries } => self.on_worker_list(now, kind, entries),
-            Event::Arrival(a) => self.on_arrival(now, a, out),
+            Event::Arrival(arrival) => self.on_arrival(now, arrival, actions),
             Event::Timer { .. } => {}
-            Event::StreamBegan { request, .. } => {
-                if let Some(r) = self.requests.get_mut(&request) {
-                    r.streaming = true;
-                    self.deadlines.remove(&(r.deadline, request));
-                }
-            }
-            Event::AttemptDone(d) => self.on_attempt_result(now, d, out),
+            Event::StreamBegan { request, .. } => self.on_stream_start(request),
+            Event::AttemptDone(result) => self.on_attempt_result(now, result, actions),
             Event::Departed { request } => self.close_request(request),
             Event::ProbeDone {
                 worker, outcome, ..
-            } => self.on_probe_result(worker, outcome == Served),
+            } => self.on_probe_result(worker, outcome == Outcome::Served),
             Event::OrderDone {
                 worker,
                 function,
                 outcome,
                 latency,
                 instances,
-            } => self.on_load_result(now, (worker, function), (outcome, latency, instances), out),
+            } => {
+                let result = LoadResult {
+                    worker,
+                    function,
+                    outcome,
+                    latency,
+                    instances,
+                };
+                self.on_load_result(now, result, actions);
+            }
         }
-        self.answer_overdue(now, out);
-        if now >= self.next_check {
-            self.on_timer(now, out);
-            self.next_check = now.plus(CHECK_INTERVAL);
+    }
+
+    /// What is due at every check, whether a timer or another event came first.
+    fn on_timer(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.update_lowest_slowness();
+        if now >= self.next_cleanup {
+            self.next_cleanup = now.plus(CLEANUP_INTERVAL);
+            self.forget_unused(now);
         }
-        let calm = self.functions_waiting.is_empty() && self.requests.is_empty();
-        let at = if calm {
-            now.plus(SECOND)
+        self.request_list_if_due(now, actions);
+        self.check_health(now, actions);
+        self.check_queues(now, actions);
+    }
+
+    /// Asks for a timer at the next check, unless one that is set comes no later.
+    fn set_timer(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let idle = self.functions_waiting.is_empty() && self.requests.is_empty();
+        let at = if idle {
+            now.plus(IDLE_TIMER_INTERVAL)
         } else {
             self.next_check
         };
-        if self.timer_at.is_none_or(|t| t <= now || t > at) {
+        if self.timer_at.is_none_or(|set| set <= now || set > at) {
             self.timer_at = Some(at);
-            out.push(Action::SetTimer { at, token: 0 });
+            actions.push(Action::SetTimer { at, token: 0 });
         }
     }
 
-    fn on_timer(&mut self, now: Time, out: &mut Vec<Action>) {
-        let paces = self
-            .workers
-            .values()
-            .map(|w| &w.service_ratio)
-            .chain(self.kind_ratios.values());
-        self.lowest_slowness = paces.map(ServiceTimeRatio::least).fold(1.0, f64::min);
-        if now >= self.next_cleanup {
-            self.next_cleanup = now.plus(SECOND);
-            // What was called once, long ago, is forgotten, or one-off functions would fill our memory.
-            let long = self
-                .settings
-                .idle_life
-                .saturating_mul(FORGET_AFTER_IDLE_LIVES)
-                .max(self.settings.order_timeout);
-            let last = |p: &Instance| p.last_evidence.max(p.last_send.unwrap_or(p.last_evidence));
-            let stays = |p: &Instance| {
-                p.in_flight > 0 || p.load_requested.is_some() || now.since(last(p)) <= long
-            };
-            self.functions
-                .values_mut()
-                .for_each(|f| f.instances.retain(|_, p| stays(p)));
-            let used = |f: &Function| !f.queue.is_empty() || !f.instances.is_empty();
-            self.functions
-                .retain(|_, f| used(f) || now.since(f.recent_calls.at) < long);
-            let gone = |w: &Worker| w.entry.state == WorkerState::Gone && w.in_flight == 0;
-            self.workers
-                .retain(|_, w| !gone(w) || w.left_at.is_some_and(|t| now.since(t) < long));
-        }
-        if !self.settings.list_pushed
-            && now.since(self.list_requested_at) > self.settings.ask_within / 2
-        {
-            out.push(Action::Subscribe);
+    fn request_list_if_due(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let since_request = now.since(self.list_requested_at);
+        if !self.settings.list_pushed && since_request > self.settings.ask_within / 2 {
+            actions.push(Action::Subscribe);
             self.list_requested_at = now;
         }
-        self.check_health(now, out);
-        // Held calls: those now late step back. EXCEPTION: while calls that can be in time wait for a lane
-        // (not a load), late ones are refused: they would make the next late. Harm: their small worth.
-        let contended = self
-            .functions_waiting
-            .iter()
-            .filter_map(|f| self.functions.get(f))
-            .any(|f| {
-                let timely = f.queue.first().is_some_and(|t| t.0 < 2);
-                timely
-                    && self
-                        .instances_with_workers(f)
-                        .any(|(_, p, w)| self.is_warm(w, p, now))
-            });
-        let mut heads = Vec::new();
-        for function_id in self.functions_waiting.iter().copied().collect::<Vec<_>>() {
-            for turn in self.calls_to_check(function_id, now) {
-                let Some(r) = self.requests.get(&turn.2) else {
-                    continue;
-                };
-                let past = |t: Time, span: f64| now.since(t) as f64 + span > 0.0;
-                let expected = self.expected_service(r).0;
-                let late = past(r.objective_at, expected);
-                let lost = past(r.deadline, expected)
-                    || late && self.settings.classes[r.class].late_worth <= 0.0
-                    || !self.may_attempt_again(r, None, now);
-                let tight = past(r.objective_at, expected.max(self.usual_answer_time()));
-                if lost || tight && contended {
-                    self.answer_unserved(turn.2, out);
-                } else if late && turn.0 < 2 {
-                    self.enqueue(turn.2, now);
-                }
-            }
-            heads.extend(
-                self.functions
-                    .get(&function_id)
-                    .and_then(|f| f.queue.first())
-                    .map(|t| (*t, function_id)),
-            );
+    }
+
+    /// Forgets functions, instances and workers that have been unused for long: functions that are called only
+    /// once would fill the memory otherwise.
+    fn forget_unused(&mut self, now: Time) {
+        let idle_life = self.settings.idle_life;
+        let idle_lives = idle_life.saturating_mul(FORGET_AFTER_IDLE_LIVES);
+        let forget_after = idle_lives.max(self.settings.order_timeout);
+        let instance_in_use = |instance: &Instance| {
+            instance.in_flight > 0
+                || instance.load_requested.is_some()
+                || now.since(instance.last_activity()) <= forget_after
+        };
+        let function_in_use = |function: &Function| {
+            !function.queue.is_empty()
+                || !function.instances.is_empty()
+                || now.since(function.recent_calls.updated_at) < forget_after
+        };
+        let worker_in_use = |worker: &Worker| {
+            worker.entry.state != WorkerState::Gone
+                || worker.in_flight > 0
+                || worker
+                    .left_at
+                    .is_some_and(|at| now.since(at) < forget_after)
+        };
+        for function in self.functions.values_mut() {
+            function
+                .instances
+                .retain(|_, instance| instance_in_use(instance));
         }
-        heads.sort();
-        // EXCEPTION: no more than so many functions at one look, in turns. With very many it would last until
-        // after the next is due, and nothing else be done. Harm: some are looked over later.
-        let (n, skip) = (
-            heads.len(),
-            if heads.len() > FUNCTIONS_PER_CHECK {
-                self.check_offset % heads.len()
-            } else {
-                0
-            },
-        );
-        self.check_offset = skip + FUNCTIONS_PER_CHECK;
-        let turns = heads
-            .into_iter()
-            .cycle()
-            .skip(skip)
-            .take(n.min(FUNCTIONS_PER_CHECK));
-        turns.for_each(|(_, function_id)| self.dispatch_queue(now, function_id, out));
+        self.functions
+            .retain(|_, function| function_in_use(function));
+        self.workers.retain(|_, worker| worker_in_use(worker));
     }
 }
--- a/src/router/random.rs
+++ b/src/router/random.rs
@@ -1,21 +1,24 @@
-//! Deterministic hashing: random delays and rendezvous hashing.
+//! Deterministic hashing: jitter of delays, and rendezvous hashing.
 
-use super::*;
+use crate::{FunctionId, Span, Time, WorkerId};
 
-/// A gap, or up to half as much more, by chance.
-pub(super) fn spread(seed: u64, now: Time, gap: Span) -> Span {
-    gap + (mix(seed ^ mix(now.0 as u64)) % (gap.max(0) as u64 / 2 + 1)) as Span
+/// A delay with jitter: between the delay given and half as much more.
+pub(super) fn with_jitter(seed: u64, now: Time, delay: Span) -> Span {
+    let draw = mix(seed ^ mix(now.0 as u64));
+    delay + (draw % (delay.max(0) as u64 / 2 + 1)) as Span
 }
 
-pub(super) fn mix(mut x: u64) -> u64 {
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
+/// Mixes the bits of a number: the finalizer of SplitMix64.
+pub(super) fn mix(mut bits: u64) -> u64 {
+    bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    bits ^ (bits >> 31)
 }
 
-/// Highest for the worker where this function belongs: every front end finds the same order without asking.
-pub(super) fn rendezvous(f: FunctionId, w: WorkerId, share: f64) -> f64 {
-    let h = mix(f.0 ^ mix(w.0.wrapping_add(0x9e37_79b9_7f4a_7c15)));
-    let unit = ((h >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
-    -share / unit.ln()
+/// The score of a worker for a function by weighted rendezvous hashing. The function belongs on the workers with
+/// the highest scores, which every front end finds alike without asking another.
+pub(super) fn rendezvous(function: FunctionId, worker: WorkerId, weight: f64) -> f64 {
+    let hash = mix(function.0 ^ mix(worker.0.wrapping_add(0x9e37_79b9_7f4a_7c15)));
+    let unit = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
+    -weight / unit.ln()
 }
--- a/src/router/request.rs
+++ b/src/router/request.rs
@@ -1,99 +1,151 @@
-//! Client requests from arrival to their final answer.
+//! Client requests, from their arrival to their final answer.
 
-use super::*;
+use super::estimate::SMOOTHING;
+use super::instances::Function;
+use super::queue::QueueKey;
+use super::Router;
+use crate::{Action, Arrival, FunctionId, RequestId, Span, Time, WorkerEntry};
 
+/// One attempt of a request at a worker.
 pub(super) struct Attempt {
+    /// The worker as the list described it when the attempt was sent.
     pub(super) worker: WorkerEntry,
     pub(super) sent_at: Time,
-    /// Whether it may have run, once that is known.
-    pub(super) may_have_run: Option<bool>,
+    /// Whether it may have run; none while it is pending.
+    pub(super) ended_may_have_run: Option<bool>,
 }
 
+impl Attempt {
+    /// Whether the call may have run, or may yet run.
+    pub(super) fn may_have_run(&self) -> bool {
+        self.ended_may_have_run != Some(false)
+    }
+}
+
+/// A request that is owed an answer, or one with an attempt pending.
 #[derive(Default)]
 pub(super) struct Request {
     pub(super) class: usize,
     pub(super) function: FunctionId,
+    /// When its latency objective ends.
     pub(super) objective_at: Time,
+    /// When its client gives up.
     pub(super) deadline: Time,
     pub(super) work_hint: Option<Span>,
     pub(super) attempts: Vec<Attempt>,
     pub(super) streaming: bool,
     pub(super) concluded: bool,
+    /// Its entry in the queue of its function, if it waits there.
     pub(super) queue_key: Option<QueueKey>,
 }
 
 impl Request {
-    pub(super) fn pending(&self) -> bool {
-        self.attempts.iter().any(|a| a.may_have_run.is_none())
+    /// Whether an attempt has not ended yet.
+    pub(super) fn has_pending_attempt(&self) -> bool {
+        let mut attempts = self.attempts.iter();
+        attempts.any(|attempt| attempt.ended_may_have_run.is_none())
     }
 }
 
 impl Router {
-    pub(super) fn answer_unserved(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id).filter(|r| !r.concluded) else {
+    /// Takes in a request, queues it and serves the queue.
+    pub(super) fn on_arrival(&mut self, now: Time, arrival: Arrival, actions: &mut Vec<Action>) {
+        if self.requests.contains_key(&arrival.request) {
             return;
+        }
+        if self.settings.ration.is_some() && self.settings.may_order {
+            self.recent_arrivals.push_back(now);
+        }
+        let class = arrival.class.min(self.settings.classes.len() - 1);
+        let work_hint = arrival.work_hint.filter(|hint| *hint > 0);
+        let window = self.rate_window();
+        let function = self.functions.entry(arrival.function).or_default();
+        function.on_arrival(now, &arrival, class, work_hint, window);
+        let deadline = now.plus(arrival.budget.max(0));
+        let request = Request {
+            class,
+            function: arrival.function,
+            objective_at: self.objective_end(now, class, work_hint).min(deadline),
+            deadline,
+            work_hint,
+            ..Request::default()
         };
-        let refuse = Action::Refuse {
-            request: id,
-            stay_away: 0,
+        self.requests.insert(arrival.request, request);
+        self.deadlines.insert((deadline, arrival.request));
+        self.enqueue(arrival.request, now);
+        self.dispatch_queue(now, arrival.function, actions);
+    }
+
+    /// When the latency objective of a request that arrives now ends.
+    fn objective_end(&self, now: Time, class: usize, work_hint: Option<Span>) -> Time {
+        let class = &self.settings.classes[class];
+        let stretch = (class.aim_stretch * work_hint.unwrap_or(0) as f64) as Span;
+        now.plus(class.aim.saturating_add(stretch).min(class.deadline))
+    }
+
+    /// An answer has begun to stream: the client's deadline no longer applies to it.
+    pub(super) fn on_stream_start(&mut self, request_id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&request_id) {
+            request.streaming = true;
+            self.deadlines.remove(&(request.deadline, request_id));
+        }
+    }
+
+    /// Gives a request that was not served its final answer: refused where that is true, else failed.
+    pub(super) fn answer_unserved(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&request_id) else {
+            return;
         };
-        out.push(if self.may_refuse(r) {
-            refuse
+        if request.concluded {
+            return;
+        }
+        actions.push(if self.may_refuse(request) {
+            Action::Refuse {
+                request: request_id,
+                stay_away: 0,
+            }
         } else {
-            Action::Fail { request: id }
+            Action::Fail {
+                request: request_id,
+            }
         });
-        self.close_request(id);
+        self.close_request(request_id);
     }
 
-    pub(super) fn close_request(&mut self, id: RequestId) {
-        self.dequeue(id);
-        if let Some(r) = self.requests.get_mut(&id) {
-            r.concluded = true;
-            self.deadlines.remove(&(r.deadline, id));
-            if !r.pending() {
-                self.requests.remove(&id);
+    /// Nothing more is owed to a request; it is forgotten once no attempt is pending.
+    pub(super) fn close_request(&mut self, request_id: RequestId) {
+        self.dequeue(request_id);
+        if let Some(request) = self.requests.get_mut(&request_id) {
+            request.concluded = true;
+            self.deadlines.remove(&(request.deadline, request_id));
+            if !request.has_pending_attempt() {
+                self.requests.remove(&request_id);
             }
         }
     }
+}
 
-    pub(super) fn on_arrival(&mut self, now: Time, a: Arrival, out: &mut Vec<Action>) {
-        if self.requests.contains_key(&a.request) {
-            return;
-        }
-        let class = a.class.min(self.settings.classes.len() - 1);
-        self.recent_arrivals
-            .extend((self.settings.ration.is_some() && self.settings.may_order).then_some(now));
-        let memory = self.rate_window();
-        let f = self.functions.entry(a.function).or_default();
-        f.lanes = a.lanes.max(1);
-        f.stated_load_time = a.load_time.filter(|t| *t > 0);
-        f.class = class;
-        f.recent_calls.add(now, 1.0, memory);
-        let hint = a.work_hint.filter(|h| *h > 0);
-        if let Some(h) = hint {
-            f.mean_work_hint += if f.mean_work_hint == 0.0 {
-                h as f64
+impl Function {
+    /// Learns from the arrival of one of its calls.
+    fn on_arrival(
+        &mut self,
+        now: Time,
+        arrival: &Arrival,
+        class: usize,
+        work_hint: Option<Span>,
+        rate_window: f64,
+    ) {
+        self.lanes = arrival.lanes.max(1);
+        self.stated_load_time = arrival.load_time.filter(|time| *time > 0);
+        self.class = class;
+        self.recent_calls.add(now, 1.0, rate_window);
+        if let Some(hint) = work_hint {
+            let hint = hint as f64;
+            self.mean_work_hint += if self.mean_work_hint == 0.0 {
+                hint
             } else {
-                SMOOTHING * (h as f64 - f.mean_work_hint)
+                SMOOTHING * (hint - self.mean_work_hint)
             };
         }
-        let c = &self.settings.classes[class];
-        let aim = c
-            .aim
-            .saturating_add((c.aim_stretch * hint.unwrap_or(0) as f64) as Span);
-        let deadline = now.plus(a.budget.max(0));
-        let aim_at = now.plus(aim.min(c.deadline)).min(deadline);
-        let r = Request {
-            class,
-            function: a.function,
-            objective_at: aim_at,
-            deadline,
-            work_hint: hint,
-            ..Request::default()
-        };
-        self.requests.insert(a.request, r);
-        self.deadlines.insert((deadline, a.request));
-        self.enqueue(a.request, now);
-        self.dispatch_queue(now, a.function, out);
     }
 }
--- a/src/router/retry.rs
+++ b/src/router/retry.rs
@@ -1,43 +1,54 @@
-//! Whether a call may be attempted again: idempotency of its class and what became of earlier attempts.
+//! Whether a call may be attempted again: the idempotency of its class, and what became of earlier attempts.
 
-use super::*;
+use super::request::{Attempt, Request};
+use super::Router;
+use crate::{Effect, Group, Time, WorkerEntry};
 
 impl Router {
-    /// Rule 2: whether a further attempt is allowed, at this worker or (none) anywhere.
+    /// Rule 2: whether a further attempt is allowed, at this worker or (none) at any.
     pub(super) fn may_attempt_again(
         &self,
-        r: &Request,
-        to: Option<&WorkerEntry>,
+        request: &Request,
+        target: Option<&WorkerEntry>,
         now: Time,
     ) -> bool {
-        let class = &self.settings.classes[r.class];
-        let mut ran = r.attempts.iter().filter(|a| a.may_have_run != Some(false));
-        let in_group = |a: &Attempt, group: Group| match (group, to) {
-            (Group::Zone, Some(e)) => a.worker.zone == e.zone,
-            (Group::Cell, Some(e)) => a.worker.cell == e.cell,
-            _ => true,
-        };
-        let effect = match class.effect {
+        let mut may_have_run = request
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.may_have_run());
+        let harmless = match self.settings.classes[request.class].effect {
             Effect::Safe => true,
-            Effect::Unsafe => ran.next().is_none(),
-            // The margin covers the way to the worker, a connection made anew included.
-            Effect::Keyed { group, window } => ran.all(|a| {
-                in_group(a, group)
-                    && now.since(a.sent_at) < window - 2 * self.settings.connect_timeout
-            }),
+            Effect::Unsafe => may_have_run.next().is_none(),
+            Effect::Keyed { group, window } => {
+                // The margin covers the way to the worker, also over a connection that is yet to be made.
+                let remembered = window - 2 * self.settings.connect_timeout;
+                may_have_run.all(|attempt| {
+                    shares_group(attempt, group, target) && now.since(attempt.sent_at) < remembered
+                })
+            }
         };
-        effect && r.attempts.len() < self.settings.max_attempts as usize
+        harmless && request.attempts.len() < self.settings.max_attempts as usize
     }
 
-    pub(super) fn may_refuse(&self, r: &Request) -> bool {
-        let effect = self.settings.classes[r.class].effect;
-        matches!(
-            effect,
+    /// Whether the client may be told that a repeat of its own is harmless.
+    pub(super) fn may_refuse(&self, request: &Request) -> bool {
+        let repeat_is_harmless = matches!(
+            self.settings.classes[request.class].effect,
             Effect::Safe
                 | Effect::Keyed {
                     group: Group::All,
                     ..
                 }
-        ) || r.attempts.iter().all(|a| a.may_have_run == Some(false))
+        );
+        repeat_is_harmless || !request.attempts.iter().any(Attempt::may_have_run)
+    }
+}
+
+/// Whether a worker drops repeats of what this attempt may have run.
+fn shares_group(attempt: &Attempt, group: Group, target: Option<&WorkerEntry>) -> bool {
+    match (group, target) {
+        (Group::Zone, Some(target)) => attempt.worker.zone == target.zone,
+        (Group::Cell, Some(target)) => attempt.worker.cell == target.cell,
+        _ => true,
     }
 }
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -1,163 +1,285 @@
-//! The mechanism: which warm instance serves a call, and the workers that a function belongs on.
+//! The mechanism: which warm instance serves a call, and which workers a function belongs on.
 
-use super::*;
+use super::instances::{AffinityOrder, Function, Instance};
+use super::random::{mix, rendezvous};
+use super::request::Request;
+use super::workers::Worker;
+use super::Router;
+use crate::{Effect, FunctionId, Span, Time, WorkerId};
+
+/// A load that was asked for counts as an instance for so many times the expected time of a load, and an instance
+/// that was missed is not presumed to be there for as long.
+const LOAD_TIME_MARGIN: Span = 3;
+
+/// Attempts that a call must have left, this one included, to be sent where an instance is only presumed.
+const ATTEMPTS_FOR_PRESUMPTION: usize = 2;
+
+/// Covers rounding in the bound that ends the search for preferred workers.
+const ROUNDING_MARGIN: f64 = 1.000_001;
+
+/// How long a candidate has not been used; the largest is selected. Those never used come last in this order and
+/// are compared by affinity.
+#[derive(Clone, Copy)]
+struct Idleness {
+    never_used: bool,
+    amount: f64,
+}
+
+impl Idleness {
+    fn compare(&self, other: &Idleness) -> std::cmp::Ordering {
+        let by_use = self.never_used.cmp(&other.never_used);
+        by_use.then(self.amount.total_cmp(&other.amount))
+    }
+}
+
+/// What a function needs at one moment.
+struct Demand<'a> {
+    function_id: FunctionId,
+    function: &'a Function,
+    now: Time,
+    /// How many workers may have it loaded.
+    cap: usize,
+    load_time: Span,
+    /// What one of its calls counts for at a worker in slow start.
+    call_weight: f64,
+}
+
+impl Demand<'_> {
+    /// Whether a load was asked for and may still be in progress.
+    fn is_loading(&self, instance: &Instance) -> bool {
+        let requested = instance.load_requested;
+        requested.is_some_and(|at| self.now.since(at) < LOAD_TIME_MARGIN * self.load_time)
+    }
+}
 
 impl Router {
-    /// How much of a function belongs at a worker: the same order at every front end, or an own one of each.
-    pub(super) fn affinity(&self, f: FunctionId, id: WorkerId, w: &Worker, own: bool) -> f64 {
+    /// How much a function belongs at a worker: the same at every front end.
+    fn affinity(&self, function_id: FunctionId, worker: &Worker) -> f64 {
         rendezvous(
-            if own {
-                FunctionId(mix(f.0 ^ self.settings.me as u64))
-            } else {
-                f
-            },
-            id,
-            self.capacity_weight(w),
+            function_id,
+            worker.entry.worker,
+            self.capacity_weight(worker),
         )
     }
 
-    /// The gate of rules 1 and 2 for every send, with the room and health of the worker.
-    pub(super) fn may_send(&self, r: &Request, w: &Worker, now: Time) -> bool {
-        let owed = !r.concluded && !r.streaming && now < r.deadline && !r.pending();
-        let safe = self.settings.classes[r.class].effect == Effect::Safe;
-        let trial = w.entry.state == WorkerState::Ready && w.suspect && w.trial_allowed && safe;
-        let weight = self.service_time(r.class);
-        owed && (Self::accepts_work(w) || trial)
-            && (w.in_flight as f64) < w.concurrency_limit.max(1.0)
-            && Self::pacing_delay(w, weight, now) <= 0.0
-            && self
-                .slow_start_credit(w, weight, now)
-                .is_none_or(|c| c >= weight)
-            && self.may_attempt_again(r, Some(&w.entry), now)
+    /// The same with an order of this front end's own, so that siblings begin at different workers.
+    pub(super) fn own_affinity(&self, function_id: FunctionId, worker: &Worker) -> f64 {
+        let salted = FunctionId(mix(function_id.0 ^ self.settings.me as u64));
+        self.affinity(salted, worker)
     }
 
-    /// The mechanism: the least recently used of the warm places with a free lane. A call about to miss its
-    /// aim is held like any other: sent on to a queue it made others late too.
-    /// EXCEPTION: what belongs at a home place is presumed kept there by the siblings until an answer says
-    /// otherwise; asking first would cost a probe of each front end for each function. Harm: a call that is
-    /// not served there has lost one attempt and the time of the way.
-    pub(super) fn select_worker(&self, r: &Request, now: Time) -> Option<WorkerId> {
-        let f = self.functions.get(&r.function)?;
-        let lane = |p: &Instance| {
-            p.warm && p.in_flight < p.count.max(1) * f.lanes && now >= p.excluded_until
-        };
+    /// What every send has to pass: rules 1 and 2, and the room and health of the worker.
+    pub(super) fn may_send(&self, request: &Request, worker: &Worker, now: Time) -> bool {
+        let owed = !request.concluded
+            && !request.streaming
+            && now < request.deadline
+            && !request.has_pending_attempt();
+        let safe = self.settings.classes[request.class].effect == Effect::Safe;
+        let as_trial = worker.allows_trial() && safe;
+        let call_weight = self.service_time(request.class);
+        owed && (worker.accepts_work() || as_trial)
+            && worker.has_spare_concurrency(call_weight, now)
+            && self.has_slow_start_credit(worker, call_weight, now)
+            && self.may_attempt_again(request, Some(&worker.entry), now)
+    }
+
+    /// The mechanism: the least recently used of the warm instances with a free lane. A call that is about to
+    /// miss its objective waits like any other: sent on to the queue of a worker, it made others late too.
+    pub(super) fn select_worker(&self, request: &Request, now: Time) -> Option<WorkerId> {
+        let function = self.functions.get(&request.function)?;
         let free = self
-            .instances_with_workers(f)
-            .filter(|(_, p, w)| lane(p) && self.is_warm(w, p, now))
-            .map(|s| s.0);
-        let spare = self.siblings_may_have_loaded()
-            && r.attempts.len() + 2 < self.settings.max_attempts as usize;
-        let kept = if spare {
-            self.missing_instances(r.function, now, 0.0, |_| true)
-        } else {
-            Vec::new()
-        };
-        let missed = |p: &Instance| {
-            p.missed_at
-                .is_some_and(|t| now.since(t) < 3 * self.expected_load_time(f))
-        };
-        let kept = kept
-            .into_iter()
-            .filter(|id| !f.instances.get(id).is_some_and(missed));
-        let aged = free.chain(kept).filter_map(|id| {
-            let w = self.workers.get(&id).filter(|w| self.may_send(r, w, now))?;
-            let unused = || (1, self.affinity(r.function, id, w, true));
-            let last = f.instances.get(&id).and_then(|p| p.last_send);
-            Some((
-                last.map_or_else(unused, |t| {
-                    (0, now.since(t) as f64 * self.capacity_weight(w))
-                }),
-                id,
-            ))
+            .instances_with_workers(function)
+            .filter(|(_, instance, worker)| {
+                instance.has_free_lane(function, now) && self.is_warm(worker, instance, now)
+            })
+            .map(|(worker_id, _, _)| worker_id);
+        let presumed = self.presumed_instances(request, function, now);
+        let candidates = free.chain(presumed).filter_map(|worker_id| {
+            let worker = self.workers.get(&worker_id)?;
+            self.may_send(request, worker, now).then(|| {
+                (
+                    self.idleness(request.function, function, worker, now),
+                    worker_id,
+                )
+            })
         });
-        aged.max_by(|a, b| a.0 .0.cmp(&b.0 .0).then(a.0 .1.total_cmp(&b.0 .1)))
-            .map(|(_, w)| w)
+        candidates
+            .max_by(|(left, _), (right, _)| left.compare(right))
+            .map(|(_, worker_id)| worker_id)
     }
 
-    /// Where a function with fewer places than its cap may get one: at home, on workers that all front ends
-    /// name for it (rendezvous hashing over function and worker, weighted by size).
-    pub(super) fn missing_instances(
+    fn idleness(
         &self,
         function_id: FunctionId,
+        function: &Function,
+        worker: &Worker,
+        now: Time,
+    ) -> Idleness {
+        let instance = function.instances.get(&worker.entry.worker);
+        match instance.and_then(|instance| instance.last_send) {
+            Some(last_send) => Idleness {
+                never_used: false,
+                amount: now.since(last_send) as f64 * self.capacity_weight(worker),
+            },
+            None => Idleness {
+                never_used: true,
+                amount: self.own_affinity(function_id, worker),
+            },
+        }
+    }
+
+    /// The workers where an instance is presumed though this front end has not seen it.
+    ///
+    /// # Departure from the mechanism
+    ///
+    /// Reason: what belongs on a preferred worker is presumed to be kept there by the siblings until an answer
+    /// says otherwise. Asking first would cost a probe of each front end for each function.
+    ///
+    /// Harm: a call that is not served there has lost one attempt and the time of the way.
+    fn presumed_instances(
+        &self,
+        request: &Request,
+        function: &Function,
         now: Time,
-        less: f64,
-        room: impl Fn(&Worker) -> bool,
     ) -> Vec<WorkerId> {
-        let Some(f) = self.functions.get(&function_id) else {
+        let attempts = request.attempts.len() + ATTEMPTS_FOR_PRESUMPTION;
+        let can_spare_attempt = attempts < self.settings.max_attempts as usize;
+        if !self.siblings_may_have_loaded() || !can_spare_attempt {
             return Vec::new();
+        }
+        let retry_after = LOAD_TIME_MARGIN * self.expected_load_time(function);
+        let missed = |worker_id: &WorkerId| {
+            let instance = function.instances.get(worker_id);
+            let missed_at = instance.and_then(|instance| instance.missed_at);
+            missed_at.is_some_and(|at| now.since(at) < retry_after)
         };
-        let (cap, wait) = (self.instance_cap(f, now, less), self.expected_load_time(f));
-        let ordered = |p: &Instance| p.load_requested.is_some_and(|t| now.since(t) < 3 * wait);
-        let taken = |w: &Worker, p: &Instance| self.is_warm(w, p, now) || ordered(p);
-        let weight = self.service_time(f.class);
-        let able = |w: &Worker| {
-            !self.siblings_may_have_loaded()
-                || self
-                    .slow_start_credit(w, weight, now)
-                    .is_none_or(|c| c >= weight)
+        let mut presumed = self.missing_instances(request.function, now, 0.0, |_| true);
+        presumed.retain(|worker_id| !missed(worker_id));
+        presumed
+    }
+
+    /// The preferred workers where a function with fewer instances than its cap has none; `fewer` as for
+    /// [`Router::instance_cap`].
+    pub(super) fn missing_instances(
+        &self,
+        function_id: FunctionId,
+        now: Time,
+        fewer: f64,
+        is_eligible: impl Fn(&Worker) -> bool,
+    ) -> Vec<WorkerId> {
+        let Some(function) = self.functions.get(&function_id) else {
+            return Vec::new();
         };
-        let has = |w: &Worker, p: &Instance| {
-            Self::accepts_work(w) && !self.is_unresponsive(w, p, now) && taken(w, p) && able(w)
+        let demand = Demand {
+            function_id,
+            function,
+            now,
+            cap: self.instance_cap(function, now, fewer),
+            load_time: self.expected_load_time(function),
+            call_weight: self.service_time(function.class),
         };
-        let have = self
-            .instances_with_workers(f)
-            .filter(|(_, p, w)| has(w, p))
-            .take(cap)
+        let usable = self
+            .instances_with_workers(function)
+            .filter(|(_, instance, worker)| self.counts_as_instance(&demand, worker, instance))
+            .take(demand.cap)
             .count();
-        if have >= cap || have as f64 >= self.ready_count {
+        if usable >= demand.cap || usable as f64 >= self.ready_count {
             return Vec::new();
         }
-        let out = |w: &Worker, p: &Instance| {
-            self.is_unresponsive(w, p, now) || p.load_requested.is_some() && !taken(w, p)
-        };
-        let at = |id: &WorkerId, so: &dyn Fn(&Worker, &Instance) -> bool| {
-            self.workers
-                .get(id)
-                .zip(f.instances.get(id))
-                .is_some_and(|(w, p)| so(w, p))
-        };
-        let may = |id: &WorkerId, w: &Worker| {
-            (!w.suspect || w.trial_allowed) && able(w) && room(w) && !at(id, &out)
+        let mut preferred = self.preferred_workers(&demand, |worker| {
+            self.may_host(&demand, worker) && is_eligible(worker)
+        });
+        preferred.retain(|worker_id| !self.is_loaded_or_loading(&demand, worker_id));
+        preferred
+    }
+
+    /// Whether an instance can serve calls now or soon.
+    fn counts_as_instance(&self, demand: &Demand, worker: &Worker, instance: &Instance) -> bool {
+        worker.accepts_work()
+            && !self.is_unresponsive(worker, instance, demand.now)
+            && (self.is_warm(worker, instance, demand.now) || demand.is_loading(instance))
+            && self.counts_in_slow_start(demand, worker)
+    }
+
+    fn is_loaded_or_loading(&self, demand: &Demand, worker_id: &WorkerId) -> bool {
+        let worker = self.workers.get(worker_id);
+        let instance = demand.function.instances.get(worker_id);
+        worker.zip(instance).is_some_and(|(worker, instance)| {
+            self.is_warm(worker, instance, demand.now) || demand.is_loading(instance)
+        })
+    }
+
+    /// Whether a worker may be named as one where an instance is or could be.
+    fn may_host(&self, demand: &Demand, worker: &Worker) -> bool {
+        let spoiled = |instance: &Instance| {
+            let load_overdue = instance.load_requested.is_some()
+                && !self.is_warm(worker, instance, demand.now)
+                && !demand.is_loading(instance);
+            self.is_unresponsive(worker, instance, demand.now) || load_overdue
         };
-        self.preferred_workers(function_id, cap, may)
-            .into_iter()
-            .filter(|id| !at(id, &taken))
-            .collect()
+        let instance = demand.function.instances.get(&worker.entry.worker);
+        (!worker.suspect || worker.trial_allowed)
+            && self.counts_in_slow_start(demand, worker)
+            && !instance.is_some_and(spoiled)
     }
 
-    /// The highest claims of a function, so many, among the workers that may have it. Strength is little more
-    /// than one for most, so that the order at strength one ends the search early; it changes nothing.
-    pub(super) fn preferred_workers(
+    /// Whether a worker in slow start could be sent a call of this function.
+    ///
+    /// # Departure from the mechanism
+    ///
+    /// Reason: calls waited for the credit of a starting worker that came once in seconds. Where siblings'
+    /// instances are found by the call itself, a worker whose credit is under a call neither counts as having
+    /// an instance nor is named for one.
+    ///
+    /// Harm: its instances are loaded again elsewhere.
+    fn counts_in_slow_start(&self, demand: &Demand, worker: &Worker) -> bool {
+        !self.siblings_may_have_loaded()
+            || self.has_slow_start_credit(worker, demand.call_weight, demand.now)
+    }
+
+    /// The workers with the highest affinities to a function among those that may host it, as many as its cap.
+    /// The weights of most workers are little over one, so that the order without weights ends the search early;
+    /// the result is the same as that of a full search.
+    fn preferred_workers(
         &self,
-        function_id: FunctionId,
-        size: usize,
-        may: impl Fn(&WorkerId, &Worker) -> bool,
+        demand: &Demand,
+        may_host: impl Fn(&Worker) -> bool,
     ) -> Vec<WorkerId> {
-        let Some(f) = self.functions.get(&function_id) else {
-            return Vec::new();
-        };
-        let mut order = f.affinity_order.borrow_mut();
-        if order.0 != self.configuration_revision {
-            let ranked = self
-                .ready_workers()
-                .map(|(id, _)| (rendezvous(function_id, *id, 1.0), *id));
-            *order = (self.configuration_revision, ranked.collect());
-            order.1.sort_by(|a, b| b.0.total_cmp(&a.0));
-        }
-        let strongest = self.largest_share / self.lowest_slowness * 1.000_001;
-        let mut home: Vec<(f64, WorkerId)> = Vec::new();
-        for &(claim, id) in &order.1 {
-            if home.len() >= size && home.last().is_some_and(|l| l.0 > claim * strongest) {
+        let mut order = demand.function.affinity_order.borrow_mut();
+        self.refresh_affinity_order(demand.function_id, &mut order);
+        let largest_weight = self.largest_share / self.lowest_slowness * ROUNDING_MARGIN;
+        let mut preferred: Vec<(f64, WorkerId)> = Vec::new();
+        for &(unweighted, worker_id) in &order.workers {
+            let bound = unweighted * largest_weight;
+            let full = preferred.len() >= demand.cap;
+            if full && preferred.last().is_some_and(|(lowest, _)| *lowest > bound) {
                 break;
             }
-            let Some(w) = self.workers.get(&id).filter(|w| may(&id, w)) else {
+            let Some(worker) = self.workers.get(&worker_id).filter(|w| may_host(w)) else {
                 continue;
             };
-            let own = (self.affinity(function_id, id, w, false), id);
-            let at = home.partition_point(|h| h.0 > own.0 || h.0 == own.0 && h.1 < own.1);
-            home.insert(at, own);
-            home.truncate(size);
+            let affinity = self.affinity(demand.function_id, worker);
+            let position = preferred.partition_point(|(higher, id)| {
+                *higher > affinity || *higher == affinity && *id < worker_id
+            });
+            preferred.insert(position, (affinity, worker_id));
+            preferred.truncate(demand.cap);
+        }
+        preferred.into_iter().map(|(_, id)| id).collect()
+    }
+
+    /// Ranks the ready workers anew if the list or the settings have changed since the last time.
+    fn refresh_affinity_order(&self, function_id: FunctionId, order: &mut AffinityOrder) {
+        if order.revision == self.configuration_revision {
+            return;
         }
-        home.into_iter().map(|h| h.1).collect()
+        let ranked = self
+            .ready_workers()
+            .map(|(id, _)| (rendezvous(function_id, *id, 1.0), *id));
+        order.revision = self.configuration_revision;
+        order.workers = ranked.collect();
+        order
+            .workers
+            .sort_by(|left, right| right.0.total_cmp(&left.0));
     }
 }
