--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,24 +2,30 @@
 #![warn(missing_docs)]
 //! Decides where a router sends calls of functions that are loaded on demand.
 //!
-//! The library holds no clock, no sockets and no threads. A front end makes one [`Router`], hands it each
-//! [`Event`] with the time, and carries out the [`Action`]s that come back.
+//! It is for front ends that share a fleet of workers without talking to each other: each decides by itself
+//! which worker serves a call, where an instance is loaded, which calls wait, and which are refused. A front end
+//! makes one [`Router`], hands it each [`Event`] with the time, and carries out the [`Action`]s that come back, in
+//! their order. The same settings, seed and events give the same actions.
+//!
+//! It is not for carrying calls: there is no clock, no socket and no thread in it, and it never sees the bytes of a
+//! call. It does not balance calls that any worker can serve at once, and it does not agree on anything with the
+//! other front ends.
 //!
 //! ```
 //! use tansyrouter::{Action, Arrival, Event, FunctionId, ListKind, RequestId, Router, Settings, Time};
 //! use tansyrouter::{WorkerEntry, WorkerId, WorkerState};
 //!
-//! let mut todo = Vec::new();
+//! let mut actions = Vec::new();
 //! let now = Time(0);
 //! let mut router = Router::new(Settings::default(), 7, now).expect("settings make sense");
 //! let entry = WorkerEntry { worker: WorkerId(1), kind: 0, cell: 0, zone: 0, state: WorkerState::Ready,
 //!     started: None, share: 1.0 };
-//! router.handle(now, Event::Workers { kind: ListKind::Full, entries: vec![entry] }, &mut todo);
+//! router.handle(now, Event::Workers { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
 //! router.handle(now, Event::Arrival(Arrival { request: RequestId(1), function: FunctionId(9), class: 0,
 //!     tenant: 0, budget: 5_000_000, work_hint: None, lanes: 1, memory_mb: 300.0, load_time: None,
-//!     repeat: false }), &mut todo);
-//! // No instance is known yet: the router orders one and holds the call meanwhile.
-//! assert!(todo.iter().any(|a| matches!(a, Action::Load { worker: WorkerId(1), .. })));
+//!     repeat: false }), &mut actions);
+//! // No instance is known yet: the router asks for a load, and the call waits meanwhile.
+//! assert!(actions.iter().any(|action| matches!(action, Action::Load { worker: WorkerId(1), .. })));
 //! ```
 
 mod action;
--- a/src/router/health.rs
+++ b/src/router/health.rs
@@ -219,7 +219,8 @@
             .filter(|(sent_at, request_id)| !on_trial(*sent_at) && self.may_take_back(*request_id));
         for key in stuck.copied().collect::<Vec<_>>() {
             let request_id = key.1;
-            let attempts = self.requests.get(&request_id).map(|r| r.attempts.len());
+            let request = self.requests.get(&request_id);
+            let attempts = request.map(|request| request.attempts.len());
             actions.push(Action::Cancel {
                 request: request_id,
                 attempt: attempts.map_or(0, |count| count as u32 - 1),
--- a/src/router/instances.rs
+++ b/src/router/instances.rs
@@ -155,6 +155,26 @@
             .filter_map(|(id, instance)| Some((*id, instance, self.workers.get(id)?)))
     }
 
+    /// What is believed about a function at a worker, made anew if there is nothing yet.
+    pub(super) fn instance_mut(
+        &mut self,
+        function_id: FunctionId,
+        worker_id: WorkerId,
+    ) -> &mut Instance {
+        let function = self.functions.entry(function_id).or_default();
+        function.instances.entry(worker_id).or_default()
+    }
+
+    /// What is believed about a function at a worker, if there is anything.
+    pub(super) fn known_instance_mut(
+        &mut self,
+        function_id: FunctionId,
+        worker_id: WorkerId,
+    ) -> Option<&mut Instance> {
+        let function = self.functions.get_mut(&function_id)?;
+        function.instances.get_mut(&worker_id)
+    }
+
     /// Whether an instance is taken to be loaded: seen so in the present life of its worker's process, and used
     /// within its idle life.
     pub(super) fn is_warm(&self, worker: &Worker, instance: &Instance, now: Time) -> bool {
@@ -165,8 +185,13 @@
         instance.warm && !restarted && (instance.in_flight > 0 || recent)
     }
 
-    /// Whether an instance is silent, excluded or paced for so long that it does not count as one, so that
-    /// another may be loaded.
+    /// Whether an instance is silent, excluded or paced for so long that it does not count as one.
+    ///
+    /// # Departure from the mechanism
+    ///
+    /// Reason: a stuck instance, or one whose worker may be sent little, would keep another from being loaded.
+    ///
+    /// Harm: another instance is loaded.
     pub(super) fn is_unresponsive(&self, worker: &Worker, instance: &Instance, now: Time) -> bool {
         let answer_time = self.usual_answer_time();
         let silence = now.since(instance.last_activity()) as f64;
--- a/src/router/loading.rs
+++ b/src/router/loading.rs
@@ -173,9 +173,7 @@
         if let Some(worker) = self.workers.get_mut(&worker_id) {
             worker.trial_allowed = false;
         }
-        let function = self.functions.entry(function_id).or_default();
-        let instance = function.instances.entry(worker_id).or_default();
-        instance.load_requested = Some(now);
+        self.instance_mut(function_id, worker_id).load_requested = Some(now);
         actions.push(Action::Load {
             worker: worker_id,
             function: function_id,
@@ -192,9 +190,7 @@
         actions: &mut Vec<Action>,
     ) {
         self.pace_ineffective_loads(now, worker_id);
-        let function = self.functions.entry(function_id).or_default();
-        let instance = function.instances.entry(worker_id).or_default();
-        instance.missed_at = Some(now);
+        self.instance_mut(function_id, worker_id).missed_at = Some(now);
         actions.push(Action::Load {
             worker: worker_id,
             function: function_id,
@@ -291,9 +287,7 @@
             && self.siblings_may_have_loaded()
             && result.latency > self.settings.connect_timeout;
         if presumed {
-            let function = self.functions.get_mut(&result.function);
-            let instances = function.map(|function| &mut function.instances);
-            if let Some(instance) = instances.and_then(|all| all.get_mut(&result.worker)) {
+            if let Some(instance) = self.known_instance_mut(result.function, result.worker) {
                 instance.presume_loaded(requested_at);
             }
         }
@@ -359,16 +353,15 @@
         function_id: FunctionId,
         missed_by_call: bool,
     ) {
-        let function = self.functions.get_mut(&function_id);
-        let instances = function.map(|function| &mut function.instances);
-        let Some(instance) = instances.and_then(|all| all.get_mut(&worker_id)) else {
+        let seed = self.seed;
+        let Some(instance) = self.known_instance_mut(function_id, worker_id) else {
             return;
         };
         let before = instance.ineffective_loads;
         instance.ineffective_loads = before.saturating_add(1);
         if before > 0 {
             let backoff = LOAD_BACKOFF << (before - 1).min(MAX_BACKOFF_DOUBLINGS);
-            let until = now.plus(with_jitter(self.seed, now, backoff));
+            let until = now.plus(with_jitter(seed, now, backoff));
             instance.excluded_until = instance.excluded_until.max(until);
         }
         if before > 0 || !missed_by_call {
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! Among workers that are believed to have a warm instance with a free lane, a call goes to the one that this
 //! front end used least recently ([`selection`]); else the function is loaded, under a cap of its own
-//! ([`loading`]); else the call waits for a lane ([`queue`]).
+//! ([`loading`]); else the call waits for a lane ([`queue`]). `docs/design.md` names the source.
 //!
 //! # Departures from it
 //!
@@ -30,8 +30,10 @@
 use self::loading::{LoadResult, LoadState};
 use self::request::Request;
 use self::workers::Worker;
-use crate::{Action, BadSettings, Event, FunctionId, Outcome, RequestId, Settings, Span, Time};
-use crate::{WorkerId, WorkerState, SECOND};
+use crate::{
+    Action, BadSettings, Event, FunctionId, Outcome, RequestId, Settings, Span, Time, WorkerId,
+    WorkerState, SECOND,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// How often queued calls and silent workers are looked over, microseconds. Well under any objective that people
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -83,7 +83,8 @@
             && self.may_attempt_again(request, Some(&worker.entry), now)
     }
 
-    /// The mechanism: the least recently used of the warm instances with a free lane. A call that is about to
+    /// The mechanism: the least recently used of the warm instances with a free lane, so that the idle time of
+    /// each instance is renewed (the LCS rule as rebuilt by Sachan and Somdev, 2025; see `docs/design.md`). A call that is about to
     /// miss its objective waits like any other: sent on to the queue of a worker, it made others late too.
     pub(super) fn select_worker(&self, request: &Request, now: Time) -> Option<WorkerId> {
         let function = self.functions.get(&request.function)?;
@@ -255,7 +256,8 @@
             if full && preferred.last().is_some_and(|(lowest, _)| *lowest > bound) {
                 break;
             }
-            let Some(worker) = self.workers.get(&worker_id).filter(|w| may_host(w)) else {
+            let worker = self.workers.get(&worker_id);
+            let Some(worker) = worker.filter(|worker| may_host(worker)) else {
                 continue;
             };
             let affinity = self.affinity(demand.function_id, worker);
--- a/src/router/workers.rs
+++ b/src/router/workers.rs
@@ -189,8 +189,14 @@
         Some(settings.fall_multiple * warm_part * capacity.max(one_core) / SLOW_START_MARGIN)
     }
 
-    /// The slow start credit of a worker now, for a call of this weight; none if it is not in slow start. Credit
-    /// grows by the rate at the middle of the time since it was last updated, as the rate rises.
+    /// The slow start credit of a worker now, for a call of this weight; none if it is not in slow start.
+    ///
+    /// # Departure from the mechanism
+    ///
+    /// Reason: credit grows by the rate at the middle of the time since it was last updated. By the present,
+    /// higher rate a front end that has sent nothing for long would count it back to the start.
+    ///
+    /// Harm: none seen.
     pub(super) fn slow_start_credit(
         &self,
         worker: &Worker,
