--- a/tests/router.rs
+++ b/tests/router.rs
@@ -16,21 +16,21 @@
     }
 }
 
-struct Bench {
+struct Harness {
     router: Router,
     now: Time,
     out: Vec<Action>,
 }
 
-impl Bench {
-    fn new(set: Settings) -> Bench {
-        Bench {
+impl Harness {
+    fn new(set: Settings) -> Harness {
+        Harness {
             router: Router::new(set, 1, Time(0)).unwrap(),
             now: Time(0),
             out: Vec::new(),
         }
     }
-    fn tell(&mut self, event: Event) -> Vec<Action> {
+    fn handle(&mut self, event: Event) -> Vec<Action> {
         self.out.clear();
         self.router.handle(self.now, event, &mut self.out);
         self.out
@@ -39,17 +39,17 @@
             .cloned()
             .collect()
     }
-    fn list(&mut self, kind: ListKind, entries: Vec<WorkerEntry>) -> Vec<Action> {
-        self.tell(Event::Workers { kind, entries })
+    fn worker_list(&mut self, kind: ListKind, entries: Vec<WorkerEntry>) -> Vec<Action> {
+        self.handle(Event::Workers { kind, entries })
     }
-    fn ready(&mut self, n: u64) {
+    fn ready_workers(&mut self, n: u64) {
         let entries = (1..=n)
             .map(|i| worker(i, WorkerState::Ready, None))
             .collect();
-        self.list(ListKind::Full, entries);
+        self.worker_list(ListKind::Full, entries);
     }
-    fn call(&mut self, request: u64, function: u64, class: usize, budget: Span) -> Vec<Action> {
-        self.tell(Event::Arrival(Arrival {
+    fn arrive(&mut self, request: u64, function: u64, class: usize, budget: Span) -> Vec<Action> {
+        self.handle(Event::Arrival(Arrival {
             request: RequestId(request),
             function: FunctionId(function),
             class,
@@ -62,14 +62,14 @@
             repeat: false,
         }))
     }
-    fn done(
+    fn end_attempt(
         &mut self,
         request: u64,
         attempt: u32,
         worker: WorkerId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.tell(Event::AttemptDone(AttemptDone {
+        self.handle(Event::AttemptDone(AttemptDone {
             request: RequestId(request),
             attempt,
             worker,
@@ -93,7 +93,7 @@
         crowd: Option<u32>,
         report: Option<LoadReport>,
     ) -> Vec<Action> {
-        self.tell(Event::AttemptDone(AttemptDone {
+        self.handle(Event::AttemptDone(AttemptDone {
             request,
             attempt: 0,
             worker,
@@ -105,10 +105,10 @@
             report,
         }))
     }
-    fn loaded(&mut self, worker: WorkerId, function: u64, outcome: Outcome) -> Vec<Action> {
+    fn end_load(&mut self, worker: WorkerId, function: u64, outcome: Outcome) -> Vec<Action> {
         let instances = (outcome == Outcome::Served) as u32;
         let function = FunctionId(function);
-        self.tell(Event::OrderDone {
+        self.handle(Event::OrderDone {
             worker,
             function,
             outcome,
@@ -116,35 +116,36 @@
             instances,
         })
     }
-    fn wait(&mut self, span: Span) -> Vec<Action> {
+    fn advance(&mut self, span: Span) -> Vec<Action> {
         let mut all = Vec::new();
         let end = self.now.plus(span);
         while self.now < end {
             self.now = self.now.plus(10 * MS);
-            all.extend(self.tell(Event::Timer { token: 0 }));
+            all.extend(self.handle(Event::Timer { token: 0 }));
         }
         all
     }
     /// Brings a function up and has one call of it sent; tells where.
-    fn sent(&mut self, request: u64, function: u64, class: usize) -> WorkerId {
-        let at = ordered(&self.call(request, function, class, 5_000 * MS)).expect("a load");
-        sent(&self.loaded(at, function, Outcome::Served)).expect("a send")
+    fn load_and_send(&mut self, request: u64, function: u64, class: usize) -> WorkerId {
+        let at =
+            requested_load(&self.arrive(request, function, class, 5_000 * MS)).expect("a load");
+        sent_to(&self.end_load(at, function, Outcome::Served)).expect("a send")
     }
     /// Has one call miss at its home until a load is ordered and the call held for it; tells where.
-    fn held_for_load(&mut self, request: u64, function: u64) -> WorkerId {
-        let mut actions = self.call(request, function, 0, 2_000 * MS);
+    fn miss_until_load(&mut self, request: u64, function: u64) -> WorkerId {
+        let mut actions = self.arrive(request, function, 0, 2_000 * MS);
         let mut attempt = 0;
         loop {
-            let to = sent(&actions);
+            let to = sent_to(&actions);
             if let Some(to) = to {
-                actions = self.done(request, attempt, to, Outcome::NotLoaded);
+                actions = self.end_attempt(request, attempt, to, Outcome::NotLoaded);
                 attempt += 1;
             }
-            if let Some(at) = ordered(&actions) {
-                if let Some(next) = sent(&actions) {
-                    actions = self.done(request, attempt, next, Outcome::NotLoaded);
+            if let Some(at) = requested_load(&actions) {
+                if let Some(next) = sent_to(&actions) {
+                    actions = self.end_attempt(request, attempt, next, Outcome::NotLoaded);
                 }
-                assert_eq!(sent(&actions), None, "held for its load");
+                assert_eq!(sent_to(&actions), None, "held for its load");
                 return at;
             }
             assert!(to.is_some(), "neither sent nor ordered");
@@ -152,7 +153,7 @@
     }
 }
 
-fn ordered(actions: &[Action]) -> Option<WorkerId> {
+fn requested_load(actions: &[Action]) -> Option<WorkerId> {
     actions.iter().find_map(|a| match a {
         Action::Load {
             worker,
@@ -163,14 +164,14 @@
     })
 }
 
-fn sent(actions: &[Action]) -> Option<WorkerId> {
+fn sent_to(actions: &[Action]) -> Option<WorkerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { worker, .. } => Some(*worker),
         _ => None,
     })
 }
 
-fn of(effect: Effect) -> Settings {
+fn settings_with(effect: Effect) -> Settings {
     let mut s = Settings::default();
     s.classes[0].effect = effect;
     s.classes[0].late_worth = 0.1;
@@ -179,22 +180,22 @@
 
 #[test]
 fn a_call_without_an_instance_is_held_for_a_load_and_sent_where_it_stands() {
-    let mut b = Bench::new(of(Effect::Safe));
-    b.ready(3);
-    let at = b.sent(1, 9, 0);
-    b.done(1, 0, at, Outcome::Served);
+    let mut b = Harness::new(settings_with(Effect::Safe));
+    b.ready_workers(3);
+    let at = b.load_and_send(1, 9, 0);
+    b.end_attempt(1, 0, at, Outcome::Served);
     assert_eq!(
-        sent(&b.call(2, 9, 0, 5_000 * MS)),
+        sent_to(&b.arrive(2, 9, 0, 5_000 * MS)),
         Some(at),
         "a warm free lane is used"
     );
     assert_eq!(
-        sent(&b.call(3, 9, 0, 5_000 * MS)),
+        sent_to(&b.arrive(3, 9, 0, 5_000 * MS)),
         None,
         "with the lane taken the next one is held"
     );
     assert_eq!(
-        sent(&b.done(2, 0, at, Outcome::Served)),
+        sent_to(&b.end_attempt(2, 0, at, Outcome::Served)),
         Some(at),
         "the returning lane goes to the line"
     );
@@ -202,10 +203,10 @@
 
 #[test]
 fn held_calls_are_refused_before_their_own_budget_ends() {
-    let mut b = Bench::new(of(Effect::Unsafe));
-    b.ready(1);
-    b.call(1, 9, 0, 300 * MS);
-    let actions = b.wait(300 * MS);
+    let mut b = Harness::new(settings_with(Effect::Unsafe));
+    b.ready_workers(1);
+    b.arrive(1, 9, 0, 300 * MS);
+    let actions = b.advance(300 * MS);
     assert!(actions.contains(&Action::Refuse {
         request: RequestId(1),
         stay_away: 0
@@ -220,17 +221,17 @@
         Outcome::ConnectionLost,
         Outcome::Cancelled,
     ] {
-        let mut b = Bench::new(of(Effect::Unsafe));
-        b.ready(3);
-        let at = b.sent(1, 9, 0);
-        let actions = b.done(1, 0, at, o);
+        let mut b = Harness::new(settings_with(Effect::Unsafe));
+        b.ready_workers(3);
+        let at = b.load_and_send(1, 9, 0);
+        let actions = b.end_attempt(1, 0, at, o);
         assert!(
             actions.contains(&Action::Fail {
                 request: RequestId(1)
             }),
             "{o:?}: {actions:?}"
         );
-        assert_eq!(sent(&actions), None);
+        assert_eq!(sent_to(&actions), None);
     }
 }
 
@@ -242,37 +243,37 @@
         Outcome::NotLoaded,
         Outcome::NotSent,
     ] {
-        let mut b = Bench::new(of(Effect::Unsafe));
-        b.ready(3);
-        let at = b.sent(1, 9, 0);
-        let mut actions = b.done(1, 0, at, o);
+        let mut b = Harness::new(settings_with(Effect::Unsafe));
+        b.ready_workers(3);
+        let at = b.load_and_send(1, 9, 0);
+        let mut actions = b.end_attempt(1, 0, at, o);
         assert!(
             !actions.contains(&Action::Fail {
                 request: RequestId(1)
             }),
             "{o:?}"
         );
-        if let Some(w) = ordered(&actions) {
-            actions = b.loaded(w, 9, Outcome::Served);
+        if let Some(w) = requested_load(&actions) {
+            actions = b.end_load(w, 9, Outcome::Served);
         }
-        actions.extend(b.wait(1_000 * MS));
-        assert!(sent(&actions).is_some(), "{o:?}");
+        actions.extend(b.advance(1_000 * MS));
+        assert!(sent_to(&actions).is_some(), "{o:?}");
     }
 }
 
 #[test]
 fn a_draining_gone_or_omitted_worker_gets_nothing_new() {
     for how in 0..3 {
-        let mut b = Bench::new(of(Effect::Safe));
-        b.ready(1);
-        let at = b.sent(1, 9, 0);
-        b.done(1, 0, at, Outcome::Served);
+        let mut b = Harness::new(settings_with(Effect::Safe));
+        b.ready_workers(1);
+        let at = b.load_and_send(1, 9, 0);
+        b.end_attempt(1, 0, at, Outcome::Served);
         let entries = match how {
             0 => vec![worker(1, WorkerState::Draining, None)],
             1 => vec![worker(1, WorkerState::Gone, None)],
             _ => Vec::new(),
         };
-        b.list(
+        b.worker_list(
             if how == 2 {
                 ListKind::Full
             } else {
@@ -280,13 +281,17 @@
             },
             entries,
         );
-        let mut actions = b.call(2, 9, 0, 2_000 * MS);
-        actions.extend(b.call(3, 10, 0, 2_000 * MS));
-        actions.extend(b.wait(2_000 * MS));
-        assert_eq!((sent(&actions), ordered(&actions)), (None, None), "{how}");
-        b.list(ListKind::Changes, vec![worker(1, WorkerState::Ready, None)]);
+        let mut actions = b.arrive(2, 9, 0, 2_000 * MS);
+        actions.extend(b.arrive(3, 10, 0, 2_000 * MS));
+        actions.extend(b.advance(2_000 * MS));
         assert_eq!(
-            ordered(&b.call(4, 11, 0, 2_000 * MS)),
+            (sent_to(&actions), requested_load(&actions)),
+            (None, None),
+            "{how}"
+        );
+        b.worker_list(ListKind::Changes, vec![worker(1, WorkerState::Ready, None)]);
+        assert_eq!(
+            requested_load(&b.arrive(4, 11, 0, 2_000 * MS)),
             Some(WorkerId(1)),
             "back under the same id"
         );
@@ -302,24 +307,24 @@
             me,
             may_order: false,
             max_attempts: 1,
-            ..of(Effect::Safe)
+            ..settings_with(Effect::Safe)
         };
-        let mut b = Bench::new(set);
+        let mut b = Harness::new(set);
         b.now = Time(1_000 * MS);
-        b.list(
+        b.worker_list(
             ListKind::Full,
             vec![worker(1, WorkerState::Ready, Some(b.now))],
         );
         for request in 0..for_seconds as u64 * 5 {
-            let mut actions = b.call(request, 20 + request, 0, 600 * MS);
-            actions.extend(b.wait(200 * MS));
+            let mut actions = b.arrive(request, 20 + request, 0, 600 * MS);
+            actions.extend(b.advance(200 * MS));
             for a in actions {
                 if let Action::Send {
                     request, worker, ..
                 } = a
                 {
                     sends += 1;
-                    b.done(request.0, 0, worker, Outcome::NotLoaded);
+                    b.end_attempt(request.0, 0, worker, Outcome::NotLoaded);
                 }
             }
         }
@@ -348,20 +353,20 @@
 
 #[test]
 fn a_restarted_worker_is_taken_as_empty() {
-    let mut b = Bench::new(Settings {
+    let mut b = Harness::new(Settings {
         siblings: 3,
-        ..of(Effect::Safe)
+        ..settings_with(Effect::Safe)
     });
-    b.ready(1);
-    let at = b.sent(1, 9, 0);
-    b.done(1, 0, at, Outcome::Served);
+    b.ready_workers(1);
+    let at = b.load_and_send(1, 9, 0);
+    b.end_attempt(1, 0, at, Outcome::Served);
     b.now = b.now.plus(1_000 * MS);
-    b.list(
+    b.worker_list(
         ListKind::Changes,
         vec![worker(1, WorkerState::Ready, Some(b.now))],
     );
     b.now = b.now.plus(20_000 * MS);
-    assert_eq!(sent(&b.call(2, 9, 0, 5_000 * MS)), None);
+    assert_eq!(sent_to(&b.arrive(2, 9, 0, 5_000 * MS)), None);
 }
 
 #[test]
@@ -371,18 +376,18 @@
         part: 0.25,
         period: 5_000 * MS,
     });
-    let mut b = Bench::new(Settings {
+    let mut b = Harness::new(Settings {
         ration,
-        ..of(Effect::Safe)
+        ..settings_with(Effect::Safe)
     });
-    b.ready(8);
+    b.ready_workers(8);
     let mut orders = 0;
     for i in 0..40 {
         b.now = b.now.plus(10 * MS);
-        let actions = b.call(i, 100 + i, 0, 5_000 * MS);
-        if let Some(w) = ordered(&actions) {
+        let actions = b.arrive(i, 100 + i, 0, 5_000 * MS);
+        if let Some(w) = requested_load(&actions) {
             orders += 1;
-            b.loaded(w, 100 + i, Outcome::Served);
+            b.end_load(w, 100 + i, Outcome::Served);
         }
         assert!(orders as f64 <= 2.0 + 0.25 * (i + 1) as f64);
     }
@@ -406,10 +411,10 @@
 #[test]
 fn a_call_without_time_left_is_answered_in_the_same_breath() {
     for effect in [Effect::Safe, Effect::Unsafe] {
-        let mut b = Bench::new(of(effect));
-        b.ready(1);
+        let mut b = Harness::new(settings_with(effect));
+        b.ready_workers(1);
         for (i, budget) in [0, 3 * MS, -5].into_iter().enumerate() {
-            let actions = b.call(i as u64, 9, 0, budget);
+            let actions = b.arrive(i as u64, 9, 0, budget);
             let request = RequestId(i as u64);
             assert!(
                 actions.contains(&Action::Refuse {
@@ -425,13 +430,13 @@
 /// Incident i7100b7: after a stall of our own, no worker is blamed for the silence.
 #[test]
 fn a_stall_of_our_own_blames_no_worker() {
-    let mut b = Bench::new(of(Effect::Safe));
-    b.ready(2);
-    let at = b.sent(1, 9, 0);
-    b.done(1, 0, at, Outcome::Served);
-    b.call(2, 9, 0, 5_000 * MS);
+    let mut b = Harness::new(settings_with(Effect::Safe));
+    b.ready_workers(2);
+    let at = b.load_and_send(1, 9, 0);
+    b.end_attempt(1, 0, at, Outcome::Served);
+    b.arrive(2, 9, 0, 5_000 * MS);
     b.now = b.now.plus(3_000 * MS);
-    let actions = b.tell(Event::Timer { token: 0 });
+    let actions = b.handle(Event::Timer { token: 0 });
     assert!(
         !actions.iter().any(|a| matches!(a, Action::Cancel { .. })),
         "{actions:?}"
@@ -441,14 +446,17 @@
 /// Incident i808d55: one place keeps silent while its worker answers for other functions.
 #[test]
 fn a_silent_place_rests_and_another_is_loaded() {
-    let mut b = Bench::new(of(Effect::Safe));
-    b.ready(3);
-    let at = b.sent(1, 9, 0);
-    b.done(1, 0, at, Outcome::Served);
-    assert_eq!(sent(&b.call(2, 9, 0, 3_000 * MS)), Some(at));
-    let actions = b.done(2, 0, at, Outcome::TimedOut);
-    assert_eq!(sent(&actions), None, "nothing goes back to it at once");
-    assert!(ordered(&actions).is_some_and(|w| w != at), "{actions:?}");
+    let mut b = Harness::new(settings_with(Effect::Safe));
+    b.ready_workers(3);
+    let at = b.load_and_send(1, 9, 0);
+    b.end_attempt(1, 0, at, Outcome::Served);
+    assert_eq!(sent_to(&b.arrive(2, 9, 0, 3_000 * MS)), Some(at));
+    let actions = b.end_attempt(2, 0, at, Outcome::TimedOut);
+    assert_eq!(sent_to(&actions), None, "nothing goes back to it at once");
+    assert!(
+        requested_load(&actions).is_some_and(|w| w != at),
+        "{actions:?}"
+    );
 }
 
 /// Full size (quiet and i1431d9): by own count a lane is always free, so every front end sends to the one place that
@@ -457,29 +465,29 @@
 fn a_busy_function_is_spread_over_several_homes_and_front_ends_begin_at_different_ones() {
     let mut firsts = std::collections::BTreeSet::new();
     for me in 0..12 {
-        let mut b = Bench::new(Settings {
+        let mut b = Harness::new(Settings {
             siblings: 100,
             me,
-            ..of(Effect::Safe)
+            ..settings_with(Effect::Safe)
         });
-        b.ready(10);
+        b.ready_workers(10);
         let mut used = std::collections::BTreeSet::new();
         for i in 0..20 {
-            let mut actions = b.call(i, 9, 0, 2_000 * MS);
+            let mut actions = b.arrive(i, 9, 0, 2_000 * MS);
             for _ in 0..8 {
                 let load = actions.iter().find_map(|a| match a {
                     Action::Load { worker, .. } => Some(*worker),
                     _ => None,
                 });
-                if let Some(at) = sent(&actions) {
+                if let Some(at) = sent_to(&actions) {
                     used.insert(at);
                     firsts.extend((used.len() == 2).then_some(at));
-                    b.done(i, 0, at, Outcome::Served);
+                    b.end_attempt(i, 0, at, Outcome::Served);
                 }
                 let Some(at) = load else { break };
-                actions = b.loaded(at, 9, Outcome::Served);
+                actions = b.end_load(at, 9, Outcome::Served);
             }
-            b.wait(500 * MS);
+            b.advance(500 * MS);
         }
         assert!(used.len() >= 4, "front end {me} used {used:?}");
     }
@@ -487,18 +495,18 @@
 }
 
 /// A fleet at full size in which a call that finds nothing loaded says so.
-fn of_a_hundred(me: usize) -> Settings {
+fn one_of_a_hundred(me: usize) -> Settings {
     Settings {
         siblings: 100,
         me,
         when_absent: WhenAbsent::Miss,
         tells_crowd: true,
-        ..of(Effect::Safe)
+        ..settings_with(Effect::Safe)
     }
 }
 
 /// An answer to the only attempt of a call, with the calls of its function that the worker held.
-fn crowded(b: &mut Bench, request: u64, worker: WorkerId, crowd: u32) -> Vec<Action> {
+fn served_among(b: &mut Harness, request: u64, worker: WorkerId, crowd: u32) -> Vec<Action> {
     b.served_with(RequestId(request), worker, 100 * MS, Some(crowd), None)
 }
 
@@ -507,24 +515,24 @@
 #[test]
 fn loads_after_a_release_are_few_over_all_front_ends_and_standing_instances_are_found_by_the_call()
 {
-    let mut b = Bench::new(of_a_hundred(0));
-    b.ready(10);
+    let mut b = Harness::new(one_of_a_hundred(0));
+    b.ready_workers(10);
     let (mut orders, mut found) = (0, 0);
     for i in 0..40 {
-        let actions = b.call(i, 100 + i, 0, 2_000 * MS);
+        let actions = b.arrive(i, 100 + i, 0, 2_000 * MS);
         assert_eq!(
-            ordered(&actions),
+            requested_load(&actions),
             None,
             "loaded before a call found it missing"
         );
-        let at = sent(&actions).expect("presumed at its home");
+        let at = sent_to(&actions).expect("presumed at its home");
         if i % 2 == 0 {
-            orders += ordered(&b.done(i, 0, at, Outcome::NotLoaded)).is_some() as u32;
+            orders += requested_load(&b.end_attempt(i, 0, at, Outcome::NotLoaded)).is_some() as u32;
         } else {
             found += 1;
-            b.done(i, 0, at, Outcome::Served);
+            b.end_attempt(i, 0, at, Outcome::Served);
         }
-        b.wait(50 * MS);
+        b.advance(50 * MS);
     }
     assert!(
         (1..=2).contains(&orders) && found == 20,
@@ -535,14 +543,14 @@
 /// Where a miss would load, a call must not go and see: what siblings had loaded is asked for, at no load.
 #[test]
 fn where_a_miss_would_load_standing_instances_are_found_by_asking() {
-    let mut b = Bench::new(Settings {
+    let mut b = Harness::new(Settings {
         siblings: 100,
-        ..of(Effect::Safe)
+        ..settings_with(Effect::Safe)
     });
-    b.ready(10);
+    b.ready_workers(10);
     let (mut orders, mut asked) = (0, 0);
     for i in 0..40 {
-        for a in b.call(i, 100 + i, 0, 2_000 * MS) {
+        for a in b.arrive(i, 100 + i, 0, 2_000 * MS) {
             match a {
                 Action::Load {
                     instances: 0,
@@ -550,15 +558,15 @@
                     ..
                 } => {
                     asked += 1;
-                    let found = b.loaded(worker, 100 + i, Outcome::Served);
-                    assert_eq!(sent(&found), Some(worker), "a sibling had it loaded");
-                    b.done(i, 0, worker, Outcome::Served);
+                    let found = b.end_load(worker, 100 + i, Outcome::Served);
+                    assert_eq!(sent_to(&found), Some(worker), "a sibling had it loaded");
+                    b.end_attempt(i, 0, worker, Outcome::Served);
                 }
                 Action::Load { .. } => orders += 1,
                 a => panic!("{a:?} before anything is known to stand"),
             }
         }
-        b.wait(50 * MS);
+        b.advance(50 * MS);
     }
     assert!(
         (1..=2).contains(&orders) && asked > 30,
@@ -571,9 +579,9 @@
 fn front_ends_presume_a_quiet_function_at_the_same_places() {
     let mut firsts = std::collections::BTreeSet::new();
     for me in 0..20 {
-        let mut b = Bench::new(of_a_hundred(me));
-        b.ready(30);
-        firsts.extend(sent(&b.call(1, 9, 0, 2_000 * MS)));
+        let mut b = Harness::new(one_of_a_hundred(me));
+        b.ready_workers(30);
+        firsts.extend(sent_to(&b.arrive(1, 9, 0, 2_000 * MS)));
     }
     assert!(firsts.len() <= 2, "{firsts:?}");
 }
@@ -582,14 +590,14 @@
 #[test]
 fn a_function_goes_to_more_places_as_answers_tell_of_a_crowd_and_not_without() {
     let places = |crowd: u32| {
-        let mut b = Bench::new(of_a_hundred(3));
-        b.ready(10);
+        let mut b = Harness::new(one_of_a_hundred(3));
+        b.ready_workers(10);
         let mut used = std::collections::BTreeSet::new();
         for i in 0..30 {
-            let at = sent(&b.call(i, 9, 0, 2_000 * MS)).expect("presumed");
+            let at = sent_to(&b.arrive(i, 9, 0, 2_000 * MS)).expect("presumed");
             used.insert(at);
-            crowded(&mut b, i, at, crowd);
-            b.wait(200 * MS);
+            served_among(&mut b, i, at, crowd);
+            b.advance(200 * MS);
         }
         used.len()
     };
@@ -603,19 +611,19 @@
 /// What found nothing at the presumed places ends as a held call with a load, and never uses its last attempts so.
 #[test]
 fn a_call_that_misses_is_held_for_a_load_with_attempts_to_spare() {
-    let mut b = Bench::new(of_a_hundred(0));
-    b.ready(10);
+    let mut b = Harness::new(one_of_a_hundred(0));
+    b.ready_workers(10);
     // A busy function with many places, all of them unloaded since.
     for i in 10..40 {
-        let at = sent(&b.call(i, 9, 0, 2_000 * MS)).expect("presumed");
-        crowded(&mut b, i, at, 20);
+        let at = sent_to(&b.arrive(i, 9, 0, 2_000 * MS)).expect("presumed");
+        served_among(&mut b, i, at, 20);
     }
-    b.wait(15 * SECOND);
+    b.advance(15 * SECOND);
     let (mut attempt, mut load) = (0, None);
-    let mut actions = b.call(1, 9, 0, 3_000 * MS);
-    while let Some(at) = sent(&actions) {
-        actions = b.done(1, attempt, at, Outcome::NotLoaded);
-        load = load.or(ordered(&actions));
+    let mut actions = b.arrive(1, 9, 0, 3_000 * MS);
+    while let Some(at) = sent_to(&actions) {
+        actions = b.end_attempt(1, attempt, at, Outcome::NotLoaded);
+        load = load.or(requested_load(&actions));
         attempt += 1;
     }
     assert!(
@@ -623,36 +631,38 @@
         "{attempt} attempts of four spent on presuming"
     );
     let at = load
-        .or_else(|| ordered(&b.wait(1_000 * MS)))
+        .or_else(|| requested_load(&b.advance(1_000 * MS)))
         .expect("a load");
-    assert_eq!(sent(&b.loaded(at, 9, Outcome::Served)), Some(at));
+    assert_eq!(sent_to(&b.end_load(at, 9, Outcome::Served)), Some(at));
 }
 
 /// Rolling change at full size: the place of a function is at a worker that started just now and has no credit for
 /// a call. It is not waited for; another place is loaded.
 #[test]
 fn a_cold_place_without_credit_is_not_waited_for() {
-    let mut set = of(Effect::Safe);
+    let mut set = settings_with(Effect::Safe);
     set.when_absent = WhenAbsent::Miss;
     (set.warm_up, set.siblings) = (60 * SECOND, 6);
-    let mut b = Bench::new(set);
-    b.ready(1);
-    let at = sent(&b.call(1, 9, 0, 5_000 * MS)).expect("presumed");
-    b.done(1, 0, at, Outcome::Served);
-    b.wait(1_000 * MS);
+    let mut b = Harness::new(set);
+    b.ready_workers(1);
+    let at = sent_to(&b.arrive(1, 9, 0, 5_000 * MS)).expect("presumed");
+    b.end_attempt(1, 0, at, Outcome::Served);
+    b.advance(1_000 * MS);
     let entries = vec![
         worker(1, WorkerState::Ready, Some(b.now)),
         worker(2, WorkerState::Ready, None),
     ];
-    b.list(ListKind::Full, entries);
+    b.worker_list(ListKind::Full, entries);
     // Until its credit is used up the cold one takes calls; then they go to the other one.
     let mut to = [0, 0];
     for i in 2..40 {
-        let mut actions = b.call(i, 9, 0, 400 * MS);
-        actions.extend(b.wait(20 * MS));
+        let mut actions = b.arrive(i, 9, 0, 400 * MS);
+        actions.extend(b.advance(20 * MS));
         while let Some(a) = actions.pop() {
             match a {
-                Action::Load { worker, .. } => actions.extend(b.loaded(worker, 9, Outcome::Served)),
+                Action::Load { worker, .. } => {
+                    actions.extend(b.end_load(worker, 9, Outcome::Served))
+                }
                 Action::Send {
                     request, worker, ..
                 } => {
@@ -670,10 +680,10 @@
 #[test]
 fn cold_workers_are_given_by_what_workers_could_carry() {
     let to_cold = |busy: f64| {
-        let mut set = of(Effect::Safe);
+        let mut set = settings_with(Effect::Safe);
         (set.warm_up, set.siblings) = (600 * SECOND, 2);
-        let mut b = Bench::new(set);
-        b.ready(2);
+        let mut b = Harness::new(set);
+        b.ready_workers(2);
         let report = Some(LoadReport {
             busy: Some(busy),
             ..LoadReport::default()
@@ -686,11 +696,11 @@
                     .map(|n| worker(n, WorkerState::Ready, None))
                     .collect();
                 entries.push(worker(3, WorkerState::Ready, Some(b.now)));
-                b.list(ListKind::Full, entries);
+                b.worker_list(ListKind::Full, entries);
             }
-            let mut actions = b.call(i, i / 2_000 * 100 + i % 40, 0, 2_000 * MS);
+            let mut actions = b.arrive(i, i / 2_000 * 100 + i % 40, 0, 2_000 * MS);
             b.now = b.now.plus(10 * MS);
-            actions.extend(b.tell(Event::Timer { token: 0 }));
+            actions.extend(b.handle(Event::Timer { token: 0 }));
             while out.front().is_some_and(|(at, ..)| *at <= b.now) {
                 let (_, request, worker) = out.pop_front().expect("one is due");
                 actions.extend(b.served_with(request, worker, 100 * MS, None, report));
@@ -699,7 +709,7 @@
                 match a {
                     Action::Load {
                         worker, function, ..
-                    } => actions.extend(b.loaded(worker, function.0, Outcome::Served)),
+                    } => actions.extend(b.end_load(worker, function.0, Outcome::Served)),
                     Action::Send {
                         request, worker, ..
                     } => {
@@ -722,18 +732,20 @@
 /// Slow answers at full size (ageing, few cores, a jam): a worker whose answers come late gets fewer calls.
 #[test]
 fn a_worker_that_answers_slowly_gets_less() {
-    let mut b = Bench::new(Settings {
+    let mut b = Harness::new(Settings {
         siblings: 3,
-        ..of(Effect::Safe)
+        ..settings_with(Effect::Safe)
     });
-    b.ready(2);
+    b.ready_workers(2);
     let mut sends = [0, 0];
     for i in 0..120u64 {
-        let mut actions = b.call(i, 9, 0, 4_000 * MS);
+        let mut actions = b.arrive(i, 9, 0, 4_000 * MS);
         b.now = b.now.plus(50 * MS);
         while let Some(a) = actions.pop() {
             match a {
-                Action::Load { worker, .. } => actions.extend(b.loaded(worker, 9, Outcome::Served)),
+                Action::Load { worker, .. } => {
+                    actions.extend(b.end_load(worker, 9, Outcome::Served))
+                }
                 Action::Send {
                     request, worker, ..
                 } => {
@@ -752,32 +764,32 @@
 /// minutes is as new when it returns, and one that the list forgot takes nothing.
 #[test]
 fn a_worker_gone_for_minutes_is_as_new_when_it_returns() {
-    let mut b = Bench::new(of(Effect::Safe));
-    b.ready(1);
-    let at = b.sent(1, 9, 0);
-    b.done(1, 0, at, Outcome::Served);
-    b.list(ListKind::Changes, vec![worker(1, WorkerState::Gone, None)]);
-    b.wait(120_000 * MS);
-    b.done(1, 0, at, Outcome::TimedOut);
-    assert_eq!(ordered(&b.call(2, 9, 0, 1_000 * MS)), None);
-    b.list(ListKind::Changes, vec![worker(1, WorkerState::Ready, None)]);
-    assert_eq!(ordered(&b.call(3, 9, 0, 1_000 * MS)), Some(at));
+    let mut b = Harness::new(settings_with(Effect::Safe));
+    b.ready_workers(1);
+    let at = b.load_and_send(1, 9, 0);
+    b.end_attempt(1, 0, at, Outcome::Served);
+    b.worker_list(ListKind::Changes, vec![worker(1, WorkerState::Gone, None)]);
+    b.advance(120_000 * MS);
+    b.end_attempt(1, 0, at, Outcome::TimedOut);
+    assert_eq!(requested_load(&b.arrive(2, 9, 0, 1_000 * MS)), None);
+    b.worker_list(ListKind::Changes, vec![worker(1, WorkerState::Ready, None)]);
+    assert_eq!(requested_load(&b.arrive(3, 9, 0, 1_000 * MS)), Some(at));
 }
 
 /// A lost zone of many workers: without pacing each suspect costs probes on its own clock. All tests together are
 /// paced, and each suspect still gets its turn.
 #[test]
 fn many_suspects_are_tested_in_turn_and_not_all_at_once() {
-    let mut b = Bench::new(Settings {
+    let mut b = Harness::new(Settings {
         may_probe: true,
-        ..of(Effect::Safe)
+        ..settings_with(Effect::Safe)
     });
-    b.ready(30);
+    b.ready_workers(30);
     let mut lost = std::collections::BTreeSet::new();
     for i in 0..400 {
-        if let Some(at) = ordered(&b.call(i, 100 + i, 0, 300 * MS)) {
-            if sent(&b.loaded(at, 100 + i, Outcome::Served)).is_some() {
-                b.done(i, 0, at, Outcome::ConnectFailed);
+        if let Some(at) = requested_load(&b.arrive(i, 100 + i, 0, 300 * MS)) {
+            if sent_to(&b.end_load(at, 100 + i, Outcome::Served)).is_some() {
+                b.end_attempt(i, 0, at, Outcome::ConnectFailed);
                 lost.insert(at);
             }
         }
@@ -793,15 +805,15 @@
         };
         actions.iter().filter_map(probe).collect()
     };
-    b.wait(1_000 * MS);
-    let first = probed(&b.wait(5_000 * MS));
+    b.advance(1_000 * MS);
+    let first = probed(&b.advance(5_000 * MS));
     assert!(
         (8..=16).contains(&first.len()),
         "{} probes in 5 s",
         first.len()
     );
     let all: std::collections::BTreeSet<WorkerId> =
-        probed(&b.wait(30_000 * MS)).into_iter().collect();
+        probed(&b.advance(30_000 * MS)).into_iter().collect();
     assert!(
         lost.is_subset(&all),
         "{} of {} tested",
@@ -819,23 +831,23 @@
         (0, 1_000_000),
         (usize::MAX, usize::MAX),
     ] {
-        let mut b = Bench::new(Settings {
+        let mut b = Harness::new(Settings {
             me,
             siblings,
             zone: 99,
-            ..of(Effect::Safe)
+            ..settings_with(Effect::Safe)
         });
-        b.list(ListKind::Full, Vec::new());
-        b.call(1, 9, 0, 500 * MS);
-        b.list(
+        b.worker_list(ListKind::Full, Vec::new());
+        b.arrive(1, 9, 0, 500 * MS);
+        b.worker_list(
             ListKind::Full,
             vec![
                 worker(1, WorkerState::Ready, Some(b.now)),
                 worker(2, WorkerState::Ready, None),
             ],
         );
-        let mut actions = b.call(2, 9, 0, 30_000 * MS);
-        actions.extend(b.wait(30_000 * MS));
+        let mut actions = b.arrive(2, 9, 0, 30_000 * MS);
+        actions.extend(b.advance(30_000 * MS));
         let asked = actions.iter().any(|a| matches!(a, Action::Load { .. }));
         assert!(asked, "{me} of {siblings}: {actions:?}");
     }
@@ -848,19 +860,19 @@
         (Group::Cell, 4_000, false),
         (Group::All, 600, true),
     ] {
-        let mut b = Bench::new(of(Effect::Keyed {
+        let mut b = Harness::new(settings_with(Effect::Keyed {
             group,
             window: window * MS,
         }));
-        b.ready(4);
-        let first = b.sent(1, 9, 0);
+        b.ready_workers(4);
+        let first = b.load_and_send(1, 9, 0);
         b.now = b.now.plus(if late { 300 * MS } else { 10 * MS });
-        let mut actions = b.done(1, 0, first, Outcome::ConnectionLost);
+        let mut actions = b.end_attempt(1, 0, first, Outcome::ConnectionLost);
         for _ in 0..60 {
-            if let Some(w) = ordered(&actions) {
-                actions = b.loaded(w, 9, Outcome::Served);
+            if let Some(w) = requested_load(&actions) {
+                actions = b.end_load(w, 9, Outcome::Served);
             }
-            if let Some(w) = sent(&actions) {
+            if let Some(w) = sent_to(&actions) {
                 assert!(!late, "out of its window");
                 assert!(
                     w == first || group == Group::Zone && w.0 % 2 == first.0 % 2,
@@ -869,7 +881,7 @@
                 break;
             }
             b.now = b.now.plus(50 * MS);
-            actions = b.tell(Event::Timer { token: 0 });
+            actions = b.handle(Event::Timer { token: 0 });
         }
         let refused = actions.iter().any(|a| matches!(a, Action::Refuse { .. }));
         assert!(
@@ -882,12 +894,12 @@
 #[test]
 fn an_unsafe_call_is_never_taken_back_from_a_silent_worker() {
     for (effect, cancels) in [(Effect::Safe, true), (Effect::Unsafe, false)] {
-        let mut b = Bench::new(of(effect));
-        b.ready(3);
-        let at = b.sent(1, 9, 0);
-        b.done(1, 0, at, Outcome::Served);
-        b.call(2, 9, 0, 5_000 * MS);
-        let actions = b.wait(4_000 * MS);
+        let mut b = Harness::new(settings_with(effect));
+        b.ready_workers(3);
+        let at = b.load_and_send(1, 9, 0);
+        b.end_attempt(1, 0, at, Outcome::Served);
+        b.arrive(2, 9, 0, 5_000 * MS);
+        let actions = b.advance(4_000 * MS);
         assert_eq!(
             actions.iter().any(|a| matches!(a, Action::Cancel { .. })),
             cancels,
@@ -898,13 +910,13 @@
 
 #[test]
 fn a_departed_client_is_owed_nothing() {
-    let mut b = Bench::new(of(Effect::Safe));
-    b.ready(1);
-    b.call(1, 9, 0, 500 * MS);
-    b.tell(Event::Departed {
+    let mut b = Harness::new(settings_with(Effect::Safe));
+    b.ready_workers(1);
+    b.arrive(1, 9, 0, 500 * MS);
+    b.handle(Event::Departed {
         request: RequestId(1),
     });
-    let actions = b.wait(1_000 * MS);
+    let actions = b.advance(1_000 * MS);
     assert!(
         !actions
             .iter()
@@ -915,15 +927,15 @@
 
 #[test]
 fn huge_and_odd_numbers_do_not_panic() {
-    let mut set = of(Effect::Safe);
+    let mut set = settings_with(Effect::Safe);
     set.classes[0].aim_stretch = 1e9;
-    let mut b = Bench::new(set);
-    b.ready(2);
+    let mut b = Harness::new(set);
+    b.ready_workers(2);
     for (i, (budget, hint)) in [(i64::MAX, i64::MAX), (i64::MIN, i64::MIN), (1, 0)]
         .into_iter()
         .enumerate()
     {
-        b.tell(Event::Arrival(Arrival {
+        b.handle(Event::Arrival(Arrival {
             request: RequestId(i as u64),
             function: FunctionId(1),
             class: 99,
@@ -935,11 +947,11 @@
             load_time: Some(i64::MAX),
             repeat: true,
         }));
-        b.loaded(WorkerId(1 + i as u64), 1, Outcome::Served);
+        b.end_load(WorkerId(1 + i as u64), 1, Outcome::Served);
     }
-    b.done(77, 3, WorkerId(99), Outcome::Served);
-    b.done(0, 0, WorkerId(1), Outcome::TimedOut);
-    b.wait(1_000 * MS);
+    b.end_attempt(77, 3, WorkerId(99), Outcome::Served);
+    b.end_attempt(0, 0, WorkerId(1), Outcome::TimedOut);
+    b.advance(1_000 * MS);
 }
 
 /// One worker, orders answered by `answer` as soon as they are given, calls likewise missed; counts the orders of
@@ -950,16 +962,16 @@
     functions: u64,
     answer: (Outcome, u32),
 ) -> usize {
-    let mut b = Bench::new(set);
-    b.ready(workers);
+    let mut b = Harness::new(set);
+    b.ready_workers(workers);
     let (mut orders, mut next) = (0, 0);
     let mut todo = std::collections::VecDeque::new();
     while b.now < Time(5_000 * MS) {
         for f in 0..functions {
             next += 1;
-            todo.extend(b.call(next, f, 0, 5_000 * MS));
+            todo.extend(b.arrive(next, f, 0, 5_000 * MS));
         }
-        todo.extend(b.tell(Event::Timer { token: 0 }));
+        todo.extend(b.handle(Event::Timer { token: 0 }));
         let mut steps = 0;
         while let Some(a) = todo.pop_front() {
             steps += 1;
@@ -973,7 +985,7 @@
                     orders += (wanted > 0) as usize;
                     let (outcome, instances) = answer;
                     let latency = 100;
-                    todo.extend(b.tell(Event::OrderDone {
+                    todo.extend(b.handle(Event::OrderDone {
                         worker,
                         function,
                         outcome,
@@ -995,7 +1007,7 @@
                         crowd: None,
                         report: None,
                     };
-                    todo.extend(b.tell(Event::AttemptDone(d)));
+                    todo.extend(b.handle(Event::AttemptDone(d)));
                 }
                 _ => {}
             }
@@ -1014,54 +1026,54 @@
         (Outcome::NotLoaded, 0),
     ] {
         // At one place: at once, once more, then after half a second to three quarters, twice that, four times.
-        let n = orders_in_five_seconds(of(Effect::Safe), 1, 1, answer);
+        let n = orders_in_five_seconds(settings_with(Effect::Safe), 1, 1, answer);
         assert!((3..=6).contains(&n), "{answer:?}: {n}");
-        let n = orders_in_five_seconds(of(Effect::Safe), 1, 40, answer);
+        let n = orders_in_five_seconds(settings_with(Effect::Safe), 1, 40, answer);
         assert!(
             (90..=102).contains(&n),
             "{answer:?}: {n} for many functions at one worker"
         );
-        let n = orders_in_five_seconds(of(Effect::Safe), 20, 40, answer);
+        let n = orders_in_five_seconds(settings_with(Effect::Safe), 20, 40, answer);
         // Those in hand before the first answer, two a worker, then the pace.
         assert!((60..=142).contains(&n), "{answer:?}: {n} at twenty workers");
     }
-    let n = orders_in_five_seconds(of(Effect::Safe), 1, 1, (Outcome::Served, 1));
+    let n = orders_in_five_seconds(settings_with(Effect::Safe), 1, 1, (Outcome::Served, 1));
     assert!((3..=6).contains(&n), "told done and missed: {n}");
 }
 
 #[test]
 fn a_call_served_or_a_restart_clears_what_was_in_vain() {
     for restart in [false, true] {
-        let mut b = Bench::new(of(Effect::Safe));
-        b.ready(1);
-        let mut at = ordered(&b.call(1, 9, 0, 60_000 * MS)).expect("a load");
+        let mut b = Harness::new(settings_with(Effect::Safe));
+        b.ready_workers(1);
+        let mut at = requested_load(&b.arrive(1, 9, 0, 60_000 * MS)).expect("a load");
         for _ in 0..4 {
-            let mut next = b.loaded(at, 9, Outcome::Error);
-            while ordered(&next).is_none() {
-                next = b.wait(10 * MS);
+            let mut next = b.end_load(at, 9, Outcome::Error);
+            while requested_load(&next).is_none() {
+                next = b.advance(10 * MS);
             }
-            at = ordered(&next).unwrap();
+            at = requested_load(&next).unwrap();
         }
         let since = b.now;
         let next = if restart {
-            b.loaded(at, 9, Outcome::Error);
+            b.end_load(at, 9, Outcome::Error);
             let now = b.now;
-            b.list(
+            b.worker_list(
                 ListKind::Full,
                 vec![worker(1, WorkerState::Ready, Some(now))],
             );
-            b.wait(60 * MS)
+            b.advance(60 * MS)
         } else {
-            assert_eq!(sent(&b.loaded(at, 9, Outcome::Served)), Some(at));
-            b.done(1, 0, at, Outcome::Served);
+            assert_eq!(sent_to(&b.end_load(at, 9, Outcome::Served)), Some(at));
+            b.end_attempt(1, 0, at, Outcome::Served);
             // It lapses; the next order fails once, and is given again at once as after a first failure.
-            b.wait(20_000 * MS);
-            assert!(ordered(&b.call(2, 9, 0, 60_000 * MS)).is_some());
-            b.loaded(at, 9, Outcome::Error);
-            b.wait(600 * MS)
+            b.advance(20_000 * MS);
+            assert!(requested_load(&b.arrive(2, 9, 0, 60_000 * MS)).is_some());
+            b.end_load(at, 9, Outcome::Error);
+            b.advance(600 * MS)
         };
         assert!(
-            ordered(&next).is_some(),
+            requested_load(&next).is_some(),
             "restart {restart}, {} us on",
             b.now.since(since)
         );
@@ -1071,11 +1083,11 @@
 #[test]
 fn with_thousands_waiting_late_lost_and_repeated_calls_are_still_found_in_their_order() {
     // Calls with hints from light to heavy wait on one busy lane; some come back from a worker that is cut off.
-    let mut set = of(Effect::Safe);
+    let mut set = settings_with(Effect::Safe);
     set.classes[0].aim = 2 * SECOND;
     set.classes[0].deadline = 6 * SECOND;
-    let mut b = Bench::new(set);
-    b.ready(2);
+    let mut b = Harness::new(set);
+    b.ready_workers(2);
     let (mut ended, mut next) = (std::collections::BTreeMap::new(), 0u64);
     let mut began = std::collections::BTreeMap::new();
     let mut out: Vec<(RequestId, WorkerId, u32)> = Vec::new();
@@ -1087,7 +1099,7 @@
             for _ in 0..10 {
                 next += 1;
                 began.insert(RequestId(next), b.now);
-                actions.extend(b.tell(Event::Arrival(Arrival {
+                actions.extend(b.handle(Event::Arrival(Arrival {
                     request: RequestId(next),
                     function: FunctionId(next % 3),
                     class: 0,
@@ -1122,16 +1134,16 @@
                 crowd: None,
                 report: None,
             };
-            actions.extend(b.tell(Event::AttemptDone(d)));
+            actions.extend(b.handle(Event::AttemptDone(d)));
         }
         b.now = b.now.plus(10 * MS);
-        actions.extend(b.tell(Event::Timer { token: 0 }));
+        actions.extend(b.handle(Event::Timer { token: 0 }));
         while let Some(a) = actions.pop() {
             match a {
                 Action::Load {
                     worker, function, ..
                 } => {
-                    actions.extend(b.loaded(worker, function.0, Outcome::Served));
+                    actions.extend(b.end_load(worker, function.0, Outcome::Served));
                 }
                 Action::Send {
                     request, worker, ..
@@ -1161,7 +1173,7 @@
 #[test]
 fn a_held_call_ends_when_it_can_no_longer_be_of_use_and_not_at_its_deadline() {
     // Too late for any worth, behind calls whose aims are further off.
-    let mut set = of(Effect::Safe);
+    let mut set = settings_with(Effect::Safe);
     (
         set.classes[0].late_worth,
         set.classes[0].aim,
@@ -1171,21 +1183,21 @@
         aim: 20 * SECOND,
         ..set.classes[0].clone()
     });
-    let mut b = Bench::new(set);
-    b.ready(1);
+    let mut b = Harness::new(set);
+    b.ready_workers(1);
     for n in 2..200 {
-        b.call(n, 9, 1, 30_000 * MS);
+        b.arrive(n, 9, 1, 30_000 * MS);
     }
-    b.call(1, 9, 0, 30_000 * MS);
+    b.arrive(1, 9, 0, 30_000 * MS);
     let refused = Action::Refuse {
         request: RequestId(1),
         stay_away: 0,
     };
     assert!(
-        !b.wait(500 * MS).contains(&refused),
+        !b.advance(500 * MS).contains(&refused),
         "half of its aim is left"
     );
-    let actions = b.wait(500 * MS);
+    let actions = b.advance(500 * MS);
     assert_eq!(
         actions
             .iter()
@@ -1195,25 +1207,25 @@
     );
 
     // Sent once, and from a moment on not to be sent again, with its aim far off.
-    let mut set = of(Effect::Keyed {
+    let mut set = settings_with(Effect::Keyed {
         group: Group::Zone,
         window: 3 * SECOND,
     });
     (set.classes[0].aim, set.classes[0].deadline) = (5 * SECOND, 60 * SECOND);
-    let mut b = Bench::new(set);
-    b.ready(1);
-    let at = b.sent(1, 9, 0);
-    b.call(2, 9, 0, 60_000 * MS);
-    b.done(1, 0, at, Outcome::ConnectionLost);
+    let mut b = Harness::new(set);
+    b.ready_workers(1);
+    let at = b.load_and_send(1, 9, 0);
+    b.arrive(2, 9, 0, 60_000 * MS);
+    b.end_attempt(1, 0, at, Outcome::ConnectionLost);
     let failed = Action::Fail {
         request: RequestId(1),
     };
     assert!(
-        !b.wait(2_000 * MS).contains(&failed),
+        !b.advance(2_000 * MS).contains(&failed),
         "it may be sent again yet"
     );
     assert!(
-        b.wait(600 * MS).contains(&failed),
+        b.advance(600 * MS).contains(&failed),
         "its window, less two connect time-outs, is over"
     );
 }
@@ -1221,25 +1233,25 @@
 #[test]
 fn with_very_many_functions_waiting_each_is_looked_over_in_its_turn() {
     let (workers, functions) = (300, 600);
-    let mut b = Bench::new(of(Effect::Safe));
-    b.ready(workers);
+    let mut b = Harness::new(settings_with(Effect::Safe));
+    b.ready_workers(workers);
     let none = (1..=workers)
         .map(|i| worker(i, WorkerState::Draining, None))
         .collect();
-    b.list(ListKind::Full, none);
+    b.worker_list(ListKind::Full, none);
     for f in 0..functions {
         assert_eq!(
-            ordered(&b.call(f + 1, f, 0, 60_000 * MS)),
+            requested_load(&b.arrive(f + 1, f, 0, 60_000 * MS)),
             None,
             "no worker to load it"
         );
     }
     // Once there are workers again, only a look can find that a function may be loaded.
-    b.ready(workers);
+    b.ready_workers(workers);
     let (mut looked, mut most) = (std::collections::BTreeSet::new(), 0);
     for _ in 0..12 {
         let before = looked.len();
-        looked.extend(b.wait(20 * MS).iter().filter_map(|a| match a {
+        looked.extend(b.advance(20 * MS).iter().filter_map(|a| match a {
             Action::Load { function, .. } => Some(*function),
             _ => None,
         }));
@@ -1261,19 +1273,19 @@
     let set = Settings {
         list_pushed: false,
         ask_within: SECOND,
-        ..of(Effect::Safe)
+        ..settings_with(Effect::Safe)
     };
-    let mut b = Bench::new(set);
-    b.ready(1);
+    let mut b = Harness::new(set);
+    b.ready_workers(1);
     let (mut asked, mut todo) = (0, Vec::new());
     while b.now < Time(5_000 * MS) {
         b.now = b.now.plus(10 * MS);
-        todo.extend(b.tell(Event::Timer { token: 0 }));
+        todo.extend(b.handle(Event::Timer { token: 0 }));
         while let Some(a) = todo.pop() {
             if matches!(a, Action::Subscribe | Action::FetchList) {
                 asked += 1;
                 assert!(asked < 1_000, "asked at the loop's speed");
-                todo.extend(b.list(ListKind::Failed, Vec::new()));
+                todo.extend(b.worker_list(ListKind::Failed, Vec::new()));
             }
         }
     }
@@ -1281,7 +1293,7 @@
     assert!((5..=20).contains(&asked), "{asked} in 5 s");
 }
 
-fn asked(actions: &[Action]) -> Option<WorkerId> {
+fn asked_worker(actions: &[Action]) -> Option<WorkerId> {
     actions.iter().find_map(|a| match a {
         Action::Load {
             worker,
@@ -1293,50 +1305,50 @@
 }
 
 /// One worker with one function that has served at 100 ms.
-fn served_once() -> (Bench, WorkerId) {
-    let mut b = Bench::new(of(Effect::Safe));
+fn served_once() -> (Harness, WorkerId) {
+    let mut b = Harness::new(settings_with(Effect::Safe));
     b.now = Time(10 * SECOND);
-    b.ready(1);
-    let at = b.sent(1, 9, 0);
+    b.ready_workers(1);
+    let at = b.load_and_send(1, 9, 0);
     b.now = b.now.plus(100 * MS);
-    b.done(1, 0, at, Outcome::Served);
+    b.end_attempt(1, 0, at, Outcome::Served);
     (b, at)
 }
 
 /// Answers the next ask for a worker's instances, as one that stands.
-fn answered(b: &mut Bench, at: WorkerId) -> Vec<Action> {
-    let asks = (0..200).any(|_| asked(&b.wait(10 * MS)) == Some(at));
+fn answer_next(b: &mut Harness, at: WorkerId) -> Vec<Action> {
+    let asks = (0..200).any(|_| asked_worker(&b.advance(10 * MS)) == Some(at));
     assert!(asks, "a suspect that is never asked");
-    b.loaded(at, 9, Outcome::Served)
+    b.end_load(at, 9, Outcome::Served)
 }
 
 #[test]
 fn a_trial_of_a_suspect_has_the_time_that_an_answer_takes() {
     let (mut b, at) = served_once();
     // Silence: a call is taken back, and the worker gets no further one.
-    assert_eq!(sent(&b.call(2, 9, 0, 5_000 * MS)), Some(at));
+    assert_eq!(sent_to(&b.arrive(2, 9, 0, 5_000 * MS)), Some(at));
     let taken_back =
         |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
-    assert!(taken_back(&b.wait(3_000 * MS)));
-    b.done(2, 0, at, Outcome::Cancelled);
-    assert_eq!(sent(&b.call(3, 9, 0, 400 * MS)), None);
-    b.wait(400 * MS);
+    assert!(taken_back(&b.advance(3_000 * MS)));
+    b.end_attempt(2, 0, at, Outcome::Cancelled);
+    assert_eq!(sent_to(&b.arrive(3, 9, 0, 400 * MS)), None);
+    b.advance(400 * MS);
     // Its process answers: one call is tried, and left there for as long as an answer takes.
-    answered(&mut b, at);
-    let trial = b.call(4, 9, 0, 5_000 * MS);
-    assert_eq!(sent(&trial), Some(at));
+    answer_next(&mut b, at);
+    let trial = b.arrive(4, 9, 0, 5_000 * MS);
+    assert_eq!(sent_to(&trial), Some(at));
     assert!(
-        !taken_back(&b.wait(100 * MS)),
+        !taken_back(&b.advance(100 * MS)),
         "taken back before it could be answered"
     );
     assert_eq!(
-        sent(&b.call(5, 9, 0, 5_000 * MS)),
+        sent_to(&b.arrive(5, 9, 0, 5_000 * MS)),
         None,
         "one trial at a time"
     );
-    let next = b.done(4, 0, at, Outcome::Served);
+    let next = b.end_attempt(4, 0, at, Outcome::Served);
     assert_eq!(
-        sent(&next),
+        sent_to(&next),
         Some(at),
         "a trial that was served clears the worker"
     );
@@ -1345,24 +1357,27 @@
 #[test]
 fn a_lost_connection_is_cleared_by_the_next_answer_but_not_twice_in_a_second() {
     let (mut b, at) = served_once();
-    assert_eq!(sent(&b.call(2, 9, 0, 5_000 * MS)), Some(at));
-    assert_eq!(sent(&b.done(2, 0, at, Outcome::ConnectionLost)), None);
+    assert_eq!(sent_to(&b.arrive(2, 9, 0, 5_000 * MS)), Some(at));
+    assert_eq!(
+        sent_to(&b.end_attempt(2, 0, at, Outcome::ConnectionLost)),
+        None
+    );
     let began = b.now;
-    let actions = answered(&mut b, at);
+    let actions = answer_next(&mut b, at);
     assert!(
         b.now.since(began) <= 60 * MS,
         "asked only after {} us",
         b.now.since(began)
     );
     assert_eq!(
-        sent(&actions),
+        sent_to(&actions),
         Some(at),
         "its process answers: the call goes there again"
     );
     // Again at once: this time a call has to be served before there is more than one.
-    b.done(2, 1, at, Outcome::ConnectionLost);
-    let mut actions = answered(&mut b, at);
-    actions.extend((20..24).flat_map(|id| b.call(id, 9, 0, 5_000 * MS)));
+    b.end_attempt(2, 1, at, Outcome::ConnectionLost);
+    let mut actions = answer_next(&mut b, at);
+    actions.extend((20..24).flat_map(|id| b.arrive(id, 9, 0, 5_000 * MS)));
     let sends = actions
         .iter()
         .filter(|a| matches!(a, Action::Send { .. }))
@@ -1378,19 +1393,19 @@
 #[test]
 fn slow_answers_of_a_worker_with_idle_cores_do_not_cut_what_it_is_given() {
     for (busy, most) in [(Some(0.2), 4), (Some(0.9), 1), (None, 1)] {
-        let mut set = of(Effect::Safe);
+        let mut set = settings_with(Effect::Safe);
         (set.siblings, set.may_order) = (3, true);
-        let mut b = Bench::new(set);
+        let mut b = Harness::new(set);
         b.now = Time(10 * SECOND);
-        b.ready(1);
+        b.ready_workers(1);
         for n in 0..8 {
-            let at = sent(&b.call(n, 9, 0, 5_000 * MS));
+            let at = sent_to(&b.arrive(n, 9, 0, 5_000 * MS));
             let at = at.unwrap_or_else(|| {
-                sent(&b.loaded(WorkerId(1), 9, Outcome::Served)).expect("a send")
+                sent_to(&b.end_load(WorkerId(1), 9, Outcome::Served)).expect("a send")
             });
             let latency = if n % 4 == 3 { 900 * MS } else { 100 * MS };
             b.now = b.now.plus(latency);
-            b.tell(Event::AttemptDone(AttemptDone {
+            b.handle(Event::AttemptDone(AttemptDone {
                 request: RequestId(n),
                 attempt: 0,
                 worker: at,
@@ -1404,16 +1419,16 @@
                     ..LoadReport::default()
                 }),
             }));
-            b.wait(400 * MS);
+            b.advance(400 * MS);
         }
         // Four functions with one lane each: how many calls it is given at once.
         let mut sends = 0;
         for f in 20..24 {
-            let mut actions = b.call(100 + f, f, 0, 5_000 * MS);
-            if ordered(&actions).is_some() {
-                actions = b.loaded(WorkerId(1), f, Outcome::Served);
+            let mut actions = b.arrive(100 + f, f, 0, 5_000 * MS);
+            if requested_load(&actions).is_some() {
+                actions = b.end_load(WorkerId(1), f, Outcome::Served);
             }
-            sends += sent(&actions).is_some() as u32;
+            sends += sent_to(&actions).is_some() as u32;
         }
         assert_eq!(sends, most, "busy {busy:?}");
     }
@@ -1422,15 +1437,15 @@
 #[test]
 fn an_order_whose_connection_is_lost_is_not_in_vain() {
     let (mut b, at) = served_once();
-    let first = ordered(&b.call(2, 10, 0, 5_000 * MS));
+    let first = requested_load(&b.arrive(2, 10, 0, 5_000 * MS));
     assert_eq!(first, Some(at));
-    b.loaded(at, 10, Outcome::ConnectionLost);
+    b.end_load(at, 10, Outcome::ConnectionLost);
     // It is given again as soon as the worker answers, well within the half second of a place that is barred.
-    let mut actions = answered(&mut b, at);
-    actions.extend(b.wait(60 * MS));
-    assert_eq!(ordered(&actions), Some(at));
+    let mut actions = answer_next(&mut b, at);
+    actions.extend(b.advance(60 * MS));
+    assert_eq!(requested_load(&actions), Some(at));
     // And what stood there stands: a call goes to it.
-    assert_eq!(sent(&b.call(3, 9, 0, 5_000 * MS)), Some(at));
+    assert_eq!(sent_to(&b.arrive(3, 9, 0, 5_000 * MS)), Some(at));
 }
 
 /// Orders outlast connections that end when nothing passes on them, and stand all the same: where a miss says so a call
@@ -1438,9 +1453,9 @@
 #[test]
 fn an_order_whose_connection_ends_long_after_it_left_is_taken_to_stand() {
     for (latency, stands) in [(500 * MS, true), (MS, false)] {
-        let mut b = Bench::new(of_a_hundred(0));
-        b.ready(10);
-        let at = b.held_for_load(1, 9);
+        let mut b = Harness::new(one_of_a_hundred(0));
+        b.ready_workers(10);
+        let at = b.miss_until_load(1, 9);
         let (function, outcome) = (FunctionId(9), Outcome::ConnectionLost);
         let told = Event::OrderDone {
             worker: at,
@@ -1449,10 +1464,14 @@
             latency,
             instances: 0,
         };
-        let actions = b.tell(told);
-        assert_eq!(sent(&actions) == Some(at), stands, "{latency}: {actions:?}");
-        assert_eq!(ordered(&actions), None, "{latency}: ordered again");
-        let asks = (0..20).any(|_| asked(&b.wait(10 * MS)).is_some());
+        let actions = b.handle(told);
+        assert_eq!(
+            sent_to(&actions) == Some(at),
+            stands,
+            "{latency}: {actions:?}"
+        );
+        assert_eq!(requested_load(&actions), None, "{latency}: ordered again");
+        let asks = (0..20).any(|_| asked_worker(&b.advance(10 * MS)).is_some());
         assert_eq!(asks, !stands, "{latency}: its worker is tested");
     }
 }
@@ -1462,19 +1481,19 @@
 #[test]
 fn an_order_that_left_before_its_worker_started_again_is_not_taken_to_stand() {
     for restarts in [false, true] {
-        let mut set = of_a_hundred(0);
+        let mut set = one_of_a_hundred(0);
         set.warm_up = 50 * MS;
-        let mut b = Bench::new(set);
-        b.ready(10);
-        let at = b.held_for_load(1, 9);
-        b.wait(200 * MS);
+        let mut b = Harness::new(set);
+        b.ready_workers(10);
+        let at = b.miss_until_load(1, 9);
+        b.advance(200 * MS);
         if restarts {
-            b.list(
+            b.worker_list(
                 ListKind::Changes,
                 vec![worker(at.0, WorkerState::Ready, Some(b.now))],
             );
         }
-        b.wait(300 * MS);
+        b.advance(300 * MS);
         let (function, outcome) = (FunctionId(9), Outcome::ConnectionLost);
         let told = Event::OrderDone {
             worker: at,
@@ -1483,9 +1502,9 @@
             latency: 500 * MS,
             instances: 0,
         };
-        let actions = b.tell(told);
+        let actions = b.handle(told);
         assert_eq!(
-            sent(&actions) == Some(at),
+            sent_to(&actions) == Some(at),
             !restarts,
             "{restarts}: {actions:?}"
         );
@@ -1495,18 +1514,18 @@
 #[test]
 fn a_suspect_that_holds_nothing_warm_is_tried_by_a_load() {
     let (mut b, at) = served_once();
-    assert_eq!(sent(&b.call(2, 9, 0, 5_000 * MS)), Some(at));
-    b.wait(3_000 * MS);
-    b.done(2, 0, at, Outcome::Cancelled);
+    assert_eq!(sent_to(&b.arrive(2, 9, 0, 5_000 * MS)), Some(at));
+    b.advance(3_000 * MS);
+    b.end_attempt(2, 0, at, Outcome::Cancelled);
     // Its instances idle out while it is suspected; then it answers again.
-    b.wait(20_000 * MS);
-    b.call(3, 11, 0, 9_000 * MS);
-    let mut actions = answered(&mut b, at);
-    actions.extend(b.wait(100 * MS));
+    b.advance(20_000 * MS);
+    b.arrive(3, 11, 0, 9_000 * MS);
+    let mut actions = answer_next(&mut b, at);
+    actions.extend(b.advance(100 * MS));
     assert_eq!(
-        ordered(&actions),
+        requested_load(&actions),
         Some(at),
         "no load, and so no call, would ever go there"
     );
-    assert_eq!(sent(&b.loaded(at, 11, Outcome::Served)), Some(at));
+    assert_eq!(sent_to(&b.end_load(at, 11, Outcome::Served)), Some(at));
 }
