--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,12 +4,11 @@
 //!
 //! It is for front ends that share a fleet of workers without talking to each other: each decides by itself
 //! which worker serves a call, where an instance is loaded, which calls wait, and which are refused. A front end
-//! makes one [`Router`], hands it each [`Event`] with the time, and carries out the [`Action`]s that come back, in
-//! their order. The same settings, seed and events give the same actions.
+//! makes one [`Router`], hands it each [`Event`] with the time, and carries out the [`Action`]s that come back in
+//! the order given. The same settings, seed and events give the same actions.
 //!
-//! It is not for carrying calls: there is no clock, no socket and no thread in it, and it never sees the bytes of a
-//! call. It does not balance calls that any worker can serve at once, and it does not agree on anything with the
-//! other front ends.
+//! It is not for carrying calls: there is no clock, no socket and no thread in it, and it never sees the bytes of
+//! a call. It is not for calls that any worker can serve at once, and it agrees on nothing with other front ends.
 //!
 //! ```
 //! use tansyrouter::{Action, Arrival, Event, FunctionId, ListKind, RequestId, Router, Settings, Time};
--- a/src/router/instances.rs
+++ b/src/router/instances.rs
@@ -95,7 +95,6 @@
                 self.warm = true;
                 self.missed_at = None;
                 self.last_evidence = now;
-                self.count = self.count.max(1);
             }
             Outcome::NotLoaded => {
                 self.warm = false;
--- a/src/router/retry.rs
+++ b/src/router/retry.rs
@@ -19,13 +19,11 @@
         let harmless = match self.settings.classes[request.class].effect {
             Effect::Safe => true,
             Effect::Unsafe => may_have_run.next().is_none(),
-            Effect::Keyed { group, window } => {
-                // The margin covers the way to the worker, also over a connection that is yet to be made.
+            // The margin covers the way to the worker, also over a connection that is yet to be made.
+            Effect::Keyed { group, window } => may_have_run.all(|attempt| {
                 let remembered = window - 2 * self.settings.connect_timeout;
-                may_have_run.all(|attempt| {
-                    shares_group(attempt, group, target) && now.since(attempt.sent_at) < remembered
-                })
-            }
+                shares_group(attempt, group, target) && now.since(attempt.sent_at) < remembered
+            }),
         };
         harmless && request.attempts.len() < self.settings.max_attempts as usize
     }
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -17,8 +17,8 @@
 /// Covers rounding in the bound that ends the search for preferred workers.
 const ROUNDING_MARGIN: f64 = 1.000_001;
 
-/// How long a candidate has not been used; the largest is selected. Those never used come last in this order and
-/// are compared by affinity.
+/// How long a candidate has not been used. The most idle one is selected: of those never used, if there are any,
+/// the one with the highest affinity.
 #[derive(Clone, Copy)]
 struct Idleness {
     never_used: bool,
@@ -84,8 +84,9 @@
     }
 
     /// The mechanism: the least recently used of the warm instances with a free lane, so that the idle time of
-    /// each instance is renewed (the LCS rule as rebuilt by Sachan and Somdev, 2025; see `docs/design.md`). A call that is about to
-    /// miss its objective waits like any other: sent on to the queue of a worker, it made others late too.
+    /// each instance is renewed (the LCS rule as rebuilt by Sachan and Somdev, 2025; see `docs/design.md`). A call
+    /// that is about to miss its objective waits like any other: sent on to the queue of a worker, it made others
+    /// late too.
     pub(super) fn select_worker(&self, request: &Request, now: Time) -> Option<WorkerId> {
         let function = self.functions.get(&request.function)?;
         let free = self
@@ -148,11 +149,11 @@
         if !self.siblings_may_have_loaded() || !can_spare_attempt {
             return Vec::new();
         }
-        let retry_after = LOAD_TIME_MARGIN * self.expected_load_time(function);
+        let load_time = self.expected_load_time(function);
         let missed = |worker_id: &WorkerId| {
             let instance = function.instances.get(worker_id);
             let missed_at = instance.and_then(|instance| instance.missed_at);
-            missed_at.is_some_and(|at| now.since(at) < retry_after)
+            missed_at.is_some_and(|at| now.since(at) < LOAD_TIME_MARGIN * load_time)
         };
         let mut presumed = self.missing_instances(request.function, now, 0.0, |_| true);
         presumed.retain(|worker_id| !missed(worker_id));
