--- a/benches/state/src/calls.rs
+++ b/benches/state/src/calls.rs
@@ -4,7 +4,7 @@
 use crate::inputs::{self, Draw, LOAD, WARM};
 use crate::measure::{ms, timed, Grown, Line};
 use crate::{Args, Wrong};
-use tansy_dispatch::{Front, Input};
+use tansy_dispatch::{Dispatcher, Input};
 use tansyrouter::{
     Event, FunctionId, ListKind, Outcome, RequestId, Router, Span, Time, WorkerEntry, WorkerId,
     SECOND,
@@ -115,17 +115,17 @@
     Ok(())
 }
 
-fn front(a: &Args, names: &[String], line: &mut Line) -> Result<Front, Wrong> {
+fn front(a: &Args, names: &[String], line: &mut Line) -> Result<Dispatcher, Wrong> {
     let config = inputs::config(names, a.front_ends, a.seed);
-    let (front, took) = timed(|| Front::new(config, Time(0)));
+    let (front, took) = timed(|| Dispatcher::new(config, Time(0)));
     line.figure("front_ms", ms(took));
     front.map_err(|e| Wrong::run("the ledger's settings", e))
 }
 
 fn workers_listed(workers: usize) -> Input {
     Input::Workers {
-        whole: true,
-        list: (0..workers).map(inputs::listed).collect(),
+        full: true,
+        workers: (0..workers).map(inputs::listed).collect(),
     }
 }
 
@@ -170,7 +170,7 @@
     day.run(if a.unlisted { 3 * TOUCHED } else { MEASURED });
     line.figure("memory_mb", grown.mb());
     line.figure("peak_mb", grown.peak_mb());
-    line.count("functions_held", day.machine.front().held().0);
+    line.count("functions_held", day.machine.front().name_counts().0);
     figures(&day, line);
     Ok(())
 }
--- a/benches/state/src/day.rs
+++ b/benches/state/src/day.rs
@@ -6,7 +6,10 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::time::{Duration, Instant};
-use tansy_dispatch::{Call, CallId, Command, Front, Input, OrderId, Seen, Shape, Stage, Told};
+use tansy_dispatch::{
+    AttemptOutcome, Call, CallId, Command, ControlRequestId, Dispatcher, FunctionShape, Input,
+    ResponseStage, Trailers,
+};
 use tansyrouter::{
     Action, Arrival, AttemptDone, Event, FunctionId, LoadReport, Note, Outcome, RequestId, Router,
     Span, Time, WorkerId, SECOND,
@@ -202,7 +205,7 @@
 
 /// The ledger.
 pub struct Ledger {
-    front: Front,
+    front: Dispatcher,
     names: Vec<String>,
     places: BTreeMap<String, usize>,
     /// Calls tell of their functions, which the settings do not name.
@@ -212,7 +215,7 @@
 
 impl Ledger {
     /// Around a front that knows its workers; functions beyond the settings' ones are told of by their calls.
-    pub fn new(front: Front, names: Vec<String>, unlisted: bool) -> Ledger {
+    pub fn new(front: Dispatcher, names: Vec<String>, unlisted: bool) -> Ledger {
         let places = inputs::places(&names);
         Ledger {
             front,
@@ -231,7 +234,7 @@
     }
 
     /// Another front in its place.
-    pub fn replace(&mut self, front: Front) {
+    pub fn replace(&mut self, front: Dispatcher) {
         self.front = front;
     }
 
@@ -241,7 +244,7 @@
     }
 
     /// The ledger itself.
-    pub fn front(&self) -> &Front {
+    pub fn front(&self) -> &Dispatcher {
         &self.front
     }
 
@@ -262,7 +265,7 @@
         };
         for command in self.commands.drain(..) {
             match command {
-                Command::Open {
+                Command::SendAttempt {
                     call,
                     attempt,
                     worker: name,
@@ -278,7 +281,7 @@
                     }));
                 }
                 Command::Load {
-                    order,
+                    request: order,
                     worker: name,
                     function,
                     instances,
@@ -300,28 +303,28 @@
 
 /// A call as the ledger is told of it.
 pub fn call(call: u64, function: &str, unlisted: bool) -> Input {
-    let shape = Shape {
+    let shape = FunctionShape {
         lanes: 1,
         memory_mb: 256.0,
         load_time: Some(LOAD),
     };
     Input::Call(Call {
-        call: CallId(call),
+        id: CallId(call),
         function: function.to_string(),
         class: Some(0),
         tenant: 0,
         budget: Some(5 * SECOND),
-        hint: None,
+        work_hint: None,
         repeat: false,
         shape: unlisted.then_some(shape),
-        unlisted: false,
+        unknown_names: false,
         waited: 0,
     })
 }
 
-const SERVED: Seen = Seen::Status {
+const SERVED: AttemptOutcome = AttemptOutcome::Status {
     code: 0,
-    stage: Stage::Last,
+    stage: ResponseStage::Last,
 };
 
 impl Machine for Ledger {
@@ -335,23 +338,23 @@
 
     fn served(&mut self, now: Span, sent: Sent, out: &mut Vec<Want>) {
         let note = if sent.warm {
-            tansy_dispatch::Note::Warm
+            tansy_dispatch::CacheStatus::Warm
         } else {
-            tansy_dispatch::Note::BeganLoad
+            tansy_dispatch::CacheStatus::StartedLoad
         };
-        let report = tansy_dispatch::Report {
+        let report = tansy_dispatch::LoadReport {
             busy: Some(BUSY),
             ..Default::default()
         };
-        let told = Told {
-            note,
+        let told = Trailers {
+            cache_status: note,
             report: Some(report),
-            ..Told::default()
+            ..Trailers::default()
         };
         let (call, attempt) = (CallId(sent.call), sent.attempt);
         self.step(
             now,
-            Input::Piece {
+            Input::ResponseMessage {
                 call,
                 attempt,
                 last: true,
@@ -360,27 +363,27 @@
         );
         self.step(
             now,
-            Input::Ended {
+            Input::AttemptEnded {
                 call,
                 attempt,
-                seen: SERVED,
-                told,
+                outcome: SERVED,
+                trailers: told,
             },
             out,
         );
     }
 
     fn ordered(&mut self, now: Span, order: Order, stand: u32, out: &mut Vec<Want>) {
-        let told = Told {
+        let told = Trailers {
             instances: Some(stand),
-            ..Told::default()
+            ..Trailers::default()
         };
         self.step(
             now,
-            Input::OrderEnded {
-                order: OrderId(order.number),
-                seen: SERVED,
-                told,
+            Input::ControlRequestEnded {
+                request: ControlRequestId(order.number),
+                outcome: SERVED,
+                trailers: told,
             },
             out,
         );
--- a/benches/state/src/inputs.rs
+++ b/benches/state/src/inputs.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use tansy_agreement::rule::{part, Fields, Value};
-use tansy_dispatch::{Config, FunctionSpec, Listed};
+use tansy_dispatch::{DispatchConfig, FunctionSpec, WorkerRecord};
 use tansyrouter::{Class, Effect, Group, Settings, Span, SECOND};
 
 /// Classes of calls.
@@ -97,7 +97,7 @@
 }
 
 /// A ledger's configuration with these functions in its settings.
-pub fn config(names: &[String], front_ends: usize, seed: u64) -> Config {
+pub fn config(names: &[String], front_ends: usize, seed: u64) -> DispatchConfig {
     let function = |(n, name): (usize, &String)| FunctionSpec {
         name: name.clone(),
         class: n % CLASSES,
@@ -106,13 +106,13 @@
         load_time: Some(LOAD),
         versions: vec!["1".into()],
     };
-    Config {
+    DispatchConfig {
         settings: settings(front_ends),
         classes: (0..CLASSES).map(class_name).collect(),
         tenants: Vec::new(),
         zones: vec!["local".into()],
         functions: names.iter().enumerate().map(function).collect(),
-        longest: 60 * SECOND,
+        max_call_time: 60 * SECOND,
         seed,
     }
 }
@@ -123,15 +123,15 @@
 }
 
 /// A line of the list of workers.
-pub fn listed(n: usize) -> Listed {
-    Listed {
+pub fn listed(n: usize) -> WorkerRecord {
+    WorkerRecord {
         name: worker(n),
         kind: 0,
         cell: (n / 100) as u64,
         zone: 0,
         state: 0,
         age: None,
-        share: 1.0,
+        relative_size: 1.0,
     }
 }
 
--- a/benches/state/src/lists.rs
+++ b/benches/state/src/lists.rs
@@ -8,7 +8,7 @@
 use tansy_agreement::lease::Terms;
 use tansy_agreement::list::{Leaving, Line as Told, Standing, Worker, LEAVING};
 use tansy_agreement::rule::Schema;
-use tansy_dispatch::{Front, Input};
+use tansy_dispatch::{Dispatcher, Input};
 use tansy_fleet_node::{Body, Peer, Root, Setup};
 use tansy_fleet_wire::letter;
 use tansy_membership::{Name, Pace};
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-fn bad(e: tansy_dispatch::BadConfig) -> Wrong {
+fn bad(e: tansy_dispatch::ConfigError) -> Wrong {
     Wrong::run("the ledger's settings", e)
 }
 
@@ -67,14 +67,14 @@
 pub fn ledger(a: &Args, line: &mut Line) -> Result<(), Wrong> {
     let names = inputs::names(a.functions, a.seed);
     let whole = |skip: usize| Input::Workers {
-        whole: true,
-        list: (0..a.instances)
+        full: true,
+        workers: (0..a.instances)
             .filter(|n| *n != skip)
             .map(listed)
             .collect(),
     };
     let mut front =
-        Front::new(inputs::config(&names, a.front_ends, a.seed), Time(0)).map_err(bad)?;
+        Dispatcher::new(inputs::config(&names, a.front_ends, a.seed), Time(0)).map_err(bad)?;
     let mut out = Vec::new();
     let inputs = [
         whole(usize::MAX),
@@ -91,8 +91,8 @@
         line.figure(what, ms(took));
     }
     let one = Input::Workers {
-        whole: false,
-        list: vec![listed(a.seed as usize % a.instances.max(1))],
+        full: false,
+        workers: vec![listed(a.seed as usize % a.instances.max(1))],
     };
     let (_, took) = timed(|| front.step(Time(4), one, &mut out));
     line.figure("one_comes_ms", ms(took));
--- a/benches/state/src/terms.rs
+++ b/benches/state/src/terms.rs
@@ -6,15 +6,15 @@
 use std::time::Duration;
 use tansy_agreement::log::{Entry, Log, Phase, State, Version};
 use tansy_agreement::rule::{apart, lapsed, Fields, Rules, Schema, Touch, Value};
-use tansy_dispatch::{Config, Contested, Front, Terms};
+use tansy_dispatch::{ConflictingScopes, DispatchConfig, Dispatcher, EffectiveConfig};
 use tansy_settings::agree;
 use tansyrouter::{Time, SECOND};
 
 /// Terms for each right that a front end may have.
 struct Ready {
-    whole: Terms,
-    apart: Terms,
-    lapsed: Terms,
+    whole: EffectiveConfig,
+    apart: EffectiveConfig,
+    lapsed: EffectiveConfig,
 }
 
 /// Where the time went.
@@ -39,7 +39,7 @@
         Ok(filled.map_err(|e| Wrong::run("the version's fields", e))?.0)
     }
 
-    fn config(&mut self, fields: &Fields) -> Result<Config, Wrong> {
+    fn config(&mut self, fields: &Fields) -> Result<DispatchConfig, Wrong> {
         let (settings, took) = timed(|| agree::settings(&self.own, fields));
         self.spent.settings += took;
         self.spent.calls += 1;
@@ -48,12 +48,12 @@
             .front)
     }
 
-    fn terms(&mut self, rules: &Rules) -> Result<Terms, Wrong> {
+    fn terms(&mut self, rules: &Rules) -> Result<EffectiveConfig, Wrong> {
         let config = self.config(&rules.fields)?;
-        let mut contested = Contested {
-            unlisted: rules.unlisted,
-            for_about: SECOND / 2,
-            ..Contested::default()
+        let mut contested = ConflictingScopes {
+            unknown_names: rules.unlisted,
+            retry_after: SECOND / 2,
+            ..ConflictingScopes::default()
         };
         for touch in &rules.refused {
             match touch {
@@ -63,7 +63,10 @@
                 Touch::Function(n) => drop(contested.functions.insert(n.clone())),
             }
         }
-        Ok(Terms { config, contested })
+        Ok(EffectiveConfig {
+            config,
+            conflicting: contested,
+        })
     }
 
     fn ready(&mut self, state: &State) -> Result<Ready, Wrong> {
@@ -86,13 +89,13 @@
     }
 }
 
-fn adopt(front: &mut Front, now: i64, ready: &Ready) -> Result<Duration, Wrong> {
+fn adopt(front: &mut Dispatcher, now: i64, ready: &Ready) -> Result<Duration, Wrong> {
     let ends = vec![
         (Time(now + SECOND / 2), ready.apart.clone()),
         (Time(now + 3600 * SECOND), ready.lapsed.clone()),
     ];
     let whole = ready.whole.clone();
-    let (adopted, took) = timed(|| front.adopt(Time(now), whole, ends));
+    let (adopted, took) = timed(|| front.apply_settings(Time(now), whole, ends));
     adopted
         .map_err(|e| Wrong::run("the terms", e))
         .map(|()| took)
@@ -115,8 +118,8 @@
     };
     let mut log = Log::new(fields, []);
     let mut ready = adopter.ready(log.state())?;
-    let mut front =
-        Front::new(ready.whole.config.clone(), Time(0)).map_err(|e| Wrong::run("the ledger", e))?;
+    let mut front = Dispatcher::new(ready.whole.config.clone(), Time(0))
+        .map_err(|e| Wrong::run("the ledger", e))?;
     adopt(&mut front, 1, &ready)?;
     adopter.spent = Spent::default();
     let next = inputs::changed(&log.state().force.fields, &one, 2);
@@ -169,13 +172,14 @@
     let names = inputs::names(a.functions, a.seed);
     let config = inputs::config(&names, a.front_ends, a.seed);
     let grown = Grown::begin();
-    let mut front = Front::new(config.clone(), Time(0)).map_err(|e| Wrong::run("the ledger", e))?;
+    let mut front =
+        Dispatcher::new(config.clone(), Time(0)).map_err(|e| Wrong::run("the ledger", e))?;
     line.figure("front_mb", grown.mb());
     let mut next = config;
     if let Some(f) = next.functions.get_mut(a.seed as usize % names.len().max(1)) {
         f.lanes = 2;
     }
-    let terms = Terms::from(next);
+    let terms = EffectiveConfig::from(next);
     let ready = Ready {
         whole: terms.clone(),
         apart: terms.clone(),
--- a/benches/state/src/workers.rs
+++ b/benches/state/src/workers.rs
@@ -12,8 +12,8 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Instant;
 use tansy_dispatch::{
-    Account, Call, CallId, Command, Front, Input, NeverRan, Note, OrderId, Report, Seen, Shape,
-    Stage, Told,
+    AttemptOutcome, CacheStatus, Call, CallId, Command, ControlRequestId, Counters, Dispatcher,
+    FunctionShape, Input, LoadReport, NeverRan, ResponseStage, Trailers,
 };
 use tansyrouter::{Reports, Settings, Span, Time, WhenAbsent, SECOND};
 
@@ -69,7 +69,7 @@
         front: usize,
         call: u64,
         attempt: u32,
-        note: Note,
+        note: CacheStatus,
     },
     Order {
         front: usize,
@@ -138,14 +138,14 @@
         front: usize,
         call: u64,
         attempt: u32,
-        seen: Seen,
-        told: Told,
+        seen: AttemptOutcome,
+        told: Trailers,
     },
     OrderEnded {
         front: usize,
         order: u64,
-        seen: Seen,
-        told: Told,
+        seen: AttemptOutcome,
+        told: Trailers,
     },
 }
 
@@ -157,7 +157,7 @@
 }
 
 struct Member {
-    front: Front,
+    front: Dispatcher,
     rng: fastrand::Rng,
     due: Option<Span>,
     calls: u64,
@@ -247,17 +247,17 @@
     pub decide: Spread,
 }
 
-fn told() -> Told {
-    Told::default()
+fn told() -> Trailers {
+    Trailers::default()
 }
 
-const OK: Seen = Seen::Status {
+const OK: AttemptOutcome = AttemptOutcome::Status {
     code: 0,
-    stage: Stage::Last,
+    stage: ResponseStage::Last,
 };
-const AWAY: Seen = Seen::Status {
+const AWAY: AttemptOutcome = AttemptOutcome::Status {
     code: 14,
-    stage: Stage::Nothing,
+    stage: ResponseStage::Nothing,
 };
 
 impl Play {
@@ -282,8 +282,8 @@
         for me in 0..a.front_ends {
             let mut config = inputs::config(&[], a.front_ends, a.seed.wrapping_add(me as u64));
             config.settings = settings(me);
-            let front =
-                Front::new(config, Time(0)).map_err(|e| Wrong::run("the ledger's settings", e))?;
+            let front = Dispatcher::new(config, Time(0))
+                .map_err(|e| Wrong::run("the ledger's settings", e))?;
             members.push(Member {
                 front,
                 rng: fastrand::Rng::with_seed(
@@ -345,8 +345,8 @@
             play.step(
                 n,
                 Input::Workers {
-                    whole: true,
-                    list: listed.clone(),
+                    full: true,
+                    workers: listed.clone(),
                 },
             );
             play.next_call(n);
@@ -403,10 +403,10 @@
     }
 
     /// What each front end counted since its start.
-    pub fn accounts(&self) -> Vec<Account> {
+    pub fn accounts(&self) -> Vec<Counters> {
         self.members
             .iter()
-            .map(|m| m.front.account().clone())
+            .map(|m| m.front.counters().clone())
             .collect()
     }
 
@@ -494,7 +494,7 @@
     fn give(
         &mut self,
         n: usize,
-        order: OrderId,
+        order: ControlRequestId,
         to: &str,
         kind: usize,
         function: usize,
@@ -520,7 +520,7 @@
 
     fn carry_out(&mut self, n: usize, command: Command) {
         match command {
-            Command::Open {
+            Command::SendAttempt {
                 call,
                 attempt,
                 worker,
@@ -556,7 +556,7 @@
                 );
             }
             Command::Load {
-                order,
+                request: order,
                 worker,
                 function,
                 instances,
@@ -574,14 +574,17 @@
                 self.give(n, order, &worker, kind, function, instances);
             }
             Command::Unload {
-                order,
+                request: order,
                 worker,
                 function,
             } => {
                 let function = self.places.get(&function).copied().unwrap_or(0);
                 self.give(n, order, &worker, UNLOADED, function, 0);
             }
-            Command::Probe { order, worker } => self.give(n, order, &worker, PROBED, 0, 0),
+            Command::Probe {
+                request: order,
+                worker,
+            } => self.give(n, order, &worker, PROBED, 0, 0),
             Command::Answer { call, answer } => {
                 let Some(m) = self.members.get_mut(n) else {
                     return;
@@ -597,7 +600,7 @@
                         .for_each(|c| self.cold.ends(&c, self.now, served));
                 }
             }
-            Command::Confirm { call, attempt } => {
+            Command::ConfirmSent { call, attempt } => {
                 // It left at once, or waits for its connection, which is made soon.
                 if self
                     .members
@@ -614,8 +617,8 @@
                     );
                 }
             }
-            Command::Withdraw { call, attempt } => {
-                let (front, call, seen, told) = (n, call.0, Seen::Withdrawn, told());
+            Command::CancelAttempt { call, attempt } => {
+                let (front, call, seen, told) = (n, call.0, AttemptOutcome::Cancelled, told());
                 self.comes(
                     0,
                     Event::Ended {
@@ -627,8 +630,8 @@
                     },
                 );
             }
-            Command::WithdrawOrder { order } => {
-                let (front, order, seen, told) = (n, order.0, Seen::Withdrawn, told());
+            Command::CancelControlRequest { request: order } => {
+                let (front, order, seen, told) = (n, order.0, AttemptOutcome::Cancelled, told());
                 self.comes(
                     0,
                     Event::OrderEnded {
@@ -639,13 +642,13 @@
                     },
                 );
             }
-            Command::Pass { .. }
-            | Command::Recall { .. }
-            | Command::Drop { .. }
-            | Command::Retire { .. }
-            | Command::Tell { .. }
-            | Command::FetchList
-            | Command::Subscribe => {}
+            Command::ForwardMessage { .. }
+            | Command::RecallUnsent { .. }
+            | Command::DropConnection { .. }
+            | Command::RetireWorker { .. }
+            | Command::ReportMissingFunction { .. }
+            | Command::FetchWorkerList
+            | Command::SubscribeWorkerList => {}
         }
     }
 
@@ -679,19 +682,19 @@
             return;
         };
         let input = Input::Call(Call {
-            call: CallId(number),
+            id: CallId(number),
             function: name.clone(),
             class: Some(function % CLASSES),
             tenant: 0,
             budget: Some(5 * SECOND),
-            hint: None,
+            work_hint: None,
             repeat: false,
-            shape: Some(Shape {
+            shape: Some(FunctionShape {
                 lanes: LANES,
                 memory_mb: 256.0,
                 load_time: Some(LOAD),
             }),
-            unlisted: false,
+            unknown_names: false,
             waited: 0,
         });
         let began = Instant::now();
@@ -759,7 +762,7 @@
                 {
                     self.step(
                         front,
-                        Input::Opened {
+                        Input::AttemptSent {
                             call: CallId(call),
                             attempt,
                         },
@@ -784,7 +787,7 @@
                 if seen == OK {
                     self.step(
                         front,
-                        Input::Piece {
+                        Input::ResponseMessage {
                             call,
                             attempt,
                             last: true,
@@ -793,11 +796,11 @@
                 }
                 self.step(
                     front,
-                    Input::Ended {
+                    Input::AttemptEnded {
                         call,
                         attempt,
-                        seen,
-                        told,
+                        outcome: seen,
+                        trailers: told,
                     },
                 );
             }
@@ -824,10 +827,10 @@
                 self.end(front, &stream);
                 self.step(
                     front,
-                    Input::OrderEnded {
-                        order: OrderId(order),
-                        seen,
-                        told,
+                    Input::ControlRequestEnded {
+                        request: ControlRequestId(order),
+                        outcome: seen,
+                        trailers: told,
                     },
                 );
             }
@@ -907,21 +910,21 @@
             .for_each(|function| self.comes(LOAD, Event::Loaded { worker, function }));
     }
 
-    fn report(&self, worker: usize) -> Option<Report> {
+    fn report(&self, worker: usize) -> Option<LoadReport> {
         let w = self.workers.get(worker)?;
         let busy = Some((f64::from(w.running) / BUSY).min(1.0));
-        Some(Report {
+        Some(LoadReport {
             busy,
             loads: Some((w.loading + w.to_load.len()) as f64),
-            ..Report::default()
+            ..LoadReport::default()
         })
     }
 
-    fn answers(&mut self, worker: usize, job: Job, seen: Seen, told: Told) {
+    fn answers(&mut self, worker: usize, job: Job, seen: AttemptOutcome, told: Trailers) {
         if self.workers.get(worker).is_none_or(|w| w.silent) {
             return;
         }
-        let told = Told {
+        let told = Trailers {
             report: self.report(worker),
             ..told
         };
@@ -932,7 +935,10 @@
                 attempt,
                 note,
             } => {
-                let told = Told { note, ..told };
+                let told = Trailers {
+                    cache_status: note,
+                    ..told
+                };
                 self.comes(
                     WAY,
                     Event::Ended {
@@ -975,27 +981,31 @@
             .get(&function)
             .map(|i| (i.ready, i.running < LANES));
         match found {
-            Some((true, true)) => self.runs(worker, function, job(Note::Warm)),
+            Some((true, true)) => self.runs(worker, function, job(CacheStatus::Warm)),
             Some((ready, _)) => {
-                let note = if ready { Note::Warm } else { Note::AwaitedLoad };
+                let note = if ready {
+                    CacheStatus::Warm
+                } else {
+                    CacheStatus::AwaitedLoad
+                };
                 if let Some(i) = w.instances.get_mut(&function) {
                     i.waiting.push_back(job(note));
                 }
             }
             None if self.miss => {
-                let told = Told {
+                let told = Trailers {
                     never_ran: Some(NeverRan::NotLoaded),
                     ..told()
                 };
-                self.answers(worker, job(Note::Silent), AWAY, told);
+                self.answers(worker, job(CacheStatus::Unreported), AWAY, told);
             }
             None => {
-                if !self.load(worker, function, job(Note::BeganLoad)) {
-                    let told = Told {
+                if !self.load(worker, function, job(CacheStatus::StartedLoad)) {
+                    let told = Trailers {
                         never_ran: Some(NeverRan::TurnedAway),
                         ..told()
                     };
-                    self.answers(worker, job(Note::Silent), AWAY, told);
+                    self.answers(worker, job(CacheStatus::Unreported), AWAY, told);
                 }
             }
         }
@@ -1051,7 +1061,7 @@
                     worker,
                     job,
                     OK,
-                    Told {
+                    Trailers {
                         instances: Some(1),
                         ..told()
                     },
@@ -1115,7 +1125,7 @@
         }
         let job = Job::Order { front, order };
         let ready = w.instances.get(&function).map(|i| i.ready);
-        let stand = |n: u32| Told {
+        let stand = |n: u32| Trailers {
             instances: Some(n),
             ..told()
         };
@@ -1127,7 +1137,7 @@
             }
             (LOADED, None) if instances > 0 => {
                 if !self.load(worker, function, job) {
-                    let told = Told {
+                    let told = Trailers {
                         never_ran: Some(NeverRan::TurnedAway),
                         ..told()
                     };
--- a/benches/state/tests/workers.rs
+++ b/benches/state/tests/workers.rs
@@ -148,14 +148,15 @@
         }
         let (calls, orders, loads) = sums(&play.got());
         let accounts = play.accounts();
-        let sum = |of: fn(&tansy_dispatch::Account) -> u64| accounts.iter().map(of).sum::<u64>();
+        let sum = |of: fn(&tansy_dispatch::Counters) -> u64| accounts.iter().map(of).sum::<u64>();
         let (orders_away, calls_away) = play.under_way();
         assert_eq!(
             sum(|a| a.attempts),
             calls + calls_away,
             "attempts, miss {miss}, silent {silent}"
         );
-        let given = sum(|a| a.loads) + sum(|a| a.asks) + sum(|a| a.unloads) + sum(|a| a.probes);
+        let given =
+            sum(|a| a.loads) + sum(|a| a.instance_queries) + sum(|a| a.unloads) + sum(|a| a.probes);
         assert_eq!(
             given,
             orders.iter().sum::<u64>() + orders_away,
@@ -164,7 +165,7 @@
         if orders_away == 0 {
             let kinds = [
                 sum(|a| a.loads),
-                sum(|a| a.asks),
+                sum(|a| a.instance_queries),
                 sum(|a| a.unloads),
                 sum(|a| a.probes),
             ];
@@ -193,7 +194,7 @@
             );
             assert!(standing > 0);
         }
-        assert!(streams > 0 && accounts.iter().all(|a| a.guarded == 0));
+        assert!(streams > 0 && accounts.iter().all(|a| a.guard_rejections == 0));
     }
 }
 
--- a/decide/dispatch/benches/run/mod.rs
+++ b/decide/dispatch/benches/run/mod.rs
@@ -2,7 +2,8 @@
 
 use std::collections::VecDeque;
 use tansy_dispatch::{
-    Call, CallId, Command, Config, Front, FunctionSpec, Input, Listed, Note, Seen, Stage, Told,
+    AttemptOutcome, CacheStatus, Call, CallId, Command, DispatchConfig, Dispatcher, FunctionSpec,
+    Input, ResponseStage, Trailers, WorkerRecord,
 };
 use tansyrouter::{Class, Effect, Settings, Time, SECOND};
 
@@ -11,7 +12,7 @@
 
 /// A ledger, what it has sent, and the counts.
 pub struct Run {
-    pub front: Front,
+    pub front: Dispatcher,
     now: i64,
     pub next: u64,
     functions: usize,
@@ -40,7 +41,7 @@
             load_time: Some(100_000),
             versions: vec!["1".into()],
         };
-        let config = Config {
+        let config = DispatchConfig {
             settings: Settings {
                 classes: vec![class],
                 max_held: 1_000_000,
@@ -50,23 +51,26 @@
             tenants: Vec::new(),
             zones: vec!["z".into()],
             functions: (0..functions).map(function).collect(),
-            longest: 10 * aim * SECOND,
+            max_call_time: 10 * aim * SECOND,
             seed: 1,
         };
-        let mut front = Front::new(config, Time(0)).expect("settings that make sense");
-        let worker = |n: usize| Listed {
+        let mut front = Dispatcher::new(config, Time(0)).expect("settings that make sense");
+        let worker = |n: usize| WorkerRecord {
             name: format!("w{n}"),
             kind: 0,
             cell: 0,
             zone: 0,
             state: 0,
             age: None,
-            share: 1.0,
+            relative_size: 1.0,
         };
         let list = (0..workers).map(worker).collect();
         front.step(
             Time(0),
-            Input::Workers { whole: true, list },
+            Input::Workers {
+                full: true,
+                workers: list,
+            },
             &mut Vec::new(),
         );
         let (out, commands) = (VecDeque::new(), Vec::new());
@@ -86,21 +90,27 @@
         let mut orders = Vec::new();
         for c in self.commands.drain(..) {
             match c {
-                Command::Open { call, attempt, .. } => self.out.push_back((call, attempt)),
-                Command::Load { order, .. } | Command::Probe { order, .. } => orders.push(order),
+                Command::SendAttempt { call, attempt, .. } => self.out.push_back((call, attempt)),
+                Command::Load { request: order, .. } | Command::Probe { request: order, .. } => {
+                    orders.push(order)
+                }
                 _ => {}
             }
         }
         for order in orders {
-            let told = Told {
+            let told = Trailers {
                 instances: Some(1),
-                ..Told::default()
+                ..Trailers::default()
             };
-            let seen = Seen::Status {
+            let seen = AttemptOutcome::Status {
                 code: 0,
-                stage: Stage::Headers,
+                stage: ResponseStage::Headers,
             };
-            self.step(Input::OrderEnded { order, seen, told });
+            self.step(Input::ControlRequestEnded {
+                request: order,
+                outcome: seen,
+                trailers: told,
+            });
         }
     }
     /// One call in.
@@ -108,7 +118,7 @@
         self.next += 1;
         let n = self.next;
         let call = Call {
-            call: CallId(n),
+            id: CallId(n),
             function: format!(
                 "function-{}",
                 n.wrapping_mul(7919) as usize % self.functions
@@ -116,10 +126,10 @@
             class: None,
             tenant: 0,
             budget: None,
-            hint: None,
+            work_hint: None,
             repeat: false,
             shape: None,
-            unlisted: false,
+            unknown_names: false,
             waited: 0,
         };
         self.step(Input::Call(call));
@@ -134,19 +144,19 @@
             None
         };
         if let Some((call, attempt)) = oldest {
-            let told = Told {
-                note: Note::Warm,
-                ..Told::default()
+            let told = Trailers {
+                cache_status: CacheStatus::Warm,
+                ..Trailers::default()
             };
-            let seen = Seen::Status {
+            let seen = AttemptOutcome::Status {
                 code: 0,
-                stage: Stage::Pieces,
+                stage: ResponseStage::Messages,
             };
-            self.step(Input::Ended {
+            self.step(Input::AttemptEnded {
                 call,
                 attempt,
-                seen,
-                told,
+                outcome: seen,
+                trailers: told,
             });
         }
     }
--- a/decide/dispatch/src/count.rs
+++ b/decide/dispatch/src/class_counters.rs
@@ -6,20 +6,20 @@
 use tansyrouter::{Class, Span};
 
 /// Classes that are counted by name; calls of further ones are counted together.
-const CLASSES: usize = 256;
+const MAX_CLASSES: usize = 256;
 /// The name of those.
-pub const OTHERS: &str = "(others)";
+pub const OTHER_CLASSES: &str = "(others)";
 /// The name under which calls are counted whose function's settings were not there when they came, class and all: served are
 /// those that went on with them, whatever became of them then under their class.
-pub const AWAITED: &str = "(awaited settings)";
+pub const PENDING_LOOKUP: &str = "(awaited settings)";
 /// Latencies over this count as this, microseconds.
-const LONGEST: u64 = 3_600_000_000;
+const MAX_LATENCY: u64 = 3_600_000_000;
 
 /// Final answers of one class since the process began.
 #[derive(Clone, Debug)]
-pub struct Counted {
+pub struct ClassCounters {
     /// Calls that ended.
-    pub asked: u64,
+    pub ended: u64,
     /// Answered by a worker; of those that awaited settings: gone on with them.
     pub served: u64,
     /// Refused.
@@ -27,24 +27,25 @@
     /// Failed, or left by their clients.
     pub failed: u64,
     /// What the calls were worth if answered in time: 1 each.
-    pub wanted: f64,
+    pub possible_value: f64,
     /// What the answers were worth by the class's aim and deadline.
-    pub worth: f64,
+    pub value: f64,
     /// Microseconds from arrival to the answer, of served calls.
     pub latency: Histogram<u64>,
 }
 
-impl Counted {
-    fn new() -> Counted {
+impl ClassCounters {
+    fn new() -> ClassCounters {
         // Within bounds from the start: one that grows does not where it is to saturate.
-        let latency = Histogram::new_with_bounds(1, LONGEST, 2).expect("two digits, and an hour");
-        Counted {
-            asked: 0,
+        let latency =
+            Histogram::new_with_bounds(1, MAX_LATENCY, 2).expect("two digits, and an hour");
+        ClassCounters {
+            ended: 0,
             served: 0,
             refused: 0,
             failed: 0,
-            wanted: 0.0,
-            worth: 0.0,
+            possible_value: 0.0,
+            value: 0.0,
             latency,
         }
     }
@@ -52,64 +53,72 @@
 
 /// The counts, by the class's name.
 #[derive(Clone, Debug, Default)]
-pub struct Counts {
-    classes: BTreeMap<String, Counted>,
+pub struct ClassCounterTable {
+    classes: BTreeMap<String, ClassCounters>,
     /// By which classes answers are valued, where that is not how they are decided.
-    yard: BTreeMap<String, Class>,
+    valuation_classes: BTreeMap<String, Class>,
 }
 
-impl Counts {
+impl ClassCounterTable {
     /// By the class's name.
-    pub fn classes(&self) -> &BTreeMap<String, Counted> {
+    pub fn classes(&self) -> &BTreeMap<String, ClassCounters> {
         &self.classes
     }
 
     /// Answers are valued by these classes from now on, by name: front ends that are compared need one yardstick, also
     /// while some of them act on other settings.
-    pub(crate) fn value_by(&mut self, classes: BTreeMap<String, Class>) {
-        self.yard = classes;
+    pub(crate) fn set_valuation_classes(&mut self, classes: BTreeMap<String, Class>) {
+        self.valuation_classes = classes;
     }
 
     /// A call ended after so long; no answer: its client left.
-    pub(crate) fn end(&mut self, name: &str, class: &Class, answer: Option<Answer>, took: Span) {
-        let full = self.classes.len() >= CLASSES;
+    pub(crate) fn record_answer(
+        &mut self,
+        name: &str,
+        class: &Class,
+        answer: Option<Answer>,
+        took: Span,
+    ) {
+        let full = self.classes.len() >= MAX_CLASSES;
         let name = if self.classes.contains_key(name) || !full {
             name
         } else {
-            OTHERS
+            OTHER_CLASSES
         };
-        let class = self.yard.get(name).unwrap_or(class);
-        let worth = match took {
+        let class = self.valuation_classes.get(name).unwrap_or(class);
+        let value = match took {
             t if t <= class.aim => 1.0,
             t if t <= class.deadline => class.late_worth,
             _ => 0.0,
         };
-        self.add(name, answer, took, worth);
+        self.add(name, answer, took, value);
     }
 
     /// A call's wait for its function's settings ended after so long: it goes on, or has this answer; none: its client left.
-    pub(crate) fn awaited(&mut self, end: Result<(), Option<Answer>>, took: Span) {
+    pub(crate) fn record_lookup_wait(&mut self, end: Result<(), Option<Answer>>, took: Span) {
         let answer = end.map_or_else(|answer| answer, |()| Some(Answer::Served));
-        self.add(AWAITED, answer, took, 1.0);
+        self.add(PENDING_LOOKUP, answer, took, 1.0);
     }
 
-    fn add(&mut self, name: &str, answer: Option<Answer>, took: Span, worth: f64) {
+    fn add(&mut self, name: &str, answer: Option<Answer>, took: Span, value: f64) {
         if !self.classes.contains_key(name) {
-            self.classes.insert(name.to_string(), Counted::new());
+            self.classes.insert(name.to_string(), ClassCounters::new());
         }
-        let Some(c) = self.classes.get_mut(name) else {
+        let Some(counters) = self.classes.get_mut(name) else {
             return;
         };
-        (c.asked, c.wanted) = (c.asked + 1, c.wanted + 1.0);
+        counters.ended += 1;
+        counters.possible_value += 1.0;
         match answer {
             Some(Answer::Served) => {
-                c.served += 1;
-                c.latency
+                counters.served += 1;
+                counters
+                    .latency
                     .saturating_record(u64::try_from(took).unwrap_or(0).max(1));
-                c.worth += worth;
+                counters.value += value;
             }
-            Some(Answer::Refused { .. }) => c.refused += 1,
-            _ => c.failed += 1,
+            Some(Answer::Refused { .. }) => counters.refused += 1,
+            _ => counters.failed += 1,
         }
     }
 }
--- a/decide/dispatch/src/config.rs
+++ b/decide/dispatch/src/config.rs
@@ -1,6 +1,6 @@
 //! What a front is made of.
 
-use crate::ids::{Collision, Names};
+use crate::names::{NameCollision, NameTable};
 use std::collections::BTreeSet;
 use tansyrouter as module;
 use tansyrouter::Span;
@@ -24,7 +24,7 @@
 
 /// What a front is made of.
 #[derive(Clone, Debug)]
-pub struct Config {
+pub struct DispatchConfig {
     /// The module's settings.
     pub settings: module::Settings,
     /// Names of the classes, in the settings' order.
@@ -36,14 +36,14 @@
     /// The functions.
     pub functions: Vec<FunctionSpec>,
     /// A call may not take longer than this, whatever its client says.
-    pub longest: Span,
+    pub max_call_time: Span,
     /// Seed of the module's random numbers.
     pub seed: u64,
 }
 
 /// Calls that are refused, whatever their time, because front ends can't know that they agree on them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Contested {
+pub struct ConflictingScopes {
     /// All.
     pub all: bool,
     /// Those of these classes, by name.
@@ -53,43 +53,43 @@
     /// Those of these functions.
     pub functions: BTreeSet<String>,
     /// Those that name a class, tenant or function that the settings don't know: a version that can't be known may.
-    pub unlisted: bool,
+    pub unknown_names: bool,
     /// Advice to their clients: about so long until it is known, microseconds.
-    pub for_about: Span,
+    pub retry_after: Span,
 }
 
 /// What calls are taken by: settings, and what of them is contested.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct EffectiveConfig {
     /// The settings.
-    pub config: Config,
+    pub config: DispatchConfig,
     /// Calls that are refused meanwhile.
-    pub contested: Contested,
+    pub conflicting: ConflictingScopes,
 }
 
-impl From<Config> for Terms {
-    fn from(config: Config) -> Terms {
-        Terms {
+impl From<DispatchConfig> for EffectiveConfig {
+    fn from(config: DispatchConfig) -> EffectiveConfig {
+        EffectiveConfig {
             config,
-            contested: Contested::default(),
+            conflicting: ConflictingScopes::default(),
         }
     }
 }
 
-impl Config {
+impl DispatchConfig {
     /// Whether a front can be made of it, or go over to it.
-    pub fn check(&self) -> Result<(), BadConfig> {
+    pub fn check(&self) -> Result<(), ConfigError> {
         module::Router::new(self.settings.clone(), self.seed, module::Time(0))
-            .map_err(BadConfig::Module)?;
+            .map_err(ConfigError::Router)?;
         if self.classes.len() != self.settings.classes.len() {
-            return Err(BadConfig::Classes);
+            return Err(ConfigError::ClassNames);
         }
-        let mut names = Names::default();
+        let mut names = NameTable::default();
         for f in &self.functions {
             if f.class >= self.settings.classes.len() {
-                return Err(BadConfig::NoClass(f.name.clone()));
+                return Err(ConfigError::UnknownClass(f.name.clone()));
             }
-            names.take(&f.name).map_err(BadConfig::Collision)?;
+            names.intern(&f.name).map_err(ConfigError::NameCollision)?;
         }
         Ok(())
     }
@@ -97,30 +97,30 @@
 
 /// Settings that can't make a front.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum BadConfig {
+pub enum ConfigError {
     /// The module won't take them.
-    Module(module::BadSettings),
+    Router(module::BadSettings),
     /// Two functions share a number.
-    Collision(Collision),
+    NameCollision(NameCollision),
     /// A function names a class that is not there.
-    NoClass(String),
+    UnknownClass(String),
     /// There are not as many names of classes as classes.
-    Classes,
+    ClassNames,
 }
 
-impl std::fmt::Display for BadConfig {
+impl std::fmt::Display for ConfigError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            BadConfig::Module(e) => e.fmt(f),
-            BadConfig::Collision(e) => e.fmt(f),
-            BadConfig::Classes => write!(
+            ConfigError::Router(e) => e.fmt(f),
+            ConfigError::NameCollision(e) => e.fmt(f),
+            ConfigError::ClassNames => write!(
                 f,
                 "as many names of classes are wanted as there are classes"
             ),
-            BadConfig::NoClass(name) => {
+            ConfigError::UnknownClass(name) => {
                 write!(f, "function {name:?} names a class that is not there")
             }
         }
     }
 }
-impl std::error::Error for BadConfig {}
+impl std::error::Error for ConfigError {}
--- a/decide/dispatch/src/invariants.rs
+++ b/decide/dispatch/src/invariants.rs
@@ -69,24 +69,24 @@
 
 /// The check.
 #[derive(Debug, Default)]
-pub struct Invariants {
+pub struct InvariantChecker {
     calls: HashMap<CallId, Watched>,
     /// Workers that drain or are gone, until they are told ready again.
     drained: BTreeSet<String>,
     counts: [u64; Violation::ALL.len()],
 }
 
-impl Invariants {
+impl InvariantChecker {
     /// How often each was violated.
     pub fn counts(&self) -> impl Iterator<Item = (Violation, u64)> + '_ {
         Violation::ALL.into_iter().zip(self.counts)
     }
     /// Violations in all.
-    pub fn total(&self) -> u64 {
+    pub fn total_violations(&self) -> u64 {
         self.counts.iter().sum()
     }
     /// Calls that are watched.
-    pub fn watched(&self) -> usize {
+    pub fn watched_calls(&self) -> usize {
         self.calls.len()
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// A call was taken; its client waits until then.
-    pub fn taken(&mut self, call: CallId, effect: Effect, deadline: Time) {
+    pub fn on_accepted(&mut self, call: CallId, effect: Effect, deadline: Time) {
         let watched = Watched {
             effect,
             deadline,
@@ -112,7 +112,7 @@
     }
 
     /// The list told of a worker.
-    pub fn worker(&mut self, name: &str, ready: bool) {
+    pub fn on_worker_state(&mut self, name: &str, ready: bool) {
         if ready {
             self.drained.remove(name);
         } else {
@@ -125,7 +125,7 @@
     }
 
     /// The first byte of an attempt has left.
-    pub fn sent(
+    pub fn on_attempt_sent(
         &mut self,
         now: Time,
         call: CallId,
@@ -160,7 +160,7 @@
     }
 
     /// An attempt that had left has ended.
-    pub fn ended(&mut self, call: CallId, never_ran: bool) {
+    pub fn on_attempt_ended(&mut self, call: CallId, never_ran: bool) {
         let Some(c) = self.calls.get_mut(&call) else {
             return;
         };
@@ -172,13 +172,13 @@
     }
 
     /// The first byte of an order to load has left.
-    pub fn load_sent(&mut self, worker: &str) -> Vec<Violation> {
+    pub fn on_load_sent(&mut self, worker: &str) -> Vec<Violation> {
         let drained = self.drained.contains(worker);
         self.check(&[(drained, Violation::LoadedAtDrained)])
     }
 
     /// A call's answer was given.
-    pub fn answered(&mut self, call: CallId) -> Vec<Violation> {
+    pub fn on_answered(&mut self, call: CallId) -> Vec<Violation> {
         let Some(c) = self.calls.get_mut(&call) else {
             return self.check(&[(true, Violation::AnsweredTwice)]);
         };
@@ -189,7 +189,7 @@
     }
 
     /// A call's client has gone.
-    pub fn gone(&mut self, now: Time, call: CallId) {
+    pub fn on_client_left(&mut self, now: Time, call: CallId) {
         let Some(c) = self.calls.get_mut(&call) else {
             return;
         };
@@ -198,7 +198,7 @@
     }
 
     /// This side closes a connection whose call is open.
-    pub fn closed(&mut self, call: CallId) -> Vec<Violation> {
+    pub fn on_connection_closed(&mut self, call: CallId) -> Vec<Violation> {
         let owed = self
             .calls
             .get(&call)
--- a/decide/dispatch/src/message.rs
+++ b/decide/dispatch/src/message.rs
@@ -1,78 +1,84 @@
-//! What a front is told and what it wants done.
+//! Inputs of the dispatcher and the commands it gives.
+//!
+//! Recorded runs spell these types as JSON, so a `serde(rename)` keeps the key wherever the name in the code differs.
 
-use crate::outcome::{Seen, Told};
+use crate::outcome::{AttemptOutcome, Trailers};
 use serde::{Deserialize, Serialize};
 use tansyrouter::Span;
 
-/// A call's number at this front end; never used twice.
+/// The number of a call at this front end; never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId(pub u64);
 
-/// The number of a probe or an order.
+/// The number of a control request: a probe, a load or an unload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct OrderId(pub u64);
+pub struct ControlRequestId(pub u64);
 
-/// What a call tells of its function, where functions are not named in the settings.
+/// What a function needs of a worker, as a call states it where the settings do not name the function.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Shape {
+pub struct FunctionShape {
     /// Calls that one instance runs at a time.
     pub lanes: u32,
     /// Memory of one instance, MB.
     pub memory_mb: f64,
-    /// Usual time of a load, microseconds, if told.
+    /// Usual time of a load, microseconds, if stated.
     pub load_time: Option<Span>,
 }
 
-/// What is known of a function that the settings in use don't name.
+/// What is known of a function that the settings in force do not name.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Found {
-    /// Its calls are taken.
-    Acts {
+pub enum FunctionLookup {
+    /// Its calls are accepted.
+    #[serde(rename = "Acts")]
+    Known {
         /// Its class, for calls that name none.
         class: usize,
         /// Its shape.
-        shape: Shape,
+        shape: FunctionShape,
     },
-    /// Its calls are refused: front ends can't know that they agree on it.
+    /// Its calls are refused: front ends cannot be sure that they agree on it.
     Refused,
     /// There is no such function.
     Unknown,
-    /// Nothing yet: its calls wait.
-    Wait,
+    /// Nothing is known yet: its calls wait.
+    #[serde(rename = "Wait")]
+    Pending,
 }
 
-/// A call as its protocol told it.
+/// A call as its protocol stated it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Call {
     /// Its number.
-    pub call: CallId,
-    /// The function's name.
+    #[serde(rename = "call")]
+    pub id: CallId,
+    /// The name of the function.
     pub function: String,
-    /// Its class, if the call names one that exists; else the function's.
+    /// Its class, if the call names one that exists; else the class of the function applies.
     pub class: Option<usize>,
     /// Its tenant; 0 if it names none.
     pub tenant: usize,
-    /// What its client gives it, microseconds; none: the class's deadline.
+    /// Time that its client gives it, microseconds; `None`: the deadline of the class.
     pub budget: Option<Span>,
-    /// Its work, roughly, microseconds.
-    pub hint: Option<Span>,
+    /// Estimate of its work, microseconds.
+    #[serde(rename = "hint")]
+    pub work_hint: Option<Span>,
     /// The client marked it as a repeat.
     pub repeat: bool,
-    /// What it tells of its function; a function that the settings don't name is learned from it.
+    /// The shape it states for its function; a function that the settings do not name is learned from it.
     #[serde(default)]
-    pub shape: Option<Shape>,
-    /// It names a class or a tenant that the settings don't know.
-    #[serde(default)]
-    pub unlisted: bool,
-    /// How long it may have waited already before it was read, microseconds: its time counts from its last byte.
+    pub shape: Option<FunctionShape>,
+    /// It names a class or a tenant that the settings do not know.
+    #[serde(default, rename = "unlisted")]
+    pub unknown_names: bool,
+    /// How long it may have waited before it was read, microseconds: its time counts from its last byte.
     #[serde(default)]
     pub waited: Span,
 }
 
-/// One line of a list of workers.
+/// One entry of a list of workers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
-    /// The worker's name: the same at every front end.
+pub struct WorkerRecord {
+    /// The name of the worker: the same at every front end.
     pub name: String,
     /// Its machine kind.
     pub kind: usize,
@@ -82,35 +88,41 @@
     pub zone: usize,
     /// `0` ready, `1` draining, `2` gone.
     pub state: u8,
-    /// How long ago it started, microseconds, if told.
+    /// How long ago it started, microseconds, if stated.
     pub age: Option<Span>,
-    /// A figure to compare its size with others'.
-    pub share: f64,
+    /// Its size, comparable with that of other workers.
+    #[serde(rename = "share")]
+    pub relative_size: f64,
 }
 
-/// What a front is told.
+/// An event that the dispatcher takes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Input {
-    /// The whole list of workers (`whole`), or changes to it.
+    /// The full list of workers, or changes to it.
     Workers {
-        /// A worker not named is gone.
-        whole: bool,
+        /// The list is complete: a worker that it does not name is gone.
+        #[serde(rename = "whole")]
+        full: bool,
         /// The entries.
-        list: Vec<Listed>,
+        #[serde(rename = "list")]
+        workers: Vec<WorkerRecord>,
     },
-    /// Asking for the list failed.
-    ListFailed,
+    /// The list could not be fetched.
+    #[serde(rename = "ListFailed")]
+    WorkerListFailed,
     /// A call came in.
     Call(Call),
-    /// The HEADERS of an attempt have left: asked for by `Confirm`, and implied by whatever comes back.
-    Opened {
+    /// The HEADERS of an attempt have left: asked for by [`Command::ConfirmSent`], and implied by whatever comes back.
+    #[serde(rename = "Opened")]
+    AttemptSent {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: u32,
     },
-    /// A piece of a streamed answer came.
-    Piece {
+    /// A message of a streamed answer came.
+    #[serde(rename = "Piece")]
+    ResponseMessage {
         /// The call.
         call: CallId,
         /// The attempt.
@@ -118,65 +130,81 @@
         /// It is the last one.
         last: bool,
     },
-    /// An attempt ended: exactly one for each `Open`.
-    Ended {
+    /// An attempt ended: exactly one for each [`Command::SendAttempt`].
+    #[serde(rename = "Ended")]
+    AttemptEnded {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: u32,
-        /// How.
-        seen: Seen,
-        /// What its trailers told.
-        told: Told,
+        /// How it ended.
+        #[serde(rename = "seen")]
+        outcome: AttemptOutcome,
+        /// What its trailers stated.
+        #[serde(rename = "told")]
+        trailers: Trailers,
     },
     /// The client cancelled, or its connection ended.
     ClientLeft {
         /// The call.
         call: CallId,
     },
-    /// A probe or order ended: exactly one for each.
-    OrderEnded {
-        /// Which.
-        order: OrderId,
-        /// How.
-        seen: Seen,
-        /// What its trailers told.
-        told: Told,
+    /// A control request ended: exactly one for each.
+    #[serde(rename = "OrderEnded")]
+    ControlRequestEnded {
+        /// The request.
+        #[serde(rename = "order")]
+        request: ControlRequestId,
+        /// How it ended.
+        #[serde(rename = "seen")]
+        outcome: AttemptOutcome,
+        /// What its trailers stated.
+        #[serde(rename = "told")]
+        trailers: Trailers,
     },
     /// Time has passed.
     Tick,
-    /// Calls are no longer taken; those still open after `within` fail.
-    Close {
+    /// Calls are no longer accepted; those still open after the grace period fail.
+    #[serde(rename = "Close")]
+    Shutdown {
         /// Microseconds from now.
-        within: Span,
+        #[serde(rename = "within")]
+        grace: Span,
     },
-    /// A call came in whose function the settings in use don't name, and was looked up.
-    Looked {
+    /// A call came in whose function the settings in force do not name, and the function was looked up.
+    #[serde(rename = "Looked")]
+    CallLookedUp {
         /// The call.
         call: Call,
-        /// What was found of its function.
-        found: Found,
+        /// What is known of its function.
+        #[serde(rename = "found")]
+        lookup: FunctionLookup,
     },
-    /// Something was found of a function whose calls wait for it.
-    Found {
+    /// A function that calls wait for was resolved.
+    #[serde(rename = "Found")]
+    FunctionResolved {
         /// The function.
         function: String,
-        /// What.
-        found: Found,
+        /// What is known of it.
+        #[serde(rename = "found")]
+        lookup: FunctionLookup,
     },
 }
 
 /// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum FailureReason {
     /// Its time is up.
     Deadline,
-    /// A worker's connection was lost while the call may have been running.
-    Lost,
+    /// The connection to a worker was lost while the call may have been running.
+    #[serde(rename = "Lost")]
+    ConnectionLost,
     /// A worker failed.
-    Worker,
-    /// The front end closes.
-    Closing,
+    #[serde(rename = "Worker")]
+    WorkerFailed,
+    /// The front end shuts down.
+    #[serde(rename = "Closing")]
+    ShuttingDown,
 }
 
 /// A final answer.
@@ -184,49 +212,56 @@
 pub enum Answer {
     /// What the attempt brought.
     Served,
-    /// The worker's status as it came: the function's own verdict.
-    Passed,
+    /// The status of the worker as it came: the verdict of the function itself.
+    #[serde(rename = "Passed")]
+    WorkerStatus,
     /// Trying again is harmless.
     Refused {
         /// Advice to wait so long, microseconds; 0: none.
-        stay_away: Span,
+        #[serde(rename = "stay_away")]
+        retry_after: Span,
     },
     /// Nothing is promised.
-    Failed(Why),
-    /// No such function.
-    Unknown,
+    Failed(FailureReason),
+    /// There is no such function.
+    #[serde(rename = "Unknown")]
+    UnknownFunction,
 }
 
-/// What a front wants done, in this order.
+/// What the dispatcher wants done; commands are carried out in the order in which they come.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Open an attempt: send the call's request to the worker.
-    Open {
+    /// Begin an attempt: send the request of the call to the worker.
+    #[serde(rename = "Open")]
+    SendAttempt {
         /// The call.
         call: CallId,
-        /// The attempt's number, from 0.
+        /// The number of the attempt, from 0.
         attempt: u32,
-        /// The worker's name.
+        /// The name of the worker.
         worker: String,
-        /// What is left of the call's time, microseconds.
+        /// What is left of the time of the call, microseconds.
         budget: Span,
     },
-    /// Close an attempt: reset its stream, then report its end.
-    Withdraw {
+    /// Cancel an attempt: reset its stream, then report its end.
+    #[serde(rename = "Withdraw")]
+    CancelAttempt {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: u32,
     },
-    /// If the HEADERS of an attempt have left, say so (`Opened`); if not, withdraw it.
-    Confirm {
+    /// If the HEADERS of an attempt have left, report [`Input::AttemptSent`]; if not, cancel it.
+    #[serde(rename = "Confirm")]
+    ConfirmSent {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: u32,
     },
-    /// Pass the piece just told on to the client.
-    Pass {
+    /// Forward the response message just reported to the client.
+    #[serde(rename = "Pass")]
+    ForwardMessage {
         /// The call.
         call: CallId,
     },
@@ -239,15 +274,17 @@
     },
     /// Ask a worker for its load.
     Probe {
-        /// The probe.
-        order: OrderId,
+        /// The request.
+        #[serde(rename = "order")]
+        request: ControlRequestId,
         /// The worker.
         worker: String,
     },
-    /// Have a worker hold at least so many instances; 0 only asks.
+    /// Have a worker keep at least so many instances; 0 only asks how many there are.
     Load {
-        /// The order.
-        order: OrderId,
+        /// The request.
+        #[serde(rename = "order")]
+        request: ControlRequestId,
         /// The worker.
         worker: String,
         /// The function.
@@ -257,46 +294,58 @@
     },
     /// Have a worker unload idle instances.
     Unload {
-        /// The order.
-        order: OrderId,
+        /// The request.
+        #[serde(rename = "order")]
+        request: ControlRequestId,
         /// The worker.
         worker: String,
         /// The function.
         function: String,
     },
-    /// If nothing of an order has left, take it back, then report its end.
-    Recall {
-        /// Which.
-        order: OrderId,
+    /// If nothing of a control request has left, take it back and report its end.
+    #[serde(rename = "Recall")]
+    RecallUnsent {
+        /// The request.
+        #[serde(rename = "order")]
+        request: ControlRequestId,
     },
-    /// Give up on a probe or an order, then report its end.
-    WithdrawOrder {
-        /// Which.
-        order: OrderId,
+    /// Cancel a control request, then report its end.
+    #[serde(rename = "WithdrawOrder")]
+    CancelControlRequest {
+        /// The request.
+        #[serde(rename = "order")]
+        request: ControlRequestId,
     },
-    /// Drop the connection to a worker at once: it takes nothing.
-    Drop {
+    /// Drop the connection to a worker at once: it accepts nothing.
+    #[serde(rename = "Drop")]
+    DropConnection {
         /// The worker.
         worker: String,
     },
-    /// The worker has left: close its connection once nothing is open on it.
-    Retire {
+    /// The worker is gone: close its connection once nothing is open on it.
+    #[serde(rename = "Retire")]
+    RetireWorker {
         /// The worker.
         worker: String,
     },
-    /// Tell the operator: a worker's orders leave nothing.
-    Tell {
+    /// Report to the operator that loads at a worker leave no instance.
+    #[serde(rename = "Tell")]
+    ReportMissingFunction {
         /// The worker.
         worker: String,
-        /// The function of the last one.
+        /// The function of the last such load.
         function: String,
-        /// How that one ended.
-        seen: Seen,
-        /// Orders in vain since the last one that left an instance.
-        count: u64,
+        /// How that load ended.
+        #[serde(rename = "seen")]
+        outcome: AttemptOutcome,
+        /// Loads without effect since the last one that left an instance.
+        #[serde(rename = "count")]
+        failed_loads: u64,
     },
-    /// Fetch the whole list once.
-    FetchList,
-    /// Have changes of the list sent from here on.
-    Subscribe,
+    /// Fetch the full list of workers once.
+    #[serde(rename = "FetchList")]
+    FetchWorkerList,
+    /// Have changes of the list of workers sent from here on.
+    #[serde(rename = "Subscribe")]
+    SubscribeWorkerList,
 }
--- a/decide/dispatch/src/ids.rs
+++ b/decide/dispatch/src/names.rs
@@ -1,48 +1,48 @@
-//! Names to the module's numbers: a hash of the name, so that every front end gives a name the same number without
+//! NameTable to the module's numbers: a hash of the name, so that every front end gives a name the same number without
 //! asking another.
 
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Names of one sort and their numbers.
+/// NameTable of one sort and their numbers.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct NameTable {
     by_id: HashMap<u64, String>,
 }
 
 /// Two names with one number: the later cannot be taken without mixing up the two at some front end.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Collision {
+pub struct NameCollision {
     /// The name that was not taken.
     pub name: String,
     /// The name that has its number.
-    pub holder: String,
+    pub existing: String,
 }
 
-impl std::fmt::Display for Collision {
+impl std::fmt::Display for NameCollision {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
             "{:?} hashes to the number of {:?}: give it another name",
-            self.name, self.holder
+            self.name, self.existing
         )
     }
 }
-impl std::error::Error for Collision {}
+impl std::error::Error for NameCollision {}
 
 /// The number of a name, whoever holds it.
-pub fn number(name: &str) -> u64 {
+pub fn name_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-impl Names {
+impl NameTable {
     /// Takes a name; gives its number.
-    pub fn take(&mut self, name: &str) -> Result<u64, Collision> {
-        let id = number(name);
+    pub fn intern(&mut self, name: &str) -> Result<u64, NameCollision> {
+        let id = name_hash(name);
         match self.by_id.get(&id) {
-            Some(held) if held != name => Err(Collision {
+            Some(existing) if existing != name => Err(NameCollision {
                 name: name.into(),
-                holder: held.clone(),
+                existing: existing.clone(),
             }),
             Some(_) => Ok(id),
             None => {
@@ -57,7 +57,7 @@
     }
     /// The number of a name that was taken.
     pub fn find(&self, name: &str) -> Option<u64> {
-        let id = number(name);
+        let id = name_hash(name);
         self.by_id.get(&id).is_some_and(|n| n == name).then_some(id)
     }
     /// Lets a name go.
--- a/decide/dispatch/src/outcome.rs
+++ b/decide/dispatch/src/outcome.rs
@@ -31,20 +31,21 @@
 
 /// How far the answer had come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stage {
+pub enum ResponseStage {
     /// Nothing had come.
     Nothing,
     /// Response headers had.
     Headers,
-    /// At least one piece had.
-    Pieces,
-    /// The last piece had.
+    /// At least one message of the answer had.
+    #[serde(rename = "Pieces")]
+    Messages,
+    /// The last message had.
     Last,
 }
 
 /// How an attempt, a probe or an order was seen to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Seen {
+pub enum AttemptOutcome {
     /// The connection was refused, or the address can't be reached.
     ConnectRefused,
     /// The connection was not made in time.
@@ -58,32 +59,35 @@
         /// RFC 9113, section 7.
         code: u32,
         /// How far the answer had come.
-        stage: Stage,
+        stage: ResponseStage,
     },
     /// The connection ended.
-    Cut {
+    #[serde(rename = "Cut")]
+    ConnectionCut {
         /// How far the answer had come.
-        stage: Stage,
+        stage: ResponseStage,
     },
     /// A status came: the call's end by the protocol.
     Status {
         /// gRPC's number; 0: OK.
         code: u8,
         /// How far the answer had come.
-        stage: Stage,
+        stage: ResponseStage,
     },
     /// The stream ended without trailers.
     NoTrailers {
         /// How far the answer had come.
-        stage: Stage,
+        stage: ResponseStage,
     },
     /// What came is no message of the protocol, too long, compressed, or a second answer.
-    BadAnswer {
+    #[serde(rename = "BadAnswer")]
+    InvalidResponse {
         /// How far the answer had come.
-        stage: Stage,
+        stage: ResponseStage,
     },
-    /// We withdrew it, and the withdrawal has left this machine.
-    Withdrawn,
+    /// We cancelled it, and the cancellation has left this machine.
+    #[serde(rename = "Withdrawn")]
+    Cancelled,
 }
 
 /// Names of gRPC's status codes, by number.
@@ -108,21 +112,21 @@
 ];
 
 /// In words, for an operator.
-impl std::fmt::Display for Seen {
+impl std::fmt::Display for AttemptOutcome {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Seen::ConnectRefused => f.write_str("connect refused"),
-            Seen::ConnectTimedOut => f.write_str("no connection in time"),
-            Seen::NeverLeft => f.write_str("never left"),
-            Seen::GoawayBelow => f.write_str("GOAWAY"),
-            Seen::Reset { code, .. } => write!(f, "RST_STREAM code {code}"),
-            Seen::Cut { .. } => f.write_str("connection cut"),
-            Seen::Status { code, .. } => {
+            AttemptOutcome::ConnectRefused => f.write_str("connect refused"),
+            AttemptOutcome::ConnectTimedOut => f.write_str("no connection in time"),
+            AttemptOutcome::NeverLeft => f.write_str("never left"),
+            AttemptOutcome::GoawayBelow => f.write_str("GOAWAY"),
+            AttemptOutcome::Reset { code, .. } => write!(f, "RST_STREAM code {code}"),
+            AttemptOutcome::ConnectionCut { .. } => f.write_str("connection cut"),
+            AttemptOutcome::Status { code, .. } => {
                 f.write_str(STATUS.get(usize::from(*code)).unwrap_or(&"unknown status"))
             }
-            Seen::NoTrailers { .. } => f.write_str("no trailers"),
-            Seen::BadAnswer { .. } => f.write_str("no message of the protocol"),
-            Seen::Withdrawn => f.write_str("no answer in time"),
+            AttemptOutcome::NoTrailers { .. } => f.write_str("no trailers"),
+            AttemptOutcome::InvalidResponse { .. } => f.write_str("no message of the protocol"),
+            AttemptOutcome::Cancelled => f.write_str("no answer in time"),
         }
     }
 }
@@ -140,14 +144,16 @@
 
 /// How the call met its function.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub enum Note {
-    /// Not told.
+pub enum CacheStatus {
+    /// Not stated.
     #[default]
-    Silent,
+    #[serde(rename = "Silent")]
+    Unreported,
     /// An instance stood loaded.
     Warm,
     /// The call began a load.
-    BeganLoad,
+    #[serde(rename = "BeganLoad")]
+    StartedLoad,
     /// The call waited for a load.
     AwaitedLoad,
     /// The load failed.
@@ -156,11 +162,12 @@
 
 /// A worker's report of its own load.
 #[derive(Clone, Copy, Debug, PartialEq, Default, Serialize, Deserialize)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests waiting.
     pub queued: Option<f64>,
-    /// Requests held.
-    pub held: Option<f64>,
+    /// Requests accepted and not yet answered.
+    #[serde(rename = "held")]
+    pub in_flight: Option<f64>,
     /// Share of its cores at work.
     pub busy: Option<f64>,
     /// Share of its memory that can't be freed.
@@ -177,22 +184,24 @@
 
 /// What the trailers of an answer told.
 #[derive(Clone, Copy, Debug, PartialEq, Default, Serialize, Deserialize)]
-pub struct Told {
+pub struct Trailers {
     /// Of the instance.
-    pub note: Note,
+    #[serde(rename = "note")]
+    pub cache_status: CacheStatus,
     /// The promise, if one was given.
     pub never_ran: Option<NeverRan>,
     /// Calls of the function that the worker held when this one came.
-    pub crowd: Option<u32>,
+    #[serde(rename = "crowd")]
+    pub concurrent_calls: Option<u32>,
     /// Instances that stand loaded, from an order's answer.
     pub instances: Option<u32>,
     /// The load report.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// What follows from an end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct RetryClass {
     /// For the module.
     pub outcome: Outcome,
     /// The status is the function's own verdict on the call: passed on, not tried again.
@@ -203,56 +212,68 @@
 const OWN_VERDICTS: [u8; 8] = [3, 5, 6, 7, 9, 11, 12, 16];
 
 /// Reads the table above.
-pub fn verdict(seen: Seen, told: &Told) -> Verdict {
-    let (outcome, final_status) = match seen {
-        Seen::ConnectRefused | Seen::ConnectTimedOut => (Outcome::ConnectFailed, false),
-        Seen::NeverLeft => (Outcome::NotSent, false),
-        Seen::GoawayBelow => (Outcome::TurnedAway, false),
-        Seen::Reset {
+pub fn classify(outcome: AttemptOutcome, trailers: &Trailers) -> RetryClass {
+    let (class, final_status) = match outcome {
+        AttemptOutcome::ConnectRefused | AttemptOutcome::ConnectTimedOut => {
+            (Outcome::ConnectFailed, false)
+        }
+        AttemptOutcome::NeverLeft => (Outcome::NotSent, false),
+        AttemptOutcome::GoawayBelow => (Outcome::TurnedAway, false),
+        AttemptOutcome::Reset {
             code: REFUSED_STREAM,
-            stage: Stage::Nothing,
+            stage: ResponseStage::Nothing,
         } => (Outcome::TurnedAway, false),
-        Seen::Reset { .. } => (Outcome::Error, false),
-        Seen::Cut { .. } => (Outcome::ConnectionLost, false),
-        Seen::Status { code, stage } => match (told.never_ran, stage) {
-            (Some(NeverRan::NotLoaded), Stage::Nothing | Stage::Headers) if code != 0 => {
+        AttemptOutcome::Reset { .. } => (Outcome::Error, false),
+        AttemptOutcome::ConnectionCut { .. } => (Outcome::ConnectionLost, false),
+        AttemptOutcome::Status { code, stage } => match (trailers.never_ran, stage) {
+            (Some(NeverRan::NotLoaded), ResponseStage::Nothing | ResponseStage::Headers)
+                if code != 0 =>
+            {
                 (Outcome::NotLoaded, false)
             }
-            (Some(NeverRan::TurnedAway), Stage::Nothing | Stage::Headers) if code != 0 => {
+            (Some(NeverRan::TurnedAway), ResponseStage::Nothing | ResponseStage::Headers)
+                if code != 0 =>
+            {
                 (Outcome::TurnedAway, false)
             }
-            (Some(NeverRan::Expired), Stage::Nothing | Stage::Headers) if code != 0 => {
+            (Some(NeverRan::Expired), ResponseStage::Nothing | ResponseStage::Headers)
+                if code != 0 =>
+            {
                 (Outcome::NotSent, false)
             }
-            (_, Stage::Pieces | Stage::Last) if code == 0 => (Outcome::Served, false),
+            (_, ResponseStage::Messages | ResponseStage::Last) if code == 0 => {
+                (Outcome::Served, false)
+            }
             _ => (Outcome::Error, OWN_VERDICTS.contains(&code)),
         },
-        Seen::NoTrailers { .. } | Seen::BadAnswer { .. } => (Outcome::Error, false),
-        Seen::Withdrawn => (Outcome::Cancelled, false),
+        AttemptOutcome::NoTrailers { .. } | AttemptOutcome::InvalidResponse { .. } => {
+            (Outcome::Error, false)
+        }
+        AttemptOutcome::Cancelled => (Outcome::Cancelled, false),
     };
-    Verdict {
-        outcome,
+    RetryClass {
+        outcome: class,
         final_status,
     }
 }
 
-impl From<Note> for tansyrouter::Note {
-    fn from(n: Note) -> tansyrouter::Note {
+impl From<CacheStatus> for tansyrouter::Note {
+    fn from(n: CacheStatus) -> tansyrouter::Note {
         match n {
-            Note::Silent => tansyrouter::Note::Silent,
-            Note::Warm => tansyrouter::Note::Warm,
-            Note::BeganLoad => tansyrouter::Note::BeganLoad,
-            Note::AwaitedLoad => tansyrouter::Note::AwaitedLoad,
-            Note::LoadFailed => tansyrouter::Note::LoadFailed,
+            CacheStatus::Unreported => tansyrouter::Note::Silent,
+            CacheStatus::Warm => tansyrouter::Note::Warm,
+            CacheStatus::StartedLoad => tansyrouter::Note::BeganLoad,
+            CacheStatus::AwaitedLoad => tansyrouter::Note::AwaitedLoad,
+            CacheStatus::LoadFailed => tansyrouter::Note::LoadFailed,
         }
     }
 }
 
-impl From<Report> for tansyrouter::LoadReport {
-    fn from(r: Report) -> tansyrouter::LoadReport {
+impl From<LoadReport> for tansyrouter::LoadReport {
+    fn from(r: LoadReport) -> tansyrouter::LoadReport {
         tansyrouter::LoadReport {
             queued: r.queued,
-            held: r.held,
+            held: r.in_flight,
             busy: r.busy,
             memory_pinned: r.memory_pinned,
             loads: r.loads,
@@ -267,34 +288,39 @@
 mod tests {
     use super::*;
 
-    const STAGES: [Stage; 4] = [Stage::Nothing, Stage::Headers, Stage::Pieces, Stage::Last];
+    const STAGES: [ResponseStage; 4] = [
+        ResponseStage::Nothing,
+        ResponseStage::Headers,
+        ResponseStage::Messages,
+        ResponseStage::Last,
+    ];
 
-    fn never_ran(seen: Seen, told: &Told) -> bool {
-        verdict(seen, told).outcome.never_ran()
+    fn never_ran(seen: AttemptOutcome, told: &Trailers) -> bool {
+        classify(seen, told).outcome.never_ran()
     }
 
     #[test]
     fn only_proof_says_that_an_attempt_never_ran() {
-        let silent = Told::default();
+        let silent = Trailers::default();
         for seen in [
-            Seen::ConnectRefused,
-            Seen::ConnectTimedOut,
-            Seen::NeverLeft,
-            Seen::GoawayBelow,
+            AttemptOutcome::ConnectRefused,
+            AttemptOutcome::ConnectTimedOut,
+            AttemptOutcome::NeverLeft,
+            AttemptOutcome::GoawayBelow,
         ] {
             assert!(never_ran(seen, &silent), "{seen:?}");
         }
         for stage in STAGES {
             for code in 0..=20 {
-                let proof = code == 7 && stage == Stage::Nothing;
+                let proof = code == 7 && stage == ResponseStage::Nothing;
                 assert_eq!(
-                    never_ran(Seen::Reset { code, stage }, &silent),
+                    never_ran(AttemptOutcome::Reset { code, stage }, &silent),
                     proof,
                     "code {code} {stage:?}"
                 );
                 assert!(
                     !never_ran(
-                        Seen::Status {
+                        AttemptOutcome::Status {
                             code: code as u8,
                             stage
                         },
@@ -304,55 +330,61 @@
                 );
             }
             for seen in [
-                Seen::Cut { stage },
-                Seen::NoTrailers { stage },
-                Seen::BadAnswer { stage },
+                AttemptOutcome::ConnectionCut { stage },
+                AttemptOutcome::NoTrailers { stage },
+                AttemptOutcome::InvalidResponse { stage },
             ] {
                 assert!(!never_ran(seen, &silent), "{seen:?}");
             }
         }
-        assert!(!never_ran(Seen::Withdrawn, &silent));
+        assert!(!never_ran(AttemptOutcome::Cancelled, &silent));
     }
 
     #[test]
     fn a_promise_counts_only_with_an_error_and_before_any_piece() {
         for promise in [NeverRan::NotLoaded, NeverRan::TurnedAway, NeverRan::Expired] {
-            let told = Told {
+            let told = Trailers {
                 never_ran: Some(promise),
-                ..Told::default()
+                ..Trailers::default()
             };
             for stage in STAGES {
-                let early = matches!(stage, Stage::Nothing | Stage::Headers);
+                let early = matches!(stage, ResponseStage::Nothing | ResponseStage::Headers);
                 assert_eq!(
-                    never_ran(Seen::Status { code: 14, stage }, &told),
+                    never_ran(AttemptOutcome::Status { code: 14, stage }, &told),
                     early,
                     "{stage:?}"
                 );
                 assert!(
-                    !never_ran(Seen::Status { code: 0, stage }, &told),
+                    !never_ran(AttemptOutcome::Status { code: 0, stage }, &told),
                     "{stage:?}"
                 );
-                assert!(!never_ran(Seen::Cut { stage }, &told));
+                assert!(!never_ran(AttemptOutcome::ConnectionCut { stage }, &told));
             }
         }
     }
 
     #[test]
     fn an_ok_without_an_answer_is_an_error() {
-        let ok = |stage| verdict(Seen::Status { code: 0, stage }, &Told::default()).outcome;
-        assert_eq!(ok(Stage::Headers), Outcome::Error);
-        assert_eq!(ok(Stage::Pieces), Outcome::Served);
+        let ok = |stage| {
+            classify(
+                AttemptOutcome::Status { code: 0, stage },
+                &Trailers::default(),
+            )
+            .outcome
+        };
+        assert_eq!(ok(ResponseStage::Headers), Outcome::Error);
+        assert_eq!(ok(ResponseStage::Messages), Outcome::Served);
     }
 
     #[test]
     fn the_functions_own_verdicts_are_not_tried_again() {
         let own: Vec<u8> = (0..=16)
             .filter(|c| {
-                let seen = Seen::Status {
+                let seen = AttemptOutcome::Status {
                     code: *c,
-                    stage: Stage::Headers,
+                    stage: ResponseStage::Headers,
                 };
-                verdict(seen, &Told::default()).final_status
+                classify(seen, &Trailers::default()).final_status
             })
             .collect();
         assert_eq!(own, OWN_VERDICTS);
--- a/decide/dispatch/src/ledger.rs
+++ b/decide/dispatch/src/request_table.rs
@@ -5,21 +5,24 @@
 //! while an earlier one may still be open for a worker.
 
 mod calls;
+mod control_requests;
 pub mod guards;
-mod orders;
-mod scoped;
-mod terms;
+mod lookups;
+mod settings;
 mod timers;
 mod workers;
 
-use crate::account::{place, Account};
-use crate::config::{BadConfig, Config, Contested, FunctionSpec};
-use crate::count::Counts;
-use crate::ids::Names;
-use crate::lacking::{Lack, Lacking};
-use crate::message::{Answer, Call, CallId, Command, Input, Listed, OrderId, Shape, Why};
-use crate::outcome::{verdict, Report, Seen, Told};
-use crate::parked::Parked;
+use crate::class_counters::ClassCounterTable;
+use crate::config::{ConfigError, ConflictingScopes, DispatchConfig, FunctionSpec};
+use crate::counters::{outcome_index, Counters};
+use crate::message::{
+    Answer, Call, CallId, Command, ControlRequestId, FailureReason, FunctionShape, Input,
+    WorkerRecord,
+};
+use crate::missing_functions::{MissingFunction, MissingFunctions};
+use crate::names::NameTable;
+use crate::outcome::{classify, AttemptOutcome, LoadReport, Trailers};
+use crate::pending_lookups::PendingLookups;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use tansy_timer_wheel::{Handle, Wheel};
 use tansyrouter as module;
@@ -114,7 +117,7 @@
     Module(u64),
     Deadline(CallId),
     Attempt(CallId, u32, Until),
-    Order(OrderId),
+    Order(ControlRequestId),
     Close,
 }
 
@@ -125,56 +128,60 @@
 }
 
 /// The ledger of one front end.
-pub struct Front {
+pub struct Dispatcher {
     router: Router,
     /// The settings, with the module's own list of classes.
-    config: Config,
+    config: DispatchConfig,
     /// The module's place of each class of the settings, and its name at each place of the module's.
     places: Vec<usize>,
     class_names: Vec<String>,
-    contested: Contested,
-    ends: VecDeque<terms::End>,
+    conflicting: ConflictingScopes,
+    ends: VecDeque<settings::End>,
     now: Time,
-    functions: Names,
+    functions: NameTable,
     specs: HashMap<FunctionId, FunctionSpec>,
     /// Functions learned from calls, and when they were last called, sent, ordered or heard of.
     learned: HashMap<FunctionId, Time>,
     next_tidy: Time,
     /// Orders that a guard held back; the module hears of their end.
     unsent: Vec<(WorkerId, FunctionId)>,
-    workers: Names,
+    workers: NameTable,
     states: BTreeMap<WorkerId, WorkerState>,
     started: BTreeMap<WorkerId, Time>,
     calls: HashMap<CallId, OpenCall>,
-    parked: Parked,
-    order_list: BTreeMap<OrderId, Order>,
+    parked: PendingLookups,
+    order_list: BTreeMap<ControlRequestId, Order>,
     believed: BTreeMap<FunctionId, Believed>,
-    lacking: Lacking,
+    lacking: MissingFunctions,
     next_order: u64,
     timers: Wheel<Due>,
-    account: Account,
-    counts: Option<Box<Counts>>,
+    counters: Counters,
+    counts: Option<Box<ClassCounterTable>>,
     closing: bool,
     actions: Vec<Action>,
     due: Vec<Due>,
 }
 
-impl Front {
+impl Dispatcher {
     /// A front that knows no worker yet.
-    pub fn new(config: Config, now: Time) -> Result<Front, BadConfig> {
+    pub fn new(config: DispatchConfig, now: Time) -> Result<Dispatcher, ConfigError> {
         let router =
-            Router::new(config.settings.clone(), config.seed, now).map_err(BadConfig::Module)?;
+            Router::new(config.settings.clone(), config.seed, now).map_err(ConfigError::Router)?;
         config.check()?;
-        let (mut functions, mut specs) = (Names::default(), HashMap::new());
+        let (mut functions, mut specs) = (NameTable::default(), HashMap::new());
         for f in &config.functions {
-            let id = FunctionId(functions.take(&f.name).map_err(BadConfig::Collision)?);
+            let id = FunctionId(
+                functions
+                    .intern(&f.name)
+                    .map_err(ConfigError::NameCollision)?,
+            );
             specs.insert(id, f.clone());
         }
-        Ok(Front {
+        Ok(Dispatcher {
             router,
             places: (0..config.classes.len()).collect(),
             class_names: config.classes.clone(),
-            contested: Contested::default(),
+            conflicting: ConflictingScopes::default(),
             ends: VecDeque::new(),
             now,
             functions,
@@ -182,17 +189,17 @@
             learned: HashMap::new(),
             next_tidy: now,
             unsent: Vec::new(),
-            workers: Names::default(),
+            workers: NameTable::default(),
             states: BTreeMap::new(),
             started: BTreeMap::new(),
             calls: HashMap::new(),
-            parked: Parked::default(),
+            parked: PendingLookups::default(),
             order_list: BTreeMap::new(),
             believed: BTreeMap::new(),
-            lacking: Lacking::default(),
+            lacking: MissingFunctions::default(),
             next_order: 0,
             timers: Wheel::new(now.0, TICK),
-            account: Account::default(),
+            counters: Counters::default(),
             counts: None,
             closing: false,
             actions: Vec::new(),
@@ -203,25 +210,27 @@
 
     /// When [`Input::Tick`] is wanted at the latest.
     pub fn next_due(&self) -> Option<Time> {
-        [self.timers.next().map(Time), self.parked.next()]
+        [self.timers.next().map(Time), self.parked.next_due()]
             .into_iter()
             .flatten()
             .min()
     }
     /// The counts.
-    pub fn account(&self) -> &Account {
-        &self.account
+    pub fn counters(&self) -> &Counters {
+        &self.counters
     }
     /// Counts final answers by class from now on.
-    pub fn count(&mut self) {
+    pub fn enable_class_counters(&mut self) {
         self.counts.get_or_insert_default();
     }
     /// What is counted is valued by these classes, by name, whatever the settings in use say.
-    pub fn value_by(&mut self, classes: BTreeMap<String, module::Class>) {
-        self.counts.get_or_insert_default().value_by(classes);
+    pub fn set_valuation_classes(&mut self, classes: BTreeMap<String, module::Class>) {
+        self.counts
+            .get_or_insert_default()
+            .set_valuation_classes(classes);
     }
     /// Final answers by class, if they are counted.
-    pub fn counts(&self) -> Option<&Counts> {
+    pub fn class_counters(&self) -> Option<&ClassCounterTable> {
         self.counts.as_deref()
     }
     /// A call of the module's class ended, `arrived` then.
@@ -233,19 +242,19 @@
             self.class_names.get(class),
             self.config.settings.classes.get(class),
         ) {
-            counts.end(name, c, answer, self.now.since(arrived));
+            counts.record_answer(name, c, answer, self.now.since(arrived));
         }
     }
     /// Calls that were taken and are owed an answer.
-    pub fn open(&self) -> usize {
+    pub fn open_calls(&self) -> usize {
         self.calls.values().filter(|c| !c.answered).count()
     }
     /// Whether nothing is left: no call, no attempt, no order.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.calls.is_empty() && self.parked.is_empty() && self.order_list.is_empty()
     }
     /// Its settings.
-    pub fn config(&self) -> &Config {
+    pub fn config(&self) -> &DispatchConfig {
         &self.config
     }
     /// Workers that take work.
@@ -256,8 +265,8 @@
             .count()
     }
     /// Whether calls are taken.
-    pub fn ready(&self) -> bool {
-        !self.closing && !self.contested.all && self.ready_workers() > 0
+    pub fn is_ready(&self) -> bool {
+        !self.closing && !self.conflicting.all && self.ready_workers() > 0
     }
     /// A function by name.
     pub fn function(&self, name: &str) -> Option<&FunctionSpec> {
@@ -266,7 +275,7 @@
             .and_then(|id| self.specs.get(&FunctionId(id)))
     }
     /// What is believed of each function, in the settings' order: its name, `READY`, `LOADING` or `UNAVAILABLE`.
-    pub fn index(&self) -> Vec<(&FunctionSpec, &'static str)> {
+    pub fn function_states(&self) -> Vec<(&FunctionSpec, &'static str)> {
         let state = |f: &FunctionSpec| {
             let b = self
                 .functions
@@ -293,8 +302,8 @@
         self.expire(out);
         self.parked_due(out);
         match input {
-            Input::Workers { whole, list } => self.on_list(whole, list, out),
-            Input::ListFailed => {
+            Input::Workers { full, workers } => self.on_list(full, workers, out),
+            Input::WorkerListFailed => {
                 self.tell(
                     Event::Workers {
                         kind: ListKind::Failed,
@@ -304,28 +313,32 @@
                 );
             }
             Input::Call(call) => self.on_call(call, out),
-            Input::Opened { call, attempt } => self.on_opened(call, attempt),
-            Input::Piece {
+            Input::AttemptSent { call, attempt } => self.on_opened(call, attempt),
+            Input::ResponseMessage {
                 call,
                 attempt,
                 last,
             } => self.on_piece(call, attempt, last, out),
-            Input::Ended {
+            Input::AttemptEnded {
                 call,
                 attempt,
-                seen,
-                told,
-            } => self.on_ended(call, attempt, seen, told, out),
+                outcome,
+                trailers,
+            } => self.on_ended(call, attempt, outcome, trailers, out),
             Input::ClientLeft { call } => self.on_left(call, out),
-            Input::OrderEnded { order, seen, told } => self.on_order(order, seen, told, out),
+            Input::ControlRequestEnded {
+                request,
+                outcome,
+                trailers,
+            } => self.on_order(request, outcome, trailers, out),
             Input::Tick => {}
-            Input::Close { within } => {
+            Input::Shutdown { grace } => {
                 self.closing = true;
-                self.timers.set(self.now.plus(within).0, Due::Close);
+                self.timers.set(self.now.plus(grace).0, Due::Close);
                 self.close_parked(out);
             }
-            Input::Looked { call, found } => self.on_looked(call, found, out),
-            Input::Found { function, found } => self.on_found(&function, found, out),
+            Input::CallLookedUp { call, lookup } => self.on_looked(call, lookup, out),
+            Input::FunctionResolved { function, lookup } => self.on_found(&function, lookup, out),
         }
         while let Some((worker, function)) = self.unsent.pop() {
             let outcome = Outcome::NotSent;
@@ -389,7 +402,7 @@
         };
         let id = match known {
             Some(id) => id,
-            None => FunctionId(self.functions.take(&call.function).ok()?),
+            None => FunctionId(self.functions.intern(&call.function).ok()?),
         };
         if known.is_none() || self.learned.contains_key(&id) {
             self.learned.insert(id, self.now);
@@ -414,7 +427,7 @@
     }
 
     /// Functions and workers whose names are held.
-    pub fn held(&self) -> (usize, usize) {
+    pub fn name_counts(&self) -> (usize, usize) {
         (self.functions.len(), self.workers.len())
     }
 
@@ -439,11 +452,20 @@
             Action::Refuse { request, stay_away } => {
                 let id = CallId(request.0);
                 let stay_away = self.advice(id, stay_away);
-                self.answer(id, Answer::Refused { stay_away }, out)
+                self.answer(
+                    id,
+                    Answer::Refused {
+                        retry_after: stay_away,
+                    },
+                    out,
+                )
             }
             Action::Fail { request } => {
                 let id = CallId(request.0);
-                let why = self.calls.get(&id).map_or(Why::Deadline, |c| self.why(c));
+                let why = self
+                    .calls
+                    .get(&id)
+                    .map_or(FailureReason::Deadline, |c| self.why(c));
                 self.answer(id, Answer::Failed(why), out)
             }
             Action::Cancel { request, attempt } => {
@@ -469,8 +491,8 @@
             Action::SetTimer { at, token } => {
                 self.timers.set(at.0, Due::Module(token));
             }
-            Action::FetchList => out.push(Command::FetchList),
-            Action::Subscribe => out.push(Command::Subscribe),
+            Action::FetchList => out.push(Command::FetchWorkerList),
+            Action::Subscribe => out.push(Command::SubscribeWorkerList),
         }
     }
 
@@ -485,12 +507,12 @@
         if given > 0 { given } else { aim }.min(settings.max_stay_away)
     }
 
-    fn why(&self, call: &OpenCall) -> Why {
+    fn why(&self, call: &OpenCall) -> FailureReason {
         match call.last_end {
-            _ if self.now >= call.deadline => Why::Deadline,
-            Some(Outcome::ConnectionLost | Outcome::ConnectFailed) => Why::Lost,
-            Some(Outcome::Error) => Why::Worker,
-            _ => Why::Deadline,
+            _ if self.now >= call.deadline => FailureReason::Deadline,
+            Some(Outcome::ConnectionLost | Outcome::ConnectFailed) => FailureReason::ConnectionLost,
+            Some(Outcome::Error) => FailureReason::WorkerFailed,
+            _ => FailureReason::Deadline,
         }
     }
 
--- a/decide/dispatch/src/ledger/calls.rs
+++ b/decide/dispatch/src/request_table/calls.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-impl Front {
+impl Dispatcher {
     pub(super) fn on_call(&mut self, call: Call, out: &mut Vec<Command>) {
-        if !self.calls.contains_key(&call.call) {
+        if !self.calls.contains_key(&call.id) {
             self.arrive(call, None, 0, out);
         }
     }
@@ -13,11 +13,11 @@
     pub(super) fn arrive(
         &mut self,
         mut call: Call,
-        scope: Option<(usize, Shape)>,
+        scope: Option<(usize, FunctionShape)>,
         waited: Span,
         out: &mut Vec<Command>,
     ) {
-        let id = call.call;
+        let id = call.id;
         let waited = waited + call.waited.max(0);
         if let Some((_, shape)) = scope {
             call.shape = Some(shape);
@@ -28,16 +28,16 @@
         };
         let of_function = scope.map_or(spec.class, |(class, _)| class);
         let arrived = Time(self.now.0 - waited);
-        self.account.taken += 1;
+        self.counters.accepted += 1;
         // Nothing was sent for it: a refusal is right for every class. Another front end may take it at once while
         // this one closes; one that is full is full for a while.
         if self.closing || self.calls.len() >= self.config.settings.max_held {
             let full = self.config.settings.classes[of_function]
                 .aim
                 .min(self.config.settings.max_stay_away);
-            let stay_away = if self.closing { 0 } else { full };
-            self.account.refused += 1;
-            let answer = Answer::Refused { stay_away };
+            let retry_after = if self.closing { 0 } else { full };
+            self.counters.refused += 1;
+            let answer = Answer::Refused { retry_after };
             self.counted(of_function, Some(answer), arrived);
             out.push(Command::Answer { call: id, answer });
             return;
@@ -46,10 +46,10 @@
             .class
             .filter(|c| *c < self.config.settings.classes.len())
             .unwrap_or(of_function);
-        if let Some(stay_away) = self.contests(&call, class) {
-            (self.account.refused, self.account.contested) =
-                (self.account.refused + 1, self.account.contested + 1);
-            let answer = Answer::Refused { stay_away };
+        if let Some(retry_after) = self.contests(&call, class) {
+            (self.counters.refused, self.counters.conflicting) =
+                (self.counters.refused + 1, self.counters.conflicting + 1);
+            let answer = Answer::Refused { retry_after };
             self.counted(class, Some(answer), arrived);
             out.push(Command::Answer { call: id, answer });
             return;
@@ -60,25 +60,25 @@
         let budget = (self.budget(told) - waited).max(0);
         if waited > 0 && budget == 0 {
             // Nothing was sent for it.
-            self.account.refused += 1;
-            let stay_away = if scope.is_some() {
+            self.counters.refused += 1;
+            let retry_after = if scope.is_some() {
                 self.till_known()
             } else {
                 0
             };
-            let answer = Answer::Refused { stay_away };
+            let answer = Answer::Refused { retry_after };
             self.counted(class, Some(answer), arrived);
             out.push(Command::Answer { call: id, answer });
             return;
         }
-        let function = FunctionId(crate::ids::number(&spec.name));
+        let function = FunctionId(crate::names::name_hash(&spec.name));
         let arrival = module::Arrival {
             request: RequestId(id.0),
             function,
             class,
             tenant: call.tenant,
             budget,
-            work_hint: call.hint,
+            work_hint: call.work_hint,
             lanes: spec.lanes,
             memory_mb: spec.memory_mb,
             load_time: spec.load_time,
@@ -104,7 +104,7 @@
 
     /// What of a call's time is there for it: its answer's way is kept back.
     pub(super) fn budget(&self, told: Span) -> Span {
-        let told = told.clamp(0, self.config.longest);
+        let told = told.clamp(0, self.config.max_call_time);
         (told - (told / RESERVE_PART).clamp(RESERVE_LEAST, RESERVE_MOST)).max(0)
     }
 
@@ -120,14 +120,14 @@
         // Guards behind the module's own: what it never does is not done if it errs either.
         let may = self.may_begin(id, worker);
         let Some(c) = self.calls.get_mut(&id) else {
-            self.account.guarded += 1;
+            self.counters.guard_rejections += 1;
             return;
         };
         let number = c.sent;
         c.sent += 1;
         let Some(name) = name.filter(|_| may.is_ok()) else {
             debug_assert!(false, "the module sent {id:?} to {worker:?}: {may:?}");
-            self.account.guarded += 1;
+            self.counters.guard_rejections += 1;
             return;
         };
         let budget = c.deadline.since(self.now);
@@ -145,8 +145,8 @@
             self.timers
                 .set(at.0, Due::Attempt(id, number, Until::Ended));
         }
-        self.account.attempts += 1;
-        out.push(Command::Open {
+        self.counters.attempts += 1;
+        out.push(Command::SendAttempt {
             call: id,
             attempt: number,
             worker: name,
@@ -184,7 +184,7 @@
         }
         a.phase = Phase::Open;
         let first = !std::mem::replace(&mut a.began, true);
-        self.account.pieces += 1;
+        self.counters.messages += 1;
         if first {
             self.tell(
                 Event::StreamBegan {
@@ -194,7 +194,7 @@
                 out,
             );
         }
-        out.push(Command::Pass { call: id });
+        out.push(Command::ForwardMessage { call: id });
         if last {
             self.answer(id, Answer::Served, out);
         }
@@ -204,8 +204,8 @@
         &mut self,
         id: CallId,
         attempt: u32,
-        seen: Seen,
-        told: Told,
+        seen: AttemptOutcome,
+        told: Trailers,
         out: &mut Vec<Command>,
     ) {
         let Some(c) = self.calls.get_mut(&id) else {
@@ -217,13 +217,15 @@
         if let Some(timer) = a.timer {
             self.timers.clear(timer);
         }
-        let verdict = verdict(seen, &told);
+        let class = classify(seen, &told);
         let outcome = match a.phase {
             // Withdrawn: it may have run, unless its end proves otherwise.
-            Phase::Closing(reason) if !verdict.outcome.never_ran() => reason,
+            Phase::Closing(reason) if !class.outcome.never_ran() => reason,
             // Its client left before the connection stood: that says nothing of the worker.
-            Phase::Closing(Outcome::Cancelled) if seen == Seen::ConnectTimedOut => Outcome::NotSent,
-            _ => verdict.outcome,
+            Phase::Closing(Outcome::Cancelled) if seen == AttemptOutcome::ConnectTimedOut => {
+                Outcome::NotSent
+            }
+            _ => class.outcome,
         };
         c.last_end = Some(outcome);
         if !outcome.never_ran() {
@@ -231,19 +233,19 @@
         }
         let (function, answered, began) = (c.function, c.answered, a.began);
         self.used(function);
-        self.account.ends[place(outcome)] += 1;
+        self.counters.attempt_outcomes[outcome_index(outcome)] += 1;
         if outcome == Outcome::Served {
             self.believed.entry(function).or_default().warm_at = Some(self.now);
         }
         // An answer that has begun is its client's: no other may follow it, so an end in the middle is final.
-        let ends = outcome == Outcome::Served || verdict.final_status || began;
+        let ends = outcome == Outcome::Served || class.final_status || began;
         if !answered && ends {
             let answer = match outcome {
                 Outcome::Served => Answer::Served,
-                _ if verdict.final_status => Answer::Passed,
-                Outcome::ConnectionLost => Answer::Failed(Why::Lost),
-                Outcome::TimedOut | Outcome::Cancelled => Answer::Failed(Why::Deadline),
-                _ => Answer::Failed(Why::Worker),
+                _ if class.final_status => Answer::WorkerStatus,
+                Outcome::ConnectionLost => Answer::Failed(FailureReason::ConnectionLost),
+                Outcome::TimedOut | Outcome::Cancelled => Answer::Failed(FailureReason::Deadline),
+                _ => Answer::Failed(FailureReason::WorkerFailed),
             };
             self.answer(id, answer, out);
         }
@@ -254,18 +256,18 @@
             outcome,
             concluded: answered || ends,
             latency: self.now.since(a.sent),
-            note: told.note.into(),
-            crowd: told.crowd,
-            report: told.report.map(Report::into),
+            note: told.cache_status.into(),
+            crowd: told.concurrent_calls,
+            report: told.report.map(LoadReport::into),
         };
         self.tell(Event::AttemptDone(done), out);
         self.settle(id);
     }
 
     pub(super) fn on_left(&mut self, id: CallId, out: &mut Vec<Command>) {
-        if self.parked.left(id) {
-            (self.account.taken, self.account.departed) =
-                (self.account.taken + 1, self.account.departed + 1);
+        if self.parked.remove(id) {
+            (self.counters.accepted, self.counters.abandoned) =
+                (self.counters.accepted + 1, self.counters.abandoned + 1);
             self.awaited(Err(None), 0);
             return;
         }
@@ -274,7 +276,7 @@
         };
         c.answered = true;
         let (class, arrived) = (c.class, c.arrived);
-        self.account.departed += 1;
+        self.counters.abandoned += 1;
         self.counted(class, None, arrived);
         self.tell(
             Event::Departed {
@@ -290,14 +292,16 @@
     pub(super) fn answer(&mut self, id: CallId, answer: Answer, out: &mut Vec<Command>) {
         let Some(c) = self.calls.get_mut(&id).filter(|c| !c.answered) else {
             debug_assert!(false, "a second answer to {id:?}");
-            self.account.guarded += 1;
+            self.counters.guard_rejections += 1;
             return;
         };
         c.answered = true;
         match answer {
-            Answer::Served => self.account.served += 1,
-            Answer::Refused { .. } => self.account.refused += 1,
-            Answer::Passed | Answer::Failed(_) | Answer::Unknown => self.account.failed += 1,
+            Answer::Served => self.counters.served += 1,
+            Answer::Refused { .. } => self.counters.refused += 1,
+            Answer::WorkerStatus | Answer::Failed(_) | Answer::UnknownFunction => {
+                self.counters.failed += 1
+            }
         }
         let (class, arrived) = (c.class, c.arrived);
         out.push(Command::Answer { call: id, answer });
@@ -330,7 +334,7 @@
             self.timers
                 .set(at.0, Due::Attempt(id, a.number, Until::Left)),
         );
-        out.push(Command::Confirm {
+        out.push(Command::ConfirmSent {
             call: id,
             attempt: a.number,
         });
@@ -353,7 +357,7 @@
             self.timers
                 .set(at.0, Due::Attempt(id, a.number, Until::Closed)),
         );
-        out.push(Command::Withdraw {
+        out.push(Command::CancelAttempt {
             call: id,
             attempt: a.number,
         });
--- a/decide/dispatch/src/ledger/orders.rs
+++ b/decide/dispatch/src/request_table/control_requests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Front {
+impl Dispatcher {
     pub(super) fn order(
         &mut self,
         kind: OrderKind,
@@ -20,7 +20,7 @@
         });
         let Some((worker_name, name)) = names.filter(|_| ready) else {
             // Rule 3 for orders, and an order that nobody takes must end for the module.
-            self.account.guarded += 1;
+            self.counters.guard_rejections += 1;
             debug_assert!(ready, "an order to {worker:?}, which takes none");
             if kind == OrderKind::Load {
                 self.unsent.push((worker, function));
@@ -28,7 +28,7 @@
             return;
         };
         self.used(function);
-        let order = OrderId(self.next_order);
+        let order = ControlRequestId(self.next_order);
         self.next_order += 1;
         let span = if kind == OrderKind::Probe {
             PROBE_TIMEOUTS * connect
@@ -48,30 +48,30 @@
         self.order_list.insert(order, o);
         out.push(match kind {
             OrderKind::Probe => {
-                self.account.probes += 1;
+                self.counters.probes += 1;
                 Command::Probe {
-                    order,
+                    request: order,
                     worker: worker_name,
                 }
             }
             OrderKind::Load => {
                 if n > 0 {
-                    self.account.loads += 1;
+                    self.counters.loads += 1;
                     self.believed.entry(function).or_default().loading += 1;
                 } else {
-                    self.account.asks += 1;
+                    self.counters.instance_queries += 1;
                 }
                 Command::Load {
-                    order,
+                    request: order,
                     worker: worker_name,
                     function: name,
                     instances: n,
                 }
             }
             OrderKind::Unload => {
-                self.account.unloads += 1;
+                self.counters.unloads += 1;
                 Command::Unload {
-                    order,
+                    request: order,
                     worker: worker_name,
                     function: name,
                 }
@@ -81,9 +81,9 @@
 
     pub(super) fn on_order(
         &mut self,
-        order: OrderId,
-        seen: Seen,
-        told: Told,
+        order: ControlRequestId,
+        seen: AttemptOutcome,
+        told: Trailers,
         out: &mut Vec<Command>,
     ) {
         let Some(o) = self.order_list.remove(&order) else {
@@ -94,15 +94,15 @@
         }
         // The answer to an order or a probe is its status; it need not carry pieces.
         let outcome = match seen {
-            Seen::Status { code: 0, .. } => Outcome::Served,
+            AttemptOutcome::Status { code: 0, .. } => Outcome::Served,
             _ if o.withdrawn => Outcome::TimedOut,
-            _ => verdict(seen, &told).outcome,
+            _ => classify(seen, &told).outcome,
         };
         let latency = self.now.since(o.sent);
         self.used(o.function);
         match o.kind {
             OrderKind::Probe => {
-                let report = told.report.map(Report::into);
+                let report = told.report.map(LoadReport::into);
                 self.tell(
                     Event::ProbeDone {
                         worker: o.worker,
@@ -127,7 +127,7 @@
                 }
                 let (worker, function) = (o.worker, o.function);
                 if instances > 0 {
-                    self.lacking.clear(worker);
+                    self.lacking.on_successful_load(worker);
                 } else if o.instances > 0 || outcome != Outcome::Served {
                     self.in_vain(worker, function, seen, out);
                 }
@@ -150,17 +150,19 @@
         &mut self,
         worker: WorkerId,
         function: FunctionId,
-        seen: Seen,
+        seen: AttemptOutcome,
         out: &mut Vec<Command>,
     ) {
-        self.account.vain += 1;
-        let told = self.lacking.vain(self.now, worker, function, seen);
+        self.counters.loads_without_effect += 1;
+        let told = self
+            .lacking
+            .on_failed_load(self.now, worker, function, seen);
         if let (Some(lack), Some((worker, function))) = (told, self.names_of(worker, function)) {
-            out.push(Command::Tell {
+            out.push(Command::ReportMissingFunction {
                 worker,
                 function,
-                seen,
-                count: lack.count,
+                outcome: seen,
+                failed_loads: lack.failed_loads,
             });
         }
     }
@@ -175,7 +177,7 @@
     }
 
     /// Workers whose last order was in vain: their names, the function's, and what came of it.
-    pub fn lacking(&self) -> impl Iterator<Item = (String, String, &Lack)> {
+    pub fn missing_functions(&self) -> impl Iterator<Item = (String, String, &MissingFunction)> {
         self.lacking
             .iter()
             .filter_map(|(w, l)| self.names_of(w, l.function).map(|(w, f)| (w, f, l)))
--- a/decide/dispatch/src/ledger/guards.rs
+++ b/decide/dispatch/src/request_table/guards.rs
@@ -5,55 +5,55 @@
 
 /// Why something is held back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
+pub enum DenialReason {
     /// There is no such call, attempt or order any more.
-    Unknown,
+    NotFound,
     /// The call has its answer, or its client has gone.
     Concluded,
     /// The call's time is up.
     Expired,
     /// Another attempt at it is out, or this one has begun already.
-    UnderWay,
+    InProgress,
     /// The worker drains or is gone.
-    NotReady,
+    WorkerNotReady,
     /// An earlier attempt may have run, and the call must not run twice.
     MayHaveRun,
     /// An earlier attempt may have run, and the time in which its repeats are dropped is over.
-    WindowOver,
+    RepeatWindowOver,
 }
 
-impl Denied {
+impl DenialReason {
     /// For logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Denied::Unknown => "unknown",
-            Denied::Concluded => "concluded",
-            Denied::Expired => "expired",
-            Denied::UnderWay => "under way",
-            Denied::NotReady => "worker not ready",
-            Denied::MayHaveRun => "may have run",
-            Denied::WindowOver => "repeat window over",
+            DenialReason::NotFound => "unknown",
+            DenialReason::Concluded => "concluded",
+            DenialReason::Expired => "expired",
+            DenialReason::InProgress => "under way",
+            DenialReason::WorkerNotReady => "worker not ready",
+            DenialReason::MayHaveRun => "may have run",
+            DenialReason::RepeatWindowOver => "repeat window over",
         }
     }
 }
 
-impl Front {
+impl Dispatcher {
     /// Whether an attempt may leave at this moment; the time that its worker has for it, microseconds.
-    pub fn may_send(&self, now: Time, id: CallId, attempt: u32) -> Result<Span, Denied> {
-        let call = self.calls.get(&id).ok_or(Denied::Unknown)?;
+    pub fn may_send(&self, now: Time, id: CallId, attempt: u32) -> Result<Span, DenialReason> {
+        let call = self.calls.get(&id).ok_or(DenialReason::NotFound)?;
         let attempt = call
             .attempt
             .as_ref()
             .filter(|a| a.number == attempt)
-            .ok_or(Denied::Unknown)?;
+            .ok_or(DenialReason::NotFound)?;
         if call.answered {
-            return Err(Denied::Concluded);
+            return Err(DenialReason::Concluded);
         }
         if now >= call.deadline {
-            return Err(Denied::Expired);
+            return Err(DenialReason::Expired);
         }
         if !matches!(attempt.phase, Phase::Opening | Phase::Confirming) {
-            return Err(Denied::UnderWay);
+            return Err(DenialReason::InProgress);
         }
         self.may_use(attempt.worker)?;
         self.may_repeat(now, call)?;
@@ -61,49 +61,52 @@
     }
 
     /// Whether an attempt at a call may be chosen for a worker.
-    pub(super) fn may_begin(&self, id: CallId, worker: WorkerId) -> Result<(), Denied> {
-        let call = self.calls.get(&id).ok_or(Denied::Unknown)?;
+    pub(super) fn may_begin(&self, id: CallId, worker: WorkerId) -> Result<(), DenialReason> {
+        let call = self.calls.get(&id).ok_or(DenialReason::NotFound)?;
         if call.answered {
-            return Err(Denied::Concluded);
+            return Err(DenialReason::Concluded);
         }
         if call.attempt.is_some() {
-            return Err(Denied::UnderWay);
+            return Err(DenialReason::InProgress);
         }
         self.may_use(worker)?;
         self.may_repeat(self.now, call)
     }
 
     /// Whether a further attempt at a call may begin, for all that its earlier ones may have done.
-    pub(super) fn may_repeat(&self, now: Time, call: &OpenCall) -> Result<(), Denied> {
+    pub(super) fn may_repeat(&self, now: Time, call: &OpenCall) -> Result<(), DenialReason> {
         let Some(first) = call.ran_from else {
             return Ok(());
         };
         match self.config.settings.classes[call.class].effect {
             Effect::Safe => Ok(()),
-            Effect::Unsafe => Err(Denied::MayHaveRun),
+            Effect::Unsafe => Err(DenialReason::MayHaveRun),
             Effect::Keyed { window, .. } if now.since(first) < window => Ok(()),
-            Effect::Keyed { .. } => Err(Denied::WindowOver),
+            Effect::Keyed { .. } => Err(DenialReason::RepeatWindowOver),
         }
     }
 
     /// Whether a worker takes new work.
-    pub(super) fn may_use(&self, worker: WorkerId) -> Result<(), Denied> {
+    pub(super) fn may_use(&self, worker: WorkerId) -> Result<(), DenialReason> {
         match self.states.get(&worker) {
             Some(WorkerState::Ready) => Ok(()),
-            _ => Err(Denied::NotReady),
+            _ => Err(DenialReason::WorkerNotReady),
         }
     }
 
     /// Whether an order is one to load, and not just to ask.
-    pub fn loads(&self, order: OrderId) -> bool {
+    pub fn is_load(&self, request: ControlRequestId) -> bool {
         self.order_list
-            .get(&order)
+            .get(&request)
             .is_some_and(|o| o.kind == OrderKind::Load && o.instances > 0)
     }
 
     /// Whether an order may leave at this moment. Asking costs nothing and is free at any time.
-    pub fn may_start(&self, order: OrderId) -> Result<(), Denied> {
-        let order = self.order_list.get(&order).ok_or(Denied::Unknown)?;
+    pub fn may_send_control(&self, request: ControlRequestId) -> Result<(), DenialReason> {
+        let order = self
+            .order_list
+            .get(&request)
+            .ok_or(DenialReason::NotFound)?;
         match order.kind {
             OrderKind::Load if order.instances > 0 => self.may_use(order.worker),
             OrderKind::Load | OrderKind::Probe | OrderKind::Unload => Ok(()),
--- a/decide/dispatch/src/ledger/terms.rs
+++ b/decide/dispatch/src/request_table/settings.rs
@@ -5,24 +5,24 @@
 //! how many attempts a call may have, holds for all from the moment of the change. Beliefs about workers stay.
 
 use super::*;
-use crate::config::{Contested, Terms};
+use crate::config::{ConflictingScopes, EffectiveConfig};
 
 /// What comes when a lease runs out.
 #[derive(Debug)]
 pub(super) struct End {
     at: Time,
-    after: Box<Terms>,
+    after: Box<EffectiveConfig>,
 }
 
-impl Front {
+impl Dispatcher {
     /// Takes calls by these terms from now on, and by each of `ends` from its moment on, whoever hears of it or not; they
     /// are in their order. On an error nothing changes.
-    pub fn adopt(
+    pub fn apply_settings(
         &mut self,
         now: Time,
-        terms: Terms,
-        ends: Vec<(Time, Terms)>,
-    ) -> Result<(), BadConfig> {
+        terms: EffectiveConfig,
+        ends: Vec<(Time, EffectiveConfig)>,
+    ) -> Result<(), ConfigError> {
         terms.config.check()?;
         for (_, after) in &ends {
             after.config.check()?;
@@ -41,7 +41,7 @@
     }
 
     /// The terms hold for longer: until these moments, one for each end. False: some have passed, and nothing changes.
-    pub fn renew(&mut self, now: Time, ends: &[Time]) -> bool {
+    pub fn extend_expiry(&mut self, now: Time, ends: &[Time]) -> bool {
         self.now = self.now.max(now);
         self.lapse();
         let all = ends.len() == self.ends.len();
@@ -55,12 +55,12 @@
     }
 
     /// When the terms end, if they do.
-    pub fn until(&self) -> Option<Time> {
+    pub fn next_expiry(&self) -> Option<Time> {
         self.ends.front().map(|e| e.at)
     }
 
-    /// The settings that it acts by, as [`Front::adopt`] took them: with their own list of classes.
-    pub fn settings(&self) -> Config {
+    /// The settings that it acts by, as [`Dispatcher::apply_settings`] took them: with their own list of classes.
+    pub fn applied_config(&self) -> DispatchConfig {
         let mut config = self.config.clone();
         let of = |place: &usize| config.settings.classes[*place].clone();
         let classes = self.places.iter().map(of).collect();
@@ -74,18 +74,18 @@
     }
 
     /// What is contested now.
-    pub fn contested(&self) -> &Contested {
-        &self.contested
+    pub fn conflicting(&self) -> &ConflictingScopes {
+        &self.conflicting
     }
 
     /// A class's number in a [`Call`], by its name.
-    pub fn class(&self, name: &str) -> Option<usize> {
+    pub fn class_index(&self, name: &str) -> Option<usize> {
         let place = self.config.classes.iter().position(|c| c == name)?;
         self.places.get(place).copied()
     }
 
     /// What running a call of this class twice would do; the class as in a [`Call`].
-    pub fn effect(&self, class: usize) -> Effect {
+    pub fn class_effect(&self, class: usize) -> Effect {
         self.config
             .settings
             .classes
@@ -94,7 +94,7 @@
     }
 
     /// A tenant's number in a [`Call`], by its name.
-    pub fn tenant(&self, name: &str) -> Option<usize> {
+    pub fn tenant_index(&self, name: &str) -> Option<usize> {
         self.config.tenants.iter().position(|t| t == name)
     }
 
@@ -108,10 +108,10 @@
         }
     }
 
-    fn switch(&mut self, terms: Terms) {
-        let Terms {
+    fn switch(&mut self, terms: EffectiveConfig) {
+        let EffectiveConfig {
             mut config,
-            contested,
+            conflicting,
         } = terms;
         let (mut classes, mut names) = (
             self.config.settings.classes.clone(),
@@ -148,14 +148,14 @@
         config.settings.classes = classes;
         if let Err(e) = self.router.change(config.settings.clone()) {
             debug_assert!(false, "settings that were checked: {e}");
-            self.account.guarded += 1;
+            self.counters.guard_rejections += 1;
             return;
         }
         let before = std::mem::take(&mut self.config.functions);
         for f in &mut config.functions {
             f.class = places.get(f.class).copied().unwrap_or(0);
             // A name whose number another holds, that is about to be forgotten, is known once that is.
-            let Ok(id) = self.functions.take(&f.name) else {
+            let Ok(id) = self.functions.intern(&f.name) else {
                 continue;
             };
             self.learned.remove(&FunctionId(id));
@@ -165,23 +165,23 @@
             .iter()
             .filter(|f| !config.functions.iter().any(|g| g.name == f.name))
         {
-            let id = FunctionId(crate::ids::number(&f.name));
+            let id = FunctionId(crate::names::name_hash(&f.name));
             self.specs.remove(&id);
             self.learned.insert(id, self.now);
         }
-        (self.config, self.places, self.class_names, self.contested) =
-            (config, places, names, contested);
+        (self.config, self.places, self.class_names, self.conflicting) =
+            (config, places, names, conflicting);
     }
 
     /// Whether a call is refused because front ends may not agree on it; with the advice to its client.
     pub(super) fn contests(&self, call: &Call, class: usize) -> Option<Span> {
-        let c = &self.contested;
+        let c = &self.conflicting;
         let class = self.class_names.get(class);
         let tenant = self.config.tenants.get(call.tenant);
         let named = class.is_some_and(|n| c.classes.contains(n))
             || tenant.is_some_and(|n| c.tenants.contains(n))
             || c.functions.contains(&call.function)
-            || c.unlisted && call.unlisted;
-        (c.all || named).then(|| c.for_about.min(self.config.settings.max_stay_away))
+            || c.unknown_names && call.unknown_names;
+        (c.all || named).then(|| c.retry_after.min(self.config.settings.max_stay_away))
     }
 }
--- a/decide/dispatch/src/ledger/timers.rs
+++ b/decide/dispatch/src/request_table/timers.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Front {
+impl Dispatcher {
     pub(super) fn expire(&mut self, out: &mut Vec<Command>) {
         let mut due = std::mem::take(&mut self.due);
         self.timers.expire(self.now.0, |d| due.push(d));
@@ -27,7 +27,7 @@
                             },
                             out,
                         );
-                        self.answer(id, Answer::Failed(Why::Closing), out);
+                        self.answer(id, Answer::Failed(FailureReason::ShuttingDown), out);
                     }
                 }
             }
@@ -51,8 +51,8 @@
                 streaming,
                 "the module left {id:?} unanswered at its deadline"
             );
-            self.account.guarded += u64::from(!streaming);
-            self.answer(id, Answer::Failed(Why::Deadline), out);
+            self.counters.guard_rejections += u64::from(!streaming);
+            self.answer(id, Answer::Failed(FailureReason::Deadline), out);
         }
     }
 
@@ -79,8 +79,11 @@
             (Until::Left, Phase::Confirming) | (Until::Closed, Phase::Closing(_)) => {
                 a.timer = None;
                 let worker = a.worker;
-                self.account.drops += 1;
-                out.extend(self.name(worker).map(|worker| Command::Drop { worker }));
+                self.counters.dropped_connections += 1;
+                out.extend(
+                    self.name(worker)
+                        .map(|worker| Command::DropConnection { worker }),
+                );
             }
             (Until::Left, Phase::Open | Phase::Closing(_)) => {}
             (Until::Ended, Phase::Closing(_)) => {}
@@ -88,12 +91,12 @@
         }
     }
 
-    pub(super) fn on_order_due(&mut self, id: OrderId, out: &mut Vec<Command>) {
+    pub(super) fn on_order_due(&mut self, id: ControlRequestId, out: &mut Vec<Command>) {
         let Some(o) = self.order_list.get_mut(&id) else {
             return;
         };
         o.timer = None;
         o.withdrawn = true;
-        out.push(Command::WithdrawOrder { order: id });
+        out.push(Command::CancelControlRequest { request: id });
     }
 }
--- a/decide/dispatch/src/ledger/workers.rs
+++ b/decide/dispatch/src/request_table/workers.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-impl Front {
-    pub(super) fn on_list(&mut self, whole: bool, list: Vec<Listed>, out: &mut Vec<Command>) {
+impl Dispatcher {
+    pub(super) fn on_list(&mut self, whole: bool, list: Vec<WorkerRecord>, out: &mut Vec<Command>) {
         let mut entries = Vec::with_capacity(list.len());
         let mut named = BTreeSet::new();
         for l in list {
             // Two names with one number would be one worker for the module: the later one is left out.
-            let Ok(id) = self.workers.take(&l.name) else {
+            let Ok(id) = self.workers.intern(&l.name) else {
                 continue;
             };
             let worker = WorkerId(id);
@@ -22,7 +22,7 @@
                 .map(|age| self.since(worker, self.now.plus(-age.max(0))));
             named.insert(worker);
             self.note_state(worker, state, out);
-            let share = l.share;
+            let share = l.relative_size;
             entries.push(module::WorkerEntry {
                 worker,
                 kind: l.kind,
@@ -72,10 +72,13 @@
         let before = self.states.insert(worker, state);
         if state == WorkerState::Gone {
             if before.is_some_and(|b| b != WorkerState::Gone) {
-                out.extend(self.name(worker).map(|worker| Command::Retire { worker }));
+                out.extend(
+                    self.name(worker)
+                        .map(|worker| Command::RetireWorker { worker }),
+                );
             }
             self.states.remove(&worker);
-            self.lacking.forget(worker);
+            self.lacking.remove_worker(worker);
             self.started.remove(&worker);
         }
         if state != WorkerState::Ready {
@@ -95,7 +98,7 @@
                 .order_list
                 .iter()
                 .filter(|(_, o)| o.worker == worker && o.instances > 0);
-            out.extend(loads.map(|(order, _)| Command::Recall { order: *order }));
+            out.extend(loads.map(|(order, _)| Command::RecallUnsent { request: *order }));
         }
     }
 
--- a/decide/dispatch/tests/count.rs
+++ b/decide/dispatch/tests/class_counters.rs
@@ -2,11 +2,12 @@
 
 use std::collections::VecDeque;
 use tansy_dispatch::{
-    Call, CallId, Command, Config, Front, FunctionSpec, Input, Listed, Note, Seen, Stage, Told,
+    AttemptOutcome, CacheStatus, Call, CallId, Command, DispatchConfig, Dispatcher, FunctionSpec,
+    Input, ResponseStage, Trailers, WorkerRecord,
 };
 use tansyrouter::{Class, Effect, Settings, Time, SECOND};
 
-fn config() -> Config {
+fn config() -> DispatchConfig {
     let class = Class {
         aim: SECOND / 2,
         aim_stretch: 0.0,
@@ -24,7 +25,7 @@
         load_time: Some(50_000),
         versions: vec![],
     };
-    Config {
+    DispatchConfig {
         settings: Settings {
             classes: vec![class],
             ..Settings::default()
@@ -33,55 +34,55 @@
         tenants: vec![],
         zones: vec!["z".into()],
         functions: vec![function],
-        longest: 60 * SECOND,
+        max_call_time: 60 * SECOND,
         seed: 1,
     }
 }
 
 /// Calls that a worker answers after so long each; what was counted of them.
 fn counted(took: &[i64]) -> hdrhistogram::Histogram<u64> {
-    let mut front = Front::new(config(), Time(0)).expect("right settings");
-    front.count();
-    let listed = Listed {
+    let mut front = Dispatcher::new(config(), Time(0)).expect("right settings");
+    front.enable_class_counters();
+    let listed = WorkerRecord {
         name: "w".into(),
         kind: 0,
         cell: 0,
         zone: 0,
         state: 0,
         age: None,
-        share: 1.0,
+        relative_size: 1.0,
     };
     let mut out = Vec::new();
     let mut now = 1;
     front.step(
         Time(now),
         Input::Workers {
-            whole: true,
-            list: vec![listed],
+            full: true,
+            workers: vec![listed],
         },
         &mut out,
     );
-    let warm = Told {
-        note: Note::Warm,
+    let warm = Trailers {
+        cache_status: CacheStatus::Warm,
         instances: Some(1),
-        ..Told::default()
+        ..Trailers::default()
     };
-    let seen = Seen::Status {
+    let seen = AttemptOutcome::Status {
         code: 0,
-        stage: Stage::Pieces,
+        stage: ResponseStage::Messages,
     };
     for (n, took) in took.iter().enumerate() {
         let (began, call) = (now, CallId(n as u64 + 1));
         let call = Call {
-            call,
+            id: call,
             function: "f".into(),
             class: None,
             tenant: 0,
             budget: None,
-            hint: None,
+            work_hint: None,
             repeat: false,
             shape: None,
-            unlisted: false,
+            unknown_names: false,
             waited: 0,
         };
         front.step(Time(now), Input::Call(call), &mut out);
@@ -95,18 +96,18 @@
                 continue;
             };
             let input = match command {
-                Command::Load { order, .. } => Input::OrderEnded {
-                    order,
-                    seen,
-                    told: warm,
+                Command::Load { request: order, .. } => Input::ControlRequestEnded {
+                    request: order,
+                    outcome: seen,
+                    trailers: warm,
                 },
-                Command::Open { call, attempt, .. } => {
+                Command::SendAttempt { call, attempt, .. } => {
                     now = began + took;
-                    Input::Ended {
+                    Input::AttemptEnded {
                         call,
                         attempt,
-                        seen,
-                        told: warm,
+                        outcome: seen,
+                        trailers: warm,
                     }
                 }
                 Command::Answer { .. } => {
@@ -120,7 +121,7 @@
         }
         now += 1;
     }
-    front.counts().expect("counted").classes()["c"]
+    front.class_counters().expect("counted").classes()["c"]
         .latency
         .clone()
 }
--- a/decide/dispatch/tests/leaving.rs
+++ b/decide/dispatch/tests/guards.rs
@@ -2,15 +2,15 @@
 //! time in which repeats are dropped may have ended.
 
 use tansy_dispatch::{
-    Answer, Call, CallId, Command, Config, Denied, Front, FunctionSpec, Input, Listed, OrderId,
-    Seen, Stage, Told,
+    Answer, AttemptOutcome, Call, CallId, Command, ControlRequestId, DenialReason, DispatchConfig,
+    Dispatcher, FunctionSpec, Input, ResponseStage, Trailers, WorkerRecord,
 };
 use tansyrouter::{Class, Effect, Group, Settings, Span, Time, SECOND};
 
 const WINDOW: Span = SECOND;
 const CALL: CallId = CallId(1);
 
-fn front(effect: Effect) -> Front {
+fn front(effect: Effect) -> Dispatcher {
     let class = Class {
         aim: SECOND,
         aim_stretch: 0.0,
@@ -28,7 +28,7 @@
         load_time: None,
         versions: vec![],
     };
-    let config = Config {
+    let config = DispatchConfig {
         settings: Settings {
             classes: vec![class],
             connect_timeout: SECOND / 10,
@@ -38,31 +38,31 @@
         tenants: vec![],
         zones: vec!["z".into()],
         functions: vec![function],
-        longest: 60 * SECOND,
+        max_call_time: 60 * SECOND,
         seed: 7,
     };
-    let mut front = Front::new(config, Time(0)).expect("settings");
+    let mut front = Dispatcher::new(config, Time(0)).expect("settings");
     step(&mut front, 0, workers(0));
     front
 }
 
 fn workers(state: u8) -> Input {
-    let listed = Listed {
+    let listed = WorkerRecord {
         name: "w".into(),
         kind: 0,
         cell: 0,
         zone: 0,
         state,
         age: None,
-        share: 1.0,
+        relative_size: 1.0,
     };
     Input::Workers {
-        whole: true,
-        list: vec![listed],
+        full: true,
+        workers: vec![listed],
     }
 }
 
-fn step(front: &mut Front, at: Span, input: Input) -> Vec<Command> {
+fn step(front: &mut Dispatcher, at: Span, input: Input) -> Vec<Command> {
     let mut out = Vec::new();
     front.step(Time(at), input, &mut out);
     out
@@ -70,60 +70,60 @@
 
 fn a_call(waited: Span) -> Call {
     Call {
-        call: CALL,
+        id: CALL,
         function: "f".into(),
         class: None,
         tenant: 0,
         budget: None,
-        hint: None,
+        work_hint: None,
         repeat: false,
         shape: None,
-        unlisted: false,
+        unknown_names: false,
         waited,
     }
 }
 
 /// Takes the call and has its load done; the number of its attempt.
-fn called(front: &mut Front) -> u32 {
+fn called(front: &mut Dispatcher) -> u32 {
     called_after(front, 0)
 }
 
 /// The same of a call that waited so long before it was read.
-fn called_after(front: &mut Front, waited: Span) -> u32 {
+fn called_after(front: &mut Dispatcher, waited: Span) -> u32 {
     let mut out = step(front, 0, Input::Call(a_call(waited)));
-    if let Some(Command::Load { order, .. }) = out.first() {
+    if let Some(Command::Load { request: order, .. }) = out.first() {
         out = loaded(front, *order);
     }
     opened(&out).expect("an attempt")
 }
 
-fn loaded(front: &mut Front, order: OrderId) -> Vec<Command> {
-    let told = Told {
+fn loaded(front: &mut Dispatcher, order: ControlRequestId) -> Vec<Command> {
+    let told = Trailers {
         instances: Some(1),
-        ..Told::default()
+        ..Trailers::default()
     };
     step(
         front,
         1,
-        Input::OrderEnded {
-            order,
-            seen: Seen::Status {
+        Input::ControlRequestEnded {
+            request: order,
+            outcome: AttemptOutcome::Status {
                 code: 0,
-                stage: Stage::Last,
+                stage: ResponseStage::Last,
             },
-            told,
+            trailers: told,
         },
     )
 }
 
 fn opened(commands: &[Command]) -> Option<u32> {
     commands.iter().find_map(|c| match c {
-        Command::Open { attempt, .. } => Some(*attempt),
+        Command::SendAttempt { attempt, .. } => Some(*attempt),
         _ => None,
     })
 }
 
-fn may(front: &Front, at: Span, attempt: u32) -> bool {
+fn may(front: &Dispatcher, at: Span, attempt: u32) -> bool {
     front.may_send(Time(at), CALL, attempt).is_ok()
 }
 
@@ -135,11 +135,11 @@
         ("its worker is gone", workers(2)),
         (
             "it",
-            Input::Ended {
+            Input::AttemptEnded {
                 call: CALL,
                 attempt: 0,
-                seen: Seen::NeverLeft,
-                told: Told::default(),
+                outcome: AttemptOutcome::NeverLeft,
+                trailers: Trailers::default(),
             },
         ),
     ];
@@ -176,21 +176,21 @@
         let first = called(&mut front);
         // An error may have run; a refused connect never did.
         let seen = if ran {
-            Seen::Status {
+            AttemptOutcome::Status {
                 code: 2,
-                stage: Stage::Headers,
+                stage: ResponseStage::Headers,
             }
         } else {
-            Seen::NeverLeft
+            AttemptOutcome::NeverLeft
         };
         let mut out = step(
             &mut front,
             SECOND / 10,
-            Input::Ended {
+            Input::AttemptEnded {
                 call: CALL,
                 attempt: first,
-                seen,
-                told: Told::default(),
+                outcome: seen,
+                trailers: Trailers::default(),
             },
         );
         let mut at = SECOND / 10;
@@ -216,7 +216,7 @@
     let out = step(
         &mut front,
         10,
-        Input::Piece {
+        Input::ResponseMessage {
             call: CALL,
             attempt,
             last: true,
@@ -233,7 +233,7 @@
 fn each_denial_says_why() {
     let mut front = front(Effect::Unsafe);
     let attempt = called(&mut front);
-    let ask = |front: &Front, at| front.may_send(Time(at), CALL, attempt);
+    let ask = |front: &Dispatcher, at| front.may_send(Time(at), CALL, attempt);
     assert_eq!(
         ask(&front, 10),
         Ok(front_budget() - 10),
@@ -241,13 +241,13 @@
     );
     assert_eq!(
         front.may_send(Time(10), CALL, attempt + 1),
-        Err(Denied::Unknown)
+        Err(DenialReason::NotFound)
     );
-    assert_eq!(ask(&front, 5 * SECOND), Err(Denied::Expired));
+    assert_eq!(ask(&front, 5 * SECOND), Err(DenialReason::Expired));
     step(&mut front, 20, workers(1));
-    assert_eq!(ask(&front, 30), Err(Denied::NotReady));
+    assert_eq!(ask(&front, 30), Err(DenialReason::WorkerNotReady));
     step(&mut front, 40, Input::ClientLeft { call: CALL });
-    assert_eq!(ask(&front, 50), Err(Denied::Concluded));
+    assert_eq!(ask(&front, 50), Err(DenialReason::Concluded));
 }
 
 /// The time that a call of five seconds has, less what is kept for its answer's way.
@@ -274,8 +274,8 @@
         out,
         [Command::Answer {
             call: CALL,
-            answer: Answer::Refused { stay_away: 0 }
+            answer: Answer::Refused { retry_after: 0 }
         }]
     );
-    assert!(front.idle());
+    assert!(front.is_idle());
 }
--- a/decide/dispatch/tests/invariants.rs
+++ b/decide/dispatch/tests/invariants.rs
@@ -1,6 +1,6 @@
 //! The check at run time counts each rule that does not hold, and nothing else.
 
-use tansy_dispatch::{CallId, Invariants, Violation};
+use tansy_dispatch::{CallId, InvariantChecker, Violation};
 use tansyrouter::{Effect, Group, Span, Time, SECOND};
 
 const CALL: CallId = CallId(1);
@@ -8,18 +8,18 @@
 const WINDOW: Span = SECOND;
 
 /// A check that watches one call of 2 s, taken at 0.
-fn watching(effect: Effect) -> Invariants {
-    let mut check = Invariants::default();
-    check.taken(CALL, effect, Time(2 * SECOND));
+fn watching(effect: Effect) -> InvariantChecker {
+    let mut check = InvariantChecker::default();
+    check.on_accepted(CALL, effect, Time(2 * SECOND));
     check
 }
 
-fn sent(check: &mut Invariants, at: Span) -> Vec<Violation> {
-    check.sent(Time(at), CALL, "w", SECOND / 2)
+fn sent(check: &mut InvariantChecker, at: Span) -> Vec<Violation> {
+    check.on_attempt_sent(Time(at), CALL, "w", SECOND / 2)
 }
 
 /// What was counted, without what was not.
-fn counted(check: &Invariants) -> Vec<(Violation, u64)> {
+fn counted(check: &InvariantChecker) -> Vec<(Violation, u64)> {
     check.counts().filter(|c| c.1 > 0).collect()
 }
 
@@ -27,12 +27,12 @@
 fn a_call_in_good_order_violates_nothing_and_is_let_go_of() {
     let mut check = watching(Effect::Unsafe);
     assert!(sent(&mut check, MS).is_empty());
-    check.ended(CALL, true);
+    check.on_attempt_ended(CALL, true);
     assert!(sent(&mut check, 2 * MS).is_empty());
-    assert!(check.answered(CALL).is_empty());
-    check.ended(CALL, false);
-    assert!(check.closed(CALL).is_empty());
-    assert_eq!((check.total(), check.watched()), (0, 0));
+    assert!(check.on_answered(CALL).is_empty());
+    check.on_attempt_ended(CALL, false);
+    assert!(check.on_connection_closed(CALL).is_empty());
+    assert_eq!((check.total_violations(), check.watched_calls()), (0, 0));
 }
 
 #[test]
@@ -48,9 +48,9 @@
     for (effect, wanted) in [(Effect::Unsafe, 1), (Effect::Safe, 0)] {
         let mut check = watching(effect);
         sent(&mut check, MS);
-        check.ended(CALL, false);
+        check.on_attempt_ended(CALL, false);
         sent(&mut check, 2 * MS);
-        assert_eq!(check.total(), wanted, "{effect:?}");
+        assert_eq!(check.total_violations(), wanted, "{effect:?}");
     }
 }
 
@@ -67,7 +67,7 @@
         let mut check = watching(keyed);
         sent(&mut check, MS);
         // The window runs from the moment the first attempt left, not from its end.
-        check.ended(CALL, false);
+        check.on_attempt_ended(CALL, false);
         assert_eq!(sent(&mut check, at), wanted);
     }
 }
@@ -75,7 +75,7 @@
 #[test]
 fn an_attempt_after_the_calls_end_is_counted() {
     let mut check = watching(Effect::Safe);
-    check.answered(CALL);
+    check.on_answered(CALL);
     assert_eq!(
         sent(&mut check, MS),
         [Violation::SentAfterEnd],
@@ -83,8 +83,8 @@
     );
     let mut check = watching(Effect::Safe);
     sent(&mut check, MS);
-    check.gone(Time(2 * MS), CALL);
-    assert_eq!(check.watched(), 1, "its attempt is out");
+    check.on_client_left(Time(2 * MS), CALL);
+    assert_eq!(check.watched_calls(), 1, "its attempt is out");
     assert!(
         !sent(&mut check, 50 * MS).contains(&Violation::SentAfterEnd),
         "within the slack"
@@ -95,13 +95,13 @@
 #[test]
 fn work_for_a_worker_that_drains_is_counted_until_it_is_ready_again() {
     let mut check = watching(Effect::Safe);
-    check.worker("w", false);
+    check.on_worker_state("w", false);
     assert_eq!(sent(&mut check, MS), [Violation::SentToDrained]);
-    assert_eq!(check.load_sent("w"), [Violation::LoadedAtDrained]);
-    assert!(check.load_sent("another").is_empty());
-    check.worker("w", true);
-    assert!(check.load_sent("w").is_empty());
-    assert_eq!(check.total(), 2);
+    assert_eq!(check.on_load_sent("w"), [Violation::LoadedAtDrained]);
+    assert!(check.on_load_sent("another").is_empty());
+    check.on_worker_state("w", true);
+    assert!(check.on_load_sent("w").is_empty());
+    assert_eq!(check.total_violations(), 2);
 }
 
 #[test]
@@ -112,7 +112,10 @@
         (left + 151 * MS, vec![Violation::PatienceTooLong]),
     ] {
         let mut check = watching(Effect::Safe);
-        assert_eq!(check.sent(Time(SECOND), CALL, "w", patience), wanted);
+        assert_eq!(
+            check.on_attempt_sent(Time(SECOND), CALL, "w", patience),
+            wanted
+        );
     }
 }
 
@@ -120,37 +123,40 @@
 fn a_second_answer_and_a_close_without_one_are_counted() {
     let mut check = watching(Effect::Safe);
     sent(&mut check, MS);
-    assert_eq!(check.closed(CALL), [Violation::ClosedUnanswered]);
-    assert!(check.answered(CALL).is_empty());
-    assert!(check.closed(CALL).is_empty());
     assert_eq!(
-        check.answered(CALL),
+        check.on_connection_closed(CALL),
+        [Violation::ClosedUnanswered]
+    );
+    assert!(check.on_answered(CALL).is_empty());
+    assert!(check.on_connection_closed(CALL).is_empty());
+    assert_eq!(
+        check.on_answered(CALL),
         [Violation::AnsweredTwice],
         "its attempt is still out"
     );
-    check.ended(CALL, false);
+    check.on_attempt_ended(CALL, false);
     assert_eq!(
-        check.answered(CALL),
+        check.on_answered(CALL),
         [Violation::AnsweredTwice],
         "it is forgotten"
     );
-    assert_eq!(check.total(), 3);
+    assert_eq!(check.total_violations(), 3);
 }
 
 #[test]
 fn what_is_watched_is_bounded_by_what_is_open() {
-    let mut check = Invariants::default();
+    let mut check = InvariantChecker::default();
     for id in 0..10_000 {
         let call = CallId(id);
-        check.taken(call, Effect::Safe, Time(SECOND));
-        check.sent(Time(0), call, "w", 0);
+        check.on_accepted(call, Effect::Safe, Time(SECOND));
+        check.on_attempt_sent(Time(0), call, "w", 0);
         if id % 2 == 0 {
-            check.answered(call);
-            check.ended(call, false);
+            check.on_answered(call);
+            check.on_attempt_ended(call, false);
         } else {
-            check.gone(Time(1), call);
-            check.ended(call, true);
+            check.on_client_left(Time(1), call);
+            check.on_attempt_ended(call, true);
         }
     }
-    assert_eq!((check.watched(), check.total()), (0, 0));
+    assert_eq!((check.watched_calls(), check.total_violations()), (0, 0));
 }
--- a/decide/dispatch/tests/parked.rs
+++ b/decide/dispatch/tests/pending_lookups.rs
@@ -2,25 +2,27 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use tansy_canary::{Judge, Report, Tally, Terms as Judged, Verdict};
-use tansy_dispatch::count::AWAITED;
-use tansy_dispatch::parked::{End, Learned, Parked, Refusal, LONGEST, MOST, MOST_OF_ONE};
+use tansy_dispatch::class_counters::PENDING_LOOKUP;
+use tansy_dispatch::pending_lookups::{
+    LookupResult, PendingLookups, WaitEnd, WaitRefusal, MAX_CALLS, MAX_CALLS_OF_FUNCTION, MAX_WAIT,
+};
 use tansy_dispatch::{
-    Answer, Call, CallId, Command, Config, Contested, Found, Front, Input, Listed, Seen, Shape,
-    Stage, Terms, Told,
+    Answer, AttemptOutcome, Call, CallId, Command, ConflictingScopes, DispatchConfig, Dispatcher,
+    EffectiveConfig, FunctionLookup, FunctionShape, Input, ResponseStage, Trailers, WorkerRecord,
 };
 use tansyrouter::{Class, Effect, Settings, Span, Time, SECOND};
 
 fn call(id: u64, function: &str, budget: Option<Span>) -> Call {
     Call {
-        call: CallId(id),
+        id: CallId(id),
         function: function.into(),
         class: None,
         tenant: 0,
         budget,
-        hint: None,
+        work_hint: None,
         repeat: false,
         shape: None,
-        unlisted: false,
+        unknown_names: false,
         waited: 0,
     }
 }
@@ -35,26 +37,26 @@
 /// Plays a random history; the number of releases and of refusals.
 fn history(seed: u64) -> Result<(u64, u64), String> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let (mut parked, mut now, mut next) = (Parked::default(), 0i64, 0u64);
+    let (mut parked, mut now, mut next) = (PendingLookups::default(), 0i64, 0u64);
     let mut open: BTreeMap<CallId, Open> = BTreeMap::new();
     let (mut released, mut refused, mut closed) = (0, 0, false);
     for step in 0..400 {
         // Whoever drives it wakes for the limits that it tells.
         let mut to = now + rng.i64(0..60_000);
-        to = parked.next().map_or(to, |t| to.min(t.0));
+        to = parked.next_due().map_or(to, |t| to.min(t.0));
         now = to;
         let mut out = Vec::new();
-        parked.tick(Time(now), &mut out);
+        parked.expire(Time(now), &mut out);
         let due: Vec<CallId> = open
             .iter()
             .filter(|(_, o)| o.until <= now)
             .map(|(id, _)| *id)
             .collect();
         for id in &due {
-            let ends = |e: &End| {
-                *e == End::Refuse {
+            let ends = |e: &WaitEnd| {
+                *e == WaitEnd::Refuse {
                     call: *id,
-                    why: Refusal::Late,
+                    reason: WaitRefusal::TimedOut,
                 }
             };
             if !out.iter().any(ends) {
@@ -65,17 +67,17 @@
         match rng.u32(0..100) {
             0..60 => {
                 next += 1;
-                let (function, own) = (rng.usize(0..4), rng.i64(-5_000..2 * LONGEST));
+                let (function, own) = (rng.usize(0..4), rng.i64(-5_000..2 * MAX_WAIT));
                 let id = CallId(next);
                 open.insert(
                     id,
                     Open {
                         function,
                         came: now,
-                        until: now + own.min(LONGEST),
+                        until: now + own.min(MAX_WAIT),
                     },
                 );
-                parked.park(
+                parked.add(
                     Time(now),
                     call(next, &format!("f{function}"), None),
                     own,
@@ -88,16 +90,16 @@
             60..75 => {
                 let function = rng.usize(0..4);
                 let learned = if rng.bool() {
-                    Learned::Go
+                    LookupResult::Proceed
                 } else {
-                    Learned::Refuse
+                    LookupResult::Refuse
                 };
                 let all = open
                     .iter()
                     .filter(|(id, o)| o.function == function && !wanted.contains(id));
                 let all: Vec<CallId> = all.map(|(id, _)| *id).collect();
                 wanted.extend(all);
-                parked.resolved(Time(now), &format!("f{function}"), learned, &mut out);
+                parked.resolve(Time(now), &format!("f{function}"), learned, &mut out);
             }
             75..99 => {
                 let n = if open.is_empty() {
@@ -111,7 +113,7 @@
                     .copied()
                     .filter(|id| !wanted.contains(id))
                 {
-                    if !parked.left(id) || parked.left(id) {
+                    if !parked.remove(id) || parked.remove(id) {
                         return Err(format!("{step}: {id:?} left, and was there once"));
                     }
                     open.remove(&id);
@@ -126,14 +128,14 @@
         let mut got = Vec::new();
         for end in out {
             let id = match &end {
-                End::Release { call, .. } => call.call,
-                End::Refuse { call, .. } => *call,
+                WaitEnd::Release { call, .. } => call.id,
+                WaitEnd::Refuse { call, .. } => *call,
             };
             let Some(o) = open.remove(&id) else {
                 return Err(format!("{step}: {id:?} ends, and is not there"));
             };
             match end {
-                End::Release { call, waited } => {
+                WaitEnd::Release { call, waited } => {
                     released += 1;
                     if now >= o.until
                         || waited != now - o.came
@@ -144,7 +146,7 @@
                         ));
                     }
                 }
-                End::Refuse { .. } => refused += 1,
+                WaitEnd::Refuse { .. } => refused += 1,
             }
             got.push(id);
         }
@@ -180,39 +182,46 @@
 
 #[test]
 fn no_more_wait_than_there_is_room_for() {
-    let (mut parked, mut out) = (Parked::default(), Vec::new());
-    for n in 0..=MOST_OF_ONE as u64 {
-        parked.park(Time(0), call(n, "hot", None), SECOND, &mut out);
+    let (mut parked, mut out) = (PendingLookups::default(), Vec::new());
+    for n in 0..=MAX_CALLS_OF_FUNCTION as u64 {
+        parked.add(Time(0), call(n, "hot", None), SECOND, &mut out);
     }
-    let full = |id| End::Refuse {
+    let full = |id| WaitEnd::Refuse {
         call: CallId(id),
-        why: Refusal::Full,
+        reason: WaitRefusal::Full,
     };
-    assert_eq!(std::mem::take(&mut out), [full(MOST_OF_ONE as u64)]);
-    for n in 1000..1000 + MOST as u64 {
-        parked.park(Time(0), call(n, &format!("f{n}"), None), SECOND, &mut out);
+    assert_eq!(
+        std::mem::take(&mut out),
+        [full(MAX_CALLS_OF_FUNCTION as u64)]
+    );
+    for n in 1000..1000 + MAX_CALLS as u64 {
+        parked.add(Time(0), call(n, &format!("f{n}"), None), SECOND, &mut out);
     }
     assert_eq!(
         (parked.len(), out.len(), &out[0]),
-        (MOST, MOST_OF_ONE, &full(1000 + (MOST - MOST_OF_ONE) as u64))
+        (
+            MAX_CALLS,
+            MAX_CALLS_OF_FUNCTION,
+            &full(1000 + (MAX_CALLS - MAX_CALLS_OF_FUNCTION) as u64)
+        )
     );
     // There is room again.
     out.clear();
-    assert!(parked.left(CallId(1000)));
-    parked.park(Time(0), call(9999, "hot", None), SECOND, &mut out);
-    parked.park(Time(0), call(9998, "cold", None), SECOND, &mut out);
-    assert_eq!((parked.len(), out), (MOST, vec![full(9999)]));
+    assert!(parked.remove(CallId(1000)));
+    parked.add(Time(0), call(9999, "hot", None), SECOND, &mut out);
+    parked.add(Time(0), call(9998, "cold", None), SECOND, &mut out);
+    assert_eq!((parked.len(), out), (MAX_CALLS, vec![full(9999)]));
 }
 
 #[test]
 fn what_is_learned_at_the_limit_comes_too_late() {
-    for (at, late) in [(LONGEST - 1, false), (LONGEST, true)] {
-        let (mut parked, mut out) = (Parked::default(), Vec::new());
-        parked.park(Time(0), call(1, "f", None), SECOND, &mut out);
-        parked.resolved(Time(at), "f", Learned::Go, &mut out);
-        let end = End::Refuse {
+    for (at, late) in [(MAX_WAIT - 1, false), (MAX_WAIT, true)] {
+        let (mut parked, mut out) = (PendingLookups::default(), Vec::new());
+        parked.add(Time(0), call(1, "f", None), SECOND, &mut out);
+        parked.resolve(Time(at), "f", LookupResult::Proceed, &mut out);
+        let end = WaitEnd::Refuse {
             call: CallId(1),
-            why: Refusal::Late,
+            reason: WaitRefusal::TimedOut,
         };
         assert_eq!((out.len(), out[0] == end), (1, late), "{out:?}");
     }
@@ -221,7 +230,7 @@
 // ---- In the ledger ----
 
 struct Scene {
-    front: Front,
+    front: Dispatcher,
     now: i64,
 }
 
@@ -238,7 +247,7 @@
         late_worth: 0.5,
         streamed: false,
     };
-    let config = Config {
+    let config = DispatchConfig {
         settings: Settings {
             classes: vec![
                 class(Effect::Safe, 3 * SECOND),
@@ -252,34 +261,41 @@
         tenants: vec![],
         zones: vec!["z".into()],
         functions: vec![],
-        longest: 60 * SECOND,
+        max_call_time: 60 * SECOND,
         seed: 1,
     };
     let mut s = Scene {
-        front: Front::new(config.clone(), Time(0)).expect("good settings"),
+        front: Dispatcher::new(config.clone(), Time(0)).expect("good settings"),
         now: 0,
     };
-    let contested = Contested {
-        for_about: ABOUT,
-        ..Contested::default()
+    let contested = ConflictingScopes {
+        retry_after: ABOUT,
+        ..ConflictingScopes::default()
     };
     s.front
-        .adopt(Time(0), Terms { config, contested }, vec![])
+        .apply_settings(
+            Time(0),
+            EffectiveConfig {
+                config,
+                conflicting: contested,
+            },
+            vec![],
+        )
         .expect("good settings");
-    let worker = Listed {
+    let worker = WorkerRecord {
         name: "w".into(),
         kind: 0,
         cell: 0,
         zone: 0,
         state: 0,
         age: None,
-        share: 1.0,
+        relative_size: 1.0,
     };
     s.give(
         0,
         Input::Workers {
-            whole: true,
-            list: vec![worker],
+            full: true,
+            workers: vec![worker],
         },
     );
     s
@@ -291,36 +307,38 @@
         let mut out = Vec::new();
         self.front.step(Time(self.now), input, &mut out);
         assert!(
-            self.front.account().balances(self.front.open() as u64),
+            self.front
+                .counters()
+                .balances(self.front.open_calls() as u64),
             "{}",
-            self.front.account()
+            self.front.counters()
         );
         out
     }
     fn park(&mut self, id: u64, budget: Option<Span>) -> Vec<Command> {
         self.give(
             0,
-            Input::Looked {
+            Input::CallLookedUp {
                 call: call(id, "f", budget),
-                found: Found::Wait,
+                lookup: FunctionLookup::Pending,
             },
         )
     }
-    fn found(&mut self, after: Span, found: Found) -> Vec<Command> {
+    fn found(&mut self, after: Span, found: FunctionLookup) -> Vec<Command> {
         self.give(
             after,
-            Input::Found {
+            Input::FunctionResolved {
                 function: "f".into(),
-                found,
+                lookup: found,
             },
         )
     }
 }
 
-fn acts(class: usize) -> Found {
-    Found::Acts {
+fn acts(class: usize) -> FunctionLookup {
+    FunctionLookup::Known {
         class,
-        shape: Shape {
+        shape: FunctionShape {
             lanes: 4,
             memory_mb: 100.0,
             load_time: None,
@@ -331,7 +349,7 @@
 /// Budgets of attempts and answers.
 fn seen(out: &[Command]) -> (Vec<Span>, Vec<Answer>) {
     let opened = out.iter().filter_map(|c| match c {
-        Command::Open { budget, .. } => Some(*budget),
+        Command::SendAttempt { budget, .. } => Some(*budget),
         _ => None,
     });
     let answers = out.iter().filter_map(|c| match c {
@@ -341,24 +359,26 @@
     (opened.collect(), answers.collect())
 }
 
-const REFUSED: Answer = Answer::Refused { stay_away: ABOUT };
+const REFUSED: Answer = Answer::Refused { retry_after: ABOUT };
 
 #[test]
 fn a_call_that_waited_goes_on_with_what_is_left_of_its_time() {
     let mut s = scene();
     assert_eq!(seen(&s.park(1, Some(SECOND))), (vec![], vec![]));
-    assert!(s.front.waits_for().eq(["f"]) && !s.front.idle() && s.front.open() == 0);
+    assert!(
+        s.front.awaited_functions().eq(["f"]) && !s.front.is_idle() && s.front.open_calls() == 0
+    );
     // 20 ms are kept back for its answer's way.
     assert_eq!(seen(&s.found(300_000, acts(0))), (vec![680_000], vec![]));
-    assert_eq!((s.front.parked(), s.front.open()), (0, 1));
+    assert_eq!((s.front.pending_calls(), s.front.open_calls()), (0, 1));
     // One that tells no time has its function's class's, less what it waited.
     s.park(2, None);
     s.give(0, Input::ClientLeft { call: CallId(1) });
     let out = s.found(100_000, acts(1));
     assert_eq!(seen(&out).0, [880_000]);
     assert_eq!(s.front.class_of(CallId(2)), Some("unsafe"));
-    let a = s.front.account();
-    assert_eq!((a.taken, a.departed, a.guarded), (2, 1, 0));
+    let a = s.front.counters();
+    assert_eq!((a.accepted, a.abandoned, a.guard_rejections), (2, 1, 0));
 }
 
 #[test]
@@ -366,56 +386,59 @@
     let mut s = scene();
     let out = s.give(
         0,
-        Input::Looked {
+        Input::CallLookedUp {
             call: call(1, "f", Some(SECOND)),
-            found: acts(1),
+            lookup: acts(1),
         },
     );
     assert_eq!(
         (seen(&out).0, s.front.class_of(CallId(1))),
         (vec![980_000], Some("unsafe"))
     );
-    assert!(!s.front.names("f"), "it is looked up each time");
+    assert!(!s.front.is_configured("f"), "it is looked up each time");
     let named = Call {
         class: Some(0),
         ..call(2, "f", Some(SECOND))
     };
     s.give(
         0,
-        Input::Looked {
+        Input::CallLookedUp {
             call: named,
-            found: acts(1),
+            lookup: acts(1),
         },
     );
     assert_eq!(s.front.class_of(CallId(2)), Some("safe"));
     // What was learned of it once does not count once it is gone.
     let out = s.give(
         0,
-        Input::Looked {
+        Input::CallLookedUp {
             call: call(3, "f", None),
-            found: Found::Unknown,
+            lookup: FunctionLookup::Unknown,
         },
     );
-    assert_eq!(seen(&out), (vec![], vec![Answer::Unknown]));
+    assert_eq!(seen(&out), (vec![], vec![Answer::UnknownFunction]));
     let out = s.give(
         0,
-        Input::Looked {
+        Input::CallLookedUp {
             call: call(4, "f", None),
-            found: Found::Refused,
+            lookup: FunctionLookup::Refused,
         },
     );
     assert_eq!(seen(&out), (vec![], vec![REFUSED]));
-    let a = s.front.account();
-    assert_eq!((a.taken, a.refused, a.contested, a.unknown), (3, 1, 1, 1));
+    let a = s.front.counters();
+    assert_eq!(
+        (a.accepted, a.refused, a.conflicting, a.unknown_function),
+        (3, 1, 1, 1)
+    );
 }
 
 #[test]
 fn a_call_that_waits_is_refused_at_its_limit_and_no_later() {
     let mut s = scene();
     for (id, budget, limit) in [
-        (1, Some(10 * SECOND), LONGEST),
+        (1, Some(10 * SECOND), MAX_WAIT),
         (2, Some(SECOND / 5), 187_500),
-        (3, None, LONGEST),
+        (3, None, MAX_WAIT),
     ] {
         s.park(id, budget);
         assert!(
@@ -428,10 +451,13 @@
     }
     // What comes at the limit is too late as well, and one without time does not wait.
     s.park(4, Some(SECOND));
-    assert_eq!(seen(&s.found(LONGEST, acts(0))), (vec![], vec![REFUSED]));
+    assert_eq!(seen(&s.found(MAX_WAIT, acts(0))), (vec![], vec![REFUSED]));
     assert_eq!(seen(&s.park(5, Some(0))).1, [REFUSED]);
-    let a = s.front.account();
-    assert_eq!((a.taken, a.refused, a.contested, a.attempts), (5, 5, 5, 0));
+    let a = s.front.counters();
+    assert_eq!(
+        (a.accepted, a.refused, a.conflicting, a.attempts),
+        (5, 5, 5, 0)
+    );
 }
 
 #[test]
@@ -441,90 +467,112 @@
     assert_eq!(s.give(10, Input::ClientLeft { call: CallId(1) }), []);
     assert_eq!(seen(&s.found(10, acts(0))), (vec![], vec![]));
     s.park(2, None);
-    assert_eq!(seen(&s.found(10, Found::Unknown)).1, [Answer::Unknown]);
+    assert_eq!(
+        seen(&s.found(10, FunctionLookup::Unknown)).1,
+        [Answer::UnknownFunction]
+    );
     s.park(3, None);
-    assert_eq!(seen(&s.found(10, Found::Wait)).1, []);
-    assert_eq!(seen(&s.found(10, Found::Refused)).1, [REFUSED]);
+    assert_eq!(seen(&s.found(10, FunctionLookup::Pending)).1, []);
+    assert_eq!(seen(&s.found(10, FunctionLookup::Refused)).1, [REFUSED]);
     s.park(4, None);
-    let at_once = Answer::Refused { stay_away: 0 };
+    let at_once = Answer::Refused { retry_after: 0 };
     assert_eq!(
-        seen(&s.give(10, Input::Close { within: SECOND })).1,
+        seen(&s.give(10, Input::Shutdown { grace: SECOND })).1,
         [at_once]
     );
     assert_eq!(seen(&s.park(5, None)).1, [at_once]);
     assert_eq!(seen(&s.found(10, acts(0))), (vec![], vec![]));
-    let a = s.front.account();
+    let a = s.front.counters();
     assert_eq!(
-        (a.taken, a.departed, a.refused, a.contested, a.unknown),
+        (
+            a.accepted,
+            a.abandoned,
+            a.refused,
+            a.conflicting,
+            a.unknown_function
+        ),
         (4, 1, 3, 1, 1)
     );
-    assert!(s.front.idle());
+    assert!(s.front.is_idle());
 }
 
 /// What a roll compares: ends of calls that awaited settings, as served, refused and failed, and what they were worth.
 fn awaited(s: &Scene) -> [u64; 5] {
-    let counts = s.front.counts().expect("they are counted");
+    let counts = s.front.class_counters().expect("they are counted");
     let c = counts
         .classes()
-        .get(AWAITED)
+        .get(PENDING_LOOKUP)
         .expect("some awaited settings");
-    assert_eq!((c.wanted, c.latency.len()), (c.asked as f64, c.served));
-    [c.asked, c.served, c.refused, c.failed, c.worth as u64]
+    assert_eq!(
+        (c.possible_value, c.latency.len()),
+        (c.ended as f64, c.served)
+    );
+    [c.ended, c.served, c.refused, c.failed, c.value as u64]
 }
 
 #[test]
 fn calls_that_wait_for_settings_are_counted_whatever_their_end() {
     let mut s = scene();
-    s.front.count();
+    s.front.enable_class_counters();
     // One goes on, and is one of its class as well.
     s.park(1, Some(SECOND));
     s.found(300_000, acts(0));
     assert_eq!(awaited(&s), [1, 1, 0, 0, 1]);
     // Refused at its limit, by what was found, at once by that, and without any time.
     s.park(2, None);
-    s.give(LONGEST, Input::Tick);
+    s.give(MAX_WAIT, Input::Tick);
     s.park(3, None);
-    s.found(10, Found::Refused);
+    s.found(10, FunctionLookup::Refused);
     s.give(
         0,
-        Input::Looked {
+        Input::CallLookedUp {
             call: call(4, "f", None),
-            found: Found::Refused,
+            lookup: FunctionLookup::Refused,
         },
     );
     s.park(5, Some(0));
     assert_eq!(awaited(&s), [5, 1, 4, 0, 1]);
     // There is no such function; its client leaves.
     s.park(6, None);
-    s.found(10, Found::Unknown);
+    s.found(10, FunctionLookup::Unknown);
     s.park(7, None);
     s.give(10, Input::ClientLeft { call: CallId(7) });
     assert_eq!(awaited(&s), [7, 1, 4, 2, 1]);
     // One that did not wait has its class alone.
     s.give(
         0,
-        Input::Looked {
+        Input::CallLookedUp {
             call: call(8, "f", Some(SECOND)),
-            found: acts(1),
+            lookup: acts(1),
         },
     );
     assert_eq!(awaited(&s), [7, 1, 4, 2, 1]);
     // Too many of one function, and a close.
-    for id in 0..=MOST_OF_ONE as u64 {
+    for id in 0..=MAX_CALLS_OF_FUNCTION as u64 {
         s.park(100 + id, None);
     }
     assert_eq!(awaited(&s), [8, 1, 5, 2, 1]);
-    s.give(10, Input::Close { within: SECOND });
+    s.give(10, Input::Shutdown { grace: SECOND });
     s.park(1000, None);
     assert_eq!(
         awaited(&s),
-        [9 + MOST_OF_ONE as u64, 1, 6 + MOST_OF_ONE as u64, 2, 1]
+        [
+            9 + MAX_CALLS_OF_FUNCTION as u64,
+            1,
+            6 + MAX_CALLS_OF_FUNCTION as u64,
+            2,
+            1
+        ]
+    );
+    let a = s.front.counters();
+    assert_eq!(
+        a.refused,
+        6 + MAX_CALLS_OF_FUNCTION as u64,
+        "as in the account: {a}"
     );
-    let a = s.front.account();
-    assert_eq!(a.refused, 6 + MOST_OF_ONE as u64, "as in the account: {a}");
-    let counts = s.front.counts().expect("they are counted");
+    let counts = s.front.class_counters().expect("they are counted");
     assert!(
-        counts.classes().keys().eq([AWAITED]),
+        counts.classes().keys().eq([PENDING_LOOKUP]),
         "no call of a class has ended"
     );
 }
@@ -532,19 +580,19 @@
 /// What a roll is told of a front end: its counts, beside a thousand calls a slice that all were served.
 fn report(n: usize, slice: u64, s: &Scene, new: bool, with_awaited: bool) -> Report {
     let mut classes = BTreeMap::new();
-    let counts = s.front.counts().expect("they are counted");
+    let counts = s.front.class_counters().expect("they are counted");
     for (name, c) in counts
         .classes()
         .iter()
-        .filter(|(name, _)| with_awaited || *name != AWAITED)
+        .filter(|(name, _)| with_awaited || *name != PENDING_LOOKUP)
     {
         let mut t = Tally {
-            asked: c.asked,
+            asked: c.ended,
             served: c.served,
             refused: c.refused,
             failed: c.failed,
-            wanted: c.wanted,
-            worth: c.worth,
+            wanted: c.possible_value,
+            worth: c.value,
             ..Tally::default()
         };
         t.latency.add(&c.latency).expect("it grows");
@@ -576,7 +624,9 @@
 /// A roll to a program that refuses every first call of a function, of which each front end has five in a slice of a thousand.
 fn roll(breaks: bool, with_awaited: bool) -> (Verdict, Vec<String>) {
     let mut scenes: Vec<Scene> = (0..8).map(|_| scene()).collect();
-    scenes.iter_mut().for_each(|s| s.front.count());
+    scenes
+        .iter_mut()
+        .for_each(|s| s.front.enable_class_counters());
     let new = |n: usize| n < 3;
     let mut judge = Judge::new(
         Judged::default(),
@@ -590,33 +640,33 @@
                 id += 1;
                 s.park(id, Some(SECOND));
                 let found = if breaks && judging && new(n) {
-                    Found::Refused
+                    FunctionLookup::Refused
                 } else {
                     acts(0)
                 };
                 let out = s.found(20_000, found);
                 if !seen(&out).0.is_empty() {
                     let (call, attempt) = (CallId(id), 0);
-                    s.give(0, Input::Opened { call, attempt });
+                    s.give(0, Input::AttemptSent { call, attempt });
                     s.give(
                         10_000,
-                        Input::Piece {
+                        Input::ResponseMessage {
                             call,
                             attempt,
                             last: true,
                         },
                     );
-                    let seen = Seen::Status {
+                    let seen = AttemptOutcome::Status {
                         code: 0,
-                        stage: Stage::Last,
+                        stage: ResponseStage::Last,
                     };
                     s.give(
                         0,
-                        Input::Ended {
+                        Input::AttemptEnded {
                             call,
                             attempt,
-                            seen,
-                            told: Told::default(),
+                            outcome: seen,
+                            trailers: Trailers::default(),
                         },
                     );
                 }
@@ -634,14 +684,14 @@
 
 #[test]
 fn a_roll_that_breaks_first_calls_is_seen() {
-    let (verdict, what) = roll(true, true);
+    let (classify, what) = roll(true, true);
     assert!(
-        matches!(&verdict, Verdict::Worse { why } if why.contains(AWAITED)),
-        "{verdict:?} {what:?}"
+        matches!(&classify, Verdict::Worse { why } if why.contains(PENDING_LOOKUP)),
+        "{classify:?} {what:?}"
     );
-    let (verdict, _) = roll(false, true);
-    assert_eq!(verdict, Verdict::Fine, "one that breaks nothing");
+    let (classify, _) = roll(false, true);
+    assert_eq!(classify, Verdict::Fine, "one that breaks nothing");
     // Without these counts nothing shows: the calls were never of a class.
-    let (verdict, _) = roll(true, false);
-    assert_eq!(verdict, Verdict::Fine);
+    let (classify, _) = roll(true, false);
+    assert_eq!(classify, Verdict::Fine);
 }
--- a/decide/dispatch/tests/ledger.rs
+++ b/decide/dispatch/tests/request_table.rs
@@ -1,16 +1,16 @@
 //! The ledger under random histories: the rules, the account, and the same commands again from the record.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use tansy_dispatch::record::{replay, Step};
+use tansy_dispatch::record::{replay, RecordedStep};
 use tansy_dispatch::{
-    Answer, Call, CallId, Command, Config, Front, FunctionSpec, Input, Listed, NeverRan, Note,
-    OrderId, Seen, Stage, Told,
+    Answer, AttemptOutcome, CacheStatus, Call, CallId, Command, ControlRequestId, DispatchConfig,
+    Dispatcher, FunctionSpec, Input, NeverRan, ResponseStage, Trailers, WorkerRecord,
 };
 use tansyrouter::{Class, Effect, Group, Settings, Time, SECOND};
 
 const NAMES: [&str; 4] = ["safe", "keyed", "unsafe", "stream"];
 
-fn config(seed: u64) -> Config {
+fn config(seed: u64) -> DispatchConfig {
     let class = |effect, streamed| Class {
         aim: SECOND / 2,
         aim_stretch: 0.0,
@@ -38,7 +38,7 @@
         load_time: Some(50_000),
         versions: vec![],
     };
-    Config {
+    DispatchConfig {
         settings: Settings {
             classes,
             may_probe: true,
@@ -49,20 +49,20 @@
         tenants: vec![],
         zones: vec!["z".into()],
         functions: NAMES.iter().enumerate().map(function).collect(),
-        longest: 60 * SECOND,
+        max_call_time: 60 * SECOND,
         seed,
     }
 }
 
-fn listed(n: usize, state: u8) -> Listed {
-    Listed {
+fn listed(n: usize, state: u8) -> WorkerRecord {
+    WorkerRecord {
         name: format!("w{n}"),
         kind: 0,
         cell: 0,
         zone: 0,
         state,
         age: None,
-        share: 1.0,
+        relative_size: 1.0,
     }
 }
 
@@ -74,21 +74,21 @@
     attempts: BTreeMap<CallId, (u32, bool)>,
     ran: BTreeSet<CallId>,
     answered: BTreeMap<CallId, Answer>,
-    orders: VecDeque<OrderId>,
+    orders: VecDeque<ControlRequestId>,
     draining: BTreeSet<String>,
     began: BTreeSet<CallId>,
     next: u64,
-    steps: Vec<Step>,
+    steps: Vec<RecordedStep>,
 }
 
 impl World {
-    fn step(&mut self, front: &mut Front, input: Input) {
+    fn step(&mut self, front: &mut Dispatcher, input: Input) {
         let mut commands = Vec::new();
         front.step(Time(self.now), input.clone(), &mut commands);
         for c in &commands {
             self.check(c);
         }
-        self.steps.push(Step {
+        self.steps.push(RecordedStep {
             at: self.now,
             input,
             commands,
@@ -99,15 +99,15 @@
             .filter(|c| !self.answered.contains_key(c))
             .count();
         assert!(
-            front.account().balances(open as u64),
+            front.counters().balances(open as u64),
             "{} with {open} open",
-            front.account()
+            front.counters()
         );
     }
 
     fn check(&mut self, c: &Command) {
         match c {
-            Command::Open {
+            Command::SendAttempt {
                 call,
                 attempt,
                 worker,
@@ -151,24 +151,24 @@
                     );
                 }
             }
-            Command::Pass { call } => assert!(
+            Command::ForwardMessage { call } => assert!(
                 !self.answered.contains_key(call),
                 "a piece after the answer"
             ),
-            Command::Withdraw { call, .. } => {
+            Command::CancelAttempt { call, .. } => {
                 if let Some(a) = self.attempts.get_mut(call) {
                     a.1 = true;
                 }
             }
-            Command::Probe { order, .. }
-            | Command::Load { order, .. }
-            | Command::Unload { order, .. } => self.orders.push_back(*order),
+            Command::Probe { request: order, .. }
+            | Command::Load { request: order, .. }
+            | Command::Unload { request: order, .. } => self.orders.push_back(*order),
             _ => {}
         }
     }
 
     /// Lets time pass; time-outs come when they are due, as a loop would have them.
-    fn pass(&mut self, front: &mut Front, to: i64) {
+    fn pass(&mut self, front: &mut Dispatcher, to: i64) {
         while let Some(due) = front.next_due().filter(|t| t.0 < to) {
             self.now = self.now.max(due.0);
             self.step(front, Input::Tick);
@@ -179,10 +179,14 @@
         self.now = to;
     }
 
-    fn turn(&mut self, front: &mut Front) {
+    fn turn(&mut self, front: &mut Dispatcher) {
         let to = self.now + self.rng.i64(0..8_000);
         self.pass(front, to);
-        let stage = [Stage::Nothing, Stage::Headers, Stage::Pieces][self.rng.usize(..3)];
+        let stage = [
+            ResponseStage::Nothing,
+            ResponseStage::Headers,
+            ResponseStage::Messages,
+        ][self.rng.usize(..3)];
         match self.rng.u32(..100) {
             0..=34 => {
                 self.next += 1;
@@ -191,15 +195,15 @@
                 self.open
                     .insert(id, (class, self.now + budget.unwrap_or(2 * SECOND)));
                 let call = Call {
-                    call: id,
+                    id,
                     function: NAMES[class].into(),
                     class: None,
                     tenant: 0,
                     budget,
-                    hint: None,
+                    work_hint: None,
                     repeat: false,
                     shape: None,
-                    unlisted: false,
+                    unknown_names: false,
                     waited: 0,
                 };
                 self.step(front, Input::Call(call));
@@ -216,55 +220,62 @@
                     self.began.insert(call);
                     return self.step(
                         front,
-                        Input::Piece {
+                        Input::ResponseMessage {
                             call,
                             attempt,
                             last,
                         },
                     );
                 }
-                let mut told = Told {
-                    note: Note::Warm,
-                    ..Told::default()
+                let mut told = Trailers {
+                    cache_status: CacheStatus::Warm,
+                    ..Trailers::default()
                 };
                 let seen = match self.rng.u32(..20) {
-                    _ if withdrawn => Seen::Withdrawn,
-                    0 => Seen::ConnectRefused,
-                    1 => Seen::NeverLeft,
-                    2 => Seen::GoawayBelow,
-                    3 => Seen::Reset {
+                    _ if withdrawn => AttemptOutcome::Cancelled,
+                    0 => AttemptOutcome::ConnectRefused,
+                    1 => AttemptOutcome::NeverLeft,
+                    2 => AttemptOutcome::GoawayBelow,
+                    3 => AttemptOutcome::Reset {
                         code: self.rng.u32(..14),
                         stage,
                     },
-                    4 => Seen::Cut { stage },
-                    5 => Seen::NoTrailers { stage },
+                    4 => AttemptOutcome::ConnectionCut { stage },
+                    5 => AttemptOutcome::NoTrailers { stage },
                     6 => {
                         told.never_ran = Some(NeverRan::NotLoaded);
-                        Seen::Status {
+                        AttemptOutcome::Status {
                             code: 14,
-                            stage: Stage::Headers,
+                            stage: ResponseStage::Headers,
                         }
                     }
-                    7 => Seen::Status {
+                    7 => AttemptOutcome::Status {
                         code: self.rng.u8(1..17),
                         stage,
                     },
-                    _ => Seen::Status {
+                    _ => AttemptOutcome::Status {
                         code: 0,
-                        stage: Stage::Pieces,
+                        stage: ResponseStage::Messages,
                     },
                 };
                 if self.began.contains(&call)
-                    && matches!(seen, Seen::ConnectRefused | Seen::NeverLeft)
+                    && matches!(
+                        seen,
+                        AttemptOutcome::ConnectRefused | AttemptOutcome::NeverLeft
+                    )
                 {
                     return;
                 }
                 self.attempts.remove(&call);
                 // What has run, judged here by the words of the specifications, not by the table under test.
                 let proof = match seen {
-                    Seen::ConnectRefused | Seen::NeverLeft | Seen::GoawayBelow => true,
-                    Seen::Reset { code, stage } => code == 7 && stage == Stage::Nothing,
-                    Seen::Status { .. } => told.never_ran.is_some(),
+                    AttemptOutcome::ConnectRefused
+                    | AttemptOutcome::NeverLeft
+                    | AttemptOutcome::GoawayBelow => true,
+                    AttemptOutcome::Reset { code, stage } => {
+                        code == 7 && stage == ResponseStage::Nothing
+                    }
+                    AttemptOutcome::Status { .. } => told.never_ran.is_some(),
                     _ => false,
                 };
                 if !proof {
@@ -272,11 +283,11 @@
                 }
                 self.step(
                     front,
-                    Input::Ended {
+                    Input::AttemptEnded {
                         call,
                         attempt,
-                        seen,
-                        told,
+                        outcome: seen,
+                        trailers: told,
                     },
                 );
             }
@@ -297,7 +308,13 @@
                 let drains = (0..4).filter(|n| states[*n] > 0).map(|n| format!("w{n}"));
                 self.draining = drains.collect();
                 let list = (0..4).map(|n| listed(n, states[n])).collect();
-                self.step(front, Input::Workers { whole: true, list });
+                self.step(
+                    front,
+                    Input::Workers {
+                        full: true,
+                        workers: list,
+                    },
+                );
             }
             _ => {
                 let Some(order) = self.orders.pop_front() else {
@@ -305,37 +322,50 @@
                 };
                 let (seen, told) = if self.rng.u32(..10) == 0 {
                     (
-                        Seen::Cut {
-                            stage: Stage::Nothing,
+                        AttemptOutcome::ConnectionCut {
+                            stage: ResponseStage::Nothing,
                         },
-                        Told::default(),
+                        Trailers::default(),
                     )
                 } else {
-                    let told = Told {
+                    let told = Trailers {
                         instances: Some(1),
-                        ..Told::default()
+                        ..Trailers::default()
                     };
                     (
-                        Seen::Status {
+                        AttemptOutcome::Status {
                             code: 0,
-                            stage: Stage::Headers,
+                            stage: ResponseStage::Headers,
                         },
                         told,
                     )
                 };
-                self.step(front, Input::OrderEnded { order, seen, told });
+                self.step(
+                    front,
+                    Input::ControlRequestEnded {
+                        request: order,
+                        outcome: seen,
+                        trailers: told,
+                    },
+                );
             }
         }
     }
 
     fn run(seed: u64, turns: usize) -> World {
-        let mut front = Front::new(config(seed), Time(0)).expect("settings that make sense");
+        let mut front = Dispatcher::new(config(seed), Time(0)).expect("settings that make sense");
         let mut world = World {
             rng: fastrand::Rng::with_seed(seed),
             ..World::default()
         };
         let list = (0..4).map(|n| listed(n, 0)).collect();
-        world.step(&mut front, Input::Workers { whole: true, list });
+        world.step(
+            &mut front,
+            Input::Workers {
+                full: true,
+                workers: list,
+            },
+        );
         (0..turns).for_each(|_| world.turn(&mut front));
         // The end: every client's time passes.
         for _ in 0..400 {
@@ -349,7 +379,7 @@
             .filter(|c| !world.answered.contains_key(c))
             .collect();
         assert!(unanswered.is_empty(), "seed {seed}: {unanswered:?}");
-        assert_eq!(front.account().guarded, 0, "seed {seed}");
+        assert_eq!(front.counters().guard_rejections, 0, "seed {seed}");
         world
     }
 }
@@ -373,20 +403,21 @@
 
 #[test]
 fn a_record_plays_again_to_the_same_bytes_twice_and_alone() {
-    let lines = |steps: &[Step]| steps.iter().map(Step::line).collect::<Vec<_>>();
+    let lines =
+        |steps: &[RecordedStep]| steps.iter().map(RecordedStep::to_line).collect::<Vec<_>>();
     let recorded = lines(&World::run(7, 600).steps);
     let read = || {
         recorded
             .iter()
-            .map(|l| Step::read(l).expect("a recorded step"))
+            .map(|l| RecordedStep::parse(l).expect("a recorded step"))
     };
-    let mut first = Front::new(config(7), Time(0)).expect("settings that make sense");
-    let once: Vec<Step> = replay(&mut first, read()).collect();
+    let mut first = Dispatcher::new(config(7), Time(0)).expect("settings that make sense");
+    let once: Vec<RecordedStep> = replay(&mut first, read()).collect();
     assert_eq!(lines(&once), recorded);
     // Beside another front end in the same process, step by step, as alone.
     let (mut a, mut b) = (
-        Front::new(config(7), Time(0)).expect("good"),
-        Front::new(config(8), Time(0)).expect("good"),
+        Dispatcher::new(config(7), Time(0)).expect("good"),
+        Dispatcher::new(config(8), Time(0)).expect("good"),
     );
     let other = World::run(8, 600).steps;
     let mut beside = Vec::new();
@@ -401,15 +432,15 @@
 
 fn call(n: u64, function: &str, budget: i64) -> Input {
     Input::Call(Call {
-        call: CallId(n),
+        id: CallId(n),
         function: function.into(),
         class: None,
         tenant: 0,
         budget: Some(budget),
-        hint: None,
+        work_hint: None,
         repeat: false,
         shape: None,
-        unlisted: false,
+        unknown_names: false,
         waited: 0,
     })
 }
@@ -427,76 +458,77 @@
     let mut config = config(1);
     config.settings.max_held = 2;
     config.settings.max_stay_away = SECOND / 4;
-    let mut front = Front::new(config, Time(0)).expect("settings that make sense");
+    let mut front = Dispatcher::new(config, Time(0)).expect("settings that make sense");
     let mut out = Vec::new();
     // No worker is known: one call has no time, two are held, the next is one too many, then the front end closes.
     front.step(Time(0), call(1, "unsafe", 0), &mut out);
     front.step(Time(1), call(2, "unsafe", SECOND), &mut out);
     front.step(Time(2), call(3, "unsafe", SECOND), &mut out);
     front.step(Time(3), call(4, "unsafe", SECOND), &mut out);
-    front.step(
-        Time(4),
-        Input::Close {
-            within: SECOND / 10,
-        },
-        &mut out,
-    );
+    front.step(Time(4), Input::Shutdown { grace: SECOND / 10 }, &mut out);
     front.step(Time(5), call(5, "unsafe", SECOND), &mut out);
     let quarter = Answer::Refused {
-        stay_away: SECOND / 4,
+        retry_after: SECOND / 4,
     };
     assert_eq!(
         answers(&out),
         [
             (1, quarter),
             (4, quarter),
-            (5, Answer::Refused { stay_away: 0 })
+            (5, Answer::Refused { retry_after: 0 })
         ]
     );
     out.clear();
     front.step(Time(SECOND / 5), Input::Tick, &mut out);
-    let failed = Answer::Failed(tansy_dispatch::Why::Closing);
+    let failed = Answer::Failed(tansy_dispatch::FailureReason::ShuttingDown);
     assert_eq!(
         answers(&out),
         [(2, failed), (3, failed)],
         "what is held fails when the time to close is over"
     );
-    assert!(front.idle());
+    assert!(front.is_idle());
 }
 
 #[test]
 fn a_connection_that_takes_nothing_is_dropped_and_the_call_goes_elsewhere() {
-    let mut front = Front::new(config(1), Time(0)).expect("settings that make sense");
+    let mut front = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
     let mut out = Vec::new();
     let connect = front.config().settings.connect_timeout;
     let list = vec![listed(0, 0)];
-    front.step(Time(0), Input::Workers { whole: true, list }, &mut out);
+    front.step(
+        Time(0),
+        Input::Workers {
+            full: true,
+            workers: list,
+        },
+        &mut out,
+    );
     front.step(Time(0), call(1, "unsafe", 2 * SECOND), &mut out);
     let order = out.iter().find_map(|c| match c {
-        Command::Load { order, .. } => Some(*order),
+        Command::Load { request: order, .. } => Some(*order),
         _ => None,
     });
-    let told = Told {
+    let told = Trailers {
         instances: Some(1),
-        ..Told::default()
+        ..Trailers::default()
     };
-    let seen = Seen::Status {
+    let seen = AttemptOutcome::Status {
         code: 0,
-        stage: Stage::Headers,
+        stage: ResponseStage::Headers,
     };
     out.clear();
     front.step(
         Time(1000),
-        Input::OrderEnded {
-            order: order.expect("a load first"),
-            seen,
-            told,
+        Input::ControlRequestEnded {
+            request: order.expect("a load first"),
+            outcome: seen,
+            trailers: told,
         },
         &mut out,
     );
     assert!(
         out.iter()
-            .any(|c| matches!(c, Command::Open { attempt: 0, .. })),
+            .any(|c| matches!(c, Command::SendAttempt { attempt: 0, .. })),
         "{out:?}"
     );
     let mut at = |t: i64, want: &str| {
@@ -515,54 +547,54 @@
     let now = Time(1000 + 2 * connect + 2000);
     front.step(
         now,
-        Input::Ended {
+        Input::AttemptEnded {
             call,
             attempt,
-            seen: Seen::NeverLeft,
-            told: Told::default(),
+            outcome: AttemptOutcome::NeverLeft,
+            trailers: Trailers::default(),
         },
         &mut out,
     );
     assert!(answers(&out).is_empty(), "{out:?}");
-    assert_eq!(front.account().drops, 1);
+    assert_eq!(front.counters().dropped_connections, 1);
 }
 
 #[test]
 fn a_stream_may_last_longer_than_a_connection_may_take() {
-    let mut front = Front::new(config(1), Time(0)).expect("settings that make sense");
+    let mut front = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
     let mut out = Vec::new();
     let connect = front.config().settings.connect_timeout;
     front.step(
         Time(0),
         Input::Workers {
-            whole: true,
-            list: vec![listed(0, 0)],
+            full: true,
+            workers: vec![listed(0, 0)],
         },
         &mut out,
     );
     front.step(Time(0), call(1, "stream", 2 * SECOND), &mut out);
     let order = out.iter().find_map(|c| match c {
-        Command::Load { order, .. } => Some(*order),
+        Command::Load { request: order, .. } => Some(*order),
         _ => None,
     });
-    let told = Told {
+    let told = Trailers {
         instances: Some(1),
-        ..Told::default()
+        ..Trailers::default()
     };
-    let seen = Seen::Status {
+    let seen = AttemptOutcome::Status {
         code: 0,
-        stage: Stage::Headers,
+        stage: ResponseStage::Headers,
     };
     front.step(
         Time(1000),
-        Input::OrderEnded {
-            order: order.expect("a load first"),
-            seen,
-            told,
+        Input::ControlRequestEnded {
+            request: order.expect("a load first"),
+            outcome: seen,
+            trailers: told,
         },
         &mut out,
     );
-    let piece = |last| Input::Piece {
+    let piece = |last| Input::ResponseMessage {
         call: CallId(1),
         attempt: 0,
         last,
@@ -575,7 +607,7 @@
     let withdrawn = |c: &Command| {
         matches!(
             c,
-            Command::Withdraw { .. } | Command::Answer { .. } | Command::Drop { .. }
+            Command::CancelAttempt { .. } | Command::Answer { .. } | Command::DropConnection { .. }
         )
     };
     assert!(!out.iter().any(withdrawn), "{out:?}");
@@ -584,7 +616,7 @@
 }
 
 fn told_of(n: u64, function: &str) -> Input {
-    let shape = tansy_dispatch::Shape {
+    let shape = tansy_dispatch::FunctionShape {
         lanes: 1,
         memory_mb: 50.0,
         load_time: None,
@@ -601,20 +633,20 @@
 
 #[test]
 fn a_load_order_that_has_not_left_is_recalled_when_its_worker_drains() {
-    let mut front = Front::new(config(1), Time(0)).expect("settings that make sense");
+    let mut front = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
     let mut out = Vec::new();
     front.step(
         Time(0),
         Input::Workers {
-            whole: true,
-            list: vec![listed(0, 0)],
+            full: true,
+            workers: vec![listed(0, 0)],
         },
         &mut out,
     );
     front.step(Time(1), told_of(1, "new"), &mut out);
     let load = out.iter().find_map(|c| match c {
         Command::Load {
-            order,
+            request: order,
             instances: 1,
             function,
             ..
@@ -626,19 +658,22 @@
     front.step(
         Time(2),
         Input::Workers {
-            whole: false,
-            list: vec![listed(0, 1)],
+            full: false,
+            workers: vec![listed(0, 1)],
         },
         &mut out,
     );
-    assert!(out.contains(&Command::Recall { order }), "{out:?}");
+    assert!(
+        out.contains(&Command::RecallUnsent { request: order }),
+        "{out:?}"
+    );
     out.clear();
     front.step(
         Time(3),
-        Input::OrderEnded {
-            order,
-            seen: Seen::NeverLeft,
-            told: Told::default(),
+        Input::ControlRequestEnded {
+            request: order,
+            outcome: AttemptOutcome::NeverLeft,
+            trailers: Trailers::default(),
         },
         &mut out,
     );
@@ -650,51 +685,66 @@
 
 #[test]
 fn functions_no_longer_called_and_workers_that_are_gone_are_forgotten() {
-    let mut front = Front::new(config(1), Time(0)).expect("settings that make sense");
-    let named = front.held().0;
+    let mut front = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
+    let named = front.name_counts().0;
     let mut now = 0;
     let (mut most, mut out) = ((0, 0), Vec::new());
     for n in 0..400u64 {
         // Ever new functions, and a worker that is replaced by a new one each time.
         let list = vec![listed(n as usize, 0)];
-        front.step(Time(now), Input::Workers { whole: true, list }, &mut out);
+        front.step(
+            Time(now),
+            Input::Workers {
+                full: true,
+                workers: list,
+            },
+            &mut out,
+        );
         front.step(Time(now), told_of(n, &format!("f{n}")), &mut out);
         for c in std::mem::take(&mut out) {
-            if let Command::Load { order, .. } = c {
-                let told = Told {
+            if let Command::Load { request: order, .. } = c {
+                let told = Trailers {
                     instances: Some(1),
-                    ..Told::default()
+                    ..Trailers::default()
                 };
-                let seen = Seen::Status {
+                let seen = AttemptOutcome::Status {
                     code: 0,
-                    stage: Stage::Last,
+                    stage: ResponseStage::Last,
                 };
-                front.step(Time(now), Input::OrderEnded { order, seen, told }, &mut out);
+                front.step(
+                    Time(now),
+                    Input::ControlRequestEnded {
+                        request: order,
+                        outcome: seen,
+                        trailers: told,
+                    },
+                    &mut out,
+                );
             }
         }
         for c in std::mem::take(&mut out) {
-            if let Command::Open { call, attempt, .. } = c {
-                let seen = Seen::Status {
+            if let Command::SendAttempt { call, attempt, .. } = c {
+                let seen = AttemptOutcome::Status {
                     code: 0,
-                    stage: Stage::Last,
+                    stage: ResponseStage::Last,
                 };
                 front.step(
                     Time(now),
-                    Input::Ended {
+                    Input::AttemptEnded {
                         call,
                         attempt,
-                        seen,
-                        told: Told::default(),
+                        outcome: seen,
+                        trailers: Trailers::default(),
                     },
                     &mut out,
                 );
             }
         }
         now += SECOND;
-        let held = front.held();
+        let held = front.name_counts();
         most = (most.0.max(held.0 - named), most.1.max(held.1));
     }
-    assert!(front.account().served > 300, "{}", front.account());
+    assert!(front.counters().served > 300, "{}", front.counters());
     let kept = (4 * front.config().settings.idle_life / SECOND) as usize + 10;
     assert!(
         most.0 <= kept && most.1 <= 3,
