--- a/decide/dispatch/tests/terms.rs
+++ b/decide/dispatch/tests/settings.rs
@@ -2,8 +2,8 @@
 //! lease runs out.
 
 use tansy_dispatch::{
-    Answer, Call, CallId, Command, Config, Contested, Front, FunctionSpec, Input, Listed, Seen,
-    Stage, Terms, Told,
+    Answer, AttemptOutcome, Call, CallId, Command, ConflictingScopes, DispatchConfig, Dispatcher,
+    EffectiveConfig, FunctionSpec, Input, ResponseStage, Trailers, WorkerRecord,
 };
 use tansyrouter::{Class, Effect, Settings, Time, SECOND};
 
@@ -20,7 +20,7 @@
 }
 
 /// Functions of the same names as the classes, each of its own class.
-fn config(classes: &[(&str, Effect)]) -> Config {
+fn config(classes: &[(&str, Effect)]) -> DispatchConfig {
     let function = |(n, (name, _)): (usize, &(&str, Effect))| FunctionSpec {
         name: name.to_string(),
         class: n,
@@ -33,7 +33,7 @@
         .iter()
         .map(|(_, e)| class(*e, 20 * SECOND))
         .collect();
-    Config {
+    DispatchConfig {
         settings: Settings {
             classes: list,
             max_stay_away: SECOND,
@@ -44,37 +44,37 @@
         tenants: vec!["acme".into()],
         zones: vec!["z".into()],
         functions: classes.iter().enumerate().map(function).collect(),
-        longest: 60 * SECOND,
+        max_call_time: 60 * SECOND,
         seed: 1,
     }
 }
 
 struct Scene {
-    front: Front,
+    front: Dispatcher,
     now: i64,
     calls: u64,
 }
 
 impl Scene {
     /// A front end with two workers.
-    fn new(config: Config) -> Scene {
+    fn new(config: DispatchConfig) -> Scene {
         let mut s = Scene {
-            front: Front::new(config, Time(0)).expect("settings that make sense"),
+            front: Dispatcher::new(config, Time(0)).expect("settings that make sense"),
             now: 0,
             calls: 0,
         };
-        let worker = |n: usize| Listed {
+        let worker = |n: usize| WorkerRecord {
             name: format!("w{n}"),
             kind: 0,
             cell: 0,
             zone: 0,
             state: 0,
             age: None,
-            share: 1.0,
+            relative_size: 1.0,
         };
         s.give(Input::Workers {
-            whole: true,
-            list: vec![worker(0), worker(1)],
+            full: true,
+            workers: vec![worker(0), worker(1)],
         });
         s
     }
@@ -94,20 +94,20 @@
         &mut self,
         function: &str,
         class: Option<usize>,
-        unlisted: bool,
+        unknown_names: bool,
     ) -> (CallId, Vec<Command>) {
         self.calls += 1;
         let call = CallId(self.calls);
         let input = Input::Call(Call {
-            call,
+            id: call,
             function: function.into(),
             class,
             tenant: 0,
             budget: None,
-            hint: None,
+            work_hint: None,
             repeat: false,
             shape: None,
-            unlisted,
+            unknown_names,
             waited: 0,
         });
         (call, self.give(input))
@@ -115,14 +115,14 @@
 
     /// A call's attempt is lost on the way after it may have run; what comes of it until it is sent again or answered.
     fn lose(&mut self, call: CallId, attempt: u32) -> Vec<Command> {
-        let seen = Seen::Cut {
-            stage: Stage::Nothing,
+        let seen = AttemptOutcome::ConnectionCut {
+            stage: ResponseStage::Nothing,
         };
-        let mut out = self.give(Input::Ended {
+        let mut out = self.give(Input::AttemptEnded {
             call,
             attempt,
-            seen,
-            told: Told::default(),
+            outcome: seen,
+            trailers: Trailers::default(),
         });
         for _ in 0..200 {
             if out
@@ -138,27 +138,27 @@
     }
 
     fn serve(&mut self, call: CallId, attempt: u32) -> Vec<Command> {
-        let seen = Seen::Status {
+        let seen = AttemptOutcome::Status {
             code: 0,
-            stage: Stage::Pieces,
+            stage: ResponseStage::Messages,
         };
-        self.give(Input::Ended {
+        self.give(Input::AttemptEnded {
             call,
             attempt,
-            seen,
-            told: Told::default(),
+            outcome: seen,
+            trailers: Trailers::default(),
         })
     }
 
-    fn adopt(&mut self, terms: impl Into<Terms>) {
+    fn apply_settings(&mut self, terms: impl Into<EffectiveConfig>) {
         self.front
-            .adopt(Time(self.now), terms.into(), vec![])
+            .apply_settings(Time(self.now), terms.into(), vec![])
             .expect("settings that make sense");
     }
 }
 
 fn opens(c: &Command, call: CallId) -> bool {
-    matches!(c, Command::Open { call: c, .. } if *c == call)
+    matches!(c, Command::SendAttempt { call: c, .. } if *c == call)
 }
 
 fn answer(c: &Command, call: CallId) -> Option<Answer> {
@@ -177,7 +177,7 @@
         let mut s = Scene::new(config(&[("a", old)]));
         let (before, out) = s.call("a");
         assert!(out.iter().any(|c| opens(c, before)), "{out:?}");
-        s.adopt(config(&[("a", new)]));
+        s.apply_settings(config(&[("a", new)]));
         let (after, out) = s.call("a");
         assert!(out.iter().any(|c| opens(c, after)), "{out:?}");
         let out = s.lose(before, 0);
@@ -206,7 +206,7 @@
         } else {
             Effect::Safe
         };
-        s.adopt(config(&[("b", Effect::Unsafe), ("a", effect)]));
+        s.apply_settings(config(&[("b", Effect::Unsafe), ("a", effect)]));
         assert_eq!(s.front.class_of(call), Some("a"));
         let out = s.serve(call, 0);
         assert!(
@@ -219,35 +219,35 @@
         "{}",
         s.front.config().settings.classes.len()
     );
-    assert_eq!(s.front.account().guarded, 0);
+    assert_eq!(s.front.counters().guard_rejections, 0);
 }
 
 #[test]
 fn a_class_is_found_by_its_name_wherever_the_module_has_it() {
     let mut s = Scene::new(config(&[("a", Effect::Safe), ("b", Effect::Unsafe)]));
     let (open, _) = s.call("b");
-    s.adopt(config(&[("b", Effect::Safe), ("a", Effect::Safe)]));
+    s.apply_settings(config(&[("b", Effect::Safe), ("a", Effect::Safe)]));
     // Named by the call itself: b is safe by now.
-    let b = s.front.class("b");
+    let b = s.front.class_index("b");
     let (call, out) = s.take("a", b, false);
     assert!(out.iter().any(|c| opens(c, call)));
     let out = s.lose(call, 0);
     assert!(out.iter().any(|c| opens(c, call)), "{out:?}");
     let out = s.lose(open, 0);
     assert!(!out.iter().any(|c| opens(c, open)), "{out:?}");
-    assert_eq!(s.front.class("none"), None);
-    assert_eq!(s.front.tenant("acme"), Some(0));
+    assert_eq!(s.front.class_index("none"), None);
+    assert_eq!(s.front.tenant_index("acme"), Some(0));
 }
 
 #[test]
 fn a_function_that_a_version_leaves_out_is_unknown_but_its_open_calls_end_well() {
     let mut s = Scene::new(config(&[("a", Effect::Safe), ("b", Effect::Safe)]));
     let (open, _) = s.call("b");
-    s.adopt(config(&[("a", Effect::Safe)]));
+    s.apply_settings(config(&[("a", Effect::Safe)]));
     let (call, out) = s.call("b");
     assert_eq!(
         out.iter().find_map(|c| answer(c, call)),
-        Some(Answer::Unknown)
+        Some(Answer::UnknownFunction)
     );
     let out = s.lose(open, 0);
     assert!(out.iter().any(|c| opens(c, open)), "{out:?}");
@@ -257,7 +257,7 @@
         Some(Answer::Served)
     );
     // Back in a later version, it is known as before, also after what is not called was forgotten.
-    s.adopt(config(&[("b", Effect::Safe)]));
+    s.apply_settings(config(&[("b", Effect::Safe)]));
     for _ in 0..100 {
         s.now += SECOND;
         s.give(Input::Tick);
@@ -269,21 +269,21 @@
 #[test]
 fn contested_calls_are_refused_at_once_and_no_others() {
     let mut s = Scene::new(config(&[("a", Effect::Safe), ("b", Effect::Safe)]));
-    let contested = |change: fn(&mut Contested)| {
-        let mut contested = Contested {
-            for_about: SECOND / 2,
-            ..Contested::default()
+    let contested = |change: fn(&mut ConflictingScopes)| {
+        let mut contested = ConflictingScopes {
+            retry_after: SECOND / 2,
+            ..ConflictingScopes::default()
         };
         change(&mut contested);
-        Terms {
+        EffectiveConfig {
             config: config(&[("a", Effect::Safe), ("b", Effect::Safe)]),
-            contested,
+            conflicting: contested,
         }
     };
     let refused = Some(Answer::Refused {
-        stay_away: SECOND / 2,
+        retry_after: SECOND / 2,
     });
-    type Case = (fn(&mut Contested), [bool; 2]);
+    type Case = (fn(&mut ConflictingScopes), [bool; 2]);
     let cases: [Case; 4] = [
         (|c| c.all = true, [true, true]),
         (|c| assert!(c.classes.insert("a".into())), [true, false]),
@@ -291,7 +291,7 @@
         (|c| assert!(c.tenants.insert("acme".into())), [true, true]),
     ];
     for (n, (change, wanted)) in cases.into_iter().enumerate() {
-        s.adopt(contested(change));
+        s.apply_settings(contested(change));
         for (function, wanted) in ["a", "b"].into_iter().zip(wanted) {
             let (call, out) = s.call(function);
             let got = out.iter().find_map(|c| answer(c, call));
@@ -304,7 +304,7 @@
             s.serve(call, 0);
         }
     }
-    assert_eq!(s.front.account().contested, 6);
+    assert_eq!(s.front.counters().conflicting, 6);
     // What names a class that is not known is refused only where a version that can't be known may have it.
     let (call, out) = s.take("a", None, true);
     assert_eq!(
@@ -312,7 +312,7 @@
         refused,
         "the tenant is contested still"
     );
-    s.adopt(contested(|c| c.unlisted = true));
+    s.apply_settings(contested(|c| c.unknown_names = true));
     let (call, out) = s.take("a", None, true);
     assert_eq!(out.iter().find_map(|c| answer(c, call)), refused);
     let (call, out) = s.take("a", None, false);
@@ -322,26 +322,26 @@
 #[test]
 fn a_lease_that_ran_out_binds_at_the_very_next_input() {
     let mut s = Scene::new(config(&[("a", Effect::Safe)]));
-    let after = || Terms {
-        contested: Contested {
+    let after = || EffectiveConfig {
+        conflicting: ConflictingScopes {
             all: true,
-            ..Contested::default()
+            ..ConflictingScopes::default()
         },
         config: config(&[("a", Effect::Safe)]),
     };
-    let terms = || Terms::from(config(&[("a", Effect::Safe)]));
+    let terms = || EffectiveConfig::from(config(&[("a", Effect::Safe)]));
     let until = Time(s.now + SECOND);
     s.front
-        .adopt(Time(s.now), terms(), vec![(until, after())])
+        .apply_settings(Time(s.now), terms(), vec![(until, after())])
         .expect("good settings");
     let (call, out) = s.call("a");
     assert!(out.iter().any(|c| opens(c, call)));
-    assert!(s.front.renew(Time(s.now), &[until.plus(SECOND)]));
+    assert!(s.front.extend_expiry(Time(s.now), &[until.plus(SECOND)]));
     assert!(
-        s.front.renew(Time(s.now), &[until]),
+        s.front.extend_expiry(Time(s.now), &[until]),
         "an older end is no shorter lease"
     );
-    assert_eq!(s.front.until(), Some(until.plus(SECOND)));
+    assert_eq!(s.front.next_expiry(), Some(until.plus(SECOND)));
     s.now = until.plus(SECOND).0 - 2_000;
     let (call, out) = s.call("a");
     assert!(out.iter().any(|c| opens(c, call)), "still within it");
@@ -356,15 +356,16 @@
         "{out:?}"
     );
     assert!(
-        !s.front.renew(Time(s.now), &[until.plus(9 * SECOND)]),
+        !s.front
+            .extend_expiry(Time(s.now), &[until.plus(9 * SECOND)]),
         "it has to be taken up anew"
     );
-    s.adopt(terms());
+    s.apply_settings(terms());
     let (call, out) = s.call("a");
     assert!(out.iter().any(|c| opens(c, call)));
     // One that is over when it comes binds at once.
     s.front
-        .adopt(Time(s.now), terms(), vec![(Time(s.now), after())])
+        .apply_settings(Time(s.now), terms(), vec![(Time(s.now), after())])
         .expect("good settings");
     let (call, out) = s.call("a");
     assert!(!out.iter().any(|c| opens(c, call)), "{out:?}");
@@ -384,12 +385,12 @@
     for bad in [none, timeless, lost, unnamed] {
         assert!(s
             .front
-            .adopt(Time(s.now), bad.clone().into(), vec![])
+            .apply_settings(Time(s.now), bad.clone().into(), vec![])
             .is_err());
         let good = config(&[("a", Effect::Unsafe)]).into();
-        let lease = vec![(Time(s.now + SECOND), Terms::from(bad))];
+        let lease = vec![(Time(s.now + SECOND), EffectiveConfig::from(bad))];
         assert!(
-            s.front.adopt(Time(s.now), good, lease).is_err(),
+            s.front.apply_settings(Time(s.now), good, lease).is_err(),
             "what comes after has to make sense too"
         );
     }
--- a/net/inference/src/answers.rs
+++ b/net/inference/src/answers.rs
@@ -4,7 +4,7 @@
 use base64::Engine as _;
 use http::{HeaderMap, HeaderValue};
 use prost::Message;
-use tansy_dispatch::{Answer, Why};
+use tansy_dispatch::{Answer, FailureReason};
 use tansy_frames::grpc::Code;
 use tansy_inference::names;
 use tansy_net_grpc::server::trailers;
@@ -51,21 +51,21 @@
 }
 
 /// What a failure says, and its code.
-pub fn failure(why: Why) -> (Code, &'static str) {
+pub fn failure(why: FailureReason) -> (Code, &'static str) {
     match why {
-        Why::Deadline => (
+        FailureReason::Deadline => (
             Code::DeadlineExceeded,
             "failed: no answer within the call's time; it may have run",
         ),
-        Why::Lost => (
+        FailureReason::ConnectionLost => (
             Code::Aborted,
             "failed: the worker's connection was lost; the call may have run",
         ),
-        Why::Worker => (
+        FailureReason::WorkerFailed => (
             Code::Internal,
             "failed: the worker failed; the call may have run",
         ),
-        Why::Closing => (
+        FailureReason::ShuttingDown => (
             Code::Aborted,
             "failed: this front end is closing; the call may have run",
         ),
@@ -79,10 +79,12 @@
 /// The trailers of a unary call's final answer; of `Served` and `Passed` the worker's own.
 pub fn unary(answer: Answer, model: &str, worker: Option<&HeaderMap>) -> HeaderMap {
     match answer {
-        Answer::Served | Answer::Passed => worker
+        Answer::Served | Answer::WorkerStatus => worker
             .map(crate::trailers::answer)
             .unwrap_or_else(|| trailers(Code::Ok, "")),
-        Answer::Refused { stay_away } => {
+        Answer::Refused {
+            retry_after: stay_away,
+        } => {
             let mut map = trailers(Code::Unavailable, REFUSAL);
             map.insert(names::PUSHBACK, HeaderValue::from(millis(stay_away)));
             let delay = Duration {
@@ -113,7 +115,7 @@
             map.insert(names::PUSHBACK, HeaderValue::from(-1));
             map
         }
-        Answer::Unknown => {
+        Answer::UnknownFunction => {
             let mut map = trailers(
                 Code::NotFound,
                 &format!("no function {model:?} in the settings"),
@@ -132,7 +134,7 @@
 ) -> Option<(String, Option<i64>)> {
     match answer {
         Answer::Served => None,
-        Answer::Passed => {
+        Answer::WorkerStatus => {
             let text = |key: &str| {
                 worker
                     .and_then(|m| m.get(key))
@@ -145,9 +147,11 @@
                 None,
             ))
         }
-        Answer::Refused { stay_away } => Some((REFUSAL.into(), Some(millis(stay_away)))),
+        Answer::Refused {
+            retry_after: stay_away,
+        } => Some((REFUSAL.into(), Some(millis(stay_away)))),
         Answer::Failed(why) => Some((failure(why).1.into(), None)),
-        Answer::Unknown => Some((
+        Answer::UnknownFunction => Some((
             format!("failed: no function {model:?} in the settings"),
             None,
         )),
@@ -162,7 +166,7 @@
     fn a_refusal_tells_when_to_come_back_in_both_forms() {
         let map = unary(
             Answer::Refused {
-                stay_away: 1_500_001,
+                retry_after: 1_500_001,
             },
             "f",
             None,
@@ -186,10 +190,10 @@
     #[test]
     fn a_failure_promises_nothing_and_asks_for_no_repeat() {
         for (why, code) in [
-            (Why::Deadline, "4"),
-            (Why::Lost, "10"),
-            (Why::Worker, "13"),
-            (Why::Closing, "10"),
+            (FailureReason::Deadline, "4"),
+            (FailureReason::ConnectionLost, "10"),
+            (FailureReason::WorkerFailed, "13"),
+            (FailureReason::ShuttingDown, "10"),
         ] {
             let map = unary(Answer::Failed(why), "f", None);
             assert_eq!(
--- a/net/inference/src/attempts.rs
+++ b/net/inference/src/attempts.rs
@@ -10,7 +10,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::Poll;
-use tansy_dispatch::{Input, OrderId, Seen, Stage, Told};
+use tansy_dispatch::{AttemptOutcome, ControlRequestId, Input, ResponseStage, Trailers};
 use tansy_frames::grpc::{frame, spell_timeout, Code};
 use tansy_inference::inference as pb;
 use tansy_inference::names;
@@ -39,7 +39,7 @@
     link: &Rc<Link>,
     budget: i64,
     flag: &Flag,
-) -> (Seen, Option<HeaderMap>) {
+) -> (AttemptOutcome, Option<HeaderMap>) {
     let connection = match connect(link, flag).await {
         Ok(c) => c,
         Err(seen) => return (seen, None),
@@ -50,7 +50,7 @@
     {
         Ok(e) => e,
         // Not queued: nothing of it can leave.
-        Err(_) => return (Seen::NeverLeft, None),
+        Err(_) => return (AttemptOutcome::NeverLeft, None),
     };
     let mut last = false;
     loop {
@@ -60,7 +60,7 @@
             }
             if flag.asked() {
                 if exchange.left() {
-                    hub.feed(Input::Opened {
+                    hub.feed(Input::AttemptSent {
                         call: io.id,
                         attempt: number,
                     });
@@ -81,7 +81,7 @@
                     if ends && !last {
                         io.complete.set(true);
                     }
-                    hub.feed(Input::Piece {
+                    hub.feed(Input::ResponseMessage {
                         call: io.id,
                         attempt: number,
                         last: ends,
@@ -108,20 +108,25 @@
 }
 
 /// A connection that can take a stream now; or how the attempt ended without one.
-async fn connect(link: &Rc<Link>, flag: &Flag) -> Result<Connection, Seen> {
+async fn connect(link: &Rc<Link>, flag: &Flag) -> Result<Connection, AttemptOutcome> {
     let mut connected = link.connection();
     let connection = std::future::poll_fn(|cx| match Pin::new(&mut connected).poll(cx) {
         Poll::Ready(Ok(c)) => Poll::Ready(Ok(c)),
-        Poll::Ready(Err(_)) => Poll::Ready(Err(Seen::ConnectRefused)),
-        Poll::Pending if flag.poll(cx) || flag.asked() => Poll::Ready(Err(Seen::ConnectTimedOut)),
+        Poll::Ready(Err(_)) => Poll::Ready(Err(AttemptOutcome::ConnectRefused)),
+        Poll::Pending if flag.poll(cx) || flag.asked() => {
+            Poll::Ready(Err(AttemptOutcome::ConnectTimedOut))
+        }
         Poll::Pending => Poll::Pending,
     });
     let mut connection = connection.await?;
     let ready = std::future::poll_fn(|cx| {
         if flag.poll(cx) || flag.asked() {
-            return Poll::Ready(Err(Seen::NeverLeft));
+            return Poll::Ready(Err(AttemptOutcome::NeverLeft));
         }
-        connection.send.poll_ready(cx).map_err(|_| Seen::NeverLeft)
+        connection
+            .send
+            .poll_ready(cx)
+            .map_err(|_| AttemptOutcome::NeverLeft)
     });
     ready.await.map(|()| connection)
 }
@@ -159,31 +164,31 @@
     request
 }
 
-fn seen(ending: Ending, progress: Progress, last: bool) -> (Seen, Option<HeaderMap>) {
+fn seen(ending: Ending, progress: Progress, last: bool) -> (AttemptOutcome, Option<HeaderMap>) {
     let stage = match progress {
-        _ if last => Stage::Last,
-        Progress::Nothing => Stage::Nothing,
-        Progress::Headers => Stage::Headers,
-        Progress::Messages => Stage::Pieces,
+        _ if last => ResponseStage::Last,
+        Progress::Nothing => ResponseStage::Nothing,
+        Progress::Headers => ResponseStage::Headers,
+        Progress::Messages => ResponseStage::Messages,
     };
     match ending {
         Ending::Status(code, trailers) => (
-            Seen::Status {
+            AttemptOutcome::Status {
                 code: code.number(),
                 stage,
             },
             Some(trailers),
         ),
-        Ending::Reset(code) => (Seen::Reset { code, stage }, None),
-        Ending::Cut => (Seen::Cut { stage }, None),
-        Ending::GoawayBelow => (Seen::GoawayBelow, None),
-        Ending::NeverLeft => (Seen::NeverLeft, None),
-        Ending::NoTrailers => (Seen::NoTrailers { stage }, None),
+        Ending::Reset(code) => (AttemptOutcome::Reset { code, stage }, None),
+        Ending::Cut => (AttemptOutcome::ConnectionCut { stage }, None),
+        Ending::GoawayBelow => (AttemptOutcome::GoawayBelow, None),
+        Ending::NeverLeft => (AttemptOutcome::NeverLeft, None),
+        Ending::NoTrailers => (AttemptOutcome::NoTrailers { stage }, None),
         Ending::Bad(why) => {
             tracing::debug!(%why, "a worker's answer was refused");
-            (Seen::BadAnswer { stage }, None)
+            (AttemptOutcome::InvalidResponse { stage }, None)
         }
-        Ending::Withdrawn => (Seen::Withdrawn, None),
+        Ending::Withdrawn => (AttemptOutcome::Cancelled, None),
     }
 }
 
@@ -239,17 +244,21 @@
 /// One probe or order.
 pub async fn order(
     hub: Rc<Hub>,
-    order: OrderId,
+    order: ControlRequestId,
     what: OrderRequest,
     link: Rc<Link>,
     flag: Rc<Flag>,
 ) {
     let (seen, trailers) = run_order(what, &link, &flag).await;
-    let told = trailers.as_ref().map_or_else(Told::default, told);
+    let told = trailers.as_ref().map_or_else(Trailers::default, told);
     hub.order_ended(order, seen, told);
 }
 
-async fn run_order(what: OrderRequest, link: &Rc<Link>, flag: &Flag) -> (Seen, Option<HeaderMap>) {
+async fn run_order(
+    what: OrderRequest,
+    link: &Rc<Link>,
+    flag: &Flag,
+) -> (AttemptOutcome, Option<HeaderMap>) {
     let connection = match connect(link, flag).await {
         Ok(c) => c,
         Err(seen) => return (seen, None),
@@ -257,7 +266,7 @@
     let request = request(link, what.path, None, None);
     let Ok(mut exchange) = Exchange::start(connection, request, what.body, true, ORDER_ANSWER)
     else {
-        return (Seen::NeverLeft, None);
+        return (AttemptOutcome::NeverLeft, None);
     };
     loop {
         let news = std::future::poll_fn(|cx| {
--- a/net/inference/src/clients.rs
+++ b/net/inference/src/clients.rs
@@ -152,8 +152,8 @@
         };
         let (class, tenant) = (text(&setup.class), text(&setup.tenant));
         let found = self.hub.with_front(|f| {
-            let class = class.as_deref().map(|c| f.class(c));
-            (class, tenant.as_deref().map(|t| f.tenant(t)))
+            let class = class.as_deref().map(|c| f.class_index(c));
+            (class, tenant.as_deref().map(|t| f.tenant_index(t)))
         });
         let unlisted = matches!(found, (Some(None), _) | (_, Some(None)));
         let (class, tenant) = (found.0.flatten(), found.1.flatten().unwrap_or(0));
@@ -172,15 +172,15 @@
         };
         let repeat = self.headers.contains_key("grpc-previous-rpc-attempts");
         Call {
-            call: id,
+            id,
             function: r.model.to_string(),
             class,
             tenant,
             budget,
-            hint: hint.filter(|h| *h > 0).map(|h| h.saturating_mul(1000)),
+            work_hint: hint.filter(|h| *h > 0).map(|h| h.saturating_mul(1000)),
             repeat,
             shape: None,
-            unlisted,
+            unknown_names: unlisted,
             waited: 0,
         }
     }
@@ -328,7 +328,7 @@
             Ok(match method {
                 "ServerLive" => pb::ServerLiveResponse { live: true }.encode_to_vec(),
                 "ServerReady" => pb::ServerReadyResponse {
-                    ready: front.ready(),
+                    ready: front.is_ready(),
                 }
                 .encode_to_vec(),
                 "ServerMetadata" => pb::ServerMetadataResponse {
@@ -339,7 +339,7 @@
                 .encode_to_vec(),
                 "ModelReady" => {
                     let asked: pb::ModelReadyRequest = read(message)?;
-                    let ready = front.ready() && self.hub.knows(&asked.name);
+                    let ready = front.is_ready() && self.hub.knows(&asked.name);
                     pb::ModelReadyResponse { ready }.encode_to_vec()
                 }
                 "ModelMetadata" => {
@@ -361,7 +361,7 @@
                 "RepositoryIndex" => {
                     let asked: pb::RepositoryIndexRequest = read(message)?;
                     let all = front
-                        .index()
+                        .function_states()
                         .into_iter()
                         .filter(|(_, s)| !asked.ready || *s == "READY");
                     let model = |(f, state): (&tansy_dispatch::FunctionSpec, &str)| {
--- a/net/inference/src/hub.rs
+++ b/net/inference/src/hub.rs
@@ -12,10 +12,10 @@
 use std::rc::Rc;
 use std::task::{Context, Waker};
 use std::time::Duration;
-use tansy_dispatch::record::Step;
+use tansy_dispatch::record::RecordedStep;
 use tansy_dispatch::{
-    Account, Answer, BadConfig, Call, CallId, Command, Found, Front, Input, Listed, OrderId, Seen,
-    Shape, Terms, Told,
+    Answer, AttemptOutcome, Call, CallId, Command, ConfigError, ControlRequestId, Counters,
+    Dispatcher, EffectiveConfig, FunctionLookup, FunctionShape, Input, Trailers, WorkerRecord,
 };
 use tansy_frames::grpc::frame;
 use tansy_inference::{amend, scan};
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Worker {
     /// Its line in the list.
-    pub listed: Listed,
+    pub listed: WorkerRecord,
     /// Its address.
     pub address: SocketAddr,
 }
@@ -62,7 +62,7 @@
         /// Its class, by name.
         class: Rc<str>,
         /// Its shape.
-        shape: Shape,
+        shape: FunctionShape,
     },
     /// Its calls are refused: front ends can't know that they agree on it.
     Refused,
@@ -157,13 +157,13 @@
 }
 
 struct State {
-    front: Front,
+    front: Dispatcher,
     inputs: VecDeque<Input>,
     running: bool,
     next_call: u64,
     calls: HashMap<CallId, Rc<CallIo>>,
     attempts: HashMap<CallId, Rc<Flag>>,
-    orders: HashMap<OrderId, Rc<Flag>>,
+    orders: HashMap<ControlRequestId, Rc<Flag>>,
     links: HashMap<String, Rc<Link>>,
     addresses: HashMap<String, SocketAddr>,
     record: Option<Box<dyn Write>>,
@@ -186,7 +186,7 @@
     /// A hub around a ledger. `record` gets every step of the ledger as a line.
     pub fn new(
         spawner: Spawner,
-        front: Front,
+        front: Dispatcher,
         setup: Setup,
         record: Option<Box<dyn Write>>,
     ) -> Rc<Hub> {
@@ -228,16 +228,19 @@
     /// nothing changes.
     pub fn adopt(
         &self,
-        terms: Terms,
+        terms: EffectiveConfig,
         names: Names,
-        ends: Vec<(i64, Terms)>,
-    ) -> Result<(), BadConfig> {
+        ends: Vec<(i64, EffectiveConfig)>,
+    ) -> Result<(), ConfigError> {
         let now = self.now();
         let ends = ends
             .into_iter()
             .map(|(after, t)| (now.plus(after), t))
             .collect();
-        self.state.borrow_mut().front.adopt(now, terms, ends)?;
+        self.state
+            .borrow_mut()
+            .front
+            .apply_settings(now, terms, ends)?;
         *self.names.borrow_mut() = Rc::new(names);
         Ok(())
     }
@@ -246,7 +249,7 @@
     pub fn renew(&self, ends: &[i64]) -> bool {
         let now = self.now();
         let ends: Vec<Time> = ends.iter().map(|after| now.plus(*after)).collect();
-        self.state.borrow_mut().front.renew(now, &ends)
+        self.state.borrow_mut().front.extend_expiry(now, &ends)
     }
 
     /// How long the loop may sleep before it has to call [`Hub::tick`].
@@ -290,28 +293,34 @@
         }
         retired.iter().for_each(|l| l.retire());
         let list = workers.into_iter().map(|w| w.listed).collect();
-        self.feed(Input::Workers { whole: true, list });
+        self.feed(Input::Workers {
+            full: true,
+            workers: list,
+        });
     }
 
     /// Reads the ledger.
-    pub fn with_front<T>(&self, f: impl FnOnce(&Front) -> T) -> T {
+    pub fn with_front<T>(&self, f: impl FnOnce(&Dispatcher) -> T) -> T {
         f(&self.state.borrow().front)
     }
 
     /// Has final answers counted by class from now on.
     pub fn count(&self) {
-        self.state.borrow_mut().front.count();
+        self.state.borrow_mut().front.enable_class_counters();
     }
 
     /// Has what is counted valued by these classes, by name, whatever the settings in use say.
     pub fn value_by(&self, classes: BTreeMap<String, tansyrouter::Class>) {
-        self.state.borrow_mut().front.value_by(classes);
+        self.state.borrow_mut().front.set_valuation_classes(classes);
     }
 
     /// The counts, and calls still open.
-    pub fn account(&self) -> (Account, u64) {
+    pub fn account(&self) -> (Counters, u64) {
         let state = self.state.borrow();
-        (state.front.account().clone(), state.front.open() as u64)
+        (
+            state.front.counters().clone(),
+            state.front.open_calls() as u64,
+        )
     }
 
     /// Calls of functions that the settings in use don't name are looked up so from now on. Only the first counts.
@@ -322,48 +331,54 @@
     /// Looks again for what the calls that wait wait for.
     pub fn look_again(self: &Rc<Self>) {
         let functions: Vec<String> =
-            self.with_front(|f| f.waits_for().map(str::to_string).collect());
+            self.with_front(|f| f.awaited_functions().map(str::to_string).collect());
         for function in functions {
             // A version may name it by now.
             let named = self.with_front(|f| {
-                let s = f.function(&function).filter(|_| f.names(&function))?;
-                let shape = Shape {
+                let s = f
+                    .function(&function)
+                    .filter(|_| f.is_configured(&function))?;
+                let shape = FunctionShape {
                     lanes: s.lanes,
                     memory_mb: s.memory_mb,
                     load_time: s.load_time,
                 };
-                Some(Found::Acts {
+                Some(FunctionLookup::Known {
                     class: s.class,
                     shape,
                 })
             });
             match named.or_else(|| self.look(&function)) {
-                None | Some(Found::Wait) => {}
-                Some(found) => self.feed(Input::Found { function, found }),
+                None | Some(FunctionLookup::Pending) => {}
+                Some(found) => self.feed(Input::FunctionResolved {
+                    function,
+                    lookup: found,
+                }),
             }
         }
     }
 
     /// Whether calls of this function would be taken now, as far as its settings say; what is not known yet is asked for.
     pub fn knows(&self, function: &str) -> bool {
-        self.with_front(|f| f.names(function))
-            || matches!(self.look(function), Some(Found::Acts { .. }))
+        self.with_front(|f| f.is_configured(function))
+            || matches!(self.look(function), Some(FunctionLookup::Known { .. }))
     }
 
     /// What is known of a function; none: the settings in use name it, or nobody looks any up.
-    fn look(&self, function: &str) -> Option<Found> {
+    fn look(&self, function: &str) -> Option<FunctionLookup> {
         let lookup = self.lookup.get()?;
-        if self.with_front(|f| f.names(function)) {
+        if self.with_front(|f| f.is_configured(function)) {
             return None;
         }
         Some(match lookup.look(function) {
             // A class that the settings in use don't have says nothing of what its calls are.
-            Looked::Acts { class, shape } => self
-                .with_front(|f| f.class(&class))
-                .map_or(Found::Refused, |class| Found::Acts { class, shape }),
-            Looked::Refused => Found::Refused,
-            Looked::Unknown => Found::Unknown,
-            Looked::Wait => Found::Wait,
+            Looked::Acts { class, shape } => self.with_front(|f| f.class_index(&class)).map_or(
+                FunctionLookup::Refused,
+                |class| FunctionLookup::Known { class, shape },
+            ),
+            Looked::Refused => FunctionLookup::Refused,
+            Looked::Unknown => FunctionLookup::Unknown,
+            Looked::Wait => FunctionLookup::Pending,
         })
     }
 
@@ -379,7 +394,10 @@
         self.state.borrow_mut().calls.insert(id, Rc::new(io));
         self.feed(match self.look(&call.function) {
             None => Input::Call(call),
-            Some(found) => Input::Looked { call, found },
+            Some(found) => Input::CallLookedUp {
+                call,
+                lookup: found,
+            },
         });
     }
 
@@ -412,12 +430,12 @@
                 let recorded = state.record.is_some().then(|| input.clone());
                 state.front.step(now, input, &mut commands);
                 if let (Some(input), Some(record)) = (recorded, &mut state.record) {
-                    let step = Step {
+                    let step = RecordedStep {
                         at: now.0,
                         input,
                         commands: commands.clone(),
                     };
-                    if let Err(e) = writeln!(record, "{}", step.line()) {
+                    if let Err(e) = writeln!(record, "{}", step.to_line()) {
                         tracing::error!(error = %e, "the record can't be written; recording ends");
                         state.record = None;
                     }
@@ -431,7 +449,7 @@
 
     fn carry_out(self: &Rc<Self>, command: Command) {
         match command {
-            Command::Open {
+            Command::SendAttempt {
                 call,
                 attempt,
                 worker,
@@ -443,12 +461,12 @@
                     state.calls.get(&call).cloned().zip(link)
                 };
                 let Some((io, link)) = found else {
-                    let (seen, told) = (Seen::NeverLeft, Told::default());
-                    return self.feed(Input::Ended {
+                    let (seen, told) = (AttemptOutcome::NeverLeft, Trailers::default());
+                    return self.feed(Input::AttemptEnded {
                         call,
                         attempt,
-                        seen,
-                        told,
+                        outcome: seen,
+                        trailers: told,
                     });
                 };
                 let flag = Rc::new(Flag::default());
@@ -462,17 +480,17 @@
                     flag,
                 ));
             }
-            Command::Withdraw { call, .. } => {
+            Command::CancelAttempt { call, .. } => {
                 if let Some(flag) = self.state.borrow().attempts.get(&call) {
                     flag.raise();
                 }
             }
-            Command::Confirm { call, .. } => {
+            Command::ConfirmSent { call, .. } => {
                 if let Some(flag) = self.state.borrow().attempts.get(&call) {
                     flag.ask();
                 }
             }
-            Command::Pass { call } => {
+            Command::ForwardMessage { call } => {
                 if let Some(io) = self.state.borrow().calls.get(&call) {
                     if let Some(piece) = io.staged.borrow_mut().take() {
                         io.sink.push(piece);
@@ -485,11 +503,14 @@
                     finish(&io, answer);
                 }
             }
-            Command::Probe { order, worker } => {
+            Command::Probe {
+                request: order,
+                worker,
+            } => {
                 self.start_order(order, &worker, attempts::OrderRequest::probe());
             }
             Command::Load {
-                order,
+                request: order,
                 worker,
                 function,
                 instances,
@@ -501,46 +522,46 @@
                 );
             }
             Command::Unload {
-                order,
+                request: order,
                 worker,
                 function,
             } => {
                 self.start_order(order, &worker, attempts::OrderRequest::unload(&function));
             }
-            Command::Recall { order } => {
+            Command::RecallUnsent { request: order } => {
                 if let Some(flag) = self.state.borrow().orders.get(&order) {
                     flag.ask();
                 }
             }
-            Command::WithdrawOrder { order } => {
+            Command::CancelControlRequest { request: order } => {
                 if let Some(flag) = self.state.borrow().orders.get(&order) {
                     flag.raise();
                 }
             }
-            Command::Drop { worker } => {
+            Command::DropConnection { worker } => {
                 let link = self.state.borrow().links.get(&worker).cloned();
                 if let Some(link) = link {
                     tracing::info!(%worker, "its connection takes nothing and is dropped");
                     link.drop_now();
                 }
             }
-            Command::Retire { worker } => {
+            Command::RetireWorker { worker } => {
                 let link = self.state.borrow_mut().links.remove(&worker);
                 if let Some(link) = link {
                     link.retire();
                 }
             }
-            Command::Tell {
+            Command::ReportMissingFunction {
                 worker,
                 function,
-                seen,
-                count,
+                outcome: seen,
+                failed_loads: count,
             } => {
                 tracing::warn!(%worker, %function, status = %seen, count,
                     "a load order left no instance (an OK has to tell tansy-instances); orders there become rare");
             }
             // The list comes unasked here; asked for, it comes again as it stands.
-            Command::FetchList | Command::Subscribe => {
+            Command::FetchWorkerList | Command::SubscribeWorkerList => {
                 let list = self
                     .state
                     .borrow()
@@ -548,7 +569,10 @@
                     .iter()
                     .map(|w| w.listed.clone())
                     .collect();
-                self.feed(Input::Workers { whole: true, list });
+                self.feed(Input::Workers {
+                    full: true,
+                    workers: list,
+                });
             }
         }
     }
@@ -565,11 +589,20 @@
         )
     }
 
-    fn start_order(self: &Rc<Self>, order: OrderId, worker: &str, request: attempts::OrderRequest) {
+    fn start_order(
+        self: &Rc<Self>,
+        order: ControlRequestId,
+        worker: &str,
+        request: attempts::OrderRequest,
+    ) {
         let link = self.link(&mut self.state.borrow_mut(), worker);
         let Some(link) = link else {
-            let (seen, told) = (Seen::NeverLeft, Told::default());
-            return self.feed(Input::OrderEnded { order, seen, told });
+            let (seen, told) = (AttemptOutcome::NeverLeft, Trailers::default());
+            return self.feed(Input::ControlRequestEnded {
+                request: order,
+                outcome: seen,
+                trailers: told,
+            });
         };
         let flag = Rc::new(Flag::default());
         self.state.borrow_mut().orders.insert(order, flag.clone());
@@ -578,20 +611,35 @@
     }
 
     /// An attempt has ended.
-    pub fn attempt_ended(self: &Rc<Self>, call: CallId, attempt: u32, seen: Seen, told: Told) {
+    pub fn attempt_ended(
+        self: &Rc<Self>,
+        call: CallId,
+        attempt: u32,
+        seen: AttemptOutcome,
+        told: Trailers,
+    ) {
         self.state.borrow_mut().attempts.remove(&call);
-        self.feed(Input::Ended {
+        self.feed(Input::AttemptEnded {
             call,
             attempt,
-            seen,
-            told,
+            outcome: seen,
+            trailers: told,
         });
     }
 
     /// An order has ended.
-    pub fn order_ended(self: &Rc<Self>, order: OrderId, seen: Seen, told: Told) {
+    pub fn order_ended(
+        self: &Rc<Self>,
+        order: ControlRequestId,
+        seen: AttemptOutcome,
+        told: Trailers,
+    ) {
         self.state.borrow_mut().orders.remove(&order);
-        self.feed(Input::OrderEnded { order, seen, told });
+        self.feed(Input::ControlRequestEnded {
+            request: order,
+            outcome: seen,
+            trailers: told,
+        });
     }
 }
 
--- a/net/inference/src/side.rs
+++ b/net/inference/src/side.rs
@@ -15,7 +15,7 @@
 fn answer(hub: &Hub, path: &str) -> (&'static str, String) {
     match path {
         "/live" | "/v2/health/live" => ("200 OK", "live\n".into()),
-        "/ready" | "/v2/health/ready" => match hub.with_front(|f| f.ready()) {
+        "/ready" | "/v2/health/ready" => match hub.with_front(|f| f.is_ready()) {
             true => ("200 OK", "ready\n".into()),
             false => (
                 "503 Service Unavailable",
@@ -24,11 +24,11 @@
         },
         "/account" => {
             let (account, open) = hub.account();
-            let parked = hub.with_front(|f| f.parked());
+            let parked = hub.with_front(|f| f.pending_calls());
             let mut text = format!("{account} open={open} parked={parked}\n");
             hub.with_front(|f| {
-                for (worker, function, lack) in f.lacking() {
-                    let (seen, count) = (lack.seen, lack.count);
+                for (worker, function, lack) in f.missing_functions() {
+                    let (seen, count) = (lack.outcome, lack.failed_loads);
                     text += &format!(
                         "lacking worker={worker} function={function} status=\"{seen}\" count={count}\n"
                     );
--- a/net/inference/src/trailers.rs
+++ b/net/inference/src/trailers.rs
@@ -5,7 +5,7 @@
 use base64::Engine as _;
 use http::HeaderMap;
 use prost::Message;
-use tansy_dispatch::{NeverRan, Note, Report, Told};
+use tansy_dispatch::{CacheStatus, LoadReport, NeverRan, Trailers};
 use tansy_inference::names;
 use tansy_inference::orca::OrcaLoadReport;
 
@@ -25,23 +25,23 @@
 }
 
 /// What the trailers of an answer tell. What can't be read counts as not told.
-pub fn told(map: &HeaderMap) -> Told {
+pub fn told(map: &HeaderMap) -> Trailers {
     let note = match text(map, names::INSTANCE) {
-        Some("warm") => Note::Warm,
-        Some("began-load") => Note::BeganLoad,
-        Some("awaited-load") => Note::AwaitedLoad,
-        Some("load-failed") => Note::LoadFailed,
-        _ => Note::Silent,
+        Some("warm") => CacheStatus::Warm,
+        Some("began-load") => CacheStatus::StartedLoad,
+        Some("awaited-load") => CacheStatus::AwaitedLoad,
+        Some("load-failed") => CacheStatus::LoadFailed,
+        _ => CacheStatus::Unreported,
     };
     let never_ran = match text(map, names::NEVER_RAN) {
         Some("not-loaded") => Some(NeverRan::NotLoaded),
         Some("turned-away") => Some(NeverRan::TurnedAway),
         _ => None,
     };
-    Told {
-        note,
+    Trailers {
+        cache_status: note,
         never_ran,
-        crowd: text(map, names::CROWD).and_then(|t| t.parse().ok()),
+        concurrent_calls: text(map, names::CROWD).and_then(|t| t.parse().ok()),
         instances: text(map, names::INSTANCES).and_then(|t| t.parse().ok()),
         report: map
             .get(names::LOAD_REPORT)
@@ -49,7 +49,7 @@
     }
 }
 
-fn report(value: &[u8]) -> Option<Report> {
+fn report(value: &[u8]) -> Option<LoadReport> {
     if value.len() > REPORT_BYTES {
         return None;
     }
@@ -57,9 +57,9 @@
     // Absent numbers are 0 on this wire, so only the named ones can be told from "not reported".
     let figure = |x: f64| Some(x).filter(|x| x.is_finite() && *x >= 0.0);
     let named = |key: &str| r.named_metrics.get(key).copied().and_then(figure);
-    Some(Report {
+    Some(LoadReport {
         queued: named("queued"),
-        held: named("held"),
+        in_flight: named("held"),
         busy: figure(r.cpu_utilization),
         memory_pinned: figure(r.mem_utilization),
         loads: named("loads"),
@@ -126,12 +126,15 @@
             let t = told(&map);
             let r = t.report.unwrap();
             assert_eq!((r.queued, r.loads, r.busy), (Some(3.0), None, Some(0.5)));
-            assert_eq!((t.crowd, t.note), (Some(7), Note::Warm));
+            assert_eq!(
+                (t.concurrent_calls, t.cache_status),
+                (Some(7), CacheStatus::Warm)
+            );
         }
         let mut map = HeaderMap::new();
         map.insert(names::LOAD_REPORT, "!!".parse().unwrap());
         map.insert(names::CROWD, "-1".parse().unwrap());
         map.insert(names::NEVER_RAN, "perhaps".parse().unwrap());
-        assert_eq!(told(&map), Told::default());
+        assert_eq!(told(&map), Trailers::default());
     }
 }
--- a/net/platform/src/call.rs
+++ b/net/platform/src/call.rs
@@ -6,7 +6,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Instant;
-use tansy_dispatch::{Answer, CallId, Seen};
+use tansy_dispatch::{Answer, AttemptOutcome, CallId};
 use tansy_platform::call::Asked;
 use tansyrouter::Span;
 
@@ -25,7 +25,7 @@
     /// The answer that the ledger has been told of.
     pub staged: RefCell<Option<Vec<u8>>>,
     /// How its last attempt ended.
-    pub last_end: Cell<Option<Seen>>,
+    pub last_end: Cell<Option<AttemptOutcome>>,
     /// How long it had waited when it was read, microseconds.
     pub waited: Span,
     /// When it was read.
@@ -72,13 +72,15 @@
             Some(body) => (200, 0, body),
             None => (502, 0, Vec::new()),
         },
-        Answer::Refused { stay_away } => (503, stay_away, Vec::new()),
+        Answer::Refused {
+            retry_after: stay_away,
+        } => (503, stay_away, Vec::new()),
         Answer::Failed(why) => match why {
-            tansy_dispatch::Why::Deadline => (504, 0, Vec::new()),
+            tansy_dispatch::FailureReason::Deadline => (504, 0, Vec::new()),
             _ => (502, 0, Vec::new()),
         },
-        Answer::Passed => (500, 0, Vec::new()),
-        Answer::Unknown => (404, 0, Vec::new()),
+        Answer::WorkerStatus => (500, 0, Vec::new()),
+        Answer::UnknownFunction => (404, 0, Vec::new()),
     };
     io.slot.give(status, wait, body);
 }
--- a/net/platform/src/connection.rs
+++ b/net/platform/src/connection.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
-use tansy_dispatch::{OrderId, Seen, Stage, Told};
+use tansy_dispatch::{AttemptOutcome, ControlRequestId, ResponseStage, Trailers};
 use tansy_net_sockets::socket::{no_room, Socket};
 use tansy_net_sockets::within;
 use tansy_platform::call::RequestId;
@@ -54,10 +54,10 @@
     ended: bool,
     /// No new request goes out on it; it closes once nothing is open.
     retired: bool,
-    abort: Option<Seen>,
+    abort: Option<AttemptOutcome>,
     outbox: Outbox,
     calls: HashMap<RequestId, Open<Attempt>>,
-    orders: HashMap<OrderId, Open<()>>,
+    orders: HashMap<ControlRequestId, Open<()>>,
     /// Calls given up here, the latest last: another of the same id would be taken for them.
     given_up: VecDeque<RequestId>,
     heard: Instant,
@@ -142,7 +142,7 @@
         waker.into_iter().for_each(Waker::wake);
     }
     /// Ends at once.
-    pub fn abort(&self, seen: Seen) {
+    pub fn abort(&self, seen: AttemptOutcome) {
         self.state.borrow_mut().abort.get_or_insert(seen);
         self.wake();
     }
@@ -157,8 +157,8 @@
         s.outbox.push(message, size);
         s.used = Instant::now();
         if s.outbox.bytes() > OUTBOX {
-            s.abort.get_or_insert(Seen::Cut {
-                stage: Stage::Nothing,
+            s.abort.get_or_insert(AttemptOutcome::ConnectionCut {
+                stage: ResponseStage::Nothing,
             });
         }
         drop(s);
@@ -185,7 +185,7 @@
         self.push(Message::Plain(bytes), size);
     }
     /// Sends an order; its tag follows the first word.
-    pub fn order(&self, order: OrderId, words: &[&str]) {
+    pub fn order(&self, order: ControlRequestId, words: &[&str]) {
         let tag = format!("o{}", order.0);
         let mut all: Vec<&[u8]> = vec![
             words.first().map_or(&b""[..], |w| w.as_bytes()),
@@ -207,12 +207,12 @@
     }
 
     /// Gives an attempt up. Some: how it ended, at once; none: it has ended already.
-    pub fn withdraw(&self, id: &RequestId) -> Option<Seen> {
+    pub fn withdraw(&self, id: &RequestId) -> Option<AttemptOutcome> {
         let open = {
             let mut s = self.state.borrow_mut();
             let open = s.calls.remove(id)?;
             if s.outbox.take_back(id) {
-                return Some(Seen::NeverLeft);
+                return Some(AttemptOutcome::NeverLeft);
             }
             s.given_up.push_back(*id);
             if s.given_up.len() > GIVEN_UP {
@@ -222,43 +222,43 @@
         };
         self.doubt(open.at);
         self.tell(&[b"never_mind", id]);
-        Some(Seen::Withdrawn)
+        Some(AttemptOutcome::Cancelled)
     }
     /// Whether an attempt has begun to leave; if not, it is taken back.
-    pub fn confirm(&self, id: &RequestId) -> Result<(), Seen> {
+    pub fn confirm(&self, id: &RequestId) -> Result<(), AttemptOutcome> {
         let mut s = self.state.borrow_mut();
         if !s.outbox.take_back(id) {
             return Ok(());
         }
         s.calls.remove(id);
         Err(if s.up {
-            Seen::NeverLeft
+            AttemptOutcome::NeverLeft
         } else {
-            Seen::ConnectTimedOut
+            AttemptOutcome::ConnectTimedOut
         })
     }
     /// Takes an order back if nothing of it has left; some: its end.
-    pub fn recall(&self, order: OrderId) -> Option<Seen> {
+    pub fn recall(&self, order: ControlRequestId) -> Option<AttemptOutcome> {
         let mut s = self.state.borrow_mut();
         if !s.outbox.take_back_order(order) {
             return None;
         }
         s.orders.remove(&order);
-        Some(Seen::NeverLeft)
+        Some(AttemptOutcome::NeverLeft)
     }
     /// Gives an order up.
-    pub fn withdraw_order(&self, order: OrderId) -> Seen {
+    pub fn withdraw_order(&self, order: ControlRequestId) -> AttemptOutcome {
         let (open, waited) = {
             let mut s = self.state.borrow_mut();
             (s.orders.remove(&order), s.outbox.take_back_order(order))
         };
         match open {
-            Some(_) if waited => Seen::NeverLeft,
+            Some(_) if waited => AttemptOutcome::NeverLeft,
             Some(o) => {
                 self.doubt(o.at);
-                Seen::Withdrawn
+                AttemptOutcome::Cancelled
             }
-            None => Seen::Withdrawn,
+            None => AttemptOutcome::Cancelled,
         }
     }
 
@@ -290,13 +290,13 @@
                 hub.held_back(&attempt, denied);
             }
         }
-        let waiting: Vec<OrderId> = self.state.borrow().outbox.orders().collect();
+        let waiting: Vec<ControlRequestId> = self.state.borrow().outbox.orders().collect();
         for order in waiting {
-            if hub.with_front(|f| f.may_start(order)).is_ok() {
+            if hub.with_front(|f| f.may_send_control(order)).is_ok() {
                 continue;
             }
             if let Some(seen) = self.recall(order) {
-                hub.order_ended(order, seen, Told::default());
+                hub.order_ended(order, seen, Trailers::default());
             }
         }
     }
@@ -361,9 +361,9 @@
         socket: &Socket,
         reader: &mut Reader,
         cx: &Context<'_>,
-    ) -> Poll<Seen> {
-        let cut = Seen::Cut {
-            stage: Stage::Nothing,
+    ) -> Poll<AttemptOutcome> {
+        let cut = AttemptOutcome::ConnectionCut {
+            stage: ResponseStage::Nothing,
         };
         {
             let mut s = self.state.borrow_mut();
@@ -382,7 +382,7 @@
                 return Poll::Ready(seen);
             }
             if s.retired && s.calls.is_empty() && s.orders.is_empty() && s.outbox.is_empty() {
-                return Poll::Ready(Seen::NeverLeft);
+                return Poll::Ready(AttemptOutcome::NeverLeft);
             }
         }
         let mut buffer = [0u8; 16 * 1024];
@@ -400,8 +400,8 @@
                     Ok(Some(strings)) => self.take(hub, &strings),
                     Ok(None) => break,
                     Err(_) => {
-                        return Poll::Ready(Seen::BadAnswer {
-                            stage: Stage::Headers,
+                        return Poll::Ready(AttemptOutcome::InvalidResponse {
+                            stage: ResponseStage::Headers,
                         })
                     }
                 }
@@ -429,7 +429,7 @@
         let order = tag
             .strip_prefix(b"o")
             .and_then(|t| std::str::from_utf8(t).ok()?.parse().ok())
-            .map(OrderId);
+            .map(ControlRequestId);
         let order = order.filter(|o| take_left(&mut self.state.borrow_mut().orders, o).is_some());
         if let Some(order) = order {
             hub.order_ended(order, answered.seen, answered.told);
@@ -437,7 +437,7 @@
     }
 
     /// The connection has ended: so has all that was open on it.
-    fn end(&self, hub: &Rc<Hub>, seen: Seen) {
+    fn end(&self, hub: &Rc<Hub>, seen: AttemptOutcome) {
         let (mut calls, mut orders) = {
             let mut s = self.state.borrow_mut();
             s.ended = true;
@@ -449,10 +449,13 @@
         hub.connection_ended(&self.worker, self.serial, seen, calls.len() + orders.len());
         calls.sort_by_key(|o| o.what.call);
         orders.sort_by_key(|(o, _)| *o);
-        let connected = !matches!(seen, Seen::ConnectRefused | Seen::ConnectTimedOut);
+        let connected = !matches!(
+            seen,
+            AttemptOutcome::ConnectRefused | AttemptOutcome::ConnectTimedOut
+        );
         let of = |left: bool| {
             if connected && !left {
-                Seen::NeverLeft
+                AttemptOutcome::NeverLeft
             } else {
                 seen
             }
@@ -462,18 +465,18 @@
                 open.what.call,
                 open.what.number,
                 of(open.left),
-                Told::default(),
+                Trailers::default(),
             );
         }
         // Of an order whose connection ended nothing was heard, whatever ended the connection.
         let lost = |seen| match seen {
-            Seen::BadAnswer { .. } => Seen::Cut {
-                stage: Stage::Nothing,
+            AttemptOutcome::InvalidResponse { .. } => AttemptOutcome::ConnectionCut {
+                stage: ResponseStage::Nothing,
             },
             other => other,
         };
         for (order, open) in orders {
-            hub.order_ended(order, lost(of(open.left)), Told::default());
+            hub.order_ended(order, lost(of(open.left)), Trailers::default());
         }
     }
 }
@@ -495,14 +498,14 @@
     connection.end(&hub, seen);
 }
 
-async fn run(hub: &Rc<Hub>, address: SocketAddr, connection: &Rc<Connection>) -> Seen {
+async fn run(hub: &Rc<Hub>, address: SocketAddr, connection: &Rc<Connection>) -> AttemptOutcome {
     // An error of this machine says nothing of the worker; an idle connection makes room for the next.
     let failed = |e: std::io::Error| {
         if no_room(&e) {
             hub.spare();
-            return Seen::NeverLeft;
+            return AttemptOutcome::NeverLeft;
         }
-        Seen::ConnectRefused
+        AttemptOutcome::ConnectRefused
     };
     let socket = match Socket::connect(hub.spawner.handle(), address) {
         Ok(socket) => socket,
@@ -518,7 +521,7 @@
         socket.poll_connected(cx)
     });
     match within(limit, connected).await {
-        None => return Seen::ConnectTimedOut,
+        None => return AttemptOutcome::ConnectTimedOut,
         Some(Err(e)) => return failed(e),
         Some(Ok(())) => connection.state.borrow_mut().up = true,
     }
--- a/net/platform/src/hub.rs
+++ b/net/platform/src/hub.rs
@@ -12,8 +12,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tansy_dispatch::{
-    Account, Answer, Call, CallId, Command, Denied, Front, Input, Invariants, OrderId, Seen, Told,
-    Violation,
+    Answer, AttemptOutcome, Call, CallId, Command, ControlRequestId, Counters, DenialReason,
+    Dispatcher, Input, InvariantChecker, Trailers, Violation,
 };
 use tansy_net_sockets::clock::UnixClock;
 use tansy_net_sockets::lag::Lag;
@@ -23,14 +23,14 @@
 use tansyrouter::{Span, Time};
 
 struct State {
-    front: Front,
+    front: Dispatcher,
     inputs: VecDeque<Input>,
     running: bool,
     next_call: u64,
     calls: HashMap<CallId, Rc<CallIo>>,
     attempts: HashMap<CallId, Rc<CallIo>>,
     open: HashSet<RequestId>,
-    orders: HashMap<OrderId, Rc<Connection>>,
+    orders: HashMap<ControlRequestId, Rc<Connection>>,
     links: HashMap<String, Rc<Link>>,
     addresses: HashMap<String, SocketAddr>,
 }
@@ -57,12 +57,12 @@
     /// How often connections were closed, requests refused and attempts repeated, by the reason.
     pub reasons: Reasons,
     /// The rules, checked at run time.
-    invariants: RefCell<Invariants>,
+    invariants: RefCell<InvariantChecker>,
 }
 
 impl Hub {
     /// A hub around a ledger that starts now.
-    pub fn new(spawner: Spawner, front: Front, setup: Setup, epoch: Instant) -> Rc<Hub> {
+    pub fn new(spawner: Spawner, front: Dispatcher, setup: Setup, epoch: Instant) -> Rc<Hub> {
         let state = RefCell::new(State {
             front,
             inputs: VecDeque::new(),
@@ -130,12 +130,12 @@
         }
     }
     /// Reads the ledger.
-    pub fn with_front<T>(&self, f: impl FnOnce(&Front) -> T) -> T {
+    pub fn with_front<T>(&self, f: impl FnOnce(&Dispatcher) -> T) -> T {
         f(&self.state.borrow().front)
     }
     /// The counts, and calls still open.
-    pub fn account(&self) -> (Account, u64) {
-        self.with_front(|f| (f.account().clone(), f.open() as u64))
+    pub fn account(&self) -> (Counters, u64) {
+        self.with_front(|f| (f.counters().clone(), f.open_calls() as u64))
     }
     /// Sizes of what is held, for logs and tests: calls, ids, orders, links.
     pub fn held(&self) -> [usize; 4] {
@@ -162,14 +162,19 @@
         let list: Vec<_> = changes.into_iter().map(|c| c.listed).collect();
         for l in &list {
             tracing::debug!(worker = %l.name, state = l.state, age = ?l.age, "a worker is listed");
-            self.invariants.borrow_mut().worker(&l.name, l.state == 0);
+            self.invariants
+                .borrow_mut()
+                .on_worker_state(&l.name, l.state == 0);
         }
         let gone: Vec<String> = list
             .iter()
             .filter(|l| l.state > 1)
             .map(|l| l.name.clone())
             .collect();
-        self.feed(Input::Workers { whole, list });
+        self.feed(Input::Workers {
+            full: whole,
+            workers: list,
+        });
         let mut s = self.state.borrow_mut();
         for name in gone {
             s.addresses.remove(&name);
@@ -196,20 +201,20 @@
         s.next_call += 1;
         let id = CallId(s.next_call);
         let call = Call {
-            call: id,
+            id,
             function: asked.function.clone(),
             class: Some(asked.class),
             tenant: 0,
             budget: Some(asked.budget),
-            hint: None,
+            work_hint: None,
             repeat: false,
             shape: Some(asked.shape),
-            unlisted: false,
+            unknown_names: false,
             waited,
         };
         s.open.insert(asked.id);
         let deadline = now.plus(asked.budget.saturating_sub(waited));
-        let effect = s.front.effect(asked.class);
+        let effect = s.front.class_effect(asked.class);
         let io = CallIo {
             asked,
             body,
@@ -229,14 +234,18 @@
         );
         s.calls.insert(id, Rc::new(io));
         drop(s);
-        self.invariants.borrow_mut().taken(id, effect, deadline);
+        self.invariants
+            .borrow_mut()
+            .on_accepted(id, effect, deadline);
         self.feed(Input::Call(call));
         id
     }
 
     /// The client of a call has left.
     pub fn left(self: &Rc<Self>, call: CallId) {
-        self.invariants.borrow_mut().gone(self.now(), call);
+        self.invariants
+            .borrow_mut()
+            .on_client_left(self.now(), call);
         if let Some(io) = self.close(call) {
             tracing::debug!(request = io.request(), call = call.0, "the client has left");
         }
@@ -245,7 +254,7 @@
 
     /// This side ends a client's connection while its call may be open.
     pub fn closes(&self, call: CallId) {
-        let violated = self.invariants.borrow_mut().closed(call);
+        let violated = self.invariants.borrow_mut().on_connection_closed(call);
         self.violated(&violated, call);
     }
 
@@ -285,35 +294,38 @@
 
     fn carry_out(self: &Rc<Self>, command: Command) {
         match command {
-            Command::Open {
+            Command::SendAttempt {
                 call,
                 attempt,
                 worker,
                 ..
             } => self.open(call, attempt, &worker),
-            Command::Withdraw { call, attempt } => {
+            Command::CancelAttempt { call, attempt } => {
                 let conn = self.attempt(call);
                 if let Some((io, conn)) = conn {
                     if let Some(seen) = conn.withdraw(&io.asked.id) {
-                        self.attempt_ended(call, attempt, seen, Told::default());
+                        self.attempt_ended(call, attempt, seen, Trailers::default());
                     }
                 }
             }
-            Command::Confirm { call, attempt } => {
+            Command::ConfirmSent { call, attempt } => {
                 let Some((io, conn)) = self.attempt(call) else {
                     return;
                 };
                 match conn.confirm(&io.asked.id) {
-                    Ok(()) => self.feed(Input::Opened { call, attempt }),
-                    Err(seen) => self.attempt_ended(call, attempt, seen, Told::default()),
+                    Ok(()) => self.feed(Input::AttemptSent { call, attempt }),
+                    Err(seen) => self.attempt_ended(call, attempt, seen, Trailers::default()),
                 }
             }
             // Answers are held whole.
-            Command::Pass { .. } => {}
+            Command::ForwardMessage { .. } => {}
             Command::Answer { call, answer } => self.answer(call, answer),
-            Command::Probe { order, worker } => self.order(order, &worker, &["there"]),
+            Command::Probe {
+                request: order,
+                worker,
+            } => self.order(order, &worker, &["there"]),
             Command::Load {
-                order,
+                request: order,
                 worker,
                 function,
                 instances,
@@ -322,7 +334,7 @@
                 self.order(order, &worker, &["provision", &fields]);
             }
             Command::Unload {
-                order,
+                request: order,
                 worker,
                 function,
             } => {
@@ -330,44 +342,48 @@
                     conn.tell(&[b"retire", function.as_bytes()]);
                 }
                 // There is no answer to it.
-                let (seen, told) = (Seen::NeverLeft, Told::default());
-                self.feed(Input::OrderEnded { order, seen, told });
+                let (seen, told) = (AttemptOutcome::NeverLeft, Trailers::default());
+                self.feed(Input::ControlRequestEnded {
+                    request: order,
+                    outcome: seen,
+                    trailers: told,
+                });
             }
-            Command::Recall { order } => {
+            Command::RecallUnsent { request: order } => {
                 let conn = self.state.borrow().orders.get(&order).cloned();
                 if let Some(seen) = conn.and_then(|conn| conn.recall(order)) {
-                    self.order_ended(order, seen, Told::default());
+                    self.order_ended(order, seen, Trailers::default());
                 }
             }
-            Command::WithdrawOrder { order } => {
+            Command::CancelControlRequest { request: order } => {
                 let conn = self.state.borrow().orders.get(&order).cloned();
                 if let Some(conn) = conn {
                     let seen = conn.withdraw_order(order);
-                    self.order_ended(order, seen, Told::default());
+                    self.order_ended(order, seen, Trailers::default());
                 }
             }
-            Command::Drop { worker } => {
+            Command::DropConnection { worker } => {
                 let link = self.state.borrow().links.get(&worker).cloned();
                 if let Some(link) = link {
                     link.drop_now();
                 }
             }
-            Command::Retire { worker } => {
+            Command::RetireWorker { worker } => {
                 let link = self.state.borrow_mut().links.remove(&worker);
                 if let Some(link) = link {
                     link.retire();
                 }
             }
-            Command::Tell {
+            Command::ReportMissingFunction {
                 worker,
                 function,
-                seen,
-                count,
+                outcome: seen,
+                failed_loads: count,
             } => {
                 tracing::warn!(%worker, %function, status = %seen, count, "a load order left no instance");
             }
             // The list comes unasked.
-            Command::FetchList | Command::Subscribe => {}
+            Command::FetchWorkerList | Command::SubscribeWorkerList => {}
         }
     }
 
@@ -380,12 +396,12 @@
             link.pick_for(self, &io.asked.id, &used)
         });
         let Some((io, connection)) = io.zip(connection) else {
-            let (seen, told) = (Seen::NeverLeft, Told::default());
-            return self.feed(Input::Ended {
+            let (seen, told) = (AttemptOutcome::NeverLeft, Trailers::default());
+            return self.feed(Input::AttemptEnded {
                 call,
                 attempt: number,
-                seen,
-                told,
+                outcome: seen,
+                trailers: told,
             });
         };
         if let Some(last) = io.last_end.get() {
@@ -400,7 +416,7 @@
 
     /// Gives a call's client its final answer.
     fn answer(&self, call: CallId, answer: Answer) {
-        let violated = self.invariants.borrow_mut().answered(call);
+        let violated = self.invariants.borrow_mut().on_answered(call);
         self.violated(&violated, call);
         let Some(io) = self.close(call) else { return };
         let after_ms = io.taken.elapsed().as_millis() as u64;
@@ -441,7 +457,7 @@
     }
     /// Violations of the rules that were counted.
     pub fn violations(&self) -> u64 {
-        self.invariants.borrow().total()
+        self.invariants.borrow().total_violations()
     }
 
     fn attempt(&self, call: CallId) -> Option<(Rc<CallIo>, Rc<Connection>)> {
@@ -460,10 +476,14 @@
         Some(link.clone())
     }
 
-    fn order(self: &Rc<Self>, order: OrderId, worker: &str, words: &[&str]) {
+    fn order(self: &Rc<Self>, order: ControlRequestId, worker: &str, words: &[&str]) {
         let Some(conn) = self.link(worker).and_then(|l| l.pick_for_order(self)) else {
-            let (seen, told) = (Seen::NeverLeft, Told::default());
-            return self.feed(Input::OrderEnded { order, seen, told });
+            let (seen, told) = (AttemptOutcome::NeverLeft, Trailers::default());
+            return self.feed(Input::ControlRequestEnded {
+                request: order,
+                outcome: seen,
+                trailers: told,
+            });
         };
         self.state.borrow_mut().orders.insert(order, conn.clone());
         conn.order(order, words);
@@ -471,7 +491,7 @@
 
     /// Whether an attempt may be sent now, asked as its bytes are about to leave: what this machine holds of the client is
     /// heard first, and a client that has left is the ledger's to know.
-    pub fn may_send(self: &Rc<Self>, attempt: &Attempt) -> Result<Span, Denied> {
+    pub fn may_send(self: &Rc<Self>, attempt: &Attempt) -> Result<Span, DenialReason> {
         let open = self.state.borrow().calls.contains_key(&attempt.call);
         if open && !attempt.io.slot.waits() {
             self.left(attempt.call);
@@ -479,7 +499,7 @@
         self.with_front(|f| f.may_send(self.now(), attempt.call, attempt.number))
     }
     /// An attempt was taken back as it was about to leave.
-    pub fn held_back(self: &Rc<Self>, attempt: &Attempt, denied: Denied) {
+    pub fn held_back(self: &Rc<Self>, attempt: &Attempt, denied: DenialReason) {
         let reason = denied.as_str();
         tracing::debug!(
             request = attempt.io.request(),
@@ -490,8 +510,8 @@
         self.attempt_ended(
             attempt.call,
             attempt.number,
-            Seen::NeverLeft,
-            Told::default(),
+            AttemptOutcome::NeverLeft,
+            Trailers::default(),
         );
     }
     /// The first byte of an attempt has left.
@@ -505,54 +525,83 @@
     ) {
         let (request, number) = (attempt.io.request(), attempt.number);
         tracing::debug!(request, attempt = number, %worker, patience, connection, "sent");
-        let violated = self
-            .invariants
-            .borrow_mut()
-            .sent(now, attempt.call, worker, patience);
+        let violated =
+            self.invariants
+                .borrow_mut()
+                .on_attempt_sent(now, attempt.call, worker, patience);
         self.violated(&violated, attempt.call);
     }
     /// The first byte of an order has left.
-    pub fn order_sent(&self, order: OrderId, worker: &str) {
-        if self.with_front(|f| f.loads(order)) {
-            let violated = self.invariants.borrow_mut().load_sent(worker);
+    pub fn order_sent(&self, order: ControlRequestId, worker: &str) {
+        if self.with_front(|f| f.is_load(order)) {
+            let violated = self.invariants.borrow_mut().on_load_sent(worker);
             for violation in violated {
                 tracing::error!(?violation, order = order.0, %worker, "a rule does not hold: a defect of this program");
             }
         }
     }
     /// A connection to a worker has ended with so much open on it.
-    pub fn connection_ended(&self, worker: &str, connection: u64, seen: Seen, open: usize) {
+    pub fn connection_ended(
+        &self,
+        worker: &str,
+        connection: u64,
+        seen: AttemptOutcome,
+        open: usize,
+    ) {
         self.reasons.disconnected(seen);
         tracing::debug!(%worker, connection, reason = %seen, open, "a connection to a worker has ended");
     }
 
     /// An answer has come for an attempt.
-    pub fn answered(self: &Rc<Self>, attempt: &Attempt, seen: Seen, told: Told, body: Vec<u8>) {
+    pub fn answered(
+        self: &Rc<Self>,
+        attempt: &Attempt,
+        seen: AttemptOutcome,
+        told: Trailers,
+        body: Vec<u8>,
+    ) {
         *attempt.io.staged.borrow_mut() = Some(body);
         self.attempt_ended(attempt.call, attempt.number, seen, told);
     }
     /// An attempt has ended.
-    pub fn attempt_ended(self: &Rc<Self>, call: CallId, attempt: u32, seen: Seen, told: Told) {
-        let never_ran = tansy_dispatch::outcome::verdict(seen, &told)
+    pub fn attempt_ended(
+        self: &Rc<Self>,
+        call: CallId,
+        attempt: u32,
+        seen: AttemptOutcome,
+        told: Trailers,
+    ) {
+        let never_ran = tansy_dispatch::outcome::classify(seen, &told)
             .outcome
             .never_ran();
-        self.invariants.borrow_mut().ended(call, never_ran);
+        self.invariants
+            .borrow_mut()
+            .on_attempt_ended(call, never_ran);
         if let Some(io) = self.state.borrow_mut().attempts.remove(&call) {
             tracing::debug!(request = io.request(), attempt, seen = %seen, never_ran, "an attempt has ended");
             io.at.borrow_mut().take();
             io.last_end.set(Some(seen));
         }
-        self.feed(Input::Ended {
+        self.feed(Input::AttemptEnded {
             call,
             attempt,
-            seen,
-            told,
+            outcome: seen,
+            trailers: told,
         });
     }
     /// An order has ended.
-    pub fn order_ended(self: &Rc<Self>, order: OrderId, seen: Seen, told: Told) {
+    pub fn order_ended(
+        self: &Rc<Self>,
+        order: ControlRequestId,
+        seen: AttemptOutcome,
+        told: Trailers,
+    ) {
         self.state.borrow_mut().orders.remove(&order);
-        self.feed(Input::OrderEnded { order, seen, told });
+        self.feed(Input::ControlRequestEnded {
+            request: order,
+            outcome: seen,
+            trailers: told,
+        });
     }
 
     /// Looks over the connections to workers: idle ones close before the worker closes them, answers that stopped
--- a/net/platform/src/link.rs
+++ b/net/platform/src/link.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tansy_dispatch::{Seen, Stage};
+use tansy_dispatch::{AttemptOutcome, ResponseStage};
 use tansy_platform::call::RequestId;
 
 /// The connections to one worker.
@@ -69,8 +69,8 @@
     /// Ends all connections at once.
     pub fn drop_now(&self) {
         self.connections.borrow().iter().for_each(|c| {
-            c.abort(Seen::Cut {
-                stage: Stage::Nothing,
+            c.abort(AttemptOutcome::ConnectionCut {
+                stage: ResponseStage::Nothing,
             })
         });
     }
@@ -82,14 +82,14 @@
     pub fn spare(&self) -> bool {
         let connections = self.connections.borrow();
         let idle = connections.iter().find(|c| c.idle());
-        idle.map(|c| c.abort(Seen::NeverLeft)).is_some()
+        idle.map(|c| c.abort(AttemptOutcome::NeverLeft)).is_some()
     }
     /// Closes what has been idle for long, and what stopped in the middle of an answer.
     pub fn look_over(&self, setup: &Setup) {
         for connection in self.connections.borrow().iter() {
             if connection.stopped_short(setup.connect_within) {
-                connection.abort(Seen::BadAnswer {
-                    stage: Stage::Headers,
+                connection.abort(AttemptOutcome::InvalidResponse {
+                    stage: ResponseStage::Headers,
                 });
             } else if connection.idle_for(fresh_for(setup)) {
                 connection.retire();
--- a/net/platform/src/outbox.rs
+++ b/net/platform/src/outbox.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 use std::io;
 use std::task::Poll;
-use tansy_dispatch::OrderId;
+use tansy_dispatch::ControlRequestId;
 use tansy_platform::call::RequestId;
 
 /// One message.
@@ -13,7 +13,7 @@
     /// An attempt at the request of this id.
     Attempt(RequestId),
     /// An order or a probe, whole.
-    Order(OrderId, Vec<u8>),
+    Order(ControlRequestId, Vec<u8>),
     /// What nobody waits for, whole.
     Plain(Vec<u8>),
 }
@@ -60,7 +60,7 @@
         })
     }
     /// Orders of which no byte has left, in their order.
-    pub fn orders(&self) -> impl Iterator<Item = OrderId> + '_ {
+    pub fn orders(&self) -> impl Iterator<Item = ControlRequestId> + '_ {
         self.waiting.iter().filter_map(|w| match w.message {
             Message::Order(order, _) => Some(order),
             _ => None,
@@ -72,7 +72,7 @@
         self.remove(|m| matches!(m, Message::Attempt(of) if of == id))
     }
     /// Takes an order back; false: it has begun to leave.
-    pub fn take_back_order(&mut self, order: OrderId) -> bool {
+    pub fn take_back_order(&mut self, order: ControlRequestId) -> bool {
         self.remove(|m| matches!(m, Message::Order(of, _) if *of == order))
     }
 
--- a/net/platform/src/reasons.rs
+++ b/net/platform/src/reasons.rs
@@ -2,7 +2,7 @@
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use tansy_dispatch::Seen;
+use tansy_dispatch::AttemptOutcome;
 use tansyrouter::Span;
 
 /// Why a client's connection was closed.
@@ -111,11 +111,11 @@
         count(&self.refused[reason as usize]);
     }
     /// A request was sent once more; its attempt before had ended so.
-    pub fn repeated(&self, last: Seen) {
+    pub fn repeated(&self, last: AttemptOutcome) {
         *self.repeated.borrow_mut().entry(label(last)).or_default() += 1;
     }
     /// A connection to a worker has ended so.
-    pub fn disconnected(&self, seen: Seen) {
+    pub fn disconnected(&self, seen: AttemptOutcome) {
         *self
             .disconnected
             .borrow_mut()
@@ -125,7 +125,7 @@
 }
 
 /// The sorts of ends are few: statuses of workers and what sockets show.
-fn label(seen: Seen) -> String {
+fn label(seen: AttemptOutcome) -> String {
     seen.to_string().to_lowercase().replace(' ', "_")
 }
 
--- a/programs/gateway/src/fleet.rs
+++ b/programs/gateway/src/fleet.rs
@@ -11,7 +11,7 @@
 use tansy_agreement::list::{Line, Standing, Worker as Named};
 use tansy_agreement::log::{Phase, Settings as Version, State};
 use tansy_agreement::rule::{apart, lapsed, part, Fields, Rules, Schema, Touch};
-use tansy_dispatch::{Contested, Counted, Shape, Terms};
+use tansy_dispatch::{ClassCounters, ConflictingScopes, EffectiveConfig, FunctionShape};
 use tansy_fleet_node::{number, Peer};
 use tansy_fleet_wire::pb;
 use tansy_net_fleet::{Peers, Setup};
@@ -49,9 +49,9 @@
 /// Terms for each right that a front end may have.
 #[derive(Clone)]
 struct Ready {
-    whole: Terms,
-    apart: Terms,
-    lapsed: Terms,
+    whole: EffectiveConfig,
+    apart: EffectiveConfig,
+    lapsed: EffectiveConfig,
     names: Names,
 }
 
@@ -67,7 +67,7 @@
 }
 
 impl Ready {
-    fn by(&self, right: Right) -> &Terms {
+    fn by(&self, right: Right) -> &EffectiveConfig {
         match right {
             Right::Whole => &self.whole,
             Right::Apart => &self.apart,
@@ -124,7 +124,7 @@
         }
         let looked = match agree::function(function, &fields) {
             Ok(f) => {
-                let shape = Shape {
+                let shape = FunctionShape {
                     lanes: f.lanes,
                     memory_mb: f.memory_mb,
                     load_time: f.load_time,
@@ -265,7 +265,7 @@
 fn counts(hub: &Hub, zone: &str, label: &str) -> pb::CountsReply {
     let (account, _) = hub.account();
     let classes = hub.with_front(|f| {
-        let one = |(name, c): (&String, &Counted)| {
+        let one = |(name, c): (&String, &ClassCounters)| {
             let (took, calls) = c
                 .latency
                 .iter_recorded()
@@ -273,17 +273,17 @@
                 .unzip();
             pb::Counted {
                 class: name.clone(),
-                asked: c.asked,
+                asked: c.ended,
                 served: c.served,
                 refused: c.refused,
                 failed: c.failed,
-                wanted: c.wanted,
-                worth: c.worth,
+                wanted: c.possible_value,
+                worth: c.value,
                 took,
                 calls,
             }
         };
-        f.counts()
+        f.class_counters()
             .into_iter()
             .flat_map(|c| c.classes().iter().map(one))
             .collect()
@@ -292,7 +292,7 @@
         zone: zone.into(),
         label: label.into(),
         memory: memory(),
-        guarded: account.guarded,
+        guarded: account.guard_rejections,
         classes,
         ..Default::default()
     }
@@ -339,7 +339,7 @@
         let wrong = self.acts(peer, now);
         let changes = peer.scopes_changed();
         let moved = self.scopes.replace(changes) != changes || *self.given.borrow() != before;
-        if moved && self.hub.with_front(|f| f.parked()) > 0 {
+        if moved && self.hub.with_front(|f| f.pending_calls()) > 0 {
             // Once the state machine's turn is over: it is asked for each of them.
             let hub = self.hub.clone();
             self.hub.spawner.spawn(async move { hub.look_again() });
@@ -437,17 +437,22 @@
 
     /// What it knows can't be acted on: it takes no call.
     fn refuse_all(&self) {
-        let config = self.hub.with_front(|f| f.settings());
-        let contested = Contested {
+        let config = self.hub.with_front(|f| f.applied_config());
+        let contested = ConflictingScopes {
             all: true,
-            for_about: self.for_about,
-            ..Contested::default()
+            retry_after: self.for_about,
+            ..ConflictingScopes::default()
         };
         let names = self.hub.names();
         // The ledger acts on this configuration already.
-        let _ = self
-            .hub
-            .adopt(Terms { config, contested }, (*names).clone(), Vec::new());
+        let _ = self.hub.adopt(
+            EffectiveConfig {
+                config,
+                conflicting: contested,
+            },
+            (*names).clone(),
+            Vec::new(),
+        );
         *self.given.borrow_mut() = None;
     }
 
@@ -489,13 +494,13 @@
         })
     }
 
-    fn terms(&self, rules: &Rules) -> Result<(Terms, Names), Error> {
+    fn terms(&self, rules: &Rules) -> Result<(EffectiveConfig, Names), Error> {
         let settings = agree::settings(&self.own, &rules.fields)?;
-        let mut contested = Contested {
-            unlisted: rules.unlisted,
-            ..Contested::default()
+        let mut contested = ConflictingScopes {
+            unknown_names: rules.unlisted,
+            ..ConflictingScopes::default()
         };
-        contested.for_about = self.for_about;
+        contested.retry_after = self.for_about;
         for touch in &rules.refused {
             match touch {
                 Touch::All => contested.all = true,
@@ -511,9 +516,9 @@
             work_ms: g.work_key,
         };
         Ok((
-            Terms {
+            EffectiveConfig {
                 config: settings.front,
-                contested,
+                conflicting: contested,
             },
             names,
         ))
--- a/programs/gateway/src/lib.rs
+++ b/programs/gateway/src/lib.rs
@@ -14,7 +14,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime};
-use tansy_dispatch::{Front, Input};
+use tansy_dispatch::{Dispatcher, Input};
 use tansy_net_grpc::link::Limits as LinkLimits;
 use tansy_net_grpc::server::{Limits, Server};
 use tansy_net_inference::{clients, side, Hub, Names, Setup, Worker};
@@ -116,7 +116,7 @@
             ))),
             None => None,
         };
-        let front = Front::new(config, Time(0))?;
+        let front = Dispatcher::new(config, Time(0))?;
         let hub = Hub::new(spawner.clone(), front, setup, record);
         // Before anything is taken: until it holds a lease and a stay it acts on no version.
         let peers = match (&fleet, &options.fleet) {
@@ -175,7 +175,7 @@
                             Ok(None) => {}
                             Err(e) => {
                                 tracing::warn!(error = %e, "the list of workers stays as it was");
-                                task_hub.feed(Input::ListFailed);
+                                task_hub.feed(Input::WorkerListFailed);
                             }
                         }
                     }
@@ -241,14 +241,14 @@
             self.turn(Duration::from_secs(60))?;
         }
         tracing::info!(open = self.hub.account().1, "closing: no new calls");
-        self.hub.feed(Input::Close { within: self.drain });
+        self.hub.feed(Input::Shutdown { grace: self.drain });
         self.server.close();
         // The last answers leave with the connections; a client that does not read does not hold up the end.
         let end = Instant::now()
             + Duration::from_micros(self.drain.max(0) as u64)
             + Duration::from_millis(500);
         while Instant::now() < end
-            && !(self.hub.with_front(Front::idle) && self.server.connections() == 0)
+            && !(self.hub.with_front(Dispatcher::is_idle) && self.server.connections() == 0)
         {
             self.turn(Duration::from_millis(20))?;
         }
@@ -268,13 +268,13 @@
     /// The account's line.
     pub fn account(&self) -> String {
         let (account, open) = self.hub.account();
-        let workers = self.hub.with_front(Front::ready_workers);
+        let workers = self.hub.with_front(Dispatcher::ready_workers);
         format!("{account} open={open} workers={workers}")
     }
 
     /// Whether no call, attempt or order is left.
     pub fn idle(&self) -> bool {
-        self.hub.with_front(Front::idle)
+        self.hub.with_front(Dispatcher::is_idle)
     }
 
     /// One turn of the loop, at most so long.
@@ -342,14 +342,14 @@
     };
     let name = profile.name.clone();
     let standin = Standin::start(spawner.clone(), listener, profile, true)?;
-    let listed = tansy_dispatch::Listed {
+    let listed = tansy_dispatch::WorkerRecord {
         name,
         kind: 0,
         cell: 0,
         zone: 0,
         state: 0,
         age: None,
-        share: 1.0,
+        relative_size: 1.0,
     };
     Ok(WorkerLine {
         listed,
--- a/programs/gateway/src/platform.rs
+++ b/programs/gateway/src/platform.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use tansy_dispatch::{Front, Input};
+use tansy_dispatch::{Dispatcher, Input};
 use tansy_net_platform::clients::Clients;
 use tansy_net_platform::coordinator::Coordinator;
 use tansy_net_platform::{Hub, Setup};
@@ -111,7 +111,7 @@
             .max()
             .unwrap_or(0)
             .max(LEAST_DEADLINE);
-        let front = tansy_dispatch::Config {
+        let front = tansy_dispatch::DispatchConfig {
             settings,
             classes: config
                 .settings
@@ -122,7 +122,7 @@
             tenants: Vec::new(),
             zones: config.settings.zones.clone(),
             functions: Vec::new(),
-            longest,
+            max_call_time: longest,
             seed: config.seed(),
         };
         let listener = retry(START_WITHIN, "the listener", || {
@@ -130,7 +130,7 @@
         })
         .map_err(|e| format!("listen {}: {e}", config.listen))?;
         let address = listener.local_addr()?;
-        let front = Front::new(front, Time(0))?;
+        let front = Dispatcher::new(front, Time(0))?;
         // The machine's bound goes before the stated one where it is lower.
         let setup = Setup::new(config, descriptors());
         let hub = Hub::new(spawner.clone(), front, setup, Instant::now());
@@ -284,8 +284,8 @@
         }
         self.turn_and_reload(Duration::ZERO, asked, reload)?;
         let left = end.saturating_duration_since(Instant::now());
-        self.hub.feed(Input::Close {
-            within: left.as_micros() as Span,
+        self.hub.feed(Input::Shutdown {
+            grace: left.as_micros() as Span,
         });
         while Instant::now() < end + GRACE / 2
             && !(self.hub.account().1 == 0 && self.clients.is_empty())
--- a/programs/gateway/tests/platform/stage.rs
+++ b/programs/gateway/tests/platform/stage.rs
@@ -366,7 +366,7 @@
             let hub = platform.hub();
             (
                 hub.held(),
-                hub.with_front(|f| f.held()),
+                hub.with_front(|f| f.name_counts()),
                 platform.clients().len(),
             )
         });
--- a/protocol/platform/src/answer.rs
+++ b/protocol/platform/src/answer.rs
@@ -8,15 +8,15 @@
 //! | `504` | the promise that its time was over | no |
 //! | `500`, and any other | an error | yes |
 
-use tansy_dispatch::{NeverRan, Note, Report, Seen, Stage, Told};
+use tansy_dispatch::{AttemptOutcome, CacheStatus, LoadReport, NeverRan, ResponseStage, Trailers};
 
 /// What an answer says.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Answered {
     /// How the attempt or order was seen to end.
-    pub seen: Seen,
+    pub seen: AttemptOutcome,
     /// What came with it.
-    pub told: Told,
+    pub told: Trailers,
 }
 
 /// gRPC's numbers, in which the ledger is told of statuses.
@@ -26,43 +26,53 @@
 
 /// Reads an answer's word and fields. `crowd`: the settings say that answers tell of other calls.
 pub fn answer(word: &[u8], fields: &[u8], crowd: bool) -> Answered {
-    let mut told = Told {
-        crowd: crowd.then_some(0),
-        ..Told::default()
+    let mut told = Trailers {
+        concurrent_calls: crowd.then_some(0),
+        ..Trailers::default()
     };
     let text = std::str::from_utf8(fields).unwrap_or("-");
     for (name, value) in text.split(',').filter_map(|f| f.split_once('=')) {
         match name {
             "n" => {
-                told.note = match value {
-                    "ready" => Note::Warm,
-                    "loaded" => Note::BeganLoad,
-                    "queued" => Note::AwaitedLoad,
-                    "no_image" => Note::LoadFailed,
-                    _ => Note::Silent,
+                told.cache_status = match value {
+                    "ready" => CacheStatus::Warm,
+                    "loaded" => CacheStatus::StartedLoad,
+                    "queued" => CacheStatus::AwaitedLoad,
+                    "no_image" => CacheStatus::LoadFailed,
+                    _ => CacheStatus::Unreported,
                 }
             }
-            "peers_in" if crowd => told.crowd = value.parse().ok().or(told.crowd),
+            "peers_in" if crowd => {
+                told.concurrent_calls = value.parse().ok().or(told.concurrent_calls)
+            }
             "replicas" => told.instances = value.parse().ok(),
             "l" => told.report = Some(report(value)),
             _ => {}
         }
     }
     let (code, stage, never_ran) = match word {
-        b"200" => (OK, Stage::Last, None),
-        b"404" => (UNAVAILABLE, Stage::Headers, Some(NeverRan::NotLoaded)),
-        b"503" => (UNAVAILABLE, Stage::Headers, Some(NeverRan::TurnedAway)),
-        b"504" => (UNAVAILABLE, Stage::Headers, Some(NeverRan::Expired)),
-        _ => (INTERNAL, Stage::Headers, None),
+        b"200" => (OK, ResponseStage::Last, None),
+        b"404" => (
+            UNAVAILABLE,
+            ResponseStage::Headers,
+            Some(NeverRan::NotLoaded),
+        ),
+        b"503" => (
+            UNAVAILABLE,
+            ResponseStage::Headers,
+            Some(NeverRan::TurnedAway),
+        ),
+        b"504" => (UNAVAILABLE, ResponseStage::Headers, Some(NeverRan::Expired)),
+        _ => (INTERNAL, ResponseStage::Headers, None),
     };
     Answered {
-        seen: Seen::Status { code, stage },
-        told: Told { never_ran, ..told },
+        seen: AttemptOutcome::Status { code, stage },
+        told: Trailers { never_ran, ..told },
     }
 }
 
 /// A load report: `name:value;name:value`, with the settings' names or the simulator's.
-fn report(text: &str) -> Report {
+fn report(text: &str) -> LoadReport {
     let fields = text.split(';').filter_map(|f| f.split_once(':'));
     let fields = fields.map(|(name, value)| {
         let name = match name {
@@ -77,9 +87,9 @@
         (name, value.parse::<f64>().ok().filter(|x| x.is_finite()))
     });
     let r = tansy_conf::report(fields);
-    Report {
+    LoadReport {
         queued: r.queued,
-        held: r.held,
+        in_flight: r.held,
         busy: r.busy,
         memory_pinned: r.memory_pinned,
         loads: r.loads,
@@ -102,27 +112,31 @@
         );
         assert_eq!(
             a.seen,
-            Seen::Status {
+            AttemptOutcome::Status {
                 code: OK,
-                stage: Stage::Last
+                stage: ResponseStage::Last
             }
         );
         assert_eq!(
-            (a.told.note, a.told.crowd, a.told.never_ran),
-            (Note::Warm, Some(3), None)
+            (
+                a.told.cache_status,
+                a.told.concurrent_calls,
+                a.told.never_ran
+            ),
+            (CacheStatus::Warm, Some(3), None)
         );
         let r = a.told.report.unwrap();
         assert_eq!(
-            (r.held, r.busy, r.memory_pinned, r.loads),
+            (r.in_flight, r.busy, r.memory_pinned, r.loads),
             (Some(7.0), Some(0.61), Some(0.5), Some(2.0))
         );
-        assert_eq!(answer(b"200", b"-", true).told.crowd, Some(0));
+        assert_eq!(answer(b"200", b"-", true).told.concurrent_calls, Some(0));
         assert_eq!(answer(b"200", b"replicas=2", false).told.instances, Some(2));
     }
 
     #[test]
     fn only_the_pages_words_promise_that_nothing_ran() {
-        use tansy_dispatch::outcome::verdict;
+        use tansy_dispatch::outcome::classify;
         for (word, never) in [
             ("200", false),
             ("404", true),
@@ -133,7 +147,7 @@
         ] {
             let a = answer(word.as_bytes(), b"n=no_image", false);
             assert_eq!(
-                verdict(a.seen, &a.told).outcome.never_ran(),
+                classify(a.seen, &a.told).outcome.never_ran(),
                 never,
                 "{word}"
             );
--- a/protocol/platform/src/call.rs
+++ b/protocol/platform/src/call.rs
@@ -1,7 +1,7 @@
 //! A client's request to a call: only the page's exact form is one.
 
 use tansy_conf::Conf;
-use tansy_dispatch::Shape;
+use tansy_dispatch::FunctionShape;
 use tansyrouter::Span;
 
 /// Digits of an id.
@@ -30,7 +30,7 @@
     /// How long the client waits, microseconds.
     pub budget: Span,
     /// What it tells of its function.
-    pub shape: Shape,
+    pub shape: FunctionShape,
     /// By which workers drop its repeats: that of a keyed class, as it came.
     pub key: Option<String>,
 }
@@ -186,7 +186,7 @@
         })
     }
 
-    fn shape(&self, text: &str) -> Option<Shape> {
+    fn shape(&self, text: &str) -> Option<FunctionShape> {
         let (mut memory, mut lanes, mut load) = (None, None, None);
         for part in text.split(';') {
             let (name, value) = part.split_once(':')?;
@@ -205,7 +205,7 @@
         if load.is_some_and(|l| l > self.most_load_ms) {
             return None;
         }
-        Some(Shape {
+        Some(FunctionShape {
             lanes,
             memory_mb,
             load_time: load.map(|ms| (ms * 1e3) as Span),
--- a/protocol/platform/src/list.rs
+++ b/protocol/platform/src/list.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use tansy_dispatch::Listed;
+use tansy_dispatch::WorkerRecord;
 
 /// A reply of the coordinator, and `known` of the configuration.
 #[derive(Clone, Debug, Deserialize)]
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     /// Its line in the list.
-    pub listed: Listed,
+    pub listed: WorkerRecord,
     /// Where it is.
     pub address: SocketAddr,
 }
@@ -172,14 +172,14 @@
     fn change(&self, s: &Server, address: SocketAddr, state: u8, age: Option<i64>) -> Change {
         let place =
             |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(0);
-        let listed = Listed {
+        let listed = WorkerRecord {
             name: s.id.clone(),
             kind: place(&self.kinds, &s.kind),
             cell: s.cell,
             zone: place(&self.zones, &s.zone),
             state,
             age,
-            share: s.weight,
+            relative_size: s.weight,
         };
         Change { listed, address }
     }
@@ -213,7 +213,7 @@
         assert!(got[0].0);
         let a = &got[0].1[0].listed;
         assert_eq!(
-            (a.zone, a.kind, a.cell, a.age, a.share),
+            (a.zone, a.kind, a.cell, a.age, a.relative_size),
             (1, 1, 2, None, 4.0)
         );
         assert_eq!(got[0].1[1].listed.age, Some(500_000));
--- a/protocol/platform/tests/call.rs
+++ b/protocol/platform/tests/call.rs
@@ -1,6 +1,6 @@
 //! A client's request to a call: the page's exact form, and nothing else.
 
-use tansy_dispatch::Shape;
+use tansy_dispatch::FunctionShape;
 use tansy_platform::{Asked, BadCall, Shapes};
 
 fn shapes() -> Shapes {
@@ -30,7 +30,7 @@
     assert_eq!(asked.budget, 1_500_000);
     assert_eq!(
         asked.shape,
-        Shape {
+        FunctionShape {
             lanes: 2,
             memory_mb: 512.0,
             load_time: None
--- a/settings/src/read.rs
+++ b/settings/src/read.rs
@@ -3,7 +3,7 @@
 use crate::value::{Kind, Node, Record, Scalar};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use tansy_dispatch::{Config, FunctionSpec};
+use tansy_dispatch::{DispatchConfig, FunctionSpec};
 use tansy_syntax::Diagnostic;
 use tansyrouter as module;
 
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerLine {
     /// For the ledger.
-    pub listed: tansy_dispatch::Listed,
+    pub listed: tansy_dispatch::WorkerRecord,
     /// Where it is.
     pub address: SocketAddr,
     /// Which process of it; a later one is larger.
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The ledger's and the module's.
-    pub front: Config,
+    pub front: DispatchConfig,
     /// The rest.
     pub gateway: Gateway,
     /// Workers that stand in the settings themselves.
@@ -331,7 +331,7 @@
         let (Some(address), Some(zone)) = (address, zone) else {
             continue;
         };
-        let listed = tansy_dispatch::Listed {
+        let listed = tansy_dispatch::WorkerRecord {
             name: name.to_string(),
             kind: usize::try_from(f.int("kind")?).ok()?,
             cell: u64::try_from(f.int("cell")?).ok()?,
@@ -342,7 +342,7 @@
                 _ => 2,
             },
             age: f.int("started"),
-            share: f.number("share")?,
+            relative_size: f.number("share")?,
         };
         let incarnation = u64::try_from(f.int("incarnation")?).ok()?;
         out.push(WorkerLine {
@@ -532,13 +532,13 @@
         tenant_key: front.text("tenant_key")?.to_ascii_lowercase(),
         work_key: front.text("work_key")?.to_ascii_lowercase(),
     };
-    let front = Config {
+    let front = DispatchConfig {
         settings,
         classes: class_names,
         tenants: tenants.iter().map(|(n, _)| n.to_string()).collect(),
         zones,
         functions: specs,
-        longest: front.int("longest")?,
+        max_call_time: front.int("longest")?,
         seed: u64::try_from(front.int("seed")?).ok()?,
     };
     let fleet = match all.inner("fleet") {
--- a/tests/path/tests/scoped_fleet.rs
+++ b/tests/path/tests/scoped_fleet.rs
@@ -72,7 +72,10 @@
         for gate in [&fleet.seat, &fleet.front] {
             // It holds a lease and a stay, and knows the worker.
             until("it takes calls", || {
-                gate.with(|g| g.hub().with_front(|f| f.ready() && !f.contested().unlisted))
+                gate.with(|g| {
+                    g.hub()
+                        .with_front(|f| f.is_ready() && !f.conflicting().unknown_names)
+                })
             });
         }
         fleet
@@ -285,7 +288,11 @@
     run(async {
         let mut c = fleet.front.client().await;
         let parked = async {
-            while fleet.front.with(|g| g.hub().with_front(|f| f.parked())) == 0 {
+            while fleet
+                .front
+                .with(|g| g.hub().with_front(|f| f.pending_calls()))
+                == 0
+            {
                 tokio::task::yield_now().await;
             }
         };
@@ -295,7 +302,10 @@
         }
     });
     until("nothing waits", || {
-        fleet.front.with(|g| g.hub().with_front(|f| f.parked())) == 0
+        fleet
+            .front
+            .with(|g| g.hub().with_front(|f| f.pending_calls()))
+            == 0
     });
     drop(go);
     // The seat answers late for that one too, and then for this one.
--- a/tests/path/tests/scopes.rs
+++ b/tests/path/tests/scopes.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use tansy_dispatch::{Input, Shape};
+use tansy_dispatch::{FunctionShape, Input};
 use tansy_net_inference::{Looked, Lookup};
 use tansy_path_tests::{id, last, request, run, until, Gate, Workers, SETTINGS};
 use tokio_stream::StreamExt;
@@ -32,7 +32,7 @@
         script.asked.push(function.into());
         match script.says.expect("the test said what is there") {
             Says::Class(class) => {
-                let shape = Shape {
+                let shape = FunctionShape {
                     lanes: 64,
                     memory_mb: 100.0,
                     load_time: Some(5_000),
@@ -86,7 +86,9 @@
     /// Until so many calls wait.
     fn wait(&self, calls: usize) {
         until("they wait", || {
-            self.gate.with(|g| g.hub().with_front(|f| f.parked())) == calls
+            self.gate
+                .with(|g| g.hub().with_front(|f| f.pending_calls()))
+                == calls
         });
     }
 
@@ -238,7 +240,11 @@
         let mut c = scene.gate.client().await;
         let call = c.model_infer(request("post", "x", &[]));
         let parked = async {
-            while scene.gate.with(|g| g.hub().with_front(|f| f.parked())) == 0 {
+            while scene
+                .gate
+                .with(|g| g.hub().with_front(|f| f.pending_calls()))
+                == 0
+            {
                 tokio::task::yield_now().await;
             }
         };
@@ -263,7 +269,7 @@
         scene.wait(1);
         scene
             .gate
-            .with(|g| g.hub().feed(Input::Close { within: 10_000_000 }));
+            .with(|g| g.hub().feed(Input::Shutdown { grace: 10_000_000 }));
         scene.say(Says::Class("unsafe"));
     });
     let status = end.unwrap_err();
@@ -299,7 +305,11 @@
             .into_inner();
         let first = pieces.next().await.unwrap().unwrap();
         assert_eq!((id(&first), first.error_message.as_str()), ("named", ""));
-        while scene.gate.with(|g| g.hub().with_front(|f| f.parked())) < 2 {
+        while scene
+            .gate
+            .with(|g| g.hub().with_front(|f| f.pending_calls()))
+            < 2
+        {
             tokio::task::yield_now().await;
         }
         scene.say(Says::Class("safe"));
