--- a/decide/dispatch/src/class_counters.rs
+++ b/decide/dispatch/src/class_counters.rs
@@ -1,4 +1,4 @@
-//! Final answers by class, for whoever compares this front end with its siblings. Off unless it is asked for.
+//! Final answers by class, for the comparison of front ends. Not counted unless a dispatcher is asked to.
 
 use crate::message::Answer;
 use hdrhistogram::Histogram;
@@ -7,10 +7,10 @@
 
 /// Classes that are counted by name; calls of further ones are counted together.
 const MAX_CLASSES: usize = 256;
-/// The name of those.
+/// The name under which calls of those classes are counted.
 pub const OTHER_CLASSES: &str = "(others)";
-/// The name under which calls are counted whose function's settings were not there when they came, class and all: served are
-/// those that went on with them, whatever became of them then under their class.
+/// The name under which calls are counted whose function's settings were not known when they came, the class included:
+/// `served` are those that went on with them, whatever became of them then under their class.
 pub const PENDING_LOOKUP: &str = "(awaited settings)";
 /// Latencies over this count as this, microseconds.
 const MAX_LATENCY: u64 = 3_600_000_000;
@@ -24,11 +24,11 @@
     pub served: u64,
     /// Refused.
     pub refused: u64,
-    /// Failed, or left by their clients.
+    /// Failed, or abandoned by their clients.
     pub failed: u64,
-    /// What the calls were worth if answered in time: 1 each.
+    /// The value of the calls if all were answered in time: 1 each.
     pub possible_value: f64,
-    /// What the answers were worth by the class's aim and deadline.
+    /// The value of the answers, by the latency objective and the deadline of the class.
     pub value: f64,
     /// Microseconds from arrival to the answer, of served calls.
     pub latency: Histogram<u64>,
@@ -49,9 +49,24 @@
             latency,
         }
     }
+
+    fn add(&mut self, answer: Option<Answer>, latency: Span, value: f64) {
+        self.ended += 1;
+        self.possible_value += 1.0;
+        match answer {
+            Some(Answer::Served) => {
+                self.served += 1;
+                self.latency
+                    .saturating_record(u64::try_from(latency).unwrap_or(0).max(1));
+                self.value += value;
+            }
+            Some(Answer::Refused { .. }) => self.refused += 1,
+            _ => self.failed += 1,
+        }
+    }
 }
 
-/// The counts, by the class's name.
+/// The counters of all classes, by the class's name.
 #[derive(Clone, Debug, Default)]
 pub struct ClassCounterTable {
     classes: BTreeMap<String, ClassCounters>,
@@ -60,24 +75,24 @@
 }
 
 impl ClassCounterTable {
-    /// By the class's name.
+    /// The counters by the class's name.
     pub fn classes(&self) -> &BTreeMap<String, ClassCounters> {
         &self.classes
     }
 
-    /// Answers are valued by these classes from now on, by name: front ends that are compared need one yardstick, also
-    /// while some of them act on other settings.
+    /// Answers are valued by these classes from now on, by name: front ends that are compared need one scale, also while
+    /// some of them apply other settings.
     pub(crate) fn set_valuation_classes(&mut self, classes: BTreeMap<String, Class>) {
         self.valuation_classes = classes;
     }
 
-    /// A call ended after so long; no answer: its client left.
+    /// A call ended after so long; `None`: its client left.
     pub(crate) fn record_answer(
         &mut self,
         name: &str,
         class: &Class,
         answer: Option<Answer>,
-        took: Span,
+        latency: Span,
     ) {
         let full = self.classes.len() >= MAX_CLASSES;
         let name = if self.classes.contains_key(name) || !full {
@@ -86,39 +101,29 @@
             OTHER_CLASSES
         };
         let class = self.valuation_classes.get(name).unwrap_or(class);
-        let value = match took {
-            t if t <= class.aim => 1.0,
-            t if t <= class.deadline => class.late_worth,
-            _ => 0.0,
+        let value = if latency <= class.aim {
+            1.0
+        } else if latency <= class.deadline {
+            class.late_worth
+        } else {
+            0.0
         };
-        self.add(name, answer, took, value);
+        self.add(name, answer, latency, value);
     }
 
-    /// A call's wait for its function's settings ended after so long: it goes on, or has this answer; none: its client left.
-    pub(crate) fn record_lookup_wait(&mut self, end: Result<(), Option<Answer>>, took: Span) {
+    /// A call's wait for the settings of its function ended after so long: it goes on, or has this answer; `None`: its
+    /// client left.
+    pub(crate) fn record_lookup_wait(&mut self, end: Result<(), Option<Answer>>, waited: Span) {
         let answer = end.map_or_else(|answer| answer, |()| Some(Answer::Served));
-        self.add(PENDING_LOOKUP, answer, took, 1.0);
+        self.add(PENDING_LOOKUP, answer, waited, 1.0);
     }
 
-    fn add(&mut self, name: &str, answer: Option<Answer>, took: Span, value: f64) {
+    fn add(&mut self, name: &str, answer: Option<Answer>, latency: Span, value: f64) {
         if !self.classes.contains_key(name) {
             self.classes.insert(name.to_string(), ClassCounters::new());
         }
-        let Some(counters) = self.classes.get_mut(name) else {
-            return;
-        };
-        counters.ended += 1;
-        counters.possible_value += 1.0;
-        match answer {
-            Some(Answer::Served) => {
-                counters.served += 1;
-                counters
-                    .latency
-                    .saturating_record(u64::try_from(took).unwrap_or(0).max(1));
-                counters.value += value;
-            }
-            Some(Answer::Refused { .. }) => counters.refused += 1,
-            _ => counters.failed += 1,
+        if let Some(counters) = self.classes.get_mut(name) {
+            counters.add(answer, latency, value);
         }
     }
 }
--- a/decide/dispatch/src/config.rs
+++ b/decide/dispatch/src/config.rs
@@ -1,16 +1,16 @@
-//! What a front is made of.
+//! The configuration of a dispatcher.
 
 use crate::names::{NameCollision, NameTable};
 use std::collections::BTreeSet;
-use tansyrouter as module;
-use tansyrouter::Span;
+use tansyrouter::{BadSettings, Router, Settings, Span, Time};
+use thiserror::Error;
 
 /// A function that may be called.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FunctionSpec {
     /// Its name on the wire: `model_name`.
     pub name: String,
-    /// Its class's place in the settings, for calls that name none.
+    /// The index of its class in the settings, for calls that name none.
     pub class: usize,
     /// Calls that one instance runs at a time.
     pub lanes: u32,
@@ -22,29 +22,29 @@
     pub versions: Vec<String>,
 }
 
-/// What a front is made of.
+/// The configuration of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct DispatchConfig {
-    /// The module's settings.
-    pub settings: module::Settings,
-    /// Names of the classes, in the settings' order.
+    /// The settings of the router.
+    pub settings: Settings,
+    /// Names of the classes, in the order of the settings.
     pub classes: Vec<String>,
-    /// Names of the tenants, in the settings' order.
+    /// Names of the tenants, in the order of the settings.
     pub tenants: Vec<String>,
-    /// Names of the zones; a zone's number is its place.
+    /// Names of the zones; the number of a zone is its index.
     pub zones: Vec<String>,
     /// The functions.
     pub functions: Vec<FunctionSpec>,
-    /// A call may not take longer than this, whatever its client says.
+    /// A call may not take longer than this, whatever its client states.
     pub max_call_time: Span,
-    /// Seed of the module's random numbers.
+    /// Seed of the router's random numbers.
     pub seed: u64,
 }
 
-/// Calls that are refused, whatever their time, because front ends can't know that they agree on them.
+/// Calls that are refused, whatever their time, because two versions of the settings may be in force for them at once.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConflictingScopes {
-    /// All.
+    /// All calls.
     pub all: bool,
     /// Those of these classes, by name.
     pub classes: BTreeSet<String>,
@@ -52,16 +52,16 @@
     pub tenants: BTreeSet<String>,
     /// Those of these functions.
     pub functions: BTreeSet<String>,
-    /// Those that name a class, tenant or function that the settings don't know: a version that can't be known may.
+    /// Those that name a class, tenant or function that the settings do not know: a version that can't be known may.
     pub unknown_names: bool,
-    /// Advice to their clients: about so long until it is known, microseconds.
+    /// Advice to their clients: the conflict lasts about so long, microseconds.
     pub retry_after: Span,
 }
 
-/// What calls are taken by: settings, and what of them is contested.
+/// By what calls are decided: a configuration, and what of it is in conflict.
 #[derive(Clone, Debug)]
 pub struct EffectiveConfig {
-    /// The settings.
+    /// The configuration.
     pub config: DispatchConfig,
     /// Calls that are refused meanwhile.
     pub conflicting: ConflictingScopes,
@@ -77,50 +77,38 @@
 }
 
 impl DispatchConfig {
-    /// Whether a front can be made of it, or go over to it.
+    /// Whether a dispatcher can be made of it, or go over to it.
     pub fn check(&self) -> Result<(), ConfigError> {
-        module::Router::new(self.settings.clone(), self.seed, module::Time(0))
-            .map_err(ConfigError::Router)?;
+        Router::new(self.settings.clone(), self.seed, Time(0)).map_err(ConfigError::Router)?;
         if self.classes.len() != self.settings.classes.len() {
             return Err(ConfigError::ClassNames);
         }
         let mut names = NameTable::default();
-        for f in &self.functions {
-            if f.class >= self.settings.classes.len() {
-                return Err(ConfigError::UnknownClass(f.name.clone()));
+        for spec in &self.functions {
+            if spec.class >= self.settings.classes.len() {
+                return Err(ConfigError::UnknownClass(spec.name.clone()));
             }
-            names.intern(&f.name).map_err(ConfigError::NameCollision)?;
+            names
+                .intern(&spec.name)
+                .map_err(ConfigError::NameCollision)?;
         }
         Ok(())
     }
 }
 
-/// Settings that can't make a front.
-#[derive(Debug, Clone, PartialEq, Eq)]
+/// A configuration of which no dispatcher can be made.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// The module won't take them.
-    Router(module::BadSettings),
+    /// The router rejects its settings.
+    #[error(transparent)]
+    Router(BadSettings),
     /// Two functions share a number.
+    #[error(transparent)]
     NameCollision(NameCollision),
-    /// A function names a class that is not there.
+    /// A function names a class that does not exist.
+    #[error("function {0:?} names a class that is not there")]
     UnknownClass(String),
     /// There are not as many names of classes as classes.
+    #[error("as many names of classes are wanted as there are classes")]
     ClassNames,
 }
-
-impl std::fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            ConfigError::Router(e) => e.fmt(f),
-            ConfigError::NameCollision(e) => e.fmt(f),
-            ConfigError::ClassNames => write!(
-                f,
-                "as many names of classes are wanted as there are classes"
-            ),
-            ConfigError::UnknownClass(name) => {
-                write!(f, "function {name:?} names a class that is not there")
-            }
-        }
-    }
-}
-impl std::error::Error for ConfigError {}
--- a/decide/dispatch/src/counters.rs
+++ b/decide/dispatch/src/counters.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use tansyrouter::Outcome;
 
-/// Counters since the start of the process. `/account` prints them under the names that [`Serialize`] keeps, too.
+/// Counters since the start of the process. Where they are printed, by `/account` and as JSON, they keep their keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counters {
     /// Calls accepted.
--- a/decide/dispatch/src/invariants.rs
+++ b/decide/dispatch/src/invariants.rs
@@ -1,5 +1,5 @@
-//! A check of the rules at run time: told of what really left and came, it counts what must never be. It shares nothing with
-//! the ledger's guards, so that an error there is seen here.
+//! A check of the rules at run time: by what really left and came, it counts what must never happen. It shares nothing
+//! with the guards of the request table, so that an error there shows here.
 //!
 //! A count over zero is a defect of this program, whoever else failed.
 
@@ -7,15 +7,15 @@
 use std::collections::{BTreeSet, HashMap};
 use tansyrouter::{Effect, Span, Time};
 
-/// A worker may be told so much more than the client has left, microseconds.
+/// A worker may be given so much more time than the client has left, microseconds.
 const PATIENCE_SLACK: Span = 150_000;
 /// An attempt may begin so long after its client has gone, microseconds.
-const GONE_SLACK: Span = 100_000;
+const CLIENT_LEFT_SLACK: Span = 100_000;
 
-/// Workers that drain or are gone of which the check knows at most.
-const DRAINED: usize = 4096;
+/// Workers that drain or are gone of which the check keeps the names at most.
+const MAX_DRAINED: usize = 4096;
 
-/// What must never be.
+/// What must never happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
     /// An attempt left while another at the same call was out.
@@ -30,7 +30,7 @@
     SentToDrained,
     /// A load left for a worker that drains or is gone.
     LoadedAtDrained,
-    /// A worker was told more time than the client had left.
+    /// A worker was given more time than the client had left.
     PatienceTooLong,
     /// A call was answered twice.
     AnsweredTwice,
@@ -55,33 +55,33 @@
 
 /// What is known of one call.
 #[derive(Debug)]
-struct Watched {
+struct WatchedCall {
     effect: Effect,
     /// When its client's time is up.
     deadline: Time,
     /// When the attempt that is out had left.
-    out: Option<Time>,
+    attempt_sent: Option<Time>,
     /// When the first attempt that may have run had left.
-    may_have_run: Option<Time>,
+    ran_from: Option<Time>,
     answered: bool,
-    gone: Option<Time>,
+    client_left: Option<Time>,
 }
 
 /// The check.
 #[derive(Debug, Default)]
 pub struct InvariantChecker {
-    calls: HashMap<CallId, Watched>,
-    /// Workers that drain or are gone, until they are told ready again.
+    calls: HashMap<CallId, WatchedCall>,
+    /// Workers that drain or are gone, until the list names them as ready again.
     drained: BTreeSet<String>,
     counts: [u64; Violation::ALL.len()],
 }
 
 impl InvariantChecker {
-    /// How often each was violated.
+    /// How often each violation was counted.
     pub fn counts(&self) -> impl Iterator<Item = (Violation, u64)> + '_ {
         Violation::ALL.into_iter().zip(self.counts)
     }
-    /// Violations in all.
+    /// Violations of all kinds.
     pub fn total_violations(&self) -> u64 {
         self.counts.iter().sum()
     }
@@ -90,36 +90,40 @@
         self.calls.len()
     }
 
-    fn check(&mut self, found: &[(bool, Violation)]) -> Vec<Violation> {
-        let violated: Vec<Violation> = found.iter().filter(|f| f.0).map(|f| f.1).collect();
+    fn count(&mut self, checks: &[(bool, Violation)]) -> Vec<Violation> {
+        let violated: Vec<Violation> = checks
+            .iter()
+            .filter(|(violated, _)| *violated)
+            .map(|(_, violation)| *violation)
+            .collect();
         for violation in &violated {
             self.counts[*violation as usize] += 1;
         }
         violated
     }
 
-    /// A call was taken; its client waits until then.
-    pub fn on_accepted(&mut self, call: CallId, effect: Effect, deadline: Time) {
-        let watched = Watched {
+    /// A call was accepted; its client waits until then.
+    pub fn on_accepted(&mut self, id: CallId, effect: Effect, deadline: Time) {
+        let watched = WatchedCall {
             effect,
             deadline,
-            out: None,
-            may_have_run: None,
+            attempt_sent: None,
+            ran_from: None,
             answered: false,
-            gone: None,
+            client_left: None,
         };
-        self.calls.insert(call, watched);
+        self.calls.insert(id, watched);
     }
 
-    /// The list told of a worker.
+    /// The list named a worker.
     pub fn on_worker_state(&mut self, name: &str, ready: bool) {
         if ready {
             self.drained.remove(name);
         } else {
             self.drained.insert(name.to_string());
         }
-        // Workers that are gone are never told of again.
-        if self.drained.len() > DRAINED {
+        // The list never names workers again that are gone.
+        if self.drained.len() > MAX_DRAINED {
             self.drained.pop_first();
         }
     }
@@ -128,89 +132,94 @@
     pub fn on_attempt_sent(
         &mut self,
         now: Time,
-        call: CallId,
+        id: CallId,
         worker: &str,
         patience: Span,
     ) -> Vec<Violation> {
         let drained = self.drained.contains(worker);
-        let Some(c) = self.calls.get_mut(&call) else {
-            return self.check(&[(true, Violation::SentAfterEnd)]);
+        let Some(call) = self.calls.get_mut(&id) else {
+            return self.count(&[(true, Violation::SentAfterEnd)]);
         };
-        let ended = c.answered || c.gone.is_some_and(|at| now.since(at) > GONE_SLACK);
-        let late = match (c.effect, c.may_have_run) {
+        let ended = call.answered
+            || call
+                .client_left
+                .is_some_and(|at| now.since(at) > CLIENT_LEFT_SLACK);
+        let late = match (call.effect, call.ran_from) {
             (Effect::Keyed { window, .. }, Some(first)) => now.since(first) >= window,
             _ => false,
         };
-        let found = [
-            (c.out.is_some(), Violation::TwoAttempts),
+        let checks = [
+            (call.attempt_sent.is_some(), Violation::TwoAttempts),
             (ended, Violation::SentAfterEnd),
             (
-                c.effect == Effect::Unsafe && c.may_have_run.is_some(),
+                call.effect == Effect::Unsafe && call.ran_from.is_some(),
                 Violation::RepeatedUnsafe,
             ),
             (late, Violation::RepeatedLate),
             (drained, Violation::SentToDrained),
             (
-                patience > c.deadline.since(now).max(0) + PATIENCE_SLACK,
+                patience > call.deadline.since(now).max(0) + PATIENCE_SLACK,
                 Violation::PatienceTooLong,
             ),
         ];
-        c.out = Some(now);
-        self.check(&found)
+        call.attempt_sent = Some(now);
+        self.count(&checks)
     }
 
     /// An attempt that had left has ended.
-    pub fn on_attempt_ended(&mut self, call: CallId, never_ran: bool) {
-        let Some(c) = self.calls.get_mut(&call) else {
+    pub fn on_attempt_ended(&mut self, id: CallId, never_ran: bool) {
+        let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let left = c.out.take();
+        let left = call.attempt_sent.take();
         if let Some(left) = left.filter(|_| !never_ran) {
-            c.may_have_run.get_or_insert(left);
+            call.ran_from.get_or_insert(left);
         }
-        self.forget(call);
+        self.remove_if_done(id);
     }
 
-    /// The first byte of an order to load has left.
+    /// The first byte of a load has left.
     pub fn on_load_sent(&mut self, worker: &str) -> Vec<Violation> {
         let drained = self.drained.contains(worker);
-        self.check(&[(drained, Violation::LoadedAtDrained)])
+        self.count(&[(drained, Violation::LoadedAtDrained)])
     }
 
     /// A call's answer was given.
-    pub fn on_answered(&mut self, call: CallId) -> Vec<Violation> {
-        let Some(c) = self.calls.get_mut(&call) else {
-            return self.check(&[(true, Violation::AnsweredTwice)]);
+    pub fn on_answered(&mut self, id: CallId) -> Vec<Violation> {
+        let Some(call) = self.calls.get_mut(&id) else {
+            return self.count(&[(true, Violation::AnsweredTwice)]);
         };
-        let twice = std::mem::replace(&mut c.answered, true);
-        let violated = self.check(&[(twice, Violation::AnsweredTwice)]);
-        self.forget(call);
+        let twice = std::mem::replace(&mut call.answered, true);
+        let violated = self.count(&[(twice, Violation::AnsweredTwice)]);
+        self.remove_if_done(id);
         violated
     }
 
     /// A call's client has gone.
-    pub fn on_client_left(&mut self, now: Time, call: CallId) {
-        let Some(c) = self.calls.get_mut(&call) else {
+    pub fn on_client_left(&mut self, now: Time, id: CallId) {
+        let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        c.gone.get_or_insert(now);
-        self.forget(call);
+        call.client_left.get_or_insert(now);
+        self.remove_if_done(id);
     }
 
     /// This side closes a connection whose call is open.
-    pub fn on_connection_closed(&mut self, call: CallId) -> Vec<Violation> {
+    pub fn on_connection_closed(&mut self, id: CallId) -> Vec<Violation> {
         let owed = self
             .calls
-            .get(&call)
-            .is_some_and(|c| !c.answered && c.gone.is_none());
-        self.check(&[(owed, Violation::ClosedUnanswered)])
+            .get(&id)
+            .is_some_and(|call| !call.answered && call.client_left.is_none());
+        self.count(&[(owed, Violation::ClosedUnanswered)])
     }
 
     /// Lets go of a call that is owed nothing and has nothing out.
-    fn forget(&mut self, call: CallId) {
-        let done = |c: &Watched| c.out.is_none() && (c.answered || c.gone.is_some());
-        if self.calls.get(&call).is_some_and(done) {
-            self.calls.remove(&call);
+    fn remove_if_done(&mut self, id: CallId) {
+        let done = |call: &WatchedCall| {
+            call.attempt_sent.is_none() && (call.answered || call.client_left.is_some())
+        };
+        if self.calls.get(&id).is_some_and(done) {
+            self.calls.remove(&id);
         }
     }
 }
--- a/decide/dispatch/src/names.rs
+++ b/decide/dispatch/src/names.rs
@@ -1,42 +1,33 @@
-//! NameTable to the module's numbers: a hash of the name, so that every front end gives a name the same number without
-//! asking another.
+//! Names and the router's numbers for them: a hash of the name, so that every front end gives a name the same number
+//! without asking another.
 
 use std::collections::HashMap;
+use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// NameTable of one sort and their numbers.
+/// Names of one kind and their numbers.
 #[derive(Debug, Default)]
 pub struct NameTable {
     by_id: HashMap<u64, String>,
 }
 
-/// Two names with one number: the later cannot be taken without mixing up the two at some front end.
-#[derive(Debug, Clone, PartialEq, Eq)]
+/// Two names with one number: the later cannot be added without mixing up the two at some front end.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+#[error("{name:?} hashes to the number of {existing:?}: give it another name")]
 pub struct NameCollision {
-    /// The name that was not taken.
+    /// The name that was not added.
     pub name: String,
     /// The name that has its number.
     pub existing: String,
 }
 
-impl std::fmt::Display for NameCollision {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(
-            f,
-            "{:?} hashes to the number of {:?}: give it another name",
-            self.name, self.existing
-        )
-    }
-}
-impl std::error::Error for NameCollision {}
-
-/// The number of a name, whoever holds it.
+/// The number of a name, whether a table has it or not.
 pub fn name_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
 impl NameTable {
-    /// Takes a name; gives its number.
+    /// Adds a name, unless the table has it; gives its number.
     pub fn intern(&mut self, name: &str) -> Result<u64, NameCollision> {
         let id = name_hash(name);
         match self.by_id.get(&id) {
@@ -51,28 +42,35 @@
             }
         }
     }
+
     /// The name of a number.
     pub fn name(&self, id: u64) -> Option<&str> {
         self.by_id.get(&id).map(String::as_str)
     }
-    /// The number of a name that was taken.
+
+    /// The number of a name that was added.
     pub fn find(&self, name: &str) -> Option<u64> {
         let id = name_hash(name);
-        self.by_id.get(&id).is_some_and(|n| n == name).then_some(id)
+        let known = self.by_id.get(&id).is_some_and(|known| known == name);
+        known.then_some(id)
     }
-    /// Lets a name go.
+
+    /// Removes a name.
     pub fn forget(&mut self, id: u64) {
         self.by_id.remove(&id);
     }
-    /// Lets all names go whose numbers are not wanted.
+
+    /// Removes all names but those whose numbers are wanted.
     pub fn retain(&mut self, wanted: impl Fn(u64) -> bool) {
         self.by_id.retain(|id, _| wanted(*id));
     }
-    /// How many names are held.
+
+    /// How many names there are.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
-    /// Whether none is.
+
+    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
--- a/decide/dispatch/src/outcome.rs
+++ b/decide/dispatch/src/outcome.rs
@@ -1,5 +1,8 @@
 //! What a socket can show of an attempt, and whether the attempt can have run.
 //!
+//! The table is the one home of the retry rule: whatever does not prove that an attempt never ran counts as one that may
+//! have run.
+//!
 //! | shown | outcome | can have run |
 //! |---|---|---|
 //! | connect refused, or not made in time | `ConnectFailed` | no: nothing was sent |
@@ -14,7 +17,7 @@
 //! | any status with the trailer `tansy-never-ran: not-loaded` | `NotLoaded` | no: the worker's promise |
 //! | any status with the promise that its time was over before it was begun | `NotSent` | no: the worker's promise |
 //! | status OK with an answer | `Served` | yes |
-//! | a status that is the function's own verdict on the call (below) | `Error`, passed on as it is | yes |
+//! | a status of the function itself (below) | `Error`, passed on as it is | yes |
 //! | any other status, trailers-only or not | `Error` | yes |
 //! | 200 without trailers, no answer before OK, a frame that is no message, a message over the limit | `Error` | yes |
 //! | a second answer | `Error` | yes |
@@ -22,14 +25,14 @@
 //!
 //! The promise of the trailer counts only if no piece of an answer came before it. In doubt an attempt has run.
 //!
-//! Verdicts of the function itself are INVALID_ARGUMENT, NOT_FOUND, ALREADY_EXISTS, PERMISSION_DENIED,
+//! Statuses of the function itself are INVALID_ARGUMENT, NOT_FOUND, ALREADY_EXISTS, PERMISSION_DENIED,
 //! FAILED_PRECONDITION, OUT_OF_RANGE, UNIMPLEMENTED and UNAUTHENTICATED: another worker would say the same, so a
 //! further attempt would only cost. They end the call as failed, with the worker's status.
 
 use serde::{Deserialize, Serialize};
 use tansyrouter::Outcome;
 
-/// How far the answer had come.
+/// How far the answer had come when an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ResponseStage {
     /// Nothing had come.
@@ -43,7 +46,7 @@
     Last,
 }
 
-/// How an attempt, a probe or an order was seen to end.
+/// How an attempt or a control request was observed to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptOutcome {
     /// The connection was refused, or the address can't be reached.
@@ -142,7 +145,7 @@
     Expired,
 }
 
-/// How the call met its function.
+/// Whether a call found an instance of its function loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum CacheStatus {
     /// Not stated.
@@ -182,36 +185,36 @@
     pub errors_per_s: Option<f64>,
 }
 
-/// What the trailers of an answer told.
+/// What the trailers of an answer stated.
 #[derive(Clone, Copy, Debug, PartialEq, Default, Serialize, Deserialize)]
 pub struct Trailers {
-    /// Of the instance.
+    /// Whether the call found an instance loaded.
     #[serde(rename = "note")]
     pub cache_status: CacheStatus,
     /// The promise, if one was given.
     pub never_ran: Option<NeverRan>,
-    /// Calls of the function that the worker held when this one came.
+    /// Calls of the function at the worker when this one came.
     #[serde(rename = "crowd")]
     pub concurrent_calls: Option<u32>,
-    /// Instances that stand loaded, from an order's answer.
+    /// Instances that are loaded, from the answer to a load.
     pub instances: Option<u32>,
     /// The load report.
     pub report: Option<LoadReport>,
 }
 
-/// What follows from an end.
+/// What the end of an attempt means for further attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryClass {
-    /// For the module.
+    /// The outcome for the router.
     pub outcome: Outcome,
-    /// The status is the function's own verdict on the call: passed on, not tried again.
+    /// The status is of the function itself: it is forwarded, and the call is not tried again.
     pub final_status: bool,
 }
 
 const REFUSED_STREAM: u32 = 7;
-const OWN_VERDICTS: [u8; 8] = [3, 5, 6, 7, 9, 11, 12, 16];
+const FUNCTION_STATUSES: [u8; 8] = [3, 5, 6, 7, 9, 11, 12, 16];
 
-/// Reads the table above.
+/// Classifies the end of an attempt by the table of this module.
 pub fn classify(outcome: AttemptOutcome, trailers: &Trailers) -> RetryClass {
     let (class, final_status) = match outcome {
         AttemptOutcome::ConnectRefused | AttemptOutcome::ConnectTimedOut => {
@@ -244,7 +247,7 @@
             (_, ResponseStage::Messages | ResponseStage::Last) if code == 0 => {
                 (Outcome::Served, false)
             }
-            _ => (Outcome::Error, OWN_VERDICTS.contains(&code)),
+            _ => (Outcome::Error, FUNCTION_STATUSES.contains(&code)),
         },
         AttemptOutcome::NoTrailers { .. } | AttemptOutcome::InvalidResponse { .. } => {
             (Outcome::Error, false)
@@ -285,108 +288,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const STAGES: [ResponseStage; 4] = [
-        ResponseStage::Nothing,
-        ResponseStage::Headers,
-        ResponseStage::Messages,
-        ResponseStage::Last,
-    ];
-
-    fn never_ran(seen: AttemptOutcome, told: &Trailers) -> bool {
-        classify(seen, told).outcome.never_ran()
-    }
-
-    #[test]
-    fn only_proof_says_that_an_attempt_never_ran() {
-        let silent = Trailers::default();
-        for seen in [
-            AttemptOutcome::ConnectRefused,
-            AttemptOutcome::ConnectTimedOut,
-            AttemptOutcome::NeverLeft,
-            AttemptOutcome::GoawayBelow,
-        ] {
-            assert!(never_ran(seen, &silent), "{seen:?}");
-        }
-        for stage in STAGES {
-            for code in 0..=20 {
-                let proof = code == 7 && stage == ResponseStage::Nothing;
-                assert_eq!(
-                    never_ran(AttemptOutcome::Reset { code, stage }, &silent),
-                    proof,
-                    "code {code} {stage:?}"
-                );
-                assert!(
-                    !never_ran(
-                        AttemptOutcome::Status {
-                            code: code as u8,
-                            stage
-                        },
-                        &silent
-                    ),
-                    "{code} {stage:?}"
-                );
-            }
-            for seen in [
-                AttemptOutcome::ConnectionCut { stage },
-                AttemptOutcome::NoTrailers { stage },
-                AttemptOutcome::InvalidResponse { stage },
-            ] {
-                assert!(!never_ran(seen, &silent), "{seen:?}");
-            }
-        }
-        assert!(!never_ran(AttemptOutcome::Cancelled, &silent));
-    }
-
-    #[test]
-    fn a_promise_counts_only_with_an_error_and_before_any_piece() {
-        for promise in [NeverRan::NotLoaded, NeverRan::TurnedAway, NeverRan::Expired] {
-            let told = Trailers {
-                never_ran: Some(promise),
-                ..Trailers::default()
-            };
-            for stage in STAGES {
-                let early = matches!(stage, ResponseStage::Nothing | ResponseStage::Headers);
-                assert_eq!(
-                    never_ran(AttemptOutcome::Status { code: 14, stage }, &told),
-                    early,
-                    "{stage:?}"
-                );
-                assert!(
-                    !never_ran(AttemptOutcome::Status { code: 0, stage }, &told),
-                    "{stage:?}"
-                );
-                assert!(!never_ran(AttemptOutcome::ConnectionCut { stage }, &told));
-            }
-        }
-    }
-
-    #[test]
-    fn an_ok_without_an_answer_is_an_error() {
-        let ok = |stage| {
-            classify(
-                AttemptOutcome::Status { code: 0, stage },
-                &Trailers::default(),
-            )
-            .outcome
-        };
-        assert_eq!(ok(ResponseStage::Headers), Outcome::Error);
-        assert_eq!(ok(ResponseStage::Messages), Outcome::Served);
-    }
-
-    #[test]
-    fn the_functions_own_verdicts_are_not_tried_again() {
-        let own: Vec<u8> = (0..=16)
-            .filter(|c| {
-                let seen = AttemptOutcome::Status {
-                    code: *c,
-                    stage: ResponseStage::Headers,
-                };
-                classify(seen, &Trailers::default()).final_status
-            })
-            .collect();
-        assert_eq!(own, OWN_VERDICTS);
-    }
-}
+mod tests;
--- /dev/null
+++ b/decide/dispatch/src/request_table/admission.rs
@@ -0,0 +1,130 @@
+//! From the arrival of a call to the router: what is refused at once, and the time that a call gets.
+
+use super::entries::{OpenCall, ResolvedFunction, TimerEvent};
+use super::{Dispatcher, TICK};
+use crate::message::{Answer, Call, CallId, Command};
+use crate::names::name_hash;
+use tansyrouter::{Arrival, Event, FunctionId, RequestId, Span, Time};
+
+/// Part of a call's budget that is kept back for the way of its answer to the client ...
+const RESERVE_FRACTION: Span = 16;
+/// ... and the most that is, microseconds. A final answer has to arrive while the client still waits.
+const MAX_RESERVE: Span = 20_000;
+/// The least that is: a timer may be a tick late, and its answer has a way to go.
+const MIN_RESERVE: Span = 2 * TICK;
+
+impl Dispatcher {
+    pub(super) fn on_call(&mut self, call: Call, commands: &mut Vec<Command>) {
+        if !self.calls.contains_key(&call.id) {
+            self.admit(call, None, 0, commands);
+        }
+    }
+
+    /// Admits a call that has waited so long, or refuses it; `resolved` if the settings do not name its function.
+    pub(super) fn admit(
+        &mut self,
+        mut call: Call,
+        resolved: Option<ResolvedFunction>,
+        waited: Span,
+        commands: &mut Vec<Command>,
+    ) {
+        let id = call.id;
+        let waited = waited + call.waited.max(0);
+        if let Some(resolved) = resolved {
+            call.shape = Some(resolved.shape);
+        }
+        let spec = self
+            .resolve_function(&call)
+            .and_then(|function| self.function_specs.get(&function));
+        let Some(spec) = spec else {
+            return self.answer_unknown_function(id, commands);
+        };
+        let settings = &self.config.settings;
+        let function_class = resolved.map_or(spec.class, |resolved| resolved.class);
+        let arrived = Time(self.now.0 - waited);
+        self.counters.accepted += 1;
+        // Nothing was sent for it: a refusal is right for every class. Another front end may take it at once while
+        // this one shuts down; one that is full is full for a while.
+        if self.shutting_down || self.calls.len() >= settings.max_held {
+            let while_full = settings.classes[function_class]
+                .aim
+                .min(settings.max_stay_away);
+            let retry_after = if self.shutting_down { 0 } else { while_full };
+            return self.refuse_admission(id, function_class, retry_after, arrived, commands);
+        }
+        let class = call
+            .class
+            .filter(|class| *class < settings.classes.len())
+            .unwrap_or(function_class);
+        if let Some(retry_after) = self.conflict_advice(&call, class) {
+            self.counters.conflicting += 1;
+            return self.refuse_admission(id, class, retry_after, arrived, commands);
+        }
+        let stated = call.budget.unwrap_or(settings.classes[class].deadline);
+        let budget = (self.usable_budget(stated) - waited).max(0);
+        if waited > 0 && budget == 0 {
+            // Nothing was sent for it.
+            let retry_after = resolved.map_or(0, |_| self.conflict_retry_after());
+            return self.refuse_admission(id, class, retry_after, arrived, commands);
+        }
+        let arrival = Arrival {
+            request: RequestId(id.0),
+            function: FunctionId(name_hash(&spec.name)),
+            class,
+            tenant: call.tenant,
+            budget,
+            work_hint: call.work_hint,
+            lanes: spec.lanes,
+            memory_mb: spec.memory_mb,
+            load_time: spec.load_time,
+            repeat: call.repeat,
+        };
+        self.open_call(id, arrival, arrived, commands);
+    }
+
+    /// Refuses an accepted call before the router learns of it.
+    fn refuse_admission(
+        &mut self,
+        id: CallId,
+        class: usize,
+        retry_after: Span,
+        arrived: Time,
+        commands: &mut Vec<Command>,
+    ) {
+        self.counters.refused += 1;
+        let answer = Answer::Refused { retry_after };
+        self.count_by_class(class, Some(answer), arrived);
+        commands.push(Command::Answer { call: id, answer });
+    }
+
+    fn open_call(
+        &mut self,
+        id: CallId,
+        arrival: Arrival,
+        arrived: Time,
+        commands: &mut Vec<Command>,
+    ) {
+        let deadline = self.now.plus(arrival.budget);
+        let timer = self.timers.set(deadline.0, TimerEvent::CallDeadline(id));
+        let call = OpenCall {
+            function: arrival.function,
+            class: arrival.class,
+            arrived,
+            deadline,
+            attempts_sent: 0,
+            attempt: None,
+            answered: false,
+            last_outcome: None,
+            ran_from: None,
+            timer: Some(timer),
+        };
+        self.calls.insert(id, call);
+        self.notify_router(Event::Arrival(arrival), commands);
+    }
+
+    /// The part of a call's time that its attempts may use: some is kept back for the way of its answer.
+    pub(super) fn usable_budget(&self, stated: Span) -> Span {
+        let stated = stated.clamp(0, self.config.max_call_time);
+        (stated - (stated / RESERVE_FRACTION).clamp(MIN_RESERVE, MAX_RESERVE)).max(0)
+    }
+}
--- /dev/null
+++ b/decide/dispatch/src/request_table/attempts.rs
@@ -0,0 +1,242 @@
+//! Attempts: sent, confirmed, cancelled, ended.
+
+use super::entries::{Attempt, AttemptPhase, AttemptTimeout, TimerEvent};
+use super::Dispatcher;
+use crate::counters::outcome_index;
+use crate::message::{Answer, CallId, Command, FailureReason};
+use crate::outcome::{classify, AttemptOutcome, LoadReport, Trailers};
+use tansyrouter::{AttemptDone, Event, Outcome, RequestId, Time, WorkerId};
+
+impl Attempt {
+    /// The outcome for the router, by how the attempt was observed to end and what that means of itself.
+    fn routed_outcome(&self, observed: AttemptOutcome, classified: Outcome) -> Outcome {
+        match self.phase {
+            // Cancelled: it may have run, unless its end proves otherwise.
+            AttemptPhase::Closing(reason) if !classified.never_ran() => reason,
+            // Its client left before the connection was made: that says nothing of the worker.
+            AttemptPhase::Closing(Outcome::Cancelled)
+                if observed == AttemptOutcome::ConnectTimedOut =>
+            {
+                Outcome::NotSent
+            }
+            _ => classified,
+        }
+    }
+}
+
+/// The answer of a call that ends with its attempt.
+fn final_answer(outcome: Outcome, final_status: bool) -> Answer {
+    match outcome {
+        Outcome::Served => Answer::Served,
+        _ if final_status => Answer::WorkerStatus,
+        Outcome::ConnectionLost => Answer::Failed(FailureReason::ConnectionLost),
+        Outcome::TimedOut | Outcome::Cancelled => Answer::Failed(FailureReason::Deadline),
+        _ => Answer::Failed(FailureReason::WorkerFailed),
+    }
+}
+
+impl Dispatcher {
+    pub(super) fn send_attempt(
+        &mut self,
+        id: CallId,
+        worker: WorkerId,
+        give_up: Option<Time>,
+        commands: &mut Vec<Command>,
+    ) {
+        let name = self.worker_name(worker);
+        let connect_timeout = self.config.settings.connect_timeout;
+        // Guards behind the router's own: what it never does is not done if it errs either.
+        let permitted = self.may_begin(id, worker);
+        let Some(call) = self.calls.get_mut(&id) else {
+            self.counters.guard_rejections += 1;
+            return;
+        };
+        let number = call.attempts_sent;
+        call.attempts_sent += 1;
+        let Some(name) = name.filter(|_| permitted.is_ok()) else {
+            debug_assert!(false, "the router sent {id:?} to {worker:?}: {permitted:?}");
+            self.counters.guard_rejections += 1;
+            return;
+        };
+        let budget = call.deadline.since(self.now);
+        let attempt = call.attempt.insert(Attempt {
+            number,
+            worker,
+            sent: self.now,
+            phase: AttemptPhase::Opening,
+            response_began: false,
+            timer: None,
+        });
+        let headers_due = self.now.plus(connect_timeout);
+        attempt.set_timeout(
+            &mut self.timers,
+            id,
+            AttemptTimeout::HeadersSent,
+            headers_due,
+        );
+        if let Some(at) = give_up {
+            let give_up = TimerEvent::Attempt {
+                call: id,
+                attempt: number,
+                timeout: AttemptTimeout::Ended,
+            };
+            self.timers.set(at.0, give_up);
+        }
+        self.counters.attempts += 1;
+        commands.push(Command::SendAttempt {
+            call: id,
+            attempt: number,
+            worker: name,
+            budget,
+        });
+    }
+
+    pub(super) fn on_attempt_sent(&mut self, id: CallId, number: u32) {
+        let Some(attempt) = self.calls.get_mut(&id).and_then(|c| c.attempt.as_mut()) else {
+            return;
+        };
+        let opening = matches!(
+            attempt.phase,
+            AttemptPhase::Opening | AttemptPhase::Confirming
+        );
+        if attempt.number == number && opening {
+            attempt.phase = AttemptPhase::Open;
+            if let Some(timer) = attempt.timer.take() {
+                self.timers.clear(timer);
+            }
+        }
+    }
+
+    pub(super) fn on_response_message(
+        &mut self,
+        id: CallId,
+        number: u32,
+        last: bool,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(call) = self.calls.get_mut(&id).filter(|call| !call.answered) else {
+            return;
+        };
+        let Some(attempt) = call.attempt.as_mut().filter(|a| a.number == number) else {
+            return;
+        };
+        if matches!(attempt.phase, AttemptPhase::Closing(_)) {
+            return;
+        }
+        attempt.phase = AttemptPhase::Open;
+        let first = !std::mem::replace(&mut attempt.response_began, true);
+        self.counters.messages += 1;
+        if first {
+            let event = Event::StreamBegan {
+                request: RequestId(id.0),
+                attempt: number,
+            };
+            self.notify_router(event, commands);
+        }
+        commands.push(Command::ForwardMessage { call: id });
+        if last {
+            self.answer(id, Answer::Served, commands);
+        }
+    }
+
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        id: CallId,
+        number: u32,
+        observed: AttemptOutcome,
+        trailers: Trailers,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
+        };
+        let Some(attempt) = call.attempt.take_if(|attempt| attempt.number == number) else {
+            return;
+        };
+        if let Some(timer) = attempt.timer {
+            self.timers.clear(timer);
+        }
+        let class = classify(observed, &trailers);
+        let outcome = attempt.routed_outcome(observed, class.outcome);
+        call.last_outcome = Some(outcome);
+        if !outcome.never_ran() {
+            call.ran_from.get_or_insert(attempt.sent);
+        }
+        let answered = call.answered;
+        let function = call.function;
+        self.mark_used(function);
+        self.counters.attempt_outcomes[outcome_index(outcome)] += 1;
+        if outcome == Outcome::Served {
+            let activity = self.function_activity.entry(function).or_default();
+            activity.warm_at = Some(self.now);
+        }
+        // An answer that has begun is its client's: no other may follow it, so an end in the middle is final.
+        let ends_call = outcome == Outcome::Served || class.final_status || attempt.response_began;
+        if !answered && ends_call {
+            self.answer(id, final_answer(outcome, class.final_status), commands);
+        }
+        let done = AttemptDone {
+            request: RequestId(id.0),
+            attempt: number,
+            worker: attempt.worker,
+            outcome,
+            concluded: answered || ends_call,
+            latency: self.now.since(attempt.sent),
+            note: trailers.cache_status.into(),
+            crowd: trailers.concurrent_calls,
+            report: trailers.report.map(LoadReport::into),
+        };
+        self.notify_router(Event::AttemptDone(done), commands);
+        self.remove_if_done(id);
+    }
+
+    /// Asks whether the HEADERS of a call's attempt have left.
+    pub(super) fn confirm_attempt(&mut self, id: CallId, commands: &mut Vec<Command>) {
+        let Some(number) =
+            self.enter_phase(id, AttemptPhase::Confirming, AttemptTimeout::HeadersSent)
+        else {
+            return;
+        };
+        commands.push(Command::ConfirmSent {
+            call: id,
+            attempt: number,
+        });
+    }
+
+    /// Cancels a call's attempt, if one is out that is not being cancelled yet.
+    pub(super) fn cancel_attempt(
+        &mut self,
+        id: CallId,
+        reason: Outcome,
+        commands: &mut Vec<Command>,
+    ) {
+        // What can't leave in time for a connection won't leave at all.
+        let Some(number) =
+            self.enter_phase(id, AttemptPhase::Closing(reason), AttemptTimeout::ResetSent)
+        else {
+            return;
+        };
+        commands.push(Command::CancelAttempt {
+            call: id,
+            attempt: number,
+        });
+    }
+
+    /// Has a call's attempt enter a phase that it must leave within the connect time-out; its number. One that is being
+    /// cancelled already stays so.
+    fn enter_phase(
+        &mut self,
+        id: CallId,
+        phase: AttemptPhase,
+        timeout: AttemptTimeout,
+    ) -> Option<u32> {
+        let at = self.now.plus(self.config.settings.connect_timeout);
+        let attempt = self.calls.get_mut(&id)?.attempt.as_mut()?;
+        if matches!(attempt.phase, AttemptPhase::Closing(_)) {
+            return None;
+        }
+        attempt.phase = phase;
+        attempt.set_timeout(&mut self.timers, id, timeout, at);
+        Some(attempt.number)
+    }
+}
--- a/decide/dispatch/src/request_table/control_requests.rs
+++ b/decide/dispatch/src/request_table/control_requests.rs
@@ -1,185 +1,222 @@
-//! Orders and probes, and workers whose orders leave nothing.
+//! Control requests: probes, loads and unloads, and workers whose loads leave no instance.
 
-use super::*;
+use super::entries::{ControlKind, ControlRequest, TimerEvent, UndeliverableLoad};
+use super::Dispatcher;
+use crate::message::{Command, ControlRequestId};
+use crate::missing_functions::MissingFunction;
+use crate::outcome::{classify, AttemptOutcome, LoadReport, Trailers};
+use tansyrouter::{Event, FunctionId, Outcome, Span, WorkerId};
+
+/// A probe may take so many connect time-outs.
+const PROBE_TIMEOUTS: Span = 2;
 
 impl Dispatcher {
-    pub(super) fn order(
+    pub(super) fn send_control_request(
         &mut self,
-        kind: OrderKind,
+        kind: ControlKind,
         worker: WorkerId,
         function: FunctionId,
-        n: u32,
-        out: &mut Vec<Command>,
+        instances: u32,
+        commands: &mut Vec<Command>,
     ) {
         let ready = self.may_use(worker).is_ok();
-        let settings = &self.config.settings;
-        let (limit, connect) = (settings.order_timeout, settings.connect_timeout);
-        let names = self.name(worker).zip(match kind {
-            OrderKind::Probe => Some(String::new()),
-            _ => self.functions.name(function.0).map(str::to_string),
+        let names = self.worker_name(worker).zip(match kind {
+            ControlKind::Probe => Some(String::new()),
+            ControlKind::Load | ControlKind::Unload => self.function_name(function),
         });
-        let Some((worker_name, name)) = names.filter(|_| ready) else {
-            // Rule 3 for orders, and an order that nobody takes must end for the module.
+        let Some((worker_name, function_name)) = names.filter(|_| ready) else {
+            // Rule 3 for control requests; a load that nobody takes must end for the router.
             self.counters.guard_rejections += 1;
-            debug_assert!(ready, "an order to {worker:?}, which takes none");
-            if kind == OrderKind::Load {
-                self.unsent.push((worker, function));
+            debug_assert!(ready, "a control request to {worker:?}, which takes none");
+            if kind == ControlKind::Load {
+                self.undeliverable_loads
+                    .push(UndeliverableLoad { worker, function });
             }
             return;
         };
-        self.used(function);
-        let order = ControlRequestId(self.next_order);
-        self.next_order += 1;
-        let span = if kind == OrderKind::Probe {
-            PROBE_TIMEOUTS * connect
-        } else {
-            limit
+        self.mark_used(function);
+        let request = self.register_control_request(kind, worker, function, instances);
+        self.count_control_request(kind, function, instances);
+        commands.push(match kind {
+            ControlKind::Probe => Command::Probe {
+                request,
+                worker: worker_name,
+            },
+            ControlKind::Load => Command::Load {
+                request,
+                worker: worker_name,
+                function: function_name,
+                instances,
+            },
+            ControlKind::Unload => Command::Unload {
+                request,
+                worker: worker_name,
+                function: function_name,
+            },
+        });
+    }
+
+    fn register_control_request(
+        &mut self,
+        kind: ControlKind,
+        worker: WorkerId,
+        function: FunctionId,
+        instances: u32,
+    ) -> ControlRequestId {
+        let id = ControlRequestId(self.next_control_request);
+        self.next_control_request += 1;
+        let settings = &self.config.settings;
+        let timeout = match kind {
+            ControlKind::Probe => PROBE_TIMEOUTS * settings.connect_timeout,
+            ControlKind::Load | ControlKind::Unload => settings.order_timeout,
         };
-        let timer = Some(self.timers.set(self.now.plus(span).0, Due::Order(order)));
-        let o = Order {
+        let due = self.now.plus(timeout);
+        let timer = self.timers.set(due.0, TimerEvent::ControlRequest(id));
+        let request = ControlRequest {
             kind,
             worker,
             function,
             sent: self.now,
-            instances: n,
-            withdrawn: false,
-            timer,
+            instances,
+            cancelled: false,
+            timer: Some(timer),
         };
-        self.order_list.insert(order, o);
-        out.push(match kind {
-            OrderKind::Probe => {
-                self.counters.probes += 1;
-                Command::Probe {
-                    request: order,
-                    worker: worker_name,
-                }
-            }
-            OrderKind::Load => {
-                if n > 0 {
-                    self.counters.loads += 1;
-                    self.believed.entry(function).or_default().loading += 1;
-                } else {
-                    self.counters.instance_queries += 1;
-                }
-                Command::Load {
-                    request: order,
-                    worker: worker_name,
-                    function: name,
-                    instances: n,
-                }
-            }
-            OrderKind::Unload => {
-                self.counters.unloads += 1;
-                Command::Unload {
-                    request: order,
-                    worker: worker_name,
-                    function: name,
-                }
+        self.control_requests.insert(id, request);
+        id
+    }
+
+    fn count_control_request(&mut self, kind: ControlKind, function: FunctionId, instances: u32) {
+        match kind {
+            ControlKind::Probe => self.counters.probes += 1,
+            ControlKind::Load if instances > 0 => {
+                self.counters.loads += 1;
+                self.function_activity.entry(function).or_default().loading += 1;
             }
-        });
+            ControlKind::Load => self.counters.instance_queries += 1,
+            ControlKind::Unload => self.counters.unloads += 1,
+        }
     }
 
-    pub(super) fn on_order(
+    pub(super) fn on_control_request_ended(
         &mut self,
-        order: ControlRequestId,
-        seen: AttemptOutcome,
-        told: Trailers,
-        out: &mut Vec<Command>,
+        id: ControlRequestId,
+        observed: AttemptOutcome,
+        trailers: Trailers,
+        commands: &mut Vec<Command>,
     ) {
-        let Some(o) = self.order_list.remove(&order) else {
+        let Some(request) = self.control_requests.remove(&id) else {
             return;
         };
-        if let Some(timer) = o.timer {
+        if let Some(timer) = request.timer {
             self.timers.clear(timer);
         }
-        // The answer to an order or a probe is its status; it need not carry pieces.
-        let outcome = match seen {
+        // The answer to a control request is its status; it need not carry messages.
+        let outcome = match observed {
             AttemptOutcome::Status { code: 0, .. } => Outcome::Served,
-            _ if o.withdrawn => Outcome::TimedOut,
-            _ => classify(seen, &told).outcome,
+            _ if request.cancelled => Outcome::TimedOut,
+            _ => classify(observed, &trailers).outcome,
         };
-        let latency = self.now.since(o.sent);
-        self.used(o.function);
-        match o.kind {
-            OrderKind::Probe => {
-                let report = told.report.map(LoadReport::into);
-                self.tell(
-                    Event::ProbeDone {
-                        worker: o.worker,
-                        outcome,
-                        latency,
-                        report,
-                    },
-                    out,
-                );
+        self.mark_used(request.function);
+        match request.kind {
+            ControlKind::Probe => {
+                let event = Event::ProbeDone {
+                    worker: request.worker,
+                    outcome,
+                    latency: self.now.since(request.sent),
+                    report: trailers.report.map(LoadReport::into),
+                };
+                self.notify_router(event, commands);
             }
-            OrderKind::Load => {
-                let instances = told
+            ControlKind::Load => {
+                let instances = trailers
                     .instances
                     .filter(|_| outcome == Outcome::Served)
                     .unwrap_or(0);
-                let b = self.believed.entry(o.function).or_default();
-                if o.instances > 0 {
-                    b.loading = b.loading.saturating_sub(1);
-                }
-                if instances > 0 {
-                    b.warm_at = Some(self.now);
-                }
-                let (worker, function) = (o.worker, o.function);
-                if instances > 0 {
-                    self.lacking.on_successful_load(worker);
-                } else if o.instances > 0 || outcome != Outcome::Served {
-                    self.in_vain(worker, function, seen, out);
-                }
-                self.tell(
-                    Event::OrderDone {
-                        worker,
-                        function,
-                        outcome,
-                        latency,
-                        instances,
-                    },
-                    out,
-                );
+                self.on_load_ended(&request, observed, outcome, instances, commands);
             }
-            OrderKind::Unload => {}
+            ControlKind::Unload => {}
         }
     }
 
-    pub(super) fn in_vain(
+    /// A load ended, after which the worker has so many instances of the function.
+    fn on_load_ended(
         &mut self,
-        worker: WorkerId,
-        function: FunctionId,
-        seen: AttemptOutcome,
-        out: &mut Vec<Command>,
+        load: &ControlRequest,
+        observed: AttemptOutcome,
+        outcome: Outcome,
+        instances: u32,
+        commands: &mut Vec<Command>,
+    ) {
+        let activity = self.function_activity.entry(load.function).or_default();
+        if load.instances > 0 {
+            activity.loading = activity.loading.saturating_sub(1);
+        }
+        if instances > 0 {
+            activity.warm_at = Some(self.now);
+            self.missing_functions.on_successful_load(load.worker);
+        } else if load.instances > 0 || outcome != Outcome::Served {
+            self.on_load_without_effect(load, observed, commands);
+        }
+        let event = Event::OrderDone {
+            worker: load.worker,
+            function: load.function,
+            outcome,
+            latency: self.now.since(load.sent),
+            instances,
+        };
+        self.notify_router(event, commands);
+    }
+
+    fn on_load_without_effect(
+        &mut self,
+        load: &ControlRequest,
+        observed: AttemptOutcome,
+        commands: &mut Vec<Command>,
     ) {
         self.counters.loads_without_effect += 1;
-        let told = self
-            .lacking
-            .on_failed_load(self.now, worker, function, seen);
-        if let (Some(lack), Some((worker, function))) = (told, self.names_of(worker, function)) {
-            out.push(Command::ReportMissingFunction {
+        let due_report =
+            self.missing_functions
+                .on_failed_load(self.now, load.worker, load.function, observed);
+        let Some(missing) = due_report else {
+            return;
+        };
+        if let Some((worker, function)) = self.names_of(load.worker, load.function) {
+            commands.push(Command::ReportMissingFunction {
                 worker,
                 function,
-                outcome: seen,
-                failed_loads: lack.failed_loads,
+                outcome: observed,
+                failed_loads: missing.failed_loads,
             });
         }
     }
 
-    pub(super) fn names_of(
-        &self,
-        worker: WorkerId,
-        function: FunctionId,
-    ) -> Option<(String, String)> {
-        self.name(worker)
-            .zip(self.functions.name(function.0).map(str::to_string))
+    /// Has the router learn of the end of the loads that a guard rejected in this step.
+    pub(super) fn report_undeliverable_loads(&mut self, commands: &mut Vec<Command>) {
+        while let Some(load) = self.undeliverable_loads.pop() {
+            let event = Event::OrderDone {
+                worker: load.worker,
+                function: load.function,
+                outcome: Outcome::NotSent,
+                latency: 0,
+                instances: 0,
+            };
+            self.notify_router(event, commands);
+        }
+    }
+
+    fn function_name(&self, function: FunctionId) -> Option<String> {
+        self.function_names.name(function.0).map(str::to_string)
+    }
+
+    fn names_of(&self, worker: WorkerId, function: FunctionId) -> Option<(String, String)> {
+        self.worker_name(worker).zip(self.function_name(function))
     }
 
-    /// Workers whose last order was in vain: their names, the function's, and what came of it.
+    /// Workers whose last load left no instance: their names, the name of its function, and what is known of it.
     pub fn missing_functions(&self) -> impl Iterator<Item = (String, String, &MissingFunction)> {
-        self.lacking
-            .iter()
-            .filter_map(|(w, l)| self.names_of(w, l.function).map(|(w, f)| (w, f, l)))
+        self.missing_functions.iter().filter_map(|(id, missing)| {
+            let (worker, function) = self.names_of(id, missing.function)?;
+            Some((worker, function, missing))
+        })
     }
 }
--- /dev/null
+++ b/decide/dispatch/src/request_table/functions.rs
@@ -0,0 +1,84 @@
+//! Functions learned from calls, and names that are no longer used.
+
+use super::Dispatcher;
+use crate::config::FunctionSpec;
+use crate::message::Call;
+use std::collections::BTreeSet;
+use tansyrouter::{FunctionId, Span, SECOND};
+
+/// Idle lives over which a function may stay uncalled ...
+const UNUSED_IDLE_LIVES: Span = 4;
+/// ... and how much longer its name is kept than the router keeps it.
+const UNUSED_MARGIN: Span = 5 * SECOND;
+
+impl Dispatcher {
+    /// The function of a call: one of the settings, or one that calls have described.
+    pub(super) fn resolve_function(&mut self, call: &Call) -> Option<FunctionId> {
+        let known = self.function_names.find(&call.function).map(FunctionId);
+        let Some(shape) = call.shape else {
+            return known;
+        };
+        let id = match known {
+            Some(id) => id,
+            None => FunctionId(self.function_names.intern(&call.function).ok()?),
+        };
+        if known.is_none() || self.learned_functions.contains_key(&id) {
+            self.learned_functions.insert(id, self.now);
+            let spec = self
+                .function_specs
+                .entry(id)
+                .or_insert_with(|| FunctionSpec {
+                    name: call.function.clone(),
+                    class: 0,
+                    lanes: shape.lanes,
+                    memory_mb: shape.memory_mb,
+                    load_time: shape.load_time,
+                    versions: Vec::new(),
+                });
+            spec.lanes = shape.lanes;
+            spec.memory_mb = shape.memory_mb;
+            spec.load_time = shape.load_time;
+        }
+        Some(id)
+    }
+
+    /// Notes that a learned function is in use, so that its name is kept.
+    pub(super) fn mark_used(&mut self, function: FunctionId) {
+        if let Some(last_used) = self.learned_functions.get_mut(&function) {
+            *last_used = self.now;
+        }
+    }
+
+    /// Removes learned functions that the router has forgotten, and workers that are gone and have nothing out.
+    pub(super) fn remove_unused_names(&mut self) {
+        let settings = &self.config.settings;
+        let keep_for = settings
+            .idle_life
+            .saturating_mul(UNUSED_IDLE_LIVES)
+            .max(settings.order_timeout)
+            + UNUSED_MARGIN;
+        let mut functions_in_use: BTreeSet<u64> =
+            self.calls.values().map(|call| call.function.0).collect();
+        let mut workers_in_use: BTreeSet<u64> = self.worker_states.keys().map(|w| w.0).collect();
+        let attempts = self.calls.values().filter_map(|call| call.attempt.as_ref());
+        workers_in_use.extend(attempts.map(|attempt| attempt.worker.0));
+        for request in self.control_requests.values() {
+            functions_in_use.insert(request.function.0);
+            workers_in_use.insert(request.worker.0);
+        }
+        let now = self.now;
+        let names = &mut self.function_names;
+        let specs = &mut self.function_specs;
+        let activity = &mut self.function_activity;
+        self.learned_functions.retain(|function, last_used| {
+            let in_use = functions_in_use.contains(&function.0) || now.since(*last_used) < keep_for;
+            if !in_use {
+                names.forget(function.0);
+                specs.remove(function);
+                activity.remove(function);
+            }
+            in_use
+        });
+        self.worker_names.retain(|id| workers_in_use.contains(&id));
+    }
+}
--- a/decide/dispatch/src/request_table/guards.rs
+++ b/decide/dispatch/src/request_table/guards.rs
@@ -1,12 +1,15 @@
-//! The guards: whether an attempt may be sent, a request repeated, a load started. Each has its one home here. They are asked
+//! The guards: whether an attempt may be sent, a call repeated, a load started. Each is written once, here. They are checked
 //! where something is decided, and once more as its bytes are about to leave, which can be long after.
 
-use super::*;
+use super::entries::{AttemptPhase, ControlKind, OpenCall};
+use super::Dispatcher;
+use crate::message::{CallId, ControlRequestId};
+use tansyrouter::{Effect, Span, Time, WorkerId, WorkerState};
 
-/// Why something is held back.
+/// Why something may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DenialReason {
-    /// There is no such call, attempt or order any more.
+    /// There is no such call, attempt or control request any more.
     NotFound,
     /// The call has its answer, or its client has gone.
     Concluded,
@@ -44,7 +47,7 @@
         let attempt = call
             .attempt
             .as_ref()
-            .filter(|a| a.number == attempt)
+            .filter(|current| current.number == attempt)
             .ok_or(DenialReason::NotFound)?;
         if call.answered {
             return Err(DenialReason::Concluded);
@@ -52,7 +55,10 @@
         if now >= call.deadline {
             return Err(DenialReason::Expired);
         }
-        if !matches!(attempt.phase, Phase::Opening | Phase::Confirming) {
+        if !matches!(
+            attempt.phase,
+            AttemptPhase::Opening | AttemptPhase::Confirming
+        ) {
             return Err(DenialReason::InProgress);
         }
         self.may_use(attempt.worker)?;
@@ -74,7 +80,7 @@
     }
 
     /// Whether a further attempt at a call may begin, for all that its earlier ones may have done.
-    pub(super) fn may_repeat(&self, now: Time, call: &OpenCall) -> Result<(), DenialReason> {
+    fn may_repeat(&self, now: Time, call: &OpenCall) -> Result<(), DenialReason> {
         let Some(first) = call.ran_from else {
             return Ok(());
         };
@@ -88,28 +94,28 @@
 
     /// Whether a worker takes new work.
     pub(super) fn may_use(&self, worker: WorkerId) -> Result<(), DenialReason> {
-        match self.states.get(&worker) {
+        match self.worker_states.get(&worker) {
             Some(WorkerState::Ready) => Ok(()),
             _ => Err(DenialReason::WorkerNotReady),
         }
     }
 
-    /// Whether an order is one to load, and not just to ask.
+    /// Whether a control request is to load, and not just to ask how many instances there are.
     pub fn is_load(&self, request: ControlRequestId) -> bool {
-        self.order_list
+        self.control_requests
             .get(&request)
-            .is_some_and(|o| o.kind == OrderKind::Load && o.instances > 0)
+            .is_some_and(|request| request.kind == ControlKind::Load && request.instances > 0)
     }
 
-    /// Whether an order may leave at this moment. Asking costs nothing and is free at any time.
+    /// Whether a control request may leave at this moment. Asking costs nothing and is free at any time.
     pub fn may_send_control(&self, request: ControlRequestId) -> Result<(), DenialReason> {
-        let order = self
-            .order_list
+        let request = self
+            .control_requests
             .get(&request)
             .ok_or(DenialReason::NotFound)?;
-        match order.kind {
-            OrderKind::Load if order.instances > 0 => self.may_use(order.worker),
-            OrderKind::Load | OrderKind::Probe | OrderKind::Unload => Ok(()),
+        match request.kind {
+            ControlKind::Load if request.instances > 0 => self.may_use(request.worker),
+            ControlKind::Load | ControlKind::Probe | ControlKind::Unload => Ok(()),
         }
     }
 }
--- a/decide/dispatch/src/request_table/lookups.rs
+++ b/decide/dispatch/src/request_table/lookups.rs
@@ -1,210 +1,212 @@
-//! Functions whose settings are not part of a version: their calls come with what was found of them, and wait where that is
-//! not known yet.
+//! Functions that the settings do not name: their calls come with the result of a lookup, and wait while there is none
+//! yet.
 
-use super::*;
-use crate::message::FunctionLookup;
+use super::entries::ResolvedFunction;
+use super::Dispatcher;
+use crate::message::{Answer, Call, CallId, Command, FunctionLookup};
 use crate::pending_lookups::{LookupResult, WaitEnd, WaitRefusal};
+use tansyrouter::{FunctionId, Span};
 
 impl Dispatcher {
-    /// Whether the settings in use name this function.
+    /// Whether the settings in force name this function.
     pub fn is_configured(&self, function: &str) -> bool {
-        self.functions
+        self.function_names
             .find(function)
-            .is_some_and(|id| !self.learned.contains_key(&FunctionId(id)))
+            .is_some_and(|id| !self.learned_functions.contains_key(&FunctionId(id)))
     }
 
-    /// Functions whose calls wait until something is found of them.
+    /// Functions whose calls wait for the result of a lookup.
     pub fn awaited_functions(&self) -> impl Iterator<Item = &str> {
-        self.parked.functions()
+        self.pending_lookups.functions()
     }
 
-    /// Calls that wait so. They are taken, or not, when that has ended.
+    /// Calls that wait for the result of a lookup. They are accepted or refused when they no longer wait.
     pub fn pending_calls(&self) -> usize {
-        self.parked.len()
+        self.pending_lookups.len()
     }
 
-    pub(super) fn on_looked(&mut self, call: Call, found: FunctionLookup, out: &mut Vec<Command>) {
-        if self.calls.contains_key(&call.id) || self.parked.contains(call.id) {
+    pub(super) fn on_call_looked_up(
+        &mut self,
+        call: Call,
+        lookup: FunctionLookup,
+        commands: &mut Vec<Command>,
+    ) {
+        let id = call.id;
+        if self.calls.contains_key(&id) || self.pending_lookups.contains(id) {
             return;
         }
-        match found {
+        match lookup {
             FunctionLookup::Known { class, shape } => {
-                self.arrive(call, Some((class, shape)), 0, out)
-            }
-            FunctionLookup::Refused => self.untold(call.id, self.till_known(), out),
-            FunctionLookup::Unknown => self.nameless(call.id, out),
-            FunctionLookup::Pending if self.closing => self.turn_back(call.id, 0, out),
-            FunctionLookup::Pending
-                if self.calls.len() + self.parked.len() >= self.config.settings.max_held =>
-            {
-                self.turn_back(call.id, self.till_known(), out);
-            }
-            FunctionLookup::Pending => {
-                let own = self.may_wait(&call);
-                let mut ends = Vec::new();
-                self.parked.add(self.now, call, own, &mut ends);
-                self.unpark(ends, None, out);
+                let resolved = ResolvedFunction { class, shape };
+                self.admit(call, Some(resolved), 0, commands);
             }
+            FunctionLookup::Refused => self.refuse_conflicting_lookup(id, commands),
+            FunctionLookup::Unknown => self.answer_unknown_function(id, commands),
+            FunctionLookup::Pending => self.await_lookup(call, commands),
+        }
+    }
+
+    fn await_lookup(&mut self, call: Call, commands: &mut Vec<Command>) {
+        let open = self.calls.len() + self.pending_lookups.len();
+        if self.shutting_down {
+            self.refuse_waiting(call.id, 0, commands);
+        } else if open >= self.config.settings.max_held {
+            self.refuse_waiting(call.id, self.conflict_retry_after(), commands);
+        } else {
+            let max_wait = self.lookup_wait_limit(&call);
+            let mut ends = Vec::new();
+            self.pending_lookups
+                .add(self.now, call, max_wait, &mut ends);
+            self.end_waits(ends, None, commands);
         }
     }
 
-    pub(super) fn on_found(
+    pub(super) fn on_function_resolved(
         &mut self,
         function: &str,
-        found: FunctionLookup,
-        out: &mut Vec<Command>,
+        lookup: FunctionLookup,
+        commands: &mut Vec<Command>,
     ) {
-        let learned = match found {
+        let result = match lookup {
             FunctionLookup::Pending => return,
             FunctionLookup::Refused => LookupResult::Refuse,
             FunctionLookup::Known { .. } | FunctionLookup::Unknown => LookupResult::Proceed,
         };
         let mut ends = Vec::new();
-        self.parked.resolve(self.now, function, learned, &mut ends);
-        self.unpark(ends, Some(found), out);
+        self.pending_lookups
+            .resolve(self.now, function, result, &mut ends);
+        self.end_waits(ends, Some(lookup), commands);
     }
 
     /// Ends the waits whose limit has come.
-    pub(super) fn parked_due(&mut self, out: &mut Vec<Command>) {
-        if self.parked.next_due().is_some_and(|t| t <= self.now) {
+    pub(super) fn expire_pending_lookups(&mut self, commands: &mut Vec<Command>) {
+        let due = self.pending_lookups.next_due();
+        if due.is_some_and(|at| at <= self.now) {
             let mut ends = Vec::new();
-            self.parked.expire(self.now, &mut ends);
-            self.unpark(ends, None, out);
+            self.pending_lookups.expire(self.now, &mut ends);
+            self.end_waits(ends, None, commands);
         }
     }
 
-    /// Nothing was sent for those that wait: another front end may take them at once.
-    pub(super) fn close_parked(&mut self, out: &mut Vec<Command>) {
+    /// Nothing was sent for the calls that wait: another front end may take them at once.
+    pub(super) fn close_pending_lookups(&mut self, commands: &mut Vec<Command>) {
         let mut ends = Vec::new();
-        self.parked.close(&mut ends);
-        self.unpark(ends, None, out);
+        self.pending_lookups.close(&mut ends);
+        self.end_waits(ends, None, commands);
     }
 
-    fn unpark(
+    fn end_waits(
         &mut self,
         ends: Vec<WaitEnd>,
-        found: Option<FunctionLookup>,
-        out: &mut Vec<Command>,
+        lookup: Option<FunctionLookup>,
+        commands: &mut Vec<Command>,
     ) {
         for end in ends {
-            match (end, found) {
-                (
-                    WaitEnd::Release { call, waited },
-                    Some(FunctionLookup::Known { class, shape }),
-                ) => {
-                    self.awaited(Ok(()), waited);
-                    self.arrive(call, Some((class, shape)), waited, out);
-                }
-                (WaitEnd::Release { call, waited }, _) => {
-                    let refused = self.conflicting.unknown_names.then(|| Answer::Refused {
-                        retry_after: self.till_known(),
-                    });
-                    self.awaited(
-                        Err(Some(refused.unwrap_or(Answer::UnknownFunction))),
-                        waited,
-                    );
-                    self.nameless(call.id, out);
-                }
-                (
-                    WaitEnd::Refuse {
-                        call,
-                        reason: WaitRefusal::ShuttingDown,
-                    },
-                    _,
-                ) => self.turn_back(call, 0, out),
-                (
-                    WaitEnd::Refuse {
-                        call,
-                        reason: WaitRefusal::Full,
-                    },
-                    _,
-                ) => {
-                    self.turn_back(call, self.till_known(), out);
-                }
-                (
-                    WaitEnd::Refuse {
-                        call,
-                        reason: WaitRefusal::TimedOut | WaitRefusal::Lookup,
-                    },
-                    _,
-                ) => {
-                    self.untold(call, self.till_known(), out);
-                }
+            match end {
+                WaitEnd::Release { call, waited } => self.release(call, waited, lookup, commands),
+                WaitEnd::Refuse { call, reason } => match reason {
+                    WaitRefusal::ShuttingDown => self.refuse_waiting(call, 0, commands),
+                    WaitRefusal::Full => {
+                        self.refuse_waiting(call, self.conflict_retry_after(), commands)
+                    }
+                    WaitRefusal::TimedOut | WaitRefusal::Lookup => {
+                        self.refuse_conflicting_lookup(call, commands)
+                    }
+                },
             }
         }
     }
 
-    /// How long a call may wait by its own time: what is kept back for the answer's way is not waited for. One that tells no
-    /// time, and no class either, may be of any class.
-    fn may_wait(&self, call: &Call) -> Span {
+    /// A call goes on after its wait, with the result of the lookup.
+    fn release(
+        &mut self,
+        call: Call,
+        waited: Span,
+        lookup: Option<FunctionLookup>,
+        commands: &mut Vec<Command>,
+    ) {
+        if let Some(FunctionLookup::Known { class, shape }) = lookup {
+            self.count_lookup_wait(Ok(()), waited);
+            let resolved = ResolvedFunction { class, shape };
+            return self.admit(call, Some(resolved), waited, commands);
+        }
+        let answer = if self.conflicting.unknown_names {
+            let retry_after = self.conflict_retry_after();
+            Answer::Refused { retry_after }
+        } else {
+            Answer::UnknownFunction
+        };
+        self.count_lookup_wait(Err(Some(answer)), waited);
+        self.answer_unknown_function(call.id, commands);
+    }
+
+    /// How long a call may wait by its own time: what is kept back for the way of its answer is not waited for. One that
+    /// states no time, and no class either, may be of any class.
+    fn lookup_wait_limit(&self, call: &Call) -> Span {
         let classes = &self.config.settings.classes;
-        let of = |c: usize| classes.get(c).map(|c| c.deadline);
-        let least = || self.places.iter().filter_map(|p| of(*p)).min().unwrap_or(0);
-        let told = call
+        let deadline = |class: usize| classes.get(class).map(|class| class.deadline);
+        let least = || {
+            let all = self.class_indices.iter();
+            all.filter_map(|class| deadline(*class)).min().unwrap_or(0)
+        };
+        let stated = call
             .budget
-            .or_else(|| call.class.and_then(of))
+            .or_else(|| call.class.and_then(deadline))
             .unwrap_or_else(least);
-        self.budget(told)
+        self.usable_budget(stated)
     }
 
-    /// What front ends can't know that they agree on is refused, with advice.
-    pub(super) fn unsure(&mut self, id: CallId, out: &mut Vec<Command>) {
+    /// Refuses a call, with advice, because front ends can't be sure that they agree on it.
+    fn refuse_conflicting(&mut self, id: CallId, commands: &mut Vec<Command>) {
         self.counters.conflicting += 1;
-        self.turn_away(id, self.till_known(), out);
+        self.refuse_unadmitted(id, self.conflict_retry_after(), commands);
     }
 
-    /// Advice: what is not known now may be by then.
-    pub(super) fn till_known(&self) -> Span {
+    /// Advice to clients: what is not known now may be known by then.
+    pub(super) fn conflict_retry_after(&self) -> Span {
         self.conflicting
             .retry_after
             .min(self.config.settings.max_stay_away)
     }
 
-    /// A call of a function that is not there; a version that can't be known may have it.
-    pub(super) fn nameless(&mut self, id: CallId, out: &mut Vec<Command>) {
+    /// A call of a function that does not exist; a version that can't be known may have it.
+    pub(super) fn answer_unknown_function(&mut self, id: CallId, commands: &mut Vec<Command>) {
         if self.conflicting.unknown_names {
-            return self.unsure(id, out);
+            return self.refuse_conflicting(id, commands);
         }
         self.counters.unknown_function += 1;
-        out.push(Command::Answer {
+        commands.push(Command::Answer {
             call: id,
             answer: Answer::UnknownFunction,
         });
     }
 
     /// A call whose function's settings are not known here is refused: counted by itself, since its class is one of them.
-    fn untold(&mut self, id: CallId, stay_away: Span, out: &mut Vec<Command>) {
+    fn refuse_conflicting_lookup(&mut self, id: CallId, commands: &mut Vec<Command>) {
         self.counters.conflicting += 1;
-        self.turn_back(id, stay_away, out);
+        self.refuse_waiting(id, self.conflict_retry_after(), commands);
     }
 
-    /// The same where nothing is contested.
-    fn turn_back(&mut self, id: CallId, stay_away: Span, out: &mut Vec<Command>) {
-        self.awaited(
-            Err(Some(Answer::Refused {
-                retry_after: stay_away,
-            })),
-            0,
-        );
-        self.turn_away(id, stay_away, out);
+    /// The same where nothing is in conflict.
+    fn refuse_waiting(&mut self, id: CallId, retry_after: Span, commands: &mut Vec<Command>) {
+        self.count_lookup_wait(Err(Some(Answer::Refused { retry_after })), 0);
+        self.refuse_unadmitted(id, retry_after, commands);
     }
 
-    /// A call's wait for its function's settings has this end.
-    pub(super) fn awaited(&mut self, end: Result<(), Option<Answer>>, took: Span) {
-        if let Some(counts) = &mut self.counts {
-            counts.record_lookup_wait(end, took);
+    /// A call's wait for the settings of its function has this end.
+    pub(super) fn count_lookup_wait(&mut self, end: Result<(), Option<Answer>>, waited: Span) {
+        if let Some(counters) = &mut self.class_counters {
+            counters.record_lookup_wait(end, waited);
         }
     }
 
-    /// Refuses a call that never came as far as the module.
-    fn turn_away(&mut self, id: CallId, stay_away: Span, out: &mut Vec<Command>) {
+    /// Refuses a call of which the router has not learned.
+    fn refuse_unadmitted(&mut self, id: CallId, retry_after: Span, commands: &mut Vec<Command>) {
         self.counters.accepted += 1;
         self.counters.refused += 1;
-        out.push(Command::Answer {
+        commands.push(Command::Answer {
             call: id,
-            answer: Answer::Refused {
-                retry_after: stay_away,
-            },
+            answer: Answer::Refused { retry_after },
         });
     }
 }
--- /dev/null
+++ b/decide/dispatch/src/request_table/routing.rs
@@ -0,0 +1,66 @@
+//! Events to the router and the actions that it answers with.
+
+use super::entries::{ControlKind, TimerEvent};
+use super::Dispatcher;
+use crate::message::{Answer, CallId, Command, FailureReason};
+use tansyrouter::{Action, Event, FunctionId, Outcome};
+
+impl Dispatcher {
+    /// Gives the router an event and carries out its actions, in their order.
+    pub(super) fn notify_router(&mut self, event: Event, commands: &mut Vec<Command>) {
+        let mut actions = std::mem::take(&mut self.actions);
+        self.router.handle(self.now, event, &mut actions);
+        for action in actions.drain(..) {
+            self.perform(action, commands);
+        }
+        self.actions = actions;
+    }
+
+    fn perform(&mut self, action: Action, commands: &mut Vec<Command>) {
+        match action {
+            Action::Send {
+                request,
+                worker,
+                give_up,
+            } => self.send_attempt(CallId(request.0), worker, give_up, commands),
+            Action::Refuse { request, stay_away } => {
+                let id = CallId(request.0);
+                let retry_after = self.retry_advice(id, stay_away);
+                self.answer(id, Answer::Refused { retry_after }, commands)
+            }
+            Action::Fail { request } => {
+                let id = CallId(request.0);
+                let reason = self
+                    .calls
+                    .get(&id)
+                    .map_or(FailureReason::Deadline, |call| self.failure_reason(call));
+                self.answer(id, Answer::Failed(reason), commands)
+            }
+            Action::Cancel { request, attempt } => {
+                let id = CallId(request.0);
+                let current = self.calls.get(&id).and_then(|call| call.attempt.as_ref());
+                if current.is_some_and(|current| current.number == attempt) {
+                    self.cancel_attempt(id, Outcome::Cancelled, commands);
+                }
+            }
+            Action::Probe { worker } => {
+                self.send_control_request(ControlKind::Probe, worker, FunctionId(0), 0, commands)
+            }
+            Action::Load {
+                worker,
+                function,
+                instances,
+            } => {
+                self.send_control_request(ControlKind::Load, worker, function, instances, commands)
+            }
+            Action::Unload { worker, function } => {
+                self.send_control_request(ControlKind::Unload, worker, function, 0, commands)
+            }
+            Action::SetTimer { at, token } => {
+                self.timers.set(at.0, TimerEvent::Router(token));
+            }
+            Action::FetchList => commands.push(Command::FetchWorkerList),
+            Action::Subscribe => commands.push(Command::SubscribeWorkerList),
+        }
+    }
+}
--- a/decide/dispatch/src/request_table/workers.rs
+++ b/decide/dispatch/src/request_table/workers.rs
@@ -1,108 +1,121 @@
-//! The list of workers, and what it means for attempts and orders that have not left.
+//! The list of workers, and what it means for attempts and control requests that have not left.
 
-use super::*;
+use super::entries::{AttemptPhase, OpenCall};
+use super::Dispatcher;
+use crate::message::{CallId, Command, WorkerRecord};
+use std::collections::BTreeSet;
+use tansyrouter::{Event, ListKind, Time, WorkerEntry, WorkerId, WorkerState, SECOND};
 
 impl Dispatcher {
-    pub(super) fn on_list(&mut self, whole: bool, list: Vec<WorkerRecord>, out: &mut Vec<Command>) {
-        let mut entries = Vec::with_capacity(list.len());
+    pub(super) fn on_worker_list(
+        &mut self,
+        full: bool,
+        workers: Vec<WorkerRecord>,
+        commands: &mut Vec<Command>,
+    ) {
+        let mut entries = Vec::with_capacity(workers.len());
         let mut named = BTreeSet::new();
-        for l in list {
-            // Two names with one number would be one worker for the module: the later one is left out.
-            let Ok(id) = self.workers.intern(&l.name) else {
+        for record in workers {
+            // Two names with one number would be one worker for the router: the later one is left out.
+            let Ok(id) = self.worker_names.intern(&record.name) else {
                 continue;
             };
             let worker = WorkerId(id);
-            let state = match l.state {
+            let state = match record.state {
                 0 => WorkerState::Ready,
                 1 => WorkerState::Draining,
                 _ => WorkerState::Gone,
             };
-            let started = l
+            let started = record
                 .age
-                .map(|age| self.since(worker, self.now.plus(-age.max(0))));
+                .map(|age| self.stable_start(worker, self.now.plus(-age.max(0))));
             named.insert(worker);
-            self.note_state(worker, state, out);
-            let share = l.relative_size;
-            entries.push(module::WorkerEntry {
+            self.set_worker_state(worker, state, commands);
+            entries.push(WorkerEntry {
                 worker,
-                kind: l.kind,
-                cell: l.cell,
-                zone: l.zone,
+                kind: record.kind,
+                cell: record.cell,
+                zone: record.zone,
                 state,
                 started,
-                share,
+                share: record.relative_size,
             });
         }
-        if whole {
-            let left: Vec<WorkerId> = self
-                .states
+        if full {
+            let unnamed: Vec<WorkerId> = self
+                .worker_states
                 .keys()
                 .copied()
-                .filter(|w| !named.contains(w))
+                .filter(|worker| !named.contains(worker))
                 .collect();
-            for worker in left {
-                self.note_state(worker, WorkerState::Gone, out);
+            for worker in unnamed {
+                self.set_worker_state(worker, WorkerState::Gone, commands);
             }
         }
-        let kind = if whole {
+        let kind = if full {
             ListKind::Full
         } else {
             ListKind::Changes
         };
-        self.tell(Event::Workers { kind, entries }, out);
+        self.notify_router(Event::Workers { kind, entries }, commands);
     }
 
-    /// A worker's start as one moment: its age, read at different times, wavers by the list's way, and a start
-    /// that wavers would look like a restart.
-    pub(super) fn since(&mut self, worker: WorkerId, at: Time) -> Time {
-        let known = self.started.get(&worker).copied();
+    /// A worker's start as one moment: its age, read at different times, varies with the way of the list, and a start
+    /// that varies would look like a restart.
+    fn stable_start(&mut self, worker: WorkerId, at: Time) -> Time {
+        let known = self.worker_starts.get(&worker).copied();
         let start = known
-            .filter(|t| at.since(*t).abs() < SECOND / 2)
+            .filter(|known| at.since(*known).abs() < SECOND / 2)
             .unwrap_or(at);
-        self.started.insert(worker, start);
+        self.worker_starts.insert(worker, start);
         start
     }
 
-    pub(super) fn note_state(
+    fn set_worker_state(
         &mut self,
         worker: WorkerId,
         state: WorkerState,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
-        let before = self.states.insert(worker, state);
+        let before = self.worker_states.insert(worker, state);
         if state == WorkerState::Gone {
-            if before.is_some_and(|b| b != WorkerState::Gone) {
-                out.extend(
-                    self.name(worker)
-                        .map(|worker| Command::RetireWorker { worker }),
-                );
+            if before.is_some_and(|before| before != WorkerState::Gone) {
+                let name = self.worker_name(worker);
+                commands.extend(name.map(|worker| Command::RetireWorker { worker }));
             }
-            self.states.remove(&worker);
-            self.lacking.remove_worker(worker);
-            self.started.remove(&worker);
+            self.worker_states.remove(&worker);
+            self.missing_functions.remove_worker(worker);
+            self.worker_starts.remove(&worker);
         }
         if state != WorkerState::Ready {
-            // Rule 3: an attempt that has not left yet may not leave late.
-            let opening = self.calls.iter().filter(|(_, c)| {
-                c.attempt
-                    .as_ref()
-                    .is_some_and(|a| a.worker == worker && a.phase == Phase::Opening)
-            });
-            let mut opening: Vec<CallId> = opening.map(|(id, _)| *id).collect();
-            opening.sort();
-            for id in opening {
-                self.confirm(id, out);
-            }
-            // Nor may an order to load; asking is free at any time.
-            let loads = self
-                .order_list
-                .iter()
-                .filter(|(_, o)| o.worker == worker && o.instances > 0);
-            out.extend(loads.map(|(order, _)| Command::RecallUnsent { request: *order }));
+            self.stop_unsent_work(worker, commands);
+        }
+    }
+
+    /// Rule 3: what has not left yet for a worker that takes no work may not leave late. Only asking is free at any time.
+    fn stop_unsent_work(&mut self, worker: WorkerId, commands: &mut Vec<Command>) {
+        let opening = |call: &OpenCall| {
+            let attempt = call.attempt.as_ref();
+            attempt.is_some_and(|a| a.worker == worker && a.phase == AttemptPhase::Opening)
+        };
+        let mut unsent: Vec<CallId> = self
+            .calls
+            .iter()
+            .filter(|(_, call)| opening(call))
+            .map(|(id, _)| *id)
+            .collect();
+        unsent.sort();
+        for id in unsent {
+            self.confirm_attempt(id, commands);
         }
+        let loads = self
+            .control_requests
+            .iter()
+            .filter(|(_, request)| request.worker == worker && request.instances > 0);
+        commands.extend(loads.map(|(id, _)| Command::RecallUnsent { request: *id }));
     }
 
-    pub(super) fn name(&self, worker: WorkerId) -> Option<String> {
-        self.workers.name(worker.0).map(str::to_string)
+    pub(super) fn worker_name(&self, worker: WorkerId) -> Option<String> {
+        self.worker_names.name(worker.0).map(str::to_string)
     }
 }
