--- a/benches/state/src/letters.rs
+++ b/benches/state/src/letters.rs
@@ -79,7 +79,7 @@
     let mut stream = Assembler::new(MAX_MESSAGE_BYTES);
     stream.push(&frame(letter));
     let whole = stream
-        .take()
+        .next_message()
         .map_err(|e| format!("{e:?}"))?
         .ok_or("the stream ends within it")?;
     decode_message(FLEET, &whole)
--- a/net/grpc/src/link.rs
+++ b/net/grpc/src/link.rs
@@ -48,11 +48,11 @@
 
 /// Why there is no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoConnection {
+pub enum ConnectError {
     /// Refused, unreachable, or ended in the handshake.
     Refused,
     /// Given up by us.
-    GivenUp,
+    Abandoned,
 }
 
 enum State {
@@ -63,7 +63,7 @@
     },
     Up(Connection),
     /// The last try's end, for those that waited for it.
-    Failed(NoConnection, u64),
+    Failed(ConnectError, u64),
 }
 
 /// A link to one server.
@@ -102,7 +102,7 @@
     }
 
     /// Ends the connection at once: nothing more leaves on it; a try to connect is given up.
-    pub fn drop_now(&self) {
+    pub fn drop_connection(&self) {
         let mut state = self.state.borrow_mut();
         match &mut *state {
             State::Up(c) => {
@@ -111,7 +111,7 @@
             }
             State::Connecting { waiting, attempt } => {
                 let (waiting, attempt) = (std::mem::take(waiting), *attempt);
-                *state = State::Failed(NoConnection::GivenUp, attempt);
+                *state = State::Failed(ConnectError::Abandoned, attempt);
                 waiting.into_iter().for_each(Waker::wake);
             }
             State::Idle | State::Failed(..) => {}
@@ -165,7 +165,7 @@
                         driver = Some(drive);
                         State::Up(connection)
                     }
-                    Err(_) => State::Failed(NoConnection::Refused, attempt),
+                    Err(_) => State::Failed(ConnectError::Refused, attempt),
                 };
                 waiting.into_iter().for_each(Waker::wake);
             }
@@ -240,7 +240,7 @@
 }
 
 impl Future for Connected {
-    type Output = Result<Connection, NoConnection>;
+    type Output = Result<Connection, ConnectError>;
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
         match &mut *self.link.state.borrow_mut() {
             State::Up(c) => Poll::Ready(Ok(c.clone())),
@@ -254,7 +254,7 @@
             }
             State::Failed(why, attempt) if *attempt == self.attempt => Poll::Ready(Err(*why)),
             // A later try runs: this one's end is past.
-            _ => Poll::Ready(Err(NoConnection::GivenUp)),
+            _ => Poll::Ready(Err(ConnectError::Abandoned)),
         }
     }
 }
--- a/net/grpc/src/server.rs
+++ b/net/grpc/src/server.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 use std::time::Duration;
-use tansy_frames::grpc::{encode_message, frame, Assembler, BadFrame, Code};
+use tansy_frames::grpc::{encode_message, frame, Assembler, Code, FrameError};
 use tansy_net_sockets::interrupt::Uninterrupted;
 use tansy_net_sockets::socket::Socket;
 use tansy_net_sockets::{within, Spawner, Yield};
@@ -150,13 +150,13 @@
     }
 
     /// Ends every connection that stands at once, with all that is open on it.
-    pub fn cut(&self) {
+    pub fn drop_connections(&self) {
         self.cuts.set(self.cuts.get() + 1);
         self.wake_all();
     }
 
     /// Tells the clients of the connections that stand to open no new stream there; new connections are taken.
-    pub fn shed(&self) {
+    pub fn drain_connections(&self) {
         self.sheds.set(self.sheds.get() + 1);
         self.wake_all();
     }
@@ -297,13 +297,13 @@
 
 /// Why a request's messages ended early.
 #[derive(Debug)]
-pub enum BadStream {
+pub enum StreamError {
     /// The client cancelled, or its connection ended.
-    Gone,
+    ClientLeft,
     /// What came is no message.
-    Frame(BadFrame),
+    Frame(FrameError),
     /// The stream ended within a message.
-    CutShort,
+    Truncated,
     /// A unary request of two messages.
     SecondMessage,
 }
@@ -329,11 +329,11 @@
         &mut self,
         first: &mut Option<Bytes>,
         cx: &mut std::task::Context<'_>,
-    ) -> Poll<Result<Option<Bytes>, BadStream>> {
+    ) -> Poll<Result<Option<Bytes>, StreamError>> {
         loop {
             match std::task::ready!(self.poll_next(cx)) {
                 Ok(Some(message)) if first.is_none() => *first = Some(message),
-                Ok(Some(_)) => return Poll::Ready(Err(BadStream::SecondMessage)),
+                Ok(Some(_)) => return Poll::Ready(Err(StreamError::SecondMessage)),
                 Ok(None) => return Poll::Ready(Ok(first.take())),
                 Err(bad) => return Poll::Ready(Err(bad)),
             }
@@ -344,12 +344,12 @@
     pub fn poll_next(
         &mut self,
         cx: &mut std::task::Context<'_>,
-    ) -> Poll<Result<Option<Bytes>, BadStream>> {
+    ) -> Poll<Result<Option<Bytes>, StreamError>> {
         loop {
-            match self.assembler.take() {
+            match self.assembler.next_message() {
                 Ok(Some(message)) => return Poll::Ready(Ok(Some(message))),
                 Ok(None) => {}
-                Err(e) => return Poll::Ready(Err(BadStream::Frame(e))),
+                Err(e) => return Poll::Ready(Err(StreamError::Frame(e))),
             }
             match self.body.poll_data(cx) {
                 Poll::Pending => return Poll::Pending,
@@ -358,9 +358,9 @@
                     // Fails only on more than was read.
                     let _ = self.body.flow_control().release_capacity(bytes.len());
                 }
-                Poll::Ready(Some(Err(_))) => return Poll::Ready(Err(BadStream::Gone)),
+                Poll::Ready(Some(Err(_))) => return Poll::Ready(Err(StreamError::ClientLeft)),
                 Poll::Ready(None) if self.assembler.is_empty() => return Poll::Ready(Ok(None)),
-                Poll::Ready(None) => return Poll::Ready(Err(BadStream::CutShort)),
+                Poll::Ready(None) => return Poll::Ready(Err(StreamError::Truncated)),
             }
         }
     }
--- a/net/inference/src/clients.rs
+++ b/net/inference/src/clients.rs
@@ -13,11 +13,11 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 use tansy_dispatch::{Call, CallId};
-use tansy_frames::grpc::{frame, timeout, BadFrame, Code};
+use tansy_frames::grpc::{frame, timeout, Code, FrameError};
 use tansy_inference::inference as pb;
 use tansy_inference::names;
 use tansy_inference::scan;
-use tansy_net_grpc::server::{head, poll_write, refuse, trailers, BadStream, Handler, Messages};
+use tansy_net_grpc::server::{head, poll_write, refuse, trailers, Handler, Messages, StreamError};
 use tansy_net_sockets::within;
 
 /// Calls that may be open on one stream; its further requests are not read until one ends.
@@ -117,22 +117,22 @@
     within(limit, poll_fn(read)).await.unwrap_or_else(late)
 }
 
-fn bad_stream(bad: BadStream) -> Status {
+fn bad_stream(bad: StreamError) -> Status {
     match bad {
-        BadStream::Gone => Status(Code::Cancelled, "the client left".into()),
-        BadStream::SecondMessage => Status(
+        StreamError::ClientLeft => Status(Code::Cancelled, "the client left".into()),
+        StreamError::SecondMessage => Status(
             Code::InvalidArgument,
             "two messages in a unary request".into(),
         ),
-        BadStream::CutShort => Status(
+        StreamError::Truncated => Status(
             Code::InvalidArgument,
             "the stream ended within a message".into(),
         ),
-        BadStream::Frame(bad) => {
+        StreamError::Frame(bad) => {
             let code = match bad {
-                BadFrame::TooLong { .. } => Code::ResourceExhausted,
-                BadFrame::Compressed => Code::Unimplemented,
-                BadFrame::BadFlag(_) => Code::InvalidArgument,
+                FrameError::TooLong { .. } => Code::ResourceExhausted,
+                FrameError::Compressed => Code::Unimplemented,
+                FrameError::UnknownFlag(_) => Code::InvalidArgument,
             };
             Status(code, bad.to_string())
         }
@@ -152,8 +152,8 @@
         };
         let (class, tenant) = (text(&setup.class), text(&setup.tenant));
         let found = self.hub.with_front(|f| {
-            let class = class.as_deref().map(|c| f.class(c));
-            (class, tenant.as_deref().map(|t| f.tenant(t)))
+            let class = class.as_deref().map(|c| f.class_index(c));
+            (class, tenant.as_deref().map(|t| f.tenant_index(t)))
         });
         let unlisted = matches!(found, (Some(None), _) | (_, Some(None)));
         let (class, tenant) = (found.0.flatten(), found.1.flatten().unwrap_or(0));
@@ -172,15 +172,15 @@
         };
         let repeat = self.headers.contains_key("grpc-previous-rpc-attempts");
         Call {
-            call: id,
+            id,
             function: r.model.to_string(),
             class,
             tenant,
             budget,
-            hint: hint.filter(|h| *h > 0).map(|h| h.saturating_mul(1000)),
+            work_hint: hint.filter(|h| *h > 0).map(|h| h.saturating_mul(1000)),
             repeat,
             shape: None,
-            unlisted,
+            unknown_names: unlisted,
             waited: 0,
         }
     }
@@ -262,7 +262,7 @@
                     Poll::Pending => break,
                     Poll::Ready(Ok(Some(message))) => self.request(&message, &sink),
                     Poll::Ready(Ok(None)) => messages = None,
-                    Poll::Ready(Err(BadStream::Gone)) => return Poll::Ready(None),
+                    Poll::Ready(Err(StreamError::ClientLeft)) => return Poll::Ready(None),
                     Poll::Ready(Err(bad)) => {
                         let Status(code, why) = bad_stream(bad);
                         return Poll::Ready(Some(trailers(code, &why)));
@@ -328,7 +328,7 @@
             Ok(match method {
                 "ServerLive" => pb::ServerLiveResponse { live: true }.encode_to_vec(),
                 "ServerReady" => pb::ServerReadyResponse {
-                    ready: front.ready(),
+                    ready: front.is_ready(),
                 }
                 .encode_to_vec(),
                 "ServerMetadata" => pb::ServerMetadataResponse {
@@ -339,7 +339,7 @@
                 .encode_to_vec(),
                 "ModelReady" => {
                     let asked: pb::ModelReadyRequest = read(message)?;
-                    let ready = front.ready() && self.hub.knows(&asked.name);
+                    let ready = front.is_ready() && self.hub.knows(&asked.name);
                     pb::ModelReadyResponse { ready }.encode_to_vec()
                 }
                 "ModelMetadata" => {
@@ -361,7 +361,7 @@
                 "RepositoryIndex" => {
                     let asked: pb::RepositoryIndexRequest = read(message)?;
                     let all = front
-                        .index()
+                        .function_states()
                         .into_iter()
                         .filter(|(_, s)| !asked.ready || *s == "READY");
                     let model = |(f, state): (&tansy_dispatch::FunctionSpec, &str)| {
--- a/programs/day/src/load.rs
+++ b/programs/day/src/load.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 use tansy_frames::grpc::{frame, spell_timeout, Code};
 use tansy_inference::inference as pb;
-use tansy_net_grpc::exchange::{Ending, Exchange, News};
+use tansy_net_grpc::exchange::{Ending, Exchange, ExchangeEvent};
 use tansy_net_grpc::link::{Limits, Link};
 use tansy_net_sockets::Spawner;
 
@@ -301,8 +301,8 @@
     };
     let mut ended = None;
     loop {
-        match poll_fn(|cx| exchange.poll(cx)).await {
-            News::Message(bytes) => {
+        match poll_fn(|cx| exchange.poll_event(cx)).await {
+            ExchangeEvent::Message(bytes) => {
                 first.get_or_insert(began.elapsed().as_micros() as u64);
                 if stream {
                     let m = pb::ModelStreamInferResponse::decode(bytes).unwrap_or_default();
@@ -315,9 +315,9 @@
                 if let Some(span) = slow {
                     spawner.sleep(span).await;
                 }
-                exchange.release();
+                exchange.release_capacity();
             }
-            News::Ended(ending, _) => {
+            ExchangeEvent::Ended(ending, _) => {
                 return match ending {
                     Ending::Status(Code::Ok, _) if stream => ended.unwrap_or(Ended::Failed),
                     Ending::Status(Code::Ok, _) => Ended::Served,
--- a/tests/compatibility/examples/record.rs
+++ b/tests/compatibility/examples/record.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use tansy_compatibility_tests::shape::{shape, Names};
 use tansy_compatibility_tests::{fixture, fleet, inference, json, membership, run, voters};
-use tansy_dispatch::record::Step;
+use tansy_dispatch::record::RecordedStep;
 use tansy_settings::agree;
 use tansy_storage::voter_log::LogStorage;
 
@@ -88,7 +88,7 @@
     let file = "settings-full.cue";
     let version = agree::version(file, &fixture::text(file)).expect("a right file");
     text("settings-full.version", agree::text(&version));
-    let lines = |steps: Vec<Step>| steps.iter().map(|s| s.line() + "\n").collect();
+    let lines = |steps: Vec<RecordedStep>| steps.iter().map(|s| s.to_line() + "\n").collect();
     text("run.jsonl", lines(run::recorded()));
     text("steps.jsonl", lines(run::each_kind()));
     let lines = |lines: Vec<String>| lines.join("\n") + "\n";
--- a/tests/compatibility/src/run.rs
+++ b/tests/compatibility/src/run.rs
@@ -3,10 +3,11 @@
 
 use crate::fixture;
 use std::collections::VecDeque;
-use tansy_dispatch::record::Step;
+use tansy_dispatch::record::RecordedStep;
 use tansy_dispatch::{
-    Answer, Call, CallId, Command, Found, Front, Input, Listed, NeverRan, Note, OrderId, Report,
-    Seen, Shape, Stage, Told, Why,
+    Answer, AttemptOutcome, CacheStatus, Call, CallId, Command, ControlRequestId, Dispatcher,
+    FailureReason, FunctionLookup, FunctionShape, Input, LoadReport, NeverRan, ResponseStage,
+    Trailers, WorkerRecord,
 };
 use tansyrouter::Time;
 
@@ -14,69 +15,75 @@
 const CALLS: u64 = 60;
 
 /// A front end's ledger before the run.
-pub fn front() -> Front {
+pub fn front() -> Dispatcher {
     let settings = tansy_settings::settings("run.cue", &fixture::text("run.cue"));
     let settings = settings.unwrap_or_else(|e| panic!("{e}"));
-    Front::new(settings.front, Time(0)).expect("settings that make sense")
+    Dispatcher::new(settings.front, Time(0)).expect("settings that make sense")
 }
 
-fn listed(n: usize, state: u8) -> Listed {
-    Listed {
+fn listed(n: usize, state: u8) -> WorkerRecord {
+    WorkerRecord {
         name: format!("w{n}"),
         kind: 0,
         cell: 0,
         zone: 0,
         state,
         age: None,
-        share: 1.0,
+        relative_size: 1.0,
     }
 }
 
 fn call(n: u64) -> Call {
     let functions = ["safe", "keyed", "unsafe", "stream"];
     Call {
-        call: CallId(n),
+        id: CallId(n),
         function: functions[n as usize % 4].into(),
         class: None,
         tenant: 0,
         budget: n.is_multiple_of(3).then_some(1_500_000),
-        hint: None,
+        work_hint: None,
         repeat: false,
         shape: None,
-        unlisted: false,
+        unknown_names: false,
         waited: 0,
     }
 }
 
 /// How the n-th attempt or order ends.
-fn end(n: usize) -> (Seen, Told) {
-    let told = Told {
-        note: Note::Warm,
+fn end(n: usize) -> (AttemptOutcome, Trailers) {
+    let told = Trailers {
+        cache_status: CacheStatus::Warm,
         instances: Some(1),
-        ..Told::default()
+        ..Trailers::default()
     };
-    let (code, stage) = (14, Stage::Headers);
+    let (code, stage) = (14, ResponseStage::Headers);
     match n % 11 {
-        1 => (Seen::NeverLeft, Told::default()),
-        3 => (Seen::Cut { stage }, Told::default()),
+        1 => (AttemptOutcome::NeverLeft, Trailers::default()),
+        3 => (AttemptOutcome::ConnectionCut { stage }, Trailers::default()),
         5 => {
             let never_ran = Some(NeverRan::TurnedAway);
-            (Seen::Status { code, stage }, Told { never_ran, ..told })
+            (
+                AttemptOutcome::Status { code, stage },
+                Trailers { never_ran, ..told },
+            )
         }
         _ => {
-            let (code, stage) = (0, Stage::Pieces);
-            (Seen::Status { code, stage }, told)
+            let (code, stage) = (0, ResponseStage::Messages);
+            (AttemptOutcome::Status { code, stage }, told)
         }
     }
 }
 
 /// The steps of the run, as the present program decides.
-pub fn recorded() -> Vec<Step> {
+pub fn recorded() -> Vec<RecordedStep> {
     let mut front = front();
     let (mut steps, mut now) = (Vec::new(), 0);
     let mut inputs: VecDeque<Input> = VecDeque::new();
     let list = (0..4).map(|n| listed(n, 0)).collect();
-    inputs.push_back(Input::Workers { whole: true, list });
+    inputs.push_back(Input::Workers {
+        full: true,
+        workers: list,
+    });
     let (mut calls, mut ends) = (0, 0);
     loop {
         let input = match inputs.pop_front() {
@@ -86,8 +93,8 @@
                 match calls {
                     // One worker drains half-way.
                     n if n == CALLS / 2 => inputs.push_back(Input::Workers {
-                        whole: false,
-                        list: vec![listed(0, 1)],
+                        full: false,
+                        workers: vec![listed(0, 1)],
                     }),
                     n if n.is_multiple_of(13) => inputs.push_back(Input::ClientLeft {
                         call: CallId(n - 1),
@@ -110,21 +117,27 @@
             ends += 1;
             let (seen, told) = end(ends);
             match *command {
-                Command::Open { call, attempt, .. } => inputs.push_back(Input::Ended {
-                    call,
-                    attempt,
-                    seen,
-                    told,
-                }),
-                Command::Probe { order, .. }
-                | Command::Load { order, .. }
-                | Command::Unload { order, .. } => {
-                    inputs.push_back(Input::OrderEnded { order, seen, told })
+                Command::SendAttempt { call, attempt, .. } => {
+                    inputs.push_back(Input::AttemptEnded {
+                        call,
+                        attempt,
+                        outcome: seen,
+                        trailers: told,
+                    })
+                }
+                Command::Probe { request: order, .. }
+                | Command::Load { request: order, .. }
+                | Command::Unload { request: order, .. } => {
+                    inputs.push_back(Input::ControlRequestEnded {
+                        request: order,
+                        outcome: seen,
+                        trailers: told,
+                    })
                 }
                 _ => {}
             }
         }
-        steps.push(Step {
+        steps.push(RecordedStep {
             at: now,
             input,
             commands,
@@ -134,20 +147,20 @@
 }
 
 fn inputs() -> Vec<Input> {
-    let (call_id, attempt, order) = (CallId(7), 1, OrderId(8));
-    let shape = Shape {
+    let (call_id, attempt, order) = (CallId(7), 1, ControlRequestId(8));
+    let shape = FunctionShape {
         lanes: 2,
         memory_mb: 512.5,
         load_time: Some(70_000),
     };
-    let told = Told {
-        note: Note::BeganLoad,
+    let told = Trailers {
+        cache_status: CacheStatus::StartedLoad,
         never_ran: Some(NeverRan::NotLoaded),
-        crowd: Some(3),
+        concurrent_calls: Some(3),
         instances: Some(2),
-        report: Some(Report {
+        report: Some(LoadReport {
             queued: Some(1.0),
-            held: Some(2.0),
+            in_flight: Some(2.0),
             busy: Some(0.5),
             memory_pinned: Some(0.25),
             loads: Some(3.0),
@@ -156,161 +169,171 @@
             errors_per_s: Some(6.0),
         }),
     };
-    let ended = |seen, told| Input::Ended {
+    let ended = |seen, told| Input::AttemptEnded {
         call: call_id,
         attempt,
-        seen,
-        told,
+        outcome: seen,
+        trailers: told,
     };
-    let looked = |found| Input::Looked {
+    let looked = |found| Input::CallLookedUp {
         call: Call {
             class: Some(1),
             tenant: 2,
-            hint: Some(9),
+            work_hint: Some(9),
             repeat: true,
             shape: Some(shape),
-            unlisted: true,
+            unknown_names: true,
             waited: 4,
             ..call(3)
         },
-        found,
+        lookup: found,
     };
-    let listed = Listed {
+    let listed = WorkerRecord {
         age: Some(5),
         ..listed(1, 2)
     };
-    let stage = Stage::Nothing;
+    let stage = ResponseStage::Nothing;
     let mut all = vec![
         Input::Workers {
-            whole: false,
-            list: vec![listed],
+            full: false,
+            workers: vec![listed],
         },
-        Input::ListFailed,
+        Input::WorkerListFailed,
         Input::Call(call(2)),
-        Input::Opened {
+        Input::AttemptSent {
             call: call_id,
             attempt,
         },
-        Input::Piece {
+        Input::ResponseMessage {
             call: call_id,
             attempt,
             last: true,
         },
         Input::ClientLeft { call: call_id },
-        Input::OrderEnded {
-            order,
-            seen: Seen::Withdrawn,
-            told,
+        Input::ControlRequestEnded {
+            request: order,
+            outcome: AttemptOutcome::Cancelled,
+            trailers: told,
         },
         Input::Tick,
-        Input::Close { within: 6 },
-        looked(Found::Acts { class: 1, shape }),
-        looked(Found::Refused),
-        looked(Found::Unknown),
-        looked(Found::Wait),
-        Input::Found {
+        Input::Shutdown { grace: 6 },
+        looked(FunctionLookup::Known { class: 1, shape }),
+        looked(FunctionLookup::Refused),
+        looked(FunctionLookup::Unknown),
+        looked(FunctionLookup::Pending),
+        Input::FunctionResolved {
             function: "f".into(),
-            found: Found::Wait,
+            lookup: FunctionLookup::Pending,
         },
     ];
     let seen = [
-        Seen::ConnectRefused,
-        Seen::ConnectTimedOut,
-        Seen::NeverLeft,
-        Seen::GoawayBelow,
-        Seen::Reset { code: 7, stage },
-        Seen::Cut {
-            stage: Stage::Headers,
+        AttemptOutcome::ConnectRefused,
+        AttemptOutcome::ConnectTimedOut,
+        AttemptOutcome::NeverLeft,
+        AttemptOutcome::GoawayBelow,
+        AttemptOutcome::Reset { code: 7, stage },
+        AttemptOutcome::ConnectionCut {
+            stage: ResponseStage::Headers,
         },
-        Seen::Status {
+        AttemptOutcome::Status {
             code: 14,
-            stage: Stage::Pieces,
+            stage: ResponseStage::Messages,
+        },
+        AttemptOutcome::NoTrailers {
+            stage: ResponseStage::Last,
         },
-        Seen::NoTrailers { stage: Stage::Last },
-        Seen::BadAnswer { stage },
-        Seen::Withdrawn,
+        AttemptOutcome::InvalidResponse { stage },
+        AttemptOutcome::Cancelled,
     ];
-    all.extend(seen.map(|seen| ended(seen, Told::default())));
+    all.extend(seen.map(|seen| ended(seen, Trailers::default())));
     let notes = [
-        Note::Silent,
-        Note::Warm,
-        Note::BeganLoad,
-        Note::AwaitedLoad,
-        Note::LoadFailed,
+        CacheStatus::Unreported,
+        CacheStatus::Warm,
+        CacheStatus::StartedLoad,
+        CacheStatus::AwaitedLoad,
+        CacheStatus::LoadFailed,
     ];
-    all.extend(notes.map(|note| ended(Seen::Withdrawn, Told { note, ..told })));
+    all.extend(notes.map(|note| {
+        ended(
+            AttemptOutcome::Cancelled,
+            Trailers {
+                cache_status: note,
+                ..told
+            },
+        )
+    }));
     let promises = [NeverRan::NotLoaded, NeverRan::TurnedAway, NeverRan::Expired];
     all.extend(promises.map(|promise| {
         let never_ran = Some(promise);
-        ended(Seen::Withdrawn, Told { never_ran, ..told })
+        ended(AttemptOutcome::Cancelled, Trailers { never_ran, ..told })
     }));
     all
 }
 
 fn commands() -> Vec<Command> {
-    let (call, attempt, order) = (CallId(7), 1, OrderId(8));
+    let (call, attempt, order) = (CallId(7), 1, ControlRequestId(8));
     let (worker, function) = (|| "w1".to_string(), || "f".to_string());
     let mut all = vec![
-        Command::Open {
+        Command::SendAttempt {
             call,
             attempt,
             worker: worker(),
             budget: 9,
         },
-        Command::Withdraw { call, attempt },
-        Command::Confirm { call, attempt },
-        Command::Pass { call },
+        Command::CancelAttempt { call, attempt },
+        Command::ConfirmSent { call, attempt },
+        Command::ForwardMessage { call },
         Command::Probe {
-            order,
+            request: order,
             worker: worker(),
         },
         Command::Load {
-            order,
+            request: order,
             worker: worker(),
             function: function(),
             instances: 2,
         },
         Command::Unload {
-            order,
+            request: order,
             worker: worker(),
             function: function(),
         },
-        Command::Recall { order },
-        Command::WithdrawOrder { order },
-        Command::Drop { worker: worker() },
-        Command::Retire { worker: worker() },
-        Command::Tell {
+        Command::RecallUnsent { request: order },
+        Command::CancelControlRequest { request: order },
+        Command::DropConnection { worker: worker() },
+        Command::RetireWorker { worker: worker() },
+        Command::ReportMissingFunction {
             worker: worker(),
             function: function(),
-            seen: Seen::ConnectRefused,
-            count: 4,
+            outcome: AttemptOutcome::ConnectRefused,
+            failed_loads: 4,
         },
-        Command::FetchList,
-        Command::Subscribe,
+        Command::FetchWorkerList,
+        Command::SubscribeWorkerList,
     ];
     let answers = [
         Answer::Served,
-        Answer::Passed,
-        Answer::Refused { stay_away: 3 },
-        Answer::Failed(Why::Deadline),
-        Answer::Failed(Why::Lost),
-        Answer::Failed(Why::Worker),
-        Answer::Failed(Why::Closing),
-        Answer::Unknown,
+        Answer::WorkerStatus,
+        Answer::Refused { retry_after: 3 },
+        Answer::Failed(FailureReason::Deadline),
+        Answer::Failed(FailureReason::ConnectionLost),
+        Answer::Failed(FailureReason::WorkerFailed),
+        Answer::Failed(FailureReason::ShuttingDown),
+        Answer::UnknownFunction,
     ];
     all.extend(answers.map(|answer| Command::Answer { call, answer }));
     all
 }
 
 /// A step with each kind of input, and one with all kinds of commands.
-pub fn each_kind() -> Vec<Step> {
-    let step = |input| Step {
+pub fn each_kind() -> Vec<RecordedStep> {
+    let step = |input| RecordedStep {
         at: 1,
         input,
         commands: Vec::new(),
     };
-    let mut all: Vec<Step> = inputs().into_iter().map(step).collect();
-    all.push(Step {
+    let mut all: Vec<RecordedStep> = inputs().into_iter().map(step).collect();
+    all.push(RecordedStep {
         at: i64::MAX,
         input: Input::Tick,
         commands: commands(),
--- a/tests/compatibility/tests/recorded_run.rs
+++ b/tests/compatibility/tests/recorded_run.rs
@@ -4,18 +4,18 @@
 //! `examples/record.rs`.
 
 use tansy_compatibility_tests::{fixture, run};
-use tansy_dispatch::record::{replay, Step};
+use tansy_dispatch::record::{replay, RecordedStep};
 
-fn read(name: &str) -> Vec<Step> {
+fn read(name: &str) -> Vec<RecordedStep> {
     let text = fixture::text(name);
-    let step = |line| Step::read(line).unwrap_or_else(|e| panic!("{name}: {e}: {line}"));
+    let step = |line| RecordedStep::parse(line).unwrap_or_else(|e| panic!("{name}: {e}: {line}"));
     text.lines().map(step).collect()
 }
 
-fn compare(steps: &[Step], name: &str) {
+fn compare(steps: &[RecordedStep], name: &str) {
     let text = fixture::text(name);
     for (n, (step, line)) in steps.iter().zip(text.lines()).enumerate() {
-        assert_eq!(step.line(), line, "{name}:{}", n + 1);
+        assert_eq!(step.to_line(), line, "{name}:{}", n + 1);
     }
     assert_eq!(steps.len(), text.lines().count(), "{name}");
 }
@@ -31,7 +31,7 @@
     let steps = read("run.jsonl");
     compare(&steps, "run.jsonl");
     let mut front = run::front();
-    let played: Vec<Step> = replay(&mut front, steps.into_iter()).collect();
+    let played: Vec<RecordedStep> = replay(&mut front, steps.into_iter()).collect();
     compare(&played, "run.jsonl");
 }
 
--- a/tests/compatibility/tests/settings.rs
+++ b/tests/compatibility/tests/settings.rs
@@ -6,7 +6,7 @@
 
 use tansy_agreement::compatibility::Value;
 use tansy_compatibility_tests::fixture;
-use tansy_dispatch::{FunctionSpec, Listed};
+use tansy_dispatch::{FunctionSpec, WorkerRecord};
 use tansy_settings::{agree, settings, workers, Fleet, Seat, Settings, WorkerLine};
 
 fn read(name: &str) -> Settings {
@@ -39,23 +39,23 @@
 }
 
 fn workers_of_the_file() -> [WorkerLine; 2] {
-    let first = Listed {
+    let first = WorkerRecord {
         name: "w1".into(),
         kind: 1,
         cell: 2,
         zone: 0,
         state: 1,
         age: Some(5_000_000),
-        share: 4.0,
+        relative_size: 4.0,
     };
-    let second = Listed {
+    let second = WorkerRecord {
         name: "w2".into(),
         kind: 0,
         cell: 0,
         zone: 1,
         state: 0,
         age: None,
-        share: 1.0,
+        relative_size: 1.0,
     };
     [
         WorkerLine {
@@ -106,7 +106,7 @@
         (&front.zones, &front.tenants),
         (&vec!["a".into(), "b".into()], &vec!["t".into()])
     );
-    assert_eq!((front.longest, front.seed), (7_200_000_000, 7));
+    assert_eq!((front.max_call_time, front.seed), (7_200_000_000, 7));
     let functions = [
         FunctionSpec {
             name: "price-1".into(),
--- a/tests/compatibility/tests/text_wires.rs
+++ b/tests/compatibility/tests/text_wires.rs
@@ -2,7 +2,10 @@
 //! and list. What is expected was taken from the program of the day that wrote the first fixtures.
 
 use tansy_compatibility_tests::fixture;
-use tansy_dispatch::{Listed, NeverRan, Note, Report, Seen, Shape, Stage, Told};
+use tansy_dispatch::{
+    AttemptOutcome, CacheStatus, FunctionShape, LoadReport, NeverRan, ResponseStage, Trailers,
+    WorkerRecord,
+};
 use tansy_frames::grpc;
 use tansy_platform::config::Config;
 use tansy_platform::list::{Change, List, Updates};
@@ -36,13 +39,13 @@
     let mut assembler = grpc::Assembler::new(258);
     assembler.push(&framed);
     let read = assembler
-        .take()
+        .next_message()
         .expect("a message")
         .expect("the whole of it");
     assert_eq!(read.as_ref(), message);
     assert!(assembler.is_empty());
-    assert_eq!(grpc::Code::read(b"14"), grpc::Code::Unavailable);
-    assert_eq!(grpc::Code::read(b"17"), grpc::Code::Unknown);
+    assert_eq!(grpc::Code::parse(b"14"), grpc::Code::Unavailable);
+    assert_eq!(grpc::Code::parse(b"17"), grpc::Code::Unknown);
     assert_eq!(grpc::Code::ResourceExhausted.number(), 8);
     assert_eq!(grpc::timeout(b"250m"), Some(250_000));
     assert_eq!(grpc::spell_timeout(100_000_000), "100000m");
@@ -180,14 +183,14 @@
 #[test]
 fn the_platforms_list_is_read_as_before() {
     let line = |name: &str, host: u8, (kind, cell, zone, state, age, share)| Change {
-        listed: Listed {
+        listed: WorkerRecord {
             name: name.into(),
             kind,
             cell,
             zone,
             state,
             age,
-            share,
+            relative_size: share,
         },
         address: ([127, 0, 0, host], 1).into(),
     };
@@ -223,7 +226,7 @@
         function: "7f3a9c21e0b4d655".into(),
         class: 1,
         budget: 1_500_500,
-        shape: Shape {
+        shape: FunctionShape {
             lanes: 2,
             memory_mb: 512.0,
             load_time: Some(70_000),
@@ -242,15 +245,15 @@
     let report = "queue:1;inflight:2;util:0.5;x0:0.25;x1:3;latency_ms:4;qps:5;eps:6";
     let fields = format!("n=ready,peers_in=3,replicas=2,l={report}");
     let expected = |code, stage, never_ran, note| Answered {
-        seen: Seen::Status { code, stage },
-        told: Told {
-            note,
+        seen: AttemptOutcome::Status { code, stage },
+        told: Trailers {
+            cache_status: note,
             never_ran,
-            crowd: Some(3),
+            concurrent_calls: Some(3),
             instances: Some(2),
-            report: Some(Report {
+            report: Some(LoadReport {
                 queued: Some(1.0),
-                held: Some(2.0),
+                in_flight: Some(2.0),
                 busy: Some(0.5),
                 memory_pinned: Some(0.25),
                 loads: Some(3.0),
@@ -263,24 +266,29 @@
     let read =
         |word: &str, fields: &str| tansy_platform::answer(word.as_bytes(), fields.as_bytes(), true);
     for (word, code, stage, never_ran) in [
-        ("200", 0, Stage::Last, None),
-        ("404", 14, Stage::Headers, Some(NeverRan::NotLoaded)),
-        ("503", 14, Stage::Headers, Some(NeverRan::TurnedAway)),
-        ("504", 14, Stage::Headers, Some(NeverRan::Expired)),
-        ("500", 13, Stage::Headers, None),
+        ("200", 0, ResponseStage::Last, None),
+        ("404", 14, ResponseStage::Headers, Some(NeverRan::NotLoaded)),
+        (
+            "503",
+            14,
+            ResponseStage::Headers,
+            Some(NeverRan::TurnedAway),
+        ),
+        ("504", 14, ResponseStage::Headers, Some(NeverRan::Expired)),
+        ("500", 13, ResponseStage::Headers, None),
     ] {
-        let expected = expected(code, stage, never_ran, Note::Warm);
+        let expected = expected(code, stage, never_ran, CacheStatus::Warm);
         assert_eq!(read(word, &fields), expected, "{word}");
     }
     for (word, note) in [
-        ("ready", Note::Warm),
-        ("loaded", Note::BeganLoad),
-        ("queued", Note::AwaitedLoad),
-        ("no_image", Note::LoadFailed),
-        ("other", Note::Silent),
+        ("ready", CacheStatus::Warm),
+        ("loaded", CacheStatus::StartedLoad),
+        ("queued", CacheStatus::AwaitedLoad),
+        ("no_image", CacheStatus::LoadFailed),
+        ("other", CacheStatus::Unreported),
     ] {
         let fields = fields.replace("n=ready", &format!("n={word}"));
-        let expected = expected(0, Stage::Last, None, note);
+        let expected = expected(0, ResponseStage::Last, None, note);
         assert_eq!(read("200", &fields), expected, "{word}");
     }
 }
