--- a/net/platform/src/call.rs
+++ b/net/platform/src/call.rs
@@ -1,8 +1,7 @@
-//! A call on its way: what is sent for it, and how its answer reaches its client.
+//! A call on its way: what is sent for it, and how its response reaches its client.
 
-use crate::client::Slot;
-use crate::connection::Connection;
-use crate::setup::Setup;
+use crate::limits::ServingLimits;
+use crate::response_slot::{FinalResponse, ResponseSlot};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Instant;
@@ -10,32 +9,53 @@
 use tansy_platform::call::Asked;
 use tansyrouter::Span;
 
-/// A call on its way.
-pub struct CallIo {
-    /// What its client asked for.
-    pub asked: Asked,
+/// What the front end holds of a call until it is answered and its attempts have ended.
+pub struct CallContext {
+    /// The client's request.
+    pub request: Asked,
     /// The client's body, passed on as it came.
     pub body: Vec<u8>,
-    /// Where its answer goes.
-    pub slot: Rc<Slot>,
-    /// Connections that its attempts went out on: an answer there is not a later attempt's.
-    pub used: RefCell<Vec<u64>>,
-    /// Where its attempt is.
-    pub at: RefCell<Option<Rc<Connection>>>,
-    /// The answer that the ledger has been told of.
-    pub staged: RefCell<Option<Vec<u8>>>,
+    /// Where its response goes.
+    pub slot: Rc<ResponseSlot>,
+    /// Connections that its attempts went out on: an answer there can't be told from an earlier attempt's.
+    pub used_connections: RefCell<Vec<u64>>,
+    /// The worker's body that the dispatcher has been informed of.
+    pub staged_body: RefCell<Option<Vec<u8>>>,
     /// How its last attempt ended.
-    pub last_end: Cell<Option<Seen>>,
+    pub last_outcome: Cell<Option<Seen>>,
     /// How long it had waited when it was read, microseconds.
     pub waited: Span,
     /// When it was read.
-    pub taken: Instant,
+    pub accepted_at: Instant,
 }
 
-impl CallIo {
+impl CallContext {
     /// The request's id, for logs.
-    pub fn request(&self) -> &str {
-        std::str::from_utf8(&self.asked.id).unwrap_or("")
+    pub fn request_id(&self) -> &str {
+        std::str::from_utf8(&self.request.id).unwrap_or("")
+    }
+
+    /// Gives the client its final answer.
+    pub fn respond(&self, answer: Answer) {
+        let staged = self.staged_body.borrow_mut().take();
+        let (status, retry_after, body) = match answer {
+            Answer::Served => match staged {
+                Some(body) => (200, 0, body),
+                None => (502, 0, Vec::new()),
+            },
+            Answer::Refused { stay_away } => (503, stay_away, Vec::new()),
+            Answer::Failed(reason) => match reason {
+                tansy_dispatch::Why::Deadline => (504, 0, Vec::new()),
+                _ => (502, 0, Vec::new()),
+            },
+            Answer::Passed => (500, 0, Vec::new()),
+            Answer::Unknown => (404, 0, Vec::new()),
+        };
+        self.slot.complete(FinalResponse {
+            status,
+            retry_after,
+            body,
+        });
     }
 }
 
@@ -47,38 +67,20 @@
     /// The attempt's number.
     pub number: u32,
     /// What is sent.
-    pub io: Rc<CallIo>,
+    pub context: Rc<CallContext>,
 }
 
 impl Attempt {
-    /// Its bytes, when its worker has so long for it, microseconds.
-    pub fn encode(&self, setup: &Setup, patience: Span) -> Vec<u8> {
-        let asked = &self.io.asked;
-        let fields = asked.fields(setup.shapes.class(asked.class), (patience / 1000).max(1));
+    /// Its bytes, for a worker that is given `patience` microseconds.
+    pub fn encode(&self, limits: &ServingLimits, patience: Span) -> Vec<u8> {
+        let request = &self.context.request;
+        let class = limits.shapes.class(request.class);
+        let fields = request.fields(class, (patience / 1000).max(1));
         let mut bytes = Vec::new();
         tansy_resp::write(
             &mut bytes,
-            &[b"fire", &asked.id, fields.as_bytes(), &self.io.body],
+            &[b"fire", &request.id, fields.as_bytes(), &self.context.body],
         );
         bytes
     }
 }
-
-/// Gives a call's client its final answer.
-pub fn finish(io: &CallIo, answer: Answer) {
-    let body = io.staged.borrow_mut().take();
-    let (status, wait, body) = match answer {
-        Answer::Served => match body {
-            Some(body) => (200, 0, body),
-            None => (502, 0, Vec::new()),
-        },
-        Answer::Refused { stay_away } => (503, stay_away, Vec::new()),
-        Answer::Failed(why) => match why {
-            tansy_dispatch::Why::Deadline => (504, 0, Vec::new()),
-            _ => (502, 0, Vec::new()),
-        },
-        Answer::Passed => (500, 0, Vec::new()),
-        Answer::Unknown => (404, 0, Vec::new()),
-    };
-    io.slot.give(status, wait, body);
-}
--- /dev/null
+++ b/net/platform/src/client/session.rs
@@ -0,0 +1,101 @@
+//! A client's session: one request after another on its connection, each answered before the next.
+
+use super::connection::{ClientConnection, ClientRequest, Incoming};
+use super::table::Phase;
+use crate::driver::Driver;
+use crate::reasons::CloseReason;
+use crate::response_slot::{ClientInput, FinalResponse, ResponseSlot};
+use std::future::poll_fn;
+use std::rc::Rc;
+use tansy_http1::Message;
+use tansy_platform::call::{Asked, BadCall};
+
+/// Serves a connection; why it came to an end.
+pub async fn run_session(driver: Rc<Driver>, connection: ClientConnection) -> CloseReason {
+    let mut reader = ClientConnection::reader();
+    let mut is_first = true;
+    let parse = |message: &Message<'_>| parse_request(&driver, message);
+    loop {
+        let incoming = connection
+            .next_request(&mut reader, std::mem::take(&mut is_first), &parse)
+            .await;
+        connection.entry().phase.set(Phase::Busy);
+        let (request, keep_alive) = match incoming {
+            Incoming::Request {
+                request,
+                keep_alive,
+            } => (request, keep_alive),
+            Incoming::Ended(reason) => return reason,
+            Incoming::Invalid(invalid) => return connection.reject(invalid).await,
+        };
+        connection.table().cancel_shedding(connection.entry());
+        let response = match request {
+            ClientRequest::Alive => FinalResponse {
+                status: 200,
+                retry_after: 0,
+                body: Vec::new(),
+            },
+            ClientRequest::Call(call, body) => {
+                match respond_to_call(&driver, &connection, call, body).await {
+                    Ok(response) => response,
+                    Err(ClientInput::Nothing | ClientInput::Closed) => {
+                        return CloseReason::ClientLeft
+                    }
+                    Err(ClientInput::MoreBytes) => {
+                        let what = "a further request before the answer to the last";
+                        return connection.reject(BadCall { status: 400, what }).await;
+                    }
+                }
+            }
+        };
+        let keep_alive = keep_alive && !connection.table().is_closed();
+        if !connection.write_response(response, keep_alive).await {
+            return CloseReason::NotTaken;
+        }
+        if !keep_alive {
+            connection.linger().await;
+            return CloseReason::LastAnswer;
+        }
+        connection.entry().phase.set(Phase::Idle);
+    }
+}
+
+/// Has a call answered; an error: what arrived from the client instead.
+async fn respond_to_call(
+    driver: &Rc<Driver>,
+    connection: &ClientConnection,
+    request: Asked,
+    body: Vec<u8>,
+) -> Result<FinalResponse, ClientInput> {
+    let slot = Rc::new(ResponseSlot::new(connection.socket().clone()));
+    let call = driver.accept_call(request, body, connection.arrived(), &slot);
+    let response = poll_fn(|cx| slot.poll(cx)).await;
+    if response.is_err() {
+        driver.on_client_left(call);
+    }
+    driver.on_client_closing(call);
+    response
+}
+
+/// A whole message as a request, unless one of its id is open.
+fn parse_request(driver: &Driver, message: &Message<'_>) -> Result<ClientRequest, BadCall> {
+    if message.method == "GET" && message.target == "/alive" {
+        return if message.body.is_empty() {
+            Ok(ClientRequest::Alive)
+        } else {
+            Err(BadCall {
+                status: 400,
+                what: "a body; want none",
+            })
+        };
+    }
+    let shapes = &driver.limits.shapes;
+    let request = shapes.read(message.method, message.target, |name| message.one(name))?;
+    if driver.is_open(&request.id) {
+        return Err(BadCall {
+            status: 409,
+            what: "X-Request-Id of a request that is open",
+        });
+    }
+    Ok(ClientRequest::Call(request, message.body.to_vec()))
+}
--- /dev/null
+++ b/net/platform/src/driver/calls.rs
@@ -0,0 +1,148 @@
+//! Calls from their acceptance to their response.
+
+use super::Driver;
+use crate::call::CallContext;
+use crate::reasons::RefusalReason;
+use crate::response_slot::ResponseSlot;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Instant;
+use tansy_dispatch::{Answer, Call, CallId, Input, Seen, Told};
+use tansy_platform::call::{Asked, RequestId};
+use tansyrouter::Span;
+
+impl Driver {
+    /// Whether a request of this id is open.
+    pub fn is_open(&self, id: &RequestId) -> bool {
+        self.state.borrow().request_ids.contains(id)
+    }
+
+    /// Accepts a call that arrived whole at `arrived`; its response comes to `slot`.
+    pub fn accept_call(
+        self: &Rc<Self>,
+        request: Asked,
+        body: Vec<u8>,
+        arrived: Instant,
+        slot: &Rc<ResponseSlot>,
+    ) -> CallId {
+        let accepted_at = Instant::now();
+        let waited = accepted_at.duration_since(arrived).as_micros();
+        let waited = Span::try_from(waited).unwrap_or(Span::MAX);
+        let now = self.now();
+        let mut state = self.state.borrow_mut();
+        state.next_call += 1;
+        let id = CallId(state.next_call);
+        let call = dispatched_call(id, &request, waited);
+        state.request_ids.insert(request.id);
+        let deadline = now.plus(request.budget.saturating_sub(waited));
+        let effect = state.dispatcher.effect(request.class);
+        let context = CallContext {
+            request,
+            body,
+            slot: slot.clone(),
+            used_connections: RefCell::new(Vec::new()),
+            staged_body: RefCell::new(None),
+            last_outcome: Cell::new(None),
+            waited,
+            accepted_at,
+        };
+        tracing::debug!(
+            request = context.request_id(),
+            call = id.0,
+            waited,
+            "a request is taken"
+        );
+        state.calls.insert(id, Rc::new(context));
+        drop(state);
+        self.invariants.borrow_mut().taken(id, effect, deadline);
+        self.feed(Input::Call(call));
+        id
+    }
+
+    /// The client of a call has left.
+    pub fn on_client_left(self: &Rc<Self>, call: CallId) {
+        self.invariants.borrow_mut().gone(self.now(), call);
+        if let Some(context) = self.close_call(call) {
+            let request = context.request_id();
+            tracing::debug!(request, call = call.0, "the client has left");
+        }
+        self.feed(Input::ClientLeft { call });
+    }
+
+    /// This side ends a client's connection while its call may be open.
+    pub fn on_client_closing(&self, call: CallId) {
+        let violations = self.invariants.borrow_mut().closed(call);
+        self.log_violations(&violations, call);
+    }
+
+    /// Removes a call that is owed nothing; its attempt may still be out.
+    fn close_call(&self, call: CallId) -> Option<Rc<CallContext>> {
+        let mut state = self.state.borrow_mut();
+        let context = state.calls.remove(&call)?;
+        state.request_ids.remove(&context.request.id);
+        Some(context)
+    }
+
+    /// Gives a call's client its final answer.
+    pub(super) fn answer_call(&self, call: CallId, answer: Answer) {
+        let violations = self.invariants.borrow_mut().answered(call);
+        self.log_violations(&violations, call);
+        let Some(context) = self.close_call(call) else {
+            return;
+        };
+        let after_ms = context.accepted_at.elapsed().as_millis() as u64;
+        let request = context.request_id();
+        let last = context.last_outcome.get();
+        let attempts = context.used_connections.borrow().len();
+        if let Answer::Refused { .. } = answer {
+            let reason = RefusalReason::of(attempts, context.waited, context.request.budget);
+            self.reasons.count_refused(reason);
+            let reason = reason.as_str();
+            tracing::debug!(request, reason, attempts, ?last, after_ms, "refused");
+        } else {
+            tracing::debug!(request, ?answer, attempts, ?last, after_ms, "answered");
+        }
+        context.respond(answer);
+    }
+
+    /// An attempt has ended.
+    pub(super) fn attempt_ended(
+        self: &Rc<Self>,
+        call: CallId,
+        attempt: u32,
+        outcome: Seen,
+        trailers: Told,
+    ) {
+        let never_ran = tansy_dispatch::outcome::verdict(outcome, &trailers)
+            .outcome
+            .never_ran();
+        self.invariants.borrow_mut().ended(call, never_ran);
+        if let Some(open) = self.state.borrow_mut().attempts.remove(&call) {
+            let request = open.context.request_id();
+            tracing::debug!(request, attempt, seen = %outcome, never_ran, "an attempt has ended");
+            open.context.last_outcome.set(Some(outcome));
+        }
+        self.feed(Input::Ended {
+            call,
+            attempt,
+            seen: outcome,
+            told: trailers,
+        });
+    }
+}
+
+/// A client's request as the dispatcher takes it.
+fn dispatched_call(call: CallId, request: &Asked, waited: Span) -> Call {
+    Call {
+        call,
+        function: request.function.clone(),
+        class: Some(request.class),
+        tenant: 0,
+        budget: Some(request.budget),
+        hint: None,
+        repeat: false,
+        shape: Some(request.shape),
+        unlisted: false,
+        waited,
+    }
+}
--- /dev/null
+++ b/net/platform/src/driver/commands.rs
@@ -0,0 +1,159 @@
+//! The dispatcher's commands.
+
+use super::{Driver, OpenAttempt};
+use crate::call::Attempt;
+use crate::worker_connection::WorkerConnection;
+use std::rc::Rc;
+use tansy_dispatch::{CallId, Command, Input, OrderId, Seen, Told};
+use tansy_platform::call::RequestId;
+
+impl Driver {
+    pub(super) fn run_command(self: &Rc<Self>, command: Command) {
+        match command {
+            Command::Open {
+                call,
+                attempt,
+                worker,
+                ..
+            } => self.open_attempt(call, attempt, &worker),
+            Command::Withdraw { call, attempt } => self.withdraw_attempt(call, attempt),
+            Command::Confirm { call, attempt } => self.confirm_attempt(call, attempt),
+            // Answers are held whole.
+            Command::Pass { .. } => {}
+            Command::Answer { call, answer } => self.answer_call(call, answer),
+            Command::Probe { order, worker } => self.send_control(order, &worker, &["there"]),
+            Command::Load {
+                order,
+                worker,
+                function,
+                instances,
+            } => {
+                let fields = format!("asset={function},replicas={instances}");
+                self.send_control(order, &worker, &["provision", &fields]);
+            }
+            Command::Unload {
+                order,
+                worker,
+                function,
+            } => self.send_unload(order, &worker, &function),
+            Command::Recall { order } => self.cancel_control(order),
+            Command::WithdrawOrder { order } => self.withdraw_control(order),
+            Command::Drop { worker } => {
+                let pool = self.state.borrow().pools.get(&worker).cloned();
+                if let Some(pool) = pool {
+                    pool.abort_all();
+                }
+            }
+            Command::Retire { worker } => {
+                let pool = self.state.borrow_mut().pools.remove(&worker);
+                if let Some(pool) = pool {
+                    pool.retire();
+                }
+            }
+            Command::Tell {
+                worker,
+                function,
+                seen,
+                count,
+            } => {
+                tracing::warn!(%worker, %function, status = %seen, count, "a load order left no instance");
+            }
+            // The list comes unasked.
+            Command::FetchList | Command::Subscribe => {}
+        }
+    }
+
+    /// Sends an attempt on a connection to its worker.
+    fn open_attempt(self: &Rc<Self>, call: CallId, number: u32, worker: &str) {
+        let context = self.state.borrow().calls.get(&call).cloned();
+        let connection = context.as_ref().and_then(|context| {
+            let used = context.used_connections.borrow();
+            self.connection_for_attempt(worker, &context.request.id, &used)
+        });
+        let Some((context, connection)) = context.zip(connection) else {
+            return self.feed(Input::Ended {
+                call,
+                attempt: number,
+                seen: Seen::NeverLeft,
+                told: Told::default(),
+            });
+        };
+        if let Some(last) = context.last_outcome.get() {
+            self.reasons.count_repeated(last);
+            let request = context.request_id();
+            tracing::debug!(request, attempt = number, %worker, last = %last, "a request is repeated");
+        }
+        context
+            .used_connections
+            .borrow_mut()
+            .push(connection.serial());
+        let open = OpenAttempt {
+            context: context.clone(),
+            connection: connection.clone(),
+        };
+        self.state.borrow_mut().attempts.insert(call, open);
+        connection.send_attempt(Attempt {
+            call,
+            number,
+            context,
+        });
+    }
+
+    /// The request id of a call's open attempt, and the connection that it is on.
+    fn find_open_attempt(&self, call: CallId) -> Option<(RequestId, Rc<WorkerConnection>)> {
+        let state = self.state.borrow();
+        let open = state.attempts.get(&call)?;
+        Some((open.context.request.id, open.connection.clone()))
+    }
+
+    fn withdraw_attempt(self: &Rc<Self>, call: CallId, attempt: u32) {
+        if let Some((id, connection)) = self.find_open_attempt(call) {
+            if let Some(outcome) = connection.withdraw_attempt(&id) {
+                self.attempt_ended(call, attempt, outcome, Told::default());
+            }
+        }
+    }
+
+    fn confirm_attempt(self: &Rc<Self>, call: CallId, attempt: u32) {
+        let Some((id, connection)) = self.find_open_attempt(call) else {
+            return;
+        };
+        match connection.confirm_started(&id) {
+            Ok(()) => self.feed(Input::Opened { call, attempt }),
+            Err(outcome) => self.attempt_ended(call, attempt, outcome, Told::default()),
+        }
+    }
+
+    fn send_control(self: &Rc<Self>, request: OrderId, worker: &str, words: &[&str]) {
+        let Some(connection) = self.connection_for_control(worker) else {
+            return self.control_ended(request, Seen::NeverLeft, Told::default());
+        };
+        let mut state = self.state.borrow_mut();
+        state.control.insert(request, connection.clone());
+        drop(state);
+        connection.send_control(request, words);
+    }
+
+    fn send_unload(self: &Rc<Self>, request: OrderId, worker: &str, function: &str) {
+        if let Some(connection) = self.connection_for_control(worker) {
+            connection.send_unacknowledged(&[b"retire", function.as_bytes()]);
+        }
+        // There is no answer to it.
+        self.control_ended(request, Seen::NeverLeft, Told::default());
+    }
+
+    fn cancel_control(self: &Rc<Self>, request: OrderId) {
+        let connection = self.state.borrow().control.get(&request).cloned();
+        if let Some(outcome) = connection.and_then(|it| it.cancel_control(request)) {
+            self.close_control(request, outcome, Told::default());
+        }
+    }
+
+    fn withdraw_control(self: &Rc<Self>, request: OrderId) {
+        let connection = self.state.borrow().control.get(&request).cloned();
+        if let Some(connection) = connection {
+            let outcome = connection.withdraw_control(request);
+            self.close_control(request, outcome, Told::default());
+        }
+    }
+}
--- /dev/null
+++ b/net/platform/src/driver/connections.rs
@@ -0,0 +1,206 @@
+//! Connections to workers: which one a request goes out on, and what each of them reports.
+
+use super::Driver;
+use crate::call::Attempt;
+use crate::limits::ServingLimits;
+use crate::worker_connection::events::{ConnectionEvent, ConnectionHandler};
+use crate::worker_connection::io::run_connection;
+use crate::worker_connection::{ConnectionRole, WorkerConnection};
+use crate::worker_pool::WorkerPool;
+use std::rc::Rc;
+use tansy_dispatch::{Denied, OrderId, Seen, Told};
+use tansy_net_sockets::Spawner;
+use tansy_platform::call::RequestId;
+use tansyrouter::{Span, Time};
+
+impl Driver {
+    /// A connection for one more attempt at a call, none of those it `used` before. None: there is no room for one.
+    pub(super) fn connection_for_attempt(
+        self: &Rc<Self>,
+        worker: &str,
+        id: &RequestId,
+        used: &[u64],
+    ) -> Option<Rc<WorkerConnection>> {
+        self.connection(worker, ConnectionRole::Calls, |connection| {
+            !used.contains(&connection.serial()) && !connection.has_abandoned(id)
+        })
+    }
+    /// A connection for one more control request. None: there is no room for one.
+    pub(super) fn connection_for_control(
+        self: &Rc<Self>,
+        worker: &str,
+    ) -> Option<Rc<WorkerConnection>> {
+        self.connection(worker, ConnectionRole::Control, |_| true)
+    }
+
+    /// A connection to a worker that can be used; one is begun if there is none.
+    fn connection(
+        self: &Rc<Self>,
+        worker: &str,
+        role: ConnectionRole,
+        is_usable: impl Fn(&WorkerConnection) -> bool,
+    ) -> Option<Rc<WorkerConnection>> {
+        let pool = self.pool(worker)?;
+        if let Some(connection) = pool.find(role, &self.limits, is_usable) {
+            return Some(connection);
+        }
+        let is_full = self.worker_connections.get() >= self.limits.max_worker_connections;
+        if is_full && !self.close_idle_connection() {
+            return None;
+        }
+        self.next_serial.set(self.next_serial.get() + 1);
+        let connection = pool.add(self.next_serial.get(), role);
+        self.worker_connections
+            .set(self.worker_connections.get() + 1);
+        self.spawner.spawn(run_connection(
+            self.clone(),
+            pool.address(),
+            connection.clone(),
+        ));
+        Some(connection)
+    }
+
+    fn pool(&self, worker: &str) -> Option<Rc<WorkerPool>> {
+        let mut state = self.state.borrow_mut();
+        let address = *state.addresses.get(worker)?;
+        let pool = state
+            .pools
+            .entry(worker.to_string())
+            .or_insert_with(|| WorkerPool::new(worker, address));
+        Some(pool.clone())
+    }
+
+    /// Connections to workers that stand or are being made.
+    pub fn worker_connections(&self) -> usize {
+        self.worker_connections.get()
+    }
+    fn pools(&self) -> Vec<Rc<WorkerPool>> {
+        self.state.borrow().pools.values().cloned().collect()
+    }
+    /// Closes idle connections to workers before the workers do, and those whose answer stalled.
+    pub fn maintain_connections(&self) {
+        let pools = self.pools();
+        pools.iter().for_each(|pool| pool.maintain(&self.limits));
+    }
+    /// Closes one idle connection to a worker, to make room for another.
+    fn close_idle_connection(&self) -> bool {
+        self.pools().iter().any(|pool| pool.close_idle_connection())
+    }
+
+    /// A control request has ended on its connection.
+    pub(super) fn close_control(self: &Rc<Self>, request: OrderId, outcome: Seen, trailers: Told) {
+        self.state.borrow_mut().control.remove(&request);
+        self.control_ended(request, outcome, trailers);
+    }
+
+    /// An attempt was cancelled as it was about to be sent.
+    fn on_attempt_denied(self: &Rc<Self>, attempt: &Attempt, reason: Denied) {
+        let reason = reason.as_str();
+        let request = attempt.context.request_id();
+        tracing::debug!(request, attempt = attempt.number, reason, "held back");
+        let outcome = Seen::NeverLeft;
+        self.attempt_ended(attempt.call, attempt.number, outcome, Told::default());
+    }
+
+    /// The first byte of a control request is sent.
+    fn on_control_started(&self, request: OrderId, worker: &str) {
+        if self.with_dispatcher(|dispatcher| dispatcher.loads(request)) {
+            let violations = self.invariants.borrow_mut().load_sent(worker);
+            for violation in violations {
+                tracing::error!(?violation, order = request.0, %worker, "a rule does not hold: a defect of this program");
+            }
+        }
+    }
+}
+
+impl ConnectionHandler for Driver {
+    fn spawner(&self) -> &Spawner {
+        &self.spawner
+    }
+    fn limits(&self) -> &ServingLimits {
+        &self.limits
+    }
+    fn now(&self) -> Time {
+        Driver::now(self)
+    }
+    fn before_sending(self: &Rc<Self>) {
+        self.poll_endpoint_list();
+    }
+    /// What has arrived from the client is read first: a client that has left is reported to the dispatcher.
+    fn may_send(self: &Rc<Self>, attempt: &Attempt) -> Result<Span, Denied> {
+        let is_open = self.state.borrow().calls.contains_key(&attempt.call);
+        if is_open && !attempt.context.slot.is_client_waiting() {
+            self.on_client_left(attempt.call);
+        }
+        self.with_dispatcher(|dispatcher| {
+            dispatcher.may_send(self.now(), attempt.call, attempt.number)
+        })
+    }
+    fn patience(&self, now: Time, attempt: &Attempt) -> Span {
+        self.with_dispatcher(|dispatcher| {
+            dispatcher
+                .may_send(now, attempt.call, attempt.number)
+                .unwrap_or(0)
+        })
+    }
+    fn may_start(&self, request: OrderId) -> bool {
+        self.with_dispatcher(|dispatcher| dispatcher.may_start(request).is_ok())
+    }
+
+    fn on_event(self: &Rc<Self>, event: ConnectionEvent<'_>) {
+        match event {
+            ConnectionEvent::AttemptStarted {
+                attempt,
+                now,
+                patience,
+                worker,
+                connection,
+            } => {
+                let (request, number) = (attempt.context.request_id(), attempt.number);
+                tracing::debug!(request, attempt = number, %worker, patience, connection, "sent");
+                let mut invariants = self.invariants.borrow_mut();
+                let violations = invariants.sent(now, attempt.call, worker, patience);
+                drop(invariants);
+                self.log_violations(&violations, attempt.call);
+            }
+            ConnectionEvent::AttemptDenied { attempt, reason } => {
+                self.on_attempt_denied(attempt, reason);
+            }
+            ConnectionEvent::AttemptAnswered {
+                attempt,
+                outcome,
+                trailers,
+                body,
+            } => {
+                *attempt.context.staged_body.borrow_mut() = Some(body);
+                self.attempt_ended(attempt.call, attempt.number, outcome, trailers);
+            }
+            ConnectionEvent::AttemptLost { attempt, outcome } => {
+                self.attempt_ended(attempt.call, attempt.number, outcome, Told::default());
+            }
+            ConnectionEvent::ControlStarted { request, worker } => {
+                self.on_control_started(request, worker);
+            }
+            ConnectionEvent::ControlEnded {
+                request,
+                outcome,
+                trailers,
+            } => self.close_control(request, outcome, trailers),
+            ConnectionEvent::OutOfResources => {
+                // An idle connection makes room for the next.
+                self.close_idle_connection();
+            }
+            ConnectionEvent::Closed {
+                worker,
+                connection,
+                outcome,
+                open_requests,
+            } => {
+                let standing = self.worker_connections.get();
+                self.worker_connections.set(standing.saturating_sub(1));
+                self.reasons.count_disconnected(outcome);
+                tracing::debug!(%worker, connection, reason = %outcome, open = open_requests, "a connection to a worker has ended");
+            }
+        }
+    }
+}
--- a/net/platform/src/outbox.rs
+++ b/net/platform/src/outbox.rs
@@ -1,5 +1,5 @@
-//! What waits to leave on one connection. A message is turned into bytes only as it is about to leave: until its first byte
-//! has, it can be taken back, and what it says of the time left is true when it goes.
+//! Messages that wait to be sent on one connection. A message is encoded only as it is about to be sent: until its first
+//! byte is, it can be cancelled, and the remaining time that it states is true when it goes.
 
 use std::collections::VecDeque;
 use std::io;
@@ -7,95 +7,100 @@
 use tansy_dispatch::OrderId;
 use tansy_platform::call::RequestId;
 
-/// One message.
+/// A message to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Message {
+pub enum OutgoingMessage {
     /// An attempt at the request of this id.
     Attempt(RequestId),
-    /// An order or a probe, whole.
-    Order(OrderId, Vec<u8>),
-    /// What nobody waits for, whole.
-    Plain(Vec<u8>),
+    /// A probe or a load request, encoded.
+    Control(OrderId, Vec<u8>),
+    /// A message without an answer, encoded.
+    Unacknowledged(Vec<u8>),
 }
 
 struct Waiting {
-    message: Message,
-    /// Bytes that it takes up, about.
+    message: OutgoingMessage,
+    /// Bytes that it takes up, approximately.
     size: usize,
 }
 
-/// The messages of one connection that have not left whole.
+/// The messages of one connection that have not been sent whole.
 #[derive(Default)]
 pub struct Outbox {
     waiting: VecDeque<Waiting>,
-    /// The rest of a message that has begun to leave.
-    begun: Vec<u8>,
+    /// The rest of a message of which a part is sent.
+    unsent_rest: Vec<u8>,
     bytes: usize,
 }
 
 impl Outbox {
     /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty() && self.begun.is_empty()
+        self.waiting.is_empty() && self.unsent_rest.is_empty()
     }
-    /// Bytes that wait, about.
+    /// Bytes that wait, approximately.
     pub fn bytes(&self) -> usize {
-        self.bytes + self.begun.len()
+        self.bytes + self.unsent_rest.len()
     }
-    /// Adds a message that takes up about so many bytes.
-    pub fn push(&mut self, message: Message, size: usize) {
+    /// Adds a message that takes up approximately `size` bytes.
+    pub fn push(&mut self, message: OutgoingMessage, size: usize) {
         self.bytes += size;
         self.waiting.push_back(Waiting { message, size });
     }
-    /// Lets go of everything.
+    /// Discards everything.
     pub fn clear(&mut self) {
         *self = Outbox::default();
     }
 
-    /// Attempts of which no byte has left, in their order.
+    /// Attempts of which no byte is sent, in their order.
     pub fn attempts(&self) -> impl Iterator<Item = RequestId> + '_ {
-        self.waiting.iter().filter_map(|w| match w.message {
-            Message::Attempt(id) => Some(id),
+        self.waiting.iter().filter_map(|entry| match entry.message {
+            OutgoingMessage::Attempt(id) => Some(id),
             _ => None,
         })
     }
-    /// Orders of which no byte has left, in their order.
-    pub fn orders(&self) -> impl Iterator<Item = OrderId> + '_ {
-        self.waiting.iter().filter_map(|w| match w.message {
-            Message::Order(order, _) => Some(order),
+    /// Control requests of which no byte is sent, in their order.
+    pub fn control_requests(&self) -> impl Iterator<Item = OrderId> + '_ {
+        self.waiting.iter().filter_map(|entry| match entry.message {
+            OutgoingMessage::Control(request, _) => Some(request),
             _ => None,
         })
     }
 
-    /// Takes an attempt back; false: it has begun to leave.
-    pub fn take_back(&mut self, id: &RequestId) -> bool {
-        self.remove(|m| matches!(m, Message::Attempt(of) if of == id))
+    /// Cancels an attempt; false: a part of it is sent.
+    pub fn cancel_attempt(&mut self, id: &RequestId) -> bool {
+        self.remove(|message| matches!(message, OutgoingMessage::Attempt(of) if of == id))
     }
-    /// Takes an order back; false: it has begun to leave.
-    pub fn take_back_order(&mut self, order: OrderId) -> bool {
-        self.remove(|m| matches!(m, Message::Order(of, _) if *of == order))
+    /// Cancels a control request; false: a part of it is sent.
+    pub fn cancel_control(&mut self, request: OrderId) -> bool {
+        self.remove(|message| matches!(message, OutgoingMessage::Control(of, _) if *of == request))
     }
 
-    fn remove(&mut self, is: impl Fn(&Message) -> bool) -> bool {
-        let Some(at) = self.waiting.iter().position(|w| is(&w.message)) else {
+    fn remove(&mut self, matches: impl Fn(&OutgoingMessage) -> bool) -> bool {
+        let Some(index) = self
+            .waiting
+            .iter()
+            .position(|entry| matches(&entry.message))
+        else {
             return false;
         };
-        if let Some(gone) = self.waiting.remove(at) {
-            self.bytes -= gone.size;
+        if let Some(removed) = self.waiting.remove(index) {
+            self.bytes -= removed.size;
         }
         true
     }
 
-    /// Writes as much as is taken. Messages are made into bytes by `encode`, and let go of if there are none; `begins` hears of each whose first byte has
-    /// left. What has not begun to leave waits on, and is made into bytes anew.
+    /// Writes as much as `write` takes. Messages are encoded by `encode`, and discarded if that gives no bytes;
+    /// `on_started` is called for each whose first byte is sent. The others go on waiting, and are encoded anew the
+    /// next time.
     pub fn flush(
         &mut self,
-        encode: impl Fn(&Message) -> Vec<u8>,
-        mut begins: impl FnMut(&Message),
+        encode: impl Fn(&OutgoingMessage) -> Vec<u8>,
+        mut on_started: impl FnMut(&OutgoingMessage),
         mut write: impl FnMut(&[u8]) -> Poll<io::Result<usize>>,
     ) -> io::Result<()> {
         while !self.is_empty() {
-            let mut batch = std::mem::take(&mut self.begun);
+            let mut batch = std::mem::take(&mut self.unsent_rest);
             let mut starts = Vec::with_capacity(self.waiting.len());
             let bytes = &mut self.bytes;
             self.waiting.retain(|waiting| {
@@ -117,21 +122,21 @@
                 Poll::Ready(written) => written,
                 Poll::Pending => Ok(0),
             };
-            let left = match written {
-                Ok(n) => n,
+            let sent = match written {
+                Ok(count) => count,
                 Err(e) => {
-                    self.begun = batch[..first].to_vec();
+                    self.unsent_rest = batch[..first].to_vec();
                     return Err(e);
                 }
             };
-            let begun = starts.iter().take_while(|start| **start < left).count();
-            for waiting in self.waiting.drain(..begun) {
+            let started = starts.iter().take_while(|start| **start < sent).count();
+            for waiting in self.waiting.drain(..started) {
                 self.bytes -= waiting.size;
-                begins(&waiting.message);
+                on_started(&waiting.message);
             }
-            let end = starts.get(begun).copied().unwrap_or(batch.len());
-            self.begun = batch[left.min(end)..end].to_vec();
-            if left == 0 {
+            let end = starts.get(started).copied().unwrap_or(batch.len());
+            self.unsent_rest = batch[sent.min(end)..end].to_vec();
+            if sent == 0 {
                 return Ok(());
             }
         }
--- a/net/platform/src/reasons.rs
+++ b/net/platform/src/reasons.rs
@@ -1,4 +1,4 @@
-//! Why connections were closed, requests refused and attempts repeated: counted here, told in the totals.
+//! Why connections were closed, requests refused and attempts repeated: counted here, logged with the totals.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,11 +14,11 @@
     Silent,
     /// It was answered, and sent nothing after that.
     Idle,
-    /// Its place was needed.
+    /// Its descriptor was needed.
     GaveWay,
-    /// What it sent was no request.
+    /// What it sent was not a valid request.
     BadRequest,
-    /// Its answer was not taken in time.
+    /// Its answer was not read in time.
     NotTaken,
     /// Its request asked for that, or this front end takes no more.
     LastAnswer,
@@ -52,7 +52,7 @@
 /// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// Its time was over when it was read.
+    /// Its deadline had passed when it was read.
     TooLate,
     /// No worker could take it, or this front end takes no more.
     NeverSent,
@@ -88,7 +88,7 @@
 
 /// The counts since the start.
 #[derive(Debug, Default)]
-pub struct Reasons {
+pub struct ReasonCounters {
     closed: [Cell<u64>; CloseReason::ALL.len()],
     refused: [Cell<u64>; RefusalReason::ALL.len()],
     /// By how the attempt before had ended.
@@ -97,59 +97,59 @@
     disconnected: RefCell<BTreeMap<String, u64>>,
 }
 
-fn count(cell: &Cell<u64>) {
+fn increment(cell: &Cell<u64>) {
     cell.set(cell.get() + 1);
 }
 
-impl Reasons {
+impl ReasonCounters {
     /// A client's connection was closed.
-    pub fn closed(&self, reason: CloseReason) {
-        count(&self.closed[reason as usize]);
+    pub fn count_closed(&self, reason: CloseReason) {
+        increment(&self.closed[reason as usize]);
     }
     /// A request was refused.
-    pub fn refused(&self, reason: RefusalReason) {
-        count(&self.refused[reason as usize]);
+    pub fn count_refused(&self, reason: RefusalReason) {
+        increment(&self.refused[reason as usize]);
     }
-    /// A request was sent once more; its attempt before had ended so.
-    pub fn repeated(&self, last: Seen) {
+    /// A request was sent once more; its attempt before had ended with `last`.
+    pub fn count_repeated(&self, last: Seen) {
         *self.repeated.borrow_mut().entry(label(last)).or_default() += 1;
     }
-    /// A connection to a worker has ended so.
-    pub fn disconnected(&self, seen: Seen) {
+    /// A connection to a worker has ended with `outcome`.
+    pub fn count_disconnected(&self, outcome: Seen) {
         *self
             .disconnected
             .borrow_mut()
-            .entry(label(seen))
+            .entry(label(outcome))
             .or_default() += 1;
     }
 }
 
-/// The sorts of ends are few: statuses of workers and what sockets show.
-fn label(seen: Seen) -> String {
-    seen.to_string().to_lowercase().replace(' ', "_")
+/// An outcome's name in the totals. There are few: statuses of workers and what sockets show.
+fn label(outcome: Seen) -> String {
+    outcome.to_string().to_lowercase().replace(' ', "_")
 }
 
-impl std::fmt::Display for Reasons {
+impl std::fmt::Display for ReasonCounters {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let closed = CloseReason::ALL
             .iter()
             .zip(&self.closed)
-            .map(|(r, n)| (r.as_str(), n.get()));
+            .map(|(reason, total)| (reason.as_str(), total.get()));
         let refused = RefusalReason::ALL
             .iter()
             .zip(&self.refused)
-            .map(|(r, n)| (r.as_str(), n.get()));
-        for (reason, n) in closed.filter(|c| c.1 > 0) {
-            write!(f, "closed.{reason}={n} ")?;
+            .map(|(reason, total)| (reason.as_str(), total.get()));
+        for (reason, total) in closed.filter(|entry| entry.1 > 0) {
+            write!(f, "closed.{reason}={total} ")?;
         }
-        for (reason, n) in refused.filter(|c| c.1 > 0) {
-            write!(f, "refused.{reason}={n} ")?;
+        for (reason, total) in refused.filter(|entry| entry.1 > 0) {
+            write!(f, "refused.{reason}={total} ")?;
         }
-        for (reason, n) in self.repeated.borrow().iter() {
-            write!(f, "repeated.{reason}={n} ")?;
+        for (outcome, total) in self.repeated.borrow().iter() {
+            write!(f, "repeated.{outcome}={total} ")?;
         }
-        for (reason, n) in self.disconnected.borrow().iter() {
-            write!(f, "disconnected.{reason}={n} ")?;
+        for (outcome, total) in self.disconnected.borrow().iter() {
+            write!(f, "disconnected.{outcome}={total} ")?;
         }
         Ok(())
     }
--- /dev/null
+++ b/net/platform/src/worker_connection/io.rs
@@ -0,0 +1,356 @@
+//! The task of one connection to a worker: it connects, sends what waits, reads answers, and reports each event to its
+//! handler as it happens.
+
+use super::events::{ConnectionEvent, ConnectionHandler};
+use super::{Pending, WorkerConnection};
+use crate::outbox::OutgoingMessage;
+use std::collections::HashMap;
+use std::future::poll_fn;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Instant;
+use tansy_dispatch::{OrderId, Seen, Stage, Told};
+use tansy_net_sockets::socket::{no_room, Socket};
+use tansy_net_sockets::within;
+use tansy_platform::call::RequestId;
+use tansy_resp::{Limits, Reader};
+use tansyrouter::Time;
+
+/// Limits of one answer: its body, and its strings.
+const ANSWER: Limits = Limits {
+    string: 256 * 1024,
+    strings: 4,
+};
+/// Bytes read in one turn of the loop from one connection.
+const READ_SHARE: usize = 64 * 1024;
+/// How a connection ends that breaks, before anything of an answer is known.
+const BROKEN: Seen = Seen::Cut {
+    stage: Stage::Nothing,
+};
+
+/// Runs a connection from its making to its end.
+pub async fn run_connection<H: ConnectionHandler>(
+    handler: Rc<H>,
+    address: SocketAddr,
+    connection: Rc<WorkerConnection>,
+) {
+    let outcome = connect_and_serve(&handler, address, &connection).await;
+    connection.end(&handler, outcome);
+}
+
+async fn connect_and_serve<H: ConnectionHandler>(
+    handler: &Rc<H>,
+    address: SocketAddr,
+    connection: &Rc<WorkerConnection>,
+) -> Seen {
+    // An error of this machine says nothing of the worker.
+    let failed = |e: io::Error| {
+        if no_room(&e) {
+            handler.on_event(ConnectionEvent::OutOfResources);
+            return Seen::NeverLeft;
+        }
+        Seen::ConnectRefused
+    };
+    let socket = match Socket::connect(handler.spawner().handle(), address) {
+        Ok(socket) => socket,
+        Err(e) => return failed(e),
+    };
+    let limit = handler.spawner().sleep(handler.limits().connect_timeout);
+    let connected = poll_fn(|cx| {
+        let mut state = connection.state.borrow_mut();
+        if state.abort.is_some() {
+            return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
+        }
+        state.waker = Some(cx.waker().clone());
+        socket.poll_connected(cx)
+    });
+    match within(limit, connected).await {
+        None => return Seen::ConnectTimedOut,
+        Some(Err(e)) => return failed(e),
+        Some(Ok(())) => connection.state.borrow_mut().connected = true,
+    }
+    let mut reader = Reader::new(ANSWER);
+    poll_fn(|cx| connection.poll(handler, &socket, &mut reader, cx)).await
+}
+
+impl WorkerConnection {
+    /// One turn: sends what waits, reads a share of what arrived. Ready: how the connection ended.
+    fn poll<H: ConnectionHandler>(
+        &self,
+        handler: &Rc<H>,
+        socket: &Socket,
+        reader: &mut Reader,
+        cx: &Context<'_>,
+    ) -> Poll<Seen> {
+        {
+            let mut state = self.state.borrow_mut();
+            state.waker = Some(cx.waker().clone());
+            if let Some(outcome) = state.abort {
+                return Poll::Ready(outcome);
+            }
+        }
+        let has_waiting = !self.state.borrow().outbox.is_empty();
+        if has_waiting && self.flush(handler, socket, cx).is_err() {
+            return Poll::Ready(BROKEN);
+        }
+        {
+            let state = self.state.borrow();
+            if let Some(outcome) = state.abort {
+                return Poll::Ready(outcome);
+            }
+            let is_done = state.attempts.is_empty() && state.control.is_empty();
+            if state.retired && is_done && state.outbox.is_empty() {
+                return Poll::Ready(Seen::NeverLeft);
+            }
+        }
+        self.poll_answers(handler, socket, reader, cx)
+    }
+
+    /// Reads a share of what arrived, and reports each whole answer.
+    fn poll_answers<H: ConnectionHandler>(
+        &self,
+        handler: &Rc<H>,
+        socket: &Socket,
+        reader: &mut Reader,
+        cx: &Context<'_>,
+    ) -> Poll<Seen> {
+        let mut buffer = [0u8; 16 * 1024];
+        let mut bytes_read = 0;
+        loop {
+            let count = match socket.poll_read(cx, &mut buffer) {
+                Poll::Ready(Ok(count)) if count > 0 => count,
+                Poll::Ready(_) => return Poll::Ready(BROKEN),
+                Poll::Pending => return Poll::Pending,
+            };
+            self.state.borrow_mut().last_read = Instant::now();
+            reader.take(&buffer[..count]);
+            loop {
+                match reader.array() {
+                    Ok(Some(strings)) => self.on_answer(handler, &strings),
+                    Ok(None) => break,
+                    Err(_) => {
+                        return Poll::Ready(Seen::BadAnswer {
+                            stage: Stage::Headers,
+                        })
+                    }
+                }
+            }
+            self.state.borrow_mut().partial_answer = reader.partial();
+            bytes_read += count;
+            if bytes_read >= READ_SHARE {
+                // The other connections come first.
+                cx.waker().wake_by_ref();
+                return Poll::Pending;
+            }
+        }
+    }
+
+    /// Takes one answer.
+    fn on_answer<H: ConnectionHandler>(&self, handler: &Rc<H>, strings: &[&[u8]]) {
+        let part = |index: usize| strings.get(index).copied().unwrap_or(b"");
+        let (tag, word, fields, body) = (part(0), part(1), part(2), part(3));
+        let answer = tansy_platform::answer(word, fields, handler.limits().reports_concurrency);
+        let (outcome, trailers) = (answer.seen, answer.told);
+        let id: Option<RequestId> = tag.try_into().ok();
+        let pending = id.and_then(|id| take_started(&mut self.state.borrow_mut().attempts, &id));
+        if let Some(pending) = pending {
+            return handler.on_event(ConnectionEvent::AttemptAnswered {
+                attempt: &pending.request,
+                outcome,
+                trailers,
+                body: body.to_vec(),
+            });
+        }
+        let request = tag
+            .strip_prefix(b"o")
+            .and_then(|digits| std::str::from_utf8(digits).ok()?.parse().ok())
+            .map(OrderId)
+            .filter(|id| take_started(&mut self.state.borrow_mut().control, id).is_some());
+        if let Some(request) = request {
+            handler.on_event(ConnectionEvent::ControlEnded {
+                request,
+                outcome,
+                trailers,
+            });
+        }
+    }
+
+    /// Checks each attempt and control request of which nothing is sent once more, and cancels those that may no longer
+    /// be: they were chosen when the connection was not up, or the loop was behind.
+    fn cancel_denied<H: ConnectionHandler>(&self, handler: &Rc<H>) {
+        handler.before_sending();
+        let waiting: Vec<RequestId> = self.state.borrow().outbox.attempts().collect();
+        for id in waiting {
+            let pending = self
+                .state
+                .borrow()
+                .attempts
+                .get(&id)
+                .map(|p| p.request.clone());
+            let Some(attempt) = pending else {
+                continue;
+            };
+            let Err(reason) = handler.may_send(&attempt) else {
+                continue;
+            };
+            // The check may have ended and cancelled it already.
+            let cancelled = {
+                let mut state = self.state.borrow_mut();
+                let was_open = state.attempts.remove(&id).is_some();
+                state.outbox.cancel_attempt(&id) && was_open
+            };
+            if cancelled {
+                handler.on_event(ConnectionEvent::AttemptDenied {
+                    attempt: &attempt,
+                    reason,
+                });
+            }
+        }
+        let waiting: Vec<OrderId> = self.state.borrow().outbox.control_requests().collect();
+        for request in waiting {
+            if handler.may_start(request) {
+                continue;
+            }
+            if let Some(outcome) = self.cancel_control(request) {
+                handler.on_event(ConnectionEvent::ControlEnded {
+                    request,
+                    outcome,
+                    trailers: Told::default(),
+                });
+            }
+        }
+    }
+
+    /// Sends what waits and may be sent.
+    fn flush<H: ConnectionHandler>(
+        &self,
+        handler: &Rc<H>,
+        socket: &Socket,
+        cx: &Context<'_>,
+    ) -> io::Result<()> {
+        self.cancel_denied(handler);
+        let state = &mut *self.state.borrow_mut();
+        if state.abort.is_some() {
+            return Ok(());
+        }
+        // The same moment for all: the time that a worker is given is checked against it.
+        let now = handler.now();
+        let attempts = &state.attempts;
+        let mut started = Vec::new();
+        let flushed = state.outbox.flush(
+            |message| match message {
+                OutgoingMessage::Attempt(id) => attempts.get(id).map_or(Vec::new(), |pending| {
+                    let patience = handler.patience(now, &pending.request);
+                    pending.request.encode(handler.limits(), patience)
+                }),
+                OutgoingMessage::Control(_, bytes) | OutgoingMessage::Unacknowledged(bytes) => {
+                    bytes.clone()
+                }
+            },
+            |message| started.push(message.clone()),
+            |bytes| socket.poll_write(cx, bytes),
+        );
+        for message in started {
+            match message {
+                OutgoingMessage::Attempt(id) => {
+                    self.attempt_started(handler, state.attempts.get_mut(&id), now);
+                }
+                OutgoingMessage::Control(request, _) => {
+                    self.control_started(handler, request, state.control.get_mut(&request));
+                }
+                OutgoingMessage::Unacknowledged(_) => {}
+            }
+        }
+        flushed
+    }
+
+    fn attempt_started<H: ConnectionHandler>(
+        &self,
+        handler: &Rc<H>,
+        pending: Option<&mut Pending<crate::call::Attempt>>,
+        now: Time,
+    ) {
+        let Some(pending) = pending else { return };
+        pending.started = true;
+        handler.on_event(ConnectionEvent::AttemptStarted {
+            attempt: &pending.request,
+            now,
+            patience: handler.patience(now, &pending.request),
+            worker: &self.worker,
+            connection: self.serial,
+        });
+    }
+
+    fn control_started<H: ConnectionHandler>(
+        &self,
+        handler: &Rc<H>,
+        request: OrderId,
+        pending: Option<&mut Pending<()>>,
+    ) {
+        let Some(pending) = pending else { return };
+        pending.started = true;
+        handler.on_event(ConnectionEvent::ControlStarted {
+            request,
+            worker: &self.worker,
+        });
+    }
+
+    /// The connection has ended: so has all that was open on it.
+    fn end<H: ConnectionHandler>(&self, handler: &Rc<H>, outcome: Seen) {
+        let (mut attempts, mut control) = {
+            let mut state = self.state.borrow_mut();
+            state.ended = true;
+            state.outbox.clear();
+            let attempts: Vec<_> = std::mem::take(&mut state.attempts).into_values().collect();
+            let control: Vec<_> = std::mem::take(&mut state.control).into_iter().collect();
+            (attempts, control)
+        };
+        handler.on_event(ConnectionEvent::Closed {
+            worker: &self.worker,
+            connection: self.serial,
+            outcome,
+            open_requests: attempts.len() + control.len(),
+        });
+        attempts.sort_by_key(|pending| pending.request.call);
+        control.sort_by_key(|(request, _)| *request);
+        for pending in attempts {
+            handler.on_event(ConnectionEvent::AttemptLost {
+                attempt: &pending.request,
+                outcome: outcome_of(pending.started, outcome),
+            });
+        }
+        for (request, pending) in control {
+            // Nothing was heard of a control request whose connection ended, whatever ended the connection.
+            let outcome = match outcome_of(pending.started, outcome) {
+                Seen::BadAnswer { .. } => BROKEN,
+                other => other,
+            };
+            handler.on_event(ConnectionEvent::ControlEnded {
+                request,
+                outcome,
+                trailers: Told::default(),
+            });
+        }
+    }
+}
+
+/// How a request ended whose connection ended with `outcome`.
+fn outcome_of(started: bool, outcome: Seen) -> Seen {
+    let was_connected = !matches!(outcome, Seen::ConnectRefused | Seen::ConnectTimedOut);
+    if was_connected && !started {
+        Seen::NeverLeft
+    } else {
+        outcome
+    }
+}
+
+/// Takes what is open under this name. What is not sent can't have been answered: such an answer is ignored.
+fn take_started<K: Eq + std::hash::Hash, T>(
+    open: &mut HashMap<K, Pending<T>>,
+    name: &K,
+) -> Option<Pending<T>> {
+    open.get(name).filter(|pending| pending.started)?;
+    open.remove(name)
+}
--- a/net/platform/tests/outbox.rs
+++ b/net/platform/tests/outbox.rs
@@ -2,21 +2,23 @@
 
 use std::io;
 use std::task::Poll;
-use tansy_net_platform::outbox::{Message, Outbox};
+use tansy_net_platform::outbox::{Outbox, OutgoingMessage};
 use tansy_platform::call::RequestId;
 
 const FIRST: RequestId = *b"0000000000000001";
 const SECOND: RequestId = *b"0000000000000002";
 
-fn encode(message: &Message) -> Vec<u8> {
+fn encode(message: &OutgoingMessage) -> Vec<u8> {
     match message {
-        Message::Attempt(id) => id.to_vec(),
-        Message::Order(_, bytes) | Message::Plain(bytes) => bytes.clone(),
+        OutgoingMessage::Attempt(id) => id.to_vec(),
+        OutgoingMessage::Control(_, bytes) | OutgoingMessage::Unacknowledged(bytes) => {
+            bytes.clone()
+        }
     }
 }
 
 /// Flushes into a sink that takes so many bytes in all; what it took, and what began to leave.
-fn flush(outbox: &mut Outbox, mut room: usize) -> (Vec<u8>, Vec<Message>) {
+fn flush(outbox: &mut Outbox, mut room: usize) -> (Vec<u8>, Vec<OutgoingMessage>) {
     let (mut taken, mut began) = (Vec::new(), Vec::new());
     let write = |bytes: &[u8]| {
         let n = bytes.len().min(room);
@@ -37,9 +39,9 @@
 fn a_message_can_be_taken_back_until_its_first_byte_has_left() {
     for room in 0..=40 {
         let mut outbox = Outbox::default();
-        outbox.push(Message::Attempt(FIRST), 16);
-        outbox.push(Message::Plain(b"12345678".to_vec()), 8);
-        outbox.push(Message::Attempt(SECOND), 16);
+        outbox.push(OutgoingMessage::Attempt(FIRST), 16);
+        outbox.push(OutgoingMessage::Unacknowledged(b"12345678".to_vec()), 8);
+        outbox.push(OutgoingMessage::Attempt(SECOND), 16);
         let whole: Vec<u8> = [&FIRST[..], b"12345678", &SECOND[..]].concat();
         let (taken, began) = flush(&mut outbox, room);
         assert_eq!(taken, whole[..room], "room {room}");
@@ -48,8 +50,8 @@
             [0, 16, 24].iter().filter(|start| **start < room).count(),
             "room {room}"
         );
-        assert_eq!(outbox.take_back(&FIRST), room == 0, "room {room}");
-        assert_eq!(outbox.take_back(&SECOND), room <= 24, "room {room}");
+        assert_eq!(outbox.cancel_attempt(&FIRST), room == 0, "room {room}");
+        assert_eq!(outbox.cancel_attempt(&SECOND), room <= 24, "room {room}");
         // What had begun is finished, and nothing that was taken back leaves.
         let rest = flush(&mut outbox, 100).0;
         let wanted: &[u8] = match room {
@@ -66,23 +68,23 @@
 #[test]
 fn an_error_leaves_what_has_not_begun_as_it_was() {
     let mut outbox = Outbox::default();
-    outbox.push(Message::Attempt(FIRST), 16);
+    outbox.push(OutgoingMessage::Attempt(FIRST), 16);
     let failed = outbox.flush(
         encode,
         |_| panic!("nothing left"),
         |_| Poll::Ready(Err(io::ErrorKind::ConnectionReset.into())),
     );
     assert!(failed.is_err());
-    assert!(outbox.take_back(&FIRST));
+    assert!(outbox.cancel_attempt(&FIRST));
 }
 
 #[test]
 fn what_has_no_bytes_any_more_is_let_go() {
     let mut outbox = Outbox::default();
-    outbox.push(Message::Attempt(FIRST), 16);
-    outbox.push(Message::Attempt(SECOND), 16);
+    outbox.push(OutgoingMessage::Attempt(FIRST), 16);
+    outbox.push(OutgoingMessage::Attempt(SECOND), 16);
     let (mut taken, mut began) = (Vec::new(), 0);
-    let none = |_: &Message| Vec::new();
+    let none = |_: &OutgoingMessage| Vec::new();
     let write = |bytes: &[u8]| {
         taken.extend_from_slice(bytes);
         Poll::Ready(Ok(bytes.len()))
--- a/programs/gateway/src/platform.rs
+++ b/programs/gateway/src/platform.rs
@@ -9,9 +9,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tansy_dispatch::{Front, Input};
-use tansy_net_platform::clients::Clients;
-use tansy_net_platform::coordinator::Coordinator;
-use tansy_net_platform::{Hub, Setup};
+use tansy_net_platform::{ClientListener, Driver, EndpointPoller, ServingLimits};
 use tansy_net_sockets::interrupt::Uninterrupted;
 use tansy_net_sockets::socket::{descriptors, listen, retry};
 use tansy_net_sockets::{io_error, Spawner};
@@ -26,8 +24,8 @@
 const GRACE: Duration = Duration::from_millis(400);
 /// At a start what fails for a moment is tried for so long: a front end is to be ready in 30 s.
 const START_WITHIN: Duration = Duration::from_secs(20);
-/// How often connections to workers are looked over.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// How often connections to workers are maintained.
+const MAINTAIN_EVERY: Duration = Duration::from_millis(100);
 /// How often the totals are logged.
 const TOTALS_EVERY: Duration = Duration::from_secs(10);
 /// A configuration that can't be read is tried again after this, ...
@@ -88,9 +86,9 @@
 /// A front end on the platform.
 pub struct Platform {
     event_loop: EventLoop<'static, ()>,
-    hub: Rc<Hub>,
-    clients: Rc<Clients>,
-    coordinator: Rc<Coordinator>,
+    driver: Rc<Driver>,
+    clients: Rc<ClientListener>,
+    poller: Rc<EndpointPoller>,
     address: SocketAddr,
     deadline: Duration,
 }
@@ -132,34 +130,34 @@
         let address = listener.local_addr()?;
         let front = Front::new(front, Time(0))?;
         // The machine's bound goes before the stated one where it is lower.
-        let setup = Setup::new(config, descriptors());
-        let hub = Hub::new(spawner.clone(), front, setup, Instant::now());
+        let limits = ServingLimits::new(config, descriptors());
+        let driver = Driver::new(spawner.clone(), front, limits, Instant::now());
         let list = List::new(
             config.settings.zones.clone(),
             config.settings.machine_types.clone(),
         );
-        let coordinator = Coordinator::start(hub.clone(), list, config.coordinator, &config.known);
-        let clients = Clients::start(hub.clone(), listener)?;
-        let looks = hub.clone();
+        let poller = EndpointPoller::start(driver.clone(), list, config.coordinator, &config.known);
+        let clients = ClientListener::start(driver.clone(), listener)?;
+        let maintained = driver.clone();
         spawner.spawn(async move {
             let mut told = Instant::now();
             loop {
-                looks.spawner.sleep(LOOK_EVERY).await;
-                looks.look_over();
+                maintained.spawner.sleep(MAINTAIN_EVERY).await;
+                maintained.maintain_connections();
                 if told.elapsed() >= TOTALS_EVERY {
                     told = Instant::now();
-                    let (account, open) = looks.account();
-                    let (violations, reasons) = (looks.violations(), &looks.reasons);
-                    tracing::info!(%account, open, violations, %reasons, held = ?looks.held(), "totals");
+                    let (account, open) = maintained.counters();
+                    let (violations, reasons) = (maintained.violations(), &maintained.reasons);
+                    tracing::info!(%account, open, violations, %reasons, held = ?maintained.table_sizes(), "totals");
                 }
             }
         });
         let deadline = Duration::from_micros(longest.max(0) as u64);
         Ok(Platform {
             event_loop,
-            hub,
+            driver,
             clients,
-            coordinator,
+            poller,
             address,
             deadline,
         })
@@ -169,32 +167,32 @@
     pub fn address(&self) -> SocketAddr {
         self.address
     }
-    /// The hub.
-    pub fn hub(&self) -> &Rc<Hub> {
-        &self.hub
+    /// The driver of the dispatcher.
+    pub fn driver(&self) -> &Rc<Driver> {
+        &self.driver
     }
     /// The connections of clients.
-    pub fn clients(&self) -> &Rc<Clients> {
+    pub fn clients(&self) -> &Rc<ClientListener> {
         &self.clients
     }
-    /// The poll.
-    pub fn coordinator(&self) -> &Rc<Coordinator> {
-        &self.coordinator
+    /// The coordinator's poll.
+    pub fn poller(&self) -> &Rc<EndpointPoller> {
+        &self.poller
     }
 
     /// One turn of the loop, at most so long.
     pub fn turn(&mut self, most: Duration) -> Result<(), Error> {
-        let sleep = self.hub.sleep().map_or(most, |s| s.min(most));
+        let sleep = self.driver.next_timer_in().map_or(most, |s| s.min(most));
         let next = self
-            .hub
+            .driver
             .spawner
             .timers()
             .next_in()
             .map_or(sleep, |t| t.min(sleep));
-        self.hub.lag.turn_begins(Instant::now(), next);
+        self.driver.lag.turn_begins(Instant::now(), next);
         self.event_loop.dispatch(Some(sleep), &mut ())?;
-        self.hub.tick();
-        self.hub.lag.turn_ends(Instant::now());
+        self.driver.on_turn_end();
+        self.driver.lag.turn_ends(Instant::now());
         Ok(())
     }
 
@@ -202,8 +200,8 @@
     pub fn reload(&self, path: &Path) -> bool {
         match read(path) {
             Ok(config) => {
-                tracing::info!(coordinator = %config.coordinator, index = self.coordinator.index(), "configuration read");
-                self.coordinator.move_to(config.coordinator, &config.known);
+                tracing::info!(coordinator = %config.coordinator, index = self.poller.index(), "configuration read");
+                self.poller.move_to(config.coordinator, &config.known);
                 true
             }
             Err(e) => {
@@ -234,7 +232,7 @@
             due: None,
             left: 0,
         };
-        tracing::info!(listen = %self.address, index = self.coordinator.index(), "serving");
+        tracing::info!(listen = %self.address, index = self.poller.index(), "serving");
         while !asked.stop.get() {
             self.turn_and_reload(Duration::from_secs(60), &asked, &mut reload)?;
         }
@@ -271,7 +269,7 @@
     fn finish(mut self, asked: &Asked, reload: &mut Reload) -> Result<String, Error> {
         let told = Instant::now();
         let end = told + self.deadline + GRACE;
-        tracing::info!(open = self.hub.account().1, "stopping");
+        tracing::info!(open = self.driver.counters().1, "stopping");
         while told.elapsed() < WINDOW {
             let left = WINDOW
                 .saturating_sub(told.elapsed())
@@ -279,22 +277,22 @@
             self.turn_and_reload(left, asked, reload)?;
         }
         // What the machine has taken for us is ours: it is read, and served, before calls are refused.
-        while !self.clients.close() && Instant::now() < end {
+        while !self.clients.stop_accepting() && Instant::now() < end {
             self.turn_and_reload(Duration::from_millis(5), asked, reload)?;
         }
         self.turn_and_reload(Duration::ZERO, asked, reload)?;
         let left = end.saturating_duration_since(Instant::now());
-        self.hub.feed(Input::Close {
+        self.driver.feed(Input::Close {
             within: left.as_micros() as Span,
         });
         while Instant::now() < end + GRACE / 2
-            && !(self.hub.account().1 == 0 && self.clients.is_empty())
+            && !(self.driver.counters().1 == 0 && self.clients.is_empty())
         {
             self.turn_and_reload(Duration::from_millis(20), asked, reload)?;
         }
-        let (account, open) = self.hub.account();
-        let violations = self.hub.violations();
-        tracing::info!(%account, open, violations, reasons = %self.hub.reasons, "stopped");
+        let (account, open) = self.driver.counters();
+        let violations = self.driver.violations();
+        tracing::info!(%account, open, violations, reasons = %self.driver.reasons, "stopped");
         Ok(format!("{account} open={open} violations={violations}"))
     }
 }
--- a/programs/gateway/tests/platform/departures.rs
+++ b/programs/gateway/tests/platform/departures.rs
@@ -51,7 +51,7 @@
 
 /// Whether the call with this id, sent on so often before, is sent on now: only if its client stays.
 fn sent(hand: &mut Hand, worker: &mut Peer, id: u64, end: End, before: usize, name: &str) {
-    let open = |hand: &Hand| hand.platform.hub().held()[1];
+    let open = |hand: &Hand| hand.platform.driver().table_sizes()[1];
     let others = open(hand).saturating_sub(1);
     if end == End::Stays {
         hand.until(name, |_| {
@@ -86,7 +86,7 @@
     ];
     let third = hand.send(&call(3));
     hand.until("the third call is taken", |p| {
-        (p.hub().held()[1] == 3).then_some(())
+        (p.driver().table_sizes()[1] == 3).then_some(())
     });
     assert_eq!(worker.fires(3), 0, "it is held");
     (hand, worker, out, first, third)
@@ -202,7 +202,7 @@
     let filler = TcpStream::connect(worker.address).unwrap();
     worker.say(&order, "200", "replicas=1");
     hand.until("the attempt waits", |p| {
-        (p.hub().worker_connections.get() == 2).then_some(())
+        (p.driver().worker_connections() == 2).then_some(())
     });
     hand.pass(Duration::from_millis(20));
     (hand, worker, client, filler)
--- a/programs/gateway/tests/platform/faults.rs
+++ b/programs/gateway/tests/platform/faults.rs
@@ -137,7 +137,7 @@
     let slow = Duration::from_millis(1700);
     let mut due: Vec<(Instant, usize)> = Vec::new();
     let began = Instant::now();
-    while hand.platform.coordinator().index() < 2 {
+    while hand.platform.poller().index() < 2 {
         // An event counts as told 7 s after it happened, whatever discovery does.
         assert!(
             began.elapsed() < Duration::from_secs(7),
@@ -299,7 +299,7 @@
     let bytes = reply(&body);
     let mut out: Option<(usize, usize)> = None;
     let began = Instant::now();
-    while hand.platform.coordinator().index() < EVENTS {
+    while hand.platform.poller().index() < EVENTS {
         assert!(
             began.elapsed() < Duration::from_secs(7),
             "never heard; asked {} times",
--- a/programs/gateway/tests/platform/links.rs
+++ b/programs/gateway/tests/platform/links.rs
@@ -29,7 +29,7 @@
         // It may have run; the class's repeats are dropped for one second.
         worker.say(&first, "500", "-");
         hand.until("a further attempt is chosen", |p| {
-            (p.hub().worker_connections.get() == 3).then_some(())
+            (p.driver().worker_connections() == 3).then_some(())
         });
         if behind {
             // Its connection stands, in the kernel; the loop does not run.
@@ -104,7 +104,7 @@
     worker.serve(&second);
     worker.serve(&second);
     assert_eq!(hand.answer(&mut next), 200);
-    assert_eq!(hand.platform.hub().held()[..3], [0, 0, 0]);
+    assert_eq!(hand.platform.driver().table_sizes()[..3], [0, 0, 0]);
 }
 
 #[test]
--- a/programs/gateway/tests/platform/stage.rs
+++ b/programs/gateway/tests/platform/stage.rs
@@ -363,10 +363,10 @@
                     platform.reload(&p);
                 }
             }
-            let hub = platform.hub();
+            let driver = platform.driver();
             (
-                hub.held(),
-                hub.with_front(|f| f.held()),
+                driver.table_sizes(),
+                driver.with_dispatcher(|dispatcher| dispatcher.held()),
                 platform.clients().len(),
             )
         });
--- a/programs/gateway/tests/platform/watch.rs
+++ b/programs/gateway/tests/platform/watch.rs
@@ -125,7 +125,7 @@
             ..call(1)
         });
         hand.until("the load waits", |p| {
-            (p.hub().worker_connections.get() == 1).then_some(())
+            (p.driver().worker_connections() == 1).then_some(())
         });
         hand.pass(Duration::from_millis(20));
         comes_up(&mut worker, 2);
@@ -169,7 +169,7 @@
         source.reply(on, &event(2, "s-0", worker.address, "Terminating"));
         let told = Instant::now();
         hand.until("the event is taken", |p| {
-            (p.coordinator().index() == 2).then_some(())
+            (p.poller().index() == 2).then_some(())
         });
         next(&mut hand, &mut source);
         // No longer than the longest pause.
@@ -200,9 +200,11 @@
         let on = next(&mut hand, &mut source);
         source.reply(on, &reply);
         hand.pass(Duration::from_millis(5));
-        assert_eq!(hand.platform.coordinator().index(), index, "{reply}");
+        assert_eq!(hand.platform.poller().index(), index, "{reply}");
         assert_eq!(
-            hand.platform.hub().with_front(|f| f.ready_workers()),
+            hand.platform
+                .driver()
+                .with_dispatcher(|dispatcher| dispatcher.ready_workers()),
             0,
             "an old event says nothing"
         );
