--- a/net/platform/src/client/connection.rs
+++ b/net/platform/src/client/connection.rs
@@ -199,7 +199,7 @@
         let now = Instant::now();
         let waiting_since = self.waiting_since.get().unwrap_or(now);
         self.arrived
-            .set(self.context.lag.arrived(now).min(waiting_since));
+            .set(self.context.lag.earliest_arrival(now).min(waiting_since));
         if reader.is_empty() {
             self.entry.phase.set(Phase::PartialRequest(now));
             self.table().cancel_shedding(&self.entry);
--- a/net/platform/src/client/listener.rs
+++ b/net/platform/src/client/listener.rs
@@ -11,7 +11,7 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use tansy_net_sockets::socket::{no_descriptor, Socket};
+use tansy_net_sockets::socket::{is_out_of_descriptors, Socket};
 
 /// Connections accepted in one turn.
 const ACCEPTS_PER_TURN: usize = 16;
@@ -105,7 +105,7 @@
 
     /// Accepts what waits, up to a turn's share. What is left waits since the queue was last known to be empty.
     fn accept(self: &Rc<Self>) -> Accepted {
-        let arrived = self.driver.lag.arrived(Instant::now());
+        let arrived = self.driver.lag.earliest_arrival(Instant::now());
         let waiting_since = self.unaccepted_since.get().unwrap_or(arrived);
         let accepted = self.accept_share(waiting_since);
         let is_left = accepted != Accepted::All;
@@ -135,7 +135,7 @@
                 // A readable listener must not turn the loop meanwhile.
                 Err(e) => {
                     tracing::warn!(error = %e, "accepting rests");
-                    if no_descriptor(&e) {
+                    if is_out_of_descriptors(&e) {
                         self.table().make_room();
                     }
                     return Accepted::Full;
--- a/net/platform/src/worker_connection/io.rs
+++ b/net/platform/src/worker_connection/io.rs
@@ -12,7 +12,7 @@
 use std::task::{Context, Poll};
 use std::time::Instant;
 use tansy_dispatch::{OrderId, Seen, Stage, Told};
-use tansy_net_sockets::socket::{no_room, Socket};
+use tansy_net_sockets::socket::{is_out_of_resources, Socket};
 use tansy_net_sockets::within;
 use tansy_platform::call::RequestId;
 use tansy_resp::{Limits, Reader};
@@ -47,7 +47,7 @@
 ) -> Seen {
     // An error of this machine says nothing of the worker.
     let failed = |e: io::Error| {
-        if no_room(&e) {
+        if is_out_of_resources(&e) {
             handler.on_event(ConnectionEvent::OutOfResources);
             return Seen::NeverLeft;
         }
--- a/net/sockets/src/interrupt.rs
+++ b/net/sockets/src/interrupt.rs
@@ -1,40 +1,46 @@
 //! Sources of the event loop whose reads a signal may interrupt.
 //!
-//! The loop library gives an error of one source to whoever turns the loop, and drops the other events of that turn. Sockets
-//! are told of by edges, so what is dropped is never told again. An interrupted read is therefore no error here: the source
-//! is readable still, and is told of in the next turn.
+//! The loop library returns an error of one source to whoever turns the loop, and drops the other events of that turn.
+//! Sockets are reported by edges, so what is dropped is never reported again. An interrupted read is therefore no error
+//! here: the source is readable still, and is reported in the next turn.
 
 use calloop::{EventSource, Poll, PostAction, Readiness, Token, TokenFactory};
 use std::error::Error;
 use std::io;
 
-/// A source that bears interrupted reads.
+/// A source whose interrupted reads are no errors.
 pub struct Uninterrupted<S>(pub S);
 
 /// Whether an error, or what caused it, says that a call was interrupted, or that there was nothing to read after all.
-pub fn interrupted(error: &(dyn Error + 'static)) -> bool {
+pub fn is_interruption(error: &(dyn Error + 'static)) -> bool {
     let mut cause = Some(error);
-    while let Some(e) = cause {
-        let kind = e.downcast_ref::<io::Error>().map(io::Error::kind);
-        let kind = kind.or_else(|| e.downcast_ref::<rustix::io::Errno>().map(|e| e.kind()));
+    while let Some(current) = cause {
+        let kind = current.downcast_ref::<io::Error>().map(io::Error::kind);
+        let kind = kind.or_else(|| {
+            let errno = current.downcast_ref::<rustix::io::Errno>();
+            errno.map(|errno| errno.kind())
+        });
         if matches!(
             kind,
             Some(io::ErrorKind::Interrupted | io::ErrorKind::WouldBlock)
         ) {
             return true;
         }
-        cause = e.source();
+        cause = current.source();
     }
     // Errors of other libraries' own kinds are known by the system's text alone.
     let text = error.to_string();
     text.contains("EINTR") || text.contains("Interrupted system call")
 }
 
-impl<S: EventSource> EventSource for Uninterrupted<S> {
+impl<S: EventSource> EventSource for Uninterrupted<S>
+where
+    S::Error: Error + 'static,
+{
     type Event = S::Event;
     type Metadata = S::Metadata;
     type Ret = S::Ret;
-    type Error = Box<dyn Error + Sync + Send>;
+    type Error = S::Error;
 
     fn process_events<F>(
         &mut self,
@@ -46,14 +52,8 @@
         F: FnMut(Self::Event, &mut Self::Metadata) -> Self::Ret,
     {
         match self.0.process_events(readiness, token, callback) {
-            Ok(action) => Ok(action),
-            Err(error) => {
-                let error: Box<dyn Error + Sync + Send> = error.into();
-                if interrupted(error.as_ref()) {
-                    return Ok(PostAction::Continue);
-                }
-                Err(error)
-            }
+            Err(error) if is_interruption(&error) => Ok(PostAction::Continue),
+            outcome => outcome,
         }
     }
 
--- a/net/sockets/src/lib.rs
+++ b/net/sockets/src/lib.rs
@@ -1,4 +1,7 @@
-//! Sockets, tasks and time-outs on a calloop loop, one thread: what every protocol of the project stands on.
+//! Sockets, tasks and time-outs on a calloop loop, all on one thread: what every protocol of the project builds on.
+//!
+//! - [`socket`]: TCP sockets on the loop, and errors of the machine that pass. [`timers`]: time-outs.
+//! - [`interrupt`]: sources whose reads a signal may interrupt. [`lag`]: whether the loop was stalled. [`clock`]: clocks.
 
 pub mod clock;
 pub mod interrupt;
@@ -15,10 +18,10 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// The system's error behind one of the loop library, as it came.
+/// The system's error behind one of the loop library.
 pub fn io_error(error: calloop::Error) -> std::io::Error {
     match error {
-        calloop::Error::IoError(e) => e,
+        calloop::Error::IoError(error) => error,
         other => std::io::Error::other(other),
     }
 }
--- a/net/sockets/src/socket.rs
+++ b/net/sockets/src/socket.rs
@@ -2,10 +2,11 @@
 //!
 //! The loop library's own adapter holds one interest and one waker for a socket. A connection that waits to write and
 //! to read at once would lose one of them, and two such ends that wait for each other would stand still for ever. Here
-//! the socket is registered once, for both, by its edges; each direction remembers whether it is worth a system call.
+//! the socket is registered once, for both, by its edges; each direction remembers whether it may be ready.
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
+use rustix::io::Errno;
 use socket2::{Domain, Protocol, Type};
 use std::cell::{Cell, RefCell};
 use std::io::{self, Read, Write};
@@ -15,13 +16,13 @@
 use std::time::{Duration, Instant};
 
 #[derive(Default)]
-struct Side {
+struct Direction {
     ready: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
-impl Side {
-    fn rouse(&self) {
+impl Direction {
+    fn set_ready(&self) {
         self.ready.set(true);
         self.waker
             .borrow_mut()
@@ -29,9 +30,12 @@
             .into_iter()
             .for_each(Waker::wake);
     }
-    fn wait(&self, cx: &Context<'_>) {
+    fn register_waker(&self, cx: &Context<'_>) {
         let mut waker = self.waker.borrow_mut();
-        if !waker.as_ref().is_some_and(|w| w.will_wake(cx.waker())) {
+        if !waker
+            .as_ref()
+            .is_some_and(|known| known.will_wake(cx.waker()))
+        {
             *waker = Some(cx.waker().clone());
         }
     }
@@ -48,16 +52,16 @@
                 done => return Poll::Ready(done),
             }
         }
-        self.wait(cx);
+        self.register_waker(cx);
         Poll::Pending
     }
-    /// Runs a system call whatever was told so far; "would block" is an error.
-    fn now<T>(&self, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    /// Runs a system call whatever was reported so far; "would block" is an error.
+    fn call_now<T>(&self, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
         loop {
             match call() {
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => {
-                    // What comes after this is told anew.
+                    // What comes after this is reported anew.
                     self.ready
                         .set(self.ready.get() && e.kind() != io::ErrorKind::WouldBlock);
                     return Err(e);
@@ -69,21 +73,23 @@
 }
 
 #[derive(Default)]
-struct Sides {
-    read: Side,
-    write: Side,
+struct Directions {
+    read: Direction,
+    write: Direction,
 }
 
-/// Descriptors that this process may hold.
+/// Descriptors that this process may have open.
 pub fn descriptors() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-    limit.map_or(usize::MAX, |n| usize::try_from(n).unwrap_or(usize::MAX))
+    limit.map_or(usize::MAX, |count| {
+        usize::try_from(count).unwrap_or(usize::MAX)
+    })
 }
 
 /// A TCP socket on the loop. It is closed when this is dropped.
 pub struct Socket {
     socket: Rc<TcpStream>,
-    sides: Rc<Sides>,
+    directions: Rc<Directions>,
     handle: LoopHandle<'static, ()>,
     token: RegistrationToken,
 }
@@ -93,23 +99,23 @@
     pub fn new(handle: &LoopHandle<'static, ()>, socket: TcpStream) -> io::Result<Socket> {
         socket.set_nonblocking(true)?;
         let socket = Rc::new(socket);
-        let sides = Rc::new(Sides::default());
-        let told = sides.clone();
+        let directions = Rc::new(Directions::default());
+        let reported = directions.clone();
         let source = Generic::new(socket.clone(), Interest::BOTH, Mode::Edge);
         let token = handle.insert_source(source, move |readiness, _, ()| {
             // A hang-up or an error is read from either direction.
             if readiness.readable || readiness.error {
-                told.read.rouse();
+                reported.read.set_ready();
             }
             if readiness.writable || readiness.error {
-                told.write.rouse();
+                reported.write.set_ready();
             }
             Ok(PostAction::Continue)
         });
         let token = token.map_err(|e| io::Error::other(e.to_string()))?;
         Ok(Socket {
             socket,
-            sides,
+            directions,
             handle: handle.clone(),
             token,
         })
@@ -119,26 +125,28 @@
     pub fn get(&self) -> &TcpStream {
         &self.socket
     }
-    /// Ready once the socket has been told writable: a connection stands, or has failed.
+    /// Ready once the socket is reported writable: a connection stands, or has failed.
     pub fn poll_writable(&self, cx: &Context<'_>) -> Poll<()> {
-        if self.sides.write.ready.get() {
+        if self.directions.write.ready.get() {
             return Poll::Ready(());
         }
-        self.sides.write.wait(cx);
+        self.directions.write.register_waker(cx);
         Poll::Pending
     }
     /// Reads; 0 bytes: the other side has ended.
     pub fn poll_read(&self, cx: &Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
-        self.sides.read.poll(cx, || (&*self.socket).read(buf))
+        self.directions.read.poll(cx, || (&*self.socket).read(buf))
     }
-    /// Reads what the kernel holds at this moment, which the loop may not have told of yet; an error of the kind
+    /// Reads what the kernel holds at this moment, which the loop may not have reported yet; an error of the kind
     /// `WouldBlock`: nothing.
     pub fn read_now(&self, buf: &mut [u8]) -> io::Result<usize> {
-        self.sides.read.now(|| (&*self.socket).read(buf))
+        self.directions.read.call_now(|| (&*self.socket).read(buf))
     }
     /// Writes what the kernel takes.
     pub fn poll_write(&self, cx: &Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.sides.write.poll(cx, || (&*self.socket).write(buf))
+        self.directions
+            .write
+            .poll(cx, || (&*self.socket).write(buf))
     }
     /// Ends our side.
     pub fn shutdown(&self) -> io::Result<()> {
@@ -153,46 +161,57 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 /// A call that is interrupted is made again so often.
 const INTERRUPTIONS: usize = 16;
-/// EINPROGRESS; EALREADY and EISCONN of one that was interrupted and has gone on by itself.
-const GOES_ON: [i32; 3] = [115, 114, 106];
-/// EAGAIN, ENOMEM, ENFILE, EMFILE, EADDRNOTAVAIL, ENETDOWN, ENETUNREACH, ENOBUFS: this machine has no room for a socket, or no
-/// network at the moment, whoever is at the other end.
-const NO_ROOM: [i32; 8] = [11, 12, 23, 24, 99, 100, 101, 105];
-/// EINTR and EADDRINUSE, which pass as well: an earlier process may still serve its last requests at the address.
-const PASSES: [i32; 2] = [4, 98];
-/// ENFILE and EMFILE.
-const NO_DESCRIPTOR: [i32; 2] = [23, 24];
+/// A connection is being made; the last two come of a call that was interrupted, and whose work went on by itself.
+const CONNECTING: [Errno; 3] = [Errno::INPROGRESS, Errno::ALREADY, Errno::ISCONN];
+/// This machine has no resources for a socket, or no network at the moment, whoever is at the other end.
+const OUT_OF_RESOURCES: [Errno; 8] = [
+    Errno::AGAIN,
+    Errno::NOMEM,
+    Errno::NFILE,
+    Errno::MFILE,
+    Errno::ADDRNOTAVAIL,
+    Errno::NETDOWN,
+    Errno::NETUNREACH,
+    Errno::NOBUFS,
+];
+/// What passes as well: an earlier process may still serve its last requests at the address.
+const TRANSIENT: [Errno; 2] = [Errno::INTR, Errno::ADDRINUSE];
+/// No descriptor is left, for the system or for this process.
+const OUT_OF_DESCRIPTORS: [Errno; 2] = [Errno::NFILE, Errno::MFILE];
 
-/// Whether an error says that this process or its machine has no room for another socket, or no network.
-pub fn no_room(e: &io::Error) -> bool {
-    e.raw_os_error().is_some_and(|code| NO_ROOM.contains(&code))
+fn is_one_of(error: &io::Error, known: &[Errno]) -> bool {
+    Errno::from_io_error(error).is_some_and(|errno| known.contains(&errno))
+}
+
+/// Whether an error says that this process or its machine has no resources for another socket, or no network.
+pub fn is_out_of_resources(error: &io::Error) -> bool {
+    is_one_of(error, &OUT_OF_RESOURCES)
 }
 
 /// Whether an error says that there is no descriptor left.
-pub fn no_descriptor(e: &io::Error) -> bool {
-    e.raw_os_error()
-        .is_some_and(|code| NO_DESCRIPTOR.contains(&code))
+pub fn is_out_of_descriptors(error: &io::Error) -> bool {
+    is_one_of(error, &OUT_OF_DESCRIPTORS)
 }
 
 /// Whether an error at a start may pass by itself.
-pub fn transient(e: &io::Error) -> bool {
-    no_room(e) || e.raw_os_error().is_some_and(|code| PASSES.contains(&code))
+pub fn is_transient(error: &io::Error) -> bool {
+    is_out_of_resources(error) || is_one_of(error, &TRANSIENT)
 }
 
-/// Tries again what failed with an error that may pass, until it has done so for `within`; the first error is told with what it
-/// was of.
+/// Tries again what failed with an error that may pass, until it has done so for `within`. The first error is logged, with
+/// what it was of (`subject`).
 pub fn retry<T>(
     within: Duration,
-    what: &str,
+    subject: &str,
     mut attempt: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
     let began = Instant::now();
-    let mut told = false;
+    let mut logged = false;
     loop {
         match attempt() {
-            Err(e) if transient(&e) && began.elapsed() < within => {
-                if !std::mem::replace(&mut told, true) {
-                    tracing::warn!(error = %e, what, "a start is tried again");
+            Err(e) if is_transient(&e) && began.elapsed() < within => {
+                if !std::mem::replace(&mut logged, true) {
+                    tracing::warn!(error = %e, what = subject, "a start is tried again");
                 }
                 std::thread::sleep(RETRY_PAUSE);
             }
@@ -202,7 +221,7 @@
 }
 
 impl Socket {
-    /// A socket that connects, or has failed to begin: [`Socket::poll_connected`] tells.
+    /// A socket that connects, or has failed to begin: see [`Socket::poll_connected`].
     pub fn connect(handle: &LoopHandle<'static, ()>, address: SocketAddr) -> io::Result<Socket> {
         let domain = if address.is_ipv6() {
             Domain::IPV6
@@ -212,7 +231,6 @@
         let socket = socket2::Socket::new(domain, Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
-        let goes_on = |e: &io::Error| e.raw_os_error().is_some_and(|code| GOES_ON.contains(&code));
         let mut begun = socket.connect(&address.into());
         for _ in 0..INTERRUPTIONS {
             match &begun {
@@ -223,7 +241,7 @@
             }
         }
         match begun {
-            Err(e) if !goes_on(&e) => return Err(e),
+            Err(e) if !is_one_of(&e, &CONNECTING) => return Err(e),
             _ => {}
         }
         Socket::new(handle, TcpStream::from(socket))
--- a/programs/gateway/src/platform.rs
+++ b/programs/gateway/src/platform.rs
@@ -189,10 +189,10 @@
             .timers()
             .next_in()
             .map_or(sleep, |t| t.min(sleep));
-        self.driver.lag.turn_begins(Instant::now(), next);
+        self.driver.lag.on_turn_start(Instant::now(), next);
         self.event_loop.dispatch(Some(sleep), &mut ())?;
         self.driver.on_turn_end();
-        self.driver.lag.turn_ends(Instant::now());
+        self.driver.lag.on_turn_end(Instant::now());
         Ok(())
     }
 
