--- a/net/platform/src/driver/commands.rs
+++ b/net/platform/src/driver/commands.rs
@@ -18,7 +18,7 @@
             } => self.open_attempt(call, attempt, &worker),
             Command::Withdraw { call, attempt } => self.withdraw_attempt(call, attempt),
             Command::Confirm { call, attempt } => self.confirm_attempt(call, attempt),
-            // Answers are held whole.
+            // A worker's answer is passed on whole, with `Answer`.
             Command::Pass { .. } => {}
             Command::Answer { call, answer } => self.answer_call(call, answer),
             Command::Probe { order, worker } => self.send_control(order, &worker, &["there"]),
@@ -38,18 +38,8 @@
             } => self.send_unload(order, &worker, &function),
             Command::Recall { order } => self.cancel_control(order),
             Command::WithdrawOrder { order } => self.withdraw_control(order),
-            Command::Drop { worker } => {
-                let pool = self.state.borrow().pools.get(&worker).cloned();
-                if let Some(pool) = pool {
-                    pool.abort_all();
-                }
-            }
-            Command::Retire { worker } => {
-                let pool = self.state.borrow_mut().pools.remove(&worker);
-                if let Some(pool) = pool {
-                    pool.retire();
-                }
-            }
+            Command::Drop { worker } => self.abort_connections(&worker),
+            Command::Retire { worker } => self.retire_pool(&worker),
             Command::Tell {
                 worker,
                 function,
@@ -63,6 +53,20 @@
         }
     }
 
+    fn abort_connections(&self, worker: &str) {
+        let pool = self.state.borrow().pools.get(worker).cloned();
+        if let Some(pool) = pool {
+            pool.abort_all();
+        }
+    }
+
+    fn retire_pool(&self, worker: &str) {
+        let pool = self.state.borrow_mut().pools.remove(worker);
+        if let Some(pool) = pool {
+            pool.retire();
+        }
+    }
+
     /// Sends an attempt on a connection to its worker.
     fn open_attempt(self: &Rc<Self>, call: CallId, number: u32, worker: &str) {
         let context = self.state.borrow().calls.get(&call).cloned();
--- a/net/platform/src/driver/connections.rs
+++ b/net/platform/src/driver/connections.rs
@@ -8,7 +8,7 @@
 use crate::worker_connection::{ConnectionRole, WorkerConnection};
 use crate::worker_pool::WorkerPool;
 use std::rc::Rc;
-use tansy_dispatch::{Denied, OrderId, Seen, Told};
+use tansy_dispatch::{CallId, Denied, OrderId, Seen, Told};
 use tansy_net_sockets::Spawner;
 use tansy_platform::request::RequestId;
 use tansyrouter::{Span, Time};
@@ -102,6 +102,20 @@
         self.attempt_ended(attempt.call, attempt.number, outcome, Told::default());
     }
 
+    /// The first byte of an attempt is sent.
+    fn on_attempt_started(&self, now: Time, call: CallId, worker: &str, patience: Span) {
+        let mut invariants = self.invariants.borrow_mut();
+        let violations = invariants.sent(now, call, worker, patience);
+        drop(invariants);
+        self.log_violations(&violations, call);
+    }
+
+    fn on_connection_closed(&self, outcome: Seen) {
+        let standing = self.worker_connections.get();
+        self.worker_connections.set(standing.saturating_sub(1));
+        self.reasons.count_disconnected(outcome);
+    }
+
     /// The first byte of a control request is sent.
     fn on_control_started(&self, request: OrderId, worker: &str) {
         if self.with_dispatcher(|dispatcher| dispatcher.loads(request)) {
@@ -158,10 +172,7 @@
             } => {
                 let (request, number) = (attempt.context.request_id(), attempt.number);
                 tracing::debug!(request, attempt = number, %worker, patience, connection, "sent");
-                let mut invariants = self.invariants.borrow_mut();
-                let violations = invariants.sent(now, attempt.call, worker, patience);
-                drop(invariants);
-                self.log_violations(&violations, attempt.call);
+                self.on_attempt_started(now, attempt.call, worker, patience);
             }
             ConnectionEvent::AttemptDenied { attempt, reason } => {
                 self.on_attempt_denied(attempt, reason);
@@ -196,9 +207,7 @@
                 outcome,
                 open_requests,
             } => {
-                let standing = self.worker_connections.get();
-                self.worker_connections.set(standing.saturating_sub(1));
-                self.reasons.count_disconnected(outcome);
+                self.on_connection_closed(outcome);
                 tracing::debug!(%worker, connection, reason = %outcome, open = open_requests, "a connection to a worker has ended");
             }
         }
--- a/net/platform/src/driver/mod.rs
+++ b/net/platform/src/driver/mod.rs
@@ -1,9 +1,9 @@
 //! The driver: feeds the dispatcher its inputs and runs the commands that it returns.
 //!
 //! - this file: its state, the feeding loop, the list of workers.
-//! - [`calls`]: calls from their acceptance to their response.
-//! - [`commands`]: the dispatcher's commands.
-//! - [`connections`]: connections to workers, and the events that they report.
+//! - `calls`: calls from their acceptance to their response.
+//! - `commands`: the dispatcher's commands.
+//! - `connections`: connections to workers, and the events that they report.
 
 mod calls;
 mod commands;
--- a/net/platform/src/worker_pool.rs
+++ b/net/platform/src/worker_pool.rs
@@ -40,11 +40,11 @@
         let mut connections = self.connections.borrow_mut();
         connections.retain(|connection| !connection.has_ended());
         let reuse_within = limits.reuse_within();
-        let found = connections.iter().find(|connection| {
+        let connection = connections.iter().find(|connection| {
             connection.accepts(role, limits.streams_per_connection, reuse_within)
                 && is_usable(connection)
         });
-        found.cloned()
+        connection.cloned()
     }
 
     /// Adds a connection, which is still to be established.
--- a/net/sockets/src/clock.rs
+++ b/net/sockets/src/clock.rs
@@ -3,9 +3,9 @@
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// The Unix clock, for ages of what other processes started. It may be stepped in service, or be wrong at the start and set right: the
-/// earlier is taken of what it shows now and of what it showed at the start plus the time since, so that a step makes
-/// nothing older than it is.
+/// The Unix clock, for ages of what other processes started. It may be stepped in service, or be wrong at the start and
+/// set right: the earlier is taken of what it shows now and of what it showed at the start plus the time since, so that a
+/// step makes nothing older than it is.
 #[derive(Clone, Copy, Debug)]
 pub struct UnixClock {
     start: Instant,
--- a/net/sockets/src/lib.rs
+++ b/net/sockets/src/lib.rs
@@ -96,8 +96,8 @@
 pub async fn within<F: Future>(limit: impl Future<Output = ()>, future: F) -> Option<F::Output> {
     let (mut limit, mut future) = (Box::pin(limit), Box::pin(future));
     std::future::poll_fn(move |cx| {
-        if let Poll::Ready(out) = future.as_mut().poll(cx) {
-            return Poll::Ready(Some(out));
+        if let Poll::Ready(output) = future.as_mut().poll(cx) {
+            return Poll::Ready(Some(output));
         }
         limit.as_mut().poll(cx).map(|()| None)
     })
--- a/protocol/http1/src/writer.rs
+++ b/protocol/http1/src/writer.rs
@@ -24,7 +24,7 @@
 
 /// Writes a response. `extra_headers`: whole header lines, each with its end.
 pub fn write_response(
-    out: &mut Vec<u8>,
+    buffer: &mut Vec<u8>,
     status: u16,
     extra_headers: &str,
     body: &[u8],
@@ -40,12 +40,12 @@
         reason_phrase(status),
         body.len()
     );
-    out.reserve(head.len() + body.len());
-    out.extend_from_slice(head.as_bytes());
-    out.extend_from_slice(body);
+    buffer.reserve(head.len() + body.len());
+    buffer.extend_from_slice(head.as_bytes());
+    buffer.extend_from_slice(body);
 }
 
 /// Writes a GET request.
-pub fn write_get(out: &mut Vec<u8>, target: &str, host: &str) {
-    out.extend_from_slice(format!("GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n").as_bytes());
+pub fn write_get(buffer: &mut Vec<u8>, target: &str, host: &str) {
+    buffer.extend_from_slice(format!("GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n").as_bytes());
 }
--- a/protocol/resp/src/lib.rs
+++ b/protocol/resp/src/lib.rs
@@ -60,12 +60,12 @@
 }
 
 /// Writes one array.
-pub fn write_array(out: &mut Vec<u8>, strings: &[&[u8]]) {
-    out.extend_from_slice(format!("*{}\r\n", strings.len()).as_bytes());
+pub fn write_array(buffer: &mut Vec<u8>, strings: &[&[u8]]) {
+    buffer.extend_from_slice(format!("*{}\r\n", strings.len()).as_bytes());
     for string in strings {
-        out.extend_from_slice(format!("${}\r\n", string.len()).as_bytes());
-        out.extend_from_slice(string);
-        out.extend_from_slice(b"\r\n");
+        buffer.extend_from_slice(format!("${}\r\n", string.len()).as_bytes());
+        buffer.extend_from_slice(string);
+        buffer.extend_from_slice(b"\r\n");
     }
 }
 
