--- a/net/platform/src/worker_connection/io.rs
+++ b/net/platform/src/worker_connection/io.rs
@@ -188,7 +188,7 @@
                 .borrow()
                 .attempts
                 .get(&id)
-                .map(|p| p.request.clone());
+                .map(|pending| pending.request.clone());
             let Some(attempt) = pending else {
                 continue;
             };
