--- a/tests/compatibility/tests/text_wires.rs
+++ b/tests/compatibility/tests/text_wires.rs
@@ -8,8 +8,8 @@
 };
 use tansy_frames::grpc;
 use tansy_platform::config::Config;
-use tansy_platform::list::{Change, List, Updates};
-use tansy_platform::{Answered, Asked, Shapes};
+use tansy_platform::{CallRequest, RequestSchema, WorkerReply};
+use tansy_platform::{EndpointChange, EndpointList, EndpointUpdates};
 
 #[test]
 fn arrays_of_resp_are_written_and_read_as_before() {
@@ -18,16 +18,16 @@
         b"*3\r\n$4\r\nCALL\r\n$0\r\n\r\n$4\r\n\x00\r\n\xff\r\n",
     );
     let mut written = Vec::new();
-    tansy_resp::write(&mut written, &strings);
+    tansy_resp::write_array(&mut written, &strings);
     assert_eq!(written, bytes);
     let limits = tansy_resp::Limits {
         string: 64,
         strings: 4,
     };
     let mut reader = tansy_resp::Reader::new(limits);
-    reader.take(bytes);
-    assert_eq!(reader.array(), Ok(Some(strings.to_vec())));
-    assert!(!reader.partial());
+    reader.push_bytes(bytes);
+    assert_eq!(reader.next_array(), Ok(Some(strings.to_vec())));
+    assert!(!reader.has_partial());
 }
 
 #[test]
@@ -104,7 +104,7 @@
     assert_eq!(settings.policy_limits.multiplex, Some(10));
     assert_eq!(settings.telemetry.fields, ["depth", "x0"]);
     // What is decided by; it is compared as it is printed, since not all of it can be compared.
-    let read = tansy_conf::settings(settings).expect("settings that can be used");
+    let read = tansy_conf::router_settings(settings).expect("settings that can be used");
     assert_eq!(format!("{read:#?}"), format!("{:#?}", decided_by()));
 }
 
@@ -182,8 +182,8 @@
 
 #[test]
 fn the_platforms_list_is_read_as_before() {
-    let line = |name: &str, host: u8, (kind, cell, zone, state, age, share)| Change {
-        listed: WorkerRecord {
+    let line = |name: &str, host: u8, (kind, cell, zone, state, age, share)| EndpointChange {
+        endpoint: WorkerRecord {
             name: name.into(),
             kind,
             cell,
@@ -195,23 +195,23 @@
         address: ([127, 0, 0, host], 1).into(),
     };
     let config = config();
-    let mut list = List::new(config.settings.zones, config.settings.machine_types);
+    let mut list = EndpointList::new(config.settings.zones, config.settings.machine_types);
     let whole = vec![
         line("s-a", 2, (1, 2, 1, 0, None, 4.0)),
         line("s-b", 3, (0, 3, 0, 0, Some(500_000), 1.0)),
         line("s-c", 4, (0, 0, 0, 1, None, 1.0)),
     ];
-    assert_eq!(list.take(&config.known, 2000.0), [(true, whole)]);
+    assert_eq!(list.apply(&config.known, 2000.0), [(true, whole)]);
     let later = r#"{"index":9,"updates":[{"index":2,"endpoints":{"servers":[{"id":"s-a","state":"Gone"}]}},{"index":3}]}"#;
-    let later: Updates = serde_json::from_str(later).expect("a reply of the coordinator");
+    let later: EndpointUpdates = serde_json::from_str(later).expect("a reply of the coordinator");
     let gone = vec![line("s-a", 2, (0, 0, 0, 2, None, 1.0))];
-    assert_eq!(list.take(&later, 2000.0), [(false, gone)]);
-    assert_eq!((list.index(), list.held()), (9, 2));
+    assert_eq!(list.apply(&later, 2000.0), [(false, gone)]);
+    assert_eq!((list.index(), list.worker_count()), (9, 2));
 }
 
 #[test]
 fn calls_of_the_platform_are_read_and_written_as_before() {
-    let shapes = Shapes::new(&config().settings);
+    let shapes = RequestSchema::new(&config().settings);
     let header = |name: &str| match name {
         "x-class" => Some("once"),
         "x-request-id" => Some("9b1f03aa5c7e2d41"),
@@ -221,7 +221,7 @@
         _ => None,
     };
     let asked = shapes.read("POST", "/ops/7f3a9c21e0b4d655/call", header);
-    let expected = Asked {
+    let expected = CallRequest {
         id: *b"9b1f03aa5c7e2d41",
         function: "7f3a9c21e0b4d655".into(),
         class: 1,
@@ -244,9 +244,9 @@
 fn answers_of_workers_are_read_as_before() {
     let report = "queue:1;inflight:2;util:0.5;x0:0.25;x1:3;latency_ms:4;qps:5;eps:6";
     let fields = format!("n=ready,peers_in=3,replicas=2,l={report}");
-    let expected = |code, stage, never_ran, note| Answered {
-        seen: AttemptOutcome::Status { code, stage },
-        told: Trailers {
+    let expected = |code, stage, never_ran, note| WorkerReply {
+        outcome: AttemptOutcome::Status { code, stage },
+        trailers: Trailers {
             cache_status: note,
             never_ran,
             concurrent_calls: Some(3),
@@ -263,8 +263,9 @@
             }),
         },
     };
-    let read =
-        |word: &str, fields: &str| tansy_platform::answer(word.as_bytes(), fields.as_bytes(), true);
+    let read = |word: &str, fields: &str| {
+        tansy_platform::parse_reply(word.as_bytes(), fields.as_bytes(), true)
+    };
     for (word, code, stage, never_ran) in [
         ("200", 0, ResponseStage::Last, None),
         ("404", 14, ResponseStage::Headers, Some(NeverRan::NotLoaded)),
