--- a/decide/agreement/src/lease.rs
+++ b/decide/agreement/src/lease.rs
@@ -6,13 +6,10 @@
 //!
 //! Leases nest: who relays grants no longer than what is left of its own, so that its granter's waiting covers all below.
 
-use crate::log::{FleetState, Revision};
-use crate::scope::StateDelta;
-use serde::{Deserialize, Serialize};
+use crate::revision::Revision;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Microseconds of the caller's monotonic clock, which must go on while the machine sleeps.
-pub type Time = i64;
+pub use crate::member::{Member, Time};
 
 const MILLION: i64 = 1_000_000;
 
@@ -46,17 +43,6 @@
     i64::try_from((parts + i128::from(MILLION) - 1) / i128::from(MILLION)).unwrap_or(i64::MAX)
 }
 
-/// A front end's process: a name that comes back is another one with a larger incarnation.
-#[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
-)]
-pub struct Member {
-    /// Its name's number.
-    pub id: u64,
-    /// Which of its processes.
-    pub incarnation: u64,
-}
-
 /// What a lease is for: something that has a step. Where it remembers how it came there from a step of a little while ago,
 /// whoever has that is told this alone.
 pub trait Versioned: Clone {
@@ -93,34 +79,6 @@
     }
 }
 
-impl Versioned for FleetState {
-    type Delta = StateDelta;
-    fn revision(&self) -> Revision {
-        self.revision
-    }
-    fn snapshot_revision(&self) -> Revision {
-        self.versions_revision
-    }
-    fn without_history(&self) -> FleetState {
-        FleetState::without_history(self)
-    }
-    fn delta_since(&self, has: Revision) -> Option<StateDelta> {
-        FleetState::delta_since(self, has)
-    }
-    fn apply_delta(&mut self, delta: &StateDelta) -> bool {
-        FleetState::apply_delta(self, delta)
-    }
-    fn replace_with_snapshot(&mut self, whole: FleetState, delta: Option<&StateDelta>) {
-        let follows =
-            delta.is_some_and(|d| d.to == whole.revision && FleetState::apply_delta(self, d));
-        let moves = follows.then(|| std::mem::take(&mut self.history));
-        *self = whole;
-        if let Some(moves) = moves {
-            self.history = moves;
-        }
-    }
-}
-
 /// A holder asks for a lease, and tells thereby how far it and all below it are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseRequest {
--- /dev/null
+++ b/decide/agreement/src/scope/transaction.rs
@@ -0,0 +1,103 @@
+//! Updates of scopes as they are proposed.
+
+use super::fields_bytes;
+use crate::compatibility::Fields;
+use crate::rejection::EntryRejection;
+use crate::revision::Revision;
+use serde::{Deserialize, Serialize};
+
+/// The largest number of updates in a transaction, and in an entry.
+pub const MAX_UPDATES_PER_TRANSACTION: usize = 4096;
+/// The largest size of a transaction, and of an entry, as [`ScopeTransaction::encoded_len`] counts it.
+pub const MAX_TRANSACTION_BYTES: usize = 256 << 10;
+/// The largest length of a scope's name in bytes.
+pub const MAX_NAME_BYTES: usize = 256;
+/// The largest size of a scope's fields in bytes.
+pub const MAX_FIELDS_BYTES: usize = 16 << 10;
+
+/// The update of one scope.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ScopeUpdate {
+    /// The function's name.
+    pub scope: String,
+    /// The revision that the update was made from; zero: there was no such scope.
+    pub base: Revision,
+    /// Its new fields, by their names under the function (`class`, `lanes`); none: it is removed.
+    pub fields: Option<Fields>,
+}
+
+/// Updates of several scopes, which are accepted or rejected together.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ScopeTransaction {
+    /// The idempotency key: two transactions of one key count once; 0 is no key.
+    pub id: u64,
+    /// The updates; a scope occurs at most once.
+    pub updates: Vec<ScopeUpdate>,
+    /// Why it is proposed, for operators.
+    pub reason: String,
+}
+
+impl ScopeTransaction {
+    /// The approximate size in bytes.
+    pub fn encoded_len(&self) -> usize {
+        let update_bytes =
+            |update: &ScopeUpdate| update.scope.len() + 16 + fields_bytes(&update.fields);
+        self.reason.len() + 16 + self.updates.iter().map(update_bytes).sum::<usize>()
+    }
+
+    /// The checks that do not depend on the catalog.
+    pub(super) fn validate(&self) -> Result<(), EntryRejection> {
+        check_limit(
+            self.updates.len(),
+            MAX_UPDATES_PER_TRANSACTION,
+            "changes in a request",
+        )?;
+        check_limit(
+            self.encoded_len(),
+            MAX_TRANSACTION_BYTES,
+            "bytes in a request",
+        )?;
+        self.check_distinct_scopes()?;
+        self.updates.iter().try_for_each(ScopeUpdate::validate)
+    }
+
+    fn check_distinct_scopes(&self) -> Result<(), EntryRejection> {
+        let mut names: Vec<&str> = self.updates.iter().map(|u| u.scope.as_str()).collect();
+        names.sort_unstable();
+        match names.windows(2).find(|pair| pair[0] == pair[1]) {
+            Some(pair) => Err(EntryRejection::DuplicateScope {
+                scope: pair[0].to_string(),
+            }),
+            None => Ok(()),
+        }
+    }
+}
+
+impl ScopeUpdate {
+    fn validate(&self) -> Result<(), EntryRejection> {
+        if self.scope.is_empty() {
+            return Err(EntryRejection::MissingName);
+        }
+        check_limit(
+            self.scope.len(),
+            MAX_NAME_BYTES,
+            "bytes in a function's name",
+        )?;
+        check_limit(
+            fields_bytes(&self.fields),
+            MAX_FIELDS_BYTES,
+            "bytes in a function's settings",
+        )
+    }
+}
+
+pub(super) fn check_limit(
+    count: usize,
+    limit: usize,
+    items: &'static str,
+) -> Result<(), EntryRejection> {
+    if count > limit {
+        return Err(EntryRejection::TooMany { items, limit });
+    }
+    Ok(())
+}
--- a/decide/agreement/src/subscription.rs
+++ b/decide/agreement/src/subscription.rs
@@ -255,6 +255,11 @@
         self.len.len()
     }
 
+    /// Whether there are no subscriptions.
+    pub fn is_empty(&self) -> bool {
+        self.len.is_empty()
+    }
+
     /// How many are wanted.
     pub fn pending(&self) -> usize {
         self.pending.len()
