--- /dev/null
+++ b/decide/consensus/src/replica.rs
@@ -0,0 +1,300 @@
+//! One voter: the interface to its host, and the parts that time and messages play.
+
+mod apply;
+mod ready;
+#[cfg(test)]
+mod tests;
+
+use crate::config::{raft_config, ReplicaConfig, ELECTION_TICKS, TICK_INTERVAL};
+use crate::effect::Effect;
+use crate::leader_lease::LeaderLease;
+use crate::persistence::{self, CorruptState, PersistentState, ReplicatedEntry};
+use crate::raft_storage::RaftStorage;
+use crate::voter_changes::{conf_change, VoterSet};
+use crate::wire;
+use raft::eraftpb::{Message, MessageType};
+use raft::{RawNode, StateRole};
+use ready::PendingWrite;
+use std::collections::VecDeque;
+use tansy_agreement::lease::Time;
+use tansy_agreement::log::{Log, LogEntry};
+
+/// Ticks that are made up for at once; after a longer pause the time that passed counts as one.
+const MAX_MISSED_TICKS: Time = 4;
+
+/// One voter of the fleet.
+pub struct Replica {
+    config: ReplicaConfig,
+    node: RawNode<RaftStorage>,
+    log: Option<Log>,
+    applied: u64,
+    /// Term of the last applied entry.
+    applied_term: u64,
+    next_tick: Time,
+    lease: LeaderLease,
+    /// Writes that the disk has not acknowledged, with what may be sent once it has.
+    pending_writes: VecDeque<PendingWrite>,
+    /// Numbers of those writes that hold a snapshot of another replica: nothing after it is applied before it is synced.
+    unsynced_snapshots: VecDeque<u64>,
+    record_count: u64,
+    next_proposal: u64,
+    has_proposed_initial_state: bool,
+    is_failed: bool,
+    rng: fastrand::Rng,
+    /// Term and role for which the election timeout was drawn.
+    timeout_drawn_for: Option<(u64, StateRole)>,
+}
+
+impl Replica {
+    /// A replica that continues from what its disk holds.
+    pub fn new(
+        config: ReplicaConfig,
+        saved: &PersistentState,
+        now: Time,
+    ) -> Result<Replica, CorruptState> {
+        let storage = persistence::load(&config, saved)?;
+        let log = persistence::load_log(&storage)?;
+        let applied = storage.latest.index;
+        let applied_term = storage.latest.term;
+        let logger = slog::Logger::root(slog::Discard, slog::o!());
+        let node =
+            RawNode::new(&raft_config(config.id, applied), storage, &logger).map_err(|error| {
+                CorruptState::Raft {
+                    cause: error.to_string(),
+                }
+            })?;
+        let mut replica = Replica {
+            node,
+            log,
+            applied,
+            applied_term,
+            next_tick: now,
+            lease: LeaderLease::new(config.terms, now),
+            pending_writes: VecDeque::new(),
+            unsynced_snapshots: VecDeque::new(),
+            record_count: saved.records.len() as u64,
+            next_proposal: 1,
+            has_proposed_initial_state: false,
+            is_failed: false,
+            rng: fastrand::Rng::with_seed(config.seed),
+            timeout_drawn_for: None,
+            config,
+        };
+        replica.draw_election_timeout();
+        if replica.is_sole_voter() {
+            // There is nobody to wait for.
+            let _ = replica.node.campaign();
+        }
+        Ok(replica)
+    }
+
+    /// Its own number.
+    pub fn id(&self) -> u64 {
+        self.config.id
+    }
+
+    /// Whether a learner has all committed entries, as far as it acknowledged them; only the leader knows.
+    pub fn caught_up(&self, id: u64) -> bool {
+        let raft = &self.node.raft;
+        raft.prs()
+            .get(id)
+            .is_some_and(|progress| progress.matched >= raft.raft_log.committed)
+    }
+
+    /// Starts to hand leadership over to another voter, if raft allows it; the transfer may fail.
+    pub fn transfer_leadership(&mut self, to: u64, effects: &mut Vec<Effect>) {
+        if self.node.raft.lead_transferee.is_none() {
+            self.node.transfer_leader(to);
+            self.collect(effects);
+        }
+    }
+
+    /// The log as far as it is known to be committed here; none: the fleet has not started.
+    pub fn log(&self) -> Option<&Log> {
+        self.log.as_ref()
+    }
+
+    /// Index of the last entry that was applied.
+    pub fn applied(&self) -> u64 {
+        self.applied
+    }
+
+    /// Index of the entry as of which the log was last encoded: the snapshot that a replica far behind receives.
+    pub fn encoded_at(&self) -> u64 {
+        self.node.store().latest.index
+    }
+
+    /// The term and the voter that leads in it, as far as this replica knows.
+    pub fn leader(&self) -> Option<(u64, u64)> {
+        let raft = &self.node.raft;
+        (raft.leader_id != 0).then_some((raft.term, raft.leader_id))
+    }
+
+    /// Until when it may act as the fleet's leader; none: it may not.
+    pub fn leader_lease(&self, now: Time) -> Option<Time> {
+        let is_leader = self.is_leader() && self.log.is_some();
+        let has_applied_own_term = self.applied_term == self.node.raft.term;
+        self.lease
+            .expiry()
+            .filter(|expiry| is_leader && *expiry > now && has_applied_own_term)
+    }
+
+    /// When [`Replica::tick`] is due next.
+    pub fn next_deadline(&self) -> Time {
+        if self.is_stopped() {
+            return Time::MAX;
+        }
+        self.next_tick
+    }
+
+    /// Whether it stopped taking part, because its disk failed or the log holds an entry that it does not know.
+    pub fn is_failed(&self) -> bool {
+        self.is_failed
+    }
+
+    /// Advances raft's clock and, as leader, the lease.
+    pub fn tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
+        if self.is_stopped() {
+            return;
+        }
+        while now >= self.next_tick {
+            self.node.tick();
+            self.draw_election_timeout();
+            // The other replicas have clocks of their own: after a pause of this process they have not waited for it.
+            self.next_tick = if now - self.next_tick > MAX_MISSED_TICKS * TICK_INTERVAL {
+                now + TICK_INTERVAL
+            } else {
+                self.next_tick + TICK_INTERVAL
+            };
+        }
+        if self.is_leader() && !self.voters().contains_voter(self.config.id) {
+            // Its own removal was committed while it led: another voter has to lead.
+            let candidates = self.voters().voters.clone();
+            let successor = self.rng.choice(candidates).unwrap_or(0);
+            self.transfer_leadership(successor, effects);
+        }
+        if !self.is_leader() {
+            self.lease.clear();
+        } else {
+            let can_read = self.node.raft.commit_to_current_term();
+            if let Some(context) = self.lease.start_round(now, can_read) {
+                self.node.read_index(context);
+            }
+        }
+        self.collect(effects);
+    }
+
+    /// Takes a message of another voter.
+    pub fn on_message(&mut self, from: u64, bytes: &[u8], effects: &mut Vec<Effect>) {
+        if self.is_failed {
+            return;
+        }
+        let group = self.node.store().latest.group;
+        let decoded = wire::decode_message(bytes, from, self.config.id, group);
+        let Some((message, message_group)) = decoded else {
+            return;
+        };
+        if group == 0 {
+            self.node.mut_store().latest.group = message_group;
+        }
+        if self.contradicts_log(&message) {
+            return;
+        }
+        // Raft returns an error for a message that it ignored.
+        let _ = self.node.step(message);
+        self.draw_election_timeout();
+        self.collect(effects);
+    }
+
+    /// Proposes an entry and returns the proposal's number, by which [`Effect::Applied`] names it; none: it does not lead,
+    /// or another change of voters is not applied yet.
+    pub fn propose(&mut self, entry: LogEntry, effects: &mut Vec<Effect>) -> Option<u64> {
+        let number = self.next_proposal;
+        let entry = ReplicatedEntry::Entry(self.config.id, self.config.incarnation, number, entry);
+        if !self.replicate(&entry) {
+            return None;
+        }
+        self.next_proposal += 1;
+        self.collect(effects);
+        Some(number)
+    }
+
+    /// The first record that the disk was given and has not answered for is synced, or could not be written. In the second
+    /// case this replica stops taking part.
+    pub fn on_persisted(&mut self, is_synced: bool, effects: &mut Vec<Effect>) {
+        if !is_synced {
+            self.is_failed = true;
+            return;
+        }
+        let Some(write) = self.pending_writes.pop_front() else {
+            return;
+        };
+        effects.extend(write.messages);
+        if !self.is_failed {
+            self.node.on_persist_ready(write.ready_number);
+            self.unsynced_snapshots
+                .retain(|number| *number > write.ready_number);
+            self.acknowledge_applied();
+            self.collect(effects);
+        }
+    }
+
+    fn is_leader(&self) -> bool {
+        self.node.raft.state == StateRole::Leader
+    }
+
+    fn voters(&self) -> &VoterSet {
+        &self.node.store().latest.voters
+    }
+
+    fn is_sole_voter(&self) -> bool {
+        self.voters().voters == [self.config.id] && self.voters().outgoing.is_empty()
+    }
+
+    /// A failed replica is silent, so that the others elect another leader; a sole voter has nobody to leave it to.
+    fn is_stopped(&self) -> bool {
+        self.is_failed && !self.is_sole_voter()
+    }
+
+    /// Whether a message contradicts the log here: this replica's disk lost what it had acknowledged, or the sender's did.
+    fn contradicts_log(&self, message: &Message) -> bool {
+        let raft_log = &self.node.raft.raft_log;
+        let commits_past_end = message.get_msg_type() == MessageType::MsgHeartbeat
+            && message.commit > raft_log.last_index();
+        commits_past_end
+            || message.entries.iter().any(|entry| {
+                entry.index <= raft_log.committed
+                    && raft_log
+                        .term(entry.index)
+                        .is_ok_and(|term| term != entry.term)
+            })
+    }
+
+    /// Gives an entry to raft; false: it does not lead, or can't take it now.
+    fn replicate(&mut self, entry: &ReplicatedEntry) -> bool {
+        if !self.is_leader() || self.is_failed {
+            return false;
+        }
+        let bytes = postcard::to_stdvec(entry).unwrap_or_default();
+        let change = match entry {
+            ReplicatedEntry::Entry(_, _, _, log_entry) => conf_change(log_entry),
+            ReplicatedEntry::Begin(..) => None,
+        };
+        match change {
+            None => self.node.propose(Vec::new(), bytes).is_ok(),
+            // Raft would silently replace it by an empty entry.
+            Some(_) if self.node.raft.has_pending_conf() => false,
+            Some(change) => self.node.propose_conf_change(bytes, change).is_ok(),
+        }
+    }
+
+    /// Sets the election timeout from this replica's own random numbers, anew with each term and role.
+    fn draw_election_timeout(&mut self) {
+        let current = (self.node.raft.term, self.node.raft.state);
+        if self.timeout_drawn_for != Some(current) {
+            self.timeout_drawn_for = Some(current);
+            let ticks = ELECTION_TICKS + self.rng.usize(0..ELECTION_TICKS);
+            self.node.raft.set_randomized_election_timeout(ticks);
+        }
+    }
+}
--- a/decide/consensus/src/wire.rs
+++ b/decide/consensus/src/wire.rs
@@ -1,323 +1,250 @@
-//! What seats write to each other, and what they hold, in a form of our own.
+//! The encoding of messages between replicas, and of the entries and snapshots that messages and records share.
 //!
-//! The library brings an old protobuf, which has an advisory on deep recursion when it parses; here it parses nothing. It
-//! also ends the process on a message that contradicts its log: such ones are turned away before it sees them.
+//! The raft library comes with an old protobuf which has an advisory on deep recursion in its parser, so nothing that
+//! arrives is parsed by it. The library also panics on a message that contradicts its log: such messages are rejected
+//! before it reads them.
 
-use crate::Said;
-use protobuf::Message as _;
-use raft::eraftpb::{
-    self as pb, ConfChangeSingle, ConfChangeTransition, ConfChangeType, MessageType,
-};
+use crate::persistence::ReplicatedEntry;
+use crate::voter_changes::{encoded_conf_change, VoterSet};
+use raft::eraftpb::{Entry, EntryType, Message, MessageType, Snapshot};
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeSet;
-use tansy_agreement::log::{Log, LogEntry};
+use tansy_agreement::log::Log;
 use tansy_agreement::scope::CatalogSnapshot;
 
-/// Entries of one message.
-const ENTRIES: usize = 4096;
-/// Seats that one set of them may have, old and new ones and one that learns.
-const SEATS: usize = 16;
-/// What an entry is: plain, or one that changes who keeps the log.
-const PLAIN: u8 = 0;
-const SEATING: u8 = 2;
-
+/// Entries in one message.
+const MAX_MESSAGE_ENTRIES: usize = 4096;
+/// Kind of an entry that leaves the voters as they are.
+const NORMAL_ENTRY: u8 = 0;
+/// Kind of an entry that changes the voters.
+const VOTER_CHANGE_ENTRY: u8 = 2;
+/// Stands before a log that has a catalog of scopes. No postcard integer is encoded so: a program that does not know
+/// scopes fails to decode such a log instead of reading it as one without.
+const CATALOG_MARKER: [u8; 11] = [0xff; 11];
+/// The kinds of message that one replica sends to another. Raft's other kinds are local to a process.
+const REMOTE_MESSAGE_TYPES: [MessageType; 12] = [
+    MessageType::MsgAppend,
+    MessageType::MsgAppendResponse,
+    MessageType::MsgRequestVote,
+    MessageType::MsgRequestVoteResponse,
+    MessageType::MsgSnapshot,
+    MessageType::MsgHeartbeat,
+    MessageType::MsgHeartbeatResponse,
+    MessageType::MsgReadIndex,
+    MessageType::MsgReadIndexResp,
+    MessageType::MsgRequestPreVote,
+    MessageType::MsgRequestPreVoteResponse,
+    MessageType::MsgTimeoutNow,
+];
+
+/// An entry of raft's log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Ent {
-    pub(crate) kind: u8,
-    pub(crate) term: u64,
-    pub(crate) index: u64,
-    pub(crate) data: Vec<u8>,
+pub(crate) struct WireEntry {
+    kind: u8,
+    term: u64,
+    index: u64,
+    data: Vec<u8>,
 }
 
+/// The log as of an entry.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Snap {
+pub(crate) struct WireSnapshot {
     pub(crate) index: u64,
     pub(crate) term: u64,
-    pub(crate) conf: Conf,
-    /// Which seats the order began with; those of another beginning are not understood.
-    pub(crate) first: u64,
+    pub(crate) voters: VoterSet,
+    /// Hash of the voters that the raft group started with; messages of another group are rejected.
+    pub(crate) group: u64,
     pub(crate) log: Vec<u8>,
 }
 
-/// Who keeps the log.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Conf {
-    pub(crate) voters: Vec<u64>,
-    /// While one is replaced: the voters before.
-    pub(crate) outgoing: Vec<u64>,
-    pub(crate) learners: Vec<u64>,
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+struct WireMessage {
+    kind: u8,
+    group: u64,
+    to: u64,
+    from: u64,
+    term: u64,
+    log_term: u64,
+    index: u64,
+    entries: Vec<WireEntry>,
+    commit: u64,
+    commit_term: u64,
+    snapshot: Option<WireSnapshot>,
+    request_snapshot: u64,
+    reject: bool,
+    reject_hint: u64,
+    context: Vec<u8>,
+    priority: i64,
 }
 
-impl Conf {
-    /// Whether it is one that can be.
-    fn sound(&self) -> bool {
-        let set = |ids: &[u64]| ids.iter().copied().collect::<BTreeSet<u64>>();
-        let all = [&self.voters, &self.outgoing, &self.learners];
-        let each = all
+impl WireMessage {
+    /// Whether its entries follow each other and their terms are possible in a message of this term.
+    fn has_consistent_entries(&self) -> bool {
+        let are_consecutive = self
+            .entries
             .iter()
-            .all(|ids| set(ids).len() == ids.len() && ids.len() <= SEATS);
-        let (voters, learners) = (
-            set(&[self.voters.clone(), self.outgoing.clone()].concat()),
-            set(&self.learners),
-        );
-        each && !self.voters.is_empty()
-            && voters.is_disjoint(&learners)
-            && !voters.contains(&0)
-            && !learners.contains(&0)
-    }
-}
-
-pub(crate) fn of_conf(c: Conf) -> pb::ConfState {
-    let (voters, voters_outgoing, learners) = (c.voters, c.outgoing, c.learners);
-    pb::ConfState {
-        voters,
-        voters_outgoing,
-        learners,
-        ..Default::default()
-    }
-}
-
-pub(crate) fn conf(c: &pb::ConfState) -> Conf {
-    let (mut voters, mut outgoing, mut learners) = (
-        c.voters.clone(),
-        c.voters_outgoing.clone(),
-        c.learners.clone(),
-    );
-    [&mut voters, &mut outgoing, &mut learners]
-        .into_iter()
-        .for_each(|ids| ids.sort());
-    Conf {
-        voters,
-        outgoing,
-        learners,
-    }
-}
-
-/// What an entry changes about who keeps the log.
-pub(crate) fn change(entry: &LogEntry) -> Option<pb::ConfChangeV2> {
-    use ConfChangeType::{AddLearnerNode, AddNode, RemoveNode};
-    let one = |kind, id| {
-        let mut c = ConfChangeSingle {
-            node_id: id,
-            ..Default::default()
-        };
-        c.set_change_type(kind);
-        c
-    };
-    let mut change = pb::ConfChangeV2::default();
-    match *entry {
-        LogEntry::BeginVoterReplacement { new, .. } => {
-            change.set_changes(vec![one(AddLearnerNode, new)].into())
-        }
-        LogEntry::CancelVoterReplacement { new } => {
-            change.set_changes(vec![one(RemoveNode, new)].into())
-        }
-        LogEntry::EnterJointConsensus {
-            new,
-            replaced: instead,
-        } => {
-            change.set_changes(vec![one(AddNode, new), one(RemoveNode, instead)].into());
-            change.set_transition(ConfChangeTransition::Explicit);
-        }
-        // One without changes ends the time in which both count.
-        LogEntry::CompleteVoterReplacement { .. } => {}
-        _ => return None,
+            .zip(1..)
+            .all(|(entry, offset)| self.index.checked_add(offset) == Some(entry.index));
+        let have_valid_terms = self
+            .entries
+            .iter()
+            .all(|entry| entry.term <= self.term && entry.term >= self.log_term);
+        are_consecutive && have_valid_terms && self.entries.len() <= MAX_MESSAGE_ENTRIES
     }
-    Some(change)
 }
 
-/// Before a log that holds functions which are agreed on one by one. No number is written so: a program that does not know
-/// them does not take such a log for one without.
-const SCOPED: [u8; 11] = [0xff; 11];
-
-/// A log, as it is held and told as a whole. One without functions is as it always was.
-pub(crate) fn log(log: &Log) -> postcard::Result<Vec<u8>> {
+/// Encodes a log, with its catalog of scopes if it has one.
+pub(crate) fn encode_log(log: &Log) -> postcard::Result<Vec<u8>> {
     match log.catalog_snapshot() {
         None => postcard::to_stdvec(log),
-        Some(kept) => postcard::to_extend(&(log, kept), SCOPED.to_vec()),
+        Some(catalog) => postcard::to_extend(&(log, catalog), CATALOG_MARKER.to_vec()),
     }
 }
 
-/// The same, read.
-pub(crate) fn of_log(bytes: &[u8]) -> postcard::Result<Log> {
-    match bytes.strip_prefix(&SCOPED) {
+/// Decodes what [`encode_log`] made.
+pub(crate) fn decode_log(bytes: &[u8]) -> postcard::Result<Log> {
+    match bytes.strip_prefix(&CATALOG_MARKER) {
         None => postcard::from_bytes(bytes),
         Some(bytes) => {
-            let (log, kept): (Log, CatalogSnapshot) = postcard::from_bytes(bytes)?;
-            Ok(log.with_catalog(kept))
+            let (log, catalog): (Log, CatalogSnapshot) = postcard::from_bytes(bytes)?;
+            Ok(log.with_catalog(catalog))
         }
     }
 }
 
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Msg {
-    kind: u8,
-    first: u64,
-    to: u64,
-    from: u64,
-    term: u64,
-    log_term: u64,
-    index: u64,
-    entries: Vec<Ent>,
-    commit: u64,
-    commit_term: u64,
-    snapshot: Option<Snap>,
-    request_snapshot: u64,
-    reject: bool,
-    reject_hint: u64,
-    context: Vec<u8>,
-    priority: i64,
-}
-
-pub(crate) fn ent(e: &pb::Entry) -> Ent {
-    // What changes seats is carried as our entry alone; the library's form of it is made anew from that.
-    let (kind, data) = match e.get_entry_type() {
-        pb::EntryType::EntryNormal => (PLAIN, &e.data),
-        _ => (SEATING, &e.context),
+/// An entry of raft's in our form.
+pub(crate) fn entry_from_raft(entry: &Entry) -> WireEntry {
+    // A change of voters travels as our entry alone; raft's form of it is derived from that again.
+    let (kind, data) = match entry.get_entry_type() {
+        EntryType::EntryNormal => (NORMAL_ENTRY, &entry.data),
+        _ => (VOTER_CHANGE_ENTRY, &entry.context),
     };
-    Ent {
+    WireEntry {
         kind,
-        term: e.term,
-        index: e.index,
+        term: entry.term,
+        index: entry.index,
         data: data.to_vec(),
     }
 }
 
-/// None: no entry of a form that is known.
-pub(crate) fn of_ent(e: Ent) -> Option<pb::Entry> {
-    let mut out = pb::Entry {
-        term: e.term,
-        index: e.index,
+/// An entry in the form that raft takes; none if this program does not know its kind.
+pub(crate) fn entry_into_raft(entry: WireEntry) -> Option<Entry> {
+    let mut raft_entry = Entry {
+        term: entry.term,
+        index: entry.index,
         ..Default::default()
     };
-    match e.kind {
-        PLAIN => out.data = e.data.into(),
-        SEATING => {
-            let Ok(Said::Entry(_, _, _, entry)) = postcard::from_bytes(&e.data) else {
+    match entry.kind {
+        NORMAL_ENTRY => raft_entry.data = entry.data.into(),
+        VOTER_CHANGE_ENTRY => {
+            let decoded = postcard::from_bytes(&entry.data);
+            let Ok(ReplicatedEntry::Entry(_, _, _, log_entry)) = decoded else {
                 return None;
             };
-            out.set_entry_type(pb::EntryType::EntryConfChangeV2);
-            out.data = change(&entry)?.write_to_bytes().ok()?.into();
-            out.context = e.data.into();
+            raft_entry.set_entry_type(EntryType::EntryConfChangeV2);
+            raft_entry.data = encoded_conf_change(&log_entry)?.into();
+            raft_entry.context = entry.data.into();
         }
         _ => return None,
     }
-    Some(out)
-}
-
-pub(crate) fn of_snap(s: Snap) -> pb::Snapshot {
-    let mut out = pb::Snapshot::default();
-    let meta = out.mut_metadata();
-    (meta.index, meta.term) = (s.index, s.term);
-    meta.set_conf_state(of_conf(s.conf));
-    out.data = s.log.into();
-    out
-}
-
-pub(crate) fn snap(s: &pb::Snapshot, first: u64) -> Snap {
-    let meta = s.get_metadata();
-    Snap {
-        index: meta.index,
-        term: meta.term,
-        conf: conf(meta.get_conf_state()),
-        first,
-        log: s.data.to_vec(),
-    }
-}
-
-pub(crate) fn bytes(m: &pb::Message, first: u64) -> Vec<u8> {
-    let there = !m
-        .get_snapshot()
-        .get_metadata()
-        .get_conf_state()
-        .voters
-        .is_empty();
-    let msg = Msg {
-        kind: m.get_msg_type() as u8,
-        first,
-        to: m.to,
-        from: m.from,
-        term: m.term,
-        log_term: m.log_term,
-        index: m.index,
-        entries: m.entries.iter().map(ent).collect(),
-        commit: m.commit,
-        commit_term: m.commit_term,
-        snapshot: there.then(|| snap(m.get_snapshot(), first)),
-        request_snapshot: m.request_snapshot,
-        reject: m.reject,
-        reject_hint: m.reject_hint,
-        context: m.context.to_vec(),
-        priority: m.priority,
+    Some(raft_entry)
+}
+
+/// A snapshot in the form that raft takes.
+pub(crate) fn snapshot_into_raft(snapshot: WireSnapshot) -> Snapshot {
+    let mut raft_snapshot = Snapshot::default();
+    let metadata = raft_snapshot.mut_metadata();
+    metadata.index = snapshot.index;
+    metadata.term = snapshot.term;
+    metadata.set_conf_state(snapshot.voters.into_raft());
+    raft_snapshot.data = snapshot.log.into();
+    raft_snapshot
+}
+
+/// A snapshot of raft's in our form; none if there is none, which raft states by one without voters.
+pub(crate) fn snapshot_from_raft(snapshot: &Snapshot, group: u64) -> Option<WireSnapshot> {
+    let metadata = snapshot.get_metadata();
+    let has_voters = !metadata.get_conf_state().voters.is_empty();
+    has_voters.then(|| WireSnapshot {
+        index: metadata.index,
+        term: metadata.term,
+        voters: VoterSet::from_raft(metadata.get_conf_state()),
+        group,
+        log: snapshot.data.to_vec(),
+    })
+}
+
+/// Encodes a message.
+pub(crate) fn encode_message(message: &Message, group: u64) -> Vec<u8> {
+    let wire_message = WireMessage {
+        kind: message.get_msg_type() as u8,
+        group,
+        to: message.to,
+        from: message.from,
+        term: message.term,
+        log_term: message.log_term,
+        index: message.index,
+        entries: message.entries.iter().map(entry_from_raft).collect(),
+        commit: message.commit,
+        commit_term: message.commit_term,
+        snapshot: snapshot_from_raft(message.get_snapshot(), group),
+        request_snapshot: message.request_snapshot,
+        reject: message.reject,
+        reject_hint: message.reject_hint,
+        context: message.context.to_vec(),
+        priority: message.priority,
     };
     // Plain data in memory always has an encoding.
-    postcard::to_stdvec(&msg).unwrap_or_default()
-}
-
-fn kind(n: u8) -> Option<MessageType> {
-    use MessageType::*;
-    let all = [
-        MsgAppend,
-        MsgAppendResponse,
-        MsgRequestVote,
-        MsgRequestVoteResponse,
-        MsgSnapshot,
-        MsgHeartbeat,
-        MsgHeartbeatResponse,
-        MsgReadIndex,
-        MsgReadIndexResp,
-        MsgRequestPreVote,
-        MsgRequestPreVoteResponse,
-        MsgTimeoutNow,
-    ];
-    // Those that a process tells itself are none that another may send.
-    all.into_iter().find(|k| *k as u8 == n)
+    postcard::to_stdvec(&wire_message).unwrap_or_default()
 }
 
-/// A message of the seat `from` to this one, whose entries follow each other, and where the order began as here. With it,
-/// where that was; 0 here: this one has not learnt it yet.
-pub(crate) fn read(bytes: &[u8], from: u64, me: u64, first: u64) -> Option<(pb::Message, u64)> {
-    let m: Msg = postcard::from_bytes(bytes).ok()?;
-    let follow = m
-        .entries
-        .iter()
-        .zip(1..)
-        .all(|(e, n)| m.index.checked_add(n) == Some(e.index));
-    let terms = m
-        .entries
-        .iter()
-        .all(|e| e.term <= m.term && e.term >= m.log_term);
-    let strange = m.to != me || m.from != from || from == me || from == 0;
-    if strange || first != 0 && m.first != first || !follow || !terms || m.entries.len() > ENTRIES {
+/// Decodes a message of the voter `from` to `to`, and the group that it belongs to. None: it is malformed, inconsistent,
+/// or of another group than `group`; 0 there means that this replica has not learnt its group yet.
+pub(crate) fn decode_message(
+    bytes: &[u8],
+    from: u64,
+    to: u64,
+    group: u64,
+) -> Option<(Message, u64)> {
+    let message: WireMessage = postcard::from_bytes(bytes).ok()?;
+    let has_valid_ends = message.to == to && message.from == from && from != to && from != 0;
+    let is_same_group = group == 0 || message.group == group;
+    if !has_valid_ends || !is_same_group || !message.has_consistent_entries() {
         return None;
     }
-    let mut out = pb::Message {
-        to: m.to,
-        from: m.from,
-        term: m.term,
-        log_term: m.log_term,
-        index: m.index,
-        entries: m
-            .entries
-            .into_iter()
-            .map(of_ent)
-            .collect::<Option<Vec<_>>>()?
-            .into(),
-        commit: m.commit,
-        commit_term: m.commit_term,
-        request_snapshot: m.request_snapshot,
-        reject: m.reject,
-        reject_hint: m.reject_hint,
-        context: m.context.into(),
-        priority: m.priority,
+    let message_group = message.group;
+    Some((message_into_raft(message)?, message_group))
+}
+
+fn message_into_raft(message: WireMessage) -> Option<Message> {
+    let entries: Option<Vec<Entry>> = message.entries.into_iter().map(entry_into_raft).collect();
+    let mut raft_message = Message {
+        to: message.to,
+        from: message.from,
+        term: message.term,
+        log_term: message.log_term,
+        index: message.index,
+        entries: entries?.into(),
+        commit: message.commit,
+        commit_term: message.commit_term,
+        request_snapshot: message.request_snapshot,
+        reject: message.reject,
+        reject_hint: message.reject_hint,
+        context: message.context.into(),
+        priority: message.priority,
         ..Default::default()
     };
-    out.set_msg_type(kind(m.kind)?);
-    if let Some(s) = m.snapshot {
-        if !s.conf.sound() || s.first != m.first {
+    raft_message.set_msg_type(message_type(message.kind)?);
+    if let Some(snapshot) = message.snapshot {
+        if !snapshot.voters.is_valid() || snapshot.group != message.group {
             return None;
         }
-        out.set_snapshot(of_snap(s));
+        raft_message.set_snapshot(snapshot_into_raft(snapshot));
     }
-    Some((out, m.first))
+    Some(raft_message)
+}
+
+fn message_type(number: u8) -> Option<MessageType> {
+    REMOTE_MESSAGE_TYPES
+        .into_iter()
+        .find(|kind| *kind as u8 == number)
 }
--- /dev/null
+++ b/decide/consensus/tests/replica/recorded.rs
@@ -0,0 +1,142 @@
+//! What earlier programs wrote to disk and sent is read by this one.
+
+use crate::cluster::{address, Cluster};
+use tansy_agreement::compatibility::Value;
+use tansy_agreement::lease::Member;
+use tansy_agreement::log::{LogEntry, Revision, Version};
+use tansy_consensus::{PersistentState, Replica};
+
+/// What a replica of the first supported format wrote: recorded then, read by every later program. `RECORD=1` records it
+/// again, which is correct only together with a new format.
+#[test]
+fn state_of_an_earlier_program_is_read() {
+    let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/recorded/seat-0.bin");
+    let state = |s: &Replica| {
+        format!(
+            "{:?} {:?}",
+            s.log().map(|l| l.state()),
+            s.log().map(|l| l.voters())
+        )
+    };
+    if std::env::var_os("RECORD").is_some() {
+        let mut cluster = Cluster::with(4, 3, 11);
+        cluster.run(3.0);
+        for n in 0..20 {
+            cluster.propose(n);
+            cluster.run(0.1);
+        }
+        let leader = cluster.leader().expect("a leader");
+        let entry = LogEntry::BeginVoterReplacement {
+            new: 4,
+            address: address(4),
+            replaced: 3,
+        };
+        cluster.call(leader, |replica, _, effects| {
+            replica.propose(entry, effects);
+        });
+        cluster.run(2.0);
+        let saved = &cluster.disks[0].saved;
+        let text = state(cluster.replicas[0].as_ref().expect("it runs"));
+        let bytes =
+            postcard::to_stdvec(&(&saved.snapshot, &saved.records, &text)).expect("plain data");
+        std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
+        std::fs::write(&path, bytes).expect("a file");
+    }
+    let bytes = std::fs::read(&path).expect("what was recorded");
+    let (snapshot, records, recorded_state): (Option<Vec<u8>>, Vec<Vec<u8>>, String) =
+        postcard::from_bytes(&bytes).expect("what was recorded");
+    let mut cluster = Cluster::with(4, 3, 12);
+    (0..3).for_each(|n| {
+        cluster.disks[n].saved = PersistentState {
+            snapshot: snapshot.clone(),
+            records: records.clone(),
+        };
+        cluster.start(n);
+    });
+    cluster.run(6.0);
+    assert_eq!(
+        state(cluster.replicas[0].as_ref().expect("it runs")),
+        with_current_names(&recorded_state),
+        "the same log, whichever program reads it"
+    );
+}
+
+/// The recorded text of a state was written by `Debug` and carries the names that its types had then; only those are
+/// replaced, so that every value is still compared.
+fn with_current_names(recorded: &str) -> String {
+    let names = [
+        ("State {", "FleetState {"),
+        ("step: Step(", "revision: Revision("),
+        ("force: Settings {", "in_force: VersionedSettings {"),
+        ("(Settings {", "(VersionedSettings {"),
+        ("why: ", "reason: "),
+        ("trial: ", "canary: "),
+    ];
+    names
+        .iter()
+        .fold(recorded.to_string(), |text, (then, now)| {
+            text.replace(then, now)
+        })
+}
+
+/// Entries as programs without scopes wrote them.
+#[test]
+fn entries_that_an_earlier_program_wrote_are_read() {
+    let member = Member {
+        id: 5,
+        incarnation: 6,
+    };
+    let text = |t: &str| t.to_string();
+    let all: [(&[u8], LogEntry); 9] = [
+        (&[0, 1, 2, 1, 1, b'a', 1, 8, 1, b'w'], {
+            let fields = [(text("a"), Value::Int(4))].into();
+            LogEntry::Propose {
+                id: 1,
+                base: Version(2),
+                fields,
+                reason: text("w"),
+            }
+        }),
+        (&[1, 7], LogEntry::Advance { from: Revision(7) }),
+        (
+            &[2, 3],
+            LogEntry::Abandon {
+                version: Version(3),
+            },
+        ),
+        (
+            &[3, 5, 6, 1, b'n', 9],
+            LogEntry::Join {
+                member,
+                name: text("n"),
+                revision: Revision(9),
+            },
+        ),
+        (&[4, 5, 6], LogEntry::Leave { member }),
+        (
+            &[5, 8, 0, 10, 0, 0, 1, 216, 54, 9],
+            LogEntry::BeginVoterReplacement {
+                new: 8,
+                address: address(1),
+                replaced: 9,
+            },
+        ),
+        (
+            &[6, 8, 9],
+            LogEntry::EnterJointConsensus {
+                new: 8,
+                replaced: 9,
+            },
+        ),
+        (&[7, 8], LogEntry::CompleteVoterReplacement { new: 8 }),
+        (&[8, 8], LogEntry::CancelVoterReplacement { new: 8 }),
+    ];
+    for (bytes, entry) in all {
+        assert_eq!(postcard::from_bytes::<LogEntry>(bytes), Ok(entry.clone()));
+        assert_eq!(
+            postcard::to_stdvec(&entry).as_deref(),
+            Ok(bytes),
+            "{entry:?}"
+        );
+    }
+}
--- /dev/null
+++ b/decide/consensus/tests/replica/scopes.rs
@@ -0,0 +1,108 @@
+//! Scopes travel and are persisted with the log.
+
+use crate::cluster::Cluster;
+use tansy_agreement::compatibility::Value;
+use tansy_agreement::log::{Log, LogEntry, Revision};
+use tansy_agreement::scope::{ScopeTransaction, ScopeUpdate};
+use tansy_consensus::Replica;
+
+/// The n-th entry of a run of scope changes: each becomes joint, comes into force and settles.
+fn next_scope_entry(log: &Log, n: u64) -> LogEntry {
+    let open = || {
+        log.catalog()
+            .open()
+            .filter_map(|(n, s)| Some((n.to_string(), s.phase.since()?, s.next().is_some())))
+    };
+    let in_phase = |joint| {
+        open()
+            .filter(|o| o.2 == joint)
+            .map(|(n, since, _)| (n, since))
+            .collect::<Vec<_>>()
+    };
+    if open().next().is_some() {
+        return LogEntry::AdvanceScopes {
+            in_force: in_phase(true),
+            settled: in_phase(false),
+        };
+    }
+    let change = |scope: String| {
+        let base = log
+            .catalog()
+            .get(&scope)
+            .map_or(Revision(0), |s| s.revision);
+        let fields = [
+            ("class".to_string(), Value::Text(format!("c{n}"))),
+            ("lanes".to_string(), Value::Int(n as i64)),
+        ];
+        ScopeUpdate {
+            scope,
+            base,
+            fields: (!n.is_multiple_of(7) || base == Revision(0)).then(|| fields.into()),
+        }
+    };
+    let changes = (0..3)
+        .map(|i| change(format!("f{}", (n + i) % 20)))
+        .collect();
+    LogEntry::UpdateScopes {
+        transactions: vec![ScopeTransaction {
+            id: n,
+            updates: changes,
+            reason: "a test".into(),
+        }],
+    }
+}
+
+#[test]
+fn scopes_are_persisted_and_sent_with_the_log() {
+    let mut cluster = Cluster::new(3, 8);
+    cluster.run(3.0);
+    let stopped = (0..3)
+        .find(|n| Some(*n) != cluster.leader())
+        .expect("two others");
+    cluster.kill(stopped);
+    for n in 1..=600 {
+        if let Some(leader) = cluster.leader() {
+            let entry = next_scope_entry(
+                cluster.replicas[leader]
+                    .as_ref()
+                    .and_then(Replica::log)
+                    .expect("a log"),
+                n,
+            );
+            cluster.call(leader, |replica, _, effects| {
+                replica.propose(entry, effects);
+            });
+        }
+        cluster.run(0.06);
+    }
+    // The stopped replica learns all of it; then all recover it from their disks.
+    cluster.start(stopped);
+    cluster.run(5.0);
+    let logs = |cluster: &Cluster| {
+        cluster
+            .replicas
+            .iter()
+            .flatten()
+            .map(|s| s.log().expect("a log").clone())
+            .collect::<Vec<_>>()
+    };
+    let expected = logs(&cluster);
+    assert!(
+        expected[0].catalog().all().len() >= 15 && expected[0].state().revision.0 > 150,
+        "{:?}",
+        expected[0].state().revision
+    );
+    assert!(expected[0].state().history.len() > 100);
+    assert!(
+        expected.iter().all(|l| *l == expected[0]),
+        "the stopped replica has the same log"
+    );
+    (0..3).for_each(|n| cluster.kill(n));
+    (0..3).for_each(|n| cluster.start(n));
+    cluster.run(5.0);
+    assert!(
+        logs(&cluster).iter().all(|l| *l == expected[0]),
+        "all recover it from their disks"
+    );
+    assert!(!cluster.diverged);
+}
