--- a/decide/canary/src/judge.rs
+++ b/decide/canary/src/judge.rs
@@ -88,7 +88,7 @@
     /// Whose.
     pub name: String,
     /// How: two of one sort are no accident.
-    pub sort: String,
+    pub kind: String,
 }
 
 /// What two looks at a front end differ by.
@@ -278,10 +278,10 @@
     pub fn on_unplanned_exit(&mut self, death: UnplannedExit) {
         let side = usize::from(self.new.contains(&death.name));
         self.deaths[side]
-            .entry(death.sort.clone())
+            .entry(death.kind.clone())
             .or_default()
             .insert(death.name.clone());
-        let of = |side: usize| self.deaths[side].get(&death.sort).map_or(0, BTreeSet::len);
+        let of = |side: usize| self.deaths[side].get(&death.kind).map_or(0, BTreeSet::len);
         let (old, new) = (of(0), of(1));
         let (olds, news) = (
             self.last.len().saturating_sub(self.new.len()),
@@ -292,15 +292,15 @@
         if side == 1 && new >= 2 && !(old > 0 && shared) {
             self.stop(format!(
                 "{new} of the new side ended by themselves: {}",
-                death.sort
+                death.kind
             ));
         }
     }
 
     /// The same front end ended by itself again.
-    pub fn on_crash_loop(&mut self, name: &str, sort: &str) {
+    pub fn on_crash_loop(&mut self, name: &str, kind: &str) {
         if self.new.contains(name) {
-            self.stop(format!("{name} ends again and again: {sort}"));
+            self.stop(format!("{name} ends again and again: {kind}"));
         }
     }
 
--- a/decide/rollout/tests/crash.rs
+++ b/decide/rollout/tests/crash.rs
@@ -1,6 +1,6 @@
-//! A roll with a kill, or a stop and a late waking, at every moment, of each supervisor and with it of whoever steers: it always
-//! ends, done or back, with every front end on the side that the log says, never two processes of one name, and never more of a
-//! zone away than the plan allows.
+//! Rollouts during which each supervisor, and with it its controller, is killed or suspended at every moment: the rollout always ends,
+//! complete or rolled back, with every front end on the side that the log says, never two processes of one name, and never more of a
+//! zone unavailable than the plan allows.
 
 use std::collections::BTreeMap;
 use tansy_canary::{FrontEndReport, RequestCounters};
@@ -50,59 +50,59 @@
 }
 
 struct ZoneHost {
-    keep: Option<Supervisor>,
-    steer: RolloutController,
-    /// What it read last, and when it asked; a stopped one acts on it when it wakes.
+    supervisor: Option<Supervisor>,
+    controller: RolloutController,
+    /// The rollout as it read it last, and when it asked; a suspended one acts on it when it is resumed.
     read: Option<(Time, Rollout)>,
     stopped: bool,
 }
 
 struct World {
     now: Time,
-    roll: Rollout,
+    rollout: Rollout,
     processes: BTreeMap<u32, Process>,
     pids: u32,
-    supervisors: Vec<ZoneHost>,
-    bad: bool,
+    hosts: Vec<ZoneHost>,
+    faulty: bool,
     /// The next process of this name does not become ready.
-    stuck: bool,
-    broken: Vec<String>,
-    killed_at: Option<Time>,
+    unstartable: bool,
+    violations: Vec<String>,
+    fault_at: Option<Time>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Blow {
+enum Fault {
     Kill,
     Stop,
 }
 
 impl World {
-    fn new(bad: bool, stuck: bool) -> World {
+    fn new(faulty: bool, unstartable: bool) -> World {
         let what = RolloutChange::Program {
             label: "new".into(),
             path: "new".into(),
         };
-        let roll = Rollout::begin(7, what, plan(), "a test".into()).expect("a plan");
-        let mut w = World {
+        let rollout = Rollout::begin(7, what, plan(), "a test".into()).expect("a plan");
+        let mut world = World {
             now: 0,
-            roll,
+            rollout,
             processes: BTreeMap::new(),
             pids: 0,
-            supervisors: Vec::new(),
-            bad,
-            stuck,
-            broken: Vec::new(),
-            killed_at: None,
+            hosts: Vec::new(),
+            faulty,
+            unstartable,
+            violations: Vec::new(),
+            fault_at: None,
         };
-        (0..ZONES).for_each(|z| w.supervisors.push(World::supervisor(z)));
-        (0..ZONES).for_each(|z| w.begin(z));
-        w
+        (0..ZONES).for_each(|z| world.hosts.push(World::host(z)));
+        (0..ZONES).for_each(|z| world.begin(z));
+        world
     }
 
-    fn supervisor(z: usize) -> ZoneHost {
+    fn host(z: usize) -> ZoneHost {
         ZoneHost {
-            keep: None,
-            steer: RolloutController::new(format!("s{z}")),
+            supervisor: None,
+            controller: RolloutController::new(format!("s{z}")),
             read: None,
             stopped: false,
         }
@@ -112,19 +112,19 @@
         (z * EACH..(z + 1) * EACH).map(|n| format!("f{n}"))
     }
 
-    /// A supervisor starts: processes of its names that live are taken over.
+    /// A supervisor starts and adopts the running processes of its names.
     fn begin(&mut self, z: usize) {
         let limits = SupervisorLimits {
-            drain: 2 * SECOND,
-            ready: 4 * SECOND,
+            drain_timeout: 2 * SECOND,
+            start_timeout: 4 * SECOND,
             ..SupervisorLimits::default()
         };
-        let mut keep = Supervisor::new(limits, World::names(z), "old");
+        let mut supervisor = Supervisor::new(limits, World::names(z), "old");
         for (pid, p) in &self.processes {
-            keep.adopt(self.now, &p.name, *pid, p.label.clone());
+            supervisor.adopt(self.now, &p.name, *pid, p.label.clone());
         }
-        self.supervisors[z] = World::supervisor(z);
-        self.supervisors[z].keep = Some(keep);
+        self.hosts[z] = World::host(z);
+        self.hosts[z].supervisor = Some(supervisor);
     }
 
     fn fronts(&self) -> Vec<FrontEndObservation> {
@@ -146,31 +146,31 @@
                     up: up as f64 / SECOND as f64,
                     classes: [("c".to_string(), t)].into(),
                     memory: 10.0,
-                    guarded: u64::from(new && self.bad && up > 2 * SECOND),
+                    guarded: u64::from(new && self.faulty && up > 2 * SECOND),
                 },
             }
         };
         (0..ZONES * EACH).map(one).collect()
     }
 
-    fn act(
+    fn with_supervisor(
         &mut self,
         z: usize,
         act: impl FnOnce(&mut Supervisor, Time, &mut Vec<SupervisorCommand>),
     ) {
         let mut out = Vec::new();
-        let Some(keep) = &mut self.supervisors[z].keep else {
+        let Some(supervisor) = &mut self.hosts[z].supervisor else {
             return;
         };
-        act(keep, self.now, &mut out);
+        act(supervisor, self.now, &mut out);
         for a in out {
             match a {
                 SupervisorCommand::Start { name, label } => {
                     if self.processes.values().any(|p| p.name == name) {
-                        self.broken.push(format!("two processes of {name}"));
+                        self.violations.push(format!("two processes of {name}"));
                     }
                     self.pids += 1;
-                    let never = self.stuck && label == "new" && name == "f1";
+                    let never = self.unstartable && label == "new" && name == "f1";
                     let ready = if never { Time::MAX } else { self.now + SECOND };
                     let p = Process {
                         name: name.clone(),
@@ -181,11 +181,11 @@
                     };
                     self.processes.insert(self.pids, p);
                     let (pid, now) = (self.pids, self.now);
-                    if let Some(keep) = &mut self.supervisors[z].keep {
-                        keep.on_started(now, &name, pid, label);
+                    if let Some(supervisor) = &mut self.hosts[z].supervisor {
+                        supervisor.on_started(now, &name, pid, label);
                     }
                 }
-                SupervisorCommand::End { pid } => {
+                SupervisorCommand::Terminate { pid } => {
                     let at = self.now + SECOND / 2;
                     self.processes
                         .get_mut(&pid)
@@ -199,19 +199,19 @@
                         .into_iter()
                         .for_each(|p| p.ends = Some(at));
                 }
-                SupervisorCommand::Tell {
+                SupervisorCommand::ReportCrash {
                     name,
                     pid,
-                    sort,
-                    again,
+                    kind,
+                    consecutive,
                 } => {
-                    let fell = tansy_rollout::Crash {
+                    let crash = tansy_rollout::Crash {
                         name,
                         process: u64::from(pid),
-                        sort,
-                        again,
+                        kind,
+                        consecutive,
                     };
-                    let _ = self.roll.apply(RolloutEntry::Fell(fell));
+                    let _ = self.rollout.apply(RolloutEntry::Crashed(crash));
                 }
             }
         }
@@ -229,12 +229,12 @@
         for pid in over {
             self.processes.remove(&pid);
             for z in 0..ZONES {
-                self.act(z, |k, now, out| {
-                    k.on_exit(
+                self.with_supervisor(z, |supervisor, now, out| {
+                    supervisor.on_exit(
                         now,
                         pid,
                         ProcessExit {
-                            sort: "ended".into(),
+                            kind: "ended".into(),
                         },
                         out,
                     )
@@ -242,20 +242,24 @@
             }
         }
         for z in 0..ZONES {
-            if self.supervisors[z].stopped || self.supervisors[z].keep.is_none() {
+            if self.hosts[z].stopped || self.hosts[z].supervisor.is_none() {
                 continue;
             }
-            // What it read before it was stopped is acted on first.
-            let read = self.supervisors[z].read.take();
-            if let Some((asked, roll)) = read {
+            // What it read before it was suspended is acted on first.
+            let read = self.hosts[z].read.take();
+            if let Some((asked, rollout)) = read {
                 for name in World::names(z) {
-                    let label = if roll.new_side(&name) { "new" } else { "old" };
+                    let label = if rollout.new_side(&name) {
+                        "new"
+                    } else {
+                        "old"
+                    };
                     let wanted = DesiredProcess {
                         label: label.into(),
-                        may: roll.moving.contains(&name),
+                        may_replace: rollout.moving.contains(&name),
                     };
-                    if let Some(keep) = &mut self.supervisors[z].keep {
-                        keep.set_desired(asked, &name, wanted);
+                    if let Some(supervisor) = &mut self.hosts[z].supervisor {
+                        supervisor.set_desired(asked, &name, wanted);
                     }
                 }
             }
@@ -265,20 +269,20 @@
                 .filter(|p| p.ready <= now && p.began < now)
                 .map(|p| p.name.clone())
                 .collect();
-            self.act(z, |k, now, out| {
-                ready.iter().for_each(|n| k.on_ready(now, n));
-                k.tick(now, out);
+            self.with_supervisor(z, |supervisor, now, out| {
+                ready.iter().for_each(|n| supervisor.on_ready(now, n));
+                supervisor.tick(now, out);
             });
-            let (fronts, roll) = (self.fronts(), self.roll.clone());
-            if let Some(entry) = self.supervisors[z].steer.poll(now, &roll, &fronts) {
-                let _ = self.roll.apply(entry);
+            let (fronts, rollout) = (self.fronts(), self.rollout.clone());
+            if let Some(entry) = self.hosts[z].controller.poll(now, &rollout, &fronts) {
+                let _ = self.rollout.apply(entry);
             }
-            self.supervisors[z].read = Some((now, self.roll.clone()));
+            self.hosts[z].read = Some((now, self.rollout.clone()));
         }
-        self.watch();
+        self.check_zones();
     }
 
-    fn watch(&mut self) {
+    fn check_zones(&mut self) {
         if self.now < 3 * SECOND {
             return;
         }
@@ -289,47 +293,51 @@
                 .filter(|f| f.report.zone == format!("z{z}") && !f.ready)
                 .count();
             if away > plan().at_once {
-                self.broken
+                self.violations
                     .push(format!("{away} of zone {z} are away at {}", self.now));
             }
         }
     }
 
-    /// A roll to its end, with a blow to one supervisor at this tick; none: without.
-    fn play(bad: bool, stuck: bool, blow: Option<(Blow, usize, i64)>) -> (World, i64) {
-        let mut w = World::new(bad, stuck);
-        // All are up before the roll is looked at.
+    /// A rollout to its end, with this fault of one supervisor at this tick, if any.
+    fn run(faulty: bool, unstartable: bool, fault: Option<(Fault, usize, i64)>) -> (World, i64) {
+        let mut world = World::new(faulty, unstartable);
+        // All are up before the rollout is looked at.
         let mut ticks = 0;
-        while ticks < 1500 && !(w.roll.over() && ticks > 40) {
-            if let Some((blow, z, at)) = blow {
+        while ticks < 1500 && !(world.rollout.over() && ticks > 40) {
+            if let Some((fault, z, at)) = fault {
                 if ticks == at {
-                    w.killed_at = Some(w.now);
-                    match blow {
-                        Blow::Kill => w.supervisors[z].keep = None,
-                        Blow::Stop => w.supervisors[z].stopped = true,
+                    world.fault_at = Some(world.now);
+                    match fault {
+                        Fault::Kill => world.hosts[z].supervisor = None,
+                        Fault::Stop => world.hosts[z].stopped = true,
                     }
                 }
                 if ticks == at + 70 {
-                    match blow {
-                        Blow::Kill => w.begin(z),
-                        Blow::Stop => w.supervisors[z].stopped = false,
+                    match fault {
+                        Fault::Kill => world.begin(z),
+                        Fault::Stop => world.hosts[z].stopped = false,
                     }
                 }
             }
-            w.tick();
+            world.tick();
             ticks += 1;
         }
-        // What the log says takes a moment.
-        (0..60).for_each(|_| w.tick());
-        (w, ticks)
+        // Processes follow the log with a delay.
+        (0..60).for_each(|_| world.tick());
+        (world, ticks)
     }
 
-    fn check(&self, bad: bool, what: &str) {
-        assert!(self.broken.is_empty(), "{what}: {:?}", self.broken.first());
-        let label = match self.roll.phase {
-            RolloutPhase::Done if !bad => "new",
+    fn check(&self, faulty: bool, what: &str) {
+        assert!(
+            self.violations.is_empty(),
+            "{what}: {:?}",
+            self.violations.first()
+        );
+        let label = match self.rollout.phase {
+            RolloutPhase::Done if !faulty => "new",
             RolloutPhase::Stopped => "old",
-            _ => panic!("{what}: {:?} {:?}", self.roll.phase, self.roll.steps),
+            _ => panic!("{what}: {:?} {:?}", self.rollout.phase, self.rollout.steps),
         };
         let half: Vec<&String> = self
             .processes
@@ -340,36 +348,46 @@
         assert!(
             half.is_empty() && self.processes.len() == ZONES * EACH,
             "{what}: {half:?}: {:?}",
-            self.roll.steps
+            self.rollout.steps
         );
     }
 }
 
 #[test]
-fn without_a_blow_a_good_one_is_done_and_a_bad_one_goes_back() {
-    let (good, _) = World::play(false, false, None);
+fn without_a_fault_a_good_one_is_done_and_a_bad_one_goes_back() {
+    let (good, _) = World::run(false, false, None);
     good.check(false, "good");
-    assert_eq!(good.roll.phase, RolloutPhase::Done);
-    let (bad, _) = World::play(true, false, None);
-    bad.check(true, "bad");
-    assert!(bad.roll.why.contains("guard"), "{}", bad.roll.why);
-    let (stuck, _) = World::play(false, true, None);
-    stuck.check(true, "stuck");
-    assert!(stuck.roll.why.contains("not ready"), "{}", stuck.roll.why);
+    assert_eq!(good.rollout.phase, RolloutPhase::Done);
+    let (faulty, _) = World::run(true, false, None);
+    faulty.check(true, "faulty");
+    assert!(
+        faulty.rollout.why.contains("guard"),
+        "{}",
+        faulty.rollout.why
+    );
+    let (unstartable, _) = World::run(false, true, None);
+    unstartable.check(true, "unstartable");
+    assert!(
+        unstartable.rollout.why.contains("not ready"),
+        "{}",
+        unstartable.rollout.why
+    );
 }
 
-fn every_moment(bad: bool, stuck: bool) {
-    let (_, ticks) = World::play(bad, stuck, None);
+fn every_moment(faulty: bool, unstartable: bool) {
+    let (_, ticks) = World::run(faulty, unstartable, None);
     let mut ends = BTreeMap::new();
-    for blow in [Blow::Kill, Blow::Stop] {
+    for fault in [Fault::Kill, Fault::Stop] {
         for z in 0..ZONES {
             for at in (20..ticks + 5).step_by(3) {
-                let (w, _) = World::play(bad, stuck, Some((blow, z, at)));
-                w.check(
-                    bad || stuck,
-                    &format!("{blow:?} of supervisor {z} at tick {at}"),
+                let (world, _) = World::run(faulty, unstartable, Some((fault, z, at)));
+                world.check(
+                    faulty || unstartable,
+                    &format!("{fault:?} of supervisor {z} at tick {at}"),
                 );
-                *ends.entry(format!("{:?}", w.roll.phase)).or_insert(0) += 1;
+                *ends
+                    .entry(format!("{:?}", world.rollout.phase))
+                    .or_insert(0) += 1;
             }
         }
     }
--- /dev/null
+++ b/decide/rollout/tests/rollout.rs
@@ -0,0 +1,345 @@
+//! Entries that were made for an older revision, by a former controller, or out of turn change nothing.
+
+use tansy_rollout::{
+    Crash, Rollout, RolloutChange, RolloutEntry, RolloutPhase, RolloutPlan, RolloutRejection,
+    Target,
+};
+
+fn target(n: usize, zone: &str, seat: bool) -> Target {
+    Target {
+        name: format!("f{n}"),
+        zone: zone.into(),
+        seat,
+    }
+}
+
+fn controlled_rollout(what: RolloutChange) -> Rollout {
+    let stages = vec![
+        vec![
+            target(0, "a", true),
+            target(1, "a", false),
+            target(2, "b", true),
+        ],
+        vec![target(3, "b", false)],
+    ];
+    let mut rollout = Rollout::begin(
+        1,
+        what,
+        RolloutPlan {
+            stages,
+            ..RolloutPlan::default()
+        },
+        "a test".into(),
+    )
+    .expect("a plan");
+    rollout
+        .apply(RolloutEntry::TakeControl {
+            fence: 1,
+            controller: "s".into(),
+        })
+        .expect("nobody steers");
+    rollout
+}
+
+fn program() -> RolloutChange {
+    RolloutChange::Program {
+        label: "new".into(),
+        path: "new".into(),
+    }
+}
+
+fn apply_now(
+    rollout: &mut Rollout,
+    make: impl Fn(u64, u64) -> RolloutEntry,
+) -> Result<(), RolloutRejection> {
+    rollout.apply(make(rollout.at, rollout.fence))
+}
+
+fn release(rollout: &mut Rollout, name: &str) -> Result<(), RolloutRejection> {
+    apply_now(rollout, |at, fence| RolloutEntry::Let {
+        at,
+        fence,
+        name: name.into(),
+    })
+}
+
+fn moved(rollout: &mut Rollout, name: &str) -> Result<(), RolloutRejection> {
+    apply_now(rollout, |at, fence| RolloutEntry::Moved {
+        at,
+        fence,
+        name: name.into(),
+    })
+}
+
+#[test]
+fn no_two_of_a_zone_and_no_two_voters_are_unavailable_at_once() {
+    let mut rollout = controlled_rollout(program());
+    assert_eq!(
+        release(&mut rollout, "f3"),
+        Err(RolloutRejection::NotNow),
+        "it is of a later stage"
+    );
+    assert_eq!(
+        release(&mut rollout, "f9"),
+        Err(RolloutRejection::NotNow),
+        "it is of no stage"
+    );
+    assert_eq!(release(&mut rollout, "f0"), Ok(()));
+    assert_eq!(
+        release(&mut rollout, "f1"),
+        Err(RolloutRejection::NotNow),
+        "the same zone"
+    );
+    assert_eq!(
+        release(&mut rollout, "f2"),
+        Err(RolloutRejection::NotNow),
+        "another voter"
+    );
+    assert_eq!(moved(&mut rollout, "f0"), Ok(()));
+    assert_eq!(moved(&mut rollout, "f0"), Err(RolloutRejection::NotNow));
+    assert_eq!(
+        (release(&mut rollout, "f1"), release(&mut rollout, "f2")),
+        (Ok(()), Ok(()))
+    );
+    // New settings make nothing unavailable.
+    let mut rollout = controlled_rollout(RolloutChange::Settings);
+    assert_eq!(
+        (
+            release(&mut rollout, "f0"),
+            release(&mut rollout, "f1"),
+            release(&mut rollout, "f2")
+        ),
+        (Ok(()), Ok(()), Ok(()))
+    );
+}
+
+#[test]
+fn a_former_controller_and_a_suspended_one_change_nothing() {
+    let mut rollout = controlled_rollout(program());
+    let (at, fence) = (rollout.at, rollout.fence);
+    release(&mut rollout, "f0").expect("it may");
+    assert_eq!(
+        rollout.apply(RolloutEntry::Let {
+            at,
+            fence,
+            name: "f2".into()
+        }),
+        Err(RolloutRejection::Past)
+    );
+    assert_eq!(
+        rollout.apply(RolloutEntry::TakeControl {
+            fence: 3,
+            controller: "t".into()
+        }),
+        Err(RolloutRejection::Fenced)
+    );
+    assert_eq!(
+        rollout.apply(RolloutEntry::TakeControl {
+            fence: 2,
+            controller: "t".into()
+        }),
+        Ok(())
+    );
+    assert_eq!(
+        rollout.apply(RolloutEntry::TakeControl {
+            fence: 2,
+            controller: "u".into()
+        }),
+        Err(RolloutRejection::Fenced),
+        "one was first"
+    );
+    let at = rollout.at;
+    assert_eq!(
+        rollout.apply(RolloutEntry::Moved {
+            at,
+            fence,
+            name: "f0".into()
+        }),
+        Err(RolloutRejection::Fenced)
+    );
+    assert_eq!(
+        rollout.apply(RolloutEntry::Beat {
+            fence,
+            observation: None
+        }),
+        Err(RolloutRejection::Fenced)
+    );
+    assert_eq!(moved(&mut rollout, "f0"), Ok(()));
+}
+
+#[test]
+fn an_abort_as_the_last_stage_passes_is_one_or_the_other() {
+    let mut rollout = controlled_rollout(RolloutChange::Settings);
+    for name in ["f0", "f1", "f2"] {
+        (release(&mut rollout, name), moved(&mut rollout, name))
+            .0
+            .expect("it may");
+    }
+    assert_eq!(
+        apply_now(&mut rollout, |at, fence| RolloutEntry::BeginAnalysis {
+            at,
+            fence
+        }),
+        Ok(())
+    );
+    let pass = |at, fence| RolloutEntry::Pass {
+        at,
+        fence,
+        why: "well".into(),
+    };
+    assert_eq!(apply_now(&mut rollout, pass), Ok(()));
+    (release(&mut rollout, "f3"), moved(&mut rollout, "f3"))
+        .1
+        .expect("it moves");
+    apply_now(&mut rollout, |at, fence| RolloutEntry::BeginAnalysis {
+        at,
+        fence,
+    })
+    .expect("it stands");
+    let mut first = rollout.clone();
+    assert_eq!(apply_now(&mut first, pass), Ok(()));
+    assert_eq!(
+        first.apply(RolloutEntry::Abort {
+            id: 1,
+            why: "no".into()
+        }),
+        Err(RolloutRejection::Over),
+        "it is done"
+    );
+    assert_eq!(first.phase, RolloutPhase::Done);
+    let (at, fence) = (rollout.at, rollout.fence);
+    assert_eq!(
+        rollout.apply(RolloutEntry::Abort {
+            id: 1,
+            why: "no".into()
+        }),
+        Ok(())
+    );
+    assert_eq!(
+        rollout.apply(RolloutEntry::Pass {
+            at,
+            fence,
+            why: "well".into()
+        }),
+        Err(RolloutRejection::Past)
+    );
+    assert_eq!(apply_now(&mut rollout, pass), Err(RolloutRejection::NotNow));
+    assert_eq!(
+        rollout.apply(RolloutEntry::Abort {
+            id: 1,
+            why: "again".into()
+        }),
+        Err(RolloutRejection::NotNow),
+        "it goes back already"
+    );
+    assert_eq!(
+        rollout.apply(RolloutEntry::Abort {
+            id: 2,
+            why: "another".into()
+        }),
+        Err(RolloutRejection::Over)
+    );
+    for name in ["f0", "f1", "f2", "f3"] {
+        (release(&mut rollout, name), moved(&mut rollout, name))
+            .0
+            .expect("it may");
+    }
+    assert_eq!(rollout.phase, RolloutPhase::Stopped);
+}
+
+#[test]
+fn a_second_rollout_waits_for_the_first_and_an_invalid_plan_is_rejected() {
+    let mut rollout = controlled_rollout(program());
+    let begin = |plan: RolloutPlan| RolloutEntry::Begin {
+        id: 2,
+        what: RolloutChange::Settings,
+        plan,
+        why: String::new(),
+    };
+    let plan = RolloutPlan {
+        stages: vec![vec![target(0, "a", false)]],
+        ..RolloutPlan::default()
+    };
+    assert_eq!(
+        rollout.apply(begin(plan.clone())),
+        Err(RolloutRejection::Busy)
+    );
+    rollout
+        .apply(RolloutEntry::Abort {
+            id: 1,
+            why: "no".into(),
+        })
+        .expect("it goes on");
+    assert_eq!(rollout.phase, RolloutPhase::Stopped, "nothing had changed");
+    let twice = RolloutPlan {
+        stages: vec![vec![target(0, "a", false)], vec![target(0, "a", false)]],
+        ..plan.clone()
+    };
+    for wrong in [
+        RolloutPlan::default(),
+        twice,
+        RolloutPlan {
+            at_once: 0,
+            ..plan.clone()
+        },
+        RolloutPlan {
+            error: 0.0,
+            ..plan.clone()
+        },
+    ] {
+        assert!(matches!(
+            rollout.apply(begin(wrong)),
+            Err(RolloutRejection::Plan(_))
+        ));
+    }
+    assert_eq!(rollout.apply(begin(plan)), Ok(()));
+    assert_eq!(
+        (rollout.id, rollout.phase, rollout.at),
+        (2, RolloutPhase::Moving, 1)
+    );
+}
+
+#[test]
+fn a_pause_stops_progress_but_not_a_rollback() {
+    let mut rollout = controlled_rollout(program());
+    rollout
+        .apply(RolloutEntry::Pause {
+            id: 1,
+            why: "a look".into(),
+        })
+        .expect("it goes on");
+    assert_eq!(release(&mut rollout, "f0"), Err(RolloutRejection::NotNow));
+    rollout
+        .apply(RolloutEntry::Resume { id: 1 })
+        .expect("it is paused");
+    release(&mut rollout, "f0").expect("it may");
+    let crash = Crash {
+        name: "f0".into(),
+        process: 3,
+        kind: "signal 6".into(),
+        consecutive: 1,
+    };
+    assert_eq!(rollout.apply(RolloutEntry::Crashed(crash.clone())), Ok(()));
+    assert_eq!(
+        rollout.apply(RolloutEntry::Crashed(crash)),
+        Err(RolloutRejection::NotNow),
+        "reported twice it is one"
+    );
+    rollout
+        .apply(RolloutEntry::Pause {
+            id: 1,
+            why: "a look".into(),
+        })
+        .expect("it goes on");
+    rollout
+        .apply(RolloutEntry::Abort {
+            id: 1,
+            why: "no".into(),
+        })
+        .expect("it goes on");
+    assert_eq!(
+        (release(&mut rollout, "f0"), moved(&mut rollout, "f0")),
+        (Ok(()), Ok(()))
+    );
+    assert_eq!(rollout.phase, RolloutPhase::Stopped);
+}
--- a/programs/fleet/src/report.rs
+++ b/programs/fleet/src/report.rs
@@ -113,14 +113,14 @@
             "<h2>Stage {}</h2><p>{}. Stood for {} s. {}</p>",
             seen.stage + 1,
             escaped(&names.join(", ")),
-            seen.stood,
+            seen.elapsed_seconds,
             escaped(&said(seen))
         );
-        if seen.measured.is_empty() {
+        if seen.measurements.is_empty() {
             continue;
         }
         out += "<table><tr><th>share lost</th><th>old</th><th>new</th><th>loss, points</th><th>give or take</th><th>slices</th></tr>";
-        for m in &seen.measured {
+        for m in &seen.measurements {
             out += &format!(
                 "<tr><td>{}</td><td>{:.3}%</td><td>{:.3}%</td><td>{:+.3}</td><td>{:.3}</td><td>{}</td></tr>",
                 escaped(&m.what),
@@ -132,7 +132,7 @@
             );
         }
         out += "</table>";
-        out += &bars(&seen.measured)?;
+        out += &bars(&seen.measurements)?;
     }
     out += "<h2>Steps</h2><ol>";
     roll.steps
--- a/programs/fleet/src/roll.rs
+++ b/programs/fleet/src/roll.rs
@@ -436,10 +436,10 @@
         lines.push(format!(
             "  stage {}, {} s, {}:",
             seen.stage + 1,
-            seen.stood,
+            seen.elapsed_seconds,
             crate::report::said(seen)
         ));
-        for m in &seen.measured {
+        for m in &seen.measurements {
             lines.push(format!(
                 "    {:<24} old {:>7.3}%  new {:>7.3}%  loss {:>+7.3} +- {:.3} points ({} slices)",
                 m.what,
--- a/programs/fleet/src/up.rs
+++ b/programs/fleet/src/up.rs
@@ -238,8 +238,8 @@
         let base = label(&file.program).map_err(|e| format!("{}: {e}", file.program.display()))?;
         let (processes, found) = Processes::open(&file.folder)?;
         let limits = SupervisorLimits {
-            ready: file.ready as Time * tansy_rollout::SECOND,
-            drain: file.drain as Time * tansy_rollout::SECOND,
+            start_timeout: file.ready as Time * tansy_rollout::SECOND,
+            drain_timeout: file.drain as Time * tansy_rollout::SECOND,
             ..SupervisorLimits::default()
         };
         let names = file.fronts.iter().map(|f| f.name.clone());
@@ -272,9 +272,9 @@
                 ending = true;
                 self.act(|k, now, out| k.shut_down(now, out));
             }
-            for (pid, sort) in self.processes.ended() {
-                tracing::info!(pid, sort, "ended");
-                self.act(|k, now, out| k.on_exit(now, pid, ProcessExit { sort }, out));
+            for (pid, kind) in self.processes.ended() {
+                tracing::info!(pid, sort = kind, "ended");
+                self.act(|k, now, out| k.on_exit(now, pid, ProcessExit { kind }, out));
             }
             let names: Vec<String> = self.file.fronts.iter().map(|f| f.name.clone()).collect();
             let now = micros(self.began);
@@ -327,7 +327,7 @@
         for f in &self.file.fronts {
             let mut wanted = DesiredProcess {
                 label: self.base.clone(),
-                may: stray.as_ref() == Some(&f.name),
+                may_replace: stray.as_ref() == Some(&f.name),
             };
             if let Some((roll, RolloutChange::Program { label, path })) = roll.map(|r| (r, &r.what))
             {
@@ -337,7 +337,7 @@
                 if roll.new_side(&f.name) {
                     wanted.label.clone_from(label);
                 }
-                wanted.may = roll.moving.contains(&f.name) && self.fleet.fresh;
+                wanted.may_replace = roll.moving.contains(&f.name) && self.fleet.fresh;
             }
             self.keep.set_desired(self.fleet.asked, &f.name, wanted);
         }
@@ -349,20 +349,26 @@
         for a in out {
             match a {
                 SupervisorCommand::Start { name, label } => self.begin(&name, &label),
-                SupervisorCommand::End { pid } => self.processes.signal(pid, Signal::TERM),
+                SupervisorCommand::Terminate { pid } => self.processes.signal(pid, Signal::TERM),
                 SupervisorCommand::Kill { pid } => self.processes.signal(pid, Signal::KILL),
-                SupervisorCommand::Tell {
+                SupervisorCommand::ReportCrash {
                     name,
                     pid,
-                    sort,
-                    again,
+                    kind,
+                    consecutive,
                 } => {
-                    tracing::warn!(name, pid, sort, again, "ended by itself");
+                    tracing::warn!(
+                        name,
+                        pid,
+                        sort = kind,
+                        again = consecutive,
+                        "ended by itself"
+                    );
                     self.told.push(Crash {
                         name,
                         process: u64::from(pid),
-                        sort,
-                        again,
+                        kind,
+                        consecutive,
                     });
                     if self.told.len() > 256 {
                         self.told.remove(0);
@@ -410,7 +416,7 @@
             return;
         };
         while let Some(fallen) = self.told.first().cloned() {
-            let entry = Enter::Roll(roll_entry(&RolloutEntry::Fell(fallen), None));
+            let entry = Enter::Roll(roll_entry(&RolloutEntry::Crashed(fallen), None));
             match self.client.enter_within(leader, entry, WITHIN) {
                 Err(tansy_net_fleet::client::RequestError::Unreachable(_)) => return,
                 _ => drop(self.told.remove(0)),
--- a/programs/fleet/src/view.rs
+++ b/programs/fleet/src/view.rs
@@ -91,8 +91,13 @@
         .style(Style::new().fg(color))
     };
     let widths = [30, 10, 10, 10, 12, 8].map(Constraint::Length);
-    let title = format!("stage {}, {} s: {}", seen.stage + 1, seen.stood, said(seen));
-    let table = Table::new(seen.measured.iter().map(row), widths)
+    let title = format!(
+        "stage {}, {} s: {}",
+        seen.stage + 1,
+        seen.elapsed_seconds,
+        said(seen)
+    );
+    let table = Table::new(seen.measurements.iter().map(row), widths)
         .header(Row::new([
             "share lost",
             "old",
@@ -129,9 +134,9 @@
             path: "/opt/new".into(),
         };
         let mut roll = Rollout::begin(5, what, plan, "why it is done".into()).expect("a plan");
-        roll.apply(RolloutEntry::Steer {
+        roll.apply(RolloutEntry::TakeControl {
             fence: 1,
-            who: "machine-1".into(),
+            controller: "machine-1".into(),
         })
         .expect("nobody steers");
         let measured = Measurement {
@@ -145,8 +150,8 @@
         };
         roll.seen.push(StageObservation {
             stage: 0,
-            stood: 45,
-            measured: vec![measured],
+            elapsed_seconds: 45,
+            measurements: vec![measured],
             verdict: None,
         });
         for (wide, high) in [(100, 30), (20, 6)] {
