--- a/benches/state/src/lists.rs
+++ b/benches/state/src/lists.rs
@@ -10,11 +10,11 @@
     DrainTable, Endpoint, EndpointRecord as Told, EndpointState, MAX_DRAINS,
 };
 use tansy_agreement::lease::LeaseTiming;
-use tansy_dispatch::{Front, Input};
+use tansy_dispatch::{Dispatcher, Input};
 use tansy_fleet_node::{FleetNode, FleetNodeConfig, Leader, MessageBody};
 use tansy_fleet_wire::encode_message;
 use tansy_membership::{GossipTiming, NodeId};
-use tansy_platform::list::{List, Updates};
+use tansy_platform::{EndpointList, EndpointUpdates};
 use tansyrouter::{Time, SECOND};
 
 fn at(n: usize) -> SocketAddr {
@@ -61,7 +61,7 @@
     Ok(())
 }
 
-fn bad(e: tansy_dispatch::BadConfig) -> Wrong {
+fn bad(e: tansy_dispatch::ConfigError) -> Wrong {
     Wrong::run("the ledger's settings", e)
 }
 
@@ -69,14 +69,14 @@
 pub fn ledger(a: &Args, line: &mut Line) -> Result<(), Wrong> {
     let names = inputs::names(a.functions, a.seed);
     let whole = |skip: usize| Input::Workers {
-        whole: true,
-        list: (0..a.instances)
+        full: true,
+        workers: (0..a.instances)
             .filter(|n| *n != skip)
             .map(listed)
             .collect(),
     };
     let mut front =
-        Front::new(inputs::config(&names, a.front_ends, a.seed), Time(0)).map_err(bad)?;
+        Dispatcher::new(inputs::config(&names, a.front_ends, a.seed), Time(0)).map_err(bad)?;
     let mut out = Vec::new();
     let inputs = [
         whole(usize::MAX),
@@ -93,8 +93,8 @@
         line.figure(what, ms(took));
     }
     let one = Input::Workers {
-        whole: false,
-        list: vec![listed(a.seed as usize % a.instances.max(1))],
+        full: false,
+        workers: vec![listed(a.seed as usize % a.instances.max(1))],
     };
     let (_, took) = timed(|| front.step(Time(4), one, &mut out));
     line.figure("one_comes_ms", ms(took));
@@ -129,11 +129,11 @@
     }
     text.push_str("]}}]}");
     let grown = Grown::begin();
-    let (read, took) = timed(|| serde_json::from_str::<Updates>(&text));
+    let (read, took) = timed(|| serde_json::from_str::<EndpointUpdates>(&text));
     line.figure("read_ms", ms(took));
     let updates = read.map_err(|e| Wrong::run("the reply", e))?;
-    let mut list = List::new(vec!["local".into()], Vec::new());
-    let (changes, took) = timed(|| list.take(&updates, 0.0));
+    let mut list = EndpointList::new(vec!["local".into()], Vec::new());
+    let (changes, took) = timed(|| list.apply(&updates, 0.0));
     line.figure("take_ms", ms(took));
     line.count("file_bytes", text.len());
     line.count("lines", changes.iter().map(|c| c.1.len()).sum());
--- a/benches/state/src/terms.rs
+++ b/benches/state/src/terms.rs
@@ -8,15 +8,15 @@
     rules_after_expiry, rules_without_lease, AffectedCalls, EffectiveRules, Fields, Schema, Value,
 };
 use tansy_agreement::log::{ChangePhase, FleetState, Log, LogEntry, Version};
-use tansy_dispatch::{Config, Contested, Front, Terms};
+use tansy_dispatch::{ConflictingScopes, DispatchConfig, Dispatcher, EffectiveConfig};
 use tansy_settings::agree;
 use tansyrouter::{Time, SECOND};
 
 /// Terms for each right that a front end may have.
 struct Ready {
-    whole: Terms,
-    apart: Terms,
-    lapsed: Terms,
+    whole: EffectiveConfig,
+    apart: EffectiveConfig,
+    lapsed: EffectiveConfig,
 }
 
 /// Where the time went.
@@ -41,7 +41,7 @@
         Ok(filled.map_err(|e| Wrong::run("the version's fields", e))?.0)
     }
 
-    fn config(&mut self, fields: &Fields) -> Result<Config, Wrong> {
+    fn config(&mut self, fields: &Fields) -> Result<DispatchConfig, Wrong> {
         let (settings, took) = timed(|| agree::settings(&self.own, fields));
         self.spent.settings += took;
         self.spent.calls += 1;
@@ -50,12 +50,12 @@
             .front)
     }
 
-    fn terms(&mut self, rules: &EffectiveRules) -> Result<Terms, Wrong> {
+    fn terms(&mut self, rules: &EffectiveRules) -> Result<EffectiveConfig, Wrong> {
         let config = self.config(&rules.fields)?;
-        let mut contested = Contested {
-            unlisted: rules.unlisted,
-            for_about: SECOND / 2,
-            ..Contested::default()
+        let mut contested = ConflictingScopes {
+            unknown_names: rules.unlisted,
+            retry_after: SECOND / 2,
+            ..ConflictingScopes::default()
         };
         for touch in &rules.rejected {
             match touch {
@@ -65,7 +65,10 @@
                 AffectedCalls::Function(n) => drop(contested.functions.insert(n.clone())),
             }
         }
-        Ok(Terms { config, contested })
+        Ok(EffectiveConfig {
+            config,
+            conflicting: contested,
+        })
     }
 
     fn ready(&mut self, state: &FleetState) -> Result<Ready, Wrong> {
@@ -88,13 +91,13 @@
     }
 }
 
-fn adopt(front: &mut Front, now: i64, ready: &Ready) -> Result<Duration, Wrong> {
+fn adopt(front: &mut Dispatcher, now: i64, ready: &Ready) -> Result<Duration, Wrong> {
     let ends = vec![
         (Time(now + SECOND / 2), ready.apart.clone()),
         (Time(now + 3600 * SECOND), ready.lapsed.clone()),
     ];
     let whole = ready.whole.clone();
-    let (adopted, took) = timed(|| front.adopt(Time(now), whole, ends));
+    let (adopted, took) = timed(|| front.apply_settings(Time(now), whole, ends));
     adopted
         .map_err(|e| Wrong::run("the terms", e))
         .map(|()| took)
@@ -117,8 +120,8 @@
     };
     let mut log = Log::new(fields, []);
     let mut ready = adopter.ready(log.state())?;
-    let mut front =
-        Front::new(ready.whole.config.clone(), Time(0)).map_err(|e| Wrong::run("the ledger", e))?;
+    let mut front = Dispatcher::new(ready.whole.config.clone(), Time(0))
+        .map_err(|e| Wrong::run("the ledger", e))?;
     adopt(&mut front, 1, &ready)?;
     adopter.spent = Spent::default();
     let next = inputs::changed(&log.state().in_force.fields, &one, 2);
@@ -171,13 +174,14 @@
     let names = inputs::names(a.functions, a.seed);
     let config = inputs::config(&names, a.front_ends, a.seed);
     let grown = Grown::begin();
-    let mut front = Front::new(config.clone(), Time(0)).map_err(|e| Wrong::run("the ledger", e))?;
+    let mut front =
+        Dispatcher::new(config.clone(), Time(0)).map_err(|e| Wrong::run("the ledger", e))?;
     line.figure("front_mb", grown.mb());
     let mut next = config;
     if let Some(f) = next.functions.get_mut(a.seed as usize % names.len().max(1)) {
         f.lanes = 2;
     }
-    let terms = Terms::from(next);
+    let terms = EffectiveConfig::from(next);
     let ready = Ready {
         whole: terms.clone(),
         apart: terms.clone(),
--- /dev/null
+++ b/decide/dispatch/src/request_table.rs
@@ -0,0 +1,185 @@
+//! The open calls and their attempts, the control requests, the timers, the guards.
+//!
+//! A call is open from its [`Input::Call`] to its one [`Command::Answer`] (or until its client leaves). An attempt is out
+//! from its [`Command::SendAttempt`] to its [`Input::AttemptEnded`]; the router learns of its end only then, so a further
+//! attempt can't begin while an earlier one may still be open for a worker.
+//!
+//! - `entries`: the rows of the table. `queries`: what can be read of it from outside.
+//! - `admission`: from the arrival of a call to the router. `attempts`: sending, cancelling and ending attempts.
+//! - `answers`: the one answer of each call. `control_requests`: probes, loads and unloads.
+//! - `functions`: functions learned from calls, and names that are no longer used. `lookups`: functions whose settings
+//!   have to be looked up first.
+//! - `settings`: changes of the settings. `workers`: the list of workers. `timers`: what falls due.
+//! - `routing`: events to the router and its actions. [`guards`]: what may be sent.
+
+mod admission;
+mod answers;
+mod attempts;
+mod control_requests;
+mod entries;
+mod functions;
+pub mod guards;
+mod lookups;
+mod queries;
+mod routing;
+mod settings;
+mod timers;
+mod workers;
+
+use crate::class_counters::ClassCounterTable;
+use crate::config::{ConfigError, ConflictingScopes, DispatchConfig, FunctionSpec};
+use crate::counters::Counters;
+use crate::message::{CallId, Command, ControlRequestId, Input};
+use crate::missing_functions::MissingFunctions;
+use crate::names::NameTable;
+use crate::pending_lookups::PendingLookups;
+use entries::{ControlRequest, FunctionActivity, OpenCall, TimerEvent, UndeliverableLoad};
+use std::collections::{BTreeMap, HashMap, VecDeque};
+use tansy_timer_wheel::Wheel;
+use tansyrouter::{
+    Action, Event, FunctionId, ListKind, Router, Span, Time, WorkerId, WorkerState, SECOND,
+};
+
+/// Tick of the timers, microseconds.
+const TICK: Span = 500;
+/// How often names of what is gone or no longer called are removed.
+const CLEANUP_INTERVAL: Span = SECOND;
+
+/// The dispatcher of one front end.
+pub struct Dispatcher {
+    router: Router,
+    /// The settings, with the router's own list of classes.
+    config: DispatchConfig,
+    /// The router's index of each class of the settings.
+    class_indices: Vec<usize>,
+    /// The name of each class of the router.
+    class_names: Vec<String>,
+    conflicting: ConflictingScopes,
+    scheduled: VecDeque<settings::ScheduledSettings>,
+    now: Time,
+    function_names: NameTable,
+    function_specs: HashMap<FunctionId, FunctionSpec>,
+    /// Functions learned from calls, and when each was last called or had a control request sent or answered.
+    learned_functions: HashMap<FunctionId, Time>,
+    next_cleanup: Time,
+    undeliverable_loads: Vec<UndeliverableLoad>,
+    worker_names: NameTable,
+    worker_states: BTreeMap<WorkerId, WorkerState>,
+    worker_starts: BTreeMap<WorkerId, Time>,
+    calls: HashMap<CallId, OpenCall>,
+    pending_lookups: PendingLookups,
+    control_requests: BTreeMap<ControlRequestId, ControlRequest>,
+    function_activity: BTreeMap<FunctionId, FunctionActivity>,
+    missing_functions: MissingFunctions,
+    next_control_request: u64,
+    timers: Wheel<TimerEvent>,
+    counters: Counters,
+    class_counters: Option<Box<ClassCounterTable>>,
+    shutting_down: bool,
+    /// Kept between two steps, so that a step allocates nothing for them.
+    actions: Vec<Action>,
+    due_timers: Vec<TimerEvent>,
+}
+
+impl Dispatcher {
+    /// A dispatcher that knows no worker yet.
+    pub fn new(config: DispatchConfig, now: Time) -> Result<Dispatcher, ConfigError> {
+        let router =
+            Router::new(config.settings.clone(), config.seed, now).map_err(ConfigError::Router)?;
+        config.check()?;
+        let mut function_names = NameTable::default();
+        let mut function_specs = HashMap::new();
+        for spec in &config.functions {
+            let id = function_names
+                .intern(&spec.name)
+                .map_err(ConfigError::NameCollision)?;
+            function_specs.insert(FunctionId(id), spec.clone());
+        }
+        Ok(Dispatcher {
+            router,
+            class_indices: (0..config.classes.len()).collect(),
+            class_names: config.classes.clone(),
+            conflicting: ConflictingScopes::default(),
+            scheduled: VecDeque::new(),
+            now,
+            function_names,
+            function_specs,
+            learned_functions: HashMap::new(),
+            next_cleanup: now,
+            undeliverable_loads: Vec::new(),
+            worker_names: NameTable::default(),
+            worker_states: BTreeMap::new(),
+            worker_starts: BTreeMap::new(),
+            calls: HashMap::new(),
+            pending_lookups: PendingLookups::default(),
+            control_requests: BTreeMap::new(),
+            function_activity: BTreeMap::new(),
+            missing_functions: MissingFunctions::default(),
+            next_control_request: 0,
+            timers: Wheel::new(now.0, TICK),
+            counters: Counters::default(),
+            class_counters: None,
+            shutting_down: false,
+            actions: Vec::new(),
+            due_timers: Vec::new(),
+            config,
+        })
+    }
+
+    /// Takes one input; what is to be done is appended to `commands`, in order. Time that runs backwards stands still.
+    pub fn step(&mut self, now: Time, input: Input, commands: &mut Vec<Command>) {
+        self.now = self.now.max(now);
+        self.apply_due_settings();
+        self.run_due_timers(commands);
+        self.expire_pending_lookups(commands);
+        self.on_input(input, commands);
+        self.report_undeliverable_loads(commands);
+        if self.now >= self.next_cleanup {
+            self.next_cleanup = self.now.plus(CLEANUP_INTERVAL);
+            self.remove_unused_names();
+        }
+    }
+
+    fn on_input(&mut self, input: Input, commands: &mut Vec<Command>) {
+        match input {
+            Input::Workers { full, workers } => self.on_worker_list(full, workers, commands),
+            Input::WorkerListFailed => {
+                let event = Event::Workers {
+                    kind: ListKind::Failed,
+                    entries: Vec::new(),
+                };
+                self.notify_router(event, commands);
+            }
+            Input::Call(call) => self.on_call(call, commands),
+            Input::AttemptSent { call, attempt } => self.on_attempt_sent(call, attempt),
+            Input::ResponseMessage {
+                call,
+                attempt,
+                last,
+            } => self.on_response_message(call, attempt, last, commands),
+            Input::AttemptEnded {
+                call,
+                attempt,
+                outcome,
+                trailers,
+            } => self.on_attempt_ended(call, attempt, outcome, trailers, commands),
+            Input::ClientLeft { call } => self.on_client_left(call, commands),
+            Input::ControlRequestEnded {
+                request,
+                outcome,
+                trailers,
+            } => self.on_control_request_ended(request, outcome, trailers, commands),
+            Input::Tick => {}
+            Input::Shutdown { grace } => {
+                self.shutting_down = true;
+                let at = self.now.plus(grace);
+                self.timers.set(at.0, TimerEvent::ShutdownGraceOver);
+                self.close_pending_lookups(commands);
+            }
+            Input::CallLookedUp { call, lookup } => self.on_call_looked_up(call, lookup, commands),
+            Input::FunctionResolved { function, lookup } => {
+                self.on_function_resolved(&function, lookup, commands)
+            }
+        }
+    }
+}
--- a/net/fleet/src/client.rs
+++ b/net/fleet/src/client.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tansy_fleet_wire::{MAX_MESSAGE_BYTES, SERVICE};
 use tansy_frames::grpc::{frame, Code};
-use tansy_net_grpc::exchange::{Ending, Exchange, News};
+use tansy_net_grpc::exchange::{Ending, Exchange, ExchangeEvent};
 use tansy_net_grpc::link::Link;
 use tansy_net_sockets::{within, Spawner};
 use thiserror::Error;
@@ -53,18 +53,18 @@
     let mut exchange = exchange.map_err(|_| unreachable("the connection ended"))?;
     let mut reply = None;
     loop {
-        match poll_fn(|cx| exchange.poll(cx)).await {
-            News::Message(message) => reply = Some(message),
-            News::Ended(Ending::Status(Code::Ok, _), _) => {
+        match poll_fn(|cx| exchange.poll_event(cx)).await {
+            ExchangeEvent::Message(message) => reply = Some(message),
+            ExchangeEvent::Ended(Ending::Status(Code::Ok, _), _) => {
                 return reply.ok_or(unreachable("an empty answer"))
             }
-            News::Ended(Ending::Status(code, trailers), _) => {
+            ExchangeEvent::Ended(Ending::Status(code, trailers), _) => {
                 let text = trailers.get("grpc-message");
                 let text = text.map_or(&b""[..], |value| value.as_bytes());
                 let text = percent_decode(text).decode_utf8_lossy().into_owned();
                 return Err(RequestError::Rejected(code, text));
             }
-            News::Ended(ending, _) => {
+            ExchangeEvent::Ended(ending, _) => {
                 return Err(unreachable(&format!("it ended with {ending:?}")))
             }
         }
--- a/net/fleet/src/links.rs
+++ b/net/fleet/src/links.rs
@@ -98,7 +98,9 @@
     /// Drops all links at once, with what is in flight.
     pub(crate) fn drop_all(&self) {
         let mut links = self.links.borrow_mut();
-        links.drain().for_each(|(_, peer)| peer.link.drop_now());
+        links
+            .drain()
+            .for_each(|(_, peer)| peer.link.drop_connection());
     }
 }
 
--- a/net/fleet/src/transport.rs
+++ b/net/fleet/src/transport.rs
@@ -175,7 +175,7 @@
         self.stopped.set(true);
         if let Some(server) = self.server.borrow_mut().take() {
             server.close();
-            server.cut();
+            server.drop_connections();
         }
         self.links.drop_all();
     }
--- a/net/grpc/src/exchange.rs
+++ b/net/grpc/src/exchange.rs
@@ -29,7 +29,7 @@
     /// RST_STREAM from the server, with its code.
     Reset(u32),
     /// The connection ended.
-    Cut,
+    ConnectionCut,
     /// A GOAWAY named a last stream below this one.
     GoawayBelow,
     /// Its HEADERS never left.
@@ -37,14 +37,14 @@
     /// It ended without trailers.
     NoTrailers,
     /// What came is not gRPC, too long, compressed, or a second answer to a unary call.
-    Bad(String),
+    InvalidResponse(String),
     /// Withdrawn by us, and the RST_STREAM has left or the connection has ended.
-    Withdrawn,
+    Cancelled,
 }
 
 /// What an exchange has to tell.
 #[derive(Debug)]
-pub enum News {
+pub enum ExchangeEvent {
     /// A message came.
     Message(Bytes),
     /// It has ended; nothing follows.
@@ -82,7 +82,7 @@
         connection.wire.borrow_mut().follow(stream);
         // Queued whole: a message is bounded where it came in, and it is shared, not copied.
         let queued = send.send_data(body, true);
-        let closing = queued.err().map(|_| Ending::Cut);
+        let closing = queued.err().map(|_| Ending::ConnectionCut);
         Ok(Exchange {
             connection,
             stream,
@@ -101,7 +101,7 @@
     }
 
     /// Whether its HEADERS have left.
-    pub fn left(&self) -> bool {
+    pub fn headers_sent(&self) -> bool {
         self.connection
             .wire
             .borrow()
@@ -110,13 +110,13 @@
     }
 
     /// Withdraws it: RST_STREAM with CANCEL once its HEADERS have left.
-    pub fn withdraw(&mut self) {
-        self.close(Ending::Withdrawn);
+    pub fn cancel(&mut self) {
+        self.close(Ending::Cancelled);
     }
 
     /// Closes it because what came is no answer.
     pub fn reject(&mut self, why: String) {
-        self.close(Ending::Bad(why));
+        self.close(Ending::InvalidResponse(why));
     }
 
     fn close(&mut self, ending: Ending) {
@@ -126,7 +126,7 @@
     }
 
     /// Lets the server send as much again as was read: the reader has room.
-    pub fn release(&mut self) {
+    pub fn release_capacity(&mut self) {
         if let Some(body) = &mut self.body {
             // Fails only on more than was read.
             let _ = body
@@ -136,7 +136,7 @@
     }
 
     /// The next news. After `Ended` there is none.
-    pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<News> {
+    pub fn poll_event(&mut self, cx: &mut Context<'_>) -> Poll<ExchangeEvent> {
         if self.ended {
             return Poll::Pending;
         }
@@ -164,23 +164,23 @@
             return self.end(ending);
         }
         match self.poll_answer(cx) {
-            Poll::Ready(Ok(News::Ended(ending, _))) => self.end(ending),
+            Poll::Ready(Ok(ExchangeEvent::Ended(ending, _))) => self.end(ending),
             Poll::Ready(Ok(news)) => Poll::Ready(news),
             Poll::Ready(Err(bad)) => {
-                self.close(Ending::Bad(bad));
-                self.poll(cx)
+                self.close(Ending::InvalidResponse(bad));
+                self.poll_event(cx)
             }
             Poll::Pending => Poll::Pending,
         }
     }
 
-    fn end(&mut self, ending: Ending) -> Poll<News> {
+    fn end(&mut self, ending: Ending) -> Poll<ExchangeEvent> {
         self.ended = true;
-        Poll::Ready(News::Ended(ending, self.progress))
+        Poll::Ready(ExchangeEvent::Ended(ending, self.progress))
     }
 
     /// The answer's news; an error is an answer that is none, to be closed by us.
-    fn poll_answer(&mut self, cx: &mut Context<'_>) -> Poll<Result<News, String>> {
+    fn poll_answer(&mut self, cx: &mut Context<'_>) -> Poll<Result<ExchangeEvent, String>> {
         if let Some(response) = &mut self.response {
             let response = match Pin::new(response).poll(cx) {
                 Poll::Pending => return Poll::Pending,
@@ -192,7 +192,10 @@
             let ends = body.is_end_stream();
             self.body = Some(body);
             if ends && head.headers.contains_key("grpc-status") {
-                return Poll::Ready(Ok(News::Ended(status(head.headers), self.progress)));
+                return Poll::Ready(Ok(ExchangeEvent::Ended(
+                    status(head.headers),
+                    self.progress,
+                )));
             }
             if head.status != http::StatusCode::OK {
                 return Poll::Ready(Err(format!(
@@ -210,13 +213,13 @@
             self.progress = Progress::Headers;
         }
         loop {
-            match self.assembler.take() {
+            match self.assembler.next_message() {
                 Ok(Some(_)) if self.unary && self.progress == Progress::Messages => {
                     return Poll::Ready(Err("a second answer to a unary call".into()));
                 }
                 Ok(Some(message)) => {
                     self.progress = Progress::Messages;
-                    return Poll::Ready(Ok(News::Message(message)));
+                    return Poll::Ready(Ok(ExchangeEvent::Message(message)));
                 }
                 Ok(None) => {}
                 Err(bad) => return Poll::Ready(Err(bad.to_string())),
@@ -232,10 +235,10 @@
                         Poll::Ready(Err("a message cut short by the end of its stream".into()))
                     }
                     Poll::Ready(Ok(Some(trailers))) if trailers.contains_key("grpc-status") => {
-                        Poll::Ready(Ok(News::Ended(status(trailers), self.progress)))
+                        Poll::Ready(Ok(ExchangeEvent::Ended(status(trailers), self.progress)))
                     }
                     Poll::Ready(Ok(_)) => {
-                        Poll::Ready(Ok(News::Ended(Ending::NoTrailers, self.progress)))
+                        Poll::Ready(Ok(ExchangeEvent::Ended(Ending::NoTrailers, self.progress)))
                     }
                 };
             }
@@ -248,7 +251,7 @@
                     self.assembler.push(&bytes);
                     // A message longer than the window must be able to grow to its limit.
                     if self.unary || self.unread > 0 && !self.whole() {
-                        self.release();
+                        self.release_capacity();
                     }
                 }
             }
@@ -257,10 +260,10 @@
 
     /// Whether a whole message is at hand.
     fn whole(&self) -> bool {
-        self.assembler.ready()
+        self.assembler.has_message()
     }
 
-    fn broken(&self, e: &h2::Error) -> Result<News, String> {
+    fn broken(&self, e: &h2::Error) -> Result<ExchangeEvent, String> {
         let wire = self.connection.wire.borrow();
         let left = wire.peek(self.stream).is_some_and(|m| m.headers_out);
         let ending = if wire.goaway.is_some_and(|last| self.stream > last) {
@@ -272,9 +275,9 @@
         } else if e.is_reset() {
             return Err(format!("an answer that breaks HTTP/2: {e}"));
         } else {
-            Ending::Cut
+            Ending::ConnectionCut
         };
-        Ok(News::Ended(ending, self.progress))
+        Ok(ExchangeEvent::Ended(ending, self.progress))
     }
 }
 
@@ -287,6 +290,6 @@
 fn status(headers: HeaderMap) -> Ending {
     let code = headers
         .get("grpc-status")
-        .map_or(Code::Unknown, |v| Code::read(v.as_bytes()));
+        .map_or(Code::Unknown, |v| Code::parse(v.as_bytes()));
     Ending::Status(code, headers)
 }
--- a/net/grpc/src/io.rs
+++ b/net/grpc/src/io.rs
@@ -100,7 +100,7 @@
 
     fn wrote(&mut self, bytes: &[u8]) {
         let Wire { out, streams, .. } = self;
-        out.take(bytes, |f: Frame| {
+        out.feed(bytes, |f: Frame| {
             let Some(m) = streams.get_mut(&f.stream) else {
                 return;
             };
@@ -124,7 +124,7 @@
             goaway,
             ..
         } = self;
-        inward.take(bytes, |f: Frame| {
+        inward.feed(bytes, |f: Frame| {
             if let Some(last) = f.last_stream() {
                 *goaway = Some(goaway.map_or(last, |g| g.min(last)));
             }
--- a/protocol/frames/src/grpc.rs
+++ b/protocol/frames/src/grpc.rs
@@ -29,7 +29,7 @@
 
 impl Code {
     /// The code of a `grpc-status` value; an unknown or unreadable one is `Unknown`, as the protocol asks.
-    pub fn read(value: &[u8]) -> Code {
+    pub fn parse(value: &[u8]) -> Code {
         use Code::*;
         const ALL: [Code; 17] = [
             Ok,
@@ -63,7 +63,7 @@
 
 /// Why bytes are not messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum BadFrame {
+pub enum FrameError {
     /// A message over the limit.
     #[error("a message of {length} bytes, over the limit of {limit}")]
     TooLong {
@@ -77,7 +77,7 @@
     Compressed,
     /// A flag byte that the protocol does not know.
     #[error("a message flag of {0}, which the protocol does not know")]
-    BadFlag(u8),
+    UnknownFlag(u8),
 }
 
 /// Takes the bytes of a stream apart into messages, holding no more than one message at a time.
@@ -100,20 +100,20 @@
         self.buffer.extend_from_slice(bytes);
     }
     /// The next whole message, if it is there.
-    pub fn take(&mut self) -> Result<Option<Bytes>, BadFrame> {
+    pub fn next_message(&mut self) -> Result<Option<Bytes>, FrameError> {
         if self.buffer.len() < 5 {
             return Ok(None);
         }
         match self.buffer[0] {
             0 => {}
-            1 => return Err(BadFrame::Compressed),
-            other => return Err(BadFrame::BadFlag(other)),
+            1 => return Err(FrameError::Compressed),
+            other => return Err(FrameError::UnknownFlag(other)),
         }
         let length = self.buffer[1..5]
             .iter()
             .fold(0usize, |n, b| n << 8 | usize::from(*b));
         if length > self.limit {
-            return Err(BadFrame::TooLong {
+            return Err(FrameError::TooLong {
                 length,
                 limit: self.limit,
             });
@@ -125,7 +125,7 @@
         Ok(Some(self.buffer.split_to(length).freeze()))
     }
     /// Whether a whole message, or one that can be told to be bad, is at hand.
-    pub fn ready(&self) -> bool {
+    pub fn has_message(&self) -> bool {
         let Some(head) = self.buffer.get(..5) else {
             return false;
         };
@@ -204,7 +204,7 @@
             let mut out = Vec::new();
             for part in all.chunks(step) {
                 a.push(part);
-                while let Some(m) = a.take().unwrap() {
+                while let Some(m) = a.next_message().unwrap() {
                     out.push(m.len());
                 }
             }
@@ -217,18 +217,18 @@
         let mut a = Assembler::new(10);
         a.push(&[0, 0, 0, 0, 11]);
         assert_eq!(
-            a.take(),
-            Err(BadFrame::TooLong {
+            a.next_message(),
+            Err(FrameError::TooLong {
                 length: 11,
                 limit: 10
             })
         );
         let mut a = Assembler::new(10);
         a.push(&[1, 0, 0, 0, 1, 0]);
-        assert_eq!(a.take(), Err(BadFrame::Compressed));
+        assert_eq!(a.next_message(), Err(FrameError::Compressed));
         let mut a = Assembler::new(10);
         a.push(b"GET / HTTP/1.1");
-        assert_eq!(a.take(), Err(BadFrame::BadFlag(b'G')));
+        assert_eq!(a.next_message(), Err(FrameError::UnknownFlag(b'G')));
     }
 
     #[test]
--- a/protocol/frames/src/tap.rs
+++ b/protocol/frames/src/tap.rs
@@ -89,7 +89,7 @@
     }
 
     /// Takes the next bytes that passed; `frame` gets each frame that they complete.
-    pub fn take(&mut self, mut bytes: &[u8], mut frame: impl FnMut(Frame)) {
+    pub fn feed(&mut self, mut bytes: &[u8], mut frame: impl FnMut(Frame)) {
         while !bytes.is_empty() {
             if self.preface > 0 {
                 let n = self.preface.min(bytes.len());
@@ -147,7 +147,7 @@
         for step in 1..all.len() {
             let (mut tap, mut seen) = (Tap::from_client(), Vec::new());
             for part in all.chunks(step) {
-                tap.take(part, |f| seen.push(f));
+                tap.feed(part, |f| seen.push(f));
             }
             let kinds: Vec<_> = seen.iter().map(|f| (f.kind, f.stream, f.length)).collect();
             assert_eq!(
--- a/protocol/inference/src/scan.rs
+++ b/protocol/inference/src/scan.rs
@@ -10,14 +10,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Malformed {
     /// Byte offset in the message.
-    pub at: usize,
+    pub offset: usize,
     /// What is wrong there.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} at byte {}", self.why, self.at)
+        write!(f, "{} at byte {}", self.reason, self.offset)
     }
 }
 impl std::error::Error for Malformed {}
@@ -279,8 +279,8 @@
             return Ok(());
         }
         Err(Malformed {
-            at: self.at,
-            why: "a field of another wire type than the schema's",
+            offset: self.at,
+            reason: "a field of another wire type than the schema's",
         })
     }
     fn varint(&self) -> Result<u64, Malformed> {
@@ -295,8 +295,8 @@
     fn text(&self) -> Result<&'a str, Malformed> {
         let why = "a string that is not UTF-8";
         std::str::from_utf8(self.bytes()?).map_err(|e| Malformed {
-            at: self.at + e.valid_up_to(),
-            why,
+            offset: self.at + e.valid_up_to(),
+            reason: why,
         })
     }
     fn message(&self) -> Result<Fields<'a>, Malformed> {
@@ -320,8 +320,8 @@
             return Ok(());
         }
         Err(Malformed {
-            at: self.at,
-            why: "packed values cut short",
+            offset: self.at,
+            reason: "packed values cut short",
         })
     }
 }
@@ -345,8 +345,8 @@
     }
     fn bad<T>(&self, why: &'static str) -> Result<T, Malformed> {
         Err(Malformed {
-            at: self.base + self.at,
-            why,
+            offset: self.base + self.at,
+            reason: why,
         })
     }
     fn varint(&mut self) -> Result<u64, Malformed> {
--- /dev/null
+++ b/src/router/retry.rs
@@ -0,0 +1,52 @@
+//! Whether a call may be attempted again: the idempotency of its class, and what became of earlier attempts.
+
+use super::request::{Attempt, Request};
+use super::Router;
+use crate::{Effect, Group, Time, WorkerEntry};
+
+impl Router {
+    /// Rule 2: whether a further attempt is allowed, at this worker or (none) at any.
+    pub(super) fn may_attempt_again(
+        &self,
+        request: &Request,
+        target: Option<&WorkerEntry>,
+        now: Time,
+    ) -> bool {
+        let mut may_have_run = request
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.may_have_run());
+        let harmless = match self.settings.classes[request.class].effect {
+            Effect::Safe => true,
+            Effect::Unsafe => may_have_run.next().is_none(),
+            // The margin covers the way to the worker, also over a connection that is yet to be made.
+            Effect::Keyed { group, window } => may_have_run.all(|attempt| {
+                let remembered = window - 2 * self.settings.connect_timeout;
+                shares_group(attempt, group, target) && now.since(attempt.sent_at) < remembered
+            }),
+        };
+        harmless && request.attempts.len() < self.settings.max_attempts as usize
+    }
+
+    /// Whether the client may be told that a repeat of its own is harmless.
+    pub(super) fn may_refuse(&self, request: &Request) -> bool {
+        let repeat_is_harmless = matches!(
+            self.settings.classes[request.class].effect,
+            Effect::Safe
+                | Effect::Keyed {
+                    group: Group::All,
+                    ..
+                }
+        );
+        repeat_is_harmless || !request.attempts.iter().any(Attempt::may_have_run)
+    }
+}
+
+/// Whether a worker drops repeats of what this attempt may have run.
+fn shares_group(attempt: &Attempt, group: Group, target: Option<&WorkerEntry>) -> bool {
+    match (group, target) {
+        (Group::Zone, Some(target)) => attempt.worker.zone == target.zone,
+        (Group::Cell, Some(target)) => attempt.worker.cell == target.cell,
+        _ => true,
+    }
+}
--- a/standins/worker/src/serve.rs
+++ b/standins/worker/src/serve.rs
@@ -114,14 +114,14 @@
     /// Ends all its connections at once.
     pub fn cut(&self) {
         if let Some(server) = &*self.server.borrow() {
-            server.cut();
+            server.drop_connections();
         }
     }
 
     /// Tells its clients by GOAWAY to open no new stream on the connections that stand.
     pub fn shed(&self) {
         if let Some(server) = &*self.server.borrow() {
-            server.shed();
+            server.drain_connections();
         }
     }
 
@@ -298,7 +298,7 @@
         return unary(respond, &message, trailers(Code::Ok, ""));
     }
     if let Some(code) = faults.hollow_status.get() {
-        let code = Code::read(code.to_string().as_bytes());
+        let code = Code::parse(code.to_string().as_bytes());
         return refuse(&mut respond, trailers(code, "as the fault says"));
     }
     if faults.boast.get() {
@@ -459,7 +459,10 @@
     standin.ran.set(standin.ran.get() + 1);
     let faults = &standin.faults;
     if let Some(code) = faults.status.get() {
-        let mut map = standin.told(Code::read(code.to_string().as_bytes()), "as the fault says");
+        let mut map = standin.told(
+            Code::parse(code.to_string().as_bytes()),
+            "as the fault says",
+        );
         map.insert(names::INSTANCE, HeaderValue::from_static("warm"));
         return refuse(&mut respond, map);
     }
