--- /dev/null
+++ b/programs/gateway/src/cli/mod.rs
@@ -0,0 +1,166 @@
+//! The program's arguments, logs and exit codes.
+
+mod arguments;
+mod error;
+mod placement;
+
+use crate::logs::LossyStderr;
+use crate::{platform, Gateway, Options, EMBEDDED};
+use arguments::{Arguments, LogFormat};
+use clap::Parser;
+use error::UsageError;
+use placement::{placement, SettingsSource};
+use std::ffi::OsString;
+use std::fmt::Display;
+use std::io::{IsTerminal, Write};
+use std::path::PathBuf;
+use std::process::ExitCode;
+use tansy_settings::Settings;
+use tracing_subscriber::EnvFilter;
+
+/// Runs the program with its arguments, the first its name.
+pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
+    let arguments = Arguments::parse_from(arguments);
+    let run = start_logs(&arguments).and_then(|()| {
+        if arguments.platform {
+            run_platform(arguments.check)
+        } else {
+            run_gateway(arguments)
+        }
+    });
+    run.unwrap_or_else(|error| {
+        eprintln!("{error}");
+        ExitCode::from(2)
+    })
+}
+
+fn start_logs(arguments: &Arguments) -> Result<(), UsageError> {
+    let filter = EnvFilter::try_new(format!("calloop=error,{}", arguments.log));
+    let filter = filter.map_err(|source| UsageError::LogFilter {
+        filter: arguments.log.clone(),
+        source,
+    })?;
+    let logs = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(LossyStderr::new)
+        .with_ansi(std::io::stderr().is_terminal());
+    match arguments.logs {
+        LogFormat::Plain => logs.init(),
+        LogFormat::Json => logs.json().init(),
+    }
+    Ok(())
+}
+
+fn run_gateway(arguments: Arguments) -> Result<ExitCode, UsageError> {
+    let source = read_settings(&arguments)?;
+    let mut settings = tansy_settings::settings(&source.name, &source.text)?;
+    override_settings(&arguments, &mut settings)?;
+    if arguments.check {
+        let classes = settings.front.classes.len();
+        let functions = settings.front.functions.len();
+        print_line(&format!(
+            "{}: {classes} classes, {functions} functions",
+            source.name
+        ));
+        return Ok(ExitCode::SUCCESS);
+    }
+    let fleet = placement(&arguments, &source, &mut settings)?;
+    let options = Options {
+        embedded: arguments.embedded,
+        shared: arguments.shared,
+        workers: arguments.workers,
+        record: arguments.record,
+        fleet,
+    };
+    let run = Gateway::start(settings, &options).and_then(|gateway| gateway.run(print_ready));
+    Ok(exit(run))
+}
+
+fn read_settings(arguments: &Arguments) -> Result<SettingsSource, UsageError> {
+    let Some(path) = &arguments.settings else {
+        return Ok(SettingsSource {
+            name: "embedded.cue".into(),
+            text: EMBEDDED.to_string(),
+        });
+    };
+    match std::fs::read_to_string(path) {
+        Ok(text) => Ok(SettingsSource {
+            name: path.display().to_string(),
+            text,
+        }),
+        Err(source) => Err(UsageError::SettingsFile {
+            path: path.clone(),
+            source,
+        }),
+    }
+}
+
+/// Arguments go before the settings.
+fn override_settings(arguments: &Arguments, settings: &mut Settings) -> Result<(), UsageError> {
+    let router = &mut settings.front.settings;
+    router.me = arguments.me.unwrap_or(router.me);
+    let siblings = router.siblings.max(router.me + 1);
+    router.siblings = arguments.siblings.unwrap_or(siblings);
+    if router.me >= router.siblings {
+        return Err(UsageError::Number {
+            me: router.me,
+            siblings: router.siblings,
+        });
+    }
+    let gateway = &mut settings.gateway;
+    gateway.listen = arguments.listen.unwrap_or(gateway.listen);
+    gateway.http = arguments.http.unwrap_or(gateway.http);
+    Ok(())
+}
+
+fn print_ready(gateway: &Gateway) {
+    let peers = gateway.peers();
+    let peers = peers.map_or(String::new(), |address| format!(" peers={address}"));
+    print_line(&format!(
+        "ready grpc={} http={}{peers}",
+        gateway.grpc(),
+        gateway.http()
+    ));
+}
+
+/// Serves on the platform.
+fn run_platform(check: bool) -> Result<ExitCode, UsageError> {
+    let signals = match platform::Signals::new() {
+        Ok(signals) => signals,
+        Err(error) => return Ok(exit(Err::<String, _>(error))),
+    };
+    let path = std::env::var_os("EDGE_CONFIG").ok_or(UsageError::NoPlatformConfig)?;
+    let path = PathBuf::from(path);
+    let config = platform::read_first(&path).map_err(UsageError::PlatformConfig)?;
+    if check {
+        let classes = config.settings.classes.len();
+        let index = config.known.index;
+        print_line(&format!(
+            "{}: {classes} classes, list up to event {index}",
+            path.display()
+        ));
+        return Ok(ExitCode::SUCCESS);
+    }
+    let run = platform::Platform::start(&config);
+    Ok(exit(run.and_then(|platform| platform.run(&path, signals))))
+}
+
+/// The end of a run: the account's line, or why it could not go on.
+fn exit(run: Result<String, impl Display>) -> ExitCode {
+    match run {
+        Ok(account) => {
+            print_line(&format!("account {account}"));
+            ExitCode::SUCCESS
+        }
+        Err(error) => {
+            eprintln!("{error}");
+            ExitCode::from(1)
+        }
+    }
+}
+
+/// Prints a line on standard output. A reader that went away is no reason to stop serving, nor to panic.
+fn print_line(line: &str) {
+    let mut out = std::io::stdout();
+    let _ = writeln!(out, "{line}").and_then(|()| out.flush());
+}
--- /dev/null
+++ b/programs/gateway/src/cli/placement.rs
@@ -0,0 +1,90 @@
+//! The placement in a fleet, of the arguments and the settings.
+
+use super::arguments::Arguments;
+use super::error::UsageError;
+use crate::fleet::FleetPlacement;
+use tansy_agreement::compatibility::{Fields, Value};
+use tansy_settings::{agree, Fleet, Settings};
+
+/// The text of the settings, and the name of its file.
+pub(super) struct SettingsSource {
+    pub(super) name: String,
+    pub(super) text: String,
+}
+
+/// The placement in the fleet that the settings name, if they name one; arguments go before the settings.
+pub(super) fn placement(
+    arguments: &Arguments,
+    source: &SettingsSource,
+    settings: &mut Settings,
+) -> Result<Option<FleetPlacement>, UsageError> {
+    let Some(fleet) = &mut settings.fleet else {
+        let for_a_fleet = arguments.name.is_some()
+            || arguments.peers.is_some()
+            || arguments.state.is_some()
+            || !arguments.via.is_empty();
+        return if for_a_fleet {
+            Err(UsageError::NoFleet)
+        } else {
+            Ok(None)
+        };
+    };
+    if arguments.record.is_some() {
+        return Err(UsageError::RecordInFleet);
+    }
+    override_fleet(arguments, fleet);
+    check_fleet(fleet)?;
+    let own = own_fields(source, settings)?;
+    let zone = match own.get("front.zone") {
+        Some(Value::Text(zone)) => zone.clone(),
+        _ => String::new(),
+    };
+    Ok(Some(FleetPlacement {
+        own,
+        first: agree::version(&source.name, &source.text)?,
+        via: arguments.via.iter().copied().collect(),
+        zone,
+    }))
+}
+
+fn override_fleet(arguments: &Arguments, fleet: &mut Fleet) {
+    if let Some(name) = &arguments.name {
+        fleet.me = name.clone();
+    }
+    if let Some(peers) = arguments.peers {
+        fleet.listen = peers;
+    }
+    if let Some(state) = &arguments.state {
+        fleet.state = Some(state.clone());
+    }
+}
+
+fn check_fleet(fleet: &Fleet) -> Result<(), UsageError> {
+    if fleet.me.is_empty() {
+        return Err(UsageError::NoName);
+    }
+    let elsewhere = fleet
+        .seats
+        .iter()
+        .find(|voter| voter.name == fleet.me && voter.address != fleet.listen);
+    match elsewhere {
+        Some(voter) => Err(UsageError::VoterAddress {
+            listen: fleet.listen,
+            name: voter.name.clone(),
+            address: voter.address,
+        }),
+        None => Ok(()),
+    }
+}
+
+/// All fields of the settings' text, with those that arguments override.
+fn own_fields(source: &SettingsSource, settings: &Settings) -> Result<Fields, UsageError> {
+    let mut own = agree::fields(&source.name, &source.text)?;
+    let number = i64::try_from(settings.front.settings.me).unwrap_or(i64::MAX);
+    let listen = settings.gateway.listen.to_string();
+    let http = settings.gateway.http.to_string();
+    own.insert("front.me".into(), Value::Int(number));
+    own.insert("front.listen".into(), Value::Text(listen));
+    own.insert("front.http".into(), Value::Text(http));
+    Ok(own)
+}
--- /dev/null
+++ b/programs/gateway/src/embedded.rs
@@ -0,0 +1,70 @@
+//! Stand-in workers in the gateway's own process, for `--embedded`.
+
+use std::io;
+use std::net::SocketAddr;
+use tansy_dispatch::{FunctionSpec, WorkerRecord};
+use tansy_net_sockets::socket::listen;
+use tansy_net_sockets::Spawner;
+use tansy_settings::WorkerLine;
+use tansy_standin_worker::{Function, Profile, Standin, WhenAbsent};
+
+/// How many of them are started.
+const WORKERS: usize = 4;
+
+/// Starts the workers, each of which serves all functions.
+pub(crate) fn start_workers(
+    spawner: &Spawner,
+    functions: &[FunctionSpec],
+) -> io::Result<Vec<WorkerLine>> {
+    (0..WORKERS)
+        .map(|index| start_worker(spawner, index, functions))
+        .collect()
+}
+
+fn start_worker(
+    spawner: &Spawner,
+    index: usize,
+    functions: &[FunctionSpec],
+) -> io::Result<WorkerLine> {
+    let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0)), false)?;
+    let name = format!("embedded-{index}");
+    let profile = profile(name.clone(), functions);
+    let worker = Standin::start(spawner.clone(), listener, profile, true)?;
+    Ok(WorkerLine {
+        listed: WorkerRecord {
+            name,
+            kind: 0,
+            cell: 0,
+            zone: 0,
+            state: 0,
+            age: None,
+            relative_size: 1.0,
+        },
+        address: worker.address(),
+        incarnation: 0,
+    })
+}
+
+fn profile(name: String, functions: &[FunctionSpec]) -> Profile {
+    let function = |spec: &FunctionSpec| Function {
+        name: spec.name.clone(),
+        memory_mb: spec.memory_mb,
+        lanes: spec.lanes,
+        load: spec.load_time.unwrap_or(100_000),
+        work: 2_000,
+    };
+    Profile {
+        name,
+        functions: functions.iter().map(function).collect(),
+        memory_mb: 4_000.0,
+        idle_life: 10_000_000,
+        loads: 2,
+        queue: 1000,
+        when_absent: WhenAbsent::Load,
+        cores: 4.0,
+        cold_from: 1.0,
+        warm_up: 1,
+        fall_multiple: f64::MAX,
+        fall_after: 1_000_000,
+    }
+}
--- /dev/null
+++ b/programs/gateway/src/fleet/applier.rs
@@ -0,0 +1,247 @@
+//! Applies to the dispatcher what the node may act on: configurations and workers.
+
+use super::effective::{Authority, ConfigBuilder, ConfigSet};
+use super::FleetPlacement;
+use crate::GatewayError;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tansy_agreement::compatibility::Fields;
+use tansy_agreement::endpoints::{Endpoint, EndpointRecord, EndpointState};
+use tansy_agreement::lease::Time;
+use tansy_agreement::log::FleetState;
+use tansy_dispatch::{ConflictingScopes, EffectiveConfig};
+use tansy_fleet_node::{FleetNode, FleetNodeConfig};
+use tansy_net_inference::{Hub, Worker};
+use tansy_settings::{Fleet, WorkerLine};
+
+/// What the dispatcher acts on.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct Applied {
+    revision: u64,
+    lease: bool,
+    session: bool,
+}
+
+/// The configurations of a revision, or why there are none.
+struct ComputedConfigs {
+    revision: u64,
+    result: Result<ConfigSet, Rc<GatewayError>>,
+}
+
+pub(super) struct ConfigApplier {
+    hub: Rc<Hub>,
+    builder: ConfigBuilder,
+    applied: Cell<Option<Applied>>,
+    computed: RefCell<Option<ComputedConfigs>>,
+    /// Workers that are reached through another address than their own.
+    proxies: HashMap<SocketAddr, SocketAddr>,
+    /// The last list that was read.
+    workers: RefCell<Vec<WorkerLine>>,
+    /// The node's count of changes of draining workers, when they were applied last.
+    drain_changes: Cell<u64>,
+    /// The node's count of changes of functions, when pending calls were looked up last.
+    scope_changes: Cell<u64>,
+}
+
+impl ConfigApplier {
+    pub(super) fn new(
+        hub: Rc<Hub>,
+        fleet: &Fleet,
+        placement: &FleetPlacement,
+        node: &FleetNodeConfig,
+    ) -> ConfigApplier {
+        ConfigApplier {
+            hub,
+            builder: ConfigBuilder {
+                name: fleet.me.clone(),
+                own: placement.own.clone(),
+                schema: node.schema.clone(),
+                retry_after: node.lease.span,
+            },
+            applied: Cell::new(None),
+            computed: RefCell::new(None),
+            proxies: placement.via.clone(),
+            workers: RefCell::new(Vec::new()),
+            drain_changes: Cell::new(0),
+            scope_changes: Cell::new(0),
+        }
+    }
+
+    /// Applies the configuration before any state is known.
+    pub(super) fn apply_initial(&self, first: &Fields) -> Result<(), GatewayError> {
+        let (config, names) = self.builder.initial(first)?;
+        Ok(self.hub.adopt(config, names, Vec::new())?)
+    }
+
+    /// The node may act on another state by now; returns why it can't be applied, if so.
+    pub(super) fn on_state_changed(&self, node: &FleetNode, now: Time) -> Option<String> {
+        let applied_before = self.applied.get();
+        let error = self.apply(node, now);
+        let scope_changes = node.scopes_changed();
+        let changed = self.scope_changes.replace(scope_changes) != scope_changes
+            || self.applied.get() != applied_before;
+        if changed && self.hub.with_front(|dispatcher| dispatcher.pending_calls()) > 0 {
+            // After the node's turn: the lookup of each pending call asks the node again.
+            let hub = self.hub.clone();
+            self.hub.spawner.spawn(async move { hub.look_again() });
+        }
+        error
+    }
+
+    /// Applies the state that the node may act on; returns why it can't be applied, if so.
+    fn apply(&self, node: &FleetNode, now: Time) -> Option<String> {
+        if node.drain_changes() != self.drain_changes.get() {
+            self.apply_workers(node);
+        }
+        let active = node.active_state(now);
+        let state = active.state?;
+        let applied = Applied {
+            revision: state.revision.0,
+            lease: active.lease > 0,
+            session: active.session > 0,
+        };
+        let expiries = expiries(applied, active.lease, active.session);
+        let remaining: Vec<i64> = expiries.iter().map(|(remaining, _)| *remaining).collect();
+        if self.applied.get() == Some(applied) && self.hub.renew(&remaining) {
+            return self.error();
+        }
+        match self.configs(state) {
+            Some(configs) => self.adopt(applied, &configs, expiries),
+            None => self.reject_all(),
+        }
+        self.error()
+    }
+
+    /// The configurations of a state, computed once for each revision; `None`: there are none.
+    fn configs(&self, state: &FleetState) -> Option<ConfigSet> {
+        let revision = state.revision.0;
+        let computed = self.computed.borrow().as_ref().map(|known| known.revision);
+        if computed != Some(revision) {
+            let result = self.builder.config_set(state, &self.hub);
+            if let Err(error) = &result {
+                tracing::error!(revision, %error, "settings in force can't be applied here: all calls are rejected");
+            }
+            self.set_computed(revision, result);
+        }
+        let computed = self.computed.borrow();
+        computed.as_ref()?.result.as_ref().ok().cloned()
+    }
+
+    fn set_computed(&self, revision: u64, result: Result<ConfigSet, GatewayError>) {
+        *self.computed.borrow_mut() = Some(ComputedConfigs {
+            revision,
+            result: result.map_err(Rc::new),
+        });
+    }
+
+    /// Gives the dispatcher the configuration in effect, and those that follow by themselves.
+    fn adopt(&self, applied: Applied, configs: &ConfigSet, expiries: Vec<(i64, Authority)>) {
+        let authority = match (applied.lease, applied.session) {
+            (true, true) => Authority::LeaseAndSession,
+            (false, true) => Authority::SessionOnly,
+            (_, false) => Authority::Expired,
+        };
+        let following = expiries
+            .into_iter()
+            .map(|(remaining, authority)| (remaining, configs.of(authority).clone()));
+        let adopted = self.hub.adopt(
+            configs.of(authority).clone(),
+            configs.names.clone(),
+            following.collect(),
+        );
+        self.applied.set(Some(applied));
+        if let Err(error) = adopted {
+            self.set_computed(applied.revision, Err(error.into()));
+            self.reject_all();
+        }
+    }
+
+    /// Why the state can't be applied, if so.
+    fn error(&self) -> Option<String> {
+        let computed = self.computed.borrow();
+        let error = computed.as_ref()?.result.as_ref().err()?;
+        Some(error.to_string())
+    }
+
+    /// Rejects all calls, since the state can't be applied.
+    fn reject_all(&self) {
+        let config = self
+            .hub
+            .with_front(|dispatcher| dispatcher.applied_config());
+        let conflicting = ConflictingScopes {
+            all: true,
+            retry_after: self.builder.retry_after,
+            ..ConflictingScopes::default()
+        };
+        let config = EffectiveConfig {
+            config,
+            conflicting,
+        };
+        let names = self.hub.names();
+        // The dispatcher acts on this configuration already, so that it can't be rejected.
+        let _ = self.hub.adopt(config, (*names).clone(), Vec::new());
+        self.applied.set(None);
+    }
+
+    /// Sets the workers of the list; they are applied by [`Self::apply_workers`].
+    pub(super) fn set_workers(&self, workers: Vec<WorkerLine>) {
+        *self.workers.borrow_mut() = workers;
+    }
+
+    /// Gives the dispatcher the workers, in the states of the list and of what any front end saw.
+    pub(super) fn apply_workers(&self, node: &FleetNode) {
+        self.drain_changes.set(node.drain_changes());
+        let worker = |line: &WorkerLine| {
+            let record = endpoint_record(line);
+            let state = node
+                .drains()
+                .state_of(&record.endpoint, record.incarnation, record.state);
+            let mut listed = line.listed.clone();
+            listed.state = match state {
+                EndpointState::Ready => 0,
+                EndpointState::Draining => 1,
+                EndpointState::Gone => 2,
+            };
+            let proxy = self.proxies.get(&line.address);
+            Worker {
+                listed,
+                address: proxy.copied().unwrap_or(line.address),
+            }
+        };
+        let workers: Vec<Worker> = self.workers.borrow().iter().map(worker).collect();
+        if !workers.is_empty() {
+            self.hub.list(workers);
+        }
+    }
+}
+
+/// When the authority ends, and what it is after that, in order; a lease that outlasts the session ends with it.
+fn expiries(applied: Applied, lease: i64, session: i64) -> Vec<(i64, Authority)> {
+    let mut expiries = Vec::new();
+    if applied.lease && applied.session && lease < session {
+        expiries.push((lease, Authority::SessionOnly));
+    }
+    if applied.session {
+        expiries.push((session, Authority::Expired));
+    }
+    expiries
+}
+
+/// A worker of the list as the node knows it.
+pub(super) fn endpoint_record(worker: &WorkerLine) -> EndpointRecord {
+    let state = match worker.listed.state {
+        0 => EndpointState::Ready,
+        1 => EndpointState::Draining,
+        _ => EndpointState::Gone,
+    };
+    EndpointRecord {
+        endpoint: Endpoint {
+            name: worker.listed.name.clone(),
+            address: worker.address.to_string(),
+        },
+        incarnation: worker.incarnation,
+        state,
+    }
+}
--- /dev/null
+++ b/programs/gateway/src/fleet/counters.rs
@@ -0,0 +1,53 @@
+//! The counters that operators and the analysis of rollouts read.
+
+use tansy_dispatch::ClassCounters;
+use tansy_fleet_wire::pb;
+use tansy_net_inference::Hub;
+
+/// The counters of this front end; its node fills in its name and state.
+pub(super) fn counters(hub: &Hub, zone: &str, label: &str) -> pb::CountsReply {
+    let (account, _) = hub.account();
+    let classes = hub.with_front(|dispatcher| {
+        let counters = dispatcher.class_counters().into_iter();
+        counters
+            .flat_map(|counters| counters.classes().iter().map(class_counters))
+            .collect()
+    });
+    pb::CountsReply {
+        zone: zone.into(),
+        label: label.into(),
+        memory: resident_bytes(),
+        guarded: account.guard_rejections,
+        classes,
+        ..Default::default()
+    }
+}
+
+fn class_counters((name, counters): (&String, &ClassCounters)) -> pb::ClassCounters {
+    let (took, calls) = counters
+        .latency
+        .iter_recorded()
+        .map(|bucket| (bucket.value_iterated_to(), bucket.count_at_value()))
+        .unzip();
+    pb::ClassCounters {
+        class: name.clone(),
+        asked: counters.ended,
+        served: counters.served,
+        refused: counters.refused,
+        failed: counters.failed,
+        wanted: counters.possible_value,
+        worth: counters.value,
+        took,
+        calls,
+    }
+}
+
+/// The resident memory of this process; 0: it can't be determined.
+fn resident_bytes() -> u64 {
+    let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
+    let pages = text
+        .split_whitespace()
+        .nth(1)
+        .and_then(|pages| pages.parse::<u64>().ok());
+    pages.unwrap_or(0) * rustix::param::page_size() as u64
+}
--- /dev/null
+++ b/programs/gateway/src/fleet/lookup.rs
@@ -0,0 +1,73 @@
+//! Functions that are agreed on one by one, for the calls that name them.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::rc::{Rc, Weak};
+use tansy_agreement::compatibility::Fields;
+use tansy_agreement::subscription::{Admission, MAX_SUBSCRIPTIONS};
+use tansy_dispatch::FunctionShape;
+use tansy_net_fleet::FleetTransport;
+use tansy_net_inference::{Looked, Lookup};
+use tansy_settings::agree;
+
+/// Looks functions up at the node.
+pub(super) struct ScopeLookup {
+    transport: Weak<FleetTransport>,
+    /// The results by function, valid as long as the function's fields are the same.
+    cache: RefCell<HashMap<String, (Fields, Looked)>>,
+}
+
+impl Lookup for ScopeLookup {
+    fn look(&self, function: &str) -> Looked {
+        let Some(transport) = self.transport.upgrade() else {
+            return Looked::Refused;
+        };
+        match transport.admit(function) {
+            Admission::Admit(fields) => self.read(function, fields),
+            // The versions list all functions, and this one is not among them.
+            Admission::Unscoped | Admission::Unknown => Looked::Unknown,
+            Admission::Reject(_) => Looked::Refused,
+            Admission::Wait => Looked::Wait,
+        }
+    }
+}
+
+impl ScopeLookup {
+    pub(super) fn new(transport: &Rc<FleetTransport>) -> ScopeLookup {
+        ScopeLookup {
+            transport: Rc::downgrade(transport),
+            cache: RefCell::new(HashMap::new()),
+        }
+    }
+
+    fn read(&self, function: &str, fields: Fields) -> Looked {
+        let mut cache = self.cache.borrow_mut();
+        let cached = cache.get(function);
+        if let Some((_, result)) = cached.filter(|(known, _)| *known == fields) {
+            return result.clone();
+        }
+        let result = read_function(function, &fields);
+        if cache.len() >= MAX_SUBSCRIPTIONS {
+            cache.clear();
+        }
+        cache.insert(function.to_string(), (fields, result.clone()));
+        result
+    }
+}
+
+fn read_function(name: &str, fields: &Fields) -> Looked {
+    match agree::function(name, fields) {
+        Ok(function) => Looked::Acts {
+            class: function.class.into(),
+            shape: FunctionShape {
+                lanes: function.lanes,
+                memory_mb: function.memory_mb,
+                load_time: function.load_time,
+            },
+        },
+        Err(error) => {
+            tracing::error!(function = %name, %error, "function's settings can't be applied here: its calls are rejected");
+            Looked::Refused
+        }
+    }
+}
--- /dev/null
+++ b/programs/gateway/src/gateway.rs
@@ -0,0 +1,309 @@
+//! A gateway that serves: its event loop, its ports, its place in a fleet.
+
+use crate::worker_list::{ApplyWorkers, WorkerListFile};
+use crate::{embedded, fleet, GatewayError, Options};
+use calloop::signals::{Signal, Signals};
+use calloop::EventLoop;
+use std::cell::Cell;
+use std::fs::File;
+use std::io::{BufWriter, Write};
+use std::net::{SocketAddr, TcpListener};
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tansy_dispatch::{DispatchConfig, Dispatcher, FunctionSpec, Input};
+use tansy_net_grpc::link::Limits as LinkLimits;
+use tansy_net_grpc::server::{Limits, Server};
+use tansy_net_inference::{clients, side, Hub, Names, Setup, Worker};
+use tansy_net_sockets::interrupt::Uninterrupted;
+use tansy_net_sockets::socket::listen;
+use tansy_net_sockets::Spawner;
+use tansy_settings::{Fleet, Settings, WorkerLine};
+use tansyrouter::Time;
+
+/// Time between two log lines with the totals.
+const TOTALS_INTERVAL: Duration = Duration::from_secs(10);
+/// Time for the messages by which a front end leaves its fleet.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time beyond the drain time for the last replies to leave with their connections.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// A gateway that serves.
+pub struct Gateway {
+    event_loop: EventLoop<'static, ()>,
+    hub: Rc<Hub>,
+    server: Rc<Server>,
+    grpc: SocketAddr,
+    http: SocketAddr,
+    fleet: Option<(Rc<fleet::FleetMember>, SocketAddr)>,
+    drain: i64,
+}
+
+impl Gateway {
+    /// Binds the ports and starts to serve; connections to workers are made once there are calls.
+    pub fn start(settings: Settings, options: &Options) -> Result<Gateway, GatewayError> {
+        let event_loop: EventLoop<'static, ()> = EventLoop::try_new()?;
+        let spawner = Spawner::new(event_loop.handle())?;
+        let Settings {
+            front: config,
+            gateway,
+            workers,
+            fleet,
+        } = settings;
+        let grpc = bind("front.listen", gateway.listen, options.shared)?;
+        let http = bind("front.http", gateway.http, options.shared)?;
+        let grpc_address = grpc.local_addr()?;
+        let http_address = http.local_addr()?;
+        let sources = WorkerSources::new(workers, &config, options);
+        let drain = gateway.drain;
+        let record = options.record.as_deref();
+        let hub = start_hub(&spawner, config, setup(gateway), record)?;
+        // Before any call is accepted: until the node has a lease and a session, no version may be acted on.
+        let fleet = join_fleet(&spawner, &hub, fleet.as_ref(), options)?;
+        let member = fleet.as_ref().map(|(member, _)| member.clone());
+        sources.start(&spawner, &hub, apply_workers(hub.clone(), member))?;
+        let limits = hub.setup.clients;
+        let server = Server::start(spawner.clone(), grpc, limits, clients::handler(hub.clone()))?;
+        side::start(hub.clone(), http)?;
+        spawner.spawn(log_totals(hub.clone()));
+        Ok(Gateway {
+            event_loop,
+            hub,
+            server,
+            grpc: grpc_address,
+            http: http_address,
+            fleet,
+            drain,
+        })
+    }
+
+    /// The hub that drives the dispatcher.
+    pub fn hub(&self) -> &Rc<Hub> {
+        &self.hub
+    }
+
+    /// The address of the gRPC port.
+    pub fn grpc(&self) -> SocketAddr {
+        self.grpc
+    }
+
+    /// The address of the side port.
+    pub fn http(&self) -> SocketAddr {
+        self.http
+    }
+
+    /// Where its peers reach it, if it is in a fleet.
+    pub fn peers(&self) -> Option<SocketAddr> {
+        self.fleet.as_ref().map(|(_, address)| *address)
+    }
+
+    /// Serves until SIGTERM or SIGINT, then finishes open calls within the drain time; returns the account's line. `ready` is
+    /// called once the signals are handled: a signal before that would end the process at once.
+    pub fn run(mut self, ready: impl FnOnce(&Gateway)) -> Result<String, GatewayError> {
+        let stop_requested = self.watch_signals()?;
+        ready(&self);
+        while !stop_requested.get() {
+            self.turn(Duration::from_secs(60))?;
+        }
+        tracing::info!(open = self.hub.account().1, "shutting down: no new calls");
+        self.hub.feed(Input::Shutdown { grace: self.drain });
+        self.server.close();
+        self.finish_calls()?;
+        self.leave_fleet()?;
+        Ok(self.account())
+    }
+
+    fn watch_signals(&self) -> Result<Rc<Cell<bool>>, GatewayError> {
+        let stop_requested = Rc::new(Cell::new(false));
+        let requested = stop_requested.clone();
+        let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT])?;
+        let handle = self.event_loop.handle();
+        let inserted = handle.insert_source(Uninterrupted(signals), move |_, _, ()| {
+            requested.set(true);
+        });
+        inserted.map_err(|error| GatewayError::Signals(error.to_string()))?;
+        Ok(stop_requested)
+    }
+
+    /// The last replies leave with the connections; a client that does not read does not delay the end.
+    fn finish_calls(&mut self) -> Result<(), GatewayError> {
+        let drain = Duration::from_micros(self.drain.max(0) as u64);
+        let end = Instant::now() + drain + CLOSE_TIMEOUT;
+        while Instant::now() < end
+            && !(self.hub.with_front(Dispatcher::is_idle) && self.server.connections() == 0)
+        {
+            self.turn(Duration::from_millis(20))?;
+        }
+        Ok(())
+    }
+
+    /// Every call has ended: from here on no peer needs to wait for this front end.
+    fn leave_fleet(&mut self) -> Result<(), GatewayError> {
+        let Some((member, _)) = &self.fleet else {
+            return Ok(());
+        };
+        let transport = member.transport();
+        transport.leave();
+        let end = Instant::now() + LEAVE_TIMEOUT;
+        while Instant::now() < end && !transport.is_idle() {
+            self.event_loop
+                .dispatch(Some(Duration::from_millis(5)), &mut ())?;
+        }
+        Ok(())
+    }
+
+    /// The account's line.
+    pub fn account(&self) -> String {
+        let (account, open) = self.hub.account();
+        let workers = self.hub.with_front(Dispatcher::ready_workers);
+        format!("{account} open={open} workers={workers}")
+    }
+
+    /// Whether no call, attempt or load request is open.
+    pub fn idle(&self) -> bool {
+        self.hub.with_front(Dispatcher::is_idle)
+    }
+
+    /// One turn of the event loop, of at most this time.
+    pub fn turn(&mut self, max: Duration) -> Result<(), GatewayError> {
+        let sleep = self.hub.sleep().map_or(max, |sleep| sleep.min(max));
+        self.event_loop.dispatch(Some(sleep), &mut ())?;
+        self.hub.tick();
+        Ok(())
+    }
+}
+
+fn bind(
+    setting: &'static str,
+    address: SocketAddr,
+    shared: bool,
+) -> Result<TcpListener, GatewayError> {
+    listen(address, shared).map_err(|source| GatewayError::Listen {
+        setting,
+        address,
+        source,
+    })
+}
+
+fn setup(gateway: tansy_settings::Gateway) -> Setup {
+    Setup {
+        clients: Limits {
+            connections: gateway.connections,
+            streams: gateway.streams,
+            header_bytes: gateway.headers,
+            stream_window: gateway.stream_window,
+            message_bytes: gateway.message,
+            preface_within: Duration::from_micros(gateway.preface.max(0) as u64),
+        },
+        workers: LinkLimits {
+            stream_window: gateway.worker_window,
+            header_bytes: gateway.headers,
+        },
+        names: Names {
+            class: gateway.class_key,
+            tenant: gateway.tenant_key,
+            work_ms: gateway.work_key,
+        },
+    }
+}
+
+/// Starts the dispatcher; its inputs are recorded to `record`, if given.
+fn start_hub(
+    spawner: &Spawner,
+    config: DispatchConfig,
+    setup: Setup,
+    record: Option<&Path>,
+) -> Result<Rc<Hub>, GatewayError> {
+    let record: Option<Box<dyn Write>> = match record {
+        Some(path) => {
+            let file = File::create(path).map_err(|source| GatewayError::File {
+                path: path.to_path_buf(),
+                source,
+            })?;
+            Some(Box::new(BufWriter::new(file)))
+        }
+        None => None,
+    };
+    let dispatcher = Dispatcher::new(config, Time(0))?;
+    Ok(Hub::new(spawner.clone(), dispatcher, setup, record))
+}
+
+/// Starts the node in the fleet that the settings name; with the address where its peers reach it.
+fn join_fleet(
+    spawner: &Spawner,
+    hub: &Rc<Hub>,
+    fleet: Option<&Fleet>,
+    options: &Options,
+) -> Result<Option<(Rc<fleet::FleetMember>, SocketAddr)>, GatewayError> {
+    let (Some(fleet), Some(placement)) = (fleet, &options.fleet) else {
+        return Ok(None);
+    };
+    let listener = bind("fleet.listen", fleet.listen, false)?;
+    let address = listener.local_addr()?;
+    let member = fleet::start(spawner.clone(), hub.clone(), listener, fleet, placement)?;
+    Ok(Some((Rc::new(member), address)))
+}
+
+/// Where the gateway's workers come from.
+struct WorkerSources {
+    /// Those of the settings.
+    fixed: Vec<WorkerLine>,
+    /// The functions of embedded workers; `None`: there are none.
+    embedded: Option<Vec<FunctionSpec>>,
+    /// The list's file.
+    file: Option<WorkerListFile>,
+}
+
+impl WorkerSources {
+    fn new(fixed: Vec<WorkerLine>, config: &DispatchConfig, options: &Options) -> WorkerSources {
+        let file = |path: &PathBuf| {
+            let home_zone = config.settings.zone;
+            WorkerListFile::new(path.clone(), config.zones.clone(), home_zone)
+        };
+        WorkerSources {
+            fixed,
+            embedded: options.embedded.then(|| config.functions.clone()),
+            file: options.workers.as_ref().map(file),
+        }
+    }
+
+    /// Applies the workers of the settings and the embedded ones, and those of the list's file whenever it changes.
+    fn start(
+        mut self,
+        spawner: &Spawner,
+        hub: &Rc<Hub>,
+        apply: ApplyWorkers,
+    ) -> Result<(), GatewayError> {
+        if let Some(functions) = &self.embedded {
+            self.fixed
+                .extend(embedded::start_workers(spawner, functions)?);
+        }
+        match self.file {
+            Some(file) => file.watch(hub.clone(), self.fixed, apply),
+            None => {
+                apply(self.fixed);
+                Ok(())
+            }
+        }
+    }
+}
+
+/// In a fleet the node passes on which workers drain, and knows which the others saw drain.
+fn apply_workers(hub: Rc<Hub>, member: Option<Rc<fleet::FleetMember>>) -> ApplyWorkers {
+    let worker = |line: WorkerLine| Worker {
+        listed: line.listed,
+        address: line.address,
+    };
+    Rc::new(move |workers: Vec<WorkerLine>| match &member {
+        Some(member) => member.update_workers(workers),
+        None => hub.list(workers.into_iter().map(worker).collect()),
+    })
+}
+
+async fn log_totals(hub: Rc<Hub>) {
+    loop {
+        hub.spawner.sleep(TOTALS_INTERVAL).await;
+        let (account, open) = hub.account();
+        tracing::info!(%account, open, "totals");
+    }
+}
--- a/tests/path/src/lib.rs
+++ b/tests/path/src/lib.rs
@@ -11,7 +11,7 @@
 use std::sync::{mpsc, Arc, Mutex};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
-use tansy_gateway::{fleet::Place, Gateway, Options};
+use tansy_gateway::{fleet::FleetPlacement, Gateway, Options};
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::Spawner;
 use tansy_settings::agree;
@@ -98,10 +98,10 @@
             (of_fleet.me, of_fleet.listen, of_fleet.state) = (me, listen, state);
             let own = agree::fields("test.cue", settings).unwrap_or_else(|e| panic!("{e}"));
             let first = agree::version("test.cue", settings).unwrap_or_else(|e| panic!("{e}"));
-            Place {
+            FleetPlacement {
                 own,
                 first,
-                ..Place::default()
+                ..FleetPlacement::default()
             }
         });
         let stop = Arc::new(AtomicBool::new(false));
