--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -6,11 +6,13 @@
 
 pub mod agree;
 mod read;
+mod record;
+mod types;
 pub mod value;
 
-pub use read::{Fleet, Function, Gateway, Seat, Settings, WorkerLine};
 pub use tansy_dispatch::FunctionSpec;
 pub use tansyrouter::WhenAbsent;
+pub use types::{Fleet, Function, Gateway, Seat, Settings, WorkerLine};
 
 use tansy_syntax::{parse, Diagnostic, Source, Span};
 use value::{concrete, definition, evaluate, unify, Node, SCHEMA};
--- /dev/null
+++ b/settings/src/types.rs
@@ -0,0 +1,104 @@
+//! The settings as the program's own types.
+
+use std::net::SocketAddr;
+use tansy_dispatch::DispatchConfig;
+
+/// The settings of the gateway around the dispatcher.
+#[derive(Clone, Debug)]
+pub struct Gateway {
+    /// Address of the gRPC port.
+    pub listen: SocketAddr,
+    /// Address of the HTTP/1.1 side port.
+    pub http: SocketAddr,
+    /// Time for open calls at a shutdown, microseconds.
+    pub drain: i64,
+    /// Connections of clients at once.
+    pub connections: usize,
+    /// Streams of one connection.
+    pub streams: u32,
+    /// Bytes of one message.
+    pub message: usize,
+    /// Bytes of one request's headers.
+    pub headers: u32,
+    /// Bytes unread for one of a client's streams.
+    pub stream_window: u32,
+    /// Bytes unread for one of a worker's streams.
+    pub worker_window: u32,
+    /// Time to send a connection's preface, microseconds.
+    pub preface: i64,
+    /// The metadata key of a call's class.
+    pub class_key: String,
+    /// The metadata key of its tenant.
+    pub tenant_key: String,
+    /// The metadata key of its work.
+    pub work_key: String,
+}
+
+/// One line of a list of workers.
+#[derive(Clone, Debug, PartialEq)]
+pub struct WorkerLine {
+    /// For the dispatcher.
+    pub listed: tansy_dispatch::WorkerRecord,
+    /// Its address.
+    pub address: SocketAddr,
+    /// Larger for a later process of the same worker.
+    pub incarnation: u64,
+}
+
+/// A voter: a front end that keeps the agreed log.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Seat {
+    /// Its name.
+    pub name: String,
+    /// Where its peers reach it.
+    pub address: SocketAddr,
+}
+
+/// The fleet that a front end is in.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Fleet {
+    /// Its name.
+    pub name: String,
+    /// The front end's name in it.
+    pub me: String,
+    /// Where its peers reach it.
+    pub listen: SocketAddr,
+    /// The voters.
+    pub seats: Vec<Seat>,
+    /// The file of the agreed log; absent: it keeps none.
+    pub state: Option<std::path::PathBuf>,
+    /// The longest time for which two front ends may contradict each other, microseconds.
+    pub within: i64,
+    /// How long a front end that is cut off goes on with strict fields (its session), microseconds; changes of them wait for it.
+    pub stay: i64,
+    /// Bound on the error of any clock's rate, parts in a million.
+    pub clock_ppm: i64,
+}
+
+/// All settings.
+#[derive(Clone, Debug)]
+pub struct Settings {
+    /// Of the dispatcher and its router.
+    pub front: DispatchConfig,
+    /// Of the gateway around it.
+    pub gateway: Gateway,
+    /// Workers that stand in the settings themselves.
+    pub workers: Vec<WorkerLine>,
+    /// The fleet, if it is in one.
+    pub fleet: Option<Fleet>,
+}
+
+/// A function that is agreed on by itself.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Function {
+    /// Its class, by name.
+    pub class: String,
+    /// Calls that one instance serves at a time.
+    pub lanes: u32,
+    /// Memory of one instance, MB.
+    pub memory_mb: f64,
+    /// Usual time of a load, microseconds, if known.
+    pub load_time: Option<i64>,
+    /// The versions that clients are shown.
+    pub versions: Vec<String>,
+}
