--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,8 +1,8 @@
 //! Settings as CUE-like typed records.
 //!
-//! A file is parsed, evaluated, unified with the schema that this package carries (`schema.cue`), made concrete and
-//! read into the program's own types. All errors are told at once, each with file, line, column, the field's path and
-//! what would be right. Nothing is decided and nothing tuned here: what is left out takes the schema's default.
+//! A file is parsed, evaluated, unified with the schema of this package (`schema.cue`), made concrete and read into the program's
+//! own types. All errors are reported at once, each with file, line, column, the field's path and what would be right. Nothing is
+//! decided or tuned here: what is left out takes the schema's default.
 
 pub mod agree;
 mod read;
@@ -19,11 +19,11 @@
 
 const SCHEMA_TEXT: &str = include_str!("schema.cue");
 
-/// All that is wrong with a text.
+/// All errors of a text.
 #[derive(Debug, Clone)]
 pub struct Errors {
     sources: Vec<Source>,
-    /// In the text's order.
+    /// In the order of the text.
     pub list: Vec<Diagnostic>,
 }
 
@@ -32,19 +32,19 @@
         let lines: Vec<String> = self
             .list
             .iter()
-            .map(|d| d.show(&self.sources).to_string())
+            .map(|error| error.show(&self.sources).to_string())
             .collect();
         f.write_str(&lines.join("\n"))
     }
 }
 impl std::error::Error for Errors {}
 
-/// The settings of a text; `name` is its file's, for errors.
+/// The settings of a text; errors show `name` as its file.
 pub fn settings(name: &str, text: &str) -> Result<Settings, Errors> {
     checked(name, text, "#Settings", read::settings)
 }
 
-/// The workers of a list's text; zones are names of `zones`, the one left out is `zones[home]`.
+/// The workers of a list's text. Zones are those of `zones`; a worker that names none is in `zones[home]`.
 pub fn workers(
     name: &str,
     text: &str,
@@ -67,27 +67,30 @@
         text: text.into(),
     };
     let sources = vec![source("schema.cue", SCHEMA_TEXT), source(name, text)];
-    let (schema, mut list) = parse(SCHEMA_TEXT, SCHEMA);
-    let (fields, wrong) = parse(text, 1);
-    list.extend(wrong);
+    let (schema, mut errors) = parse(SCHEMA_TEXT, SCHEMA);
+    let (fields, syntax_errors) = parse(text, 1);
+    errors.extend(syntax_errors);
     let whole = Span {
         source: 1,
         start: 0,
         end: text.len(),
     };
-    let written = evaluate(&fields, &schema, whole, &mut list);
-    let wanted = definition(wanted, &schema, &mut list);
-    let both = unify(written, wanted, "", &mut list);
-    let node = concrete(both, "", Span { end: 0, ..whole }, &mut list);
-    let value = if list.is_empty() {
-        read(&node, &mut list)
+    let written = evaluate(&fields, &schema, whole, &mut errors);
+    let wanted = definition(wanted, &schema, &mut errors);
+    let unified = unify(written, wanted, "", &mut errors);
+    let node = concrete(unified, "", Span { end: 0, ..whole }, &mut errors);
+    let value = if errors.is_empty() {
+        read(&node, &mut errors)
     } else {
         None
     };
-    list.sort_by_key(|d| d.span);
-    list.dedup();
+    errors.sort_by_key(|error| error.span);
+    errors.dedup();
     match value {
-        Some(value) if list.is_empty() => Ok(value),
-        _ => Err(Errors { sources, list }),
+        Some(value) if errors.is_empty() => Ok(value),
+        _ => Err(Errors {
+            sources,
+            list: errors,
+        }),
     }
 }
