--- a/tests/compatibility/src/entries.rs
+++ b/tests/compatibility/src/entries.rs
@@ -198,8 +198,8 @@
 fn seen(stage: usize, verdict: Option<Verdict>) -> Option<Box<StageObservation>> {
     Some(Box::new(StageObservation {
         stage,
-        stood: 61,
-        measured: vec![Measurement {
+        elapsed_seconds: 61,
+        measurements: vec![Measurement {
             what: "service".into(),
             old: 0.5,
             new: 0.25,
@@ -226,9 +226,9 @@
             }),
             fields: Some(with_attempts(7)),
         },
-        rollout(RolloutEntry::Steer {
+        rollout(RolloutEntry::TakeControl {
             fence,
-            who: "front-1".into(),
+            controller: "front-1".into(),
         }),
         rollout(RolloutEntry::Let {
             at: 2,
@@ -260,7 +260,12 @@
 /// A rollout of a program that stands in its second stage, where a process ended and it was stopped and let on.
 fn rollout_of_program() -> Vec<LogEntry> {
     let (fence, id) = (1, 42);
-    let beat = |seen| rollout(RolloutEntry::Beat { fence, seen });
+    let beat = |seen| {
+        rollout(RolloutEntry::Beat {
+            fence,
+            observation: seen,
+        })
+    };
     let open = |slices| Verdict::Open {
         needs: "more calls".into(),
         slices,
@@ -275,9 +280,9 @@
             plan: plan(),
             why: "a new program".into(),
         }),
-        rollout(RolloutEntry::Steer {
+        rollout(RolloutEntry::TakeControl {
             fence,
-            who: "front-1".into(),
+            controller: "front-1".into(),
         }),
         rollout(RolloutEntry::Let {
             at: 2,
@@ -290,7 +295,7 @@
             fence,
             name: "front-1".into(),
         }),
-        rollout(RolloutEntry::Judge { at: 4, fence }),
+        rollout(RolloutEntry::BeginAnalysis { at: 4, fence }),
         beat(seen(0, Some(open(None)))),
         beat(seen(0, Some(open(Some(9))))),
         beat(seen(0, Some(Verdict::Held { slices: 2 }))),
@@ -311,11 +316,11 @@
             fence,
             name: "front-2".into(),
         }),
-        rollout(RolloutEntry::Fell(Crash {
+        rollout(RolloutEntry::Crashed(Crash {
             name: "front-2".into(),
             process: 7,
-            sort: "signal 6".into(),
-            again: 2,
+            kind: "signal 6".into(),
+            consecutive: 2,
         })),
         rollout(RolloutEntry::Pause {
             id,
--- a/tests/compatibility/src/fleet.rs
+++ b/tests/compatibility/src/fleet.rs
@@ -343,14 +343,14 @@
         fleet: FLEET,
         entry: Some(entry),
     };
-    let change = |scope: &str, fields| pb::ScopeChange {
+    let change = |scope: &str, fields| pb::ScopeUpdate {
         scope: scope.into(),
         base: 3,
         fields,
     };
     let fields = tansy_fleet_wire::scoped(&scoped(scope::ScopePhase::Settled, true)).fields;
     vec![
-        encoded("taken", pb::Taken {}),
+        encoded("taken", pb::Accepted {}),
         encoded("status-request", pb::StatusRequest { fleet: FLEET }),
         encoded(
             "status-reply",
@@ -364,7 +364,7 @@
                 lease_left: 500_000,
                 stay_left: -1,
                 others: vec![process],
-                contested: vec![pb::Contested {
+                contested: vec![pb::ConflictingCalls {
                     calls: "class chat".into(),
                 }],
                 roster: vec![rostered.clone()],
@@ -372,7 +372,7 @@
                 waits_for: vec![member],
                 error: "an error".into(),
                 seats: vec!["10.0.0.1:7000".into(), "10.0.0.2:7000".into()],
-                seating: Some(pb::Seating {
+                seating: Some(pb::VoterReplacement {
                     new: "10.0.0.4:7000".into(),
                     instead: "10.0.0.3:7000".into(),
                     votes: true,
@@ -406,10 +406,10 @@
         ),
         encoded(
             "enter-change",
-            enter(pb::enter_request::Entry::Change(pb::ScopeRequest {
+            enter(pb::enter_request::Entry::Change(pb::ScopeTransaction {
                 id: u64::MAX,
-                why: "because".into(),
-                changes: vec![change("f", fields), change("g", None)],
+                reason: "because".into(),
+                updates: vec![change("f", fields), change("g", None)],
             })),
         ),
         encoded(
@@ -442,7 +442,7 @@
                 tries: true,
                 memory: 1 << 30,
                 guarded: 2,
-                classes: vec![pb::Counted {
+                classes: vec![pb::ClassCounters {
                     class: "chat".into(),
                     asked: 10,
                     served: 7,
@@ -491,7 +491,7 @@
                         scoped: Some(tansy_fleet_wire::scoped(s)),
                     })
                     .collect(),
-                request: Some(pb::Requested {
+                request: Some(pb::TransactionResult {
                     step: 19,
                     joint: 1,
                     force: 2,
--- a/tests/compatibility/src/json.rs
+++ b/tests/compatibility/src/json.rs
@@ -21,7 +21,7 @@
     let mut all: Vec<RolloutEntry> = voters::entries().into_iter().filter_map(of).collect();
     for undecided in [
         InconclusivePolicy::Hold,
-        InconclusivePolicy::Back,
+        InconclusivePolicy::RollBack,
         InconclusivePolicy::Pass,
     ] {
         all.push(RolloutEntry::Begin {
--- a/tests/compatibility/tests/voters.rs
+++ b/tests/compatibility/tests/voters.rs
@@ -181,17 +181,17 @@
         };
         assert_eq!((rollout.id, &rollout.what), (42, &what));
         assert_eq!((rollout.phase, rollout.stage), (RolloutPhase::Moving, 1));
-        assert_eq!((rollout.at, rollout.fence, rollout.beat), (10, 1, 7));
-        assert_eq!((rollout.paused, rollout.judged), (false, 1));
+        assert_eq!((rollout.at, rollout.fence, rollout.heartbeat), (10, 1, 7));
+        assert_eq!((rollout.paused, rollout.analyses), (false, 1));
         assert_eq!(rollout.moved, ["front-1".to_string()].into());
         assert_eq!(rollout.moving, ["front-2".to_string()].into());
         let fallen = Crash {
             name: "front-2".into(),
             process: 7,
-            sort: "signal 6".into(),
-            again: 2,
+            kind: "signal 6".into(),
+            consecutive: 2,
         };
-        assert_eq!(rollout.fallen, [fallen]);
+        assert_eq!(rollout.crashes, [fallen]);
         let seen: Vec<_> = rollout.seen.iter().map(|s| (s.stage, &s.verdict)).collect();
         assert_eq!(seen, [(0, &Some(Verdict::Fine)), (1, &None)]);
         assert_eq!(log.program(), None);
