--- a/storage/src/store.rs
+++ b/storage/src/store.rs
@@ -1,89 +1,86 @@
 //! Entries after a snapshot, in one file.
 //!
-//! The file is a `redb` database: pages with checksums, and a commit that a crash leaves whole or undone. Entries are
-//! numbered without gaps; several that come together are synced together. The format's number stands in the file, and a
-//! program refuses a file of a later one before it reads anything of it.
+//! The file is a `redb` database: pages with checksums, and transactions that a crash leaves complete or undone. Entries
+//! are numbered without gaps; those that are appended together are synced together. The file states its format, and a
+//! program rejects a file of a later format before it reads anything else.
 
 use redb::{
-    Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition, TableError,
+    Database, ReadTransaction, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition,
+    TableError,
 };
 use std::path::Path;
 
-/// This program's format.
-pub const FORMAT: u64 = 1;
-/// Bytes of one entry or snapshot.
-pub const LARGEST: usize = 16 << 20;
-/// Memory for pages read.
-const CACHE: usize = 4 << 20;
+/// The format that this program writes.
+pub const FORMAT_VERSION: u64 = 1;
+/// Bytes that one entry or snapshot may have.
+pub const MAX_ENTRY_BYTES: usize = 16 << 20;
+/// Memory for cached pages.
+const CACHE_BYTES: usize = 4 << 20;
 
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
+const FORMAT_KEY: &str = "format";
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
 const SNAPSHOT: TableDefinition<u64, &[u8]> = TableDefinition::new("snapshot");
 
-/// Why something is not held, or can't be read.
-#[derive(Debug)]
+/// Why something is not stored, or can't be read.
+#[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file's format is later than this program's.
-    Newer {
-        /// The file's.
+    #[error(
+        "the state file has format {found}, this program knows up to {}: start the later program",
+        FORMAT_VERSION
+    )]
+    NewerFormat {
+        /// The file's format.
         found: u64,
     },
     /// Another process has the file open.
-    Used,
-    /// The file can't be opened, read or written; what was held before is held still.
+    #[error("another process has the state file open: end it first")]
+    InUse,
+    /// The file can't be opened, read or written; what was stored before is still there.
+    #[error("the state file: {0}; free room or mend its rights, then start again")]
     File(redb::Error),
-    /// The file's entries don't follow each other.
+    /// An entry is missing in the file.
+    #[error(
+        "the state file lacks entry {expected}, {found} stands there: restore it from another seat"
+    )]
     Gap {
-        /// The number that is missing.
-        wanted: u64,
-        /// The one that stands there.
+        /// The number of the missing entry.
+        expected: u64,
+        /// The number in its place.
         found: u64,
     },
-    /// An entry is not the next one.
-    Order {
+    /// An entry to be appended is not the next one.
+    #[error("entry {given} was given where {expected} is next")]
+    OutOfOrder {
         /// The next number.
-        wanted: u64,
-        /// The one given.
+        expected: u64,
+        /// The number given.
         given: u64,
     },
-    /// An entry or snapshot is larger than [`LARGEST`].
-    Large {
+    /// An entry or snapshot has more than [`MAX_ENTRY_BYTES`].
+    #[error(
+        "{bytes} bytes are more than the {} that an entry may have",
+        MAX_ENTRY_BYTES
+    )]
+    TooLarge {
         /// Its bytes.
         bytes: usize,
     },
 }
 
-impl std::fmt::Display for Error {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            Error::Newer { found } => write!(
-                f,
-                "the state file has format {found}, this program knows up to {FORMAT}: start the later program"
-            ),
-            Error::Used => write!(f, "another process has the state file open: end it first"),
-            Error::File(e) => write!(f, "the state file: {e}; free room or mend its rights, then start again"),
-            Error::Gap { wanted, found } => {
-                write!(f, "the state file lacks entry {wanted}, {found} stands there: restore it from another seat")
-            }
-            Error::Order { wanted, given } => write!(f, "entry {given} was given where {wanted} is next"),
-            Error::Large { bytes } => write!(f, "{bytes} bytes are more than the {LARGEST} that an entry may have"),
-        }
-    }
-}
-impl std::error::Error for Error {}
-
 impl Error {
-    /// Whether the same may be taken later: a disk that is full or fails, another process that has the file yet.
+    /// Whether the same call may succeed later: the disk is full or fails, or another process still has the file open.
     pub fn may_pass(&self) -> bool {
-        matches!(self, Error::File(_) | Error::Used)
+        matches!(self, Error::File(_) | Error::InUse)
     }
 }
 
 impl<E: Into<redb::Error>> From<E> for Error {
-    fn from(e: E) -> Error {
-        match e.into() {
-            redb::Error::DatabaseAlreadyOpen => Error::Used,
-            e => Error::File(e),
+    fn from(error: E) -> Error {
+        match error.into() {
+            redb::Error::DatabaseAlreadyOpen => Error::InUse,
+            error => Error::File(error),
         }
     }
 }
@@ -91,135 +88,152 @@
 /// What a file held when it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredLog {
-    /// The last entry that the snapshot covers, and the snapshot.
+    /// The snapshot, and the number of the last entry that it covers.
     pub snapshot: Option<(u64, Vec<u8>)>,
-    /// Entries after it, in order, without gaps.
+    /// The entries after it, in order, without gaps.
     pub entries: Vec<(u64, Vec<u8>)>,
 }
 
+impl RecoveredLog {
+    fn last_number(&self) -> Option<u64> {
+        let last_entry = self.entries.last().map(|(number, _)| *number);
+        last_entry.or(self.snapshot.as_ref().map(|(number, _)| *number))
+    }
+}
+
 /// An open file.
 #[derive(Debug)]
 pub struct Store {
-    db: Database,
-    next: u64,
+    database: Database,
+    next_number: u64,
 }
 
 impl Store {
-    /// Opens a file, or makes it; what it holds comes with it.
+    /// Opens or creates a file, and returns what it holds.
     pub fn open(path: &Path) -> Result<(Store, RecoveredLog), Error> {
-        Store::of(redb::Builder::new().set_cache_size(CACHE).create(path)?)
+        Store::recover(builder().create(path)?)
     }
 
-    /// The same on another sort of storage, for tests of what goes wrong there.
-    pub fn on(backend: impl StorageBackend) -> Result<(Store, RecoveredLog), Error> {
-        Store::of(
-            redb::Builder::new()
-                .set_cache_size(CACHE)
-                .create_with_backend(backend)?,
-        )
+    /// The same on another kind of storage, for tests of its faults.
+    pub fn with_backend(backend: impl StorageBackend) -> Result<(Store, RecoveredLog), Error> {
+        Store::recover(builder().create_with_backend(backend)?)
     }
 
-    fn of(db: Database) -> Result<(Store, RecoveredLog), Error> {
-        let read = db.begin_read()?;
-        let format = match read.open_table(META) {
-            Ok(meta) => meta.get("format")?.map(|f| f.value()),
-            Err(TableError::TableDoesNotExist(_)) => None,
-            Err(e) => return Err(e.into()),
-        };
-        if let Some(found) = format.filter(|f| *f > FORMAT) {
-            return Err(Error::Newer { found });
-        }
-        drop(read);
-        if format.is_none() {
-            let write = db.begin_write()?;
-            write.open_table(META)?.insert("format", FORMAT)?;
-            write.open_table(ENTRIES)?;
-            write.open_table(SNAPSHOT)?;
-            write.commit()?;
-        }
-        let recovered = Store::recover(&db)?;
-        let last = recovered
-            .entries
-            .last()
-            .map(|e| e.0)
-            .or(recovered.snapshot.as_ref().map(|s| s.0));
-        Ok((
-            Store {
-                db,
-                next: last.map_or(1, |l| l + 1),
-            },
-            recovered,
-        ))
+    /// The number of the next entry.
+    pub fn next_number(&self) -> u64 {
+        self.next_number
     }
 
-    fn recover(db: &Database) -> Result<RecoveredLog, Error> {
-        let read = db.begin_read()?;
-        let snapshot = read
-            .open_table(SNAPSHOT)?
-            .last()?
-            .map(|(n, bytes)| (n.value(), bytes.value().to_vec()));
-        let first = snapshot.as_ref().map_or(1, |s| s.0 + 1);
-        let mut entries = Vec::new();
-        for (wanted, entry) in (first..).zip(read.open_table(ENTRIES)?.range(first..)?) {
-            let (n, bytes) = entry?;
-            if n.value() != wanted {
-                return Err(Error::Gap {
-                    wanted,
-                    found: n.value(),
-                });
-            }
-            entries.push((wanted, bytes.value().to_vec()));
-        }
-        Ok(RecoveredLog { snapshot, entries })
-    }
-
-    /// The number that the next entry has.
-    pub fn next(&self) -> u64 {
-        self.next
-    }
-
-    /// Holds these entries, the first with this number; all are synced when it returns, or none is held. After an error
-    /// of the file nothing more is taken until it is opened again.
+    /// Appends entries, of which the first has this number. All are synced when it returns, or none is stored. After an
+    /// error of the file nothing more can be stored until it is opened again.
     pub fn append(&mut self, first: u64, entries: &[Vec<u8>]) -> Result<(), Error> {
-        if first != self.next {
-            return Err(Error::Order {
-                wanted: self.next,
+        if first != self.next_number {
+            return Err(Error::OutOfOrder {
+                expected: self.next_number,
                 given: first,
             });
         }
-        if let Some(large) = entries.iter().find(|e| e.len() > LARGEST) {
-            return Err(Error::Large { bytes: large.len() });
-        }
-        let write = self.db.begin_write()?;
+        entries.iter().try_for_each(|entry| check_size(entry))?;
+        let transaction = self.database.begin_write()?;
         {
-            let mut table = write.open_table(ENTRIES)?;
-            for (n, entry) in entries.iter().enumerate() {
-                table.insert(first + n as u64, entry.as_slice())?;
+            let mut table = transaction.open_table(ENTRIES)?;
+            for (number, entry) in (first..).zip(entries) {
+                table.insert(number, entry.as_slice())?;
             }
         }
-        write.commit()?;
-        self.next = first + entries.len() as u64;
+        transaction.commit()?;
+        self.next_number = first + entries.len() as u64;
         Ok(())
     }
 
-    /// Holds a snapshot that covers entries up to this one, and lets go of those and of the snapshot before.
-    pub fn snapshot(&mut self, upto: u64, bytes: &[u8]) -> Result<(), Error> {
-        if upto >= self.next {
-            return Err(Error::Order {
-                wanted: self.next,
-                given: upto,
+    /// Stores a snapshot that covers the entries up to this one, and removes those and the snapshot before.
+    pub fn snapshot(&mut self, last_covered: u64, bytes: &[u8]) -> Result<(), Error> {
+        if last_covered >= self.next_number {
+            return Err(Error::OutOfOrder {
+                expected: self.next_number,
+                given: last_covered,
             });
-        } else if bytes.len() > LARGEST {
-            return Err(Error::Large { bytes: bytes.len() });
         }
-        let write = self.db.begin_write()?;
+        check_size(bytes)?;
+        let transaction = self.database.begin_write()?;
         {
-            let mut table = write.open_table(SNAPSHOT)?;
-            table.retain(|n, _| n > upto)?;
-            table.insert(upto, bytes)?;
-            write.open_table(ENTRIES)?.retain(|n, _| n > upto)?;
+            let mut snapshots = transaction.open_table(SNAPSHOT)?;
+            snapshots.retain(|number, _| number > last_covered)?;
+            snapshots.insert(last_covered, bytes)?;
+            let mut entries = transaction.open_table(ENTRIES)?;
+            entries.retain(|number, _| number > last_covered)?;
         }
-        write.commit()?;
+        transaction.commit()?;
         Ok(())
     }
+
+    fn recover(database: Database) -> Result<(Store, RecoveredLog), Error> {
+        let format = read_format(&database.begin_read()?)?;
+        match format {
+            Some(found) if found > FORMAT_VERSION => return Err(Error::NewerFormat { found }),
+            Some(_) => {}
+            None => create_tables(&database)?,
+        }
+        let recovered = read_log(&database.begin_read()?)?;
+        let next_number = recovered.last_number().map_or(1, |last| last + 1);
+        let store = Store {
+            database,
+            next_number,
+        };
+        Ok((store, recovered))
+    }
+}
+
+fn builder() -> redb::Builder {
+    let mut builder = redb::Builder::new();
+    builder.set_cache_size(CACHE_BYTES);
+    builder
+}
+
+/// The format that a file states; none: the file is new.
+fn read_format(transaction: &ReadTransaction) -> Result<Option<u64>, Error> {
+    match transaction.open_table(META) {
+        Ok(meta) => Ok(meta.get(FORMAT_KEY)?.map(|format| format.value())),
+        Err(TableError::TableDoesNotExist(_)) => Ok(None),
+        Err(error) => Err(error.into()),
+    }
+}
+
+fn create_tables(database: &Database) -> Result<(), Error> {
+    let transaction = database.begin_write()?;
+    transaction
+        .open_table(META)?
+        .insert(FORMAT_KEY, FORMAT_VERSION)?;
+    transaction.open_table(ENTRIES)?;
+    transaction.open_table(SNAPSHOT)?;
+    transaction.commit()?;
+    Ok(())
+}
+
+fn read_log(transaction: &ReadTransaction) -> Result<RecoveredLog, Error> {
+    let snapshot = transaction
+        .open_table(SNAPSHOT)?
+        .last()?
+        .map(|(number, bytes)| (number.value(), bytes.value().to_vec()));
+    let first = snapshot.as_ref().map_or(1, |(number, _)| number + 1);
+    let mut entries = Vec::new();
+    let table = transaction.open_table(ENTRIES)?;
+    for (expected, entry) in (first..).zip(table.range(first..)?) {
+        let (number, bytes) = entry?;
+        if number.value() != expected {
+            return Err(Error::Gap {
+                expected,
+                found: number.value(),
+            });
+        }
+        entries.push((expected, bytes.value().to_vec()));
+    }
+    Ok(RecoveredLog { snapshot, entries })
+}
+
+fn check_size(bytes: &[u8]) -> Result<(), Error> {
+    if bytes.len() > MAX_ENTRY_BYTES {
+        return Err(Error::TooLarge { bytes: bytes.len() });
+    }
+    Ok(())
 }
--- a/storage/src/voter_log.rs
+++ b/storage/src/voter_log.rs
@@ -1,125 +1,124 @@
-//! A seat's records, held before anything of them is told.
+//! The write-ahead log of a voter: records are synced before anything that depends on them is sent.
 
 use crate::store::{Error, RecoveredLog, Store};
 use std::path::{Path, PathBuf};
 
-/// What a seat's file holds.
+/// What a voter's file holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredRecords {
-    /// The whole as it was once.
+    /// The last snapshot.
     pub snapshot: Option<Vec<u8>>,
-    /// Records after it, in their order.
+    /// The records after it, in order.
     pub records: Vec<Vec<u8>>,
 }
 
-/// A seat's file.
+/// A voter's file.
 #[derive(Debug)]
 pub struct LogStorage {
     store: Store,
 }
 
 impl LogStorage {
-    /// Opens the file, or makes it; what it holds comes with it.
+    /// Opens or creates the file, and returns what it holds.
     pub fn open(path: &Path) -> Result<(LogStorage, RecoveredRecords), Error> {
-        Ok(LogStorage::of(Store::open(path)?))
+        Ok(LogStorage::from_store(Store::open(path)?))
     }
 
-    /// On what was recovered of a store.
-    pub fn of((store, held): (Store, RecoveredLog)) -> (LogStorage, RecoveredRecords) {
-        let whole = held.snapshot.map(|(_, bytes)| bytes);
-        let records = held.entries.into_iter().map(|(_, bytes)| bytes).collect();
-        (
-            LogStorage { store },
-            RecoveredRecords {
-                snapshot: whole,
-                records,
-            },
-        )
+    /// On a store, with what was recovered of it.
+    pub fn from_store((store, recovered): (Store, RecoveredLog)) -> (LogStorage, RecoveredRecords) {
+        let records = RecoveredRecords {
+            snapshot: recovered.snapshot.map(|(_, bytes)| bytes),
+            records: recovered
+                .entries
+                .into_iter()
+                .map(|(_, bytes)| bytes)
+                .collect(),
+        };
+        (LogStorage { store }, records)
     }
 
-    /// The number that the next record has.
-    pub fn next(&self) -> u64 {
-        self.store.next()
+    /// The number of the next record.
+    pub fn next_number(&self) -> u64 {
+        self.store.next_number()
     }
 
-    /// Holds a record: it is synced when this returns, or nothing of it can be relied on. A whole takes the place of all
-    /// before it, this record included.
-    pub fn append(&mut self, record: Vec<u8>, whole: Option<&[u8]>) -> Result<(), Error> {
-        let number = self.store.next();
+    /// Stores a record: it is synced when this returns, else it may be stored or not. A snapshot replaces all records up to
+    /// and including this one.
+    pub fn append(&mut self, record: Vec<u8>, snapshot: Option<&[u8]>) -> Result<(), Error> {
+        let number = self.store.next_number();
         self.store.append(number, &[record])?;
-        self.cover(number, whole)
+        self.replace(number, snapshot)
     }
 
-    /// Has a whole take the place of all records up to this number; the same again changes nothing.
-    fn cover(&mut self, number: u64, whole: Option<&[u8]>) -> Result<(), Error> {
-        match whole {
-            Some(bytes) => self.store.snapshot(number, bytes),
+    /// Replaces all records up to this number by a snapshot, if there is one. Doing so again changes nothing.
+    fn replace(&mut self, last_covered: u64, snapshot: Option<&[u8]>) -> Result<(), Error> {
+        match snapshot {
+            Some(bytes) => self.store.snapshot(last_covered, bytes),
             None => Ok(()),
         }
     }
 }
 
-/// How a file is opened, at the start and after an error.
-type Open = Box<dyn FnMut() -> Result<(LogStorage, RecoveredRecords), Error> + Send>;
+/// Opens a file, at the start and after an error.
+type Opener = Box<dyn FnMut() -> Result<(LogStorage, RecoveredRecords), Error> + Send>;
 
-/// A seat's file through errors of the disk: after one it is opened and read anew, which tells what of the record is held.
+/// A voter's file through errors of the disk. After an error it is opened and read again, which shows whether the record
+/// was stored.
 pub struct RetryingLogStorage {
-    open: Open,
+    opener: Opener,
     /// None: the last call failed, and the file is closed.
-    records: Option<LogStorage>,
-    /// The number of the record that is to be held next.
-    next: u64,
+    storage: Option<LogStorage>,
+    /// The number of the record that is to be stored next.
+    next_number: u64,
 }
 
 impl RetryingLogStorage {
-    /// Opens the file, or makes it; what it holds comes with it.
+    /// Opens or creates the file, and returns what it holds.
     pub fn open(path: &Path) -> Result<(RetryingLogStorage, RecoveredRecords), Error> {
         let path: PathBuf = path.to_path_buf();
-        RetryingLogStorage::with(Box::new(move || LogStorage::open(&path)))
+        RetryingLogStorage::with_opener(Box::new(move || LogStorage::open(&path)))
     }
 
     /// The same by any way of opening it.
-    pub fn with(mut open: Open) -> Result<(RetryingLogStorage, RecoveredRecords), Error> {
-        let (records, held) = open()?;
-        let next = records.next();
-        Ok((
-            RetryingLogStorage {
-                open,
-                records: Some(records),
-                next,
-            },
-            held,
-        ))
+    pub fn with_opener(
+        mut opener: Opener,
+    ) -> Result<(RetryingLogStorage, RecoveredRecords), Error> {
+        let (storage, recovered) = opener()?;
+        let retrying = RetryingLogStorage {
+            opener,
+            next_number: storage.next_number(),
+            storage: Some(storage),
+        };
+        Ok((retrying, recovered))
     }
 
-    /// Holds a record, and a whole that takes the place of all up to it: both are synced when this returns. After an error
-    /// that [may pass](Error::may_pass) it is called again with the same ones, and each of them is held once.
-    pub fn append(&mut self, record: &[u8], whole: Option<&[u8]>) -> Result<(), Error> {
-        let done = self.try_hold(record, whole);
-        match &done {
-            Ok(()) => self.next += 1,
-            Err(_) => self.records = None,
-        }
-        done
+    /// Stores a record, and a snapshot that replaces all records up to it: both are synced when this returns. After an
+    /// error that [may pass](Error::may_pass) the caller repeats the call with the same arguments, and each of them is
+    /// stored once.
+    pub fn append(&mut self, record: &[u8], snapshot: Option<&[u8]>) -> Result<(), Error> {
+        // A failed attempt leaves the file closed.
+        let storage = self.attempt(record, snapshot)?;
+        self.storage = Some(storage);
+        self.next_number += 1;
+        Ok(())
     }
 
-    fn try_hold(&mut self, record: &[u8], whole: Option<&[u8]>) -> Result<(), Error> {
-        let mut records = match self.records.take() {
-            Some(records) => records,
-            None => (self.open)()?.0,
+    fn attempt(&mut self, record: &[u8], snapshot: Option<&[u8]>) -> Result<LogStorage, Error> {
+        let mut storage = match self.storage.take() {
+            Some(storage) => storage,
+            None => (self.opener)()?.0,
         };
-        if records.next() == self.next + 1 {
-            // It was held, and the error came after that.
-            records.cover(self.next, whole)?;
-        } else if records.next() == self.next {
-            records.append(record.to_vec(), whole)?;
+        if storage.next_number() == self.next_number + 1 {
+            // The last attempt stored the record and failed afterwards.
+            storage.replace(self.next_number, snapshot)?;
+        } else if storage.next_number() == self.next_number {
+            storage.append(record.to_vec(), snapshot)?;
         } else {
             return Err(Error::Gap {
-                wanted: self.next,
-                found: records.next(),
+                expected: self.next_number,
+                found: storage.next_number(),
             });
         }
-        self.records = Some(records);
-        Ok(())
+        Ok(storage)
     }
 }
--- a/storage/tests/disk.rs
+++ b/storage/tests/disk.rs
@@ -1,4 +1,4 @@
-//! Disks that lose what was not synced, tear it, are full, or hold what a later program wrote.
+//! Disks that lose or tear unsynced writes, are full, fail for a while, or hold a later format.
 
 use redb::StorageBackend;
 use std::sync::{Arc, Mutex};
@@ -6,23 +6,23 @@
 use tansy_storage::voter_log::{LogStorage, RecoveredRecords, RetryingLogStorage};
 
 #[derive(Debug, Default)]
-struct Inner {
-    /// What a crash leaves in any case.
+struct DiskState {
+    /// What remains after any crash.
     synced: Vec<u8>,
-    /// What reads find.
-    now: Vec<u8>,
-    writes: Vec<(usize, Vec<u8>)>,
-    room: Option<usize>,
+    /// What reads return.
+    content: Vec<u8>,
+    unsynced: Vec<(usize, Vec<u8>)>,
+    capacity: Option<usize>,
     /// So many writes and syncs fail, after so many more that do not.
     failures: u32,
-    in_calls: u32,
+    calls_before_failure: u32,
 }
 
-impl Inner {
+impl DiskState {
     /// Whether this write or sync fails.
-    fn fails(&mut self) -> bool {
-        if self.in_calls > 0 {
-            self.in_calls -= 1;
+    fn next_call_fails(&mut self) -> bool {
+        if self.calls_before_failure > 0 {
+            self.calls_before_failure -= 1;
             return false;
         }
         let fails = self.failures > 0;
@@ -33,7 +33,7 @@
 
 /// A disk in memory.
 #[derive(Clone, Debug, Default)]
-struct Disk(Arc<Mutex<Inner>>);
+struct Disk(Arc<Mutex<DiskState>>);
 
 type Io<T> = std::io::Result<T>;
 
@@ -43,185 +43,191 @@
 
 impl StorageBackend for Disk {
     fn len(&self) -> Io<u64> {
-        Ok(self.0.lock().unwrap().now.len() as u64)
+        Ok(self.0.lock().unwrap().content.len() as u64)
     }
-    fn read(&self, offset: u64, out: &mut [u8]) -> Io<()> {
+    fn read(&self, offset: u64, buffer: &mut [u8]) -> Io<()> {
         let disk = self.0.lock().unwrap();
-        let from = offset as usize;
-        out.copy_from_slice(&disk.now[from..from + out.len()]);
+        let start = offset as usize;
+        buffer.copy_from_slice(&disk.content[start..start + buffer.len()]);
         Ok(())
     }
     fn set_len(&self, len: u64) -> Io<()> {
         let mut disk = self.0.lock().unwrap();
-        if disk.room.is_some_and(|r| len as usize > r) {
+        if disk
+            .capacity
+            .is_some_and(|capacity| len as usize > capacity)
+        {
             return Err(full());
         }
-        disk.now.resize(len as usize, 0);
+        disk.content.resize(len as usize, 0);
         // A file's length is kept apart from its content, and may be ahead of it.
         disk.synced.resize(len as usize, 0);
         Ok(())
     }
     fn sync_data(&self) -> Io<()> {
         let mut disk = self.0.lock().unwrap();
-        if disk.fails() {
+        if disk.next_call_fails() {
             return Err(std::io::Error::from_raw_os_error(5));
         }
-        disk.synced = disk.now.clone();
-        disk.writes.clear();
+        disk.synced = disk.content.clone();
+        disk.unsynced.clear();
         Ok(())
     }
     fn write(&self, offset: u64, data: &[u8]) -> Io<()> {
         let mut disk = self.0.lock().unwrap();
-        let from = offset as usize;
-        if disk.fails() {
+        let start = offset as usize;
+        if disk.next_call_fails() {
             return Err(full());
         }
-        if disk.room.is_some_and(|r| from + data.len() > r) {
+        if disk
+            .capacity
+            .is_some_and(|capacity| start + data.len() > capacity)
+        {
             return Err(full());
         }
-        disk.now[from..from + data.len()].copy_from_slice(data);
-        disk.writes.push((from, data.to_vec()));
+        disk.content[start..start + data.len()].copy_from_slice(data);
+        disk.unsynced.push((start, data.to_vec()));
         Ok(())
     }
 }
 
 impl Disk {
-    /// What is left after the power went: of the writes since the last sync any part, in any order, torn by sectors.
+    /// What remains after the power went: of the writes since the last sync any part, in any order, torn by sectors.
     fn after_a_crash(&self, rng: &mut fastrand::Rng) -> Disk {
         let disk = self.0.lock().unwrap();
-        let mut left = disk.synced.clone();
-        let mut writes = disk.writes.clone();
-        rng.shuffle(&mut writes);
-        for (from, data) in writes {
+        let mut remaining = disk.synced.clone();
+        let mut unsynced = disk.unsynced.clone();
+        rng.shuffle(&mut unsynced);
+        for (start, data) in unsynced {
             for (n, sector) in data.chunks(512).enumerate() {
-                let at = from + n * 512;
-                if rng.bool() && at + sector.len() <= left.len() {
-                    left[at..at + sector.len()].copy_from_slice(sector);
+                let position = start + n * 512;
+                if rng.bool() && position + sector.len() <= remaining.len() {
+                    remaining[position..position + sector.len()].copy_from_slice(sector);
                 }
             }
         }
-        Disk(Arc::new(Mutex::new(Inner {
-            now: left.clone(),
-            synced: left,
-            ..Inner::default()
+        Disk(Arc::new(Mutex::new(DiskState {
+            content: remaining.clone(),
+            synced: remaining,
+            ..DiskState::default()
         })))
     }
 }
 
 fn open(disk: &Disk) -> (LogStorage, RecoveredRecords) {
-    LogStorage::of(Store::on(disk.clone()).expect("a store"))
+    LogStorage::from_store(Store::with_backend(disk.clone()).expect("a store"))
 }
 
-/// Holds a record, now and then with the whole that takes the place of all; `told` is what has to be there then.
-fn hold(records: &mut LogStorage, told: &mut RecoveredRecords, n: u64) -> Result<(), Error> {
+/// Appends a record, now and then with a snapshot that replaces all; `expected` is what has to be recovered from then on.
+fn append(log: &mut LogStorage, expected: &mut RecoveredRecords, n: u64) -> Result<(), Error> {
     let record = n.to_be_bytes().repeat(1 + n as usize % 5);
-    let whole = (n % 37 == 36).then(|| format!("whole {n}").into_bytes());
-    records.append(record.clone(), whole.as_deref())?;
-    match whole {
-        Some(whole) => {
-            *told = RecoveredRecords {
-                snapshot: Some(whole),
+    let snapshot = (n % 37 == 36).then(|| format!("whole {n}").into_bytes());
+    log.append(record.clone(), snapshot.as_deref())?;
+    match snapshot {
+        Some(snapshot) => {
+            *expected = RecoveredRecords {
+                snapshot: Some(snapshot),
                 records: Vec::new(),
             }
         }
-        None => told.records.push(record),
+        None => expected.records.push(record),
     }
     Ok(())
 }
 
 #[test]
-fn what_was_told_is_there_after_any_crash() {
+fn acknowledged_records_survive_any_crash() {
     for seed in 0..40 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut disk = Disk::default();
-        let (mut records, mut told) = open(&disk);
+        let (mut log, mut expected) = open(&disk);
         for round in 0..6 {
             for n in 0..rng.u64(0..60) {
-                hold(&mut records, &mut told, 1000 * round + n).expect("held");
+                append(&mut log, &mut expected, 1000 * round + n).expect("stored");
             }
             // In the middle of whatever the store still does: it is not closed.
             disk = disk.after_a_crash(&mut rng);
-            let (after, held) = open(&disk);
-            std::mem::forget(std::mem::replace(&mut records, after));
-            assert_eq!(held, told, "seed {seed}, round {round}");
+            let (after, recovered) = open(&disk);
+            std::mem::forget(std::mem::replace(&mut log, after));
+            assert_eq!(recovered, expected, "seed {seed}, round {round}");
         }
     }
 }
 
 #[test]
-fn a_full_disk_takes_nothing_more_and_loses_nothing() {
+fn a_full_disk_rejects_records_and_loses_none() {
     let disk = Disk::default();
-    let (mut records, mut told) = open(&disk);
-    let used = disk.0.lock().unwrap().now.len();
-    disk.0.lock().unwrap().room = Some(used);
+    let (mut log, mut expected) = open(&disk);
+    let used = disk.0.lock().unwrap().content.len();
+    disk.0.lock().unwrap().capacity = Some(used);
     let mut failed = None;
     for n in 0..400 {
         let record = vec![n as u8; 100_000 + n];
-        match records.append(record.clone(), None) {
-            Ok(()) => told.records.push(record),
+        match log.append(record.clone(), None) {
+            Ok(()) => expected.records.push(record),
             Err(e) => {
                 failed = Some(e.to_string());
                 break;
             }
         }
     }
-    let why = failed.expect("the disk is full at some time");
-    assert!(why.contains("the state file"), "{why}");
-    disk.0.lock().unwrap().room = None;
+    let message = failed.expect("the disk is full at some time");
+    assert!(message.contains("the state file"), "{message}");
+    disk.0.lock().unwrap().capacity = None;
     let after = disk.after_a_crash(&mut fastrand::Rng::with_seed(1));
-    std::mem::forget(records);
-    assert!(open(&after).1 == told);
+    std::mem::forget(log);
+    assert!(open(&after).1 == expected);
 }
 
 #[test]
-fn entries_are_numbered_without_gaps_and_snapshots_take_their_place() {
+fn entries_are_numbered_without_gaps_and_snapshots_replace_them() {
     let disk = Disk::default();
-    let (mut store, held) = Store::on(disk.clone()).expect("a store");
-    assert_eq!(held, Default::default());
+    let (mut store, recovered) = Store::with_backend(disk.clone()).expect("a store");
+    assert_eq!(recovered, Default::default());
     store
         .append(1, &[vec![1], vec![2], vec![3]])
         .expect("three");
     assert!(matches!(
         store.append(3, &[vec![9]]),
-        Err(Error::Order {
-            wanted: 4,
+        Err(Error::OutOfOrder {
+            expected: 4,
             given: 3
         })
     ));
     assert!(
-        matches!(store.snapshot(4, &[7]), Err(Error::Order { .. })),
-        "it covers what there isn't"
+        matches!(store.snapshot(4, &[7]), Err(Error::OutOfOrder { .. })),
+        "it covers an entry that is not there"
     );
     store.snapshot(2, &[7]).expect("a snapshot");
-    let large = vec![0; tansy_storage::store::LARGEST + 1];
+    let large = vec![0; tansy_storage::store::MAX_ENTRY_BYTES + 1];
     assert!(matches!(
         store.append(4, &[large]),
-        Err(Error::Large { .. })
+        Err(Error::TooLarge { .. })
     ));
     drop(store);
-    let (store, held) = Store::on(disk).expect("the store");
+    let (store, recovered) = Store::with_backend(disk).expect("the store");
     assert_eq!(
-        (held.snapshot, held.entries, store.next()),
+        (recovered.snapshot, recovered.entries, store.next_number()),
         (Some((2, vec![7])), vec![(3, vec![3])], 4)
     );
 }
 
 #[test]
-fn many_records_come_back_with_the_last_whole() {
+fn many_records_are_recovered_with_the_last_snapshot() {
     let disk = Disk::default();
-    let (mut records, mut told) = open(&disk);
+    let (mut log, mut expected) = open(&disk);
     for n in 0..1000 {
-        hold(&mut records, &mut told, n).expect("held");
+        append(&mut log, &mut expected, n).expect("stored");
     }
-    assert!(told.snapshot.is_some() && told.records.len() == 1000 % 37);
-    drop(records);
-    assert_eq!(open(&disk).1, told);
+    assert!(expected.snapshot.is_some() && expected.records.len() == 1000 % 37);
+    drop(log);
+    assert_eq!(open(&disk).1, expected);
 }
 
 #[test]
-fn a_file_of_a_later_program_is_refused_and_left_as_it_is() {
+fn a_file_of_a_later_format_is_rejected_and_left_unchanged() {
     let disk = Disk::default();
-    drop(Store::on(disk.clone()).expect("a store"));
+    drop(Store::with_backend(disk.clone()).expect("a store"));
     let db = redb::Builder::new()
         .create_with_backend(disk.clone())
         .expect("the file");
@@ -234,63 +240,66 @@
         .expect("a value");
     write.commit().expect("written");
     drop(db);
-    let refused = Store::on(disk.clone()).expect_err("refused");
-    assert!(matches!(refused, Error::Newer { found: 7 }), "{refused}");
+    let refused = Store::with_backend(disk.clone()).expect_err("refused");
+    assert!(
+        matches!(refused, Error::NewerFormat { found: 7 }),
+        "{refused}"
+    );
     assert!(refused.to_string().contains("start the later program"));
 }
 
 #[test]
-fn a_disk_that_fails_for_a_while_holds_each_record_once_and_in_order() {
+fn a_disk_that_fails_for_a_while_stores_each_record_once_and_in_order() {
     for seed in 0..60 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let disk = Disk::default();
-        let again = disk.clone();
-        let open = move || Store::on(again.clone()).map(LogStorage::of);
-        let (mut records, _) = RetryingLogStorage::with(Box::new(open)).expect("a store");
-        let mut told = RecoveredRecords::default();
+        let reopened = disk.clone();
+        let open = move || Store::with_backend(reopened.clone()).map(LogStorage::from_store);
+        let (mut log, _) = RetryingLogStorage::with_opener(Box::new(open)).expect("a store");
+        let mut expected = RecoveredRecords::default();
         for n in 0..120u64 {
             let record = n.to_be_bytes().to_vec();
-            let whole = (n % 37 == 36).then(|| format!("whole {n}").into_bytes());
+            let snapshot = (n % 37 == 36).then(|| format!("whole {n}").into_bytes());
             // Some of its next writes and syncs fail, each a few times.
             if rng.u32(0..4) == 0 {
                 disk.0.lock().unwrap().failures = rng.u32(1..6);
-                disk.0.lock().unwrap().in_calls = rng.u32(0..12);
+                disk.0.lock().unwrap().calls_before_failure = rng.u32(0..12);
             }
             let mut tries = 0;
-            while let Err(e) = records.append(&record, whole.as_deref()) {
+            while let Err(e) = log.append(&record, snapshot.as_deref()) {
                 assert!(e.may_pass(), "seed {seed}: {e}");
                 tries += 1;
                 assert!(tries < 100, "seed {seed}: {e}");
             }
-            match whole {
-                Some(whole) => {
-                    told = RecoveredRecords {
-                        snapshot: Some(whole),
+            match snapshot {
+                Some(snapshot) => {
+                    expected = RecoveredRecords {
+                        snapshot: Some(snapshot),
                         records: Vec::new(),
                     }
                 }
-                None => told.records.push(record),
+                None => expected.records.push(record),
             }
         }
-        drop(records);
-        let (_, held) = open_after(&disk);
-        assert_eq!(held, told, "seed {seed}");
+        drop(log);
+        let (_, recovered) = open_repaired(&disk);
+        assert_eq!(recovered, expected, "seed {seed}");
     }
 }
 
-/// What a disk holds that fails no more.
-fn open_after(disk: &Disk) -> (LogStorage, RecoveredRecords) {
+/// Opens a disk whose failures have ended.
+fn open_repaired(disk: &Disk) -> (LogStorage, RecoveredRecords) {
     disk.0.lock().unwrap().failures = 0;
     open(disk)
 }
 
 #[test]
-fn what_does_not_pass_is_not_tried_again() {
-    let large = Error::Large { bytes: 1 };
+fn permanent_errors_are_not_retried() {
+    let large = Error::TooLarge { bytes: 1 };
     let gap = Error::Gap {
-        wanted: 1,
+        expected: 1,
         found: 3,
     };
     assert!(!large.may_pass() && !gap.may_pass());
-    assert!(Error::Used.may_pass());
+    assert!(Error::InUse.may_pass());
 }
--- a/storage/tests/processes.rs
+++ b/storage/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Seats as processes of their own that are killed: what one told before is there for the next.
+//! Voters as processes of their own that are killed: what one acknowledged is recovered by the next.
 
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
@@ -8,116 +8,109 @@
 
 const FILE: &str = "TANSY_STATE_TEST_FILE";
 
-/// Not a test by itself: the process that the tests start. It tells each step once it is held, until it is killed.
+/// Not a test by itself: the process that the tests start. It acknowledges each record once it is stored, until it is killed.
 #[test]
 #[ignore = "started by the others, with a file"]
-fn a_seat_that_tells_each_step() {
+fn voter_process() {
     let Some(path) = std::env::var_os(FILE) else {
         return;
     };
-    let (mut records, held) = LogStorage::open(&PathBuf::from(path)).expect("a seat");
-    for n in held.records.len() as u64 + 1.. {
-        records
-            .append(n.to_be_bytes().to_vec(), None)
-            .expect("held");
-        println!("held {n}");
+    let (mut log, recovered) = LogStorage::open(&PathBuf::from(path)).expect("a log");
+    for n in recovered.records.len() as u64 + 1.. {
+        log.append(n.to_be_bytes().to_vec(), None).expect("stored");
+        println!("stored {n}");
     }
 }
 
-/// A process that ends with the value.
-struct Running(Child);
+/// A process that is killed with the value.
+struct VoterProcess(Child);
 
-impl Drop for Running {
+impl Drop for VoterProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn start(path: &PathBuf) -> Running {
+fn start(path: &PathBuf) -> VoterProcess {
     let child = Command::new(std::env::current_exe().expect("this program"))
-        .args([
-            "a_seat_that_tells_each_step",
-            "--exact",
-            "--ignored",
-            "--nocapture",
-        ])
+        .args(["voter_process", "--exact", "--ignored", "--nocapture"])
         .env(FILE, path)
         .stdout(Stdio::piped())
         .stderr(Stdio::null())
         .spawn();
-    Running(child.expect("a process"))
+    VoterProcess(child.expect("a process"))
 }
 
-fn steps(child: &mut Running) -> impl Iterator<Item = u64> {
+fn acknowledged(child: &mut VoterProcess) -> impl Iterator<Item = u64> {
     let lines = BufReader::new(child.0.stdout.take().expect("its output")).lines();
-    // The first line may stand behind what the test program says of itself.
+    // The first line may follow output of the test harness.
     lines
         .map_while(Result::ok)
-        .filter_map(|l| l.rsplit("held ").next()?.parse().ok())
+        .filter_map(|l| l.rsplit("stored ").next()?.parse().ok())
 }
 
-struct File(PathBuf);
+struct TempFile(PathBuf);
 
-impl File {
-    fn new(name: &str) -> File {
-        File(std::env::temp_dir().join(format!("tansy-state-{}-{name}", std::process::id())))
+impl TempFile {
+    fn new(name: &str) -> TempFile {
+        TempFile(std::env::temp_dir().join(format!("tansy-state-{}-{name}", std::process::id())))
     }
 }
 
-impl Drop for File {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
 #[test]
-fn a_seat_killed_at_any_step_has_all_that_it_told() {
-    let file = File::new("killed");
+fn a_killed_voter_recovers_all_that_it_acknowledged() {
+    let file = TempFile::new("killed");
     let mut rng = fastrand::Rng::with_seed(11);
-    let mut told = 0;
+    let mut acknowledged_count = 0;
     for round in 0..8 {
         let mut child = start(&file.0);
-        let mut steps = steps(&mut child);
+        let mut acknowledgements = acknowledged(&mut child);
         for _ in 0..rng.usize(1..25) {
-            let step = steps.next().expect("a step");
+            let number = acknowledgements.next().expect("an acknowledgement");
             assert_eq!(
-                step,
-                told + 1,
-                "round {round}: no step is lost, none taken twice"
+                number,
+                acknowledged_count + 1,
+                "round {round}: no record is lost, none is stored twice"
             );
-            told = step;
+            acknowledged_count = number;
         }
-        // With SIGKILL, wherever it is by now; what it told meanwhile counts as well.
+        // With SIGKILL, wherever it is by now; what it acknowledged meanwhile counts as well.
         child.0.kill().expect("it runs");
-        told = steps.last().unwrap_or(told);
+        acknowledged_count = acknowledgements.last().unwrap_or(acknowledged_count);
         drop(child);
-        let (records, all) = LogStorage::open(&file.0).expect("the seat");
-        drop(records);
-        let held = all.records.len() as u64;
+        let (log, all) = LogStorage::open(&file.0).expect("the log");
+        drop(log);
+        let recovered = all.records.len() as u64;
         let numbers = all
             .records
             .iter()
             .map(|r| u64::from_be_bytes(r[..].try_into().expect("a number")));
         assert!(
-            numbers.eq(1..=held),
-            "round {round}: each once, in its order"
+            numbers.eq(1..=recovered),
+            "round {round}: each once, in order"
         );
         assert!(
-            held == told || held == told + 1,
-            "round {round}: told {told}, held {held}"
+            recovered == acknowledged_count || recovered == acknowledged_count + 1,
+            "round {round}: acknowledged {acknowledged_count}, recovered {recovered}"
         );
-        told = held;
+        acknowledged_count = recovered;
     }
 }
 
 #[test]
-fn two_processes_never_have_one_seat() {
-    let file = File::new("two");
+fn two_processes_never_open_one_log() {
+    let file = TempFile::new("two");
     let mut child = start(&file.0);
-    assert!(steps(&mut child).next().is_some());
+    assert!(acknowledged(&mut child).next().is_some());
     let second = LogStorage::open(&file.0);
-    assert!(matches!(second, Err(Error::Used)), "{second:?}");
+    assert!(matches!(second, Err(Error::InUse)), "{second:?}");
     drop(child);
     LogStorage::open(&file.0).expect("free again");
 }
