--- /dev/null
+++ b/decide/fleet-node/tests/fleet_node/scope_load.rs
@@ -0,0 +1,134 @@
+//! Many scopes: bursts of changes, and what a front end holds of them.
+
+use crate::scope_cluster::{change, fields, ScopeCluster};
+use tansy_agreement::log::Revision;
+use tansy_agreement::scope::{ScopePhase, MAX_HISTORY_BYTES};
+use tansy_agreement::subscription::{Admission, MAX_SUBSCRIPTIONS};
+use tansy_fleet_node::{FleetEvent, FleetNode};
+
+#[test]
+fn a_burst_of_changes_comes_into_force_in_few_revisions() {
+    let mut cluster = ScopeCluster::with_scopes(8, 1, 5);
+    cluster.set(10_000, "x", Some(fields("chat", 4)));
+    let before = cluster.log().state().revision;
+    // Five hundred in a minute, the half of them within a second.
+    let mut called = 0;
+    for n in 0..500u64 {
+        cluster.update_scopes(
+            n + 1,
+            vec![change(
+                &format!("f{n}"),
+                Revision(0),
+                Some(fields("chat", 1 + n as i64)),
+            )],
+        );
+        if n % 25 == 0 {
+            let at = 1 + (n as usize / 25) % 7;
+            cluster.admit(at, &format!("f{n}"));
+            called += 1;
+        }
+        cluster.run(if n < 250 { 0.004 } else { 0.236 });
+    }
+    cluster.run(5.0);
+    let refused: Vec<_> = cluster
+        .answers
+        .values()
+        .flatten()
+        .filter(|a| a.is_err())
+        .collect();
+    assert!(refused.is_empty(), "{:?}", refused.first());
+    assert_eq!(cluster.log().catalog().all().len(), 501);
+    assert!(cluster
+        .log()
+        .catalog()
+        .all()
+        .values()
+        .all(|s| s.phase == ScopePhase::Settled));
+    let revisions = cluster.log().state().revision.0 - before.0;
+    assert!(
+        revisions < 700,
+        "{revisions} revisions of {} and more",
+        500 * 2 + called
+    );
+    for n in (0..500).step_by(25) {
+        assert_eq!(
+            cluster.admitted_class(1 + (n / 25) % 7, &format!("f{n}")),
+            "chat"
+        );
+    }
+}
+
+#[test]
+fn a_holder_of_100_of_340_000_scopes_uses_memory_for_100() {
+    let mut cluster = ScopeCluster::with_scopes(3, 1, 6);
+    let name = |n: usize| format!("function-{n:06}");
+    const ALL: usize = 340_000;
+    const PART: usize = 2_000;
+    for (request, from) in (0..ALL).step_by(PART).enumerate() {
+        let one = |n| {
+            change(
+                &name(n),
+                Revision(0),
+                Some(fields("chat", 1 + n as i64 % 8)),
+            )
+        };
+        cluster.update_scopes(request as u64 + 1, (from..from + PART).map(one).collect());
+        cluster.run(0.4);
+    }
+    cluster.run(10.0);
+    assert_eq!(
+        cluster.log().catalog().all().len(),
+        ALL,
+        "{:?}",
+        cluster.answers.values().flatten().find(|a| a.is_err())
+    );
+    for n in 0..100 {
+        assert_eq!(cluster.admitted_class(2, &name(n * 3_000)), "chat");
+    }
+    let peer = cluster.nodes[2].as_ref().expect("it runs");
+    assert_eq!(peer.subscription_count(), 100);
+    let history = peer
+        .active_state(cluster.now)
+        .state
+        .map_or(0, |s| s.history.memory_bytes());
+    assert!(history <= MAX_HISTORY_BYTES, "{history}");
+    assert!(
+        peer.subscription_bytes() - history < 100 * 500,
+        "{}",
+        peer.subscription_bytes()
+    );
+    let scope = name(3_000);
+    cluster.set(9_999, &scope, Some(fields("batch", 1)));
+    cluster.run(1.0);
+    assert_eq!(cluster.admitted_class(2, &scope), "batch");
+}
+
+#[test]
+fn subscriptions_are_bounded_and_evictions_are_reported() {
+    let mut cluster = ScopeCluster::with_scopes(3, 1, 7);
+    let one = |n: usize| change(&format!("f{n}"), Revision(0), Some(fields("chat", 1)));
+    cluster.update_scopes(1, (0..2_500).map(one).collect());
+    cluster.run(2.0);
+    cluster.update_scopes(2, (2_500..5_000).map(one).collect());
+    cluster.run(3.0);
+    assert_eq!(cluster.log().catalog().all().len(), 5_000);
+    for n in 0..5_000 {
+        let call = cluster.admit(2, &format!("f{n}"));
+        assert_ne!(call, Some(Admission::Unscoped));
+        cluster.run(0.001);
+    }
+    cluster.run(1.0);
+    assert_eq!(cluster.admitted_class(2, "f4999"), "chat");
+    let subscribed = cluster.nodes[2]
+        .as_ref()
+        .map(FleetNode::subscription_count)
+        .expect("it runs");
+    assert!(
+        subscribed > MAX_SUBSCRIPTIONS / 2 && subscribed <= MAX_SUBSCRIPTIONS,
+        "{subscribed}"
+    );
+    assert!(cluster.events.iter().any(|(n, event)| *n == 2
+        && matches!(event, FleetEvent::SubscriptionsEvicted { total, .. } if *total > 0)));
+    // Those called longest ago were evicted first, and can be requested again.
+    assert_eq!(cluster.admitted_class(2, "f0"), "chat");
+}
