--- /dev/null
+++ b/decide/agreement/src/compatibility/mod.rs
@@ -0,0 +1,22 @@
+//! What the change of a settings field means for calls while members act on two versions of it.
+//!
+//! A [`Schema`] gives each field its [`Compatibility`]; [`joint_rules`], [`rules_without_lease`] and
+//! [`rules_after_expiry`] derive from it what a front end acts on.
+
+mod rules;
+mod schema;
+mod value;
+
+pub use rules::{
+    changes, contradictions, joint_rules, rules_after_expiry, rules_without_lease, EffectiveRules,
+    FieldChange,
+};
+pub use schema::{
+    AffectedCalls, CallAttributes, Compatibility, ExpiredLeasePolicy, Restrictiveness, Schema,
+};
+pub use value::{name, part, quote, Value};
+
+use std::collections::BTreeMap;
+
+/// Fields of the settings by their path, such as `classes.chat.window`. Names in it are escaped by [`part`].
+pub type Fields = BTreeMap<String, Value>;
--- /dev/null
+++ b/decide/agreement/src/compatibility/rules.rs
@@ -0,0 +1,248 @@
+//! The rules that a front end acts on, derived from one version, from two, or from none that is current.
+
+use super::{
+    part, AffectedCalls, CallAttributes, Compatibility, ExpiredLeasePolicy, Fields, Schema, Value,
+};
+use std::collections::BTreeSet;
+
+/// Rules that a front end acts on: values, and the calls that it rejects in the meantime.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct EffectiveRules {
+    /// The values in use.
+    pub fields: Fields,
+    /// Calls on which versions are in conflict.
+    pub rejected: BTreeSet<AffectedCalls>,
+    /// Whether calls that name a class, tenant or function of which no field is known are rejected as well: a version
+    /// that can't be known may define it.
+    pub unlisted: bool,
+}
+
+impl EffectiveRules {
+    /// The rules of one version alone.
+    pub fn from_fields(fields: &Fields) -> EffectiveRules {
+        EffectiveRules {
+            fields: fields.clone(),
+            ..EffectiveRules::default()
+        }
+    }
+
+    /// Whether this call is rejected.
+    pub fn rejects(&self, call: CallAttributes<'_>) -> bool {
+        let names = [
+            AffectedCalls::Class(call.class.into()),
+            AffectedCalls::Tenant(call.tenant.into()),
+            AffectedCalls::Function(call.function.into()),
+        ];
+        let unknown = |calls: &AffectedCalls| {
+            let unnamed = calls.name().is_some_and(str::is_empty);
+            !unnamed && !self.defines(calls)
+        };
+        self.rejected.iter().any(|calls| calls.includes(call))
+            || self.unlisted && names.iter().any(unknown)
+    }
+
+    /// Whether there is a field of this class, tenant or function.
+    fn defines(&self, calls: &AffectedCalls) -> bool {
+        let (group, Some(name)) = (calls.group(), calls.name()) else {
+            return true;
+        };
+        let prefix = format!("{group}.{}.", part(name));
+        self.fields
+            .range(prefix.clone()..)
+            .next()
+            .is_some_and(|(path, _)| path.starts_with(&prefix))
+    }
+
+    /// Whether every one of these calls is rejected.
+    fn rejects_all(&self, calls: &AffectedCalls) -> bool {
+        self.rejected.contains(calls)
+            || self.rejected.contains(&AffectedCalls::All)
+            || self.unlisted && !self.defines(calls)
+    }
+}
+
+/// A field that differs between two versions.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct FieldChange {
+    /// Its path.
+    pub path: String,
+    /// Its old value; none: left out.
+    pub old: Option<Value>,
+    /// Its new value; none: left out.
+    pub new: Option<Value>,
+    /// How its values may differ.
+    pub compatibility: Compatibility,
+    /// The calls that it affects.
+    pub affected: AffectedCalls,
+}
+
+/// The fields that differ between two versions, in the order of their paths.
+pub fn changes(schema: &Schema, old: &Fields, new: &Fields) -> Vec<FieldChange> {
+    let paths: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
+    paths
+        .into_iter()
+        .filter(|path| old.get(*path) != new.get(*path))
+        .map(|path| FieldChange {
+            path: path.clone(),
+            old: old.get(path).cloned(),
+            new: new.get(path).cloned(),
+            compatibility: schema.compatibility(path).clone(),
+            affected: AffectedCalls::of_path(path),
+        })
+        .collect()
+}
+
+/// The rules under which either version may be in force elsewhere: of joint fields the stricter value; calls that a
+/// changed strict field affects are rejected; free fields have the newer version's value already.
+pub fn joint_rules(schema: &Schema, old: &Fields, new: &Fields) -> EffectiveRules {
+    let mut rules = EffectiveRules::from_fields(new);
+    for change in changes(schema, old, new) {
+        match change.compatibility {
+            Compatibility::Free => {}
+            Compatibility::Joint(restrictiveness, _) => {
+                let stricter = restrictiveness.stricter(change.old.as_ref(), change.new.as_ref());
+                if let Some(value) = stricter.cloned() {
+                    rules.fields.insert(change.path, value);
+                }
+            }
+            Compatibility::Strict => {
+                rules.rejected.insert(change.affected);
+            }
+        }
+    }
+    rules
+}
+
+/// The rules of a front end whose lease has expired while its session lives: every joint field has the most restrictive
+/// value, since a version that it doesn't know may be in force; strict fields are as they were, since no change of one
+/// goes on without it.
+pub fn rules_without_lease(schema: &Schema, known: EffectiveRules) -> EffectiveRules {
+    let expired = rules_after_expiry(schema, &known.fields);
+    let mut fields = known.fields;
+    let is_joint = |path: &str| matches!(schema.compatibility(path), Compatibility::Joint(..));
+    fields.extend(
+        expired
+            .fields
+            .into_iter()
+            .filter(|(path, _)| is_joint(path)),
+    );
+    let mut rejected = known.rejected;
+    for path in fields.keys() {
+        if let Compatibility::Joint(_, ExpiredLeasePolicy::Reject) = schema.compatibility(path) {
+            rejected.insert(AffectedCalls::of_path(path));
+        }
+    }
+    EffectiveRules {
+        fields,
+        rejected,
+        // A tenant of which nothing is known may have a limit by now.
+        unlisted: true,
+    }
+}
+
+/// The rules of a front end that can't know what is in force by now: free fields as they were, joint ones at their most
+/// restrictive value, calls that any other field affects rejected, and so are calls of what is not known at all.
+pub fn rules_after_expiry(schema: &Schema, known: &Fields) -> EffectiveRules {
+    let mut rules = EffectiveRules {
+        unlisted: true,
+        ..EffectiveRules::from_fields(known)
+    };
+    restrict_missing_fields(schema, known, &mut rules);
+    let EffectiveRules {
+        fields, rejected, ..
+    } = &mut rules;
+    for (path, value) in fields {
+        match schema.compatibility(path) {
+            Compatibility::Free => {}
+            Compatibility::Joint(restrictiveness, ExpiredLeasePolicy::Strictest(strictest)) => {
+                let stricter = restrictiveness.stricter(Some(value), Some(strictest));
+                *value = stricter.unwrap_or(strictest).clone();
+            }
+            Compatibility::Joint(_, ExpiredLeasePolicy::Reject) | Compatibility::Strict => {
+                rejected.insert(AffectedCalls::of_path(path));
+            }
+        }
+    }
+    rules
+}
+
+/// Restricts the fields that were left out and may be set by now, in general or under any known name.
+fn restrict_missing_fields(schema: &Schema, known: &Fields, rules: &mut EffectiveRules) {
+    let names = defined_names(known);
+    for (pattern, compatibility) in schema.patterns() {
+        let paths = paths_of_pattern(pattern, &names);
+        // An earlier pattern may hold for the path.
+        for path in paths
+            .into_iter()
+            .filter(|path| schema.compatibility(path) == compatibility)
+        {
+            match compatibility {
+                Compatibility::Free => {}
+                Compatibility::Joint(_, ExpiredLeasePolicy::Strictest(strictest)) => {
+                    rules
+                        .fields
+                        .entry(path)
+                        .or_insert_with(|| strictest.clone());
+                }
+                Compatibility::Joint(_, ExpiredLeasePolicy::Reject) | Compatibility::Strict => {
+                    rules.rejected.insert(AffectedCalls::of_path(&path));
+                }
+            }
+        }
+    }
+}
+
+/// The names under which there are fields, each with its group (`classes`, `tenants`, `functions`).
+fn defined_names(fields: &Fields) -> BTreeSet<(&str, &str)> {
+    fields
+        .keys()
+        .filter_map(|path| {
+            let mut parts = path.splitn(3, '.');
+            let group = parts.next()?;
+            let name = parts.next()?;
+            parts.next().map(|_| (group, name))
+        })
+        .collect()
+}
+
+/// The paths that a pattern may match with these names.
+fn paths_of_pattern(pattern: &[String], names: &BTreeSet<(&str, &str)>) -> Vec<String> {
+    match pattern {
+        [group, any, field] if any == "*" => names
+            .iter()
+            .filter(|(known_group, _)| known_group == group)
+            .map(|(group, name)| format!("{group}.{name}.{field}"))
+            .collect(),
+        exact if exact.iter().all(|component| component != "*") => vec![exact.join(".")],
+        _ => Vec::new(),
+    }
+}
+
+/// The fields on which a front end contradicts the fleet, with the calls that each affects: a strict one with another
+/// value than the one in force, or a joint one that is less restrictive than the one in force.
+///
+/// `in_force` is the version in force by the agreed log; a front end may always be more restrictive, never less.
+pub fn contradictions(
+    schema: &Schema,
+    in_force: &Fields,
+    acting: &EffectiveRules,
+) -> Vec<(String, AffectedCalls)> {
+    let paths: BTreeSet<&String> = in_force.keys().chain(acting.fields.keys()).collect();
+    let contradicts = |path: &str| {
+        let used = acting.fields.get(path);
+        let agreed = in_force.get(path);
+        match schema.compatibility(path) {
+            Compatibility::Free => false,
+            Compatibility::Joint(restrictiveness, _) => {
+                !restrictiveness.at_least_as_strict(used, agreed)
+            }
+            Compatibility::Strict => used != agreed,
+        }
+    };
+    paths
+        .into_iter()
+        .map(|path| (path, AffectedCalls::of_path(path)))
+        .filter(|(path, calls)| !acting.rejects_all(calls) && contradicts(path))
+        .map(|(path, calls)| (path.clone(), calls))
+        .collect()
+}
--- /dev/null
+++ b/decide/agreement/src/compatibility/value.rs
@@ -0,0 +1,164 @@
+//! The values of fields, and their text in settings files and paths.
+
+use serde::{Deserialize, Serialize};
+use std::cmp::Ordering;
+use std::fmt;
+
+const HOUR: i64 = 3_600_000_000;
+const MINUTE: i64 = 60_000_000;
+const SECOND: i64 = 1_000_000;
+const MILLISECOND: i64 = 1000;
+
+/// A field's value, as the settings have it once they are read.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub enum Value {
+    /// Yes or no.
+    Flag(bool),
+    /// A whole number.
+    Int(i64),
+    /// A duration, microseconds.
+    Span(i64),
+    /// A size, bytes.
+    Bytes(i64),
+    /// A number.
+    Number(f64),
+    /// A name or a choice.
+    Text(String),
+    /// Several values in their order.
+    List(Vec<Value>),
+}
+
+impl Value {
+    /// A total order over all values: numbers by size whatever their form, else by kind, then by content.
+    fn compare(&self, other: &Value) -> Ordering {
+        match (self, other) {
+            (Value::Flag(a), Value::Flag(b)) => a.cmp(b),
+            (Value::Text(a), Value::Text(b)) => a.cmp(b),
+            (Value::List(a), Value::List(b)) => a.cmp(b),
+            _ => self.compare_numbers(other),
+        }
+    }
+
+    /// Compares numbers by size; of other values, different in kind, the kind decides.
+    fn compare_numbers(&self, other: &Value) -> Ordering {
+        match (self.as_integer(), other.as_integer()) {
+            (Some(a), Some(b)) => a.cmp(&b),
+            _ => match (self.as_float(), other.as_float()) {
+                (Some(a), Some(b)) => a.total_cmp(&b),
+                _ => self.kind().cmp(&other.kind()),
+            },
+        }
+    }
+
+    fn kind(&self) -> u8 {
+        match self {
+            Value::Flag(_) => 0,
+            Value::Int(_) | Value::Span(_) | Value::Bytes(_) | Value::Number(_) => 1,
+            Value::Text(_) => 2,
+            Value::List(_) => 3,
+        }
+    }
+
+    fn as_integer(&self) -> Option<i64> {
+        match self {
+            Value::Int(n) | Value::Span(n) | Value::Bytes(n) => Some(*n),
+            _ => None,
+        }
+    }
+
+    fn as_float(&self) -> Option<f64> {
+        match self {
+            Value::Number(x) => Some(*x),
+            _ => self.as_integer().map(|n| n as f64),
+        }
+    }
+}
+
+impl PartialEq for Value {
+    fn eq(&self, other: &Value) -> bool {
+        self.compare(other).is_eq()
+    }
+}
+
+impl Eq for Value {}
+
+impl PartialOrd for Value {
+    fn partial_cmp(&self, other: &Value) -> Option<Ordering> {
+        Some(self.cmp(other))
+    }
+}
+
+impl Ord for Value {
+    fn cmp(&self, other: &Value) -> Ordering {
+        self.compare(other)
+    }
+}
+
+impl fmt::Display for Value {
+    /// As a settings file writes it.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Value::Flag(flag) => write!(f, "{flag}"),
+            Value::Int(n) => write!(f, "{n}"),
+            Value::Span(micros) => {
+                let units = [
+                    ("h", HOUR),
+                    ("m", MINUTE),
+                    ("s", SECOND),
+                    ("ms", MILLISECOND),
+                ];
+                write_in_units(f, *micros, &units, "us")
+            }
+            Value::Bytes(bytes) => {
+                let units = [("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10)];
+                write_in_units(f, *bytes, &units, "B")
+            }
+            Value::Number(x) => write!(f, "{x}"),
+            Value::Text(text) => f.write_str(&quote(text)),
+            Value::List(values) => {
+                let values: Vec<String> = values.iter().map(Value::to_string).collect();
+                write!(f, "[{}]", values.join(", "))
+            }
+        }
+    }
+}
+
+/// Writes a quantity in the largest unit of which it is a whole number.
+fn write_in_units(
+    f: &mut fmt::Formatter<'_>,
+    quantity: i64,
+    units: &[(&str, i64)],
+    smallest_unit: &str,
+) -> fmt::Result {
+    let divides = |size: i64| quantity != 0 && quantity % size == 0;
+    match units.iter().find(|(_, size)| divides(*size)) {
+        Some((unit, size)) => write!(f, "{}{unit}", quantity / size),
+        None => write!(f, "{quantity}{smallest_unit}"),
+    }
+}
+
+/// A text in quotes, as a settings file writes it.
+pub fn quote(text: &str) -> String {
+    let mut quoted = String::from("\"");
+    for c in text.chars() {
+        match c {
+            '"' | '\\' => quoted.extend(['\\', c]),
+            '\n' => quoted.push_str("\\n"),
+            '\t' => quoted.push_str("\\t"),
+            '\r' => quoted.push_str("\\r"),
+            c if c.is_control() => quoted.push_str(&format!("\\u{:04x}", c as u32)),
+            c => quoted.push(c),
+        }
+    }
+    quoted + "\""
+}
+
+/// A name escaped as a component of a path: without dots.
+pub fn part(name: &str) -> String {
+    name.replace('%', "%25").replace('.', "%2e")
+}
+
+/// The name that a component of a path stands for.
+pub fn name(part: &str) -> String {
+    part.replace("%2e", ".").replace("%25", "%")
+}
--- a/decide/agreement/src/endpoints.rs
+++ b/decide/agreement/src/endpoints.rs
@@ -1,13 +1,14 @@
-//! Workers that leave, as the whole fleet was told: drains first, whoever heard of one.
+//! Workers that drain or are gone, as any member has learnt of it: drains take effect everywhere first.
 //!
-//! Front ends hear of workers by lists of their own, which disagree and lag. Arrivals may lag; that a worker drains or is
-//! gone is told on by whoever hears it, and never taken back for that process of it:
+//! Front ends read lists of workers of their own, which disagree and lag. Arrivals may lag; that a worker drains or is
+//! gone is forwarded by whichever member learns of it, and never taken back for that process of the worker:
 //!
-//! - A worker is a name at an address. A process of it is an incarnation: a later one supersedes all that was said of those
-//!   before; of the same one only the last word counts, from ready over draining to gone. So a drain told once holds for
-//!   that process, and no older list makes it ready again; a worker that is to serve again is listed with a later one.
-//! - What is told joins in any order, any number of times, to the same.
-//! - What is gone is kept for a stated time, so that a late list can't bring it back.
+//! - A worker is a name at an address. A process of it is an incarnation: a later one supersedes all records of those
+//!   before; of one incarnation the last state counts, in the order ready, draining, gone. So a drain recorded once holds
+//!   for that process, and no older list makes it ready again; a worker that is to serve again is listed with a later
+//!   incarnation.
+//! - Records merge in any order, any number of times, to the same table.
+//! - A record is retained for a stated time, so that a late list can't bring a worker back.
 
 use crate::lease::Time;
 use std::collections::BTreeMap;
@@ -17,114 +18,125 @@
 pub struct Endpoint {
     /// Its name.
     pub name: String,
-    /// Where it listens, as the list writes it.
+    /// The address that it listens on, as the list writes it.
     pub address: String,
 }
 
-/// What is said of a process of a worker, from the least to the last word.
+/// The state of a worker's process; a later one in this order overrides an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndpointState {
-    /// Takes work.
+    /// Accepts calls.
     Ready,
-    /// Finishes what it has.
+    /// Finishes the calls that it has.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// One line of a list.
+/// One record of a list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointRecord {
-    /// Whose.
+    /// The worker.
     pub endpoint: Endpoint,
     /// Which of its processes; a later one is larger.
     pub incarnation: u64,
-    /// What is said.
+    /// The state of that process.
     pub state: EndpointState,
 }
 
-/// Workers of which leaving is remembered at most; more than any installation has.
+/// The largest number of workers in the drain table; more than any installation has.
 pub const MAX_DRAINS: usize = 20_000;
-/// For so long what was told is kept after it was last told: longer than any list may lag.
+/// A drain is retained for so long after it was last reported: longer than any list may lag.
 pub const DRAIN_RETENTION: Time = 24 * 3_600_000_000;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Word {
+struct Drain {
     incarnation: u64,
-    standing: EndpointState,
-    heard: Time,
+    state: EndpointState,
+    last_reported: Time,
 }
 
-/// What was told of workers that leave.
+impl Drain {
+    /// The order in which drains of one worker override each other.
+    fn precedence(&self) -> (u64, EndpointState) {
+        (self.incarnation, self.state)
+    }
+}
+
+/// The workers that drain or are gone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DrainTable {
-    words: BTreeMap<Endpoint, Word>,
+    drains: BTreeMap<Endpoint, Drain>,
 }
 
 impl DrainTable {
-    /// Takes lines that somebody told. Those that tell anything new are returned, to be told on.
+    /// Merges records. Those that changed the table are returned, to be forwarded.
     pub fn merge(
         &mut self,
         now: Time,
-        lines: impl IntoIterator<Item = EndpointRecord>,
+        records: impl IntoIterator<Item = EndpointRecord>,
     ) -> Vec<EndpointRecord> {
-        let mut new = Vec::new();
-        for line in lines {
-            if line.state == EndpointState::Ready {
-                continue;
+        records
+            .into_iter()
+            .filter(|record| record.state != EndpointState::Ready && self.merge_one(now, record))
+            .collect()
+    }
+
+    /// Merges the record of a drain. True: it changed the table.
+    fn merge_one(&mut self, now: Time, record: &EndpointRecord) -> bool {
+        let drain = Drain {
+            incarnation: record.incarnation,
+            state: record.state,
+            last_reported: now,
+        };
+        let full = self.drains.len() >= MAX_DRAINS;
+        match self.drains.get_mut(&record.endpoint) {
+            Some(known) if known.precedence() < drain.precedence() => {
+                *known = drain;
+                true
             }
-            let word = Word {
-                incarnation: line.incarnation,
-                standing: line.state,
-                heard: now,
-            };
-            let full = self.words.len() >= MAX_DRAINS;
-            match self.words.get_mut(&line.endpoint) {
-                Some(k) if (k.incarnation, k.standing) < (word.incarnation, word.standing) => {
-                    *k = word
-                }
-                Some(k) => {
-                    // Told again it is remembered anew, and that is no news.
-                    if (k.incarnation, k.standing) == (word.incarnation, word.standing) {
-                        k.heard = k.heard.max(now);
-                    }
-                    continue;
+            Some(known) => {
+                // A repeated report extends the retention and changes nothing else.
+                if known.precedence() == drain.precedence() {
+                    known.last_reported = known.last_reported.max(now);
                 }
-                None if full => continue,
-                None => drop(self.words.insert(line.endpoint.clone(), word)),
+                false
+            }
+            None if full => false,
+            None => {
+                self.drains.insert(record.endpoint.clone(), drain);
+                true
             }
-            new.push(line);
         }
-        new
     }
 
-    /// What a process of a worker is to be taken for, where a list says this of it.
+    /// The state of a worker's process that a list has in state `listed`.
     pub fn state_of(
         &self,
         worker: &Endpoint,
         incarnation: u64,
         listed: EndpointState,
     ) -> EndpointState {
-        match self.words.get(worker) {
+        match self.drains.get(worker) {
             // The one process ended before the other began.
-            Some(w) if w.incarnation > incarnation => EndpointState::Gone,
-            Some(w) if w.incarnation == incarnation => w.standing.max(listed),
+            Some(drain) if drain.incarnation > incarnation => EndpointState::Gone,
+            Some(drain) if drain.incarnation == incarnation => drain.state.max(listed),
             _ => listed,
         }
     }
 
-    /// All that is remembered.
+    /// All records that are retained.
     pub fn records(&self) -> impl Iterator<Item = EndpointRecord> + '_ {
-        self.words.iter().map(|(worker, w)| EndpointRecord {
+        self.drains.iter().map(|(worker, drain)| EndpointRecord {
             endpoint: worker.clone(),
-            incarnation: w.incarnation,
-            state: w.standing,
+            incarnation: drain.incarnation,
+            state: drain.state,
         })
     }
 
-    /// Forgets what nobody has told for [`DRAIN_RETENTION`].
+    /// Drops the records that were not reported for [`DRAIN_RETENTION`].
     pub fn expire(&mut self, now: Time) {
-        self.words
-            .retain(|_, w| now.saturating_sub(w.heard) < DRAIN_RETENTION);
+        self.drains
+            .retain(|_, drain| now.saturating_sub(drain.last_reported) < DRAIN_RETENTION);
     }
 }
--- a/decide/agreement/src/lib.rs
+++ b/decide/agreement/src/lib.rs
@@ -1,26 +1,54 @@
-//! How the front ends of a fleet act on numbered versions of settings such that no two act on rules that contradict
-//! each other.
-//!
-//! Its parts, none of which knows a socket or a clock:
-//!
-//! - [`compatibility`]: what a field's change means for calls: `free`, `joint` (while both versions are about, the stricter value
-//!   holds) or `strict` (never both: the calls that the field touches are refused meanwhile).
-//! - [`log`]: the agreed order of proposals and of the steps by which a version takes force: told, joint, in force.
-//! - [`lease`]: who may act on which step until when. A front end holds a lease from its parent, which is a seat or a
-//!   front end that relays; leases nest, so that a parent's answer for its children is all that its own parent needs.
-//! - [`lease_tree`]: a front end's part: whom it asks, to whom it lends, what it acts on.
-//! - [`session`]: long leases, by which strict fields are acted on; changes of these wait for every front end.
-//! - [`scope`]: settings of functions that are agreed on one by one, beside the versions.
-//! - [`subscription`]: which of these a front end holds, so that changes of them wait for it and of others do not.
-//! - [`endpoints`]: the list of workers, merged from sources that disagree and lag; drains first.
+//! How the front ends of a fleet act on numbered versions of settings such that no two act on contradictory rules.
+//!
+//! The crate consists of state machines that know neither sockets nor clocks nor disks: time is an argument, messages
+//! are returned to the caller, and durable order is the caller's concern (a consensus group, or a single durable log).
+//!
+//! - [`compatibility`]: what the change of a field means for calls: `free`, `joint` (while both versions are in use, the
+//!   stricter value holds) or `strict` (never both: the calls that the field affects are rejected in the meantime).
+//! - [`log`]: the agreed order of entries, and the phases of a version: announced, joint, in force.
+//! - [`lease`]: which process may act on which revision, and until when. A front end is granted a lease by its parent,
+//!   the leader or another front end; leases nest, so that a parent's request for its own lease covers its children.
+//! - [`lease_tree`]: a front end's node in the tree of leases: from which member it requests its lease, to which it
+//!   grants, and the state that it acts on.
+//! - [`session`]: long leases for strict fields; changes of these wait for every front end.
+//! - [`scope`]: settings of single functions that are agreed on one by one, beside the versions.
+//! - [`subscription`]: the scopes that a front end acts on, so that their changes wait for it and those of others do not.
+//! - [`endpoints`]: the drains of workers, merged from lists that disagree and lag.
 //!
 //! The whole rests on this: **a step that changes rules is taken only when no front end with a live lease is behind the
-//! step before it**, so that what two of them act on is one step of a change apart at most, and such steps never
-//! contradict. `lease` keeps the first half, `log` the second. A front end whose lease ran out acts by [`compatibility::rules_after_expiry`],
-//! which contradicts no version at all.
+//! revision before it**, so that what two of them act on is at most one step of a change apart, and such steps never
+//! contradict each other. `lease` ensures the first half, `log` the second. A front end whose lease has expired acts by
+//! [`compatibility::rules_after_expiry`], which contradicts no version at all.
 //!
 //! Times are microseconds of the caller's own monotonic clock. Clocks need not agree; their rates must, within a stated
 //! bound.
+//!
+//! # Example
+//!
+//! A version is proposed, announced, joint and in force; each [`log::LogEntry::Advance`] would wait for the leases.
+//!
+//! ```
+//! use tansy_agreement::compatibility::{Fields, Value};
+//! use tansy_agreement::log::{ApplyOutcome, EntryRejection, Log, LogEntry, Version};
+//!
+//! # fn main() -> Result<(), EntryRejection> {
+//! let window = |size| Fields::from([("classes.chat.window".to_string(), Value::Int(size))]);
+//! let mut log = Log::new(window(10), []);
+//! let proposal = LogEntry::Propose {
+//!     id: 7,
+//!     base: log.state().latest(),
+//!     fields: window(20),
+//!     reason: "more load".to_string(),
+//! };
+//! assert_eq!(log.apply(proposal)?, ApplyOutcome::Announced(Version(2)));
+//! while log.has_open_changes() {
+//!     let from = log.state().versions_revision;
+//!     log.apply(LogEntry::Advance { from })?;
+//! }
+//! assert_eq!(log.state().in_force.fields, window(20));
+//! # Ok(())
+//! # }
+//! ```
 
 pub mod compatibility;
 pub mod endpoints;
--- /dev/null
+++ b/decide/agreement/src/subscription/replies.rs
@@ -0,0 +1,217 @@
+//! What the leader's replies, later states and lost sessions do to the subscriptions.
+
+use super::subscriptions::{ActiveScope, FullList, ScopeSubscriptions};
+use super::{ResyncEpoch, SubscribeReply};
+use crate::compatibility::Schema;
+use crate::lease::Time;
+use crate::log::FleetState;
+use crate::revision::Revision;
+use crate::scope::{ScopeChange, ScopeRecord};
+
+/// What the records of a reply are read with.
+struct ReplyContext<'a> {
+    now: Time,
+    /// The number of the request that is replied to.
+    seq: u64,
+    /// The revision of the records.
+    revision: Revision,
+    /// The state that is acted on.
+    state: Option<&'a FleetState>,
+    schema: &'a Schema,
+}
+
+impl ScopeSubscriptions {
+    /// There is another leader: if any leader ever knew of this front end, its subscriptions are listed at once.
+    pub fn on_new_leader(&mut self, now: Time) {
+        if self.epoch > ResyncEpoch::default() {
+            self.full_list = FullList::Due;
+            self.unanswered = 0;
+            self.schedule_request(now);
+        }
+    }
+
+    /// Its session expired: the fleet may have gone on without it since. It unsubscribes from all scopes, and pending
+    /// requests are not answered by what the leader replied before. Has to be called before another session is used.
+    pub fn on_session_expired(&mut self, now: Time) {
+        let active: Vec<String> = self.active.keys().cloned().collect();
+        self.unsubscribe_all(&active);
+        for pending in self.pending.values_mut() {
+            pending.restart();
+        }
+        if !active.is_empty() || !self.pending.is_empty() {
+            self.changes += 1;
+            self.schedule_request(now);
+        }
+    }
+
+    /// The state that is acted on has a later revision. Has to be called before that revision is acknowledged.
+    pub fn on_state(&mut self, now: Time, state: &FleetState, schema: &Schema) {
+        if state.revision <= self.revision {
+            return;
+        }
+        let before = self.revision;
+        let retained = state.history.from();
+        self.revision = state.revision;
+        self.changes += 1;
+        if state.scopes_since.is_some() && !self.has_scopes() {
+            // No change goes on before every member has declared that it supports scopes.
+            self.has_scopes = true;
+            self.full_list = FullList::Due;
+            self.schedule_request(now);
+        }
+        if before < retained {
+            self.unsubscribe_outdated(now, before, retained);
+        }
+        let changes = state.history.since(before.max(retained));
+        for change in changes.into_iter().flatten() {
+            self.on_change(change, schema);
+        }
+    }
+
+    /// Unsubscribes from the scopes whose changes since their record are not all retained.
+    fn unsubscribe_outdated(&mut self, now: Time, before: Revision, retained: Revision) {
+        let current = self.revision;
+        let outdated: Vec<String> = self
+            .active
+            .iter()
+            .filter(|(_, scope)| {
+                let as_of = scope.valid_from.max(before);
+                as_of < retained && as_of < current
+            })
+            .map(|(name, _)| name.clone())
+            .collect();
+        self.unsubscribe_all(&outdated);
+        if !outdated.is_empty() {
+            self.schedule_request(now);
+        }
+    }
+
+    fn on_change(&mut self, change: &ScopeChange, schema: &Schema) {
+        let active = self
+            .active
+            .get_mut(&change.scope)
+            .filter(|scope| change.revision > scope.valid_from);
+        let pending = self.pending.get_mut(&change.scope);
+        if active.is_none() && pending.is_none() {
+            return;
+        }
+        let conflicting = change.record.strict(schema, &change.scope);
+        if let Some(active) = active {
+            active.record = change.record.clone();
+        }
+        if let Some(pending) = pending {
+            pending.conflicting = conflicting;
+        }
+        if conflicting {
+            self.conflicting_revision = self.conflicting_revision.max(change.revision);
+        }
+    }
+
+    /// Handles a reply. `state`: the state that is acted on.
+    pub fn on_reply(
+        &mut self,
+        now: Time,
+        reply: SubscribeReply,
+        state: Option<&FleetState>,
+        schema: &Schema,
+    ) {
+        if let Some(state) = state {
+            self.on_state(now, state, schema);
+        }
+        if reply.to != self.member || reply.epoch < self.epoch {
+            return;
+        }
+        if reply.epoch > self.epoch {
+            self.begin_epoch(now, reply.epoch);
+            return;
+        }
+        let Some(seq) = reply.seq.filter(|seq| *seq <= self.seq) else {
+            return;
+        };
+        self.on_acknowledged(seq);
+        let context = ReplyContext {
+            now,
+            seq,
+            revision: reply.revision,
+            state,
+            schema,
+        };
+        for (scope, record) in reply.scopes {
+            self.on_record(&context, scope, record.unwrap_or_default());
+        }
+    }
+
+    /// The leader knows nothing of this front end, whatever else its reply contains.
+    fn begin_epoch(&mut self, now: Time, epoch: ResyncEpoch) {
+        self.epoch = epoch;
+        self.full_list = FullList::Due;
+        self.unanswered = 0;
+        self.unsubscribed.clear();
+        for pending in self.pending.values_mut() {
+            pending.restart();
+        }
+        self.schedule_request(now);
+    }
+
+    /// The leader has accepted the request of this number.
+    fn on_acknowledged(&mut self, seq: u64) {
+        self.unanswered = 0;
+        self.unsubscribed
+            .retain(|_, first_request| first_request.is_none_or(|first| first > seq));
+        if matches!(self.full_list, FullList::SentSince(first) if first <= seq) {
+            self.full_list = FullList::Acknowledged;
+        }
+    }
+
+    /// Handles the record of a scope that was requested.
+    fn on_record(&mut self, context: &ReplyContext<'_>, scope: String, record: ScopeRecord) {
+        let Some(pending) = self.pending.get(&scope) else {
+            return;
+        };
+        if pending
+            .first_request
+            .is_none_or(|first| first > context.seq)
+        {
+            return;
+        }
+        let last_call = pending.last_call;
+        let Some((record, valid_from)) = self.current_record(context, &scope, record) else {
+            if let Some(pending) = self.pending.get_mut(&scope) {
+                pending.restart();
+            }
+            self.schedule_request(context.now);
+            return;
+        };
+        if let Some(since) = record.phase.since() {
+            if record.strict(context.schema, &scope) {
+                self.conflicting_revision = self.conflicting_revision.max(since);
+            }
+        }
+        self.pending.remove(&scope);
+        let active = ActiveScope {
+            record,
+            valid_from,
+            last_call,
+        };
+        self.active.insert(scope, active);
+        self.changes += 1;
+    }
+
+    /// A record of a reply with the changes made since, and the revision that it is valid from; none: these are not all
+    /// known.
+    fn current_record(
+        &self,
+        context: &ReplyContext<'_>,
+        scope: &str,
+        record: ScopeRecord,
+    ) -> Option<(ScopeRecord, Revision)> {
+        if context.revision >= self.revision {
+            return Some((record, context.revision));
+        }
+        let state = context.state.filter(|s| s.revision == self.revision)?;
+        let changes = state.history.since(context.revision)?;
+        let last = changes.filter(|change| change.scope == scope).last();
+        let record = last.map_or(record, |change| change.record.clone());
+        Some((record, self.revision))
+    }
+}
