--- a/benches/cost/src/client.rs
+++ b/benches/cost/src/client.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 use tansy_frames::grpc::{frame, Code};
 use tansy_inference::inference as pb;
-use tansy_net_grpc::exchange::{Ending, Exchange, News};
+use tansy_net_grpc::exchange::{Ending, Exchange, ExchangeEvent};
 use tansy_net_grpc::link::{Limits, Link};
 use tansy_net_sockets::Spawner;
 
@@ -118,7 +118,7 @@
         return false;
     };
     loop {
-        if let News::Ended(ending, _) = poll_fn(|cx| exchange.poll(cx)).await {
+        if let ExchangeEvent::Ended(ending, _) = poll_fn(|cx| exchange.poll_event(cx)).await {
             return matches!(ending, Ending::Status(Code::Ok, _));
         }
     }
--- a/benches/cost/src/worker.rs
+++ b/benches/cost/src/worker.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tansy_frames::grpc::{frame, Code};
 use tansy_inference::{inference as pb, names};
-use tansy_net_grpc::server::{head, trailers, Limits, Messages, Server};
+use tansy_net_grpc::server::{response_headers, status_trailers, Limits, RequestMessages, Server};
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::Spawner;
 
@@ -25,9 +25,9 @@
             let (answer, again) = (answer.clone(), tasks.clone());
             tasks.spawn(async move {
                 let (parts, body) = request.into_parts();
-                let mut messages = Messages::new(body, 1 << 22);
+                let mut messages = RequestMessages::new(body, 1 << 22);
                 let mut first = None;
-                let _ = poll_fn(|cx| messages.poll_one(&mut first, cx)).await;
+                let _ = poll_fn(|cx| messages.poll_unary(&mut first, cx)).await;
                 let call = parts.uri.path().ends_with("Infer");
                 if call && silent {
                     return poll_fn(|cx| respond.poll_reset(cx).map(drop)).await;
@@ -35,15 +35,15 @@
                 if call && !delay.is_zero() {
                     again.sleep(delay).await;
                 }
-                let mut map = trailers(Code::Ok, "");
-                map.insert(names::INSTANCE, HeaderValue::from_static("warm"));
-                map.insert(names::INSTANCES, HeaderValue::from_static("1"));
+                let mut map = status_trailers(Code::Ok, "");
+                map.insert(names::CACHE_STATUS, HeaderValue::from_static("warm"));
+                map.insert(names::INSTANCE_COUNT, HeaderValue::from_static("1"));
                 let body = if call {
                     answer
                 } else {
                     frame(&pb::ServerReadyResponse { ready: true }.encode_to_vec())
                 };
-                if let Ok(mut send) = respond.send_response(head(), false) {
+                if let Ok(mut send) = respond.send_response(response_headers(), false) {
                     let _ = send
                         .send_data(body, false)
                         .and_then(|()| send.send_trailers(map));
--- a/benches/state/src/letters.rs
+++ b/benches/state/src/letters.rs
@@ -74,7 +74,7 @@
     let mut stream = Assembler::new(LARGEST);
     stream.push(&frame(letter));
     let whole = stream
-        .take()
+        .next_message()
         .map_err(|e| format!("{e:?}"))?
         .ok_or("the stream ends within it")?;
     read(FLEET, &whole)
--- a/decide/dispatch/benches/decision.rs
+++ b/decide/dispatch/benches/decision.rs
@@ -1,6 +1,6 @@
 //! A decision: an event in, commands out, at 64 workers and 200 functions, warm, with some calls out.
 
-// The macros of the bench library make functions without a word.
+// The macros of the bench library make functions without documentation.
 #![allow(missing_docs)]
 
 mod run;
--- a/decide/dispatch/benches/run/mod.rs
+++ b/decide/dispatch/benches/run/mod.rs
@@ -1,4 +1,4 @@
-//! A ledger without sockets for the benches: calls in, attempts answered, orders carried out at once.
+//! A dispatcher without sockets for the benches: calls in, attempts answered, control requests carried out at once.
 
 use std::collections::VecDeque;
 use tansy_dispatch::{
@@ -7,16 +7,61 @@
 };
 use tansyrouter::{Class, Effect, Settings, Time, SECOND};
 
-/// Of the ledger's clock between two calls, microseconds.
-const APART: i64 = 70;
+/// Between two calls on the dispatcher's clock, microseconds.
+const CALL_INTERVAL: i64 = 70;
 
-/// A ledger, what it has sent, and the counts.
+fn config(functions: usize, lanes: u32, aim: i64) -> DispatchConfig {
+    let class = Class {
+        aim: aim * SECOND,
+        aim_stretch: 0.0,
+        deadline: 5 * aim * SECOND,
+        effect: Effect::Safe,
+        worth: 1.0,
+        late_worth: 0.0,
+        streamed: false,
+    };
+    let function = |n: usize| FunctionSpec {
+        name: format!("function-{n}"),
+        class: 0,
+        lanes,
+        memory_mb: 300.0,
+        load_time: Some(100_000),
+        versions: vec!["1".into()],
+    };
+    DispatchConfig {
+        settings: Settings {
+            classes: vec![class],
+            max_held: 1_000_000,
+            ..Settings::default()
+        },
+        classes: vec!["c".into()],
+        tenants: Vec::new(),
+        zones: vec!["z".into()],
+        functions: (0..functions).map(function).collect(),
+        max_call_time: 10 * aim * SECOND,
+        seed: 1,
+    }
+}
+
+fn worker(n: usize) -> WorkerRecord {
+    WorkerRecord {
+        name: format!("w{n}"),
+        kind: 0,
+        cell: 0,
+        zone: 0,
+        state: 0,
+        age: None,
+        relative_size: 1.0,
+    }
+}
+
+/// A dispatcher, the attempts that are out, and the counts.
 pub struct Run {
     pub front: Dispatcher,
     now: i64,
     pub next: u64,
     functions: usize,
-    out: VecDeque<(CallId, u32)>,
+    attempts: VecDeque<(CallId, u32)>,
     commands: Vec<Command>,
     pub steps: u64,
 }
@@ -24,92 +69,52 @@
 impl Run {
     /// So many functions of so many lanes, workers, and an aim in seconds.
     pub fn new(functions: usize, workers: usize, lanes: u32, aim: i64) -> Run {
-        let class = Class {
-            aim: aim * SECOND,
-            aim_stretch: 0.0,
-            deadline: 5 * aim * SECOND,
-            effect: Effect::Safe,
-            worth: 1.0,
-            late_worth: 0.0,
-            streamed: false,
-        };
-        let function = |n: usize| FunctionSpec {
-            name: format!("function-{n}"),
-            class: 0,
-            lanes,
-            memory_mb: 300.0,
-            load_time: Some(100_000),
-            versions: vec!["1".into()],
-        };
-        let config = DispatchConfig {
-            settings: Settings {
-                classes: vec![class],
-                max_held: 1_000_000,
-                ..Settings::default()
-            },
-            classes: vec!["c".into()],
-            tenants: Vec::new(),
-            zones: vec!["z".into()],
-            functions: (0..functions).map(function).collect(),
-            max_call_time: 10 * aim * SECOND,
-            seed: 1,
-        };
+        let config = config(functions, lanes, aim);
         let mut front = Dispatcher::new(config, Time(0)).expect("settings that make sense");
-        let worker = |n: usize| WorkerRecord {
-            name: format!("w{n}"),
-            kind: 0,
-            cell: 0,
-            zone: 0,
-            state: 0,
-            age: None,
-            relative_size: 1.0,
+        let workers = (0..workers).map(worker).collect();
+        let list = Input::Workers {
+            full: true,
+            workers,
         };
-        let list = (0..workers).map(worker).collect();
-        front.step(
-            Time(0),
-            Input::Workers {
-                full: true,
-                workers: list,
-            },
-            &mut Vec::new(),
-        );
-        let (out, commands) = (VecDeque::new(), Vec::new());
+        front.step(Time(0), list, &mut Vec::new());
         Run {
             front,
             now: 0,
             next: 0,
             functions,
-            out,
-            commands,
+            attempts: VecDeque::new(),
+            commands: Vec::new(),
             steps: 0,
         }
     }
     fn step(&mut self, input: Input) {
         self.steps += 1;
         self.front.step(Time(self.now), input, &mut self.commands);
-        let mut orders = Vec::new();
-        for c in self.commands.drain(..) {
-            match c {
-                Command::SendAttempt { call, attempt, .. } => self.out.push_back((call, attempt)),
-                Command::Load { request: order, .. } | Command::Probe { request: order, .. } => {
-                    orders.push(order)
+        let mut requests = Vec::new();
+        for command in self.commands.drain(..) {
+            match command {
+                Command::SendAttempt { call, attempt, .. } => {
+                    self.attempts.push_back((call, attempt))
+                }
+                Command::Load { request, .. } | Command::Probe { request, .. } => {
+                    requests.push(request)
                 }
                 _ => {}
             }
         }
-        for order in orders {
-            let told = Trailers {
+        for request in requests {
+            let trailers = Trailers {
                 instances: Some(1),
                 ..Trailers::default()
             };
-            let seen = AttemptOutcome::Status {
+            let outcome = AttemptOutcome::Status {
                 code: 0,
                 stage: ResponseStage::Headers,
             };
             self.step(Input::ControlRequestEnded {
-                request: order,
-                outcome: seen,
-                trailers: told,
+                request,
+                outcome,
+                trailers,
             });
         }
     }
@@ -136,27 +141,27 @@
     }
     /// One call in, and the oldest one out is answered, if more than so many are.
     pub fn turn(&mut self, keep: usize) {
-        self.now += APART;
+        self.now += CALL_INTERVAL;
         self.call();
-        let oldest = if self.out.len() > keep {
-            self.out.pop_front()
+        let oldest = if self.attempts.len() > keep {
+            self.attempts.pop_front()
         } else {
             None
         };
         if let Some((call, attempt)) = oldest {
-            let told = Trailers {
+            let trailers = Trailers {
                 cache_status: CacheStatus::Warm,
                 ..Trailers::default()
             };
-            let seen = AttemptOutcome::Status {
+            let outcome = AttemptOutcome::Status {
                 code: 0,
                 stage: ResponseStage::Messages,
             };
             self.step(Input::AttemptEnded {
                 call,
                 attempt,
-                outcome: seen,
-                trailers: told,
+                outcome,
+                trailers,
             });
         }
     }
--- a/decide/dispatch/benches/waiting.rs
+++ b/decide/dispatch/benches/waiting.rs
@@ -1,7 +1,7 @@
 //! A decision while calls wait: an event in, commands out, by calls waiting, functions and workers.
 //!
-//! Prints a table of microseconds an event. Calls come and are answered one for one, every 70 us of the ledger's clock,
-//! so that its sweeps are in the figure; workers have too few lanes for what waits.
+//! Prints a table of microseconds an event. Calls come and are answered one for one, every 70 us of the dispatcher's clock,
+//! so that its regular work is in the figure; workers have too few lanes for what waits.
 
 #![allow(missing_docs)]
 
--- a/decide/dispatch/src/request_table/admission.rs
+++ b/decide/dispatch/src/request_table/admission.rs
@@ -2,6 +2,7 @@
 
 use super::entries::{OpenCall, ResolvedFunction, TimerEvent};
 use super::{Dispatcher, TICK};
+use crate::config::FunctionSpec;
 use crate::message::{Answer, Call, CallId, Command};
 use crate::names::name_hash;
 use tansyrouter::{Arrival, Event, FunctionId, RequestId, Span, Time};
@@ -13,6 +14,22 @@
 /// The least that is: a timer may be a tick late, and its answer has a way to go.
 const MIN_RESERVE: Span = 2 * TICK;
 
+/// An admitted call as the router learns of it.
+fn arrival(call: &Call, spec: &FunctionSpec, class: usize, budget: Span) -> Arrival {
+    Arrival {
+        request: RequestId(call.id.0),
+        function: FunctionId(name_hash(&spec.name)),
+        class,
+        tenant: call.tenant,
+        budget,
+        work_hint: call.work_hint,
+        lanes: spec.lanes,
+        memory_mb: spec.memory_mb,
+        load_time: spec.load_time,
+        repeat: call.repeat,
+    }
+}
+
 impl Dispatcher {
     pub(super) fn on_call(&mut self, call: Call, commands: &mut Vec<Command>) {
         if !self.calls.contains_key(&call.id) {
@@ -67,18 +84,7 @@
             let retry_after = resolved.map_or(0, |_| self.conflict_retry_after());
             return self.refuse_admission(id, class, retry_after, arrived, commands);
         }
-        let arrival = Arrival {
-            request: RequestId(id.0),
-            function: FunctionId(name_hash(&spec.name)),
-            class,
-            tenant: call.tenant,
-            budget,
-            work_hint: call.work_hint,
-            lanes: spec.lanes,
-            memory_mb: spec.memory_mb,
-            load_time: spec.load_time,
-            repeat: call.repeat,
-        };
+        let arrival = arrival(&call, spec, class, budget);
         self.open_call(id, arrival, arrived, commands);
     }
 
--- a/decide/dispatch/src/request_table/attempts.rs
+++ b/decide/dispatch/src/request_table/attempts.rs
@@ -59,14 +59,7 @@
             return;
         };
         let budget = call.deadline.since(self.now);
-        let attempt = call.attempt.insert(Attempt {
-            number,
-            worker,
-            sent: self.now,
-            phase: AttemptPhase::Opening,
-            response_began: false,
-            timer: None,
-        });
+        let attempt = call.attempt.insert(Attempt::new(number, worker, self.now));
         let headers_due = self.now.plus(connect_timeout);
         attempt.set_timeout(
             &mut self.timers,
--- a/decide/dispatch/src/request_table/entries.rs
+++ b/decide/dispatch/src/request_table/entries.rs
@@ -29,6 +29,18 @@
 }
 
 impl Attempt {
+    /// An attempt that is sent now.
+    pub fn new(number: u32, worker: WorkerId, now: Time) -> Attempt {
+        Attempt {
+            number,
+            worker,
+            sent: now,
+            phase: AttemptPhase::Opening,
+            response_began: false,
+            timer: None,
+        }
+    }
+
     /// Replaces the timer of the attempt, which belongs to this call.
     pub fn set_timeout(
         &mut self,
--- a/decide/dispatch/src/request_table/workers.rs
+++ b/decide/dispatch/src/request_table/workers.rs
@@ -42,15 +42,7 @@
             });
         }
         if full {
-            let unnamed: Vec<WorkerId> = self
-                .worker_states
-                .keys()
-                .copied()
-                .filter(|worker| !named.contains(worker))
-                .collect();
-            for worker in unnamed {
-                self.set_worker_state(worker, WorkerState::Gone, commands);
-            }
+            self.remove_unnamed(&named, commands);
         }
         let kind = if full {
             ListKind::Full
@@ -60,6 +52,19 @@
         self.notify_router(Event::Workers { kind, entries }, commands);
     }
 
+    /// Workers that a full list does not name are gone.
+    fn remove_unnamed(&mut self, named: &BTreeSet<WorkerId>, commands: &mut Vec<Command>) {
+        let unnamed: Vec<WorkerId> = self
+            .worker_states
+            .keys()
+            .copied()
+            .filter(|worker| !named.contains(worker))
+            .collect();
+        for worker in unnamed {
+            self.set_worker_state(worker, WorkerState::Gone, commands);
+        }
+    }
+
     /// A worker's start as one moment: its age, read at different times, varies with the way of the list, and a start
     /// that varies would look like a restart.
     fn stable_start(&mut self, worker: WorkerId, at: Time) -> Time {
--- a/net/fleet/src/ask.rs
+++ b/net/fleet/src/ask.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tansy_fleet_wire::{LARGEST, SERVICE};
 use tansy_frames::grpc::{frame, Code};
-use tansy_net_grpc::exchange::{Ending, Exchange, News};
+use tansy_net_grpc::exchange::{Ending, Exchange, ExchangeEvent};
 use tansy_net_grpc::link::Link;
 use tansy_net_sockets::{within, Spawner};
 
@@ -74,19 +74,21 @@
     let mut exchange = exchange.map_err(|_| away("the connection ended"))?;
     let mut answer = None;
     loop {
-        match poll_fn(|cx| exchange.poll(cx)).await {
-            News::Message(message) => answer = Some(message),
-            News::Ended(Ending::Status(Code::Ok, _), _) => {
+        match poll_fn(|cx| exchange.poll_event(cx)).await {
+            ExchangeEvent::Message(message) => answer = Some(message),
+            ExchangeEvent::Ended(Ending::Status(Code::Ok, _), _) => {
                 return answer.ok_or(away("an empty answer"))
             }
-            News::Ended(Ending::Status(code, trailers), _) => {
+            ExchangeEvent::Ended(Ending::Status(code, trailers), _) => {
                 let text = trailers
                     .get("grpc-message")
                     .map_or(&b""[..], |v| v.as_bytes());
                 let text = percent_decode(text).decode_utf8_lossy().into_owned();
                 return Err(Failed::Refused(code, text));
             }
-            News::Ended(ending, _) => return Err(away(&format!("it ended with {ending:?}"))),
+            ExchangeEvent::Ended(ending, _) => {
+                return Err(away(&format!("it ended with {ending:?}")))
+            }
         }
     }
 }
--- a/net/fleet/src/hub.rs
+++ b/net/fleet/src/hub.rs
@@ -295,12 +295,12 @@
         self.ended.set(true);
         if let Some(server) = self.server.borrow_mut().take() {
             server.close();
-            server.cut();
+            server.drop_connections();
         }
         self.ways
             .borrow_mut()
             .drain()
-            .for_each(|(_, w)| w.link.drop_now());
+            .for_each(|(_, w)| w.link.drop_connection());
     }
 
     /// Takes a letter that came another way than by this place's own listener.
--- a/net/fleet/src/serve.rs
+++ b/net/fleet/src/serve.rs
@@ -19,7 +19,9 @@
     Bad, LARGEST, SERVICE,
 };
 use tansy_frames::grpc::Code;
-use tansy_net_grpc::server::{answer as reply, refuse, trailers, Handler, Messages};
+use tansy_net_grpc::server::{
+    respond_trailers_only, respond_unary as reply, status_trailers, RequestHandler, RequestMessages,
+};
 use tansy_net_sockets::within;
 
 /// Time for a request to come in whole.
@@ -29,7 +31,7 @@
 
 type Answer = Result<Vec<u8>, (Code, String)>;
 
-pub(crate) fn handler(peers: Rc<Peers>, fleet: u64) -> Handler {
+pub(crate) fn handler(peers: Rc<Peers>, fleet: u64) -> RequestHandler {
     Rc::new(move |request, respond| {
         let peers = peers.clone();
         let spawner = peers.spawner.clone();
@@ -50,14 +52,14 @@
         .strip_prefix(SERVICE)
         .unwrap_or("")
         .to_string();
-    let mut messages = Messages::new(body, LARGEST);
+    let mut messages = RequestMessages::new(body, LARGEST);
     let mut first = None;
-    let message = poll_fn(|cx| messages.poll_one(&mut first, cx));
+    let message = poll_fn(|cx| messages.poll_unary(&mut first, cx));
     let message = within(peers.spawner.sleep(REQUEST_WITHIN), message).await;
     let Some(Ok(Some(message))) = message else {
-        return refuse(
+        return respond_trailers_only(
             &mut respond,
-            trailers(Code::InvalidArgument, "no message came whole"),
+            status_trailers(Code::InvalidArgument, "no message came whole"),
         );
     };
     let answer = match method.as_str() {
@@ -74,8 +76,8 @@
         )),
     };
     match answer {
-        Ok(bytes) => reply(respond, &bytes, trailers(Code::Ok, "")),
-        Err((code, why)) => refuse(&mut respond, trailers(code, &why)),
+        Ok(bytes) => reply(respond, &bytes, status_trailers(Code::Ok, "")),
+        Err((code, why)) => respond_trailers_only(&mut respond, status_trailers(code, &why)),
     }
 }
 
--- a/net/grpc/src/exchange.rs
+++ b/net/grpc/src/exchange.rs
@@ -1,14 +1,15 @@
-//! One request on a link and its answer: from "asked for" to exactly one [`Ending`].
+//! One request on a link and its answer: from its start to exactly one [`Ending`].
 
 use crate::link::Connection;
 use bytes::Bytes;
 use h2::client::ResponseFuture;
 use h2::{Reason, RecvStream, SendStream};
-use http::{HeaderMap, Request};
+use http::{HeaderMap, Request, Response, StatusCode};
 use std::future::Future;
 use std::pin::Pin;
-use std::task::{Context, Poll};
-use tansy_frames::grpc::{Assembler, Code};
+use std::task::{ready, Context, Poll};
+use tansy_frames::grpc::{Assembler, Code, FrameError};
+use thiserror::Error;
 
 /// How far an answer has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -21,6 +22,32 @@
     Messages,
 }
 
+/// Why what came is no answer.
+#[derive(Clone, Debug, Error)]
+pub enum ResponseError {
+    /// The status of HTTP says so.
+    #[error("HTTP status {0} without a grpc-status")]
+    HttpStatus(StatusCode),
+    /// It is not gRPC.
+    #[error("a content-type other than application/grpc")]
+    ContentType,
+    /// A unary call has one answer.
+    #[error("a second answer to a unary call")]
+    SecondMessage,
+    /// Its bytes are not messages, or one is too long or compressed.
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+    /// The stream ended within a message.
+    #[error("a message cut short by the end of its stream")]
+    Truncated,
+    /// The HTTP/2 library rejected it.
+    #[error("an answer that breaks HTTP/2: {0}")]
+    Protocol(String),
+    /// The reader of the exchange rejected it.
+    #[error("{0}")]
+    Rejected(String),
+}
+
 /// How an exchange ended.
 #[derive(Clone, Debug)]
 pub enum Ending {
@@ -29,28 +56,31 @@
     /// RST_STREAM from the server, with its code.
     Reset(u32),
     /// The connection ended.
-    Cut,
+    ConnectionCut,
     /// A GOAWAY named a last stream below this one.
     GoawayBelow,
     /// Its HEADERS never left.
     NeverLeft,
     /// It ended without trailers.
     NoTrailers,
-    /// What came is not gRPC, too long, compressed, or a second answer to a unary call.
-    Bad(String),
-    /// Withdrawn by us, and the RST_STREAM has left or the connection has ended.
-    Withdrawn,
+    /// What came is no answer.
+    InvalidResponse(ResponseError),
+    /// Cancelled by us, and the RST_STREAM has left or the connection has ended.
+    Cancelled,
 }
 
-/// What an exchange has to tell.
+/// What happens to an exchange.
 #[derive(Debug)]
-pub enum News {
+pub enum ExchangeEvent {
     /// A message came.
     Message(Bytes),
     /// It has ended; nothing follows.
     Ended(Ending, Progress),
 }
 
+/// The answer's next event; an error is an answer that is none, to be closed by us.
+type AnswerEvent = Result<ExchangeEvent, ResponseError>;
+
 /// One request and its answer.
 pub struct Exchange {
     connection: Connection,
@@ -61,7 +91,8 @@
     assembler: Assembler,
     unary: bool,
     progress: Progress,
-    unread: usize,
+    /// Bytes that were read and whose room the server has not got back.
+    unreleased: usize,
     data_done: bool,
     closing: Option<Ending>,
     reset_sent: bool,
@@ -79,10 +110,10 @@
     ) -> Result<Exchange, h2::Error> {
         let (response, mut send) = connection.send.send_request(request, false)?;
         let stream = send.stream_id().as_u32();
-        connection.wire.borrow_mut().follow(stream);
+        connection.traffic.borrow_mut().track(stream);
         // Queued whole: a message is bounded where it came in, and it is shared, not copied.
         let queued = send.send_data(body, true);
-        let closing = queued.err().map(|_| Ending::Cut);
+        let closing = queued.err().map(|_| Ending::ConnectionCut);
         Ok(Exchange {
             connection,
             stream,
@@ -92,7 +123,7 @@
             assembler: Assembler::new(limit),
             unary,
             progress: Progress::Nothing,
-            unread: 0,
+            unreleased: 0,
             data_done: false,
             closing,
             reset_sent: false,
@@ -101,22 +132,22 @@
     }
 
     /// Whether its HEADERS have left.
-    pub fn left(&self) -> bool {
+    pub fn headers_sent(&self) -> bool {
         self.connection
-            .wire
+            .traffic
             .borrow()
-            .peek(self.stream)
-            .is_some_and(|m| m.headers_out)
+            .stream(self.stream)
+            .is_some_and(|stream| stream.headers_sent)
     }
 
-    /// Withdraws it: RST_STREAM with CANCEL once its HEADERS have left.
-    pub fn withdraw(&mut self) {
-        self.close(Ending::Withdrawn);
+    /// Cancels it: RST_STREAM with CANCEL once its HEADERS have left.
+    pub fn cancel(&mut self) {
+        self.close(Ending::Cancelled);
     }
 
     /// Closes it because what came is no answer.
-    pub fn reject(&mut self, why: String) {
-        self.close(Ending::Bad(why));
+    pub fn reject(&mut self, reason: String) {
+        self.close(Ending::InvalidResponse(ResponseError::Rejected(reason)));
     }
 
     fn close(&mut self, ending: Ending) {
@@ -126,167 +157,173 @@
     }
 
     /// Lets the server send as much again as was read: the reader has room.
-    pub fn release(&mut self) {
+    pub fn release_capacity(&mut self) {
         if let Some(body) = &mut self.body {
             // Fails only on more than was read.
             let _ = body
                 .flow_control()
-                .release_capacity(std::mem::take(&mut self.unread));
+                .release_capacity(std::mem::take(&mut self.unreleased));
         }
     }
 
-    /// The next news. After `Ended` there is none.
-    pub fn poll(&mut self, cx: &mut Context<'_>) -> Poll<News> {
+    /// The next event. After `Ended` there is none.
+    pub fn poll_event(&mut self, cx: &mut Context<'_>) -> Poll<ExchangeEvent> {
         if self.ended {
             return Poll::Pending;
         }
         if self.closing.is_some() {
-            let (headers_out, closed, cut) = {
-                let mut wire = self.connection.wire.borrow_mut();
-                let cut = wire.cut;
-                match wire.marks(self.stream, cx) {
-                    Some(m) => (m.headers_out, m.reset_out || m.end_in && m.end_out, cut),
-                    None => (true, true, cut),
-                }
-            };
-            if headers_out && !self.reset_sent {
-                self.reset_sent = true;
-                self.send.send_reset(Reason::CANCEL);
-            }
-            if !(cut || headers_out && closed) {
-                return Poll::Pending;
-            }
-            let ending = self
-                .closing
-                .take()
-                .filter(|_| headers_out)
-                .unwrap_or(Ending::NeverLeft);
-            return self.end(ending);
+            return self.poll_closing(cx);
         }
-        match self.poll_answer(cx) {
-            Poll::Ready(Ok(News::Ended(ending, _))) => self.end(ending),
-            Poll::Ready(Ok(news)) => Poll::Ready(news),
-            Poll::Ready(Err(bad)) => {
-                self.close(Ending::Bad(bad));
-                self.poll(cx)
+        match ready!(self.poll_answer(cx)) {
+            Ok(ExchangeEvent::Ended(ending, _)) => Poll::Ready(self.end(ending)),
+            Ok(event) => Poll::Ready(event),
+            Err(error) => {
+                self.close(Ending::InvalidResponse(error));
+                self.poll_event(cx)
             }
-            Poll::Pending => Poll::Pending,
         }
     }
 
-    fn end(&mut self, ending: Ending) -> Poll<News> {
+    /// Ready once nothing of it can still leave: its reset has left, both sides have ended, or the connection has.
+    fn poll_closing(&mut self, cx: &mut Context<'_>) -> Poll<ExchangeEvent> {
+        let mut traffic = self.connection.traffic.borrow_mut();
+        let cut = traffic.ended;
+        let (headers_sent, closed) = match traffic.watch_stream(self.stream, cx) {
+            Some(stream) => (stream.headers_sent, stream.is_closed()),
+            None => (true, true),
+        };
+        drop(traffic);
+        if headers_sent && !self.reset_sent {
+            self.reset_sent = true;
+            self.send.send_reset(Reason::CANCEL);
+        }
+        if !(cut || headers_sent && closed) {
+            return Poll::Pending;
+        }
+        let ending = self.closing.take().filter(|_| headers_sent);
+        Poll::Ready(self.end(ending.unwrap_or(Ending::NeverLeft)))
+    }
+
+    fn end(&mut self, ending: Ending) -> ExchangeEvent {
         self.ended = true;
-        Poll::Ready(News::Ended(ending, self.progress))
+        ExchangeEvent::Ended(ending, self.progress)
     }
 
-    /// The answer's news; an error is an answer that is none, to be closed by us.
-    fn poll_answer(&mut self, cx: &mut Context<'_>) -> Poll<Result<News, String>> {
+    fn poll_answer(&mut self, cx: &mut Context<'_>) -> Poll<AnswerEvent> {
         if let Some(response) = &mut self.response {
-            let response = match Pin::new(response).poll(cx) {
-                Poll::Pending => return Poll::Pending,
-                Poll::Ready(Err(e)) => return Poll::Ready(self.broken(&e)),
-                Poll::Ready(Ok(r)) => r,
+            let response = ready!(Pin::new(response).poll(cx));
+            let event = match response {
+                Ok(response) => self.on_response_head(response),
+                Err(error) => Some(self.on_error(&error)),
             };
-            self.response = None;
-            let (head, body) = response.into_parts();
-            let ends = body.is_end_stream();
-            self.body = Some(body);
-            if ends && head.headers.contains_key("grpc-status") {
-                return Poll::Ready(Ok(News::Ended(status(head.headers), self.progress)));
-            }
-            if head.status != http::StatusCode::OK {
-                return Poll::Ready(Err(format!(
-                    "HTTP status {} without a grpc-status",
-                    head.status
-                )));
-            }
-            let kind = head
-                .headers
-                .get(http::header::CONTENT_TYPE)
-                .map(|v| v.as_bytes());
-            if !kind.is_some_and(|k| k.starts_with(b"application/grpc")) {
-                return Poll::Ready(Err("a content-type other than application/grpc".into()));
+            if let Some(event) = event {
+                return Poll::Ready(event);
             }
-            self.progress = Progress::Headers;
         }
+        self.poll_body(cx)
+    }
+
+    /// Takes the head of the response; an event if it is all of the answer, or none.
+    fn on_response_head(&mut self, response: Response<RecvStream>) -> Option<AnswerEvent> {
+        self.response = None;
+        let (head, body) = response.into_parts();
+        let ends = body.is_end_stream();
+        self.body = Some(body);
+        if ends && head.headers.contains_key("grpc-status") {
+            return Some(Ok(self.ended_by(status(head.headers))));
+        }
+        if head.status != StatusCode::OK {
+            return Some(Err(ResponseError::HttpStatus(head.status)));
+        }
+        let content_type = head.headers.get(http::header::CONTENT_TYPE);
+        if !content_type.is_some_and(|v| v.as_bytes().starts_with(b"application/grpc")) {
+            return Some(Err(ResponseError::ContentType));
+        }
+        self.progress = Progress::Headers;
+        None
+    }
+
+    fn poll_body(&mut self, cx: &mut Context<'_>) -> Poll<AnswerEvent> {
         loop {
-            match self.assembler.take() {
+            match self.assembler.next_message() {
                 Ok(Some(_)) if self.unary && self.progress == Progress::Messages => {
-                    return Poll::Ready(Err("a second answer to a unary call".into()));
+                    return Poll::Ready(Err(ResponseError::SecondMessage));
                 }
                 Ok(Some(message)) => {
                     self.progress = Progress::Messages;
-                    return Poll::Ready(Ok(News::Message(message)));
+                    return Poll::Ready(Ok(ExchangeEvent::Message(message)));
                 }
                 Ok(None) => {}
-                Err(bad) => return Poll::Ready(Err(bad.to_string())),
+                Err(error) => return Poll::Ready(Err(error.into())),
             }
             let Some(body) = &mut self.body else {
                 return Poll::Pending;
             };
             if self.data_done {
-                return match body.poll_trailers(cx) {
-                    Poll::Pending => Poll::Pending,
-                    Poll::Ready(Err(e)) => Poll::Ready(self.broken(&e)),
-                    Poll::Ready(Ok(_)) if !self.assembler.is_empty() => {
-                        Poll::Ready(Err("a message cut short by the end of its stream".into()))
-                    }
-                    Poll::Ready(Ok(Some(trailers))) if trailers.contains_key("grpc-status") => {
-                        Poll::Ready(Ok(News::Ended(status(trailers), self.progress)))
-                    }
-                    Poll::Ready(Ok(_)) => {
-                        Poll::Ready(Ok(News::Ended(Ending::NoTrailers, self.progress)))
-                    }
-                };
+                let trailers = ready!(body.poll_trailers(cx));
+                return Poll::Ready(self.on_trailers(trailers));
             }
-            match body.poll_data(cx) {
-                Poll::Pending => return Poll::Pending,
-                Poll::Ready(None) => self.data_done = true,
-                Poll::Ready(Some(Err(e))) => return Poll::Ready(self.broken(&e)),
-                Poll::Ready(Some(Ok(bytes))) => {
-                    self.unread += bytes.len();
-                    self.assembler.push(&bytes);
-                    // A message longer than the window must be able to grow to its limit.
-                    if self.unary || self.unread > 0 && !self.whole() {
-                        self.release();
-                    }
-                }
+            match ready!(body.poll_data(cx)) {
+                None => self.data_done = true,
+                Some(Err(error)) => return Poll::Ready(self.on_error(&error)),
+                Some(Ok(bytes)) => self.on_data(&bytes),
             }
         }
     }
 
-    /// Whether a whole message is at hand.
-    fn whole(&self) -> bool {
-        self.assembler.ready()
+    fn on_data(&mut self, bytes: &[u8]) {
+        self.unreleased += bytes.len();
+        self.assembler.push(bytes);
+        // A message longer than the window must be able to grow to its limit.
+        if self.unary || self.unreleased > 0 && !self.assembler.has_message() {
+            self.release_capacity();
+        }
+    }
+
+    fn on_trailers(&self, trailers: Result<Option<HeaderMap>, h2::Error>) -> AnswerEvent {
+        match trailers {
+            Err(error) => self.on_error(&error),
+            Ok(_) if !self.assembler.is_empty() => Err(ResponseError::Truncated),
+            Ok(Some(trailers)) if trailers.contains_key("grpc-status") => {
+                Ok(self.ended_by(status(trailers)))
+            }
+            Ok(_) => Ok(self.ended_by(Ending::NoTrailers)),
+        }
     }
 
-    fn broken(&self, e: &h2::Error) -> Result<News, String> {
-        let wire = self.connection.wire.borrow();
-        let left = wire.peek(self.stream).is_some_and(|m| m.headers_out);
-        let ending = if wire.goaway.is_some_and(|last| self.stream > last) {
+    /// The end of the answer by an error of the HTTP/2 library, told apart by what has passed on the connection.
+    fn on_error(&self, error: &h2::Error) -> AnswerEvent {
+        let traffic = self.connection.traffic.borrow();
+        let stream = traffic.stream(self.stream);
+        let headers_sent = stream.is_some_and(|stream| stream.headers_sent);
+        let ending = if traffic.goaway.is_some_and(|last| self.stream > last) {
             Ending::GoawayBelow
-        } else if !left {
+        } else if !headers_sent {
             Ending::NeverLeft
-        } else if e.is_reset() && e.is_remote() {
-            Ending::Reset(e.reason().map_or(2, u32::from))
-        } else if e.is_reset() {
-            return Err(format!("an answer that breaks HTTP/2: {e}"));
+        } else if error.is_reset() && error.is_remote() {
+            Ending::Reset(error.reason().map_or(2, u32::from))
+        } else if error.is_reset() {
+            return Err(ResponseError::Protocol(error.to_string()));
         } else {
-            Ending::Cut
+            Ending::ConnectionCut
         };
-        Ok(News::Ended(ending, self.progress))
+        Ok(self.ended_by(ending))
+    }
+
+    fn ended_by(&self, ending: Ending) -> ExchangeEvent {
+        ExchangeEvent::Ended(ending, self.progress)
     }
 }
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        self.connection.wire.borrow_mut().leave(self.stream);
+        self.connection.traffic.borrow_mut().untrack(self.stream);
     }
 }
 
 fn status(headers: HeaderMap) -> Ending {
     let code = headers
         .get("grpc-status")
-        .map_or(Code::Unknown, |v| Code::read(v.as_bytes()));
+        .map_or(Code::Unknown, |v| Code::parse(v.as_bytes()));
     Ending::Status(code, headers)
 }
--- a/net/grpc/src/link.rs
+++ b/net/grpc/src/link.rs
@@ -1,15 +1,16 @@
 //! A link to one server: one connection, made when it is first needed and made anew after it ended.
 
-use crate::io::{ends, Wire};
+use crate::io::{split, BufferedSocket, Flusher};
+use crate::traffic::ConnectionTraffic;
 use bytes::Bytes;
-use h2::client::SendRequest;
+use h2::client::{Connection as HttpConnection, SendRequest};
 use std::cell::RefCell;
-use std::future::Future;
+use std::future::{poll_fn, Future};
 use std::io;
 use std::net::SocketAddr;
 use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll, Waker};
+use std::task::{ready, Context, Poll, Waker};
 use std::time::Duration;
 use tansy_net_sockets::socket::Socket;
 use tansy_net_sockets::{Spawner, Yield};
@@ -32,38 +33,43 @@
     }
 }
 
-/// Withdrawn streams that are remembered on one connection ...
-const REMEMBERED: usize = 10_000;
+/// The largest window of HTTP/2.
+const MAX_WINDOW: u32 = (1 << 31) - 1;
+/// Cancelled streams that are remembered on one connection ...
+const MAX_RESET_STREAMS: usize = 10_000;
 /// ... and for how long.
-const REMEMBERED_FOR: Duration = Duration::from_secs(30);
+const RESET_STREAM_MEMORY: Duration = Duration::from_secs(30);
 
-/// A connection that stands.
+/// An established connection.
 #[derive(Clone)]
 pub struct Connection {
     /// Opens streams.
     pub send: SendRequest<Bytes>,
     /// What has passed on it.
-    pub wire: Rc<RefCell<Wire>>,
+    pub traffic: Rc<RefCell<ConnectionTraffic>>,
 }
 
 /// Why there is no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoConnection {
+pub enum ConnectError {
     /// Refused, unreachable, or ended in the handshake.
     Refused,
     /// Given up by us.
-    GivenUp,
+    Abandoned,
 }
 
-enum State {
+enum LinkState {
     Idle,
     Connecting {
         waiting: Vec<Waker>,
         attempt: u64,
     },
-    Up(Connection),
-    /// The last try's end, for those that waited for it.
-    Failed(NoConnection, u64),
+    Connected(Connection),
+    /// The end of the last try, for those that waited for it.
+    Failed {
+        error: ConnectError,
+        attempt: u64,
+    },
 }
 
 /// A link to one server.
@@ -71,7 +77,7 @@
     spawner: Spawner,
     address: SocketAddr,
     limits: Limits,
-    state: RefCell<State>,
+    state: RefCell<LinkState>,
     tries: RefCell<u64>,
 }
 
@@ -82,55 +88,60 @@
             spawner,
             address,
             limits,
-            state: RefCell::new(State::Idle),
+            state: RefCell::new(LinkState::Idle),
             tries: RefCell::new(0),
         })
     }
 
-    /// Where it leads.
+    /// The address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
     /// The connection, made first if there is none that takes streams.
-    pub fn connection(self: &Rc<Self>) -> Connected {
-        let attempt = self.ensure();
-        Connected {
+    pub fn connection(self: &Rc<Self>) -> Connecting {
+        let attempt = self.ensure_connecting();
+        Connecting {
             link: self.clone(),
             attempt,
         }
     }
 
     /// Ends the connection at once: nothing more leaves on it; a try to connect is given up.
-    pub fn drop_now(&self) {
+    pub fn drop_connection(&self) {
         let mut state = self.state.borrow_mut();
         match &mut *state {
-            State::Up(c) => {
-                c.wire.borrow_mut().abort();
-                *state = State::Idle;
+            LinkState::Connected(connection) => {
+                connection.traffic.borrow_mut().abort();
+                *state = LinkState::Idle;
             }
-            State::Connecting { waiting, attempt } => {
-                let (waiting, attempt) = (std::mem::take(waiting), *attempt);
-                *state = State::Failed(NoConnection::GivenUp, attempt);
+            LinkState::Connecting { waiting, attempt } => {
+                let waiting = std::mem::take(waiting);
+                *state = LinkState::Failed {
+                    error: ConnectError::Abandoned,
+                    attempt: *attempt,
+                };
                 waiting.into_iter().for_each(Waker::wake);
             }
-            State::Idle | State::Failed(..) => {}
+            LinkState::Idle | LinkState::Failed { .. } => {}
         }
     }
 
     /// Lets go of the connection: it closes once nothing is open on it.
     pub fn retire(&self) {
         let mut state = self.state.borrow_mut();
-        if matches!(*state, State::Up(_)) {
-            *state = State::Idle;
+        if matches!(*state, LinkState::Connected(_)) {
+            *state = LinkState::Idle;
         }
     }
 
-    fn ensure(self: &Rc<Self>) -> u64 {
+    fn ensure_connecting(self: &Rc<Self>) -> u64 {
         let mut state = self.state.borrow_mut();
         match &*state {
-            State::Up(c) if usable(c) => return *self.tries.borrow(),
-            State::Connecting { attempt, .. } => return *attempt,
+            LinkState::Connected(connection) if is_usable(connection) => {
+                return *self.tries.borrow()
+            }
+            LinkState::Connecting { attempt, .. } => return *attempt,
             _ => {}
         }
         let attempt = {
@@ -138,63 +149,72 @@
             *tries += 1;
             *tries
         };
-        *state = State::Connecting {
+        *state = LinkState::Connecting {
             waiting: Vec::new(),
             attempt,
         };
         let link = self.clone();
         self.spawner.spawn(async move {
             let made = link.connect().await;
-            let mut driver = None;
-            {
-                let mut state = link.state.borrow_mut();
-                let State::Connecting {
-                    waiting,
-                    attempt: current,
-                    ..
-                } = &mut *state
-                else {
-                    return;
-                };
-                if *current != attempt {
-                    return;
-                }
-                let waiting = std::mem::take(waiting);
-                *state = match made {
-                    Ok((connection, drive)) => {
-                        driver = Some(drive);
-                        State::Up(connection)
-                    }
-                    Err(_) => State::Failed(NoConnection::Refused, attempt),
-                };
-                waiting.into_iter().for_each(Waker::wake);
-            }
-            if let Some(drive) = driver {
-                drive.await;
+            if let Some(driver) = link.on_connected(attempt, made) {
+                driver.run().await;
             }
         });
         attempt
     }
 
-    async fn connect(&self) -> io::Result<(Connection, impl Future<Output = ()>)> {
+    /// A try to connect has ended; gives the driver of the connection, unless the try was abandoned meanwhile.
+    fn on_connected(
+        &self,
+        attempt: u64,
+        made: io::Result<(Connection, ConnectionDriver)>,
+    ) -> Option<ConnectionDriver> {
+        let mut state = self.state.borrow_mut();
+        let LinkState::Connecting {
+            waiting,
+            attempt: current,
+        } = &mut *state
+        else {
+            return None;
+        };
+        if *current != attempt {
+            return None;
+        }
+        let waiting = std::mem::take(waiting);
+        let driver = match made {
+            Ok((connection, driver)) => {
+                *state = LinkState::Connected(connection);
+                Some(driver)
+            }
+            Err(_) => {
+                let error = ConnectError::Refused;
+                *state = LinkState::Failed { error, attempt };
+                None
+            }
+        };
+        waiting.into_iter().for_each(Waker::wake);
+        driver
+    }
+
+    async fn connect(&self) -> io::Result<(Connection, ConnectionDriver)> {
         let socket = Socket::connect(self.spawner.handle(), self.address)?;
-        std::future::poll_fn(|cx| socket.poll_connected(cx)).await?;
-        let wire = Rc::new(RefCell::new(Wire::default()));
-        let (io, flusher) = ends(socket, Some(wire.clone()));
+        poll_fn(|cx| socket.poll_connected(cx)).await?;
+        let traffic = Rc::new(RefCell::new(ConnectionTraffic::default()));
+        let (socket, flusher) = split(socket, Some(traffic.clone()));
         let handshake = h2::client::Builder::new()
             .initial_window_size(self.limits.stream_window)
             // Streams are bounded one by one; a slow one must not take the connection's window from the others.
-            .initial_connection_window_size((1 << 31) - 1)
+            .initial_connection_window_size(MAX_WINDOW)
             .max_header_list_size(self.limits.header_bytes)
             .enable_push(false)
-            // Of withdrawn streams the answers may still be under way. What the library no longer remembers it takes for
+            // Of cancelled streams the answers may still be under way. What the library no longer remembers it takes for
             // a fault of the server, and after enough of them it would end the connection with all that is open on it.
-            .max_concurrent_reset_streams(REMEMBERED)
-            .reset_stream_duration(REMEMBERED_FOR)
+            .max_concurrent_reset_streams(MAX_RESET_STREAMS)
+            .reset_stream_duration(RESET_STREAM_MEMORY)
             .max_local_error_reset_streams(None)
-            .handshake::<_, Bytes>(io);
+            .handshake::<_, Bytes>(socket);
         let mut handshake = std::pin::pin!(handshake);
-        let (send, mut connection) = std::future::poll_fn(|cx| {
+        let (send, connection) = poll_fn(|cx| {
             let made = handshake.as_mut().poll(cx);
             // What does not leave at once leaves with the driver's first turn.
             let _ = flusher.poll_flush(cx);
@@ -202,49 +222,69 @@
         })
         .await
         .map_err(io::Error::other)?;
-        let watch = wire.clone();
+        let driver = ConnectionDriver {
+            connection,
+            flusher,
+            traffic: traffic.clone(),
+        };
+        Ok((Connection { send, traffic }, driver))
+    }
+}
+
+/// Drives one connection to its end.
+struct ConnectionDriver {
+    connection: HttpConnection<BufferedSocket, Bytes>,
+    flusher: Flusher,
+    traffic: Rc<RefCell<ConnectionTraffic>>,
+}
+
+impl ConnectionDriver {
+    async fn run(self) {
+        let ConnectionDriver {
+            mut connection,
+            flusher,
+            traffic,
+        } = self;
         let mut others = Yield::new();
-        let drive = async move {
-            let ended = std::future::poll_fn(|cx| {
-                std::task::ready!(others.poll(cx));
-                watch.borrow_mut().drive(cx);
-                if watch.borrow().abort {
-                    return Poll::Ready(Ok(()));
-                }
-                let ended = Pin::new(&mut connection).poll(cx).map_err(io::Error::other);
-                match flusher.poll_flush(cx) {
-                    Poll::Ready(Err(e)) if ended.is_pending() => Poll::Ready(Err(e)),
-                    _ => ended,
-                }
-            });
-            if let Err(e) = ended.await {
-                tracing::debug!(error = %e, "a worker's connection ended");
+        let ended = poll_fn(|cx| {
+            ready!(others.poll(cx));
+            traffic.borrow_mut().set_driver(cx);
+            if traffic.borrow().aborted {
+                return Poll::Ready(Ok(()));
             }
-            // The socket goes first: from here on nothing can leave.
-            drop((connection, flusher));
-            watch.borrow_mut().end();
-        };
-        Ok((Connection { send, wire }, drive))
+            let ended = Pin::new(&mut connection).poll(cx).map_err(io::Error::other);
+            match flusher.poll_flush(cx) {
+                Poll::Ready(Err(error)) if ended.is_pending() => Poll::Ready(Err(error)),
+                _ => ended,
+            }
+        });
+        if let Err(error) = ended.await {
+            tracing::debug!(%error, "a worker's connection ended");
+        }
+        // The socket goes first: from here on nothing can leave.
+        drop((connection, flusher));
+        traffic.borrow_mut().on_end();
     }
 }
 
-fn usable(c: &Connection) -> bool {
-    let w = c.wire.borrow();
-    !w.cut && !w.abort && w.goaway.is_none()
+/// Whether a connection takes new streams.
+fn is_usable(connection: &Connection) -> bool {
+    let traffic = connection.traffic.borrow();
+    !traffic.ended && !traffic.aborted && traffic.goaway.is_none()
 }
 
 /// Waits for a link's connection.
-pub struct Connected {
+pub struct Connecting {
     link: Rc<Link>,
     attempt: u64,
 }
 
-impl Future for Connected {
-    type Output = Result<Connection, NoConnection>;
+impl Future for Connecting {
+    type Output = Result<Connection, ConnectError>;
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
         match &mut *self.link.state.borrow_mut() {
-            State::Up(c) => Poll::Ready(Ok(c.clone())),
-            State::Connecting {
+            LinkState::Connected(connection) => Poll::Ready(Ok(connection.clone())),
+            LinkState::Connecting {
                 waiting, attempt, ..
             } if *attempt == self.attempt => {
                 if !waiting.iter().any(|w| w.will_wake(cx.waker())) {
@@ -252,9 +292,11 @@
                 }
                 Poll::Pending
             }
-            State::Failed(why, attempt) if *attempt == self.attempt => Poll::Ready(Err(*why)),
-            // A later try runs: this one's end is past.
-            _ => Poll::Ready(Err(NoConnection::GivenUp)),
+            LinkState::Failed { error, attempt } if *attempt == self.attempt => {
+                Poll::Ready(Err(*error))
+            }
+            // A later try is under way: the end of this one is past.
+            _ => Poll::Ready(Err(ConnectError::Abandoned)),
         }
     }
 }
--- a/net/inference/src/answers.rs
+++ b/net/inference/src/answers.rs
@@ -1,13 +1,13 @@
-//! The ledger's final answers in gRPC's terms.
+//! The dispatcher's final answers in gRPC's terms.
 
-use crate::trailers::BINARY;
+use crate::trailers::{forwarded_trailers, BINARY};
 use base64::Engine as _;
 use http::{HeaderMap, HeaderValue};
 use prost::Message;
 use tansy_dispatch::{Answer, FailureReason};
 use tansy_frames::grpc::Code;
 use tansy_inference::names;
-use tansy_net_grpc::server::trailers;
+use tansy_net_grpc::server::status_trailers;
 
 /// `google.rpc.Status`.
 #[derive(Clone, PartialEq, Message)]
@@ -46,13 +46,13 @@
 }
 
 /// A span in whole milliseconds, rounded up: earlier would be too early.
-pub fn millis(span: i64) -> i64 {
+fn millis(span: i64) -> i64 {
     span.max(0).saturating_add(999) / 1000
 }
 
-/// What a failure says, and its code.
-pub fn failure(why: FailureReason) -> (Code, &'static str) {
-    match why {
+/// The code of a failure, and its text.
+fn failure(reason: FailureReason) -> (Code, &'static str) {
+    match reason {
         FailureReason::Deadline => (
             Code::DeadlineExceeded,
             "failed: no answer within the call's time; it may have run",
@@ -72,134 +72,110 @@
     }
 }
 
-/// What a refusal says.
+/// The text of a refusal.
 pub const REFUSAL: &str =
     "refused: no worker could take the call in its time; it did not run, or a repeat is harmless";
 
-/// The trailers of a unary call's final answer; of `Served` and `Passed` the worker's own.
-pub fn unary(answer: Answer, model: &str, worker: Option<&HeaderMap>) -> HeaderMap {
+/// The trailers of a unary call's final answer; of `Served` and `WorkerStatus` the worker's own.
+pub fn unary_trailers(answer: Answer, model: &str, worker: Option<&HeaderMap>) -> HeaderMap {
     match answer {
         Answer::Served | Answer::WorkerStatus => worker
-            .map(crate::trailers::answer)
-            .unwrap_or_else(|| trailers(Code::Ok, "")),
-        Answer::Refused {
-            retry_after: stay_away,
-        } => {
-            let mut map = trailers(Code::Unavailable, REFUSAL);
-            map.insert(names::PUSHBACK, HeaderValue::from(millis(stay_away)));
-            let delay = Duration {
-                seconds: stay_away / 1_000_000,
-                nanos: (stay_away % 1_000_000) as i32 * 1000,
-            };
-            let detail = Any {
-                type_url: "type.googleapis.com/google.rpc.RetryInfo".into(),
-                value: RetryInfo {
-                    retry_delay: Some(delay),
-                }
-                .encode_to_vec(),
-            };
-            let code = i32::from(Code::Unavailable.number());
-            let status = Status {
-                code,
-                message: REFUSAL.into(),
-                details: vec![detail],
-            };
-            if let Ok(value) = HeaderValue::from_str(&BINARY.encode(status.encode_to_vec())) {
-                map.insert("grpc-status-details-bin", value);
-            }
-            map
-        }
-        Answer::Failed(why) => {
-            let (code, text) = failure(why);
-            let mut map = trailers(code, text);
-            map.insert(names::PUSHBACK, HeaderValue::from(-1));
-            map
+            .map(forwarded_trailers)
+            .unwrap_or_else(|| status_trailers(Code::Ok, "")),
+        Answer::Refused { retry_after } => refusal_trailers(retry_after),
+        Answer::Failed(reason) => {
+            let (code, text) = failure(reason);
+            no_retry_trailers(code, text)
         }
         Answer::UnknownFunction => {
-            let mut map = trailers(
-                Code::NotFound,
-                &format!("no function {model:?} in the settings"),
-            );
-            map.insert(names::PUSHBACK, HeaderValue::from(-1));
-            map
+            let text = format!("no function {model:?} in the settings");
+            no_retry_trailers(Code::NotFound, &text)
         }
     }
 }
 
-/// The text of a streamed call's refusal or failure, with its advice in milliseconds; none: it was served.
-pub fn streamed(
+/// A status, and the advice not to try again.
+fn no_retry_trailers(code: Code, text: &str) -> HeaderMap {
+    let mut map = status_trailers(code, text);
+    map.insert(names::RETRY_PUSHBACK, HeaderValue::from(-1));
+    map
+}
+
+/// A refusal with its advice in both forms: the pushback of gRPC's retries, and `google.rpc.RetryInfo`.
+fn refusal_trailers(retry_after: i64) -> HeaderMap {
+    let mut map = status_trailers(Code::Unavailable, REFUSAL);
+    map.insert(
+        names::RETRY_PUSHBACK,
+        HeaderValue::from(millis(retry_after)),
+    );
+    let delay = Duration {
+        seconds: retry_after / 1_000_000,
+        nanos: (retry_after % 1_000_000) as i32 * 1000,
+    };
+    let info = RetryInfo {
+        retry_delay: Some(delay),
+    };
+    let detail = Any {
+        type_url: "type.googleapis.com/google.rpc.RetryInfo".into(),
+        value: info.encode_to_vec(),
+    };
+    let status = Status {
+        code: i32::from(Code::Unavailable.number()),
+        message: REFUSAL.into(),
+        details: vec![detail],
+    };
+    if let Ok(value) = HeaderValue::from_str(&BINARY.encode(status.encode_to_vec())) {
+        map.insert("grpc-status-details-bin", value);
+    }
+    map
+}
+
+/// A refusal or failure within a stream.
+pub struct StreamError {
+    /// Its text.
+    pub text: String,
+    /// The advice, if there is one.
+    pub retry_after_ms: Option<i64>,
+}
+
+impl StreamError {
+    fn failed(text: String) -> StreamError {
+        StreamError {
+            text,
+            retry_after_ms: None,
+        }
+    }
+}
+
+/// The refusal or failure of a streamed call; `None`: it was served.
+pub fn stream_error(
     answer: Answer,
     model: &str,
     worker: Option<&HeaderMap>,
-) -> Option<(String, Option<i64>)> {
+) -> Option<StreamError> {
     match answer {
         Answer::Served => None,
         Answer::WorkerStatus => {
             let text = |key: &str| {
-                worker
-                    .and_then(|m| m.get(key))
-                    .and_then(|v| v.to_str().ok())
-                    .unwrap_or("")
+                let value = worker.and_then(|trailers| trailers.get(key));
+                value.and_then(|v| v.to_str().ok()).unwrap_or("")
             };
-            let (code, message) = (text("grpc-status"), text("grpc-message"));
-            Some((
-                format!("failed: the function answered status {code}: {message}"),
-                None,
-            ))
+            let code = text("grpc-status");
+            let message = text("grpc-message");
+            Some(StreamError::failed(format!(
+                "failed: the function answered status {code}: {message}"
+            )))
         }
-        Answer::Refused {
-            retry_after: stay_away,
-        } => Some((REFUSAL.into(), Some(millis(stay_away)))),
-        Answer::Failed(why) => Some((failure(why).1.into(), None)),
-        Answer::UnknownFunction => Some((
-            format!("failed: no function {model:?} in the settings"),
-            None,
-        )),
+        Answer::Refused { retry_after } => Some(StreamError {
+            text: REFUSAL.into(),
+            retry_after_ms: Some(millis(retry_after)),
+        }),
+        Answer::Failed(reason) => Some(StreamError::failed(failure(reason).1.into())),
+        Answer::UnknownFunction => Some(StreamError::failed(format!(
+            "failed: no function {model:?} in the settings"
+        ))),
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_refusal_tells_when_to_come_back_in_both_forms() {
-        let map = unary(
-            Answer::Refused {
-                retry_after: 1_500_001,
-            },
-            "f",
-            None,
-        );
-        assert_eq!(map["grpc-status"], "14");
-        assert_eq!(map[names::PUSHBACK], "1501");
-        let details = BINARY
-            .decode(map["grpc-status-details-bin"].as_bytes())
-            .unwrap();
-        let status = Status::decode(&details[..]).unwrap();
-        let info = RetryInfo::decode(&status.details[0].value[..]).unwrap();
-        assert_eq!(
-            info.retry_delay,
-            Some(Duration {
-                seconds: 1,
-                nanos: 500_001_000
-            })
-        );
-    }
-
-    #[test]
-    fn a_failure_promises_nothing_and_asks_for_no_repeat() {
-        for (why, code) in [
-            (FailureReason::Deadline, "4"),
-            (FailureReason::ConnectionLost, "10"),
-            (FailureReason::WorkerFailed, "13"),
-            (FailureReason::ShuttingDown, "10"),
-        ] {
-            let map = unary(Answer::Failed(why), "f", None);
-            assert_eq!(
-                (map["grpc-status"].to_str().unwrap(), &map[names::PUSHBACK]),
-                (code, &HeaderValue::from(-1))
-            );
-        }
-    }
-}
+mod tests;
--- a/net/inference/src/attempts.rs
+++ b/net/inference/src/attempts.rs
@@ -1,126 +1,245 @@
-//! What goes to workers: attempts, probes and orders, each from its command to its one end.
+//! Attempts: one request to a worker, from its command to its one end.
 
-use crate::hub::{piece, response, CallIo, Flag, Hub};
-use crate::trailers::told;
+use crate::call::{CallContext, CancelSignal};
+use crate::messages::{stream_response, unary_response};
+use crate::trailers::read_trailers;
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request, Version};
-use prost::Message;
-use std::collections::BTreeMap;
-use std::future::Future;
+use std::future::{poll_fn, Future};
 use std::pin::Pin;
 use std::rc::Rc;
-use std::task::Poll;
-use tansy_dispatch::{AttemptOutcome, ControlRequestId, Input, ResponseStage, Trailers};
-use tansy_frames::grpc::{frame, spell_timeout, Code};
-use tansy_inference::inference as pb;
-use tansy_inference::names;
-use tansy_net_grpc::exchange::{Ending, Exchange, News, Progress};
+use std::task::{Context, Poll};
+use tansy_dispatch::{AttemptOutcome, CallId, ControlRequestId, Input, ResponseStage, Trailers};
+use tansy_frames::grpc::format_timeout;
+use tansy_net_grpc::exchange::{Ending, Exchange, ExchangeEvent, Progress};
 use tansy_net_grpc::link::{Connection, Link};
 
-/// One attempt of a call.
-pub async fn attempt(
-    hub: Rc<Hub>,
-    io: Rc<CallIo>,
-    number: u32,
+/// Learns of what happens to attempts and control requests. The driver is one; this module does not depend on it.
+pub trait AttemptObserver {
+    /// Something happened to an attempt that is not its end.
+    fn attempt_event(self: &Rc<Self>, input: Input);
+    /// An attempt has ended.
+    fn attempt_ended(
+        self: &Rc<Self>,
+        call: CallId,
+        attempt: u32,
+        outcome: AttemptOutcome,
+        trailers: Trailers,
+    );
+    /// A control request has ended.
+    fn control_request_ended(
+        self: &Rc<Self>,
+        request: ControlRequestId,
+        outcome: AttemptOutcome,
+        trailers: Trailers,
+    );
+}
+
+/// One attempt as it is sent.
+pub struct Attempt {
+    /// Its call.
+    pub call: Rc<CallContext>,
+    /// Its number.
+    pub number: u32,
+    /// What is left of the time of its call, microseconds.
+    pub budget: i64,
+    /// Bytes of one response message at most.
+    pub max_message_bytes: usize,
+}
+
+/// The end of an attempt or a control request.
+pub struct AttemptEnd {
+    /// How it ended.
+    pub outcome: AttemptOutcome,
+    /// Its trailers, if any came.
+    pub trailers: Option<HeaderMap>,
+}
+
+impl AttemptEnd {
+    /// An end without trailers.
+    pub fn without_trailers(outcome: AttemptOutcome) -> AttemptEnd {
+        AttemptEnd {
+            outcome,
+            trailers: None,
+        }
+    }
+
+    /// The end of an exchange; `last`: the last message of its answer had come.
+    pub fn new(ending: Ending, progress: Progress, last: bool) -> AttemptEnd {
+        let stage = match progress {
+            _ if last => ResponseStage::Last,
+            Progress::Nothing => ResponseStage::Nothing,
+            Progress::Headers => ResponseStage::Headers,
+            Progress::Messages => ResponseStage::Messages,
+        };
+        AttemptEnd::without_trailers(match ending {
+            Ending::Status(code, trailers) => {
+                let code = code.number();
+                return AttemptEnd {
+                    outcome: AttemptOutcome::Status { code, stage },
+                    trailers: Some(trailers),
+                };
+            }
+            Ending::Reset(code) => AttemptOutcome::Reset { code, stage },
+            Ending::ConnectionCut => AttemptOutcome::ConnectionCut { stage },
+            Ending::GoawayBelow => AttemptOutcome::GoawayBelow,
+            Ending::NeverLeft => AttemptOutcome::NeverLeft,
+            Ending::NoTrailers => AttemptOutcome::NoTrailers { stage },
+            Ending::InvalidResponse(error) => {
+                tracing::debug!(%error, "a worker's answer was refused");
+                AttemptOutcome::InvalidResponse { stage }
+            }
+            Ending::Cancelled => AttemptOutcome::Cancelled,
+        })
+    }
+
+    /// What its trailers stated.
+    pub fn stated_trailers(&self) -> Trailers {
+        self.trailers
+            .as_ref()
+            .map(read_trailers)
+            .unwrap_or_default()
+    }
+}
+
+/// Sends one attempt and reports what comes of it.
+pub async fn run_attempt<O: AttemptObserver>(
+    observer: Rc<O>,
+    attempt: Attempt,
     link: Rc<Link>,
-    budget: i64,
-    flag: Rc<Flag>,
+    signal: Rc<CancelSignal>,
 ) {
-    let (seen, trailers) = run(&hub, &io, number, &link, budget, &flag).await;
-    let told = trailers.as_ref().map(told).unwrap_or_default();
-    *io.trailers.borrow_mut() = trailers;
-    hub.attempt_ended(io.id, number, seen, told);
+    let end = exchange(&observer, &attempt, &link, &signal).await;
+    let trailers = end.stated_trailers();
+    *attempt.call.trailers.borrow_mut() = end.trailers;
+    observer.attempt_ended(attempt.call.id, attempt.number, end.outcome, trailers);
 }
 
-async fn run(
-    hub: &Rc<Hub>,
-    io: &CallIo,
-    number: u32,
+async fn exchange<O: AttemptObserver>(
+    observer: &Rc<O>,
+    attempt: &Attempt,
     link: &Rc<Link>,
-    budget: i64,
-    flag: &Flag,
-) -> (AttemptOutcome, Option<HeaderMap>) {
-    let connection = match connect(link, flag).await {
-        Ok(c) => c,
-        Err(seen) => return (seen, None),
+    signal: &CancelSignal,
+) -> AttemptEnd {
+    let call = &*attempt.call;
+    let connection = match connect(link, signal).await {
+        Ok(connection) => connection,
+        Err(outcome) => return AttemptEnd::without_trailers(outcome),
     };
-    let request = request(link, io.path, Some(budget), Some(&io.metadata));
-    let limit = hub.setup.clients.message_bytes;
-    let mut exchange = match Exchange::start(connection, request, io.body.clone(), io.unary, limit)
-    {
-        Ok(e) => e,
-        // Not queued: nothing of it can leave.
-        Err(_) => return (AttemptOutcome::NeverLeft, None),
+    let head = request_head(link, call.path, Some(attempt.budget), Some(&call.metadata));
+    let body = call.body.clone();
+    let started = Exchange::start(
+        connection,
+        head,
+        body,
+        call.unary,
+        attempt.max_message_bytes,
+    );
+    // Not queued: nothing of it can leave.
+    let Ok(mut exchange) = started else {
+        return AttemptEnd::without_trailers(AttemptOutcome::NeverLeft);
     };
     let mut last = false;
     loop {
-        let news = std::future::poll_fn(|cx| {
-            if flag.poll(cx) {
-                exchange.withdraw();
-            }
-            if flag.asked() {
-                if exchange.left() {
-                    hub.feed(Input::AttemptSent {
-                        call: io.id,
-                        attempt: number,
-                    });
-                } else {
-                    exchange.withdraw();
-                }
-            }
-            exchange.poll(cx)
-        });
-        match news.await {
-            News::Message(message) if io.unary => match response(io, &message) {
-                Ok(message) => *io.staged.borrow_mut() = Some(message),
-                Err(why) => exchange.reject(why),
+        let event = poll_fn(|cx| poll_exchange(observer, attempt, signal, &mut exchange, cx));
+        match event.await {
+            ExchangeEvent::Message(message) if call.unary => match unary_response(call, &message) {
+                Ok(message) => *call.staged.borrow_mut() = Some(message),
+                Err(error) => exchange.reject(error.to_string()),
             },
-            News::Message(message) => match piece(io, &message) {
-                Ok((message, ends)) => {
-                    *io.staged.borrow_mut() = Some(message);
-                    if ends && !last {
-                        io.complete.set(true);
-                    }
-                    hub.feed(Input::ResponseMessage {
-                        call: io.id,
-                        attempt: number,
-                        last: ends,
-                    });
-                    // What the ledger did not pass on must not be taken for a later piece.
-                    io.staged.borrow_mut().take();
-                    last |= ends;
-                    std::future::poll_fn(|cx| {
-                        let room = io.sink.poll_room(cx).is_ready();
-                        if room || flag.poll(cx) {
-                            Poll::Ready(())
-                        } else {
-                            Poll::Pending
-                        }
-                    })
-                    .await;
-                    exchange.release();
+            ExchangeEvent::Message(message) => match stream_response(call, &message) {
+                Ok((message, is_last)) => {
+                    forward(observer, attempt, message, is_last, last);
+                    last |= is_last;
+                    poll_fn(|cx| poll_client_capacity(call, signal, cx)).await;
+                    exchange.release_capacity();
                 }
-                Err(why) => exchange.reject(why),
+                Err(error) => exchange.reject(error.to_string()),
             },
-            News::Ended(ending, progress) => return seen(ending, progress, last),
+            ExchangeEvent::Ended(ending, progress) => {
+                return AttemptEnd::new(ending, progress, last)
+            }
+        }
+    }
+}
+
+/// The next event of an exchange, after what its signal asks for.
+fn poll_exchange<O: AttemptObserver>(
+    observer: &Rc<O>,
+    attempt: &Attempt,
+    signal: &CancelSignal,
+    exchange: &mut Exchange,
+    cx: &mut Context<'_>,
+) -> Poll<ExchangeEvent> {
+    if signal.poll_cancelled(cx) {
+        exchange.cancel();
+    }
+    if signal.take_confirmation_request() {
+        if exchange.headers_sent() {
+            observer.attempt_event(Input::AttemptSent {
+                call: attempt.call.id,
+                attempt: attempt.number,
+            });
+        } else {
+            exchange.cancel();
         }
     }
+    exchange.poll_event(cx)
+}
+
+/// Reports a response message, which the dispatcher may have forwarded. `ended`: the last message had come before it.
+fn forward<O: AttemptObserver>(
+    observer: &Rc<O>,
+    attempt: &Attempt,
+    message: Bytes,
+    last: bool,
+    ended: bool,
+) {
+    let call = &attempt.call;
+    *call.staged.borrow_mut() = Some(message);
+    if last && !ended {
+        call.complete.set(true);
+    }
+    observer.attempt_event(Input::ResponseMessage {
+        call: call.id,
+        attempt: attempt.number,
+        last,
+    });
+    // What the dispatcher did not have forwarded must not be taken for a later message.
+    call.staged.borrow_mut().take();
+}
+
+/// Ready once the client has room for a further message, or the attempt is to be cancelled.
+fn poll_client_capacity(
+    call: &CallContext,
+    signal: &CancelSignal,
+    cx: &mut Context<'_>,
+) -> Poll<()> {
+    let room = call.responses.poll_capacity(cx).is_ready();
+    if room || signal.poll_cancelled(cx) {
+        Poll::Ready(())
+    } else {
+        Poll::Pending
+    }
 }
 
 /// A connection that can take a stream now; or how the attempt ended without one.
-async fn connect(link: &Rc<Link>, flag: &Flag) -> Result<Connection, AttemptOutcome> {
-    let mut connected = link.connection();
-    let connection = std::future::poll_fn(|cx| match Pin::new(&mut connected).poll(cx) {
-        Poll::Ready(Ok(c)) => Poll::Ready(Ok(c)),
+pub(crate) async fn connect(
+    link: &Rc<Link>,
+    signal: &CancelSignal,
+) -> Result<Connection, AttemptOutcome> {
+    let mut connecting = link.connection();
+    let connection = poll_fn(|cx| match Pin::new(&mut connecting).poll(cx) {
+        Poll::Ready(Ok(connection)) => Poll::Ready(Ok(connection)),
         Poll::Ready(Err(_)) => Poll::Ready(Err(AttemptOutcome::ConnectRefused)),
-        Poll::Pending if flag.poll(cx) || flag.asked() => {
+        Poll::Pending if signal.poll_cancelled(cx) || signal.take_confirmation_request() => {
             Poll::Ready(Err(AttemptOutcome::ConnectTimedOut))
         }
         Poll::Pending => Poll::Pending,
     });
     let mut connection = connection.await?;
-    let ready = std::future::poll_fn(|cx| {
-        if flag.poll(cx) || flag.asked() {
+    let ready = poll_fn(|cx| {
+        if signal.poll_cancelled(cx) || signal.take_confirmation_request() {
             return Poll::Ready(Err(AttemptOutcome::NeverLeft));
         }
         connection
@@ -131,7 +250,8 @@
     ready.await.map(|()| connection)
 }
 
-fn request(
+/// The head of a request to a worker.
+pub(crate) fn request_head(
     link: &Link,
     path: &str,
     budget: Option<i64>,
@@ -156,132 +276,10 @@
         http::header::CONTENT_TYPE,
         HeaderValue::from_static("application/grpc"),
     );
-    if let Some(mut value) = budget.and_then(|b| HeaderValue::from_str(&spell_timeout(b)).ok()) {
+    if let Some(mut value) = budget.and_then(|b| HeaderValue::from_str(&format_timeout(b)).ok()) {
         // Never the same twice: it would only push useful entries out of the header table (RFC 7541, 7.1.3).
         value.set_sensitive(true);
         headers.insert(HeaderName::from_static("grpc-timeout"), value);
     }
     request
 }
-
-fn seen(ending: Ending, progress: Progress, last: bool) -> (AttemptOutcome, Option<HeaderMap>) {
-    let stage = match progress {
-        _ if last => ResponseStage::Last,
-        Progress::Nothing => ResponseStage::Nothing,
-        Progress::Headers => ResponseStage::Headers,
-        Progress::Messages => ResponseStage::Messages,
-    };
-    match ending {
-        Ending::Status(code, trailers) => (
-            AttemptOutcome::Status {
-                code: code.number(),
-                stage,
-            },
-            Some(trailers),
-        ),
-        Ending::Reset(code) => (AttemptOutcome::Reset { code, stage }, None),
-        Ending::Cut => (AttemptOutcome::ConnectionCut { stage }, None),
-        Ending::GoawayBelow => (AttemptOutcome::GoawayBelow, None),
-        Ending::NeverLeft => (AttemptOutcome::NeverLeft, None),
-        Ending::NoTrailers => (AttemptOutcome::NoTrailers { stage }, None),
-        Ending::Bad(why) => {
-            tracing::debug!(%why, "a worker's answer was refused");
-            (AttemptOutcome::InvalidResponse { stage }, None)
-        }
-        Ending::Withdrawn => (AttemptOutcome::Cancelled, None),
-    }
-}
-
-/// A probe or an order as it goes out.
-pub struct OrderRequest {
-    path: &'static str,
-    body: Bytes,
-}
-
-impl OrderRequest {
-    /// `ServerReady`, whose trailers carry the load report.
-    pub fn probe() -> OrderRequest {
-        OrderRequest {
-            path: "/inference.GRPCInferenceService/ServerReady",
-            body: frame(&[]),
-        }
-    }
-    /// `RepositoryModelLoad` with the parameter `instances`.
-    pub fn load(function: &str, instances: u32) -> OrderRequest {
-        use pb::model_repository_parameter::ParameterChoice;
-        let count = ParameterChoice::Int64Param(i64::from(instances));
-        let parameter = pb::ModelRepositoryParameter {
-            parameter_choice: Some(count),
-        };
-        let message = pb::RepositoryModelLoadRequest {
-            model_name: function.into(),
-            parameters: BTreeMap::from([(names::LOAD_INSTANCES.into(), parameter)]),
-            ..Default::default()
-        };
-        let path = "/inference.GRPCInferenceService/RepositoryModelLoad";
-        OrderRequest {
-            path,
-            body: frame(&message.encode_to_vec()),
-        }
-    }
-    /// `RepositoryModelUnload`.
-    pub fn unload(function: &str) -> OrderRequest {
-        let message = pb::RepositoryModelUnloadRequest {
-            model_name: function.into(),
-            ..Default::default()
-        };
-        let path = "/inference.GRPCInferenceService/RepositoryModelUnload";
-        OrderRequest {
-            path,
-            body: frame(&message.encode_to_vec()),
-        }
-    }
-}
-
-/// Bytes of an answer to an order; it holds nothing.
-const ORDER_ANSWER: usize = 64 * 1024;
-
-/// One probe or order.
-pub async fn order(
-    hub: Rc<Hub>,
-    order: ControlRequestId,
-    what: OrderRequest,
-    link: Rc<Link>,
-    flag: Rc<Flag>,
-) {
-    let (seen, trailers) = run_order(what, &link, &flag).await;
-    let told = trailers.as_ref().map_or_else(Trailers::default, told);
-    hub.order_ended(order, seen, told);
-}
-
-async fn run_order(
-    what: OrderRequest,
-    link: &Rc<Link>,
-    flag: &Flag,
-) -> (AttemptOutcome, Option<HeaderMap>) {
-    let connection = match connect(link, flag).await {
-        Ok(c) => c,
-        Err(seen) => return (seen, None),
-    };
-    let request = request(link, what.path, None, None);
-    let Ok(mut exchange) = Exchange::start(connection, request, what.body, true, ORDER_ANSWER)
-    else {
-        return (AttemptOutcome::NeverLeft, None);
-    };
-    loop {
-        let news = std::future::poll_fn(|cx| {
-            if flag.poll(cx) {
-                exchange.withdraw();
-            }
-            exchange.poll(cx)
-        });
-        if let News::Ended(ending, progress) = news.await {
-            if let Ending::Status(code, _) = &ending {
-                if *code != Code::Ok {
-                    tracing::debug!(path = what.path, ?code, "an order was not carried out");
-                }
-            }
-            return seen(ending, progress, false);
-        }
-    }
-}
--- a/net/inference/src/clients.rs
+++ b/net/inference/src/clients.rs
@@ -1,409 +1,377 @@
-//! Requests of clients: read, checked, told to the ledger, answered.
+//! Requests of clients: read, checked, given to the driver, answered.
 
-use crate::hub::{CallIo, Hub};
-use crate::sink::Sink;
+use crate::call::CallContext;
+use crate::driver::Driver;
+use crate::queries;
+use crate::request_status::RequestStatus;
+use crate::response_queue::ResponseQueue;
+use crate::trailers::forwarded_metadata;
 use bytes::Bytes;
 use h2::server::SendResponse;
 use h2::{RecvStream, SendStream};
 use http::{HeaderMap, Method, Request, Response, StatusCode};
-use prost::Message;
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::rc::Rc;
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 use tansy_dispatch::{Call, CallId};
-use tansy_frames::grpc::{frame, timeout, BadFrame, Code};
-use tansy_inference::inference as pb;
-use tansy_inference::names;
-use tansy_inference::scan;
-use tansy_net_grpc::server::{head, poll_write, refuse, trailers, BadStream, Handler, Messages};
+use tansy_frames::grpc::{frame, parse_timeout, Code};
+use tansy_inference::{amend, names, scan};
+use tansy_net_grpc::server::{
+    poll_write, respond_trailers_only, response_headers, status_trailers, RequestHandler,
+    RequestMessages, StreamError,
+};
 use tansy_net_sockets::within;
 
 /// Calls that may be open on one stream; its further requests are not read until one ends.
-const CALLS_A_STREAM: usize = 4096;
+const MAX_CALLS_PER_STREAM: usize = 4096;
 /// Time for the message of a unary call to come in.
-const MESSAGE_WITHIN: Duration = Duration::from_secs(30);
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
 
 const INFER: &str = "/inference.GRPCInferenceService/ModelInfer";
 const STREAM: &str = "/inference.GRPCInferenceService/ModelStreamInfer";
 
-/// The handler of a hub's listener.
-pub fn handler(hub: Rc<Hub>) -> Handler {
+/// The handler of a driver's listener.
+pub fn handler(driver: Rc<Driver>) -> RequestHandler {
     Rc::new(move |request, respond| {
-        let task = serve(hub.clone(), request, respond);
-        hub.spawner.spawn(task);
+        let task = serve(driver.clone(), request, respond);
+        driver.spawner.spawn(task);
     })
 }
 
-/// What ends a request that never becomes a call.
-struct Status(Code, String);
-
-async fn serve(hub: Rc<Hub>, request: Request<RecvStream>, mut respond: SendResponse<Bytes>) {
-    let came = Instant::now();
+async fn serve(driver: Rc<Driver>, request: Request<RecvStream>, mut respond: SendResponse<Bytes>) {
+    let received = Instant::now();
     let (parts, body) = request.into_parts();
-    let kind = parts
-        .headers
-        .get(http::header::CONTENT_TYPE)
-        .map_or(&b""[..], |v| v.as_bytes());
-    let grpc = kind
-        .strip_prefix(b"application/grpc")
-        .is_some_and(|r| matches!(r.first(), None | Some(b'+' | b';')));
-    if !grpc || parts.method != Method::POST {
+    if let Err(status) = check_grpc(&parts.method, &parts.headers) {
         let mut response = Response::new(());
-        let status = if grpc {
-            StatusCode::METHOD_NOT_ALLOWED
-        } else {
-            StatusCode::UNSUPPORTED_MEDIA_TYPE
-        };
         *response.status_mut() = status;
         // Fails only if the client has gone.
         let _ = respond.send_response(response, true);
         return;
     }
-    let budget = match parts
-        .headers
-        .get("grpc-timeout")
-        .map(|v| (timeout(v.as_bytes()), v))
-    {
-        None => None,
-        Some((Some(micros), _)) => Some(micros),
-        Some((None, value)) => {
-            let why = format!("grpc-timeout {value:?}: want up to 8 digits and one of H M S m u n");
-            return refuse(&mut respond, trailers(Code::InvalidArgument, &why));
-        }
+    let budget = match stated_timeout(&parts.headers) {
+        Ok(budget) => budget,
+        Err(status) => return respond_trailers_only(&mut respond, status.trailers()),
     };
-    let call = Incoming {
-        hub,
+    let request = IncomingRequest {
+        driver,
         headers: parts.headers,
         budget,
-        came,
+        received,
     };
-    match parts.uri.path().strip_prefix(names::SERVICE) {
-        Some("ModelInfer") => call.unary(body, respond).await,
-        Some("ModelStreamInfer") => call.stream(body, respond).await,
-        Some(method) => call.ask(method, body, respond).await,
-        None => refuse(
-            &mut respond,
-            trailers(Code::Unimplemented, "unknown service"),
-        ),
+    match parts.uri.path().strip_prefix(names::SERVICE_PREFIX) {
+        Some("ModelInfer") => request.unary(body, respond).await,
+        Some("ModelStreamInfer") => request.stream(body, respond).await,
+        Some(method) => request.query(method, body, respond).await,
+        None => {
+            let status = RequestStatus::new(Code::Unimplemented, "unknown service");
+            respond_trailers_only(&mut respond, status.trailers());
+        }
     }
 }
 
-struct Incoming {
-    hub: Rc<Hub>,
-    headers: HeaderMap,
-    budget: Option<i64>,
-    came: Instant,
+/// Whether a request is one of gRPC; else the status of HTTP that says what it is not.
+fn check_grpc(method: &Method, headers: &HeaderMap) -> Result<(), StatusCode> {
+    let content_type = headers
+        .get(http::header::CONTENT_TYPE)
+        .map_or(&b""[..], |v| v.as_bytes());
+    let grpc = content_type
+        .strip_prefix(b"application/grpc")
+        .is_some_and(|rest| matches!(rest.first(), None | Some(b'+' | b';')));
+    if !grpc {
+        return Err(StatusCode::UNSUPPORTED_MEDIA_TYPE);
+    }
+    if *method != Method::POST {
+        return Err(StatusCode::METHOD_NOT_ALLOWED);
+    }
+    Ok(())
+}
+
+/// The time that a client gives its request, microseconds.
+fn stated_timeout(headers: &HeaderMap) -> Result<Option<i64>, RequestStatus> {
+    let Some(value) = headers.get("grpc-timeout") else {
+        return Ok(None);
+    };
+    let micros = parse_timeout(value.as_bytes());
+    micros.map(Some).ok_or_else(|| {
+        let message = format!("grpc-timeout {value:?}: want up to 8 digits and one of H M S m u n");
+        RequestStatus::new(Code::InvalidArgument, message)
+    })
 }
 
 /// The one message of a unary request.
-async fn one(hub: &Hub, body: RecvStream) -> Result<Option<Bytes>, Status> {
-    let mut messages = Messages::new(body, hub.setup.clients.message_bytes);
+async fn read_one(driver: &Driver, body: RecvStream) -> Result<Option<Bytes>, RequestStatus> {
+    let mut messages = RequestMessages::new(body, driver.options.clients.message_bytes);
     let mut first: Option<Bytes> = None;
-    let mut read = |cx: &mut Context<'_>| messages.poll_one(&mut first, cx).map_err(bad_stream);
+    let mut read = |cx: &mut Context<'_>| {
+        let message = messages.poll_unary(&mut first, cx);
+        message.map_err(RequestStatus::from)
+    };
     // Nearly always whole at once; only a slow one costs a timer.
     let now = poll_fn(|cx| Poll::Ready(read(cx))).await;
     if let Poll::Ready(done) = now {
         return done;
     }
-    let limit = hub.spawner.sleep(MESSAGE_WITHIN);
+    let limit = driver.spawner.sleep(MESSAGE_TIMEOUT);
     let late = || {
-        Err(Status(
-            Code::DeadlineExceeded,
-            "the request's message did not come in time".into(),
-        ))
+        let message = "the request's message did not come in time";
+        Err(RequestStatus::new(Code::DeadlineExceeded, message))
     };
     within(limit, poll_fn(read)).await.unwrap_or_else(late)
 }
 
-fn bad_stream(bad: BadStream) -> Status {
-    match bad {
-        BadStream::Gone => Status(Code::Cancelled, "the client left".into()),
-        BadStream::SecondMessage => Status(
-            Code::InvalidArgument,
-            "two messages in a unary request".into(),
-        ),
-        BadStream::CutShort => Status(
-            Code::InvalidArgument,
-            "the stream ended within a message".into(),
-        ),
-        BadStream::Frame(bad) => {
-            let code = match bad {
-                BadFrame::TooLong { .. } => Code::ResourceExhausted,
-                BadFrame::Compressed => Code::Unimplemented,
-                BadFrame::BadFlag(_) => Code::InvalidArgument,
-            };
-            Status(code, bad.to_string())
-        }
-    }
+struct IncomingRequest {
+    driver: Rc<Driver>,
+    headers: HeaderMap,
+    budget: Option<i64>,
+    received: Instant,
 }
 
-impl Incoming {
-    /// What a request is, as the ledger wants it; `on_stream` reads the parameter `timeout`.
-    fn call(&self, id: CallId, r: &scan::Request<'_>, on_stream: bool) -> Call {
-        let setup = self.hub.names();
-        let text = |key: &str| -> Option<String> {
+impl IncomingRequest {
+    /// A request as the dispatcher wants it; on a stream the parameter `timeout` is read too.
+    fn call(&self, id: CallId, request: &scan::InferRequest<'_>, on_stream: bool) -> Call {
+        let keys = self.driver.metadata_keys();
+        let stated = |key: &str| -> Option<String> {
             let header = self.headers.get(key).and_then(|v| v.to_str().ok());
-            r.parameter(key)
-                .and_then(|v| v.as_str())
-                .or(header)
-                .map(str::to_string)
+            let parameter = request.parameter(key).and_then(|v| v.as_str());
+            parameter.or(header).map(str::to_string)
         };
-        let (class, tenant) = (text(&setup.class), text(&setup.tenant));
-        let found = self.hub.with_front(|f| {
-            let class = class.as_deref().map(|c| f.class_index(c));
-            (class, tenant.as_deref().map(|t| f.tenant_index(t)))
+        let class_name = stated(&keys.class);
+        let tenant_name = stated(&keys.tenant);
+        // The outer `None`: the call names none. The inner one: the settings do not know the name.
+        let (class, tenant) = self.driver.with_dispatcher(|dispatcher| {
+            let class = class_name.as_deref().map(|c| dispatcher.class_index(c));
+            let tenant = tenant_name.as_deref().map(|t| dispatcher.tenant_index(t));
+            (class, tenant)
         });
-        let unlisted = matches!(found, (Some(None), _) | (_, Some(None)));
-        let (class, tenant) = (found.0.flatten(), found.1.flatten().unwrap_or(0));
-        let hint = r.parameter(&setup.work_ms).and_then(|v| v.as_int());
-        let hint = hint.or_else(|| text(&setup.work_ms)?.trim().parse().ok());
-        // The whole stream's time-out bounds each of its calls; the clock of both began with the headers.
-        let since = i64::try_from(self.came.elapsed().as_micros()).unwrap_or(i64::MAX);
-        let left = self.budget.map(|b| b.saturating_sub(since).max(0));
-        let own = r
-            .parameter(names::TIMEOUT)
+        let work_ms = request
+            .parameter(&keys.work_ms)
             .and_then(|v| v.as_int())
-            .filter(|t| on_stream && *t > 0);
-        let budget = match (own, left) {
-            (Some(a), Some(b)) => Some(a.min(b)),
-            (a, b) => a.or(b),
-        };
-        let repeat = self.headers.contains_key("grpc-previous-rpc-attempts");
+            .or_else(|| stated(&keys.work_ms)?.trim().parse().ok());
         Call {
             id,
-            function: r.model.to_string(),
-            class,
-            tenant,
-            budget,
-            work_hint: hint.filter(|h| *h > 0).map(|h| h.saturating_mul(1000)),
-            repeat,
+            function: request.model.to_string(),
+            class: class.flatten(),
+            tenant: tenant.flatten().unwrap_or(0),
+            budget: self.call_budget(request, on_stream),
+            work_hint: work_ms
+                .filter(|ms| *ms > 0)
+                .map(|ms| ms.saturating_mul(1000)),
+            repeat: self.headers.contains_key("grpc-previous-rpc-attempts"),
             shape: None,
-            unknown_names: unlisted,
+            unknown_names: class == Some(None) || tenant == Some(None),
             waited: 0,
         }
     }
 
-    fn start(&self, message: &Bytes, r: &scan::Request<'_>, sink: &Rc<Sink>, unary: bool) {
-        self.hub.call(|id| {
-            let io = CallIo {
+    /// The time of a call. The time-out of a whole stream bounds each of its calls; the clock of both began with the
+    /// headers.
+    fn call_budget(&self, request: &scan::InferRequest<'_>, on_stream: bool) -> Option<i64> {
+        let elapsed = i64::try_from(self.received.elapsed().as_micros()).unwrap_or(i64::MAX);
+        let left = self
+            .budget
+            .map(|budget| budget.saturating_sub(elapsed).max(0));
+        let own = request
+            .parameter(names::TIMEOUT)
+            .and_then(|v| v.as_int())
+            .filter(|timeout| on_stream && *timeout > 0);
+        match (own, left) {
+            (Some(own), Some(left)) => Some(own.min(left)),
+            (own, left) => own.or(left),
+        }
+    }
+
+    fn start(
+        &self,
+        message: &Bytes,
+        request: &scan::InferRequest<'_>,
+        responses: &Rc<ResponseQueue>,
+        unary: bool,
+    ) {
+        self.driver.start_call(|id| {
+            let context = CallContext {
                 id,
-                model: r.model.to_string(),
-                request_id: r.id.to_string(),
+                model: request.model.to_string(),
+                request_id: request.id.to_string(),
                 path: if unary { INFER } else { STREAM },
                 body: frame(message),
-                metadata: crate::trailers::metadata(&self.headers),
+                metadata: forwarded_metadata(&self.headers),
                 unary,
-                sink: sink.clone(),
+                responses: responses.clone(),
                 staged: RefCell::new(None),
                 complete: Cell::new(false),
                 trailers: RefCell::new(None),
             };
-            (io, self.call(id, r, !unary))
+            (context, self.call(id, request, !unary))
         });
     }
 
     async fn unary(self, body: RecvStream, mut respond: SendResponse<Bytes>) {
-        let read = one(&self.hub, body).await;
-        let checked =
-            read.and_then(|m| m.ok_or(Status(Code::InvalidArgument, "no message came".into())));
-        let sink = Rc::new(Sink::default());
-        let started = checked.and_then(|message| {
-            let malformed = |e: scan::Malformed| {
-                Status(Code::InvalidArgument, format!("malformed request: {e}"))
-            };
-            let r = scan::Request::read(&message).map_err(malformed)?;
-            self.start(&message, &r, &sink, true);
-            Ok(())
-        });
-        if let Err(Status(code, why)) = started {
-            return refuse(&mut respond, trailers(code, &why));
+        let responses = Rc::new(ResponseQueue::default());
+        let message = read_one(&self.driver, body).await;
+        if let Err(status) = message.and_then(|message| self.start_unary(message, &responses)) {
+            return respond_trailers_only(&mut respond, status.trailers());
         }
         let end = poll_fn(|cx| {
-            if let Some(end) = sink.take_end() {
-                return Poll::Ready(Some((None, end)));
-            }
-            if let Some(message) = sink.pop() {
-                let end = sink
-                    .take_end()
-                    .unwrap_or_else(|| trailers(Code::Internal, "no status"));
-                return Poll::Ready(Some((Some(message), end)));
+            if let Some(end) = take_unary_end(&responses) {
+                return Poll::Ready(Some(end));
             }
-            sink.watch(cx);
+            responses.set_reader(cx);
             // The client has reset the stream, or its connection has ended.
             respond.poll_reset(cx).map(|_| None)
         });
-        match end.await {
-            None => self.hub.left(sink.abandon()),
-            Some((None, end)) => refuse(&mut respond, end),
-            Some((Some(message), end)) => {
-                // Fails only if the client has gone.
-                if let Ok(mut send) = respond.send_response(head(), false) {
-                    let _ = send
-                        .send_data(message, false)
-                        .and_then(|()| send.send_trailers(end));
-                }
-            }
+        let Some(end) = end.await else {
+            return self.driver.client_left(responses.abandon());
+        };
+        let Some(message) = end.message else {
+            return respond_trailers_only(&mut respond, end.trailers);
+        };
+        // Fails only if the client has gone.
+        if let Ok(mut send) = respond.send_response(response_headers(), false) {
+            let _ = send
+                .send_data(message, false)
+                .and_then(|()| send.send_trailers(end.trailers));
         }
     }
 
+    fn start_unary(
+        &self,
+        message: Option<Bytes>,
+        responses: &Rc<ResponseQueue>,
+    ) -> Result<(), RequestStatus> {
+        let message =
+            message.ok_or_else(|| RequestStatus::new(Code::InvalidArgument, "no message came"))?;
+        let request = scan::InferRequest::parse(&message)?;
+        self.start(&message, &request, responses, true);
+        Ok(())
+    }
+
     async fn stream(self, body: RecvStream, mut respond: SendResponse<Bytes>) {
-        let Ok(mut send) = respond.send_response(head(), false) else {
+        let Ok(mut send) = respond.send_response(response_headers(), false) else {
             return;
         };
-        let sink = Rc::new(Sink::default());
-        let mut messages = Some(Messages::new(body, self.hub.setup.clients.message_bytes));
-        let mut writing = Bytes::new();
+        let responses = Rc::new(ResponseQueue::default());
+        let limit = self.driver.options.clients.message_bytes;
+        let mut messages = Some(RequestMessages::new(body, limit));
+        let mut unsent = Bytes::new();
         let end = poll_fn(|cx| {
-            // At the limit nothing is read; the end of a call wakes this task.
-            while let Some(m) = messages.as_mut().filter(|_| sink.open() < CALLS_A_STREAM) {
-                match m.poll_next(cx) {
-                    Poll::Pending => break,
-                    Poll::Ready(Ok(Some(message))) => self.request(&message, &sink),
-                    Poll::Ready(Ok(None)) => messages = None,
-                    Poll::Ready(Err(BadStream::Gone)) => return Poll::Ready(None),
-                    Poll::Ready(Err(bad)) => {
-                        let Status(code, why) = bad_stream(bad);
-                        return Poll::Ready(Some(trailers(code, &why)));
-                    }
-                }
+            match self.read_stream(&mut messages, &responses, cx) {
+                Ok(()) => {}
+                Err(StreamError::ClientLeft) => return Poll::Ready(None),
+                Err(error) => return Poll::Ready(Some(RequestStatus::from(error).trailers())),
             }
-            sink.watch(cx);
+            responses.set_reader(cx);
             if send.poll_reset(cx).is_ready() {
                 return Poll::Ready(None);
             }
-            match write(&mut send, &mut writing, &sink, cx) {
-                Err(()) => Poll::Ready(None),
-                Ok(true) if messages.is_none() && sink.open() == 0 => {
-                    Poll::Ready(Some(trailers(Code::Ok, "")))
+            match write(&mut send, &mut unsent, &responses, cx) {
+                Err(_) => Poll::Ready(None),
+                Ok(true) if messages.is_none() && responses.open_calls() == 0 => {
+                    Poll::Ready(Some(status_trailers(Code::Ok, "")))
                 }
                 Ok(_) => Poll::Pending,
             }
         })
         .await;
         // Whatever is open now has lost its client.
-        self.hub.left(sink.abandon());
-        if let Some(end) = end {
-            let _ = send.send_trailers(end);
+        self.driver.client_left(responses.abandon());
+        if let Some(trailers) = end {
+            let _ = send.send_trailers(trailers);
         }
     }
 
-    /// One request of a stream. What is wrong with it is answered in band; the stream lives on.
-    fn request(&self, message: &Bytes, sink: &Rc<Sink>) {
-        match scan::Request::read(message) {
-            Ok(r) => self.start(message, &r, sink, false),
-            Err(e) => {
-                let text = format!("failed: malformed request: {e}");
-                sink.push(frame(&tansy_inference::amend::stream_error(
-                    "", "", text, None,
-                )));
+    /// Reads what has come on a stream; `messages` is taken when the client has sent its last. At the limit of open calls
+    /// nothing is read; the end of a call wakes this task.
+    fn read_stream(
+        &self,
+        messages: &mut Option<RequestMessages>,
+        responses: &Rc<ResponseQueue>,
+        cx: &mut Context<'_>,
+    ) -> Result<(), StreamError> {
+        while let Some(reader) = messages
+            .as_mut()
+            .filter(|_| responses.open_calls() < MAX_CALLS_PER_STREAM)
+        {
+            match reader.poll_next(cx) {
+                Poll::Pending => break,
+                Poll::Ready(Ok(Some(message))) => self.start_streamed(&message, responses),
+                Poll::Ready(Ok(None)) => *messages = None,
+                Poll::Ready(Err(error)) => return Err(error),
             }
         }
+        Ok(())
     }
 
-    /// The questions that the front end answers itself.
-    async fn ask(self, method: &str, body: RecvStream, mut respond: SendResponse<Bytes>) {
-        let message = match one(&self.hub, body).await {
-            Ok(message) => message.unwrap_or_default(),
-            Err(Status(code, why)) => return refuse(&mut respond, trailers(code, &why)),
+    /// One request of a stream. What is wrong with it is answered in band; the stream goes on.
+    fn start_streamed(&self, message: &Bytes, responses: &Rc<ResponseQueue>) {
+        match scan::InferRequest::parse(message) {
+            Ok(request) => self.start(message, &request, responses, false),
+            Err(error) => {
+                let text = format!("failed: malformed request: {error}");
+                responses.push(frame(&amend::stream_error("", "", text, None)));
+            }
+        }
+    }
+
+    /// A question that the front end answers itself.
+    async fn query(self, method: &str, body: RecvStream, mut respond: SendResponse<Bytes>) {
+        let answer = match read_one(&self.driver, body).await {
+            Ok(message) => queries::answer(&self.driver, method, &message.unwrap_or_default()),
+            Err(status) => Err(status),
         };
-        match self.answer(method, &message) {
+        match answer {
             Ok(answer) => {
-                if let Ok(mut send) = respond.send_response(head(), false) {
+                if let Ok(mut send) = respond.send_response(response_headers(), false) {
                     let sent = send.send_data(frame(&answer), false);
-                    let _ = sent.and_then(|()| send.send_trailers(trailers(Code::Ok, "")));
+                    let _ = sent.and_then(|()| send.send_trailers(status_trailers(Code::Ok, "")));
                 }
             }
-            Err(Status(code, why)) => refuse(&mut respond, trailers(code, &why)),
+            Err(status) => respond_trailers_only(&mut respond, status.trailers()),
         }
     }
+}
 
-    fn answer(&self, method: &str, message: &[u8]) -> Result<Vec<u8>, Status> {
-        fn read<M: Message + Default>(message: &[u8]) -> Result<M, Status> {
-            let malformed = |e| Status(Code::InvalidArgument, format!("malformed request: {e}"));
-            M::decode(message).map_err(malformed)
-        }
-        self.hub.with_front(|front| {
-            Ok(match method {
-                "ServerLive" => pb::ServerLiveResponse { live: true }.encode_to_vec(),
-                "ServerReady" => pb::ServerReadyResponse {
-                    ready: front.is_ready(),
-                }
-                .encode_to_vec(),
-                "ServerMetadata" => pb::ServerMetadataResponse {
-                    name: "tansyrouter".into(),
-                    version: env!("CARGO_PKG_VERSION").into(),
-                    extensions: vec!["model_repository".into()],
-                }
-                .encode_to_vec(),
-                "ModelReady" => {
-                    let asked: pb::ModelReadyRequest = read(message)?;
-                    let ready = front.is_ready() && self.hub.knows(&asked.name);
-                    pb::ModelReadyResponse { ready }.encode_to_vec()
-                }
-                "ModelMetadata" => {
-                    let asked: pb::ModelMetadataRequest = read(message)?;
-                    let Some(spec) = front.function(&asked.name) else {
-                        return Err(Status(
-                            Code::NotFound,
-                            format!("no function {:?} in the settings", asked.name),
-                        ));
-                    };
-                    pb::ModelMetadataResponse {
-                        name: spec.name.clone(),
-                        versions: spec.versions.clone(),
-                        platform: "tansyrouter".into(),
-                        ..Default::default()
-                    }
-                    .encode_to_vec()
-                }
-                "RepositoryIndex" => {
-                    let asked: pb::RepositoryIndexRequest = read(message)?;
-                    let all = front
-                        .function_states()
-                        .into_iter()
-                        .filter(|(_, s)| !asked.ready || *s == "READY");
-                    let model = |(f, state): (&tansy_dispatch::FunctionSpec, &str)| {
-                        pb::repository_index_response::ModelIndex {
-                            name: f.name.clone(),
-                            version: f.versions.last().cloned().unwrap_or_default(),
-                            state: state.into(),
-                            reason: "as this front end believes".into(),
-                        }
-                    };
-                    pb::RepositoryIndexResponse {
-                        models: all.map(model).collect(),
-                    }
-                    .encode_to_vec()
-                }
-                "RepositoryModelLoad" | "RepositoryModelUnload" => {
-                    let why = "what is loaded where is the front ends' to decide";
-                    return Err(Status(Code::PermissionDenied, why.into()));
-                }
-                _ => return Err(Status(Code::Unimplemented, "unknown method".into())),
-            })
-        })
+/// The end of a unary call: at most one message, and the trailers.
+struct UnaryEnd {
+    message: Option<Bytes>,
+    trailers: HeaderMap,
+}
+
+fn take_unary_end(responses: &ResponseQueue) -> Option<UnaryEnd> {
+    if let Some(trailers) = responses.take_status() {
+        return Some(UnaryEnd {
+            message: None,
+            trailers,
+        });
     }
+    let message = responses.pop()?;
+    let trailers = responses
+        .take_status()
+        .unwrap_or_else(|| status_trailers(Code::Internal, "no status"));
+    Some(UnaryEnd {
+        message: Some(message),
+        trailers,
+    })
 }
 
-/// Writes what waits, as far as the client takes it; true: all of it.
+/// Writes what waits, as far as the client takes it; true: all of it. An error: the client has gone.
 fn write(
     send: &mut SendStream<Bytes>,
-    writing: &mut Bytes,
-    sink: &Sink,
+    unsent: &mut Bytes,
+    responses: &ResponseQueue,
     cx: &mut Context<'_>,
-) -> Result<bool, ()> {
+) -> Result<bool, h2::Error> {
     loop {
-        if writing.is_empty() {
-            match sink.pop() {
-                Some(next) => *writing = next,
+        if unsent.is_empty() {
+            match responses.pop() {
+                Some(next) => *unsent = next,
                 None => return Ok(true),
             }
         }
-        match poll_write(send, writing, cx) {
+        match poll_write(send, unsent, cx) {
             Poll::Pending => return Ok(false),
-            Poll::Ready(sent) => sent.map_err(drop)?,
+            Poll::Ready(sent) => sent?,
         }
     }
 }
--- a/net/inference/src/trailers.rs
+++ b/net/inference/src/trailers.rs
@@ -1,4 +1,4 @@
-//! What a worker's trailers tell, and what of a call's metadata is passed on.
+//! Trailers of workers, and the metadata that is forwarded.
 
 use base64::alphabet;
 use base64::engine::{DecodePaddingMode, GeneralPurpose, GeneralPurposeConfig};
@@ -18,15 +18,15 @@
 );
 
 /// Bytes of a load report that are read at most.
-const REPORT_BYTES: usize = 4096;
+const MAX_REPORT_BYTES: usize = 4096;
 
 fn text<'a>(map: &'a HeaderMap, key: &str) -> Option<&'a str> {
     map.get(key).and_then(|v| v.to_str().ok()).map(str::trim)
 }
 
-/// What the trailers of an answer tell. What can't be read counts as not told.
-pub fn told(map: &HeaderMap) -> Trailers {
-    let note = match text(map, names::INSTANCE) {
+/// Reads the trailers of an answer. What can't be read counts as not stated.
+pub fn read_trailers(map: &HeaderMap) -> Trailers {
+    let cache_status = match text(map, names::CACHE_STATUS) {
         Some("warm") => CacheStatus::Warm,
         Some("began-load") => CacheStatus::StartedLoad,
         Some("awaited-load") => CacheStatus::AwaitedLoad,
@@ -39,10 +39,10 @@
         _ => None,
     };
     Trailers {
-        cache_status: note,
+        cache_status,
         never_ran,
-        concurrent_calls: text(map, names::CROWD).and_then(|t| t.parse().ok()),
-        instances: text(map, names::INSTANCES).and_then(|t| t.parse().ok()),
+        concurrent_calls: text(map, names::CONCURRENT_CALLS).and_then(|t| t.parse().ok()),
+        instances: text(map, names::INSTANCE_COUNT).and_then(|t| t.parse().ok()),
         report: map
             .get(names::LOAD_REPORT)
             .and_then(|v| report(v.as_bytes())),
@@ -50,27 +50,27 @@
 }
 
 fn report(value: &[u8]) -> Option<LoadReport> {
-    if value.len() > REPORT_BYTES {
+    if value.len() > MAX_REPORT_BYTES {
         return None;
     }
-    let r = OrcaLoadReport::decode(&*BINARY.decode(value).ok()?).ok()?;
+    let orca = OrcaLoadReport::decode(&*BINARY.decode(value).ok()?).ok()?;
     // Absent numbers are 0 on this wire, so only the named ones can be told from "not reported".
     let figure = |x: f64| Some(x).filter(|x| x.is_finite() && *x >= 0.0);
-    let named = |key: &str| r.named_metrics.get(key).copied().and_then(figure);
+    let named = |key: &str| orca.named_metrics.get(key).copied().and_then(figure);
     Some(LoadReport {
         queued: named("queued"),
         in_flight: named("held"),
-        busy: figure(r.cpu_utilization),
-        memory_pinned: figure(r.mem_utilization),
+        busy: figure(orca.cpu_utilization),
+        memory_pinned: figure(orca.mem_utilization),
         loads: named("loads"),
         mean_ms: named("mean_ms"),
-        served_per_s: figure(r.rps_fractional),
-        errors_per_s: figure(r.eps),
+        served_per_s: figure(orca.rps_fractional),
+        errors_per_s: figure(orca.eps),
     })
 }
 
 /// Whether a key is the call's own metadata: neither HTTP's nor gRPC's nor ours.
-fn passed_on(key: &str) -> bool {
+fn is_forwarded(key: &str) -> bool {
     let reserved = matches!(
         key,
         "te" | "content-type"
@@ -86,55 +86,23 @@
         && key != names::LOAD_REPORT
 }
 
-/// A call's own metadata, for the worker.
-pub fn metadata(map: &HeaderMap) -> HeaderMap {
+/// A call's own metadata, as it is forwarded to the worker.
+pub fn forwarded_metadata(map: &HeaderMap) -> HeaderMap {
     map.iter()
-        .filter(|(k, _)| passed_on(k.as_str()))
+        .filter(|(k, _)| is_forwarded(k.as_str()))
         .map(|(k, v)| (k.clone(), v.clone()))
         .collect()
 }
 
-/// A worker's status and own metadata, for the client.
-pub fn answer(map: &HeaderMap) -> HeaderMap {
+/// A worker's status and own metadata, as they are forwarded to the client.
+pub fn forwarded_trailers(map: &HeaderMap) -> HeaderMap {
     const STATUS: [&str; 3] = ["grpc-status", "grpc-message", "grpc-status-details-bin"];
-    let keep = |k: &str| passed_on(k) || STATUS.contains(&k);
+    let forwarded = |k: &str| is_forwarded(k) || STATUS.contains(&k);
     map.iter()
-        .filter(|(k, _)| keep(k.as_str()))
+        .filter(|(k, _)| forwarded(k.as_str()))
         .map(|(k, v)| (k.clone(), v.clone()))
         .collect()
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_report_is_read_with_padding_or_without_and_nonsense_is_not_told() {
-        let sent = OrcaLoadReport {
-            cpu_utilization: 0.5,
-            named_metrics: [("queued".to_string(), 3.0), ("loads".to_string(), -1.0)].into(),
-            ..Default::default()
-        };
-        let bytes = sent.encode_to_vec();
-        let plain = BINARY.encode(&bytes);
-        let padded = base64::engine::general_purpose::STANDARD.encode(&bytes);
-        for value in [plain, padded] {
-            let mut map = HeaderMap::new();
-            map.insert(names::LOAD_REPORT, value.parse().unwrap());
-            map.insert(names::CROWD, "7".parse().unwrap());
-            map.insert(names::INSTANCE, "warm".parse().unwrap());
-            let t = told(&map);
-            let r = t.report.unwrap();
-            assert_eq!((r.queued, r.loads, r.busy), (Some(3.0), None, Some(0.5)));
-            assert_eq!(
-                (t.concurrent_calls, t.cache_status),
-                (Some(7), CacheStatus::Warm)
-            );
-        }
-        let mut map = HeaderMap::new();
-        map.insert(names::LOAD_REPORT, "!!".parse().unwrap());
-        map.insert(names::CROWD, "-1".parse().unwrap());
-        map.insert(names::NEVER_RAN, "perhaps".parse().unwrap());
-        assert_eq!(told(&map), Trailers::default());
-    }
-}
+mod tests;
--- a/programs/day/src/load.rs
+++ b/programs/day/src/load.rs
@@ -14,9 +14,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
-use tansy_frames::grpc::{frame, spell_timeout, Code};
+use tansy_frames::grpc::{format_timeout, frame, Code};
 use tansy_inference::inference as pb;
-use tansy_net_grpc::exchange::{Ending, Exchange, News};
+use tansy_net_grpc::exchange::{Ending, Exchange, ExchangeEvent};
 use tansy_net_grpc::link::{Limits, Link};
 use tansy_net_sockets::Spawner;
 
@@ -292,7 +292,7 @@
     headers.insert("te", HeaderValue::from_static("trailers"));
     headers.insert("content-type", HeaderValue::from_static("application/grpc"));
     if !stream && budget > 0 {
-        if let Ok(value) = HeaderValue::from_str(&spell_timeout(budget)) {
+        if let Ok(value) = HeaderValue::from_str(&format_timeout(budget)) {
             headers.insert("grpc-timeout", value);
         }
     }
@@ -301,8 +301,8 @@
     };
     let mut ended = None;
     loop {
-        match poll_fn(|cx| exchange.poll(cx)).await {
-            News::Message(bytes) => {
+        match poll_fn(|cx| exchange.poll_event(cx)).await {
+            ExchangeEvent::Message(bytes) => {
                 first.get_or_insert(began.elapsed().as_micros() as u64);
                 if stream {
                     let m = pb::ModelStreamInferResponse::decode(bytes).unwrap_or_default();
@@ -315,9 +315,9 @@
                 if let Some(span) = slow {
                     spawner.sleep(span).await;
                 }
-                exchange.release();
+                exchange.release_capacity();
             }
-            News::Ended(ending, _) => {
+            ExchangeEvent::Ended(ending, _) => {
                 return match ending {
                     Ending::Status(Code::Ok, _) if stream => ended.unwrap_or(Ended::Failed),
                     Ending::Status(Code::Ok, _) => Ended::Served,
--- a/programs/gateway/src/fleet.rs
+++ b/programs/gateway/src/fleet.rs
@@ -15,7 +15,9 @@
 use tansy_fleet_node::{number, Peer};
 use tansy_fleet_wire::pb;
 use tansy_net_fleet::{Peers, Setup};
-use tansy_net_inference::{Hub, Looked, Lookup, Names, Worker};
+use tansy_net_inference::{
+    DirectoryEntry, Driver, FunctionDirectory, MetadataKeys, WorkerEndpoint,
+};
 use tansy_net_sockets::Spawner;
 use tansy_settings::{agree, WorkerLine};
 
@@ -52,7 +54,7 @@
     whole: EffectiveConfig,
     apart: EffectiveConfig,
     lapsed: EffectiveConfig,
-    names: Names,
+    names: MetadataKeys,
 }
 
 /// By what a front end acts.
@@ -77,7 +79,7 @@
 }
 
 struct Adopter {
-    hub: Rc<Hub>,
+    hub: Rc<Driver>,
     name: String,
     own: Fields,
     schema: Schema,
@@ -98,26 +100,26 @@
 struct Scopes {
     peers: Weak<Peers>,
     /// What was read of them, for as long as their fields are the same.
-    read: RefCell<HashMap<String, (Fields, Looked)>>,
+    read: RefCell<HashMap<String, (Fields, DirectoryEntry)>>,
 }
 
-impl Lookup for Scopes {
-    fn look(&self, function: &str) -> Looked {
+impl FunctionDirectory for Scopes {
+    fn lookup(&self, function: &str) -> DirectoryEntry {
         let Some(peers) = self.peers.upgrade() else {
-            return Looked::Refused;
+            return DirectoryEntry::Refused;
         };
         match peers.called(function) {
             Call::Acts(fields) => self.read(function, fields),
             // Versions say all, and this one is not in them.
-            Call::Versions | Call::Unknown => Looked::Unknown,
-            Call::Refused(_) => Looked::Refused,
-            Call::Wait => Looked::Wait,
+            Call::Versions | Call::Unknown => DirectoryEntry::Unknown,
+            Call::Refused(_) => DirectoryEntry::Refused,
+            Call::Wait => DirectoryEntry::Pending,
         }
     }
 }
 
 impl Scopes {
-    fn read(&self, function: &str, fields: Fields) -> Looked {
+    fn read(&self, function: &str, fields: Fields) -> DirectoryEntry {
         let mut read = self.read.borrow_mut();
         if let Some((_, looked)) = read.get(function).filter(|(known, _)| *known == fields) {
             return looked.clone();
@@ -129,14 +131,14 @@
                     memory_mb: f.memory_mb,
                     load_time: f.load_time,
                 };
-                Looked::Acts {
+                DirectoryEntry::Known {
                     class: f.class.into(),
                     shape,
                 }
             }
             Err(why) => {
                 tracing::error!(%function, %why, "its settings can't be acted on here: its calls are refused");
-                Looked::Refused
+                DirectoryEntry::Refused
             }
         };
         if read.len() >= HELD {
@@ -181,7 +183,7 @@
 /// Takes the gateway's place in its fleet. It acts on nothing before it holds a lease and a stay.
 pub fn start(
     spawner: Spawner,
-    hub: Rc<Hub>,
+    hub: Rc<Driver>,
     listener: TcpListener,
     fleet: &tansy_settings::Fleet,
     place: &Place,
@@ -217,7 +219,7 @@
     adopter.nothing_yet(&place.first)?;
     let check = Rc::new(|fields: &Fields| agree::check(fields).map_err(|e| e.to_string()));
     let (counted, zone) = (adopter.hub.clone(), place.zone.clone());
-    adopter.hub.count();
+    adopter.hub.enable_class_counters();
     let label = std::env::var(LABEL).unwrap_or_default();
     let counts = Rc::new(move || counts(&counted, &zone, &label));
     let setup = Setup {
@@ -237,7 +239,7 @@
         peers: Rc::downgrade(&peers),
         read: RefCell::new(HashMap::new()),
     };
-    adopter.hub.look_up_with(Rc::new(scopes));
+    adopter.hub.set_directory(Rc::new(scopes));
     Ok(Member { peers, adopter })
 }
 
@@ -262,9 +264,9 @@
     }
 }
 
-fn counts(hub: &Hub, zone: &str, label: &str) -> pb::CountsReply {
-    let (account, _) = hub.account();
-    let classes = hub.with_front(|f| {
+fn counts(hub: &Driver, zone: &str, label: &str) -> pb::CountsReply {
+    let (account, _) = hub.counters();
+    let classes = hub.with_dispatcher(|f| {
         let one = |(name, c): (&String, &ClassCounters)| {
             let (took, calls) = c
                 .latency
@@ -330,7 +332,7 @@
     fn nothing_yet(&self, first: &Fields) -> Result<(), Error> {
         let (filled, _) = agree::filled(first)?;
         let (terms, names) = self.terms(&lapsed(&self.schema, &filled))?;
-        Ok(self.hub.adopt(terms, names, Vec::new())?)
+        Ok(self.hub.apply_settings(terms, names, Vec::new())?)
     }
 
     /// The front end may act on something else by now; what is wrong, if it can't act on what it knows.
@@ -339,10 +341,10 @@
         let wrong = self.acts(peer, now);
         let changes = peer.scopes_changed();
         let moved = self.scopes.replace(changes) != changes || *self.given.borrow() != before;
-        if moved && self.hub.with_front(|f| f.pending_calls()) > 0 {
+        if moved && self.hub.with_dispatcher(|f| f.pending_calls()) > 0 {
             // Once the state machine's turn is over: it is asked for each of them.
             let hub = self.hub.clone();
-            self.hub.spawner.spawn(async move { hub.look_again() });
+            self.hub.spawner.spawn(async move { hub.resolve_pending() });
         }
         wrong
     }
@@ -366,7 +368,7 @@
         let ends = ends.into_iter().filter(|(there, ..)| *there);
         let ends: Vec<(i64, Right)> = ends.map(|(_, left, after)| (left, after)).collect();
         let left: Vec<i64> = ends.iter().map(|e| e.0).collect();
-        if *self.given.borrow() == Some(given) && self.hub.renew(&left) {
+        if *self.given.borrow() == Some(given) && self.hub.extend_expiry(&left) {
             return self.wrong();
         }
         let known = self.ready.borrow().as_ref().map(|r| r.0);
@@ -393,7 +395,7 @@
             .collect();
         let adopted = self
             .hub
-            .adopt(ready.by(first).clone(), ready.names.clone(), after);
+            .apply_settings(ready.by(first).clone(), ready.names.clone(), after);
         *self.given.borrow_mut() = Some(given);
         if let Err(e) = adopted {
             *self.ready.borrow_mut() = Some((step, Err(e.to_string())));
@@ -417,14 +419,14 @@
                     Standing::Draining => 1,
                     Standing::Gone => 2,
                 };
-            Worker {
-                listed,
+            WorkerEndpoint {
+                record: listed,
                 address: self.via.get(&w.address).copied().unwrap_or(w.address),
             }
         };
-        let list: Vec<Worker> = self.workers.borrow().iter().map(stands).collect();
+        let list: Vec<WorkerEndpoint> = self.workers.borrow().iter().map(stands).collect();
         if !list.is_empty() {
-            self.hub.list(list);
+            self.hub.set_workers(list);
         }
     }
 
@@ -437,15 +439,15 @@
 
     /// What it knows can't be acted on: it takes no call.
     fn refuse_all(&self) {
-        let config = self.hub.with_front(|f| f.applied_config());
+        let config = self.hub.with_dispatcher(|f| f.applied_config());
         let contested = ConflictingScopes {
             all: true,
             retry_after: self.for_about,
             ..ConflictingScopes::default()
         };
-        let names = self.hub.names();
+        let names = self.hub.metadata_keys();
         // The ledger acts on this configuration already.
-        let _ = self.hub.adopt(
+        let _ = self.hub.apply_settings(
             EffectiveConfig {
                 config,
                 conflicting: contested,
@@ -473,7 +475,7 @@
         let force = agree::settings(&self.own, &filled.force.fields)
             .map_err(|e| e.to_string())?
             .front;
-        self.hub.value_by(
+        self.hub.set_valuation_classes(
             force
                 .classes
                 .into_iter()
@@ -494,7 +496,7 @@
         })
     }
 
-    fn terms(&self, rules: &Rules) -> Result<(EffectiveConfig, Names), Error> {
+    fn terms(&self, rules: &Rules) -> Result<(EffectiveConfig, MetadataKeys), Error> {
         let settings = agree::settings(&self.own, &rules.fields)?;
         let mut contested = ConflictingScopes {
             unknown_names: rules.unlisted,
@@ -510,7 +512,7 @@
             }
         }
         let g = settings.gateway;
-        let names = Names {
+        let names = MetadataKeys {
             class: g.class_key,
             tenant: g.tenant_key,
             work_ms: g.work_key,
--- a/programs/gateway/src/lib.rs
+++ b/programs/gateway/src/lib.rs
@@ -17,7 +17,7 @@
 use tansy_dispatch::{Dispatcher, Input};
 use tansy_net_grpc::link::Limits as LinkLimits;
 use tansy_net_grpc::server::{Limits, Server};
-use tansy_net_inference::{clients, side, Hub, Names, Setup, Worker};
+use tansy_net_inference::{clients, status, Driver, DriverOptions, MetadataKeys, WorkerEndpoint};
 use tansy_net_sockets::interrupt::Uninterrupted;
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::Spawner;
@@ -55,7 +55,7 @@
 /// A front end that serves.
 pub struct Gateway {
     event_loop: EventLoop<'static, ()>,
-    hub: Rc<Hub>,
+    hub: Rc<Driver>,
     server: Rc<Server>,
     grpc: SocketAddr,
     http: SocketAddr,
@@ -63,9 +63,9 @@
     drain: i64,
 }
 
-fn worker(line: WorkerLine) -> Worker {
-    Worker {
-        listed: line.listed,
+fn worker(line: WorkerLine) -> WorkerEndpoint {
+    WorkerEndpoint {
+        record: line.listed,
         address: line.address,
     }
 }
@@ -89,7 +89,7 @@
         let http =
             listen(g.http, options.shared).map_err(|e| format!("front.http {}: {e}", g.http))?;
         let (grpc_at, http_at) = (grpc.local_addr()?, http.local_addr()?);
-        let setup = Setup {
+        let setup = DriverOptions {
             clients: Limits {
                 connections: g.connections,
                 streams: g.streams,
@@ -102,7 +102,7 @@
                 stream_window: g.worker_window,
                 header_bytes: g.headers,
             },
-            names: Names {
+            keys: MetadataKeys {
                 class: g.class_key,
                 tenant: g.tenant_key,
                 work_ms: g.work_key,
@@ -117,7 +117,7 @@
             None => None,
         };
         let front = Dispatcher::new(config, Time(0))?;
-        let hub = Hub::new(spawner.clone(), front, setup, record);
+        let hub = Driver::new(spawner.clone(), front, setup, record);
         // Before anything is taken: until it holds a lease and a stay it acts on no version.
         let peers = match (&fleet, &options.fleet) {
             (Some(fleet), Some(place)) => {
@@ -147,7 +147,7 @@
         let (told, member) = (hub.clone(), peers.as_ref().map(|p| p.0.clone()));
         let take: Rc<dyn Fn(Vec<WorkerLine>)> = Rc::new(move |list| match &member {
             Some(member) => member.list(list),
-            None => told.list(list.into_iter().map(worker).collect()),
+            None => told.set_workers(list.into_iter().map(worker).collect()),
         });
         match &options.workers {
             Some(path) => {
@@ -183,14 +183,14 @@
             }
             None => take(list),
         }
-        let limits = hub.setup.clients;
+        let limits = hub.options.clients;
         let server = Server::start(spawner.clone(), grpc, limits, clients::handler(hub.clone()))?;
-        side::start(hub.clone(), http)?;
+        status::start(hub.clone(), http)?;
         let totals = hub.clone();
         spawner.spawn(async move {
             loop {
                 totals.spawner.sleep(TOTALS_EVERY).await;
-                let (account, open) = totals.account();
+                let (account, open) = totals.counters();
                 tracing::info!(%account, open, "totals");
             }
         });
@@ -206,7 +206,7 @@
     }
 
     /// What takes its calls.
-    pub fn hub(&self) -> &Rc<Hub> {
+    pub fn hub(&self) -> &Rc<Driver> {
         &self.hub
     }
     /// Where the gRPC port is.
@@ -240,7 +240,7 @@
         while !stop.get() {
             self.turn(Duration::from_secs(60))?;
         }
-        tracing::info!(open = self.hub.account().1, "closing: no new calls");
+        tracing::info!(open = self.hub.counters().1, "closing: no new calls");
         self.hub.feed(Input::Shutdown { grace: self.drain });
         self.server.close();
         // The last answers leave with the connections; a client that does not read does not hold up the end.
@@ -248,7 +248,7 @@
             + Duration::from_micros(self.drain.max(0) as u64)
             + Duration::from_millis(500);
         while Instant::now() < end
-            && !(self.hub.with_front(Dispatcher::is_idle) && self.server.connections() == 0)
+            && !(self.hub.with_dispatcher(Dispatcher::is_idle) && self.server.connections() == 0)
         {
             self.turn(Duration::from_millis(20))?;
         }
@@ -267,14 +267,14 @@
 
     /// The account's line.
     pub fn account(&self) -> String {
-        let (account, open) = self.hub.account();
-        let workers = self.hub.with_front(Dispatcher::ready_workers);
+        let (account, open) = self.hub.counters();
+        let workers = self.hub.with_dispatcher(Dispatcher::ready_workers);
         format!("{account} open={open} workers={workers}")
     }
 
     /// Whether no call, attempt or order is left.
     pub fn idle(&self) -> bool {
-        self.hub.with_front(Dispatcher::is_idle)
+        self.hub.with_dispatcher(Dispatcher::is_idle)
     }
 
     /// One turn of the loop, at most so long.
--- a/protocol/frames/src/tap.rs
+++ b/protocol/frames/src/tap.rs
@@ -20,6 +20,9 @@
     pub const CONTINUATION: u8 = 9;
 }
 
+/// The largest stream id: its first bit is reserved.
+const MAX_STREAM: u32 = 0x7fff_ffff;
+
 /// Flag END_STREAM of DATA and HEADERS.
 pub const END_STREAM: u8 = 1;
 
@@ -35,14 +38,13 @@
     /// Length of its payload in bytes.
     pub length: u32,
     /// The payload's first 8 bytes, zero past its end.
-    pub first: [u8; 8],
+    pub first: [u8; FIRST],
 }
 
 impl Frame {
     /// The last stream id of a GOAWAY (RFC 9113, section 6.8).
     pub fn last_stream(&self) -> Option<u32> {
-        (self.kind == kind::GOAWAY && self.length >= 8)
-            .then(|| word(&self.first[..4]) & 0x7fff_ffff)
+        (self.kind == kind::GOAWAY && self.length >= 8).then(|| word(&self.first[..4]) & MAX_STREAM)
     }
     /// The error code of a RST_STREAM or GOAWAY (RFC 9113, section 7).
     pub fn code(&self) -> Option<u32> {
@@ -55,111 +57,101 @@
 }
 
 fn word(bytes: &[u8]) -> u32 {
-    bytes.iter().take(4).fold(0, |w, b| w << 8 | u32::from(*b))
+    bytes
+        .iter()
+        .take(4)
+        .fold(0, |word, byte| word << 8 | u32::from(*byte))
 }
 
-/// Follows the frames of one direction; holds a few bytes, whatever passes.
+/// Bytes of the head of a frame.
+const HEAD: usize = 9;
+/// Bytes of a payload that are kept.
+const FIRST: usize = 8;
+
+/// Follows the frames of one direction; keeps a few bytes, whatever passes.
 #[derive(Clone, Debug)]
 pub struct Tap {
     /// Bytes of the preface still to come.
-    preface: usize,
-    head: [u8; 9],
-    got: usize,
-    first: [u8; 8],
-    seen: usize,
+    preface_left: usize,
+    head: [u8; HEAD],
+    head_read: usize,
+    first: [u8; FIRST],
+    payload_read: usize,
 }
 
 impl Tap {
     /// The direction from client to server, which begins with the preface.
     pub fn from_client() -> Tap {
         Tap {
-            preface: PREFACE.len(),
-            head: [0; 9],
-            got: 0,
-            first: [0; 8],
-            seen: 0,
+            preface_left: PREFACE.len(),
+            head: [0; HEAD],
+            head_read: 0,
+            first: [0; FIRST],
+            payload_read: 0,
         }
     }
     /// The direction from server to client.
     pub fn from_server() -> Tap {
         Tap {
-            preface: 0,
+            preface_left: 0,
             ..Tap::from_client()
         }
     }
 
-    /// Takes the next bytes that passed; `frame` gets each frame that they complete.
-    pub fn take(&mut self, mut bytes: &[u8], mut frame: impl FnMut(Frame)) {
+    /// Takes the next bytes that passed; `on_frame` gets each frame that they complete.
+    pub fn feed(&mut self, mut bytes: &[u8], mut on_frame: impl FnMut(Frame)) {
         while !bytes.is_empty() {
-            if self.preface > 0 {
-                let n = self.preface.min(bytes.len());
-                self.preface -= n;
-                bytes = &bytes[n..];
+            if self.preface_left > 0 {
+                let skipped = self.preface_left.min(bytes.len());
+                self.preface_left -= skipped;
+                bytes = &bytes[skipped..];
                 continue;
             }
-            if self.got < 9 {
-                let n = (9 - self.got).min(bytes.len());
-                self.head[self.got..self.got + n].copy_from_slice(&bytes[..n]);
-                self.got += n;
-                bytes = &bytes[n..];
-                if self.got < 9 {
-                    return;
-                }
-            }
-            let length = (word(&self.head[..4]) >> 8) as usize;
-            let n = (length - self.seen).min(bytes.len());
-            if self.seen < 8 {
-                let m = n.min(8 - self.seen);
-                self.first[self.seen..self.seen + m].copy_from_slice(&bytes[..m]);
+            bytes = self.read_head(bytes);
+            if self.head_read < HEAD {
+                return;
             }
-            self.seen += n;
-            bytes = &bytes[n..];
-            if self.seen == length {
-                frame(Frame {
-                    kind: self.head[3],
-                    flags: self.head[4],
-                    stream: word(&self.head[5..]) & 0x7fff_ffff,
-                    length: length as u32,
-                    first: self.first,
-                });
-                (self.got, self.seen, self.first) = (0, 0, [0; 8]);
+            bytes = self.read_payload(bytes);
+            if self.payload_read == self.length() {
+                on_frame(self.frame());
+                self.head_read = 0;
+                self.payload_read = 0;
+                self.first = [0; FIRST];
             }
         }
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+    /// Reads what is missing of the head; the bytes that follow it.
+    fn read_head<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+        let read = (HEAD - self.head_read).min(bytes.len());
+        let (head, rest) = bytes.split_at(read);
+        self.head[self.head_read..self.head_read + read].copy_from_slice(head);
+        self.head_read += read;
+        rest
+    }
 
-    fn bytes(kind: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
-        let length = (payload.len() as u32).to_be_bytes();
-        [&length[1..], &[kind, 0], &stream.to_be_bytes(), payload].concat()
+    /// Reads what is missing of the payload; the bytes that follow it.
+    fn read_payload<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+        let read = (self.length() - self.payload_read).min(bytes.len());
+        if self.payload_read < FIRST {
+            let kept = read.min(FIRST - self.payload_read);
+            self.first[self.payload_read..self.payload_read + kept].copy_from_slice(&bytes[..kept]);
+        }
+        self.payload_read += read;
+        &bytes[read..]
     }
 
-    #[test]
-    fn frames_are_found_however_the_bytes_are_cut() {
-        let mut all = PREFACE.to_vec();
-        all.extend(bytes(kind::SETTINGS, 0, &[]));
-        all.extend(bytes(kind::HEADERS, 5, &[7; 300]));
-        all.extend(bytes(kind::RST_STREAM, 5, &8u32.to_be_bytes()));
-        all.extend(bytes(kind::GOAWAY, 0, &[0, 0, 0, 3, 0, 0, 0, 11, b'x']));
-        for step in 1..all.len() {
-            let (mut tap, mut seen) = (Tap::from_client(), Vec::new());
-            for part in all.chunks(step) {
-                tap.take(part, |f| seen.push(f));
-            }
-            let kinds: Vec<_> = seen.iter().map(|f| (f.kind, f.stream, f.length)).collect();
-            assert_eq!(
-                kinds,
-                [(4, 0, 0), (1, 5, 300), (3, 5, 4), (7, 0, 9)],
-                "in steps of {step}"
-            );
-            assert_eq!(
-                (seen[2].code(), seen[3].last_stream(), seen[3].code()),
-                (Some(8), Some(3), Some(11))
-            );
-            assert_eq!(seen[1].last_stream(), None);
+    fn length(&self) -> usize {
+        (word(&self.head[..4]) >> 8) as usize
+    }
+
+    fn frame(&self) -> Frame {
+        Frame {
+            kind: self.head[3],
+            flags: self.head[4],
+            stream: word(&self.head[5..]) & MAX_STREAM,
+            length: self.length() as u32,
+            first: self.first,
         }
     }
 }
--- a/protocol/inference/src/lib.rs
+++ b/protocol/inference/src/lib.rs
@@ -1,5 +1,5 @@
-//! Messages of the Open Inference Protocol v2 and of ORCA load reports, and the few places where a gateway looks
-//! inside them without decoding what it only passes on.
+//! Messages of the Open Inference Protocol v2 and of ORCA load reports, and the few places where a gateway reads
+//! them without decoding what it only forwards.
 //!
 //! - [`inference`], [`orca`]: the messages, compiled from this package's own `proto/`.
 //! - [`scan`]: reads a `ModelInferRequest` or a streamed answer in place and checks all of its wire format.
--- a/standins/worker/src/serve.rs
+++ b/standins/worker/src/serve.rs
@@ -22,9 +22,10 @@
 use tansy_inference::orca::OrcaLoadReport;
 use tansy_inference::scan;
 use tansy_net_grpc::server::{
-    answer as unary, head, poll_write, refuse, trailers, Limits, Messages, Server,
+    poll_write, respond_trailers_only, respond_unary as unary, response_headers, status_trailers,
+    Limits, RequestMessages, Server,
 };
-use tansy_net_grpc::side;
+use tansy_net_grpc::status_server;
 use tansy_net_sockets::{within, Spawner};
 
 /// A stand-in worker on a listener.
@@ -114,14 +115,14 @@
     /// Ends all its connections at once.
     pub fn cut(&self) {
         if let Some(server) = &*self.server.borrow() {
-            server.cut();
+            server.drop_connections();
         }
     }
 
     /// Tells its clients by GOAWAY to open no new stream on the connections that stand.
     pub fn shed(&self) {
         if let Some(server) = &*self.server.borrow() {
-            server.shed();
+            server.drain_connections();
         }
     }
 
@@ -183,7 +184,7 @@
                 },
             }
         });
-        side::start(self.spawner.clone(), listener, answers)
+        status_server::start(self.spawner.clone(), listener, answers)
     }
 
     fn now(&self) -> i64 {
@@ -231,7 +232,7 @@
     }
 
     fn told(&self, code: Code, message: &str) -> HeaderMap {
-        let mut map = trailers(code, message);
+        let mut map = status_trailers(code, message);
         map.insert(names::LOAD_REPORT, self.report());
         map
     }
@@ -274,14 +275,17 @@
     let method = parts
         .uri
         .path()
-        .strip_prefix(names::SERVICE)
+        .strip_prefix(names::SERVICE_PREFIX)
         .unwrap_or("")
         .to_string();
-    let mut messages = Messages::new(body, Limits::default().message_bytes);
+    let mut messages = RequestMessages::new(body, Limits::default().message_bytes);
     let mut first = None;
-    let message = poll_fn(|cx| messages.poll_one(&mut first, cx)).await;
+    let message = poll_fn(|cx| messages.poll_unary(&mut first, cx)).await;
     let Ok(Some(message)) = message else {
-        return refuse(&mut respond, trailers(Code::InvalidArgument, "no message"));
+        return respond_trailers_only(
+            &mut respond,
+            status_trailers(Code::InvalidArgument, "no message"),
+        );
     };
     let faults = &standin.faults;
     if let Some(code) = faults.reset.get() {
@@ -295,24 +299,24 @@
         return poll_fn(|cx| respond.poll_reset(cx).map(drop)).await;
     }
     if faults.hollow.get() {
-        return unary(respond, &message, trailers(Code::Ok, ""));
+        return unary(respond, &message, status_trailers(Code::Ok, ""));
     }
     if let Some(code) = faults.hollow_status.get() {
-        let code = Code::read(code.to_string().as_bytes());
-        return refuse(&mut respond, trailers(code, "as the fault says"));
+        let code = Code::parse(code.to_string().as_bytes());
+        return respond_trailers_only(&mut respond, status_trailers(code, "as the fault says"));
     }
     if faults.boast.get() {
         return match method.as_str() {
             "RepositoryModelLoad" => {
                 let mut map = standin.told(Code::Ok, "");
-                map.insert(names::INSTANCES, HeaderValue::from(1));
+                map.insert(names::INSTANCE_COUNT, HeaderValue::from(1));
                 unary(respond, &[], map);
             }
-            "ServerReady" => unary(respond, &[8, 1], trailers(Code::Ok, "")),
+            "ServerReady" => unary(respond, &[8, 1], status_trailers(Code::Ok, "")),
             _ => {
-                let mut map = trailers(Code::Unavailable, "not loaded here");
+                let mut map = status_trailers(Code::Unavailable, "not loaded here");
                 map.insert(names::NEVER_RAN, HeaderValue::from_static("not-loaded"));
-                refuse(&mut respond, map)
+                respond_trailers_only(&mut respond, map)
             }
         };
     }
@@ -326,7 +330,7 @@
             let left = standin.machine.borrow_mut().unload(&asked.model_name);
             standin.wake();
             let mut map = standin.told(Code::Ok, "");
-            map.insert(names::INSTANCES, HeaderValue::from(left));
+            map.insert(names::INSTANCE_COUNT, HeaderValue::from(left));
             unary(respond, &[], map);
         }
         "ServerReady" => {
@@ -336,11 +340,11 @@
         }
         "ServerLive" => {
             let answer = pb::ServerLiveResponse { live: true }.encode_to_vec();
-            unary(respond, &answer, trailers(Code::Ok, ""));
+            unary(respond, &answer, status_trailers(Code::Ok, ""));
         }
-        _ => refuse(
+        _ => respond_trailers_only(
             &mut respond,
-            trailers(Code::Unimplemented, "not of this stand-in"),
+            status_trailers(Code::Unimplemented, "not of this stand-in"),
         ),
     }
 }
@@ -385,24 +389,24 @@
         }
     };
     let mut map = standin.told(Code::Ok, "");
-    map.insert(names::INSTANCES, HeaderValue::from(instances));
+    map.insert(names::INSTANCE_COUNT, HeaderValue::from(instances));
     unary(respond, &[], map);
 }
 
 async fn infer(standin: Rc<Standin>, one: bool, message: Bytes, mut respond: SendResponse<Bytes>) {
-    let read = match scan::Request::read(&message) {
+    let read = match scan::InferRequest::parse(&message) {
         Ok(read) => read,
         Err(e) => {
-            return refuse(
+            return respond_trailers_only(
                 &mut respond,
-                trailers(Code::InvalidArgument, &e.to_string()),
+                status_trailers(Code::InvalidArgument, &e.to_string()),
             )
         }
     };
     let number = |name: &str| read.parameter(name).and_then(|v| v.as_int());
-    let pieces = number(names::PIECES).map_or(1, |n| n.clamp(0, 100_000) as u32);
+    let pieces = number(names::RESPONSE_MESSAGES).map_or(1, |n| n.clamp(0, 100_000) as u32);
     let empty_final = read
-        .parameter(names::EMPTY_FINAL)
+        .parameter(names::EMPTY_FINAL_RESPONSE)
         .and_then(|v| v.as_bool())
         .unwrap_or(false);
     let function = read.model.to_string();
@@ -423,11 +427,15 @@
     let (met, runs) = match entry {
         Entry::Run(met) => (met, true),
         Entry::Wait(met) => (met, false),
-        Entry::NotLoaded => return refuse(&mut respond, promise("not-loaded", "not loaded here")),
-        Entry::TurnedAway => return refuse(&mut respond, promise("turned-away", "no room")),
+        Entry::NotLoaded => {
+            return respond_trailers_only(&mut respond, promise("not-loaded", "not loaded here"))
+        }
+        Entry::TurnedAway => {
+            return respond_trailers_only(&mut respond, promise("turned-away", "no room"))
+        }
         Entry::Unknown => {
             let why = format!("no function {function:?} here");
-            return refuse(&mut respond, trailers(Code::NotFound, &why));
+            return respond_trailers_only(&mut respond, status_trailers(Code::NotFound, &why));
         }
     };
     let life = standin.life.get();
@@ -459,9 +467,12 @@
     standin.ran.set(standin.ran.get() + 1);
     let faults = &standin.faults;
     if let Some(code) = faults.status.get() {
-        let mut map = standin.told(Code::read(code.to_string().as_bytes()), "as the fault says");
-        map.insert(names::INSTANCE, HeaderValue::from_static("warm"));
-        return refuse(&mut respond, map);
+        let mut map = standin.told(
+            Code::parse(code.to_string().as_bytes()),
+            "as the fault says",
+        );
+        map.insert(names::CACHE_STATUS, HeaderValue::from_static("warm"));
+        return respond_trailers_only(&mut respond, map);
     }
     if faults.lose.borrow().as_ref() == Some(&visit.function) {
         return respond.send_reset(Reason::INTERNAL_ERROR);
@@ -473,7 +484,7 @@
     let mut send = if one {
         None
     } else {
-        respond.send_response(head(), false).ok()
+        respond.send_response(response_headers(), false).ok()
     };
     for n in 0..steps {
         if !step.is_zero() {
@@ -514,8 +525,8 @@
         Met::Began => "began-load",
         Met::Awaited => "awaited-load",
     };
-    map.insert(names::INSTANCE, HeaderValue::from_static(word));
-    map.insert(names::CROWD, HeaderValue::from(crowd));
+    map.insert(names::CACHE_STATUS, HeaderValue::from_static(word));
+    map.insert(names::CONCURRENT_CALLS, HeaderValue::from(crowd));
     let send = match send {
         Some(mut send) => {
             if empty_final || steps == 0 {
@@ -529,7 +540,7 @@
             Some(send)
         }
         None => respond
-            .send_response(head(), false)
+            .send_response(response_headers(), false)
             .ok()
             .and_then(|mut send| {
                 let bytes = frame(&response.encode_to_vec());
@@ -586,7 +597,9 @@
     let flag = pb::InferParameter {
         parameter_choice: Some(ParameterChoice::BoolParam(last)),
     };
-    response.parameters.insert(names::FINAL.into(), flag);
+    response
+        .parameters
+        .insert(names::FINAL_RESPONSE.into(), flag);
     let piece = pb::ModelStreamInferResponse {
         error_message: String::new(),
         infer_response: Some(response),
--- a/tests/path/tests/scoped_fleet.rs
+++ b/tests/path/tests/scoped_fleet.rs
@@ -74,7 +74,7 @@
             until("it takes calls", || {
                 gate.with(|g| {
                     g.hub()
-                        .with_front(|f| f.is_ready() && !f.conflicting().unknown_names)
+                        .with_dispatcher(|f| f.is_ready() && !f.conflicting().unknown_names)
                 })
             });
         }
@@ -233,8 +233,12 @@
             [Code::Ok, Code::NotFound]
         );
     }
-    let lanes =
-        |gate: &Gate| gate.with(|g| g.hub().with_front(|f| f.function("a0").map(|f| f.lanes)));
+    let lanes = |gate: &Gate| {
+        gate.with(|g| {
+            g.hub()
+                .with_dispatcher(|f| f.function("a0").map(|f| f.lanes))
+        })
+    };
     assert_eq!(
         [lanes(&fleet.seat), lanes(&fleet.front)],
         [Some(3), Some(3)]
@@ -290,7 +294,7 @@
         let parked = async {
             while fleet
                 .front
-                .with(|g| g.hub().with_front(|f| f.pending_calls()))
+                .with(|g| g.hub().with_dispatcher(|f| f.pending_calls()))
                 == 0
             {
                 tokio::task::yield_now().await;
@@ -304,7 +308,7 @@
     until("nothing waits", || {
         fleet
             .front
-            .with(|g| g.hub().with_front(|f| f.pending_calls()))
+            .with(|g| g.hub().with_dispatcher(|f| f.pending_calls()))
             == 0
     });
     drop(go);
--- a/tests/path/tests/scopes.rs
+++ b/tests/path/tests/scopes.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use tansy_dispatch::{FunctionShape, Input};
-use tansy_net_inference::{Looked, Lookup};
+use tansy_net_inference::{DirectoryEntry, FunctionDirectory};
 use tansy_path_tests::{id, last, request, run, until, Gate, Workers, SETTINGS};
 use tokio_stream::StreamExt;
 use tonic::{Code, Status};
@@ -26,8 +26,8 @@
 
 struct Scripted(Arc<Mutex<Script>>);
 
-impl Lookup for Scripted {
-    fn look(&self, function: &str) -> Looked {
+impl FunctionDirectory for Scripted {
+    fn lookup(&self, function: &str) -> DirectoryEntry {
         let mut script = self.0.lock().expect("no panic");
         script.asked.push(function.into());
         match script.says.expect("the test said what is there") {
@@ -37,14 +37,14 @@
                     memory_mb: 100.0,
                     load_time: Some(5_000),
                 };
-                Looked::Acts {
+                DirectoryEntry::Known {
                     class: class.into(),
                     shape,
                 }
             }
-            Says::Refused => Looked::Refused,
-            Says::Unknown => Looked::Unknown,
-            Says::Wait => Looked::Wait,
+            Says::Refused => DirectoryEntry::Refused,
+            Says::Unknown => DirectoryEntry::Unknown,
+            Says::Wait => DirectoryEntry::Pending,
         }
     }
 }
@@ -69,7 +69,7 @@
             ..Script::default()
         }));
         let shared = script.clone();
-        gate.with(move |g| g.hub().look_up_with(Rc::new(Scripted(shared))));
+        gate.with(move |g| g.hub().set_directory(Rc::new(Scripted(shared))));
         Scene {
             gate,
             workers,
@@ -80,14 +80,14 @@
     /// The script says something else from now on, and those that wait are looked up again.
     fn say(&self, says: Says) {
         self.script.lock().expect("no panic").says = Some(says);
-        self.gate.with(|g| g.hub().look_again());
+        self.gate.with(|g| g.hub().resolve_pending());
     }
 
     /// Until so many calls wait.
     fn wait(&self, calls: usize) {
         until("they wait", || {
             self.gate
-                .with(|g| g.hub().with_front(|f| f.pending_calls()))
+                .with(|g| g.hub().with_dispatcher(|f| f.pending_calls()))
                 == calls
         });
     }
@@ -242,7 +242,7 @@
         let parked = async {
             while scene
                 .gate
-                .with(|g| g.hub().with_front(|f| f.pending_calls()))
+                .with(|g| g.hub().with_dispatcher(|f| f.pending_calls()))
                 == 0
             {
                 tokio::task::yield_now().await;
@@ -307,7 +307,7 @@
         assert_eq!((id(&first), first.error_message.as_str()), ("named", ""));
         while scene
             .gate
-            .with(|g| g.hub().with_front(|f| f.pending_calls()))
+            .with(|g| g.hub().with_dispatcher(|f| f.pending_calls()))
             < 2
         {
             tokio::task::yield_now().await;
