--- a/decide/dispatch/benches/decision.rs
+++ b/decide/dispatch/benches/decision.rs
@@ -22,14 +22,14 @@
     println!(
         "{:.2} events a call, {}",
         steps as f64 / calls.max(1) as f64,
-        run.front.counters()
+        run.dispatcher.counters()
     );
 }
 
 /// The same with final answers counted by class.
 fn counted(c: &mut Criterion) {
     let mut run = Run::new(200, 64, 4, 1);
-    run.front.enable_class_counters();
+    run.dispatcher.enable_class_counters();
     (0..200_000).for_each(|_| run.turn(100));
     c.bench_function("the same, counted by class", |b| b.iter(|| run.turn(100)));
 }
--- a/decide/dispatch/benches/run/mod.rs
+++ b/decide/dispatch/benches/run/mod.rs
@@ -57,7 +57,7 @@
 
 /// A dispatcher, the attempts that are out, and the counts.
 pub struct Run {
-    pub front: Dispatcher,
+    pub dispatcher: Dispatcher,
     now: i64,
     pub next: u64,
     functions: usize,
@@ -70,15 +70,15 @@
     /// So many functions of so many lanes, workers, and an aim in seconds.
     pub fn new(functions: usize, workers: usize, lanes: u32, aim: i64) -> Run {
         let config = config(functions, lanes, aim);
-        let mut front = Dispatcher::new(config, Time(0)).expect("settings that make sense");
+        let mut dispatcher = Dispatcher::new(config, Time(0)).expect("settings that make sense");
         let workers = (0..workers).map(worker).collect();
         let list = Input::Workers {
             full: true,
             workers,
         };
-        front.step(Time(0), list, &mut Vec::new());
+        dispatcher.step(Time(0), list, &mut Vec::new());
         Run {
-            front,
+            dispatcher,
             now: 0,
             next: 0,
             functions,
@@ -89,7 +89,8 @@
     }
     fn step(&mut self, input: Input) {
         self.steps += 1;
-        self.front.step(Time(self.now), input, &mut self.commands);
+        self.dispatcher
+            .step(Time(self.now), input, &mut self.commands);
         let mut requests = Vec::new();
         for command in self.commands.drain(..) {
             match command {
@@ -140,10 +141,10 @@
         self.step(Input::Call(call));
     }
     /// One call in, and the oldest one out is answered, if more than so many are.
-    pub fn turn(&mut self, keep: usize) {
+    pub fn turn(&mut self, open: usize) {
         self.now += CALL_INTERVAL;
         self.call();
-        let oldest = if self.attempts.len() > keep {
+        let oldest = if self.attempts.len() > open {
             self.attempts.pop_front()
         } else {
             None
--- a/decide/dispatch/src/request_table/timers.rs
+++ b/decide/dispatch/src/request_table/timers.rs
@@ -5,7 +5,7 @@
 use crate::message::{Answer, CallId, Command, ControlRequestId, FailureReason};
 use tansyrouter::{Event, Outcome, RequestId};
 
-/// No token of the router's: it is told the time, and nothing more.
+/// No token of the router's: the event only gives it the time.
 const NO_TOKEN: u64 = u64::MAX;
 
 impl Dispatcher {
--- a/decide/dispatch/tests/class_counters.rs
+++ b/decide/dispatch/tests/class_counters.rs
@@ -1,4 +1,4 @@
-//! What is counted of served calls for whoever compares front ends.
+//! The latencies that are counted of served calls, for the comparison of front ends.
 
 use std::collections::VecDeque;
 use tansy_dispatch::{
@@ -41,9 +41,9 @@
 
 /// Calls that a worker answers after so long each; what was counted of them.
 fn counted(took: &[i64]) -> hdrhistogram::Histogram<u64> {
-    let mut front = Dispatcher::new(config(), Time(0)).expect("right settings");
-    front.enable_class_counters();
-    let listed = WorkerRecord {
+    let mut dispatcher = Dispatcher::new(config(), Time(0)).expect("right settings");
+    dispatcher.enable_class_counters();
+    let record = WorkerRecord {
         name: "w".into(),
         kind: 0,
         cell: 0,
@@ -52,22 +52,22 @@
         age: None,
         relative_size: 1.0,
     };
-    let mut out = Vec::new();
+    let mut commands = Vec::new();
     let mut now = 1;
-    front.step(
+    dispatcher.step(
         Time(now),
         Input::Workers {
             full: true,
-            workers: vec![listed],
+            workers: vec![record],
         },
-        &mut out,
+        &mut commands,
     );
     let warm = Trailers {
         cache_status: CacheStatus::Warm,
         instances: Some(1),
         ..Trailers::default()
     };
-    let seen = AttemptOutcome::Status {
+    let outcome = AttemptOutcome::Status {
         code: 0,
         stage: ResponseStage::Messages,
     };
@@ -85,20 +85,20 @@
             unknown_names: false,
             waited: 0,
         };
-        front.step(Time(now), Input::Call(call), &mut out);
-        let mut todo: VecDeque<Command> = out.drain(..).collect();
+        dispatcher.step(Time(now), Input::Call(call), &mut commands);
+        let mut pending: VecDeque<Command> = commands.drain(..).collect();
         let mut answered = false;
         while !answered {
-            let Some(command) = todo.pop_front() else {
-                now = front.next_due().map_or(now, |t| t.0.max(now));
-                front.step(Time(now), Input::Tick, &mut out);
-                todo.extend(out.drain(..));
+            let Some(command) = pending.pop_front() else {
+                now = dispatcher.next_due().map_or(now, |t| t.0.max(now));
+                dispatcher.step(Time(now), Input::Tick, &mut commands);
+                pending.extend(commands.drain(..));
                 continue;
             };
             let input = match command {
-                Command::Load { request: order, .. } => Input::ControlRequestEnded {
-                    request: order,
-                    outcome: seen,
+                Command::Load { request, .. } => Input::ControlRequestEnded {
+                    request,
+                    outcome,
                     trailers: warm,
                 },
                 Command::SendAttempt { call, attempt, .. } => {
@@ -106,7 +106,7 @@
                     Input::AttemptEnded {
                         call,
                         attempt,
-                        outcome: seen,
+                        outcome,
                         trailers: warm,
                     }
                 }
@@ -116,25 +116,25 @@
                 }
                 _ => continue,
             };
-            front.step(Time(now), input, &mut out);
-            todo.extend(out.drain(..));
+            dispatcher.step(Time(now), input, &mut commands);
+            pending.extend(commands.drain(..));
         }
         now += 1;
     }
-    front.class_counters().expect("counted").classes()["c"]
+    dispatcher.class_counters().expect("counted").classes()["c"]
         .latency
         .clone()
 }
 
 #[test]
-fn latencies_are_told_as_they_were() {
+fn latencies_are_counted_as_they_were() {
     let latency = counted(&[20_000, 20_000, 20_000, 300_000]);
     assert_eq!(latency.len(), 4);
-    let near = |q: f64, want: u64| {
-        let told = latency.value_at_quantile(q);
+    let near = |q: f64, expected: u64| {
+        let counted = latency.value_at_quantile(q);
         assert!(
-            told.abs_diff(want) <= want / 50,
-            "quantile {q}: {told} us, {want} us wanted"
+            counted.abs_diff(expected) <= expected / 50,
+            "quantile {q}: {counted} us, {expected} us expected"
         );
     };
     near(0.5, 20_000);
--- a/decide/dispatch/tests/guards.rs
+++ b/decide/dispatch/tests/guards.rs
@@ -10,7 +10,7 @@
 const WINDOW: Span = SECOND;
 const CALL: CallId = CallId(1);
 
-fn front(effect: Effect) -> Dispatcher {
+fn dispatcher(effect: Effect) -> Dispatcher {
     let class = Class {
         aim: SECOND,
         aim_stretch: 0.0,
@@ -41,13 +41,13 @@
         max_call_time: 60 * SECOND,
         seed: 7,
     };
-    let mut front = Dispatcher::new(config, Time(0)).expect("settings");
-    step(&mut front, 0, workers(0));
-    front
+    let mut dispatcher = Dispatcher::new(config, Time(0)).expect("settings");
+    step(&mut dispatcher, 0, workers(0));
+    dispatcher
 }
 
 fn workers(state: u8) -> Input {
-    let listed = WorkerRecord {
+    let record = WorkerRecord {
         name: "w".into(),
         kind: 0,
         cell: 0,
@@ -58,14 +58,14 @@
     };
     Input::Workers {
         full: true,
-        workers: vec![listed],
+        workers: vec![record],
     }
 }
 
-fn step(front: &mut Dispatcher, at: Span, input: Input) -> Vec<Command> {
-    let mut out = Vec::new();
-    front.step(Time(at), input, &mut out);
-    out
+fn step(dispatcher: &mut Dispatcher, at: Span, input: Input) -> Vec<Command> {
+    let mut commands = Vec::new();
+    dispatcher.step(Time(at), input, &mut commands);
+    commands
 }
 
 fn a_call(waited: Span) -> Call {
@@ -84,34 +84,34 @@
 }
 
 /// Takes the call and has its load done; the number of its attempt.
-fn called(front: &mut Dispatcher) -> u32 {
-    called_after(front, 0)
+fn called(dispatcher: &mut Dispatcher) -> u32 {
+    called_after(dispatcher, 0)
 }
 
 /// The same of a call that waited so long before it was read.
-fn called_after(front: &mut Dispatcher, waited: Span) -> u32 {
-    let mut out = step(front, 0, Input::Call(a_call(waited)));
-    if let Some(Command::Load { request: order, .. }) = out.first() {
-        out = loaded(front, *order);
+fn called_after(dispatcher: &mut Dispatcher, waited: Span) -> u32 {
+    let mut commands = step(dispatcher, 0, Input::Call(a_call(waited)));
+    if let Some(Command::Load { request, .. }) = commands.first() {
+        commands = loaded(dispatcher, *request);
     }
-    opened(&out).expect("an attempt")
+    opened(&commands).expect("an attempt")
 }
 
-fn loaded(front: &mut Dispatcher, order: ControlRequestId) -> Vec<Command> {
-    let told = Trailers {
+fn loaded(dispatcher: &mut Dispatcher, request: ControlRequestId) -> Vec<Command> {
+    let trailers = Trailers {
         instances: Some(1),
         ..Trailers::default()
     };
     step(
-        front,
+        dispatcher,
         1,
         Input::ControlRequestEnded {
-            request: order,
+            request,
             outcome: AttemptOutcome::Status {
                 code: 0,
                 stage: ResponseStage::Last,
             },
-            trailers: told,
+            trailers,
         },
     )
 }
@@ -123,8 +123,8 @@
     })
 }
 
-fn may(front: &Dispatcher, at: Span, attempt: u32) -> bool {
-    front.may_send(Time(at), CALL, attempt).is_ok()
+fn may(dispatcher: &Dispatcher, at: Span, attempt: u32) -> bool {
+    dispatcher.may_send(Time(at), CALL, attempt).is_ok()
 }
 
 #[test]
@@ -144,25 +144,25 @@
         ),
     ];
     for (name, end) in ends {
-        let mut front = front(Effect::Safe);
-        let attempt = called(&mut front);
-        assert!(may(&front, 10, attempt));
-        assert!(!may(&front, 10, attempt + 1), "no such attempt");
+        let mut dispatcher = dispatcher(Effect::Safe);
+        let attempt = called(&mut dispatcher);
+        assert!(may(&dispatcher, 10, attempt));
+        assert!(!may(&dispatcher, 10, attempt + 1), "no such attempt");
         assert!(
-            front.may_send(Time(10), CallId(2), attempt).is_err(),
+            dispatcher.may_send(Time(10), CallId(2), attempt).is_err(),
             "no such call"
         );
-        step(&mut front, 20, end);
-        assert!(!may(&front, 30, attempt), "{name} has ended");
+        step(&mut dispatcher, 20, end);
+        assert!(!may(&dispatcher, 30, attempt), "{name} has ended");
     }
 }
 
 #[test]
 fn one_whose_calls_time_is_up_may_not() {
-    let mut front = front(Effect::Safe);
-    let attempt = called(&mut front);
-    assert!(may(&front, 4 * SECOND, attempt));
-    assert!(!may(&front, 5 * SECOND, attempt));
+    let mut dispatcher = dispatcher(Effect::Safe);
+    let attempt = called(&mut dispatcher);
+    assert!(may(&dispatcher, 4 * SECOND, attempt));
+    assert!(!may(&dispatcher, 5 * SECOND, attempt));
 }
 
 #[test]
@@ -172,10 +172,10 @@
         window: WINDOW,
     };
     for (effect, ran) in [(keyed, true), (keyed, false), (Effect::Safe, true)] {
-        let mut front = front(effect);
-        let first = called(&mut front);
+        let mut dispatcher = dispatcher(effect);
+        let first = called(&mut dispatcher);
         // An error may have run; a refused connect never did.
-        let seen = if ran {
+        let outcome = if ran {
             AttemptOutcome::Status {
                 code: 2,
                 stage: ResponseStage::Headers,
@@ -183,26 +183,26 @@
         } else {
             AttemptOutcome::NeverLeft
         };
-        let mut out = step(
-            &mut front,
+        let mut commands = step(
+            &mut dispatcher,
             SECOND / 10,
             Input::AttemptEnded {
                 call: CALL,
                 attempt: first,
-                outcome: seen,
+                outcome,
                 trailers: Trailers::default(),
             },
         );
         let mut at = SECOND / 10;
-        while opened(&out).is_none() && at < WINDOW / 2 {
+        while opened(&commands).is_none() && at < WINDOW / 2 {
             at += SECOND / 100;
-            out = step(&mut front, at, Input::Tick);
+            commands = step(&mut dispatcher, at, Input::Tick);
         }
-        let second = opened(&out).expect("a further attempt");
-        assert!(may(&front, WINDOW - 10, second));
+        let second = opened(&commands).expect("a further attempt");
+        assert!(may(&dispatcher, WINDOW - 10, second));
         // The first was chosen a microsecond after the call came.
         assert_eq!(
-            may(&front, WINDOW + 1, second),
+            may(&dispatcher, WINDOW + 1, second),
             !(ran && effect == keyed),
             "{effect:?}, ran: {ran}"
         );
@@ -211,10 +211,10 @@
 
 #[test]
 fn the_answer_ends_it() {
-    let mut front = front(Effect::Safe);
-    let attempt = called(&mut front);
-    let out = step(
-        &mut front,
+    let mut dispatcher = dispatcher(Effect::Safe);
+    let attempt = called(&mut dispatcher);
+    let commands = step(
+        &mut dispatcher,
         10,
         Input::ResponseMessage {
             call: CALL,
@@ -222,60 +222,60 @@
             last: true,
         },
     );
-    assert!(out.contains(&Command::Answer {
+    assert!(commands.contains(&Command::Answer {
         call: CALL,
         answer: Answer::Served
     }));
-    assert!(!may(&front, 20, attempt));
+    assert!(!may(&dispatcher, 20, attempt));
 }
 
 #[test]
-fn each_denial_says_why() {
-    let mut front = front(Effect::Unsafe);
-    let attempt = called(&mut front);
-    let ask = |front: &Dispatcher, at| front.may_send(Time(at), CALL, attempt);
+fn each_denial_has_its_reason() {
+    let mut dispatcher = dispatcher(Effect::Unsafe);
+    let attempt = called(&mut dispatcher);
+    let ask = |dispatcher: &Dispatcher, at| dispatcher.may_send(Time(at), CALL, attempt);
     assert_eq!(
-        ask(&front, 10),
-        Ok(front_budget() - 10),
+        ask(&dispatcher, 10),
+        Ok(usable_budget() - 10),
         "the time that is left"
     );
     assert_eq!(
-        front.may_send(Time(10), CALL, attempt + 1),
+        dispatcher.may_send(Time(10), CALL, attempt + 1),
         Err(DenialReason::NotFound)
     );
-    assert_eq!(ask(&front, 5 * SECOND), Err(DenialReason::Expired));
-    step(&mut front, 20, workers(1));
-    assert_eq!(ask(&front, 30), Err(DenialReason::WorkerNotReady));
-    step(&mut front, 40, Input::ClientLeft { call: CALL });
-    assert_eq!(ask(&front, 50), Err(DenialReason::Concluded));
+    assert_eq!(ask(&dispatcher, 5 * SECOND), Err(DenialReason::Expired));
+    step(&mut dispatcher, 20, workers(1));
+    assert_eq!(ask(&dispatcher, 30), Err(DenialReason::WorkerNotReady));
+    step(&mut dispatcher, 40, Input::ClientLeft { call: CALL });
+    assert_eq!(ask(&dispatcher, 50), Err(DenialReason::Concluded));
 }
 
 /// The time that a call of five seconds has, less what is kept for its answer's way.
-fn front_budget() -> Span {
+fn usable_budget() -> Span {
     5 * SECOND - 20_000
 }
 
 #[test]
 fn a_call_that_waited_has_so_much_less_time() {
-    let mut front = front(Effect::Safe);
+    let mut dispatcher = dispatcher(Effect::Safe);
     let waited = 2 * SECOND;
-    let attempt = called_after(&mut front, waited);
+    let attempt = called_after(&mut dispatcher, waited);
     assert_eq!(
-        front.may_send(Time(10), CALL, attempt),
-        Ok(front_budget() - waited - 10)
+        dispatcher.may_send(Time(10), CALL, attempt),
+        Ok(usable_budget() - waited - 10)
     );
 }
 
 #[test]
 fn a_call_whose_time_was_over_when_it_was_read_is_refused_and_never_sent() {
-    let mut front = front(Effect::Safe);
-    let out = step(&mut front, 0, Input::Call(a_call(6 * SECOND)));
+    let mut dispatcher = dispatcher(Effect::Safe);
+    let commands = step(&mut dispatcher, 0, Input::Call(a_call(6 * SECOND)));
     assert_eq!(
-        out,
+        commands,
         [Command::Answer {
             call: CALL,
             answer: Answer::Refused { retry_after: 0 }
         }]
     );
-    assert!(front.is_idle());
+    assert!(dispatcher.is_idle());
 }
--- a/decide/dispatch/tests/invariants.rs
+++ b/decide/dispatch/tests/invariants.rs
@@ -45,12 +45,12 @@
 
 #[test]
 fn an_unsafe_call_sent_again_after_it_may_have_run_is_counted() {
-    for (effect, wanted) in [(Effect::Unsafe, 1), (Effect::Safe, 0)] {
+    for (effect, expected) in [(Effect::Unsafe, 1), (Effect::Safe, 0)] {
         let mut check = watching(effect);
         sent(&mut check, MS);
         check.on_attempt_ended(CALL, false);
         sent(&mut check, 2 * MS);
-        assert_eq!(check.total_violations(), wanted, "{effect:?}");
+        assert_eq!(check.total_violations(), expected, "{effect:?}");
     }
 }
 
@@ -60,7 +60,7 @@
         group: Group::All,
         window: WINDOW,
     };
-    for (at, wanted) in [
+    for (at, expected) in [
         (MS + WINDOW - 1, vec![]),
         (MS + WINDOW, vec![Violation::RepeatedLate]),
     ] {
@@ -68,7 +68,7 @@
         sent(&mut check, MS);
         // The window runs from the moment the first attempt left, not from its end.
         check.on_attempt_ended(CALL, false);
-        assert_eq!(sent(&mut check, at), wanted);
+        assert_eq!(sent(&mut check, at), expected);
     }
 }
 
@@ -105,16 +105,16 @@
 }
 
 #[test]
-fn a_worker_told_more_time_than_the_client_has_is_counted() {
+fn a_worker_given_more_time_than_the_client_has_is_counted() {
     let left = SECOND;
-    for (patience, wanted) in [
+    for (patience, expected) in [
         (left + 150 * MS, vec![]),
         (left + 151 * MS, vec![Violation::PatienceTooLong]),
     ] {
         let mut check = watching(Effect::Safe);
         assert_eq!(
             check.on_attempt_sent(Time(SECOND), CALL, "w", patience),
-            wanted
+            expected
         );
     }
 }
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn what_is_watched_is_bounded_by_what_is_open() {
+fn watched_calls_are_bounded_by_open_calls() {
     let mut check = InvariantChecker::default();
     for id in 0..10_000 {
         let call = CallId(id);
--- a/decide/dispatch/tests/pending_lookups.rs
+++ b/decide/dispatch/tests/pending_lookups.rs
@@ -28,7 +28,7 @@
 }
 
 /// What a history knows of a call that waits.
-struct Open {
+struct WaitingCall {
     function: usize,
     came: i64,
     until: i64,
@@ -37,69 +37,69 @@
 /// Plays a random history; the number of releases and of refusals.
 fn history(seed: u64) -> Result<(u64, u64), String> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let (mut parked, mut now, mut next) = (PendingLookups::default(), 0i64, 0u64);
-    let mut open: BTreeMap<CallId, Open> = BTreeMap::new();
+    let (mut lookups, mut now, mut next) = (PendingLookups::default(), 0i64, 0u64);
+    let mut open: BTreeMap<CallId, WaitingCall> = BTreeMap::new();
     let (mut released, mut refused, mut closed) = (0, 0, false);
     for step in 0..400 {
-        // Whoever drives it wakes for the limits that it tells.
+        // Whoever drives it wakes for its limits.
         let mut to = now + rng.i64(0..60_000);
-        to = parked.next_due().map_or(to, |t| to.min(t.0));
+        to = lookups.next_due().map_or(to, |t| to.min(t.0));
         now = to;
-        let mut out = Vec::new();
-        parked.expire(Time(now), &mut out);
+        let mut ends = Vec::new();
+        lookups.expire(Time(now), &mut ends);
         let due: Vec<CallId> = open
             .iter()
-            .filter(|(_, o)| o.until <= now)
+            .filter(|(_, call)| call.until <= now)
             .map(|(id, _)| *id)
             .collect();
         for id in &due {
-            let ends = |e: &WaitEnd| {
+            let expired = |e: &WaitEnd| {
                 *e == WaitEnd::Refuse {
                     call: *id,
                     reason: WaitRefusal::TimedOut,
                 }
             };
-            if !out.iter().any(ends) {
+            if !ends.iter().any(expired) {
                 return Err(format!("{step}: {id:?} waits past its limit"));
             }
         }
-        let mut wanted = due;
+        let mut expected = due;
         match rng.u32(0..100) {
             0..60 => {
                 next += 1;
-                let (function, own) = (rng.usize(0..4), rng.i64(-5_000..2 * MAX_WAIT));
+                let (function, max_wait) = (rng.usize(0..4), rng.i64(-5_000..2 * MAX_WAIT));
                 let id = CallId(next);
                 open.insert(
                     id,
-                    Open {
+                    WaitingCall {
                         function,
                         came: now,
-                        until: now + own.min(MAX_WAIT),
+                        until: now + max_wait.min(MAX_WAIT),
                     },
                 );
-                parked.add(
+                lookups.add(
                     Time(now),
                     call(next, &format!("f{function}"), None),
-                    own,
-                    &mut out,
+                    max_wait,
+                    &mut ends,
                 );
-                if own <= 0 || closed {
-                    wanted.push(id);
+                if max_wait <= 0 || closed {
+                    expected.push(id);
                 }
             }
             60..75 => {
                 let function = rng.usize(0..4);
-                let learned = if rng.bool() {
+                let result = if rng.bool() {
                     LookupResult::Proceed
                 } else {
                     LookupResult::Refuse
                 };
                 let all = open
                     .iter()
-                    .filter(|(id, o)| o.function == function && !wanted.contains(id));
+                    .filter(|(id, call)| call.function == function && !expected.contains(id));
                 let all: Vec<CallId> = all.map(|(id, _)| *id).collect();
-                wanted.extend(all);
-                parked.resolve(Time(now), &format!("f{function}"), learned, &mut out);
+                expected.extend(all);
+                lookups.resolve(Time(now), &format!("f{function}"), result, &mut ends);
             }
             75..99 => {
                 let n = if open.is_empty() {
@@ -111,9 +111,9 @@
                     .keys()
                     .nth(n)
                     .copied()
-                    .filter(|id| !wanted.contains(id))
+                    .filter(|id| !expected.contains(id))
                 {
-                    if !parked.remove(id) || parked.remove(id) {
+                    if !lookups.remove(id) || lookups.remove(id) {
                         return Err(format!("{step}: {id:?} left, and was there once"));
                     }
                     open.remove(&id);
@@ -121,25 +121,25 @@
             }
             _ => {
                 closed = true;
-                wanted = open.keys().copied().collect();
-                parked.close(&mut out);
+                expected = open.keys().copied().collect();
+                lookups.close(&mut ends);
             }
         }
-        let mut got = Vec::new();
-        for end in out {
+        let mut ended = Vec::new();
+        for end in ends {
             let id = match &end {
                 WaitEnd::Release { call, .. } => call.id,
                 WaitEnd::Refuse { call, .. } => *call,
             };
-            let Some(o) = open.remove(&id) else {
+            let Some(waiting) = open.remove(&id) else {
                 return Err(format!("{step}: {id:?} ends, and is not there"));
             };
             match end {
                 WaitEnd::Release { call, waited } => {
                     released += 1;
-                    if now >= o.until
-                        || waited != now - o.came
-                        || call.function != format!("f{}", o.function)
+                    if now >= waiting.until
+                        || waited != now - waiting.came
+                        || call.function != format!("f{}", waiting.function)
                     {
                         return Err(format!(
                             "{step}: {call:?} goes on at {now}, having waited {waited}"
@@ -148,22 +148,25 @@
                 }
                 WaitEnd::Refuse { .. } => refused += 1,
             }
-            got.push(id);
+            ended.push(id);
         }
-        let functions: BTreeSet<String> =
-            open.values().map(|o| format!("f{}", o.function)).collect();
-        if !parked.functions().eq(functions.iter().map(String::as_str)) {
+        let functions: BTreeSet<String> = open
+            .values()
+            .map(|call| format!("f{}", call.function))
+            .collect();
+        if !lookups.functions().eq(functions.iter().map(String::as_str)) {
             return Err(format!(
                 "{step}: {:?} wait",
-                parked.functions().collect::<Vec<_>>()
+                lookups.functions().collect::<Vec<_>>()
             ));
         }
-        got.sort();
-        wanted.sort();
-        if got != wanted || parked.len() != open.len() || parked.is_empty() != open.is_empty() {
+        ended.sort();
+        expected.sort();
+        if ended != expected || lookups.len() != open.len() || lookups.is_empty() != open.is_empty()
+        {
             return Err(format!(
-                "{step}: {got:?} ended, not {wanted:?}; {} wait",
-                parked.len()
+                "{step}: {ended:?} ended, not {expected:?}; {} wait",
+                lookups.len()
             ));
         }
     }
@@ -181,24 +184,24 @@
 }
 
 #[test]
-fn no_more_wait_than_there_is_room_for() {
-    let (mut parked, mut out) = (PendingLookups::default(), Vec::new());
+fn no_more_calls_wait_than_there_is_room_for() {
+    let (mut lookups, mut ends) = (PendingLookups::default(), Vec::new());
     for n in 0..=MAX_CALLS_OF_FUNCTION as u64 {
-        parked.add(Time(0), call(n, "hot", None), SECOND, &mut out);
+        lookups.add(Time(0), call(n, "hot", None), SECOND, &mut ends);
     }
     let full = |id| WaitEnd::Refuse {
         call: CallId(id),
         reason: WaitRefusal::Full,
     };
     assert_eq!(
-        std::mem::take(&mut out),
+        std::mem::take(&mut ends),
         [full(MAX_CALLS_OF_FUNCTION as u64)]
     );
     for n in 1000..1000 + MAX_CALLS as u64 {
-        parked.add(Time(0), call(n, &format!("f{n}"), None), SECOND, &mut out);
+        lookups.add(Time(0), call(n, &format!("f{n}"), None), SECOND, &mut ends);
     }
     assert_eq!(
-        (parked.len(), out.len(), &out[0]),
+        (lookups.len(), ends.len(), &ends[0]),
         (
             MAX_CALLS,
             MAX_CALLS_OF_FUNCTION,
@@ -206,31 +209,31 @@
         )
     );
     // There is room again.
-    out.clear();
-    assert!(parked.remove(CallId(1000)));
-    parked.add(Time(0), call(9999, "hot", None), SECOND, &mut out);
-    parked.add(Time(0), call(9998, "cold", None), SECOND, &mut out);
-    assert_eq!((parked.len(), out), (MAX_CALLS, vec![full(9999)]));
+    ends.clear();
+    assert!(lookups.remove(CallId(1000)));
+    lookups.add(Time(0), call(9999, "hot", None), SECOND, &mut ends);
+    lookups.add(Time(0), call(9998, "cold", None), SECOND, &mut ends);
+    assert_eq!((lookups.len(), ends), (MAX_CALLS, vec![full(9999)]));
 }
 
 #[test]
-fn what_is_learned_at_the_limit_comes_too_late() {
+fn a_result_at_the_limit_comes_too_late() {
     for (at, late) in [(MAX_WAIT - 1, false), (MAX_WAIT, true)] {
-        let (mut parked, mut out) = (PendingLookups::default(), Vec::new());
-        parked.add(Time(0), call(1, "f", None), SECOND, &mut out);
-        parked.resolve(Time(at), "f", LookupResult::Proceed, &mut out);
+        let (mut lookups, mut ends) = (PendingLookups::default(), Vec::new());
+        lookups.add(Time(0), call(1, "f", None), SECOND, &mut ends);
+        lookups.resolve(Time(at), "f", LookupResult::Proceed, &mut ends);
         let end = WaitEnd::Refuse {
             call: CallId(1),
             reason: WaitRefusal::TimedOut,
         };
-        assert_eq!((out.len(), out[0] == end), (1, late), "{out:?}");
+        assert_eq!((ends.len(), ends[0] == end), (1, late), "{ends:?}");
     }
 }
 
-// ---- In the ledger ----
+// ---- In the dispatcher ----
 
 struct Scene {
-    front: Dispatcher,
+    dispatcher: Dispatcher,
     now: i64,
 }
 
@@ -264,20 +267,21 @@
         max_call_time: 60 * SECOND,
         seed: 1,
     };
-    let mut s = Scene {
-        front: Dispatcher::new(config.clone(), Time(0)).expect("good settings"),
+    let mut scene = Scene {
+        dispatcher: Dispatcher::new(config.clone(), Time(0)).expect("good settings"),
         now: 0,
     };
-    let contested = ConflictingScopes {
+    let conflicting = ConflictingScopes {
         retry_after: ABOUT,
         ..ConflictingScopes::default()
     };
-    s.front
+    scene
+        .dispatcher
         .apply_settings(
             Time(0),
             EffectiveConfig {
                 config,
-                conflicting: contested,
+                conflicting,
             },
             vec![],
         )
@@ -291,31 +295,31 @@
         age: None,
         relative_size: 1.0,
     };
-    s.give(
+    scene.give(
         0,
         Input::Workers {
             full: true,
             workers: vec![worker],
         },
     );
-    s
+    scene
 }
 
 impl Scene {
     fn give(&mut self, after: Span, input: Input) -> Vec<Command> {
         self.now += after;
-        let mut out = Vec::new();
-        self.front.step(Time(self.now), input, &mut out);
+        let mut commands = Vec::new();
+        self.dispatcher.step(Time(self.now), input, &mut commands);
         assert!(
-            self.front
+            self.dispatcher
                 .counters()
-                .balances(self.front.open_calls() as u64),
+                .balances(self.dispatcher.open_calls() as u64),
             "{}",
-            self.front.counters()
+            self.dispatcher.counters()
         );
-        out
+        commands
     }
-    fn park(&mut self, id: u64, budget: Option<Span>) -> Vec<Command> {
+    fn call_pending(&mut self, id: u64, budget: Option<Span>) -> Vec<Command> {
         self.give(
             0,
             Input::CallLookedUp {
@@ -324,18 +328,18 @@
             },
         )
     }
-    fn found(&mut self, after: Span, found: FunctionLookup) -> Vec<Command> {
+    fn resolve(&mut self, after: Span, lookup: FunctionLookup) -> Vec<Command> {
         self.give(
             after,
             Input::FunctionResolved {
                 function: "f".into(),
-                lookup: found,
+                lookup,
             },
         )
     }
 }
 
-fn acts(class: usize) -> FunctionLookup {
+fn known(class: usize) -> FunctionLookup {
     FunctionLookup::Known {
         class,
         shape: FunctionShape {
@@ -347,85 +351,108 @@
 }
 
 /// Budgets of attempts and answers.
-fn seen(out: &[Command]) -> (Vec<Span>, Vec<Answer>) {
-    let opened = out.iter().filter_map(|c| match c {
+fn budgets_and_answers(commands: &[Command]) -> (Vec<Span>, Vec<Answer>) {
+    let budgets = commands.iter().filter_map(|c| match c {
         Command::SendAttempt { budget, .. } => Some(*budget),
         _ => None,
     });
-    let answers = out.iter().filter_map(|c| match c {
+    let answers = commands.iter().filter_map(|c| match c {
         Command::Answer { answer, .. } => Some(*answer),
         _ => None,
     });
-    (opened.collect(), answers.collect())
+    (budgets.collect(), answers.collect())
 }
 
 const REFUSED: Answer = Answer::Refused { retry_after: ABOUT };
 
 #[test]
 fn a_call_that_waited_goes_on_with_what_is_left_of_its_time() {
-    let mut s = scene();
-    assert_eq!(seen(&s.park(1, Some(SECOND))), (vec![], vec![]));
+    let mut scene = scene();
+    assert_eq!(
+        budgets_and_answers(&scene.call_pending(1, Some(SECOND))),
+        (vec![], vec![])
+    );
     assert!(
-        s.front.awaited_functions().eq(["f"]) && !s.front.is_idle() && s.front.open_calls() == 0
+        scene.dispatcher.awaited_functions().eq(["f"])
+            && !scene.dispatcher.is_idle()
+            && scene.dispatcher.open_calls() == 0
     );
     // 20 ms are kept back for its answer's way.
-    assert_eq!(seen(&s.found(300_000, acts(0))), (vec![680_000], vec![]));
-    assert_eq!((s.front.pending_calls(), s.front.open_calls()), (0, 1));
+    assert_eq!(
+        budgets_and_answers(&scene.resolve(300_000, known(0))),
+        (vec![680_000], vec![])
+    );
+    assert_eq!(
+        (
+            scene.dispatcher.pending_calls(),
+            scene.dispatcher.open_calls()
+        ),
+        (0, 1)
+    );
     // One that tells no time has its function's class's, less what it waited.
-    s.park(2, None);
-    s.give(0, Input::ClientLeft { call: CallId(1) });
-    let out = s.found(100_000, acts(1));
-    assert_eq!(seen(&out).0, [880_000]);
-    assert_eq!(s.front.class_of(CallId(2)), Some("unsafe"));
-    let a = s.front.counters();
+    scene.call_pending(2, None);
+    scene.give(0, Input::ClientLeft { call: CallId(1) });
+    let commands = scene.resolve(100_000, known(1));
+    assert_eq!(budgets_and_answers(&commands).0, [880_000]);
+    assert_eq!(scene.dispatcher.class_of(CallId(2)), Some("unsafe"));
+    let a = scene.dispatcher.counters();
     assert_eq!((a.accepted, a.abandoned, a.guard_rejections), (2, 1, 0));
 }
 
 #[test]
 fn a_call_looked_up_in_time_does_not_wait_and_one_that_names_its_class_keeps_it() {
-    let mut s = scene();
-    let out = s.give(
+    let mut scene = scene();
+    let commands = scene.give(
         0,
         Input::CallLookedUp {
             call: call(1, "f", Some(SECOND)),
-            lookup: acts(1),
+            lookup: known(1),
         },
     );
     assert_eq!(
-        (seen(&out).0, s.front.class_of(CallId(1))),
+        (
+            budgets_and_answers(&commands).0,
+            scene.dispatcher.class_of(CallId(1))
+        ),
         (vec![980_000], Some("unsafe"))
     );
-    assert!(!s.front.is_configured("f"), "it is looked up each time");
+    assert!(
+        !scene.dispatcher.is_configured("f"),
+        "it is looked up each time"
+    );
     let named = Call {
         class: Some(0),
         ..call(2, "f", Some(SECOND))
     };
-    s.give(
+    scene.give(
         0,
         Input::CallLookedUp {
             call: named,
-            lookup: acts(1),
+            lookup: known(1),
         },
     );
-    assert_eq!(s.front.class_of(CallId(2)), Some("safe"));
+    assert_eq!(scene.dispatcher.class_of(CallId(2)), Some("safe"));
     // What was learned of it once does not count once it is gone.
-    let out = s.give(
+    let commands = scene.give(
         0,
         Input::CallLookedUp {
             call: call(3, "f", None),
             lookup: FunctionLookup::Unknown,
         },
     );
-    assert_eq!(seen(&out), (vec![], vec![Answer::UnknownFunction]));
-    let out = s.give(
+    assert_eq!(
+        budgets_and_answers(&commands),
+        (vec![], vec![Answer::UnknownFunction])
+    );
+    let commands = scene.give(
         0,
         Input::CallLookedUp {
             call: call(4, "f", None),
             lookup: FunctionLookup::Refused,
         },
     );
-    assert_eq!(seen(&out), (vec![], vec![REFUSED]));
-    let a = s.front.counters();
+    assert_eq!(budgets_and_answers(&commands), (vec![], vec![REFUSED]));
+    let a = scene.dispatcher.counters();
     assert_eq!(
         (a.accepted, a.refused, a.conflicting, a.unknown_function),
         (3, 1, 1, 1)
@@ -434,26 +461,46 @@
 
 #[test]
 fn a_call_that_waits_is_refused_at_its_limit_and_no_later() {
-    let mut s = scene();
+    let mut scene = scene();
     for (id, budget, limit) in [
         (1, Some(10 * SECOND), MAX_WAIT),
         (2, Some(SECOND / 5), 187_500),
         (3, None, MAX_WAIT),
     ] {
-        s.park(id, budget);
+        scene.call_pending(id, budget);
         assert!(
-            s.front.next_due().is_some_and(|t| t <= Time(s.now + limit)),
+            scene
+                .dispatcher
+                .next_due()
+                .is_some_and(|t| t <= Time(scene.now + limit)),
+            "{id}"
+        );
+        assert_eq!(
+            budgets_and_answers(&scene.give(limit - 1, Input::Tick)).1,
+            []
+        );
+        assert_eq!(
+            budgets_and_answers(&scene.give(1, Input::Tick)).1,
+            [REFUSED],
+            "{id}"
+        );
+        assert_eq!(
+            budgets_and_answers(&scene.resolve(0, known(0))),
+            (vec![], vec![]),
             "{id}"
         );
-        assert_eq!(seen(&s.give(limit - 1, Input::Tick)).1, []);
-        assert_eq!(seen(&s.give(1, Input::Tick)).1, [REFUSED], "{id}");
-        assert_eq!(seen(&s.found(0, acts(0))), (vec![], vec![]), "{id}");
     }
     // What comes at the limit is too late as well, and one without time does not wait.
-    s.park(4, Some(SECOND));
-    assert_eq!(seen(&s.found(MAX_WAIT, acts(0))), (vec![], vec![REFUSED]));
-    assert_eq!(seen(&s.park(5, Some(0))).1, [REFUSED]);
-    let a = s.front.counters();
+    scene.call_pending(4, Some(SECOND));
+    assert_eq!(
+        budgets_and_answers(&scene.resolve(MAX_WAIT, known(0))),
+        (vec![], vec![REFUSED])
+    );
+    assert_eq!(
+        budgets_and_answers(&scene.call_pending(5, Some(0))).1,
+        [REFUSED]
+    );
+    let a = scene.dispatcher.counters();
     assert_eq!(
         (a.accepted, a.refused, a.conflicting, a.attempts),
         (5, 5, 5, 0)
@@ -462,27 +509,42 @@
 
 #[test]
 fn a_client_that_left_a_close_and_an_end_without_a_function_end_a_wait() {
-    let mut s = scene();
-    s.park(1, None);
-    assert_eq!(s.give(10, Input::ClientLeft { call: CallId(1) }), []);
-    assert_eq!(seen(&s.found(10, acts(0))), (vec![], vec![]));
-    s.park(2, None);
+    let mut scene = scene();
+    scene.call_pending(1, None);
+    assert_eq!(scene.give(10, Input::ClientLeft { call: CallId(1) }), []);
+    assert_eq!(
+        budgets_and_answers(&scene.resolve(10, known(0))),
+        (vec![], vec![])
+    );
+    scene.call_pending(2, None);
     assert_eq!(
-        seen(&s.found(10, FunctionLookup::Unknown)).1,
+        budgets_and_answers(&scene.resolve(10, FunctionLookup::Unknown)).1,
         [Answer::UnknownFunction]
     );
-    s.park(3, None);
-    assert_eq!(seen(&s.found(10, FunctionLookup::Pending)).1, []);
-    assert_eq!(seen(&s.found(10, FunctionLookup::Refused)).1, [REFUSED]);
-    s.park(4, None);
+    scene.call_pending(3, None);
+    assert_eq!(
+        budgets_and_answers(&scene.resolve(10, FunctionLookup::Pending)).1,
+        []
+    );
+    assert_eq!(
+        budgets_and_answers(&scene.resolve(10, FunctionLookup::Refused)).1,
+        [REFUSED]
+    );
+    scene.call_pending(4, None);
     let at_once = Answer::Refused { retry_after: 0 };
     assert_eq!(
-        seen(&s.give(10, Input::Shutdown { grace: SECOND })).1,
+        budgets_and_answers(&scene.give(10, Input::Shutdown { grace: SECOND })).1,
+        [at_once]
+    );
+    assert_eq!(
+        budgets_and_answers(&scene.call_pending(5, None)).1,
         [at_once]
     );
-    assert_eq!(seen(&s.park(5, None)).1, [at_once]);
-    assert_eq!(seen(&s.found(10, acts(0))), (vec![], vec![]));
-    let a = s.front.counters();
+    assert_eq!(
+        budgets_and_answers(&scene.resolve(10, known(0))),
+        (vec![], vec![])
+    );
+    let a = scene.dispatcher.counters();
     assert_eq!(
         (
             a.accepted,
@@ -493,12 +555,12 @@
         ),
         (4, 1, 3, 1, 1)
     );
-    assert!(s.front.is_idle());
+    assert!(scene.dispatcher.is_idle());
 }
 
-/// What a roll compares: ends of calls that awaited settings, as served, refused and failed, and what they were worth.
-fn awaited(s: &Scene) -> [u64; 5] {
-    let counts = s.front.class_counters().expect("they are counted");
+/// What a rollout compares: ends of calls that awaited settings, as served, refused and failed, and what they were worth.
+fn awaited(scene: &Scene) -> [u64; 5] {
+    let counts = scene.dispatcher.class_counters().expect("they are counted");
     let c = counts
         .classes()
         .get(PENDING_LOOKUP)
@@ -512,50 +574,50 @@
 
 #[test]
 fn calls_that_wait_for_settings_are_counted_whatever_their_end() {
-    let mut s = scene();
-    s.front.enable_class_counters();
+    let mut scene = scene();
+    scene.dispatcher.enable_class_counters();
     // One goes on, and is one of its class as well.
-    s.park(1, Some(SECOND));
-    s.found(300_000, acts(0));
-    assert_eq!(awaited(&s), [1, 1, 0, 0, 1]);
+    scene.call_pending(1, Some(SECOND));
+    scene.resolve(300_000, known(0));
+    assert_eq!(awaited(&scene), [1, 1, 0, 0, 1]);
     // Refused at its limit, by what was found, at once by that, and without any time.
-    s.park(2, None);
-    s.give(MAX_WAIT, Input::Tick);
-    s.park(3, None);
-    s.found(10, FunctionLookup::Refused);
-    s.give(
+    scene.call_pending(2, None);
+    scene.give(MAX_WAIT, Input::Tick);
+    scene.call_pending(3, None);
+    scene.resolve(10, FunctionLookup::Refused);
+    scene.give(
         0,
         Input::CallLookedUp {
             call: call(4, "f", None),
             lookup: FunctionLookup::Refused,
         },
     );
-    s.park(5, Some(0));
-    assert_eq!(awaited(&s), [5, 1, 4, 0, 1]);
+    scene.call_pending(5, Some(0));
+    assert_eq!(awaited(&scene), [5, 1, 4, 0, 1]);
     // There is no such function; its client leaves.
-    s.park(6, None);
-    s.found(10, FunctionLookup::Unknown);
-    s.park(7, None);
-    s.give(10, Input::ClientLeft { call: CallId(7) });
-    assert_eq!(awaited(&s), [7, 1, 4, 2, 1]);
+    scene.call_pending(6, None);
+    scene.resolve(10, FunctionLookup::Unknown);
+    scene.call_pending(7, None);
+    scene.give(10, Input::ClientLeft { call: CallId(7) });
+    assert_eq!(awaited(&scene), [7, 1, 4, 2, 1]);
     // One that did not wait has its class alone.
-    s.give(
+    scene.give(
         0,
         Input::CallLookedUp {
             call: call(8, "f", Some(SECOND)),
-            lookup: acts(1),
+            lookup: known(1),
         },
     );
-    assert_eq!(awaited(&s), [7, 1, 4, 2, 1]);
+    assert_eq!(awaited(&scene), [7, 1, 4, 2, 1]);
     // Too many of one function, and a close.
     for id in 0..=MAX_CALLS_OF_FUNCTION as u64 {
-        s.park(100 + id, None);
+        scene.call_pending(100 + id, None);
     }
-    assert_eq!(awaited(&s), [8, 1, 5, 2, 1]);
-    s.give(10, Input::Shutdown { grace: SECOND });
-    s.park(1000, None);
+    assert_eq!(awaited(&scene), [8, 1, 5, 2, 1]);
+    scene.give(10, Input::Shutdown { grace: SECOND });
+    scene.call_pending(1000, None);
     assert_eq!(
-        awaited(&s),
+        awaited(&scene),
         [
             9 + MAX_CALLS_OF_FUNCTION as u64,
             1,
@@ -564,23 +626,23 @@
             1
         ]
     );
-    let a = s.front.counters();
+    let a = scene.dispatcher.counters();
     assert_eq!(
         a.refused,
         6 + MAX_CALLS_OF_FUNCTION as u64,
         "as in the account: {a}"
     );
-    let counts = s.front.class_counters().expect("they are counted");
+    let counts = scene.dispatcher.class_counters().expect("they are counted");
     assert!(
         counts.classes().keys().eq([PENDING_LOOKUP]),
         "no call of a class has ended"
     );
 }
 
-/// What a roll is told of a front end: its counts, beside a thousand calls a slice that all were served.
-fn report(n: usize, slice: u64, s: &Scene, new: bool, with_awaited: bool) -> Report {
+/// What a rollout knows of a front end: its counts, beside a thousand calls a slice that all were served.
+fn report(n: usize, slice: u64, scene: &Scene, new: bool, with_awaited: bool) -> Report {
     let mut classes = BTreeMap::new();
-    let counts = s.front.class_counters().expect("they are counted");
+    let counts = scene.dispatcher.class_counters().expect("they are counted");
     for (name, c) in counts
         .classes()
         .iter()
@@ -598,15 +660,15 @@
         t.latency.add(&c.latency).expect("it grows");
         classes.insert(name.clone(), t);
     }
-    let held = 1_000 * slice;
+    let calls = 1_000 * slice;
     let mut t = Tally {
-        asked: held,
-        served: held,
-        wanted: held as f64,
-        worth: held as f64,
+        asked: calls,
+        served: calls,
+        wanted: calls as f64,
+        worth: calls as f64,
         ..Tally::default()
     };
-    t.latency.record_n(20_000, held).expect("it grows");
+    t.latency.record_n(20_000, calls).expect("it grows");
     classes.entry("safe".to_string()).or_default().add(&t);
     let (name, zone) = (format!("f{n}"), "z".to_string());
     Report {
@@ -621,12 +683,12 @@
     }
 }
 
-/// A roll to a program that refuses every first call of a function, of which each front end has five in a slice of a thousand.
-fn roll(breaks: bool, with_awaited: bool) -> (Verdict, Vec<String>) {
+/// A rollout of a program that refuses every first call of a function, of which each front end has five in a slice of a thousand.
+fn compare_rollout(breaks: bool, with_awaited: bool) -> (Verdict, Vec<String>) {
     let mut scenes: Vec<Scene> = (0..8).map(|_| scene()).collect();
     scenes
         .iter_mut()
-        .for_each(|s| s.front.enable_class_counters());
+        .for_each(|scene| scene.dispatcher.enable_class_counters());
     let new = |n: usize| n < 3;
     let mut judge = Judge::new(
         Judged::default(),
@@ -635,20 +697,20 @@
     let mut id = 0;
     for slice in 1..=60 {
         let judging = slice > 20;
-        for (n, s) in scenes.iter_mut().enumerate() {
+        for (n, scene) in scenes.iter_mut().enumerate() {
             for _ in 0..5 {
                 id += 1;
-                s.park(id, Some(SECOND));
-                let found = if breaks && judging && new(n) {
+                scene.call_pending(id, Some(SECOND));
+                let lookup = if breaks && judging && new(n) {
                     FunctionLookup::Refused
                 } else {
-                    acts(0)
+                    known(0)
                 };
-                let out = s.found(20_000, found);
-                if !seen(&out).0.is_empty() {
+                let commands = scene.resolve(20_000, lookup);
+                if !budgets_and_answers(&commands).0.is_empty() {
                     let (call, attempt) = (CallId(id), 0);
-                    s.give(0, Input::AttemptSent { call, attempt });
-                    s.give(
+                    scene.give(0, Input::AttemptSent { call, attempt });
+                    scene.give(
                         10_000,
                         Input::ResponseMessage {
                             call,
@@ -656,23 +718,23 @@
                             last: true,
                         },
                     );
-                    let seen = AttemptOutcome::Status {
+                    let outcome = AttemptOutcome::Status {
                         code: 0,
                         stage: ResponseStage::Last,
                     };
-                    s.give(
+                    scene.give(
                         0,
                         Input::AttemptEnded {
                             call,
                             attempt,
-                            outcome: seen,
+                            outcome,
                             trailers: Trailers::default(),
                         },
                     );
                 }
             }
         }
-        let each = |(n, s)| report(n, slice, s, judging && new(n), with_awaited);
+        let each = |(n, scene)| report(n, slice, scene, judging && new(n), with_awaited);
         let reports: Vec<Report> = scenes.iter().enumerate().map(each).collect();
         judge.look(&reports, judging);
     }
@@ -683,15 +745,15 @@
 }
 
 #[test]
-fn a_roll_that_breaks_first_calls_is_seen() {
-    let (classify, what) = roll(true, true);
+fn a_rollout_that_breaks_first_calls_is_recognized() {
+    let (verdict, measured) = compare_rollout(true, true);
     assert!(
-        matches!(&classify, Verdict::Worse { why } if why.contains(PENDING_LOOKUP)),
-        "{classify:?} {what:?}"
+        matches!(&verdict, Verdict::Worse { why } if why.contains(PENDING_LOOKUP)),
+        "{verdict:?} {measured:?}"
     );
-    let (classify, _) = roll(false, true);
-    assert_eq!(classify, Verdict::Fine, "one that breaks nothing");
+    let (verdict, _) = compare_rollout(false, true);
+    assert_eq!(verdict, Verdict::Fine, "one that breaks nothing");
     // Without these counts nothing shows: the calls were never of a class.
-    let (classify, _) = roll(true, false);
-    assert_eq!(classify, Verdict::Fine);
+    let (verdict, _) = compare_rollout(true, false);
+    assert_eq!(verdict, Verdict::Fine);
 }
--- a/decide/dispatch/tests/request_table.rs
+++ b/decide/dispatch/tests/request_table.rs
@@ -1,4 +1,4 @@
-//! The ledger under random histories: the rules, the account, and the same commands again from the record.
+//! The dispatcher under random histories: the rules, the counters, and the same commands again from the record.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tansy_dispatch::record::{replay, RecordedStep};
@@ -54,7 +54,7 @@
     }
 }
 
-fn listed(n: usize, state: u8) -> WorkerRecord {
+fn record(n: usize, state: u8) -> WorkerRecord {
     WorkerRecord {
         name: format!("w{n}"),
         kind: 0,
@@ -74,7 +74,7 @@
     attempts: BTreeMap<CallId, (u32, bool)>,
     ran: BTreeSet<CallId>,
     answered: BTreeMap<CallId, Answer>,
-    orders: VecDeque<ControlRequestId>,
+    requests: VecDeque<ControlRequestId>,
     draining: BTreeSet<String>,
     began: BTreeSet<CallId>,
     next: u64,
@@ -82,9 +82,9 @@
 }
 
 impl World {
-    fn step(&mut self, front: &mut Dispatcher, input: Input) {
+    fn step(&mut self, dispatcher: &mut Dispatcher, input: Input) {
         let mut commands = Vec::new();
-        front.step(Time(self.now), input.clone(), &mut commands);
+        dispatcher.step(Time(self.now), input.clone(), &mut commands);
         for c in &commands {
             self.check(c);
         }
@@ -99,9 +99,9 @@
             .filter(|c| !self.answered.contains_key(c))
             .count();
         assert!(
-            front.counters().balances(open as u64),
+            dispatcher.counters().balances(open as u64),
             "{} with {open} open",
-            front.counters()
+            dispatcher.counters()
         );
     }
 
@@ -160,28 +160,28 @@
                     a.1 = true;
                 }
             }
-            Command::Probe { request: order, .. }
-            | Command::Load { request: order, .. }
-            | Command::Unload { request: order, .. } => self.orders.push_back(*order),
+            Command::Probe { request, .. }
+            | Command::Load { request, .. }
+            | Command::Unload { request, .. } => self.requests.push_back(*request),
             _ => {}
         }
     }
 
     /// Lets time pass; time-outs come when they are due, as a loop would have them.
-    fn pass(&mut self, front: &mut Dispatcher, to: i64) {
-        while let Some(due) = front.next_due().filter(|t| t.0 < to) {
+    fn pass(&mut self, dispatcher: &mut Dispatcher, to: i64) {
+        while let Some(due) = dispatcher.next_due().filter(|t| t.0 < to) {
             self.now = self.now.max(due.0);
-            self.step(front, Input::Tick);
-            if front.next_due().is_some_and(|t| t <= due) {
+            self.step(dispatcher, Input::Tick);
+            if dispatcher.next_due().is_some_and(|t| t <= due) {
                 break;
             }
         }
         self.now = to;
     }
 
-    fn turn(&mut self, front: &mut Dispatcher) {
+    fn turn(&mut self, dispatcher: &mut Dispatcher) {
         let to = self.now + self.rng.i64(0..8_000);
-        self.pass(front, to);
+        self.pass(dispatcher, to);
         let stage = [
             ResponseStage::Nothing,
             ResponseStage::Headers,
@@ -206,7 +206,7 @@
                     unknown_names: false,
                     waited: 0,
                 };
-                self.step(front, Input::Call(call));
+                self.step(dispatcher, Input::Call(call));
             }
             35..=79 => {
                 let keys: Vec<CallId> = self.attempts.keys().copied().collect();
@@ -219,7 +219,7 @@
                     let last = self.rng.u32(..4) == 0;
                     self.began.insert(call);
                     return self.step(
-                        front,
+                        dispatcher,
                         Input::ResponseMessage {
                             call,
                             attempt,
@@ -227,11 +227,11 @@
                         },
                     );
                 }
-                let mut told = Trailers {
+                let mut trailers = Trailers {
                     cache_status: CacheStatus::Warm,
                     ..Trailers::default()
                 };
-                let seen = match self.rng.u32(..20) {
+                let outcome = match self.rng.u32(..20) {
                     _ if withdrawn => AttemptOutcome::Cancelled,
                     0 => AttemptOutcome::ConnectRefused,
                     1 => AttemptOutcome::NeverLeft,
@@ -243,7 +243,7 @@
                     4 => AttemptOutcome::ConnectionCut { stage },
                     5 => AttemptOutcome::NoTrailers { stage },
                     6 => {
-                        told.never_ran = Some(NeverRan::NotLoaded);
+                        trailers.never_ran = Some(NeverRan::NotLoaded);
                         AttemptOutcome::Status {
                             code: 14,
                             stage: ResponseStage::Headers,
@@ -260,7 +260,7 @@
                 };
                 if self.began.contains(&call)
                     && matches!(
-                        seen,
+                        outcome,
                         AttemptOutcome::ConnectRefused | AttemptOutcome::NeverLeft
                     )
                 {
@@ -268,26 +268,26 @@
                 }
                 self.attempts.remove(&call);
                 // What has run, judged here by the words of the specifications, not by the table under test.
-                let proof = match seen {
+                let proof = match outcome {
                     AttemptOutcome::ConnectRefused
                     | AttemptOutcome::NeverLeft
                     | AttemptOutcome::GoawayBelow => true,
                     AttemptOutcome::Reset { code, stage } => {
                         code == 7 && stage == ResponseStage::Nothing
                     }
-                    AttemptOutcome::Status { .. } => told.never_ran.is_some(),
+                    AttemptOutcome::Status { .. } => trailers.never_ran.is_some(),
                     _ => false,
                 };
                 if !proof {
                     self.ran.insert(call);
                 }
                 self.step(
-                    front,
+                    dispatcher,
                     Input::AttemptEnded {
                         call,
                         attempt,
-                        outcome: seen,
-                        trailers: told,
+                        outcome,
+                        trailers,
                     },
                 );
             }
@@ -300,16 +300,16 @@
                     .collect();
                 if let Some(call) = open.get(self.rng.usize(..open.len().max(1))).copied() {
                     self.answered.insert(call, Answer::Served);
-                    self.step(front, Input::ClientLeft { call });
+                    self.step(dispatcher, Input::ClientLeft { call });
                 }
             }
             85..=87 => {
                 let states: Vec<u8> = (0..4).map(|_| u8::from(self.rng.u32(..5) == 0)).collect();
                 let drains = (0..4).filter(|n| states[*n] > 0).map(|n| format!("w{n}"));
                 self.draining = drains.collect();
-                let list = (0..4).map(|n| listed(n, states[n])).collect();
+                let list = (0..4).map(|n| record(n, states[n])).collect();
                 self.step(
-                    front,
+                    dispatcher,
                     Input::Workers {
                         full: true,
                         workers: list,
@@ -317,10 +317,10 @@
                 );
             }
             _ => {
-                let Some(order) = self.orders.pop_front() else {
+                let Some(request) = self.requests.pop_front() else {
                     return;
                 };
-                let (seen, told) = if self.rng.u32(..10) == 0 {
+                let (outcome, trailers) = if self.rng.u32(..10) == 0 {
                     (
                         AttemptOutcome::ConnectionCut {
                             stage: ResponseStage::Nothing,
@@ -328,7 +328,7 @@
                         Trailers::default(),
                     )
                 } else {
-                    let told = Trailers {
+                    let trailers = Trailers {
                         instances: Some(1),
                         ..Trailers::default()
                     };
@@ -337,15 +337,15 @@
                             code: 0,
                             stage: ResponseStage::Headers,
                         },
-                        told,
+                        trailers,
                     )
                 };
                 self.step(
-                    front,
+                    dispatcher,
                     Input::ControlRequestEnded {
-                        request: order,
-                        outcome: seen,
-                        trailers: told,
+                        request,
+                        outcome,
+                        trailers,
                     },
                 );
             }
@@ -353,25 +353,26 @@
     }
 
     fn run(seed: u64, turns: usize) -> World {
-        let mut front = Dispatcher::new(config(seed), Time(0)).expect("settings that make sense");
+        let mut dispatcher =
+            Dispatcher::new(config(seed), Time(0)).expect("settings that make sense");
         let mut world = World {
             rng: fastrand::Rng::with_seed(seed),
             ..World::default()
         };
-        let list = (0..4).map(|n| listed(n, 0)).collect();
+        let list = (0..4).map(|n| record(n, 0)).collect();
         world.step(
-            &mut front,
+            &mut dispatcher,
             Input::Workers {
                 full: true,
                 workers: list,
             },
         );
-        (0..turns).for_each(|_| world.turn(&mut front));
+        (0..turns).for_each(|_| world.turn(&mut dispatcher));
         // The end: every client's time passes.
         for _ in 0..400 {
             let to = world.now + 10_000;
-            world.pass(&mut front, to);
-            world.step(&mut front, Input::Tick);
+            world.pass(&mut dispatcher, to);
+            world.step(&mut dispatcher, Input::Tick);
         }
         let unanswered: Vec<_> = world
             .open
@@ -379,7 +380,7 @@
             .filter(|c| !world.answered.contains_key(c))
             .collect();
         assert!(unanswered.is_empty(), "seed {seed}: {unanswered:?}");
-        assert_eq!(front.counters().guard_rejections, 0, "seed {seed}");
+        assert_eq!(dispatcher.counters().guard_rejections, 0, "seed {seed}");
         world
     }
 }
@@ -454,98 +455,105 @@
 }
 
 #[test]
-fn refusals_say_how_long_to_stay_away() {
+fn refusals_say_when_to_try_again() {
     let mut config = config(1);
     config.settings.max_held = 2;
     config.settings.max_stay_away = SECOND / 4;
-    let mut front = Dispatcher::new(config, Time(0)).expect("settings that make sense");
-    let mut out = Vec::new();
+    let mut dispatcher = Dispatcher::new(config, Time(0)).expect("settings that make sense");
+    let mut commands = Vec::new();
     // No worker is known: one call has no time, two are held, the next is one too many, then the front end closes.
-    front.step(Time(0), call(1, "unsafe", 0), &mut out);
-    front.step(Time(1), call(2, "unsafe", SECOND), &mut out);
-    front.step(Time(2), call(3, "unsafe", SECOND), &mut out);
-    front.step(Time(3), call(4, "unsafe", SECOND), &mut out);
-    front.step(Time(4), Input::Shutdown { grace: SECOND / 10 }, &mut out);
-    front.step(Time(5), call(5, "unsafe", SECOND), &mut out);
+    dispatcher.step(Time(0), call(1, "unsafe", 0), &mut commands);
+    dispatcher.step(Time(1), call(2, "unsafe", SECOND), &mut commands);
+    dispatcher.step(Time(2), call(3, "unsafe", SECOND), &mut commands);
+    dispatcher.step(Time(3), call(4, "unsafe", SECOND), &mut commands);
+    dispatcher.step(
+        Time(4),
+        Input::Shutdown { grace: SECOND / 10 },
+        &mut commands,
+    );
+    dispatcher.step(Time(5), call(5, "unsafe", SECOND), &mut commands);
     let quarter = Answer::Refused {
         retry_after: SECOND / 4,
     };
     assert_eq!(
-        answers(&out),
+        answers(&commands),
         [
             (1, quarter),
             (4, quarter),
             (5, Answer::Refused { retry_after: 0 })
         ]
     );
-    out.clear();
-    front.step(Time(SECOND / 5), Input::Tick, &mut out);
+    commands.clear();
+    dispatcher.step(Time(SECOND / 5), Input::Tick, &mut commands);
     let failed = Answer::Failed(tansy_dispatch::FailureReason::ShuttingDown);
     assert_eq!(
-        answers(&out),
+        answers(&commands),
         [(2, failed), (3, failed)],
         "what is held fails when the time to close is over"
     );
-    assert!(front.is_idle());
+    assert!(dispatcher.is_idle());
 }
 
 #[test]
 fn a_connection_that_takes_nothing_is_dropped_and_the_call_goes_elsewhere() {
-    let mut front = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
-    let mut out = Vec::new();
-    let connect = front.config().settings.connect_timeout;
-    let list = vec![listed(0, 0)];
-    front.step(
+    let mut dispatcher = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
+    let mut commands = Vec::new();
+    let connect = dispatcher.config().settings.connect_timeout;
+    let list = vec![record(0, 0)];
+    dispatcher.step(
         Time(0),
         Input::Workers {
             full: true,
             workers: list,
         },
-        &mut out,
+        &mut commands,
     );
-    front.step(Time(0), call(1, "unsafe", 2 * SECOND), &mut out);
-    let order = out.iter().find_map(|c| match c {
-        Command::Load { request: order, .. } => Some(*order),
+    dispatcher.step(Time(0), call(1, "unsafe", 2 * SECOND), &mut commands);
+    let request = commands.iter().find_map(|c| match c {
+        Command::Load { request, .. } => Some(*request),
         _ => None,
     });
-    let told = Trailers {
+    let trailers = Trailers {
         instances: Some(1),
         ..Trailers::default()
     };
-    let seen = AttemptOutcome::Status {
+    let outcome = AttemptOutcome::Status {
         code: 0,
         stage: ResponseStage::Headers,
     };
-    out.clear();
-    front.step(
+    commands.clear();
+    dispatcher.step(
         Time(1000),
         Input::ControlRequestEnded {
-            request: order.expect("a load first"),
-            outcome: seen,
-            trailers: told,
+            request: request.expect("a load first"),
+            outcome,
+            trailers,
         },
-        &mut out,
+        &mut commands,
     );
     assert!(
-        out.iter()
+        commands
+            .iter()
             .any(|c| matches!(c, Command::SendAttempt { attempt: 0, .. })),
-        "{out:?}"
+        "{commands:?}"
     );
-    let mut at = |t: i64, want: &str| {
-        let mut out = Vec::new();
-        front.step(Time(t), Input::Tick, &mut out);
+    let mut at = |t: i64, expected: &str| {
+        let mut commands = Vec::new();
+        dispatcher.step(Time(t), Input::Tick, &mut commands);
         assert!(
-            out.iter().any(|c| format!("{c:?}").starts_with(want)),
-            "{want} at {t}: {out:?}"
+            commands
+                .iter()
+                .any(|c| format!("{c:?}").starts_with(expected)),
+            "{expected} at {t}: {commands:?}"
         );
     };
-    at(1000 + connect + 500, "Confirm");
-    at(1000 + 2 * connect + 1000, "Drop");
+    at(1000 + connect + 500, "ConfirmSent");
+    at(1000 + 2 * connect + 1000, "DropConnection");
     // Nothing of it can leave any more, and nothing had left: it is sent again though it must not run twice.
     let (call, attempt) = (CallId(1), 0);
-    out.clear();
+    commands.clear();
     let now = Time(1000 + 2 * connect + 2000);
-    front.step(
+    dispatcher.step(
         now,
         Input::AttemptEnded {
             call,
@@ -553,56 +561,56 @@
             outcome: AttemptOutcome::NeverLeft,
             trailers: Trailers::default(),
         },
-        &mut out,
+        &mut commands,
     );
-    assert!(answers(&out).is_empty(), "{out:?}");
-    assert_eq!(front.counters().dropped_connections, 1);
+    assert!(answers(&commands).is_empty(), "{commands:?}");
+    assert_eq!(dispatcher.counters().dropped_connections, 1);
 }
 
 #[test]
 fn a_stream_may_last_longer_than_a_connection_may_take() {
-    let mut front = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
-    let mut out = Vec::new();
-    let connect = front.config().settings.connect_timeout;
-    front.step(
+    let mut dispatcher = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
+    let mut commands = Vec::new();
+    let connect = dispatcher.config().settings.connect_timeout;
+    dispatcher.step(
         Time(0),
         Input::Workers {
             full: true,
-            workers: vec![listed(0, 0)],
+            workers: vec![record(0, 0)],
         },
-        &mut out,
+        &mut commands,
     );
-    front.step(Time(0), call(1, "stream", 2 * SECOND), &mut out);
-    let order = out.iter().find_map(|c| match c {
-        Command::Load { request: order, .. } => Some(*order),
+    dispatcher.step(Time(0), call(1, "stream", 2 * SECOND), &mut commands);
+    let request = commands.iter().find_map(|c| match c {
+        Command::Load { request, .. } => Some(*request),
         _ => None,
     });
-    let told = Trailers {
+    let trailers = Trailers {
         instances: Some(1),
         ..Trailers::default()
     };
-    let seen = AttemptOutcome::Status {
+    let outcome = AttemptOutcome::Status {
         code: 0,
         stage: ResponseStage::Headers,
     };
-    front.step(
+    dispatcher.step(
         Time(1000),
         Input::ControlRequestEnded {
-            request: order.expect("a load first"),
-            outcome: seen,
-            trailers: told,
+            request: request.expect("a load first"),
+            outcome,
+            trailers,
         },
-        &mut out,
+        &mut commands,
     );
-    let piece = |last| Input::ResponseMessage {
+    let message = |last| Input::ResponseMessage {
         call: CallId(1),
         attempt: 0,
         last,
     };
-    front.step(Time(2000), piece(false), &mut out);
-    out.clear();
+    dispatcher.step(Time(2000), message(false), &mut commands);
+    commands.clear();
     for t in 1..20 {
-        front.step(Time(t * connect / 4), Input::Tick, &mut out);
+        dispatcher.step(Time(t * connect / 4), Input::Tick, &mut commands);
     }
     let withdrawn = |c: &Command| {
         matches!(
@@ -610,12 +618,12 @@
             Command::CancelAttempt { .. } | Command::Answer { .. } | Command::DropConnection { .. }
         )
     };
-    assert!(!out.iter().any(withdrawn), "{out:?}");
-    front.step(Time(5 * connect), piece(true), &mut out);
-    assert_eq!(answers(&out), [(1, Answer::Served)]);
+    assert!(!commands.iter().any(withdrawn), "{commands:?}");
+    dispatcher.step(Time(5 * connect), message(true), &mut commands);
+    assert_eq!(answers(&commands), [(1, Answer::Served)]);
 }
 
-fn told_of(n: u64, function: &str) -> Input {
+fn call_with_shape(n: u64, function: &str) -> Input {
     let shape = tansy_dispatch::FunctionShape {
         lanes: 1,
         memory_mb: 50.0,
@@ -632,120 +640,128 @@
 }
 
 #[test]
-fn a_load_order_that_has_not_left_is_recalled_when_its_worker_drains() {
-    let mut front = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
-    let mut out = Vec::new();
-    front.step(
+fn a_load_that_has_not_left_is_recalled_when_its_worker_drains() {
+    let mut dispatcher = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
+    let mut commands = Vec::new();
+    dispatcher.step(
         Time(0),
         Input::Workers {
             full: true,
-            workers: vec![listed(0, 0)],
+            workers: vec![record(0, 0)],
         },
-        &mut out,
+        &mut commands,
     );
-    front.step(Time(1), told_of(1, "new"), &mut out);
-    let load = out.iter().find_map(|c| match c {
+    dispatcher.step(Time(1), call_with_shape(1, "new"), &mut commands);
+    let load = commands.iter().find_map(|c| match c {
         Command::Load {
-            request: order,
+            request,
             instances: 1,
             function,
             ..
-        } if function == "new" => Some(*order),
+        } if function == "new" => Some(*request),
         _ => None,
     });
-    let order = load.expect("a function that a call told of is loaded");
-    out.clear();
-    front.step(
+    let request = load.expect("a function that a call described is loaded");
+    commands.clear();
+    dispatcher.step(
         Time(2),
         Input::Workers {
             full: false,
-            workers: vec![listed(0, 1)],
+            workers: vec![record(0, 1)],
         },
-        &mut out,
+        &mut commands,
     );
     assert!(
-        out.contains(&Command::RecallUnsent { request: order }),
-        "{out:?}"
+        commands.contains(&Command::RecallUnsent { request }),
+        "{commands:?}"
     );
-    out.clear();
-    front.step(
+    commands.clear();
+    dispatcher.step(
         Time(3),
         Input::ControlRequestEnded {
-            request: order,
+            request,
             outcome: AttemptOutcome::NeverLeft,
             trailers: Trailers::default(),
         },
-        &mut out,
+        &mut commands,
     );
     assert!(
-        !out.iter().any(|c| matches!(c, Command::Load { .. })),
-        "nothing is ordered there: {out:?}"
+        !commands.iter().any(|c| matches!(c, Command::Load { .. })),
+        "nothing is loaded there: {commands:?}"
     );
 }
 
 #[test]
 fn functions_no_longer_called_and_workers_that_are_gone_are_forgotten() {
-    let mut front = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
-    let named = front.name_counts().0;
+    let mut dispatcher = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
+    let named = dispatcher.name_counts().0;
     let mut now = 0;
-    let (mut most, mut out) = ((0, 0), Vec::new());
+    let (mut most, mut commands) = ((0, 0), Vec::new());
     for n in 0..400u64 {
         // Ever new functions, and a worker that is replaced by a new one each time.
-        let list = vec![listed(n as usize, 0)];
-        front.step(
+        let list = vec![record(n as usize, 0)];
+        dispatcher.step(
             Time(now),
             Input::Workers {
                 full: true,
                 workers: list,
             },
-            &mut out,
+            &mut commands,
         );
-        front.step(Time(now), told_of(n, &format!("f{n}")), &mut out);
-        for c in std::mem::take(&mut out) {
-            if let Command::Load { request: order, .. } = c {
-                let told = Trailers {
+        dispatcher.step(
+            Time(now),
+            call_with_shape(n, &format!("f{n}")),
+            &mut commands,
+        );
+        for c in std::mem::take(&mut commands) {
+            if let Command::Load { request, .. } = c {
+                let trailers = Trailers {
                     instances: Some(1),
                     ..Trailers::default()
                 };
-                let seen = AttemptOutcome::Status {
+                let outcome = AttemptOutcome::Status {
                     code: 0,
                     stage: ResponseStage::Last,
                 };
-                front.step(
+                dispatcher.step(
                     Time(now),
                     Input::ControlRequestEnded {
-                        request: order,
-                        outcome: seen,
-                        trailers: told,
+                        request,
+                        outcome,
+                        trailers,
                     },
-                    &mut out,
+                    &mut commands,
                 );
             }
         }
-        for c in std::mem::take(&mut out) {
+        for c in std::mem::take(&mut commands) {
             if let Command::SendAttempt { call, attempt, .. } = c {
-                let seen = AttemptOutcome::Status {
+                let outcome = AttemptOutcome::Status {
                     code: 0,
                     stage: ResponseStage::Last,
                 };
-                front.step(
+                dispatcher.step(
                     Time(now),
                     Input::AttemptEnded {
                         call,
                         attempt,
-                        outcome: seen,
+                        outcome,
                         trailers: Trailers::default(),
                     },
-                    &mut out,
+                    &mut commands,
                 );
             }
         }
         now += SECOND;
-        let held = front.name_counts();
-        most = (most.0.max(held.0 - named), most.1.max(held.1));
+        let names = dispatcher.name_counts();
+        most = (most.0.max(names.0 - named), most.1.max(names.1));
     }
-    assert!(front.counters().served > 300, "{}", front.counters());
-    let kept = (4 * front.config().settings.idle_life / SECOND) as usize + 10;
+    assert!(
+        dispatcher.counters().served > 300,
+        "{}",
+        dispatcher.counters()
+    );
+    let kept = (4 * dispatcher.config().settings.idle_life / SECOND) as usize + 10;
     assert!(
         most.0 <= kept && most.1 <= 3,
         "{most:?} of 400 functions and workers"
--- a/decide/dispatch/tests/settings.rs
+++ b/decide/dispatch/tests/settings.rs
@@ -50,7 +50,7 @@
 }
 
 struct Scene {
-    front: Dispatcher,
+    dispatcher: Dispatcher,
     now: i64,
     calls: u64,
 }
@@ -58,8 +58,8 @@
 impl Scene {
     /// A front end with two workers.
     fn new(config: DispatchConfig) -> Scene {
-        let mut s = Scene {
-            front: Dispatcher::new(config, Time(0)).expect("settings that make sense"),
+        let mut scene = Scene {
+            dispatcher: Dispatcher::new(config, Time(0)).expect("settings that make sense"),
             now: 0,
             calls: 0,
         };
@@ -72,25 +72,25 @@
             age: None,
             relative_size: 1.0,
         };
-        s.give(Input::Workers {
+        scene.give(Input::Workers {
             full: true,
             workers: vec![worker(0), worker(1)],
         });
-        s
+        scene
     }
 
     fn give(&mut self, input: Input) -> Vec<Command> {
         self.now += 1_000;
-        let mut out = Vec::new();
-        self.front.step(Time(self.now), input, &mut out);
-        out
+        let mut commands = Vec::new();
+        self.dispatcher.step(Time(self.now), input, &mut commands);
+        commands
     }
 
     fn call(&mut self, function: &str) -> (CallId, Vec<Command>) {
-        self.take(function, None, false)
+        self.call_as(function, None, false)
     }
 
-    fn take(
+    fn call_as(
         &mut self,
         function: &str,
         class: Option<usize>,
@@ -115,49 +115,49 @@
 
     /// A call's attempt is lost on the way after it may have run; what comes of it until it is sent again or answered.
     fn lose(&mut self, call: CallId, attempt: u32) -> Vec<Command> {
-        let seen = AttemptOutcome::ConnectionCut {
+        let outcome = AttemptOutcome::ConnectionCut {
             stage: ResponseStage::Nothing,
         };
-        let mut out = self.give(Input::AttemptEnded {
+        let mut commands = self.give(Input::AttemptEnded {
             call,
             attempt,
-            outcome: seen,
+            outcome,
             trailers: Trailers::default(),
         });
         for _ in 0..200 {
-            if out
+            if commands
                 .iter()
-                .any(|c| opens(c, call) || answer(c, call).is_some())
+                .any(|c| sends(c, call) || answer(c, call).is_some())
             {
                 break;
             }
             self.now += 10_000;
-            out.extend(self.give(Input::Tick));
+            commands.extend(self.give(Input::Tick));
         }
-        out
+        commands
     }
 
     fn serve(&mut self, call: CallId, attempt: u32) -> Vec<Command> {
-        let seen = AttemptOutcome::Status {
+        let outcome = AttemptOutcome::Status {
             code: 0,
             stage: ResponseStage::Messages,
         };
         self.give(Input::AttemptEnded {
             call,
             attempt,
-            outcome: seen,
+            outcome,
             trailers: Trailers::default(),
         })
     }
 
     fn apply_settings(&mut self, terms: impl Into<EffectiveConfig>) {
-        self.front
+        self.dispatcher
             .apply_settings(Time(self.now), terms.into(), vec![])
             .expect("settings that make sense");
     }
 }
 
-fn opens(c: &Command, call: CallId) -> bool {
+fn sends(c: &Command, call: CallId) -> bool {
     matches!(c, Command::SendAttempt { call: c, .. } if *c == call)
 }
 
@@ -174,110 +174,112 @@
         (Effect::Safe, Effect::Unsafe, true),
         (Effect::Unsafe, Effect::Safe, false),
     ] {
-        let mut s = Scene::new(config(&[("a", old)]));
-        let (before, out) = s.call("a");
-        assert!(out.iter().any(|c| opens(c, before)), "{out:?}");
-        s.apply_settings(config(&[("a", new)]));
-        let (after, out) = s.call("a");
-        assert!(out.iter().any(|c| opens(c, after)), "{out:?}");
-        let out = s.lose(before, 0);
+        let mut scene = Scene::new(config(&[("a", old)]));
+        let (before, commands) = scene.call("a");
+        assert!(commands.iter().any(|c| sends(c, before)), "{commands:?}");
+        scene.apply_settings(config(&[("a", new)]));
+        let (after, commands) = scene.call("a");
+        assert!(commands.iter().any(|c| sends(c, after)), "{commands:?}");
+        let commands = scene.lose(before, 0);
         assert_eq!(
-            out.iter().any(|c| opens(c, before)),
+            commands.iter().any(|c| sends(c, before)),
             again,
-            "{old:?} before {new:?}: {out:?}"
+            "{old:?} before {new:?}: {commands:?}"
         );
-        let out = s.lose(after, 0);
+        let commands = scene.lose(after, 0);
         assert_eq!(
-            out.iter().any(|c| opens(c, after)),
+            commands.iter().any(|c| sends(c, after)),
             !again,
-            "{new:?} after {old:?}: {out:?}"
+            "{new:?} after {old:?}: {commands:?}"
         );
     }
 }
 
 #[test]
-fn places_of_classes_are_used_again_once_their_calls_have_ended() {
-    let mut s = Scene::new(config(&[("a", Effect::Safe), ("b", Effect::Unsafe)]));
+fn indices_of_classes_are_used_again_once_their_calls_have_ended() {
+    let mut scene = Scene::new(config(&[("a", Effect::Safe), ("b", Effect::Unsafe)]));
     for n in 0..500 {
-        let (call, out) = s.call("a");
-        assert!(out.iter().any(|c| opens(c, call)), "{n}: {out:?}");
+        let (call, commands) = scene.call("a");
+        assert!(commands.iter().any(|c| sends(c, call)), "{n}: {commands:?}");
         let effect = if n % 2 == 0 {
             Effect::Unsafe
         } else {
             Effect::Safe
         };
-        s.apply_settings(config(&[("b", Effect::Unsafe), ("a", effect)]));
-        assert_eq!(s.front.class_of(call), Some("a"));
-        let out = s.serve(call, 0);
+        scene.apply_settings(config(&[("b", Effect::Unsafe), ("a", effect)]));
+        assert_eq!(scene.dispatcher.class_of(call), Some("a"));
+        let commands = scene.serve(call, 0);
         assert!(
-            out.iter().any(|c| answer(c, call) == Some(Answer::Served)),
-            "{n}: {out:?}"
+            commands
+                .iter()
+                .any(|c| answer(c, call) == Some(Answer::Served)),
+            "{n}: {commands:?}"
         );
     }
     assert!(
-        s.front.config().settings.classes.len() <= 3,
+        scene.dispatcher.config().settings.classes.len() <= 3,
         "{}",
-        s.front.config().settings.classes.len()
+        scene.dispatcher.config().settings.classes.len()
     );
-    assert_eq!(s.front.counters().guard_rejections, 0);
+    assert_eq!(scene.dispatcher.counters().guard_rejections, 0);
 }
 
 #[test]
-fn a_class_is_found_by_its_name_wherever_the_module_has_it() {
-    let mut s = Scene::new(config(&[("a", Effect::Safe), ("b", Effect::Unsafe)]));
-    let (open, _) = s.call("b");
-    s.apply_settings(config(&[("b", Effect::Safe), ("a", Effect::Safe)]));
+fn a_class_has_its_index_by_name_wherever_the_router_has_it() {
+    let mut scene = Scene::new(config(&[("a", Effect::Safe), ("b", Effect::Unsafe)]));
+    let (open, _) = scene.call("b");
+    scene.apply_settings(config(&[("b", Effect::Safe), ("a", Effect::Safe)]));
     // Named by the call itself: b is safe by now.
-    let b = s.front.class_index("b");
-    let (call, out) = s.take("a", b, false);
-    assert!(out.iter().any(|c| opens(c, call)));
-    let out = s.lose(call, 0);
-    assert!(out.iter().any(|c| opens(c, call)), "{out:?}");
-    let out = s.lose(open, 0);
-    assert!(!out.iter().any(|c| opens(c, open)), "{out:?}");
-    assert_eq!(s.front.class_index("none"), None);
-    assert_eq!(s.front.tenant_index("acme"), Some(0));
+    let b = scene.dispatcher.class_index("b");
+    let (call, commands) = scene.call_as("a", b, false);
+    assert!(commands.iter().any(|c| sends(c, call)));
+    let commands = scene.lose(call, 0);
+    assert!(commands.iter().any(|c| sends(c, call)), "{commands:?}");
+    let commands = scene.lose(open, 0);
+    assert!(!commands.iter().any(|c| sends(c, open)), "{commands:?}");
+    assert_eq!(scene.dispatcher.class_index("none"), None);
+    assert_eq!(scene.dispatcher.tenant_index("acme"), Some(0));
 }
 
 #[test]
-fn a_function_that_a_version_leaves_out_is_unknown_but_its_open_calls_end_well() {
-    let mut s = Scene::new(config(&[("a", Effect::Safe), ("b", Effect::Safe)]));
-    let (open, _) = s.call("b");
-    s.apply_settings(config(&[("a", Effect::Safe)]));
-    let (call, out) = s.call("b");
+fn a_function_that_a_version_omits_is_unknown_but_its_open_calls_end_well() {
+    let mut scene = Scene::new(config(&[("a", Effect::Safe), ("b", Effect::Safe)]));
+    let (open, _) = scene.call("b");
+    scene.apply_settings(config(&[("a", Effect::Safe)]));
+    let (call, commands) = scene.call("b");
     assert_eq!(
-        out.iter().find_map(|c| answer(c, call)),
+        commands.iter().find_map(|c| answer(c, call)),
         Some(Answer::UnknownFunction)
     );
-    let out = s.lose(open, 0);
-    assert!(out.iter().any(|c| opens(c, open)), "{out:?}");
-    let out = s.serve(open, 1);
+    let commands = scene.lose(open, 0);
+    assert!(commands.iter().any(|c| sends(c, open)), "{commands:?}");
+    let commands = scene.serve(open, 1);
     assert_eq!(
-        out.iter().find_map(|c| answer(c, open)),
+        commands.iter().find_map(|c| answer(c, open)),
         Some(Answer::Served)
     );
     // Back in a later version, it is known as before, also after what is not called was forgotten.
-    s.apply_settings(config(&[("b", Effect::Safe)]));
+    scene.apply_settings(config(&[("b", Effect::Safe)]));
     for _ in 0..100 {
-        s.now += SECOND;
-        s.give(Input::Tick);
+        scene.now += SECOND;
+        scene.give(Input::Tick);
     }
-    let (call, out) = s.call("b");
-    assert!(out.iter().any(|c| opens(c, call)), "{out:?}");
+    let (call, commands) = scene.call("b");
+    assert!(commands.iter().any(|c| sends(c, call)), "{commands:?}");
 }
 
 #[test]
-fn contested_calls_are_refused_at_once_and_no_others() {
-    let mut s = Scene::new(config(&[("a", Effect::Safe), ("b", Effect::Safe)]));
-    let contested = |change: fn(&mut ConflictingScopes)| {
-        let mut contested = ConflictingScopes {
+fn conflicting_calls_are_refused_at_once_and_no_others() {
+    let mut scene = Scene::new(config(&[("a", Effect::Safe), ("b", Effect::Safe)]));
+    let conflicting = |change: fn(&mut ConflictingScopes)| {
+        let mut conflicting = ConflictingScopes {
             retry_after: SECOND / 2,
             ..ConflictingScopes::default()
         };
-        change(&mut contested);
+        change(&mut conflicting);
         EffectiveConfig {
             config: config(&[("a", Effect::Safe), ("b", Effect::Safe)]),
-            conflicting: contested,
+            conflicting,
         }
     };
     let refused = Some(Answer::Refused {
@@ -290,38 +292,38 @@
         (|c| assert!(c.functions.insert("b".into())), [false, true]),
         (|c| assert!(c.tenants.insert("acme".into())), [true, true]),
     ];
-    for (n, (change, wanted)) in cases.into_iter().enumerate() {
-        s.apply_settings(contested(change));
-        for (function, wanted) in ["a", "b"].into_iter().zip(wanted) {
-            let (call, out) = s.call(function);
-            let got = out.iter().find_map(|c| answer(c, call));
-            assert_eq!(got == refused, wanted, "{n} {function}: {out:?}");
+    for (n, (change, expected)) in cases.into_iter().enumerate() {
+        scene.apply_settings(conflicting(change));
+        for (function, expected) in ["a", "b"].into_iter().zip(expected) {
+            let (call, commands) = scene.call(function);
+            let got = commands.iter().find_map(|c| answer(c, call));
+            assert_eq!(got == refused, expected, "{n} {function}: {commands:?}");
             assert_eq!(
-                out.iter().any(|c| opens(c, call)),
-                !wanted,
-                "{n} {function}: {out:?}"
+                commands.iter().any(|c| sends(c, call)),
+                !expected,
+                "{n} {function}: {commands:?}"
             );
-            s.serve(call, 0);
+            scene.serve(call, 0);
         }
     }
-    assert_eq!(s.front.counters().conflicting, 6);
+    assert_eq!(scene.dispatcher.counters().conflicting, 6);
     // What names a class that is not known is refused only where a version that can't be known may have it.
-    let (call, out) = s.take("a", None, true);
+    let (call, commands) = scene.call_as("a", None, true);
     assert_eq!(
-        out.iter().find_map(|c| answer(c, call)),
+        commands.iter().find_map(|c| answer(c, call)),
         refused,
         "the tenant is contested still"
     );
-    s.apply_settings(contested(|c| c.unknown_names = true));
-    let (call, out) = s.take("a", None, true);
-    assert_eq!(out.iter().find_map(|c| answer(c, call)), refused);
-    let (call, out) = s.take("a", None, false);
-    assert!(out.iter().any(|c| opens(c, call)));
+    scene.apply_settings(conflicting(|c| c.unknown_names = true));
+    let (call, commands) = scene.call_as("a", None, true);
+    assert_eq!(commands.iter().find_map(|c| answer(c, call)), refused);
+    let (call, commands) = scene.call_as("a", None, false);
+    assert!(commands.iter().any(|c| sends(c, call)));
 }
 
 #[test]
 fn a_lease_that_ran_out_binds_at_the_very_next_input() {
-    let mut s = Scene::new(config(&[("a", Effect::Safe)]));
+    let mut scene = Scene::new(config(&[("a", Effect::Safe)]));
     let after = || EffectiveConfig {
         conflicting: ConflictingScopes {
             all: true,
@@ -330,50 +332,55 @@
         config: config(&[("a", Effect::Safe)]),
     };
     let terms = || EffectiveConfig::from(config(&[("a", Effect::Safe)]));
-    let until = Time(s.now + SECOND);
-    s.front
-        .apply_settings(Time(s.now), terms(), vec![(until, after())])
+    let until = Time(scene.now + SECOND);
+    scene
+        .dispatcher
+        .apply_settings(Time(scene.now), terms(), vec![(until, after())])
         .expect("good settings");
-    let (call, out) = s.call("a");
-    assert!(out.iter().any(|c| opens(c, call)));
-    assert!(s.front.extend_expiry(Time(s.now), &[until.plus(SECOND)]));
+    let (call, commands) = scene.call("a");
+    assert!(commands.iter().any(|c| sends(c, call)));
+    assert!(scene
+        .dispatcher
+        .extend_expiry(Time(scene.now), &[until.plus(SECOND)]));
     assert!(
-        s.front.extend_expiry(Time(s.now), &[until]),
+        scene.dispatcher.extend_expiry(Time(scene.now), &[until]),
         "an older end is no shorter lease"
     );
-    assert_eq!(s.front.next_expiry(), Some(until.plus(SECOND)));
-    s.now = until.plus(SECOND).0 - 2_000;
-    let (call, out) = s.call("a");
-    assert!(out.iter().any(|c| opens(c, call)), "still within it");
+    assert_eq!(scene.dispatcher.next_expiry(), Some(until.plus(SECOND)));
+    scene.now = until.plus(SECOND).0 - 2_000;
+    let (call, commands) = scene.call("a");
+    assert!(commands.iter().any(|c| sends(c, call)), "still within it");
     // Stopped for a while, and woken by a call that waited.
-    s.now = until.plus(SECOND).0;
-    let (call, out) = s.call("a");
+    scene.now = until.plus(SECOND).0;
+    let (call, commands) = scene.call("a");
     assert!(
         matches!(
-            out.iter().find_map(|c| answer(c, call)),
+            commands.iter().find_map(|c| answer(c, call)),
             Some(Answer::Refused { .. })
         ),
-        "{out:?}"
+        "{commands:?}"
     );
     assert!(
-        !s.front
-            .extend_expiry(Time(s.now), &[until.plus(9 * SECOND)]),
+        !scene
+            .dispatcher
+            .extend_expiry(Time(scene.now), &[until.plus(9 * SECOND)]),
         "it has to be taken up anew"
     );
-    s.apply_settings(terms());
-    let (call, out) = s.call("a");
-    assert!(out.iter().any(|c| opens(c, call)));
+    scene.apply_settings(terms());
+    let (call, commands) = scene.call("a");
+    assert!(commands.iter().any(|c| sends(c, call)));
     // One that is over when it comes binds at once.
-    s.front
-        .apply_settings(Time(s.now), terms(), vec![(Time(s.now), after())])
+    scene
+        .dispatcher
+        .apply_settings(Time(scene.now), terms(), vec![(Time(scene.now), after())])
         .expect("good settings");
-    let (call, out) = s.call("a");
-    assert!(!out.iter().any(|c| opens(c, call)), "{out:?}");
+    let (call, commands) = scene.call("a");
+    assert!(!commands.iter().any(|c| sends(c, call)), "{commands:?}");
 }
 
 #[test]
 fn settings_that_make_no_sense_change_nothing() {
-    let mut s = Scene::new(config(&[("a", Effect::Safe)]));
+    let mut scene = Scene::new(config(&[("a", Effect::Safe)]));
     let mut none = config(&[]);
     none.functions.clear();
     let mut timeless = config(&[("a", Effect::Safe)]);
@@ -382,22 +389,25 @@
     lost.functions[0].class = 1;
     let mut unnamed = config(&[("a", Effect::Safe)]);
     unnamed.classes.clear();
-    for bad in [none, timeless, lost, unnamed] {
-        assert!(s
-            .front
-            .apply_settings(Time(s.now), bad.clone().into(), vec![])
+    for invalid in [none, timeless, lost, unnamed] {
+        assert!(scene
+            .dispatcher
+            .apply_settings(Time(scene.now), invalid.clone().into(), vec![])
             .is_err());
         let good = config(&[("a", Effect::Unsafe)]).into();
-        let lease = vec![(Time(s.now + SECOND), EffectiveConfig::from(bad))];
+        let lease = vec![(Time(scene.now + SECOND), EffectiveConfig::from(invalid))];
         assert!(
-            s.front.apply_settings(Time(s.now), good, lease).is_err(),
+            scene
+                .dispatcher
+                .apply_settings(Time(scene.now), good, lease)
+                .is_err(),
             "what comes after has to make sense too"
         );
     }
-    let (call, _) = s.call("a");
-    let out = s.lose(call, 0);
+    let (call, _) = scene.call("a");
+    let commands = scene.lose(call, 0);
     assert!(
-        out.iter().any(|c| opens(c, call)),
-        "it is safe still: {out:?}"
+        commands.iter().any(|c| sends(c, call)),
+        "it is safe still: {commands:?}"
     );
 }
--- a/net/grpc/src/exchange.rs
+++ b/net/grpc/src/exchange.rs
@@ -291,7 +291,7 @@
         }
     }
 
-    /// The end of the answer by an error of the HTTP/2 library, told apart by what has passed on the connection.
+    /// The end of the answer by an error of the HTTP/2 library, distinguished by what has passed on the connection.
     fn on_error(&self, error: &h2::Error) -> AnswerEvent {
         let traffic = self.connection.traffic.borrow();
         let stream = traffic.stream(self.stream);
--- a/net/inference/src/trailers.rs
+++ b/net/inference/src/trailers.rs
@@ -54,7 +54,7 @@
         return None;
     }
     let orca = OrcaLoadReport::decode(&*BINARY.decode(value).ok()?).ok()?;
-    // Absent numbers are 0 on this wire, so only the named ones can be told from "not reported".
+    // Absent numbers are 0 on this wire, so only the named ones differ from "not reported".
     let figure = |x: f64| Some(x).filter(|x| x.is_finite() && *x >= 0.0);
     let named = |key: &str| orca.named_metrics.get(key).copied().and_then(figure);
     Some(LoadReport {
