--- a/decide/dispatch/src/lib.rs
+++ b/decide/dispatch/src/lib.rs
@@ -13,6 +13,69 @@
 //! - [`names`]: names and the router's numbers for them.
 //! - [`pending_lookups`]: calls that wait until the settings of their function are known.
 //! - [`record`]: inputs and commands as lines of JSON, and their replay.
+//!
+//! A call comes, and the one worker is asked to load its function:
+//!
+//! ```
+//! use tansy_dispatch::{Call, CallId, Command, DispatchConfig, Dispatcher, FunctionSpec, Input, WorkerRecord};
+//! use tansyrouter::{Class, Effect, Settings, Time, SECOND};
+//!
+//! let class = Class {
+//!     aim: SECOND,
+//!     aim_stretch: 0.0,
+//!     deadline: 5 * SECOND,
+//!     effect: Effect::Safe,
+//!     worth: 1.0,
+//!     late_worth: 0.0,
+//!     streamed: false,
+//! };
+//! let function = FunctionSpec {
+//!     name: "resize".into(),
+//!     class: 0,
+//!     lanes: 2,
+//!     memory_mb: 100.0,
+//!     load_time: None,
+//!     versions: vec!["1".into()],
+//! };
+//! let config = DispatchConfig {
+//!     settings: Settings { classes: vec![class], ..Settings::default() },
+//!     classes: vec!["interactive".into()],
+//!     tenants: vec![],
+//!     zones: vec!["z".into()],
+//!     functions: vec![function],
+//!     max_call_time: 60 * SECOND,
+//!     seed: 1,
+//! };
+//! let mut dispatcher = Dispatcher::new(config, Time(0))?;
+//!
+//! let worker = WorkerRecord {
+//!     name: "w1".into(),
+//!     kind: 0,
+//!     cell: 0,
+//!     zone: 0,
+//!     state: 0,
+//!     age: None,
+//!     relative_size: 1.0,
+//! };
+//! let call = Call {
+//!     id: CallId(1),
+//!     function: "resize".into(),
+//!     class: None,
+//!     tenant: 0,
+//!     budget: None,
+//!     work_hint: None,
+//!     repeat: false,
+//!     shape: None,
+//!     unknown_names: false,
+//!     waited: 0,
+//! };
+//! let mut commands = Vec::new();
+//! let list = Input::Workers { full: true, workers: vec![worker] };
+//! dispatcher.step(Time(0), list, &mut commands);
+//! dispatcher.step(Time(1), Input::Call(call), &mut commands);
+//! assert!(matches!(&commands[..], [Command::Load { worker, .. }] if worker == "w1"));
+//! # Ok::<(), tansy_dispatch::ConfigError>(())
+//! ```
 
 pub mod class_counters;
 pub mod config;
--- a/decide/dispatch/tests/class_counters.rs
+++ b/decide/dispatch/tests/class_counters.rs
@@ -1,22 +1,16 @@
 //! The latencies that are counted of served calls, for the comparison of front ends.
 
+mod support;
+
 use std::collections::VecDeque;
+use support::{call, class, worker, worker_list};
 use tansy_dispatch::{
-    AttemptOutcome, CacheStatus, Call, CallId, Command, DispatchConfig, Dispatcher, FunctionSpec,
-    Input, ResponseStage, Trailers, WorkerRecord,
+    AttemptOutcome, CacheStatus, Command, DispatchConfig, Dispatcher, FunctionSpec, Input,
+    ResponseStage, Trailers,
 };
-use tansyrouter::{Class, Effect, Settings, Time, SECOND};
+use tansyrouter::{Effect, Settings, Time, SECOND};
 
 fn config() -> DispatchConfig {
-    let class = Class {
-        aim: SECOND / 2,
-        aim_stretch: 0.0,
-        deadline: 2 * SECOND,
-        effect: Effect::Safe,
-        worth: 1.0,
-        late_worth: 0.5,
-        streamed: false,
-    };
     let function = FunctionSpec {
         name: "f".into(),
         class: 0,
@@ -27,7 +21,7 @@
     };
     DispatchConfig {
         settings: Settings {
-            classes: vec![class],
+            classes: vec![class(Effect::Safe, SECOND / 2, 2 * SECOND)],
             ..Settings::default()
         },
         classes: vec!["c".into()],
@@ -43,25 +37,10 @@
 fn counted(took: &[i64]) -> hdrhistogram::Histogram<u64> {
     let mut dispatcher = Dispatcher::new(config(), Time(0)).expect("right settings");
     dispatcher.enable_class_counters();
-    let record = WorkerRecord {
-        name: "w".into(),
-        kind: 0,
-        cell: 0,
-        zone: 0,
-        state: 0,
-        age: None,
-        relative_size: 1.0,
-    };
     let mut commands = Vec::new();
     let mut now = 1;
-    dispatcher.step(
-        Time(now),
-        Input::Workers {
-            full: true,
-            workers: vec![record],
-        },
-        &mut commands,
-    );
+    let list = worker_list(vec![worker("w", 0)]);
+    dispatcher.step(Time(now), list, &mut commands);
     let warm = Trailers {
         cache_status: CacheStatus::Warm,
         instances: Some(1),
@@ -72,19 +51,8 @@
         stage: ResponseStage::Messages,
     };
     for (n, took) in took.iter().enumerate() {
-        let (began, call) = (now, CallId(n as u64 + 1));
-        let call = Call {
-            id: call,
-            function: "f".into(),
-            class: None,
-            tenant: 0,
-            budget: None,
-            work_hint: None,
-            repeat: false,
-            shape: None,
-            unknown_names: false,
-            waited: 0,
-        };
+        let began = now;
+        let call = call(n as u64 + 1, "f");
         dispatcher.step(Time(now), Input::Call(call), &mut commands);
         let mut pending: VecDeque<Command> = commands.drain(..).collect();
         let mut answered = false;
--- a/decide/dispatch/tests/guards.rs
+++ b/decide/dispatch/tests/guards.rs
@@ -1,25 +1,19 @@
 //! Whether an attempt may leave, asked when it is about to: between its choice and that moment its call, its worker or the
 //! time in which repeats are dropped may have ended.
 
+mod support;
+
+use support::{call, class, loaded, worker, worker_list};
 use tansy_dispatch::{
-    Answer, AttemptOutcome, Call, CallId, Command, ControlRequestId, DenialReason, DispatchConfig,
-    Dispatcher, FunctionSpec, Input, ResponseStage, Trailers, WorkerRecord,
+    Answer, AttemptOutcome, Call, CallId, Command, DenialReason, DispatchConfig, Dispatcher,
+    FunctionSpec, Input, ResponseStage, Trailers,
 };
-use tansyrouter::{Class, Effect, Group, Settings, Span, Time, SECOND};
+use tansyrouter::{Effect, Group, Settings, Span, Time, SECOND};
 
 const WINDOW: Span = SECOND;
 const CALL: CallId = CallId(1);
 
 fn dispatcher(effect: Effect) -> Dispatcher {
-    let class = Class {
-        aim: SECOND,
-        aim_stretch: 0.0,
-        deadline: 5 * SECOND,
-        effect,
-        worth: 1.0,
-        late_worth: 0.5,
-        streamed: false,
-    };
     let function = FunctionSpec {
         name: "f".into(),
         class: 0,
@@ -30,7 +24,7 @@
     };
     let config = DispatchConfig {
         settings: Settings {
-            classes: vec![class],
+            classes: vec![class(effect, SECOND, 5 * SECOND)],
             connect_timeout: SECOND / 10,
             ..Settings::default()
         },
@@ -47,19 +41,7 @@
 }
 
 fn workers(state: u8) -> Input {
-    let record = WorkerRecord {
-        name: "w".into(),
-        kind: 0,
-        cell: 0,
-        zone: 0,
-        state,
-        age: None,
-        relative_size: 1.0,
-    };
-    Input::Workers {
-        full: true,
-        workers: vec![record],
-    }
+    worker_list(vec![worker("w", state)])
 }
 
 fn step(dispatcher: &mut Dispatcher, at: Span, input: Input) -> Vec<Command> {
@@ -70,16 +52,8 @@
 
 fn a_call(waited: Span) -> Call {
     Call {
-        id: CALL,
-        function: "f".into(),
-        class: None,
-        tenant: 0,
-        budget: None,
-        work_hint: None,
-        repeat: false,
-        shape: None,
-        unknown_names: false,
         waited,
+        ..call(CALL.0, "f")
     }
 }
 
@@ -92,30 +66,11 @@
 fn called_after(dispatcher: &mut Dispatcher, waited: Span) -> u32 {
     let mut commands = step(dispatcher, 0, Input::Call(a_call(waited)));
     if let Some(Command::Load { request, .. }) = commands.first() {
-        commands = loaded(dispatcher, *request);
+        commands = step(dispatcher, 1, loaded(*request));
     }
     opened(&commands).expect("an attempt")
 }
 
-fn loaded(dispatcher: &mut Dispatcher, request: ControlRequestId) -> Vec<Command> {
-    let trailers = Trailers {
-        instances: Some(1),
-        ..Trailers::default()
-    };
-    step(
-        dispatcher,
-        1,
-        Input::ControlRequestEnded {
-            request,
-            outcome: AttemptOutcome::Status {
-                code: 0,
-                stage: ResponseStage::Last,
-            },
-            trailers,
-        },
-    )
-}
-
 fn opened(commands: &[Command]) -> Option<u32> {
     commands.iter().find_map(|c| match c {
         Command::SendAttempt { attempt, .. } => Some(*attempt),
--- /dev/null
+++ b/decide/dispatch/tests/lookup_histories.rs
@@ -0,0 +1,214 @@
+//! The calls that wait for their function's settings, by themselves: each has one end, in its time.
+
+mod support;
+
+use std::collections::{BTreeMap, BTreeSet};
+use support::call;
+use tansy_dispatch::pending_lookups::{
+    LookupResult, PendingLookups, WaitEnd, WaitRefusal, MAX_CALLS, MAX_CALLS_OF_FUNCTION, MAX_WAIT,
+};
+use tansy_dispatch::CallId;
+use tansyrouter::{Time, SECOND};
+
+/// What a history knows of a call that waits.
+struct WaitingCall {
+    function: usize,
+    came: i64,
+    until: i64,
+}
+
+/// Plays a random history; the number of releases and of refusals.
+fn history(seed: u64) -> Result<(u64, u64), String> {
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let (mut lookups, mut now, mut next) = (PendingLookups::default(), 0i64, 0u64);
+    let mut open: BTreeMap<CallId, WaitingCall> = BTreeMap::new();
+    let (mut released, mut refused, mut closed) = (0, 0, false);
+    for step in 0..400 {
+        // Whoever drives it wakes for its limits.
+        let mut to = now + rng.i64(0..60_000);
+        to = lookups.next_due().map_or(to, |t| to.min(t.0));
+        now = to;
+        let mut ends = Vec::new();
+        lookups.expire(Time(now), &mut ends);
+        let due: Vec<CallId> = open
+            .iter()
+            .filter(|(_, call)| call.until <= now)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in &due {
+            let expired = |e: &WaitEnd| {
+                *e == WaitEnd::Refuse {
+                    call: *id,
+                    reason: WaitRefusal::TimedOut,
+                }
+            };
+            if !ends.iter().any(expired) {
+                return Err(format!("{step}: {id:?} waits past its limit"));
+            }
+        }
+        let mut expected = due;
+        match rng.u32(0..100) {
+            0..60 => {
+                next += 1;
+                let (function, max_wait) = (rng.usize(0..4), rng.i64(-5_000..2 * MAX_WAIT));
+                let id = CallId(next);
+                open.insert(
+                    id,
+                    WaitingCall {
+                        function,
+                        came: now,
+                        until: now + max_wait.min(MAX_WAIT),
+                    },
+                );
+                lookups.add(
+                    Time(now),
+                    call(next, &format!("f{function}")),
+                    max_wait,
+                    &mut ends,
+                );
+                if max_wait <= 0 || closed {
+                    expected.push(id);
+                }
+            }
+            60..75 => {
+                let function = rng.usize(0..4);
+                let result = if rng.bool() {
+                    LookupResult::Proceed
+                } else {
+                    LookupResult::Refuse
+                };
+                let all = open
+                    .iter()
+                    .filter(|(id, call)| call.function == function && !expected.contains(id));
+                let all: Vec<CallId> = all.map(|(id, _)| *id).collect();
+                expected.extend(all);
+                lookups.resolve(Time(now), &format!("f{function}"), result, &mut ends);
+            }
+            75..99 => {
+                let n = if open.is_empty() {
+                    0
+                } else {
+                    rng.usize(0..open.len())
+                };
+                if let Some(id) = open
+                    .keys()
+                    .nth(n)
+                    .copied()
+                    .filter(|id| !expected.contains(id))
+                {
+                    if !lookups.remove(id) || lookups.remove(id) {
+                        return Err(format!("{step}: {id:?} left, and was there once"));
+                    }
+                    open.remove(&id);
+                }
+            }
+            _ => {
+                closed = true;
+                expected = open.keys().copied().collect();
+                lookups.close(&mut ends);
+            }
+        }
+        let mut ended = Vec::new();
+        for end in ends {
+            let id = match &end {
+                WaitEnd::Release { call, .. } => call.id,
+                WaitEnd::Refuse { call, .. } => *call,
+            };
+            let Some(waiting) = open.remove(&id) else {
+                return Err(format!("{step}: {id:?} ends, and is not there"));
+            };
+            match end {
+                WaitEnd::Release { call, waited } => {
+                    released += 1;
+                    if now >= waiting.until
+                        || waited != now - waiting.came
+                        || call.function != format!("f{}", waiting.function)
+                    {
+                        return Err(format!(
+                            "{step}: {call:?} goes on at {now}, having waited {waited}"
+                        ));
+                    }
+                }
+                WaitEnd::Refuse { .. } => refused += 1,
+            }
+            ended.push(id);
+        }
+        let functions: BTreeSet<String> = open
+            .values()
+            .map(|call| format!("f{}", call.function))
+            .collect();
+        if !lookups.functions().eq(functions.iter().map(String::as_str)) {
+            return Err(format!(
+                "{step}: {:?} wait",
+                lookups.functions().collect::<Vec<_>>()
+            ));
+        }
+        ended.sort();
+        expected.sort();
+        if ended != expected || lookups.len() != open.len() || lookups.is_empty() != open.is_empty()
+        {
+            return Err(format!(
+                "{step}: {ended:?} ended, not {expected:?}; {} wait",
+                lookups.len()
+            ));
+        }
+    }
+    Ok((released, refused))
+}
+
+#[test]
+fn every_call_that_waits_has_one_end_in_its_time_and_none_after_its_client_left() {
+    let (mut released, mut refused) = (0, 0);
+    for seed in 0..300 {
+        let (a, b) = history(seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        (released, refused) = (released + a, refused + b);
+    }
+    assert!(released > 1_000 && refused > 1_000, "{released} {refused}");
+}
+
+#[test]
+fn no_more_calls_wait_than_there_is_room_for() {
+    let (mut lookups, mut ends) = (PendingLookups::default(), Vec::new());
+    for n in 0..=MAX_CALLS_OF_FUNCTION as u64 {
+        lookups.add(Time(0), call(n, "hot"), SECOND, &mut ends);
+    }
+    let full = |id| WaitEnd::Refuse {
+        call: CallId(id),
+        reason: WaitRefusal::Full,
+    };
+    assert_eq!(
+        std::mem::take(&mut ends),
+        [full(MAX_CALLS_OF_FUNCTION as u64)]
+    );
+    for n in 1000..1000 + MAX_CALLS as u64 {
+        lookups.add(Time(0), call(n, &format!("f{n}")), SECOND, &mut ends);
+    }
+    assert_eq!(
+        (lookups.len(), ends.len(), &ends[0]),
+        (
+            MAX_CALLS,
+            MAX_CALLS_OF_FUNCTION,
+            &full(1000 + (MAX_CALLS - MAX_CALLS_OF_FUNCTION) as u64)
+        )
+    );
+    // There is room again.
+    ends.clear();
+    assert!(lookups.remove(CallId(1000)));
+    lookups.add(Time(0), call(9999, "hot"), SECOND, &mut ends);
+    lookups.add(Time(0), call(9998, "cold"), SECOND, &mut ends);
+    assert_eq!((lookups.len(), ends), (MAX_CALLS, vec![full(9999)]));
+}
+
+#[test]
+fn a_result_at_the_limit_comes_too_late() {
+    for (at, late) in [(MAX_WAIT - 1, false), (MAX_WAIT, true)] {
+        let (mut lookups, mut ends) = (PendingLookups::default(), Vec::new());
+        lookups.add(Time(0), call(1, "f"), SECOND, &mut ends);
+        lookups.resolve(Time(at), "f", LookupResult::Proceed, &mut ends);
+        let end = WaitEnd::Refuse {
+            call: CallId(1),
+            reason: WaitRefusal::TimedOut,
+        };
+        assert_eq!((ends.len(), ends[0] == end), (1, late), "{ends:?}");
+    }
+}
--- a/decide/dispatch/tests/settings.rs
+++ b/decide/dispatch/tests/settings.rs
@@ -1,24 +1,15 @@
 //! Versions of the settings at one front end: what a call that came before a change may do after it, and what comes when a
 //! lease runs out.
 
+mod support;
+
+use support::{class, worker, worker_list};
 use tansy_dispatch::{
     Answer, AttemptOutcome, Call, CallId, Command, ConflictingScopes, DispatchConfig, Dispatcher,
-    EffectiveConfig, FunctionSpec, Input, ResponseStage, Trailers, WorkerRecord,
+    EffectiveConfig, FunctionSpec, Input, ResponseStage, Trailers,
 };
 use tansyrouter::{Class, Effect, Settings, Time, SECOND};
 
-fn class(effect: Effect, deadline: i64) -> Class {
-    Class {
-        aim: SECOND,
-        aim_stretch: 0.0,
-        deadline,
-        effect,
-        worth: 1.0,
-        late_worth: 0.5,
-        streamed: false,
-    }
-}
-
 /// Functions of the same names as the classes, each of its own class.
 fn config(classes: &[(&str, Effect)]) -> DispatchConfig {
     let function = |(n, (name, _)): (usize, &(&str, Effect))| FunctionSpec {
@@ -31,7 +22,7 @@
     };
     let list: Vec<Class> = classes
         .iter()
-        .map(|(_, e)| class(*e, 20 * SECOND))
+        .map(|(_, e)| class(*e, SECOND, 20 * SECOND))
         .collect();
     DispatchConfig {
         settings: Settings {
@@ -63,19 +54,7 @@
             now: 0,
             calls: 0,
         };
-        let worker = |n: usize| WorkerRecord {
-            name: format!("w{n}"),
-            kind: 0,
-            cell: 0,
-            zone: 0,
-            state: 0,
-            age: None,
-            relative_size: 1.0,
-        };
-        scene.give(Input::Workers {
-            full: true,
-            workers: vec![worker(0), worker(1)],
-        });
+        scene.give(worker_list(vec![worker("w0", 0), worker("w1", 0)]));
         scene
     }
 
@@ -99,16 +78,9 @@
         self.calls += 1;
         let call = CallId(self.calls);
         let input = Input::Call(Call {
-            id: call,
-            function: function.into(),
             class,
-            tenant: 0,
-            budget: None,
-            work_hint: None,
-            repeat: false,
-            shape: None,
             unknown_names,
-            waited: 0,
+            ..support::call(self.calls, function)
         });
         (call, self.give(input))
     }
--- /dev/null
+++ b/decide/dispatch/tests/support/four_classes.rs
@@ -0,0 +1,48 @@
+//! A configuration with a function of each effect, and one that streams.
+
+use super::class;
+use tansy_dispatch::{DispatchConfig, FunctionSpec};
+use tansyrouter::{Class, Effect, Group, Settings, SECOND};
+
+/// The functions; each is of the class of its name.
+pub const NAMES: [&str; 4] = ["safe", "keyed", "unsafe", "stream"];
+
+/// The configuration.
+pub fn config(seed: u64) -> DispatchConfig {
+    let class = |effect, streamed| Class {
+        streamed,
+        ..class(effect, SECOND / 2, 2 * SECOND)
+    };
+    let keyed = Effect::Keyed {
+        group: Group::All,
+        window: 30 * SECOND,
+    };
+    let classes = vec![
+        class(Effect::Safe, false),
+        class(keyed, false),
+        class(Effect::Unsafe, false),
+        class(Effect::Safe, true),
+    ];
+    let function = |(n, name): (usize, &&str)| FunctionSpec {
+        name: name.to_string(),
+        class: n,
+        lanes: 2,
+        memory_mb: 100.0,
+        load_time: Some(50_000),
+        versions: vec![],
+    };
+    DispatchConfig {
+        settings: Settings {
+            classes,
+            may_probe: true,
+            drain_grace: SECOND / 2,
+            ..Settings::default()
+        },
+        classes: NAMES.map(str::to_string).to_vec(),
+        tenants: vec![],
+        zones: vec!["z".into()],
+        functions: NAMES.iter().enumerate().map(function).collect(),
+        max_call_time: 60 * SECOND,
+        seed,
+    }
+}
--- a/protocol/inference/build.rs
+++ b/protocol/inference/build.rs
@@ -1,11 +1,13 @@
 //! Compiles the project's own .proto files without an installed `protoc`.
 
-fn main() -> Result<(), Box<dyn std::error::Error>> {
+fn main() {
     println!("cargo:rerun-if-changed=proto");
-    let files = protox::compile(["proto/inference.proto", "proto/orca.proto"], ["proto"])?;
+    let files = protox::compile(["proto/inference.proto", "proto/orca.proto"], ["proto"])
+        .unwrap_or_else(|error| panic!("the files in proto/ do not compile: {error}"));
     let mut config = prost_build::Config::new();
     // Ordered maps: the same message always encodes to the same bytes.
     config.btree_map(["."]).bytes(["."]);
-    config.compile_fds(files)?;
-    Ok(())
+    config
+        .compile_fds(files)
+        .unwrap_or_else(|error| panic!("no code for the files in proto/: {error}"));
 }
--- a/protocol/inference/src/lib.rs
+++ b/protocol/inference/src/lib.rs
@@ -5,6 +5,16 @@
 //! - [`scan`]: reads a `ModelInferRequest` or a streamed answer in place and checks all of its wire format.
 //! - [`amend`]: changes single fields of an encoded message by appending to it, as protobuf's encoding allows.
 //! - [`names`]: method paths, trailer keys and parameter names.
+//!
+//! ```
+//! use prost::Message;
+//! use tansy_inference::{inference::ModelInferRequest, scan::InferRequest};
+//!
+//! let request = ModelInferRequest { model_name: "resize".into(), ..Default::default() };
+//! let bytes = request.encode_to_vec();
+//! assert_eq!(InferRequest::parse(&bytes)?.model, "resize");
+//! # Ok::<(), tansy_inference::scan::Malformed>(())
+//! ```
 
 pub mod amend;
 pub mod names;
