--- a/decide/dispatch/src/names.rs
+++ b/decide/dispatch/src/names.rs
@@ -60,9 +60,9 @@
         self.by_id.remove(&id);
     }
 
-    /// Removes all names but those whose numbers are wanted.
-    pub fn retain(&mut self, wanted: impl Fn(u64) -> bool) {
-        self.by_id.retain(|id, _| wanted(*id));
+    /// Removes all names but those whose numbers are in use.
+    pub fn retain(&mut self, in_use: impl Fn(u64) -> bool) {
+        self.by_id.retain(|id, _| in_use(*id));
     }
 
     /// How many names there are.
--- a/decide/dispatch/src/request_table/functions.rs
+++ b/decide/dispatch/src/request_table/functions.rs
@@ -52,7 +52,7 @@
     /// Removes learned functions that the router has forgotten, and workers that are gone and have nothing out.
     pub(super) fn remove_unused_names(&mut self) {
         let settings = &self.config.settings;
-        let keep_for = settings
+        let retention = settings
             .idle_life
             .saturating_mul(UNUSED_IDLE_LIVES)
             .max(settings.order_timeout)
@@ -71,7 +71,8 @@
         let specs = &mut self.function_specs;
         let activity = &mut self.function_activity;
         self.learned_functions.retain(|function, last_used| {
-            let in_use = functions_in_use.contains(&function.0) || now.since(*last_used) < keep_for;
+            let in_use =
+                functions_in_use.contains(&function.0) || now.since(*last_used) < retention;
             if !in_use {
                 names.forget(function.0);
                 specs.remove(function);
--- a/decide/dispatch/src/request_table/settings.rs
+++ b/decide/dispatch/src/request_table/settings.rs
@@ -37,16 +37,16 @@
         mut names: Vec<String>,
         open: BTreeSet<usize>,
     ) -> ClassLayout {
-        let wanted = || config.classes.iter().zip(&config.settings.classes);
+        let declared = || config.classes.iter().zip(&config.settings.classes);
         let unchanged = |(name, class): (&String, &Class)| {
             (0..classes.len()).find(|i| names[*i] == *name && classes[*i] == *class)
         };
-        let mut indices: Vec<Option<usize>> = wanted().map(unchanged).collect();
+        let mut indices: Vec<Option<usize>> = declared().map(unchanged).collect();
         let mut used: BTreeSet<usize> = open
             .into_iter()
             .chain(indices.iter().flatten().copied())
             .collect();
-        for (index, (name, class)) in indices.iter_mut().zip(wanted()) {
+        for (index, (name, class)) in indices.iter_mut().zip(declared()) {
             if index.is_some() {
                 continue;
             }
--- a/net/inference/src/call.rs
+++ b/net/inference/src/call.rs
@@ -38,7 +38,7 @@
 #[derive(Default)]
 pub struct CancelSignal {
     cancelled: Cell<bool>,
-    confirmation_wanted: Cell<bool>,
+    confirmation_requested: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
@@ -51,13 +51,13 @@
 
     /// Has it report whether its HEADERS have left; if not, it is cancelled.
     pub fn confirm(&self) {
-        self.confirmation_wanted.set(true);
+        self.confirmation_requested.set(true);
         self.wake();
     }
 
     /// Whether a confirmation was asked for since the last time.
     pub fn take_confirmation_request(&self) -> bool {
-        self.confirmation_wanted.take()
+        self.confirmation_requested.take()
     }
 
     /// Whether it is to be cancelled; wakes the task when it is.
--- a/net/inference/src/driver.rs
+++ b/net/inference/src/driver.rs
@@ -1,4 +1,4 @@
-//! Feeds the dispatcher's state machine and carries out its commands.
+//! Feeds the dispatcher's state machine and executes its commands.
 
 mod commands;
 
@@ -306,7 +306,7 @@
         }
     }
 
-    /// Gives the dispatcher an input and carries out its commands. Inputs that arise meanwhile follow in order.
+    /// Gives the dispatcher an input and executes its commands. Inputs that arise meanwhile follow in order.
     pub fn feed(self: &Rc<Self>, input: Input) {
         {
             let mut state = self.state.borrow_mut();
@@ -327,7 +327,7 @@
                 state.step(now, input, &mut commands);
             }
             for command in commands.drain(..) {
-                self.carry_out(command);
+                self.execute(command);
             }
         }
     }
--- a/net/inference/src/driver/commands.rs
+++ b/net/inference/src/driver/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of the dispatcher, carried out.
+//! The commands of the dispatcher, executed.
 
 use super::{Driver, DriverState};
 use crate::answers;
@@ -12,7 +12,7 @@
 use tansy_net_grpc::link::Link;
 
 impl Driver {
-    pub(super) fn carry_out(self: &Rc<Self>, command: Command) {
+    pub(super) fn execute(self: &Rc<Self>, command: Command) {
         match command {
             Command::SendAttempt {
                 call,
