--- a/decide/dispatch/tests/class_counters.rs
+++ b/decide/dispatch/tests/class_counters.rs
@@ -1,22 +1,16 @@
-//! What is counted of served calls for whoever compares front ends.
+//! The latencies that are counted of served calls, for the comparison of front ends.
+
+mod support;
 
 use std::collections::VecDeque;
+use support::{call, class, worker, worker_list};
 use tansy_dispatch::{
-    AttemptOutcome, CacheStatus, Call, CallId, Command, DispatchConfig, Dispatcher, FunctionSpec,
-    Input, ResponseStage, Trailers, WorkerRecord,
+    AttemptOutcome, CacheStatus, Command, DispatchConfig, Dispatcher, FunctionSpec, Input,
+    ResponseStage, Trailers,
 };
-use tansyrouter::{Class, Effect, Settings, Time, SECOND};
+use tansyrouter::{Effect, Settings, Time, SECOND};
 
 fn config() -> DispatchConfig {
-    let class = Class {
-        aim: SECOND / 2,
-        aim_stretch: 0.0,
-        deadline: 2 * SECOND,
-        effect: Effect::Safe,
-        worth: 1.0,
-        late_worth: 0.5,
-        streamed: false,
-    };
     let function = FunctionSpec {
         name: "f".into(),
         class: 0,
@@ -27,7 +21,7 @@
     };
     DispatchConfig {
         settings: Settings {
-            classes: vec![class],
+            classes: vec![class(Effect::Safe, SECOND / 2, 2 * SECOND)],
             ..Settings::default()
         },
         classes: vec!["c".into()],
@@ -41,64 +35,38 @@
 
 /// Calls that a worker answers after so long each; what was counted of them.
 fn counted(took: &[i64]) -> hdrhistogram::Histogram<u64> {
-    let mut front = Dispatcher::new(config(), Time(0)).expect("right settings");
-    front.enable_class_counters();
-    let listed = WorkerRecord {
-        name: "w".into(),
-        kind: 0,
-        cell: 0,
-        zone: 0,
-        state: 0,
-        age: None,
-        relative_size: 1.0,
-    };
-    let mut out = Vec::new();
+    let mut dispatcher = Dispatcher::new(config(), Time(0)).expect("right settings");
+    dispatcher.enable_class_counters();
+    let mut commands = Vec::new();
     let mut now = 1;
-    front.step(
-        Time(now),
-        Input::Workers {
-            full: true,
-            workers: vec![listed],
-        },
-        &mut out,
-    );
+    let list = worker_list(vec![worker("w", 0)]);
+    dispatcher.step(Time(now), list, &mut commands);
     let warm = Trailers {
         cache_status: CacheStatus::Warm,
         instances: Some(1),
         ..Trailers::default()
     };
-    let seen = AttemptOutcome::Status {
+    let outcome = AttemptOutcome::Status {
         code: 0,
         stage: ResponseStage::Messages,
     };
     for (n, took) in took.iter().enumerate() {
-        let (began, call) = (now, CallId(n as u64 + 1));
-        let call = Call {
-            id: call,
-            function: "f".into(),
-            class: None,
-            tenant: 0,
-            budget: None,
-            work_hint: None,
-            repeat: false,
-            shape: None,
-            unknown_names: false,
-            waited: 0,
-        };
-        front.step(Time(now), Input::Call(call), &mut out);
-        let mut todo: VecDeque<Command> = out.drain(..).collect();
+        let began = now;
+        let call = call(n as u64 + 1, "f");
+        dispatcher.step(Time(now), Input::Call(call), &mut commands);
+        let mut pending: VecDeque<Command> = commands.drain(..).collect();
         let mut answered = false;
         while !answered {
-            let Some(command) = todo.pop_front() else {
-                now = front.next_due().map_or(now, |t| t.0.max(now));
-                front.step(Time(now), Input::Tick, &mut out);
-                todo.extend(out.drain(..));
+            let Some(command) = pending.pop_front() else {
+                now = dispatcher.next_due().map_or(now, |t| t.0.max(now));
+                dispatcher.step(Time(now), Input::Tick, &mut commands);
+                pending.extend(commands.drain(..));
                 continue;
             };
             let input = match command {
-                Command::Load { request: order, .. } => Input::ControlRequestEnded {
-                    request: order,
-                    outcome: seen,
+                Command::Load { request, .. } => Input::ControlRequestEnded {
+                    request,
+                    outcome,
                     trailers: warm,
                 },
                 Command::SendAttempt { call, attempt, .. } => {
@@ -106,7 +74,7 @@
                     Input::AttemptEnded {
                         call,
                         attempt,
-                        outcome: seen,
+                        outcome,
                         trailers: warm,
                     }
                 }
@@ -116,25 +84,25 @@
                 }
                 _ => continue,
             };
-            front.step(Time(now), input, &mut out);
-            todo.extend(out.drain(..));
+            dispatcher.step(Time(now), input, &mut commands);
+            pending.extend(commands.drain(..));
         }
         now += 1;
     }
-    front.class_counters().expect("counted").classes()["c"]
+    dispatcher.class_counters().expect("counted").classes()["c"]
         .latency
         .clone()
 }
 
 #[test]
-fn latencies_are_told_as_they_were() {
+fn latencies_are_counted_as_they_were() {
     let latency = counted(&[20_000, 20_000, 20_000, 300_000]);
     assert_eq!(latency.len(), 4);
-    let near = |q: f64, want: u64| {
-        let told = latency.value_at_quantile(q);
+    let near = |q: f64, expected: u64| {
+        let counted = latency.value_at_quantile(q);
         assert!(
-            told.abs_diff(want) <= want / 50,
-            "quantile {q}: {told} us, {want} us wanted"
+            counted.abs_diff(expected) <= expected / 50,
+            "quantile {q}: {counted} us, {expected} us expected"
         );
     };
     near(0.5, 20_000);
--- a/programs/day/src/load.rs
+++ b/programs/day/src/load.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
-use tansy_frames::grpc::{frame, spell_timeout, Code};
+use tansy_frames::grpc::{format_timeout, frame, Code};
 use tansy_inference::inference as pb;
 use tansy_net_grpc::exchange::{Ending, Exchange, ExchangeEvent};
 use tansy_net_grpc::link::{Limits, Link};
@@ -292,7 +292,7 @@
     headers.insert("te", HeaderValue::from_static("trailers"));
     headers.insert("content-type", HeaderValue::from_static("application/grpc"));
     if !stream && budget > 0 {
-        if let Ok(value) = HeaderValue::from_str(&spell_timeout(budget)) {
+        if let Ok(value) = HeaderValue::from_str(&format_timeout(budget)) {
             headers.insert("grpc-timeout", value);
         }
     }
--- a/protocol/inference/src/lib.rs
+++ b/protocol/inference/src/lib.rs
@@ -1,10 +1,20 @@
-//! Messages of the Open Inference Protocol v2 and of ORCA load reports, and the few places where a gateway looks
-//! inside them without decoding what it only passes on.
+//! Messages of the Open Inference Protocol v2 and of ORCA load reports, and the few places where a gateway reads
+//! them without decoding what it only forwards.
 //!
 //! - [`inference`], [`orca`]: the messages, compiled from this package's own `proto/`.
 //! - [`scan`]: reads a `ModelInferRequest` or a streamed answer in place and checks all of its wire format.
 //! - [`amend`]: changes single fields of an encoded message by appending to it, as protobuf's encoding allows.
 //! - [`names`]: method paths, trailer keys and parameter names.
+//!
+//! ```
+//! use prost::Message;
+//! use tansy_inference::{inference::ModelInferRequest, scan::InferRequest};
+//!
+//! let request = ModelInferRequest { model_name: "resize".into(), ..Default::default() };
+//! let bytes = request.encode_to_vec();
+//! assert_eq!(InferRequest::parse(&bytes)?.model, "resize");
+//! # Ok::<(), tansy_inference::scan::Malformed>(())
+//! ```
 
 pub mod amend;
 pub mod names;
--- a/tests/compatibility/tests/inference.rs
+++ b/tests/compatibility/tests/inference.rs
@@ -5,7 +5,7 @@
 use prost::Message;
 use std::collections::BTreeMap;
 use tansy_compatibility_tests::{fixture, inference as expected};
-use tansy_inference::scan::{response_id, Piece, Request, Value};
+use tansy_inference::scan::{response_id, InferRequest, ParameterValue, StreamResponse};
 use tansy_inference::{inference as pb, orca};
 
 fn recorded() -> BTreeMap<String, Vec<u8>> {
@@ -43,16 +43,16 @@
 #[test]
 fn messages_are_scanned_as_before() {
     let recorded = recorded();
-    let request = Request::read(&recorded["request"]).expect("a request");
+    let request = InferRequest::parse(&recorded["request"]).expect("a request");
     // In the order of the names, as they were sent.
     let parameters = vec![
-        ("flag", Value::Bool(true)),
-        ("int", Value::Int(-7)),
-        ("number", Value::Double(0.25)),
-        ("text", Value::Str("250")),
-        ("uint", Value::Uint(u64::MAX)),
+        ("flag", ParameterValue::Bool(true)),
+        ("int", ParameterValue::Int(-7)),
+        ("number", ParameterValue::Double(0.25)),
+        ("text", ParameterValue::Str("250")),
+        ("uint", ParameterValue::Uint(u64::MAX)),
     ];
-    let expected = Request {
+    let expected = InferRequest {
         model: "chat",
         version: "2",
         id: "request-1",
@@ -61,13 +61,17 @@
     };
     assert_eq!(request, expected);
     let piece = |name: &str, error, id, last| {
-        let expected = Piece {
+        let expected = StreamResponse {
             error,
             id,
             response: true,
             last,
         };
-        assert_eq!(Piece::read(&recorded[name]), Ok(expected), "{name}");
+        assert_eq!(
+            StreamResponse::parse(&recorded[name]),
+            Ok(expected),
+            "{name}"
+        );
     };
     piece("piece", "an error", "theirs", false);
     piece("amended-piece", "an error", "ours", false);
--- a/tests/compatibility/tests/text_wires.rs
+++ b/tests/compatibility/tests/text_wires.rs
@@ -47,8 +47,8 @@
     assert_eq!(grpc::Code::parse(b"14"), grpc::Code::Unavailable);
     assert_eq!(grpc::Code::parse(b"17"), grpc::Code::Unknown);
     assert_eq!(grpc::Code::ResourceExhausted.number(), 8);
-    assert_eq!(grpc::timeout(b"250m"), Some(250_000));
-    assert_eq!(grpc::spell_timeout(100_000_000), "100000m");
+    assert_eq!(grpc::parse_timeout(b"250m"), Some(250_000));
+    assert_eq!(grpc::format_timeout(100_000_000), "100000m");
     assert_eq!(grpc::encode_message("é 1%\n"), "%C3%A9 1%25%0A");
 }
 
@@ -56,19 +56,22 @@
 fn names_on_the_wire_of_inference_are_as_before() {
     use tansy_inference::names;
     let all = [
-        (names::SERVICE, "/inference.GRPCInferenceService/"),
-        (names::INSTANCE, "tansy-instance"),
-        (names::CROWD, "tansy-crowd"),
+        (names::SERVICE_PREFIX, "/inference.GRPCInferenceService/"),
+        (names::CACHE_STATUS, "tansy-instance"),
+        (names::CONCURRENT_CALLS, "tansy-crowd"),
         (names::NEVER_RAN, "tansy-never-ran"),
-        (names::INSTANCES, "tansy-instances"),
+        (names::INSTANCE_COUNT, "tansy-instances"),
         (names::LOAD_REPORT, "endpoint-load-metrics-bin"),
-        (names::PUSHBACK, "grpc-retry-pushback-ms"),
-        (names::FINAL, "triton_final_response"),
-        (names::EMPTY_FINAL, "triton_enable_empty_final_response"),
+        (names::RETRY_PUSHBACK, "grpc-retry-pushback-ms"),
+        (names::FINAL_RESPONSE, "triton_final_response"),
+        (
+            names::EMPTY_FINAL_RESPONSE,
+            "triton_enable_empty_final_response",
+        ),
         (names::RETRY_AFTER, "retry_after_ms"),
         (names::TIMEOUT, "timeout"),
         (names::LOAD_INSTANCES, "instances"),
-        (names::PIECES, "pieces"),
+        (names::RESPONSE_MESSAGES, "pieces"),
         (names::WORK_MS, "work_ms"),
     ];
     for (present, before) in all {
