--- a/decide/canary/src/lib.rs
+++ b/decide/canary/src/lib.rs
@@ -1,18 +1,34 @@
-//! Is the new side worse than the old one beside it?
+//! Canary analysis: does the new side of a change do worse than the old side that runs beside it?
 //!
-//! Front ends are looked at again and again; what came between two looks is a **slice**. In each slice calls of the same class
-//! in the same zone are compared: those that ended at front ends of the new side with those that ended at old ones. So what
-//! both sides share (a zone lost, a storm, traffic that doubles) is no difference. What the same front ends differed by before
-//! the change is taken off.
+//! Front ends are sampled again and again; what happened between two samples is a **slice**. In each slice, calls of one class in one
+//! zone are compared: those that ended at front ends of the new side with those that ended at old ones. What affects both sides (the
+//! loss of a zone, a storm of retries, twice the traffic) therefore makes no difference, and what the same front ends differed by
+//! before the change is subtracted.
 //!
-//! A [`CanaryAnalysis`] sees looks and says [`Verdict`]s. It knows no clock and no names of metrics beyond those here. The new side is
-//! *worse* when the evidence passes its bound (see [`evidence`]) and the loss is as large as matters, or when something shows
-//! that needs no statistics; *fine* when the loss that may be hidden is small enough; else it is *open*, and it is said what
-//! would settle it.
+//! A [`CanaryAnalysis`] takes samples and answers [`Verdict`]s. The new side is *worse* when a [`sequential_test`] passes its bound and
+//! the loss is as large as matters, or when something happened that needs no statistics; it is *fine* when the loss that may still
+//! be hidden is small enough; otherwise the verdict is *open* and says what would settle it.
+//!
+//! The crate has no clock and no I/O, knows no metrics but its own, and decides nothing: what follows from a verdict is the matter of
+//! `tansy_rollout`.
+//!
+//! ```
+//! use tansy_canary::{AnalysisParameters, CanaryAnalysis, Verdict};
+//!
+//! let mut analysis = CanaryAnalysis::new(AnalysisParameters::default(), ["f0".to_string()]);
+//! assert!(matches!(analysis.verdict(), Verdict::Open { .. }));
+//! analysis.on_crash_loop("f0", "signal 6");
+//! assert!(matches!(analysis.verdict(), Verdict::Worse { .. }));
+//! ```
 
-pub mod evidence;
-mod judge;
-mod tally;
+mod analysis;
+mod comparison;
+mod memory;
+mod metric;
+mod request_counters;
+pub mod sequential_test;
+mod verdict;
 
-pub use judge::{AnalysisParameters, CanaryAnalysis, Measurement, UnplannedExit, Verdict};
-pub use tally::{FrontEndReport, RequestCounters};
+pub use analysis::{AnalysisParameters, CanaryAnalysis, UnplannedExit};
+pub use request_counters::{FrontEndReport, RequestCounters};
+pub use verdict::{Measurement, Verdict};
--- a/decide/canary/src/tally.rs
+++ b/decide/canary/src/request_counters.rs
@@ -1,30 +1,30 @@
-//! What a front end counted of its calls, and the difference between two looks at it.
+//! What a front end counted of its calls, and the difference between two samples of it.
 
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// Final answers of one class since a process began. Counts only grow while the process lives.
+/// Final answers to calls of one class since the process began. Counts only grow while the process lives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestCounters {
     /// Calls that ended.
     pub requested: u64,
     /// Answered by a worker.
     pub served: u64,
-    /// Refused: nothing ran.
+    /// Rejected: nothing ran.
     pub rejected: u64,
     /// Failed.
     pub failed: u64,
-    /// What the calls would have been worth, answered in time; a call's most is 1.
+    /// The value of the calls had they been answered in time; that of one call is 1 at most.
     pub wanted: f64,
-    /// What the answers were worth.
+    /// The value of the answers.
     pub worth: f64,
-    /// Microseconds from arrival to the final answer, of served calls.
+    /// Microseconds from the arrival to the final answer, of served calls.
     pub latency: Histogram<u64>,
 }
 
 impl Default for RequestCounters {
     fn default() -> RequestCounters {
-        // Grown as needed: some 20 kB for a minute.
+        // It grows as needed, to some 20 kB for latencies up to a minute.
         let latency = Histogram::new(2).expect("two digits are allowed");
         RequestCounters {
             requested: 0,
@@ -39,7 +39,7 @@
 }
 
 impl RequestCounters {
-    /// Adds another's counts.
+    /// Adds the counts of another.
     pub fn add(&mut self, other: &RequestCounters) {
         self.requested += other.requested;
         self.served += other.served;
@@ -47,11 +47,11 @@
         self.failed += other.failed;
         self.wanted += other.wanted;
         self.worth += other.worth;
-        // Both resize by themselves.
+        // Both histograms resize automatically, so that adding can't fail.
         let _ = self.latency.add(&other.latency);
     }
 
-    /// What came since an earlier look at the same process.
+    /// What was counted since an earlier sample of the same process.
     pub fn since(&self, before: &RequestCounters) -> RequestCounters {
         let mut latency = self.latency.clone();
         if latency.subtract(&before.latency).is_err() {
@@ -68,31 +68,31 @@
         }
     }
 
-    /// Served calls that took longer than so many microseconds.
-    pub fn slower(&self, than: u64) -> u64 {
+    /// Served calls that took longer than this many microseconds.
+    pub fn slower(&self, threshold: u64) -> u64 {
         self.latency
             .len()
-            .saturating_sub(self.latency.count_between(0, than))
+            .saturating_sub(self.latency.count_between(0, threshold))
     }
 }
 
-/// One look at a front end.
+/// One sample of a front end.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FrontEndReport {
     /// Its name.
     pub name: String,
-    /// Where it stands.
+    /// Its zone.
     pub zone: String,
-    /// It runs the new program, or acts on the new settings.
+    /// Whether it is on the new side: runs the new program, or acts on the new settings.
     pub new: bool,
-    /// Its process; a later one has a larger number, and its counts begin at 0.
+    /// The process; a later one has a larger number, and its counts begin at 0.
     pub incarnation: u64,
-    /// Seconds for which it has acted.
+    /// Seconds since it began to serve.
     pub up: f64,
-    /// By class, since its process began.
+    /// The counts by class.
     pub classes: BTreeMap<String, RequestCounters>,
-    /// Megabytes.
+    /// Memory in use, in megabytes.
     pub memory: f64,
-    /// Times that a guard held something back, which never happens unless something is wrong.
+    /// Times that an internal guard prevented something, which happens only by a defect.
     pub guarded: u64,
 }
--- a/programs/fleet/src/view.rs
+++ b/programs/fleet/src/view.rs
@@ -145,7 +145,7 @@
             new: 0.05,
             loss: 0.04,
             half: 0.01,
-            lately: 0.04,
+            recent_loss: 0.04,
             slices: 9,
         };
         roll.seen.push(StageObservation {
