--- a/programs/day/src/main.rs
+++ b/programs/day/src/main.rs
@@ -311,6 +311,7 @@
     };
     if let (Some(path), Some(roll)) = (&a.report, &day.roll) {
         let written = tansy_fleet::report::page(roll)
+            .map_err(|e| e.to_string())
             .and_then(|p| std::fs::write(path, p).map_err(|e| e.to_string()));
         if let Err(e) = written {
             eprintln!("{}: {e}", path.display());
--- a/programs/fleet/src/processes.rs
+++ b/programs/fleet/src/processes.rs
@@ -1,6 +1,6 @@
-//! Processes of front ends: started, found again, asked to end. They outlive whoever started them.
+//! Processes of front ends: started, found again after a restart of the supervisor, asked to end. They outlive the supervisor.
 
-use rustix::process::{kill_process, Pid as Raw, Signal};
+use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read};
@@ -10,73 +10,117 @@
 use tansy_rollout::ProcessId;
 use xxhash_rust::xxh3::Xxh3;
 
-/// The variable that says which supervisor's folder and which name a process belongs to.
-const KEPT: &str = "TANSY_KEPT";
-/// The variable that says of which program it is.
-const LABEL: &str = "TANSY_LABEL";
+/// The environment variable of a process with its supervisor's folder and its front end's name.
+const OWNER_VARIABLE: &str = "TANSY_KEPT";
+/// The environment variable with the label of its program.
+const LABEL_VARIABLE: &str = "TANSY_LABEL";
 /// What a front end's output begins with once it serves.
-const READY: &str = "ready ";
-/// Output that is looked at for it.
-const OUTPUT: u64 = 64 * 1024;
+const READY_PREFIX: &str = "ready ";
+/// Bytes of the output that are searched for it.
+const MAX_OUTPUT: u64 = 64 * 1024;
 
-/// What tells a program from another: the digest of its file.
+/// Why a process could not be started, or the folder not be taken.
+#[derive(Debug, thiserror::Error)]
+pub enum ProcessError {
+    /// A file can't be read, written or run.
+    #[error("{path}: {source}", path = path.display())]
+    File {
+        /// The file.
+        path: PathBuf,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// Another supervisor runs on the folder.
+    #[error("{path}: another supervisor keeps this folder", path = .0.display())]
+    FolderInUse(PathBuf),
+    /// The file is not the program that it is to be.
+    #[error("{path}: it is another program, {actual}, than {expected}", path = path.display())]
+    WrongProgram {
+        /// The file.
+        path: PathBuf,
+        /// Its label.
+        actual: String,
+        /// The label that it is to have.
+        expected: String,
+    },
+    /// No file is known for the program of this label.
+    #[error("the program {0} is not known here")]
+    UnknownProgram(String),
+}
+
+impl ProcessError {
+    fn file(path: &Path, source: io::Error) -> ProcessError {
+        ProcessError::File {
+            path: path.to_path_buf(),
+            source,
+        }
+    }
+}
+
+/// The label of a program: the digest of its file.
 pub fn label(path: &Path) -> io::Result<String> {
-    let (mut file, mut hash, mut buffer) = (File::open(path)?, Xxh3::new(), vec![0; 1 << 16]);
+    let mut file = File::open(path)?;
+    let mut hash = Xxh3::new();
+    let mut buffer = vec![0; 1 << 16];
     loop {
         match file.read(&mut buffer)? {
             0 => return Ok(format!("{:032x}", hash.digest128())),
-            n => hash.update(&buffer[..n]),
+            length => hash.update(&buffer[..length]),
         }
     }
 }
 
-/// A process that lives.
+/// A process under this supervisor.
 #[derive(Debug)]
-struct Kept {
-    /// None: another supervisor started it.
+struct OwnProcess {
+    /// `None` if an earlier supervisor started it.
     child: Option<Child>,
-    /// When it began, by the kernel: a number that is given again is another process.
+    /// When it began, in the kernel's ticks: a process with the same number and another start is another one.
     began: u64,
 }
 
-/// A process that some supervisor keeps, or kept, as the kernel has it.
+/// A process that some supervisor started, as the kernel reports it.
 #[derive(Debug)]
 pub struct Running {
-    /// Its number.
+    /// The process.
     pub pid: ProcessId,
     /// Its supervisor's folder.
     pub folder: PathBuf,
     /// Its front end's name.
     pub name: String,
-    /// The program that it was told to be.
+    /// The label of its program.
     pub label: String,
     /// The name of the file that it runs.
     pub program: String,
 }
 
-/// All of them, by what their surroundings say; those that have ended are none.
+/// All processes that any supervisor started, by their environment.
 pub fn kept() -> Vec<Running> {
     let one = |entry: std::fs::DirEntry| {
         let pid = entry.file_name().to_str()?.parse().ok()?;
-        let surroundings = std::fs::read(entry.path().join("environ")).ok()?;
+        let environment = std::fs::read(entry.path().join("environ")).ok()?;
         let value = |name: &str| {
-            let mut each = surroundings.split(|b| *b == 0).map(String::from_utf8_lossy);
-            each.find_map(|v| v.strip_prefix(name)?.strip_prefix('=').map(str::to_string))
+            let mut each = environment.split(|b| *b == 0).map(String::from_utf8_lossy);
+            each.find_map(|variable| {
+                variable
+                    .strip_prefix(name)?
+                    .strip_prefix('=')
+                    .map(str::to_string)
+            })
         };
-        let kept = value(KEPT)?;
-        let (folder, name) = kept.rsplit_once(':')?;
+        let owner = value(OWNER_VARIABLE)?;
+        let (folder, name) = owner.rsplit_once(':')?;
         let program = std::fs::read_link(entry.path().join("exe")).ok()?;
         let program = program
             .file_name()
             .unwrap_or_default()
             .to_string_lossy()
             .into_owned();
-        let (folder, name) = (PathBuf::from(folder), name.to_string());
         Some(Running {
             pid,
-            folder,
-            name,
-            label: value(LABEL).unwrap_or_default(),
+            folder: PathBuf::from(folder),
+            name: name.to_string(),
+            label: value(LABEL_VARIABLE).unwrap_or_default(),
             program,
         })
     };
@@ -88,117 +132,124 @@
         .collect()
 }
 
-/// The processes under one folder.
+/// The processes of one supervisor, which is known by its folder.
 #[derive(Debug)]
 pub struct Processes {
     folder: PathBuf,
-    all: BTreeMap<ProcessId, Kept>,
-    /// Held while this supervisor runs: a second one on the folder is turned away.
+    all: BTreeMap<ProcessId, OwnProcess>,
+    /// Locked while this supervisor runs, so that there is no second one on the folder.
     _lock: File,
 }
 
-/// A process that was found running.
+/// A process of an earlier supervisor that still runs.
 #[derive(Debug)]
-pub struct Found {
-    /// Its number.
+pub struct RunningProcess {
+    /// The process.
     pub pid: ProcessId,
-    /// Its name.
+    /// Its front end's name.
     pub name: String,
-    /// Its program.
+    /// The label of its program.
     pub label: String,
 }
 
 impl Processes {
-    /// Takes the folder; processes that an earlier supervisor of it left are found.
-    pub fn open(folder: &Path) -> Result<(Processes, Vec<Found>), String> {
-        let told = |e: io::Error| format!("{}: {e}", folder.display());
-        std::fs::create_dir_all(folder.join("programs")).map_err(told)?;
-        let folder = folder.canonicalize().map_err(told)?;
-        let lock = File::create(folder.join("lock")).map_err(told)?;
-        let held = rustix::fs::flock(&lock, rustix::fs::FlockOperation::NonBlockingLockExclusive);
-        held.map_err(|_| format!("{}: another supervisor keeps this folder", folder.display()))?;
+    /// Locks the folder and finds the processes that an earlier supervisor of it left.
+    pub fn open(folder: &Path) -> Result<(Processes, Vec<RunningProcess>), ProcessError> {
+        let failed = |error| ProcessError::file(folder, error);
+        std::fs::create_dir_all(folder.join("programs")).map_err(failed)?;
+        let absolute = folder.canonicalize().map_err(failed)?;
+        let lock = File::create(absolute.join("lock")).map_err(failed)?;
+        let locked = rustix::fs::flock(&lock, rustix::fs::FlockOperation::NonBlockingLockExclusive);
+        locked.map_err(|_| ProcessError::FolderInUse(absolute.clone()))?;
         let mut processes = Processes {
-            folder,
+            folder: absolute,
             all: BTreeMap::new(),
             _lock: lock,
         };
-        let found = processes.find();
-        Ok((processes, found))
+        let running = processes.find();
+        Ok((processes, running))
     }
 
-    fn kept(&self, name: &str) -> String {
+    fn owner(&self, name: &str) -> String {
         format!("{}:{name}", self.folder.display())
     }
 
-    /// Processes whose surroundings say that they belong here.
-    fn find(&mut self) -> Vec<Found> {
+    /// Processes whose environment names this folder.
+    fn find(&mut self) -> Vec<RunningProcess> {
         let mut all = Vec::new();
-        for k in kept().into_iter().filter(|k| k.folder == self.folder) {
-            let Some(began) = began(k.pid) else { continue };
-            self.all.insert(k.pid, Kept { child: None, began });
-            all.push(Found {
-                pid: k.pid,
-                name: k.name,
-                label: k.label,
+        let here = kept()
+            .into_iter()
+            .filter(|process| process.folder == self.folder);
+        for process in here {
+            let Some(began) = began(process.pid) else {
+                continue;
+            };
+            self.all
+                .insert(process.pid, OwnProcess { child: None, began });
+            all.push(RunningProcess {
+                pid: process.pid,
+                name: process.name,
+                label: process.label,
             });
         }
         all
     }
 
-    /// Keeps a copy of a program under its label, which its file has to have.
-    pub fn store(&self, label_wanted: &str, path: &Path) -> Result<PathBuf, String> {
-        let stored = self.folder.join("programs").join(label_wanted);
-        let told = |e: io::Error| format!("{}: {e}", path.display());
+    /// Copies a program to the folder under its label, which has to be that of the file.
+    pub fn store(&self, expected: &str, path: &Path) -> Result<PathBuf, ProcessError> {
+        let stored = self.folder.join("programs").join(expected);
+        let failed = |error| ProcessError::file(path, error);
         if !stored.exists() {
             let part = self
                 .folder
                 .join("programs")
-                .join(format!("{label_wanted}.part"));
-            std::fs::copy(path, &part).map_err(told)?;
-            let is = label(&part).map_err(told)?;
-            if is != label_wanted {
-                return Err(format!(
-                    "{}: it is another program, {is}, than {label_wanted}",
-                    path.display()
-                ));
+                .join(format!("{expected}.part"));
+            std::fs::copy(path, &part).map_err(failed)?;
+            let actual = label(&part).map_err(failed)?;
+            if actual != expected {
+                return Err(ProcessError::WrongProgram {
+                    path: path.to_path_buf(),
+                    actual,
+                    expected: expected.to_string(),
+                });
             }
-            std::fs::rename(&part, &stored).map_err(told)?;
+            std::fs::rename(&part, &stored).map_err(failed)?;
         }
         Ok(stored)
     }
 
-    /// Starts a process; its output and its log go to files of its name.
+    /// Starts a process; its output and its log go to files of its front end's name.
     pub fn start(
         &mut self,
         name: &str,
         label: &str,
         program: &Path,
         arguments: &[String],
-    ) -> Result<ProcessId, String> {
-        let told = |e: io::Error| format!("{}: {e}", program.display());
+    ) -> Result<ProcessId, ProcessError> {
+        let failed = |error| ProcessError::file(program, error);
         let log = OpenOptions::new()
             .create(true)
             .append(true)
             .open(self.folder.join(format!("{name}.log")));
-        let out = File::create(self.out(name)).map_err(told)?;
+        let out = File::create(self.out(name)).map_err(failed)?;
         let mut command = Command::new(program);
         command
             .args(arguments)
-            .env(KEPT, self.kept(name))
-            .env(LABEL, label);
+            .env(OWNER_VARIABLE, self.owner(name))
+            .env(LABEL_VARIABLE, label);
         command
             .stdin(Stdio::null())
             .stdout(out)
-            .stderr(log.map_err(told)?);
-        // Of a group of its own: what ends a terminal's programs does not end it.
+            .stderr(log.map_err(failed)?);
+        // In a process group of its own, signals of a terminal don't reach it.
         command.process_group(0);
-        let child = command.spawn().map_err(told)?;
+        let child = command.spawn().map_err(failed)?;
         let pid = child.id();
-        let kept = Kept {
+        let process = OwnProcess {
             child: Some(child),
             began: began(pid).unwrap_or(0),
         };
-        self.all.insert(pid, kept);
+        self.all.insert(pid, process);
         Ok(pid)
     }
 
@@ -206,19 +257,19 @@
         self.folder.join(format!("{name}.out"))
     }
 
-    /// Whether the name's process has said that it serves.
+    /// Whether the front end's process has printed that it serves.
     pub fn ready(&self, name: &str) -> bool {
         let mut text = String::new();
         let file = File::open(self.out(name));
-        let read = file.and_then(|f| f.take(OUTPUT).read_to_string(&mut text));
-        read.is_ok() && text.lines().any(|l| l.starts_with(READY))
+        let read = file.and_then(|file| file.take(MAX_OUTPUT).read_to_string(&mut text));
+        read.is_ok() && text.lines().any(|line| line.starts_with(READY_PREFIX))
     }
 
-    /// Those that have ended, and how.
+    /// Processes that have ended since the last call, and how.
     pub fn ended(&mut self) -> Vec<(ProcessId, String)> {
-        let mut over = Vec::new();
-        for (pid, kept) in &mut self.all {
-            let how = match &mut kept.child {
+        let mut ended = Vec::new();
+        for (pid, process) in &mut self.all {
+            let how = match &mut process.child {
                 Some(child) => match child.try_wait() {
                     Ok(Some(status)) => Some(match (status.code(), status.signal()) {
                         (Some(code), _) => format!("exit code {code}"),
@@ -226,33 +277,33 @@
                         (None, None) => "ended".into(),
                     }),
                     Ok(None) => None,
-                    Err(e) => Some(e.to_string()),
+                    Err(error) => Some(error.to_string()),
                 },
-                None => (began(*pid) != Some(kept.began)).then(|| "ended".to_string()),
+                None => (began(*pid) != Some(process.began)).then(|| "ended".to_string()),
             };
-            over.extend(how.map(|how| (*pid, how)));
+            ended.extend(how.map(|how| (*pid, how)));
         }
-        over.iter().for_each(|(pid, _)| {
+        for (pid, _) in &ended {
             self.all.remove(pid);
-        });
-        over
+        }
+        ended
     }
 
-    /// Sends a signal to one that is known to be the same process still.
+    /// Sends a signal to a process, unless its number is by now that of another.
     pub fn signal(&self, pid: ProcessId, signal: Signal) {
         let same = self
             .all
             .get(&pid)
-            .is_some_and(|k| k.child.is_some() || began(pid) == Some(k.began));
-        let raw = i32::try_from(pid).ok().and_then(Raw::from_raw);
+            .is_some_and(|process| process.child.is_some() || began(pid) == Some(process.began));
+        let raw = i32::try_from(pid).ok().and_then(Pid::from_raw);
         if let (Some(raw), true) = (raw, same) {
-            // It may have ended this moment.
+            // It may have just ended.
             let _ = kill_process(raw, signal);
         }
     }
 }
 
-/// When the process of this number began, in the kernel's ticks; none: there is none, or it has ended and waits to be read.
+/// When a process began, in the kernel's ticks; `None` if there is none, or only a zombie.
 fn began(pid: ProcessId) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     // The name in parentheses may hold anything.
--- /dev/null
+++ b/programs/fleet/src/replace_voter.rs
@@ -0,0 +1,110 @@
+//! `replace-voter`: makes a front end a voter in the place of another.
+
+use crate::arguments::wait_limit;
+use crate::{FleetError, Session};
+use std::net::SocketAddr;
+use std::time::Instant;
+use tansy_fleet_wire::pb;
+use tansy_fleet_wire::pb::enter_request::Entry;
+
+/// How far a replacement has come.
+enum Progress {
+    /// The new voter learns the log.
+    Learning,
+    /// The new voter votes, and so does the old one still.
+    Joint,
+    Done,
+    Failed,
+}
+
+/// Asks for the replacement and waits for it so many seconds.
+pub(crate) fn run(
+    session: &mut Session,
+    new: &str,
+    replaced: &str,
+    wait: f64,
+) -> Result<(), FleetError> {
+    let mut leader = session.leader()?;
+    let request = pb::Seat {
+        new: new.to_string(),
+        instead: replaced.to_string(),
+    };
+    session.client.enter(leader, Entry::Seat(request))?;
+    let end = Instant::now() + wait_limit(wait);
+    let mut learning = true;
+    while Instant::now() < end {
+        leader = current_leader(session, leader);
+        match progress(session, leader, new) {
+            Some(Progress::Learning) => learning = true,
+            Some(Progress::Joint) => learning = false,
+            Some(Progress::Done) => {
+                session
+                    .output
+                    .done(&format!("{new} is a seat, {replaced} is none any more"));
+                return Ok(());
+            }
+            Some(Progress::Failed) => {
+                return Err(FleetError::Abandoned(format!(
+                    "{new} did not become a seat: was it started with --state?"
+                )))
+            }
+            None => {}
+        }
+        session.pause();
+    }
+    if wait <= 0.0 {
+        session
+            .output
+            .done(&format!("{new} is to become a seat instead of {replaced}"));
+        return Ok(());
+    }
+    let state = if learning {
+        "still learns the log"
+    } else {
+        "is a seat, and so is still the other"
+    };
+    Err(FleetError::TimedOut(format!(
+        "{new} {state} after {wait} s: `seats` tells how far it is"
+    )))
+}
+
+/// The leader, or the last known one. A replaced leader hands over, after which another one has to be asked.
+fn current_leader(session: &mut Session, last: SocketAddr) -> SocketAddr {
+    session
+        .leader()
+        .or_else(|_| session.leader_known_by(last))
+        .unwrap_or(last)
+}
+
+/// How far the replacement is, if the leader says so.
+fn progress(session: &mut Session, leader: SocketAddr, new: &str) -> Option<Progress> {
+    let status = session.client.status(leader).ok()?;
+    if !status.keeps_log {
+        return None;
+    }
+    Some(match &status.seating {
+        Some(replacement) if replacement.votes => Progress::Joint,
+        Some(_) => Progress::Learning,
+        None if is_voter(&status, new) => Progress::Done,
+        None => Progress::Failed,
+    })
+}
+
+fn is_voter(status: &pb::StatusReply, name: &str) -> bool {
+    let address = address_of(status, name);
+    status
+        .seats
+        .iter()
+        .any(|voter| Some(voter) == address.as_ref())
+}
+
+/// Where the front end of this name is reached.
+fn address_of(status: &pb::StatusReply, name: &str) -> Option<String> {
+    let id = tansy_fleet_node::number(name);
+    status
+        .others
+        .iter()
+        .chain(&status.process)
+        .find(|process| process.id == id)
+        .map(|process| process.address.clone())
+}
--- a/programs/fleet/src/report.rs
+++ b/programs/fleet/src/report.rs
@@ -1,12 +1,13 @@
-//! One page on a roll, with everything in it.
+//! The report on a rollout: one self-contained HTML page.
 
+use crate::FleetError;
 use plotters::prelude::*;
 use tansy_canary::{Measurement, Verdict};
 use tansy_rollout::{Rollout, RolloutChange, RolloutPhase, StageObservation};
 
-/// What was said of a stage, in words.
-pub fn said(seen: &StageObservation) -> String {
-    match &seen.verdict {
+/// The verdict on a stage, in words.
+pub fn verdict_text(observation: &StageObservation) -> String {
+    match &observation.verdict {
         None => "nothing said yet".into(),
         Some(Verdict::Fine) => "no worse".into(),
         Some(Verdict::Worse { why }) => format!("worse: {why}"),
@@ -15,6 +16,12 @@
     }
 }
 
+/// The page up to its first heading.
+const HEAD: &str = "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>Roll</title><style>body{font:15px sans-serif;\
+    max-width:60em;margin:2em auto;padding:0 1em}table{border-collapse:collapse}td,th{border-bottom:1px solid #ccc;\
+    padding:.2em .8em;text-align:right}td:first-child,th:first-child{text-align:left}</style></head><body>";
+
+/// Text as HTML.
 fn escaped(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
@@ -22,124 +29,134 @@
         .replace('"', "&quot;")
 }
 
-/// Losses with their intervals.
-fn bars(all: &[Measurement]) -> Result<String, String> {
+/// The losses with their intervals, as an SVG image.
+fn loss_chart(measurements: &[Measurement]) -> Result<String, FleetError> {
     let mut svg = String::new();
     {
-        let height = 60 + 28 * all.len() as u32;
+        let height = 60 + 28 * measurements.len() as u32;
         let area = SVGBackend::with_string(&mut svg, (760, height)).into_drawing_area();
-        draw(&area, all).map_err(|e| e.to_string())?;
+        draw(&area, measurements).map_err(|error| FleetError::Report(error.to_string()))?;
     }
     Ok(svg)
 }
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
+type DrawingError<'a> = DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>;
+
+/// A loss and half of its interval, in points.
+fn points(measurement: &Measurement) -> (f64, f64) {
+    (measurement.loss * 100.0, measurement.half.min(0.2) * 100.0)
+}
 
-fn draw(area: &Area<'_>, all: &[Measurement]) -> Result<(), Box<dyn std::error::Error>> {
+fn draw<'a>(area: &Area<'a>, measurements: &[Measurement]) -> Result<(), DrawingError<'a>> {
     area.fill(&WHITE)?;
-    let far = |m: &Measurement| (m.loss.abs() + m.half.min(0.2)) * 100.0;
-    let most = all.iter().map(far).fold(1.0, f64::max) * 1.1;
-    let count = all.len() as f64;
+    let extent =
+        |measurement: &Measurement| (measurement.loss.abs() + measurement.half.min(0.2)) * 100.0;
+    let limit = measurements.iter().map(extent).fold(1.0, f64::max) * 1.1;
+    let count = measurements.len() as f64;
     let mut chart = ChartBuilder::on(area)
         .margin(8)
         .x_label_area_size(30)
         .y_label_area_size(190)
-        .build_cartesian_2d(-most..most, -0.5..count - 0.5)?;
+        .build_cartesian_2d(-limit..limit, -0.5..count - 0.5)?;
     let name = |y: &f64| {
-        let n = y.round();
-        let is = (y - n).abs() < 1e-6 && n >= 0.0;
-        all.get(n as usize)
-            .filter(|_| is)
-            .map_or(String::new(), |m| m.what.clone())
+        let row = y.round();
+        let is_row = (y - row).abs() < 1e-6 && row >= 0.0;
+        measurements
+            .get(row as usize)
+            .filter(|_| is_row)
+            .map_or(String::new(), |measurement| measurement.what.clone())
     };
     chart
         .configure_mesh()
         .disable_y_mesh()
-        .y_labels(all.len() * 2 + 1)
+        .y_labels(measurements.len() * 2 + 1)
         .y_label_formatter(&name)
         .x_desc("points lost by the new side, with the interval that holds at all looks")
         .draw()?;
-    for (n, m) in all.iter().enumerate() {
-        let (y, x, half) = (n as f64, m.loss * 100.0, m.half.min(0.2) * 100.0);
+    for (row, measurement) in measurements.iter().enumerate() {
+        let y = row as f64;
+        let (x, half) = points(measurement);
         let color = if x - half > 0.0 { RED } else { BLUE };
-        chart.draw_series([PathElement::new(
-            vec![(x - half, y), (x + half, y)],
-            color.stroke_width(2),
-        )])?;
+        let interval = vec![(x - half, y), (x + half, y)];
+        chart.draw_series([PathElement::new(interval, color.stroke_width(2))])?;
         chart.draw_series([Circle::new((x, y), 4, color.filled())])?;
     }
-    chart.draw_series([PathElement::new(
-        vec![(0.0, -0.5), (0.0, count - 0.5)],
-        BLACK,
-    )])?;
-    area.present()?;
-    Ok(())
+    let zero = vec![(0.0, -0.5), (0.0, count - 0.5)];
+    chart.draw_series([PathElement::new(zero, BLACK)])?;
+    area.present()
 }
 
-/// The page.
-pub fn page(roll: &Rollout) -> Result<String, String> {
-    let what = match &roll.what {
+/// The page on a rollout.
+pub fn page(rollout: &Rollout) -> Result<String, FleetError> {
+    let change = match &rollout.what {
         RolloutChange::Program { label, path } => format!("the program {path}, {label}"),
         RolloutChange::Settings => "settings".to_string(),
     };
-    let end = match roll.phase {
+    let end = match rollout.phase {
         RolloutPhase::Done => "done: all front ends are changed",
         RolloutPhase::Stopped => "stopped: all front ends are as they were",
         RolloutPhase::Back => "going back",
         RolloutPhase::Moving | RolloutPhase::Judging => "under way",
     };
-    let mut out = String::from(
-        "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>Roll</title><style>body{font:15px sans-serif;\
-         max-width:60em;margin:2em auto;padding:0 1em}table{border-collapse:collapse}td,th{border-bottom:1px solid #ccc;\
-         padding:.2em .8em;text-align:right}td:first-child,th:first-child{text-align:left}</style></head><body>",
-    );
-    out += &format!(
+    let mut html = String::from(HEAD);
+    html += &format!(
         "<h1>Roll {}</h1><p>Of {}. <b>{}</b></p>",
-        roll.id,
-        escaped(&what),
+        rollout.id,
+        escaped(&change),
         end
     );
-    out += &format!("<p>{}</p>", escaped(&roll.why));
-    for seen in &roll.seen {
-        let names: Vec<&str> = roll
-            .plan
-            .stages
-            .get(seen.stage)
-            .into_iter()
-            .flatten()
-            .map(|p| p.name.as_str())
-            .collect();
-        out += &format!(
-            "<h2>Stage {}</h2><p>{}. Stood for {} s. {}</p>",
-            seen.stage + 1,
-            escaped(&names.join(", ")),
-            seen.elapsed_seconds,
-            escaped(&said(seen))
+    html += &format!("<p>{}</p>", escaped(&rollout.why));
+    for observation in &rollout.seen {
+        add_stage(&mut html, rollout, observation)?;
+    }
+    html += "<h2>Steps</h2><ol>";
+    for step in &rollout.steps {
+        html += &format!("<li>{}</li>", escaped(step));
+    }
+    html += "</ol><details><summary>All as JSON</summary><pre>";
+    let json = serde_json::to_string_pretty(rollout);
+    html += &escaped(&json.map_err(|error| FleetError::Report(error.to_string()))?);
+    html += "</pre></details></body></html>";
+    Ok(html)
+}
+
+fn add_stage(
+    html: &mut String,
+    rollout: &Rollout,
+    observation: &StageObservation,
+) -> Result<(), FleetError> {
+    let names: Vec<&str> = rollout
+        .plan
+        .stages
+        .get(observation.stage)
+        .into_iter()
+        .flatten()
+        .map(|target| target.name.as_str())
+        .collect();
+    *html += &format!(
+        "<h2>Stage {}</h2><p>{}. Stood for {} s. {}</p>",
+        observation.stage + 1,
+        escaped(&names.join(", ")),
+        observation.elapsed_seconds,
+        escaped(&verdict_text(observation))
+    );
+    if observation.measurements.is_empty() {
+        return Ok(());
+    }
+    *html += "<table><tr><th>share lost</th><th>old</th><th>new</th><th>loss, points</th><th>give or take</th><th>slices</th></tr>";
+    for measurement in &observation.measurements {
+        *html += &format!(
+            "<tr><td>{}</td><td>{:.3}%</td><td>{:.3}%</td><td>{:+.3}</td><td>{:.3}</td><td>{}</td></tr>",
+            escaped(&measurement.what),
+            measurement.old * 100.0,
+            measurement.new * 100.0,
+            measurement.loss * 100.0,
+            measurement.half * 100.0,
+            measurement.slices
         );
-        if seen.measurements.is_empty() {
-            continue;
-        }
-        out += "<table><tr><th>share lost</th><th>old</th><th>new</th><th>loss, points</th><th>give or take</th><th>slices</th></tr>";
-        for m in &seen.measurements {
-            out += &format!(
-                "<tr><td>{}</td><td>{:.3}%</td><td>{:.3}%</td><td>{:+.3}</td><td>{:.3}</td><td>{}</td></tr>",
-                escaped(&m.what),
-                m.old * 100.0,
-                m.new * 100.0,
-                m.loss * 100.0,
-                m.half * 100.0,
-                m.slices
-            );
-        }
-        out += "</table>";
-        out += &bars(&seen.measurements)?;
     }
-    out += "<h2>Steps</h2><ol>";
-    roll.steps
-        .iter()
-        .for_each(|s| out += &format!("<li>{}</li>", escaped(s)));
-    out += "</ol><details><summary>All as JSON</summary><pre>";
-    out += &escaped(&serde_json::to_string_pretty(roll).map_err(|e| e.to_string())?);
-    out += "</pre></details></body></html>";
-    Ok(out)
+    *html += "</table>";
+    *html += &loss_chart(&observation.measurements)?;
+    Ok(())
 }
--- /dev/null
+++ b/programs/fleet/src/rollout/text.rs
@@ -0,0 +1,109 @@
+//! Rollouts and plans as lines for people.
+
+use crate::report::verdict_text;
+use tansy_rollout::{Rollout, RolloutChange, RolloutPhase, RolloutPlan, StageObservation};
+
+/// Steps of a rollout that are shown.
+const LAST_STEPS: usize = 8;
+
+/// A plan, with its stages.
+pub(super) fn plain_plan(plan: &RolloutPlan) -> String {
+    let mut lines = Vec::new();
+    for (number, stage) in plan.stages.iter().enumerate() {
+        let names: Vec<String> = stage
+            .iter()
+            .map(|target| format!("{} ({})", target.name, target.zone))
+            .collect();
+        lines.push(format!("stage {}: {}", number + 1, names.join(", ")));
+    }
+    lines.push(format!(
+        "each from {} to {} s; {} of a zone away at once; stopped at a loss of {} points that is no luck",
+        plan.least,
+        plan.longest,
+        plan.at_once,
+        plan.matters * 100.0
+    ));
+    lines.join("\n")
+}
+
+/// A rollout: its state, the last observation of each stage, and the last steps.
+pub fn plain(rollout: &Rollout) -> String {
+    let mut lines = vec![headline(rollout)];
+    if !rollout.why.is_empty() {
+        lines.push(format!("  {}", rollout.why));
+    }
+    lines.push(progress(rollout));
+    for observation in &rollout.seen {
+        add_observation(&mut lines, observation);
+    }
+    let hidden = rollout.steps.len().saturating_sub(LAST_STEPS);
+    let steps = rollout.steps.iter().skip(hidden);
+    lines.extend(steps.map(|step| format!("  - {step}")));
+    lines.join("\n")
+}
+
+fn headline(rollout: &Rollout) -> String {
+    let change = match &rollout.what {
+        RolloutChange::Program { label, path } => {
+            format!("program {path} ({})", label.get(..12).unwrap_or(label))
+        }
+        RolloutChange::Settings => "settings".to_string(),
+    };
+    let phase = match rollout.phase {
+        RolloutPhase::Moving => "changing front ends",
+        RolloutPhase::Judging => "under judgement",
+        RolloutPhase::Back => "going back",
+        RolloutPhase::Done => "done",
+        RolloutPhase::Stopped => "stopped: all are as they were",
+    };
+    format!(
+        "roll {} of {change}: stage {} of {}, {phase}{}",
+        rollout.id,
+        rollout.stage + 1,
+        rollout.plan.stages.len(),
+        if rollout.paused { ", paused" } else { "" }
+    )
+}
+
+fn progress(rollout: &Rollout) -> String {
+    let moving = if rollout.moving.is_empty() {
+        "none".to_string()
+    } else {
+        rollout
+            .moving
+            .iter()
+            .cloned()
+            .collect::<Vec<_>>()
+            .join(", ")
+    };
+    let controller = if rollout.steerer.is_empty() {
+        "nobody yet: run `tansy-fleet up` or `steer`"
+    } else {
+        &rollout.steerer
+    };
+    format!(
+        "  changed {} of {}, on their way {moving}; steered by {controller}",
+        rollout.moved.len(),
+        rollout.plan.targets().count(),
+    )
+}
+
+fn add_observation(lines: &mut Vec<String>, observation: &StageObservation) {
+    lines.push(format!(
+        "  stage {}, {} s, {}:",
+        observation.stage + 1,
+        observation.elapsed_seconds,
+        verdict_text(observation)
+    ));
+    for measurement in &observation.measurements {
+        lines.push(format!(
+            "    {:<24} old {:>7.3}%  new {:>7.3}%  loss {:>+7.3} +- {:.3} points ({} slices)",
+            measurement.what,
+            measurement.old * 100.0,
+            measurement.new * 100.0,
+            measurement.loss * 100.0,
+            measurement.half * 100.0,
+            measurement.slices
+        ));
+    }
+}
--- a/programs/fleet/src/show.rs
+++ b/programs/fleet/src/rows.rs
@@ -1,4 +1,4 @@
-//! What is printed: plain lines for people, one JSON value for programs.
+//! Rows of the results. Their field names in JSON are part of the command line and stay.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -6,57 +6,65 @@
 use tansy_agreement::log::VersionedSettings;
 use tansy_fleet_wire::pb;
 
-/// A front end's line.
+/// The status of a front end.
 #[derive(Debug, Clone, Serialize)]
-pub struct FrontLine {
+pub struct FrontEndStatus {
     /// Its name, or where it was looked for.
     pub name: String,
     /// Where its siblings reach it.
     pub address: String,
     /// Whether it answered; what it said, if not.
     pub error: Option<String>,
-    /// It leads the fleet.
-    pub seat: bool,
-    /// The step that it knows.
-    pub step: u64,
+    /// Whether it leads the fleet.
+    #[serde(rename = "seat")]
+    pub leads: bool,
+    /// The revision of the agreed log that it knows.
+    #[serde(rename = "step")]
+    pub revision: u64,
     /// The version in force there.
     pub version: u64,
-    /// The version under way, and how far.
+    /// The version in progress, and its phase.
     pub next: Option<(u64, String)>,
     /// Milliseconds left of its lease.
     pub lease_ms: i64,
-    /// Seconds left of its stay.
-    pub stay_s: i64,
-    /// Siblings that it sees.
-    pub sees: usize,
-    /// Functions that it holds one by one.
-    pub holds: u64,
+    /// Seconds left of its session.
+    #[serde(rename = "stay_s")]
+    pub session_s: i64,
+    /// Other front ends that it sees.
+    #[serde(rename = "sees")]
+    pub seen_others: usize,
+    /// Functions that it is subscribed to one by one.
+    #[serde(rename = "holds")]
+    pub subscriptions: u64,
 }
 
-/// A fleet's status.
+/// The status of a fleet.
 #[derive(Debug, Clone, Serialize)]
-pub struct FleetLine {
+pub struct FleetStatus {
     /// Its name.
     pub fleet: String,
-    /// Where it is led from.
-    pub seat: String,
-    /// Its front ends, as the one asked sees them.
-    pub fronts: Vec<FrontLine>,
-    /// On the roster, and not seen.
+    /// The address of its leader.
+    #[serde(rename = "seat")]
+    pub leader: String,
+    /// Its front ends, as the one that was asked sees them.
+    #[serde(rename = "fronts")]
+    pub front_ends: Vec<FrontEndStatus>,
+    /// Those on the roster that are not seen.
     pub away: Vec<String>,
-    /// Calls that the change under way touches.
-    pub contested: Vec<String>,
-    /// Whom the change under way waits for.
+    /// Calls that the change in progress affects.
+    #[serde(rename = "contested")]
+    pub conflicting: Vec<String>,
+    /// Front ends that the change in progress waits for.
     pub waits_for: Vec<String>,
-    /// It waits for leases to run out or to come as far.
+    /// Whether it waits for leases to expire or to be renewed at the new version.
     pub waits_for_leases: bool,
-    /// Functions that change one by one, and who holds each and is not known to have come as far.
+    /// Functions with a change in progress, and the subscribers that are not known to have it.
     pub changing: BTreeMap<String, Vec<String>>,
 }
 
-impl FrontLine {
-    /// Of what it answered.
-    pub fn of(s: &pb::StatusReply) -> FrontLine {
+impl FrontEndStatus {
+    /// From its answer.
+    pub fn of(s: &pb::StatusReply) -> FrontEndStatus {
         let state = s.state.as_ref();
         let phase = |s: &pb::State| match pb::Phase::try_from(s.phase) {
             Ok(pb::Phase::Told) => "told",
@@ -65,7 +73,7 @@
             _ => "",
         };
         let next = state.and_then(|s| Some((s.next.as_ref()?.version, phase(s).to_string())));
-        FrontLine {
+        FrontEndStatus {
             name: s.name.clone(),
             address: s
                 .process
@@ -73,38 +81,51 @@
                 .map(|p| p.address.clone())
                 .unwrap_or_default(),
             error: Some(s.error.clone()).filter(|e| !e.is_empty()),
-            seat: s.keeps_log,
-            step: state.map_or(0, |s| s.step),
+            leads: s.keeps_log,
+            revision: state.map_or(0, |s| s.step),
             version: state
                 .and_then(|s| s.force.as_ref())
                 .map_or(0, |f| f.version),
             next,
             lease_ms: s.lease_left / 1000,
-            stay_s: s.stay_left / 1_000_000,
-            sees: s.others.len(),
-            holds: s.holds,
+            session_s: s.stay_left / 1_000_000,
+            seen_others: s.others.len(),
+            subscriptions: s.holds,
         }
     }
 
-    /// Of one that did not answer.
-    pub fn silent(address: String, why: String) -> FrontLine {
-        FrontLine {
+    /// Of a front end that did not answer.
+    pub fn silent(address: String, error: String) -> FrontEndStatus {
+        FrontEndStatus {
             name: "?".into(),
             address,
-            error: Some(why),
-            seat: false,
-            step: 0,
+            error: Some(error),
+            leads: false,
+            revision: 0,
             version: 0,
             next: None,
             lease_ms: 0,
-            stay_s: 0,
-            sees: 0,
-            holds: 0,
+            session_s: 0,
+            seen_others: 0,
+            subscriptions: 0,
+        }
+    }
+
+    /// A line on a voter, for people.
+    pub fn voter(&self) -> String {
+        match &self.error {
+            None => format!(
+                "{} at {}{}\n",
+                self.name,
+                self.address,
+                if self.leads { ", leads" } else { "" }
+            ),
+            Some(error) => format!("{}: {error}\n", self.address),
         }
     }
 
     fn plain(&self) -> String {
-        let right = |left: i64, unit: &str| match left {
+        let remaining = |left: i64, unit: &str| match left {
             0 => "none".to_string(),
             n => format!("{n} {unit}"),
         };
@@ -116,14 +137,14 @@
             "{:<14} {:<22} {:<5} {:<14} {:<10} {:<10} sees {}",
             self.name,
             self.address,
-            if self.seat { "leads" } else { "" },
+            if self.leads { "leads" } else { "" },
             version,
-            right(self.lease_ms, "ms"),
-            right(self.stay_s, "s"),
-            self.sees
+            remaining(self.lease_ms, "ms"),
+            remaining(self.session_s, "s"),
+            self.seen_others
         );
-        if self.holds > 0 {
-            line += &format!(", holds {} functions", self.holds);
+        if self.subscriptions > 0 {
+            line += &format!(", holds {} functions", self.subscriptions);
         }
         if let Some(e) = &self.error {
             line += &format!("\n    {e}");
@@ -132,22 +153,22 @@
     }
 }
 
-impl FleetLine {
+impl FleetStatus {
     /// Lines for people.
     pub fn plain(&self) -> String {
-        let mut out = format!("fleet {}, led from {}\n", self.fleet, self.seat);
+        let mut out = format!("fleet {}, led from {}\n", self.fleet, self.leader);
         out += "name           address                      version        lease      stay\n";
-        for f in &self.fronts {
+        for f in &self.front_ends {
             out += &f.plain();
             out.push('\n');
         }
         if !self.away.is_empty() {
             out += &format!("on the roster, not seen: {}\n", self.away.join(", "));
         }
-        if !self.contested.is_empty() {
+        if !self.conflicting.is_empty() {
             out += &format!(
                 "the change under way touches: {}\n",
-                self.contested.join(", ")
+                self.conflicting.join(", ")
             );
         }
         if self.waits_for_leases {
@@ -171,32 +192,33 @@
     }
 }
 
-/// A field that differs.
+/// A field that differs between two versions.
 #[derive(Debug, Clone, Serialize)]
-pub struct ChangeLine {
-    /// Where it stands.
+pub struct FieldChangeRow {
+    /// Its path.
     pub field: String,
-    /// As a settings file writes it; none: left out.
+    /// The old value, as a settings file writes it; `None` if it was left out.
     pub old: Option<String>,
-    /// The same.
+    /// The new value.
     pub new: Option<String>,
-    /// `free`, `joint` or `strict`.
-    pub kind: &'static str,
-    /// The calls that it touches.
+    /// `free`, `joint` or `strict`: how the two values may stand side by side.
+    #[serde(rename = "kind")]
+    pub compatibility: &'static str,
+    /// The calls that it affects.
     pub calls: String,
-    /// A front end takes it up only when it starts.
+    /// Whether a front end takes it up only when it starts.
     pub at_start: bool,
 }
 
-impl ChangeLine {
-    /// Of a change.
-    pub fn of(c: &FieldChange) -> ChangeLine {
+impl FieldChangeRow {
+    /// From a change.
+    pub fn of(c: &FieldChange) -> FieldChangeRow {
         let text = |v: &Option<Value>| v.as_ref().map(Value::to_string);
-        ChangeLine {
+        FieldChangeRow {
             field: c.path.clone(),
             old: text(&c.old),
             new: text(&c.new),
-            kind: match c.compatibility {
+            compatibility: match c.compatibility {
                 Compatibility::Free => "free",
                 Compatibility::Joint(..) => "joint",
                 Compatibility::Strict => "strict",
@@ -218,44 +240,49 @@
             self.old.clone().unwrap_or_else(none),
             self.new.clone().unwrap_or_else(none),
         );
-        let what = match self.kind {
+        let what = match self.compatibility {
             "strict" => format!("{} are refused for a moment", self.calls),
             "joint" => format!("the stricter holds meanwhile, for {}", self.calls),
             _ if self.at_start => "taken up when a front end starts".into(),
             _ => "harmless side by side".into(),
         };
-        format!("{}: {old} -> {new}   [{}: {what}]", self.field, self.kind)
+        format!(
+            "{}: {old} -> {new}   [{}: {what}]",
+            self.field, self.compatibility
+        )
     }
 }
 
-/// A version's line.
+/// A version of the settings.
 #[derive(Debug, Clone, Serialize)]
-pub struct VersionLine {
+pub struct VersionRow {
     /// Its number.
     pub version: u64,
     /// `in force`, `under way`, or nothing.
-    pub is: &'static str,
+    #[serde(rename = "is")]
+    pub state: &'static str,
     /// Why it was proposed.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// The proposal's id.
     pub id: u64,
     /// How many fields it sets.
     pub fields: usize,
 }
 
-impl VersionLine {
+impl VersionRow {
     /// Of a version, beside the one in force and the one under way.
-    pub fn of(s: &VersionedSettings, force: u64, next: u64) -> VersionLine {
+    pub fn of(s: &VersionedSettings, force: u64, next: u64) -> VersionRow {
         let n = s.version.0;
-        let is = match () {
+        let state = match () {
             () if n == force => "in force",
             () if n == next => "under way",
             () => "",
         };
-        VersionLine {
+        VersionRow {
             version: n,
-            is,
-            why: s.reason.clone(),
+            state,
+            reason: s.reason.clone(),
             id: s.id,
             fields: s.fields.len(),
         }
@@ -265,7 +292,10 @@
     pub fn plain(&self) -> String {
         format!(
             "{:>6}  {:<10} {:>4} fields  {}",
-            self.version, self.is, self.fields, self.why
+            self.version, self.state, self.fields, self.reason
         )
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/programs/fleet/src/status.rs
@@ -0,0 +1,121 @@
+//! Who is in the fleet: its front ends, its voters, and the removal of one from the roster.
+
+use crate::client::Client;
+use crate::rows::{FleetStatus, FrontEndStatus};
+use crate::{parse_address, scopes, FleetError, Session};
+use std::net::SocketAddr;
+use tansy_fleet_wire::pb;
+use tansy_fleet_wire::pb::enter_request::Entry;
+use tansy_net_fleet::client::RequestError;
+
+/// `status`: prints the front ends, what each acts on, and what a change in progress waits for.
+pub(crate) fn status(session: &mut Session) -> Result<(), FleetError> {
+    let fleet = fleet_status(&mut session.client, session.at)?;
+    session.output.show(&fleet, || fleet.plain());
+    Ok(())
+}
+
+/// `dismiss`: removes a front end from the roster.
+pub(crate) fn dismiss(session: &mut Session, name: String) -> Result<(), FleetError> {
+    let leader = session.leader()?;
+    session.client.enter(leader, Entry::Dismiss(name.clone()))?;
+    session
+        .output
+        .done(&format!("{name} is on the roster no more"));
+    Ok(())
+}
+
+/// `seats`: prints the voters. A voter knows them by the log, other front ends by their settings.
+pub(crate) fn voters(session: &mut Session) -> Result<(), FleetError> {
+    let leader = session.leader()?;
+    let known = session
+        .client
+        .status(leader)
+        .or_else(|_| session.client.status(session.at))?;
+    let addresses = known
+        .seats
+        .iter()
+        .map(|address| parse_address(address))
+        .collect::<Result<Vec<_>, _>>()?;
+    let answers = session.client.statuses(&addresses);
+    let rows: Vec<FrontEndStatus> = addresses
+        .iter()
+        .zip(answers)
+        .map(|(address, answer)| front_end_status(*address, answer.as_ref()))
+        .collect();
+    session
+        .output
+        .show(&rows, || rows.iter().map(FrontEndStatus::voter).collect());
+    Ok(())
+}
+
+fn front_end_status(
+    address: SocketAddr,
+    answer: Result<&pb::StatusReply, &RequestError>,
+) -> FrontEndStatus {
+    match answer {
+        Ok(status) => FrontEndStatus::of(status),
+        Err(error) => FrontEndStatus::silent(address.to_string(), error.to_string()),
+    }
+}
+
+/// The fleet's status, as the front end at this address and all that it knows of answer.
+pub(crate) fn fleet_status(client: &mut Client, at: SocketAddr) -> Result<FleetStatus, FleetError> {
+    let first = client.status(at)?;
+    let others: Vec<SocketAddr> = first
+        .others
+        .iter()
+        .filter_map(|process| process.address.parse().ok())
+        .collect();
+    let answers = client.statuses(&others);
+    let mut front_ends = vec![FrontEndStatus::of(&first)];
+    for (address, answer) in others.iter().zip(&answers) {
+        front_ends.push(front_end_status(*address, answer.as_ref()));
+    }
+    front_ends.sort_by(|one, other| one.name.cmp(&other.name));
+    let leader = std::iter::once(&first)
+        .chain(answers.iter().flatten())
+        .find(|status| status.keeps_log);
+    Ok(join(&first, leader, front_ends))
+}
+
+/// `first`: the answer of the front end that was asked first. `leader`: that of the leading voter, which knows what changes wait for.
+fn join(
+    first: &pb::StatusReply,
+    leader: Option<&pb::StatusReply>,
+    front_ends: Vec<FrontEndStatus>,
+) -> FleetStatus {
+    let roster: &[pb::Rostered] = leader.map_or(&[], |leader| &leader.roster);
+    let name = |member: &pb::Member| {
+        roster
+            .iter()
+            .find(|entry| {
+                entry
+                    .member
+                    .as_ref()
+                    .is_some_and(|known| known.id == member.id)
+            })
+            .map_or_else(|| format!("{:x}", member.id), |entry| entry.name.clone())
+    };
+    let is_away = |entry: &&pb::Rostered| !front_ends.iter().any(|row| row.name == entry.name);
+    let away = roster
+        .iter()
+        .filter(is_away)
+        .map(|entry| entry.name.clone())
+        .collect();
+    let conflicting = leader.unwrap_or(first).contested.iter();
+    FleetStatus {
+        fleet: first.fleet.clone(),
+        leader: first.seat.clone(),
+        away,
+        conflicting: conflicting.map(|calls| calls.calls.clone()).collect(),
+        waits_for: leader.map_or(Vec::new(), |leader| {
+            leader.waits_for.iter().map(name).collect()
+        }),
+        waits_for_leases: leader.is_some_and(|leader| leader.waits_for_leases),
+        changing: leader
+            .map(|leader| scopes::waiting(&leader.changing))
+            .unwrap_or_default(),
+        front_ends,
+    }
+}
--- /dev/null
+++ b/programs/fleet/src/terminal.rs
@@ -0,0 +1,122 @@
+//! The screen of `rollout status --watch`.
+
+use crate::report::verdict_text;
+use ratatui::layout::{Constraint, Layout, Rect};
+use ratatui::style::{Color, Style};
+use ratatui::text::Line;
+use ratatui::widgets::{Block, Gauge, List, ListItem, Paragraph, Row, Table, Wrap};
+use ratatui::Frame;
+use tansy_rollout::{Rollout, RolloutChange, RolloutPhase};
+
+/// Steps of the rollout that are shown.
+const LAST_STEPS: usize = 7;
+
+/// Draws a rollout.
+pub(crate) fn draw(frame: &mut Frame<'_>, rollout: &Rollout) {
+    let [head, bar, middle, steps] = Layout::vertical([
+        Constraint::Length(4),
+        Constraint::Length(3),
+        Constraint::Min(8),
+        Constraint::Length(9),
+    ])
+    .areas(frame.area());
+    let (phase, color) = match rollout.phase {
+        RolloutPhase::Moving => ("changing front ends", Color::Yellow),
+        RolloutPhase::Judging => ("under judgement", Color::Yellow),
+        RolloutPhase::Back => ("going back", Color::Red),
+        RolloutPhase::Done => ("done", Color::Green),
+        RolloutPhase::Stopped => ("stopped", Color::Red),
+    };
+    draw_state(frame, head, rollout, phase, color);
+    draw_progress(frame, bar, rollout, color);
+    draw_measurements(frame, middle, rollout);
+    draw_steps(frame, steps, rollout);
+}
+
+fn draw_state(frame: &mut Frame<'_>, area: Rect, rollout: &Rollout, phase: &str, color: Color) {
+    let change = match &rollout.what {
+        RolloutChange::Program { path, .. } => format!("program {path}"),
+        RolloutChange::Settings => "settings".to_string(),
+    };
+    let paused = if rollout.paused { ", paused" } else { "" };
+    let text = vec![
+        Line::styled(format!("{change}: {phase}{paused}"), Style::new().fg(color)),
+        Line::raw(rollout.why.clone()),
+    ];
+    let title = format!("roll {}, steered by {}", rollout.id, rollout.steerer);
+    let state = Paragraph::new(text)
+        .wrap(Wrap { trim: true })
+        .block(Block::bordered().title(title));
+    frame.render_widget(state, area);
+}
+
+fn draw_progress(frame: &mut Frame<'_>, area: Rect, rollout: &Rollout, color: Color) {
+    let all = rollout.plan.targets().count().max(1);
+    let share = (rollout.moved.len() as f64 / all as f64).clamp(0.0, 1.0);
+    let moving: Vec<&str> = rollout.moving.iter().map(String::as_str).collect();
+    let label = format!(
+        "stage {} of {}: {} of {all} changed, on their way {}",
+        rollout.stage + 1,
+        rollout.plan.stages.len(),
+        rollout.moved.len(),
+        moving.join(" ")
+    );
+    let gauge = Gauge::default()
+        .block(Block::bordered())
+        .gauge_style(color)
+        .ratio(share)
+        .label(label);
+    frame.render_widget(gauge, area);
+}
+
+fn draw_steps(frame: &mut Frame<'_>, area: Rect, rollout: &Rollout) {
+    let hidden = rollout.steps.len().saturating_sub(LAST_STEPS);
+    let items = rollout.steps.iter().skip(hidden);
+    let list = List::new(items.map(|step| ListItem::new(step.as_str())))
+        .block(Block::bordered().title("steps"));
+    frame.render_widget(list, area);
+}
+
+fn draw_measurements(frame: &mut Frame<'_>, area: Rect, rollout: &Rollout) {
+    let Some(observation) = rollout.seen.last() else {
+        let empty = Paragraph::new("nothing is compared yet").block(Block::bordered());
+        return frame.render_widget(empty, area);
+    };
+    let row = |measurement: &tansy_canary::Measurement| {
+        let color = if measurement.loss - measurement.half > 0.0 {
+            Color::Red
+        } else {
+            Color::Reset
+        };
+        Row::new(vec![
+            measurement.what.clone(),
+            format!("{:.3}%", measurement.old * 100.0),
+            format!("{:.3}%", measurement.new * 100.0),
+            format!("{:+.3}", measurement.loss * 100.0),
+            format!("{:.3}", measurement.half * 100.0),
+            measurement.slices.to_string(),
+        ])
+        .style(Style::new().fg(color))
+    };
+    let widths = [30, 10, 10, 10, 12, 8].map(Constraint::Length);
+    let title = format!(
+        "stage {}, {} s: {}",
+        observation.stage + 1,
+        observation.elapsed_seconds,
+        verdict_text(observation)
+    );
+    let table = Table::new(observation.measurements.iter().map(row), widths)
+        .header(Row::new([
+            "share lost",
+            "old",
+            "new",
+            "loss",
+            "give or take",
+            "slices",
+        ]))
+        .block(Block::bordered().title(title));
+    frame.render_widget(table, area);
+}
+
+#[cfg(test)]
+mod tests;
--- a/programs/fleet/tests/fleet.rs
+++ b/programs/fleet/tests/fleet.rs
@@ -383,7 +383,7 @@
     );
     let (code, said) = fleet.ask(&["seat", "f8", "--instead", "f0"]);
     assert_eq!(code, 3, "{said}");
-    let (code, said) = fleet.ask(&["seat", "f3", "--instead", "f0"]);
+    let (code, said) = fleet.ask(&["replace-voter", "f3", "--replaces", "f0"]);
     assert_eq!(code, 0, "{said}");
     let (_, seats) = fleet.ask(&["seats"]);
     let names: Vec<&str> = seats
--- a/programs/fleet/tests/roll.rs
+++ b/programs/fleet/tests/rollout.rs
@@ -287,7 +287,7 @@
     let steps = rig.roll()["steps"].to_string();
     assert!(steps.contains("exit code 7"), "{steps}");
     let page = rig.path("report.html").display().to_string();
-    assert_eq!(rig.ask(&["roll", "report", "--out", &page]).0, 0);
+    assert_eq!(rig.ask(&["rollout", "report", "--out", &page]).0, 0);
     let page = std::fs::read_to_string(page).expect("a page");
     assert!(page.contains("exit code 7") && page.contains("</html>"));
 }
@@ -342,7 +342,7 @@
     rig.until("some try it", |r| {
         r.roll()["moved"].as_array().is_some_and(|m| !m.is_empty())
     });
-    assert_eq!(rig.ask(&["roll", "abort", "--why", "a test"]).0, 0);
+    assert_eq!(rig.ask(&["rollout", "abort", "--why", "a test"]).0, 0);
     rig.until("it goes back", |r| r.roll()["phase"] == "stopped");
     let (_, history) = rig.ask(&["history"]);
     assert_eq!(history.as_array().map(Vec::len), Some(2), "{history}");
