--- a/programs/fleet/src/client.rs
+++ b/programs/fleet/src/client.rs
@@ -1,4 +1,4 @@
-//! Requests to front ends, several at a time.
+//! Requests to front ends, several at a time, on an event loop of their own.
 
 use calloop::signals::{Signal, Signals};
 use calloop::EventLoop;
@@ -18,23 +18,23 @@
 use tansy_net_sockets::Spawner;
 
 /// Time for an answer.
-const WITHIN: Duration = Duration::from_secs(2);
-/// Time for an entry to be held.
-const ENTRY_WITHIN: Duration = Duration::from_secs(12);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time for an entry to be persisted by a majority.
+const ENTRY_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// By the place of whom was asked; none: no answer yet.
+/// Answers in the order of the requests; `None`: not yet.
 type Answers<T> = Rc<RefCell<Vec<Option<Result<T, RequestError>>>>>;
 
-/// Asks front ends.
+/// A client of front ends.
 pub struct Client {
     event_loop: EventLoop<'static, ()>,
     spawner: Spawner,
-    /// One to each front end, kept: a connection for each request would fill those who are asked again and again.
+    /// One connection to each front end: one for each request would exhaust a front end that is polled.
     links: HashMap<SocketAddr, Rc<Link>>,
 }
 
 impl Client {
-    /// One with a loop of its own.
+    /// A client with its own event loop.
     pub fn new() -> io::Result<Client> {
         let event_loop = EventLoop::try_new().map_err(io::Error::other)?;
         let spawner = Spawner::new(event_loop.handle())?;
@@ -45,7 +45,7 @@
         })
     }
 
-    /// The same to several; the answers in their order.
+    /// One request to several; the answers are in their order.
     fn all<T: Message + Default + 'static>(
         &mut self,
         to: &[SocketAddr],
@@ -57,7 +57,7 @@
         self.each(&all, method, within)
     }
 
-    /// To each its own; the answers in their order.
+    /// To each its own request; the answers are in their order.
     fn each<T: Message + Default + 'static>(
         &mut self,
         to: &[(SocketAddr, Vec<u8>)],
@@ -65,7 +65,7 @@
         within: Duration,
     ) -> Vec<Result<T, RequestError>> {
         let answers: Answers<T> = Rc::new(RefCell::new(to.iter().map(|_| None).collect()));
-        for (n, (address, request)) in to.iter().enumerate() {
+        for (index, (address, request)) in to.iter().enumerate() {
             let fresh = || Link::new(self.spawner.clone(), *address, Limits::default());
             let link = self.links.entry(*address).or_insert_with(fresh).clone();
             let (spawner, answers, request) =
@@ -74,15 +74,15 @@
             self.spawner.spawn(async move {
                 let answer = ask(&spawner, &link, method, &request, within).await;
                 let read = answer.and_then(|bytes| {
-                    let wrong = |e| {
+                    let undecodable = |error| {
                         RequestError::Unreachable(format!(
-                            "{address}: an answer that can't be read: {e}"
+                            "{address}: an answer that can't be read: {error}"
                         ))
                     };
-                    T::decode(bytes).map_err(wrong)
+                    T::decode(bytes).map_err(undecodable)
                 });
-                if let Some(place) = answers.borrow_mut().get_mut(n) {
-                    *place = Some(read);
+                if let Some(slot) = answers.borrow_mut().get_mut(index) {
+                    *slot = Some(read);
                 }
             });
         }
@@ -96,12 +96,15 @@
                 break;
             }
         }
-        let late = |n: usize| Err(RequestError::Unreachable(format!("{}: no answer", to[n].0)));
+        let late = |index: usize| {
+            let address = to[index].0;
+            Err(RequestError::Unreachable(format!("{address}: no answer")))
+        };
         let taken = std::mem::take(&mut *answers.borrow_mut());
         taken
             .into_iter()
             .enumerate()
-            .map(|(n, a)| a.unwrap_or_else(|| late(n)))
+            .map(|(index, answer)| answer.unwrap_or_else(|| late(index)))
             .collect()
     }
 
@@ -116,41 +119,41 @@
         answer.unwrap_or_else(|| Err(RequestError::Unreachable(format!("{to}: no answer"))))
     }
 
-    /// The status of several.
+    /// The status of several front ends.
     pub fn statuses(&mut self, to: &[SocketAddr]) -> Vec<Result<pb::StatusReply, RequestError>> {
         self.all(
             to,
             "Status",
             &pb::StatusRequest { fleet: 0 }.encode_to_vec(),
-            WITHIN,
+            ANSWER_TIMEOUT,
         )
     }
 
-    /// The status of one.
+    /// The status of one front end.
     pub fn status(&mut self, to: SocketAddr) -> Result<pb::StatusReply, RequestError> {
-        self.status_within(to, WITHIN)
+        self.status_within(to, ANSWER_TIMEOUT)
     }
 
-    /// The versions that a seat remembers.
-    pub fn history(&mut self, seat: SocketAddr) -> Result<pb::HistoryReply, RequestError> {
+    /// The versions of the settings that a voter remembers.
+    pub fn history(&mut self, leader: SocketAddr) -> Result<pb::HistoryReply, RequestError> {
         self.one(
-            seat,
+            leader,
             "History",
             &pb::HistoryRequest { fleet: 0 }.encode_to_vec(),
-            WITHIN,
+            ANSWER_TIMEOUT,
         )
     }
 
-    /// An entry for the log.
+    /// Proposes a log entry to the leader.
     pub fn enter(
         &mut self,
-        seat: SocketAddr,
+        leader: SocketAddr,
         entry: pb::enter_request::Entry,
     ) -> Result<pb::EnterReply, RequestError> {
-        self.enter_within(seat, entry, ENTRY_WITHIN)
+        self.enter_within(leader, entry, ENTRY_TIMEOUT)
     }
 
-    /// The status of one, within this time.
+    /// The status of one front end, within this time.
     pub fn status_within(
         &mut self,
         to: SocketAddr,
@@ -164,7 +167,7 @@
         )
     }
 
-    /// What several know of the last roll.
+    /// What several front ends know of the last rollout.
     pub fn rolls(
         &mut self,
         to: &[SocketAddr],
@@ -178,7 +181,7 @@
         )
     }
 
-    /// What several counted.
+    /// The counters of several front ends.
     pub fn counts(
         &mut self,
         to: &[SocketAddr],
@@ -192,10 +195,10 @@
         )
     }
 
-    /// An entry for the log, within this time.
+    /// Proposes a log entry to the leader, within this time.
     pub fn enter_within(
         &mut self,
-        seat: SocketAddr,
+        leader: SocketAddr,
         entry: pb::enter_request::Entry,
         within: Duration,
     ) -> Result<pb::EnterReply, RequestError> {
@@ -203,13 +206,13 @@
             fleet: 0,
             entry: Some(entry),
         };
-        self.one(seat, "Enter", &request.encode_to_vec(), within)
+        self.one(leader, "Enter", &request.encode_to_vec(), within)
     }
 
-    /// Entries for the log, asked for at once.
+    /// Proposes several log entries to the leader at once.
     pub fn enters(
         &mut self,
-        seat: SocketAddr,
+        leader: SocketAddr,
         entries: Vec<pb::enter_request::Entry>,
     ) -> Vec<Result<pb::EnterReply, RequestError>> {
         let request = |entry| {
@@ -219,39 +222,46 @@
             }
             .encode_to_vec()
         };
-        let all: Vec<(SocketAddr, Vec<u8>)> =
-            entries.into_iter().map(|e| (seat, request(e))).collect();
-        self.each(&all, "Enter", ENTRY_WITHIN)
+        let all: Vec<(SocketAddr, Vec<u8>)> = entries
+            .into_iter()
+            .map(|entry| (leader, request(entry)))
+            .collect();
+        self.each(&all, "Enter", ENTRY_TIMEOUT)
     }
 
-    /// Functions that are agreed on one by one, and what became of a request for changes, as a seat knows them.
+    /// Functions that are agreed on one by one, and the result of a transaction on them, as a voter knows them.
     pub fn functions(
         &mut self,
-        seat: SocketAddr,
-        asked: pb::FunctionsRequest,
+        leader: SocketAddr,
+        request: pb::FunctionsRequest,
     ) -> Result<pb::FunctionsReply, RequestError> {
-        self.one(seat, "Functions", &asked.encode_to_vec(), WITHIN)
+        self.one(
+            leader,
+            "Functions",
+            &request.encode_to_vec(),
+            ANSWER_TIMEOUT,
+        )
     }
 
-    /// Sets this once the process is asked to end, by SIGTERM or SIGINT.
+    /// Sets this flag once the process is asked to end, by SIGTERM or SIGINT.
     pub fn on_end(&self, end: Arc<AtomicBool>) -> io::Result<()> {
         let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT])?;
-        let told = move |_, _: &mut (), _: &mut ()| end.store(true, Ordering::Relaxed);
+        let on_signal = move |_, _: &mut (), _: &mut ()| end.store(true, Ordering::Relaxed);
         let inserted = self
             .event_loop
             .handle()
-            .insert_source(Uninterrupted(signals), told);
+            .insert_source(Uninterrupted(signals), on_signal);
         inserted
             .map(|_| ())
-            .map_err(|e| io::Error::other(e.to_string()))
+            .map_err(|error| io::Error::other(error.to_string()))
     }
 
-    /// Lets time pass.
+    /// Runs the event loop for this time.
     pub fn wait(&mut self, span: Duration) {
         let end = Instant::now() + span;
         while Instant::now() < end {
-            let left = end.saturating_duration_since(Instant::now());
-            if self.event_loop.dispatch(Some(left), &mut ()).is_err() {
+            let remaining = end.saturating_duration_since(Instant::now());
+            if self.event_loop.dispatch(Some(remaining), &mut ()).is_err() {
                 return;
             }
         }
--- a/programs/fleet/src/processes.rs
+++ b/programs/fleet/src/processes.rs
@@ -100,8 +100,10 @@
         let pid = entry.file_name().to_str()?.parse().ok()?;
         let environment = std::fs::read(entry.path().join("environ")).ok()?;
         let value = |name: &str| {
-            let mut each = environment.split(|b| *b == 0).map(String::from_utf8_lossy);
-            each.find_map(|variable| {
+            let mut variables = environment
+                .split(|byte| *byte == 0)
+                .map(String::from_utf8_lossy);
+            variables.find_map(|variable| {
                 variable
                     .strip_prefix(name)?
                     .strip_prefix('=')
@@ -231,7 +233,7 @@
             .create(true)
             .append(true)
             .open(self.folder.join(format!("{name}.log")));
-        let out = File::create(self.out(name)).map_err(failed)?;
+        let output = File::create(self.output_path(name)).map_err(failed)?;
         let mut command = Command::new(program);
         command
             .args(arguments)
@@ -239,7 +241,7 @@
             .env(LABEL_VARIABLE, label);
         command
             .stdin(Stdio::null())
-            .stdout(out)
+            .stdout(output)
             .stderr(log.map_err(failed)?);
         // In a process group of its own, signals of a terminal don't reach it.
         command.process_group(0);
@@ -253,14 +255,14 @@
         Ok(pid)
     }
 
-    fn out(&self, name: &str) -> PathBuf {
+    fn output_path(&self, name: &str) -> PathBuf {
         self.folder.join(format!("{name}.out"))
     }
 
     /// Whether the front end's process has printed that it serves.
     pub fn ready(&self, name: &str) -> bool {
         let mut text = String::new();
-        let file = File::open(self.out(name));
+        let file = File::open(self.output_path(name));
         let read = file.and_then(|file| file.take(MAX_OUTPUT).read_to_string(&mut text));
         read.is_ok() && text.lines().any(|line| line.starts_with(READY_PREFIX))
     }
--- a/programs/fleet/src/rows.rs
+++ b/programs/fleet/src/rows.rs
@@ -64,33 +64,36 @@
 
 impl FrontEndStatus {
     /// From its answer.
-    pub fn of(s: &pb::StatusReply) -> FrontEndStatus {
-        let state = s.state.as_ref();
-        let phase = |s: &pb::State| match pb::Phase::try_from(s.phase) {
+    pub fn of(status: &pb::StatusReply) -> FrontEndStatus {
+        let state = status.state.as_ref();
+        let phase = |state: &pb::State| match pb::Phase::try_from(state.phase) {
             Ok(pb::Phase::Told) => "told",
             Ok(pb::Phase::Joint) => "joint",
             Ok(pb::Phase::Back) => "going back",
             _ => "",
         };
-        let next = state.and_then(|s| Some((s.next.as_ref()?.version, phase(s).to_string())));
+        let next = state.and_then(|state| {
+            let next = state.next.as_ref()?;
+            Some((next.version, phase(state).to_string()))
+        });
         FrontEndStatus {
-            name: s.name.clone(),
-            address: s
+            name: status.name.clone(),
+            address: status
                 .process
                 .as_ref()
-                .map(|p| p.address.clone())
+                .map(|process| process.address.clone())
                 .unwrap_or_default(),
-            error: Some(s.error.clone()).filter(|e| !e.is_empty()),
-            leads: s.keeps_log,
-            revision: state.map_or(0, |s| s.step),
+            error: Some(status.error.clone()).filter(|error| !error.is_empty()),
+            leads: status.keeps_log,
+            revision: state.map_or(0, |state| state.step),
             version: state
-                .and_then(|s| s.force.as_ref())
-                .map_or(0, |f| f.version),
+                .and_then(|state| state.force.as_ref())
+                .map_or(0, |force| force.version),
             next,
-            lease_ms: s.lease_left / 1000,
-            session_s: s.stay_left / 1_000_000,
-            seen_others: s.others.len(),
-            subscriptions: s.holds,
+            lease_ms: status.lease_left / 1000,
+            session_s: status.stay_left / 1_000_000,
+            seen_others: status.others.len(),
+            subscriptions: status.holds,
         }
     }
 
@@ -146,8 +149,8 @@
         if self.subscriptions > 0 {
             line += &format!(", holds {} functions", self.subscriptions);
         }
-        if let Some(e) = &self.error {
-            line += &format!("\n    {e}");
+        if let Some(error) = &self.error {
+            line += &format!("\n    {error}");
         }
         line
     }
@@ -156,27 +159,27 @@
 impl FleetStatus {
     /// Lines for people.
     pub fn plain(&self) -> String {
-        let mut out = format!("fleet {}, led from {}\n", self.fleet, self.leader);
-        out += "name           address                      version        lease      stay\n";
-        for f in &self.front_ends {
-            out += &f.plain();
-            out.push('\n');
+        let mut text = format!("fleet {}, led from {}\n", self.fleet, self.leader);
+        text += "name           address                      version        lease      stay\n";
+        for front_end in &self.front_ends {
+            text += &front_end.plain();
+            text.push('\n');
         }
         if !self.away.is_empty() {
-            out += &format!("on the roster, not seen: {}\n", self.away.join(", "));
+            text += &format!("on the roster, not seen: {}\n", self.away.join(", "));
         }
         if !self.conflicting.is_empty() {
-            out += &format!(
+            text += &format!(
                 "the change under way touches: {}\n",
                 self.conflicting.join(", ")
             );
         }
         if self.waits_for_leases {
-            out += "it waits for leases: each comes as far or runs out\n";
+            text += "it waits for leases: each comes as far or runs out\n";
         }
         if !self.waits_for.is_empty() {
             let who = self.waits_for.join(", ");
-            out += &format!(
+            text += &format!(
                 "it waits for {who}: start them again, or dismiss those that are gone for good\n"
             );
         }
@@ -186,9 +189,9 @@
             } else {
                 behind.join(", ")
             };
-            out += &format!("function {function} changes, and waits for {whom}\n");
+            text += &format!("function {function} changes, and waits for {whom}\n");
         }
-        out
+        text
     }
 }
 
@@ -212,42 +215,40 @@
 
 impl FieldChangeRow {
     /// From a change.
-    pub fn of(c: &FieldChange) -> FieldChangeRow {
-        let text = |v: &Option<Value>| v.as_ref().map(Value::to_string);
+    pub fn of(change: &FieldChange) -> FieldChangeRow {
+        let text = |value: &Option<Value>| value.as_ref().map(Value::to_string);
         FieldChangeRow {
-            field: c.path.clone(),
-            old: text(&c.old),
-            new: text(&c.new),
-            compatibility: match c.compatibility {
+            field: change.path.clone(),
+            old: text(&change.old),
+            new: text(&change.new),
+            compatibility: match change.compatibility {
                 Compatibility::Free => "free",
                 Compatibility::Joint(..) => "joint",
                 Compatibility::Strict => "strict",
             },
-            calls: match &c.affected {
+            calls: match &change.affected {
                 AffectedCalls::All => "all calls".into(),
-                AffectedCalls::Class(n) => format!("calls of class {n}"),
-                AffectedCalls::Tenant(n) => format!("calls of tenant {n}"),
-                AffectedCalls::Function(n) => format!("calls of {n}"),
+                AffectedCalls::Class(name) => format!("calls of class {name}"),
+                AffectedCalls::Tenant(name) => format!("calls of tenant {name}"),
+                AffectedCalls::Function(name) => format!("calls of {name}"),
             },
-            at_start: tansy_settings::agree::at_start(&c.path),
+            at_start: tansy_settings::agree::at_start(&change.path),
         }
     }
 
     /// A line for people.
     pub fn plain(&self) -> String {
         let none = || "nothing".to_string();
-        let (old, new) = (
-            self.old.clone().unwrap_or_else(none),
-            self.new.clone().unwrap_or_else(none),
-        );
-        let what = match self.compatibility {
+        let old = self.old.clone().unwrap_or_else(none);
+        let new = self.new.clone().unwrap_or_else(none);
+        let effect = match self.compatibility {
             "strict" => format!("{} are refused for a moment", self.calls),
             "joint" => format!("the stricter holds meanwhile, for {}", self.calls),
             _ if self.at_start => "taken up when a front end starts".into(),
             _ => "harmless side by side".into(),
         };
         format!(
-            "{}: {old} -> {new}   [{}: {what}]",
+            "{}: {old} -> {new}   [{}: {effect}]",
             self.field, self.compatibility
         )
     }
@@ -271,20 +272,22 @@
 }
 
 impl VersionRow {
-    /// Of a version, beside the one in force and the one under way.
-    pub fn of(s: &VersionedSettings, force: u64, next: u64) -> VersionRow {
-        let n = s.version.0;
-        let state = match () {
-            () if n == force => "in force",
-            () if n == next => "under way",
-            () => "",
+    /// Of a version, beside the numbers of the one in force and of the one in progress.
+    pub fn of(settings: &VersionedSettings, force: u64, next: u64) -> VersionRow {
+        let version = settings.version.0;
+        let state = if version == force {
+            "in force"
+        } else if version == next {
+            "under way"
+        } else {
+            ""
         };
         VersionRow {
-            version: n,
+            version,
             state,
-            reason: s.reason.clone(),
-            id: s.id,
-            fields: s.fields.len(),
+            reason: settings.reason.clone(),
+            id: settings.id,
+            fields: settings.fields.len(),
         }
     }
 
--- a/programs/fleet/src/versions.rs
+++ b/programs/fleet/src/versions.rs
@@ -111,10 +111,10 @@
 }
 
 fn find(remembered: &[VersionedSettings], number: u64) -> Result<&VersionedSettings, FleetError> {
-    let found = remembered
+    let version = remembered
         .iter()
         .find(|settings| settings.version.0 == number);
-    found.ok_or_else(|| {
+    version.ok_or_else(|| {
         let first = remembered.first().map_or(0, |first| first.version.0);
         let last = remembered.last().map_or(0, |last| last.version.0);
         FleetError::Invalid(format!(
--- a/programs/fleet/tests/fleet.rs
+++ b/programs/fleet/tests/fleet.rs
@@ -1,25 +1,14 @@
 //! `tansy-fleet` against real gateways: it proposes, waits, reverts, refuses, and says whom a change waits for.
 
+mod support;
+
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener};
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
-
-/// The gateway, built beside this program.
-fn gateway() -> PathBuf {
-    let dir = Path::new(env!("CARGO_BIN_EXE_tansy-fleet"))
-        .parent()
-        .expect("a directory");
-    let path = dir.join("tansy-gateway");
-    assert!(
-        path.exists(),
-        "cargo build -p tansy-gateway first: {} is not there",
-        path.display()
-    );
-    path
-}
+use support::{ask, gateway};
 
 const TEXT: &str = r#"
 classes: {
@@ -112,15 +101,7 @@
     }
 
     fn ask(&self, arguments: &[&str]) -> (i32, serde_json::Value) {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_tansy-fleet"));
-        command
-            .args(["--json", "--at", &self.addresses[1].to_string()])
-            .args(arguments);
-        let out = command.output().expect("it starts");
-        let text = String::from_utf8_lossy(&out.stdout).into_owned();
-        let value =
-            serde_json::from_str(&text).unwrap_or_else(|e| panic!("{arguments:?}: {e}: {text:?}"));
-        (out.status.code().unwrap_or(-1), value)
+        ask(self.addresses[1], arguments)
     }
 
     /// Until all that run may act and see each other.
--- a/programs/fleet/tests/rollout.rs
+++ b/programs/fleet/tests/rollout.rs
@@ -1,13 +1,16 @@
 //! Three supervisors with two front ends each: a program changes in stages, also when whoever steers is killed; one that does
 //! not start goes back; settings are tried and then in force. Judged by the processes that run.
 
+mod support;
+
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
+use support::{ask, gateway};
 use tansy_fleet::processes::kept;
 
 const TEXT: &str = r#"
@@ -29,19 +32,6 @@
     supervisors: Vec<Option<Child>>,
 }
 
-fn gateway() -> PathBuf {
-    let dir = Path::new(env!("CARGO_BIN_EXE_tansy-fleet"))
-        .parent()
-        .expect("a directory");
-    let path = dir.join("tansy-gateway");
-    assert!(
-        path.exists(),
-        "cargo build -p tansy-gateway first: {} is not there",
-        path.display()
-    );
-    path
-}
-
 impl Rig {
     fn start(name: &str, host: u8) -> Rig {
         let folder = std::env::temp_dir().join(format!("tansy-roll-{}-{name}", std::process::id()));
@@ -159,15 +149,7 @@
     }
 
     fn ask(&self, arguments: &[&str]) -> (i32, serde_json::Value) {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_tansy-fleet"));
-        command
-            .args(["--json", "--at", &self.peers[0].to_string()])
-            .args(arguments);
-        let out = command.output().expect("it starts");
-        let text = String::from_utf8_lossy(&out.stdout).into_owned();
-        let value =
-            serde_json::from_str(&text).unwrap_or_else(|e| panic!("{arguments:?}: {e}: {text:?}"));
-        (out.status.code().unwrap_or(-1), value)
+        ask(self.peers[0], arguments)
     }
 
     fn sees(&self) -> usize {
