--- a/tests/compatibility/src/entries.rs
+++ b/tests/compatibility/src/entries.rs
@@ -205,7 +205,7 @@
             new: 0.25,
             loss: 0.25,
             half: 0.125,
-            lately: 0.0625,
+            recent_loss: 0.0625,
             slices: 12,
         }],
         verdict,
