--- /dev/null
+++ b/decide/agreement/tests/scopes/catalog.rs
@@ -0,0 +1,315 @@
+//! What the log accepts of scopes, and how its state is sent on.
+
+use super::{apply, fields, finish, new_log, transaction, update};
+use std::collections::BTreeMap;
+use tansy_agreement::compatibility::{Fields, Value};
+use tansy_agreement::lease::{Member, Versioned};
+use tansy_agreement::log::{
+    ApplyOutcome, ChangePhase, EntryRejection, Log, LogEntry, Revision, Version,
+};
+use tansy_agreement::scope::{
+    ChangeHistory, ScopeChange, ScopePhase, ScopeRecord, StateDelta, MAX_FIELDS_BYTES, MAX_HISTORY,
+    MAX_NAME_BYTES, MAX_UPDATES_PER_TRANSACTION,
+};
+
+#[test]
+fn a_transaction_is_accepted_as_a_whole_or_not_at_all() {
+    let mut log = new_log();
+    let accepted = transaction(
+        1,
+        vec![
+            update("a", 0, Some(fields(1, 1))),
+            update("b", 0, Some(fields(1, 1))),
+        ],
+    );
+    let overlaps = transaction(
+        2,
+        vec![
+            update("c", 0, Some(fields(1, 1))),
+            update("a", 0, Some(fields(2, 1))),
+        ],
+    );
+    let independent = transaction(3, vec![update("d", 0, Some(fields(1, 1)))]);
+    let rejected = apply(&mut log, vec![accepted.clone(), overlaps, independent]);
+    assert_eq!(
+        rejected,
+        [(
+            1,
+            EntryRejection::ScopeChangeInProgress { scope: "a".into() }
+        )]
+    );
+    let names = |log: &Log| log.catalog().all().keys().cloned().collect::<String>();
+    assert_eq!(
+        (
+            names(&log),
+            log.state().revision,
+            log.state().versions_revision
+        ),
+        ("abd".into(), Revision(2), Revision(1))
+    );
+    finish(&mut log, false);
+    let settled = ScopeRecord {
+        revision: Revision(3),
+        fields: Some(fields(1, 1)),
+        phase: ScopePhase::Settled,
+    };
+    assert!(log.catalog().all().values().all(|s| *s == settled));
+    // A repeated transaction is a duplicate; another base, a scope named twice and a missing name are rejected.
+    assert_eq!(log.validate_transaction(&accepted), Ok(Some(Revision(2))));
+    let validated = |changes| log.validate_transaction(&transaction(9, changes));
+    let to = || Some(fields(2, 2));
+    let base = |scope: &str, revision| {
+        Err(EntryRejection::StaleScopeBase {
+            scope: scope.into(),
+            revision: Revision(revision),
+        })
+    };
+    assert_eq!(validated(vec![update("a", 2, to())]), base("a", 3));
+    assert_eq!(validated(vec![update("e", 3, to())]), base("e", 0));
+    assert_eq!(
+        validated(vec![update("a", 3, Some(fields(1, 1)))]),
+        Err(EntryRejection::NoChange)
+    );
+    assert_eq!(
+        validated(vec![update("e", 0, None)]),
+        Err(EntryRejection::NoChange),
+        "there is no scope to remove"
+    );
+    assert_eq!(
+        validated(vec![update("a", 3, to()), update("a", 3, None)]),
+        Err(EntryRejection::DuplicateScope { scope: "a".into() })
+    );
+    assert_eq!(
+        validated(vec![update("", 0, to())]),
+        Err(EntryRejection::MissingName)
+    );
+    for changes in [
+        vec![update(&"n".repeat(MAX_NAME_BYTES + 1), 0, to())],
+        vec![update(
+            "e",
+            0,
+            Some(Fields::from([(
+                "class".into(),
+                Value::Text("x".repeat(MAX_FIELDS_BYTES)),
+            )])),
+        )],
+        (0..=MAX_UPDATES_PER_TRANSACTION)
+            .map(|n| update(&n.to_string(), 0, to()))
+            .collect(),
+        (0..30)
+            .map(|n| {
+                update(
+                    &n.to_string(),
+                    0,
+                    Some([("class".into(), Value::Text("x".repeat(10_000)))].into()),
+                )
+            })
+            .collect(),
+    ] {
+        assert!(matches!(
+            validated(changes),
+            Err(EntryRejection::TooMany { .. })
+        ));
+    }
+    // Scopes that are not in the phase since that revision are left as they are.
+    let before = log.clone();
+    let stale = || {
+        vec![
+            ("a".to_string(), Revision(2)),
+            ("zz".to_string(), Revision(2)),
+        ]
+    };
+    assert_eq!(
+        log.apply(LogEntry::AdvanceScopes {
+            in_force: stale(),
+            settled: stale()
+        }),
+        Err(EntryRejection::StaleRevision)
+    );
+    assert_eq!(
+        log.apply(LogEntry::RevertScopes { scopes: stale() }),
+        Err(EntryRejection::StaleRevision)
+    );
+    assert_eq!(
+        log.apply(LogEntry::UpdateScopes {
+            transactions: Vec::new()
+        }),
+        Err(EntryRejection::NoChange)
+    );
+    assert_eq!(log, before);
+    // A reverted change leaves the record as it was, and its transaction counts it.
+    apply(
+        &mut log,
+        vec![transaction(
+            4,
+            vec![update("a", 3, None), update("b", 3, to())],
+        )],
+    );
+    finish(&mut log, true);
+    assert!(log.catalog().all().values().all(|s| *s == settled));
+    let result = *log
+        .catalog()
+        .transaction_result(4)
+        .expect("it was accepted");
+    assert_eq!((result.joint, result.in_force, result.reverted), (0, 0, 2));
+}
+
+#[test]
+fn a_function_is_defined_by_a_version_or_as_a_scope() {
+    let mut log = new_log();
+    apply(
+        &mut log,
+        vec![transaction(1, vec![update("a.b", 0, Some(fields(1, 1)))])],
+    );
+    let with = |path: &str| Fields::from([(path.to_string(), Value::Int(1))]);
+    let propose = |base, fields| LogEntry::Propose {
+        id: 0,
+        base: Version(base),
+        fields,
+        reason: String::new(),
+    };
+    let defined_elsewhere = |scope: &str| EntryRejection::DefinedElsewhere {
+        scope: scope.into(),
+    };
+    assert_eq!(
+        log.apply(propose(1, with("functions.a%2eb.lanes"))),
+        Err(defined_elsewhere("a.b"))
+    );
+    assert_eq!(
+        log.apply(propose(1, with("functions.a.lanes"))),
+        Ok(ApplyOutcome::Announced(Version(2)))
+    );
+    assert_eq!(
+        log.validate_transaction(&transaction(2, vec![update("a", 0, Some(fields(1, 1)))])),
+        Err(defined_elsewhere("a"))
+    );
+    // Revisions of scopes neither delay a version nor count as its own.
+    let announced_in = log.state().versions_revision;
+    apply(
+        &mut log,
+        vec![transaction(3, vec![update("c", 0, Some(fields(1, 1)))])],
+    );
+    assert_eq!(
+        log.apply(LogEntry::Advance {
+            from: log.state().revision
+        }),
+        Err(EntryRejection::StaleRevision)
+    );
+    assert!(log.apply(LogEntry::Advance { from: announced_in }).is_ok());
+    assert!(matches!(log.state().next, Some((_, ChangePhase::Joint))));
+    // One that join needs to know the versions alone.
+    let join = |at| LogEntry::Join {
+        member: Member {
+            id: 1,
+            incarnation: 1,
+        },
+        name: "g".into(),
+        revision: at,
+    };
+    apply(
+        &mut log,
+        vec![transaction(4, vec![update("d", 0, Some(fields(1, 1)))])],
+    );
+    assert_eq!(
+        log.validate(&join(Revision(log.state().versions_revision.0 - 1))),
+        Err(EntryRejection::Behind)
+    );
+    assert_eq!(
+        log.validate(&join(log.state().revision.next())),
+        Err(EntryRejection::Behind)
+    );
+    assert_eq!(log.validate(&join(log.state().versions_revision)), Ok(None));
+    assert_eq!(log.validate(&join(log.state().revision)), Ok(None));
+}
+
+#[test]
+fn deltas_lead_where_snapshots_do_and_dropped_history_is_not_guessed() {
+    let mut rng = fastrand::Rng::with_seed(5);
+    let mut log = new_log();
+    let mut follower = log.state().clone();
+    let mut base = BTreeMap::new();
+    for n in 0..400u64 {
+        let scope = format!("f{}", n % 7);
+        let revision = base.get(&scope).copied().unwrap_or(0);
+        apply(
+            &mut log,
+            vec![transaction(
+                n + 1,
+                vec![update(&scope, revision, Some(fields(n as i64, 1)))],
+            )],
+        );
+        finish(&mut log, false);
+        base.insert(
+            scope.clone(),
+            log.catalog()
+                .get(&scope)
+                .expect("the scope exists")
+                .revision
+                .0,
+        );
+        if rng.u32(0..3) == 0 {
+            let delta = log
+                .state()
+                .delta_since(follower.revision)
+                .expect("the history is retained");
+            // A delta that starts after the known revision is not applied.
+            let mut behind = follower.clone();
+            let gap = StateDelta {
+                from: behind.revision.next(),
+                ..delta.clone()
+            };
+            assert!(!behind.apply_delta(&gap) && behind == follower);
+            assert!(
+                follower.apply_delta(&delta) && follower.apply_delta(&delta),
+                "a delta applied twice counts once"
+            );
+            assert_eq!(
+                (follower.revision, &follower.history),
+                (log.state().revision, &log.state().history)
+            );
+        }
+    }
+    // A snapshot has no history; with the delta up to it nothing is dropped.
+    let mut snapshot = follower.clone();
+    snapshot.replace_with_snapshot(
+        log.state().without_history(),
+        log.state().delta_since(follower.revision).as_ref(),
+    );
+    assert_eq!(&snapshot, log.state());
+    snapshot.replace_with_snapshot(log.state().without_history(), None);
+    assert!(snapshot.history.is_empty() && snapshot.history.since(Revision(1)).is_none());
+    let many = |n: u64| {
+        (0..1500)
+            .map(|i| update(&format!("m{n}-{i}"), 0, Some(fields(1, 1))))
+            .collect()
+    };
+    let before = log.state().revision;
+    (0..4).for_each(|n| assert_eq!(apply(&mut log, vec![transaction(1000 + n, many(n))]), []));
+    assert!(log.state().history.len() <= MAX_HISTORY && log.state().delta_since(before).is_none());
+    assert!(log
+        .state()
+        .delta_since(log.state().history.from())
+        .is_some());
+}
+
+#[test]
+fn a_history_knows_what_it_dropped() {
+    assert_eq!(
+        ChangeHistory::after(Revision(3))
+            .since(Revision(2))
+            .map(|changes| changes.count()),
+        None
+    );
+    assert_eq!(
+        ChangeHistory::after(Revision(3))
+            .since(Revision(3))
+            .map(|changes| changes.count()),
+        Some(0)
+    );
+    let change = ScopeChange {
+        revision: Revision(4),
+        scope: "a".into(),
+        record: ScopeRecord::default(),
+    };
+    assert!(change.memory_bytes() > 0);
+}
