--- /dev/null
+++ b/decide/agreement/tests/endpoints.rs
@@ -0,0 +1,127 @@
+//! The drain table: records merge in any order and any number of times to the same, and are never taken back.
+
+use proptest::prelude::*;
+use tansy_agreement::endpoints::{
+    DrainTable, Endpoint, EndpointRecord, EndpointState, DRAIN_RETENTION,
+};
+
+fn worker(n: u8) -> Endpoint {
+    Endpoint {
+        name: format!("w{n}"),
+        address: format!("10.0.0.{n}:1"),
+    }
+}
+
+fn records() -> impl Strategy<Value = Vec<EndpointRecord>> {
+    let state = prop_oneof![
+        Just(EndpointState::Ready),
+        Just(EndpointState::Draining),
+        Just(EndpointState::Gone)
+    ];
+    let record = (0u8..4, 0u64..4, state).prop_map(|(n, incarnation, state)| EndpointRecord {
+        endpoint: worker(n),
+        incarnation,
+        state,
+    });
+    prop::collection::vec(record, 0..20)
+}
+
+fn merged(records: &[EndpointRecord]) -> Vec<EndpointRecord> {
+    let mut table = DrainTable::default();
+    table.merge(0, records.iter().cloned());
+    table.records().collect()
+}
+
+proptest! {
+    #[test]
+    fn order_and_repetition_of_records_change_nothing(all in records(), seed in any::<u64>()) {
+        let mut other: Vec<EndpointRecord> = all.iter().chain(&all).cloned().collect();
+        fastrand_shuffle(&mut other, seed);
+        prop_assert_eq!(merged(&all), merged(&other));
+    }
+
+    #[test]
+    fn forwarded_records_are_all_that_another_needs(all in records()) {
+        let (mut first, mut second) = (DrainTable::default(), DrainTable::default());
+        for record in &all {
+            let new = first.merge(0, [record.clone()]);
+            second.merge(0, new);
+        }
+        prop_assert_eq!(first.records().collect::<Vec<_>>(), second.records().collect::<Vec<_>>());
+        prop_assert!(first.merge(0, all).is_empty(), "a repeated record changes nothing");
+    }
+
+    #[test]
+    fn a_drain_holds_for_its_process_whatever_a_list_reports(all in records()) {
+        let mut table = DrainTable::default();
+        table.merge(0, all.clone());
+        for record in all.iter().filter(|record| record.state != EndpointState::Ready) {
+            let taken = table.state_of(&record.endpoint, record.incarnation, EndpointState::Ready);
+            prop_assert!(taken >= record.state, "{:?} is taken for {:?}", record, taken);
+            // No record concerns a process later than any recorded one.
+            let later = table.state_of(&record.endpoint, 9, EndpointState::Ready);
+            prop_assert_eq!(later, EndpointState::Ready);
+        }
+    }
+}
+
+fn fastrand_shuffle(records: &mut [EndpointRecord], mut seed: u64) {
+    for n in (1..records.len()).rev() {
+        seed = seed
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
+        records.swap(n, (seed >> 33) as usize % (n + 1));
+    }
+}
+
+#[test]
+fn an_older_process_is_gone_once_a_later_one_is_recorded() {
+    let mut table = DrainTable::default();
+    let record = |incarnation, state| EndpointRecord {
+        endpoint: worker(1),
+        incarnation,
+        state,
+    };
+    table.merge(0, [record(2, EndpointState::Draining)]);
+    assert_eq!(
+        table.state_of(&worker(1), 1, EndpointState::Ready),
+        EndpointState::Gone
+    );
+    assert_eq!(
+        table.state_of(&worker(1), 2, EndpointState::Ready),
+        EndpointState::Draining
+    );
+    assert_eq!(
+        table.state_of(&worker(1), 2, EndpointState::Gone),
+        EndpointState::Gone
+    );
+    assert_eq!(
+        table.state_of(&worker(1), 3, EndpointState::Ready),
+        EndpointState::Ready
+    );
+    // The same name elsewhere is another worker.
+    let moved = Endpoint {
+        address: "10.0.0.9:1".into(),
+        ..worker(1)
+    };
+    assert_eq!(
+        table.state_of(&moved, 1, EndpointState::Ready),
+        EndpointState::Ready
+    );
+}
+
+#[test]
+fn a_record_expires_only_after_the_retention() {
+    let mut table = DrainTable::default();
+    let record = EndpointRecord {
+        endpoint: worker(1),
+        incarnation: 0,
+        state: EndpointState::Gone,
+    };
+    table.merge(0, [record.clone()]);
+    table.merge(DRAIN_RETENTION / 2, [record]);
+    table.expire(DRAIN_RETENTION + DRAIN_RETENTION / 4);
+    assert_eq!(table.records().count(), 1);
+    table.expire(2 * DRAIN_RETENTION);
+    assert_eq!(table.records().count(), 0);
+}
--- /dev/null
+++ b/decide/agreement/tests/session.rs
@@ -0,0 +1,218 @@
+//! Sessions under random histories of one leader and three members: a member that acts on a revision which the fleet has
+//! left behind is detected.
+
+use tansy_agreement::compatibility::{Fields, Value};
+use tansy_agreement::lease::{LeaseTiming, Member};
+use tansy_agreement::log::{ApplyOutcome, EntryRejection, Log, LogEntry, Revision};
+use tansy_agreement::session::{Session, SessionRequest, SessionTable};
+
+const SPAN: i64 = 1_000_000;
+const TIMING: LeaseTiming = LeaseTiming {
+    span: SPAN,
+    drift_ppm: 10_000,
+};
+const MEMBERS: u64 = 3;
+const STEPS: usize = 400;
+
+/// An injected defect.
+#[derive(Clone, Copy, PartialEq, Debug)]
+enum Defect {
+    None,
+    /// A member joins at the present revision while it acts on an earlier one.
+    JoinsBehind,
+    /// A member whose session expired is removed from the table, with no entry of it in the log that a leader starts from.
+    LeaveNotLogged,
+}
+
+struct FrontEnd {
+    session: Session,
+    member: Member,
+    /// The revision that it acts on, which follows the log when it learns of it.
+    revision: Revision,
+    /// The rate of its clock.
+    rate: f64,
+}
+
+impl FrontEnd {
+    fn local_time(&self, now: i64) -> i64 {
+        (now as f64 * self.rate) as i64
+    }
+}
+
+struct History {
+    rng: fastrand::Rng,
+    defect: Defect,
+    now: i64,
+    log: Log,
+    table: SessionTable,
+    front_ends: Vec<FrontEnd>,
+    /// The number of versions that were proposed.
+    proposals: i64,
+    /// The number of steps of strict changes.
+    strict_steps: u64,
+}
+
+fn strict_fields(value: i64) -> Fields {
+    Fields::from([("classes.a.group".to_string(), Value::Int(value))])
+}
+
+impl History {
+    fn new(seed: u64, defect: Defect) -> History {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let front_ends = (0..MEMBERS)
+            .map(|id| {
+                let member = Member { id, incarnation: 1 };
+                FrontEnd {
+                    session: Session::new(TIMING, member),
+                    member,
+                    revision: Revision(0),
+                    rate: 0.99 + rng.f64() * 0.02,
+                }
+            })
+            .collect();
+        History {
+            rng,
+            defect,
+            now: 0,
+            log: Log::new(strict_fields(0), []),
+            table: SessionTable::new(TIMING, [], 0),
+            front_ends,
+            proposals: 0,
+            strict_steps: 0,
+        }
+    }
+
+    fn step(&mut self) {
+        self.now += self.rng.i64(0..SPAN / 4);
+        let index = self.rng.usize(0..self.front_ends.len());
+        match self.rng.u32(0..12) {
+            // It learns of the log's state, as it does by leases, and acts on that from then on.
+            0..=2 => self.front_ends[index].revision = self.log.state().revision,
+            3..=6 => self.request_session(index),
+            7 => self.restart_member(index),
+            // The leader restarts.
+            8 => {
+                let roster = self.log.roster().map(|(member, _)| member);
+                self.table = SessionTable::new(TIMING, roster, self.now);
+            }
+            9 => self.remove_expired_members(),
+            _ => self.change_strict_field(),
+        }
+    }
+
+    /// A member requests a session; the grant takes its time, or never arrives.
+    fn request_session(&mut self, index: usize) {
+        let front_end = &mut self.front_ends[index];
+        let local_time = front_end.local_time(self.now);
+        let request = front_end.session.request(local_time, front_end.revision);
+        if !self.log.has_member(request.from) {
+            self.join(request);
+            return;
+        }
+        let Some(grant) = self.table.grant(self.now, request) else {
+            return;
+        };
+        if self.rng.u32(0..5) > 0 {
+            self.now += self.rng.i64(0..SPAN / 2);
+            self.front_ends[index].session.on_grant(grant);
+        }
+    }
+
+    fn join(&mut self, request: SessionRequest) {
+        let revision = match self.defect {
+            Defect::JoinsBehind => self.log.state().revision,
+            _ => request.revision,
+        };
+        let join = LogEntry::Join {
+            member: request.from,
+            name: "g".into(),
+            revision,
+        };
+        match self.log.apply(join) {
+            Ok(_) => self.table.on_join(self.now, request.from, request.revision),
+            Err(rejection) => assert_eq!(rejection, EntryRejection::Behind),
+        }
+    }
+
+    /// A member is killed and comes back as a later process, which knows nothing.
+    fn restart_member(&mut self, index: usize) {
+        let front_end = &mut self.front_ends[index];
+        front_end.member.incarnation += 1;
+        front_end.session = Session::new(TIMING, front_end.member);
+        front_end.revision = Revision(0);
+    }
+
+    fn remove_expired_members(&mut self) {
+        for member in self.table.expired(self.now).collect::<Vec<_>>() {
+            if self.defect != Defect::LeaveNotLogged {
+                let outcome = self.log.apply(LogEntry::Leave { member });
+                assert_eq!(outcome.expect("a member may leave"), ApplyOutcome::Roster);
+            }
+            self.table.remove(member);
+        }
+    }
+
+    /// A change of a strict field takes a step, if no member of the roster is behind.
+    fn change_strict_field(&mut self) {
+        let from = self.log.state().revision;
+        if !self.table.all_at_least(from) {
+            return;
+        }
+        if self.log.has_open_changes() {
+            let advance = LogEntry::Advance { from };
+            self.log.apply(advance).expect("a change in progress");
+        } else {
+            self.proposals += 1;
+            let proposal = LogEntry::Propose {
+                id: 0,
+                base: self.log.state().in_force.version,
+                fields: strict_fields(self.proposals),
+                reason: String::new(),
+            };
+            self.log.apply(proposal).expect("a change");
+        }
+        self.strict_steps += 1;
+    }
+
+    /// No member with a session acts on a revision that the fleet has left behind by more than one.
+    fn check(&self) -> Result<(), String> {
+        let fleet = self.log.state().revision;
+        for front_end in &self.front_ends {
+            let local_time = front_end.local_time(self.now);
+            let remaining = front_end.session.remaining(local_time);
+            if remaining > 0 && front_end.revision.next() < fleet {
+                return Err(format!(
+                    "at revision {} of {} with a session",
+                    front_end.revision.0, fleet.0
+                ));
+            }
+        }
+        Ok(())
+    }
+}
+
+/// Runs one history; the number of steps of strict changes, or the violation.
+fn run(seed: u64, defect: Defect) -> Result<u64, String> {
+    let mut history = History::new(seed, defect);
+    for _ in 0..STEPS {
+        history.step();
+        history
+            .check()
+            .map_err(|violation| format!("seed {seed}: {violation}"))?;
+    }
+    Ok(history.strict_steps)
+}
+
+#[test]
+fn no_member_with_a_session_is_left_behind() {
+    let steps: u64 = (0..4000)
+        .map(|seed| run(seed, Defect::None).unwrap_or_else(|e| panic!("{e}")))
+        .sum();
+    assert!(steps > 20_000, "the histories get somewhere: {steps} steps");
+}
+
+#[test]
+fn each_injected_defect_leaves_a_member_behind() {
+    assert!((0..4000).any(|seed| run(seed, Defect::JoinsBehind).is_err()));
+    assert!((0..4000).any(|seed| run(seed, Defect::LeaveNotLogged).is_err()));
+}
--- /dev/null
+++ b/decide/agreement/tests/settings/compatibility.rs
@@ -0,0 +1,62 @@
+//! What holds while two versions are in use, and what a front end does that knows neither.
+
+use super::{restrictiveness, schema, values, versions};
+use proptest::prelude::*;
+use tansy_agreement::compatibility::{
+    contradictions, joint_rules, rules_after_expiry, CallAttributes, Fields, Value,
+};
+
+proptest! {
+    #[test]
+    fn stricter_is_commutative_idempotent_associative_and_as_strict_as_both(
+        order in restrictiveness(),
+        a in proptest::option::of(values()),
+        b in proptest::option::of(values()),
+        c in proptest::option::of(values()),
+    ) {
+        let (a, b, c) = (a.as_ref(), b.as_ref(), c.as_ref());
+        let ab = order.stricter(a, b);
+        prop_assert_eq!(ab, order.stricter(b, a));
+        prop_assert_eq!(order.stricter(a, a), a);
+        prop_assert_eq!(order.stricter(ab, c), order.stricter(a, order.stricter(b, c)));
+        prop_assert!(order.at_least_as_strict(ab, a) && order.at_least_as_strict(ab, b), "looser than one of the two");
+    }
+
+    #[test]
+    fn joint_rules_contradict_neither_version(old in versions(), new in versions()) {
+        let rules = joint_rules(&schema(), &old, &new);
+        prop_assert_eq!(contradictions(&schema(), &old, &rules), vec![]);
+        prop_assert_eq!(contradictions(&schema(), &new, &rules), vec![]);
+    }
+
+    #[test]
+    fn rules_after_expiry_contradict_no_version(known in versions(), in_force in versions()) {
+        let rules = rules_after_expiry(&schema(), &known);
+        // A strict field that the known version does not have, and that affects all calls, is beyond what a member can know.
+        let contradictions = contradictions(&schema(), &in_force, &rules);
+        prop_assert!(contradictions.iter().all(|(path, _)| path == "novel" && !known.contains_key("novel")), "{:?}", contradictions);
+    }
+
+    #[test]
+    fn a_version_that_changes_nothing_strict_interrupts_no_call(old in versions(), limit in 0i64..9) {
+        let mut new = old.clone();
+        new.insert("classes.a.aim".into(), Value::Int(limit));
+        new.insert("limit".into(), Value::Int(limit));
+        let rules = joint_rules(&schema(), &old, &new);
+        prop_assert!(rules.rejected.is_empty());
+    }
+}
+
+#[test]
+fn calls_that_no_conflicting_field_affects_go_on() {
+    let with = |group: &str| -> Fields {
+        [("classes.pay.group".to_string(), Value::Text(group.into()))].into()
+    };
+    let rules = joint_rules(&schema(), &with("zone"), &with("cell"));
+    let call = |class| CallAttributes {
+        class,
+        tenant: "",
+        function: "",
+    };
+    assert!(rules.rejects(call("pay")) && !rules.rejects(call("chat")));
+}
