--- a/decide/agreement/src/lease_tree/node.rs
+++ b/decide/agreement/src/lease_tree/node.rs
@@ -151,26 +151,26 @@
     }
 
     /// The leader may act until a later time.
-    pub fn extend_leader_lease(&mut self, now: Time, to: Time, out: &mut Outbox<S>) {
+    pub fn extend_leader_lease(&mut self, now: Time, to: Time, outbox: &mut Outbox<S>) {
         match &mut self.source {
             LeaseSource::Leader { until, .. } if to > *until => *until = to,
             _ => return,
         }
-        self.extend_subleases(now, out);
+        self.extend_subleases(now, outbox);
     }
 
     /// The leader's log has a new state.
-    pub fn on_state_change(&mut self, now: Time, new: S, out: &mut Outbox<S>) {
+    pub fn on_state_change(&mut self, now: Time, new: S, outbox: &mut Outbox<S>) {
         if let LeaseSource::Leader { state, .. } = &mut self.source {
             *state = new;
         }
-        self.announce_revision(now, out);
+        self.announce_revision(now, outbox);
     }
 
     /// Sends a request when one is due.
-    pub fn tick(&mut self, now: Time, out: &mut Outbox<S>) {
+    pub fn tick(&mut self, now: Time, outbox: &mut Outbox<S>) {
         if now >= self.next_request {
-            self.send_request(now, out);
+            self.send_request(now, outbox);
         }
     }
 
@@ -188,39 +188,39 @@
         now: Time,
         from: u64,
         message: LeaseMessage<S, S::Delta>,
-        out: &mut Outbox<S>,
+        outbox: &mut Outbox<S>,
     ) {
         match message {
             LeaseMessage::Request(request) if request.from.id == from => {
-                self.on_request(now, request, out);
+                self.on_request(now, request, outbox);
             }
             LeaseMessage::Acknowledge {
                 from: member,
                 revision,
             } if member.id == from => {
                 self.granter.acknowledge(member, revision);
-                self.acknowledge_upward(now, out);
+                self.acknowledge_upward(now, outbox);
             }
             // Sent in the name of another.
             LeaseMessage::Request(_) | LeaseMessage::Acknowledge { .. } => {}
-            LeaseMessage::Grant(grant) => self.on_grant(now, from, grant, out),
+            LeaseMessage::Grant(grant) => self.on_grant(now, from, grant, outbox),
             LeaseMessage::Revision(revision) => {
                 if self.known_state().is_none_or(|s| s.revision() < revision) {
-                    self.send_request(now, out);
+                    self.send_request(now, outbox);
                 }
             }
         }
     }
 
-    fn on_request(&mut self, now: Time, request: LeaseRequest, out: &mut Outbox<S>) {
+    fn on_request(&mut self, now: Time, request: LeaseRequest, outbox: &mut Outbox<S>) {
         if !self.is_latest_incarnation(now, request.from) || !self.admits(now, request.from) {
             return;
         }
         let remaining = self.remaining(now);
         let state = self.source.known_state();
         let grant = state.and_then(|state| self.granter.grant(now, &request, state, remaining));
-        out.extend(grant.map(|grant| (request.from.id, LeaseMessage::Grant(grant))));
-        self.acknowledge_upward(now, out);
+        outbox.extend(grant.map(|grant| (request.from.id, LeaseMessage::Grant(grant))));
+        self.acknowledge_upward(now, outbox);
     }
 
     /// Whether no later process of its name has requested a lease; it is then remembered as the latest.
@@ -254,7 +254,7 @@
         now: Time,
         from: u64,
         grant: LeaseGrant<S, S::Delta>,
-        out: &mut Outbox<S>,
+        outbox: &mut Outbox<S>,
     ) {
         let LeaseSource::Granted(lease) = &mut self.source else {
             return;
@@ -265,25 +265,25 @@
             Some((sent_at, false)) => self.round_trip = now - sent_at,
             // The granter's own lease was renewed just now: from here on requests follow shortly after that.
             Some((_, true)) if effect.extended && !effect.later && effect.from_chosen => {
-                self.send_request(now, out);
+                self.send_request(now, outbox);
                 let lead = self.round_trip.clamp(0, self.timing.span / 8);
                 self.next_request += self.timing.span / RENEWAL_MARGIN - lead;
             }
             _ => {}
         }
         if effect.later {
-            self.announce_revision(now, out);
+            self.announce_revision(now, outbox);
             // The granter waits for this node to reach the revision, which it has now.
-            self.send_request(now, out);
+            self.send_request(now, outbox);
         }
         if effect.extended {
-            self.extend_subleases(now, out);
+            self.extend_subleases(now, outbox);
         }
     }
 
     /// Its own right was renewed. Those below send requests as often as it does, so that one that did so just before
     /// would get the shortest lease each time, and after several links none at all: they are granted the rest.
-    fn extend_subleases(&mut self, now: Time, out: &mut Outbox<S>) {
+    fn extend_subleases(&mut self, now: Time, outbox: &mut Outbox<S>) {
         let remaining = self.remaining(now);
         let Some(revision) = self.known_state().map(Versioned::revision) else {
             return;
@@ -297,21 +297,21 @@
                 state: None,
                 delta: None,
             };
-            out.push((to.id, LeaseMessage::Grant(grant)));
+            outbox.push((to.id, LeaseMessage::Grant(grant)));
         }
     }
 
     /// Notifies those below that there is a revision to request.
-    fn announce_revision(&self, now: Time, out: &mut Outbox<S>) {
+    fn announce_revision(&self, now: Time, outbox: &mut Outbox<S>) {
         if let Some(revision) = self.known_state().map(Versioned::revision) {
             let children = self.granter.children(now);
-            out.extend(children.map(|m| (m.id, LeaseMessage::Revision(revision))));
+            outbox.extend(children.map(|m| (m.id, LeaseMessage::Revision(revision))));
         }
     }
 
     /// Sends a request to the chosen granter and an acknowledgement to recent ones. A node that has turned to a granter
     /// beyond its own parent goes on sending requests to that parent, and returns to it once it grants.
-    fn send_request(&mut self, now: Time, out: &mut Outbox<S>) {
+    fn send_request(&mut self, now: Time, outbox: &mut Outbox<S>) {
         let LeaseSource::Granted(lease) = &mut self.source else {
             return;
         };
@@ -325,30 +325,30 @@
         let oldest_below = self.granter.oldest_live_revision(now);
         let request = lease.holder.request(now, oldest_below);
         self.acknowledged = request.acknowledged;
-        out.push((granter, LeaseMessage::Request(request)));
+        outbox.push((granter, LeaseMessage::Request(request)));
         for other in self.recent_granters.keys().filter(|g| **g != granter) {
             let acknowledge = LeaseMessage::Acknowledge {
                 from: request.from,
                 revision: request.acknowledged,
             };
-            out.push((*other, acknowledge));
+            outbox.push((*other, acknowledge));
         }
         let parent = self.topology.parent(self.member.id, 0);
         if let Some(parent) = parent.filter(|p| lease.bypasses_parent() && *p != granter) {
             let request = lease.holder.request(now, oldest_below);
-            out.push((parent, LeaseMessage::Request(request)));
+            outbox.push((parent, LeaseMessage::Request(request)));
         }
     }
 
     /// When the last one below has come as far as this node, the granter, which waits for that, is sent it at once.
-    fn acknowledge_upward(&mut self, now: Time, out: &mut Outbox<S>) {
+    fn acknowledge_upward(&mut self, now: Time, outbox: &mut Outbox<S>) {
         let known = self.known_state().map_or(Revision(0), Versioned::revision);
         let reached = self
             .granter
             .oldest_live_revision(now)
             .map_or(known, |oldest| oldest.min(known));
         if reached > self.acknowledged {
-            self.send_request(now, out);
+            self.send_request(now, outbox);
         }
     }
 }
--- a/decide/agreement/tests/model_check.rs
+++ b/decide/agreement/tests/model_check.rs
@@ -110,6 +110,58 @@
     }
 }
 
+impl World {
+    fn request(&mut self, n: usize) {
+        let front_end = &mut self.front_ends[n];
+        front_end.requests += 1;
+        self.requested += 1;
+        self.requests
+            .insert(front_end.holder.request(self.now, None));
+    }
+
+    fn grant(&mut self, request: LeaseRequest, extends: bool) {
+        self.requests.remove(&request);
+        let remaining = if extends { TIMING.span / 2 } else { i64::MAX };
+        let grant = self
+            .granter
+            .grant(self.now, &request, &self.revision, remaining);
+        self.grants.extend(grant);
+    }
+
+    fn extend(&mut self) {
+        let extended = self
+            .granter
+            .extend_live_leases(self.now, self.revision, i64::MAX);
+        for (to, seq, span) in extended {
+            self.extended = true;
+            self.grants.insert(LeaseGrant {
+                to,
+                seq,
+                span,
+                revision: self.revision,
+                state: None,
+                delta: None,
+            });
+        }
+    }
+
+    fn on_grant(&mut self, mut grant: LeaseGrant<Revision>, defect: Defect) {
+        self.grants.remove(&grant);
+        let front_end = &mut self.front_ends[grant.to.id as usize - 1];
+        let current = front_end.incarnation == grant.to.incarnation;
+        if defect == Defect::CountedFromGrant && current {
+            grant.seq = front_end.holder.request(self.now, None).seq;
+        }
+        front_end.holder.on_grant(grant);
+    }
+
+    fn advance(&mut self, defect: Defect) {
+        let next = self.revision.next();
+        let skip = defect == Defect::NoJointPhase && sole_version(next).is_none();
+        self.revision = if skip { next.next() } else { next };
+    }
+}
+
 impl Model for Fleet {
     type State = World;
     type Action = Action;
@@ -165,69 +217,16 @@
         let mut world = before.clone();
         match action {
             Action::AdvanceTime => world.now += 1,
-            Action::Request(n) => {
-                let front_end = &mut world.front_ends[n];
-                front_end.requests += 1;
-                world.requested += 1;
-                world
-                    .requests
-                    .insert(front_end.holder.request(world.now, None));
-            }
-            Action::Grant(request) => {
-                world.requests.remove(&request);
-                let remaining = if self.extends {
-                    TIMING.span / 2
-                } else {
-                    i64::MAX
-                };
-                world.grants.extend(world.granter.grant(
-                    world.now,
-                    &request,
-                    &world.revision,
-                    remaining,
-                ));
-            }
-            Action::Extend => {
-                for (to, seq, span) in
-                    world
-                        .granter
-                        .extend_live_leases(world.now, world.revision, i64::MAX)
-                {
-                    world.extended = true;
-                    world.grants.insert(LeaseGrant {
-                        to,
-                        seq,
-                        span,
-                        revision: world.revision,
-                        state: None,
-                        delta: None,
-                    });
-                }
-            }
-            Action::OnGrant(mut grant) => {
-                world.grants.remove(&grant);
-                let front_end = &mut world.front_ends[grant.to.id as usize - 1];
-                if self.defect == Defect::CountedFromGrant
-                    && front_end.incarnation == grant.to.incarnation
-                {
-                    grant.seq = front_end.holder.request(world.now, None).seq;
-                }
-                front_end.holder.on_grant(grant);
-            }
-            Action::Advance => {
-                let skip = self.defect == Defect::NoJointPhase
-                    && sole_version(world.revision.next()).is_none();
-                world.revision = if skip {
-                    world.revision.next().next()
-                } else {
-                    world.revision.next()
-                };
-            }
+            Action::Request(n) => world.request(n),
+            Action::Grant(request) => world.grant(request, self.extends),
+            Action::Extend => world.extend(),
+            Action::OnGrant(grant) => world.on_grant(grant, self.defect),
+            Action::Advance => world.advance(self.defect),
             Action::CrashLeader => {
                 world.leader_may_crash = false;
                 // Its revision is durable; the leases that it granted are not.
-                let predecessor = (self.defect != Defect::NoWaitAfterCrash).then_some(world.now);
-                world.granter = LeaseGranter::new(TIMING, 8, predecessor);
+                let waits = self.defect != Defect::NoWaitAfterCrash;
+                world.granter = LeaseGranter::new(TIMING, 8, waits.then_some(world.now));
             }
             Action::CrashFrontEnd(n) => {
                 world.front_end_may_crash = false;
--- a/decide/agreement/tests/scopes/catalog.rs
+++ b/decide/agreement/tests/scopes/catalog.rs
@@ -8,20 +8,41 @@
     ApplyOutcome, ChangePhase, EntryRejection, Log, LogEntry, Revision, Version,
 };
 use tansy_agreement::scope::{
-    ChangeHistory, ScopeChange, ScopePhase, ScopeRecord, StateDelta, MAX_FIELDS_BYTES, MAX_HISTORY,
-    MAX_NAME_BYTES, MAX_UPDATES_PER_TRANSACTION,
+    ChangeHistory, ScopeChange, ScopePhase, ScopeRecord, ScopeTransaction, StateDelta,
+    MAX_FIELDS_BYTES, MAX_HISTORY, MAX_NAME_BYTES, MAX_UPDATES_PER_TRANSACTION,
 };
 
-#[test]
-fn a_transaction_is_accepted_as_a_whole_or_not_at_all() {
-    let mut log = new_log();
-    let accepted = transaction(
+/// A transaction of two scopes.
+fn of_two_scopes() -> ScopeTransaction {
+    transaction(
         1,
         vec![
             update("a", 0, Some(fields(1, 1))),
             update("b", 0, Some(fields(1, 1))),
         ],
-    );
+    )
+}
+
+/// A log in which that transaction is settled.
+fn settled_log() -> Log {
+    let mut log = new_log();
+    apply(&mut log, vec![of_two_scopes()]);
+    finish(&mut log, false);
+    log
+}
+
+fn assert_all_settled(log: &Log) {
+    let settled = ScopeRecord {
+        revision: Revision(3),
+        fields: Some(fields(1, 1)),
+        phase: ScopePhase::Settled,
+    };
+    assert!(log.catalog().all().values().all(|s| *s == settled));
+}
+
+#[test]
+fn a_transaction_is_accepted_as_a_whole_or_not_at_all() {
+    let mut log = new_log();
     let overlaps = transaction(
         2,
         vec![
@@ -30,7 +51,7 @@
         ],
     );
     let independent = transaction(3, vec![update("d", 0, Some(fields(1, 1)))]);
-    let rejected = apply(&mut log, vec![accepted.clone(), overlaps, independent]);
+    let rejected = apply(&mut log, vec![of_two_scopes(), overlaps, independent]);
     assert_eq!(
         rejected,
         [(
@@ -48,14 +69,16 @@
         ("abd".into(), Revision(2), Revision(1))
     );
     finish(&mut log, false);
-    let settled = ScopeRecord {
-        revision: Revision(3),
-        fields: Some(fields(1, 1)),
-        phase: ScopePhase::Settled,
-    };
-    assert!(log.catalog().all().values().all(|s| *s == settled));
-    // A repeated transaction is a duplicate; another base, a scope named twice and a missing name are rejected.
-    assert_eq!(log.validate_transaction(&accepted), Ok(Some(Revision(2))));
+    assert_all_settled(&log);
+}
+
+#[test]
+fn duplicate_and_invalid_transactions_are_recognized() {
+    let log = settled_log();
+    assert_eq!(
+        log.validate_transaction(&of_two_scopes()),
+        Ok(Some(Revision(2)))
+    );
     let validated = |changes| log.validate_transaction(&transaction(9, changes));
     let to = || Some(fields(2, 2));
     let base = |scope: &str, revision| {
@@ -83,6 +106,13 @@
         validated(vec![update("", 0, to())]),
         Err(EntryRejection::MissingName)
     );
+}
+
+#[test]
+fn transactions_beyond_the_limits_are_rejected() {
+    let log = settled_log();
+    let validated = |changes| log.validate_transaction(&transaction(9, changes));
+    let to = || Some(fields(2, 2));
     for changes in [
         vec![update(&"n".repeat(MAX_NAME_BYTES + 1), 0, to())],
         vec![update(
@@ -111,7 +141,11 @@
             Err(EntryRejection::TooMany { .. })
         ));
     }
-    // Scopes that are not in the phase since that revision are left as they are.
+}
+
+#[test]
+fn scopes_in_another_phase_are_left_as_they_are() {
+    let mut log = settled_log();
     let before = log.clone();
     let stale = || {
         vec![
@@ -137,16 +171,20 @@
         Err(EntryRejection::NoChange)
     );
     assert_eq!(log, before);
-    // A reverted change leaves the record as it was, and its transaction counts it.
+}
+
+#[test]
+fn a_reverted_change_leaves_the_record_and_its_transaction_counts_it() {
+    let mut log = settled_log();
     apply(
         &mut log,
         vec![transaction(
             4,
-            vec![update("a", 3, None), update("b", 3, to())],
+            vec![update("a", 3, None), update("b", 3, Some(fields(2, 2)))],
         )],
     );
     finish(&mut log, true);
-    assert!(log.catalog().all().values().all(|s| *s == settled));
+    assert_all_settled(&log);
     let result = *log
         .catalog()
         .transaction_result(4)
@@ -154,35 +192,52 @@
     assert_eq!((result.joint, result.in_force, result.reverted), (0, 0, 2));
 }
 
-#[test]
-fn a_function_is_defined_by_a_version_or_as_a_scope() {
-    let mut log = new_log();
-    apply(
-        &mut log,
-        vec![transaction(1, vec![update("a.b", 0, Some(fields(1, 1)))])],
-    );
-    let with = |path: &str| Fields::from([(path.to_string(), Value::Int(1))]);
-    let propose = |base, fields| LogEntry::Propose {
+fn one_field(path: &str) -> Fields {
+    Fields::from([(path.to_string(), Value::Int(1))])
+}
+
+fn propose(base: u64, fields: Fields) -> LogEntry {
+    LogEntry::Propose {
         id: 0,
         base: Version(base),
         fields,
         reason: String::new(),
-    };
+    }
+}
+
+/// A log with a joint change of one scope, whose name has a dot.
+fn log_with_scope() -> Log {
+    let mut log = new_log();
+    let updates = vec![update("a.b", 0, Some(fields(1, 1)))];
+    apply(&mut log, vec![transaction(1, updates)]);
+    log
+}
+
+#[test]
+fn a_function_is_defined_by_a_version_or_as_a_scope() {
+    let mut log = log_with_scope();
     let defined_elsewhere = |scope: &str| EntryRejection::DefinedElsewhere {
         scope: scope.into(),
     };
     assert_eq!(
-        log.apply(propose(1, with("functions.a%2eb.lanes"))),
+        log.apply(propose(1, one_field("functions.a%2eb.lanes"))),
         Err(defined_elsewhere("a.b"))
     );
     assert_eq!(
-        log.apply(propose(1, with("functions.a.lanes"))),
+        log.apply(propose(1, one_field("functions.a.lanes"))),
         Ok(ApplyOutcome::Announced(Version(2)))
     );
     assert_eq!(
         log.validate_transaction(&transaction(2, vec![update("a", 0, Some(fields(1, 1)))])),
         Err(defined_elsewhere("a"))
     );
+}
+
+#[test]
+fn revisions_of_scopes_and_of_versions_are_apart() {
+    let mut log = log_with_scope();
+    log.apply(propose(1, one_field("functions.a.lanes")))
+        .expect("a new version");
     // Revisions of scopes neither delay a version nor count as its own.
     let announced_in = log.state().versions_revision;
     apply(
@@ -197,7 +252,7 @@
     );
     assert!(log.apply(LogEntry::Advance { from: announced_in }).is_ok());
     assert!(matches!(log.state().next, Some((_, ChangePhase::Joint))));
-    // One that join needs to know the versions alone.
+    // A member that joins needs the latest revision of the versions alone.
     let join = |at| LogEntry::Join {
         member: Member {
             id: 1,
--- a/decide/agreement/tests/scopes/subscriptions.rs
+++ b/decide/agreement/tests/scopes/subscriptions.rs
@@ -44,13 +44,42 @@
     }
 }
 
+/// A leader's log and table, and a member that exchanges messages with it.
+struct Exchange {
+    log: Log,
+    table: SessionTable,
+    subscriptions: ScopeSubscriptions,
+    now: i64,
+}
+
 #[test]
 fn invalid_and_late_messages_are_ignored() {
-    let (mut log, mut table, mut subscriptions) = subscriber_and_table();
-    let mut now = 0;
+    let (log, table, subscriptions) = subscriber_and_table();
+    let mut exchange = Exchange {
+        log,
+        table,
+        subscriptions,
+        now: 0,
+    };
+    check_admission(&mut exchange);
+    let (request, valid) = request_another_scope(&mut exchange);
+    check_invalid_replies(&mut exchange, &request, &valid);
+    check_ignored_requests(&mut exchange, &request);
+    check_missing_history(&mut exchange, valid);
+}
+
+/// Calls wait until the record of their scope is known.
+fn check_admission(exchange: &mut Exchange) {
+    let Exchange {
+        log,
+        table,
+        subscriptions,
+        now,
+        ..
+    } = exchange;
     let schema = &schema();
     assert_eq!(
-        subscriptions.admit(now, schema, &"x".repeat(MAX_NAME_BYTES + 1), true),
+        subscriptions.admit(*now, schema, &"x".repeat(MAX_NAME_BYTES + 1), true),
         Admission::Reject(RejectReason::NameTooLong)
     );
     assert_eq!(
@@ -60,23 +89,26 @@
         1,
         "a member that has not declared its scopes may subscribe to any"
     );
-    assert_eq!(subscriptions.admit(now, schema, "a", true), Admission::Wait);
     assert_eq!(
-        subscriptions.admit(now, schema, "none", true),
+        subscriptions.admit(*now, schema, "a", true),
         Admission::Wait
     );
-    synchronize(&log, &mut table, &mut subscriptions, &mut now);
     assert_eq!(
-        subscriptions.admit(now, schema, "a", true),
+        subscriptions.admit(*now, schema, "none", true),
+        Admission::Wait
+    );
+    synchronize(log, table, subscriptions, now);
+    assert_eq!(
+        subscriptions.admit(*now, schema, "a", true),
         Admission::Admit(fields(1, 4))
     );
     assert_eq!(
-        subscriptions.admit(now, schema, "a", false),
+        subscriptions.admit(*now, schema, "a", false),
         Admission::Admit(fields(1, 1)),
         "without a lease at the most restrictive value"
     );
     assert_eq!(
-        subscriptions.admit(now, schema, "none", true),
+        subscriptions.admit(*now, schema, "none", true),
         Admission::Unknown
     );
     assert_eq!(
@@ -91,11 +123,24 @@
             .collect::<Vec<_>>(),
         [member(1)]
     );
-    // Answers for another, of a first never written, to an older first than the one that wants it now.
-    assert_eq!(subscriptions.admit(now, schema, "b", true), Admission::Wait);
-    now += 200_000;
+}
+
+/// A request of another scope, and a valid reply to it.
+fn request_another_scope(exchange: &mut Exchange) -> (SubscribeRequest, SubscribeReply) {
+    let Exchange {
+        log,
+        subscriptions,
+        now,
+        ..
+    } = exchange;
+    let schema = &schema();
+    assert_eq!(
+        subscriptions.admit(*now, schema, "b", true),
+        Admission::Wait
+    );
+    *now += 200_000;
     let request = subscriptions
-        .tick(now, log.state().revision, true)
+        .tick(*now, log.state().revision, true)
         .expect("b is requested");
     assert_eq!(request.scopes, ["b"]);
     let valid = SubscribeReply {
@@ -111,6 +156,23 @@
             }),
         )],
     };
+    (request, valid)
+}
+
+/// Replies that do not concern the request are ignored; one of a later revision counts from that on.
+fn check_invalid_replies(
+    exchange: &mut Exchange,
+    request: &SubscribeRequest,
+    valid: &SubscribeReply,
+) {
+    let Exchange {
+        log,
+        subscriptions,
+        now,
+        ..
+    } = exchange;
+    let schema = &schema();
+    // For another member, to a request not sent yet, to an older one, to none, and of another epoch.
     for invalid in [
         SubscribeReply {
             to: member(2),
@@ -133,9 +195,9 @@
             ..valid.clone()
         },
     ] {
-        subscriptions.on_reply(now, invalid.clone(), Some(log.state()), schema);
+        subscriptions.on_reply(*now, invalid.clone(), Some(log.state()), schema);
         assert_eq!(
-            subscriptions.admit(now, schema, "b", true),
+            subscriptions.admit(*now, schema, "b", true),
             Admission::Wait,
             "{invalid:?}"
         );
@@ -145,9 +207,17 @@
         revision: Revision(log.state().revision.0 + 2),
         ..valid.clone()
     };
-    subscriptions.on_reply(now, ahead, Some(log.state()), schema);
-    assert_eq!(subscriptions.admit(now, schema, "b", true), Admission::Wait);
-    // Requests that a leader ignores: of a stranger, an earlier one, one that drops what a later one requests.
+    subscriptions.on_reply(*now, ahead, Some(log.state()), schema);
+    assert_eq!(
+        subscriptions.admit(*now, schema, "b", true),
+        Admission::Wait
+    );
+}
+
+/// The leader ignores the requests of a stranger, earlier ones, and those of another epoch.
+fn check_ignored_requests(exchange: &mut Exchange, request: &SubscribeRequest) {
+    let Exchange { table, .. } = exchange;
+    // It unsubscribes from a scope that a later request may have requested.
     let old = SubscribeRequest {
         unsubscribed: vec![scope_number("a")],
         scopes: vec![],
@@ -160,7 +230,7 @@
         }),
         SubscribeOutcome::Stranger
     );
-    assert_eq!(table.on_subscribe(&request), SubscribeOutcome::Taken);
+    assert_eq!(table.on_subscribe(request), SubscribeOutcome::Taken);
     assert_eq!(table.on_subscribe(&old), SubscribeOutcome::Late);
     assert_eq!(
         table.on_subscribe(&SubscribeRequest {
@@ -176,7 +246,17 @@
             .count(),
         1
     );
-    // Changes are not retained: the scope is acted on no more, and is unsubscribed from.
+}
+
+/// Once changes are not retained the scope is acted on no more, and is requested again.
+fn check_missing_history(exchange: &mut Exchange, valid: SubscribeReply) {
+    let Exchange {
+        log,
+        subscriptions,
+        now,
+        ..
+    } = exchange;
+    let schema = &schema();
     let mut state = log.state().clone();
     state.replace_with_snapshot(
         FleetState {
@@ -186,18 +266,21 @@
         None,
     );
     state.history = ChangeHistory::after(state.revision);
-    subscriptions.on_state(now, &state, schema);
+    subscriptions.on_state(*now, &state, schema);
     assert_eq!(subscriptions.effective_settings(schema, "a", true), None);
-    assert_eq!(subscriptions.admit(now, schema, "a", true), Admission::Wait);
+    assert_eq!(
+        subscriptions.admit(*now, schema, "a", true),
+        Admission::Wait
+    );
     // A reply of a revision before the retained changes is not used.
     apply(
-        &mut log,
+        log,
         vec![transaction(2, vec![update("a", 3, Some(fields(2, 2)))])],
     );
     let request = loop {
-        now += 50_000;
+        *now += 50_000;
         if let Some(request) = subscriptions
-            .tick(now, state.revision, true)
+            .tick(*now, state.revision, true)
             .filter(|request| request.scopes.contains(&"a".into()))
         {
             break request;
@@ -209,7 +292,7 @@
         scopes: vec![("a".into(), Some(ScopeRecord::default()))],
         ..valid
     };
-    subscriptions.on_reply(now, stale, Some(&state), schema);
+    subscriptions.on_reply(*now, stale, Some(&state), schema);
     assert_eq!(
         subscriptions.effective_settings(schema, "a", true),
         None,
