--- a/net/fleet/src/service/mod.rs
+++ b/net/fleet/src/service/mod.rs
@@ -18,7 +18,9 @@
 use tansy_fleet_node::FleetNode;
 use tansy_fleet_wire::{member, pb, DecodeError, MAX_MESSAGE_BYTES, SERVICE};
 use tansy_frames::grpc::Code;
-use tansy_net_grpc::server::{answer, refuse, trailers, Handler, Messages};
+use tansy_net_grpc::server::{
+    respond_trailers_only, respond_unary, status_trailers, RequestHandler, RequestMessages,
+};
 use tansy_net_sockets::within;
 use thiserror::Error;
 
@@ -55,7 +57,7 @@
 type Reply = Result<Vec<u8>, Rejection>;
 
 /// Serves the methods for the fleet of this number.
-pub(crate) fn handler(transport: Rc<FleetTransport>, fleet: u64) -> Handler {
+pub(crate) fn handler(transport: Rc<FleetTransport>, fleet: u64) -> RequestHandler {
     Rc::new(move |request, respond| {
         let transport = transport.clone();
         let spawner = transport.spawner.clone();
@@ -71,19 +73,19 @@
 ) {
     let (parts, body) = request.into_parts();
     let method = parts.uri.path().strip_prefix(SERVICE).unwrap_or("");
-    let mut messages = Messages::new(body, MAX_MESSAGE_BYTES);
+    let mut messages = RequestMessages::new(body, MAX_MESSAGE_BYTES);
     let mut first = None;
-    let message = poll_fn(|cx| messages.poll_one(&mut first, cx));
+    let message = poll_fn(|cx| messages.poll_unary(&mut first, cx));
     let message = within(transport.spawner.sleep(REQUEST_TIMEOUT), message).await;
     let Some(Ok(Some(message))) = message else {
-        let status = trailers(Code::InvalidArgument, "no message came whole");
-        return refuse(&mut respond, status);
+        let status = status_trailers(Code::InvalidArgument, "no message came whole");
+        return respond_trailers_only(&mut respond, status);
     };
     match call(transport, fleet, method, &message).await {
-        Ok(bytes) => answer(respond, &bytes, trailers(Code::Ok, "")),
+        Ok(bytes) => respond_unary(respond, &bytes, status_trailers(Code::Ok, "")),
         Err(rejection) => {
-            let status = trailers(rejection.code, &rejection.reason);
-            refuse(&mut respond, status);
+            let status = status_trailers(rejection.code, &rejection.reason);
+            respond_trailers_only(&mut respond, status);
         }
     }
 }
--- a/programs/gateway/src/fleet/applier.rs
+++ b/programs/gateway/src/fleet/applier.rs
@@ -13,7 +13,7 @@
 use tansy_agreement::log::FleetState;
 use tansy_dispatch::{ConflictingScopes, EffectiveConfig};
 use tansy_fleet_node::{FleetNode, FleetNodeConfig};
-use tansy_net_inference::{Hub, Worker};
+use tansy_net_inference::{Driver, WorkerEndpoint};
 use tansy_settings::{Fleet, WorkerLine};
 
 /// What the dispatcher acts on.
@@ -31,7 +31,7 @@
 }
 
 pub(super) struct ConfigApplier {
-    hub: Rc<Hub>,
+    hub: Rc<Driver>,
     builder: ConfigBuilder,
     applied: Cell<Option<Applied>>,
     computed: RefCell<Option<ComputedConfigs>>,
@@ -47,7 +47,7 @@
 
 impl ConfigApplier {
     pub(super) fn new(
-        hub: Rc<Hub>,
+        hub: Rc<Driver>,
         fleet: &Fleet,
         placement: &FleetPlacement,
         node: &FleetNodeConfig,
@@ -72,7 +72,7 @@
     /// Applies the configuration before any state is known.
     pub(super) fn apply_initial(&self, first: &Fields) -> Result<(), GatewayError> {
         let (config, names) = self.builder.initial(first)?;
-        Ok(self.hub.adopt(config, names, Vec::new())?)
+        Ok(self.hub.apply_settings(config, names, Vec::new())?)
     }
 
     /// The node may act on another state by now; returns why it can't be applied, if so.
@@ -82,10 +82,15 @@
         let scope_changes = node.scopes_changed();
         let changed = self.scope_changes.replace(scope_changes) != scope_changes
             || self.applied.get() != applied_before;
-        if changed && self.hub.with_front(|dispatcher| dispatcher.pending_calls()) > 0 {
+        if changed
+            && self
+                .hub
+                .with_dispatcher(|dispatcher| dispatcher.pending_calls())
+                > 0
+        {
             // After the node's turn: the lookup of each pending call asks the node again.
             let hub = self.hub.clone();
-            self.hub.spawner.spawn(async move { hub.look_again() });
+            self.hub.spawner.spawn(async move { hub.resolve_pending() });
         }
         error
     }
@@ -104,7 +109,7 @@
         };
         let expiries = expiries(applied, active.lease, active.session);
         let remaining: Vec<i64> = expiries.iter().map(|(remaining, _)| *remaining).collect();
-        if self.applied.get() == Some(applied) && self.hub.renew(&remaining) {
+        if self.applied.get() == Some(applied) && self.hub.extend_expiry(&remaining) {
             return self.error();
         }
         match self.configs(state) {
@@ -146,7 +151,7 @@
         let following = expiries
             .into_iter()
             .map(|(remaining, authority)| (remaining, configs.of(authority).clone()));
-        let adopted = self.hub.adopt(
+        let adopted = self.hub.apply_settings(
             configs.of(authority).clone(),
             configs.names.clone(),
             following.collect(),
@@ -169,7 +174,7 @@
     fn reject_all(&self) {
         let config = self
             .hub
-            .with_front(|dispatcher| dispatcher.applied_config());
+            .with_dispatcher(|dispatcher| dispatcher.applied_config());
         let conflicting = ConflictingScopes {
             all: true,
             retry_after: self.builder.retry_after,
@@ -179,9 +184,11 @@
             config,
             conflicting,
         };
-        let names = self.hub.names();
+        let names = self.hub.metadata_keys();
         // The dispatcher acts on this configuration already, so that it can't be rejected.
-        let _ = self.hub.adopt(config, (*names).clone(), Vec::new());
+        let _ = self
+            .hub
+            .apply_settings(config, (*names).clone(), Vec::new());
         self.applied.set(None);
     }
 
@@ -205,14 +212,14 @@
                 EndpointState::Gone => 2,
             };
             let proxy = self.proxies.get(&line.address);
-            Worker {
-                listed,
+            WorkerEndpoint {
+                record: listed,
                 address: proxy.copied().unwrap_or(line.address),
             }
         };
-        let workers: Vec<Worker> = self.workers.borrow().iter().map(worker).collect();
+        let workers: Vec<WorkerEndpoint> = self.workers.borrow().iter().map(worker).collect();
         if !workers.is_empty() {
-            self.hub.list(workers);
+            self.hub.set_workers(workers);
         }
     }
 }
--- a/programs/gateway/src/fleet/counters.rs
+++ b/programs/gateway/src/fleet/counters.rs
@@ -2,12 +2,12 @@
 
 use tansy_dispatch::ClassCounters;
 use tansy_fleet_wire::pb;
-use tansy_net_inference::Hub;
+use tansy_net_inference::Driver;
 
 /// The counters of this front end; its node fills in its name and state.
-pub(super) fn counters(hub: &Hub, zone: &str, label: &str) -> pb::CountsReply {
-    let (account, _) = hub.account();
-    let classes = hub.with_front(|dispatcher| {
+pub(super) fn counters(hub: &Driver, zone: &str, label: &str) -> pb::CountsReply {
+    let (account, _) = hub.counters();
+    let classes = hub.with_dispatcher(|dispatcher| {
         let counters = dispatcher.class_counters().into_iter();
         counters
             .flat_map(|counters| counters.classes().iter().map(class_counters))
--- a/programs/gateway/src/fleet/effective.rs
+++ b/programs/gateway/src/fleet/effective.rs
@@ -7,7 +7,7 @@
 };
 use tansy_agreement::log::{ChangePhase, FleetState};
 use tansy_dispatch::{ConflictingScopes, EffectiveConfig};
-use tansy_net_inference::{Hub, Names};
+use tansy_net_inference::{Driver, MetadataKeys};
 use tansy_settings::agree;
 
 /// What a front end holds of the leader.
@@ -27,7 +27,7 @@
     leased: EffectiveConfig,
     without_lease: EffectiveConfig,
     expired: EffectiveConfig,
-    pub(super) names: Names,
+    pub(super) names: MetadataKeys,
 }
 
 impl ConfigSet {
@@ -51,7 +51,10 @@
 
 impl ConfigBuilder {
     /// The configuration before any state is known: the most restrictive one.
-    pub(super) fn initial(&self, first: &Fields) -> Result<(EffectiveConfig, Names), GatewayError> {
+    pub(super) fn initial(
+        &self,
+        first: &Fields,
+    ) -> Result<(EffectiveConfig, MetadataKeys), GatewayError> {
         let (filled, _) = agree::filled(first)?;
         self.config(&rules_after_expiry(&self.schema, &filled))
     }
@@ -60,7 +63,7 @@
     pub(super) fn config_set(
         &self,
         state: &FleetState,
-        hub: &Hub,
+        hub: &Driver,
     ) -> Result<ConfigSet, GatewayError> {
         let state = &state.for_member(&self.name);
         let (in_force, mut unknown) = agree::filled(&state.in_force.fields)?;
@@ -76,7 +79,7 @@
         // Front ends of a canary are valued by the settings in force, as the others are.
         let in_force = agree::settings(&self.own, &filled.in_force.fields)?.front;
         let classes = in_force.classes.into_iter();
-        hub.value_by(classes.zip(in_force.settings.classes).collect());
+        hub.set_valuation_classes(classes.zip(in_force.settings.classes).collect());
         let mut rules = filled.rules(&self.schema);
         rules.rejected.extend(unknown);
         let (leased, names) = self.config(&rules)?;
@@ -91,7 +94,10 @@
         })
     }
 
-    fn config(&self, rules: &EffectiveRules) -> Result<(EffectiveConfig, Names), GatewayError> {
+    fn config(
+        &self,
+        rules: &EffectiveRules,
+    ) -> Result<(EffectiveConfig, MetadataKeys), GatewayError> {
         let settings = agree::settings(&self.own, &rules.fields)?;
         let mut conflicting = ConflictingScopes {
             unknown_names: rules.unlisted,
@@ -107,7 +113,7 @@
             }
         }
         let gateway = settings.gateway;
-        let names = Names {
+        let names = MetadataKeys {
             class: gateway.class_key,
             tenant: gateway.tenant_key,
             work_ms: gateway.work_key,
--- a/programs/gateway/src/fleet/lookup.rs
+++ b/programs/gateway/src/fleet/lookup.rs
@@ -7,27 +7,27 @@
 use tansy_agreement::subscription::{Admission, MAX_SUBSCRIPTIONS};
 use tansy_dispatch::FunctionShape;
 use tansy_net_fleet::FleetTransport;
-use tansy_net_inference::{Looked, Lookup};
+use tansy_net_inference::{DirectoryEntry, FunctionDirectory};
 use tansy_settings::agree;
 
 /// Looks functions up at the node.
 pub(super) struct ScopeLookup {
     transport: Weak<FleetTransport>,
     /// The results by function, valid as long as the function's fields are the same.
-    cache: RefCell<HashMap<String, (Fields, Looked)>>,
+    cache: RefCell<HashMap<String, (Fields, DirectoryEntry)>>,
 }
 
-impl Lookup for ScopeLookup {
-    fn look(&self, function: &str) -> Looked {
+impl FunctionDirectory for ScopeLookup {
+    fn lookup(&self, function: &str) -> DirectoryEntry {
         let Some(transport) = self.transport.upgrade() else {
-            return Looked::Refused;
+            return DirectoryEntry::Refused;
         };
         match transport.admit(function) {
             Admission::Admit(fields) => self.read(function, fields),
             // The versions list all functions, and this one is not among them.
-            Admission::Unscoped | Admission::Unknown => Looked::Unknown,
-            Admission::Reject(_) => Looked::Refused,
-            Admission::Wait => Looked::Wait,
+            Admission::Unscoped | Admission::Unknown => DirectoryEntry::Unknown,
+            Admission::Reject(_) => DirectoryEntry::Refused,
+            Admission::Wait => DirectoryEntry::Pending,
         }
     }
 }
@@ -40,7 +40,7 @@
         }
     }
 
-    fn read(&self, function: &str, fields: Fields) -> Looked {
+    fn read(&self, function: &str, fields: Fields) -> DirectoryEntry {
         let mut cache = self.cache.borrow_mut();
         let cached = cache.get(function);
         if let Some((_, result)) = cached.filter(|(known, _)| *known == fields) {
@@ -55,9 +55,9 @@
     }
 }
 
-fn read_function(name: &str, fields: &Fields) -> Looked {
+fn read_function(name: &str, fields: &Fields) -> DirectoryEntry {
     match agree::function(name, fields) {
-        Ok(function) => Looked::Acts {
+        Ok(function) => DirectoryEntry::Known {
             class: function.class.into(),
             shape: FunctionShape {
                 lanes: function.lanes,
@@ -67,7 +67,7 @@
         },
         Err(error) => {
             tracing::error!(function = %name, %error, "function's settings can't be applied here: its calls are rejected");
-            Looked::Refused
+            DirectoryEntry::Refused
         }
     }
 }
--- a/programs/gateway/src/fleet/mod.rs
+++ b/programs/gateway/src/fleet/mod.rs
@@ -24,7 +24,7 @@
 use tansy_agreement::log::{FleetState, VersionedSettings};
 use tansy_fleet_node::{number, FleetNode, FleetNodeConfig};
 use tansy_net_fleet::{FleetTransport, InvalidFields, TransportConfig};
-use tansy_net_inference::Hub;
+use tansy_net_inference::Driver;
 use tansy_net_sockets::Spawner;
 use tansy_settings::{agree, Fleet, WorkerLine};
 
@@ -100,7 +100,7 @@
 /// Starts the gateway's node. Until it has a lease and a session, the dispatcher acts on no version.
 pub fn start(
     spawner: Spawner,
-    hub: Rc<Hub>,
+    hub: Rc<Driver>,
     listener: TcpListener,
     fleet: &Fleet,
     placement: &FleetPlacement,
@@ -110,7 +110,7 @@
     let applier = ConfigApplier::new(hub.clone(), fleet, placement, &node);
     let applier = Rc::new(applier);
     applier.apply_initial(&placement.first)?;
-    hub.count();
+    hub.enable_class_counters();
     let counters_hub = hub.clone();
     let zone = placement.zone.clone();
     let label = std::env::var(LABEL).unwrap_or_default();
@@ -128,7 +128,7 @@
     let apply_state =
         Rc::new(move |node: &FleetNode, now| state_applier.on_state_changed(node, now));
     let transport = FleetTransport::start(spawner, listener, config, apply_state)?;
-    hub.look_up_with(Rc::new(ScopeLookup::new(&transport)));
+    hub.set_directory(Rc::new(ScopeLookup::new(&transport)));
     Ok(FleetMember { transport, applier })
 }
 
--- a/programs/gateway/src/gateway.rs
+++ b/programs/gateway/src/gateway.rs
@@ -14,7 +14,7 @@
 use tansy_dispatch::{DispatchConfig, Dispatcher, FunctionSpec, Input};
 use tansy_net_grpc::link::Limits as LinkLimits;
 use tansy_net_grpc::server::{Limits, Server};
-use tansy_net_inference::{clients, side, Hub, Names, Setup, Worker};
+use tansy_net_inference::{clients, status, Driver, DriverOptions, MetadataKeys, WorkerEndpoint};
 use tansy_net_sockets::interrupt::Uninterrupted;
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::Spawner;
@@ -31,7 +31,7 @@
 /// A gateway that serves.
 pub struct Gateway {
     event_loop: EventLoop<'static, ()>,
-    hub: Rc<Hub>,
+    hub: Rc<Driver>,
     server: Rc<Server>,
     grpc: SocketAddr,
     http: SocketAddr,
@@ -62,9 +62,9 @@
         let fleet = join_fleet(&spawner, &hub, fleet.as_ref(), options)?;
         let member = fleet.as_ref().map(|(member, _)| member.clone());
         sources.start(&spawner, &hub, apply_workers(hub.clone(), member))?;
-        let limits = hub.setup.clients;
+        let limits = hub.options.clients;
         let server = Server::start(spawner.clone(), grpc, limits, clients::handler(hub.clone()))?;
-        side::start(hub.clone(), http)?;
+        status::start(hub.clone(), http)?;
         spawner.spawn(log_totals(hub.clone()));
         Ok(Gateway {
             event_loop,
@@ -78,7 +78,7 @@
     }
 
     /// The hub that drives the dispatcher.
-    pub fn hub(&self) -> &Rc<Hub> {
+    pub fn hub(&self) -> &Rc<Driver> {
         &self.hub
     }
 
@@ -105,7 +105,7 @@
         while !stop_requested.get() {
             self.turn(Duration::from_secs(60))?;
         }
-        tracing::info!(open = self.hub.account().1, "shutting down: no new calls");
+        tracing::info!(open = self.hub.counters().1, "shutting down: no new calls");
         self.hub.feed(Input::Shutdown { grace: self.drain });
         self.server.close();
         self.finish_calls()?;
@@ -130,7 +130,7 @@
         let drain = Duration::from_micros(self.drain.max(0) as u64);
         let end = Instant::now() + drain + CLOSE_TIMEOUT;
         while Instant::now() < end
-            && !(self.hub.with_front(Dispatcher::is_idle) && self.server.connections() == 0)
+            && !(self.hub.with_dispatcher(Dispatcher::is_idle) && self.server.connections() == 0)
         {
             self.turn(Duration::from_millis(20))?;
         }
@@ -154,14 +154,14 @@
 
     /// The account's line.
     pub fn account(&self) -> String {
-        let (account, open) = self.hub.account();
-        let workers = self.hub.with_front(Dispatcher::ready_workers);
+        let (account, open) = self.hub.counters();
+        let workers = self.hub.with_dispatcher(Dispatcher::ready_workers);
         format!("{account} open={open} workers={workers}")
     }
 
     /// Whether no call, attempt or load request is open.
     pub fn idle(&self) -> bool {
-        self.hub.with_front(Dispatcher::is_idle)
+        self.hub.with_dispatcher(Dispatcher::is_idle)
     }
 
     /// One turn of the event loop, of at most this time.
@@ -185,8 +185,8 @@
     })
 }
 
-fn setup(gateway: tansy_settings::Gateway) -> Setup {
-    Setup {
+fn setup(gateway: tansy_settings::Gateway) -> DriverOptions {
+    DriverOptions {
         clients: Limits {
             connections: gateway.connections,
             streams: gateway.streams,
@@ -199,7 +199,7 @@
             stream_window: gateway.worker_window,
             header_bytes: gateway.headers,
         },
-        names: Names {
+        keys: MetadataKeys {
             class: gateway.class_key,
             tenant: gateway.tenant_key,
             work_ms: gateway.work_key,
@@ -211,9 +211,9 @@
 fn start_hub(
     spawner: &Spawner,
     config: DispatchConfig,
-    setup: Setup,
+    setup: DriverOptions,
     record: Option<&Path>,
-) -> Result<Rc<Hub>, GatewayError> {
+) -> Result<Rc<Driver>, GatewayError> {
     let record: Option<Box<dyn Write>> = match record {
         Some(path) => {
             let file = File::create(path).map_err(|source| GatewayError::File {
@@ -225,13 +225,13 @@
         None => None,
     };
     let dispatcher = Dispatcher::new(config, Time(0))?;
-    Ok(Hub::new(spawner.clone(), dispatcher, setup, record))
+    Ok(Driver::new(spawner.clone(), dispatcher, setup, record))
 }
 
 /// Starts the node in the fleet that the settings name; with the address where its peers reach it.
 fn join_fleet(
     spawner: &Spawner,
-    hub: &Rc<Hub>,
+    hub: &Rc<Driver>,
     fleet: Option<&Fleet>,
     options: &Options,
 ) -> Result<Option<(Rc<fleet::FleetMember>, SocketAddr)>, GatewayError> {
@@ -271,7 +271,7 @@
     fn start(
         mut self,
         spawner: &Spawner,
-        hub: &Rc<Hub>,
+        hub: &Rc<Driver>,
         apply: ApplyWorkers,
     ) -> Result<(), GatewayError> {
         if let Some(functions) = &self.embedded {
@@ -289,21 +289,21 @@
 }
 
 /// In a fleet the node passes on which workers drain, and knows which the others saw drain.
-fn apply_workers(hub: Rc<Hub>, member: Option<Rc<fleet::FleetMember>>) -> ApplyWorkers {
-    let worker = |line: WorkerLine| Worker {
-        listed: line.listed,
+fn apply_workers(hub: Rc<Driver>, member: Option<Rc<fleet::FleetMember>>) -> ApplyWorkers {
+    let worker = |line: WorkerLine| WorkerEndpoint {
+        record: line.listed,
         address: line.address,
     };
     Rc::new(move |workers: Vec<WorkerLine>| match &member {
         Some(member) => member.update_workers(workers),
-        None => hub.list(workers.into_iter().map(worker).collect()),
+        None => hub.set_workers(workers.into_iter().map(worker).collect()),
     })
 }
 
-async fn log_totals(hub: Rc<Hub>) {
+async fn log_totals(hub: Rc<Driver>) {
     loop {
         hub.spawner.sleep(TOTALS_INTERVAL).await;
-        let (account, open) = hub.account();
+        let (account, open) = hub.counters();
         tracing::info!(%account, open, "totals");
     }
 }
--- a/programs/gateway/src/worker_list.rs
+++ b/programs/gateway/src/worker_list.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
 use tansy_dispatch::Input;
-use tansy_net_inference::Hub;
+use tansy_net_inference::Driver;
 use tansy_settings::WorkerLine;
 
 /// Time between two looks at the file.
@@ -55,7 +55,7 @@
     /// a gateway that starts without workers by a slip serves nobody.
     pub(crate) fn watch(
         mut self,
-        hub: Rc<Hub>,
+        hub: Rc<Driver>,
         fixed: Vec<WorkerLine>,
         apply: ApplyWorkers,
     ) -> Result<(), GatewayError> {
--- a/tests/compatibility/src/inference.rs
+++ b/tests/compatibility/src/inference.rs
@@ -106,8 +106,11 @@
     let (piece, response) = (piece().encode_to_vec(), response().encode_to_vec());
     vec![
         ("request", request().encode_to_vec()),
-        ("amended-piece", amend::piece(&piece, "ours", false)),
-        ("amended-response", amend::response(&response, "ours")),
+        (
+            "amended-piece",
+            amend::stream_response(&piece, "ours", false),
+        ),
+        ("amended-response", amend::infer_response(&response, "ours")),
         ("piece", piece),
         ("response", response),
         (
@@ -118,7 +121,7 @@
             "stream-error-for-good",
             amend::stream_error("chat", "ours", "refused".into(), None),
         ),
-        ("empty-final", amend::empty_final("chat", "ours")),
+        ("empty-final", amend::empty_final_response("chat", "ours")),
         ("load-report", report().encode_to_vec()),
     ]
 }
--- a/tests/compatibility/src/json.rs
+++ b/tests/compatibility/src/json.rs
@@ -6,7 +6,7 @@
     AffectedCalls, Compatibility, ExpiredLeasePolicy, FieldChange, Restrictiveness, Value,
 };
 use tansy_agreement::log::LogEntry;
-use tansy_fleet::show::{ChangeLine, FleetLine, FrontLine, VersionLine};
+use tansy_fleet::rows::{FieldChangeRow, FleetStatus, FrontEndStatus, VersionRow};
 use tansy_fleet_wire::{pb, roll_entry};
 use tansy_rollout::{
     InconclusivePolicy, Rollout, RolloutChange, RolloutEntry, RolloutPhase, RolloutPlan,
@@ -21,7 +21,7 @@
     let mut all: Vec<RolloutEntry> = voters::entries().into_iter().filter_map(of).collect();
     for undecided in [
         InconclusivePolicy::Hold,
-        InconclusivePolicy::Back,
+        InconclusivePolicy::RollBack,
         InconclusivePolicy::Pass,
     ] {
         all.push(RolloutEntry::Begin {
@@ -101,7 +101,7 @@
 pub fn printed() -> Vec<String> {
     let state = tansy_fleet_wire::state(&fleet::later());
     let front = |phase: pb::Phase| {
-        FrontLine::of(&pb::StatusReply {
+        FrontEndStatus::of(&pb::StatusReply {
             name: "front-1".into(),
             process: Some(tansy_fleet_wire::process(&fleet::sender())),
             keeps_log: true,
@@ -116,18 +116,18 @@
             ..Default::default()
         })
     };
-    let silent = FrontLine::silent("10.0.0.2:7000".into(), "no answer".into());
-    let of_fleet = FleetLine {
+    let silent = FrontEndStatus::silent("10.0.0.2:7000".into(), "no answer".into());
+    let of_fleet = FleetStatus {
         fleet: "pool".into(),
-        seat: "10.0.0.1:7000".into(),
-        fronts: vec![
+        leader: "10.0.0.1:7000".into(),
+        front_ends: vec![
             front(pb::Phase::Told),
             front(pb::Phase::Joint),
             front(pb::Phase::Back),
             silent,
         ],
         away: vec!["front-3".into()],
-        contested: vec!["class chat".into()],
+        conflicting: vec!["class chat".into()],
         waits_for: vec!["front-2".into()],
         waits_for_leases: true,
         changing: [("f".to_string(), vec!["front-2".to_string()])].into(),
@@ -145,7 +145,7 @@
         Compatibility::Free,
     ];
     let change = |(touch, kind): (AffectedCalls, Compatibility)| {
-        ChangeLine::of(&FieldChange {
+        FieldChangeRow::of(&FieldChange {
             path: "front.streams".into(),
             old: None,
             new: Some(Value::Span(250_000)),
@@ -153,8 +153,8 @@
             affected: touch,
         })
     };
-    let changes: Vec<ChangeLine> = touches.into_iter().zip(kinds).map(change).collect();
-    let version = |force, next| VersionLine::of(&fleet::later().in_force, force, next);
+    let changes: Vec<FieldChangeRow> = touches.into_iter().zip(kinds).map(change).collect();
+    let version = |force, next| VersionRow::of(&fleet::later().in_force, force, next);
     let history = [version(7, 0), version(6, 7), version(8, 0)];
     vec![line(&of_fleet), line(&changes), line(&history)]
 }
