--- a/settings/src/read.rs
+++ b/settings/src/read.rs
@@ -212,14 +212,15 @@
     let zone = index_of(front, "zone", "front.zone", &zones, 0, errors);
     check_number(front, errors)?;
     let class_names: Vec<String> = classes.iter().map(|(name, _)| name.to_string()).collect();
-    let mut router_classes = Vec::new();
-    for (name, record) in &classes {
-        router_classes.push(class(*record, name, errors)?);
-    }
-    let mut function_specs = Vec::new();
-    for (name, record) in &functions {
-        function_specs.extend(function(name, *record, &class_names, errors));
-    }
+    let router_classes: Option<Vec<router::Class>> = classes
+        .iter()
+        .map(|(name, record)| class(*record, name, errors))
+        .collect();
+    let router_classes = router_classes?;
+    let function_specs = functions
+        .iter()
+        .filter_map(|(name, record)| function(name, *record, &class_names, errors))
+        .collect();
     let sections = Sections {
         all,
         front,
