--- /dev/null
+++ b/simulation/src/bin/tansy-lab.rs
@@ -0,0 +1,7 @@
+//! `tansy-lab`, the former name of `tansy-sim`: takes the same command line.
+
+use std::process::ExitCode;
+
+fn main() -> ExitCode {
+    tansy_simulation::cli::main()
+}
--- a/model/src/main.rs
+++ b/simulation/src/cli.rs
@@ -1,9 +1,9 @@
-//! `tansy-lab`: plays fleets of front ends in virtual time.
+//! The command line of `tansy-sim` and of its former name `tansy-lab`.
 
+use crate::agree::{faults, many, run, script, Plant, Play};
+use crate::size::{Quantiles, Size, Tier};
 use clap::{Parser, Subcommand, ValueEnum};
 use std::process::ExitCode;
-use tansy_model::agree::{faults, many, run, script, Plant, Play};
-use tansy_model::size::{Quantiles, Size, Tier};
 
 /// Fleets of front ends in virtual time.
 #[derive(Parser)]
@@ -197,7 +197,7 @@
     rolling_seconds: i64,
     wall_seconds: f64,
     #[serde(flatten)]
-    report: &'a tansy_model::size::Report,
+    report: &'a crate::size::Report,
 }
 
 /// The options of a scenario, as far as they differ from none.
@@ -232,7 +232,7 @@
         SizeTier::Whole => Tier::Whole,
         SizeTier::Hollow => Tier::Hollow,
     };
-    let seconds = |n: i64| n.clamp(0, 1_000_000) * tansy_model::fault::SECOND;
+    let seconds = |n: i64| n.clamp(0, 1_000_000) * crate::fault::SECOND;
     let mut ok = true;
     for &fronts in &a.front_ends {
         let fronts = fronts.clamp(2, 1 << 16);
@@ -270,11 +270,11 @@
             ..Play::of(fronts)
         };
         play.terms.span = a.lease.clamp(1, 3_600_000) * 1000;
-        play.ways = tansy_model::size::WAYS;
-        for (report, wall_seconds) in tansy_model::size::many(&play, a.from, a.seeds, threads) {
+        play.ways = crate::size::WAYS;
+        for (report, wall_seconds) in crate::size::many(&play, a.from, a.seeds, threads) {
             ok &= report.ok;
             let command = format!(
-                "tansy-lab size --front-ends {fronts} --tier {} --seats {seats} --seeds 1 --from {} --seconds {} --regions {} \
+                "tansy-sim size --front-ends {fronts} --tier {} --seats {seats} --seeds 1 --from {} --seconds {} --regions {} \
                  --changes-hour {} --strict-every {} --burst {} --away-hour {} --dead {} --cut-regions {} --cut-seconds {cut_seconds} --stay {} \
                  --lease {} --functions {} --by-scope {}{} --json",
                 format!("{tier:?}").to_lowercase(), report.seed, a.seconds, a.regions, a.changes_hour, a.strict_every, a.burst, a.away_hour,
@@ -373,7 +373,7 @@
 }
 
 fn roll(a: RollArguments) -> ExitCode {
-    use tansy_model::roll::{many, Harm, Play, Rule};
+    use crate::roll::{many, Harm, Play, Rule};
     let threads = threads_or_all(a.threads);
     let harms: Vec<Harm> = match a.null {
         true => vec![Harm::None],
@@ -425,10 +425,7 @@
             played.push(s);
         }
     }
-    if let Some(Err(e)) = a
-        .plot
-        .map(|path| tansy_model::plot::stopped(&path, &played))
-    {
+    if let Some(Err(e)) = a.plot.map(|path| crate::plot::stopped(&path, &played)) {
         eprintln!("{e}");
         return ExitCode::from(2);
     }
@@ -471,7 +468,8 @@
     }
 }
 
-fn main() -> ExitCode {
+/// Parses the command line of the process and runs the simulation it asks for.
+pub fn main() -> ExitCode {
     let what = match Arguments::parse().what {
         What::Roll(a) => return roll(a),
         What::Size(a) => return size(a),
@@ -560,7 +558,7 @@
             .take(5)
             .for_each(|(seed, what)| println!("  seed {seed}: {what}"));
     }
-    if let Some(Err(e)) = plot.map(|path| tansy_model::plot::in_force(&path, &played)) {
+    if let Some(Err(e)) = plot.map(|path| crate::plot::in_force(&path, &played)) {
         eprintln!("{e}");
         return ExitCode::from(2);
     }
--- a/model/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -5,6 +5,7 @@
 //! of threads.
 
 pub mod agree;
+pub mod cli;
 pub mod fault;
 pub mod letter;
 pub mod net;
--- a/model/tests/agree.rs
+++ b/simulation/tests/agree.rs
@@ -1,6 +1,6 @@
 //! Fleets in virtual time: nothing breaks through faults, what is planted is found, and a run depends on its seed alone.
 
-use tansy_model::agree::{faults, many, run, script, with, Plant, Play};
+use tansy_simulation::agree::{faults, many, run, script, with, Plant, Play};
 
 #[test]
 fn no_fleet_acts_on_contradicting_rules_through_kills_pauses_cuts_and_clocks() {
--- a/model/tests/letter.rs
+++ b/simulation/tests/letter.rs
@@ -15,7 +15,7 @@
 use tansy_fleet_node::{Leader, MessageBody};
 use tansy_fleet_wire::encode_message;
 use tansy_membership::NodeId;
-use tansy_model::letter::size;
+use tansy_simulation::letter::size;
 
 /// Numbers of all lengths, nought among them.
 fn number(rng: &mut fastrand::Rng) -> u64 {
--- a/model/tests/roll.rs
+++ b/simulation/tests/roll.rs
@@ -1,6 +1,6 @@
 //! Whole rolls: what harms is stopped, what changes nothing is not, a loss that both sides share is blamed on neither.
 
-use tansy_model::roll::{many, Harm, Play};
+use tansy_simulation::roll::{many, Harm, Play};
 
 fn stopped(harm: Harm) -> (f64, f64) {
     let s = many(
--- a/model/tests/scopes.rs
+++ b/simulation/tests/scopes.rs
@@ -1,9 +1,9 @@
 //! Settings by scope in fleets in virtual time: nothing breaks through faults, what is planted is found, and a fleet at its
 //! size changes functions one by one.
 
-use tansy_model::agree::{many, run, Plant, Play};
-use tansy_model::fault::SECOND;
-use tansy_model::size::{run as size, Size, Tier, WAYS};
+use tansy_simulation::agree::{many, run, Plant, Play};
+use tansy_simulation::fault::SECOND;
+use tansy_simulation::size::{run as size, Size, Tier, WAYS};
 
 fn play() -> Play {
     Play {
--- a/model/tests/size.rs
+++ b/simulation/tests/size.rs
@@ -1,9 +1,9 @@
 //! Fleets at their size: the hollow tier measures what the whole one does, its runs depend on their seeds alone, and the
 //! audit finds in it what is planted.
 
-use tansy_model::agree::{run as agree, Plant, Play};
-use tansy_model::fault::SECOND;
-use tansy_model::size::{run, Report, Size, Tier, WAYS};
+use tansy_simulation::agree::{run as agree, Plant, Play};
+use tansy_simulation::fault::SECOND;
+use tansy_simulation::size::{run, Report, Size, Tier, WAYS};
 
 fn play(tier: Tier, fronts: usize, size: Size) -> Play {
     let mut play = Play {
