--- a/simulation/src/cli.rs
+++ b/simulation/src/cli.rs
@@ -1,6 +1,6 @@
 //! The command line of `tansy-sim` and of its former name `tansy-lab`.
 
-use crate::agree::{faults, many, run, script, Plant, Play};
+use crate::fleet::{faults, many, run, shortest_faults, PlantedDefect, SimulationOptions};
 use crate::size::{Quantiles, Size, Tier};
 use clap::{Parser, Subcommand, ValueEnum};
 use std::process::ExitCode;
@@ -262,15 +262,15 @@
             rolling: a.rolling.min(fronts),
             rolling_away: seconds(rolling_seconds),
         };
-        let mut play = Play {
+        let mut play = SimulationOptions {
             tier,
-            seats,
-            stay: seconds(a.stay.max(1)),
+            voters: seats,
+            session: seconds(a.stay.max(1)),
             size: Some(size),
-            ..Play::of(fronts)
+            ..SimulationOptions::of(fronts)
         };
-        play.terms.span = a.lease.clamp(1, 3_600_000) * 1000;
-        play.ways = crate::size::WAYS;
+        play.lease.span = a.lease.clamp(1, 3_600_000) * 1000;
+        play.network = crate::size::WAYS;
         for (report, wall_seconds) in crate::size::many(&play, a.from, a.seeds, threads) {
             ok &= report.ok;
             let command = format!(
@@ -373,41 +373,45 @@
 }
 
 fn roll(a: RollArguments) -> ExitCode {
-    use crate::roll::{many, Harm, Play, Rule};
+    use crate::rollout::{many, DecisionRule, Regression, RolloutOptions};
     let threads = threads_or_all(a.threads);
-    let harms: Vec<Harm> = match a.null {
-        true => vec![Harm::None],
+    let regressions: Vec<Regression> = match a.null {
+        true => vec![Regression::None],
         false => vec![
-            Harm::None,
-            Harm::All(0.03),
-            Harm::All(0.05),
-            Harm::All(0.1),
-            Harm::All(0.2),
-            Harm::Class(0.1),
-            Harm::Zone(0.05),
-            Harm::Late(0.05),
-            Harm::Slow(0.03),
-            Harm::Shed(0.05),
-            Harm::Leak(1.0),
-            Harm::ZoneLost,
-            Harm::Doubles,
+            Regression::None,
+            Regression::All(0.03),
+            Regression::All(0.05),
+            Regression::All(0.1),
+            Regression::All(0.2),
+            Regression::Class(0.1),
+            Regression::Zone(0.05),
+            Regression::Late(0.05),
+            Regression::Slow(0.03),
+            Regression::Shed(0.05),
+            Regression::Leak(1.0),
+            Regression::ZoneLost,
+            Regression::Doubles,
         ],
     };
     let rules = match a.plain {
-        true => vec![Rule::Verdict, Rule::Threshold(0.01), Rule::OwnPast(0.01)],
-        false => vec![Rule::Verdict],
+        true => vec![
+            DecisionRule::Verdict,
+            DecisionRule::Threshold(0.01),
+            DecisionRule::OwnPast(0.01),
+        ],
+        false => vec![DecisionRule::Verdict],
     };
     let mut played = Vec::new();
     for rule in rules {
-        for harm in &harms {
-            let play = Play {
-                fronts: a.front_ends,
+        for regression in &regressions {
+            let options = RolloutOptions {
+                front_ends: a.front_ends,
                 rate: a.rate,
-                harm: *harm,
+                regression: *regression,
                 rule,
-                ..Play::default()
+                ..RolloutOptions::default()
             };
-            let s = many(&play, a.from, a.rolls, threads);
+            let s = many(&options, a.from, a.rolls, threads);
             if a.json {
                 println!("{}", serde_json::to_string(&s).unwrap_or_default());
             } else {
@@ -417,9 +421,9 @@
                     .map(|x| format!("{:.0}%", x * 100.0))
                     .collect();
                 println!(
-                    "{rule:?} {harm:?}: {} rolls, {:.2}% stopped, in stages {}; after {} s (median), {} s (90 of 100); {:.2}% of the \
+                    "{rule:?} {regression:?}: {} rolls, {:.2}% stopped, in stages {}; after {} s (median), {} s (90 of 100); {:.2}% of the \
                      calls met it; done after {} s; {:?}",
-                    s.rolls, s.stopped * 100.0, stages.join(" "), s.seconds[0], s.seconds[1], s.exposed * 100.0, s.done_seconds, s.why
+                    s.rollouts, s.stopped * 100.0, stages.join(" "), s.seconds[0], s.seconds[1], s.exposed * 100.0, s.done_seconds, s.reasons
                 );
             }
             played.push(s);
@@ -454,17 +458,17 @@
     LateDrop,
 }
 
-fn plant(m: Mistake) -> Plant {
+fn plant(m: Mistake) -> PlantedDefect {
     match m {
-        Mistake::CountedFromAnswer => Plant::CountedFromAnswer,
-        Mistake::NoJoint => Plant::NoJoint,
-        Mistake::Unsynced => Plant::Unsynced,
-        Mistake::WildClock => Plant::WildClock,
-        Mistake::NoRoster => Plant::NoRoster,
-        Mistake::NoHolders => Plant::NoHolders,
-        Mistake::NoneHold => Plant::NoneHold,
-        Mistake::OldReply => Plant::OldReply,
-        Mistake::LateDrop => Plant::LateDrop,
+        Mistake::CountedFromAnswer => PlantedDefect::CountedFromAnswer,
+        Mistake::NoJoint => PlantedDefect::NoJoint,
+        Mistake::Unsynced => PlantedDefect::Unsynced,
+        Mistake::WildClock => PlantedDefect::WildClock,
+        Mistake::NoRoster => PlantedDefect::NoRoster,
+        Mistake::NoHolders => PlantedDefect::NoHolders,
+        Mistake::NoneHold => PlantedDefect::NoneHold,
+        Mistake::OldReply => PlantedDefect::OldReply,
+        Mistake::LateDrop => PlantedDefect::LateDrop,
     }
 }
 
@@ -498,21 +502,21 @@
     let (mut broken, mut played) = (false, Vec::new());
     for fronts in front_ends {
         let seats = seats.clamp(1, fronts.max(2));
-        let mut play = Play {
-            plant: mistake.map(plant),
+        let mut play = SimulationOptions {
+            defect: mistake.map(plant),
             quiet,
-            seats,
+            voters: seats,
             spares,
             replacements,
             scopes,
-            ..Play::of(fronts.max(2))
+            ..SimulationOptions::of(fronts.max(2))
         };
-        play.terms.span = lease.clamp(1, 3_600_000) * 1000;
+        play.lease.span = lease.clamp(1, 3_600_000) * 1000;
         if let Some(seed) = seed {
             let outcome = run(&play, seed);
             println!("{}", serde_json::to_string(&outcome).unwrap_or_default());
-            if !outcome.broken.is_empty() {
-                let short = script(&play, seed);
+            if !outcome.violations.is_empty() {
+                let short = shortest_faults(&play, seed);
                 println!(
                     "{} of {} faults are enough:",
                     short.len(),
@@ -524,7 +528,7 @@
             continue;
         }
         let sum = many(&play, from, seeds, threads);
-        broken |= !sum.broken.is_empty();
+        broken |= !sum.violations.is_empty();
         played.push(sum.clone());
         if json {
             println!("{}", serde_json::to_string(&sum).unwrap_or_default());
@@ -533,27 +537,27 @@
         println!(
             "{} front ends, {} seeds: {} broke; {} versions in force, {} seats replaced, after {} ms (median), {} ms (99th), {} ms at most; \
              {:.2}% of the time without a lease, {:.2}% without a stay; {:.1} messages and {:.0} bytes a front end a second, {:.0} at the seat",
-            sum.fronts,
+            sum.front_ends,
             sum.seeds,
-            sum.broken.len(),
+            sum.violations.len(),
             sum.in_force,
             sum.replaced,
-            sum.force_ms[0],
-            sum.force_ms[1],
-            sum.force_ms[2],
-            sum.lapsed * 100.0,
-            sum.stayless * 100.0,
+            sum.in_force_ms[0],
+            sum.in_force_ms[1],
+            sum.in_force_ms[2],
+            sum.without_lease * 100.0,
+            sum.without_session * 100.0,
             sum.messages,
             sum.bytes,
-            sum.seat_messages,
+            sum.voter_messages,
         );
         if scopes > 0 {
             println!(
                 "{} changes of scopes in force, {} given up",
-                sum.scopes_in_force, sum.scopes_back
+                sum.scopes_in_force, sum.scopes_reverted
             );
         }
-        sum.broken
+        sum.violations
             .iter()
             .take(5)
             .for_each(|(seed, what)| println!("  seed {seed}: {what}"));
--- /dev/null
+++ b/simulation/src/fleet/audit.rs
@@ -0,0 +1,250 @@
+//! The audit: all voters have one log, no front end acts on what contradicts it, and all agree again at the end.
+
+use super::process::{Authority, Process};
+use super::{PlantedDefect, Simulation};
+use crate::fault::{Time, SECOND};
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+use tansy_agreement::compatibility::{
+    contradictions, rules_after_expiry, rules_without_lease, EffectiveRules,
+};
+use tansy_agreement::log::{ChangePhase, FleetState, LogEntry, Version};
+use tansy_fleet_node::FleetNode;
+
+/// A front end that lost its lease so shortly before the end is not one that found no way back.
+const SHORT_LOSS: Time = 2 * SECOND;
+
+/// What the audit knows of a run.
+#[derive(Default)]
+pub(super) struct Audit {
+    /// What is agreed on, as the voter has it that applied most.
+    agreed: Option<AgreedState>,
+    /// What voters had after each number of entries.
+    logs: BTreeMap<u64, AppliedLog>,
+    /// The voters, by what is agreed on.
+    pub(super) voters: Vec<u64>,
+    /// What was compared: a revision, a version in force, and an authority.
+    compared: BTreeSet<(u64, u64, Authority)>,
+    /// When each version was first seen in the agreed log.
+    proposed: BTreeMap<Version, Time>,
+    /// The last version in force that is not everywhere yet, and when it was proposed.
+    awaited: Option<(Version, Time)>,
+    /// A process that was behind the awaited version when last looked at.
+    lagging: usize,
+}
+
+/// What is agreed on.
+struct AgreedState {
+    /// Entries applied.
+    entries: u64,
+    state: Rc<FleetState>,
+    has_open_changes: bool,
+}
+
+/// What a voter has after a number of entries.
+#[derive(Clone, PartialEq)]
+struct AppliedLog {
+    state: Rc<FleetState>,
+    voters: Vec<u64>,
+}
+
+impl Simulation<'_> {
+    /// Compares what a process knows to be agreed on with the others: all have to have one order of it.
+    pub(super) fn audit_log(&mut self, index: usize) {
+        let process = &mut self.processes[index];
+        let Some((applied, log)) = process.node.as_ref().and_then(FleetNode::agreed) else {
+            return;
+        };
+        // A log is another only when more was applied to it.
+        let audited = Some((process.incarnation, applied));
+        if std::mem::replace(&mut process.audited, audited) == audited {
+            return;
+        }
+        // An unchanged state is shared, not copied: there is one for each number of entries.
+        let agreed = self.audit.agreed.as_ref().map(|agreed| &agreed.state);
+        let state = agreed
+            .filter(|state| ***state == *log.state())
+            .cloned()
+            .unwrap_or_else(|| Rc::new(log.state().clone()));
+        let has_open_changes = log.has_open_changes();
+        let here = AppliedLog {
+            state,
+            voters: log.voters().keys().copied().collect(),
+        };
+        let known = self.audit.logs.entry(applied);
+        let known = known.or_insert_with(|| here.clone());
+        if *known != here {
+            let violation = format!(
+                "has step {} and seats {:?} after {applied} entries, another has step {} and seats {:?}",
+                here.state.revision.0, here.voters, known.state.revision.0, known.voters
+            );
+            return self.report_violation(index, violation);
+        }
+        self.scopes_compare(index, applied);
+        let agreed = self.audit.agreed.as_ref();
+        if agreed.is_none_or(|agreed| agreed.entries < applied) {
+            self.advance_agreed(index, applied, here, has_open_changes);
+        }
+    }
+
+    /// More is agreed on than before: everyone is audited by it.
+    fn advance_agreed(
+        &mut self,
+        index: usize,
+        entries: u64,
+        log: AppliedLog,
+        has_open_changes: bool,
+    ) {
+        let AppliedLog { state, voters } = log;
+        self.track_voters(voters);
+        self.track_versions(&state);
+        let from = state.revision;
+        let joint = matches!(state.next, Some((_, ChangePhase::Joint)));
+        let agreed = self.audit.agreed.as_ref();
+        let state_changed = agreed.is_none_or(|agreed| agreed.state != state);
+        self.audit.agreed = Some(AgreedState {
+            entries,
+            state,
+            has_open_changes,
+        });
+        let scopes_changed = self.scopes_moved(index);
+        // An entry about members changes nothing that is acted on.
+        if scopes_changed || state_changed {
+            for process in 0..self.processes.len() {
+                self.audit_process(process);
+            }
+        }
+        if joint && self.options.has_defect(PlantedDefect::NoJoint) {
+            if let Some((leader, _)) = self.leader() {
+                self.request(leader, 0, LogEntry::Advance { from });
+            }
+        }
+    }
+
+    fn track_voters(&mut self, voters: Vec<u64>) {
+        if self.audit.voters == voters {
+            return;
+        }
+        let replaced = voters.len() == self.options.voters && !self.audit.voters.is_empty();
+        self.result.replaced += u64::from(replaced);
+        self.audit.voters = voters;
+    }
+
+    /// Notes when versions are proposed and come in force.
+    fn track_versions(&mut self, state: &FleetState) {
+        let audit = &mut self.audit;
+        if let Some((next, _)) = &state.next {
+            audit.proposed.entry(next.version).or_insert(self.now);
+        }
+        let agreed = audit.agreed.as_ref();
+        let before = agreed.map_or(Version(1), |agreed| agreed.state.in_force.version);
+        let version = state.in_force.version;
+        if version > before {
+            self.result.in_force += 1;
+            let proposed = audit.proposed.get(&version).copied().unwrap_or(self.now);
+            audit.awaited = Some((version, proposed));
+        }
+    }
+
+    /// Measures the time until a version is in force at every front end that runs.
+    pub(super) fn measure_in_force(&mut self) {
+        self.scopes_reached();
+        let Some((version, since)) = self.audit.awaited else {
+            return;
+        };
+        let is_behind = |process: &Process| match process.acting_state(self.now) {
+            Some((state, Authority::Leased)) if process.is_running() => {
+                state.in_force.version < version
+            }
+            _ => false,
+        };
+        // The one that was behind is looked at first: while it is, no other needs to be.
+        let count = self.processes.len();
+        let behind = (0..count)
+            .map(|offset| (self.audit.lagging + offset) % count)
+            .find(|index| is_behind(&self.processes[*index]));
+        self.audit.lagging = behind.unwrap_or(0);
+        if behind.is_some() {
+            return;
+        }
+        let milliseconds = ((self.now - since) / 1000) as u64;
+        self.result.in_force_ms.push(milliseconds);
+        if let Some(scale) = &mut self.scale {
+            scale.in_force(self.now, version);
+        }
+        self.audit.awaited = None;
+    }
+
+    /// Compares what a process would act on now with what is in force by the agreed log.
+    pub(super) fn audit_process(&mut self, index: usize) {
+        self.judge_scopes(index);
+        let process = &self.processes[index];
+        let (true, Some(agreed)) = (process.is_running(), &self.audit.agreed) else {
+            return;
+        };
+        let Some((known, authority)) = process.acting_state(self.now) else {
+            return;
+        };
+        let in_force = &agreed.state.in_force;
+        let (revision, agreed_revision) = (known.revision, agreed.state.revision);
+        if authority == Authority::Leased && revision > agreed_revision {
+            let violation = format!(
+                "acts on step {}, agreed is {}",
+                revision.0, agreed_revision.0
+            );
+            return self.report_violation(index, violation);
+        }
+        // The same revision was compared with the same version before.
+        let comparison = (revision.0, in_force.version.0, authority);
+        if !self.audit.compared.insert(comparison) {
+            return;
+        }
+        let rules: EffectiveRules = match authority {
+            Authority::Leased => known.rules(&self.schema),
+            Authority::SessionOnly => rules_without_lease(&self.schema, known.rules(&self.schema)),
+            Authority::Expired => rules_after_expiry(&self.schema, &known.in_force.fields),
+        };
+        let contradictions = contradictions(&self.schema, &in_force.fields, &rules);
+        if let Some((path, _)) = contradictions.first() {
+            let violation = format!(
+                "{} at step {}: {path} against version {}",
+                authority.label(),
+                revision.0,
+                in_force.version.0
+            );
+            self.report_violation(index, violation);
+        }
+    }
+
+    /// At the end, once all faults are over, every process has to act on what is agreed on, and every change to be over.
+    pub(super) fn audit_end(&mut self) {
+        for index in 0..self.processes.len() {
+            self.account(index);
+            let process = &self.processes[index];
+            let applies = process.is_running() && self.result.violations.is_empty();
+            if let (Some(lack), true) = (self.lack_at_end(process), applies) {
+                self.report_violation(index, format!("{lack} after all faults are over"));
+            }
+        }
+        let agreed = self.audit.agreed.as_ref();
+        let open = agreed.is_none_or(|agreed| agreed.has_open_changes);
+        if open && self.result.violations.is_empty() {
+            self.report_violation(0, "has a change that never ended".into());
+        }
+    }
+
+    /// What a process lacks to act on what is agreed on; none: nothing.
+    fn lack_at_end(&self, process: &Process) -> Option<String> {
+        let agreed = self.audit.agreed.as_ref();
+        let agreed_revision = agreed.map(|agreed| agreed.state.revision);
+        match process.acting_state(self.now) {
+            Some((state, Authority::Leased)) if agreed_revision == Some(state.revision) => None,
+            Some((state, Authority::Leased)) => {
+                Some(format!("still acts on step {}", state.revision.0))
+            }
+            _ if self.now - process.last_leased < SHORT_LOSS => None,
+            Some((_, Authority::Expired)) | None => Some("holds no stay".into()),
+            Some((_, Authority::SessionOnly)) => Some("holds no lease".into()),
+        }
+    }
+}
--- /dev/null
+++ b/simulation/src/fleet/lifecycle.rs
@@ -0,0 +1,154 @@
+//! Processes start, end, stand still and go on.
+
+use super::process::{address_of, draw_clock_offset, id_of};
+use super::{settings, PlantedDefect, Simulation};
+use tansy_agreement::compatibility::Compatibility;
+use tansy_agreement::lease::LeaseTiming;
+use tansy_fleet_node::{FleetNode, FleetNodeConfig, RecoveredState};
+use tansy_membership::{GossipTiming, NodeId};
+
+impl Simulation<'_> {
+    /// Starts a process, unless it is started, with what its disk has.
+    pub(super) fn start(&mut self, index: usize) {
+        if self.processes[index].node.is_some() {
+            return;
+        }
+        let seed = self.rng.u64(..);
+        let process = &mut self.processes[index];
+        process.incarnation += 1;
+        process.accounted = self.now;
+        process.started = self.now;
+        process.joined = false;
+        // A new process has a clock of its own beginning.
+        process.clock_offset = draw_clock_offset(&mut self.rng);
+        let local_now = process.local_time(self.now);
+        let functions = self.options.size.as_ref().map_or(0, |size| size.functions);
+        let recovered = self.disks.get(index).map(|disk| RecoveredState {
+            persistent: disk.persisted.clone(),
+            initial_fields: settings::initial_fields(functions),
+        });
+        match FleetNode::new(self.node_config(index, seed), recovered, local_now) {
+            Ok(mut node) => {
+                if let Some(shared) = &mut self.shared {
+                    node.update_members(shared.directory(&self.network, index));
+                    shared.news(self.now, index, node.setup().node.clone(), true, false);
+                }
+                self.processes[index].node = Some(node);
+            }
+            Err(error) => return self.report_violation(index, error.to_string()),
+        }
+        self.step_node(index, FleetNode::tick);
+    }
+
+    fn node_config(&self, index: usize, seed: u64) -> FleetNodeConfig {
+        let options = self.options;
+        let wide = options.size.is_some();
+        let incarnation = self.processes[index].incarnation;
+        FleetNodeConfig {
+            fleet: 1,
+            name: format!("f{index}"),
+            node: NodeId::new(id_of(index, wide), incarnation, address_of(index)),
+            voters: (0..options.voters)
+                .map(|voter| (id_of(voter, wide), address_of(voter)))
+                .collect(),
+            lease: options.lease,
+            session: LeaseTiming {
+                span: options.session,
+                ..options.lease
+            },
+            gossip: GossipTiming {
+                size: options.front_ends as u32,
+                ..GossipTiming::default()
+            },
+            schema: if index < self.disks.len() {
+                settings::schema_with(self.strict_compatibility())
+            } else {
+                settings::schema()
+            },
+            seed,
+        }
+    }
+
+    /// What a voter takes strict fields for.
+    fn strict_compatibility(&self) -> Compatibility {
+        if self.options.has_defect(PlantedDefect::NoRoster) {
+            Compatibility::Free
+        } else {
+            Compatibility::Strict
+        }
+    }
+
+    /// A process ends; `notified`: the others were notified of it.
+    pub(super) fn stop(&mut self, index: usize, notified: bool) {
+        self.account(index);
+        self.ended(index, notified);
+        let process = &mut self.processes[index];
+        process.node = None;
+        process.paused = None;
+        process.scheduled_deadline = crate::fault::Time::MAX;
+        if let Some(disk) = self.disks.get_mut(index) {
+            // What was not persisted is lost, or some of it, or none.
+            let survives = self.rng.usize(0..=disk.written.len());
+            for _ in 0..survives {
+                disk.persist_next();
+            }
+            disk.written.clear();
+            disk.unacknowledged = 0;
+        }
+    }
+
+    /// A process stands still; one that does already goes on doing so.
+    pub(super) fn pause(&mut self, index: usize) {
+        self.account(index);
+        let process = &mut self.processes[index];
+        if process.node.is_none() {
+            process.paused = None;
+        } else {
+            process.paused.get_or_insert_default();
+        }
+    }
+
+    /// A process goes on: first with what its disk persisted meanwhile, then with the messages that arrived.
+    pub(super) fn resume(&mut self, index: usize) {
+        let messages = self.processes[index].paused.take().unwrap_or_default();
+        let disk = self.disks.get_mut(index);
+        let persisted = disk.map_or(0, |disk| std::mem::take(&mut disk.unacknowledged));
+        for _ in 0..persisted {
+            self.acknowledge_persisted(index);
+        }
+        for (from, leader, body) in messages {
+            self.receive(index, &from, leader, body);
+        }
+        self.step_node(index, FleetNode::tick);
+    }
+
+    /// The next record of a process is on its disk. The disk goes on while the process stands still; that is notified
+    /// when it goes on.
+    pub(super) fn on_persisted(&mut self, index: usize, incarnation: u64) {
+        let process = &self.processes[index];
+        if process.incarnation != incarnation || process.node.is_none() {
+            return;
+        }
+        self.disks[index].persist_next();
+        if self.options.has_defect(PlantedDefect::Unsynced) {
+            return;
+        }
+        if self.processes[index].is_running() {
+            self.acknowledge_persisted(index);
+        } else {
+            self.disks[index].unacknowledged += 1;
+        }
+    }
+
+    fn acknowledge_persisted(&mut self, index: usize) {
+        self.step_node(index, |node, now, commands| {
+            node.on_persisted(now, Ok(()), commands)
+        });
+    }
+
+    /// Counts the time that a process was up, and without a lease or a session.
+    pub(crate) fn account(&mut self, index: usize) {
+        let now = self.now;
+        self.processes[index].account(now);
+    }
+}
--- /dev/null
+++ b/simulation/src/fleet/simulation.rs
@@ -0,0 +1,253 @@
+//! One run: its state, how it is set up, and the loop over its events.
+
+use super::audit::Audit;
+use super::event::{Event, EventQueue};
+use super::process::{Disk, Process};
+use super::{settings, PlantedDefect, SimulationOptions, SimulationResult};
+use crate::fault::{Fault, Time, SECOND};
+use crate::network::Network;
+use crate::scope::Scopes;
+use crate::size::{Scale, Shared, Tier, SINCE};
+use tansy_agreement::compatibility::Schema;
+use tansy_agreement::log::FleetState;
+use tansy_fleet_node::FleetNode;
+
+/// A run with more violations than these is not played on.
+const VIOLATIONS: usize = 4;
+/// How far the clock rates are off where [`PlantedDefect::WildClock`] is planted.
+const WILD_RATE: f64 = 0.4;
+
+/// One run.
+pub(crate) struct Simulation<'a> {
+    pub(crate) options: &'a SimulationOptions,
+    pub(crate) rng: fastrand::Rng,
+    pub(crate) network: Network,
+    /// The true time.
+    pub(crate) now: Time,
+    queue: EventQueue,
+    pub(crate) processes: Vec<Process>,
+    /// The disks of the candidates, which are the first processes.
+    pub(crate) disks: Vec<Disk>,
+    pub(crate) schema: Schema,
+    pub(super) audit: Audit,
+    pub(crate) result: SimulationResult,
+    /// The measurements at scale, where they are asked for.
+    pub(crate) scale: Option<Box<Scale>>,
+    /// The directories of the hollow tier.
+    pub(crate) shared: Option<Shared>,
+    pub(crate) scopes: Option<Scopes>,
+    pub(super) sent: SentMessages,
+}
+
+/// Messages sent in a run.
+#[derive(Default)]
+pub(super) struct SentMessages {
+    pub(super) messages: u64,
+    pub(super) bytes: u64,
+    /// Those of them from or to a voter.
+    pub(super) voter_messages: u64,
+}
+
+impl<'a> Simulation<'a> {
+    /// Draws the run of this seed, and schedules what happens in it.
+    pub(crate) fn new(
+        options: &'a SimulationOptions,
+        seed: u64,
+        faults: &[Fault],
+    ) -> Simulation<'a> {
+        let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
+        let rate_bound = if options.has_defect(PlantedDefect::WildClock) {
+            WILD_RATE
+        } else {
+            options.lease.drift_ppm as f64 / 1e6
+        };
+        let incarnation = if options.size.is_some() { SINCE } else { 0 };
+        let processes = (0..options.front_ends)
+            .map(|_| Process::new(&mut rng, incarnation, rate_bound))
+            .collect();
+        let scale = options.size.clone();
+        let mut simulation = Simulation {
+            options,
+            network: Network::new(options.network, faults),
+            now: 0,
+            queue: EventQueue::default(),
+            processes,
+            disks: (0..options.candidates()).map(|_| Disk::default()).collect(),
+            schema: settings::schema(),
+            audit: Audit::default(),
+            result: SimulationResult {
+                seed,
+                ..SimulationResult::default()
+            },
+            scale: scale.map(|size| Box::new(Scale::new(size, options.front_ends))),
+            shared: (options.tier == Tier::Hollow).then(|| Shared::new(options.front_ends)),
+            scopes: None,
+            sent: SentMessages::default(),
+            rng,
+        };
+        simulation.schedule_starts();
+        let scopes = options
+            .size
+            .as_ref()
+            .map_or(options.scopes, |size| size.by_scope);
+        simulation.scopes = (scopes > 0)
+            .then(|| Scopes::new(scopes, options.front_ends, seed, options.size.is_none()));
+        simulation.size_begins();
+        match &options.size {
+            Some(size) => simulation.network.place(size.regions, &mut simulation.rng),
+            None => simulation.schedule_faults_and_changes(faults),
+        }
+        simulation
+    }
+
+    fn schedule_starts(&mut self) {
+        let front_ends = self.options.front_ends;
+        let within = match self.scale {
+            Some(_) => Scale::starts(front_ends),
+            None => SECOND / 2,
+        };
+        for process in 0..front_ends {
+            let at = self.rng.i64(0..within);
+            self.schedule(at, Event::Start { process });
+        }
+    }
+
+    fn schedule_faults_and_changes(&mut self, faults: &[Fault]) {
+        for fault in faults {
+            match *fault {
+                Fault::Kill { who, at, away } => {
+                    self.schedule(at, Event::Stop { process: who });
+                    self.schedule(at + away, Event::Start { process: who });
+                }
+                Fault::Pause { who, at, away } => {
+                    self.schedule(at, Event::Pause { process: who });
+                    self.schedule(at + away, Event::Resume { process: who });
+                }
+                _ => {}
+            }
+        }
+        self.scopes_begin();
+        let changes_until = self.options.faults_until + self.options.calm / 4;
+        for _ in 0..self.options.replacements {
+            let at = self.rng.i64(SECOND..changes_until);
+            self.schedule(at, Event::ReplaceVoter);
+        }
+        for _ in 0..self.options.changes {
+            let at = self.rng.i64(SECOND..changes_until);
+            self.schedule(at, Event::Propose);
+            if self.rng.u32(0..5) == 0 {
+                let later = self.rng.i64(0..SECOND);
+                self.schedule(at + later, Event::Abandon);
+            }
+        }
+    }
+
+    /// Schedules an event; one that is due is the next.
+    pub(crate) fn schedule(&mut self, at: Time, event: Event) {
+        self.queue.push(at.max(self.now), event);
+    }
+
+    /// Plays the events up to the end of the run, or up to too many violations.
+    pub(crate) fn play(&mut self) {
+        while let Some((at, event)) = self.queue.pop() {
+            if at > self.end() || self.result.violations.len() > VIOLATIONS {
+                break;
+            }
+            self.now = at;
+            if let Some(scale) = &mut self.scale {
+                scale.events += 1;
+            }
+            self.on_event(event);
+        }
+        if self.result.violations.len() <= VIOLATIONS {
+            self.now = self.end();
+        }
+    }
+
+    fn end(&self) -> Time {
+        let without_scale = self.options.faults_until + self.options.calm;
+        self.scale.as_ref().map_or(without_scale, |scale| scale.end)
+    }
+
+    fn on_event(&mut self, event: Event) {
+        if self.handle(event).is_some() {
+            self.measure_in_force();
+        }
+    }
+
+    /// Handles an event; none: an operator reached no leader, so that nothing changed.
+    fn handle(&mut self, event: Event) -> Option<()> {
+        match event {
+            Event::Message { to, message } => self.on_arrival(to, *message),
+            Event::Timer {
+                process,
+                incarnation,
+                deadline,
+            } => self.on_timer(process, incarnation, deadline),
+            Event::Start { process } => self.start(process),
+            Event::Stop { process } => self.stop(process, false),
+            Event::Leave { process } => {
+                self.step_node(process, FleetNode::leave);
+                self.stop(process, true);
+            }
+            Event::Pause { process } => self.pause(process),
+            Event::Resume { process } => self.resume(process),
+            Event::Persisted {
+                process,
+                incarnation,
+            } => self.on_persisted(process, incarnation),
+            Event::Propose => self.propose()?,
+            Event::ReplaceVoter => self.replace_voter()?,
+            Event::Abandon => self.abandon()?,
+            Event::Request { process, expire } => self.scope_call(process, expire),
+            Event::ChangeScopes { again } => self.scope_change(again),
+            Event::AdvanceScope { scope, since } => self.carry_early(scope, since),
+            Event::Scale(event) => self.happens(event),
+        }
+        Some(())
+    }
+
+    /// The process that leads and runs, and the agreed state there.
+    pub(crate) fn leader(&self) -> Option<(usize, FleetState)> {
+        let candidates = self.processes.iter().enumerate().take(self.disks.len());
+        candidates.into_iter().find_map(|(index, process)| {
+            let node = process.node.as_ref().filter(|_| process.paused.is_none())?;
+            Some((index, node.log()?.state().clone()))
+        })
+    }
+
+    /// Records what the audit found.
+    pub(crate) fn report_violation(&mut self, process: usize, violation: String) {
+        let milliseconds = self.now / 1000;
+        self.result.violations.push(format!(
+            "{milliseconds} ms: front end {process} {violation}"
+        ));
+    }
+
+    /// Accounts for the time of all processes.
+    pub(crate) fn account_all(&mut self) {
+        for process in &mut self.processes {
+            process.account(self.now);
+        }
+    }
+
+    /// Ends the run.
+    pub(super) fn into_result(mut self) -> SimulationResult {
+        self.audit_end();
+        self.scopes_close();
+        let up: Time = self.processes.iter().map(|p| p.up).sum();
+        let share = |of: fn(&Process) -> Time| {
+            self.processes.iter().map(of).sum::<Time>() as f64 / up.max(1) as f64
+        };
+        let seconds = self.now as f64 / SECOND as f64;
+        let front_end_seconds = seconds * self.options.front_ends as f64;
+        SimulationResult {
+            without_lease: share(|p| p.without_lease),
+            without_session: share(|p| p.without_session),
+            messages: self.sent.messages as f64 / front_end_seconds,
+            bytes: self.sent.bytes as f64 / front_end_seconds,
+            voter_messages: self.sent.voter_messages as f64 / seconds,
+            ..self.result
+        }
+    }
+}
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -4,13 +4,13 @@
 //! with them are the model's. A run depends on its seed alone: same seed, same result, on any machine and with any number
 //! of threads.
 
-pub mod agree;
 pub mod cli;
 pub mod fault;
+pub mod fleet;
 pub mod letter;
-pub mod net;
+pub mod network;
 pub mod plot;
-pub mod roll;
+pub mod rollout;
 mod scope;
 pub mod size;
 
--- /dev/null
+++ b/simulation/src/network.rs
@@ -0,0 +1,161 @@
+//! The network between processes, as the faults of a run leave it.
+
+use crate::fault::{Fault, Time, SECOND};
+
+/// How messages travel when nothing is wrong.
+#[derive(Clone, Copy, Debug)]
+pub struct NetworkProfile {
+    /// Shortest transit time.
+    pub shortest: Time,
+    /// Longest transit time.
+    pub longest: Time,
+    /// Share that is lost.
+    pub loss: f64,
+    /// Share that arrives twice.
+    pub duplication: f64,
+}
+
+impl Default for NetworkProfile {
+    fn default() -> NetworkProfile {
+        NetworkProfile {
+            shortest: SECOND / 5000,
+            longest: SECOND / 50,
+            loss: 0.01,
+            duplication: 0.01,
+        }
+    }
+}
+
+/// Regions that are partitioned from all others, from then to then: so many, the last ones.
+#[derive(Clone, Copy, Debug)]
+struct RegionPartition {
+    regions: usize,
+    from: Time,
+    to: Time,
+}
+
+/// Where and when messages get through.
+#[derive(Clone, Debug)]
+pub struct Network {
+    profile: NetworkProfile,
+    faults: Vec<Fault>,
+    /// Transit time between two regions, if there are any; front ends are placed in them in turn.
+    between_regions: Vec<Vec<Time>>,
+    partition: Option<RegionPartition>,
+}
+
+/// Shortest and longest transit time between two regions.
+const BETWEEN_REGIONS: (Time, Time) = (SECOND / 25, SECOND * 2 / 25);
+
+impl Network {
+    /// A network of one region, with those of the faults that concern it.
+    pub fn new(profile: NetworkProfile, faults: &[Fault]) -> Network {
+        let of_network =
+            |fault: &&Fault| !matches!(fault, Fault::Kill { .. } | Fault::Pause { .. });
+        Network {
+            profile,
+            faults: faults.iter().filter(of_network).cloned().collect(),
+            between_regions: Vec::new(),
+            partition: None,
+        }
+    }
+
+    /// Places the front ends in so many regions, and draws the transit time between each two of them.
+    pub fn place(&mut self, regions: usize, rng: &mut fastrand::Rng) {
+        let regions = regions.max(1);
+        self.between_regions = vec![vec![0; regions]; regions];
+        for first in 0..regions {
+            for second in 0..first {
+                let transit = rng.i64(BETWEEN_REGIONS.0..=BETWEEN_REGIONS.1);
+                self.between_regions[first][second] = transit;
+                self.between_regions[second][first] = transit;
+            }
+        }
+    }
+
+    /// Partitions the last regions, each from all others, in this time.
+    pub fn partition_regions(&mut self, regions: usize, from: Time, to: Time) {
+        self.partition = Some(RegionPartition {
+            regions: regions.min(self.between_regions.len().saturating_sub(1)),
+            from,
+            to,
+        });
+    }
+
+    /// How many regions there are.
+    pub fn regions(&self) -> usize {
+        self.between_regions.len().max(1)
+    }
+
+    /// The region of a front end.
+    pub fn region(&self, process: usize) -> usize {
+        process % self.regions()
+    }
+
+    /// Whether regions are partitioned at this time.
+    pub fn is_partitioned(&self, now: Time) -> bool {
+        self.partition
+            .is_some_and(|p| p.regions > 0 && p.from <= now && now < p.to)
+    }
+
+    /// The side of a partition on which a front end is: 0 with most regions, else one for each region partitioned off.
+    pub fn side(&self, process: usize) -> usize {
+        let main_regions = self.regions() - self.partitioned_regions();
+        (self.region(process) + 1).saturating_sub(main_regions)
+    }
+
+    /// How many sides there are.
+    pub fn sides(&self) -> usize {
+        1 + self.partitioned_regions()
+    }
+
+    fn partitioned_regions(&self) -> usize {
+        self.partition.map_or(0, |partition| partition.regions)
+    }
+
+    /// When the copies of a message that is sent now arrive, as far as they do.
+    pub fn carry(&self, rng: &mut fastrand::Rng, now: Time, from: usize, to: usize) -> Vec<Time> {
+        let Some(delay) = self.fault_delay(rng, now, from, to) else {
+            return Vec::new();
+        };
+        if self.is_partitioned(now) && self.side(from) != self.side(to) {
+            return Vec::new();
+        }
+        let transit = self
+            .between_regions
+            .get(self.region(from))
+            .and_then(|others| others.get(self.region(to)));
+        let delay = delay + transit.copied().unwrap_or(0);
+        if rng.f64() < self.profile.loss {
+            return Vec::new();
+        }
+        let copies = 1 + usize::from(rng.f64() < self.profile.duplication);
+        // Each copy takes its own time, so that messages overtake each other.
+        (0..copies)
+            .map(|_| now + delay + rng.i64(self.profile.shortest..=self.profile.longest))
+            .collect()
+    }
+
+    /// What the faults of this moment add to the transit time; none: they let nothing through.
+    fn fault_delay(
+        &self,
+        rng: &mut fastrand::Rng,
+        now: Time,
+        from: usize,
+        to: usize,
+    ) -> Option<Time> {
+        let mut delay = 0;
+        let active = |fault: &&Fault| fault.at() <= now && now < fault.over();
+        for fault in self.faults.iter().filter(active) {
+            match fault {
+                Fault::Cut { from: a, to: b, .. } if (*a, *b) == (from, to) => return None,
+                Fault::Split { side, .. } if side.contains(&from) != side.contains(&to) => {
+                    return None
+                }
+                Fault::Slow { by, .. } => delay += rng.i64(0..=*by),
+                _ => {}
+            }
+        }
+        Some(delay)
+    }
+}
--- a/simulation/src/plot.rs
+++ b/simulation/src/plot.rs
@@ -1,27 +1,33 @@
 //! Plots of what runs measured, as SVG.
 
-use crate::agree::Summary;
-use crate::roll::{self, Harm, Rule};
+use crate::fleet::SimulationSummary;
+use crate::rollout::{DecisionRule, Regression, RolloutSummary};
 use plotters::prelude::*;
 use std::path::Path;
 
 /// Time from a proposal to force everywhere against the fleet's size, median and 99th percentile.
-pub fn in_force(path: &Path, all: &[Summary]) -> Result<(), String> {
-    let sizes: Vec<f64> = all.iter().map(|s| s.fronts as f64).collect();
+pub fn in_force(path: &Path, all: &[SimulationSummary]) -> Result<(), String> {
+    let sizes: Vec<f64> = all.iter().map(|s| s.front_ends as f64).collect();
     let (Some(least), Some(most)) = (
         sizes.iter().copied().reduce(f64::min),
         sizes.iter().copied().reduce(f64::max),
     ) else {
         return Err("no size was played".into());
     };
-    let highest = all.iter().map(|s| s.force_ms[1]).max().unwrap_or(1).max(1) as f64 * 1.1;
+    let highest = all
+        .iter()
+        .map(|s| s.in_force_ms[1])
+        .max()
+        .unwrap_or(1)
+        .max(1) as f64
+        * 1.1;
     draw(path, all, least, most.max(least + 1.0), highest)
         .map_err(|e| format!("{}: {e}", path.display()))
 }
 
 fn draw(
     path: &Path,
-    all: &[Summary],
+    all: &[SimulationSummary],
     least: f64,
     most: f64,
     highest: f64,
@@ -48,7 +54,7 @@
     for (n, name, color) in [(0, "median", BLUE), (1, "99th percentile", RED)] {
         let points: Vec<(f64, f64)> = all
             .iter()
-            .map(|s| (s.fronts as f64, s.force_ms[n] as f64))
+            .map(|s| (s.front_ends as f64, s.in_force_ms[n] as f64))
             .collect();
         let key = move |(x, y)| PathElement::new(vec![(x, y), (x + 20, y)], color);
         chart
@@ -71,23 +77,25 @@
 }
 
 /// Share of rolls stopped against the share that the change loses, for each rule that was played.
-pub fn stopped(path: &Path, all: &[roll::Summary]) -> Result<(), String> {
-    let lost = |h: Harm| match h {
-        Harm::None => Some(0.0),
-        Harm::All(x) => Some(x * 100.0),
+pub fn stopped(path: &Path, all: &[RolloutSummary]) -> Result<(), String> {
+    let lost = |h: Regression| match h {
+        Regression::None => Some(0.0),
+        Regression::All(x) => Some(x * 100.0),
         _ => None,
     };
-    let line = |name: &'static str, is: fn(&Rule) -> bool| {
-        let of = all.iter().filter(|s| is(&s.play.rule));
+    let line = |name: &'static str, is: fn(&DecisionRule) -> bool| {
+        let of = all.iter().filter(|s| is(&s.options.rule));
         let points: Vec<(f64, f64)> = of
-            .filter_map(|s| Some((lost(s.play.harm)?, s.stopped * 100.0)))
+            .filter_map(|s| Some((lost(s.options.regression)?, s.stopped * 100.0)))
             .collect();
         (name, points)
     };
     let lines = [
-        line("verdict", |r| *r == Rule::Verdict),
-        line("fixed threshold", |r| matches!(r, Rule::Threshold(_))),
-        line("own past", |r| matches!(r, Rule::OwnPast(_))),
+        line("verdict", |r| *r == DecisionRule::Verdict),
+        line("fixed threshold", |r| {
+            matches!(r, DecisionRule::Threshold(_))
+        }),
+        line("own past", |r| matches!(r, DecisionRule::OwnPast(_))),
     ];
     rolls(path, &lines).map_err(|e| format!("{}: {e}", path.display()))
 }
--- /dev/null
+++ b/simulation/src/rollout/fixed_rule.rs
@@ -0,0 +1,130 @@
+//! The fixed rules that the canary analysis is compared with: a stage is decided once, when its shortest time is over.
+
+use super::{DecisionRule, RolloutOptions};
+use std::collections::BTreeMap;
+use tansy_canary::FrontEndReport;
+use tansy_rollout::{FrontEndObservation, Rollout, RolloutEntry, RolloutPhase};
+
+/// What requests brought, and what they would have brought had none been lost.
+#[derive(Clone, Copy, Default)]
+struct ServiceTotal {
+    worth: f64,
+    wanted: f64,
+}
+
+impl ServiceTotal {
+    const ZERO: ServiceTotal = ServiceTotal {
+        worth: 0.0,
+        wanted: 0.0,
+    };
+
+    fn of(report: &FrontEndReport) -> ServiceTotal {
+        report
+            .classes
+            .values()
+            .fold(ServiceTotal::ZERO, |total, class| ServiceTotal {
+                worth: total.worth + class.worth,
+                wanted: total.wanted + class.wanted,
+            })
+    }
+
+    fn plus(self, other: ServiceTotal) -> ServiceTotal {
+        ServiceTotal {
+            worth: self.worth + other.worth,
+            wanted: self.wanted + other.wanted,
+        }
+    }
+
+    fn minus(self, other: ServiceTotal) -> ServiceTotal {
+        ServiceTotal {
+            worth: self.worth - other.worth,
+            wanted: self.wanted - other.wanted,
+        }
+    }
+}
+
+/// What a fixed rule remembers of a rollout.
+#[derive(Default)]
+pub(super) struct FixedRule {
+    /// The stage under analysis, and when its analysis began.
+    stage: Option<(usize, i64)>,
+    /// Totals by front end when that stage began.
+    at_stage_begin: BTreeMap<String, ServiceTotal>,
+    /// The fleet's loss before the first front end was changed.
+    loss_before: Option<f64>,
+}
+
+impl FixedRule {
+    /// The entry of the rule in place of the controller's; none: nothing is decided yet.
+    pub(super) fn entry(
+        &mut self,
+        options: &RolloutOptions,
+        rollout: &Rollout,
+        observations: &[FrontEndObservation],
+        now: i64,
+        entry: RolloutEntry,
+    ) -> Option<RolloutEntry> {
+        if self.loss_before.is_none() && matches!(entry, RolloutEntry::Let { .. }) {
+            self.loss_before = Some(fleet_loss(observations));
+        }
+        if rollout.phase != RolloutPhase::Judging {
+            return Some(entry);
+        }
+        if self.stage.is_none_or(|(stage, _)| stage != rollout.stage) {
+            self.begin_stage(rollout.stage, observations, now);
+        }
+        let since = self.stage.map_or(now, |(_, began)| began);
+        if now - since < options.shortest_stage as i64 {
+            return matches!(entry, RolloutEntry::Beat { .. }).then_some(entry);
+        }
+        let (at, fence) = (rollout.at, rollout.fence);
+        let why = "the plain rule".to_string();
+        Some(if self.is_worse(options.rule, observations) {
+            RolloutEntry::Worse { at, fence, why }
+        } else {
+            RolloutEntry::Pass { at, fence, why }
+        })
+    }
+
+    fn begin_stage(&mut self, stage: usize, observations: &[FrontEndObservation], now: i64) {
+        self.stage = Some((stage, now));
+        self.at_stage_begin = observations
+            .iter()
+            .map(|o| (o.report.name.clone(), ServiceTotal::of(&o.report)))
+            .collect();
+    }
+
+    fn is_worse(&self, rule: DecisionRule, observations: &[FrontEndObservation]) -> bool {
+        let changed = self.stage_loss(observations, true);
+        match rule {
+            DecisionRule::Threshold(margin) => changed
+                .zip(self.stage_loss(observations, false))
+                .is_some_and(|(new, old)| new - old >= margin),
+            DecisionRule::OwnPast(margin) => changed
+                .zip(self.loss_before)
+                .is_some_and(|(new, before)| new - before >= margin),
+            DecisionRule::Verdict => false,
+        }
+    }
+
+    /// The loss of the changed or the unchanged side since the stage began; none: it got no requests.
+    fn stage_loss(&self, observations: &[FrontEndObservation], changed: bool) -> Option<f64> {
+        let total = observations
+            .iter()
+            .filter(|o| o.report.new == changed)
+            .map(|o| {
+                let began = self.at_stage_begin.get(&o.report.name);
+                ServiceTotal::of(&o.report).minus(began.copied().unwrap_or_default())
+            })
+            .fold(ServiceTotal::ZERO, ServiceTotal::plus);
+        (total.wanted > 0.0).then(|| 1.0 - total.worth / total.wanted)
+    }
+}
+
+fn fleet_loss(observations: &[FrontEndObservation]) -> f64 {
+    let total = observations
+        .iter()
+        .map(|o| ServiceTotal::of(&o.report))
+        .fold(ServiceTotal::ZERO, ServiceTotal::plus);
+    1.0 - total.worth / total.wanted.max(1.0)
+}
--- /dev/null
+++ b/simulation/src/rollout/front_ends.rs
@@ -0,0 +1,281 @@
+//! The simulated front ends: their traffic, their losses, and the counters they report.
+
+use super::{Regression, RolloutOptions};
+use rand::rngs::StdRng;
+use rand_distr::{Binomial, Distribution, LogNormal, Normal};
+use std::collections::BTreeMap;
+use tansy_canary::{FrontEndReport, RequestCounters};
+use tansy_rollout::FrontEndObservation;
+
+/// The classes of requests, and the share of traffic that each has.
+const CLASSES: [(&str, f64); 2] = [("read", 0.8), ("pay", 0.2)];
+/// The class that [`Regression::Class`] affects.
+const AFFECTED_CLASS: usize = 1;
+/// The zone that [`Regression::Zone`] affects.
+const AFFECTED_ZONE: usize = 0;
+/// Milliseconds of the slowest answers.
+const SLOWEST: u64 = 320;
+/// Milliseconds of answers, and the share of those not yet counted that took so long; the rest take 10 ms.
+const LATENCIES: [(u64, f64); 5] = [
+    (SLOWEST, 0.005),
+    (160, 0.015),
+    (80, 0.06),
+    (40, 0.13),
+    (20, 0.4),
+];
+/// Seconds that a restart takes.
+const RESTART: i64 = 3;
+
+/// One simulated front end.
+struct SimulatedFrontEnd {
+    name: String,
+    zone: usize,
+    /// Requests a second.
+    rate: f64,
+    /// The share it usually loses.
+    loss: f64,
+    /// Whether it runs the change.
+    changed: bool,
+    /// Seconds until its restart is over; 0: it runs.
+    restarting: i64,
+    started: i64,
+    incarnation: u64,
+    memory: f64,
+    counters: BTreeMap<String, RequestCounters>,
+}
+
+/// What befalls all traffic in one second.
+pub(super) struct TrafficConditions {
+    pub(super) regression: Regression,
+    /// A zone that loses most of its requests.
+    pub(super) lost_zone: Option<usize>,
+    /// The usual traffic times this.
+    pub(super) load: f64,
+}
+
+/// The requests of one class that a front end got in a second.
+pub(super) struct RequestShare {
+    pub(super) requests: u64,
+    pub(super) changed: bool,
+}
+
+/// All front ends, and the bad moments that the front ends of a zone share.
+pub(super) struct FrontEnds {
+    all: Vec<SimulatedFrontEnd>,
+    /// By zone: what is added to the losses now.
+    zone_loss: Vec<f64>,
+}
+
+impl FrontEnds {
+    /// Draws each front end's rate and usual loss.
+    pub(super) fn draw(options: &RolloutOptions, rng: &mut StdRng) -> FrontEnds {
+        let rates = LogNormal::new(0.0, 0.6).expect("a spread");
+        let losses = LogNormal::new(0.0, 0.3).expect("a spread");
+        let all = (0..options.front_ends).map(|index| SimulatedFrontEnd {
+            name: format!("f{index}"),
+            zone: index % options.zones,
+            rate: options.rate * rates.sample(rng),
+            loss: options.loss * losses.sample(rng),
+            changed: false,
+            restarting: 0,
+            started: -1000,
+            incarnation: 1,
+            memory: 20.0,
+            counters: CLASSES
+                .iter()
+                .map(|(class, _)| (class.to_string(), RequestCounters::default()))
+                .collect(),
+        });
+        FrontEnds {
+            all: all.collect(),
+            zone_loss: vec![0.0; options.zones],
+        }
+    }
+
+    /// A second of traffic at every front end; what each got, by class.
+    pub(super) fn serve_one_second(
+        &mut self,
+        rng: &mut StdRng,
+        now: i64,
+        conditions: &TrafficConditions,
+    ) -> Vec<RequestShare> {
+        // Bad moments that a zone shares: they come and go over some seconds.
+        let shock = Normal::new(0.0, 0.004).expect("a spread");
+        for loss in &mut self.zone_loss {
+            *loss = 0.9 * *loss + shock.sample(rng);
+        }
+        let shifted: Vec<f64> = (0..self.zone_loss.len())
+            .map(|zone| self.shifted_load(zone, conditions.regression))
+            .collect();
+        let mut shares = Vec::new();
+        for front_end in &mut self.all {
+            if front_end.restarting > 0 {
+                front_end.continue_restart(now);
+                continue;
+            }
+            let shifted = if front_end.changed {
+                0.0
+            } else {
+                shifted[front_end.zone]
+            };
+            let zone_loss = self.zone_loss[front_end.zone];
+            for class in 0..CLASSES.len() {
+                let requests =
+                    front_end.serve_class(rng, now, conditions, class, zone_loss, shifted);
+                shares.push(RequestShare {
+                    requests,
+                    changed: front_end.changed,
+                });
+            }
+        }
+        shares
+    }
+
+    /// The load that falls to each unchanged front end of a zone because the changed ones reject, as a share of its own.
+    fn shifted_load(&self, zone: usize, regression: Regression) -> f64 {
+        let Regression::Shed(share) = regression else {
+            return 0.0;
+        };
+        let rate = |changed: bool| {
+            self.all
+                .iter()
+                .filter(|f| f.zone == zone && f.changed == changed)
+                .map(|f| f.rate)
+                .sum::<f64>()
+        };
+        share * rate(true) / rate(false).max(1.0)
+    }
+
+    /// Starts a front end anew, with the change or without it.
+    pub(super) fn restart(&mut self, name: &str, changed: bool) {
+        if let Some(front_end) = self.all.iter_mut().find(|f| f.name == name) {
+            front_end.changed = changed;
+            front_end.restarting = RESTART;
+        }
+    }
+
+    /// What the rollout controller sees of each front end.
+    pub(super) fn observations(&self, now: i64) -> Vec<FrontEndObservation> {
+        self.all.iter().map(|f| f.observation(now)).collect()
+    }
+}
+
+impl SimulatedFrontEnd {
+    /// A second of a restart; at its end the counters begin anew.
+    fn continue_restart(&mut self, now: i64) {
+        self.restarting -= 1;
+        if self.restarting == 0 {
+            self.started = now;
+            self.incarnation += 1;
+            for counters in self.counters.values_mut() {
+                *counters = RequestCounters::default();
+            }
+        }
+    }
+
+    /// Draws and counts the requests of one class in a second; how many there were.
+    fn serve_class(
+        &mut self,
+        rng: &mut StdRng,
+        now: i64,
+        conditions: &TrafficConditions,
+        class: usize,
+        zone_loss: f64,
+        shifted: f64,
+    ) -> u64 {
+        let (name, part) = CLASSES[class];
+        let mean = self.rate * part * conditions.load * (1.0 + shifted);
+        let requests = poisson(rng, mean);
+        let loss = self.loss_of(now, conditions, class, zone_loss, shifted);
+        let (mut slow, mut rejected_share) = (0.0, 0.0);
+        if self.changed {
+            match conditions.regression {
+                Regression::Slow(share) => slow += share,
+                Regression::Shed(share) => rejected_share = share,
+                Regression::Leak(every) => self.memory += part / every,
+                _ => {}
+            }
+        }
+        let rejected = binomial(rng, requests, rejected_share);
+        let failed = binomial(rng, requests - rejected, loss);
+        let served = requests - rejected - failed;
+        let counters = self.counters.get_mut(name).expect("every class is counted");
+        counters.requested += requests;
+        counters.served += served;
+        counters.rejected += rejected;
+        counters.failed += failed;
+        counters.wanted += requests as f64;
+        counters.worth += served as f64;
+        record_latencies(rng, counters, served, slow);
+        requests
+    }
+
+    /// The share of a class that this front end loses now.
+    fn loss_of(
+        &self,
+        now: i64,
+        conditions: &TrafficConditions,
+        class: usize,
+        zone_loss: f64,
+        shifted: f64,
+    ) -> f64 {
+        // A front end with more requests than it has room for loses a little more.
+        let mut loss = self.loss + zone_loss.max(-self.loss) + 0.1 * (conditions.load - 1.0) * 0.2;
+        if conditions.lost_zone == Some(self.zone) {
+            loss = 0.7;
+        }
+        // A freshly started one has no endpoint state for some seconds.
+        let fresh = now - self.started < 5;
+        loss += if fresh { 0.3 } else { 0.0 };
+        if self.changed {
+            loss += match conditions.regression {
+                Regression::All(share) => share,
+                Regression::Class(share) if class == AFFECTED_CLASS => share,
+                Regression::Zone(share) if self.zone == AFFECTED_ZONE => share,
+                Regression::Late(share) if now - self.started >= 120 => share,
+                _ => 0.0,
+            };
+        }
+        // Load shifted from changed front ends makes the unchanged ones lose too.
+        loss += 0.3 * shifted;
+        loss.clamp(0.0, 1.0)
+    }
+
+    fn observation(&self, now: i64) -> FrontEndObservation {
+        FrontEndObservation {
+            ready: self.restarting == 0,
+            report: FrontEndReport {
+                name: self.name.clone(),
+                zone: format!("z{}", self.zone),
+                new: self.changed,
+                incarnation: self.incarnation,
+                up: (now - self.started) as f64,
+                classes: self.counters.clone(),
+                memory: self.memory,
+                guarded: 0,
+            },
+        }
+    }
+}
+
+/// Spreads served requests over the latencies; `slow` is added to the share of the slowest.
+fn record_latencies(rng: &mut StdRng, counters: &mut RequestCounters, served: u64, slow: f64) {
+    let mut left = served;
+    for (ms, share) in LATENCIES {
+        let added = if ms == SLOWEST { slow } else { 0.0 };
+        let count = binomial(rng, left, share + added);
+        // The histogram covers all of these values.
+        let _ = counters.latency.record_n(ms * 1000, count);
+        left -= count;
+    }
+    let _ = counters.latency.record_n(10_000, left);
+}
+
+fn binomial(rng: &mut StdRng, trials: u64, probability: f64) -> u64 {
+    Binomial::new(trials, probability.clamp(0.0, 1.0)).map_or(0, |b| b.sample(rng))
+}
+
+fn poisson(rng: &mut StdRng, mean: f64) -> u64 {
+    rand_distr::Poisson::new(mean.max(1e-9))
+        .map_or(0, |p: rand_distr::Poisson<f64>| p.sample(rng) as u64)
+}
--- /dev/null
+++ b/simulation/src/rollout/mod.rs
@@ -0,0 +1,186 @@
+//! Simulated rollouts: front ends that count requests, a change that may cause a regression, the rollout controller, and the
+//! canary analysis.
+//!
+//! The counters that the analysis reads are drawn, not simulated request by request: each front end gets requests at a rate of
+//! its own (uneven, some several times the mean), loses a share of its own, which drifts, loses more in bad moments that a zone
+//! shares, and counts them as a process does. The controller and the analysis are the product's own code. With the stage
+//! durations of a plan this simulates a rollout of half an hour in some milliseconds, so that error rates can be estimated.
+
+mod fixed_rule;
+mod front_ends;
+mod options;
+mod summary;
+
+pub use options::{plan, DecisionRule, Regression, RolloutOptions};
+pub use summary::{many, RolloutSummary};
+
+use fixed_rule::FixedRule;
+use front_ends::{FrontEnds, TrafficConditions};
+use rand::rngs::StdRng;
+use rand::SeedableRng;
+use serde::Serialize;
+use tansy_rollout::{
+    FrontEndObservation, Rollout, RolloutChange, RolloutController, RolloutEntry, RolloutPhase,
+    SECOND,
+};
+
+/// A rollout that takes longer than this many seconds ends undecided.
+const LONGEST_ROLLOUT: u64 = 20_000;
+
+/// How a rollout went.
+#[derive(Clone, Debug, Default, PartialEq, Serialize)]
+pub struct RolloutResult {
+    /// Its end: `done`, `stopped` or `undecided`.
+    pub end: String,
+    /// The reason that the rollout's log gives for it.
+    #[serde(rename = "why")]
+    pub reason: String,
+    /// The stage in which it ended, from 1.
+    pub stage: usize,
+    /// Seconds from its beginning to the decision.
+    pub seconds: u64,
+    /// Requests that the changed front ends got.
+    pub exposed: f64,
+    /// All requests in that time.
+    #[serde(rename = "calls")]
+    pub requests: f64,
+}
+
+/// Simulates one rollout.
+pub fn run(options: &RolloutOptions, seed: u64) -> RolloutResult {
+    let mut simulation = RolloutSimulation::new(options, seed);
+    while !simulation.rollout.over() && simulation.seconds < LONGEST_ROLLOUT {
+        simulation.advance_one_second();
+        if simulation.rollout.phase == RolloutPhase::Back {
+            break;
+        }
+    }
+    simulation.into_result()
+}
+
+/// One rollout under way.
+struct RolloutSimulation<'a> {
+    options: &'a RolloutOptions,
+    rng: StdRng,
+    front_ends: FrontEnds,
+    rollout: Rollout,
+    controller: RolloutController,
+    fixed_rule: FixedRule,
+    /// Seconds since the rollout began.
+    seconds: u64,
+    /// When the first stage was first analysed.
+    first_judged: Option<i64>,
+    requests: f64,
+    exposed: f64,
+}
+
+impl<'a> RolloutSimulation<'a> {
+    fn new(options: &'a RolloutOptions, seed: u64) -> RolloutSimulation<'a> {
+        let mut rng = StdRng::seed_from_u64(seed);
+        let front_ends = FrontEnds::draw(options, &mut rng);
+        let change = RolloutChange::Program {
+            label: "new".into(),
+            path: "new".into(),
+        };
+        RolloutSimulation {
+            options,
+            rng,
+            front_ends,
+            rollout: Rollout::begin(1, change, plan(options), "a play".into())
+                .expect("the plan of the options is valid"),
+            controller: RolloutController::new("s".into()),
+            fixed_rule: FixedRule::default(),
+            seconds: 0,
+            first_judged: None,
+            requests: 0.0,
+            exposed: 0.0,
+        }
+    }
+
+    fn advance_one_second(&mut self) {
+        self.seconds += 1;
+        let now = self.seconds as i64;
+        let conditions = self.conditions(now);
+        for share in self
+            .front_ends
+            .serve_one_second(&mut self.rng, now, &conditions)
+        {
+            self.requests += share.requests as f64;
+            self.exposed += if share.changed {
+                share.requests as f64
+            } else {
+                0.0
+            };
+        }
+        self.poll_controller(now);
+        if self.rollout.phase == RolloutPhase::Judging && self.first_judged.is_none() {
+            self.first_judged = Some(now);
+        }
+    }
+
+    /// What befalls all traffic in this second.
+    fn conditions(&self, now: i64) -> TrafficConditions {
+        let since_judged = self.first_judged.map(|at| now - at);
+        let zone_lost = self.options.regression == Regression::ZoneLost
+            && since_judged.is_some_and(|since| (30..90).contains(&since));
+        let doubled = self.options.regression == Regression::Doubles
+            && since_judged.is_some_and(|since| since >= 30);
+        TrafficConditions {
+            regression: self.options.regression,
+            lost_zone: zone_lost.then_some(0),
+            load: if doubled { 2.0 } else { 1.0 },
+        }
+    }
+
+    /// Applies what the controller decides; several entries may follow each other in a second.
+    fn poll_controller(&mut self, now: i64) {
+        let observations = self.front_ends.observations(now);
+        for _ in 0..4 {
+            let polled = self
+                .controller
+                .poll(now * SECOND, &self.rollout, &observations);
+            let Some(entry) = polled else {
+                break;
+            };
+            let Some(entry) = self.decide(&observations, now, entry) else {
+                continue;
+            };
+            if let RolloutEntry::Let { name, .. } = &entry {
+                let changed = self.rollout.phase != RolloutPhase::Back;
+                self.front_ends.restart(name, changed);
+            }
+            // An entry that the rollout refuses changes nothing, as in the product.
+            let _ = self.rollout.apply(entry);
+        }
+    }
+
+    /// The entry of the rule that decides, in place of the controller's own if it is a fixed one.
+    fn decide(
+        &mut self,
+        observations: &[FrontEndObservation],
+        now: i64,
+        entry: RolloutEntry,
+    ) -> Option<RolloutEntry> {
+        if self.options.rule == DecisionRule::Verdict {
+            return Some(entry);
+        }
+        self.fixed_rule
+            .entry(self.options, &self.rollout, observations, now, entry)
+    }
+
+    fn into_result(self) -> RolloutResult {
+        let end = match self.rollout.phase {
+            RolloutPhase::Done => "done",
+            RolloutPhase::Back | RolloutPhase::Stopped => "stopped",
+            _ => "undecided",
+        };
+        RolloutResult {
+            end: end.into(),
+            reason: self.rollout.why,
+            stage: self.rollout.stage + 1,
+            seconds: self.seconds,
+            exposed: self.exposed,
+            requests: self.requests,
+        }
+    }
+}
--- a/simulation/src/scope.rs
+++ b/simulation/src/scope.rs
@@ -4,8 +4,8 @@
 //! stands, or as it stood one move before while that move is not settled; under its stay alone on nothing that contradicts
 //! what is in force. Two front ends that both do so never differ in a strict field.
 
-use crate::agree::{Event, Plant, Run};
 use crate::fault::{Time, SECOND};
+use crate::fleet::{Event, PlantedDefect, Simulation};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tansy_agreement::compatibility::{contradictions, EffectiveRules, Fields, Schema, Value};
 use tansy_agreement::lease::Member;
@@ -318,28 +318,28 @@
     }
 }
 
-impl Run<'_> {
+impl Simulation<'_> {
     /// Plans calls and changes.
     pub(crate) fn scopes_begin(&mut self) {
         let Some(mut s) = self.scopes.take() else {
             return;
         };
-        let end = self.play.until + self.play.calm;
-        for who in 0..self.play.fronts {
+        let end = self.options.faults_until + self.options.calm;
+        for who in 0..self.options.front_ends {
             for _ in 0..end / SECOND * CALLS {
                 let at = s.rng.i64(SECOND..end);
-                self.plan(
+                self.schedule(
                     at,
-                    Event::Call {
-                        who,
-                        forget: s.rng.u32(0..3) == 0,
+                    Event::Request {
+                        process: who,
+                        expire: s.rng.u32(0..3) == 0,
                     },
                 );
             }
         }
         for _ in 0..CHANGES {
-            let at = s.rng.i64(2 * SECOND..self.play.until);
-            self.plan(at, Event::Change { again: None });
+            let at = s.rng.i64(2 * SECOND..self.options.faults_until);
+            self.schedule(at, Event::ChangeScopes { again: None });
         }
         self.scopes = Some(s);
     }
@@ -349,7 +349,7 @@
         let Some(s) = &mut self.scopes else { return };
         let scope = s.rng.usize(0..s.names.len().max(1));
         let name = s.calls(who, scope);
-        self.act(who, |p, now, out| {
+        self.step_node(who, |p, now, out| {
             if !forget {
                 p.admit(now, &name, out);
             } else if p.effective_settings(now, &name).is_some() {
@@ -360,7 +360,9 @@
 
     /// An operator changes one to three scopes, or asks again for what was asked before.
     pub(crate) fn scope_change(&mut self, again: Option<u64>) {
-        let Some((root, _)) = self.root() else { return };
+        let Some((root, _)) = self.leader() else {
+            return;
+        };
         let Some(s) = &mut self.scopes else { return };
         let request = again
             .and_then(|id| s.asked.get(&id).cloned())
@@ -393,12 +395,12 @@
         let id = request.id;
         if s.asked.insert(id, request.clone()).is_none() && s.rng.u32(0..3) == 0 {
             let at = self.now + s.rng.i64(0..3 * SECOND);
-            self.plan(at, Event::Change { again: Some(id) });
+            self.schedule(at, Event::ChangeScopes { again: Some(id) });
         }
         let entry = LogEntry::UpdateScopes {
             transactions: vec![request],
         };
-        self.act(root, |p, now, out| p.request(now, id, entry, out));
+        self.step_node(root, |p, now, out| p.request(now, id, entry, out));
     }
 
     /// What a front end tells of scopes.
@@ -418,11 +420,11 @@
                 let first = *s.taken.entry(*request).or_insert(*step);
                 if first != *step {
                     let told = format!("has request {request} in step {} and {}", first.0, step.0);
-                    self.broken(who, told);
+                    self.report_violation(who, told);
                 }
             }
             (Command::Notify(FleetEvent::Leadership { live: true }), Some(_))
-                if self.play.plant == Some(Plant::NoneHold) =>
+                if self.options.defect == Some(PlantedDefect::NoneHold) =>
             {
                 self.none_hold(who);
             }
@@ -432,7 +434,7 @@
 
     /// A mistake: the root that begins takes each on its roster for one that holds nothing.
     fn none_hold(&mut self, who: usize) {
-        let Some(peer) = self.all[who].peer.as_ref() else {
+        let Some(peer) = self.processes[who].node.as_ref() else {
             return;
         };
         let roster: Vec<Member> = peer
@@ -445,7 +447,7 @@
             let from = NodeId::new(
                 member.id,
                 member.incarnation,
-                crate::agree::address(member.id as usize - 1),
+                crate::fleet::address_of(member.id as usize - 1),
             );
             let want = |epoch, seq| SubscribeRequest {
                 from: member,
@@ -456,7 +458,7 @@
                 unsubscribed: Vec::new(),
                 full_list: Some(Vec::new()),
             };
-            self.act(who, |p: &mut FleetNode, now, out| {
+            self.step_node(who, |p: &mut FleetNode, now, out| {
                 let mut answers = Vec::new();
                 p.on_message(
                     now,
@@ -487,12 +489,14 @@
 
     /// A mistake: a change comes in force once every lease was out or renewed, whoever holds the scope.
     pub(crate) fn carry_early(&mut self, scope: String, since: Revision) {
-        let Some((root, _)) = self.root() else { return };
+        let Some((root, _)) = self.leader() else {
+            return;
+        };
         let entry = LogEntry::AdvanceScopes {
             in_force: vec![(scope, since)],
             settled: Vec::new(),
         };
-        self.act(root, |p, now, out| p.request(now, 0, entry, out));
+        self.step_node(root, |p, now, out| p.request(now, 0, entry, out));
     }
 
     /// A mistake: what was let go once is taken for let go with every later letter.
@@ -519,8 +523,8 @@
             }
         }
         while let Some((step, n)) = s.waiting.front().copied() {
-            let behind = |who: &usize| self.all[*who].behind(self.now, step);
-            let many = self.all.len();
+            let behind = |who: &usize| self.processes[*who].is_behind(self.now, step);
+            let many = self.processes.len();
             // Whoever was found behind is looked at first.
             match (0..many).map(|n| (s.lags + n) % many).find(behind) {
                 Some(who) => return s.lags = who,
@@ -537,13 +541,13 @@
         let Some(s) = self.scopes.as_mut().filter(|s| s.compares) else {
             return;
         };
-        let log = self.all[who]
-            .peer
+        let log = self.processes[who]
+            .node
             .as_ref()
             .and_then(FleetNode::agreed)
             .map(|a| a.1);
         if let Some(told) = log.and_then(|log| s.compare(applied, log)) {
-            self.broken(who, told);
+            self.report_violation(who, told);
         }
     }
 
@@ -552,14 +556,18 @@
         let Some(s) = self.scopes.as_mut() else {
             return false;
         };
-        let Some((_, log)) = self.all[who].peer.as_ref().and_then(FleetNode::agreed) else {
+        let Some((_, log)) = self.processes[who]
+            .node
+            .as_ref()
+            .and_then(FleetNode::agreed)
+        else {
             return false;
         };
         let before = s.step;
         let (moved, wrong) = s.moved(log, &self.schema);
         let joint =
             |m: &&std::sync::Arc<ScopeChange>| matches!(m.record.phase, ScopePhase::Joint { .. });
-        let early = self.play.plant == Some(Plant::NoHolders);
+        let early = self.options.defect == Some(PlantedDefect::NoHolders);
         let new = log
             .state()
             .history
@@ -570,20 +578,23 @@
         let new: Vec<(String, Revision)> = new.map(|m| (m.scope.clone(), m.revision)).collect();
         for (scope, since) in new {
             // By then no lease is for an earlier step.
-            let at = self.now + 3 * self.play.terms.span;
-            self.plan(at, Event::Carry { scope, since });
+            let at = self.now + 3 * self.options.lease.span;
+            self.schedule(at, Event::AdvanceScope { scope, since });
         }
-        wrong.into_iter().for_each(|told| self.broken(who, told));
+        wrong
+            .into_iter()
+            .for_each(|told| self.report_violation(who, told));
         moved
     }
 
     /// What this process would act on of each scope that it ever called.
     pub(crate) fn judge_scopes(&mut self, who: usize) {
-        let p = &self.all[who];
-        let (Some(s), Some(peer), true) = (&mut self.scopes, p.peer.as_ref(), p.runs()) else {
+        let p = &self.processes[who];
+        let (Some(s), Some(peer), true) = (&mut self.scopes, p.node.as_ref(), p.is_running())
+        else {
             return;
         };
-        let now = p.local(self.now);
+        let now = p.local_time(self.now);
         let acting = peer.active_state(now);
         let (lease, stay) = (acting.lease > 0, acting.session > 0);
         let key = (s.round, p.incarnation, peer.scopes_changed(), lease, stay);
@@ -595,7 +606,9 @@
             .filter_map(|n| Some((&s.names[*n], peer.effective_settings(now, &s.names[*n])?)));
         let wrong = acts.filter_map(|(name, acts)| s.wrong(&self.schema, name, &acts, lease));
         let wrong: Vec<String> = wrong.take(1).collect();
-        wrong.into_iter().for_each(|told| self.broken(who, told));
+        wrong
+            .into_iter()
+            .for_each(|told| self.report_violation(who, told));
     }
 
     /// What never ended, once all faults are over.
@@ -603,21 +616,21 @@
         let Some(s) = self.scopes.as_ref().filter(|s| s.compares) else {
             return;
         };
-        (self.outcome.scopes_in_force, self.outcome.scopes_back) = (s.in_force, s.back);
+        (self.result.scopes_in_force, self.result.scopes_reverted) = (s.in_force, s.back);
         let latest = self
-            .all
+            .processes
             .iter()
             .enumerate()
-            .filter_map(|(n, p)| Some((n, p.peer.as_ref()?.agreed()?)));
+            .filter_map(|(n, p)| Some((n, p.node.as_ref()?.agreed()?)));
         let Some((who, (_, log))) = latest.max_by_key(|(_, (applied, _))| *applied) else {
             return;
         };
         let wrong = s.close(log);
-        if self.outcome.broken.is_empty() {
+        if self.result.violations.is_empty() {
             wrong
                 .into_iter()
                 .take(2)
-                .for_each(|told| self.broken(who, told));
+                .for_each(|told| self.report_violation(who, told));
         }
     }
 }
--- a/simulation/src/size.rs
+++ b/simulation/src/size.rs
@@ -7,9 +7,9 @@
 //!
 //! Counting begins once all act, and some time after; what the start took is told apart.
 
-use crate::agree::{Event, Play, Process, Run};
 use crate::fault::{Time, SECOND};
-use crate::net::Ways;
+use crate::fleet::{Event, Process, Simulation, SimulationOptions};
+use crate::network::NetworkProfile;
 use crate::scope::fields;
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -68,11 +68,11 @@
 pub const MEMBERSHIP_AWAY: (f64, f64) = (0.011, 2.1);
 
 /// How letters travel inside a region: over connections, so that none is lost or doubled.
-pub const WAYS: Ways = Ways {
-    least: SECOND / 5000,
-    most: SECOND * 3 / 1000,
-    lost: 0.0,
-    twice: 0.0,
+pub const WAYS: NetworkProfile = NetworkProfile {
+    shortest: SECOND / 5000,
+    longest: SECOND * 3 / 1000,
+    loss: 0.0,
+    duplication: 0.0,
 };
 
 /// What befalls a fleet once all act.
@@ -347,13 +347,13 @@
     }
 
     /// What a front end is told.
-    pub(crate) fn directory(&self, net: &crate::net::Net, who: usize) -> Arc<Directory> {
+    pub(crate) fn directory(&self, net: &crate::network::Network, who: usize) -> Arc<Directory> {
         let side = if self.split { net.side(who) } else { 0 };
         self.sides.get(side).cloned().unwrap_or_default()
     }
 
     /// Takes up what is due by now. True: someone is to be told something else.
-    fn look(&mut self, net: &crate::net::Net, now: Time) -> bool {
+    fn look(&mut self, net: &crate::network::Network, now: Time) -> bool {
         let mut changed = false;
         while self.due.front().is_some_and(|d| d.0 <= now) {
             let Some((_, who, name, up)) = self.due.pop_front() else {
@@ -368,7 +368,7 @@
                 changed = true;
             }
         }
-        let split = net.cut_at(now - HIDDEN_AFTER) && net.cut_at(now - SHOWN_AFTER);
+        let split = net.is_partitioned(now - HIDDEN_AFTER) && net.is_partitioned(now - SHOWN_AFTER);
         if !changed && split == self.split {
             return false;
         }
@@ -590,10 +590,10 @@
     }
 }
 
-impl Run<'_> {
+impl Simulation<'_> {
     pub(crate) fn size_begins(&mut self) {
         if self.scale.is_some() || self.shared.is_some() {
-            self.plan(LOOK, Event::Size(Happens::Look));
+            self.schedule(LOOK, Event::Scale(Happens::Look));
         }
     }
 
@@ -638,13 +638,13 @@
                 want.tries += 1;
                 let tries = want.tries;
                 let wait = again + self.rng.i64(0..ASKED_AGAIN);
-                self.plan(now + wait, Event::Size(Happens::Ask { want: n, tries }));
+                self.schedule(now + wait, Event::Scale(Happens::Ask { want: n, tries }));
             }
             Command::Notify(FleetEvent::ChangeAbandoned { version, .. }) => {
                 if let Some(n) = scale
                     .versions
                     .get(&Version(*version))
-                    .filter(|_| who < self.play.seats)
+                    .filter(|_| who < self.options.voters)
                 {
                     scale.given_up +=
                         u64::from(!std::mem::replace(&mut scale.wants[*n].over, true));
@@ -653,7 +653,7 @@
             Command::Notify(FleetEvent::Membership(news)) if scale.steady.is_some() => match news {
                 MembershipEvent::Up(name) => {
                     let born = (name.id & !WIDE) as usize - 1;
-                    let (born, since) = (self.all[born].born, scale.steady.unwrap_or(0));
+                    let (born, since) = (self.processes[born].started, scale.steady.unwrap_or(0));
                     if born > since {
                         scale.up_known.push(((now - born) / 1000) as u64);
                     }
@@ -677,24 +677,28 @@
             Happens::Fill => self.fill(),
             Happens::Calls { who, scopes } => self.scope_calls(who, scopes),
             Happens::CutBegins => {
-                (0..self.all.len()).for_each(|who| self.account(who));
-                let before = self.all.iter().map(|p| (p.up, p.out, p.stayless)).collect();
+                self.account_all();
+                let before = self
+                    .processes
+                    .iter()
+                    .map(|p| (p.up, p.without_lease, p.without_session))
+                    .collect();
                 if let Some(scale) = &mut self.scale {
                     (scale.before, scale.cut) = (before, Some(Cut::default()));
                 }
             }
             Happens::CutEnds => {
-                (0..self.all.len()).for_each(|who| self.account(who));
+                self.account_all();
                 let Some(scale) = &mut self.scale else { return };
                 let side = |cut: bool| {
-                    let there = |n: &usize| (self.net.side(*n) > 0) == cut;
+                    let there = |n: &usize| (self.network.side(*n) > 0) == cut;
                     let (mut up, mut out, mut stayless, mut many) = (0, 0, 0, 0);
-                    for n in (0..self.all.len()).filter(there) {
-                        let (p, b) = (&self.all[n], scale.before[n]);
+                    for n in (0..self.processes.len()).filter(there) {
+                        let (p, b) = (&self.processes[n], scale.before[n]);
                         (up, out, stayless) = (
                             up + p.up - b.0,
-                            out + p.out - b.1,
-                            stayless + p.stayless - b.2,
+                            out + p.without_lease - b.1,
+                            stayless + p.without_session - b.2,
                         );
                         many += 1;
                     }
@@ -716,32 +720,37 @@
 
     /// The time up, without a lease and without a stay of all, by now.
     fn accounts(&mut self) -> (Time, Time, Time) {
-        (0..self.all.len()).for_each(|who| self.account(who));
-        self.all.iter().fold((0, 0, 0), |sum, p| {
-            (sum.0 + p.up, sum.1 + p.out, sum.2 + p.stayless)
+        self.account_all();
+        self.processes.iter().fold((0, 0, 0), |sum, p| {
+            (
+                sum.0 + p.up,
+                sum.1 + p.without_lease,
+                sum.2 + p.without_session,
+            )
         })
     }
 
     /// Those of a rack or of a zone, which stand in one region: the first there, seats left out but for the one that leads.
     fn together(&self, many: usize, with_root: bool) -> Vec<usize> {
-        let root = self.root().map(|r| r.0).filter(|_| with_root);
-        let last = (self.all.len() - 1).min(self.net.regions() - 1);
-        let region = self.net.region(root.unwrap_or(last));
-        let others = (self.play.seats..self.all.len()).filter(|n| self.net.region(*n) == region);
+        let root = self.leader().map(|r| r.0).filter(|_| with_root);
+        let last = (self.processes.len() - 1).min(self.network.regions() - 1);
+        let region = self.network.region(root.unwrap_or(last));
+        let others = (self.options.voters..self.processes.len())
+            .filter(|n| self.network.region(*n) == region);
         root.into_iter().chain(others).take(many).collect()
     }
 
     /// A rack or a zone ends, or a rolling restart begins.
     fn lose(&mut self) {
         let before = self.accounts();
-        let (now, fronts, span) = (self.now, self.all.len(), self.play.terms.span);
+        let (now, fronts, span) = (self.now, self.processes.len(), self.options.lease.span);
         let Some(size) = self.scale.as_ref().map(|s| s.size.clone()) else {
             return;
         };
         let mut parts = Vec::new();
         let mut least = now;
         let ended = if size.rolling > 0 {
-            let live = |n: &usize| self.all[*n].peer.is_some();
+            let live = |n: &usize| self.processes[*n].node.is_some();
             let part = |n| (n..fronts).step_by(size.rolling).filter(live).collect();
             parts = (0..size.rolling).rev().map(part).collect();
             (0..fronts).filter(live).collect()
@@ -754,9 +763,9 @@
         };
         let named: Vec<(usize, Member)> = ended
             .iter()
-            .filter_map(|n| Some((*n, self.all[*n].peer.as_ref()?.setup().node.member())))
+            .filter_map(|n| Some((*n, self.processes[*n].node.as_ref()?.setup().node.member())))
             .collect();
-        let seats = ended.iter().filter(|n| **n < self.play.seats).count();
+        let seats = ended.iter().filter(|n| **n < self.options.voters).count();
         let Some(scale) = &mut self.scale else { return };
         scale.loss = Some(Loss {
             front_ends: ended.len(),
@@ -780,10 +789,10 @@
             scale.gone.extend(&ended);
         }
         for who in ended {
-            self.plan(now, Event::Stop { who });
+            self.schedule(now, Event::Stop { process: who });
             if size.zone > 0 {
                 let at = now + size.zone_away + self.rng.i64(0..SECOND);
-                self.plan(at, Event::Start { who });
+                self.schedule(at, Event::Start { process: who });
             }
         }
     }
@@ -797,7 +806,7 @@
         if losing
             .part
             .iter()
-            .any(|who| !self.all[*who].runs() || !self.all[*who].joined)
+            .any(|who| !self.processes[*who].is_running() || !self.processes[*who].joined)
         {
             return;
         }
@@ -805,18 +814,24 @@
             losing.part = part.clone();
             let away = self.scale.as_ref().map_or(0, |s| s.size.rolling_away);
             for who in part {
-                self.plan(now, Event::Leave { who });
+                self.schedule(now, Event::Leave { process: who });
                 let at = now + away + self.rng.i64(0..SECOND);
-                self.plan(at, Event::Start { who });
+                self.schedule(at, Event::Start { process: who });
             }
             return;
         }
         let back = self.scale.as_ref().is_some_and(|s| {
-            let there = |(n, p): (usize, &Process)| p.runs() || s.gone.contains(&n);
+            let there = |(n, p): (usize, &Process)| p.is_running() || s.gone.contains(&n);
             s.losing.as_ref().is_some_and(|l| now > l.least)
-                && self.all.iter().enumerate().all(there)
+                && self.processes.iter().enumerate().all(there)
         });
-        if back && self.all.iter().filter(|p| p.runs()).all(|p| p.whole(now)) {
+        if back
+            && self
+                .processes
+                .iter()
+                .filter(|p| p.is_running())
+                .all(|p| p.is_leased(now))
+        {
             self.regained(true);
         }
     }
@@ -844,7 +859,7 @@
 
     /// A process holds a lease and a stay for the first time.
     pub(crate) fn acts(&mut self, who: usize) {
-        let after = self.now - self.all[who].born;
+        let after = self.now - self.processes[who].started;
         let Some(scale) = &mut self.scale else { return };
         scale.acts(after);
         let called = scale.steady.is_some() && (scale.size.zone > 0 || scale.size.rolling > 0);
@@ -854,32 +869,37 @@
                 self.now + s.rng.i64(0..CALLED),
                 1 + s.rng.usize(0..2 * HOLDS - 1),
             );
-            self.plan(at, Event::Size(Happens::Calls { who, scopes }));
+            self.schedule(at, Event::Scale(Happens::Calls { who, scopes }));
         }
     }
 
     fn look(&mut self) {
         let now = self.now;
-        self.plan(now + LOOK, Event::Size(Happens::Look));
+        self.schedule(now + LOOK, Event::Scale(Happens::Look));
         if let Some(shared) = &mut self.shared {
-            if shared.look(&self.net, now) {
-                for (who, p) in self.all.iter_mut().enumerate() {
-                    if let Some(peer) = &mut p.peer {
-                        peer.update_members(shared.directory(&self.net, who));
+            if shared.look(&self.network, now) {
+                for (who, p) in self.processes.iter_mut().enumerate() {
+                    if let Some(peer) = &mut p.node {
+                        peer.update_members(shared.directory(&self.network, who));
                     }
                 }
             }
         }
         self.regain();
         let Some(scale) = &mut self.scale else { return };
-        let whole = || self.all.iter().filter(|p| p.runs()).all(|p| p.whole(now));
+        let whole = || {
+            self.processes
+                .iter()
+                .filter(|p| p.is_running())
+                .all(|p| p.is_leased(now))
+        };
         if scale.joined.is_none() {
-            let started = now > Scale::starts(self.play.fronts);
-            let late = now > Scale::starts(self.play.fronts) + START;
-            if started && (late || self.all.iter().all(|p| p.joined)) {
+            let started = now > Scale::starts(self.options.front_ends);
+            let late = now > Scale::starts(self.options.front_ends) + START;
+            if started && (late || self.processes.iter().all(|p| p.joined)) {
                 scale.joined = Some(now);
                 if late {
-                    let lack = self.all.iter().filter(|p| !p.joined).count();
+                    let lack = self.processes.iter().filter(|p| !p.joined).count();
                     scale.notes.push(format!(
                         "{lack} front ends did not act {} s after the start",
                         now / SECOND
@@ -891,7 +911,7 @@
                 } else {
                     (SETTLED, Happens::Steady)
                 };
-                self.plan(now + after, Event::Size(next));
+                self.schedule(now + after, Event::Scale(next));
                 return;
             }
         }
@@ -902,9 +922,9 @@
             scale.healing = None;
         }
         if !scale.dead.is_empty() {
-            let leads = self.all[..self.disks.len()]
+            let leads = self.processes[..self.disks.len()]
                 .iter()
-                .find_map(|p| p.peer.as_ref()?.log());
+                .find_map(|p| p.node.as_ref()?.log());
             if let Some(log) = leads {
                 let freed = scale.dead.extract_if(.., |d| !log.has_member(d.1));
                 scale
@@ -937,16 +957,17 @@
                     1 + s.rng.usize(0..2 * HOLDS - 1),
                 )
             };
-            let calls: Vec<(Time, usize, usize)> = (0..self.play.fronts).map(&mut one).collect();
+            let calls: Vec<(Time, usize, usize)> =
+                (0..self.options.front_ends).map(&mut one).collect();
             for (at, who, scopes) in calls {
-                self.plan(at, Event::Size(Happens::Calls { who, scopes }));
+                self.schedule(at, Event::Scale(Happens::Calls { who, scopes }));
             }
-            return self.plan(now + SETTLED, Event::Size(Happens::Steady));
+            return self.schedule(now + SETTLED, Event::Scale(Happens::Steady));
         }
         let settled = s.settled();
         scale.fills += u64::from(settled);
         let id = FILLS + scale.fills;
-        self.plan(now + SECOND / 2, Event::Size(Happens::Fill));
+        self.schedule(now + SECOND / 2, Event::Scale(Happens::Fill));
         if !settled {
             return;
         }
@@ -963,8 +984,8 @@
                 reason: "a beginning".into(),
             }],
         };
-        if let Some((root, _)) = self.root() {
-            self.act(root, |p, now, out| p.request(now, 0, entry, out));
+        if let Some((root, _)) = self.leader() {
+            self.step_node(root, |p, now, out| p.request(now, 0, entry, out));
         }
     }
 
@@ -974,7 +995,7 @@
             let Some(s) = &mut self.scopes else { return };
             let scope = s.skewed();
             let name = s.calls(who, scope);
-            self.act(who, |p, now, out| {
+            self.step_node(who, |p, now, out| {
                 p.admit(now, &name, out);
             });
         }
@@ -993,7 +1014,7 @@
             let from = if share < by_dead {
                 scale.gone.clone()
             } else {
-                (0..self.all.len()).collect()
+                (0..self.processes.len()).collect()
             };
             if share < held + by_dead {
                 drawn = s.one_of_called(&from).unwrap_or(spread);
@@ -1002,7 +1023,8 @@
         let want = &mut scale.wants[n];
         want.scope = Some(drawn);
         want.dead_held = want.strict && s.is_called(&scale.gone, drawn);
-        scale.of_held += u64::from(s.is_called(&(0..self.all.len()).collect::<Vec<_>>(), drawn));
+        scale.of_held +=
+            u64::from(s.is_called(&(0..self.processes.len()).collect::<Vec<_>>(), drawn));
     }
 
     /// The change of a single function that an operator asks for.
@@ -1030,16 +1052,16 @@
     /// Counting begins, and what is to happen is planned.
     fn steady(&mut self) {
         let now = self.now;
-        for who in 0..self.all.len() {
+        for who in 0..self.processes.len() {
             self.account(who);
-            let p = &mut self.all[who];
-            (p.up, p.out, p.stayless) = (0, 0, 0);
+            let p = &mut self.processes[who];
+            (p.up, p.without_lease, p.without_session) = (0, 0, 0);
         }
         let Some(scale) = &mut self.scale else { return };
         let size = scale.size.clone();
         (scale.steady, scale.end) = (Some(now), now + size.counted);
         scale.traffic.fill(Traffic::default());
-        let (fronts, seats) = (self.play.fronts, self.play.seats);
+        let (fronts, seats) = (self.options.front_ends, self.options.voters);
         let mut planned = Vec::new();
         let hours = size.counted as f64 / (3600 * SECOND) as f64;
         let asked = (size.changes_hour * hours).round() as usize;
@@ -1068,38 +1090,42 @@
                 scope,
                 dead_held,
             });
-            planned.push((at, Event::Size(Happens::Ask { want: n, tries: 0 })));
+            planned.push((at, Event::Scale(Happens::Ask { want: n, tries: 0 })));
         }
         let mut others: Vec<usize> = (seats..fronts).collect();
         self.rng.shuffle(&mut others);
         for who in others.drain(..size.dead.min(others.len())) {
-            let name = self.all[who].peer.as_ref().map(|p| p.setup().node.member());
+            let name = self.processes[who]
+                .node
+                .as_ref()
+                .map(|p| p.setup().node.member());
             scale.dead.extend(name.map(|m| (who, m, now)));
             scale.gone.push(who);
-            planned.push((now, Event::Stop { who }));
+            planned.push((now, Event::Stop { process: who }));
         }
         let away = (size.away_hour * hours).round() as usize;
         for _ in 0..if others.is_empty() { 0 } else { away } {
             let at = now + self.rng.i64(0..size.counted * 9 / 10 + 1);
             let who = others[self.rng.usize(0..others.len())];
-            planned.push((at, Event::Stop { who }));
+            planned.push((at, Event::Stop { process: who }));
             planned.push((
                 at + self.rng.i64(2 * SECOND..10 * SECOND),
-                Event::Start { who },
+                Event::Start { process: who },
             ));
         }
         if size.cut_regions > 0 && size.cut > 0 {
             let from = now + size.counted / 5;
-            self.net.cut_off(size.cut_regions, from, from + size.cut);
-            planned.push((from, Event::Size(Happens::CutBegins)));
-            planned.push((from + size.cut, Event::Size(Happens::CutEnds)));
+            self.network
+                .partition_regions(size.cut_regions, from, from + size.cut);
+            planned.push((from, Event::Scale(Happens::CutBegins)));
+            planned.push((from + size.cut, Event::Scale(Happens::CutEnds)));
         }
         if size.rack > 0 || size.zone > 0 || size.rolling > 0 {
-            planned.push((now + size.counted / 5, Event::Size(Happens::Loss)));
+            planned.push((now + size.counted / 5, Event::Scale(Happens::Loss)));
         }
         planned
             .into_iter()
-            .for_each(|(at, event)| self.plan(at, event));
+            .for_each(|(at, event)| self.schedule(at, event));
     }
 
     /// An operator asks the seat that leads for a change.
@@ -1124,9 +1150,9 @@
         want.tries += 1;
         let (strict, tries) = (want.strict, want.tries);
         // It is asked for again if no answer comes; the same id makes it one change.
-        self.plan(
+        self.schedule(
             now + UNANSWERED,
-            Event::Size(Happens::Ask { want: n, tries }),
+            Event::Scale(Happens::Ask { want: n, tries }),
         );
         if self.scopes.is_some() {
             if self
@@ -1136,16 +1162,17 @@
             {
                 self.draw_scope(n);
             }
-            let (Some((root, _)), Some(request)) = (self.root(), self.change_of(n, strict)) else {
+            let (Some((root, _)), Some(request)) = (self.leader(), self.change_of(n, strict))
+            else {
                 return;
             };
             let id = request.id;
             let entry = LogEntry::UpdateScopes {
                 transactions: vec![request],
             };
-            return self.act(root, |p, now, out| p.request(now, id, entry, out));
+            return self.step_node(root, |p, now, out| p.request(now, id, entry, out));
         }
-        let Some((root, state)) = self.root() else {
+        let Some((root, state)) = self.leader() else {
             return;
         };
         let mut fields = state.in_force.fields.clone();
@@ -1161,11 +1188,15 @@
             fields,
             reason: "a change".into(),
         };
-        self.act(root, |p, now, out| p.request(now, id, entry, out));
+        self.step_node(root, |p, now, out| p.request(now, id, entry, out));
     }
 
     pub(crate) fn ended(&mut self, who: usize, word: bool) {
-        let Some(name) = self.all[who].peer.as_ref().map(|p| p.setup().node.clone()) else {
+        let Some(name) = self.processes[who]
+            .node
+            .as_ref()
+            .map(|p| p.setup().node.clone())
+        else {
             return;
         };
         if let Some(scale) = &mut self.scale {
@@ -1178,14 +1209,14 @@
 
     /// What was measured, at the end of a run.
     pub(crate) fn report(mut self) -> Report {
-        (0..self.all.len()).for_each(|who| self.account(who));
+        self.account_all();
         self.regained(false);
-        let seats = self.play.seats;
+        let seats = self.options.voters;
         let Some(scale) = self.scale.take() else {
             return Report::default();
         };
         let counted = (self.now - scale.steady.unwrap_or(self.now)).max(1) as f64 / SECOND as f64;
-        let hollow = self.play.tier == Tier::Hollow;
+        let hollow = self.options.tier == Tier::Hollow;
         let away = scale.size.away_hour;
         let added = (
             MEMBERSHIP.0 + MEMBERSHIP_AWAY.0 * away,
@@ -1196,8 +1227,8 @@
         // One that was away for good takes no part in the mean.
         let lives: Vec<&Traffic> = others
             .iter()
-            .zip(&self.all[seats..])
-            .filter(|(_, p)| p.peer.is_some())
+            .zip(&self.processes[seats..])
+            .filter(|(_, p)| p.node.is_some())
             .map(|x| x.0)
             .collect();
         let mean = |of: fn(&Traffic) -> u64| {
@@ -1207,19 +1238,24 @@
             all.iter().map(of).max().unwrap_or(0) as f64 / counted
         };
         let at_seats = &scale.traffic[..seats.min(scale.traffic.len())];
-        let up: Time = self.all.iter().map(|p| p.up).sum();
+        let up: Time = self.processes.iter().map(|p| p.up).sum();
         let part = |t: Time| t as f64 / up.max(1) as f64;
         let known: usize = self
-            .all
+            .processes
             .iter()
-            .filter_map(|p| p.peer.as_ref())
+            .filter_map(|p| p.node.as_ref())
             .map(|p| p.others().count())
             .sum();
-        let running = self.all.iter().filter(|p| p.peer.is_some()).count().max(1);
+        let running = self
+            .processes
+            .iter()
+            .filter(|p| p.node.is_some())
+            .count()
+            .max(1);
         let held: usize = self
-            .all
+            .processes
             .iter()
-            .filter_map(|p| p.peer.as_ref())
+            .filter_map(|p| p.node.as_ref())
             .map(|p| p.subscription_count())
             .sum();
         let over = scale.wants.iter().filter(|w| w.over).count() as u64;
@@ -1261,15 +1297,15 @@
                 - scale.dead_held.len() as u64,
             in_force_ms: Quantiles::of(&scale.dead_held),
         };
-        let broken = !self.outcome.broken.is_empty();
-        notes.extend(std::mem::take(&mut self.outcome.broken));
+        let broken = !self.result.violations.is_empty();
+        notes.extend(std::mem::take(&mut self.result.violations));
         let ok = !broken
             && scale.steady.is_some()
             && scale.healing.is_none()
             && scale.losing.is_none()
-            && scale.start_join.len() >= self.all.len();
+            && scale.start_join.len() >= self.processes.len();
         Report {
-            seed: self.outcome.seed,
+            seed: self.result.seed,
             virtual_seconds: self.now as f64 / SECOND as f64,
             start_seconds: scale.joined.unwrap_or(self.now) as f64 / SECOND as f64,
             view_members: known as f64 / running as f64 + 1.0,
@@ -1297,8 +1333,8 @@
             freed_ms: Quantiles::of(&scale.freed),
             view_up_ms: Quantiles::of(&scale.up_known),
             view_down_ms: Quantiles::of(&scale.down_known),
-            lease_lost: part(self.all.iter().map(|p| p.out).sum()),
-            stay_lost: part(self.all.iter().map(|p| p.stayless).sum()),
+            lease_lost: part(self.processes.iter().map(|p| p.without_lease).sum()),
+            stay_lost: part(self.processes.iter().map(|p| p.without_session).sum()),
             cut: scale.cut,
             loss: scale.loss,
             dead_held: (scale.size.by_scope > 0 && !scale.gone.is_empty()).then_some(dead_held),
@@ -1309,13 +1345,15 @@
     }
 }
 
-/// Plays one fleet; [`Play::size`] has to be there.
-pub fn run(play: &Play, seed: u64) -> Report {
-    crate::agree::played(play, seed, &[]).report()
+/// Plays one fleet; [`SimulationOptions::size`] has to be there.
+pub fn run(play: &SimulationOptions, seed: u64) -> Report {
+    let mut simulation = Simulation::new(play, seed, &[]);
+    simulation.play();
+    simulation.report()
 }
 
 /// Plays seeds `from` to `from + seeds` on so many threads, in their order. With each what it took, seconds.
-pub fn many(play: &Play, from: u64, seeds: u64, threads: usize) -> Vec<(Report, f64)> {
+pub fn many(play: &SimulationOptions, from: u64, seeds: u64, threads: usize) -> Vec<(Report, f64)> {
     let one = |seed| {
         let begun = std::time::Instant::now();
         let report = run(play, seed);
--- a/simulation/tests/scopes.rs
+++ b/simulation/tests/scopes.rs
@@ -1,29 +1,29 @@
 //! Settings by scope in fleets in virtual time: nothing breaks through faults, what is planted is found, and a fleet at its
 //! size changes functions one by one.
 
-use tansy_simulation::agree::{many, run, Plant, Play};
 use tansy_simulation::fault::SECOND;
+use tansy_simulation::fleet::{many, run, PlantedDefect, SimulationOptions};
 use tansy_simulation::size::{run as size, Size, Tier, WAYS};
 
-fn play() -> Play {
-    Play {
-        seats: 3,
+fn play() -> SimulationOptions {
+    SimulationOptions {
+        voters: 3,
         scopes: 6,
-        ..Play::of(7)
+        ..SimulationOptions::of(7)
     }
 }
 
 #[test]
 fn no_front_end_acts_on_what_a_scope_no_longer_is_through_kills_pauses_cuts_and_clocks() {
     let sum = many(&play(), 1, 20, 2);
-    assert!(sum.broken.is_empty(), "{:?}", sum.broken);
+    assert!(sum.violations.is_empty(), "{:?}", sum.violations);
     assert!(sum.scopes_in_force > 200 && sum.in_force > 50, "{sum:?}");
 }
 
 #[test]
 fn seats_are_replaced_while_scopes_change() {
     let sum = many(
-        &Play {
+        &SimulationOptions {
             spares: 3,
             replacements: 8,
             ..play()
@@ -32,31 +32,31 @@
         10,
         2,
     );
-    assert!(sum.broken.is_empty(), "{:?}", sum.broken);
+    assert!(sum.violations.is_empty(), "{:?}", sum.violations);
     assert!(sum.scopes_in_force > 100 && sum.replaced > 5, "{sum:?}");
 }
 
 #[test]
 fn one_whose_stay_ran_out_and_is_back_acts_on_no_scope_as_it_was() {
     let one = run(
-        &Play {
+        &SimulationOptions {
             scopes: 12,
-            ..Play::of(5)
+            ..SimulationOptions::of(5)
         },
         153,
     );
     let many = run(
-        &Play {
-            seats: 5,
+        &SimulationOptions {
+            voters: 5,
             spares: 3,
             replacements: 6,
             scopes: 3,
-            ..Play::of(13)
+            ..SimulationOptions::of(13)
         },
         688,
     );
     assert_eq!(
-        (one.broken, many.broken),
+        (one.violations, many.violations),
         (Vec::<String>::new(), Vec::new())
     );
 }
@@ -64,16 +64,16 @@
 #[test]
 fn each_planted_mistake_with_scopes_is_found() {
     for (plant, seeds) in [
-        (Plant::NoHolders, 20),
-        (Plant::NoneHold, 60),
-        (Plant::OldReply, 60),
-        (Plant::LateDrop, 60),
+        (PlantedDefect::NoHolders, 20),
+        (PlantedDefect::NoneHold, 60),
+        (PlantedDefect::OldReply, 60),
+        (PlantedDefect::LateDrop, 60),
     ] {
-        let planted = Play {
-            plant: Some(plant),
+        let planted = SimulationOptions {
+            defect: Some(plant),
             ..play()
         };
-        let found = (1..=seeds).find_map(|s| run(&planted, s).broken.first().cloned());
+        let found = (1..=seeds).find_map(|s| run(&planted, s).violations.first().cloned());
         let told = found.unwrap_or_else(|| panic!("{plant:?}: no run breaks"));
         assert!(told.contains("acts on"), "{plant:?}: {told}");
     }
@@ -94,15 +94,15 @@
         by_scope: 200,
         ..Size::default()
     };
-    let mut play = Play {
+    let mut play = SimulationOptions {
         tier: Tier::Hollow,
-        seats: 3,
-        stay: 20 * SECOND,
+        voters: 3,
+        session: 20 * SECOND,
         size: Some(by_scope),
-        ways: WAYS,
-        ..Play::of(40)
+        network: WAYS,
+        ..SimulationOptions::of(40)
     };
-    play.terms.span = 2 * SECOND;
+    play.lease.span = 2 * SECOND;
     let report = size(&play, 1);
     assert!(report.ok && report.changes_in_force == 40, "{report:?}");
     let took = report.scope_in_force_ms.expect("changes in force");
@@ -121,18 +121,18 @@
         dead: 2,
         ..Size::default()
     };
-    let mut play = Play {
+    let mut play = SimulationOptions {
         tier: Tier::Hollow,
-        seats: 3,
-        stay: 30 * SECOND,
+        voters: 3,
+        session: 30 * SECOND,
         size: Some(Size {
             held_by_dead: 0.3,
             ..size.clone()
         }),
-        ways: WAYS,
-        ..Play::of(40)
+        network: WAYS,
+        ..SimulationOptions::of(40)
     };
-    play.terms.span = 2 * SECOND;
+    play.lease.span = 2 * SECOND;
     let dead = self::size(&play, 1);
     assert!(dead.ok, "{:?}", dead.notes);
     let held = dead.dead_held.expect("some are dead");
@@ -158,7 +158,7 @@
         ..size
     };
     let live = self::size(
-        &Play {
+        &SimulationOptions {
             size: Some(live),
             ..play
         },
--- a/simulation/tests/size.rs
+++ b/simulation/tests/size.rs
@@ -1,20 +1,20 @@
 //! Fleets at their size: the hollow tier measures what the whole one does, its runs depend on their seeds alone, and the
 //! audit finds in it what is planted.
 
-use tansy_simulation::agree::{run as agree, Plant, Play};
 use tansy_simulation::fault::SECOND;
+use tansy_simulation::fleet::{run as agree, PlantedDefect, SimulationOptions};
 use tansy_simulation::size::{run, Report, Size, Tier, WAYS};
 
-fn play(tier: Tier, fronts: usize, size: Size) -> Play {
-    let mut play = Play {
+fn play(tier: Tier, fronts: usize, size: Size) -> SimulationOptions {
+    let mut play = SimulationOptions {
         tier,
-        seats: 3,
-        stay: 20 * SECOND,
+        voters: 3,
+        session: 20 * SECOND,
         size: Some(size),
-        ways: WAYS,
-        ..Play::of(fronts)
+        network: WAYS,
+        ..SimulationOptions::of(fronts)
     };
-    play.terms.span = 2 * SECOND;
+    play.lease.span = 2 * SECOND;
     play
 }
 
@@ -295,17 +295,17 @@
 #[test]
 fn the_audit_finds_planted_mistakes_in_the_hollow_tier() {
     for (plant, seeds) in [
-        (Plant::NoJoint, 20),
-        (Plant::NoRoster, 100),
-        (Plant::WildClock, 300),
+        (PlantedDefect::NoJoint, 20),
+        (PlantedDefect::NoRoster, 100),
+        (PlantedDefect::WildClock, 300),
     ] {
-        let play = Play {
-            plant: Some(plant),
+        let play = SimulationOptions {
+            defect: Some(plant),
             tier: Tier::Hollow,
-            ..Play::of(7)
+            ..SimulationOptions::of(7)
         };
         assert!(
-            (1..=seeds).any(|s| !agree(&play, s).broken.is_empty()),
+            (1..=seeds).any(|s| !agree(&play, s).violations.is_empty()),
             "{plant:?}"
         );
     }
@@ -313,13 +313,13 @@
 
 #[test]
 fn nothing_breaks_through_faults_in_the_hollow_tier() {
-    let play = Play {
-        seats: 3,
+    let play = SimulationOptions {
+        voters: 3,
         tier: Tier::Hollow,
-        ..Play::of(9)
+        ..SimulationOptions::of(9)
     };
     for seed in 1..=20 {
         let outcome = agree(&play, seed);
-        assert_eq!(outcome.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(outcome.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
