--- a/simulation/src/fleet/audit.rs
+++ b/simulation/src/fleet/audit.rs
@@ -80,7 +80,7 @@
             );
             return self.report_violation(index, violation);
         }
-        self.scopes_compare(index, applied);
+        self.compare_catalogs(index, applied);
         let agreed = self.audit.agreed.as_ref();
         if agreed.is_none_or(|agreed| agreed.entries < applied) {
             self.advance_agreed(index, applied, here, has_open_changes);
@@ -107,7 +107,7 @@
             state,
             has_open_changes,
         });
-        let scopes_changed = self.scopes_moved(index);
+        let scopes_changed = self.follow_scopes(index);
         // An entry about members changes nothing that is acted on.
         if scopes_changed || state_changed {
             for process in 0..self.processes.len() {
@@ -148,7 +148,7 @@
 
     /// Measures the time until a version is in force at every front end that runs.
     pub(super) fn measure_in_force(&mut self) {
-        self.scopes_reached();
+        self.measure_scopes_in_force();
         let Some((version, since)) = self.audit.awaited else {
             return;
         };
@@ -177,7 +177,7 @@
 
     /// Compares what a process would act on now with what is in force by the agreed log.
     pub(super) fn audit_process(&mut self, index: usize) {
-        self.judge_scopes(index);
+        self.audit_scopes(index);
         let process = &self.processes[index];
         let (true, Some(agreed)) = (process.is_running(), &self.audit.agreed) else {
             return;
--- a/simulation/src/fleet/node_step.rs
+++ b/simulation/src/fleet/node_step.rs
@@ -5,7 +5,7 @@
 use super::{PlantedDefect, Simulation};
 use crate::fault::{Time, SECOND};
 use crate::letter::size;
-use crate::scope::LATE;
+use crate::scopes::REPLY_DELAY;
 use crate::size::WIDE;
 use tansy_agreement::lease_tree::LeaseMessage;
 use tansy_agreement::log::Revision;
@@ -47,7 +47,7 @@
         let mut body = body;
         match self.options.defect {
             Some(PlantedDefect::OldReply) => self.renew_reply(to, &mut body),
-            Some(PlantedDefect::LateDrop) => self.late_drops(&mut body),
+            Some(PlantedDefect::LateDrop) => self.repeat_unsubscribed(&mut body),
             Some(PlantedDefect::CountedFromAnswer) => self.renew_grant(to, from, leader, &mut body),
             _ => {}
         }
@@ -181,7 +181,7 @@
                 self.send(index, to, from, leader, MessageBody::Consensus(bytes));
             }
             other => {
-                self.scopes_told(index, &other);
+                self.on_scope_command(index, &other);
                 self.told_of(index, &other);
             }
         }
@@ -201,7 +201,7 @@
         }
         let delayed = self.options.has_defect(PlantedDefect::OldReply)
             && matches!(body, MessageBody::SubscribeReply(_));
-        let sent_at = self.now + if delayed { LATE } else { 0 };
+        let sent_at = self.now + if delayed { REPLY_DELAY } else { 0 };
         for at in self.network.carry(&mut self.rng, sent_at, index, to) {
             let message = Box::new((from.clone(), leader, body.clone()));
             self.schedule(at, Event::Message { to, message });
--- a/simulation/src/fleet/simulation.rs
+++ b/simulation/src/fleet/simulation.rs
@@ -6,7 +6,7 @@
 use super::{settings, PlantedDefect, SimulationOptions, SimulationResult};
 use crate::fault::{Fault, Time, SECOND};
 use crate::network::Network;
-use crate::scope::Scopes;
+use crate::scopes::Scopes;
 use crate::size::{Scale, Shared, Tier, SINCE};
 use tansy_agreement::compatibility::Schema;
 use tansy_agreement::log::FleetState;
@@ -126,7 +126,7 @@
                 _ => {}
             }
         }
-        self.scopes_begin();
+        self.schedule_scope_workload();
         let changes_until = self.options.faults_until + self.options.calm / 4;
         for _ in 0..self.options.replacements {
             let at = self.rng.i64(SECOND..changes_until);
@@ -199,9 +199,9 @@
             Event::Propose => self.propose()?,
             Event::ReplaceVoter => self.replace_voter()?,
             Event::Abandon => self.abandon()?,
-            Event::Request { process, expire } => self.scope_call(process, expire),
-            Event::ChangeScopes { again } => self.scope_change(again),
-            Event::AdvanceScope { scope, since } => self.carry_early(scope, since),
+            Event::Request { process, expire } => self.request_scope(process, expire),
+            Event::ChangeScopes { again } => self.change_scopes(again),
+            Event::AdvanceScope { scope, since } => self.advance_scope_early(scope, since),
             Event::Scale(event) => self.happens(event),
         }
         Some(())
@@ -234,7 +234,7 @@
     /// Ends the run.
     pub(super) fn into_result(mut self) -> SimulationResult {
         self.audit_end();
-        self.scopes_close();
+        self.audit_scopes_end();
         let up: Time = self.processes.iter().map(|p| p.up).sum();
         let share = |of: fn(&Process) -> Time| {
             self.processes.iter().map(of).sum::<Time>() as f64 / up.max(1) as f64
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod network;
 pub mod plot;
 pub mod rollout;
-mod scope;
+mod scopes;
 pub mod size;
 
 /// Plays seeds `from` to `from + seeds` on so many threads. The order of what comes back is that of the threads.
--- /dev/null
+++ b/simulation/src/scopes/agreed.rs
@@ -0,0 +1,229 @@
+//! The scopes as they are agreed on, followed change by change, and what may be acted on.
+
+use super::change_number;
+use std::collections::{BTreeMap, BTreeSet};
+use tansy_agreement::compatibility::{contradictions, EffectiveRules, Fields, Schema};
+use tansy_agreement::log::{Log, Revision};
+use tansy_agreement::scope::{
+    qualified_fields, EffectiveSettings, ScopeChange, ScopePhase, ScopeRecord,
+};
+
+/// A scope as it is agreed on, and what may be acted on under a lease.
+#[derive(Default)]
+struct AgreedScope {
+    record: ScopeRecord,
+    permitted: Vec<EffectiveSettings>,
+}
+
+/// With what a front end was audited: another audit with the same finds the same.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct AuditKey {
+    pub(super) round: u64,
+    pub(super) incarnation: u64,
+    /// Counts the changes of the front end's own scopes.
+    pub(super) scopes_changed: u64,
+    pub(super) has_lease: bool,
+    pub(super) has_session: bool,
+}
+
+/// A change of a scope that came in force or was abandoned.
+pub(super) struct EndedChange {
+    pub(super) revision: Revision,
+    /// The number of the change, where its fields carry one.
+    pub(super) number: Option<i64>,
+    pub(super) in_force: bool,
+}
+
+/// The scopes as they are agreed on.
+#[derive(Default)]
+pub(super) struct AgreedScopes {
+    scopes: BTreeMap<String, AgreedScope>,
+    unsettled: BTreeSet<String>,
+    /// Up to this revision all changes are followed.
+    pub(super) revision: Revision,
+    /// Counts changes and settlements.
+    pub(super) round: u64,
+    /// Changes that entered their joint phase, by scope, number and revision.
+    joint: BTreeSet<(String, Option<i64>, Revision)>,
+    pub(super) in_force: u64,
+    pub(super) reverted: u64,
+    /// Changes that ended and were not measured yet.
+    pub(super) ended: Vec<EndedChange>,
+}
+
+impl AgreedScopes {
+    /// Whether no change is under way.
+    pub(super) fn is_settled(&self) -> bool {
+        self.unsettled.is_empty()
+    }
+
+    /// The agreed record of a scope; one that was never changed has an empty one.
+    pub(super) fn record(&self, scope: &str) -> ScopeRecord {
+        let agreed = self.scopes.get(scope);
+        agreed.map(|s| s.record.clone()).unwrap_or_default()
+    }
+
+    /// The fields in force of a scope.
+    pub(super) fn fields(&self, scope: &str) -> Option<&Fields> {
+        self.scopes.get(scope)?.record.fields.as_ref()
+    }
+
+    /// Follows a log. Whether anything changed, and the violations in how it did.
+    pub(super) fn follow(&mut self, log: &Log, schema: &Schema) -> (bool, Vec<String>) {
+        let before = self.round;
+        let state = log.state();
+        let mut violations = Vec::new();
+        let Some(changes) = state.history.since(self.revision) else {
+            violations.push(format!(
+                "has forgotten moves since step {}",
+                self.revision.0
+            ));
+            return (false, violations);
+        };
+        for change in changes {
+            self.apply_change(change, schema, &mut violations);
+        }
+        self.revision = state.revision;
+        self.settle(log, schema, &mut violations);
+        (self.round > before, violations)
+    }
+
+    fn apply_change(
+        &mut self,
+        change: &ScopeChange,
+        schema: &Schema,
+        violations: &mut Vec<String>,
+    ) {
+        let scope = &change.scope;
+        let agreed = self.scopes.entry(scope.clone()).or_default();
+        let before = std::mem::replace(&mut agreed.record, change.record.clone());
+        agreed.permitted = vec![
+            before.effective(schema, scope),
+            change.record.effective(schema, scope),
+        ];
+        self.round += 1;
+        self.unsettled.insert(scope.clone());
+        match &change.record.phase {
+            ScopePhase::Joint { next, since } => {
+                self.enter_joint(change, &before, next, *since, violations);
+            }
+            ScopePhase::Settling { .. } => {
+                if before.next() != Some(&change.record.fields) {
+                    violations.push(format!(
+                        "{scope} came in force in step {} not from a change",
+                        change.revision.0
+                    ));
+                }
+                self.in_force += 1;
+                let number = change_number(&change.record.fields);
+                self.end_change(change.revision, number, true);
+            }
+            ScopePhase::Reverting { .. } => {
+                if before.next().is_none() || before.fields != change.record.fields {
+                    violations.push(format!(
+                        "{scope} went back in step {} not from a change",
+                        change.revision.0
+                    ));
+                }
+                self.reverted += 1;
+                let number = before.next().and_then(change_number);
+                self.end_change(change.revision, number, false);
+            }
+            ScopePhase::Settled => violations.push(format!("{scope} moved to settled")),
+        }
+    }
+
+    fn enter_joint(
+        &mut self,
+        change: &ScopeChange,
+        before: &ScopeRecord,
+        next: &Option<Fields>,
+        since: Revision,
+        violations: &mut Vec<String>,
+    ) {
+        let scope = &change.scope;
+        let number = change_number(next);
+        if before.next().is_some() || before.fields != change.record.fields {
+            violations.push(format!(
+                "{scope} went joint in step {} out of turn",
+                since.0
+            ));
+        }
+        let is_same = |(other, other_number, _): &(String, Option<i64>, Revision)| {
+            other == scope && other_number.is_some() && *other_number == number
+        };
+        if self.joint.iter().any(is_same) {
+            violations.push(format!("{scope}: change {number:?} went joint twice"));
+        }
+        self.joint.insert((scope.clone(), number, since));
+    }
+
+    fn end_change(&mut self, revision: Revision, number: Option<i64>, in_force: bool) {
+        self.ended.push(EndedChange {
+            revision,
+            number,
+            in_force,
+        });
+    }
+
+    /// Scopes that the catalog has settled may be acted on as they are alone.
+    fn settle(&mut self, log: &Log, schema: &Schema, violations: &mut Vec<String>) {
+        let is_settled = |name: &&String| {
+            let record = log.catalog().get(name);
+            record.is_none_or(|record| record.phase == ScopePhase::Settled)
+        };
+        let settled: Vec<String> = self.unsettled.iter().filter(is_settled).cloned().collect();
+        for name in settled {
+            self.unsettled.remove(&name);
+            self.round += 1;
+            let Some(agreed) = self.scopes.get_mut(&name) else {
+                continue;
+            };
+            let record = log.catalog().get(&name).cloned().unwrap_or_default();
+            if record.fields != agreed.record.fields {
+                violations.push(format!("{name} is settled as what it was not"));
+            }
+            agreed.permitted = vec![record.effective(schema, &name)];
+            agreed.record = record;
+        }
+    }
+
+    /// The violation in what a front end acts on, if there is one.
+    pub(super) fn violation(
+        &self,
+        schema: &Schema,
+        scope: &str,
+        acting: &EffectiveSettings,
+        has_lease: bool,
+    ) -> Option<String> {
+        let unchanged = AgreedScope {
+            record: ScopeRecord::default(),
+            permitted: vec![EffectiveSettings::default()],
+        };
+        let agreed = self.scopes.get(scope).unwrap_or(&unchanged);
+        let report = |detail: &str| {
+            Some(format!(
+                "{scope}: acts on {acting:?}, {detail}, agreed is {:?}",
+                agreed.record
+            ))
+        };
+        if has_lease && !agreed.permitted.contains(acting) {
+            return report("with a lease");
+        }
+        if acting.rejected {
+            return None;
+        }
+        match (&agreed.record.fields, &acting.fields) {
+            (Some(in_force), Some(acting)) => {
+                let contradictions = contradictions(
+                    schema,
+                    &qualified_fields(scope, in_force),
+                    &EffectiveRules::from_fields(&qualified_fields(scope, acting)),
+                );
+                contradictions.first().and_then(|(path, _)| report(path))
+            }
+            (None, None) => None,
+            _ => report("which is there or not"),
+        }
+    }
+}
--- /dev/null
+++ b/simulation/src/scopes/defects.rs
@@ -0,0 +1,92 @@
+//! Planted defects that concern scopes.
+
+use crate::fault::{Time, SECOND};
+use crate::fleet::{address_of, Simulation};
+use tansy_agreement::lease::Member;
+use tansy_agreement::log::{Log, LogEntry, Revision};
+use tansy_agreement::subscription::{ResyncEpoch, SubscribeRequest};
+use tansy_fleet_node::{Command, FleetNode, Leader, MessageBody};
+use tansy_membership::NodeId;
+
+/// What replies about scopes take longer, where replies older than their reader's revision are to be frequent.
+pub(crate) const REPLY_DELAY: Time = SECOND * 3 / 10;
+
+/// A front end's full list of subscriptions, which is empty.
+fn empty_subscriptions(from: Member, epoch: ResyncEpoch) -> MessageBody {
+    MessageBody::Subscribe(SubscribeRequest {
+        from,
+        epoch,
+        seq: 1,
+        revision: Revision(0),
+        scopes: Vec::new(),
+        unsubscribed: Vec::new(),
+        full_list: Some(Vec::new()),
+    })
+}
+
+fn replied_epoch(commands: &[Command]) -> Option<ResyncEpoch> {
+    commands.iter().find_map(|command| match command {
+        Command::Send {
+            body: MessageBody::SubscribeReply(reply),
+            ..
+        } => Some(reply.epoch),
+        _ => None,
+    })
+}
+
+impl Simulation<'_> {
+    /// [`crate::fleet::PlantedDefect::NoneHold`]: the leader that begins takes each on its roster for one without
+    /// subscriptions.
+    pub(super) fn forget_subscriptions(&mut self, index: usize) {
+        let Some(node) = self.processes[index].node.as_ref() else {
+            return;
+        };
+        let own_id = index as u64 + 1;
+        let roster: Vec<Member> = node
+            .log()
+            .into_iter()
+            .flat_map(Log::roster)
+            .map(|(member, _)| member)
+            .filter(|member| member.id != own_id)
+            .collect();
+        for member in roster {
+            let address = address_of(member.id as usize - 1);
+            let from = NodeId::new(member.id, member.incarnation, address);
+            let leader = Leader::default;
+            self.step_node(index, |node: &mut FleetNode, now, commands| {
+                // A first request is answered with the epoch that the list has to name.
+                let mut replies = Vec::new();
+                let first = empty_subscriptions(member, ResyncEpoch::default());
+                node.on_message(now, &from, leader(), first, &mut replies);
+                if let Some(epoch) = replied_epoch(&replies) {
+                    let list = empty_subscriptions(member, epoch);
+                    node.on_message(now, &from, leader(), list, commands);
+                }
+            });
+        }
+    }
+
+    /// [`crate::fleet::PlantedDefect::NoHolders`]: a change comes in force once every lease expired or was renewed,
+    /// whoever is subscribed to the scope.
+    pub(crate) fn advance_scope_early(&mut self, scope: String, since: Revision) {
+        let Some((leader, _)) = self.leader() else {
+            return;
+        };
+        let entry = LogEntry::AdvanceScopes {
+            in_force: vec![(scope, since)],
+            settled: Vec::new(),
+        };
+        self.request(leader, 0, entry);
+    }
+
+    /// [`crate::fleet::PlantedDefect::LateDrop`]: what was unsubscribed once is unsubscribed again with every later
+    /// message.
+    pub(crate) fn repeat_unsubscribed(&mut self, body: &mut MessageBody) {
+        if let (MessageBody::Subscribe(request), Some(scopes)) = (body, &mut self.scopes) {
+            let known = scopes.unsubscribed.entry(request.from).or_default();
+            let before: Vec<u64> = known.iter().copied().collect();
+            known.extend(request.unsubscribed.iter().copied());
+            request.unsubscribed.extend(before);
+        }
+    }
+}
--- a/simulation/src/size.rs
+++ b/simulation/src/size.rs
@@ -10,7 +10,7 @@
 use crate::fault::{Time, SECOND};
 use crate::fleet::{Event, Process, Simulation, SimulationOptions};
 use crate::network::NetworkProfile;
-use crate::scope::fields;
+use crate::scopes::scope_fields;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
@@ -949,7 +949,7 @@
                 START / SECOND
             ));
         }
-        if late || s.settled() && missing.is_empty() {
+        if late || s.is_settled() && missing.is_empty() {
             let mut one = |who| {
                 (
                     now + s.rng.i64(0..CALLED),
@@ -964,7 +964,7 @@
             }
             return self.schedule(now + SETTLED, Event::Scale(Happens::Steady));
         }
-        let settled = s.settled();
+        let settled = s.is_settled();
         scale.fills += u64::from(settled);
         let id = FILLS + scale.fills;
         self.schedule(now + SECOND / 2, Event::Scale(Happens::Fill));
@@ -974,7 +974,7 @@
         let new = |scope| ScopeUpdate {
             scope,
             base: Revision(0),
-            fields: Some(fields("chat", None, 0)),
+            fields: Some(scope_fields("chat", None, 0)),
         };
         let changes = missing.into_iter().map(new).collect();
         let entry = LogEntry::UpdateScopes {
@@ -993,8 +993,8 @@
     fn scope_calls(&mut self, who: usize, scopes: usize) {
         for _ in 0..scopes {
             let Some(s) = &mut self.scopes else { return };
-            let scope = s.skewed();
-            let name = s.calls(who, scope);
+            let scope = s.draw_skewed();
+            let name = s.record_request(who, scope);
             self.step_node(who, |p, now, out| {
                 p.admit(now, &name, out);
             });
@@ -1017,26 +1017,26 @@
                 (0..self.processes.len()).collect()
             };
             if share < held + by_dead {
-                drawn = s.one_of_called(&from).unwrap_or(spread);
+                drawn = s.draw_requested(&from).unwrap_or(spread);
             }
         }
         let want = &mut scale.wants[n];
         want.scope = Some(drawn);
-        want.dead_held = want.strict && s.is_called(&scale.gone, drawn);
+        want.dead_held = want.strict && s.is_requested(&scale.gone, drawn);
         scale.of_held +=
-            u64::from(s.is_called(&(0..self.processes.len()).collect::<Vec<_>>(), drawn));
+            u64::from(s.is_requested(&(0..self.processes.len()).collect::<Vec<_>>(), drawn));
     }
 
     /// The change of a single function that an operator asks for.
     fn change_of(&self, n: usize, strict: bool) -> Option<ScopeTransaction> {
         let s = self.scopes.as_ref()?;
-        let (scope, known) = s.known(self.scale.as_ref()?.wants.get(n)?.scope?)?;
+        let (scope, known) = s.record(self.scale.as_ref()?.wants.get(n)?.scope?)?;
         let class = if strict {
             format!("class-{n}")
         } else {
             s.class(&scope)
         };
-        let next = fields(&class, None, n as i64 + 1);
+        let next = scope_fields(&class, None, n as i64 + 1);
         let changes = vec![ScopeUpdate {
             scope,
             base: known.revision,
