--- /dev/null
+++ b/simulation/src/cli/agree.rs
@@ -0,0 +1,184 @@
+//! `tansy-sim agree`: fleets through faults.
+
+use super::{plot_or_fail, print_json, threads_or_all};
+use crate::fleet::{
+    faults, many, run as simulate, shortest_faults, PlantedDefect, SimulationOptions,
+    SimulationSummary,
+};
+use clap::ValueEnum;
+use std::path::PathBuf;
+use std::process::ExitCode;
+
+#[derive(clap::Args)]
+pub(super) struct AgreeArguments {
+    /// Front ends, the seat among them; several sizes are played one after the other.
+    #[arg(long, value_delimiter = ',', default_value = "7")]
+    front_ends: Vec<usize>,
+    /// How many of them keep the log: 1, 3, 5 or 7.
+    #[arg(long, default_value_t = 1)]
+    seats: usize,
+    /// Front ends beside them that may become seats.
+    #[arg(long, default_value_t = 0)]
+    spares: usize,
+    /// How often one of these is to take over from a seat.
+    #[arg(long, default_value_t = 0)]
+    replacements: usize,
+    /// How many seeds.
+    #[arg(long, default_value_t = 1000)]
+    seeds: u64,
+    /// The first of them.
+    #[arg(long, default_value_t = 1)]
+    from: u64,
+    /// Threads; the outcome does not depend on it.
+    #[arg(long, default_value_t = 0)]
+    threads: usize,
+    /// Plants a mistake: the runs should break.
+    #[arg(long)]
+    plant: Option<Mistake>,
+    /// Plays one seed alone, and if it breaks, tells the shortest script of faults with which it does.
+    #[arg(long)]
+    seed: Option<u64>,
+    /// No faults but lost and doubled messages.
+    #[arg(long)]
+    quiet: bool,
+    /// Functions that are changed by scope beside the versions.
+    #[arg(long, default_value_t = 0)]
+    scopes: usize,
+    /// A lease's length, milliseconds.
+    #[arg(long, default_value_t = 600)]
+    lease: i64,
+    /// One line of JSON for each size.
+    #[arg(long)]
+    json: bool,
+    /// Draws the time to force against the fleet's size into this file (SVG).
+    #[arg(long)]
+    plot: Option<PathBuf>,
+}
+
+#[derive(Clone, Copy, ValueEnum)]
+enum Mistake {
+    /// A lease is counted from its answer.
+    CountedFromAnswer,
+    /// No joint step.
+    NoJoint,
+    /// Told before it is synced.
+    Unsynced,
+    /// Clocks out of bound.
+    WildClock,
+    /// Strict changes don't wait.
+    NoRoster,
+    /// Changes of scopes don't wait for holders.
+    NoHolders,
+    /// A root that begins knows of no holder.
+    NoneHold,
+    /// A reply older than the step is used.
+    OldReply,
+    /// Drops out of order.
+    LateDrop,
+}
+
+impl From<Mistake> for PlantedDefect {
+    fn from(mistake: Mistake) -> PlantedDefect {
+        match mistake {
+            Mistake::CountedFromAnswer => PlantedDefect::CountedFromAnswer,
+            Mistake::NoJoint => PlantedDefect::NoJoint,
+            Mistake::Unsynced => PlantedDefect::Unsynced,
+            Mistake::WildClock => PlantedDefect::WildClock,
+            Mistake::NoRoster => PlantedDefect::NoRoster,
+            Mistake::NoHolders => PlantedDefect::NoHolders,
+            Mistake::NoneHold => PlantedDefect::NoneHold,
+            Mistake::OldReply => PlantedDefect::OldReply,
+            Mistake::LateDrop => PlantedDefect::LateDrop,
+        }
+    }
+}
+
+pub(super) fn run(arguments: AgreeArguments) -> ExitCode {
+    let threads = threads_or_all(arguments.threads);
+    let mut any_violation = false;
+    let mut summaries = Vec::new();
+    for &front_ends in &arguments.front_ends {
+        let options = options(&arguments, front_ends);
+        if let Some(seed) = arguments.seed {
+            any_violation |= run_one(&options, seed);
+            continue;
+        }
+        let summary = many(&options, arguments.from, arguments.seeds, threads);
+        any_violation |= !summary.violations.is_empty();
+        if arguments.json {
+            print_json(&summary);
+        } else {
+            print_summary(&summary, arguments.scopes > 0);
+        }
+        summaries.push(summary);
+    }
+    let plotted = plot_or_fail(arguments.plot, |path| {
+        crate::plot::in_force(path, &summaries)
+    });
+    match plotted {
+        Ok(()) => ExitCode::from(u8::from(any_violation)),
+        Err(code) => code,
+    }
+}
+
+fn options(arguments: &AgreeArguments, front_ends: usize) -> SimulationOptions {
+    let mut options = SimulationOptions {
+        defect: arguments.plant.map(PlantedDefect::from),
+        quiet: arguments.quiet,
+        voters: arguments.seats.clamp(1, front_ends.max(2)),
+        spares: arguments.spares,
+        replacements: arguments.replacements,
+        scopes: arguments.scopes,
+        ..SimulationOptions::of(front_ends.max(2))
+    };
+    options.lease.span = arguments.lease.clamp(1, 3_600_000) * 1000;
+    options
+}
+
+/// Simulates one seed, and if it has a violation prints the shortest list of faults with which it has one. Whether it has.
+fn run_one(options: &SimulationOptions, seed: u64) -> bool {
+    let result = simulate(options, seed);
+    print_json(&result);
+    if result.violations.is_empty() {
+        return false;
+    }
+    let shortest = shortest_faults(options, seed);
+    println!(
+        "{} of {} faults are enough:",
+        shortest.len(),
+        faults(options, seed).len()
+    );
+    for fault in shortest {
+        println!("  {fault:?}");
+    }
+    true
+}
+
+fn print_summary(summary: &SimulationSummary, with_scopes: bool) {
+    println!(
+        "{} front ends, {} seeds: {} broke; {} versions in force, {} seats replaced, after {} ms (median), {} ms (99th), {} ms at most; \
+         {:.2}% of the time without a lease, {:.2}% without a stay; {:.1} messages and {:.0} bytes a front end a second, {:.0} at the seat",
+        summary.front_ends,
+        summary.seeds,
+        summary.violations.len(),
+        summary.in_force,
+        summary.replaced,
+        summary.in_force_ms[0],
+        summary.in_force_ms[1],
+        summary.in_force_ms[2],
+        summary.without_lease * 100.0,
+        summary.without_session * 100.0,
+        summary.messages,
+        summary.bytes,
+        summary.voter_messages,
+    );
+    if with_scopes {
+        println!(
+            "{} changes of scopes in force, {} given up",
+            summary.scopes_in_force, summary.scopes_reverted
+        );
+    }
+    for (seed, violation) in summary.violations.iter().take(5) {
+        println!("  seed {seed}: {violation}");
+    }
+}
--- /dev/null
+++ b/simulation/src/cli/roll.rs
@@ -0,0 +1,121 @@
+//! `tansy-sim roll`: changes in stages.
+
+use super::{plot_or_fail, print_json, threads_or_all};
+use crate::rollout::{many, DecisionRule, Regression, RolloutOptions, RolloutSummary};
+use std::path::PathBuf;
+use std::process::ExitCode;
+
+#[derive(clap::Args)]
+pub(super) struct RollArguments {
+    /// Rolls of each sort.
+    #[arg(long, default_value_t = 200)]
+    rolls: u64,
+    /// The first seed.
+    #[arg(long, default_value_t = 1)]
+    from: u64,
+    /// Threads; the outcome does not depend on it.
+    #[arg(long, default_value_t = 0)]
+    threads: usize,
+    /// Front ends.
+    #[arg(long, default_value_t = 30)]
+    front_ends: usize,
+    /// Calls a second at a front end of mean traffic.
+    #[arg(long, default_value_t = 40.0)]
+    rate: f64,
+    /// Rolls of nothing changed alone.
+    #[arg(long)]
+    null: bool,
+    /// Beside them the two plain rules: a fixed threshold on the difference, and on the difference to the own past.
+    #[arg(long)]
+    plain: bool,
+    /// One line of JSON for each sort.
+    #[arg(long)]
+    json: bool,
+    /// Draws the share stopped against the loss into this file (SVG).
+    #[arg(long)]
+    plot: Option<PathBuf>,
+}
+
+/// The changes that are simulated, one after the other.
+const REGRESSIONS: [Regression; 13] = [
+    Regression::None,
+    Regression::All(0.03),
+    Regression::All(0.05),
+    Regression::All(0.1),
+    Regression::All(0.2),
+    Regression::Class(0.1),
+    Regression::Zone(0.05),
+    Regression::Late(0.05),
+    Regression::Slow(0.03),
+    Regression::Shed(0.05),
+    Regression::Leak(1.0),
+    Regression::ZoneLost,
+    Regression::Doubles,
+];
+
+/// The rules that are simulated with `--plain`; the first alone without.
+const RULES: [DecisionRule; 3] = [
+    DecisionRule::Verdict,
+    DecisionRule::Threshold(0.01),
+    DecisionRule::OwnPast(0.01),
+];
+
+pub(super) fn run(arguments: RollArguments) -> ExitCode {
+    let threads = threads_or_all(arguments.threads);
+    let regressions = if arguments.null {
+        &REGRESSIONS[..1]
+    } else {
+        &REGRESSIONS[..]
+    };
+    let rules = if arguments.plain {
+        &RULES[..]
+    } else {
+        &RULES[..1]
+    };
+    let mut summaries = Vec::new();
+    for rule in rules {
+        for regression in regressions {
+            let options = RolloutOptions {
+                front_ends: arguments.front_ends,
+                rate: arguments.rate,
+                regression: *regression,
+                rule: *rule,
+                ..RolloutOptions::default()
+            };
+            let summary = many(&options, arguments.from, arguments.rolls, threads);
+            if arguments.json {
+                print_json(&summary);
+            } else {
+                print_summary(&summary);
+            }
+            summaries.push(summary);
+        }
+    }
+    let plotted = plot_or_fail(arguments.plot, |path| {
+        crate::plot::stopped(path, &summaries)
+    });
+    plotted.err().unwrap_or(ExitCode::SUCCESS)
+}
+
+fn print_summary(summary: &RolloutSummary) {
+    let RolloutOptions {
+        rule, regression, ..
+    } = summary.options;
+    let stages: Vec<String> = summary
+        .stages
+        .iter()
+        .map(|share| format!("{:.0}%", share * 100.0))
+        .collect();
+    println!(
+        "{rule:?} {regression:?}: {} rolls, {:.2}% stopped, in stages {}; after {} s (median), {} s (90 of 100); {:.2}% of the \
+         calls met it; done after {} s; {:?}",
+        summary.rollouts,
+        summary.stopped * 100.0,
+        stages.join(" "),
+        summary.seconds[0],
+        summary.seconds[1],
+        summary.exposed * 100.0,
+        summary.done_seconds,
+        summary.reasons
+    );
+}
--- a/simulation/src/fleet/audit.rs
+++ b/simulation/src/fleet/audit.rs
@@ -170,7 +170,7 @@
         let milliseconds = ((self.now - since) / 1000) as u64;
         self.result.in_force_ms.push(milliseconds);
         if let Some(scale) = &mut self.scale {
-            scale.in_force(self.now, version);
+            scale.on_version_in_force(self.now, version);
         }
         self.audit.awaited = None;
     }
--- a/simulation/src/fleet/event.rs
+++ b/simulation/src/fleet/event.rs
@@ -1,7 +1,7 @@
 //! The events of a run, and the queue that orders them.
 
 use crate::fault::Time;
-use crate::size::Happens;
+use crate::scale::ScaleEvent;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use tansy_agreement::log::Revision;
@@ -47,7 +47,7 @@
     /// A record that a process wrote is on its disk.
     Persisted { process: usize, incarnation: u64 },
     /// An event of a measurement at scale.
-    Scale(Happens),
+    Scale(ScaleEvent),
 }
 
 /// An event at its time; of two at one time the one that was scheduled first comes first.
--- a/simulation/src/fleet/lifecycle.rs
+++ b/simulation/src/fleet/lifecycle.rs
@@ -22,16 +22,20 @@
         // A new process has a clock of its own beginning.
         process.clock_offset = draw_clock_offset(&mut self.rng);
         let local_now = process.local_time(self.now);
-        let functions = self.options.size.as_ref().map_or(0, |size| size.functions);
+        let functions = self
+            .options
+            .scale
+            .as_ref()
+            .map_or(0, |scenario| scenario.functions);
         let recovered = self.disks.get(index).map(|disk| RecoveredState {
             persistent: disk.persisted.clone(),
             initial_fields: settings::initial_fields(functions),
         });
         match FleetNode::new(self.node_config(index, seed), recovered, local_now) {
             Ok(mut node) => {
-                if let Some(shared) = &mut self.shared {
-                    node.update_members(shared.directory(&self.network, index));
-                    shared.news(self.now, index, node.setup().node.clone(), true, false);
+                if let Some(directories) = &mut self.directories {
+                    node.update_members(directories.directory(&self.network, index));
+                    directories.on_start(self.now, index, node.setup().node.clone());
                 }
                 self.processes[index].node = Some(node);
             }
@@ -42,7 +46,7 @@
 
     fn node_config(&self, index: usize, seed: u64) -> FleetNodeConfig {
         let options = self.options;
-        let wide = options.size.is_some();
+        let wide = options.scale.is_some();
         let incarnation = self.processes[index].incarnation;
         FleetNodeConfig {
             fleet: 1,
@@ -81,7 +85,7 @@
     /// A process ends; `notified`: the others were notified of it.
     pub(super) fn stop(&mut self, index: usize, notified: bool) {
         self.account(index);
-        self.ended(index, notified);
+        self.on_process_end(index, notified);
         let process = &mut self.processes[index];
         process.node = None;
         process.paused = None;
--- a/simulation/src/fleet/node_step.rs
+++ b/simulation/src/fleet/node_step.rs
@@ -5,8 +5,8 @@
 use super::{PlantedDefect, Simulation};
 use crate::fault::{Time, SECOND};
 use crate::letter::size;
+use crate::scale::WIDE_ID;
 use crate::scopes::REPLY_DELAY;
-use crate::size::WIDE;
 use tansy_agreement::lease_tree::LeaseMessage;
 use tansy_agreement::log::Revision;
 use tansy_fleet_node::{Command, FleetNode, Leader, MessageBody};
@@ -24,7 +24,7 @@
     pub(super) fn on_arrival(&mut self, to: usize, message: Message) {
         let (from, leader, body) = message;
         if let (Some(scale), true) = (&mut self.scale, self.processes[to].node.is_some()) {
-            scale.letter(to, &body, size(&from, leader, &body) as u64);
+            scale.count_message(to, &body, size(&from, leader, &body) as u64);
         }
         match &mut self.processes[to].paused {
             Some(queued) if queued.len() < QUEUED_MESSAGES => queued.push((from, leader, body)),
@@ -169,7 +169,7 @@
         let process = &mut self.processes[index];
         if !process.joined && process.is_leased(self.now) {
             process.joined = true;
-            self.acts(index);
+            self.on_join(index);
         }
     }
 
@@ -177,12 +177,12 @@
         match command {
             Command::Send { to, body } => self.send(index, index_of(to), from, leader, body),
             Command::SendToVoter { to, bytes } => {
-                let to = (to & !WIDE) as usize - 1;
+                let to = (to & !WIDE_ID) as usize - 1;
                 self.send(index, to, from, leader, MessageBody::Consensus(bytes));
             }
             other => {
                 self.on_scope_command(index, &other);
-                self.told_of(index, &other);
+                self.on_scale_command(index, &other);
             }
         }
     }
@@ -197,7 +197,7 @@
         let voters = self.options.voters;
         self.sent.voter_messages += u64::from(to < voters || index < voters);
         if let Some(scale) = &mut self.scale {
-            scale.letter(index, &body, bytes);
+            scale.count_message(index, &body, bytes);
         }
         let delayed = self.options.has_defect(PlantedDefect::OldReply)
             && matches!(body, MessageBody::SubscribeReply(_));
--- a/simulation/src/fleet/options.rs
+++ b/simulation/src/fleet/options.rs
@@ -2,7 +2,7 @@
 
 use crate::fault::{Time, SECOND};
 use crate::network::NetworkProfile;
-use crate::size::{Size, Tier};
+use crate::scale::{ScaleScenario, Tier};
 use serde::Serialize;
 use tansy_agreement::lease::LeaseTiming;
 
@@ -61,7 +61,7 @@
     /// Functions that are changed by scope beside the versions; 0: none.
     pub scopes: usize,
     /// Instead of the faults, proposals and times above: this.
-    pub size: Option<Size>,
+    pub scale: Option<ScaleScenario>,
 }
 
 impl SimulationOptions {
@@ -85,7 +85,7 @@
             quiet: false,
             tier: Tier::Whole,
             scopes: 0,
-            size: None,
+            scale: None,
         }
     }
 
--- a/simulation/src/fleet/process.rs
+++ b/simulation/src/fleet/process.rs
@@ -2,7 +2,7 @@
 
 use super::event::Message;
 use crate::fault::{Time, SECOND};
-use crate::size::WIDE;
+use crate::scale::WIDE_ID;
 use std::net::{IpAddr, SocketAddr};
 use tansy_agreement::log::{FleetState, Revision};
 use tansy_consensus::PersistentState;
@@ -26,7 +26,7 @@
 
 /// The node id of the process with this index; a wide one takes as many bytes as a name's hash.
 pub(super) fn id_of(index: usize, wide: bool) -> u64 {
-    (index as u64 + 1) | if wide { WIDE } else { 0 }
+    (index as u64 + 1) | if wide { WIDE_ID } else { 0 }
 }
 
 /// By what a front end acts.
--- a/simulation/src/fleet/simulation.rs
+++ b/simulation/src/fleet/simulation.rs
@@ -6,8 +6,8 @@
 use super::{settings, PlantedDefect, SimulationOptions, SimulationResult};
 use crate::fault::{Fault, Time, SECOND};
 use crate::network::Network;
+use crate::scale::{start_time, ScaleMeasurement, SharedDirectories, Tier, FIRST_INCARNATION};
 use crate::scopes::Scopes;
-use crate::size::{Scale, Shared, Tier, SINCE};
 use tansy_agreement::compatibility::Schema;
 use tansy_agreement::log::FleetState;
 use tansy_fleet_node::FleetNode;
@@ -32,9 +32,9 @@
     pub(super) audit: Audit,
     pub(crate) result: SimulationResult,
     /// The measurements at scale, where they are asked for.
-    pub(crate) scale: Option<Box<Scale>>,
+    pub(crate) scale: Option<Box<ScaleMeasurement>>,
     /// The directories of the hollow tier.
-    pub(crate) shared: Option<Shared>,
+    pub(crate) directories: Option<SharedDirectories>,
     pub(crate) scopes: Option<Scopes>,
     pub(super) sent: SentMessages,
 }
@@ -61,11 +61,15 @@
         } else {
             options.lease.drift_ppm as f64 / 1e6
         };
-        let incarnation = if options.size.is_some() { SINCE } else { 0 };
+        let incarnation = if options.scale.is_some() {
+            FIRST_INCARNATION
+        } else {
+            0
+        };
         let processes = (0..options.front_ends)
             .map(|_| Process::new(&mut rng, incarnation, rate_bound))
             .collect();
-        let scale = options.size.clone();
+        let scale = options.scale.clone();
         let mut simulation = Simulation {
             options,
             network: Network::new(options.network, faults),
@@ -79,22 +83,26 @@
                 seed,
                 ..SimulationResult::default()
             },
-            scale: scale.map(|size| Box::new(Scale::new(size, options.front_ends))),
-            shared: (options.tier == Tier::Hollow).then(|| Shared::new(options.front_ends)),
+            scale: scale
+                .map(|scenario| Box::new(ScaleMeasurement::new(scenario, options.front_ends))),
+            directories: (options.tier == Tier::Hollow)
+                .then(|| SharedDirectories::new(options.front_ends)),
             scopes: None,
             sent: SentMessages::default(),
             rng,
         };
         simulation.schedule_starts();
         let scopes = options
-            .size
+            .scale
             .as_ref()
-            .map_or(options.scopes, |size| size.by_scope);
+            .map_or(options.scopes, |scenario| scenario.by_scope);
         simulation.scopes = (scopes > 0)
-            .then(|| Scopes::new(scopes, options.front_ends, seed, options.size.is_none()));
-        simulation.size_begins();
-        match &options.size {
-            Some(size) => simulation.network.place(size.regions, &mut simulation.rng),
+            .then(|| Scopes::new(scopes, options.front_ends, seed, options.scale.is_none()));
+        simulation.schedule_checks();
+        match &options.scale {
+            Some(scenario) => simulation
+                .network
+                .place(scenario.regions, &mut simulation.rng),
             None => simulation.schedule_faults_and_changes(faults),
         }
         simulation
@@ -103,7 +111,7 @@
     fn schedule_starts(&mut self) {
         let front_ends = self.options.front_ends;
         let within = match self.scale {
-            Some(_) => Scale::starts(front_ends),
+            Some(_) => start_time(front_ends),
             None => SECOND / 2,
         };
         for process in 0..front_ends {
@@ -202,7 +210,7 @@
             Event::Request { process, expire } => self.request_scope(process, expire),
             Event::ChangeScopes { again } => self.change_scopes(again),
             Event::AdvanceScope { scope, since } => self.advance_scope_early(scope, since),
-            Event::Scale(event) => self.happens(event),
+            Event::Scale(event) => self.on_scale_event(event),
         }
         Some(())
     }
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -11,8 +11,8 @@
 pub mod network;
 pub mod plot;
 pub mod rollout;
+pub mod scale;
 mod scopes;
-pub mod size;
 
 /// Plays seeds `from` to `from + seeds` on so many threads. The order of what comes back is that of the threads.
 fn spread<T: Send>(from: u64, seeds: u64, threads: usize, one: impl Fn(u64) -> T + Sync) -> Vec<T> {
--- /dev/null
+++ b/simulation/src/scale/losses.rs
@@ -0,0 +1,233 @@
+//! Losses in a run at scale: partitioned regions, a rack or a zone that ends, a rolling restart.
+
+use super::measurement::{milliseconds, AccountedTime, DeadMember, OngoingLoss};
+use super::{LossReport, PartitionReport, PartitionSide, ScaleScenario};
+use crate::fault::{Time, SECOND};
+use crate::fleet::{Event, Process, Simulation};
+use tansy_agreement::lease::Member;
+
+/// What ends in a loss, and how it goes on.
+struct LossPlan {
+    ended: Vec<usize>,
+    earliest_recovery: Time,
+    /// The parts of a rolling restart, the next one last.
+    parts: Vec<Vec<usize>>,
+}
+
+fn accounted(process: &Process) -> AccountedTime {
+    AccountedTime {
+        up: process.up,
+        without_lease: process.without_lease,
+        without_session: process.without_session,
+    }
+}
+
+impl Simulation<'_> {
+    /// The time of all processes by now.
+    pub(super) fn accounted_total(&mut self) -> AccountedTime {
+        self.account_all();
+        self.processes
+            .iter()
+            .map(accounted)
+            .fold(AccountedTime::default(), AccountedTime::plus)
+    }
+
+    pub(super) fn begin_partition(&mut self) {
+        self.account_all();
+        if let Some(scale) = &mut self.scale {
+            scale.before_partition = self.processes.iter().map(accounted).collect();
+            scale.partition = Some(PartitionReport::default());
+        }
+    }
+
+    pub(super) fn end_partition(&mut self) {
+        self.account_all();
+        let [main, cut] = [false, true].map(|is_cut| self.partition_side(is_cut));
+        let Some(scale) = &mut self.scale else {
+            return;
+        };
+        if let Some(partition) = &mut scale.partition {
+            partition.main = main;
+            partition.cut = cut;
+        }
+        scale.healing = Some(self.now);
+    }
+
+    /// What was lost on one side of the partition since it began.
+    fn partition_side(&self, is_cut: bool) -> PartitionSide {
+        let Some(scale) = &self.scale else {
+            return PartitionSide::default();
+        };
+        let sides = self
+            .processes
+            .iter()
+            .zip(&scale.before_partition)
+            .enumerate();
+        let lost: Vec<AccountedTime> = sides
+            .filter(|(index, _)| (self.network.side(*index) > 0) == is_cut)
+            .map(|(_, (process, before))| accounted(process).minus(*before))
+            .collect();
+        let total = lost
+            .iter()
+            .copied()
+            .fold(AccountedTime::default(), AccountedTime::plus);
+        PartitionSide {
+            front_ends: lost.len(),
+            lease_lost: total.lease_lost(),
+            stay_lost: total.session_lost(),
+        }
+    }
+
+    /// Those of a rack or of a zone, which are in one region: the first there, without voters but for the leader.
+    fn colocated(&self, count: usize, with_leader: bool) -> Vec<usize> {
+        let leader = self
+            .leader()
+            .map(|(index, _)| index)
+            .filter(|_| with_leader);
+        let last_region = (self.processes.len() - 1).min(self.network.regions() - 1);
+        let region = self.network.region(leader.unwrap_or(last_region));
+        let others = (self.options.voters..self.processes.len())
+            .filter(|index| self.network.region(*index) == region);
+        leader.into_iter().chain(others).take(count).collect()
+    }
+
+    fn plan_loss(&self, scenario: &ScaleScenario) -> LossPlan {
+        let front_ends = self.processes.len();
+        if scenario.rolling > 0 {
+            let is_started = |index: &usize| self.processes[*index].node.is_some();
+            let part = |first| {
+                (first..front_ends)
+                    .step_by(scenario.rolling)
+                    .filter(is_started)
+                    .collect()
+            };
+            return LossPlan {
+                ended: (0..front_ends).filter(is_started).collect(),
+                earliest_recovery: self.now,
+                parts: (0..scenario.rolling).rev().map(part).collect(),
+            };
+        }
+        let (count, earliest_recovery) = match front_ends.checked_div(scenario.zone) {
+            Some(zone) => (zone, self.now + scenario.zone_away),
+            None => (scenario.rack, self.now + self.options.lease.span),
+        };
+        LossPlan {
+            ended: self.colocated(count, scenario.with_leader),
+            earliest_recovery,
+            parts: Vec::new(),
+        }
+    }
+
+    /// A rack or a zone ends, or a rolling restart begins.
+    pub(super) fn begin_loss(&mut self) {
+        let accounted_before = self.accounted_total();
+        let now = self.now;
+        let Some(scenario) = self.scale.as_ref().map(|scale| scale.scenario.clone()) else {
+            return;
+        };
+        let plan = self.plan_loss(&scenario);
+        let members: Vec<Member> = plan
+            .ended
+            .iter()
+            .filter_map(|index| self.member(*index))
+            .collect();
+        let voters = self.options.voters;
+        let Some(scale) = &mut self.scale else {
+            return;
+        };
+        scale.loss = Some(LossReport {
+            front_ends: plan.ended.len(),
+            seats: plan.ended.iter().filter(|index| **index < voters).count(),
+            ..LossReport::default()
+        });
+        scale.ongoing_loss = Some(OngoingLoss {
+            since: now,
+            earliest_recovery: plan.earliest_recovery,
+            accounted_before,
+            parts: plan.parts,
+            part: Vec::new(),
+        });
+        if scenario.rolling > 0 {
+            return;
+        }
+        if scenario.zone == 0 {
+            let dead = members
+                .into_iter()
+                .map(|member| DeadMember { member, ended: now });
+            scale.dead.extend(dead);
+            scale.gone.extend(&plan.ended);
+        }
+        for process in plan.ended {
+            self.schedule(now, Event::Stop { process });
+            if scenario.zone > 0 {
+                let at = now + scenario.zone_away + self.rng.i64(0..SECOND);
+                self.schedule(at, Event::Start { process });
+            }
+        }
+    }
+
+    /// The membership of a process that is started.
+    pub(super) fn member(&self, index: usize) -> Option<Member> {
+        Some(self.processes[index].node.as_ref()?.setup().node.member())
+    }
+
+    /// Goes on with a rolling restart, and checks whether the fleet has recovered.
+    pub(super) fn continue_loss(&mut self) {
+        let Some(scale) = &mut self.scale else {
+            return;
+        };
+        let Some(loss) = &mut scale.ongoing_loss else {
+            return;
+        };
+        let is_back = |process: &Process| process.is_running() && process.joined;
+        if !loss
+            .part
+            .iter()
+            .all(|index| is_back(&self.processes[*index]))
+        {
+            return;
+        }
+        if let Some(part) = loss.parts.pop() {
+            loss.part = part.clone();
+            let away = scale.scenario.rolling_away;
+            return self.restart_part(part, away);
+        }
+        let is_due = self.now > loss.earliest_recovery;
+        let gone = &scale.gone;
+        let mut processes = self.processes.iter().enumerate();
+        let all_back = processes.all(|(index, p)| p.is_running() || gone.contains(&index));
+        if is_due && all_back && self.all_leased() {
+            self.report_loss(true);
+        }
+    }
+
+    fn restart_part(&mut self, part: Vec<usize>, away: Time) {
+        for process in part {
+            self.schedule(self.now, Event::Leave { process });
+            let at = self.now + away + self.rng.i64(0..SECOND);
+            self.schedule(at, Event::Start { process });
+        }
+    }
+
+    /// The fleet has recovered from a loss, or the run is over.
+    pub(super) fn report_loss(&mut self, recovered: bool) {
+        let now = self.now;
+        let total = self.accounted_total();
+        let Some(scale) = &mut self.scale else {
+            return;
+        };
+        let (Some(report), Some(loss)) = (&mut scale.loss, &scale.ongoing_loss) else {
+            return;
+        };
+        let lost = total.minus(loss.accounted_before);
+        report.again_ms = recovered.then_some(milliseconds(now - loss.since));
+        report.lease_lost = lost.lease_lost();
+        report.stay_lost = lost.session_lost();
+        let requested = scale.changes.iter().map(|change| change.requested);
+        let within = requested.filter(|at| loss.since <= *at && *at <= now);
+        report.changes_asked = within.count() as u64;
+        if recovered {
+            scale.ongoing_loss = None;
+        }
+    }
+}
--- /dev/null
+++ b/simulation/src/scale/observe.rs
@@ -0,0 +1,274 @@
+//! What is observed of the fleet in a run at scale: answers and events of nodes, joins, ends, and regular looks at all.
+
+use super::measurement::{milliseconds, ScaleEvent};
+use super::{start_time, CHECK_INTERVAL, SETTLE_TIME, START_LIMIT, WIDE_ID};
+use crate::fault::{Time, SECOND};
+use crate::fleet::{Event, Simulation};
+use tansy_agreement::log::{ApplyOutcome, EntryRejection, Version};
+use tansy_fleet_node::{Command, FleetEvent, RequestRejection};
+use tansy_membership::MembershipEvent;
+
+/// An operator asks again so long after a rejection, at least, and at most twice as long.
+const RETRY_AFTER: Time = SECOND / 2;
+
+/// What an answer means for a change.
+enum ChangeAnswer {
+    Announced(Version),
+    /// Accepted without a version of its own.
+    Accepted,
+    /// Rejected since another change goes on or too many wait.
+    Busy,
+    Failed,
+    /// No answer to the change itself.
+    Unrelated,
+}
+
+impl ChangeAnswer {
+    fn of(outcome: &Result<ApplyOutcome, RequestRejection>) -> ChangeAnswer {
+        match outcome {
+            Ok(ApplyOutcome::Announced(version) | ApplyOutcome::Duplicate(version)) => {
+                ChangeAnswer::Announced(*version)
+            }
+            Ok(ApplyOutcome::ScopesChanged { rejected, .. }) if rejected.is_empty() => {
+                ChangeAnswer::Accepted
+            }
+            Ok(_) => ChangeAnswer::Unrelated,
+            Err(
+                RequestRejection::Log(
+                    EntryRejection::ChangeInProgress { .. }
+                    | EntryRejection::StaleBase { .. }
+                    | EntryRejection::ScopeChangeInProgress { .. }
+                    | EntryRejection::StaleScopeBase { .. },
+                )
+                | RequestRejection::Busy,
+            ) => ChangeAnswer::Busy,
+            Err(_) => ChangeAnswer::Failed,
+        }
+    }
+}
+
+impl Simulation<'_> {
+    /// Schedules the first look at the fleet, where one is needed.
+    pub(crate) fn schedule_checks(&mut self) {
+        if self.scale.is_some() || self.directories.is_some() {
+            self.schedule(CHECK_INTERVAL, Event::Scale(ScaleEvent::Check));
+        }
+    }
+
+    /// Handles an event of a run at scale.
+    pub(crate) fn on_scale_event(&mut self, event: ScaleEvent) {
+        match event {
+            ScaleEvent::Check => self.check_fleet(),
+            ScaleEvent::Begin => self.begin_measurement(),
+            ScaleEvent::RequestChange { change, attempt } => self.request_change(change, attempt),
+            ScaleEvent::SetUpScopes => self.set_up_scopes(),
+            ScaleEvent::Requests { process, scopes } => self.request_skewed(process, scopes),
+            ScaleEvent::PartitionBegins => self.begin_partition(),
+            ScaleEvent::PartitionEnds => self.end_partition(),
+            ScaleEvent::Loss => self.begin_loss(),
+        }
+    }
+
+    /// Takes up a node's answers to operators and its events.
+    pub(crate) fn on_scale_command(&mut self, index: usize, command: &Command) {
+        let Some(scale) = &mut self.scale else {
+            return;
+        };
+        match command {
+            Command::Respond { request, outcome } if *request > 0 => {
+                let change = *request as usize - 1;
+                self.on_change_answer(change, ChangeAnswer::of(outcome));
+            }
+            Command::Notify(FleetEvent::ChangeAbandoned { version, .. })
+                if index < self.options.voters =>
+            {
+                if let Some(change) = scale.versions.get(&Version(*version)).copied() {
+                    scale.on_abandoned(change);
+                }
+            }
+            Command::Notify(FleetEvent::Membership(event)) => self.on_membership_event(event),
+            _ => {}
+        }
+    }
+
+    fn on_change_answer(&mut self, index: usize, answer: ChangeAnswer) {
+        let Some(scale) = &mut self.scale else {
+            return;
+        };
+        let Some(change) = scale.changes.get_mut(index) else {
+            return;
+        };
+        match answer {
+            ChangeAnswer::Announced(version) => {
+                change.version = Some(version);
+                scale.versions.insert(version, index);
+                return;
+            }
+            ChangeAnswer::Accepted => {
+                // It has no number of its own; that it was accepted is all that is known.
+                change.version = Some(Version(0));
+                return;
+            }
+            ChangeAnswer::Unrelated => return,
+            ChangeAnswer::Busy => scale.rejected += u64::from(change.version.is_none()),
+            ChangeAnswer::Failed => {}
+        }
+        change.attempts += 1;
+        let event = ScaleEvent::RequestChange {
+            change: index,
+            attempt: change.attempts,
+        };
+        let wait = RETRY_AFTER + self.rng.i64(0..RETRY_AFTER);
+        self.schedule(self.now + wait, Event::Scale(event));
+    }
+
+    /// Measures how long gossip takes, once measurement began.
+    fn on_membership_event(&mut self, event: &MembershipEvent) {
+        let Some(scale) = &mut self.scale else {
+            return;
+        };
+        let Some(began) = scale.began else {
+            return;
+        };
+        match event {
+            MembershipEvent::Up(node) => {
+                let process = &self.processes[(node.id & !WIDE_ID) as usize - 1];
+                if process.started > began {
+                    let duration = milliseconds(self.now - process.started);
+                    scale.durations.detected_up.push(duration);
+                }
+            }
+            MembershipEvent::Down(node) => {
+                if let Some(ended) = scale.ended.get(&node.id) {
+                    let duration = milliseconds(self.now - ended);
+                    scale.durations.detected_down.push(duration);
+                }
+            }
+        }
+    }
+
+    /// A process has a lease and a session for the first time.
+    pub(crate) fn on_join(&mut self, index: usize) {
+        let after = self.now - self.processes[index].started;
+        let Some(scale) = &mut self.scale else {
+            return;
+        };
+        scale.record_join(after);
+        let scenario = &scale.scenario;
+        let restarted = scale.began.is_some() && (scenario.zone > 0 || scenario.rolling > 0);
+        if restarted {
+            self.schedule_requests(index);
+        }
+    }
+
+    /// A process ends; `notified`: the others were notified of it.
+    pub(crate) fn on_process_end(&mut self, index: usize, notified: bool) {
+        let Some(node) = self.processes[index].node.as_ref() else {
+            return;
+        };
+        let node = node.setup().node.clone();
+        if let Some(scale) = &mut self.scale {
+            scale.ended.insert(node.id, self.now);
+        }
+        if let Some(directories) = &mut self.directories {
+            directories.on_end(self.now, index, node, notified);
+        }
+    }
+
+    /// A regular look at the fleet.
+    fn check_fleet(&mut self) {
+        let next = self.now + CHECK_INTERVAL;
+        self.schedule(next, Event::Scale(ScaleEvent::Check));
+        self.update_directories();
+        self.continue_loss();
+        if self.check_joined() {
+            return;
+        }
+        self.check_healed();
+        self.check_freed();
+    }
+
+    fn update_directories(&mut self) {
+        let Some(directories) = &mut self.directories else {
+            return;
+        };
+        if !directories.update(&self.network, self.now) {
+            return;
+        }
+        for (index, process) in self.processes.iter_mut().enumerate() {
+            if let Some(node) = &mut process.node {
+                node.update_members(directories.directory(&self.network, index));
+            }
+        }
+    }
+
+    /// Detects that all front ends joined, or that it is too late for it. True: one of the two just now.
+    fn check_joined(&mut self) -> bool {
+        let now = self.now;
+        let started_at = start_time(self.options.front_ends);
+        let Some(scale) = &mut self.scale else {
+            return false;
+        };
+        let is_late = now > started_at + START_LIMIT;
+        let all_joined = || self.processes.iter().all(|process| process.joined);
+        if scale.joined.is_some() || now <= started_at || !(is_late || all_joined()) {
+            return false;
+        }
+        scale.joined = Some(now);
+        if is_late {
+            let missing = self.processes.iter().filter(|p| !p.joined).count();
+            scale.notes.push(format!(
+                "{missing} front ends did not act {} s after the start",
+                now / SECOND
+            ));
+        }
+        let (after, next) = if scale.scenario.by_scope > 0 {
+            (0, ScaleEvent::SetUpScopes)
+        } else {
+            (SETTLE_TIME, ScaleEvent::Begin)
+        };
+        self.schedule(now + after, Event::Scale(next));
+        true
+    }
+
+    /// Whether all processes that run have a lease and a session.
+    pub(super) fn all_leased(&self) -> bool {
+        let mut running = self.processes.iter().filter(|p| p.is_running());
+        running.all(|process| process.is_leased(self.now))
+    }
+
+    /// Measures the time from the end of a partition until all act again.
+    fn check_healed(&mut self) {
+        let healing = self.scale.as_ref().and_then(|scale| scale.healing);
+        let Some(since) = healing.filter(|_| self.all_leased()) else {
+            return;
+        };
+        let Some(scale) = &mut self.scale else {
+            return;
+        };
+        if let Some(partition) = &mut scale.partition {
+            partition.healed_ms = Some(milliseconds(self.now - since));
+        }
+        scale.healing = None;
+    }
+
+    /// Measures the time until those that ended for good are off the roster.
+    fn check_freed(&mut self) {
+        let Some(scale) = &mut self.scale else {
+            return;
+        };
+        if scale.dead.is_empty() {
+            return;
+        }
+        let leader_log = self.processes[..self.disks.len()]
+            .iter()
+            .find_map(|process| process.node.as_ref()?.log());
+        if let Some(log) = leader_log {
+            let freed = scale
+                .dead
+                .extract_if(.., |dead| !log.has_member(dead.member));
+            let durations = freed.map(|dead| milliseconds(self.now - dead.ended));
+            scale.durations.freed.extend(durations);
+        }
+    }
+}
--- /dev/null
+++ b/simulation/src/scale/results.rs
@@ -0,0 +1,190 @@
+//! The report of a run at scale.
+
+use super::measurement::{ScaleMeasurement, Traffic};
+use super::{DeadHolderReport, Quantiles, ScaleReport, Tier, MEMBERSHIP, MEMBERSHIP_AWAY};
+use crate::fault::{Time, SECOND};
+use crate::fleet::Simulation;
+
+/// Rates of messages of a run, a second.
+struct Rates<'a> {
+    /// Seconds counted.
+    counted: f64,
+    /// Messages and bytes of membership that are added where gossip is not simulated.
+    added_messages: f64,
+    added_bytes: f64,
+    /// The front ends that are no voters; those of them that run.
+    others: &'a [Traffic],
+    running: Vec<&'a Traffic>,
+    voters: &'a [Traffic],
+}
+
+impl Rates<'_> {
+    /// The mean of those that run: one that was away for good takes no part in it.
+    fn mean(&self, of: fn(&Traffic) -> u64) -> f64 {
+        let sum: u64 = self.running.iter().map(|traffic| of(traffic)).sum();
+        sum as f64 / self.running.len().max(1) as f64 / self.counted
+    }
+
+    fn most(&self, all: &[Traffic], of: fn(&Traffic) -> u64) -> f64 {
+        all.iter().map(of).max().unwrap_or(0) as f64 / self.counted
+    }
+}
+
+impl ScaleMeasurement {
+    /// What is to be said about the run beside its figures.
+    fn closing_notes(&self, tier: Tier, open: u64) -> Vec<String> {
+        let mut notes = Vec::new();
+        if tier == Tier::Hollow {
+            notes.push(
+                "membership's letters are added as measured in the whole tier, not played".into(),
+            );
+        }
+        if open > 0 {
+            notes.push(format!(
+                "{open} changes neither in force nor given up at the end"
+            ));
+        }
+        if !self.dead.is_empty() {
+            let count = self.dead.len();
+            notes.push(format!(
+                "{count} of the dead still on the roster at the end"
+            ));
+        }
+        if self.healing.is_some() {
+            notes.push("not all act again after the cut".into());
+        }
+        if let Some(loss) = &self.ongoing_loss {
+            let parts = match loss.parts.len() {
+                0 => String::new(),
+                count => format!(", {count} parts not yet restarted"),
+            };
+            notes.push(format!("not all act again at the end{parts}"));
+        }
+        notes
+    }
+
+    /// Strict changes that may have waited for dead subscribers; none where there were no such.
+    fn dead_holders(&self) -> Option<DeadHolderReport> {
+        if self.scenario.by_scope == 0 || self.gone.is_empty() {
+            return None;
+        }
+        let waiting = || self.changes.iter().filter(|change| change.waits_for_dead);
+        let in_force = self.durations.dead_held.len() as u64;
+        let over = waiting().filter(|change| change.is_over).count() as u64;
+        Some(DeadHolderReport {
+            asked: waiting().count() as u64,
+            in_force,
+            given_up: over - in_force,
+            in_force_ms: Quantiles::of(&self.durations.dead_held),
+        })
+    }
+}
+
+impl Simulation<'_> {
+    /// What was measured, at the end of a run.
+    pub(super) fn into_scale_report(mut self) -> ScaleReport {
+        let total = self.accounted_total();
+        self.report_loss(false);
+        let Some(scale) = self.scale.take() else {
+            return ScaleReport::default();
+        };
+        let over = scale.changes.iter().filter(|change| change.is_over).count();
+        let open = (scale.changes.len() - over) as u64;
+        let mut notes = scale.notes.clone();
+        notes.extend(scale.closing_notes(self.options.tier, open));
+        let has_violations = !self.result.violations.is_empty();
+        notes.append(&mut self.result.violations);
+        let ok = !has_violations
+            && scale.began.is_some()
+            && scale.healing.is_none()
+            && scale.ongoing_loss.is_none()
+            && scale.durations.start_join.len() >= self.processes.len();
+        let report = self.traffic_report(&scale);
+        let report = with_durations(report, &scale);
+        ScaleReport {
+            seed: self.result.seed,
+            virtual_seconds: self.now as f64 / SECOND as f64,
+            start_seconds: scale.joined.unwrap_or(self.now) as f64 / SECOND as f64,
+            changes_asked: scale.changes.len() as u64,
+            changes_of_held: scale.changes_of_requested,
+            changes_given_up: scale.abandoned,
+            changes_refused: scale.rejected,
+            changes_open: open,
+            lease_lost: total.lease_lost(),
+            stay_lost: total.session_lost(),
+            dead_held: scale.dead_holders(),
+            cut: scale.partition,
+            loss: scale.loss,
+            events: scale.events,
+            notes,
+            ok,
+            ..report
+        }
+    }
+
+    /// The rates of messages, and what the nodes keep.
+    fn traffic_report(&self, scale: &ScaleMeasurement) -> ScaleReport {
+        let rates = self.rates(scale);
+        let nodes = || self.processes.iter().filter_map(|p| p.node.as_ref());
+        let known: usize = nodes().map(|node| node.others().count()).sum();
+        let subscribed: usize = nodes().map(|node| node.subscription_count()).sum();
+        let running = nodes().count().max(1) as f64;
+        let (messages, bytes) = (rates.added_messages, rates.added_bytes);
+        ScaleReport {
+            view_members: known as f64 / running + 1.0,
+            control_bytes_s: rates.mean(|t| t.bytes) + bytes,
+            control_messages_s: rates.mean(|t| t.messages) + messages,
+            relay_bytes_s: rates.most(rates.others, |t| t.bytes) + bytes,
+            relay_messages_s: rates.most(rates.others, |t| t.messages) + messages,
+            membership_bytes_s: rates.mean(|t| t.gossip_bytes) + bytes,
+            membership_messages_s: rates.mean(|t| t.gossip_messages) + messages,
+            seat_bytes_s: rates.most(rates.voters, |t| t.bytes) + bytes,
+            seat_messages_s: rates.most(rates.voters, |t| t.messages) + messages,
+            holds: subscribed as f64 / running,
+            ..ScaleReport::default()
+        }
+    }
+
+    fn rates<'a>(&self, scale: &'a ScaleMeasurement) -> Rates<'a> {
+        let span: Time = self.now - scale.began.unwrap_or(self.now);
+        let voters = self.options.voters.min(scale.traffic.len());
+        let (at_voters, others) = scale.traffic.split_at(voters);
+        let running = others
+            .iter()
+            .zip(&self.processes[self.options.voters..])
+            .filter(|(_, process)| process.node.is_some())
+            .map(|(traffic, _)| traffic)
+            .collect();
+        let away = scale.scenario.restarts_hour;
+        let is_added = self.options.tier == Tier::Hollow;
+        let added = |base: f64, each: f64| if is_added { base + each * away } else { 0.0 };
+        Rates {
+            counted: span.max(1) as f64 / SECOND as f64,
+            added_messages: added(MEMBERSHIP.0, MEMBERSHIP_AWAY.0),
+            added_bytes: added(MEMBERSHIP.1, MEMBERSHIP_AWAY.1),
+            others,
+            running,
+            voters: at_voters,
+        }
+    }
+}
+
+/// A report with the measured durations.
+fn with_durations(report: ScaleReport, scale: &ScaleMeasurement) -> ScaleReport {
+    let durations = &scale.durations;
+    let all: Vec<u64> = [&durations.plain[..], &durations.strict[..]].concat();
+    let in_force_ms = Quantiles::of(&all);
+    ScaleReport {
+        changes_in_force: all.len() as u64,
+        in_force_ms,
+        plain_in_force_ms: Quantiles::of(&durations.plain),
+        strict_in_force_ms: Quantiles::of(&durations.strict),
+        scope_in_force_ms: in_force_ms.filter(|_| scale.scenario.by_scope > 0),
+        start_join_ms: Quantiles::of(&durations.start_join),
+        join_ms: Quantiles::of(&durations.join),
+        freed_ms: Quantiles::of(&durations.freed),
+        view_up_ms: Quantiles::of(&durations.detected_up),
+        view_down_ms: Quantiles::of(&durations.detected_down),
+        ..report
+    }
+}
--- /dev/null
+++ b/simulation/src/scale/workload.rs
@@ -0,0 +1,199 @@
+//! What happens once measurement begins, and the changes that operators ask for.
+
+use super::measurement::{DeadMember, RequestedChange, ScaleEvent, Traffic};
+use super::ScaleScenario;
+use crate::fault::{Time, SECOND};
+use crate::fleet::{Event, Simulation};
+use tansy_agreement::compatibility::Value;
+use tansy_agreement::log::LogEntry;
+
+/// An operator asks again so long after a request that nobody answered.
+const UNANSWERED_AFTER: Time = 5 * SECOND;
+
+impl ScaleScenario {
+    fn hours(&self) -> f64 {
+        self.counted as f64 / (3600 * SECOND) as f64
+    }
+
+    /// When changes are asked for, in order.
+    fn change_times(&self, rng: &mut fastrand::Rng, now: Time) -> Vec<Time> {
+        let count = (self.changes_hour * self.hours()).round() as usize;
+        let mut times: Vec<Time> = (0..count)
+            .map(|_| now + rng.i64(0..self.counted * 4 / 5 + 1))
+            .collect();
+        times.extend(std::iter::repeat_n(now + self.counted * 3 / 10, self.burst));
+        if self.even_steps && self.changes_hour > 0.0 {
+            let step = 3600.0 * SECOND as f64 / self.changes_hour;
+            let count = (self.counted as f64 * 0.8 / step) as usize;
+            times = (0..count)
+                .map(|index| now + (step * (index as f64 + 0.5)) as Time)
+                .collect();
+        }
+        times.sort_unstable();
+        times
+    }
+
+    /// The first change is plain: nothing yet waits for a strict one.
+    fn is_strict(&self, change: usize) -> bool {
+        self.strict_every > 0 && change % self.strict_every == self.strict_every / 2
+    }
+}
+
+impl Simulation<'_> {
+    /// Measurement begins, and what is to happen is scheduled.
+    pub(super) fn begin_measurement(&mut self) {
+        let now = self.now;
+        self.account_all();
+        for process in &mut self.processes {
+            process.up = 0;
+            process.without_lease = 0;
+            process.without_session = 0;
+        }
+        let Some(scale) = &mut self.scale else {
+            return;
+        };
+        let scenario = scale.scenario.clone();
+        scale.began = Some(now);
+        scale.end = now + scenario.counted;
+        scale.traffic.fill(Traffic::default());
+        let mut events = self.draw_changes(&scenario);
+        let mut others: Vec<usize> = (self.options.voters..self.options.front_ends).collect();
+        self.rng.shuffle(&mut others);
+        events.extend(self.end_for_good(&mut others, scenario.dead));
+        events.extend(self.draw_restarts(&scenario, &others));
+        let fifth = now + scenario.counted / 5;
+        if scenario.partitioned_regions > 0 && scenario.partition > 0 {
+            let until = fifth + scenario.partition;
+            self.network
+                .partition_regions(scenario.partitioned_regions, fifth, until);
+            events.push((fifth, Event::Scale(ScaleEvent::PartitionBegins)));
+            events.push((until, Event::Scale(ScaleEvent::PartitionEnds)));
+        }
+        if scenario.rack > 0 || scenario.zone > 0 || scenario.rolling > 0 {
+            events.push((fifth, Event::Scale(ScaleEvent::Loss)));
+        }
+        for (at, event) in events {
+            self.schedule(at, event);
+        }
+    }
+
+    fn draw_changes(&mut self, scenario: &ScaleScenario) -> Vec<(Time, Event)> {
+        let times = scenario.change_times(&mut self.rng, self.now);
+        let Some(scale) = &mut self.scale else {
+            return Vec::new();
+        };
+        let mut events = Vec::new();
+        for (index, requested) in times.into_iter().enumerate() {
+            scale.changes.push(RequestedChange {
+                is_strict: scenario.is_strict(index),
+                requested,
+                version: None,
+                is_over: false,
+                attempts: 0,
+                scope: None,
+                waits_for_dead: false,
+            });
+            let event = ScaleEvent::RequestChange {
+                change: index,
+                attempt: 0,
+            };
+            events.push((requested, Event::Scale(event)));
+        }
+        events
+    }
+
+    /// The first of these front ends end now, and for good.
+    fn end_for_good(&mut self, others: &mut Vec<usize>, count: usize) -> Vec<(Time, Event)> {
+        let now = self.now;
+        let mut events = Vec::new();
+        for process in others.drain(..count.min(others.len())) {
+            let member = self.member(process);
+            if let Some(scale) = &mut self.scale {
+                let dead = member.map(|member| DeadMember { member, ended: now });
+                scale.dead.extend(dead);
+                scale.gone.push(process);
+            }
+            events.push((now, Event::Stop { process }));
+        }
+        events
+    }
+
+    /// Front ends that end without notice and are back some seconds later.
+    fn draw_restarts(&mut self, scenario: &ScaleScenario, others: &[usize]) -> Vec<(Time, Event)> {
+        let mut events = Vec::new();
+        if others.is_empty() {
+            return events;
+        }
+        let count = (scenario.restarts_hour * scenario.hours()).round() as usize;
+        for _ in 0..count {
+            let at = self.now + self.rng.i64(0..scenario.counted * 9 / 10 + 1);
+            let process = others[self.rng.usize(0..others.len())];
+            let back = at + self.rng.i64(2 * SECOND..10 * SECOND);
+            events.push((at, Event::Stop { process }));
+            events.push((back, Event::Start { process }));
+        }
+        events
+    }
+
+    /// An operator asks the leader for a change, unless it was answered or asked for again since.
+    pub(super) fn request_change(&mut self, index: usize, attempt: u64) {
+        let Some(scale) = &mut self.scale else {
+            return;
+        };
+        let change = &mut scale.changes[index];
+        if change.attempts != attempt || change.version.is_some() || change.is_over {
+            return;
+        }
+        let is_first_ask = attempt == 0 && scale.healing.is_none();
+        if let (Some(partition), true) = (&mut scale.partition, is_first_ask) {
+            if change.is_strict {
+                partition.strict_asked += 1;
+            } else {
+                partition.plain_asked += 1;
+            }
+        }
+        change.attempts += 1;
+        let needs_scope = change.scope.is_none();
+        let is_strict = change.is_strict;
+        // It is asked for again if no answer comes; the same id makes it one change.
+        let event = ScaleEvent::RequestChange {
+            change: index,
+            attempt: change.attempts,
+        };
+        self.schedule(self.now + UNANSWERED_AFTER, Event::Scale(event));
+        if self.scopes.is_none() {
+            return self.request_version(index, is_strict);
+        }
+        if needs_scope {
+            self.draw_changed_scope(index);
+        }
+        let leader = self.leader().map(|(leader, _)| leader);
+        if let (Some(leader), Some(transaction)) = (leader, self.scope_transaction(index)) {
+            let id = transaction.id;
+            let transactions = vec![transaction];
+            self.request(leader, id, LogEntry::UpdateScopes { transactions });
+        }
+    }
+
+    /// Asks the leader for a version with one field changed.
+    fn request_version(&mut self, index: usize, is_strict: bool) {
+        let Some((leader, state)) = self.leader() else {
+            return;
+        };
+        let (path, value) = if is_strict {
+            ("classes.chat.group", Value::Text(format!("group-{index}")))
+        } else {
+            ("front.siblings", Value::Int(1000 + index as i64))
+        };
+        let mut fields = state.in_force.fields.clone();
+        fields.insert(path.into(), value);
+        let id = index as u64 + 1;
+        let entry = LogEntry::Propose {
+            id,
+            base: state.latest(),
+            fields,
+            reason: "a change".into(),
+        };
+        self.request(leader, id, entry);
+    }
+}
--- a/simulation/src/scopes/audit.rs
+++ b/simulation/src/scopes/audit.rs
@@ -77,7 +77,7 @@
                 Some(index) if change.in_force => {
                     scopes.awaited.push_back((change.revision, index))
                 }
-                Some(index) => scale.given_up(index),
+                Some(index) => scale.on_abandoned(index),
                 None => {}
             }
         }
@@ -92,7 +92,7 @@
                 return;
             }
             scopes.awaited.pop_front();
-            scale.done(self.now, change);
+            scale.on_in_force(self.now, change);
         }
     }
 
--- a/simulation/tests/scale.rs
+++ b/simulation/tests/scale.rs
@@ -3,33 +3,33 @@
 
 use tansy_simulation::fault::SECOND;
 use tansy_simulation::fleet::{run as agree, PlantedDefect, SimulationOptions};
-use tansy_simulation::size::{run, Report, Size, Tier, WAYS};
+use tansy_simulation::scale::{run, ScaleReport, ScaleScenario, Tier, REGION_NETWORK};
 
-fn play(tier: Tier, fronts: usize, size: Size) -> SimulationOptions {
+fn play(tier: Tier, fronts: usize, size: ScaleScenario) -> SimulationOptions {
     let mut play = SimulationOptions {
         tier,
         voters: 3,
         session: 20 * SECOND,
-        size: Some(size),
-        network: WAYS,
+        scale: Some(size),
+        network: REGION_NETWORK,
         ..SimulationOptions::of(fronts)
     };
     play.lease.span = 2 * SECOND;
     play
 }
 
-fn busy() -> Size {
-    Size {
+fn busy() -> ScaleScenario {
+    ScaleScenario {
         counted: 30 * SECOND,
         regions: 2,
         changes_hour: 1200.0,
-        away_hour: 240.0,
-        ..Size::default()
+        restarts_hour: 240.0,
+        ..ScaleScenario::default()
     }
 }
 
 /// The mean of both tiers over these seeds.
-fn near(what: &str, all: &[[Report; 2]], share: f64, of: fn(&Report) -> f64) {
+fn near(what: &str, all: &[[ScaleReport; 2]], share: f64, of: fn(&ScaleReport) -> f64) {
     let mean = |tier: usize| all.iter().map(|r| of(&r[tier])).sum::<f64>() / all.len() as f64;
     let (whole, hollow) = (mean(0), mean(1));
     assert!(
@@ -40,15 +40,15 @@
 
 #[test]
 fn the_hollow_tier_measures_what_the_whole_one_does() {
-    let size = Size {
+    let size = ScaleScenario {
         counted: 60 * SECOND,
         changes_hour: 1800.0,
-        away_hour: 0.0,
+        restarts_hour: 0.0,
         ..busy()
     };
     let both =
         |seed| [Tier::Whole, Tier::Hollow].map(|tier| run(&play(tier, 40, size.clone()), seed));
-    let all: Vec<[Report; 2]> = (1..=4).map(both).collect();
+    let all: Vec<[ScaleReport; 2]> = (1..=4).map(both).collect();
     for r in all.iter().flatten() {
         assert!(
             r.ok && r.changes_in_force == r.changes_asked,
@@ -73,9 +73,9 @@
 
 #[test]
 fn a_run_depends_on_its_seed_alone() {
-    let size = Size {
-        cut_regions: 1,
-        cut: 8 * SECOND,
+    let size = ScaleScenario {
+        partitioned_regions: 1,
+        partition: 8 * SECOND,
         dead: 1,
         ..busy()
     };
@@ -86,11 +86,11 @@
 
 #[test]
 fn a_region_cut_off_loses_its_leases_and_comes_back() {
-    let size = Size {
-        cut_regions: 1,
-        cut: 10 * SECOND,
+    let size = ScaleScenario {
+        partitioned_regions: 1,
+        partition: 10 * SECOND,
         regions: 4,
-        away_hour: 0.0,
+        restarts_hour: 0.0,
         strict_every: 0,
         ..busy()
     };
@@ -108,10 +108,10 @@
 
 #[test]
 fn a_strict_change_waits_for_the_dead_until_their_stays_are_out() {
-    let size = Size {
+    let size = ScaleScenario {
         dead: 2,
         regions: 1,
-        away_hour: 0.0,
+        restarts_hour: 0.0,
         counted: 40 * SECOND,
         ..busy()
     };
@@ -132,11 +132,11 @@
 
 #[test]
 fn a_rack_that_ends_for_good_leaves_the_roster_and_the_others_act() {
-    let size = Size {
+    let size = ScaleScenario {
         rack: 6,
         regions: 4,
         counted: 60 * SECOND,
-        away_hour: 0.0,
+        restarts_hour: 0.0,
         ..busy()
     };
     let report = run(&play(Tier::Hollow, 40, size.clone()), 1);
@@ -156,8 +156,8 @@
         &play(
             Tier::Hollow,
             40,
-            Size {
-                with_root: true,
+            ScaleScenario {
+                with_leader: true,
                 ..size
             },
         ),
@@ -172,11 +172,11 @@
 
 #[test]
 fn a_zone_that_ends_comes_back_and_is_called_again() {
-    let size = Size {
+    let size = ScaleScenario {
         zone: 5,
         zone_away: 8 * SECOND,
         regions: 4,
-        away_hour: 0.0,
+        restarts_hour: 0.0,
         by_scope: 100,
         ..busy()
     };
@@ -184,7 +184,7 @@
         &play(
             Tier::Hollow,
             40,
-            Size {
+            ScaleScenario {
                 counted: 60 * SECOND,
                 ..size
             },
@@ -213,10 +213,10 @@
 
 #[test]
 fn a_rolling_restart_takes_one_part_after_the_other() {
-    let rolling = |parts| Size {
+    let rolling = |parts| ScaleScenario {
         rolling: parts,
         rolling_away: 6 * SECOND,
-        away_hour: 0.0,
+        restarts_hour: 0.0,
         strict_every: 1,
         counted: 120 * SECOND,
         ..busy()
@@ -235,16 +235,16 @@
         let strict = report.strict_in_force_ms.expect("strict changes");
         assert!(strict.p50 < median && strict.max < 12_000.0, "{strict:?}");
     }
-    let again = |r: &Report| r.loss.as_ref().and_then(|l| l.again_ms);
+    let again = |r: &ScaleReport| r.loss.as_ref().and_then(|l| l.again_ms);
     assert!(again(&ten) > again(&four), "{four:?} {ten:?}");
 }
 
 #[test]
 fn a_rolling_restart_that_does_not_end_is_not_ok() {
-    let size = Size {
+    let size = ScaleScenario {
         rolling: 20,
         rolling_away: 2 * SECOND,
-        away_hour: 0.0,
+        restarts_hour: 0.0,
         ..busy()
     };
     let report = run(&play(Tier::Hollow, 40, size), 3);
@@ -265,9 +265,9 @@
 
 #[test]
 fn changes_in_even_steps_do_not_meet() {
-    let size = Size {
+    let size = ScaleScenario {
         regions: 1,
-        away_hour: 0.0,
+        restarts_hour: 0.0,
         strict_every: 0,
         changes_hour: 14_400.0,
         ..busy()
@@ -277,8 +277,8 @@
         &play(
             Tier::Hollow,
             20,
-            Size {
-                evenly: true,
+            ScaleScenario {
+                even_steps: true,
                 ..size
             },
         ),
--- a/simulation/tests/scopes.rs
+++ b/simulation/tests/scopes.rs
@@ -3,7 +3,7 @@
 
 use tansy_simulation::fault::SECOND;
 use tansy_simulation::fleet::{many, run, PlantedDefect, SimulationOptions};
-use tansy_simulation::size::{run as size, Size, Tier, WAYS};
+use tansy_simulation::scale::{run as run_at_scale, ScaleScenario, Tier, REGION_NETWORK};
 
 fn play() -> SimulationOptions {
     SimulationOptions {
@@ -87,53 +87,53 @@
 
 #[test]
 fn a_fleet_at_its_size_changes_functions_one_by_one() {
-    let by_scope = Size {
+    let by_scope = ScaleScenario {
         counted: 20 * SECOND,
         regions: 2,
         changes_hour: 7200.0,
         by_scope: 200,
-        ..Size::default()
+        ..ScaleScenario::default()
     };
     let mut play = SimulationOptions {
         tier: Tier::Hollow,
         voters: 3,
         session: 20 * SECOND,
-        size: Some(by_scope),
-        network: WAYS,
+        scale: Some(by_scope),
+        network: REGION_NETWORK,
         ..SimulationOptions::of(40)
     };
     play.lease.span = 2 * SECOND;
-    let report = size(&play, 1);
+    let report = run_at_scale(&play, 1);
     assert!(report.ok && report.changes_in_force == 40, "{report:?}");
     let took = report.scope_in_force_ms.expect("changes in force");
     assert!(took.count == 40 && took.max < 5_000.0, "{took:?}");
     assert!(report.holds > 1.0 && report.holds < 8.0, "{}", report.holds);
-    assert_eq!(report, size(&play, 1));
+    assert_eq!(report, run_at_scale(&play, 1));
 }
 
 #[test]
 fn a_strict_change_of_what_a_dead_front_end_holds_waits_and_others_do_not() {
-    let size = Size {
+    let size = ScaleScenario {
         counted: 60 * SECOND,
         changes_hour: 3600.0,
         strict_every: 2,
         by_scope: 400,
         dead: 2,
-        ..Size::default()
+        ..ScaleScenario::default()
     };
     let mut play = SimulationOptions {
         tier: Tier::Hollow,
         voters: 3,
         session: 30 * SECOND,
-        size: Some(Size {
-            held_by_dead: 0.3,
+        scale: Some(ScaleScenario {
+            requested_by_dead: 0.3,
             ..size.clone()
         }),
-        network: WAYS,
+        network: REGION_NETWORK,
         ..SimulationOptions::of(40)
     };
     play.lease.span = 2 * SECOND;
-    let dead = self::size(&play, 1);
+    let dead = run_at_scale(&play, 1);
     assert!(dead.ok, "{:?}", dead.notes);
     let held = dead.dead_held.expect("some are dead");
     assert!(
@@ -152,14 +152,14 @@
     assert!(dead.in_force_ms.expect("changes").p50 < 1_000.0, "{dead:?}");
     assert!(dead.changes_of_held < dead.changes_asked, "{dead:?}");
     // Changes of functions that the living hold wait for nobody.
-    let live = Size {
+    let live = ScaleScenario {
         dead: 0,
-        held: 1.0,
+        requested: 1.0,
         ..size
     };
-    let live = self::size(
+    let live = run_at_scale(
         &SimulationOptions {
-            size: Some(live),
+            scale: Some(live),
             ..play
         },
         1,
