--- a/simulation/src/cli/mod.rs
+++ b/simulation/src/cli/mod.rs
@@ -4,6 +4,7 @@
 mod roll;
 mod size;
 
+use crate::plot::PlotError;
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -46,7 +47,7 @@
 /// Draws a plot into a file, if one is asked for; ends with 2 if that fails.
 fn plot_or_fail(
     path: Option<PathBuf>,
-    draw: impl FnOnce(&PathBuf) -> Result<(), String>,
+    draw: impl FnOnce(&PathBuf) -> Result<(), PlotError>,
 ) -> Result<(), ExitCode> {
     match path.map(|path| draw(&path)) {
         Some(Err(error)) => {
--- a/simulation/src/fault.rs
+++ b/simulation/src/fault.rs
@@ -7,12 +7,12 @@
 /// A second of it.
 pub const SECOND: Time = 1_000_000;
 
-/// One thing that goes wrong. Front ends by number; the seat is number 0.
+/// One thing that goes wrong. Front ends by their index; the first voter is number 0.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum Fault {
     /// A process ends at once and is started again, from nothing or from what its disk holds.
     Kill {
-        /// Whose.
+        /// Which process.
         who: usize,
         /// When.
         at: Time,
@@ -21,25 +21,25 @@
     },
     /// A process is stopped and goes on where it was.
     Pause {
-        /// Whose.
+        /// Which process.
         who: usize,
         /// When.
         at: Time,
         /// For how long.
         away: Time,
     },
-    /// Nothing passes from one to another; the way back is not touched.
+    /// No message passes from one process to another; the other direction is not affected.
     Cut {
-        /// From whom.
+        /// The sender.
         from: usize,
-        /// To whom.
+        /// The receiver.
         to: usize,
         /// When.
         at: Time,
         /// For how long.
         away: Time,
     },
-    /// Nothing passes between these and the others.
+    /// No message passes between these processes and the others.
     Split {
         /// One side.
         side: Vec<usize>,
@@ -48,7 +48,7 @@
         /// For how long.
         away: Time,
     },
-    /// Everything takes longer, by up to this time.
+    /// Every message takes longer, by up to a time.
     Slow {
         /// When.
         at: Time,
@@ -85,16 +85,16 @@
 
 /// Draws what goes wrong in a run: some faults of every sort, all over by `until`. In one of three runs seven in ten front
 /// ends are killed within a second.
-pub fn draw(rng: &mut fastrand::Rng, fronts: usize, until: Time) -> Vec<Fault> {
+pub fn draw(rng: &mut fastrand::Rng, front_ends: usize, until: Time) -> Vec<Fault> {
     let mut all = Vec::new();
-    let many = 4 + rng.usize(0..8);
-    for _ in 0..many {
+    let count = 4 + rng.usize(0..8);
+    for _ in 0..count {
         let at = rng.i64(SECOND..until * 3 / 4);
         let longest = (until - at).min(12 * SECOND);
         let away = rng.i64(SECOND / 50..longest);
-        let who = rng.usize(0..fronts);
+        let who = rng.usize(0..front_ends);
         all.push(match rng.u32(0..10) {
-            // A seat that is back at once has leases out that it knows nothing of.
+            // A voter that is back at once has granted leases that it knows nothing of.
             0 => Fault::Kill {
                 who: 0,
                 at,
@@ -104,13 +104,13 @@
             3..5 => Fault::Pause { who, at, away },
             5..7 => Fault::Cut {
                 from: who,
-                to: rng.usize(0..fronts),
+                to: rng.usize(0..front_ends),
                 at,
                 away,
             },
             7..9 => {
                 let share = rng.f64() * 0.6 + 0.1;
-                let side = (0..fronts).filter(|_| rng.f64() < share).collect();
+                let side = (0..front_ends).filter(|_| rng.f64() < share).collect();
                 Fault::Split { side, at, away }
             }
             _ => Fault::Slow {
@@ -122,7 +122,7 @@
     }
     if rng.u32(0..3) == 0 {
         let at = rng.i64(SECOND..until / 2);
-        for who in 0..fronts {
+        for who in 0..front_ends {
             if rng.f64() < 0.7 {
                 all.push(Fault::Kill {
                     who,
--- a/simulation/src/fleet/node_step.rs
+++ b/simulation/src/fleet/node_step.rs
@@ -4,7 +4,7 @@
 use super::process::index_of;
 use super::{PlantedDefect, Simulation};
 use crate::fault::{Time, SECOND};
-use crate::letter::size;
+use crate::message_size::message_size;
 use crate::scale::WIDE_ID;
 use crate::scopes::REPLY_DELAY;
 use tansy_agreement::lease_tree::LeaseMessage;
@@ -24,7 +24,7 @@
     pub(super) fn on_arrival(&mut self, to: usize, message: Message) {
         let (from, leader, body) = message;
         if let (Some(scale), true) = (&mut self.scale, self.processes[to].node.is_some()) {
-            scale.count_message(to, &body, size(&from, leader, &body) as u64);
+            scale.count_message(to, &body, message_size(&from, leader, &body) as u64);
         }
         match &mut self.processes[to].paused {
             Some(queued) if queued.len() < QUEUED_MESSAGES => queued.push((from, leader, body)),
@@ -191,7 +191,7 @@
         if to >= self.processes.len() {
             return;
         }
-        let bytes = size(from, leader, &body) as u64;
+        let bytes = message_size(from, leader, &body) as u64;
         self.sent.messages += 1;
         self.sent.bytes += bytes;
         let voters = self.options.voters;
--- a/simulation/src/fleet/simulation.rs
+++ b/simulation/src/fleet/simulation.rs
@@ -56,19 +56,7 @@
         faults: &[Fault],
     ) -> Simulation<'a> {
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
-        let rate_bound = if options.has_defect(PlantedDefect::WildClock) {
-            WILD_RATE
-        } else {
-            options.lease.drift_ppm as f64 / 1e6
-        };
-        let incarnation = if options.scale.is_some() {
-            FIRST_INCARNATION
-        } else {
-            0
-        };
-        let processes = (0..options.front_ends)
-            .map(|_| Process::new(&mut rng, incarnation, rate_bound))
-            .collect();
+        let processes = draw_processes(options, &mut rng);
         let scale = options.scale.clone();
         let mut simulation = Simulation {
             options,
@@ -259,3 +247,20 @@
         }
     }
 }
+
+/// The processes of a run, none of which is started.
+fn draw_processes(options: &SimulationOptions, rng: &mut fastrand::Rng) -> Vec<Process> {
+    let rate_bound = if options.has_defect(PlantedDefect::WildClock) {
+        WILD_RATE
+    } else {
+        options.lease.drift_ppm as f64 / 1e6
+    };
+    let first_incarnation = if options.scale.is_some() {
+        FIRST_INCARNATION
+    } else {
+        0
+    };
+    (0..options.front_ends)
+        .map(|_| Process::new(rng, first_incarnation, rate_bound))
+        .collect()
+}
--- a/simulation/src/fleet/summary.rs
+++ b/simulation/src/fleet/summary.rs
@@ -32,7 +32,7 @@
     pub without_session: f64,
     /// Messages a front end a second.
     pub messages: f64,
-    /// Bytes of messages a front end a second, by [`crate::letter::size`].
+    /// Bytes of messages a front end a second, by [`crate::message_size::message_size`].
     pub bytes: f64,
     /// Messages from or to the voters, a second.
     #[serde(rename = "seat_messages")]
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -1,20 +1,20 @@
 //! A fleet of front ends in virtual time.
 //!
 //! The packages under `decide/` run here as they run in a front end; the network, the disks, the clocks and what goes wrong
-//! with them are the model's. A run depends on its seed alone: same seed, same result, on any machine and with any number
+//! with them are simulated. A run depends on its seed alone: same seed, same result, on any machine and with any number
 //! of threads.
 
 pub mod cli;
 pub mod fault;
 pub mod fleet;
-pub mod letter;
+pub mod message_size;
 pub mod network;
 pub mod plot;
 pub mod rollout;
 pub mod scale;
 mod scopes;
 
-/// Plays seeds `from` to `from + seeds` on so many threads. The order of what comes back is that of the threads.
+/// Simulates seeds `from` to `from + seeds` on so many threads. The order of what comes back is that of the threads.
 fn spread<T: Send>(from: u64, seeds: u64, threads: usize, one: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let next = std::sync::atomic::AtomicU64::new(0);
     let work = || {
--- a/simulation/src/plot.rs
+++ b/simulation/src/plot.rs
@@ -1,37 +1,64 @@
-//! Plots of what runs measured, as SVG.
+//! Plots of what simulations measured, as SVG.
 
 use crate::fleet::SimulationSummary;
 use crate::rollout::{DecisionRule, Regression, RolloutSummary};
 use plotters::prelude::*;
-use std::path::Path;
+use std::path::{Path, PathBuf};
+
+type DrawingError = DrawingAreaErrorKind<std::io::Error>;
+
+/// A plot that could not be drawn.
+#[derive(Debug, thiserror::Error)]
+pub enum PlotError {
+    /// There is nothing to draw: a plot needs the summary of one size at least.
+    #[error("no size was played")]
+    NoSummary,
+    /// The file could not be written, or the chart not be laid out.
+    #[error("{}: {source}", path.display())]
+    Drawing {
+        /// The file of the plot.
+        path: PathBuf,
+        /// What went wrong there.
+        source: DrawingError,
+    },
+}
+
+impl PlotError {
+    fn drawing(path: &Path) -> impl FnOnce(DrawingError) -> PlotError + '_ {
+        move |source| PlotError::Drawing {
+            path: path.to_path_buf(),
+            source,
+        }
+    }
+}
 
 /// Time from a proposal to force everywhere against the fleet's size, median and 99th percentile.
-pub fn in_force(path: &Path, all: &[SimulationSummary]) -> Result<(), String> {
-    let sizes: Vec<f64> = all.iter().map(|s| s.front_ends as f64).collect();
+pub fn in_force(path: &Path, summaries: &[SimulationSummary]) -> Result<(), PlotError> {
+    let sizes: Vec<f64> = summaries.iter().map(|s| s.front_ends as f64).collect();
     let (Some(least), Some(most)) = (
         sizes.iter().copied().reduce(f64::min),
         sizes.iter().copied().reduce(f64::max),
     ) else {
-        return Err("no size was played".into());
+        return Err(PlotError::NoSummary);
     };
-    let highest = all
+    let highest = summaries
         .iter()
         .map(|s| s.in_force_ms[1])
         .max()
         .unwrap_or(1)
         .max(1) as f64
         * 1.1;
-    draw(path, all, least, most.max(least + 1.0), highest)
-        .map_err(|e| format!("{}: {e}", path.display()))
+    draw_in_force(path, summaries, least, most.max(least + 1.0), highest)
+        .map_err(PlotError::drawing(path))
 }
 
-fn draw(
+fn draw_in_force(
     path: &Path,
-    all: &[SimulationSummary],
+    summaries: &[SimulationSummary],
     least: f64,
     most: f64,
     highest: f64,
-) -> Result<(), Box<dyn std::error::Error>> {
+) -> Result<(), DrawingError> {
     let area = SVGBackend::new(path, (720, 420)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -52,7 +79,7 @@
         .y_label_formatter(&whole)
         .draw()?;
     for (n, name, color) in [(0, "median", BLUE), (1, "99th percentile", RED)] {
-        let points: Vec<(f64, f64)> = all
+        let points: Vec<(f64, f64)> = summaries
             .iter()
             .map(|s| (s.front_ends as f64, s.in_force_ms[n] as f64))
             .collect();
@@ -76,15 +103,15 @@
     Ok(())
 }
 
-/// Share of rolls stopped against the share that the change loses, for each rule that was played.
-pub fn stopped(path: &Path, all: &[RolloutSummary]) -> Result<(), String> {
+/// Share of rollouts stopped against the share that the change loses, for each rule that was simulated.
+pub fn stopped(path: &Path, summaries: &[RolloutSummary]) -> Result<(), PlotError> {
     let lost = |h: Regression| match h {
         Regression::None => Some(0.0),
         Regression::All(x) => Some(x * 100.0),
         _ => None,
     };
     let line = |name: &'static str, is: fn(&DecisionRule) -> bool| {
-        let of = all.iter().filter(|s| is(&s.options.rule));
+        let of = summaries.iter().filter(|s| is(&s.options.rule));
         let points: Vec<(f64, f64)> = of
             .filter_map(|s| Some((lost(s.options.regression)?, s.stopped * 100.0)))
             .collect();
@@ -97,13 +124,13 @@
         }),
         line("own past", |r| matches!(r, DecisionRule::OwnPast(_))),
     ];
-    rolls(path, &lines).map_err(|e| format!("{}: {e}", path.display()))
+    draw_rollouts(path, &lines).map_err(PlotError::drawing(path))
 }
 
-fn rolls(
+fn draw_rollouts(
     path: &Path,
     lines: &[(&'static str, Vec<(f64, f64)>)],
-) -> Result<(), Box<dyn std::error::Error>> {
+) -> Result<(), DrawingError> {
     let area = SVGBackend::new(path, (720, 420)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
--- a/simulation/src/scale/losses.rs
+++ b/simulation/src/scale/losses.rs
@@ -74,7 +74,7 @@
         PartitionSide {
             front_ends: lost.len(),
             lease_lost: total.lease_lost(),
-            stay_lost: total.session_lost(),
+            session_lost: total.session_lost(),
         }
     }
 
@@ -137,7 +137,7 @@
         };
         scale.loss = Some(LossReport {
             front_ends: plan.ended.len(),
-            seats: plan.ended.iter().filter(|index| **index < voters).count(),
+            voters: plan.ended.iter().filter(|index| **index < voters).count(),
             ..LossReport::default()
         });
         scale.ongoing_loss = Some(OngoingLoss {
@@ -220,12 +220,12 @@
             return;
         };
         let lost = total.minus(loss.accounted_before);
-        report.again_ms = recovered.then_some(milliseconds(now - loss.since));
+        report.recovered_ms = recovered.then_some(milliseconds(now - loss.since));
         report.lease_lost = lost.lease_lost();
-        report.stay_lost = lost.session_lost();
+        report.session_lost = lost.session_lost();
         let requested = scale.changes.iter().map(|change| change.requested);
         let within = requested.filter(|at| loss.since <= *at && *at <= now);
-        report.changes_asked = within.count() as u64;
+        report.changes_requested = within.count() as u64;
         if recovered {
             scale.ongoing_loss = None;
         }
--- a/simulation/src/scale/measurement.rs
+++ b/simulation/src/scale/measurement.rs
@@ -117,7 +117,7 @@
     pub(super) plain: Vec<u64>,
     pub(super) strict: Vec<u64>,
     /// Of the strict ones, those that waited for dead subscribers.
-    pub(super) dead_held: Vec<u64>,
+    pub(super) waited_for_dead: Vec<u64>,
     pub(super) start_join: Vec<u64>,
     pub(super) join: Vec<u64>,
     pub(super) freed: Vec<u64>,
@@ -227,7 +227,7 @@
             self.durations.plain.push(duration);
         }
         if change.waits_for_dead {
-            self.durations.dead_held.push(duration);
+            self.durations.waited_for_dead.push(duration);
         }
         if let (Some(loss), Some(ongoing)) = (&mut self.loss, &self.ongoing_loss) {
             loss.changes_in_force += u64::from(requested >= ongoing.since);
--- a/simulation/src/scale/report.rs
+++ b/simulation/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! What a run at scale measured. The names of the fields are those of its JSON.
+//! What a run at scale measured. Recorded runs carry the fields under the names of the `serde` attributes.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -40,7 +40,8 @@
     /// Share of their time without a live lease.
     pub lease_lost: f64,
     /// Share of it without a live session.
-    pub stay_lost: f64,
+    #[serde(rename = "stay_lost")]
+    pub session_lost: f64,
 }
 
 /// What was counted while regions were partitioned.
@@ -51,11 +52,13 @@
     /// Those that do not.
     pub cut: PartitionSide,
     /// Changes of plain fields requested meanwhile.
-    pub plain_asked: u64,
+    #[serde(rename = "plain_asked")]
+    pub plain_requested: u64,
     /// Of these in force before the partition was over.
     pub plain_in_force: u64,
     /// Changes of strict fields requested meanwhile.
-    pub strict_asked: u64,
+    #[serde(rename = "strict_asked")]
+    pub strict_requested: u64,
     /// Of these in force before the partition was over.
     pub strict_in_force: u64,
     /// From the end of the partition until all act again with lease and session, milliseconds.
@@ -68,16 +71,20 @@
     /// Front ends that ended, each counted once.
     pub front_ends: usize,
     /// Voters among them.
-    pub seats: usize,
+    #[serde(rename = "seats")]
+    pub voters: usize,
     /// From that moment until all that run act with lease and session, and nobody is still to come back, milliseconds. Where
     /// nobody comes back a lease's length at least: so long those live that were granted before.
-    pub again_ms: Option<u64>,
+    #[serde(rename = "again_ms")]
+    pub recovered_ms: Option<u64>,
     /// Until then, share of front ends' time up without a live lease.
     pub lease_lost: f64,
     /// Share of it without a live session.
-    pub stay_lost: f64,
+    #[serde(rename = "stay_lost")]
+    pub session_lost: f64,
     /// Changes requested until then.
-    pub changes_asked: u64,
+    #[serde(rename = "changes_asked")]
+    pub changes_requested: u64,
     /// Changes in force by then, of those requested until then.
     pub changes_in_force: u64,
 }
@@ -86,11 +93,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct DeadHolderReport {
     /// Asked for.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requested: u64,
     /// In force at the end.
     pub in_force: u64,
     /// Abandoned by the leader.
-    pub given_up: u64,
+    #[serde(rename = "given_up")]
+    pub abandoned: u64,
     /// From the first request to force at all that can be reached.
     pub in_force_ms: Option<Quantiles>,
 }
@@ -119,9 +128,11 @@
     /// Messages likewise.
     pub membership_messages_s: f64,
     /// The busiest voter.
-    pub seat_bytes_s: f64,
+    #[serde(rename = "seat_bytes_s")]
+    pub voter_bytes_s: f64,
     /// Messages likewise.
-    pub seat_messages_s: f64,
+    #[serde(rename = "seat_messages_s")]
+    pub voter_messages_s: f64,
     /// From the first request to force at all that can be reached, all changes.
     pub in_force_ms: Option<Quantiles>,
     /// Of fields that may be two things at once.
@@ -131,17 +142,22 @@
     /// The same of changes of single functions.
     pub scope_in_force_ms: Option<Quantiles>,
     /// Functions that a front end is subscribed to, at the end; mean.
-    pub holds: f64,
+    #[serde(rename = "holds")]
+    pub subscriptions: f64,
     /// Changes requested.
-    pub changes_asked: u64,
+    #[serde(rename = "changes_asked")]
+    pub changes_requested: u64,
     /// In force at the end.
     pub changes_in_force: u64,
     /// By scope, of functions that a front end got requests for.
-    pub changes_of_held: u64,
+    #[serde(rename = "changes_of_held")]
+    pub changes_of_requested: u64,
     /// Abandoned by the leader.
-    pub changes_given_up: u64,
+    #[serde(rename = "changes_given_up")]
+    pub changes_abandoned: u64,
     /// Refused since another went on or too many waited, each repeated request counted.
-    pub changes_refused: u64,
+    #[serde(rename = "changes_refused")]
+    pub changes_rejected: u64,
     /// Neither at the end.
     pub changes_open: u64,
     /// From a process's start to its first lease and session, in the start of all.
@@ -151,19 +167,24 @@
     /// From the end of a process for good to its end on the roster, when strict changes wait for it no more.
     pub freed_ms: Option<Quantiles>,
     /// From a process's start to another's event of it; whole tier.
-    pub view_up_ms: Option<Quantiles>,
+    #[serde(rename = "view_up_ms")]
+    pub detected_up_ms: Option<Quantiles>,
     /// From its end to another's event of that; whole tier.
-    pub view_down_ms: Option<Quantiles>,
+    #[serde(rename = "view_down_ms")]
+    pub detected_down_ms: Option<Quantiles>,
     /// Share of front ends' time up without a live lease.
     pub lease_lost: f64,
     /// Share of it without a live session.
-    pub stay_lost: f64,
+    #[serde(rename = "stay_lost")]
+    pub session_lost: f64,
     /// While regions were partitioned.
-    pub cut: Option<PartitionReport>,
+    #[serde(rename = "cut")]
+    pub partition: Option<PartitionReport>,
     /// From the end of a rack or a zone, or the beginning of a rolling restart.
     pub loss: Option<LossReport>,
     /// Strict changes that may wait for a dead subscriber.
-    pub dead_held: Option<DeadHolderReport>,
+    #[serde(rename = "dead_held")]
+    pub dead_holders: Option<DeadHolderReport>,
     /// Events simulated.
     pub events: u64,
     /// Violations that the audit found, and what was not reached.
--- a/simulation/src/scale/results.rs
+++ b/simulation/src/scale/results.rs
@@ -69,13 +69,13 @@
             return None;
         }
         let waiting = || self.changes.iter().filter(|change| change.waits_for_dead);
-        let in_force = self.durations.dead_held.len() as u64;
+        let in_force = self.durations.waited_for_dead.len() as u64;
         let over = waiting().filter(|change| change.is_over).count() as u64;
         Some(DeadHolderReport {
-            asked: waiting().count() as u64,
+            requested: waiting().count() as u64,
             in_force,
-            given_up: over - in_force,
-            in_force_ms: Quantiles::of(&self.durations.dead_held),
+            abandoned: over - in_force,
+            in_force_ms: Quantiles::of(&self.durations.waited_for_dead),
         })
     }
 }
@@ -105,15 +105,15 @@
             seed: self.result.seed,
             virtual_seconds: self.now as f64 / SECOND as f64,
             start_seconds: scale.joined.unwrap_or(self.now) as f64 / SECOND as f64,
-            changes_asked: scale.changes.len() as u64,
-            changes_of_held: scale.changes_of_requested,
-            changes_given_up: scale.abandoned,
-            changes_refused: scale.rejected,
+            changes_requested: scale.changes.len() as u64,
+            changes_of_requested: scale.changes_of_requested,
+            changes_abandoned: scale.abandoned,
+            changes_rejected: scale.rejected,
             changes_open: open,
             lease_lost: total.lease_lost(),
-            stay_lost: total.session_lost(),
-            dead_held: scale.dead_holders(),
-            cut: scale.partition,
+            session_lost: total.session_lost(),
+            dead_holders: scale.dead_holders(),
+            partition: scale.partition,
             loss: scale.loss,
             events: scale.events,
             notes,
@@ -138,9 +138,9 @@
             relay_messages_s: rates.most(rates.others, |t| t.messages) + messages,
             membership_bytes_s: rates.mean(|t| t.gossip_bytes) + bytes,
             membership_messages_s: rates.mean(|t| t.gossip_messages) + messages,
-            seat_bytes_s: rates.most(rates.voters, |t| t.bytes) + bytes,
-            seat_messages_s: rates.most(rates.voters, |t| t.messages) + messages,
-            holds: subscribed as f64 / running,
+            voter_bytes_s: rates.most(rates.voters, |t| t.bytes) + bytes,
+            voter_messages_s: rates.most(rates.voters, |t| t.messages) + messages,
+            subscriptions: subscribed as f64 / running,
             ..ScaleReport::default()
         }
     }
@@ -183,8 +183,8 @@
         start_join_ms: Quantiles::of(&durations.start_join),
         join_ms: Quantiles::of(&durations.join),
         freed_ms: Quantiles::of(&durations.freed),
-        view_up_ms: Quantiles::of(&durations.detected_up),
-        view_down_ms: Quantiles::of(&durations.detected_down),
+        detected_up_ms: Quantiles::of(&durations.detected_up),
+        detected_down_ms: Quantiles::of(&durations.detected_down),
         ..report
     }
 }
--- a/simulation/src/scale/workload.rs
+++ b/simulation/src/scale/workload.rs
@@ -147,9 +147,9 @@
         let is_first_ask = attempt == 0 && scale.healing.is_none();
         if let (Some(partition), true) = (&mut scale.partition, is_first_ask) {
             if change.is_strict {
-                partition.strict_asked += 1;
+                partition.strict_requested += 1;
             } else {
-                partition.plain_asked += 1;
+                partition.plain_requested += 1;
             }
         }
         change.attempts += 1;
--- a/simulation/tests/letter.rs
+++ b/simulation/tests/message_size.rs
@@ -1,4 +1,4 @@
-//! What the model takes for a letter's size is what the letter takes.
+//! The size that the simulation computes of a message is that of the encoded message.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use tansy_fleet_node::{Leader, MessageBody};
 use tansy_fleet_wire::encode_message;
 use tansy_membership::NodeId;
-use tansy_simulation::letter::size;
+use tansy_simulation::message_size::message_size;
 
 /// Numbers of all lengths, nought among them.
 fn number(rng: &mut fastrand::Rng) -> u64 {
@@ -269,7 +269,7 @@
             id: number(&mut rng),
         };
         let body = body(&mut rng);
-        let counted = size(&from, root, &body);
+        let counted = message_size(&from, root, &body);
         let told = format!("{body:?}");
         assert_eq!(
             encode_message(u64::MAX, &from, root, body).len(),
--- a/simulation/tests/scale.rs
+++ b/simulation/tests/scale.rs
@@ -51,7 +51,7 @@
     let all: Vec<[ScaleReport; 2]> = (1..=4).map(both).collect();
     for r in all.iter().flatten() {
         assert!(
-            r.ok && r.changes_in_force == r.changes_asked,
+            r.ok && r.changes_in_force == r.changes_requested,
             "seed {}: {:?}",
             r.seed,
             r.notes
@@ -64,7 +64,7 @@
         r.control_bytes_s - r.membership_bytes_s
     });
     near("messages at the seat", &all, 0.15, |r| {
-        r.seat_messages_s - r.membership_messages_s
+        r.voter_messages_s - r.membership_messages_s
     });
     near("changes in force", &all, 0.3, |r| {
         r.in_force_ms.expect("changes").p50
@@ -96,7 +96,7 @@
     };
     let report = run(&play(Tier::Hollow, 40, size), 3);
     assert!(report.ok, "{:?}", report.notes);
-    let cut = report.cut.expect("a cut");
+    let cut = report.partition.expect("a cut");
     assert_eq!((cut.main.front_ends, cut.cut.front_ends), (30, 10));
     assert!(cut.cut.lease_lost > 0.6, "{cut:?}");
     assert!(cut.main.lease_lost < 0.2, "{cut:?}");
@@ -142,13 +142,13 @@
     let report = run(&play(Tier::Hollow, 40, size.clone()), 1);
     assert!(report.ok && report.view_members == 34.0, "{report:?}");
     let loss = report.loss.expect("a rack");
-    assert_eq!((loss.front_ends, loss.seats), (6, 0));
+    assert_eq!((loss.front_ends, loss.voters), (6, 0));
     assert!(
-        loss.again_ms
+        loss.recovered_ms
             .is_some_and(|ms| (2_000..15_000).contains(&ms)),
         "{loss:?}"
     );
-    assert_eq!(loss.stay_lost, 0.0);
+    assert_eq!(loss.session_lost, 0.0);
     assert_eq!(report.freed_ms.expect("they leave the roster").count, 6);
     let strict = report.strict_in_force_ms.expect("strict changes");
     assert!(strict.max > 8_000.0, "none waited for the rack: {strict:?}");
@@ -165,7 +165,7 @@
     );
     let loss = rooted.loss.clone().expect("a rack");
     assert!(
-        rooted.ok && (loss.front_ends, loss.seats) == (6, 1),
+        rooted.ok && (loss.front_ends, loss.voters) == (6, 1),
         "{rooted:?}"
     );
 }
@@ -193,21 +193,21 @@
     );
     assert!(report.ok && report.view_members == 40.0, "{report:?}");
     let loss = report.loss.expect("a zone");
-    assert_eq!((loss.front_ends, loss.seats), (8, 0));
+    assert_eq!((loss.front_ends, loss.voters), (8, 0));
     assert!(
-        loss.again_ms
+        loss.recovered_ms
             .is_some_and(|ms| (8_000..25_000).contains(&ms)),
         "{loss:?}"
     );
     assert!(
-        loss.changes_asked >= loss.changes_in_force && loss.changes_in_force > 0,
+        loss.changes_requested >= loss.changes_in_force && loss.changes_in_force > 0,
         "{loss:?}"
     );
     assert_eq!(report.join_ms.expect("they come back").count, 8);
     assert!(
-        report.holds > 3.0,
+        report.subscriptions > 3.0,
         "those that are back hold nothing: {}",
-        report.holds
+        report.subscriptions
     );
 }
 
@@ -225,9 +225,9 @@
     for (report, parts, median) in [(&four, 4, 2_000.0), (&ten, 10, 2_500.0)] {
         assert!(report.ok && report.view_members == 40.0, "{report:?}");
         let loss = report.loss.as_ref().expect("a restart");
-        assert_eq!((loss.front_ends, loss.seats), (40, 3));
+        assert_eq!((loss.front_ends, loss.voters), (40, 3));
         assert!(
-            loss.again_ms.is_some_and(|ms| ms > parts * 6_000),
+            loss.recovered_ms.is_some_and(|ms| ms > parts * 6_000),
             "{loss:?}"
         );
         assert_eq!(report.join_ms.expect("they come back").count, 40);
@@ -235,7 +235,7 @@
         let strict = report.strict_in_force_ms.expect("strict changes");
         assert!(strict.p50 < median && strict.max < 12_000.0, "{strict:?}");
     }
-    let again = |r: &ScaleReport| r.loss.as_ref().and_then(|l| l.again_ms);
+    let again = |r: &ScaleReport| r.loss.as_ref().and_then(|l| l.recovered_ms);
     assert!(again(&ten) > again(&four), "{four:?} {ten:?}");
 }
 
@@ -249,7 +249,7 @@
     };
     let report = run(&play(Tier::Hollow, 40, size), 3);
     assert!(
-        !report.ok && report.loss.is_some_and(|l| l.again_ms.is_none()),
+        !report.ok && report.loss.is_some_and(|l| l.recovered_ms.is_none()),
         "{:?}",
         report.notes
     );
@@ -285,11 +285,11 @@
         4,
     );
     assert!(
-        even.ok && even.changes_asked == 96 && even.changes_in_force == 96,
+        even.ok && even.changes_requested == 96 && even.changes_in_force == 96,
         "{even:?}"
     );
-    assert_eq!(even.changes_refused, 0);
-    assert!(alike.changes_refused > 0, "{alike:?}");
+    assert_eq!(even.changes_rejected, 0);
+    assert!(alike.changes_rejected > 0, "{alike:?}");
 }
 
 #[test]
--- a/simulation/tests/scopes.rs
+++ b/simulation/tests/scopes.rs
@@ -107,7 +107,11 @@
     assert!(report.ok && report.changes_in_force == 40, "{report:?}");
     let took = report.scope_in_force_ms.expect("changes in force");
     assert!(took.count == 40 && took.max < 5_000.0, "{took:?}");
-    assert!(report.holds > 1.0 && report.holds < 8.0, "{}", report.holds);
+    assert!(
+        report.subscriptions > 1.0 && report.subscriptions < 8.0,
+        "{}",
+        report.subscriptions
+    );
     assert_eq!(report, run_at_scale(&play, 1));
 }
 
@@ -135,13 +139,13 @@
     play.lease.span = 2 * SECOND;
     let dead = run_at_scale(&play, 1);
     assert!(dead.ok, "{:?}", dead.notes);
-    let held = dead.dead_held.expect("some are dead");
+    let held = dead.dead_holders.expect("some are dead");
     assert!(
-        held.asked >= 5 && held.given_up + held.in_force <= held.asked,
+        held.requested >= 5 && held.abandoned + held.in_force <= held.requested,
         "{held:?}"
     );
     assert!(
-        held.given_up > 0 && dead.changes_given_up == held.given_up,
+        held.abandoned > 0 && dead.changes_abandoned == held.abandoned,
         "{dead:?}"
     );
     assert!(
@@ -150,7 +154,10 @@
     );
     // A plain one of a function whose strict change waits has to wait too; all others do not.
     assert!(dead.in_force_ms.expect("changes").p50 < 1_000.0, "{dead:?}");
-    assert!(dead.changes_of_held < dead.changes_asked, "{dead:?}");
+    assert!(
+        dead.changes_of_requested < dead.changes_requested,
+        "{dead:?}"
+    );
     // Changes of functions that the living hold wait for nobody.
     let live = ScaleScenario {
         dead: 0,
@@ -165,10 +172,10 @@
         1,
     );
     assert!(
-        live.ok && live.changes_given_up == 0 && live.dead_held.is_none(),
+        live.ok && live.changes_abandoned == 0 && live.dead_holders.is_none(),
         "{live:?}"
     );
-    assert_eq!(live.changes_of_held, live.changes_asked);
+    assert_eq!(live.changes_of_requested, live.changes_requested);
     assert!(
         live.strict_in_force_ms.expect("strict changes").max < 15_000.0,
         "{live:?}"
