--- a/model/tests/size.rs
+++ b/simulation/tests/scale.rs
@@ -1,35 +1,35 @@
 //! Fleets at their size: the hollow tier measures what the whole one does, its runs depend on their seeds alone, and the
 //! audit finds in it what is planted.
 
-use tansy_model::agree::{run as agree, Plant, Play};
-use tansy_model::fault::SECOND;
-use tansy_model::size::{run, Report, Size, Tier, WAYS};
+use tansy_simulation::fault::SECOND;
+use tansy_simulation::fleet::{run as agree, PlantedDefect, SimulationOptions};
+use tansy_simulation::scale::{run, ScaleReport, ScaleScenario, Tier, REGION_NETWORK};
 
-fn play(tier: Tier, fronts: usize, size: Size) -> Play {
-    let mut play = Play {
+fn play(tier: Tier, fronts: usize, size: ScaleScenario) -> SimulationOptions {
+    let mut play = SimulationOptions {
         tier,
-        seats: 3,
-        stay: 20 * SECOND,
-        size: Some(size),
-        ways: WAYS,
-        ..Play::of(fronts)
+        voters: 3,
+        session: 20 * SECOND,
+        scale: Some(size),
+        network: REGION_NETWORK,
+        ..SimulationOptions::of(fronts)
     };
-    play.terms.span = 2 * SECOND;
+    play.lease.span = 2 * SECOND;
     play
 }
 
-fn busy() -> Size {
-    Size {
+fn busy() -> ScaleScenario {
+    ScaleScenario {
         counted: 30 * SECOND,
         regions: 2,
         changes_hour: 1200.0,
-        away_hour: 240.0,
-        ..Size::default()
+        restarts_hour: 240.0,
+        ..ScaleScenario::default()
     }
 }
 
 /// The mean of both tiers over these seeds.
-fn near(what: &str, all: &[[Report; 2]], share: f64, of: fn(&Report) -> f64) {
+fn near(what: &str, all: &[[ScaleReport; 2]], share: f64, of: fn(&ScaleReport) -> f64) {
     let mean = |tier: usize| all.iter().map(|r| of(&r[tier])).sum::<f64>() / all.len() as f64;
     let (whole, hollow) = (mean(0), mean(1));
     assert!(
@@ -40,18 +40,18 @@
 
 #[test]
 fn the_hollow_tier_measures_what_the_whole_one_does() {
-    let size = Size {
+    let size = ScaleScenario {
         counted: 60 * SECOND,
         changes_hour: 1800.0,
-        away_hour: 0.0,
+        restarts_hour: 0.0,
         ..busy()
     };
     let both =
         |seed| [Tier::Whole, Tier::Hollow].map(|tier| run(&play(tier, 40, size.clone()), seed));
-    let all: Vec<[Report; 2]> = (1..=4).map(both).collect();
+    let all: Vec<[ScaleReport; 2]> = (1..=4).map(both).collect();
     for r in all.iter().flatten() {
         assert!(
-            r.ok && r.changes_in_force == r.changes_asked,
+            r.ok && r.changes_in_force == r.changes_requested,
             "seed {}: {:?}",
             r.seed,
             r.notes
@@ -64,7 +64,7 @@
         r.control_bytes_s - r.membership_bytes_s
     });
     near("messages at the seat", &all, 0.15, |r| {
-        r.seat_messages_s - r.membership_messages_s
+        r.voter_messages_s - r.membership_messages_s
     });
     near("changes in force", &all, 0.3, |r| {
         r.in_force_ms.expect("changes").p50
@@ -73,9 +73,9 @@
 
 #[test]
 fn a_run_depends_on_its_seed_alone() {
-    let size = Size {
-        cut_regions: 1,
-        cut: 8 * SECOND,
+    let size = ScaleScenario {
+        partitioned_regions: 1,
+        partition: 8 * SECOND,
         dead: 1,
         ..busy()
     };
@@ -86,17 +86,17 @@
 
 #[test]
 fn a_region_cut_off_loses_its_leases_and_comes_back() {
-    let size = Size {
-        cut_regions: 1,
-        cut: 10 * SECOND,
+    let size = ScaleScenario {
+        partitioned_regions: 1,
+        partition: 10 * SECOND,
         regions: 4,
-        away_hour: 0.0,
+        restarts_hour: 0.0,
         strict_every: 0,
         ..busy()
     };
     let report = run(&play(Tier::Hollow, 40, size), 3);
     assert!(report.ok, "{:?}", report.notes);
-    let cut = report.cut.expect("a cut");
+    let cut = report.partition.expect("a cut");
     assert_eq!((cut.main.front_ends, cut.cut.front_ends), (30, 10));
     assert!(cut.cut.lease_lost > 0.6, "{cut:?}");
     assert!(cut.main.lease_lost < 0.2, "{cut:?}");
@@ -108,10 +108,10 @@
 
 #[test]
 fn a_strict_change_waits_for_the_dead_until_their_stays_are_out() {
-    let size = Size {
+    let size = ScaleScenario {
         dead: 2,
         regions: 1,
-        away_hour: 0.0,
+        restarts_hour: 0.0,
         counted: 40 * SECOND,
         ..busy()
     };
@@ -132,23 +132,23 @@
 
 #[test]
 fn a_rack_that_ends_for_good_leaves_the_roster_and_the_others_act() {
-    let size = Size {
+    let size = ScaleScenario {
         rack: 6,
         regions: 4,
         counted: 60 * SECOND,
-        away_hour: 0.0,
+        restarts_hour: 0.0,
         ..busy()
     };
     let report = run(&play(Tier::Hollow, 40, size.clone()), 1);
     assert!(report.ok && report.view_members == 34.0, "{report:?}");
     let loss = report.loss.expect("a rack");
-    assert_eq!((loss.front_ends, loss.seats), (6, 0));
+    assert_eq!((loss.front_ends, loss.voters), (6, 0));
     assert!(
-        loss.again_ms
+        loss.recovered_ms
             .is_some_and(|ms| (2_000..15_000).contains(&ms)),
         "{loss:?}"
     );
-    assert_eq!(loss.stay_lost, 0.0);
+    assert_eq!(loss.session_lost, 0.0);
     assert_eq!(report.freed_ms.expect("they leave the roster").count, 6);
     let strict = report.strict_in_force_ms.expect("strict changes");
     assert!(strict.max > 8_000.0, "none waited for the rack: {strict:?}");
@@ -156,8 +156,8 @@
         &play(
             Tier::Hollow,
             40,
-            Size {
-                with_root: true,
+            ScaleScenario {
+                with_leader: true,
                 ..size
             },
         ),
@@ -165,18 +165,18 @@
     );
     let loss = rooted.loss.clone().expect("a rack");
     assert!(
-        rooted.ok && (loss.front_ends, loss.seats) == (6, 1),
+        rooted.ok && (loss.front_ends, loss.voters) == (6, 1),
         "{rooted:?}"
     );
 }
 
 #[test]
 fn a_zone_that_ends_comes_back_and_is_called_again() {
-    let size = Size {
+    let size = ScaleScenario {
         zone: 5,
         zone_away: 8 * SECOND,
         regions: 4,
-        away_hour: 0.0,
+        restarts_hour: 0.0,
         by_scope: 100,
         ..busy()
     };
@@ -184,7 +184,7 @@
         &play(
             Tier::Hollow,
             40,
-            Size {
+            ScaleScenario {
                 counted: 60 * SECOND,
                 ..size
             },
@@ -193,30 +193,30 @@
     );
     assert!(report.ok && report.view_members == 40.0, "{report:?}");
     let loss = report.loss.expect("a zone");
-    assert_eq!((loss.front_ends, loss.seats), (8, 0));
+    assert_eq!((loss.front_ends, loss.voters), (8, 0));
     assert!(
-        loss.again_ms
+        loss.recovered_ms
             .is_some_and(|ms| (8_000..25_000).contains(&ms)),
         "{loss:?}"
     );
     assert!(
-        loss.changes_asked >= loss.changes_in_force && loss.changes_in_force > 0,
+        loss.changes_requested >= loss.changes_in_force && loss.changes_in_force > 0,
         "{loss:?}"
     );
     assert_eq!(report.join_ms.expect("they come back").count, 8);
     assert!(
-        report.holds > 3.0,
+        report.subscriptions > 3.0,
         "those that are back hold nothing: {}",
-        report.holds
+        report.subscriptions
     );
 }
 
 #[test]
 fn a_rolling_restart_takes_one_part_after_the_other() {
-    let rolling = |parts| Size {
+    let rolling = |parts| ScaleScenario {
         rolling: parts,
         rolling_away: 6 * SECOND,
-        away_hour: 0.0,
+        restarts_hour: 0.0,
         strict_every: 1,
         counted: 120 * SECOND,
         ..busy()
@@ -225,9 +225,9 @@
     for (report, parts, median) in [(&four, 4, 2_000.0), (&ten, 10, 2_500.0)] {
         assert!(report.ok && report.view_members == 40.0, "{report:?}");
         let loss = report.loss.as_ref().expect("a restart");
-        assert_eq!((loss.front_ends, loss.seats), (40, 3));
+        assert_eq!((loss.front_ends, loss.voters), (40, 3));
         assert!(
-            loss.again_ms.is_some_and(|ms| ms > parts * 6_000),
+            loss.recovered_ms.is_some_and(|ms| ms > parts * 6_000),
             "{loss:?}"
         );
         assert_eq!(report.join_ms.expect("they come back").count, 40);
@@ -235,21 +235,21 @@
         let strict = report.strict_in_force_ms.expect("strict changes");
         assert!(strict.p50 < median && strict.max < 12_000.0, "{strict:?}");
     }
-    let again = |r: &Report| r.loss.as_ref().and_then(|l| l.again_ms);
+    let again = |r: &ScaleReport| r.loss.as_ref().and_then(|l| l.recovered_ms);
     assert!(again(&ten) > again(&four), "{four:?} {ten:?}");
 }
 
 #[test]
 fn a_rolling_restart_that_does_not_end_is_not_ok() {
-    let size = Size {
+    let size = ScaleScenario {
         rolling: 20,
         rolling_away: 2 * SECOND,
-        away_hour: 0.0,
+        restarts_hour: 0.0,
         ..busy()
     };
     let report = run(&play(Tier::Hollow, 40, size), 3);
     assert!(
-        !report.ok && report.loss.is_some_and(|l| l.again_ms.is_none()),
+        !report.ok && report.loss.is_some_and(|l| l.recovered_ms.is_none()),
         "{:?}",
         report.notes
     );
@@ -265,9 +265,9 @@
 
 #[test]
 fn changes_in_even_steps_do_not_meet() {
-    let size = Size {
+    let size = ScaleScenario {
         regions: 1,
-        away_hour: 0.0,
+        restarts_hour: 0.0,
         strict_every: 0,
         changes_hour: 14_400.0,
         ..busy()
@@ -277,35 +277,35 @@
         &play(
             Tier::Hollow,
             20,
-            Size {
-                evenly: true,
+            ScaleScenario {
+                even_steps: true,
                 ..size
             },
         ),
         4,
     );
     assert!(
-        even.ok && even.changes_asked == 96 && even.changes_in_force == 96,
+        even.ok && even.changes_requested == 96 && even.changes_in_force == 96,
         "{even:?}"
     );
-    assert_eq!(even.changes_refused, 0);
-    assert!(alike.changes_refused > 0, "{alike:?}");
+    assert_eq!(even.changes_rejected, 0);
+    assert!(alike.changes_rejected > 0, "{alike:?}");
 }
 
 #[test]
 fn the_audit_finds_planted_mistakes_in_the_hollow_tier() {
     for (plant, seeds) in [
-        (Plant::NoJoint, 20),
-        (Plant::NoRoster, 100),
-        (Plant::WildClock, 300),
+        (PlantedDefect::NoJoint, 20),
+        (PlantedDefect::NoRoster, 100),
+        (PlantedDefect::WildClock, 300),
     ] {
-        let play = Play {
-            plant: Some(plant),
+        let play = SimulationOptions {
+            defect: Some(plant),
             tier: Tier::Hollow,
-            ..Play::of(7)
+            ..SimulationOptions::of(7)
         };
         assert!(
-            (1..=seeds).any(|s| !agree(&play, s).broken.is_empty()),
+            (1..=seeds).any(|s| !agree(&play, s).violations.is_empty()),
             "{plant:?}"
         );
     }
@@ -313,13 +313,13 @@
 
 #[test]
 fn nothing_breaks_through_faults_in_the_hollow_tier() {
-    let play = Play {
-        seats: 3,
+    let play = SimulationOptions {
+        voters: 3,
         tier: Tier::Hollow,
-        ..Play::of(9)
+        ..SimulationOptions::of(9)
     };
     for seed in 1..=20 {
         let outcome = agree(&play, seed);
-        assert_eq!(outcome.broken, Vec::<String>::new(), "seed {seed}");
+        assert_eq!(outcome.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
--- a/model/tests/scopes.rs
+++ b/simulation/tests/scopes.rs
@@ -1,29 +1,29 @@
 //! Settings by scope in fleets in virtual time: nothing breaks through faults, what is planted is found, and a fleet at its
 //! size changes functions one by one.
 
-use tansy_model::agree::{many, run, Plant, Play};
-use tansy_model::fault::SECOND;
-use tansy_model::size::{run as size, Size, Tier, WAYS};
+use tansy_simulation::fault::SECOND;
+use tansy_simulation::fleet::{many, run, PlantedDefect, SimulationOptions};
+use tansy_simulation::scale::{run as run_at_scale, ScaleScenario, Tier, REGION_NETWORK};
 
-fn play() -> Play {
-    Play {
-        seats: 3,
+fn play() -> SimulationOptions {
+    SimulationOptions {
+        voters: 3,
         scopes: 6,
-        ..Play::of(7)
+        ..SimulationOptions::of(7)
     }
 }
 
 #[test]
 fn no_front_end_acts_on_what_a_scope_no_longer_is_through_kills_pauses_cuts_and_clocks() {
     let sum = many(&play(), 1, 20, 2);
-    assert!(sum.broken.is_empty(), "{:?}", sum.broken);
+    assert!(sum.violations.is_empty(), "{:?}", sum.violations);
     assert!(sum.scopes_in_force > 200 && sum.in_force > 50, "{sum:?}");
 }
 
 #[test]
 fn seats_are_replaced_while_scopes_change() {
     let sum = many(
-        &Play {
+        &SimulationOptions {
             spares: 3,
             replacements: 8,
             ..play()
@@ -32,31 +32,31 @@
         10,
         2,
     );
-    assert!(sum.broken.is_empty(), "{:?}", sum.broken);
+    assert!(sum.violations.is_empty(), "{:?}", sum.violations);
     assert!(sum.scopes_in_force > 100 && sum.replaced > 5, "{sum:?}");
 }
 
 #[test]
 fn one_whose_stay_ran_out_and_is_back_acts_on_no_scope_as_it_was() {
     let one = run(
-        &Play {
+        &SimulationOptions {
             scopes: 12,
-            ..Play::of(5)
+            ..SimulationOptions::of(5)
         },
         153,
     );
     let many = run(
-        &Play {
-            seats: 5,
+        &SimulationOptions {
+            voters: 5,
             spares: 3,
             replacements: 6,
             scopes: 3,
-            ..Play::of(13)
+            ..SimulationOptions::of(13)
         },
         688,
     );
     assert_eq!(
-        (one.broken, many.broken),
+        (one.violations, many.violations),
         (Vec::<String>::new(), Vec::new())
     );
 }
@@ -64,16 +64,16 @@
 #[test]
 fn each_planted_mistake_with_scopes_is_found() {
     for (plant, seeds) in [
-        (Plant::NoHolders, 20),
-        (Plant::NoneHold, 60),
-        (Plant::OldReply, 60),
-        (Plant::LateDrop, 60),
+        (PlantedDefect::NoHolders, 20),
+        (PlantedDefect::NoneHold, 60),
+        (PlantedDefect::OldReply, 60),
+        (PlantedDefect::LateDrop, 60),
     ] {
-        let planted = Play {
-            plant: Some(plant),
+        let planted = SimulationOptions {
+            defect: Some(plant),
             ..play()
         };
-        let found = (1..=seeds).find_map(|s| run(&planted, s).broken.first().cloned());
+        let found = (1..=seeds).find_map(|s| run(&planted, s).violations.first().cloned());
         let told = found.unwrap_or_else(|| panic!("{plant:?}: no run breaks"));
         assert!(told.contains("acts on"), "{plant:?}: {told}");
     }
@@ -87,61 +87,65 @@
 
 #[test]
 fn a_fleet_at_its_size_changes_functions_one_by_one() {
-    let by_scope = Size {
+    let by_scope = ScaleScenario {
         counted: 20 * SECOND,
         regions: 2,
         changes_hour: 7200.0,
         by_scope: 200,
-        ..Size::default()
+        ..ScaleScenario::default()
     };
-    let mut play = Play {
+    let mut play = SimulationOptions {
         tier: Tier::Hollow,
-        seats: 3,
-        stay: 20 * SECOND,
-        size: Some(by_scope),
-        ways: WAYS,
-        ..Play::of(40)
+        voters: 3,
+        session: 20 * SECOND,
+        scale: Some(by_scope),
+        network: REGION_NETWORK,
+        ..SimulationOptions::of(40)
     };
-    play.terms.span = 2 * SECOND;
-    let report = size(&play, 1);
+    play.lease.span = 2 * SECOND;
+    let report = run_at_scale(&play, 1);
     assert!(report.ok && report.changes_in_force == 40, "{report:?}");
     let took = report.scope_in_force_ms.expect("changes in force");
     assert!(took.count == 40 && took.max < 5_000.0, "{took:?}");
-    assert!(report.holds > 1.0 && report.holds < 8.0, "{}", report.holds);
-    assert_eq!(report, size(&play, 1));
+    assert!(
+        report.subscriptions > 1.0 && report.subscriptions < 8.0,
+        "{}",
+        report.subscriptions
+    );
+    assert_eq!(report, run_at_scale(&play, 1));
 }
 
 #[test]
 fn a_strict_change_of_what_a_dead_front_end_holds_waits_and_others_do_not() {
-    let size = Size {
+    let size = ScaleScenario {
         counted: 60 * SECOND,
         changes_hour: 3600.0,
         strict_every: 2,
         by_scope: 400,
         dead: 2,
-        ..Size::default()
+        ..ScaleScenario::default()
     };
-    let mut play = Play {
+    let mut play = SimulationOptions {
         tier: Tier::Hollow,
-        seats: 3,
-        stay: 30 * SECOND,
-        size: Some(Size {
-            held_by_dead: 0.3,
+        voters: 3,
+        session: 30 * SECOND,
+        scale: Some(ScaleScenario {
+            requested_by_dead: 0.3,
             ..size.clone()
         }),
-        ways: WAYS,
-        ..Play::of(40)
+        network: REGION_NETWORK,
+        ..SimulationOptions::of(40)
     };
-    play.terms.span = 2 * SECOND;
-    let dead = self::size(&play, 1);
+    play.lease.span = 2 * SECOND;
+    let dead = run_at_scale(&play, 1);
     assert!(dead.ok, "{:?}", dead.notes);
-    let held = dead.dead_held.expect("some are dead");
+    let held = dead.dead_holders.expect("some are dead");
     assert!(
-        held.asked >= 5 && held.given_up + held.in_force <= held.asked,
+        held.requested >= 5 && held.abandoned + held.in_force <= held.requested,
         "{held:?}"
     );
     assert!(
-        held.given_up > 0 && dead.changes_given_up == held.given_up,
+        held.abandoned > 0 && dead.changes_abandoned == held.abandoned,
         "{dead:?}"
     );
     assert!(
@@ -150,25 +154,28 @@
     );
     // A plain one of a function whose strict change waits has to wait too; all others do not.
     assert!(dead.in_force_ms.expect("changes").p50 < 1_000.0, "{dead:?}");
-    assert!(dead.changes_of_held < dead.changes_asked, "{dead:?}");
+    assert!(
+        dead.changes_of_requested < dead.changes_requested,
+        "{dead:?}"
+    );
     // Changes of functions that the living hold wait for nobody.
-    let live = Size {
+    let live = ScaleScenario {
         dead: 0,
-        held: 1.0,
+        requested: 1.0,
         ..size
     };
-    let live = self::size(
-        &Play {
-            size: Some(live),
+    let live = run_at_scale(
+        &SimulationOptions {
+            scale: Some(live),
             ..play
         },
         1,
     );
     assert!(
-        live.ok && live.changes_given_up == 0 && live.dead_held.is_none(),
+        live.ok && live.changes_abandoned == 0 && live.dead_holders.is_none(),
         "{live:?}"
     );
-    assert_eq!(live.changes_of_held, live.changes_asked);
+    assert_eq!(live.changes_of_requested, live.changes_requested);
     assert!(
         live.strict_in_force_ms.expect("strict changes").max < 15_000.0,
         "{live:?}"
