--- a/benches/cost/src/main.rs
+++ b/benches/cost/src/main.rs
@@ -2,6 +2,7 @@
 //! worker reached directly, through `tansy-gateway`, and through a plain pass-through proxy written with tonic.
 //!
 //! Every part is a process of its own; the gateway and the proxy have one thread each. The worker answers at once.
+#![allow(clippy::too_many_lines)] // docs/ROADMAP.md, "Readable code": still to be split.
 
 mod client;
 mod fleet;
--- a/benches/state/src/lib.rs
+++ b/benches/state/src/lib.rs
@@ -3,6 +3,7 @@
 //!
 //! [`run`] prints one line of JSON for each run. Nothing here uses a socket; times are of virtual days where calls are
 //! taken, and of the wall clock where a step is timed. Which of the figures grow with what is for whoever reads the lines.
+#![allow(clippy::too_many_lines)] // docs/ROADMAP.md, "Readable code": still to be split.
 
 mod calls;
 pub mod connections;
--- a/decide/agreement/tests/scopes/catalog.rs
+++ b/decide/agreement/tests/scopes/catalog.rs
@@ -278,6 +278,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn deltas_lead_where_snapshots_do_and_dropped_history_is_not_guessed() {
     let mut rng = fastrand::Rng::with_seed(5);
     let mut log = new_log();
--- a/decide/dispatch/tests/histories.rs
+++ b/decide/dispatch/tests/histories.rs
@@ -125,6 +125,10 @@
         self.now = to;
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one table or one history, read from top to bottom"
+    )]
     fn turn(&mut self, dispatcher: &mut Dispatcher) {
         let to = self.now + self.rng.i64(0..8_000);
         self.pass(dispatcher, to);
--- a/decide/dispatch/tests/lookup_histories.rs
+++ b/decide/dispatch/tests/lookup_histories.rs
@@ -18,6 +18,10 @@
 }
 
 /// Plays a random history; the number of releases and of refusals.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn history(seed: u64) -> Result<(u64, u64), String> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let (mut lookups, mut now, mut next) = (PendingLookups::default(), 0i64, 0u64);
--- a/decide/fleet-node/tests/fleet_node/versions.rs
+++ b/decide/fleet-node/tests/fleet_node/versions.rs
@@ -52,6 +52,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn an_isolated_front_end_delays_only_strict_changes_until_its_session_expires() {
     let mut cluster = VersionCluster::with_one_voter(6);
     cluster.run(5.0);
--- a/decide/rollout/tests/crash.rs
+++ b/decide/rollout/tests/crash.rs
@@ -217,6 +217,10 @@
         }
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one table or one history, read from top to bottom"
+    )]
     fn tick(&mut self) {
         self.now += TICK;
         let now = self.now;
--- a/decide/rollout/tests/rollout.rs
+++ b/decide/rollout/tests/rollout.rs
@@ -168,6 +168,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn an_abort_as_the_last_stage_passes_is_one_or_the_other() {
     let mut rollout = controlled_rollout(RolloutChange::Settings);
     for name in ["f0", "f1", "f2"] {
--- a/net/platform/src/driver/calls.rs
+++ b/net/platform/src/driver/calls.rs
@@ -131,8 +131,8 @@
         self.feed(Input::AttemptEnded {
             call,
             attempt,
-            outcome: outcome,
-            trailers: trailers,
+            outcome,
+            trailers,
         });
     }
 }
--- a/net/platform/src/driver/mod.rs
+++ b/net/platform/src/driver/mod.rs
@@ -196,7 +196,7 @@
             .map(|worker| worker.name.clone())
             .collect();
         self.feed(Input::Workers {
-            full: full,
+            full,
             workers: list,
         });
         let mut state = self.state.borrow_mut();
@@ -238,9 +238,9 @@
         trailers: Trailers,
     ) {
         self.feed(Input::ControlRequestEnded {
-            request: request,
-            outcome: outcome,
-            trailers: trailers,
+            request,
+            outcome,
+            trailers,
         });
     }
 
--- a/programs/capacity/src/lib.rs
+++ b/programs/capacity/src/lib.rs
@@ -5,6 +5,7 @@
 //! - [`fit`]: how a cost grows with size.
 //! - [`figures`]: what `figures.toml` defines, and its values.
 //! - [`page`], [`plot`]: what is made from them.
+#![allow(clippy::too_many_lines)] // docs/ROADMAP.md, "Readable code": still to be split.
 
 pub mod figures;
 pub mod fit;
--- a/programs/day/src/lib.rs
+++ b/programs/day/src/lib.rs
@@ -6,6 +6,7 @@
 //! - [`cast`]: the processes and the relay between them.
 //! - [`script`]: what goes wrong, and when.
 //! - [`scenario`]: the days that can be played.
+#![allow(clippy::too_many_lines)] // docs/ROADMAP.md, "Readable code": still to be split.
 
 pub mod agree;
 pub mod cast;
--- a/programs/day/src/main.rs
+++ b/programs/day/src/main.rs
@@ -1,4 +1,5 @@
 //! `tansy-day`: a scripted bad day on loopback, judged from what passed on the sockets.
+#![allow(clippy::too_many_lines)] // docs/ROADMAP.md, "Readable code": still to be split.
 
 use clap::Parser;
 use std::process::ExitCode;
--- a/programs/scale/src/lib.rs
+++ b/programs/scale/src/lib.rs
@@ -7,6 +7,7 @@
 //! - [`scopes`]: functions that are agreed on one by one, who calls which, and changes of them.
 //! - [`mesh`]: letters between hollow front ends.
 //! - [`system`]: what the kernel counts of processes and of the machine.
+#![allow(clippy::too_many_lines)] // docs/ROADMAP.md, "Readable code": still to be split.
 
 pub mod cast;
 pub mod hollow;
--- a/protocol/conf/tests/absurd.rs
+++ b/protocol/conf/tests/absurd.rs
@@ -15,6 +15,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn each_absurd_value_is_named() {
     assert_eq!(read(GOOD), Ok(()));
     for (good, bad, said) in [
--- a/protocol/fleet/tests/messages.rs
+++ b/protocol/fleet/tests/messages.rs
@@ -67,6 +67,10 @@
     }
 }
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn bodies() -> Vec<MessageBody> {
     let m = Member {
         id: u64::MAX,
@@ -382,6 +386,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn messages_about_functions_that_are_out_of_bounds_are_rejected_with_the_reason() {
     let m = subscribe_request().from;
     let grant = |delta| {
--- a/protocol/platform/tests/request.rs
+++ b/protocol/platform/tests/request.rs
@@ -79,6 +79,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn nothing_else_is() {
     let path = "/ops/7f3a9c21e0b4d655/call";
     for target in [
--- a/tests/soak/src/lib.rs
+++ b/tests/soak/src/lib.rs
@@ -5,6 +5,7 @@
 //! - [`facts`]: what was seen. [`oracle`]: the invariants.
 //! - [`plan`]: what goes wrong. [`shim`]: the library that has system calls fail.
 //! - [`process`], [`clients`], [`abuse`], [`worker`], [`proxy`], [`discovery`], [`site`]: those who take part.
+#![allow(clippy::too_many_lines)] // docs/ROADMAP.md, "Readable code": still to be split.
 
 pub mod abuse;
 pub mod clients;
