--- a/settings/src/read.rs
+++ b/settings/src/read.rs
@@ -199,7 +199,8 @@
     tenants: Vec<(&'a str, RecordReader<'a>)>,
 }
 
-/// Reads all settings. Each part reports its own errors; the first that can't be read at all ends the reading.
+/// Reads all settings. Each part reports its own errors; the first that can't be read at all ends the reading. Over 50 lines:
+/// the parts stand in the order in which they report.
 pub(crate) fn settings(node: &Node, errors: &mut Vec<Diagnostic>) -> Option<Settings> {
     let all = RecordReader::of(node)?;
     let front = all.inner("front")?;
