--- a/programs/gateway/src/cli/error.rs
+++ b/programs/gateway/src/cli/error.rs
@@ -35,6 +35,6 @@
     },
     #[error("EDGE_CONFIG is not set: want the path of the configuration")]
     NoPlatformConfig,
-    #[error("{0}")]
-    PlatformConfig(String),
+    #[error(transparent)]
+    PlatformConfig(#[from] crate::platform::ConfigurationError),
 }
--- a/programs/gateway/src/cli/mod.rs
+++ b/programs/gateway/src/cli/mod.rs
@@ -131,7 +131,7 @@
     };
     let path = std::env::var_os("EDGE_CONFIG").ok_or(UsageError::NoPlatformConfig)?;
     let path = PathBuf::from(path);
-    let config = platform::read_first(&path).map_err(UsageError::PlatformConfig)?;
+    let config = platform::read_first(&path)?;
     if check {
         let classes = config.settings.classes.len();
         let index = config.known.index;
--- a/programs/gateway/src/lib.rs
+++ b/programs/gateway/src/lib.rs
@@ -24,9 +24,6 @@
 /// The built-in settings of `--embedded`.
 pub const EMBEDDED: &str = include_str!("embedded.cue");
 
-/// Why the platform's front end can't start, or stops.
-pub type Error = Box<dyn std::error::Error>;
-
 /// The options of a run beside its settings.
 #[derive(Debug, Default)]
 pub struct Options {
--- /dev/null
+++ b/programs/gateway/src/platform/mod.rs
@@ -0,0 +1,168 @@
+//! A front end on the platform: its configuration, one listener, the coordinator's endpoint list, signals.
+//!
+//! - [`read`], [`read_first`]: the configuration file.
+//! - [`Platform::start`]: the listener, the dispatcher's driver and the endpoint poll, on one event loop.
+//! - [`Platform::run`]: serves until SIGTERM, then shuts down gracefully (`lifecycle`).
+//!
+//! It is one process without children, and no part of a fleet.
+
+mod configuration;
+mod error;
+mod lifecycle;
+
+pub use configuration::{read, read_first};
+pub use error::{ConfigurationError, PlatformError};
+pub use lifecycle::Signals;
+
+use calloop::EventLoop;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tansy_dispatch::{DispatchConfig, Dispatcher};
+use tansy_net_platform::{ClientListener, Driver, EndpointPoller, ServingLimits};
+use tansy_net_sockets::socket::{descriptors, listen, retry};
+use tansy_net_sockets::{io_error, Spawner};
+use tansy_platform::{Config, EndpointList};
+use tansyrouter::{Micros, Time};
+
+/// The platform's longest deadline is taken as no less than this.
+const MIN_DEADLINE: Micros = 3_000_000;
+/// At a start what fails for a moment is tried for so long: a front end is to be ready in 30 s.
+const START_WITHIN: Duration = Duration::from_secs(20);
+/// How often connections to workers are maintained.
+const MAINTAIN_EVERY: Duration = Duration::from_millis(100);
+/// How often the totals are logged.
+const TOTALS_EVERY: Duration = Duration::from_secs(10);
+
+/// A front end on the platform.
+pub struct Platform {
+    event_loop: EventLoop<'static, ()>,
+    driver: Rc<Driver>,
+    clients: Rc<ClientListener>,
+    poller: Rc<EndpointPoller>,
+    address: SocketAddr,
+    /// The longest deadline of a call.
+    deadline: Duration,
+}
+
+impl Platform {
+    /// Listens, and begins to poll the endpoint list.
+    ///
+    /// # Errors
+    /// Settings that make no sense, a port that can't be bound, or a system call that failed.
+    pub fn start(config: &Config) -> Result<Platform, PlatformError> {
+        let event_loop: EventLoop<'static, ()> = retry_loop("the event loop", EventLoop::try_new)?;
+        let spawner = retry(START_WITHIN, "the tasks", || {
+            Spawner::new(event_loop.handle())
+        })?;
+        let dispatch = dispatch_config(config)?;
+        let max_call_time = dispatch.max_call_time;
+        let listener = retry(START_WITHIN, "the listener", || {
+            listen(config.listen, false)
+        })
+        .map_err(|source| PlatformError::Listen {
+            address: config.listen,
+            source,
+        })?;
+        let address = listener.local_addr()?;
+        let dispatcher = Dispatcher::new(dispatch, Time(0))?;
+        // The machine's bound goes before the stated one where it is lower.
+        let limits = ServingLimits::new(config, descriptors());
+        let driver = Driver::new(spawner.clone(), dispatcher, limits, Instant::now());
+        let list = EndpointList::new(
+            config.settings.zones.clone(),
+            config.settings.machine_types.clone(),
+        );
+        let poller = EndpointPoller::start(driver.clone(), list, config.coordinator, &config.known);
+        let clients = ClientListener::start(driver.clone(), listener)?;
+        spawner.spawn(maintain(driver.clone()));
+        Ok(Platform {
+            event_loop,
+            driver,
+            clients,
+            poller,
+            address,
+            deadline: Duration::from_micros(max_call_time.max(0) as u64),
+        })
+    }
+
+    /// Where clients connect.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// The driver of the dispatcher.
+    pub fn driver(&self) -> &Rc<Driver> {
+        &self.driver
+    }
+
+    /// The connections of clients.
+    pub fn clients(&self) -> &Rc<ClientListener> {
+        &self.clients
+    }
+
+    /// The poll of the endpoint list.
+    pub fn poller(&self) -> &Rc<EndpointPoller> {
+        &self.poller
+    }
+
+    /// One turn of the loop, at most so long.
+    ///
+    /// # Errors
+    /// The event loop's.
+    pub fn turn(&mut self, max: Duration) -> Result<(), PlatformError> {
+        let sleep = self.driver.next_timer_in().map_or(max, |s| s.min(max));
+        let next = self
+            .driver
+            .spawner
+            .timers()
+            .next_in()
+            .map_or(sleep, |t| t.min(sleep));
+        self.driver.lag.on_turn_start(Instant::now(), next);
+        self.event_loop.dispatch(Some(sleep), &mut ())?;
+        self.driver.on_turn_end();
+        self.driver.lag.on_turn_end(Instant::now());
+        Ok(())
+    }
+}
+
+/// What the dispatcher is configured with.
+fn dispatch_config(config: &Config) -> Result<DispatchConfig, PlatformError> {
+    let settings = tansy_conf::router_settings(&config.settings)?;
+    let deadlines = settings.classes.iter().map(|class| class.deadline);
+    let max_call_time = deadlines.max().unwrap_or(0).max(MIN_DEADLINE);
+    let classes = config.settings.classes.iter();
+    Ok(DispatchConfig {
+        classes: classes.map(|class| class.name.clone()).collect(),
+        tenants: Vec::new(),
+        zones: config.settings.zones.clone(),
+        functions: Vec::new(),
+        max_call_time,
+        seed: config.seed(),
+        settings,
+    })
+}
+
+/// Maintains the connections to workers, and logs the totals now and then.
+async fn maintain(driver: Rc<Driver>) {
+    let mut logged_at = Instant::now();
+    loop {
+        driver.spawner.sleep(MAINTAIN_EVERY).await;
+        driver.maintain_connections();
+        if logged_at.elapsed() >= TOTALS_EVERY {
+            logged_at = Instant::now();
+            let (account, open) = driver.counters();
+            let violations = driver.violations();
+            let reasons = &driver.reasons;
+            tracing::info!(%account, open, violations, %reasons, held = ?driver.table_sizes(), "totals");
+        }
+    }
+}
+
+/// As [`retry`], of what the loop library makes.
+fn retry_loop<T>(
+    subject: &str,
+    mut make: impl FnMut() -> calloop::Result<T>,
+) -> Result<T, PlatformError> {
+    Ok(retry(START_WITHIN, subject, || make().map_err(io_error))?)
+}
