--- a/programs/day/src/agree.rs
+++ b/programs/day/src/agree.rs
@@ -15,8 +15,8 @@
 use std::sync::{mpsc, Arc, Mutex};
 use std::time::{Duration, Instant};
 use tansy_agreement::log::{Version, VersionedSettings};
-use tansy_audit::versions::{versions, Found, Says, Witnesses};
-use tansy_audit::{judge, Audit, Link, Mark};
+use tansy_audit::versions::{versions, Claim, Contradictions, Observations};
+use tansy_audit::{audit_with_history, Audit, Link, Mark};
 use tansy_fleet::client::Client;
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_settings::agree::version as fields_of;
@@ -524,8 +524,8 @@
     middle: &Middle,
     seats: &[SocketAddr],
     orders: &mpsc::Receiver<tansy_agreement::compatibility::Fields>,
-    says: &Mutex<BTreeMap<u64, Says>>,
-    of: &[Says],
+    says: &Mutex<BTreeMap<u64, Claim>>,
+    of: &[Claim],
 ) -> Result<Vec<Proposal>, String> {
     let failed = |e: Error| e.to_string();
     let mut client = Client::new().map_err(|e| e.to_string())?;
@@ -640,7 +640,7 @@
     };
     let (main, witnesses) = (clients(plan(false)), clients(plan(true)));
     let deadline = |long: bool| if long { 3_000_000 } else { 2_000_000 };
-    let of = |(long, safe, _): &(bool, bool, u32)| Says {
+    let of = |(long, safe, _): &(bool, bool, u32)| Claim {
         deadline: deadline(*long),
         safe: *safe,
     };
@@ -652,7 +652,7 @@
             fleet.peers[..play.seats].to_vec(),
             known.clone(),
         );
-        let of: Vec<Says> = all.iter().skip(1).map(of).collect();
+        let of: Vec<Claim> = all.iter().skip(1).map(of).collect();
         std::thread::spawn(move || operator(&middle, &seats, &orders, &known, &of))
     };
     let began = Instant::now();
@@ -700,29 +700,35 @@
         slack: SLACK,
         ..crate::rules(&settings, 16.0)
     };
-    let (audit, calls) = judge(&entries, &rules);
+    let (audit, calls) = audit_with_history(&entries, &rules);
     let says = known.lock().map_err(|_| "no map of versions")?.clone();
-    let witnesses = Witnesses {
+    let observations = Observations {
         flip: "flip".into(),
         lost: "lost".into(),
-        says,
+        claims: says,
         reserve: RESERVE,
     };
-    let found = versions(&entries, &calls, &witnesses);
+    let found = versions(&entries, &calls, &observations);
     let _ = std::fs::remove_dir_all(&fleet.folder);
     Ok(day(&proposals, &seen, &audit, found, fleet.killed))
 }
 
-fn day(proposals: &[Proposal], seen: &Seen, audit: &Audit, found: Found, killed: usize) -> Day {
+fn day(
+    proposals: &[Proposal],
+    seen: &Seen,
+    audit: &Audit,
+    found: Contradictions,
+    killed: usize,
+) -> Day {
     let mut force_ms: Vec<u64> = proposals.iter().filter_map(|p| p.force_ms).collect();
     force_ms.sort();
-    let in_words = audit.breaches.iter().map(|b| {
+    let in_words = audit.violations.iter().map(|b| {
         format!(
             "rule {} at {:.3} s, {}: {}",
             b.rule,
             b.at as f64 / 1e6,
-            b.what,
-            b.why
+            b.subject,
+            b.reason
         )
     });
     let over = found.strict.max(found.joint) > BOUND.as_micros() as i64;
@@ -735,7 +741,7 @@
         strict_ms: found.strict as f64 / 1000.0,
         joint_ms: found.joint as f64 / 1000.0,
         breaches: in_words
-            .chain(found.told.iter().filter(|_| over).cloned())
+            .chain(found.descriptions.iter().filter(|_| over).cloned())
             .collect(),
         force_ms,
     }
--- a/programs/day/src/lib.rs
+++ b/programs/day/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod script;
 
 use std::collections::BTreeMap;
-use tansy_audit::judge::Effect;
+use tansy_audit::Effect;
 use tansy_audit::{Mark, Rules};
 use tansy_settings::Settings;
 
--- a/programs/day/src/main.rs
+++ b/programs/day/src/main.rs
@@ -110,21 +110,21 @@
         Which::Bad | Which::ColdRoom => {}
     }
     match play(&a) {
-        Ok(audit) if audit.breaches.is_empty() => {
+        Ok(audit) if audit.violations.is_empty() => {
             println!("verdict: no rule broken, no call with two attempts open");
             ExitCode::SUCCESS
         }
         Ok(audit) => {
-            for b in audit.breaches.iter().take(a.show) {
+            for b in audit.violations.iter().take(a.show) {
                 println!(
                     "breach of rule {} at {:.3} s, {}: {}",
                     b.rule,
                     b.at as f64 / 1e6,
-                    b.what,
-                    b.why
+                    b.subject,
+                    b.reason
                 );
             }
-            println!("verdict: {} breaches", audit.breaches.len());
+            println!("verdict: {} breaches", audit.violations.len());
             ExitCode::from(3)
         }
         Err(e) => {
--- a/programs/day/src/roll.rs
+++ b/programs/day/src/roll.rs
@@ -15,7 +15,7 @@
 use std::path::PathBuf;
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
-use tansy_audit::{judge, Link, Mark};
+use tansy_audit::{audit_with_history, Link, Mark};
 use tansy_fleet::client::Client;
 use tansy_fleet::processes::{kept, label};
 use tansy_fleet::roll::stages;
@@ -610,14 +610,14 @@
         slack: SLACK,
         ..crate::rules(&settings, 16.0)
     };
-    let (audit, _) = judge(&entries, &rules);
-    let in_words = audit.breaches.iter().map(|b| {
+    let (audit, _) = audit_with_history(&entries, &rules);
+    let in_words = audit.violations.iter().map(|b| {
         format!(
             "rule {} at {:.3} s, {}: {}",
             b.rule,
             b.at as f64 / 1e6,
-            b.what,
-            b.why
+            b.subject,
+            b.reason
         )
     });
     let breaches = in_words.chain(watch.breaches.iter().cloned()).collect();
--- /dev/null
+++ b/standins/audit/src/auditor/load_budget.rs
@@ -0,0 +1,51 @@
+//! Rule 5: a front end sends load requests only in proportion to the calls it took.
+
+use super::Auditor;
+use crate::report::Violation;
+
+impl Auditor<'_> {
+    /// Load requests against calls taken, by front end, in every window that ends with a load request.
+    pub(super) fn excess_load_requests(&self) -> Vec<Violation> {
+        let Some((free, per_call, span)) = self.rules.ration else {
+            return Vec::new();
+        };
+        let mut violations = Vec::new();
+        for (index, (at, front)) in self.load_requests.iter().enumerate() {
+            let born = self.last_kill(*front, *at);
+            // Decided in two windows, they may leave within one: what is sure to be of one window is counted.
+            let surely_within =
+                |time: i64| time >= born && time <= *at && at - time < span - self.rules.connect;
+            let requests = self.load_requests[..=index]
+                .iter()
+                .filter(|(time, by)| by == front && surely_within(*time))
+                .count();
+            // A call that came just before the window's edge at the relay may have come just after it at the front end.
+            let maybe_within =
+                |time: i64| time >= born && time <= *at && at - time < span + self.rules.slack;
+            let taken = self
+                .calls
+                .values()
+                .filter(|call| call.front == *front && maybe_within(call.at))
+                .count();
+            if requests as f64 > free + per_call * taken as f64 {
+                violations.push(Violation {
+                    rule: 5,
+                    at: *at,
+                    subject: format!("front end {front}"),
+                    reason: format!("{requests} orders to load for {taken} calls taken"),
+                });
+            }
+        }
+        violations
+    }
+
+    /// When the front end was last killed, up to then: it came back as another, with an empty budget.
+    fn last_kill(&self, front: usize, until: i64) -> i64 {
+        let kills = self.kills.iter();
+        kills
+            .filter(|(time, killed)| *killed == front && *time <= until)
+            .map(|(time, _)| *time)
+            .max()
+            .unwrap_or(0)
+    }
+}
--- a/standins/audit/src/lib.rs
+++ b/standins/audit/src/lib.rs
@@ -1,18 +1,26 @@
-//! Judges the rules from the records of sockets alone.
+//! Checks the routing rules against a recording of socket traffic alone.
 //!
-//! It shares no code with the gateway's ledger: it reads the bytes that passed a relay (HTTP/2 frames, header blocks,
-//! messages decoded in full), joins the two legs of a call by the request's id, and looks for breaches. What the
-//! sockets can't show (when a list of workers was changed, when a process was killed) are marks in the record.
+//! The crate shares no code with the gateway's request table: it reads the bytes that passed a relay (HTTP/2 frames, header
+//! blocks, messages decoded in full), joins the two legs of a call by the request's id, and looks for violations. What the
+//! sockets can't show (when an endpoint list was changed, when a process was killed) is recorded as marks.
 //!
-//! - [`record`]: what a relay writes down.
+//! - [`record`]: what a relay records.
 //! - [`wire`]: bytes to streams with headers, messages and ends.
-//! - [`mod@judge`]: streams to calls, attempts, and breaches.
-//! - [`mod@versions`]: whether two front ends acted on rules that contradict each other, by rules that show in the bytes.
+//! - [`rules`]: the figures that the rules are checked with.
+//! - [`report`]: what an audit gives.
+//! - [`mod@auditor`]: streams to calls and attempts, and the rules checked on them, a module a rule.
+//! - [`mod@versions`]: whether two front ends acted on contradicting settings, by rules that show in the bytes.
+//!
+//! It is not for live traffic: a recording is read whole, after the run.
 
-pub mod judge;
+pub mod auditor;
 pub mod record;
+pub mod report;
+pub mod rules;
 pub mod versions;
 pub mod wire;
 
-pub use judge::{audit, judge, Audit, Breach, History, Rules};
-pub use record::{Entry, Link, Mark, What};
+pub use auditor::{audit, audit_with_history};
+pub use record::{Entry, Event, Link, Mark};
+pub use report::{Audit, CallEnd, CallHistory, Violation};
+pub use rules::{Effect, Rules};
--- a/standins/audit/src/record.rs
+++ b/standins/audit/src/record.rs
@@ -1,6 +1,6 @@
-//! What a relay writes down.
+//! What a relay records: connections, their bytes, and marks of what no socket shows.
 
-/// Which ends a connection joins.
+/// Which two ends a connection joins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Link {
     /// A client and a front end.
@@ -15,7 +15,7 @@
         /// The worker's number.
         worker: usize,
     },
-    /// One front end and another, as it reaches it: what they write to each other is not judged.
+    /// One front end and another: what they write to each other is not audited.
     Peer {
         /// Who connects.
         from: usize,
@@ -24,17 +24,17 @@
     },
 }
 
-/// What no socket shows.
+/// An event that no socket shows.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Mark {
-    /// A front end's list now says that a worker drains or is gone.
+    /// A front end's endpoint list now says that a worker drains or is gone.
     Leaves {
         /// The front end.
         front: usize,
         /// The worker.
         worker: usize,
     },
-    /// A front end's list says that a worker takes work again.
+    /// A front end's endpoint list says that a worker takes work again.
     Returns {
         /// The front end.
         front: usize,
@@ -46,7 +46,7 @@
         /// The worker.
         worker: usize,
     },
-    /// A worker was pushed over.
+    /// A worker fell over under more load than a cold worker bears.
     Fell {
         /// The worker.
         worker: usize,
@@ -56,12 +56,12 @@
         /// The front end.
         front: usize,
     },
-    /// A front end's process was stopped: it does nothing until it is woken.
+    /// A front end's process was stopped (SIGSTOP): it does nothing until it is resumed.
     Stopped {
         /// The front end.
         front: usize,
     },
-    /// It goes on.
+    /// It was resumed.
     Woken {
         /// The front end.
         front: usize,
@@ -71,7 +71,7 @@
         /// Its number.
         version: u64,
     },
-    /// Operators were told that it is in force.
+    /// Operators were notified that it is in force.
     InForce {
         /// Its number.
         version: u64,
@@ -79,33 +79,33 @@
 }
 
 impl Mark {
-    /// Whether it allows what was forbidden until now. Such a mark is written down before anybody can act on it, any other one once
-    /// it holds: a front end may do at once what it reads, and the relay may see that before a mark that comes after.
+    /// Whether it allows what was forbidden until now. Such a mark is recorded before anybody can act on it, any other one once
+    /// it is in effect: a front end may act at once on what it reads, and the relay may see that before a later mark.
     pub fn allows(&self) -> bool {
         matches!(self, Mark::Returns { .. } | Mark::Woken { .. })
     }
 }
 
-/// What happened.
+/// One event of a connection, or a mark.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum Event {
     /// A connection was made through the relay.
     Open(Link),
     /// Bytes passed; `true`: from the side that connected.
     Bytes(bool, Vec<u8>),
     /// The connection ended: by the side that connected, by the other, or (none) by the relay.
     Close(Option<bool>),
-    /// Something that no socket shows.
+    /// An event that no socket shows.
     Mark(Mark),
 }
 
-/// One line of the record.
+/// One entry of the recording.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Microseconds since the record began.
+    /// Microseconds since the recording began.
     pub at: i64,
     /// The connection's number; 0 for marks.
     pub connection: u64,
     /// What happened.
-    pub what: What,
+    pub event: Event,
 }
--- a/standins/audit/tests/breaches.rs
+++ b/standins/audit/tests/violations.rs
@@ -1,9 +1,8 @@
-//! Records with one breach each, and the same records without it.
+//! Recordings with one violation each, and the same recordings without it.
 
 use prost::Message;
 use std::collections::BTreeMap;
-use tansy_audit::judge::{Effect, End};
-use tansy_audit::{audit, Entry, Link, Mark, Rules, What};
+use tansy_audit::{audit, CallEnd, Effect, Entry, Event, Link, Mark, Rules};
 use tansy_inference::inference as pb;
 
 fn rules() -> Rules {
@@ -15,7 +14,7 @@
     Rules {
         functions: functions
             .iter()
-            .map(|(n, e)| (n.to_string(), (*e, 2_000_000)))
+            .map(|(name, effect)| (name.to_string(), (*effect, 2_000_000)))
             .collect(),
         list_read: 100_000,
         drain_grace: 500_000,
@@ -27,9 +26,9 @@
     }
 }
 
-/// A record that is written as it goes.
+/// A recording that is written as it goes.
 #[derive(Default)]
-struct Record {
+struct Recording {
     entries: Vec<Entry>,
     at: i64,
 }
@@ -49,30 +48,30 @@
     .concat()
 }
 
-fn message(m: &[u8]) -> Vec<u8> {
-    [&[0][..], &(m.len() as u32).to_be_bytes(), m].concat()
+fn message(body: &[u8]) -> Vec<u8> {
+    [&[0][..], &(body.len() as u32).to_be_bytes(), body].concat()
 }
 
-impl Record {
-    fn write(&mut self, connection: u64, what: What) {
+impl Recording {
+    fn write(&mut self, connection: u64, event: Event) {
         self.entries.push(Entry {
             at: self.at,
             connection,
-            what,
+            event,
         });
     }
     fn open(&mut self, connection: u64, link: Link) {
-        self.write(connection, What::Open(link));
+        self.write(connection, Event::Open(link));
         self.write(
             connection,
-            What::Bytes(true, b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_vec()),
+            Event::Bytes(true, b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_vec()),
         );
     }
     fn up(&mut self, connection: u64, bytes: Vec<u8>) {
-        self.write(connection, What::Bytes(true, bytes));
+        self.write(connection, Event::Bytes(true, bytes));
     }
     fn down(&mut self, connection: u64, bytes: Vec<u8>) {
-        self.write(connection, What::Bytes(false, bytes));
+        self.write(connection, Event::Bytes(false, bytes));
     }
     fn ask(&mut self, connection: u64, stream: u32, method: &str, body: &[u8]) {
         let block = literal(
@@ -87,20 +86,20 @@
         let work = pb::InferParameter {
             parameter_choice: Some(Int64Param(work_ms)),
         };
-        let m = pb::ModelInferRequest {
+        let request = pb::ModelInferRequest {
             model_name: function.into(),
             id: id.into(),
             parameters: BTreeMap::from([("work_ms".to_string(), work)]),
             ..Default::default()
         };
-        self.ask(connection, stream, "ModelInfer", &m.encode_to_vec());
+        self.ask(connection, stream, "ModelInfer", &request.encode_to_vec());
     }
     fn status(&mut self, connection: u64, stream: u32, fields: &[(&str, &str)]) {
         let block: Vec<u8> = fields.iter().flat_map(|(k, v)| literal(k, v)).collect();
         self.down(connection, frame(1, 5, stream, &block));
     }
     fn load(&mut self, connection: u64, stream: u32) {
-        let m = pb::RepositoryModelLoadRequest {
+        let request = pb::RepositoryModelLoadRequest {
             model_name: "read".into(),
             ..Default::default()
         };
@@ -108,35 +107,35 @@
             connection,
             stream,
             "RepositoryModelLoad",
-            &m.encode_to_vec(),
+            &request.encode_to_vec(),
         );
     }
     /// A client's connection (1) and two workers' (2, 3), all of front end 0.
-    fn start() -> Record {
-        let mut r = Record::default();
-        r.open(1, Link::Client { front: 0 });
-        r.open(
+    fn start() -> Recording {
+        let mut recording = Recording::default();
+        recording.open(1, Link::Client { front: 0 });
+        recording.open(
             2,
             Link::Worker {
                 front: 0,
                 worker: 0,
             },
         );
-        r.open(
+        recording.open(
             3,
             Link::Worker {
                 front: 0,
                 worker: 1,
             },
         );
-        r
+        recording
     }
-    /// The rules that are broken.
-    fn broken(&self) -> Vec<u8> {
+    /// The rules that are violated.
+    fn violated(&self) -> Vec<u8> {
         audit(&self.entries, &rules())
-            .breaches
+            .violations
             .iter()
-            .map(|b| b.rule)
+            .map(|violation| violation.rule)
             .collect()
     }
 }
@@ -145,84 +144,90 @@
 const REFUSED: &[(&str, &str)] = &[("grpc-status", "14")];
 
 #[test]
-fn a_call_served_breaks_nothing() {
-    let mut r = Record::start();
-    r.infer(1, 1, "post", "a", 1);
-    r.infer(2, 1, "post", "a", 1);
-    r.at = 1000;
-    r.status(2, 1, OK);
-    r.status(1, 1, OK);
-    let a = audit(&r.entries, &rules());
+fn a_call_served_violates_nothing() {
+    let mut recording = Recording::start();
+    recording.infer(1, 1, "post", "a", 1);
+    recording.infer(2, 1, "post", "a", 1);
+    recording.at = 1000;
+    recording.status(2, 1, OK);
+    recording.status(1, 1, OK);
+    let report = audit(&recording.entries, &rules());
     assert_eq!(
-        (a.started, a.attempts, a.ends.get(&End::Served)),
+        (
+            report.started,
+            report.attempts,
+            report.ends.get(&CallEnd::Served)
+        ),
         (1, 1, Some(&1))
     );
-    assert_eq!(a.breaches, []);
+    assert_eq!(report.violations, []);
 }
 
 #[test]
 fn rule_1_late_twice_never_and_after_the_end() {
-    for (late, broken) in [(1_900_000, vec![]), (2_100_000, vec![1])] {
-        let mut r = Record::start();
-        r.infer(1, 1, "read", "a", 1);
-        r.at = late;
-        r.status(1, 1, OK);
-        assert_eq!(r.broken(), broken, "answered at {late}");
+    for (late, violated) in [(1_900_000, vec![]), (2_100_000, vec![1])] {
+        let mut recording = Recording::start();
+        recording.infer(1, 1, "read", "a", 1);
+        recording.at = late;
+        recording.status(1, 1, OK);
+        assert_eq!(recording.violated(), violated, "answered at {late}");
     }
-    let mut never = Record::start();
+    let mut never = Recording::start();
     never.infer(1, 1, "read", "a", 1);
     never.at = 3_000_000;
-    never.write(0, What::Mark(Mark::Started { worker: 5 }));
-    assert_eq!(never.broken(), [1]);
+    never.write(0, Event::Mark(Mark::Started { worker: 5 }));
+    assert_eq!(never.violated(), [1]);
     // A front end that drops its client's connection still owes the answer; one that was killed does not.
-    let mut dropped = Record::start();
+    let mut dropped = Recording::start();
     dropped.infer(1, 1, "read", "a", 1);
-    dropped.write(1, What::Close(Some(false)));
-    let mut killed = Record {
+    dropped.write(1, Event::Close(Some(false)));
+    let mut killed = Recording {
         entries: dropped.entries.clone(),
         at: 0,
     };
-    killed.write(0, What::Mark(Mark::Killed { front: 0 }));
-    for (r, broken) in [(&mut dropped, vec![1]), (&mut killed, vec![])] {
-        r.at = 3_000_000;
-        r.write(0, What::Mark(Mark::Started { worker: 5 }));
-        assert_eq!(r.broken(), broken);
+    killed.write(0, Event::Mark(Mark::Killed { front: 0 }));
+    for (recording, violated) in [(&mut dropped, vec![1]), (&mut killed, vec![])] {
+        recording.at = 3_000_000;
+        recording.write(0, Event::Mark(Mark::Started { worker: 5 }));
+        assert_eq!(recording.violated(), violated);
     }
-    let mut after = Record::start();
+    let mut after = Recording::start();
     after.infer(1, 1, "read", "a", 1);
     after.status(1, 1, REFUSED);
     after.at = 50_000;
     after.infer(2, 1, "read", "a", 1);
-    assert_eq!(after.broken(), [1]);
+    assert_eq!(after.violated(), [1]);
 }
 
 #[test]
 fn rule_2_again_only_if_it_never_ran() {
-    let again = |function: &str, first: &dyn Fn(&mut Record), gap: i64| {
-        let mut r = Record::start();
-        r.infer(1, 1, function, "a", 1);
-        r.infer(2, 1, function, "a", 1);
-        r.at += 1000;
-        first(&mut r);
-        r.at += gap;
-        r.infer(3, 1, function, "a", 1);
-        r.at += 1000;
-        r.status(3, 1, OK);
-        r.status(1, 1, OK);
-        r.broken()
+    let again = |function: &str, first: &dyn Fn(&mut Recording), gap: i64| {
+        let mut recording = Recording::start();
+        recording.infer(1, 1, function, "a", 1);
+        recording.infer(2, 1, function, "a", 1);
+        recording.at += 1000;
+        first(&mut recording);
+        recording.at += gap;
+        recording.infer(3, 1, function, "a", 1);
+        recording.at += 1000;
+        recording.status(3, 1, OK);
+        recording.status(1, 1, OK);
+        recording.violated()
     };
-    let reset = |code: u32| move |r: &mut Record| r.down(2, frame(3, 0, 1, &code.to_be_bytes()));
-    let cut = |r: &mut Record| r.write(2, What::Close(Some(false)));
+    let reset = |code: u32| {
+        move |recording: &mut Recording| recording.down(2, frame(3, 0, 1, &code.to_be_bytes()))
+    };
+    let cut = |recording: &mut Recording| recording.write(2, Event::Close(Some(false)));
     let goaway = |last: u32| {
-        move |r: &mut Record| {
-            r.down(
+        move |recording: &mut Recording| {
+            recording.down(
                 2,
                 frame(7, 0, 0, &[last.to_be_bytes(), 0u32.to_be_bytes()].concat()),
             )
         }
     };
-    let promise = |r: &mut Record| {
-        r.status(
+    let promise = |recording: &mut Recording| {
+        recording.status(
             2,
             1,
             &[("grpc-status", "14"), ("tansy-never-ran", "not-loaded")],
@@ -237,82 +242,86 @@
     assert_eq!(again("book", &cut, 1000), [0u8; 0]);
     assert_eq!(again("book", &cut, 1_200_000), [2]);
     // A refusal says that a repeat is harmless.
-    let mut refused = Record::start();
+    let mut refused = Recording::start();
     refused.infer(1, 1, "post", "a", 1);
     refused.infer(2, 1, "post", "a", 1);
     cut(&mut refused);
     refused.status(1, 1, REFUSED);
-    assert_eq!(refused.broken(), [2]);
+    assert_eq!(refused.violated(), [2]);
 }
 
 #[test]
 fn two_attempts_open_at_once() {
-    let mut r = Record::start();
-    r.infer(1, 1, "read", "a", 1);
-    r.infer(2, 1, "read", "a", 1);
-    r.at = 20_000;
-    r.infer(3, 1, "read", "a", 1);
-    r.at = 40_000;
-    r.status(2, 1, OK);
-    r.status(3, 1, OK);
-    r.status(1, 1, OK);
-    assert_eq!(r.broken(), [0]);
+    let mut recording = Recording::start();
+    recording.infer(1, 1, "read", "a", 1);
+    recording.infer(2, 1, "read", "a", 1);
+    recording.at = 20_000;
+    recording.infer(3, 1, "read", "a", 1);
+    recording.at = 40_000;
+    recording.status(2, 1, OK);
+    recording.status(3, 1, OK);
+    recording.status(1, 1, OK);
+    assert_eq!(recording.violated(), [0]);
 }
 
 #[test]
 fn rule_3_nothing_new_after_the_grace() {
-    for (at, broken) in [(590_000, vec![]), (620_000, vec![3, 3])] {
-        let mut r = Record::start();
-        r.infer(1, 1, "read", "a", 1);
-        r.write(
+    for (at, violated) in [(590_000, vec![]), (620_000, vec![3, 3])] {
+        let mut recording = Recording::start();
+        recording.infer(1, 1, "read", "a", 1);
+        recording.write(
             0,
-            What::Mark(Mark::Leaves {
+            Event::Mark(Mark::Leaves {
                 front: 0,
                 worker: 0,
             }),
         );
-        r.at = at;
-        r.infer(2, 1, "read", "a", 1);
-        r.load(2, 3);
-        r.status(1, 1, OK);
-        assert_eq!(r.broken(), broken, "at {at}");
+        recording.at = at;
+        recording.infer(2, 1, "read", "a", 1);
+        recording.load(2, 3);
+        recording.status(1, 1, OK);
+        assert_eq!(recording.violated(), violated, "at {at}");
     }
 }
 
 #[test]
 fn rule_4_a_cold_worker_by_all_front_ends_together() {
     // At 1.2 s it has 0.25 + 0.75 x 0.3 of one core: 0.475 s of work a second, 0.95 s at twice that.
-    for (each, broken) in [(440, vec![]), (490, vec![4])] {
-        let mut r = Record::start();
-        r.open(4, Link::Client { front: 1 });
-        r.open(
+    for (each, violated) in [(440, vec![]), (490, vec![4])] {
+        let mut recording = Recording::start();
+        recording.open(4, Link::Client { front: 1 });
+        recording.open(
             5,
             Link::Worker {
                 front: 1,
                 worker: 0,
             },
         );
-        r.write(0, What::Mark(Mark::Started { worker: 0 }));
-        r.at = 1_200_000;
+        recording.write(0, Event::Mark(Mark::Started { worker: 0 }));
+        recording.at = 1_200_000;
         for (client, worker, id) in [(1, 2, "a"), (4, 5, "b")] {
-            r.infer(client, 1, "read", id, each);
-            r.infer(worker, 1, "read", id, each);
-            r.status(worker, 1, OK);
-            r.status(client, 1, OK);
+            recording.infer(client, 1, "read", id, each);
+            recording.infer(worker, 1, "read", id, each);
+            recording.status(worker, 1, OK);
+            recording.status(client, 1, OK);
         }
-        assert_eq!(r.broken(), broken, "{each} ms from each");
+        assert_eq!(recording.violated(), violated, "{each} ms from each");
     }
 }
 
 #[test]
 fn rule_5_orders_to_load_against_calls_taken() {
-    for (orders, broken) in [(2, vec![]), (3, vec![5])] {
-        let mut r = Record::start();
+    for (orders, violated) in [(2, vec![]), (3, vec![5])] {
+        let mut recording = Recording::start();
         for n in 0..2 {
-            r.infer(1, 1 + 2 * n, "read", &format!("call-{n}"), 1);
-            r.status(1, 1 + 2 * n, OK);
+            recording.infer(1, 1 + 2 * n, "read", &format!("call-{n}"), 1);
+            recording.status(1, 1 + 2 * n, OK);
         }
-        (0..orders).for_each(|n| r.load(2, 1 + 2 * n));
-        assert_eq!(r.broken(), broken, "{orders} orders for 2 calls, 1 free");
+        (0..orders).for_each(|n| recording.load(2, 1 + 2 * n));
+        assert_eq!(
+            recording.violated(),
+            violated,
+            "{orders} orders for 2 calls, 1 free"
+        );
     }
 }
--- a/standins/relay/src/lib.rs
+++ b/standins/relay/src/lib.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 use std::time::Instant;
-use tansy_audit::record::{Entry, Link, Mark, What};
+use tansy_audit::{Entry, Event, Link, Mark};
 use tansy_net_sockets::socket::Socket;
 use tansy_net_sockets::Spawner;
 
@@ -66,7 +66,7 @@
 
     /// Writes down what no socket shows.
     pub fn mark(&self, mark: Mark) {
-        self.write(0, What::Mark(mark));
+        self.write(0, Event::Mark(mark));
     }
 
     /// Writes down what no socket shows, of a moment that has passed.
@@ -74,7 +74,7 @@
         self.entries.borrow_mut().push(Entry {
             at,
             connection: 0,
-            what: What::Mark(mark),
+            event: Event::Mark(mark),
         });
     }
 
@@ -123,12 +123,12 @@
         }
     }
 
-    fn write(&self, connection: u64, what: What) {
+    fn write(&self, connection: u64, event: Event) {
         let at = self.now();
         self.entries.borrow_mut().push(Entry {
             at,
             connection,
-            what,
+            event,
         });
     }
 
@@ -144,7 +144,7 @@
         let (Ok(near), Ok(far)) = (Socket::new(handle, near), Socket::new(handle, far)) else {
             return;
         };
-        self.write(connection, What::Open(link));
+        self.write(connection, Event::Open(link));
         let cuts = route.cuts.get();
         // What counts is what the front end did and what it could know: its end of the relay is written down.
         let front_connects = matches!(link, Link::Worker { .. });
@@ -170,7 +170,7 @@
                 let up = way.up;
                 let mut passed = |bytes: &[u8]| {
                     if kept {
-                        self.write(connection, What::Bytes(up, bytes.to_vec()));
+                        self.write(connection, Event::Bytes(up, bytes.to_vec()));
                     }
                 };
                 if let Some(ended_up) =
@@ -182,7 +182,7 @@
             Poll::Pending
         })
         .await;
-        self.write(connection, What::Close(by));
+        self.write(connection, Event::Close(by));
     }
 }
 
