--- a/standins/worker/src/lib.rs
+++ b/standins/worker/src/lib.rs
@@ -1,14 +1,22 @@
 //! The stand-in worker: the Open Inference Protocol with functions that have memory, lanes and load times, and with
 //! faults on demand. It computes nothing: every input tensor comes back as an output.
 //!
-//! - [`machine`]: what is loaded, who runs, who waits; no I/O.
-//! - [`fault`]: what goes wrong, and how it is told to.
-//! - [`serve`]: the protocol.
+//! - [`profile`]: what a worker is configured as.
+//! - [`state`]: what is loaded, which calls run, which wait; no I/O and no clock.
+//! - [`fault`]: injected faults, and the words that set them.
+//! - [`standin`]: a worker on a listener, with its control port and its timers.
+//! - `serve`, `infer` and `answer`: the protocol's methods and messages.
+//!
+//! It is for tests and demonstrations, not for models.
 
+mod answer;
 pub mod fault;
-pub mod machine;
-pub mod serve;
+mod infer;
+pub mod profile;
+mod serve;
+pub mod standin;
+pub mod state;
 
-pub use fault::Faults;
-pub use machine::{Function, Profile, WhenAbsent};
-pub use serve::Standin;
+pub use fault::{FaultError, Faults};
+pub use profile::{Function, Profile, WhenAbsent};
+pub use standin::Standin;
--- a/tests/path/src/lib.rs
+++ b/tests/path/src/lib.rs
@@ -319,7 +319,7 @@
 
     /// Calls that began to run at each.
     pub fn ran(&self) -> Vec<u64> {
-        self.with(|w| w.iter().map(|w| w.ran.get()).collect())
+        self.with(|w| w.iter().map(|w| w.calls_run.get()).collect())
     }
 }
 
--- a/tests/path/tests/failures.rs
+++ b/tests/path/tests/failures.rs
@@ -103,7 +103,7 @@
     assert!(a.get("departed") > 0 && a.get("served") > 1, "{a:?}");
     assert_eq!(a.get("refused") + a.get("failed"), 0, "{a:?}");
     until("the worker is idle", || {
-        workers.with(|w| w.iter().all(|w| w.held() == 0))
+        workers.with(|w| w.iter().all(|w| w.calls_in_flight() == 0))
     });
 }
 
