--- a/lang/syntax/src/ast.rs
+++ b/lang/syntax/src/ast.rs
@@ -1,13 +1,13 @@
-//! Records as they are written.
+//! The syntax tree of records, as they are written in a file.
 
 use crate::diagnostic::Span;
 
-/// Something and where it stands.
+/// A node and its place.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spanned<T> {
-    /// What.
+    /// The node.
     pub node: T,
-    /// Where.
+    /// Its place in a source.
     pub span: Span,
 }
 
@@ -62,6 +62,6 @@
     Default(Box<Spanned<Expr>>),
     Or(Vec<Spanned<Expr>>),
     And(Vec<Spanned<Expr>>),
-    /// What could not be read; an error was reported for it.
+    /// What could not be parsed; an error was reported for it.
     Error,
 }
--- a/lang/syntax/src/diagnostic.rs
+++ b/lang/syntax/src/diagnostic.rs
@@ -5,7 +5,7 @@
 /// Bytes of a source, from `start` up to `end`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, PartialOrd, Ord)]
 pub struct Span {
-    /// Which source: its place in the list of sources.
+    /// The source's index in the list of sources.
     pub source: usize,
     /// First byte.
     pub start: usize,
@@ -39,7 +39,7 @@
 /// One error or warning.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// Where.
+    /// Its place in a source.
     pub span: Span,
     /// The field's path, as in `classes.overlay.aim`; may be empty.
     pub path: String,
@@ -59,38 +59,47 @@
             help: String::new(),
         }
     }
+
     /// With the field's path.
     pub fn at(mut self, path: &str) -> Diagnostic {
         self.path = path.into();
         self
     }
+
     /// With what would be right.
     pub fn help(mut self, help: impl Into<String>) -> Diagnostic {
         self.help = help.into();
         self
     }
+
     /// As a line: `file:line:column: path: what; what would be right`.
-    pub fn show<'a>(&'a self, sources: &'a [Source]) -> Shown<'a> {
-        Shown(self, sources)
+    pub fn show<'a>(&'a self, sources: &'a [Source]) -> DisplayDiagnostic<'a> {
+        DisplayDiagnostic {
+            diagnostic: self,
+            sources,
+        }
     }
 }
 
-/// A diagnostic with the sources that it speaks of.
-pub struct Shown<'a>(&'a Diagnostic, &'a [Source]);
+/// A diagnostic with the sources that its span refers to.
+pub struct DisplayDiagnostic<'a> {
+    diagnostic: &'a Diagnostic,
+    sources: &'a [Source],
+}
 
-impl fmt::Display for Shown<'_> {
+impl fmt::Display for DisplayDiagnostic<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Shown(d, sources) = self;
-        if let Some(source) = sources.get(d.span.source) {
-            let (line, column) = source.position(d.span.start);
+        let diagnostic = self.diagnostic;
+        if let Some(source) = self.sources.get(diagnostic.span.source) {
+            let (line, column) = source.position(diagnostic.span.start);
             write!(f, "{}:{line}:{column}: ", source.name)?;
         }
-        if !d.path.is_empty() {
-            write!(f, "{}: ", d.path)?;
+        if !diagnostic.path.is_empty() {
+            write!(f, "{}: ", diagnostic.path)?;
         }
-        f.write_str(&d.message)?;
-        if !d.help.is_empty() {
-            write!(f, "; {}", d.help)?;
+        f.write_str(&diagnostic.message)?;
+        if !diagnostic.help.is_empty() {
+            write!(f, "; {}", diagnostic.help)?;
         }
         Ok(())
     }
--- a/lang/syntax/src/lexer.rs
+++ b/lang/syntax/src/lexer.rs
@@ -4,23 +4,26 @@
 use logos::Logos;
 use std::fmt;
 
+/// A number's text without its separators.
 fn digits(text: &str) -> String {
     text.chars().filter(|c| *c != '_').collect()
 }
 
+/// A number with a unit, in the smallest unit.
 fn scaled(text: &str, units: &[(&str, f64)]) -> Option<i64> {
-    let at = text.find(|c: char| c.is_ascii_alphabetic())?;
-    let (number, unit) = text.split_at(at);
-    let factor = units.iter().find(|(u, _)| *u == unit)?.1;
+    let split = text.find(|c: char| c.is_ascii_alphabetic())?;
+    let (number, unit) = text.split_at(split);
+    let (_, factor) = *units.iter().find(|(name, _)| *name == unit)?;
     let number = digits(number);
     // Whole numbers stay exact; the product of others is rounded.
-    if let (Ok(n), true) = (number.parse::<i64>(), factor.fract() == 0.0) {
-        return n.checked_mul(factor as i64);
+    if let (Ok(whole), true) = (number.parse::<i64>(), factor.fract() == 0.0) {
+        return whole.checked_mul(factor as i64);
     }
     let value = number.parse::<f64>().ok()? * factor;
     (value.is_finite() && value.abs() < 9e18).then_some(value.round() as i64)
 }
 
+/// A duration in microseconds.
 fn duration(lex: &mut logos::Lexer<'_, Token>) -> Option<i64> {
     scaled(
         lex.slice(),
@@ -34,30 +37,32 @@
     )
 }
 
+/// A size in bytes.
 fn size(lex: &mut logos::Lexer<'_, Token>) -> Option<i64> {
-    const K: f64 = 1024.0;
+    const KIB: f64 = 1024.0;
     let units = [
         ("B", 1.0),
         ("KB", 1e3),
         ("MB", 1e6),
         ("GB", 1e9),
-        ("KiB", K),
-        ("MiB", K * K),
-        ("GiB", K * K * K),
+        ("KiB", KIB),
+        ("MiB", KIB * KIB),
+        ("GiB", KIB * KIB * KIB),
     ];
     scaled(lex.slice(), &units)
 }
 
+/// A string without its quotes and escapes.
 fn string(lex: &mut logos::Lexer<'_, Token>) -> Option<String> {
     let inner = lex.slice().strip_prefix('"')?.strip_suffix('"')?;
-    let mut out = String::with_capacity(inner.len());
+    let mut text = String::with_capacity(inner.len());
     let mut chars = inner.chars();
     while let Some(c) = chars.next() {
         if c != '\\' {
-            out.push(c);
+            text.push(c);
             continue;
         }
-        out.push(match chars.next()? {
+        text.push(match chars.next()? {
             'n' => '\n',
             't' => '\t',
             'r' => '\r',
@@ -69,7 +74,7 @@
             _ => return None,
         });
     }
-    Some(out)
+    Some(text)
 }
 
 /// A token.
@@ -175,7 +180,7 @@
 }
 
 /// Whether a value can end with this token, so that a new line after it ends the field.
-fn ends(token: &Token) -> bool {
+fn ends_value(token: &Token) -> bool {
     use Token::*;
     matches!(
         token,
@@ -194,13 +199,14 @@
 }
 
 /// Whether a value can go on with this token on a new line.
-fn goes_on(token: &Token) -> bool {
+fn continues_value(token: &Token) -> bool {
     matches!(token, Token::Or | Token::And)
 }
 
 /// The tokens of a text; a new line after a value is a comma, as in CUE.
 pub fn lex(text: &str, source: usize) -> (Vec<(Token, Span)>, Vec<Diagnostic>) {
-    let (mut out, mut bad): (Vec<(Token, Span)>, Vec<Diagnostic>) = (Vec::new(), Vec::new());
+    let mut tokens: Vec<(Token, Span)> = Vec::new();
+    let mut diagnostics: Vec<Diagnostic> = Vec::new();
     let mut line_end: Option<Span> = None;
     for (token, range) in Token::lexer(text).spanned() {
         let span = Span {
@@ -210,83 +216,33 @@
         };
         match token {
             Ok(Token::Newline) => {
-                if out.last().is_some_and(|(t, _)| ends(t)) {
+                if tokens.last().is_some_and(|(last, _)| ends_value(last)) {
                     line_end.get_or_insert(span);
                 }
             }
             Ok(token) => {
-                if let Some(at) = line_end.take().filter(|_| !goes_on(&token)) {
-                    out.push((Token::Comma, at));
+                if let Some(end) = line_end.take().filter(|_| !continues_value(&token)) {
+                    tokens.push((Token::Comma, end));
                 }
-                out.push((token, span));
-            }
-            Err(()) => {
-                let piece = &text[range];
-                let d = Diagnostic::new(span, format!("{piece:?} is no token"));
-                let number = piece.starts_with(|c: char| c.is_ascii_digit() || c == '-');
-                bad.push(if number {
-                    d.help(
-                        "a number is whole or has a point, with one of us ms s m h or B KB MB GB KiB MiB GiB",
-                    )
-                } else if piece.starts_with('"') {
-                    d.help("a string ends on its line; \\n \\t \\r \\\" \\\\ and \\uXXXX are its escapes")
-                } else {
-                    d
-                });
+                tokens.push((token, span));
             }
+            Err(()) => diagnostics.push(not_a_token(&text[range], span)),
         }
     }
-    (out, bad)
+    (tokens, diagnostics)
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn tokens(text: &str) -> Vec<Token> {
-        let (tokens, bad) = lex(text, 0);
-        assert_eq!(bad, []);
-        tokens.into_iter().map(|(t, _)| t).collect()
-    }
-
-    #[test]
-    fn numbers_carry_units_and_stay_exact() {
-        use Token::*;
-        let all = tokens("1 -2 1_000 0.5 750ms 1.5s 2m 1h 10us 4GiB 1.5KB 7B");
-        let want = [
-            Int(1),
-            Int(-2),
-            Int(1000),
-            Float(0.5),
-            Duration(750_000),
-            Duration(1_500_000),
-            Duration(120_000_000),
-            Duration(3_600_000_000),
-            Duration(10),
-            Size(4 << 30),
-            Size(1500),
-            Size(7),
-        ];
-        assert_eq!(all, want);
-        for bad in [
-            "9999999999999999999",
-            "99999999999999999h",
-            "\"open",
-            "\"\\q\"",
-            "$",
-        ] {
-            assert_eq!(lex(bad, 0).1.len(), 1, "{bad}");
-        }
-    }
-
-    #[test]
-    fn a_new_line_ends_a_value_unless_it_goes_on() {
-        use Token::*;
-        let word = |w: &str| Word(w.into());
-        assert_eq!(
-            tokens("a: 1 // one\n\nb:\n 2"),
-            [word("a"), Colon, Int(1), Comma, word("b"), Colon, Int(2)]
-        );
-        assert_eq!(tokens("a: 1\n | 2"), [word("a"), Colon, Int(1), Or, Int(2)]);
+/// The error for a piece of text that no token matches.
+fn not_a_token(piece: &str, span: Span) -> Diagnostic {
+    let diagnostic = Diagnostic::new(span, format!("{piece:?} is no token"));
+    if piece.starts_with(|c: char| c.is_ascii_digit() || c == '-') {
+        diagnostic.help(
+            "a number is whole or has a point, with one of us ms s m h or B KB MB GB KiB MiB GiB",
+        )
+    } else if piece.starts_with('"') {
+        diagnostic
+            .help("a string ends on its line; \\n \\t \\r \\\" \\\\ and \\uXXXX are its escapes")
+    } else {
+        diagnostic
     }
 }
