--- a/programs/day/src/agree.rs
+++ b/programs/day/src/agree.rs
@@ -452,7 +452,7 @@
                 self.touched
                     .extend([(from, Instant::now()), (to, Instant::now())]);
                 self.middle
-                    .with(move |r| r.hold(Link::Peer { from, to }, held))?;
+                    .with(move |r| r.set_paused(Link::Peer { from, to }, held))?;
             }
             Step::Drain(front, worker) => {
                 self.lists[front][worker].2 = true;
@@ -693,7 +693,7 @@
     for g in fleet.gateways.iter_mut().flatten() {
         g.stop()?;
     }
-    let mut entries = fleet.middle.with(|r| r.take())?;
+    let mut entries = fleet.middle.with(|r| r.take_entries())?;
     entries.sort_by_key(|e| e.at);
     // More processes than cores: a wake-up may take longer than on the other days.
     let rules = tansy_audit::Rules {
--- a/programs/day/src/cast.rs
+++ b/programs/day/src/cast.rs
@@ -12,7 +12,7 @@
 use tansy_audit::record::Entry;
 use tansy_audit::{Link, Mark};
 use tansy_net_sockets::Spawner;
-use tansy_standin_relay::Relay;
+use tansy_standin_relay::FaultProxy;
 
 /// How a day can't go on.
 pub type Error = Box<dyn std::error::Error>;
@@ -100,7 +100,7 @@
     }
 }
 
-type Job = Box<dyn FnOnce(&Rc<Relay>) + Send>;
+type Job = Box<dyn FnOnce(&Rc<FaultProxy>) + Send>;
 
 /// The relay on a thread of its own.
 pub struct Middle(mpsc::Sender<Job>);
@@ -116,7 +116,7 @@
             let Ok(spawner) = Spawner::new(event_loop.handle()) else {
                 return;
             };
-            let relay = Relay::new(spawner);
+            let relay = FaultProxy::new(spawner);
             while event_loop
                 .dispatch(Some(Duration::from_millis(1)), &mut ())
                 .is_ok()
@@ -135,7 +135,7 @@
     /// Does something with the relay on its thread.
     pub fn with<T: Send + 'static>(
         &self,
-        job: impl FnOnce(&Rc<Relay>) -> T + Send + 'static,
+        job: impl FnOnce(&Rc<FaultProxy>) -> T + Send + 'static,
     ) -> Result<T, Error> {
         let (told, result) = mpsc::channel();
         self.0
@@ -348,7 +348,7 @@
                 self.middle.with(move |r| r.mark(Mark::Fell { worker }))?;
             }
         }
-        let entries = self.middle.with(|r| r.take())?;
+        let entries = self.middle.with(|r| r.take_entries())?;
         let _ = std::fs::remove_dir_all(&self.folder);
         Ok((entries, std::mem::take(&mut self.accounts)))
     }
--- a/programs/day/src/roll.rs
+++ b/programs/day/src/roll.rs
@@ -604,7 +604,7 @@
     for s in rig.supervisors.iter_mut().flatten() {
         s.stop()?;
     }
-    let mut entries = rig.middle.with(|r| r.take())?;
+    let mut entries = rig.middle.with(|r| r.take_entries())?;
     entries.sort_by_key(|e| e.at);
     let rules = tansy_audit::Rules {
         slack: SLACK,
--- a/programs/day/src/script.rs
+++ b/programs/day/src/script.rs
@@ -68,7 +68,7 @@
             .with(move |r| r.cut(Link::Worker { front, worker })),
         Step::Hold(front, worker, held) => cast
             .middle
-            .with(move |r| r.hold(Link::Worker { front, worker }, held)),
+            .with(move |r| r.set_paused(Link::Worker { front, worker }, held)),
         Step::List(front, worker, draining) => cast.list(front, worker, draining),
         Step::Restart(worker) => cast.restart(worker),
         Step::Kill(front) => cast.kill(front),
