--- a/programs/worker/src/lib.rs
+++ b/programs/worker/src/lib.rs
@@ -1,8 +1,11 @@
-//! A stand-in worker on a port of its own, as a program: arguments, signals, exit codes.
+//! The stand-in worker as a program: arguments, signals, exit codes.
+//!
+//! The worker itself is `tansy-standin-worker`; functions come from the gateway's settings file.
 
 use calloop::signals::{Signal, Signals};
 use calloop::EventLoop;
 use clap::Parser;
+use std::cell::Cell;
 use std::ffi::OsString;
 use std::io::{IsTerminal, Write};
 use std::net::SocketAddr;
@@ -63,91 +66,146 @@
     log: String,
 }
 
+/// Wrong arguments or settings: exit code 2.
+#[derive(Debug, thiserror::Error)]
+enum ArgumentError {
+    #[error("--log {0:?}: no filter")]
+    LogFilter(String),
+    #[error("--settings {}: {error}", path.display())]
+    ReadSettings {
+        path: PathBuf,
+        error: std::io::Error,
+    },
+    #[error(transparent)]
+    Settings(#[from] tansy_settings::Errors),
+}
+
+/// The worker can't start or go on: exit code 1.
+#[derive(Debug, thiserror::Error)]
+enum RunError {
+    #[error("--listen {address}: {error}")]
+    Listen {
+        address: SocketAddr,
+        error: std::io::Error,
+    },
+    #[error("--control {address}: {error}")]
+    Control {
+        address: SocketAddr,
+        error: std::io::Error,
+    },
+    #[error(transparent)]
+    EventLoop(#[from] calloop::Error),
+    #[error("{0}")]
+    Signals(String),
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+}
+
 /// Runs the program with its arguments, the first its name.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
-    let a = Arguments::parse_from(arguments);
-    let Ok(filter) = EnvFilter::try_new(format!("calloop=error,{}", a.log)) else {
-        return wrong(&format!("--log {:?}: no filter", a.log));
+    let arguments = Arguments::parse_from(arguments);
+    let profile = match start_logging(&arguments).and_then(|()| read_profile(&arguments)) {
+        Ok(profile) => profile,
+        Err(error) => {
+            eprintln!("{error}");
+            return ExitCode::from(2);
+        }
     };
+    match run(&arguments, profile) {
+        Ok(Ended::BySignal) => ExitCode::SUCCESS,
+        Ok(Ended::Fallen) => {
+            let name = &arguments.name;
+            eprintln!("{name}: fell over: sent more than a cold worker bears");
+            ExitCode::from(1)
+        }
+        Err(error) => {
+            eprintln!("{error}");
+            ExitCode::from(1)
+        }
+    }
+}
+
+/// Logs on standard error by the filter of `--log`.
+fn start_logging(arguments: &Arguments) -> Result<(), ArgumentError> {
+    let filter = EnvFilter::try_new(format!("calloop=error,{}", arguments.log))
+        .map_err(|_| ArgumentError::LogFilter(arguments.log.clone()))?;
     tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
         .with_ansi(std::io::stderr().is_terminal())
         .init();
-    let text = match std::fs::read_to_string(&a.settings) {
-        Ok(text) => text,
-        Err(e) => return wrong(&format!("--settings {}: {e}", a.settings.display())),
-    };
-    let settings = match tansy_settings::settings(&a.settings.display().to_string(), &text) {
-        Ok(settings) => settings,
-        Err(e) => return wrong(&e.to_string()),
-    };
-    let m = &settings.front.settings;
-    let function = |f: &tansy_settings::FunctionSpec| Function {
-        name: f.name.clone(),
-        memory_mb: f.memory_mb,
-        lanes: f.lanes,
-        load: f.load_time.unwrap_or(100_000),
-        work: (a.work_ms * 1000.0) as i64,
+    Ok(())
+}
+
+/// The worker's configuration, from the arguments and the gateway's settings file.
+fn read_profile(arguments: &Arguments) -> Result<Profile, ArgumentError> {
+    let path = &arguments.settings;
+    let text = std::fs::read_to_string(path).map_err(|error| ArgumentError::ReadSettings {
+        path: path.clone(),
+        error,
+    })?;
+    let settings = tansy_settings::settings(&path.display().to_string(), &text)?;
+    let front = &settings.front;
+    let function = |spec: &tansy_settings::FunctionSpec| Function {
+        name: spec.name.clone(),
+        memory_mb: spec.memory_mb,
+        lanes: spec.lanes,
+        load: spec.load_time.unwrap_or(100_000),
+        work: (arguments.work_ms * 1000.0) as i64,
     };
-    let profile = Profile {
-        name: a.name.clone(),
-        functions: settings.front.functions.iter().map(function).collect(),
-        memory_mb: a.memory_mb,
-        idle_life: m.idle_life,
-        loads: a.loads.max(1),
-        queue: a.queue,
-        when_absent: match m.when_absent {
+    Ok(Profile {
+        name: arguments.name.clone(),
+        functions: front.functions.iter().map(function).collect(),
+        memory_mb: arguments.memory_mb,
+        idle_life: front.settings.idle_life,
+        loads: arguments.loads.max(1),
+        queue: arguments.queue,
+        when_absent: match front.settings.when_absent {
             tansy_settings::WhenAbsent::Load => WhenAbsent::Load,
             tansy_settings::WhenAbsent::Miss => WhenAbsent::Miss,
         },
-        cores: a.cores,
-        cold_from: m.cold_from,
-        warm_up: m.warm_up,
-        fall_multiple: m.fall_multiple,
-        fall_after: m.fall_after,
-    };
-    match run(&a, profile) {
-        Ok(false) => ExitCode::SUCCESS,
-        Ok(true) => {
-            eprintln!("{}: fell over: sent more than a cold worker bears", a.name);
-            ExitCode::from(1)
-        }
-        Err(e) => {
-            eprintln!("{e}");
-            ExitCode::from(1)
-        }
-    }
+        cores: arguments.cores,
+        cold_from: front.settings.cold_from,
+        warm_up: front.settings.warm_up,
+        fall_multiple: front.settings.fall_multiple,
+        fall_after: front.settings.fall_after,
+    })
+}
+
+/// Why the worker has stopped.
+enum Ended {
+    /// SIGTERM or SIGINT.
+    BySignal,
+    /// It was sent more than a cold worker bears.
+    Fallen,
 }
 
-/// Serves until a signal; true: it fell over.
-fn run(a: &Arguments, profile: Profile) -> Result<bool, Box<dyn std::error::Error>> {
+/// Serves until a signal, or until it falls over.
+fn run(arguments: &Arguments, profile: Profile) -> Result<Ended, RunError> {
     let mut event_loop: EventLoop<'static, ()> = EventLoop::try_new()?;
     let spawner = Spawner::new(event_loop.handle())?;
-    let listener = listen(a.listen, false).map_err(|e| format!("--listen {}: {e}", a.listen))?;
-    let control = listen(a.control, false).map_err(|e| format!("--control {}: {e}", a.control))?;
-    let (grpc_at, control_at) = (listener.local_addr()?, control.local_addr()?);
-    let standin = Standin::start(spawner, listener, profile, !a.cold)?;
+    let address = arguments.listen;
+    let listener = listen(address, false).map_err(|error| RunError::Listen { address, error })?;
+    let address = arguments.control;
+    let control = listen(address, false).map_err(|error| RunError::Control { address, error })?;
+    let grpc_address = listener.local_addr()?;
+    let control_address = control.local_addr()?;
+    let standin = Standin::start(spawner, listener, profile, !arguments.cold)?;
     standin.control(control)?;
-    println!("ready grpc={grpc_at} control={control_at}");
+    println!("ready grpc={grpc_address} control={control_address}");
     std::io::stdout().flush()?;
-    let stop = Rc::new(std::cell::Cell::new(false));
-    let (told, signals) = (
-        stop.clone(),
-        Signals::new(&[Signal::SIGTERM, Signal::SIGINT])?,
-    );
-    let signals = Uninterrupted(signals);
+    let stop = Rc::new(Cell::new(false));
+    let on_signal = stop.clone();
+    let signals = Uninterrupted(Signals::new(&[Signal::SIGTERM, Signal::SIGINT])?);
     event_loop
         .handle()
-        .insert_source(signals, move |_, _, ()| told.set(true))
-        .map_err(|e| e.to_string())?;
+        .insert_source(signals, move |_, _, ()| on_signal.set(true))
+        .map_err(|error| RunError::Signals(error.to_string()))?;
     while !stop.get() && !standin.fallen() {
         event_loop.dispatch(Some(Duration::from_millis(500)), &mut ())?;
     }
-    Ok(standin.fallen())
-}
-
-fn wrong(what: &str) -> ExitCode {
-    eprintln!("{what}");
-    ExitCode::from(2)
+    Ok(match standin.fallen() {
+        true => Ended::Fallen,
+        false => Ended::BySignal,
+    })
 }
