--- a/tests/soak/src/main.rs
+++ b/tests/soak/src/main.rs
@@ -107,7 +107,7 @@
                 "    {:9.3} s  {} {}",
                 v.at.as_secs_f64(),
                 v.id.map_or(String::new(), |id| format!("{id:016x}")),
-                v.what
+                v.description
             );
             v.id.into_iter()
                 .flat_map(|id| oracle.timeline(id))
--- /dev/null
+++ b/tests/soak/src/oracle/collect.rs
@@ -0,0 +1,112 @@
+//! Facts by request and by process.
+
+use super::processes::Lifetime;
+use super::{Attempt, Oracle, Sent};
+use crate::facts::{Fact, Signal};
+use std::time::Duration;
+
+impl Oracle {
+    pub(super) fn collect(&mut self, at: Duration, fact: &Fact) {
+        match *fact {
+            Fact::Sent {
+                id,
+                place,
+                process,
+                effect,
+                timeout,
+                idle_before,
+            } => {
+                self.counts.sent += 1;
+                let sent = Sent {
+                    at,
+                    process: (place, process),
+                    effect,
+                    timeout,
+                    idle_before,
+                };
+                self.sent.entry(id).or_default().push(sent);
+            }
+            Fact::Answered { id, status, .. } => {
+                *self.counts.statuses.entry(status).or_default() += 1;
+                self.ends.insert(id, at);
+            }
+            Fact::Left { id } => {
+                self.counts.left += 1;
+                self.ends.insert(id, at);
+            }
+            Fact::Unanswered { id } => {
+                self.ends.insert(id, at);
+            }
+            Fact::Listed {
+                event,
+                worker,
+                ready,
+            } => {
+                self.states.entry(worker).or_default().push((event, ready));
+            }
+            Fact::Began { id, .. } => {
+                self.counts.attempts += 1;
+                self.attempts.entry(id).or_default().push(Attempt {
+                    began: at,
+                    ended: None,
+                });
+            }
+            Fact::Ended { id, never_ran, .. } => {
+                // Two at once are a violation of their own; the end belongs to the first that is open.
+                let open = self
+                    .attempts
+                    .get_mut(&id)
+                    .and_then(|a| a.iter_mut().find(|a| a.ended.is_none()));
+                if let Some(attempt) = open {
+                    attempt.ended = Some((at, never_ran));
+                }
+            }
+            Fact::Started { place, process } => {
+                self.counts.processes += 1;
+                self.processes.insert(
+                    (place, process),
+                    Lifetime {
+                        started: at,
+                        ..Lifetime::default()
+                    },
+                );
+            }
+            Fact::Trouble(_) => self.counts.troubles += 1,
+            _ => self.collect_process(at, fact),
+        }
+    }
+
+    fn collect_process(&mut self, at: Duration, fact: &Fact) {
+        let (Fact::Ready { place, process }
+        | Fact::Signalled { place, process, .. }
+        | Fact::Exited { place, process, .. }
+        | Fact::Polled { place, process, .. }
+        | Fact::Told { place, process, .. }) = fact
+        else {
+            return;
+        };
+        let Some(lifetime) = self.processes.get_mut(&(*place, *process)) else {
+            return;
+        };
+        match fact {
+            Fact::Ready { .. } => lifetime.ready = Some(at),
+            Fact::Exited { .. } => lifetime.exited = Some(at),
+            Fact::Polled { event, .. } => lifetime.polled.push((at, *event)),
+            Fact::Told { event, .. } => lifetime.notified.push((at, *event)),
+            Fact::Signalled { signal, .. } => {
+                self.counts.signals += 1;
+                match signal {
+                    Signal::Terminate => lifetime.terminated = Some(at),
+                    Signal::Kill => lifetime.killed = Some(at),
+                    Signal::Reload => {}
+                    Signal::Stop => lifetime.stopped_since = Some(at),
+                    Signal::Continue => {
+                        let since = lifetime.stopped_since.take().unwrap_or(at);
+                        lifetime.stops.push((since, at));
+                    }
+                }
+            }
+            _ => {}
+        }
+    }
+}
