--- a/tests/soak/src/discovery.rs
+++ b/tests/soak/src/discovery.rs
@@ -142,7 +142,7 @@
             let _ = tokio::time::timeout(wait, newest.wait_for(|n| *n > held)).await;
             let (reply, event) = self.reply(held, known);
             let mode = *self.mode.borrow();
-            self.facts.note(Fact::Told {
+            self.facts.note(Fact::Notified {
                 place,
                 process,
                 event,
--- a/tests/soak/src/facts.rs
+++ b/tests/soak/src/facts.rs
@@ -134,7 +134,7 @@
         answers: bool,
     },
     /// A reply with the events up to this one was begun.
-    Told {
+    Notified {
         /// The front end.
         place: Place,
         /// The process's number at that place.
--- a/tests/soak/src/main.rs
+++ b/tests/soak/src/main.rs
@@ -38,63 +38,63 @@
 }
 
 fn main() -> ExitCode {
-    let a = Arguments::parse();
+    let arguments = Arguments::parse();
     let runtime = match tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
     {
         Ok(runtime) => runtime,
-        Err(e) => return unplayable(&e.to_string()),
+        Err(error) => return unplayable(&error),
     };
-    let mut held = true;
-    for seed in a.seed..a.seed + a.runs {
+    let mut all_hold = true;
+    for seed in arguments.seed..arguments.seed + arguments.runs {
         let options = Options {
-            gateway: a.gateway.clone(),
+            gateway: arguments.gateway.clone(),
             seed,
-            front_ends: a.front_ends,
-            workers: a.workers,
-            clients: a.clients,
-            span: Duration::from_secs(a.seconds),
+            front_ends: arguments.front_ends,
+            workers: arguments.workers,
+            clients: arguments.clients,
+            span: Duration::from_secs(arguments.seconds),
         };
         match runtime.block_on(run(&options)) {
-            Ok(outcome) => held &= tell(seed, &outcome, a.show),
-            Err(e) => return unplayable(&e.to_string()),
+            Ok(outcome) => all_hold &= print_outcome(seed, &outcome, arguments.show),
+            Err(error) => return unplayable(&error),
         }
     }
-    if held {
+    if all_hold {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(1)
     }
 }
 
-fn unplayable(why: &str) -> ExitCode {
-    eprintln!("the soak could not be played: {why}");
+fn unplayable(error: &std::io::Error) -> ExitCode {
+    eprintln!("the soak could not be played: {error}");
     ExitCode::from(2)
 }
 
-/// Prints what a run came to; whether all held. Logs of a run in which all held are removed.
-fn tell(seed: u64, outcome: &tansy_soak::Outcome, show: usize) -> bool {
+/// Prints a run's counts and violations; true: every invariant holds. Logs of a run without violations are removed.
+fn print_outcome(seed: u64, outcome: &tansy_soak::Outcome, show: usize) -> bool {
     let oracle = &outcome.oracle;
-    let c = &oracle.counts;
+    let counts = &oracle.counts;
     let sure = oracle.violations().iter().filter(|v| !v.doubtful).count();
     println!(
         "seed {seed}: {sure} violations, {} doubtful; {} sent, {:?}, {} left, {} excused, {} attempts, {} processes, \
          {} signals, {} troubles",
         oracle.violations().len() - sure,
-        c.sent,
-        c.statuses,
-        c.left,
-        c.excused,
-        c.attempts,
-        c.processes,
-        c.signals,
-        c.troubles
+        counts.sent,
+        counts.statuses,
+        counts.left,
+        counts.excused,
+        counts.attempts,
+        counts.processes,
+        counts.signals,
+        counts.troubles
     );
     let mut kinds = std::collections::BTreeMap::new();
-    for v in oracle.violations() {
-        let (sure, doubtful) = kinds.entry(v.invariant).or_insert((0, 0));
-        *if v.doubtful { doubtful } else { sure } += 1;
+    for violation in oracle.violations() {
+        let (sure, doubtful) = kinds.entry(violation.invariant).or_insert((0, 0));
+        *if violation.doubtful { doubtful } else { sure } += 1;
     }
     for (invariant, (sure, doubtful)) in &kinds {
         println!("  {invariant:?}: {sure}, doubtful {doubtful}");
@@ -102,14 +102,18 @@
             .violations()
             .iter()
             .filter(|v| v.invariant == *invariant && !v.doubtful);
-        for v in examples.take(show) {
+        for violation in examples.take(show) {
             println!(
                 "    {:9.3} s  {} {}",
-                v.at.as_secs_f64(),
-                v.id.map_or(String::new(), |id| format!("{id:016x}")),
-                v.description
+                violation.at.as_secs_f64(),
+                violation
+                    .id
+                    .map_or(String::new(), |id| format!("{id:016x}")),
+                violation.description
             );
-            v.id.into_iter()
+            violation
+                .id
+                .into_iter()
                 .flat_map(|id| oracle.timeline(id))
                 .for_each(|line| println!("      {line}"));
         }
--- a/tests/soak/src/oracle/collect.rs
+++ b/tests/soak/src/oracle/collect.rs
@@ -81,7 +81,7 @@
         | Fact::Signalled { place, process, .. }
         | Fact::Exited { place, process, .. }
         | Fact::Polled { place, process, .. }
-        | Fact::Told { place, process, .. }) = fact
+        | Fact::Notified { place, process, .. }) = fact
         else {
             return;
         };
@@ -92,7 +92,7 @@
             Fact::Ready { .. } => lifetime.ready = Some(at),
             Fact::Exited { .. } => lifetime.exited = Some(at),
             Fact::Polled { event, .. } => lifetime.polled.push((at, *event)),
-            Fact::Told { event, .. } => lifetime.notified.push((at, *event)),
+            Fact::Notified { event, .. } => lifetime.notified.push((at, *event)),
             Fact::Signalled { signal, .. } => {
                 self.counts.signals += 1;
                 match signal {
--- a/tests/soak/src/shim.rs
+++ b/tests/soak/src/shim.rs
@@ -8,6 +8,25 @@
 /// Its source.
 const SOURCE: &str = include_str!("../../fault-shim/src/lib.rs");
 
+/// Why the library can't be built.
+#[derive(Debug, thiserror::Error)]
+enum BuildError {
+    /// The compiler can't be run.
+    #[error("{compiler}: {error}")]
+    RunCompiler {
+        /// Its path.
+        compiler: String,
+        /// What the system says.
+        error: std::io::Error,
+    },
+    /// The compiler refuses the source.
+    #[error("{0}")]
+    Compile(String),
+    /// The library can't be moved to its place.
+    #[error(transparent)]
+    Move(std::io::Error),
+}
+
 /// The library's path; it is built at the first call.
 pub fn library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
@@ -16,7 +35,7 @@
 }
 
 /// Builds the library into a folder, unless it is there, and gives its path.
-fn build(folder: &Path) -> Result<PathBuf, String> {
+fn build(folder: &Path) -> Result<PathBuf, BuildError> {
     let mut hasher = DefaultHasher::new();
     SOURCE.hash(&mut hasher);
     let library = folder.join(format!("libtansy_fault_shim-{:016x}.so", hasher.finish()));
@@ -43,10 +62,11 @@
         .arg(&own)
         .arg(&source)
         .output()
-        .map_err(|e| format!("{compiler}: {e}"))?;
+        .map_err(|error| BuildError::RunCompiler { compiler, error })?;
     if !output.status.success() {
-        return Err(String::from_utf8_lossy(&output.stderr).into_owned());
+        let messages = String::from_utf8_lossy(&output.stderr).into_owned();
+        return Err(BuildError::Compile(messages));
     }
-    std::fs::rename(&own, &library).map_err(|e| e.to_string())?;
+    std::fs::rename(&own, &library).map_err(BuildError::Move)?;
     Ok(library)
 }
