--- /dev/null
+++ b/tests/path/src/messages.rs
@@ -0,0 +1,56 @@
+//! Requests, and what answers carry.
+
+use crate::pb;
+
+/// A parameter.
+pub fn parameter(choice: pb::infer_parameter::ParameterChoice) -> pb::InferParameter {
+    pb::InferParameter {
+        parameter_choice: Some(choice),
+    }
+}
+
+/// A request with one tensor of 3 numbers and whole-number parameters.
+pub fn request(function: &str, id: &str, parameters: &[(&str, i64)]) -> pb::ModelInferRequest {
+    use pb::infer_parameter::ParameterChoice::Int64Param;
+    let input = pb::model_infer_request::InferInputTensor {
+        name: "x".into(),
+        datatype: "FP32".into(),
+        shape: vec![1, 3],
+        contents: Some(pb::InferTensorContents {
+            fp32_contents: vec![1.0, 2.0, 3.0],
+            ..Default::default()
+        }),
+        ..Default::default()
+    };
+    pb::ModelInferRequest {
+        model_name: function.into(),
+        id: id.into(),
+        parameters: parameters
+            .iter()
+            .map(|(name, value)| (name.to_string(), parameter(Int64Param(*value))))
+            .collect(),
+        inputs: vec![input],
+        ..Default::default()
+    }
+}
+
+/// Whether a piece is its call's last.
+pub fn last(piece: &pb::ModelStreamInferResponse) -> bool {
+    use pb::infer_parameter::ParameterChoice::BoolParam;
+    let flag = piece
+        .infer_response
+        .as_ref()
+        .and_then(|response| response.parameters.get("triton_final_response"));
+    matches!(
+        flag.and_then(|parameter| parameter.parameter_choice.clone()),
+        Some(BoolParam(true))
+    )
+}
+
+/// The id that a piece carries.
+pub fn id(piece: &pb::ModelStreamInferResponse) -> &str {
+    piece
+        .infer_response
+        .as_ref()
+        .map_or("", |response| response.id.as_str())
+}
--- a/tests/path/src/peer.rs
+++ b/tests/path/src/peer.rs
@@ -41,17 +41,20 @@
         socket.set_nodelay(true).expect("no delay");
         Wire(socket)
     }
+
     /// Sends a frame.
     pub fn send(&mut self, kind: u8, flags: u8, stream: u32, payload: &[u8]) {
         let length = (payload.len() as u32).to_be_bytes();
         let frame = [&length[1..], &[kind, flags], &stream.to_be_bytes(), payload].concat();
-        // The other side may have gone; the script's next read tells.
+        // The other side may have gone; the script's next read shows it.
         let _ = self.0.write_all(&frame);
     }
+
     /// Sends bytes as they are.
     pub fn raw(&mut self, bytes: &[u8]) {
         let _ = self.0.write_all(bytes);
     }
+
     /// The next frame; none: the connection ended.
     pub fn frame(&mut self) -> Option<Frame> {
         let mut head = [0; 9];
@@ -67,26 +70,29 @@
             payload,
         })
     }
-    /// The streams of the next `n` requests that are whole, settings acknowledged on the way.
-    pub fn requests(&mut self, n: usize) -> Vec<u32> {
+
+    /// The streams of the next `count` requests that are whole, settings acknowledged on the way.
+    pub fn requests(&mut self, count: usize) -> Vec<u32> {
         let mut streams = Vec::new();
-        while streams.len() < n {
-            let Some(f) = self.frame() else {
+        while streams.len() < count {
+            let Some(frame) = self.frame() else {
                 return streams;
             };
-            match f.kind {
-                kind::SETTINGS if f.flags & 1 == 0 => self.send(kind::SETTINGS, 1, 0, &[]),
-                kind::PING if f.flags & 1 == 0 => self.send(kind::PING, 1, 0, &f.payload),
-                kind::DATA | kind::HEADERS if f.flags & 1 != 0 => streams.push(f.stream),
+            match frame.kind {
+                kind::SETTINGS if frame.flags & 1 == 0 => self.send(kind::SETTINGS, 1, 0, &[]),
+                kind::PING if frame.flags & 1 == 0 => self.send(kind::PING, 1, 0, &frame.payload),
+                kind::DATA | kind::HEADERS if frame.flags & 1 != 0 => streams.push(frame.stream),
                 _ => {}
             }
         }
         streams
     }
+
     /// Resets a stream.
     pub fn reset(&mut self, stream: u32, code: u32) {
         self.send(kind::RST_STREAM, 0, stream, &code.to_be_bytes());
     }
+
     /// GOAWAY with the last stream that was taken.
     pub fn goaway(&mut self, last: u32) {
         self.send(
@@ -96,21 +102,25 @@
             &[last.to_be_bytes(), 0u32.to_be_bytes()].concat(),
         );
     }
+
     /// Response headers.
     pub fn headers(&mut self, stream: u32) {
         let block = [&[0x88][..], &literal("content-type", "application/grpc")].concat();
         self.send(kind::HEADERS, 4, stream, &block);
     }
+
     /// A message, framed.
     pub fn message(&mut self, stream: u32, message: &[u8]) {
         let head = [&[0][..], &(message.len() as u32).to_be_bytes()].concat();
         self.send(kind::DATA, 0, stream, &[&head, message].concat());
     }
+
     /// Trailers that end a stream.
     pub fn trailers(&mut self, stream: u32, fields: &[(&str, &str)]) {
         let block: Vec<u8> = fields.iter().flat_map(|(k, v)| literal(k, v)).collect();
         self.send(kind::HEADERS, 5, stream, &block);
     }
+
     /// A whole unary answer.
     pub fn answer(&mut self, stream: u32) {
         self.headers(stream);
@@ -138,9 +148,9 @@
 pub fn worker(mut script: impl FnMut(usize, Wire, &mpsc::Sender<String>) + Send + 'static) -> Peer {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let (told, reports) = mpsc::channel();
+    let (reporter, reports) = mpsc::channel();
     std::thread::spawn(move || {
-        for (n, socket) in listener.incoming().enumerate() {
+        for (number, socket) in listener.incoming().enumerate() {
             let Ok(socket) = socket else { return };
             let mut wire = Wire::new(socket);
             let mut preface = [0; 24];
@@ -148,7 +158,7 @@
                 continue;
             }
             wire.send(kind::SETTINGS, 0, 0, &[]);
-            script(n, wire, &told);
+            script(number, wire, &reporter);
         }
     });
     Peer { address, reports }
--- /dev/null
+++ b/tests/path/src/workers.rs
@@ -0,0 +1,116 @@
+//! Stand-in workers on a thread of their own.
+
+use calloop::EventLoop;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::mpsc;
+use std::time::Duration;
+use tansy_net_sockets::socket::listen;
+use tansy_net_sockets::Spawner;
+use tansy_standin_worker::{Function, Profile, Standin, WhenAbsent};
+
+type Job = Box<dyn FnOnce(&[Rc<Standin>]) + Send>;
+
+/// Stand-in workers on a thread of their own.
+pub struct Workers {
+    /// Their addresses.
+    pub addresses: Vec<SocketAddr>,
+    jobs: mpsc::Sender<Job>,
+}
+
+impl Workers {
+    /// Starts so many.
+    pub fn start(count: usize) -> Workers {
+        Workers::with_functions(count, &["echo", "keyed", "post"])
+    }
+
+    /// Starts so many that run these functions.
+    pub fn with_functions(count: usize, functions: &[&str]) -> Workers {
+        let functions: Vec<String> = functions.iter().map(|name| name.to_string()).collect();
+        let (jobs, queue) = mpsc::channel::<Job>();
+        let (started, addresses) = mpsc::channel();
+        std::thread::spawn(move || {
+            let mut event_loop: EventLoop<'static, ()> = EventLoop::try_new().expect("a loop");
+            let spawner = Spawner::new(event_loop.handle()).expect("an executor");
+            let start = |index: usize| {
+                let listener = listen(([127, 0, 0, 1], 0).into(), false).expect("a port");
+                Standin::start(spawner.clone(), listener, profile(index, &functions), true)
+                    .expect("a worker")
+            };
+            let workers: Vec<Rc<Standin>> = (0..count).map(start).collect();
+            started
+                .send(workers.iter().map(|worker| worker.address()).collect())
+                .expect("the test waits");
+            loop {
+                event_loop
+                    .dispatch(Some(Duration::from_millis(2)), &mut ())
+                    .expect("the loop turns");
+                loop {
+                    match queue.try_recv() {
+                        Ok(job) => job(&workers),
+                        Err(mpsc::TryRecvError::Empty) => break,
+                        Err(mpsc::TryRecvError::Disconnected) => return,
+                    }
+                }
+            }
+        });
+        Workers {
+            addresses: addresses.recv().expect("the workers start"),
+            jobs,
+        }
+    }
+
+    /// Does something with the workers on their thread, and gives what it gives.
+    pub fn with<T: Send + 'static>(
+        &self,
+        job: impl FnOnce(&[Rc<Standin>]) -> T + Send + 'static,
+    ) -> T {
+        let (done, result) = mpsc::channel();
+        let job: Job = Box::new(move |workers| drop(done.send(job(workers))));
+        self.jobs.send(job).expect("the workers run");
+        result.recv().expect("the workers run")
+    }
+
+    /// Sets a fault at all of them.
+    pub fn fault(&self, word: &'static str) {
+        self.with(move |workers| {
+            for worker in workers {
+                worker.faults.set(word).expect("a fault");
+            }
+        });
+    }
+
+    /// Calls that began to run at each.
+    pub fn ran(&self) -> Vec<u64> {
+        self.with(|workers| {
+            workers
+                .iter()
+                .map(|worker| worker.calls_run.get())
+                .collect()
+        })
+    }
+}
+
+fn profile(index: usize, functions: &[String]) -> Profile {
+    let function = |name: &String| Function {
+        name: name.clone(),
+        memory_mb: 100.0,
+        lanes: 64,
+        load: 5_000,
+        work: 1_000,
+    };
+    Profile {
+        name: format!("w{index}"),
+        functions: functions.iter().map(function).collect(),
+        memory_mb: 10_000.0,
+        idle_life: 10_000_000,
+        loads: 4,
+        queue: 10_000,
+        when_absent: WhenAbsent::Load,
+        cores: 64.0,
+        cold_from: 1.0,
+        warm_up: 1,
+        fall_multiple: f64::MAX,
+        fall_after: 1_000_000,
+    }
+}
