--- a/benches/state/tests/state.rs
+++ b/benches/state/tests/state.rs
@@ -49,6 +49,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn each_run_prints_one_line_with_its_fields() {
     let all: [(&str, &[&str]); 19] = [
         ("module", &["memory_mb", "decide_us", "tick_us", "workers"]),
--- a/programs/capacity/tests/page.rs
+++ b/programs/capacity/tests/page.rs
@@ -275,6 +275,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn what_is_wrong_in_definitions_and_template_is_told_by_line() {
     for (file, from, to, told) in [
         (
--- a/programs/fleet/tests/fleet.rs
+++ b/programs/fleet/tests/fleet.rs
@@ -155,6 +155,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn versions_are_proposed_compared_reverted_and_refused() {
     let fleet = Fleet::start("versions", 3, 101);
     fleet.found();
@@ -389,6 +393,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn functions_are_set_applied_shown_removed_and_refused_one_by_one() {
     let fleet = Fleet::start("scopes", 2, 105);
     fleet.found();
--- a/programs/fleet/tests/rollout.rs
+++ b/programs/fleet/tests/rollout.rs
@@ -33,6 +33,10 @@
 }
 
 impl Rig {
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one table or one history, read from top to bottom"
+    )]
     fn start(name: &str, host: u8) -> Rig {
         let folder = std::env::temp_dir().join(format!("tansy-roll-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
--- a/programs/gateway/tests/platform/deploy.rs
+++ b/programs/gateway/tests/platform/deploy.rs
@@ -103,6 +103,10 @@
 }
 
 /// What is against the deploy terms at this process, which should listen at this port alone.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn against_terms(pid: u32, port: u16) -> Vec<String> {
     let proc = PathBuf::from(format!("/proc/{pid}"));
     let mut found = Vec::new();
--- a/programs/gateway/tests/platform/main.rs
+++ b/programs/gateway/tests/platform/main.rs
@@ -48,6 +48,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn what_is_not_the_pages_form_goes_to_no_worker() {
     let worker = plain();
     let front = Front::start(&Site::of(&[&worker]));
--- a/programs/gateway/tests/platform/settings.rs
+++ b/programs/gateway/tests/platform/settings.rs
@@ -19,6 +19,10 @@
         .collect()
 }
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn draw(rng: &mut fastrand::Rng, listen: &str, worker: &Peer) -> Drawn {
     let zones: Vec<String> = (0..rng.usize(0..4))
         .map(|_| format!("\"{}\"", name(rng)))
@@ -98,6 +102,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn a_few_calls_of_every_class_under_any_settings() {
     let mut rng = fastrand::Rng::with_seed(33);
     let mut served = 0;
--- a/programs/gateway/tests/platform/together.rs
+++ b/programs/gateway/tests/platform/together.rs
@@ -172,6 +172,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn some_end_some_are_killed_and_one_stands_still() {
     let workers: Vec<Worker> = (0..3).map(|_| Worker::start(serving(|_| None))).collect();
     let board = Board::start();
--- a/programs/scale/tests/run.rs
+++ b/programs/scale/tests/run.rs
@@ -83,6 +83,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn a_small_fleet_is_measured_and_no_process_is_left() {
     let a = "run --front-ends 12 --real 3 --seats 1 --seed 7 --seconds 5 --settle 2 --stay 4 --changes-hour 1440 --json";
     let (code, out, err, seen) = finish(start(a), BTreeSet::new());
@@ -213,6 +217,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn wrong_arguments_get_one_line() {
     let all = [
         (
--- a/simulation/src/fleet/mod.rs
+++ b/simulation/src/fleet/mod.rs
@@ -3,7 +3,7 @@
 //! What is audited is what each front end would act on at every moment, against the agreed log, with all clocks at rates of
 //! their own. The simulation knows the true time; no front end does.
 //!
-//! A run is one [`Simulation`]: an event queue, the processes, and the network between them. Its concerns are spread over the
+//! A run is one `Simulation`: an event queue, the processes, and the network between them. Its concerns are spread over the
 //! modules here: `lifecycle` (start, stop, pause), `node_step` (a node acts, and its commands are carried out), `operator`
 //! (changes that are asked for), `audit` (what is checked). Scopes and the measurements at scale add theirs in [`crate::scale`]
 //! and the crate's `scopes` module.
--- a/simulation/tests/scopes.rs
+++ b/simulation/tests/scopes.rs
@@ -116,6 +116,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn a_strict_change_of_what_a_dead_front_end_holds_waits_and_others_do_not() {
     let size = ScaleScenario {
         counted: 60 * SECOND,
--- a/standins/audit/src/auditor/mod.rs
+++ b/standins/audit/src/auditor/mod.rs
@@ -1,6 +1,6 @@
 //! Streams to calls and attempts, and the rules checked on them.
 //!
-//! [`Auditor`] reads entries one by one. Its parts: `streams` (frames to events of a call), `answers` (rule 1, what a client
+//! `Auditor` reads entries one by one. Its parts: `streams` (frames to events of a call), `answers` (rule 1, what a client
 //! gets), `attempts` (rules 0, 2 and 3, what a worker is sent), `cold_start` (rule 4) and `load_budget` (rule 5).
 
 mod answers;
--- a/tests/compatibility/src/entries.rs
+++ b/tests/compatibility/src/entries.rs
@@ -258,6 +258,10 @@
 }
 
 /// A rollout of a program that stands in its second stage, where a process ended and it was stopped and let on.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn rollout_of_program() -> Vec<LogEntry> {
     let (fence, id) = (1, 42);
     let beat = |seen| {
--- a/tests/compatibility/src/fleet.rs
+++ b/tests/compatibility/src/fleet.rs
@@ -69,6 +69,10 @@
 }
 
 /// A letter of each kind.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 pub fn bodies() -> Vec<MessageBody> {
     let m = Member {
         id: u64::MAX,
@@ -326,6 +330,10 @@
 }
 
 /// A request and a reply of each method beside the letters', with something in every field.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 pub fn requests() -> Vec<Encoded> {
     let state = || tansy_fleet_wire::state(&later());
     let settings = || tansy_fleet_wire::settings(&later().in_force);
--- a/tests/compatibility/src/run.rs
+++ b/tests/compatibility/src/run.rs
@@ -75,6 +75,10 @@
 }
 
 /// The steps of the run, as the present program decides.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 pub fn recorded() -> Vec<RecordedStep> {
     let mut front = front();
     let (mut steps, mut now) = (Vec::new(), 0);
@@ -146,6 +150,10 @@
     }
 }
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn inputs() -> Vec<Input> {
     let (call_id, attempt, order) = (CallId(7), 1, ControlRequestId(8));
     let shape = FunctionShape {
--- a/tests/compatibility/tests/text_wires.rs
+++ b/tests/compatibility/tests/text_wires.rs
@@ -112,6 +112,10 @@
 }
 
 /// The decision module's settings of `fixtures/platform.json`.
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn decided_by() -> tansyrouter::Settings {
     use tansyrouter::{Class, Effect, Group, LoadBudget, MissPolicy, Reports, Settings, Tenant};
     let class = |deadline, effect| Class {
--- a/tests/path/src/gate.rs
+++ b/tests/path/src/gate.rs
@@ -45,6 +45,10 @@
         Gate::run(settings, workers, Some((name.to_string(), listen, state)))
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one table or one history, read from top to bottom"
+    )]
     fn run(
         settings: &str,
         workers: &[(&str, SocketAddr)],
--- a/tests/path/tests/failures.rs
+++ b/tests/path/tests/failures.rs
@@ -155,6 +155,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn an_unsafe_call_is_sent_again_only_if_it_is_known_not_to_have_run() {
     let refused = unsafe_call(|wire, s| {
         wire.reset(s, 7);
--- a/tests/path/tests/scoped_fleet.rs
+++ b/tests/path/tests/scoped_fleet.rs
@@ -178,6 +178,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn the_first_call_of_a_function_is_served_once_the_seat_has_said_what_it_is() {
     let mut fleet = Fleet::start("first");
     fleet.set(&ONE_BY_ONE[..5], Some(&fields("unsafe", 64)));
@@ -261,6 +265,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn without_the_seat_what_is_held_is_served_and_a_first_call_is_refused_in_its_time() {
     let mut fleet = Fleet::start("gone");
     fleet.set(&ONE_BY_ONE, Some(&fields("unsafe", 64)));
@@ -363,6 +371,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn sigterm_while_a_call_waits_gives_it_one_answer_and_the_process_ends_in_peace() {
     let mut fleet = Fleet::start("term");
     fleet.set(&["a0"], Some(&fields("unsafe", 64)));
--- a/tests/path/tests/served.rs
+++ b/tests/path/tests/served.rs
@@ -28,6 +28,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn what_is_not_served_has_its_own_status_and_reaches_no_worker() {
     let (gate, workers) = start(1);
     run(async {
