--- a/decide/dispatch/src/lib.rs
+++ b/decide/dispatch/src/lib.rs
@@ -21,12 +21,12 @@
 //! use tansyrouter::{Class, Effect, Settings, Time, SECOND};
 //!
 //! let class = Class {
-//!     aim: SECOND,
-//!     aim_stretch: 0.0,
+//!     latency_objective: SECOND,
+//!     objective_per_work: 0.0,
 //!     deadline: 5 * SECOND,
 //!     effect: Effect::Safe,
-//!     worth: 1.0,
-//!     late_worth: 0.0,
+//!     priority_weight: 1.0,
+//!     late_weight: 0.0,
 //!     streamed: false,
 //! };
 //! let function = FunctionSpec {
