--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -265,6 +265,10 @@
         self.workers.iter().map(entry).collect()
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one table or one history, read from top to bottom"
+    )]
     fn tell(&mut self, fe: usize, event: Event) {
         let mut out = Vec::new();
         self.routers[fe].0.handle(self.now, event, &mut out);
@@ -448,6 +452,10 @@
         );
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one table or one history, read from top to bottom"
+    )]
     fn step(&mut self, ev: Ev) {
         match ev {
             Ev::Arrival => self.arrival(),
--- a/tests/odd_events.rs
+++ b/tests/odd_events.rs
@@ -25,6 +25,10 @@
 }
 
 impl Checker {
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one table or one history, read from top to bottom"
+    )]
     fn action(&mut self, now: Time, a: &Action) {
         match a {
             Action::Send {
@@ -165,6 +169,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn odd_legal_sequences_break_no_rule() {
     let mut rng = fastrand::Rng::with_seed(20_261_128);
     let (mut sends, mut answers) = (0, 0);
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -1086,6 +1086,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
 fn with_thousands_waiting_late_lost_and_repeated_calls_are_still_found_in_their_order() {
     // Calls with hints from light to heavy wait on one busy lane; some come back from a worker that is cut off.
     let mut set = settings_with(Effect::Safe);
