--- a/programs/fleet/tests/fleet.rs
+++ b/programs/fleet/tests/fleet.rs
@@ -4,11 +4,12 @@
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader};
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 use support::{ask, gateway};
+use tansy_test_support::address::ReservedAddress;
 
 const TEXT: &str = r#"
 classes: {
@@ -23,6 +24,7 @@
 struct Fleet {
     folder: PathBuf,
     addresses: Vec<SocketAddr>,
+    _reserved: Vec<ReservedAddress>,
     processes: Vec<Option<Child>>,
 }
 
@@ -31,15 +33,12 @@
         let folder =
             std::env::temp_dir().join(format!("tansy-fleet-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        // A name keeps its address; nothing else here connects from these.
+        // A name keeps its address.
         let pid = std::process::id();
-        let at = |n: usize| SocketAddr::from(([127, host, (pid % 250) as u8, 1 + n as u8], 0));
-        let free = |n| {
-            TcpListener::bind(at(n))
-                .and_then(|l| l.local_addr())
-                .expect("a port")
-        };
-        let addresses: Vec<SocketAddr> = (0..size).map(free).collect();
+        let host_of = |n: usize| [127, host, (pid % 250) as u8, 1 + n as u8];
+        let reserve = |n| ReservedAddress::on(host_of(n)).expect("a port");
+        let reserved: Vec<ReservedAddress> = (0..size).map(reserve).collect();
+        let addresses: Vec<SocketAddr> = reserved.iter().map(ReservedAddress::address).collect();
         let text = TEXT
             .replace("NAME", name)
             .replace("SEAT", &addresses[0].to_string());
@@ -47,6 +46,7 @@
         let mut fleet = Fleet {
             folder,
             addresses,
+            _reserved: reserved,
             processes: Vec::new(),
         };
         fleet.processes.resize_with(size, || None);
--- a/programs/fleet/tests/rollout.rs
+++ b/programs/fleet/tests/rollout.rs
@@ -6,12 +6,13 @@
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 use support::{ask, gateway};
 use tansy_fleet::processes::kept;
+use tansy_test_support::address::ReservedAddress;
 
 const TEXT: &str = r#"
 zones: ["a", "b", "c"]
@@ -29,29 +30,18 @@
 struct Rig {
     folder: PathBuf,
     peers: Vec<SocketAddr>,
+    _reserved: Vec<ReservedAddress>,
     supervisors: Vec<Option<Child>>,
 }
 
 impl Rig {
-    #[expect(
-        clippy::too_many_lines,
-        reason = "one table or one history, read from top to bottom"
-    )]
     fn start(name: &str, host: u8) -> Rig {
         let folder = std::env::temp_dir().join(format!("tansy-roll-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let at = |n: usize| {
-            SocketAddr::from((
-                [127, host, (std::process::id() % 250) as u8, 1 + n as u8],
-                0,
-            ))
-        };
-        let free = |n| {
-            TcpListener::bind(at(n))
-                .and_then(|l| l.local_addr())
-                .expect("a port")
-        };
-        let peers: Vec<SocketAddr> = (0..6).map(free).collect();
+        let host_of = |n: usize| [127, host, (std::process::id() % 250) as u8, 1 + n as u8];
+        let reserve = |n| ReservedAddress::on(host_of(n)).expect("a port");
+        let reserved: Vec<ReservedAddress> = (0..6).map(reserve).collect();
+        let peers: Vec<SocketAddr> = reserved.iter().map(ReservedAddress::address).collect();
         std::fs::copy(gateway(), folder.join("old")).expect("a copy");
         // The same program with a byte behind its end is another one by its digest.
         std::fs::copy(gateway(), folder.join("new")).expect("a copy");
@@ -64,6 +54,7 @@
         let mut rig = Rig {
             folder,
             peers,
+            _reserved: reserved,
             supervisors: vec![None, None, None],
         };
         for n in 0..3 {
--- a/programs/gateway/tests/platform/deploy.rs
+++ b/programs/gateway/tests/platform/deploy.rs
@@ -1,13 +1,14 @@
 //! What the deploy file promises of `run`, seen from outside on the program by itself: the process that `run` becomes,
 //! its linkage, children, descriptors, sockets, threads and files. A part that is off there and opens one fails this.
 
+use crate::process::reserve;
 use crate::stage::*;
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeSet;
 use std::fs;
-use std::net::TcpListener;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
+use tansy_test_support::address::ReservedAddress;
 
 /// A line of the deploy file, without its quotes.
 fn deployed(key: &str) -> String {
@@ -184,18 +185,12 @@
         .all(|t| stat(&t.path().join("stat")).is_none_or(|s| s.0 == "S"))
 }
 
-fn free_port() -> std::net::SocketAddr {
-    TcpListener::bind("127.0.0.1:0")
-        .expect("a port")
-        .local_addr()
-        .expect("its address")
-}
-
 #[test]
 fn run_becomes_one_process_with_one_listener_and_nothing_else() {
     let worker = Worker::start(serving(|_| None));
     let root = Root::new("run");
-    let port = free_port();
+    let reserved = reserve();
+    let port = reserved.address();
     let config = Site::of(&[&worker]).file(&port.to_string());
     let before = root.files();
     let running = root.shell(&deployed("run"), &config);
@@ -223,7 +218,8 @@
 fn what_is_against_the_terms_is_seen() {
     let root = Root::new("planted");
     let none = root.0.join("none");
-    let (grpc, http) = (free_port(), free_port());
+    let reserved = [reserve(), reserve()];
+    let [grpc, http] = reserved.each_ref().map(ReservedAddress::address);
     // Two listeners and a file open for its output, under a shell that does not become the program.
     let line = format!(
         "target/release/tansy-gateway --embedded --listen {grpc} --http {http} >tmp/out 2>&1; true"
--- a/programs/gateway/tests/platform/faults.rs
+++ b/programs/gateway/tests/platform/faults.rs
@@ -3,7 +3,7 @@
 
 use crate::departures::{comes_up, late};
 use crate::hand::{Hand, Peer, Source};
-use crate::process::{free, Program};
+use crate::process::{reserve, Program};
 use crate::stage::*;
 use rustix::process::Signal;
 use std::time::{Duration, Instant};
@@ -31,7 +31,8 @@
         let _ = wait.recv_timeout(Duration::from_secs(5));
         None
     }));
-    let address = free();
+    let reserved = reserve();
+    let address = reserved.address();
     // Most reads of the signals' descriptor are interrupted.
     let mut program = Program::spawn_under(&Site::of(&[&worker]), address, "read:EINTR:rate=0.7");
     program.serves();
@@ -165,7 +166,8 @@
         "read:EINTR:rate=0.5",
         "socket:EINTR:first=1",
     ] {
-        let address = free();
+        let reserved = reserve();
+        let address = reserved.address();
         let mut program = Program::spawn_under(&site, address, rules);
         program.serves();
         let mut client = Client::to(address);
@@ -194,7 +196,8 @@
 #[test]
 fn logs_that_nobody_reads_do_not_stop_service() {
     let worker = plain();
-    let address = free();
+    let reserved = reserve();
+    let address = reserved.address();
     let path = Site::of(&[&worker]).file(&address.to_string());
     let mut logs = None;
     let mut program = Program::spawn_with(path, address, |command| {
@@ -230,7 +233,8 @@
             coordinator: source.address,
             ..Site::of(&[&worker])
         };
-        let address = free();
+        let reserved = reserve();
+        let address = reserved.address();
         let (logs, write) = std::io::pipe().unwrap();
         let rules = format!("clock:STEP:{when}=0.3:by={by}");
         let mut program = Program::spawn_under_with(&site, address, &rules, |command| {
--- a/programs/gateway/tests/platform/main.rs
+++ b/programs/gateway/tests/platform/main.rs
@@ -16,7 +16,6 @@
 use rustix::process::{kill_process, Pid, Signal};
 use stage::*;
 use std::io::Write;
-use std::net::TcpListener;
 use std::process::{Command, Stdio};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -497,10 +496,8 @@
 #[test]
 fn sigterm_serves_through_the_window_and_ends_well() {
     let worker = Worker::start(serving(|_| None));
-    let port = TcpListener::bind("127.0.0.1:0")
-        .unwrap()
-        .local_addr()
-        .unwrap();
+    let reserved = process::reserve();
+    let port = reserved.address();
     let path = Site::of(&[&worker]).file(&port.to_string());
     let mut child = Command::new(env!("CARGO_BIN_EXE_tansy-gateway"))
         .arg("--platform")
@@ -584,10 +581,8 @@
 #[test]
 fn without_descriptors_accepting_rests_and_serving_goes_on() {
     let worker = plain();
-    let port = TcpListener::bind("127.0.0.1:0")
-        .unwrap()
-        .local_addr()
-        .unwrap();
+    let reserved = process::reserve();
+    let port = reserved.address();
     let path = Site::of(&[&worker]).file(&port.to_string());
     let mut child = Command::new("sh")
         .args([
--- a/programs/gateway/tests/platform/process.rs
+++ b/programs/gateway/tests/platform/process.rs
@@ -3,15 +3,18 @@
 
 use crate::stage::{until, Client, Site};
 use rustix::process::{getrlimit, kill_process, prlimit, Pid, Resource, Rlimit, Signal};
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Child, Command, ExitStatus, Stdio};
+use tansy_test_support::address::ReservedAddress;
 
 /// A front end's process; it ends with the value.
 pub struct Program {
     child: Child,
     pub address: SocketAddr,
     pub path: PathBuf,
+    /// Where the program chose its address itself.
+    _reserved: Option<ReservedAddress>,
 }
 
 impl Drop for Program {
@@ -22,19 +25,18 @@
     }
 }
 
-/// An address at which nobody listens.
-pub fn free() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0")
-        .unwrap()
-        .local_addr()
-        .unwrap()
+/// An address at which nobody listens, for a program of the test.
+pub fn reserve() -> ReservedAddress {
+    ReservedAddress::on([127, 0, 0, 1]).unwrap()
 }
 
 impl Program {
     /// Started, and it has answered that it is alive.
     pub fn start(site: &Site) -> Program {
-        let address = free();
-        let program = Program::spawn(site.file(&address.to_string()), address);
+        let reserved = reserve();
+        let address = reserved.address();
+        let mut program = Program::spawn(site.file(&address.to_string()), address);
+        program._reserved = Some(reserved);
         program.serves();
         program
     }
@@ -62,6 +64,7 @@
             child,
             address,
             path,
+            _reserved: None,
         }
     }
 
--- a/programs/gateway/tests/platform/shutdown.rs
+++ b/programs/gateway/tests/platform/shutdown.rs
@@ -1,6 +1,6 @@
 //! SIGTERM and SIGHUP against whatever else is under way: nothing taken is lost, and what is told meanwhile is obeyed.
 
-use crate::process::{free, Program};
+use crate::process::{reserve, Program};
 use crate::stage::*;
 use rustix::process::Signal;
 use std::io::Write;
@@ -96,7 +96,8 @@
     let worker = plain();
     for signal in [Signal::TERM, Signal::HUP] {
         let site = Site::of(&[&worker]);
-        let address = free();
+        let reserved = reserve();
+        let address = reserved.address();
         // It waits for its configuration until the test writes it.
         let path = site.file(&address.to_string());
         let text = std::fs::read(&path).unwrap();
--- a/programs/gateway/tests/platform/together.rs
+++ b/programs/gateway/tests/platform/together.rs
@@ -2,7 +2,7 @@
 //! told to end and starts again, one is killed, one stands still for a while, a worker drains. Judged from what clients
 //! got and what workers saw.
 
-use crate::process::{free, Program};
+use crate::process::{reserve, Program};
 use crate::stage::*;
 use rustix::process::Signal;
 use std::collections::{HashMap, HashSet};
@@ -12,6 +12,7 @@
 use std::sync::{Arc, Mutex, RwLock};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
+use tansy_test_support::address::ReservedAddress;
 
 const FRONT_ENDS: usize = 4;
 const CLIENTS_EACH: usize = 2;
@@ -188,7 +189,8 @@
         program.serves();
         program
     };
-    let addresses: Vec<SocketAddr> = (0..FRONT_ENDS).map(|_| free()).collect();
+    let reserved: Vec<ReservedAddress> = (0..FRONT_ENDS).map(|_| reserve()).collect();
+    let addresses: Vec<SocketAddr> = reserved.iter().map(ReservedAddress::address).collect();
     let mut programs: Vec<Option<Program>> = addresses.iter().map(|a| Some(start(*a))).collect();
     let place = |address: &SocketAddr| Place {
         address: *address,
--- a/tests/compatibility/tests/programs.rs
+++ b/tests/compatibility/tests/programs.rs
@@ -6,11 +6,12 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 use tansy_compatibility_tests::fixture;
+use tansy_test_support::address::ReservedAddress;
 
 const SETTINGS: &str = r#"
 classes: chat: {aim: 1s, deadline: 2s}
@@ -24,6 +25,7 @@
 struct FrontEnd {
     folder: PathBuf,
     peers: SocketAddr,
+    _reserved: ReservedAddress,
     http: SocketAddr,
     process: Child,
 }
@@ -34,10 +36,9 @@
         let folder =
             PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("programs-{pid}-{name}"));
         std::fs::create_dir_all(&folder).expect("a folder");
-        // The address is of this process alone, so that the port stays free between here and the front end's start.
         let host = [127, 77, (pid % 250) as u8, 1 + (pid / 250 % 250) as u8];
-        let free = TcpListener::bind(SocketAddr::from((host, 0))).and_then(|l| l.local_addr());
-        let peers = free.expect("a port");
+        let reserved = ReservedAddress::on(host).expect("a port");
+        let peers = reserved.address();
         let settings = folder.join("settings.cue");
         let text = SETTINGS.replace("SEAT", &peers.to_string());
         std::fs::write(&settings, text).expect("room on the disk");
@@ -66,6 +67,7 @@
         let front_end = FrontEnd {
             folder,
             peers,
+            _reserved: reserved,
             http,
             process,
         };
--- a/tests/path/tests/scoped_fleet.rs
+++ b/tests/path/tests/scoped_fleet.rs
@@ -2,7 +2,7 @@
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc;
@@ -14,6 +14,7 @@
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_fleet_wire::{of_scoped, scope_request};
 use tansy_path_tests::{pb, request, run, until, Gate, Workers, SETTINGS};
+use tansy_test_support::address::ReservedAddress;
 use tonic::{Code, Status};
 
 /// Functions of the worker beside `echo`, which the settings name.
@@ -22,17 +23,12 @@
 /// What the front end answers a first call in, at the longest.
 const FIRST: Duration = Duration::from_millis(490);
 
-fn free() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0")
-        .and_then(|l| l.local_addr())
-        .expect("a port")
-}
-
 /// A seat, a front end, a worker.
 struct Fleet {
     folder: PathBuf,
     settings: String,
     seat_at: SocketAddr,
+    _reserved: ReservedAddress,
     workers: Workers,
     seat: Gate,
     front: Gate,
@@ -45,7 +41,9 @@
         let folder =
             std::env::temp_dir().join(format!("tansy-scoped-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let (seat_at, functions) = (free(), [&["echo"], &ONE_BY_ONE[..]].concat());
+        let reserved = ReservedAddress::on([127, 0, 0, 1]).expect("a port");
+        let seat_at = reserved.address();
+        let functions = [&["echo"], &ONE_BY_ONE[..]].concat();
         let workers = Workers::with_functions(1, &functions);
         let lines = SETTINGS
             .lines()
@@ -63,6 +61,7 @@
             folder,
             settings,
             seat_at,
+            _reserved: reserved,
             workers,
             seat,
             front,
--- /dev/null
+++ b/tests/support/src/lib.rs
@@ -0,0 +1,17 @@
+//! What tests and test programs with real sockets share.
+//!
+//! - [`address`]: addresses that are known before the program that listens there starts.
+//!
+//! It is not for product code, and decides nothing that a test judges.
+//!
+//! ```
+//! use tansy_test_support::address::ReservedAddress;
+//!
+//! let reserved = ReservedAddress::on([127, 0, 0, 1])?;
+//! // A program that is started now can be told this address, and nobody else is given it.
+//! let listener = std::net::TcpListener::bind(reserved.address())?;
+//! assert_eq!(listener.local_addr()?, reserved.address());
+//! # Ok::<(), std::io::Error>(())
+//! ```
+
+pub mod address;
