--- a/tests/support/src/lib.rs
+++ b/tests/support/src/lib.rs
@@ -1,6 +1,7 @@
 //! What tests and test programs with real sockets share.
 //!
 //! - [`address`]: addresses that are known before the program that listens there starts.
+//! - [`process`]: programs that say where they serve, and end with the test.
 //!
 //! It is not for product code, and decides nothing that a test judges.
 //!
@@ -15,3 +16,4 @@
 //! ```
 
 pub mod address;
+pub mod process;
