--- a/benches/state/src/letters.rs
+++ b/benches/state/src/letters.rs
@@ -172,7 +172,7 @@
             id: 1,
             incarnation: 1,
             voters: [(1, me().address)].into(),
-            terms: LeaseTiming {
+            timing: LeaseTiming {
                 span: 600_000,
                 drift_ppm: 1000,
             },
--- a/benches/state/src/scopes.rs
+++ b/benches/state/src/scopes.rs
@@ -457,7 +457,7 @@
     let hear = |register: &mut SessionTable, letter: &SubscribeRequest| match register
         .on_subscribe(letter)
     {
-        SubscribeOutcome::Taken => Ok(()),
+        SubscribeOutcome::Accepted => Ok(()),
         other => Err(Wrong::run("a letter", format!("{other:?}"))),
     };
     for from in &members {
--- a/benches/state/src/steer.rs
+++ b/benches/state/src/steer.rs
@@ -36,7 +36,7 @@
     let place = |n: usize| Target {
         name: format!("front-{n:05}"),
         zone: format!("zone-{}", n % ZONES),
-        seat: n + SEATS >= front_ends,
+        is_voter: n + SEATS >= front_ends,
     };
     let to = |share: f64| (share * front_ends as f64).ceil() as usize;
     let mut stages = Vec::new();
@@ -85,7 +85,7 @@
         let one = |p: Target| Answering {
             name: p.name,
             zone: p.zone,
-            seat: p.seat,
+            seat: p.is_voter,
             new: false,
             ready: true,
             since: -3600 * SECOND,
@@ -220,8 +220,8 @@
     let mut entries = Vec::new();
     // What is usual is learnt before the first one is let go: a look that compares every slice.
     let mut fronts = Vec::new();
-    let slice = roll.plan.slice as Time * SECOND;
-    while now < roll.plan.least as Time * SECOND {
+    let slice = roll.plan.sample_seconds as Time * SECOND;
+    while now < roll.plan.min_stage_seconds as Time * SECOND {
         let answers = fleet.answers(now);
         let (all, took) = timed(|| taken(&answers));
         take.add(took);
@@ -232,7 +232,7 @@
             slices.add(took);
         }
         if let Some(entry) = entry {
-            let let_go = matches!(entry, RolloutEntry::Let { .. });
+            let let_go = matches!(entry, RolloutEntry::Release { .. });
             roll.apply(entry)
                 .map_err(|e| Wrong::run("a step of the roll", e))?;
             if let_go {
@@ -244,21 +244,21 @@
     line.figure("memory_mb", grown.mb());
     line.figure("peak_mb", grown.peak_mb());
     // Looks between: half of the last stage is changed, the others are let go one by one.
-    now = roll.plan.least as Time * SECOND + slice;
+    now = roll.plan.min_stage_seconds as Time * SECOND + slice;
     let half: Vec<String> = roll.plan.up_to(0).map(|p| p.name.clone()).collect();
     for name in half.iter().take(half.len() / 2) {
-        let (at, fence) = (roll.at, roll.fence);
-        if !roll.moving.contains(name) {
-            let go = RolloutEntry::Let {
-                at,
+        let (at, fence) = (roll.revision, roll.fence);
+        if !roll.released.contains(name) {
+            let go = RolloutEntry::Release {
+                revision: at,
                 fence,
                 name: name.clone(),
             };
             roll.apply(go)
                 .map_err(|e| Wrong::run("a step of the roll", e))?;
         }
-        let moved = RolloutEntry::Moved {
-            at: roll.at,
+        let moved = RolloutEntry::MarkReady {
+            revision: roll.revision,
             fence,
             name: name.clone(),
         };
@@ -269,7 +269,7 @@
     fleet.pass(now);
     fronts
         .iter_mut()
-        .filter(|f| roll.moved.contains(&f.report.name))
+        .filter(|f| roll.changed.contains(&f.report.name))
         .for_each(|f| f.report.new = true);
     // The look that a slice begins with is one of the others.
     let _ = steer.poll(now, &roll, &fronts);
@@ -323,10 +323,10 @@
     let mut fleet = Fleet::new(front_ends, 1, seed);
     let mut steer = RolloutController::new("steerer".into());
     let (mut now, mut played) = (0, Played::default());
-    let slice = roll.plan.slice as Time * SECOND;
+    let slice = roll.plan.sample_seconds as Time * SECOND;
     let mut fronts = taken(&fleet.answers(0));
     let mut fresh = 0;
-    while !roll.over() && now < GIVEN_UP {
+    while !roll.has_ended() && now < GIVEN_UP {
         fleet.pass(now);
         if now >= fresh {
             // Counts matter where slices are compared; between them it matters who answers, and of which side it is.
@@ -344,21 +344,21 @@
         if let Some(entry) = steer.poll(now, &roll, &fronts) {
             played.bytes += roll_entry(&entry, None).encode_to_vec().len() as u64;
             match &entry {
-                RolloutEntry::Beat { .. } => played.beats += 1,
-                RolloutEntry::Let { name, .. } => {
+                RolloutEntry::Heartbeat { .. } => played.beats += 1,
+                RolloutEntry::Release { name, .. } => {
                     played.moved.0 += 1;
                     fleet.let_go(name, now);
                 }
-                RolloutEntry::Moved { .. } => played.moved.1 += 1,
+                RolloutEntry::MarkReady { .. } => played.moved.1 += 1,
                 _ => {}
             }
-            played.steps += u64::from(!matches!(entry, RolloutEntry::Beat { .. }));
+            played.steps += u64::from(!matches!(entry, RolloutEntry::Heartbeat { .. }));
             roll.apply(entry)?;
         }
-        played.away = played.away.max(roll.moving.len());
+        played.away = played.away.max(roll.released.len());
         now += ASK;
     }
-    (played.took, played.done) = (now, roll.phase == tansy_rollout::RolloutPhase::Done);
+    (played.took, played.done) = (now, roll.phase == tansy_rollout::RolloutPhase::Completed);
     Ok((played, roll))
 }
 
@@ -375,12 +375,12 @@
     if !played.done {
         return Err(Wrong::run(
             "the roll",
-            format!("it is not done: {}", roll.why),
+            format!("it is not done: {}", roll.reason),
         ));
     }
     line.count("refused", 0);
     line.count("zones", ZONES);
-    line.count("at_once", roll.plan.at_once);
+    line.count("at_once", roll.plan.max_unavailable);
     line.figure("restart_s", RESTART as f64 / 1e6);
     line.figure("roll_s", played.took as f64 / 1e6);
     line.count("steps", played.steps as usize);
--- a/benches/state/src/terms.rs
+++ b/benches/state/src/terms.rs
@@ -53,7 +53,7 @@
     fn terms(&mut self, rules: &EffectiveRules) -> Result<EffectiveConfig, Wrong> {
         let config = self.config(&rules.fields)?;
         let mut contested = ConflictingScopes {
-            unknown_names: rules.unlisted,
+            unknown_names: rules.unknown_names,
             retry_after: SECOND / 2,
             ..ConflictingScopes::default()
         };
--- a/decide/agreement/src/log/apply.rs
+++ b/decide/agreement/src/log/apply.rs
@@ -144,9 +144,9 @@
             (
                 RolloutEntry::Begin {
                     id,
-                    what: change,
+                    change,
                     plan,
-                    why: reason,
+                    reason,
                 },
                 rollout,
             ) => {
@@ -165,9 +165,12 @@
     /// to run or which version is announced.
     fn on_rollout_changed(&mut self) {
         let Some(rollout) = &self.rollout else { return };
-        let (over, done) = (rollout.over(), rollout.phase == RolloutPhase::Done);
-        let (id, reason) = (rollout.id, rollout.why.clone());
-        if let (RolloutChange::Program { label, path }, true) = (&rollout.what, done) {
+        let (over, done) = (
+            rollout.has_ended(),
+            rollout.phase == RolloutPhase::Completed,
+        );
+        let (id, reason) = (rollout.id, rollout.reason.clone());
+        if let (RolloutChange::Program { label, path }, true) = (&rollout.change, done) {
             self.program = Some((label.clone(), path.clone()));
         }
         let canary = self.canary_of(rollout);
@@ -184,7 +187,7 @@
     /// The settings that a rollout in progress tries, and the members that it has moved to them; none: no member yet.
     fn canary_of(&self, rollout: &Rollout) -> Option<Box<Canary>> {
         let fields = self.canary_fields.as_ref()?;
-        if rollout.what != RolloutChange::Settings || rollout.over() {
+        if rollout.change != RolloutChange::Settings || rollout.has_ended() {
             return None;
         }
         let targets = rollout.plan.stages.iter().flatten();
--- a/decide/agreement/src/log/mod.rs
+++ b/decide/agreement/src/log/mod.rs
@@ -183,9 +183,9 @@
 
     /// Whether a rollout of settings is in progress.
     fn canary_in_progress(&self) -> bool {
-        self.rollout
-            .as_ref()
-            .is_some_and(|rollout| !rollout.over() && rollout.what == RolloutChange::Settings)
+        self.rollout.as_ref().is_some_and(|rollout| {
+            !rollout.has_ended() && rollout.change == RolloutChange::Settings
+        })
     }
 
     /// The replacement of a voter, if it is by this one and in this phase.
--- a/decide/agreement/src/log/validate.rs
+++ b/decide/agreement/src/log/validate.rs
@@ -181,25 +181,28 @@
         entry: &RolloutEntry,
         fields: Option<&Fields>,
     ) -> Result<(), EntryRejection> {
-        let RolloutEntry::Begin { id, what, plan, .. } = entry else {
+        let RolloutEntry::Begin {
+            id, change, plan, ..
+        } = entry
+        else {
             return match &self.rollout {
-                Some(rollout) => rollout.judge(entry).map_err(EntryRejection::Rollout),
-                None => Err(EntryRejection::Rollout(RolloutRejection::Over)),
+                Some(rollout) => rollout.check(entry).map_err(EntryRejection::Rollout),
+                None => Err(EntryRejection::Rollout(RolloutRejection::Ended)),
             };
         };
         match &self.rollout {
             Some(rollout) if rollout.id == *id => {
-                return Err(EntryRejection::Rollout(RolloutRejection::Same))
+                return Err(EntryRejection::Rollout(RolloutRejection::AlreadyBegun))
             }
-            Some(rollout) if !rollout.over() => {
+            Some(rollout) if !rollout.has_ended() => {
                 return Err(EntryRejection::Rollout(RolloutRejection::Busy))
             }
             _ => {}
         }
-        if let Some(mistake) = plan.wrong() {
+        if let Some(mistake) = plan.fault() {
             return Err(EntryRejection::Rollout(RolloutRejection::Plan(mistake)));
         }
-        if *what != RolloutChange::Settings {
+        if *change != RolloutChange::Settings {
             return Ok(());
         }
         self.check_canary(fields)
--- a/decide/agreement/src/session/table.rs
+++ b/decide/agreement/src/session/table.rs
@@ -48,13 +48,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubscribeOutcome {
     /// Its sender is not on the roster.
-    Stranger,
+    UnknownMember,
     /// The sender first has to declare all of its subscriptions, in this epoch.
-    Untold(ResyncEpoch),
+    ResyncRequired(ResyncEpoch),
     /// A later request was accepted before, or this one exceeds the limits.
-    Late,
+    Stale,
     /// It is recorded.
-    Taken,
+    Accepted,
 }
 
 /// The leader's side of sessions: what is known of the members of the roster.
@@ -201,32 +201,32 @@
             .map(|entry| entry.epoch)
     }
 
-    /// Records what a member declares of its subscriptions. Only after [`SubscribeOutcome::Taken`] may the reply contain
+    /// Records what a member declares of its subscriptions. Only after [`SubscribeOutcome::Accepted`] may the reply contain
     /// scopes.
     pub fn on_subscribe(&mut self, request: &SubscribeRequest) -> SubscribeOutcome {
         let Some(entry) = self.entries.get_mut(&request.from) else {
-            return SubscribeOutcome::Stranger;
+            return SubscribeOutcome::UnknownMember;
         };
         // True whatever becomes of the rest.
         entry.revision = entry.revision.max(request.revision);
         if request.epoch != entry.epoch {
-            return SubscribeOutcome::Untold(entry.epoch);
+            return SubscribeOutcome::ResyncRequired(entry.epoch);
         }
         if request.seq <= entry.last_seq {
-            return SubscribeOutcome::Late;
+            return SubscribeOutcome::Stale;
         }
         let undeclared = entry.subscriptions == Subscriptions::Unknown;
         if undeclared && request.full_list.is_none() {
-            return SubscribeOutcome::Untold(entry.epoch);
+            return SubscribeOutcome::ResyncRequired(entry.epoch);
         }
         entry.last_seq = request.seq;
         if let Some(scopes) = &request.full_list {
             self.replace_subscriptions(request.from, scopes);
         }
         if !self.update_subscriptions(request) {
-            return SubscribeOutcome::Late;
+            return SubscribeOutcome::Stale;
         }
-        SubscribeOutcome::Taken
+        SubscribeOutcome::Accepted
     }
 
     /// Replaces all subscriptions of a member by these.
--- a/decide/agreement/tests/scopes/main.rs
+++ b/decide/agreement/tests/scopes/main.rs
@@ -122,8 +122,8 @@
         scopes,
     };
     match table.on_subscribe(request) {
-        SubscribeOutcome::Untold(epoch) => Some(reply(epoch, None, Vec::new())),
-        SubscribeOutcome::Taken => {
+        SubscribeOutcome::ResyncRequired(epoch) => Some(reply(epoch, None, Vec::new())),
+        SubscribeOutcome::Accepted => {
             let scopes = request
                 .scopes
                 .iter()
@@ -131,6 +131,6 @@
                 .collect();
             Some(reply(request.epoch, Some(request.seq), scopes))
         }
-        SubscribeOutcome::Late | SubscribeOutcome::Stranger => None,
+        SubscribeOutcome::Stale | SubscribeOutcome::UnknownMember => None,
     }
 }
--- a/decide/agreement/tests/scopes/subscriptions.rs
+++ b/decide/agreement/tests/scopes/subscriptions.rs
@@ -228,17 +228,17 @@
             from: member(7),
             ..request.clone()
         }),
-        SubscribeOutcome::Stranger
+        SubscribeOutcome::UnknownMember
     );
-    assert_eq!(table.on_subscribe(request), SubscribeOutcome::Taken);
-    assert_eq!(table.on_subscribe(&old), SubscribeOutcome::Late);
+    assert_eq!(table.on_subscribe(request), SubscribeOutcome::Accepted);
+    assert_eq!(table.on_subscribe(&old), SubscribeOutcome::Stale);
     assert_eq!(
         table.on_subscribe(&SubscribeRequest {
             epoch: Default::default(),
             seq: 99,
             ..old
         }),
-        SubscribeOutcome::Untold(request.epoch)
+        SubscribeOutcome::ResyncRequired(request.epoch)
     );
     assert_eq!(
         table
--- a/decide/agreement/tests/settings/log.rs
+++ b/decide/agreement/tests/settings/log.rs
@@ -134,7 +134,7 @@
     let target = Target {
         name: "f0".into(),
         zone: "a".into(),
-        seat: false,
+        is_voter: false,
     };
     let plan = RolloutPlan {
         stages: vec![vec![target]],
@@ -143,9 +143,9 @@
     let begin = |id, plan: &RolloutPlan| {
         let entry = RolloutEntry::Begin {
             id,
-            what: RolloutChange::Settings,
+            change: RolloutChange::Settings,
             plan: plan.clone(),
-            why: String::new(),
+            reason: String::new(),
         };
         LogEntry::Rollout {
             entry: Box::new(entry),
@@ -155,7 +155,7 @@
     let abort = LogEntry::Rollout {
         entry: Box::new(RolloutEntry::Abort {
             id: 1,
-            why: String::new(),
+            reason: String::new(),
         }),
         fields: None,
     };
--- a/decide/canary/src/analysis.rs
+++ b/decide/canary/src/analysis.rs
@@ -17,13 +17,13 @@
     /// The probability with which a change without effect may be called worse, at all looks of one analysis together.
     pub error: f64,
     /// The least loss of service that matters, as a share of the calls' value.
-    pub least: f64,
+    pub relevant_loss: f64,
     /// A loss up to this much may stay hidden for the new side to be fine.
-    pub accept: f64,
+    pub tolerated_loss: f64,
     /// Seconds during which a fresh front end is left out.
     pub warm_up: f64,
     /// A slice in which the old side lost this much more than before the change is one of trouble that both sides share.
-    pub trouble: f64,
+    pub shared_fault: f64,
     /// Megabytes that a front end may use.
     pub memory: f64,
     /// Seconds over which growing memory is extrapolated.
@@ -34,10 +34,10 @@
     fn default() -> AnalysisParameters {
         AnalysisParameters {
             error: 0.01,
-            least: 0.01,
-            accept: 0.03,
+            relevant_loss: 0.01,
+            tolerated_loss: 0.03,
             warm_up: 10.0,
-            trouble: 0.1,
+            shared_fault: 0.1,
             memory: 1024.0,
             horizon: 3600.0,
         }
@@ -155,8 +155,8 @@
         self.check_guards(reports);
         self.check_memory(reports);
         self.compare(&deltas);
-        if let Some(why) = self.memory_leak(reports) {
-            self.stop(why);
+        if let Some(reason) = self.memory_leak(reports) {
+            self.stop(reason);
         }
     }
 
@@ -191,8 +191,8 @@
     }
 
     /// Fails the new side for a reason that needs no statistics. The first reason stands.
-    pub fn stop(&mut self, why: String) {
-        self.failure.get_or_insert(why);
+    pub fn stop(&mut self, reason: String) {
+        self.failure.get_or_insert(reason);
     }
 
     /// What a front end counted since its last sample, if it has the same process and that was warm by then. That the process of
--- a/decide/canary/src/comparison.rs
+++ b/decide/canary/src/comparison.rs
@@ -63,7 +63,7 @@
         };
         self.usual_loss
             .zip(loss(0).or(loss(1)))
-            .is_some_and(|(usual, now)| now - usual >= self.parameters.trouble)
+            .is_some_and(|(usual, now)| now - usual >= self.parameters.shared_fault)
     }
 
     /// The calls of a slice by zone and class.
--- a/decide/canary/src/lib.rs
+++ b/decide/canary/src/lib.rs
@@ -16,9 +16,9 @@
 //! use tansy_canary::{AnalysisParameters, CanaryAnalysis, Verdict};
 //!
 //! let mut analysis = CanaryAnalysis::new(AnalysisParameters::default(), ["f0".to_string()]);
-//! assert!(matches!(analysis.verdict(), Verdict::Open { .. }));
+//! assert!(matches!(analysis.verdict(), Verdict::Inconclusive { .. }));
 //! analysis.on_crash_loop("f0", "signal 6");
-//! assert!(matches!(analysis.verdict(), Verdict::Worse { .. }));
+//! assert!(matches!(analysis.verdict(), Verdict::Fail { .. }));
 //! ```
 
 mod analysis;
--- a/decide/canary/src/verdict.rs
+++ b/decide/canary/src/verdict.rs
@@ -10,7 +10,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Measurement {
     /// The metric: `service`, `service class NAME`, `service zone NAME`, `slow`, `refused`, `spill`.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub metric: String,
     /// The share that the old side lost over all slices.
     pub old: f64,
     /// The share that the new side lost over all slices.
@@ -18,7 +19,8 @@
     /// The loss: new less old, less what there was before the change.
     pub loss: f64,
     /// Half of the width of the loss' interval.
-    pub half: f64,
+    #[serde(rename = "half")]
+    pub half_width: f64,
     /// The loss since the moment at which it most likely began.
     #[serde(rename = "lately")]
     pub recent_loss: f64,
@@ -31,21 +33,26 @@
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
     /// It does worse.
-    Worse {
+    #[serde(rename = "worse")]
+    Fail {
         /// The reason, in words.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// A loss that matters would have been seen.
-    Fine,
+    #[serde(rename = "fine")]
+    Pass,
     /// Not known yet.
-    Open {
+    #[serde(rename = "open")]
+    Inconclusive {
         /// What it would take, in words.
         needs: String,
         /// About how many slices like those so far it takes; `None` if that can't be said.
         slices: Option<usize>,
     },
-    /// Both sides are in trouble, which is blamed on neither.
-    Held {
+    /// Both sides have the same fault, which is attributed to neither.
+    #[serde(rename = "held")]
+    SharedFault {
         /// For how many slices in a row.
         slices: usize,
     },
@@ -55,19 +62,19 @@
     /// The verdict on all samples so far.
     pub fn verdict(&self) -> Verdict {
         let failure = self.failure.clone().or_else(|| self.significant_loss());
-        if let Some(why) = failure {
-            return Verdict::Worse { why };
+        if let Some(reason) = failure {
+            return Verdict::Fail { reason };
         }
         if self.troubled_slices > 0 {
-            return Verdict::Held {
+            return Verdict::SharedFault {
                 slices: self.troubled_slices,
             };
         }
         match self.evidence.get(&Metric::Service) {
             Some(evidence) => self.service_verdict(evidence),
             // Once all front ends are changed there is nothing to compare with.
-            None if self.new.len() >= self.last.len() && !self.last.is_empty() => Verdict::Fine,
-            None => Verdict::Open {
+            None if self.new.len() >= self.last.len() && !self.last.is_empty() => Verdict::Pass,
+            None => Verdict::Inconclusive {
                 needs: "calls of one class in one zone at both sides".into(),
                 slices: None,
             },
@@ -98,15 +105,16 @@
         let error = self.error_per_metric();
         let estimate = evidence
             .test
-            .estimate(&evidence.prior, parameters.least, error);
+            .estimate(&evidence.prior, parameters.relevant_loss, error);
         let hidden = estimate.mean + estimate.half_width;
-        if hidden <= parameters.accept {
-            return Verdict::Fine;
+        if hidden <= parameters.tolerated_loss {
+            return Verdict::Pass;
         }
-        let room = parameters.accept - estimate.mean.max(0.0);
-        let slices = evidence
-            .test
-            .slices_needed(&evidence.prior, parameters.least, error, room);
+        let room = parameters.tolerated_loss - estimate.mean.max(0.0);
+        let slices =
+            evidence
+                .test
+                .slices_needed(&evidence.prior, parameters.relevant_loss, error, room);
         let remedy = match slices {
             Some(count) => format!("about {count} slices more like these"),
             None => "more calls a slice, or more front ends in the stage".into(),
@@ -114,21 +122,21 @@
         let needs = format!(
             "a loss of up to {:.1} points may be hidden, {:.1} are accepted: {remedy}",
             hidden * 100.0,
-            parameters.accept * 100.0
+            parameters.tolerated_loss * 100.0
         );
-        Verdict::Open { needs, slices }
+        Verdict::Inconclusive { needs, slices }
     }
 
     /// All metrics as they stand.
     pub fn measurements(&self) -> Vec<Measurement> {
         let measurement =
             |(metric, estimate, evidence): (&Metric, Estimate, &MetricEvidence)| Measurement {
-                what: metric.name(),
+                metric: metric.name(),
                 old: evidence.totals.old_lost / evidence.totals.old_cases.max(1.0),
                 new: evidence.totals.new_lost / evidence.totals.new_cases.max(1.0),
                 loss: estimate.mean,
                 // A share can't be lost more than once.
-                half: estimate.half_width.min(1.0),
+                half_width: estimate.half_width.min(1.0),
                 recent_loss: estimate.recent_mean,
                 slices: estimate.slices,
             };
@@ -143,17 +151,18 @@
     /// The least loss that matters. A part of the service has to lose more than the whole.
     fn least_loss(&self, metric: &Metric) -> f64 {
         match metric {
-            Metric::Class(_) | Metric::Zone(_) => 2.0 * self.parameters.least,
-            _ => self.parameters.least,
+            Metric::Class(_) | Metric::Zone(_) => 2.0 * self.parameters.relevant_loss,
+            _ => self.parameters.relevant_loss,
         }
     }
 
     fn estimates(&self) -> impl Iterator<Item = (&Metric, Estimate, &MetricEvidence)> {
         let error = self.error_per_metric();
         self.evidence.iter().map(move |(metric, evidence)| {
-            let estimate = evidence
-                .test
-                .estimate(&evidence.prior, self.parameters.least, error);
+            let estimate =
+                evidence
+                    .test
+                    .estimate(&evidence.prior, self.parameters.relevant_loss, error);
             (metric, estimate, evidence)
         })
     }
--- a/decide/consensus/src/config.rs
+++ b/decide/consensus/src/config.rs
@@ -28,7 +28,7 @@
     /// the log while it replaces a voter, and does not vote until then.
     pub voters: BTreeMap<u64, SocketAddr>,
     /// Span and clock drift of leases.
-    pub terms: LeaseTiming,
+    pub timing: LeaseTiming,
     /// The fields of the first version of a fleet that starts for the first time.
     pub initial_fields: Fields,
     /// Seed of its random choices.
--- a/decide/consensus/src/lib.rs
+++ b/decide/consensus/src/lib.rs
@@ -22,7 +22,7 @@
 //!     id: 1,
 //!     incarnation: 1,
 //!     voters: [(1, ([127, 0, 0, 1], 7000).into())].into(),
-//!     terms: LeaseTiming { span: 600_000, drift_ppm: 1000 },
+//!     timing: LeaseTiming { span: 600_000, drift_ppm: 1000 },
 //!     initial_fields: Fields::new(),
 //!     seed: 1,
 //! };
--- a/decide/consensus/src/replica.rs
+++ b/decide/consensus/src/replica.rs
@@ -69,7 +69,7 @@
             applied,
             applied_term,
             next_tick: now,
-            lease: LeaderLease::new(config.terms, now),
+            lease: LeaderLease::new(config.timing, now),
             pending_writes: VecDeque::new(),
             unsynced_snapshots: VecDeque::new(),
             record_count: saved.records.len() as u64,
--- a/decide/consensus/src/replica/tests.rs
+++ b/decide/consensus/src/replica/tests.rs
@@ -22,7 +22,7 @@
         id: 1,
         incarnation: 1,
         voters: [(1, address)].into(),
-        terms: LeaseTiming {
+        timing: LeaseTiming {
             span: 600_000,
             drift_ppm: 1000,
         },
--- a/decide/consensus/tests/replica/cluster.rs
+++ b/decide/consensus/tests/replica/cluster.rs
@@ -99,7 +99,7 @@
             voters: (1..=self.voter_count as u64)
                 .map(|n| (n, address(n)))
                 .collect(),
-            terms: LeaseTiming {
+            timing: LeaseTiming {
                 span: SECOND * 6 / 10,
                 drift_ppm: 1000,
             },
--- a/decide/dispatch/tests/lookup_counters.rs
+++ b/decide/dispatch/tests/lookup_counters.rs
@@ -189,7 +189,7 @@
     }
     (
         judge.verdict(),
-        judge.measurements().into_iter().map(|m| m.what).collect(),
+        judge.measurements().into_iter().map(|m| m.metric).collect(),
     )
 }
 
@@ -197,12 +197,12 @@
 fn a_rollout_that_breaks_first_calls_is_recognized() {
     let (verdict, measured) = compare_rollout(true, true);
     assert!(
-        matches!(&verdict, Verdict::Worse { why } if why.contains(PENDING_LOOKUP)),
+        matches!(&verdict, Verdict::Fail { reason: why } if why.contains(PENDING_LOOKUP)),
         "{verdict:?} {measured:?}"
     );
     let (verdict, _) = compare_rollout(false, true);
-    assert_eq!(verdict, Verdict::Fine, "one that breaks nothing");
+    assert_eq!(verdict, Verdict::Pass, "one that breaks nothing");
     // Without these counts nothing shows: the calls were never of a class.
     let (verdict, _) = compare_rollout(true, false);
-    assert_eq!(verdict, Verdict::Fine);
+    assert_eq!(verdict, Verdict::Pass);
 }
--- a/decide/fleet-node/src/change_controller/scopes.rs
+++ b/decide/fleet-node/src/change_controller/scopes.rs
@@ -83,15 +83,15 @@
         let log = self.replica.log()?;
         let revision = log.state().revision;
         match self.sessions.as_mut()?.on_subscribe(request) {
-            SubscribeOutcome::Stranger | SubscribeOutcome::Late => None,
-            SubscribeOutcome::Untold(epoch) => Some(SubscribeReply {
+            SubscribeOutcome::UnknownMember | SubscribeOutcome::Stale => None,
+            SubscribeOutcome::ResyncRequired(epoch) => Some(SubscribeReply {
                 to: member,
                 epoch,
                 seq: None,
                 revision,
                 scopes: Vec::new(),
             }),
-            SubscribeOutcome::Taken => Some(SubscribeReply {
+            SubscribeOutcome::Accepted => Some(SubscribeReply {
                 to: member,
                 epoch: request.epoch,
                 seq: Some(request.seq),
--- a/decide/fleet-node/src/command.rs
+++ b/decide/fleet-node/src/command.rs
@@ -56,26 +56,26 @@
     /// alone are not reported.
     RevisionChanged {
         /// The revision.
-        step: Revision,
+        revision: Revision,
         /// The version in force there.
-        force: u64,
+        in_force: u64,
         /// The version that is being introduced, if any.
         next: Option<u64>,
     },
     /// The lease expired, or there is one again.
     Lease {
         /// Whether there is one.
-        live: bool,
+        is_live: bool,
     },
     /// The session expired, or there is one again.
     Session {
         /// Whether there is one.
-        live: bool,
+        is_live: bool,
     },
     /// This voter started or stopped leading the fleet.
     Leadership {
         /// Whether it leads.
-        live: bool,
+        is_live: bool,
     },
     /// A datagram of the membership protocol was rejected.
     DatagramRejected(RejectedDatagram),
--- a/decide/fleet-node/src/fleet_node.rs
+++ b/decide/fleet-node/src/fleet_node.rs
@@ -345,8 +345,8 @@
         let mut is_strict = false;
         if let Some(state) = self.lease_node.known_state() {
             commands.push(Command::Notify(FleetEvent::RevisionChanged {
-                step: state.revision,
-                force: state.in_force.version.0,
+                revision: state.revision,
+                in_force: state.in_force.version.0,
                 next: state.next.as_ref().map(|(next, _)| next.version.0),
             }));
             is_strict = self.has_strict_change(state);
@@ -362,10 +362,12 @@
         let has_lease = active.lease > 0;
         let has_session = active.session > 0;
         if has_lease != self.notified.has_lease {
-            commands.push(Command::Notify(FleetEvent::Lease { live: has_lease }));
+            commands.push(Command::Notify(FleetEvent::Lease { is_live: has_lease }));
         }
         if has_session != self.notified.has_session {
-            commands.push(Command::Notify(FleetEvent::Session { live: has_session }));
+            commands.push(Command::Notify(FleetEvent::Session {
+                is_live: has_session,
+            }));
         }
         if has_lease && has_session {
             self.active_since.get_or_insert(now);
@@ -384,7 +386,7 @@
         id: config.node.id,
         incarnation: config.node.incarnation,
         voters: config.voters.iter().copied().collect(),
-        terms: config.lease,
+        timing: config.lease,
         initial_fields: recovered.initial_fields,
         seed: config.seed,
     };
--- a/decide/fleet-node/src/fleet_node/leadership.rs
+++ b/decide/fleet-node/src/fleet_node/leadership.rs
@@ -71,7 +71,7 @@
             LeaseNode::leader(self.config.lease, member, topology, state, expiry, now);
         self.next_session_request = now;
         self.subscriptions.on_new_leader(now);
-        commands.push(Command::Notify(FleetEvent::Leadership { live: true }));
+        commands.push(Command::Notify(FleetEvent::Leadership { is_live: true }));
     }
 
     fn extend_leadership(
@@ -101,6 +101,6 @@
             Some(state) => LeaseNode::with_state(self.config.lease, member, topology, state, now),
             None => LeaseNode::new(self.config.lease, member, topology, now),
         };
-        commands.push(Command::Notify(FleetEvent::Leadership { live: false }));
+        commands.push(Command::Notify(FleetEvent::Leadership { is_live: false }));
     }
 }
--- a/decide/rollout/src/apply.rs
+++ b/decide/rollout/src/apply.rs
@@ -11,33 +11,33 @@
 impl Rollout {
     /// Applies an entry, or rejects it and changes nothing.
     pub fn apply(&mut self, entry: RolloutEntry) -> Result<(), RolloutRejection> {
-        self.judge(&entry)?;
-        if !matches!(entry, RolloutEntry::Beat { .. }) {
-            self.at += 1;
+        self.check(&entry)?;
+        if !matches!(entry, RolloutEntry::Heartbeat { .. }) {
+            self.revision += 1;
         }
         match entry {
             RolloutEntry::Begin {
                 id,
-                what,
+                change,
                 plan,
-                why,
-            } => *self = Rollout::begin(id, what, plan, why)?,
+                reason,
+            } => *self = Rollout::begin(id, change, plan, reason)?,
             RolloutEntry::TakeControl { fence, controller } => self.take_control(fence, controller),
-            RolloutEntry::Beat { observation, .. } => self.record_heartbeat(observation),
-            RolloutEntry::Let { name, .. } => {
-                self.moved.remove(&name);
-                self.moving.insert(name);
+            RolloutEntry::Heartbeat { observation, .. } => self.record_heartbeat(observation),
+            RolloutEntry::Release { name, .. } => {
+                self.changed.remove(&name);
+                self.released.insert(name);
             }
-            RolloutEntry::Moved { name, .. } => self.complete_move(name),
+            RolloutEntry::MarkReady { name, .. } => self.complete_move(name),
             RolloutEntry::BeginAnalysis { .. } => self.begin_analysis(),
-            RolloutEntry::Pass { why, .. } => self.pass_stage(why),
-            RolloutEntry::Worse { why, .. } => self.roll_back(why),
-            RolloutEntry::Abort { why, .. } => self.roll_back(format!("by hand: {why}")),
+            RolloutEntry::Pass { reason, .. } => self.pass_stage(reason),
+            RolloutEntry::Fail { reason, .. } => self.roll_back(reason),
+            RolloutEntry::Abort { reason, .. } => self.roll_back(format!("by hand: {reason}")),
             RolloutEntry::Crashed(crash) => self.record_crash(crash),
-            RolloutEntry::Pause { why, .. } => {
-                self.record(format!("paused: {why}"));
+            RolloutEntry::Pause { reason, .. } => {
+                self.record(format!("paused: {reason}"));
                 self.paused = true;
-                self.why = why;
+                self.reason = reason;
             }
             RolloutEntry::Resume { .. } => {
                 self.record("goes on".into());
@@ -50,9 +50,9 @@
     fn take_control(&mut self, fence: u64, controller: String) {
         self.record(format!("{controller} steers"));
         self.fence = fence;
-        self.steerer = controller;
+        self.controller = controller;
         // The former controller's samples of the stage are lost: the analysis begins anew, with its own part of the error.
-        if self.phase == RolloutPhase::Judging {
+        if self.phase == RolloutPhase::Analysing {
             self.analyses = self.analyses.saturating_add(1);
         }
     }
@@ -60,37 +60,37 @@
     fn record_heartbeat(&mut self, observation: Option<Box<StageObservation>>) {
         self.heartbeat += 1;
         if let Some(observation) = observation {
-            self.seen
+            self.observations
                 .retain(|earlier| earlier.stage < observation.stage);
-            self.seen.push(*observation);
+            self.observations.push(*observation);
         }
     }
 
     fn complete_move(&mut self, name: String) {
-        self.moving.remove(&name);
-        if self.phase != RolloutPhase::Back {
-            self.moved.insert(name);
-        } else if self.moving.is_empty() && self.moved.is_empty() {
-            self.phase = RolloutPhase::Stopped;
+        self.released.remove(&name);
+        if self.phase != RolloutPhase::RollingBack {
+            self.changed.insert(name);
+        } else if self.released.is_empty() && self.changed.is_empty() {
+            self.phase = RolloutPhase::RolledBack;
             self.record("all are as they were".into());
         }
     }
 
     fn begin_analysis(&mut self) {
-        self.phase = RolloutPhase::Judging;
+        self.phase = RolloutPhase::Analysing;
         self.analyses = self.analyses.saturating_add(1);
         self.record(format!("stage {} stands", self.stage + 1));
     }
 
-    fn pass_stage(&mut self, why: String) {
-        self.record(format!("stage {} passed: {why}", self.stage + 1));
-        self.why = why;
+    fn pass_stage(&mut self, reason: String) {
+        self.record(format!("stage {} passed: {reason}", self.stage + 1));
+        self.reason = reason;
         self.crashes.clear();
         if self.stage + 1 < self.plan.stages.len() {
             self.stage += 1;
-            self.phase = RolloutPhase::Moving;
+            self.phase = RolloutPhase::Changing;
         } else {
-            self.phase = RolloutPhase::Done;
+            self.phase = RolloutPhase::Completed;
         }
     }
 
@@ -103,16 +103,16 @@
     }
 
     /// Changes back all that changed or may have.
-    fn roll_back(&mut self, why: String) {
-        self.record(format!("goes back: {why}"));
-        self.why = why;
+    fn roll_back(&mut self, reason: String) {
+        self.record(format!("goes back: {reason}"));
+        self.reason = reason;
         // A released front end may be on either side: it is released again, to be brought back.
-        let moving = std::mem::take(&mut self.moving);
-        self.moved.extend(moving);
-        self.phase = if self.moved.is_empty() {
-            RolloutPhase::Stopped
+        let moving = std::mem::take(&mut self.released);
+        self.changed.extend(moving);
+        self.phase = if self.changed.is_empty() {
+            RolloutPhase::RolledBack
         } else {
-            RolloutPhase::Back
+            RolloutPhase::RollingBack
         };
         self.paused = false;
     }
--- a/decide/rollout/src/controller.rs
+++ b/decide/rollout/src/controller.rs
@@ -89,23 +89,23 @@
         rollout: &Rollout,
         front_ends: &[FrontEndObservation],
     ) -> Option<RolloutEntry> {
-        if rollout.over() {
+        if rollout.has_ended() {
             *self = RolloutController::new(std::mem::take(&mut self.name));
             return None;
         }
         self.watch_heartbeat(now, rollout);
-        if rollout.steerer != self.name || self.fence != Some(rollout.fence) {
+        if rollout.controller != self.name || self.fence != Some(rollout.fence) {
             return self.try_take_control(now, rollout);
         }
         self.observe(now, rollout, front_ends);
         let entry = match rollout.phase {
-            RolloutPhase::Moving | RolloutPhase::Back => {
+            RolloutPhase::Changing | RolloutPhase::RollingBack => {
                 self.move_front_ends(now, rollout, front_ends)
             }
-            RolloutPhase::Judging => self.conclude(now, rollout),
-            RolloutPhase::Done | RolloutPhase::Stopped => None,
+            RolloutPhase::Analysing => self.conclude(now, rollout),
+            RolloutPhase::Completed | RolloutPhase::RolledBack => None,
         };
-        if entry.is_some() && (self.unsent.is_none() || rollout.phase != RolloutPhase::Judging) {
+        if entry.is_some() && (self.unsent.is_none() || rollout.phase != RolloutPhase::Analysing) {
             return entry;
         }
         // The log is to have what a verdict rests on before the verdict itself.
@@ -154,7 +154,7 @@
 
     fn heartbeat(&mut self, now: Time, rollout: &Rollout) -> RolloutEntry {
         self.next_heartbeat = now + HEARTBEAT_INTERVAL;
-        RolloutEntry::Beat {
+        RolloutEntry::Heartbeat {
             fence: rollout.fence,
             observation: self.unsent.take().map(Box::new),
         }
@@ -162,7 +162,7 @@
 
     /// Gives the analysis what is new: the stage, crashes, and a sample of the front ends if one is due.
     fn observe(&mut self, now: Time, rollout: &Rollout, front_ends: &[FrontEndObservation]) {
-        let analysing = rollout.phase == RolloutPhase::Judging;
+        let analysing = rollout.phase == RolloutPhase::Analysing;
         let number = u64::from(rollout.analyses);
         let running = self
             .analysis
@@ -182,7 +182,7 @@
         if now < self.next_sample {
             return;
         }
-        self.next_sample = now + rollout.plan.slice as Time * SECOND;
+        self.next_sample = now + rollout.plan.sample_seconds as Time * SECOND;
         let reports: Vec<FrontEndReport> = front_ends
             .iter()
             .map(|front_end| front_end.report.clone())
@@ -217,40 +217,53 @@
         if let Some(entry) = self.check_released(now, &fleet) {
             return Some(entry);
         }
-        let at = rollout.at;
+        let revision = rollout.revision;
         let fence = rollout.fence;
         if let Some(name) = fleet.next_to_release() {
-            let allowed = rollout.phase == RolloutPhase::Back || self.has_baseline(now, rollout);
+            let allowed =
+                rollout.phase == RolloutPhase::RollingBack || self.has_baseline(now, rollout);
             let name = name.to_string();
-            return allowed.then_some(RolloutEntry::Let { at, fence, name });
+            return allowed.then_some(RolloutEntry::Release {
+                revision,
+                fence,
+                name,
+            });
         }
-        let complete = rollout.phase == RolloutPhase::Moving && rollout.stage_is_complete();
-        (complete && !rollout.paused).then_some(RolloutEntry::BeginAnalysis { at, fence })
+        let complete = rollout.phase == RolloutPhase::Changing && rollout.stage_is_complete();
+        (complete && !rollout.paused).then_some(RolloutEntry::BeginAnalysis { revision, fence })
     }
 
     /// The first released front end that is back, or is not back in time.
     fn check_released(&mut self, now: Time, fleet: &FleetView<'_>) -> Option<RolloutEntry> {
         let rollout = fleet.rollout;
-        let at = rollout.at;
+        let revision = rollout.revision;
         let fence = rollout.fence;
-        let forward = rollout.phase != RolloutPhase::Back;
+        let forward = rollout.phase != RolloutPhase::RollingBack;
         self.released
-            .retain(|name, _| rollout.moving.contains(name));
-        for name in &rollout.moving {
+            .retain(|name, _| rollout.released.contains(name));
+        for name in &rollout.released {
             let since = *self.released.entry(name.clone()).or_insert(now);
             let arrived = fleet
                 .front_end(name)
                 .is_some_and(|front_end| front_end.ready && front_end.report.new == forward);
             if arrived {
                 let name = name.clone();
-                return Some(RolloutEntry::Moved { at, fence, name });
+                return Some(RolloutEntry::MarkReady {
+                    revision,
+                    fence,
+                    name,
+                });
             }
-            if forward && now - since >= rollout.plan.ready as Time * SECOND {
-                let why = format!(
+            if forward && now - since >= rollout.plan.ready_timeout_seconds as Time * SECOND {
+                let reason = format!(
                     "{name} was not ready {} s after it was let go",
-                    rollout.plan.ready
+                    rollout.plan.ready_timeout_seconds
                 );
-                return Some(RolloutEntry::Worse { at, fence, why });
+                return Some(RolloutEntry::Fail {
+                    revision,
+                    fence,
+                    reason,
+                });
             }
         }
         None
@@ -258,60 +271,79 @@
 
     /// Whether the fleet was sampled for long enough before the first front end is changed.
     fn has_baseline(&mut self, now: Time, rollout: &Rollout) -> bool {
-        let unchanged = rollout.moved.is_empty() && rollout.moving.is_empty() && rollout.stage == 0;
+        let unchanged =
+            rollout.changed.is_empty() && rollout.released.is_empty() && rollout.stage == 0;
         let since = *self.baseline_since.get_or_insert(now);
-        !unchanged || now - since >= rollout.plan.least as Time * SECOND
+        !unchanged || now - since >= rollout.plan.min_stage_seconds as Time * SECOND
     }
 
     /// While a stage is analysed: the entry that ends the analysis, once there is a reason for one.
     fn conclude(&self, now: Time, rollout: &Rollout) -> Option<RolloutEntry> {
-        let at = rollout.at;
+        let revision = rollout.revision;
         let fence = rollout.fence;
         let since = self.analysis_start.map_or(now, |start| start.since);
         let elapsed = (now - since) / SECOND;
         let verdict = self.analysis.as_ref()?.analysis.verdict();
-        if let Verdict::Worse { why } = verdict {
-            return Some(RolloutEntry::Worse { at, fence, why });
+        if let Verdict::Fail { reason } = verdict {
+            return Some(RolloutEntry::Fail {
+                revision,
+                fence,
+                reason,
+            });
         }
-        if let Some(why) = self.value_lost.excess(rollout.plan.spend) {
-            return Some(RolloutEntry::Worse { at, fence, why });
+        if let Some(reason) = self.value_lost.excess(rollout.plan.max_value_lost) {
+            return Some(RolloutEntry::Fail {
+                revision,
+                fence,
+                reason,
+            });
         }
-        if rollout.paused || elapsed < rollout.plan.least as Time {
+        if rollout.paused || elapsed < rollout.plan.min_stage_seconds as Time {
             return None;
         }
-        let expired = elapsed >= rollout.plan.longest as Time;
+        let expired = elapsed >= rollout.plan.max_stage_seconds as Time;
         match verdict {
-            Verdict::Fine => Some(RolloutEntry::Pass {
-                at,
+            Verdict::Pass => Some(RolloutEntry::Pass {
+                revision,
                 fence,
-                why: "no worse than its siblings".into(),
+                reason: "no worse than its siblings".into(),
             }),
-            Verdict::Held { slices } if expired => Some(RolloutEntry::Worse {
-                at,
+            Verdict::SharedFault { slices } if expired => Some(RolloutEntry::Fail {
+                revision,
                 fence,
-                why: format!(
+                reason: format!(
                     "both sides were in trouble for {slices} slices: nobody can tell whose it is"
                 ),
             }),
-            Verdict::Open { needs, .. } if expired => {
-                let why = format!("no verdict after {elapsed} s: {needs}");
-                Some(end_inconclusive(rollout, why))
+            Verdict::Inconclusive { needs, .. } if expired => {
+                let reason = format!("no verdict after {elapsed} s: {needs}");
+                Some(end_inconclusive(rollout, reason))
+            }
+            Verdict::Fail { .. } | Verdict::Inconclusive { .. } | Verdict::SharedFault { .. } => {
+                None
             }
-            Verdict::Worse { .. } | Verdict::Open { .. } | Verdict::Held { .. } => None,
         }
     }
 }
 
 /// The entry that the plan's policy asks for at the end of a stage without a verdict.
-fn end_inconclusive(rollout: &Rollout, why: String) -> RolloutEntry {
-    let at = rollout.at;
+fn end_inconclusive(rollout: &Rollout, reason: String) -> RolloutEntry {
+    let revision = rollout.revision;
     let fence = rollout.fence;
-    match rollout.plan.undecided {
+    match rollout.plan.inconclusive {
         InconclusivePolicy::Hold => RolloutEntry::Pause {
             id: rollout.id,
-            why,
+            reason,
+        },
+        InconclusivePolicy::RollBack => RolloutEntry::Fail {
+            revision,
+            fence,
+            reason,
+        },
+        InconclusivePolicy::Pass => RolloutEntry::Pass {
+            revision,
+            fence,
+            reason,
         },
-        InconclusivePolicy::RollBack => RolloutEntry::Worse { at, fence, why },
-        InconclusivePolicy::Pass => RolloutEntry::Pass { at, fence, why },
     }
 }
--- a/decide/rollout/src/controller/analysis.rs
+++ b/decide/rollout/src/controller/analysis.rs
@@ -69,10 +69,10 @@
     let plan = &rollout.plan;
     AnalysisParameters {
         error: error_share(rollout),
-        least: plan.matters,
-        accept: plan.accept,
-        warm_up: plan.warm_up as f64,
-        memory: plan.memory as f64,
+        relevant_loss: plan.relevant_loss,
+        tolerated_loss: plan.tolerated_loss,
+        warm_up: plan.warm_up_seconds as f64,
+        memory: plan.memory_limit_mb as f64,
         ..AnalysisParameters::default()
     }
 }
@@ -81,7 +81,8 @@
 /// the whole however many analyses are begun.
 fn error_share(rollout: &Rollout) -> f64 {
     let number = f64::from(rollout.analyses.max(1));
-    rollout.plan.error * 6.0 / (std::f64::consts::PI * std::f64::consts::PI * number * number)
+    rollout.plan.error_probability * 6.0
+        / (std::f64::consts::PI * std::f64::consts::PI * number * number)
 }
 
 impl ValueLost {
@@ -97,8 +98,8 @@
         };
         let share = measurements
             .iter()
-            .find(|measurement| measurement.what == "service")
-            .map_or(0.0, |service| (service.loss - service.half).max(0.0));
+            .find(|measurement| measurement.metric == "service")
+            .map_or(0.0, |service| (service.loss - service.half_width).max(0.0));
         ValueLost {
             lost: share * wanted(true),
             total: wanted(false),
--- a/decide/rollout/src/controller/availability.rs
+++ b/decide/rollout/src/controller/availability.rs
@@ -26,7 +26,7 @@
     pub(super) fn next_to_release(&self) -> Option<&'a str> {
         let rollout = self.rollout;
         let candidates: Vec<&str> = match rollout.phase {
-            RolloutPhase::Back => rollout.moved.iter().map(String::as_str).collect(),
+            RolloutPhase::RollingBack => rollout.changed.iter().map(String::as_str).collect(),
             _ => rollout
                 .plan
                 .up_to(rollout.stage)
@@ -44,16 +44,16 @@
         let Some(target) = rollout.plan.target(name) else {
             return false;
         };
-        if rollout.what == RolloutChange::Settings || !self.is_ready(name) {
+        if rollout.change == RolloutChange::Settings || !self.is_ready(name) {
             return true;
         }
         let released = rollout
-            .moving
+            .released
             .iter()
             .filter_map(|name| rollout.plan.target(name))
             .filter(|other| other.zone == target.zone)
             .count();
-        released + self.down_in_zone(target) < rollout.plan.at_once
+        released + self.down_in_zone(target) < rollout.plan.max_unavailable
     }
 
     /// Other front ends of the target's zone that are down without having been released.
@@ -61,7 +61,7 @@
         let is_down = |other: &&Target| {
             other.zone == target.zone
                 && other.name != target.name
-                && !self.rollout.moving.contains(&other.name)
+                && !self.rollout.released.contains(&other.name)
                 && !self.is_ready(&other.name)
         };
         self.rollout.plan.targets().filter(is_down).count()
--- a/decide/rollout/src/entry.rs
+++ b/decide/rollout/src/entry.rs
@@ -34,7 +34,7 @@
     pub verdict: Option<Verdict>,
 }
 
-/// One agreed change of a rollout's state. `at` is the revision that the entry was made for, `fence` that of its controller.
+/// One agreed change of a rollout's state. `revision` is the one that the entry was made for, `fence` that of its controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RolloutEntry {
     /// A rollout begins.
@@ -42,11 +42,13 @@
         /// Chosen by the operator: a repeated request with the same id is the same rollout.
         id: u64,
         /// What changes.
-        what: RolloutChange,
+        #[serde(rename = "what")]
+        change: RolloutChange,
         /// How it is to proceed.
         plan: RolloutPlan,
         /// The operator's reason.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// A controller takes over.
     #[serde(rename = "Steer")]
@@ -58,7 +60,8 @@
         controller: String,
     },
     /// The controller is alive.
-    Beat {
+    #[serde(rename = "Beat")]
+    Heartbeat {
         /// The controller's fence.
         fence: u64,
         /// What it observes, if that has changed since its last heartbeat.
@@ -66,48 +69,58 @@
         observation: Option<Box<StageObservation>>,
     },
     /// This front end is released: it may be changed now, and be unavailable while that lasts.
-    Let {
+    #[serde(rename = "Let")]
+    Release {
         /// The revision.
-        at: u64,
+        #[serde(rename = "at")]
+        revision: u64,
         /// The controller's fence.
         fence: u64,
         /// The front end.
         name: String,
     },
     /// The front end is ready on the side where it should be.
-    Moved {
+    #[serde(rename = "Moved")]
+    MarkReady {
         /// The revision.
-        at: u64,
+        #[serde(rename = "at")]
+        revision: u64,
         /// The controller's fence.
         fence: u64,
         /// The front end.
         name: String,
     },
-    /// All front ends of the stage have moved: its analysis begins.
+    /// All front ends of the stage are changed: its analysis begins.
     #[serde(rename = "Judge")]
     BeginAnalysis {
         /// The revision.
-        at: u64,
+        #[serde(rename = "at")]
+        revision: u64,
         /// The controller's fence.
         fence: u64,
     },
     /// The stage has passed.
     Pass {
         /// The revision.
-        at: u64,
+        #[serde(rename = "at")]
+        revision: u64,
         /// The controller's fence.
         fence: u64,
         /// The reason, in words.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// The new side does worse: the change is rolled back.
-    Worse {
+    #[serde(rename = "Worse")]
+    Fail {
         /// The revision.
-        at: u64,
+        #[serde(rename = "at")]
+        revision: u64,
         /// The controller's fence.
         fence: u64,
         /// The reason, in words.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// A process crashed, as reported by its supervisor.
     #[serde(rename = "Fell")]
@@ -117,7 +130,8 @@
         /// The rollout.
         id: u64,
         /// The reason, in words.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// Ends a pause.
     Resume {
@@ -129,7 +143,8 @@
         /// The rollout.
         id: u64,
         /// The reason, in words.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
 }
 
@@ -141,20 +156,20 @@
     Busy,
     /// A rollout of this id was begun before.
     #[error("this roll was begun before")]
-    Same,
+    AlreadyBegun,
     /// The plan is invalid.
     #[error("the plan: {0}")]
     Plan(String),
     /// There is no such rollout, or it has ended.
     #[error("no such roll goes on")]
-    Over,
+    Ended,
     /// The entry was made for an older revision.
     #[error("the roll is past that step")]
-    Past,
+    StaleRevision,
     /// Another controller has taken over.
     #[error("another steers the roll by now")]
     Fenced,
     /// The present phase doesn't allow it: too many front ends are unavailable, or this one is where it should be.
     #[error("not at this step of the roll")]
-    NotNow,
+    NotAllowed,
 }
--- a/decide/rollout/src/lib.rs
+++ b/decide/rollout/src/lib.rs
@@ -13,13 +13,13 @@
 //! ```
 //! use tansy_rollout::{Rollout, RolloutChange, RolloutEntry, RolloutPhase, RolloutPlan, Target};
 //!
-//! let target = Target { name: "f0".into(), zone: "a".into(), seat: false };
+//! let target = Target { name: "f0".into(), zone: "a".into(), is_voter: false };
 //! let plan = RolloutPlan { stages: vec![vec![target]], ..RolloutPlan::default() };
 //! let mut rollout = Rollout::begin(1, RolloutChange::Settings, plan, "an example".into())?;
 //! rollout.apply(RolloutEntry::TakeControl { fence: 1, controller: "c".into() })?;
-//! rollout.apply(RolloutEntry::Let { at: 2, fence: 1, name: "f0".into() })?;
+//! rollout.apply(RolloutEntry::Release { revision: 2, fence: 1, name: "f0".into() })?;
 //! assert!(rollout.new_side("f0"));
-//! assert_eq!(rollout.phase, RolloutPhase::Moving);
+//! assert_eq!(rollout.phase, RolloutPhase::Changing);
 //! # Ok::<(), tansy_rollout::RolloutRejection>(())
 //! ```
 
--- a/decide/rollout/src/plan.rs
+++ b/decide/rollout/src/plan.rs
@@ -14,7 +14,8 @@
     /// Its zone.
     pub zone: String,
     /// Whether it is a voter of the agreed log.
-    pub seat: bool,
+    #[serde(rename = "seat")]
+    pub is_voter: bool,
 }
 
 /// What happens to a stage that has neither passed nor failed at the end of its longest time.
@@ -36,54 +37,66 @@
     /// The stages, each with the front ends that it adds.
     pub stages: Vec<Vec<Target>>,
     /// Front ends of one zone that may be unavailable at the same time.
-    pub at_once: usize,
+    #[serde(rename = "at_once")]
+    pub max_unavailable: usize,
     /// Seconds that a stage lasts at least.
-    pub least: u64,
+    #[serde(rename = "least")]
+    pub min_stage_seconds: u64,
     /// Seconds that a stage lasts at most.
-    pub longest: u64,
+    #[serde(rename = "longest")]
+    pub max_stage_seconds: u64,
     /// Seconds within which a released front end has to be back and ready.
-    pub ready: u64,
+    #[serde(rename = "ready")]
+    pub ready_timeout_seconds: u64,
     /// Seconds between two samples that are compared.
-    pub slice: u64,
+    #[serde(rename = "slice")]
+    pub sample_seconds: u64,
     /// Share of the value of all calls that may be lost to the change before it is rolled back regardless of the evidence.
-    pub spend: f64,
+    #[serde(rename = "spend")]
+    pub max_value_lost: f64,
     /// See `tansy_canary::AnalysisParameters::error`.
-    pub error: f64,
-    /// See `tansy_canary::AnalysisParameters::least`.
-    pub matters: f64,
-    /// See `tansy_canary::AnalysisParameters::accept`.
-    pub accept: f64,
+    #[serde(rename = "error")]
+    pub error_probability: f64,
+    /// See `tansy_canary::AnalysisParameters::relevant_loss`.
+    #[serde(rename = "matters")]
+    pub relevant_loss: f64,
+    /// See `tansy_canary::AnalysisParameters::tolerated_loss`.
+    #[serde(rename = "accept")]
+    pub tolerated_loss: f64,
     /// See `tansy_canary::AnalysisParameters::warm_up`.
-    pub warm_up: u64,
+    #[serde(rename = "warm_up")]
+    pub warm_up_seconds: u64,
     /// Megabytes that a front end may use.
-    pub memory: u64,
+    #[serde(rename = "memory")]
+    pub memory_limit_mb: u64,
     /// What happens to a stage without a verdict.
-    pub undecided: InconclusivePolicy,
+    #[serde(rename = "undecided")]
+    pub inconclusive: InconclusivePolicy,
 }
 
 impl Default for RolloutPlan {
     fn default() -> RolloutPlan {
         RolloutPlan {
             stages: Vec::new(),
-            at_once: 1,
-            least: 60,
-            longest: 1800,
-            ready: 60,
-            slice: 5,
-            spend: 0.01,
-            error: 0.01,
-            matters: 0.01,
-            accept: 0.03,
-            warm_up: 10,
-            memory: 1024,
-            undecided: InconclusivePolicy::Hold,
+            max_unavailable: 1,
+            min_stage_seconds: 60,
+            max_stage_seconds: 1800,
+            ready_timeout_seconds: 60,
+            sample_seconds: 5,
+            max_value_lost: 0.01,
+            error_probability: 0.01,
+            relevant_loss: 0.01,
+            tolerated_loss: 0.03,
+            warm_up_seconds: 10,
+            memory_limit_mb: 1024,
+            inconclusive: InconclusivePolicy::Hold,
         }
     }
 }
 
 impl RolloutPlan {
     /// The first fault of the plan, in words for the operator; `None` if the plan is valid.
-    pub fn wrong(&self) -> Option<String> {
+    pub fn fault(&self) -> Option<String> {
         self.stages_fault().or_else(|| self.limits_fault())
     }
 
@@ -106,12 +119,20 @@
 
     fn limits_fault(&self) -> Option<String> {
         let is_share = |value: f64| value > 0.0 && value < 1.0;
-        let shares = [self.spend, self.error, self.matters, self.accept];
-        if self.at_once == 0 {
+        let shares = [
+            self.max_value_lost,
+            self.error_probability,
+            self.relevant_loss,
+            self.tolerated_loss,
+        ];
+        if self.max_unavailable == 0 {
             Some(
                 "at_once is 0: want 1 or more front ends of a zone that may be away at once".into(),
             )
-        } else if self.slice == 0 || self.longest < self.least || self.ready == 0 {
+        } else if self.sample_seconds == 0
+            || self.max_stage_seconds < self.min_stage_seconds
+            || self.ready_timeout_seconds == 0
+        {
             Some(
                 "times: want a slice and a ready of 1 s or more, and a longest of no less than the least"
                     .into(),
--- a/decide/rollout/src/state.rs
+++ b/decide/rollout/src/state.rs
@@ -10,15 +10,20 @@
 #[serde(rename_all = "snake_case")]
 pub enum RolloutPhase {
     /// The stage's front ends are being changed.
-    Moving,
-    /// All front ends of the stage have moved, and the stage is analysed.
-    Judging,
+    #[serde(rename = "moving")]
+    Changing,
+    /// All front ends of the stage are changed, and the stage is analysed.
+    #[serde(rename = "judging")]
+    Analysing,
     /// All that changed are being changed back.
-    Back,
+    #[serde(rename = "back")]
+    RollingBack,
     /// Ended: all are changed.
-    Done,
+    #[serde(rename = "done")]
+    Completed,
     /// Ended: all are as they were.
-    Stopped,
+    #[serde(rename = "stopped")]
+    RolledBack,
 }
 
 /// A rollout, as far as it is agreed on.
@@ -27,9 +32,11 @@
     /// Chosen by the operator.
     pub id: u64,
     /// The revision: increases with each entry but heartbeats.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub revision: u64,
     /// What changes.
-    pub what: RolloutChange,
+    #[serde(rename = "what")]
+    pub change: RolloutChange,
     /// How it is to proceed.
     pub plan: RolloutPlan,
     /// The present phase.
@@ -41,14 +48,17 @@
     /// The controller's fence; 0 before there was any controller.
     pub fence: u64,
     /// The controller's name.
-    pub steerer: String,
+    #[serde(rename = "steerer")]
+    pub controller: String,
     /// Increases with each heartbeat of the controller.
     #[serde(rename = "beat")]
     pub heartbeat: u64,
     /// Front ends that are released: they may be unavailable.
-    pub moving: BTreeSet<String>,
+    #[serde(rename = "moving")]
+    pub released: BTreeSet<String>,
     /// Front ends that are changed and not released to be changed back.
-    pub moved: BTreeSet<String>,
+    #[serde(rename = "moved")]
+    pub changed: BTreeSet<String>,
     /// Analyses that were begun; each may use a part of the plan's probability of error.
     #[serde(rename = "judged")]
     pub analyses: u32,
@@ -56,60 +66,65 @@
     #[serde(rename = "fallen")]
     pub crashes: Vec<Crash>,
     /// The reason for the present state.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// What happened, in words, the latest last.
     pub steps: Vec<String>,
     /// The last observation of each stage.
-    pub seen: Vec<StageObservation>,
+    #[serde(rename = "seen")]
+    pub observations: Vec<StageObservation>,
 }
 
 impl Rollout {
     /// A rollout at its first revision, without a controller.
     pub fn begin(
         id: u64,
-        what: RolloutChange,
+        change: RolloutChange,
         plan: RolloutPlan,
-        why: String,
+        reason: String,
     ) -> Result<Rollout, RolloutRejection> {
-        if let Some(fault) = plan.wrong() {
+        if let Some(fault) = plan.fault() {
             return Err(RolloutRejection::Plan(fault));
         }
-        let steps = vec![format!("begun: {why}")];
+        let steps = vec![format!("begun: {reason}")];
         Ok(Rollout {
             id,
-            at: 1,
-            what,
+            revision: 1,
+            change,
             plan,
-            phase: RolloutPhase::Moving,
+            phase: RolloutPhase::Changing,
             stage: 0,
             paused: false,
             fence: 0,
-            steerer: String::new(),
+            controller: String::new(),
             heartbeat: 0,
-            moving: BTreeSet::new(),
-            moved: BTreeSet::new(),
+            released: BTreeSet::new(),
+            changed: BTreeSet::new(),
             analyses: 0,
             crashes: Vec::new(),
-            why,
+            reason,
             steps,
-            seen: Vec::new(),
+            observations: Vec::new(),
         })
     }
 
     /// Whether it has ended.
-    pub fn over(&self) -> bool {
-        matches!(self.phase, RolloutPhase::Done | RolloutPhase::Stopped)
+    pub fn has_ended(&self) -> bool {
+        matches!(
+            self.phase,
+            RolloutPhase::Completed | RolloutPhase::RolledBack
+        )
     }
 
     /// Whether this front end is to be on the new side.
     pub fn new_side(&self, name: &str) -> bool {
         match self.phase {
-            RolloutPhase::Done => true,
-            RolloutPhase::Stopped => false,
-            // One that is released to be changed back is no longer in `moved`.
-            RolloutPhase::Back => self.moved.contains(name),
-            RolloutPhase::Moving | RolloutPhase::Judging => {
-                self.moved.contains(name) || self.moving.contains(name)
+            RolloutPhase::Completed => true,
+            RolloutPhase::RolledBack => false,
+            // One that is released to be changed back is no longer in `changed`.
+            RolloutPhase::RollingBack => self.changed.contains(name),
+            RolloutPhase::Changing | RolloutPhase::Analysing => {
+                self.changed.contains(name) || self.released.contains(name)
             }
         }
     }
@@ -119,43 +134,47 @@
         let Some(target) = self.plan.target(name) else {
             return false;
         };
-        if !self.is_to_move(name) || self.moving.contains(name) {
+        if !self.is_to_move(name) || self.released.contains(name) {
             return false;
         }
-        if self.what == RolloutChange::Settings {
+        if self.change == RolloutChange::Settings {
             // New settings make no front end unavailable.
             return true;
         }
-        let unavailable = || self.moving.iter().filter_map(|name| self.plan.target(name));
+        let unavailable = || {
+            self.released
+                .iter()
+                .filter_map(|name| self.plan.target(name))
+        };
         let in_zone = unavailable()
             .filter(|other| other.zone == target.zone)
             .count();
-        let voters_allow = !target.seat || !unavailable().any(|other| other.seat);
-        in_zone < self.plan.at_once && voters_allow
+        let voters_allow = !target.is_voter || !unavailable().any(|other| other.is_voter);
+        in_zone < self.plan.max_unavailable && voters_allow
     }
 
     /// Whether the phase asks for this front end to change sides.
     fn is_to_move(&self, name: &str) -> bool {
         match self.phase {
-            RolloutPhase::Moving => {
+            RolloutPhase::Changing => {
                 !self.paused
-                    && !self.moved.contains(name)
+                    && !self.changed.contains(name)
                     && self
                         .plan
                         .up_to(self.stage)
                         .any(|target| target.name == name)
             }
-            RolloutPhase::Back => self.moved.contains(name),
-            RolloutPhase::Judging | RolloutPhase::Done | RolloutPhase::Stopped => false,
+            RolloutPhase::RollingBack => self.changed.contains(name),
+            RolloutPhase::Analysing | RolloutPhase::Completed | RolloutPhase::RolledBack => false,
         }
     }
 
-    /// Whether all front ends up to the present stage have moved.
+    /// Whether all front ends up to the present stage are changed.
     pub fn stage_is_complete(&self) -> bool {
-        self.moving.is_empty()
+        self.released.is_empty()
             && self
                 .plan
                 .up_to(self.stage)
-                .all(|target| self.moved.contains(&target.name))
+                .all(|target| self.changed.contains(&target.name))
     }
 }
--- a/decide/rollout/src/validate.rs
+++ b/decide/rollout/src/validate.rs
@@ -5,16 +5,16 @@
 
 impl Rollout {
     /// Whether the entry would be applied, and if not, why.
-    pub fn judge(&self, entry: &RolloutEntry) -> Result<(), RolloutRejection> {
+    pub fn check(&self, entry: &RolloutEntry) -> Result<(), RolloutRejection> {
         if let RolloutEntry::Begin { plan, .. } = entry {
-            require(self.over(), RolloutRejection::Busy)?;
+            require(self.has_ended(), RolloutRejection::Busy)?;
             return plan
-                .wrong()
+                .fault()
                 .map_or(Ok(()), |fault| Err(RolloutRejection::Plan(fault)));
         }
-        require(!self.over(), RolloutRejection::Over)?;
+        require(!self.has_ended(), RolloutRejection::Ended)?;
         self.check_origin(entry)?;
-        require(self.allows(entry), RolloutRejection::NotNow)
+        require(self.allows(entry), RolloutRejection::NotAllowed)
     }
 
     /// Whether the entry comes from the present controller at the present revision, or names this rollout.
@@ -24,20 +24,28 @@
             RolloutEntry::TakeControl { fence, .. } => {
                 require(*fence == self.fence + 1, RolloutRejection::Fenced)
             }
-            RolloutEntry::Beat { fence, .. } => {
+            RolloutEntry::Heartbeat { fence, .. } => {
                 require(*fence == self.fence, RolloutRejection::Fenced)
             }
-            RolloutEntry::Let { at, fence, .. }
-            | RolloutEntry::Moved { at, fence, .. }
-            | RolloutEntry::BeginAnalysis { at, fence }
-            | RolloutEntry::Pass { at, fence, .. }
-            | RolloutEntry::Worse { at, fence, .. } => {
+            RolloutEntry::Release {
+                revision, fence, ..
+            }
+            | RolloutEntry::MarkReady {
+                revision, fence, ..
+            }
+            | RolloutEntry::BeginAnalysis { revision, fence }
+            | RolloutEntry::Pass {
+                revision, fence, ..
+            }
+            | RolloutEntry::Fail {
+                revision, fence, ..
+            } => {
                 require(*fence == self.fence, RolloutRejection::Fenced)?;
-                require(*at == self.at, RolloutRejection::Past)
+                require(*revision == self.revision, RolloutRejection::StaleRevision)
             }
             RolloutEntry::Pause { id, .. }
             | RolloutEntry::Resume { id }
-            | RolloutEntry::Abort { id, .. } => require(*id == self.id, RolloutRejection::Over),
+            | RolloutEntry::Abort { id, .. } => require(*id == self.id, RolloutRejection::Ended),
         }
     }
 
@@ -46,15 +54,15 @@
         match entry {
             RolloutEntry::Begin { .. }
             | RolloutEntry::TakeControl { .. }
-            | RolloutEntry::Beat { .. } => true,
-            RolloutEntry::Let { name, .. } => self.may_release(name),
-            RolloutEntry::Moved { name, .. } => self.moving.contains(name),
+            | RolloutEntry::Heartbeat { .. } => true,
+            RolloutEntry::Release { name, .. } => self.may_release(name),
+            RolloutEntry::MarkReady { name, .. } => self.released.contains(name),
             RolloutEntry::BeginAnalysis { .. } => {
-                self.phase == RolloutPhase::Moving && self.stage_is_complete()
+                self.phase == RolloutPhase::Changing && self.stage_is_complete()
             }
-            RolloutEntry::Pass { .. } => self.phase == RolloutPhase::Judging && !self.paused,
-            RolloutEntry::Worse { .. } | RolloutEntry::Abort { .. } => {
-                self.phase != RolloutPhase::Back
+            RolloutEntry::Pass { .. } => self.phase == RolloutPhase::Analysing && !self.paused,
+            RolloutEntry::Fail { .. } | RolloutEntry::Abort { .. } => {
+                self.phase != RolloutPhase::RollingBack
             }
             RolloutEntry::Crashed(crash) => {
                 self.plan.target(&crash.name).is_some() && !self.crashes.contains(crash)
--- a/decide/rollout/tests/crash.rs
+++ b/decide/rollout/tests/crash.rs
@@ -22,7 +22,7 @@
     let place = |n: usize| Target {
         name: format!("f{n}"),
         zone: zone(n),
-        seat: n.is_multiple_of(EACH),
+        is_voter: n.is_multiple_of(EACH),
     };
     // One of each zone, among them all seats; then the others.
     let (first, rest): (Vec<usize>, Vec<usize>) = (0..ZONES * EACH).partition(|n| n % EACH == 0);
@@ -31,12 +31,12 @@
             .into_iter()
             .map(|s| s.into_iter().map(place).collect())
             .collect(),
-        least: 3,
-        longest: 20,
-        ready: 8,
-        slice: 1,
-        warm_up: 1,
-        accept: 0.3,
+        min_stage_seconds: 3,
+        max_stage_seconds: 20,
+        ready_timeout_seconds: 8,
+        sample_seconds: 1,
+        warm_up_seconds: 1,
+        tolerated_loss: 0.3,
         ..RolloutPlan::default()
     }
 }
@@ -78,11 +78,11 @@
 
 impl World {
     fn new(faulty: bool, unstartable: bool) -> World {
-        let what = RolloutChange::Program {
+        let change = RolloutChange::Program {
             label: "new".into(),
             path: "new".into(),
         };
-        let rollout = Rollout::begin(7, what, plan(), "a test".into()).expect("a plan");
+        let rollout = Rollout::begin(7, change, plan(), "a test".into()).expect("a plan");
         let mut world = World {
             now: 0,
             rollout,
@@ -260,7 +260,7 @@
                     };
                     let wanted = DesiredProcess {
                         label: label.into(),
-                        may_replace: rollout.moving.contains(&name),
+                        may_replace: rollout.released.contains(&name),
                     };
                     if let Some(supervisor) = &mut self.hosts[z].supervisor {
                         supervisor.set_desired(asked, &name, wanted);
@@ -296,7 +296,7 @@
                 .iter()
                 .filter(|f| f.report.zone == format!("z{z}") && !f.ready)
                 .count();
-            if away > plan().at_once {
+            if away > plan().max_unavailable {
                 self.violations
                     .push(format!("{away} of zone {z} are away at {}", self.now));
             }
@@ -308,7 +308,7 @@
         let mut world = World::new(faulty, unstartable);
         // All are up before the rollout is looked at.
         let mut ticks = 0;
-        while ticks < 1500 && !(world.rollout.over() && ticks > 40) {
+        while ticks < 1500 && !(world.rollout.has_ended() && ticks > 40) {
             if let Some((fault, z, at)) = fault {
                 if ticks == at {
                     world.fault_at = Some(world.now);
@@ -332,16 +332,16 @@
         (world, ticks)
     }
 
-    fn check(&self, faulty: bool, what: &str) {
+    fn check(&self, faulty: bool, case: &str) {
         assert!(
             self.violations.is_empty(),
-            "{what}: {:?}",
+            "{case}: {:?}",
             self.violations.first()
         );
         let label = match self.rollout.phase {
-            RolloutPhase::Done if !faulty => "new",
-            RolloutPhase::Stopped => "old",
-            _ => panic!("{what}: {:?} {:?}", self.rollout.phase, self.rollout.steps),
+            RolloutPhase::Completed if !faulty => "new",
+            RolloutPhase::RolledBack => "old",
+            _ => panic!("{case}: {:?} {:?}", self.rollout.phase, self.rollout.steps),
         };
         let half: Vec<&String> = self
             .processes
@@ -351,7 +351,7 @@
             .collect();
         assert!(
             half.is_empty() && self.processes.len() == ZONES * EACH,
-            "{what}: {half:?}: {:?}",
+            "{case}: {half:?}: {:?}",
             self.rollout.steps
         );
     }
@@ -361,20 +361,20 @@
 fn without_a_fault_a_good_one_is_done_and_a_bad_one_goes_back() {
     let (good, _) = World::run(false, false, None);
     good.check(false, "good");
-    assert_eq!(good.rollout.phase, RolloutPhase::Done);
+    assert_eq!(good.rollout.phase, RolloutPhase::Completed);
     let (faulty, _) = World::run(true, false, None);
     faulty.check(true, "faulty");
     assert!(
-        faulty.rollout.why.contains("guard"),
+        faulty.rollout.reason.contains("guard"),
         "{}",
-        faulty.rollout.why
+        faulty.rollout.reason
     );
     let (unstartable, _) = World::run(false, true, None);
     unstartable.check(true, "unstartable");
     assert!(
-        unstartable.rollout.why.contains("not ready"),
+        unstartable.rollout.reason.contains("not ready"),
         "{}",
-        unstartable.rollout.why
+        unstartable.rollout.reason
     );
 }
 
--- a/decide/rollout/tests/json_format.rs
+++ b/decide/rollout/tests/json_format.rs
@@ -46,11 +46,11 @@
 #[test]
 fn phases_keep_their_json_text() {
     let all = [
-        (RolloutPhase::Moving, r#""moving""#),
-        (RolloutPhase::Judging, r#""judging""#),
-        (RolloutPhase::Back, r#""back""#),
-        (RolloutPhase::Done, r#""done""#),
-        (RolloutPhase::Stopped, r#""stopped""#),
+        (RolloutPhase::Changing, r#""moving""#),
+        (RolloutPhase::Analysing, r#""judging""#),
+        (RolloutPhase::RollingBack, r#""back""#),
+        (RolloutPhase::Completed, r#""done""#),
+        (RolloutPhase::RolledBack, r#""stopped""#),
     ];
     for (phase, text) in all {
         assert_eq!(serde_json::to_string(&phase).expect("plain data"), text);
@@ -62,7 +62,7 @@
     let target = Target {
         name: "f0".into(),
         zone: "a".into(),
-        seat: true,
+        is_voter: true,
     };
     let change = RolloutChange::Program {
         label: "d1".into(),
@@ -70,7 +70,7 @@
     };
     let plan = RolloutPlan {
         stages: vec![vec![target]],
-        undecided: InconclusivePolicy::Pass,
+        inconclusive: InconclusivePolicy::Pass,
         ..RolloutPlan::default()
     };
     let mut rollout = Rollout::begin(7, change, plan, "a test".into()).expect("a plan");
--- a/decide/rollout/tests/rollout.rs
+++ b/decide/rollout/tests/rollout.rs
@@ -9,11 +9,11 @@
     Target {
         name: format!("f{n}"),
         zone: zone.into(),
-        seat,
+        is_voter: seat,
     }
 }
 
-fn controlled_rollout(what: RolloutChange) -> Rollout {
+fn controlled_rollout(change: RolloutChange) -> Rollout {
     let stages = vec![
         vec![
             target(0, "a", true),
@@ -24,7 +24,7 @@
     ];
     let mut rollout = Rollout::begin(
         1,
-        what,
+        change,
         RolloutPlan {
             stages,
             ..RolloutPlan::default()
@@ -52,20 +52,20 @@
     rollout: &mut Rollout,
     make: impl Fn(u64, u64) -> RolloutEntry,
 ) -> Result<(), RolloutRejection> {
-    rollout.apply(make(rollout.at, rollout.fence))
+    rollout.apply(make(rollout.revision, rollout.fence))
 }
 
 fn release(rollout: &mut Rollout, name: &str) -> Result<(), RolloutRejection> {
-    apply_now(rollout, |at, fence| RolloutEntry::Let {
-        at,
+    apply_now(rollout, |revision, fence| RolloutEntry::Release {
+        revision,
         fence,
         name: name.into(),
     })
 }
 
 fn moved(rollout: &mut Rollout, name: &str) -> Result<(), RolloutRejection> {
-    apply_now(rollout, |at, fence| RolloutEntry::Moved {
-        at,
+    apply_now(rollout, |revision, fence| RolloutEntry::MarkReady {
+        revision,
         fence,
         name: name.into(),
     })
@@ -76,27 +76,27 @@
     let mut rollout = controlled_rollout(program());
     assert_eq!(
         release(&mut rollout, "f3"),
-        Err(RolloutRejection::NotNow),
+        Err(RolloutRejection::NotAllowed),
         "it is of a later stage"
     );
     assert_eq!(
         release(&mut rollout, "f9"),
-        Err(RolloutRejection::NotNow),
+        Err(RolloutRejection::NotAllowed),
         "it is of no stage"
     );
     assert_eq!(release(&mut rollout, "f0"), Ok(()));
     assert_eq!(
         release(&mut rollout, "f1"),
-        Err(RolloutRejection::NotNow),
+        Err(RolloutRejection::NotAllowed),
         "the same zone"
     );
     assert_eq!(
         release(&mut rollout, "f2"),
-        Err(RolloutRejection::NotNow),
+        Err(RolloutRejection::NotAllowed),
         "another voter"
     );
     assert_eq!(moved(&mut rollout, "f0"), Ok(()));
-    assert_eq!(moved(&mut rollout, "f0"), Err(RolloutRejection::NotNow));
+    assert_eq!(moved(&mut rollout, "f0"), Err(RolloutRejection::NotAllowed));
     assert_eq!(
         (release(&mut rollout, "f1"), release(&mut rollout, "f2")),
         (Ok(()), Ok(()))
@@ -116,15 +116,15 @@
 #[test]
 fn a_former_controller_and_a_suspended_one_change_nothing() {
     let mut rollout = controlled_rollout(program());
-    let (at, fence) = (rollout.at, rollout.fence);
+    let (revision, fence) = (rollout.revision, rollout.fence);
     release(&mut rollout, "f0").expect("it may");
     assert_eq!(
-        rollout.apply(RolloutEntry::Let {
-            at,
+        rollout.apply(RolloutEntry::Release {
+            revision,
             fence,
             name: "f2".into()
         }),
-        Err(RolloutRejection::Past)
+        Err(RolloutRejection::StaleRevision)
     );
     assert_eq!(
         rollout.apply(RolloutEntry::TakeControl {
@@ -148,17 +148,17 @@
         Err(RolloutRejection::Fenced),
         "one was first"
     );
-    let at = rollout.at;
+    let revision = rollout.revision;
     assert_eq!(
-        rollout.apply(RolloutEntry::Moved {
-            at,
+        rollout.apply(RolloutEntry::MarkReady {
+            revision,
             fence,
             name: "f0".into()
         }),
         Err(RolloutRejection::Fenced)
     );
     assert_eq!(
-        rollout.apply(RolloutEntry::Beat {
+        rollout.apply(RolloutEntry::Heartbeat {
             fence,
             observation: None
         }),
@@ -180,24 +180,22 @@
             .expect("it may");
     }
     assert_eq!(
-        apply_now(&mut rollout, |at, fence| RolloutEntry::BeginAnalysis {
-            at,
-            fence
+        apply_now(&mut rollout, |revision, fence| {
+            RolloutEntry::BeginAnalysis { revision, fence }
         }),
         Ok(())
     );
-    let pass = |at, fence| RolloutEntry::Pass {
-        at,
+    let pass = |revision, fence| RolloutEntry::Pass {
+        revision,
         fence,
-        why: "well".into(),
+        reason: "well".into(),
     };
     assert_eq!(apply_now(&mut rollout, pass), Ok(()));
     (release(&mut rollout, "f3"), moved(&mut rollout, "f3"))
         .1
         .expect("it moves");
-    apply_now(&mut rollout, |at, fence| RolloutEntry::BeginAnalysis {
-        at,
-        fence,
+    apply_now(&mut rollout, |revision, fence| {
+        RolloutEntry::BeginAnalysis { revision, fence }
     })
     .expect("it stands");
     let mut first = rollout.clone();
@@ -205,50 +203,53 @@
     assert_eq!(
         first.apply(RolloutEntry::Abort {
             id: 1,
-            why: "no".into()
+            reason: "no".into()
         }),
-        Err(RolloutRejection::Over),
+        Err(RolloutRejection::Ended),
         "it is done"
     );
-    assert_eq!(first.phase, RolloutPhase::Done);
-    let (at, fence) = (rollout.at, rollout.fence);
+    assert_eq!(first.phase, RolloutPhase::Completed);
+    let (revision, fence) = (rollout.revision, rollout.fence);
     assert_eq!(
         rollout.apply(RolloutEntry::Abort {
             id: 1,
-            why: "no".into()
+            reason: "no".into()
         }),
         Ok(())
     );
     assert_eq!(
         rollout.apply(RolloutEntry::Pass {
-            at,
+            revision,
             fence,
-            why: "well".into()
+            reason: "well".into()
         }),
-        Err(RolloutRejection::Past)
+        Err(RolloutRejection::StaleRevision)
+    );
+    assert_eq!(
+        apply_now(&mut rollout, pass),
+        Err(RolloutRejection::NotAllowed)
     );
-    assert_eq!(apply_now(&mut rollout, pass), Err(RolloutRejection::NotNow));
     assert_eq!(
         rollout.apply(RolloutEntry::Abort {
             id: 1,
-            why: "again".into()
+            reason: "again".into()
         }),
-        Err(RolloutRejection::NotNow),
+        Err(RolloutRejection::NotAllowed),
         "it goes back already"
     );
     assert_eq!(
         rollout.apply(RolloutEntry::Abort {
             id: 2,
-            why: "another".into()
+            reason: "another".into()
         }),
-        Err(RolloutRejection::Over)
+        Err(RolloutRejection::Ended)
     );
     for name in ["f0", "f1", "f2", "f3"] {
         (release(&mut rollout, name), moved(&mut rollout, name))
             .0
             .expect("it may");
     }
-    assert_eq!(rollout.phase, RolloutPhase::Stopped);
+    assert_eq!(rollout.phase, RolloutPhase::RolledBack);
 }
 
 #[test]
@@ -256,9 +257,9 @@
     let mut rollout = controlled_rollout(program());
     let begin = |plan: RolloutPlan| RolloutEntry::Begin {
         id: 2,
-        what: RolloutChange::Settings,
+        change: RolloutChange::Settings,
         plan,
-        why: String::new(),
+        reason: String::new(),
     };
     let plan = RolloutPlan {
         stages: vec![vec![target(0, "a", false)]],
@@ -271,10 +272,14 @@
     rollout
         .apply(RolloutEntry::Abort {
             id: 1,
-            why: "no".into(),
+            reason: "no".into(),
         })
         .expect("it goes on");
-    assert_eq!(rollout.phase, RolloutPhase::Stopped, "nothing had changed");
+    assert_eq!(
+        rollout.phase,
+        RolloutPhase::RolledBack,
+        "nothing had changed"
+    );
     let twice = RolloutPlan {
         stages: vec![vec![target(0, "a", false)], vec![target(0, "a", false)]],
         ..plan.clone()
@@ -283,11 +288,11 @@
         RolloutPlan::default(),
         twice,
         RolloutPlan {
-            at_once: 0,
+            max_unavailable: 0,
             ..plan.clone()
         },
         RolloutPlan {
-            error: 0.0,
+            error_probability: 0.0,
             ..plan.clone()
         },
     ] {
@@ -298,8 +303,8 @@
     }
     assert_eq!(rollout.apply(begin(plan)), Ok(()));
     assert_eq!(
-        (rollout.id, rollout.phase, rollout.at),
-        (2, RolloutPhase::Moving, 1)
+        (rollout.id, rollout.phase, rollout.revision),
+        (2, RolloutPhase::Changing, 1)
     );
 }
 
@@ -309,10 +314,13 @@
     rollout
         .apply(RolloutEntry::Pause {
             id: 1,
-            why: "a look".into(),
+            reason: "a look".into(),
         })
         .expect("it goes on");
-    assert_eq!(release(&mut rollout, "f0"), Err(RolloutRejection::NotNow));
+    assert_eq!(
+        release(&mut rollout, "f0"),
+        Err(RolloutRejection::NotAllowed)
+    );
     rollout
         .apply(RolloutEntry::Resume { id: 1 })
         .expect("it is paused");
@@ -326,24 +334,24 @@
     assert_eq!(rollout.apply(RolloutEntry::Crashed(crash.clone())), Ok(()));
     assert_eq!(
         rollout.apply(RolloutEntry::Crashed(crash)),
-        Err(RolloutRejection::NotNow),
+        Err(RolloutRejection::NotAllowed),
         "reported twice it is one"
     );
     rollout
         .apply(RolloutEntry::Pause {
             id: 1,
-            why: "a look".into(),
+            reason: "a look".into(),
         })
         .expect("it goes on");
     rollout
         .apply(RolloutEntry::Abort {
             id: 1,
-            why: "no".into(),
+            reason: "no".into(),
         })
         .expect("it goes on");
     assert_eq!(
         (release(&mut rollout, "f0"), moved(&mut rollout, "f0")),
         (Ok(()), Ok(()))
     );
-    assert_eq!(rollout.phase, RolloutPhase::Stopped);
+    assert_eq!(rollout.phase, RolloutPhase::RolledBack);
 }
--- a/net/fleet/src/events.rs
+++ b/net/fleet/src/events.rs
@@ -6,16 +6,20 @@
 pub(crate) fn log_event(event: &FleetEvent) {
     match event {
         FleetEvent::Membership(event) => tracing::info!(member = ?event, "membership changed"),
-        FleetEvent::RevisionChanged { step, force, next } => tracing::info!(
-            revision = step.0,
-            in_force = force,
+        FleetEvent::RevisionChanged {
+            revision,
+            in_force,
+            next,
+        } => tracing::info!(
+            revision = revision.0,
+            in_force,
             next = next.unwrap_or(0),
             "fleet revision changed"
         ),
-        FleetEvent::Lease { live } => log_lease(*live),
-        FleetEvent::Session { live } => log_session(*live),
-        FleetEvent::Leadership { live: true } => tracing::info!("leadership acquired"),
-        FleetEvent::Leadership { live: false } => tracing::warn!("leadership lost"),
+        FleetEvent::Lease { is_live } => log_lease(*is_live),
+        FleetEvent::Session { is_live } => log_session(*is_live),
+        FleetEvent::Leadership { is_live: true } => tracing::info!("leadership acquired"),
+        FleetEvent::Leadership { is_live: false } => tracing::warn!("leadership lost"),
         FleetEvent::DatagramRejected(reason) => tracing::warn!(%reason, "datagram rejected"),
         FleetEvent::ChangeAbandoned { version, behind } => tracing::error!(
             version,
@@ -43,8 +47,8 @@
     }
 }
 
-fn log_lease(live: bool) {
-    if live {
+fn log_lease(is_live: bool) {
+    if is_live {
         tracing::info!("lease acquired");
     } else {
         tracing::warn!(
@@ -53,8 +57,8 @@
     }
 }
 
-fn log_session(live: bool) {
-    if live {
+fn log_session(is_live: bool) {
+    if is_live {
         tracing::info!("session established");
     } else {
         tracing::error!(
--- a/programs/day/src/roll.rs
+++ b/programs/day/src/roll.rs
@@ -327,21 +327,21 @@
         let place = |n: usize| Target {
             name: format!("f{n}"),
             zone: ZONES[zone(n)].into(),
-            seat: n < ZONES.len(),
+            is_voter: n < ZONES.len(),
         };
         let shares = [0.25, 0.5, 1.0];
         let plan = tansy_rollout::RolloutPlan {
             stages: stages((0..play.fronts).map(place).collect(), &shares)?,
-            least: play.least,
-            longest: 4 * play.least,
-            ready: 25,
-            slice: 1,
-            warm_up: 3,
-            matters: 0.02,
-            accept: 0.1,
-            spend: 0.2,
-            memory: 400,
-            undecided: InconclusivePolicy::Hold,
+            min_stage_seconds: play.least,
+            max_stage_seconds: 4 * play.least,
+            ready_timeout_seconds: 25,
+            sample_seconds: 1,
+            warm_up_seconds: 3,
+            relevant_loss: 0.02,
+            tolerated_loss: 0.1,
+            max_value_lost: 0.2,
+            memory_limit_mb: 400,
+            inconclusive: InconclusivePolicy::Hold,
             ..tansy_rollout::RolloutPlan::default()
         };
         let path = self.folder.join("new");
@@ -351,9 +351,9 @@
         };
         let entry = RolloutEntry::Begin {
             id: 1 + play.seed,
-            what,
+            change: what,
             plan,
-            why: "the day's".into(),
+            reason: "the day's".into(),
         };
         let end = Instant::now() + Duration::from_secs(10);
         while Instant::now() < end {
@@ -516,17 +516,17 @@
             roll = rig.roll().or(roll);
         }
         if let Some(r) = &roll {
-            if r.over() || r.paused && r.moving.is_empty() {
+            if r.has_ended() || r.paused && r.released.is_empty() {
                 break;
             }
             // Whoever steers is killed at some moment after the first one was let go, and comes back.
-            if kill_at.is_none() && !r.moving.is_empty() {
+            if kill_at.is_none() && !r.released.is_empty() {
                 kill_at = Some(
                     Instant::now() + Duration::from_secs_f64(rng.f64() * 0.5 * play.least as f64),
                 );
             }
             if killed == 0 && kill_at.is_some_and(|at| Instant::now() >= at) {
-                if let Some(z) = ZONES.iter().position(|n| *n == r.steerer) {
+                if let Some(z) = ZONES.iter().position(|n| *n == r.controller) {
                     if let Some(mut s) = rig.supervisors[z].take() {
                         s.kill();
                         killed += 1;
@@ -537,7 +537,8 @@
                     }
                 }
             }
-            if play.plant == Plant::Zone && r.phase == RolloutPhase::Judging && zone_at.is_none() {
+            if play.plant == Plant::Zone && r.phase == RolloutPhase::Analysing && zone_at.is_none()
+            {
                 let at = Instant::now() + Duration::from_secs(3);
                 zone_at = Some((at, at + Duration::from_secs(5), false));
             }
@@ -574,8 +575,8 @@
         .map_err(|_| "the clients' thread ended early")??;
     watch.look(&rig, play, &new)?;
     let side = match roll.as_ref().map(|r| r.phase) {
-        Some(RolloutPhase::Done) => Some(true),
-        Some(RolloutPhase::Stopped) => Some(false),
+        Some(RolloutPhase::Completed) => Some(true),
+        Some(RolloutPhase::RolledBack) => Some(false),
         _ => None,
     };
     if let Some(side) = side {
@@ -628,8 +629,8 @@
     };
     Ok(Day {
         verdict: verdict.into(),
-        why: roll.as_ref().map(|r| r.why.clone()).unwrap_or_default(),
-        stages: roll.as_ref().map_or(0, |r| r.seen.len()),
+        why: roll.as_ref().map(|r| r.reason.clone()).unwrap_or_default(),
+        stages: roll.as_ref().map_or(0, |r| r.observations.len()),
         exposed_share: watch.exposed / watch.looks.max(1.0),
         lost: seen.lost,
         served: seen.served as f64 / seen.begun.max(1) as f64,
--- a/programs/fleet/src/machine.rs
+++ b/programs/fleet/src/machine.rs
@@ -165,8 +165,9 @@
             .fleet
             .rollout
             .as_ref()
-            .filter(|rollout| !rollout.over());
-        if let Some(RolloutChange::Program { label, path }) = rollout.map(|rollout| &rollout.what) {
+            .filter(|rollout| !rollout.has_ended());
+        if let Some(RolloutChange::Program { label, path }) = rollout.map(|rollout| &rollout.change)
+        {
             add_program(&mut self.programs, label, path);
         }
         let outdated = self.outdated(rollout).map(str::to_string);
@@ -210,11 +211,11 @@
         let Some(rollout) = rollout else {
             return desired;
         };
-        if let RolloutChange::Program { label, .. } = &rollout.what {
+        if let RolloutChange::Program { label, .. } = &rollout.change {
             if rollout.new_side(name) {
                 desired.label.clone_from(label);
             }
-            desired.may_replace = rollout.moving.contains(name) && self.fleet.fresh;
+            desired.may_replace = rollout.released.contains(name) && self.fleet.fresh;
         }
         desired
     }
@@ -298,7 +299,7 @@
     /// Enters the crashes during a rollout.
     fn report_crashes(&mut self) {
         let rollout = self.fleet.rollout.as_ref();
-        if rollout.is_none_or(Rollout::over) {
+        if rollout.is_none_or(Rollout::has_ended) {
             self.unreported.clear();
         }
         let Some(leader) = self.fleet.leader.filter(|_| self.fleet.fresh) else {
--- a/programs/fleet/src/machine/fleet_state.rs
+++ b/programs/fleet/src/machine/fleet_state.rs
@@ -69,7 +69,7 @@
             let position = |rollout: &Option<Rollout>| {
                 rollout
                     .as_ref()
-                    .map_or((0, 0), |rollout| (rollout.id, rollout.at))
+                    .map_or((0, 0), |rollout| (rollout.id, rollout.revision))
             };
             let known = position(&self.rollout);
             let answered = position(&rollout);
@@ -98,14 +98,14 @@
         if !self.fresh {
             return;
         }
-        let front_ends = match rollout.over() {
+        let front_ends = match rollout.has_ended() {
             true => Vec::new(),
             false => self.observe(client, rollout),
         };
         let Some(entry) = controller.poll(micros(began), rollout, &front_ends) else {
             return;
         };
-        let is_heartbeat = matches!(entry, RolloutEntry::Beat { .. });
+        let is_heartbeat = matches!(entry, RolloutEntry::Heartbeat { .. });
         let message = Entry::Roll(roll_entry(&entry, None));
         match client.enter_within(leader, message, ANSWER_TIMEOUT) {
             Ok(_) if is_heartbeat => {}
@@ -118,7 +118,7 @@
 
     fn observe(&self, client: &mut Client, rollout: &Rollout) -> Vec<FrontEndObservation> {
         let addresses: Vec<SocketAddr> = self.known.iter().copied().collect();
-        let is_new = |counts: &pb::CountsReply| match &rollout.what {
+        let is_new = |counts: &pb::CountsReply| match &rollout.change {
             RolloutChange::Program { label, .. } => counts.label == *label,
             RolloutChange::Settings => counts.tries,
         };
--- a/programs/fleet/src/report.rs
+++ b/programs/fleet/src/report.rs
@@ -9,10 +9,12 @@
 pub fn verdict_text(observation: &StageObservation) -> String {
     match &observation.verdict {
         None => "nothing said yet".into(),
-        Some(Verdict::Fine) => "no worse".into(),
-        Some(Verdict::Worse { why }) => format!("worse: {why}"),
-        Some(Verdict::Open { needs, .. }) => format!("not known yet: {needs}"),
-        Some(Verdict::Held { slices }) => format!("both sides in trouble for {slices} slices"),
+        Some(Verdict::Pass) => "no worse".into(),
+        Some(Verdict::Fail { reason: why }) => format!("worse: {why}"),
+        Some(Verdict::Inconclusive { needs, .. }) => format!("not known yet: {needs}"),
+        Some(Verdict::SharedFault { slices }) => {
+            format!("both sides in trouble for {slices} slices")
+        }
     }
 }
 
@@ -45,13 +47,17 @@
 
 /// A loss and half of its interval, in points.
 fn points(measurement: &Measurement) -> (f64, f64) {
-    (measurement.loss * 100.0, measurement.half.min(0.2) * 100.0)
+    (
+        measurement.loss * 100.0,
+        measurement.half_width.min(0.2) * 100.0,
+    )
 }
 
 fn draw<'a>(area: &Area<'a>, measurements: &[Measurement]) -> Result<(), DrawingError<'a>> {
     area.fill(&WHITE)?;
-    let extent =
-        |measurement: &Measurement| (measurement.loss.abs() + measurement.half.min(0.2)) * 100.0;
+    let extent = |measurement: &Measurement| {
+        (measurement.loss.abs() + measurement.half_width.min(0.2)) * 100.0
+    };
     let limit = measurements.iter().map(extent).fold(1.0, f64::max) * 1.1;
     let count = measurements.len() as f64;
     let mut chart = ChartBuilder::on(area)
@@ -65,7 +71,7 @@
         measurements
             .get(row as usize)
             .filter(|_| is_row)
-            .map_or(String::new(), |measurement| measurement.what.clone())
+            .map_or(String::new(), |measurement| measurement.metric.clone())
     };
     chart
         .configure_mesh()
@@ -89,15 +95,15 @@
 
 /// The page on a rollout.
 pub fn page(rollout: &Rollout) -> Result<String, FleetError> {
-    let change = match &rollout.what {
+    let change = match &rollout.change {
         RolloutChange::Program { label, path } => format!("the program {path}, {label}"),
         RolloutChange::Settings => "settings".to_string(),
     };
     let end = match rollout.phase {
-        RolloutPhase::Done => "done: all front ends are changed",
-        RolloutPhase::Stopped => "stopped: all front ends are as they were",
-        RolloutPhase::Back => "going back",
-        RolloutPhase::Moving | RolloutPhase::Judging => "under way",
+        RolloutPhase::Completed => "done: all front ends are changed",
+        RolloutPhase::RolledBack => "stopped: all front ends are as they were",
+        RolloutPhase::RollingBack => "going back",
+        RolloutPhase::Changing | RolloutPhase::Analysing => "under way",
     };
     let mut html = String::from(HEAD);
     html += &format!(
@@ -106,8 +112,8 @@
         escaped(&change),
         end
     );
-    html += &format!("<p>{}</p>", escaped(&rollout.why));
-    for observation in &rollout.seen {
+    html += &format!("<p>{}</p>", escaped(&rollout.reason));
+    for observation in &rollout.observations {
         add_stage(&mut html, rollout, observation)?;
     }
     html += "<h2>Steps</h2><ol>";
@@ -148,11 +154,11 @@
     for measurement in &observation.measurements {
         *html += &format!(
             "<tr><td>{}</td><td>{:.3}%</td><td>{:.3}%</td><td>{:+.3}</td><td>{:.3}</td><td>{}</td></tr>",
-            escaped(&measurement.what),
+            escaped(&measurement.metric),
             measurement.old * 100.0,
             measurement.new * 100.0,
             measurement.loss * 100.0,
-            measurement.half * 100.0,
+            measurement.half_width * 100.0,
             measurement.slices
         );
     }
--- a/programs/fleet/src/rollout.rs
+++ b/programs/fleet/src/rollout.rs
@@ -33,13 +33,17 @@
             Ok(())
         }
         RolloutCommand::Status { watch: true } => watch::watch(session),
-        RolloutCommand::Pause { why } => {
-            enter(session, |id| RolloutEntry::Pause { id, why }, "is paused")
-        }
+        RolloutCommand::Pause { why } => enter(
+            session,
+            |id| RolloutEntry::Pause { id, reason: why },
+            "is paused",
+        ),
         RolloutCommand::Resume => enter(session, |id| RolloutEntry::Resume { id }, "goes on"),
-        RolloutCommand::Abort { why } => {
-            enter(session, |id| RolloutEntry::Abort { id, why }, "goes back")
-        }
+        RolloutCommand::Abort { why } => enter(
+            session,
+            |id| RolloutEntry::Abort { id, reason: why },
+            "goes back",
+        ),
         RolloutCommand::Report { out } => report(session, &out),
     }
 }
@@ -50,7 +54,7 @@
 fn begin(session: &mut Session, arguments: BeginArguments) -> Result<(), FleetError> {
     let mut plan = plan::read(arguments.plan.as_deref())?;
     plan.stages = stages(plan::targets(session)?, &arguments.stages)?;
-    if let Some(fault) = plan.wrong() {
+    if let Some(fault) = plan.fault() {
         return Err(FleetError::Invalid(format!("the plan: {fault}")));
     }
     let (what, settings) = change(&arguments)?;
@@ -62,9 +66,9 @@
     let leader = session.leader()?;
     let entry = RolloutEntry::Begin {
         id,
-        what,
+        change: what,
         plan,
-        why: arguments.why,
+        reason: arguments.why,
     };
     let entry = Entry::Roll(roll_entry(&entry, settings.as_ref()));
     session.client.enter(leader, entry)?;
--- a/programs/fleet/src/rollout/plan.rs
+++ b/programs/fleet/src/rollout/plan.rs
@@ -36,18 +36,18 @@
     let file: PlanFile = toml::from_str(&text).map_err(|error| FleetError::file(path, error))?;
     let default = RolloutPlan::default();
     Ok(RolloutPlan {
-        at_once: file.at_once.unwrap_or(default.at_once),
-        least: file.least.unwrap_or(default.least),
-        longest: file.longest.unwrap_or(default.longest),
-        ready: file.ready.unwrap_or(default.ready),
-        slice: file.slice.unwrap_or(default.slice),
-        spend: file.spend.unwrap_or(default.spend),
-        error: file.error.unwrap_or(default.error),
-        matters: file.matters.unwrap_or(default.matters),
-        accept: file.accept.unwrap_or(default.accept),
-        warm_up: file.warm_up.unwrap_or(default.warm_up),
-        memory: file.memory.unwrap_or(default.memory),
-        undecided: file.undecided.unwrap_or(default.undecided),
+        max_unavailable: file.at_once.unwrap_or(default.max_unavailable),
+        min_stage_seconds: file.least.unwrap_or(default.min_stage_seconds),
+        max_stage_seconds: file.longest.unwrap_or(default.max_stage_seconds),
+        ready_timeout_seconds: file.ready.unwrap_or(default.ready_timeout_seconds),
+        sample_seconds: file.slice.unwrap_or(default.sample_seconds),
+        max_value_lost: file.spend.unwrap_or(default.max_value_lost),
+        error_probability: file.error.unwrap_or(default.error_probability),
+        relevant_loss: file.matters.unwrap_or(default.relevant_loss),
+        tolerated_loss: file.accept.unwrap_or(default.tolerated_loss),
+        warm_up_seconds: file.warm_up.unwrap_or(default.warm_up_seconds),
+        memory_limit_mb: file.memory.unwrap_or(default.memory_limit_mb),
+        inconclusive: file.undecided.unwrap_or(default.inconclusive),
         stages: default.stages,
     })
 }
@@ -66,7 +66,7 @@
         .map(|(front_end, is_voter)| Target {
             name: front_end.report.name,
             zone: front_end.report.zone,
-            seat: is_voter,
+            is_voter: is_voter,
         })
         .collect();
     targets.sort();
@@ -107,7 +107,7 @@
 
 fn by_zones_in_turn(targets: Vec<Target>) -> Vec<Target> {
     let (others, voters): (Vec<Target>, Vec<Target>) =
-        targets.into_iter().partition(|target| !target.seat);
+        targets.into_iter().partition(|target| !target.is_voter);
     let mut zones: BTreeMap<String, VecDeque<Target>> = BTreeMap::new();
     for target in others.into_iter().chain(voters) {
         zones
--- a/programs/fleet/src/rollout/text.rs
+++ b/programs/fleet/src/rollout/text.rs
@@ -18,10 +18,10 @@
     }
     lines.push(format!(
         "each from {} to {} s; {} of a zone away at once; stopped at a loss of {} points that is no luck",
-        plan.least,
-        plan.longest,
-        plan.at_once,
-        plan.matters * 100.0
+        plan.min_stage_seconds,
+        plan.max_stage_seconds,
+        plan.max_unavailable,
+        plan.relevant_loss * 100.0
     ));
     lines.join("\n")
 }
@@ -29,11 +29,11 @@
 /// A rollout: its state, the last observation of each stage, and the last steps.
 pub fn plain(rollout: &Rollout) -> String {
     let mut lines = vec![headline(rollout)];
-    if !rollout.why.is_empty() {
-        lines.push(format!("  {}", rollout.why));
+    if !rollout.reason.is_empty() {
+        lines.push(format!("  {}", rollout.reason));
     }
     lines.push(progress(rollout));
-    for observation in &rollout.seen {
+    for observation in &rollout.observations {
         add_observation(&mut lines, observation);
     }
     let hidden = rollout.steps.len().saturating_sub(LAST_STEPS);
@@ -43,18 +43,18 @@
 }
 
 fn headline(rollout: &Rollout) -> String {
-    let change = match &rollout.what {
+    let change = match &rollout.change {
         RolloutChange::Program { label, path } => {
             format!("program {path} ({})", label.get(..12).unwrap_or(label))
         }
         RolloutChange::Settings => "settings".to_string(),
     };
     let phase = match rollout.phase {
-        RolloutPhase::Moving => "changing front ends",
-        RolloutPhase::Judging => "under judgement",
-        RolloutPhase::Back => "going back",
-        RolloutPhase::Done => "done",
-        RolloutPhase::Stopped => "stopped: all are as they were",
+        RolloutPhase::Changing => "changing front ends",
+        RolloutPhase::Analysing => "under judgement",
+        RolloutPhase::RollingBack => "going back",
+        RolloutPhase::Completed => "done",
+        RolloutPhase::RolledBack => "stopped: all are as they were",
     };
     format!(
         "roll {} of {change}: stage {} of {}, {phase}{}",
@@ -66,24 +66,24 @@
 }
 
 fn progress(rollout: &Rollout) -> String {
-    let moving = if rollout.moving.is_empty() {
+    let moving = if rollout.released.is_empty() {
         "none".to_string()
     } else {
         rollout
-            .moving
+            .released
             .iter()
             .cloned()
             .collect::<Vec<_>>()
             .join(", ")
     };
-    let controller = if rollout.steerer.is_empty() {
+    let controller = if rollout.controller.is_empty() {
         "nobody yet: run `tansy-fleet up` or `steer`"
     } else {
-        &rollout.steerer
+        &rollout.controller
     };
     format!(
         "  changed {} of {}, on their way {moving}; steered by {controller}",
-        rollout.moved.len(),
+        rollout.changed.len(),
         rollout.plan.targets().count(),
     )
 }
@@ -98,11 +98,11 @@
     for measurement in &observation.measurements {
         lines.push(format!(
             "    {:<24} old {:>7.3}%  new {:>7.3}%  loss {:>+7.3} +- {:.3} points ({} slices)",
-            measurement.what,
+            measurement.metric,
             measurement.old * 100.0,
             measurement.new * 100.0,
             measurement.loss * 100.0,
-            measurement.half * 100.0,
+            measurement.half_width * 100.0,
             measurement.slices
         ));
     }
--- a/programs/fleet/src/rollout/watch.rs
+++ b/programs/fleet/src/rollout/watch.rs
@@ -19,8 +19,8 @@
     } else {
         watch_in_lines(session)?
     };
-    if rollout.phase == RolloutPhase::Stopped {
-        return Err(FleetError::Abandoned(rollout.why));
+    if rollout.phase == RolloutPhase::RolledBack {
+        return Err(FleetError::Abandoned(rollout.reason));
     }
     Ok(())
 }
@@ -30,7 +30,7 @@
     loop {
         let rollout = last(session)?;
         session.output.show(&rollout, || plain(&rollout));
-        if rollout.over() {
+        if rollout.has_ended() {
             return Ok(rollout);
         }
         session.client.wait(WATCH_INTERVAL);
@@ -41,7 +41,7 @@
 fn watch_in_terminal(session: &mut Session) -> Result<Rollout, FleetError> {
     let mut rollout = last(session)?;
     let drawn = ratatui::run(|terminal| -> std::io::Result<()> {
-        while !rollout.over() {
+        while !rollout.has_ended() {
             terminal.draw(|frame| terminal::draw(frame, &rollout))?;
             if event::poll(WATCH_INTERVAL)? {
                 if let Event::Key(key) = event::read()? {
--- a/programs/fleet/src/terminal.rs
+++ b/programs/fleet/src/terminal.rs
@@ -21,11 +21,11 @@
     ])
     .areas(frame.area());
     let (phase, color) = match rollout.phase {
-        RolloutPhase::Moving => ("changing front ends", Color::Yellow),
-        RolloutPhase::Judging => ("under judgement", Color::Yellow),
-        RolloutPhase::Back => ("going back", Color::Red),
-        RolloutPhase::Done => ("done", Color::Green),
-        RolloutPhase::Stopped => ("stopped", Color::Red),
+        RolloutPhase::Changing => ("changing front ends", Color::Yellow),
+        RolloutPhase::Analysing => ("under judgement", Color::Yellow),
+        RolloutPhase::RollingBack => ("going back", Color::Red),
+        RolloutPhase::Completed => ("done", Color::Green),
+        RolloutPhase::RolledBack => ("stopped", Color::Red),
     };
     draw_state(frame, head, rollout, phase, color);
     draw_progress(frame, bar, rollout, color);
@@ -34,16 +34,16 @@
 }
 
 fn draw_state(frame: &mut Frame<'_>, area: Rect, rollout: &Rollout, phase: &str, color: Color) {
-    let change = match &rollout.what {
+    let change = match &rollout.change {
         RolloutChange::Program { path, .. } => format!("program {path}"),
         RolloutChange::Settings => "settings".to_string(),
     };
     let paused = if rollout.paused { ", paused" } else { "" };
     let text = vec![
         Line::styled(format!("{change}: {phase}{paused}"), Style::new().fg(color)),
-        Line::raw(rollout.why.clone()),
+        Line::raw(rollout.reason.clone()),
     ];
-    let title = format!("roll {}, steered by {}", rollout.id, rollout.steerer);
+    let title = format!("roll {}, steered by {}", rollout.id, rollout.controller);
     let state = Paragraph::new(text)
         .wrap(Wrap { trim: true })
         .block(Block::bordered().title(title));
@@ -52,13 +52,13 @@
 
 fn draw_progress(frame: &mut Frame<'_>, area: Rect, rollout: &Rollout, color: Color) {
     let all = rollout.plan.targets().count().max(1);
-    let share = (rollout.moved.len() as f64 / all as f64).clamp(0.0, 1.0);
-    let moving: Vec<&str> = rollout.moving.iter().map(String::as_str).collect();
+    let share = (rollout.changed.len() as f64 / all as f64).clamp(0.0, 1.0);
+    let moving: Vec<&str> = rollout.released.iter().map(String::as_str).collect();
     let label = format!(
         "stage {} of {}: {} of {all} changed, on their way {}",
         rollout.stage + 1,
         rollout.plan.stages.len(),
-        rollout.moved.len(),
+        rollout.changed.len(),
         moving.join(" ")
     );
     let gauge = Gauge::default()
@@ -78,22 +78,22 @@
 }
 
 fn draw_measurements(frame: &mut Frame<'_>, area: Rect, rollout: &Rollout) {
-    let Some(observation) = rollout.seen.last() else {
+    let Some(observation) = rollout.observations.last() else {
         let empty = Paragraph::new("nothing is compared yet").block(Block::bordered());
         return frame.render_widget(empty, area);
     };
     let row = |measurement: &tansy_canary::Measurement| {
-        let color = if measurement.loss - measurement.half > 0.0 {
+        let color = if measurement.loss - measurement.half_width > 0.0 {
             Color::Red
         } else {
             Color::Reset
         };
         Row::new(vec![
-            measurement.what.clone(),
+            measurement.metric.clone(),
             format!("{:.3}%", measurement.old * 100.0),
             format!("{:.3}%", measurement.new * 100.0),
             format!("{:+.3}", measurement.loss * 100.0),
-            format!("{:.3}", measurement.half * 100.0),
+            format!("{:.3}", measurement.half_width * 100.0),
             measurement.slices.to_string(),
         ])
         .style(Style::new().fg(color))
--- a/programs/fleet/src/terminal/tests.rs
+++ b/programs/fleet/src/terminal/tests.rs
@@ -11,7 +11,7 @@
     let target = Target {
         name: "f1".into(),
         zone: "a".into(),
-        seat: false,
+        is_voter: false,
     };
     let plan = RolloutPlan {
         stages: vec![vec![target]],
@@ -29,15 +29,15 @@
         })
         .expect("nobody steers");
     let measured = Measurement {
-        what: "service".into(),
+        metric: "service".into(),
         old: 0.01,
         new: 0.05,
         loss: 0.04,
-        half: 0.01,
+        half_width: 0.01,
         recent_loss: 0.04,
         slices: 9,
     };
-    rollout.seen.push(StageObservation {
+    rollout.observations.push(StageObservation {
         stage: 0,
         elapsed_seconds: 45,
         measurements: vec![measured],
--- a/programs/gateway/src/fleet/effective.rs
+++ b/programs/gateway/src/fleet/effective.rs
@@ -100,7 +100,7 @@
     ) -> Result<(EffectiveConfig, MetadataKeys), GatewayError> {
         let settings = agree::settings(&self.own, &rules.fields)?;
         let mut conflicting = ConflictingScopes {
-            unknown_names: rules.unlisted,
+            unknown_names: rules.unknown_names,
             retry_after: self.retry_after,
             ..ConflictingScopes::default()
         };
--- a/simulation/src/rollout/fixed_rule.rs
+++ b/simulation/src/rollout/fixed_rule.rs
@@ -64,10 +64,10 @@
         now: i64,
         entry: RolloutEntry,
     ) -> Option<RolloutEntry> {
-        if self.loss_before.is_none() && matches!(entry, RolloutEntry::Let { .. }) {
+        if self.loss_before.is_none() && matches!(entry, RolloutEntry::Release { .. }) {
             self.loss_before = Some(fleet_loss(observations));
         }
-        if rollout.phase != RolloutPhase::Judging {
+        if rollout.phase != RolloutPhase::Analysing {
             return Some(entry);
         }
         if self.stage.is_none_or(|(stage, _)| stage != rollout.stage) {
@@ -75,14 +75,22 @@
         }
         let since = self.stage.map_or(now, |(_, began)| began);
         if now - since < options.shortest_stage as i64 {
-            return matches!(entry, RolloutEntry::Beat { .. }).then_some(entry);
+            return matches!(entry, RolloutEntry::Heartbeat { .. }).then_some(entry);
         }
-        let (at, fence) = (rollout.at, rollout.fence);
+        let (at, fence) = (rollout.revision, rollout.fence);
         let why = "the plain rule".to_string();
         Some(if self.is_worse(options.rule, observations) {
-            RolloutEntry::Worse { at, fence, why }
+            RolloutEntry::Fail {
+                revision: at,
+                fence,
+                reason: why,
+            }
         } else {
-            RolloutEntry::Pass { at, fence, why }
+            RolloutEntry::Pass {
+                revision: at,
+                fence,
+                reason: why,
+            }
         })
     }
 
--- a/simulation/src/rollout/mod.rs
+++ b/simulation/src/rollout/mod.rs
@@ -49,9 +49,9 @@
 /// Simulates one rollout.
 pub fn run(options: &RolloutOptions, seed: u64) -> RolloutResult {
     let mut simulation = RolloutSimulation::new(options, seed);
-    while !simulation.rollout.over() && simulation.seconds < LONGEST_ROLLOUT {
+    while !simulation.rollout.has_ended() && simulation.seconds < LONGEST_ROLLOUT {
         simulation.advance_one_second();
-        if simulation.rollout.phase == RolloutPhase::Back {
+        if simulation.rollout.phase == RolloutPhase::RollingBack {
             break;
         }
     }
@@ -113,7 +113,7 @@
             };
         }
         self.poll_controller(now);
-        if self.rollout.phase == RolloutPhase::Judging && self.first_judged.is_none() {
+        if self.rollout.phase == RolloutPhase::Analysing && self.first_judged.is_none() {
             self.first_judged = Some(now);
         }
     }
@@ -145,8 +145,8 @@
             let Some(entry) = self.decide(&observations, now, entry) else {
                 continue;
             };
-            if let RolloutEntry::Let { name, .. } = &entry {
-                let changed = self.rollout.phase != RolloutPhase::Back;
+            if let RolloutEntry::Release { name, .. } = &entry {
+                let changed = self.rollout.phase != RolloutPhase::RollingBack;
                 self.front_ends.restart(name, changed);
             }
             // An entry that the rollout refuses changes nothing, as in the product.
@@ -170,13 +170,13 @@
 
     fn into_result(self) -> RolloutResult {
         let end = match self.rollout.phase {
-            RolloutPhase::Done => "done",
-            RolloutPhase::Back | RolloutPhase::Stopped => "stopped",
+            RolloutPhase::Completed => "done",
+            RolloutPhase::RollingBack | RolloutPhase::RolledBack => "stopped",
             _ => "undecided",
         };
         RolloutResult {
             end: end.into(),
-            reason: self.rollout.why,
+            reason: self.rollout.reason,
             stage: self.rollout.stage + 1,
             seconds: self.seconds,
             exposed: self.exposed,
--- a/simulation/src/rollout/options.rs
+++ b/simulation/src/rollout/options.rs
@@ -84,7 +84,7 @@
     let target = |index: usize| Target {
         name: format!("f{index}"),
         zone: format!("z{}", index % options.zones),
-        seat: index < 3,
+        is_voter: index < 3,
     };
     let stage_ends = [
         options.zones,
@@ -100,10 +100,10 @@
     });
     RolloutPlan {
         stages: stages.collect(),
-        least: options.shortest_stage,
-        longest: options.longest_stage,
-        undecided: InconclusivePolicy::Pass,
-        spend: 0.5,
+        min_stage_seconds: options.shortest_stage,
+        max_stage_seconds: options.longest_stage,
+        inconclusive: InconclusivePolicy::Pass,
+        max_value_lost: 0.5,
         ..RolloutPlan::default()
     }
 }
--- a/simulation/src/scopes/audit.rs
+++ b/simulation/src/scopes/audit.rs
@@ -57,7 +57,7 @@
                     self.report_violation(index, violation);
                 }
             }
-            Command::Notify(FleetEvent::Leadership { live: true })
+            Command::Notify(FleetEvent::Leadership { is_live: true })
                 if self.options.has_defect(PlantedDefect::NoneHold) =>
             {
                 self.forget_subscriptions(index);
--- a/tests/compatibility/src/entries.rs
+++ b/tests/compatibility/src/entries.rs
@@ -173,7 +173,7 @@
     Target {
         name: name.into(),
         zone: zone.into(),
-        seat,
+        is_voter: seat,
     }
 }
 
@@ -200,11 +200,11 @@
         stage,
         elapsed_seconds: 61,
         measurements: vec![Measurement {
-            what: "service".into(),
+            metric: "service".into(),
             old: 0.5,
             new: 0.25,
             loss: 0.25,
-            half: 0.125,
+            half_width: 0.125,
             recent_loss: 0.0625,
             slices: 12,
         }],
@@ -220,9 +220,9 @@
         LogEntry::Rollout {
             entry: Box::new(RolloutEntry::Begin {
                 id,
-                what: RolloutChange::Settings,
+                change: RolloutChange::Settings,
                 plan: plan(),
-                why: "try settings".into(),
+                reason: "try settings".into(),
             }),
             fields: Some(with_attempts(7)),
         },
@@ -230,27 +230,27 @@
             fence,
             controller: "front-1".into(),
         }),
-        rollout(RolloutEntry::Let {
-            at: 2,
+        rollout(RolloutEntry::Release {
+            revision: 2,
             fence,
             name: name(),
         }),
-        rollout(RolloutEntry::Moved {
-            at: 3,
+        rollout(RolloutEntry::MarkReady {
+            revision: 3,
             fence,
             name: name(),
         }),
         rollout(RolloutEntry::Abort {
             id,
-            why: "not wanted".into(),
+            reason: "not wanted".into(),
         }),
-        rollout(RolloutEntry::Let {
-            at: 5,
+        rollout(RolloutEntry::Release {
+            revision: 5,
             fence,
             name: name(),
         }),
-        rollout(RolloutEntry::Moved {
-            at: 6,
+        rollout(RolloutEntry::MarkReady {
+            revision: 6,
             fence,
             name: name(),
         }),
@@ -265,58 +265,58 @@
 fn rollout_of_program() -> Vec<LogEntry> {
     let (fence, id) = (1, 42);
     let beat = |seen| {
-        rollout(RolloutEntry::Beat {
+        rollout(RolloutEntry::Heartbeat {
             fence,
             observation: seen,
         })
     };
-    let open = |slices| Verdict::Open {
+    let open = |slices| Verdict::Inconclusive {
         needs: "more calls".into(),
         slices,
     };
     vec![
         rollout(RolloutEntry::Begin {
             id,
-            what: RolloutChange::Program {
+            change: RolloutChange::Program {
                 label: "0123abcd".into(),
                 path: "/opt/tansy/0123abcd".into(),
             },
             plan: plan(),
-            why: "a new program".into(),
+            reason: "a new program".into(),
         }),
         rollout(RolloutEntry::TakeControl {
             fence,
             controller: "front-1".into(),
         }),
-        rollout(RolloutEntry::Let {
-            at: 2,
+        rollout(RolloutEntry::Release {
+            revision: 2,
             fence,
             name: "front-1".into(),
         }),
         beat(None),
-        rollout(RolloutEntry::Moved {
-            at: 3,
+        rollout(RolloutEntry::MarkReady {
+            revision: 3,
             fence,
             name: "front-1".into(),
         }),
-        rollout(RolloutEntry::BeginAnalysis { at: 4, fence }),
+        rollout(RolloutEntry::BeginAnalysis { revision: 4, fence }),
         beat(seen(0, Some(open(None)))),
         beat(seen(0, Some(open(Some(9))))),
-        beat(seen(0, Some(Verdict::Held { slices: 2 }))),
+        beat(seen(0, Some(Verdict::SharedFault { slices: 2 }))),
         beat(seen(
             0,
-            Some(Verdict::Worse {
-                why: "slower".into(),
+            Some(Verdict::Fail {
+                reason: "slower".into(),
             }),
         )),
-        beat(seen(0, Some(Verdict::Fine))),
+        beat(seen(0, Some(Verdict::Pass))),
         rollout(RolloutEntry::Pass {
-            at: 5,
+            revision: 5,
             fence,
-            why: "fine".into(),
+            reason: "fine".into(),
         }),
-        rollout(RolloutEntry::Let {
-            at: 6,
+        rollout(RolloutEntry::Release {
+            revision: 6,
             fence,
             name: "front-2".into(),
         }),
@@ -328,7 +328,7 @@
         })),
         rollout(RolloutEntry::Pause {
             id,
-            why: "look at it".into(),
+            reason: "look at it".into(),
         }),
         rollout(RolloutEntry::Resume { id }),
         beat(seen(1, None)),
@@ -360,10 +360,10 @@
     let last = vec![
         propose(24, 2, 8, "under way"),
         advance(19),
-        rollout(RolloutEntry::Worse {
-            at: 10,
+        rollout(RolloutEntry::Fail {
+            revision: 10,
             fence: 1,
-            why: "worse".into(),
+            reason: "worse".into(),
         }),
     ];
     [
--- a/tests/compatibility/src/json.rs
+++ b/tests/compatibility/src/json.rs
@@ -26,23 +26,23 @@
     ] {
         all.push(RolloutEntry::Begin {
             id: u64::MAX,
-            what: RolloutChange::Settings,
+            change: RolloutChange::Settings,
             plan: RolloutPlan {
                 stages: Vec::new(),
-                at_once: 2,
-                least: 61,
-                longest: 1801,
-                ready: 62,
-                slice: 6,
-                spend: 0.5,
-                error: 0.25,
-                matters: 0.125,
-                accept: 0.0625,
-                warm_up: 11,
-                memory: 1025,
-                undecided,
+                max_unavailable: 2,
+                min_stage_seconds: 61,
+                max_stage_seconds: 1801,
+                ready_timeout_seconds: 62,
+                sample_seconds: 6,
+                max_value_lost: 0.5,
+                error_probability: 0.25,
+                relevant_loss: 0.125,
+                tolerated_loss: 0.0625,
+                warm_up_seconds: 11,
+                memory_limit_mb: 1025,
+                inconclusive: undecided,
             },
-            why: "é".into(),
+            reason: "é".into(),
         });
     }
     all
@@ -57,13 +57,13 @@
             (
                 RolloutEntry::Begin {
                     id,
-                    what,
+                    change,
                     plan,
-                    why,
+                    reason,
                 },
                 _,
             ) => {
-                all.push(Rollout::begin(id, what, plan, why).expect("a plan"));
+                all.push(Rollout::begin(id, change, plan, reason).expect("a plan"));
             }
             (entry, Some(last)) => {
                 let mut next = last.clone();
@@ -75,7 +75,7 @@
     }
     let last = all.last().cloned().expect("a rollout");
     all.push(Rollout {
-        phase: RolloutPhase::Done,
+        phase: RolloutPhase::Completed,
         paused: true,
         ..last
     });
--- a/tests/compatibility/src/voters.rs
+++ b/tests/compatibility/src/voters.rs
@@ -24,7 +24,7 @@
         id: me,
         incarnation,
         voters: (1..=3).map(|n| (n, address(n))).collect(),
-        terms: LeaseTiming {
+        timing: LeaseTiming {
             span: 600_000,
             drift_ppm: 1000,
         },
--- a/tests/compatibility/tests/voters.rs
+++ b/tests/compatibility/tests/voters.rs
@@ -179,12 +179,15 @@
             label: "0123abcd".into(),
             path: "/opt/tansy/0123abcd".into(),
         };
-        assert_eq!((rollout.id, &rollout.what), (42, &what));
-        assert_eq!((rollout.phase, rollout.stage), (RolloutPhase::Moving, 1));
-        assert_eq!((rollout.at, rollout.fence, rollout.heartbeat), (10, 1, 7));
+        assert_eq!((rollout.id, &rollout.change), (42, &what));
+        assert_eq!((rollout.phase, rollout.stage), (RolloutPhase::Changing, 1));
+        assert_eq!(
+            (rollout.revision, rollout.fence, rollout.heartbeat),
+            (10, 1, 7)
+        );
         assert_eq!((rollout.paused, rollout.analyses), (false, 1));
-        assert_eq!(rollout.moved, ["front-1".to_string()].into());
-        assert_eq!(rollout.moving, ["front-2".to_string()].into());
+        assert_eq!(rollout.changed, ["front-1".to_string()].into());
+        assert_eq!(rollout.released, ["front-2".to_string()].into());
         let fallen = Crash {
             name: "front-2".into(),
             process: 7,
@@ -192,8 +195,12 @@
             consecutive: 2,
         };
         assert_eq!(rollout.crashes, [fallen]);
-        let seen: Vec<_> = rollout.seen.iter().map(|s| (s.stage, &s.verdict)).collect();
-        assert_eq!(seen, [(0, &Some(Verdict::Fine)), (1, &None)]);
+        let seen: Vec<_> = rollout
+            .observations
+            .iter()
+            .map(|s| (s.stage, &s.verdict))
+            .collect();
+        assert_eq!(seen, [(0, &Some(Verdict::Pass)), (1, &None)]);
         assert_eq!(log.program(), None);
     }
 }
