--- a/benches/state/src/letters.rs
+++ b/benches/state/src/letters.rs
@@ -288,7 +288,7 @@
     let versions = log.history().map(settings).collect();
     pb::HistoryReply {
         versions,
-        force: 1,
+        in_force: 1,
         next: 0,
     }
     .encoded_len()
--- a/benches/state/src/steer.rs
+++ b/benches/state/src/steer.rs
@@ -143,13 +143,13 @@
                     .collect();
                 pb::ClassCounters {
                     class: format!("class-{n}"),
-                    asked: calls as u64,
+                    requests: calls as u64,
                     served: each * LATENCIES as u64,
                     failed: lost,
-                    wanted: calls,
-                    worth: calls - lost as f64,
-                    calls: vec![each; took.len()],
-                    took,
+                    value_requested: calls,
+                    value_served: calls - lost as f64,
+                    latency_counts: vec![each; took.len()],
+                    latencies: took,
                     ..Default::default()
                 }
             };
@@ -157,12 +157,12 @@
                 name: a.name.clone(),
                 zone: a.zone.clone(),
                 incarnation: a.since.unsigned_abs(),
-                up,
+                uptime: up,
                 ready: a.ready,
                 label: if a.new { NEW.into() } else { "old".into() },
-                memory: 30_000_000,
+                memory_bytes: 30_000_000,
                 classes: (0..classes).map(&mut class).collect(),
-                seat: a.seat,
+                is_voter: a.seat,
                 ..Default::default()
             };
             reply.encode_to_vec()
--- a/net/fleet/src/service/entries.rs
+++ b/net/fleet/src/service/entries.rs
@@ -54,9 +54,9 @@
             version: Version(version),
         }),
         Entry::Dismiss(name) => dismiss(transport, &name),
-        Entry::Seat(request) => replace_voter(transport, &request),
-        Entry::Roll(request) => rollout(transport, request),
-        Entry::Change(request) => update_scopes(transport, request),
+        Entry::ReplaceVoter(request) => replace_voter(transport, &request),
+        Entry::Rollout(request) => rollout(transport, request),
+        Entry::ScopeTransaction(request) => update_scopes(transport, request),
     }
 }
 
@@ -94,9 +94,12 @@
 }
 
 /// Starts the replacement of a voter, alive or dead, by a front end that is present.
-fn replace_voter(transport: &FleetTransport, request: &pb::Seat) -> Result<LogEntry, Rejection> {
-    let new = number(&request.new);
-    let replaced = number(&request.instead);
+fn replace_voter(
+    transport: &FleetTransport,
+    request: &pb::ReplaceVoter,
+) -> Result<LogEntry, Rejection> {
+    let new = number(&request.new_voter);
+    let replaced = number(&request.replaced);
     let address = transport.with_node(|node, _| {
         let found = node.others().find(|other| other.id == new);
         found.map(|other| other.address)
@@ -106,7 +109,7 @@
             Code::NotFound,
             format!(
                 "no front end named {:?} is there: start it with --state, then ask again",
-                request.new
+                request.new_voter
             ),
         )
     })?;
@@ -117,7 +120,10 @@
     })
 }
 
-fn rollout(transport: &FleetTransport, request: pb::Roll) -> Result<LogEntry, Rejection> {
+fn rollout(
+    transport: &FleetTransport,
+    request: pb::RolloutLogEntry,
+) -> Result<LogEntry, Rejection> {
     let (entry, fields) = of_roll_entry(request).map_err(Rejection::invalid)?;
     if let Some(fields) = &fields {
         (transport.check)(fields).map_err(Rejection::invalid)?;
@@ -200,8 +206,8 @@
     };
     pb::EnterReply {
         version,
-        again: matches!(applied, ApplyOutcome::Duplicate(_)),
-        step,
+        is_duplicate: matches!(applied, ApplyOutcome::Duplicate(_)),
+        revision: step,
     }
 }
 
--- a/net/fleet/src/service/mod.rs
+++ b/net/fleet/src/service/mod.rs
@@ -133,21 +133,21 @@
 }
 
 /// Functions with a change under way, with the subscribers that each waits for, by name.
-fn changing_functions(node: &FleetNode, now: Time) -> Vec<pb::Waiting> {
+fn changing_functions(node: &FleetNode, now: Time) -> Vec<pb::BlockedFunction> {
     let roster: Vec<(Member, &str)> = match node.log() {
         Some(log) => log.roster().collect(),
         None => Vec::new(),
     };
     let rostered = |behind: Member| {
         let entry = roster.iter().find(|(member, _)| *member == behind);
-        pb::Rostered {
+        pb::RosterEntry {
             member: Some(member(behind)),
             name: entry.map_or("", |(_, name)| name).to_string(),
         }
     };
-    let waiting = |(name, behind): (String, Vec<Member>)| pb::Waiting {
+    let waiting = |(name, behind): (String, Vec<Member>)| pb::BlockedFunction {
         name,
-        behind: behind.into_iter().map(rostered).collect(),
+        subscribers_behind: behind.into_iter().map(rostered).collect(),
     };
     let blockers = node.change_blockers(now);
     let scopes = blockers.map(|blockers| blockers.scopes).unwrap_or_default();
--- a/net/fleet/src/service/queries.rs
+++ b/net/fleet/src/service/queries.rs
@@ -22,7 +22,7 @@
         let next = state.next.as_ref();
         let reply = pb::HistoryReply {
             versions: log.history().map(settings).collect(),
-            force: state.in_force.version.0,
+            in_force: state.in_force.version.0,
             next: next.map_or(0, |(next, _)| next.version.0),
         };
         Ok(reply.encode_to_vec())
@@ -35,9 +35,9 @@
     check_fleet(transport, request.fleet, fleet)?;
     let mut reply = (transport.counts)();
     let traffic = transport.traffic();
-    reply.letters = Some(pb::Letters {
-        taken: traffic.received,
-        taken_bytes: traffic.received_bytes,
+    reply.traffic = Some(pb::TrafficCounters {
+        received: traffic.received,
+        received_bytes: traffic.received_bytes,
         sent: traffic.sent,
         sent_bytes: traffic.sent_bytes,
         dropped: transport.dropped(),
@@ -48,10 +48,10 @@
         reply.name = setup.name.clone();
         reply.incarnation = setup.node.incarnation;
         reply.ready = active.lease > 0 && active.session > 0 && active.state.is_some();
-        reply.up = node.active_for(now);
-        reply.seat = node.voters().iter().any(|voter| voter.0 == setup.node.id);
+        reply.uptime = node.active_for(now);
+        reply.is_voter = node.voters().iter().any(|voter| voter.0 == setup.node.id);
         let state = active.state;
-        reply.tries = state.is_some_and(|state| acts_on_canary(state, &setup.name));
+        reply.acts_on_canary = state.is_some_and(|state| acts_on_canary(state, &setup.name));
     });
     Ok(reply.encode_to_vec())
 }
@@ -63,19 +63,19 @@
 
 /// The last rollout.
 pub(super) fn rollout(transport: &FleetTransport, fleet: u64, bytes: &[u8]) -> Reply {
-    let request: pb::RollRequest = decode(bytes)?;
+    let request: pb::RolloutRequest = decode(bytes)?;
     check_fleet(transport, request.fleet, fleet)?;
     transport.with_node(|node, _| {
         let (_, log) = node.agreed().ok_or_else(|| Rejection::not_a_voter(node))?;
         let (label, path) = log.program().unwrap_or_default();
         let rollout = log.rollout();
-        let reply = pb::RollReply {
-            roll: rollout
+        let reply = pb::RolloutReply {
+            rollout: rollout
                 .and_then(|rollout| serde_json::to_string(rollout).ok())
                 .unwrap_or_default(),
             label: label.into(),
             path: path.into(),
-            leads: node.log().is_some(),
+            is_leader: node.log().is_some(),
         };
         Ok(reply.encode_to_vec())
     })
@@ -94,20 +94,20 @@
     transport.with_node(|node, now| {
         let (_, log) = node.agreed().ok_or_else(|| Rejection::not_a_voter(node))?;
         let catalog = log.catalog();
-        let named = |name: String| pb::Named {
-            scoped: catalog.get(&name).map(scoped),
+        let named = |name: String| pb::NamedFunction {
+            record: catalog.get(&name).map(scoped),
             name,
         };
         let result = catalog.transaction_result(request.id);
         let reply = pb::FunctionsReply {
             functions: request.names.into_iter().map(named).collect(),
-            request: result.map(|result| pb::TransactionResult {
-                step: result.revision.0,
+            transaction_result: result.map(|result| pb::TransactionResult {
+                revision: result.revision.0,
                 joint: result.joint,
-                force: result.in_force,
-                back: result.reverted,
+                in_force: result.in_force,
+                reverted: result.reverted,
             }),
-            waits: changing_functions(node, now),
+            blocked_functions: changing_functions(node, now),
         };
         Ok(reply.encode_to_vec())
     })
--- a/net/fleet/src/service/status.rs
+++ b/net/fleet/src/service/status.rs
@@ -29,21 +29,21 @@
         fleet: transport.fleet.clone(),
         name: setup.name.clone(),
         process: Some(process(&setup.node)),
-        seat: node.leader_address().to_string(),
-        seats: voters.iter().map(|voter| voter.1.to_string()).collect(),
-        keeps_log: node.log().is_some(),
-        seating: voter_replacement(node),
+        leader_address: node.leader_address().to_string(),
+        voter_addresses: voters.iter().map(|voter| voter.1.to_string()).collect(),
+        is_leader: node.log().is_some(),
+        voter_replacement: voter_replacement(node),
         state: active.state.map(state),
-        lease_left: active.lease,
-        stay_left: active.session,
-        others: node.others().map(process).collect(),
-        contested: conflicting_calls(node, &active),
+        lease_remaining: active.lease,
+        session_remaining: active.session,
+        other_members: node.others().map(process).collect(),
+        conflicting: conflicting_calls(node, &active),
         roster: roster(node),
-        waits_for_leases,
-        waits_for,
+        blocked_by_leases: waits_for_leases,
+        blocking_members: waits_for,
         error: transport.error.borrow().clone().unwrap_or_default(),
-        holds: node.subscription_count() as u64,
-        changing: changing_functions(node, now),
+        subscriptions: node.subscription_count() as u64,
+        blocked_functions: changing_functions(node, now),
     }
 }
 
@@ -52,11 +52,11 @@
     let replacement = log.voter_replacement()?;
     let replaced = node.address(replacement.replaced);
     Some(pb::VoterReplacement {
-        new: replacement.address.to_string(),
-        instead: replaced
+        new_voter: replacement.address.to_string(),
+        replaced: replaced
             .map(|address| address.to_string())
             .unwrap_or_default(),
-        votes: replacement.phase == ReplacementPhase::JointConsensus,
+        is_voting: replacement.phase == ReplacementPhase::JointConsensus,
     })
 }
 
@@ -85,11 +85,11 @@
     }
 }
 
-fn roster(node: &FleetNode) -> Vec<pb::Rostered> {
+fn roster(node: &FleetNode) -> Vec<pb::RosterEntry> {
     let Some(log) = node.log() else {
         return Vec::new();
     };
-    let rostered = |(entry, name): (_, &str)| pb::Rostered {
+    let rostered = |(entry, name): (_, &str)| pb::RosterEntry {
         member: Some(member(entry)),
         name: name.into(),
     };
--- a/programs/day/src/agree.rs
+++ b/programs/day/src/agree.rs
@@ -394,7 +394,9 @@
         loop {
             let answers = client.statuses(&members);
             let ready = |s: &tansy_fleet_wire::pb::StatusReply| {
-                s.lease_left > 0 && s.stay_left > 0 && s.others.len() + 1 == members.len()
+                s.lease_remaining > 0
+                    && s.session_remaining > 0
+                    && s.other_members.len() + 1 == members.len()
             };
             if answers.iter().all(|a| a.as_ref().is_ok_and(ready)) {
                 return Ok(());
@@ -537,7 +539,7 @@
         seats
             .iter()
             .zip(of)
-            .find_map(|(at, s)| s.ok().filter(|s| s.keeps_log).map(|s| (*at, s)))
+            .find_map(|(at, s)| s.ok().filter(|s| s.is_leader).map(|s| (*at, s)))
     };
     while let Ok(fields) = orders.recv() {
         let said = pending.next().copied();
@@ -552,7 +554,8 @@
         while began.elapsed() < limit {
             // The seat may be away, or another change under way: asked again with the same id it is the same proposal.
             if base.is_none() {
-                base = leads(&mut client).and_then(|(at, s)| Some((at, s.state?.force?.version)));
+                base =
+                    leads(&mut client).and_then(|(at, s)| Some((at, s.state?.in_force?.version)));
                 if base.is_none() {
                     client.wait(Duration::from_millis(20));
                 }
@@ -587,7 +590,7 @@
         while let Some(version) = proposal.version.filter(|_| began.elapsed() < limit) {
             let state = leads(&mut client).and_then(|(_, s)| s.state);
             if let Some(s) = state.filter(|s| s.next.is_none()) {
-                if s.force.is_some_and(|f| f.version >= version) {
+                if s.in_force.is_some_and(|f| f.version >= version) {
                     middle
                         .with(move |r| r.mark(Mark::InForce { version }))
                         .map_err(failed)?;
--- a/programs/day/src/roll.rs
+++ b/programs/day/src/roll.rs
@@ -301,7 +301,7 @@
             let answers = self.client.statuses(&self.peers);
             let all = self.peers.len();
             let ready = |s: &tansy_fleet_wire::pb::StatusReply| {
-                s.lease_left > 0 && s.stay_left > 0 && s.others.len() + 1 == all
+                s.lease_remaining > 0 && s.session_remaining > 0 && s.other_members.len() + 1 == all
             };
             if answers.iter().all(|a| a.as_ref().is_ok_and(ready)) {
                 return Ok(());
@@ -319,8 +319,8 @@
     fn roll(&mut self) -> Option<Rollout> {
         let seats = self.peers[..ZONES.len()].to_vec();
         let answers = self.client.rolls(&seats, WITHIN);
-        let leads = answers.into_iter().flatten().find(|r| r.leads)?;
-        of_roll(&leads.roll).ok().flatten()
+        let leads = answers.into_iter().flatten().find(|r| r.is_leader)?;
+        of_roll(&leads.rollout).ok().flatten()
     }
 
     fn begin(&mut self, play: &Play) -> Result<(), Error> {
@@ -361,13 +361,13 @@
             let at = statuses
                 .iter()
                 .zip(&self.peers)
-                .find(|(s, _)| s.as_ref().is_ok_and(|s| s.keeps_log));
+                .find(|(s, _)| s.as_ref().is_ok_and(|s| s.is_leader));
             let Some(at) = at.map(|(_, at)| *at) else {
                 continue;
             };
             if self
                 .client
-                .enter(at, Enter::Roll(roll_entry(&entry, None)))
+                .enter(at, Enter::Rollout(roll_entry(&entry, None)))
                 .is_ok()
             {
                 return Ok(());
--- a/programs/fleet/src/client.rs
+++ b/programs/fleet/src/client.rs
@@ -172,11 +172,11 @@
         &mut self,
         to: &[SocketAddr],
         within: Duration,
-    ) -> Vec<Result<pb::RollReply, RequestError>> {
+    ) -> Vec<Result<pb::RolloutReply, RequestError>> {
         self.all(
             to,
             "Roll",
-            &pb::RollRequest { fleet: 0 }.encode_to_vec(),
+            &pb::RolloutRequest { fleet: 0 }.encode_to_vec(),
             within,
         )
     }
--- a/programs/fleet/src/lib.rs
+++ b/programs/fleet/src/lib.rs
@@ -52,7 +52,7 @@
 
     fn leader_known_by(&mut self, at: SocketAddr) -> Result<SocketAddr, FleetError> {
         let status = self.client.status(at)?;
-        parse_address(&status.seat)
+        parse_address(&status.leader_address)
     }
 
     /// Waits until the next question about a change in progress.
--- a/programs/fleet/src/machine.rs
+++ b/programs/fleet/src/machine.rs
@@ -306,7 +306,7 @@
             return;
         };
         while let Some(crash) = self.unreported.first().cloned() {
-            let entry = Entry::Roll(roll_entry(&RolloutEntry::Crashed(crash), None));
+            let entry = Entry::Rollout(roll_entry(&RolloutEntry::Crashed(crash), None));
             match self.client.enter_within(leader, entry, ANSWER_TIMEOUT) {
                 Err(RequestError::Unreachable(_)) => return,
                 _ => drop(self.unreported.remove(0)),
--- a/programs/fleet/src/machine/fleet_state.rs
+++ b/programs/fleet/src/machine/fleet_state.rs
@@ -51,7 +51,7 @@
         let status = first.map(|address| client.status_within(address, ANSWER_TIMEOUT));
         if let Some(Ok(status)) = status {
             self.known = status
-                .others
+                .other_members
                 .iter()
                 .chain(&status.process)
                 .filter_map(|process| process.address.parse().ok())
@@ -60,8 +60,8 @@
     }
 
     /// Takes over a front end's state of the rollout, unless that is older than what is known.
-    fn on_reply(&mut self, address: SocketAddr, reply: pb::RollReply) {
-        let Ok(rollout) = of_roll(&reply.roll) else {
+    fn on_reply(&mut self, address: SocketAddr, reply: pb::RolloutReply) {
+        let Ok(rollout) = of_roll(&reply.rollout) else {
             tracing::error!(%address, "a roll that this program can't read: finish the update of `tansy-fleet`");
             return;
         };
@@ -75,11 +75,11 @@
             let answered = position(&rollout);
             answered.0 != known.0 || answered >= known
         };
-        if reply.leads {
+        if reply.is_leader {
             self.fresh = true;
             self.leader = Some(address);
         }
-        if reply.leads || (!self.fresh && is_later && rollout.is_some()) {
+        if reply.is_leader || (!self.fresh && is_later && rollout.is_some()) {
             self.rollout = rollout;
             self.program = (!reply.label.is_empty()).then_some((reply.label, reply.path));
         }
@@ -106,7 +106,7 @@
             return;
         };
         let is_heartbeat = matches!(entry, RolloutEntry::Heartbeat { .. });
-        let message = Entry::Roll(roll_entry(&entry, None));
+        let message = Entry::Rollout(roll_entry(&entry, None));
         match client.enter_within(leader, message, ANSWER_TIMEOUT) {
             Ok(_) if is_heartbeat => {}
             Ok(_) => tracing::info!(?entry, "a step of the roll"),
@@ -120,7 +120,7 @@
         let addresses: Vec<SocketAddr> = self.known.iter().copied().collect();
         let is_new = |counts: &pb::CountsReply| match &rollout.change {
             RolloutChange::Program { label, .. } => counts.label == *label,
-            RolloutChange::Settings => counts.tries,
+            RolloutChange::Settings => counts.acts_on_canary,
         };
         sample(client, &addresses, is_new)
             .into_iter()
@@ -141,7 +141,7 @@
         .filter_map(|answer| {
             let counts = answer.ok()?;
             let new = is_new(&counts);
-            let is_voter = counts.seat;
+            let is_voter = counts.is_voter;
             let front_end = of_counts(counts, new).ok()?;
             Some((front_end, is_voter))
         })
--- a/programs/fleet/src/replace_voter.rs
+++ b/programs/fleet/src/replace_voter.rs
@@ -25,11 +25,11 @@
     wait: f64,
 ) -> Result<(), FleetError> {
     let mut leader = session.leader()?;
-    let request = pb::Seat {
-        new: new.to_string(),
-        instead: replaced.to_string(),
+    let request = pb::ReplaceVoter {
+        new_voter: new.to_string(),
+        replaced: replaced.to_string(),
     };
-    session.client.enter(leader, Entry::Seat(request))?;
+    session.client.enter(leader, Entry::ReplaceVoter(request))?;
     let end = Instant::now() + wait_limit(wait);
     let mut learning = true;
     while Instant::now() < end {
@@ -79,11 +79,11 @@
 /// How far the replacement is, if the leader says so.
 fn progress(session: &mut Session, leader: SocketAddr, new: &str) -> Option<Progress> {
     let status = session.client.status(leader).ok()?;
-    if !status.keeps_log {
+    if !status.is_leader {
         return None;
     }
-    Some(match &status.seating {
-        Some(replacement) if replacement.votes => Progress::Joint,
+    Some(match &status.voter_replacement {
+        Some(replacement) if replacement.is_voting => Progress::Joint,
         Some(_) => Progress::Learning,
         None if is_voter(&status, new) => Progress::Done,
         None => Progress::Failed,
@@ -93,7 +93,7 @@
 fn is_voter(status: &pb::StatusReply, name: &str) -> bool {
     let address = address_of(status, name);
     status
-        .seats
+        .voter_addresses
         .iter()
         .any(|voter| Some(voter) == address.as_ref())
 }
@@ -102,7 +102,7 @@
 fn address_of(status: &pb::StatusReply, name: &str) -> Option<String> {
     let id = tansy_fleet_node::number(name);
     status
-        .others
+        .other_members
         .iter()
         .chain(&status.process)
         .find(|process| process.id == id)
--- a/programs/fleet/src/rollout.rs
+++ b/programs/fleet/src/rollout.rs
@@ -70,7 +70,7 @@
         plan,
         reason: arguments.why,
     };
-    let entry = Entry::Roll(roll_entry(&entry, settings.as_ref()));
+    let entry = Entry::Rollout(roll_entry(&entry, settings.as_ref()));
     session.client.enter(leader, entry)?;
     session.output.done(&format!(
         "roll {id} has begun; `tansy-fleet roll status --watch` shows it"
@@ -130,7 +130,7 @@
         .rolls(&[leader], ANSWER_TIMEOUT)
         .pop()
         .unwrap_or_else(|| Err(RequestError::Unreachable("no answer".into())))?;
-    let rollout = of_roll(&reply.roll).map_err(FleetError::unreachable)?;
+    let rollout = of_roll(&reply.rollout).map_err(FleetError::unreachable)?;
     rollout.ok_or_else(|| FleetError::Rejected("there was no roll yet".into()))
 }
 
@@ -142,7 +142,7 @@
 ) -> Result<(), FleetError> {
     let rollout = last(session)?;
     let leader = session.leader()?;
-    let entry = Entry::Roll(roll_entry(&entry(rollout.id), None));
+    let entry = Entry::Rollout(roll_entry(&entry(rollout.id), None));
     session.client.enter(leader, entry)?;
     session
         .output
--- a/programs/fleet/src/rollout/plan.rs
+++ b/programs/fleet/src/rollout/plan.rs
@@ -56,7 +56,7 @@
 pub(super) fn targets(session: &mut Session) -> Result<Vec<Target>, FleetError> {
     let status = session.client.status(session.at)?;
     let addresses: Vec<SocketAddr> = status
-        .others
+        .other_members
         .iter()
         .chain(&status.process)
         .filter_map(|process| process.address.parse().ok())
@@ -66,7 +66,7 @@
         .map(|(front_end, is_voter)| Target {
             name: front_end.report.name,
             zone: front_end.report.zone,
-            is_voter: is_voter,
+            is_voter,
         })
         .collect();
     targets.sort();
--- a/programs/fleet/src/rows.rs
+++ b/programs/fleet/src/rows.rs
@@ -67,9 +67,9 @@
     pub fn of(status: &pb::StatusReply) -> FrontEndStatus {
         let state = status.state.as_ref();
         let phase = |state: &pb::State| match pb::Phase::try_from(state.phase) {
-            Ok(pb::Phase::Told) => "told",
+            Ok(pb::Phase::Notified) => "told",
             Ok(pb::Phase::Joint) => "joint",
-            Ok(pb::Phase::Back) => "going back",
+            Ok(pb::Phase::Reverting) => "going back",
             _ => "",
         };
         let next = state.and_then(|state| {
@@ -84,16 +84,16 @@
                 .map(|process| process.address.clone())
                 .unwrap_or_default(),
             error: Some(status.error.clone()).filter(|error| !error.is_empty()),
-            leads: status.keeps_log,
-            revision: state.map_or(0, |state| state.step),
+            leads: status.is_leader,
+            revision: state.map_or(0, |state| state.revision),
             version: state
-                .and_then(|state| state.force.as_ref())
+                .and_then(|state| state.in_force.as_ref())
                 .map_or(0, |force| force.version),
             next,
-            lease_ms: status.lease_left / 1000,
-            session_s: status.stay_left / 1_000_000,
-            seen_others: status.others.len(),
-            subscriptions: status.holds,
+            lease_ms: status.lease_remaining / 1000,
+            session_s: status.session_remaining / 1_000_000,
+            seen_others: status.other_members.len(),
+            subscriptions: status.subscriptions,
         }
     }
 
--- a/programs/fleet/src/scopes.rs
+++ b/programs/fleet/src/scopes.rs
@@ -169,14 +169,14 @@
 }
 
 /// The front ends that each changing function waits for. One whose name is not known is shown by its number.
-pub(crate) fn waiting(all: &[pb::Waiting]) -> Waiting {
-    let name = |entry: &pb::Rostered| match entry.name.as_str() {
+pub(crate) fn waiting(all: &[pb::BlockedFunction]) -> Waiting {
+    let name = |entry: &pb::RosterEntry| match entry.name.as_str() {
         "" => format!("{:x}", entry.member.as_ref().map_or(0, |member| member.id)),
         name => name.to_string(),
     };
     all.iter()
         .map(|function| {
-            let names = function.behind.iter().map(name).collect();
+            let names = function.subscribers_behind.iter().map(name).collect();
             (function.name.clone(), names)
         })
         .collect()
@@ -196,7 +196,7 @@
     let records: Vec<Option<ScopeRecord>> = reply
         .functions
         .into_iter()
-        .map(|function| function.scoped.map(of_scoped).transpose())
+        .map(|function| function.record.map(of_scoped).transpose())
         .collect::<Result<_, _>>()
         .map_err(FleetError::unreachable)?;
     if records.len() != names.len() {
@@ -206,7 +206,7 @@
             names.len()
         )));
     }
-    Ok((records, waiting(&reply.waits)))
+    Ok((records, waiting(&reply.blocked_functions)))
 }
 
 /// Asks for a change of functions, all or none, and waits until it is in force.
@@ -223,11 +223,11 @@
         id: arguments.wait.id_or_random(),
         reason: arguments.why.clone(),
     };
-    let entry = Entry::Change(scope_request(&transaction));
+    let entry = Entry::ScopeTransaction(scope_request(&transaction));
     let entered = session.client.enter(leader, entry)?;
     let pending = PendingChange {
         id: transaction.id,
-        step: entered.step,
+        step: entered.revision,
         began: Instant::now(),
         names,
     };
@@ -285,14 +285,14 @@
                 ..Default::default()
             };
             if let Ok(reply) = session.client.functions(leader, request) {
-                waiting_for = waiting(&reply.waits);
-                match reply.request {
+                waiting_for = waiting(&reply.blocked_functions);
+                match reply.transaction_result {
                     Some(result) if result.joint > 0 => {}
-                    Some(result) if result.back > 0 => {
+                    Some(result) if result.reverted > 0 => {
                         return Err(FleetError::Abandoned(format!(
                             "{} of {} changes were given up; the seat's log says why",
-                            result.back,
-                            result.back + result.force
+                            result.reverted,
+                            result.reverted + result.in_force
                         )))
                     }
                     Some(_) => {
--- a/programs/fleet/src/status.rs
+++ b/programs/fleet/src/status.rs
@@ -33,7 +33,7 @@
         .status(leader)
         .or_else(|_| session.client.status(session.at))?;
     let addresses = known
-        .seats
+        .voter_addresses
         .iter()
         .map(|address| parse_address(address))
         .collect::<Result<Vec<_>, _>>()?;
@@ -63,7 +63,7 @@
 pub(crate) fn fleet_status(client: &mut Client, at: SocketAddr) -> Result<FleetStatus, FleetError> {
     let first = client.status(at)?;
     let others: Vec<SocketAddr> = first
-        .others
+        .other_members
         .iter()
         .filter_map(|process| process.address.parse().ok())
         .collect();
@@ -75,7 +75,7 @@
     front_ends.sort_by(|one, other| one.name.cmp(&other.name));
     let leader = std::iter::once(&first)
         .chain(answers.iter().flatten())
-        .find(|status| status.keeps_log);
+        .find(|status| status.is_leader);
     Ok(join(&first, leader, front_ends))
 }
 
@@ -85,7 +85,7 @@
     leader: Option<&pb::StatusReply>,
     front_ends: Vec<FrontEndStatus>,
 ) -> FleetStatus {
-    let roster: &[pb::Rostered] = leader.map_or(&[], |leader| &leader.roster);
+    let roster: &[pb::RosterEntry] = leader.map_or(&[], |leader| &leader.roster);
     let name = |member: &pb::Member| {
         roster
             .iter()
@@ -97,24 +97,24 @@
             })
             .map_or_else(|| format!("{:x}", member.id), |entry| entry.name.clone())
     };
-    let is_away = |entry: &&pb::Rostered| !front_ends.iter().any(|row| row.name == entry.name);
+    let is_away = |entry: &&pb::RosterEntry| !front_ends.iter().any(|row| row.name == entry.name);
     let away = roster
         .iter()
         .filter(is_away)
         .map(|entry| entry.name.clone())
         .collect();
-    let conflicting = leader.unwrap_or(first).contested.iter();
+    let conflicting = leader.unwrap_or(first).conflicting.iter();
     FleetStatus {
         fleet: first.fleet.clone(),
-        leader: first.seat.clone(),
+        leader: first.leader_address.clone(),
         away,
         conflicting: conflicting.map(|calls| calls.calls.clone()).collect(),
         waits_for: leader.map_or(Vec::new(), |leader| {
-            leader.waits_for.iter().map(name).collect()
+            leader.blocking_members.iter().map(name).collect()
         }),
-        waits_for_leases: leader.is_some_and(|leader| leader.waits_for_leases),
+        waits_for_leases: leader.is_some_and(|leader| leader.blocked_by_leases),
         changing: leader
-            .map(|leader| scopes::waiting(&leader.changing))
+            .map(|leader| scopes::waiting(&leader.blocked_functions))
             .unwrap_or_default(),
         front_ends,
     }
--- a/programs/fleet/src/versions.rs
+++ b/programs/fleet/src/versions.rs
@@ -62,7 +62,7 @@
     let (reply, remembered) = remembered(session)?;
     let rows: Vec<VersionRow> = remembered
         .iter()
-        .map(|settings| VersionRow::of(settings, reply.force, reply.next))
+        .map(|settings| VersionRow::of(settings, reply.in_force, reply.next))
         .collect();
     session.output.show(&rows, || {
         rows.iter().map(|row| row.plain() + "\n").collect()
@@ -142,9 +142,9 @@
 ) -> Result<(), FleetError> {
     let leader = session.leader()?;
     let (reply, remembered) = remembered(session)?;
-    let base = find(&remembered, reply.force)?;
-    if let Some(expected) = proposal.expected.filter(|number| *number != reply.force) {
-        let force = reply.force;
+    let base = find(&remembered, reply.in_force)?;
+    if let Some(expected) = proposal.expected.filter(|number| *number != reply.in_force) {
+        let force = reply.in_force;
         return Err(FleetError::Rejected(format!(
             "version {force} is in force, not {expected}: look at `diff {expected} {force}` and make the change from that"
         )));
--- a/programs/gateway/src/cli/placement.rs
+++ b/programs/gateway/src/cli/placement.rs
@@ -49,7 +49,7 @@
 
 fn override_fleet(arguments: &Arguments, fleet: &mut Fleet) {
     if let Some(name) = &arguments.name {
-        fleet.me = name.clone();
+        fleet.node_name = name.clone();
     }
     if let Some(peers) = arguments.peers {
         fleet.listen = peers;
@@ -60,13 +60,13 @@
 }
 
 fn check_fleet(fleet: &Fleet) -> Result<(), UsageError> {
-    if fleet.me.is_empty() {
+    if fleet.node_name.is_empty() {
         return Err(UsageError::NoName);
     }
     let elsewhere = fleet
-        .seats
+        .voters
         .iter()
-        .find(|voter| voter.name == fleet.me && voter.address != fleet.listen);
+        .find(|voter| voter.name == fleet.node_name && voter.address != fleet.listen);
     match elsewhere {
         Some(voter) => Err(UsageError::VoterAddress {
             listen: fleet.listen,
--- a/programs/gateway/src/fleet/applier.rs
+++ b/programs/gateway/src/fleet/applier.rs
@@ -55,7 +55,7 @@
         ConfigApplier {
             hub,
             builder: ConfigBuilder {
-                name: fleet.me.clone(),
+                name: fleet.node_name.clone(),
                 own: placement.own.clone(),
                 schema: node.schema.clone(),
                 retry_after: node.lease.span,
--- a/programs/gateway/src/fleet/counters.rs
+++ b/programs/gateway/src/fleet/counters.rs
@@ -16,29 +16,29 @@
     pb::CountsReply {
         zone: zone.into(),
         label: label.into(),
-        memory: resident_bytes(),
-        guarded: account.guard_rejections,
+        memory_bytes: resident_bytes(),
+        guard_interventions: account.guard_rejections,
         classes,
         ..Default::default()
     }
 }
 
 fn class_counters((name, counters): (&String, &ClassCounters)) -> pb::ClassCounters {
-    let (took, calls) = counters
+    let (latencies, latency_counts) = counters
         .latency
         .iter_recorded()
         .map(|bucket| (bucket.value_iterated_to(), bucket.count_at_value()))
         .unzip();
     pb::ClassCounters {
         class: name.clone(),
-        asked: counters.ended,
+        requests: counters.ended,
         served: counters.served,
-        refused: counters.refused,
+        rejected: counters.refused,
         failed: counters.failed,
-        wanted: counters.possible_value,
-        worth: counters.value,
-        took,
-        calls,
+        value_requested: counters.possible_value,
+        value_served: counters.value,
+        latencies,
+        latency_counts,
     }
 }
 
--- a/programs/gateway/src/fleet/mod.rs
+++ b/programs/gateway/src/fleet/mod.rs
@@ -54,21 +54,21 @@
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
     let incarnation = u64::try_from(since.as_micros()).unwrap_or(u64::MAX);
-    let id = number(&fleet.me);
-    let voters = fleet.seats.iter();
+    let id = number(&fleet.node_name);
+    let voters = fleet.voters.iter();
     let timing = |span| LeaseTiming {
         span,
         drift_ppm: fleet.clock_ppm,
     };
     FleetNodeConfig {
         fleet: number(&fleet.name),
-        name: fleet.me.clone(),
+        name: fleet.node_name.clone(),
         node: tansy_membership::NodeId::new(id, incarnation, address),
         voters: voters
             .map(|voter| (number(&voter.name), voter.address))
             .collect(),
-        lease: timing(fleet.within * LEASE_TENTHS / 10),
-        session: timing(fleet.stay),
+        lease: timing(fleet.max_divergence * LEASE_TENTHS / 10),
+        session: timing(fleet.session),
         gossip: tansy_membership::GossipTiming::default(),
         schema: agree::agreement(),
         seed: id ^ incarnation,
@@ -134,11 +134,14 @@
 
 /// The file of the agreed log: a voter needs one, and any other front end that has one may become a voter.
 fn voter_file(fleet: &Fleet) -> Result<Option<PathBuf>, GatewayError> {
-    let is_voter = fleet.seats.iter().any(|voter| voter.name == fleet.me);
+    let is_voter = fleet
+        .voters
+        .iter()
+        .any(|voter| voter.name == fleet.node_name);
     match &fleet.state {
         Some(path) => Ok(Some(path.clone())),
         None if is_voter => Err(GatewayError::NoStateFile {
-            name: fleet.me.clone(),
+            name: fleet.node_name.clone(),
         }),
         None => Ok(None),
     }
--- a/programs/scale/src/cast.rs
+++ b/programs/scale/src/cast.rs
@@ -575,7 +575,7 @@
     /// Learns which seat leads, and what is in force there.
     pub fn learn(&mut self) -> Result<(), Error> {
         let any = self.client.status_within(self.reals[0].address, REQUEST)?;
-        self.leader = any.seat.parse().unwrap_or(self.leader);
+        self.leader = any.leader_address.parse().unwrap_or(self.leader);
         let status = self.client.status_within(self.leader, REQUEST)?;
         let state = status
             .state
@@ -602,12 +602,12 @@
         let seat = match self.client.status_within(self.leader, REQUEST) {
             Ok(s) => format!(
                 "the seat {} for leases and for {} stays",
-                if s.waits_for_leases {
+                if s.blocked_by_leases {
                     "waits"
                 } else {
                     "does not wait"
                 },
-                s.waits_for.len()
+                s.blocking_members.len()
             ),
             Err(e) => format!("the seat: {e}"),
         };
--- a/programs/scale/src/hollow.rs
+++ b/programs/scale/src/hollow.rs
@@ -388,7 +388,7 @@
         let since = clock::now();
         self.since.borrow_mut().insert(place, since);
         let mut fleet = self.fleet.clone();
-        fleet.me = name;
+        fleet.node_name = name;
         let mesh = self.mesh.borrow().clone().ok_or("no ways to the others")?;
         let (net, first, each) = (self.net, self.first, self.each);
         let carry = move |to: SocketAddr, letter: &[u8]| {
--- a/programs/scale/src/run.rs
+++ b/programs/scale/src/run.rs
@@ -255,7 +255,7 @@
 struct Look {
     at: i64,
     /// By place of a real front end: its process, seconds of CPU, letters.
-    real: BTreeMap<usize, (u32, f64, pb::Letters)>,
+    real: BTreeMap<usize, (u32, f64, pb::TrafficCounters)>,
     hollow: Vec<Counted>,
     machine: (u64, u64),
     loopback: u64,
@@ -500,7 +500,7 @@
                 .statuses(&at)
                 .into_iter()
                 .flatten()
-                .map(|s| s.holds)
+                .map(|s| s.subscriptions)
                 .sum::<u64>();
             put(line, "real_holds", real);
             put(
@@ -568,7 +568,7 @@
                 .statuses(&at)
                 .into_iter()
                 .flatten()
-                .map(|s| s.others.len());
+                .map(|s| s.other_members.len());
             let least = hollow
                 .iter()
                 .map(|c| c.least_view)
@@ -600,7 +600,7 @@
         for ((place, pid, address), counts) in reals.into_iter().zip(counts) {
             let letters = counts
                 .map_err(|e| format!("{address}: {e}"))?
-                .letters
+                .traffic
                 .unwrap_or_default();
             real.insert(place, (pid, system::cpu_s(pid).unwrap_or(0.0), letters));
         }
@@ -1066,9 +1066,9 @@
             let Some((_, cpu0, l0)) = before.real.get(place).filter(|b| b.0 == *pid) else {
                 continue;
             };
-            let grew = |f: fn(&pb::Letters) -> u64| f(l).saturating_sub(f(l0));
-            let (t, s) = (grew(|l| l.taken), grew(|l| l.sent));
-            let bytes = grew(|l| l.taken_bytes) + grew(|l| l.sent_bytes);
+            let grew = |f: fn(&pb::TrafficCounters) -> u64| f(l).saturating_sub(f(l0));
+            let (t, s) = (grew(|l| l.received), grew(|l| l.sent));
+            let bytes = grew(|l| l.received_bytes) + grew(|l| l.sent_bytes);
             (taken, sent, dropped) = (taken + t, sent + s, dropped + grew(|l| l.dropped));
             let per = |n: u64| n as f64 / seconds;
             let cpu = (cpu - cpu0) / seconds * 100.0;
--- a/programs/scale/src/scopes.rs
+++ b/programs/scale/src/scopes.rs
@@ -136,8 +136,8 @@
             ..Default::default()
         };
         let reply = self.client.functions(self.leader_address(), asked)?;
-        let one = |n: pb::Named| -> Result<_, Error> {
-            let s = n.scoped.map(of_scoped).transpose()?.unwrap_or_default();
+        let one = |n: pb::NamedFunction| -> Result<_, Error> {
+            let s = n.record.map(of_scoped).transpose()?.unwrap_or_default();
             let joint = matches!(s.phase, ScopePhase::Joint { .. });
             Ok((s.revision, s.fields, joint))
         };
@@ -184,7 +184,7 @@
             updates: changes,
             reason: "measured".into(),
         };
-        self.enter(Entry::Change(scope_request(&request)))?;
+        self.enter(Entry::ScopeTransaction(scope_request(&request)))?;
         Ok(asked)
     }
 
@@ -196,7 +196,7 @@
         let asked = self.asked(&changes)?;
         let entry = |c: ScopeUpdate| {
             let id = number(&format!("{}/{}", asked.id, c.scope));
-            Entry::Change(scope_request(&ScopeTransaction {
+            Entry::ScopeTransaction(scope_request(&ScopeTransaction {
                 id,
                 updates: vec![c],
                 reason: "burst".into(),
--- a/protocol/fleet/src/fleet_state.rs
+++ b/protocol/fleet/src/fleet_state.rs
@@ -10,7 +10,7 @@
     pb::Settings {
         version: settings.version.0,
         fields: fields(&settings.fields),
-        why: settings.reason.clone(),
+        reason: settings.reason.clone(),
         id: settings.id,
     }
 }
@@ -21,7 +21,7 @@
     Ok(VersionedSettings {
         version: Version(settings.version),
         fields,
-        reason: bounded_text(settings.why, "reason")?,
+        reason: bounded_text(settings.reason, "reason")?,
         id: settings.id,
     })
 }
@@ -36,8 +36,8 @@
         state.versions_revision.0
     };
     pb::State {
-        step: state.revision.0,
-        force: Some(settings(&state.in_force)),
+        revision: state.revision.0,
+        in_force: Some(settings(&state.in_force)),
         next: next.map(|(next, _)| settings(next)),
         phase: phase(next.map(|(_, phase)| phase)) as i32,
         canary: state.canary.as_ref().map(|canary| pb::Canary {
@@ -52,18 +52,18 @@
 fn phase(phase: Option<&ChangePhase>) -> pb::Phase {
     match phase {
         None => pb::Phase::None,
-        Some(ChangePhase::Announced) => pb::Phase::Told,
+        Some(ChangePhase::Announced) => pb::Phase::Notified,
         Some(ChangePhase::Joint) => pb::Phase::Joint,
-        Some(ChangePhase::RolledBack) => pb::Phase::Back,
+        Some(ChangePhase::RolledBack) => pb::Phase::Reverting,
     }
 }
 
 fn of_phase(phase: i32) -> Result<Option<ChangePhase>, DecodeError> {
     match pb::Phase::try_from(phase) {
         Ok(pb::Phase::None) => Ok(None),
-        Ok(pb::Phase::Told) => Ok(Some(ChangePhase::Announced)),
+        Ok(pb::Phase::Notified) => Ok(Some(ChangePhase::Announced)),
         Ok(pb::Phase::Joint) => Ok(Some(ChangePhase::Joint)),
-        Ok(pb::Phase::Back) => Ok(Some(ChangePhase::RolledBack)),
+        Ok(pb::Phase::Reverting) => Ok(Some(ChangePhase::RolledBack)),
         Err(_) => Err(DecodeError::MissingPart("phase")),
     }
 }
@@ -81,14 +81,14 @@
 /// Decodes the state that a front end acts on.
 pub fn of_state(state: pb::State) -> Result<FleetState, DecodeError> {
     let phase = of_phase(state.phase)?;
-    let in_force = state.force;
+    let in_force = state.in_force;
     let in_force = of_settings(in_force.ok_or(DecodeError::MissingPart("version in force"))?)?;
     let next = match (state.next, phase) {
         (Some(next), Some(phase)) => Some((of_settings(next)?, phase)),
         (None, None) => None,
         _ => return Err(DecodeError::MissingPart("version under way")),
     };
-    let revision = Revision(state.step);
+    let revision = Revision(state.revision);
     let versions_revision = match state.versions_revision {
         0 => revision,
         versions_revision => Revision(versions_revision),
--- a/protocol/fleet/src/rollout.rs
+++ b/protocol/fleet/src/rollout.rs
@@ -13,8 +13,8 @@
 const MAX_LATENCIES: usize = 4096;
 
 /// Encodes an entry of a rollout; `fields` are those of a rollout of settings that starts.
-pub fn roll_entry(entry: &RolloutEntry, fields: Option<&VersionedSettings>) -> pb::Roll {
-    pb::Roll {
+pub fn roll_entry(entry: &RolloutEntry, fields: Option<&VersionedSettings>) -> pb::RolloutLogEntry {
+    pb::RolloutLogEntry {
         // Plain data always has an encoding.
         entry: serde_json::to_string(entry).unwrap_or_default(),
         fields: fields.map(settings),
@@ -22,7 +22,9 @@
 }
 
 /// Decodes an entry of a rollout.
-pub fn of_roll_entry(rollout: pb::Roll) -> Result<(RolloutEntry, Option<Fields>), DecodeError> {
+pub fn of_roll_entry(
+    rollout: pb::RolloutLogEntry,
+) -> Result<(RolloutEntry, Option<Fields>), DecodeError> {
     let entry = serde_json::from_str(&rollout.entry)
         .map_err(|error| DecodeError::Malformed(format!("a roll's step: {error}")))?;
     let settings = rollout.fields.map(of_settings).transpose()?;
@@ -52,10 +54,10 @@
         zone: bounded_text(reply.zone, "zone")?,
         new,
         incarnation: reply.incarnation,
-        up: reply.up as f64 / 1e6,
+        up: reply.uptime as f64 / 1e6,
         classes,
-        memory: reply.memory as f64 / 1e6,
-        guarded: reply.guarded,
+        memory: reply.memory_bytes as f64 / 1e6,
+        guarded: reply.guard_interventions,
     };
     Ok(FrontEndObservation {
         ready: reply.ready,
@@ -64,22 +66,23 @@
 }
 
 fn request_counters(class: pb::ClassCounters) -> Result<RequestCounters, DecodeError> {
-    if class.took.len() != class.calls.len() || class.took.len() > MAX_LATENCIES {
+    if class.latencies.len() != class.latency_counts.len() || class.latencies.len() > MAX_LATENCIES
+    {
         return Err(DecodeError::MissingPart("list of latencies"));
     }
-    if !(class.wanted.is_finite() && class.worth.is_finite()) {
+    if !(class.value_requested.is_finite() && class.value_served.is_finite()) {
         return Err(DecodeError::MissingPart("worth"));
     }
     let mut counters = RequestCounters {
-        requested: class.asked,
+        requested: class.requests,
         served: class.served,
-        rejected: class.refused,
+        rejected: class.rejected,
         failed: class.failed,
-        wanted: class.wanted,
-        worth: class.worth,
+        wanted: class.value_requested,
+        worth: class.value_served,
         ..Default::default()
     };
-    for (latency, calls) in class.took.into_iter().zip(class.calls) {
+    for (latency, calls) in class.latencies.into_iter().zip(class.latency_counts) {
         // A histogram of two digits grows by some bytes for each time it doubles, so that no latency can exhaust memory.
         counters
             .latency
--- a/protocol/fleet/src/subscriptions.rs
+++ b/protocol/fleet/src/subscriptions.rs
@@ -63,9 +63,9 @@
 }
 
 pub(crate) fn subscribe_reply(reply: SubscribeReply) -> pb::SubscribeReply {
-    let named = |(name, record): (String, Option<ScopeRecord>)| pb::Named {
+    let named = |(name, record): (String, Option<ScopeRecord>)| pb::NamedFunction {
         name,
-        scoped: record.as_ref().map(scoped),
+        record: record.as_ref().map(scoped),
     };
     pb::SubscribeReply {
         to: Some(member(reply.to)),
@@ -80,9 +80,9 @@
     if reply.scopes.len() > MAX_SCOPES_PER_REQUEST {
         return Err(DecodeError::MissingPart("number of functions"));
     }
-    let named = |named: pb::Named| {
+    let named = |named: pb::NamedFunction| {
         let name = of_scope_name(named.name)?;
-        Ok((name, named.scoped.map(of_scoped).transpose()?))
+        Ok((name, named.record.map(of_scoped).transpose()?))
     };
     let scopes = reply.scopes.into_iter().map(named);
     let scopes = scopes.collect::<Result<_, _>>()?;
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -12,7 +12,7 @@
 
 pub use tansy_dispatch::FunctionSpec;
 pub use tansyrouter::MissPolicy;
-pub use types::{Fleet, Function, Gateway, Seat, Settings, WorkerLine};
+pub use types::{Fleet, Function, Gateway, Settings, Voter, WorkerLine};
 
 use tansy_syntax::{parse, Diagnostic, Source, Span};
 use value::{concrete, definition, evaluate, unify, Node, SCHEMA};
--- a/settings/src/read.rs
+++ b/settings/src/read.rs
@@ -1,7 +1,7 @@
 //! Concrete values as the program's own types, with the checks that span several fields.
 
 use crate::record::{address, index_of, texts, RecordReader};
-use crate::types::{Fleet, Function, Gateway, Seat, Settings, WorkerLine};
+use crate::types::{Fleet, Function, Gateway, Settings, Voter, WorkerLine};
 use crate::value::{Kind, Node, Scalar};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -151,7 +151,7 @@
         let voter = RecordReader::of(item)?;
         let path = format!("fleet.seats[{index}].address");
         let address = address(voter, "address", &path, errors);
-        voters.push(Seat {
+        voters.push(Voter {
             name: voter.text("name")?.to_string(),
             address: address?,
         });
@@ -161,19 +161,19 @@
     let text = |name: &str| record.text(name).map(str::to_string);
     Some(Fleet {
         name: text("name")?,
-        me: text("me")?,
+        node_name: text("me")?,
         listen: listen?,
-        seats: voters,
+        voters,
         state: text("state")
             .filter(|state| !state.is_empty())
             .map(Into::into),
-        within: record.int("within")?,
-        stay: record.int("stay")?,
+        max_divergence: record.int("within")?,
+        session: record.int("stay")?,
         clock_ppm: record.int("clock_ppm")?,
     })
 }
 
-fn check_voters(record: RecordReader<'_>, voters: &[Seat], errors: &mut Vec<Diagnostic>) {
+fn check_voters(record: RecordReader<'_>, voters: &[Voter], errors: &mut Vec<Diagnostic>) {
     let names: BTreeSet<&str> = voters.iter().map(|voter| voter.name.as_str()).collect();
     let addresses: BTreeSet<SocketAddr> = voters.iter().map(|voter| voter.address).collect();
     let each_once = names.len() == voters.len() && addresses.len() == voters.len();
--- a/settings/src/types.rs
+++ b/settings/src/types.rs
@@ -47,7 +47,7 @@
 
 /// A voter: a front end that keeps the agreed log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seat {
+pub struct Voter {
     /// Its name.
     pub name: String,
     /// Where its peers reach it.
@@ -60,17 +60,17 @@
     /// Its name.
     pub name: String,
     /// The front end's name in it.
-    pub me: String,
+    pub node_name: String,
     /// Where its peers reach it.
     pub listen: SocketAddr,
     /// The voters.
-    pub seats: Vec<Seat>,
+    pub voters: Vec<Voter>,
     /// The file of the agreed log; absent: it keeps none.
     pub state: Option<std::path::PathBuf>,
     /// The longest time for which two front ends may contradict each other, microseconds.
-    pub within: i64,
+    pub max_divergence: i64,
     /// How long a front end that is cut off goes on with strict fields (its session), microseconds; changes of them wait for it.
-    pub stay: i64,
+    pub session: i64,
     /// Bound on the error of any clock's rate, parts in a million.
     pub clock_ppm: i64,
 }
--- a/tests/compatibility/src/fleet.rs
+++ b/tests/compatibility/src/fleet.rs
@@ -339,13 +339,13 @@
     let settings = || tansy_fleet_wire::settings(&later().in_force);
     let process = tansy_fleet_wire::process(&sender());
     let member = tansy_fleet_wire::member(want().from);
-    let rostered = pb::Rostered {
+    let rostered = pb::RosterEntry {
         member: Some(member),
         name: "front-1".into(),
     };
-    let waiting = pb::Waiting {
+    let waiting = pb::BlockedFunction {
         name: "f".into(),
-        behind: vec![rostered.clone()],
+        subscribers_behind: vec![rostered.clone()],
     };
     let enter = |entry| pb::EnterRequest {
         fleet: FLEET,
@@ -366,27 +366,27 @@
                 fleet: "fleet".into(),
                 name: "front-1".into(),
                 process: Some(process.clone()),
-                seat: "10.0.0.1:7000".into(),
-                keeps_log: true,
+                leader_address: "10.0.0.1:7000".into(),
+                is_leader: true,
                 state: Some(state()),
-                lease_left: 500_000,
-                stay_left: -1,
-                others: vec![process],
-                contested: vec![pb::ConflictingCalls {
+                lease_remaining: 500_000,
+                session_remaining: -1,
+                other_members: vec![process],
+                conflicting: vec![pb::ConflictingCalls {
                     calls: "class chat".into(),
                 }],
                 roster: vec![rostered.clone()],
-                waits_for_leases: true,
-                waits_for: vec![member],
+                blocked_by_leases: true,
+                blocking_members: vec![member],
                 error: "an error".into(),
-                seats: vec!["10.0.0.1:7000".into(), "10.0.0.2:7000".into()],
-                seating: Some(pb::VoterReplacement {
-                    new: "10.0.0.4:7000".into(),
-                    instead: "10.0.0.3:7000".into(),
-                    votes: true,
+                voter_addresses: vec!["10.0.0.1:7000".into(), "10.0.0.2:7000".into()],
+                voter_replacement: Some(pb::VoterReplacement {
+                    new_voter: "10.0.0.4:7000".into(),
+                    replaced: "10.0.0.3:7000".into(),
+                    is_voting: true,
                 }),
-                holds: 9,
-                changing: vec![waiting.clone()],
+                subscriptions: 9,
+                blocked_functions: vec![waiting.clone()],
             },
         ),
         encoded(
@@ -400,32 +400,34 @@
         ),
         encoded(
             "enter-seat",
-            enter(pb::enter_request::Entry::Seat(pb::Seat {
-                new: "front-4".into(),
-                instead: "front-3".into(),
+            enter(pb::enter_request::Entry::ReplaceVoter(pb::ReplaceVoter {
+                new_voter: "front-4".into(),
+                replaced: "front-3".into(),
             })),
         ),
         encoded(
             "enter-roll",
-            enter(pb::enter_request::Entry::Roll(pb::Roll {
+            enter(pb::enter_request::Entry::Rollout(pb::RolloutLogEntry {
                 entry: "{}".into(),
                 fields: Some(settings()),
             })),
         ),
         encoded(
             "enter-change",
-            enter(pb::enter_request::Entry::Change(pb::ScopeTransaction {
-                id: u64::MAX,
-                reason: "because".into(),
-                updates: vec![change("f", fields), change("g", None)],
-            })),
+            enter(pb::enter_request::Entry::ScopeTransaction(
+                pb::ScopeTransaction {
+                    id: u64::MAX,
+                    reason: "because".into(),
+                    updates: vec![change("f", fields), change("g", None)],
+                },
+            )),
         ),
         encoded(
             "enter-reply",
             pb::EnterReply {
                 version: 8,
-                again: true,
-                step: 19,
+                is_duplicate: true,
+                revision: 19,
             },
         ),
         encoded("history-request", pb::HistoryRequest { fleet: FLEET }),
@@ -433,7 +435,7 @@
             "history-reply",
             pb::HistoryReply {
                 versions: vec![settings()],
-                force: 7,
+                in_force: 7,
                 next: 8,
             },
         ),
@@ -444,41 +446,41 @@
                 name: "front-1".into(),
                 zone: "a".into(),
                 incarnation: 3,
-                up: 1_000_000,
+                uptime: 1_000_000,
                 ready: true,
                 label: "0123abcd".into(),
-                tries: true,
-                memory: 1 << 30,
-                guarded: 2,
+                acts_on_canary: true,
+                memory_bytes: 1 << 30,
+                guard_interventions: 2,
                 classes: vec![pb::ClassCounters {
                     class: "chat".into(),
-                    asked: 10,
+                    requests: 10,
                     served: 7,
-                    refused: 2,
+                    rejected: 2,
                     failed: 1,
-                    wanted: 10.5,
-                    worth: 7.25,
-                    took: vec![1000, 2000],
-                    calls: vec![4, 3],
+                    value_requested: 10.5,
+                    value_served: 7.25,
+                    latencies: vec![1000, 2000],
+                    latency_counts: vec![4, 3],
                 }],
-                seat: true,
-                letters: Some(pb::Letters {
-                    taken: 1,
-                    taken_bytes: 200,
+                is_voter: true,
+                traffic: Some(pb::TrafficCounters {
+                    received: 1,
+                    received_bytes: 200,
                     sent: 3,
                     sent_bytes: 400,
                     dropped: 5,
                 }),
             },
         ),
-        encoded("roll-request", pb::RollRequest { fleet: FLEET }),
+        encoded("roll-request", pb::RolloutRequest { fleet: FLEET }),
         encoded(
             "roll-reply",
-            pb::RollReply {
-                roll: "{}".into(),
+            pb::RolloutReply {
+                rollout: "{}".into(),
                 label: "0123abcd".into(),
                 path: "/opt/tansy/0123abcd".into(),
-                leads: true,
+                is_leader: true,
             },
         ),
         encoded(
@@ -494,18 +496,18 @@
             pb::FunctionsReply {
                 functions: standings()
                     .iter()
-                    .map(|s| pb::Named {
+                    .map(|s| pb::NamedFunction {
                         name: "f".into(),
-                        scoped: Some(tansy_fleet_wire::scoped(s)),
+                        record: Some(tansy_fleet_wire::scoped(s)),
                     })
                     .collect(),
-                request: Some(pb::TransactionResult {
-                    step: 19,
+                transaction_result: Some(pb::TransactionResult {
+                    revision: 19,
                     joint: 1,
-                    force: 2,
-                    back: 3,
+                    in_force: 2,
+                    reverted: 3,
                 }),
-                waits: vec![waiting],
+                blocked_functions: vec![waiting],
             },
         ),
     ]
--- a/tests/compatibility/src/json.rs
+++ b/tests/compatibility/src/json.rs
@@ -104,15 +104,15 @@
         FrontEndStatus::of(&pb::StatusReply {
             name: "front-1".into(),
             process: Some(tansy_fleet_wire::process(&fleet::sender())),
-            keeps_log: true,
+            is_leader: true,
             state: Some(pb::State {
                 phase: phase as i32,
                 ..state.clone()
             }),
-            lease_left: 500_000,
-            stay_left: 7_000_000,
+            lease_remaining: 500_000,
+            session_remaining: 7_000_000,
             error: "an error".into(),
-            holds: 9,
+            subscriptions: 9,
             ..Default::default()
         })
     };
@@ -121,9 +121,9 @@
         fleet: "pool".into(),
         leader: "10.0.0.1:7000".into(),
         front_ends: vec![
-            front(pb::Phase::Told),
+            front(pb::Phase::Notified),
             front(pb::Phase::Joint),
-            front(pb::Phase::Back),
+            front(pb::Phase::Reverting),
             silent,
         ],
         away: vec!["front-3".into()],
--- a/tests/compatibility/tests/json.rs
+++ b/tests/compatibility/tests/json.rs
@@ -21,7 +21,7 @@
     let recorded = fixture::text(name);
     for (line, expected) in recorded.lines().zip(json::rollout_entries()) {
         let entry = line.to_string();
-        let read = of_roll_entry(pb::Roll {
+        let read = of_roll_entry(pb::RolloutLogEntry {
             entry,
             fields: None,
         });
--- a/tests/compatibility/tests/settings.rs
+++ b/tests/compatibility/tests/settings.rs
@@ -7,7 +7,7 @@
 use tansy_agreement::compatibility::Value;
 use tansy_compatibility_tests::fixture;
 use tansy_dispatch::{FunctionSpec, WorkerRecord};
-use tansy_settings::{agree, settings, workers, Fleet, Seat, Settings, WorkerLine};
+use tansy_settings::{agree, settings, workers, Fleet, Settings, Voter, WorkerLine};
 
 fn read(name: &str) -> Settings {
     settings(name, &fixture::text(name)).unwrap_or_else(|e| panic!("{e}"))
@@ -76,15 +76,15 @@
     let all = read("settings-full.cue");
     let fleet = Fleet {
         name: "pool".into(),
-        me: "front-1".into(),
+        node_name: "front-1".into(),
         listen: ([127, 0, 0, 1], 7001).into(),
-        seats: vec![Seat {
+        voters: vec![Voter {
             name: "front-1".into(),
             address: ([127, 0, 0, 1], 7001).into(),
         }],
         state: Some("/var/lib/tansy/front-1.redb".into()),
-        within: 3_000_000,
-        stay: 7_200_000_000,
+        max_divergence: 3_000_000,
+        session: 7_200_000_000,
         clock_ppm: 500,
     };
     assert_eq!(all.fleet, Some(fleet));
--- a/tests/path/src/gate.rs
+++ b/tests/path/src/gate.rs
@@ -71,7 +71,7 @@
         read.gateway.http = ([127, 0, 0, 1], 0).into();
         let place = fleet.map(|(me, listen, state)| {
             let of_fleet = read.fleet.as_mut().expect("the settings name a fleet");
-            (of_fleet.me, of_fleet.listen, of_fleet.state) = (me, listen, state);
+            (of_fleet.node_name, of_fleet.listen, of_fleet.state) = (me, listen, state);
             let own = agree::fields("test.cue", settings).unwrap_or_else(|error| panic!("{error}"));
             let first =
                 agree::version("test.cue", settings).unwrap_or_else(|error| panic!("{error}"));
--- a/tests/path/tests/scoped_fleet.rs
+++ b/tests/path/tests/scoped_fleet.rs
@@ -95,7 +95,7 @@
                 .functions;
             let known = known
                 .into_iter()
-                .find_map(|n| n.scoped)
+                .find_map(|n| n.record)
                 .map(|s| of_scoped(s).expect("it reads"));
             let base = known.map_or(Revision(0), |s| s.revision);
             ScopeUpdate {
@@ -111,7 +111,7 @@
             reason: "a test".into(),
         };
         self.client
-            .enter(self.seat_at, Entry::Change(scope_request(&asked)))
+            .enter(self.seat_at, Entry::ScopeTransaction(scope_request(&asked)))
             .expect("it is entered");
         let (id, all) = (self.ids, names.len() as u32);
         let client = &mut self.client;
@@ -123,8 +123,8 @@
             let known = client
                 .functions(self.seat_at, asked)
                 .ok()
-                .and_then(|r| r.request);
-            known.is_some_and(|r| (r.joint, r.force, r.back) == (0, all, 0))
+                .and_then(|r| r.transaction_result);
+            known.is_some_and(|r| (r.joint, r.in_force, r.reverted) == (0, all, 0))
         });
     }
 }
