--- /dev/null
+++ b/programs/scale/src/fleet/operator.rs
@@ -0,0 +1,208 @@
+//! An operator's requests: who leads, what is in force, and changes of the settings' version.
+
+use super::TestFleet;
+use crate::Error;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tansy_agreement::compatibility::Fields;
+use tansy_agreement::log::{Version, VersionedSettings};
+use tansy_fleet_node::number;
+use tansy_fleet_wire::pb::enter_request::Entry;
+use tansy_fleet_wire::{of_state, pb, settings};
+use tansy_net_fleet::client::RequestError;
+use tansy_net_sockets::clock;
+
+/// Time for a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Attempts to enter an entry in the log, while the leader may change.
+const MAX_ATTEMPTS: usize = 5;
+/// Time between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+
+/// A version of the settings that was proposed.
+#[derive(Clone, Copy, Debug)]
+pub struct Proposal {
+    /// Its number.
+    pub version: u64,
+    /// When it was requested, in microseconds of the machine's clock.
+    pub requested_at: i64,
+}
+
+/// Versions that were proposed at once.
+pub struct VersionBurst {
+    /// When they were requested.
+    pub requested_at: i64,
+    /// The number of each version, or why it was refused.
+    pub versions: Vec<Result<u64, RequestError>>,
+}
+
+impl TestFleet {
+    /// Asks which voter leads, and what is in force there; fails while a change is in progress.
+    pub fn refresh_leader(&mut self) -> Result<(), Error> {
+        let first = self.real[0].address();
+        let status = self.client.status_within(first, REQUEST_TIMEOUT)?;
+        self.leader_address = status.seat.parse().unwrap_or(self.leader_address);
+        let status = self
+            .client
+            .status_within(self.leader_address, REQUEST_TIMEOUT)?;
+        let state = of_state(status.state.ok_or(Error::NoVersion)?)?;
+        if state.next.is_some() {
+            return Err(Error::ChangeInProgress);
+        }
+        self.in_force = state.in_force;
+        Ok(())
+    }
+
+    /// The index of the leader.
+    pub fn leader(&self) -> usize {
+        self.real
+            .iter()
+            .position(|front_end| front_end.address() == self.leader_address)
+            .unwrap_or(0)
+    }
+
+    /// Where the leader's fleet transport listens.
+    pub fn leader_address(&self) -> SocketAddr {
+        self.leader_address
+    }
+
+    /// The fields in force when the leader was last asked.
+    pub fn fields(&self) -> &Fields {
+        &self.in_force.fields
+    }
+
+    /// A request id that was not used before.
+    pub(super) fn next_request_id(&mut self) -> u64 {
+        let now = clock::now();
+        self.request_id_at(now).max(1)
+    }
+
+    fn request_id_at(&mut self, now: i64) -> u64 {
+        self.requests += 1;
+        number(&format!("{}/{}/{now}", self.shape.seed, self.requests))
+    }
+
+    /// What a change that is not in force waits for, in words.
+    pub fn describe_wait(&mut self, version: u64) -> String {
+        let behind = self
+            .real
+            .iter()
+            .filter(|front_end| front_end.is_acting && front_end.in_force.version < version)
+            .count();
+        let processes = self
+            .hollow
+            .iter()
+            .filter(|process| process.in_force.version < version)
+            .count();
+        let counters = self.hollow_counters().unwrap_or_default();
+        let without_lease: usize = counters.iter().map(|count| count.without_lease).sum();
+        let without_session: usize = counters.iter().map(|count| count.without_session).sum();
+        let leader = self.describe_leader_wait();
+        format!(
+            "{behind} real front ends and some of {processes} hollow processes are behind, {without_lease} hollow ones have \
+             no lease, {without_session} no stay; {leader}"
+        )
+    }
+
+    fn describe_leader_wait(&mut self) -> String {
+        let status = self
+            .client
+            .status_within(self.leader_address, REQUEST_TIMEOUT);
+        let status = match status {
+            Ok(status) => status,
+            Err(error) => return format!("the seat: {error}"),
+        };
+        let waits = if status.waits_for_leases {
+            "waits"
+        } else {
+            "does not wait"
+        };
+        let sessions = status.waits_for.len();
+        format!("the seat {waits} for leases and for {sessions} stays")
+    }
+
+    /// Abandons a change that is in progress.
+    pub fn abandon(&mut self, version: u64) {
+        let abandon = Entry::Abandon(version);
+        let _ = self
+            .client
+            .enter_within(self.leader_address, abandon, REQUEST_TIMEOUT);
+    }
+
+    /// Enters an entry in the leader's log. An entry that was not taken is entered again with the same id, maybe at another leader.
+    pub(super) fn enter(&mut self, entry: Entry) -> Result<pb::EnterReply, Error> {
+        self.retry(|_| entry.clone(), Error::EntryRefused)
+    }
+
+    /// Proposes a version of the settings that is based on the one in force.
+    pub fn propose(&mut self, fields: Fields, reason: &str) -> Result<Proposal, Error> {
+        let requested_at = clock::now();
+        let id = self.request_id_at(requested_at);
+        let proposed = |fleet: &TestFleet| VersionedSettings {
+            version: fleet.in_force.version,
+            fields: fields.clone(),
+            reason: reason.into(),
+            id,
+        };
+        let entry = |fleet: &TestFleet| Entry::Propose(settings(&proposed(fleet)));
+        let version = self.retry(entry, Error::ProposalRefused)?.version;
+        self.in_force = VersionedSettings {
+            version: Version(version),
+            ..proposed(self)
+        };
+        Ok(Proposal {
+            version,
+            requested_at,
+        })
+    }
+
+    /// Enters an entry, which is made anew for each attempt, until the leader takes it.
+    fn retry(
+        &mut self,
+        entry: impl Fn(&TestFleet) -> Entry,
+        refused: fn(RequestError) -> Error,
+    ) -> Result<pb::EnterReply, Error> {
+        let mut attempt = 1;
+        loop {
+            let entry = entry(self);
+            let reply = self
+                .client
+                .enter_within(self.leader_address, entry, REQUEST_TIMEOUT);
+            let error = match reply {
+                Ok(reply) => return Ok(reply),
+                Err(error) => error,
+            };
+            self.run_for(RETRY_DELAY)?;
+            // Another voter may lead by now, with another version in force.
+            let _ = self.refresh_leader();
+            if attempt == MAX_ATTEMPTS {
+                return Err(refused(error));
+            }
+            attempt += 1;
+        }
+    }
+
+    /// Proposes versions at once, all based on the one in force.
+    pub fn propose_burst(&mut self, versions: Vec<Fields>) -> VersionBurst {
+        let version = self.in_force.version;
+        let entry = |fields: Fields| {
+            Entry::Propose(settings(&VersionedSettings {
+                version,
+                fields,
+                reason: "burst".into(),
+                id: self.next_request_id(),
+            }))
+        };
+        let entries = versions.into_iter().map(entry).collect();
+        let requested_at = clock::now();
+        let replies = self.client.enters(self.leader_address, entries);
+        let versions = replies
+            .into_iter()
+            .map(|reply| reply.map(|reply| reply.version))
+            .collect();
+        VersionBurst {
+            requested_at,
+            versions,
+        }
+    }
+}
--- /dev/null
+++ b/programs/scale/src/run/deaths.rs
@@ -0,0 +1,180 @@
+//! Front ends that are killed for good, and how long they hold up changes of strict fields.
+
+use super::changes::{update_outcome, UpdateOutcome};
+use super::field_change::FieldKind;
+use super::{Measurement, CHANGE_TIMEOUT, MAX_SESSION_WAIT_SECONDS};
+use crate::fleet::scope_updates::WatchedUpdates;
+use crate::scopes::{called_functions, function_name};
+use crate::Error;
+use std::collections::BTreeSet;
+use std::time::{Duration, Instant};
+use tansy_net_sockets::clock;
+
+/// Time between two checks of the change that is held up.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
+
+/// What was measured beside the change that a killed front end holds up.
+#[derive(Default)]
+pub(super) struct Unaffected {
+    /// Milliseconds of changes of functions that no killed front end held.
+    pub(super) times: Vec<f64>,
+    /// Of those, in force before the change that was held up.
+    pub(super) in_force_before: usize,
+    /// How often the leader abandoned the change that was held up, which was requested again.
+    pub(super) abandoned: usize,
+}
+
+/// Functions to be changed after front ends were killed.
+struct AffectedFunctions {
+    /// One that a killed front end held.
+    held_up: usize,
+    /// Those that only others held, in a random order.
+    unaffected: std::vec::IntoIter<usize>,
+}
+
+impl Measurement {
+    /// Kills front ends that are no voters; milliseconds until a change of a strict field is in force, if it was timed.
+    pub(super) fn time_deaths(&mut self, count: usize) -> Result<Option<f64>, Error> {
+        let shape = self.fleet.shape;
+        let mut candidates = self.fleet.acting_non_voters();
+        self.rng.shuffle(&mut candidates);
+        // Hollow ones first: there are few real ones to be measured.
+        candidates.sort_by_key(|front_end| shape.is_real(*front_end));
+        if candidates.len() < count {
+            return Ok(None);
+        }
+        let died_at = clock::now();
+        candidates.truncate(count);
+        if self.arguments.scopes > 0 {
+            return self.time_deaths_by_function(&candidates);
+        }
+        self.kill_all(&candidates)?;
+        if self.arguments.session_seconds > MAX_SESSION_WAIT_SECONDS {
+            return Ok(None);
+        }
+        let before = self.in_force_times.len();
+        self.propose(FieldKind::Strict)?;
+        let requested_at = self.pending.as_ref().map(|change| change.requested_at);
+        self.finish_change()?;
+        // Nothing holds up the other changes: this one is not counted among them.
+        let time = self.in_force_times.drain(before..).next();
+        Ok(time
+            .zip(requested_at)
+            .map(|((_, ms), requested_at)| ms + (requested_at - died_at) as f64 / 1e3))
+    }
+
+    fn kill_all(&mut self, front_ends: &[u32]) -> Result<(), Error> {
+        let mut front_ends = front_ends.iter();
+        front_ends.try_for_each(|front_end| self.fleet.kill(*front_end))
+    }
+
+    /// Kills hollow front ends; milliseconds until the class of a function that one held can be changed, while functions that none of
+    /// them held are changed one after another.
+    fn time_deaths_by_function(&mut self, killed: &[u32]) -> Result<Option<f64>, Error> {
+        let shape = self.fleet.shape;
+        let mut hollow = killed.iter().filter(|index| !shape.is_real(**index));
+        let Some(first) = hollow.next() else {
+            let issue = "real front ends hold no function here: no death is timed";
+            self.issues.push(issue.into());
+            self.kill_all(killed)?;
+            return Ok(None);
+        };
+        let Some(functions) = self.affected_functions(*first, killed) else {
+            return Ok(None);
+        };
+        let died_at = clock::now();
+        self.kill_all(killed)?;
+        if self.arguments.session_seconds > MAX_SESSION_WAIT_SECONDS {
+            return Ok(None);
+        }
+        let counted = self.in_force_times.len();
+        let (updates, ms) = self.time_held_up(functions)?;
+        self.fleet.unwatch(&updates)?;
+        self.finish_change()?;
+        let unaffected = self.in_force_times.drain(counted..);
+        let times = unaffected.map(|(_, ms)| ms);
+        self.unaffected.times.extend(times);
+        let since_death = (updates.requested_at - died_at) as f64 / 1e3;
+        Ok(ms.map(|ms| ms + since_death))
+    }
+
+    /// Which functions are held up, and which are not; none: the first front end calls no function.
+    fn affected_functions(&mut self, first: u32, killed: &[u32]) -> Option<AffectedFunctions> {
+        let (seed, functions) = (self.arguments.seed, self.arguments.scopes);
+        let called = |front_end: &u32| called_functions(seed, *front_end, functions);
+        let held: BTreeSet<usize> = killed.iter().flat_map(called).collect();
+        let held_up = called(&first).into_iter().next()?;
+        let candidates = self.fleet.acting_non_voters();
+        let others: BTreeSet<usize> = candidates
+            .iter()
+            .filter(|front_end| !killed.contains(front_end))
+            .flat_map(called)
+            .collect();
+        let mut unaffected: Vec<usize> = others.difference(&held).copied().collect();
+        self.rng.shuffle(&mut unaffected);
+        Some(AffectedFunctions {
+            held_up,
+            unaffected: unaffected.into_iter(),
+        })
+    }
+
+    /// Changes the function that is held up, and others meanwhile; milliseconds from its last request, if it is in force in time.
+    fn time_held_up(
+        &mut self,
+        mut functions: AffectedFunctions,
+    ) -> Result<(WatchedUpdates, Option<f64>), Error> {
+        let end = Instant::now() + 2 * CHANGE_TIMEOUT + self.arguments.session_timeout();
+        let kinds = FieldKind::shuffled(&mut self.rng);
+        let counted = self.in_force_times.len();
+        self.unaffected.in_force_before = 0;
+        let mut updates = self.request_held_up(functions.held_up)?;
+        loop {
+            self.fleet.poll_events(CHECK_INTERVAL)?;
+            match update_outcome(&mut self.fleet, &mut updates) {
+                Some(UpdateOutcome::InForce(ms)) => return Ok((updates, Some(ms))),
+                Some(UpdateOutcome::Abandoned) => {
+                    self.unaffected.abandoned += 1;
+                    self.fleet.unwatch(&updates)?;
+                    updates = self.request_held_up(functions.held_up)?;
+                }
+                None => {}
+            }
+            if Instant::now() >= end {
+                let name = function_name(functions.held_up);
+                self.record_failure(format!(
+                    "a change of {name} that a dead one held was not in force"
+                ));
+                return Ok((updates, None));
+            }
+            self.check_change();
+            if self.pending.is_some() {
+                continue;
+            }
+            let done = self.in_force_times.len() - counted;
+            if !self.is_in_force_at_leader(&updates, functions.held_up)? {
+                self.unaffected.in_force_before = done;
+            }
+            if let Some(next) = functions.unaffected.next() {
+                self.propose_function(kinds[done % kinds.len()], next)?;
+            }
+        }
+    }
+
+    fn request_held_up(&mut self, function: usize) -> Result<WatchedUpdates, Error> {
+        let update = self.function_update(FieldKind::Strict, function)?;
+        self.fleet.update_functions(vec![update])
+    }
+
+    /// Whether the leader has the update of a function in force by now.
+    fn is_in_force_at_leader(
+        &mut self,
+        updates: &WatchedUpdates,
+        function: usize,
+    ) -> Result<bool, Error> {
+        let names = [function_name(function)];
+        let status = self.fleet.function_statuses(&names)?.pop();
+        let fields = status.and_then(|status| status.fields);
+        let mut targets = updates.targets.iter();
+        Ok(targets.all(|(_, target)| fields.as_ref() == Some(target)))
+    }
+}
--- /dev/null
+++ b/programs/scale/src/run/joins.rs
@@ -0,0 +1,47 @@
+//! Front ends that start anew, and how long each takes to act.
+
+use super::report::{quantiles, Report};
+use super::{Measurement, JOIN_TIMEOUT};
+use crate::Error;
+use std::time::{Duration, Instant};
+
+/// Hollow front ends that start anew, at most.
+const HOLLOW_JOINS: usize = 10;
+/// Real front ends that start anew, at most.
+const REAL_JOINS: usize = 3;
+/// Time between two joins: the fleet learns of the first one before the next.
+const JOIN_INTERVAL: Duration = Duration::from_secs(1);
+
+impl Measurement {
+    /// Kills and starts front ends, one after another.
+    pub(super) fn time_joins(&mut self, report: &mut Report) -> Result<(), Error> {
+        let shape = self.fleet.shape;
+        let mut candidates = self.fleet.acting_non_voters();
+        self.rng.shuffle(&mut candidates);
+        let (real, hollow): (Vec<u32>, Vec<u32>) = candidates
+            .into_iter()
+            .partition(|front_end| shape.is_real(*front_end));
+        // Of a small fleet not all at nearly the same time.
+        let hollow_joins = hollow.len().div_ceil(3).min(HOLLOW_JOINS);
+        let hollow = hollow.into_iter().take(hollow_joins);
+        for front_end in hollow.chain(real.into_iter().take(REAL_JOINS)) {
+            self.fleet.kill(front_end)?;
+            self.fleet.start_front_end(front_end)?;
+            let end = Instant::now() + JOIN_TIMEOUT;
+            self.fleet
+                .wait_until(end, "one that joins", |fleet| fleet.is_acting(front_end))?;
+            self.fleet.run_for(JOIN_INTERVAL)?;
+        }
+        let joins = &self.fleet.joins;
+        let times = |is_real: bool| {
+            let joins = joins.iter();
+            let joins = joins.filter(|join| shape.is_real(join.front_end) == is_real);
+            quantiles(joins.map(|join| join.ms))
+        };
+        report.put("join_ms", quantiles(joins.iter().map(|join| join.ms)));
+        report.put("join_hollow_ms", times(false));
+        report.put("join_real_ms", times(true));
+        report.put("joins", joins.len());
+        Ok(())
+    }
+}
--- a/programs/scale/src/system.rs
+++ b/programs/scale/src/system.rs
@@ -1,9 +1,9 @@
-//! What the kernel counts of processes and of the machine.
+//! The kernel's counters of processes and of the machine, read from `/proc`.
 
 use std::fs::{read_dir, read_link, read_to_string};
 
 /// Seconds of CPU that a process used since it began; none: there is no such process.
-pub fn cpu_s(pid: u32) -> Option<f64> {
+pub fn cpu_seconds(pid: u32) -> Option<f64> {
     let text = read_to_string(format!("/proc/{pid}/stat")).ok()?;
     // The name in parentheses may hold anything.
     let mut rest = text.rsplit_once(')')?.1.split_whitespace().skip(11);
@@ -20,45 +20,55 @@
 
 /// Sockets that a process holds open.
 pub fn sockets(pid: u32) -> Option<usize> {
-    let all = read_dir(format!("/proc/{pid}/fd")).ok()?;
-    let socket = |e: &std::fs::DirEntry| {
-        read_link(e.path()).is_ok_and(|to| to.to_string_lossy().starts_with("socket:"))
+    let descriptors = read_dir(format!("/proc/{pid}/fd")).ok()?;
+    let is_socket = |entry: &std::fs::DirEntry| {
+        read_link(entry.path()).is_ok_and(|to| to.to_string_lossy().starts_with("socket:"))
     };
-    Some(all.flatten().filter(socket).count())
+    Some(descriptors.flatten().filter(is_socket).count())
 }
 
-/// The machine's CPU time since it started, in ticks: what was used, and all of it.
-pub fn machine() -> Option<(u64, u64)> {
+/// CPU time of all cores since the machine started, in clock ticks.
+#[derive(Clone, Copy, Debug)]
+pub struct CpuTicks {
+    /// Ticks in which a core was busy.
+    pub busy: u64,
+    /// All ticks.
+    pub total: u64,
+}
+
+/// The machine's CPU time so far; none: `/proc/stat` can't be read.
+pub fn machine_cpu() -> Option<CpuTicks> {
     let text = read_to_string("/proc/stat").ok()?;
-    let all: Vec<u64> = text
+    let ticks: Vec<u64> = text
         .lines()
         .next()?
         .split_whitespace()
         .skip(1)
         .filter_map(|n| n.parse().ok())
         .collect();
-    let total: u64 = all.iter().take(8).sum();
-    let idle = all.get(3)? + all.get(4)?;
-    Some((total.saturating_sub(idle), total))
+    let total: u64 = ticks.iter().take(8).sum();
+    let idle = ticks.get(3)? + ticks.get(4)?;
+    let busy = total.saturating_sub(idle);
+    Some(CpuTicks { busy, total })
 }
 
 /// Bytes that passed the loopback device, sent and received counted each.
-pub fn loopback() -> Option<u64> {
+pub fn loopback_bytes() -> Option<u64> {
     let text = read_to_string("/proc/net/dev").ok()?;
     let line = text.lines().find_map(|l| l.trim().strip_prefix("lo:"))?;
-    let all: Vec<u64> = line
+    let counters: Vec<u64> = line
         .split_whitespace()
         .filter_map(|n| n.parse().ok())
         .collect();
-    Some(all.first()? + all.get(8)?)
+    Some(counters.first()? + counters.get(8)?)
 }
 
 /// Bytes of memory that the machine has.
-pub fn memory() -> Option<u64> {
+pub fn memory_bytes() -> Option<u64> {
     let text = read_to_string("/proc/meminfo").ok()?;
     let line = text.lines().find_map(|l| l.strip_prefix("MemTotal:"))?;
-    let kilo: u64 = line.split_whitespace().next()?.parse().ok()?;
-    Some(kilo * 1024)
+    let kibibytes: u64 = line.split_whitespace().next()?.parse().ok()?;
+    Some(kibibytes * 1024)
 }
 
 /// Cores that this process may use.
--- a/programs/scale/tests/pipe_protocol.rs
+++ b/programs/scale/tests/pipe_protocol.rs
@@ -2,7 +2,7 @@
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use tansy_scale::hollow::{News as HollowEvent, Order as HollowCommand};
+use tansy_scale::hollow::protocol::{HollowCommand, HollowEvent};
 
 /// A line is read, and written again as it was.
 fn assert_unchanged<T: DeserializeOwned + Serialize>(lines: &[&str]) {
