--- a/programs/scale/src/error.rs
+++ b/programs/scale/src/error.rs
@@ -118,10 +118,10 @@
         abandoned: usize,
     },
     /// Hollow front ends did not subscribe to all functions that they call.
-    #[error("hollow front ends hold {held} of {called} functions that they call")]
-    FunctionsNotHeld {
+    #[error("hollow front ends hold {subscribed} of {called} functions that they call")]
+    NotSubscribed {
         /// Subscriptions, over all hollow front ends.
-        held: usize,
+        subscribed: usize,
         /// Functions that they call.
         called: usize,
     },
--- a/programs/scale/src/fleet/mod.rs
+++ b/programs/scale/src/fleet/mod.rs
@@ -6,7 +6,7 @@
 //! - [`operator`]: the leader, and changes of the settings' version.
 //! - [`scope_updates`]: changes of functions that are agreed on one by one.
 //!
-//! It keeps what the processes report; what is measured, and when front ends die, is decided in [`crate::run`].
+//! It records what the processes report; what is measured, and when front ends are killed, is decided in [`crate::run`].
 
 mod events;
 mod operator;
--- a/programs/scale/src/fleet/scope_updates.rs
+++ b/programs/scale/src/fleet/scope_updates.rs
@@ -35,7 +35,7 @@
     pub requested_at: i64,
     /// Names of the functions, with the fields that are to be in force.
     pub targets: Vec<(String, Fields)>,
-    /// When the leader was first seen to have each one in force.
+    /// When each one was first observed in force at the leader.
     in_force_at_leader: Vec<Option<i64>>,
     /// Which of them the leader abandoned.
     abandoned: Vec<bool>,
@@ -57,7 +57,7 @@
 /// What processes of hollow front ends reported for a watch.
 #[derive(Default)]
 pub(super) struct ScopeWatch {
-    /// By process: how many front ends hold each function.
+    /// By process: how many front ends subscribe to each function.
     pub(super) holders: BTreeMap<usize, Vec<usize>>,
     /// By process and function: when all of them acted on the update.
     pub(super) applied_at: BTreeMap<(usize, usize), i64>,
@@ -66,7 +66,7 @@
 impl ScopeWatch {
     /// When the last holder of a function acted on its update.
     fn applied_by_all(&self, position: usize) -> Applied {
-        let is_held = |holders: &&Vec<usize>| holders.get(position).is_some_and(|held| *held > 0);
+        let is_held = |holders: &&Vec<usize>| holders.get(position).is_some_and(|count| *count > 0);
         let times: Option<Vec<i64>> = self
             .holders
             .iter()
@@ -81,11 +81,11 @@
     }
 }
 
-/// Whether all front ends that held a function act on its update.
+/// Whether all front ends that subscribe to a function act on its update.
 enum Applied {
     /// Some do not.
     Pending,
-    /// No front end held it.
+    /// No front end subscribes to it.
     NoHolder,
     /// All do, since this time.
     At(i64),
@@ -146,13 +146,13 @@
         let end = Instant::now() + SUBSCRIBE_TIMEOUT;
         loop {
             let counters = self.hollow_counters()?;
-            let held = counters.iter().map(|count| count.subscriptions).sum();
+            let subscribed = counters.iter().map(|count| count.subscriptions).sum();
             let called = counters.iter().map(|count| count.called_functions).sum();
-            if held >= called {
+            if subscribed >= called {
                 return Ok(());
             }
             if Instant::now() >= end {
-                return Err(Error::FunctionsNotHeld { held, called });
+                return Err(Error::NotSubscribed { subscribed, called });
             }
             self.run_for(SUBSCRIBE_POLL)?;
         }
@@ -248,9 +248,9 @@
         self.broadcast(&HollowCommand::Unwatch(watched.id))
     }
 
-    /// Since when each update is in force: at the leader, and at all front ends that held the function.
+    /// Since when each update is in force: at the leader, and at all front ends that subscribe to the function.
     ///
-    /// Where no front end held it: since it was seen at the leader, which is asked every 10 ms or so.
+    /// Where no front end subscribes to it: since it was observed at the leader, which is asked every 10 ms or so.
     pub fn functions_in_force(
         &mut self,
         watched: &mut WatchedUpdates,
@@ -269,7 +269,7 @@
         Ok(in_force_at_leader.map(since).collect())
     }
 
-    /// Asks the leader for the updates that it was not seen to have in force or to have abandoned.
+    /// Asks the leader for the updates that were not observed in force or abandoned before.
     fn ask_leader(&mut self, watched: &mut WatchedUpdates) -> Result<(), Error> {
         let open: Vec<usize> = (0..watched.targets.len())
             .filter(|position| watched.in_force_at_leader[*position].is_none())
--- a/programs/scale/src/fleet/shape.rs
+++ b/programs/scale/src/fleet/shape.rs
@@ -1,5 +1,8 @@
 //! What a fleet is made of: how many front ends of each kind, their names, and the settings.
 
+#[cfg(test)]
+mod tests;
+
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use tansy_agreement::lease_tree::LeaseTopology;
--- a/programs/scale/src/hollow/front_ends.rs
+++ b/programs/scale/src/hollow/front_ends.rs
@@ -206,7 +206,7 @@
             .clone()
     }
 
-    /// Watches for changes of functions, at all front ends that hold them now.
+    /// Watches for changes of functions, at all front ends that subscribe to them now.
     pub(super) fn watch(&self, id: u64, functions: Vec<(String, Fields)>) {
         let (running, now) = (self.running.borrow(), clock::now());
         let revision = |node: &FleetNode, now| {
--- a/programs/scale/src/hollow/protocol.rs
+++ b/programs/scale/src/hollow/protocol.rs
@@ -1,6 +1,6 @@
 //! The lines between a measurement and a process of hollow front ends.
 //!
-//! Both ends are the same program, but the serialized names are part of recorded traces: they stay when a type is renamed.
+//! Both ends are the same program, but the serialized names are part of recorded traces: they do not change when a type is renamed.
 
 use serde::{Deserialize, Serialize};
 use std::io::Write;
@@ -39,7 +39,7 @@
         /// The seed by which each front end chooses its own.
         seed: u64,
     },
-    /// Asks for [`HollowEvent::Applied`] once all that hold one of these functions act on the given fields.
+    /// Asks for [`HollowEvent::Applied`] once all that subscribe to one of these functions act on the given fields.
     Watch {
         /// The watch.
         id: u64,
@@ -81,10 +81,10 @@
     Watching {
         /// The watch.
         id: u64,
-        /// How many front ends hold each function, in the order of the command.
+        /// How many front ends subscribe to each function, in the order of the command.
         holders: Vec<usize>,
     },
-    /// All front ends that held a function when the watch began, and still live, act on its new fields, which are in force.
+    /// All front ends that subscribed to a function when the watch began, and still live, act on its new fields, which are in force.
     #[serde(rename = "Acted")]
     Applied {
         /// The watch.
--- a/programs/scale/src/hollow/watch.rs
+++ b/programs/scale/src/hollow/watch.rs
@@ -1,4 +1,4 @@
-//! When a change of a separately agreed function takes effect at those front ends that hold it.
+//! When a change of a separately agreed function takes effect at the front ends that subscribe to it.
 
 use super::protocol::HollowEvent;
 use std::cell::RefCell;
@@ -16,7 +16,7 @@
     target: Fields,
     /// Only changes after this revision count.
     since: Revision,
-    /// Front ends that held the function as the watch began, and do not act on the change yet.
+    /// Front ends that subscribed to the function as the watch began, and do not act on the change yet.
     pub(super) pending: BTreeSet<u32>,
     is_reported: bool,
     /// A front end of this process knows that the change is in force.
@@ -51,7 +51,7 @@
             .map(|mut changes| changes.any(|change| is_this_change(change)))
     }
 
-    /// Whether a front end holds the function and does not act on the change yet.
+    /// Whether a front end subscribes to the function and does not act on the change yet.
     pub(super) fn is_behind(&self, node: &FleetNode, now: i64) -> bool {
         let Some(settings) = node.effective_settings(now, &self.name) else {
             return false;
@@ -112,7 +112,7 @@
 pub(super) struct Watches(RefCell<BTreeMap<u64, Vec<WatchedFunction>>>);
 
 impl Watches {
-    /// Begins a watch, and reports how many front ends hold each function.
+    /// Begins a watch, and reports how many front ends subscribe to each function.
     pub(super) fn insert(&self, id: u64, functions: Vec<WatchedFunction>) {
         HollowEvent::Watching {
             id,
--- a/programs/scale/src/run/arguments.rs
+++ b/programs/scale/src/run/arguments.rs
@@ -235,7 +235,7 @@
         command
     }
 
-    /// How long a front end that is gone holds a change up.
+    /// How long a front end that was killed can block a change.
     pub(super) fn session_timeout(&self) -> Duration {
         Duration::from_secs(self.session_seconds)
     }
--- a/programs/scale/src/run/deaths.rs
+++ b/programs/scale/src/run/deaths.rs
@@ -1,4 +1,4 @@
-//! Front ends that are killed for good, and how long they hold up changes of strict fields.
+//! Front ends that are killed for good, and how long they block changes of strict fields.
 
 use super::changes::{update_outcome, UpdateOutcome};
 use super::field_change::FieldKind;
@@ -10,25 +10,25 @@
 use std::time::{Duration, Instant};
 use tansy_net_sockets::clock;
 
-/// Time between two checks of the change that is held up.
+/// Time between two checks of the blocked change.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What was measured beside the change that a killed front end holds up.
+/// What was measured beside the change that a killed front end blocks.
 #[derive(Default)]
 pub(super) struct Unaffected {
-    /// Milliseconds of changes of functions that no killed front end held.
+    /// Milliseconds of changes of functions to which no killed front end subscribed.
     pub(super) times: Vec<f64>,
-    /// Of those, in force before the change that was held up.
+    /// Of those, in force before the blocked change.
     pub(super) in_force_before: usize,
-    /// How often the leader abandoned the change that was held up, which was requested again.
+    /// How often the leader abandoned the blocked change, which was requested again.
     pub(super) abandoned: usize,
 }
 
 /// Functions to be changed after front ends were killed.
 struct AffectedFunctions {
-    /// One that a killed front end held.
-    held_up: usize,
-    /// Those that only others held, in a random order.
+    /// One to which a killed front end subscribed.
+    blocked: usize,
+    /// Those to which only others subscribed, in a random order.
     unaffected: std::vec::IntoIter<usize>,
 }
 
@@ -56,7 +56,7 @@
         self.propose(FieldKind::Strict)?;
         let requested_at = self.pending.as_ref().map(|change| change.requested_at);
         self.finish_change()?;
-        // Nothing holds up the other changes: this one is not counted among them.
+        // Nothing blocks the other changes: this one is not counted among them.
         let time = self.in_force_times.drain(before..).next();
         Ok(time
             .zip(requested_at)
@@ -68,8 +68,8 @@
         front_ends.try_for_each(|front_end| self.fleet.kill(*front_end))
     }
 
-    /// Kills hollow front ends; milliseconds until the class of a function that one held can be changed, while functions that none of
-    /// them held are changed one after another.
+    /// Kills hollow front ends; milliseconds until the class of a function can be changed to which one of them
+    /// subscribed, while functions to which none did are changed one after another.
     fn time_deaths_by_function(&mut self, killed: &[u32]) -> Result<Option<f64>, Error> {
         let shape = self.fleet.shape;
         let mut hollow = killed.iter().filter(|index| !shape.is_real(**index));
@@ -88,7 +88,7 @@
             return Ok(None);
         }
         let counted = self.in_force_times.len();
-        let (updates, ms) = self.time_held_up(functions)?;
+        let (updates, ms) = self.time_blocked(functions)?;
         self.fleet.unwatch(&updates)?;
         self.finish_change()?;
         let unaffected = self.in_force_times.drain(counted..);
@@ -98,28 +98,28 @@
         Ok(ms.map(|ms| ms + since_death))
     }
 
-    /// Which functions are held up, and which are not; none: the first front end calls no function.
+    /// Which functions are blocked, and which are not; none: the first front end calls no function.
     fn affected_functions(&mut self, first: u32, killed: &[u32]) -> Option<AffectedFunctions> {
         let (seed, functions) = (self.arguments.seed, self.arguments.scopes);
         let called = |front_end: &u32| called_functions(seed, *front_end, functions);
-        let held: BTreeSet<usize> = killed.iter().flat_map(called).collect();
-        let held_up = called(&first).into_iter().next()?;
+        let subscribed: BTreeSet<usize> = killed.iter().flat_map(called).collect();
+        let blocked = called(&first).into_iter().next()?;
         let candidates = self.fleet.acting_non_voters();
         let others: BTreeSet<usize> = candidates
             .iter()
             .filter(|front_end| !killed.contains(front_end))
             .flat_map(called)
             .collect();
-        let mut unaffected: Vec<usize> = others.difference(&held).copied().collect();
+        let mut unaffected: Vec<usize> = others.difference(&subscribed).copied().collect();
         self.rng.shuffle(&mut unaffected);
         Some(AffectedFunctions {
-            held_up,
+            blocked,
             unaffected: unaffected.into_iter(),
         })
     }
 
-    /// Changes the function that is held up, and others meanwhile; milliseconds from its last request, if it is in force in time.
-    fn time_held_up(
+    /// Changes the blocked function, and others meanwhile; milliseconds from its last request, if it is in force in time.
+    fn time_blocked(
         &mut self,
         mut functions: AffectedFunctions,
     ) -> Result<(WatchedUpdates, Option<f64>), Error> {
@@ -127,7 +127,7 @@
         let kinds = FieldKind::shuffled(&mut self.rng);
         let counted = self.in_force_times.len();
         self.unaffected.in_force_before = 0;
-        let mut updates = self.request_held_up(functions.held_up)?;
+        let mut updates = self.request_blocked(functions.blocked)?;
         loop {
             self.fleet.poll_events(CHECK_INTERVAL)?;
             match update_outcome(&mut self.fleet, &mut updates) {
@@ -135,12 +135,12 @@
                 Some(UpdateOutcome::Abandoned) => {
                     self.unaffected.abandoned += 1;
                     self.fleet.unwatch(&updates)?;
-                    updates = self.request_held_up(functions.held_up)?;
+                    updates = self.request_blocked(functions.blocked)?;
                 }
                 None => {}
             }
             if Instant::now() >= end {
-                let name = function_name(functions.held_up);
+                let name = function_name(functions.blocked);
                 self.record_failure(format!(
                     "a change of {name} that a dead one held was not in force"
                 ));
@@ -151,7 +151,7 @@
                 continue;
             }
             let done = self.in_force_times.len() - counted;
-            if !self.is_in_force_at_leader(&updates, functions.held_up)? {
+            if !self.is_in_force_at_leader(&updates, functions.blocked)? {
                 self.unaffected.in_force_before = done;
             }
             if let Some(next) = functions.unaffected.next() {
@@ -160,7 +160,7 @@
         }
     }
 
-    fn request_held_up(&mut self, function: usize) -> Result<WatchedUpdates, Error> {
+    fn request_blocked(&mut self, function: usize) -> Result<WatchedUpdates, Error> {
         let update = self.function_update(FieldKind::Strict, function)?;
         self.fleet.update_functions(vec![update])
     }
--- a/programs/scale/src/run/field_change.rs
+++ b/programs/scale/src/run/field_change.rs
@@ -3,14 +3,14 @@
 use crate::fleet::shape::settings_function;
 use tansy_agreement::compatibility::{Fields, Value};
 
-/// How a field may differ between front ends while it is changed.
+/// Kinds of fields by their [`Compatibility`](tansy_agreement::compatibility::Compatibility).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FieldKind {
-    /// Front ends may act on different values.
+    /// Old and new value may be in use side by side.
     Free,
-    /// Front ends act on the stricter of two values while both are in use.
+    /// The more restrictive value holds while two are in use.
     Joint,
-    /// No front end may act on the old value once another acts on the new one.
+    /// Two values are never in use; affected calls are rejected meanwhile.
     Strict,
 }
 
--- a/programs/scale/src/run/message_size.rs
+++ b/programs/scale/src/run/message_size.rs
@@ -9,7 +9,7 @@
 use tansy_fleet_wire::encode_message;
 use tansy_membership::NodeId;
 
-/// Bytes of the lease grants that carry a version whole.
+/// Bytes of the lease grants that carry a complete version.
 pub(super) struct GrantBytes {
     /// While the version is in force alone.
     pub(super) steady: usize,
--- a/programs/scale/src/run/mod.rs
+++ b/programs/scale/src/run/mod.rs
@@ -257,7 +257,7 @@
         Ok(hollow.chain(real).min().unwrap_or(0))
     }
 
-    /// Sets functions one by one, and reports how many of them front ends hold.
+    /// Sets functions one by one, and reports to how many of them front ends subscribe.
     fn set_functions(&mut self, report: &mut Report) -> Result<(), Error> {
         let began = Instant::now();
         let (functions, seed) = (self.arguments.scopes, self.arguments.seed);
--- a/programs/scale/src/run/sample.rs
+++ b/programs/scale/src/run/sample.rs
@@ -1,4 +1,4 @@
-//! Counters of all processes at one moment, and what two samples say of the time between them.
+//! Counters of all processes at one moment, and the rates between two of them.
 
 use super::report::{mean, round, Report};
 use super::Measurement;
--- a/programs/scale/tests/run.rs
+++ b/programs/scale/tests/run.rs
@@ -1,13 +1,14 @@
 //! The program as a process: a small run from its start to its line, wrong arguments, and runs that are ended early.
 
 use rustix::process::{kill_process, Pid, Signal};
+use serde_json::Value;
 use std::collections::BTreeSet;
 use std::io::Read;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
 /// No check rests on how soon something happens, only on that it does; this is far beyond.
-const LONG: Duration = Duration::from_secs(180);
+const TIMEOUT: Duration = Duration::from_secs(180);
 
 fn start(arguments: &str) -> Child {
     let mut command = Command::new(env!("CARGO_BIN_EXE_tansy-scale"));
@@ -18,80 +19,137 @@
     command.spawn().expect("it starts")
 }
 
-/// What a process is, as the kernel has it: its parent, its state and when it began; none: there is none.
-fn look(pid: u32) -> Option<(u32, char, u64)> {
+/// A process as the kernel lists it.
+struct ProcessStat {
+    parent: u32,
+    state: char,
+    started_at: u64,
+}
+
+/// None: there is no such process.
+fn process_stat(pid: u32) -> Option<ProcessStat> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    let all: Vec<&str> = text.rsplit_once(')')?.1.split_whitespace().collect();
-    Some((
-        all.get(1)?.parse().ok()?,
-        all.first()?.chars().next()?,
-        all.get(19)?.parse().ok()?,
-    ))
+    let fields: Vec<&str> = text.rsplit_once(')')?.1.split_whitespace().collect();
+    Some(ProcessStat {
+        state: fields.first()?.chars().next()?,
+        parent: fields.get(1)?.parse().ok()?,
+        started_at: fields.get(19)?.parse().ok()?,
+    })
 }
 
-/// Processes that this one started, each with when it began: a number may be given again.
-fn children(of: u32) -> BTreeSet<(u32, u64)> {
-    let all = std::fs::read_dir("/proc").into_iter().flatten().flatten();
-    let pids = all.filter_map(|e| e.file_name().to_str()?.parse::<u32>().ok());
-    let child = |pid: u32| look(pid).filter(|l| l.0 == of).map(|l| (pid, l.2));
+/// A process id and when its process started: the kernel may reuse the id.
+type ProcessId = (u32, u64);
+
+/// Processes that this one started.
+fn children(parent: u32) -> BTreeSet<ProcessId> {
+    let entries = std::fs::read_dir("/proc").into_iter().flatten().flatten();
+    let pids = entries.filter_map(|entry| entry.file_name().to_str()?.parse::<u32>().ok());
+    let child = |pid: u32| {
+        let stat = process_stat(pid).filter(|stat| stat.parent == parent)?;
+        Some((pid, stat.started_at))
+    };
     pids.filter_map(child).collect()
 }
 
-fn lives((pid, began): (u32, u64)) -> bool {
-    look(pid).is_some_and(|(_, state, at)| at == began && state != 'Z' && state != 'X')
+fn is_running((pid, started_at): ProcessId) -> bool {
+    process_stat(pid)
+        .filter(|stat| stat.started_at == started_at)
+        .is_some_and(|stat| stat.state != 'Z' && stat.state != 'X')
 }
 
-fn until(what: &str, mut done: impl FnMut() -> bool) {
-    let end = Instant::now() + LONG;
-    while !done() {
-        assert!(Instant::now() < end, "{what}: not within {LONG:?}");
+fn wait_until(awaited: &str, mut condition: impl FnMut() -> bool) {
+    let end = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < end, "{awaited}: not within {TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Its exit code, output and errors once all processes that it had have ended, and these; some may be known before.
-fn finish(
-    mut child: Child,
-    mut seen: BTreeSet<(u32, u64)>,
-) -> (Option<i32>, String, String, BTreeSet<(u32, u64)>) {
-    let pid = child.id();
-    until("the run", || {
-        seen.extend(children(pid));
-        child.try_wait().expect("it is known").is_some()
-    });
-    // One that is left would hold the pipes open.
-    until("its processes' end", || !seen.iter().any(|p| lives(*p)));
-    let (mut out, mut err) = (String::new(), String::new());
-    child
-        .stdout
-        .take()
-        .expect("output")
-        .read_to_string(&mut out)
-        .expect("text");
-    child
-        .stderr
-        .take()
-        .expect("errors")
-        .read_to_string(&mut err)
-        .expect("text");
-    (child.wait().expect("it ended").code(), out, err, seen)
+/// A run that has ended.
+struct FinishedRun {
+    code: Option<i32>,
+    stdout: String,
+    stderr: String,
+    /// Its processes, all of which have ended.
+    children: BTreeSet<ProcessId>,
+}
+
+impl FinishedRun {
+    /// Waits until a run and all its processes have ended; some of them may be known before.
+    fn wait_for(mut run: Child, mut known_children: BTreeSet<ProcessId>) -> FinishedRun {
+        let pid = run.id();
+        wait_until("the run", || {
+            known_children.extend(children(pid));
+            run.try_wait().expect("it is known").is_some()
+        });
+        // One that is left would hold the pipes open.
+        wait_until("its processes' end", || {
+            !known_children.iter().any(|child| is_running(*child))
+        });
+        FinishedRun {
+            stdout: read_all(run.stdout.take()),
+            stderr: read_all(run.stderr.take()),
+            code: run.wait().expect("it ended").code(),
+            children: known_children,
+        }
+    }
+
+    /// Its JSON line.
+    fn report(&self) -> Value {
+        let last = self.stdout.lines().last().unwrap_or_default();
+        serde_json::from_str(last).unwrap_or_else(|error| panic!("{error}: {:?}", self.stdout))
+    }
+
+    /// Its JSON line, which says that all went well.
+    fn successful_report(&self) -> Value {
+        let report = self.report();
+        assert_eq!(
+            (self.code, &report["ok"]),
+            (Some(0), &true.into()),
+            "{report} {}",
+            self.stderr
+        );
+        report
+    }
+}
+
+fn read_all(pipe: Option<impl Read>) -> String {
+    let mut text = String::new();
+    let mut pipe = pipe.expect("it is piped");
+    pipe.read_to_string(&mut text).expect("text");
+    text
 }
 
-fn line(out: &str) -> serde_json::Value {
-    let last = out.lines().last().unwrap_or_default();
-    serde_json::from_str(last).unwrap_or_else(|e| panic!("{e}: {out:?}"))
+fn assert_positive(report: &Value, names: &[&str]) {
+    for name in names {
+        assert!(report[name].as_f64() > Some(0.0), "{name}: {report}");
+    }
+}
+
+/// A median above 0 and a 99th percentile that is not below it.
+fn assert_quantiles(report: &Value, names: &[&str]) {
+    for name in names {
+        let (median, p99) = (report[name]["p50"].as_f64(), report[name]["p99"].as_f64());
+        assert!(median > Some(0.0) && p99 >= median, "{name}: {report}");
+    }
+}
+
+/// No front end is away while it is counted: what is sent is received, but for what is in transit at the samples.
+fn assert_sent_is_received(report: &Value) {
+    let received = report["letters_taken"].as_f64().expect("a number");
+    let sent = report["letters_sent"].as_f64().expect("a number");
+    assert!(
+        sent > 100.0 && (received - sent).abs() / sent < 0.05,
+        "{received} taken of {sent} sent"
+    );
 }
 
 #[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
-)]
 fn a_small_fleet_is_measured_and_no_process_is_left() {
-    let a = "run --front-ends 12 --real 3 --seats 1 --seed 7 --seconds 5 --settle 2 --stay 4 --changes-hour 1440 --json";
-    let (code, out, err, seen) = finish(start(a), BTreeSet::new());
-    let line = line(&out);
-    assert_eq!((code, &line["ok"]), (Some(0), &true.into()), "{line} {err}");
+    let arguments =
+        "run --front-ends 12 --real 3 --seats 1 --seed 7 --seconds 5 --settle 2 --stay 4 --changes-hour 1440 --json";
+    let run = FinishedRun::wait_for(start(arguments), BTreeSet::new());
+    let report = run.successful_report();
     let given = [
         ("front_ends", 12),
         ("real", 3),
@@ -100,98 +158,91 @@
         ("seconds", 5),
         ("stay_s", 4),
     ];
-    for (name, n) in given {
-        assert_eq!(line[name], n, "{name}");
-    }
-    let measured = [
-        "control_bytes_s",
-        "control_messages_s",
-        "memory_mb",
-        "seat_memory_mb",
-        "hollow_memory_mb",
-        "seat_messages_s",
-        "seat_bytes_s",
-        "connections",
-        "freed_ms",
-        "letter_bytes",
-        "machine_cpu",
-    ];
-    for name in measured {
-        assert!(line[name].as_f64() > Some(0.0), "{name}: {line}");
-    }
-    for name in ["control_cpu", "seat_cpu", "hollow_cpu"] {
-        assert!(line[name].as_f64() >= Some(0.0), "{name}: {line}");
-    }
-    for name in [
-        "in_force_ms",
-        "strict_in_force_ms",
-        "join_ms",
-        "join_real_ms",
-    ] {
-        let (half, most) = (line[name]["p50"].as_f64(), line[name]["p99"].as_f64());
-        assert!(half > Some(0.0) && most >= half, "{name}: {line}");
+    for (name, value) in given {
+        assert_eq!(report[name], value, "{name}");
     }
+    assert_costs(&report);
+    assert_quantiles(
+        &report,
+        &[
+            "in_force_ms",
+            "strict_in_force_ms",
+            "join_ms",
+            "join_real_ms",
+        ],
+    );
     assert_eq!(
-        (&line["changes_in_force"], &line["changes_not"]),
+        (&report["changes_in_force"], &report["changes_not"]),
         (&9.into(), &0.into()),
-        "{line}"
+        "{report}"
     );
     assert_eq!(
-        (&line["view_members"], &line["joins"]),
+        (&report["view_members"], &report["joins"]),
         (&11.into(), &5.into()),
-        "{line}"
-    );
-    // Nobody is away while it is counted: what is sent is taken, but for what is on its way when it is looked.
-    let (taken, sent) = (
-        line["letters_taken"].as_f64(),
-        line["letters_sent"].as_f64(),
-    );
-    let (taken, sent) = (taken.expect("a number"), sent.expect("a number"));
-    assert!(
-        sent > 100.0 && (taken - sent).abs() / sent < 0.05,
-        "{taken} taken of {sent} sent"
+        "{report}"
     );
+    assert_sent_is_received(&report);
     // 3 real ones and 3 processes of hollow ones, all ended by now.
-    assert!(seen.len() >= 6, "{seen:?}");
+    assert!(run.children.len() >= 6, "{:?}", run.children);
+}
+
+/// What the settled fleet costs was measured.
+fn assert_costs(report: &Value) {
+    assert_positive(
+        report,
+        &[
+            "control_bytes_s",
+            "control_messages_s",
+            "memory_mb",
+            "seat_memory_mb",
+            "hollow_memory_mb",
+            "seat_messages_s",
+            "seat_bytes_s",
+            "connections",
+            "freed_ms",
+            "letter_bytes",
+            "machine_cpu",
+        ],
+    );
+    for name in ["control_cpu", "seat_cpu", "hollow_cpu"] {
+        assert!(report[name].as_f64() >= Some(0.0), "{name}: {report}");
+    }
 }
 
 #[test]
 fn functions_change_one_by_one_and_a_dead_front_end_holds_up_only_what_it_held() {
-    let a = "run --front-ends 12 --real 3 --seats 1 --seed 7 --seconds 4 --settle 1 --stay 20 --scopes 40 --changes-hour 1800 \
+    let arguments = "run --front-ends 12 --real 3 --seats 1 --seed 7 --seconds 4 --settle 1 --stay 20 --scopes 40 --changes-hour 1800 \
              --dead 1 --burst 8 --json";
-    let (code, out, err, _) = finish(start(a), BTreeSet::new());
-    let line = line(&out);
-    assert_eq!((code, &line["ok"]), (Some(0), &true.into()), "{line} {err}");
+    let run = FinishedRun::wait_for(start(arguments), BTreeSet::new());
+    let report = run.successful_report();
     assert_eq!(
-        (&line["scopes"], &line["functions"]),
+        (&report["scopes"], &report["functions"]),
         (&40.into(), &1.into()),
-        "{line}"
+        "{report}"
     );
     assert_eq!(
-        (&line["changes_in_force"], &line["changes_not"]),
+        (&report["changes_in_force"], &report["changes_not"]),
         (&9.into(), &0.into()),
-        "{line}"
+        "{report}"
     );
-    let burst = &line["burst_in_force"];
+    let burst = &report["burst_in_force"];
     assert_eq!(
         (&burst["in_force"], &burst["refused"]),
         (&8.into(), &0.into()),
-        "{line}"
+        "{report}"
     );
     // Of 40 functions each hollow one calls 10.
-    assert_eq!(line["holds"], 10.0, "{line}");
+    assert_eq!(report["holds"], 10.0, "{report}");
     // The seat still had the one that the dead one held as it was, after others were in force.
-    assert!(line["others_before"].as_u64() > Some(0), "{line}");
-    for name in ["freed_ms", "set_s"] {
-        assert!(line[name].as_f64() > Some(0.0), "{name}: {line}");
-    }
+    assert!(report["others_before"].as_u64() > Some(0), "{report}");
+    assert_positive(&report, &["freed_ms", "set_s"]);
     for name in [
         "others_ms",
         "free_in_force_ms",
         "joint_in_force_ms",
         "strict_in_force_ms",
     ] {
-        assert!(line[name]["p50"].as_f64() > Some(0.0), "{name}: {line}");
+        assert!(report[name]["p50"].as_f64() > Some(0.0), "{name}: {report}");
     }
 }
 
@@ -200,15 +251,20 @@
     for signal in [Signal::INT, Signal::TERM, Signal::KILL] {
         let child = start("run --front-ends 12 --real 3 --json");
         // 3 real ones, and 3 processes of hollow ones.
-        until("its processes", || children(child.id()).len() >= 6);
-        let before = children(child.id());
+        wait_until("its processes", || children(child.id()).len() >= 6);
+        let known_children = children(child.id());
         kill_process(Pid::from_child(&child), signal).expect("it runs");
         let folder = std::env::temp_dir().join(format!("tansy-scale-{}", child.id()));
-        let (code, out, ..) = finish(child, before);
+        let run = FinishedRun::wait_for(child, known_children);
         if signal != Signal::KILL {
-            let line = line(&out);
-            assert_eq!((code, &line["ok"]), (Some(1), &false.into()), "{line}");
-            assert!(line["notes"].to_string().contains("interrupted"), "{line}");
+            let report = run.report();
+            assert_eq!(
+                (run.code, &report["ok"]),
+                (Some(1), &false.into()),
+                "{report}"
+            );
+            let notes = report["notes"].to_string();
+            assert!(notes.contains("interrupted"), "{report}");
             assert!(!folder.exists(), "{}", folder.display());
         }
         // One that is killed at once can't.
@@ -216,82 +272,81 @@
     }
 }
 
+/// Arguments, and a part of the line that they get.
+const WRONG_ARGUMENTS: &[(&str, &str)] = &[
+    (
+        "run --front-ends 1 --real 1",
+        "--front-ends 1: want at least 2",
+    ),
+    (
+        "run --front-ends 70000 --real 1",
+        "--front-ends 70000: want at most 65000",
+    ),
+    ("run --front-ends 4 --real 5", "--real 5: want 1 to 4"),
+    ("run --front-ends 4 --real 0", "--real 0: want 1 to 4"),
+    (
+        "run --front-ends 4 --real 2 --seats 3",
+        "--seats 3: want 1, 3, 5 or 7, at most the 2",
+    ),
+    (
+        "run --front-ends 4 --real 4 --seats 2",
+        "--seats 2: want 1, 3, 5 or 7",
+    ),
+    (
+        "run --front-ends 9 --real 3 --seconds 0",
+        "--seconds 0: want 1 to 86400",
+    ),
+    (
+        "run --front-ends 9 --real 3 --functions 0",
+        "--functions 0: want 1 to 1000000",
+    ),
+    (
+        "run --front-ends 9 --real 3 --stay 0",
+        "--stay 0: want 1 to 604800 s",
+    ),
+    (
+        "run --front-ends 9 --real 3 --settle 9999",
+        "--settle 9999: want at most 3600 s",
+    ),
+    (
+        "run --front-ends 9 --real 3 --dead 4",
+        "--dead 4: want at most 3",
+    ),
+    (
+        "run --front-ends 9 --real 3 --scopes 1",
+        "--scopes 1: want 2 to 100000",
+    ),
+    (
+        "run --front-ends 9 --real 3 --scopes 50 --burst 51",
+        "--burst 51: want at most 50",
+    ),
+    (
+        "run --front-ends 9 --real 3 --functions 500 --burst 201",
+        "--burst 201: want at most 200",
+    ),
+    (
+        "run --front-ends many --real 3",
+        "'many' for '--front-ends <FRONT_ENDS>'",
+    ),
+    ("run --front-ends 9", "--real <REAL>"),
+    ("measure", "'measure'"),
+    ("run --front-ends 60000 --real 3", "would take about"),
+    (
+        "run --front-ends 400 --real 400",
+        "in 400 processes: want at most",
+    ),
+];
+
 #[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
-)]
 fn wrong_arguments_get_one_line() {
-    let all = [
-        (
-            "run --front-ends 1 --real 1",
-            "--front-ends 1: want at least 2",
-        ),
-        (
-            "run --front-ends 70000 --real 1",
-            "--front-ends 70000: want at most 65000",
-        ),
-        ("run --front-ends 4 --real 5", "--real 5: want 1 to 4"),
-        ("run --front-ends 4 --real 0", "--real 0: want 1 to 4"),
-        (
-            "run --front-ends 4 --real 2 --seats 3",
-            "--seats 3: want 1, 3, 5 or 7, at most the 2",
-        ),
-        (
-            "run --front-ends 4 --real 4 --seats 2",
-            "--seats 2: want 1, 3, 5 or 7",
-        ),
-        (
-            "run --front-ends 9 --real 3 --seconds 0",
-            "--seconds 0: want 1 to 86400",
-        ),
-        (
-            "run --front-ends 9 --real 3 --functions 0",
-            "--functions 0: want 1 to 1000000",
-        ),
-        (
-            "run --front-ends 9 --real 3 --stay 0",
-            "--stay 0: want 1 to 604800 s",
-        ),
-        (
-            "run --front-ends 9 --real 3 --settle 9999",
-            "--settle 9999: want at most 3600 s",
-        ),
-        (
-            "run --front-ends 9 --real 3 --dead 4",
-            "--dead 4: want at most 3",
-        ),
-        (
-            "run --front-ends 9 --real 3 --scopes 1",
-            "--scopes 1: want 2 to 100000",
-        ),
-        (
-            "run --front-ends 9 --real 3 --scopes 50 --burst 51",
-            "--burst 51: want at most 50",
-        ),
-        (
-            "run --front-ends 9 --real 3 --functions 500 --burst 201",
-            "--burst 201: want at most 200",
-        ),
-        (
-            "run --front-ends many --real 3",
-            "'many' for '--front-ends <FRONT_ENDS>'",
-        ),
-        ("run --front-ends 9", "--real <REAL>"),
-        ("measure", "'measure'"),
-        ("run --front-ends 60000 --real 3", "would take about"),
-        (
-            "run --front-ends 400 --real 400",
-            "in 400 processes: want at most",
-        ),
-    ];
-    for (arguments, says) in all {
-        let (code, out, err, _) = finish(start(arguments), BTreeSet::new());
+    for (arguments, expected) in WRONG_ARGUMENTS {
+        let run = FinishedRun::wait_for(start(arguments), BTreeSet::new());
+        let stderr = &run.stderr;
         assert_eq!(
-            (code, out.as_str(), err.lines().count()),
+            (run.code, run.stdout.as_str(), stderr.lines().count()),
             (Some(2), "", 1),
-            "{arguments}: {err}"
+            "{arguments}: {stderr}"
         );
-        assert!(err.contains(says), "{arguments}: {err}");
+        assert!(stderr.contains(expected), "{arguments}: {stderr}");
     }
 }
