--- a/programs/capacity/src/figures.rs
+++ b/programs/capacity/src/figures.rs
@@ -3,7 +3,7 @@
 //! A figure is a sum of terms, each a product of factors joined by `*` and `/`, the first perhaps after `-`. A factor is
 //! a number, a given size, an assumption, an earlier figure, or a slope at a size: `bytes(front_ends)`, `seat(15000)`.
 
-use crate::fit::{fit, Fit, Point, Unfit, Value};
+use crate::fit::{fit, Fit, FitError, Interval, Point};
 use crate::runs::{known_tool, Run};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -209,10 +209,10 @@
 }
 
 /// A value that rests on fits, and whether one of them missed the size that it was to predict; or why there is none.
-pub type Told = Result<(Value, bool), String>;
+pub type Told = Result<(Interval, bool), String>;
 
 /// The verdict on a value beside a budget.
-pub fn verdict((value, missed): (Value, bool), budget: f64) -> Verdict {
+pub fn verdict((value, missed): (Interval, bool), budget: f64) -> Verdict {
     match () {
         _ if value.mid > budget => Verdict::Fails,
         _ if value.mid > budget * TIGHT || value.high > budget || missed => Verdict::Tight,
@@ -424,7 +424,7 @@
     /// The command of the run at the largest size.
     pub command: String,
     /// The form, or why there is none.
-    pub fit: Result<Fit, Unfit>,
+    pub fit: Result<Fit, FitError>,
 }
 
 /// The definitions with what the runs say.
@@ -466,23 +466,20 @@
     /// A slope's value at a size.
     pub fn at(&self, id: &str, x: f64) -> Told {
         let (_, measured) = self.slope(id).ok_or_else(|| format!("{id} is no slope"))?;
-        let fit = measured
-            .fit
-            .as_ref()
-            .map_err(|e| format!("{id}: {}", unfit(*e)))?;
+        let fit = measured.fit.as_ref().map_err(|e| format!("{id}: {}", e))?;
         let value = fit
             .line
-            .value(x)
+            .predict_interval(x)
             .ok_or_else(|| format!("{id}: no {} at {x}", fit.line.form.name()))?;
         // A cost is never under nothing, whatever a straight line says.
         let floor = |y: f64| y.max(0.0);
         Ok((
-            Value {
+            Interval {
                 mid: floor(value.mid),
                 low: floor(value.low),
                 high: floor(value.high),
             },
-            fit.held.missed(),
+            fit.hold_out.missed(),
         ))
     }
 
@@ -496,7 +493,7 @@
                 .try_fold((exact(0.0), false), |(sum, missed), term| {
                     let (v, m) = self.term(term, instead, &told)?;
                     let v = if term.minus {
-                        Value {
+                        Interval {
                             mid: -v.mid,
                             low: -v.high,
                             high: -v.low,
@@ -504,7 +501,7 @@
                     } else {
                         v
                     };
-                    let sum = Value {
+                    let sum = Interval {
                         mid: sum.mid + v.mid,
                         low: sum.low + v.low,
                         high: sum.high + v.high,
@@ -577,7 +574,7 @@
                 true if value.low <= 0.0 && value.high >= 0.0 => {
                     return Err("divides by what may be nothing".into())
                 }
-                true => Value {
+                true => Interval {
                     mid: 1.0 / value.mid,
                     low: 1.0 / value.high,
                     high: 1.0 / value.low,
@@ -590,35 +587,15 @@
     }
 }
 
-/// Why there is no fit, in words.
-pub fn unfit(why: Unfit) -> String {
-    match why {
-        Unfit::TooFew(0) => "not measured".into(),
-        Unfit::TooFew(1) => {
-            format!(
-                "too few sizes to claim anything (1 of {} at least)",
-                crate::fit::LEAST_SIZES
-            )
-        }
-        Unfit::TooFew(n) => {
-            format!(
-                "too few sizes to claim anything ({n} of {} at least)",
-                crate::fit::LEAST_SIZES
-            )
-        }
-        Unfit::NotMeasured(x) => format!("the size kept out, {x}, was not measured"),
-    }
-}
-
-fn exact(n: f64) -> Value {
-    Value {
+fn exact(n: f64) -> Interval {
+    Interval {
         mid: n,
         low: n,
         high: n,
     }
 }
 
-fn times(a: Value, b: Value) -> Value {
+fn times(a: Interval, b: Interval) -> Interval {
     let ends = [
         a.low * b.low,
         a.low * b.high,
@@ -629,7 +606,7 @@
         ends.iter().copied().fold(f64::INFINITY, f64::min),
         ends.iter().copied().fold(f64::NEG_INFINITY, f64::max),
     );
-    Value {
+    Interval {
         mid: a.mid * b.mid,
         low,
         high,
--- /dev/null
+++ b/programs/capacity/src/fit/line.rs
@@ -0,0 +1,130 @@
+//! Least squares through points in one form, and prediction intervals by Student's t.
+
+use super::{Form, Point};
+use statrs::distribution::{ContinuousCDF, StudentsT};
+
+/// Level of the prediction interval, both sides together.
+const LEVEL: f64 = 0.95;
+
+/// A value with its 95% prediction interval: where a further run would lie.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Interval {
+    /// What is predicted.
+    pub mid: f64,
+    /// The interval's lower end.
+    pub low: f64,
+    /// The interval's upper end.
+    pub high: f64,
+}
+
+/// A form with its coefficients and the statistics that its interval is computed from.
+#[derive(Clone, Copy, Debug)]
+pub struct FittedLine {
+    /// The form.
+    pub form: Form,
+    /// `a`: the value at `z = 0`.
+    pub intercept: f64,
+    /// `b`: what `z` is multiplied by; 0 when flat.
+    pub coefficient: f64,
+    /// Root of the mean square of the residuals, in units of the output.
+    pub rms: f64,
+    point_count: f64,
+    mean_z: f64,
+    /// Sum of the squared deviations of `z` from its mean.
+    spread_z: f64,
+    /// Standard deviation of the residuals; not a number without a degree of freedom.
+    deviation: f64,
+    /// Quantile of Student's t for both sides of the interval; not a number without a degree of freedom.
+    t_quantile: f64,
+}
+
+impl FittedLine {
+    /// Least squares over all points, each run counted once. None if the points are too few for the form.
+    pub fn least_squares(form: Form, points: &[Point]) -> Option<FittedLine> {
+        let point_count = points.len() as f64;
+        let freedom = point_count - if form == Form::Flat { 1.0 } else { 2.0 };
+        if freedom < 0.0 || points.iter().any(|p| !form.is_defined_at(p.x)) {
+            return None;
+        }
+        let mean_z = points.iter().map(|p| form.transform(p.x)).sum::<f64>() / point_count;
+        let mean_y = points.iter().map(|p| p.y).sum::<f64>() / point_count;
+        let spread_z = points
+            .iter()
+            .map(|p| (form.transform(p.x) - mean_z).powi(2))
+            .sum::<f64>();
+        let coefficient = match form {
+            Form::Flat => 0.0,
+            _ if spread_z <= 0.0 => return None,
+            _ => {
+                points
+                    .iter()
+                    .map(|p| (form.transform(p.x) - mean_z) * (p.y - mean_y))
+                    .sum::<f64>()
+                    / spread_z
+            }
+        };
+        let intercept = mean_y - coefficient * mean_z;
+        let squares = points
+            .iter()
+            .map(|p| (p.y - intercept - coefficient * form.transform(p.x)).powi(2))
+            .sum::<f64>();
+        Some(FittedLine {
+            form,
+            intercept,
+            coefficient,
+            rms: (squares / point_count).sqrt(),
+            point_count,
+            mean_z,
+            spread_z,
+            deviation: residual_deviation(squares, freedom),
+            t_quantile: t_quantile(freedom),
+        })
+    }
+
+    /// What is predicted at a size.
+    pub fn predict(&self, size: f64) -> f64 {
+        match self.form {
+            Form::Flat => self.intercept,
+            form => self.intercept + self.coefficient * form.transform(size),
+        }
+    }
+
+    /// What is predicted at a size, and the interval in which a further run lies 95 times of 100. None where the form is
+    /// not defined, or no degree of freedom is left to estimate the spread.
+    pub fn predict_interval(&self, size: f64) -> Option<Interval> {
+        let has_spread = self.deviation.is_finite() && self.t_quantile.is_finite();
+        if !self.form.is_defined_at(size) || !has_spread {
+            return None;
+        }
+        let leverage = match self.form {
+            Form::Flat => 0.0,
+            form => (form.transform(size) - self.mean_z).powi(2) / self.spread_z,
+        };
+        let half_width =
+            self.t_quantile * self.deviation * (1.0 + 1.0 / self.point_count + leverage).sqrt();
+        let mid = self.predict(size);
+        Some(Interval {
+            mid,
+            low: mid - half_width,
+            high: mid + half_width,
+        })
+    }
+
+    /// Whether the cost grows, at the 97.5% level. A flat form counts without growing.
+    pub(super) fn is_significant(&self) -> bool {
+        let standard_error = self.deviation / self.spread_z.sqrt();
+        self.form == Form::Flat || self.coefficient > self.t_quantile * standard_error
+    }
+}
+
+fn residual_deviation(squares: f64, freedom: f64) -> f64 {
+    if freedom > 0.0 {
+        (squares / freedom).sqrt()
+    } else {
+        f64::NAN
+    }
+}
+
+fn t_quantile(freedom: f64) -> f64 {
+    StudentsT::new(0.0, 1.0, freedom).map_or(f64::NAN, |t| t.inverse_cdf((1.0 + LEVEL) / 2.0))
+}
--- /dev/null
+++ b/programs/capacity/src/fit/mod.rs
@@ -0,0 +1,211 @@
+//! How a cost grows with size: one of a few forms, by least squares over all points, without I/O.
+//!
+//! Each form is `a + b z(x)`. A form other than flat counts when `b` is above nothing at the 97.5% level by Student's t;
+//! of those that count the one is taken that predicts best a size left out of it (RMS over sizes, against the mean of the
+//! size), and a simpler one whose error is at most a tenth larger is taken before it. A cost that falls with size is
+//! credited nothing: flat.
+//!
+//! ```
+//! use tansy_capacity::fit::{fit, Form, Point};
+//!
+//! let points = [10.0, 20.0, 40.0, 80.0, 160.0].map(|x| Point { x, y: 5.0 + 2.0 * x });
+//! let fit = fit(&points, None).expect("five sizes are enough");
+//! assert_eq!(fit.line.form, Form::Linear);
+//! // The largest size was kept out of the fit and predicted by it.
+//! assert_eq!(fit.hold_out.size, 160.0);
+//! assert!(fit.hold_out.error().abs() < 1e-9);
+//! ```
+
+mod form;
+mod line;
+
+pub use form::Form;
+pub use line::{FittedLine, Interval};
+
+use thiserror::Error;
+
+/// Sizes measured without which a slope says nothing: one is kept out, and a line through two has no residual.
+pub const LEAST_SIZES: usize = 4;
+/// A simpler form is taken when its error is at most this many times that of the best.
+const NEAR_TIE: f64 = 1.1;
+/// What errors may differ by from rounding alone, as a share of the mean.
+const ROUNDING: f64 = 1e-9;
+/// An error at the hold-out size up to this share is no miss, however narrow the interval.
+const TOLERATED_ERROR: f64 = 0.1;
+
+/// One run: what was measured at a size.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Point {
+    /// The size.
+    pub x: f64,
+    /// What it cost.
+    pub y: f64,
+}
+
+/// The size kept out of a fit, predicted by it.
+#[derive(Clone, Copy, Debug)]
+pub struct HoldOut {
+    /// The size.
+    pub size: f64,
+    /// Mean of what was measured there.
+    pub measured: f64,
+    /// What the fit predicts there.
+    pub predicted: Interval,
+}
+
+impl HoldOut {
+    /// Predicted against measured, as a share of the measured: 0.1 is a tenth too much.
+    pub fn error(&self) -> f64 {
+        (self.predicted.mid - self.measured) / self.measured.abs().max(f64::MIN_POSITIVE)
+    }
+
+    /// Whether the fit missed it: outside the interval, and by more than a tenth.
+    pub fn missed(&self) -> bool {
+        let within = self.predicted.low <= self.measured && self.measured <= self.predicted.high;
+        !within && self.error().abs() > TOLERATED_ERROR
+    }
+}
+
+/// A form chosen, and the evidence for it.
+#[derive(Clone, Debug)]
+pub struct Fit {
+    /// The form taken, fitted to all sizes but the one kept out.
+    pub line: FittedLine,
+    /// RMS of the residuals as a share of the mean.
+    pub relative_rms: f64,
+    /// RMS of the errors at sizes left out one by one, in units of the output, of each form that could be tried.
+    pub validation_errors: Vec<(Form, f64)>,
+    /// The form with the least error beside the one taken, of those that count: what another choice would predict.
+    pub runner_up: Option<FittedLine>,
+    /// The size kept out.
+    pub hold_out: HoldOut,
+    /// Sizes measured, the one kept out among them.
+    pub size_count: usize,
+    /// Runs in the fit.
+    pub run_count: usize,
+    /// The least and the largest size in the fit.
+    pub size_range: (f64, f64),
+}
+
+/// Why points have no fit.
+#[derive(Clone, Copy, Debug, PartialEq, Error)]
+pub enum FitError {
+    /// So many sizes were measured, fewer than [`LEAST_SIZES`]; or no form counts.
+    #[error("{}", too_few_sizes(*.0))]
+    TooFewSizes(usize),
+    /// The size to be kept out was not measured.
+    #[error("the size kept out, {0}, was not measured")]
+    HoldOutNotMeasured(f64),
+}
+
+fn too_few_sizes(measured: usize) -> String {
+    match measured {
+        0 => "not measured".into(),
+        n => format!("too few sizes to claim anything ({n} of {LEAST_SIZES} at least)"),
+    }
+}
+
+/// Chooses the form for points, with one size kept out: the given one, or else the largest.
+pub fn fit(points: &[Point], hold_out: Option<f64>) -> Result<Fit, FitError> {
+    let sizes = sizes(points);
+    let held_size = hold_out_size(&sizes, hold_out)?;
+    let (held_points, fitted_points): (Vec<Point>, Vec<Point>) =
+        points.iter().partition(|p| p.x == held_size);
+    let fitted_sizes: Vec<f64> = sizes.iter().copied().filter(|x| *x != held_size).collect();
+    let validation_errors: Vec<(Form, f64)> = Form::ALL
+        .into_iter()
+        .filter_map(|f| Some((f, validation_error(f, &fitted_points, &fitted_sizes)?)))
+        .collect();
+    let scale = mean(&fitted_points).abs();
+    let candidates = candidates(&validation_errors, &fitted_points, held_size);
+    let no_form = FitError::TooFewSizes(sizes.len());
+    let line = simplest_of_best(&candidates, scale).ok_or(no_form)?;
+    let predicted = line.predict_interval(held_size).ok_or(no_form)?;
+    Ok(Fit {
+        line,
+        relative_rms: line.rms / scale.max(f64::MIN_POSITIVE),
+        validation_errors,
+        runner_up: runner_up(&candidates, line.form),
+        hold_out: HoldOut {
+            size: held_size,
+            measured: mean(&held_points),
+            predicted,
+        },
+        size_count: sizes.len(),
+        run_count: fitted_points.len(),
+        size_range: (fitted_sizes[0], fitted_sizes[fitted_sizes.len() - 1]),
+    })
+}
+
+/// The distinct sizes of points, least first.
+pub fn sizes(points: &[Point]) -> Vec<f64> {
+    let mut sizes: Vec<f64> = points.iter().map(|p| p.x).collect();
+    sizes.sort_by(f64::total_cmp);
+    sizes.dedup();
+    sizes
+}
+
+/// The size to keep out, if that and enough others were measured.
+fn hold_out_size(sizes: &[f64], wanted: Option<f64>) -> Result<f64, FitError> {
+    let largest = *sizes.last().ok_or(FitError::TooFewSizes(0))?;
+    let size = wanted.unwrap_or(largest);
+    if !sizes.contains(&size) {
+        return Err(FitError::HoldOutNotMeasured(size));
+    }
+    if sizes.len() < LEAST_SIZES {
+        return Err(FitError::TooFewSizes(sizes.len()));
+    }
+    Ok(size)
+}
+
+/// The forms that count and have an interval at the hold-out size, fitted, each with its validation error.
+fn candidates(
+    errors: &[(Form, f64)],
+    points: &[Point],
+    hold_out_size: f64,
+) -> Vec<(FittedLine, f64)> {
+    let fitted = |form: Form| {
+        FittedLine::least_squares(form, points)
+            .filter(|l| l.is_significant() && l.predict_interval(hold_out_size).is_some())
+    };
+    errors
+        .iter()
+        .filter_map(|(form, error)| Some((fitted(*form)?, *error)))
+        .collect()
+}
+
+/// The simplest candidate whose error is near the least.
+fn simplest_of_best(candidates: &[(FittedLine, f64)], scale: f64) -> Option<FittedLine> {
+    let least = candidates
+        .iter()
+        .map(|(_, error)| *error)
+        .fold(f64::INFINITY, f64::min);
+    candidates
+        .iter()
+        .find(|(_, error)| *error <= least * NEAR_TIE + scale * ROUNDING)
+        .map(|(line, _)| *line)
+}
+
+/// The candidate with the least error of those in another form.
+fn runner_up(candidates: &[(FittedLine, f64)], taken: Form) -> Option<FittedLine> {
+    candidates
+        .iter()
+        .filter(|(line, _)| line.form != taken)
+        .min_by(|a, b| a.1.total_cmp(&b.1))
+        .map(|(line, _)| *line)
+}
+
+fn mean(points: &[Point]) -> f64 {
+    points.iter().map(|p| p.y).sum::<f64>() / points.len().max(1) as f64
+}
+
+/// Leaves out size after size and predicts its mean from the rest: RMS of the errors.
+fn validation_error(form: Form, points: &[Point], sizes: &[f64]) -> Option<f64> {
+    let mut squares = 0.0;
+    for size in sizes {
+        let (left_out, rest): (Vec<Point>, Vec<Point>) = points.iter().partition(|p| p.x == *size);
+        let line = FittedLine::least_squares(form, &rest)?;
+        squares += (line.predict(*size) - mean(&left_out)).powi(2);
+    }
+    Some((squares / sizes.len() as f64).sqrt())
+}
--- a/programs/capacity/src/page.rs
+++ b/programs/capacity/src/page.rs
@@ -16,9 +16,9 @@
 //! | `{{table first}}` | figures by their share of the budget, and the fleet at which it is used up |
 
 use crate::figures::{
-    passes, unfit, verdict, Definitions, Figure, Instead, Made, Measured, Slope, Told, Verdict,
+    passes, verdict, Definitions, Figure, Instead, Made, Measured, Slope, Told, Verdict,
 };
-use crate::fit::{Fit, Form, Line, Value};
+use crate::fit::{Fit, FittedLine, Form, Interval};
 use crate::plot;
 use crate::runs::Kept;
 use std::fmt::Write;
@@ -175,7 +175,7 @@
     }
 }
 
-fn interval(v: Value) -> String {
+fn interval(v: Interval) -> String {
     match v.low == v.high {
         true => figure(v.mid),
         false => format!(
@@ -210,14 +210,14 @@
 fn formula(fit: &Fit) -> String {
     let line = &fit.line;
     match line.form {
-        Form::Flat => figure(line.a),
+        Form::Flat => figure(line.intercept),
         form => {
-            let sign = if line.b < 0.0 { '-' } else { '+' };
+            let sign = if line.coefficient < 0.0 { '-' } else { '+' };
             format!(
                 "{} {sign} {} {}",
-                figure(line.a),
-                figure(line.b.abs()),
-                form.of_x()
+                figure(line.intercept),
+                figure(line.coefficient.abs()),
+                form.term()
             )
         }
     }
@@ -231,7 +231,7 @@
 
 fn slope_inline(made: &Made, (slope, measured): (&Slope, &Measured)) -> String {
     match &measured.fit {
-        Err(why) => unfit(*why),
+        Err(why) => why.to_string(),
         Ok(fit) => {
             let x = asked(made, slope);
             let value = told(&made.at(slope.id.get_ref(), x), &slope.unit);
@@ -383,7 +383,7 @@
         ];
         match &measured.fit {
             Err(why) => {
-                row.extend([unfit(*why), "-".into()]);
+                row.extend([why.to_string(), "-".into()]);
                 row.push(format!("({})", measured.points.len()));
                 row.extend([
                     "-".into(),
@@ -394,22 +394,22 @@
                 ]);
             }
             Ok(fit) => {
-                let held = &fit.held;
+                let held = &fit.hold_out;
                 row.push(format!("{}: {}", fit.line.form.name(), formula(fit)));
                 row.push(format!(
                     "{} ({})",
                     figure(fit.line.rms),
-                    percent(fit.relative)
+                    percent(fit.relative_rms)
                 ));
-                let (least, most) = fit.span;
+                let (least, most) = fit.size_range;
                 row.push(format!(
                     "{}, {} to {} ({})",
-                    fit.sizes - 1,
+                    fit.size_count - 1,
                     figure(least),
                     figure(most),
-                    fit.runs
+                    fit.run_count
                 ));
-                row.push(figure(held.x));
+                row.push(figure(held.size));
                 row.push(format!(
                     "{}, {}",
                     interval(held.predicted),
@@ -425,18 +425,18 @@
                 let value = made.at(slope.id.get_ref(), x).map(|(v, _)| (v, false));
                 let value = told(&value, &slope.unit);
                 row.push(format!("{value} at {}{far}", figure(x)));
-                let next = |l: &Line| {
+                let next = |l: &FittedLine| {
                     format!(
                         "{} ({})",
-                        figure(l.at(x).max(0.0)),
+                        figure(l.predict(x).max(0.0)),
                         if l.form == Form::Flat {
                             "flat"
                         } else {
-                            l.form.of_x()
+                            l.form.term()
                         }
                     )
                 };
-                row.push(fit.next.as_ref().map_or_else(|| "-".into(), next));
+                row.push(fit.runner_up.as_ref().map_or_else(|| "-".into(), next));
             }
         }
         let number = slope
--- a/programs/capacity/src/plot.rs
+++ b/programs/capacity/src/plot.rs
@@ -168,7 +168,7 @@
                 .label("budget")
                 .legend(move |at| key(at, RED));
         }
-        let out = self.fit.map(|f| f.held.x);
+        let out = self.fit.map(|f| f.hold_out.size);
         let dots = |kept_out: bool| {
             let of = self
                 .measured
--- a/programs/capacity/tests/fit.rs
+++ b/programs/capacity/tests/fit.rs
@@ -3,7 +3,7 @@
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use rand_distr::{Distribution, Normal};
-use tansy_capacity::fit::{fit, Fit, Form, Held, Line, Point, Unfit, Value};
+use tansy_capacity::fit::{fit, Fit, FitError, FittedLine, Form, HoldOut, Interval, Point};
 
 const SIZES: [f64; 6] = [50.0, 100.0, 300.0, 1_000.0, 2_000.0, 4_000.0];
 
@@ -36,16 +36,16 @@
 fn each_form_is_found_again() {
     let (n, f) = found("flat", |_| 400.0, 20.0);
     assert!(n >= 95, "flat in {n} of 100");
-    assert!((f.line.a - 400.0).abs() < 20.0);
+    assert!((f.line.intercept - 400.0).abs() < 20.0);
     let (n, f) = found("log", |x| 100.0 + 50.0 * x.ln(), 8.0);
     assert!(n >= 95, "log in {n} of 100");
-    assert!((f.line.b - 50.0).abs() < 8.0);
+    assert!((f.line.coefficient - 50.0).abs() < 8.0);
     let (n, f) = found("linear", |x| 100.0 + 2.0 * x, 30.0);
     assert!(n >= 95, "linear in {n} of 100");
-    assert!((f.line.b - 2.0).abs() < 0.2);
+    assert!((f.line.coefficient - 2.0).abs() < 0.2);
     let (n, f) = found("worse", |x| 100.0 + 0.4 * x * x.ln(), 30.0);
     assert!(n >= 95, "x ln x in {n} of 100");
-    assert!((f.line.b - 0.4).abs() < 0.02);
+    assert!((f.line.coefficient - 0.4).abs() < 0.02);
     let (n, f) = found("worse", |x| 100.0 + 0.001 * x * x, 30.0);
     assert!(n >= 95, "x^2 in {n} of 100");
     assert_eq!(f.line.form, Form::Square);
@@ -57,8 +57,18 @@
     let mut ties = 0;
     for seed in 0..100 {
         let f = fit(&drawn(|x| 100.0 + 2.0 * x, 900.0, seed), None).expect("six sizes");
-        let of = |form: Form| f.errors.iter().find(|e| e.0 == form).expect("tried").1;
-        let least = f.errors.iter().map(|e| e.1).fold(f64::INFINITY, f64::min);
+        let of = |form: Form| {
+            f.validation_errors
+                .iter()
+                .find(|e| e.0 == form)
+                .expect("tried")
+                .1
+        };
+        let least = f
+            .validation_errors
+            .iter()
+            .map(|e| e.1)
+            .fold(f64::INFINITY, f64::min);
         assert!(of(f.line.form) <= 1.1 * least, "{f:?}");
         let simpler = Form::ALL.into_iter().take_while(|s| *s != f.line.form);
         assert!(simpler.into_iter().all(|s| of(s) > 1.1 * least), "{f:?}");
@@ -71,7 +81,7 @@
 fn a_cost_that_falls_with_size_is_credited_nothing() {
     let f = fit(&drawn(|x| 500.0 - 0.05 * x, 1.0, 1), None).expect("six sizes");
     assert_eq!(f.line.form, Form::Flat);
-    assert!(f.relative > 0.01, "the residual tells it");
+    assert!(f.relative_rms > 0.01, "the residual tells it");
 }
 
 /// A further run at ten times the largest size lies in the interval about 95 times of 100.
@@ -85,8 +95,9 @@
         let noise = Normal::new(0.0, 20.0).expect("a deviation above nothing");
         let mut within = 0;
         for seed in 0..2_000 {
-            let line = Line::through(form, &drawn(truth, 20.0, seed)).expect("six sizes");
-            let value = line.value(40_000.0).expect("points left over");
+            let line =
+                FittedLine::least_squares(form, &drawn(truth, 20.0, seed)).expect("six sizes");
+            let value = line.predict_interval(40_000.0).expect("points left over");
             let next = truth(40_000.0) + noise.sample(&mut StdRng::seed_from_u64(seed + 1_000_000));
             within += usize::from((value.low..=value.high).contains(&next));
         }
@@ -102,10 +113,10 @@
 #[test]
 fn a_line_worked_by_hand() {
     let points = [(0.0, 1.0), (1.0, 2.0), (2.0, 4.0)].map(|(x, y)| Point { x, y });
-    let line = Line::through(Form::Linear, &points).expect("three points");
-    assert!((line.a - 5.0 / 6.0).abs() < 1e-12 && (line.b - 1.5).abs() < 1e-12);
+    let line = FittedLine::least_squares(Form::Linear, &points).expect("three points");
+    assert!((line.intercept - 5.0 / 6.0).abs() < 1e-12 && (line.coefficient - 1.5).abs() < 1e-12);
     assert!((line.rms - (1.0f64 / 18.0).sqrt()).abs() < 1e-12);
-    let value = line.value(3.0).expect("one left over");
+    let value = line.predict_interval(3.0).expect("one left over");
     // s^2 = 1/6, 1 + 1/3 + 4/2.
     let half = 12.7062 * (1.0f64 / 6.0 * (1.0 + 1.0 / 3.0 + 2.0)).sqrt();
     assert!(
@@ -125,24 +136,26 @@
     points[5].y = 16_020.0; // twice what the others say
     let f = fit(&points, None).expect("six sizes");
     assert_eq!(
-        (f.line.form, f.sizes, f.runs, f.held.x),
+        (f.line.form, f.size_count, f.run_count, f.hold_out.size),
         (Form::Linear, 6, 5, 4_000.0)
     );
-    assert!((f.held.predicted.mid - 8_010.0).abs() < 1e-6);
-    assert!((f.held.error() + 0.5).abs() < 1e-9 && f.held.missed());
-    assert_eq!(f.span, (50.0, 2_000.0));
+    assert!((f.hold_out.predicted.mid - 8_010.0).abs() < 1e-6);
+    assert!((f.hold_out.error() + 0.5).abs() < 1e-9 && f.hold_out.missed());
+    assert_eq!(f.size_range, (50.0, 2_000.0));
     let f = fit(&points[..5], Some(300.0)).expect("five sizes");
-    assert!((f.held.x, f.held.missed()) == (300.0, false) && f.held.error().abs() < 1e-9);
+    assert!(
+        (f.hold_out.size, f.hold_out.missed()) == (300.0, false) && f.hold_out.error().abs() < 1e-9
+    );
 }
 
 /// Missed is what lies outside the interval and is off by more than a tenth; either alone is not.
 #[test]
 fn a_miss_is_outside_the_interval_and_off_by_a_tenth() {
     let of = |measured: f64, half: f64| {
-        Held {
-            x: 1.0,
+        HoldOut {
+            size: 1.0,
             measured,
-            predicted: Value {
+            predicted: Interval {
                 mid: 100.0,
                 low: 100.0 - half,
                 high: 100.0 + half,
@@ -163,11 +176,14 @@
             .collect()
     };
     for n in 0..4 {
-        assert_eq!(fit(&points(n), None).map(|_| ()), Err(Unfit::TooFew(n)));
+        assert_eq!(
+            fit(&points(n), None).map(|_| ()),
+            Err(FitError::TooFewSizes(n))
+        );
     }
     assert!(fit(&points(4), None).is_ok());
     assert_eq!(
         fit(&points(5), Some(7.0)).map(|_| ()),
-        Err(Unfit::NotMeasured(7.0))
+        Err(FitError::HoldOutNotMeasured(7.0))
     );
 }
--- a/programs/capacity/tests/page.rs
+++ b/programs/capacity/tests/page.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 use tansy_capacity::figures::{verdict, Verdict};
-use tansy_capacity::fit::Value;
+use tansy_capacity::fit::Interval;
 use tansy_capacity::runs::{read_lines, Kept};
 use tansy_capacity::{check, make, record, RecordArgs};
 
@@ -149,7 +149,7 @@
     let of = |mid: f64, high: f64, missed: bool| {
         verdict(
             (
-                Value {
+                Interval {
                     mid,
                     low: 0.0,
                     high,
