--- /dev/null
+++ b/programs/capacity/src/figures/estimate.rs
@@ -0,0 +1,121 @@
+//! Values that rest on fits, and their arithmetic.
+
+use super::definitions::{UnknownNumber, UnknownSlope};
+use crate::fit::{FitError, Form, Interval};
+use thiserror::Error;
+
+/// A value that rests on fits.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Estimate {
+    /// The value with its interval.
+    pub interval: Interval,
+    /// Whether a fit beneath it missed the size that it was to predict.
+    pub missed: bool,
+}
+
+/// A value, or why there is none.
+pub type EstimateResult = Result<Estimate, EstimateError>;
+
+/// Why there is no value.
+#[derive(Clone, Debug, PartialEq, Error)]
+pub enum EstimateError {
+    /// There is no such slope.
+    #[error(transparent)]
+    UnknownSlope(#[from] UnknownSlope),
+    /// There is no such number.
+    #[error(transparent)]
+    UnknownNumber(#[from] UnknownNumber),
+    /// There is no such figure before this one.
+    #[error("no such figure")]
+    NoSuchFigure,
+    /// The slope has no fit.
+    #[error("{slope}: {source}")]
+    NoFit {
+        /// The slope.
+        slope: String,
+        /// The reason.
+        source: FitError,
+    },
+    /// The slope's form is not defined at the size, or has no interval there.
+    #[error("{slope}: no {} at {size}", .form.name())]
+    UndefinedAt {
+        /// The slope.
+        slope: String,
+        /// The form of its fit.
+        form: Form,
+        /// The size.
+        size: f64,
+    },
+    /// The divisor's interval includes zero.
+    #[error("divides by what may be nothing")]
+    DivisorIncludesZero,
+}
+
+impl Estimate {
+    /// A number that is known.
+    pub(super) fn exact(value: f64) -> Estimate {
+        Estimate {
+            interval: Interval {
+                mid: value,
+                low: value,
+                high: value,
+            },
+            missed: false,
+        }
+    }
+
+    pub(super) fn plus(self, other: Estimate) -> Estimate {
+        Estimate {
+            interval: Interval {
+                mid: self.interval.mid + other.interval.mid,
+                low: self.interval.low + other.interval.low,
+                high: self.interval.high + other.interval.high,
+            },
+            missed: self.missed || other.missed,
+        }
+    }
+
+    pub(super) fn negated(self) -> Estimate {
+        Estimate {
+            interval: Interval {
+                mid: -self.interval.mid,
+                low: -self.interval.high,
+                high: -self.interval.low,
+            },
+            ..self
+        }
+    }
+
+    pub(super) fn times(self, other: Estimate) -> Estimate {
+        let (left, right) = (self.interval, other.interval);
+        let ends = [
+            left.low * right.low,
+            left.low * right.high,
+            left.high * right.low,
+            left.high * right.high,
+        ];
+        Estimate {
+            interval: Interval {
+                mid: left.mid * right.mid,
+                low: ends.into_iter().fold(f64::INFINITY, f64::min),
+                high: ends.into_iter().fold(f64::NEG_INFINITY, f64::max),
+            },
+            missed: self.missed || other.missed,
+        }
+    }
+
+    pub(super) fn reciprocal(self) -> EstimateResult {
+        let Interval { mid, low, high } = self.interval;
+        if low <= 0.0 && high >= 0.0 {
+            return Err(EstimateError::DivisorIncludesZero);
+        }
+        Ok(Estimate {
+            interval: Interval {
+                mid: 1.0 / mid,
+                low: 1.0 / high,
+                high: 1.0 / low,
+            },
+            ..self
+        })
+    }
+}
--- /dev/null
+++ b/programs/capacity/src/figures/evaluation.rs
@@ -0,0 +1,143 @@
+//! The values of slopes and figures.
+
+use super::definitions::{Definitions, Figure, Overrides, UnknownSlope};
+use super::estimate::{Estimate, EstimateError, EstimateResult};
+use super::expression::Reference;
+use super::file::Slope;
+use super::measurement::Measurement;
+use crate::error::{CapacityError, Errors};
+use crate::fit::Interval;
+use crate::runs::Run;
+
+/// The definitions with what the runs measured.
+#[derive(Debug)]
+pub struct Evaluation {
+    /// What was asked for.
+    pub definitions: Definitions,
+    /// For each slope, in their order.
+    pub measurements: Vec<Measurement>,
+}
+
+impl Evaluation {
+    /// Fits each slope to its runs. `name` is the file that defines the slopes.
+    pub fn new(name: &str, definitions: Definitions, runs: &[Run]) -> Result<Evaluation, Errors> {
+        let mut errors = Errors::default();
+        let mut measurements = Vec::new();
+        for slope in &definitions.slopes {
+            match Measurement::new(slope, runs) {
+                Ok(measurement) => measurements.push(measurement),
+                Err(source) => errors.push(CapacityError::Measurement {
+                    file: name.into(),
+                    slope: slope.id().into(),
+                    source,
+                }),
+            }
+        }
+        errors.into_result(Evaluation {
+            definitions,
+            measurements,
+        })
+    }
+
+    /// All slopes with their measurements.
+    pub fn slopes(&self) -> impl Iterator<Item = (&Slope, &Measurement)> {
+        self.definitions.slopes.iter().zip(&self.measurements)
+    }
+
+    /// A slope with its measurement.
+    pub fn slope(&self, id: &str) -> Result<(&Slope, &Measurement), UnknownSlope> {
+        let index = self.definitions.slope_index(id)?;
+        Ok((&self.definitions.slopes[index], &self.measurements[index]))
+    }
+
+    /// A slope's value at a size.
+    pub fn estimate_slope(&self, id: &str, size: f64) -> EstimateResult {
+        let (_, measurement) = self.slope(id)?;
+        let fit = match &measurement.fit {
+            Ok(fit) => fit,
+            Err(source) => {
+                return Err(EstimateError::NoFit {
+                    slope: id.into(),
+                    source: *source,
+                })
+            }
+        };
+        let undefined = || EstimateError::UndefinedAt {
+            slope: id.into(),
+            form: fit.line.form,
+            size,
+        };
+        let interval = fit.line.predict_interval(size).ok_or_else(undefined)?;
+        Ok(Estimate {
+            // A cost is never negative, whatever a straight line predicts.
+            interval: Interval {
+                mid: interval.mid.max(0.0),
+                low: interval.low.max(0.0),
+                high: interval.high.max(0.0),
+            },
+            missed: fit.hold_out.missed(),
+        })
+    }
+
+    /// The values of all figures, in their order.
+    pub fn estimate_figures(&self, overrides: &Overrides) -> Vec<EstimateResult> {
+        let mut estimates: Vec<EstimateResult> = Vec::new();
+        for figure in &self.definitions.figures {
+            estimates.push(self.sum_terms(figure, overrides, &estimates));
+        }
+        estimates
+    }
+
+    /// A figure's value, from those of the figures before it.
+    fn sum_terms(
+        &self,
+        figure: &Figure,
+        overrides: &Overrides,
+        earlier: &[EstimateResult],
+    ) -> EstimateResult {
+        let mut sum = Estimate::exact(0.0);
+        for term in &figure.terms {
+            let value = term.evaluate_unsigned(self, overrides, earlier)?;
+            let signed = if term.is_negative {
+                value.negated()
+            } else {
+                value
+            };
+            sum = sum.plus(signed);
+        }
+        Ok(sum)
+    }
+
+    /// Each term of a figure, as written, with its value without the sign.
+    pub fn estimate_terms<'a>(&'a self, figure: &'a Figure) -> Vec<(&'a str, EstimateResult)> {
+        let overrides = Overrides::new();
+        let figures = self.estimate_figures(&overrides);
+        let texts = figure.term_texts.iter().map(String::as_str);
+        let values = figure
+            .terms
+            .iter()
+            .map(|term| term.evaluate_unsigned(self, &overrides, &figures));
+        texts.zip(values).collect()
+    }
+
+    /// The slopes that a figure rests on, through other figures too.
+    pub fn slopes_beneath<'a>(&'a self, figure: &'a Figure) -> Vec<&'a str> {
+        let mut slopes: Vec<&str> = Vec::new();
+        for reference in figure.terms.iter().flat_map(|term| term.references()) {
+            let more = match reference {
+                Reference::Slope(id) => vec![id],
+                Reference::Figure(index) => self
+                    .definitions
+                    .figures
+                    .get(index)
+                    .map_or(vec![], |earlier| self.slopes_beneath(earlier)),
+            };
+            for id in more {
+                if !slopes.contains(&id) {
+                    slopes.push(id);
+                }
+            }
+        }
+        slopes
+    }
+}
--- /dev/null
+++ b/programs/capacity/src/figures/expression.rs
@@ -0,0 +1,177 @@
+//! Terms of figures: parsing and evaluation.
+
+use super::definitions::{Definitions, Overrides, UnknownNumber, UnknownSlope};
+use super::estimate::{Estimate, EstimateError, EstimateResult};
+use super::evaluation::Evaluation;
+use super::file::Number;
+use thiserror::Error;
+
+/// What is wrong with a term.
+#[derive(Clone, Debug, PartialEq, Error)]
+pub enum TermError {
+    /// A slope that is not defined.
+    #[error(transparent)]
+    UnknownSlope(#[from] UnknownSlope),
+    /// A slope's size that is not known.
+    #[error(transparent)]
+    UnknownNumber(#[from] UnknownNumber),
+    /// A factor of no kind.
+    #[error(
+        "{text:?} is no factor; right is a number, a slope at a size as in bytes(15000), an earlier figure, or one of {}",
+        .known.join(", ")
+    )]
+    UnknownFactor {
+        /// The factor as written.
+        text: String,
+        /// The names of given numbers and of assumptions.
+        known: Vec<String>,
+    },
+}
+
+/// A product, added to or subtracted from the rest of a figure.
+#[derive(Debug)]
+pub(super) struct Term {
+    /// Whether it is subtracted.
+    pub(super) is_negative: bool,
+    factors: Vec<(Operator, Factor)>,
+}
+
+#[derive(Clone, Copy, Debug)]
+enum Operator {
+    Multiply,
+    Divide,
+}
+
+#[derive(Debug)]
+enum Factor {
+    Literal(f64),
+    /// Of the given numbers or of the assumptions.
+    Named(String),
+    /// A figure that was defined before, by its position.
+    Figure(usize),
+    /// A slope at a size.
+    Slope(String, Number),
+}
+
+impl Term {
+    /// Parses a term; it names what is defined so far.
+    pub(super) fn parse(text: &str, definitions: &Definitions) -> Result<Term, TermError> {
+        let text = text.trim();
+        let unsigned = text.strip_prefix('-');
+        let mut rest = unsigned.unwrap_or(text);
+        let mut operator = Operator::Multiply;
+        let mut factors = Vec::new();
+        loop {
+            let end = rest.find(['*', '/']).unwrap_or(rest.len());
+            let factor = Factor::parse(rest[..end].trim(), definitions)?;
+            factors.push((operator, factor));
+            operator = match rest[end..].chars().next() {
+                None => break,
+                Some('/') => Operator::Divide,
+                Some(_) => Operator::Multiply,
+            };
+            rest = &rest[end + 1..];
+        }
+        Ok(Term {
+            is_negative: unsigned.is_some(),
+            factors,
+        })
+    }
+
+    /// Its value without the sign. `figures` are the values of the figures before it.
+    pub(super) fn evaluate_unsigned(
+        &self,
+        evaluation: &Evaluation,
+        overrides: &Overrides,
+        figures: &[EstimateResult],
+    ) -> EstimateResult {
+        let mut product = Estimate::exact(1.0);
+        for (operator, factor) in &self.factors {
+            let value = factor.evaluate(evaluation, overrides, figures)?;
+            product = match operator {
+                Operator::Multiply => product.times(value),
+                Operator::Divide => product.times(value.reciprocal()?),
+            };
+        }
+        Ok(product)
+    }
+
+    /// The slopes and figures that it names.
+    pub(super) fn references(&self) -> impl Iterator<Item = Reference<'_>> {
+        self.factors.iter().filter_map(|(_, factor)| match factor {
+            Factor::Slope(id, _) => Some(Reference::Slope(id)),
+            Factor::Figure(index) => Some(Reference::Figure(*index)),
+            Factor::Literal(_) | Factor::Named(_) => None,
+        })
+    }
+}
+
+/// What a term rests on.
+pub(super) enum Reference<'a> {
+    Slope(&'a str),
+    Figure(usize),
+}
+
+impl Factor {
+    fn parse(text: &str, definitions: &Definitions) -> Result<Factor, TermError> {
+        if let Some((slope, size)) = text.strip_suffix(')').and_then(|t| t.split_once('(')) {
+            return Factor::parse_slope(slope, size, definitions);
+        }
+        let starts_as_number = text.starts_with(|c: char| c.is_ascii_digit());
+        if let Some(value) = parse_number(text).filter(|_| starts_as_number) {
+            return Ok(Factor::Literal(value));
+        }
+        if let Some(index) = definitions.figures.iter().position(|f| f.id == text) {
+            return Ok(Factor::Figure(index));
+        }
+        match definitions.named_number(text, &Overrides::new()) {
+            Some(_) => Ok(Factor::Named(text.into())),
+            None => Err(TermError::UnknownFactor {
+                text: text.into(),
+                known: definitions.number_names(),
+            }),
+        }
+    }
+
+    fn parse_slope(
+        slope: &str,
+        size: &str,
+        definitions: &Definitions,
+    ) -> Result<Factor, TermError> {
+        definitions.slope_index(slope)?;
+        let size = match parse_number(size) {
+            Some(value) => Number::Plain(value),
+            None => Number::Named(size.trim().into()),
+        };
+        definitions.number(&size, &Overrides::new())?;
+        Ok(Factor::Slope(slope.into(), size))
+    }
+
+    fn evaluate(
+        &self,
+        evaluation: &Evaluation,
+        overrides: &Overrides,
+        figures: &[EstimateResult],
+    ) -> EstimateResult {
+        let definitions = &evaluation.definitions;
+        match self {
+            Factor::Literal(value) => Ok(Estimate::exact(*value)),
+            Factor::Named(name) => {
+                let number = Number::Named(name.clone());
+                Ok(Estimate::exact(definitions.number(&number, overrides)?))
+            }
+            Factor::Figure(index) => figures
+                .get(*index)
+                .cloned()
+                .unwrap_or(Err(EstimateError::NoSuchFigure)),
+            Factor::Slope(id, size) => {
+                evaluation.estimate_slope(id, definitions.number(size, overrides)?)
+            }
+        }
+    }
+}
+
+fn parse_number(text: &str) -> Option<f64> {
+    let digits = text.replace('_', "");
+    digits.parse::<f64>().ok().filter(|n| n.is_finite())
+}
--- /dev/null
+++ b/programs/capacity/src/page/figure_tables.rs
@@ -0,0 +1,206 @@
+//! Tables of figures: a role's, by share of the budget, and as assumptions change.
+
+use super::judgement::{figure_verdict, judge, overridden_verdict};
+use super::placeholder::PlaceholderError;
+use super::table::table;
+use crate::figures::{Assumption, EstimateResult, Evaluation, Figure, Overrides};
+use crate::format;
+
+/// The given number that the fleet is grown by.
+const FLEET_SIZE: &str = "front_ends";
+/// How many times the fleet is grown at most in search of the size at which a budget is used up.
+const LARGEST_GROWTH: f64 = 100.0;
+/// Halvings of the search.
+const SEARCH_STEPS: usize = 60;
+
+const ROLE_COLUMNS: [&str; 6] = [
+    "what",
+    "at the size",
+    "budget",
+    "verdict",
+    "from",
+    "carried by",
+];
+const ASSUMPTION_COLUMNS: [&str; 5] = ["assumption", "value", "why", "at half", "at double"];
+const SHARE_COLUMNS: [&str; 4] = [
+    "figure",
+    "share of the budget",
+    "verdict",
+    "front ends at which it is used up, all else as given",
+];
+
+/// The figures of a role beside their budgets.
+pub(super) fn role(evaluation: &Evaluation, role: &str) -> Result<String, PlaceholderError> {
+    let figures = &evaluation.definitions.figures;
+    let estimates = evaluation.estimate_figures(&Overrides::new());
+    let rows: Vec<Vec<String>> = figures
+        .iter()
+        .zip(&estimates)
+        .filter(|(figure, _)| figure.role == role)
+        .map(|(figure, estimate)| role_row(evaluation, figure, estimate))
+        .collect();
+    if rows.is_empty() {
+        let mut roles: Vec<String> = figures.iter().map(|f| f.role.clone()).collect();
+        roles.dedup();
+        return Err(PlaceholderError::UnknownTable {
+            name: role.into(),
+            roles,
+        });
+    }
+    Ok(table(&ROLE_COLUMNS, &rows))
+}
+
+fn role_row(evaluation: &Evaluation, figure: &Figure, estimate: &EstimateResult) -> Vec<String> {
+    let slopes: Vec<String> = evaluation
+        .slopes_beneath(figure)
+        .iter()
+        .map(|slope| format!("`{slope}`"))
+        .collect();
+    let slopes = if slopes.is_empty() {
+        "no slope".into()
+    } else {
+        slopes.join(", ")
+    };
+    let budget = figure.budget.as_ref().and_then(|budget| {
+        let number = evaluation.definitions.number(budget, &Overrides::new());
+        number.ok()
+    });
+    vec![
+        figure.description.clone(),
+        format::estimate(estimate, &figure.unit),
+        format::budget(budget, &figure.unit),
+        figure_verdict(evaluation, figure, estimate),
+        slopes,
+        figure.mechanism.clone(),
+    ]
+}
+
+/// Each assumption, and the figures that change at half and at double of it.
+pub(super) fn assumptions(evaluation: &Evaluation) -> String {
+    let estimates = evaluation.estimate_figures(&Overrides::new());
+    let rows: Vec<Vec<String>> = evaluation
+        .definitions
+        .assumptions
+        .iter()
+        .map(|assumption| assumption_row(evaluation, assumption, &estimates))
+        .collect();
+    table(&ASSUMPTION_COLUMNS, &rows)
+}
+
+fn assumption_row(
+    evaluation: &Evaluation,
+    assumption: &Assumption,
+    estimates: &[EstimateResult],
+) -> Vec<String> {
+    let id = assumption.id();
+    let changed = |value: f64| {
+        let overrides = Overrides::from([(id, value)]);
+        changed_figures(evaluation, &overrides, estimates)
+    };
+    vec![
+        format!("`{id}`: {}", assumption.description),
+        format!("{} {}", format::number(assumption.value), assumption.unit),
+        assumption.reason.clone(),
+        changed(assumption.value / 2.0),
+        changed(assumption.value * 2.0),
+    ]
+}
+
+/// The figures that change with some numbers replaced, each with its value and verdict then.
+fn changed_figures(
+    evaluation: &Evaluation,
+    overrides: &Overrides,
+    estimates: &[EstimateResult],
+) -> String {
+    let changed = evaluation.estimate_figures(overrides);
+    let mut texts = Vec::new();
+    let figures = &evaluation.definitions.figures;
+    for ((figure, before), after) in figures.iter().zip(estimates).zip(&changed) {
+        if before == after {
+            continue;
+        }
+        let value = match after {
+            Ok(estimate) => {
+                let mid = format::number(estimate.interval.mid);
+                format!("{mid} {}", figure.unit)
+            }
+            Err(error) => error.to_string(),
+        };
+        let verdict = overridden_verdict(evaluation, figure, after, overrides);
+        texts.push(format!("`{}` {value}, {verdict}", figure.id));
+    }
+    if texts.is_empty() {
+        "nothing moves".into()
+    } else {
+        texts.join("; ")
+    }
+}
+
+/// Figures by their share of the budget, largest first, and the fleet at which each budget is used up.
+pub(super) fn budget_shares(evaluation: &Evaluation) -> String {
+    let definitions = &evaluation.definitions;
+    let estimates = evaluation.estimate_figures(&Overrides::new());
+    let mut rows: Vec<(f64, Vec<String>)> = Vec::new();
+    for (index, (figure, estimate)) in definitions.figures.iter().zip(&estimates).enumerate() {
+        let Some(judgement) = judge(definitions, figure, estimate, &Overrides::new()) else {
+            continue;
+        };
+        let row = vec![
+            format!("`{}`: {}, {}", figure.id, figure.role, figure.description),
+            format::share(judgement.share),
+            judgement.verdict.to_string(),
+            exhausting_fleet(evaluation, index),
+        ];
+        rows.push((judgement.share, row));
+    }
+    if rows.is_empty() {
+        return "No figure with a budget has been measured.".into();
+    }
+    rows.sort_by(|a, b| b.0.total_cmp(&a.0));
+    let rows: Vec<Vec<String>> = rows.into_iter().map(|(_, row)| row).collect();
+    table(&SHARE_COLUMNS, &rows)
+}
+
+/// The fleet at which a figure reaches its budget, from a single front end to the largest growth of the given fleet.
+fn exhausting_fleet(evaluation: &Evaluation, index: usize) -> String {
+    let Some(given) = evaluation.definitions.given.get(FLEET_SIZE).copied() else {
+        return "-".into();
+    };
+    let share = |growth: f64| share_of_budget(evaluation, index, given * growth);
+    let smallest_growth = 1.0 / given;
+    match (share(smallest_growth), share(LARGEST_GROWTH)) {
+        (Some(low), Some(high)) if low == high => "does not depend on it".into(),
+        (Some(low), _) if low > 1.0 => "at any".into(),
+        (_, Some(high)) if high <= 1.0 => {
+            format!("over {}", format::number(given * LARGEST_GROWTH))
+        }
+        (Some(_), Some(_)) => {
+            let growth = largest_growth_within(smallest_growth, LARGEST_GROWTH, share);
+            format::number((given * growth).floor())
+        }
+        _ => "-".into(),
+    }
+}
+
+/// A figure's share of its budget with a fleet of another size.
+fn share_of_budget(evaluation: &Evaluation, index: usize, front_ends: f64) -> Option<f64> {
+    let overrides = Overrides::from([(FLEET_SIZE, front_ends)]);
+    let definitions = &evaluation.definitions;
+    let figure = definitions.figures.get(index)?;
+    let estimates = evaluation.estimate_figures(&overrides);
+    let judgement = judge(definitions, figure, estimates.get(index)?, &overrides)?;
+    Some(judgement.share)
+}
+
+/// By halving: the growth at which the share passes 1 between two growths.
+fn largest_growth_within(low: f64, high: f64, share: impl Fn(f64) -> Option<f64>) -> f64 {
+    let (mut low, mut high) = (low, high);
+    for _ in 0..SEARCH_STEPS {
+        let middle = (low * high).sqrt();
+        match share(middle) {
+            Some(share) if share <= 1.0 => low = middle,
+            _ => high = middle,
+        }
+    }
+    low
+}
--- /dev/null
+++ b/programs/capacity/src/page/mod.rs
@@ -0,0 +1,103 @@
+//! The page: a template's prose, with each placeholder `{{...}}` replaced.
+//!
+//! | placeholder | becomes |
+//! |---|---|
+//! | `{{measured}}` | day, machine, runs |
+//! | `{{slope ID}}` | form, coefficients, and value at the size asked for |
+//! | `{{at ID SIZE}}` | a slope's value at another size, with its interval |
+//! | `{{figure ID}}` | a figure's value with its interval |
+//! | `{{sum ID}}` | a figure's terms, each with its value |
+//! | `{{verdict ID}}` | holds, tight or fails: of a figure, or of a slope that has a budget |
+//! | `{{run TOOL FIELD NAME=VALUE...}}` | mean and range of a field over the runs with these inputs |
+//! | `{{plot ID}}` | a slope's plot |
+//! | `{{table slopes}}`, `{{table commands}}` | all slopes: their fits; how each is measured again |
+//! | `{{table ROLE}}` | the figures of a role beside their budgets |
+//! | `{{table assumptions}}` | each assumption, and what moves at half and at double of it |
+//! | `{{table first}}` | figures by their share of the budget, and the fleet at which it is used up |
+
+mod figure_tables;
+mod inline;
+mod judgement;
+mod placeholder;
+mod slope_tables;
+mod table;
+
+pub use placeholder::PlaceholderError;
+
+use crate::error::{CapacityError, Errors};
+use crate::figures::Evaluation;
+use crate::runs::RunStore;
+use thiserror::Error;
+
+/// The first line of the page.
+const HEAD: &str =
+    "<!-- Made by `tansy-scale page` from docs/capacity; change the template there, not this. -->\n";
+
+/// What is wrong with a template.
+#[derive(Clone, Debug, PartialEq, Error)]
+pub enum TemplateError {
+    /// A placeholder does not end on its line.
+    #[error("{{{{ without }}}}; right is both on one line")]
+    Unclosed,
+    /// A placeholder can't be replaced.
+    #[error("{{{{{text}}}}}: {source}")]
+    Placeholder {
+        /// What is between the braces.
+        text: String,
+        /// What is wrong with it.
+        source: PlaceholderError,
+    },
+}
+
+/// The page from its template. `name` is the template's file.
+pub fn page(
+    name: &str,
+    template: &str,
+    evaluation: &Evaluation,
+    store: &RunStore,
+) -> Result<String, Errors> {
+    let mut page = String::from(HEAD);
+    let mut errors = Errors::default();
+    for (index, line) in template.lines().enumerate() {
+        for source in fill_line(line, evaluation, store, &mut page) {
+            errors.push(CapacityError::Template {
+                file: name.into(),
+                line: index + 1,
+                source,
+            });
+        }
+        page.push('\n');
+    }
+    errors.into_result(page)
+}
+
+/// Appends a line to the page with its placeholders replaced. What is wrong with them.
+fn fill_line(
+    line: &str,
+    evaluation: &Evaluation,
+    store: &RunStore,
+    page: &mut String,
+) -> Vec<TemplateError> {
+    let mut errors = Vec::new();
+    let mut rest = line;
+    while let Some((before, after_open)) = rest.split_once("{{") {
+        page.push_str(before);
+        let closed = after_open
+            .split_once("}}")
+            .filter(|(text, _)| !text.contains("{{"));
+        let Some((text, after)) = closed else {
+            errors.push(TemplateError::Unclosed);
+            return errors;
+        };
+        match placeholder::fill(text.trim(), evaluation, store) {
+            Ok(filled) => page.push_str(&filled),
+            Err(source) => errors.push(TemplateError::Placeholder {
+                text: text.into(),
+                source,
+            }),
+        }
+        rest = after;
+    }
+    page.push_str(rest);
+    errors
+}
--- /dev/null
+++ b/programs/capacity/src/page/slope_tables.rs
@@ -0,0 +1,167 @@
+//! Tables of slopes: their fits, and how each is measured again.
+
+use super::judgement::{slope_budget, slope_verdict, target_size};
+use super::table::table;
+use crate::figures::{Evaluation, Measurement, Slope};
+use crate::fit::{Fit, FitError, FittedLine, Form, HoldOut};
+use crate::format;
+
+const FIT_COLUMNS: [&str; 12] = [
+    "slope",
+    "against",
+    "form",
+    "residual",
+    "sizes (runs)",
+    "kept out",
+    "predicted, measured",
+    "error",
+    "at the size asked for",
+    "next best form there",
+    "budget",
+    "verdict",
+];
+const COMMAND_COLUMNS: [&str; 5] = [
+    "slope",
+    "measured with (its largest size)",
+    "runs",
+    "left out, not ok",
+    "left out, without the field",
+];
+
+/// All slopes: their fits, values and verdicts.
+pub(super) fn fits(evaluation: &Evaluation) -> String {
+    let rows: Vec<Vec<String>> = evaluation
+        .slopes()
+        .map(|(slope, measurement)| fit_row(evaluation, slope, measurement))
+        .collect();
+    table(&FIT_COLUMNS, &rows)
+}
+
+fn fit_row(evaluation: &Evaluation, slope: &Slope, measurement: &Measurement) -> Vec<String> {
+    let largest = slope.max_size.map_or_else(String::new, |size| {
+        format!(" up to {}", format::number(size))
+    });
+    let mut row = vec![
+        format!("`{}`: {}", slope.id(), slope.description),
+        format!("`{}`{largest}", slope.input),
+    ];
+    row.extend(match &measurement.fit {
+        Ok(fit) => fit_cells(evaluation, slope, fit),
+        Err(error) => cells_without_fit(*error, measurement.points.len()),
+    });
+    row.push(format::budget(slope_budget(evaluation, slope), &slope.unit));
+    row.push(slope_verdict(evaluation, slope));
+    row
+}
+
+/// The cells from the form to the next best form.
+fn fit_cells(evaluation: &Evaluation, slope: &Slope, fit: &Fit) -> Vec<String> {
+    let line = &fit.line;
+    let hold_out = &fit.hold_out;
+    let size = target_size(evaluation, slope);
+    let (least, most) = fit.size_range;
+    let residual = format::number(line.rms);
+    let relative = format::share(fit.relative_rms);
+    let predicted = format::interval(hold_out.predicted);
+    let measured = format::number(hold_out.measured);
+    vec![
+        format!("{}: {}", line.form.name(), format::formula(fit)),
+        format!("{residual} ({relative})"),
+        format!(
+            "{}, {} to {} ({})",
+            fit.size_count - 1,
+            format::number(least),
+            format::number(most),
+            fit.run_count
+        ),
+        format::number(hold_out.size),
+        format!("{predicted}, {measured}"),
+        hold_out_error(hold_out),
+        value_at_target(evaluation, slope, size, most),
+        fit.runner_up
+            .as_ref()
+            .map_or_else(|| "-".into(), |line| value_in_form(line, size)),
+    ]
+}
+
+/// The cells from the form to the next best form, of a slope without a fit.
+fn cells_without_fit(error: FitError, run_count: usize) -> Vec<String> {
+    let none = || String::from("-");
+    vec![
+        error.to_string(),
+        none(),
+        format!("({run_count})"),
+        none(),
+        none(),
+        none(),
+        "not told".into(),
+        none(),
+    ]
+}
+
+fn hold_out_error(hold_out: &HoldOut) -> String {
+    let missed = if hold_out.missed() {
+        ", **missed**"
+    } else {
+        ""
+    };
+    format!("{}{missed}", format::share(hold_out.error()))
+}
+
+/// The value at the size asked for, and how far that is beyond the largest of the fit.
+fn value_at_target(evaluation: &Evaluation, slope: &Slope, size: f64, largest: f64) -> String {
+    let mut estimate = evaluation.estimate_slope(slope.id(), size);
+    if let Ok(estimate) = &mut estimate {
+        // That the fit missed is in the column of errors.
+        estimate.missed = false;
+    }
+    let value = format::estimate(&estimate, &slope.unit);
+    let beyond = if size > largest {
+        format!(
+            ", {} times the fit's largest",
+            format::number(size / largest)
+        )
+    } else {
+        String::new()
+    };
+    format!("{value} at {}{beyond}", format::number(size))
+}
+
+fn value_in_form(line: &FittedLine, size: f64) -> String {
+    let form = match line.form {
+        Form::Flat => "flat",
+        form => form.term(),
+    };
+    format!("{} ({form})", format::number(line.predict(size).max(0.0)))
+}
+
+/// All slopes: how each is measured again, and which of its runs count.
+pub(super) fn commands(evaluation: &Evaluation) -> String {
+    let rows: Vec<Vec<String>> = evaluation
+        .slopes()
+        .map(|(slope, measurement)| command_row(slope, measurement))
+        .collect();
+    table(&COMMAND_COLUMNS, &rows)
+}
+
+fn command_row(slope: &Slope, measurement: &Measurement) -> Vec<String> {
+    let command = if measurement.command.is_empty() {
+        "not measured".into()
+    } else {
+        format!("`{}`", measurement.command)
+    };
+    vec![
+        format!("`{}`", slope.id()),
+        command,
+        measurement.points.len().to_string(),
+        count_or_dash(measurement.failed_runs),
+        count_or_dash(measurement.incomplete_runs),
+    ]
+}
+
+fn count_or_dash(count: usize) -> String {
+    match count {
+        0 => "-".into(),
+        count => count.to_string(),
+    }
+}
--- /dev/null
+++ b/programs/capacity/src/plot/mod.rs
@@ -0,0 +1,60 @@
+//! A slope as SVG: what was measured, the fit with its interval up to the size asked for, and the budget.
+
+mod data;
+mod draw;
+
+use crate::error::{CapacityError, Errors};
+use crate::figures::{Evaluation, Slope, UnknownNumber};
+use data::PlotData;
+use plotters::drawing::DrawingAreaErrorKind;
+use std::io;
+use thiserror::Error;
+
+/// A plot of the page.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Plot {
+    /// Its file, in the folder of images.
+    pub file_name: String,
+    /// The file's text.
+    pub svg: String,
+}
+
+/// Why a plot can't be drawn.
+#[derive(Debug, Error)]
+pub enum PlotError {
+    /// The size asked for or the budget is not known.
+    #[error(transparent)]
+    UnknownNumber(#[from] UnknownNumber),
+    /// The drawing library failed.
+    #[error(transparent)]
+    Drawing(#[from] DrawingAreaErrorKind<io::Error>),
+}
+
+/// The file name of a slope's plot.
+pub fn file_name(slope: &Slope) -> String {
+    format!("capacity-{}.svg", slope.id())
+}
+
+/// The plots of all slopes that have one and were measured.
+pub fn all(evaluation: &Evaluation) -> Result<Vec<Plot>, Errors> {
+    let mut plots = Vec::new();
+    for (slope, measurement) in evaluation.slopes() {
+        let Some(axes) = slope.plot.filter(|_| !measurement.points.is_empty()) else {
+            continue;
+        };
+        let file_name = file_name(slope);
+        let svg = PlotData::new(evaluation, slope, measurement, axes)
+            .map_err(PlotError::from)
+            .and_then(|data| data.to_svg());
+        match svg {
+            Ok(svg) => plots.push(Plot { file_name, svg }),
+            Err(source) => {
+                return Err(Errors::from(CapacityError::Plot {
+                    file: file_name,
+                    source,
+                }))
+            }
+        }
+    }
+    Ok(plots)
+}
--- /dev/null
+++ b/programs/capacity/src/record.rs
@@ -0,0 +1,76 @@
+//! `record`: runs are checked and added to the file that keeps them.
+
+use crate::command::RecordArgs;
+use crate::error::{CapacityError, Errors};
+use crate::files::{read, write};
+use crate::runs::{read_lines, Machine, RunStore};
+use std::fmt;
+use std::path::PathBuf;
+
+/// What `record` did.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RecordSummary {
+    /// Runs that were new.
+    pub added: usize,
+    /// Runs that the file keeps now.
+    pub total: usize,
+}
+
+impl fmt::Display for RecordSummary {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{} runs added, {} kept", self.added, self.total)
+    }
+}
+
+/// Adds runs to the file that keeps them. Nothing is added when one line of any file is wrong.
+pub fn record(args: &RecordArgs) -> Result<RecordSummary, Errors> {
+    let today = time::OffsetDateTime::now_utc().date().to_string();
+    let mut store = open_store(args, &today)?;
+    let added = add_files(&mut store, &args.files)?;
+    if added > 0 {
+        store.date = today;
+    }
+    write(&args.into, &store.to_json())?;
+    Ok(RecordSummary {
+        added,
+        total: store.runs.len(),
+    })
+}
+
+/// The recorded runs, or none. Runs of two machines are not mixed.
+fn open_store(args: &RecordArgs, today: &str) -> Result<RunStore, Errors> {
+    let machine = Machine::current().map_err(CapacityError::from)?;
+    if args.anew || !args.into.exists() {
+        return Ok(RunStore {
+            date: today.into(),
+            machine,
+            runs: Vec::new(),
+        });
+    }
+    let store = RunStore::read(&args.into.display().to_string(), &read(&args.into)?)?;
+    if store.machine != machine {
+        return Err(Errors::from(CapacityError::OtherMachine {
+            path: args.into.clone(),
+            recorded: store.machine,
+            current: machine,
+        }));
+    }
+    Ok(store)
+}
+
+/// Adds the runs of all files; how many were new.
+fn add_files(store: &mut RunStore, files: &[PathBuf]) -> Result<usize, Errors> {
+    let mut added = 0;
+    let mut errors = Errors::default();
+    for file in files {
+        match read(file).and_then(|text| read_lines(&file.display().to_string(), &text)) {
+            Ok(runs) => {
+                for run in runs {
+                    added += usize::from(store.add(run));
+                }
+            }
+            Err(more) => errors.append(more),
+        }
+    }
+    errors.into_result(added)
+}
--- /dev/null
+++ b/programs/capacity/src/runs/mod.rs
@@ -0,0 +1,9 @@
+//! Runs as measuring commands print them, one JSON object a line, and the file that keeps them.
+
+mod machine;
+mod run;
+mod store;
+
+pub use machine::{Machine, MachineError};
+pub use run::{read_lines, required_fields, Run, RunError, UnknownTool};
+pub use store::RunStore;
--- /dev/null
+++ b/programs/capacity/src/runs/store.rs
@@ -0,0 +1,90 @@
+//! The file of recorded runs, `slopes.json`.
+
+use super::{Machine, Run};
+use crate::error::{CapacityError, Errors};
+use serde::Deserialize;
+use serde_json::value::RawValue;
+
+/// Recorded runs: the file `slopes.json`.
+#[derive(Clone, Debug)]
+pub struct RunStore {
+    /// The date on which the last of them was added.
+    pub date: String,
+    /// Where they were measured.
+    pub machine: Machine,
+    /// The runs, in the order in which they were added.
+    pub runs: Vec<Run>,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields, expecting = "struct KeptFile")]
+struct RunStoreFile<'a> {
+    #[serde(rename = "day")]
+    date: String,
+    machine: Machine,
+    #[serde(borrow)]
+    runs: Vec<&'a RawValue>,
+}
+
+impl RunStore {
+    /// Reads the file's text; each run in it is checked as when it was added.
+    pub fn read(name: &str, text: &str) -> Result<RunStore, Errors> {
+        let file: RunStoreFile =
+            serde_json::from_str(text).map_err(|source| CapacityError::RunStore {
+                file: name.into(),
+                source,
+            })?;
+        let mut runs = Vec::new();
+        let mut errors = Errors::default();
+        for (index, raw) in file.runs.iter().enumerate() {
+            match Run::read(raw.get()) {
+                Ok(run) => runs.push(run),
+                Err(source) => errors.push(CapacityError::RecordedRun {
+                    file: name.into(),
+                    number: index + 1,
+                    source,
+                }),
+            }
+        }
+        errors.into_result(RunStore {
+            date: file.date,
+            machine: file.machine,
+            runs,
+        })
+    }
+
+    /// Whether a run is among them.
+    pub fn contains(&self, run: &Run) -> bool {
+        self.runs.iter().any(|r| r.value == run.value)
+    }
+
+    /// Adds a run unless it is among them. Whether it was added.
+    pub fn add(&mut self, run: Run) -> bool {
+        let is_new = !self.contains(&run);
+        if is_new {
+            self.runs.push(run);
+        }
+        is_new
+    }
+
+    /// The same store without the runs that are in it twice.
+    pub fn deduplicated(&self) -> RunStore {
+        let mut store = RunStore {
+            runs: Vec::new(),
+            ..self.clone()
+        };
+        for run in &self.runs {
+            store.add(run.clone());
+        }
+        store
+    }
+
+    /// The file's text, a run a line.
+    pub fn to_json(&self) -> String {
+        let date = serde_json::Value::from(self.date.as_str());
+        let machine = serde_json::to_string(&self.machine).unwrap_or_default();
+        let runs: Vec<&str> = self.runs.iter().map(|r| r.text.as_str()).collect();
+        let runs = runs.join(",\n");
+        format!("{{\"day\": {date}, \"machine\": {machine}, \"runs\": [\n{runs}\n]}}\n")
+    }
+}
--- a/programs/capacity/tests/page.rs
+++ b/programs/capacity/tests/page.rs
@@ -3,17 +3,15 @@
 
 use std::fs;
 use std::path::{Path, PathBuf};
-use tansy_capacity::figures::{verdict, Verdict};
+use tansy_capacity::figures::{verdict, Estimate, Verdict};
 use tansy_capacity::fit::Interval;
-use tansy_capacity::runs::{read_lines, Kept};
-use tansy_capacity::{check, make, record, RecordArgs};
+use tansy_capacity::runs::{read_lines, RunStore};
+use tansy_capacity::{check, generate, record, Errors, RecordArgs};
 
 #[test]
 fn the_page_of_this_repository_is_what_its_runs_give() {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs");
-    check(&docs).unwrap_or_else(|lines| {
-        panic!("`page` makes it anew; these differ:\n{}", lines.join("\n"))
-    });
+    check(&docs).unwrap_or_else(|errors| panic!("`page` makes it anew; these differ:\n{errors}"));
 }
 
 const FIGURES: &str = r#"
@@ -85,16 +83,25 @@
         .collect();
     fs::write(docs.join("capacity/runs/virtual.jsonl"), lines.join("\n")).unwrap();
     assert_eq!(recorded(&docs).as_deref(), Ok("15 runs added, 15 kept"));
-    make(&docs).unwrap();
+    generate(&docs).unwrap();
     docs
 }
 
+/// Records the runs of a docs folder: the summary as it is printed.
 fn recorded(docs: &Path) -> Result<String, Vec<String>> {
-    record(&RecordArgs {
+    let summary = record(&RecordArgs {
         into: docs.join("capacity/slopes.json"),
         anew: false,
         files: vec![docs.join("capacity/runs/virtual.jsonl")],
-    })
+    });
+    summary
+        .map(|summary| summary.to_string())
+        .map_err(|errors| errors.messages())
+}
+
+/// The lines that the errors of something that has to fail print as.
+fn messages<T: std::fmt::Debug>(result: Result<T, Errors>, what: &str) -> Vec<String> {
+    result.expect_err(what).messages()
 }
 
 fn change(path: PathBuf, from: &str, to: &str) {
@@ -132,7 +139,7 @@
         "plot =",
         "most = 2_000\nplot =",
     );
-    make(&docs).unwrap();
+    generate(&docs).unwrap();
     let page = fs::read_to_string(docs.join("CAPACITY.md")).unwrap();
     assert!(
         page.contains("`front_ends` up to 2,000 | linear: 11 + 2 x"),
@@ -147,17 +154,12 @@
 #[test]
 fn verdicts_go_by_figure_interval_and_missed_fits() {
     let of = |mid: f64, high: f64, missed: bool| {
-        verdict(
-            (
-                Interval {
-                    mid,
-                    low: 0.0,
-                    high,
-                },
-                missed,
-            ),
-            30.0,
-        )
+        let interval = Interval {
+            mid,
+            low: 0.0,
+            high,
+        };
+        verdict(Estimate { interval, missed }, 30.0)
     };
     assert_eq!(of(20.0, 30.0, false), Verdict::Holds);
     assert_eq!(of(20.1, 30.0, false), Verdict::Tight);
@@ -206,7 +208,7 @@
         let docs = docs(&format!("changed-{name}"));
         assert!(check(&docs).is_ok());
         change(&docs);
-        let lines = check(&docs).expect_err(name);
+        let lines = messages(check(&docs), name);
         assert!(
             lines.iter().any(|l| l.starts_with(told)),
             "{name}: {lines:?}"
@@ -221,7 +223,10 @@
     assert_eq!(recorded(&docs).as_deref(), Ok("0 runs added, 15 kept"));
     let text = fs::read_to_string(docs.join("capacity/slopes.json")).unwrap();
     assert!(text.contains(&line(300, 2)));
-    assert_eq!(Kept::read("slopes.json", &text).unwrap().text(), text);
+    assert_eq!(
+        RunStore::read("slopes.json", &text).unwrap().to_json(),
+        text
+    );
 }
 
 #[test]
@@ -250,7 +255,7 @@
         ("{\"tool\"", "[\"tool\"", "right is one JSON object a line"),
     ] {
         let text = format!("\n{}\n", good.replacen(from, to, 1));
-        let lines = read_lines("runs.jsonl", &text).expect_err(from);
+        let lines = messages(read_lines("runs.jsonl", &text), from);
         assert!(
             lines.len() == 1 && lines[0].starts_with("runs.jsonl:2: "),
             "{lines:?}"
@@ -351,10 +356,10 @@
         let docs = docs("wrong");
         change(docs.join("capacity").join(file), from, to);
         if told.is_empty() {
-            assert!(make(&docs).is_ok(), "a filter that lets tiers differ");
+            assert!(generate(&docs).is_ok(), "a filter that lets tiers differ");
             continue;
         }
-        let lines = make(&docs).expect_err(to);
+        let lines = messages(generate(&docs), to);
         let at = lines[0]
             .strip_prefix(&format!("{file}:"))
             .and_then(|l| l.split_once(": "));
@@ -376,7 +381,7 @@
     let other = line(100, 5).replace("\"seed\"", "\"functions\":7,\"seed\"");
     fs::write(apart.join("capacity/runs/virtual.jsonl"), other).unwrap();
     recorded(&apart).unwrap();
-    let lines = make(&apart).expect_err("two counts of functions");
+    let lines = messages(generate(&apart), "two counts of functions");
     assert!(
         lines[0].starts_with("figures.toml: slope bytes: its runs differ in functions"),
         "{lines:?}"
@@ -387,7 +392,7 @@
     fs::write(few.join("capacity/runs/virtual.jsonl"), text).unwrap();
     fs::remove_file(few.join("capacity/slopes.json")).unwrap();
     recorded(&few).unwrap();
-    make(&few).unwrap();
+    generate(&few).unwrap();
     let page = fs::read_to_string(few.join("CAPACITY.md")).unwrap();
     assert!(
         page.contains("too few sizes to claim anything (3 of 4 at least)"),
