--- a/programs/capacity/src/check.rs
+++ b/programs/capacity/src/check.rs
@@ -1,4 +1,4 @@
-//! `page --check`: everything is made in memory and compared with the files that are there.
+//! `page --check`: generates everything in memory and compares it with the files that are there.
 
 use crate::error::Errors;
 use crate::files::{entries, file_name, read};
@@ -12,7 +12,7 @@
 /// Characters of a line that a difference shows.
 const SHOWN_CHARACTERS: usize = 160;
 
-/// What `page --check` compared, all of it equal.
+/// The result of `page --check` if nothing differs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CheckSummary {
     /// Plots beside the page.
@@ -34,7 +34,7 @@
     }
 }
 
-/// How a file differs from what the recorded runs give.
+/// How a file differs from the one that the recorded runs give.
 #[derive(Debug, Error)]
 pub enum Difference {
     /// A line differs.
@@ -81,7 +81,7 @@
     },
 }
 
-/// Makes everything in memory and compares it with the files that are there: an error for each that differs.
+/// Generates everything in memory and compares it with the files that are there: an error for each that differs.
 pub fn check(docs: &Path) -> Result<CheckSummary, Errors> {
     let (store, store_text) = read_store(docs)?;
     let mut errors = Errors::default();
--- a/programs/capacity/src/error.rs
+++ b/programs/capacity/src/error.rs
@@ -1,5 +1,5 @@
-//! What can be wrong with runs, definitions and pages. Each error prints as one line: file, line where there is one, what
-//! is wrong, what would be right.
+//! Errors in runs, definitions and pages. Each prints as one line: the file, the line where there is one, the fault, and
+//! the remedy.
 
 use crate::check::Difference;
 use crate::figures::{DefinitionError, MeasurementError};
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// One thing that is wrong.
+/// An error in a file.
 #[derive(Debug, Error)]
 pub enum CapacityError {
     /// A file or folder can't be read, written or removed.
@@ -29,7 +29,7 @@
         file: String,
         /// The line, from 1.
         line: usize,
-        /// What is wrong with the run.
+        /// The cause.
         source: RunError,
     },
     /// The file of recorded runs is not in its format.
@@ -37,7 +37,7 @@
     RunStore {
         /// The file's name.
         file: String,
-        /// What is wrong.
+        /// The cause.
         source: serde_json::Error,
     },
     /// A run in the file of recorded runs is not valid.
@@ -47,7 +47,7 @@
         file: String,
         /// The run's position, from 1.
         number: usize,
-        /// What is wrong with the run.
+        /// The cause.
         source: RunError,
     },
     /// The machine can't be described.
@@ -73,7 +73,7 @@
         file: String,
         /// The line, from 1.
         line: usize,
-        /// What is wrong.
+        /// The cause.
         source: DefinitionError,
     },
     /// The runs of a slope do not belong together.
@@ -83,7 +83,7 @@
         file: String,
         /// The slope.
         slope: String,
-        /// What is wrong.
+        /// The cause.
         source: MeasurementError,
     },
     /// A placeholder of the template is wrong.
@@ -93,7 +93,7 @@
         file: String,
         /// The line, from 1.
         line: usize,
-        /// What is wrong.
+        /// The cause.
         source: TemplateError,
     },
     /// A plot can't be drawn.
@@ -101,10 +101,10 @@
     Plot {
         /// The plot's file name.
         file: String,
-        /// What is wrong.
+        /// The cause.
         source: PlotError,
     },
-    /// A file is not what the recorded runs give.
+    /// A file is not up to date.
     #[error(transparent)]
     Difference(#[from] Difference),
 }
@@ -119,7 +119,7 @@
     }
 }
 
-/// All that is wrong, in the order of the text.
+/// All errors found, in the order of the text.
 #[derive(Debug, Default)]
 pub struct Errors(Vec<CapacityError>);
 
--- a/programs/capacity/src/figures/definitions.rs
+++ b/programs/capacity/src/figures/definitions.rs
@@ -1,4 +1,4 @@
-//! What `figures.toml` defines: read, checked, and looked up by name.
+//! The content of `figures.toml`: reading, validation, and lookup by name.
 
 use super::expression::{Term, TermError};
 use super::file::{Assumption, FigureFile, FiguresFile, Number, Slope};
@@ -8,21 +8,21 @@
 use thiserror::Error;
 use toml::Spanned;
 
-/// Names in terms whose values are taken in place of their own.
+/// Values by name that replace given numbers and assumptions.
 pub type Overrides<'a> = BTreeMap<&'a str, f64>;
 
-/// A line of a role's table.
+/// A value computed from slopes, given numbers and assumptions: a line of a role's table.
 #[derive(Debug)]
 pub struct Figure {
     /// Its name in terms.
     pub id: String,
-    /// Whose cost it is.
+    /// The role whose cost it is.
     pub role: String,
-    /// What it is.
+    /// Its title on the page.
     pub description: String,
-    /// Of its value.
+    /// The unit of its value.
     pub unit: String,
-    /// What it may be: a number or a given one's name.
+    /// Its budget: a number or the name of a given one.
     pub budget: Option<Number>,
     /// The mechanism that carries it.
     pub mechanism: String,
@@ -31,16 +31,16 @@
     pub(super) terms: Vec<Term>,
 }
 
-/// What `figures.toml` defines.
+/// The content of `figures.toml`.
 #[derive(Debug)]
 pub struct Definitions {
     /// Sizes and budgets that were asked for.
     pub given: BTreeMap<String, f64>,
-    /// What is assumed.
+    /// Numbers that were not measured.
     pub assumptions: Vec<Assumption>,
-    /// What is measured.
+    /// Measured outputs by size.
     pub slopes: Vec<Slope>,
-    /// What is computed for each role.
+    /// Values computed from the rest, for each role.
     pub figures: Vec<Figure>,
 }
 
@@ -64,7 +64,7 @@
     pub known: Vec<String>,
 }
 
-/// What is wrong with a definition.
+/// An error in a definition.
 #[derive(Debug, Error)]
 pub enum DefinitionError {
     /// The file is not in its format.
@@ -92,7 +92,7 @@
     Term {
         /// The term as written.
         term: String,
-        /// What is wrong with it.
+        /// The cause.
         source: TermError,
     },
     /// A figure without terms.
@@ -152,12 +152,12 @@
     }
 
     fn check_number(&mut self, definitions: &Definitions, number: &Spanned<Number>) {
-        if let Err(error) = definitions.number(number.get_ref(), &Overrides::new()) {
+        if let Err(error) = definitions.resolve(number.get_ref(), &Overrides::new()) {
             self.reject(number.span().start, error.into());
         }
     }
 
-    /// Parses the terms of a figure, which name what was defined before it.
+    /// Parses the terms of a figure; they can name the figures defined before it.
     fn read_figure(&mut self, definitions: &Definitions, written: FigureFile) -> Figure {
         let mut terms = Vec::new();
         for text in &written.terms {
@@ -227,22 +227,19 @@
         reader.errors.into_result(definitions)
     }
 
-    /// A number, by name if need be.
-    pub fn number(&self, number: &Number, overrides: &Overrides) -> Result<f64, UnknownNumber> {
+    /// The value of a number, looked up if it is a name.
+    pub fn resolve(&self, number: &Number, overrides: &Overrides) -> Result<f64, UnknownNumber> {
         match number {
             Number::Plain(value) => Ok(*value),
-            Number::Named(name) => {
-                self.named_number(name, overrides)
-                    .ok_or_else(|| UnknownNumber {
-                        name: name.clone(),
-                        known: self.number_names(),
-                    })
-            }
+            Number::Named(name) => self.lookup(name, overrides).ok_or_else(|| UnknownNumber {
+                name: name.clone(),
+                known: self.number_names(),
+            }),
         }
     }
 
-    /// The value that a name stands for: overridden, given or assumed.
-    pub(super) fn named_number(&self, name: &str, overrides: &Overrides) -> Option<f64> {
+    /// The value of a name: overridden, given or assumed.
+    pub(super) fn lookup(&self, name: &str, overrides: &Overrides) -> Option<f64> {
         let assumption = || self.assumptions.iter().find(|a| a.id() == name);
         overrides
             .get(name)
--- a/programs/capacity/src/figures/estimate.rs
+++ b/programs/capacity/src/figures/estimate.rs
@@ -1,22 +1,22 @@
-//! Values that rest on fits, and their arithmetic.
+//! Values that depend on fits, and their interval arithmetic.
 
 use super::definitions::{UnknownNumber, UnknownSlope};
 use crate::fit::{FitError, Form, Interval};
 use thiserror::Error;
 
-/// A value that rests on fits.
+/// A value that depends on fits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     /// The value with its interval.
     pub interval: Interval,
-    /// Whether a fit beneath it missed the size that it was to predict.
+    /// Whether a fit that it depends on missed its hold-out.
     pub missed: bool,
 }
 
-/// A value, or why there is none.
+/// A value, or the reason that there is none.
 pub type EstimateResult = Result<Estimate, EstimateError>;
 
-/// Why there is no value.
+/// The reason that there is no value.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum EstimateError {
     /// There is no such slope.
--- a/programs/capacity/src/figures/evaluation.rs
+++ b/programs/capacity/src/figures/evaluation.rs
@@ -9,10 +9,10 @@
 use crate::fit::Interval;
 use crate::runs::Run;
 
-/// The definitions with what the runs measured.
+/// The definitions with the measurements from recorded runs.
 #[derive(Debug)]
 pub struct Evaluation {
-    /// What was asked for.
+    /// The content of `figures.toml`.
     pub definitions: Definitions,
     /// For each slope, in their order.
     pub measurements: Vec<Measurement>,
@@ -120,8 +120,8 @@
         texts.zip(values).collect()
     }
 
-    /// The slopes that a figure rests on, through other figures too.
-    pub fn slopes_beneath<'a>(&'a self, figure: &'a Figure) -> Vec<&'a str> {
+    /// The slopes that a figure depends on, directly and through other figures.
+    pub fn underlying_slopes<'a>(&'a self, figure: &'a Figure) -> Vec<&'a str> {
         let mut slopes: Vec<&str> = Vec::new();
         for reference in figure.terms.iter().flat_map(|term| term.references()) {
             let more = match reference {
@@ -130,7 +130,7 @@
                     .definitions
                     .figures
                     .get(index)
-                    .map_or(vec![], |earlier| self.slopes_beneath(earlier)),
+                    .map_or(vec![], |earlier| self.underlying_slopes(earlier)),
             };
             for id in more {
                 if !slopes.contains(&id) {
--- a/programs/capacity/src/figures/expression.rs
+++ b/programs/capacity/src/figures/expression.rs
@@ -6,7 +6,7 @@
 use super::file::Number;
 use thiserror::Error;
 
-/// What is wrong with a term.
+/// An error in a term.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum TermError {
     /// A slope that is not defined.
@@ -54,7 +54,7 @@
 }
 
 impl Term {
-    /// Parses a term; it names what is defined so far.
+    /// Parses a term; the names in it are of definitions so far.
     pub(super) fn parse(text: &str, definitions: &Definitions) -> Result<Term, TermError> {
         let text = text.trim();
         let unsigned = text.strip_prefix('-');
@@ -106,7 +106,7 @@
     }
 }
 
-/// What a term rests on.
+/// A definition that a term depends on.
 pub(super) enum Reference<'a> {
     Slope(&'a str),
     Figure(usize),
@@ -124,7 +124,7 @@
         if let Some(index) = definitions.figures.iter().position(|f| f.id == text) {
             return Ok(Factor::Figure(index));
         }
-        match definitions.named_number(text, &Overrides::new()) {
+        match definitions.lookup(text, &Overrides::new()) {
             Some(_) => Ok(Factor::Named(text.into())),
             None => Err(TermError::UnknownFactor {
                 text: text.into(),
@@ -143,7 +143,7 @@
             Some(value) => Number::Plain(value),
             None => Number::Named(size.trim().into()),
         };
-        definitions.number(&size, &Overrides::new())?;
+        definitions.resolve(&size, &Overrides::new())?;
         Ok(Factor::Slope(slope.into(), size))
     }
 
@@ -158,14 +158,14 @@
             Factor::Literal(value) => Ok(Estimate::exact(*value)),
             Factor::Named(name) => {
                 let number = Number::Named(name.clone());
-                Ok(Estimate::exact(definitions.number(&number, overrides)?))
+                Ok(Estimate::exact(definitions.resolve(&number, overrides)?))
             }
             Factor::Figure(index) => figures
                 .get(*index)
                 .cloned()
                 .unwrap_or(Err(EstimateError::NoSuchFigure)),
             Factor::Slope(id, size) => {
-                evaluation.estimate_slope(id, definitions.number(size, overrides)?)
+                evaluation.estimate_slope(id, definitions.resolve(size, overrides)?)
             }
         }
     }
--- a/programs/capacity/src/figures/file.rs
+++ b/programs/capacity/src/figures/file.rs
@@ -18,18 +18,18 @@
     pub(super) figures: Vec<FigureFile>,
 }
 
-/// Something not measured that figures rest on.
+/// A number that was not measured and that figures depend on.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Assumption {
     /// Its name in terms.
     pub id: Spanned<String>,
-    /// What it is.
+    /// Its title on the page.
     #[serde(rename = "what")]
     pub description: String,
-    /// How much.
+    /// The number.
     pub value: f64,
-    /// Of the value.
+    /// The unit of the value.
     pub unit: String,
     /// The reason for the value.
     #[serde(rename = "why")]
@@ -49,7 +49,7 @@
 pub struct Slope {
     /// Its name in terms.
     pub id: Spanned<String>,
-    /// What it is.
+    /// Its title on the page.
     #[serde(rename = "what")]
     pub description: String,
     /// The tool whose runs count.
@@ -63,17 +63,17 @@
     /// Other fields that a run has to have; `"any"` lets one differ.
     #[serde(default)]
     pub filter: BTreeMap<String, toml::Value>,
-    /// Of the output.
+    /// The unit of the output.
     pub unit: String,
-    /// The size asked for: a number or a given one's name.
+    /// The size that is planned for: a number or the name of a given one.
     #[serde(rename = "at")]
     pub target_size: Spanned<Number>,
-    /// What it may cost there: a number or a given one's name.
+    /// The budget there: a number or the name of a given one.
     pub budget: Option<Spanned<Number>>,
-    /// The size kept out of the fit, if not the largest.
+    /// The hold-out size of the fit, if not the largest.
     #[serde(rename = "held_out")]
     pub hold_out: Option<f64>,
-    /// Larger sizes are left out: a line for small sizes is not bent by far larger ones.
+    /// Runs of larger sizes are ignored, so that they do not bend a line for small ones.
     #[serde(rename = "most")]
     pub max_size: Option<f64>,
     /// Axes of its plot, if it has one.
--- a/programs/capacity/src/figures/measurement.rs
+++ b/programs/capacity/src/figures/measurement.rs
@@ -42,20 +42,20 @@
 pub struct Measurement {
     /// A point for each run.
     pub points: Vec<Point>,
-    /// Runs left out because they did not go as they should.
+    /// Runs ignored because they failed.
     pub failed_runs: usize,
-    /// Runs left out because the input or the output is not in them.
+    /// Runs ignored because they lack the input or the output.
     pub incomplete_runs: usize,
     /// The command of the run at the largest size.
     pub command: String,
-    /// The form, or why there is none.
+    /// The fit, or the reason that there is none.
     pub fit: Result<Fit, FitError>,
 }
 
-/// Why runs can't be put together in one slope.
+/// The reason that runs can't be combined in one slope.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum MeasurementError {
-    /// They differ in an input that the slope says nothing about.
+    /// They differ in an input that is neither that of the slope nor in its filter.
     #[error("its runs differ in {input} ({first}, {second}); right is one value of it in filter, or \"any\"")]
     DifferentInputs {
         /// The input's field.
--- a/programs/capacity/src/figures/mod.rs
+++ b/programs/capacity/src/figures/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`Definitions`]: the file, read and checked.
 //! - [`Measurement`]: the runs of a slope and the fit through them.
-//! - [`Evaluation`]: the values of slopes and figures, each an [`Estimate`] or why there is none.
+//! - [`Evaluation`]: the values of slopes and figures, each an [`Estimate`] or an [`EstimateError`].
 //! - [`Verdict`]: an estimate beside its budget.
 //!
 //! A figure is a sum of terms, each a product of factors joined by `*` and `/`, the first perhaps after `-`. A factor is
--- a/programs/capacity/src/figures/verdict.rs
+++ b/programs/capacity/src/figures/verdict.rs
@@ -6,12 +6,12 @@
 /// A figure over this share of its budget is tight.
 const TIGHT_SHARE: f64 = 2.0 / 3.0;
 
-/// Whether a value keeps to its budget.
+/// Whether a value is within its budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
     /// At most two thirds of the budget, with its whole interval under it.
     Holds,
-    /// Over two thirds of the budget, or its interval crosses it, or a fit beneath it missed the size kept out.
+    /// Over two thirds of the budget, or its interval crosses it, or a fit that it depends on missed its hold-out.
     Tight,
     /// Over the budget.
     Fails,
--- a/programs/capacity/src/fit/form.rs
+++ b/programs/capacity/src/fit/form.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// What `b` is multiplied by, as a formula shows it.
+    /// `z(x)` as a formula shows it.
     pub fn term(self) -> &'static str {
         match self {
             Form::Flat => "",
--- a/programs/capacity/src/fit/line.rs
+++ b/programs/capacity/src/fit/line.rs
@@ -9,7 +9,7 @@
 /// A value with its 95% prediction interval: where a further run would lie.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Interval {
-    /// What is predicted.
+    /// The prediction.
     pub mid: f64,
     /// The interval's lower end.
     pub low: f64,
@@ -24,7 +24,7 @@
     pub form: Form,
     /// `a`: the value at `z = 0`.
     pub intercept: f64,
-    /// `b`: what `z` is multiplied by; 0 when flat.
+    /// `b`: the factor of `z`; 0 when flat.
     pub coefficient: f64,
     /// Root of the mean square of the residuals, in units of the output.
     pub rms: f64,
@@ -81,7 +81,7 @@
         })
     }
 
-    /// What is predicted at a size.
+    /// The prediction at a size.
     pub fn predict(&self, size: f64) -> f64 {
         match self.form {
             Form::Flat => self.intercept,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// What is predicted at a size, and the interval in which a further run lies 95 times of 100. None where the form is
+    /// The prediction at a size, and the interval in which a further run lies 95 times of 100. None where the form is
     /// not defined, or no degree of freedom is left to estimate the spread.
     pub fn predict_interval(&self, size: f64) -> Option<Interval> {
         let has_spread = self.deviation.is_finite() && self.t_quantile.is_finite();
--- a/programs/capacity/src/fit/mod.rs
+++ b/programs/capacity/src/fit/mod.rs
@@ -1,9 +1,12 @@
 //! How a cost grows with size: one of a few forms, by least squares over all points, without I/O.
 //!
-//! Each form is `a + b z(x)`. A form other than flat counts when `b` is above nothing at the 97.5% level by Student's t;
-//! of those that count the one is taken that predicts best a size left out of it (RMS over sizes, against the mean of the
-//! size), and a simpler one whose error is at most a tenth larger is taken before it. A cost that falls with size is
-//! credited nothing: flat.
+//! Each form is `a + b z(x)`. The choice between them:
+//!
+//! 1. One size, the hold-out, takes no part in the fit and is predicted by it.
+//! 2. A form other than flat is a candidate if `b` is positive at the 97.5% level by Student's t. A cost that falls with
+//!    size is therefore flat.
+//! 3. The candidate with the least cross-validation error is chosen: each size in turn is left out and its mean predicted
+//!    from the rest, RMS over sizes. A simpler candidate whose error is at most a tenth larger is preferred to it.
 //!
 //! ```
 //! use tansy_capacity::fit::{fit, Form, Point};
@@ -11,7 +14,7 @@
 //! let points = [10.0, 20.0, 40.0, 80.0, 160.0].map(|x| Point { x, y: 5.0 + 2.0 * x });
 //! let fit = fit(&points, None).expect("five sizes are enough");
 //! assert_eq!(fit.line.form, Form::Linear);
-//! // The largest size was kept out of the fit and predicted by it.
+//! // The largest size is the hold-out.
 //! assert_eq!(fit.hold_out.size, 160.0);
 //! assert!(fit.hold_out.error().abs() < 1e-9);
 //! ```
@@ -24,32 +27,32 @@
 
 use thiserror::Error;
 
-/// Sizes measured without which a slope says nothing: one is kept out, and a line through two has no residual.
+/// The fewest sizes for a fit: one is the hold-out, and a line through two has no residual.
 pub const LEAST_SIZES: usize = 4;
 /// A simpler form is taken when its error is at most this many times that of the best.
 const NEAR_TIE: f64 = 1.1;
-/// What errors may differ by from rounding alone, as a share of the mean.
+/// A difference of errors that rounding alone explains, as a share of the mean.
 const ROUNDING: f64 = 1e-9;
 /// An error at the hold-out size up to this share is no miss, however narrow the interval.
 const TOLERATED_ERROR: f64 = 0.1;
 
-/// One run: what was measured at a size.
+/// One run: the output measured at a size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
     /// The size.
     pub x: f64,
-    /// What it cost.
+    /// The output.
     pub y: f64,
 }
 
-/// The size kept out of a fit, predicted by it.
+/// The size that takes no part in a fit and is predicted by it.
 #[derive(Clone, Copy, Debug)]
 pub struct HoldOut {
     /// The size.
     pub size: f64,
-    /// Mean of what was measured there.
+    /// The mean of the outputs measured there.
     pub measured: f64,
-    /// What the fit predicts there.
+    /// The fit's prediction there.
     pub predicted: Interval,
 }
 
@@ -69,31 +72,31 @@
 /// A form chosen, and the evidence for it.
 #[derive(Clone, Debug)]
 pub struct Fit {
-    /// The form taken, fitted to all sizes but the one kept out.
+    /// The form chosen, fitted to all sizes but the hold-out.
     pub line: FittedLine,
     /// RMS of the residuals as a share of the mean.
     pub relative_rms: f64,
-    /// RMS of the errors at sizes left out one by one, in units of the output, of each form that could be tried.
+    /// The cross-validation error of each form that could be fitted, in units of the output.
     pub validation_errors: Vec<(Form, f64)>,
-    /// The form with the least error beside the one taken, of those that count: what another choice would predict.
+    /// The candidate in another form with the least cross-validation error.
     pub runner_up: Option<FittedLine>,
-    /// The size kept out.
+    /// The size that took no part.
     pub hold_out: HoldOut,
-    /// Sizes measured, the one kept out among them.
+    /// Number of sizes measured, with the hold-out.
     pub size_count: usize,
-    /// Runs in the fit.
+    /// Number of runs in the fit.
     pub run_count: usize,
     /// The least and the largest size in the fit.
     pub size_range: (f64, f64),
 }
 
-/// Why points have no fit.
+/// The reason that points have no fit.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum FitError {
-    /// So many sizes were measured, fewer than [`LEAST_SIZES`]; or no form counts.
+    /// Fewer sizes than [`LEAST_SIZES`] were measured, or no form is a candidate; with the number of sizes.
     #[error("{}", too_few_sizes(*.0))]
     TooFewSizes(usize),
-    /// The size to be kept out was not measured.
+    /// The hold-out size was not measured.
     #[error("the size kept out, {0}, was not measured")]
     HoldOutNotMeasured(f64),
 }
@@ -105,30 +108,30 @@
     }
 }
 
-/// Chooses the form for points, with one size kept out: the given one, or else the largest.
+/// Chooses the form for points. The hold-out is the given size, or else the largest.
 pub fn fit(points: &[Point], hold_out: Option<f64>) -> Result<Fit, FitError> {
     let sizes = sizes(points);
-    let held_size = hold_out_size(&sizes, hold_out)?;
-    let (held_points, fitted_points): (Vec<Point>, Vec<Point>) =
-        points.iter().partition(|p| p.x == held_size);
-    let fitted_sizes: Vec<f64> = sizes.iter().copied().filter(|x| *x != held_size).collect();
+    let hold_out = hold_out_size(&sizes, hold_out)?;
+    let (hold_out_points, fitted_points): (Vec<Point>, Vec<Point>) =
+        points.iter().partition(|p| p.x == hold_out);
+    let fitted_sizes: Vec<f64> = sizes.iter().copied().filter(|x| *x != hold_out).collect();
     let validation_errors: Vec<(Form, f64)> = Form::ALL
         .into_iter()
         .filter_map(|f| Some((f, validation_error(f, &fitted_points, &fitted_sizes)?)))
         .collect();
     let scale = mean(&fitted_points).abs();
-    let candidates = candidates(&validation_errors, &fitted_points, held_size);
+    let candidates = candidates(&validation_errors, &fitted_points, hold_out);
     let no_form = FitError::TooFewSizes(sizes.len());
     let line = simplest_of_best(&candidates, scale).ok_or(no_form)?;
-    let predicted = line.predict_interval(held_size).ok_or(no_form)?;
+    let predicted = line.predict_interval(hold_out).ok_or(no_form)?;
     Ok(Fit {
         line,
         relative_rms: line.rms / scale.max(f64::MIN_POSITIVE),
         validation_errors,
         runner_up: runner_up(&candidates, line.form),
         hold_out: HoldOut {
-            size: held_size,
-            measured: mean(&held_points),
+            size: hold_out,
+            measured: mean(&hold_out_points),
             predicted,
         },
         size_count: sizes.len(),
@@ -145,7 +148,7 @@
     sizes
 }
 
-/// The size to keep out, if that and enough others were measured.
+/// The hold-out size, if that and enough others were measured.
 fn hold_out_size(sizes: &[f64], wanted: Option<f64>) -> Result<f64, FitError> {
     let largest = *sizes.last().ok_or(FitError::TooFewSizes(0))?;
     let size = wanted.unwrap_or(largest);
@@ -158,7 +161,7 @@
     Ok(size)
 }
 
-/// The forms that count and have an interval at the hold-out size, fitted, each with its validation error.
+/// The forms that are significant and have an interval at the hold-out size, fitted, each with its validation error.
 fn candidates(
     errors: &[(Form, f64)],
     points: &[Point],
@@ -199,7 +202,7 @@
     points.iter().map(|p| p.y).sum::<f64>() / points.len().max(1) as f64
 }
 
-/// Leaves out size after size and predicts its mean from the rest: RMS of the errors.
+/// The cross-validation error: each size in turn is left out and its mean predicted from the rest, RMS of the errors.
 fn validation_error(form: Form, points: &[Point], sizes: &[f64]) -> Option<f64> {
     let mut squares = 0.0;
     for size in sizes {
--- a/programs/capacity/src/format.rs
+++ b/programs/capacity/src/format.rs
@@ -70,7 +70,7 @@
     format!("{mid} ({} to {})", number(value.low), number(value.high))
 }
 
-/// An estimate with its unit and a remark if a fit missed, or why there is none.
+/// An estimate with its unit and a remark if a fit missed, or the reason that there is none.
 pub(crate) fn estimate(estimate: &EstimateResult, unit: &str) -> String {
     match estimate {
         Ok(estimate) => {
--- a/programs/capacity/src/generate.rs
+++ b/programs/capacity/src/generate.rs
@@ -1,4 +1,4 @@
-//! `page`: the page and its plots are made from the recorded runs, the definitions and the template.
+//! `page`: generates the page and its plots from the recorded runs, the definitions and the template.
 
 use crate::error::{CapacityError, Errors};
 use crate::figures::{Definitions, Evaluation};
@@ -9,7 +9,7 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// What `page` made.
+/// The result of `page`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PageSummary {
     /// Plots beside the page.
@@ -31,14 +31,14 @@
     }
 }
 
-/// A file as it should be.
+/// A generated file.
 pub(crate) struct OutputFile {
     /// Its path under the folder of documentation.
     pub(crate) path: PathBuf,
     pub(crate) text: String,
 }
 
-/// Makes the page and its plots in the folder of documentation; plots that no slope has any more are removed.
+/// Generates the page and its plots in the folder of documentation, and removes plots that no slope has any more.
 pub fn generate(docs: &Path) -> Result<PageSummary, Errors> {
     let (store, _) = read_store(docs)?;
     let files = outputs(docs, &store)?;
@@ -64,7 +64,7 @@
     Ok((RunStore::read(&file_name(&path), &text)?, text))
 }
 
-/// The page, first, and its plots as they should be.
+/// The page, first, and its plots.
 pub(crate) fn outputs(docs: &Path, store: &RunStore) -> Result<Vec<OutputFile>, Errors> {
     let figures = docs.join("capacity/figures.toml");
     let template = docs.join("capacity/CAPACITY.in.md");
@@ -84,7 +84,7 @@
     Ok(files)
 }
 
-/// Plots of the page that are in its folder and would not be made: paths under the folder of documentation.
+/// Plots in the folder of images that no slope has: paths under the folder of documentation.
 pub(crate) fn stray_plots(docs: &Path, files: &[OutputFile]) -> Result<Vec<PathBuf>, Errors> {
     let is_plot = |name: &str| name.starts_with("capacity-") && name.ends_with(".svg");
     Ok(entries(&docs.join("img"))?
--- a/programs/capacity/src/lib.rs
+++ b/programs/capacity/src/lib.rs
@@ -1,14 +1,16 @@
-//! The capacity page: measured runs are recorded, slopes fitted to them, figures set beside their budgets, and all of it
-//! made again and compared.
+//! The capacity page: records measured runs, fits slopes to them, compares figures with their budgets, generates the page
+//! with its plots, and checks that it is up to date.
 //!
 //! It is for planning a fleet from measurements, and for a check in CI that page, plots and runs agree. It measures
 //! nothing itself and starts no process: `tansy-scale` and `tansy-sim` print the runs. It reads and writes files under one
 //! folder of documentation only.
 //!
-//! - [`runs`]: runs as measuring commands print them, and the file that keeps them.
+//! - [`runs`]: runs as measuring commands print them, and the file of recorded runs.
 //! - [`fit`]: how a cost grows with size.
-//! - [`figures`]: what `figures.toml` defines, and its values.
-//! - [`page`], [`plot`]: what is made from them.
+//! - [`figures`]: the definitions in `figures.toml`, and their values.
+//! - [`page`], [`plot`]: the page and its plots.
+//!
+//! Its program is `tansy-capacity`; `tansy-scale` has the same [`Command`]s among its own.
 //!
 //! ```
 //! use tansy_capacity::figures::{Definitions, Evaluation, Overrides};
--- a/programs/capacity/src/page/figure_tables.rs
+++ b/programs/capacity/src/page/figure_tables.rs
@@ -1,6 +1,6 @@
 //! Tables of figures: a role's, by share of the budget, and as assumptions change.
 
-use super::judgement::{figure_verdict, judge, overridden_verdict};
+use super::judgement::{figure_budget, figure_verdict, judge, overridden_verdict};
 use super::placeholder::PlaceholderError;
 use super::table::table;
 use crate::figures::{Assumption, EstimateResult, Evaluation, Figure, Overrides};
@@ -52,7 +52,7 @@
 
 fn role_row(evaluation: &Evaluation, figure: &Figure, estimate: &EstimateResult) -> Vec<String> {
     let slopes: Vec<String> = evaluation
-        .slopes_beneath(figure)
+        .underlying_slopes(figure)
         .iter()
         .map(|slope| format!("`{slope}`"))
         .collect();
@@ -61,14 +61,10 @@
     } else {
         slopes.join(", ")
     };
-    let budget = figure.budget.as_ref().and_then(|budget| {
-        let number = evaluation.definitions.number(budget, &Overrides::new());
-        number.ok()
-    });
     vec![
         figure.description.clone(),
         format::estimate(estimate, &figure.unit),
-        format::budget(budget, &figure.unit),
+        format::budget(figure_budget(evaluation, figure), &figure.unit),
         figure_verdict(evaluation, figure, estimate),
         slopes,
         figure.mechanism.clone(),
--- a/programs/capacity/src/page/inline.rs
+++ b/programs/capacity/src/page/inline.rs
@@ -10,7 +10,7 @@
 
 const NOT_MEASURED: &str = "not measured";
 
-/// Day, machine and runs.
+/// The date of the last recorded run, the machine, and the number of runs.
 pub(super) fn measured(store: &RunStore) -> String {
     let machine = &store.machine;
     format!(
--- a/programs/capacity/src/page/judgement.rs
+++ b/programs/capacity/src/page/judgement.rs
@@ -1,7 +1,7 @@
 //! Slopes and figures beside their budgets.
 
 use crate::figures::{
-    verdict, Definitions, EstimateResult, Evaluation, Figure, Overrides, Slope, Verdict,
+    verdict, Definitions, EstimateResult, Evaluation, Figure, Number, Overrides, Slope, Verdict,
 };
 
 const NO_BUDGET: &str = "no budget";
@@ -22,7 +22,7 @@
     overrides: &Overrides,
 ) -> Option<Judgement> {
     let budget = definitions
-        .number(figure.budget.as_ref()?, overrides)
+        .resolve(figure.budget.as_ref()?, overrides)
         .ok()?;
     let estimate = *estimate.as_ref().ok()?;
     Some(Judgement {
@@ -31,7 +31,7 @@
     })
 }
 
-/// The verdict on a figure, or why there is none.
+/// The verdict on a figure as the page shows it; without a budget or an estimate the page says so.
 pub(super) fn figure_verdict(
     evaluation: &Evaluation,
     figure: &Figure,
@@ -40,7 +40,7 @@
     overridden_verdict(evaluation, figure, estimate, &Overrides::new())
 }
 
-/// The verdict on a figure with some numbers replaced, or why there is none.
+/// The verdict on a figure with some numbers replaced.
 pub(super) fn overridden_verdict(
     evaluation: &Evaluation,
     figure: &Figure,
@@ -56,7 +56,7 @@
     )
 }
 
-/// The verdict on a slope at the size asked for, or why there is none.
+/// The verdict on a slope at its target size.
 pub(super) fn slope_verdict(evaluation: &Evaluation, slope: &Slope) -> String {
     if slope.budget.is_none() {
         return NO_BUDGET.into();
@@ -68,17 +68,22 @@
     }
 }
 
-/// The size that a slope is asked for.
+/// The target size of a slope.
 pub(super) fn target_size(evaluation: &Evaluation, slope: &Slope) -> f64 {
-    evaluation
-        .definitions
-        .number(slope.target_size.get_ref(), &Overrides::new())
-        .unwrap_or(f64::NAN)
+    resolve(evaluation, slope.target_size.get_ref()).unwrap_or(f64::NAN)
 }
 
-/// What a slope may cost at the size that it is asked for.
+/// The budget of a slope at its target size.
 pub(super) fn slope_budget(evaluation: &Evaluation, slope: &Slope) -> Option<f64> {
-    let budget = slope.budget.as_ref()?.get_ref();
-    let number = evaluation.definitions.number(budget, &Overrides::new());
-    number.ok()
+    resolve(evaluation, slope.budget.as_ref()?.get_ref())
+}
+
+/// The budget of a figure.
+pub(super) fn figure_budget(evaluation: &Evaluation, figure: &Figure) -> Option<f64> {
+    resolve(evaluation, figure.budget.as_ref()?)
+}
+
+fn resolve(evaluation: &Evaluation, number: &Number) -> Option<f64> {
+    let resolved = evaluation.definitions.resolve(number, &Overrides::new());
+    resolved.ok()
 }
--- a/programs/capacity/src/page/mod.rs
+++ b/programs/capacity/src/page/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! | placeholder | becomes |
 //! |---|---|
-//! | `{{measured}}` | day, machine, runs |
-//! | `{{slope ID}}` | form, coefficients, and value at the size asked for |
+//! | `{{measured}}` | date of the last run, machine, number of runs |
+//! | `{{slope ID}}` | form, coefficients, and value at the target size |
 //! | `{{at ID SIZE}}` | a slope's value at another size, with its interval |
 //! | `{{figure ID}}` | a figure's value with its interval |
 //! | `{{sum ID}}` | a figure's terms, each with its value |
@@ -12,7 +12,7 @@
 //! | `{{plot ID}}` | a slope's plot |
 //! | `{{table slopes}}`, `{{table commands}}` | all slopes: their fits; how each is measured again |
 //! | `{{table ROLE}}` | the figures of a role beside their budgets |
-//! | `{{table assumptions}}` | each assumption, and what moves at half and at double of it |
+//! | `{{table assumptions}}` | each assumption, and the figures that change at half and at double of it |
 //! | `{{table first}}` | figures by their share of the budget, and the fleet at which it is used up |
 
 mod figure_tables;
@@ -33,7 +33,7 @@
 const HEAD: &str =
     "<!-- Made by `tansy-scale page` from docs/capacity; change the template there, not this. -->\n";
 
-/// What is wrong with a template.
+/// An error in a template.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum TemplateError {
     /// A placeholder does not end on its line.
@@ -42,9 +42,9 @@
     /// A placeholder can't be replaced.
     #[error("{{{{{text}}}}}: {source}")]
     Placeholder {
-        /// What is between the braces.
+        /// The text between the braces.
         text: String,
-        /// What is wrong with it.
+        /// The cause.
         source: PlaceholderError,
     },
 }
@@ -71,7 +71,7 @@
     errors.into_result(page)
 }
 
-/// Appends a line to the page with its placeholders replaced. What is wrong with them.
+/// Appends a line to the page with its placeholders replaced; returns the errors in them.
 fn fill_line(
     line: &str,
     evaluation: &Evaluation,
--- a/programs/capacity/src/page/placeholder.rs
+++ b/programs/capacity/src/page/placeholder.rs
@@ -6,7 +6,7 @@
 use crate::runs::RunStore;
 use thiserror::Error;
 
-/// What is wrong with a placeholder.
+/// An error in a placeholder.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum PlaceholderError {
     /// It is none of those that there are.
--- a/programs/capacity/src/page/slope_tables.rs
+++ b/programs/capacity/src/page/slope_tables.rs
@@ -108,7 +108,7 @@
     format!("{}{missed}", format::share(hold_out.error()))
 }
 
-/// The value at the size asked for, and how far that is beyond the largest of the fit.
+/// The value at the target size, and how far that is beyond the largest of the fit.
 fn value_at_target(evaluation: &Evaluation, slope: &Slope, size: f64, largest: f64) -> String {
     let mut estimate = evaluation.estimate_slope(slope.id(), size);
     if let Ok(estimate) = &mut estimate {
--- a/programs/capacity/src/plot/data.rs
+++ b/programs/capacity/src/plot/data.rs
@@ -1,4 +1,4 @@
-//! What a plot shows, and the ranges of its axes.
+//! The data of a plot, and the ranges of its axes.
 
 use crate::figures::{Axes, Evaluation, Measurement, Overrides, Slope, UnknownNumber};
 use crate::fit::{Fit, Interval};
@@ -8,7 +8,7 @@
 /// The least length of an axis that begins at 0.
 const LEAST_LENGTH: f64 = 1e-9;
 
-/// What a plot shows.
+/// The data of a plot.
 pub(super) struct PlotData<'a> {
     pub(super) slope: &'a Slope,
     pub(super) measurement: &'a Measurement,
@@ -20,7 +20,7 @@
     pub(super) curve: Vec<CurvePoint>,
 }
 
-/// The range of an axis; its ends are a little beyond what is drawn, and never the same.
+/// The range of an axis; its ends are a little beyond the data, and never equal.
 #[derive(Clone, Copy)]
 pub(super) struct Axis {
     pub(super) low: f64,
@@ -28,7 +28,7 @@
     pub(super) is_log: bool,
 }
 
-/// What a fit predicts at a size.
+/// A fit's prediction at a size.
 pub(super) struct CurvePoint {
     pub(super) size: f64,
     pub(super) interval: Interval,
@@ -49,7 +49,7 @@
         measurement: &'a Measurement,
         axes: Axes,
     ) -> Result<PlotData<'a>, UnknownNumber> {
-        let number = |number| evaluation.definitions.number(number, &Overrides::new());
+        let number = |number| evaluation.definitions.resolve(number, &Overrides::new());
         let target = number(slope.target_size.get_ref())?;
         let budget = match &slope.budget {
             Some(budget) => Some(number(budget.get_ref())?),
@@ -105,7 +105,7 @@
     }
 }
 
-/// What the fit predicts over the sizes of a plot; nothing without a fit.
+/// The fit's predictions over the sizes of a plot; empty without a fit.
 fn curve(evaluation: &Evaluation, slope: &Slope, sizes: SizeRange) -> Vec<CurvePoint> {
     (0..=CURVE_STEPS)
         .filter_map(|step| {
@@ -119,7 +119,7 @@
         .collect()
 }
 
-/// The axis of the output, for all that is measured, predicted and allowed.
+/// The axis of the output, with all measurements, the predictions and the budget on it.
 fn output_axis(
     measurement: &Measurement,
     curve: &[CurvePoint],
--- a/programs/capacity/src/plot/draw.rs
+++ b/programs/capacity/src/plot/draw.rs
@@ -109,7 +109,7 @@
         Ok(())
     }
 
-    /// What was measured; the size kept out of the fit has marks of its own.
+    /// The measurements; the hold-out has marks of its own.
     fn draw_points<'b: 'a, 'a, X: NumberAxis, Y: NumberAxis>(
         &self,
         chart: &mut Chart<'a, 'b, X, Y>,
--- a/programs/capacity/src/plot/mod.rs
+++ b/programs/capacity/src/plot/mod.rs
@@ -1,4 +1,4 @@
-//! A slope as SVG: what was measured, the fit with its interval up to the size asked for, and the budget.
+//! The plot of a slope as SVG: measurements, the fit with its interval up to the target size, and the budget.
 
 mod data;
 mod draw;
@@ -19,10 +19,10 @@
     pub svg: String,
 }
 
-/// Why a plot can't be drawn.
+/// The reason that a plot can't be drawn.
 #[derive(Debug, Error)]
 pub enum PlotError {
-    /// The size asked for or the budget is not known.
+    /// The target size or the budget is not known.
     #[error(transparent)]
     UnknownNumber(#[from] UnknownNumber),
     /// The drawing library failed.
--- a/programs/capacity/src/record.rs
+++ b/programs/capacity/src/record.rs
@@ -1,4 +1,4 @@
-//! `record`: runs are checked and added to the file that keeps them.
+//! `record`: checks runs and adds them to the file of recorded runs.
 
 use crate::command::RecordArgs;
 use crate::error::{CapacityError, Errors};
@@ -7,12 +7,12 @@
 use std::fmt;
 use std::path::PathBuf;
 
-/// What `record` did.
+/// The result of `record`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordSummary {
-    /// Runs that were new.
+    /// Runs that were not in the file before.
     pub added: usize,
-    /// Runs that the file keeps now.
+    /// Runs in the file now.
     pub total: usize,
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// Adds runs to the file that keeps them. Nothing is added when one line of any file is wrong.
+/// Adds runs to the file of recorded runs. If a line of any file is invalid, nothing is added.
 pub fn record(args: &RecordArgs) -> Result<RecordSummary, Errors> {
     let today = time::OffsetDateTime::now_utc().date().to_string();
     let mut store = open_store(args, &today)?;
--- a/programs/capacity/src/runs/machine.rs
+++ b/programs/capacity/src/runs/machine.rs
@@ -17,7 +17,7 @@
     pub memory_gb: u64,
 }
 
-/// Why the machine can't be described.
+/// The reason that the machine can't be described.
 #[derive(Debug, Error)]
 pub enum MachineError {
     /// The number of cores is not available.
--- a/programs/capacity/src/runs/mod.rs
+++ b/programs/capacity/src/runs/mod.rs
@@ -1,4 +1,4 @@
-//! Runs as measuring commands print them, one JSON object a line, and the file that keeps them.
+//! Runs as measuring commands print them, one JSON object a line, and the file of recorded runs.
 
 mod machine;
 mod run;
--- a/programs/capacity/src/runs/run.rs
+++ b/programs/capacity/src/runs/run.rs
@@ -18,7 +18,7 @@
 #[error("tool {0:?} is not known; right are \"run\", \"virtual\", \"state\"")]
 pub struct UnknownTool(pub String);
 
-/// What is wrong with a run.
+/// An error in a run.
 #[derive(Debug, Error)]
 pub enum RunError {
     /// The line is not JSON.
@@ -47,7 +47,7 @@
         field: String,
         /// Its value.
         value: Value,
-        /// What would be right.
+        /// The expected kind of value.
         expected: &'static str,
     },
 }
