--- /dev/null
+++ b/programs/capacity/tests/documentation/definitions.rs
@@ -0,0 +1,95 @@
+//! Errors in `figures.toml` and in the template name the file, the line, the fault and the remedy.
+
+use crate::support::{docs, messages, replace_in};
+use tansy_capacity::generate;
+
+/// File, text in it, its replacement, and the error that this gives.
+const FAULTS: [(&str, &str, &str, &str); 10] = [
+    (
+        "figures.toml",
+        "bytes(front_ends)",
+        "bites(front_ends)",
+        "bites is no slope; right is one of bytes",
+    ),
+    (
+        "figures.toml",
+        "share * ",
+        "chair * ",
+        "\"chair\" is no factor; right is a number",
+    ),
+    (
+        "figures.toml",
+        "id = \"twice\"",
+        "id = \"half\"",
+        "half is there twice",
+    ),
+    (
+        "figures.toml",
+        "tool = \"virtual\"",
+        "tool = \"vitual\"",
+        "tool \"vitual\" is not known; right are",
+    ),
+    (
+        "figures.toml",
+        "at = \"front_ends\"",
+        "at = []",
+        "right is a number, or a name from [given]",
+    ),
+    (
+        "figures.toml",
+        "plot = \"log-log\"",
+        "plot = \"log\"",
+        "unknown variant",
+    ),
+    (
+        "figures.toml",
+        "at = \"front_ends\"",
+        "at = \"back_ends\"",
+        "back_ends: right is a number, or one of budget",
+    ),
+    (
+        "CAPACITY.in.md",
+        "{{verdict half}}",
+        "{{verdict whole}}",
+        "whole is no figure; right is one of half, twice",
+    ),
+    (
+        "CAPACITY.in.md",
+        "{{measured}}",
+        "{{weighed}}",
+        "no such placeholder; right is measured",
+    ),
+    (
+        "CAPACITY.in.md",
+        "{{measured}}",
+        "{{measured",
+        "right is both on one line",
+    ),
+];
+
+#[test]
+fn errors_in_definitions_and_template_are_reported_by_line() {
+    for (file, from, to, expected) in FAULTS {
+        let docs = docs("wrong");
+        replace_in(docs.join("capacity").join(file), from, to);
+        let lines = messages(generate(&docs), to);
+        let at = lines[0]
+            .strip_prefix(&format!("{file}:"))
+            .and_then(|l| l.split_once(": "));
+        assert!(
+            at.is_some_and(|(n, _)| n.parse::<u32>().is_ok_and(|n| n > 1)),
+            "{lines:?}"
+        );
+        assert!(
+            lines[0].contains(expected) && !lines[0].contains('\n'),
+            "{expected:?} is not in {lines:?}"
+        );
+    }
+    let docs = docs("wrong");
+    replace_in(
+        docs.join("capacity/figures.toml"),
+        "filter = { tier = \"whole\" }",
+        "filter = { tier = \"any\", seed = 1 }",
+    );
+    assert!(generate(&docs).is_ok(), "a filter that lets tiers differ");
+}
--- /dev/null
+++ b/programs/capacity/tests/documentation/record.rs
@@ -0,0 +1,67 @@
+//! `record` adds each run once, as it was written, and nothing of files with an invalid line.
+
+use crate::support::{docs, messages, record_runs, run_line};
+use std::fs;
+use tansy_capacity::runs::{read_lines, RunStore};
+
+#[test]
+fn the_same_run_twice_is_one_and_lines_stay_as_written() {
+    let docs = docs("twice");
+    assert_eq!(record_runs(&docs).as_deref(), Ok("0 runs added, 15 kept"));
+    let text = fs::read_to_string(docs.join("capacity/slopes.json")).unwrap();
+    assert!(text.contains(&run_line(300, 2)));
+    assert_eq!(
+        RunStore::read("slopes.json", &text).unwrap().to_json(),
+        text
+    );
+}
+
+#[test]
+fn an_invalid_line_is_reported_and_nothing_is_added() {
+    let good = run_line(100, 1);
+    for (from, to, expected) in [
+        (
+            "\"virtual\"",
+            "\"vertical\"",
+            "tool \"vertical\" is not known",
+        ),
+        ("\"seed\":1,", "", "seed is not there"),
+        ("212}", "1e999}", "out of range"),
+        (
+            "212}",
+            "null}",
+            "in_force_ms.p99 is null; right is a finite number",
+        ),
+        ("\"ok\":true", "\"ok\":1", "ok is 1; right is true or false"),
+        ("[]", "[1]", "notes is [1]; right is a list of texts"),
+        (
+            "tansy-lab size",
+            "/home/me/tansy-lab size",
+            "without absolute paths",
+        ),
+        ("{\"tool\"", "[\"tool\"", "right is one JSON object a line"),
+    ] {
+        let text = format!("\n{}\n", good.replacen(from, to, 1));
+        let lines = messages(read_lines("runs.jsonl", &text), from);
+        assert!(
+            lines.len() == 1 && lines[0].starts_with("runs.jsonl:2: "),
+            "{lines:?}"
+        );
+        assert!(
+            lines[0].contains(expected) && !lines[0].contains('\n'),
+            "{expected:?} is not in {lines:?}"
+        );
+    }
+    let docs = docs("invalid");
+    let before = fs::read_to_string(docs.join("capacity/slopes.json")).unwrap();
+    fs::write(
+        docs.join("capacity/runs/virtual.jsonl"),
+        format!("{}\n{{}}\n", run_line(9, 9)),
+    )
+    .unwrap();
+    assert!(record_runs(&docs).is_err());
+    assert_eq!(
+        fs::read_to_string(docs.join("capacity/slopes.json")).unwrap(),
+        before
+    );
+}
--- a/programs/capacity/tests/fit.rs
+++ b/programs/capacity/tests/fit.rs
@@ -1,4 +1,4 @@
-//! Forms are found again in seeded noise, intervals hold what they promise, too few sizes claim nothing.
+//! Forms are found again in seeded noise, intervals cover their share of further runs, too few sizes have no fit.
 
 use rand::rngs::StdRng;
 use rand::SeedableRng;
@@ -8,7 +8,7 @@
 const SIZES: [f64; 6] = [50.0, 100.0, 300.0, 1_000.0, 2_000.0, 4_000.0];
 
 /// Three runs a size, with noise of the given deviation.
-fn drawn(truth: impl Fn(f64) -> f64, deviation: f64, seed: u64) -> Vec<Point> {
+fn noisy_points(truth: impl Fn(f64) -> f64, deviation: f64, seed: u64) -> Vec<Point> {
     let mut random = StdRng::seed_from_u64(seed);
     let noise = Normal::new(0.0, deviation).expect("a deviation above nothing");
     let sizes = SIZES.into_iter().flat_map(|x| [x; 3]);
@@ -20,11 +20,11 @@
         .collect()
 }
 
-/// Of a hundred seeds, how many give a form of this name; the last fit of them too.
-fn found(name: &str, truth: impl Fn(f64) -> f64 + Copy, deviation: f64) -> (usize, Fit) {
+/// Of a hundred seeds, how many give a form of this name, and the last fit of them.
+fn fits_named(name: &str, truth: impl Fn(f64) -> f64 + Copy, deviation: f64) -> (usize, Fit) {
     let fits: Vec<Fit> = (0..100)
-        .map(|seed| fit(&drawn(truth, deviation, seed), None).expect("six sizes"))
-        .filter(|f| f.line.form.name() == name)
+        .map(|seed| fit(&noisy_points(truth, deviation, seed), None).expect("six sizes"))
+        .filter(|fit| fit.line.form.name() == name)
         .collect();
     (
         fits.len(),
@@ -34,59 +34,63 @@
 
 #[test]
 fn each_form_is_found_again() {
-    let (n, f) = found("flat", |_| 400.0, 20.0);
-    assert!(n >= 95, "flat in {n} of 100");
-    assert!((f.line.intercept - 400.0).abs() < 20.0);
-    let (n, f) = found("log", |x| 100.0 + 50.0 * x.ln(), 8.0);
-    assert!(n >= 95, "log in {n} of 100");
-    assert!((f.line.coefficient - 50.0).abs() < 8.0);
-    let (n, f) = found("linear", |x| 100.0 + 2.0 * x, 30.0);
-    assert!(n >= 95, "linear in {n} of 100");
-    assert!((f.line.coefficient - 2.0).abs() < 0.2);
-    let (n, f) = found("worse", |x| 100.0 + 0.4 * x * x.ln(), 30.0);
-    assert!(n >= 95, "x ln x in {n} of 100");
-    assert!((f.line.coefficient - 0.4).abs() < 0.02);
-    let (n, f) = found("worse", |x| 100.0 + 0.001 * x * x, 30.0);
-    assert!(n >= 95, "x^2 in {n} of 100");
-    assert_eq!(f.line.form, Form::Square);
+    let (count, fit) = fits_named("flat", |_| 400.0, 20.0);
+    assert!(count >= 95, "flat in {count} of 100");
+    assert!((fit.line.intercept - 400.0).abs() < 20.0);
+    let (count, fit) = fits_named("log", |x| 100.0 + 50.0 * x.ln(), 8.0);
+    assert!(count >= 95, "log in {count} of 100");
+    assert!((fit.line.coefficient - 50.0).abs() < 8.0);
+    let (count, fit) = fits_named("linear", |x| 100.0 + 2.0 * x, 30.0);
+    assert!(count >= 95, "linear in {count} of 100");
+    assert!((fit.line.coefficient - 2.0).abs() < 0.2);
+    let (count, fit) = fits_named("worse", |x| 100.0 + 0.4 * x * x.ln(), 30.0);
+    assert!(count >= 95, "x ln x in {count} of 100");
+    assert!((fit.line.coefficient - 0.4).abs() < 0.02);
+    let (count, fit) = fits_named("worse", |x| 100.0 + 0.001 * x * x, 30.0);
+    assert!(count >= 95, "x^2 in {count} of 100");
+    assert_eq!(fit.line.form, Form::Square);
 }
 
-/// The simplest form within a tenth of the best error is taken, be another one a little better.
+/// The simplest form within a tenth of the best error is chosen, even if another is a little better.
 #[test]
 fn a_simpler_form_wins_a_near_tie() {
     let mut ties = 0;
     for seed in 0..100 {
-        let f = fit(&drawn(|x| 100.0 + 2.0 * x, 900.0, seed), None).expect("six sizes");
-        let of = |form: Form| {
-            f.validation_errors
+        let chosen = fit(&noisy_points(|x| 100.0 + 2.0 * x, 900.0, seed), None).expect("six sizes");
+        let error_of = |form: Form| {
+            chosen
+                .validation_errors
                 .iter()
                 .find(|e| e.0 == form)
                 .expect("tried")
                 .1
         };
-        let least = f
+        let least = chosen
             .validation_errors
             .iter()
             .map(|e| e.1)
             .fold(f64::INFINITY, f64::min);
-        assert!(of(f.line.form) <= 1.1 * least, "{f:?}");
-        let simpler = Form::ALL.into_iter().take_while(|s| *s != f.line.form);
-        assert!(simpler.into_iter().all(|s| of(s) > 1.1 * least), "{f:?}");
-        ties += usize::from(of(f.line.form) > least);
+        assert!(error_of(chosen.line.form) <= 1.1 * least, "{chosen:?}");
+        let simpler = Form::ALL.into_iter().take_while(|s| *s != chosen.line.form);
+        assert!(
+            simpler.into_iter().all(|s| error_of(s) > 1.1 * least),
+            "{chosen:?}"
+        );
+        ties += usize::from(error_of(chosen.line.form) > least);
     }
     assert!(ties >= 5, "{ties} of 100");
 }
 
 #[test]
-fn a_cost_that_falls_with_size_is_credited_nothing() {
-    let f = fit(&drawn(|x| 500.0 - 0.05 * x, 1.0, 1), None).expect("six sizes");
-    assert_eq!(f.line.form, Form::Flat);
-    assert!(f.relative_rms > 0.01, "the residual tells it");
+fn a_cost_that_falls_with_size_is_flat() {
+    let chosen = fit(&noisy_points(|x| 500.0 - 0.05 * x, 1.0, 1), None).expect("six sizes");
+    assert_eq!(chosen.line.form, Form::Flat);
+    assert!(chosen.relative_rms > 0.01, "the residual shows it");
 }
 
 /// A further run at ten times the largest size lies in the interval about 95 times of 100.
 #[test]
-fn the_interval_holds_what_it_promises() {
+fn the_interval_covers_95_of_100_further_runs() {
     for (form, truth) in [
         (Form::Flat, (|_| 400.0) as fn(f64) -> f64),
         (Form::Log, |x| 100.0 + 50.0 * x.ln()),
@@ -95,11 +99,11 @@
         let noise = Normal::new(0.0, 20.0).expect("a deviation above nothing");
         let mut within = 0;
         for seed in 0..2_000 {
-            let line =
-                FittedLine::least_squares(form, &drawn(truth, 20.0, seed)).expect("six sizes");
-            let value = line.predict_interval(40_000.0).expect("points left over");
+            let line = FittedLine::least_squares(form, &noisy_points(truth, 20.0, seed))
+                .expect("six sizes");
+            let interval = line.predict_interval(40_000.0).expect("points left over");
             let next = truth(40_000.0) + noise.sample(&mut StdRng::seed_from_u64(seed + 1_000_000));
-            within += usize::from((value.low..=value.high).contains(&next));
+            within += usize::from((interval.low..=interval.high).contains(&next));
         }
         // 1,900 expected; four standard deviations are 39.
         assert!(
@@ -116,69 +120,75 @@
     let line = FittedLine::least_squares(Form::Linear, &points).expect("three points");
     assert!((line.intercept - 5.0 / 6.0).abs() < 1e-12 && (line.coefficient - 1.5).abs() < 1e-12);
     assert!((line.rms - (1.0f64 / 18.0).sqrt()).abs() < 1e-12);
-    let value = line.predict_interval(3.0).expect("one left over");
+    let interval = line.predict_interval(3.0).expect("one left over");
     // s^2 = 1/6, 1 + 1/3 + 4/2.
     let half = 12.7062 * (1.0f64 / 6.0 * (1.0 + 1.0 / 3.0 + 2.0)).sqrt();
     assert!(
-        (value.high - value.mid - half).abs() < 1e-3,
-        "{value:?} {half}"
+        (interval.high - interval.mid - half).abs() < 1e-3,
+        "{interval:?} {half}"
     );
 }
 
 #[test]
-fn the_size_kept_out_is_predicted_and_not_fitted() {
+fn the_hold_out_is_predicted_and_not_fitted() {
     let mut points: Vec<Point> = SIZES
         .map(|x| Point {
             x,
             y: 10.0 + 2.0 * x,
         })
         .to_vec();
-    points[5].y = 16_020.0; // twice what the others say
-    let f = fit(&points, None).expect("six sizes");
+    points[5].y = 16_020.0; // twice the value of the line through the others
+    let chosen = fit(&points, None).expect("six sizes");
     assert_eq!(
-        (f.line.form, f.size_count, f.run_count, f.hold_out.size),
+        (
+            chosen.line.form,
+            chosen.size_count,
+            chosen.run_count,
+            chosen.hold_out.size
+        ),
         (Form::Linear, 6, 5, 4_000.0)
     );
-    assert!((f.hold_out.predicted.mid - 8_010.0).abs() < 1e-6);
-    assert!((f.hold_out.error() + 0.5).abs() < 1e-9 && f.hold_out.missed());
-    assert_eq!(f.size_range, (50.0, 2_000.0));
-    let f = fit(&points[..5], Some(300.0)).expect("five sizes");
+    assert!((chosen.hold_out.predicted.mid - 8_010.0).abs() < 1e-6);
+    assert!((chosen.hold_out.error() + 0.5).abs() < 1e-9 && chosen.hold_out.missed());
+    assert_eq!(chosen.size_range, (50.0, 2_000.0));
+    let chosen = fit(&points[..5], Some(300.0)).expect("five sizes");
     assert!(
-        (f.hold_out.size, f.hold_out.missed()) == (300.0, false) && f.hold_out.error().abs() < 1e-9
+        (chosen.hold_out.size, chosen.hold_out.missed()) == (300.0, false)
+            && chosen.hold_out.error().abs() < 1e-9
     );
 }
 
-/// Missed is what lies outside the interval and is off by more than a tenth; either alone is not.
+/// A hold-out is missed if it lies outside the interval and is off by more than a tenth; either alone is no miss.
 #[test]
 fn a_miss_is_outside_the_interval_and_off_by_a_tenth() {
-    let of = |measured: f64, half: f64| {
+    let missed = |measured: f64, half_width: f64| {
         HoldOut {
             size: 1.0,
             measured,
             predicted: Interval {
                 mid: 100.0,
-                low: 100.0 - half,
-                high: 100.0 + half,
+                low: 100.0 - half_width,
+                high: 100.0 + half_width,
             },
         }
         .missed()
     };
-    assert!(of(150.0, 10.0) && of(60.0, 10.0));
-    assert!(!of(150.0, 60.0) && !of(105.0, 1.0) && !of(100.0, 0.0));
+    assert!(missed(150.0, 10.0) && missed(60.0, 10.0));
+    assert!(!missed(150.0, 60.0) && !missed(105.0, 1.0) && !missed(100.0, 0.0));
 }
 
 #[test]
-fn too_few_sizes_claim_nothing() {
-    let points = |n: usize| -> Vec<Point> {
-        SIZES[..n]
+fn too_few_sizes_have_no_fit() {
+    let points = |count: usize| -> Vec<Point> {
+        SIZES[..count]
             .iter()
             .flat_map(|x| [10.0, 11.0].map(|y| Point { x: *x, y }))
             .collect()
     };
-    for n in 0..4 {
+    for count in 0..4 {
         assert_eq!(
-            fit(&points(n), None).map(|_| ()),
-            Err(FitError::TooFewSizes(n))
+            fit(&points(count), None).map(|_| ()),
+            Err(FitError::TooFewSizes(count))
         );
     }
     assert!(fit(&points(4), None).is_ok());
