--- a/programs/capacity/tests/documentation/definitions.rs
+++ b/programs/capacity/tests/documentation/definitions.rs
@@ -1,7 +1,8 @@
 //! Errors in `figures.toml` and in the template name the file, the line, the fault and the remedy.
 
 use crate::support::{docs, messages, replace_in};
-use tansy_capacity::generate;
+use tansy_capacity::figures::{DefinitionError, Definitions};
+use tansy_capacity::{generate, CapacityError};
 
 /// File, text in it, its replacement, and the error that this gives.
 const FAULTS: [(&str, &str, &str, &str); 10] = [
@@ -93,3 +94,21 @@
     );
     assert!(generate(&docs).is_ok(), "a filter that lets tiers differ");
 }
+
+/// A caller can match on an error; its line is that of the definition, from 1.
+#[test]
+fn an_error_carries_file_line_and_cause() {
+    let text =
+        "[given]\nsize = 3\n\n[[figures]]\nid = \"sum\"\nrole = \"fleet\"\nwhat = \"a sum\"\n\
+        unit = \"of 1\"\nby = \"nothing\"\nterms = []\n";
+    let errors = Definitions::read("figures.toml", text).expect_err("no terms");
+    let errors: Vec<&CapacityError> = errors.iter().collect();
+    assert!(
+        matches!(
+            &errors[..],
+            [CapacityError::Definition { file, line: 5, source: DefinitionError::NoTerms(id) }]
+                if file == "figures.toml" && id == "sum"
+        ),
+        "{errors:?}"
+    );
+}
--- a/programs/capacity/tests/documentation/record.rs
+++ b/programs/capacity/tests/documentation/record.rs
@@ -65,3 +65,18 @@
         before
     );
 }
+
+#[test]
+fn runs_of_another_machine_are_not_mixed_with_these() {
+    let docs = docs("machine");
+    let path = docs.join("capacity/slopes.json");
+    let mut store = RunStore::read("slopes.json", &fs::read_to_string(&path).unwrap()).unwrap();
+    store.machine.cores += 1;
+    fs::write(&path, store.to_json()).unwrap();
+    let lines = record_runs(&docs).expect_err("another machine");
+    assert!(
+        lines.len() == 1 && lines[0].ends_with("right is the same, or --anew"),
+        "{lines:?}"
+    );
+    assert_eq!(fs::read_to_string(&path).unwrap(), store.to_json());
+}
