--- a/programs/capacity/src/figures/definitions.rs
+++ b/programs/capacity/src/figures/definitions.rs
@@ -26,8 +26,6 @@
     pub budget: Option<Number>,
     /// The mechanism that carries it.
     pub mechanism: String,
-    /// Its terms, as written.
-    pub term_texts: Vec<String>,
     pub(super) terms: Vec<Term>,
 }
 
@@ -183,7 +181,6 @@
             unit: written.unit,
             budget: written.budget.map(Spanned::into_inner),
             mechanism: written.mechanism,
-            term_texts: written.terms.into_iter().map(Spanned::into_inner).collect(),
             terms,
         }
     }
--- a/programs/capacity/src/figures/evaluation.rs
+++ b/programs/capacity/src/figures/evaluation.rs
@@ -2,7 +2,7 @@
 
 use super::definitions::{Definitions, Figure, Overrides, UnknownSlope};
 use super::estimate::{Estimate, EstimateError, EstimateResult};
-use super::expression::Reference;
+use super::expression::{Reference, Term};
 use super::file::Slope;
 use super::measurement::Measurement;
 use crate::error::{CapacityError, Errors};
@@ -112,12 +112,12 @@
     pub fn estimate_terms<'a>(&'a self, figure: &'a Figure) -> Vec<(&'a str, EstimateResult)> {
         let overrides = Overrides::new();
         let figures = self.estimate_figures(&overrides);
-        let texts = figure.term_texts.iter().map(String::as_str);
-        let values = figure
+        let value = |term: &Term| term.evaluate_unsigned(self, &overrides, &figures);
+        figure
             .terms
             .iter()
-            .map(|term| term.evaluate_unsigned(self, &overrides, &figures));
-        texts.zip(values).collect()
+            .map(|term| (term.text.as_str(), value(term)))
+            .collect()
     }
 
     /// The slopes that a figure depends on, directly and through other figures.
--- a/programs/capacity/src/figures/expression.rs
+++ b/programs/capacity/src/figures/expression.rs
@@ -31,6 +31,8 @@
 /// A product, added to or subtracted from the rest of a figure.
 #[derive(Debug)]
 pub(super) struct Term {
+    /// The term as written.
+    pub(super) text: String,
     /// Whether it is subtracted.
     pub(super) is_negative: bool,
     factors: Vec<(Operator, Factor)>,
@@ -56,9 +58,9 @@
 impl Term {
     /// Parses a term; the names in it are of definitions so far.
     pub(super) fn parse(text: &str, definitions: &Definitions) -> Result<Term, TermError> {
-        let text = text.trim();
-        let unsigned = text.strip_prefix('-');
-        let mut rest = unsigned.unwrap_or(text);
+        let trimmed = text.trim();
+        let unsigned = trimmed.strip_prefix('-');
+        let mut rest = unsigned.unwrap_or(trimmed);
         let mut operator = Operator::Multiply;
         let mut factors = Vec::new();
         loop {
@@ -73,6 +75,7 @@
             rest = &rest[end + 1..];
         }
         Ok(Term {
+            text: text.into(),
             is_negative: unsigned.is_some(),
             factors,
         })
