--- a/programs/gateway/tests/platform/main.rs
+++ b/programs/gateway/tests/platform/main.rs
@@ -1,5 +1,6 @@
 //! The platform's protocol on loopback: what good and bad clients, workers and coordinators get.
 
+mod configuration;
 mod departures;
 mod deploy;
 mod descriptors;
