--- a/tests/soak/src/abuse.rs
+++ b/tests/soak/src/abuse.rs
@@ -1,8 +1,8 @@
 //! Clients that send what can't be read, half of it, too much at once, or nothing: each is owed an answer or a close soon, and
 //! none may be served.
 
-use crate::clients::Doors;
-use crate::facts::{Fact, Facts, Place};
+use crate::endpoints::{Endpoint, EndpointTable};
+use crate::facts::{Fact, Facts, FrontEndIndex};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -15,7 +15,7 @@
 const BEYOND: Duration = Duration::from_secs(2);
 
 /// What one of them sends: never a request in the page's form.
-fn bytes(random: &mut fastrand::Rng) -> Vec<u8> {
+fn draw_bytes(random: &mut fastrand::Rng) -> Vec<u8> {
     let head = "POST /ops/0000000000000001/call HTTP/1.1\r\nHost: app.svc\r\nX-Class: safe\r\n";
     let rest = "X-Request-Id: ffffffffffffffff\r\nX-Timeout-Ms: 900\r\nX-Extras: memory_mb:300;lanes:2\r\n";
     let text = match random.u32(0..9) {
@@ -36,39 +36,42 @@
 }
 
 /// Sends such bytes to front ends until the end.
-pub async fn run(facts: Arc<Facts>, doors: Arc<Doors>, mut random: fastrand::Rng, until: Instant) {
+pub async fn run(
+    facts: Arc<Facts>,
+    endpoints: Arc<EndpointTable>,
+    mut random: fastrand::Rng,
+    until: Instant,
+) {
     while Instant::now() < until {
         sleep(Duration::from_millis(random.u64(10..150))).await;
-        let place = random.usize(0..doors.len());
-        let door = *doors[place].read().expect("not poisoned");
-        if door.open {
-            let bytes = bytes(&mut random);
-            tokio::spawn(one(facts.clone(), place, door.process, door.address, bytes));
+        let front_end = random.usize(0..endpoints.front_ends());
+        let endpoint = endpoints.get(front_end);
+        if endpoint.open {
+            let bytes = draw_bytes(&mut random);
+            tokio::spawn(send_malformed(facts.clone(), front_end, endpoint, bytes));
         }
     }
 }
 
-async fn one(
+/// Sends such bytes on a connection of their own, and records what came back; none: it was not connected.
+async fn send_malformed(
     facts: Arc<Facts>,
-    place: Place,
-    process: u64,
-    address: std::net::SocketAddr,
+    front_end: FrontEndIndex,
+    endpoint: Endpoint,
     bytes: Vec<u8>,
 ) -> Option<()> {
-    let mut socket = timeout(OWED_WITHIN, TcpStream::connect(address))
-        .await
-        .ok()?
-        .ok()?;
+    let connected = timeout(OWED_WITHIN, TcpStream::connect(endpoint.address)).await;
+    let mut socket = connected.ok()?.ok()?;
     let began = Instant::now();
     // One that is closed meanwhile has been answered.
     let _ = socket.write_all(&bytes).await;
     let mut first = [0u8; 12];
     let read = timeout(OWED_WITHIN + BEYOND, socket.read(&mut first)).await;
-    let served = matches!(read, Ok(Ok(n)) if first[..n].starts_with(b"HTTP/1.1 200"));
+    let served = matches!(read, Ok(Ok(length)) if first[..length].starts_with(b"HTTP/1.1 200"));
     let after = read.is_ok().then(|| began.elapsed());
-    facts.note(Fact::Abused {
-        place,
-        process,
+    facts.record(Fact::Abused {
+        place: front_end,
+        process: endpoint.process,
         after,
         served,
     });
--- a/tests/soak/src/clients.rs
+++ b/tests/soak/src/clients.rs
@@ -1,11 +1,11 @@
 //! Clients: each sends a request at a time to its front end, keeps its connection or not, waits or leaves.
 
-use crate::discovery::head;
-use crate::facts::{ConnectionEnd, Effect, Fact, Facts, Place, RequestId};
+use crate::discovery::read_head;
+use crate::endpoints::{Endpoint, EndpointTable};
+use crate::facts::{ConnectionEnd, Effect, Fact, Facts, FrontEndIndex, RequestId};
 use crate::proxy::reset_on_close;
-use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Arc, RwLock};
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -24,29 +24,18 @@
 /// Functions that are called.
 const FUNCTIONS: u64 = 6;
 
-/// What clients know of a front end.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Door {
-    /// Its address.
-    pub address: SocketAddr,
-    /// Which of its processes serves.
-    pub process: u64,
-    /// New requests go there.
-    pub open: bool,
-}
-
-/// The doors of all front ends.
-pub type Doors = Vec<RwLock<Door>>;
+/// A connection that is not made by then is given up.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One client.
 pub struct Client {
-    /// Where it notes what it sees.
+    /// Where it records what it sees.
     pub facts: Arc<Facts>,
     /// The front ends.
-    pub doors: Arc<Doors>,
-    /// The one it asks.
-    pub place: Place,
-    /// Ids are given out in one order.
+    pub endpoints: Arc<EndpointTable>,
+    /// The one that it sends to.
+    pub front_end: FrontEndIndex,
+    /// The last id given to any client's request, and one more.
     pub ids: Arc<AtomicU64>,
     /// Its choices.
     pub random: fastrand::Rng,
@@ -62,13 +51,21 @@
     body: String,
 }
 
+/// An answer that came whole.
+struct Answer {
+    status: u16,
+    body: Vec<u8>,
+    /// The connection stays.
+    keep_alive: bool,
+}
+
 /// How one request ended for its client.
-enum End {
+enum RequestEnd {
     /// Answered; the connection stays.
-    Keeps,
+    KeepAlive,
     /// Answered or not; the connection is gone.
-    Gone,
-    /// The connection ended as it was sent: once more.
+    Closed,
+    /// The connection ended as the request was sent: it is sent once more.
     Crossed,
 }
 
@@ -85,71 +82,67 @@
         let mut connection = None;
         while Instant::now() < self.until {
             sleep(Duration::from_millis(self.random.u64(5..120))).await;
-            if let Some(next) = self.turn(connection.take()).await {
-                connection = next;
-            }
+            connection = self.send_next(connection).await;
         }
     }
 
-    fn door(&self) -> Door {
-        *self.doors[self.place].read().expect("not poisoned")
+    fn endpoint(&self) -> Endpoint {
+        self.endpoints.get(self.front_end)
     }
 
     async fn connect(&self) -> Option<Connection> {
-        let door = self.door();
-        if !door.open {
+        let endpoint = self.endpoint();
+        if !endpoint.open {
             return None;
         }
-        let socket = timeout(Duration::from_secs(2), TcpStream::connect(door.address))
-            .await
-            .ok()?
-            .ok()?;
+        let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(endpoint.address)).await;
+        let socket = connected.ok()?.ok()?;
         let _ = socket.set_nodelay(true);
         Some(Connection {
             socket,
-            process: door.process,
+            process: endpoint.process,
             rested: false,
         })
     }
 
-    /// One request; some: the connection for the next, if it stays.
-    async fn turn(&mut self, held: Option<Connection>) -> Option<Option<Connection>> {
-        let door = self.door();
-        let held = held.filter(|c| c.process == door.process);
-        let mut connection = match held {
+    /// Sends one request, on the last connection if there is one: the connection for the next, if it stays.
+    async fn send_next(&mut self, last: Option<Connection>) -> Option<Connection> {
+        let process = self.endpoint().process;
+        let mut connection = match last.filter(|last| last.process == process) {
             Some(connection) => connection,
             None => self.connect().await?,
         };
         self.rest(&mut connection).await;
-        if !self.door().open {
+        if !self.endpoint().open {
             return None;
         }
-        let request = self.request();
+        let request = self.draw_request();
         match self.exchange(&mut connection, &request).await {
-            End::Keeps => Some(Some(Connection {
+            RequestEnd::KeepAlive => Some(Connection {
                 rested: true,
                 ..connection
-            })),
-            End::Gone => Some(None),
-            End::Crossed => {
+            }),
+            RequestEnd::Closed => None,
+            RequestEnd::Crossed => {
                 let mut again = self.connect().await?;
                 let _ = self.exchange(&mut again, &request).await;
-                Some(None)
+                None
             }
         }
     }
 
+    /// Lets a connection rest now and then.
     async fn rest(&mut self, connection: &mut Connection) {
-        let rest = match (connection.rested, self.random.u32(0..40)) {
+        let rest_ms = match (connection.rested, self.random.u32(0..40)) {
             (false, 0) => self.random.u64(REST_NEW_MS),
             (true, 0) => self.random.u64(REST_LONG_MS),
             _ => return,
         };
         connection.rested = true;
-        sleep(Duration::from_millis(rest)).await;
+        sleep(Duration::from_millis(rest_ms)).await;
     }
 
-    fn request(&mut self) -> Request {
+    fn draw_request(&mut self) -> Request {
         let id = self.ids.fetch_add(1, Ordering::Relaxed);
         let (effect, class) = match self.random.u32(0..5) {
             0 | 1 => (Effect::Safe, "safe"),
@@ -161,7 +154,7 @@
         } else {
             String::new()
         };
-        let wait_ms = match self.random.u32(0..10) {
+        let timeout_ms = match self.random.u32(0..10) {
             0 => self.random.u64(5..80),
             1..=4 => self.random.u64(200..800),
             _ => self.random.u64(800..1990),
@@ -170,89 +163,98 @@
         let body = format!("body of {id}");
         let text = format!(
             "POST /ops/{function:016x}/call HTTP/1.1\r\nHost: app.svc\r\nX-Class: {class}\r\nX-Request-Id: {id:016x}\r\n\
-             X-Timeout-Ms: {wait_ms}\r\nX-Extras: memory_mb:300;lanes:2\r\n{key}Content-Length: {}\r\n\r\n{body}",
+             X-Timeout-Ms: {timeout_ms}\r\nX-Extras: memory_mb:300;lanes:2\r\n{key}Content-Length: {}\r\n\r\n{body}",
             body.len()
         );
         Request {
             id,
             effect,
-            timeout: Duration::from_millis(wait_ms),
+            timeout: Duration::from_millis(timeout_ms),
             text: text.into_bytes(),
             body,
         }
     }
 
-    async fn exchange(&mut self, connection: &mut Connection, request: &Request) -> End {
-        let Request {
-            id,
-            effect,
-            timeout: wait,
-            ..
-        } = *request;
-        let socket = &mut connection.socket;
-        if self.write(socket, &request.text).await.is_err() {
+    /// Sends a request and waits for its end.
+    async fn exchange(&mut self, connection: &mut Connection, request: &Request) -> RequestEnd {
+        let sent = self.write(&mut connection.socket, &request.text).await;
+        if sent.is_err() {
             // It was never whole on a connection that stood.
-            return End::Gone;
+            return RequestEnd::Closed;
         }
         let sent = Instant::now();
-        let (place, process, idle_before) = (self.place, connection.process, connection.rested);
-        self.facts.note(Fact::Sent {
-            id,
-            place,
-            process,
-            effect,
-            timeout: wait,
+        let idle_before = connection.rested;
+        self.facts.record(Fact::Sent {
+            id: request.id,
+            place: self.front_end,
+            process: connection.process,
+            effect: request.effect,
+            timeout: request.timeout,
             idle_before,
         });
-        // One in ten leaves early; of the others every second stays beyond its time, as if it had not noticed.
-        let stays = match self.random.u32(0..10) {
-            0 => wait.mul_f64(self.random.f64()),
-            1..=5 => wait,
-            _ => wait + LATE + BEYOND,
-        };
-        match timeout(stays, answer(socket)).await {
+        let patience = self.draw_patience(request.timeout);
+        match timeout(patience, read_answer(&mut connection.socket)).await {
             Err(_) => {
-                if self.random.bool() {
-                    reset_on_close(socket);
-                }
-                // The connection closes with this turn; noted after it, so that it can't seem earlier than it was.
-                if let Ok(std_socket) = std::mem::replace(socket, unconnected()).into_std() {
-                    drop(std_socket);
-                }
-                let fact = if stays > wait {
-                    Fact::Unanswered { id }
-                } else {
-                    Fact::Left { id }
-                };
-                self.facts.note(fact);
-                End::Gone
-            }
-            Ok(Ok((status, body, keep))) => {
-                let own_body = body == request.body.as_bytes();
-                self.facts.note(Fact::Answered {
-                    id,
-                    status,
-                    own_body,
-                });
-                if keep {
-                    End::Keeps
-                } else {
-                    End::Gone
-                }
+                self.leave(connection, request, patience);
+                RequestEnd::Closed
             }
+            Ok(Ok(answer)) => self.on_answer(&answer, request),
             Ok(Err(how)) => {
-                self.facts.note(Fact::Dropped { id, how });
-                let crossed =
-                    how == ConnectionEnd::Closed && idle_before && sent.elapsed() <= CROSSING;
-                if crossed {
-                    End::Crossed
+                self.facts.record(Fact::Dropped {
+                    id: request.id,
+                    how,
+                });
+                let closed = how == ConnectionEnd::Closed;
+                if closed && idle_before && sent.elapsed() <= CROSSING {
+                    RequestEnd::Crossed
                 } else {
-                    End::Gone
+                    RequestEnd::Closed
                 }
             }
         }
     }
 
+    /// How long it waits for an answer: one in ten leaves early; of the others every second stays beyond its time, as if it
+    /// had not noticed.
+    fn draw_patience(&mut self, timeout: Duration) -> Duration {
+        match self.random.u32(0..10) {
+            0 => timeout.mul_f64(self.random.f64()),
+            1..=5 => timeout,
+            _ => timeout + LATE + BEYOND,
+        }
+    }
+
+    /// Closes or resets its connection with a request open on it.
+    fn leave(&mut self, connection: &mut Connection, request: &Request, waited: Duration) {
+        let socket = &mut connection.socket;
+        if self.random.bool() {
+            reset_on_close(socket);
+        }
+        // Closed before it is recorded, so that its end can't seem earlier than it was.
+        if let Ok(closed) = std::mem::replace(socket, unconnected()).into_std() {
+            drop(closed);
+        }
+        let id = request.id;
+        self.facts.record(if waited > request.timeout {
+            Fact::Unanswered { id }
+        } else {
+            Fact::Left { id }
+        });
+    }
+
+    fn on_answer(&self, answer: &Answer, request: &Request) -> RequestEnd {
+        self.facts.record(Fact::Answered {
+            id: request.id,
+            status: answer.status,
+            own_body: answer.body == request.body.as_bytes(),
+        });
+        if answer.keep_alive {
+            RequestEnd::KeepAlive
+        } else {
+            RequestEnd::Closed
+        }
+    }
+
     /// Writes a request, one in eight in two pieces.
     async fn write(&mut self, socket: &mut TcpStream, text: &[u8]) -> std::io::Result<()> {
         if self.random.u32(0..8) > 0 {
@@ -273,31 +275,32 @@
     TcpStream::from_std(socket.into()).expect("within a runtime")
 }
 
-/// Reads a whole answer: status, body, and whether the connection stays.
-async fn answer(socket: &mut TcpStream) -> Result<(u16, Vec<u8>, bool), ConnectionEnd> {
+/// Reads a whole answer.
+async fn read_answer(socket: &mut TcpStream) -> Result<Answer, ConnectionEnd> {
     let mut first = [0u8; 1];
     match socket.read(&mut first).await {
         Ok(1) => {}
         _ => return Err(ConnectionEnd::Closed),
     }
-    let rest = head(socket).await.ok_or(ConnectionEnd::HalfAnswer)?;
+    let rest = read_head(socket).await;
+    let rest = rest.ok_or(ConnectionEnd::HalfAnswer)?;
     let lines: Vec<&str> = rest.lines().collect();
     let status = lines
         .first()
-        .and_then(|l| l.split(' ').nth(1)?.parse().ok());
+        .and_then(|line| line.split(' ').nth(1)?.parse().ok());
     let length = lines
         .iter()
-        .find_map(|l| l.strip_prefix("Content-Length: ")?.trim().parse().ok());
+        .find_map(|line| line.strip_prefix("Content-Length: ")?.trim().parse().ok());
     let (Some(status), Some(length)) = (status, length) else {
         return Err(ConnectionEnd::HalfAnswer);
     };
     let mut body = vec![0u8; length];
-    socket
-        .read_exact(&mut body)
-        .await
-        .map_err(|_| ConnectionEnd::HalfAnswer)?;
-    let keep = !lines
-        .iter()
-        .any(|l| l.eq_ignore_ascii_case("connection: close"));
-    Ok((status, body, keep))
+    let read = socket.read_exact(&mut body).await;
+    read.map_err(|_| ConnectionEnd::HalfAnswer)?;
+    let closes = |line: &&str| line.eq_ignore_ascii_case("connection: close");
+    Ok(Answer {
+        status,
+        body,
+        keep_alive: !lines.iter().any(closes),
+    })
 }
--- a/tests/soak/src/discovery.rs
+++ b/tests/soak/src/discovery.rs
@@ -1,18 +1,20 @@
-//! The coordinator: numbered events, told to each process on a listener of its own, with the troubles of a real one.
+//! The coordinator: numbered events, served to each process on a listener of its own, with the faults of a real one.
 
-use crate::facts::{Fact, Facts, Place, WorkerId};
-use crate::site::Server;
+use crate::error::SoakError;
+use crate::facts::{Fact, Facts, FrontEndIndex, WorkerId};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
+use tansy_test_support::platform_configuration::{WorkerEntry, WorkerState};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
-use tokio::task::AbortHandle;
+use tokio::task::{AbortHandle, JoinSet};
+use tokio::time::{sleep, timeout};
 
 /// How the coordinator behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
+pub enum DiscoveryMode {
     /// It answers.
     Plain,
     /// It takes polls and says nothing.
@@ -23,173 +25,209 @@
     Slow(Duration),
 }
 
-/// The list of workers and how it is told.
+/// The list of workers, and how the coordinator behaves.
 pub struct Discovery {
     facts: Arc<Facts>,
-    servers: Mutex<Vec<Server>>,
-    /// The servers that each event changed.
-    events: Mutex<Vec<Server>>,
-    newest: watch::Sender<u64>,
-    mode: watch::Sender<Mode>,
+    workers: Mutex<Vec<WorkerEntry>>,
+    /// The entry that each event changed.
+    events: Mutex<Vec<WorkerEntry>>,
+    newest_event: watch::Sender<u64>,
+    mode: watch::Sender<DiscoveryMode>,
 }
 
-/// The coordinator of one process.
-pub struct Feed {
-    /// Where it is.
+/// The coordinator of one process; it closes when this value is dropped.
+pub struct CoordinatorListener {
+    /// Where it listens.
     pub address: SocketAddr,
     task: AbortHandle,
 }
 
-impl Drop for Feed {
+impl Drop for CoordinatorListener {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
+/// The process that a coordinator serves.
+#[derive(Clone, Copy)]
+struct Subscriber {
+    front_end: FrontEndIndex,
+    process: u64,
+    /// The last event in the list that it was started with, which is its own first event.
+    known_event: u64,
+}
+
+impl Subscriber {
+    /// The number that it gives to an event.
+    fn own_number(&self, event: u64) -> u64 {
+        event - self.known_event + 1
+    }
+
+    /// The event that it gives this number.
+    fn event(&self, own_number: u64) -> u64 {
+        self.known_event + own_number - 1
+    }
+}
+
 impl Discovery {
     /// With the first list.
-    pub fn new(facts: Arc<Facts>, servers: Vec<Server>) -> Arc<Discovery> {
+    pub fn new(facts: Arc<Facts>, workers: Vec<WorkerEntry>) -> Arc<Discovery> {
         Arc::new(Discovery {
             facts,
-            servers: Mutex::new(servers),
+            workers: Mutex::new(workers),
             events: Mutex::default(),
-            newest: watch::channel(0).0,
-            mode: watch::channel(Mode::Plain).0,
+            newest_event: watch::channel(0).0,
+            mode: watch::channel(DiscoveryMode::Plain).0,
         })
     }
 
-    /// The servers as they stand, and the number of the last event.
-    pub fn known(&self) -> (Vec<Server>, u64) {
-        let servers = self.servers.lock().expect("not poisoned");
-        (servers.clone(), *self.newest.borrow())
+    /// The workers as they stand, and the number of the last event.
+    pub fn snapshot(&self) -> (Vec<WorkerEntry>, u64) {
+        let workers = self.workers.lock().expect("not poisoned");
+        (workers.clone(), *self.newest_event.borrow())
     }
 
-    /// Changes a server's line.
-    pub fn change(&self, worker: WorkerId, state: &'static str, started_ms: u64) {
-        let mut servers = self.servers.lock().expect("not poisoned");
-        let server = &mut servers[worker];
-        server.state = state;
-        server.started_ms = started_ms;
+    /// Changes a worker's entry.
+    pub fn change_worker(&self, worker: WorkerId, state: WorkerState, started_ms: u64) {
+        let mut workers = self.workers.lock().expect("not poisoned");
+        let entry = &mut workers[worker];
+        entry.state = state;
+        entry.started_ms = started_ms;
         let mut events = self.events.lock().expect("not poisoned");
-        events.push(server.clone());
+        events.push(entry.clone());
         let event = events.len() as u64;
-        self.facts.note(Fact::Listed {
+        self.facts.record(Fact::Listed {
             event,
             worker,
-            ready: state == "Ready",
+            ready: state == WorkerState::Ready,
         });
-        self.newest.send_replace(event);
+        self.newest_event.send_replace(event);
     }
 
-    /// Behaves so from now on.
-    pub fn behave(&self, mode: Mode) {
-        let answers = matches!(mode, Mode::Plain | Mode::Slow(_));
-        self.facts.note(Fact::Discovery { answers });
+    /// Sets how it behaves from now on.
+    pub fn set_mode(&self, mode: DiscoveryMode) {
+        let answers = matches!(mode, DiscoveryMode::Plain | DiscoveryMode::Slow(_));
+        self.facts.record(Fact::Discovery { answers });
         self.mode.send_replace(mode);
     }
 
-    /// A coordinator for a process that knows all events up to `known`.
-    pub async fn feed(
+    /// A coordinator for a process that was started with the list as of `known_event`.
+    pub async fn listen(
         self: &Arc<Self>,
-        place: Place,
+        front_end: FrontEndIndex,
         process: u64,
-        known: u64,
-    ) -> std::io::Result<Feed> {
-        let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let address = listener.local_addr()?;
-        let discovery = self.clone();
-        let task = tokio::spawn(async move {
-            let mut connections = tokio::task::JoinSet::new();
-            while let Ok((socket, _)) = listener.accept().await {
-                let discovery = discovery.clone();
-                connections
-                    .spawn(async move { discovery.serve(socket, place, process, known).await });
-            }
-        });
-        Ok(Feed {
+        known_event: u64,
+    ) -> Result<CoordinatorListener, SoakError> {
+        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let listener = TcpListener::bind(any).await;
+        let listener = listener.map_err(SoakError::listen("a coordinator", any))?;
+        let address = listener.local_addr();
+        let address = address.map_err(SoakError::listen("a coordinator", any))?;
+        let subscriber = Subscriber {
+            front_end,
+            process,
+            known_event,
+        };
+        let task = tokio::spawn(self.clone().accept(listener, subscriber));
+        Ok(CoordinatorListener {
             address,
             task: task.abort_handle(),
         })
     }
 
-    async fn serve(
-        &self,
-        mut socket: TcpStream,
-        place: Place,
-        process: u64,
-        known: u64,
-    ) -> Option<()> {
-        let mut newest = self.newest.subscribe();
+    /// Serves all connections of one listener; they end with it.
+    async fn accept(self: Arc<Self>, listener: TcpListener, subscriber: Subscriber) {
+        let mut connections = JoinSet::new();
+        while let Ok((socket, _)) = listener.accept().await {
+            let discovery = self.clone();
+            connections.spawn(async move { discovery.serve(socket, subscriber).await });
+        }
+    }
+
+    /// Answers the polls of one connection until either side ends it.
+    async fn serve(&self, mut socket: TcpStream, subscriber: Subscriber) -> Option<()> {
+        let Subscriber {
+            front_end, process, ..
+        } = subscriber;
+        let mut newest_event = self.newest_event.subscribe();
         loop {
-            let head = head(&mut socket).await?;
-            let query = |name: &str| -> Option<u64> {
-                head.split(name)
-                    .nth(1)?
-                    .split(['&', ' '])
-                    .next()?
-                    .parse()
-                    .ok()
-            };
-            // The first event of a process is the whole list in its configuration.
-            let held = known + query("follow=")? - 1;
-            self.facts.note(Fact::Polled {
-                place,
+            let head = read_head(&mut socket).await?;
+            let held = subscriber.event(query_parameter(&head, "follow=")?);
+            self.facts.record(Fact::Polled {
+                place: front_end,
                 process,
                 event: held,
             });
-            let wait = Duration::from_millis(query("wait_ms=")?);
+            let wait = Duration::from_millis(query_parameter(&head, "wait_ms=")?);
             // Ends early with an event, or after the time that was asked for.
-            let _ = tokio::time::timeout(wait, newest.wait_for(|n| *n > held)).await;
-            let (reply, event) = self.reply(held, known);
+            let _ = timeout(wait, newest_event.wait_for(|newest| *newest > held)).await;
+            let (reply, event) = self.reply(held, subscriber);
             let mode = *self.mode.borrow();
-            self.facts.note(Fact::Notified {
-                place,
+            self.facts.record(Fact::Notified {
+                place: front_end,
                 process,
                 event,
             });
-            match mode {
-                Mode::Plain => socket.write_all(&reply).await.ok()?,
-                Mode::Slow(by) => {
-                    tokio::time::sleep(by).await;
-                    socket.write_all(&reply).await.ok()?;
-                }
-                Mode::Cut => {
-                    socket.write_all(&reply[..reply.len() / 2]).await.ok()?;
-                    return None;
-                }
-                Mode::Silent => {
-                    // The poll is never answered; its connection stays open for as long as that lasts.
-                    let _ = self.mode.subscribe().wait_for(|m| *m != Mode::Silent).await;
-                    return None;
-                }
+            self.send_reply(&mut socket, &reply, mode).await?;
+        }
+    }
+
+    /// Sends a reply as the mode has it; none: the connection ends.
+    async fn send_reply(
+        &self,
+        socket: &mut TcpStream,
+        reply: &[u8],
+        mode: DiscoveryMode,
+    ) -> Option<()> {
+        match mode {
+            DiscoveryMode::Plain => socket.write_all(reply).await.ok(),
+            DiscoveryMode::Slow(by) => {
+                sleep(by).await;
+                socket.write_all(reply).await.ok()
+            }
+            DiscoveryMode::Cut => {
+                socket.write_all(&reply[..reply.len() / 2]).await.ok()?;
+                None
+            }
+            DiscoveryMode::Silent => {
+                // The poll is never answered; its connection stays open for as long as that lasts.
+                let mut mode = self.mode.subscribe();
+                let _ = mode.wait_for(|mode| *mode != DiscoveryMode::Silent).await;
+                None
             }
         }
     }
 
-    /// The reply to a poll, and the last event that it tells.
-    fn reply(&self, held: u64, known: u64) -> (Vec<u8>, u64) {
+    /// The reply to a poll, and the last event in it.
+    fn reply(&self, held: u64, subscriber: Subscriber) -> (Vec<u8>, u64) {
         let events = self.events.lock().expect("not poisoned");
-        let number = |event: u64| event - known + 1;
         let later = events.iter().enumerate().skip(held as usize);
-        let lines: Vec<String> = later
-            .map(|(at, server)| {
-                let index = number(at as u64 + 1);
-                let line = server.line();
-                format!(r#"{{"index":{index},"endpoints":{{"full":false,"servers":[{line}]}}}}"#)
+        let updates: Vec<String> = later
+            .map(|(position, worker)| {
+                let index = subscriber.own_number(position as u64 + 1);
+                let entry = worker.json();
+                format!(r#"{{"index":{index},"endpoints":{{"full":false,"servers":[{entry}]}}}}"#)
             })
             .collect();
-        let index = number(events.len() as u64);
-        let body = format!(r#"{{"index":{index},"updates":[{}]}}"#, lines.join(","));
+        let newest = events.len() as u64;
+        let index = subscriber.own_number(newest);
+        let body = format!(r#"{{"index":{index},"updates":[{}]}}"#, updates.join(","));
         let text = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        (text.into_bytes(), events.len() as u64)
+        (text.into_bytes(), newest)
     }
 }
 
+/// A numeric parameter in the target of a request; `name` ends with `=`.
+fn query_parameter(head: &str, name: &str) -> Option<u64> {
+    let rest = head.split(name).nth(1)?;
+    rest.split(['&', ' ']).next()?.parse().ok()
+}
+
 /// Reads up to the end of a message's head.
-pub async fn head(socket: &mut TcpStream) -> Option<String> {
+pub async fn read_head(socket: &mut TcpStream) -> Option<String> {
     let mut text = Vec::new();
     while !text.ends_with(b"\r\n\r\n") {
         text.push(socket.read_u8().await.ok()?);
--- a/tests/soak/src/facts.rs
+++ b/tests/soak/src/facts.rs
@@ -5,8 +5,8 @@
 
 /// A request's id.
 pub type RequestId = u64;
-/// A front end's place in the fleet; a restarted process keeps it.
-pub type Place = usize;
+/// A front end's number; a restarted process keeps it.
+pub type FrontEndIndex = usize;
 /// A worker's number.
 pub type WorkerId = usize;
 
@@ -17,7 +17,7 @@
     Safe,
     /// It must not run twice.
     Unsafe,
-    /// Workers drop its repeats for a while ([`crate::site::REPEAT_WINDOW`]).
+    /// Workers drop its repeats for a while ([`crate::configuration::REPEAT_WINDOW`]).
     Keyed,
 }
 
@@ -38,7 +38,7 @@
         /// The request.
         id: RequestId,
         /// To which front end, and which of its processes, from 0.
-        place: Place,
+        place: FrontEndIndex,
         /// The process's number at that place.
         process: u64,
         /// What running it twice would do.
@@ -122,7 +122,7 @@
     /// A poll was answered up to this event.
     Polled {
         /// The front end.
-        place: Place,
+        place: FrontEndIndex,
         /// The process's number at that place.
         process: u64,
         /// The last event that the front end held.
@@ -136,7 +136,7 @@
     /// A reply with the events up to this one was begun.
     Notified {
         /// The front end.
-        place: Place,
+        place: FrontEndIndex,
         /// The process's number at that place.
         process: u64,
         /// The last event of the reply.
@@ -145,21 +145,21 @@
     /// A process was started.
     Started {
         /// The front end.
-        place: Place,
+        place: FrontEndIndex,
         /// Its number at that place.
         process: u64,
     },
     /// It answered that it is alive.
     Ready {
         /// The front end.
-        place: Place,
+        place: FrontEndIndex,
         /// Its number at that place.
         process: u64,
     },
     /// A signal was sent to it.
     Signalled {
         /// The front end.
-        place: Place,
+        place: FrontEndIndex,
         /// Its number at that place.
         process: u64,
         /// Which.
@@ -168,7 +168,7 @@
     /// It ended.
     Exited {
         /// The front end.
-        place: Place,
+        place: FrontEndIndex,
         /// Its number at that place.
         process: u64,
         /// Its exit code; none: a signal ended it.
@@ -179,7 +179,7 @@
     /// A client that sent what is no request was answered or closed after so long; none: not at all.
     Abused {
         /// The front end.
-        place: Place,
+        place: FrontEndIndex,
         /// Its number at that place.
         process: u64,
         /// How long after it had connected.
@@ -229,13 +229,13 @@
     pub fn now(&self) -> Duration {
         self.began.elapsed()
     }
-    /// Notes a fact as of now.
-    pub fn note(&self, fact: Fact) {
+    /// Records a fact as of now.
+    pub fn record(&self, fact: Fact) {
         let mut all = self.all.lock().unwrap_or_else(|e| e.into_inner());
         let now = self.began.elapsed();
         all.push((now, fact));
     }
-    /// All that was noted.
+    /// All that was recorded.
     pub fn take(&self) -> Vec<(Duration, Fact)> {
         std::mem::take(&mut *self.all.lock().unwrap_or_else(|e| e.into_inner()))
     }
--- a/tests/soak/src/main.rs
+++ b/tests/soak/src/main.rs
@@ -1,10 +1,12 @@
-//! `tansy-soak`: plays the fault soak over a range of seeds and tells what did not hold.
+//! `tansy-soak`: plays the fault soak over a range of seeds, and prints the invariants that did not hold.
 
 use clap::Parser;
+use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
-use tansy_soak::{run, Options};
+use tansy_soak::oracle::{Oracle, Violation};
+use tansy_soak::{run, Options, SoakOutcome};
 
 /// Randomized faults over real front-end processes on loopback, judged by invariants.
 ///
@@ -68,30 +70,17 @@
     }
 }
 
-fn unplayable(error: &std::io::Error) -> ExitCode {
+fn unplayable(error: &dyn std::fmt::Display) -> ExitCode {
     eprintln!("the soak could not be played: {error}");
     ExitCode::from(2)
 }
 
 /// Prints a run's counts and violations; true: every invariant holds. Logs of a run without violations are removed.
-fn print_outcome(seed: u64, outcome: &tansy_soak::Outcome, show: usize) -> bool {
+fn print_outcome(seed: u64, outcome: &SoakOutcome, show: usize) -> bool {
     let oracle = &outcome.oracle;
-    let counts = &oracle.counts;
     let sure = oracle.violations().iter().filter(|v| !v.doubtful).count();
-    println!(
-        "seed {seed}: {sure} violations, {} doubtful; {} sent, {:?}, {} left, {} excused, {} attempts, {} processes, \
-         {} signals, {} troubles",
-        oracle.violations().len() - sure,
-        counts.sent,
-        counts.statuses,
-        counts.left,
-        counts.excused,
-        counts.attempts,
-        counts.processes,
-        counts.signals,
-        counts.troubles
-    );
-    let mut kinds = std::collections::BTreeMap::new();
+    print_counts(seed, oracle, sure);
+    let mut kinds = BTreeMap::new();
     for violation in oracle.violations() {
         let (sure, doubtful) = kinds.entry(violation.invariant).or_insert((0, 0));
         *if violation.doubtful { doubtful } else { sure } += 1;
@@ -103,19 +92,7 @@
             .iter()
             .filter(|v| v.invariant == *invariant && !v.doubtful);
         for violation in examples.take(show) {
-            println!(
-                "    {:9.3} s  {} {}",
-                violation.at.as_secs_f64(),
-                violation
-                    .id
-                    .map_or(String::new(), |id| format!("{id:016x}")),
-                violation.description
-            );
-            violation
-                .id
-                .into_iter()
-                .flat_map(|id| oracle.timeline(id))
-                .for_each(|line| println!("      {line}"));
+            print_violation(oracle, violation);
         }
     }
     if oracle.violations().is_empty() {
@@ -125,3 +102,36 @@
     }
     sure == 0
 }
+
+fn print_counts(seed: u64, oracle: &Oracle, sure: usize) {
+    let counts = &oracle.counts;
+    println!(
+        "seed {seed}: {sure} violations, {} doubtful; {} sent, {:?}, {} left, {} excused, {} attempts, {} processes, \
+         {} signals, {} troubles",
+        oracle.violations().len() - sure,
+        counts.sent,
+        counts.statuses,
+        counts.left,
+        counts.excused,
+        counts.attempts,
+        counts.processes,
+        counts.signals,
+        counts.troubles
+    );
+}
+
+/// Prints a violation and the timeline of its request.
+fn print_violation(oracle: &Oracle, violation: &Violation) {
+    println!(
+        "    {:9.3} s  {} {}",
+        violation.at.as_secs_f64(),
+        violation
+            .id
+            .map_or(String::new(), |id| format!("{id:016x}")),
+        violation.description
+    );
+    let timeline = violation.id.map(|id| oracle.timeline(id));
+    for line in timeline.into_iter().flatten() {
+        println!("      {line}");
+    }
+}
--- a/tests/soak/src/oracle/collect.rs
+++ b/tests/soak/src/oracle/collect.rs
@@ -1,31 +1,13 @@
-//! Facts by request and by process.
+//! Collects the facts of a run by request and by process.
 
 use super::processes::Lifetime;
 use super::{Attempt, Oracle, Sent};
-use crate::facts::{Fact, Signal};
+use crate::facts::{Fact, RequestId, Signal};
 use std::time::Duration;
 
 impl Oracle {
     pub(super) fn collect(&mut self, at: Duration, fact: &Fact) {
         match *fact {
-            Fact::Sent {
-                id,
-                place,
-                process,
-                effect,
-                timeout,
-                idle_before,
-            } => {
-                self.counts.sent += 1;
-                let sent = Sent {
-                    at,
-                    process: (place, process),
-                    effect,
-                    timeout,
-                    idle_before,
-                };
-                self.sent.entry(id).or_default().push(sent);
-            }
             Fact::Answered { id, status, .. } => {
                 *self.counts.statuses.entry(status).or_default() += 1;
                 self.ends.insert(id, at);
@@ -51,16 +33,7 @@
                     ended: None,
                 });
             }
-            Fact::Ended { id, never_ran, .. } => {
-                // Two at once are a violation of their own; the end belongs to the first that is open.
-                let open = self
-                    .attempts
-                    .get_mut(&id)
-                    .and_then(|a| a.iter_mut().find(|a| a.ended.is_none()));
-                if let Some(attempt) = open {
-                    attempt.ended = Some((at, never_ran));
-                }
-            }
+            Fact::Ended { id, never_ran, .. } => self.collect_attempt_end(at, id, never_ran),
             Fact::Started { place, process } => {
                 self.counts.processes += 1;
                 self.processes.insert(
@@ -72,7 +45,43 @@
                 );
             }
             Fact::Trouble(_) => self.counts.troubles += 1,
-            _ => self.collect_process(at, fact),
+            _ => {
+                self.collect_sent(at, fact);
+                self.collect_process(at, fact);
+            }
+        }
+    }
+
+    fn collect_sent(&mut self, at: Duration, fact: &Fact) {
+        let Fact::Sent {
+            id,
+            place,
+            process,
+            effect,
+            timeout,
+            idle_before,
+        } = *fact
+        else {
+            return;
+        };
+        self.counts.sent += 1;
+        self.sent.entry(id).or_default().push(Sent {
+            at,
+            process: (place, process),
+            effect,
+            timeout,
+            idle_before,
+        });
+    }
+
+    fn collect_attempt_end(&mut self, at: Duration, id: RequestId, never_ran: bool) {
+        let attempts = self.attempts.get_mut(&id).into_iter().flatten();
+        // Two at once are a violation of their own; the end belongs to the first that is open.
+        for attempt in attempts {
+            if attempt.ended.is_none() {
+                attempt.ended = Some((at, never_ran));
+                return;
+            }
         }
     }
 
--- a/tests/soak/src/oracle/mod.rs
+++ b/tests/soak/src/oracle/mod.rs
@@ -7,14 +7,14 @@
 mod processes;
 mod requests;
 
-use crate::facts::{Effect, Fact, Place, RequestId, WorkerId};
+use crate::facts::{Effect, Fact, FrontEndIndex, RequestId, WorkerId};
 use processes::Lifetime;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
 /// A worker's timeout may be longer than the time that the client has left by so much.
 const PATIENCE_SLACK: Duration = Duration::from_millis(150);
-/// Facts of two sockets may be noted in the other order by so much.
+/// Facts of two sockets may be recorded in the other order by so much.
 const ORDER_SLACK: Duration = Duration::from_millis(100);
 /// What a harness that ran late by this much saw then is doubtful.
 const DOUBTFUL: Duration = Duration::from_millis(40);
@@ -87,7 +87,7 @@
 }
 
 /// A front end's place, and its process's number there.
-type ProcessId = (Place, u64);
+type ProcessId = (FrontEndIndex, u64);
 
 /// A request as its client sent it.
 #[derive(Clone, Copy)]
--- a/tests/soak/src/oracle/requests.rs
+++ b/tests/soak/src/oracle/requests.rs
@@ -2,8 +2,8 @@
 
 use super::{Attempt, Invariant, Oracle, ORDER_SLACK, PATIENCE_SLACK};
 use crate::clients::{CROSSING, LATE};
+use crate::configuration::REPEAT_WINDOW;
 use crate::facts::{ConnectionEnd, Effect, Fact, RequestId, WorkerId};
-use crate::site::REPEAT_WINDOW;
 use std::time::Duration;
 
 /// An attempt may begin so long after its client has gone.
--- a/tests/soak/src/process.rs
+++ b/tests/soak/src/process.rs
@@ -1,17 +1,24 @@
 //! Front ends as real processes: started, signalled, restarted under their addresses.
+//!
+//! `ServerProcess` of the tests' support does not fit here: the program says nothing on its output before its last line, it is
+//! ready when it answers `/alive` as the platform asks it, and all waits are bounded and beside other tasks.
 
-use crate::clients::{Door, Doors};
-use crate::discovery::{Discovery, Feed};
-use crate::facts::{Fact, Facts, Place, Signal};
+use crate::configuration::FrontEndParameters;
+use crate::discovery::{CoordinatorListener, Discovery};
+use crate::endpoints::{Endpoint, EndpointTable};
+use crate::error::SoakError;
+use crate::facts::{Fact, Facts, FrontEndIndex, Signal};
 use crate::shim;
-use crate::site::Site;
 use rustix::process::{kill_process, Pid};
 use std::fs::File;
-use std::net::SocketAddr;
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use tansy_test_support::address::ReservedAddress;
+use tansy_test_support::platform_configuration::PlatformConfiguration;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::process::{Child, ChildStdout, Command};
@@ -19,14 +26,20 @@
 
 /// A front end is ready by then.
 pub const READY_WITHIN: Duration = Duration::from_secs(10);
+/// Pause between two requests that ask whether it is ready.
+const READY_INTERVAL: Duration = Duration::from_millis(20);
+/// One such request fails after so long.
+const ALIVE_TIMEOUT: Duration = Duration::from_secs(1);
 /// New connections come for so long after SIGTERM, and requests for so long after that.
 const CONNECTIONS_AFTER: Duration = Duration::from_millis(300);
 const REQUESTS_AFTER: Duration = Duration::from_millis(200);
 /// SIGKILL comes so long after SIGTERM: the longest deadline, taken as 3 s, and 0.7 s.
 const KILL_AFTER: Duration = Duration::from_millis(3700);
+/// Addresses of front ends in one network of loopback.
+const ADDRESSES_OF_A_NETWORK: usize = 250;
 
 /// What every front end is started with.
-pub struct Launch {
+pub struct LaunchSettings {
     /// The program.
     pub gateway: PathBuf,
     /// Where configurations and logs go.
@@ -43,22 +56,31 @@
 pub struct FrontEnd {
     facts: Arc<Facts>,
     discovery: Arc<Discovery>,
-    doors: Arc<Doors>,
-    launch: Arc<Launch>,
-    place: Place,
+    endpoints: Arc<EndpointTable>,
+    launch: Arc<LaunchSettings>,
+    index: FrontEndIndex,
     address: SocketAddr,
-    number: u64,
+    /// Its processes are counted from 1.
+    process_number: u64,
     process: Option<Process>,
 }
 
+/// A process of a front end that has not been reaped.
 struct Process {
     child: Child,
-    account: BufReader<ChildStdout>,
-    /// The coordinators that it was told of, the last one in force.
-    feeds: Vec<Feed>,
-    known: u64,
-    site: Site,
-    path: PathBuf,
+    stdout: BufReader<ChildStdout>,
+    /// The coordinators that it was configured with, the last one in force.
+    coordinators: Vec<CoordinatorListener>,
+    /// The last event in the list that it was started with.
+    known_event: u64,
+    configuration: PlatformConfiguration,
+    configuration_path: PathBuf,
+}
+
+impl Process {
+    fn has_ended(&mut self) -> bool {
+        matches!(self.child.try_wait(), Ok(Some(_)))
+    }
 }
 
 impl FrontEnd {
@@ -66,106 +88,122 @@
     pub fn new(
         facts: Arc<Facts>,
         discovery: Arc<Discovery>,
-        doors: Arc<Doors>,
-        launch: Arc<Launch>,
-        place: Place,
+        endpoints: Arc<EndpointTable>,
+        launch: Arc<LaunchSettings>,
+        index: FrontEndIndex,
     ) -> FrontEnd {
-        let address = doors[place].read().expect("not poisoned").address;
+        let address = endpoints.get(index).address;
         FrontEnd {
             facts,
             discovery,
-            doors,
+            endpoints,
             launch,
-            place,
+            index,
             address,
-            number: 0,
+            process_number: 0,
             process: None,
         }
     }
 
-    fn door(&self, open: bool) {
-        let door = Door {
+    /// Says whether clients may send to its present process.
+    fn set_open(&self, open: bool) {
+        let endpoint = Endpoint {
             address: self.address,
-            process: self.number,
+            process: self.process_number,
             open,
         };
-        *self.doors[self.place].write().expect("not poisoned") = door;
+        self.endpoints.set(self.index, endpoint);
     }
 
     /// Starts the next process, with these rules for its system calls, and waits until it is ready.
-    pub async fn start(&mut self, rules: &str, seed: u64) -> std::io::Result<()> {
-        self.number += 1;
-        let (servers, known) = self.discovery.known();
-        let feed = self.discovery.feed(self.place, self.number, known).await?;
-        let site = Site {
-            listen: self.address,
-            coordinator: feed.address,
-            servers,
-            connect_timeout_s: self.launch.connect_timeout_s,
-            sockets: self.launch.sockets,
+    pub async fn start(&mut self, rules: &str, seed: u64) -> Result<(), SoakError> {
+        self.process_number += 1;
+        let (workers, known_event) = self.discovery.snapshot();
+        let coordinator = self
+            .discovery
+            .listen(self.index, self.process_number, known_event)
+            .await?;
+        let parameters = FrontEndParameters {
+            index: self.index,
+            front_ends: self.launch.front_ends,
             seed,
-            siblings: self.launch.front_ends,
-            me: self.place,
+            sockets: self.launch.sockets,
+            coordinator: coordinator.address,
+            workers,
+            connect_timeout_s: self.launch.connect_timeout_s,
+        };
+        let configuration = parameters.configuration();
+        let configuration_path = self.file(&format!("front-{}.json", self.index));
+        std::fs::write(&configuration_path, configuration.text(self.address))
+            .map_err(SoakError::file(&configuration_path))?;
+        let (child, stdout) = self.spawn(&configuration_path, rules, seed)?;
+        self.facts.record(Fact::Started {
+            place: self.index,
+            process: self.process_number,
+        });
+        self.process = Some(Process {
+            child,
+            stdout: BufReader::new(stdout),
+            coordinators: vec![coordinator],
+            known_event,
+            configuration,
+            configuration_path,
+        });
+        self.wait_until_ready().await;
+        Ok(())
+    }
+
+    /// A file of this run.
+    fn file(&self, name: &str) -> PathBuf {
+        self.launch.folder.join(name)
+    }
+
+    fn spawn(
+        &self,
+        configuration: &Path,
+        rules: &str,
+        seed: u64,
+    ) -> Result<(Child, ChildStdout), SoakError> {
+        let log = self.file(&format!("front-{}-{}.log", self.index, self.process_number));
+        let start_error = |source| SoakError::StartProgram {
+            program: self.launch.gateway.clone(),
+            source,
         };
-        let path = self
-            .launch
-            .folder
-            .join(format!("front-{}.json", self.place));
-        std::fs::write(&path, site.text())?;
-        let log = self
-            .launch
-            .folder
-            .join(format!("front-{}-{}.log", self.place, self.number));
         let mut child = Command::new(&self.launch.gateway)
             .args(["--platform", "--log", "debug"])
-            .env("EDGE_CONFIG", &path)
+            .env("EDGE_CONFIG", configuration)
             .env("LD_PRELOAD", shim::library())
             .env("FAULT_RULES", rules)
             .env("FAULT_SEED", seed.to_string())
             .stdout(Stdio::piped())
-            .stderr(File::create(log)?)
+            .stderr(File::create(&log).map_err(SoakError::file(&log))?)
             .kill_on_drop(true)
-            .spawn()?;
-        self.facts.note(Fact::Started {
-            place: self.place,
-            process: self.number,
-        });
-        let Some(stdout) = child.stdout.take() else {
-            return Ok(());
-        };
-        let account = BufReader::new(stdout);
-        let feeds = vec![feed];
-        self.process = Some(Process {
-            child,
-            account,
-            feeds,
-            known,
-            site,
-            path,
-        });
-        self.ready().await;
-        Ok(())
+            .spawn()
+            .map_err(start_error)?;
+        let stdout = child.stdout.take();
+        let stdout =
+            stdout.ok_or_else(|| start_error(io::Error::other("its output is not piped")))?;
+        Ok((child, stdout))
     }
 
-    async fn ready(&mut self) {
+    async fn wait_until_ready(&mut self) {
         let began = Instant::now();
         while began.elapsed() < READY_WITHIN {
-            if alive(self.address).await {
-                self.facts.note(Fact::Ready {
-                    place: self.place,
-                    process: self.number,
+            if is_alive(self.address).await {
+                self.facts.record(Fact::Ready {
+                    place: self.index,
+                    process: self.process_number,
                 });
-                return self.door(true);
+                return self.set_open(true);
             }
-            if let Some(Ok(Some(_))) = self.process.as_mut().map(|p| p.child.try_wait()) {
+            if self.process.as_mut().is_some_and(Process::has_ended) {
                 return self.reap().await;
             }
-            sleep(Duration::from_millis(20)).await;
+            sleep(READY_INTERVAL).await;
         }
     }
 
     fn signal(&mut self, signal: Signal) {
-        let (place, process) = (self.place, self.number);
         let Some(pid) = self.process.as_ref().and_then(|p| p.child.id()) else {
             return;
         };
@@ -179,108 +217,112 @@
             Signal::Stop => rustix::process::Signal::STOP,
             Signal::Continue => rustix::process::Signal::CONT,
         };
-        self.facts.note(Fact::Signalled {
-            place,
-            process,
+        self.facts.record(Fact::Signalled {
+            place: self.index,
+            process: self.process_number,
             signal,
         });
-        // One that has ended by itself is told of when it is reaped.
+        // The end of one that has ended by itself is recorded when it is reaped.
         let _ = kill_process(pid, number);
     }
 
-    /// It stands still for so long.
-    pub async fn stand_still(&mut self, span: Duration) {
+    /// Stops it for so long, and lets it go on.
+    pub async fn suspend(&mut self, span: Duration) {
         self.signal(Signal::Stop);
         sleep(span).await;
         self.signal(Signal::Continue);
     }
 
-    /// A new configuration in its place: another coordinator, the old one going after a while.
-    pub async fn reload(&mut self) -> std::io::Result<()> {
-        let (place, number) = (self.place, self.number);
-        let Some(p) = self.process.as_mut() else {
+    /// Gives it a new configuration: another coordinator, while the old one goes on for now.
+    pub async fn reload(&mut self) -> Result<(), SoakError> {
+        let Some(process) = self.process.as_mut() else {
             return Ok(());
         };
-        let feed = self.discovery.feed(place, number, p.known).await?;
-        p.site.coordinator = feed.address;
-        p.feeds.push(feed);
-        let next = p.path.with_extension("next");
-        std::fs::write(&next, p.site.text())?;
-        std::fs::rename(&next, &p.path)?;
+        let coordinator = self
+            .discovery
+            .listen(self.index, self.process_number, process.known_event)
+            .await?;
+        process.configuration.coordinator = coordinator.address;
+        process.coordinators.push(coordinator);
+        let path = &process.configuration_path;
+        let next = path.with_extension("next");
+        std::fs::write(&next, process.configuration.text(self.address))
+            .map_err(SoakError::file(&next))?;
+        std::fs::rename(&next, path).map_err(SoakError::file(path))?;
         self.signal(Signal::Reload);
         Ok(())
     }
 
-    /// The coordinator that it was told of before the last goes.
-    pub fn forget_old_feeds(&mut self) {
-        if let Some(p) = self.process.as_mut() {
-            let last = p.feeds.len().saturating_sub(1);
-            p.feeds.drain(..last);
+    /// Closes the coordinators that it was configured with before the last.
+    pub fn close_old_coordinators(&mut self) {
+        if let Some(process) = self.process.as_mut() {
+            let last = process.coordinators.len().saturating_sub(1);
+            process.coordinators.drain(..last);
         }
     }
 
-    /// Ends it as a planned restart does, standing still for a part of it if `still` says so.
-    pub async fn terminate(&mut self, still: Duration) {
+    /// Ends it as a planned restart does, suspended for a part of that time unless it is zero.
+    pub async fn terminate(&mut self, suspended: Duration) {
         if self.process.is_none() {
             return;
         }
-        let told = Instant::now();
+        let signalled = Instant::now();
         self.signal(Signal::Terminate);
-        if !still.is_zero() {
-            self.stand_still(still).await;
+        if !suspended.is_zero() {
+            self.suspend(suspended).await;
         }
-        sleep((CONNECTIONS_AFTER + REQUESTS_AFTER).saturating_sub(told.elapsed())).await;
-        self.door(false);
-        let left = KILL_AFTER.saturating_sub(told.elapsed());
-        let Some(p) = self.process.as_mut() else {
+        sleep((CONNECTIONS_AFTER + REQUESTS_AFTER).saturating_sub(signalled.elapsed())).await;
+        self.set_open(false);
+        let remaining = KILL_AFTER.saturating_sub(signalled.elapsed());
+        let Some(process) = self.process.as_mut() else {
             return;
         };
-        if timeout(left, p.child.wait()).await.is_err() {
+        if timeout(remaining, process.child.wait()).await.is_err() {
             self.signal(Signal::Kill);
         }
         self.reap().await;
     }
 
-    /// Kills it outright; what it held is lost.
+    /// Kills it outright; the requests that it had are lost.
     pub async fn kill(&mut self) {
         self.signal(Signal::Kill);
-        self.door(false);
+        self.set_open(false);
         self.reap().await;
     }
 
-    /// Waits for its end.
+    /// Waits for its end, and records it.
     async fn reap(&mut self) {
-        let Some(mut p) = self.process.take() else {
+        let Some(mut process) = self.process.take() else {
             return;
         };
-        self.door(false);
-        let code = p.child.wait().await.ok().and_then(|s| s.code());
-        let mut text = String::new();
-        let _ = p.account.read_to_string(&mut text).await;
-        let account = text.lines().last().unwrap_or("").to_string();
-        self.facts.note(Fact::Exited {
-            place: self.place,
-            process: self.number,
-            code,
-            account,
+        self.set_open(false);
+        let status = process.child.wait().await.ok();
+        let mut output = String::new();
+        let _ = process.stdout.read_to_string(&mut output).await;
+        self.facts.record(Fact::Exited {
+            place: self.index,
+            process: self.process_number,
+            code: status.and_then(|status| status.code()),
+            account: output.lines().last().unwrap_or("").to_string(),
         });
     }
 
-    /// Looks whether it has ended by itself.
-    pub async fn look(&mut self) {
-        if let Some(Ok(Some(_))) = self.process.as_mut().map(|p| p.child.try_wait()) {
+    /// Reaps it if it has ended by itself.
+    pub async fn reap_if_ended(&mut self) {
+        if self.process.as_mut().is_some_and(Process::has_ended) {
             self.reap().await;
         }
     }
 
     /// Whether a process runs.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.process.is_some()
     }
 }
 
-async fn alive(address: SocketAddr) -> bool {
-    let asked = async {
+/// Whether the front end at this address answers that it is alive.
+async fn is_alive(address: SocketAddr) -> bool {
+    let answered = async {
         let mut socket = TcpStream::connect(address).await.ok()?;
         socket
             .write_all(b"GET /alive HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n")
@@ -290,27 +332,25 @@
         BufReader::new(socket).read_line(&mut line).await.ok()?;
         line.contains(" 200 ").then_some(())
     };
-    timeout(Duration::from_secs(1), asked)
-        .await
-        .ok()
-        .flatten()
-        .is_some()
+    matches!(timeout(ALIVE_TIMEOUT, answered).await, Ok(Some(())))
 }
 
-/// Addresses at which nobody listens, each on an address of its own: connections that go out from 127.0.0.1 can't take their
-/// ports while a front end is down.
-pub fn free_addresses(count: usize) -> std::io::Result<Vec<SocketAddr>> {
-    let address =
-        |n: usize| SocketAddr::from(([127, 0, 1 + (n / 250) as u8, 1 + (n % 250) as u8], 0));
-    (0..count)
-        .map(|n| std::net::TcpListener::bind(address(n))?.local_addr())
-        .collect()
+/// Reserves the front ends' addresses, each on a loopback host of its own: connections that go out from 127.0.0.1 can't take
+/// their ports while a front end is down.
+pub fn reserve_addresses(count: usize) -> Result<Vec<ReservedAddress>, SoakError> {
+    let reserve = |index: usize| {
+        let network = 1 + (index / ADDRESSES_OF_A_NETWORK) as u8;
+        let host = [127, 0, network, 1 + (index % ADDRESSES_OF_A_NETWORK) as u8];
+        let address = SocketAddr::from((Ipv4Addr::from(host), 0));
+        ReservedAddress::on(host).map_err(SoakError::listen("a front end", address))
+    };
+    (0..count).map(reserve).collect()
 }
 
-/// A folder of this run.
-pub fn folder(seed: u64) -> std::io::Result<PathBuf> {
-    let folder =
-        Path::new(&std::env::temp_dir()).join(format!("tansy-soak-{}-{seed}", std::process::id()));
-    std::fs::create_dir_all(&folder)?;
+/// Creates the folder of a run.
+pub fn create_folder(seed: u64) -> Result<PathBuf, SoakError> {
+    let name = format!("tansy-soak-{}-{seed}", std::process::id());
+    let folder = std::env::temp_dir().join(name);
+    std::fs::create_dir_all(&folder).map_err(SoakError::file(&folder))?;
     Ok(folder)
 }
--- a/tests/soak/src/proxy.rs
+++ b/tests/soak/src/proxy.rs
@@ -1,9 +1,11 @@
-//! A proxy between front ends and one worker: it notes what comes for the worker, and has the network fail.
+//! A proxy between front ends and one worker: it records what comes for the worker, and has the network fail.
 
+use crate::configuration::KEEPALIVE_S;
+use crate::error::SoakError;
 use crate::facts::{Fact, Facts, RequestId, WorkerId};
-use crate::site::KEEPALIVE_S;
 use crate::worker::{field, BOUNDS};
 use std::collections::HashSet;
+use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -12,11 +14,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
-use tokio::time::{sleep_until, Instant};
+use tokio::time::{sleep_until, timeout, Instant};
 
-/// How the way to the worker fails.
+/// How the network to the worker fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
+pub enum NetworkMode {
     /// It does not.
     Plain,
     /// Connections stay open and nothing passes.
@@ -43,6 +45,9 @@
 /// was sent on the latter comes when the kernel tries again.
 const QUEUE_WITHIN: Duration = Duration::from_millis(1500);
 
+/// Bytes that are read at a time.
+const READ_SIZE: usize = 16 * 1024;
+
 /// Connections of all proxies are numbered together.
 static CONNECTIONS: AtomicU64 = AtomicU64::new(1);
 
@@ -50,75 +55,96 @@
 pub struct Proxy {
     /// Where front ends reach the worker.
     pub address: SocketAddr,
-    mode: watch::Sender<Mode>,
-}
-
-struct Way {
-    facts: Arc<Facts>,
-    worker: WorkerId,
-    connection: u64,
-    mode: watch::Receiver<Mode>,
-    open: HashSet<RequestId>,
-    /// What is read first may have waited for this connection to be accepted.
-    waited: bool,
+    mode: watch::Sender<NetworkMode>,
 }
 
 impl Proxy {
-    /// Starts the proxy of a worker.
-    pub async fn start(
+    /// Starts the proxy of the worker at this address.
+    pub fn start(
         facts: Arc<Facts>,
         worker: WorkerId,
-        to: SocketAddr,
-    ) -> std::io::Result<Proxy> {
-        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
-        socket.listen(BACKLOG)?;
-        socket.set_nonblocking(true)?;
-        let listener = TcpListener::from_std(socket.into())?;
-        let address = listener.local_addr()?;
-        let (mode, told) = watch::channel(Mode::Plain);
-        tokio::spawn(async move {
-            let mut resumed: Option<Instant> = None;
-            loop {
-                let mut mode = told.clone();
-                if *mode.borrow() == Mode::LateConnections {
-                    // The kernel completes no connection beyond these until they are accepted.
-                    let filled = fill(address).await;
-                    let _ = mode.wait_for(|m| *m != Mode::LateConnections).await;
-                    drop(filled);
-                    resumed = Some(Instant::now());
-                }
-                let Ok((socket, _)) = listener.accept().await else {
-                    continue;
-                };
-                let (facts, mode) = (facts.clone(), told.clone());
-                let connection = CONNECTIONS.fetch_add(1, Ordering::Relaxed);
-                let waited = resumed.is_some_and(|at| at.elapsed() < QUEUE_WITHIN);
-                let way = Way {
-                    facts,
-                    worker,
-                    connection,
-                    mode,
-                    open: HashSet::new(),
-                    waited,
-                };
-                tokio::spawn(way.run(socket, to));
-            }
-        });
+        worker_address: SocketAddr,
+    ) -> Result<Proxy, SoakError> {
+        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let (listener, address) = listen(any).map_err(SoakError::listen("a proxy", any))?;
+        let (mode, mode_receiver) = watch::channel(NetworkMode::Plain);
+        let acceptor = Acceptor {
+            facts,
+            worker,
+            worker_address,
+            address,
+            mode: mode_receiver,
+            resumed: None,
+        };
+        tokio::spawn(acceptor.run(listener));
         Ok(Proxy { address, mode })
     }
 
-    /// Behaves so from now on.
-    pub fn behave(&self, mode: Mode) {
+    /// Sets how the network fails from now on.
+    pub fn set_mode(&self, mode: NetworkMode) {
         self.mode.send_replace(mode);
     }
 }
 
+/// A listener with a queue of [`BACKLOG`], and its address.
+fn listen(address: SocketAddr) -> io::Result<(TcpListener, SocketAddr)> {
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
+    socket.bind(&address.into())?;
+    socket.listen(BACKLOG)?;
+    socket.set_nonblocking(true)?;
+    let listener = TcpListener::from_std(socket.into())?;
+    let address = listener.local_addr()?;
+    Ok((listener, address))
+}
+
+/// Accepts the connections to one worker, or leaves them in the kernel's queue.
+struct Acceptor {
+    facts: Arc<Facts>,
+    worker: WorkerId,
+    worker_address: SocketAddr,
+    address: SocketAddr,
+    mode: watch::Receiver<NetworkMode>,
+    /// When connections were last accepted again.
+    resumed: Option<Instant>,
+}
+
+impl Acceptor {
+    async fn run(mut self, listener: TcpListener) {
+        loop {
+            if *self.mode.borrow() == NetworkMode::LateConnections {
+                self.hold_back().await;
+            }
+            let Ok((socket, _)) = listener.accept().await else {
+                continue;
+            };
+            let connection = ProxiedConnection {
+                facts: self.facts.clone(),
+                worker: self.worker,
+                number: CONNECTIONS.fetch_add(1, Ordering::Relaxed),
+                mode: self.mode.clone(),
+                open: HashSet::new(),
+                waited: self.resumed.is_some_and(|at| at.elapsed() < QUEUE_WITHIN),
+            };
+            tokio::spawn(connection.run(socket, self.worker_address));
+        }
+    }
+
+    /// Accepts nothing while connections are to be late.
+    async fn hold_back(&mut self) {
+        // The kernel completes no connection beyond these until they are accepted.
+        let filled = fill_queue(self.address).await;
+        let mut mode = self.mode.clone();
+        let late = NetworkMode::LateConnections;
+        let _ = mode.wait_for(|mode| *mode != late).await;
+        drop(filled);
+        self.resumed = Some(Instant::now());
+    }
+}
+
 /// Fills the queue of a listener whose connections are not accepted.
-async fn fill(address: SocketAddr) -> Vec<TcpStream> {
+async fn fill_queue(address: SocketAddr) -> Vec<TcpStream> {
     let mut filled = Vec::new();
-    while let Ok(Ok(socket)) = tokio::time::timeout(FILL_WITHIN, TcpStream::connect(address)).await
-    {
+    while let Ok(Ok(socket)) = timeout(FILL_WITHIN, TcpStream::connect(address)).await {
         filled.push(socket);
     }
     filled
@@ -130,149 +156,233 @@
     let _ = socket2::SockRef::from(socket).set_linger(Some(Duration::ZERO));
 }
 
-impl Way {
-    async fn run(mut self, front: TcpStream, to: SocketAddr) {
-        if *self.mode.borrow() == Mode::ResetNew {
-            return reset_on_close(&front);
+/// One connection of a front end to the worker.
+struct ProxiedConnection {
+    facts: Arc<Facts>,
+    worker: WorkerId,
+    number: u64,
+    mode: watch::Receiver<NetworkMode>,
+    /// Requests that came and have no answer yet.
+    open: HashSet<RequestId>,
+    /// What is read first may have waited for this connection to be accepted.
+    waited: bool,
+}
+
+/// How relaying goes on.
+enum Relay {
+    Continue,
+    Close,
+    /// The connection to the front end ends by a reset.
+    Reset,
+}
+
+/// The sockets of a connection, and what has been read and not passed on.
+struct Relayed {
+    front_end: TcpStream,
+    worker: TcpStream,
+    commands: Reader,
+    answers: Reader,
+    to_worker: Vec<u8>,
+    to_front_end: Vec<u8>,
+    /// The other end has lost the connection without a word.
+    forgotten: bool,
+    /// When answers that are slow may pass.
+    release: Instant,
+    last_used: Instant,
+}
+
+impl Relayed {
+    fn new(front_end: TcpStream, worker: TcpStream) -> Relayed {
+        let now = Instant::now();
+        Relayed {
+            front_end,
+            worker,
+            commands: Reader::new(BOUNDS),
+            answers: Reader::new(BOUNDS),
+            to_worker: Vec::new(),
+            to_front_end: Vec::new(),
+            forgotten: false,
+            release: now,
+            last_used: now,
+        }
+    }
+
+    /// Whether slow answers are kept back for now.
+    fn keeps_answers_back(&self) -> bool {
+        !self.to_front_end.is_empty() && Instant::now() < self.release
+    }
+
+    /// Passes on what was kept back.
+    async fn flush(&mut self) -> io::Result<()> {
+        let commands = std::mem::take(&mut self.to_worker);
+        let sent = self.worker.write_all(&commands).await;
+        let answers = std::mem::take(&mut self.to_front_end);
+        let given = self.front_end.write_all(&answers).await;
+        sent.and(given)
+    }
+}
+
+impl ProxiedConnection {
+    async fn run(mut self, front_end: TcpStream, worker_address: SocketAddr) {
+        if *self.mode.borrow() == NetworkMode::ResetNew {
+            return reset_on_close(&front_end);
         }
-        let _ = front.set_nodelay(true);
-        if let Ok(peer) = front.peer_addr() {
-            self.facts.note(Fact::Connected {
-                connection: self.connection,
+        let _ = front_end.set_nodelay(true);
+        if let Ok(peer) = front_end.peer_addr() {
+            self.facts.record(Fact::Connected {
+                connection: self.number,
                 port: peer.port(),
             });
         }
-        if let Ok(worker) = TcpStream::connect(to).await {
+        if let Ok(worker) = TcpStream::connect(worker_address).await {
             let _ = worker.set_nodelay(true);
-            self.relay(front, worker).await;
+            self.relay(Relayed::new(front_end, worker)).await;
         }
         for id in self.open.drain() {
-            self.facts.note(Fact::Ended {
+            self.facts.record(Fact::Ended {
                 id,
-                connection: self.connection,
+                connection: self.number,
                 never_ran: false,
             });
         }
     }
 
-    async fn relay(&mut self, mut front: TcpStream, mut worker: TcpStream) {
-        let (mut commands, mut answers) = (Reader::new(BOUNDS), Reader::new(BOUNDS));
-        let (mut from_front, mut from_worker) = (vec![0u8; 16 * 1024], vec![0u8; 16 * 1024]);
-        // What is kept back while nothing passes.
-        let (mut to_worker, mut to_front) = (Vec::new(), Vec::new());
-        let mut mode = self.mode.clone();
-        let mut used = Instant::now();
-        // The other end has lost the connection without a word.
-        let mut forgotten = false;
-        // When answers that are slow may pass.
-        let mut release = Instant::now();
+    /// Relays both ways until either side or a fault ends the connection.
+    async fn relay(&mut self, mut relayed: Relayed) {
+        let (mut command_bytes, mut answer_bytes) = (vec![0u8; READ_SIZE], vec![0u8; READ_SIZE]);
+        let mut modes = self.mode.clone();
         loop {
-            let told = *mode.borrow_and_update();
-            let now = if forgotten { Mode::Partitioned } else { told };
-            let waits = !to_front.is_empty() && Instant::now() < release;
-            if now != Mode::Partitioned && !waits {
-                let sent = worker.write_all(&std::mem::take(&mut to_worker)).await;
-                let given = front.write_all(&std::mem::take(&mut to_front)).await;
-                if sent.is_err() || given.is_err() {
-                    return;
-                }
+            let configured = *modes.borrow_and_update();
+            let mode = if relayed.forgotten {
+                NetworkMode::Partitioned
+            } else {
+                configured
+            };
+            let kept_back = relayed.keeps_answers_back();
+            if mode != NetworkMode::Partitioned && !kept_back && relayed.flush().await.is_err() {
+                return;
             }
-            let idle_until = used + Duration::from_secs_f64(KEEPALIVE_S);
-            tokio::select! {
-                read = front.read(&mut from_front) => {
-                    let Ok(n @ 1..) = read else { return };
-                    used = Instant::now();
-                    commands.push_bytes(&from_front[..n]);
-                    while let Ok(Some(words)) = commands.next_array() {
-                        self.command(&words);
-                    }
-                    self.waited = false;
-                    to_worker.extend_from_slice(&from_front[..n]);
-                    if now == Mode::ResetUnderCalls && !self.open.is_empty() {
-                        return reset_on_close(&front);
-                    }
-                }
-                read = worker.read(&mut from_worker) => {
-                    let Ok(n @ 1..) = read else { return };
-                    used = Instant::now();
-                    if now == Mode::HalfAnswers && !self.open.is_empty() {
-                        let half = &from_worker[..n / 2];
-                        answers.push_bytes(half);
-                        while let Ok(Some(words)) = answers.next_array() {
-                            self.answer(&words);
-                        }
-                        let _ = front.write_all(half).await;
-                        return;
-                    }
-                    if let (Mode::SlowAnswers(by), true) = (now, to_front.is_empty()) {
-                        release = Instant::now() + by;
-                    }
-                    answers.push_bytes(&from_worker[..n]);
-                    while let Ok(Some(words)) = answers.next_array() {
-                        self.answer(&words);
-                    }
-                    to_front.extend_from_slice(&from_worker[..n]);
-                }
-                _ = mode.changed() => {}
-                () = sleep_until(release), if waits => {}
-                () = sleep_until(idle_until), if self.open.is_empty() && !forgotten => {
-                    // It is closed, reset or forgotten.
-                    match self.connection % 3 {
-                        0 => forgotten = true,
-                        1 => return reset_on_close(&front),
-                        _ => return,
-                    }
+            let idle_until = relayed.last_used + Duration::from_secs_f64(KEEPALIVE_S);
+            let next = tokio::select! {
+                read = relayed.front_end.read(&mut command_bytes) => match read {
+                    Ok(length @ 1..) => self.on_commands(&mut relayed, &command_bytes[..length], mode),
+                    _ => Relay::Close,
+                },
+                read = relayed.worker.read(&mut answer_bytes) => match read {
+                    Ok(length @ 1..) => self.on_answers(&mut relayed, &answer_bytes[..length], mode).await,
+                    _ => Relay::Close,
+                },
+                _ = modes.changed() => Relay::Continue,
+                () = sleep_until(relayed.release), if kept_back => Relay::Continue,
+                () = sleep_until(idle_until), if self.open.is_empty() && !relayed.forgotten => {
+                    self.on_idle(&mut relayed)
                 }
+            };
+            match next {
+                Relay::Continue => {}
+                Relay::Close => return,
+                Relay::Reset => return reset_on_close(&relayed.front_end),
             }
         }
     }
 
-    fn command(&mut self, words: &[&[u8]]) {
+    /// Bytes came from the front end.
+    fn on_commands(&mut self, relayed: &mut Relayed, bytes: &[u8], mode: NetworkMode) -> Relay {
+        relayed.last_used = Instant::now();
+        relayed.commands.push_bytes(bytes);
+        while let Ok(Some(words)) = relayed.commands.next_array() {
+            self.record_command(&words);
+        }
+        self.waited = false;
+        relayed.to_worker.extend_from_slice(bytes);
+        if mode == NetworkMode::ResetUnderCalls && !self.open.is_empty() {
+            Relay::Reset
+        } else {
+            Relay::Continue
+        }
+    }
+
+    /// Bytes came from the worker.
+    async fn on_answers(
+        &mut self,
+        relayed: &mut Relayed,
+        bytes: &[u8],
+        mode: NetworkMode,
+    ) -> Relay {
+        relayed.last_used = Instant::now();
+        if mode == NetworkMode::HalfAnswers && !self.open.is_empty() {
+            let half = &bytes[..bytes.len() / 2];
+            self.record_answers(&mut relayed.answers, half);
+            let _ = relayed.front_end.write_all(half).await;
+            return Relay::Close;
+        }
+        if let (NetworkMode::SlowAnswers(by), true) = (mode, relayed.to_front_end.is_empty()) {
+            relayed.release = Instant::now() + by;
+        }
+        self.record_answers(&mut relayed.answers, bytes);
+        relayed.to_front_end.extend_from_slice(bytes);
+        Relay::Continue
+    }
+
+    /// The connection has carried nothing for as long as the worker keeps it: it is closed, reset or forgotten.
+    fn on_idle(&self, relayed: &mut Relayed) -> Relay {
+        match self.number % 3 {
+            0 => {
+                relayed.forgotten = true;
+                Relay::Continue
+            }
+            1 => Relay::Reset,
+            _ => Relay::Close,
+        }
+    }
+
+    fn record_command(&mut self, words: &[&[u8]]) {
         match *words {
             [b"fire", id, fields, _] => {
-                let Some(id) = request(id) else { return };
+                let Some(id) = request_id(id) else { return };
                 let patience = String::from_utf8(field(fields, b"patience=")).ok();
-                let patience_ms = patience.and_then(|p| p.parse().ok()).unwrap_or(u64::MAX);
-                let (worker, connection) = (self.worker, self.connection);
+                let patience_ms = patience.and_then(|text| text.parse().ok());
                 self.open.insert(id);
-                let waited = self.waited;
-                self.facts.note(Fact::Began {
+                self.facts.record(Fact::Began {
                     id,
-                    worker,
-                    connection,
-                    patience_ms,
-                    waited,
+                    worker: self.worker,
+                    connection: self.number,
+                    patience_ms: patience_ms.unwrap_or(u64::MAX),
+                    waited: self.waited,
                 });
             }
-            [b"never_mind", id] => self.ended(id, false),
+            [b"never_mind", id] => self.record_end(id, false),
             [b"provision", _, fields] if field(fields, b"replicas=") != b"0" => {
-                self.facts.note(Fact::LoadBegan {
+                self.facts.record(Fact::LoadBegan {
                     worker: self.worker,
-                    connection: self.connection,
+                    connection: self.number,
                 });
             }
             _ => {}
         }
     }
 
-    fn answer(&mut self, words: &[&[u8]]) {
-        if let [id, word, ..] = *words {
-            self.ended(id, matches!(word, b"404" | b"503" | b"504"));
+    fn record_answers(&mut self, answers: &mut Reader, bytes: &[u8]) {
+        answers.push_bytes(bytes);
+        while let Ok(Some(words)) = answers.next_array() {
+            if let [id, status, ..] = *words {
+                self.record_end(id, matches!(status, b"404" | b"503" | b"504"));
+            }
         }
     }
 
-    fn ended(&mut self, id: &[u8], never_ran: bool) {
-        if let Some(id) = request(id).filter(|id| self.open.remove(id)) {
-            self.facts.note(Fact::Ended {
+    fn record_end(&mut self, id: &[u8], never_ran: bool) {
+        if let Some(id) = request_id(id).filter(|id| self.open.remove(id)) {
+            self.facts.record(Fact::Ended {
                 id,
-                connection: self.connection,
+                connection: self.number,
                 never_ran,
             });
         }
     }
 }
 
-fn request(id: &[u8]) -> Option<RequestId> {
-    let text = std::str::from_utf8(id).ok().filter(|t| t.len() == 16)?;
+fn request_id(text: &[u8]) -> Option<RequestId> {
+    let text = std::str::from_utf8(text).ok().filter(|t| t.len() == 16)?;
     RequestId::from_str_radix(text, 16).ok()
 }
--- a/tests/soak/src/worker.rs
+++ b/tests/soak/src/worker.rs
@@ -1,5 +1,6 @@
 //! Workers: each loads functions, serves calls after some time, and now and then misses, fails, or answers twice.
 
+use crate::error::SoakError;
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -18,14 +19,16 @@
 const CALL_MS: std::ops::Range<u64> = 3..40;
 /// Milliseconds that a load takes.
 const LOAD_MS: u64 = 30;
-/// Of so many calls one has another end than being served.
-const ODD_IN: u32 = 25;
+/// Of so many calls one is not simply served.
+const IRREGULAR_ONE_IN: u32 = 25;
+/// An irregular answer that is late comes after so long: most clients have gone by then.
+const LATE_ANSWER: Duration = Duration::from_secs(3);
 
 /// One array as bytes.
 pub fn array(words: &[&[u8]]) -> Vec<u8> {
-    let mut out = Vec::new();
-    tansy_resp::write_array(&mut out, words);
-    out
+    let mut bytes = Vec::new();
+    tansy_resp::write_array(&mut bytes, words);
+    bytes
 }
 
 /// The answer to one command, and when.
@@ -34,15 +37,47 @@
     bytes: Vec<u8>,
 }
 
+impl Reply {
+    fn after(after: Duration, bytes: Vec<u8>) -> Reply {
+        Reply { after, bytes }
+    }
+
+    fn at_once(words: &[&[u8]]) -> Reply {
+        Reply::after(Duration::ZERO, array(words))
+    }
+}
+
+/// A call as the worker reads it.
+#[derive(Clone, Copy)]
+struct Call<'a> {
+    id: &'a [u8],
+    body: &'a [u8],
+    /// How long it takes.
+    takes: Duration,
+}
+
+impl Call<'_> {
+    fn served(&self) -> Vec<u8> {
+        array(&[self.id, b"200", b"n=ready", self.body])
+    }
+
+    fn refused(&self, status: &[u8]) -> Vec<u8> {
+        array(&[self.id, status, b"-", b""])
+    }
+}
+
 struct Worker {
     loaded: Mutex<HashSet<Vec<u8>>>,
     random: Mutex<fastrand::Rng>,
 }
 
 /// Starts a worker on a port of its own.
-pub async fn start(seed: u64) -> std::io::Result<SocketAddr> {
-    let listener = TcpListener::bind("127.0.0.1:0").await?;
-    let address = listener.local_addr()?;
+pub async fn start(seed: u64) -> Result<SocketAddr, SoakError> {
+    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    let listener = TcpListener::bind(any).await;
+    let listener = listener.map_err(SoakError::listen("a worker", any))?;
+    let address = listener.local_addr();
+    let address = address.map_err(SoakError::listen("a worker", any))?;
     let random = Mutex::new(fastrand::Rng::with_seed(seed));
     let worker = Arc::new(Worker {
         loaded: Mutex::default(),
@@ -57,20 +92,21 @@
 }
 
 impl Worker {
+    /// Answers the commands of one connection; answers may overtake each other.
     async fn serve(self: Arc<Self>, socket: TcpStream) {
-        let (mut from, mut to) = socket.into_split();
-        let (replies, mut ready) = mpsc::unbounded_channel::<Vec<u8>>();
+        let (mut from_peer, mut to_peer) = socket.into_split();
+        let (replies, mut due) = mpsc::unbounded_channel::<Vec<u8>>();
         let writer = tokio::spawn(async move {
-            while let Some(bytes) = ready.recv().await {
-                if to.write_all(&bytes).await.is_err() {
+            while let Some(bytes) = due.recv().await {
+                if to_peer.write_all(&bytes).await.is_err() {
                     return;
                 }
             }
         });
         let mut reader = Reader::new(BOUNDS);
         let mut buffer = vec![0u8; 16 * 1024];
-        while let Ok(n @ 1..) = from.read(&mut buffer).await {
-            reader.push_bytes(&buffer[..n]);
+        while let Ok(length @ 1..) = from_peer.read(&mut buffer).await {
+            reader.push_bytes(&buffer[..length]);
             while let Ok(Some(words)) = reader.next_array() {
                 let Some(reply) = self.reply(&words) else {
                     continue;
@@ -78,6 +114,7 @@
                 let replies = replies.clone();
                 tokio::spawn(async move {
                     tokio::time::sleep(reply.after).await;
+                    // Fails once the connection has ended.
                     let _ = replies.send(reply.bytes);
                 });
             }
@@ -89,12 +126,9 @@
         match *words {
             [b"fire", id, fields, body] => Some(self.call(id, fields, body)),
             [b"provision", tag, fields] => Some(self.load(tag, fields)),
-            [b"there", tag] => Some(Reply {
-                after: Duration::ZERO,
-                bytes: array(&[tag, b"alive", b"-", b""]),
-            }),
+            [b"there", tag] => Some(Reply::at_once(&[tag, b"alive", b"-", b""])),
             [b"retire", function] => {
-                self.loaded.lock().expect("not poisoned").remove(function);
+                self.unload(function);
                 None
             }
             _ => None,
@@ -104,84 +138,71 @@
     fn call(&self, id: &[u8], fields: &[u8], body: &[u8]) -> Reply {
         let function = field(fields, b"asset=");
         let mut random = self.random.lock().expect("not poisoned");
-        let after = Duration::from_millis(random.u64(CALL_MS));
-        if !self
-            .loaded
-            .lock()
-            .expect("not poisoned")
-            .contains(&function)
-        {
-            return Reply {
-                after: Duration::ZERO,
-                bytes: array(&[id, b"404", b"-", b""]),
-            };
+        let takes = Duration::from_millis(random.u64(CALL_MS));
+        let call = Call { id, body, takes };
+        if !self.is_loaded(&function) {
+            return Reply::after(Duration::ZERO, call.refused(b"404"));
         }
-        if random.u32(0..ODD_IN) > 0 {
-            return Reply {
-                after,
-                bytes: array(&[id, b"200", b"n=ready", body]),
-            };
+        if random.u32(0..IRREGULAR_ONE_IN) > 0 {
+            return Reply::after(takes, call.served());
         }
+        self.irregular_reply(call, &function, &mut random)
+    }
+
+    /// A call that fails, or whose answer is not the one that it should have.
+    fn irregular_reply(
+        &self,
+        call: Call<'_>,
+        function: &[u8],
+        random: &mut fastrand::Rng,
+    ) -> Reply {
+        let Call { id, takes, .. } = call;
         match random.u32(0..7) {
             0 => {
                 // It has been unloaded meanwhile.
-                self.loaded.lock().expect("not poisoned").remove(&function);
-                Reply {
-                    after: Duration::ZERO,
-                    bytes: array(&[id, b"404", b"-", b""]),
-                }
+                self.unload(function);
+                Reply::after(Duration::ZERO, call.refused(b"404"))
             }
-            1 => Reply {
-                after: Duration::ZERO,
-                bytes: array(&[id, b"503", b"-", b""]),
-            },
-            2 => Reply {
-                after,
-                bytes: array(&[id, b"500", b"-", b""]),
-            },
+            1 => Reply::after(Duration::ZERO, call.refused(b"503")),
+            2 => Reply::after(takes, call.refused(b"500")),
             3 => {
-                // Two answers.
-                let mut bytes = array(&[id, b"200", b"n=ready", body]);
-                bytes.extend(array(&[id, b"200", b"n=ready", b"another"]));
-                Reply { after, bytes }
+                let second = array(&[id, b"200", b"n=ready", b"another"]);
+                Reply::after(takes, [call.served(), second].concat())
             }
             // What can't be read ends all that is open on its connection.
-            4 => Reply {
-                after,
-                bytes: b"*4\r\n$16\r\nnoise".iter().chain(id).copied().collect(),
-            },
+            4 => Reply::after(takes, [b"*4\r\n$16\r\nnoise", id].concat()),
             5 => {
                 // An answer ahead, for an id that nobody sent.
-                let mut bytes = array(&[b"0123456789abcdef", b"200", b"n=ready", b"ahead"]);
-                bytes.extend(array(&[id, b"200", b"n=ready", body]));
-                Reply { after, bytes }
+                let ahead = array(&[b"0123456789abcdef", b"200", b"n=ready", b"ahead"]);
+                Reply::after(takes, [ahead, call.served()].concat())
             }
-            // Long after most clients have gone.
-            _ => Reply {
-                after: Duration::from_secs(3),
-                bytes: array(&[id, b"200", b"n=ready", body]),
-            },
+            _ => Reply::after(LATE_ANSWER, call.served()),
         }
     }
 
     fn load(&self, tag: &[u8], fields: &[u8]) -> Reply {
         let function = field(fields, b"asset=");
-        let asks = field(fields, b"replicas=") == b"0";
+        let is_query = field(fields, b"replicas=") == b"0";
         let mut loaded = self.loaded.lock().expect("not poisoned");
-        let stood = loaded.contains(&function);
-        if !asks {
+        let was_loaded = loaded.contains(&function);
+        if !is_query {
             loaded.insert(function);
         }
-        let after = Duration::from_millis(if asks { 0 } else { LOAD_MS });
-        let copies: &[u8] = if stood || !asks {
+        let after = Duration::from_millis(if is_query { 0 } else { LOAD_MS });
+        let copies: &[u8] = if was_loaded || !is_query {
             b"replicas=1"
         } else {
             b"replicas=0"
         };
-        Reply {
-            after,
-            bytes: array(&[tag, b"200", copies, b""]),
-        }
+        Reply::after(after, array(&[tag, b"200", copies, b""]))
+    }
+
+    fn is_loaded(&self, function: &[u8]) -> bool {
+        self.loaded.lock().expect("not poisoned").contains(function)
+    }
+
+    fn unload(&self, function: &[u8]) {
+        self.loaded.lock().expect("not poisoned").remove(function);
     }
 }
 
--- a/tests/soak/tests/configuration.rs
+++ b/tests/soak/tests/configuration.rs
@@ -1,7 +1,8 @@
 //! The text of a front end's configuration, byte for byte.
 
 use std::net::SocketAddr;
-use tansy_soak::site::{Server, Site};
+use tansy_soak::configuration::FrontEndParameters;
+use tansy_test_support::platform_configuration::{WorkerEntry, WorkerState};
 
 const EXPECTED: &str = include_str!("fixtures/configuration.json");
 
@@ -10,26 +11,26 @@
 }
 
 fn text() -> String {
-    let server = |id: &str, port: u16, state, started_ms| Server {
+    let worker = |id: &str, port: u16, state, started_ms| WorkerEntry {
         id: id.to_string(),
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         state,
         started_ms,
     };
-    let site = Site {
-        listen: address("127.0.1.4:40001"),
+    let parameters = FrontEndParameters {
         coordinator: address("127.0.0.1:40002"),
-        servers: vec![
-            server("s-0", 40003, "Ready", 0),
-            server("s-1", 40004, "Terminating", 1_764_666_000_000),
+        workers: vec![
+            worker("s-0", 40003, WorkerState::Ready, 0),
+            worker("s-1", 40004, WorkerState::Terminating, 1_764_666_000_000),
         ],
         connect_timeout_s: 1.3,
         sockets: 160,
         seed: 0x00ab_cdef_0123_4567,
-        siblings: 12,
-        me: 3,
+        front_ends: 12,
+        index: 3,
     };
-    site.text()
+    let configuration = parameters.configuration();
+    configuration.text(address("127.0.1.4:40001"))
 }
 
 #[test]
@@ -39,14 +40,14 @@
 
 #[test]
 fn a_workers_entry_is_as_it_always_was() {
-    let server = Server {
+    let worker = WorkerEntry {
         id: "s-7".to_string(),
         address: address("127.0.0.1:40005"),
-        state: "Gone",
+        state: WorkerState::Gone,
         started_ms: 5,
     };
     assert_eq!(
-        server.line(),
+        worker.json(),
         r#"{"id":"s-7","addr":"127.0.0.1:40005","zone":"a","kind":"k","cell":0,"state":"Gone","weight":1,"started_ms":5}"#
     );
 }
--- a/tests/support/src/lib.rs
+++ b/tests/support/src/lib.rs
@@ -1,6 +1,7 @@
 //! What tests and test programs with real sockets share.
 //!
 //! - [`address`]: addresses that are known before the program that listens there starts.
+//! - [`platform_configuration`]: configurations of front ends that speak the platform's protocol.
 //! - [`process`]: programs that say where they serve, and end with the test.
 //!
 //! It is not for product code, and decides nothing that a test judges.
@@ -16,4 +17,5 @@
 //! ```
 
 pub mod address;
+pub mod platform_configuration;
 pub mod process;
