--- a/programs/gateway/tests/platform/deploy.rs
+++ b/programs/gateway/tests/platform/deploy.rs
@@ -1,8 +1,8 @@
 //! What the deploy file promises of `run`, seen from outside on the program by itself: the process that `run` becomes,
 //! its linkage, children, descriptors, sockets, threads and files. A part that is off there and opens one fails this.
 
-use crate::process::reserve;
-use crate::stage::*;
+use crate::harness::process::reserve;
+use crate::harness::*;
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeSet;
 use std::fs;
@@ -21,10 +21,12 @@
 }
 
 /// A directory of its own with the program where the deploy file wants it; it goes with the value.
-struct Root(PathBuf);
+struct DeployRoot {
+    path: PathBuf,
+}
 
-impl Root {
-    fn new(name: &str) -> Root {
+impl DeployRoot {
+    fn new(name: &str) -> DeployRoot {
         let root = std::env::temp_dir().join(format!("tansy-deploy-{}-{name}", std::process::id()));
         for d in ["target/release", "tmp", "home"] {
             fs::create_dir_all(root.join(d)).expect("a directory");
@@ -32,27 +34,29 @@
         let program = root.join("target/release/tansy-gateway");
         std::os::unix::fs::symlink(env!("CARGO_BIN_EXE_tansy-gateway"), program)
             .expect("the program");
-        Root(root)
+        DeployRoot { path: root }
     }
 
     /// A shell that runs one line here, with little else in its environment.
-    fn shell(&self, line: &str, config: &Path) -> Running {
+    fn shell(&self, line: &str, config: &Path) -> RunningShell {
         let child = Command::new("/bin/sh")
             .args(["-c", line])
-            .current_dir(&self.0)
+            .current_dir(&self.path)
             .env_clear()
             .env("EDGE_CONFIG", config)
-            .env("TMPDIR", self.0.join("tmp"))
-            .env("HOME", self.0.join("home"))
+            .env("TMPDIR", self.path.join("tmp"))
+            .env("HOME", self.path.join("home"))
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::null())
             .spawn();
-        Running(child.expect("a shell"))
+        RunningShell {
+            child: child.expect("a shell"),
+        }
     }
 
     fn files(&self) -> BTreeSet<PathBuf> {
-        let mut todo = vec![self.0.clone()];
+        let mut todo = vec![self.path.clone()];
         let mut all = BTreeSet::new();
         while let Some(d) = todo.pop() {
             for e in fs::read_dir(d).expect("a directory").flatten() {
@@ -66,25 +70,27 @@
     }
 }
 
-impl Drop for Root {
+impl Drop for DeployRoot {
     fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0);
+        let _ = fs::remove_dir_all(&self.path);
     }
 }
 
 /// A process that ends with the value, and its own children before it.
-struct Running(Child);
+struct RunningShell {
+    child: Child,
+}
 
-impl Drop for Running {
+impl Drop for RunningShell {
     fn drop(&mut self) {
-        for pid in children(self.0.id())
+        for pid in children(self.child.id())
             .into_iter()
             .filter_map(|p| Pid::from_raw(p as i32))
         {
             let _ = kill_process(pid, Signal::KILL);
         }
-        let _ = self.0.kill();
-        let _ = self.0.wait();
+        let _ = self.child.kill();
+        let _ = self.child.wait();
     }
 }
 
@@ -104,10 +110,6 @@
 }
 
 /// What is against the deploy terms at this process, which should listen at this port alone.
-#[expect(
-    clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
-)]
 fn against_terms(pid: u32, port: u16) -> Vec<String> {
     let proc = PathBuf::from(format!("/proc/{pid}"));
     let mut found = Vec::new();
@@ -115,45 +117,75 @@
     if exe.file_name().is_none_or(|n| n != "tansy-gateway") {
         found.push(format!("the process is {}", exe.display()));
     }
-    if !fs::read_to_string(proc.join("maps"))
-        .unwrap_or_default()
-        .contains("/libc.so")
-    {
+    let maps = fs::read_to_string(proc.join("maps")).unwrap_or_default();
+    if !maps.contains("/libc.so") {
         found.push("no C library is mapped: it is not linked dynamically".into());
     }
-    found.extend(children(pid).into_iter().map(|c| format!("child {c}")));
-    // What whoever runs the tests leaves open to all below is not the program's.
-    let given = fs::read_dir("/proc/self/fd")
-        .expect("our descriptors")
-        .flatten();
-    let given: BTreeSet<PathBuf> = given
-        .filter_map(|fd| fs::read_link(fd.path()).ok())
-        .collect();
-    let mut sockets = BTreeSet::new();
-    for fd in fs::read_dir(proc.join("fd"))
-        .expect("its descriptors")
-        .flatten()
-    {
-        let to = fs::read_link(fd.path()).unwrap_or_default();
-        if given.contains(&to) {
-            continue;
+    found.extend(
+        children(pid)
+            .into_iter()
+            .map(|child| format!("child {child}")),
+    );
+    let descriptors = Descriptors::of(&proc);
+    found.extend(descriptors.against_terms);
+    found.extend(unexpected_sockets(&proc, &descriptors.socket_inodes, port));
+    found
+}
+
+/// The descriptors of a process.
+struct Descriptors {
+    /// Those that are neither sockets nor what an event loop needs.
+    against_terms: Vec<String>,
+    socket_inodes: BTreeSet<String>,
+}
+
+impl Descriptors {
+    /// What a loop may wait for.
+    const EVENT_LOOP: [&'static str; 4] = [
+        "anon_inode:[eventpoll]",
+        "anon_inode:[eventfd]",
+        "anon_inode:[signalfd]",
+        "anon_inode:[timerfd]",
+    ];
+
+    /// Reads them from the process's directory in `/proc`.
+    fn of(proc: &Path) -> Descriptors {
+        // What whoever runs the tests leaves open to all below is not the program's.
+        let inherited = fs::read_dir("/proc/self/fd").expect("our descriptors");
+        let inherited: BTreeSet<PathBuf> = inherited
+            .flatten()
+            .filter_map(|fd| fs::read_link(fd.path()).ok())
+            .collect();
+        let mut descriptors = Descriptors {
+            against_terms: Vec::new(),
+            socket_inodes: BTreeSet::new(),
+        };
+        let own = fs::read_dir(proc.join("fd")).expect("its descriptors");
+        for fd in own.flatten() {
+            let target = fs::read_link(fd.path()).unwrap_or_default();
+            if !inherited.contains(&target) {
+                descriptors.add(&target.display().to_string());
+            }
         }
-        let to = to.display().to_string();
-        let waits = [
-            "anon_inode:[eventpoll]",
-            "anon_inode:[eventfd]",
-            "anon_inode:[signalfd]",
-            "anon_inode:[timerfd]",
-        ];
-        if let Some(inode) = to
+        descriptors
+    }
+
+    fn add(&mut self, target: &str) {
+        let inode = target
             .strip_prefix("socket:[")
-            .and_then(|s| s.strip_suffix(']'))
+            .and_then(|rest| rest.strip_suffix(']'));
+        if let Some(inode) = inode {
+            self.socket_inodes.insert(inode.to_string());
+        } else if !Self::EVENT_LOOP.contains(&target) && target != "/dev/null" && !target.is_empty()
         {
-            sockets.insert(inode.to_string());
-        } else if !waits.contains(&to.as_str()) && to != "/dev/null" && !to.is_empty() {
-            found.push(format!("descriptor of {to}"));
+            self.against_terms.push(format!("descriptor of {target}"));
         }
     }
+}
+
+/// The process's sockets but for the listener at this port and the connections over TCP.
+fn unexpected_sockets(proc: &Path, inodes: &BTreeSet<String>, port: u16) -> Vec<String> {
+    let mut found = Vec::new();
     // The columns of the kernel's tables: address, state and inode; for Unix sockets the inode alone.
     for table in ["tcp", "tcp6", "udp", "udp6", "raw", "packet", "unix"] {
         let text = fs::read_to_string(proc.join("net").join(table)).unwrap_or_default();
@@ -164,7 +196,7 @@
                 "packet" => words.get(8),
                 _ => words.get(9),
             };
-            let own = inode.is_some_and(|i| sockets.contains(*i));
+            let own = inode.is_some_and(|i| inodes.contains(*i));
             let listens = words.get(3) == Some(&"0A");
             let address = words.get(1).copied().unwrap_or("");
             let expected = address == format!("0100007F:{port:04X}");
@@ -187,37 +219,37 @@
 
 #[test]
 fn run_becomes_one_process_with_one_listener_and_nothing_else() {
-    let worker = Worker::start(serving(|_| None));
-    let root = Root::new("run");
+    let worker = Worker::plain();
+    let root = DeployRoot::new("run");
     let reserved = reserve();
     let port = reserved.address();
-    let config = Site::of(&[&worker]).file(&port.to_string());
+    let config = write_configuration(&configuration_for(&[&worker]), port);
     let before = root.files();
     let running = root.shell(&deployed("run"), &config);
     until("it listens", || std::net::TcpStream::connect(port).is_ok());
     let mut client = Client::to(port);
     for id in 1..=20 {
         client.send(&call(id).text());
-        assert_eq!(client.answer().map(|a| a.0), Some(200));
+        assert_eq!(client.answer_status(), Some(200));
     }
-    let pid = Pid::from_child(&running.0);
+    let pid = Pid::from_child(&running.child);
     kill_process(pid, Signal::HUP).expect("it runs");
     client.send(&call(21).text());
-    assert_eq!(client.answer().map(|a| a.0), Some(200), "after SIGHUP");
+    assert_eq!(client.answer_status(), Some(200), "after SIGHUP");
     // The shell's own id: it has become the program.
     assert_eq!(
-        against_terms(running.0.id(), port.port()),
+        against_terms(running.child.id(), port.port()),
         Vec::<String>::new()
     );
-    until("every thread waits", || threads_wait(running.0.id()));
+    until("every thread waits", || threads_wait(running.child.id()));
     assert_eq!(root.files(), before, "files come and go");
     fs::remove_file(config).expect("the configuration");
 }
 
 #[test]
 fn what_is_against_the_terms_is_seen() {
-    let root = Root::new("planted");
-    let none = root.0.join("none");
+    let root = DeployRoot::new("planted");
+    let none = root.path.join("none");
     let reserved = [reserve(), reserve()];
     let [grpc, http] = reserved.each_ref().map(ReservedAddress::address);
     // Two listeners and a file open for its output, under a shell that does not become the program.
@@ -226,7 +258,7 @@
     );
     let shell = root.shell(&line, &none);
     until("it listens", || std::net::TcpStream::connect(http).is_ok());
-    let of_shell = against_terms(shell.0.id(), grpc.port());
+    let of_shell = against_terms(shell.child.id(), grpc.port());
     assert!(
         of_shell.iter().any(|f| f.starts_with("child")),
         "{of_shell:?}"
@@ -235,7 +267,7 @@
         of_shell.iter().any(|f| f.starts_with("the process is")),
         "{of_shell:?}"
     );
-    let program = children(shell.0.id())[0];
+    let program = children(shell.child.id())[0];
     let of_program = against_terms(program, grpc.port());
     assert!(
         of_program
--- a/programs/gateway/tests/platform/descriptors.rs
+++ b/programs/gateway/tests/platform/descriptors.rs
@@ -1,51 +1,50 @@
 //! Clients that take every descriptor they can get, while the list's source is down and workers are replaced.
 
-use crate::hand::{Hand, Peer};
-use crate::process::Program;
-use crate::stage::*;
+use crate::harness::manual::{reset_on_close, ManualFrontEnd, ManualWorker};
+use crate::harness::process::{cpu_ticks, reserve, GatewayProcess};
+use crate::harness::*;
+use rustix::process::{kill_process, Pid, Signal};
 use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
 const SOCKETS: usize = 96;
 
 /// Clients that fill what there is: a third says nothing, a third half a request, a third is idle after an answer.
-fn fill(program: &Program) -> Vec<Client> {
+fn fill(process: &GatewayProcess) -> Vec<Client> {
     let half = call(1).text()[..60].to_string();
     let mut all = Vec::new();
     for n in 0..SOCKETS {
-        let mut c = Client::to(program.address);
+        let mut client = Client::to(process.address);
         match n % 3 {
             0 => {}
-            1 => c.send(&half),
-            _ => c.send("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n"),
+            1 => client.send(&half),
+            _ => client.send("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n"),
         }
-        all.push(c);
+        all.push(client);
     }
     all
 }
 
 #[test]
 fn the_list_its_new_worker_and_an_honest_client_get_theirs() {
-    let (old, new) = (
-        Worker::start(serving(|_| None)),
-        Worker::start(serving(|_| None)),
-    );
+    let (old, new) = (Worker::plain(), Worker::plain());
     // Nobody listens there yet.
     let waits = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     waits
         .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
         .unwrap();
-    let source = waits.local_addr().unwrap().as_socket().unwrap();
-    let site = Site {
+    let coordinator = waits.local_addr().unwrap().as_socket().unwrap();
+    let configuration = PlatformConfiguration {
         sockets: SOCKETS,
-        coordinator: source,
-        ..Site::of(&[&old])
+        coordinator,
+        ..configuration_for(&[&old])
     };
-    let program = Program::start(&site);
-    program.limit(SOCKETS as u64);
-    let filling = fill(&program);
-    assert_eq!(honest(&program, 1), 200, "beside all that");
-    assert_eq!(old.all("fire").len(), 1);
+    let process = GatewayProcess::start(&configuration);
+    process.limit_descriptors(SOCKETS as u64);
+    let filling = fill(&process);
+    assert_eq!(honest(&process, 1), 200, "beside all that");
+    assert_eq!(old.commands("fire").len(), 1);
     waits.listen(16).unwrap();
     let listener = TcpListener::from(waits);
     let (mut asked, _) = listener.accept().unwrap();
@@ -56,26 +55,26 @@
     );
     std::io::Write::write_all(&mut asked, &reply(&event)).unwrap();
     until("the new worker is called", || {
-        honest(&program, 2) == 200 && !new.all("fire").is_empty()
+        honest(&process, 2) == 200 && !new.commands("fire").is_empty()
     });
-    let more = fill(&program);
-    assert_eq!(honest(&program, 3), 200, "and again");
+    let more = fill(&process);
+    assert_eq!(honest(&process, 3), 200, "and again");
     drop((filling, more));
-    assert!(program.descriptors() <= SOCKETS);
+    assert!(process.descriptors() <= SOCKETS);
     assert!(
-        program.ticks() < 100,
+        process.cpu_ticks() < 100,
         "{} hundredths of a second of CPU: it spins",
-        program.ticks()
+        process.cpu_ticks()
     );
 }
 
 /// The status of a new client's call, which is not made to wait until those in its way give up.
-fn honest(program: &Program, id: u64) -> u16 {
+fn honest(process: &GatewayProcess, id: u64) -> u16 {
     let began = Instant::now();
     let once = || {
-        let mut c = Client::to(program.address);
-        c.send(&call(id).text());
-        c.answer().map(|a| a.0)
+        let mut client = Client::to(process.address);
+        client.send(&call(id).text());
+        client.answer_status()
     };
     // A request that crosses the close of its connection, silent until then, is sent once more: the page's clients do.
     let status = once().or_else(once).unwrap_or(0);
@@ -89,14 +88,14 @@
 
 #[test]
 fn without_a_descriptor_for_a_worker_a_call_is_refused_and_the_worker_is_not_blamed() {
-    let worker = Worker::start(serving(|_| None));
-    let program = Program::start(&Site::of(&[&worker]));
-    let mut c = Client::to(program.address);
-    c.send("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_eq!(c.answer().map(|a| a.0), Some(200));
+    let worker = Worker::plain();
+    let process = GatewayProcess::start(&configuration_for(&[&worker]));
+    let mut client = Client::to(process.address);
+    client.send("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n");
+    assert_eq!(client.answer_status(), Some(200));
     // Not one more.
-    program.limit(0);
-    c.send(
+    process.limit_descriptors(0);
+    client.send(
         &Call {
             timeout_ms: 300,
             ..call(1)
@@ -104,69 +103,115 @@
         .text(),
     );
     assert_eq!(
-        c.answer().map(|a| a.0),
+        client.answer_status(),
         Some(503),
         "nothing was sent: trying again is harmless"
     );
-    program.limit(256);
-    c.send(&call(2).text());
-    assert_eq!(c.answer().map(|a| a.0), Some(200));
+    process.limit_descriptors(256);
+    client.send(&call(2).text());
+    assert_eq!(client.answer_status(), Some(200));
     // A worker under suspicion is asked whether it answers, at no load.
     let asks = worker
-        .all("provision")
+        .commands("provision")
         .into_iter()
-        .filter(|c| c.words[2].ends_with("replicas=0"));
+        .filter(|command| command.words[2].ends_with("replicas=0"));
     assert_eq!(asks.count(), 0);
 }
 
 #[test]
 fn a_connection_with_a_request_in_its_buffer_is_not_the_one_to_make_room() {
-    let mut worker = Peer::start();
+    let mut worker = ManualWorker::start();
     // Room for ten clients.
-    let mut hand = Hand::start(&Site {
+    let mut front_end = ManualFrontEnd::start(&PlatformConfiguration {
         sockets: 56,
-        ..Site::at(&[worker.address])
+        ..configuration_at(&[worker.address])
     });
     let mut idle = Vec::new();
     for id in 0..10 {
-        let mut c = hand.send(&call(id));
-        let came = hand.next(&mut worker, "fire");
-        worker.serve(&came);
-        assert_eq!(hand.answer(&mut c), 200);
-        idle.push(c);
+        let mut client = front_end.send(&call(id));
+        let command = front_end.next_command(&mut worker, "fire");
+        worker.serve(&command);
+        assert_eq!(front_end.answer(&mut client), 200);
+        idle.push(client);
     }
-    assert_eq!(hand.platform.clients().len(), 10);
+    assert_eq!(front_end.platform.clients().len(), 10);
     // The oldest asks again as a new client comes; the loop learns of both at once.
-    let mut new = hand.send(&call(20));
+    let mut new = front_end.send(&call(20));
     idle[0].send(&call(21).text());
     for _ in 0..2 {
-        let came = hand.next(&mut worker, "fire");
-        worker.serve(&came);
+        let command = front_end.next_command(&mut worker, "fire");
+        worker.serve(&command);
     }
     assert_eq!(
-        (hand.answer(&mut new), hand.answer(&mut idle[0])),
+        (front_end.answer(&mut new), front_end.answer(&mut idle[0])),
         (200, 200)
     );
-    hand.until("another gives way", |p| {
+    front_end.until("another gives way", |p| {
         (p.clients().len() <= 10).then_some(())
     });
 }
 
 #[test]
 fn a_flood_of_clients_that_connect_and_reset() {
-    let worker = Worker::start(serving(|_| None));
-    let program = Program::start(&Site {
+    let worker = Worker::plain();
+    let process = GatewayProcess::start(&PlatformConfiguration {
         sockets: SOCKETS,
-        ..Site::of(&[&worker])
+        ..configuration_for(&[&worker])
     });
-    program.limit(SOCKETS as u64);
+    process.limit_descriptors(SOCKETS as u64);
     for round in 0..10 {
-        program.halt();
+        process.suspend();
         for _ in 0..200 {
-            let c = TcpStream::connect(program.address).unwrap();
-            crate::hand::reset(&c);
+            let client = TcpStream::connect(process.address).unwrap();
+            reset_on_close(&client);
         }
-        program.resume();
-        assert_eq!(honest(&program, round), 200, "round {round}");
+        process.resume();
+        assert_eq!(honest(&process, round), 200, "round {round}");
     }
 }
+
+#[test]
+fn without_descriptors_accepting_rests_and_serving_goes_on() {
+    let worker = Worker::plain();
+    let reserved = reserve();
+    let port = reserved.address();
+    let path = write_configuration(&configuration_for(&[&worker]), port);
+    let mut child = Command::new("sh")
+        .args([
+            "-c",
+            "ulimit -n 32; exec \"$0\" --platform",
+            env!("CARGO_BIN_EXE_tansy-gateway"),
+        ])
+        .env("EDGE_CONFIG", &path)
+        .stdout(Stdio::null())
+        .spawn()
+        .unwrap();
+    until("it listens", || std::net::TcpStream::connect(port).is_ok());
+    let mut open = Client::to(port);
+    open.send(&call(1).text());
+    assert_eq!(open.answer_status(), Some(200));
+    // Far more than there are descriptors for; they say nothing, and give way or are closed in time.
+    let silent: Vec<Client> = (0..60).map(|_| Client::to(port)).collect();
+    open.send(&call(2).text());
+    assert_eq!(
+        open.answer_status(),
+        Some(200),
+        "on a connection that stands"
+    );
+    let mut new = Client::to(port);
+    new.send(&call(3).text());
+    assert_eq!(
+        new.answer_status(),
+        Some(200),
+        "on a new one, behind them all"
+    );
+    drop(silent);
+    let ticks = cpu_ticks(child.id());
+    assert!(
+        ticks < 60,
+        "{ticks} hundredths of a second of CPU: it spins"
+    );
+    kill_process(Pid::from_child(&child), Signal::TERM).unwrap();
+    assert_eq!(child.wait().unwrap().code(), Some(0));
+    std::fs::remove_file(path).unwrap();
+}
--- /dev/null
+++ b/programs/gateway/tests/platform/harness/mod.rs
@@ -0,0 +1,39 @@
+//! The surroundings of a front end under test, all on loopback and on ports that the kernel chooses.
+//!
+//! - [`front_end`]: a front end on a thread of its own. [`process`]: the program as a process. [`manual`]: one whose loop the test
+//!   runs step by step, with a worker and a coordinator that do nothing by themselves.
+//! - [`worker`], [`coordinator`], [`client`]: what it talks to. [`http`]: what these read and write.
+//! - [`configuration`]: what it is started with.
+//! - [`scenarios`]: states that several tests start from.
+//! - [`network`]: what the kernel knows of a connection.
+
+pub mod client;
+pub mod configuration;
+pub mod coordinator;
+pub mod front_end;
+pub mod http;
+pub mod manual;
+pub mod network;
+pub mod process;
+pub mod scenarios;
+pub mod worker;
+
+pub use client::{call, Call, Client};
+pub use configuration::{configuration_at, configuration_for, write_configuration, ANY_PORT};
+pub use coordinator::Coordinator;
+pub use front_end::FrontEnd;
+pub use http::reply;
+pub use network::unused_address;
+pub use tansy_test_support::platform_configuration::PlatformConfiguration;
+pub use worker::{array, held_back, served, serving, Worker};
+
+use std::time::{Duration, Instant};
+
+/// Waits until a condition holds, at most ten seconds.
+pub fn until(description: &str, mut holds: impl FnMut() -> bool) {
+    let end = Instant::now() + Duration::from_secs(10);
+    while !holds() {
+        assert!(Instant::now() < end, "not within 10 s: {description}");
+        std::thread::yield_now();
+    }
+}
--- a/programs/gateway/tests/platform/process.rs
+++ b/programs/gateway/tests/platform/harness/process.rs
@@ -1,15 +1,21 @@
 //! The program as a process of its own, which the test stops and lets go on: what happens meanwhile is all in the kernel
 //! before its loop runs again.
+//!
+//! `ServerProcess` of the tests' support does not fit here: with `--platform` the program prints no `ready` line, and tests signal
+//! it before it serves.
 
-use crate::stage::{until, Client, Site};
+use super::client::{call, Client};
+use super::configuration::write_configuration;
+use super::until;
 use rustix::process::{getrlimit, kill_process, prlimit, Pid, Resource, Rlimit, Signal};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Child, Command, ExitStatus, Stdio};
 use tansy_test_support::address::ReservedAddress;
+use tansy_test_support::platform_configuration::PlatformConfiguration;
 
 /// A front end's process; it ends with the value.
-pub struct Program {
+pub struct GatewayProcess {
     child: Child,
     pub address: SocketAddr,
     pub path: PathBuf,
@@ -17,7 +23,7 @@
     _reserved: Option<ReservedAddress>,
 }
 
-impl Drop for Program {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -30,20 +36,21 @@
     ReservedAddress::on([127, 0, 0, 1]).unwrap()
 }
 
-impl Program {
+impl GatewayProcess {
     /// Started, and it has answered that it is alive.
-    pub fn start(site: &Site) -> Program {
+    pub fn start(configuration: &PlatformConfiguration) -> GatewayProcess {
         let reserved = reserve();
         let address = reserved.address();
-        let mut program = Program::spawn(site.file(&address.to_string()), address);
-        program._reserved = Some(reserved);
-        program.serves();
-        program
+        let path = write_configuration(configuration, address);
+        let mut process = GatewayProcess::spawn(path, address);
+        process._reserved = Some(reserved);
+        process.wait_until_alive();
+        process
     }
 
     /// Started.
-    pub fn spawn(path: PathBuf, address: SocketAddr) -> Program {
-        Program::spawn_with(path, address, |_| {})
+    pub fn spawn(path: PathBuf, address: SocketAddr) -> GatewayProcess {
+        GatewayProcess::spawn_with(path, address, |_| {})
     }
 
     /// Started, with more on its command line or in its environment.
@@ -51,7 +58,7 @@
         path: PathBuf,
         address: SocketAddr,
         more: impl FnOnce(&mut Command),
-    ) -> Program {
+    ) -> GatewayProcess {
         let mut command = Command::new(env!("CARGO_BIN_EXE_tansy-gateway"));
         command
             .arg("--platform")
@@ -60,7 +67,7 @@
             .stderr(Stdio::null());
         more(&mut command);
         let child = command.spawn().unwrap();
-        Program {
+        GatewayProcess {
             child,
             address,
             path,
@@ -69,54 +76,64 @@
     }
 
     /// Started with these faults of its system calls (`tests/fault-shim`).
-    pub fn spawn_under(site: &Site, address: SocketAddr, rules: &str) -> Program {
-        Program::spawn_under_with(site, address, rules, |_| {})
+    pub fn spawn_with_faults(
+        configuration: &PlatformConfiguration,
+        address: SocketAddr,
+        rules: &str,
+    ) -> GatewayProcess {
+        GatewayProcess::spawn_with_faults_and(configuration, address, rules, |_| {})
     }
 
     /// The same, with more on its command line or in its environment.
-    pub fn spawn_under_with(
-        site: &Site,
+    pub fn spawn_with_faults_and(
+        configuration: &PlatformConfiguration,
         address: SocketAddr,
         rules: &str,
         more: impl FnOnce(&mut Command),
-    ) -> Program {
-        Program::spawn_with(site.file(&address.to_string()), address, |command| {
-            command
-                .env("LD_PRELOAD", tansy_soak::shim::library())
-                .env("FAULT_RULES", rules)
-                .env("FAULT_SEED", "7");
-            more(command);
-        })
+    ) -> GatewayProcess {
+        GatewayProcess::spawn_with(
+            write_configuration(configuration, address),
+            address,
+            |command| {
+                command
+                    .env("LD_PRELOAD", tansy_soak::shim::library())
+                    .env("FAULT_RULES", rules)
+                    .env("FAULT_SEED", "7");
+                more(command);
+            },
+        )
     }
 
     /// Waits until it has answered that it is alive.
-    pub fn serves(&self) {
+    pub fn wait_until_alive(&self) {
         until("it listens", || {
             std::net::TcpStream::connect(self.address).is_ok()
         });
         let mut alive = Client::to(self.address);
         alive.send("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n");
-        assert_eq!(alive.answer().map(|a| a.0), Some(200));
+        assert_eq!(alive.answer_status(), Some(200));
     }
 
+    /// Its id.
     pub fn pid(&self) -> Pid {
         Pid::from_child(&self.child)
     }
+    /// Sends it a signal.
     pub fn signal(&self, signal: Signal) {
         kill_process(self.pid(), signal).unwrap();
     }
 
-    /// Its loop does not run from here on ...
-    pub fn halt(&self) {
+    /// Suspends it: its loop does not run until [`GatewayProcess::resume`].
+    pub fn suspend(&self) {
         self.signal(Signal::STOP);
-        until("it is halted", || self.state() == "T");
+        until("it is suspended", || self.state() == "T");
     }
-    /// ... to here.
+    /// Lets it go on.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Its state in the kernel's table: `S` waits, `T` is halted.
+    /// Its state in the kernel's table: `S` waits, `T` is suspended.
     pub fn state(&self) -> String {
         let stat =
             std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
@@ -124,7 +141,7 @@
         after.split(' ').next().unwrap_or("").to_string()
     }
     /// Whether it takes up signals by itself: these three, and not all, as a process does that is about to become it.
-    pub fn takes_signals(&self) -> bool {
+    pub fn handles_signals(&self) -> bool {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
             .unwrap_or_default();
         let line = status.lines().find_map(|l| l.strip_prefix("SigBlk:"));
@@ -132,22 +149,15 @@
         line.and_then(|l| u64::from_str_radix(l.trim(), 16).ok()) == Some(bits.iter().sum())
     }
     /// Processor time it has used, hundredths of a second.
-    pub fn ticks(&self) -> u64 {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
-        let after = stat.rsplit(')').next().unwrap_or("");
-        after
-            .split_whitespace()
-            .skip(11)
-            .take(2)
-            .filter_map(|t| t.parse::<u64>().ok())
-            .sum()
+    pub fn cpu_ticks(&self) -> u64 {
+        cpu_ticks(self.child.id())
     }
     /// Descriptors it holds.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
     /// It may hold so many descriptors from here on.
-    pub fn limit(&self, descriptors: u64) {
+    pub fn limit_descriptors(&self, descriptors: u64) {
         let limit = Rlimit {
             current: Some(descriptors),
             ..getrlimit(Resource::Nofile)
@@ -155,12 +165,35 @@
         prlimit(Some(self.pid()), Resource::Nofile, limit).unwrap();
     }
 
-    /// Its exit code; none: a signal ended it.
-    pub fn ends(&mut self) -> Option<i32> {
-        self.ended().code()
+    /// Its exit code once it has ended; none: a signal ended it.
+    pub fn exit_code(&mut self) -> Option<i32> {
+        self.wait().code()
     }
     /// How it ends.
-    pub fn ended(&mut self) -> ExitStatus {
+    pub fn wait(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
+    /// Sends it SIGTERM: its exit code; none: a signal ended it.
+    pub fn terminate(&mut self) -> Option<i32> {
+        self.signal(Signal::TERM);
+        self.exit_code()
+    }
+
+    /// A client's connection that has been answered one call.
+    pub fn warm_client(&self) -> Client {
+        let mut client = Client::to(self.address);
+        client.send(&call(1).text());
+        assert_eq!(client.answer_status(), Some(200));
+        client
+    }
+}
+
+/// Processor time that a process has used, hundredths of a second.
+pub fn cpu_ticks(pid: u32) -> u64 {
+    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
+    let after_name = stat.rsplit(')').next().unwrap_or("");
+    let user_and_system = after_name.split_whitespace().skip(11).take(2);
+    user_and_system
+        .filter_map(|ticks| ticks.parse::<u64>().ok())
+        .sum()
 }
--- /dev/null
+++ b/programs/gateway/tests/platform/harness/worker.rs
@@ -0,0 +1,162 @@
+//! A worker on threads of its own, which answers each command as the test's script says.
+
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::mpsc::{channel, Sender};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tansy_resp::{Limits, Reader};
+
+/// Bounds of the commands that workers of these tests read.
+pub const BOUNDS: Limits = Limits {
+    string: 64 * 1024,
+    strings: 4,
+};
+
+/// One command that reached a worker.
+#[derive(Clone, Debug)]
+pub struct WorkerCommand {
+    /// Number of its connection, in the order accepted.
+    pub connection: usize,
+    /// Its strings.
+    pub words: Vec<String>,
+}
+
+impl WorkerCommand {
+    /// Reads one from the strings of an array.
+    pub fn read(connection: usize, strings: &[&[u8]]) -> WorkerCommand {
+        let words = strings
+            .iter()
+            .map(|s| String::from_utf8_lossy(s).into_owned())
+            .collect();
+        WorkerCommand { connection, words }
+    }
+
+    /// Its name on the wire.
+    pub fn name(&self) -> &str {
+        &self.words[0]
+    }
+
+    /// The id of its request, or its tag.
+    pub fn id(&self) -> &str {
+        &self.words[1]
+    }
+}
+
+/// What a worker does about a command: bytes to write, and whether the connection goes on.
+pub type Script = Box<dyn FnMut(&WorkerCommand) -> (Vec<u8>, bool) + Send>;
+
+/// One array as bytes.
+pub fn array(words: &[&str]) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    let words: Vec<&[u8]> = words.iter().map(|word| word.as_bytes()).collect();
+    tansy_resp::write_array(&mut bytes, &words);
+    bytes
+}
+
+/// A script that loads at once and serves each call with its own body; `irregular` may do otherwise for one `fire`.
+pub fn serving(
+    mut irregular: impl FnMut(&WorkerCommand) -> Option<(Vec<u8>, bool)> + Send + 'static,
+) -> Script {
+    Box::new(move |command| match command.name() {
+        "provision" => (loaded(command), true),
+        "fire" => irregular(command).unwrap_or_else(|| (served(command), true)),
+        _ => (Vec::new(), true),
+    })
+}
+
+/// The answer that serves a call.
+pub fn served(command: &WorkerCommand) -> Vec<u8> {
+    array(&[command.id(), "200", "n=ready", &command.words[3]])
+}
+
+/// The answer to a load that is done.
+pub fn loaded(command: &WorkerCommand) -> Vec<u8> {
+    array(&[command.id(), "200", "replicas=1", ""])
+}
+
+/// A worker that serves, and answers the calls whose id ends so only when the test sends a word for each.
+pub fn held_back(id_endings: &'static [char]) -> (Worker, Sender<()>) {
+    let (release, released) = channel::<()>();
+    let worker = Worker::start(serving(move |command| {
+        if command.id().ends_with(id_endings) {
+            let _ = released.recv_timeout(Duration::from_secs(5));
+        }
+        None
+    }));
+    (worker, release)
+}
+
+/// A worker that runs.
+pub struct Worker {
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Every command that came.
+    pub log: Arc<Mutex<Vec<WorkerCommand>>>,
+    /// Connections that ended.
+    pub ended: Arc<AtomicU64>,
+}
+
+impl Worker {
+    /// Starts one that serves every call.
+    pub fn plain() -> Worker {
+        Worker::start(serving(|_| None))
+    }
+
+    /// Starts one.
+    pub fn start(script: Script) -> Worker {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let worker = Worker {
+            address: listener.local_addr().unwrap(),
+            log: Arc::default(),
+            ended: Arc::default(),
+        };
+        let (log, ended) = (worker.log.clone(), worker.ended.clone());
+        let script = Arc::new(Mutex::new(script));
+        std::thread::spawn(move || {
+            for (connection, socket) in listener.incoming().enumerate() {
+                let Ok(socket) = socket else { return };
+                let (script, log, ended) = (script.clone(), log.clone(), ended.clone());
+                std::thread::spawn(move || {
+                    let _ = Worker::serve(socket, connection, &script, &log);
+                    ended.fetch_add(1, Ordering::SeqCst);
+                });
+            }
+        });
+        worker
+    }
+
+    fn serve(
+        mut socket: TcpStream,
+        connection: usize,
+        script: &Mutex<Script>,
+        log: &Mutex<Vec<WorkerCommand>>,
+    ) -> std::io::Result<()> {
+        let mut reader = Reader::new(BOUNDS);
+        let mut buffer = [0u8; 4096];
+        loop {
+            let length = socket.read(&mut buffer)?;
+            if length == 0 {
+                return Ok(());
+            }
+            reader.push_bytes(&buffer[..length]);
+            while let Ok(Some(strings)) = reader.next_array() {
+                let command = WorkerCommand::read(connection, &strings);
+                log.lock().unwrap().push(command.clone());
+                let (bytes, goes_on) = (script.lock().unwrap())(&command);
+                socket.write_all(&bytes)?;
+                if !goes_on {
+                    return Ok(());
+                }
+            }
+        }
+    }
+
+    /// The commands of one name so far.
+    pub fn commands(&self, name: &str) -> Vec<WorkerCommand> {
+        let log = self.log.lock().unwrap();
+        let named = log.iter().filter(|command| command.name() == name);
+        named.cloned().collect()
+    }
+}
--- /dev/null
+++ b/programs/gateway/tests/platform/requests.rs
@@ -0,0 +1,187 @@
+//! What clients send: good calls are served, and what is not a call goes to no worker.
+
+use crate::harness::*;
+use std::io::Write;
+use std::time::{Duration, Instant};
+
+#[test]
+fn a_call_is_served_with_the_workers_body_and_the_connection_goes_on() {
+    let worker = Worker::plain();
+    let front_end = FrontEnd::start(&configuration_for(&[&worker]));
+    let mut client = front_end.connect();
+    for id in 1..=3 {
+        client.send(&call(id).text());
+        assert_eq!(client.answer(), Some((200, format!("body {id}"))));
+    }
+    let calls = worker.commands("fire");
+    assert_eq!(calls.len(), 3);
+    assert_eq!(calls[0].words[1], "0000000000000001");
+    let fields = &calls[0].words[2];
+    assert!(
+        fields.starts_with("sort=safe,asset=0000000000000007,patience="),
+        "{fields}"
+    );
+    client.send("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n");
+    assert_eq!(client.answer_status(), Some(200));
+    assert_eq!(worker.commands("provision").len(), 1);
+}
+
+#[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one table or one history, read from top to bottom"
+)]
+fn what_is_not_the_pages_form_goes_to_no_worker() {
+    let worker = Worker::plain();
+    let front_end = FrontEnd::start(&configuration_for(&[&worker]));
+    let good = call(1);
+    let with = |name: &'static str, value: &str| {
+        let mut headers = good.headers();
+        headers.insert(name, value.to_string());
+        good.text_with(&headers, "")
+    };
+    let without = |name: &'static str| {
+        let mut headers = good.headers();
+        headers.remove(name);
+        good.text_with(&headers, "")
+    };
+    let mut bad = vec![
+        "\u{16}\u{3}\u{1}noise\r\n\r\n".to_string(),
+        "GET / HTTP/1.1\r\n\r\n".to_string(),
+        good.text().replace("HTTP/1.1", "HTTP/1.0"),
+        good.text().replace("/call", "/other"),
+        good.text().replace("POST", "PUT"),
+        good.text_with(&good.headers(), "Transfer-Encoding: chunked\r\n"),
+        good.text_with(&good.headers(), "Content-Length: 6\r\n"),
+        format!("POST / HTTP/1.1\r\nX: {}", "y".repeat(100_000)),
+        with("Content-Length", "60000000"),
+        format!("{}{}", good.text(), call(2).text()),
+    ];
+    for (name, values) in [
+        (
+            "Content-Length",
+            &["-1", "+6", "6,6", "99999999999999999999", "0x6", "5"][..],
+        ),
+        ("X-Class", &["none", ""]),
+        ("X-Request-Id", &["", "1", "zzzzzzzzzzzzzzzz"]),
+        (
+            "X-Timeout-Ms",
+            &["0", "-5", "abc", "1e9", "99999999", "nan"],
+        ),
+        (
+            "X-Extras",
+            &[
+                "memory_mb:300",
+                "memory_mb:-1;lanes:1",
+                "memory_mb:1e9;lanes:1",
+                "lanes:x;memory_mb:1",
+                "-",
+            ],
+        ),
+    ] {
+        bad.extend(values.iter().map(|v| with(name, v)));
+        bad.push(without(name));
+    }
+    for text in bad {
+        let began = Instant::now();
+        let mut client = front_end.connect();
+        client.send(&text);
+        let status = client.answer_status();
+        let name: String = text.chars().take(400).collect();
+        assert!(
+            status.is_some_and(|s| (400..600).contains(&s) && s != 503 && s != 429),
+            "{status:?} to {name:?}"
+        );
+        assert!(
+            client.ends_within(Duration::from_secs(3)),
+            "still open: {name:?}"
+        );
+        assert!(began.elapsed() < Duration::from_secs(3));
+    }
+    assert_eq!(front_end.call(&call(9)).0, 200);
+    assert_eq!(worker.commands("fire").len(), 1, "only the good one");
+}
+
+#[test]
+fn a_body_of_60_mb_gets_its_answer_while_it_is_still_being_sent() {
+    let worker = Worker::plain();
+    let front_end = FrontEnd::start(&configuration_for(&[&worker]));
+    let mut client = front_end.connect();
+    let mut sender = client.socket.try_clone().unwrap();
+    let began = Instant::now();
+    let sending = std::thread::spawn(move || {
+        let mut headers = call(1).headers();
+        headers.insert("Content-Length", "60000000".into());
+        let _ = sender.write_all(
+            Call {
+                body: String::new(),
+                ..call(1)
+            }
+            .text_with(&headers, "")
+            .as_bytes(),
+        );
+        let block = vec![b'x'; 1 << 20];
+        for _ in 0..60 {
+            if sender.write_all(&block).is_err() {
+                return;
+            }
+        }
+    });
+    assert_eq!(client.answer_status(), Some(413));
+    assert!(began.elapsed() < Duration::from_secs(3));
+    sending.join().unwrap();
+    assert_eq!(front_end.call(&call(2)).0, 200);
+}
+
+#[test]
+fn the_id_of_an_open_request_is_turned_away_and_the_open_one_is_served() {
+    let (worker, release) = held_back(&['1']);
+    let front_end = FrontEnd::start(&configuration_for(&[&worker]));
+    let mut first = front_end.connect();
+    first.send(&call(1).text());
+    until("the first call is out", || {
+        worker.commands("fire").len() == 1
+    });
+    let other = Call {
+        body: "another".into(),
+        ..call(1)
+    };
+    assert_eq!(front_end.call(&other).0, 409);
+    release.send(()).unwrap();
+    assert_eq!(first.answer(), Some((200, "body 1".into())));
+    assert_eq!(worker.commands("fire").len(), 1);
+    // Once it is answered its id is free again.
+    assert_eq!(front_end.call(&call(2)).0, 200);
+    assert_eq!(front_end.stop().driver, [0, 0, 0, 1]);
+}
+
+#[test]
+fn a_client_that_leaves_or_sends_more_has_its_attempt_given_up() {
+    for more in [false, true] {
+        let worker = Worker::start(serving(|command| {
+            (command.id().ends_with('1')).then(|| (Vec::new(), true))
+        }));
+        let front_end = FrontEnd::start(&configuration_for(&[&worker]));
+        let mut client = front_end.connect();
+        client.send(&call(1).text());
+        until("the call is out", || worker.commands("fire").len() == 1);
+        if more {
+            client.send(&call(3).text());
+            assert_eq!(client.answer_status(), Some(400));
+        }
+        drop(client);
+        until("it is given up", || {
+            worker.commands("never_mind").len() == 1
+        });
+        assert_eq!(
+            worker.commands("never_mind")[0].words[1],
+            "0000000000000001"
+        );
+        assert_eq!(front_end.call(&call(2)).0, 200);
+        assert_eq!(
+            worker.commands("fire").len(),
+            2,
+            "what came beside an open call goes nowhere"
+        );
+    }
+}
--- a/programs/gateway/tests/platform/settings.rs
+++ b/programs/gateway/tests/platform/settings.rs
@@ -1,19 +1,19 @@
 //! Settings of any customer: drawn at random within what is valid, each tried with a few calls. Every call has one answer
 //! in its time, under the names that the settings give, and a configuration that makes no sense ends the start.
 
-use crate::hand::{Hand, Peer};
-use crate::stage::*;
+use crate::harness::manual::{ManualFrontEnd, ManualWorker};
+use crate::harness::*;
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-struct Drawn {
+struct DrawnSettings {
     text: String,
     classes: Vec<(String, bool, u64)>,
     attempts: u64,
 }
 
 /// A name that no part of the program could know.
-fn name(rng: &mut fastrand::Rng) -> String {
+fn draw_name(rng: &mut fastrand::Rng) -> String {
     (0..rng.usize(1..12))
         .map(|_| *rng.choice(b"abcxyz-_.0189").unwrap_or(&b'x') as char)
         .collect()
@@ -23,14 +23,14 @@
     clippy::too_many_lines,
     reason = "one table or one history, read from top to bottom"
 )]
-fn draw(rng: &mut fastrand::Rng, listen: &str, worker: &Peer) -> Drawn {
+fn draw_settings(rng: &mut fastrand::Rng, listen: &str, worker: &ManualWorker) -> DrawnSettings {
     let zones: Vec<String> = (0..rng.usize(0..4))
-        .map(|_| format!("\"{}\"", name(rng)))
+        .map(|_| format!("\"{}\"", draw_name(rng)))
         .collect();
     let mut classes = Vec::new();
     let mut texts = Vec::new();
     for n in 0..rng.usize(1..6) {
-        let (name, deadline) = (format!("{}{n}", name(rng)), rng.u64(200..900));
+        let (name, deadline) = (format!("{}{n}", draw_name(rng)), rng.u64(200..900));
         let effect = *rng
             .choice(&["read_like", "idempotency_key", "non_idempotent"])
             .unwrap_or(&"read_like");
@@ -63,13 +63,13 @@
         "load_free":{},"load_part":{},"load_period_s":{},"when_absent":"{}"}},"tick_s":{}}}}}"#,
         rng.u64(..),
         rng.usize(20..2000),
-        nobody(),
+        unused_address(),
         worker.address,
         rng.f64() * 10.0,
         rng.usize(0..siblings),
         zones.join(","),
         texts.join(","),
-        name(rng),
+        draw_name(rng),
         rng.bool(),
         0.02 + rng.f64(),
         rng.f64() * 40.0,
@@ -94,7 +94,7 @@
         rng.choice(&["miss", "load"]).unwrap_or(&"miss"),
         rng.f64() * 0.01,
     );
-    Drawn {
+    DrawnSettings {
         text,
         classes,
         attempts,
@@ -110,9 +110,9 @@
     let mut rng = fastrand::Rng::with_seed(33);
     let mut served = 0;
     for round in 0..60 {
-        let mut worker = Peer::start();
-        let drawn = draw(&mut rng, "127.0.0.1:0", &worker);
-        let mut hand = Hand::of(&drawn.text);
+        let mut worker = ManualWorker::start();
+        let drawn = draw_settings(&mut rng, "127.0.0.1:0", &worker);
+        let mut front_end = ManualFrontEnd::with_text(&drawn.text);
         let mut open = Vec::new();
         for id in 0..6u64 {
             let (class, keyed, deadline) = rng.choice(&drawn.classes).expect("one").clone();
@@ -128,28 +128,28 @@
             };
             let mut headers = call.headers();
             headers.insert("X-Class", class.clone());
-            let mut client = Client::to(hand.platform.address());
+            let mut client = Client::to(front_end.platform.address());
             client.send(&call.text_with(&headers, &key));
             open.push((client, id, class, deadline));
         }
-        let odd = rng.usize(0..5);
+        let irregular = rng.usize(0..5);
         for (client, id, class, deadline) in &mut open {
-            client.0.set_nonblocking(true).unwrap();
+            client.socket.set_nonblocking(true).unwrap();
             let began = std::time::Instant::now();
-            hand.until("an answer", |_| {
-                while let Some(came) = worker.take("fire") {
+            front_end.until("an answer", |_| {
+                while let Some(command) = worker.next_command("fire") {
                     // Now and then one that is turned away, missed, or fails.
-                    match odd {
-                        0 => worker.say(&came, "503", "-"),
-                        1 => worker.say(&came, "404", "-"),
-                        2 => worker.say(&came, "500", "-"),
-                        _ => worker.serve(&came),
+                    match irregular {
+                        0 => worker.answer(&command, "503", "-"),
+                        1 => worker.answer(&command, "404", "-"),
+                        2 => worker.answer(&command, "500", "-"),
+                        _ => worker.serve(&command),
                     }
                 }
-                crate::hand::readable(&client.0)
+                crate::harness::manual::readable(&client.socket)
             });
             let waited = began.elapsed();
-            let status = hand.answer(client);
+            let status = front_end.answer(client);
             served += u32::from(status == 200);
             assert!(
                 [200, 502, 503, 504].contains(&status),
@@ -160,32 +160,34 @@
                 "round {round}: {waited:?} of {deadline}"
             );
             let sort = format!("sort={class},");
-            let fires = worker
+            let calls = worker
                 .log
                 .iter()
-                .filter(|c| c.words[0] == "fire" && c.id() == format!("{id:016x}"));
-            let fires: Vec<_> = fires.collect();
+                .filter(|command| command.name() == "fire" && command.id() == format!("{id:016x}"));
+            let calls: Vec<_> = calls.collect();
             assert!(
-                fires.iter().all(|c| c.words[2].starts_with(&sort)),
-                "round {round}: {fires:?}"
+                calls
+                    .iter()
+                    .all(|command| command.words[2].starts_with(&sort)),
+                "round {round}: {calls:?}"
             );
             assert!(
-                fires.len() as u64 <= drawn.attempts,
-                "round {round}: {fires:?}"
+                calls.len() as u64 <= drawn.attempts,
+                "round {round}: {calls:?}"
             );
         }
     }
     assert!(
         served > 100,
-        "{served} of 360 served: the play is to serve most"
+        "{served} of 360 served: most are to be served"
     );
 }
 
 #[test]
 fn a_configuration_that_makes_no_sense_ends_the_start_with_one_line() {
-    let worker = Worker::start(serving(|_| None));
-    let text = Site::of(&[&worker]).text("127.0.0.1:0");
-    for (good, bad, said) in [
+    let worker = Worker::plain();
+    let text = configuration_for(&[&worker]).text(ANY_PORT);
+    for (valid, invalid, message) in [
         (
             r#""siblings":1"#,
             r#""siblings":0"#,
@@ -205,21 +207,21 @@
         (r#"{"name""#, "", "line 1 column"),
     ] {
         let path = std::env::temp_dir().join(format!("tansy-absurd-{}.json", std::process::id()));
-        let changed = text.replacen(good, bad, 1);
-        assert_ne!(changed, text, "{good}");
+        let changed = text.replacen(valid, invalid, 1);
+        assert_ne!(changed, text, "{valid}");
         std::fs::write(&path, changed).unwrap();
-        let out = Command::new(env!("CARGO_BIN_EXE_tansy-gateway"))
+        let output = Command::new(env!("CARGO_BIN_EXE_tansy-gateway"))
             .arg("--platform")
             .env("EDGE_CONFIG", &path)
             .stdout(Stdio::null())
             .output()
             .unwrap();
         std::fs::remove_file(&path).unwrap();
-        let line = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert_eq!(out.status.code(), Some(2), "{line}");
+        let line = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{line}");
         assert!(
-            line.lines().count() == 1 && line.contains(said),
-            "{bad}: {line}"
+            line.lines().count() == 1 && line.contains(message),
+            "{invalid}: {line}"
         );
     }
 }
--- a/programs/gateway/tests/platform/together.rs
+++ b/programs/gateway/tests/platform/together.rs
@@ -2,8 +2,9 @@
 //! told to end and starts again, one is killed, one stands still for a while, a worker drains. Judged from what clients
 //! got and what workers saw.
 
-use crate::process::{reserve, Program};
-use crate::stage::*;
+use crate::harness::http::read_head;
+use crate::harness::process::{reserve, GatewayProcess};
+use crate::harness::*;
 use rustix::process::Signal;
 use std::collections::{HashMap, HashSet};
 use std::io::Write;
@@ -17,37 +18,37 @@
 const FRONT_ENDS: usize = 4;
 const CLIENTS_EACH: usize = 2;
 
-/// The list, told to whoever polls it.
+/// A coordinator that serves one list to all who poll it.
 #[derive(Clone)]
-struct Board {
+struct SharedCoordinator {
     address: SocketAddr,
     events: Arc<Mutex<Vec<String>>>,
-    /// The last event that each poll had, in the order they came.
-    told: Arc<Mutex<Vec<u64>>>,
+    /// The last event that each poll had, in the order in which they came.
+    replied: Arc<Mutex<Vec<u64>>>,
 }
 
-impl Board {
-    fn start() -> Board {
+impl SharedCoordinator {
+    fn start() -> SharedCoordinator {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let board = Board {
+        let coordinator = SharedCoordinator {
             address,
             events: Arc::default(),
-            told: Arc::default(),
+            replied: Arc::default(),
         };
-        let b = board.clone();
+        let shared = coordinator.clone();
         std::thread::spawn(move || {
             for socket in listener.incoming().flatten() {
-                let board = b.clone();
-                std::thread::spawn(move || board.serve(&socket));
+                let coordinator = shared.clone();
+                std::thread::spawn(move || coordinator.serve(&socket));
             }
         });
-        board
+        coordinator
     }
 
     fn serve(&self, socket: &TcpStream) -> Option<()> {
         loop {
-            let head = head(socket)?;
+            let head = read_head(socket)?;
             let target = head.split(' ').nth(1)?.to_string();
             let follow: usize = target
                 .split("follow=")
@@ -58,7 +59,7 @@
                 .ok()?;
             let began = Instant::now();
             // The first event is in the configuration.
-            let news = loop {
+            let (newest, updates) = loop {
                 let events = self.events.lock().unwrap();
                 if events.len() + 1 > follow || began.elapsed() > Duration::from_millis(900) {
                     let later: Vec<String> = events.iter().skip(follow - 1).cloned().collect();
@@ -67,13 +68,13 @@
                 drop(events);
                 std::thread::yield_now();
             };
-            self.told.lock().unwrap().push(news.0 as u64);
-            let text = format!(r#"{{"index":{},"updates":[{}]}}"#, news.0, news.1);
+            self.replied.lock().unwrap().push(newest as u64);
+            let text = format!(r#"{{"index":{newest},"updates":[{updates}]}}"#);
             (&*socket).write_all(&reply(&text)).ok()?;
         }
     }
 
-    fn tell(&self, id: &str, address: SocketAddr, state: &str) {
+    fn publish(&self, id: &str, address: SocketAddr, state: &str) {
         let mut events = self.events.lock().unwrap();
         let index = events.len() + 2;
         events.push(format!(
@@ -83,8 +84,8 @@
     }
 }
 
-/// How a front end stands with the front that sends it clients.
-struct Place {
+/// What clients know of a front end.
+struct FrontEndStatus {
     address: SocketAddr,
     /// New requests go there.
     open: AtomicBool,
@@ -94,37 +95,37 @@
 
 /// One call's end, as its client saw it.
 #[derive(Debug)]
-enum End {
+enum CallEnd {
     Answer(u16, bool),
     Lost,
 }
 
 struct Clients {
-    places: Vec<Place>,
+    front_ends: Vec<FrontEndStatus>,
     next: AtomicU64,
     stop: AtomicBool,
     answered: AtomicU64,
-    ends: Mutex<HashMap<u64, (usize, End)>>,
-    /// Held to write by a test that closes a place: no client is between looking and sending then.
+    ends: Mutex<HashMap<u64, (usize, CallEnd)>>,
+    /// Held to write by a test that closes a front end: no client is between checking and sending then.
     gate: RwLock<()>,
 }
 
 impl Clients {
     fn run(self: &Arc<Self>, at: usize) -> JoinHandle<()> {
-        let all = self.clone();
+        let clients = self.clone();
         std::thread::spawn(move || {
             let mut connection: Option<Client> = None;
-            while !all.stop.load(Ordering::SeqCst) {
-                let place = &all.places[at];
-                let gate = all.gate.read().unwrap();
-                if !place.open.load(Ordering::SeqCst) {
+            while !clients.stop.load(Ordering::SeqCst) {
+                let front_end = &clients.front_ends[at];
+                let gate = clients.gate.read().unwrap();
+                if !front_end.open.load(Ordering::SeqCst) {
                     drop(gate);
                     connection = None;
                     std::thread::yield_now();
                     continue;
                 }
-                let id = all.next.fetch_add(1, Ordering::SeqCst);
-                let killed = place.killed.load(Ordering::SeqCst);
+                let id = clients.next.fetch_add(1, Ordering::SeqCst);
+                let killed = front_end.killed.load(Ordering::SeqCst);
                 let call = Call {
                     function: id % 3,
                     ..call(id)
@@ -136,21 +137,21 @@
                 };
                 let mut client = connection
                     .take()
-                    .unwrap_or_else(|| Client::to(place.address));
+                    .unwrap_or_else(|| Client::to(front_end.address));
                 client.send(&call.text());
                 drop(gate);
                 let end = match client.answer() {
                     Some((status, body)) => {
                         connection = Some(client);
-                        all.answered.fetch_add(1, Ordering::SeqCst);
-                        End::Answer(status, body == call.body)
+                        clients.answered.fetch_add(1, Ordering::SeqCst);
+                        CallEnd::Answer(status, body == call.body)
                     }
-                    None if place.killed.load(Ordering::SeqCst) > killed => continue,
-                    None => End::Lost,
+                    None if front_end.killed.load(Ordering::SeqCst) > killed => continue,
+                    None => CallEnd::Lost,
                 };
-                all.ends.lock().unwrap().insert(id, (at, end));
+                clients.ends.lock().unwrap().insert(id, (at, end));
                 // An answer may say that the connection ends.
-                connection = connection.filter(|c| !c.ended());
+                connection = connection.filter(|client| !client.ended());
             }
         })
     }
@@ -158,10 +159,10 @@
     /// No request goes there from here on.
     fn close(&self, at: usize) {
         let _none = self.gate.write().unwrap();
-        self.places[at].open.store(false, Ordering::SeqCst);
+        self.front_ends[at].open.store(false, Ordering::SeqCst);
     }
     fn open(&self, at: usize) {
-        self.places[at].open.store(true, Ordering::SeqCst);
+        self.front_ends[at].open.store(true, Ordering::SeqCst);
     }
     /// Waits until so many more calls have been answered.
     fn more(&self, calls: u64) {
@@ -178,27 +179,28 @@
     reason = "one table or one history, read from top to bottom"
 )]
 fn some_end_some_are_killed_and_one_stands_still() {
-    let workers: Vec<Worker> = (0..3).map(|_| Worker::start(serving(|_| None))).collect();
-    let board = Board::start();
-    let site = Site {
-        coordinator: board.address,
-        ..Site::of(&workers.iter().collect::<Vec<_>>())
+    let workers: Vec<Worker> = (0..3).map(|_| Worker::plain()).collect();
+    let coordinator = SharedCoordinator::start();
+    let configuration = PlatformConfiguration {
+        coordinator: coordinator.address,
+        ..configuration_for(&workers.iter().collect::<Vec<_>>())
     };
     let start = |address: SocketAddr| {
-        let program = Program::spawn(site.file(&address.to_string()), address);
-        program.serves();
-        program
+        let process = GatewayProcess::spawn(write_configuration(&configuration, address), address);
+        process.wait_until_alive();
+        process
     };
     let reserved: Vec<ReservedAddress> = (0..FRONT_ENDS).map(|_| reserve()).collect();
     let addresses: Vec<SocketAddr> = reserved.iter().map(ReservedAddress::address).collect();
-    let mut programs: Vec<Option<Program>> = addresses.iter().map(|a| Some(start(*a))).collect();
-    let place = |address: &SocketAddr| Place {
+    let mut processes: Vec<Option<GatewayProcess>> =
+        addresses.iter().map(|a| Some(start(*a))).collect();
+    let front_end = |address: &SocketAddr| FrontEndStatus {
         address: *address,
         open: AtomicBool::new(true),
         killed: AtomicU64::new(0),
     };
     let clients = Arc::new(Clients {
-        places: addresses.iter().map(place).collect(),
+        front_ends: addresses.iter().map(front_end).collect(),
         next: AtomicU64::new(1),
         stop: AtomicBool::new(false),
         answered: AtomicU64::new(0),
@@ -211,24 +213,24 @@
     for round in 0..3 {
         clients.more(60);
         // One is told to end while calls come, and starts again under its address.
-        let program = programs[0].as_mut().unwrap();
-        program.signal(Signal::TERM);
+        let process = processes[0].as_mut().unwrap();
+        process.signal(Signal::TERM);
         clients.more(20);
         clients.close(0);
-        assert_eq!(program.ends(), Some(0), "round {round}");
-        programs[0] = Some(start(addresses[0]));
+        assert_eq!(process.exit_code(), Some(0), "round {round}");
+        processes[0] = Some(start(addresses[0]));
         clients.open(0);
         // One is killed outright, with a call of each of its clients in its buffers.
-        programs[1].as_ref().unwrap().halt();
+        processes[1].as_ref().unwrap().suspend();
         clients.more(60);
         clients.close(1);
-        clients.places[1].killed.fetch_add(1, Ordering::SeqCst);
-        drop(programs[1].take());
-        programs[1] = Some(start(addresses[1]));
+        clients.front_ends[1].killed.fetch_add(1, Ordering::SeqCst);
+        drop(processes[1].take());
+        processes[1] = Some(start(addresses[1]));
         clients.open(1);
         // One stands still while the others go on, and a worker drains or comes back meanwhile.
-        let program = programs[2].as_ref().unwrap();
-        program.halt();
+        let process = processes[2].as_ref().unwrap();
+        process.suspend();
         clients.more(60);
         let (drains, state) = (
             &workers[0],
@@ -238,30 +240,33 @@
                 "Ready"
             },
         );
-        board.tell("s-0", drains.address, state);
-        let events = board.events.lock().unwrap().len() as u64 + 1;
-        program.resume();
+        coordinator.publish("s-0", drains.address, state);
+        let events = coordinator.events.lock().unwrap().len() as u64 + 1;
+        process.resume();
         // Each has polled again with that event in hand: the answer to its next poll has been asked for.
-        let told = || {
-            board
-                .told
+        let replies_with_it = || {
+            coordinator
+                .replied
                 .lock()
                 .unwrap()
                 .iter()
                 .filter(|i| **i == events)
                 .count()
         };
-        until("all have been told", || told() >= 2 * FRONT_ENDS);
+        until("all have been told", || replies_with_it() >= 2 * FRONT_ENDS);
         if state == "Terminating" {
-            let (fires, loads) = (drains.all("fire").len(), drains.all("provision").len());
+            let (calls, loads) = (
+                drains.commands("fire").len(),
+                drains.commands("provision").len(),
+            );
             clients.more(60);
             assert_eq!(
-                drains.all("fire").len(),
-                fires,
+                drains.commands("fire").len(),
+                calls,
                 "round {round}: calls to a worker that drains"
             );
             assert_eq!(
-                drains.all("provision").len(),
+                drains.commands("provision").len(),
                 loads,
                 "round {round}: loads at a worker that drains"
             );
@@ -271,26 +276,25 @@
     threads
         .into_iter()
         .for_each(|t| t.join().expect("a client"));
-    for mut program in programs.into_iter().flatten() {
-        program.signal(Signal::TERM);
-        assert_eq!(program.ends(), Some(0));
+    for mut process in processes.into_iter().flatten() {
+        assert_eq!(process.terminate(), Some(0));
     }
 
     let ends = clients.ends.lock().unwrap();
     let mut served = 0;
     for (id, (at, end)) in ends.iter() {
         match end {
-            End::Answer(200, own) => {
+            CallEnd::Answer(200, own) => {
                 assert!(own, "call {id} at {at}: another's body");
                 served += 1;
             }
-            End::Answer(status, _) => {
+            CallEnd::Answer(status, _) => {
                 assert!(
                     [502, 503, 504].contains(status),
                     "call {id} at {at}: {status}"
                 )
             }
-            End::Lost => panic!("call {id} at {at}: no answer"),
+            CallEnd::Lost => panic!("call {id} at {at}: no answer"),
         }
     }
     assert!(
@@ -300,8 +304,8 @@
     );
     // Whatever happened, no call that must not be repeated ran twice, at any worker, through any front end.
     let mut ran = HashSet::new();
-    for came in workers.iter().flat_map(|w| w.all("fire")) {
-        let id = u64::from_str_radix(&came.words[1], 16).unwrap();
+    for command in workers.iter().flat_map(|w| w.commands("fire")) {
+        let id = u64::from_str_radix(command.id(), 16).unwrap();
         assert!(ran.insert(id) || id % 2 == 1, "call {id} ran twice");
     }
 }
--- a/programs/gateway/tests/platform/watch.rs
+++ b/programs/gateway/tests/platform/watch.rs
@@ -1,35 +1,43 @@
-//! The watch on the list: what it tells goes before what else is ready, a new configuration takes it over at any point, and
+//! The poll of the list: what it brings goes before what else is ready, a new configuration takes it over at any point, and
 //! a coordinator that brings nothing is not asked at the loop's speed.
 
-use crate::departures::{both, comes_up, full, late, slow};
-use crate::hand::{Hand, Peer, Source};
-use crate::stage::*;
-use std::net::SocketAddr;
+use crate::harness::coordinator::worker_event;
+use crate::harness::manual::{ManualCoordinator, ManualFrontEnd, ManualWorker};
+use crate::harness::network::socket_state;
+use crate::harness::scenarios::{
+    accept_late_connection, in_order, listener_with_room_for_one, LateConnection, ManualSetup,
+    SaturatedWorker,
+};
+use crate::harness::*;
 use std::time::{Duration, Instant};
 
-/// An event that tells a worker's state.
-fn event(index: u64, id: &str, address: SocketAddr, state: &str) -> String {
-    format!(
-        r#"{{"index":{index},"updates":[{{"index":{index},"endpoints":{{"full":false,"servers":[
-        {{"id":"{id}","addr":"{address}","zone":"a","kind":"k","state":"{state}"}}]}}}}]}}"#
-    )
+/// The event in which the worker drains, or stays as it is.
+fn drain_event(worker: &ManualWorker, drains: bool) -> String {
+    let state = if drains { "Terminating" } else { "Ready" };
+    worker_event(2, "s-0", worker.address, state)
 }
 
-fn next(hand: &mut Hand, source: &mut Source) -> usize {
-    hand.until("a poll", |_| source.look())
+/// The connection of the next poll.
+fn next_poll(front_end: &mut ManualFrontEnd, coordinator: &mut ManualCoordinator) -> usize {
+    front_end.until("a poll", |_| coordinator.next_poll())
 }
 
-/// What follows an event that has just been told: a worker that drains gets no call and no load more, once the list has
-/// been heard and for as long as anything could wait here; one that does not gets the call.
-fn after(drains: bool, hand: &mut Hand, source: &mut Source, worker: &mut Peer) {
+/// What follows an event that has just been sent: a worker that drains gets no call and no load more, once the list has
+/// been read and for as long as anything could wait here; one that does not gets the call.
+fn assert_obeyed(
+    drains: bool,
+    front_end: &mut ManualFrontEnd,
+    coordinator: &mut ManualCoordinator,
+    worker: &mut ManualWorker,
+) {
     if !drains {
-        hand.next(worker, "fire");
+        front_end.next_command(worker, "fire");
         return;
     }
     let had = (worker.count("fire"), worker.count("provision"));
-    next(hand, source);
-    hand.pass(Duration::from_millis(60));
-    worker.look();
+    next_poll(front_end, coordinator);
+    front_end.run_for(Duration::from_millis(60));
+    worker.read_all();
     assert_eq!((worker.count("fire"), worker.count("provision")), had);
 }
 
@@ -37,22 +45,23 @@
 fn a_drain_goes_before_a_held_call_whose_lane_comes_free() {
     for drains in [false, true] {
         for list_first in [true, false] {
-            let mut source = Source::start();
-            let (mut hand, mut worker, out, _clients, _third) = full(Some(source.address));
-            let on = next(&mut hand, &mut source);
-            let drain = event(
-                2,
-                "s-0",
-                worker.address,
-                if drains { "Terminating" } else { "Ready" },
-            );
-            both(
+            let mut coordinator = ManualCoordinator::start();
+            let SaturatedWorker {
+                mut front_end,
+                mut worker,
+                open_calls,
+                open_clients: _open_clients,
+                held_client: _held_client,
+            } = SaturatedWorker::start(Some(coordinator.address));
+            let connection = next_poll(&mut front_end, &mut coordinator);
+            let event = drain_event(&worker, drains);
+            in_order(
                 list_first,
-                || source.reply(on, &drain),
-                || worker.serve(&out[0]),
+                || coordinator.reply(connection, &event),
+                || worker.serve(&open_calls[0]),
             );
-            after(drains, &mut hand, &mut source, &mut worker);
-            assert!(!drains || worker.fires(3) == 0, "list first: {list_first}");
+            assert_obeyed(drains, &mut front_end, &mut coordinator, &mut worker);
+            assert!(!drains || worker.calls(3) == 0, "list first: {list_first}");
         }
     }
 }
@@ -61,30 +70,24 @@
 fn a_drain_goes_before_a_load_and_an_attempt_on_a_connection_just_made() {
     for drains in [false, true] {
         for function in [7, 8] {
-            let (mut source, mut worker) = (Source::start(), Peer::start());
-            let site = Site {
-                coordinator: source.address,
-                ..Site::at(&[worker.address])
-            };
-            let mut hand = Hand::start(&site);
-            let on = next(&mut hand, &mut source);
-            let mut first = hand.send(&call(1));
-            let came = hand.next(&mut worker, "fire");
-            worker.serve(&came);
-            assert_eq!(hand.answer(&mut first), 200);
+            let ManualSetup {
+                mut front_end,
+                mut coordinator,
+                mut worker,
+            } = ManualSetup::start();
+            let connection = next_poll(&mut front_end, &mut coordinator);
+            let mut first = front_end.send(&call(1));
+            let command = front_end.next_command(&mut worker, "fire");
+            worker.serve(&command);
+            assert_eq!(front_end.answer(&mut first), 200);
             // Another function has to be loaded; the same one sent: the connections stand already.
-            let _second = hand.send(&Call {
+            let _second = front_end.send(&Call {
                 function,
                 ..call(2)
             });
-            let told = event(
-                2,
-                "s-0",
-                worker.address,
-                if drains { "Terminating" } else { "Ready" },
-            );
-            source.reply(on, &told);
-            after(drains, &mut hand, &mut source, &mut worker);
+            let event = drain_event(&worker, drains);
+            coordinator.reply(connection, &event);
+            assert_obeyed(drains, &mut front_end, &mut coordinator, &mut worker);
         }
     }
 }
@@ -92,51 +95,49 @@
 #[test]
 fn a_drain_goes_before_an_attempt_whose_connection_has_just_come_up() {
     for drains in [false, true] {
-        let mut source = Source::start();
-        let (mut hand, mut worker, _client, _filler) = late(Some(source.address));
-        let on = next(&mut hand, &mut source);
-        comes_up(&mut worker, 3);
-        let told = event(
-            2,
-            "s-0",
-            worker.address,
-            if drains { "Terminating" } else { "Ready" },
-        );
-        source.reply(on, &told);
-        after(drains, &mut hand, &mut source, &mut worker);
-        assert!(!drains || worker.fires(1) == 0);
+        let mut coordinator = ManualCoordinator::start();
+        let LateConnection {
+            mut front_end,
+            mut worker,
+            client: _client,
+            filler: _filler,
+        } = LateConnection::start(Some(coordinator.address));
+        let connection = next_poll(&mut front_end, &mut coordinator);
+        accept_late_connection(&mut worker, 3);
+        let event = drain_event(&worker, drains);
+        coordinator.reply(connection, &event);
+        assert_obeyed(drains, &mut front_end, &mut coordinator, &mut worker);
+        assert!(!drains || worker.calls(1) == 0);
     }
 }
 
 #[test]
 fn a_drain_goes_before_a_load_whose_connection_has_just_come_up() {
     for drains in [false, true] {
-        let (mut source, mut worker) = (Source::start(), Peer::on(slow()));
+        let (mut coordinator, mut worker) = (
+            ManualCoordinator::start(),
+            ManualWorker::on(listener_with_room_for_one()),
+        );
         let _filler = std::net::TcpStream::connect(worker.address).unwrap();
-        let site = Site {
-            coordinator: source.address,
+        let configuration = PlatformConfiguration {
+            coordinator: coordinator.address,
             connect_timeout_s: 5.0,
-            ..Site::at(&[worker.address])
+            ..configuration_at(&[worker.address])
         };
-        let mut hand = Hand::start(&site);
-        let on = next(&mut hand, &mut source);
-        let _client = hand.send(&Call {
+        let mut front_end = ManualFrontEnd::start(&configuration);
+        let connection = next_poll(&mut front_end, &mut coordinator);
+        let _client = front_end.send(&Call {
             timeout_ms: 2000,
             ..call(1)
         });
-        hand.until("the load waits", |p| {
+        front_end.until("the load waits", |p| {
             (p.driver().worker_connections() == 1).then_some(())
         });
-        hand.pass(Duration::from_millis(20));
-        comes_up(&mut worker, 2);
-        let told = event(
-            2,
-            "s-0",
-            worker.address,
-            if drains { "Terminating" } else { "Ready" },
-        );
-        source.reply(on, &told);
-        after(drains, &mut hand, &mut source, &mut worker);
+        front_end.run_for(Duration::from_millis(20));
+        accept_late_connection(&mut worker, 2);
+        let event = drain_event(&worker, drains);
+        coordinator.reply(connection, &event);
+        assert_obeyed(drains, &mut front_end, &mut coordinator, &mut worker);
         assert!(!drains || worker.count("provision") == 0);
     }
 }
@@ -147,33 +148,37 @@
 const MAX_PAUSE: Duration = Duration::from_millis(200);
 
 /// Brings nothing to a poll, and waits until that has been read.
-fn bring_nothing(hand: &mut Hand, source: &mut Source, on: usize, refuses: bool) {
-    let (own, other) = source.addresses(on);
+fn bring_nothing(
+    front_end: &mut ManualFrontEnd,
+    coordinator: &mut ManualCoordinator,
+    connection: usize,
+    refuses: bool,
+) {
+    let (own, other) = coordinator.addresses(connection);
     if refuses {
-        source.end(on);
+        coordinator.end(connection);
     } else {
         // The same number again, an earlier one, and none of the events that it has.
-        source.reply(on, r#"{"index":1,"updates":[]}"#);
+        coordinator.reply(connection, r#"{"index":1,"updates":[]}"#);
     }
-    hand.until("it is read", |_| {
+    front_end.until("it is read", |_| {
         socket_state(other, own)
             .is_none_or(|state| state.unread == 0 && !(refuses && state.established))
             .then_some(())
     });
     // What was read in one turn may be handled in the next.
-    hand.platform.turn(Duration::ZERO).unwrap();
+    front_end.platform.turn(Duration::ZERO).unwrap();
 }
 
 #[test]
 fn a_coordinator_that_brings_nothing_is_asked_seldom_and_one_that_is_back_is_heard_soon() {
     for refuses in [false, true] {
-        let (mut source, worker) = (Source::start(), Peer::start());
-        let site = Site {
-            coordinator: source.address,
-            ..Site::at(&[worker.address])
-        };
-        let mut hand = Hand::start(&site);
-        let mut on = next(&mut hand, &mut source);
+        let ManualSetup {
+            mut front_end,
+            mut coordinator,
+            worker,
+        } = ManualSetup::start();
+        let mut connection = next_poll(&mut front_end, &mut coordinator);
         // No earlier than this the poll that is out was begun, and the pause that is to follow it, if that is known.
         let (mut begun, mut pause) = (Instant::now(), None);
         let (mut rounds, mut longest) = (0, 0);
@@ -181,18 +186,22 @@
             rounds += 1;
             assert!(rounds < 100, "too slow to judge: {longest} pauses");
             let Some(least) = pause else {
-                hand.pass(MAX_PAUSE);
+                front_end.run_for(MAX_PAUSE);
                 begun = Instant::now();
-                bring_nothing(&mut hand, &mut source, on, refuses);
-                on = hand.while_runs(MAX_PAUSE / 2, "a poll behind a long one", |_| source.look());
+                bring_nothing(&mut front_end, &mut coordinator, connection, refuses);
+                connection =
+                    front_end.while_runs(MAX_PAUSE / 2, "a poll behind a long one", |_| {
+                        coordinator.next_poll()
+                    });
                 pause = Some(FIRST_PAUSE);
                 continue;
             };
             let brought = Instant::now();
-            bring_nothing(&mut hand, &mut source, on, refuses);
+            bring_nothing(&mut front_end, &mut coordinator, connection, refuses);
             // This machine may have kept the poll for so long that no pause is due: what follows is not known then.
             let judged = begun.elapsed() < MAX_PAUSE;
-            on = hand.while_runs(MAX_PAUSE * 3 / 2, "a poll", |_| source.look());
+            connection =
+                front_end.while_runs(MAX_PAUSE * 3 / 2, "a poll", |_| coordinator.next_poll());
             let waited = brought.elapsed();
             if !judged {
                 pause = None;
@@ -205,77 +214,93 @@
             longest += u32::from(least == MAX_PAUSE);
             (begun, pause) = (brought + least, Some((least * 2).min(MAX_PAUSE)));
         }
-        source.reply(on, &event(2, "s-0", worker.address, "Terminating"));
+        coordinator.reply(
+            connection,
+            &worker_event(2, "s-0", worker.address, "Terminating"),
+        );
         // Without a pause.
-        hand.while_runs(MAX_PAUSE / 2, "a poll behind an event", |_| source.look());
-        assert_eq!(hand.platform.poller().index(), 2);
+        front_end.while_runs(MAX_PAUSE / 2, "a poll behind an event", |_| {
+            coordinator.next_poll()
+        });
+        assert_eq!(front_end.platform.poller().index(), 2);
         assert!(
-            source.asked.last().is_some_and(|t| t.contains("follow=2&")),
+            coordinator
+                .polls
+                .last()
+                .is_some_and(|t| t.contains("follow=2&")),
             "{:?}",
-            source.asked
+            coordinator.polls
         );
     }
 }
 
 #[test]
 fn numbers_that_repeat_go_back_or_jump() {
-    let (mut source, worker) = (Source::start(), Peer::start());
-    let site = Site {
-        coordinator: source.address,
-        ..Site::at(&[worker.address])
-    };
-    let mut hand = Hand::start(&site);
+    let ManualSetup {
+        mut front_end,
+        mut coordinator,
+        worker,
+    } = ManualSetup::start();
     let replies = [
-        (event(2, "s-0", worker.address, "Terminating"), 2),
-        (event(2, "s-0", worker.address, "Ready"), 2),
-        (event(1, "s-0", worker.address, "Ready"), 2),
+        (worker_event(2, "s-0", worker.address, "Terminating"), 2),
+        (worker_event(2, "s-0", worker.address, "Ready"), 2),
+        (worker_event(1, "s-0", worker.address, "Ready"), 2),
         (r#"{"index":0,"updates":[]}"#.to_string(), 2),
-        (event(9, "s-0", worker.address, "Terminating"), 9),
+        (worker_event(9, "s-0", worker.address, "Terminating"), 9),
     ];
     for (reply, index) in replies {
-        let on = next(&mut hand, &mut source);
-        source.reply(on, &reply);
-        hand.pass(Duration::from_millis(5));
-        assert_eq!(hand.platform.poller().index(), index, "{reply}");
+        let connection = next_poll(&mut front_end, &mut coordinator);
+        coordinator.reply(connection, &reply);
+        front_end.run_for(Duration::from_millis(5));
+        assert_eq!(front_end.platform.poller().index(), index, "{reply}");
         assert_eq!(
-            hand.platform
+            front_end
+                .platform
                 .driver()
                 .with_dispatcher(|dispatcher| dispatcher.ready_workers()),
             0,
             "an old event says nothing"
         );
     }
-    next(&mut hand, &mut source);
+    next_poll(&mut front_end, &mut coordinator);
     assert!(
-        source.asked.last().is_some_and(|t| t.contains("follow=9&")),
+        coordinator
+            .polls
+            .last()
+            .is_some_and(|t| t.contains("follow=9&")),
         "{:?}",
-        source.asked
+        coordinator.polls
     );
 }
 
 #[test]
 fn a_reply_on_a_connection_that_ends_behind_it_counts() {
-    let (mut source, worker) = (Source::start(), Peer::start());
-    let site = Site {
-        coordinator: source.address,
-        ..Site::at(&[worker.address])
-    };
-    let mut hand = Hand::start(&site);
-    let on = next(&mut hand, &mut source);
-    source.reply(on, &event(2, "s-0", worker.address, "Terminating"));
-    source.end(on);
-    next(&mut hand, &mut source);
+    let ManualSetup {
+        mut front_end,
+        mut coordinator,
+        worker,
+    } = ManualSetup::start();
+    let connection = next_poll(&mut front_end, &mut coordinator);
+    coordinator.reply(
+        connection,
+        &worker_event(2, "s-0", worker.address, "Terminating"),
+    );
+    coordinator.end(connection);
+    next_poll(&mut front_end, &mut coordinator);
     assert!(
-        source.asked.last().is_some_and(|t| t.contains("follow=2&")),
+        coordinator
+            .polls
+            .last()
+            .is_some_and(|t| t.contains("follow=2&")),
         "{:?}",
-        source.asked
+        coordinator.polls
     );
-    assert_eq!(source.connected, 2);
+    assert_eq!(coordinator.connected, 2);
 }
 
-/// What the watch is at when a new configuration comes.
+/// The state of the poll when a new configuration comes.
 #[derive(Clone, Copy, Debug)]
-enum At {
+enum PollState {
     Out,
     HalfReply,
     Connecting,
@@ -283,64 +308,81 @@
     WholeReplyUnread,
 }
 
+impl PollState {
+    const ALL: [PollState; 5] = [
+        PollState::Out,
+        PollState::HalfReply,
+        PollState::Connecting,
+        PollState::Refused,
+        PollState::WholeReplyUnread,
+    ];
+
+    /// Brings the poll of a front end that was configured for it to this state.
+    fn bring_about(
+        self,
+        front_end: &mut ManualFrontEnd,
+        coordinator: &mut ManualCoordinator,
+        worker: &ManualWorker,
+    ) {
+        if matches!(self, PollState::Connecting | PollState::Refused) {
+            return front_end.run_for(Duration::from_millis(120));
+        }
+        let connection = next_poll(front_end, coordinator);
+        let whole = reply(&worker_event(2, "s-0", worker.address, "Terminating"));
+        match self {
+            PollState::HalfReply => coordinator.write(connection, &whole[..whole.len() - 3]),
+            PollState::WholeReplyUnread => coordinator.write(connection, &whole),
+            _ => {}
+        }
+    }
+}
+
 #[test]
 fn a_new_configuration_takes_the_watch_over_wherever_it_is() {
-    for at in [
-        At::Out,
-        At::HalfReply,
-        At::Connecting,
-        At::Refused,
-        At::WholeReplyUnread,
-    ] {
-        let (mut old, mut new, worker) = (Source::start(), Source::start(), Peer::start());
-        let slow = slow();
-        let _filler = std::net::TcpStream::connect(slow.local_addr().unwrap()).unwrap();
+    for at in PollState::ALL {
+        let (mut old, mut new, worker) = (
+            ManualCoordinator::start(),
+            ManualCoordinator::start(),
+            ManualWorker::start(),
+        );
+        let unanswered = listener_with_room_for_one();
+        let _filler = std::net::TcpStream::connect(unanswered.local_addr().unwrap()).unwrap();
         let coordinator = match at {
-            At::Connecting => slow.local_addr().unwrap(),
-            At::Refused => nobody(),
+            PollState::Connecting => unanswered.local_addr().unwrap(),
+            PollState::Refused => unused_address(),
             _ => old.address,
         };
-        let mut site = Site {
+        let mut configuration = PlatformConfiguration {
             coordinator,
             connect_timeout_s: 5.0,
-            ..Site::at(&[worker.address])
+            ..configuration_at(&[worker.address])
         };
-        let mut hand = Hand::start(&site);
-        match at {
-            At::Connecting | At::Refused => hand.pass(Duration::from_millis(120)),
-            _ => {
-                let on = next(&mut hand, &mut old);
-                let whole = reply(&event(2, "s-0", worker.address, "Terminating"));
-                match at {
-                    At::HalfReply => old.write(on, &whole[..whole.len() - 3]),
-                    At::WholeReplyUnread => old.write(on, &whole),
-                    _ => {}
-                }
-            }
-        }
-        site.coordinator = new.address;
+        let mut front_end = ManualFrontEnd::start(&configuration);
+        at.bring_about(&mut front_end, &mut old, &worker);
+        configuration.coordinator = new.address;
         let moved = Instant::now();
-        hand.reload(&site);
-        next(&mut hand, &mut new);
+        front_end.reload(&configuration);
+        next_poll(&mut front_end, &mut new);
         assert!(
             moved.elapsed() < Duration::from_millis(100),
             "{at:?}: {:?}",
             moved.elapsed()
         );
-        let follow = new.asked[0].contains("follow=1&") || matches!(at, At::WholeReplyUnread);
-        assert!(follow, "{at:?}: {:?}", new.asked);
+        let follow =
+            new.polls[0].contains("follow=1&") || matches!(at, PollState::WholeReplyUnread);
+        assert!(follow, "{at:?}: {:?}", new.polls);
         // There and back before the loop runs; then the same address once more, which moves nothing.
-        let back = Source::start();
-        hand.reload(&Site {
+        let back = ManualCoordinator::start();
+        front_end.reload(&PlatformConfiguration {
             coordinator: back.address,
-            ..Site::at(&[worker.address])
+            ..configuration_at(&[worker.address])
         });
-        hand.reload(&site);
-        next(&mut hand, &mut new);
+        front_end.reload(&configuration);
+        next_poll(&mut front_end, &mut new);
         let connected = new.connected;
-        hand.reload(&site);
-        hand.pass(Duration::from_millis(60));
-        new.look();
+        front_end.reload(&configuration);
+        front_end.run_for(Duration::from_millis(60));
+        new.next_poll();
         assert_eq!(new.connected, connected, "{at:?}: the same address again");
     }
 }
