--- a/programs/gateway/tests/platform/harness/process.rs
+++ b/programs/gateway/tests/platform/harness/process.rs
@@ -25,6 +25,7 @@
 
 impl Drop for GatewayProcess {
     fn drop(&mut self) {
+        // Both fail only where it has ended before.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.path);
@@ -173,6 +174,11 @@
     pub fn wait(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
+    /// Kills it outright, and waits until it has ended.
+    pub fn kill(&mut self) {
+        self.signal(Signal::KILL);
+        self.wait();
+    }
     /// Sends it SIGTERM: its exit code; none: a signal ended it.
     pub fn terminate(&mut self) -> Option<i32> {
         self.signal(Signal::TERM);
--- a/programs/gateway/tests/platform/requests.rs
+++ b/programs/gateway/tests/platform/requests.rs
@@ -26,14 +26,8 @@
     assert_eq!(worker.commands("provision").len(), 1);
 }
 
-#[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
-)]
-fn what_is_not_the_pages_form_goes_to_no_worker() {
-    let worker = Worker::plain();
-    let front_end = FrontEnd::start(&configuration_for(&[&worker]));
+/// Texts that are not a call in the page's form, each for one reason.
+fn malformed_requests() -> Vec<String> {
     let good = call(1);
     let with = |name: &'static str, value: &str| {
         let mut headers = good.headers();
@@ -45,7 +39,7 @@
         headers.remove(name);
         good.text_with(&headers, "")
     };
-    let mut bad = vec![
+    let mut malformed = vec![
         "\u{16}\u{3}\u{1}noise\r\n\r\n".to_string(),
         "GET / HTTP/1.1\r\n\r\n".to_string(),
         good.text().replace("HTTP/1.1", "HTTP/1.0"),
@@ -79,10 +73,17 @@
             ],
         ),
     ] {
-        bad.extend(values.iter().map(|v| with(name, v)));
-        bad.push(without(name));
+        malformed.extend(values.iter().map(|value| with(name, value)));
+        malformed.push(without(name));
     }
-    for text in bad {
+    malformed
+}
+
+#[test]
+fn what_is_not_the_pages_form_goes_to_no_worker() {
+    let worker = Worker::plain();
+    let front_end = FrontEnd::start(&configuration_for(&[&worker]));
+    for text in malformed_requests() {
         let began = Instant::now();
         let mut client = front_end.connect();
         client.send(&text);
--- a/programs/gateway/tests/platform/settings.rs
+++ b/programs/gateway/tests/platform/settings.rs
@@ -1,14 +1,24 @@
 //! Settings of any customer: drawn at random within what is valid, each tried with a few calls. Every call has one answer
 //! in its time, under the names that the settings give, and a configuration that makes no sense ends the start.
 
-use crate::harness::manual::{ManualFrontEnd, ManualWorker};
+use crate::harness::manual::{readable, ManualFrontEnd, ManualWorker};
 use crate::harness::*;
 use std::process::{Command, Stdio};
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
+/// A class that was drawn.
+#[derive(Clone, Debug)]
+struct DrawnClass {
+    name: String,
+    /// Its calls carry an idempotency key.
+    keyed: bool,
+    deadline_ms: u64,
+}
+
+/// A configuration that was drawn.
 struct DrawnSettings {
     text: String,
-    classes: Vec<(String, bool, u64)>,
+    classes: Vec<DrawnClass>,
     attempts: u64,
 }
 
@@ -19,34 +29,14 @@
         .collect()
 }
 
-#[expect(
-    clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
-)]
+/// Draws a whole configuration of a front end with one worker.
 fn draw_settings(rng: &mut fastrand::Rng, listen: &str, worker: &ManualWorker) -> DrawnSettings {
     let zones: Vec<String> = (0..rng.usize(0..4))
         .map(|_| format!("\"{}\"", draw_name(rng)))
         .collect();
-    let mut classes = Vec::new();
-    let mut texts = Vec::new();
-    for n in 0..rng.usize(1..6) {
-        let (name, deadline) = (format!("{}{n}", draw_name(rng)), rng.u64(200..900));
-        let effect = *rng
-            .choice(&["read_like", "idempotency_key", "non_idempotent"])
-            .unwrap_or(&"read_like");
-        texts.push(format!(
-            r#"{{"name":"{name}","aim_s":{},"deadline_s":{},"effect":"{effect}","group":"{}","repeat_window_s":{},
-            "late_worth":{},"gain":{},"aim_stretch":{}}}"#,
-            deadline as f64 / rng.f64().mul_add(4000.0, 900.0),
-            deadline as f64 / 1000.0,
-            rng.choice(&["", "all", "zone", "cell"]).unwrap_or(&""),
-            rng.f64() * 2.0,
-            rng.f64(),
-            rng.f64() * 9.0,
-            if rng.bool() { 0.0 } else { rng.f64() * 3.0 },
-        ));
-        classes.push((name, effect == "idempotency_key", deadline));
-    }
+    let (class_texts, classes): (Vec<String>, Vec<_>) = (0..rng.usize(1..6))
+        .map(|number| draw_class(rng, number))
+        .unzip();
     let siblings = *rng.choice(&[1usize, 2, 30, 300]).unwrap_or(&1);
     let attempts = rng.u64(1..6);
     let text = format!(
@@ -55,12 +45,8 @@
         {{"id":"w","addr":"{}","zone":"?","kind":"?","cell":7,"state":"Ready","weight":{},"started_ms":0}}]}}}}]}},
         "settings":{{"me":{},"siblings":{siblings},"zones":[{}],"machine_types":[],"classes":[{}],
         "tenants":[{{"name":"{}","fraction":0.4,"quota_per_s":3}}],
-        "policy_limits":{{"cancel":{},"connect_timeout_s":{},"keepalive_s":{},"max_attempts":{attempts},"multiplex":{},
-        "retry_after":{},"max_retry_after_s":{}}},
-        "prices":{{"cross_zone":{},"origin":{},"probe":{}}},
-        "rules":{{"answer_slack_s":0.05,"drain_grace_s":{},"cold_from":{},"fall_multiple":{},"fall_s":{},"warm_up_s":{}}},
-        "specifics":{{"idle_life_s":{},"kind_memory_mb":[],"load_wait_s":{},"orders":true,"says_warm":{},"tells_crowd":{},
-        "load_free":{},"load_part":{},"load_period_s":{},"when_absent":"{}"}},"tick_s":{}}}}}"#,
+        {},
+        {},"tick_s":{}}}}}"#,
         rng.u64(..),
         rng.usize(20..2000),
         unused_address(),
@@ -68,8 +54,52 @@
         rng.f64() * 10.0,
         rng.usize(0..siblings),
         zones.join(","),
-        texts.join(","),
+        class_texts.join(","),
         draw_name(rng),
+        draw_limits_and_rules(rng, attempts),
+        draw_specifics(rng),
+        rng.f64() * 0.01,
+    );
+    DrawnSettings {
+        text,
+        classes,
+        attempts,
+    }
+}
+
+/// Draws a class: its text, and what the test has to know of it.
+fn draw_class(rng: &mut fastrand::Rng, number: usize) -> (String, DrawnClass) {
+    let name = format!("{}{number}", draw_name(rng));
+    let deadline_ms = rng.u64(200..900);
+    let effect = *rng
+        .choice(&["read_like", "idempotency_key", "non_idempotent"])
+        .unwrap_or(&"read_like");
+    let text = format!(
+        r#"{{"name":"{name}","aim_s":{},"deadline_s":{},"effect":"{effect}","group":"{}","repeat_window_s":{},
+            "late_worth":{},"gain":{},"aim_stretch":{}}}"#,
+        deadline_ms as f64 / rng.f64().mul_add(4000.0, 900.0),
+        deadline_ms as f64 / 1000.0,
+        rng.choice(&["", "all", "zone", "cell"]).unwrap_or(&""),
+        rng.f64() * 2.0,
+        rng.f64(),
+        rng.f64() * 9.0,
+        if rng.bool() { 0.0 } else { rng.f64() * 3.0 },
+    );
+    let class = DrawnClass {
+        name,
+        keyed: effect == "idempotency_key",
+        deadline_ms,
+    };
+    (text, class)
+}
+
+/// Draws the fields `policy_limits`, `prices` and `rules`.
+fn draw_limits_and_rules(rng: &mut fastrand::Rng, attempts: u64) -> String {
+    format!(
+        r#""policy_limits":{{"cancel":{},"connect_timeout_s":{},"keepalive_s":{},"max_attempts":{attempts},"multiplex":{},
+        "retry_after":{},"max_retry_after_s":{}}},
+        "prices":{{"cross_zone":{},"origin":{},"probe":{}}},
+        "rules":{{"answer_slack_s":0.05,"drain_grace_s":{},"cold_from":{},"fall_multiple":{},"fall_s":{},"warm_up_s":{}}}"#,
         rng.bool(),
         0.02 + rng.f64(),
         rng.f64() * 40.0,
@@ -84,6 +114,14 @@
         1.0 + rng.f64() * 6.0,
         rng.f64() * 5.0,
         rng.f64() * 20.0,
+    )
+}
+
+/// Draws the field `specifics`.
+fn draw_specifics(rng: &mut fastrand::Rng) -> String {
+    format!(
+        r#""specifics":{{"idle_life_s":{},"kind_memory_mb":[],"load_wait_s":{},"orders":true,"says_warm":{},"tells_crowd":{},
+        "load_free":{},"load_part":{},"load_period_s":{},"when_absent":"{}"}}"#,
         rng.f64() * 20.0,
         rng.f64() * 10.0,
         rng.bool(),
@@ -92,20 +130,95 @@
         rng.f64(),
         if rng.bool() { 0.0 } else { rng.f64() * 5.0 },
         rng.choice(&["miss", "load"]).unwrap_or(&"miss"),
-        rng.f64() * 0.01,
+    )
+}
+
+/// A call that a client has sent.
+struct OpenCall {
+    client: Client,
+    id: u64,
+    class: DrawnClass,
+}
+
+/// Sends a call of one of the classes.
+fn send_call(
+    rng: &mut fastrand::Rng,
+    drawn: &DrawnSettings,
+    front_end: &ManualFrontEnd,
+    id: u64,
+) -> OpenCall {
+    let class = rng.choice(&drawn.classes).expect("one").clone();
+    let key = if class.keyed {
+        format!("Idempotency-Key: {id:x}\r\n")
+    } else {
+        String::new()
+    };
+    let call = Call {
+        timeout_ms: class.deadline_ms,
+        function: id % 3,
+        ..call(id)
+    };
+    let mut headers = call.headers();
+    headers.insert("X-Class", class.name.clone());
+    let mut client = Client::to(front_end.platform.address());
+    client.send(&call.text_with(&headers, &key));
+    OpenCall { client, id, class }
+}
+
+/// Waits for a call's answer in its time: the status. Of some rounds all attempts are turned away, missed, or fail.
+fn answer_in_time(
+    front_end: &mut ManualFrontEnd,
+    worker: &mut ManualWorker,
+    open: &mut OpenCall,
+    irregular: usize,
+    round: usize,
+) -> u16 {
+    open.client.socket.set_nonblocking(true).unwrap();
+    let began = Instant::now();
+    front_end.until("an answer", |_| {
+        while let Some(command) = worker.next_command("fire") {
+            match irregular {
+                0 => worker.answer(&command, "503", "-"),
+                1 => worker.answer(&command, "404", "-"),
+                2 => worker.answer(&command, "500", "-"),
+                _ => worker.serve(&command),
+            }
+        }
+        readable(&open.client.socket)
+    });
+    let waited = began.elapsed();
+    let status = front_end.answer(&mut open.client);
+    assert!(
+        [200, 502, 503, 504].contains(&status),
+        "round {round}: {status}"
     );
-    DrawnSettings {
-        text,
-        classes,
-        attempts,
-    }
+    let deadline = open.class.deadline_ms;
+    assert!(
+        waited < Duration::from_millis(deadline + 60),
+        "round {round}: {waited:?} of {deadline}"
+    );
+    status
+}
+
+/// The attempts of a call name its class, and are no more than the settings allow.
+fn assert_attempts(worker: &ManualWorker, open: &OpenCall, attempts: u64, round: usize) {
+    let sort = format!("sort={},", open.class.name);
+    let id = format!("{:016x}", open.id);
+    let calls = worker
+        .log
+        .iter()
+        .filter(|command| command.name() == "fire" && command.id() == id);
+    let calls: Vec<_> = calls.collect();
+    assert!(
+        calls
+            .iter()
+            .all(|command| command.words[2].starts_with(&sort)),
+        "round {round}: {calls:?}"
+    );
+    assert!(calls.len() as u64 <= attempts, "round {round}: {calls:?}");
 }
 
 #[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
-)]
 fn a_few_calls_of_every_class_under_any_settings() {
     let mut rng = fastrand::Rng::with_seed(33);
     let mut served = 0;
@@ -113,68 +226,14 @@
         let mut worker = ManualWorker::start();
         let drawn = draw_settings(&mut rng, "127.0.0.1:0", &worker);
         let mut front_end = ManualFrontEnd::with_text(&drawn.text);
-        let mut open = Vec::new();
-        for id in 0..6u64 {
-            let (class, keyed, deadline) = rng.choice(&drawn.classes).expect("one").clone();
-            let key = if keyed {
-                format!("Idempotency-Key: {id:x}\r\n")
-            } else {
-                String::new()
-            };
-            let call = Call {
-                timeout_ms: deadline,
-                function: id % 3,
-                ..call(id)
-            };
-            let mut headers = call.headers();
-            headers.insert("X-Class", class.clone());
-            let mut client = Client::to(front_end.platform.address());
-            client.send(&call.text_with(&headers, &key));
-            open.push((client, id, class, deadline));
-        }
+        let mut open: Vec<OpenCall> = (0..6)
+            .map(|id| send_call(&mut rng, &drawn, &front_end, id))
+            .collect();
         let irregular = rng.usize(0..5);
-        for (client, id, class, deadline) in &mut open {
-            client.socket.set_nonblocking(true).unwrap();
-            let began = std::time::Instant::now();
-            front_end.until("an answer", |_| {
-                while let Some(command) = worker.next_command("fire") {
-                    // Now and then one that is turned away, missed, or fails.
-                    match irregular {
-                        0 => worker.answer(&command, "503", "-"),
-                        1 => worker.answer(&command, "404", "-"),
-                        2 => worker.answer(&command, "500", "-"),
-                        _ => worker.serve(&command),
-                    }
-                }
-                crate::harness::manual::readable(&client.socket)
-            });
-            let waited = began.elapsed();
-            let status = front_end.answer(client);
+        for call in &mut open {
+            let status = answer_in_time(&mut front_end, &mut worker, call, irregular, round);
             served += u32::from(status == 200);
-            assert!(
-                [200, 502, 503, 504].contains(&status),
-                "round {round}: {status}"
-            );
-            assert!(
-                waited < Duration::from_millis(*deadline + 60),
-                "round {round}: {waited:?} of {deadline}"
-            );
-            let sort = format!("sort={class},");
-            let calls = worker
-                .log
-                .iter()
-                .filter(|command| command.name() == "fire" && command.id() == format!("{id:016x}"));
-            let calls: Vec<_> = calls.collect();
-            assert!(
-                calls
-                    .iter()
-                    .all(|command| command.words[2].starts_with(&sort)),
-                "round {round}: {calls:?}"
-            );
-            assert!(
-                calls.len() as u64 <= drawn.attempts,
-                "round {round}: {calls:?}"
-            );
+            assert_attempts(&worker, call, drawn.attempts, round);
         }
     }
     assert!(
--- a/programs/gateway/tests/platform/together.rs
+++ b/programs/gateway/tests/platform/together.rs
@@ -1,5 +1,5 @@
 //! Several front ends as processes of their own over the same workers and the same list, under clients that never rest: one is
-//! told to end and starts again, one is killed, one stands still for a while, a worker drains. Judged from what clients
+//! ended in good order and starts again, one is killed, one stands still for a while, a worker drains. Judged from what clients
 //! got and what workers saw.
 
 use crate::harness::http::read_head;
@@ -74,6 +74,15 @@
         }
     }
 
+    /// Replies so far that went up to the newest event.
+    fn replies_with_newest(&self) -> usize {
+        // The first event is in the configuration.
+        let newest = self.events.lock().unwrap().len() as u64 + 1;
+        let replied = self.replied.lock().unwrap();
+        replied.iter().filter(|event| **event == newest).count()
+    }
+
+    /// Adds an event in which a worker changes its state.
     fn publish(&self, id: &str, address: SocketAddr, state: &str) {
         let mut events = self.events.lock().unwrap();
         let index = events.len() + 2;
@@ -111,6 +120,19 @@
 }
 
 impl Clients {
+    /// Of these front ends; none runs yet.
+    fn of(front_ends: Vec<FrontEndStatus>) -> Clients {
+        Clients {
+            front_ends,
+            next: AtomicU64::new(1),
+            stop: AtomicBool::new(false),
+            answered: AtomicU64::new(0),
+            ends: Mutex::default(),
+            gate: RwLock::default(),
+        }
+    }
+
+    /// Starts one that calls this front end without pause until all are to stop.
     fn run(self: &Arc<Self>, at: usize) -> JoinHandle<()> {
         let clients = self.clone();
         std::thread::spawn(move || {
@@ -173,116 +195,111 @@
     }
 }
 
-#[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
-)]
-fn some_end_some_are_killed_and_one_stands_still() {
-    let workers: Vec<Worker> = (0..3).map(|_| Worker::plain()).collect();
-    let coordinator = SharedCoordinator::start();
-    let configuration = PlatformConfiguration {
-        coordinator: coordinator.address,
-        ..configuration_for(&workers.iter().collect::<Vec<_>>())
-    };
-    let start = |address: SocketAddr| {
-        let process = GatewayProcess::spawn(write_configuration(&configuration, address), address);
-        process.wait_until_alive();
-        process
-    };
-    let reserved: Vec<ReservedAddress> = (0..FRONT_ENDS).map(|_| reserve()).collect();
-    let addresses: Vec<SocketAddr> = reserved.iter().map(ReservedAddress::address).collect();
-    let mut processes: Vec<Option<GatewayProcess>> =
-        addresses.iter().map(|a| Some(start(*a))).collect();
-    let front_end = |address: &SocketAddr| FrontEndStatus {
-        address: *address,
-        open: AtomicBool::new(true),
-        killed: AtomicU64::new(0),
-    };
-    let clients = Arc::new(Clients {
-        front_ends: addresses.iter().map(front_end).collect(),
-        next: AtomicU64::new(1),
-        stop: AtomicBool::new(false),
-        answered: AtomicU64::new(0),
-        ends: Mutex::default(),
-        gate: RwLock::default(),
-    });
-    let threads: Vec<_> = (0..FRONT_ENDS * CLIENTS_EACH)
-        .map(|n| clients.run(n % FRONT_ENDS))
-        .collect();
-    for round in 0..3 {
-        clients.more(60);
-        // One is told to end while calls come, and starts again under its address.
-        let process = processes[0].as_mut().unwrap();
+/// The front ends' processes, each under an address of its own.
+struct Fleet {
+    configuration: PlatformConfiguration,
+    /// The addresses are the front ends' while their processes are down.
+    reserved: Vec<ReservedAddress>,
+    processes: Vec<GatewayProcess>,
+}
+
+impl Fleet {
+    /// Starts all of them.
+    fn start(configuration: PlatformConfiguration) -> Fleet {
+        let reserved: Vec<ReservedAddress> = (0..FRONT_ENDS).map(|_| reserve()).collect();
+        let addresses = reserved.iter().map(ReservedAddress::address);
+        let processes = addresses
+            .map(|address| start_process(&configuration, address))
+            .collect();
+        Fleet {
+            configuration,
+            reserved,
+            processes,
+        }
+    }
+
+    /// What clients know of them.
+    fn statuses(&self) -> Vec<FrontEndStatus> {
+        let status = |reserved: &ReservedAddress| FrontEndStatus {
+            address: reserved.address(),
+            open: AtomicBool::new(true),
+            killed: AtomicU64::new(0),
+        };
+        self.reserved.iter().map(status).collect()
+    }
+
+    /// Starts the next process of one whose last has ended.
+    fn start_again(&mut self, at: usize) {
+        let address = self.reserved[at].address();
+        self.processes[at] = start_process(&self.configuration, address);
+    }
+
+    /// One is told to end while calls come, and starts again under its address.
+    fn restart(&mut self, at: usize, clients: &Clients, round: usize) {
+        let process = &mut self.processes[at];
         process.signal(Signal::TERM);
         clients.more(20);
-        clients.close(0);
+        clients.close(at);
         assert_eq!(process.exit_code(), Some(0), "round {round}");
-        processes[0] = Some(start(addresses[0]));
-        clients.open(0);
-        // One is killed outright, with a call of each of its clients in its buffers.
-        processes[1].as_ref().unwrap().suspend();
+        self.start_again(at);
+        clients.open(at);
+    }
+
+    /// One is killed outright, with a call of each of its clients in its buffers, and starts again.
+    fn kill_and_restart(&mut self, at: usize, clients: &Clients) {
+        self.processes[at].suspend();
         clients.more(60);
-        clients.close(1);
-        clients.front_ends[1].killed.fetch_add(1, Ordering::SeqCst);
-        drop(processes[1].take());
-        processes[1] = Some(start(addresses[1]));
-        clients.open(1);
-        // One stands still while the others go on, and a worker drains or comes back meanwhile.
-        let process = processes[2].as_ref().unwrap();
+        clients.close(at);
+        clients.front_ends[at].killed.fetch_add(1, Ordering::SeqCst);
+        self.processes[at].kill();
+        self.start_again(at);
+        clients.open(at);
+    }
+
+    /// One stands still while the others go on, and a worker drains or comes back meanwhile.
+    fn suspend_through_an_event(
+        &self,
+        at: usize,
+        clients: &Clients,
+        coordinator: &SharedCoordinator,
+        worker: &Worker,
+        state: &str,
+    ) {
+        let process = &self.processes[at];
         process.suspend();
         clients.more(60);
-        let (drains, state) = (
-            &workers[0],
-            if round % 2 == 0 {
-                "Terminating"
-            } else {
-                "Ready"
-            },
-        );
-        coordinator.publish("s-0", drains.address, state);
-        let events = coordinator.events.lock().unwrap().len() as u64 + 1;
+        coordinator.publish("s-0", worker.address, state);
         process.resume();
-        // Each has polled again with that event in hand: the answer to its next poll has been asked for.
-        let replies_with_it = || {
-            coordinator
-                .replied
-                .lock()
-                .unwrap()
-                .iter()
-                .filter(|i| **i == events)
-                .count()
-        };
-        until("all have been told", || replies_with_it() >= 2 * FRONT_ENDS);
-        if state == "Terminating" {
-            let (calls, loads) = (
-                drains.commands("fire").len(),
-                drains.commands("provision").len(),
-            );
-            clients.more(60);
-            assert_eq!(
-                drains.commands("fire").len(),
-                calls,
-                "round {round}: calls to a worker that drains"
-            );
-            assert_eq!(
-                drains.commands("provision").len(),
-                loads,
-                "round {round}: loads at a worker that drains"
-            );
-        }
-    }
-    clients.stop.store(true, Ordering::SeqCst);
-    threads
-        .into_iter()
-        .for_each(|t| t.join().expect("a client"));
-    for mut process in processes.into_iter().flatten() {
-        assert_eq!(process.terminate(), Some(0));
     }
+}
 
-    let ends = clients.ends.lock().unwrap();
+fn start_process(configuration: &PlatformConfiguration, address: SocketAddr) -> GatewayProcess {
+    let process = GatewayProcess::spawn(write_configuration(configuration, address), address);
+    process.wait_until_alive();
+    process
+}
+
+/// Nothing goes to a worker while calls go on.
+fn assert_nothing_sent(worker: &Worker, clients: &Clients, round: usize) {
+    let calls = worker.commands("fire").len();
+    let loads = worker.commands("provision").len();
+    clients.more(60);
+    assert_eq!(
+        worker.commands("fire").len(),
+        calls,
+        "round {round}: calls to a worker that drains"
+    );
+    assert_eq!(
+        worker.commands("provision").len(),
+        loads,
+        "round {round}: loads at a worker that drains"
+    );
+}
+
+/// Every call has an answer of its own, nearly all of them served.
+fn assert_answered(ends: &HashMap<u64, (usize, CallEnd)>) {
     let mut served = 0;
-    for (id, (at, end)) in ends.iter() {
+    for (id, (at, end)) in ends {
         match end {
             CallEnd::Answer(200, own) => {
                 assert!(own, "call {id} at {at}: another's body");
@@ -302,10 +319,51 @@
         "{served} of {} served",
         ends.len()
     );
-    // Whatever happened, no call that must not be repeated ran twice, at any worker, through any front end.
+}
+
+/// Whatever happened, no call that must not be repeated ran twice, at any worker, through any front end.
+fn assert_no_effect_twice(workers: &[Worker]) {
     let mut ran = HashSet::new();
-    for command in workers.iter().flat_map(|w| w.commands("fire")) {
+    for command in workers.iter().flat_map(|worker| worker.commands("fire")) {
         let id = u64::from_str_radix(command.id(), 16).unwrap();
         assert!(ran.insert(id) || id % 2 == 1, "call {id} ran twice");
     }
 }
+
+#[test]
+fn some_end_some_are_killed_and_one_stands_still() {
+    let workers: Vec<Worker> = (0..3).map(|_| Worker::plain()).collect();
+    let coordinator = SharedCoordinator::start();
+    let mut fleet = Fleet::start(PlatformConfiguration {
+        coordinator: coordinator.address,
+        ..configuration_for(&workers.iter().collect::<Vec<_>>())
+    });
+    let clients = Arc::new(Clients::of(fleet.statuses()));
+    let threads: Vec<_> = (0..FRONT_ENDS * CLIENTS_EACH)
+        .map(|number| clients.run(number % FRONT_ENDS))
+        .collect();
+    for round in 0..3 {
+        clients.more(60);
+        fleet.restart(0, &clients, round);
+        fleet.kill_and_restart(1, &clients);
+        let drains = round % 2 == 0;
+        let state = if drains { "Terminating" } else { "Ready" };
+        fleet.suspend_through_an_event(2, &clients, &coordinator, &workers[0], state);
+        // Each has polled again with that event in hand: the answer to its next poll has been asked for.
+        until("all have polled with the event", || {
+            coordinator.replies_with_newest() >= 2 * FRONT_ENDS
+        });
+        if drains {
+            assert_nothing_sent(&workers[0], &clients, round);
+        }
+    }
+    clients.stop.store(true, Ordering::SeqCst);
+    threads
+        .into_iter()
+        .for_each(|thread| thread.join().expect("a client"));
+    for mut process in fleet.processes {
+        assert_eq!(process.terminate(), Some(0));
+    }
+    assert_answered(&clients.ends.lock().unwrap());
+    assert_no_effect_twice(&workers);
+}
