--- a/programs/gateway/tests/platform/descriptors.rs
+++ b/programs/gateway/tests/platform/descriptors.rs
@@ -95,13 +95,7 @@
     assert_eq!(client.answer_status(), Some(200));
     // Not one more.
     process.limit_descriptors(0);
-    client.send(
-        &Call {
-            timeout_ms: 300,
-            ..call(1)
-        }
-        .text(),
-    );
+    client.send(&call(1).with_timeout_ms(300).text());
     assert_eq!(
         client.answer_status(),
         Some(503),
--- a/programs/gateway/tests/platform/faults.rs
+++ b/programs/gateway/tests/platform/faults.rs
@@ -1,24 +1,15 @@
-//! System calls that fail, a process that stands still, connections and lists that come late: what is taken is answered in
-//! its client's time, and workers are told no more time than there is.
+//! System calls that fail, connections and lists that come late: what is taken is answered in its client's time, and workers
+//! are given no more time than there is.
 
 use crate::harness::manual::ManualCoordinator;
 use crate::harness::process::{reserve, GatewayProcess};
 use crate::harness::scenarios::{accept_late_connection, LateConnection, ManualSetup};
+use crate::harness::worker::PATIENCE_SLACK_MS;
 use crate::harness::*;
 use rustix::process::Signal;
+use std::io::{BufRead, BufReader, PipeReader};
 use std::time::{Duration, Instant};
 
-/// A worker's timeout may be longer than the time that is left by so much.
-const SLACK_MS: u64 = 150;
-
-/// The timeout that a worker was given with a call, milliseconds.
-fn patience_ms(command: &worker::WorkerCommand) -> u64 {
-    let value = command.words[2]
-        .split(',')
-        .find_map(|f| f.strip_prefix("patience="));
-    value.expect("a patience").parse().expect("milliseconds")
-}
-
 #[test]
 fn an_interrupted_read_of_signals_ends_nothing() {
     // The worker answers once the program has been told to end.
@@ -51,62 +42,6 @@
     assert_eq!(process.exit_code(), Some(0));
 }
 
-#[test]
-fn time_counts_from_the_last_byte_of_a_request_that_waited_in_the_kernel() {
-    let worker = Worker::plain();
-    let mut process = GatewayProcess::start(&configuration_for(&[&worker]));
-    // A connection that was answered before, and one that is not accepted yet.
-    let mut known = process.warm_client();
-    process.suspend();
-    let mut fresh = Client::to(process.address);
-    let mut short = Client::to(process.address);
-    known.send(
-        &Call {
-            timeout_ms: 2000,
-            ..call(2)
-        }
-        .text(),
-    );
-    fresh.send(
-        &Call {
-            timeout_ms: 2000,
-            ..call(3)
-        }
-        .text(),
-    );
-    short.send(
-        &Call {
-            timeout_ms: 300,
-            ..call(4)
-        }
-        .text(),
-    );
-    let sent = Instant::now();
-    until("they have waited", || {
-        sent.elapsed() > Duration::from_millis(900)
-    });
-    let waited = sent.elapsed().as_millis() as u64;
-    process.resume();
-    for client in [&mut known, &mut fresh] {
-        assert_eq!(client.answer_status(), Some(200));
-    }
-    let status = short.answer_status();
-    assert!(
-        matches!(status, Some(503 | 504)),
-        "its time was over: {status:?}"
-    );
-    let calls = worker.commands("fire");
-    assert_eq!(calls.len(), 3, "a call whose time was over was sent on");
-    for command in &calls[1..] {
-        let (given, left) = (patience_ms(command), 2000 - waited);
-        assert!(
-            given <= left + SLACK_MS,
-            "told {given} ms where the client had {left} left"
-        );
-    }
-    assert_eq!(process.terminate(), Some(0));
-}
-
 #[test]
 fn a_worker_is_told_the_time_that_is_left_when_its_late_connection_is_up() {
     let LateConnection {
@@ -121,9 +56,9 @@
     let command = front_end.next_command(&mut worker, "fire");
     // The call has 2 s from before it was chosen; a little of it is kept for the answer's way.
     let left = 2000 - chosen.elapsed().as_millis() as u64;
-    let given = patience_ms(&command);
+    let given = command.patience_ms();
     assert!(
-        given <= left + SLACK_MS,
+        given <= left + PATIENCE_SLACK_MS,
         "told {given} ms where the client had {left} left"
     );
 }
@@ -221,6 +156,16 @@
     drop(logs);
 }
 
+/// The age, in microseconds, that the log gives for a worker as it is listed.
+fn logged_age_us(log: PipeReader, worker: &str) -> i64 {
+    let mut lines = BufReader::new(log).lines().map_while(Result::ok);
+    let line = lines
+        .find(|line| line.contains("is listed") && line.contains(worker))
+        .expect("it is listed");
+    let age = line.split("age=Some(").nth(1).unwrap();
+    age.split(')').next().unwrap().parse().unwrap()
+}
+
 #[test]
 fn a_stepped_wall_clock_makes_no_worker_older() {
     // Stepped in service, and wrong at the start and set right in service.
@@ -261,20 +206,7 @@
             worker.address
         );
         coordinator.try_reply(polled.unwrap(), &event);
-        let mut lines =
-            std::io::BufRead::lines(std::io::BufReader::new(logs)).map_while(Result::ok);
-        let line = lines
-            .find(|l| l.contains("is listed") && l.contains("s-9"))
-            .expect("it is listed");
-        let age: i64 = line
-            .split("age=Some(")
-            .nth(1)
-            .unwrap()
-            .split(')')
-            .next()
-            .unwrap()
-            .parse()
-            .unwrap();
+        let age = logged_age_us(logs, "s-9");
         assert!(
             (0..2_000_000).contains(&age),
             "a worker that started now is {age} us old, clock off by {by} s {when} 0.3 s"
@@ -325,82 +257,3 @@
         }
     }
 }
-
-#[test]
-fn an_answer_that_came_while_the_process_stood_still_is_given() {
-    for (safe, suspended_ms) in [(true, 600), (false, 600), (true, 1500), (false, 1500)] {
-        // The first call warms the worker; the second is answered when the test says so.
-        let (worker, release) = held_back(&['2']);
-        let mut process = GatewayProcess::start(&configuration_for(&[&worker]));
-        let mut client = process.warm_client();
-        let second = Call {
-            timeout_ms: 2000,
-            ..call(2)
-        };
-        client.send(&if safe { second } else { second.once() }.text());
-        until("the call is out", || worker.commands("fire").len() == 2);
-        process.suspend();
-        let suspended = Instant::now();
-        release.send(()).unwrap();
-        until("it has stood still", || {
-            suspended.elapsed() > Duration::from_millis(suspended_ms)
-        });
-        process.resume();
-        let answer = client.answer();
-        assert_eq!(
-            answer,
-            Some((200, "body 2".into())),
-            "safe: {safe}, {suspended_ms} ms"
-        );
-        assert_eq!(
-            worker.commands("fire").len(),
-            2,
-            "safe: {safe}: sent again though it was answered"
-        );
-        assert_eq!(process.terminate(), Some(0));
-    }
-}
-
-#[test]
-fn a_request_whose_rest_came_while_the_process_stood_still_is_served() {
-    let worker = Worker::plain();
-    let mut process = GatewayProcess::start(&configuration_for(&[&worker]));
-    let warm = process.warm_client();
-    // On a connection that was answered, and on new ones.
-    let mut clients = vec![warm];
-    clients.extend((0..6).map(|_| Client::to(process.address)));
-    let began = Instant::now();
-    let texts: Vec<String> = (2..)
-        .map(|id| {
-            Call {
-                timeout_ms: 2000,
-                ..call(id)
-            }
-            .text()
-        })
-        .take(7)
-        .collect();
-    clients
-        .iter_mut()
-        .zip(&texts)
-        .for_each(|(client, text)| client.send(&text[..60]));
-    // A request may be in the making for 2 s, the first of a connection for 2.3 s.
-    until("half of it has been read for long", || {
-        began.elapsed() > Duration::from_millis(1300)
-    });
-    process.suspend();
-    clients
-        .iter_mut()
-        .zip(&texts)
-        .for_each(|(client, text)| client.send(&text[60..]));
-    until("its time to be whole is over", || {
-        began.elapsed() > Duration::from_millis(2500)
-    });
-    process.resume();
-    let answers: Vec<_> = clients
-        .iter_mut()
-        .map(|client| client.answer_status())
-        .collect();
-    assert_eq!(answers, [Some(200); 7]);
-    assert_eq!(process.terminate(), Some(0));
-}
--- a/programs/gateway/tests/platform/harness/client.rs
+++ b/programs/gateway/tests/platform/harness/client.rs
@@ -35,6 +35,10 @@
             ..self
         }
     }
+    /// The same with another timeout.
+    pub fn with_timeout_ms(self, timeout_ms: u64) -> Call {
+        Call { timeout_ms, ..self }
+    }
     /// Its headers, but for `Host` and the idempotency key.
     pub fn headers(&self) -> HashMap<&'static str, String> {
         HashMap::from([
--- a/programs/gateway/tests/platform/harness/scenarios.rs
+++ b/programs/gateway/tests/platform/harness/scenarios.rs
@@ -1,6 +1,6 @@
 //! States of a front end under step-by-step control that several tests start from.
 
-use super::client::{call, Call, Client};
+use super::client::{call, Client};
 use super::configuration::configuration_at;
 use super::manual::{ManualCoordinator, ManualFrontEnd, ManualWorker};
 use super::until;
@@ -91,10 +91,7 @@
         };
         configuration.coordinator = coordinator.unwrap_or(configuration.coordinator);
         let mut front_end = ManualFrontEnd::start(&configuration);
-        let client = front_end.send(&Call {
-            timeout_ms: 2000,
-            ..call(1)
-        });
+        let client = front_end.send(&call(1).with_timeout_ms(2000));
         let load = front_end.next_command(&mut worker, "provision");
         let filler = TcpStream::connect(worker.address).unwrap();
         worker.answer(&load, "200", "replicas=1");
--- a/programs/gateway/tests/platform/harness/worker.rs
+++ b/programs/gateway/tests/platform/harness/worker.rs
@@ -14,6 +14,9 @@
     strings: 4,
 };
 
+/// The timeout that a worker is given may be longer than the time that is left by so much.
+pub const PATIENCE_SLACK_MS: u64 = 150;
+
 /// One command that reached a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerCommand {
@@ -42,6 +45,14 @@
     pub fn id(&self) -> &str {
         &self.words[1]
     }
+
+    /// The timeout that came with a call, milliseconds.
+    pub fn patience_ms(&self) -> u64 {
+        let value = self.words[2]
+            .split(',')
+            .find_map(|field| field.strip_prefix("patience="));
+        value.expect("a patience").parse().expect("milliseconds")
+    }
 }
 
 /// What a worker does about a command: bytes to write, and whether the connection goes on.
--- a/programs/gateway/tests/platform/idle_clients.rs
+++ b/programs/gateway/tests/platform/idle_clients.rs
@@ -1,9 +1,43 @@
 //! Clients that are silent or slow: they are closed in time, make room for others, and cost no memory.
 
 use crate::harness::*;
-use std::io::Write;
+use std::io::{ErrorKind, Read, Write};
+use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
+/// Sends a byte now and then, never a whole request, until the connection ends or five seconds are over.
+fn trickle(client: &mut Client, began: Instant) {
+    let text = call(2).text();
+    let mut bytes = text.bytes();
+    while began.elapsed() < Duration::from_secs(5) {
+        let next = bytes.next().unwrap_or(b'x');
+        if client.socket.write_all(&[next]).is_err() {
+            return;
+        }
+        client
+            .socket
+            .set_read_timeout(Some(Duration::from_millis(50)))
+            .unwrap();
+        let mut buffer = [0u8; 512];
+        match client.socket.read(&mut buffer) {
+            Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+            _ => return,
+        }
+    }
+}
+
+/// On a thread of its own: whether a client's connection is ended, and after how long.
+fn end_of_client(mut client: Client, trickles: bool) -> JoinHandle<(bool, Duration)> {
+    std::thread::spawn(move || {
+        let began = Instant::now();
+        if trickles {
+            trickle(&mut client, began);
+        }
+        let ended = trickles || client.ends_within(Duration::from_secs(4));
+        (ended, began.elapsed())
+    })
+}
+
 #[test]
 fn silent_and_trickling_clients_are_closed_in_time_and_honest_idle_ones_are_not() {
     let worker = Worker::plain();
@@ -12,41 +46,12 @@
     honest.send(&call(1).text());
     assert_eq!(honest.answer_status(), Some(200));
     let idle = Instant::now();
-    let ends = |mut client: Client, trickle: bool| {
-        std::thread::spawn(move || {
-            let began = Instant::now();
-            let text = call(2).text();
-            let mut sent = text.bytes();
-            while trickle && began.elapsed() < Duration::from_secs(5) {
-                // A byte now and then, never a whole request.
-                if client
-                    .socket
-                    .write_all(&[sent.next().unwrap_or(b'x')])
-                    .is_err()
-                {
-                    break;
-                }
-                client
-                    .socket
-                    .set_read_timeout(Some(Duration::from_millis(50)))
-                    .unwrap();
-                let mut buffer = [0u8; 512];
-                match std::io::Read::read(&mut client.socket, &mut buffer) {
-                    Ok(_) => break,
-                    Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
-                    Err(_) => break,
-                }
-            }
-            let ended = trickle || client.ends_within(Duration::from_secs(4));
-            (ended, began.elapsed())
-        })
-    };
     let mut half = front_end.connect();
     half.send(&call(3).text()[..40]);
     let all = [
-        ends(front_end.connect(), false),
-        ends(front_end.connect(), true),
-        ends(half, false),
+        end_of_client(front_end.connect(), false),
+        end_of_client(front_end.connect(), true),
+        end_of_client(half, false),
     ];
     for one in all {
         let (ended, took) = one.join().unwrap();
--- a/programs/gateway/tests/platform/links.rs
+++ b/programs/gateway/tests/platform/links.rs
@@ -90,10 +90,7 @@
 fn answers_that_come_when_nobody_waits_for_them_change_nothing() {
     let mut worker = ManualWorker::start();
     let mut front_end = ManualFrontEnd::start(&configuration_at(&[worker.address]));
-    let mut client = front_end.send(&Call {
-        timeout_ms: 150,
-        ..call(1)
-    });
+    let mut client = front_end.send(&call(1).with_timeout_ms(150));
     let first = front_end.next_command(&mut worker, "fire");
     let status = front_end.answer(&mut client);
     assert!(status == 503 || status == 504, "{status}: its time is up");
--- a/programs/gateway/tests/platform/main.rs
+++ b/programs/gateway/tests/platform/main.rs
@@ -14,6 +14,7 @@
 mod requests;
 mod settings;
 mod shutdown;
+mod suspension;
 mod together;
 mod watch;
 mod worker_answers;
--- a/programs/gateway/tests/platform/polls.rs
+++ b/programs/gateway/tests/platform/polls.rs
@@ -42,12 +42,7 @@
     assert!(target.contains("follow=2&"), "{target}");
     let calls = worker.commands("fire").len();
     assert_eq!(
-        front_end
-            .call(&Call {
-                timeout_ms: 300,
-                ..call(2)
-            })
-            .0,
+        front_end.call(&call(2).with_timeout_ms(300)).0,
         503,
         "the only worker is gone"
     );
--- a/programs/gateway/tests/platform/requests.rs
+++ b/programs/gateway/tests/platform/requests.rs
@@ -26,9 +26,12 @@
     assert_eq!(worker.commands("provision").len(), 1);
 }
 
+const INVALID_TIMEOUTS: [&str; 6] = ["0", "-5", "abc", "1e9", "99999999", "nan"];
+
 /// Texts that are not a call in the page's form, each for one reason.
 fn malformed_requests() -> Vec<String> {
     let good = call(1);
+    let text = good.text();
     let with = |name: &'static str, value: &str| {
         let mut headers = good.headers();
         headers.insert(name, value.to_string());
@@ -42,14 +45,14 @@
     let mut malformed = vec![
         "\u{16}\u{3}\u{1}noise\r\n\r\n".to_string(),
         "GET / HTTP/1.1\r\n\r\n".to_string(),
-        good.text().replace("HTTP/1.1", "HTTP/1.0"),
-        good.text().replace("/call", "/other"),
-        good.text().replace("POST", "PUT"),
+        text.replace("HTTP/1.1", "HTTP/1.0"),
+        text.replace("/call", "/other"),
+        text.replace("POST", "PUT"),
         good.text_with(&good.headers(), "Transfer-Encoding: chunked\r\n"),
         good.text_with(&good.headers(), "Content-Length: 6\r\n"),
         format!("POST / HTTP/1.1\r\nX: {}", "y".repeat(100_000)),
         with("Content-Length", "60000000"),
-        format!("{}{}", good.text(), call(2).text()),
+        format!("{text}{}", call(2).text()),
     ];
     for (name, values) in [
         (
@@ -58,10 +61,7 @@
         ),
         ("X-Class", &["none", ""]),
         ("X-Request-Id", &["", "1", "zzzzzzzzzzzzzzzz"]),
-        (
-            "X-Timeout-Ms",
-            &["0", "-5", "abc", "1e9", "99999999", "nan"],
-        ),
+        ("X-Timeout-Ms", &INVALID_TIMEOUTS),
         (
             "X-Extras",
             &[
--- a/programs/gateway/tests/platform/watch.rs
+++ b/programs/gateway/tests/platform/watch.rs
@@ -126,10 +126,7 @@
         };
         let mut front_end = ManualFrontEnd::start(&configuration);
         let connection = next_poll(&mut front_end, &mut coordinator);
-        let _client = front_end.send(&Call {
-            timeout_ms: 2000,
-            ..call(1)
-        });
+        let _client = front_end.send(&call(1).with_timeout_ms(2000));
         front_end.until("the load waits", |p| {
             (p.driver().worker_connections() == 1).then_some(())
         });
@@ -170,6 +167,60 @@
     front_end.platform.turn(Duration::ZERO).unwrap();
 }
 
+/// Brings nothing until the longest pause has been kept six times: the connection of the poll that follows.
+fn assert_pauses(
+    front_end: &mut ManualFrontEnd,
+    coordinator: &mut ManualCoordinator,
+    refuses: bool,
+) -> usize {
+    let mut connection = next_poll(front_end, coordinator);
+    // No earlier than this the poll that is out was begun, and the pause that is to follow it, if that is known.
+    let (mut begun, mut pause) = (Instant::now(), None);
+    let (mut rounds, mut longest) = (0, 0);
+    while longest < 6 {
+        rounds += 1;
+        assert!(rounds < 100, "too slow to judge: {longest} pauses");
+        let Some(least) = pause else {
+            front_end.run_for(MAX_PAUSE);
+            begun = Instant::now();
+            bring_nothing(front_end, coordinator, connection, refuses);
+            let description = "a poll behind a long one";
+            connection =
+                front_end.while_runs(MAX_PAUSE / 2, description, |_| coordinator.next_poll());
+            pause = Some(FIRST_PAUSE);
+            continue;
+        };
+        let brought = Instant::now();
+        bring_nothing(front_end, coordinator, connection, refuses);
+        // This machine may have kept the poll for so long that no pause is due: what follows is not known then.
+        let judged = begun.elapsed() < MAX_PAUSE;
+        connection = front_end.while_runs(MAX_PAUSE * 3 / 2, "a poll", |_| coordinator.next_poll());
+        let waited = brought.elapsed();
+        if !judged {
+            pause = None;
+            continue;
+        }
+        assert!(
+            waited >= least,
+            "asked again after {waited:?}, not {least:?}, refused: {refuses}"
+        );
+        longest += u32::from(least == MAX_PAUSE);
+        (begun, pause) = (brought + least, Some((least * 2).min(MAX_PAUSE)));
+    }
+    connection
+}
+
+/// The last poll follows this event.
+fn assert_last_poll_follows(coordinator: &ManualCoordinator, event: u64) {
+    let follow = format!("follow={event}&");
+    let last = coordinator.polls.last();
+    assert!(
+        last.is_some_and(|target| target.contains(&follow)),
+        "{:?}",
+        coordinator.polls
+    );
+}
+
 #[test]
 fn a_coordinator_that_brings_nothing_is_asked_seldom_and_one_that_is_back_is_heard_soon() {
     for refuses in [false, true] {
@@ -178,59 +229,15 @@
             mut coordinator,
             worker,
         } = ManualSetup::start();
-        let mut connection = next_poll(&mut front_end, &mut coordinator);
-        // No earlier than this the poll that is out was begun, and the pause that is to follow it, if that is known.
-        let (mut begun, mut pause) = (Instant::now(), None);
-        let (mut rounds, mut longest) = (0, 0);
-        while longest < 6 {
-            rounds += 1;
-            assert!(rounds < 100, "too slow to judge: {longest} pauses");
-            let Some(least) = pause else {
-                front_end.run_for(MAX_PAUSE);
-                begun = Instant::now();
-                bring_nothing(&mut front_end, &mut coordinator, connection, refuses);
-                connection =
-                    front_end.while_runs(MAX_PAUSE / 2, "a poll behind a long one", |_| {
-                        coordinator.next_poll()
-                    });
-                pause = Some(FIRST_PAUSE);
-                continue;
-            };
-            let brought = Instant::now();
-            bring_nothing(&mut front_end, &mut coordinator, connection, refuses);
-            // This machine may have kept the poll for so long that no pause is due: what follows is not known then.
-            let judged = begun.elapsed() < MAX_PAUSE;
-            connection =
-                front_end.while_runs(MAX_PAUSE * 3 / 2, "a poll", |_| coordinator.next_poll());
-            let waited = brought.elapsed();
-            if !judged {
-                pause = None;
-                continue;
-            }
-            assert!(
-                waited >= least,
-                "asked again after {waited:?}, not {least:?}, refused: {refuses}"
-            );
-            longest += u32::from(least == MAX_PAUSE);
-            (begun, pause) = (brought + least, Some((least * 2).min(MAX_PAUSE)));
-        }
-        coordinator.reply(
-            connection,
-            &worker_event(2, "s-0", worker.address, "Terminating"),
-        );
+        let connection = assert_pauses(&mut front_end, &mut coordinator, refuses);
+        let event = drain_event(&worker, true);
+        coordinator.reply(connection, &event);
         // Without a pause.
         front_end.while_runs(MAX_PAUSE / 2, "a poll behind an event", |_| {
             coordinator.next_poll()
         });
         assert_eq!(front_end.platform.poller().index(), 2);
-        assert!(
-            coordinator
-                .polls
-                .last()
-                .is_some_and(|t| t.contains("follow=2&")),
-            "{:?}",
-            coordinator.polls
-        );
+        assert_last_poll_follows(&coordinator, 2);
     }
 }
 
@@ -263,14 +270,7 @@
         );
     }
     next_poll(&mut front_end, &mut coordinator);
-    assert!(
-        coordinator
-            .polls
-            .last()
-            .is_some_and(|t| t.contains("follow=9&")),
-        "{:?}",
-        coordinator.polls
-    );
+    assert_last_poll_follows(&coordinator, 9);
 }
 
 #[test]
@@ -281,20 +281,10 @@
         worker,
     } = ManualSetup::start();
     let connection = next_poll(&mut front_end, &mut coordinator);
-    coordinator.reply(
-        connection,
-        &worker_event(2, "s-0", worker.address, "Terminating"),
-    );
+    coordinator.reply(connection, &drain_event(&worker, true));
     coordinator.end(connection);
     next_poll(&mut front_end, &mut coordinator);
-    assert!(
-        coordinator
-            .polls
-            .last()
-            .is_some_and(|t| t.contains("follow=2&")),
-        "{:?}",
-        coordinator.polls
-    );
+    assert_last_poll_follows(&coordinator, 2);
     assert_eq!(coordinator.connected, 2);
 }
 
--- a/programs/gateway/tests/platform/worker_answers.rs
+++ b/programs/gateway/tests/platform/worker_answers.rs
@@ -97,11 +97,7 @@
 #[test]
 fn a_refused_connect_never_ran_and_a_cut_one_may_have() {
     let front_end = FrontEnd::start(&configuration_at(&[unused_address()]));
-    let refused = Call {
-        timeout_ms: 600,
-        ..call(1)
-    }
-    .once();
+    let refused = call(1).with_timeout_ms(600).once();
     assert_eq!(front_end.call(&refused).0, 503, "trying again is harmless");
     let worker = Worker::start(serving(|_| Some((Vec::new(), false))));
     let front_end = FrontEnd::start(&configuration_for(&[&worker]));
@@ -141,11 +137,7 @@
             _ => (Vec::new(), true),
         }));
         let front_end = FrontEnd::start(&configuration_for(&[&worker]));
-        let silent = Call {
-            timeout_ms: 300,
-            ..call(1)
-        }
-        .once();
+        let silent = call(1).with_timeout_ms(300).once();
         assert_eq!(
             front_end.call(&silent).0,
             504,
