--- a/programs/gateway/tests/platform/faults.rs
+++ b/programs/gateway/tests/platform/faults.rs
@@ -185,10 +185,14 @@
         let address = reserved.address();
         let (logs, write) = std::io::pipe().unwrap();
         let rules = format!("clock:STEP:{when}=0.3:by={by}");
-        let mut process =
-            GatewayProcess::spawn_with_faults_and(&configuration, address, &rules, |command| {
+        let mut process = GatewayProcess::spawn_with_faults_and_options(
+            &configuration,
+            address,
+            &rules,
+            |command| {
                 command.args(["--log", "debug"]).stderr(write);
-            });
+            },
+        );
         process.wait_until_alive();
         let began = Instant::now();
         let mut polled = None;
--- a/programs/gateway/tests/platform/harness/manual.rs
+++ b/programs/gateway/tests/platform/harness/manual.rs
@@ -21,6 +21,7 @@
 
 /// A front end whose loop runs only when the test says so.
 pub struct ManualFrontEnd {
+    /// The front end itself.
     pub platform: Platform,
     path: PathBuf,
 }
@@ -32,6 +33,7 @@
 }
 
 impl ManualFrontEnd {
+    /// Starts one; its loop has not run.
     pub fn start(configuration: &PlatformConfiguration) -> ManualFrontEnd {
         ManualFrontEnd::with_text(&configuration.text(ANY_PORT))
     }
@@ -118,7 +120,7 @@
     }
 }
 
-/// Some: there is something to read, an end included.
+/// Whether there is something to read, an end included, as [`ManualFrontEnd::until`] takes it.
 pub fn readable(socket: &TcpStream) -> Option<()> {
     match socket.peek(&mut [0u8]) {
         Err(e) if e.kind() == ErrorKind::WouldBlock => None,
@@ -135,6 +137,7 @@
 /// A worker that reads and answers only when the test says so.
 pub struct ManualWorker {
     listener: TcpListener,
+    /// Where it listens.
     pub address: SocketAddr,
     connections: Vec<WorkerConnection>,
     /// Every command that came, and those that the test has not looked at.
@@ -145,12 +148,13 @@
 }
 
 impl ManualWorker {
+    /// Starts one that does loads at once.
     pub fn start() -> ManualWorker {
-        ManualWorker::on(TcpListener::bind("127.0.0.1:0").unwrap())
+        ManualWorker::on_listener(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
     /// On a listener of the test's making.
-    pub fn on(listener: TcpListener) -> ManualWorker {
+    pub fn on_listener(listener: TcpListener) -> ManualWorker {
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap();
         ManualWorker {
@@ -290,6 +294,7 @@
 /// A coordinator that reads and answers only when the test says so.
 pub struct ManualCoordinator {
     listener: TcpListener,
+    /// Where it listens.
     pub address: SocketAddr,
     connections: Vec<TcpStream>,
     /// Polls that came, by their targets.
@@ -299,6 +304,7 @@
 }
 
 impl ManualCoordinator {
+    /// Starts one.
     pub fn start() -> ManualCoordinator {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
--- a/programs/gateway/tests/platform/harness/process.rs
+++ b/programs/gateway/tests/platform/harness/process.rs
@@ -17,7 +17,9 @@
 /// A front end's process; it ends with the value.
 pub struct GatewayProcess {
     child: Child,
+    /// Where it listens.
     pub address: SocketAddr,
+    /// Its configuration's file.
     pub path: PathBuf,
     /// Where the program chose its address itself.
     _reserved: Option<ReservedAddress>,
@@ -82,11 +84,11 @@
         address: SocketAddr,
         rules: &str,
     ) -> GatewayProcess {
-        GatewayProcess::spawn_with_faults_and(configuration, address, rules, |_| {})
+        GatewayProcess::spawn_with_faults_and_options(configuration, address, rules, |_| {})
     }
 
     /// The same, with more on its command line or in its environment.
-    pub fn spawn_with_faults_and(
+    pub fn spawn_with_faults_and_options(
         configuration: &PlatformConfiguration,
         address: SocketAddr,
         rules: &str,
--- a/programs/gateway/tests/platform/harness/scenarios.rs
+++ b/programs/gateway/tests/platform/harness/scenarios.rs
@@ -83,7 +83,7 @@
 impl LateConnection {
     /// Brings it about; with none the list stays as it is known.
     pub fn start(coordinator: Option<SocketAddr>) -> LateConnection {
-        let mut worker = ManualWorker::on(listener_with_room_for_one());
+        let mut worker = ManualWorker::on_listener(listener_with_room_for_one());
         worker.loads_at_once = false;
         let mut configuration = PlatformConfiguration {
             connect_timeout_s: 5.0,
--- a/programs/gateway/tests/platform/together.rs
+++ b/programs/gateway/tests/platform/together.rs
@@ -187,7 +187,7 @@
         self.front_ends[at].open.store(true, Ordering::SeqCst);
     }
     /// Waits until so many more calls have been answered.
-    fn more(&self, calls: u64) {
+    fn wait_for_more(&self, calls: u64) {
         let until_then = self.answered.load(Ordering::SeqCst) + calls;
         until("calls go on", || {
             self.answered.load(Ordering::SeqCst) >= until_then
@@ -238,7 +238,7 @@
     fn restart(&mut self, at: usize, clients: &Clients, round: usize) {
         let process = &mut self.processes[at];
         process.signal(Signal::TERM);
-        clients.more(20);
+        clients.wait_for_more(20);
         clients.close(at);
         assert_eq!(process.exit_code(), Some(0), "round {round}");
         self.start_again(at);
@@ -248,7 +248,7 @@
     /// One is killed outright, with a call of each of its clients in its buffers, and starts again.
     fn kill_and_restart(&mut self, at: usize, clients: &Clients) {
         self.processes[at].suspend();
-        clients.more(60);
+        clients.wait_for_more(60);
         clients.close(at);
         clients.front_ends[at].killed.fetch_add(1, Ordering::SeqCst);
         self.processes[at].kill();
@@ -267,7 +267,7 @@
     ) {
         let process = &self.processes[at];
         process.suspend();
-        clients.more(60);
+        clients.wait_for_more(60);
         coordinator.publish("s-0", worker.address, state);
         process.resume();
     }
@@ -283,7 +283,7 @@
 fn assert_nothing_sent(worker: &Worker, clients: &Clients, round: usize) {
     let calls = worker.commands("fire").len();
     let loads = worker.commands("provision").len();
-    clients.more(60);
+    clients.wait_for_more(60);
     assert_eq!(
         worker.commands("fire").len(),
         calls,
@@ -343,7 +343,7 @@
         .map(|number| clients.run(number % FRONT_ENDS))
         .collect();
     for round in 0..3 {
-        clients.more(60);
+        clients.wait_for_more(60);
         fleet.restart(0, &clients, round);
         fleet.kill_and_restart(1, &clients);
         let drains = round % 2 == 0;
--- a/programs/gateway/tests/platform/watch.rs
+++ b/programs/gateway/tests/platform/watch.rs
@@ -116,7 +116,7 @@
     for drains in [false, true] {
         let (mut coordinator, mut worker) = (
             ManualCoordinator::start(),
-            ManualWorker::on(listener_with_room_for_one()),
+            ManualWorker::on_listener(listener_with_room_for_one()),
         );
         let _filler = std::net::TcpStream::connect(worker.address).unwrap();
         let configuration = PlatformConfiguration {
--- a/tests/soak/src/discovery.rs
+++ b/tests/soak/src/discovery.rs
@@ -152,16 +152,16 @@
         let mut newest_event = self.newest_event.subscribe();
         loop {
             let head = read_head(&mut socket).await?;
-            let held = subscriber.event(query_parameter(&head, "follow=")?);
+            let acknowledged = subscriber.event(query_parameter(&head, "follow=")?);
             self.facts.record(Fact::Polled {
                 place: front_end,
                 process,
-                event: held,
+                event: acknowledged,
             });
             let wait = Duration::from_millis(query_parameter(&head, "wait_ms=")?);
             // Ends early with an event, or after the time that was asked for.
-            let _ = timeout(wait, newest_event.wait_for(|newest| *newest > held)).await;
-            let (reply, event) = self.reply(held, subscriber);
+            let _ = timeout(wait, newest_event.wait_for(|newest| *newest > acknowledged)).await;
+            let (reply, event) = self.reply(acknowledged, subscriber);
             let mode = *self.mode.borrow();
             self.facts.record(Fact::Notified {
                 place: front_end,
@@ -199,9 +199,9 @@
     }
 
     /// The reply to a poll, and the last event in it.
-    fn reply(&self, held: u64, subscriber: Subscriber) -> (Vec<u8>, u64) {
+    fn reply(&self, acknowledged: u64, subscriber: Subscriber) -> (Vec<u8>, u64) {
         let events = self.events.lock().expect("not poisoned");
-        let later = events.iter().enumerate().skip(held as usize);
+        let later = events.iter().enumerate().skip(acknowledged as usize);
         let updates: Vec<String> = later
             .map(|(position, worker)| {
                 let index = subscriber.own_number(position as u64 + 1);
