--- a/programs/gateway/tests/platform/links.rs
+++ b/programs/gateway/tests/platform/links.rs
@@ -22,7 +22,7 @@
         let first = front_end.next_command(&mut worker, "fire");
         assert!(
             first.words[2].ends_with(",op=k1"),
-            "the key goes on as it command: {:?}",
+            "the key goes on as it came: {:?}",
             first.words
         );
         let began = Instant::now();
