--- a/decide/canary/src/analysis.rs
+++ b/decide/canary/src/analysis.rs
@@ -227,13 +227,13 @@
     /// What was slow, and what was lost, before the change.
     fn summarize_baseline(&mut self) {
         let mut classes: BTreeMap<String, RequestCounters> = BTreeMap::new();
-        let mut worth = 0.0;
-        let mut wanted = 0.0;
+        let mut value_served = 0.0;
+        let mut value_requested = 0.0;
         for delta in self.baseline.iter().flatten() {
             for (class, counters) in &delta.classes {
                 classes.entry(class.clone()).or_default().add(counters);
-                worth += counters.worth;
-                wanted += counters.wanted;
+                value_served += counters.value_served;
+                value_requested += counters.value_requested;
             }
         }
         let percentile = |(class, counters): (String, RequestCounters)| {
@@ -241,7 +241,7 @@
             known.then(|| (class, counters.latency.value_at_quantile(0.99)))
         };
         self.slow_over = classes.into_iter().filter_map(percentile).collect();
-        self.usual_loss = (wanted > 0.0).then(|| 1.0 - worth / wanted);
+        self.usual_loss = (value_requested > 0.0).then(|| 1.0 - value_served / value_requested);
     }
 
     /// Fails the new side if a guard prevented something there.
--- a/decide/canary/src/comparison.rs
+++ b/decide/canary/src/comparison.rs
@@ -57,9 +57,9 @@
             let sum = |part: fn(&CellSums) -> f64| {
                 cells.values().map(|sides| part(&sides[side])).sum::<f64>()
             };
-            let worth = sum(|sums| sums.worth);
-            let wanted = sum(|sums| sums.wanted);
-            (wanted > 0.0).then(|| 1.0 - worth / wanted)
+            let value_served = sum(|sums| sums.value_served);
+            let value_requested = sum(|sums| sums.value_requested);
+            (value_requested > 0.0).then(|| 1.0 - value_served / value_requested)
         };
         self.usual_loss
             .zip(loss(0).or(loss(1)))
--- a/decide/canary/src/metric.rs
+++ b/decide/canary/src/metric.rs
@@ -25,8 +25,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CellSums {
     pub(crate) requested: f64,
-    pub(crate) wanted: f64,
-    pub(crate) worth: f64,
+    pub(crate) value_requested: f64,
+    pub(crate) value_served: f64,
     pub(crate) rejected: f64,
     pub(crate) served: f64,
     pub(crate) slow: f64,
@@ -36,8 +36,8 @@
     /// Adds counts. `slow_over`: the latency beyond which answers of the class are slow, if that is known.
     pub(crate) fn add(&mut self, counters: &RequestCounters, slow_over: Option<u64>) {
         self.requested += counters.requested as f64;
-        self.wanted += counters.wanted;
-        self.worth += counters.worth;
+        self.value_requested += counters.value_requested;
+        self.value_served += counters.value_served;
         self.rejected += counters.rejected as f64;
         self.served += counters.served as f64;
         self.slow += slow_over.map_or(0.0, |limit| counters.slower(limit) as f64);
@@ -114,7 +114,7 @@
             },
             _ => LossShare {
                 cases: sums.requested,
-                lost: 1.0 - sums.worth / sums.wanted.max(1e-9),
+                lost: 1.0 - sums.value_served / sums.value_requested.max(1e-9),
             },
         }
     }
@@ -158,8 +158,8 @@
     for ((zone, _), [old, _]) in cells {
         let side = &mut sides[usize::from(staged.contains(zone))];
         side.requested += old.requested;
-        side.wanted += old.wanted;
-        side.worth += old.worth;
+        side.value_requested += old.value_requested;
+        side.value_served += old.value_served;
     }
     let outside = Metric::Service.share(&sides[0]);
     let beside = Metric::Service.share(&sides[1]);
--- a/decide/canary/src/request_counters.rs
+++ b/decide/canary/src/request_counters.rs
@@ -15,9 +15,9 @@
     /// Failed.
     pub failed: u64,
     /// The value of the calls had they been answered in time; that of one call is 1 at most.
-    pub wanted: f64,
+    pub value_requested: f64,
     /// The value of the answers.
-    pub worth: f64,
+    pub value_served: f64,
     /// Microseconds from the arrival to the final answer, of served calls.
     pub latency: Histogram<u64>,
 }
@@ -31,8 +31,8 @@
             served: 0,
             rejected: 0,
             failed: 0,
-            wanted: 0.0,
-            worth: 0.0,
+            value_requested: 0.0,
+            value_served: 0.0,
             latency,
         }
     }
@@ -45,8 +45,8 @@
         self.served += other.served;
         self.rejected += other.rejected;
         self.failed += other.failed;
-        self.wanted += other.wanted;
-        self.worth += other.worth;
+        self.value_requested += other.value_requested;
+        self.value_served += other.value_served;
         // Both histograms resize automatically, so that adding can't fail.
         let _ = self.latency.add(&other.latency);
     }
@@ -62,8 +62,8 @@
             served: self.served.saturating_sub(before.served),
             rejected: self.rejected.saturating_sub(before.rejected),
             failed: self.failed.saturating_sub(before.failed),
-            wanted: (self.wanted - before.wanted).max(0.0),
-            worth: (self.worth - before.worth).max(0.0),
+            value_requested: (self.value_requested - before.value_requested).max(0.0),
+            value_served: (self.value_served - before.value_served).max(0.0),
             latency,
         }
     }
--- a/decide/dispatch/tests/lookup_counters.rs
+++ b/decide/dispatch/tests/lookup_counters.rs
@@ -106,8 +106,8 @@
             served: c.served,
             rejected: c.refused,
             failed: c.failed,
-            wanted: c.possible_value,
-            worth: c.value,
+            value_requested: c.possible_value,
+            value_served: c.value,
             ..RequestCounters::default()
         };
         t.latency.add(&c.latency).expect("it grows");
@@ -117,8 +117,8 @@
     let mut t = RequestCounters {
         requested: calls,
         served: calls,
-        wanted: calls as f64,
-        worth: calls as f64,
+        value_requested: calls as f64,
+        value_served: calls as f64,
         ..RequestCounters::default()
     };
     t.latency.record_n(20_000, calls).expect("it grows");
--- a/decide/rollout/src/controller/analysis.rs
+++ b/decide/rollout/src/controller/analysis.rs
@@ -93,7 +93,7 @@
                 .iter()
                 .filter(|report| report.new || !new_only)
                 .flat_map(|report| report.classes.values())
-                .map(|counters| counters.wanted)
+                .map(|counters| counters.value_requested)
                 .sum()
         };
         let share = measurements
--- a/programs/gateway/src/fleet/applier.rs
+++ b/programs/gateway/src/fleet/applier.rs
@@ -31,7 +31,7 @@
 }
 
 pub(super) struct ConfigApplier {
-    hub: Rc<Driver>,
+    driver: Rc<Driver>,
     builder: ConfigBuilder,
     applied: Cell<Option<Applied>>,
     computed: RefCell<Option<ComputedConfigs>>,
@@ -47,13 +47,13 @@
 
 impl ConfigApplier {
     pub(super) fn new(
-        hub: Rc<Driver>,
+        driver: Rc<Driver>,
         fleet: &Fleet,
         placement: &FleetPlacement,
         node: &FleetNodeConfig,
     ) -> ConfigApplier {
         ConfigApplier {
-            hub,
+            driver,
             builder: ConfigBuilder {
                 name: fleet.node_name.clone(),
                 own: placement.own.clone(),
@@ -72,7 +72,7 @@
     /// Applies the configuration before any state is known.
     pub(super) fn apply_initial(&self, first: &Fields) -> Result<(), GatewayError> {
         let (config, names) = self.builder.initial(first)?;
-        Ok(self.hub.apply_settings(config, names, Vec::new())?)
+        Ok(self.driver.apply_settings(config, names, Vec::new())?)
     }
 
     /// The node may act on another state by now; returns why it can't be applied, if so.
@@ -84,13 +84,15 @@
             || self.applied.get() != applied_before;
         if changed
             && self
-                .hub
+                .driver
                 .with_dispatcher(|dispatcher| dispatcher.pending_calls())
                 > 0
         {
             // After the node's turn: the lookup of each pending call asks the node again.
-            let hub = self.hub.clone();
-            self.hub.spawner.spawn(async move { hub.resolve_pending() });
+            let driver = self.driver.clone();
+            self.driver
+                .spawner
+                .spawn(async move { driver.resolve_pending() });
         }
         error
     }
@@ -109,7 +111,7 @@
         };
         let expiries = expiries(applied, active.lease, active.session);
         let remaining: Vec<i64> = expiries.iter().map(|(remaining, _)| *remaining).collect();
-        if self.applied.get() == Some(applied) && self.hub.extend_expiry(&remaining) {
+        if self.applied.get() == Some(applied) && self.driver.extend_expiry(&remaining) {
             return self.error();
         }
         match self.configs(state) {
@@ -124,7 +126,7 @@
         let revision = state.revision.0;
         let computed = self.computed.borrow().as_ref().map(|known| known.revision);
         if computed != Some(revision) {
-            let result = self.builder.config_set(state, &self.hub);
+            let result = self.builder.config_set(state, &self.driver);
             if let Err(error) = &result {
                 tracing::error!(revision, %error, "settings in force can't be applied here: all calls are rejected");
             }
@@ -151,7 +153,7 @@
         let following = expiries
             .into_iter()
             .map(|(remaining, authority)| (remaining, configs.of(authority).clone()));
-        let adopted = self.hub.apply_settings(
+        let adopted = self.driver.apply_settings(
             configs.of(authority).clone(),
             configs.names.clone(),
             following.collect(),
@@ -173,7 +175,7 @@
     /// Rejects all calls, since the state can't be applied.
     fn reject_all(&self) {
         let config = self
-            .hub
+            .driver
             .with_dispatcher(|dispatcher| dispatcher.applied_config());
         let conflicting = ConflictingScopes {
             all: true,
@@ -184,10 +186,10 @@
             config,
             conflicting,
         };
-        let names = self.hub.metadata_keys();
+        let names = self.driver.metadata_keys();
         // The dispatcher acts on this configuration already, so that it can't be rejected.
         let _ = self
-            .hub
+            .driver
             .apply_settings(config, (*names).clone(), Vec::new());
         self.applied.set(None);
     }
@@ -219,7 +221,7 @@
         };
         let workers: Vec<WorkerEndpoint> = self.workers.borrow().iter().map(worker).collect();
         if !workers.is_empty() {
-            self.hub.set_workers(workers);
+            self.driver.set_workers(workers);
         }
     }
 }
--- a/programs/gateway/src/fleet/counters.rs
+++ b/programs/gateway/src/fleet/counters.rs
@@ -5,9 +5,9 @@
 use tansy_net_inference::Driver;
 
 /// The counters of this front end; its node fills in its name and state.
-pub(super) fn counters(hub: &Driver, zone: &str, label: &str) -> pb::CountsReply {
-    let (account, _) = hub.counters();
-    let classes = hub.with_dispatcher(|dispatcher| {
+pub(super) fn counters(driver: &Driver, zone: &str, label: &str) -> pb::CountsReply {
+    let (account, _) = driver.counters();
+    let classes = driver.with_dispatcher(|dispatcher| {
         let counters = dispatcher.class_counters().into_iter();
         counters
             .flat_map(|counters| counters.classes().iter().map(class_counters))
--- a/programs/gateway/src/fleet/effective.rs
+++ b/programs/gateway/src/fleet/effective.rs
@@ -59,11 +59,11 @@
         self.config(&rules_after_expiry(&self.schema, &filled))
     }
 
-    /// The configurations of a state; the hub's dispatcher values calls by its settings in force.
+    /// The configurations of a state; the driver's dispatcher values calls by its settings in force.
     pub(super) fn config_set(
         &self,
         state: &FleetState,
-        hub: &Driver,
+        driver: &Driver,
     ) -> Result<ConfigSet, GatewayError> {
         let state = &state.for_member(&self.name);
         let (in_force, mut unknown) = agree::filled(&state.in_force.fields)?;
@@ -79,7 +79,7 @@
         // Front ends of a canary are valued by the settings in force, as the others are.
         let in_force = agree::settings(&self.own, &filled.in_force.fields)?.front;
         let classes = in_force.classes.into_iter();
-        hub.set_valuation_classes(classes.zip(in_force.settings.classes).collect());
+        driver.set_valuation_classes(classes.zip(in_force.settings.classes).collect());
         let mut rules = filled.rules(&self.schema);
         rules.rejected.extend(unknown);
         let (leased, names) = self.config(&rules)?;
--- a/programs/gateway/src/fleet/mod.rs
+++ b/programs/gateway/src/fleet/mod.rs
@@ -100,18 +100,18 @@
 /// Starts the gateway's node. Until it has a lease and a session, the dispatcher acts on no version.
 pub fn start(
     spawner: Spawner,
-    hub: Rc<Driver>,
+    driver: Rc<Driver>,
     listener: TcpListener,
     fleet: &Fleet,
     placement: &FleetPlacement,
 ) -> Result<FleetMember, GatewayError> {
     let node = peer(fleet, listener.local_addr()?);
     let voter = voter_file(fleet)?.map(|path| (path, placement.first.clone()));
-    let applier = ConfigApplier::new(hub.clone(), fleet, placement, &node);
+    let applier = ConfigApplier::new(driver.clone(), fleet, placement, &node);
     let applier = Rc::new(applier);
     applier.apply_initial(&placement.first)?;
-    hub.enable_class_counters();
-    let counters_hub = hub.clone();
+    driver.enable_class_counters();
+    let counted_driver = driver.clone();
     let zone = placement.zone.clone();
     let label = std::env::var(LABEL).unwrap_or_default();
     let config = TransportConfig {
@@ -122,13 +122,13 @@
         carrier: None,
         check: Rc::new(check_version),
         check_function: Rc::new(check_function),
-        counts: Rc::new(move || counters::counters(&counters_hub, &zone, &label)),
+        counts: Rc::new(move || counters::counters(&counted_driver, &zone, &label)),
     };
     let state_applier = applier.clone();
     let apply_state =
         Rc::new(move |node: &FleetNode, now| state_applier.on_state_changed(node, now));
     let transport = FleetTransport::start(spawner, listener, config, apply_state)?;
-    hub.set_directory(Rc::new(ScopeLookup::new(&transport)));
+    driver.set_directory(Rc::new(ScopeLookup::new(&transport)));
     Ok(FleetMember { transport, applier })
 }
 
--- a/programs/gateway/src/gateway.rs
+++ b/programs/gateway/src/gateway.rs
@@ -31,7 +31,7 @@
 /// A gateway that serves.
 pub struct Gateway {
     event_loop: EventLoop<'static, ()>,
-    hub: Rc<Driver>,
+    driver: Rc<Driver>,
     server: Rc<Server>,
     grpc: SocketAddr,
     http: SocketAddr,
@@ -57,18 +57,23 @@
         let sources = WorkerSources::new(workers, &config, options);
         let drain = gateway.drain;
         let record = options.record.as_deref();
-        let hub = start_hub(&spawner, config, setup(gateway), record)?;
+        let driver = start_driver(&spawner, config, setup(gateway), record)?;
         // Before any call is accepted: until the node has a lease and a session, no version may be acted on.
-        let fleet = join_fleet(&spawner, &hub, fleet.as_ref(), options)?;
+        let fleet = join_fleet(&spawner, &driver, fleet.as_ref(), options)?;
         let member = fleet.as_ref().map(|(member, _)| member.clone());
-        sources.start(&spawner, &hub, apply_workers(hub.clone(), member))?;
-        let limits = hub.options.clients;
-        let server = Server::start(spawner.clone(), grpc, limits, clients::handler(hub.clone()))?;
-        status::start(hub.clone(), http)?;
-        spawner.spawn(log_totals(hub.clone()));
+        sources.start(&spawner, &driver, apply_workers(driver.clone(), member))?;
+        let limits = driver.options.clients;
+        let server = Server::start(
+            spawner.clone(),
+            grpc,
+            limits,
+            clients::handler(driver.clone()),
+        )?;
+        status::start(driver.clone(), http)?;
+        spawner.spawn(log_totals(driver.clone()));
         Ok(Gateway {
             event_loop,
-            hub,
+            driver,
             server,
             grpc: grpc_address,
             http: http_address,
@@ -77,9 +82,9 @@
         })
     }
 
-    /// The hub that drives the dispatcher.
-    pub fn hub(&self) -> &Rc<Driver> {
-        &self.hub
+    /// The driver of the dispatcher.
+    pub fn driver(&self) -> &Rc<Driver> {
+        &self.driver
     }
 
     /// The address of the gRPC port.
@@ -105,8 +110,11 @@
         while !stop_requested.get() {
             self.turn(Duration::from_secs(60))?;
         }
-        tracing::info!(open = self.hub.counters().1, "shutting down: no new calls");
-        self.hub.feed(Input::Shutdown { grace: self.drain });
+        tracing::info!(
+            open = self.driver.counters().1,
+            "shutting down: no new calls"
+        );
+        self.driver.feed(Input::Shutdown { grace: self.drain });
         self.server.close();
         self.finish_calls()?;
         self.leave_fleet()?;
@@ -130,7 +138,7 @@
         let drain = Duration::from_micros(self.drain.max(0) as u64);
         let end = Instant::now() + drain + CLOSE_TIMEOUT;
         while Instant::now() < end
-            && !(self.hub.with_dispatcher(Dispatcher::is_idle) && self.server.connections() == 0)
+            && !(self.driver.with_dispatcher(Dispatcher::is_idle) && self.server.connections() == 0)
         {
             self.turn(Duration::from_millis(20))?;
         }
@@ -154,21 +162,21 @@
 
     /// The account's line.
     pub fn account(&self) -> String {
-        let (account, open) = self.hub.counters();
-        let workers = self.hub.with_dispatcher(Dispatcher::ready_workers);
+        let (account, open) = self.driver.counters();
+        let workers = self.driver.with_dispatcher(Dispatcher::ready_workers);
         format!("{account} open={open} workers={workers}")
     }
 
     /// Whether no call, attempt or load request is open.
     pub fn idle(&self) -> bool {
-        self.hub.with_dispatcher(Dispatcher::is_idle)
+        self.driver.with_dispatcher(Dispatcher::is_idle)
     }
 
     /// One turn of the event loop, of at most this time.
     pub fn turn(&mut self, max: Duration) -> Result<(), GatewayError> {
-        let sleep = self.hub.sleep().map_or(max, |sleep| sleep.min(max));
+        let sleep = self.driver.sleep().map_or(max, |sleep| sleep.min(max));
         self.event_loop.dispatch(Some(sleep), &mut ())?;
-        self.hub.tick();
+        self.driver.tick();
         Ok(())
     }
 }
@@ -208,7 +216,7 @@
 }
 
 /// Starts the dispatcher; its inputs are recorded to `record`, if given.
-fn start_hub(
+fn start_driver(
     spawner: &Spawner,
     config: DispatchConfig,
     setup: DriverOptions,
@@ -231,7 +239,7 @@
 /// Starts the node in the fleet that the settings name; with the address where its peers reach it.
 fn join_fleet(
     spawner: &Spawner,
-    hub: &Rc<Driver>,
+    driver: &Rc<Driver>,
     fleet: Option<&Fleet>,
     options: &Options,
 ) -> Result<Option<(Rc<fleet::FleetMember>, SocketAddr)>, GatewayError> {
@@ -240,7 +248,7 @@
     };
     let listener = bind("fleet.listen", fleet.listen, false)?;
     let address = listener.local_addr()?;
-    let member = fleet::start(spawner.clone(), hub.clone(), listener, fleet, placement)?;
+    let member = fleet::start(spawner.clone(), driver.clone(), listener, fleet, placement)?;
     Ok(Some((Rc::new(member), address)))
 }
 
@@ -271,7 +279,7 @@
     fn start(
         mut self,
         spawner: &Spawner,
-        hub: &Rc<Driver>,
+        driver: &Rc<Driver>,
         apply: ApplyWorkers,
     ) -> Result<(), GatewayError> {
         if let Some(functions) = &self.embedded {
@@ -279,7 +287,7 @@
                 .extend(embedded::start_workers(spawner, functions)?);
         }
         match self.file {
-            Some(file) => file.watch(hub.clone(), self.fixed, apply),
+            Some(file) => file.watch(driver.clone(), self.fixed, apply),
             None => {
                 apply(self.fixed);
                 Ok(())
@@ -289,21 +297,21 @@
 }
 
 /// In a fleet the node passes on which workers drain, and knows which the others saw drain.
-fn apply_workers(hub: Rc<Driver>, member: Option<Rc<fleet::FleetMember>>) -> ApplyWorkers {
+fn apply_workers(driver: Rc<Driver>, member: Option<Rc<fleet::FleetMember>>) -> ApplyWorkers {
     let worker = |line: WorkerLine| WorkerEndpoint {
         record: line.listed,
         address: line.address,
     };
     Rc::new(move |workers: Vec<WorkerLine>| match &member {
         Some(member) => member.update_workers(workers),
-        None => hub.set_workers(workers.into_iter().map(worker).collect()),
+        None => driver.set_workers(workers.into_iter().map(worker).collect()),
     })
 }
 
-async fn log_totals(hub: Rc<Driver>) {
+async fn log_totals(driver: Rc<Driver>) {
     loop {
-        hub.spawner.sleep(TOTALS_INTERVAL).await;
-        let (account, open) = hub.counters();
+        driver.spawner.sleep(TOTALS_INTERVAL).await;
+        let (account, open) = driver.counters();
         tracing::info!(%account, open, "totals");
     }
 }
--- a/programs/gateway/src/worker_list.rs
+++ b/programs/gateway/src/worker_list.rs
@@ -55,7 +55,7 @@
     /// a gateway that starts without workers by a slip serves nobody.
     pub(crate) fn watch(
         mut self,
-        hub: Rc<Driver>,
+        driver: Rc<Driver>,
         fixed: Vec<WorkerLine>,
         apply: ApplyWorkers,
     ) -> Result<(), GatewayError> {
@@ -64,16 +64,16 @@
             fixed.chain(listed).collect::<Vec<WorkerLine>>()
         };
         apply(with_fixed(self.read_if_changed()?.unwrap_or_default()));
-        let spawner = hub.spawner.clone();
+        let spawner = driver.spawner.clone();
         spawner.spawn(async move {
             loop {
-                hub.spawner.sleep(POLL_INTERVAL).await;
+                driver.spawner.sleep(POLL_INTERVAL).await;
                 match self.read_if_changed() {
                     Ok(Some(listed)) => apply(with_fixed(listed)),
                     Ok(None) => {}
                     Err(error) => {
                         tracing::warn!(%error, "worker list can't be read: the previous one stays");
-                        hub.feed(Input::WorkerListFailed);
+                        driver.feed(Input::WorkerListFailed);
                     }
                 }
             }
--- a/protocol/fleet/src/rollout.rs
+++ b/protocol/fleet/src/rollout.rs
@@ -78,8 +78,8 @@
         served: class.served,
         rejected: class.rejected,
         failed: class.failed,
-        wanted: class.value_requested,
-        worth: class.value_served,
+        value_requested: class.value_requested,
+        value_served: class.value_served,
         ..Default::default()
     };
     for (latency, calls) in class.latencies.into_iter().zip(class.latency_counts) {
--- a/simulation/src/rollout/fixed_rule.rs
+++ b/simulation/src/rollout/fixed_rule.rs
@@ -8,14 +8,14 @@
 /// What requests brought, and what they would have brought had none been lost.
 #[derive(Clone, Copy, Default)]
 struct ServiceTotal {
-    worth: f64,
-    wanted: f64,
+    value_served: f64,
+    value_requested: f64,
 }
 
 impl ServiceTotal {
     const ZERO: ServiceTotal = ServiceTotal {
-        worth: 0.0,
-        wanted: 0.0,
+        value_served: 0.0,
+        value_requested: 0.0,
     };
 
     fn of(report: &FrontEndReport) -> ServiceTotal {
@@ -23,22 +23,22 @@
             .classes
             .values()
             .fold(ServiceTotal::ZERO, |total, class| ServiceTotal {
-                worth: total.worth + class.worth,
-                wanted: total.wanted + class.wanted,
+                value_served: total.value_served + class.value_served,
+                value_requested: total.value_requested + class.value_requested,
             })
     }
 
     fn plus(self, other: ServiceTotal) -> ServiceTotal {
         ServiceTotal {
-            worth: self.worth + other.worth,
-            wanted: self.wanted + other.wanted,
+            value_served: self.value_served + other.value_served,
+            value_requested: self.value_requested + other.value_requested,
         }
     }
 
     fn minus(self, other: ServiceTotal) -> ServiceTotal {
         ServiceTotal {
-            worth: self.worth - other.worth,
-            wanted: self.wanted - other.wanted,
+            value_served: self.value_served - other.value_served,
+            value_requested: self.value_requested - other.value_requested,
         }
     }
 }
@@ -125,7 +125,7 @@
                 ServiceTotal::of(&o.report).minus(began.copied().unwrap_or_default())
             })
             .fold(ServiceTotal::ZERO, ServiceTotal::plus);
-        (total.wanted > 0.0).then(|| 1.0 - total.worth / total.wanted)
+        (total.value_requested > 0.0).then(|| 1.0 - total.value_served / total.value_requested)
     }
 }
 
@@ -134,5 +134,5 @@
         .iter()
         .map(|o| ServiceTotal::of(&o.report))
         .fold(ServiceTotal::ZERO, ServiceTotal::plus);
-    1.0 - total.worth / total.wanted.max(1.0)
+    1.0 - total.value_served / total.value_requested.max(1.0)
 }
--- a/simulation/src/rollout/front_ends.rs
+++ b/simulation/src/rollout/front_ends.rs
@@ -204,8 +204,8 @@
         counters.served += served;
         counters.rejected += rejected;
         counters.failed += failed;
-        counters.wanted += requests as f64;
-        counters.worth += served as f64;
+        counters.value_requested += requests as f64;
+        counters.value_served += served as f64;
         record_latencies(rng, counters, served, slow);
         requests
     }
--- a/tests/path/tests/scoped_fleet.rs
+++ b/tests/path/tests/scoped_fleet.rs
@@ -72,7 +72,7 @@
             // It holds a lease and a stay, and knows the worker.
             until("it takes calls", || {
                 gate.with(|g| {
-                    g.hub()
+                    g.driver()
                         .with_dispatcher(|f| f.is_ready() && !f.conflicting().unknown_names)
                 })
             });
@@ -238,7 +238,7 @@
     }
     let lanes = |gate: &Gate| {
         gate.with(|g| {
-            g.hub()
+            g.driver()
                 .with_dispatcher(|f| f.function("a0").map(|f| f.lanes))
         })
     };
@@ -301,7 +301,7 @@
         let parked = async {
             while fleet
                 .front
-                .with(|g| g.hub().with_dispatcher(|f| f.pending_calls()))
+                .with(|g| g.driver().with_dispatcher(|f| f.pending_calls()))
                 == 0
             {
                 tokio::task::yield_now().await;
@@ -315,7 +315,7 @@
     until("nothing waits", || {
         fleet
             .front
-            .with(|g| g.hub().with_dispatcher(|f| f.pending_calls()))
+            .with(|g| g.driver().with_dispatcher(|f| f.pending_calls()))
             == 0
     });
     drop(go);
--- a/tests/path/tests/scopes.rs
+++ b/tests/path/tests/scopes.rs
@@ -69,7 +69,7 @@
             ..Script::default()
         }));
         let shared = script.clone();
-        gate.with(move |g| g.hub().set_directory(Rc::new(Scripted(shared))));
+        gate.with(move |g| g.driver().set_directory(Rc::new(Scripted(shared))));
         Scene {
             gate,
             workers,
@@ -80,14 +80,14 @@
     /// The script says something else from now on, and those that wait are looked up again.
     fn say(&self, says: Says) {
         self.script.lock().expect("no panic").says = Some(says);
-        self.gate.with(|g| g.hub().resolve_pending());
+        self.gate.with(|g| g.driver().resolve_pending());
     }
 
     /// Until so many calls wait.
     fn wait(&self, calls: usize) {
         until("they wait", || {
             self.gate
-                .with(|g| g.hub().with_dispatcher(|f| f.pending_calls()))
+                .with(|g| g.driver().with_dispatcher(|f| f.pending_calls()))
                 == calls
         });
     }
@@ -242,7 +242,7 @@
         let parked = async {
             while scene
                 .gate
-                .with(|g| g.hub().with_dispatcher(|f| f.pending_calls()))
+                .with(|g| g.driver().with_dispatcher(|f| f.pending_calls()))
                 == 0
             {
                 tokio::task::yield_now().await;
@@ -269,7 +269,7 @@
         scene.wait(1);
         scene
             .gate
-            .with(|g| g.hub().feed(Input::Shutdown { grace: 10_000_000 }));
+            .with(|g| g.driver().feed(Input::Shutdown { grace: 10_000_000 }));
         scene.say(Says::Class("unsafe"));
     });
     let status = end.unwrap_err();
@@ -307,7 +307,7 @@
         assert_eq!((id(&first), first.error_message.as_str()), ("named", ""));
         while scene
             .gate
-            .with(|g| g.hub().with_dispatcher(|f| f.pending_calls()))
+            .with(|g| g.driver().with_dispatcher(|f| f.pending_calls()))
             < 2
         {
             tokio::task::yield_now().await;
