--- a/decide/agreement/src/rejection.rs
+++ b/decide/agreement/src/rejection.rs
@@ -31,25 +31,25 @@
     #[error("a later process of its name has joined")]
     Superseded,
     /// The member joins at a revision that is not current.
-    #[error("it acts on a step that is past: it has to hear of the present one first")]
+    #[error("it acts on a past revision: it has to learn the present one first")]
     Behind,
     /// The roster is full.
     #[error("{MAX_MEMBERS} front ends are in the fleet already: dismiss those that are gone")]
     TooManyMembers,
     /// Another voter is being replaced.
-    #[error("another seat is being replaced: seats are replaced one at a time")]
+    #[error("another voter is being replaced: voters are replaced one at a time")]
     ReplacementInProgress,
     /// The replacement is a voter already.
-    #[error("the one that is to take over is a seat already")]
+    #[error("the new voter is a voter already")]
     AlreadyVoter,
     /// The node to be replaced is not a voter.
-    #[error("the one that is to be replaced is no seat")]
+    #[error("the one to be replaced is no voter")]
     NotVoter,
     /// No replacement is in the phase that the entry needs.
-    #[error("no replacement of a seat is that far")]
+    #[error("no replacement of a voter is that far")]
     NoReplacement,
     /// A canary of other settings is in progress.
-    #[error("other settings are tried in stages: wait for the end of the roll, or abort it")]
+    #[error("other settings are being rolled out: wait for the end of the rollout, or abort it")]
     CanaryInProgress,
     /// The rollout rejects the entry.
     #[error("{0}")]
--- a/decide/agreement/src/subscription/mod.rs
+++ b/decide/agreement/src/subscription/mod.rs
@@ -112,7 +112,7 @@
     #[error("the function's settings are being changed: try again in a second")]
     Changing,
     /// This front end has no session.
-    #[error("this front end has not heard from the fleet for long: try another")]
+    #[error("this front end has had no contact with the fleet for long: try another")]
     NoSession,
     /// No function has a name of this length.
     #[error("the function's name is over {MAX_NAME_BYTES} bytes long, which none is")]
--- a/decide/fleet-node/src/command.rs
+++ b/decide/fleet-node/src/command.rs
@@ -128,7 +128,7 @@
     #[error("{} requests wait: try again later", MAX_QUEUED_ENTRIES)]
     Busy,
     /// The disk failed.
-    #[error("the seat's disk does not take it: {0}; mend it and start the seat again")]
+    #[error("the voter's disk does not accept it: {0}; repair it and restart the voter")]
     Storage(String),
     /// Another front end leads by now: whether the entry was committed is not known here.
     #[error("another front end leads by now: ask again with the same id to learn what came of it")]
--- a/decide/rollout/src/entry.rs
+++ b/decide/rollout/src/entry.rs
@@ -152,24 +152,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RolloutRejection {
     /// Another rollout is in progress.
-    #[error("another roll goes on: wait for its end, or abort it first")]
+    #[error("another rollout is in progress: wait for its end, or abort it first")]
     Busy,
     /// A rollout of this id was begun before.
-    #[error("this roll was begun before")]
+    #[error("this rollout was begun before")]
     AlreadyBegun,
     /// The plan is invalid.
     #[error("the plan: {0}")]
     Plan(String),
     /// There is no such rollout, or it has ended.
-    #[error("no such roll goes on")]
+    #[error("no such rollout is in progress")]
     Ended,
     /// The entry was made for an older revision.
-    #[error("the roll is past that step")]
+    #[error("the rollout is past that revision")]
     StaleRevision,
     /// Another controller has taken over.
-    #[error("another steers the roll by now")]
+    #[error("another controller has taken over the rollout")]
     Fenced,
     /// The present phase doesn't allow it: too many front ends are unavailable, or this one is where it should be.
-    #[error("not at this step of the roll")]
+    #[error("not allowed in this phase of the rollout")]
     NotAllowed,
 }
--- a/decide/rollout/tests/crash.rs
+++ b/decide/rollout/tests/crash.rs
@@ -134,7 +134,8 @@
             let up = p.map_or(0, |(_, p)| self.now - p.ready).max(0);
             let mut t = RequestCounters::default();
             let calls = (up / SECOND) as u64 * 200;
-            (t.requested, t.served, t.wanted, t.worth) = (calls, calls, calls as f64, calls as f64);
+            (t.requested, t.served, t.value_requested, t.value_served) =
+                (calls, calls, calls as f64, calls as f64);
             let new = p.is_some_and(|(_, p)| p.label == "new");
             FrontEndObservation {
                 ready: p.is_some_and(|(_, p)| p.ready <= self.now && p.ends.is_none()),
--- a/net/fleet/src/service/entries.rs
+++ b/net/fleet/src/service/entries.rs
@@ -39,7 +39,7 @@
     let outcome = outcome.ok_or_else(|| {
         Rejection::new(
             Code::Unavailable,
-            "the seat's disk did not hold it in time: ask again, with the same id, to learn what came of it",
+            "the voter's disk did not accept it in time: retry with the same id to learn the result",
         )
     })?;
     let applied = outcome.map_err(rejection)?;
@@ -64,7 +64,7 @@
     let settings = of_settings(settings).map_err(Rejection::invalid)?;
     if settings.id == 0 {
         return Err(Rejection::invalid(
-            "a proposal without an id of its own: asked again, it could not be told from another",
+            "a proposal without an id of its own: a retry could not be told from another proposal",
         ));
     }
     (transport.check)(&settings.fields).map_err(Rejection::invalid)?;
@@ -162,7 +162,7 @@
     let transaction = of_scope_request(request).map_err(Rejection::invalid)?;
     if transaction.id == 0 {
         return Err(Rejection::invalid(
-            "a change without an id of its own: asked again, it could not be told from another",
+            "a change without an id of its own: a retry could not be told from another change",
         ));
     }
     check_functions(transport, &transaction)?;
--- a/net/fleet/src/voter_storage.rs
+++ b/net/fleet/src/voter_storage.rs
@@ -26,7 +26,7 @@
     #[error(transparent)]
     Storage(#[from] Error),
     /// The storage's thread has ended after an earlier failure.
-    #[error("the seat's thread has ended")]
+    #[error("the voter's storage thread has ended")]
     ThreadEnded,
 }
 
--- a/net/inference/src/driver/commands.rs
+++ b/net/inference/src/driver/commands.rs
@@ -60,7 +60,7 @@
                 failed_loads,
             } => {
                 tracing::warn!(%worker, %function, status = %outcome, count = failed_loads,
-                    "a load order left no instance (an OK has to tell tansy-instances); orders there become rare");
+                    "a load request left no instance (an OK has to carry tansy-instances); load requests there back off");
             }
             Command::FetchWorkerList | Command::SubscribeWorkerList => self.repeat_worker_list(),
         }
--- a/programs/fleet/src/machine/fleet_state.rs
+++ b/programs/fleet/src/machine/fleet_state.rs
@@ -62,7 +62,7 @@
     /// Takes over a front end's state of the rollout, unless that is older than what is known.
     fn on_reply(&mut self, address: SocketAddr, reply: pb::RolloutReply) {
         let Ok(rollout) = of_roll(&reply.rollout) else {
-            tracing::error!(%address, "a roll that this program can't read: finish the update of `tansy-fleet`");
+            tracing::error!(%address, "a rollout that this program can't read: finish the update of `tansy-fleet`");
             return;
         };
         let is_later = self.rollout.is_none() || {
@@ -109,9 +109,9 @@
         let message = Entry::Rollout(roll_entry(&entry, None));
         match client.enter_within(leader, message, ANSWER_TIMEOUT) {
             Ok(_) if is_heartbeat => {}
-            Ok(_) => tracing::info!(?entry, "a step of the roll"),
+            Ok(_) => tracing::info!(?entry, "an entry of the rollout"),
             Err(error) => {
-                tracing::info!(?entry, %error, "a step of the roll was not taken");
+                tracing::info!(?entry, %error, "an entry of the rollout was rejected");
             }
         }
     }
--- a/programs/fleet/src/scopes.rs
+++ b/programs/fleet/src/scopes.rs
@@ -290,7 +290,7 @@
                     Some(result) if result.joint > 0 => {}
                     Some(result) if result.reverted > 0 => {
                         return Err(FleetError::Abandoned(format!(
-                            "{} of {} changes were given up; the seat's log says why",
+                            "{} of {} changes were abandoned; the leader's log says why",
                             result.reverted,
                             result.reverted + result.in_force
                         )))
--- a/programs/fleet/src/versions.rs
+++ b/programs/fleet/src/versions.rs
@@ -200,7 +200,7 @@
             }
             if status.next.is_none() {
                 return Err(FleetError::Abandoned(format!(
-                    "version {version} was given up; {} is in force; the seat's log says why",
+                    "version {version} was abandoned; {} is in force; the leader's log says why",
                     status.version
                 )));
             }
--- a/protocol/fleet/src/rollout.rs
+++ b/protocol/fleet/src/rollout.rs
@@ -26,7 +26,7 @@
     rollout: pb::RolloutLogEntry,
 ) -> Result<(RolloutEntry, Option<Fields>), DecodeError> {
     let entry = serde_json::from_str(&rollout.entry)
-        .map_err(|error| DecodeError::Malformed(format!("a roll's step: {error}")))?;
+        .map_err(|error| DecodeError::Malformed(format!("a rollout's entry: {error}")))?;
     let settings = rollout.fields.map(of_settings).transpose()?;
     Ok((entry, settings.map(|settings| settings.fields)))
 }
@@ -38,7 +38,7 @@
     }
     serde_json::from_str(text)
         .map(Some)
-        .map_err(|error| DecodeError::Malformed(format!("a roll: {error}")))
+        .map_err(|error| DecodeError::Malformed(format!("a rollout: {error}")))
 }
 
 /// Decodes a front end's counters as an observation of a rollout's stage. `new`: whether it is in the new group.
--- a/storage/src/store.rs
+++ b/storage/src/store.rs
@@ -42,7 +42,7 @@
     File(redb::Error),
     /// An entry is missing in the file.
     #[error(
-        "the state file lacks entry {expected}, {found} stands there: restore it from another seat"
+        "the state file lacks entry {expected}, {found} stands there: restore it from another voter"
     )]
     Gap {
         /// The number of the missing entry.
