--- a/simulator-adapter/tests/wire.rs
+++ b/simulator-adapter/tests/wire.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn play(input: &str) -> Output {
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_tansyrouter-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -19,7 +19,7 @@
     child.wait_with_output().unwrap()
 }
 
-fn up(end: u32, salt: u32) -> String {
+fn start(end: u32, seed: u32) -> String {
     let conf = r#"{"me":0,"siblings":1,"unknown_key":[1],"classes":[{"name":"a","aim_s":0.75,"deadline_s":5,
         "effect":"read_like","late_worth":0.3}],"discovery":"pushed","policy_limits":{"cancel":true,
         "max_attempts":6},"rules":{"cold_from":0.2,"fall_multiple":2,"fall_s":2,"warm_up_s":10,
@@ -28,7 +28,7 @@
         .replace('\n', "");
     let list = r#""mode":1,"epoch":1,"entries":[{"worker":"10.0.0.1:80","health":1,"share":1},{"worker":"10.0.0.2:80","health":1,"dc":1,"share":1.5}]"#;
     format!(
-        "{{\"kind\":\"Up\",\"end\":{end},\"salt\":{salt},\"conf\":{conf}}}\n{{\"kind\":\"Targets\",\"end\":{end},{list}}}\n"
+        "{{\"kind\":\"Up\",\"end\":{end},\"salt\":{seed},\"conf\":{conf}}}\n{{\"kind\":\"Targets\",\"end\":{end},{list}}}\n"
     )
 }
 
@@ -42,7 +42,7 @@
     format!("{{\"kind\":\"Arrival\",\"end\":{end},\"req\":{req},\"width\":2,\"ram_mb\":300,\"callee\":\"0000007c55d20a01\",\"time_budget_s\":2.5,\"new_field\":1}}\n")
 }
 
-fn loaded(end: u32, worker: &str) -> String {
+fn load_ended(end: u32, worker: &str) -> String {
     format!("{{\"kind\":\"LoadDone\",\"end\":{end},\"worker\":\"{worker}\",\"callee\":\"0000007c55d20a01\",\"result\":\"served\",\"latency_s\":0.5,\"number\":1}}\n")
 }
 
@@ -51,46 +51,49 @@
     let text = String::from_utf8(out.stdout.clone()).unwrap();
     let own = format!("\"end\":{end},");
     text.lines()
-        .filter(|l| l.contains(&own))
-        .map(|l| l.replace(&own, ""))
+        .filter(|line| line.contains(&own))
+        .map(|line| line.replace(&own, ""))
         .collect()
 }
 
 #[test]
-fn a_call_is_ordered_held_and_sent() {
-    let first = batch(1, 5.0, &up(3, 7)) + &batch(2, 5.5, &call(3, 42));
-    let out = play(&first);
+fn a_call_waits_for_its_load_and_is_sent() {
+    let first = batch(1, 5.0, &start(3, 7)) + &batch(2, 5.5, &call(3, 42));
+    let out = run_adapter(&first);
     assert!(out.status.success());
-    let order = actions(&out, 3)
+    let load_request = actions(&out, 3)
         .into_iter()
-        .find(|l| l.contains("StartCopy"))
-        .expect("an order");
-    let worker = if order.contains("10.0.0.1:80") {
+        .find(|line| line.contains("StartCopy"))
+        .expect("a load request");
+    let worker = if load_request.contains("10.0.0.1:80") {
         "10.0.0.1:80"
     } else {
         "10.0.0.2:80"
     };
-    let out = play(&(first + &batch(3, 6.0, &loaded(3, worker))));
+    let out = run_adapter(&(first + &batch(3, 6.0, &load_ended(3, worker))));
     let text = String::from_utf8(out.stdout).unwrap();
     let send = format!("{{\"kind\":\"HandOff\",\"end\":3,\"req\":42,\"worker\":\"{worker}\"}}");
-    assert!(text.lines().any(|l| l == send), "{text}");
-    assert_eq!(text.lines().filter(|l| l.contains("\"Ok\"")).count(), 3);
+    assert!(text.lines().any(|line| line == send), "{text}");
+    assert_eq!(
+        text.lines().filter(|line| line.contains("\"Ok\"")).count(),
+        3
+    );
     assert_eq!(text.lines().last(), Some("{\"kind\":\"Ok\",\"seq\":3}"));
 }
 
 #[test]
 fn empty_input_and_empty_batches_end_well() {
-    assert!(play("").status.success());
-    let out = play(&batch(1, 1.0, ""));
+    assert!(run_adapter("").status.success());
+    let out = run_adapter(&batch(1, 1.0, ""));
     assert!(out.status.success());
     assert_eq!(out.stdout, b"{\"kind\":\"Ok\",\"seq\":1}\n");
 }
 
 #[test]
-fn malformed_input_is_named_and_ends_with_an_error() {
-    let good = batch(1, 5.0, &up(0, 1));
-    let line = good.lines().count() + 2;
-    for (bad, why) in [
+fn malformed_input_is_reported_with_its_line_and_ends_the_session() {
+    let valid = batch(1, 5.0, &start(0, 1));
+    let line = valid.lines().count() + 2;
+    for (malformed, expected_text) in [
         ("not json\n", "expected"),
         ("{\"kind\":\"Dropped\",\"end\":0}\n", "missing field `req`"),
         (
@@ -107,16 +110,16 @@
             "not 16 hex digits",
         ),
     ] {
-        let out = play(&(good.clone() + &batch(2, 6.0, bad)));
-        let told = String::from_utf8(out.stderr).unwrap();
-        assert!(!out.status.success(), "{bad}");
+        let out = run_adapter(&(valid.clone() + &batch(2, 6.0, malformed)));
+        let error_text = String::from_utf8(out.stderr).unwrap();
+        assert!(!out.status.success(), "{malformed}");
         assert!(
-            told.contains(why) && told.contains(&format!("line {line}:")),
-            "{bad} gave {told}"
+            error_text.contains(expected_text) && error_text.contains(&format!("line {line}:")),
+            "{malformed} gave {error_text}"
         );
         let text = String::from_utf8(out.stdout).unwrap();
         assert!(
-            text.lines().all(|l| l.starts_with("{\"kind\":")),
+            text.lines().all(|line| line.starts_with("{\"kind\":")),
             "only replies on standard output"
         );
     }
@@ -124,7 +127,7 @@
 
 #[test]
 fn a_batch_cut_short_is_an_error() {
-    let out = play("{\"kind\":\"Clock\",\"moment_s\":1,\"seq\":4}\n");
+    let out = run_adapter("{\"kind\":\"Clock\",\"moment_s\":1,\"seq\":4}\n");
     assert!(!out.status.success());
     assert!(String::from_utf8(out.stderr)
         .unwrap()
@@ -135,16 +138,20 @@
 fn instances_act_alike_in_one_process_and_in_several() {
     let events = |ends: &[u32]| {
         let all = |f: &dyn Fn(u32) -> String| ends.iter().map(|e| f(*e)).collect::<String>();
-        let mut text = batch(1, 5.0, &all(&|e| up(e, 7 + e)));
+        let mut text = batch(1, 5.0, &all(&|end| start(end, 7 + end)));
         for i in 0..40u32 {
             let at = 5.0 + i as f64 * 0.02;
-            text += &batch(2 + 2 * i, at, &all(&|e| call(e, (100 * e + i) as u64)));
+            text += &batch(
+                2 + 2 * i,
+                at,
+                &all(&|end| call(end, (100 * end + i) as u64)),
+            );
             let worker = if i % 3 == 0 {
                 "10.0.0.1:80"
             } else {
                 "10.0.0.2:80"
             };
-            text += &batch(3 + 2 * i, at + 0.01, &all(&|e| loaded(e, worker)));
+            text += &batch(3 + 2 * i, at + 0.01, &all(&|end| load_ended(end, worker)));
         }
         text + &batch(
             90,
@@ -152,9 +159,9 @@
             &all(&|e| format!("{{\"kind\":\"Timer\",\"end\":{e},\"nonce\":\"0\"}}\n")),
         )
     };
-    let together = play(&events(&[1, 2, 3]));
+    let together = run_adapter(&events(&[1, 2, 3]));
     for end in 1..=3 {
-        let alone = actions(&play(&events(&[end])), end);
+        let alone = actions(&run_adapter(&events(&[end])), end);
         assert!(alone.len() > 20);
         assert_eq!(actions(&together, end), alone);
     }
@@ -167,31 +174,32 @@
         format!("{{\"kind\":\"Targets\",\"end\":3,\"mode\":4,\"epoch\":2,\"entries\":[{{\"worker\":\"10.0.0.1:80\",\"health\":{health},\"share\":1}},{{\"worker\":\"10.0.0.2:80\",\"health\":{health},\"share\":1}}]}}\n")
     };
     let lost = |worker: &str| {
-        loaded(3, worker)
+        load_ended(3, worker)
             .replace("served", "connection_lost")
             .replace("\"number\":1", "\"number\":0")
     };
     let late = lost("10.0.0.1:80") + &lost("10.0.0.2:80");
-    let start = batch(1, 5.0, &up(3, 7)) + &batch(2, 5.5, &(call(3, 42) + &change(2)));
-    let out = play(&(start.clone() + &batch(3, 6.0, &(late.clone() + &call(3, 43)))));
+    let start = batch(1, 5.0, &start(3, 7)) + &batch(2, 5.5, &(call(3, 42) + &change(2)));
+    let out = run_adapter(&(start.clone() + &batch(3, 6.0, &(late.clone() + &call(3, 43)))));
     assert!(out.status.success());
-    let orders = |out: &Output| {
+    let load_requests = |out: &Output| {
         actions(out, 3)
             .iter()
-            .filter(|l| l.contains("StartCopy"))
+            .filter(|line| line.contains("StartCopy"))
             .count()
     };
     assert_eq!(
-        orders(&out),
+        load_requests(&out),
         1,
-        "an order given before the list changed still names its worker"
+        "a load request made before the list changed still names its worker"
     );
-    let out = play(&(start + &batch(3, 6.0, &late) + &batch(4, 8.0, &(change(1) + &call(3, 44)))));
+    let out =
+        run_adapter(&(start + &batch(3, 6.0, &late) + &batch(4, 8.0, &(change(1) + &call(3, 44)))));
     assert!(out.status.success());
     let all = actions(&out, 3);
     assert!(
         all.iter().all(|l| !l.contains("\"worker\":\"\"")),
         "{all:?}"
     );
-    assert!(orders(&out) >= 2, "{all:?}");
+    assert!(load_requests(&out) >= 2, "{all:?}");
 }
