--- a/benches/cost/src/fleet.rs
+++ b/benches/cost/src/fleet.rs
@@ -1,145 +1,208 @@
 //! A gateway in a fleet beside the same gateway without: latency of calls in turn, memory, CPU at rest.
 
-use crate::client::{self, Load};
-use crate::{me, Arguments, Error, Process};
-use std::net::{SocketAddr, TcpListener};
-use std::path::Path;
-use std::process::Command;
-use std::time::Duration;
-
-/// Time for a fleet to find itself.
-const FIND: Duration = Duration::from_secs(30);
+use crate::arguments::Arguments;
+use crate::error::{system_error, BenchError};
+use crate::load::{self, median, Load, Measurement};
+use crate::process::MeasuredProcess;
+use crate::programs;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::{Duration, Instant};
+use tansy_test_support::address::ReservedAddress;
+
+/// Time for the front ends of a fleet to find each other.
+const READY_LIMIT: Duration = Duration::from_secs(30);
 /// For so long its CPU at rest is measured.
 const REST: Duration = Duration::from_secs(10);
+/// Seconds until a fleet is at rest, and the front ends that make it a second longer.
+const SETTLE_SECONDS: u64 = 3;
+const MEMBERS_PER_SETTLE_SECOND: u64 = 50;
+/// A load that shows whether calls are served.
+const PROBE_SPAN: Duration = Duration::from_millis(50);
+
+/// The voter's number, and that of the front end that is measured.
+const VOTER: usize = 0;
+const MEASURED: usize = 1;
+/// The fewest front ends: these two.
+const LEAST_MEMBERS: usize = 2;
 
-fn start(a: &Arguments, file: &Path, more: &[String]) -> Result<Process, Error> {
-    let mut c = Command::new(&a.gateway);
-    c.args([
-        "--listen",
-        "127.0.0.1:0",
-        "--http",
-        "127.0.0.1:0",
-        "--log",
-        "off",
-        "--settings",
-    ])
-    .arg(file);
-    c.args(more);
-    Process::start(&mut c)
+/// Measures.
+pub fn run(arguments: &Arguments, members: usize, rounds: usize) -> Result<(), BenchError> {
+    let fleet = Fleet::start(arguments, members)?;
+    fleet.wait_until_ready()?;
+    let settle = SETTLE_SECONDS + members as u64 / MEMBERS_PER_SETTLE_SECOND;
+    std::thread::sleep(Duration::from_secs(settle));
+    fleet.print_cost_at_rest(members);
+    fleet.print_latencies(arguments, rounds)
 }
 
-fn median(mut all: Vec<f64>) -> f64 {
-    all.sort_by(f64::total_cmp);
-    all.get(all.len() / 2).copied().unwrap_or(0.0)
+/// A fleet, and a gateway without one before the same workers.
+struct Fleet {
+    /// The front end that is measured.
+    member: MeasuredProcess,
+    /// The gateway without a fleet.
+    standalone: MeasuredProcess,
+    /// The voter.
+    voter: MeasuredProcess,
+    _others: Vec<MeasuredProcess>,
+    _workers: [MeasuredProcess; 2],
+    _folder: Folder,
+    _addresses: Vec<ReservedAddress>,
 }
 
-/// Measures.
-pub fn run(a: &Arguments, members: usize, rounds: usize) -> Result<(), Error> {
-    let folder = std::env::temp_dir().join(format!("tansy-bench-fleet-{}", std::process::id()));
-    std::fs::create_dir_all(&folder)?;
-    let workers = [
-        Process::start(&mut me("worker")?)?,
-        Process::start(&mut me("worker")?)?,
-    ];
-    let list: Vec<String> = workers
-        .iter()
-        .enumerate()
-        .map(|(n, w)| format!("{{name: \"w{n}\", address: \"{}\"}}", w.1))
-        .collect();
-    let text = format!(
-        "classes: c: {{aim: 60s, deadline: 120s}}\nfunctions: echo: {{class: \"c\", lanes: 4096, memory: 1MB, \
-         load_time: 5ms}}\nfront: {{max_held: 100000, streams: 100000}}\nworkers: [{}]\n",
-        list.join(", ")
-    );
-    // Addresses of their own for the names: what the kernel gives to connections is none of these.
-    let host = |n: usize| {
-        [
-            127,
-            1 + (std::process::id() % 250) as u8,
-            (n >> 8) as u8,
-            n as u8 | 1,
-        ]
-    };
-    let port = |n: usize| 20_000 + (n & 1) as u16;
-    let at = |n: usize| SocketAddr::from((host(n), port(n)));
-    drop(TcpListener::bind(at(0))?);
-    let (alone, joined) = (folder.join("alone.cue"), folder.join("fleet.cue"));
-    std::fs::write(&alone, &text)?;
-    let seat = at(0);
-    let fleet = format!(
-        "{text}fleet: {{name: \"bench\", seats: [{{name: \"f0\", address: \"{seat}\"}}]}}\n"
-    );
-    std::fs::write(&joined, fleet)?;
-    let place = |n: usize| {
-        let mut place = vec![
-            "--name".to_string(),
-            format!("f{n}"),
-            "--peers".into(),
-            at(n).to_string(),
-        ];
-        if n == 0 {
-            place.extend([
-                "--state".to_string(),
-                folder.join("seat.redb").display().to_string(),
-            ]);
-        }
-        place
-    };
-    let off = start(a, &alone, &[])?;
-    let mut others = Vec::new();
-    for n in (0..members.max(2)).filter(|n| *n != 1) {
-        others.push(start(a, &joined, &place(n))?);
+impl Fleet {
+    fn start(arguments: &Arguments, members: usize) -> Result<Fleet, BenchError> {
+        let members = members.max(LEAST_MEMBERS);
+        let folder = Folder::create()?;
+        let workers = programs::worker_pair(&[])?;
+        let addresses = (0..members).map(reserve).collect::<Result<Vec<_>, _>>()?;
+        let files = SettingsFiles::write(&folder.0, &workers, addresses[VOTER].address())?;
+        let start_member = |number: usize| {
+            let more = member_arguments(number, addresses[number].address(), &folder.0);
+            programs::gateway_with_settings(arguments, &files.member, "off", &more)
+        };
+        let standalone = programs::gateway_with_settings(arguments, &files.standalone, "off", &[])?;
+        let voter = start_member(VOTER)?;
+        let others = (MEASURED + 1..members)
+            .map(start_member)
+            .collect::<Result<Vec<_>, _>>()?;
+        let member = start_member(MEASURED)?;
+        Ok(Fleet {
+            member,
+            standalone,
+            voter,
+            _others: others,
+            _workers: workers,
+            _folder: folder,
+            _addresses: addresses,
+        })
     }
-    let on = start(a, &joined, &place(1))?;
-    // Until it may act: a call is served.
-    let began = std::time::Instant::now();
-    let one = Load {
-        open: 1,
-        rate: None,
-        span: Duration::from_millis(50),
-        functions: 1,
-    };
-    while client::run(on.1, one).map_or(0, |m| m.served) == 0 {
-        if began.elapsed() > FIND {
-            return Err("the fleet did not find itself".into());
+
+    /// Waits until the measured front end has its lease: a call is served.
+    fn wait_until_ready(&self) -> Result<(), BenchError> {
+        let start = Instant::now();
+        let probe = Load::closed(1, PROBE_SPAN);
+        while load::run(self.member.address(), probe).map_or(0, |measured| measured.served) == 0 {
+            if start.elapsed() > READY_LIMIT {
+                return Err(BenchError::FleetNotReady);
+            }
         }
+        Ok(())
     }
-    std::thread::sleep(Duration::from_secs(3 + members as u64 / 50));
-    let before = (on.cpu(), others[0].cpu(), off.cpu());
-    std::thread::sleep(REST);
-    let rest = |p: &Process, before: f64| (p.cpu() - before) / REST.as_secs_f64() * 100.0;
-    println!(
-        "{members} front ends at rest: CPU {:.2}% a front end, {:.2}% the seat, {:.2}% without a fleet; memory {:.1}, {:.1} and {:.1} MB",
-        rest(&on, before.0), rest(&others[0], before.1), rest(&off, before.2), on.memory(), others[0].memory(), off.memory()
-    );
-    let span = Duration::from_secs(a.seconds);
-    let paced = Load {
-        open: 100_000,
-        rate: Some(a.rate),
-        span,
-        functions: 1,
-    };
-    let (mut with, mut without) = (Vec::new(), Vec::new());
-    for round in 0..rounds + 1 {
-        let (m, w) = (client::run(off.1, paced)?, client::run(on.1, paced)?);
-        // The first of each warms up.
-        if round > 0 {
-            without.push((m.micros(0.5), m.micros(0.99)));
-            with.push((w.micros(0.5), w.micros(0.99)));
+
+    fn print_cost_at_rest(&self, members: usize) {
+        let measured = [&self.member, &self.voter, &self.standalone];
+        let before = measured.map(MeasuredProcess::cpu_seconds);
+        std::thread::sleep(REST);
+        let after = measured.map(MeasuredProcess::cpu_seconds);
+        let percent = |index: usize| (after[index] - before[index]) / REST.as_secs_f64() * 100.0;
+        let [member_mb, voter_mb, standalone_mb] = measured.map(MeasuredProcess::memory_mb);
+        println!(
+            "{members} front ends at rest: CPU {:.2}% a front end, {:.2}% the seat, {:.2}% without a fleet; \
+             memory {member_mb:.1}, {voter_mb:.1} and {standalone_mb:.1} MB",
+            percent(0),
+            percent(1),
+            percent(2),
+        );
+    }
+
+    fn print_latencies(&self, arguments: &Arguments, rounds: usize) -> Result<(), BenchError> {
+        let load = Load::at_rate(arguments.rate, arguments.span());
+        let (mut with, mut without) = (Vec::new(), Vec::new());
+        for round in 0..rounds + 1 {
+            let standalone = load::run(self.standalone.address(), load)?;
+            let member = load::run(self.member.address(), load)?;
+            // The first of each warms up.
+            if round > 0 {
+                without.push(standalone);
+                with.push(member);
+            }
         }
+        let (with_p50, with_p99) = (median_of(&with, 0.5), median_of(&with, 0.99));
+        let (without_p50, without_p99) = (median_of(&without, 0.5), median_of(&without, 0.99));
+        println!(
+            "latency at {}/s, medians of {rounds}: without p50 {without_p50:.0} us, p99 {without_p99:.0} us; \
+             in the fleet p50 {with_p50:.0} us, p99 {with_p99:.0} us; {:.3} and {:.3} times",
+            arguments.rate,
+            with_p50 / without_p50,
+            with_p99 / without_p99
+        );
+        Ok(())
+    }
+}
+
+/// The median of a quantile of several measurements, microseconds.
+fn median_of(measurements: &[Measurement], quantile: f64) -> f64 {
+    let quantiles = measurements
+        .iter()
+        .map(|measured| measured.latency_micros(quantile));
+    median(quantiles.collect())
+}
+
+/// The files of settings of this measurement.
+struct SettingsFiles {
+    standalone: PathBuf,
+    member: PathBuf,
+}
+
+impl SettingsFiles {
+    fn write(
+        folder: &Path,
+        workers: &[MeasuredProcess; 2],
+        voter: SocketAddr,
+    ) -> Result<SettingsFiles, BenchError> {
+        let files = SettingsFiles {
+            standalone: folder.join("alone.cue"),
+            member: folder.join("fleet.cue"),
+        };
+        let standalone = programs::settings_text(
+            &programs::function_names(1),
+            programs::UNLIMITED_LANES,
+            "max_held: 100000, streams: 100000",
+            &workers.each_ref().map(MeasuredProcess::address),
+        );
+        let fleet = format!(
+            "fleet: {{name: \"bench\", seats: [{{name: \"f{VOTER}\", address: \"{voter}\"}}]}}\n"
+        );
+        programs::write_file(&files.standalone, &standalone)?;
+        programs::write_file(&files.member, &format!("{standalone}{fleet}"))?;
+        Ok(files)
+    }
+}
+
+/// An address of its own for a front end: two share an address of the machine, so that the ports of no address run out.
+fn reserve(number: usize) -> Result<ReservedAddress, BenchError> {
+    let by_process = 1 + (std::process::id() % 250) as u8;
+    let host = [127, by_process, (number >> 8) as u8, number as u8 | 1];
+    ReservedAddress::on(host).map_err(system_error(format!("an address for front end {number}")))
+}
+
+/// The arguments that place a front end in the fleet.
+fn member_arguments(number: usize, address: SocketAddr, folder: &Path) -> Vec<String> {
+    let name = format!("f{number}");
+    let mut arguments = vec!["--name".into(), name, "--peers".into(), address.to_string()];
+    if number == VOTER {
+        let state = folder.join("seat.redb").display().to_string();
+        arguments.extend(["--state".to_string(), state]);
+    }
+    arguments
+}
+
+/// A folder of this measurement, removed with it.
+struct Folder(PathBuf);
+
+impl Folder {
+    fn create() -> Result<Folder, BenchError> {
+        let name = format!("tansy-bench-fleet-{}", std::process::id());
+        let path = std::env::temp_dir().join(name);
+        std::fs::create_dir_all(&path).map_err(system_error(path.display().to_string()))?;
+        Ok(Folder(path))
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        // What is left in the folder for temporary files does no harm.
+        let _ = std::fs::remove_dir_all(&self.0);
     }
-    let of = |all: &[(f64, f64)]| {
-        (
-            median(all.iter().map(|m| m.0).collect()),
-            median(all.iter().map(|m| m.1).collect()),
-        )
-    };
-    let (w, o) = (of(&with), of(&without));
-    println!(
-        "latency at {}/s, medians of {rounds}: without p50 {:.0} us, p99 {:.0} us; in the fleet p50 {:.0} us, p99 {:.0} us; {:.3} and {:.3} times",
-        a.rate, o.0, o.1, w.0, w.1, w.0 / o.0, w.1 / o.1
-    );
-    drop((on, off, others));
-    let _ = std::fs::remove_dir_all(&folder);
-    Ok(())
 }
--- a/benches/cost/src/worker.rs
+++ b/benches/cost/src/worker.rs
@@ -1,10 +1,15 @@
 //! A worker that costs next to nothing: a fixed answer at once, or silence.
 
+use crate::error::{system_error, BenchError};
+use crate::load::response;
 use bytes::Bytes;
 use calloop::EventLoop;
-use http::HeaderValue;
+use h2::server::SendResponse;
+use h2::RecvStream;
+use http::{HeaderMap, HeaderValue, Request};
 use prost::Message;
 use std::future::poll_fn;
+use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
 use tansy_frames::grpc::{frame, Code};
@@ -13,56 +18,95 @@
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::Spawner;
 
-/// Serves `ports` ports, the first of them told as `grpc`, all as `all`; each answer to a call takes `delay`.
-pub fn run(silent: bool, delay: Duration, ports: usize) -> Result<(), crate::Error> {
+/// Bytes of a request, at most.
+const MAX_REQUEST_BYTES: usize = 1 << 22;
+/// Streams of one connection: more than are ever open.
+const STREAMS: u32 = 100_000;
+
+/// Serves `ports` ports, the first of them printed as `grpc`, all as `all`; each answer to a call takes `delay`.
+pub fn run(silent: bool, delay: Duration, ports: usize) -> Result<(), BenchError> {
     let mut event_loop: EventLoop<'static, ()> = EventLoop::try_new()?;
-    let spawner = Spawner::new(event_loop.handle())?;
-    let answer = frame(&crate::client::answer().encode_to_vec());
-    let tasks = spawner.clone();
-    let handler = Rc::new(
-        move |request: http::Request<h2::RecvStream>,
-              mut respond: h2::server::SendResponse<Bytes>| {
-            let (answer, again) = (answer.clone(), tasks.clone());
-            tasks.spawn(async move {
-                let (parts, body) = request.into_parts();
-                let mut messages = RequestMessages::new(body, 1 << 22);
-                let mut first = None;
-                let _ = poll_fn(|cx| messages.poll_unary(&mut first, cx)).await;
-                let call = parts.uri.path().ends_with("Infer");
-                if call && silent {
-                    return poll_fn(|cx| respond.poll_reset(cx).map(drop)).await;
-                }
-                if call && !delay.is_zero() {
-                    again.sleep(delay).await;
-                }
-                let mut map = status_trailers(Code::Ok, "");
-                map.insert(names::CACHE_STATUS, HeaderValue::from_static("warm"));
-                map.insert(names::INSTANCE_COUNT, HeaderValue::from_static("1"));
-                let body = if call {
-                    answer
-                } else {
-                    frame(&pb::ServerReadyResponse { ready: true }.encode_to_vec())
-                };
-                if let Ok(mut send) = respond.send_response(response_headers(), false) {
-                    let _ = send
-                        .send_data(body, false)
-                        .and_then(|()| send.send_trailers(map));
-                }
-            });
-        },
-    );
-    let limits = Limits {
-        streams: 100_000,
-        ..Limits::default()
+    let spawner = Spawner::new(event_loop.handle()).map_err(system_error("event loop"))?;
+    let worker = Worker {
+        spawner: spawner.clone(),
+        call_response: frame(&response().encode_to_vec()),
+        silent,
+        delay,
     };
-    let mut all = Vec::new();
-    for _ in 0..ports {
-        let listener = listen("127.0.0.1:0".parse()?, false)?;
-        all.push(listener.local_addr()?.to_string());
-        Server::start(spawner.clone(), listener, limits, handler.clone())?;
-    }
-    println!("ready grpc={} all={}", all[0], all.join(","));
+    let addresses = (0..ports)
+        .map(|_| worker.serve_port())
+        .collect::<Result<Vec<String>, BenchError>>()?;
+    println!("ready grpc={} all={}", addresses[0], addresses.join(","));
     loop {
         event_loop.dispatch(Some(Duration::from_secs(1)), &mut ())?;
     }
 }
+
+#[derive(Clone)]
+struct Worker {
+    spawner: Spawner,
+    call_response: Bytes,
+    silent: bool,
+    delay: Duration,
+}
+
+impl Worker {
+    /// Serves one more port: its address.
+    fn serve_port(&self) -> Result<String, BenchError> {
+        let port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let listener = listen(port, false).map_err(system_error("a worker's port"))?;
+        let address = listener
+            .local_addr()
+            .map_err(system_error("a worker's port"))?;
+        let limits = Limits {
+            streams: STREAMS,
+            ..Limits::default()
+        };
+        let worker = self.clone();
+        let handler = Rc::new(
+            move |request: Request<RecvStream>, respond: SendResponse<Bytes>| {
+                worker
+                    .spawner
+                    .spawn(worker.clone().answer(request, respond));
+            },
+        );
+        Server::start(self.spawner.clone(), listener, limits, handler)
+            .map_err(system_error("a worker's server"))?;
+        Ok(address.to_string())
+    }
+
+    /// Answers a request once its message has come.
+    async fn answer(self, request: Request<RecvStream>, mut respond: SendResponse<Bytes>) {
+        let (head, body) = request.into_parts();
+        let mut messages = RequestMessages::new(body, MAX_REQUEST_BYTES);
+        let mut message = None;
+        // A client that leaves early notices nothing of the answer.
+        let _ = poll_fn(|context| messages.poll_unary(&mut message, context)).await;
+        let is_call = head.uri.path().ends_with("Infer");
+        if is_call && self.silent {
+            return poll_fn(|context| respond.poll_reset(context).map(drop)).await;
+        }
+        if is_call && !self.delay.is_zero() {
+            self.spawner.sleep(self.delay).await;
+        }
+        let body = if is_call {
+            self.call_response
+        } else {
+            frame(&pb::ServerReadyResponse { ready: true }.encode_to_vec())
+        };
+        if let Ok(mut stream) = respond.send_response(response_headers(), false) {
+            // Fails only where the client has left.
+            let _ = stream
+                .send_data(body, false)
+                .and_then(|()| stream.send_trailers(trailers()));
+        }
+    }
+}
+
+/// The trailers of an answer: served by the one instance, which was loaded already.
+fn trailers() -> HeaderMap {
+    let mut trailers = status_trailers(Code::Ok, "");
+    trailers.insert(names::CACHE_STATUS, HeaderValue::from_static("warm"));
+    trailers.insert(names::INSTANCE_COUNT, HeaderValue::from_static("1"));
+    trailers
+}
