--- /dev/null
+++ b/settings/src/agree/flatten.rs
@@ -0,0 +1,49 @@
+//! The fields of a record by their paths, in the form that agreement works on.
+
+use crate::value::{Kind, Node, Scalar};
+use tansy_agreement::compatibility::{self, Fields, Value};
+
+/// All fields of a record, by their paths.
+pub(super) fn flattened(node: &Node) -> Fields {
+    let mut fields = Fields::new();
+    flatten(node, String::new(), &mut fields);
+    fields
+}
+
+fn flatten(node: &Node, path: String, into: &mut Fields) {
+    let Kind::Record(record) = &node.kind else {
+        into.extend(value(node).map(|v| (path, v)));
+        return;
+    };
+    for (name, field) in &record.fields {
+        let name = compatibility::part(name);
+        let under = if path.is_empty() {
+            name
+        } else {
+            format!("{path}.{name}")
+        };
+        flatten(&field.node, under, into);
+    }
+}
+
+/// A value without constraints; `None`: it is none.
+fn value(node: &Node) -> Option<Value> {
+    match &node.kind {
+        Kind::Scalar(Scalar::Bool(flag)) => Some(Value::Flag(*flag)),
+        Kind::Scalar(Scalar::Int(int)) => Some(Value::Int(*int)),
+        Kind::Scalar(Scalar::Duration(span)) => Some(Value::Span(*span)),
+        Kind::Scalar(Scalar::Size(bytes)) => Some(Value::Bytes(*bytes)),
+        Kind::Scalar(Scalar::Float(number)) => Some(Value::Number(*number)),
+        Kind::Scalar(Scalar::Text(text)) => Some(Value::Text(text.clone())),
+        Kind::List(items, _) => Some(Value::List(items.iter().filter_map(value).collect())),
+        // A record within a list, as a worker of a list: its fields, each with its name.
+        Kind::Record(record) => {
+            let named = record.fields.iter().filter_map(|(name, field)| {
+                let name = Value::Text(name.clone());
+                Some(Value::List(vec![name, value(&field.node)?]))
+            });
+            Some(Value::List(named.collect()))
+        }
+        _ => None,
+    }
+}
--- /dev/null
+++ b/settings/src/agree/mod.rs
@@ -0,0 +1,45 @@
+//! The compatibility of each field of the schema between front ends of a fleet, and a text's fields in the form that agreement
+//! works on.
+//!
+//! `tests/agree.rs` walks the schema and checks that every field of it is listed here.
+//!
+//! - [`agreement`]: how each field may differ. [`fields`], [`version()`]: the fields of a text and of its version.
+//! - [`settings`]: the settings that a front end acts on. [`text()`]: fields as the text of settings.
+
+mod compatibility;
+mod effective;
+mod flatten;
+mod text;
+mod version;
+
+pub use compatibility::agreement;
+pub use effective::{check, filled, function, settings};
+pub use text::{label, text};
+pub use version::{fields, functions, unknown, version};
+
+/// Whether a field is each front end's own: versions do not contain it, and no change of it is agreed on.
+pub fn own(path: &str) -> bool {
+    let front = path.strip_prefix("front.");
+    let front_fields = ["listen", "http", "me", "zone", "seed", "tick"];
+    path == "workers"
+        || path == "zones"
+        || path.starts_with("fleet.")
+        || front.is_some_and(|field| front_fields.contains(&field))
+}
+
+/// Whether a front end applies a change of this field only when it starts: sizes of what it creates then.
+pub fn at_start(path: &str) -> bool {
+    let front_fields = [
+        "connections",
+        "streams",
+        "message",
+        "headers",
+        "stream_window",
+        "preface",
+        "drain",
+    ];
+    path == "worker.stream_window"
+        || path
+            .strip_prefix("front.")
+            .is_some_and(|field| front_fields.contains(&field))
+}
--- /dev/null
+++ b/settings/src/agree/text.rs
@@ -0,0 +1,42 @@
+//! Fields as the text of settings.
+
+use tansy_agreement::compatibility::{self, Fields};
+
+/// Writes fields as the text of settings.
+pub fn text(fields: &Fields) -> String {
+    let mut text = String::new();
+    let mut open: Vec<&str> = Vec::new();
+    for (path, value) in fields {
+        let mut parts: Vec<&str> = path.split('.').collect();
+        let last = parts.pop().unwrap_or("");
+        let same = open.iter().zip(&parts).take_while(|(a, b)| a == b).count();
+        while open.len() > same {
+            open.pop();
+            text += &format!("{}}}\n", "    ".repeat(open.len()));
+        }
+        for part in &parts[same..] {
+            text += &format!("{}{}: {{\n", "    ".repeat(open.len()), label(part));
+            open.push(part);
+        }
+        text += &format!("{}{}: {value}\n", "    ".repeat(open.len()), label(last));
+    }
+    while open.pop().is_some() {
+        text += &format!("{}}}\n", "    ".repeat(open.len()));
+    }
+    text
+}
+
+/// A part of a path as a label of the text.
+pub fn label(part: &str) -> String {
+    let name = compatibility::name(part);
+    let plain = name.starts_with(|letter: char| letter.is_ascii_lowercase())
+        && name
+            .chars()
+            .all(|letter| letter.is_ascii_lowercase() || letter.is_ascii_digit() || letter == '_')
+        && !matches!(name.as_str(), "true" | "false" | "null");
+    if plain {
+        name
+    } else {
+        compatibility::quote(&name)
+    }
+}
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -3,6 +3,19 @@
 //! A file is parsed, evaluated, unified with the schema of this package (`schema.cue`), made concrete and read into the program's
 //! own types. All errors are reported at once, each with file, line, column, the field's path and what would be right. Nothing is
 //! decided or tuned here: what is left out takes the schema's default.
+//!
+//! It is not for reading files, and it does not apply settings: a text comes in, and a program's own types go out. How the front
+//! ends of a fleet agree on settings is in [`agree`], as far as it depends on the schema.
+//!
+//! ```
+//! let text = "classes: chat: {aim: 1s, deadline: 2s}\nfunctions: echo: {class: \"chat\", memory: 1MB}\n";
+//! let settings = tansy_settings::settings("example.cue", text)?;
+//! assert_eq!(settings.front.classes, ["chat"]);
+//!
+//! let errors = tansy_settings::settings("example.cue", "front: {streams: 0}\n").unwrap_err();
+//! assert!(errors.to_string().starts_with("example.cue:1:18: front.streams: 0 does not fit"));
+//! # Ok::<(), tansy_settings::Errors>(())
+//! ```
 
 pub mod agree;
 mod read;
--- /dev/null
+++ b/settings/src/read/fleet.rs
@@ -0,0 +1,52 @@
+//! The fleet that a front end is in.
+
+use crate::record::{address, RecordReader};
+use crate::types::{Fleet, Seat};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use tansy_syntax::Diagnostic;
+
+pub(super) fn fleet(record: RecordReader<'_>, errors: &mut Vec<Diagnostic>) -> Option<Fleet> {
+    let mut voters = Vec::new();
+    for (index, item) in record.list("seats")?.iter().enumerate() {
+        let voter = RecordReader::of(item)?;
+        let path = format!("fleet.seats[{index}].address");
+        let address = address(voter, "address", &path, errors);
+        voters.push(Seat {
+            name: voter.text("name")?.to_string(),
+            address: address?,
+        });
+    }
+    check_voters(record, &voters, errors);
+    let listen = address(record, "listen", "fleet.listen", errors);
+    let text = |name: &str| record.text(name).map(str::to_string);
+    Some(Fleet {
+        name: text("name")?,
+        me: text("me")?,
+        listen: listen?,
+        seats: voters,
+        state: text("state")
+            .filter(|state| !state.is_empty())
+            .map(Into::into),
+        within: record.int("within")?,
+        stay: record.int("stay")?,
+        clock_ppm: record.int("clock_ppm")?,
+    })
+}
+
+fn check_voters(record: RecordReader<'_>, voters: &[Seat], errors: &mut Vec<Diagnostic>) {
+    let names: BTreeSet<&str> = voters.iter().map(|voter| voter.name.as_str()).collect();
+    let addresses: BTreeSet<SocketAddr> = voters.iter().map(|voter| voter.address).collect();
+    let each_once = names.len() == voters.len() && addresses.len() == voters.len();
+    if ![1, 3, 5, 7].contains(&voters.len()) || !each_once {
+        let problem = format!(
+            "{} seats, {} names, {} addresses",
+            voters.len(),
+            names.len(),
+            addresses.len()
+        );
+        let help = "want 1, 3, 5 or 7 front ends that keep the agreed log, each once, as \
+                    seats: [{name: \"a\", address: \"127.0.0.1:7001\"}]";
+        errors.push(record.error("seats", "fleet.seats", problem, help));
+    }
+}
--- /dev/null
+++ b/settings/src/read/workers.rs
@@ -0,0 +1,63 @@
+//! Lists of workers.
+
+use crate::record::{address, index_of, RecordReader};
+use crate::types::WorkerLine;
+use crate::value::Node;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use tansy_dispatch::WorkerRecord;
+use tansy_syntax::Diagnostic;
+
+/// Reads a list of workers; a worker that names no zone is in `home_zone`.
+pub(crate) fn worker_list(
+    node: &Node,
+    zones: &[String],
+    home_zone: usize,
+    errors: &mut Vec<Diagnostic>,
+) -> Option<Vec<WorkerLine>> {
+    let all = RecordReader::of(node)?;
+    let mut workers: Vec<WorkerLine> = Vec::new();
+    let mut names = BTreeSet::new();
+    for (index, item) in all.list("workers")?.iter().enumerate() {
+        let record = RecordReader::of(item)?;
+        let path = |field: &str| format!("workers[{index}].{field}");
+        let name = record.text("name")?;
+        if !names.insert(name) {
+            let problem = format!("a second worker named {name:?}");
+            let help = "want a name of its own for each";
+            errors.push(record.error("name", &path("name"), problem, help));
+        }
+        let address = address(record, "address", &path("address"), errors);
+        let zone = index_of(record, "zone", &path("zone"), zones, home_zone, errors);
+        if let (Some(address), Some(zone)) = (address, zone) {
+            workers.push(worker(record, name, address, zone)?);
+        }
+    }
+    Some(workers)
+}
+
+fn worker(
+    record: RecordReader<'_>,
+    name: &str,
+    address: SocketAddr,
+    zone: usize,
+) -> Option<WorkerLine> {
+    let listed = WorkerRecord {
+        name: name.to_string(),
+        kind: usize::try_from(record.int("kind")?).ok()?,
+        cell: u64::try_from(record.int("cell")?).ok()?,
+        zone,
+        state: match record.text("state")? {
+            "ready" => 0,
+            "draining" => 1,
+            _ => 2,
+        },
+        age: record.int("started"),
+        relative_size: record.number("share")?,
+    };
+    Some(WorkerLine {
+        listed,
+        address,
+        incarnation: u64::try_from(record.int("incarnation")?).ok()?,
+    })
+}
--- a/settings/src/record.rs
+++ b/settings/src/record.rs
@@ -83,9 +83,9 @@
     }
 
     /// An error at a field, or at the record if the field is absent.
-    pub(crate) fn error(self, name: &str, path: &str, what: String, help: &str) -> Diagnostic {
+    pub(crate) fn error(self, name: &str, path: &str, problem: String, help: &str) -> Diagnostic {
         let span = self.node(name).unwrap_or(self.node).span;
-        Diagnostic::new(span, what).at(path).help(help)
+        Diagnostic::new(span, problem).at(path).help(help)
     }
 }
 
--- a/settings/src/value/evaluate.rs
+++ b/settings/src/value/evaluate.rs
@@ -198,9 +198,9 @@
         };
         let Some(next) = find(fields, part) else {
             let name = path.join(".");
-            let what = format!("`{name}`: no field `{part}` is written there");
+            let problem = format!("`{name}`: no field `{part}` is written there");
             let help = suggest(part, names(fields));
-            errors.push(Diagnostic::new(span, what).help(help));
+            errors.push(Diagnostic::new(span, problem).help(help));
             return Node::new(Kind::Invalid, span);
         };
         records.push(fields);
--- a/settings/src/value/unify.rs
+++ b/settings/src/value/unify.rs
@@ -44,9 +44,9 @@
 }
 
 fn mismatch(written: &Node, wanted: &Node, span: Span, path: &str) -> Diagnostic {
-    let what = format!("{} does not fit", describe_written(written));
+    let problem = format!("{} does not fit", describe_written(written));
     let help = format!("want {}", describe(wanted));
-    Diagnostic::new(span, what).at(path).help(help)
+    Diagnostic::new(span, problem).at(path).help(help)
 }
 
 /// Two sides that have no value in common.
@@ -261,8 +261,8 @@
     } else {
         suggestion
     };
-    let what = format!("no field `{name}` belongs here");
-    Diagnostic::new(span, what).at(path).help(help)
+    let problem = format!("no field `{name}` belongs here");
+    Diagnostic::new(span, problem).at(path).help(help)
 }
 
 /// The items of a list, and the constraint of further ones.
@@ -280,8 +280,8 @@
     if wanted_count > written_count && written_rest.is_none()
         || written_count > wanted_count && wanted_rest.is_none()
     {
-        let what = format!("a list of {written_count} does not fit");
-        let error = Diagnostic::new(span, what).at(path);
+        let problem = format!("a list of {written_count} does not fit");
+        let error = Diagnostic::new(span, problem).at(path);
         errors.push(error.help(format!("want {wanted_count} values")));
         return Kind::Invalid;
     }
--- a/settings/tests/agree.rs
+++ b/settings/tests/agree.rs
@@ -21,13 +21,13 @@
 fleet: {name: "north", seats: [{name: "a", address: "127.0.0.1:7001"}]}
 "#;
 
-fn of(text: &str) -> Fields {
-    fields("t.cue", text).unwrap_or_else(|e| panic!("{e}"))
+fn fields_of(text: &str) -> Fields {
+    fields("t.cue", text).unwrap_or_else(|error| panic!("{error}"))
 }
 
-fn with(from: &str, to: &str) -> Fields {
+fn full_with(from: &str, to: &str) -> Fields {
     assert!(FULL.contains(from), "{from}");
-    of(&FULL.replace(from, to))
+    fields_of(&FULL.replace(from, to))
 }
 
 /// The names in the schema's text that stand before a colon, with the record that they stand in.
@@ -47,7 +47,7 @@
 
 #[test]
 fn every_field_of_the_schema_says_how_it_agrees() {
-    let full = of(FULL);
+    let full = fields_of(FULL);
     let at = |record: &str| match record {
         "Class" => Some("classes.chat."),
         "Tenant" => Some("tenants.acme."),
@@ -60,13 +60,13 @@
         "Settings" => Some(""),
         _ => None,
     };
-    let mut seen = BTreeSet::new();
+    let mut found = BTreeSet::new();
     for field in schema_fields() {
         let (record, name) = field.split_once('.').expect("a record's field");
         let Some(under) = at(record) else { continue };
         let path = format!("{under}{name}");
         if full.keys().any(|k| k.starts_with(&format!("{path}."))) || full.contains_key(&path) {
-            seen.insert(path);
+            found.insert(path);
         } else {
             assert!(
                 matches!(path.as_str(), "classes" | "tenants" | "functions"),
@@ -74,7 +74,7 @@
             );
         }
     }
-    assert!(seen.len() > 60, "{} fields", seen.len());
+    assert!(found.len() > 60, "{} fields", found.len());
     // What no pattern names would be strict for every call. These alone are meant to be.
     let strict: Vec<&String> = full
         .keys()
@@ -92,9 +92,9 @@
 }
 
 #[test]
-fn of_two_versions_the_stricter_holds_and_contested_calls_alone_stop() {
-    let old = of(FULL);
-    let new = with(
+fn of_two_versions_the_stricter_applies_and_only_conflicting_calls_are_rejected() {
+    let old = fields_of(FULL);
+    let new = full_with(
         "group: \"zone\", window: 20s",
         "group: \"cell\", window: 30s",
     );
@@ -117,19 +117,19 @@
 
 #[test]
 fn what_a_front_end_without_a_lease_does_contradicts_none_of_these() {
-    let known = of(&FULL.replace("worker: ration: {free: 3, part: 0.5, period: 10s}", ""));
+    let known = fields_of(&FULL.replace("worker: ration: {free: 3, part: 0.5, period: 10s}", ""));
     let rules = rules_after_expiry(&agreement(), &known);
     for force in [
-        of(FULL),
-        with("effect: \"keyed\"", "effect: \"unsafe\""),
-        with("quota_per_s: 10", "quota_per_s: 1"),
-        with("class: \"chat\"", "class: \"post\""),
-        with(
+        fields_of(FULL),
+        full_with("effect: \"keyed\"", "effect: \"unsafe\""),
+        full_with("quota_per_s: 10", "quota_per_s: 1"),
+        full_with("class: \"chat\"", "class: \"post\""),
+        full_with(
             "front: {zone: \"a\"}",
             "front: {zone: \"a\", siblings: 400}",
         ),
-        with("acme", "other"),
-        with("free: 3", "free: 0"),
+        full_with("acme", "other"),
+        full_with("free: 3", "free: 0"),
     ] {
         assert_eq!(contradictions(&agreement(), &force, &rules), vec![]);
     }
@@ -141,15 +141,15 @@
 }
 
 #[test]
-fn a_version_holds_what_its_file_says_and_nothing_of_defaults_or_of_a_front_ends_own() {
+fn a_version_contains_the_written_fields_without_defaults_and_without_a_front_ends_own() {
     let file = r#"
 front: {siblings: 3, me: 1, listen: "127.0.0.1:9"}
 classes: "a.b%": {aim: 1s, deadline: 2s}
 functions: "f \"g\"": {class: "a.b%", memory: 1GB}
 worker: cold_from: 0.25
 "#;
-    let held = version("t.cue", file).expect("it is right");
-    let paths: Vec<&str> = held.keys().map(String::as_str).collect();
+    let version_fields = version("t.cue", file).expect("it is right");
+    let paths: Vec<&str> = version_fields.keys().map(String::as_str).collect();
     let class = "classes.a%2eb%25";
     let wanted = [
         &format!("{class}.aim"),
@@ -166,15 +166,15 @@
     );
     // The text of it is read to the same, and so is what is filled in.
     assert_eq!(
-        version("t.cue", &text(&held)).expect("its text is right"),
-        held
+        version("t.cue", &text(&version_fields)).expect("its text is right"),
+        version_fields
     );
-    let (all, strange) = filled(&held).expect("it loads");
-    assert!(strange.is_empty());
-    assert_eq!(all["worker.max_attempts"], Value::Int(4));
-    assert!(!all.contains_key("front.me"));
+    let (filled_fields, affected) = filled(&version_fields).expect("it loads");
+    assert!(affected.is_empty());
+    assert_eq!(filled_fields["worker.max_attempts"], Value::Int(4));
+    assert!(!filled_fields.contains_key("front.me"));
     assert_eq!(
-        fields("t.cue", &text(&all))
+        fields("t.cue", &text(&filled_fields))
             .map(|mut f| f.remove("front.siblings"))
             .ok(),
         Some(Some(Value::Int(3)))
@@ -182,27 +182,27 @@
 }
 
 #[test]
-fn of_a_version_of_a_later_program_the_calls_that_are_touched_stop_and_the_rest_goes_on() {
-    let mut held = version("t.cue", FULL).expect("it is right");
-    assert_eq!(unknown(&held), Vec::<String>::new());
-    held.insert("classes.chat.sorrow".into(), Value::Int(3));
-    held.insert("worker.mood".into(), Value::Text("blue".into()));
-    let (all, strange) = filled(&held).expect("the rest loads");
+fn a_version_of_a_later_program_rejects_affected_calls_only() {
+    let mut version_fields = version("t.cue", FULL).expect("it is right");
+    assert_eq!(unknown(&version_fields), Vec::<String>::new());
+    version_fields.insert("classes.chat.sorrow".into(), Value::Int(3));
+    version_fields.insert("worker.mood".into(), Value::Text("blue".into()));
+    let (filled_fields, affected) = filled(&version_fields).expect("the rest loads");
     assert_eq!(
-        strange,
+        affected,
         BTreeSet::from([AffectedCalls::All, AffectedCalls::Class("chat".into())])
     );
-    assert!(!all.contains_key("worker.mood"));
+    assert!(!filled_fields.contains_key("worker.mood"));
 }
 
 #[test]
 fn rules_of_any_step_make_settings() {
-    let own = of(&FULL.replace(
+    let own = fields_of(&FULL.replace(
         "front: {zone: \"a\"}",
         "front: {zone: \"a\", me: 2, siblings: 5}",
     ));
-    let now = of(FULL);
-    let safe = with(
+    let now = fields_of(FULL);
+    let safe = full_with(
         "effect: \"keyed\", group: \"zone\", window: 20s",
         "effect: \"safe\"",
     );
@@ -213,9 +213,9 @@
         rules_after_expiry(&agreement(), &now),
         rules_after_expiry(&agreement(), &safe),
     ] {
-        let made = settings(&own, &rules.fields).unwrap_or_else(|e| panic!("{e}"));
-        assert!(made.front.settings.front_ends > made.front.settings.front_end);
-        assert_eq!(made.front.settings.front_end, 2, "it is its own");
+        let effective = settings(&own, &rules.fields).unwrap_or_else(|error| panic!("{error}"));
+        assert!(effective.front.settings.front_ends > effective.front.settings.front_end);
+        assert_eq!(effective.front.settings.front_end, 2, "it is its own");
     }
     // Keyed at one and safe at the other is a class whose workers drop no repeat: no second attempt.
     let both =
@@ -227,7 +227,7 @@
 }
 
 /// A function's fields, as they stand by themselves.
-fn alone(fields: &[(&str, Value)]) -> Fields {
+fn fields_by_name(fields: &[(&str, Value)]) -> Fields {
     fields
         .iter()
         .map(|(name, v)| (name.to_string(), v.clone()))
@@ -235,14 +235,14 @@
 }
 
 #[test]
-fn a_function_by_itself_is_what_it_is_among_all_settings() {
+fn a_function_by_itself_reads_as_it_does_among_all_settings() {
     let text = |t: &str| Value::Text(t.into());
-    let least = alone(&[
+    let least = fields_by_name(&[
         ("class", text("chat")),
         ("memory", Value::Bytes(250_000_000)),
     ]);
     let mut most = least.clone();
-    most.extend(alone(&[
+    most.extend(fields_by_name(&[
         ("lanes", Value::Int(7)),
         ("load_time", Value::Span(1_500_000)),
         ("versions", Value::List(vec![text("2"), text("3")])),
@@ -251,31 +251,31 @@
         let whole = fields
             .iter()
             .map(|(name, v)| (format!("functions.f.{name}"), v.clone()));
-        let base = of(FULL)
+        let base = fields_of(FULL)
             .into_iter()
             .filter(|(p, _)| !p.starts_with("functions."));
         let whole = settings(&Fields::new(), &base.chain(whole).collect())
-            .unwrap_or_else(|e| panic!("{e}"));
-        let (spec, f) = (
+            .unwrap_or_else(|error| panic!("{error}"));
+        let (spec, function) = (
             &whole.front.functions[0],
-            function("f", &fields).unwrap_or_else(|e| panic!("{e}")),
+            function("f", &fields).unwrap_or_else(|error| panic!("{error}")),
         );
-        assert_eq!(whole.front.classes[spec.class], f.class);
+        assert_eq!(whole.front.classes[spec.class], function.class);
         assert_eq!(
             (spec.lanes, spec.memory_mb, spec.load_time),
-            (f.lanes, f.memory_mb, f.load_time)
+            (function.lanes, function.memory_mb, function.load_time)
         );
-        assert_eq!(spec.versions, f.versions);
+        assert_eq!(spec.versions, function.versions);
     }
 }
 
 #[test]
-fn a_function_by_itself_that_makes_no_sense_is_told_with_what_would() {
-    let good = alone(&[
+fn a_function_by_itself_that_makes_no_sense_is_reported_with_what_would_be_right() {
+    let valid = fields_by_name(&[
         ("class", Value::Text("chat".into())),
         ("memory", Value::Bytes(1_000)),
     ]);
-    assert!(function("f", &good).is_ok());
+    assert!(function("f", &valid).is_ok());
     let cases: [(&str, Option<Value>, &str); 7] = [
         ("memory", None, "memory"),
         ("class", None, "class"),
@@ -290,13 +290,13 @@
         ("colour", Some(Value::Text("red".into())), "colour"),
     ];
     for (field, value, wanted) in cases {
-        let mut bad = good.clone();
-        bad.remove(field);
-        bad.extend(value.map(|v| (field.to_string(), v)));
-        let why = function("f", &bad).expect_err(field).to_string();
+        let mut invalid = valid.clone();
+        invalid.remove(field);
+        invalid.extend(value.map(|v| (field.to_string(), v)));
+        let error = function("f", &invalid).expect_err(field).to_string();
         assert!(
-            why.contains("functions.f") && why.contains(wanted),
-            "{field}: {why}"
+            error.contains("functions.f") && error.contains(wanted),
+            "{field}: {error}"
         );
     }
 }
--- a/settings/tests/settings.rs
+++ b/settings/tests/settings.rs
@@ -1,9 +1,9 @@
-//! Settings files: what is taken, and how what is wrong is told.
+//! Settings files: which are accepted, and how errors are reported.
 
 use tansy_settings::{settings, workers};
 use tansyrouter::{Effect, Group};
 
-const GOOD: &str = r#"
+const FULL: &str = r#"
 // A pool of two rooms.
 #Quick: {aim: 250ms, deadline: 1s}
 front: {me: 1, siblings: 3, zone: "b"}
@@ -22,47 +22,62 @@
 
 #[test]
 fn a_full_file_is_read() {
-    let s = settings("t.cue", GOOD).unwrap_or_else(|e| panic!("{e}"));
-    let m = &s.front.settings;
-    assert_eq!((m.front_end, m.front_ends, m.zone), (1, 3, 1));
-    assert_eq!(s.front.classes, ["overlay", "post", "keyed"]);
+    let all = settings("t.cue", FULL).unwrap_or_else(|error| panic!("{error}"));
+    let router = &all.front.settings;
     assert_eq!(
-        (m.classes[0].latency_objective, m.classes[0].deadline),
+        (router.front_end, router.front_ends, router.zone),
+        (1, 3, 1)
+    );
+    assert_eq!(all.front.classes, ["overlay", "post", "keyed"]);
+    assert_eq!(
+        (
+            router.classes[0].latency_objective,
+            router.classes[0].deadline
+        ),
         (250_000, 1_000_000)
     );
     assert_eq!(
-        (m.classes[1].latency_objective, m.classes[1].effect),
+        (
+            router.classes[1].latency_objective,
+            router.classes[1].effect
+        ),
         (250_000, Effect::Unsafe)
     );
     assert_eq!(
-        m.classes[2].effect,
+        router.classes[2].effect,
         Effect::Keyed {
             group: Group::Zone,
             window: 30_000_000
         }
     );
-    let f = &s.front.functions[0];
+    let function = &all.front.functions[0];
     assert_eq!(
-        (f.name.as_str(), f.class, f.lanes, f.memory_mb, f.load_time),
+        (
+            function.name.as_str(),
+            function.class,
+            function.lanes,
+            function.memory_mb,
+            function.load_time
+        ),
         ("price-1", 0, 4, 1500.0, Some(900_000))
     );
-    assert_eq!(s.front.functions[1].load_time, None);
-    assert_eq!(m.load_budget.unwrap().period, 10_000_000);
-    assert_eq!(s.gateway.listen.port(), 8001);
+    assert_eq!(all.front.functions[1].load_time, None);
+    assert_eq!(router.load_budget.unwrap().period, 10_000_000);
+    assert_eq!(all.gateway.listen.port(), 8001);
 }
 
-const LEAST: &str =
+const MINIMAL: &str =
     "classes: {c: {aim: 1s, deadline: 2s}}\nfunctions: {f: {class: \"c\", memory: 1MB}}\n";
 
 fn errors(extra: &str) -> Vec<String> {
-    match settings("t.cue", &format!("{LEAST}{extra}")) {
+    match settings("t.cue", &format!("{MINIMAL}{extra}")) {
         Ok(_) => Vec::new(),
-        Err(e) => e.to_string().lines().map(str::to_string).collect(),
+        Err(errors) => errors.to_string().lines().map(str::to_string).collect(),
     }
 }
 
 #[test]
-fn the_least_file_is_enough() {
+fn the_minimal_file_is_enough() {
     assert_eq!(errors(""), [""; 0]);
 }
 
@@ -94,23 +109,23 @@
 }
 
 #[test]
-fn all_errors_are_told_at_once_in_order() {
+fn all_errors_are_reported_at_once_in_order() {
     let text = "classes: {c: {aim: 3s, deadline: 2s, effect: \"keyed\"}}\nfunctions: {f: {class: \"d\", memory: 0B}}\nfront: {me: -1, siblings: \"two\"}";
-    let e = settings("t.cue", text).unwrap_err();
-    assert_eq!(e.list.len(), 3, "{e}");
-    let e = settings(
+    let errors = settings("t.cue", text).unwrap_err();
+    assert_eq!(errors.list.len(), 3, "{errors}");
+    let errors = settings(
         "t.cue",
         &text
             .replace("0B", "1B")
             .replace("me: -1, siblings: \"two\"", ""),
     )
     .unwrap_err();
-    assert_eq!(e.list.len(), 3, "the checks across fields: {e}");
+    assert_eq!(errors.list.len(), 3, "the checks across fields: {errors}");
 }
 
 #[test]
 fn no_text_makes_it_panic() {
-    let bytes: Vec<char> = "{}[]:,?*&|.\"#a1 \n>=ms/\\".chars().collect();
+    let characters: Vec<char> = "{}[]:,?*&|.\"#a1 \n>=ms/\\".chars().collect();
     let mut seed = 7u64;
     for _ in 0..600 {
         let text: String = (0..24)
@@ -118,7 +133,7 @@
                 seed = seed
                     .wrapping_mul(6364136223846793005)
                     .wrapping_add(1442695040888963407);
-                bytes[(seed >> 33) as usize % bytes.len()]
+                characters[(seed >> 33) as usize % characters.len()]
             })
             .collect();
         let _ = settings("t.cue", &text);
@@ -126,12 +141,12 @@
 }
 
 #[test]
-fn a_list_of_workers_is_read_with_the_zones_it_is_told() {
+fn a_list_of_workers_is_read_with_the_given_zones() {
     let zones = ["a".to_string(), "b".to_string()];
     let text =
         "workers: [\n {name: \"w1\", address: \"127.0.0.1:9001\", zone: \"b\", started: 2s}\n \
                 {name: \"w2\", address: \"[::1]:9002\", state: \"draining\"}\n]";
-    let list = workers("w.cue", text, &zones, 0).unwrap_or_else(|e| panic!("{e}"));
+    let list = workers("w.cue", text, &zones, 0).unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(
         (
             list[0].listed.zone,
@@ -149,6 +164,6 @@
         (0, None, 1)
     );
     let twice = text.replace("w2", "w1").replace("\"b\"", "\"c\"");
-    let e = workers("w.cue", &twice, &zones, 0).unwrap_err();
-    assert_eq!(e.list.len(), 2, "{e}");
+    let errors = workers("w.cue", &twice, &zones, 0).unwrap_err();
+    assert_eq!(errors.list.len(), 2, "{errors}");
 }
