--- a/benches/cost/build.rs
+++ b/benches/cost/build.rs
@@ -1,9 +1,12 @@
 //! Generates the pass-through proxy's service from the project's .proto.
 
-fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let dir = "../../protocol/inference/proto";
-    println!("cargo:rerun-if-changed={dir}");
-    let files = protox::compile([format!("{dir}/inference.proto")], [dir])?;
-    tonic_prost_build::configure().compile_fds(files)?;
-    Ok(())
+const PROTO_FOLDER: &str = "../../protocol/inference/proto";
+
+fn main() {
+    println!("cargo:rerun-if-changed={PROTO_FOLDER}");
+    let file = format!("{PROTO_FOLDER}/inference.proto");
+    let files = protox::compile([file], [PROTO_FOLDER]).expect("inference.proto is valid");
+    tonic_prost_build::configure()
+        .compile_fds(files)
+        .expect("the service can be generated");
 }
--- a/benches/cost/src/fleet.rs
+++ b/benches/cost/src/fleet.rs
@@ -182,7 +182,7 @@
     let name = format!("f{number}");
     let mut arguments = vec!["--name".into(), name, "--peers".into(), address.to_string()];
     if number == VOTER {
-        let state = folder.join("seat.redb").display().to_string();
+        let state = folder.join("voter.redb").display().to_string();
         arguments.extend(["--state".to_string(), state]);
     }
     arguments
