--- a/programs/fleet/tests/rollout.rs
+++ b/programs/fleet/tests/rollout.rs
@@ -1,20 +1,25 @@
-//! Three supervisors with two front ends each: a program changes in stages, also when whoever steers is killed; one that does
+//! Three supervisors with two front ends each: a program changes in stages, also when its controller is killed; one that does
 //! not start goes back; settings are tried and then in force. Judged by the processes that run.
 
 mod support;
 
 use rustix::process::{kill_process, Pid, Signal};
+use serde_json::Value;
 use std::collections::BTreeMap;
-use std::io::{BufRead, BufReader, Write};
+use std::io::Write;
 use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
-use std::time::{Duration, Instant};
+use std::path::{Path, PathBuf};
+use std::process::Command;
+use std::time::Duration;
 use support::{ask, gateway};
 use tansy_fleet::processes::kept;
 use tansy_test_support::address::ReservedAddress;
+use tansy_test_support::fleet::{error_contains, front_ends, may_act, reserve_addresses, ANY_PORT};
+use tansy_test_support::folder::TestFolder;
+use tansy_test_support::process::ServerProcess;
+use tansy_test_support::wait::poll_until;
 
-const TEXT: &str = r#"
+const SETTINGS: &str = r#"
 zones: ["a", "b", "c"]
 classes: {
     chat: {aim: 1s, deadline: 2s}
@@ -26,301 +31,291 @@
 "#;
 const PLAN: &str =
     "least = 1\nlongest = 2\nready = 20\nslice = 1\nwarm_up = 1\nundecided = \"pass\"\n";
+/// A zone for each supervisor.
+const ZONES: [&str; 3] = ["a", "b", "c"];
+/// Two front ends for each supervisor.
+const FRONT_ENDS: usize = 6;
+/// Time for the rollout to reach the state that a test waits for.
+const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(90);
 
-struct Rig {
-    folder: PathBuf,
-    peers: Vec<SocketAddr>,
-    _reserved: Vec<ReservedAddress>,
-    supervisors: Vec<Option<Child>>,
+/// A process of a front end, as the kernel has it.
+#[derive(Debug)]
+struct FrontEndProcess {
+    pid: u32,
+    name: String,
+    program: String,
 }
 
-impl Rig {
-    fn start(name: &str, host: u8) -> Rig {
-        let folder = std::env::temp_dir().join(format!("tansy-roll-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let host_of = |n: usize| [127, host, (std::process::id() % 250) as u8, 1 + n as u8];
-        let reserve = |n| ReservedAddress::on(host_of(n)).expect("a port");
-        let reserved: Vec<ReservedAddress> = (0..6).map(reserve).collect();
-        let peers: Vec<SocketAddr> = reserved.iter().map(ReservedAddress::address).collect();
-        std::fs::copy(gateway(), folder.join("old")).expect("a copy");
-        // The same program with a byte behind its end is another one by its digest.
-        std::fs::copy(gateway(), folder.join("new")).expect("a copy");
-        let mut new = std::fs::OpenOptions::new()
-            .append(true)
-            .open(folder.join("new"))
-            .expect("a file");
-        new.write_all(b"\n").expect("a byte");
-        std::fs::write(folder.join("plan.toml"), PLAN).expect("a file");
-        let mut rig = Rig {
-            folder,
-            peers,
-            _reserved: reserved,
-            supervisors: vec![None, None, None],
+/// Three supervisors with two front ends each; all end with it.
+struct Deployment {
+    supervisors: [Option<ServerProcess>; 3],
+    addresses: Vec<ReservedAddress>,
+    folder: TestFolder,
+}
+
+impl Deployment {
+    fn start(name: &str, network: u8) -> Deployment {
+        let mut deployment = Deployment {
+            supervisors: [None, None, None],
+            addresses: reserve_addresses(network, FRONT_ENDS as u8).expect("ports"),
+            folder: TestFolder::new(&format!("rollout-{name}")).expect("a folder"),
         };
-        for n in 0..3 {
-            let zone = ["a", "b", "c"][n];
-            let text = TEXT
+        deployment.copy_programs();
+        deployment.write("plan.toml", PLAN);
+        let voter = deployment.address(0).to_string();
+        for (index, zone) in ZONES.into_iter().enumerate() {
+            let settings = SETTINGS
                 .replace("NAME", name)
-                .replace("SEAT", &rig.peers[0].to_string())
+                .replace("SEAT", &voter)
                 .replace("ZONE", zone);
-            std::fs::write(rig.path(&format!("{zone}.cue")), text).expect("a file");
-            let mut file = format!(
-                "name = \"m{n}\"\nprogram = \"old\"\nfolder = \"run{n}\"\nat = [\"{}\"]\n",
-                rig.peers[0]
-            );
-            for f in [2 * n, 2 * n + 1] {
-                let settings = rig.path(&format!("{zone}.cue")).display().to_string();
-                let mut arguments = vec![
-                    "--settings",
-                    &settings,
-                    "--listen",
-                    "127.0.0.1:0",
-                    "--http",
-                    "127.0.0.1:0",
-                    "--log",
-                    "error",
-                ];
-                let state = rig.path("seat.redb").display().to_string();
-                if f == 0 {
-                    arguments.extend(["--state", &state]);
-                }
-                file += &format!(
-                    "[[front]]\nname = \"f{f}\"\npeers = \"{}\"\narguments = {arguments:?}\n",
-                    rig.peers[f]
-                );
-            }
-            std::fs::write(rig.path(&format!("m{n}.toml")), file).expect("a file");
+            deployment.write(&format!("{zone}.cue"), &settings);
+            deployment.write(&format!("m{index}.toml"), &deployment.machine_file(index));
         }
-        (0..3).for_each(|n| rig.up(n));
-        rig.until("all serve", |r| {
-            r.labels().values().flatten().count() == 6 && r.sees() == 6
+        (0..ZONES.len()).for_each(|index| deployment.start_supervisor(index));
+        deployment.wait_until("all serve", |d| {
+            d.programs_by_name().values().flatten().count() == FRONT_ENDS
+                && d.acting_front_ends() == FRONT_ENDS
         });
-        rig
+        deployment
+    }
+
+    /// The same program twice: with a byte behind its end it is another one by its digest.
+    fn copy_programs(&self) {
+        std::fs::copy(gateway(), self.path("old")).expect("a copy");
+        std::fs::copy(gateway(), self.path("new")).expect("a copy");
+        let mut options = std::fs::OpenOptions::new();
+        let new = options.append(true).open(self.path("new"));
+        new.expect("a file").write_all(b"\n").expect("a byte");
+    }
+
+    /// What a supervisor is to run.
+    fn machine_file(&self, index: usize) -> String {
+        let mut file = format!(
+            "name = \"m{index}\"\nprogram = \"old\"\nfolder = \"run{index}\"\nat = [\"{}\"]\n",
+            self.address(0)
+        );
+        let settings = self.path(&format!("{}.cue", ZONES[index]));
+        let settings = settings.display().to_string();
+        let state = self.path("seat.redb").display().to_string();
+        for front_end in [2 * index, 2 * index + 1] {
+            let mut arguments = vec!["--settings", &settings, "--listen", ANY_PORT];
+            arguments.extend(["--http", ANY_PORT, "--log", "error"]);
+            if front_end == 0 {
+                arguments.extend(["--state", &state]);
+            }
+            file += &format!(
+                "[[front]]\nname = \"f{front_end}\"\npeers = \"{}\"\narguments = {arguments:?}\n",
+                self.address(front_end)
+            );
+        }
+        file
+    }
+
+    fn address(&self, front_end: usize) -> SocketAddr {
+        self.addresses[front_end].address()
     }
 
     fn path(&self, name: &str) -> PathBuf {
-        self.folder.join(name)
+        self.folder.file(name)
     }
 
-    fn up(&mut self, n: usize) {
+    fn write(&self, name: &str, text: &str) {
+        self.folder.write(name, text).expect("a file");
+    }
+
+    fn start_supervisor(&mut self, index: usize) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_tansy-fleet"));
         command
             .args(["up", "--log", "error", "--fleet"])
-            .arg(self.path(&format!("m{n}.toml")));
-        let mut child = command
-            .stdout(Stdio::piped())
-            .spawn()
-            .expect("a supervisor");
-        let mut line = String::new();
-        BufReader::new(child.stdout.take().expect("its output"))
-            .read_line(&mut line)
-            .expect("a line");
-        self.supervisors[n] = Some(child);
-        assert_eq!(line.trim(), "ready fronts=2");
+            .arg(self.path(&format!("m{index}.toml")));
+        let process = ServerProcess::start(&mut command).expect("a supervisor");
+        assert_eq!(process.ready_line().trim(), "ready fronts=2");
+        self.supervisors[index] = Some(process);
     }
 
-    fn kill(&mut self, n: usize) {
-        if let Some(mut child) = self.supervisors[n].take() {
-            child.kill().expect("it runs");
-            child.wait().expect("it ends");
-        }
+    fn kill_supervisor(&mut self, index: usize) {
+        self.supervisors[index] = None;
     }
 
-    /// Processes of the rig's front ends: number, name, program; as the kernel has them.
-    fn processes(&self) -> Vec<(u32, String, String)> {
-        let all = kept()
-            .into_iter()
-            .filter(|k| k.folder.starts_with(&self.folder));
-        all.map(|k| (k.pid, k.name, k.program)).collect()
+    fn processes(&self) -> Vec<FrontEndProcess> {
+        let all = kept().into_iter();
+        let own = all.filter(|kept| kept.folder.starts_with(self.folder.path()));
+        own.map(|kept| FrontEndProcess {
+            pid: kept.pid,
+            name: kept.name,
+            program: kept.program,
+        })
+        .collect()
     }
 
-    /// By name: the programs of its processes.
-    fn labels(&self) -> BTreeMap<String, Vec<String>> {
-        let mut all: BTreeMap<String, Vec<String>> = BTreeMap::new();
-        self.processes()
-            .into_iter()
-            .for_each(|(_, name, label)| all.entry(name).or_default().push(label));
-        all
+    /// The programs of the processes of each front end, by its name.
+    fn programs_by_name(&self) -> BTreeMap<String, Vec<String>> {
+        let mut programs: BTreeMap<String, Vec<String>> = BTreeMap::new();
+        for process in self.processes() {
+            let of_name = programs.entry(process.name).or_default();
+            of_name.push(process.program);
+        }
+        programs
     }
 
-    fn ask(&self, arguments: &[&str]) -> (i32, serde_json::Value) {
-        ask(self.peers[0], arguments)
+    fn ask(&self, arguments: &[&str]) -> (i32, Value) {
+        ask(self.address(0), arguments)
     }
 
-    fn sees(&self) -> usize {
+    fn acting_front_ends(&self) -> usize {
         let (_, status) = self.ask(&["status"]);
-        let may = |f: &&serde_json::Value| {
-            f["stay_s"].as_i64() > Some(0) && f["lease_ms"].as_i64() > Some(0)
-        };
-        status["fronts"]
-            .as_array()
-            .map_or(0, |all| all.iter().filter(may).count())
+        front_ends(&status).iter().filter(|f| may_act(f)).count()
     }
 
-    fn roll(&self) -> serde_json::Value {
+    fn rollout(&self) -> Value {
         self.ask(&["roll", "status"]).1
     }
 
     /// Until it is so; never two processes under one name meanwhile.
-    fn until(&self, what: &str, done: impl Fn(&Rig) -> bool) {
-        let end = Instant::now() + Duration::from_secs(90);
-        while !done(self) {
-            let twice: Vec<_> = self
-                .labels()
-                .into_iter()
-                .filter(|(_, all)| all.len() > 1)
-                .collect();
+    fn wait_until(&self, state: &str, done: impl Fn(&Deployment) -> bool) {
+        poll_until(ROLLOUT_TIMEOUT, || {
+            if done(self) {
+                return Ok(());
+            }
+            let programs = self.programs_by_name();
+            let twice: Vec<_> = programs.iter().filter(|(_, all)| all.len() > 1).collect();
             assert!(twice.is_empty(), "{twice:?}");
-            assert!(
-                Instant::now() < end,
-                "{what}: {:?} {}",
-                self.labels(),
-                self.roll()
-            );
-        }
+            Err(format!("{state}: {programs:?} {}", self.rollout()))
+        });
     }
 
-    fn label(&self, program: &str) -> String {
-        tansy_fleet::processes::label(&self.path(program)).expect("a program")
+    fn wait_for_phase(&self, phase: &str) {
+        let state = format!("the rollout is {phase}");
+        self.wait_until(&state, |d| d.rollout()["phase"] == phase);
+    }
+
+    /// Until the rollout has changed a front end.
+    fn wait_for_first_move(&self) {
+        self.wait_until("one is changed", |d| {
+            let rollout = d.rollout();
+            rollout["moved"].as_array().is_some_and(|m| !m.is_empty())
+        });
     }
 
     fn all_run(&self, program: &str) -> bool {
-        let label = self.label(program);
-        let all = self.labels();
-        all.len() == 6 && all.values().all(|l| *l == [label.clone()])
+        let label = tansy_fleet::processes::label(&self.path(program)).expect("a program");
+        let programs = self.programs_by_name();
+        programs.len() == FRONT_ENDS && programs.values().all(|p| *p == [label.clone()])
     }
 
-    fn begin(&self, what: &str, file: &str) -> (i32, serde_json::Value) {
-        let (file, plan) = (
-            self.path(file).display().to_string(),
-            self.path("plan.toml").display().to_string(),
-        );
-        self.ask(&[
-            "roll", "begin", what, &file, "--plan", &plan, "--stages", "0.5,1",
-        ])
+    fn begin(&self, change: &str, file: &str) -> (i32, Value) {
+        let file = self.path(file).display().to_string();
+        let plan = self.path("plan.toml").display().to_string();
+        let stages = ["--plan", &plan, "--stages", "0.5,1"];
+        self.ask(&[&["roll", "begin", change, &file], &stages[..]].concat())
     }
 }
 
-impl Drop for Rig {
+impl Drop for Deployment {
     fn drop(&mut self) {
-        (0..3).for_each(|n| {
-            if let Some(mut child) = self.supervisors[n].take() {
-                let _ = child.kill();
-                let _ = child.wait();
-            }
-        });
-        for (pid, ..) in self.processes() {
-            let raw = i32::try_from(pid).ok().and_then(Pid::from_raw);
-            let _ = raw.map(|p| kill_process(p, Signal::KILL));
+        self.supervisors = [None, None, None];
+        // Front ends outlive their supervisor.
+        for process in self.processes() {
+            let pid = i32::try_from(process.pid).ok().and_then(Pid::from_raw);
+            let _ = pid.map(|pid| kill_process(pid, Signal::KILL));
         }
-        let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
+/// A program that ends at once.
+fn write_failing_program(path: &Path) {
+    use std::os::unix::fs::PermissionsExt;
+    std::fs::write(path, "#!/bin/sh\nexit 7\n").expect("a file");
+    let mut mode = std::fs::metadata(path).expect("a file").permissions();
+    mode.set_mode(0o755);
+    std::fs::set_permissions(path, mode).expect("its mode");
+}
+
 #[test]
 fn a_program_changes_in_stages_though_its_supervisors_are_killed_and_one_that_does_not_start_goes_back(
 ) {
-    let mut rig = Rig::start("program", 111);
-    assert!(rig.all_run("old"));
-    let (code, said) = rig.begin("--program", "new");
-    assert_eq!(code, 0, "{said}");
-    let (code, said) = rig.begin("--program", "new");
-    assert_eq!(code, 3, "a second one waits: {said}");
-    // Whoever steers is killed once the first front ends are changed, and comes back later: its front ends live on.
-    rig.until("one is changed", |r| {
-        r.roll()["moved"].as_array().is_some_and(|m| !m.is_empty())
-    });
-    let steerer = rig.roll()["steerer"].as_str().unwrap_or("").to_string();
-    let n = steerer
+    let mut deployment = Deployment::start("program", 111);
+    assert!(deployment.all_run("old"));
+    let (code, reply) = deployment.begin("--program", "new");
+    assert_eq!(code, 0, "{reply}");
+    let (code, reply) = deployment.begin("--program", "new");
+    assert_eq!(code, 3, "a second one waits: {reply}");
+    // The controller is killed once the first front ends are changed, and comes back later: its front ends live on.
+    deployment.wait_for_first_move();
+    let controller = deployment.rollout()["steerer"]
+        .as_str()
+        .unwrap_or("")
+        .to_string();
+    let index = controller
         .trim_start_matches('m')
         .parse::<usize>()
         .expect("a supervisor");
-    let before: Vec<_> = rig.processes();
-    rig.kill(n);
+    let before = deployment.processes();
+    deployment.kill_supervisor(index);
     assert_eq!(
-        rig.processes().len(),
+        deployment.processes().len(),
         before.len(),
         "front ends outlive their supervisor"
     );
-    rig.up(n);
-    rig.until("it is done", |r| r.roll()["phase"] == "done");
-    rig.until("all run it", |r| r.all_run("new"));
+    deployment.start_supervisor(index);
+    deployment.wait_for_phase("done");
+    deployment.wait_until("all run it", |d| d.all_run("new"));
     assert!(
-        rig.roll()["fence"].as_u64() > Some(1),
+        deployment.rollout()["fence"].as_u64() > Some(1),
         "another took over, or the same anew: {}",
-        rig.roll()
+        deployment.rollout()
     );
     // One that does not start.
-    std::fs::write(rig.path("bad"), "#!/bin/sh\nexit 7\n").expect("a file");
-    let mut mode = std::fs::metadata(rig.path("bad"))
-        .expect("a file")
-        .permissions();
-    std::os::unix::fs::PermissionsExt::set_mode(&mut mode, 0o755);
-    std::fs::set_permissions(rig.path("bad"), mode).expect("its mode");
-    let (code, said) = rig.begin("--program", "bad");
-    assert_eq!(code, 0, "{said}");
-    rig.until("it goes back", |r| r.roll()["phase"] == "stopped");
-    rig.until("all run what they ran", |r| r.all_run("new"));
-    let steps = rig.roll()["steps"].to_string();
+    write_failing_program(&deployment.path("bad"));
+    let (code, reply) = deployment.begin("--program", "bad");
+    assert_eq!(code, 0, "{reply}");
+    deployment.wait_for_phase("stopped");
+    deployment.wait_until("all run what they ran", |d| d.all_run("new"));
+    let steps = deployment.rollout()["steps"].to_string();
     assert!(steps.contains("exit code 7"), "{steps}");
-    let page = rig.path("report.html").display().to_string();
-    assert_eq!(rig.ask(&["rollout", "report", "--out", &page]).0, 0);
+    let page = deployment.path("report.html").display().to_string();
+    assert_eq!(deployment.ask(&["rollout", "report", "--out", &page]).0, 0);
     let page = std::fs::read_to_string(page).expect("a page");
     assert!(page.contains("exit code 7") && page.contains("</html>"));
 }
 
 #[test]
 fn settings_are_tried_in_stages_and_strict_ones_are_not() {
-    let rig = Rig::start("settings", 112);
-    let text = std::fs::read_to_string(rig.path("a.cue")).expect("a file");
-    std::fs::write(
-        rig.path("strict.cue"),
-        text.replace("group: \"zone\"", "group: \"cell\""),
-    )
-    .expect("a file");
-    std::fs::write(
-        rig.path("free.cue"),
-        text.replace("window: 30s", "window: 20s"),
-    )
-    .expect("a file");
-    let (code, said) = rig.begin("--settings", "strict.cue");
-    assert_eq!(code, 3, "{said}");
-    assert!(
-        said["error"]
-            .as_str()
-            .is_some_and(|e| e.contains("classes.pay.group")),
-        "{said}"
+    let deployment = Deployment::start("settings", 112);
+    let text = std::fs::read_to_string(deployment.path("a.cue")).expect("a file");
+    deployment.write(
+        "strict.cue",
+        &text.replace("group: \"zone\"", "group: \"cell\""),
     );
-    let (code, said) = rig.begin("--settings", "free.cue");
-    assert_eq!(code, 0, "{said}");
-    let (code, said) = rig.ask(&[
+    deployment.write("free.cue", &text.replace("window: 30s", "window: 20s"));
+    let (code, reply) = deployment.begin("--settings", "strict.cue");
+    assert_eq!(code, 3, "{reply}");
+    assert!(error_contains(&reply, "classes.pay.group"), "{reply}");
+    let (code, reply) = deployment.begin("--settings", "free.cue");
+    assert_eq!(code, 0, "{reply}");
+    let (code, reply) = deployment.ask(&[
         "propose",
-        &rig.path("strict.cue").display().to_string(),
+        &deployment.path("strict.cue").display().to_string(),
         "--wait",
         "0",
     ]);
-    assert_eq!(code, 3, "other settings are tried: {said}");
-    rig.until("it is done", |r| r.roll()["phase"] == "done");
-    rig.until("it is in force", |r| {
-        let (_, status) = r.ask(&["status"]);
-        let fronts = status["fronts"].as_array().cloned().unwrap_or_default();
-        fronts.len() == 6
-            && fronts
-                .iter()
-                .all(|f| f["version"].as_u64() == Some(2) && f["next"].is_null())
+    assert_eq!(code, 3, "other settings are tried: {reply}");
+    deployment.wait_for_phase("done");
+    deployment.wait_until("it is in force", |d| {
+        let (_, status) = d.ask(&["status"]);
+        let front_ends = front_ends(&status);
+        let is_done = |f: &Value| f["version"] == 2 && f["next"].is_null();
+        front_ends.len() == FRONT_ENDS && front_ends.iter().all(is_done)
     });
     // And one that is aborted changes nothing.
-    std::fs::write(
-        rig.path("other.cue"),
-        text.replace("window: 30s", "window: 10s"),
-    )
-    .expect("a file");
-    assert_eq!(rig.begin("--settings", "other.cue").0, 0);
-    rig.until("some try it", |r| {
-        r.roll()["moved"].as_array().is_some_and(|m| !m.is_empty())
-    });
-    assert_eq!(rig.ask(&["rollout", "abort", "--why", "a test"]).0, 0);
-    rig.until("it goes back", |r| r.roll()["phase"] == "stopped");
-    let (_, history) = rig.ask(&["history"]);
+    deployment.write("other.cue", &text.replace("window: 30s", "window: 10s"));
+    assert_eq!(deployment.begin("--settings", "other.cue").0, 0);
+    deployment.wait_for_first_move();
+    assert_eq!(
+        deployment.ask(&["rollout", "abort", "--why", "a test"]).0,
+        0
+    );
+    deployment.wait_for_phase("stopped");
+    let (_, history) = deployment.ask(&["history"]);
     assert_eq!(history.as_array().map(Vec::len), Some(2), "{history}");
 }
--- a/programs/fleet/tests/support/mod.rs
+++ b/programs/fleet/tests/support/mod.rs
@@ -1,32 +1,17 @@
 //! What the tests with real processes share.
 
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::Command;
+use tansy_test_support::fleet;
 
 /// The gateway, built beside this program.
 pub fn gateway() -> PathBuf {
-    let dir = Path::new(env!("CARGO_BIN_EXE_tansy-fleet"))
-        .parent()
-        .expect("a directory");
-    let path = dir.join("tansy-gateway");
-    assert!(
-        path.exists(),
-        "cargo build -p tansy-gateway first: {} is not there",
-        path.display()
-    );
-    path
+    fleet::built_program("tansy-gateway").expect("cargo build -p tansy-gateway first")
 }
 
 /// Runs `tansy-fleet --json` against this front end: its exit code and its result.
-pub fn ask(at: SocketAddr, arguments: &[&str]) -> (i32, serde_json::Value) {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_tansy-fleet"));
-    command
-        .args(["--json", "--at", &at.to_string()])
-        .args(arguments);
-    let out = command.output().expect("it starts");
-    let text = String::from_utf8_lossy(&out.stdout).into_owned();
-    let value =
-        serde_json::from_str(&text).unwrap_or_else(|e| panic!("{arguments:?}: {e}: {text:?}"));
-    (out.status.code().unwrap_or(-1), value)
+pub fn ask(front_end: SocketAddr, arguments: &[&str]) -> (i32, serde_json::Value) {
+    let mut program = Command::new(env!("CARGO_BIN_EXE_tansy-fleet"));
+    fleet::ask(&mut program, front_end, arguments).unwrap_or_else(|error| panic!("{error}"))
 }
--- a/programs/gateway/tests/output.rs
+++ b/programs/gateway/tests/output.rs
@@ -1,30 +1,22 @@
 //! What the program prints, and to whom.
 
-use rustix::process::{kill_process, Pid, Signal};
-use std::io::{BufRead, BufReader};
-use std::process::{Command, Stdio};
+use rustix::process::Signal;
+use std::process::Command;
+use tansy_test_support::fleet::ANY_PORT;
+use tansy_test_support::process::ServerProcess;
 
 #[test]
 fn a_reader_that_has_gone_is_no_reason_to_end_in_a_panic() {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_tansy-gateway"))
-        .args([
-            "--embedded",
-            "--listen",
-            "127.0.0.1:0",
-            "--http",
-            "127.0.0.1:0",
-            "--log",
-            "warn",
-        ])
-        .stdout(Stdio::piped())
-        .spawn()
-        .expect("the gateway starts");
-    let mut line = String::new();
-    BufReader::new(child.stdout.take().expect("its output"))
-        .read_line(&mut line)
-        .expect("a line");
+    let mut command = Command::new(env!("CARGO_BIN_EXE_tansy-gateway"));
+    command
+        .args(["--embedded", "--listen", ANY_PORT, "--http", ANY_PORT])
+        .args(["--log", "warn"]);
+    let mut gateway = ServerProcess::start(&mut command).expect("the gateway starts");
+    let line = gateway.ready_line();
     assert!(line.starts_with("ready grpc=127.0.0.1:"), "{line}");
-    // The reader is gone here; the account has nowhere to go.
-    kill_process(Pid::from_child(&child), Signal::TERM).expect("it runs");
-    assert_eq!(child.wait().expect("it ends").code(), Some(0));
+    // From here on the account has nowhere to go.
+    gateway.close_output();
+    gateway.signal(Signal::TERM).expect("it runs");
+    let (status, _) = gateway.wait().expect("it ends");
+    assert_eq!(status.code(), Some(0));
 }
--- a/tests/compatibility/tests/programs.rs
+++ b/tests/compatibility/tests/programs.rs
@@ -5,13 +5,17 @@
 
 use serde_json::Value;
 use std::collections::BTreeSet;
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
-use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
-use std::time::{Duration, Instant};
+use std::path::Path;
+use std::process::Command;
+use std::time::Duration;
 use tansy_compatibility_tests::fixture;
 use tansy_test_support::address::ReservedAddress;
+use tansy_test_support::fleet::{self, front_end_command, may_act, reserve_addresses};
+use tansy_test_support::folder::TestFolder;
+use tansy_test_support::process::ServerProcess;
+use tansy_test_support::wait::poll_until;
 
 const SETTINGS: &str = r#"
 classes: chat: {aim: 1s, deadline: 2s}
@@ -19,112 +23,74 @@
 fleet: {name: "pool", seats: [{name: "f0", address: "SEAT"}]}
 "#;
 /// Time for the front end to begin to act.
-const WITHIN: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A running front end, which ends with this.
 struct FrontEnd {
-    folder: PathBuf,
-    peers: SocketAddr,
-    _reserved: ReservedAddress,
-    http: SocketAddr,
-    process: Child,
+    process: ServerProcess,
+    address: ReservedAddress,
+    folder: TestFolder,
 }
 
 impl FrontEnd {
     fn start(name: &str) -> FrontEnd {
-        let pid = std::process::id();
-        let folder =
-            PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("programs-{pid}-{name}"));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let host = [127, 77, (pid % 250) as u8, 1 + (pid / 250 % 250) as u8];
-        let reserved = ReservedAddress::on(host).expect("a port");
-        let peers = reserved.address();
-        let settings = folder.join("settings.cue");
-        let text = SETTINGS.replace("SEAT", &peers.to_string());
-        std::fs::write(&settings, text).expect("room on the disk");
-        let mut process = Command::new(env!("CARGO_BIN_EXE_compatibility-gateway"))
-            .arg("--settings")
-            .arg(&settings)
-            .args(["--name", "f0", "--peers", &peers.to_string()])
-            .args(["--listen", "127.0.0.1:0", "--http", "127.0.0.1:0"])
-            .args(["--log", "off", "--state"])
-            .arg(folder.join("f0.redb"))
-            .stdout(Stdio::piped())
-            .spawn()
-            .expect("it starts");
-        let mut line = String::new();
-        let out = process.stdout.take().expect("its output");
-        BufReader::new(out).read_line(&mut line).expect("a line");
+        let folder = TestFolder::new(&format!("programs-{name}")).expect("a folder");
+        let address = reserve_addresses(77, 1).expect("a port").remove(0);
+        let text = settings(address.address());
+        let settings = folder.write("settings.cue", &text).expect("a file");
+        let gateway = Path::new(env!("CARGO_BIN_EXE_compatibility-gateway"));
+        let mut command = front_end_command(gateway, &settings, "f0", address.address());
+        command.arg("--state").arg(folder.file("f0.redb"));
+        let process = ServerProcess::start(&mut command).expect("it starts");
+        let line = process.ready_line();
         let keys: Vec<&str> = line
             .split_whitespace()
             .map(|word| word.split('=').next().unwrap_or(word))
             .collect();
         assert_eq!(keys, ["ready", "grpc", "http", "peers"], "{line}");
-        let http = line
-            .split_whitespace()
-            .find_map(|w| w.strip_prefix("http="));
-        let http = http.and_then(|a| a.parse().ok()).expect("an address");
         let front_end = FrontEnd {
-            folder,
-            peers,
-            _reserved: reserved,
-            http,
             process,
+            address,
+            folder,
         };
-        front_end.wait_for_lease();
+        front_end.wait_for(&["status"], |status| may_act(&status["fronts"][0]));
         front_end
     }
 
-    fn wait_for_lease(&self) {
-        self.until(&["status"], |status| {
-            let front = &status["fronts"][0];
-            front["lease_ms"].as_i64() > Some(0) && front["stay_s"].as_i64() > Some(0)
-        });
-    }
-
     /// Asks until the answer is as wanted.
-    fn until(&self, arguments: &[&str], wanted: impl Fn(&Value) -> bool) {
-        let end = Instant::now() + WITHIN;
-        loop {
+    fn wait_for(&self, arguments: &[&str], is_wanted: impl Fn(&Value) -> bool) {
+        poll_until(TIMEOUT, || {
             let (_, value) = self.ask(arguments);
-            if wanted(&value) {
-                return;
+            if is_wanted(&value) {
+                Ok(())
+            } else {
+                Err(format!("{arguments:?}: {value}"))
             }
-            assert!(Instant::now() < end, "{arguments:?}: {value}");
-        }
+        });
     }
 
     /// The exit code and what is printed.
     fn ask(&self, arguments: &[&str]) -> (i32, Value) {
-        let out = Command::new(env!("CARGO_BIN_EXE_compatibility-fleet"))
-            .args(["--json", "--at", &self.peers.to_string()])
-            .args(arguments)
-            .current_dir(&self.folder)
-            .output()
-            .expect("it starts");
-        let text = String::from_utf8_lossy(&out.stdout).into_owned();
-        let value = serde_json::from_str(&text);
-        let value = value.unwrap_or_else(|e| panic!("{arguments:?}: {e}: {text:?}"));
-        (out.status.code().unwrap_or(-1), value)
+        let mut program = Command::new(env!("CARGO_BIN_EXE_compatibility-fleet"));
+        program.current_dir(self.folder.path());
+        let result = fleet::ask(&mut program, self.address.address(), arguments);
+        result.unwrap_or_else(|error| panic!("{error}"))
     }
 
     fn get(&self, target: &str) -> String {
-        let mut stream = TcpStream::connect(self.http).expect("the side port");
+        let mut stream = TcpStream::connect(self.process.address("http").expect("an address"))
+            .expect("the side port");
         let request = format!("GET {target} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
         stream.write_all(request.as_bytes()).expect("a request");
-        stream.set_read_timeout(Some(WITHIN)).expect("a time-out");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
         let mut answer = String::new();
         stream.read_to_string(&mut answer).expect("an answer");
         answer
     }
 }
 
-impl Drop for FrontEnd {
-    fn drop(&mut self) {
-        let _ = self.process.kill();
-        let _ = self.process.wait();
-        let _ = std::fs::remove_dir_all(&self.folder);
-    }
+fn settings(voter: SocketAddr) -> String {
+    SETTINGS.replace("SEAT", &voter.to_string())
 }
 
 /// The path and sort of every value within this one.
@@ -154,10 +120,9 @@
 #[test]
 fn what_the_programs_print_has_the_keys_that_it_had() {
     let front_end = FrontEnd::start("printed");
-    let changed = SETTINGS
-        .replace("SEAT", &front_end.peers.to_string())
-        .replace("2s", "3s");
-    std::fs::write(front_end.folder.join("changed.cue"), changed).expect("room on the disk");
+    let changed = settings(front_end.address.address()).replace("2s", "3s");
+    let changed = front_end.folder.write("changed.cue", &changed);
+    changed.expect("room on the disk");
     let mut printed = String::new();
     for arguments in [
         &["status"][..],
@@ -176,7 +141,7 @@
     ] {
         if arguments.starts_with(&["scope", "remove"]) {
             // A function may change again only once its last change is settled.
-            front_end.until(&["scope", "show", "f"], |f| f[0]["is"] == "in force");
+            front_end.wait_for(&["scope", "show", "f"], |f| f[0]["is"] == "in force");
         }
         let (code, value) = front_end.ask(arguments);
         let mut all = BTreeSet::new();
--- /dev/null
+++ b/tests/support/src/fleet.rs
@@ -0,0 +1,113 @@
+//! Front ends of one fleet as processes, and what an operator asks them.
+
+use crate::address::ReservedAddress;
+use serde_json::Value;
+use std::io;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::Command;
+
+/// A loopback address on which the kernel chooses the port.
+pub const ANY_PORT: &str = "127.0.0.1:0";
+
+/// Why an operator's command gave no result.
+#[derive(Debug, thiserror::Error)]
+pub enum AskError {
+    /// The program could not be run.
+    #[error("{program}: {source}")]
+    Start {
+        /// The program and its arguments.
+        program: String,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// What it printed is no JSON.
+    #[error("{program}: {source}: {output:?}")]
+    Output {
+        /// The program and its arguments.
+        program: String,
+        /// What is wrong with it.
+        source: serde_json::Error,
+        /// What it printed.
+        output: String,
+    },
+}
+
+/// The path of a program that the workspace builds beside the running test, or none if it is not built yet.
+pub fn built_program(name: &str) -> Option<PathBuf> {
+    let test = std::env::current_exe().ok()?;
+    // Tests stand in the folder `deps` within the folder of the programs.
+    let path = test.parent()?.parent()?.join(name);
+    path.exists().then_some(path)
+}
+
+/// Reserves an address for each front end of a fleet, on hosts that no other test process of this machine uses for the same
+/// `network`. A front end keeps its address when it is started again.
+pub fn reserve_addresses(network: u8, count: u8) -> io::Result<Vec<ReservedAddress>> {
+    let process = (std::process::id() % 250) as u8;
+    (1..=count)
+        .map(|host| ReservedAddress::on([127, network, process, host]))
+        .collect()
+}
+
+/// The command that starts a front end of a fleet by its name: its other ports are chosen by the kernel, it logs nothing.
+pub fn front_end_command(
+    gateway: &Path,
+    settings: &Path,
+    name: &str,
+    peers: SocketAddr,
+) -> Command {
+    let mut command = Command::new(gateway);
+    command
+        .arg("--settings")
+        .arg(settings)
+        .args(["--name", name, "--peers", &peers.to_string()])
+        .args(["--listen", ANY_PORT, "--http", ANY_PORT, "--log", "off"])
+        // The test's own environment must not make it another kind of gateway.
+        .env_remove("EDGE_CONFIG");
+    command
+}
+
+/// Runs an operator's command (`tansy-fleet --json`) against the front end at this address: its exit code (-1 if a signal ended
+/// it) and the result that it printed.
+pub fn ask(
+    operator_program: &mut Command,
+    front_end: SocketAddr,
+    arguments: &[&str],
+) -> Result<(i32, Value), AskError> {
+    operator_program
+        .args(["--json", "--at", &front_end.to_string()])
+        .args(arguments);
+    let program = format!("{operator_program:?}");
+    let result = operator_program.output();
+    let result = match result {
+        Ok(result) => result,
+        Err(source) => return Err(AskError::Start { program, source }),
+    };
+    let output = String::from_utf8_lossy(&result.stdout).into_owned();
+    match serde_json::from_str(&output) {
+        Ok(value) => Ok((result.status.code().unwrap_or(-1), value)),
+        Err(source) => Err(AskError::Output {
+            program,
+            source,
+            output,
+        }),
+    }
+}
+
+/// The front ends in the result of the command `status`.
+pub fn front_ends(status: &Value) -> &[Value] {
+    status["fronts"].as_array().map_or(&[], Vec::as_slice)
+}
+
+/// Whether a front end in the result of `status` may act: it holds a lease and a session.
+pub fn may_act(front_end: &Value) -> bool {
+    front_end["lease_ms"].as_i64() > Some(0) && front_end["stay_s"].as_i64() > Some(0)
+}
+
+/// Whether the error in a command's result has these words.
+pub fn error_contains(result: &Value, words: &str) -> bool {
+    result["error"]
+        .as_str()
+        .is_some_and(|error| error.contains(words))
+}
--- a/tests/support/src/lib.rs
+++ b/tests/support/src/lib.rs
@@ -2,6 +2,9 @@
 //!
 //! - [`address`]: addresses that are known before the program that listens there starts.
 //! - [`process`]: programs that say where they serve, and end with the test.
+//! - [`fleet`]: front ends of a fleet as processes, and what an operator asks them.
+//! - [`folder`]: folders that end with the test.
+//! - [`wait`]: waiting for a state that another process reaches by itself.
 //!
 //! It is not for product code, and decides nothing that a test judges.
 //!
@@ -16,4 +19,7 @@
 //! ```
 
 pub mod address;
+pub mod fleet;
+pub mod folder;
 pub mod process;
+pub mod wait;
--- a/tests/support/src/process.rs
+++ b/tests/support/src/process.rs
@@ -46,7 +46,8 @@
 #[derive(Debug)]
 pub struct ServerProcess {
     child: Child,
-    output: BufReader<ChildStdout>,
+    /// None once the test has closed it.
+    output: Option<BufReader<ChildStdout>>,
     ready_line: String,
 }
 
@@ -68,13 +69,14 @@
             .ok_or_else(|| start_error(io::Error::other("its output is not piped")))?;
         let mut process = ServerProcess {
             child,
-            output: BufReader::new(stdout),
+            output: None,
             ready_line: String::new(),
         };
-        process
-            .output
+        let mut output = BufReader::new(stdout);
+        output
             .read_line(&mut process.ready_line)
             .map_err(start_error)?;
+        process.output = Some(output);
         if process.ready_line.starts_with("ready ") {
             Ok(process)
         } else {
@@ -123,11 +125,18 @@
         let _ = self.child.wait();
     }
 
-    /// Waits until it ends by itself: how it ended, and what it printed after its `ready` line.
+    /// Closes the reader of its output: what it prints from now on has nowhere to go.
+    pub fn close_output(&mut self) {
+        self.output = None;
+    }
+
+    /// Waits until it ends by itself: how it ended, and what it printed after its `ready` line, if its output is not closed.
     pub fn wait(&mut self) -> Result<(ExitStatus, String), ProcessError> {
         let mut rest = String::new();
-        let read = self.output.read_to_string(&mut rest);
-        read.map_err(|error| self.control_error(error))?;
+        if let Some(output) = &mut self.output {
+            let read = output.read_to_string(&mut rest);
+            read.map_err(|error| self.control_error(error))?;
+        }
         let status = self.child.wait();
         let status = status.map_err(|error| self.control_error(error))?;
         Ok((status, rest))
--- a/tests/support/tests/process.rs
+++ b/tests/support/tests/process.rs
@@ -43,3 +43,16 @@
     drop(process);
     assert!(!std::path::Path::new(&folder).exists(), "it is killed");
 }
+
+#[test]
+fn an_output_that_is_closed_is_not_read() {
+    let script = "trap '' PIPE; echo ready a=127.0.0.1:1; read line; echo last; exit 4";
+    let mut command = Command::new("sh");
+    command
+        .args(["-c", script])
+        .stdin(std::process::Stdio::null());
+    let mut process = ServerProcess::start(&mut command).expect("it is ready");
+    process.close_output();
+    let (status, rest) = process.wait().expect("it ends");
+    assert_eq!((status.code(), rest.as_str()), (Some(4), ""));
+}
