--- a/tests/path/src/gateway.rs
+++ b/tests/path/src/gateway.rs
@@ -1,118 +1,105 @@
 //! A gateway on a thread of its own.
 
+use crate::worker_list::{ListedWorker, WorkerListFile};
 use crate::{until, Client};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{mpsc, Arc, Mutex};
 use std::thread::JoinHandle;
 use std::time::Duration;
 use tansy_gateway::{fleet::FleetPlacement, Gateway, Options};
 use tansy_settings::agree;
 
-/// Numbers files, so that no two are alike.
-static NEXT: AtomicU64 = AtomicU64::new(0);
-
-type GateJob = Box<dyn FnOnce(&Gateway) + Send>;
+/// The longest time for which the gateway waits for events before it looks for jobs of the test.
+const TURN: Duration = Duration::from_millis(5);
+/// The name of the settings in messages about them.
+const SETTINGS_NAME: &str = "test.cue";
+
+type GatewayJob = Box<dyn FnOnce(&Gateway) + Send>;
+
+/// A front end's place in its fleet.
+pub struct FleetMember {
+    /// Its name.
+    pub name: String,
+    /// Where its siblings reach it.
+    pub listen: SocketAddr,
+    /// The file of a voter.
+    pub state: Option<PathBuf>,
+}
 
-/// A gateway on a thread of its own.
-pub struct Gate {
+/// A gateway on a thread of its own, which ends with this value.
+pub struct GatewayThread {
     /// Its gRPC port.
     pub grpc: SocketAddr,
     /// Its side port.
     pub http: SocketAddr,
     stop: Arc<AtomicBool>,
-    state: Arc<Mutex<(String, bool)>>,
+    last_account: Arc<Mutex<String>>,
     thread: Option<JoinHandle<()>>,
-    list: PathBuf,
-    jobs: mpsc::Sender<GateJob>,
+    workers: WorkerListFile,
+    jobs: mpsc::Sender<GatewayJob>,
 }
 
-impl Gate {
-    /// Starts it with settings and workers, by name and address.
-    pub fn start(settings: &str, workers: &[(&str, SocketAddr)]) -> Gate {
-        Gate::run(settings, workers, None)
+impl GatewayThread {
+    /// Starts it with settings and workers.
+    pub fn start(settings: &str, workers: &[ListedWorker]) -> GatewayThread {
+        GatewayThread::spawn(read_settings(settings), workers, None)
     }
 
-    /// Starts a front end of a fleet that the settings name, with its name, where its siblings reach it, and a voter's file.
-    pub fn of_fleet(
+    /// Starts a front end of the fleet that the settings name.
+    pub fn start_in_fleet(
         settings: &str,
-        workers: &[(&str, SocketAddr)],
-        name: &str,
-        listen: SocketAddr,
-        state: Option<PathBuf>,
-    ) -> Gate {
-        Gate::run(settings, workers, Some((name.to_string(), listen, state)))
+        workers: &[ListedWorker],
+        member: FleetMember,
+    ) -> GatewayThread {
+        let mut read = read_settings(settings);
+        let fleet = read.fleet.as_mut().expect("the settings name a fleet");
+        (fleet.me, fleet.listen, fleet.state) = (member.name, member.listen, member.state);
+        let placement = FleetPlacement {
+            own: agree::fields(SETTINGS_NAME, settings).unwrap_or_else(|error| panic!("{error}")),
+            first: agree::version(SETTINGS_NAME, settings)
+                .unwrap_or_else(|error| panic!("{error}")),
+            ..FleetPlacement::default()
+        };
+        GatewayThread::spawn(read, workers, Some(placement))
     }
 
-    #[expect(
-        clippy::too_many_lines,
-        reason = "one table or one history, read from top to bottom"
-    )]
-    fn run(
-        settings: &str,
-        workers: &[(&str, SocketAddr)],
-        fleet: Option<(String, SocketAddr, Option<PathBuf>)>,
-    ) -> Gate {
-        let name = format!(
-            "tansy-path-{}-{}.cue",
-            std::process::id(),
-            NEXT.fetch_add(1, Ordering::Relaxed)
-        );
-        let list = std::env::temp_dir().join(name);
-        let lines: Vec<(&str, SocketAddr, &str)> = workers
-            .iter()
-            .map(|(name, address)| (*name, *address, "ready"))
-            .collect();
-        write_list(&list, &lines);
-        let mut read = tansy_settings::settings("test.cue", settings)
-            .unwrap_or_else(|error| panic!("{error}"));
-        read.gateway.listen = ([127, 0, 0, 1], 0).into();
-        read.gateway.http = ([127, 0, 0, 1], 0).into();
-        let place = fleet.map(|(me, listen, state)| {
-            let of_fleet = read.fleet.as_mut().expect("the settings name a fleet");
-            (of_fleet.me, of_fleet.listen, of_fleet.state) = (me, listen, state);
-            let own = agree::fields("test.cue", settings).unwrap_or_else(|error| panic!("{error}"));
-            let first =
-                agree::version("test.cue", settings).unwrap_or_else(|error| panic!("{error}"));
-            FleetPlacement {
-                own,
-                first,
-                ..FleetPlacement::default()
-            }
-        });
+    fn spawn(
+        settings: tansy_settings::Settings,
+        workers: &[ListedWorker],
+        fleet: Option<FleetPlacement>,
+    ) -> GatewayThread {
+        let workers = WorkerListFile::write(workers);
+        let options = Options {
+            workers: Some(workers.path().to_path_buf()),
+            fleet,
+            ..Options::default()
+        };
         let stop = Arc::new(AtomicBool::new(false));
-        let state = Arc::new(Mutex::new((String::new(), false)));
+        let last_account = Arc::new(Mutex::new(String::new()));
         let (started, addresses) = mpsc::channel();
-        let (jobs, queue) = mpsc::channel::<GateJob>();
-        let (stopped, shared, options_list) = (stop.clone(), state.clone(), list.clone());
+        let (jobs, queue) = mpsc::channel::<GatewayJob>();
+        let (stopped, account) = (stop.clone(), last_account.clone());
         let thread = std::thread::spawn(move || {
-            let options = Options {
-                workers: Some(options_list),
-                fleet: place,
-                ..Options::default()
-            };
-            let mut gateway = Gateway::start(read, &options).expect("the gateway starts");
+            let mut gateway = Gateway::start(settings, &options).expect("the gateway starts");
             started
                 .send((gateway.grpc(), gateway.http()))
                 .expect("the test waits for the addresses");
             while !stopped.load(Ordering::Relaxed) {
-                gateway
-                    .turn(Duration::from_millis(5))
-                    .expect("the loop turns");
+                gateway.turn(TURN).expect("the loop turns");
                 queue.try_iter().for_each(|job| job(&gateway));
-                *shared.lock().expect("no test panicked with it") =
-                    (gateway.account(), gateway.idle());
+                *account.lock().expect("no test panicked with it") = gateway.account();
             }
         });
         let (grpc, http) = addresses.recv().expect("the gateway starts");
-        Gate {
+        GatewayThread {
             grpc,
             http,
             stop,
-            state,
+            last_account,
             thread: Some(thread),
-            list,
+            workers,
             jobs,
         }
     }
@@ -120,21 +107,32 @@
     /// Does something with the gateway on its thread, and gives what it gives.
     pub fn with<T: Send + 'static>(&self, job: impl FnOnce(&Gateway) -> T + Send + 'static) -> T {
         let (done, result) = mpsc::channel();
-        let job: GateJob = Box::new(move |gateway| drop(done.send(job(gateway))));
-        self.jobs.send(job).expect("the gateway runs");
+        self.post(move |gateway| drop(done.send(job(gateway))));
         result.recv().expect("the gateway runs")
     }
 
-    /// Replaces its list of workers, with states `ready`, `draining` or `gone`.
-    pub fn list(&self, workers: &[(&str, SocketAddr, &str)]) {
-        write_list(&self.list, workers);
-    }
-
     /// Does something on the gateway's thread, without waiting for it.
     pub fn post(&self, job: impl FnOnce(&Gateway) + Send + 'static) {
         self.jobs.send(Box::new(job)).expect("the gateway runs");
     }
 
+    /// Calls whose function is being looked up.
+    pub fn pending_calls(&self) -> usize {
+        self.with(|gateway| gateway.hub().with_dispatcher(|d| d.pending_calls()))
+    }
+
+    /// Returns once a call waits for the lookup of its function, within a test's client.
+    pub async fn until_call_is_pending(&self) {
+        while self.pending_calls() == 0 {
+            tokio::task::yield_now().await;
+        }
+    }
+
+    /// Replaces its list of workers.
+    pub fn list(&self, workers: &[ListedWorker]) {
+        self.workers.replace(workers);
+    }
+
     /// The account, once no call waits or runs. It is read on the gateway's thread: an answer that a client has received is
     /// accounted only after the turn in which it was written.
     pub fn account(&self) -> Account {
@@ -147,35 +145,38 @@
         Account(line)
     }
 
-    /// The account as it stands.
+    /// The account after the gateway's last turn.
     pub fn peek(&self) -> Account {
-        Account(self.state.lock().expect("no panic").0.clone())
+        Account(self.last_account.lock().expect("no panic").clone())
     }
 
     /// A client on a connection of its own.
     pub async fn client(&self) -> Client {
-        let channel = tonic::transport::Channel::from_shared(format!("http://{}", self.grpc))
-            .expect("an address");
-        Client::new(
-            channel
-                .tcp_nodelay(true)
-                .connect()
-                .await
-                .expect("the gateway takes connections"),
-        )
+        let channel = tonic::transport::Channel::from_shared(format!("http://{}", self.grpc));
+        let channel = channel.expect("an address").tcp_nodelay(true);
+        let channel = channel.connect().await;
+        Client::new(channel.expect("the gateway takes connections"))
     }
 }
 
-impl Drop for Gate {
+impl Drop for GatewayThread {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
-        let _ = std::fs::remove_file(&self.list);
     }
 }
 
+/// The settings, with ports that the kernel chooses.
+fn read_settings(text: &str) -> tansy_settings::Settings {
+    let settings = tansy_settings::settings(SETTINGS_NAME, text);
+    let mut settings = settings.unwrap_or_else(|error| panic!("{error}"));
+    settings.gateway.listen = ([127, 0, 0, 1], 0).into();
+    settings.gateway.http = ([127, 0, 0, 1], 0).into();
+    settings
+}
+
 /// An account's line.
 #[derive(Debug, Clone)]
 pub struct Account(String);
@@ -202,18 +203,9 @@
     }
 }
 
-fn write_list(path: &PathBuf, workers: &[(&str, SocketAddr, &str)]) {
-    let line = |(name, address, state): &(&str, SocketAddr, &str)| {
-        format!("{{name: \"{name}\", address: \"{address}\", state: \"{state}\"}}")
-    };
-    let lines: Vec<String> = workers.iter().map(line).collect();
-    let text = format!(
-        "workers: [{}] // {}\n",
-        lines.join(", "),
-        NEXT.fetch_add(1, Ordering::Relaxed)
-    );
-    let fresh = path.with_extension("new");
-    std::fs::write(&fresh, text)
-        .and_then(|()| std::fs::rename(&fresh, path))
-        .expect("the list can be written");
+impl From<String> for Account {
+    /// An account that another process printed.
+    fn from(line: String) -> Account {
+        Account(line)
+    }
 }
--- a/tests/path/src/lib.rs
+++ b/tests/path/src/lib.rs
@@ -1,20 +1,24 @@
 //! What the tests of whole paths share: a gateway on a thread, stand-in workers on another, scripted peers that speak
 //! HTTP/2 frame by frame, and an unmodified gRPC client.
 //!
-//! - [`gate`]: a gateway on a thread of its own, and its account.
+//! - [`gateway`]: a gateway on a thread of its own, and its account.
+//! - [`worker_list`]: the file in which it finds its workers.
+//! - [`scoped_fleet`]: a fleet of two such gateways that agrees on functions one by one.
 //! - [`workers`]: stand-in workers on a thread of their own.
 //! - [`messages`]: requests, and what answers carry.
 //! - [`peer`]: clients and workers by script.
 
-pub mod gate;
+pub mod gateway;
 pub mod messages;
 pub mod peer;
+pub mod scoped_fleet;
+pub mod worker_list;
 pub mod workers;
 
-pub use gate::{Account, Gate};
-pub use messages::{id, last, parameter, request};
-use std::net::SocketAddr;
+pub use gateway::{Account, FleetMember, GatewayThread};
+pub use messages::{id, last, parameter, request, retry_pushback};
 use std::time::{Duration, Instant};
+pub use worker_list::ListedWorker;
 pub use workers::Workers;
 
 /// The service's messages and its client, as the client library generates them.
@@ -42,23 +46,23 @@
 "#;
 
 /// So many workers, at most three, and a gateway that knows them, with [`SETTINGS`].
-pub fn start(workers: usize) -> (Gate, Workers) {
+pub fn start(workers: usize) -> (GatewayThread, Workers) {
     let workers = Workers::start(workers);
-    let names = ["w0", "w1", "w2"];
-    let list: Vec<(&str, SocketAddr)> = workers
-        .addresses
-        .iter()
-        .enumerate()
-        .map(|(index, address)| (names[index], *address))
-        .collect();
-    (Gate::start(SETTINGS, &list), workers)
+    (GatewayThread::start(SETTINGS, &workers.listed()), workers)
+}
+
+/// [`SETTINGS`] that name `echo` alone.
+pub fn settings_of_echo() -> String {
+    let lines = SETTINGS.lines();
+    let lines = lines.filter(|line| !line.contains("    keyed: {c") && !line.contains("    post:"));
+    lines.collect::<Vec<_>>().join("\n")
 }
 
 /// Waits until something holds; fails after 10 s.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn until(state: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(10);
     while !holds() {
-        assert!(Instant::now() < end, "still not: {what}");
+        assert!(Instant::now() < end, "still not: {state}");
         std::thread::yield_now();
         std::thread::sleep(Duration::from_millis(1));
     }
--- a/tests/path/src/messages.rs
+++ b/tests/path/src/messages.rs
@@ -54,3 +54,9 @@
         .as_ref()
         .map_or("", |response| response.id.as_str())
 }
+
+/// The server's advice when to call again, as a status carries it.
+pub fn retry_pushback(status: &tonic::Status) -> Option<&str> {
+    let advice = status.metadata().get("grpc-retry-pushback-ms")?;
+    advice.to_str().ok()
+}
--- a/tests/path/src/workers.rs
+++ b/tests/path/src/workers.rs
@@ -1,5 +1,6 @@
 //! Stand-in workers on a thread of their own.
 
+use crate::worker_list::ListedWorker;
 use calloop::EventLoop;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -60,6 +61,14 @@
         }
     }
 
+    /// All of them as a gateway's list has them, `w0` first, ready.
+    pub fn listed(&self) -> Vec<ListedWorker> {
+        let addresses = self.addresses.iter().enumerate();
+        addresses
+            .map(|(index, address)| ListedWorker::ready(&format!("w{index}"), *address))
+            .collect()
+    }
+
     /// Does something with the workers on their thread, and gives what it gives.
     pub fn with<T: Send + 'static>(
         &self,
--- a/tests/path/tests/abuse.rs
+++ b/tests/path/tests/abuse.rs
@@ -4,20 +4,21 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 use tansy_path_tests::peer::{self, kind};
-use tansy_path_tests::{request, run, Gate, Workers, SETTINGS};
+use tansy_path_tests::{request, run, GatewayThread, Workers, SETTINGS};
 
 const INFER: &str = "/inference.GRPCInferenceService/ModelInfer";
 
-fn start(settings: &str) -> (Gate, Workers) {
+fn start(settings: &str) -> (GatewayThread, Workers) {
     let w = Workers::start(1);
-    (Gate::start(settings, &[("w0", w.addresses[0])]), w)
+    (GatewayThread::start(settings, &w.listed()), w)
 }
 
-fn still_serves(gate: &Gate) {
+fn still_serves(gateway: &GatewayThread) {
     run(async {
-        let mut c = gate.client().await;
+        let mut client = gateway.client().await;
         assert_eq!(
-            c.model_infer(request("echo", "ok", &[]))
+            client
+                .model_infer(request("echo", "ok", &[]))
                 .await
                 .unwrap()
                 .into_inner()
@@ -25,7 +26,7 @@
             "ok"
         );
     });
-    gate.account().check();
+    gateway.account().check();
 }
 
 /// Reads until the other side ends; fails if it does not within 10 s.
@@ -46,34 +47,34 @@
 
 #[test]
 fn garbage_ends_its_connection_only() {
-    let (gate, _workers) = start(SETTINGS);
+    let (gateway, _workers) = start(SETTINGS);
     for garbage in [
         &b"GET / HTTP/1.1\r\n\r\n"[..],
         &[0xff; 4096],
         b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\xff\xff\xff\xff\xff\xff\xff\xff\xff",
     ] {
-        let mut s = TcpStream::connect(gate.grpc).unwrap();
+        let mut s = TcpStream::connect(gateway.grpc).unwrap();
         s.write_all(garbage).unwrap();
         ended(&mut s);
     }
-    still_serves(&gate);
+    still_serves(&gateway);
 }
 
 #[test]
 fn a_preface_that_is_never_finished_is_not_waited_for() {
-    let (gate, _workers) = start(&format!("{SETTINGS}\nfront: preface: 100ms\n"));
-    let mut s = TcpStream::connect(gate.grpc).unwrap();
+    let (gateway, _workers) = start(&format!("{SETTINGS}\nfront: preface: 100ms\n"));
+    let mut s = TcpStream::connect(gateway.grpc).unwrap();
     s.write_all(b"PRI * HTTP").unwrap();
     let began = Instant::now();
     ended(&mut s);
     assert!(began.elapsed() < Duration::from_secs(5));
-    still_serves(&gate);
+    still_serves(&gateway);
 }
 
 #[test]
 fn a_huge_header_is_refused_and_the_connection_goes_on() {
-    let (gate, workers) = start(SETTINGS);
-    let mut c = peer::client(gate.grpc);
+    let (gateway, workers) = start(SETTINGS);
+    let mut c = peer::client(gateway.grpc);
     // 200 fields of 200 bytes: 40 KB, over the 16 KiB allowed, in continuation frames.
     let value = "v".repeat(120);
     let more: Vec<(String, String)> = (0..250)
@@ -96,17 +97,17 @@
     }
     assert!(answered);
     assert_eq!(workers.ran(), [0]);
-    still_serves(&gate);
+    still_serves(&gateway);
 }
 
 #[test]
 fn a_message_of_a_hundred_megabytes_is_refused_before_it_is_held() {
-    let (gate, workers) = start(SETTINGS);
+    let (gateway, workers) = start(SETTINGS);
     run(async {
-        let mut c = gate.client().await.max_encoding_message_size(usize::MAX);
+        let mut client = gateway.client().await.max_encoding_message_size(usize::MAX);
         let mut big = request("echo", "big", &[]);
         big.raw_input_contents = vec![vec![0u8; 100 << 20]];
-        let refused = c.model_infer(big).await.unwrap_err();
+        let refused = client.model_infer(big).await.unwrap_err();
         assert_eq!(
             refused.code(),
             tonic::Code::ResourceExhausted,
@@ -118,13 +119,13 @@
         );
     });
     assert_eq!(workers.ran(), [0]);
-    still_serves(&gate);
+    still_serves(&gateway);
 }
 
 #[test]
 fn a_malformed_message_is_an_invalid_argument_and_reaches_no_worker() {
-    let (gate, workers) = start(SETTINGS);
-    let mut c = peer::client(gate.grpc);
+    let (gateway, workers) = start(SETTINGS);
+    let mut c = peer::client(gateway.grpc);
     c.send(kind::HEADERS, 4, 1, &peer::request_block(INFER, &[]));
     // A field 5 whose length runs over the message's end.
     c.send(kind::DATA, 1, 1, b"\x00\x00\x00\x00\x03\x2a\x7f\x00");
@@ -136,14 +137,14 @@
         }
     }
     assert_eq!(workers.ran(), [0]);
-    still_serves(&gate);
-    assert_eq!(gate.account().get("taken"), 1);
+    still_serves(&gateway);
+    assert_eq!(gateway.account().get("taken"), 1);
 }
 
 #[test]
 fn a_client_that_does_not_read_slows_only_its_own_call() {
-    let (gate, workers) = start(SETTINGS);
-    let mut c = peer::client(gate.grpc);
+    let (gateway, workers) = start(SETTINGS);
+    let mut c = peer::client(gateway.grpc);
     c.send(
         kind::HEADERS,
         4,
@@ -168,23 +169,27 @@
     // It has sent its call and reads nothing; others are served meanwhile.
     tansy_path_tests::until("its call runs", || workers.ran()[0] > 0);
     run(async {
-        let mut c = gate.client().await;
+        let mut client = gateway.client().await;
         for _ in 0..40 {
-            c.model_infer(request("echo", "other", &[("work_ms", 10)]))
+            client
+                .model_infer(request("echo", "other", &[("work_ms", 10)]))
                 .await
                 .unwrap();
         }
     });
-    let pieces = gate.peek().get("pieces");
+    let pieces = gateway.peek().get("pieces");
     assert!(
         pieces < 200,
         "{pieces} pieces of 30 KB wait for a client that reads none"
     );
     drop(c);
-    let a = gate.account();
-    a.check();
+    let account = gateway.account();
+    account.check();
     assert_eq!(
-        (a.get("served"), a.get("departed") + a.get("failed")),
+        (
+            account.get("served"),
+            account.get("departed") + account.get("failed")
+        ),
         (40, 1)
     );
 }
@@ -194,9 +199,9 @@
     // Both ends are in this process.
     let allowed = rlimit::increase_nofile_limit(30_000).unwrap_or(1024);
     let count = 10_000.min(allowed.saturating_sub(200) / 2) as usize;
-    let (gate, _workers) = start(SETTINGS);
-    let idle: Vec<peer::Wire> = (0..count).map(|_| peer::client(gate.grpc)).collect();
-    still_serves(&gate);
+    let (gateway, _workers) = start(SETTINGS);
+    let idle: Vec<peer::Wire> = (0..count).map(|_| peer::client(gateway.grpc)).collect();
+    still_serves(&gateway);
     assert_eq!(idle.len(), count);
     assert!(count >= 400, "only {allowed} descriptors allowed");
 }
--- a/tests/path/tests/failures.rs
+++ b/tests/path/tests/failures.rs
@@ -3,66 +3,72 @@
 use std::sync::mpsc::Sender;
 use std::time::Duration;
 use tansy_path_tests::peer::{self, Wire};
-use tansy_path_tests::{id, last, request, run, start, until, Gate, SETTINGS};
+use tansy_path_tests::{
+    id, last, request, run, start, until, GatewayThread, ListedWorker, SETTINGS,
+};
 use tokio_stream::StreamExt;
 use tonic::Code;
 
-/// Settings for scripted peers, which know of no orders and probes.
-fn plain() -> String {
+/// Settings for scripted peers, which know of no load requests and probes.
+fn settings_without_control() -> String {
     format!("{SETTINGS}\nworker: {{may_order: false, may_probe: false}}\n")
 }
 
 #[test]
 fn a_worker_silent_halfway_through_a_stream_ends_the_call_and_the_stream_lives_on() {
-    let (gate, workers) = start(1);
+    let (gateway, workers) = start(1);
     run(async {
-        let mut c = gate.client().await;
+        let mut client = gateway.client().await;
         // Connected and loaded before, so that the call's short time goes to its answer alone, on a busy machine too.
-        c.model_infer(request("echo", "warm", &[])).await.unwrap();
+        client
+            .model_infer(request("echo", "warm", &[]))
+            .await
+            .unwrap();
         workers.fault("silent-after=2");
-        let (send, calls) = tokio::sync::mpsc::unbounded_channel();
+        let (sender, calls) = tokio::sync::mpsc::unbounded_channel();
         let calls = tokio_stream::wrappers::UnboundedReceiverStream::new(calls);
-        let mut pieces = c.model_stream_infer(calls).await.unwrap().into_inner();
-        send.send(request(
-            "echo",
-            "half",
-            &[("pieces", 4), ("timeout", 1_000_000)],
-        ))
-        .unwrap();
-        let mut got = Vec::new();
+        let mut pieces = client.model_stream_infer(calls).await.unwrap().into_inner();
+        sender
+            .send(request(
+                "echo",
+                "half",
+                &[("pieces", 4), ("timeout", 1_000_000)],
+            ))
+            .unwrap();
+        let mut received = Vec::new();
         loop {
-            let p = pieces.next().await.unwrap().unwrap();
-            got.push((p.error_message.clone(), last(&p)));
-            if last(&p) {
+            let piece = pieces.next().await.unwrap().unwrap();
+            received.push((piece.error_message.clone(), last(&piece)));
+            if last(&piece) {
                 break;
             }
         }
-        assert_eq!(got.len(), 3, "{got:?}");
+        assert_eq!(received.len(), 3, "{received:?}");
         assert!(
-            got[2].0.starts_with("failed:") && got[0].0.is_empty(),
-            "{got:?}"
+            received[2].0.starts_with("failed:") && received[0].0.is_empty(),
+            "{received:?}"
         );
         workers.fault("clear");
-        send.send(request("echo", "again", &[])).unwrap();
-        let p = pieces.next().await.unwrap().unwrap();
+        sender.send(request("echo", "again", &[])).unwrap();
+        let piece = pieces.next().await.unwrap().unwrap();
         assert_eq!(
-            (id(&p), p.error_message.as_str(), last(&p)),
+            (id(&piece), piece.error_message.as_str(), last(&piece)),
             ("again", "", true)
         );
     });
-    let a = gate.account();
-    a.check();
-    assert_eq!((a.get("served"), a.get("failed")), (2, 1));
+    let account = gateway.account();
+    account.check();
+    assert_eq!((account.get("served"), account.get("failed")), (2, 1));
 }
 
 #[test]
 fn a_cut_after_the_last_piece_and_before_the_trailers_is_a_call_served_once() {
-    let (gate, workers) = start(1);
+    let (gateway, workers) = start(1);
     workers.fault("cut-after=3");
     run(async {
-        let mut c = gate.client().await;
+        let mut client = gateway.client().await;
         let call = vec![request("post", "p", &[("pieces", 3)])];
-        let pieces = c
+        let pieces = client
             .model_stream_infer(tokio_stream::iter(call))
             .await
             .unwrap()
@@ -71,23 +77,26 @@
         assert_eq!(all.len(), 3, "{all:?}");
         assert!(last(&all[2]) && all.iter().all(|p| p.error_message.is_empty()));
     });
-    let a = gate.account();
-    a.check();
-    assert_eq!((a.get("served"), a.get("attempts")), (1, 1));
+    let account = gateway.account();
+    account.check();
+    assert_eq!((account.get("served"), account.get("attempts")), (1, 1));
     assert_eq!(workers.ran(), [1]);
 }
 
 #[test]
 fn a_cancel_that_crosses_the_last_piece_counts_once() {
-    let (gate, workers) = start(1);
+    let (gateway, workers) = start(1);
     run(async {
-        let mut c = gate.client().await;
-        c.model_infer(request("echo", "warm", &[])).await.unwrap();
+        let mut client = gateway.client().await;
+        client
+            .model_infer(request("echo", "warm", &[]))
+            .await
+            .unwrap();
         for n in 0..150u64 {
-            let mut c = c.clone();
+            let mut client = client.clone();
             let call = async move {
                 let call = vec![request("echo", "x", &[("pieces", 2)])];
-                let mut pieces = c
+                let mut pieces = client
                     .model_stream_infer(tokio_stream::iter(call))
                     .await
                     .unwrap()
@@ -98,10 +107,17 @@
             let _ = tokio::time::timeout(Duration::from_micros(500 + n * 40), call).await;
         }
     });
-    let a = gate.account();
-    a.check();
-    assert!(a.get("departed") > 0 && a.get("served") > 1, "{a:?}");
-    assert_eq!(a.get("refused") + a.get("failed"), 0, "{a:?}");
+    let account = gateway.account();
+    account.check();
+    assert!(
+        account.get("departed") > 0 && account.get("served") > 1,
+        "{account:?}"
+    );
+    assert_eq!(
+        account.get("refused") + account.get("failed"),
+        0,
+        "{account:?}"
+    );
     until("the worker is idle", || {
         workers.with(|w| w.iter().all(|w| w.calls_in_flight() == 0))
     });
@@ -109,23 +125,26 @@
 
 #[test]
 fn a_client_that_goes_away_leaves_nothing_behind() {
-    let (gate, _workers) = start(1);
+    let (gateway, _workers) = start(1);
     run(async {
-        let mut c = gate.client().await;
-        let call = c.model_infer(request("post", "x", &[("work_ms", 60_000)]));
+        let mut client = gateway.client().await;
+        let call = client.model_infer(request("post", "x", &[("work_ms", 60_000)]));
         let _ = tokio::time::timeout(Duration::from_millis(50), call).await;
     });
-    let a = gate.account();
-    a.check();
-    assert_eq!(a.get("departed"), 1);
+    let account = gateway.account();
+    account.check();
+    assert_eq!(account.get("departed"), 1);
 }
 
 /// A scripted worker that does something to its first connection's requests and answers all later ones.
-fn once(requests: usize, script: impl Fn(&mut Wire, &[u32]) + Send + 'static) -> peer::Peer {
-    peer::worker(move |n, mut wire, told: &Sender<String>| {
-        if n == 0 {
+fn worker_with_faulty_start(
+    requests: usize,
+    script: impl Fn(&mut Wire, &[u32]) + Send + 'static,
+) -> peer::Peer {
+    peer::worker(move |connection, mut wire, reports: &Sender<String>| {
+        if connection == 0 {
             let streams = wire.requests(requests);
-            let _ = told.send(format!("first {}", streams.len()));
+            let _ = reports.send(format!("first {}", streams.len()));
             script(&mut wire, &streams);
             return;
         }
@@ -134,41 +153,41 @@
             if streams.is_empty() {
                 return;
             }
-            let _ = told.send("again".into());
-            streams.iter().for_each(|s| wire.answer(*s));
+            let _ = reports.send("again".into());
+            streams.iter().for_each(|stream| wire.answer(*stream));
         }
     })
 }
 
 /// The code of an unsafe call whose first attempt ended so, and how often a worker got it.
 fn unsafe_call(script: impl Fn(&mut Wire, u32) + Send + 'static) -> (Code, usize) {
-    let p = once(1, move |wire, streams| script(wire, streams[0]));
-    let gate = Gate::start(&plain(), &[("w", p.address)]);
+    let worker = worker_with_faulty_start(1, move |wire, streams| script(wire, streams[0]));
+    let gateway = GatewayThread::start(
+        &settings_without_control(),
+        &[ListedWorker::ready("w", worker.address)],
+    );
     let code = run(async {
-        let mut c = gate.client().await;
-        c.model_infer(request("post", "u", &[]))
+        let mut client = gateway.client().await;
+        client
+            .model_infer(request("post", "u", &[]))
             .await
             .map_or_else(|s| s.code(), |_| Code::Ok)
     });
-    gate.account().check();
-    (code, p.reports.try_iter().count())
+    gateway.account().check();
+    (code, worker.reports.try_iter().count())
 }
 
-#[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
-)]
-fn an_unsafe_call_is_sent_again_only_if_it_is_known_not_to_have_run() {
-    let refused = unsafe_call(|wire, s| {
-        wire.reset(s, 7);
+/// Answers that say that the call did not run.
+fn check_calls_known_not_to_have_run() {
+    let refused = unsafe_call(|wire, stream| {
+        wire.reset(stream, 7);
         std::thread::sleep(Duration::from_millis(50));
     });
     assert_eq!(refused, (Code::Ok, 2), "REFUSED_STREAM");
-    let promised = unsafe_call(|wire, s| {
-        wire.headers(s);
+    let promised = unsafe_call(|wire, stream| {
+        wire.headers(stream);
         wire.trailers(
-            s,
+            stream,
             &[("grpc-status", "14"), ("tansy-never-ran", "turned-away")],
         );
         std::thread::sleep(Duration::from_millis(50));
@@ -176,9 +195,12 @@
     assert_eq!(promised, (Code::Ok, 2), "the worker's promise");
     let below = unsafe_call(|wire, _| wire.goaway(0));
     assert_eq!(below, (Code::Ok, 2), "GOAWAY below");
+}
 
+/// Connections that end, and streams that are reset, while the call may run.
+fn check_calls_that_were_cut() {
     assert_eq!(
-        unsafe_call(|wire, s| wire.goaway(s)),
+        unsafe_call(|wire, stream| wire.goaway(stream)),
         (Code::Aborted, 1),
         "GOAWAY at our stream, then the end"
     );
@@ -188,13 +210,13 @@
         "cut before headers"
     );
     assert_eq!(
-        unsafe_call(|wire, s| wire.headers(s)),
+        unsafe_call(|wire, stream| wire.headers(stream)),
         (Code::Aborted, 1),
         "cut after headers"
     );
-    let message = unsafe_call(|wire, s| {
-        wire.headers(s);
-        wire.message(s, b"\x0a\x04echo");
+    let message = unsafe_call(|wire, stream| {
+        wire.headers(stream);
+        wire.message(stream, b"\x0a\x04echo");
     });
     assert_eq!(
         message,
@@ -203,117 +225,148 @@
     );
     for code in [0, 1, 2, 8, 11] {
         assert_eq!(
-            unsafe_call(move |wire, s| wire.reset(s, code)),
+            unsafe_call(move |wire, stream| wire.reset(stream, code)),
             (Code::Internal, 1),
             "RST with {code}"
         );
     }
-    let after = unsafe_call(|wire, s| {
-        wire.headers(s);
-        wire.reset(s, 7);
+}
+
+/// Statuses that prove nothing, and the function's own.
+fn check_calls_that_may_have_run() {
+    let after = unsafe_call(|wire, stream| {
+        wire.headers(stream);
+        wire.reset(stream, 7);
     });
     assert_eq!(
         after,
         (Code::Internal, 1),
         "REFUSED_STREAM after headers proves nothing"
     );
-    let status = unsafe_call(|wire, s| {
-        wire.headers(s);
-        wire.trailers(s, &[("grpc-status", "14")]);
+    let status = unsafe_call(|wire, stream| {
+        wire.headers(stream);
+        wire.trailers(stream, &[("grpc-status", "14")]);
     });
     assert_eq!(
         status,
         (Code::Internal, 1),
         "UNAVAILABLE without the promise"
     );
-    let own = unsafe_call(|wire, s| {
-        wire.headers(s);
-        wire.trailers(s, &[("grpc-status", "9"), ("grpc-message", "no")]);
+    let own = unsafe_call(|wire, stream| {
+        wire.headers(stream);
+        wire.trailers(stream, &[("grpc-status", "9"), ("grpc-message", "no")]);
     });
     assert_eq!(
         own,
         (Code::FailedPrecondition, 1),
         "the function's own verdict"
     );
-    let twice = unsafe_call(|wire, s| {
-        wire.headers(s);
-        wire.message(s, b"\x0a\x04echo");
-        wire.message(s, b"\x0a\x04echo");
-        wire.trailers(s, &[("grpc-status", "0")]);
+}
+
+/// Answers that no worker should give.
+fn check_invalid_answers() {
+    let twice = unsafe_call(|wire, stream| {
+        wire.headers(stream);
+        wire.message(stream, b"\x0a\x04echo");
+        wire.message(stream, b"\x0a\x04echo");
+        wire.trailers(stream, &[("grpc-status", "0")]);
         std::thread::sleep(Duration::from_millis(50));
     });
     assert_eq!(twice, (Code::Internal, 1), "a worker that answers twice");
-    let bare = unsafe_call(|wire, s| {
-        wire.headers(s);
-        wire.send(peer::kind::DATA, 1, s, b"\x00\x00\x00\x00\x06\x0a\x04echo");
+    let bare = unsafe_call(|wire, stream| {
+        wire.headers(stream);
+        wire.send(
+            peer::kind::DATA,
+            1,
+            stream,
+            b"\x00\x00\x00\x00\x06\x0a\x04echo",
+        );
         std::thread::sleep(Duration::from_millis(50));
     });
     assert_eq!(bare, (Code::Internal, 1), "no trailers");
-    let corrupt = unsafe_call(|wire, s| {
-        wire.headers(s);
-        wire.send(peer::kind::DATA, 0, s, b"\x07\x00\x00\x00\x00");
+    let corrupt = unsafe_call(|wire, stream| {
+        wire.headers(stream);
+        wire.send(peer::kind::DATA, 0, stream, b"\x07\x00\x00\x00\x00");
         std::thread::sleep(Duration::from_millis(50));
     });
     assert_eq!(corrupt, (Code::Internal, 1), "a frame that is no message");
-    let empty = unsafe_call(|wire, s| {
-        wire.headers(s);
-        wire.trailers(s, &[("grpc-status", "0")]);
+    let empty = unsafe_call(|wire, stream| {
+        wire.headers(stream);
+        wire.trailers(stream, &[("grpc-status", "0")]);
         std::thread::sleep(Duration::from_millis(50));
     });
     assert_eq!(empty, (Code::Internal, 1), "OK without an answer");
 }
 
+#[test]
+fn an_unsafe_call_is_sent_again_only_if_it_is_known_not_to_have_run() {
+    check_calls_known_not_to_have_run();
+    check_calls_that_were_cut();
+    check_calls_that_may_have_run();
+    check_invalid_answers();
+}
+
 #[test]
 fn goaway_with_streams_above_and_below() {
     let (go, wait) = std::sync::mpsc::channel::<()>();
-    let p = once(2, move |wire, streams| {
+    let worker = worker_with_faulty_start(2, move |wire, streams| {
         wait.recv().expect("the test says when");
         wire.goaway(streams[0]);
     });
-    let good = once(0, |wire, _| {
-        while let [s] = wire.requests(1)[..] {
-            wire.answer(s);
+    let good = worker_with_faulty_start(0, |wire, _| {
+        while let [stream] = wire.requests(1)[..] {
+            wire.answer(stream);
         }
     });
-    let gate = Gate::start(&plain(), &[("w", p.address)]);
+    let gateway = GatewayThread::start(
+        &settings_without_control(),
+        &[ListedWorker::ready("w", worker.address)],
+    );
     let mut codes = run(async {
-        let c = gate.client().await;
+        let client = gateway.client().await;
         let mut tasks = tokio::task::JoinSet::new();
         for id in ["a", "b"] {
-            let mut c = c.clone();
-            let call = async move { c.model_infer(request("post", id, &[])).await };
+            let mut client = client.clone();
+            let call = async move { client.model_infer(request("post", id, &[])).await };
             tasks.spawn(async { call.await.map_or_else(|s| s.code(), |_| Code::Ok) });
         }
         // Both are at the worker; another one is known; then the GOAWAY.
         let mut first = None;
         while first.is_none() {
-            first = p.reports.try_recv().ok();
+            first = worker.reports.try_recv().ok();
             tokio::task::yield_now().await;
         }
-        gate.list(&[("w", p.address, "ready"), ("good", good.address, "ready")]);
-        while gate.peek().get("workers") < 2 {
+        gateway.list(&[
+            ListedWorker::ready("w", worker.address),
+            ListedWorker::ready("good", good.address),
+        ]);
+        while gateway.peek().get("workers") < 2 {
             tokio::task::yield_now().await;
         }
         go.send(()).expect("the script waits");
         tasks.join_all().await
     });
-    codes.sort_by_key(|c| *c as i32);
+    codes.sort_by_key(|code| *code as i32);
     assert_eq!(
         codes,
         [Code::Ok, Code::Aborted],
         "the one above is sent again, the one below may have run"
     );
-    gate.account().check();
+    gateway.account().check();
 }
 
 #[test]
 fn a_safe_call_is_sent_again_after_any_failure() {
-    let p = once(1, |wire, s| wire.reset(s[0], 2));
-    let gate = Gate::start(&plain(), &[("w", p.address)]);
+    let worker = worker_with_faulty_start(1, |wire, streams| wire.reset(streams[0], 2));
+    let gateway = GatewayThread::start(
+        &settings_without_control(),
+        &[ListedWorker::ready("w", worker.address)],
+    );
     run(async {
-        let mut c = gate.client().await;
+        let mut client = gateway.client().await;
         assert_eq!(
-            c.model_infer(request("echo", "s", &[]))
+            client
+                .model_infer(request("echo", "s", &[]))
                 .await
                 .unwrap()
                 .into_inner()
@@ -321,40 +374,40 @@
             "s"
         );
     });
-    let a = gate.account();
-    a.check();
-    assert_eq!((a.get("served"), a.get("attempts")), (1, 2));
+    let account = gateway.account();
+    account.check();
+    assert_eq!((account.get("served"), account.get("attempts")), (1, 2));
 }
 
 #[test]
 fn a_drain_while_calls_are_queued_is_kept_and_every_call_ends() {
-    let (gate, workers) = start(2);
+    let (gateway, workers) = start(2);
     run(async {
-        let c = gate.client().await;
+        let client = gateway.client().await;
         let mut tasks = tokio::task::JoinSet::new();
         for n in 0..400 {
-            let mut c = c.clone();
-            let mut asked =
-                tonic::Request::new(request("echo", &n.to_string(), &[("work_ms", 20)]));
+            let mut client = client.clone();
+            let mut call = tonic::Request::new(request("echo", &n.to_string(), &[("work_ms", 20)]));
             // It is not of interest here how fast the machine is.
-            asked.set_timeout(Duration::from_secs(15));
-            tasks.spawn(async move { c.model_infer(asked).await });
+            call.set_timeout(Duration::from_secs(15));
+            tasks.spawn(async move { client.model_infer(call).await });
         }
-        // Some are served, most still wait, when the drain is told.
+        // Some are served, most still wait, when the drain is listed.
         for _ in 0..40 {
             tasks.join_next().await.unwrap().unwrap().unwrap();
         }
-        gate.list(&[
-            ("w0", workers.addresses[0], "draining"),
-            ("w1", workers.addresses[1], "ready"),
+        gateway.list(&[
+            ListedWorker::draining("w0", workers.addresses[0]),
+            ListedWorker::ready("w1", workers.addresses[1]),
         ]);
         while let Some(done) = tasks.join_next().await {
             done.unwrap().unwrap();
         }
         let before = workers.ran();
         for n in 0..50 {
-            let mut c = c.clone();
-            c.model_infer(request("echo", &n.to_string(), &[]))
+            let mut client = client.clone();
+            client
+                .model_infer(request("echo", &n.to_string(), &[]))
                 .await
                 .unwrap();
         }
@@ -365,7 +418,7 @@
             "nothing new to the worker that drains"
         );
     });
-    let a = gate.account();
-    a.check();
-    assert_eq!(a.get("served"), 450);
+    let account = gateway.account();
+    account.check();
+    assert_eq!(account.get("served"), 450);
 }
--- a/tests/path/tests/scopes.rs
+++ b/tests/path/tests/scopes.rs
@@ -5,163 +5,162 @@
 use std::time::{Duration, Instant};
 use tansy_dispatch::{FunctionShape, Input};
 use tansy_net_inference::{DirectoryEntry, FunctionDirectory};
-use tansy_path_tests::{id, last, request, run, until, Gate, Workers, SETTINGS};
+use tansy_path_tests::{
+    id, last, request, retry_pushback, run, settings_of_echo, until, GatewayThread, Workers,
+    SETTINGS,
+};
 use tokio_stream::StreamExt;
 use tonic::{Code, Status};
 
-/// What the script says of every function that it is asked for.
+/// What the scripted directory answers for every function that it is asked for.
 #[derive(Clone, Copy, PartialEq)]
-enum Says {
+enum DirectoryAnswer {
     Class(&'static str),
     Refused,
     Unknown,
-    Wait,
+    Pending,
 }
 
-#[derive(Default)]
 struct Script {
-    says: Option<Says>,
-    asked: Vec<String>,
+    answer: DirectoryAnswer,
+    lookups: Vec<String>,
 }
 
-struct Scripted(Arc<Mutex<Script>>);
+struct ScriptedDirectory(Arc<Mutex<Script>>);
 
-impl FunctionDirectory for Scripted {
+impl FunctionDirectory for ScriptedDirectory {
     fn lookup(&self, function: &str) -> DirectoryEntry {
         let mut script = self.0.lock().expect("no panic");
-        script.asked.push(function.into());
-        match script.says.expect("the test said what is there") {
-            Says::Class(class) => {
-                let shape = FunctionShape {
-                    lanes: 64,
-                    memory_mb: 100.0,
-                    load_time: Some(5_000),
-                };
-                DirectoryEntry::Known {
-                    class: class.into(),
-                    shape,
-                }
-            }
-            Says::Refused => DirectoryEntry::Refused,
-            Says::Unknown => DirectoryEntry::Unknown,
-            Says::Wait => DirectoryEntry::Pending,
+        script.lookups.push(function.into());
+        let shape = FunctionShape {
+            lanes: 64,
+            memory_mb: 100.0,
+            load_time: Some(5_000),
+        };
+        match script.answer {
+            DirectoryAnswer::Class(class) => DirectoryEntry::Known {
+                class: class.into(),
+                shape,
+            },
+            DirectoryAnswer::Refused => DirectoryEntry::Refused,
+            DirectoryAnswer::Unknown => DirectoryEntry::Unknown,
+            DirectoryAnswer::Pending => DirectoryEntry::Pending,
         }
     }
 }
 
-/// A gateway whose settings name `echo` alone, one worker that has `post` as well, and what the script says of that.
+/// A gateway whose settings name `echo` alone, one worker that has `post` as well, and a directory that answers for that.
 struct Scene {
-    gate: Gate,
+    gateway: GatewayThread,
     workers: Workers,
     script: Arc<Mutex<Script>>,
 }
 
 impl Scene {
-    fn start(says: Says) -> Scene {
+    fn start(answer: DirectoryAnswer) -> Scene {
         let workers = Workers::start(1);
-        let settings = SETTINGS
-            .lines()
-            .filter(|l| !l.contains("    keyed: {c") && !l.contains("    post:"));
-        let settings: Vec<&str> = settings.collect();
-        let gate = Gate::start(&settings.join("\n"), &[("w0", workers.addresses[0])]);
+        let gateway = GatewayThread::start(&settings_of_echo(), &workers.listed());
         let script = Arc::new(Mutex::new(Script {
-            says: Some(says),
-            ..Script::default()
+            answer,
+            lookups: Vec::new(),
         }));
         let shared = script.clone();
-        gate.with(move |g| g.hub().set_directory(Rc::new(Scripted(shared))));
+        gateway.with(move |g| g.hub().set_directory(Rc::new(ScriptedDirectory(shared))));
         Scene {
-            gate,
+            gateway,
             workers,
             script,
         }
     }
 
-    /// The script says something else from now on, and those that wait are looked up again.
-    fn say(&self, says: Says) {
-        self.script.lock().expect("no panic").says = Some(says);
-        self.gate.with(|g| g.hub().resolve_pending());
+    /// The directory answers this from now on, and the functions of calls that wait are looked up again.
+    fn set_answer(&self, answer: DirectoryAnswer) {
+        self.script.lock().expect("no panic").answer = answer;
+        self.gateway.with(|g| g.hub().resolve_pending());
+    }
+
+    fn lookups(&self) -> Vec<String> {
+        self.script.lock().expect("no panic").lookups.clone()
     }
 
     /// Until so many calls wait.
-    fn wait(&self, calls: usize) {
-        until("they wait", || {
-            self.gate
-                .with(|g| g.hub().with_dispatcher(|f| f.pending_calls()))
-                == calls
-        });
+    fn wait_for_pending_calls(&self, calls: usize) {
+        until("they wait", || self.gateway.pending_calls() == calls);
     }
 
     fn counts(&self, names: [&str; 4]) -> [u64; 4] {
-        let account = self.gate.account();
+        let account = self.gateway.account();
         account.check();
-        names.map(|n| account.get(n))
+        names.map(|name| account.get(name))
     }
-}
 
-/// How a call of `post` ends while the test does something to it.
-fn post(scene: &Scene, during: impl FnOnce(&Scene) + Send) -> Result<String, Status> {
-    std::thread::scope(|threads| {
-        let call = threads.spawn(|| {
-            run(async {
-                let mut c = scene.gate.client().await;
-                Ok(c.model_infer(request("post", "mine", &[]))
-                    .await?
-                    .into_inner()
-                    .id)
-            })
-        });
-        during(scene);
-        call.join().expect("the call ends")
-    })
+    /// How a call of `post` ends.
+    fn call_post(&self) -> Result<String, Status> {
+        self.call_post_during(|| {})
+    }
+
+    /// How a call of `post` ends while the test does something to it.
+    fn call_post_during(&self, during: impl FnOnce()) -> Result<String, Status> {
+        std::thread::scope(|threads| {
+            let call = threads.spawn(|| {
+                run(async {
+                    let mut client = self.gateway.client().await;
+                    let reply = client.model_infer(request("post", "mine", &[])).await?;
+                    Ok(reply.into_inner().id)
+                })
+            });
+            during();
+            call.join().expect("the call ends")
+        })
+    }
 }
 
-fn pushback(status: &Status) -> Option<&str> {
-    status
-        .metadata()
-        .get("grpc-retry-pushback-ms")
-        .and_then(|v| v.to_str().ok())
+/// How 20 unary calls and 20 calls of a stream of `echo` end.
+fn call_echo(gateway: &GatewayThread) -> Vec<Result<String, Code>> {
+    run(async {
+        let mut client = gateway.client().await;
+        let mut ends = Vec::new();
+        for number in 0..20 {
+            let call = request("echo", &number.to_string(), &[("pieces", 2)]);
+            let reply = client.model_infer(call.clone()).await;
+            ends.push(
+                reply
+                    .map(|reply| reply.into_inner().id)
+                    .map_err(|status| status.code()),
+            );
+            let calls = tokio_stream::iter(vec![call]);
+            let pieces = client.model_stream_infer(calls).await.unwrap().into_inner();
+            let pieces: Vec<_> = pieces.map(|piece| piece.unwrap()).collect().await;
+            ends.extend(
+                pieces
+                    .iter()
+                    .map(|piece| Ok(format!("{} {}", id(piece), last(piece)))),
+            );
+        }
+        ends
+    })
 }
 
 #[test]
 fn functions_that_the_settings_name_are_never_looked_up_and_end_as_without_a_lookup() {
-    let calls = |gate: &Gate| {
-        run(async {
-            let mut c = gate.client().await;
-            let mut ends = Vec::new();
-            for n in 0..20 {
-                let asked = request("echo", &n.to_string(), &[("pieces", 2)]);
-                ends.push(
-                    c.model_infer(asked.clone())
-                        .await
-                        .map(|r| r.into_inner().id)
-                        .map_err(|s| s.code()),
-                );
-                let calls = tokio_stream::iter(vec![asked]);
-                let pieces = c.model_stream_infer(calls).await.unwrap().into_inner();
-                let pieces: Vec<_> = pieces.map(|p| p.unwrap()).collect().await;
-                ends.extend(pieces.iter().map(|p| Ok(format!("{} {}", id(p), last(p)))));
-            }
-            ends
-        })
-    };
-    let scene = Scene::start(Says::Refused);
+    let scene = Scene::start(DirectoryAnswer::Refused);
     let workers = Workers::start(1);
-    let bare = Gate::start(SETTINGS, &[("w0", workers.addresses[0])]);
-    assert_eq!(calls(&scene.gate), calls(&bare));
-    assert_eq!(scene.script.lock().unwrap().asked, Vec::<String>::new());
-    let counts =
-        |g: &Gate| ["taken", "served", "refused", "attempts", "pieces"].map(|n| g.account().get(n));
-    assert_eq!(counts(&scene.gate), counts(&bare));
+    let bare = GatewayThread::start(SETTINGS, &workers.listed());
+    assert_eq!(call_echo(&scene.gateway), call_echo(&bare));
+    assert_eq!(scene.lookups(), Vec::<String>::new());
+    let counts = |gateway: &GatewayThread| {
+        ["taken", "served", "refused", "attempts", "pieces"].map(|name| gateway.account().get(name))
+    };
+    assert_eq!(counts(&scene.gateway), counts(&bare));
 }
 
 #[test]
 fn a_call_that_waited_is_served_once_its_function_is_known() {
-    let scene = Scene::start(Says::Wait);
-    let end = post(&scene, |scene| {
-        scene.wait(1);
-        scene.say(Says::Wait);
-        scene.say(Says::Class("unsafe"));
+    let scene = Scene::start(DirectoryAnswer::Pending);
+    let end = scene.call_post_during(|| {
+        scene.wait_for_pending_calls(1);
+        scene.set_answer(DirectoryAnswer::Pending);
+        scene.set_answer(DirectoryAnswer::Class("unsafe"));
     });
     assert_eq!(end.unwrap(), "mine");
     assert_eq!(scene.workers.ran(), [1]);
@@ -170,20 +169,20 @@
         [1, 1, 0, 0]
     );
     // It is looked up again for each of its calls, and needs not wait.
-    let before = scene.script.lock().unwrap().asked.len();
-    assert_eq!(post(&scene, |_| {}).unwrap(), "mine");
-    assert_eq!(scene.script.lock().unwrap().asked.len(), before + 1);
+    let before = scene.lookups().len();
+    assert_eq!(scene.call_post().unwrap(), "mine");
+    assert_eq!(scene.lookups().len(), before + 1);
 }
 
 #[test]
 fn a_call_whose_function_stays_unknown_is_refused_with_advice_within_half_a_second() {
-    let scene = Scene::start(Says::Wait);
+    let scene = Scene::start(DirectoryAnswer::Pending);
     // The quickest of five: a machine that is busy with other things may hold up one or another.
     let refused = || {
         let began = Instant::now();
-        let status = post(&scene, |_| {}).unwrap_err();
+        let status = scene.call_post().unwrap_err();
         assert_eq!(
-            (status.code(), pushback(&status).is_some()),
+            (status.code(), retry_pushback(&status).is_some()),
             (Code::Unavailable, true),
             "{status:?}"
         );
@@ -201,22 +200,22 @@
 #[test]
 fn what_is_found_ends_the_wait_with_the_answer_that_it_would_have_had_at_once() {
     let cases = [
-        (Says::Refused, Code::Unavailable, true),
-        (Says::Unknown, Code::NotFound, true),
+        (DirectoryAnswer::Refused, Code::Unavailable, true),
+        (DirectoryAnswer::Unknown, Code::NotFound, true),
         // A class that the settings don't have says nothing.
-        (Says::Class("nobody's"), Code::Unavailable, true),
+        (DirectoryAnswer::Class("nobody's"), Code::Unavailable, true),
     ];
-    for (says, code, advised) in cases {
-        let scene = Scene::start(says);
-        let at_once = post(&scene, |_| {}).unwrap_err();
-        scene.say(Says::Wait);
-        let later = post(&scene, |scene| {
-            scene.wait(1);
-            scene.say(says);
+    for (answer, code, advised) in cases {
+        let scene = Scene::start(answer);
+        let at_once = scene.call_post().unwrap_err();
+        scene.set_answer(DirectoryAnswer::Pending);
+        let later = scene.call_post_during(|| {
+            scene.wait_for_pending_calls(1);
+            scene.set_answer(answer);
         });
         let later = later.unwrap_err();
         assert_eq!(
-            (later.code(), pushback(&later).is_some()),
+            (later.code(), retry_pushback(&later).is_some()),
             (code, advised),
             "{later:?}"
         );
@@ -225,7 +224,11 @@
             (at_once.code(), at_once.message())
         );
         assert_eq!(scene.workers.ran(), [0]);
-        let unknown = if says == Says::Unknown { 2 } else { 0 };
+        let unknown = if answer == DirectoryAnswer::Unknown {
+            2
+        } else {
+            0
+        };
         assert_eq!(
             scene.counts(["taken", "refused", "unknown", "attempts"]),
             [2 - unknown, 2 - unknown, unknown, 0]
@@ -235,26 +238,16 @@
 
 #[test]
 fn a_client_that_leaves_while_its_call_waits_has_nothing_sent_to_a_worker() {
-    let scene = Scene::start(Says::Wait);
+    let scene = Scene::start(DirectoryAnswer::Pending);
     run(async {
-        let mut c = scene.gate.client().await;
-        let call = c.model_infer(request("post", "x", &[]));
-        let parked = async {
-            while scene
-                .gate
-                .with(|g| g.hub().with_dispatcher(|f| f.pending_calls()))
-                == 0
-            {
-                tokio::task::yield_now().await;
-            }
-        };
+        let mut client = scene.gateway.client().await;
         tokio::select! {
-            end = call => panic!("nothing ends it: {end:?}"),
-            () = parked => {}
+            end = client.model_infer(request("post", "x", &[])) => panic!("nothing ends it: {end:?}"),
+            () = scene.gateway.until_call_is_pending() => {}
         }
     });
-    scene.wait(0);
-    scene.say(Says::Class("unsafe"));
+    scene.wait_for_pending_calls(0);
+    scene.set_answer(DirectoryAnswer::Class("unsafe"));
     assert_eq!(
         scene.counts(["taken", "departed", "refused", "attempts"]),
         [1, 1, 0, 0]
@@ -264,23 +257,23 @@
 
 #[test]
 fn a_close_while_calls_wait_gives_each_its_one_answer_at_once() {
-    let scene = Scene::start(Says::Wait);
-    let end = post(&scene, |scene| {
-        scene.wait(1);
+    let scene = Scene::start(DirectoryAnswer::Pending);
+    let end = scene.call_post_during(|| {
+        scene.wait_for_pending_calls(1);
         scene
-            .gate
+            .gateway
             .with(|g| g.hub().feed(Input::Shutdown { grace: 10_000_000 }));
-        scene.say(Says::Class("unsafe"));
+        scene.set_answer(DirectoryAnswer::Class("unsafe"));
     });
     let status = end.unwrap_err();
     assert_eq!(
-        (status.code(), pushback(&status)),
+        (status.code(), retry_pushback(&status)),
         (Code::Unavailable, Some("0")),
         "{status:?}"
     );
-    let late = post(&scene, |_| {}).unwrap_err();
+    let late = scene.call_post().unwrap_err();
     assert_eq!(
-        (late.code(), pushback(&late)),
+        (late.code(), retry_pushback(&late)),
         (Code::Unavailable, Some("0")),
         "{late:?}"
     );
@@ -293,31 +286,25 @@
 
 #[test]
 fn calls_of_one_stream_wait_each_by_itself() {
-    let scene = Scene::start(Says::Wait);
+    let scene = Scene::start(DirectoryAnswer::Pending);
     run(async {
-        let mut c = scene.gate.client().await;
-        let calls =
-            [("echo", "named"), ("post", "a"), ("post", "b")].map(|(f, id)| request(f, id, &[]));
-        let mut pieces = c
-            .model_stream_infer(tokio_stream::iter(calls))
-            .await
-            .unwrap()
-            .into_inner();
+        let mut client = scene.gateway.client().await;
+        let calls = [("echo", "named"), ("post", "a"), ("post", "b")];
+        let calls = calls.map(|(function, id)| request(function, id, &[]));
+        let reply = client.model_stream_infer(tokio_stream::iter(calls)).await;
+        let mut pieces = reply.unwrap().into_inner();
         let first = pieces.next().await.unwrap().unwrap();
         assert_eq!((id(&first), first.error_message.as_str()), ("named", ""));
-        while scene
-            .gate
-            .with(|g| g.hub().with_dispatcher(|f| f.pending_calls()))
-            < 2
-        {
+        while scene.gateway.pending_calls() < 2 {
             tokio::task::yield_now().await;
         }
-        scene.say(Says::Class("safe"));
-        let mut rest: Vec<_> = pieces.map(|p| p.unwrap()).filter(last).collect().await;
-        rest.sort_by_key(|p| id(p).to_string());
+        scene.set_answer(DirectoryAnswer::Class("safe"));
+        let rest = pieces.map(|piece| piece.unwrap()).filter(last);
+        let mut rest: Vec<_> = rest.collect().await;
+        rest.sort_by_key(|piece| id(piece).to_string());
         let rest: Vec<_> = rest
             .iter()
-            .map(|p| (id(p), p.error_message.as_str()))
+            .map(|piece| (id(piece), piece.error_message.as_str()))
             .collect();
         assert_eq!(rest, [("a", ""), ("b", "")]);
     });
