--- a/tests/compatibility/examples/record.rs
+++ b/tests/compatibility/examples/record.rs
@@ -2,8 +2,9 @@
 //! as it is.
 
 use std::path::Path;
+use tansy_compatibility_tests::fleet::messages::{sender, FLEET, LEADER};
 use tansy_compatibility_tests::shape::{shape, Names};
-use tansy_compatibility_tests::{fixture, fleet, inference, json, membership, run, voters};
+use tansy_compatibility_tests::{fixture, fleet, inference, json, membership, run, steps, voters};
 use tansy_dispatch::record::RecordedStep;
 use tansy_settings::agree;
 use tansy_storage::voter_log::LogStorage;
@@ -53,17 +54,19 @@
 
 fn main() {
     record_voters();
-    let letters = fleet::bodies().into_iter().enumerate().map(|(n, body)| {
-        let bytes =
-            tansy_fleet_wire::encode_message(fleet::FLEET, &fleet::sender(), fleet::ROOT, body);
-        (format!("{n:02}"), bytes)
-    });
+    let letters = fleet::messages::bodies()
+        .into_iter()
+        .enumerate()
+        .map(|(n, body)| {
+            let bytes = tansy_fleet_wire::encode_message(FLEET, &sender(), LEADER, body);
+            (format!("{n:02}"), bytes)
+        });
     messages(
         "fleet-letters.txt",
         "Each letter of src/fleet.rs, in their order.",
         letters,
     );
-    let requests = fleet::requests().into_iter();
+    let requests = fleet::requests::requests().into_iter();
     messages(
         "fleet-requests.txt",
         "Each request and reply of src/fleet.rs.",
@@ -90,7 +93,7 @@
     text("settings-full.version", agree::text(&version));
     let lines = |steps: Vec<RecordedStep>| steps.iter().map(|s| s.to_line() + "\n").collect();
     text("run.jsonl", lines(run::recorded()));
-    text("steps.jsonl", lines(run::each_kind()));
+    text("steps.jsonl", lines(steps::each_kind()));
     let lines = |lines: Vec<String>| lines.join("\n") + "\n";
     text("rollout-entries.jsonl", lines(json::rollout_entry_lines()));
     text("rollouts.jsonl", lines(json::rollout_lines()));
--- a/tests/compatibility/src/entries.rs
+++ b/tests/compatibility/src/entries.rs
@@ -257,19 +257,23 @@
     ]
 }
 
+/// The id of the rollout of a program.
+const ROLLOUT_OF_PROGRAM: u64 = 42;
+
 /// A rollout of a program that stands in its second stage, where a process ended and it was stopped and let on.
-#[expect(
-    clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
-)]
 fn rollout_of_program() -> Vec<LogEntry> {
-    let (fence, id) = (1, 42);
-    let beat = |seen| {
-        rollout(RolloutEntry::Beat {
-            fence,
-            observation: seen,
-        })
-    };
+    let mut entries = first_stage_of_program(1);
+    entries.extend(second_stage_of_program(1));
+    entries
+}
+
+fn beat(fence: u64, observation: Option<Box<StageObservation>>) -> LogEntry {
+    rollout(RolloutEntry::Beat { fence, observation })
+}
+
+fn first_stage_of_program(fence: u64) -> Vec<LogEntry> {
+    let id = ROLLOUT_OF_PROGRAM;
+    let beat = |observation| beat(fence, observation);
     let open = |slices| Verdict::Open {
         needs: "more calls".into(),
         slices,
@@ -310,6 +314,12 @@
             }),
         )),
         beat(seen(0, Some(Verdict::Fine))),
+    ]
+}
+
+fn second_stage_of_program(fence: u64) -> Vec<LogEntry> {
+    let id = ROLLOUT_OF_PROGRAM;
+    vec![
         rollout(RolloutEntry::Pass {
             at: 5,
             fence,
@@ -331,7 +341,7 @@
             why: "look at it".into(),
         }),
         rollout(RolloutEntry::Resume { id }),
-        beat(seen(1, None)),
+        beat(fence, seen(1, None)),
     ]
 }
 
--- /dev/null
+++ b/tests/compatibility/src/fleet/mod.rs
@@ -0,0 +1,4 @@
+//! Messages, requests and replies of front ends and operators of a fleet.
+
+pub mod messages;
+pub mod requests;
--- a/tests/compatibility/src/json.rs
+++ b/tests/compatibility/src/json.rs
@@ -99,11 +99,11 @@
 
 /// What `status`, `diff` and `history` of `tansy-fleet --json` print, of a fleet with something in every field.
 pub fn printed() -> Vec<String> {
-    let state = tansy_fleet_wire::state(&fleet::later());
+    let state = tansy_fleet_wire::state(&fleet::messages::state_with_scopes());
     let front = |phase: pb::Phase| {
         FrontEndStatus::of(&pb::StatusReply {
             name: "front-1".into(),
-            process: Some(tansy_fleet_wire::process(&fleet::sender())),
+            process: Some(tansy_fleet_wire::process(&fleet::messages::sender())),
             keeps_log: true,
             state: Some(pb::State {
                 phase: phase as i32,
@@ -154,7 +154,8 @@
         })
     };
     let changes: Vec<FieldChangeRow> = touches.into_iter().zip(kinds).map(change).collect();
-    let version = |force, next| VersionRow::of(&fleet::later().in_force, force, next);
+    let version =
+        |force, next| VersionRow::of(&fleet::messages::state_with_scopes().in_force, force, next);
     let history = [version(7, 0), version(6, 7), version(8, 0)];
     vec![line(&of_fleet), line(&changes), line(&history)]
 }
--- a/tests/compatibility/src/lib.rs
+++ b/tests/compatibility/src/lib.rs
@@ -12,4 +12,5 @@
 pub mod membership;
 pub mod run;
 pub mod shape;
+pub mod steps;
 pub mod voters;
--- a/tests/compatibility/tests/fleet.rs
+++ b/tests/compatibility/tests/fleet.rs
@@ -1,11 +1,12 @@
-//! Letters, requests and replies between front ends and operators of a fleet are read as they were written, and are written
+//! Messages, requests and replies between front ends and operators of a fleet are read as they were written, and are written
 //! as they were.
 //!
-//! `fixtures/fleet-letters.txt` and `fixtures/fleet-requests.txt` hold the messages of `src/fleet.rs`, by
+//! `fixtures/fleet-letters.txt` and `fixtures/fleet-requests.txt` hold the messages of `src/fleet/`, by
 //! `examples/record.rs`.
 
 use tansy_compatibility_tests::fixture;
-use tansy_compatibility_tests::fleet::{bodies, requests, sender, FLEET, ROOT};
+use tansy_compatibility_tests::fleet::messages::{bodies, sender, FLEET, LEADER};
+use tansy_compatibility_tests::fleet::requests::requests;
 use tansy_fleet_wire::{decode_message, encode_message};
 
 #[test]
@@ -15,10 +16,10 @@
     for ((name, bytes), body) in recorded.into_iter().zip(bodies()) {
         assert_eq!(
             decode_message(FLEET, &bytes),
-            Ok((sender(), ROOT, body.clone())),
+            Ok((sender(), LEADER, body.clone())),
             "letter {name}"
         );
-        let written = encode_message(FLEET, &sender(), ROOT, body);
+        let written = encode_message(FLEET, &sender(), LEADER, body);
         assert_eq!(
             fixture::hex(&written),
             fixture::hex(&bytes),
--- a/tests/compatibility/tests/text_wires.rs
+++ b/tests/compatibility/tests/text_wires.rs
@@ -2,9 +2,9 @@
 //! and list. What is expected was taken from the program of the day that wrote the first fixtures.
 
 use tansy_compatibility_tests::fixture;
+use tansy_compatibility_tests::steps::trailers;
 use tansy_dispatch::{
-    AttemptOutcome, CacheStatus, FunctionShape, LoadReport, NeverRan, ResponseStage, Trailers,
-    WorkerRecord,
+    AttemptOutcome, CacheStatus, FunctionShape, NeverRan, ResponseStage, WorkerRecord,
 };
 use tansy_frames::grpc;
 use tansy_platform::config::Config;
@@ -108,16 +108,15 @@
     assert_eq!(settings.telemetry.fields, ["depth", "x0"]);
     // What is decided by; it is compared as it is printed, since not all of it can be compared.
     let read = tansy_conf::router_settings(settings).expect("settings that can be used");
-    assert_eq!(format!("{read:#?}"), format!("{:#?}", decided_by()));
+    assert_eq!(
+        format!("{read:#?}"),
+        format!("{:#?}", expected_router_settings())
+    );
 }
 
-/// The decision module's settings of `fixtures/platform.json`.
-#[expect(
-    clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
-)]
-fn decided_by() -> tansyrouter::Settings {
-    use tansyrouter::{Class, Effect, Group, LoadBudget, MissPolicy, Reports, Settings, Tenant};
+/// The classes of `fixtures/platform.json`.
+fn expected_classes() -> Vec<tansyrouter::Class> {
+    use tansyrouter::{Class, Effect, Group};
     let class = |deadline, effect| Class {
         latency_objective: 1_000_000,
         objective_per_work: 0.0,
@@ -128,23 +127,29 @@
         streamed: false,
     };
     let keyed = |group, window| Effect::Keyed { group, window };
+    vec![
+        Class {
+            latency_objective: 1_500_000,
+            objective_per_work: 0.5,
+            priority_weight: 2.0,
+            late_weight: 0.25,
+            streamed: true,
+            ..class(2_500_000, Effect::Safe)
+        },
+        class(3_000_000, keyed(Group::Zone, 5_000_000)),
+        class(3_000_000, keyed(Group::Cell, 0)),
+        class(4_000_000, Effect::Unsafe),
+    ]
+}
+
+/// The decision module's settings of `fixtures/platform.json`.
+fn expected_router_settings() -> tansyrouter::Settings {
+    use tansyrouter::{LoadBudget, MissPolicy, Reports, Settings, Tenant};
     Settings {
         front_end: 1,
         front_ends: 3,
         zone: 2,
-        classes: vec![
-            Class {
-                latency_objective: 1_500_000,
-                objective_per_work: 0.5,
-                priority_weight: 2.0,
-                late_weight: 0.25,
-                streamed: true,
-                ..class(2_500_000, Effect::Safe)
-            },
-            class(3_000_000, keyed(Group::Zone, 5_000_000)),
-            class(3_000_000, keyed(Group::Cell, 0)),
-            class(4_000_000, Effect::Unsafe),
-        ],
+        classes: expected_classes(),
         tenants: vec![Tenant {
             quota_per_s: 40.0,
             fraction: 0.75,
@@ -251,24 +256,9 @@
 fn answers_of_workers_are_read_as_before() {
     let report = "queue:1;inflight:2;util:0.5;x0:0.25;x1:3;latency_ms:4;qps:5;eps:6";
     let fields = format!("n=ready,peers_in=3,replicas=2,l={report}");
-    let expected = |code, stage, never_ran, note| WorkerReply {
+    let expected = |code, stage, never_ran, cache_status| WorkerReply {
         outcome: AttemptOutcome::Status { code, stage },
-        trailers: Trailers {
-            cache_status: note,
-            never_ran,
-            concurrent_calls: Some(3),
-            instances: Some(2),
-            report: Some(LoadReport {
-                queued: Some(1.0),
-                in_flight: Some(2.0),
-                busy: Some(0.5),
-                memory_pinned: Some(0.25),
-                loads: Some(3.0),
-                mean_ms: Some(4.0),
-                served_per_s: Some(5.0),
-                errors_per_s: Some(6.0),
-            }),
-        },
+        trailers: trailers(cache_status, never_ran),
     };
     let read = |word: &str, fields: &str| {
         tansy_platform::parse_reply(word.as_bytes(), fields.as_bytes(), true)
@@ -288,7 +278,7 @@
         let expected = expected(code, stage, never_ran, CacheStatus::Warm);
         assert_eq!(read(word, &fields), expected, "{word}");
     }
-    for (word, note) in [
+    for (word, cache_status) in [
         ("ready", CacheStatus::Warm),
         ("loaded", CacheStatus::StartedLoad),
         ("queued", CacheStatus::AwaitedLoad),
@@ -296,7 +286,7 @@
         ("other", CacheStatus::Unreported),
     ] {
         let fields = fields.replace("n=ready", &format!("n={word}"));
-        let expected = expected(0, ResponseStage::Last, None, note);
+        let expected = expected(0, ResponseStage::Last, None, cache_status);
         assert_eq!(read("200", &fields), expected, "{word}");
     }
 }
