--- /dev/null
+++ b/tests/router/requests.rs
@@ -0,0 +1,246 @@
+//! Calls: when they are held, repeated, refused and failed.
+
+use crate::harness::{requested_load, sent_to, settings_with, worker, Harness, MS};
+use tansyrouter::*;
+
+#[test]
+fn a_call_without_an_instance_is_held_for_a_load_and_sent_where_it_stands() {
+    let (mut harness, at) = Harness::with_warm_instance(settings_with(Effect::Safe), 3);
+    assert_eq!(
+        sent_to(&harness.arrive(2, 9, 0, 5_000 * MS)),
+        Some(at),
+        "a warm free lane is used"
+    );
+    assert_eq!(
+        sent_to(&harness.arrive(3, 9, 0, 5_000 * MS)),
+        None,
+        "with the lane taken the next one is held"
+    );
+    assert_eq!(
+        sent_to(&harness.end_attempt(2, 0, at, Outcome::Served)),
+        Some(at),
+        "the returning lane goes to the line"
+    );
+}
+
+#[test]
+fn held_calls_are_refused_before_their_own_budget_ends() {
+    let mut harness = Harness::new(settings_with(Effect::Unsafe));
+    harness.ready_workers(1);
+    harness.arrive(1, 9, 0, 300 * MS);
+    let actions = harness.advance(300 * MS);
+    assert!(actions.contains(&Action::Reject {
+        request: RequestId(1),
+        stay_away: 0
+    }));
+}
+
+#[test]
+fn an_unsafe_call_that_may_have_run_fails_and_is_not_sent_again() {
+    for o in [
+        Outcome::Error,
+        Outcome::TimedOut,
+        Outcome::ConnectionLost,
+        Outcome::Cancelled,
+    ] {
+        let mut harness = Harness::new(settings_with(Effect::Unsafe));
+        harness.ready_workers(3);
+        let at = harness.load_and_send(1, 9, 0);
+        let actions = harness.end_attempt(1, 0, at, o);
+        assert!(
+            actions.contains(&Action::Fail {
+                request: RequestId(1)
+            }),
+            "{o:?}: {actions:?}"
+        );
+        assert_eq!(sent_to(&actions), None);
+    }
+}
+
+#[test]
+fn an_unsafe_call_proven_not_run_is_sent_again() {
+    for o in [
+        Outcome::Rejected,
+        Outcome::ConnectFailed,
+        Outcome::NotLoaded,
+        Outcome::NotSent,
+    ] {
+        let mut harness = Harness::new(settings_with(Effect::Unsafe));
+        harness.ready_workers(3);
+        let at = harness.load_and_send(1, 9, 0);
+        let mut actions = harness.end_attempt(1, 0, at, o);
+        assert!(
+            !actions.contains(&Action::Fail {
+                request: RequestId(1)
+            }),
+            "{o:?}"
+        );
+        if let Some(w) = requested_load(&actions) {
+            actions = harness.end_load(w, 9, Outcome::Served);
+        }
+        actions.extend(harness.advance(1_000 * MS));
+        assert!(sent_to(&actions).is_some(), "{o:?}");
+    }
+}
+
+#[test]
+fn settings_without_sense_are_an_error() {
+    let none = Settings {
+        classes: Vec::new(),
+        ..Settings::default()
+    };
+    assert!(Router::new(none, 1, Time(0))
+        .err()
+        .unwrap()
+        .to_string()
+        .contains("no class"));
+}
+
+/// Incidents i7100b7 and i39140c: a stalled front end is handed calls whose time has already run out.
+#[test]
+fn a_call_without_time_left_is_answered_in_the_same_breath() {
+    for effect in [Effect::Safe, Effect::Unsafe] {
+        let mut harness = Harness::new(settings_with(effect));
+        harness.ready_workers(1);
+        for (i, budget) in [0, 3 * MS, -5].into_iter().enumerate() {
+            let actions = harness.arrive(i as u64, 9, 0, budget);
+            let request = RequestId(i as u64);
+            assert!(
+                actions.contains(&Action::Reject {
+                    request,
+                    stay_away: 0
+                }),
+                "{actions:?}"
+            );
+        }
+    }
+}
+
+/// Odd settings and lists: own number outside the count, a very large count, an empty zone.
+#[test]
+fn an_own_number_outside_the_count_and_a_huge_count_still_serve() {
+    for (me, siblings) in [
+        (7, 1),
+        (usize::MAX, 3),
+        (0, 1_000_000),
+        (usize::MAX, usize::MAX),
+    ] {
+        let mut harness = Harness::new(Settings {
+            front_end: me,
+            front_ends: siblings,
+            zone: 99,
+            ..settings_with(Effect::Safe)
+        });
+        harness.worker_list(ListKind::Full, Vec::new());
+        harness.arrive(1, 9, 0, 500 * MS);
+        harness.worker_list(
+            ListKind::Full,
+            vec![
+                worker(1, WorkerState::Ready, Some(harness.now)),
+                worker(2, WorkerState::Ready, None),
+            ],
+        );
+        let mut actions = harness.arrive(2, 9, 0, 30_000 * MS);
+        actions.extend(harness.advance(30_000 * MS));
+        let asked = actions.iter().any(|a| matches!(a, Action::Load { .. }));
+        assert!(asked, "{me} of {siblings}: {actions:?}");
+    }
+}
+
+#[test]
+fn a_keyed_call_is_repeated_within_its_group_and_window_only() {
+    for (group, window, late) in [
+        (Group::Zone, 4_000, false),
+        (Group::Cell, 4_000, false),
+        (Group::All, 600, true),
+    ] {
+        let mut harness = Harness::new(settings_with(Effect::Keyed {
+            group,
+            window: window * MS,
+        }));
+        harness.ready_workers(4);
+        let first = harness.load_and_send(1, 9, 0);
+        harness.now = harness.now.plus(if late { 300 * MS } else { 10 * MS });
+        let mut actions = harness.end_attempt(1, 0, first, Outcome::ConnectionLost);
+        for _ in 0..60 {
+            if let Some(w) = requested_load(&actions) {
+                actions = harness.end_load(w, 9, Outcome::Served);
+            }
+            if let Some(w) = sent_to(&actions) {
+                assert!(!late, "out of its window");
+                assert!(
+                    w == first || group == Group::Zone && w.0 % 2 == first.0 % 2,
+                    "{group:?}: {w:?}"
+                );
+                break;
+            }
+            harness.now = harness.now.plus(50 * MS);
+            actions = harness.handle(Event::Timer { token: 0 });
+        }
+        let refused = actions.iter().any(|a| matches!(a, Action::Reject { .. }));
+        assert!(
+            !refused || group == Group::All,
+            "{group:?} may have run: no refusal"
+        );
+    }
+}
+
+#[test]
+fn an_unsafe_call_is_never_taken_back_from_a_silent_worker() {
+    for (effect, cancels) in [(Effect::Safe, true), (Effect::Unsafe, false)] {
+        let (mut harness, _) = Harness::with_warm_instance(settings_with(effect), 3);
+        harness.arrive(2, 9, 0, 5_000 * MS);
+        let actions = harness.advance(4_000 * MS);
+        assert_eq!(
+            actions.iter().any(|a| matches!(a, Action::Cancel { .. })),
+            cancels,
+            "{effect:?}"
+        );
+    }
+}
+
+#[test]
+fn a_departed_client_is_owed_nothing() {
+    let mut harness = Harness::new(settings_with(Effect::Safe));
+    harness.ready_workers(1);
+    harness.arrive(1, 9, 0, 500 * MS);
+    harness.handle(Event::ClientLeft {
+        request: RequestId(1),
+    });
+    let actions = harness.advance(1_000 * MS);
+    assert!(
+        !actions
+            .iter()
+            .any(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })),
+        "{actions:?}"
+    );
+}
+
+#[test]
+fn huge_and_odd_numbers_do_not_panic() {
+    let mut set = settings_with(Effect::Safe);
+    set.classes[0].objective_per_work = 1e9;
+    let mut harness = Harness::new(set);
+    harness.ready_workers(2);
+    for (i, (budget, hint)) in [(i64::MAX, i64::MAX), (i64::MIN, i64::MIN), (1, 0)]
+        .into_iter()
+        .enumerate()
+    {
+        harness.handle(Event::Arrival(Arrival {
+            request: RequestId(i as u64),
+            function: FunctionId(1),
+            class: 99,
+            tenant: 99,
+            budget,
+            work_hint: Some(hint),
+            lanes: 0,
+            memory_mb: f64::NAN,
+            load_time: Some(i64::MAX),
+            repeat: true,
+        }));
+        harness.end_load(WorkerId(1 + i as u64), 1, Outcome::Served);
+    }
+    harness.end_attempt(77, 3, WorkerId(99), Outcome::Served);
+    harness.end_attempt(0, 0, WorkerId(1), Outcome::TimedOut);
+    harness.advance(1_000 * MS);
+}
