--- a/tests/router/queue.rs
+++ b/tests/router/queue.rs
@@ -1,87 +1,103 @@
 //! Calls that wait, in their order.
 
 use crate::harness::{requested_load, settings_with, worker, Harness, MS};
+use std::collections::{BTreeMap, VecDeque};
 use tansyrouter::*;
 
-#[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
-)]
-fn with_thousands_waiting_late_lost_and_repeated_calls_are_still_found_in_their_order() {
-    // Calls with hints from light to heavy wait on one busy lane; some come back from a worker that is cut off.
-    let mut set = settings_with(Effect::Safe);
-    set.classes[0].latency_objective = 2 * SECOND;
-    set.classes[0].deadline = 6 * SECOND;
-    let mut harness = Harness::new(set);
-    harness.ready_workers(2);
-    let (mut ended, mut next) = (std::collections::BTreeMap::new(), 0u64);
-    let mut began = std::collections::BTreeMap::new();
-    let mut out: Vec<(RequestId, WorkerId, u32)> = Vec::new();
-    let mut attempts: std::collections::BTreeMap<RequestId, u32> = Default::default();
-    let mut rng = fastrand::Rng::with_seed(5);
-    for step in 0..900 {
-        let mut actions = Vec::new();
-        if step < 300 {
-            for _ in 0..10 {
-                next += 1;
-                began.insert(RequestId(next), harness.now);
-                actions.extend(harness.handle(Event::Arrival(Arrival {
-                    request: RequestId(next),
-                    function: FunctionId(next % 3),
-                    class: 0,
-                    tenant: 0,
-                    budget: rng.i64(1_000..6_000) * MS,
-                    work_hint: Some(rng.i64(1..200) * MS),
-                    lanes: 2,
-                    memory_mb: 300.0,
-                    load_time: Some(50 * MS),
-                    repeat: false,
-                })));
-            }
+/// The time of a call's client, in the next test.
+const CLIENT_TIMEOUT: Micros = 6 * SECOND;
+
+/// An attempt that has no end yet.
+struct OpenAttempt {
+    request: RequestId,
+    worker: WorkerId,
+    attempt: u32,
+}
+
+/// Calls with hints from light to heavy wait on one busy lane; some come back from a worker that is cut off.
+struct BusyLane {
+    harness: Harness,
+    rng: fastrand::Rng,
+    arrived: BTreeMap<RequestId, Time>,
+    ended: BTreeMap<RequestId, Time>,
+    open: VecDeque<OpenAttempt>,
+    attempts: BTreeMap<RequestId, u32>,
+}
+
+impl BusyLane {
+    fn new() -> BusyLane {
+        let mut settings = settings_with(Effect::Safe);
+        settings.classes[0].latency_objective = 2 * SECOND;
+        settings.classes[0].deadline = CLIENT_TIMEOUT;
+        let mut harness = Harness::new(settings);
+        harness.ready_workers(2);
+        BusyLane {
+            harness,
+            rng: fastrand::Rng::with_seed(5),
+            arrived: BTreeMap::new(),
+            ended: BTreeMap::new(),
+            open: VecDeque::new(),
+            attempts: BTreeMap::new(),
         }
-        if !out.is_empty() {
-            let (request, worker, attempt) = out.remove(0);
-            let outcome = *rng
-                .choice(&[Outcome::Served, Outcome::Served, Outcome::Rejected])
-                .unwrap();
-            let concluded = outcome == Outcome::Served;
-            if concluded {
-                ended.insert(request, harness.now);
-            }
-            let (latency, note) = (20 * MS, InstanceStatus::Warm);
-            let d = AttemptResult {
-                request,
-                attempt,
-                worker,
-                outcome,
-                concluded,
-                latency,
-                instance_status: note,
-                concurrency: None,
-                report: None,
-            };
-            actions.extend(harness.handle(Event::AttemptEnded(d)));
+    }
+
+    fn arrive(&mut self) -> Vec<Action> {
+        let number = self.arrived.len() as u64 + 1;
+        self.arrived.insert(RequestId(number), self.harness.now);
+        self.harness.handle(Event::Arrival(Arrival {
+            request: RequestId(number),
+            function: FunctionId(number % 3),
+            class: 0,
+            tenant: 0,
+            budget: self.rng.i64(1_000..6_000) * MS,
+            work_hint: Some(self.rng.i64(1..200) * MS),
+            lanes: 2,
+            memory_mb: 300.0,
+            load_time: Some(50 * MS),
+            repeat: false,
+        }))
+    }
+
+    /// Ends the oldest open attempt, two of three times well.
+    fn end_attempt(&mut self) -> Vec<Action> {
+        let Some(oldest) = self.open.pop_front() else {
+            return Vec::new();
+        };
+        let outcomes = [Outcome::Served, Outcome::Served, Outcome::Rejected];
+        let outcome = *self.rng.choice(&outcomes).unwrap();
+        let concluded = outcome == Outcome::Served;
+        if concluded {
+            self.ended.insert(oldest.request, self.harness.now);
         }
-        harness.now = harness.now.plus(10 * MS);
-        actions.extend(harness.handle(Event::Timer { token: 0 }));
-        while let Some(a) = actions.pop() {
-            match a {
+        self.harness.handle(Event::AttemptEnded(AttemptResult {
+            request: oldest.request,
+            attempt: oldest.attempt,
+            worker: oldest.worker,
+            outcome,
+            concluded,
+            latency: 20 * MS,
+            instance_status: InstanceStatus::Warm,
+            concurrency: None,
+            report: None,
+        }))
+    }
+
+    /// Carries actions out, the last one first.
+    fn carry_out(&mut self, mut actions: Vec<Action>) {
+        while let Some(action) = actions.pop() {
+            match action {
                 Action::Load {
                     worker, function, ..
                 } => {
-                    actions.extend(harness.end_load(worker, function.0, Outcome::Served));
+                    let loaded = self.harness.end_load(worker, function.0, Outcome::Served);
+                    actions.extend(loaded);
                 }
                 Action::Send {
                     request, worker, ..
-                } => {
-                    let n = attempts.entry(request).or_default();
-                    out.push((request, worker, *n));
-                    *n += 1;
-                }
+                } => self.send(request, worker),
                 Action::Reject { request, .. } | Action::Fail { request } => {
                     assert!(
-                        ended.insert(request, harness.now).is_none(),
+                        self.ended.insert(request, self.harness.now).is_none(),
                         "{request:?} ended twice"
                     );
                 }
@@ -89,12 +105,35 @@
             }
         }
     }
-    assert_eq!(ended.len() as u64, next, "every call has an end");
-    let late = ended
-        .iter()
-        .filter(|(r, at)| at.since(began[r]) > 6 * SECOND)
-        .count();
-    assert_eq!(late, 0, "none after its client's time");
+
+    fn send(&mut self, request: RequestId, worker: WorkerId) {
+        let attempts = self.attempts.entry(request).or_default();
+        self.open.push_back(OpenAttempt {
+            request,
+            worker,
+            attempt: *attempts,
+        });
+        *attempts += 1;
+    }
+}
+
+#[test]
+fn with_thousands_waiting_late_lost_and_repeated_calls_are_still_found_in_their_order() {
+    let mut lane = BusyLane::new();
+    for step in 0..900 {
+        let mut actions = Vec::new();
+        let arrivals = if step < 300 { 10 } else { 0 };
+        (0..arrivals).for_each(|_| actions.extend(lane.arrive()));
+        actions.extend(lane.end_attempt());
+        lane.harness.now = lane.harness.now.plus(10 * MS);
+        actions.extend(lane.harness.handle(Event::Timer { token: 0 }));
+        lane.carry_out(actions);
+    }
+    let arrived = &lane.arrived;
+    assert_eq!(lane.ended.len(), arrived.len(), "every call has an end");
+    let ends = lane.ended.iter();
+    let late = ends.filter(|(request, end)| end.since(arrived[request]) > CLIENT_TIMEOUT);
+    assert_eq!(late.count(), 0, "none after its client's time");
 }
 
 #[test]
