--- a/tests/path/src/scoped_fleet.rs
+++ b/tests/path/src/scoped_fleet.rs
@@ -86,14 +86,13 @@
         self.wait_until_in_force(transaction.id, names.len() as u32);
     }
 
-    /// Enters a transaction, by its id the same one each time. A voter whose process was held up by a busy machine may have lost
-    /// its lead, which it then has to gain again.
+    /// Enters a transaction, by its id the same one each time, until the voter accepts it.
     fn enter(&mut self, entry: Entry) {
         let voter = self.voter_address.address();
-        until("the voter leads", || {
+        until("the voter accepts it", || {
             match self.client.enter(voter, entry.clone()) {
                 Ok(_) => true,
-                Err(error) if error.to_string().contains("does not lead the fleet") => false,
+                Err(error) if is_lost_lead(&error.to_string()) => false,
                 Err(error) => panic!("it is entered: {error}"),
             }
         });
@@ -125,6 +124,12 @@
     }
 }
 
+/// Whether an entry is rejected because the voter, whose process was held up by a busy machine, has lost its lead or has just
+/// gained it again and not heard from the other front end yet.
+fn is_lost_lead(rejection: &str) -> bool {
+    rejection.contains("does not lead the fleet") || rejection.contains("ask again in a moment")
+}
+
 fn start_member(
     settings: &str,
     workers: &[ListedWorker],
