--- a/tests/compatibility/src/entries.rs
+++ b/tests/compatibility/src/entries.rs
@@ -48,12 +48,12 @@
     .into()
 }
 
-fn propose(id: u64, base: u64, attempts: i64, why: &str) -> LogEntry {
+fn propose(id: u64, base: u64, attempts: i64, reason: &str) -> LogEntry {
     LogEntry::Propose {
         id,
         base: Version(base),
         fields: with_attempts(attempts),
-        reason: why.into(),
+        reason: reason.into(),
     }
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// Changes of versions: in force, given up while told, given up while joint.
+/// Changes of versions: in force, given up while front ends were notified, given up while joint.
 fn versions() -> Vec<LogEntry> {
     let member = |id, incarnation| Member { id, incarnation };
     let join = |id, name: &str| LogEntry::Join {
@@ -104,11 +104,11 @@
     }
 }
 
-fn request(id: u64, changes: Vec<ScopeUpdate>, why: &str) -> ScopeTransaction {
+fn request(id: u64, updates: Vec<ScopeUpdate>, reason: &str) -> ScopeTransaction {
     ScopeTransaction {
         id,
-        updates: changes,
-        reason: why.into(),
+        updates,
+        reason: reason.into(),
     }
 }
 
@@ -169,7 +169,7 @@
     ]
 }
 
-fn place(name: &str, zone: &str, seat: bool) -> Target {
+fn target(name: &str, zone: &str, seat: bool) -> Target {
     Target {
         name: name.into(),
         zone: zone.into(),
@@ -180,8 +180,8 @@
 fn plan() -> RolloutPlan {
     RolloutPlan {
         stages: vec![
-            vec![place("front-1", "a", true)],
-            vec![place("front-2", "a", false), place("front-3", "b", false)],
+            vec![target("front-1", "a", true)],
+            vec![target("front-2", "a", false), target("front-3", "b", false)],
         ],
         ..RolloutPlan::default()
     }
@@ -194,8 +194,8 @@
     }
 }
 
-/// What is seen of a stage: a verdict of each sort.
-fn seen(stage: usize, verdict: Option<Verdict>) -> Option<Box<StageObservation>> {
+/// The observation of a stage: a verdict of each sort.
+fn observation(stage: usize, verdict: Option<Verdict>) -> Option<Box<StageObservation>> {
     Some(Box::new(StageObservation {
         stage,
         elapsed_seconds: 61,
@@ -304,16 +304,16 @@
             name: "front-1".into(),
         }),
         rollout(RolloutEntry::BeginAnalysis { at: 4, fence }),
-        beat(seen(0, Some(open(None)))),
-        beat(seen(0, Some(open(Some(9))))),
-        beat(seen(0, Some(Verdict::Held { slices: 2 }))),
-        beat(seen(
+        beat(observation(0, Some(open(None)))),
+        beat(observation(0, Some(open(Some(9))))),
+        beat(observation(0, Some(Verdict::Held { slices: 2 }))),
+        beat(observation(
             0,
             Some(Verdict::Worse {
                 why: "slower".into(),
             }),
         )),
-        beat(seen(0, Some(Verdict::Fine))),
+        beat(observation(0, Some(Verdict::Fine))),
     ]
 }
 
@@ -341,22 +341,22 @@
             why: "look at it".into(),
         }),
         rollout(RolloutEntry::Resume { id }),
-        beat(fence, seen(1, None)),
+        beat(fence, observation(1, None)),
     ]
 }
 
 /// A replacement of a voter that is given up, and one that is made.
 fn replacement() -> Vec<LogEntry> {
     let (new, instead) = (4, 3);
-    let seat = |new| LogEntry::BeginVoterReplacement {
+    let begin = |new| LogEntry::BeginVoterReplacement {
         new,
         address: address(new),
         replaced: instead,
     };
     vec![
-        seat(5),
+        begin(5),
         LogEntry::CancelVoterReplacement { new: 5 },
-        seat(new),
+        begin(new),
         LogEntry::EnterJointConsensus {
             new,
             replaced: instead,
--- a/tests/compatibility/src/voters.rs
+++ b/tests/compatibility/src/voters.rs
@@ -11,7 +11,7 @@
 /// Time between two looks at every voter, microseconds.
 const STEP: i64 = 10_000;
 /// Looks within which an entry has to be agreed on.
-const LOOKS: usize = 1000;
+const MAX_ROUNDS: usize = 1000;
 /// The voters that the fleet begins with, the one that takes over from voter 3, and the one that does not.
 const ALL: u64 = 5;
 
@@ -88,8 +88,8 @@
         let text = format!("{entry:?}");
         let leader = self.leader().expect("it was there");
         let mut number = None;
-        self.act(leader, |voter, _, out| {
-            number = voter.propose(entry, out);
+        self.act(leader, |voter, _, effects| {
+            number = voter.propose(entry, effects);
         });
         self.proposed = Some(number.expect("the leader takes it"));
         self.run(&text, |fleet| fleet.applied == fleet.proposed);
@@ -106,7 +106,7 @@
     }
 
     fn run(&mut self, wanted: &str, done: impl Fn(&Fleet) -> bool) {
-        for _ in 0..LOOKS {
+        for _ in 0..MAX_ROUNDS {
             if done(self) {
                 return;
             }
@@ -118,10 +118,12 @@
                 }
             }
             while let Some((from, to, bytes)) = self.messages.pop_front() {
-                self.act(to, |voter, _, out| voter.on_message(from, &bytes, out));
+                self.act(to, |voter, _, effects| {
+                    voter.on_message(from, &bytes, effects)
+                });
             }
         }
-        panic!("not within {LOOKS} looks: {wanted}");
+        panic!("not within {MAX_ROUNDS} looks: {wanted}");
     }
 
     fn act(&mut self, me: u64, act: impl FnOnce(&mut Replica, i64, &mut Vec<Effect>)) {
@@ -129,11 +131,11 @@
             // It does not run: what is sent to it is lost.
             return;
         };
-        let mut out = Vec::new();
-        act(voter, self.now, &mut out);
+        let mut effects = Vec::new();
+        act(voter, self.now, &mut effects);
         let mut at = 0;
-        while at < out.len() {
-            match out[at].clone() {
+        while at < effects.len() {
+            match effects[at].clone() {
                 Effect::Send { to, bytes } => {
                     self.messages.push_back((me, to, bytes));
                 }
@@ -142,7 +144,7 @@
                     snapshot: whole,
                 } => {
                     self.writes.entry(me).or_default().push((record, whole));
-                    voter.on_persisted(true, &mut out);
+                    voter.on_persisted(true, &mut effects);
                 }
                 Effect::Applied {
                     proposal: mine,
--- a/tests/compatibility/tests/fleet.rs
+++ b/tests/compatibility/tests/fleet.rs
@@ -17,13 +17,13 @@
         assert_eq!(
             decode_message(FLEET, &bytes),
             Ok((sender(), LEADER, body.clone())),
-            "letter {name}"
+            "message {name}"
         );
         let written = encode_message(FLEET, &sender(), LEADER, body);
         assert_eq!(
             fixture::hex(&written),
             fixture::hex(&bytes),
-            "letter {name}"
+            "message {name}"
         );
     }
 }
--- a/tests/compatibility/tests/membership.rs
+++ b/tests/compatibility/tests/membership.rs
@@ -21,15 +21,15 @@
 #[test]
 fn datagrams_of_an_earlier_program_make_it_known_and_let_it_leave() {
     let mut second = member(2);
-    let mut news = Vec::new();
+    let mut events = Vec::new();
     for (way, bytes) in fixture::messages("membership.txt") {
         if way == "1-to-2" {
             second.on_datagram(0, &bytes).expect("a datagram");
-            news.extend(second.take_events());
+            events.extend(second.take_events());
         }
     }
     assert_eq!(
-        news,
+        events,
         [MembershipEvent::Up(name(1)), MembershipEvent::Down(name(1))]
     );
 }
--- a/tests/compatibility/tests/settings.rs
+++ b/tests/compatibility/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings files are read as before: names, defaults and units of all fields.
 //!
 //! `fixtures/settings-full.cue` has every field of the schema, `settings-least.cue` only what must be there; of each the
-//! `.fields` beside it has all fields with their values as `tansy_settings::agree` told them, by `examples/record.rs`. The
+//! `.fields` beside it has all fields with their values as `tansy_settings::agree` gives them, by `examples/record.rs`. The
 //! other files were written by hand.
 
 use tansy_agreement::compatibility::Value;
--- a/tests/compatibility/tests/voters.rs
+++ b/tests/compatibility/tests/voters.rs
@@ -20,26 +20,26 @@
 fn stored(voter: u64, test: &str) -> PersistentState {
     let copy = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}-{voter}.redb"));
     std::fs::copy(fixture::path(&format!("voter-{voter}.redb")), &copy).expect("a copy");
-    let (_, held) = LogStorage::open(&copy).expect("a file of an earlier program");
+    let (_, recovered) = LogStorage::open(&copy).expect("a file of an earlier program");
     PersistentState {
-        snapshot: held.snapshot,
-        records: held.records,
+        snapshot: recovered.snapshot,
+        records: recovered.records,
     }
 }
 
 /// Its log, as far as the file says that it is agreed on.
 fn log(voter: u64, saved: &PersistentState) -> Log {
-    let mut seats =
+    let mut replica =
         Replica::new(voters::setup(voter, 2), saved, 0).expect("records of an earlier program");
-    let mut out = Vec::new();
-    seats.tick(0, &mut out);
-    seats.log().expect("it was begun").clone()
+    let mut effects = Vec::new();
+    replica.tick(0, &mut effects);
+    replica.log().expect("it was begun").clone()
 }
 
 /// The log that the entries make, without anything that is stored.
 fn expected(entries: usize) -> Log {
-    let seats = (1..=3).map(|n| (n, address(n)));
-    let mut log = Log::new(voters::first_fields(), seats);
+    let voters = (1..=3).map(|voter| (voter, address(voter)));
+    let mut log = Log::new(voters::first_fields(), voters);
     for entry in voters::entries().into_iter().take(entries) {
         let text = format!("{entry:?}");
         log.apply(entry).unwrap_or_else(|e| panic!("{text}: {e}"));
@@ -128,10 +128,10 @@
 fn functions_of_a_file_are_as_they_were() {
     for voter in [1, 4] {
         let log = log(voter, &stored(voter, "functions"));
-        let scoped = |revision, fields, standing| ScopeRecord {
+        let scoped = |revision, fields, phase| ScopeRecord {
             revision: Revision(revision),
             fields,
-            phase: standing,
+            phase,
         };
         let back = ScopePhase::Reverting {
             since: Revision(14),
--- a/tests/path/src/lib.rs
+++ b/tests/path/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod workers;
 
 pub use gateway::{Account, FleetMember, GatewayThread};
-pub use messages::{id, last, parameter, request, retry_pushback};
+pub use messages::{id, is_last, parameter, request, retry_pushback};
 use std::time::{Duration, Instant};
 pub use worker_list::ListedWorker;
 pub use workers::Workers;
--- a/tests/path/src/messages.rs
+++ b/tests/path/src/messages.rs
@@ -35,7 +35,7 @@
 }
 
 /// Whether a piece is its call's last.
-pub fn last(piece: &pb::ModelStreamInferResponse) -> bool {
+pub fn is_last(piece: &pb::ModelStreamInferResponse) -> bool {
     use pb::infer_parameter::ParameterChoice::BoolParam;
     let flag = piece
         .infer_response
--- a/tests/path/src/peer.rs
+++ b/tests/path/src/peer.rs
@@ -30,16 +30,16 @@
 }
 
 /// One connection of a peer.
-pub struct Wire(TcpStream);
+pub struct Http2Connection(TcpStream);
 
-impl Wire {
+impl Http2Connection {
     /// Of a connection that stands; reads give up after 5 s.
-    pub fn new(socket: TcpStream) -> Wire {
+    pub fn new(socket: TcpStream) -> Http2Connection {
         socket
             .set_read_timeout(Some(Duration::from_secs(5)))
             .expect("a time-out");
         socket.set_nodelay(true).expect("no delay");
-        Wire(socket)
+        Http2Connection(socket)
     }
 
     /// Sends a frame.
@@ -51,7 +51,7 @@
     }
 
     /// Sends bytes as they are.
-    pub fn raw(&mut self, bytes: &[u8]) {
+    pub fn send_bytes(&mut self, bytes: &[u8]) {
         let _ = self.0.write_all(bytes);
     }
 
@@ -132,12 +132,18 @@
 
 /// A header field, literal without indexing, no Huffman code (RFC 7541, section 6.2.2).
 pub fn literal(name: &str, value: &str) -> Vec<u8> {
-    let text = |t: &str| [&[u8::try_from(t.len()).expect("short")][..], t.as_bytes()].concat();
+    let text = |text: &str| {
+        [
+            &[u8::try_from(text.len()).expect("short")][..],
+            text.as_bytes(),
+        ]
+        .concat()
+    };
     [vec![0], text(name), text(value)].concat()
 }
 
 /// A worker by script: called with each connection's number and its wire, after the preface and settings.
-pub struct Peer {
+pub struct ScriptedWorker {
     /// Where it listens.
     pub address: SocketAddr,
     /// What the script reports.
@@ -145,14 +151,16 @@
 }
 
 /// Starts a worker by script.
-pub fn worker(mut script: impl FnMut(usize, Wire, &mpsc::Sender<String>) + Send + 'static) -> Peer {
+pub fn worker(
+    mut script: impl FnMut(usize, Http2Connection, &mpsc::Sender<String>) + Send + 'static,
+) -> ScriptedWorker {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let (reporter, reports) = mpsc::channel();
     std::thread::spawn(move || {
         for (number, socket) in listener.incoming().enumerate() {
             let Ok(socket) = socket else { return };
-            let mut wire = Wire::new(socket);
+            let mut wire = Http2Connection::new(socket);
             let mut preface = [0; 24];
             if wire.0.read_exact(&mut preface).is_err() {
                 continue;
@@ -161,13 +169,13 @@
             script(number, wire, &reporter);
         }
     });
-    Peer { address, reports }
+    ScriptedWorker { address, reports }
 }
 
 /// A client by script: the connection after preface and settings.
-pub fn client(address: SocketAddr) -> Wire {
-    let mut wire = Wire::new(TcpStream::connect(address).expect("a connection"));
-    wire.raw(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
+pub fn client(address: SocketAddr) -> Http2Connection {
+    let mut wire = Http2Connection::new(TcpStream::connect(address).expect("a connection"));
+    wire.send_bytes(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
     wire.send(kind::SETTINGS, 0, 0, &[]);
     wire
 }
--- a/tests/path/tests/abuse.rs
+++ b/tests/path/tests/abuse.rs
@@ -200,7 +200,7 @@
     let allowed = rlimit::increase_nofile_limit(30_000).unwrap_or(1024);
     let count = 10_000.min(allowed.saturating_sub(200) / 2) as usize;
     let (gateway, _workers) = start(SETTINGS);
-    let idle: Vec<peer::Wire> = (0..count).map(|_| peer::client(gateway.grpc)).collect();
+    let idle: Vec<peer::Http2Connection> = (0..count).map(|_| peer::client(gateway.grpc)).collect();
     still_serves(&gateway);
     assert_eq!(idle.len(), count);
     assert!(count >= 400, "only {allowed} descriptors allowed");
--- a/tests/path/tests/scopes.rs
+++ b/tests/path/tests/scopes.rs
@@ -6,7 +6,7 @@
 use tansy_dispatch::{FunctionShape, Input};
 use tansy_net_inference::{DirectoryEntry, FunctionDirectory};
 use tansy_path_tests::{
-    id, last, request, retry_pushback, run, settings_of_echo, until, GatewayThread, Workers,
+    id, is_last, request, retry_pushback, run, settings_of_echo, until, GatewayThread, Workers,
     SETTINGS,
 };
 use tokio_stream::StreamExt;
@@ -134,7 +134,7 @@
             ends.extend(
                 pieces
                     .iter()
-                    .map(|piece| Ok(format!("{} {}", id(piece), last(piece)))),
+                    .map(|piece| Ok(format!("{} {}", id(piece), is_last(piece)))),
             );
         }
         ends
@@ -299,7 +299,7 @@
             tokio::task::yield_now().await;
         }
         scene.set_answer(DirectoryAnswer::Class("safe"));
-        let rest = pieces.map(|piece| piece.unwrap()).filter(last);
+        let rest = pieces.map(|piece| piece.unwrap()).filter(is_last);
         let mut rest: Vec<_> = rest.collect().await;
         rest.sort_by_key(|piece| id(piece).to_string());
         let rest: Vec<_> = rest
--- a/tests/path/tests/served.rs
+++ b/tests/path/tests/served.rs
@@ -1,7 +1,7 @@
 //! What is served, and how it is said.
 
 use std::time::{Duration, Instant};
-use tansy_path_tests::{id, last, pb, request, run, start, start_without_time_pressure, Client};
+use tansy_path_tests::{id, is_last, pb, request, run, start, start_without_time_pressure, Client};
 use tokio_stream::StreamExt;
 use tonic::{Code, Status};
 
@@ -113,7 +113,7 @@
         let response = piece.infer_response.as_ref();
         ReceivedPiece {
             id: id(&piece).into(),
-            is_last: last(&piece),
+            is_last: is_last(&piece),
             outputs: response.map_or(0, |response| response.outputs.len()),
             error: piece.error_message,
         }
