--- a/tests/path/src/lib.rs
+++ b/tests/path/src/lib.rs
@@ -51,14 +51,6 @@
     (GatewayThread::start(SETTINGS, &workers.listed()), workers)
 }
 
-/// Workers and a gateway as [`start`] gives them, for tests in which the speed of the machine is of no interest: a call has a
-/// minute until it is late, so that none is refused in favour of one that can still be in time.
-pub fn start_without_time_pressure(workers: usize) -> (GatewayThread, Workers) {
-    let settings = SETTINGS.replace("aim: 2s, deadline: 3s", "aim: 60s, deadline: 60s");
-    let workers = Workers::start(workers);
-    (GatewayThread::start(&settings, &workers.listed()), workers)
-}
-
 /// [`SETTINGS`] that name `echo` alone.
 pub fn settings_of_echo() -> String {
     let lines = SETTINGS.lines();
--- a/tests/path/tests/scoped_fleet.rs
+++ b/tests/path/tests/scoped_fleet.rs
@@ -6,7 +6,6 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 use tansy_agreement::compatibility::{Fields, Value};
-use tansy_dispatch::pending_lookups::MAX_WAIT;
 use tansy_path_tests::scoped_fleet::{ScopedFleet, SCOPED_FUNCTIONS};
 use tansy_path_tests::{pb, request, retry_pushback, run, until, Account, Client, GatewayThread};
 use tansy_test_support::fleet::{built_program, front_end_command};
@@ -16,9 +15,6 @@
 /// What the front end answers a first call in, at the longest.
 const FIRST_CALL: Duration = Duration::from_millis(490);
 
-/// For which time a call waits for what its function is, at the longest.
-const LOOKUP_WAIT: Duration = Duration::from_micros(MAX_WAIT as u64);
-
 fn fields(class: &str, lanes: i64) -> Fields {
     let text = |text: &str| Value::Text(text.into());
     [
@@ -87,23 +83,6 @@
     })
 }
 
-/// A first call that is served: after which time. It may be refused only once it has waited for the voter's answer as long as a
-/// call may, when a busy machine held the voter up; its repeats are then served.
-fn served_first_call(gateway: &GatewayThread, function: &str) -> Option<Duration> {
-    let (end, took) = call(gateway, function);
-    let Err(status) = end else {
-        assert_eq!(end.as_deref().ok(), Some("mine"), "{function}: {end:?}");
-        return Some(took);
-    };
-    let advised = retry_pushback(&status).is_some();
-    assert!(
-        status.code() == Code::Unavailable && advised && took >= LOOKUP_WAIT,
-        "{function} after {took:?}: {status:?}"
-    );
-    until("it is served", || code(gateway, function) == Code::Ok);
-    None
-}
-
 /// Functions that are changed, removed, and set for the first time after they were called.
 fn check_changed_functions(fleet: &mut ScopedFleet) {
     fleet.set(&["a0"], Some(&fields("safe", 3)));
@@ -124,9 +103,13 @@
     let mut fleet = ScopedFleet::start("first");
     fleet.set(&SCOPED_FUNCTIONS[..5], Some(&fields("unsafe", 64)));
     // The quickest of five first calls: a machine that is busy with other things may hold up one or another.
+    let first_call = |function: &&str| {
+        let (end, took) = call(&fleet.front_end, function);
+        assert_eq!(end.as_deref().ok(), Some("mine"), "{function}: {end:?}");
+        took
+    };
     let calls = SCOPED_FUNCTIONS[..5].iter();
-    let served = calls.filter_map(|function| served_first_call(&fleet.front_end, function));
-    let quickest = served.min().expect("one of five is served");
+    let quickest = calls.map(first_call).min().expect("five");
     assert!(quickest < FIRST_CALL, "{quickest:?}");
     let ran: u64 = fleet.workers.ran().iter().sum();
     assert_eq!(ran, 5, "each ran once");
@@ -193,7 +176,7 @@
     let mut fleet = ScopedFleet::start("gone");
     fleet.set(&SCOPED_FUNCTIONS, Some(&fields("unsafe", 64)));
     let front_end = &fleet.front_end;
-    served_first_call(front_end, "a0");
+    assert_eq!(code(front_end, "a0"), Code::Ok);
     let resume = suspend(&fleet.voter);
     let calls = SCOPED_FUNCTIONS[3..].iter();
     let quickest = calls.map(|function| refused_first_call(front_end, function));
--- a/tests/path/tests/served.rs
+++ b/tests/path/tests/served.rs
@@ -1,9 +1,9 @@
 //! What is served, and how it is said.
 
 use std::time::{Duration, Instant};
-use tansy_path_tests::{id, is_last, pb, request, run, start, start_without_time_pressure, Client};
+use tansy_path_tests::{id, is_last, pb, request, run, start, Client};
 use tokio_stream::StreamExt;
-use tonic::{Code, Status};
+use tonic::Code;
 
 #[test]
 fn a_unary_call_comes_back_with_its_tensors_and_its_id() {
@@ -183,12 +183,13 @@
 
 #[test]
 fn two_thousand_calls_started_at_once_on_one_connection_are_all_served() {
-    let (gateway, _workers) = start_without_time_pressure(3);
+    let (gateway, _workers) = start(3);
     run(async {
         let client = gateway.client().await;
         let calls = (0..2000).map(|number: usize| {
             let mut client = client.clone();
             let mut call = tonic::Request::new(request("echo", &number.to_string(), &[]));
+            // It is not of interest here how fast the machine is.
             call.set_timeout(Duration::from_secs(60));
             async move { client.model_infer(call).await.map(|r| r.into_inner().id) }
         });
@@ -206,14 +207,6 @@
     assert_eq!((account.get("taken"), account.get("served")), (2000, 2000));
 }
 
-/// The time of a client that waits `200m`.
-const CLIENT_TIMEOUT: Duration = Duration::from_millis(200);
-
-/// The client library ends a call by itself once its time is up.
-fn is_client_timeout(status: &Status) -> bool {
-    matches!(status.code(), Code::Cancelled | Code::DeadlineExceeded)
-}
-
 #[test]
 fn a_call_s_own_time_is_kept_at_both_ends_of_the_range() {
     let (gateway, workers) = start(1);
@@ -240,23 +233,17 @@
             "what had no time never reached the worker"
         );
         assert_eq!(timed("99999999H", 0).await.unwrap().into_inner().id, "t");
-        // The quickest of five: a machine that is busy with other things may hold up one or another.
-        let mut quickest = Duration::MAX;
-        for _ in 0..5 {
-            let started = Instant::now();
-            let late = timed("200m", 1000).await.unwrap_err();
-            let took = started.elapsed();
-            quickest = quickest.min(took);
-            // Only the client itself says anything else, once its time is up.
-            let in_time = took < CLIENT_TIMEOUT;
-            assert!(
-                late.code() == Code::Unavailable || !in_time && is_client_timeout(&late),
-                "a safe call's refusal after {took:?}: {late:?}"
-            );
-        }
+        let started = Instant::now();
+        let late = timed("200m", 1000).await.unwrap_err();
         assert!(
-            quickest < CLIENT_TIMEOUT,
-            "before the client's time is up: {quickest:?}"
+            started.elapsed().as_millis() < 200,
+            "before the client's time is up: {:?}",
+            started.elapsed()
+        );
+        assert_eq!(
+            late.code(),
+            Code::Unavailable,
+            "a safe call's refusal: {late:?}"
         );
         let bad = timed("1 s", 0).await.unwrap_err();
         assert_eq!(bad.code(), Code::InvalidArgument, "{bad:?}");
