--- a/benches/state/src/calls.rs
+++ b/benches/state/src/calls.rs
@@ -2,8 +2,8 @@
 
 use crate::day::{self, arrival, Day, Ledger, Machine, Module};
 use crate::inputs::{self, Draw, LOAD, WARM};
-use crate::measure::{ms, timed, Grown, Line};
-use crate::{Args, Wrong};
+use crate::measure::{ms, timed, MemoryGrowth, OutputRecord};
+use crate::{Args, BenchError};
 use tansy_dispatch::{Dispatcher, Input};
 use tansyrouter::{
     Event, FunctionId, ListKind, Micros, Outcome, RequestId, Router, Time, WorkerEntry, WorkerId,
@@ -31,28 +31,28 @@
 }
 
 /// So many workers have so many instances.
-fn workers(a: &Args) -> usize {
-    a.instances.div_ceil(WARM).max(1)
+fn workers(args: &Args) -> usize {
+    args.instances.div_ceil(WARM).max(1)
 }
 
-fn figures<M: Machine>(day: &Day<M>, line: &mut Line) {
-    line.put("decide_us", day.decide.us());
-    line.put("told_us", day.told.us());
-    line.put("tick_us", day.tick.us());
-    line.figure("tick_cpu", day.tick_cpu());
-    line.count("calls", day.ended() as usize);
-    line.count("unserved", day.unserved as usize);
+fn figures<M: Machine>(day: &Day<M>, output: &mut OutputRecord) {
+    output.insert("decide_us", day.decide.us());
+    output.insert("told_us", day.told.us());
+    output.insert("tick_us", day.tick.us());
+    output.figure("tick_cpu", day.tick_cpu());
+    output.count("calls", day.ended() as usize);
+    output.count("unserved", day.unserved as usize);
 }
 
 /// The module, which knows every function by a call and every instance by an order.
-pub fn module(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let (draw, workers) = (Draw::new(a.functions, a.seed), workers(a));
-    line.count("workers", workers);
-    line.figure("seldom", inputs::seldom(&draw.shares()));
-    let mut rng = fastrand::Rng::with_seed(a.seed);
-    let grown = Grown::begin();
-    let router = Router::new(inputs::settings(a.front_ends), a.seed, Time(0))
-        .map_err(|e| Wrong::run("the module's settings", e))?;
+pub fn module(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let (draw, workers) = (Draw::new(args.functions, args.seed), workers(args));
+    output.count("workers", workers);
+    output.figure("seldom", inputs::seldom(&draw.shares()));
+    let mut rng = fastrand::Rng::with_seed(args.seed);
+    let grown = MemoryGrowth::begin();
+    let router = Router::new(inputs::settings(args.front_ends), args.seed, Time(0))
+        .map_err(|e| BenchError::failed("the module's settings", e))?;
     let mut module = Module::new(router);
     let entries = (0..workers).map(entry).collect();
     let (_, took) = timed(|| {
@@ -64,7 +64,7 @@
             },
         )
     });
-    line.figure("list_ms", ms(took));
+    output.figure("list_ms", ms(took));
     // Time passes between: what the module does by the clock is done.
     let mut now = 0;
     let mut pass = |module: &mut Module, n: usize| {
@@ -75,7 +75,7 @@
         now
     };
     let first = u64::MAX / 2;
-    for f in 0..a.functions {
+    for f in 0..args.functions {
         let now = pass(&mut module, f);
         module.tell(now, Event::Arrival(arrival(first + f as u64, f)));
         module.tell(
@@ -85,11 +85,11 @@
             },
         );
     }
-    line.figure("functions_mb", grown.mb());
-    for n in 0..a.instances {
+    output.figure("functions_mb", grown.mb());
+    for n in 0..args.instances {
         let now = pass(&mut module, n);
         // Instances of a worker are of functions of their own where there are as many.
-        let function = (n / WARM + (n % WARM) * (a.functions / WARM).max(1)) % a.functions;
+        let function = (n / WARM + (n % WARM) * (args.functions / WARM).max(1)) % args.functions;
         let (worker, function) = (WorkerId((n / WARM) as u64), FunctionId(function as u64));
         let (outcome, latency) = (Outcome::Served, LOAD);
         module.tell(
@@ -104,22 +104,26 @@
         );
     }
     let now = pass(&mut module, 0);
-    let mut day = Day::new(module, draw, a.front_ends, rng.u64(..));
+    let mut day = Day::new(module, draw, args.front_ends, rng.u64(..));
     day.begin(now);
     day.run(SECOND);
     day.forget();
     day.run(TOUCHED);
-    line.figure("memory_mb", grown.mb());
-    line.figure("peak_mb", grown.peak_mb());
-    figures(&day, line);
+    output.figure("memory_mb", grown.mb());
+    output.figure("peak_mb", grown.peak_mb());
+    figures(&day, output);
     Ok(())
 }
 
-fn front(a: &Args, names: &[String], line: &mut Line) -> Result<Dispatcher, Wrong> {
-    let config = inputs::config(names, a.front_ends, a.seed);
+fn front(
+    args: &Args,
+    names: &[String],
+    output: &mut OutputRecord,
+) -> Result<Dispatcher, BenchError> {
+    let config = inputs::config(names, args.front_ends, args.seed);
     let (front, took) = timed(|| Dispatcher::new(config, Time(0)));
-    line.figure("front_ms", ms(took));
-    front.map_err(|e| Wrong::run("the ledger's settings", e))
+    output.figure("front_ms", ms(took));
+    front.map_err(|e| BenchError::failed("the ledger's settings", e))
 }
 
 fn workers_listed(workers: usize) -> Input {
@@ -130,25 +134,25 @@
 }
 
 /// The ledger with the module in it, in a steady day.
-pub fn ledger(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let names = inputs::names(a.functions, a.seed);
-    let (draw, workers) = (Draw::new(a.functions, a.seed), workers(a));
-    line.count("workers", workers);
-    line.figure("seldom", inputs::seldom(&draw.shares()));
-    line.count("unlisted", usize::from(a.unlisted));
-    let mut ledger = Ledger::new(front(a, &[], line)?, names, a.unlisted);
-    let grown = Grown::begin();
-    if !a.unlisted {
-        let real = front(a, ledger.names(), line)?;
+pub fn ledger(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let names = inputs::names(args.functions, args.seed);
+    let (draw, workers) = (Draw::new(args.functions, args.seed), workers(args));
+    output.count("workers", workers);
+    output.figure("seldom", inputs::seldom(&draw.shares()));
+    output.count("unlisted", usize::from(args.unlisted));
+    let mut ledger = Ledger::new(front(args, &[], output)?, names, args.unlisted);
+    let grown = MemoryGrowth::begin();
+    if !args.unlisted {
+        let real = front(args, ledger.names(), output)?;
         ledger.replace(real);
     }
     let listed = workers_listed(workers);
     let (_, took) = timed(|| ledger.tell(0, listed));
-    line.figure("list_ms", ms(took));
-    let mut day = Day::new(ledger, draw, a.front_ends, a.seed);
-    if a.unlisted {
+    output.figure("list_ms", ms(took));
+    let mut day = Day::new(ledger, draw, args.front_ends, args.seed);
+    if args.unlisted {
         // Every function is told of by a call, whose client leaves.
-        let names = inputs::names(a.functions, a.seed);
+        let names = inputs::names(args.functions, args.seed);
         let first = u64::MAX / 2;
         for (n, name) in names.iter().enumerate() {
             let at = (n / AT_ONCE) as Micros * 20_000;
@@ -167,39 +171,39 @@
         day.run(STEADY);
     }
     day.forget();
-    day.run(if a.unlisted { 3 * TOUCHED } else { MEASURED });
-    line.figure("memory_mb", grown.mb());
-    line.figure("peak_mb", grown.peak_mb());
-    line.count("functions_held", day.machine.front().name_counts().0);
-    figures(&day, line);
+    day.run(if args.unlisted { 3 * TOUCHED } else { MEASURED });
+    output.figure("memory_mb", grown.mb());
+    output.figure("peak_mb", grown.peak_mb());
+    output.count("functions_held", day.machine.front().name_counts().0);
+    figures(&day, output);
     Ok(())
 }
 
 /// The part of a cold start that is a front end's own.
-pub fn cold_start(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let names = inputs::names(a.functions, a.seed);
-    let (draw, workers) = (Draw::new(a.functions, a.seed), workers(a));
-    line.count("workers", workers);
-    line.figure("cold_calls_s", COLD_S);
-    line.figure("load_ms", LOAD as f64 / 1e3);
-    let front = front(a, &names, line)?;
+pub fn cold_start(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let names = inputs::names(args.functions, args.seed);
+    let (draw, workers) = (Draw::new(args.functions, args.seed), workers(args));
+    output.count("workers", workers);
+    output.figure("cold_calls_s", COLD_S);
+    output.figure("load_ms", LOAD as f64 / 1e3);
+    let front = front(args, &names, output)?;
     // Functions that nobody has called are told of by their calls.
     let mut ledger = Ledger::new(front, names, true);
     ledger.tell(0, workers_listed(workers));
-    let mut day = Day::new(ledger, draw, a.front_ends, a.seed);
+    let mut day = Day::new(ledger, draw, args.front_ends, args.seed);
     day.run(STEADY / 3);
     day.cold_calls(COLD_S, |ledger, n| ledger.add(format!("cold-{n:06x}")));
     day.run(5 * SECOND);
     day.forget();
     day.run(STEADY);
     let cold = &day.cold;
-    line.put("order_us", cold.order.us());
-    line.put("send_us", cold.send.us());
-    line.put("order_wait_ms", cold.order_wait.ms());
-    line.put("send_wait_ms", cold.send_wait.ms());
-    line.put("cold_ms", cold.in_all.ms());
-    line.count("cold_sent", cold.in_all.count() as usize);
-    line.count("cold_refused", cold.refused as usize);
-    line.put("tick_us", day.tick.us());
+    output.insert("order_us", cold.order.us());
+    output.insert("send_us", cold.send.us());
+    output.insert("order_wait_ms", cold.order_wait.ms());
+    output.insert("send_wait_ms", cold.send_wait.ms());
+    output.insert("cold_ms", cold.in_all.ms());
+    output.count("cold_sent", cold.in_all.count() as usize);
+    output.count("cold_refused", cold.refused as usize);
+    output.insert("tick_us", day.tick.us());
     Ok(())
 }
--- a/benches/state/src/day.rs
+++ b/benches/state/src/day.rs
@@ -2,7 +2,7 @@
 //! The module alone and the whole ledger are driven the same way; each of their steps is timed by the wall clock.
 
 use crate::inputs::{self, Draw, CALLS_S, CLASSES, LOAD};
-use crate::measure::Spread;
+use crate::measure::Distribution;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::time::{Duration, Instant};
@@ -411,15 +411,15 @@
 #[derive(Default)]
 pub struct Cold {
     /// Virtual time from the call to the order that loads.
-    pub order_wait: Spread,
+    pub order_wait: Distribution,
     /// Virtual time from the load's end to the send.
-    pub send_wait: Spread,
+    pub send_wait: Distribution,
     /// Virtual time from the call to the send.
-    pub in_all: Spread,
+    pub in_all: Distribution,
     /// Wall time of the ledger's steps from the call to the order, and of the one that sends.
-    pub order: Spread,
+    pub order: Distribution,
     /// See `order`.
-    pub send: Spread,
+    pub send: Distribution,
     /// Answered without a send.
     pub refused: u64,
 }
@@ -446,11 +446,11 @@
     rng: fastrand::Rng,
     now: Micros,
     /// Wall times: of the step that takes a call.
-    pub decide: Spread,
+    pub decide: Distribution,
     /// Of one that takes an answer.
-    pub told: Spread,
+    pub told: Distribution,
     /// Of one that only time brings.
-    pub tick: Spread,
+    pub tick: Distribution,
     in_ticks: Duration,
     since: Micros,
     ended: u64,
@@ -485,9 +485,9 @@
             open: HashMap::new(),
             rng: fastrand::Rng::with_seed(seed),
             now: 0,
-            decide: Spread::default(),
-            told: Spread::default(),
-            tick: Spread::default(),
+            decide: Distribution::default(),
+            told: Distribution::default(),
+            tick: Distribution::default(),
             in_ticks: Duration::ZERO,
             since: 0,
             ended: 0,
--- a/benches/state/src/fleet.rs
+++ b/benches/state/src/fleet.rs
@@ -1,7 +1,7 @@
 //! What grows with the front ends of a fleet: membership, the view made of it, the roster and its stays.
 
-use crate::measure::{ms, timed, Grown, Line, Spread};
-use crate::{Args, Wrong};
+use crate::measure::{ms, timed, Distribution, MemoryGrowth, OutputRecord};
+use crate::{Args, BenchError};
 use serde_json::json;
 use std::net::SocketAddr;
 use tansy_agreement::compatibility::Fields;
@@ -64,13 +64,13 @@
     }
 
     /// Another one joins; how long that took here.
-    fn joins(&mut self, now: i64, n: usize) -> Result<std::time::Duration, Wrong> {
+    fn joins(&mut self, now: i64, n: usize) -> Result<std::time::Duration, BenchError> {
         let mut other = self.other(name(n, self.seed));
         other.join(now, self.members.local().clone());
         let mut all = std::time::Duration::ZERO;
         for d in other.take_datagrams() {
             let (heard, took) = timed(|| self.members.on_datagram(now, &d.bytes));
-            heard.map_err(|e| Wrong::run("a datagram", e))?;
+            heard.map_err(|e| BenchError::failed("a datagram", e))?;
             all += took;
         }
         self.members.take_datagrams();
@@ -78,7 +78,7 @@
     }
 
     /// What it sends is answered by whom it is sent to.
-    fn answered(&mut self, now: i64) -> Result<(), Wrong> {
+    fn answered(&mut self, now: i64) -> Result<(), BenchError> {
         for d in self.members.take_datagrams() {
             (self.bytes, self.datagrams) = (self.bytes + d.bytes.len(), self.datagrams + 1);
             let mut other = self.other(d.to);
@@ -97,13 +97,15 @@
 }
 
 /// Membership as one front end holds it.
-pub fn members(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let grown = Grown::begin();
-    let mut known = Known::new(a.front_ends, a.seed);
-    let mut joins = Spread::default();
+pub fn members(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let grown = MemoryGrowth::begin();
+    let mut known = Known::new(args.front_ends, args.seed);
+    let mut joins = Distribution::default();
     let mut now = 0;
-    let first = a.front_ends.saturating_sub(1 + JOINS.min(a.front_ends / 2));
-    for n in 0..a.front_ends.saturating_sub(1) {
+    let first = args
+        .front_ends
+        .saturating_sub(1 + JOINS.min(args.front_ends / 2));
+    for n in 0..args.front_ends.saturating_sub(1) {
         now += 1000;
         let took = known.joins(now, n)?;
         if n >= first {
@@ -111,11 +113,11 @@
         }
     }
     let up = known.members.take_events().len();
-    line.count("members", known.members.all().count() + 1);
-    line.figure("memory_mb", grown.mb());
-    line.put("join_us", joins.us());
+    output.count("members", known.members.all().count() + 1);
+    output.figure("memory_mb", grown.mb());
+    output.insert("join_us", joins.us());
     // Probes that are answered, and the news of all who joined, which are told on meanwhile.
-    let (mut ticks, end) = (Spread::default(), now + PROBED);
+    let (mut ticks, end) = (Distribution::default(), now + PROBED);
     while let Some(next) = known.members.next_deadline().filter(|t| *t <= end) {
         now = now.max(next);
         let (_, took) = timed(|| known.members.tick(now));
@@ -123,17 +125,20 @@
         known.answered(now)?;
     }
     let seconds = PROBED as f64 / 1e6;
-    line.put("tick_us", ticks.us());
-    line.figure("datagrams_s", known.datagrams as f64 / seconds);
-    line.figure("datagram_bytes_s", known.bytes as f64 / seconds);
-    line.count("news", up + known.members.take_events().len());
+    output.insert("tick_us", ticks.us());
+    output.figure("datagrams_s", known.datagrams as f64 / seconds);
+    output.figure("datagram_bytes_s", known.bytes as f64 / seconds);
+    output.count("news", up + known.members.take_events().len());
     // What each piece of news makes a front end do: `Peer::spread`, with `Front::knows` and `View::parent`.
-    let (mut view, mut compare, mut parent) =
-        (Spread::default(), Spread::default(), Spread::default());
-    let before = Grown::begin();
+    let (mut view, mut compare, mut parent) = (
+        Distribution::default(),
+        Distribution::default(),
+        Distribution::default(),
+    );
+    let before = MemoryGrowth::begin();
     let mut held = known.members.topology(SEAT);
-    line.figure("view_mb", before.mb());
-    let asks = id(0, a.seed);
+    output.figure("view_mb", before.mb());
+    let asks = id(0, args.seed);
     for n in 0..50 {
         let (now_seen, took) = timed(|| known.members.topology(SEAT));
         view.add(took);
@@ -142,27 +147,27 @@
         let (found, took) = timed(|| now_seen.parent(asks, n % 3));
         parent.add(took);
         if !same || found.is_none() {
-            return Err(Wrong::run(
+            return Err(BenchError::failed(
                 "the view",
                 "it changed, or the front end isn't in it",
             ));
         }
         held = now_seen;
     }
-    line.put("view_us", view.us());
-    line.put("compare_us", compare.us());
-    line.put("parent_us", parent.us());
-    line.figure("peak_mb", grown.peak_mb());
+    output.insert("view_us", view.us());
+    output.insert("compare_us", compare.us());
+    output.insert("parent_us", parent.us());
+    output.figure("peak_mb", grown.peak_mb());
     Ok(())
 }
 
 /// [`LeaseTopology`] alone, of names that are at hand.
-pub fn view(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let names: Vec<u64> = (0..a.front_ends).map(|n| id(n, a.seed)).collect();
-    let grown = Grown::begin();
+pub fn view(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let names: Vec<u64> = (0..args.front_ends).map(|n| id(n, args.seed)).collect();
+    let grown = MemoryGrowth::begin();
     let kept = LeaseTopology::new(SEAT, names.iter().copied());
-    line.figure("memory_mb", grown.mb());
-    let (mut make, mut parent, mut depth) = (Spread::default(), Spread::default(), 0);
+    output.figure("memory_mb", grown.mb());
+    let (mut make, mut parent, mut depth) = (Distribution::default(), Distribution::default(), 0);
     for name in names.iter().take(200) {
         let (made, took) = timed(|| LeaseTopology::new(SEAT, names.iter().copied()));
         make.add(took);
@@ -174,28 +179,28 @@
             + 1;
         depth = depth.max(links);
     }
-    line.put("view_us", make.us());
-    line.put("parent_us", parent.us());
+    output.insert("view_us", make.us());
+    output.insert("parent_us", parent.us());
     // Links from a front end to the seat, each of which a step takes.
-    line.count("links", depth);
+    output.count("links", depth);
     drop(kept);
     Ok(())
 }
 
 /// The roster of the log, and the stays that a seat gives.
-pub fn roster(a: &Args, line: &mut Line) -> Result<(), Wrong> {
+pub fn roster(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let member = |n: usize| Member {
-        id: id(n, a.seed),
+        id: id(n, args.seed),
         incarnation: 1,
     };
     let stays = LeaseTiming {
         span: 3600 * SECOND,
         drift_ppm: 1000,
     };
-    let grown = Grown::begin();
+    let grown = MemoryGrowth::begin();
     let mut log = Log::new(Fields::new(), [(SEAT, at(0))]);
-    let (mut joins, mut refused) = (Spread::default(), 0);
-    for n in 0..a.front_ends {
+    let (mut joins, mut refused) = (Distribution::default(), 0);
+    for n in 0..args.front_ends {
         let entry = LogEntry::Join {
             member: member(n),
             name: format!("front-end-{n}"),
@@ -206,30 +211,33 @@
         match joined {
             Ok(_) => {}
             Err(EntryRejection::TooManyMembers) => refused += 1,
-            Err(e) => return Err(Wrong::run("a front end that joins", e)),
+            Err(e) => return Err(BenchError::failed("a front end that joins", e)),
         }
     }
-    line.figure("memory_mb", grown.mb());
-    line.count("rostered", log.roster().count());
-    line.count("not_rostered", refused);
-    line.count("most_front_ends", MAX_MEMBERS);
+    output.figure("memory_mb", grown.mb());
+    output.count("rostered", log.roster().count());
+    output.count("not_rostered", refused);
+    output.count("most_front_ends", MAX_MEMBERS);
     if refused > 0 {
-        line.note(format!(
+        output.add_note(format!(
             "{}: {refused} front ends are not on it",
             EntryRejection::TooManyMembers
         ));
     }
-    line.put("apply_us", joins.us());
+    output.insert("apply_us", joins.us());
     let (bytes, took) = timed(|| postcard::to_stdvec(&log).map_or(0, |b| b.len()));
-    line.count("log_bytes", bytes);
+    output.count("log_bytes", bytes);
     // The log is encoded again after every 32 entries.
-    line.figure("encode_ms", ms(took));
-    let before = Grown::begin();
+    output.figure("encode_ms", ms(took));
+    let before = MemoryGrowth::begin();
     let roster: Vec<Member> = log.roster().map(|(m, _)| m).collect();
     let mut register = SessionTable::new(stays, roster.iter().copied(), 0);
-    line.figure("register_mb", before.mb());
-    let (mut grants, mut looks, mut rejoins) =
-        (Spread::default(), Spread::default(), Spread::default());
+    output.figure("register_mb", before.mb());
+    let (mut grants, mut looks, mut rejoins) = (
+        Distribution::default(),
+        Distribution::default(),
+        Distribution::default(),
+    );
     for (n, from) in roster.iter().enumerate() {
         let ask = SessionRequest {
             from: *from,
@@ -240,7 +248,7 @@
         let (granted, took) = timed(|| register.grant(n as i64, ask));
         grants.add(took);
         if granted.is_none() {
-            return Err(Wrong::run("a stay", "one on the roster got none"));
+            return Err(BenchError::failed("a stay", "one on the roster got none"));
         }
     }
     for n in 0..200 {
@@ -261,9 +269,9 @@
         let (_, took) = timed(|| register.on_join(1, later, Revision(1)));
         rejoins.add(took);
     }
-    line.put("grant_us", grants.us());
-    line.put("look_us", looks.us());
-    line.put("joined_us", rejoins.us());
-    line.put("peak_mb", json!(grown.peak_mb().round()));
+    output.insert("grant_us", grants.us());
+    output.insert("look_us", looks.us());
+    output.insert("joined_us", rejoins.us());
+    output.insert("peak_mb", json!(grown.peak_mb().round()));
     Ok(())
 }
--- a/benches/state/src/letters.rs
+++ b/benches/state/src/letters.rs
@@ -1,8 +1,8 @@
 //! What carries settings: the letter with the state, the agreed log and a seat's file.
 
 use crate::inputs;
-use crate::measure::{ms, timed, Grown, Line, Spread};
-use crate::{Args, Wrong};
+use crate::measure::{ms, timed, Distribution, MemoryGrowth, OutputRecord};
+use crate::{Args, BenchError};
 use prost::Message as _;
 use std::net::SocketAddr;
 use tansy_agreement::compatibility::Fields;
@@ -111,27 +111,27 @@
 }
 
 /// Bytes of the letter, what it costs to write and read, and where none can be read any more.
-pub fn letters(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let names = inputs::names(a.functions, a.seed);
-    let grown = Grown::begin();
+pub fn letters(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let names = inputs::names(args.functions, args.seed);
+    let grown = MemoryGrowth::begin();
     let both = state(&names, true);
-    line.figure("memory_mb", grown.mb());
+    output.figure("memory_mb", grown.mb());
     let force = state(&names, false);
     let (bytes, encode) = timed(|| grant(both));
     let alone = grant(force);
     let (body, took) = timed(|| taken(&bytes));
-    line.count("letter_bytes", bytes.len());
-    line.count("force_bytes", alone.len());
-    line.figure(
+    output.count("letter_bytes", bytes.len());
+    output.count("force_bytes", alone.len());
+    output.figure(
         "function_bytes",
         alone.len() as f64 / names.len().max(1) as f64,
     );
-    line.figure("encode_ms", ms(encode));
-    line.figure("read_ms", ms(took));
-    line.count("largest_bytes", MAX_MESSAGE_BYTES);
-    line.count("readable", usize::from(body.is_ok()));
+    output.figure("encode_ms", ms(encode));
+    output.figure("read_ms", ms(took));
+    output.count("largest_bytes", MAX_MESSAGE_BYTES);
+    output.count("readable", usize::from(body.is_ok()));
     if let Err(why) = body {
-        line.note(format!("no front end can read this grant: {why}"));
+        output.add_note(format!("no front end can read this grant: {why}"));
     }
     Ok(())
 }
@@ -141,8 +141,8 @@
     seats: Replica,
     now: i64,
     /// Times of records alone, and of those with all that there is.
-    pub(crate) records: Spread,
-    pub(crate) whole_records: Spread,
+    pub(crate) records: Distribution,
+    pub(crate) whole_records: Distribution,
     /// Bytes of the last whole, and how many there were.
     pub(crate) wholes: usize,
     pub(crate) wholes_held: usize,
@@ -151,12 +151,12 @@
 }
 
 impl Seat {
-    pub(crate) fn new(first: Fields, file: Option<LogStorage>) -> Result<Seat, Wrong> {
+    pub(crate) fn new(first: Fields, file: Option<LogStorage>) -> Result<Seat, BenchError> {
         Seat::of(first, &PersistentState::default(), file)
     }
 
     /// One that goes on from what its file holds.
-    pub(crate) fn again(held: RecoveredRecords) -> Result<Seat, Wrong> {
+    pub(crate) fn again(held: RecoveredRecords) -> Result<Seat, BenchError> {
         Seat::of(
             Fields::new(),
             &PersistentState {
@@ -167,7 +167,11 @@
         )
     }
 
-    fn of(first: Fields, saved: &PersistentState, file: Option<LogStorage>) -> Result<Seat, Wrong> {
+    fn of(
+        first: Fields,
+        saved: &PersistentState,
+        file: Option<LogStorage>,
+    ) -> Result<Seat, BenchError> {
         let setup = ReplicaConfig {
             id: 1,
             incarnation: 1,
@@ -179,8 +183,8 @@
             initial_fields: first,
             seed: 1,
         };
-        let seats =
-            Replica::new(setup, saved, 0).map_err(|e| Wrong::run("the seat's first file", e))?;
+        let seats = Replica::new(setup, saved, 0)
+            .map_err(|e| BenchError::failed("the seat's first file", e))?;
         let (records, whole_records) = Default::default();
         let (wholes, wholes_held, last_record) = (0, 0, 0);
         let mut seat = Seat {
@@ -199,7 +203,7 @@
         Ok(seat)
     }
 
-    fn carry_out(&mut self, mut out: Vec<Effect>) -> Result<Option<ApplyOutcome>, Wrong> {
+    fn carry_out(&mut self, mut out: Vec<Effect>) -> Result<Option<ApplyOutcome>, BenchError> {
         let mut done = None;
         while !out.is_empty() {
             for o in std::mem::take(&mut out) {
@@ -212,7 +216,7 @@
                         self.wholes = whole.as_ref().map_or(self.wholes, Vec::len);
                         if let Some(file) = &mut self.file {
                             let (held, took) = timed(|| file.append(record, whole.as_deref()));
-                            held.map_err(|e| Wrong::run("the seat's file", e))?;
+                            held.map_err(|e| BenchError::failed("the seat's file", e))?;
                             let spread = if whole.is_some() {
                                 &mut self.whole_records
                             } else {
@@ -224,10 +228,10 @@
                         self.seats.on_persisted(true, &mut out);
                     }
                     Effect::Applied { outcome, .. } => {
-                        done = Some(outcome.map_err(|e| Wrong::run("the change", e))?);
+                        done = Some(outcome.map_err(|e| BenchError::failed("the change", e))?);
                     }
                     Effect::UnknownEntry => {
-                        return Err(Wrong::run("the log", "it is of a later program"))
+                        return Err(BenchError::failed("the log", "it is of a later program"))
                     }
                     Effect::Send { .. } => {}
                 }
@@ -236,10 +240,10 @@
         Ok(done)
     }
 
-    pub(crate) fn log(&self) -> Result<&Log, Wrong> {
+    pub(crate) fn log(&self) -> Result<&Log, BenchError> {
         self.seats
             .log()
-            .ok_or_else(|| Wrong::run("the seat", "it has no log"))
+            .ok_or_else(|| BenchError::failed("the seat", "it has no log"))
     }
 
     /// The number of the entry as of which the log was encoded last.
@@ -247,22 +251,22 @@
         self.seats.encoded_at()
     }
 
-    pub(crate) fn enter(&mut self, entry: LogEntry) -> Result<(), Wrong> {
+    pub(crate) fn enter(&mut self, entry: LogEntry) -> Result<(), BenchError> {
         self.now += 50_000;
         let mut out = Vec::new();
         self.seats.tick(self.now, &mut out);
         self.carry_out(std::mem::take(&mut out))?;
         self.seats
             .propose(entry, &mut out)
-            .ok_or_else(|| Wrong::run("the seat", "it does not lead"))?;
+            .ok_or_else(|| BenchError::failed("the seat", "it does not lead"))?;
         self.carry_out(out)?
             .map(drop)
-            .ok_or_else(|| Wrong::run("the entry", "it was not applied"))
+            .ok_or_else(|| BenchError::failed("the entry", "it was not applied"))
     }
 
     /// One function's lanes change, through all steps; the bytes of the record with the proposal.
-    fn change(&mut self, names: &[String], n: usize) -> Result<usize, Wrong> {
-        let log = || Wrong::run("the seat", "it has no log");
+    fn change(&mut self, names: &[String], n: usize) -> Result<usize, BenchError> {
+        let log = || BenchError::failed("the seat", "it has no log");
         let force = &self.seats.log().ok_or_else(log)?.state().in_force;
         let (base, one) = (force.version, &names[n % names.len()]);
         // Each time another value than the last one.
@@ -295,39 +299,39 @@
 }
 
 /// The agreed log at a seat with as many past versions as it keeps, in memory and in what is encoded of it.
-pub fn log(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let names = inputs::names(a.functions, a.seed);
-    let grown = Grown::begin();
+pub fn log(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let names = inputs::names(args.functions, args.seed);
+    let grown = MemoryGrowth::begin();
     let mut seat = Seat::new(inputs::version(&names), None)?;
-    line.figure("first_mb", grown.mb());
-    let (mut changes, mut entry) = (Spread::default(), 0);
-    for n in 0..a.changes {
+    output.figure("first_mb", grown.mb());
+    let (mut changes, mut entry) = (Distribution::default(), 0);
+    for n in 0..args.changes {
         let (bytes, took) = timed(|| seat.change(&names, n));
         entry = bytes?;
         changes.add(took);
     }
-    line.figure("memory_mb", grown.mb());
-    line.figure("peak_mb", grown.peak_mb());
-    line.put("change_ms", changes.ms());
-    line.count("changes", a.changes);
-    line.count("entry_bytes", entry);
-    line.count("whole_bytes", seat.wholes);
+    output.figure("memory_mb", grown.mb());
+    output.figure("peak_mb", grown.peak_mb());
+    output.insert("change_ms", changes.ms());
+    output.count("changes", args.changes);
+    output.count("entry_bytes", entry);
+    output.count("whole_bytes", seat.wholes);
     let log = seat
         .seats
         .log()
-        .ok_or_else(|| Wrong::run("the seat", "it has no log"))?;
+        .ok_or_else(|| BenchError::failed("the seat", "it has no log"))?;
     let (encoded, took) = timed(|| postcard::to_stdvec(log).map_or(0, |b| b.len()));
-    line.count("versions", log.history().count());
-    line.count("log_bytes", encoded);
-    line.figure("encode_ms", ms(took));
-    line.count("history_bytes", history_bytes(log));
-    let before = Grown::begin();
+    output.count("versions", log.history().count());
+    output.count("log_bytes", encoded);
+    output.figure("encode_ms", ms(took));
+    output.count("history_bytes", history_bytes(log));
+    let before = MemoryGrowth::begin();
     let copy = log.clone();
-    line.figure("log_mb", before.mb());
+    output.figure("log_mb", before.mb());
     drop(copy);
-    line.count("largest_bytes", MAX_MESSAGE_BYTES);
+    output.count("largest_bytes", MAX_MESSAGE_BYTES);
     if encoded > MAX_MESSAGE_BYTES {
-        line.note(
+        output.add_note(
             "the whole log is more than a letter may hold: no other seat can be given it".into(),
         );
     }
@@ -335,15 +339,15 @@
 }
 
 /// Where the largest letter is passed.
-pub fn largest(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let both = most_functions(a.seed, true);
-    let bytes = |functions| grant(state(&inputs::names(functions, a.seed), true)).len();
-    line.count("largest_bytes", MAX_MESSAGE_BYTES);
-    line.count("most_functions", both);
-    line.count("letter_bytes", bytes(both));
-    line.count("one_more_bytes", bytes(both + 1));
-    line.count("most_functions_force", most_functions(a.seed, false));
-    line.count("most_functions_log", most_functions_log(a.seed));
+pub fn largest(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let both = most_functions(args.seed, true);
+    let bytes = |functions| grant(state(&inputs::names(functions, args.seed), true)).len();
+    output.count("largest_bytes", MAX_MESSAGE_BYTES);
+    output.count("most_functions", both);
+    output.count("letter_bytes", bytes(both));
+    output.count("one_more_bytes", bytes(both + 1));
+    output.count("most_functions_force", most_functions(args.seed, false));
+    output.count("most_functions_log", most_functions_log(args.seed));
     Ok(())
 }
 
@@ -372,32 +376,38 @@
 }
 
 /// How a seat's file grows by changes.
-pub fn file(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let names = inputs::names(a.functions, a.seed);
+pub fn file(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let names = inputs::names(args.functions, args.seed);
     let path = std::env::temp_dir().join(format!("tansy-bench-state-{}.redb", std::process::id()));
-    let found = grow(a, &names, &path, line);
+    let found = grow(args, &names, &path, output);
     let _ = std::fs::remove_file(&path);
     found
 }
 
-fn grow(a: &Args, names: &[String], path: &std::path::Path, line: &mut Line) -> Result<(), Wrong> {
+fn grow(
+    args: &Args,
+    names: &[String],
+    path: &std::path::Path,
+    output: &mut OutputRecord,
+) -> Result<(), BenchError> {
     let size = || std::fs::metadata(path).map_or(0, |m| m.len());
-    let (records, _) = LogStorage::open(path).map_err(|e| Wrong::run("the seat's file", e))?;
+    let (records, _) =
+        LogStorage::open(path).map_err(|e| BenchError::failed("the seat's file", e))?;
     let mut seat = Seat::new(inputs::version(names), Some(records))?;
     let (first, mut entry, mut largest) = (size(), 0, 0);
-    for n in 0..a.changes {
+    for n in 0..args.changes {
         entry = seat.change(names, n)?;
         largest = largest.max(size());
     }
-    line.count("changes", a.changes);
-    line.count("entry_bytes", entry);
-    line.count("first_bytes", first as usize);
-    line.count("file_bytes", size() as usize);
-    line.count("most_file_bytes", largest as usize);
-    line.figure(
+    output.count("changes", args.changes);
+    output.count("entry_bytes", entry);
+    output.count("first_bytes", first as usize);
+    output.count("file_bytes", size() as usize);
+    output.count("most_file_bytes", largest as usize);
+    output.figure(
         "change_bytes",
-        (size() as f64 - first as f64) / a.changes.max(1) as f64,
+        (size() as f64 - first as f64) / args.changes.max(1) as f64,
     );
-    line.put("hold_ms", seat.records.ms());
+    output.insert("hold_ms", seat.records.ms());
     Ok(())
 }
--- a/benches/state/src/measure.rs
+++ b/benches/state/src/measure.rs
@@ -1,173 +1,176 @@
-//! Memory of this process, times, and the line that a run prints.
+//! Memory of this process, durations, and the record that a run prints as one line of JSON.
 
 use hdrhistogram::Histogram;
 use serde_json::{json, Map, Value};
 use std::time::{Duration, Instant};
 
-/// Bytes in an MB, as figures are told.
+/// Bytes of an MB in the figures.
 const MB: f64 = 1e6;
+/// Bytes of the unit that `/proc` reports memory in.
+const KIB: f64 = 1024.0;
+/// Significant digits of a printed figure.
+const SIGNIFICANT_DIGITS: i32 = 4;
 
-fn page() -> f64 {
+fn page_bytes() -> f64 {
     rustix::param::page_size() as f64
 }
 
-/// MB that this process holds in memory.
-pub fn memory_mb() -> f64 {
-    let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages = text
+/// The second word of the first line that starts like this in a file of `/proc`; 0 without one.
+fn proc_number(file: &str, line_start: &str) -> f64 {
+    let text = std::fs::read_to_string(file).unwrap_or_default();
+    let line = text
+        .lines()
+        .find(|line| line.starts_with(line_start))
+        .unwrap_or("");
+    let number = line
         .split_whitespace()
         .nth(1)
-        .and_then(|p| p.parse::<f64>().ok());
-    pages.unwrap_or(0.0) * page() / MB
+        .and_then(|word| word.parse().ok());
+    number.unwrap_or(0.0)
+}
+
+/// MB that this process holds in memory.
+pub fn memory_mb() -> f64 {
+    proc_number("/proc/self/statm", "") * page_bytes() / MB
 }
 
 /// The most MB that this process has held so far.
-fn most_mb() -> f64 {
-    let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = text.lines().find(|l| l.starts_with("VmHWM:")).unwrap_or("");
-    let kib = line
-        .split_whitespace()
-        .nth(1)
-        .and_then(|k| k.parse::<f64>().ok());
-    kib.unwrap_or(0.0) * 1024.0 / MB
+fn peak_memory_mb() -> f64 {
+    proc_number("/proc/self/status", "VmHWM:") * KIB / MB
 }
 
 /// Half of the machine's memory, MB: what a run may hold.
 pub fn allowed_mb() -> f64 {
-    let text = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
-    let line = text
-        .lines()
-        .find(|l| l.starts_with("MemTotal:"))
-        .unwrap_or("");
-    let kib = line
-        .split_whitespace()
-        .nth(1)
-        .and_then(|k| k.parse::<f64>().ok());
-    kib.unwrap_or(0.0) * 1024.0 / MB / 2.0
+    proc_number("/proc/meminfo", "MemTotal:") * KIB / MB / 2.0
 }
 
-/// What is held beyond what was held when this began.
-pub struct Grown(f64);
+/// How much the memory of this process has grown since a moment.
+pub struct MemoryGrowth(f64);
 
-impl Grown {
-    /// From here.
-    pub fn begin() -> Grown {
-        Grown(memory_mb())
+impl MemoryGrowth {
+    /// Growth from now on.
+    pub fn begin() -> MemoryGrowth {
+        MemoryGrowth(memory_mb())
     }
 
-    /// MB since then.
+    /// MB of growth by now.
     pub fn mb(&self) -> f64 {
         memory_mb() - self.0
     }
 
-    /// MB at the most of the process's life, beyond what was held at the beginning.
+    /// MB by which the process's peak exceeds the memory at the beginning.
     pub fn peak_mb(&self) -> f64 {
-        (most_mb() - self.0).max(0.0)
+        (peak_memory_mb() - self.0).max(0.0)
     }
 }
 
-/// Runs it and says how long it took.
-pub fn timed<T>(f: impl FnOnce() -> T) -> (T, Duration) {
-    let since = Instant::now();
-    let out = f();
-    (out, since.elapsed())
+/// Runs an operation; its result and how long it took.
+pub fn timed<T>(operation: impl FnOnce() -> T) -> (T, Duration) {
+    let started = Instant::now();
+    let result = operation();
+    (result, started.elapsed())
 }
 
-/// Milliseconds.
-pub fn ms(t: Duration) -> f64 {
-    t.as_secs_f64() * 1e3
+/// A duration in milliseconds.
+pub fn ms(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1e3
 }
 
-/// Times or lengths, for their quantiles.
-pub struct Spread(Histogram<u64>);
+/// A histogram of durations.
+pub struct Distribution(Histogram<u64>);
 
-impl Default for Spread {
-    fn default() -> Spread {
-        Spread(Histogram::new(3).expect("three digits are allowed"))
+impl Default for Distribution {
+    fn default() -> Distribution {
+        Distribution(Histogram::new(3).expect("three digits are allowed"))
     }
 }
 
-impl Spread {
-    /// A time, kept to the nanosecond.
-    pub fn add(&mut self, t: Duration) {
+impl Distribution {
+    /// Records a duration, to the nanosecond.
+    pub fn add(&mut self, duration: Duration) {
         // It grows to hold what is recorded; to saturate would not let it.
         self.0
-            .record(u64::try_from(t.as_nanos()).unwrap_or(u64::MAX).max(1))
+            .record(
+                u64::try_from(duration.as_nanos())
+                    .unwrap_or(u64::MAX)
+                    .max(1),
+            )
             .expect("it grows");
     }
 
-    /// Microseconds of virtual time.
-    pub fn add_us(&mut self, us: i64) {
-        self.add(Duration::from_micros(u64::try_from(us).unwrap_or(0)));
+    /// Records microseconds of virtual time.
+    pub fn add_us(&mut self, micros: i64) {
+        self.add(Duration::from_micros(u64::try_from(micros).unwrap_or(0)));
     }
 
-    /// On average, milliseconds.
+    /// The mean in milliseconds.
     pub fn mean_ms(&self) -> f64 {
         self.0.mean() / 1e6
     }
 
-    /// How many.
+    /// Number of recorded durations.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 
-    fn at(&self, unit: f64) -> Value {
-        let q = |q: f64| rounded(self.0.value_at_quantile(q) as f64 / unit);
-        json!({"p50": q(0.5), "p99": q(0.99), "most": rounded(self.0.max() as f64 / unit)})
+    fn quantiles(&self, nanos_per_unit: f64) -> Value {
+        let quantile = |q: f64| rounded(self.0.value_at_quantile(q) as f64 / nanos_per_unit);
+        let max = rounded(self.0.max() as f64 / nanos_per_unit);
+        json!({"p50": quantile(0.5), "p99": quantile(0.99), "most": max})
     }
 
-    /// In microseconds.
+    /// Quantiles in microseconds.
     pub fn us(&self) -> Value {
-        self.at(1e3)
+        self.quantiles(1e3)
     }
 
-    /// In milliseconds.
+    /// Quantiles in milliseconds.
     pub fn ms(&self) -> Value {
-        self.at(1e6)
+        self.quantiles(1e6)
     }
 }
 
-/// Four digits are enough for a figure.
-pub fn rounded(x: f64) -> f64 {
-    if x == 0.0 || !x.is_finite() {
+/// A figure, rounded to four significant digits; 0 if it is not finite.
+pub fn rounded(figure: f64) -> f64 {
+    if figure == 0.0 || !figure.is_finite() {
         return 0.0;
     }
-    let scale = 10f64.powi(3 - x.abs().log10().floor() as i32);
-    (x * scale).round() / scale
+    let scale = 10f64.powi(SIGNIFICANT_DIGITS - 1 - figure.abs().log10().floor() as i32);
+    (figure * scale).round() / scale
 }
 
-/// What one run found.
+/// The figures of one run.
 #[derive(Clone, Debug, Default)]
-pub struct Line {
+pub struct OutputRecord {
     fields: Map<String, Value>,
     notes: Vec<String>,
 }
 
-impl Line {
-    /// A count, as it is.
-    pub fn count(&mut self, name: &str, n: usize) {
-        self.fields.insert(name.into(), json!(n));
+impl OutputRecord {
+    /// Adds a count.
+    pub fn count(&mut self, name: &str, count: usize) {
+        self.fields.insert(name.into(), json!(count));
     }
 
-    /// A figure, to four digits.
-    pub fn figure(&mut self, name: &str, x: f64) {
-        self.fields.insert(name.into(), json!(rounded(x)));
+    /// Adds a figure, rounded to four significant digits.
+    pub fn figure(&mut self, name: &str, figure: f64) {
+        self.fields.insert(name.into(), json!(rounded(figure)));
     }
 
-    /// Anything else.
-    pub fn put(&mut self, name: &str, value: Value) {
+    /// Adds any other value.
+    pub fn insert(&mut self, name: &str, value: Value) {
         self.fields.insert(name.into(), value);
     }
 
-    /// What was refused or failed.
-    pub fn note(&mut self, note: String) {
+    /// Adds a note on what was refused or failed.
+    pub fn add_note(&mut self, note: String) {
         self.notes.push(note);
     }
 
-    /// The line as it is printed.
+    /// The record as it is printed; `ok` says whether the run was measured.
     pub fn json(mut self, ok: bool) -> Value {
-        self.put("ok", json!(ok));
-        self.put("notes", json!(self.notes));
+        self.insert("ok", json!(ok));
+        self.insert("notes", json!(self.notes));
         Value::Object(self.fields)
     }
 }
--- a/benches/state/src/scopes.rs
+++ b/benches/state/src/scopes.rs
@@ -3,8 +3,8 @@
 
 use crate::inputs::{self, Draw};
 use crate::letters::Seat;
-use crate::measure::{ms, timed, Grown, Line, Spread};
-use crate::{Args, Wrong};
+use crate::measure::{ms, timed, Distribution, MemoryGrowth, OutputRecord};
+use crate::{Args, BenchError};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tansy_agreement::compatibility::{Fields, Schema};
@@ -63,19 +63,19 @@
 }
 
 impl Kept {
-    fn new(file: Option<LogStorage>) -> Result<Kept, Wrong> {
+    fn new(file: Option<LogStorage>) -> Result<Kept, BenchError> {
         Ok(Kept {
             seat: Seat::new(inputs::version(&["one".to_string()]), file)?,
             id: 0,
         })
     }
 
-    fn log(&self) -> Result<&Log, Wrong> {
+    fn log(&self) -> Result<&Log, BenchError> {
         self.seat.log()
     }
 
     /// These functions change, each request in one entry, through joint and force until they are settled.
-    fn change(&mut self, names: &[&String], lanes: i64) -> Result<Took, Wrong> {
+    fn change(&mut self, names: &[&String], lanes: i64) -> Result<Took, BenchError> {
         self.id += 1;
         let log = self.log()?;
         let changes = names.iter().map(|n| change(log, n, lanes)).collect();
@@ -85,7 +85,7 @@
             reason: "bench".into(),
         };
         let (judged, judging) = timed(|| log.validate_transaction(&request));
-        judged.map_err(|e| Wrong::run("the change", e))?;
+        judged.map_err(|e| BenchError::failed("the change", e))?;
         let (done, took) = timed(|| {
             self.seat.enter(LogEntry::UpdateScopes {
                 transactions: vec![request],
@@ -96,7 +96,7 @@
         let (force, second) = self.go_on(true)?;
         let (settled, third) = self.go_on(false)?;
         if (force, settled) != (names.len(), names.len()) {
-            return Err(Wrong::run(
+            return Err(BenchError::failed(
                 "the change",
                 format!("{force} came in force, {settled} were settled"),
             ));
@@ -107,7 +107,7 @@
         })
     }
 
-    fn go_on(&mut self, joint: bool) -> Result<(usize, Duration), Wrong> {
+    fn go_on(&mut self, joint: bool) -> Result<(usize, Duration), BenchError> {
         let open = self
             .log()?
             .catalog()
@@ -132,7 +132,7 @@
     }
 
     /// All of them come to be.
-    fn fill(&mut self, names: &[String]) -> Result<(), Wrong> {
+    fn fill(&mut self, names: &[String]) -> Result<(), BenchError> {
         // Each weighs no more than this.
         let most = MAX_TRANSACTION_BYTES / 160;
         for some in names.chunks(most) {
@@ -150,16 +150,20 @@
 }
 
 /// The catalog at a seat: memory, bytes as it is told and held, time of a change, of a burst, and of encoding all of it.
-pub fn catalog(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let names = inputs::names(a.functions, a.seed);
-    let grown = Grown::begin();
+pub fn catalog(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let names = inputs::names(args.functions, args.seed);
+    let grown = MemoryGrowth::begin();
     let mut kept = Kept::new(None)?;
     kept.fill(&names)?;
-    line.figure("memory_mb", grown.mb());
-    line.count("scopes", kept.log()?.catalog().all().len());
-    let mut rng = fastrand::Rng::with_seed(a.seed);
-    let mut steps = [Spread::default(), Spread::default(), Spread::default()];
-    let (mut whole_change, mut entry) = (Spread::default(), 0);
+    output.figure("memory_mb", grown.mb());
+    output.count("scopes", kept.log()?.catalog().all().len());
+    let mut rng = fastrand::Rng::with_seed(args.seed);
+    let mut steps = [
+        Distribution::default(),
+        Distribution::default(),
+        Distribution::default(),
+    ];
+    let (mut whole_change, mut entry) = (Distribution::default(), 0);
     let (mut encodings, mut encoded_at) = (0, kept.seat.encoded_at());
     for n in 0..CHANGES {
         let took = kept.change(&[&names[rng.usize(..names.len())]], 2 + n as i64)?;
@@ -173,59 +177,64 @@
         .into_iter()
         .zip(&steps)
     {
-        line.put(name, step.ms());
+        output.insert(name, step.ms());
     }
-    line.put("change_ms", whole_change.ms());
-    line.count("changes", CHANGES);
+    output.insert("change_ms", whole_change.ms());
+    output.count("changes", CHANGES);
     // Of three entries each.
-    line.count("encodings", encodings);
-    line.count("entry_bytes", entry);
+    output.count("encodings", encodings);
+    output.count("entry_bytes", entry);
     let burst: Vec<&String> = names.iter().take(BURST).collect();
     let took = kept.change(&burst, 1000)?;
-    line.count("burst", burst.len());
-    line.figure("burst_ms", ms(took.all.iter().sum()));
-    line.count("burst_entry_bytes", took.entry);
-    line.figure("peak_mb", grown.peak_mb());
+    output.count("burst", burst.len());
+    output.figure("burst_ms", ms(took.all.iter().sum()));
+    output.count("burst_entry_bytes", took.entry);
+    output.figure("peak_mb", grown.peak_mb());
     let log = kept.log()?;
-    let before = Grown::begin();
+    let before = MemoryGrowth::begin();
     let copy = log.clone();
-    line.figure("log_mb", before.mb());
+    output.figure("log_mb", before.mb());
     drop(copy);
     let (bytes, took) = timed(|| encoded(log));
-    line.count("log_bytes", bytes.len());
-    line.figure("scope_bytes", bytes.len() as f64 / a.functions as f64);
-    line.figure("encode_ms", ms(took));
+    output.count("log_bytes", bytes.len());
+    output.figure("scope_bytes", bytes.len() as f64 / args.functions as f64);
+    output.figure("encode_ms", ms(took));
     let (read, took) =
         timed(|| postcard::from_bytes::<(Log, tansy_agreement::scope::CatalogSnapshot)>(&bytes));
-    let same = read.map_err(|e| Wrong::run("the log", e))?;
-    line.figure("read_ms", ms(took));
+    let same = read.map_err(|e| BenchError::failed("the log", e))?;
+    output.figure("read_ms", ms(took));
     if same.0.with_catalog(same.1) != *log {
-        return Err(Wrong::run(
+        return Err(BenchError::failed(
             "the log",
             "it is read as another one than was written",
         ));
     }
-    line.count("moves_bytes", log.state().history.memory_bytes());
-    line.count("largest_bytes", MAX_MESSAGE_BYTES);
-    line.count("readable", usize::from(bytes.len() <= MAX_MESSAGE_BYTES));
+    output.count("moves_bytes", log.state().history.memory_bytes());
+    output.count("largest_bytes", MAX_MESSAGE_BYTES);
+    output.count("readable", usize::from(bytes.len() <= MAX_MESSAGE_BYTES));
     if bytes.len() > MAX_MESSAGE_BYTES {
-        line.note("the whole log is more than one letter may hold".into());
+        output.add_note("the whole log is more than one letter may hold".into());
     }
     Ok(())
 }
 
 /// A seat's file with the catalog: its bytes, and how long it takes to hold a record, a whole, and to start from it.
-pub fn catalog_file(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let names = inputs::names(a.functions, a.seed);
+pub fn catalog_file(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let names = inputs::names(args.functions, args.seed);
     let path = std::env::temp_dir().join(format!("tansy-bench-scopes-{}.redb", std::process::id()));
-    let found = kept_in(&names, &path, line);
+    let found = kept_in(&names, &path, output);
     let _ = std::fs::remove_file(&path);
     found
 }
 
-fn kept_in(names: &[String], path: &std::path::Path, line: &mut Line) -> Result<(), Wrong> {
+fn kept_in(
+    names: &[String],
+    path: &std::path::Path,
+    output: &mut OutputRecord,
+) -> Result<(), BenchError> {
     let size = || std::fs::metadata(path).map_or(0, |m| m.len()) as usize;
-    let (records, _) = LogStorage::open(path).map_err(|e| Wrong::run("the seat's file", e))?;
+    let (records, _) =
+        LogStorage::open(path).map_err(|e| BenchError::failed("the seat's file", e))?;
     let mut kept = Kept::new(Some(records))?;
     kept.fill(names)?;
     // On until the next whole, which has all of them.
@@ -234,23 +243,26 @@
         n += 1;
         kept.change(&[&names[n % names.len()]], 1 + n as i64)?;
     }
-    line.count("whole_bytes", kept.seat.wholes);
-    line.count("file_bytes", size());
-    line.put("record_ms", kept.seat.records.ms());
-    line.put("whole_ms", kept.seat.whole_records.ms());
+    output.count("whole_bytes", kept.seat.wholes);
+    output.count("file_bytes", size());
+    output.insert("record_ms", kept.seat.records.ms());
+    output.insert("whole_ms", kept.seat.whole_records.ms());
     let log = kept.log()?.clone();
     drop(kept);
     let (seat, took) = timed(|| {
         let opened = LogStorage::open(path);
         opened
-            .map_err(|e| Wrong::run("the seat's file", e))
+            .map_err(|e| BenchError::failed("the seat's file", e))
             .and_then(|(_, held)| Seat::again(held))
     });
     let again = seat?;
-    line.figure("start_ms", ms(took));
-    line.count("scopes", again.log()?.catalog().all().len());
+    output.figure("start_ms", ms(took));
+    output.count("scopes", again.log()?.catalog().all().len());
     if again.log()?.catalog().all().len() != log.catalog().all().len() {
-        return Err(Wrong::run("the seat's file", "another catalog is in it"));
+        return Err(BenchError::failed(
+            "the seat's file",
+            "another catalog is in it",
+        ));
     }
     Ok(())
 }
@@ -312,15 +324,15 @@
 }
 
 /// A front end that holds some functions of all: its memory, and its time of a call, of an ask with its answer, and of what moved.
-pub fn holding(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let names = inputs::names(a.functions, a.seed);
+pub fn holding(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let names = inputs::names(args.functions, args.seed);
     let schema = agree::agreement();
-    let me = member(1, a.seed);
+    let me = member(1, args.seed);
     let mut order: Vec<usize> = (0..names.len()).collect();
-    fastrand::Rng::with_seed(a.seed).shuffle(&mut order);
-    let grown = Grown::begin();
+    fastrand::Rng::with_seed(args.seed).shuffle(&mut order);
+    let grown = MemoryGrowth::begin();
     let state = acted_on(&names);
-    line.figure("state_mb", grown.mb());
+    output.figure("state_mb", grown.mb());
     let mut holding = ScopeSubscriptions::new(me, SubscriptionLimits::default(), 0);
     holding.on_state(0, &state, &schema);
     let epoch = ResyncEpoch { term: 1, count: 1 };
@@ -332,52 +344,52 @@
         scopes: Vec::new(),
     };
     holding.on_reply(0, begins, Some(&state), &schema);
-    let (mut now, mut asks) = (0, Spread::default());
-    for n in order.iter().take(a.held) {
+    let (mut now, mut asks) = (0, Distribution::default());
+    for n in order.iter().take(args.subscriptions) {
         now += SECOND / 10;
         let (done, took) = timed(|| asked(&mut holding, now, &names[*n], &state, &schema));
         done?;
         asks.add(took);
     }
-    line.count("held", holding.len());
-    line.count("weight_bytes", holding.memory_bytes());
-    line.figure("memory_mb", grown.mb());
-    line.put("ask_us", asks.us());
-    let mut calls = Spread::default();
+    output.count("held", holding.len());
+    output.count("weight_bytes", holding.memory_bytes());
+    output.figure("memory_mb", grown.mb());
+    output.insert("ask_us", asks.us());
+    let mut calls = Distribution::default();
     for n in 0..20_000 {
-        let name = &names[order[n % a.held.min(names.len())]];
+        let name = &names[order[n % args.subscriptions.min(names.len())]];
         let (call, took) = timed(|| holding.admit(now, &schema, name, true));
         calls.add(took);
         if !matches!(call, Admission::Admit(_)) {
-            return Err(Wrong::run(
+            return Err(BenchError::failed(
                 "a call",
                 format!("of a function that is held: {call:?}"),
             ));
         }
     }
-    line.put("call_us", calls.us());
+    output.insert("call_us", calls.us());
     // One more than there is room for lets go of some.
-    let mut over = Spread::default();
-    for n in order.iter().skip(a.held).take(200) {
+    let mut over = Distribution::default();
+    for n in order.iter().skip(args.subscriptions).take(200) {
         now += SECOND / 10;
         let (done, took) = timed(|| asked(&mut holding, now, &names[*n], &state, &schema));
         done?;
         over.add(took);
     }
-    line.put("more_us", over.us());
-    line.count("squeezed", holding.evicted() as usize);
+    output.insert("more_us", over.us());
+    output.count("squeezed", holding.evicted() as usize);
     // A burst, as its moves come: joint, force.
     let after = moved(state.clone(), &names, 2 * BURST);
     let ((), took) = timed(|| holding.on_state(now, &after, &schema));
-    line.figure("burst_ms", ms(took));
+    output.figure("burst_ms", ms(took));
     // Another root is told of all.
     holding.on_new_leader(now);
     now += SECOND;
     let (letter, took) = timed(|| holding.tick(now, after.revision, true));
     let told = letter.and_then(|l| l.full_list).map_or(0, |all| all.len());
-    line.count("told", told);
-    line.figure("told_ms", ms(took));
-    line.figure("peak_mb", grown.peak_mb());
+    output.count("told", told);
+    output.figure("told_ms", ms(took));
+    output.figure("peak_mb", grown.peak_mb());
     Ok(())
 }
 
@@ -388,7 +400,7 @@
     name: &str,
     state: &FleetState,
     schema: &Schema,
-) -> Result<(), Wrong> {
+) -> Result<(), BenchError> {
     holding.admit(now, schema, name, true);
     for n in 0..20 {
         let at = now + n * SECOND / 1000;
@@ -422,18 +434,18 @@
             return Ok(());
         }
     }
-    Err(Wrong::run("a first call", "it was not answered"))
+    Err(BenchError::failed("a first call", "it was not answered"))
 }
 
 /// The root's table of who holds what: its memory, the time to write one ask down, and of all that a new root is told.
-pub fn holders(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let names = inputs::names(a.functions, a.seed);
-    let mut rng = fastrand::Rng::with_seed(a.seed);
-    let draw = Draw::new(names.len(), a.seed);
+pub fn holders(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let names = inputs::names(args.functions, args.seed);
+    let mut rng = fastrand::Rng::with_seed(args.seed);
+    let draw = Draw::new(names.len(), args.seed);
     // What each holds: those called often by nearly all, the others by few.
     let mut drawn = || {
         let mut mine = BTreeSet::new();
-        while mine.len() < a.held.min(names.len()) {
+        while mine.len() < args.subscriptions.min(names.len()) {
             mine.insert(if rng.bool() {
                 draw.next(&mut rng)
             } else {
@@ -446,19 +458,19 @@
         span: 3600 * SECOND,
         drift_ppm: 1000,
     };
-    let grown = Grown::begin();
-    let members: Vec<Member> = (0..a.front_ends).map(|n| member(n, a.seed)).collect();
+    let grown = MemoryGrowth::begin();
+    let members: Vec<Member> = (0..args.front_ends).map(|n| member(n, args.seed)).collect();
     let mut register = SessionTable::new(stays, members.iter().copied(), 0);
     let before = grown.mb();
-    line.figure("register_mb", before);
+    output.figure("register_mb", before);
     let epoch = register.epoch();
-    let (mut tell, mut want) = (Spread::default(), Spread::default());
+    let (mut tell, mut want) = (Distribution::default(), Distribution::default());
     let mut telling = Duration::ZERO;
     let hear = |register: &mut SessionTable, letter: &SubscribeRequest| match register
         .on_subscribe(letter)
     {
         SubscribeOutcome::Taken => Ok(()),
-        other => Err(Wrong::run("a letter", format!("{other:?}"))),
+        other => Err(BenchError::failed("a letter", format!("{other:?}"))),
     };
     for from in &members {
         register.grant(
@@ -488,12 +500,12 @@
         tell.add(took);
         telling += took;
     }
-    line.count("held", a.held);
-    line.count("holdings", register.subscription_count());
-    line.figure("memory_mb", grown.mb());
-    line.put("tell_us", tell.us());
+    output.count("held", args.subscriptions);
+    output.count("holdings", register.subscription_count());
+    output.figure("memory_mb", grown.mb());
+    output.insert("tell_us", tell.us());
     // All tell a new root what they hold, which it does while it does nothing else.
-    line.figure("tell_all_ms", ms(telling));
+    output.figure("tell_all_ms", ms(telling));
     for from in members.iter().take(2000) {
         let scopes = vec![names[rng.usize(..names.len())].clone()];
         let letter = SubscribeRequest {
@@ -509,10 +521,10 @@
         taken?;
         want.add(took);
     }
-    line.put("want_us", want.us());
+    output.insert("want_us", want.us());
     // Whom a change waits for: of any function, and of the one that most hold.
     let after = STEP.next();
-    let mut waits = Spread::default();
+    let mut waits = Distribution::default();
     for name in names.iter().take(5_000) {
         let (_, took) = timed(|| {
             register
@@ -521,7 +533,7 @@
         });
         waits.add(took);
     }
-    line.put("waits_us", waits.us());
+    output.insert("waits_us", waits.us());
     let most = names
         .iter()
         .map(|name| {
@@ -534,20 +546,20 @@
         })
         .max();
     if let Some((n, name)) = most {
-        line.count("most_holders", n);
+        output.count("most_holders", n);
         let (_, took) = timed(|| {
             register
                 .subscribers_behind(scope_number(name), after)
                 .count()
         });
-        line.figure("most_waits_us", took.as_secs_f64() * 1e6);
+        output.figure("most_waits_us", took.as_secs_f64() * 1e6);
     }
-    let mut gone = Spread::default();
+    let mut gone = Distribution::default();
     for from in members.iter().take(200) {
         let ((), took) = timed(|| register.remove(*from));
         gone.add(took);
     }
-    line.put("dismiss_us", gone.us());
-    line.figure("peak_mb", grown.peak_mb());
+    output.insert("dismiss_us", gone.us());
+    output.figure("peak_mb", grown.peak_mb());
     Ok(())
 }
--- a/benches/state/src/steer.rs
+++ b/benches/state/src/steer.rs
@@ -2,8 +2,8 @@
 //! time. Answers are the real letters, taken as a steerer takes them; a look is `tansy_rollout::Steer`'s own.
 
 use crate::inputs::{CALLS_S, CLASSES};
-use crate::measure::{ms, timed, Grown, Line, Spread};
-use crate::{Args, Wrong};
+use crate::measure::{ms, timed, Distribution, MemoryGrowth, OutputRecord};
+use crate::{Args, BenchError};
 use prost::Message;
 use std::collections::BTreeMap;
 use tansy_fleet_wire::{of_counts, pb, roll_entry};
@@ -185,37 +185,40 @@
     answers.iter().filter_map(one).collect()
 }
 
-fn refused(why: &RolloutRejection, a: &Args, line: &mut Line) {
-    line.count("refused", 1);
-    line.note(format!(
+fn refused(why: &RolloutRejection, args: &Args, output: &mut OutputRecord) {
+    output.count("refused", 1);
+    output.add_note(format!(
         "a roll over {} front ends is refused: {why}",
-        a.front_ends
+        args.front_ends
     ));
 }
 
 /// What a look costs whoever steers, and what it holds.
-pub fn steer(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let mut roll = match begin(a.front_ends) {
+pub fn steer(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let mut roll = match begin(args.front_ends) {
         Ok(roll) => roll,
         Err(why) => {
-            refused(&why, a, line);
+            refused(&why, args, output);
             return Ok(());
         }
     };
-    line.count("refused", 0);
-    line.count("classes", CLASSES);
-    let mut fleet = Fleet::new(a.front_ends, CLASSES, a.seed);
+    output.count("refused", 0);
+    output.count("classes", CLASSES);
+    let mut fleet = Fleet::new(args.front_ends, CLASSES, args.seed);
     let first = fleet.answers(0);
     let bytes: usize = first.iter().map(Vec::len).sum();
-    line.figure("answer_bytes", bytes as f64 / first.len().max(1) as f64);
-    line.count("look_bytes", bytes);
-    line.count("look_messages", 2 * first.len());
-    line.figure("look_kb_s", bytes as f64 / 1e3 * (SECOND / ASK) as f64);
+    output.figure("answer_bytes", bytes as f64 / first.len().max(1) as f64);
+    output.count("look_bytes", bytes);
+    output.count("look_messages", 2 * first.len());
+    output.figure("look_kb_s", bytes as f64 / 1e3 * (SECOND / ASK) as f64);
     drop(first);
-    let grown = Grown::begin();
+    let grown = MemoryGrowth::begin();
     let mut steer = RolloutController::new("steerer".into());
-    let (mut take, mut slices, mut moving) =
-        (Spread::default(), Spread::default(), Spread::default());
+    let (mut take, mut slices, mut moving) = (
+        Distribution::default(),
+        Distribution::default(),
+        Distribution::default(),
+    );
     let mut now = 0;
     let mut entries = Vec::new();
     // What is usual is learnt before the first one is let go: a look that compares every slice.
@@ -234,15 +237,15 @@
         if let Some(entry) = entry {
             let let_go = matches!(entry, RolloutEntry::Let { .. });
             roll.apply(entry)
-                .map_err(|e| Wrong::run("a step of the roll", e))?;
+                .map_err(|e| BenchError::failed("a step of the roll", e))?;
             if let_go {
                 break;
             }
         }
         now += slice;
     }
-    line.figure("memory_mb", grown.mb());
-    line.figure("peak_mb", grown.peak_mb());
+    output.figure("memory_mb", grown.mb());
+    output.figure("peak_mb", grown.peak_mb());
     // Looks between: half of the last stage is changed, the others are let go one by one.
     now = roll.plan.least as Time * SECOND + slice;
     let half: Vec<String> = roll.plan.up_to(0).map(|p| p.name.clone()).collect();
@@ -255,7 +258,7 @@
                 name: name.clone(),
             };
             roll.apply(go)
-                .map_err(|e| Wrong::run("a step of the roll", e))?;
+                .map_err(|e| BenchError::failed("a step of the roll", e))?;
         }
         let moved = RolloutEntry::Moved {
             at: roll.at,
@@ -263,7 +266,7 @@
             name: name.clone(),
         };
         roll.apply(moved)
-            .map_err(|e| Wrong::run("a step of the roll", e))?;
+            .map_err(|e| BenchError::failed("a step of the roll", e))?;
         fleet.let_go(name, now - RESTART);
     }
     fleet.pass(now);
@@ -280,21 +283,21 @@
         let Some(entry) = entry else { continue };
         entries.push(roll_entry(&entry, None).encode_to_vec().len());
         roll.apply(entry)
-            .map_err(|e| Wrong::run("a step of the roll", e))?;
+            .map_err(|e| BenchError::failed("a step of the roll", e))?;
     }
-    line.put("take_ms", take.ms());
-    line.put("slice_ms", slices.ms());
-    line.put("look_ms", moving.ms());
-    line.figure(
+    output.insert("take_ms", take.ms());
+    output.insert("slice_ms", slices.ms());
+    output.insert("look_ms", moving.ms());
+    output.figure(
         "step_bytes",
         entries.iter().sum::<usize>() as f64 / entries.len().max(1) as f64,
     );
     let (text, took) = timed(|| serde_json::to_string(&roll).unwrap_or_default());
-    line.count("roll_bytes", text.len());
-    line.figure("roll_encode_ms", ms(took));
+    output.count("roll_bytes", text.len());
+    output.figure("roll_encode_ms", ms(took));
     // All answers taken and one look between, four times a second.
     let each = take.mean_ms() + moving.mean_ms() + slices.mean_ms() * ASK as f64 / slice as f64;
-    line.figure("steer_cpu", each / (ASK as f64 / 1e3) * 100.0);
+    output.figure("steer_cpu", each / (ASK as f64 / 1e3) * 100.0);
     Ok(())
 }
 
@@ -363,34 +366,34 @@
 }
 
 /// How long a roll of a program lasts.
-pub fn roll(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let (played, roll) = match play(a.front_ends, a.seed) {
+pub fn roll(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let (played, roll) = match play(args.front_ends, args.seed) {
         Ok(played) => played,
         Err(why @ RolloutRejection::Plan(_)) => {
-            refused(&why, a, line);
+            refused(&why, args, output);
             return Ok(());
         }
-        Err(why) => return Err(Wrong::run("a step of the roll", why)),
+        Err(why) => return Err(BenchError::failed("a step of the roll", why)),
     };
     if !played.done {
-        return Err(Wrong::run(
+        return Err(BenchError::failed(
             "the roll",
             format!("it is not done: {}", roll.why),
         ));
     }
-    line.count("refused", 0);
-    line.count("zones", ZONES);
-    line.count("at_once", roll.plan.at_once);
-    line.figure("restart_s", RESTART as f64 / 1e6);
-    line.figure("roll_s", played.took as f64 / 1e6);
-    line.count("steps", played.steps as usize);
-    line.count("beats", played.beats as usize);
-    line.count("away", played.away);
-    line.figure(
+    output.count("refused", 0);
+    output.count("zones", ZONES);
+    output.count("at_once", roll.plan.at_once);
+    output.figure("restart_s", RESTART as f64 / 1e6);
+    output.figure("roll_s", played.took as f64 / 1e6);
+    output.count("steps", played.steps as usize);
+    output.count("beats", played.beats as usize);
+    output.count("away", played.away);
+    output.figure(
         "step_bytes",
         played.bytes as f64 / (played.steps + played.beats).max(1) as f64,
     );
-    line.count(
+    output.count(
         "roll_bytes",
         serde_json::to_string(&roll).unwrap_or_default().len(),
     );
--- a/benches/state/src/terms.rs
+++ b/benches/state/src/terms.rs
@@ -1,8 +1,8 @@
 //! What one change of one function costs every front end: what is agreed on made into terms, and these taken up.
 
 use crate::inputs;
-use crate::measure::{ms, timed, Grown, Line};
-use crate::{Args, Wrong};
+use crate::measure::{ms, timed, MemoryGrowth, OutputRecord};
+use crate::{Args, BenchError};
 use std::time::Duration;
 use tansy_agreement::compatibility::{
     rules_after_expiry, rules_without_lease, AffectedCalls, EffectiveRules, Fields, Schema, Value,
@@ -35,22 +35,24 @@
 }
 
 impl Adopter {
-    fn filled(&mut self, fields: &Fields) -> Result<Fields, Wrong> {
+    fn filled(&mut self, fields: &Fields) -> Result<Fields, BenchError> {
         let (filled, took) = timed(|| agree::filled(fields));
         self.spent.filled += took;
-        Ok(filled.map_err(|e| Wrong::run("the version's fields", e))?.0)
+        Ok(filled
+            .map_err(|e| BenchError::failed("the version's fields", e))?
+            .0)
     }
 
-    fn config(&mut self, fields: &Fields) -> Result<DispatchConfig, Wrong> {
+    fn config(&mut self, fields: &Fields) -> Result<DispatchConfig, BenchError> {
         let (settings, took) = timed(|| agree::settings(&self.own, fields));
         self.spent.settings += took;
         self.spent.calls += 1;
         Ok(settings
-            .map_err(|e| Wrong::run("the version's settings", e))?
+            .map_err(|e| BenchError::failed("the version's settings", e))?
             .front)
     }
 
-    fn terms(&mut self, rules: &EffectiveRules) -> Result<EffectiveConfig, Wrong> {
+    fn terms(&mut self, rules: &EffectiveRules) -> Result<EffectiveConfig, BenchError> {
         let config = self.config(&rules.fields)?;
         let mut contested = ConflictingScopes {
             unknown_names: rules.unlisted,
@@ -71,7 +73,7 @@
         })
     }
 
-    fn ready(&mut self, state: &FleetState) -> Result<Ready, Wrong> {
+    fn ready(&mut self, state: &FleetState) -> Result<Ready, BenchError> {
         let mut filled = state.for_member("a");
         filled.in_force.fields = self.filled(&filled.in_force.fields)?;
         if let Some((next, _)) = &mut filled.next {
@@ -91,7 +93,7 @@
     }
 }
 
-fn adopt(front: &mut Dispatcher, now: i64, ready: &Ready) -> Result<Duration, Wrong> {
+fn adopt(front: &mut Dispatcher, now: i64, ready: &Ready) -> Result<Duration, BenchError> {
     let ends = vec![
         (Time(now + SECOND / 2), ready.apart.clone()),
         (Time(now + 3600 * SECOND), ready.lapsed.clone()),
@@ -99,19 +101,19 @@
     let whole = ready.whole.clone();
     let (adopted, took) = timed(|| front.apply_settings(Time(now), whole, ends));
     adopted
-        .map_err(|e| Wrong::run("the terms", e))
+        .map_err(|e| BenchError::failed("the terms", e))
         .map(|()| took)
 }
 
 /// The steps of a change of one function's lanes: told, joint, in force.
-pub fn terms(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let names = inputs::names(a.functions, a.seed);
+pub fn terms(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let names = inputs::names(args.functions, args.seed);
     let fields = inputs::version(&names);
     let one = names
-        .get(a.seed as usize % names.len().max(1))
+        .get(args.seed as usize % names.len().max(1))
         .cloned()
         .unwrap_or_default();
-    let grown = Grown::begin();
+    let grown = MemoryGrowth::begin();
     let own = Fields::from([("front.me".to_string(), Value::Int(7))]);
     let mut adopter = Adopter {
         own,
@@ -121,11 +123,11 @@
     let mut log = Log::new(fields, []);
     let mut ready = adopter.ready(log.state())?;
     let mut front = Dispatcher::new(ready.whole.config.clone(), Time(0))
-        .map_err(|e| Wrong::run("the ledger", e))?;
+        .map_err(|e| BenchError::failed("the ledger", e))?;
     adopt(&mut front, 1, &ready)?;
     adopter.spent = Spent::default();
     let next = inputs::changed(&log.state().in_force.fields, &one, 2);
-    let refused = |e| Wrong::run("the change", e);
+    let refused = |e| BenchError::failed("the change", e);
     log.apply(LogEntry::Propose {
         id: 1,
         base: Version(1),
@@ -143,7 +145,7 @@
         let (made, took) = timed(|| adopter.ready(&state));
         ready = made?;
         let took_up = adopt(&mut front, 2 + n as i64, &ready)?;
-        line.figure(step, ms(took + took_up));
+        output.figure(step, ms(took + took_up));
         (all, adopted) = (all + took + took_up, adopted + took_up);
         let from = log.state().revision;
         if log
@@ -155,30 +157,33 @@
             log.apply(LogEntry::Advance { from }).map_err(refused)?;
         }
     }
-    line.figure("change_ms", ms(all));
-    line.figure("adopt_ms", ms(adopted) / 3.0);
-    line.figure("filled_ms", ms(adopter.spent.filled) / 5.0);
-    line.figure(
+    output.figure("change_ms", ms(all));
+    output.figure("adopt_ms", ms(adopted) / 3.0);
+    output.figure("filled_ms", ms(adopter.spent.filled) / 5.0);
+    output.figure(
         "settings_ms",
         ms(adopter.spent.settings) / adopter.spent.calls.max(1) as f64,
     );
-    line.figure("memory_mb", grown.mb());
-    line.figure("peak_mb", grown.peak_mb());
+    output.figure("memory_mb", grown.mb());
+    output.figure("peak_mb", grown.peak_mb());
     // What is kept is kept until here.
     drop((ready, front, log));
     Ok(())
 }
 
 /// [`Front::adopt`] alone, of settings in which one function differs.
-pub fn adopt_alone(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let names = inputs::names(a.functions, a.seed);
-    let config = inputs::config(&names, a.front_ends, a.seed);
-    let grown = Grown::begin();
-    let mut front =
-        Dispatcher::new(config.clone(), Time(0)).map_err(|e| Wrong::run("the ledger", e))?;
-    line.figure("front_mb", grown.mb());
+pub fn adopt_alone(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let names = inputs::names(args.functions, args.seed);
+    let config = inputs::config(&names, args.front_ends, args.seed);
+    let grown = MemoryGrowth::begin();
+    let mut front = Dispatcher::new(config.clone(), Time(0))
+        .map_err(|e| BenchError::failed("the ledger", e))?;
+    output.figure("front_mb", grown.mb());
     let mut next = config;
-    if let Some(f) = next.functions.get_mut(a.seed as usize % names.len().max(1)) {
+    if let Some(f) = next
+        .functions
+        .get_mut(args.seed as usize % names.len().max(1))
+    {
         f.lanes = 2;
     }
     let terms = EffectiveConfig::from(next);
@@ -187,13 +192,13 @@
         apart: terms.clone(),
         lapsed: terms,
     };
-    line.figure("adopt_ms", ms(adopt(&mut front, 1, &ready)?));
+    output.figure("adopt_ms", ms(adopt(&mut front, 1, &ready)?));
     // The lease runs out: the terms that come after it are taken up by the next input, before that itself.
     let mut out = Vec::new();
     let (_, took) = timed(|| front.step(Time(SECOND), tansy_dispatch::Input::Tick, &mut out));
-    line.figure("lapse_ms", ms(took));
-    line.figure("memory_mb", grown.mb());
-    line.figure("peak_mb", grown.peak_mb());
+    output.figure("lapse_ms", ms(took));
+    output.figure("memory_mb", grown.mb());
+    output.figure("peak_mb", grown.peak_mb());
     drop((ready, front));
     Ok(())
 }
--- a/benches/state/src/workers.rs
+++ b/benches/state/src/workers.rs
@@ -6,8 +6,8 @@
 
 use crate::connections::{Connections, Keeping};
 use crate::inputs::{self, Draw, CALLS_S, CLASSES, LOAD, WARM};
-use crate::measure::{Line, Spread};
-use crate::{Args, Wrong};
+use crate::measure::{Distribution, OutputRecord};
+use crate::{Args, BenchError};
 use serde_json::json;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Instant;
@@ -185,13 +185,13 @@
 #[derive(Default)]
 pub struct ColdStarts {
     /// From the call to the order.
-    pub order_wait: Spread,
+    pub order_wait: Distribution,
     /// From the order's answer to the attempt that was served.
-    pub send_wait: Spread,
+    pub send_wait: Distribution,
     /// From the call to that attempt, less the time from the order to its answer.
-    pub ours: Spread,
+    pub ours: Distribution,
     /// From the call to the answer.
-    pub in_all: Spread,
+    pub in_all: Distribution,
     /// Calls.
     pub calls: u64,
     /// Answered otherwise than served.
@@ -244,7 +244,7 @@
     /// See there.
     pub cold: ColdStarts,
     /// Wall time of the step that takes a call.
-    pub decide: Spread,
+    pub decide: Distribution,
 }
 
 fn told() -> Trailers {
@@ -262,32 +262,33 @@
 
 impl Play {
     /// None of the workers has anything, and nobody is connected.
-    pub fn new(a: &Args) -> Result<Play, Wrong> {
-        let names = inputs::names(a.functions, a.seed);
-        let workers = a.instances.div_ceil(WARM).max(1);
+    pub fn new(args: &Args) -> Result<Play, BenchError> {
+        let names = inputs::names(args.functions, args.seed);
+        let workers = args.instances.div_ceil(WARM).max(1);
         // What is not said is as the settings have it without a word (settings/src/schema.cue).
         let settings = |me: usize| Settings {
             front_end: me,
-            miss_policy: if a.miss {
+            miss_policy: if args.miss {
                 MissPolicy::Miss
             } else {
                 MissPolicy::Load
             },
             may_probe: true,
             reports: Reports::Attached,
-            ..inputs::settings(a.front_ends)
+            ..inputs::settings(args.front_ends)
         };
         let listed: Vec<_> = (0..workers).map(inputs::listed).collect();
         let mut members = Vec::new();
-        for me in 0..a.front_ends {
-            let mut config = inputs::config(&[], a.front_ends, a.seed.wrapping_add(me as u64));
+        for me in 0..args.front_ends {
+            let mut config =
+                inputs::config(&[], args.front_ends, args.seed.wrapping_add(me as u64));
             config.settings = settings(me);
             let front = Dispatcher::new(config, Time(0))
-                .map_err(|e| Wrong::run("the ledger's settings", e))?;
+                .map_err(|e| BenchError::failed("the ledger's settings", e))?;
             members.push(Member {
                 front,
                 rng: fastrand::Rng::with_seed(
-                    a.seed.wrapping_mul(1_000_003).wrapping_add(me as u64),
+                    args.seed.wrapping_mul(1_000_003).wrapping_add(me as u64),
                 ),
                 due: None,
                 calls: 0,
@@ -325,12 +326,12 @@
                 .enumerate()
                 .map(|(n, name)| (name.clone(), n))
                 .collect(),
-            draw: Draw::new(a.functions, a.seed),
+            draw: Draw::new(args.functions, args.seed),
             members,
             workers: (0..workers).map(|_| Worker::default()).collect(),
-            stand: vec![0; a.functions],
-            called: vec![None; a.functions],
-            miss: a.miss,
+            stand: vec![0; args.functions],
+            called: vec![None; args.functions],
+            miss: args.miss,
             idle_life: settings(0).idle_life,
             links,
             commands: Vec::new(),
@@ -339,9 +340,9 @@
             known: (0, 0),
             unserved: 0,
             cold: ColdStarts::default(),
-            decide: Spread::default(),
+            decide: Distribution::default(),
         };
-        for n in 0..a.front_ends {
+        for n in 0..args.front_ends {
             play.step(
                 n,
                 Input::Workers {
@@ -1161,65 +1162,65 @@
 }
 
 /// Connections, orders and probes at a worker, and the cold starts of all, in a steady fleet; then with silent workers.
-pub fn workers(a: &Args, line: &mut Line) -> Result<(), Wrong> {
-    let mut play = Play::new(a)?;
+pub fn workers(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let mut play = Play::new(args)?;
     play.run(STEADY);
     play.measure();
     play.run(MEASURED);
     let seconds = MEASURED as f64 / 1e6;
     let got = play.got();
     let workers = got.len().max(1) as f64;
-    line.count("workers", got.len());
-    line.count("miss", usize::from(a.miss));
-    line.figure("steady_s", STEADY as f64 / 1e6);
-    line.figure("measured_s", seconds);
-    line.figure("seldom", inputs::seldom(&play.draw.shares()));
+    output.count("workers", got.len());
+    output.count("miss", usize::from(args.miss));
+    output.figure("steady_s", STEADY as f64 / 1e6);
+    output.figure("measured_s", seconds);
+    output.figure("seldom", inputs::seldom(&play.draw.shares()));
     for (name, link) in ["connections"]
         .into_iter()
         .chain(SITES.map(|s| s.0))
         .zip(&mut play.links)
     {
         let (mean, most, opened_s) = link.seen(play.now);
-        line.put(
+        output.insert(
             name,
             json!({"mean": four(mean), "most": most, "opened_s": four(opened_s)}),
         );
     }
-    let each = |name: &str, of: &dyn Fn(&Got) -> u64, line: &mut Line| {
+    let each = |name: &str, of: &dyn Fn(&Got) -> u64, output: &mut OutputRecord| {
         let all = || got.iter().map(|(g, _)| of(g));
         let most = all().max().unwrap_or(0) as f64;
         let mean = all().sum::<u64>() as f64 / workers;
-        line.put(
+        output.insert(
             name,
             json!({"mean": four(mean / seconds), "most": four(most / seconds)}),
         );
     };
-    each("calls_s", &|g| g.calls, line);
-    each("load_orders_s", &|g| g.orders[LOADED], line);
-    each("asks_s", &|g| g.orders[ASKED], line);
-    each("unloads_s", &|g| g.orders[UNLOADED], line);
-    each("probes_s", &|g| g.orders[PROBED], line);
-    each("orders_s", &|g| g.orders.iter().sum(), line);
-    each("loads_s", &|g| g.loads, line);
-    line.figure(
+    each("calls_s", &|g| g.calls, output);
+    each("load_orders_s", &|g| g.orders[LOADED], output);
+    each("asks_s", &|g| g.orders[ASKED], output);
+    each("unloads_s", &|g| g.orders[UNLOADED], output);
+    each("probes_s", &|g| g.orders[PROBED], output);
+    each("orders_s", &|g| g.orders.iter().sum(), output);
+    each("loads_s", &|g| g.loads, output);
+    output.figure(
         "fleet_loads_s",
         got.iter().map(|g| g.0.loads).sum::<u64>() as f64 / seconds,
     );
     let share = |n: u64| n as f64 / play.taken.max(1) as f64;
-    line.count("calls", play.taken as usize);
-    line.count("unserved", play.unserved as usize);
-    line.figure("known_own", share(play.known.0));
-    line.figure("known_any", share(play.known.1));
-    line.figure("cold_share", share(play.cold.calls));
-    line.count("cold_calls", play.cold.calls as usize);
-    line.count("cold_served", play.cold.in_all.count() as usize);
-    line.count("cold_ordered", play.cold.order_wait.count() as usize);
-    line.count("cold_unserved", play.cold.unserved as usize);
-    line.put("order_wait_ms", play.cold.order_wait.ms());
-    line.put("send_wait_ms", play.cold.send_wait.ms());
-    line.put("ours_ms", play.cold.ours.ms());
-    line.put("cold_ms", play.cold.in_all.ms());
-    line.put("decide_us", play.decide.us());
+    output.count("calls", play.taken as usize);
+    output.count("unserved", play.unserved as usize);
+    output.figure("known_own", share(play.known.0));
+    output.figure("known_any", share(play.known.1));
+    output.figure("cold_share", share(play.cold.calls));
+    output.count("cold_calls", play.cold.calls as usize);
+    output.count("cold_served", play.cold.in_all.count() as usize);
+    output.count("cold_ordered", play.cold.order_wait.count() as usize);
+    output.count("cold_unserved", play.cold.unserved as usize);
+    output.insert("order_wait_ms", play.cold.order_wait.ms());
+    output.insert("send_wait_ms", play.cold.send_wait.ms());
+    output.insert("ours_ms", play.cold.ours.ms());
+    output.insert("cold_ms", play.cold.in_all.ms());
+    output.insert("decide_us", play.decide.us());
     // Some workers fall silent.
     play.silence(SILENT_OF);
     play.measure();
@@ -1236,12 +1237,12 @@
         all().max().unwrap_or(0) as f64,
     );
     let silent_s = SILENT as f64 / 1e6;
-    line.count("silent", got.len());
-    line.put(
+    output.count("silent", got.len());
+    output.insert(
         "silent_probes_s",
         json!({"mean": four(mean / silent_s), "most": four(most / silent_s)}),
     );
-    line.figure("silent_unserved", share_of(play.unserved, play.taken));
+    output.figure("silent_unserved", share_of(play.unserved, play.taken));
     Ok(())
 }
 
--- /dev/null
+++ b/benches/state/src/workers/worker.rs
@@ -0,0 +1,122 @@
+//! A worker and its instances: what is loaded, what runs and what waits. It has no clock of its own.
+
+use super::events::WorkerRequest;
+use super::WorkerCounters;
+use crate::inputs::WARM;
+use std::collections::{HashMap, VecDeque};
+use tansy_dispatch::LoadReport;
+use tansyrouter::Micros;
+
+/// Calls that an instance runs at a time.
+pub(super) const LANES: u32 = 4;
+/// Loads that a worker runs at a time, as the sites under `deploy/` set it.
+const MAX_CONCURRENT_LOADS: usize = 4;
+/// Instances that fit into a worker.
+const MAX_INSTANCES: usize = 2 * WARM;
+/// Calls that keep all cores of a worker busy.
+const CALLS_AT_FULL_UTILIZATION: f64 = 8.0;
+
+/// An instance of a function, loaded or being loaded.
+#[derive(Default)]
+pub(super) struct Instance {
+    pub ready: bool,
+    pub running: u32,
+    pub waiting: VecDeque<WorkerRequest>,
+    pub idle_since: Micros,
+}
+
+impl Instance {
+    pub fn is_idle(&self) -> bool {
+        self.ready && self.running == 0
+    }
+
+    pub fn has_free_lane(&self) -> bool {
+        self.running < LANES
+    }
+}
+
+/// A worker of the simulation.
+#[derive(Default)]
+pub(super) struct SimulatedWorker {
+    /// By function.
+    pub instances: HashMap<usize, Instance>,
+    loading: usize,
+    load_queue: VecDeque<usize>,
+    running: u32,
+    /// It answers nothing.
+    pub silent: bool,
+    pub counters: WorkerCounters,
+}
+
+impl SimulatedWorker {
+    pub fn has_room(&self) -> bool {
+        self.instances.len() < MAX_INSTANCES
+    }
+
+    /// The function whose instance has been idle for longest.
+    pub fn longest_idle(&self) -> Option<usize> {
+        self.instances
+            .iter()
+            .filter(|(_, instance)| instance.is_idle())
+            .min_by_key(|(function, instance)| (instance.idle_since, **function))
+            .map(|(function, _)| *function)
+    }
+
+    /// Queues a load, for which the request waits.
+    pub fn enqueue_load(&mut self, function: usize, request: WorkerRequest) {
+        self.counters.loads += 1;
+        let instance = Instance {
+            waiting: VecDeque::from([request]),
+            ..Instance::default()
+        };
+        self.instances.insert(function, instance);
+        self.load_queue.push_back(function);
+    }
+
+    /// The next load to start, if a slot is free.
+    pub fn start_load(&mut self) -> Option<usize> {
+        if self.loading >= MAX_CONCURRENT_LOADS {
+            return None;
+        }
+        let function = self.load_queue.pop_front()?;
+        self.loading += 1;
+        Some(function)
+    }
+
+    pub fn finish_load(&mut self, function: usize) {
+        self.loading = self.loading.saturating_sub(1);
+        if let Some(instance) = self.instances.get_mut(&function) {
+            instance.ready = true;
+        }
+    }
+
+    /// Starts a call in a function's instance; whether there is one.
+    pub fn start_call(&mut self, function: usize) -> bool {
+        let Some(instance) = self.instances.get_mut(&function) else {
+            return false;
+        };
+        instance.running += 1;
+        self.running += 1;
+        true
+    }
+
+    /// Ends a call in a function's instance; whether there is one.
+    pub fn finish_call(&mut self, function: usize) -> bool {
+        let Some(instance) = self.instances.get_mut(&function) else {
+            return false;
+        };
+        instance.running = instance.running.saturating_sub(1);
+        self.running = self.running.saturating_sub(1);
+        true
+    }
+
+    /// The load report that goes with each answer.
+    pub fn load_report(&self) -> LoadReport {
+        let utilization = f64::from(self.running) / CALLS_AT_FULL_UTILIZATION;
+        LoadReport {
+            busy: Some(utilization.min(1.0)),
+            loads: Some((self.loading + self.load_queue.len()) as f64),
+            ..LoadReport::default()
+        }
+    }
+}
--- a/benches/state/tests/state.rs
+++ b/benches/state/tests/state.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Output};
 use tansy_agreement::log::{LogEntry, Version};
 use tansy_bench_state::letters::{grant, most, most_functions, state, taken};
-use tansy_bench_state::{here, inputs, Args, What};
+use tansy_bench_state::{inputs, measure_in_process, Args, Measurement};
 use tansy_fleet_wire::MAX_MESSAGE_BYTES;
 use tansy_settings::agree;
 
@@ -45,7 +45,7 @@
 }
 
 fn line(a: &Args) -> Value {
-    here(a).expect("a measurement").json(true)
+    measure_in_process(a).expect("a measurement").json(true)
 }
 
 #[test]
@@ -270,7 +270,10 @@
             changes: 2,
             ..Args::of(what)
         };
-        let (letter, log) = (line(&a(What::Letter)), line(&a(What::Log)));
+        let (letter, log) = (
+            line(&a(Measurement::GrantMessage)),
+            line(&a(Measurement::ReplicatedLog)),
+        );
         assert_eq!(
             count(&letter, "letter_bytes"),
             grant(state(&names, true)).len() as u64
@@ -312,13 +315,13 @@
     let bytes = |functions| {
         let line = line(&Args {
             functions,
-            ..Args::of(What::Catalog)
+            ..Args::of(Measurement::ScopeCatalog)
         });
         assert_eq!(count(&line, "scopes"), functions as u64);
         // What a seat holds has the log in it.
         let file = self::line(&Args {
             functions,
-            ..Args::of(What::CatalogFile)
+            ..Args::of(Measurement::CatalogFile)
         });
         assert!(
             count(&file, "whole_bytes") > count(&line, "log_bytes"),
--- a/benches/state/tests/workers.rs
+++ b/benches/state/tests/workers.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use tansy_bench_state::connections::{Connections, Keeping};
 use tansy_bench_state::workers::{Got, Play, ASKED, LOADED, PROBED, UNLOADED};
-use tansy_bench_state::{here, Args, What};
+use tansy_bench_state::{measure_in_process, Args, Measurement};
 use tansyrouter::{Micros, SECOND};
 
 fn args(front_ends: usize, miss: bool, seed: u64) -> Args {
@@ -15,7 +15,7 @@
         instances,
         miss,
         seed,
-        ..Args::of(What::Workers)
+        ..Args::of(Measurement::WorkerLoad)
     }
 }
 
@@ -216,7 +216,7 @@
 #[test]
 fn a_seed_says_what_workers_bear() {
     let line = |seed| {
-        let mut line = here(&args(8, false, seed))
+        let mut line = measure_in_process(&args(8, false, seed))
             .expect("a measurement")
             .json(true);
         // What the wall clock tells is another one each time.
