--- a/benches/state/src/calls.rs
+++ b/benches/state/src/calls.rs
@@ -1,7 +1,7 @@
 //! The decision module, the ledger around it, and cold starts.
 
 use crate::day::{self, arrival, Day, Ledger, Machine, Module};
-use crate::inputs::{self, Draw, LOAD, WARM};
+use crate::inputs::{self, FunctionPopularity, LOAD, WARM};
 use crate::measure::{ms, timed, MemoryGrowth, OutputRecord};
 use crate::{Args, BenchError};
 use tansy_dispatch::{Dispatcher, Input};
@@ -46,7 +46,10 @@
 
 /// The module, which knows every function by a call and every instance by an order.
 pub fn module(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
-    let (draw, workers) = (Draw::new(args.functions, args.seed), workers(args));
+    let (draw, workers) = (
+        FunctionPopularity::new(args.functions, args.seed),
+        workers(args),
+    );
     output.count("workers", workers);
     output.figure("seldom", inputs::seldom(&draw.shares()));
     let mut rng = fastrand::Rng::with_seed(args.seed);
@@ -136,7 +139,10 @@
 /// The ledger with the module in it, in a steady day.
 pub fn ledger(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let names = inputs::names(args.functions, args.seed);
-    let (draw, workers) = (Draw::new(args.functions, args.seed), workers(args));
+    let (draw, workers) = (
+        FunctionPopularity::new(args.functions, args.seed),
+        workers(args),
+    );
     output.count("workers", workers);
     output.figure("seldom", inputs::seldom(&draw.shares()));
     output.count("unlisted", usize::from(args.unlisted));
@@ -182,7 +188,10 @@
 /// The part of a cold start that is a front end's own.
 pub fn cold_start(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let names = inputs::names(args.functions, args.seed);
-    let (draw, workers) = (Draw::new(args.functions, args.seed), workers(args));
+    let (draw, workers) = (
+        FunctionPopularity::new(args.functions, args.seed),
+        workers(args),
+    );
     output.count("workers", workers);
     output.figure("cold_calls_s", COLD_S);
     output.figure("load_ms", LOAD as f64 / 1e3);
--- a/benches/state/src/connections.rs
+++ b/benches/state/src/connections.rs
@@ -1,171 +1,239 @@
-//! Connections between front ends and workers, counted: which stand, opened when none had room, closed when idle.
+//! Connections between front ends and workers, counted: opened when none had room for a stream, closed when idle for long.
 
 use std::collections::{HashMap, VecDeque};
 use tansyrouter::Micros;
 
 /// How front ends keep connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Keeping {
-    /// One that nothing was open on for so long is closed; none: none is.
-    pub idle: Option<Micros>,
-    /// Streams that one carries at a time.
-    pub streams: u32,
+pub struct KeepAlivePolicy {
+    /// A connection without a stream for this long is closed; without it none is.
+    pub idle_timeout: Option<Micros>,
+    /// Streams that a connection carries at a time.
+    pub max_streams: u32,
 }
 
 struct Connection {
-    serial: u64,
+    id: u64,
     streams: u32,
-    used: Micros,
+    last_used: Micros,
 }
 
-/// What stands at one worker, and its sum over time.
+/// A front end and a worker.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct Pair {
+    front_end: usize,
+    worker: usize,
+}
+
+/// When a connection may be closed, unless it was used in the meantime.
+struct IdleDeadline {
+    due: Micros,
+    pair: Pair,
+    connection: u64,
+}
+
+/// Open connections of one worker, and their integral over time.
 #[derive(Clone, Copy, Default)]
-struct Standing {
-    now: u32,
-    most: u32,
-    since: Micros,
-    area: f64,
+struct OpenConnections {
+    current: u32,
+    max: u32,
+    changed: Micros,
+    /// Connections times microseconds.
+    integral: f64,
 }
 
-impl Standing {
-    fn change(&mut self, at: Micros, by: i32) {
-        self.area += f64::from(self.now) * (at - self.since) as f64;
-        self.since = at;
-        self.now = self.now.saturating_add_signed(by);
-        self.most = self.most.max(self.now);
+impl OpenConnections {
+    fn change(&mut self, now: Micros, difference: i32) {
+        self.integral += f64::from(self.current) * (now - self.changed) as f64;
+        self.changed = now;
+        self.current = self.current.saturating_add_signed(difference);
+        self.max = self.max.max(self.current);
     }
 }
 
-/// All connections of a fleet to its workers.
-pub struct Connections {
-    keeping: Keeping,
-    /// Between a front end and a worker, the one used last at the end.
-    between: HashMap<(usize, usize), Vec<Connection>>,
-    at: Vec<Standing>,
-    /// Those that are idle, by when they are to close; some were used since.
-    idle: VecDeque<(Micros, (usize, usize), u64)>,
-    /// Since the beginning.
+/// The connection of a new stream.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StreamStart {
+    /// Its number.
+    pub connection: u64,
+    /// Whether it was opened for this stream.
+    pub is_new: bool,
+}
+
+/// Connections since the beginning.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionCounts {
+    /// Opened ones.
+    pub opened: u64,
+    /// Closed ones.
+    pub closed: u64,
+    /// Those that are open now.
+    pub open: u64,
+}
+
+/// Connections since the measurement began.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ConnectionUsage {
+    /// Open connections of a worker, averaged over time and workers.
+    pub mean: f64,
+    /// The most that one worker had open.
+    pub max: u32,
+    /// Connections opened to a worker, by the second.
+    pub opened_per_s: f64,
+}
+
+/// All connections of a fleet to its workers, under one keep-alive policy.
+pub struct ConnectionPool {
+    policy: KeepAlivePolicy,
+    /// By pair, the connection that was used last at the end.
+    connections: HashMap<Pair, Vec<Connection>>,
+    /// By worker.
+    open: Vec<OpenConnections>,
+    /// In the order of time.
+    idle_deadlines: VecDeque<IdleDeadline>,
     opened: u64,
     closed: u64,
-    /// Of what is measured: when it began, and how many had been opened by then.
-    from: (Micros, u64),
+    measured_since: Micros,
+    opened_before: u64,
 }
 
-impl Connections {
-    /// To so many workers, none yet.
-    pub fn new(workers: usize, keeping: Keeping) -> Connections {
-        Connections {
-            keeping,
-            between: HashMap::new(),
-            at: vec![Standing::default(); workers],
-            idle: VecDeque::new(),
+impl ConnectionPool {
+    /// No connection yet to any of these workers.
+    pub fn new(workers: usize, policy: KeepAlivePolicy) -> ConnectionPool {
+        ConnectionPool {
+            policy,
+            connections: HashMap::new(),
+            open: vec![OpenConnections::default(); workers],
+            idle_deadlines: VecDeque::new(),
             opened: 0,
             closed: 0,
-            from: (0, 0),
+            measured_since: 0,
+            opened_before: 0,
         }
     }
 
-    /// A stream begins on one that has room, else on a new one: its number, and whether it is new.
-    pub fn begin(&mut self, now: Micros, front: usize, worker: usize) -> (u64, bool) {
-        self.pass(now);
-        let all = self.between.entry((front, worker)).or_default();
-        let room = all.iter().rposition(|c| c.streams < self.keeping.streams);
-        if let Some(c) = room.and_then(|n| all.get_mut(n)) {
-            (c.streams, c.used) = (c.streams + 1, now);
-            return (c.serial, false);
+    /// A stream starts on a connection that has room, else on a new one.
+    pub fn begin_stream(&mut self, now: Micros, front_end: usize, worker: usize) -> StreamStart {
+        self.close_idle(now);
+        let pair = Pair { front_end, worker };
+        let connections = self.connections.entry(pair).or_default();
+        let max_streams = self.policy.max_streams;
+        let with_room = connections.iter_mut().rfind(|c| c.streams < max_streams);
+        if let Some(connection) = with_room {
+            connection.streams += 1;
+            connection.last_used = now;
+            return StreamStart {
+                connection: connection.id,
+                is_new: false,
+            };
         }
-        let serial = self.opened;
+        let id = self.opened;
         self.opened += 1;
-        all.push(Connection {
-            serial,
+        connections.push(Connection {
+            id,
             streams: 1,
-            used: now,
+            last_used: now,
         });
-        if let Some(at) = self.at.get_mut(worker) {
-            at.change(now, 1);
+        self.open[worker].change(now, 1);
+        StreamStart {
+            connection: id,
+            is_new: true,
         }
-        (serial, true)
     }
 
-    /// A stream ends. One of a connection that is none is nothing.
-    pub fn end(&mut self, now: Micros, front: usize, worker: usize, serial: u64) {
-        self.pass(now);
-        let Some(all) = self.between.get_mut(&(front, worker)) else {
+    /// A stream ends; one of a connection that does not exist, or has no stream, is ignored.
+    pub fn end_stream(&mut self, now: Micros, front_end: usize, worker: usize, id: u64) {
+        self.close_idle(now);
+        let pair = Pair { front_end, worker };
+        let Some(connections) = self.connections.get_mut(&pair) else {
             return;
         };
-        let Some(place) = all.iter().position(|c| c.serial == serial && c.streams > 0) else {
+        let position = connections.iter().position(|c| c.id == id && c.streams > 0);
+        let Some(position) = position else {
             return;
         };
-        let mut c = all.remove(place);
-        (c.streams, c.used) = (c.streams - 1, now);
-        if let Some(idle) = self.keeping.idle.filter(|_| c.streams == 0) {
-            self.idle.push_back((now + idle, (front, worker), serial));
+        let mut connection = connections.remove(position);
+        connection.streams -= 1;
+        connection.last_used = now;
+        let idle_timeout = self.policy.idle_timeout;
+        if let Some(idle_timeout) = idle_timeout.filter(|_| connection.streams == 0) {
+            self.idle_deadlines.push_back(IdleDeadline {
+                due: now + idle_timeout,
+                pair,
+                connection: id,
+            });
         }
-        all.push(c);
+        connections.push(connection);
     }
 
-    /// Closes what has been idle for long by now.
-    pub fn pass(&mut self, now: Micros) {
-        let Some(idle) = self.keeping.idle else {
+    /// Closes the connections whose idle timeout is over by now.
+    pub fn close_idle(&mut self, now: Micros) {
+        let Some(idle_timeout) = self.policy.idle_timeout else {
             return;
         };
-        while let Some((due, pair, serial)) = self.idle.front().copied().filter(|i| i.0 <= now) {
-            self.idle.pop_front();
-            let Some(all) = self.between.get_mut(&pair) else {
+        let is_due = |deadline: &IdleDeadline| deadline.due <= now;
+        while self.idle_deadlines.front().is_some_and(is_due) {
+            let Some(deadline) = self.idle_deadlines.pop_front() else {
+                return;
+            };
+            let Some(connections) = self.connections.get_mut(&deadline.pair) else {
                 continue;
             };
-            let over =
-                |c: &Connection| c.serial == serial && c.streams == 0 && c.used + idle == due;
-            let Some(place) = all.iter().position(over) else {
+            let expired = connections.iter().position(|c| {
+                c.id == deadline.connection
+                    && c.streams == 0
+                    && c.last_used + idle_timeout == deadline.due
+            });
+            let Some(position) = expired else {
                 continue;
             };
-            all.remove(place);
+            connections.remove(position);
             self.closed += 1;
-            if let Some(at) = self.at.get_mut(pair.1) {
-                at.change(due, -1);
-            }
+            self.open[deadline.pair.worker].change(deadline.due, -1);
         }
     }
 
-    /// What is measured begins.
-    pub fn measure(&mut self, now: Micros) {
-        self.pass(now);
-        for at in &mut self.at {
-            at.change(now, 0);
-            (at.area, at.most) = (0.0, at.now);
+    /// Starts to measure: [`Self::usage`] counts from here on.
+    pub fn start_measurement(&mut self, now: Micros) {
+        self.close_idle(now);
+        for open in &mut self.open {
+            open.change(now, 0);
+            open.integral = 0.0;
+            open.max = open.current;
         }
-        self.from = (now, self.opened);
+        self.measured_since = now;
+        self.opened_before = self.opened;
     }
 
-    /// Those that were opened, closed and stand, since the beginning.
-    pub fn counts(&self) -> (u64, u64, u64) {
-        (
-            self.opened,
-            self.closed,
-            self.between.values().map(|all| all.len() as u64).sum(),
-        )
+    /// Connections that were opened, closed and are open, since the beginning.
+    pub fn counts(&self) -> ConnectionCounts {
+        let open: usize = self.connections.values().map(Vec::len).sum();
+        ConnectionCounts {
+            opened: self.opened,
+            closed: self.closed,
+            open: open as u64,
+        }
     }
 
-    /// Those that stand at each worker.
-    pub fn standing(&self) -> Vec<u32> {
-        self.at.iter().map(|a| a.now).collect()
+    /// Open connections of each worker.
+    pub fn open_by_worker(&self) -> Vec<u32> {
+        self.open.iter().map(|open| open.current).collect()
     }
 
-    /// Since it is measured, by now: those that stand at a worker on average, the most that stood at one, and those that
-    /// were opened to one in a second.
-    pub fn seen(&mut self, now: Micros) -> (f64, u32, f64) {
-        self.pass(now);
-        self.at.iter_mut().for_each(|a| a.change(now, 0));
-        let (span, workers) = (
-            (now - self.from.0).max(1) as f64,
-            self.at.len().max(1) as f64,
-        );
-        let mean = self.at.iter().map(|a| a.area).sum::<f64>() / span / workers;
-        let most = self.at.iter().map(|a| a.most).max().unwrap_or(0);
-        (
-            mean,
-            most,
-            (self.opened - self.from.1) as f64 / (span / 1e6) / workers,
-        )
+    /// Connections of a worker since the measurement began.
+    pub fn usage(&mut self, now: Micros) -> ConnectionUsage {
+        self.close_idle(now);
+        for open in &mut self.open {
+            open.change(now, 0);
+        }
+        let span = (now - self.measured_since).max(1) as f64;
+        let workers = self.open.len().max(1) as f64;
+        let integral: f64 = self.open.iter().map(|open| open.integral).sum();
+        let opened = self.opened - self.opened_before;
+        ConnectionUsage {
+            mean: integral / span / workers,
+            max: self.open.iter().map(|open| open.max).max().unwrap_or(0),
+            opened_per_s: opened as f64 / (span / 1e6) / workers,
+        }
     }
 }
--- a/benches/state/src/day.rs
+++ b/benches/state/src/day.rs
@@ -1,7 +1,7 @@
 //! A front end's day in virtual time: calls come by a skewed draw, workers answer, siblings keep what is called often.
 //! The module alone and the whole ledger are driven the same way; each of their steps is timed by the wall clock.
 
-use crate::inputs::{self, Draw, CALLS_S, CLASSES, LOAD};
+use crate::inputs::{self, FunctionPopularity, CALLS_S, CLASSES, LOAD};
 use crate::measure::Distribution;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -216,7 +216,7 @@
 impl Ledger {
     /// Around a front that knows its workers; functions beyond the settings' ones are told of by their calls.
     pub fn new(front: Dispatcher, names: Vec<String>, unlisted: bool) -> Ledger {
-        let places = inputs::places(&names);
+        let places = inputs::function_indices(&names);
         Ledger {
             front,
             names,
@@ -434,7 +434,7 @@
 pub struct Day<M> {
     /// What is measured.
     pub machine: M,
-    draw: Draw,
+    draw: FunctionPopularity,
     /// Which functions siblings call so often that they stand somewhere whenever they are looked for.
     kept: Vec<bool>,
     /// What was loaded for this front end, and until when it stands.
@@ -466,7 +466,7 @@
 
 impl<M: Machine> Day<M> {
     /// One of so many front ends, whose calls are drawn like this.
-    pub fn new(machine: M, draw: Draw, front_ends: usize, seed: u64) -> Day<M> {
+    pub fn new(machine: M, draw: FunctionPopularity, front_ends: usize, seed: u64) -> Day<M> {
         // A function stands somewhere if the fleet calls it at least once in the time that an idle instance stays.
         let life = 10.0;
         let kept = draw
--- a/benches/state/src/inputs.rs
+++ b/benches/state/src/inputs.rs
@@ -122,6 +122,12 @@
     format!("worker-{n}")
 }
 
+/// The number of the worker with this name; 0 of a name that [`worker`] did not make.
+pub fn worker_number(name: &str) -> usize {
+    let digits = name.rsplit('-').next();
+    digits.and_then(|digits| digits.parse().ok()).unwrap_or(0)
+}
+
 /// A line of the list of workers.
 pub fn listed(n: usize) -> WorkerRecord {
     WorkerRecord {
@@ -136,16 +142,16 @@
 }
 
 /// Which function is called next, and how often each is.
-pub struct Draw {
+pub struct FunctionPopularity {
     /// By rank: the sum of the shares up to it.
     sums: Vec<f64>,
     /// The function of each rank.
     ranked: Vec<u32>,
 }
 
-impl Draw {
+impl FunctionPopularity {
     /// Over so many functions.
-    pub fn new(functions: usize, seed: u64) -> Draw {
+    pub fn new(functions: usize, seed: u64) -> FunctionPopularity {
         let mut sum = 0.0;
         let mut add = |n: usize| {
             sum += (n as f64).powf(-SKEW);
@@ -155,7 +161,7 @@
         sums.iter_mut().for_each(|s| *s /= sum);
         let mut ranked: Vec<u32> = (0..functions as u32).collect();
         fastrand::Rng::with_seed(seed).shuffle(&mut ranked);
-        Draw { sums, ranked }
+        FunctionPopularity { sums, ranked }
     }
 
     /// The next call's function.
@@ -187,7 +193,7 @@
 }
 
 /// Functions by name.
-pub fn places(names: &[String]) -> BTreeMap<String, usize> {
+pub fn function_indices(names: &[String]) -> BTreeMap<String, usize> {
     names
         .iter()
         .enumerate()
--- a/benches/state/src/lib.rs
+++ b/benches/state/src/lib.rs
@@ -69,7 +69,7 @@
         Measurement::CatalogFile => scopes::catalog_file,
         Measurement::ScopeSubscriptions => scopes::holding,
         Measurement::SubscriptionTable => scopes::holders,
-        Measurement::WorkerLoad => workers::workers,
+        Measurement::WorkerLoad => workers::worker_load,
         Measurement::RolloutController => steer::steer,
         Measurement::Rollout => steer::roll,
     }
--- a/benches/state/src/scopes.rs
+++ b/benches/state/src/scopes.rs
@@ -1,7 +1,7 @@
 //! What settings of functions that are agreed on one by one cost: the catalog at a seat, what a front end holds of it, and the
 //! root's table of who holds what.
 
-use crate::inputs::{self, Draw};
+use crate::inputs::{self, FunctionPopularity};
 use crate::letters::Seat;
 use crate::measure::{ms, timed, Distribution, MemoryGrowth, OutputRecord};
 use crate::{Args, BenchError};
@@ -441,7 +441,7 @@
 pub fn holders(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
     let names = inputs::names(args.functions, args.seed);
     let mut rng = fastrand::Rng::with_seed(args.seed);
-    let draw = Draw::new(names.len(), args.seed);
+    let draw = FunctionPopularity::new(names.len(), args.seed);
     // What each holds: those called often by nearly all, the others by few.
     let mut drawn = || {
         let mut mine = BTreeSet::new();
--- a/benches/state/src/workers/front_end.rs
+++ b/benches/state/src/workers/front_end.rs
@@ -228,7 +228,11 @@
         let (call, attempt) = (CallId(id.call), id.attempt);
         if outcome == SERVED {
             let last = true;
-            let message = Input::ResponseMessage { call, attempt, last };
+            let message = Input::ResponseMessage {
+                call,
+                attempt,
+                last,
+            };
             self.step_dispatcher(id.front_end, message);
         }
         let ended = Input::AttemptEnded {
--- /dev/null
+++ b/benches/state/src/workers/measurement.rs
@@ -0,0 +1,141 @@
+//! The benchmark: the load on each worker in a steady fleet, the cold starts of all front ends, then silent workers.
+
+use super::{ControlRequestKind, WorkerCounters, WorkerSimulation, SITES};
+use crate::inputs;
+use crate::measure::{rounded, OutputRecord};
+use crate::{Args, BenchError};
+use serde_json::json;
+use tansyrouter::{Micros, SECOND};
+
+/// Until the fleet is steady: longer than connections stay idle and rates are remembered.
+const WARM_UP: Micros = 20 * SECOND;
+/// How long the steady fleet is measured.
+const MEASURED: Micros = 10 * SECOND;
+/// How long it is measured afterwards with some workers silent.
+const SILENT: Micros = 10 * SECOND;
+/// One of so many workers falls silent.
+const SILENT_ONE_OF: usize = 20;
+
+fn seconds(span: Micros) -> f64 {
+    span as f64 / 1e6
+}
+
+fn share(part: u64, total: u64) -> f64 {
+    part as f64 / total.max(1) as f64
+}
+
+/// Connections, control requests and probes at a worker, and the cold starts of all, in a steady fleet; then with silent workers.
+pub(crate) fn worker_load(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let mut simulation = WorkerSimulation::new(args)?;
+    simulation.run(WARM_UP);
+    simulation.start_measurement();
+    simulation.run(MEASURED);
+    output.count("workers", simulation.workers.len());
+    output.count("miss", usize::from(args.miss));
+    output.figure("steady_s", seconds(WARM_UP));
+    output.figure("measured_s", seconds(MEASURED));
+    let shares = simulation.popularity.shares();
+    output.figure("seldom", inputs::seldom(&shares));
+    add_connections(&mut simulation, output);
+    add_worker_rates(&simulation, output);
+    add_calls(&simulation, output);
+    add_cold_starts(&simulation, output);
+    simulation.silence(SILENT_ONE_OF);
+    simulation.start_measurement();
+    simulation.run(SILENT);
+    add_silent_workers(&simulation, output);
+    Ok(())
+}
+
+fn add_connections(simulation: &mut WorkerSimulation, output: &mut OutputRecord) {
+    let now = simulation.queue.now();
+    let names = ["connections"]
+        .into_iter()
+        .chain(SITES.map(|site| site.output_name));
+    for (name, pool) in names.zip(&mut simulation.connections) {
+        let usage = pool.usage(now);
+        output.insert(
+            name,
+            json!({
+                "mean": rounded(usage.mean),
+                "most": usage.max,
+                "opened_s": rounded(usage.opened_per_s),
+            }),
+        );
+    }
+}
+
+/// The mean and the maximum of a count over some workers, by the second.
+fn add_rate(
+    name: &str,
+    counts: impl Iterator<Item = u64> + Clone,
+    span: Micros,
+    output: &mut OutputRecord,
+) {
+    let workers = counts.clone().count().max(1) as f64;
+    let max = counts.clone().max().unwrap_or(0) as f64;
+    let mean = counts.sum::<u64>() as f64 / workers;
+    output.insert(
+        name,
+        json!({"mean": rounded(mean / seconds(span)), "most": rounded(max / seconds(span))}),
+    );
+}
+
+fn add_worker_rates(simulation: &WorkerSimulation, output: &mut OutputRecord) {
+    let counters: Vec<WorkerCounters> = simulation.workers.iter().map(|w| w.counters).collect();
+    let mut add = |name: &str, count: &dyn Fn(&WorkerCounters) -> u64| {
+        add_rate(name, counters.iter().map(count), MEASURED, output);
+    };
+    let of_kind = |kind: ControlRequestKind| {
+        move |counters: &WorkerCounters| counters.control_requests[kind as usize]
+    };
+    add("calls_s", &|counters| counters.attempts);
+    add("load_orders_s", &of_kind(ControlRequestKind::Load));
+    add("asks_s", &of_kind(ControlRequestKind::Query));
+    add("unloads_s", &of_kind(ControlRequestKind::Unload));
+    add("probes_s", &of_kind(ControlRequestKind::Probe));
+    add("orders_s", &|counters| {
+        counters.control_requests.iter().sum()
+    });
+    add("loads_s", &|counters| counters.loads);
+    let loads: u64 = counters.iter().map(|counters| counters.loads).sum();
+    output.figure("fleet_loads_s", loads as f64 / seconds(MEASURED));
+}
+
+fn add_calls(simulation: &WorkerSimulation, output: &mut OutputRecord) {
+    let calls = &simulation.calls;
+    output.count("calls", calls.total as usize);
+    output.count("unserved", calls.unserved as usize);
+    output.figure("known_own", share(calls.known_to_front_end, calls.total));
+    output.figure("known_any", share(calls.known_to_fleet, calls.total));
+    output.insert("decide_us", simulation.decision_time.us());
+}
+
+fn add_cold_starts(simulation: &WorkerSimulation, output: &mut OutputRecord) {
+    let cold_starts = &simulation.cold_starts;
+    output.figure(
+        "cold_share",
+        share(cold_starts.calls, simulation.calls.total),
+    );
+    output.count("cold_calls", cold_starts.calls as usize);
+    output.count("cold_served", cold_starts.total.count() as usize);
+    output.count(
+        "cold_ordered",
+        cold_starts.load_request_wait.count() as usize,
+    );
+    output.count("cold_unserved", cold_starts.unserved as usize);
+    output.insert("order_wait_ms", cold_starts.load_request_wait.ms());
+    output.insert("send_wait_ms", cold_starts.send_wait.ms());
+    output.insert("ours_ms", cold_starts.front_end_share.ms());
+    output.insert("cold_ms", cold_starts.total.ms());
+}
+
+fn add_silent_workers(simulation: &WorkerSimulation, output: &mut OutputRecord) {
+    let silent = simulation.workers.iter().filter(|worker| worker.silent);
+    output.count("silent", silent.clone().count());
+    let probes =
+        silent.map(|worker| worker.counters.control_requests[ControlRequestKind::Probe as usize]);
+    add_rate("silent_probes_s", probes, SILENT, output);
+    let calls = &simulation.calls;
+    output.figure("silent_unserved", share(calls.unserved, calls.total));
+}
--- a/benches/state/src/workers/worker.rs
+++ b/benches/state/src/workers/worker.rs
@@ -30,6 +30,10 @@
         self.ready && self.running == 0
     }
 
+    pub fn is_ready_for_call(&self) -> bool {
+        self.ready && self.has_free_lane()
+    }
+
     pub fn has_free_lane(&self) -> bool {
         self.running < LANES
     }
--- a/benches/state/tests/workers.rs
+++ b/benches/state/tests/workers.rs
@@ -1,9 +1,11 @@
-//! What workers bear of front ends: connections are those opened less those closed, each order counts once at one worker, a
-//! seed says what happens.
+//! The load on workers: open connections are those opened less those closed, each control request counts once at one worker,
+//! and a seed determines everything.
 
 use std::collections::BTreeMap;
-use tansy_bench_state::connections::{Connections, Keeping};
-use tansy_bench_state::workers::{Got, Play, ASKED, LOADED, PROBED, UNLOADED};
+use tansy_bench_state::connections::{
+    ConnectionCounts, ConnectionPool, ConnectionUsage, KeepAlivePolicy,
+};
+use tansy_bench_state::workers::{ControlRequestKind, WorkerCounters, WorkerSimulation};
 use tansy_bench_state::{measure_in_process, Args, Measurement};
 use tansyrouter::{Micros, SECOND};
 
@@ -19,207 +21,286 @@
     }
 }
 
-/// What a slow reader of the same openings and ends would count: every moment at which a connection could close is looked
-/// at, and every connection there is.
+struct ReferenceConnection {
+    front_end: usize,
+    worker: usize,
+    streams: u32,
+    last_used: Micros,
+}
+
+/// A slow reference model of the same openings and ends: at each step it checks every connection for its idle timeout.
 #[derive(Default)]
-struct Plain {
-    /// By number: front end, worker, streams, last use.
-    all: BTreeMap<u64, (usize, usize, u32, Micros)>,
+struct ReferencePool {
+    connections: BTreeMap<u64, ReferenceConnection>,
     opened: u64,
     closed: u64,
 }
 
-impl Plain {
-    fn pass(&mut self, now: Micros, idle: Option<Micros>) {
-        let before = self.all.len();
-        self.all
-            .retain(|_, c| c.2 > 0 || idle.is_none_or(|idle| c.3 + idle > now));
-        self.closed += (before - self.all.len()) as u64;
+impl ReferencePool {
+    fn close_idle(&mut self, now: Micros, idle_timeout: Option<Micros>) {
+        let before = self.connections.len();
+        self.connections.retain(|_, c| {
+            c.streams > 0 || idle_timeout.is_none_or(|timeout| c.last_used + timeout > now)
+        });
+        self.closed += (before - self.connections.len()) as u64;
+    }
+
+    fn has_room(&self, front_end: usize, worker: usize, max_streams: u32) -> bool {
+        self.connections
+            .values()
+            .any(|c| (c.front_end, c.worker) == (front_end, worker) && c.streams < max_streams)
+    }
+}
+
+/// A pool and its reference, driven alike.
+struct ComparedPools {
+    policy: KeepAlivePolicy,
+    pool: ConnectionPool,
+    reference: ReferencePool,
+}
+
+impl ComparedPools {
+    fn new(workers: usize, policy: KeepAlivePolicy) -> ComparedPools {
+        ComparedPools {
+            policy,
+            pool: ConnectionPool::new(workers, policy),
+            reference: ReferencePool::default(),
+        }
+    }
+
+    /// Begins a stream; the number of its connection.
+    fn begin_stream(&mut self, now: Micros, front_end: usize, worker: usize) -> u64 {
+        let max_streams = self.policy.max_streams;
+        let had_room = self.reference.has_room(front_end, worker, max_streams);
+        let start = self.pool.begin_stream(now, front_end, worker);
+        assert_eq!(
+            start.is_new, !had_room,
+            "a new one only where none has room"
+        );
+        self.reference.opened += u64::from(start.is_new);
+        let connections = &mut self.reference.connections;
+        let connection = connections
+            .entry(start.connection)
+            .or_insert(ReferenceConnection {
+                front_end,
+                worker,
+                streams: 0,
+                last_used: now,
+            });
+        assert_eq!(
+            (connection.front_end, connection.worker),
+            (front_end, worker),
+            "a connection leads to one worker"
+        );
+        connection.streams += 1;
+        connection.last_used = now;
+        assert!(
+            connection.streams <= max_streams,
+            "{} streams on a connection that takes {max_streams}",
+            connection.streams
+        );
+        start.connection
+    }
+
+    fn end_stream(&mut self, now: Micros, front_end: usize, worker: usize, id: u64) {
+        self.pool.end_stream(now, front_end, worker, id);
+        let connections = &mut self.reference.connections;
+        let connection = connections
+            .get_mut(&id)
+            .expect("a connection in use is open");
+        connection.streams -= 1;
+        connection.last_used = now;
+    }
+
+    fn assert_same(&mut self, now: Micros) {
+        self.pool.close_idle(now);
+        self.reference.close_idle(now, self.policy.idle_timeout);
+        let expected = ConnectionCounts {
+            opened: self.reference.opened,
+            closed: self.reference.closed,
+            open: self.reference.connections.len() as u64,
+        };
+        let policy = self.policy;
+        assert_eq!(self.pool.counts(), expected, "{policy:?} at {now}");
+        let mut by_worker = [0; 4];
+        let connections = self.reference.connections.values();
+        connections.for_each(|c| by_worker[c.worker] += 1);
+        assert_eq!(self.pool.open_by_worker(), by_worker, "{policy:?} at {now}");
     }
 }
 
 #[test]
 fn connections_are_those_opened_less_those_closed() {
-    let ways = [
+    let policies = [
         (None, u32::MAX),
         (Some(50), 1),
         (Some(200), 3),
         (Some(1), 2),
     ];
-    for (idle, streams) in ways {
-        let keeping = Keeping { idle, streams };
-        let (mut counted, mut plain) = (Connections::new(4, keeping), Plain::default());
+    for (idle_timeout, max_streams) in policies {
+        let policy = KeepAlivePolicy {
+            idle_timeout,
+            max_streams,
+        };
+        let mut pools = ComparedPools::new(4, policy);
         let mut rng = fastrand::Rng::with_seed(7);
         let mut open: Vec<(usize, usize, u64)> = Vec::new();
         let mut now = 0;
         for _ in 0..5_000 {
             now += rng.i64(0..20);
-            plain.pass(now, idle);
+            pools.reference.close_idle(now, idle_timeout);
             if open.len() < 12 && rng.bool() {
-                let (front, worker) = (rng.usize(..5), rng.usize(..4));
-                let room = |c: &&(usize, usize, u32, Micros)| {
-                    (c.0, c.1) == (front, worker) && c.2 < streams
-                };
-                let had_room = plain.all.values().any(|c| room(&c));
-                let (serial, new) = counted.begin(now, front, worker);
-                assert_eq!(new, !had_room, "a new one only where none has room");
-                plain.opened += u64::from(new);
-                let c = plain.all.entry(serial).or_insert((front, worker, 0, now));
-                assert_eq!(
-                    (c.0, c.1),
-                    (front, worker),
-                    "a connection leads to one worker"
-                );
-                (c.2, c.3) = (c.2 + 1, now);
-                assert!(
-                    c.2 <= streams,
-                    "{} streams on a connection that takes {streams}",
-                    c.2
-                );
-                open.push((front, worker, serial));
+                let (front_end, worker) = (rng.usize(..5), rng.usize(..4));
+                let id = pools.begin_stream(now, front_end, worker);
+                open.push((front_end, worker, id));
             } else if !open.is_empty() {
-                let (front, worker, serial) = open.swap_remove(rng.usize(..open.len()));
-                counted.end(now, front, worker, serial);
-                let c = plain.all.get_mut(&serial).expect("one that is used stands");
-                (c.2, c.3) = (c.2 - 1, now);
+                let (front_end, worker, id) = open.swap_remove(rng.usize(..open.len()));
+                pools.end_stream(now, front_end, worker, id);
             }
-            counted.pass(now);
-            plain.pass(now, idle);
-            let standing = plain.all.len() as u64;
-            assert_eq!(
-                counted.counts(),
-                (plain.opened, plain.closed, standing),
-                "{keeping:?} at {now}"
-            );
-            let mut each = [0; 4];
-            plain.all.values().for_each(|c| each[c.1] += 1);
-            assert_eq!(counted.standing(), each, "{keeping:?} at {now}");
+            pools.assert_same(now);
         }
+        let reference = &pools.reference;
         assert!(
-            plain.opened > 10 && (idle.is_none() || plain.closed > 10),
-            "{keeping:?}: nothing happened"
+            reference.opened > 10 && (idle_timeout.is_none() || reference.closed > 10),
+            "{policy:?}: nothing happened"
         );
     }
 }
 
 #[test]
 fn connections_on_average_are_their_time_over_all_time() {
-    let mut c = Connections::new(
-        2,
-        Keeping {
-            idle: Some(100),
-            streams: 1,
-        },
-    );
-    let (early, _) = c.begin(0, 0, 0);
-    c.measure(50);
-    // It stands over what is measured from its start to 200 and 100 more, and one at the other worker from 150 on.
-    c.end(200, 0, 0, early);
-    let (_, new) = c.begin(350, 1, 1);
-    assert!(new);
-    let (mean, most, opened_s) = c.seen(450);
-    assert_eq!((mean, most), ((250.0 + 100.0) / 400.0 / 2.0, 1));
-    assert_eq!(opened_s, 1.0 / 400e-6 / 2.0);
-    // An end that is told twice, or of a connection that never was, changes nothing.
-    c.end(450, 0, 0, early);
-    c.end(450, 0, 1, 99);
-    assert_eq!(c.counts(), (2, 1, 1));
+    let policy = KeepAlivePolicy {
+        idle_timeout: Some(100),
+        max_streams: 1,
+    };
+    let mut pool = ConnectionPool::new(2, policy);
+    let early = pool.begin_stream(0, 0, 0).connection;
+    pool.start_measurement(50);
+    // It is open from the start of the measurement to 200 and 100 more, and one at the other worker from 150 on.
+    pool.end_stream(200, 0, 0, early);
+    assert!(pool.begin_stream(350, 1, 1).is_new);
+    let expected = ConnectionUsage {
+        mean: (250.0 + 100.0) / 400.0 / 2.0,
+        max: 1,
+        opened_per_s: 1.0 / 400e-6 / 2.0,
+    };
+    assert_eq!(pool.usage(450), expected);
+    // An end that is reported twice, or of a connection that never was, changes nothing.
+    pool.end_stream(450, 0, 0, early);
+    pool.end_stream(450, 0, 1, 99);
+    let counts = ConnectionCounts {
+        opened: 2,
+        closed: 1,
+        open: 1,
+    };
+    assert_eq!(pool.counts(), counts);
 }
 
-fn sums(got: &[(Got, bool)]) -> (u64, [u64; 4], u64) {
-    let mut all = (0, [0; 4], 0);
-    for (g, _) in got {
-        (all.0, all.2) = (all.0 + g.calls, all.2 + g.loads);
-        all.1
-            .iter_mut()
-            .zip(g.orders)
-            .for_each(|(sum, n)| *sum += n);
+/// The counters of all workers together.
+fn sum(counters: &[WorkerCounters]) -> WorkerCounters {
+    let mut sum = WorkerCounters::default();
+    for worker in counters {
+        sum.attempts += worker.attempts;
+        sum.loads += worker.loads;
+        for (total, count) in sum.control_requests.iter_mut().zip(worker.control_requests) {
+            *total += count;
+        }
     }
-    all
+    sum
+}
+
+/// Open connections are those opened less those closed, in all and by worker.
+fn assert_consistent(pool: &ConnectionPool) {
+    let counts = pool.counts();
+    assert_eq!(counts.opened - counts.closed, counts.open);
+    let by_worker = pool.open_by_worker();
+    assert_eq!(
+        by_worker.iter().map(|open| u64::from(*open)).sum::<u64>(),
+        counts.open
+    );
+    assert!(counts.open > 0);
 }
 
 #[test]
-fn each_order_and_attempt_is_counted_once_at_one_worker() {
+fn each_control_request_and_attempt_is_counted_once_at_one_worker() {
     for (miss, silent) in [(false, false), (true, false), (false, true), (true, true)] {
-        let mut play = Play::new(&args(12, miss, 3)).expect("a fleet");
-        play.run(3 * SECOND);
+        let mut simulation = WorkerSimulation::new(&args(12, miss, 3)).expect("a fleet");
+        simulation.run(3 * SECOND);
         if silent {
-            play.silence(3);
-            play.run(6 * SECOND);
+            simulation.silence(3);
+            simulation.run(6 * SECOND);
         }
-        let (calls, orders, loads) = sums(&play.got());
-        let accounts = play.accounts();
-        let sum = |of: fn(&tansy_dispatch::Counters) -> u64| accounts.iter().map(of).sum::<u64>();
-        let (orders_away, calls_away) = play.under_way();
+        let received = sum(&simulation.worker_counters());
+        let counters = simulation.dispatcher_counters();
+        let sent =
+            |count: fn(&tansy_dispatch::Counters) -> u64| counters.iter().map(count).sum::<u64>();
+        let (requests_on_the_way, attempts_on_the_way) = simulation.on_the_way();
         assert_eq!(
-            sum(|a| a.attempts),
-            calls + calls_away,
+            sent(|c| c.attempts),
+            received.attempts + attempts_on_the_way,
             "attempts, miss {miss}, silent {silent}"
         );
-        let given =
-            sum(|a| a.loads) + sum(|a| a.instance_queries) + sum(|a| a.unloads) + sum(|a| a.probes);
+        let sent_by_kind = [
+            sent(|c| c.loads),
+            sent(|c| c.instance_queries),
+            sent(|c| c.unloads),
+            sent(|c| c.probes),
+        ];
         assert_eq!(
-            given,
-            orders.iter().sum::<u64>() + orders_away,
-            "orders, miss {miss}, silent {silent}"
+            sent_by_kind.iter().sum::<u64>(),
+            received.control_requests.iter().sum::<u64>() + requests_on_the_way,
+            "control requests, miss {miss}, silent {silent}"
         );
-        if orders_away == 0 {
+        if requests_on_the_way == 0 {
             let kinds = [
-                sum(|a| a.loads),
-                sum(|a| a.instance_queries),
-                sum(|a| a.unloads),
-                sum(|a| a.probes),
+                ControlRequestKind::Load,
+                ControlRequestKind::Query,
+                ControlRequestKind::Unload,
+                ControlRequestKind::Probe,
             ];
-            let places = [LOADED, ASKED, UNLOADED, PROBED].map(|k| orders[k]);
             assert_eq!(
-                kinds, places,
-                "kinds of orders, miss {miss}, silent {silent}"
+                sent_by_kind,
+                kinds.map(|kind| received.control_requests[kind as usize]),
+                "kinds of control requests, miss {miss}, silent {silent}"
             );
         }
+        let (attempts, loads) = (received.attempts, received.loads);
         assert!(
-            calls > 1_000 && loads > 100,
-            "{calls} calls and {loads} loads: nothing happened"
+            attempts > 1_000 && loads > 100,
+            "{attempts} attempts and {loads} loads: nothing happened"
         );
         assert!(
-            !silent || orders[PROBED] > 0,
+            !silent || received.control_requests[ControlRequestKind::Probe as usize] > 0,
             "silent workers were not probed"
         );
         // What is open by the front ends is open on connections, and no front end's count is off.
-        let streams = play.streams();
-        for link in play.links() {
-            let (opened, closed, standing) = link.counts();
-            assert_eq!(opened - closed, standing);
-            assert_eq!(
-                link.standing().iter().map(|n| u64::from(*n)).sum::<u64>(),
-                standing
-            );
-            assert!(standing > 0);
-        }
-        assert!(streams > 0 && accounts.iter().all(|a| a.guard_rejections == 0));
+        simulation.connections().iter().for_each(assert_consistent);
+        assert!(simulation.open_streams() > 0 && counters.iter().all(|c| c.guard_rejections == 0));
     }
 }
 
 #[test]
 fn a_connection_that_is_kept_is_one_of_each_pair_and_sites_keep_no_more_pairs() {
-    let mut play = Play::new(&args(9, false, 2)).expect("a fleet");
-    play.run(20 * SECOND);
-    let workers = play.got().len();
-    let kept = play.links()[0].standing();
+    let mut simulation = WorkerSimulation::new(&args(9, false, 2)).expect("a fleet");
+    simulation.run(20 * SECOND);
+    let workers = simulation.worker_counters().len();
+    let keep_all = &simulation.connections()[0];
+    let open = keep_all.open_by_worker();
     assert!(
-        kept.iter().all(|n| *n <= 9),
-        "more than one of a pair: {kept:?}"
+        open.iter().all(|count| *count <= 9),
+        "more than one of a pair: {open:?}"
     );
-    assert_eq!(kept.len(), workers);
-    assert_eq!(play.links()[0].counts().1, 0, "one that is kept was closed");
+    assert_eq!(open.len(), workers);
+    assert_eq!(keep_all.counts().closed, 0, "one that is kept was closed");
 }
 
 #[test]
-fn a_seed_says_what_workers_bear() {
+fn a_seed_determines_the_load_on_workers() {
     let line = |seed| {
         let mut line = measure_in_process(&args(8, false, seed))
             .expect("a measurement")
             .json(true);
-        // What the wall clock tells is another one each time.
+        // Wall times differ by run.
         line.as_object_mut().expect("an object").remove("decide_us");
         line
     };
