--- /dev/null
+++ b/benches/state/src/dispatch_workload/cold_starts.rs
@@ -0,0 +1,63 @@
+//! Cold starts: calls of functions that no worker has.
+
+use crate::measure::Distribution;
+use std::time::Duration;
+use tansyrouter::Micros;
+
+/// A call of a function that no worker has, until it is sent or answered.
+pub(super) struct PendingColdStart {
+    arrived: Micros,
+    /// When the load ended.
+    pub loaded: Option<Micros>,
+    pub load_requested: bool,
+}
+
+impl PendingColdStart {
+    pub fn new(arrived: Micros) -> PendingColdStart {
+        PendingColdStart {
+            arrived,
+            loaded: None,
+            load_requested: false,
+        }
+    }
+}
+
+/// How long cold starts took, by part.
+#[derive(Default)]
+pub struct ColdStartTimes {
+    /// Virtual time from the call to the load request.
+    pub load_request_wait: Distribution,
+    /// Virtual time from the load's end to the send.
+    pub send_wait: Distribution,
+    /// Virtual time from the call to the send.
+    pub total: Distribution,
+    /// Wall time of the step that requests the load.
+    pub load_request_step: Distribution,
+    /// Wall time of the step that sends the call.
+    pub send_step: Distribution,
+    /// Calls that were answered without being sent.
+    pub rejected: u64,
+}
+
+impl ColdStartTimes {
+    /// A step that took this long requested the load.
+    pub(super) fn record_load_request(
+        &mut self,
+        pending: &PendingColdStart,
+        now: Micros,
+        took: Duration,
+    ) {
+        self.load_request_wait.add_us(now - pending.arrived);
+        self.load_request_step.add(took);
+    }
+
+    /// A step that took this long sent the call. One that was sent without a load, to a sibling's instance, is no cold start.
+    pub(super) fn record_send(&mut self, pending: &PendingColdStart, now: Micros, took: Duration) {
+        let Some(loaded) = pending.loaded else {
+            return;
+        };
+        self.send_wait.add_us(now - loaded);
+        self.total.add_us(now - pending.arrived);
+        self.send_step.add(took);
+    }
+}
--- a/benches/state/src/inputs.rs
+++ b/benches/state/src/inputs.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use tansy_agreement::compatibility::{part, Fields, Value};
-use tansy_dispatch::{DispatchConfig, FunctionSpec, WorkerRecord};
+use tansy_dispatch::{Call, CallId, DispatchConfig, FunctionShape, FunctionSpec, WorkerRecord};
 use tansyrouter::{Class, Effect, Group, Micros, Settings, SECOND};
 
 /// Classes of calls.
@@ -16,6 +16,8 @@
 pub const WARM: usize = 100;
 /// A load's time.
 pub const LOAD: Micros = 300_000;
+/// After a timer of the dispatcher is due, the tick of its timer wheel begins within this time.
+pub const TIMER_SLACK: Micros = 500;
 /// Memory of one instance, bytes.
 const MEMORY: i64 = 256 << 20;
 
@@ -117,6 +119,42 @@
     }
 }
 
+/// What a call says of its function, if the settings do not name it.
+pub fn shape(lanes: u32) -> FunctionShape {
+    FunctionShape {
+        lanes,
+        memory_mb: 256.0,
+        load_time: Some(LOAD),
+    }
+}
+
+/// A call as a client sends it.
+pub fn call(number: u64, function: &str, class: usize, shape: Option<FunctionShape>) -> Call {
+    Call {
+        id: CallId(number),
+        function: function.to_string(),
+        class: Some(class),
+        tenant: 0,
+        budget: Some(5 * SECOND),
+        work_hint: None,
+        repeat: false,
+        shape,
+        unknown_names: false,
+        waited: 0,
+    }
+}
+
+/// The time to the next call of a front end, by a Poisson process.
+pub fn call_gap(rng: &mut fastrand::Rng) -> Micros {
+    let gap = -(1.0 - rng.f64()).ln() / CALLS_S * 1e6;
+    gap as Micros
+}
+
+/// The cell of a worker.
+pub fn cell(worker: usize) -> u64 {
+    (worker / 100) as u64
+}
+
 /// A worker's name.
 pub fn worker(n: usize) -> String {
     format!("worker-{n}")
@@ -133,7 +171,7 @@
     WorkerRecord {
         name: worker(n),
         kind: 0,
-        cell: (n / 100) as u64,
+        cell: cell(n),
         zone: 0,
         state: 0,
         age: None,
--- a/benches/state/src/lib.rs
+++ b/benches/state/src/lib.rs
@@ -6,10 +6,10 @@
 #![allow(clippy::too_many_lines)] // docs/ROADMAP.md, "Readable code": still to be split.
 
 mod args;
-mod calls;
 mod campaign;
 pub mod connections;
-pub mod day;
+mod dispatch_costs;
+pub mod dispatch_workload;
 mod error;
 mod fleet;
 pub mod inputs;
@@ -49,9 +49,9 @@
 
 fn benchmark(measurement: Measurement) -> Benchmark {
     match measurement {
-        Measurement::DecisionModule => calls::module,
-        Measurement::Dispatcher => calls::ledger,
-        Measurement::ColdStart => calls::cold_start,
+        Measurement::DecisionModule => dispatch_costs::decision_module,
+        Measurement::Dispatcher => dispatch_costs::dispatcher,
+        Measurement::ColdStart => dispatch_costs::cold_start,
         Measurement::SettingsChange => terms::terms,
         Measurement::ApplySettings => terms::adopt_alone,
         Measurement::GrantMessage => letters::letters,
--- a/benches/state/src/workers/front_end.rs
+++ b/benches/state/src/workers/front_end.rs
@@ -4,17 +4,12 @@
 use super::events::{AttemptId, ControlId, Event};
 use super::worker::LANES;
 use super::{WorkerSimulation, NETWORK_DELAY, SERVED};
-use crate::inputs::{self, CALLS_S, CLASSES, LOAD};
+use crate::inputs::{self, CLASSES, TIMER_SLACK};
 use crate::{Args, BenchError};
 use std::collections::HashMap;
 use std::time::Instant;
-use tansy_dispatch::{
-    AttemptOutcome, Call, CallId, ControlRequestId, Dispatcher, FunctionShape, Input, Trailers,
-};
-use tansyrouter::{Micros, MissPolicy, Reports, Settings, Time, SECOND};
-
-/// A front end's timers fire within this time after they are due.
-const TIMER_SLACK: Micros = 500;
+use tansy_dispatch::{AttemptOutcome, CallId, ControlRequestId, Dispatcher, Input, Trailers};
+use tansyrouter::{Micros, MissPolicy, Reports, Settings, Time};
 
 /// A stream that is open to a worker: its connection under each keep-alive policy.
 pub(super) struct OpenStream {
@@ -78,26 +73,6 @@
     }
 }
 
-/// A call as a client sends it.
-fn client_call(number: u64, function: usize, name: &str) -> Call {
-    Call {
-        id: CallId(number),
-        function: name.to_string(),
-        class: Some(function % CLASSES),
-        tenant: 0,
-        budget: Some(5 * SECOND),
-        work_hint: None,
-        repeat: false,
-        shape: Some(FunctionShape {
-            lanes: LANES,
-            memory_mb: 256.0,
-            load_time: Some(LOAD),
-        }),
-        unknown_names: false,
-        waited: 0,
-    }
-}
-
 impl WorkerSimulation {
     /// Feeds an input to a front end's dispatcher and executes the commands that follow.
     pub(super) fn step_dispatcher(&mut self, index: usize, input: Input) {
@@ -130,10 +105,9 @@
     }
 
     pub(super) fn schedule_next_call(&mut self, index: usize) {
-        let uniform = self.front_ends[index].rng.f64();
-        let gap = -(1.0 - uniform).ln() / CALLS_S * 1e6;
+        let gap = inputs::call_gap(&mut self.front_ends[index].rng);
         let event = Event::CallArrives { front_end: index };
-        self.queue.schedule(gap as Micros, event);
+        self.queue.schedule(gap, event);
     }
 
     pub(super) fn on_call(&mut self, index: usize) {
@@ -152,7 +126,9 @@
                 .entry(function)
                 .or_insert(PendingColdStart::new(number, now));
         }
-        let call = client_call(number, function, &self.function_names[function]);
+        let name = &self.function_names[function];
+        let shape = Some(inputs::shape(LANES));
+        let call = inputs::call(number, name, function % CLASSES, shape);
         let input = Input::Call(call);
         let started = Instant::now();
         self.step_dispatcher(index, input);
