--- a/benches/state/src/inputs.rs
+++ b/benches/state/src/inputs.rs
@@ -1,7 +1,9 @@
 //! What is measured with: functions, a version of settings that names them, and how often each is called.
 
 use std::collections::BTreeMap;
+use std::net::SocketAddr;
 use tansy_agreement::compatibility::{part, Fields, Value};
+use tansy_agreement::lease::{LeaseTiming, Member};
 use tansy_dispatch::{Call, CallId, DispatchConfig, FunctionShape, FunctionSpec, WorkerRecord};
 use tansyrouter::{Class, Effect, Group, Micros, Settings, SECOND};
 
@@ -18,6 +20,12 @@
 pub const LOAD: Micros = 300_000;
 /// After a timer of the dispatcher is due, the tick of its timer wheel begins within this time.
 pub const TIMER_SLACK: Micros = 500;
+/// The span of a lease.
+pub const LEASE_SPAN: Micros = 600_000;
+/// How much clocks may differ in speed, millionths.
+pub const DRIFT_PPM: i64 = 1000;
+/// The port at which front ends take messages of the fleet.
+pub const FLEET_PORT: u16 = 7000;
 /// Memory of one instance, bytes.
 const MEMORY: i64 = 256 << 20;
 
@@ -150,6 +158,35 @@
     gap as Micros
 }
 
+/// The number of a front end, spread as hashes of names are.
+pub fn member_id(number: usize, seed: u64) -> u64 {
+    let spread = (number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    fastrand::Rng::with_seed(seed ^ spread).u64(2..)
+}
+
+/// A front end in its first incarnation.
+pub fn member(number: usize, seed: u64) -> Member {
+    Member {
+        id: member_id(number, seed),
+        incarnation: 1,
+    }
+}
+
+/// An address of its own for each number below 2^24.
+pub fn address(number: usize, port: u16) -> SocketAddr {
+    let number = number as u32;
+    let host = [10, (number >> 16) as u8, (number >> 8) as u8, number as u8];
+    SocketAddr::from((host, port))
+}
+
+/// The timing of sessions.
+pub fn session_timing() -> LeaseTiming {
+    LeaseTiming {
+        span: 3600 * SECOND,
+        drift_ppm: DRIFT_PPM,
+    }
+}
+
 /// The cell of a worker.
 pub fn cell(worker: usize) -> u64 {
     (worker / 100) as u64
--- a/benches/state/src/lib.rs
+++ b/benches/state/src/lib.rs
@@ -13,11 +13,13 @@
 mod error;
 mod fleet;
 pub mod inputs;
-pub mod letters;
 mod lists;
 pub mod measure;
+pub mod messages;
 mod process;
+mod replicated_log;
 mod scopes;
+mod single_voter;
 pub mod steer;
 mod terms;
 pub mod workers;
@@ -54,10 +56,10 @@
         Measurement::ColdStart => dispatch_costs::cold_start,
         Measurement::SettingsChange => terms::terms,
         Measurement::ApplySettings => terms::adopt_alone,
-        Measurement::GrantMessage => letters::letters,
-        Measurement::LargestMessage => letters::largest,
-        Measurement::ReplicatedLog => letters::log,
-        Measurement::VoterFile => letters::file,
+        Measurement::GrantMessage => messages::grant_message,
+        Measurement::LargestMessage => messages::largest_message,
+        Measurement::ReplicatedLog => replicated_log::replicated_log,
+        Measurement::VoterFile => replicated_log::voter_file,
         Measurement::Membership => fleet::members,
         Measurement::LeaseTopology => fleet::view,
         Measurement::Roster => fleet::roster,
@@ -67,8 +69,8 @@
         Measurement::DrainTable => lists::leaving,
         Measurement::ScopeCatalog => scopes::catalog,
         Measurement::CatalogFile => scopes::catalog_file,
-        Measurement::ScopeSubscriptions => scopes::holding,
-        Measurement::SubscriptionTable => scopes::holders,
+        Measurement::ScopeSubscriptions => scopes::scope_subscriptions,
+        Measurement::SubscriptionTable => scopes::subscription_table,
         Measurement::WorkerLoad => workers::worker_load,
         Measurement::RolloutController => steer::steer,
         Measurement::Rollout => steer::roll,
--- a/benches/state/tests/state.rs
+++ b/benches/state/tests/state.rs
@@ -4,9 +4,12 @@
 use serde_json::Value;
 use std::process::{Command, Output};
 use tansy_agreement::log::{LogEntry, Version};
-use tansy_bench_state::letters::{grant, most, most_functions, state, taken};
+use tansy_bench_state::messages::{
+    encode_grant, largest_holding, max_functions_of_grant, read_message, state, ReadError,
+};
 use tansy_bench_state::{inputs, measure_in_process, Args, Measurement};
 use tansy_fleet_wire::MAX_MESSAGE_BYTES;
+use tansy_frames::grpc::FrameError;
 use tansy_settings::agree;
 
 fn run(words: &[&str]) -> Output {
@@ -276,11 +279,11 @@
         );
         assert_eq!(
             count(&letter, "letter_bytes"),
-            grant(state(&names, true)).len() as u64
+            encode_grant(state(&names, true)).len() as u64
         );
         assert_eq!(
             count(&letter, "force_bytes"),
-            grant(state(&names, false)).len() as u64
+            encode_grant(state(&names, false)).len() as u64
         );
         // A record holds the proposal, and little else.
         let fields = inputs::changed(&inputs::version(&names), &names[0], 2);
@@ -336,8 +339,8 @@
 
 #[test]
 fn one_function_more_than_the_most_is_what_no_front_end_can_read() {
-    let most = most_functions(1, true);
-    let letter = |functions| grant(state(&inputs::names(functions, 1), true));
+    let most = max_functions_of_grant(1, true);
+    let letter = |functions| encode_grant(state(&inputs::names(functions, 1), true));
     let (under, over) = (letter(most), letter(most + 1));
     assert!(
         under.len() <= MAX_MESSAGE_BYTES && over.len() > MAX_MESSAGE_BYTES,
@@ -345,14 +348,17 @@
         under.len(),
         over.len()
     );
-    assert!(taken(&under).is_ok());
-    assert!(taken(&over).is_err_and(|why| why.contains("TooLong")));
+    assert!(read_message(&under).is_ok());
+    assert!(matches!(
+        read_message(&over),
+        Err(error @ ReadError::Frame(FrameError::TooLong { .. })) if error.to_string().contains("TooLong")
+    ));
 }
 
 #[test]
 fn the_most_is_found_from_either_side() {
     for limit in [0, 1, 2, 3, 7, 8, 9, 1000] {
-        assert_eq!(most(|n| n <= limit), limit);
+        assert_eq!(largest_holding(|number| number <= limit), limit);
     }
 }
 
