--- a/benches/state/src/lib.rs
+++ b/benches/state/src/lib.rs
@@ -3,25 +3,26 @@
 //!
 //! [`run`] prints one line of JSON for each run. Nothing here opens a socket; calls arrive in virtual time, and steps are
 //! timed by the wall clock. It does not judge: which figures grow with which size is for the reader of the lines.
-#![allow(clippy::too_many_lines)] // docs/ROADMAP.md, "Readable code": still to be split.
 
 mod args;
 mod campaign;
 pub mod connections;
 mod dispatch_costs;
 pub mod dispatch_workload;
+mod drain_table;
+mod endpoint_lists;
 mod error;
-mod fleet;
 pub mod inputs;
-mod lists;
 pub mod measure;
+mod membership;
 pub mod messages;
 mod process;
 mod replicated_log;
+mod rollouts;
+mod roster;
 mod scopes;
+mod settings_change;
 mod single_voter;
-pub mod steer;
-mod terms;
 pub mod workers;
 
 pub use args::{one_line, Args, Measurement};
@@ -54,25 +55,25 @@
         Measurement::DecisionModule => dispatch_costs::decision_module,
         Measurement::Dispatcher => dispatch_costs::dispatcher,
         Measurement::ColdStart => dispatch_costs::cold_start,
-        Measurement::SettingsChange => terms::terms,
-        Measurement::ApplySettings => terms::adopt_alone,
+        Measurement::SettingsChange => settings_change::settings_change,
+        Measurement::ApplySettings => settings_change::apply_settings,
         Measurement::GrantMessage => messages::grant_message,
         Measurement::LargestMessage => messages::largest_message,
         Measurement::ReplicatedLog => replicated_log::replicated_log,
         Measurement::VoterFile => replicated_log::voter_file,
-        Measurement::Membership => fleet::members,
-        Measurement::LeaseTopology => fleet::view,
-        Measurement::Roster => fleet::roster,
-        Measurement::EndpointListFile => lists::list,
-        Measurement::EndpointListUpdate => lists::ledger,
-        Measurement::PlatformList => lists::platform,
-        Measurement::DrainTable => lists::leaving,
+        Measurement::Membership => membership::membership,
+        Measurement::LeaseTopology => membership::lease_topology,
+        Measurement::Roster => roster::roster,
+        Measurement::EndpointListFile => endpoint_lists::endpoint_list_file,
+        Measurement::EndpointListUpdate => endpoint_lists::endpoint_list_update,
+        Measurement::PlatformList => endpoint_lists::platform_list,
+        Measurement::DrainTable => drain_table::drain_table,
         Measurement::ScopeCatalog => scopes::catalog,
         Measurement::CatalogFile => scopes::catalog_file,
         Measurement::ScopeSubscriptions => scopes::scope_subscriptions,
         Measurement::SubscriptionTable => scopes::subscription_table,
         Measurement::WorkerLoad => workers::worker_load,
-        Measurement::RolloutController => steer::steer,
-        Measurement::Rollout => steer::roll,
+        Measurement::RolloutController => rollouts::controller_cost,
+        Measurement::Rollout => rollouts::rollout_duration,
     }
 }
--- /dev/null
+++ b/benches/state/src/rollouts/duration.rs
@@ -0,0 +1,130 @@
+//! How long a rollout lasts, from its beginning to its end.
+
+use super::fleet::{observe, RolloutFleet};
+use super::{
+    add_rejection, begin_rollout, step_failed, CONTROLLER, POLL_INTERVAL, RESTART_TIME, ZONES,
+};
+use crate::measure::OutputRecord;
+use crate::{Args, BenchError};
+use prost::Message;
+use tansy_fleet_wire::roll_entry;
+use tansy_rollout::{
+    FrontEndObservation, Rollout, RolloutController, RolloutEntry, RolloutPhase, RolloutRejection,
+    Time, SECOND,
+};
+
+/// A rollout that is not over by then is given up.
+const TIMEOUT: Time = 200_000 * SECOND;
+
+/// What a rollout took.
+struct RolloutRun {
+    rollout: Rollout,
+    /// Entries, without heartbeats.
+    entries: u64,
+    heartbeats: u64,
+    /// The most front ends that were restarting at once.
+    max_restarting: usize,
+    /// Bytes of all entries.
+    entry_bytes: u64,
+    /// Virtual time from its beginning to its end.
+    duration: Time,
+}
+
+impl RolloutRun {
+    fn begin(front_ends: usize) -> Result<RolloutRun, RolloutRejection> {
+        Ok(RolloutRun {
+            rollout: begin_rollout(front_ends)?,
+            entries: 0,
+            heartbeats: 0,
+            max_restarting: 0,
+            entry_bytes: 0,
+            duration: 0,
+        })
+    }
+
+    fn apply(
+        &mut self,
+        entry: RolloutEntry,
+        fleet: &mut RolloutFleet,
+        now: Time,
+    ) -> Result<(), RolloutRejection> {
+        self.entry_bytes += roll_entry(&entry, None).encode_to_vec().len() as u64;
+        if let RolloutEntry::Let { name, .. } = &entry {
+            fleet.restart(name, now);
+        }
+        if matches!(entry, RolloutEntry::Beat { .. }) {
+            self.heartbeats += 1;
+        } else {
+            self.entries += 1;
+        }
+        self.rollout.apply(entry)
+    }
+}
+
+/// Updates whether front ends are ready, and which program they run, but not their counters.
+fn update_readiness(observations: &mut [FrontEndObservation], fleet: &RolloutFleet) {
+    for observation in observations {
+        if let Some(front_end) = fleet.get(&observation.report.name) {
+            observation.ready = front_end.is_ready;
+            observation.report.new = front_end.is_new;
+        }
+    }
+}
+
+/// Runs a rollout from its beginning to its end.
+fn run_rollout(front_ends: usize, seed: u64) -> Result<RolloutRun, RolloutRejection> {
+    let mut run = RolloutRun::begin(front_ends)?;
+    let mut fleet = RolloutFleet::new(front_ends, 1, seed);
+    let mut controller = RolloutController::new(CONTROLLER.into());
+    let slice = run.rollout.plan.slice as Time * SECOND;
+    let mut observations = observe(&fleet.replies(0));
+    let (mut now, mut next_replies) = (0, 0);
+    while !run.rollout.over() && now < TIMEOUT {
+        fleet.pass_time(now);
+        if now >= next_replies {
+            // Counters matter where slices are compared; between them only readiness and the program do.
+            observations = observe(&fleet.replies(now));
+            next_replies = now + slice;
+        }
+        update_readiness(&mut observations, &fleet);
+        if let Some(entry) = controller.poll(now, &run.rollout, &observations) {
+            run.apply(entry, &mut fleet, now)?;
+        }
+        run.max_restarting = run.max_restarting.max(run.rollout.moving.len());
+        now += POLL_INTERVAL;
+    }
+    run.duration = now;
+    Ok(run)
+}
+
+/// How long a rollout of a program lasts.
+pub(crate) fn rollout_duration(args: &Args, output: &mut OutputRecord) -> Result<(), BenchError> {
+    let run = match run_rollout(args.front_ends, args.seed) {
+        Ok(run) => run,
+        Err(rejection @ RolloutRejection::Plan(_)) => {
+            add_rejection(&rejection, args, output);
+            return Ok(());
+        }
+        Err(rejection) => return Err(step_failed(rejection)),
+    };
+    let rollout = &run.rollout;
+    if rollout.phase != RolloutPhase::Done {
+        return Err(BenchError::failed(
+            "the roll",
+            format!("it is not done: {}", rollout.why),
+        ));
+    }
+    output.count("refused", 0);
+    output.count("zones", ZONES);
+    output.count("at_once", rollout.plan.at_once);
+    output.figure("restart_s", RESTART_TIME as f64 / 1e6);
+    output.figure("roll_s", run.duration as f64 / 1e6);
+    output.count("steps", run.entries as usize);
+    output.count("beats", run.heartbeats as usize);
+    output.count("away", run.max_restarting);
+    let entries = (run.entries + run.heartbeats).max(1);
+    output.figure("step_bytes", run.entry_bytes as f64 / entries as f64);
+    let encoded = serde_json::to_string(rollout).unwrap_or_default();
+    output.count("roll_bytes", encoded.len());
+    Ok(())
+}
--- /dev/null
+++ b/benches/state/src/rollouts/fleet.rs
@@ -0,0 +1,150 @@
+//! The front ends of the fleet, as they answer a rollout controller.
+
+use super::{plan, NEW_LABEL, RESTART_TIME};
+use crate::inputs::CALLS_S;
+use prost::Message;
+use std::collections::BTreeMap;
+use tansy_fleet_wire::{of_counts, pb};
+use tansy_rollout::{FrontEndObservation, Target, Time, SECOND};
+
+/// Distinct latencies that a front end reports of each class.
+const LATENCIES: u64 = 40;
+/// The share of calls that fail, more or less by chance.
+const FAILURE_SHARE: f64 = 0.001;
+/// How long front ends have run when the rollout begins.
+const UPTIME: Time = 3600 * SECOND;
+/// Memory that a front end reports, bytes.
+const MEMORY: u64 = 30_000_000;
+
+/// A front end, as it answers.
+pub(super) struct FrontEnd {
+    target: Target,
+    pub is_new: bool,
+    pub is_ready: bool,
+    started: Time,
+    restarts_at: Option<Time>,
+}
+
+impl FrontEnd {
+    fn new(target: Target) -> FrontEnd {
+        FrontEnd {
+            target,
+            is_new: false,
+            is_ready: true,
+            started: -UPTIME,
+            restarts_at: None,
+        }
+    }
+
+    /// The encoded reply of its program.
+    fn reply(&self, now: Time, classes: usize, rng: &mut fastrand::Rng) -> Vec<u8> {
+        let uptime = now - self.started;
+        let calls = CALLS_S * uptime as f64 / 1e6 / classes as f64;
+        let classes = (0..classes).map(|class| class_counters(class, calls, rng));
+        let label = if self.is_new { NEW_LABEL } else { "old" };
+        let reply = pb::CountsReply {
+            name: self.target.name.clone(),
+            zone: self.target.zone.clone(),
+            incarnation: self.started.unsigned_abs(),
+            up: uptime,
+            ready: self.is_ready,
+            label: label.into(),
+            memory: MEMORY,
+            classes: classes.collect(),
+            seat: self.target.seat,
+            ..Default::default()
+        };
+        reply.encode_to_vec()
+    }
+}
+
+fn class_counters(class: usize, calls: f64, rng: &mut fastrand::Rng) -> pb::ClassCounters {
+    let failed = (calls * FAILURE_SHARE * (0.9 + 0.2 * rng.f64())) as u64;
+    let served = calls as u64 - failed.min(calls as u64);
+    let by_latency = served / LATENCIES;
+    let latencies: Vec<u64> = (1..=LATENCIES).map(|nth| 4_000 + nth * nth * 100).collect();
+    pb::ClassCounters {
+        class: format!("class-{class}"),
+        asked: calls as u64,
+        served: by_latency * LATENCIES,
+        failed,
+        wanted: calls,
+        worth: calls - failed as f64,
+        calls: vec![by_latency; latencies.len()],
+        took: latencies,
+        ..Default::default()
+    }
+}
+
+/// All front ends.
+pub(super) struct RolloutFleet {
+    front_ends: Vec<FrontEnd>,
+    indices: BTreeMap<String, usize>,
+    classes: usize,
+    rng: fastrand::Rng,
+}
+
+impl RolloutFleet {
+    /// So many front ends that have run for a while.
+    pub fn new(front_ends: usize, classes: usize, seed: u64) -> RolloutFleet {
+        let targets = plan(front_ends).stages.into_iter().flatten();
+        let front_ends: Vec<FrontEnd> = targets.map(FrontEnd::new).collect();
+        let indices = front_ends
+            .iter()
+            .enumerate()
+            .map(|(index, front_end)| (front_end.target.name.clone(), index))
+            .collect();
+        RolloutFleet {
+            front_ends,
+            indices,
+            classes,
+            rng: fastrand::Rng::with_seed(seed),
+        }
+    }
+
+    /// The front end of this name.
+    pub fn get(&self, name: &str) -> Option<&FrontEnd> {
+        let index = self.indices.get(name)?;
+        self.front_ends.get(*index)
+    }
+
+    /// A front end ends, and restarts with the new program.
+    pub fn restart(&mut self, name: &str, now: Time) {
+        let index = self.indices.get(name);
+        if let Some(front_end) = index.and_then(|index| self.front_ends.get_mut(*index)) {
+            front_end.is_ready = false;
+            front_end.restarts_at = Some(now + RESTART_TIME);
+        }
+    }
+
+    /// Front ends whose restart is over by now are ready.
+    pub fn pass_time(&mut self, now: Time) {
+        for front_end in &mut self.front_ends {
+            let restarted = front_end.restarts_at.take_if(|at| *at <= now);
+            if let Some(started) = restarted {
+                front_end.is_ready = true;
+                front_end.is_new = true;
+                front_end.started = started;
+            }
+        }
+    }
+
+    /// The encoded replies of those that are ready.
+    pub fn replies(&mut self, now: Time) -> Vec<Vec<u8>> {
+        let (classes, rng) = (self.classes, &mut self.rng);
+        let ready = self.front_ends.iter().filter(|f| f.is_ready);
+        ready
+            .map(|front_end| front_end.reply(now, classes, rng))
+            .collect()
+    }
+}
+
+/// Decodes replies as a controller does.
+pub(super) fn observe(replies: &[Vec<u8>]) -> Vec<FrontEndObservation> {
+    let observation = |bytes: &Vec<u8>| {
+        let reply = pb::CountsReply::decode(bytes.as_slice()).ok()?;
+        let is_new = reply.label == NEW_LABEL;
+        of_counts(reply, is_new).ok()
+    };
+    replies.iter().filter_map(observation).collect()
+}
