--- a/benches/state/src/dispatch_workload.rs
+++ b/benches/state/src/dispatch_workload.rs
@@ -74,7 +74,7 @@
     popularity: FunctionPopularity,
     /// By function: siblings call it so often that it is always loaded somewhere.
     always_warm: Vec<bool>,
-    /// By worker and function: what was loaded for this front end, and until when it stays.
+    /// By worker and function: until when an instance that this front end loaded or used is warm.
     warm_until: HashMap<(usize, usize), Micros>,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     scheduled: u64,
--- a/benches/state/src/inputs.rs
+++ b/benches/state/src/inputs.rs
@@ -1,4 +1,4 @@
-//! What is measured with: functions, a version of settings that names them, and how often each is called.
+//! Inputs of the measurements: functions, a version of settings that names them, how often each is called, and workers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 
 /// Classes of calls.
 pub const CLASSES: usize = 8;
-/// Calls a second that one front end takes.
+/// Calls that arrive at one front end, by the second.
 pub const CALLS_S: f64 = 100.0;
 /// How steeply functions differ: the n-th most called is called `n^-SKEW` as often as the first. With 1,500,000 calls a
 /// second over 340,000 functions more than half of these are called less than once a minute, over all front ends.
@@ -26,73 +26,79 @@
 pub const DRIFT_PPM: i64 = 1000;
 /// The port at which front ends take messages of the fleet.
 pub const FLEET_PORT: u16 = 7000;
+/// The deadline of each class, and the budget of each call.
+const DEADLINE: Micros = 5 * SECOND;
+const LATENCY_OBJECTIVE: Micros = SECOND / 2;
+/// How long a group of workers drops repeats of a key.
+const KEY_WINDOW: Micros = 30 * SECOND;
 /// Memory of one instance, bytes.
 const MEMORY: i64 = 256 << 20;
 
 /// Names of functions: 8 to 24 characters, 16 on the mean, other ones by each seed.
 pub fn names(functions: usize, seed: u64) -> Vec<String> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let name = |n: usize| {
-        let letters = rng.usize(1..=17);
+    let name = |number: usize| {
+        let length = rng.usize(1..=17);
         let word: String = std::iter::repeat_with(|| rng.lowercase())
-            .take(letters)
+            .take(length)
             .collect();
-        format!("{word}-{n:06x}")
+        format!("{word}-{number:06x}")
     };
     (0..functions).map(name).collect()
 }
 
-fn class_name(n: usize) -> String {
-    format!("class-{n}")
+/// Every second class has idempotency keys.
+fn is_keyed(class: usize) -> bool {
+    class % 2 == 1
 }
 
-/// What a version of settings holds of these functions: four fields each, beside the classes and two fields of workers.
+fn class_name(class: usize) -> String {
+    format!("class-{class}")
+}
+
+/// A version of settings with these functions: four fields each, beside the classes and two fields of workers.
 pub fn version(names: &[String]) -> Fields {
     let mut fields = Fields::new();
-    for n in 0..CLASSES {
-        let under = format!("classes.{}", class_name(n));
-        fields.insert(format!("{under}.aim"), Value::Span(SECOND / 2));
-        fields.insert(format!("{under}.deadline"), Value::Span(5 * SECOND));
-        if n % 2 == 1 {
-            fields.insert(format!("{under}.effect"), Value::Text("keyed".into()));
-            fields.insert(format!("{under}.window"), Value::Span(30 * SECOND));
+    for class in 0..CLASSES {
+        let prefix = format!("classes.{}", class_name(class));
+        fields.insert(format!("{prefix}.aim"), Value::Span(LATENCY_OBJECTIVE));
+        fields.insert(format!("{prefix}.deadline"), Value::Span(DEADLINE));
+        if is_keyed(class) {
+            fields.insert(format!("{prefix}.effect"), Value::Text("keyed".into()));
+            fields.insert(format!("{prefix}.window"), Value::Span(KEY_WINDOW));
         }
     }
     fields.insert("front.siblings".into(), Value::Int(15_000));
     fields.insert("worker.max_attempts".into(), Value::Int(4));
-    for (n, name) in names.iter().enumerate() {
-        let under = format!("functions.{}", part(name));
-        fields.insert(
-            format!("{under}.class"),
-            Value::Text(class_name(n % CLASSES)),
-        );
-        fields.insert(format!("{under}.lanes"), Value::Int(1));
-        fields.insert(format!("{under}.memory"), Value::Bytes(MEMORY));
-        fields.insert(format!("{under}.load_time"), Value::Span(LOAD));
+    for (index, name) in names.iter().enumerate() {
+        let prefix = format!("functions.{}", part(name));
+        let class = class_name(index % CLASSES);
+        fields.insert(format!("{prefix}.class"), Value::Text(class));
+        fields.insert(format!("{prefix}.lanes"), Value::Int(1));
+        fields.insert(format!("{prefix}.memory"), Value::Bytes(MEMORY));
+        fields.insert(format!("{prefix}.load_time"), Value::Span(LOAD));
     }
     fields
 }
 
-/// The same with another number of lanes for one function: what one change of one function leads to.
+/// The same fields but for the number of lanes of one function.
 pub fn changed(fields: &Fields, name: &str, lanes: i64) -> Fields {
     let mut fields = fields.clone();
     fields.insert(format!("functions.{}.lanes", part(name)), Value::Int(lanes));
     fields
 }
 
-/// The module's settings of a front end among so many.
+/// The decision module's settings of a front end among so many.
 pub fn settings(front_ends: usize) -> Settings {
-    let class = |n: usize| Class {
-        latency_objective: SECOND / 2,
+    let keyed = Effect::Keyed {
+        group: Group::All,
+        window: KEY_WINDOW,
+    };
+    let class = |class: usize| Class {
+        latency_objective: LATENCY_OBJECTIVE,
         objective_per_work: 0.0,
-        deadline: 5 * SECOND,
-        effect: match n % 2 {
-            0 => Effect::Safe,
-            _ => Effect::Keyed {
-                group: Group::All,
-                window: 30 * SECOND,
-            },
-        },
+        deadline: DEADLINE,
+        effect: if is_keyed(class) { keyed } else { Effect::Safe },
         priority_weight: 1.0,
         late_weight: 0.5,
         streamed: false,
@@ -106,11 +112,11 @@
     }
 }
 
-/// A ledger's configuration with these functions in its settings.
+/// A dispatcher's configuration with these functions in its settings.
 pub fn config(names: &[String], front_ends: usize, seed: u64) -> DispatchConfig {
-    let function = |(n, name): (usize, &String)| FunctionSpec {
+    let function = |(index, name): (usize, &String)| FunctionSpec {
         name: name.clone(),
-        class: n % CLASSES,
+        class: index % CLASSES,
         lanes: 1,
         memory_mb: MEMORY as f64 / 1e6,
         load_time: Some(LOAD),
@@ -127,7 +133,7 @@
     }
 }
 
-/// What a call says of its function, if the settings do not name it.
+/// The description of a function that goes with its calls where the settings do not name it.
 pub fn shape(lanes: u32) -> FunctionShape {
     FunctionShape {
         lanes,
@@ -143,7 +149,7 @@
         function: function.to_string(),
         class: Some(class),
         tenant: 0,
-        budget: Some(5 * SECOND),
+        budget: Some(DEADLINE),
         work_hint: None,
         repeat: false,
         shape,
@@ -193,8 +199,8 @@
 }
 
 /// A worker's name.
-pub fn worker(n: usize) -> String {
-    format!("worker-{n}")
+pub fn worker(number: usize) -> String {
+    format!("worker-{number}")
 }
 
 /// The number of the worker with this name; 0 of a name that [`worker`] did not make.
@@ -203,12 +209,12 @@
     digits.and_then(|digits| digits.parse().ok()).unwrap_or(0)
 }
 
-/// A line of the list of workers.
-pub fn listed(n: usize) -> WorkerRecord {
+/// A worker, as it is in the list.
+pub fn listed(number: usize) -> WorkerRecord {
     WorkerRecord {
-        name: worker(n),
+        name: worker(number),
         kind: 0,
-        cell: cell(n),
+        cell: cell(number),
         zone: 0,
         state: 0,
         age: None,
@@ -216,7 +222,7 @@
     }
 }
 
-/// Which function is called next, and how often each is.
+/// How often each function is called.
 pub struct FunctionPopularity {
     /// By rank: the sum of the shares up to it.
     sums: Vec<f64>,
@@ -225,11 +231,11 @@
 }
 
 impl FunctionPopularity {
-    /// Over so many functions.
+    /// Draws the rank of each of so many functions.
     pub fn new(functions: usize, seed: u64) -> FunctionPopularity {
         let mut sum = 0.0;
-        let mut add = |n: usize| {
-            sum += (n as f64).powf(-SKEW);
+        let mut add = |rank: usize| {
+            sum += (rank as f64).powf(-SKEW);
             sum
         };
         let mut sums: Vec<f64> = (1..=functions).map(&mut add).collect();
@@ -239,7 +245,7 @@
         FunctionPopularity { sums, ranked }
     }
 
-    /// The next call's function.
+    /// Draws the next call's function.
     pub fn next(&self, rng: &mut fastrand::Rng) -> usize {
         let at = rng.f64();
         let rank = self
@@ -253,25 +259,25 @@
     pub fn shares(&self) -> Vec<f64> {
         let mut shares = vec![0.0; self.ranked.len()];
         let mut before = 0.0;
-        for (f, sum) in self.ranked.iter().zip(&self.sums) {
-            shares[*f as usize] = sum - before;
+        for (function, sum) in self.ranked.iter().zip(&self.sums) {
+            shares[*function as usize] = sum - before;
             before = *sum;
         }
         shares
     }
 }
 
-/// The part of a front end's own functions that it sees less than one call of in a minute.
+/// The share of functions that one front end is called for less than once a minute.
 pub fn seldom(shares: &[f64]) -> f64 {
     let seldom = shares.iter().filter(|s| *s * CALLS_S * 60.0 < 1.0).count();
     seldom as f64 / shares.len().max(1) as f64
 }
 
-/// Functions by name.
+/// The index of each function, by name.
 pub fn function_indices(names: &[String]) -> BTreeMap<String, usize> {
     names
         .iter()
         .enumerate()
-        .map(|(n, name)| (name.clone(), n))
+        .map(|(index, name)| (name.clone(), index))
         .collect()
 }
--- a/benches/state/src/lib.rs
+++ b/benches/state/src/lib.rs
@@ -3,12 +3,25 @@
 //!
 //! [`run`] prints one line of JSON for each run. Nothing here opens a socket; calls arrive in virtual time, and steps are
 //! timed by the wall clock. It does not judge: which figures grow with which size is for the reader of the lines.
+//!
+//! ```
+//! use tansy_bench_state::{measure_in_process, Args, Measurement};
+//!
+//! let args = Args {
+//!     front_ends: 40,
+//!     ..Args::of(Measurement::LeaseTopology)
+//! };
+//! let line = measure_in_process(&args)?.json(true);
+//! assert_eq!(line["what"], "view");
+//! assert_eq!(line["front_ends"], 40);
+//! # Ok::<(), tansy_bench_state::BenchError>(())
+//! ```
 
 mod args;
 mod campaign;
 pub mod connections;
 mod dispatch_costs;
-pub mod dispatch_workload;
+mod dispatch_workload;
 mod drain_table;
 mod endpoint_lists;
 mod error;
--- a/benches/state/src/measure.rs
+++ b/benches/state/src/measure.rs
@@ -88,7 +88,7 @@
 impl Distribution {
     /// Records a duration, to the nanosecond.
     pub fn add(&mut self, duration: Duration) {
-        // It grows to hold what is recorded; to saturate would not let it.
+        // The histogram grows to hold what is recorded; a saturating record would not let it.
         self.0
             .record(
                 u64::try_from(duration.as_nanos())
--- a/benches/state/src/rollouts.rs
+++ b/benches/state/src/rollouts.rs
@@ -18,7 +18,7 @@
 const VOTERS: usize = 5;
 /// Between two observations, as `tansy-fleet up` and `tansy-fleet steer` make them.
 const POLL_INTERVAL: Time = SECOND / 4;
-/// From the moment a front end is told to restart to its being ready again.
+/// From the request to restart a front end to its being ready again.
 const RESTART_TIME: Time = 5 * SECOND;
 /// Shares of the fleet that are changed by the end of each stage, as `tansy-fleet roll begin` has them.
 const STAGES: [f64; 3] = [0.1, 0.3, 1.0];
--- a/benches/state/tests/state.rs
+++ b/benches/state/tests/state.rs
@@ -1,5 +1,5 @@
-//! Small sizes: what a line holds, that its bytes are the real ones, where the largest letter is passed, and refusals. No
-//! verdict rests on a time.
+//! Small sizes: the fields of a line, that its bytes are those of the real encodings, the largest message, and rejected
+//! arguments. No assertion rests on a time.
 
 use serde_json::Value;
 use std::process::{Command, Output};
@@ -33,11 +33,9 @@
         "3",
     ];
     let out = run(&[&small[..], more].concat());
-    let (text, told) = (
-        String::from_utf8_lossy(&out.stdout),
-        String::from_utf8_lossy(&out.stderr),
-    );
-    assert!(out.status.success(), "{what}: {told}");
+    let text = String::from_utf8_lossy(&out.stdout);
+    let errors = String::from_utf8_lossy(&out.stderr);
+    assert!(out.status.success(), "{what}: {errors}");
     serde_json::from_str(text.lines().last().expect("a line")).expect("JSON")
 }
 
@@ -47,8 +45,8 @@
         .unwrap_or_else(|| panic!("no count {field} in {line}"))
 }
 
-fn line(a: &Args) -> Value {
-    measure_in_process(a).expect("a measurement").json(true)
+fn line(args: &Args) -> Value {
+    measure_in_process(args).expect("a measurement").json(true)
 }
 
 #[test]
@@ -193,7 +191,7 @@
 }
 
 #[test]
-fn what_is_measured_is_there() {
+fn measured_counts_are_those_of_the_arguments() {
     assert_eq!(count(&measured("members", &[]), "members"), 40);
     assert_eq!(count(&measured("list", &[]), "lines"), 300);
     assert_eq!(count(&measured("platform_list", &[]), "lines"), 300);
@@ -201,7 +199,7 @@
     assert_eq!(count(&measured("leaving", &[]), "remembered"), 300);
     let log = measured("log", &[]);
     assert_eq!((count(&log, "versions"), count(&log, "changes")), (4, 3));
-    // Settings list the functions, or calls tell of them: both ways all are held.
+    // The settings list the functions, or calls describe them: both ways all are known.
     for words in [&[][..], &["--unlisted"]] {
         let ledger = measured("ledger", words);
         assert_eq!(count(&ledger, "functions_held"), 50, "{ledger}");
@@ -238,12 +236,12 @@
 
 #[test]
 fn a_seed_says_what_is_called_and_what_is_named() {
-    let day = |seed: &str| {
+    let counts = |seed: &str| {
         let line = measured("ledger", &["--seed", seed]);
         ["calls", "unserved", "functions_held"].map(|f| count(&line, f))
     };
-    assert_eq!(day("1"), day("1"));
-    assert_ne!(day("1"), day("2"));
+    assert_eq!(counts("1"), counts("1"));
+    assert_ne!(counts("1"), counts("2"));
     assert_eq!(inputs::names(9, 1), inputs::names(9, 1));
     assert_ne!(inputs::names(9, 1), inputs::names(9, 2));
 }
@@ -267,15 +265,15 @@
     let mut before = [0; 3];
     for functions in [50, 100, 200] {
         let names = inputs::names(functions, 2);
-        let a = |what| Args {
+        let args = |measurement| Args {
             functions,
             seed: 2,
             changes: 2,
-            ..Args::of(what)
+            ..Args::of(measurement)
         };
         let (letter, log) = (
-            line(&a(Measurement::GrantMessage)),
-            line(&a(Measurement::ReplicatedLog)),
+            line(&args(Measurement::GrantMessage)),
+            line(&args(Measurement::ReplicatedLog)),
         );
         assert_eq!(
             count(&letter, "letter_bytes"),
@@ -314,14 +312,14 @@
 }
 
 #[test]
-fn a_catalog_is_told_in_bytes_that_grow_with_its_functions() {
+fn a_catalog_is_encoded_in_bytes_that_grow_with_its_functions() {
     let bytes = |functions| {
         let line = line(&Args {
             functions,
             ..Args::of(Measurement::ScopeCatalog)
         });
         assert_eq!(count(&line, "scopes"), functions as u64);
-        // What a seat holds has the log in it.
+        // A voter's snapshot contains the log.
         let file = self::line(&Args {
             functions,
             ..Args::of(Measurement::CatalogFile)
@@ -333,15 +331,15 @@
         count(&line, "log_bytes")
     };
     let (few, many) = (bytes(5_000), bytes(10_000));
-    // A name and four fields each; what moved lately is the same of both.
+    // A name and four fields each; the history of changes is as long in both.
     assert!((300_000..450_000).contains(&(many - few)), "{few} {many}");
 }
 
 #[test]
-fn one_function_more_than_the_most_is_what_no_front_end_can_read() {
+fn no_front_end_can_read_a_grant_of_one_function_more_than_the_most() {
     let most = max_functions_of_grant(1, true);
-    let letter = |functions| encode_grant(state(&inputs::names(functions, 1), true));
-    let (under, over) = (letter(most), letter(most + 1));
+    let message = |functions| encode_grant(state(&inputs::names(functions, 1), true));
+    let (under, over) = (message(most), message(most + 1));
     assert!(
         under.len() <= MAX_MESSAGE_BYTES && over.len() > MAX_MESSAGE_BYTES,
         "{} and {}",
@@ -356,14 +354,14 @@
 }
 
 #[test]
-fn the_most_is_found_from_either_side() {
+fn the_largest_number_is_found_from_either_side() {
     for limit in [0, 1, 2, 3, 7, 8, 9, 1000] {
         assert_eq!(largest_holding(|number| number <= limit), limit);
     }
 }
 
 #[test]
-fn what_is_too_large_or_wrong_is_refused_in_one_line() {
+fn arguments_that_are_too_large_or_wrong_are_rejected_in_one_line() {
     let large = [
         "--what",
         "module",
@@ -383,10 +381,10 @@
     ];
     for (words, wanted) in refusals {
         let out = run(words);
-        let told = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert_eq!(out.status.code(), Some(2), "{words:?}: {told}");
+        let errors = String::from_utf8_lossy(&out.stderr).into_owned();
+        assert_eq!(out.status.code(), Some(2), "{words:?}: {errors}");
         assert!(out.stdout.is_empty(), "{words:?}");
-        assert_eq!(told.lines().count(), 1, "{words:?}: {told}");
-        assert!(told.contains(wanted), "{words:?}: {told}");
+        assert_eq!(errors.lines().count(), 1, "{words:?}: {errors}");
+        assert!(errors.contains(wanted), "{words:?}: {errors}");
     }
 }
