--- a/benches/state/src/workers/commands.rs
+++ b/benches/state/src/workers/commands.rs
@@ -30,13 +30,10 @@
                 worker,
                 function,
             } => {
-                let function = self.function_index(&function);
-                let id = control_id(front_end, request);
-                self.send_control_request(id, &worker, ControlRequestKind::Unload, function);
+                self.send_unload(control_id(front_end, request), &worker, &function);
             }
             Command::Probe { request, worker } => {
-                let id = control_id(front_end, request);
-                self.send_control_request(id, &worker, ControlRequestKind::Probe, 0);
+                self.send_probe(control_id(front_end, request), &worker);
             }
             Command::Answer { call, answer } => {
                 self.answer_client(front_end, call, answer == Answer::Served);
@@ -45,8 +42,7 @@
                 self.confirm_sent(attempt_id(front_end, call, attempt));
             }
             Command::CancelAttempt { call, attempt } => {
-                let id = attempt_id(front_end, call, attempt);
-                self.cancel_attempt(id);
+                self.cancel_attempt(attempt_id(front_end, call, attempt));
             }
             Command::CancelControlRequest { request } => {
                 self.cancel_control_request(control_id(front_end, request));
@@ -102,6 +98,16 @@
         self.send_control_request(id, worker, ControlRequestKind::Load, function);
     }
 
+    fn send_unload(&mut self, id: ControlId, worker: &str, function: &str) {
+        let function = self.function_index(function);
+        self.send_control_request(id, worker, ControlRequestKind::Unload, function);
+    }
+
+    /// A probe is of no function.
+    fn send_probe(&mut self, id: ControlId, worker: &str) {
+        self.send_control_request(id, worker, ControlRequestKind::Probe, 0);
+    }
+
     fn send_control_request(
         &mut self,
         id: ControlId,
