--- a/benches/state/tests/state.rs
+++ b/benches/state/tests/state.rs
@@ -1,12 +1,15 @@
-//! Small sizes: what a line holds, that its bytes are the real ones, where the largest letter is passed, and refusals. No
-//! verdict rests on a time.
+//! Small sizes: the fields of a line, that its bytes are those of the real encodings, the largest message, and rejected
+//! arguments. No assertion rests on a time.
 
 use serde_json::Value;
 use std::process::{Command, Output};
 use tansy_agreement::log::{LogEntry, Version};
-use tansy_bench_state::letters::{grant, most, most_functions, state, taken};
-use tansy_bench_state::{here, inputs, Args, What};
+use tansy_bench_state::messages::{
+    encode_grant, largest_holding, max_functions_of_grant, read_message, state, ReadError,
+};
+use tansy_bench_state::{inputs, measure_in_process, Args, Measurement};
 use tansy_fleet_wire::MAX_MESSAGE_BYTES;
+use tansy_frames::grpc::FrameError;
 use tansy_settings::agree;
 
 fn run(words: &[&str]) -> Output {
@@ -30,11 +33,9 @@
         "3",
     ];
     let out = run(&[&small[..], more].concat());
-    let (text, told) = (
-        String::from_utf8_lossy(&out.stdout),
-        String::from_utf8_lossy(&out.stderr),
-    );
-    assert!(out.status.success(), "{what}: {told}");
+    let text = String::from_utf8_lossy(&out.stdout);
+    let errors = String::from_utf8_lossy(&out.stderr);
+    assert!(out.status.success(), "{what}: {errors}");
     serde_json::from_str(text.lines().last().expect("a line")).expect("JSON")
 }
 
@@ -44,8 +45,8 @@
         .unwrap_or_else(|| panic!("no count {field} in {line}"))
 }
 
-fn line(a: &Args) -> Value {
-    here(a).expect("a measurement").json(true)
+fn line(args: &Args) -> Value {
+    measure_in_process(args).expect("a measurement").json(true)
 }
 
 #[test]
@@ -190,7 +191,7 @@
 }
 
 #[test]
-fn what_is_measured_is_there() {
+fn measured_counts_are_those_of_the_arguments() {
     assert_eq!(count(&measured("members", &[]), "members"), 40);
     assert_eq!(count(&measured("list", &[]), "lines"), 300);
     assert_eq!(count(&measured("platform_list", &[]), "lines"), 300);
@@ -198,7 +199,7 @@
     assert_eq!(count(&measured("leaving", &[]), "remembered"), 300);
     let log = measured("log", &[]);
     assert_eq!((count(&log, "versions"), count(&log, "changes")), (4, 3));
-    // Settings list the functions, or calls tell of them: both ways all are held.
+    // The settings list the functions, or calls describe them: both ways all are known.
     for words in [&[][..], &["--unlisted"]] {
         let ledger = measured("ledger", words);
         assert_eq!(count(&ledger, "functions_held"), 50, "{ledger}");
@@ -235,12 +236,12 @@
 
 #[test]
 fn a_seed_says_what_is_called_and_what_is_named() {
-    let day = |seed: &str| {
+    let counts = |seed: &str| {
         let line = measured("ledger", &["--seed", seed]);
         ["calls", "unserved", "functions_held"].map(|f| count(&line, f))
     };
-    assert_eq!(day("1"), day("1"));
-    assert_ne!(day("1"), day("2"));
+    assert_eq!(counts("1"), counts("1"));
+    assert_ne!(counts("1"), counts("2"));
     assert_eq!(inputs::names(9, 1), inputs::names(9, 1));
     assert_ne!(inputs::names(9, 1), inputs::names(9, 2));
 }
@@ -264,20 +265,23 @@
     let mut before = [0; 3];
     for functions in [50, 100, 200] {
         let names = inputs::names(functions, 2);
-        let a = |what| Args {
+        let args = |measurement| Args {
             functions,
             seed: 2,
             changes: 2,
-            ..Args::of(what)
+            ..Args::of(measurement)
         };
-        let (letter, log) = (line(&a(What::Letter)), line(&a(What::Log)));
+        let (letter, log) = (
+            line(&args(Measurement::GrantMessage)),
+            line(&args(Measurement::ReplicatedLog)),
+        );
         assert_eq!(
             count(&letter, "letter_bytes"),
-            grant(state(&names, true)).len() as u64
+            encode_grant(state(&names, true)).len() as u64
         );
         assert_eq!(
             count(&letter, "force_bytes"),
-            grant(state(&names, false)).len() as u64
+            encode_grant(state(&names, false)).len() as u64
         );
         // A record holds the proposal, and little else.
         let fields = inputs::changed(&inputs::version(&names), &names[0], 2);
@@ -308,17 +312,17 @@
 }
 
 #[test]
-fn a_catalog_is_told_in_bytes_that_grow_with_its_functions() {
+fn a_catalog_is_encoded_in_bytes_that_grow_with_its_functions() {
     let bytes = |functions| {
         let line = line(&Args {
             functions,
-            ..Args::of(What::Catalog)
+            ..Args::of(Measurement::ScopeCatalog)
         });
         assert_eq!(count(&line, "scopes"), functions as u64);
-        // What a seat holds has the log in it.
+        // A voter's snapshot contains the log.
         let file = self::line(&Args {
             functions,
-            ..Args::of(What::CatalogFile)
+            ..Args::of(Measurement::CatalogFile)
         });
         assert!(
             count(&file, "whole_bytes") > count(&line, "log_bytes"),
@@ -327,34 +331,37 @@
         count(&line, "log_bytes")
     };
     let (few, many) = (bytes(5_000), bytes(10_000));
-    // A name and four fields each; what moved lately is the same of both.
+    // A name and four fields each; the history of changes is as long in both.
     assert!((300_000..450_000).contains(&(many - few)), "{few} {many}");
 }
 
 #[test]
-fn one_function_more_than_the_most_is_what_no_front_end_can_read() {
-    let most = most_functions(1, true);
-    let letter = |functions| grant(state(&inputs::names(functions, 1), true));
-    let (under, over) = (letter(most), letter(most + 1));
+fn no_front_end_can_read_a_grant_of_one_function_more_than_the_most() {
+    let most = max_functions_of_grant(1, true);
+    let message = |functions| encode_grant(state(&inputs::names(functions, 1), true));
+    let (under, over) = (message(most), message(most + 1));
     assert!(
         under.len() <= MAX_MESSAGE_BYTES && over.len() > MAX_MESSAGE_BYTES,
         "{} and {}",
         under.len(),
         over.len()
     );
-    assert!(taken(&under).is_ok());
-    assert!(taken(&over).is_err_and(|why| why.contains("TooLong")));
+    assert!(read_message(&under).is_ok());
+    assert!(matches!(
+        read_message(&over),
+        Err(error @ ReadError::Frame(FrameError::TooLong { .. })) if error.to_string().contains("TooLong")
+    ));
 }
 
 #[test]
-fn the_most_is_found_from_either_side() {
+fn the_largest_number_is_found_from_either_side() {
     for limit in [0, 1, 2, 3, 7, 8, 9, 1000] {
-        assert_eq!(most(|n| n <= limit), limit);
+        assert_eq!(largest_holding(|number| number <= limit), limit);
     }
 }
 
 #[test]
-fn what_is_too_large_or_wrong_is_refused_in_one_line() {
+fn arguments_that_are_too_large_or_wrong_are_rejected_in_one_line() {
     let large = [
         "--what",
         "module",
@@ -374,10 +381,10 @@
     ];
     for (words, wanted) in refusals {
         let out = run(words);
-        let told = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert_eq!(out.status.code(), Some(2), "{words:?}: {told}");
+        let errors = String::from_utf8_lossy(&out.stderr).into_owned();
+        assert_eq!(out.status.code(), Some(2), "{words:?}: {errors}");
         assert!(out.stdout.is_empty(), "{words:?}");
-        assert_eq!(told.lines().count(), 1, "{words:?}: {told}");
-        assert!(told.contains(wanted), "{words:?}: {told}");
+        assert_eq!(errors.lines().count(), 1, "{words:?}: {errors}");
+        assert!(errors.contains(wanted), "{words:?}: {errors}");
     }
 }
