--- /dev/null
+++ b/programs/scenario/src/agreement/cluster.rs
@@ -0,0 +1,240 @@
+//! The processes of the scenario: workers, front ends, and the proxy between all of them.
+
+use super::drains::DrainTracker;
+use super::options::ScenarioOptions;
+use super::versions::SettingsVersion;
+use super::{WORKERS, WORKER_CORES};
+use crate::endpoint_list::{self, zone_of_half, ListedWorker};
+use crate::error::ScenarioError;
+use crate::fault_proxy::FaultProxyThread;
+use crate::fleet::{self, ReadinessTimeout};
+use crate::process;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::path::PathBuf;
+use std::sync::Arc;
+use std::time::Duration;
+use tansy_audit::{Link, Mark};
+use tansy_fleet::client::Client;
+use tansy_test_support::address::ReservedAddress;
+use tansy_test_support::process::ServerProcess;
+
+/// A fleet has to be ready within this time.
+const READINESS: ReadinessTimeout = ReadinessTimeout {
+    within: Duration::from_secs(20),
+    interval: Duration::from_millis(50),
+};
+/// Any port of loopback.
+const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+/// Workers lose the answers of this function.
+const LOSE_ANSWERS: &str = "/fault/lose=lost";
+
+/// Where a front end listens for clients.
+#[derive(Clone, Copy)]
+pub(super) struct GatewayAddresses {
+    pub grpc: SocketAddr,
+    pub http: SocketAddr,
+}
+
+/// All processes; they end with this value.
+pub(super) struct Cluster {
+    pub options: ScenarioOptions,
+    pub proxy: Arc<FaultProxyThread>,
+    pub workers: Vec<ServerProcess>,
+    /// None while a front end is dead.
+    pub gateways: Vec<Option<ServerProcess>>,
+    /// Where each front end listens for its peers, over all its processes.
+    pub peers: Vec<SocketAddr>,
+    _reserved: Vec<ReservedAddress>,
+    pub gateway_addresses: Vec<GatewayAddresses>,
+    /// Where clients reach each front end, through the proxy.
+    pub client_addresses: Vec<SocketAddr>,
+    pub folder: PathBuf,
+    /// Each front end's ways through the proxy, as its command line names them: `TARGET=ADDRESS`.
+    routes: Vec<Vec<String>>,
+    /// Each front end's endpoint list.
+    pub lists: Vec<Vec<ListedWorker>>,
+    pub drains: DrainTracker,
+    /// Processes killed so far.
+    pub killed: usize,
+}
+
+impl Cluster {
+    /// Starts all processes, and waits until the fleet is ready.
+    pub fn start(
+        options: &ScenarioOptions,
+        version: SettingsVersion,
+    ) -> Result<Cluster, ScenarioError> {
+        let mut cluster = Cluster::new(options)?;
+        cluster.write_settings(version)?;
+        for worker in 0..WORKERS {
+            cluster.start_worker(worker)?;
+        }
+        for front in 0..options.front_ends {
+            cluster.route_front_end(front)?;
+        }
+        for front in 0..options.front_ends {
+            cluster.start_front_end(front)?;
+        }
+        let members: Vec<SocketAddr> = options
+            .members()
+            .map(|front| cluster.peers[front])
+            .collect();
+        fleet::wait_until_ready(&mut Client::new()?, &members, &READINESS)?;
+        Ok(cluster)
+    }
+
+    fn new(options: &ScenarioOptions) -> Result<Cluster, ScenarioError> {
+        let (pid, seed) = (std::process::id(), options.seed);
+        let folder = std::env::temp_dir().join(format!("tansy-scenario-agree-{pid}-{seed}"));
+        std::fs::create_dir_all(&folder).map_err(ScenarioError::file(&folder))?;
+        let network = [127, 1 + (pid % 200) as u8, 1 + (seed as u32 % 250) as u8];
+        let host = |front: usize| [network[0], network[1], network[2], 1 + front as u8];
+        let reserved = fleet::reserve((0..options.front_ends).map(host))?;
+        Ok(Cluster {
+            options: options.clone(),
+            proxy: Arc::new(FaultProxyThread::start()),
+            workers: Vec::new(),
+            gateways: Vec::new(),
+            peers: fleet::addresses(&reserved),
+            _reserved: reserved,
+            gateway_addresses: Vec::new(),
+            client_addresses: Vec::new(),
+            folder,
+            routes: Vec::new(),
+            lists: Vec::new(),
+            drains: DrainTracker::default(),
+            killed: 0,
+        })
+    }
+
+    fn settings_path(&self) -> PathBuf {
+        self.folder.join("settings.cue")
+    }
+
+    /// The settings of processes that are in no fleet.
+    fn settings_without_fleet_path(&self) -> PathBuf {
+        self.folder.join("settings-without-fleet.cue")
+    }
+
+    fn write_settings(&self, version: SettingsVersion) -> Result<(), ScenarioError> {
+        let text = version.text(&self.options, &self.peers);
+        let path = self.settings_path();
+        std::fs::write(&path, &text).map_err(ScenarioError::file(&path))?;
+        let path = self.settings_without_fleet_path();
+        let text = fleet::without_fleet(&text);
+        std::fs::write(&path, text).map_err(ScenarioError::file(&path))
+    }
+
+    fn start_worker(&mut self, worker: usize) -> Result<(), ScenarioError> {
+        let settings = self.settings_without_fleet_path();
+        let process = process::start_worker(&settings, worker, WORKER_CORES)?;
+        process::control(&process, LOSE_ANSWERS)?;
+        self.workers.push(process);
+        Ok(())
+    }
+
+    /// Leads a front end's ways to workers and peers through the proxy, and writes its endpoint list.
+    fn route_front_end(&mut self, front: usize) -> Result<(), ScenarioError> {
+        let mut list = Vec::new();
+        let mut routes = Vec::new();
+        for (worker, process) in self.workers.iter().enumerate() {
+            let target = process.address("grpc")?;
+            let route = self.proxy.route(Link::Worker { front, worker }, target)?;
+            // One in no fleet has no routes; the lists of the others say where a worker is, the same to all.
+            let outsider = self.options.is_outsider(front);
+            let address = if outsider { route } else { target };
+            list.push(ListedWorker {
+                draining: Some(false),
+                incarnation: Some(0),
+                ..ListedWorker::new(address, zone_of_half(worker, WORKERS))
+            });
+            routes.push(format!("{target}={route}"));
+        }
+        self.lists.push(list);
+        self.write_list(front)?;
+        for (to, target) in self.peers.iter().enumerate() {
+            if to != front {
+                let link = Link::Peer { from: front, to };
+                let route = self.proxy.route(link, *target)?;
+                routes.push(format!("{target}={route}"));
+            }
+        }
+        self.routes.push(routes);
+        Ok(())
+    }
+
+    fn start_front_end(&mut self, front: usize) -> Result<(), ScenarioError> {
+        let any = GatewayAddresses {
+            grpc: ANY_PORT,
+            http: ANY_PORT,
+        };
+        let gateway = self.start_gateway(front, any)?;
+        let addresses = GatewayAddresses {
+            grpc: gateway.address("grpc")?,
+            http: gateway.address("http")?,
+        };
+        self.gateway_addresses.push(addresses);
+        self.gateways.push(Some(gateway));
+        let client_address = self.proxy.route(Link::Client { front }, addresses.grpc)?;
+        self.client_addresses.push(client_address);
+        Ok(())
+    }
+
+    /// Starts a front end's process.
+    pub fn start_gateway(
+        &self,
+        front: usize,
+        addresses: GatewayAddresses,
+    ) -> Result<ServerProcess, ScenarioError> {
+        let arguments = self.gateway_arguments(front, addresses);
+        let log_folder = self.options.log_folder.as_ref();
+        let log_file = log_folder.map(|folder| folder.join(format!("f{front}.log")));
+        process::start_logged(&arguments, log_file.as_deref())
+    }
+
+    fn gateway_arguments(&self, front: usize, addresses: GatewayAddresses) -> Vec<String> {
+        let options = &self.options;
+        let outsider = options.is_outsider(front);
+        let settings = if outsider {
+            self.settings_without_fleet_path()
+        } else {
+            self.settings_path()
+        };
+        let log_level = if options.log_folder.is_some() {
+            "info"
+        } else {
+            "error"
+        };
+        let mut arguments = vec!["gateway".to_string()];
+        let mut add = |name: &str, value: String| arguments.extend([name.to_string(), value]);
+        add("--settings", settings.display().to_string());
+        add("--log", log_level.to_string());
+        let list = endpoint_list::path(&self.folder, front);
+        add("--workers", list.display().to_string());
+        add("--me", front.to_string());
+        add("--listen", addresses.grpc.to_string());
+        add("--http", addresses.http.to_string());
+        if !outsider {
+            add("--name", format!("f{front}"));
+            add("--peers", self.peers[front].to_string());
+            if front < options.voters {
+                let state = self.folder.join(format!("seat-{front}.redb"));
+                add("--state", state.display().to_string());
+            }
+            for route in &self.routes[front] {
+                add("--via", route.clone());
+            }
+        }
+        arguments
+    }
+
+    /// Writes a front end's endpoint list.
+    pub fn write_list(&self, front: usize) -> Result<(), ScenarioError> {
+        endpoint_list::replace(&self.folder, front, &self.lists[front])
+    }
+
+    /// Records an event that no socket shows.
+    pub fn mark(&self, mark: Mark) -> Result<(), ScenarioError> {
+        self.proxy.mark(mark)
+    }
+}
--- /dev/null
+++ b/programs/scenario/src/agreement/report.rs
@@ -0,0 +1,69 @@
+//! The result of the scenario.
+
+use super::operator::ProposalResult;
+use super::CONTRADICTION_LIMIT;
+use crate::audit::violation_text;
+use crate::load::LoadResult;
+use tansy_audit::versions::Contradictions;
+use tansy_audit::Audit;
+
+/// The result of the scenario.
+#[derive(Clone, Debug)]
+pub struct ScenarioReport {
+    /// Versions that came into force.
+    pub in_force: usize,
+    /// Proposals that did not: given up, or rejected since another was in progress.
+    pub not_in_force: usize,
+    /// Milliseconds from each proposal to its force, sorted.
+    pub force_ms: Vec<u64>,
+    /// Processes killed.
+    pub killed: usize,
+    /// Share of the clients' calls that were served.
+    pub served_share: f64,
+    /// Calls of the observed functions that showed which settings were acted on.
+    pub shown: usize,
+    /// Longest contradiction of a strict field, milliseconds.
+    pub strict_ms: f64,
+    /// Longest contradiction of a joint field, milliseconds.
+    pub joint_ms: f64,
+    /// Violations of the five rules, and contradictions, in words.
+    pub violations: Vec<String>,
+}
+
+impl ScenarioReport {
+    /// The longest contradiction of any field, milliseconds.
+    pub fn contradiction_ms(&self) -> f64 {
+        self.strict_ms.max(self.joint_ms)
+    }
+
+    pub(super) fn new(
+        proposals: &[ProposalResult],
+        load: &LoadResult,
+        audit: &Audit,
+        contradictions: &Contradictions,
+        killed: usize,
+    ) -> ScenarioReport {
+        let mut force_ms: Vec<u64> = proposals
+            .iter()
+            .filter_map(|proposal| proposal.force_ms)
+            .collect();
+        force_ms.sort_unstable();
+        let longest = contradictions.strict.max(contradictions.joint);
+        let too_long = longest > CONTRADICTION_LIMIT.as_micros() as i64;
+        let mut violations: Vec<String> = audit.violations.iter().map(violation_text).collect();
+        if too_long {
+            violations.extend(contradictions.descriptions.iter().cloned());
+        }
+        ScenarioReport {
+            in_force: force_ms.len(),
+            not_in_force: proposals.len() - force_ms.len(),
+            killed,
+            served_share: load.served_share(),
+            shown: contradictions.shown,
+            strict_ms: contradictions.strict as f64 / 1000.0,
+            joint_ms: contradictions.joint as f64 / 1000.0,
+            violations,
+            force_ms,
+        }
+    }
+}
--- /dev/null
+++ b/programs/scenario/src/agreement/script.rs
@@ -0,0 +1,206 @@
+//! What happens when: a proposal and some faults in each round, drawn by the seed.
+
+use super::options::ScenarioOptions;
+use super::{ROUND_SECONDS, WORKERS};
+use std::collections::BTreeSet;
+use std::fmt;
+
+/// A minority of the front ends is at most so much larger than this part of them.
+const MINORITY_DIVISOR: usize = 3;
+/// Interruptions and returns of a flapping link, and the seconds between them.
+const FLAPS: usize = 6;
+const FLAP_SECONDS: f64 = 0.25;
+/// The kinds of rounds that follow each other.
+const ROUND_KINDS: usize = 5;
+
+/// What happens at one moment.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ScriptStep {
+    /// The operator proposes the next version.
+    Propose,
+    /// A front end is killed.
+    Kill(usize),
+    /// A killed front end is started again.
+    Restart(usize),
+    /// A front end's process is stopped (SIGSTOP).
+    Stop(usize),
+    /// A stopped front end is resumed.
+    Resume(usize),
+    /// Messages from one front end to another are held back, or let go on.
+    SetLinkPaused(usize, usize, bool),
+    /// One front end's endpoint list, and no other's, says that a worker drains.
+    Drain(usize, usize),
+    /// All lists say that a worker takes work again, as another process.
+    EndDrain(usize),
+}
+
+/// The words of the printed steps; scripts read them.
+impl fmt::Display for ScriptStep {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ScriptStep::Propose => write!(f, "Propose"),
+            ScriptStep::Kill(front) => write!(f, "Kill({front})"),
+            ScriptStep::Restart(front) => write!(f, "Revive({front})"),
+            ScriptStep::Stop(front) => write!(f, "Stop({front})"),
+            ScriptStep::Resume(front) => write!(f, "Wake({front})"),
+            ScriptStep::SetLinkPaused(from, to, paused) => {
+                write!(f, "Hold({from}, {to}, {paused})")
+            }
+            ScriptStep::Drain(front, worker) => write!(f, "Drain({front}, {worker})"),
+            ScriptStep::EndDrain(worker) => write!(f, "Back({worker})"),
+        }
+    }
+}
+
+/// A step, and when it happens.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) struct TimedStep {
+    /// Seconds since the beginning.
+    pub at: f64,
+    pub step: ScriptStep,
+}
+
+/// The script of a run, by time. The order of the draws is part of what a seed means.
+pub(super) fn draw(options: &ScenarioOptions) -> Vec<TimedStep> {
+    let mut script = ScriptBuilder::new(options);
+    for round in 0..options.rounds {
+        script.add_round(round, (round + options.seed as usize) % ROUND_KINDS);
+    }
+    for round in 0..options.rounds {
+        script.add_drain(round);
+    }
+    script.steps.sort_by(|a, b| a.at.total_cmp(&b.at));
+    script.steps
+}
+
+/// When a fault begins, and how much longer than the least time of its kind it lasts.
+#[derive(Clone, Copy)]
+struct FaultTime {
+    at: f64,
+    extra: f64,
+}
+
+struct ScriptBuilder {
+    rng: fastrand::Rng,
+    front_ends: usize,
+    /// Front ends that were not killed yet come first, so that each is killed in time.
+    not_killed: Vec<usize>,
+    steps: Vec<TimedStep>,
+}
+
+impl ScriptBuilder {
+    fn new(options: &ScenarioOptions) -> ScriptBuilder {
+        let mut rng = fastrand::Rng::with_seed(options.seed);
+        let mut not_killed: Vec<usize> = (0..options.front_ends).collect();
+        rng.shuffle(&mut not_killed);
+        ScriptBuilder {
+            rng,
+            front_ends: options.front_ends,
+            not_killed,
+            steps: Vec::new(),
+        }
+    }
+
+    fn add(&mut self, at: f64, step: ScriptStep) {
+        self.steps.push(TimedStep { at, step });
+    }
+
+    fn add_round(&mut self, round: usize, kind: usize) {
+        let proposed = round as f64 * ROUND_SECONDS + 0.5 + self.rng.f64() * 0.5;
+        self.add(proposed, ScriptStep::Propose);
+        let time = FaultTime {
+            at: proposed - 0.15 + self.rng.f64() * 0.5,
+            extra: 0.05 + self.rng.f64() * 1.2,
+        };
+        let front = self.rng.usize(0..self.front_ends);
+        match kind {
+            0 | 1 => self.add_kills(round, time),
+            2 => self.add_stop(front, time),
+            3 => self.add_partition(time),
+            _ => {
+                self.add_broken_pair(front, time);
+                self.add_flapping_link(time);
+            }
+        }
+    }
+
+    /// Kills one front end, or most of them.
+    fn add_kills(&mut self, round: usize, time: FaultTime) {
+        let kills = if round.is_multiple_of(2) {
+            (self.front_ends * 7).div_ceil(10)
+        } else {
+            1
+        };
+        for _ in 0..kills.max(1) {
+            let front = match self.not_killed.pop() {
+                Some(front) => front,
+                None => self.rng.usize(0..self.front_ends),
+            };
+            let at = time.at + self.rng.f64() * 0.2;
+            let restart_delay = self.rng.f64() * 0.5;
+            self.add(at, ScriptStep::Kill(front));
+            let restarted = at + 0.3 + time.extra + restart_delay;
+            self.add(restarted, ScriptStep::Restart(front));
+        }
+    }
+
+    fn add_stop(&mut self, front: usize, time: FaultTime) {
+        self.add(time.at, ScriptStep::Stop(front));
+        self.add(time.at + 1.2 + time.extra, ScriptStep::Resume(front));
+    }
+
+    /// Cuts off a minority: both ways, or one way alone.
+    fn add_partition(&mut self, time: FaultTime) {
+        let minority: BTreeSet<usize> = (0..1 + self.front_ends / MINORITY_DIVISOR)
+            .map(|_| self.rng.usize(0..self.front_ends))
+            .collect();
+        let direction = self.rng.usize(0..3);
+        for from in 0..self.front_ends {
+            for to in 0..self.front_ends {
+                let outward = minority.contains(&from);
+                let crosses = outward != minority.contains(&to);
+                let applies = direction == 0 || (direction == 1) == outward;
+                if crosses && applies {
+                    self.add_pause(from, to, time);
+                }
+            }
+        }
+    }
+
+    /// Two front ends don't reach each other.
+    fn add_broken_pair(&mut self, front: usize, time: FaultTime) {
+        let distance = 1 + self.rng.usize(0..self.front_ends - 1);
+        let other = (front + distance) % self.front_ends;
+        self.add_pause(front, other, time);
+        self.add_pause(other, front, time);
+    }
+
+    fn add_pause(&mut self, from: usize, to: usize, time: FaultTime) {
+        self.add(time.at, ScriptStep::SetLinkPaused(from, to, true));
+        let end = time.at + 1.0 + time.extra;
+        self.add(end, ScriptStep::SetLinkPaused(from, to, false));
+    }
+
+    /// The link between a front end and the first voter is interrupted several times.
+    fn add_flapping_link(&mut self, time: FaultTime) {
+        let front = 1 + self.rng.usize(0..self.front_ends - 1);
+        for flap in 0..FLAPS {
+            let at = time.at + flap as f64 * FLAP_SECONDS;
+            let paused = flap.is_multiple_of(2);
+            self.add(at, ScriptStep::SetLinkPaused(front, 0, paused));
+            self.add(at, ScriptStep::SetLinkPaused(0, front, paused));
+        }
+    }
+
+    /// One front end reads of a drain that no other's list ever names; a round later the worker is back.
+    fn add_drain(&mut self, round: usize) {
+        let worker = round % (WORKERS - 2);
+        let front = self.rng.usize(0..self.front_ends);
+        let at = round as f64 * ROUND_SECONDS;
+        self.add(at + 0.3, ScriptStep::Drain(front, worker));
+        self.add(at + ROUND_SECONDS - 0.1, ScriptStep::EndDrain(worker));
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/programs/scenario/src/bin/tansy-day.rs
@@ -0,0 +1,7 @@
+//! `tansy-day`, the former name of `tansy-scenario`: takes the same command line.
+
+use std::process::ExitCode;
+
+fn main() -> ExitCode {
+    tansy_scenario::cli::main()
+}
--- /dev/null
+++ b/programs/scenario/src/cli/mod.rs
@@ -0,0 +1,80 @@
+//! The command line of `tansy-scenario` and of its former name `tansy-day`.
+
+mod agreement;
+mod arguments;
+mod faults;
+mod rollout;
+
+use crate::error::ScenarioError;
+use crate::faults::{ALL_FAULTS, COLD_ZONE};
+use arguments::{ArgumentError, Arguments, Scenario};
+use clap::Parser;
+use std::process::ExitCode;
+
+/// The scenario could not be run.
+const NOT_RUN: u8 = 1;
+/// A rule was broken.
+const VIOLATED: u8 = 3;
+
+/// Why a scenario was not run to its end.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    #[error(transparent)]
+    Argument(#[from] ArgumentError),
+    #[error(transparent)]
+    Scenario(#[from] ScenarioError),
+}
+
+/// Runs the program of the process's command line.
+///
+/// The processes of a scenario are this program under other names, so that a scenario needs no second file: where the first argument
+/// names such a role, the rest of the command line is that program's.
+pub fn main() -> ExitCode {
+    let role = std::env::args_os().nth(1);
+    let arguments = std::env::args_os().skip(1);
+    match role.as_deref().and_then(|role| role.to_str()) {
+        Some("gateway") => crate::defect::run_gateway(arguments),
+        Some("fleet") => tansy_fleet::main(arguments),
+        Some("worker") => tansy_worker::main(arguments),
+        _ => run(&Arguments::parse()),
+    }
+}
+
+fn run(arguments: &Arguments) -> ExitCode {
+    run_scenario(arguments).unwrap_or_else(|error| {
+        eprintln!("{error}");
+        ExitCode::from(NOT_RUN)
+    })
+}
+
+fn run_scenario(arguments: &Arguments) -> Result<ExitCode, CommandError> {
+    arguments.check()?;
+    match arguments.scenario {
+        Scenario::AllFaults => faults::run(&ALL_FAULTS, arguments),
+        Scenario::ColdZone => faults::run(&COLD_ZONE, arguments),
+        Scenario::Agreement => agreement::run(arguments),
+        Scenario::Rollout => rollout::run(arguments),
+    }
+}
+
+fn exit_code(ok: bool) -> ExitCode {
+    ExitCode::from(if ok { 0 } else { VIOLATED })
+}
+
+/// Prints the violations of a run and of the same run without changes, the first ones in full; gives their number.
+fn print_violations<'a>(
+    run: &'a [String],
+    baseline: Option<&'a [String]>,
+    max_printed: usize,
+) -> usize {
+    let all = run.iter().chain(baseline.unwrap_or_default());
+    let count = all.clone().count();
+    all.take(max_printed)
+        .for_each(|violation| println!("breach: {violation}"));
+    count
+}
+
+/// One line of JSON.
+fn print_json(value: &impl serde::Serialize) {
+    println!("{}", serde_json::to_string(value).unwrap_or_default());
+}
--- /dev/null
+++ b/programs/scenario/src/defect/delay_proxy.rs
@@ -0,0 +1,124 @@
+//! A proxy between a gateway and its workers, in the gateway's own process, that delays answers or refuses connections.
+
+use std::ffi::OsString;
+use std::io::{self, Read, Write};
+use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::{mpsc, Arc};
+use std::time::{Duration, Instant};
+
+/// The gateway's option that leads a worker's address over another one: `--via WORKER=ADDRESS`.
+const VIA_OPTION: &str = "--via";
+/// Bytes read at a time.
+const CHUNK: usize = 64 * 1024;
+
+type Delay = Arc<dyn Fn() -> Option<Duration> + Send + Sync>;
+type Refusal = Arc<dyn Fn() -> bool + Send + Sync>;
+
+/// What the proxy does to connections, asked for at each moment.
+#[derive(Clone)]
+pub(super) struct ConnectionFaults {
+    /// By how much answers are late.
+    delay: Delay,
+    /// Whether workers can't be reached now.
+    refuses: Refusal,
+}
+
+impl ConnectionFaults {
+    pub fn delay(delay: impl Fn() -> Option<Duration> + Send + Sync + 'static) -> ConnectionFaults {
+        ConnectionFaults {
+            delay: Arc::new(delay),
+            refuses: Arc::new(|| false),
+        }
+    }
+
+    pub fn refusal(refuses: impl Fn() -> bool + Send + Sync + 'static) -> ConnectionFaults {
+        ConnectionFaults {
+            delay: Arc::new(|| None),
+            refuses: Arc::new(refuses),
+        }
+    }
+}
+
+/// Leads every way to a worker in a gateway's arguments over a proxy of its own. What can't be led over one stays as it is.
+pub(super) fn insert(arguments: &mut [OsString], faults: ConnectionFaults) {
+    for index in 1..arguments.len() {
+        if arguments[index - 1] != VIA_OPTION {
+            continue;
+        }
+        let text = arguments[index].to_string_lossy().into_owned();
+        let Some((worker, target)) = text.split_once('=') else {
+            continue;
+        };
+        let Ok(target) = target.parse::<SocketAddr>() else {
+            continue;
+        };
+        if let Ok(address) = listen(target, faults.clone()) {
+            arguments[index] = format!("{worker}={address}").into();
+        }
+    }
+}
+
+/// Starts a proxy for one target; gives its address.
+fn listen(target: SocketAddr, faults: ConnectionFaults) -> io::Result<SocketAddr> {
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
+    let address = listener.local_addr()?;
+    std::thread::spawn(move || {
+        for client in listener.incoming().flatten() {
+            let faults = faults.clone();
+            std::thread::spawn(move || forward(&client, target, &faults));
+        }
+    });
+    Ok(address)
+}
+
+/// Forwards one connection, both ways, until one side ends it.
+fn forward(client: &TcpStream, target: SocketAddr, faults: &ConnectionFaults) {
+    if (faults.refuses)() {
+        return;
+    }
+    let Ok(worker) = TcpStream::connect(target) else {
+        return;
+    };
+    // Without it messages are late, and nothing is lost.
+    let _ = (client.set_nodelay(true), worker.set_nodelay(true));
+    let (Ok(from), Ok(to)) = (client.try_clone(), worker.try_clone()) else {
+        return;
+    };
+    let refuses = faults.refuses.clone();
+    std::thread::spawn(move || copy(&from, &to, |_| None, &refuses));
+    let due = |arrived| (faults.delay)().map(|delay| arrived + delay);
+    copy(&worker, client, due, &faults.refuses);
+}
+
+/// Copies one way; what arrived at some time leaves not before it is due.
+fn copy(
+    mut from: &TcpStream,
+    mut to: &TcpStream,
+    due: impl Fn(Instant) -> Option<Instant> + Send,
+    refuses: &Refusal,
+) {
+    // Order is preserved, so that what waits holds up what comes after it; the time of its arrival counts.
+    let (sender, queue) = mpsc::channel::<(Instant, Vec<u8>)>();
+    std::thread::scope(|scope| {
+        scope.spawn(move || {
+            while let Ok((arrived, bytes)) = queue.recv() {
+                let delay = due(arrived).map(|due| due.saturating_duration_since(Instant::now()));
+                std::thread::sleep(delay.unwrap_or(Duration::ZERO));
+                if refuses() || to.write_all(&bytes).is_err() {
+                    break;
+                }
+            }
+            // It may be closed already.
+            let _ = to.shutdown(Shutdown::Both);
+        });
+        let mut buffer = vec![0; CHUNK];
+        while let Ok(length) = from.read(&mut buffer) {
+            let chunk = (Instant::now(), buffer[..length].to_vec());
+            if length == 0 || sender.send(chunk).is_err() {
+                break;
+            }
+        }
+        drop(sender);
+    });
+    let _ = from.shutdown(Shutdown::Both);
+}
--- /dev/null
+++ b/programs/scenario/src/fault_proxy.rs
@@ -0,0 +1,117 @@
+//! The fault proxy on a thread of its own.
+
+use crate::error::ScenarioError;
+use calloop::EventLoop;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::mpsc;
+use std::time::Duration;
+use tansy_audit::{Entry, Link, Mark};
+use tansy_net_sockets::Spawner;
+use tansy_standin_relay::FaultProxy;
+
+/// The longest time between two looks at the queue of jobs.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+
+type Job = Box<dyn FnOnce(&Rc<FaultProxy>) + Send>;
+
+/// A handle on a fault proxy that runs on a thread of its own. The thread ends with the handle.
+pub struct FaultProxyThread(mpsc::Sender<Job>);
+
+impl FaultProxyThread {
+    /// A proxy without routes.
+    pub fn start() -> FaultProxyThread {
+        let (jobs, queue) = mpsc::channel::<Job>();
+        std::thread::spawn(move || run(&queue));
+        FaultProxyThread(jobs)
+    }
+
+    /// Runs a function on the proxy's thread, and waits for its result.
+    fn with<T: Send + 'static>(
+        &self,
+        job: impl FnOnce(&Rc<FaultProxy>) -> T + Send + 'static,
+    ) -> Result<T, ScenarioError> {
+        let (sender, result) = mpsc::channel();
+        let job: Job = Box::new(move |proxy| drop(sender.send(job(proxy))));
+        self.0.send(job).map_err(|_| ScenarioError::ProxyEnded)?;
+        result.recv().map_err(|_| ScenarioError::ProxyEnded)
+    }
+
+    /// Leads connections to a new listener on to a target; gives the listener's address.
+    ///
+    /// # Errors
+    /// The proxy has ended, or can't listen.
+    pub fn route(&self, link: Link, target: SocketAddr) -> Result<SocketAddr, ScenarioError> {
+        Ok(self.with(move |proxy| proxy.route(link, target))??)
+    }
+
+    /// Ends all connections of a route.
+    ///
+    /// # Errors
+    /// The proxy has ended.
+    pub fn cut(&self, link: Link) -> Result<(), ScenarioError> {
+        self.with(move |proxy| proxy.cut(link))
+    }
+
+    /// Pauses what passes on a route, both ways, or lets it go on.
+    ///
+    /// # Errors
+    /// The proxy has ended.
+    pub fn set_paused(&self, link: Link, paused: bool) -> Result<(), ScenarioError> {
+        self.with(move |proxy| proxy.set_paused(link, paused))
+    }
+
+    /// Records an event that no socket shows.
+    ///
+    /// # Errors
+    /// The proxy has ended.
+    pub fn mark(&self, mark: Mark) -> Result<(), ScenarioError> {
+        self.with(move |proxy| proxy.mark(mark))
+    }
+
+    /// Records an event that no socket shows, of a moment that has passed.
+    ///
+    /// # Errors
+    /// The proxy has ended.
+    pub fn mark_at(&self, at: i64, mark: Mark) -> Result<(), ScenarioError> {
+        self.with(move |proxy| proxy.mark_at(at, mark))
+    }
+
+    /// Microseconds since the recording began.
+    ///
+    /// # Errors
+    /// The proxy has ended.
+    pub fn now(&self) -> Result<i64, ScenarioError> {
+        self.with(|proxy| proxy.now())
+    }
+
+    /// Takes out what was recorded so far, by time.
+    ///
+    /// # Errors
+    /// The proxy has ended.
+    pub fn take_entries(&self) -> Result<Vec<Entry>, ScenarioError> {
+        let mut entries = self.with(|proxy| proxy.take_entries())?;
+        entries.sort_by_key(|entry| entry.at);
+        Ok(entries)
+    }
+}
+
+/// Runs the proxy until the handle is dropped.
+fn run(queue: &mpsc::Receiver<Job>) {
+    let Ok(mut event_loop) = EventLoop::<'static, ()>::try_new() else {
+        return;
+    };
+    let Ok(spawner) = Spawner::new(event_loop.handle()) else {
+        return;
+    };
+    let proxy = FaultProxy::new(spawner);
+    while event_loop.dispatch(Some(POLL_INTERVAL), &mut ()).is_ok() {
+        loop {
+            match queue.try_recv() {
+                Ok(job) => job(&proxy),
+                Err(mpsc::TryRecvError::Empty) => break,
+                Err(mpsc::TryRecvError::Disconnected) => return,
+            }
+        }
+    }
+}
--- a/programs/scenario/src/day.cue
+++ b/programs/scenario/src/faults/all_faults.cue
@@ -1,4 +1,4 @@
-// The settings of the scripted bad day: two rooms, three kinds of calls, every rule with a figure.
+// The settings of the scenario with every fault: two rooms, three kinds of calls, every rule with a figure.
 zones: ["room-a", "room-b"]
 classes: {
     read:  {aim: 400ms, deadline: 1500ms, late_worth: 0.3, streamed: true}
--- /dev/null
+++ b/programs/scenario/src/faults/process_group.rs
@@ -0,0 +1,245 @@
+//! The processes of a scenario that injects faults, and the proxy between them.
+
+use super::definition::FaultScenario;
+use crate::audit::record_marks;
+use crate::endpoint_list::{self, zone_of_half, ListedWorker};
+use crate::error::ScenarioError;
+use crate::fault_proxy::FaultProxyThread;
+use crate::process;
+use std::net::{Ipv4Addr, SocketAddr};
+use std::path::PathBuf;
+use std::time::Instant;
+use tansy_audit::{Entry, Link, Mark};
+use tansy_test_support::process::ServerProcess;
+
+/// Any port of loopback.
+const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+
+/// Where a gateway listens.
+#[derive(Clone, Copy)]
+struct GatewayAddresses {
+    grpc: SocketAddr,
+    http: SocketAddr,
+}
+
+/// Workers and gateways, with the proxy between all of them.
+pub struct ProcessGroup {
+    proxy: FaultProxyThread,
+    workers: Vec<ServerProcess>,
+    /// None while a gateway is dead.
+    gateways: Vec<Option<ServerProcess>>,
+    gateway_addresses: Vec<GatewayAddresses>,
+    /// Where clients reach each gateway, through the proxy.
+    client_addresses: Vec<SocketAddr>,
+    /// Each gateway's endpoint list.
+    lists: Vec<Vec<ListedWorker>>,
+    folder: PathBuf,
+}
+
+/// What is left when all processes have ended.
+pub struct FinishedGroup {
+    /// What passed the proxy.
+    pub entries: Vec<Entry>,
+    /// The counters of each gateway that was running, as it printed them.
+    pub counters: Vec<String>,
+}
+
+impl ProcessGroup {
+    /// Starts workers and gateways, with the proxy between all of them.
+    ///
+    /// # Errors
+    /// A process or the proxy does not start, or a file can't be written.
+    pub fn start(
+        scenario: &FaultScenario,
+        workers: usize,
+        cores: f64,
+    ) -> Result<ProcessGroup, ScenarioError> {
+        let folder = std::env::temp_dir().join(format!("tansy-scenario-{}", std::process::id()));
+        std::fs::create_dir_all(&folder).map_err(ScenarioError::file(&folder))?;
+        let mut group = ProcessGroup {
+            proxy: FaultProxyThread::start(),
+            workers: Vec::new(),
+            gateways: Vec::new(),
+            gateway_addresses: Vec::new(),
+            client_addresses: Vec::new(),
+            lists: vec![Vec::new(); scenario.gateways],
+            folder,
+        };
+        let settings = group.settings_path();
+        std::fs::write(&settings, scenario.settings_text)
+            .map_err(ScenarioError::file(&settings))?;
+        for worker in 0..workers {
+            group.start_worker(worker, workers, cores)?;
+        }
+        for front in 0..scenario.gateways {
+            group.start_front_end(front)?;
+        }
+        Ok(group)
+    }
+
+    fn settings_path(&self) -> PathBuf {
+        self.folder.join("settings.cue")
+    }
+
+    fn start_worker(
+        &mut self,
+        worker: usize,
+        workers: usize,
+        cores: f64,
+    ) -> Result<(), ScenarioError> {
+        let process = process::start_worker(&self.settings_path(), worker, cores)?;
+        let target = process.address("grpc")?;
+        for (front, list) in self.lists.iter_mut().enumerate() {
+            let address = self.proxy.route(Link::Worker { front, worker }, target)?;
+            list.push(ListedWorker {
+                draining: Some(false),
+                ..ListedWorker::new(address, zone_of_half(worker, workers))
+            });
+        }
+        self.workers.push(process);
+        Ok(())
+    }
+
+    fn start_front_end(&mut self, front: usize) -> Result<(), ScenarioError> {
+        self.write_list(front)?;
+        let any = GatewayAddresses {
+            grpc: ANY_PORT,
+            http: ANY_PORT,
+        };
+        let gateway = self.start_gateway(front, any)?;
+        let addresses = GatewayAddresses {
+            grpc: gateway.address("grpc")?,
+            http: gateway.address("http")?,
+        };
+        self.gateway_addresses.push(addresses);
+        self.gateways.push(Some(gateway));
+        let client_address = self.proxy.route(Link::Client { front }, addresses.grpc)?;
+        self.client_addresses.push(client_address);
+        Ok(())
+    }
+
+    fn start_gateway(
+        &self,
+        front: usize,
+        addresses: GatewayAddresses,
+    ) -> Result<ServerProcess, ScenarioError> {
+        let list = endpoint_list::path(&self.folder, front);
+        let arguments = [
+            "gateway".to_string(),
+            "--settings".to_string(),
+            self.settings_path().display().to_string(),
+            "--workers".to_string(),
+            list.display().to_string(),
+            "--me".to_string(),
+            front.to_string(),
+            "--listen".to_string(),
+            addresses.grpc.to_string(),
+            "--http".to_string(),
+            addresses.http.to_string(),
+            "--log".to_string(),
+            "warn".to_string(),
+        ];
+        process::start(&arguments)
+    }
+
+    fn write_list(&self, front: usize) -> Result<(), ScenarioError> {
+        endpoint_list::replace(&self.folder, front, &self.lists[front])
+    }
+
+    /// Where clients reach each gateway, through the proxy.
+    pub fn client_addresses(&self) -> &[SocketAddr] {
+        &self.client_addresses
+    }
+
+    /// The proxy between all processes.
+    pub fn proxy(&self) -> &FaultProxyThread {
+        &self.proxy
+    }
+
+    /// Says in one front end's endpoint list whether a worker drains.
+    ///
+    /// # Errors
+    /// The list can't be written.
+    pub fn set_draining(
+        &mut self,
+        front: usize,
+        worker: usize,
+        draining: bool,
+    ) -> Result<(), ScenarioError> {
+        self.lists[front][worker].draining = Some(draining);
+        let mark = if draining {
+            Mark::Leaves { front, worker }
+        } else {
+            Mark::Returns { front, worker }
+        };
+        record_marks(
+            &[mark],
+            |mark| self.proxy.mark(mark),
+            || self.write_list(front),
+        )
+    }
+
+    /// Restarts a worker in cold state, and says so in all endpoint lists.
+    ///
+    /// # Errors
+    /// The worker does not restart, or a list can't be written.
+    pub fn restart_worker(&mut self, worker: usize) -> Result<(), ScenarioError> {
+        self.control(worker, "/restart")?;
+        self.proxy.mark(Mark::Started { worker })?;
+        for front in 0..self.lists.len() {
+            self.lists[front][worker].started = Some(Instant::now());
+            self.write_list(front)?;
+        }
+        Ok(())
+    }
+
+    /// Asks for a path on a worker's control port.
+    ///
+    /// # Errors
+    /// The worker does not answer, or refuses.
+    pub fn control(&self, worker: usize, path: &str) -> Result<(), ScenarioError> {
+        process::control(&self.workers[worker], path)
+    }
+
+    /// Kills a front end.
+    ///
+    /// # Errors
+    /// The proxy has ended.
+    pub fn kill_front_end(&mut self, front: usize) -> Result<(), ScenarioError> {
+        if let Some(mut gateway) = self.gateways[front].take() {
+            gateway.kill();
+        }
+        self.proxy.mark(Mark::Killed { front })
+    }
+
+    /// Starts it again at its addresses.
+    ///
+    /// # Errors
+    /// It does not start.
+    pub fn restart_front_end(&mut self, front: usize) -> Result<(), ScenarioError> {
+        let addresses = self.gateway_addresses[front];
+        self.gateways[front] = Some(self.start_gateway(front, addresses)?);
+        Ok(())
+    }
+
+    /// Ends the gateways, and gives the recording and their counters; workers that fell over are marked.
+    ///
+    /// # Errors
+    /// A gateway can't be asked to end, or the proxy has ended.
+    pub fn finish(mut self) -> Result<FinishedGroup, ScenarioError> {
+        let mut counters = Vec::new();
+        for gateway in self.gateways.iter_mut().flatten() {
+            let (_, output) = gateway.stop()?;
+            counters.push(output.trim().to_string());
+        }
+        for (worker, process) in self.workers.iter_mut().enumerate() {
+            if process.has_ended() {
+                self.proxy.mark(Mark::Fell { worker })?;
+            }
+        }
+        let entries = self.proxy.take_entries()?;
+        // Its files are of no use any more; where they can't be removed they stay.
+        let _ = std::fs::remove_dir_all(&self.folder);
+        Ok(FinishedGroup { entries, counters })
+    }
+}
--- /dev/null
+++ b/programs/scenario/src/fleet.rs
@@ -0,0 +1,76 @@
+//! What the scenarios with a fleet of front ends share: texts of its settings, reserved addresses, and waiting until it is ready.
+
+use crate::error::ScenarioError;
+use std::io;
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+use tansy_fleet::client::Client;
+use tansy_fleet_wire::pb::StatusReply;
+use tansy_test_support::address::ReservedAddress;
+
+/// The voters as a settings file lists them; each front end `fN` has the Nth address.
+pub(crate) fn voter_list(peers: &[SocketAddr], voters: usize) -> String {
+    let voter = |(index, address): (usize, &SocketAddr)| {
+        format!("{{name: \"f{index}\", address: \"{address}\"}}")
+    };
+    let entries: Vec<String> = peers[..voters].iter().enumerate().map(voter).collect();
+    entries.join(", ")
+}
+
+/// The settings without the fleet, for processes that are in none.
+pub(crate) fn without_fleet(settings: &str) -> String {
+    let lines: Vec<&str> = settings
+        .lines()
+        .filter(|line| !line.starts_with("fleet:"))
+        .collect();
+    lines.join("\n")
+}
+
+/// Reserves one address for each host.
+///
+/// Each name keeps its address over its processes. The hosts are loopback addresses that nothing else here connects from: what
+/// the kernel gives to connections is never one of these while a process is away.
+pub(crate) fn reserve(hosts: impl Iterator<Item = [u8; 4]>) -> io::Result<Vec<ReservedAddress>> {
+    hosts.map(ReservedAddress::on).collect()
+}
+
+/// The addresses themselves.
+pub(crate) fn addresses(reserved: &[ReservedAddress]) -> Vec<SocketAddr> {
+    reserved.iter().map(ReservedAddress::address).collect()
+}
+
+/// How long, and how often, front ends are asked whether they are ready.
+pub(crate) struct ReadinessTimeout {
+    /// The longest time that is waited.
+    pub within: Duration,
+    /// Time between two questions.
+    pub interval: Duration,
+}
+
+/// Waits until all members of a fleet have found each other and may act.
+pub(crate) fn wait_until_ready(
+    client: &mut Client,
+    members: &[SocketAddr],
+    timeout: &ReadinessTimeout,
+) -> Result<(), ScenarioError> {
+    let started = Instant::now();
+    let is_ready = |status: &StatusReply| {
+        status.lease_left > 0 && status.stay_left > 0 && status.others.len() + 1 == members.len()
+    };
+    loop {
+        let statuses = client.statuses(members);
+        if statuses
+            .iter()
+            .all(|status| status.as_ref().is_ok_and(is_ready))
+        {
+            return Ok(());
+        }
+        if started.elapsed() > timeout.within {
+            return Err(ScenarioError::FleetNotReady {
+                within: timeout.within,
+                statuses: format!("{statuses:?}"),
+            });
+        }
+        client.wait(timeout.interval);
+    }
+}
--- /dev/null
+++ b/programs/scenario/src/load/exchange.rs
@@ -0,0 +1,112 @@
+//! A call on one connection, and how it ended.
+
+use super::call::PlannedCall;
+use bytes::Bytes;
+use http::{HeaderValue, Method, Request};
+use prost::Message;
+use std::future::poll_fn;
+use std::rc::Rc;
+use std::time::Instant;
+use tansy_frames::grpc::{format_timeout, Code};
+use tansy_inference::inference::ModelStreamInferResponse;
+use tansy_net_grpc::exchange::{Ending, Exchange, ExchangeEvent};
+use tansy_net_grpc::link::Link;
+use tansy_net_sockets::Spawner;
+
+/// The code of a RST_STREAM for a stream that was not processed.
+const REFUSED_STREAM: u32 = 7;
+/// The longest message that a client reads.
+const LONGEST_MESSAGE: usize = 1 << 20;
+const UNARY_URI: &str = "http://day/inference.GRPCInferenceService/ModelInfer";
+const STREAM_URI: &str = "http://day/inference.GRPCInferenceService/ModelStreamInfer";
+
+/// How a call ended at its client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CallOutcome {
+    Served,
+    Refused,
+    Failed,
+    Cancelled,
+    Lost,
+    /// No connection could be had, or the server says that it did not process the call.
+    NotSent,
+}
+
+/// Sends a call on one connection, and reads its answer. `first_message` gets the microseconds until the first message.
+pub(super) async fn send(
+    spawner: &Spawner,
+    link: &Rc<Link>,
+    call: &PlannedCall,
+    body: Bytes,
+    first_message: &mut Option<u64>,
+) -> CallOutcome {
+    let started = Instant::now();
+    let Ok(mut connection) = link.connection().await else {
+        return CallOutcome::NotSent;
+    };
+    if poll_fn(|cx| connection.send.poll_ready(cx)).await.is_err() {
+        return CallOutcome::NotSent;
+    }
+    let request = request_head(call);
+    let unary = !call.streamed;
+    let Ok(mut exchange) = Exchange::start(connection, request, body, unary, LONGEST_MESSAGE)
+    else {
+        return CallOutcome::NotSent;
+    };
+    let mut last_message = None;
+    loop {
+        match poll_fn(|cx| exchange.poll_event(cx)).await {
+            ExchangeEvent::Message(bytes) => {
+                first_message.get_or_insert(started.elapsed().as_micros() as u64);
+                if call.streamed {
+                    last_message = Some(streamed_outcome(bytes));
+                }
+                if let Some(delay) = call.read_delay {
+                    spawner.sleep(delay).await;
+                }
+                exchange.release_capacity();
+            }
+            ExchangeEvent::Ended(ending, _) => return outcome(&ending, call, last_message),
+        }
+    }
+}
+
+fn request_head(call: &PlannedCall) -> Request<()> {
+    let uri = if call.streamed { STREAM_URI } else { UNARY_URI };
+    let mut request = Request::new(());
+    *request.method_mut() = Method::POST;
+    *request.uri_mut() = http::Uri::from_static(uri);
+    let headers = request.headers_mut();
+    headers.insert("te", HeaderValue::from_static("trailers"));
+    headers.insert("content-type", HeaderValue::from_static("application/grpc"));
+    if !call.streamed && call.timeout > 0 {
+        if let Ok(value) = HeaderValue::from_str(&format_timeout(call.timeout)) {
+            headers.insert("grpc-timeout", value);
+        }
+    }
+    request
+}
+
+/// What the last message of a stream says of its call.
+fn streamed_outcome(message: Bytes) -> CallOutcome {
+    let response = ModelStreamInferResponse::decode(message).unwrap_or_default();
+    match response.error_message.as_str() {
+        "" => CallOutcome::Served,
+        error if error.starts_with("refused:") => CallOutcome::Refused,
+        _ => CallOutcome::Failed,
+    }
+}
+
+fn outcome(ending: &Ending, call: &PlannedCall, last_message: Option<CallOutcome>) -> CallOutcome {
+    match ending {
+        Ending::Status(Code::Ok, _) if call.streamed => last_message.unwrap_or(CallOutcome::Failed),
+        Ending::Status(Code::Ok, _) => CallOutcome::Served,
+        Ending::Status(Code::Unavailable, _) => CallOutcome::Refused,
+        Ending::Status(..) => CallOutcome::Failed,
+        // The server says that it has not processed it.
+        Ending::GoawayBelow | Ending::NeverLeft | Ending::Reset(REFUSED_STREAM) => {
+            CallOutcome::NotSent
+        }
+        _ => CallOutcome::Lost,
+    }
+}
--- /dev/null
+++ b/programs/scenario/src/load/mod.rs
@@ -0,0 +1,236 @@
+//! The clients of a scenario: so many calls a second, some cancelled, some read slowly.
+//!
+//! - `plan`: what they send.
+//! - `call`: one call, drawn by the seed.
+//! - `exchange`: a call on a connection.
+//! - `result`: what they observed.
+
+mod call;
+mod exchange;
+mod plan;
+mod result;
+
+pub use plan::{LoadFunction, LoadPlan};
+pub use result::LoadResult;
+
+use crate::error::ScenarioError;
+use call::PlannedCall;
+use calloop::EventLoop;
+use exchange::CallOutcome;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::sync::mpsc;
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+use tansy_net_grpc::link::{Limits, Link};
+use tansy_net_sockets::Spawner;
+
+/// Connections that a client tries at most, one after the other, while it reaches none.
+const CONNECTION_TRIES: usize = 4;
+/// Connections to each front end.
+const CONNECTIONS: usize = 4;
+/// Seconds after the end of the plan by which calls are answered or count as lost.
+const GRACE_SECONDS: f64 = 5.0;
+/// Time between two looks at the calls that are still open when all have been sent.
+const DRAIN_INTERVAL: Duration = Duration::from_millis(2);
+const NANOS_PER_SECOND: u64 = 1_000_000_000;
+/// Progress is reported in such parts of the plan's time.
+const PROGRESS_PARTS: f64 = 1000.0;
+
+/// What the open calls share.
+struct CallStatistics {
+    open: Cell<u64>,
+    result: RefCell<LoadResult>,
+}
+
+impl CallStatistics {
+    fn record(&self, outcome: CallOutcome, latency: Duration, first_message: Option<u64>) {
+        self.open.set(self.open.get() - 1);
+        let mut result = self.result.borrow_mut();
+        match outcome {
+            CallOutcome::Served => {
+                result.served += 1;
+                let micros = latency.as_micros() as u64;
+                result.latency.saturating_record(micros);
+                if let Some(first_message) = first_message {
+                    result.first_message.saturating_record(first_message);
+                }
+            }
+            CallOutcome::Refused => result.refused += 1,
+            CallOutcome::Failed => result.failed += 1,
+            CallOutcome::Cancelled => result.cancelled += 1,
+            CallOutcome::Lost | CallOutcome::NotSent => result.lost += 1,
+        }
+    }
+}
+
+/// Runs the clients on a thread of their own.
+pub(crate) fn spawn(plan: LoadPlan) -> JoinHandle<Result<LoadResult, ScenarioError>> {
+    std::thread::spawn(move || {
+        let (progress, _receiver) = mpsc::channel();
+        run(&plan, &progress)
+    })
+}
+
+/// The result of the clients' thread.
+pub(crate) fn join(
+    clients: JoinHandle<Result<LoadResult, ScenarioError>>,
+) -> Result<LoadResult, ScenarioError> {
+    let result = clients.join();
+    result.map_err(|_| ScenarioError::ThreadEnded("clients'"))?
+}
+
+/// Runs the clients on this thread; `progress` gets the part of the plan's time that has passed, again and again.
+///
+/// # Errors
+/// The event loop fails.
+pub fn run(plan: &LoadPlan, progress: &mpsc::Sender<f64>) -> Result<LoadResult, ScenarioError> {
+    let mut event_loop: EventLoop<'static, ()> = EventLoop::try_new()?;
+    let mut clients = Clients::new(plan, Spawner::new(event_loop.handle())?)?;
+    while !clients.are_done() {
+        clients.apply_stop();
+        if clients.send_if_due() {
+            continue;
+        }
+        if let Some(passed) = clients.new_progress() {
+            // Whoever listens may have ended.
+            let _ = progress.send(passed);
+        }
+        event_loop.dispatch(Some(clients.time_to_next()), &mut ())?;
+    }
+    let open = clients.statistics.open.get();
+    // Ends the open calls; none of them is counted any more.
+    drop(event_loop);
+    let mut result = clients.statistics.result.replace(LoadResult::new()?);
+    result.begun = clients.sent;
+    result.lost += open;
+    Ok(result)
+}
+
+/// The clients, on one event loop.
+struct Clients<'a> {
+    plan: &'a LoadPlan,
+    spawner: Spawner,
+    links: Vec<Rc<Link>>,
+    statistics: Rc<CallStatistics>,
+    rng: fastrand::Rng,
+    started: Instant,
+    sent: u64,
+    /// Calls to be sent, and the seconds for it: less than the plan's once it is stopped.
+    total: u64,
+    seconds: f64,
+    /// The last reported progress, in its parts.
+    reported: u64,
+}
+
+impl<'a> Clients<'a> {
+    fn new(plan: &'a LoadPlan, spawner: Spawner) -> Result<Clients<'a>, ScenarioError> {
+        let link = |index: usize| {
+            let front = plan.fronts[index / CONNECTIONS];
+            Link::new(spawner.clone(), front, Limits::default())
+        };
+        let links = (0..plan.fronts.len() * CONNECTIONS).map(link).collect();
+        let statistics = Rc::new(CallStatistics {
+            open: Cell::new(0),
+            result: RefCell::new(LoadResult::new()?),
+        });
+        Ok(Clients {
+            plan,
+            spawner,
+            links,
+            statistics,
+            rng: fastrand::Rng::with_seed(plan.seed),
+            started: Instant::now(),
+            sent: 0,
+            total: plan.total(),
+            seconds: plan.seconds,
+            reported: 0,
+        })
+    }
+
+    /// Whether all calls are sent, and answered or given up.
+    fn are_done(&self) -> bool {
+        let in_grace = self.started.elapsed().as_secs_f64() < self.seconds + GRACE_SECONDS;
+        self.sent >= self.total && !(self.statistics.open.get() > 0 && in_grace)
+    }
+
+    fn apply_stop(&mut self) {
+        if self.sent < self.total && self.plan.is_stopped() {
+            self.total = self.sent;
+            self.seconds = self.started.elapsed().as_secs_f64();
+        }
+    }
+
+    fn next_due(&self) -> Instant {
+        self.started + Duration::from_nanos(NANOS_PER_SECOND * self.sent / self.plan.rate)
+    }
+
+    /// Begins the next call if its time has come.
+    fn send_if_due(&mut self) -> bool {
+        if self.sent >= self.total || self.next_due() > Instant::now() {
+            return false;
+        }
+        let call = PlannedCall::draw(self.plan, self.links.len(), &mut self.rng);
+        let request = call.request(self.plan.id_prefix, self.sent);
+        // A client that reaches nobody asks the next front end.
+        let links: Vec<Rc<Link>> = (0..CONNECTION_TRIES)
+            .map(|attempt| (call.first_link + attempt * (CONNECTIONS + 1)) % self.links.len())
+            .map(|index| self.links[index].clone())
+            .collect();
+        let statistics = self.statistics.clone();
+        let task = perform(self.spawner.clone(), statistics, links, call, request);
+        self.spawner.spawn(task);
+        self.sent += 1;
+        true
+    }
+
+    /// The part of the plan's time that has passed, once it is larger than the last one reported.
+    fn new_progress(&mut self) -> Option<f64> {
+        let share = self.started.elapsed().as_secs_f64() / self.plan.seconds;
+        let parts = (share * PROGRESS_PARTS) as u64;
+        if parts <= self.reported {
+            return None;
+        }
+        self.reported = parts;
+        Some(parts as f64 / PROGRESS_PARTS)
+    }
+
+    fn time_to_next(&self) -> Duration {
+        if self.sent < self.total {
+            self.next_due().saturating_duration_since(Instant::now())
+        } else {
+            DRAIN_INTERVAL
+        }
+    }
+}
+
+/// Performs one client's call on the first of the connections that can be had.
+async fn perform(
+    spawner: Spawner,
+    statistics: Rc<CallStatistics>,
+    links: Vec<Rc<Link>>,
+    call: PlannedCall,
+    request: bytes::Bytes,
+) {
+    statistics.open.set(statistics.open.get() + 1);
+    let started = Instant::now();
+    let mut first_message = None;
+    let attempts = async {
+        let mut outcome = CallOutcome::NotSent;
+        for link in &links {
+            let body = request.clone();
+            outcome = exchange::send(&spawner, link, &call, body, &mut first_message).await;
+            if outcome != CallOutcome::NotSent {
+                break;
+            }
+        }
+        outcome
+    };
+    let outcome = match call.cancel_after {
+        Some(after) => tansy_net_sockets::within(spawner.sleep(after), attempts)
+            .await
+            .unwrap_or(CallOutcome::Cancelled),
+        None => attempts.await,
+    };
+    statistics.record(outcome, started.elapsed(), first_message);
+}
--- /dev/null
+++ b/programs/scenario/src/rollout/cluster.rs
@@ -0,0 +1,231 @@
+//! The processes of the scenario: workers, and a supervisor for the front ends of each zone, with the proxy between them.
+
+use super::files::{MachineFrontEnd, ScenarioFolder};
+use super::options::ScenarioOptions;
+use super::{zone_of, VOTERS, WORKERS_PER_ZONE, WORKER_CORES, ZONES};
+use crate::error::ScenarioError;
+use crate::fault_proxy::FaultProxyThread;
+use crate::fleet::{self, ReadinessTimeout};
+use crate::process;
+use rustix::process::{kill_process, Pid, Signal};
+use std::net::SocketAddr;
+use std::time::Duration;
+use tansy_audit::Link;
+use tansy_fleet::client::Client;
+use tansy_fleet::processes::{kept, Running};
+use tansy_fleet_wire::of_roll;
+use tansy_rollout::Rollout;
+use tansy_test_support::address::ReservedAddress;
+use tansy_test_support::process::ServerProcess;
+
+/// A fleet has to be ready within this time.
+const READINESS: ReadinessTimeout = ReadinessTimeout {
+    within: Duration::from_secs(40),
+    interval: Duration::from_millis(100),
+};
+/// Time for voters to answer what they know of the rollout.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Loopback addresses that are set aside for each front end.
+const HOSTS_PER_FRONT_END: u8 = 4;
+
+/// What each of a front end's addresses is for.
+#[derive(Clone, Copy)]
+enum AddressUse {
+    Peers = 0,
+    Grpc = 1,
+    Http = 2,
+}
+
+/// Addresses of all front ends, over all their processes.
+struct FrontEndAddresses {
+    peers: Vec<ReservedAddress>,
+    grpc: Vec<ReservedAddress>,
+    http: Vec<ReservedAddress>,
+}
+
+impl FrontEndAddresses {
+    fn reserve(options: &ScenarioOptions) -> std::io::Result<FrontEndAddresses> {
+        let pid = (std::process::id() % 200) as u8;
+        let seed = (options.seed as u32 % 200) as u8;
+        let reserve = |address_use: AddressUse| {
+            let host = move |front: usize| {
+                let offset = HOSTS_PER_FRONT_END * front as u8 + address_use as u8;
+                [127, 2 + pid, 1 + seed, 1 + offset]
+            };
+            fleet::reserve((0..options.front_ends).map(host))
+        };
+        Ok(FrontEndAddresses {
+            peers: reserve(AddressUse::Peers)?,
+            grpc: reserve(AddressUse::Grpc)?,
+            http: reserve(AddressUse::Http)?,
+        })
+    }
+}
+
+/// All processes; they end with this value, and its files go.
+pub(super) struct Cluster {
+    pub folder: ScenarioFolder,
+    pub proxy: FaultProxyThread,
+    pub workers: Vec<ServerProcess>,
+    /// Where each front end listens for its peers.
+    pub peers: Vec<SocketAddr>,
+    addresses: FrontEndAddresses,
+    /// Where clients reach each front end, through the proxy.
+    pub client_addresses: Vec<SocketAddr>,
+    /// By zone; none while one is dead.
+    pub supervisors: Vec<Option<ServerProcess>>,
+    pub client: Client,
+}
+
+impl Cluster {
+    /// Starts all processes, and waits until the fleet is ready.
+    pub fn start(options: &ScenarioOptions) -> Result<Cluster, ScenarioError> {
+        let folder = ScenarioFolder::create(options.seed)?;
+        let addresses = FrontEndAddresses::reserve(options)?;
+        let mut cluster = Cluster {
+            folder,
+            proxy: FaultProxyThread::start(),
+            workers: Vec::new(),
+            peers: fleet::addresses(&addresses.peers),
+            addresses,
+            client_addresses: Vec::new(),
+            supervisors: Vec::new(),
+            client: Client::new()?,
+        };
+        cluster.folder.write_settings(options, &cluster.peers)?;
+        cluster.folder.write_programs(options)?;
+        cluster.start_workers()?;
+        cluster.write_machines(options)?;
+        for zone in 0..ZONES.len() {
+            let supervisor = cluster.start_supervisor(zone)?;
+            cluster.supervisors.push(Some(supervisor));
+        }
+        fleet::wait_until_ready(&mut cluster.client, &cluster.peers, &READINESS)?;
+        Ok(cluster)
+    }
+
+    fn start_workers(&mut self) -> Result<(), ScenarioError> {
+        for worker in 0..ZONES.len() * WORKERS_PER_ZONE {
+            let settings = self.folder.settings_without_fleet(zone_of(worker));
+            let process = process::start_worker(&settings, worker, WORKER_CORES)?;
+            self.workers.push(process);
+        }
+        self.folder.write_endpoint_list(&self.worker_addresses()?)
+    }
+
+    fn worker_addresses(&self) -> Result<Vec<SocketAddr>, ScenarioError> {
+        let workers = self.workers.iter();
+        workers.map(|worker| Ok(worker.address("grpc")?)).collect()
+    }
+
+    /// Writes each supervisor's list of front ends, with their routes through the proxy.
+    fn write_machines(&mut self, options: &ScenarioOptions) -> Result<(), ScenarioError> {
+        let workers = self.worker_addresses()?;
+        let mut machines: Vec<Vec<MachineFrontEnd>> = ZONES.iter().map(|_| Vec::new()).collect();
+        for front in 0..options.front_ends {
+            let routes = self.worker_routes(front, &workers)?;
+            let grpc = self.addresses.grpc[front].address();
+            let client_address = self.proxy.route(Link::Client { front }, grpc)?;
+            self.client_addresses.push(client_address);
+            machines[zone_of(front)].push(MachineFrontEnd {
+                index: front,
+                peer_address: self.peers[front],
+                arguments: self.gateway_arguments(front, routes),
+            });
+        }
+        for (zone, front_ends) in machines.iter().enumerate() {
+            let voters = &self.peers[..VOTERS];
+            self.folder.write_machine(zone, voters, front_ends)?;
+        }
+        Ok(())
+    }
+
+    /// A front end's ways to workers through the proxy, as its command line names them: `TARGET=ADDRESS`.
+    fn worker_routes(
+        &self,
+        front: usize,
+        workers: &[SocketAddr],
+    ) -> Result<Vec<String>, ScenarioError> {
+        let route = |(worker, target): (usize, &SocketAddr)| {
+            let address = self.proxy.route(Link::Worker { front, worker }, *target)?;
+            Ok(format!("{target}={address}"))
+        };
+        workers.iter().enumerate().map(route).collect()
+    }
+
+    fn gateway_arguments(&self, front: usize, routes: Vec<String>) -> Vec<String> {
+        let mut arguments = vec!["gateway".to_string()];
+        let mut add = |name: &str, value: String| arguments.extend([name.to_string(), value]);
+        add("--log", "error".to_string());
+        let settings = self.folder.settings(zone_of(front));
+        add("--settings", settings.display().to_string());
+        let list = self.folder.endpoint_list();
+        add("--workers", list.display().to_string());
+        add("--me", front.to_string());
+        add("--listen", self.grpc_address(front).to_string());
+        add("--http", self.addresses.http[front].address().to_string());
+        if front < VOTERS {
+            let state = self.folder.voter_state(front);
+            add("--state", state.display().to_string());
+        }
+        for route in routes {
+            add("--via", route);
+        }
+        arguments
+    }
+
+    /// Where a front end listens for clients.
+    pub fn grpc_address(&self, front: usize) -> SocketAddr {
+        self.addresses.grpc[front].address()
+    }
+
+    /// Starts the supervisor of a zone.
+    pub fn start_supervisor(&self, zone: usize) -> Result<ServerProcess, ScenarioError> {
+        let machine = self.folder.machine(zone).display().to_string();
+        let arguments = ["fleet", "up", "--log", "error", "--fleet", &machine];
+        let log_file = self.folder.supervisor_log(zone);
+        process::start_logged(&arguments.map(str::to_string), Some(&log_file))
+    }
+
+    /// The rollout, as the leader knows it; none: no voter leads at the moment, or there was none.
+    pub fn rollout(&mut self) -> Option<Rollout> {
+        let voters = self.peers[..VOTERS].to_vec();
+        let replies = self.client.rolls(&voters, ANSWER_TIMEOUT);
+        let leader = replies.into_iter().flatten().find(|reply| reply.leads)?;
+        of_roll(&leader.roll).ok().flatten()
+    }
+
+    /// The processes of front ends, as the kernel has them.
+    pub fn processes(&self) -> Vec<Running> {
+        let folder = self.folder.path();
+        let all = kept().into_iter();
+        all.filter(|process| process.folder.starts_with(folder))
+            .collect()
+    }
+
+    /// Asks all supervisors to end together; then waits for each.
+    pub fn stop_supervisors(&mut self) -> Result<(), ScenarioError> {
+        for supervisor in self.supervisors.iter().flatten() {
+            supervisor.signal(Signal::TERM)?;
+        }
+        for supervisor in self.supervisors.iter_mut().flatten() {
+            supervisor.stop()?;
+        }
+        Ok(())
+    }
+}
+
+impl Drop for Cluster {
+    fn drop(&mut self) {
+        for supervisor in self.supervisors.iter_mut().flatten() {
+            supervisor.kill();
+        }
+        for process in self.processes() {
+            let pid = i32::try_from(process.pid).ok().and_then(Pid::from_raw);
+            // One that has ended meanwhile can't be killed.
+            let _ = pid.map(|pid| kill_process(pid, Signal::KILL));
+        }
+        // Files that can't be removed stay.
+        let _ = std::fs::remove_dir_all(self.folder.path());
+    }
+}
--- /dev/null
+++ b/programs/scenario/src/rollout/mod.rs
@@ -0,0 +1,198 @@
+//! A new program in stages over front ends in three zones, under load and faults, judged from the sockets.
+//!
+//! Three supervisors run the front ends of a zone each. The new program is this one with an injected defect, or none. The supervisor
+//! that runs the rollout controller is killed in every run. What is judged: calls and attempts as they pass the proxy, by the auditor;
+//! which front ends accept connections; which processes run, by the kernel.
+//!
+//! - `options`, `report`: what is run, and its result.
+//! - `cluster`: the processes; `files`: what they read.
+//! - `proposal`: the rollout that is begun.
+//! - `faults`: what goes wrong; `observer`: what is observed from outside.
+
+mod cluster;
+mod faults;
+mod files;
+mod observer;
+mod options;
+mod proposal;
+mod report;
+
+pub use options::ScenarioOptions;
+pub use report::{RolloutVerdict, ScenarioReport};
+
+use crate::audit::{crowded_rules, violation_text};
+use crate::error::ScenarioError;
+use crate::load::{self, LoadFunction, LoadPlan};
+use cluster::Cluster;
+use faults::Faults;
+use observer::Observer;
+use report::Measurements;
+use rustix::process::Signal;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tansy_audit::audit_with_history;
+use tansy_fleet::processes::label;
+use tansy_rollout::Rollout;
+use tansy_settings::Settings;
+
+const ZONES: [&str; 3] = ["a", "b", "c"];
+/// The first front end of each zone is a voter.
+const VOTERS: usize = ZONES.len();
+const WORKERS_PER_ZONE: usize = 2;
+const WORKER_CORES: f64 = 16.0;
+/// The name of the settings in errors.
+const SETTINGS_NAME: &str = "settings.cue";
+/// Time between two observations.
+const OBSERVATION_INTERVAL: Duration = Duration::from_millis(50);
+/// After the rollout's end all front ends have to run its program within this time.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(15);
+
+/// The zone of a front end or a worker.
+fn zone_of(index: usize) -> usize {
+    index % ZONES.len()
+}
+
+/// Runs the scenario.
+///
+/// # Errors
+/// A process, the proxy or the clients fail; violations of rules are no error.
+pub fn run(options: &ScenarioOptions) -> Result<ScenarioReport, ScenarioError> {
+    let mut cluster = Cluster::start(options)?;
+    let settings = read_settings(&cluster)?;
+    let stop = Arc::new(AtomicBool::new(false));
+    let clients = load::spawn(load_plan(&cluster, &settings, options, stop.clone()));
+    let new_program = cluster.folder.new_program();
+    let new_program = label(&new_program).map_err(ScenarioError::file(&new_program))?;
+    let mut observer = Observer::new(options, new_program.clone());
+    let mut faults = Faults::new(options);
+    let started = Instant::now();
+    let rollout = watch_rollout(&mut cluster, options, &mut faults, &mut observer, started)?;
+    resume_workers(&cluster)?;
+    let seconds = started.elapsed().as_secs_f64();
+    // The last calls are answered before anything ends.
+    stop.store(true, Ordering::Relaxed);
+    let load = load::join(clients)?;
+    observer.observe(&cluster)?;
+    let verdict = RolloutVerdict::of(rollout.as_ref());
+    let diverging = diverging_front_ends(&cluster, verdict, &new_program);
+    cluster.stop_supervisors()?;
+    let mut violations = audit_recording(&cluster, &settings)?;
+    violations.append(&mut observer.violations);
+    violations.extend(diverging);
+    let measured = Measurements {
+        load: &load,
+        seconds,
+        killed: faults.killed,
+        exposed_share: observer.exposed_share(),
+        min_capacity: observer.min_capacity,
+        violations,
+    };
+    Ok(ScenarioReport::new(rollout, measured))
+}
+
+fn read_settings(cluster: &Cluster) -> Result<Settings, ScenarioError> {
+    let path = cluster.folder.settings(0);
+    let text = std::fs::read_to_string(&path).map_err(ScenarioError::file(&path))?;
+    Ok(tansy_settings::settings(SETTINGS_NAME, &text)?)
+}
+
+fn load_plan(
+    cluster: &Cluster,
+    settings: &Settings,
+    options: &ScenarioOptions,
+    stop: Arc<AtomicBool>,
+) -> LoadPlan {
+    LoadPlan {
+        fronts: cluster.client_addresses.clone(),
+        functions: LoadFunction::all(settings),
+        work: 5..=20,
+        rate: options.rate,
+        seconds: options.baseline_seconds.unwrap_or(options.max_seconds),
+        seed: options.seed,
+        id_prefix: "call",
+        simple_calls: false,
+        stop: Some(stop),
+    }
+}
+
+/// Begins the rollout, and injects faults until it is over or the time is; gives its last known state.
+fn watch_rollout(
+    cluster: &mut Cluster,
+    options: &ScenarioOptions,
+    faults: &mut Faults,
+    observer: &mut Observer,
+    started: Instant,
+) -> Result<Option<Rollout>, ScenarioError> {
+    if !options.is_baseline() {
+        cluster.begin_rollout(options)?;
+    }
+    let seconds = options.baseline_seconds.unwrap_or(options.max_seconds);
+    let limit = Duration::from_secs_f64(seconds);
+    let mut rollout = None;
+    while started.elapsed() < limit {
+        observer.observe(cluster)?;
+        if !options.is_baseline() {
+            rollout = cluster.rollout().or(rollout);
+        }
+        if let Some(rollout) = &rollout {
+            if is_settled(rollout) {
+                break;
+            }
+            faults.on_rollout(cluster, rollout);
+        }
+        faults.on_time(cluster)?;
+        std::thread::sleep(OBSERVATION_INTERVAL);
+    }
+    Ok(rollout)
+}
+
+/// Whether nothing more happens by itself.
+fn is_settled(rollout: &Rollout) -> bool {
+    rollout.over() || rollout.paused && rollout.moving.is_empty()
+}
+
+fn resume_workers(cluster: &Cluster) -> Result<(), ScenarioError> {
+    for worker in &cluster.workers {
+        worker.signal(Signal::CONT)?;
+    }
+    Ok(())
+}
+
+/// Waits until all front ends run the program that the log says; gives the violation if they don't.
+fn diverging_front_ends(
+    cluster: &Cluster,
+    verdict: RolloutVerdict,
+    new_program: &str,
+) -> Option<String> {
+    let expects_new = match verdict {
+        RolloutVerdict::Done => true,
+        RolloutVerdict::Stopped => false,
+        RolloutVerdict::Undecided => return None,
+    };
+    let diverging = || {
+        let processes = cluster.processes();
+        let others = processes
+            .iter()
+            .filter(|process| (process.program == new_program) != expects_new);
+        others.count()
+    };
+    // What was started last may still be on its way.
+    let deadline = Instant::now() + CONVERGENCE_TIMEOUT;
+    while diverging() > 0 && Instant::now() < deadline {
+        std::thread::sleep(OBSERVATION_INTERVAL);
+    }
+    match diverging() {
+        0 => None,
+        count => Some(format!(
+            "{count} front ends are on the other side than the log says"
+        )),
+    }
+}
+
+/// The violations that the auditor finds in what passed the proxy, in words.
+fn audit_recording(cluster: &Cluster, settings: &Settings) -> Result<Vec<String>, ScenarioError> {
+    let entries = cluster.proxy.take_entries()?;
+    let (audit, _) = audit_with_history(&entries, &crowded_rules(settings, WORKER_CORES));
+    Ok(audit.violations.iter().map(violation_text).collect())
+}
--- /dev/null
+++ b/programs/scenario/src/rollout/proposal.rs
@@ -0,0 +1,81 @@
+//! The rollout that is begun, and its plan.
+
+use super::cluster::Cluster;
+use super::options::ScenarioOptions;
+use super::{zone_of, VOTERS, ZONES};
+use crate::error::ScenarioError;
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+use tansy_fleet::processes::label;
+use tansy_fleet::rollout::stages;
+use tansy_fleet_wire::pb::enter_request::Entry;
+use tansy_fleet_wire::roll_entry;
+use tansy_rollout::{InconclusivePolicy, RolloutChange, RolloutEntry, RolloutPlan, Target};
+
+/// Share of the front ends that run the new program after each stage.
+const STAGE_SHARES: [f64; 3] = [0.25, 0.5, 1.0];
+/// A rollout has to be accepted within this time.
+const BEGIN_TIMEOUT: Duration = Duration::from_secs(10);
+/// The reason that the rollout carries.
+const REASON: &str = "the day's";
+
+impl Cluster {
+    /// Begins the rollout of the new program.
+    pub fn begin_rollout(&mut self, options: &ScenarioOptions) -> Result<(), ScenarioError> {
+        let path = self.folder.new_program();
+        let entry = RolloutEntry::Begin {
+            id: 1 + options.seed,
+            what: RolloutChange::Program {
+                label: label(&path).map_err(ScenarioError::file(&path))?,
+                path: path.display().to_string(),
+            },
+            plan: plan(options)?,
+            why: REASON.into(),
+        };
+        let deadline = Instant::now() + BEGIN_TIMEOUT;
+        while Instant::now() < deadline {
+            let Some(leader) = self.leader() else {
+                continue;
+            };
+            let entry = Entry::Roll(roll_entry(&entry, None));
+            if self.client.enter(leader, entry).is_ok() {
+                return Ok(());
+            }
+        }
+        let voters = self.peers[..VOTERS].to_vec();
+        Err(ScenarioError::RolloutNotStarted { voters })
+    }
+
+    /// Whoever leads, as far as any voter says of itself.
+    fn leader(&mut self) -> Option<SocketAddr> {
+        let voters = &self.peers[..VOTERS];
+        let statuses = self.client.statuses(voters);
+        let mut answers = voters.iter().zip(statuses);
+        let is_leader =
+            answers.find(|(_, status)| status.as_ref().is_ok_and(|status| status.keeps_log));
+        is_leader.map(|(voter, _)| *voter)
+    }
+}
+
+fn plan(options: &ScenarioOptions) -> Result<RolloutPlan, ScenarioError> {
+    let target = |front: usize| Target {
+        name: format!("f{front}"),
+        zone: ZONES[zone_of(front)].into(),
+        seat: front < VOTERS,
+    };
+    let targets = (0..options.front_ends).map(target).collect();
+    Ok(RolloutPlan {
+        stages: stages(targets, &STAGE_SHARES)?,
+        least: options.min_stage_seconds,
+        longest: 4 * options.min_stage_seconds,
+        ready: 25,
+        slice: 1,
+        warm_up: 3,
+        matters: 0.02,
+        accept: 0.1,
+        spend: 0.2,
+        memory: 400,
+        undecided: InconclusivePolicy::Hold,
+        ..RolloutPlan::default()
+    })
+}
--- /dev/null
+++ b/programs/scenario/src/rollout/report.rs
@@ -0,0 +1,107 @@
+//! The result of the scenario.
+
+use crate::load::LoadResult;
+use std::fmt;
+use tansy_rollout::{Rollout, RolloutPhase};
+
+/// How a rollout ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RolloutVerdict {
+    /// All front ends run the new program.
+    Done,
+    /// All front ends run the old program again.
+    Stopped,
+    /// Neither, when the time was over.
+    Undecided,
+}
+
+impl RolloutVerdict {
+    pub(super) fn of(rollout: Option<&Rollout>) -> RolloutVerdict {
+        match rollout.map(|rollout| rollout.phase) {
+            Some(RolloutPhase::Done) => RolloutVerdict::Done,
+            Some(RolloutPhase::Stopped) => RolloutVerdict::Stopped,
+            _ => RolloutVerdict::Undecided,
+        }
+    }
+}
+
+/// Its name in results.
+impl fmt::Display for RolloutVerdict {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            RolloutVerdict::Done => "done",
+            RolloutVerdict::Stopped => "stopped",
+            RolloutVerdict::Undecided => "undecided",
+        })
+    }
+}
+
+/// The result of the scenario.
+#[derive(Clone, Debug)]
+pub struct ScenarioReport {
+    /// How the rollout ended.
+    pub verdict: RolloutVerdict,
+    /// What the clients observed.
+    pub lost: u64,
+    /// Share of the clients' calls that were served.
+    pub served_share: f64,
+    /// Average share of the front ends that ran the new program.
+    pub exposed_share: f64,
+    /// Seconds from the beginning of the rollout to its end.
+    pub seconds: f64,
+    /// Supervisors killed.
+    pub killed: usize,
+    /// Least share of a zone's front ends that accepted connections, while nothing but the rollout was wrong.
+    pub min_capacity: f64,
+    /// Violations in words.
+    pub violations: Vec<String>,
+    /// The rollout as it is agreed on.
+    pub rollout: Option<Rollout>,
+}
+
+/// What the run measured, beside the rollout itself.
+pub(super) struct Measurements<'a> {
+    pub load: &'a LoadResult,
+    pub seconds: f64,
+    pub killed: usize,
+    pub exposed_share: f64,
+    pub min_capacity: f64,
+    pub violations: Vec<String>,
+}
+
+impl ScenarioReport {
+    pub(super) fn new(rollout: Option<Rollout>, measured: Measurements<'_>) -> ScenarioReport {
+        ScenarioReport {
+            verdict: RolloutVerdict::of(rollout.as_ref()),
+            lost: measured.load.lost,
+            served_share: measured.load.served_share(),
+            exposed_share: measured.exposed_share,
+            seconds: measured.seconds,
+            killed: measured.killed,
+            min_capacity: measured.min_capacity,
+            violations: measured.violations,
+            rollout,
+        }
+    }
+
+    /// Why the rollout ended as it did; empty if nothing was rolled out.
+    pub fn reason(&self) -> &str {
+        self.rollout
+            .as_ref()
+            .map_or("", |rollout| rollout.why.as_str())
+    }
+
+    /// Stages that passed their analysis.
+    pub fn stages(&self) -> usize {
+        self.rollout
+            .as_ref()
+            .map_or(0, |rollout| rollout.seen.len())
+    }
+
+    /// The rollout's steps in words.
+    pub fn steps(&self) -> &[String] {
+        self.rollout
+            .as_ref()
+            .map_or(&[], |rollout| rollout.steps.as_slice())
+    }
+}
--- a/programs/scenario/tests/marks.rs
+++ b/programs/scenario/tests/marks.rs
@@ -2,17 +2,17 @@
 
 use std::cell::RefCell;
 use tansy_audit::Mark;
-use tansy_day::told;
+use tansy_scenario::audit::record_marks;
 
-/// What came in which order: marks, and `None` for the act.
+/// The order of marks and of the action, which is `None`.
 fn order(marks: &[Mark]) -> Vec<Option<Mark>> {
-    let seen = RefCell::new(Vec::new());
-    let note = |what| -> Result<(), ()> {
-        seen.borrow_mut().push(what);
+    let events = RefCell::new(Vec::new());
+    let add = |event| -> Result<(), ()> {
+        events.borrow_mut().push(event);
         Ok(())
     };
-    told(marks, |m| note(Some(m)), || note(None)).expect("nothing fails");
-    seen.into_inner()
+    record_marks(marks, |mark| add(Some(mark)), || add(None)).expect("nothing fails");
+    events.into_inner()
 }
 
 #[test]
@@ -52,17 +52,20 @@
 
 #[test]
 fn what_failed_is_not_marked() {
-    let seen = RefCell::new(Vec::new());
-    let failed = told(
+    let recorded = RefCell::new(Vec::new());
+    let failed = record_marks(
         &[Mark::Leaves {
             front: 0,
             worker: 1,
         }],
-        |m| {
-            seen.borrow_mut().push(m);
+        |mark| {
+            recorded.borrow_mut().push(mark);
             Ok(())
         },
         || Err("no list"),
     );
-    assert_eq!((failed, seen.into_inner()), (Err("no list"), Vec::new()));
+    assert_eq!(
+        (failed, recorded.into_inner()),
+        (Err("no list"), Vec::new())
+    );
 }
--- a/programs/scenario/tests/day.rs
+++ b/programs/scenario/tests/scenario.rs
@@ -1,22 +1,22 @@
-//! A short bad day with the real programs: every step of the script, no rule broken.
+//! Short scenarios with the real programs: every step of the scripts, no rule broken.
 
 use std::process::Command;
 
-/// One day at a time: each has as many processes as a small machine bears.
-static DAY: std::sync::Mutex<()> = std::sync::Mutex::new(());
+/// One scenario at a time: each has as many processes as a small machine bears.
+static SCENARIO: std::sync::Mutex<()> = std::sync::Mutex::new(());
 
-fn day(arguments: &[&str]) -> (Option<i32>, String) {
-    let _one = DAY.lock().unwrap_or_else(|e| e.into_inner());
-    let out = Command::new(env!("CARGO_BIN_EXE_tansy-day"))
+fn run(arguments: &[&str]) -> (Option<i32>, String) {
+    let _one = SCENARIO.lock().unwrap_or_else(|e| e.into_inner());
+    let output = Command::new(env!("CARGO_BIN_EXE_tansy-scenario"))
         .args(arguments)
         .output()
-        .expect("the day starts");
+        .expect("the scenario starts");
     let text = format!(
         "{}{}",
-        String::from_utf8_lossy(&out.stdout),
-        String::from_utf8_lossy(&out.stderr)
+        String::from_utf8_lossy(&output.stdout),
+        String::from_utf8_lossy(&output.stderr)
     );
-    (out.status.code(), text)
+    (output.status.code(), text)
 }
 
 fn count(text: &str, line: &str, name: &str) -> u64 {
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn a_short_bad_day_breaks_no_rule() {
-    let (code, text) = day(&["--seconds", "10", "--rate", "150", "--seed", "7"]);
+fn a_short_run_with_every_fault_breaks_no_rule() {
+    let (code, text) = run(&["--seconds", "10", "--rate", "150", "--seed", "7"]);
     assert_eq!(code, Some(0), "{text}");
     assert!(
         text.contains("verdict: no rule broken, no call with two attempts open"),
@@ -61,21 +61,21 @@
 }
 
 #[test]
-fn a_room_that_comes_back_cold_is_not_pushed_over() {
-    let (code, text) = day(&["--scenario", "cold-room", "--seconds", "10", "--seed", "3"]);
+fn a_zone_that_comes_back_cold_is_not_pushed_over() {
+    let (code, text) = run(&["--scenario", "cold-room", "--seconds", "10", "--seed", "3"]);
     assert_eq!(code, Some(0), "{text}");
     assert!(
         text.contains("verdict: no rule broken, no call with two attempts open"),
         "{text}"
     );
-    // The workers that came back are loaded anew and used: the warm room alone has too few lanes for this load.
+    // The workers that came back are loaded anew and used: the warm zone alone has too few lanes for this load.
     assert!(count(&text, "sockets:", "loads") > 30, "{text}");
     assert!(count(&text, "sockets:", "served") > 1400, "{text}");
 }
 
-/// A short day of versions: kills of all, a stop, links held; the last line of its output.
+/// A short run of versions: kills of all, a stop, links paused; the last line of its output.
 fn agree(more: &[&str]) -> (Option<i32>, serde_json::Value, String) {
-    let day_of = [
+    let common = [
         "--scenario",
         "agree",
         "--front-ends",
@@ -85,7 +85,7 @@
         "--no-plain",
         "--json",
     ];
-    let (code, text) = day(&[&day_of[..], more].concat());
+    let (code, text) = run(&[&common[..], more].concat());
     let line = text
         .lines()
         .rfind(|l| l.starts_with('{'))
