--- a/programs/scenario/src/agreement/cluster.rs
+++ b/programs/scenario/src/agreement/cluster.rs
@@ -8,8 +8,8 @@
 use crate::error::ScenarioError;
 use crate::fault_proxy::FaultProxyThread;
 use crate::fleet::{self, ReadinessTimeout};
-use crate::process;
-use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use crate::process::{self, GatewayAddresses};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,18 +23,9 @@
     within: Duration::from_secs(20),
     interval: Duration::from_millis(50),
 };
-/// Any port of loopback.
-const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 /// Workers lose the answers of this function.
 const LOSE_ANSWERS: &str = "/fault/lose=lost";
 
-/// Where a front end listens for clients.
-#[derive(Clone, Copy)]
-pub(super) struct GatewayAddresses {
-    pub grpc: SocketAddr,
-    pub http: SocketAddr,
-}
-
 /// All processes; they end with this value.
 pub(super) struct Cluster {
     pub options: ScenarioOptions,
@@ -164,15 +155,8 @@
     }
 
     fn start_front_end(&mut self, front: usize) -> Result<(), ScenarioError> {
-        let any = GatewayAddresses {
-            grpc: ANY_PORT,
-            http: ANY_PORT,
-        };
-        let gateway = self.start_gateway(front, any)?;
-        let addresses = GatewayAddresses {
-            grpc: gateway.address("grpc")?,
-            http: gateway.address("http")?,
-        };
+        let gateway = self.start_gateway(front, GatewayAddresses::ANY)?;
+        let addresses = GatewayAddresses::of(&gateway)?;
         self.gateway_addresses.push(addresses);
         self.gateways.push(Some(gateway));
         let client_address = self.proxy.route(Link::Client { front }, addresses.grpc)?;
--- a/programs/scenario/src/agreement/mod.rs
+++ b/programs/scenario/src/agreement/mod.rs
@@ -24,9 +24,9 @@
 use crate::audit::crowded_rules;
 use crate::error::ScenarioError;
 use crate::load::{self, LoadFunction, LoadPlan};
+use crate::process;
 use cluster::Cluster;
 use operator::{Operator, OperatorResult, ProposedChange};
-use rustix::process::Signal;
 use script::ScriptStep;
 use std::sync::mpsc;
 use std::thread::JoinHandle;
@@ -77,7 +77,7 @@
     let operator = operator.join().map_err(ended)??;
     let load = load::join(clients)?;
     load::join(observers)?;
-    end_gateways(&mut cluster)?;
+    process::stop_together(&mut cluster.gateways)?;
     report(&cluster, &settings, versions[0], operator, &load)
 }
 
@@ -177,17 +177,6 @@
     }
 }
 
-/// Asks all to end together, since each waits for its own calls; then waits for each.
-fn end_gateways(cluster: &mut Cluster) -> Result<(), ScenarioError> {
-    for gateway in cluster.gateways.iter().flatten() {
-        gateway.signal(Signal::TERM)?;
-    }
-    for gateway in cluster.gateways.iter_mut().flatten() {
-        gateway.stop()?;
-    }
-    Ok(())
-}
-
 /// Audits what passed.
 fn report(
     cluster: &Cluster,
--- a/programs/scenario/src/agreement/operator.rs
+++ b/programs/scenario/src/agreement/operator.rs
@@ -3,6 +3,7 @@
 use super::ROUND_SECONDS;
 use crate::error::ScenarioError;
 use crate::fault_proxy::FaultProxyThread;
+use crate::fleet;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{mpsc, Arc};
@@ -13,7 +14,6 @@
 use tansy_audit::Mark;
 use tansy_fleet::client::Client;
 use tansy_fleet_wire::pb::enter_request::Entry;
-use tansy_fleet_wire::pb::StatusReply;
 
 /// Seconds before the end of a round by which the operator is done with its change.
 const ROUND_MARGIN_SECONDS: f64 = 0.6;
@@ -142,7 +142,8 @@
         deadline: Instant,
     ) -> Result<bool, ScenarioError> {
         while Instant::now() < deadline {
-            let state = self.leader().and_then(|(_, status)| status.state);
+            let leader = fleet::leader(&mut self.client, &self.voters);
+            let state = leader.and_then(|(_, status)| status.state);
             if let Some(state) = state.filter(|state| state.next.is_none()) {
                 let in_force = state.force.is_some_and(|force| force.version >= version);
                 if in_force {
@@ -157,17 +158,7 @@
 
     /// The leader, and the version in force there.
     fn leader_and_version(&mut self) -> Option<(SocketAddr, u64)> {
-        let (leader, status) = self.leader()?;
+        let (leader, status) = fleet::leader(&mut self.client, &self.voters)?;
         Some((leader, status.state?.force?.version))
     }
-
-    /// Whoever leads, as far as any voter says of itself, and its status.
-    fn leader(&mut self) -> Option<(SocketAddr, StatusReply)> {
-        let statuses = self.client.statuses(&self.voters);
-        let mut answers = self.voters.iter().zip(statuses);
-        answers.find_map(|(voter, status)| {
-            let status = status.ok().filter(|status| status.keeps_log)?;
-            Some((*voter, status))
-        })
-    }
 }
--- a/programs/scenario/src/faults/process_group.rs
+++ b/programs/scenario/src/faults/process_group.rs
@@ -5,23 +5,13 @@
 use crate::endpoint_list::{self, zone_of_half, ListedWorker};
 use crate::error::ScenarioError;
 use crate::fault_proxy::FaultProxyThread;
-use crate::process;
-use std::net::{Ipv4Addr, SocketAddr};
+use crate::process::{self, GatewayAddresses};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Instant;
 use tansy_audit::{Entry, Link, Mark};
 use tansy_test_support::process::ServerProcess;
 
-/// Any port of loopback.
-const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-
-/// Where a gateway listens.
-#[derive(Clone, Copy)]
-struct GatewayAddresses {
-    grpc: SocketAddr,
-    http: SocketAddr,
-}
-
 /// Workers and gateways, with the proxy between all of them.
 pub struct ProcessGroup {
     proxy: FaultProxyThread,
@@ -102,15 +92,8 @@
 
     fn start_front_end(&mut self, front: usize) -> Result<(), ScenarioError> {
         self.write_list(front)?;
-        let any = GatewayAddresses {
-            grpc: ANY_PORT,
-            http: ANY_PORT,
-        };
-        let gateway = self.start_gateway(front, any)?;
-        let addresses = GatewayAddresses {
-            grpc: gateway.address("grpc")?,
-            http: gateway.address("http")?,
-        };
+        let gateway = self.start_gateway(front, GatewayAddresses::ANY)?;
+        let addresses = GatewayAddresses::of(&gateway)?;
         self.gateway_addresses.push(addresses);
         self.gateways.push(Some(gateway));
         let client_address = self.proxy.route(Link::Client { front }, addresses.grpc)?;
--- a/programs/scenario/src/fleet.rs
+++ b/programs/scenario/src/fleet.rs
@@ -39,6 +39,19 @@
     reserved.iter().map(ReservedAddress::address).collect()
 }
 
+/// The leader of a fleet, as far as any voter says of itself, and its status.
+pub(crate) fn leader(
+    client: &mut Client,
+    voters: &[SocketAddr],
+) -> Option<(SocketAddr, StatusReply)> {
+    let statuses = client.statuses(voters);
+    let mut answers = voters.iter().zip(statuses);
+    answers.find_map(|(voter, status)| {
+        let status = status.ok().filter(|status| status.keeps_log)?;
+        Some((*voter, status))
+    })
+}
+
 /// How long, and how often, front ends are asked whether they are ready.
 pub(crate) struct ReadinessTimeout {
     /// The longest time that is waited.
--- a/programs/scenario/src/load/exchange.rs
+++ b/programs/scenario/src/load/exchange.rs
@@ -17,6 +17,7 @@
 const REFUSED_STREAM: u32 = 7;
 /// The longest message that a client reads.
 const LONGEST_MESSAGE: usize = 1 << 20;
+/// The authority is part of the recorded bytes.
 const UNARY_URI: &str = "http://day/inference.GRPCInferenceService/ModelInfer";
 const STREAM_URI: &str = "http://day/inference.GRPCInferenceService/ModelStreamInfer";
 
--- a/programs/scenario/src/process.rs
+++ b/programs/scenario/src/process.rs
@@ -3,13 +3,45 @@
 //! A scenario needs no second file: [`crate::cli::main`] hands over to the program that the first argument names.
 
 use crate::error::ScenarioError;
+use rustix::process::Signal;
 use std::fs::OpenOptions;
 use std::io::{Read, Write};
-use std::net::TcpStream;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpStream};
 use std::path::Path;
 use std::process::Command;
 use tansy_test_support::process::ServerProcess;
 
+/// Any port of loopback.
+const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+
+/// Where a gateway listens for clients.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct GatewayAddresses {
+    /// For calls.
+    pub grpc: SocketAddr,
+    /// For health checks and metrics.
+    pub http: SocketAddr,
+}
+
+impl GatewayAddresses {
+    /// Any ports of loopback.
+    pub const ANY: GatewayAddresses = GatewayAddresses {
+        grpc: ANY_PORT,
+        http: ANY_PORT,
+    };
+
+    /// Where a gateway says that it listens.
+    ///
+    /// # Errors
+    /// Its `ready` line names no such addresses.
+    pub fn of(gateway: &ServerProcess) -> Result<GatewayAddresses, ScenarioError> {
+        Ok(GatewayAddresses {
+            grpc: gateway.address("grpc")?,
+            http: gateway.address("http")?,
+        })
+    }
+}
+
 /// Starts this program with the arguments, the first of which is its role, and waits for its `ready` line.
 ///
 /// # Errors
@@ -55,6 +87,20 @@
     ])
 }
 
+/// Asks all processes to end together, since each waits for its own calls; then waits for each.
+///
+/// # Errors
+/// One can't be signalled or waited for.
+pub fn stop_together(processes: &mut [Option<ServerProcess>]) -> Result<(), ScenarioError> {
+    for process in processes.iter().flatten() {
+        process.signal(Signal::TERM)?;
+    }
+    for process in processes.iter_mut().flatten() {
+        process.stop()?;
+    }
+    Ok(())
+}
+
 /// Asks for a path on a worker's control port.
 ///
 /// # Errors
--- a/programs/scenario/src/rollout/cluster.rs
+++ b/programs/scenario/src/rollout/cluster.rs
@@ -202,17 +202,6 @@
         all.filter(|process| process.folder.starts_with(folder))
             .collect()
     }
-
-    /// Asks all supervisors to end together; then waits for each.
-    pub fn stop_supervisors(&mut self) -> Result<(), ScenarioError> {
-        for supervisor in self.supervisors.iter().flatten() {
-            supervisor.signal(Signal::TERM)?;
-        }
-        for supervisor in self.supervisors.iter_mut().flatten() {
-            supervisor.stop()?;
-        }
-        Ok(())
-    }
 }
 
 impl Drop for Cluster {
--- a/programs/scenario/src/rollout/mod.rs
+++ b/programs/scenario/src/rollout/mod.rs
@@ -23,6 +23,7 @@
 use crate::audit::{crowded_rules, violation_text};
 use crate::error::ScenarioError;
 use crate::load::{self, LoadFunction, LoadPlan};
+use crate::process;
 use cluster::Cluster;
 use faults::Faults;
 use observer::Observer;
@@ -76,7 +77,7 @@
     observer.observe(&cluster)?;
     let verdict = RolloutVerdict::of(rollout.as_ref());
     let diverging = diverging_front_ends(&cluster, verdict, &new_program);
-    cluster.stop_supervisors()?;
+    process::stop_together(&mut cluster.supervisors)?;
     let mut violations = audit_recording(&cluster, &settings)?;
     violations.append(&mut observer.violations);
     violations.extend(diverging);
--- a/programs/scenario/src/rollout/proposal.rs
+++ b/programs/scenario/src/rollout/proposal.rs
@@ -4,7 +4,7 @@
 use super::options::ScenarioOptions;
 use super::{zone_of, VOTERS, ZONES};
 use crate::error::ScenarioError;
-use std::net::SocketAddr;
+use crate::fleet;
 use std::time::{Duration, Instant};
 use tansy_fleet::processes::label;
 use tansy_fleet::rollout::stages;
@@ -32,9 +32,10 @@
             plan: plan(options)?,
             why: REASON.into(),
         };
+        let voters = self.peers[..VOTERS].to_vec();
         let deadline = Instant::now() + BEGIN_TIMEOUT;
         while Instant::now() < deadline {
-            let Some(leader) = self.leader() else {
+            let Some((leader, _)) = fleet::leader(&mut self.client, &voters) else {
                 continue;
             };
             let entry = Entry::Roll(roll_entry(&entry, None));
@@ -42,19 +43,8 @@
                 return Ok(());
             }
         }
-        let voters = self.peers[..VOTERS].to_vec();
         Err(ScenarioError::RolloutNotStarted { voters })
     }
-
-    /// Whoever leads, as far as any voter says of itself.
-    fn leader(&mut self) -> Option<SocketAddr> {
-        let voters = &self.peers[..VOTERS];
-        let statuses = self.client.statuses(voters);
-        let mut answers = voters.iter().zip(statuses);
-        let is_leader =
-            answers.find(|(_, status)| status.as_ref().is_ok_and(|status| status.keeps_log));
-        is_leader.map(|(voter, _)| *voter)
-    }
 }
 
 fn plan(options: &ScenarioOptions) -> Result<RolloutPlan, ScenarioError> {
--- a/programs/scenario/tests/marks.rs
+++ b/programs/scenario/tests/marks.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn what_failed_is_not_marked() {
+fn a_failed_action_is_not_marked() {
     let recorded = RefCell::new(Vec::new());
     let failed = record_marks(
         &[Mark::Leaves {
