--- a/programs/scenario/src/faults/cold_zone.cue
+++ b/programs/scenario/src/faults/cold_zone.cue
@@ -1,4 +1,4 @@
-// The settings of a zone that comes back cold: no ration, calls that take long, a patient aim, so that neither orders
+// The settings of a zone that comes back cold: no ration, calls that take long, a long objective, so that neither load requests
 // nor slow answers keep load from the workers that have just started. Rule 4 alone does.
 zones: ["room-a", "room-b"]
 classes: {
--- a/programs/scenario/src/process.rs
+++ b/programs/scenario/src/process.rs
@@ -19,7 +19,7 @@
 pub struct GatewayAddresses {
     /// For calls.
     pub grpc: SocketAddr,
-    /// For health checks and metrics.
+    /// For health checks and counters.
     pub http: SocketAddr,
 }
 
