--- a/programs/scenario/src/agreement/drains.rs
+++ b/programs/scenario/src/agreement/drains.rs
@@ -62,7 +62,7 @@
                 let since = disturbed.map_or(drain.since, |at| at.max(drain.since));
                 let worker = drain.worker;
                 if now - since >= CONTRADICTION_LIMIT && self.marked.insert((worker, front)) {
-                    marks.push(Mark::Leaves { front, worker });
+                    marks.push(Mark::Draining { front, worker });
                 }
             }
         }
--- a/programs/scenario/src/agreement/steps.rs
+++ b/programs/scenario/src/agreement/steps.rs
@@ -55,7 +55,7 @@
             return Ok(());
         };
         record_marks(
-            &[Mark::Woken { front }],
+            &[Mark::Resumed { front }],
             |mark| self.mark(mark),
             || Ok(gateway.signal(Signal::CONT)?),
         )?;
@@ -77,7 +77,7 @@
     fn drain(&mut self, front: usize, worker: usize) -> Result<(), ScenarioError> {
         self.lists[front][worker].draining = Some(true);
         record_marks(
-            &[Mark::Leaves { front, worker }],
+            &[Mark::Draining { front, worker }],
             |mark| self.mark(mark),
             || self.write_list(front),
         )?;
--- a/programs/scenario/src/audit.rs
+++ b/programs/scenario/src/audit.rs
@@ -1,7 +1,7 @@
 //! What a scenario gives the auditor, and how violations are printed.
 
 use std::collections::BTreeMap;
-use tansy_audit::{Effect, Mark, Rules, Violation};
+use tansy_audit::{Effect, LoadBudget, Mark, Overload, Rules, SlowStart, Violation};
 use tansy_settings::{FunctionSpec, Settings};
 
 /// The time by which a changed endpoint list has been read, microseconds: gateways look at it every 200 ms, and the machine may be busy.
@@ -42,11 +42,20 @@
         functions: functions.collect::<BTreeMap<_, _>>(),
         list_read: LIST_READ_US,
         drain_grace: front.drain_grace,
-        cold: (front.slow_start_from, front.slow_start_window, cores),
-        fall: (front.overload_multiple, front.overload_window),
-        ration: front
-            .load_budget
-            .map(|budget| (budget.free, budget.arrival_share, budget.period)),
+        slow_start: SlowStart {
+            initial_share: front.slow_start_from,
+            window: front.slow_start_window,
+            cores,
+        },
+        overload: Overload {
+            multiple: front.overload_multiple,
+            window: front.overload_window,
+        },
+        load_budget: front.load_budget.map(|budget| LoadBudget {
+            free: budget.free,
+            per_call: budget.arrival_share,
+            period: budget.period,
+        }),
         connect: front.connect_timeout,
         slack: CLOCK_SLACK_US,
     }
--- a/programs/scenario/src/faults/process_group.rs
+++ b/programs/scenario/src/faults/process_group.rs
@@ -151,7 +151,7 @@
     ) -> Result<(), ScenarioError> {
         self.lists[front][worker].draining = Some(draining);
         let mark = if draining {
-            Mark::Leaves { front, worker }
+            Mark::Draining { front, worker }
         } else {
             Mark::Returns { front, worker }
         };
@@ -217,7 +217,7 @@
         }
         for (worker, process) in self.workers.iter_mut().enumerate() {
             if process.has_ended() {
-                self.proxy.mark(Mark::Fell { worker })?;
+                self.proxy.mark(Mark::Overloaded { worker })?;
             }
         }
         let entries = self.proxy.take_entries()?;
--- a/programs/scenario/src/lib.rs
+++ b/programs/scenario/src/lib.rs
@@ -18,7 +18,7 @@
 //!
 //! // What forbids something is recorded once it is in effect.
 //! let events = std::cell::RefCell::new(Vec::new());
-//! let drain = Mark::Leaves { front: 0, worker: 1 };
+//! let drain = Mark::Draining { front: 0, worker: 1 };
 //! record_marks(
 //!     &[drain],
 //!     |_| Ok::<(), std::io::Error>(events.borrow_mut().push("recorded")),
--- a/programs/scenario/tests/marks.rs
+++ b/programs/scenario/tests/marks.rs
@@ -36,14 +36,14 @@
 #[test]
 fn a_process_is_awake_before_it_is_woken() {
     assert_eq!(
-        order(&[Mark::Woken { front: 2 }]),
-        [Some(Mark::Woken { front: 2 }), None]
+        order(&[Mark::Resumed { front: 2 }]),
+        [Some(Mark::Resumed { front: 2 }), None]
     );
 }
 
 #[test]
 fn a_worker_leaves_once_a_list_says_so() {
-    let leaves = Mark::Leaves {
+    let leaves = Mark::Draining {
         front: 0,
         worker: 1,
     };
@@ -54,7 +54,7 @@
 fn a_failed_action_is_not_marked() {
     let recorded = RefCell::new(Vec::new());
     let failed = record_marks(
-        &[Mark::Leaves {
+        &[Mark::Draining {
             front: 0,
             worker: 1,
         }],
--- a/standins/audit/src/auditor/cold_start.rs
+++ b/standins/audit/src/auditor/cold_start.rs
@@ -2,12 +2,20 @@
 
 use super::Auditor;
 use crate::report::Violation;
+use crate::rules::{Overload, SlowStart};
 
 impl Auditor<'_> {
     /// The first time at which a worker that started then was sent too much.
     pub(super) fn cold_overload(&self, started: i64, worker: usize) -> Option<Violation> {
-        let (first_share, warm_up, cores) = self.rules.cold;
-        let (multiple, span) = self.rules.fall;
+        let SlowStart {
+            initial_share,
+            window: warm_up,
+            cores,
+        } = self.rules.slow_start;
+        let Overload {
+            multiple,
+            window: span,
+        } = self.rules.overload;
         let attempts = self.calls.values().flat_map(|call| &call.attempts);
         let mut sent: Vec<(i64, i64)> = attempts
             .filter(|attempt| attempt.worker == worker)
@@ -21,8 +29,8 @@
             }
             let recent = sent[..=index].iter().filter(|(time, _)| at - time <= span);
             let work: i64 = recent.map(|(_, work)| work).sum();
-            let share = (first_share
-                + (1.0 - first_share) * (at - started) as f64 / warm_up as f64)
+            let share = (initial_share
+                + (1.0 - initial_share) * (at - started) as f64 / warm_up as f64)
                 .min(1.0);
             let capacity = multiple * share * cores * span as f64;
             if work as f64 > capacity {
--- a/standins/audit/src/auditor/load_budget.rs
+++ b/standins/audit/src/auditor/load_budget.rs
@@ -2,11 +2,17 @@
 
 use super::Auditor;
 use crate::report::Violation;
+use crate::rules::LoadBudget;
 
 impl Auditor<'_> {
     /// Load requests against calls taken, by front end, in every window that ends with a load request.
     pub(super) fn excess_load_requests(&self) -> Vec<Violation> {
-        let Some((free, per_call, span)) = self.rules.ration else {
+        let Some(LoadBudget {
+            free,
+            per_call,
+            period,
+        }) = self.rules.load_budget
+        else {
             return Vec::new();
         };
         let mut violations = Vec::new();
@@ -14,14 +20,14 @@
             let born = self.last_kill(*front, *at);
             // Decided in two windows, they may leave within one: what is sure to be of one window is counted.
             let surely_within =
-                |time: i64| time >= born && time <= *at && at - time < span - self.rules.connect;
+                |time: i64| time >= born && time <= *at && at - time < period - self.rules.connect;
             let requests = self.load_requests[..=index]
                 .iter()
                 .filter(|(time, by)| by == front && surely_within(*time))
                 .count();
             // A call that came just before the window's edge at the relay may have come just after it at the front end.
             let maybe_within =
-                |time: i64| time >= born && time <= *at && at - time < span + self.rules.slack;
+                |time: i64| time >= born && time <= *at && at - time < period + self.rules.slack;
             let taken = self
                 .calls
                 .values()
--- a/standins/audit/src/auditor/mod.rs
+++ b/standins/audit/src/auditor/mod.rs
@@ -106,14 +106,14 @@
 
     fn on_mark(&mut self, at: i64, mark: &Mark) {
         match *mark {
-            Mark::Leaves { front, worker } => {
+            Mark::Draining { front, worker } => {
                 self.draining.insert((front, worker), at);
             }
             Mark::Returns { front, worker } => {
                 self.draining.remove(&(front, worker));
             }
             Mark::Started { worker } => self.starts.push((at, worker)),
-            Mark::Fell { worker } => self.violation(
+            Mark::Overloaded { worker } => self.violation(
                 4,
                 at,
                 format!("worker {worker}"),
@@ -125,7 +125,7 @@
                 from: at,
                 to: None,
             }),
-            Mark::Woken { front } => self.end_pause(front, at),
+            Mark::Resumed { front } => self.end_pause(front, at),
             Mark::Proposed { .. } | Mark::InForce { .. } => {}
         }
     }
--- a/standins/audit/src/lib.rs
+++ b/standins/audit/src/lib.rs
@@ -23,4 +23,4 @@
 pub use auditor::{audit, audit_with_history};
 pub use record::{Entry, Event, Link, Mark};
 pub use report::{Audit, CallEnd, CallHistory, Violation};
-pub use rules::{Effect, Rules};
+pub use rules::{Effect, LoadBudget, Overload, Rules, SlowStart};
--- a/standins/audit/src/record.rs
+++ b/standins/audit/src/record.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Mark {
     /// A front end's endpoint list now says that a worker drains or is gone.
-    Leaves {
+    Draining {
         /// The front end.
         front: usize,
         /// The worker.
@@ -47,7 +47,7 @@
         worker: usize,
     },
     /// A worker fell over under more load than a cold worker bears.
-    Fell {
+    Overloaded {
         /// The worker.
         worker: usize,
     },
@@ -62,7 +62,7 @@
         front: usize,
     },
     /// It was resumed.
-    Woken {
+    Resumed {
         /// The front end.
         front: usize,
     },
@@ -82,7 +82,7 @@
     /// Whether it allows what was forbidden until now. Such a mark is recorded before anybody can act on it, any other one once
     /// it is in effect: a front end may act at once on what it reads, and the relay may see that before a later mark.
     pub fn allows(&self) -> bool {
-        matches!(self, Mark::Returns { .. } | Mark::Woken { .. })
+        matches!(self, Mark::Returns { .. } | Mark::Resumed { .. })
     }
 }
 
--- a/standins/audit/src/rules.rs
+++ b/standins/audit/src/rules.rs
@@ -13,6 +13,37 @@
     Unsafe,
 }
 
+/// The capacity of a worker that has just started: it grows evenly to all of it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SlowStart {
+    /// The share of its capacity at first.
+    pub initial_share: f64,
+    /// The time until it has all of it, microseconds.
+    pub window: i64,
+    /// All of it: seconds of work a second.
+    pub cores: f64,
+}
+
+/// When a worker that has just started falls over.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Overload {
+    /// It is sent more than this multiple of its present capacity.
+    pub multiple: f64,
+    /// The time over which its work is summed, microseconds.
+    pub window: i64,
+}
+
+/// Load requests that a front end may send in any period.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct LoadBudget {
+    /// So many whatever it takes.
+    pub free: f64,
+    /// So many more for each call that it took.
+    pub per_call: f64,
+    /// The period, microseconds.
+    pub period: i64,
+}
+
 /// The rules' figures; all durations in microseconds.
 #[derive(Clone, Debug)]
 pub struct Rules {
@@ -22,12 +53,12 @@
     pub list_read: i64,
     /// After reading that a worker drains, nothing new goes to it once this has passed.
     pub drain_grace: i64,
-    /// A fresh worker's capacity: share at first, time until all of it, cores.
-    pub cold: (f64, i64, f64),
-    /// A worker falls over when sent more than this multiple of its capacity over this time.
-    pub fall: (f64, i64),
-    /// Load requests allowed: so many, and so many for each call taken, in any such time.
-    pub ration: Option<(f64, f64, i64)>,
+    /// The capacity of a worker that has just started.
+    pub slow_start: SlowStart,
+    /// What a worker that has just started bears.
+    pub overload: Overload,
+    /// Load requests that a front end may send; none: they are not checked.
+    pub load_budget: Option<LoadBudget>,
     /// A load request may leave so long after it was decided: its connection has to be made first.
     pub connect: i64,
     /// The largest difference between a relay's clock and a peer's.
--- a/standins/audit/src/versions.rs
+++ b/standins/audit/src/versions.rs
@@ -80,7 +80,7 @@
                 Mark::Stopped { front } => {
                     stopped.insert(front, entry.at);
                 }
-                Mark::Woken { front } | Mark::Killed { front } => {
+                Mark::Resumed { front } | Mark::Killed { front } => {
                     let to = entry.at;
                     let from = stopped.remove(&front);
                     let pause = from.map(|from| Pause { front, from, to });
--- a/standins/audit/tests/violations.rs
+++ b/standins/audit/tests/violations.rs
@@ -2,7 +2,9 @@
 
 use prost::Message;
 use std::collections::BTreeMap;
-use tansy_audit::{audit, CallEnd, Effect, Entry, Event, Link, Mark, Rules};
+use tansy_audit::{
+    audit, CallEnd, Effect, Entry, Event, Link, LoadBudget, Mark, Overload, Rules, SlowStart,
+};
 use tansy_inference::inference as pb;
 
 fn rules() -> Rules {
@@ -18,9 +20,20 @@
             .collect(),
         list_read: 100_000,
         drain_grace: 500_000,
-        cold: (0.25, 4_000_000, 1.0),
-        fall: (2.0, 1_000_000),
-        ration: Some((1.0, 0.5, 1_000_000)),
+        slow_start: SlowStart {
+            initial_share: 0.25,
+            window: 4_000_000,
+            cores: 1.0,
+        },
+        overload: Overload {
+            multiple: 2.0,
+            window: 1_000_000,
+        },
+        load_budget: Some(LoadBudget {
+            free: 1.0,
+            per_call: 0.5,
+            period: 1_000_000,
+        }),
         connect: 100_000,
         slack: 5_000,
     }
@@ -271,7 +284,7 @@
         recording.infer(1, 1, "read", "a", 1);
         recording.write(
             0,
-            Event::Mark(Mark::Leaves {
+            Event::Mark(Mark::Draining {
                 front: 0,
                 worker: 0,
             }),
