--- a/decide/fleet-node/src/change_controller.rs
+++ b/decide/fleet-node/src/change_controller.rs
@@ -4,7 +4,7 @@
 mod scopes;
 mod voter_replacement;
 
-use crate::command::{Command, FleetEvent, RequestRejection};
+use crate::command::{Command, FleetEvent, RequestRejection, StorageFailure};
 use crate::pending_changes::PendingChanges;
 use crate::queued_entry::{QueuedEntry, Requester, MAX_QUEUED_ENTRIES};
 use std::collections::VecDeque;
@@ -126,12 +126,12 @@
     pub(crate) fn on_persisted(
         &mut self,
         now: Time,
-        result: Result<(), String>,
+        result: Result<(), StorageFailure>,
         commands: &mut Vec<Command>,
     ) {
         let mut effects = Vec::new();
         self.replica.on_persisted(result.is_ok(), &mut effects);
-        if let Err(cause) = result {
+        if let Err(StorageFailure(cause)) = result {
             // Whether the record is on disk is not known until the file is read again; nobody is notified of its entries.
             self.fail(cause, commands);
         }
--- a/decide/fleet-node/src/command.rs
+++ b/decide/fleet-node/src/command.rs
@@ -134,3 +134,8 @@
     #[error("another front end leads by now: ask again with the same id to learn what came of it")]
     LeadershipLost,
 }
+
+/// Why a record of a voter's log could not be written, in the words of its storage.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct StorageFailure(pub String);
--- a/decide/fleet-node/src/fleet_node.rs
+++ b/decide/fleet-node/src/fleet_node.rs
@@ -7,7 +7,7 @@
 mod session;
 
 use crate::change_controller::{ChangeBlockers, ChangeController};
-use crate::command::{Command, FleetEvent, RequestRejection};
+use crate::command::{Command, FleetEvent, RequestRejection, StorageFailure};
 use crate::config::{FleetNodeConfig, RecoveredState};
 use crate::drain_gossip::DrainGossip;
 use crate::known_nodes::KnownNodes;
@@ -290,7 +290,7 @@
     pub fn on_persisted(
         &mut self,
         now: Time,
-        result: Result<(), String>,
+        result: Result<(), StorageFailure>,
         commands: &mut Vec<Command>,
     ) {
         let Some(controller) = &mut self.controller else {
@@ -301,7 +301,7 @@
         self.advance(now, commands);
     }
 
-    /// It stops being active: the others need not find commands, and no change waits for it.
+    /// It stops being active: the others need not detect it, and no change waits for it.
     pub fn leave(&mut self, now: Time, commands: &mut Vec<Command>) {
         let member = self.config.node.member();
         match &mut self.controller {
--- a/decide/fleet-node/src/lib.rs
+++ b/decide/fleet-node/src/lib.rs
@@ -62,7 +62,7 @@
 mod queued_entry;
 
 pub use change_controller::ChangeBlockers;
-pub use command::{Command, FleetEvent, RequestRejection};
+pub use command::{Command, FleetEvent, RequestRejection, StorageFailure};
 pub use config::{number, FleetNodeConfig, RecoveredState};
 pub use fleet_node::{ActiveState, FleetNode};
 pub use known_nodes::Directory;
--- a/decide/fleet-node/tests/fleet_node/cluster.rs
+++ b/decide/fleet-node/tests/fleet_node/cluster.rs
@@ -10,7 +10,7 @@
 use tansy_consensus::PersistentState;
 use tansy_fleet_node::{
     Command, FleetEvent, FleetNode, FleetNodeConfig, Leader, MessageBody, RecoveredState,
-    RequestRejection,
+    RequestRejection, StorageFailure,
 };
 use tansy_membership::{GossipTiming, NodeId};
 
@@ -209,9 +209,9 @@
         n: usize,
         record: Vec<u8>,
         snapshot: Option<Vec<u8>>,
-    ) -> Result<(), String> {
+    ) -> Result<(), StorageFailure> {
         if self.is_disk_full && n == 0 {
-            return Err("no room".to_string());
+            return Err(StorageFailure("no room".to_string()));
         }
         match snapshot {
             Some(snapshot) => {
--- a/net/fleet/src/transport.rs
+++ b/net/fleet/src/transport.rs
@@ -18,7 +18,7 @@
 use tansy_agreement::log::LogEntry;
 use tansy_agreement::subscription::Admission;
 use tansy_consensus::CorruptState;
-use tansy_fleet_node::{Command, FleetNode, MessageBody, RecoveredState};
+use tansy_fleet_node::{Command, FleetNode, MessageBody, RecoveredState, StorageFailure};
 use tansy_fleet_wire::{decode_message, encode_message, DecodeError};
 use tansy_net_grpc::server::Server;
 use tansy_net_sockets::{clock, within, Spawner};
@@ -216,7 +216,7 @@
 
     /// Passes on the result of persisting a record.
     pub(crate) fn on_persisted(self: &Rc<Self>, result: PersistResult) {
-        let result = result.map_err(|error| error.to_string());
+        let result = result.map_err(|error| StorageFailure(error.to_string()));
         self.drive(|node, now, commands| node.on_persisted(now, result, commands));
     }
 
