--- a/net/platform/src/driver/commands.rs
+++ b/net/platform/src/driver/commands.rs
@@ -49,7 +49,7 @@
                 outcome: seen,
                 failed_loads: count,
             } => {
-                tracing::warn!(%worker, %function, status = %seen, count, "a load order left no instance");
+                tracing::warn!(%worker, %function, status = %seen, count, "a load request left no instance");
             }
             // The list comes unasked.
             Command::FetchWorkerList | Command::SubscribeWorkerList => {}
