--- a/benches/state/src/rollouts.rs
+++ b/benches/state/src/rollouts.rs
@@ -20,7 +20,7 @@
 const POLL_INTERVAL: Time = SECOND / 4;
 /// From the request to restart a front end to its being ready again.
 const RESTART_TIME: Time = 5 * SECOND;
-/// Shares of the fleet that are changed by the end of each stage, as `tansy-fleet roll begin` has them.
+/// Shares of the fleet that are changed by the end of each stage, as `tansy-fleet rollout begin` has them.
 const STAGES: [f64; 3] = [0.1, 0.3, 1.0];
 /// The label of the new program.
 const NEW_LABEL: &str = "new";
--- a/decide/canary/src/lib.rs
+++ b/decide/canary/src/lib.rs
@@ -5,9 +5,10 @@
 //! loss of a zone, a storm of retries, twice the traffic) therefore makes no difference, and what the same front ends differed by
 //! before the change is subtracted.
 //!
-//! A [`CanaryAnalysis`] takes samples and answers [`Verdict`]s. The new side is *worse* when a [`sequential_test`] passes its bound and
-//! the loss is as large as matters, or when something happened that needs no statistics; it is *fine* when the loss that may still
-//! be hidden is small enough; otherwise the verdict is *open* and says what would settle it.
+//! A [`CanaryAnalysis`] takes samples and answers [`Verdict`]s. The verdict is [`Verdict::Fail`] when a [`sequential_test`]
+//! passes its bound and the loss is as large as matters, or when something happened that needs no statistics; it is
+//! [`Verdict::Pass`] when the loss that may still be hidden is small enough; otherwise it is [`Verdict::Inconclusive`] and says
+//! what would settle it.
 //!
 //! The crate has no clock and no I/O, knows no metrics but its own, and decides nothing: what follows from a verdict is the matter of
 //! `tansy_rollout`.
--- a/decide/canary/src/sequential_test.rs
+++ b/decide/canary/src/sequential_test.rs
@@ -4,7 +4,7 @@
 //! some moment, and the answer may be looked at after every slice. What is compared with a bound is a mixture of likelihood ratios
 //! (Robbins 1970, with a prior on effects over zero), mixed again over the moments at which an effect may have begun. By Ville's
 //! inequality it ever passes `1/a` with probability `a` at most if the new side is not worse, as far as the stated variances are
-//! right and differences are nearly normal. The model checks that on whole rollouts.
+//! right and differences are nearly normal. `tansy-simulation` checks that on whole rollouts.
 
 use statrs::distribution::{ContinuousCDF, Normal};
 
--- a/decide/canary/src/verdict.rs
+++ b/decide/canary/src/verdict.rs
@@ -99,7 +99,7 @@
         })
     }
 
-    /// Fine if the loss that may be hidden is accepted, else open.
+    /// [`Verdict::Pass`] if the loss that may be hidden is accepted, else [`Verdict::Inconclusive`].
     fn service_verdict(&self, evidence: &MetricEvidence) -> Verdict {
         let parameters = &self.parameters;
         let error = self.error_per_metric();
--- a/decide/dispatch/tests/counters.rs
+++ b/decide/dispatch/tests/counters.rs
@@ -2,7 +2,7 @@
 
 use tansy_dispatch::Counters;
 
-/// As the release before the renaming of the fields wrote them.
+/// As an earlier release wrote them.
 const JSON: &str = r#"{"taken":1,"served":0,"refused":0,"failed":0,"departed":0,"unknown":0,"attempts":0,"ends":[0,0,0,3,0,0,0,0,0],"pieces":0,"loads":0,"vain":2,"asks":0,"unloads":0,"probes":0,"drops":0,"contested":0,"guarded":0}"#;
 
 #[test]
--- a/decide/dispatch/tests/record.rs
+++ b/decide/dispatch/tests/record.rs
@@ -2,8 +2,8 @@
 
 use tansy_dispatch::record::RecordedStep;
 
-/// A line with each input, command and value that a recorded run can hold, as the release before the renaming of the
-/// types wrote them.
+/// A line with each input, command and value that a recorded run can hold, as an earlier release wrote
+/// them.
 const LINES: &str = include_str!("fixtures/recorded_steps.jsonl");
 
 #[test]
--- a/decide/fleet-node/src/lib.rs
+++ b/decide/fleet-node/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! Times are microseconds of one monotonic clock of the caller, which has to go on while the machine sleeps.
 //!
-//! Not here: sockets, disks and clocks (`tansy-fleet-net` and the model have one host each), the encoding of messages, and
+//! Not here: sockets, disks and clocks (`tansy-net-fleet` and `tansy-simulation` have one host each), the encoding of messages, and
 //! what a front end does with the settings.
 //!
 //! Modules from the lowest layer up: [`MessageBody`] and [`Command`] are the interface; `known_nodes` and `drain_gossip`
--- a/decide/fleet-node/tests/fleet_node/scope_cluster.rs
+++ b/decide/fleet-node/tests/fleet_node/scope_cluster.rs
@@ -1,5 +1,5 @@
 //! A cluster whose tests change scopes. After every event what each front end applies is compared with what is agreed on:
-//! one with a session applies no other strict field than the one in force, and is bound as much.
+//! one with a session applies no other strict field than the one in force, and is no less restricted.
 
 use crate::cluster::{latest_log, Cluster, Observer, Options};
 use std::collections::BTreeMap;
--- a/decide/rollout/tests/crash.rs
+++ b/decide/rollout/tests/crash.rs
@@ -24,7 +24,7 @@
         zone: zone(n),
         is_voter: n.is_multiple_of(EACH),
     };
-    // One of each zone, among them all seats; then the others.
+    // One of each zone, among them all voters; then the others.
     let (first, rest): (Vec<usize>, Vec<usize>) = (0..ZONES * EACH).partition(|n| n % EACH == 0);
     RolloutPlan {
         stages: [first, rest]
--- a/programs/gateway/tests/platform/faults.rs
+++ b/programs/gateway/tests/platform/faults.rs
@@ -226,7 +226,7 @@
         mut coordinator,
         worker: _worker,
     } = ManualSetup::start();
-    // What a roll of thousands of workers leaves behind while the coordinator is out of reach.
+    // What a rollout of thousands of workers leaves behind while the coordinator is out of reach.
     const EVENTS: u64 = 9_000;
     let event = |index: u64| {
         let state = ["Terminating", "Gone", "Ready"][index as usize % 3];
--- a/programs/scale/tests/run.rs
+++ b/programs/scale/tests/run.rs
@@ -233,7 +233,7 @@
     );
     // Of 40 functions each hollow one calls 10.
     assert_eq!(report["holds"], 10.0, "{report}");
-    // The seat still had the one that the dead one held as it was, after others were in force.
+    // The voter still had the one that the dead one held as it was, after others were in force.
     assert!(report["others_before"].as_u64() > Some(0), "{report}");
     assert_positive(&report, &["freed_ms", "set_s"]);
     for name in [
--- a/programs/scenario/src/agreement/script/tests.rs
+++ b/programs/scenario/src/agreement/script/tests.rs
@@ -4,7 +4,7 @@
 use crate::agreement::versions;
 use crate::testing::fnv1a;
 
-/// Of a recording made by the program before its script was drawn here.
+/// Of a recording made by an earlier program.
 struct Recorded {
     seed: u64,
     front_ends: usize,
--- a/programs/scenario/src/load/call/tests.rs
+++ b/programs/scenario/src/load/call/tests.rs
@@ -5,7 +5,7 @@
 use crate::testing::fnv1a;
 use std::net::SocketAddr;
 
-/// Recorded from the program before its calls were drawn here: the same seed goes on meaning the same calls.
+/// Recorded from an earlier program: the same seed goes on meaning the same calls.
 const RECORDED: [(bool, u64); 2] = [
     (false, 0x07b2_c227_3424_5507),
     (true, 0x6ab9_096f_2a23_f138),
--- a/simulation/src/fleet/lifecycle.rs
+++ b/simulation/src/fleet/lifecycle.rs
@@ -126,8 +126,8 @@
         self.step_node(index, FleetNode::tick);
     }
 
-    /// The next record of a process is on its disk. The disk goes on while the process stands still; that is notified
-    /// when it goes on.
+    /// The next record of a process is on its disk. The disk goes on while the process stands still, which is notified
+    /// of it when it goes on.
     pub(super) fn on_persisted(&mut self, index: usize, incarnation: u64) {
         let process = &self.processes[index];
         if process.incarnation != incarnation || process.node.is_none() {
--- a/simulation/src/scopes/mod.rs
+++ b/simulation/src/scopes/mod.rs
@@ -39,7 +39,7 @@
     awaited: VecDeque<(Revision, usize)>,
     /// A front end that was behind them when last looked at.
     lagging: usize,
-    /// Scopes that the leader was notified are unsubscribed, by front end; for a planted defect.
+    /// Scopes that the leader was notified to be unsubscribed, by front end; for a planted defect.
     unsubscribed: BTreeMap<Member, BTreeSet<u64>>,
 }
 
--- a/simulation/tests/scale.rs
+++ b/simulation/tests/scale.rs
@@ -118,7 +118,7 @@
     let report = run(&play(Tier::Hollow, 30, size), 2);
     assert!(report.ok, "{:?}", report.notes);
     let freed = report.freed_ms.expect("the dead leave the roster");
-    // From the last grant before the end a stay's length, and the seat's look.
+    // From the last grant before the end a session's length, and the leader's look.
     assert!(
         freed.count == 2 && freed.p50 > 10_000.0 && freed.max < 22_000.0,
         "{freed:?}"
--- a/tests/cold_ramp/scenario.rs
+++ b/tests/cold_ramp/scenario.rs
@@ -56,7 +56,7 @@
     pub defect: Option<InjectedDefect>,
 }
 
-/// Credits and rates that are not the module's.
+/// Credits and rates that are not the router's.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum InjectedDefect {
     /// Each front end gives twice what it may.
--- a/tests/compatibility/src/voters.rs
+++ b/tests/compatibility/src/voters.rs
@@ -70,7 +70,7 @@
         &self.writes[&me]
     }
 
-    /// The voter that may act as the fleet's root.
+    /// The voter that may act as the fleet's leader.
     pub fn leader(&self) -> Option<u64> {
         let mut all = self.voters.iter();
         all.find_map(|(me, v)| v.leader_lease(self.now).map(|_| *me))
--- a/tests/router/loading.rs
+++ b/tests/router/loading.rs
@@ -31,7 +31,7 @@
     assert!(orders > 5, "and are used: {orders}");
 }
 
-/// One worker, orders answered by `answer` as soon as they are given, calls likewise missed; counts the orders of
+/// One worker, load requests answered by `answer` as soon as they are given, calls likewise missed; counts those of
 /// five seconds. `functions` functions have calls waiting all the time.
 fn orders_in_five_seconds(
     set: Settings,
@@ -143,7 +143,7 @@
         } else {
             assert_eq!(sent_to(&harness.end_load(at, 9, Outcome::Served)), Some(at));
             harness.end_attempt(1, 0, at, Outcome::Served);
-            // It lapses; the next order fails once, and is given again at once as after a first failure.
+            // It lapses; the next load request fails once, and is given again at once as after a first failure.
             harness.advance(20_000 * MS);
             assert!(requested_load(&harness.arrive(2, 9, 0, 60_000 * MS)).is_some());
             harness.end_load(at, 9, Outcome::Error);
@@ -171,8 +171,8 @@
     assert_eq!(sent_to(&harness.arrive(3, 9, 0, 5_000 * MS)), Some(at));
 }
 
-/// Orders outlast connections that end when nothing passes on them, and stand all the same: where a miss says so a call
-/// goes and sees, and the worker is no suspect. Else each order is given again elsewhere, and each worker is shut out.
+/// Load requests outlast connections that end when nothing passes on them, and stand all the same: where a miss says so a call
+/// goes and sees, and the worker is no suspect. Else each is given again elsewhere, and each worker is shut out.
 #[test]
 fn an_order_whose_connection_ends_long_after_it_left_is_taken_to_stand() {
     for (latency, stands) in [(500 * MS, true), (MS, false)] {
@@ -199,7 +199,7 @@
     }
 }
 
-/// What is taken to stand is as old as its order: a process that started after the order left never got it, so that
+/// What is taken to stand is as old as its load request: a process that started after that left never got it, so that
 /// a call there goes in vain. With a short warm-up nothing else keeps the call away.
 #[test]
 fn an_order_that_left_before_its_worker_started_again_is_not_taken_to_stand() {
