--- a/programs/scale/src/fleet/mod.rs
+++ b/programs/scale/src/fleet/mod.rs
@@ -1,9 +1,9 @@
 //! A fleet of child processes on this machine: real front ends, hollow ones, and an operator's requests to them.
 //!
 //! - [`shape`]: how many front ends of each kind, their names, and the settings.
-//! - [`process`]: how child processes start, and what they report.
-//! - [`events`]: waiting for reports.
-//! - [`operator`]: the leader, and changes of the settings' version.
+//! - `process`: how child processes start, and what they report.
+//! - `events`: waiting for reports.
+//! - `operator`: the leader, and changes of the settings' version.
 //! - [`scope_updates`]: changes of functions that are agreed on one by one.
 //!
 //! It records what the processes report; what is measured, and when front ends are killed, is decided in [`crate::run`].
--- a/programs/scale/src/hollow/mod.rs
+++ b/programs/scale/src/hollow/mod.rs
@@ -5,9 +5,9 @@
 //!
 //! - [`protocol`]: commands, events and counters.
 //! - [`process`]: the event loop, and what each command does.
-//! - [`front_ends`]: the front ends of one process, their calls and their settings in force.
-//! - [`watch`]: when a change of a separately agreed function takes effect at those that subscribe to it.
-//! - [`transport`]: messages between hollow front ends.
+//! - `front_ends`: the front ends of one process, their calls and their settings in force.
+//! - `watch`: when a change of a separately agreed function takes effect at those that subscribe to it.
+//! - `transport`: messages between hollow front ends.
 //!
 //! It measures nothing but its own counters, and judges nothing: the parent does both.
 
--- a/programs/scale/src/run/mod.rs
+++ b/programs/scale/src/run/mod.rs
@@ -1,11 +1,11 @@
 //! The measurement: a fleet is started, left to settle, and counted over a time; then changes, joins and a death are timed.
 //!
-//! - [`arguments`]: the arguments, and what they must be.
-//! - [`message_size`]: whether the settings fit in a message.
-//! - [`sample`], [`window`]: what the settled fleet costs.
-//! - [`field_change`], [`changes`], [`burst`]: how soon changes are in force.
-//! - [`joins`], [`deaths`]: front ends that start anew or are killed for good.
-//! - [`report`]: the JSON line.
+//! - `arguments`: the arguments, and what they must be.
+//! - `message_size`: whether the settings fit in a message.
+//! - `sample`, `window`: what the settled fleet costs.
+//! - `field_change`, `changes`, `burst`: how soon changes are in force.
+//! - `joins`, `deaths`: front ends that start anew or are killed for good.
+//! - `report`: the JSON line.
 //!
 //! It starts no process itself and knows no message of the fleet: that is [`crate::fleet`]'s part.
 
