--- a/benches/state/src/inputs.rs
+++ b/benches/state/src/inputs.rs
@@ -4,7 +4,9 @@
 use std::net::SocketAddr;
 use tansy_agreement::compatibility::{part, Fields, Value};
 use tansy_agreement::lease::{LeaseTiming, Member};
-use tansy_dispatch::{Call, CallId, DispatchConfig, FunctionShape, FunctionSpec, WorkerRecord};
+use tansy_dispatch::{
+    Call, CallId, DispatchConfig, FunctionShape, FunctionSpec, WorkerRecord, WorkerState,
+};
 use tansyrouter::{Class, Effect, Group, Micros, Settings, SECOND};
 
 /// Classes of calls.
@@ -216,7 +218,7 @@
         kind: 0,
         cell: cell(number),
         zone: 0,
-        state: 0,
+        state: WorkerState::Ready,
         age: None,
         relative_size: 1.0,
     }
--- a/benches/state/src/scopes/subscriptions.rs
+++ b/benches/state/src/scopes/subscriptions.rs
@@ -192,7 +192,7 @@
     output: &mut OutputRecord,
 ) -> Result<(), BenchError> {
     let names = inputs::names(args.functions, args.seed);
-    let schema = agree::agreement();
+    let schema = agree::compatibility_schema();
     let mut order: Vec<&String> = names.iter().collect();
     fastrand::Rng::with_seed(args.seed).shuffle(&mut order);
     let (subscribed, others) = order.split_at(args.subscriptions.min(names.len()));
--- a/benches/state/src/settings_change.rs
+++ b/benches/state/src/settings_change.rs
@@ -46,14 +46,14 @@
     fn new() -> SettingsPreparer {
         SettingsPreparer {
             own_fields: Fields::from([("front.me".to_string(), Value::Int(7))]),
-            schema: agree::agreement(),
+            schema: agree::compatibility_schema(),
             times: PreparationTimes::default(),
         }
     }
 
     /// Completes the fields of a version by their defaults.
     fn complete(&mut self, fields: &mut Fields) -> Result<(), BenchError> {
-        let (completed, took) = timed(|| agree::filled(fields));
+        let (completed, took) = timed(|| agree::with_defaults(fields));
         self.times.completing += took;
         let (completed, _) =
             completed.map_err(|e| BenchError::failed("the version's fields", e))?;
@@ -62,11 +62,11 @@
     }
 
     fn convert(&mut self, fields: &Fields) -> Result<DispatchConfig, BenchError> {
-        let (settings, took) = timed(|| agree::settings(&self.own_fields, fields));
+        let (settings, took) = timed(|| agree::effective_settings(&self.own_fields, fields));
         self.times.converting += took;
         self.times.conversions += 1;
         let settings = settings.map_err(|e| BenchError::failed("the version's settings", e))?;
-        Ok(settings.front)
+        Ok(settings.dispatch)
     }
 
     fn effective_config(&mut self, rules: &EffectiveRules) -> Result<EffectiveConfig, BenchError> {
--- a/benches/state/tests/state.rs
+++ b/benches/state/tests/state.rs
@@ -254,10 +254,10 @@
         agree::version("bench.cue", &text).expect("right settings"),
         version
     );
-    let (filled, strange) = agree::filled(&version).expect("right settings");
+    let (filled, strange) = agree::with_defaults(&version).expect("right settings");
     assert!(strange.is_empty());
-    let settings = agree::settings(&Default::default(), &filled).expect("right settings");
-    assert_eq!(settings.front.functions.len(), 30);
+    let settings = agree::effective_settings(&Default::default(), &filled).expect("right settings");
+    assert_eq!(settings.dispatch.functions.len(), 30);
 }
 
 #[test]
--- a/decide/canary/src/verdict.rs
+++ b/decide/canary/src/verdict.rs
@@ -13,10 +13,12 @@
     #[serde(rename = "what")]
     pub metric: String,
     /// The share that the old side lost over all slices.
-    pub old: f64,
+    #[serde(rename = "old")]
+    pub baseline_loss_rate: f64,
     /// The share that the new side lost over all slices.
-    pub new: f64,
-    /// The loss: new less old, less what there was before the change.
+    #[serde(rename = "new")]
+    pub canary_loss_rate: f64,
+    /// The loss: the canary's share less the baseline's, less what there was before the change.
     pub loss: f64,
     /// Half of the width of the loss' interval.
     #[serde(rename = "half")]
@@ -132,8 +134,8 @@
         let measurement =
             |(metric, estimate, evidence): (&Metric, Estimate, &MetricEvidence)| Measurement {
                 metric: metric.name(),
-                old: evidence.totals.old_lost / evidence.totals.old_cases.max(1.0),
-                new: evidence.totals.new_lost / evidence.totals.new_cases.max(1.0),
+                baseline_loss_rate: evidence.totals.old_lost / evidence.totals.old_cases.max(1.0),
+                canary_loss_rate: evidence.totals.new_lost / evidence.totals.new_cases.max(1.0),
                 loss: estimate.mean,
                 // A share can't be lost more than once.
                 half_width: estimate.half_width.min(1.0),
--- a/decide/dispatch/benches/run/mod.rs
+++ b/decide/dispatch/benches/run/mod.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use tansy_dispatch::{
     AttemptOutcome, CacheStatus, Call, CallId, Command, DispatchConfig, Dispatcher, FunctionSpec,
-    Input, ResponseStage, Trailers, WorkerRecord,
+    Input, ResponseStage, Trailers, WorkerRecord, WorkerState,
 };
 use tansyrouter::{Class, Effect, Settings, Time, SECOND};
 
@@ -49,7 +49,7 @@
         kind: 0,
         cell: 0,
         zone: 0,
-        state: 0,
+        state: WorkerState::Ready,
         age: None,
         relative_size: 1.0,
     }
--- a/decide/dispatch/src/lib.rs
+++ b/decide/dispatch/src/lib.rs
@@ -53,7 +53,7 @@
 //!     kind: 0,
 //!     cell: 0,
 //!     zone: 0,
-//!     state: 0,
+//!     state: WorkerState::Ready,
 //!     age: None,
 //!     relative_size: 1.0,
 //! };
@@ -88,6 +88,7 @@
 pub mod pending_lookups;
 pub mod record;
 pub mod request_table;
+mod worker_state_number;
 
 pub use class_counters::{ClassCounterTable, ClassCounters};
 pub use config::{ConfigError, ConflictingScopes, DispatchConfig, EffectiveConfig, FunctionSpec};
@@ -100,3 +101,4 @@
 pub use outcome::{AttemptOutcome, CacheStatus, LoadReport, NeverRan, ResponseStage, Trailers};
 pub use request_table::guards::DenialReason;
 pub use request_table::Dispatcher;
+pub use tansyrouter::WorkerState;
--- a/decide/dispatch/src/message.rs
+++ b/decide/dispatch/src/message.rs
@@ -4,7 +4,7 @@
 
 use crate::outcome::{AttemptOutcome, Trailers};
 use serde::{Deserialize, Serialize};
-use tansyrouter::Micros;
+use tansyrouter::{Micros, WorkerState};
 
 /// The number of a call at this front end; never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -86,8 +86,9 @@
     pub cell: u64,
     /// Its zone.
     pub zone: usize,
-    /// `0` ready, `1` draining, `2` gone.
-    pub state: u8,
+    /// Its state; recorded runs hold it as a number.
+    #[serde(with = "crate::worker_state_number")]
+    pub state: WorkerState,
     /// How long ago it started, microseconds, if stated.
     pub age: Option<Micros>,
     /// Its size, comparable with that of other workers.
--- a/decide/dispatch/src/request_table/workers.rs
+++ b/decide/dispatch/src/request_table/workers.rs
@@ -21,22 +21,17 @@
                 continue;
             };
             let worker = WorkerId(id);
-            let state = match record.state {
-                0 => WorkerState::Ready,
-                1 => WorkerState::Draining,
-                _ => WorkerState::Gone,
-            };
             let started = record
                 .age
                 .map(|age| self.stable_start(worker, self.now.plus(-age.max(0))));
             named.insert(worker);
-            self.set_worker_state(worker, state, commands);
+            self.set_worker_state(worker, record.state, commands);
             entries.push(WorkerEntry {
                 worker,
                 kind: record.kind,
                 cell: record.cell,
                 zone: record.zone,
-                state,
+                state: record.state,
                 started,
                 share: record.relative_size,
             });
--- a/decide/dispatch/tests/class_counters.rs
+++ b/decide/dispatch/tests/class_counters.rs
@@ -6,7 +6,7 @@
 use support::{call, class, worker, worker_list};
 use tansy_dispatch::{
     AttemptOutcome, CacheStatus, Command, DispatchConfig, Dispatcher, FunctionSpec, Input,
-    ResponseStage, Trailers,
+    ResponseStage, Trailers, WorkerState,
 };
 use tansyrouter::{Effect, Settings, Time, SECOND};
 
@@ -39,7 +39,7 @@
     dispatcher.enable_class_counters();
     let mut commands = Vec::new();
     let mut now = 1;
-    let list = worker_list(vec![worker("w", 0)]);
+    let list = worker_list(vec![worker("w", WorkerState::Ready)]);
     dispatcher.step(Time(now), list, &mut commands);
     let warm = Trailers {
         cache_status: CacheStatus::Warm,
--- a/decide/dispatch/tests/guards.rs
+++ b/decide/dispatch/tests/guards.rs
@@ -6,7 +6,7 @@
 use support::{call, class, loaded, worker, worker_list};
 use tansy_dispatch::{
     Answer, AttemptOutcome, Call, CallId, Command, DenialReason, DispatchConfig, Dispatcher,
-    FunctionSpec, Input, ResponseStage, Trailers,
+    FunctionSpec, Input, ResponseStage, Trailers, WorkerState,
 };
 use tansyrouter::{Effect, Group, Micros, Settings, Time, SECOND};
 
@@ -36,11 +36,11 @@
         seed: 7,
     };
     let mut dispatcher = Dispatcher::new(config, Time(0)).expect("settings");
-    step(&mut dispatcher, 0, workers(0));
+    step(&mut dispatcher, 0, workers(WorkerState::Ready));
     dispatcher
 }
 
-fn workers(state: u8) -> Input {
+fn workers(state: WorkerState) -> Input {
     worker_list(vec![worker("w", state)])
 }
 
@@ -86,8 +86,8 @@
 fn one_just_chosen_may_and_what_ends_it_forbids_it() {
     let ends: [(&str, Input); 4] = [
         ("its client", Input::ClientLeft { call: CALL }),
-        ("its worker drains", workers(1)),
-        ("its worker is gone", workers(2)),
+        ("its worker drains", workers(WorkerState::Draining)),
+        ("its worker is gone", workers(WorkerState::Gone)),
         (
             "it",
             Input::AttemptEnded {
@@ -199,7 +199,7 @@
         Err(DenialReason::NotFound)
     );
     assert_eq!(ask(&dispatcher, 5 * SECOND), Err(DenialReason::Expired));
-    step(&mut dispatcher, 20, workers(1));
+    step(&mut dispatcher, 20, workers(WorkerState::Draining));
     assert_eq!(ask(&dispatcher, 30), Err(DenialReason::WorkerNotReady));
     step(&mut dispatcher, 40, Input::ClientLeft { call: CALL });
     assert_eq!(ask(&dispatcher, 50), Err(DenialReason::Concluded));
--- a/decide/dispatch/tests/histories.rs
+++ b/decide/dispatch/tests/histories.rs
@@ -8,7 +8,7 @@
 use tansy_dispatch::record::{replay, RecordedStep};
 use tansy_dispatch::{
     Answer, AttemptOutcome, CacheStatus, Call, CallId, Command, ControlRequestId, Dispatcher,
-    Input, NeverRan, ResponseStage, Trailers,
+    Input, NeverRan, ResponseStage, Trailers, WorkerState,
 };
 use tansyrouter::{Time, SECOND};
 
@@ -28,6 +28,15 @@
 }
 
 impl World {
+    /// One worker in five drains.
+    fn random_state(&mut self) -> WorkerState {
+        if self.rng.u32(..5) == 0 {
+            WorkerState::Draining
+        } else {
+            WorkerState::Ready
+        }
+    }
+
     fn step(&mut self, dispatcher: &mut Dispatcher, input: Input) {
         let mut commands = Vec::new();
         dispatcher.step(Time(self.now), input.clone(), &mut commands);
@@ -246,8 +255,9 @@
                 }
             }
             85..=87 => {
-                let states: Vec<u8> = (0..4).map(|_| u8::from(self.rng.u32(..5) == 0)).collect();
-                let drains = (0..4).filter(|n| states[*n] > 0).map(|n| format!("w{n}"));
+                let states: Vec<WorkerState> = (0..4).map(|_| self.random_state()).collect();
+                let is_draining = |number: &usize| states[*number] == WorkerState::Draining;
+                let drains = (0..4).filter(is_draining).map(|n| format!("w{n}"));
                 self.draining = drains.collect();
                 let list = (0..4).map(|n| worker(format!("w{n}"), states[n])).collect();
                 self.step(dispatcher, worker_list(list));
@@ -295,7 +305,9 @@
             rng: fastrand::Rng::with_seed(seed),
             ..World::default()
         };
-        let list = (0..4).map(|n| worker(format!("w{n}"), 0)).collect();
+        let list = (0..4)
+            .map(|n| worker(format!("w{n}"), WorkerState::Ready))
+            .collect();
         world.step(&mut dispatcher, worker_list(list));
         (0..turns).for_each(|_| world.turn(&mut dispatcher));
         // The end: every client's time passes.
--- a/decide/dispatch/tests/request_table.rs
+++ b/decide/dispatch/tests/request_table.rs
@@ -6,6 +6,7 @@
 use support::{first_load, loaded, worker, worker_list};
 use tansy_dispatch::{
     Answer, AttemptOutcome, Call, CallId, Command, Dispatcher, Input, ResponseStage, Trailers,
+    WorkerState,
 };
 use tansyrouter::{Time, SECOND};
 
@@ -69,7 +70,7 @@
     let mut dispatcher = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
     let mut commands = Vec::new();
     let connect = dispatcher.config().settings.connect_timeout;
-    let list = worker_list(vec![worker("w0", 0)]);
+    let list = worker_list(vec![worker("w0", WorkerState::Ready)]);
     dispatcher.step(Time(0), list, &mut commands);
     dispatcher.step(Time(0), call(1, "unsafe", 2 * SECOND), &mut commands);
     let load = first_load(&commands).expect("a load first");
@@ -116,7 +117,7 @@
     let mut dispatcher = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
     let mut commands = Vec::new();
     let connect = dispatcher.config().settings.connect_timeout;
-    let list = worker_list(vec![worker("w0", 0)]);
+    let list = worker_list(vec![worker("w0", WorkerState::Ready)]);
     dispatcher.step(Time(0), list, &mut commands);
     dispatcher.step(Time(0), call(1, "stream", 2 * SECOND), &mut commands);
     let load = first_load(&commands).expect("a load first");
@@ -162,7 +163,7 @@
 fn a_load_that_has_not_left_is_recalled_when_its_worker_drains() {
     let mut dispatcher = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
     let mut commands = Vec::new();
-    let list = worker_list(vec![worker("w0", 0)]);
+    let list = worker_list(vec![worker("w0", WorkerState::Ready)]);
     dispatcher.step(Time(0), list, &mut commands);
     dispatcher.step(Time(1), call_with_shape(1, "new"), &mut commands);
     let load = commands.iter().find_map(|c| match c {
@@ -180,7 +181,7 @@
         Time(2),
         Input::Workers {
             full: false,
-            workers: vec![worker("w0", 1)],
+            workers: vec![worker("w0", WorkerState::Draining)],
         },
         &mut commands,
     );
@@ -212,7 +213,7 @@
     let (mut most, mut commands) = ((0, 0), Vec::new());
     for n in 0..400u64 {
         // Ever new functions, and a worker that is replaced by a new one each time.
-        let list = worker_list(vec![worker(format!("w{n}"), 0)]);
+        let list = worker_list(vec![worker(format!("w{n}"), WorkerState::Ready)]);
         dispatcher.step(Time(now), list, &mut commands);
         dispatcher.step(
             Time(now),
--- a/decide/dispatch/tests/settings.rs
+++ b/decide/dispatch/tests/settings.rs
@@ -6,7 +6,7 @@
 use support::{class, worker, worker_list};
 use tansy_dispatch::{
     Answer, AttemptOutcome, Call, CallId, Command, ConflictingScopes, DispatchConfig, Dispatcher,
-    EffectiveConfig, FunctionSpec, Input, ResponseStage, Trailers,
+    EffectiveConfig, FunctionSpec, Input, ResponseStage, Trailers, WorkerState,
 };
 use tansyrouter::{Class, Effect, Settings, Time, SECOND};
 
@@ -54,7 +54,10 @@
             now: 0,
             calls: 0,
         };
-        scene.give(worker_list(vec![worker("w0", 0), worker("w1", 0)]));
+        scene.give(worker_list(vec![
+            worker("w0", WorkerState::Ready),
+            worker("w1", WorkerState::Ready),
+        ]));
         scene
     }
 
--- a/decide/dispatch/tests/support/lookup_scene.rs
+++ b/decide/dispatch/tests/support/lookup_scene.rs
@@ -3,7 +3,7 @@
 use super::{class, worker, worker_list};
 use tansy_dispatch::{
     Answer, Call, Command, ConflictingScopes, DispatchConfig, Dispatcher, EffectiveConfig,
-    FunctionLookup, FunctionShape, Input,
+    FunctionLookup, FunctionShape, Input, WorkerState,
 };
 use tansyrouter::{Effect, Micros, Settings, Time, SECOND};
 
@@ -62,7 +62,7 @@
             vec![],
         )
         .expect("good settings");
-    scene.give(0, worker_list(vec![worker("w", 0)]));
+    scene.give(0, worker_list(vec![worker("w", WorkerState::Ready)]));
     scene
 }
 
--- a/decide/dispatch/tests/support/mod.rs
+++ b/decide/dispatch/tests/support/mod.rs
@@ -8,7 +8,7 @@
 
 use tansy_dispatch::{
     AttemptOutcome, Call, CallId, Command, ControlRequestId, Input, ResponseStage, Trailers,
-    WorkerRecord,
+    WorkerRecord, WorkerState,
 };
 use tansyrouter::{Class, Effect, Micros};
 
@@ -31,8 +31,8 @@
     }
 }
 
-/// A worker of the list, in a state: `0` ready, `1` draining, `2` gone.
-pub fn worker(name: impl Into<String>, state: u8) -> WorkerRecord {
+/// A worker of the list, in a state.
+pub fn worker(name: impl Into<String>, state: WorkerState) -> WorkerRecord {
     WorkerRecord {
         name: name.into(),
         kind: 0,
--- a/net/platform/src/driver/mod.rs
+++ b/net/platform/src/driver/mod.rs
@@ -21,7 +21,7 @@
 use std::time::{Duration, Instant};
 use tansy_dispatch::{
     AttemptOutcome, CallId, ControlRequestId, Counters, Dispatcher, Input, InvariantChecker,
-    Trailers, Violation,
+    Trailers, Violation, WorkerState,
 };
 use tansy_net_sockets::clock::UnixClock;
 use tansy_net_sockets::lag::Lag;
@@ -185,14 +185,14 @@
         }
         let list: Vec<_> = changes.into_iter().map(|change| change.endpoint).collect();
         for worker in &list {
-            tracing::debug!(worker = %worker.name, state = worker.state, age = ?worker.age, "a worker is listed");
+            tracing::debug!(worker = %worker.name, state = ?worker.state, age = ?worker.age, "a worker is listed");
             self.invariants
                 .borrow_mut()
-                .on_worker_state(&worker.name, worker.state == 0);
+                .on_worker_state(&worker.name, worker.state == WorkerState::Ready);
         }
         let removed: Vec<String> = list
             .iter()
-            .filter(|worker| worker.state > 1)
+            .filter(|worker| worker.state == WorkerState::Gone)
             .map(|worker| worker.name.clone())
             .collect();
         self.feed(Input::Workers {
--- a/programs/fleet/src/report.rs
+++ b/programs/fleet/src/report.rs
@@ -155,8 +155,8 @@
         *html += &format!(
             "<tr><td>{}</td><td>{:.3}%</td><td>{:.3}%</td><td>{:+.3}</td><td>{:.3}</td><td>{}</td></tr>",
             escaped(&measurement.metric),
-            measurement.old * 100.0,
-            measurement.new * 100.0,
+            measurement.baseline_loss_rate * 100.0,
+            measurement.canary_loss_rate * 100.0,
             measurement.loss * 100.0,
             measurement.half_width * 100.0,
             measurement.slices
--- a/programs/fleet/src/rollout/text.rs
+++ b/programs/fleet/src/rollout/text.rs
@@ -99,8 +99,8 @@
         lines.push(format!(
             "    {:<24} old {:>7.3}%  new {:>7.3}%  loss {:>+7.3} +- {:.3} points ({} slices)",
             measurement.metric,
-            measurement.old * 100.0,
-            measurement.new * 100.0,
+            measurement.baseline_loss_rate * 100.0,
+            measurement.canary_loss_rate * 100.0,
             measurement.loss * 100.0,
             measurement.half_width * 100.0,
             measurement.slices
--- a/programs/fleet/src/terminal.rs
+++ b/programs/fleet/src/terminal.rs
@@ -90,8 +90,8 @@
         };
         Row::new(vec![
             measurement.metric.clone(),
-            format!("{:.3}%", measurement.old * 100.0),
-            format!("{:.3}%", measurement.new * 100.0),
+            format!("{:.3}%", measurement.baseline_loss_rate * 100.0),
+            format!("{:.3}%", measurement.canary_loss_rate * 100.0),
             format!("{:+.3}", measurement.loss * 100.0),
             format!("{:.3}", measurement.half_width * 100.0),
             measurement.slices.to_string(),
--- a/programs/fleet/src/terminal/tests.rs
+++ b/programs/fleet/src/terminal/tests.rs
@@ -30,8 +30,8 @@
         .expect("nobody steers");
     let measured = Measurement {
         metric: "service".into(),
-        old: 0.01,
-        new: 0.05,
+        baseline_loss_rate: 0.01,
+        canary_loss_rate: 0.05,
         loss: 0.04,
         half_width: 0.01,
         recent_loss: 0.04,
--- a/programs/fleet/src/versions.rs
+++ b/programs/fleet/src/versions.rs
@@ -12,7 +12,7 @@
 use tansy_agreement::log::VersionedSettings;
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_fleet_wire::{of_settings, pb};
-use tansy_settings::agree::{agreement, filled, version};
+use tansy_settings::agree::{compatibility_schema, version, with_defaults};
 
 /// What is to become the next version.
 struct Proposal {
@@ -125,11 +125,11 @@
 
 fn differences(old: &Fields, new: &Fields) -> Result<Vec<FieldChangeRow>, FleetError> {
     let fill = |fields: &Fields| {
-        filled(fields)
+        with_defaults(fields)
             .map(|filled| filled.0)
             .map_err(FleetError::invalid)
     };
-    let all = changes(&agreement(), &fill(old)?, &fill(new)?);
+    let all = changes(&compatibility_schema(), &fill(old)?, &fill(new)?);
     Ok(all.iter().map(FieldChangeRow::of).collect())
 }
 
--- a/programs/gateway/src/cli/mod.rs
+++ b/programs/gateway/src/cli/mod.rs
@@ -56,8 +56,8 @@
     let mut settings = tansy_settings::settings(&source.name, &source.text)?;
     override_settings(&arguments, &mut settings)?;
     if arguments.check {
-        let classes = settings.front.classes.len();
-        let functions = settings.front.functions.len();
+        let classes = settings.dispatch.classes.len();
+        let functions = settings.dispatch.functions.len();
         print_line(&format!(
             "{}: {classes} classes, {functions} functions",
             source.name
@@ -97,7 +97,7 @@
 
 /// Arguments go before the settings.
 fn override_settings(arguments: &Arguments, settings: &mut Settings) -> Result<(), UsageError> {
-    let router = &mut settings.front.settings;
+    let router = &mut settings.dispatch.settings;
     router.front_end = arguments.me.unwrap_or(router.front_end);
     let siblings = router.front_ends.max(router.front_end + 1);
     router.front_ends = arguments.siblings.unwrap_or(siblings);
--- a/programs/gateway/src/embedded.rs
+++ b/programs/gateway/src/embedded.rs
@@ -2,10 +2,10 @@
 
 use std::io;
 use std::net::SocketAddr;
-use tansy_dispatch::{FunctionSpec, WorkerRecord};
+use tansy_dispatch::{FunctionSpec, WorkerRecord, WorkerState};
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::Spawner;
-use tansy_settings::WorkerLine;
+use tansy_settings::ConfiguredWorker;
 use tansy_standin_worker::{Function, Profile, Standin, WhenAbsent};
 
 /// How many of them are started.
@@ -15,7 +15,7 @@
 pub(crate) fn start_workers(
     spawner: &Spawner,
     functions: &[FunctionSpec],
-) -> io::Result<Vec<WorkerLine>> {
+) -> io::Result<Vec<ConfiguredWorker>> {
     (0..WORKERS)
         .map(|index| start_worker(spawner, index, functions))
         .collect()
@@ -25,18 +25,18 @@
     spawner: &Spawner,
     index: usize,
     functions: &[FunctionSpec],
-) -> io::Result<WorkerLine> {
+) -> io::Result<ConfiguredWorker> {
     let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0)), false)?;
     let name = format!("embedded-{index}");
     let profile = profile(name.clone(), functions);
     let worker = Standin::start(spawner.clone(), listener, profile, true)?;
-    Ok(WorkerLine {
-        listed: WorkerRecord {
+    Ok(ConfiguredWorker {
+        record: WorkerRecord {
             name,
             kind: 0,
             cell: 0,
             zone: 0,
-            state: 0,
+            state: WorkerState::Ready,
             age: None,
             relative_size: 1.0,
         },
--- a/programs/gateway/src/fleet/applier.rs
+++ b/programs/gateway/src/fleet/applier.rs
@@ -11,10 +11,10 @@
 use tansy_agreement::endpoints::{Endpoint, EndpointRecord, EndpointState};
 use tansy_agreement::lease::Time;
 use tansy_agreement::log::FleetState;
-use tansy_dispatch::{ConflictingScopes, EffectiveConfig};
+use tansy_dispatch::{ConflictingScopes, EffectiveConfig, WorkerState};
 use tansy_fleet_node::{FleetNode, FleetNodeConfig};
 use tansy_net_inference::{Driver, WorkerEndpoint};
-use tansy_settings::{Fleet, WorkerLine};
+use tansy_settings::{ConfiguredWorker, Fleet};
 
 /// What the dispatcher acts on.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -38,7 +38,7 @@
     /// Workers that are reached through another address than their own.
     proxies: HashMap<SocketAddr, SocketAddr>,
     /// The last list that was read.
-    workers: RefCell<Vec<WorkerLine>>,
+    workers: RefCell<Vec<ConfiguredWorker>>,
     /// The node's count of changes of draining workers, when they were applied last.
     drain_changes: Cell<u64>,
     /// The node's count of changes of functions, when pending calls were looked up last.
@@ -195,28 +195,28 @@
     }
 
     /// Sets the workers of the list; they are applied by [`Self::apply_workers`].
-    pub(super) fn set_workers(&self, workers: Vec<WorkerLine>) {
+    pub(super) fn set_workers(&self, workers: Vec<ConfiguredWorker>) {
         *self.workers.borrow_mut() = workers;
     }
 
     /// Gives the dispatcher the workers, in the states of the list and of what any front end saw.
     pub(super) fn apply_workers(&self, node: &FleetNode) {
         self.drain_changes.set(node.drain_changes());
-        let worker = |line: &WorkerLine| {
-            let record = endpoint_record(line);
-            let state = node
-                .drains()
-                .state_of(&record.endpoint, record.incarnation, record.state);
-            let mut listed = line.listed.clone();
-            listed.state = match state {
-                EndpointState::Ready => 0,
-                EndpointState::Draining => 1,
-                EndpointState::Gone => 2,
+        let worker = |configured: &ConfiguredWorker| {
+            let endpoint = endpoint_record(configured);
+            let state =
+                node.drains()
+                    .state_of(&endpoint.endpoint, endpoint.incarnation, endpoint.state);
+            let mut record = configured.record.clone();
+            record.state = match state {
+                EndpointState::Ready => WorkerState::Ready,
+                EndpointState::Draining => WorkerState::Draining,
+                EndpointState::Gone => WorkerState::Gone,
             };
-            let proxy = self.proxies.get(&line.address);
+            let proxy = self.proxies.get(&configured.address);
             WorkerEndpoint {
-                record: listed,
-                address: proxy.copied().unwrap_or(line.address),
+                record,
+                address: proxy.copied().unwrap_or(configured.address),
             }
         };
         let workers: Vec<WorkerEndpoint> = self.workers.borrow().iter().map(worker).collect();
@@ -239,15 +239,15 @@
 }
 
 /// A worker of the list as the node knows it.
-pub(super) fn endpoint_record(worker: &WorkerLine) -> EndpointRecord {
-    let state = match worker.listed.state {
-        0 => EndpointState::Ready,
-        1 => EndpointState::Draining,
-        _ => EndpointState::Gone,
+pub(super) fn endpoint_record(worker: &ConfiguredWorker) -> EndpointRecord {
+    let state = match worker.record.state {
+        WorkerState::Ready => EndpointState::Ready,
+        WorkerState::Draining => EndpointState::Draining,
+        WorkerState::Gone => EndpointState::Gone,
     };
     EndpointRecord {
         endpoint: Endpoint {
-            name: worker.listed.name.clone(),
+            name: worker.record.name.clone(),
             address: worker.address.to_string(),
         },
         incarnation: worker.incarnation,
--- a/programs/gateway/src/fleet/effective.rs
+++ b/programs/gateway/src/fleet/effective.rs
@@ -55,7 +55,7 @@
         &self,
         first: &Fields,
     ) -> Result<(EffectiveConfig, MetadataKeys), GatewayError> {
-        let (filled, _) = agree::filled(first)?;
+        let (filled, _) = agree::with_defaults(first)?;
         self.config(&rules_after_expiry(&self.schema, &filled))
     }
 
@@ -66,18 +66,18 @@
         driver: &Driver,
     ) -> Result<ConfigSet, GatewayError> {
         let state = &state.for_member(&self.name);
-        let (in_force, mut unknown) = agree::filled(&state.in_force.fields)?;
+        let (in_force, mut unknown) = agree::with_defaults(&state.in_force.fields)?;
         let mut filled = state.clone();
         filled.in_force.fields = in_force;
         if let Some((next, phase)) = &mut filled.next {
-            let (fields, unknown_next) = agree::filled(&next.fields)?;
+            let (fields, unknown_next) = agree::with_defaults(&next.fields)?;
             next.fields = fields;
             if *phase == ChangePhase::Joint {
                 unknown.extend(unknown_next);
             }
         }
         // Front ends of a canary are valued by the settings in force, as the others are.
-        let in_force = agree::settings(&self.own, &filled.in_force.fields)?.front;
+        let in_force = agree::effective_settings(&self.own, &filled.in_force.fields)?.dispatch;
         let classes = in_force.classes.into_iter();
         driver.set_valuation_classes(classes.zip(in_force.settings.classes).collect());
         let mut rules = filled.rules(&self.schema);
@@ -98,7 +98,7 @@
         &self,
         rules: &EffectiveRules,
     ) -> Result<(EffectiveConfig, MetadataKeys), GatewayError> {
-        let settings = agree::settings(&self.own, &rules.fields)?;
+        let settings = agree::effective_settings(&self.own, &rules.fields)?;
         let mut conflicting = ConflictingScopes {
             unknown_names: rules.unknown_names,
             retry_after: self.retry_after,
@@ -118,7 +118,7 @@
             tenant: gateway.tenant_key,
             work_ms: gateway.work_key,
         };
-        let config = settings.front;
+        let config = settings.dispatch;
         Ok((
             EffectiveConfig {
                 config,
--- a/programs/gateway/src/fleet/mod.rs
+++ b/programs/gateway/src/fleet/mod.rs
@@ -26,7 +26,7 @@
 use tansy_net_fleet::{FleetTransport, InvalidFields, TransportConfig};
 use tansy_net_inference::Driver;
 use tansy_net_sockets::Spawner;
-use tansy_settings::{agree, Fleet, WorkerLine};
+use tansy_settings::{agree, ConfiguredWorker, Fleet};
 
 /// The share of a lease, in tenths, in the time within which no two front ends contradict each other.
 const LEASE_TENTHS: i64 = 3;
@@ -70,7 +70,7 @@
         lease: timing(fleet.max_divergence * LEASE_TENTHS / 10),
         session: timing(fleet.session),
         gossip: tansy_membership::GossipTiming::default(),
-        schema: agree::agreement(),
+        schema: agree::compatibility_schema(),
         seed: id ^ incarnation,
     }
 }
@@ -88,7 +88,7 @@
     }
 
     /// Applies a list of workers: the peers are notified of those that drain, and those that any peer saw drain do so here.
-    pub fn update_workers(&self, workers: Vec<WorkerLine>) {
+    pub fn update_workers(&self, workers: Vec<ConfiguredWorker>) {
         let records = workers.iter().map(applier::endpoint_record).collect();
         self.applier.set_workers(workers);
         self.transport.update_endpoints(records);
--- a/programs/gateway/src/gateway.rs
+++ b/programs/gateway/src/gateway.rs
@@ -18,7 +18,7 @@
 use tansy_net_sockets::interrupt::Uninterrupted;
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::Spawner;
-use tansy_settings::{Fleet, Settings, WorkerLine};
+use tansy_settings::{ConfiguredWorker, Fleet, Settings};
 use tansyrouter::Time;
 
 /// Time between two log lines with the totals.
@@ -45,7 +45,7 @@
         let event_loop: EventLoop<'static, ()> = EventLoop::try_new()?;
         let spawner = Spawner::new(event_loop.handle())?;
         let Settings {
-            front: config,
+            dispatch: config,
             gateway,
             workers,
             fleet,
@@ -255,7 +255,7 @@
 /// Where the gateway's workers come from.
 struct WorkerSources {
     /// Those of the settings.
-    fixed: Vec<WorkerLine>,
+    fixed: Vec<ConfiguredWorker>,
     /// The functions of embedded workers; `None`: there are none.
     embedded: Option<Vec<FunctionSpec>>,
     /// The list's file.
@@ -263,7 +263,11 @@
 }
 
 impl WorkerSources {
-    fn new(fixed: Vec<WorkerLine>, config: &DispatchConfig, options: &Options) -> WorkerSources {
+    fn new(
+        fixed: Vec<ConfiguredWorker>,
+        config: &DispatchConfig,
+        options: &Options,
+    ) -> WorkerSources {
         let file = |path: &PathBuf| {
             let home_zone = config.settings.zone;
             WorkerListFile::new(path.clone(), config.zones.clone(), home_zone)
@@ -298,11 +302,11 @@
 
 /// In a fleet the node passes on which workers drain, and knows which the others saw drain.
 fn apply_workers(driver: Rc<Driver>, member: Option<Rc<fleet::FleetMember>>) -> ApplyWorkers {
-    let worker = |line: WorkerLine| WorkerEndpoint {
-        record: line.listed,
-        address: line.address,
+    let worker = |configured: ConfiguredWorker| WorkerEndpoint {
+        record: configured.record,
+        address: configured.address,
     };
-    Rc::new(move |workers: Vec<WorkerLine>| match &member {
+    Rc::new(move |workers: Vec<ConfiguredWorker>| match &member {
         Some(member) => member.update_workers(workers),
         None => driver.set_workers(workers.into_iter().map(worker).collect()),
     })
--- a/programs/gateway/src/worker_list.rs
+++ b/programs/gateway/src/worker_list.rs
@@ -6,13 +6,13 @@
 use std::time::{Duration, SystemTime};
 use tansy_dispatch::Input;
 use tansy_net_inference::Driver;
-use tansy_settings::WorkerLine;
+use tansy_settings::ConfiguredWorker;
 
 /// Time between two looks at the file.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Takes a whole list of workers.
-pub(crate) type ApplyWorkers = Rc<dyn Fn(Vec<WorkerLine>)>;
+pub(crate) type ApplyWorkers = Rc<dyn Fn(Vec<ConfiguredWorker>)>;
 
 /// The file, and when it was changed last.
 pub(crate) struct WorkerListFile {
@@ -34,7 +34,7 @@
     }
 
     /// Reads the file if it has changed; `None`: it has not.
-    fn read_if_changed(&mut self) -> Result<Option<Vec<WorkerLine>>, GatewayError> {
+    fn read_if_changed(&mut self) -> Result<Option<Vec<ConfiguredWorker>>, GatewayError> {
         let file_error = |source| GatewayError::File {
             path: self.path.clone(),
             source,
@@ -56,12 +56,12 @@
     pub(crate) fn watch(
         mut self,
         driver: Rc<Driver>,
-        fixed: Vec<WorkerLine>,
+        fixed: Vec<ConfiguredWorker>,
         apply: ApplyWorkers,
     ) -> Result<(), GatewayError> {
-        let with_fixed = move |listed: Vec<WorkerLine>| {
+        let with_fixed = move |listed: Vec<ConfiguredWorker>| {
             let fixed = fixed.iter().cloned();
-            fixed.chain(listed).collect::<Vec<WorkerLine>>()
+            fixed.chain(listed).collect::<Vec<ConfiguredWorker>>()
         };
         apply(with_fixed(self.read_if_changed()?.unwrap_or_default()));
         let spawner = driver.spawner.clone();
--- a/programs/scenario/src/agreement/mod.rs
+++ b/programs/scenario/src/agreement/mod.rs
@@ -84,7 +84,7 @@
 /// The calls that are counted.
 fn load_plan(cluster: &Cluster, settings: &Settings) -> LoadPlan {
     let options = &cluster.options;
-    let functions = settings.front.functions.iter();
+    let functions = settings.dispatch.functions.iter();
     LoadPlan {
         fronts: cluster.client_addresses.clone(),
         functions: functions
@@ -103,7 +103,7 @@
 
 /// The calls of the observed functions, which show by which settings a front end acts.
 fn observer_plan(cluster: &Cluster, settings: &Settings) -> LoadPlan {
-    let functions = settings.front.functions.iter();
+    let functions = settings.dispatch.functions.iter();
     let observed = functions.filter(|function| is_observed(&function.name));
     let plan = load_plan(cluster, settings);
     LoadPlan {
--- a/programs/scenario/src/audit.rs
+++ b/programs/scenario/src/audit.rs
@@ -31,13 +31,13 @@
 
 /// The rules' figures for these settings and workers of so many cores.
 pub fn rules(settings: &Settings, cores: f64) -> Rules {
-    let front = &settings.front.settings;
+    let front = &settings.dispatch.settings;
     let function = |function: &FunctionSpec| {
         let class = &front.classes[function.class];
         let figures = (effect(class.effect), class.deadline);
         (function.name.clone(), figures)
     };
-    let functions = settings.front.functions.iter().map(function);
+    let functions = settings.dispatch.functions.iter().map(function);
     Rules {
         functions: functions.collect::<BTreeMap<_, _>>(),
         list_read: LIST_READ_US,
--- a/programs/scenario/src/load/plan.rs
+++ b/programs/scenario/src/load/plan.rs
@@ -20,13 +20,13 @@
     pub fn with_deadline(function: &FunctionSpec, settings: &Settings) -> LoadFunction {
         LoadFunction {
             name: function.name.clone(),
-            timeout: settings.front.settings.classes[function.class].deadline,
+            timeout: settings.dispatch.settings.classes[function.class].deadline,
         }
     }
 
     /// All functions of the settings, with their classes' deadlines as timeouts.
     pub fn all(settings: &Settings) -> Vec<LoadFunction> {
-        let functions = settings.front.functions.iter();
+        let functions = settings.dispatch.functions.iter();
         functions
             .map(|function| LoadFunction::with_deadline(function, settings))
             .collect()
--- a/programs/worker/src/lib.rs
+++ b/programs/worker/src/lib.rs
@@ -145,7 +145,7 @@
         error,
     })?;
     let settings = tansy_settings::settings(&path.display().to_string(), &text)?;
-    let front = &settings.front;
+    let front = &settings.dispatch;
     let function = |spec: &tansy_settings::FunctionSpec| Function {
         name: spec.name.clone(),
         memory_mb: spec.memory_mb,
--- a/protocol/platform/src/endpoints.rs
+++ b/protocol/platform/src/endpoints.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use tansy_dispatch::WorkerRecord;
+use tansy_dispatch::{WorkerRecord, WorkerState};
 
 /// A reply of the coordinator, and `known` of the configuration.
 #[derive(Clone, Debug, Deserialize)]
@@ -91,11 +91,6 @@
     workers: BTreeMap<String, SocketAddr>,
 }
 
-/// The states of an entry.
-const READY: u8 = 0;
-const DRAINING: u8 = 1;
-const GONE: u8 = 2;
-
 impl EndpointList {
     /// An empty list; zones and kinds are named as in the settings.
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> EndpointList {
@@ -148,7 +143,7 @@
     fn moved(&self, server: &Server) -> Option<EndpointChange> {
         let before = *self.workers.get(&server.id)?;
         server.addr.filter(|address| *address != before)?;
-        Some(self.change(server, before, GONE, None))
+        Some(self.change(server, before, WorkerState::Gone, None))
     }
 
     fn apply_event(
@@ -163,16 +158,16 @@
                 continue;
             };
             let state = match server.state.as_str() {
-                "Ready" => READY,
-                "Terminating" => DRAINING,
-                _ => GONE,
+                "Ready" => WorkerState::Ready,
+                "Terminating" => WorkerState::Draining,
+                _ => WorkerState::Gone,
             };
             let stated = (server.started_ms > 0.0)
                 .then(|| ((unix_ms - server.started_ms) * 1e3).max(0.0) as i64);
             let has_moved = moved.iter().any(|change| change.endpoint.name == server.id);
             let age = stated.or(has_moved.then_some(0));
             changes.push(self.change(server, address, state, age));
-            if state == GONE {
+            if state == WorkerState::Gone {
                 self.workers.remove(&server.id);
             } else {
                 self.workers.insert(server.id.clone(), address);
@@ -189,7 +184,7 @@
         &self,
         server: &Server,
         address: SocketAddr,
-        state: u8,
+        state: WorkerState,
         age: Option<i64>,
     ) -> EndpointChange {
         let index_of = |names: &[String], name: &str| {
--- a/protocol/platform/tests/endpoints.rs
+++ b/protocol/platform/tests/endpoints.rs
@@ -1,16 +1,13 @@
 //! The coordinator's events are taken once, in order, and give each worker one name.
 
+use tansy_dispatch::WorkerState;
 use tansy_platform::{EndpointChange, EndpointList, EndpointUpdates};
 
-/// The states of an entry.
-const READY: u8 = 0;
-const DRAINING: u8 = 1;
-const GONE: u8 = 2;
-
 fn updates(text: &str) -> EndpointUpdates {
     serde_json::from_str(text).unwrap()
 }
-fn names(changes: &[(bool, Vec<EndpointChange>)]) -> Vec<(String, u8)> {
+
+fn names(changes: &[(bool, Vec<EndpointChange>)]) -> Vec<(String, WorkerState)> {
     let all = changes.iter().flat_map(|c| &c.1);
     all.map(|c| (c.endpoint.name.clone(), c.endpoint.state))
         .collect()
@@ -41,7 +38,7 @@
     );
     let drains = r#"{"index":2,"updates":[{"index":2,"endpoints":{"servers":[{"id":"s-a","state":"Terminating"}]}}]}"#;
     let got = list.apply(&updates(drains), 2000.0);
-    assert_eq!(names(&got), [("s-a".to_string(), DRAINING)]);
+    assert_eq!(names(&got), [("s-a".to_string(), WorkerState::Draining)]);
     assert_eq!(list.index(), 2);
     assert!(list
         .apply(&updates(r#"{"index":7,"updates":[]}"#), 0.0)
@@ -59,7 +56,12 @@
     let got = list.apply(&updates(moved), 0.0);
     assert_eq!(
         names(&got),
-        [("s-a", GONE), ("s-a", READY), ("s-c", READY)].map(|(n, s)| (n.to_string(), s))
+        [
+            ("s-a", WorkerState::Gone),
+            ("s-a", WorkerState::Ready),
+            ("s-c", WorkerState::Ready)
+        ]
+        .map(|(n, s)| (n.to_string(), s))
     );
     assert_eq!(got.len(), 2, "the end comes first, by itself");
     assert_eq!(
--- a/settings/src/agree/compatibility.rs
+++ b/settings/src/agree/compatibility.rs
@@ -30,7 +30,7 @@
 }
 
 /// The compatibility of all fields. The first pattern that a path matches counts.
-pub fn agreement() -> Schema {
+pub fn compatibility_schema() -> Schema {
     let rules = gateway()
         .into_iter()
         .chain(classes())
--- a/settings/src/agree/effective.rs
+++ b/settings/src/agree/effective.rs
@@ -1,28 +1,28 @@
 //! The settings that a front end acts on, from a version that is agreed on and the fields of its own file.
 
-use super::{fields, own, text, unknown};
+use super::{fields, is_own_field, text, unknown_fields};
 use crate::Errors;
 use std::collections::BTreeSet;
 use tansy_agreement::compatibility::{AffectedCalls, Fields, Value};
 
 /// All fields of a version, with this program's defaults filled in. Fields that the schema does not know are left out; the calls
 /// that they affect have to be rejected, since their meaning is not known here.
-pub fn filled(version: &Fields) -> Result<(Fields, BTreeSet<AffectedCalls>), Errors> {
-    let unknown = unknown(version);
+pub fn with_defaults(version: &Fields) -> Result<(Fields, BTreeSet<AffectedCalls>), Errors> {
+    let unknown = unknown_fields(version);
     let mut known = version.clone();
     for path in &unknown {
         known.remove(path);
     }
     let mut filled = fields("the version", &text(&known))?;
-    filled.retain(|path, _| !own(path));
+    filled.retain(|path, _| !is_own_field(path));
     let affected = unknown.iter().map(|path| AffectedCalls::of_path(path));
     Ok((filled, affected.collect()))
 }
 
 /// Checks that a version makes valid settings, for a program that knows all of its fields.
 pub fn check(version: &Fields) -> Result<(), Errors> {
-    let (filled, _) = filled(version)?;
-    settings(&Fields::new(), &filled).map(drop)
+    let (filled, _) = with_defaults(version)?;
+    effective_settings(&Fields::new(), &filled).map(drop)
 }
 
 /// A function of its fields, by their names under `functions.NAME`, with the schema's defaults filled in. A field that this
@@ -37,16 +37,16 @@
 }
 
 /// The settings that a front end acts on: these rules, with the fields of its own file that are its own.
-pub fn settings(own_fields: &Fields, rules: &Fields) -> Result<crate::Settings, Errors> {
+pub fn effective_settings(own_fields: &Fields, rules: &Fields) -> Result<crate::Settings, Errors> {
     let mut fields = rules.clone();
-    fields.retain(|path, _| !own(path));
+    fields.retain(|path, _| !is_own_field(path));
     let unkeyed = keyed_without_window(&fields);
     let not_repeatable = |path| (path, Value::Text("unsafe".into()));
     fields.extend(unkeyed.into_iter().map(not_repeatable));
     // Its workers and its fleet are read with its file alone.
     let separate = |path: &str| path == "workers" || path.starts_with("fleet.");
     let own_fields = own_fields.iter();
-    let own_fields = own_fields.filter(|(path, _)| own(path) && !separate(path));
+    let own_fields = own_fields.filter(|(path, _)| is_own_field(path) && !separate(path));
     fields.extend(own_fields.map(|(path, value)| (path.clone(), value.clone())));
     if let (Some(Value::Int(number)), Some(Value::Int(siblings))) =
         (fields.get("front.me"), fields.get("front.siblings"))
--- a/settings/src/agree/mod.rs
+++ b/settings/src/agree/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! `tests/agree.rs` walks the schema and checks that every field of it is listed here.
 //!
-//! - [`agreement`]: how each field may differ. [`fields`], [`version()`]: the fields of a text and of its version.
-//! - [`settings`]: the settings that a front end acts on. [`text()`]: fields as the text of settings.
+//! - [`compatibility_schema`]: how each field may differ. [`fields`], [`version()`]: the fields of a text and of its version.
+//! - [`effective_settings`]: the settings that a front end acts on. [`text()`]: fields as the text of settings.
 
 mod compatibility;
 mod effective;
@@ -12,13 +12,13 @@
 mod text;
 mod version;
 
-pub use compatibility::agreement;
-pub use effective::{check, filled, function, settings};
+pub use compatibility::compatibility_schema;
+pub use effective::{check, effective_settings, function, with_defaults};
 pub use text::{label, text};
-pub use version::{fields, functions, unknown, version};
+pub use version::{fields, functions, unknown_fields, version};
 
 /// Whether a field is each front end's own: versions do not contain it, and no change of it is agreed on.
-pub fn own(path: &str) -> bool {
+pub fn is_own_field(path: &str) -> bool {
     let front = path.strip_prefix("front.");
     let front_fields = ["listen", "http", "me", "zone", "seed", "tick"];
     path == "workers"
@@ -28,7 +28,7 @@
 }
 
 /// Whether a front end applies a change of this field only when it starts: sizes of what it creates then.
-pub fn at_start(path: &str) -> bool {
+pub fn applies_at_start(path: &str) -> bool {
     let front_fields = [
         "connections",
         "streams",
--- a/settings/src/agree/version.rs
+++ b/settings/src/agree/version.rs
@@ -1,7 +1,7 @@
 //! The fields of a text, those that its version contains, and those that this program's schema does not know.
 
 use super::flatten::flattened;
-use super::own;
+use super::is_own_field;
 use crate::value::{definition, evaluate, Kind, SCHEMA};
 use crate::{Errors, SCHEMA_TEXT};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 pub fn version(name: &str, text: &str) -> Result<Fields, Errors> {
     let mut fields = fields(name, text)?;
     let is_written = is_written(text);
-    fields.retain(|path, _| !own(path) && is_written(path));
+    fields.retain(|path, _| !is_own_field(path) && is_written(path));
     Ok(fields)
 }
 
@@ -66,7 +66,7 @@
 }
 
 /// Those fields of a version that this program's schema does not know.
-pub fn unknown(fields: &Fields) -> Vec<String> {
+pub fn unknown_fields(fields: &Fields) -> Vec<String> {
     let (schema, mut errors) = parse(SCHEMA_TEXT, SCHEMA);
     let settings = definition("#Settings", &schema, &mut errors);
     let is_known = |path: &String| {
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -10,7 +10,7 @@
 //! ```
 //! let text = "classes: chat: {aim: 1s, deadline: 2s}\nfunctions: echo: {class: \"chat\", memory: 1MB}\n";
 //! let settings = tansy_settings::settings("example.cue", text)?;
-//! assert_eq!(settings.front.classes, ["chat"]);
+//! assert_eq!(settings.dispatch.classes, ["chat"]);
 //!
 //! let errors = tansy_settings::settings("example.cue", "front: {streams: 0}\n").unwrap_err();
 //! assert!(errors.to_string().starts_with("example.cue:1:18: front.streams: 0 does not fit"));
@@ -25,7 +25,7 @@
 
 pub use tansy_dispatch::FunctionSpec;
 pub use tansyrouter::MissPolicy;
-pub use types::{Fleet, Function, Gateway, Settings, Voter, WorkerLine};
+pub use types::{ConfiguredWorker, Fleet, Function, Gateway, Settings, Voter};
 
 use tansy_syntax::{parse, Diagnostic, Source, Span};
 use value::{concrete, definition, evaluate, unify, Node, SCHEMA};
@@ -63,7 +63,7 @@
     text: &str,
     zones: &[String],
     home: usize,
-) -> Result<Vec<WorkerLine>, Errors> {
+) -> Result<Vec<ConfiguredWorker>, Errors> {
     checked(name, text, "#WorkerList", |node, errors| {
         read::worker_list(node, zones, home, errors)
     })
--- a/settings/src/read/mod.rs
+++ b/settings/src/read/mod.rs
@@ -60,7 +60,7 @@
         seed: u64::try_from(front.int("seed")?).ok()?,
     };
     Some(Settings {
-        front: config,
+        dispatch: config,
         gateway,
         workers,
         fleet,
--- a/settings/src/read/workers.rs
+++ b/settings/src/read/workers.rs
@@ -1,11 +1,11 @@
 //! Lists of workers.
 
 use crate::record::{address, index_of, RecordReader};
-use crate::types::WorkerLine;
+use crate::types::ConfiguredWorker;
 use crate::value::Node;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use tansy_dispatch::WorkerRecord;
+use tansy_dispatch::{WorkerRecord, WorkerState};
 use tansy_syntax::Diagnostic;
 
 /// Reads a list of workers; a worker that names no zone is in `home_zone`.
@@ -14,9 +14,9 @@
     zones: &[String],
     home_zone: usize,
     errors: &mut Vec<Diagnostic>,
-) -> Option<Vec<WorkerLine>> {
+) -> Option<Vec<ConfiguredWorker>> {
     let all = RecordReader::of(node)?;
-    let mut workers: Vec<WorkerLine> = Vec::new();
+    let mut workers: Vec<ConfiguredWorker> = Vec::new();
     let mut names = BTreeSet::new();
     for (index, item) in all.list("workers")?.iter().enumerate() {
         let record = RecordReader::of(item)?;
@@ -41,22 +41,22 @@
     name: &str,
     address: SocketAddr,
     zone: usize,
-) -> Option<WorkerLine> {
-    let listed = WorkerRecord {
+) -> Option<ConfiguredWorker> {
+    let worker = WorkerRecord {
         name: name.to_string(),
         kind: usize::try_from(record.int("kind")?).ok()?,
         cell: u64::try_from(record.int("cell")?).ok()?,
         zone,
         state: match record.text("state")? {
-            "ready" => 0,
-            "draining" => 1,
-            _ => 2,
+            "ready" => WorkerState::Ready,
+            "draining" => WorkerState::Draining,
+            _ => WorkerState::Gone,
         },
         age: record.int("started"),
         relative_size: record.number("share")?,
     };
-    Some(WorkerLine {
-        listed,
+    Some(ConfiguredWorker {
+        record: worker,
         address,
         incarnation: u64::try_from(record.int("incarnation")?).ok()?,
     })
--- a/settings/src/types.rs
+++ b/settings/src/types.rs
@@ -34,11 +34,11 @@
     pub work_key: String,
 }
 
-/// One line of a list of workers.
+/// A worker as the settings or the file of workers name it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WorkerLine {
-    /// For the dispatcher.
-    pub listed: tansy_dispatch::WorkerRecord,
+pub struct ConfiguredWorker {
+    /// What the dispatcher knows of it.
+    pub record: tansy_dispatch::WorkerRecord,
     /// Its address.
     pub address: SocketAddr,
     /// Larger for a later process of the same worker.
@@ -79,11 +79,11 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Of the dispatcher and its router.
-    pub front: DispatchConfig,
+    pub dispatch: DispatchConfig,
     /// Of the gateway around it.
     pub gateway: Gateway,
     /// Workers that stand in the settings themselves.
-    pub workers: Vec<WorkerLine>,
+    pub workers: Vec<ConfiguredWorker>,
     /// The fleet, if it is in one.
     pub fleet: Option<Fleet>,
 }
--- a/settings/tests/agree.rs
+++ b/settings/tests/agree.rs
@@ -6,7 +6,8 @@
     EffectiveRules, Fields, Value,
 };
 use tansy_settings::agree::{
-    agreement, fields, filled, function, settings, text, unknown, version,
+    compatibility_schema, effective_settings, fields, function, text, unknown_fields, version,
+    with_defaults,
 };
 
 /// A text in which every field of the schema stands, optional ones among them.
@@ -78,7 +79,7 @@
     // What no pattern names would be strict for every call. These alone are meant to be.
     let strict: Vec<&String> = full
         .keys()
-        .filter(|p| *agreement().compatibility(p) == Compatibility::Strict)
+        .filter(|p| *compatibility_schema().compatibility(p) == Compatibility::Strict)
         .collect();
     assert_eq!(
         strict,
@@ -98,19 +99,24 @@
         "group: \"zone\", window: 20s",
         "group: \"cell\", window: 30s",
     );
-    let rules = joint_rules(&agreement(), &old, &new);
+    let rules = joint_rules(&compatibility_schema(), &old, &new);
     assert_eq!(rules.fields["classes.chat.window"], Value::Span(20_000_000));
     assert_eq!(
         rules.rejected,
         BTreeSet::from([AffectedCalls::Class("chat".into())])
     );
-    let changed: Vec<String> = changes(&agreement(), &old, &new)
+    let changed: Vec<String> = changes(&compatibility_schema(), &old, &new)
         .into_iter()
         .map(|c| c.path)
         .collect();
     assert_eq!(changed, ["classes.chat.group", "classes.chat.window"]);
     assert!(
-        !contradictions(&agreement(), &old, &EffectiveRules::from_fields(&new)).is_empty(),
+        !contradictions(
+            &compatibility_schema(),
+            &old,
+            &EffectiveRules::from_fields(&new)
+        )
+        .is_empty(),
         "side by side they contradict"
     );
 }
@@ -118,7 +124,7 @@
 #[test]
 fn what_a_front_end_without_a_lease_does_contradicts_none_of_these() {
     let known = fields_of(&FULL.replace("worker: ration: {free: 3, part: 0.5, period: 10s}", ""));
-    let rules = rules_after_expiry(&agreement(), &known);
+    let rules = rules_after_expiry(&compatibility_schema(), &known);
     for force in [
         fields_of(FULL),
         full_with("effect: \"keyed\"", "effect: \"unsafe\""),
@@ -131,7 +137,10 @@
         full_with("acme", "other"),
         full_with("free: 3", "free: 0"),
     ] {
-        assert_eq!(contradictions(&agreement(), &force, &rules), vec![]);
+        assert_eq!(
+            contradictions(&compatibility_schema(), &force, &rules),
+            vec![]
+        );
     }
     assert_eq!(
         rules.fields["worker.may_order"],
@@ -169,7 +178,7 @@
         version("t.cue", &text(&version_fields)).expect("its text is right"),
         version_fields
     );
-    let (filled_fields, affected) = filled(&version_fields).expect("it loads");
+    let (filled_fields, affected) = with_defaults(&version_fields).expect("it loads");
     assert!(affected.is_empty());
     assert_eq!(filled_fields["worker.max_attempts"], Value::Int(4));
     assert!(!filled_fields.contains_key("front.me"));
@@ -184,10 +193,10 @@
 #[test]
 fn a_version_of_a_later_program_rejects_affected_calls_only() {
     let mut version_fields = version("t.cue", FULL).expect("it is right");
-    assert_eq!(unknown(&version_fields), Vec::<String>::new());
+    assert_eq!(unknown_fields(&version_fields), Vec::<String>::new());
     version_fields.insert("classes.chat.sorrow".into(), Value::Int(3));
     version_fields.insert("worker.mood".into(), Value::Text("blue".into()));
-    let (filled_fields, affected) = filled(&version_fields).expect("the rest loads");
+    let (filled_fields, affected) = with_defaults(&version_fields).expect("the rest loads");
     assert_eq!(
         affected,
         BTreeSet::from([AffectedCalls::All, AffectedCalls::Class("chat".into())])
@@ -208,20 +217,24 @@
     );
     for rules in [
         EffectiveRules::from_fields(&now),
-        joint_rules(&agreement(), &now, &safe),
-        joint_rules(&agreement(), &safe, &now),
-        rules_after_expiry(&agreement(), &now),
-        rules_after_expiry(&agreement(), &safe),
+        joint_rules(&compatibility_schema(), &now, &safe),
+        joint_rules(&compatibility_schema(), &safe, &now),
+        rules_after_expiry(&compatibility_schema(), &now),
+        rules_after_expiry(&compatibility_schema(), &safe),
     ] {
-        let effective = settings(&own, &rules.fields).unwrap_or_else(|error| panic!("{error}"));
-        assert!(effective.front.settings.front_ends > effective.front.settings.front_end);
-        assert_eq!(effective.front.settings.front_end, 2, "it is its own");
+        let effective =
+            effective_settings(&own, &rules.fields).unwrap_or_else(|error| panic!("{error}"));
+        assert!(effective.dispatch.settings.front_ends > effective.dispatch.settings.front_end);
+        assert_eq!(effective.dispatch.settings.front_end, 2, "it is its own");
     }
     // Keyed at one and safe at the other is a class whose workers drop no repeat: no second attempt.
-    let both =
-        settings(&own, &joint_rules(&agreement(), &now, &safe).fields).expect("it makes sense");
+    let both = effective_settings(
+        &own,
+        &joint_rules(&compatibility_schema(), &now, &safe).fields,
+    )
+    .expect("it makes sense");
     assert_eq!(
-        both.front.settings.classes[0].effect,
+        both.dispatch.settings.classes[0].effect,
         tansyrouter::Effect::Unsafe
     );
 }
@@ -254,13 +267,13 @@
         let base = fields_of(FULL)
             .into_iter()
             .filter(|(p, _)| !p.starts_with("functions."));
-        let whole = settings(&Fields::new(), &base.chain(whole).collect())
+        let whole = effective_settings(&Fields::new(), &base.chain(whole).collect())
             .unwrap_or_else(|error| panic!("{error}"));
         let (spec, function) = (
-            &whole.front.functions[0],
+            &whole.dispatch.functions[0],
             function("f", &fields).unwrap_or_else(|error| panic!("{error}")),
         );
-        assert_eq!(whole.front.classes[spec.class], function.class);
+        assert_eq!(whole.dispatch.classes[spec.class], function.class);
         assert_eq!(
             (spec.lanes, spec.memory_mb, spec.load_time),
             (function.lanes, function.memory_mb, function.load_time)
--- a/settings/tests/settings.rs
+++ b/settings/tests/settings.rs
@@ -1,5 +1,6 @@
 //! Settings files: which are accepted, and how errors are reported.
 
+use tansy_dispatch::WorkerState;
 use tansy_settings::{settings, workers};
 use tansyrouter::{Effect, Group};
 
@@ -23,12 +24,12 @@
 #[test]
 fn a_full_file_is_read() {
     let all = settings("t.cue", FULL).unwrap_or_else(|error| panic!("{error}"));
-    let router = &all.front.settings;
+    let router = &all.dispatch.settings;
     assert_eq!(
         (router.front_end, router.front_ends, router.zone),
         (1, 3, 1)
     );
-    assert_eq!(all.front.classes, ["overlay", "post", "keyed"]);
+    assert_eq!(all.dispatch.classes, ["overlay", "post", "keyed"]);
     assert_eq!(
         (
             router.classes[0].latency_objective,
@@ -50,7 +51,7 @@
             window: 30_000_000
         }
     );
-    let function = &all.front.functions[0];
+    let function = &all.dispatch.functions[0];
     assert_eq!(
         (
             function.name.as_str(),
@@ -61,7 +62,7 @@
         ),
         ("price-1", 0, 4, 1500.0, Some(900_000))
     );
-    assert_eq!(all.front.functions[1].load_time, None);
+    assert_eq!(all.dispatch.functions[1].load_time, None);
     assert_eq!(router.load_budget.unwrap().period, 10_000_000);
     assert_eq!(all.gateway.listen.port(), 8001);
 }
@@ -149,19 +150,19 @@
     let list = workers("w.cue", text, &zones, 0).unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(
         (
-            list[0].listed.zone,
-            list[0].listed.age,
-            list[0].listed.state
+            list[0].record.zone,
+            list[0].record.age,
+            list[0].record.state
         ),
-        (1, Some(2_000_000), 0)
+        (1, Some(2_000_000), WorkerState::Ready)
     );
     assert_eq!(
         (
-            list[1].listed.zone,
-            list[1].listed.age,
-            list[1].listed.state
+            list[1].record.zone,
+            list[1].record.age,
+            list[1].record.state
         ),
-        (0, None, 1)
+        (0, None, WorkerState::Draining)
     );
     let twice = text.replace("w2", "w1").replace("\"b\"", "\"c\"");
     let errors = workers("w.cue", &twice, &zones, 0).unwrap_err();
--- a/tests/compatibility/src/entries.rs
+++ b/tests/compatibility/src/entries.rs
@@ -201,8 +201,8 @@
         elapsed_seconds: 61,
         measurements: vec![Measurement {
             metric: "service".into(),
-            old: 0.5,
-            new: 0.25,
+            baseline_loss_rate: 0.5,
+            canary_loss_rate: 0.25,
             loss: 0.25,
             half_width: 0.125,
             recent_loss: 0.0625,
--- a/tests/compatibility/src/run.rs
+++ b/tests/compatibility/src/run.rs
@@ -5,7 +5,7 @@
 use tansy_dispatch::record::RecordedStep;
 use tansy_dispatch::{
     AttemptOutcome, CacheStatus, Call, CallId, Command, Dispatcher, Input, NeverRan, ResponseStage,
-    Trailers, WorkerRecord,
+    Trailers, WorkerRecord, WorkerState,
 };
 use tansyrouter::Time;
 
@@ -16,10 +16,10 @@
 pub fn front() -> Dispatcher {
     let settings = tansy_settings::settings("run.cue", &fixture::text("run.cue"));
     let settings = settings.unwrap_or_else(|error| panic!("{error}"));
-    Dispatcher::new(settings.front, Time(0)).expect("settings that make sense")
+    Dispatcher::new(settings.dispatch, Time(0)).expect("settings that make sense")
 }
 
-pub(crate) fn listed(number: usize, state: u8) -> WorkerRecord {
+pub(crate) fn listed(number: usize, state: WorkerState) -> WorkerRecord {
     WorkerRecord {
         name: format!("w{number}"),
         kind: 0,
@@ -91,7 +91,9 @@
     fn new() -> Recorder {
         let list = Input::Workers {
             full: true,
-            workers: (0..4).map(|number| listed(number, 0)).collect(),
+            workers: (0..4)
+                .map(|number| listed(number, WorkerState::Ready))
+                .collect(),
         };
         Recorder {
             dispatcher: front(),
@@ -124,7 +126,7 @@
             // One worker drains half-way.
             self.inputs.push_back(Input::Workers {
                 full: false,
-                workers: vec![listed(0, 1)],
+                workers: vec![listed(0, WorkerState::Draining)],
             });
         } else if number.is_multiple_of(13) {
             let call = CallId(number - 1);
--- a/tests/compatibility/src/steps.rs
+++ b/tests/compatibility/src/steps.rs
@@ -5,7 +5,7 @@
 use tansy_dispatch::{
     Answer, AttemptOutcome, CacheStatus, Call, CallId, Command, ControlRequestId, FailureReason,
     FunctionLookup, FunctionShape, Input, LoadReport, NeverRan, ResponseStage, Trailers,
-    WorkerRecord,
+    WorkerRecord, WorkerState,
 };
 
 const CALL: CallId = CallId(7);
@@ -100,7 +100,7 @@
 fn inputs_of_each_kind(trailers: Trailers) -> Vec<Input> {
     let listed = WorkerRecord {
         age: Some(5),
-        ..listed(1, 2)
+        ..listed(1, WorkerState::Gone)
     };
     let shape = SHAPE;
     vec![
--- a/tests/compatibility/tests/settings.rs
+++ b/tests/compatibility/tests/settings.rs
@@ -6,8 +6,8 @@
 
 use tansy_agreement::compatibility::Value;
 use tansy_compatibility_tests::fixture;
-use tansy_dispatch::{FunctionSpec, WorkerRecord};
-use tansy_settings::{agree, settings, workers, Fleet, Settings, Voter, WorkerLine};
+use tansy_dispatch::{FunctionSpec, WorkerRecord, WorkerState};
+use tansy_settings::{agree, settings, workers, ConfiguredWorker, Fleet, Settings, Voter};
 
 fn read(name: &str) -> Settings {
     settings(name, &fixture::text(name)).unwrap_or_else(|e| panic!("{e}"))
@@ -38,13 +38,13 @@
     );
 }
 
-fn workers_of_the_file() -> [WorkerLine; 2] {
+fn workers_of_the_file() -> [ConfiguredWorker; 2] {
     let first = WorkerRecord {
         name: "w1".into(),
         kind: 1,
         cell: 2,
         zone: 0,
-        state: 1,
+        state: WorkerState::Draining,
         age: Some(5_000_000),
         relative_size: 4.0,
     };
@@ -53,18 +53,18 @@
         kind: 0,
         cell: 0,
         zone: 1,
-        state: 0,
+        state: WorkerState::Ready,
         age: None,
         relative_size: 1.0,
     };
     [
-        WorkerLine {
-            listed: first,
+        ConfiguredWorker {
+            record: first,
             address: ([127, 0, 0, 1], 7101).into(),
             incarnation: 3,
         },
-        WorkerLine {
-            listed: second,
+        ConfiguredWorker {
+            record: second,
             address: "[::1]:7102".parse().expect("an address"),
             incarnation: 0,
         },
@@ -100,7 +100,7 @@
     );
     let keys = [&gateway.class_key, &gateway.tenant_key, &gateway.work_key];
     assert_eq!(keys, ["x-class", "x-tenant", "x-work"]);
-    let front = &all.front;
+    let front = &all.dispatch;
     assert_eq!(front.classes, ["overlay", "post", "keyed.1"]);
     assert_eq!(
         (&front.zones, &front.tenants),
--- a/tests/compatibility/tests/text_wires.rs
+++ b/tests/compatibility/tests/text_wires.rs
@@ -4,7 +4,7 @@
 use tansy_compatibility_tests::fixture;
 use tansy_compatibility_tests::steps::trailers;
 use tansy_dispatch::{
-    AttemptOutcome, CacheStatus, FunctionShape, NeverRan, ResponseStage, WorkerRecord,
+    AttemptOutcome, CacheStatus, FunctionShape, NeverRan, ResponseStage, WorkerRecord, WorkerState,
 };
 use tansy_frames::grpc;
 use tansy_platform::config::Config;
@@ -209,14 +209,14 @@
     let config = config();
     let mut list = EndpointList::new(config.settings.zones, config.settings.machine_types);
     let whole = vec![
-        line("s-a", 2, (1, 2, 1, 0, None, 4.0)),
-        line("s-b", 3, (0, 3, 0, 0, Some(500_000), 1.0)),
-        line("s-c", 4, (0, 0, 0, 1, None, 1.0)),
+        line("s-a", 2, (1, 2, 1, WorkerState::Ready, None, 4.0)),
+        line("s-b", 3, (0, 3, 0, WorkerState::Ready, Some(500_000), 1.0)),
+        line("s-c", 4, (0, 0, 0, WorkerState::Draining, None, 1.0)),
     ];
     assert_eq!(list.apply(&config.known, 2000.0), [(true, whole)]);
     let later = r#"{"index":9,"updates":[{"index":2,"endpoints":{"servers":[{"id":"s-a","state":"Gone"}]}},{"index":3}]}"#;
     let later: EndpointUpdates = serde_json::from_str(later).expect("a reply of the coordinator");
-    let gone = vec![line("s-a", 2, (0, 0, 0, 2, None, 1.0))];
+    let gone = vec![line("s-a", 2, (0, 0, 0, WorkerState::Gone, None, 1.0))];
     assert_eq!(list.apply(&later, 2000.0), [(false, gone)]);
     assert_eq!((list.index(), list.worker_count()), (9, 2));
 }
