--- a/simulation/src/fleet/simulation.rs
+++ b/simulation/src/fleet/simulation.rs
@@ -111,13 +111,21 @@
     fn schedule_faults_and_changes(&mut self, faults: &[Fault]) {
         for fault in faults {
             match *fault {
-                Fault::Kill { who, at, away } => {
-                    self.schedule(at, Event::Stop { process: who });
-                    self.schedule(at + away, Event::Start { process: who });
+                Fault::Kill {
+                    process,
+                    start,
+                    downtime,
+                } => {
+                    self.schedule(start, Event::Stop { process });
+                    self.schedule(start + downtime, Event::Start { process });
                 }
-                Fault::Pause { who, at, away } => {
-                    self.schedule(at, Event::Pause { process: who });
-                    self.schedule(at + away, Event::Resume { process: who });
+                Fault::Pause {
+                    process,
+                    start,
+                    duration,
+                } => {
+                    self.schedule(start, Event::Pause { process });
+                    self.schedule(start + duration, Event::Resume { process });
                 }
                 _ => {}
             }
--- a/simulation/src/network.rs
+++ b/simulation/src/network.rs
@@ -26,12 +26,12 @@
     }
 }
 
-/// Regions that are partitioned from all others, from then to then: so many, the last ones.
+/// Regions that are partitioned from all others between two times: so many, the last ones.
 #[derive(Clone, Copy, Debug)]
 struct RegionPartition {
     regions: usize,
-    from: Time,
-    to: Time,
+    start: Time,
+    end: Time,
 }
 
 /// Where and when messages get through.
@@ -74,11 +74,11 @@
     }
 
     /// Partitions the last regions, each from all others, in this time.
-    pub fn partition_regions(&mut self, regions: usize, from: Time, to: Time) {
+    pub fn partition_regions(&mut self, regions: usize, start: Time, end: Time) {
         self.partition = Some(RegionPartition {
             regions: regions.min(self.between_regions.len().saturating_sub(1)),
-            from,
-            to,
+            start,
+            end,
         });
     }
 
@@ -95,7 +95,7 @@
     /// Whether regions are partitioned at this time.
     pub fn is_partitioned(&self, now: Time) -> bool {
         self.partition
-            .is_some_and(|p| p.regions > 0 && p.from <= now && now < p.to)
+            .is_some_and(|p| p.regions > 0 && p.start <= now && now < p.end)
     }
 
     /// The side of a partition on which a front end is: 0 with most regions, else one for each region partitioned off.
@@ -114,17 +114,23 @@
     }
 
     /// When the copies of a message that is sent now arrive, as far as they do.
-    pub fn carry(&self, rng: &mut fastrand::Rng, now: Time, from: usize, to: usize) -> Vec<Time> {
-        let Some(delay) = self.fault_delay(rng, now, from, to) else {
+    pub fn carry(
+        &self,
+        rng: &mut fastrand::Rng,
+        now: Time,
+        sender: usize,
+        receiver: usize,
+    ) -> Vec<Time> {
+        let Some(delay) = self.fault_delay(rng, now, sender, receiver) else {
             return Vec::new();
         };
-        if self.is_partitioned(now) && self.side(from) != self.side(to) {
+        if self.is_partitioned(now) && self.side(sender) != self.side(receiver) {
             return Vec::new();
         }
         let transit = self
             .between_regions
-            .get(self.region(from))
-            .and_then(|others| others.get(self.region(to)));
+            .get(self.region(sender))
+            .and_then(|others| others.get(self.region(receiver)));
         let delay = delay + transit.copied().unwrap_or(0);
         if rng.f64() < self.profile.loss {
             return Vec::new();
@@ -141,18 +147,23 @@
         &self,
         rng: &mut fastrand::Rng,
         now: Time,
-        from: usize,
-        to: usize,
+        sender: usize,
+        receiver: usize,
     ) -> Option<Time> {
         let mut delay = 0;
-        let active = |fault: &&Fault| fault.at() <= now && now < fault.over();
-        for fault in self.faults.iter().filter(active) {
+        for fault in self.faults.iter().filter(|fault| fault.is_active(now)) {
             match fault {
-                Fault::Cut { from: a, to: b, .. } if (*a, *b) == (from, to) => return None,
-                Fault::Split { side, .. } if side.contains(&from) != side.contains(&to) => {
+                Fault::LinkCut {
+                    sender: cut_sender,
+                    receiver: cut_receiver,
+                    ..
+                } if (*cut_sender, *cut_receiver) == (sender, receiver) => return None,
+                Fault::Partition { side, .. }
+                    if side.contains(&sender) != side.contains(&receiver) =>
+                {
                     return None
                 }
-                Fault::Slow { by, .. } => delay += rng.i64(0..=*by),
+                Fault::Delay { max_delay, .. } => delay += rng.i64(0..=*max_delay),
                 _ => {}
             }
         }
