--- a/simulation/src/cli/agree.rs
+++ b/simulation/src/cli/agree.rs
@@ -1,11 +1,10 @@
 //! `tansy-sim agree`: fleets through faults.
 
-use super::{plot_or_fail, print_json, threads_or_all};
+use super::{lease_span, plot_or_fail, print_json, SeedArguments};
 use crate::fleet::{
     faults, many, run as simulate, shortest_faults, PlantedDefect, SimulationOptions,
     SimulationSummary,
 };
-use clap::ValueEnum;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -26,15 +25,11 @@
     /// How many seeds.
     #[arg(long, default_value_t = 1000)]
     seeds: u64,
-    /// The first of them.
-    #[arg(long, default_value_t = 1)]
-    from: u64,
-    /// Threads; the outcome does not depend on it.
-    #[arg(long, default_value_t = 0)]
-    threads: usize,
+    #[command(flatten)]
+    seed_arguments: SeedArguments,
     /// Plants a mistake: the runs should break.
     #[arg(long)]
-    plant: Option<Mistake>,
+    plant: Option<PlantedDefect>,
     /// Plays one seed alone, and if it breaks, tells the shortest script of faults with which it does.
     #[arg(long)]
     seed: Option<u64>,
@@ -55,46 +50,8 @@
     plot: Option<PathBuf>,
 }
 
-#[derive(Clone, Copy, ValueEnum)]
-enum Mistake {
-    /// A lease is counted from its answer.
-    CountedFromAnswer,
-    /// No joint step.
-    NoJoint,
-    /// Told before it is synced.
-    Unsynced,
-    /// Clocks out of bound.
-    WildClock,
-    /// Strict changes don't wait.
-    NoRoster,
-    /// Changes of scopes don't wait for holders.
-    NoHolders,
-    /// A root that begins knows of no holder.
-    NoneHold,
-    /// A reply older than the step is used.
-    OldReply,
-    /// Drops out of order.
-    LateDrop,
-}
-
-impl From<Mistake> for PlantedDefect {
-    fn from(mistake: Mistake) -> PlantedDefect {
-        match mistake {
-            Mistake::CountedFromAnswer => PlantedDefect::CountedFromAnswer,
-            Mistake::NoJoint => PlantedDefect::NoJoint,
-            Mistake::Unsynced => PlantedDefect::Unsynced,
-            Mistake::WildClock => PlantedDefect::WildClock,
-            Mistake::NoRoster => PlantedDefect::NoRoster,
-            Mistake::NoHolders => PlantedDefect::NoHolders,
-            Mistake::NoneHold => PlantedDefect::NoneHold,
-            Mistake::OldReply => PlantedDefect::OldReply,
-            Mistake::LateDrop => PlantedDefect::LateDrop,
-        }
-    }
-}
-
 pub(super) fn run(arguments: AgreeArguments) -> ExitCode {
-    let threads = threads_or_all(arguments.threads);
+    let threads = arguments.seed_arguments.threads();
     let mut any_violation = false;
     let mut summaries = Vec::new();
     for &front_ends in &arguments.front_ends {
@@ -103,7 +60,12 @@
             any_violation |= run_one(&options, seed);
             continue;
         }
-        let summary = many(&options, arguments.from, arguments.seeds, threads);
+        let summary = many(
+            &options,
+            arguments.seed_arguments.from,
+            arguments.seeds,
+            threads,
+        );
         any_violation |= !summary.violations.is_empty();
         if arguments.json {
             print_json(&summary);
@@ -123,7 +85,7 @@
 
 fn options(arguments: &AgreeArguments, front_ends: usize) -> SimulationOptions {
     let mut options = SimulationOptions {
-        defect: arguments.plant.map(PlantedDefect::from),
+        defect: arguments.plant,
         quiet: arguments.quiet,
         voters: arguments.seats.clamp(1, front_ends.max(2)),
         spares: arguments.spares,
@@ -131,7 +93,7 @@
         scopes: arguments.scopes,
         ..SimulationOptions::of(front_ends.max(2))
     };
-    options.lease.span = arguments.lease.clamp(1, 3_600_000) * 1000;
+    options.lease.span = lease_span(arguments.lease);
     options
 }
 
--- a/simulation/src/cli/mod.rs
+++ b/simulation/src/cli/mod.rs
@@ -4,6 +4,7 @@
 mod roll;
 mod size;
 
+use crate::fault::Time;
 use crate::plot::PlotError;
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
@@ -36,12 +37,33 @@
     }
 }
 
-/// So many threads; 0: as many as there are cores.
-fn threads_or_all(threads: usize) -> usize {
-    if threads > 0 {
-        return threads;
+/// Where the seeds begin and on how many threads they are simulated, which each command takes.
+#[derive(clap::Args)]
+struct SeedArguments {
+    /// The first seed.
+    #[arg(long, default_value_t = 1)]
+    from: u64,
+    /// Threads, each with one seed at a time; 0: as many as there are cores. The result does not depend on it.
+    #[arg(long, default_value_t = 0)]
+    threads: usize,
+}
+
+impl SeedArguments {
+    /// So many threads as are asked for; for 0 as many as there are cores.
+    fn threads(&self) -> usize {
+        if self.threads > 0 {
+            return self.threads;
+        }
+        std::thread::available_parallelism().map_or(1, |cores| cores.get())
     }
-    std::thread::available_parallelism().map_or(1, |cores| cores.get())
+}
+
+/// The longest lease that a command line may ask for, milliseconds.
+const LONGEST_LEASE_MS: i64 = 3_600_000;
+
+/// The length of a lease that a command line gives in milliseconds.
+fn lease_span(milliseconds: i64) -> Time {
+    milliseconds.clamp(1, LONGEST_LEASE_MS) * 1000
 }
 
 /// Draws a plot into a file, if one is asked for; ends with 2 if that fails.
--- a/simulation/src/cli/roll.rs
+++ b/simulation/src/cli/roll.rs
@@ -1,6 +1,6 @@
 //! `tansy-sim roll`: changes in stages.
 
-use super::{plot_or_fail, print_json, threads_or_all};
+use super::{plot_or_fail, print_json, SeedArguments};
 use crate::rollout::{many, DecisionRule, Regression, RolloutOptions, RolloutSummary};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,12 +10,8 @@
     /// Rolls of each sort.
     #[arg(long, default_value_t = 200)]
     rolls: u64,
-    /// The first seed.
-    #[arg(long, default_value_t = 1)]
-    from: u64,
-    /// Threads; the outcome does not depend on it.
-    #[arg(long, default_value_t = 0)]
-    threads: usize,
+    #[command(flatten)]
+    seed_arguments: SeedArguments,
     /// Front ends.
     #[arg(long, default_value_t = 30)]
     front_ends: usize,
@@ -61,7 +57,7 @@
 ];
 
 pub(super) fn run(arguments: RollArguments) -> ExitCode {
-    let threads = threads_or_all(arguments.threads);
+    let threads = arguments.seed_arguments.threads();
     let regressions = if arguments.null {
         &REGRESSIONS[..1]
     } else {
@@ -82,7 +78,12 @@
                 rule: *rule,
                 ..RolloutOptions::default()
             };
-            let summary = many(&options, arguments.from, arguments.rolls, threads);
+            let summary = many(
+                &options,
+                arguments.seed_arguments.from,
+                arguments.rolls,
+                threads,
+            );
             if arguments.json {
                 print_json(&summary);
             } else {
--- a/simulation/src/fleet/options.rs
+++ b/simulation/src/fleet/options.rs
@@ -6,8 +6,8 @@
 use serde::Serialize;
 use tansy_agreement::lease::LeaseTiming;
 
-/// A defect planted into a run, to see that the audit finds it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+/// A defect planted into a run, to see that the audit finds it. `tansy-sim agree --plant` takes them by their names.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
 pub enum PlantedDefect {
     /// A lease is counted from its grant's arrival, not from before it was requested.
     CountedFromAnswer,
--- a/simulation/src/fleet/summary.rs
+++ b/simulation/src/fleet/summary.rs
@@ -1,7 +1,7 @@
 //! How a run went, and many runs together.
 
 use super::{run, SimulationOptions};
-use hdrhistogram::Histogram;
+use crate::scale::Quantiles;
 use serde::Serialize;
 
 /// How a run went.
@@ -86,11 +86,12 @@
 ) -> SimulationSummary {
     let mut results = crate::spread(from, seeds, threads, |seed| run(options, seed));
     results.sort_by_key(|result| result.seed);
-    let mut in_force =
-        Histogram::<u64>::new_with_bounds(1, 3_600_000, 3).expect("the bounds are valid");
-    for milliseconds in results.iter().flat_map(|result| &result.in_force_ms) {
-        in_force.saturating_record(*milliseconds);
-    }
+    let in_force_ms: Vec<u64> = results
+        .iter()
+        .flat_map(|result| &result.in_force_ms)
+        .copied()
+        .collect();
+    let in_force = Quantiles::of(&in_force_ms).unwrap_or_default();
     let mean = |of: fn(&SimulationResult) -> f64| {
         results.iter().map(of).sum::<f64>() / results.len().max(1) as f64
     };
@@ -106,7 +107,7 @@
         scopes_in_force: sum(|result| result.scopes_in_force),
         scopes_reverted: sum(|result| result.scopes_reverted),
         replaced: sum(|result| result.replaced),
-        in_force_ms: [0.5, 0.99, 1.0].map(|q| in_force.value_at_quantile(q)),
+        in_force_ms: [in_force.p50, in_force.p99, in_force.max].map(|ms| ms as u64),
         without_lease: mean(|result| result.without_lease),
         without_session: mean(|result| result.without_session),
         messages: mean(|result| result.messages),
--- a/simulation/src/scale/report.rs
+++ b/simulation/src/scale/report.rs
@@ -17,7 +17,8 @@
 }
 
 impl Quantiles {
-    pub(super) fn of(milliseconds: &[u64]) -> Option<Quantiles> {
+    /// Those of measured milliseconds; none: nothing was measured.
+    pub(crate) fn of(milliseconds: &[u64]) -> Option<Quantiles> {
         let mut histogram = Histogram::<u64>::new_with_bounds(1, 36_000_000, 3).ok()?;
         for milliseconds in milliseconds {
             histogram.saturating_record(*milliseconds);
--- a/simulation/src/scale/scenario.rs
+++ b/simulation/src/scale/scenario.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 /// How front ends come to know each other.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum Tier {
     /// Each finds the others itself, by gossip.
