--- a/simulation/tests/fleet.rs
+++ b/simulation/tests/fleet.rs
@@ -1,114 +1,111 @@
-//! Fleets in virtual time: nothing breaks through faults, what is planted is found, and a run depends on its seed alone.
+//! Fleets in virtual time: faults cause no violation, planted defects are found, and a run depends on its seed alone.
 
 use tansy_simulation::fleet::{
     faults, many, run, run_with_faults, shortest_faults, PlantedDefect, SimulationOptions,
+    SimulationSummary,
 };
 
+/// Simulates 30 seeds of a fleet through faults; the audit may find nothing in them.
+fn simulate_without_violation(options: &SimulationOptions) -> SimulationSummary {
+    let summary = many(options, 1, 30, 2);
+    assert!(
+        summary.violations.is_empty(),
+        "{} front ends, {} voters: {:?}",
+        options.front_ends,
+        options.voters,
+        summary.violations
+    );
+    summary
+}
+
+fn with_defect(defect: PlantedDefect) -> SimulationOptions {
+    SimulationOptions {
+        defect: Some(defect),
+        ..SimulationOptions::of(7)
+    }
+}
+
 #[test]
 fn no_fleet_acts_on_contradicting_rules_through_kills_pauses_cuts_and_clocks() {
-    for (fronts, seats) in [(2, 1), (5, 1), (5, 3), (9, 5), (30, 3)] {
-        let sum = many(
-            &SimulationOptions {
-                voters: seats,
-                ..SimulationOptions::of(fronts)
-            },
-            1,
-            30,
-            2,
-        );
-        assert!(
-            sum.violations.is_empty(),
-            "{fronts} front ends, {seats} seats: {:?}",
-            sum.violations
-        );
+    for (front_ends, voters) in [(2, 1), (5, 1), (5, 3), (9, 5), (30, 3)] {
+        let summary = simulate_without_violation(&SimulationOptions {
+            voters,
+            ..SimulationOptions::of(front_ends)
+        });
         assert!(
-            sum.in_force > 100,
-            "{fronts} front ends, {seats} seats: {} versions in force",
-            sum.in_force
+            summary.in_force > 100,
+            "{front_ends} front ends, {voters} voters: {} versions in force",
+            summary.in_force
         );
     }
 }
 
 #[test]
-fn seats_are_replaced_through_the_same_faults() {
-    for (fronts, seats, spares) in [(6, 1, 2), (8, 3, 3), (11, 5, 3)] {
-        let sum = many(
-            &SimulationOptions {
-                voters: seats,
-                spares,
-                replacements: 8,
-                ..SimulationOptions::of(fronts)
-            },
-            1,
-            30,
-            2,
-        );
+fn voters_are_replaced_through_the_same_faults() {
+    for (front_ends, voters, spares) in [(6, 1, 2), (8, 3, 3), (11, 5, 3)] {
+        let summary = simulate_without_violation(&SimulationOptions {
+            voters,
+            spares,
+            replacements: 8,
+            ..SimulationOptions::of(front_ends)
+        });
         assert!(
-            sum.violations.is_empty(),
-            "{fronts} front ends, {seats} seats: {:?}",
-            sum.violations
-        );
-        assert!(
-            sum.replaced > 30,
-            "{fronts} front ends, {seats} seats: {} were replaced",
-            sum.replaced
+            summary.replaced > 30,
+            "{front_ends} front ends, {voters} voters: {} were replaced",
+            summary.replaced
         );
     }
 }
 
 #[test]
 fn a_run_depends_on_its_seed_alone() {
-    let play = SimulationOptions::of(6);
-    let text = |threads| serde_json::to_string(&many(&play, 7, 12, threads)).expect("a summary");
+    let options = SimulationOptions::of(6);
+    let text = |threads| serde_json::to_string(&many(&options, 7, 12, threads)).expect("a summary");
     assert_eq!(text(1), text(5));
-    assert_ne!(run(&play, 1).messages, run(&play, 2).messages);
+    assert_ne!(run(&options, 1).messages, run(&options, 2).messages);
 }
 
 #[test]
 fn without_faults_a_change_takes_the_round_trips_of_its_steps() {
-    let outcome = run_with_faults(&SimulationOptions::of(40), 3, &[]);
-    assert_eq!(outcome.violations, Vec::<String>::new());
-    let longest = outcome.in_force_ms.iter().max().expect("changes");
-    // A lost word of how far one is costs up to a second, after which it is told again.
-    assert!(*longest < 2_600, "{:?}", outcome.in_force_ms);
+    let result = run_with_faults(&SimulationOptions::of(40), 3, &[]);
+    assert_eq!(result.violations, Vec::<String>::new());
+    let longest = result.in_force_ms.iter().max().expect("changes");
+    // A lost report of a front end's revision costs up to a second, after which it is sent again.
+    assert!(*longest < 2_600, "{:?}", result.in_force_ms);
 }
 
-fn found(plant: PlantedDefect, seeds: u64) -> u64 {
-    let play = SimulationOptions {
-        defect: Some(plant),
-        ..SimulationOptions::of(7)
-    };
+/// The first seed with which a planted defect is found.
+fn seed_that_finds(defect: PlantedDefect, seeds: u64) -> u64 {
+    let options = with_defect(defect);
     (1..=seeds)
-        .find(|s| !run(&play, *s).violations.is_empty())
-        .expect("a run that breaks")
+        .find(|seed| !run(&options, *seed).violations.is_empty())
+        .expect("a run with a violation")
 }
 
 #[test]
-fn each_planted_mistake_is_found() {
-    for (plant, seeds) in [
+fn each_planted_defect_is_found() {
+    for (defect, seeds) in [
         (PlantedDefect::CountedFromAnswer, 200),
         (PlantedDefect::NoJoint, 20),
         (PlantedDefect::Unsynced, 300),
         (PlantedDefect::WildClock, 300),
         (PlantedDefect::NoRoster, 100),
     ] {
-        found(plant, seeds);
+        seed_that_finds(defect, seeds);
     }
 }
 
 #[test]
-fn a_failure_comes_with_a_short_script_of_faults_that_still_shows_it() {
-    let play = SimulationOptions {
-        defect: Some(PlantedDefect::CountedFromAnswer),
-        ..SimulationOptions::of(7)
-    };
-    let seed = found(PlantedDefect::CountedFromAnswer, 200);
-    let (all, short) = (faults(&play, seed), shortest_faults(&play, seed));
+fn a_violation_comes_with_a_short_list_of_faults_that_still_shows_it() {
+    let options = with_defect(PlantedDefect::CountedFromAnswer);
+    let seed = seed_that_finds(PlantedDefect::CountedFromAnswer, 200);
+    let (all, shortest) = (faults(&options, seed), shortest_faults(&options, seed));
     assert!(
-        short.len() < all.len(),
-        "{} of {}: {short:?}",
-        short.len(),
+        shortest.len() < all.len(),
+        "{} of {}: {shortest:?}",
+        shortest.len(),
         all.len()
     );
-    assert!(!run_with_faults(&play, seed, &short).violations.is_empty());
+    let result = run_with_faults(&options, seed, &shortest);
+    assert!(!result.violations.is_empty());
 }
--- a/simulation/tests/scale.rs
+++ b/simulation/tests/scale.rs
@@ -5,17 +5,17 @@
 use tansy_simulation::fleet::{run as agree, PlantedDefect, SimulationOptions};
 use tansy_simulation::scale::{run, ScaleReport, ScaleScenario, Tier, REGION_NETWORK};
 
-fn play(tier: Tier, fronts: usize, size: ScaleScenario) -> SimulationOptions {
-    let mut play = SimulationOptions {
+fn options(tier: Tier, front_ends: usize, scenario: ScaleScenario) -> SimulationOptions {
+    let mut options = SimulationOptions {
         tier,
         voters: 3,
         session: 20 * SECOND,
-        scale: Some(size),
+        scale: Some(scenario),
         network: REGION_NETWORK,
-        ..SimulationOptions::of(fronts)
+        ..SimulationOptions::of(front_ends)
     };
-    play.lease.span = 2 * SECOND;
-    play
+    options.lease.span = 2 * SECOND;
+    options
 }
 
 fn busy() -> ScaleScenario {
@@ -40,53 +40,54 @@
 
 #[test]
 fn the_hollow_tier_measures_what_the_whole_one_does() {
-    let size = ScaleScenario {
+    let scenario = ScaleScenario {
         counted: 60 * SECOND,
         changes_hour: 1800.0,
         restarts_hour: 0.0,
         ..busy()
     };
-    let both =
-        |seed| [Tier::Whole, Tier::Hollow].map(|tier| run(&play(tier, 40, size.clone()), seed));
+    let both = |seed| {
+        [Tier::Whole, Tier::Hollow].map(|tier| run(&options(tier, 40, scenario.clone()), seed))
+    };
     let all: Vec<[ScaleReport; 2]> = (1..=4).map(both).collect();
-    for r in all.iter().flatten() {
+    for report in all.iter().flatten() {
         assert!(
-            r.ok && r.changes_in_force == r.changes_requested,
+            report.ok && report.changes_in_force == report.changes_requested,
             "seed {}: {:?}",
-            r.seed,
-            r.notes
+            report.seed,
+            report.notes
         );
     }
-    near("messages beside membership's", &all, 0.15, |r| {
-        r.control_messages_s - r.membership_messages_s
+    near("messages beside membership's", &all, 0.15, |report| {
+        report.control_messages_s - report.membership_messages_s
     });
-    near("bytes beside membership's", &all, 0.15, |r| {
-        r.control_bytes_s - r.membership_bytes_s
+    near("bytes beside membership's", &all, 0.15, |report| {
+        report.control_bytes_s - report.membership_bytes_s
     });
-    near("messages at the seat", &all, 0.15, |r| {
-        r.voter_messages_s - r.membership_messages_s
+    near("messages at the voter", &all, 0.15, |report| {
+        report.voter_messages_s - report.membership_messages_s
     });
-    near("changes in force", &all, 0.3, |r| {
-        r.in_force_ms.expect("changes").p50
+    near("changes in force", &all, 0.3, |report| {
+        report.in_force_ms.expect("changes").p50
     });
 }
 
 #[test]
 fn a_run_depends_on_its_seed_alone() {
-    let size = ScaleScenario {
+    let scenario = ScaleScenario {
         partitioned_regions: 1,
         partition: 8 * SECOND,
         dead: 1,
         ..busy()
     };
-    let play = play(Tier::Hollow, 30, size);
-    assert_eq!(run(&play, 5), run(&play, 5));
-    assert_ne!(run(&play, 5), run(&play, 6));
+    let options = options(Tier::Hollow, 30, scenario);
+    assert_eq!(run(&options, 5), run(&options, 5));
+    assert_ne!(run(&options, 5), run(&options, 6));
 }
 
 #[test]
 fn a_region_cut_off_loses_its_leases_and_comes_back() {
-    let size = ScaleScenario {
+    let scenario = ScaleScenario {
         partitioned_regions: 1,
         partition: 10 * SECOND,
         regions: 4,
@@ -94,7 +95,7 @@
         strict_every: 0,
         ..busy()
     };
-    let report = run(&play(Tier::Hollow, 40, size), 3);
+    let report = run(&options(Tier::Hollow, 40, scenario), 3);
     assert!(report.ok, "{:?}", report.notes);
     let cut = report.partition.expect("a cut");
     assert_eq!((cut.main.front_ends, cut.cut.front_ends), (30, 10));
@@ -107,15 +108,15 @@
 }
 
 #[test]
-fn a_strict_change_waits_for_the_dead_until_their_stays_are_out() {
-    let size = ScaleScenario {
+fn a_strict_change_waits_for_the_dead_until_their_sessions_expire() {
+    let scenario = ScaleScenario {
         dead: 2,
         regions: 1,
         restarts_hour: 0.0,
         counted: 40 * SECOND,
         ..busy()
     };
-    let report = run(&play(Tier::Hollow, 30, size), 2);
+    let report = run(&options(Tier::Hollow, 30, scenario), 2);
     assert!(report.ok, "{:?}", report.notes);
     let freed = report.freed_ms.expect("the dead leave the roster");
     // From the last grant before the end a session's length, and the leader's look.
@@ -132,14 +133,14 @@
 
 #[test]
 fn a_rack_that_ends_for_good_leaves_the_roster_and_the_others_act() {
-    let size = ScaleScenario {
+    let scenario = ScaleScenario {
         rack: 6,
         regions: 4,
         counted: 60 * SECOND,
         restarts_hour: 0.0,
         ..busy()
     };
-    let report = run(&play(Tier::Hollow, 40, size.clone()), 1);
+    let report = run(&options(Tier::Hollow, 40, scenario.clone()), 1);
     assert!(report.ok && report.view_members == 34.0, "{report:?}");
     let loss = report.loss.expect("a rack");
     assert_eq!((loss.front_ends, loss.voters), (6, 0));
@@ -152,27 +153,27 @@
     assert_eq!(report.freed_ms.expect("they leave the roster").count, 6);
     let strict = report.strict_in_force_ms.expect("strict changes");
     assert!(strict.max > 8_000.0, "none waited for the rack: {strict:?}");
-    let rooted = run(
-        &play(
+    let with_leader = run(
+        &options(
             Tier::Hollow,
             40,
             ScaleScenario {
                 with_leader: true,
-                ..size
+                ..scenario
             },
         ),
         1,
     );
-    let loss = rooted.loss.clone().expect("a rack");
+    let loss = with_leader.loss.clone().expect("a rack");
     assert!(
-        rooted.ok && (loss.front_ends, loss.voters) == (6, 1),
-        "{rooted:?}"
+        with_leader.ok && (loss.front_ends, loss.voters) == (6, 1),
+        "{with_leader:?}"
     );
 }
 
 #[test]
 fn a_zone_that_ends_comes_back_and_is_called_again() {
-    let size = ScaleScenario {
+    let scenario = ScaleScenario {
         zone: 5,
         zone_away: 8 * SECOND,
         regions: 4,
@@ -181,12 +182,12 @@
         ..busy()
     };
     let report = run(
-        &play(
+        &options(
             Tier::Hollow,
             40,
             ScaleScenario {
                 counted: 60 * SECOND,
-                ..size
+                ..scenario
             },
         ),
         2,
@@ -206,7 +207,7 @@
     assert_eq!(report.join_ms.expect("they come back").count, 8);
     assert!(
         report.subscriptions > 3.0,
-        "those that are back hold nothing: {}",
+        "those that are back have no subscriptions: {}",
         report.subscriptions
     );
 }
@@ -221,7 +222,7 @@
         counted: 120 * SECOND,
         ..busy()
     };
-    let [four, ten] = [4, 10].map(|parts| run(&play(Tier::Hollow, 40, rolling(parts)), 3));
+    let [four, ten] = [4, 10].map(|parts| run(&options(Tier::Hollow, 40, rolling(parts)), 3));
     for (report, parts, median) in [(&four, 4, 2_000.0), (&ten, 10, 2_500.0)] {
         assert!(report.ok && report.view_members == 40.0, "{report:?}");
         let loss = report.loss.as_ref().expect("a restart");
@@ -231,7 +232,7 @@
             "{loss:?}"
         );
         assert_eq!(report.join_ms.expect("they come back").count, 40);
-        // Those that end tell of it: a strict change does not wait until they are back.
+        // Those that end notify the others: a strict change does not wait until they are back.
         let strict = report.strict_in_force_ms.expect("strict changes");
         assert!(strict.p50 < median && strict.max < 12_000.0, "{strict:?}");
     }
@@ -241,13 +242,13 @@
 
 #[test]
 fn a_rolling_restart_that_does_not_end_is_not_ok() {
-    let size = ScaleScenario {
+    let scenario = ScaleScenario {
         rolling: 20,
         rolling_away: 2 * SECOND,
         restarts_hour: 0.0,
         ..busy()
     };
-    let report = run(&play(Tier::Hollow, 40, size), 3);
+    let report = run(&options(Tier::Hollow, 40, scenario), 3);
     assert!(
         !report.ok && report.loss.is_some_and(|l| l.recovered_ms.is_none()),
         "{:?}",
@@ -265,21 +266,21 @@
 
 #[test]
 fn changes_in_even_steps_do_not_meet() {
-    let size = ScaleScenario {
+    let scenario = ScaleScenario {
         regions: 1,
         restarts_hour: 0.0,
         strict_every: 0,
         changes_hour: 14_400.0,
         ..busy()
     };
-    let alike = run(&play(Tier::Hollow, 20, size.clone()), 4);
+    let alike = run(&options(Tier::Hollow, 20, scenario.clone()), 4);
     let even = run(
-        &play(
+        &options(
             Tier::Hollow,
             20,
             ScaleScenario {
                 even_steps: true,
-                ..size
+                ..scenario
             },
         ),
         4,
@@ -293,33 +294,33 @@
 }
 
 #[test]
-fn the_audit_finds_planted_mistakes_in_the_hollow_tier() {
-    for (plant, seeds) in [
+fn the_audit_finds_planted_defects_in_the_hollow_tier() {
+    for (defect, seeds) in [
         (PlantedDefect::NoJoint, 20),
         (PlantedDefect::NoRoster, 100),
         (PlantedDefect::WildClock, 300),
     ] {
-        let play = SimulationOptions {
-            defect: Some(plant),
+        let options = SimulationOptions {
+            defect: Some(defect),
             tier: Tier::Hollow,
             ..SimulationOptions::of(7)
         };
         assert!(
-            (1..=seeds).any(|s| !agree(&play, s).violations.is_empty()),
-            "{plant:?}"
+            (1..=seeds).any(|seed| !agree(&options, seed).violations.is_empty()),
+            "{defect:?}"
         );
     }
 }
 
 #[test]
-fn nothing_breaks_through_faults_in_the_hollow_tier() {
-    let play = SimulationOptions {
+fn faults_cause_no_violation_in_the_hollow_tier() {
+    let options = SimulationOptions {
         voters: 3,
         tier: Tier::Hollow,
         ..SimulationOptions::of(9)
     };
     for seed in 1..=20 {
-        let outcome = agree(&play, seed);
-        assert_eq!(outcome.violations, Vec::<String>::new(), "seed {seed}");
+        let result = agree(&options, seed);
+        assert_eq!(result.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
--- a/simulation/tests/scopes.rs
+++ b/simulation/tests/scopes.rs
@@ -1,11 +1,11 @@
-//! Settings by scope in fleets in virtual time: nothing breaks through faults, what is planted is found, and a fleet at its
-//! size changes functions one by one.
+//! Settings by scope in fleets in virtual time: faults cause no violation, planted defects are found, and a fleet at its size
+//! changes functions one by one.
 
-use tansy_simulation::fault::SECOND;
+use tansy_simulation::fault::{Time, SECOND};
 use tansy_simulation::fleet::{many, run, PlantedDefect, SimulationOptions};
 use tansy_simulation::scale::{run as run_at_scale, ScaleScenario, Tier, REGION_NETWORK};
 
-fn play() -> SimulationOptions {
+fn with_scopes() -> SimulationOptions {
     SimulationOptions {
         voters: 3,
         scopes: 6,
@@ -13,31 +13,51 @@
     }
 }
 
+/// A hollow fleet of 40 with leases of 2 s.
+fn at_scale(session: Time, scenario: ScaleScenario) -> SimulationOptions {
+    let mut options = SimulationOptions {
+        tier: Tier::Hollow,
+        voters: 3,
+        session,
+        scale: Some(scenario),
+        network: REGION_NETWORK,
+        ..SimulationOptions::of(40)
+    };
+    options.lease.span = 2 * SECOND;
+    options
+}
+
 #[test]
 fn no_front_end_acts_on_what_a_scope_no_longer_is_through_kills_pauses_cuts_and_clocks() {
-    let sum = many(&play(), 1, 20, 2);
-    assert!(sum.violations.is_empty(), "{:?}", sum.violations);
-    assert!(sum.scopes_in_force > 200 && sum.in_force > 50, "{sum:?}");
+    let summary = many(&with_scopes(), 1, 20, 2);
+    assert!(summary.violations.is_empty(), "{:?}", summary.violations);
+    assert!(
+        summary.scopes_in_force > 200 && summary.in_force > 50,
+        "{summary:?}"
+    );
 }
 
 #[test]
-fn seats_are_replaced_while_scopes_change() {
-    let sum = many(
+fn voters_are_replaced_while_scopes_change() {
+    let summary = many(
         &SimulationOptions {
             spares: 3,
             replacements: 8,
-            ..play()
+            ..with_scopes()
         },
         1,
         10,
         2,
     );
-    assert!(sum.violations.is_empty(), "{:?}", sum.violations);
-    assert!(sum.scopes_in_force > 100 && sum.replaced > 5, "{sum:?}");
+    assert!(summary.violations.is_empty(), "{:?}", summary.violations);
+    assert!(
+        summary.scopes_in_force > 100 && summary.replaced > 5,
+        "{summary:?}"
+    );
 }
 
 #[test]
-fn one_whose_stay_ran_out_and_is_back_acts_on_no_scope_as_it_was() {
+fn one_whose_session_expired_and_is_back_acts_on_no_scope_as_it_was() {
     let one = run(
         &SimulationOptions {
             scopes: 12,
@@ -62,26 +82,27 @@
 }
 
 #[test]
-fn each_planted_mistake_with_scopes_is_found() {
-    for (plant, seeds) in [
+fn each_planted_defect_with_scopes_is_found() {
+    for (defect, seeds) in [
         (PlantedDefect::NoHolders, 20),
         (PlantedDefect::NoneHold, 60),
         (PlantedDefect::OldReply, 60),
         (PlantedDefect::LateDrop, 60),
     ] {
         let planted = SimulationOptions {
-            defect: Some(plant),
-            ..play()
+            defect: Some(defect),
+            ..with_scopes()
         };
-        let found = (1..=seeds).find_map(|s| run(&planted, s).violations.first().cloned());
-        let told = found.unwrap_or_else(|| panic!("{plant:?}: no run breaks"));
-        assert!(told.contains("acts on"), "{plant:?}: {told}");
+        let found = (1..=seeds).find_map(|seed| run(&planted, seed).violations.first().cloned());
+        let violation = found.unwrap_or_else(|| panic!("{defect:?}: no run has a violation"));
+        assert!(violation.contains("acts on"), "{defect:?}: {violation}");
     }
 }
 
 #[test]
 fn a_run_with_scopes_depends_on_its_seed_alone() {
-    let text = |threads| serde_json::to_string(&many(&play(), 3, 4, threads)).expect("a summary");
+    let text =
+        |threads| serde_json::to_string(&many(&with_scopes(), 3, 4, threads)).expect("a summary");
     assert_eq!(text(1), text(3));
 }
 
@@ -94,16 +115,8 @@
         by_scope: 200,
         ..ScaleScenario::default()
     };
-    let mut play = SimulationOptions {
-        tier: Tier::Hollow,
-        voters: 3,
-        session: 20 * SECOND,
-        scale: Some(by_scope),
-        network: REGION_NETWORK,
-        ..SimulationOptions::of(40)
-    };
-    play.lease.span = 2 * SECOND;
-    let report = run_at_scale(&play, 1);
+    let options = at_scale(20 * SECOND, by_scope);
+    let report = run_at_scale(&options, 1);
     assert!(report.ok && report.changes_in_force == 40, "{report:?}");
     let took = report.scope_in_force_ms.expect("changes in force");
     assert!(took.count == 40 && took.max < 5_000.0, "{took:?}");
@@ -112,16 +125,12 @@
         "{}",
         report.subscriptions
     );
-    assert_eq!(report, run_at_scale(&play, 1));
+    assert_eq!(report, run_at_scale(&options, 1));
 }
 
 #[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
-)]
-fn a_strict_change_of_what_a_dead_front_end_holds_waits_and_others_do_not() {
-    let size = ScaleScenario {
+fn a_strict_change_that_a_dead_front_end_is_subscribed_to_waits_and_others_do_not() {
+    let scenario = ScaleScenario {
         counted: 60 * SECOND,
         changes_hour: 3600.0,
         strict_every: 2,
@@ -129,32 +138,24 @@
         dead: 2,
         ..ScaleScenario::default()
     };
-    let mut play = SimulationOptions {
-        tier: Tier::Hollow,
-        voters: 3,
-        session: 30 * SECOND,
-        scale: Some(ScaleScenario {
-            requested_by_dead: 0.3,
-            ..size.clone()
-        }),
-        network: REGION_NETWORK,
-        ..SimulationOptions::of(40)
+    let of_dead = ScaleScenario {
+        requested_by_dead: 0.3,
+        ..scenario.clone()
     };
-    play.lease.span = 2 * SECOND;
-    let dead = run_at_scale(&play, 1);
+    let dead = run_at_scale(&at_scale(30 * SECOND, of_dead), 1);
     assert!(dead.ok, "{:?}", dead.notes);
-    let held = dead.dead_holders.expect("some are dead");
+    let holders = dead.dead_holders.expect("some are dead");
     assert!(
-        held.requested >= 5 && held.abandoned + held.in_force <= held.requested,
-        "{held:?}"
+        holders.requested >= 5 && holders.abandoned + holders.in_force <= holders.requested,
+        "{holders:?}"
     );
     assert!(
-        held.abandoned > 0 && dead.changes_abandoned == held.abandoned,
+        holders.abandoned > 0 && dead.changes_abandoned == holders.abandoned,
         "{dead:?}"
     );
     assert!(
-        held.in_force_ms.expect("some after the stays").max > 5_000.0,
-        "{held:?}"
+        holders.in_force_ms.expect("some after the sessions").max > 5_000.0,
+        "{holders:?}"
     );
     // A plain one of a function whose strict change waits has to wait too; all others do not.
     assert!(dead.in_force_ms.expect("changes").p50 < 1_000.0, "{dead:?}");
@@ -162,19 +163,13 @@
         dead.changes_of_requested < dead.changes_requested,
         "{dead:?}"
     );
-    // Changes of functions that the living hold wait for nobody.
-    let live = ScaleScenario {
+    // Changes of functions to which only live front ends are subscribed wait for nobody.
+    let of_live = ScaleScenario {
         dead: 0,
         requested: 1.0,
-        ..size
+        ..scenario
     };
-    let live = run_at_scale(
-        &SimulationOptions {
-            scale: Some(live),
-            ..play
-        },
-        1,
-    );
+    let live = run_at_scale(&at_scale(30 * SECOND, of_live), 1);
     assert!(
         live.ok && live.changes_abandoned == 0 && live.dead_holders.is_none(),
         "{live:?}"
