--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -20,18 +20,18 @@
     let work = || {
         let mut own = Vec::new();
         loop {
-            let n = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-            if n >= seeds {
+            let offset = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+            if offset >= seeds {
                 return own;
             }
-            own.push(one(from + n));
+            own.push(one(from + offset));
         }
     };
-    std::thread::scope(|s| {
-        let spawned: Vec<_> = (0..threads.max(1)).map(|_| s.spawn(work)).collect();
+    std::thread::scope(|scope| {
+        let spawned: Vec<_> = (0..threads.max(1)).map(|_| scope.spawn(work)).collect();
         spawned
             .into_iter()
-            .flat_map(|t| t.join().unwrap_or_default())
+            .flat_map(|thread| thread.join().unwrap_or_default())
             .collect()
     })
 }
--- a/simulation/src/rollout/fixed_rule.rs
+++ b/simulation/src/rollout/fixed_rule.rs
@@ -77,19 +77,20 @@
         if now - since < options.shortest_stage as i64 {
             return matches!(entry, RolloutEntry::Heartbeat { .. }).then_some(entry);
         }
-        let (at, fence) = (rollout.revision, rollout.fence);
-        let why = "the plain rule".to_string();
+        let (revision, fence) = (rollout.revision, rollout.fence);
+        // The reason is a key of the printed summary.
+        let reason = "the plain rule".to_string();
         Some(if self.is_worse(options.rule, observations) {
             RolloutEntry::Fail {
-                revision: at,
+                revision,
                 fence,
-                reason: why,
+                reason,
             }
         } else {
             RolloutEntry::Pass {
-                revision: at,
+                revision,
                 fence,
-                reason: why,
+                reason,
             }
         })
     }
@@ -120,9 +121,10 @@
         let total = observations
             .iter()
             .filter(|o| o.report.new == changed)
-            .map(|o| {
-                let began = self.at_stage_begin.get(&o.report.name);
-                ServiceTotal::of(&o.report).minus(began.copied().unwrap_or_default())
+            .map(|observation| {
+                let report = &observation.report;
+                let began = self.at_stage_begin.get(&report.name);
+                ServiceTotal::of(report).minus(began.copied().unwrap_or_default())
             })
             .fold(ServiceTotal::ZERO, ServiceTotal::plus);
         (total.value_requested > 0.0).then(|| 1.0 - total.value_served / total.value_requested)
--- a/simulation/tests/message_size.rs
+++ b/simulation/tests/message_size.rs
@@ -41,12 +41,12 @@
 }
 
 fn value(rng: &mut fastrand::Rng, depth: usize) -> Value {
-    let n = number(rng) as i64;
+    let integer = number(rng) as i64;
     match rng.u32(0..if depth > 0 { 7 } else { 6 }) {
         0 => Value::Flag(rng.bool()),
-        1 => Value::Int(-n),
-        2 => Value::Span(n),
-        3 => Value::Bytes(n),
+        1 => Value::Int(-integer),
+        2 => Value::Span(integer),
+        3 => Value::Bytes(integer),
         4 => Value::Number(rng.f64()),
         5 => Value::Text(text(rng)),
         _ => Value::List(
