--- a/simulation/src/cli/agree.rs
+++ b/simulation/src/cli/agree.rs
@@ -10,16 +10,16 @@
 
 #[derive(clap::Args)]
 pub(super) struct AgreeArguments {
-    /// Front ends, the seat among them; several sizes are played one after the other.
+    /// Front ends, the voters among them; several sizes are simulated one after the other.
     #[arg(long, value_delimiter = ',', default_value = "7")]
     front_ends: Vec<usize>,
-    /// How many of them keep the log: 1, 3, 5 or 7.
+    /// How many of them are voters, which keep the log: 1, 3, 5 or 7.
     #[arg(long, default_value_t = 1)]
     seats: usize,
-    /// Front ends beside them that may become seats.
+    /// Front ends beside the voters that may become voters.
     #[arg(long, default_value_t = 0)]
     spares: usize,
-    /// How often one of these is to take over from a seat.
+    /// How often one of these is to replace a voter.
     #[arg(long, default_value_t = 0)]
     replacements: usize,
     /// How many seeds.
@@ -27,13 +27,13 @@
     seeds: u64,
     #[command(flatten)]
     seed_arguments: SeedArguments,
-    /// Plants a mistake: the runs should break.
+    /// Plants a defect: the audit should find violations.
     #[arg(long)]
     plant: Option<PlantedDefect>,
-    /// Plays one seed alone, and if it breaks, tells the shortest script of faults with which it does.
+    /// Simulates one seed alone, and prints the shortest list of faults with which it has a violation, if it has one.
     #[arg(long)]
     seed: Option<u64>,
-    /// No faults but lost and doubled messages.
+    /// No faults but lost and duplicated messages.
     #[arg(long)]
     quiet: bool,
     /// Functions that are changed by scope beside the versions.
@@ -45,7 +45,7 @@
     /// One line of JSON for each size.
     #[arg(long)]
     json: bool,
-    /// Draws the time to force against the fleet's size into this file (SVG).
+    /// Draws the time until a change is in force against the fleet's size into this file (SVG).
     #[arg(long)]
     plot: Option<PathBuf>,
 }
@@ -118,8 +118,8 @@
 
 fn print_summary(summary: &SimulationSummary, with_scopes: bool) {
     println!(
-        "{} front ends, {} seeds: {} broke; {} versions in force, {} seats replaced, after {} ms (median), {} ms (99th), {} ms at most; \
-         {:.2}% of the time without a lease, {:.2}% without a stay; {:.1} messages and {:.0} bytes a front end a second, {:.0} at the seat",
+        "{} front ends, {} seeds: {} with violations; {} versions in force, {} voters replaced, after {} ms (median), {} ms (99th), {} ms at most; \
+         {:.2}% of the time without a lease, {:.2}% without a session; {:.1} messages and {:.0} bytes a front end a second, {:.0} messages at the voters",
         summary.front_ends,
         summary.seeds,
         summary.violations.len(),
@@ -136,7 +136,7 @@
     );
     if with_scopes {
         println!(
-            "{} changes of scopes in force, {} given up",
+            "{} changes of scopes in force, {} abandoned",
             summary.scopes_in_force, summary.scopes_reverted
         );
     }
--- a/simulation/src/cli/mod.rs
+++ b/simulation/src/cli/mod.rs
@@ -19,9 +19,9 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Versions of settings through kills, pauses, cuts and clocks of different rates. Ends with 1 if a run broke.
+    /// Versions of settings through kills, pauses, cuts and clocks of different rates. Ends with 1 if a run has a violation.
     Agree(agree::AgreeArguments),
-    /// Changes in stages: how often one that harms is stopped, and one that changes nothing.
+    /// Rollouts in stages: how often a change with a regression is stopped, and one without effect.
     Roll(roll::RollArguments),
     /// A fleet at its size: what control costs, and how long changes take. One line for each size and seed; ends with 1 if
     /// one was not ok.
--- a/simulation/src/cli/roll.rs
+++ b/simulation/src/cli/roll.rs
@@ -7,7 +7,7 @@
 
 #[derive(clap::Args)]
 pub(super) struct RollArguments {
-    /// Rolls of each sort.
+    /// Rollouts of each sort.
     #[arg(long, default_value_t = 200)]
     rolls: u64,
     #[command(flatten)]
@@ -15,13 +15,13 @@
     /// Front ends.
     #[arg(long, default_value_t = 30)]
     front_ends: usize,
-    /// Calls a second at a front end of mean traffic.
+    /// Requests a second at a front end of mean traffic.
     #[arg(long, default_value_t = 40.0)]
     rate: f64,
-    /// Rolls of nothing changed alone.
+    /// Only rollouts of a change without effect.
     #[arg(long)]
     null: bool,
-    /// Beside them the two plain rules: a fixed threshold on the difference, and on the difference to the own past.
+    /// Beside the canary analysis the two fixed rules: a threshold on the difference between the sides, and on that to the own past.
     #[arg(long)]
     plain: bool,
     /// One line of JSON for each sort.
@@ -108,8 +108,8 @@
         .map(|share| format!("{:.0}%", share * 100.0))
         .collect();
     println!(
-        "{rule:?} {regression:?}: {} rolls, {:.2}% stopped, in stages {}; after {} s (median), {} s (90 of 100); {:.2}% of the \
-         calls met it; done after {} s; {:?}",
+        "{rule:?} {regression:?}: {} rollouts, {:.2}% stopped, in stages {}; after {} s (median), {} s (90 of 100); {:.2}% of the \
+         requests reached it; done after {} s; {:?}",
         summary.rollouts,
         summary.stopped * 100.0,
         stages.join(" "),
--- a/simulation/src/fleet/audit.rs
+++ b/simulation/src/fleet/audit.rs
@@ -75,7 +75,7 @@
         let known = known.or_insert_with(|| here.clone());
         if *known != here {
             let violation = format!(
-                "has step {} and seats {:?} after {applied} entries, another has step {} and seats {:?}",
+                "has revision {} and voters {:?} after {applied} entries, another has revision {} and voters {:?}",
                 here.state.revision.0, here.voters, known.state.revision.0, known.voters
             );
             return self.report_violation(index, violation);
@@ -189,7 +189,7 @@
         let (revision, agreed_revision) = (known.revision, agreed.state.revision);
         if authority == Authority::Leased && revision > agreed_revision {
             let violation = format!(
-                "acts on step {}, agreed is {}",
+                "acts on revision {}, agreed is {}",
                 revision.0, agreed_revision.0
             );
             return self.report_violation(index, violation);
@@ -207,7 +207,7 @@
         let contradictions = contradictions(&self.schema, &in_force.fields, &rules);
         if let Some((path, _)) = contradictions.first() {
             let violation = format!(
-                "{} at step {}: {path} against version {}",
+                "{} of revision {}: {path} contradicts version {}",
                 authority.label(),
                 revision.0,
                 in_force.version.0
@@ -240,11 +240,11 @@
         match process.acting_state(self.now) {
             Some((state, Authority::Leased)) if agreed_revision == Some(state.revision) => None,
             Some((state, Authority::Leased)) => {
-                Some(format!("still acts on step {}", state.revision.0))
+                Some(format!("still acts on revision {}", state.revision.0))
             }
             _ if self.now - process.last_leased < SHORT_LOSS => None,
-            Some((_, Authority::Expired)) | None => Some("holds no stay".into()),
-            Some((_, Authority::SessionOnly)) => Some("holds no lease".into()),
+            Some((_, Authority::Expired)) | None => Some("has no session".into()),
+            Some((_, Authority::SessionOnly)) => Some("has no lease".into()),
         }
     }
 }
--- a/simulation/src/fleet/process.rs
+++ b/simulation/src/fleet/process.rs
@@ -41,12 +41,12 @@
 }
 
 impl Authority {
-    /// The word for it in the audit's messages.
+    /// What a front end does by it, in the audit's messages; a revision follows.
     pub(super) fn label(self) -> &'static str {
         match self {
-            Authority::Leased => "Whole",
-            Authority::SessionOnly => "Apart",
-            Authority::Expired => "Lapsed",
+            Authority::Leased => "acts under lease and session on the rules",
+            Authority::SessionOnly => "acts under its session alone on the rules",
+            Authority::Expired => "acts without a session on the rules",
         }
     }
 }
--- a/simulation/src/fleet/simulation.rs
+++ b/simulation/src/fleet/simulation.rs
@@ -12,7 +12,7 @@
 use tansy_agreement::log::FleetState;
 use tansy_fleet_node::FleetNode;
 
-/// A run with more violations than these is not played on.
+/// A run with more violations than these ends.
 const VIOLATIONS: usize = 4;
 /// How far the clock rates are off where [`PlantedDefect::WildClock`] is planted.
 const WILD_RATE: f64 = 0.4;
--- a/simulation/src/plot.rs
+++ b/simulation/src/plot.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum PlotError {
     /// There is nothing to draw: a plot needs the summary of one size at least.
-    #[error("no size was played")]
+    #[error("no size was simulated")]
     NoSummary,
     /// The file could not be written, or the chart not be laid out.
     #[error("{}: {source}", path.display())]
@@ -78,10 +78,10 @@
         .x_label_formatter(&whole)
         .y_label_formatter(&whole)
         .draw()?;
-    for (n, name, color) in [(0, "median", BLUE), (1, "99th percentile", RED)] {
+    for (index, name, color) in [(0, "median", BLUE), (1, "99th percentile", RED)] {
         let points: Vec<(f64, f64)> = summaries
             .iter()
-            .map(|s| (s.front_ends as f64, s.in_force_ms[n] as f64))
+            .map(|s| (s.front_ends as f64, s.in_force_ms[index] as f64))
             .collect();
         let key = move |(x, y)| PathElement::new(vec![(x, y), (x + 20, y)], color);
         chart
@@ -105,24 +105,26 @@
 
 /// Share of rollouts stopped against the share that the change loses, for each rule that was simulated.
 pub fn stopped(path: &Path, summaries: &[RolloutSummary]) -> Result<(), PlotError> {
-    let lost = |h: Regression| match h {
+    let percent_lost = |regression: Regression| match regression {
         Regression::None => Some(0.0),
-        Regression::All(x) => Some(x * 100.0),
+        Regression::All(share) => Some(share * 100.0),
         _ => None,
     };
-    let line = |name: &'static str, is: fn(&DecisionRule) -> bool| {
-        let of = summaries.iter().filter(|s| is(&s.options.rule));
-        let points: Vec<(f64, f64)> = of
-            .filter_map(|s| Some((lost(s.options.regression)?, s.stopped * 100.0)))
+    let line = |name: &'static str, has_rule: fn(&DecisionRule) -> bool| {
+        let of_rule = summaries.iter().filter(|s| has_rule(&s.options.rule));
+        let points: Vec<(f64, f64)> = of_rule
+            .filter_map(|s| Some((percent_lost(s.options.regression)?, s.stopped * 100.0)))
             .collect();
         (name, points)
     };
     let lines = [
-        line("verdict", |r| *r == DecisionRule::Verdict),
-        line("fixed threshold", |r| {
-            matches!(r, DecisionRule::Threshold(_))
+        line("canary analysis", |rule| *rule == DecisionRule::Verdict),
+        line("fixed threshold", |rule| {
+            matches!(rule, DecisionRule::Threshold(_))
+        }),
+        line("difference to the own past", |rule| {
+            matches!(rule, DecisionRule::OwnPast(_))
         }),
-        line("own past", |r| matches!(r, DecisionRule::OwnPast(_))),
     ];
     draw_rollouts(path, &lines).map_err(PlotError::drawing(path))
 }
@@ -134,14 +136,14 @@
     let area = SVGBackend::new(path, (720, 420)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
-        .caption("Rolls that were stopped", ("sans-serif", 18))
+        .caption("Rollouts that were stopped", ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(60)
         .build_cartesian_2d(0.0..20.0, 0.0..105.0)?;
     chart
         .configure_mesh()
-        .x_desc("points of service lost to the change")
+        .x_desc("service lost to the change, percentage points")
         .y_desc("stopped, percent")
         .draw()?;
     for ((name, points), color) in lines.iter().zip([BLUE, RED, GREEN]) {
--- a/simulation/src/scale/results.rs
+++ b/simulation/src/scale/results.rs
@@ -35,6 +35,7 @@
     fn closing_notes(&self, tier: Tier, open: u64) -> Vec<String> {
         let mut notes = Vec::new();
         if tier == Tier::Hollow {
+            // Recorded runs and the pages made of them carry this text.
             notes.push(
                 "membership's letters are added as measured in the whole tier, not played".into(),
             );
--- a/simulation/src/scopes/agreed.rs
+++ b/simulation/src/scopes/agreed.rs
@@ -75,7 +75,7 @@
         let mut violations = Vec::new();
         let Some(changes) = state.history.since(self.revision) else {
             violations.push(format!(
-                "has forgotten moves since step {}",
+                "no longer has the changes since revision {}",
                 self.revision.0
             ));
             return (false, violations);
@@ -110,7 +110,7 @@
             ScopePhase::Settling { .. } => {
                 if before.next() != Some(&change.record.fields) {
                     violations.push(format!(
-                        "{scope} came in force in step {} not from a change",
+                        "{scope} came in force in revision {}, but not as the change under way has it",
                         change.revision.0
                     ));
                 }
@@ -121,7 +121,7 @@
             ScopePhase::Reverting { .. } => {
                 if before.next().is_none() || before.fields != change.record.fields {
                     violations.push(format!(
-                        "{scope} went back in step {} not from a change",
+                        "{scope} was reverted in revision {}, but not from a change under way",
                         change.revision.0
                     ));
                 }
@@ -129,7 +129,7 @@
                 let number = before.next().and_then(change_number);
                 self.end_change(change.revision, number, false);
             }
-            ScopePhase::Settled => violations.push(format!("{scope} moved to settled")),
+            ScopePhase::Settled => violations.push(format!("{scope} was changed to settled")),
         }
     }
 
@@ -145,7 +145,7 @@
         let number = change_number(next);
         if before.next().is_some() || before.fields != change.record.fields {
             violations.push(format!(
-                "{scope} went joint in step {} out of turn",
+                "{scope} became joint in revision {} out of order",
                 since.0
             ));
         }
@@ -153,7 +153,7 @@
             other == scope && other_number.is_some() && *other_number == number
         };
         if self.joint.iter().any(is_same) {
-            violations.push(format!("{scope}: change {number:?} went joint twice"));
+            violations.push(format!("{scope}: change {number:?} became joint twice"));
         }
         self.joint.insert((scope.clone(), number, since));
     }
@@ -181,7 +181,9 @@
             };
             let record = log.catalog().get(&name).cloned().unwrap_or_default();
             if record.fields != agreed.record.fields {
-                violations.push(format!("{name} is settled as what it was not"));
+                violations.push(format!(
+                    "{name} settled with other fields than are in force"
+                ));
             }
             agreed.permitted = vec![record.effective(schema, &name)];
             agreed.record = record;
@@ -223,7 +225,7 @@
                 contradictions.first().and_then(|(path, _)| report(path))
             }
             (None, None) => None,
-            _ => report("which is there or not"),
+            _ => report("which has fields on one side alone"),
         }
     }
 }
--- a/simulation/src/scopes/audit.rs
+++ b/simulation/src/scopes/audit.rs
@@ -20,17 +20,19 @@
 
     /// The changes that never ended, and the requests that were lost.
     fn unfinished(&self, log: &Log) -> Vec<String> {
-        let open = log
-            .catalog()
-            .open()
-            .map(|(name, record)| format!("has {name} never ended: {:?}", record.phase));
+        let open = log.catalog().open().map(|(name, record)| {
+            format!(
+                "has a change of {name} that never ended: {:?}",
+                record.phase
+            )
+        });
         let lost = |(id, revision): (&u64, &Revision)| match log.catalog().transaction_result(*id) {
-            None => Some(format!("lost request {id} of step {}", revision.0)),
+            None => Some(format!("lost request {id} of revision {}", revision.0)),
             Some(result) if result.revision != *revision => Some(format!(
-                "has request {id} in step {}, was {}",
+                "has request {id} in revision {}, was {}",
                 result.revision.0, revision.0
             )),
-            Some(result) if result.joint > 0 => Some(format!("has request {id} open still")),
+            Some(result) if result.joint > 0 => Some(format!("still has request {id} open")),
             Some(_) => None,
         };
         open.chain(self.accepted.iter().filter_map(lost)).collect()
@@ -51,7 +53,7 @@
                 let first = *scopes.accepted.entry(*request).or_insert(*revision);
                 if first != *revision {
                     let violation = format!(
-                        "has request {request} in step {} and {}",
+                        "has request {request} in revision {} and {}",
                         first.0, revision.0
                     );
                     self.report_violation(index, violation);
