--- a/simulation/src/fleet/event.rs
+++ b/simulation/src/fleet/event.rs
@@ -1,6 +1,7 @@
 //! The events of a run, and the queue that orders them.
 
 use crate::fault::Time;
+use crate::message_size::message_size;
 use crate::scale::ScaleEvent;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -8,8 +9,21 @@
 use tansy_fleet_node::{Leader, MessageBody};
 use tansy_membership::NodeId;
 
-/// A message under way: its sender, the leader that the sender knows, and the body.
-pub(crate) type Message = (NodeId, Leader, MessageBody);
+/// A message under way.
+#[derive(Clone, Debug)]
+pub(crate) struct Message {
+    pub(crate) sender: NodeId,
+    /// The leader that the sender knows.
+    pub(crate) leader: Leader,
+    pub(crate) body: MessageBody,
+}
+
+impl Message {
+    /// The bytes that it takes on the wire.
+    pub(crate) fn size(&self) -> u64 {
+        message_size(&self.sender, self.leader, &self.body) as u64
+    }
+}
 
 /// Something that happens in a run. Processes by their index.
 #[derive(Clone, Debug)]
--- a/simulation/src/fleet/lifecycle.rs
+++ b/simulation/src/fleet/lifecycle.rs
@@ -120,8 +120,8 @@
         for _ in 0..persisted {
             self.acknowledge_persisted(index);
         }
-        for (from, leader, body) in messages {
-            self.receive(index, &from, leader, body);
+        for message in messages {
+            self.receive(index, message);
         }
         self.step_node(index, FleetNode::tick);
     }
--- a/simulation/src/fleet/node_step.rs
+++ b/simulation/src/fleet/node_step.rs
@@ -4,7 +4,6 @@
 use super::process::index_of;
 use super::{PlantedDefect, Simulation};
 use crate::fault::{Time, SECOND};
-use crate::message_size::message_size;
 use crate::scale::WIDE_ID;
 use crate::scopes::REPLY_DELAY;
 use tansy_agreement::lease_tree::LeaseMessage;
@@ -22,14 +21,13 @@
 impl Simulation<'_> {
     /// A message arrives at a process, or at its socket while it stands still.
     pub(super) fn on_arrival(&mut self, to: usize, message: Message) {
-        let (from, leader, body) = message;
         if let (Some(scale), true) = (&mut self.scale, self.processes[to].node.is_some()) {
-            scale.count_message(to, &body, message_size(&from, leader, &body) as u64);
+            scale.count_message(to, &message.body, message.size());
         }
         match &mut self.processes[to].paused {
-            Some(queued) if queued.len() < QUEUED_MESSAGES => queued.push((from, leader, body)),
+            Some(queued) if queued.len() < QUEUED_MESSAGES => queued.push(message),
             Some(_) => {}
-            None => self.receive(to, &from, leader, body),
+            None => self.receive(to, message),
         }
     }
 
@@ -43,16 +41,20 @@
     }
 
     /// A process takes a message, altered as the planted defect has it.
-    pub(super) fn receive(&mut self, to: usize, from: &NodeId, leader: Leader, body: MessageBody) {
-        let mut body = body;
+    pub(super) fn receive(&mut self, to: usize, mut message: Message) {
         match self.options.defect {
-            Some(PlantedDefect::OldReply) => self.renew_reply(to, &mut body),
-            Some(PlantedDefect::LateDrop) => self.repeat_unsubscribed(&mut body),
-            Some(PlantedDefect::CountedFromAnswer) => self.renew_grant(to, from, leader, &mut body),
+            Some(PlantedDefect::OldReply) => self.renew_reply(to, &mut message.body),
+            Some(PlantedDefect::LateDrop) => self.repeat_unsubscribed(&mut message.body),
+            Some(PlantedDefect::CountedFromAnswer) => self.renew_grant(to, &mut message),
             _ => {}
         }
+        let Message {
+            sender,
+            leader,
+            body,
+        } = message;
         self.step_node(to, |node, now, commands| {
-            node.on_message(now, from, leader, body, commands)
+            node.on_message(now, &sender, leader, body, commands)
         });
     }
 
@@ -68,8 +70,8 @@
     }
 
     /// [`PlantedDefect::CountedFromAnswer`]: a request of this moment takes the place of the one that was granted.
-    fn renew_grant(&mut self, to: usize, from: &NodeId, leader: Leader, body: &mut MessageBody) {
-        let MessageBody::Lease(LeaseMessage::Grant(grant)) = body else {
+    fn renew_grant(&mut self, to: usize, message: &mut Message) {
+        let MessageBody::Lease(LeaseMessage::Grant(grant)) = &mut message.body else {
             return;
         };
         let process = &mut self.processes[to];
@@ -77,7 +79,13 @@
         let mut requests = Vec::new();
         if let Some(node) = process.node.as_mut() {
             let unreachable = MessageBody::Lease(LeaseMessage::Revision(UNREACHABLE));
-            node.on_message(now, from, leader, unreachable, &mut requests);
+            node.on_message(
+                now,
+                &message.sender,
+                message.leader,
+                unreachable,
+                &mut requests,
+            );
         }
         let sequence = requests.iter().find_map(|command| match command {
             Command::Send {
@@ -107,14 +115,15 @@
         act(node, now, &mut commands);
         self.write_records(index, now, &mut commands);
         self.schedule_deadline(index, now);
-        let Some((from, leader)) = self.processes[index].node.as_ref().map(sender_of) else {
+        let Some(node) = &self.processes[index].node else {
             return;
         };
+        let (sender, leader) = (node.setup().node.clone(), node.leader());
         self.audit_log(index);
         self.audit_process(index);
         self.detect_join(index);
         for command in commands {
-            self.carry_out(index, &from, leader, command);
+            self.carry_out(index, &sender, leader, command);
         }
     }
 
@@ -173,12 +182,17 @@
         }
     }
 
-    fn carry_out(&mut self, index: usize, from: &NodeId, leader: Leader, command: Command) {
+    fn carry_out(&mut self, index: usize, sender: &NodeId, leader: Leader, command: Command) {
+        let message = |body| Message {
+            sender: sender.clone(),
+            leader,
+            body,
+        };
         match command {
-            Command::Send { to, body } => self.send(index, index_of(to), from, leader, body),
+            Command::Send { to, body } => self.send(index, index_of(to), message(body)),
             Command::SendToVoter { to, bytes } => {
-                let to = (to & !WIDE_ID) as usize - 1;
-                self.send(index, to, from, leader, MessageBody::Consensus(bytes));
+                let voter = (to & !WIDE_ID) as usize - 1;
+                self.send(index, voter, message(MessageBody::Consensus(bytes)));
             }
             other => {
                 self.on_scope_command(index, &other);
@@ -187,29 +201,24 @@
         }
     }
 
-    fn send(&mut self, index: usize, to: usize, from: &NodeId, leader: Leader, body: MessageBody) {
+    fn send(&mut self, index: usize, to: usize, message: Message) {
         if to >= self.processes.len() {
             return;
         }
-        let bytes = message_size(from, leader, &body) as u64;
+        let bytes = message.size();
         self.sent.messages += 1;
         self.sent.bytes += bytes;
         let voters = self.options.voters;
         self.sent.voter_messages += u64::from(to < voters || index < voters);
         if let Some(scale) = &mut self.scale {
-            scale.count_message(index, &body, bytes);
+            scale.count_message(index, &message.body, bytes);
         }
         let delayed = self.options.has_defect(PlantedDefect::OldReply)
-            && matches!(body, MessageBody::SubscribeReply(_));
+            && matches!(message.body, MessageBody::SubscribeReply(_));
         let sent_at = self.now + if delayed { REPLY_DELAY } else { 0 };
         for at in self.network.carry(&mut self.rng, sent_at, index, to) {
-            let message = Box::new((from.clone(), leader, body.clone()));
+            let message = Box::new(message.clone());
             self.schedule(at, Event::Message { to, message });
         }
     }
 }
-
-/// A node's id and the leader that it knows, which its messages carry.
-fn sender_of(node: &FleetNode) -> (NodeId, Leader) {
-    (node.setup().node.clone(), node.leader())
-}
