--- a/simulation/src/cli/agree.rs
+++ b/simulation/src/cli/agree.rs
@@ -14,8 +14,8 @@
     #[arg(long, value_delimiter = ',', default_value = "7")]
     front_ends: Vec<usize>,
     /// How many of them are voters, which keep the log: 1, 3, 5 or 7.
-    #[arg(long, default_value_t = 1)]
-    seats: usize,
+    #[arg(long = "seats", default_value_t = 1)]
+    voters: usize,
     /// Front ends beside the voters that may become voters.
     #[arg(long, default_value_t = 0)]
     spares: usize,
@@ -87,7 +87,7 @@
     let mut options = SimulationOptions {
         defect: arguments.plant,
         quiet: arguments.quiet,
-        voters: arguments.seats.clamp(1, front_ends.max(2)),
+        voters: arguments.voters.clamp(1, front_ends.max(2)),
         spares: arguments.spares,
         replacements: arguments.replacements,
         scopes: arguments.scopes,
--- a/simulation/src/cli/size.rs
+++ b/simulation/src/cli/size.rs
@@ -31,8 +31,9 @@
 #[derive(Clone, clap::Args, Serialize)]
 struct FleetArguments {
     /// How many of the front ends are voters, which keep the log: 1, 3, 5 or 7.
-    #[arg(long, default_value_t = 5)]
-    seats: usize,
+    #[arg(long = "seats", default_value_t = 5)]
+    #[serde(rename = "seats")]
+    voters: usize,
     /// Regions, 40 to 80 ms apart one way; inside one up to 3 ms.
     #[arg(long, default_value_t = 1)]
     regions: usize,
@@ -49,21 +50,24 @@
     #[arg(long, default_value_t = 0)]
     burst: usize,
     /// Processes that end without notice in an hour and are back after 2 to 10 s.
-    #[arg(long, default_value_t = 0.0)]
-    away_hour: f64,
+    #[arg(long = "away-hour", default_value_t = 0.0)]
+    #[serde(rename = "away_hour")]
+    restarts_hour: f64,
     /// Front ends that end without notice and for good when counting begins.
     #[arg(long, default_value_t = 0)]
     dead: usize,
     /// Regions that are partitioned from all others, from a fifth of the time on.
-    #[arg(long, default_value_t = 0)]
-    cut_regions: usize,
+    #[arg(long = "cut-regions", default_value_t = 0)]
+    #[serde(rename = "cut_regions")]
+    partitioned_regions: usize,
     /// How long they are, seconds.
-    #[arg(long, default_value_t = 3600)]
-    cut_seconds: i64,
+    #[arg(long = "cut-seconds", default_value_t = 3600)]
+    #[serde(rename = "cut_seconds")]
+    partition_seconds: i64,
     /// A session's length, seconds.
-    #[arg(long, default_value_t = 3600)]
+    #[arg(long = "stay", default_value_t = 3600)]
     #[serde(rename = "stay_seconds")]
-    stay: i64,
+    session: i64,
     /// A lease's length, milliseconds.
     #[arg(long, default_value_t = 600)]
     #[serde(rename = "lease_ms")]
@@ -75,15 +79,17 @@
     #[arg(long, default_value_t = 0)]
     by_scope: usize,
     /// Changes come in even steps over four fifths of the time, at their rate.
-    #[arg(long)]
-    #[serde(serialize_with = "as_number")]
-    evenly: bool,
+    #[arg(long = "evenly")]
+    #[serde(rename = "evenly", serialize_with = "as_number")]
+    even_steps: bool,
     /// Share of the changes by scope that go to functions which a front end gets requests for.
-    #[arg(long, default_value_t = 0.0)]
-    held: f64,
+    #[arg(long = "held", default_value_t = 0.0)]
+    #[serde(rename = "held")]
+    requested: f64,
     /// Share of them that go to functions which one that ended for good got requests for.
-    #[arg(long, default_value_t = 0.0)]
-    held_by_dead: f64,
+    #[arg(long = "held-by-dead", default_value_t = 0.0)]
+    #[serde(rename = "held_by_dead")]
+    requested_by_dead: f64,
     /// Front ends of one rack, which end at once, without notice and for good, at a fifth of the time.
     #[arg(long, default_value_t = 0, conflicts_with_all = ["zone", "rolling"])]
     rack: usize,
@@ -94,9 +100,9 @@
     #[arg(long, default_value_t = 20)]
     zone_seconds: i64,
     /// The rack or zone is that of the leader, else one without voters.
-    #[arg(long)]
-    #[serde(serialize_with = "as_number")]
-    with_root: bool,
+    #[arg(long = "with-root")]
+    #[serde(rename = "with_root", serialize_with = "as_number")]
+    with_leader: bool,
     /// Rolling restart from a fifth of the time on, in so many parts, each once the one before acts again.
     #[arg(long, default_value_t = 0)]
     rolling: usize,
@@ -168,10 +174,10 @@
             front_ends,
             tier: arguments.tier,
             arguments: FleetArguments {
-                seats: fleet.seats.clamp(1, front_ends),
+                voters: fleet.voters.clamp(1, front_ends),
                 zone_seconds: if_set(fleet.zone > 0, fleet.zone_seconds),
                 rolling_seconds: if_set(fleet.rolling > 0, fleet.rolling_seconds),
-                cut_seconds: if_set(fleet.cut_regions > 0, fleet.cut_seconds),
+                partition_seconds: if_set(fleet.partitioned_regions > 0, fleet.partition_seconds),
                 ..fleet.clone()
             },
         }
@@ -180,8 +186,8 @@
     fn options(&self) -> SimulationOptions {
         let mut options = SimulationOptions {
             tier: self.tier,
-            voters: self.arguments.seats,
-            session: seconds(self.arguments.stay.max(1)),
+            voters: self.arguments.voters,
+            session: seconds(self.arguments.session.max(1)),
             scale: Some(self.scenario()),
             network: REGION_NETWORK,
             ..SimulationOptions::of(self.front_ends)
@@ -199,19 +205,19 @@
             changes_hour: arguments.changes_hour,
             strict_every: arguments.strict_every,
             burst: arguments.burst,
-            restarts_hour: arguments.away_hour,
+            restarts_hour: arguments.restarts_hour,
             dead: arguments.dead,
-            partitioned_regions: arguments.cut_regions,
-            partition: seconds(arguments.cut_seconds),
+            partitioned_regions: arguments.partitioned_regions,
+            partition: seconds(arguments.partition_seconds),
             functions: arguments.functions,
             by_scope: arguments.by_scope,
-            even_steps: arguments.evenly,
-            requested: arguments.held.clamp(0.0, 1.0),
-            requested_by_dead: arguments.held_by_dead.clamp(0.0, 1.0),
+            even_steps: arguments.even_steps,
+            requested: arguments.requested.clamp(0.0, 1.0),
+            requested_by_dead: arguments.requested_by_dead.clamp(0.0, 1.0),
             rack: arguments.rack,
             zone: arguments.zone,
             zone_away: seconds(arguments.zone_seconds),
-            with_leader: arguments.with_root,
+            with_leader: arguments.with_leader,
             rolling: arguments.rolling.min(self.front_ends),
             rolling_away: seconds(arguments.rolling_seconds),
         }
@@ -226,17 +232,17 @@
              --by-scope {}{} --json",
             self.front_ends,
             format!("{:?}", self.tier).to_lowercase(),
-            arguments.seats,
+            arguments.voters,
             arguments.seconds,
             arguments.regions,
             arguments.changes_hour,
             arguments.strict_every,
             arguments.burst,
-            arguments.away_hour,
+            arguments.restarts_hour,
             arguments.dead,
-            arguments.cut_regions,
-            arguments.cut_seconds,
-            arguments.stay,
+            arguments.partitioned_regions,
+            arguments.partition_seconds,
+            arguments.session,
             arguments.lease,
             arguments.functions,
             arguments.by_scope,
@@ -294,18 +300,18 @@
     /// The flags of a scenario, as far as they differ from their defaults.
     fn scenario_flags(&self) -> String {
         let all = [
-            (self.evenly, " --evenly".into()),
-            (self.held > 0.0, format!(" --held {}", self.held)),
+            (self.even_steps, " --evenly".into()),
+            (self.requested > 0.0, format!(" --held {}", self.requested)),
             (
-                self.held_by_dead > 0.0,
-                format!(" --held-by-dead {}", self.held_by_dead),
+                self.requested_by_dead > 0.0,
+                format!(" --held-by-dead {}", self.requested_by_dead),
             ),
             (self.rack > 0, format!(" --rack {}", self.rack)),
             (
                 self.zone > 0,
                 format!(" --zone {} --zone-seconds {}", self.zone, self.zone_seconds),
             ),
-            (self.with_root, " --with-root".into()),
+            (self.with_leader, " --with-root".into()),
             (
                 self.rolling > 0,
                 format!(
