--- a/simulation/src/cli/roll.rs
+++ b/simulation/src/cli/roll.rs
@@ -1,31 +1,27 @@
 //! `tansy-sim roll`: changes in stages.
 
-use super::{plot_or_fail, print_json, threads_or_all};
+use super::{plot_or_fail, print_json, SeedArguments};
 use crate::rollout::{many, DecisionRule, Regression, RolloutOptions, RolloutSummary};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 #[derive(clap::Args)]
 pub(super) struct RollArguments {
-    /// Rolls of each sort.
+    /// Rollouts of each sort.
     #[arg(long, default_value_t = 200)]
     rolls: u64,
-    /// The first seed.
-    #[arg(long, default_value_t = 1)]
-    from: u64,
-    /// Threads; the outcome does not depend on it.
-    #[arg(long, default_value_t = 0)]
-    threads: usize,
+    #[command(flatten)]
+    seed_arguments: SeedArguments,
     /// Front ends.
     #[arg(long, default_value_t = 30)]
     front_ends: usize,
-    /// Calls a second at a front end of mean traffic.
+    /// Requests a second at a front end of mean traffic.
     #[arg(long, default_value_t = 40.0)]
     rate: f64,
-    /// Rolls of nothing changed alone.
+    /// Only rollouts of a change without effect.
     #[arg(long)]
     null: bool,
-    /// Beside them the two plain rules: a fixed threshold on the difference, and on the difference to the own past.
+    /// Beside the canary analysis the two fixed rules: a threshold on the difference between the sides, and on that to the own past.
     #[arg(long)]
     plain: bool,
     /// One line of JSON for each sort.
@@ -61,7 +57,7 @@
 ];
 
 pub(super) fn run(arguments: RollArguments) -> ExitCode {
-    let threads = threads_or_all(arguments.threads);
+    let threads = arguments.seed_arguments.threads();
     let regressions = if arguments.null {
         &REGRESSIONS[..1]
     } else {
@@ -82,7 +78,12 @@
                 rule: *rule,
                 ..RolloutOptions::default()
             };
-            let summary = many(&options, arguments.from, arguments.rolls, threads);
+            let summary = many(
+                &options,
+                arguments.seed_arguments.from,
+                arguments.rolls,
+                threads,
+            );
             if arguments.json {
                 print_json(&summary);
             } else {
@@ -107,8 +108,8 @@
         .map(|share| format!("{:.0}%", share * 100.0))
         .collect();
     println!(
-        "{rule:?} {regression:?}: {} rolls, {:.2}% stopped, in stages {}; after {} s (median), {} s (90 of 100); {:.2}% of the \
-         calls met it; done after {} s; {:?}",
+        "{rule:?} {regression:?}: {} rollouts, {:.2}% stopped, in stages {}; after {} s (median), {} s (90 of 100); {:.2}% of the \
+         requests reached it; done after {} s; {:?}",
         summary.rollouts,
         summary.stopped * 100.0,
         stages.join(" "),
