--- a/tests/soak/src/abuse.rs
+++ b/tests/soak/src/abuse.rs
@@ -69,8 +69,8 @@
     let read = timeout(OWED_WITHIN + BEYOND, socket.read(&mut first)).await;
     let served = matches!(read, Ok(Ok(length)) if first[..length].starts_with(b"HTTP/1.1 200"));
     let after = read.is_ok().then(|| began.elapsed());
-    facts.record(Fact::Abused {
-        place: front_end,
+    facts.record(Fact::MalformedRequest {
+        front_end,
         process: endpoint.process,
         after,
         served,
--- a/tests/soak/src/clients.rs
+++ b/tests/soak/src/clients.rs
@@ -184,9 +184,9 @@
         }
         let sent = Instant::now();
         let idle_before = connection.rested;
-        self.facts.record(Fact::Sent {
+        self.facts.record(Fact::RequestSent {
             id: request.id,
-            place: self.front_end,
+            front_end: self.front_end,
             process: connection.process,
             effect: request.effect,
             timeout: request.timeout,
@@ -199,12 +199,12 @@
                 RequestEnd::Closed
             }
             Ok(Ok(answer)) => self.on_answer(&answer, request),
-            Ok(Err(how)) => {
-                self.facts.record(Fact::Dropped {
+            Ok(Err(end)) => {
+                self.facts.record(Fact::ConnectionLost {
                     id: request.id,
-                    how,
+                    end,
                 });
-                let closed = how == ConnectionEnd::Closed;
+                let closed = end == ConnectionEnd::Closed;
                 if closed && idle_before && sent.elapsed() <= CROSSING {
                     RequestEnd::Crossed
                 } else {
@@ -236,17 +236,17 @@
         }
         let id = request.id;
         self.facts.record(if waited > request.timeout {
-            Fact::Unanswered { id }
+            Fact::ResponseTimedOut { id }
         } else {
-            Fact::Left { id }
+            Fact::ClientDisconnected { id }
         });
     }
 
     fn on_answer(&self, answer: &Answer, request: &Request) -> RequestEnd {
-        self.facts.record(Fact::Answered {
+        self.facts.record(Fact::ResponseReceived {
             id: request.id,
             status: answer.status,
-            own_body: answer.body == request.body.as_bytes(),
+            body_matches: answer.body == request.body.as_bytes(),
         });
         if answer.keep_alive {
             RequestEnd::KeepAlive
@@ -283,7 +283,7 @@
         _ => return Err(ConnectionEnd::Closed),
     }
     let rest = read_head(socket).await;
-    let rest = rest.ok_or(ConnectionEnd::HalfAnswer)?;
+    let rest = rest.ok_or(ConnectionEnd::Truncated)?;
     let lines: Vec<&str> = rest.lines().collect();
     let status = lines
         .first()
@@ -292,11 +292,11 @@
         .iter()
         .find_map(|line| line.strip_prefix("Content-Length: ")?.trim().parse().ok());
     let (Some(status), Some(length)) = (status, length) else {
-        return Err(ConnectionEnd::HalfAnswer);
+        return Err(ConnectionEnd::Truncated);
     };
     let mut body = vec![0u8; length];
     let read = socket.read_exact(&mut body).await;
-    read.map_err(|_| ConnectionEnd::HalfAnswer)?;
+    read.map_err(|_| ConnectionEnd::Truncated)?;
     let closes = |line: &&str| line.eq_ignore_ascii_case("connection: close");
     Ok(Answer {
         status,
--- a/tests/soak/src/discovery.rs
+++ b/tests/soak/src/discovery.rs
@@ -153,8 +153,8 @@
         loop {
             let head = read_head(&mut socket).await?;
             let acknowledged = subscriber.event(query_parameter(&head, "follow=")?);
-            self.facts.record(Fact::Polled {
-                place: front_end,
+            self.facts.record(Fact::PollReceived {
+                front_end,
                 process,
                 event: acknowledged,
             });
@@ -163,8 +163,8 @@
             let _ = timeout(wait, newest_event.wait_for(|newest| *newest > acknowledged)).await;
             let (reply, event) = self.reply(acknowledged, subscriber);
             let mode = *self.mode.borrow();
-            self.facts.record(Fact::Notified {
-                place: front_end,
+            self.facts.record(Fact::PollReplyStarted {
+                front_end,
                 process,
                 event,
             });
--- a/tests/soak/src/facts.rs
+++ b/tests/soak/src/facts.rs
@@ -1,6 +1,6 @@
 //! What was seen on the sockets and of the processes, with the time: the only thing that the oracle judges from.
 
-use std::sync::Mutex;
+use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
 /// A request's id.
@@ -26,20 +26,20 @@
 pub enum ConnectionEnd {
     /// The front end closed or reset it, with nothing of an answer.
     Closed,
-    /// The answer was cut short.
-    HalfAnswer,
+    /// The response was cut short.
+    Truncated,
 }
 
 /// One thing that was seen.
 #[derive(Clone, Debug)]
 pub enum Fact {
-    /// A request's last byte was written.
-    Sent {
+    /// A client wrote the last byte of a request.
+    RequestSent {
         /// The request.
         id: RequestId,
-        /// To which front end, and which of its processes, from 0.
-        place: FrontEndIndex,
-        /// The process's number at that place.
+        /// The front end that it was sent to.
+        front_end: FrontEndIndex,
+        /// The number of its process.
         process: u64,
         /// What running it twice would do.
         effect: Effect,
@@ -48,47 +48,47 @@
         /// The connection had been idle before: its end within the crossing time makes the client send once more.
         idle_before: bool,
     },
-    /// An answer came whole.
-    Answered {
+    /// A client read a whole response.
+    ResponseReceived {
         /// The request.
         id: RequestId,
         /// Its status.
         status: u16,
         /// The body is the one that a worker makes for this request.
-        own_body: bool,
+        body_matches: bool,
     },
-    /// The client closed or reset its connection.
-    Left {
+    /// The client closed or reset its connection with the request open on it.
+    ClientDisconnected {
         /// The request.
         id: RequestId,
     },
-    /// The front end ended the connection.
-    Dropped {
+    /// The front end ended the client's connection with the request open on it.
+    ConnectionLost {
         /// The request.
         id: RequestId,
         /// How.
-        how: ConnectionEnd,
+        end: ConnectionEnd,
     },
-    /// No answer came until long after the request's time.
-    Unanswered {
+    /// The client gave up: no response came until long after its timeout.
+    ResponseTimedOut {
         /// The request.
         id: RequestId,
     },
-    /// An attempt came whole to the proxy of a worker.
-    Began {
+    /// A worker's proxy read a whole attempt.
+    AttemptStarted {
         /// The request.
         id: RequestId,
         /// The worker.
         worker: WorkerId,
         /// The proxy's connection.
         connection: u64,
-        /// The time that the worker was told, milliseconds.
-        patience_ms: u64,
-        /// It may have come long before: the kernel had taken its connection while the proxy accepted none.
-        waited: bool,
+        /// The timeout that the worker was given, in milliseconds.
+        timeout_ms: u64,
+        /// It may have waited in the kernel's queue of connections while the proxy accepted none.
+        maybe_queued: bool,
     },
     /// An attempt ended: the worker's answer was written, it was given up, or its connection ended.
-    Ended {
+    AttemptEnded {
         /// The request.
         id: RequestId,
         /// The proxy's connection.
@@ -96,15 +96,15 @@
         /// The worker said that it did not run.
         never_ran: bool,
     },
-    /// A load order for at least one copy came to the proxy of a worker.
-    LoadBegan {
+    /// A worker's proxy read a request to load at least one instance.
+    LoadStarted {
         /// The worker.
         worker: WorkerId,
         /// The proxy's connection.
         connection: u64,
     },
-    /// A connection to a proxy was made by the process with this port's owner.
-    Connected {
+    /// A worker's proxy accepted a connection.
+    ConnectionAccepted {
         /// The proxy's connection.
         connection: u64,
         /// The other side's port.
@@ -119,13 +119,13 @@
         /// It takes work.
         ready: bool,
     },
-    /// A poll was answered up to this event.
-    Polled {
+    /// The coordinator read a poll, which acknowledges the events up to this one.
+    PollReceived {
         /// The front end.
-        place: FrontEndIndex,
-        /// The process's number at that place.
+        front_end: FrontEndIndex,
+        /// The number of its process.
         process: u64,
-        /// The last event that the front end held.
+        /// The last event that the front end has received.
         event: u64,
     },
     /// The coordinator answers whole replies from now on, however slowly, or does not.
@@ -133,64 +133,64 @@
         /// It does.
         answers: bool,
     },
-    /// A reply with the events up to this one was begun.
-    Notified {
+    /// The coordinator began a reply with the events up to this one.
+    PollReplyStarted {
         /// The front end.
-        place: FrontEndIndex,
-        /// The process's number at that place.
+        front_end: FrontEndIndex,
+        /// The number of its process.
         process: u64,
         /// The last event of the reply.
         event: u64,
     },
     /// A process was started.
-    Started {
+    ProcessStarted {
         /// The front end.
-        place: FrontEndIndex,
-        /// Its number at that place.
+        front_end: FrontEndIndex,
+        /// The number of its process.
         process: u64,
     },
-    /// It answered that it is alive.
-    Ready {
+    /// It answered a liveness request.
+    ProcessReady {
         /// The front end.
-        place: FrontEndIndex,
-        /// Its number at that place.
+        front_end: FrontEndIndex,
+        /// The number of its process.
         process: u64,
     },
     /// A signal was sent to it.
-    Signalled {
+    SignalSent {
         /// The front end.
-        place: FrontEndIndex,
-        /// Its number at that place.
+        front_end: FrontEndIndex,
+        /// The number of its process.
         process: u64,
         /// Which.
         signal: Signal,
     },
     /// It ended.
-    Exited {
+    ProcessExited {
         /// The front end.
-        place: FrontEndIndex,
-        /// Its number at that place.
+        front_end: FrontEndIndex,
+        /// The number of its process.
         process: u64,
         /// Its exit code; none: a signal ended it.
         code: Option<i32>,
-        /// Its last line on standard output.
-        account: String,
+        /// The last line of its standard output.
+        last_line: String,
     },
-    /// A client that sent what is no request was answered or closed after so long; none: not at all.
-    Abused {
+    /// What a front end did with a client that sent what is no request.
+    MalformedRequest {
         /// The front end.
-        place: FrontEndIndex,
-        /// Its number at that place.
+        front_end: FrontEndIndex,
+        /// The number of its process.
         process: u64,
-        /// How long after it had connected.
+        /// How long after it had connected it was answered or closed; none: not at all.
         after: Option<Duration>,
         /// It was served.
         served: bool,
     },
-    /// This harness itself ran late by so much: what happened in that time is seen late.
-    HarnessLate(Duration),
-    /// A trouble began, in words.
-    Trouble(String),
+    /// This harness itself ran late by so much: what happened in that time is recorded late.
+    HarnessDelayed(Duration),
+    /// A fault of the network, of discovery or of clients began or ended, in words.
+    FaultChanged(String),
 }
 
 /// A signal that the soak sends.
@@ -229,14 +229,16 @@
     pub fn now(&self) -> Duration {
         self.began.elapsed()
     }
+
     /// Records a fact as of now.
     pub fn record(&self, fact: Fact) {
-        let mut all = self.all.lock().unwrap_or_else(|e| e.into_inner());
+        let mut all = self.all.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.began.elapsed();
         all.push((now, fact));
     }
+
     /// All that was recorded.
     pub fn take(&self) -> Vec<(Duration, Fact)> {
-        std::mem::take(&mut *self.all.lock().unwrap_or_else(|e| e.into_inner()))
+        std::mem::take(&mut *self.all.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
--- a/tests/soak/src/fault_schedule.rs
+++ b/tests/soak/src/fault_schedule.rs
@@ -121,13 +121,13 @@
         sleep(draw_span(&mut random, 200..1200)).await;
         let worker = random.usize(0..proxies.len());
         let mode = draw_network_mode(&mut random);
-        facts.record(Fact::Trouble(format!("worker {worker}: {mode:?}")));
+        facts.record(Fact::FaultChanged(format!("worker {worker}: {mode:?}")));
         proxies[worker].set_mode(mode);
         // Some last through a whole shutdown.
         let longest = if random.u32(0..6) == 0 { 5000 } else { 1500 };
         sleep(draw_span(&mut random, 200..longest)).await;
         proxies[worker].set_mode(NetworkMode::Plain);
-        facts.record(Fact::Trouble(format!("worker {worker}: plain")));
+        facts.record(Fact::FaultChanged(format!("worker {worker}: plain")));
     }
     for proxy in proxies.iter() {
         proxy.set_mode(NetworkMode::Plain);
@@ -160,12 +160,12 @@
             1 => DiscoveryMode::Cut,
             _ => DiscoveryMode::Slow(draw_span(&mut random, 100..2500)),
         };
-        facts.record(Fact::Trouble(format!("discovery: {mode:?}")));
+        facts.record(Fact::FaultChanged(format!("discovery: {mode:?}")));
         discovery.set_mode(mode);
         // Some last longer than an event may take to reach a front end.
         sleep(draw_span(&mut random, 500..9000)).await;
         discovery.set_mode(DiscoveryMode::Plain);
-        facts.record(Fact::Trouble("discovery: plain".into()));
+        facts.record(Fact::FaultChanged("discovery: plain".into()));
     }
     discovery.set_mode(DiscoveryMode::Plain);
 }
@@ -209,7 +209,7 @@
         sleep(draw_span(&mut random, 2000..6000)).await;
         let front_end = random.usize(0..endpoints.front_ends());
         let address = endpoints.get(front_end).address;
-        facts.record(Fact::Trouble(format!(
+        facts.record(Fact::FaultChanged(format!(
             "front end {front_end}: an idle crowd"
         )));
         let mut crowd = Vec::new();
--- a/tests/soak/src/main.rs
+++ b/tests/soak/src/main.rs
@@ -31,7 +31,7 @@
     /// Clients of each front end.
     #[arg(long, default_value_t = 4)]
     clients: usize,
-    /// Seconds of trouble.
+    /// Seconds in which faults go on.
     #[arg(long, default_value_t = 15)]
     seconds: u64,
     /// Violations of each run that are shown with their timelines.
@@ -106,17 +106,17 @@
 fn print_counts(seed: u64, oracle: &Oracle, sure: usize) {
     let counts = &oracle.counts;
     println!(
-        "seed {seed}: {sure} violations, {} doubtful; {} sent, {:?}, {} left, {} excused, {} attempts, {} processes, \
-         {} signals, {} troubles",
+        "seed {seed}: {sure} violations, {} doubtful; {} sent, {:?}, {} disconnected, {} excused, {} attempts, {} processes, \
+         {} signals, {} fault changes",
         oracle.violations().len() - sure,
         counts.sent,
         counts.statuses,
-        counts.left,
+        counts.disconnected,
         counts.excused,
         counts.attempts,
         counts.processes,
         counts.signals,
-        counts.troubles
+        counts.fault_changes
     );
 }
 
--- a/tests/soak/src/oracle/collect.rs
+++ b/tests/soak/src/oracle/collect.rs
@@ -8,15 +8,15 @@
 impl Oracle {
     pub(super) fn collect(&mut self, at: Duration, fact: &Fact) {
         match *fact {
-            Fact::Answered { id, status, .. } => {
+            Fact::ResponseReceived { id, status, .. } => {
                 *self.counts.statuses.entry(status).or_default() += 1;
                 self.ends.insert(id, at);
             }
-            Fact::Left { id } => {
-                self.counts.left += 1;
+            Fact::ClientDisconnected { id } => {
+                self.counts.disconnected += 1;
                 self.ends.insert(id, at);
             }
-            Fact::Unanswered { id } => {
+            Fact::ResponseTimedOut { id } => {
                 self.ends.insert(id, at);
             }
             Fact::Listed {
@@ -26,25 +26,25 @@
             } => {
                 self.states.entry(worker).or_default().push((event, ready));
             }
-            Fact::Began { id, .. } => {
+            Fact::AttemptStarted { id, .. } => {
                 self.counts.attempts += 1;
                 self.attempts.entry(id).or_default().push(Attempt {
                     began: at,
                     ended: None,
                 });
             }
-            Fact::Ended { id, never_ran, .. } => self.collect_attempt_end(at, id, never_ran),
-            Fact::Started { place, process } => {
+            Fact::AttemptEnded { id, never_ran, .. } => self.collect_attempt_end(at, id, never_ran),
+            Fact::ProcessStarted { front_end, process } => {
                 self.counts.processes += 1;
                 self.processes.insert(
-                    (place, process),
+                    (front_end, process),
                     Lifetime {
                         started: at,
                         ..Lifetime::default()
                     },
                 );
             }
-            Fact::Trouble(_) => self.counts.troubles += 1,
+            Fact::FaultChanged(_) => self.counts.fault_changes += 1,
             _ => {
                 self.collect_sent(at, fact);
                 self.collect_process(at, fact);
@@ -53,9 +53,9 @@
     }
 
     fn collect_sent(&mut self, at: Duration, fact: &Fact) {
-        let Fact::Sent {
+        let Fact::RequestSent {
             id,
-            place,
+            front_end,
             process,
             effect,
             timeout,
@@ -67,7 +67,7 @@
         self.counts.sent += 1;
         self.sent.entry(id).or_default().push(Sent {
             at,
-            process: (place, process),
+            process: (front_end, process),
             effect,
             timeout,
             idle_before,
@@ -86,23 +86,31 @@
     }
 
     fn collect_process(&mut self, at: Duration, fact: &Fact) {
-        let (Fact::Ready { place, process }
-        | Fact::Signalled { place, process, .. }
-        | Fact::Exited { place, process, .. }
-        | Fact::Polled { place, process, .. }
-        | Fact::Notified { place, process, .. }) = fact
+        let (Fact::ProcessReady { front_end, process }
+        | Fact::SignalSent {
+            front_end, process, ..
+        }
+        | Fact::ProcessExited {
+            front_end, process, ..
+        }
+        | Fact::PollReceived {
+            front_end, process, ..
+        }
+        | Fact::PollReplyStarted {
+            front_end, process, ..
+        }) = fact
         else {
             return;
         };
-        let Some(lifetime) = self.processes.get_mut(&(*place, *process)) else {
+        let Some(lifetime) = self.processes.get_mut(&(*front_end, *process)) else {
             return;
         };
         match fact {
-            Fact::Ready { .. } => lifetime.ready = Some(at),
-            Fact::Exited { .. } => lifetime.exited = Some(at),
-            Fact::Polled { event, .. } => lifetime.polled.push((at, *event)),
-            Fact::Notified { event, .. } => lifetime.notified.push((at, *event)),
-            Fact::Signalled { signal, .. } => {
+            Fact::ProcessReady { .. } => lifetime.ready = Some(at),
+            Fact::ProcessExited { .. } => lifetime.exited = Some(at),
+            Fact::PollReceived { event, .. } => lifetime.polled.push((at, *event)),
+            Fact::PollReplyStarted { event, .. } => lifetime.notified.push((at, *event)),
+            Fact::SignalSent { signal, .. } => {
                 self.counts.signals += 1;
                 match signal {
                     Signal::Terminate => lifetime.terminated = Some(at),
--- a/tests/soak/src/oracle/mod.rs
+++ b/tests/soak/src/oracle/mod.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// A worker's timeout may be longer than the time that the client has left by so much.
-const PATIENCE_SLACK: Duration = Duration::from_millis(150);
+const TIMEOUT_SLACK: Duration = Duration::from_millis(150);
 /// Facts of two sockets may be recorded in the other order by so much.
 const ORDER_SLACK: Duration = Duration::from_millis(100);
 /// What a harness that ran late by this much saw then is doubtful.
@@ -33,9 +33,9 @@
     /// Never two attempts at once.
     OneAttempt,
     /// Nothing is begun for a client that has gone or was answered.
-    ClientThere,
+    ClientPresent,
     /// A worker is given no more time than the client has left.
-    Patience,
+    AttemptTimeout,
     /// Nothing goes to a worker that is known to drain.
     Drain,
     /// Events of the endpoint list reach every front end.
@@ -72,8 +72,8 @@
     pub sent: usize,
     /// Of them answered, by status.
     pub statuses: BTreeMap<u16, usize>,
-    /// Clients that left.
-    pub left: usize,
+    /// Clients that disconnected before a response.
+    pub disconnected: usize,
     /// Excused ends: the process was killed, or the request crossed an end.
     pub excused: usize,
     /// Attempts.
@@ -82,11 +82,11 @@
     pub processes: usize,
     /// Signals sent.
     pub signals: usize,
-    /// Troubles of the network and of discovery.
-    pub troubles: usize,
+    /// Faults of the network, of discovery and of clients that began or ended.
+    pub fault_changes: usize,
 }
 
-/// A front end's place, and its process's number there.
+/// A front end, and the number of its process.
 type ProcessId = (FrontEndIndex, u64);
 
 /// A request as its client sent it.
@@ -113,7 +113,7 @@
     sent: HashMap<RequestId, Vec<Sent>>,
     attempts: HashMap<RequestId, Vec<Attempt>>,
     processes: HashMap<ProcessId, Lifetime>,
-    /// When each request's client had its end: answered, left, or timed out.
+    /// When each request's client had its end: answered, disconnected, or timed out.
     ends: HashMap<RequestId, Duration>,
     /// The states of each worker by event, and whether it takes work then.
     states: HashMap<WorkerId, Vec<(u64, bool)>>,
@@ -159,25 +159,24 @@
             .get(&id)
             .into_iter()
             .flatten()
-            .map(|s| s.process)
+            .map(|sent| sent.process)
             .collect();
         let mine: Vec<_> = self
             .facts
             .iter()
-            .filter(|(_, f)| about(f) == Some(id))
+            .filter(|(_, fact)| request_of(fact) == Some(id))
             .collect();
         let (Some(first), Some(last)) = (mine.first(), mine.last()) else {
             return Vec::new();
         };
         let around = first.0.saturating_sub(Duration::from_secs(2))..=last.0;
-        let shown = self.facts.iter().filter(|(at, f)| {
-            let process = matches!(f, Fact::Signalled { place, process, .. } | Fact::Ready { place, process }
-                | Fact::Started { place, process } | Fact::Exited { place, process, .. }
-                if processes.contains(&(*place, *process)));
-            about(f) == Some(id) || process && around.contains(at)
+        let shown = self.facts.iter().filter(|(at, fact)| {
+            let is_of_request = request_of(fact) == Some(id);
+            let is_of_process = changed_process(fact).is_some_and(|it| processes.contains(&it));
+            is_of_request || is_of_process && around.contains(at)
         });
         shown
-            .map(|(at, f)| format!("{:9.3} s  {f:?}", at.as_secs_f64()))
+            .map(|(at, fact)| format!("{:9.3} s  {fact:?}", at.as_secs_f64()))
             .collect()
     }
 
@@ -202,15 +201,15 @@
         let all = self.sent.get(&id)?;
         all.iter()
             .rev()
-            .find(|s| s.at <= at + ORDER_SLACK)
+            .find(|sent| sent.at <= at + ORDER_SLACK)
             .or(all.first())
             .copied()
     }
 
     /// Marks what was seen while the harness itself ran late.
     fn mark_doubtful(&mut self) {
-        let late = self.facts.iter().filter_map(|(at, f)| match f {
-            Fact::HarnessLate(by) if *by >= DOUBTFUL => Some((at.saturating_sub(*by), *at)),
+        let late = self.facts.iter().filter_map(|(at, fact)| match fact {
+            Fact::HarnessDelayed(by) if *by >= DOUBTFUL => Some((at.saturating_sub(*by), *at)),
             _ => None,
         });
         let late: Vec<_> = late.collect();
@@ -221,23 +220,38 @@
             );
             let near = |(from, to): &(Duration, Duration)| {
                 *from <= violation.at + ORDER_SLACK
-                    && violation.at <= *to + PATIENCE_SLACK + ORDER_SLACK
+                    && violation.at <= *to + TIMEOUT_SLACK + ORDER_SLACK
             };
             violation.doubtful = timed && late.iter().any(near);
         }
     }
 }
 
-/// The request that a fact is about.
-fn about(fact: &Fact) -> Option<RequestId> {
+/// The request that a fact is about, if it is about one.
+fn request_of(fact: &Fact) -> Option<RequestId> {
     match fact {
-        Fact::Sent { id, .. }
-        | Fact::Answered { id, .. }
-        | Fact::Left { id }
-        | Fact::Dropped { id, .. }
-        | Fact::Unanswered { id }
-        | Fact::Began { id, .. }
-        | Fact::Ended { id, .. } => Some(*id),
+        Fact::RequestSent { id, .. }
+        | Fact::ResponseReceived { id, .. }
+        | Fact::ClientDisconnected { id }
+        | Fact::ConnectionLost { id, .. }
+        | Fact::ResponseTimedOut { id }
+        | Fact::AttemptStarted { id, .. }
+        | Fact::AttemptEnded { id, .. } => Some(*id),
+        _ => None,
+    }
+}
+
+/// The process whose life a fact changes, if it changes one.
+fn changed_process(fact: &Fact) -> Option<ProcessId> {
+    match *fact {
+        Fact::ProcessStarted { front_end, process }
+        | Fact::ProcessReady { front_end, process }
+        | Fact::SignalSent {
+            front_end, process, ..
+        }
+        | Fact::ProcessExited {
+            front_end, process, ..
+        } => Some((front_end, process)),
         _ => None,
     }
 }
--- a/tests/soak/src/oracle/requests.rs
+++ b/tests/soak/src/oracle/requests.rs
@@ -1,6 +1,6 @@
 //! What requests show: answers, attempts, repeats and drains.
 
-use super::{Attempt, Invariant, Oracle, ORDER_SLACK, PATIENCE_SLACK};
+use super::{Attempt, Invariant, Oracle, ORDER_SLACK, TIMEOUT_SLACK};
 use crate::clients::{CROSSING, LATE};
 use crate::configuration::REPEAT_WINDOW;
 use crate::facts::{ConnectionEnd, Effect, Fact, RequestId, WorkerId};
@@ -17,48 +17,48 @@
     /// Checks one fact against all that was collected.
     pub(super) fn check(&mut self, at: Duration, fact: &Fact) {
         match *fact {
-            Fact::Answered {
+            Fact::ResponseReceived {
                 id,
                 status,
-                own_body,
-            } => self.check_answer(at, id, status, own_body),
-            Fact::Dropped { id, how } => self.check_lost(at, id, Some(how)),
-            Fact::Unanswered { id } => self.check_lost(at, id, None),
-            Fact::Began {
+                body_matches,
+            } => self.check_answer(at, id, status, body_matches),
+            Fact::ConnectionLost { id, end } => self.check_lost(at, id, Some(end)),
+            Fact::ResponseTimedOut { id } => self.check_lost(at, id, None),
+            Fact::AttemptStarted {
                 id,
                 worker,
-                patience_ms,
-                waited,
+                timeout_ms,
+                maybe_queued,
                 ..
             } => {
                 self.check_repeat(at, id);
-                if !waited {
-                    self.check_attempt(at, id, patience_ms);
+                if !maybe_queued {
+                    self.check_attempt(at, id, timeout_ms);
                     self.check_drain(at, id, worker);
                 }
             }
-            Fact::Abused {
-                place,
+            Fact::MalformedRequest {
+                front_end,
                 process,
                 after,
                 served,
             } => {
-                self.check_abuse(at, (place, process), after, served);
+                self.check_abuse(at, (front_end, process), after, served);
             }
-            Fact::Exited {
-                place,
+            Fact::ProcessExited {
+                front_end,
                 process,
                 code,
-                ref account,
+                ref last_line,
             } => {
-                self.check_exit(at, (place, process), code, account);
+                self.check_exit(at, (front_end, process), code, last_line);
             }
             _ => {}
         }
     }
 
     /// An answer is a proper one, and comes in the client's time.
-    fn check_answer(&mut self, at: Duration, id: RequestId, status: u16, own_body: bool) {
+    fn check_answer(&mut self, at: Duration, id: RequestId, status: u16, body_matches: bool) {
         let Some(sent) = self.sent_before(id, at) else {
             return;
         };
@@ -70,7 +70,7 @@
                 format!("status {status} to a good request"),
             );
         }
-        if status == 200 && !own_body {
+        if status == 200 && !body_matches {
             self.report(
                 Invariant::ProperAnswer,
                 at,
@@ -90,7 +90,7 @@
     }
 
     /// A request ended without an answer, by its connection's end (some) or by its time.
-    fn check_lost(&mut self, at: Duration, id: RequestId, how: Option<ConnectionEnd>) {
+    fn check_lost(&mut self, at: Duration, id: RequestId, end: Option<ConnectionEnd>) {
         let Some(sent) = self.sent_before(id, at) else {
             return;
         };
@@ -104,17 +104,17 @@
         let came_too_late = lifetime
             .terminated
             .is_some_and(|terminated| sent.at > terminated + TAKEN_AFTER_TERM);
-        let crossed = how == Some(ConnectionEnd::Closed) && at.saturating_sub(sent.at) <= CROSSING;
-        let stopped = how.is_none() && lifetime.was_stopped(at);
+        let crossed = end == Some(ConnectionEnd::Closed) && at.saturating_sub(sent.at) <= CROSSING;
+        let stopped = end.is_none() && lifetime.was_stopped(at);
         if was_killed || came_too_late || crossed || stopped {
             self.counts.excused += 1;
             return;
         }
-        let ended = how.map_or("no answer".to_string(), |how| {
-            format!("connection ended: {how:?}")
+        let ended = end.map_or("no answer".to_string(), |end| {
+            format!("connection ended: {end:?}")
         });
         let idle = if sent.idle_before {
-            ", on a connection that had rested"
+            ", on a connection that had been idle"
         } else {
             ""
         };
@@ -126,21 +126,21 @@
     }
 
     /// An attempt is for a client that is still there, and has no more time than that.
-    fn check_attempt(&mut self, at: Duration, id: RequestId, patience_ms: u64) {
+    fn check_attempt(&mut self, at: Duration, id: RequestId, timeout_ms: u64) {
         let Some(sent) = self.sent_before(id, at) else {
             return;
         };
-        let left = (sent.at + sent.timeout).saturating_sub(at);
-        let patience = Duration::from_millis(patience_ms);
-        if patience > left + PATIENCE_SLACK {
+        let remaining = (sent.at + sent.timeout).saturating_sub(at);
+        let timeout = Duration::from_millis(timeout_ms);
+        if timeout > remaining + TIMEOUT_SLACK {
             let description =
-                format!("a worker was told {patience:?}, the client had {left:?} left");
-            self.report(Invariant::Patience, at, Some(id), description);
+                format!("a worker was given {timeout:?}, the client had {remaining:?} left");
+            self.report(Invariant::AttemptTimeout, at, Some(id), description);
         }
         let gone = self.ends.get(&id).copied();
         if let Some(gone) = gone.filter(|gone| at > *gone + GONE_SLACK) {
             let description = format!("an attempt began {:?} after its client's end", at - gone);
-            self.report(Invariant::ClientThere, at, Some(id), description);
+            self.report(Invariant::ClientPresent, at, Some(id), description);
         }
     }
 
@@ -154,7 +154,7 @@
             .get(&id)
             .into_iter()
             .flatten()
-            .filter(|a| a.began < at)
+            .filter(|attempt| attempt.began < at)
             .copied()
             .collect();
         for earlier in before {
--- a/tests/soak/src/process.rs
+++ b/tests/soak/src/process.rs
@@ -137,8 +137,8 @@
         std::fs::write(&configuration_path, configuration.text(self.address))
             .map_err(SoakError::file(&configuration_path))?;
         let (child, stdout) = self.spawn(&configuration_path, rules, seed)?;
-        self.facts.record(Fact::Started {
-            place: self.index,
+        self.facts.record(Fact::ProcessStarted {
+            front_end: self.index,
             process: self.process_number,
         });
         self.process = Some(Process {
@@ -190,8 +190,8 @@
         let began = Instant::now();
         while began.elapsed() < READY_WITHIN {
             if is_alive(self.address).await {
-                self.facts.record(Fact::Ready {
-                    place: self.index,
+                self.facts.record(Fact::ProcessReady {
+                    front_end: self.index,
                     process: self.process_number,
                 });
                 return self.set_open(true);
@@ -217,8 +217,8 @@
             Signal::Stop => rustix::process::Signal::STOP,
             Signal::Continue => rustix::process::Signal::CONT,
         };
-        self.facts.record(Fact::Signalled {
-            place: self.index,
+        self.facts.record(Fact::SignalSent {
+            front_end: self.index,
             process: self.process_number,
             signal,
         });
@@ -299,11 +299,11 @@
         let status = process.child.wait().await.ok();
         let mut output = String::new();
         let _ = process.stdout.read_to_string(&mut output).await;
-        self.facts.record(Fact::Exited {
-            place: self.index,
+        self.facts.record(Fact::ProcessExited {
+            front_end: self.index,
             process: self.process_number,
             code: status.and_then(|status| status.code()),
-            account: output.lines().last().unwrap_or("").to_string(),
+            last_line: output.lines().last().unwrap_or("").to_string(),
         });
     }
 
--- a/tests/soak/src/proxy.rs
+++ b/tests/soak/src/proxy.rs
@@ -123,7 +123,7 @@
                 number: CONNECTIONS.fetch_add(1, Ordering::Relaxed),
                 mode: self.mode.clone(),
                 open: HashSet::new(),
-                waited: self.resumed.is_some_and(|at| at.elapsed() < QUEUE_WITHIN),
+                maybe_queued: self.resumed.is_some_and(|at| at.elapsed() < QUEUE_WITHIN),
             };
             tokio::spawn(connection.run(socket, self.worker_address));
         }
@@ -165,7 +165,7 @@
     /// Requests that came and have no answer yet.
     open: HashSet<RequestId>,
     /// What is read first may have waited for this connection to be accepted.
-    waited: bool,
+    maybe_queued: bool,
 }
 
 /// How relaying goes on.
@@ -229,7 +229,7 @@
         }
         let _ = front_end.set_nodelay(true);
         if let Ok(peer) = front_end.peer_addr() {
-            self.facts.record(Fact::Connected {
+            self.facts.record(Fact::ConnectionAccepted {
                 connection: self.number,
                 port: peer.port(),
             });
@@ -239,7 +239,7 @@
             self.relay(Relayed::new(front_end, worker)).await;
         }
         for id in self.open.drain() {
-            self.facts.record(Fact::Ended {
+            self.facts.record(Fact::AttemptEnded {
                 id,
                 connection: self.number,
                 never_ran: false,
@@ -293,7 +293,7 @@
         while let Ok(Some(words)) = relayed.commands.next_array() {
             self.record_command(&words);
         }
-        self.waited = false;
+        self.maybe_queued = false;
         relayed.to_worker.extend_from_slice(bytes);
         if mode == NetworkMode::ResetUnderCalls && !self.open.is_empty() {
             Relay::Reset
@@ -341,19 +341,19 @@
             [b"fire", id, fields, _] => {
                 let Some(id) = request_id(id) else { return };
                 let patience = String::from_utf8(field(fields, b"patience=")).ok();
-                let patience_ms = patience.and_then(|text| text.parse().ok());
+                let timeout_ms = patience.and_then(|text| text.parse().ok());
                 self.open.insert(id);
-                self.facts.record(Fact::Began {
+                self.facts.record(Fact::AttemptStarted {
                     id,
                     worker: self.worker,
                     connection: self.number,
-                    patience_ms: patience_ms.unwrap_or(u64::MAX),
-                    waited: self.waited,
+                    timeout_ms: timeout_ms.unwrap_or(u64::MAX),
+                    maybe_queued: self.maybe_queued,
                 });
             }
             [b"never_mind", id] => self.record_end(id, false),
             [b"provision", _, fields] if field(fields, b"replicas=") != b"0" => {
-                self.facts.record(Fact::LoadBegan {
+                self.facts.record(Fact::LoadStarted {
                     worker: self.worker,
                     connection: self.number,
                 });
@@ -373,7 +373,7 @@
 
     fn record_end(&mut self, id: &[u8], never_ran: bool) {
         if let Some(id) = request_id(id).filter(|id| self.open.remove(id)) {
-            self.facts.record(Fact::Ended {
+            self.facts.record(Fact::AttemptEnded {
                 id,
                 connection: self.number,
                 never_ran,
--- a/tests/soak/src/runner.rs
+++ b/tests/soak/src/runner.rs
@@ -233,7 +233,7 @@
         sleep(WATCHDOG_INTERVAL).await;
         let late = began.elapsed().saturating_sub(WATCHDOG_INTERVAL);
         if late > WATCHDOG_INTERVAL * 4 {
-            facts.record(Fact::HarnessLate(late));
+            facts.record(Fact::HarnessDelayed(late));
         }
     }
 }
--- a/tests/soak/tests/oracle.rs
+++ b/tests/soak/tests/oracle.rs
@@ -5,71 +5,71 @@
 use tansy_soak::oracle::{Invariant, Oracle};
 
 const ID: u64 = 7;
-const PLACE: usize = 0;
+const FRONT_END: usize = 0;
 const PROCESS: u64 = 1;
 const WORKER: usize = 3;
 
-fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
 }
 
-fn sent(effect: Effect) -> Fact {
-    Fact::Sent {
+fn request_sent(effect: Effect) -> Fact {
+    Fact::RequestSent {
         id: ID,
-        place: PLACE,
+        front_end: FRONT_END,
         process: PROCESS,
         effect,
         timeout: ms(1000),
         idle_before: false,
     }
 }
-fn began(connection: u64, patience_ms: u64) -> Fact {
-    Fact::Began {
+fn attempt_started(connection: u64, timeout_ms: u64) -> Fact {
+    Fact::AttemptStarted {
         id: ID,
         worker: WORKER,
         connection,
-        patience_ms,
-        waited: false,
+        timeout_ms,
+        maybe_queued: false,
     }
 }
-fn ended(connection: u64, never_ran: bool) -> Fact {
-    Fact::Ended {
+fn attempt_ended(connection: u64, never_ran: bool) -> Fact {
+    Fact::AttemptEnded {
         id: ID,
         connection,
         never_ran,
     }
 }
-fn answered(status: u16) -> Fact {
-    Fact::Answered {
+fn response(status: u16) -> Fact {
+    Fact::ResponseReceived {
         id: ID,
         status,
-        own_body: true,
+        body_matches: true,
     }
 }
-fn signalled(signal: Signal) -> Fact {
-    Fact::Signalled {
-        place: PLACE,
+fn signal_sent(signal: Signal) -> Fact {
+    Fact::SignalSent {
+        front_end: FRONT_END,
         process: PROCESS,
         signal,
     }
 }
-fn exited(code: Option<i32>, account: &str) -> Fact {
-    Fact::Exited {
-        place: PLACE,
+fn process_exited(code: Option<i32>, last_line: &str) -> Fact {
+    Fact::ProcessExited {
+        front_end: FRONT_END,
         process: PROCESS,
         code,
-        account: account.into(),
+        last_line: last_line.into(),
     }
 }
 
 /// What the oracle finds in a run of one process, started at 0, with these facts at these milliseconds.
 fn found(facts: Vec<(u64, Fact)>) -> Vec<Invariant> {
-    let started = Fact::Started {
-        place: PLACE,
+    let started = Fact::ProcessStarted {
+        front_end: FRONT_END,
         process: PROCESS,
     };
-    let ready = Fact::Ready {
-        place: PLACE,
+    let ready = Fact::ProcessReady {
+        front_end: FRONT_END,
         process: PROCESS,
     };
     let mut all = vec![(ms(0), started), (ms(20), ready)];
@@ -78,24 +78,24 @@
     oracle
         .violations()
         .iter()
-        .filter(|v| !v.doubtful)
-        .map(|v| v.invariant)
+        .filter(|violation| !violation.doubtful)
+        .map(|violation| violation.invariant)
         .collect()
 }
 
 #[test]
 fn a_run_in_good_order_has_no_violation() {
     let facts = vec![
-        (100, sent(Effect::Unsafe)),
-        (101, began(1, 990)),
-        (110, ended(1, true)),
-        (111, began(2, 980)),
-        (150, ended(2, false)),
-        (151, answered(200)),
-        (900, signalled(Signal::Terminate)),
+        (100, request_sent(Effect::Unsafe)),
+        (101, attempt_started(1, 990)),
+        (110, attempt_ended(1, true)),
+        (111, attempt_started(2, 980)),
+        (150, attempt_ended(2, false)),
+        (151, response(200)),
+        (900, signal_sent(Signal::Terminate)),
         (
             1700,
-            exited(Some(0), "account taken=1 guarded=0 open=0 violations=0"),
+            process_exited(Some(0), "account taken=1 guarded=0 open=0 violations=0"),
         ),
     ];
     assert_eq!(found(facts), []);
@@ -103,51 +103,51 @@
 
 #[test]
 fn a_lost_request_is_found_unless_its_process_was_killed() {
-    let dropped = |how| Fact::Dropped { id: ID, how };
-    for how in [ConnectionEnd::Closed, ConnectionEnd::HalfAnswer] {
+    let lost = |end| Fact::ConnectionLost { id: ID, end };
+    for end in [ConnectionEnd::Closed, ConnectionEnd::Truncated] {
         assert_eq!(
-            found(vec![(100, sent(Effect::Safe)), (300, dropped(how))]),
+            found(vec![(100, request_sent(Effect::Safe)), (300, lost(end))]),
             [Invariant::Answered]
         );
     }
     assert_eq!(
         found(vec![
-            (100, sent(Effect::Safe)),
-            (2000, Fact::Unanswered { id: ID })
+            (100, request_sent(Effect::Safe)),
+            (2000, Fact::ResponseTimedOut { id: ID })
         ]),
         [Invariant::Answered]
     );
     let killed = vec![
-        (100, sent(Effect::Safe)),
-        (299, signalled(Signal::Kill)),
-        (300, dropped(ConnectionEnd::Closed)),
-        (301, exited(None, "")),
+        (100, request_sent(Effect::Safe)),
+        (299, signal_sent(Signal::Kill)),
+        (300, lost(ConnectionEnd::Closed)),
+        (301, process_exited(None, "")),
     ];
     assert_eq!(found(killed), []);
     // What was sent in the window of a planned restart is owed, also if SIGKILL comes at its end.
     let restarted = vec![
-        (100, signalled(Signal::Terminate)),
-        (500, sent(Effect::Safe)),
-        (3800, signalled(Signal::Kill)),
-        (3801, dropped(ConnectionEnd::Closed)),
-        (3802, exited(None, "")),
+        (100, signal_sent(Signal::Terminate)),
+        (500, request_sent(Effect::Safe)),
+        (3800, signal_sent(Signal::Kill)),
+        (3801, lost(ConnectionEnd::Closed)),
+        (3802, process_exited(None, "")),
     ];
     assert_eq!(found(restarted), [Invariant::Answered]);
 }
 
 #[test]
-fn a_late_answer_is_found_unless_the_process_stood_still() {
+fn a_late_answer_is_found_unless_the_process_was_stopped() {
     let late = |facts: Vec<(u64, Fact)>| {
-        let mut all = vec![(100, sent(Effect::Safe))];
+        let mut all = vec![(100, request_sent(Effect::Safe))];
         all.extend(facts);
-        all.push((1700, answered(200)));
+        all.push((1700, response(200)));
         found(all)
     };
     assert_eq!(late(vec![]), [Invariant::InTime]);
     assert_eq!(
         late(vec![
-            (200, signalled(Signal::Stop)),
-            (1650, signalled(Signal::Continue))
+            (200, signal_sent(Signal::Stop)),
+            (1650, signal_sent(Signal::Continue))
         ]),
         []
     );
@@ -156,16 +156,19 @@
 #[test]
 fn an_improper_answer_is_found() {
     assert_eq!(
-        found(vec![(100, sent(Effect::Safe)), (120, answered(400))]),
+        found(vec![
+            (100, request_sent(Effect::Safe)),
+            (120, response(400))
+        ]),
         [Invariant::ProperAnswer]
     );
-    let other = Fact::Answered {
+    let other = Fact::ResponseReceived {
         id: ID,
         status: 200,
-        own_body: false,
+        body_matches: false,
     };
     assert_eq!(
-        found(vec![(100, sent(Effect::Safe)), (120, other)]),
+        found(vec![(100, request_sent(Effect::Safe)), (120, other)]),
         [Invariant::ProperAnswer]
     );
 }
@@ -174,12 +177,12 @@
 fn an_unsafe_request_that_runs_twice_is_found() {
     let twice = |effect, never_ran| {
         found(vec![
-            (100, sent(effect)),
-            (101, began(1, 990)),
-            (110, ended(1, never_ran)),
-            (112, began(2, 980)),
-            (120, ended(2, false)),
-            (121, answered(200)),
+            (100, request_sent(effect)),
+            (101, attempt_started(1, 990)),
+            (110, attempt_ended(1, never_ran)),
+            (112, attempt_started(2, 980)),
+            (120, attempt_ended(2, false)),
+            (121, response(200)),
         ])
     };
     assert_eq!(twice(Effect::Unsafe, false), [Invariant::NoEffectTwice]);
@@ -191,12 +194,12 @@
 fn a_keyed_request_sent_again_after_its_window_is_found() {
     for (again, wanted) in [(1100, vec![]), (1300, vec![Invariant::NoEffectTwice])] {
         let facts = vec![
-            (100, sent(Effect::Keyed)),
-            (101, began(1, 990)),
-            (110, ended(1, false)),
-            (again, began(2, 0)),
-            (again + 1, ended(2, false)),
-            (again + 2, answered(200)),
+            (100, request_sent(Effect::Keyed)),
+            (101, attempt_started(1, 990)),
+            (110, attempt_ended(1, false)),
+            (again, attempt_started(2, 0)),
+            (again + 1, attempt_ended(2, false)),
+            (again + 2, response(200)),
         ];
         assert_eq!(found(facts), wanted, "{again} ms");
     }
@@ -205,38 +208,38 @@
 #[test]
 fn two_attempts_at_once_are_found() {
     let facts = vec![
-        (100, sent(Effect::Safe)),
-        (101, began(1, 990)),
-        (300, began(2, 790)),
-        (500, ended(1, false)),
-        (510, ended(2, false)),
-        (511, answered(200)),
+        (100, request_sent(Effect::Safe)),
+        (101, attempt_started(1, 990)),
+        (300, attempt_started(2, 790)),
+        (500, attempt_ended(1, false)),
+        (510, attempt_ended(2, false)),
+        (511, response(200)),
     ];
     assert_eq!(found(facts), [Invariant::OneAttempt]);
 }
 
 #[test]
 fn an_attempt_for_a_client_that_has_gone_is_found() {
-    for (at, wanted) in [(380, vec![]), (420, vec![Invariant::ClientThere])] {
+    for (at, wanted) in [(380, vec![]), (420, vec![Invariant::ClientPresent])] {
         let gone = vec![
-            (100, sent(Effect::Safe)),
-            (300, Fact::Left { id: ID }),
-            (at, began(1, 100)),
+            (100, request_sent(Effect::Safe)),
+            (300, Fact::ClientDisconnected { id: ID }),
+            (at, attempt_started(1, 100)),
         ];
         assert_eq!(found(gone), wanted, "{at} ms");
     }
 }
 
 #[test]
-fn a_worker_told_too_much_is_found() {
-    for (patience, wanted) in [(1040, vec![]), (1060, vec![Invariant::Patience])] {
-        let told = vec![
-            (100, sent(Effect::Safe)),
-            (200, began(1, patience)),
-            (210, ended(1, false)),
-            (211, answered(200)),
+fn a_worker_given_too_much_time_is_found() {
+    for (timeout_ms, wanted) in [(1040, vec![]), (1060, vec![Invariant::AttemptTimeout])] {
+        let facts = vec![
+            (100, request_sent(Effect::Safe)),
+            (200, attempt_started(1, timeout_ms)),
+            (210, attempt_ended(1, false)),
+            (211, response(200)),
         ];
-        assert_eq!(found(told), wanted, "{patience} ms");
+        assert_eq!(found(facts), wanted, "{timeout_ms} ms");
     }
 }
 
@@ -254,43 +257,43 @@
             ),
             (
                 1000,
-                Fact::Polled {
-                    place: PLACE,
+                Fact::PollReceived {
+                    front_end: FRONT_END,
                     process: PROCESS,
                     event: 1,
                 },
             ),
-            (at - 10, sent(Effect::Safe)),
-            (at, began(1, 900)),
-            (at + 1, ended(1, false)),
-            (at + 2, answered(200)),
+            (at - 10, request_sent(Effect::Safe)),
+            (at, attempt_started(1, 900)),
+            (at + 1, attempt_ended(1, false)),
+            (at + 2, response(200)),
         ];
         assert_eq!(found(facts), wanted, "{at} ms");
     }
 }
 
 #[test]
-fn an_event_that_is_never_heard_is_found() {
+fn an_event_that_is_never_received_is_found() {
     let listed = Fact::Listed {
         event: 1,
         worker: WORKER,
         ready: false,
     };
-    let heard = |event| Fact::Polled {
-        place: PLACE,
+    let received = |event| Fact::PollReceived {
+        front_end: FRONT_END,
         process: PROCESS,
         event,
     };
-    let end = (12_000, Fact::Trouble("the end".into()));
+    let end = (12_000, Fact::FaultChanged("the end".into()));
     assert_eq!(
-        found(vec![(500, listed.clone()), (900, heard(0)), end.clone()]),
+        found(vec![(500, listed.clone()), (900, received(0)), end.clone()]),
         [Invariant::ListHeard]
     );
     assert_eq!(
-        found(vec![(500, listed.clone()), (900, heard(1)), end.clone()]),
+        found(vec![(500, listed.clone()), (900, received(1)), end.clone()]),
         []
     );
-    // While the coordinator answers nothing, nothing can be heard.
+    // While the coordinator answers nothing, nothing can be received.
     let (down, up) = (
         Fact::Discovery { answers: false },
         Fact::Discovery { answers: true },
@@ -299,7 +302,7 @@
         (400, down),
         (500, listed),
         (6000, up),
-        (9000, heard(1)),
+        (9000, received(1)),
         end,
     ];
     assert_eq!(found(outage), []);
@@ -308,18 +311,18 @@
 #[test]
 fn a_process_that_ends_by_itself_or_in_disorder_is_found() {
     assert_eq!(
-        found(vec![(500, exited(Some(1), ""))]),
+        found(vec![(500, process_exited(Some(1), ""))]),
         [Invariant::Process]
     );
     assert_eq!(
-        found(vec![(500, exited(Some(0), ""))]),
+        found(vec![(500, process_exited(Some(0), ""))]),
         [Invariant::Process],
         "nobody asked it to"
     );
     let own = "account taken=1 guarded=0 open=0 violations=2";
     let facts = vec![
-        (500, signalled(Signal::Terminate)),
-        (900, exited(Some(0), own)),
+        (500, signal_sent(Signal::Terminate)),
+        (900, process_exited(Some(0), own)),
     ];
     assert_eq!(found(facts), [Invariant::OwnChecks]);
 }
@@ -328,8 +331,8 @@
 fn one_that_is_never_ready_is_found() {
     let oracle = Oracle::judge(vec![(
         ms(0),
-        Fact::Started {
-            place: PLACE,
+        Fact::ProcessStarted {
+            front_end: FRONT_END,
             process: PROCESS,
         },
     )]);
@@ -337,7 +340,7 @@
         oracle
             .violations()
             .iter()
-            .map(|v| v.invariant)
+            .map(|violation| violation.invariant)
             .collect::<Vec<_>>(),
         [Invariant::Ready]
     );
@@ -345,48 +348,51 @@
 
 #[test]
 fn a_client_that_sends_no_request_and_is_served_or_left_open_is_found() {
-    let abused = |after, served| Fact::Abused {
-        place: PLACE,
+    let malformed = |after, served| Fact::MalformedRequest {
+        front_end: FRONT_END,
         process: PROCESS,
         after,
         served,
     };
-    assert_eq!(found(vec![(4000, abused(Some(ms(2400)), false))]), []);
+    assert_eq!(found(vec![(4000, malformed(Some(ms(2400)), false))]), []);
+    assert_eq!(
+        found(vec![(4000, malformed(Some(ms(10)), true))]),
+        [Invariant::Abuse]
+    );
     assert_eq!(
-        found(vec![(4000, abused(Some(ms(10)), true))]),
+        found(vec![(6000, malformed(None, false))]),
         [Invariant::Abuse]
     );
-    assert_eq!(found(vec![(6000, abused(None, false))]), [Invariant::Abuse]);
 }
 
 #[test]
-fn what_is_seen_while_the_harness_runs_late_is_doubtful_and_still_told() {
+fn what_is_seen_while_the_harness_runs_late_is_doubtful_and_still_reported() {
     let facts = vec![
         (
             ms(0),
-            Fact::Started {
-                place: PLACE,
+            Fact::ProcessStarted {
+                front_end: FRONT_END,
                 process: PROCESS,
             },
         ),
         (
             ms(20),
-            Fact::Ready {
-                place: PLACE,
+            Fact::ProcessReady {
+                front_end: FRONT_END,
                 process: PROCESS,
             },
         ),
-        (ms(100), sent(Effect::Safe)),
-        (ms(300), Fact::HarnessLate(ms(120))),
-        (ms(310), began(1, 990)),
-        (ms(320), ended(1, false)),
-        (ms(330), answered(200)),
+        (ms(100), request_sent(Effect::Safe)),
+        (ms(300), Fact::HarnessDelayed(ms(120))),
+        (ms(310), attempt_started(1, 990)),
+        (ms(320), attempt_ended(1, false)),
+        (ms(330), response(200)),
     ];
     let oracle = Oracle::judge(facts);
-    let told: Vec<_> = oracle
+    let found: Vec<_> = oracle
         .violations()
         .iter()
-        .map(|v| (v.invariant, v.doubtful))
+        .map(|violation| (violation.invariant, violation.doubtful))
         .collect();
-    assert_eq!(told, [(Invariant::Patience, true)]);
+    assert_eq!(found, [(Invariant::AttemptTimeout, true)]);
 }
