--- a/standins/audit/src/auditor/answers.rs
+++ b/standins/audit/src/auditor/answers.rs
@@ -50,7 +50,7 @@
             attempts: Vec::new(),
         };
         if self.calls.insert(request.id.clone(), call).is_some() {
-            let reason = "the driver used an id twice: the record can't be judged";
+            let reason = "the driver used an id twice: the recording can't be audited";
             self.violation(1, at, request.id, reason);
         }
     }
@@ -59,7 +59,7 @@
     pub(super) fn on_stream_answer(&mut self, at: i64, message: &[u8]) {
         use pb::infer_parameter::ParameterChoice::BoolParam;
         let Ok(message) = pb::ModelStreamInferResponse::decode(message) else {
-            return self.violation(1, at, "", "a piece that is no message");
+            return self.violation(1, at, "", "a stream message that can't be decoded");
         };
         let response = message.infer_response.unwrap_or_default();
         let is_final = response
@@ -74,7 +74,12 @@
         let answered = [CallEnd::Served, CallEnd::Refused, CallEnd::Failed];
         let call = self.calls.get(&response.id);
         if call.is_some_and(|call| answered.contains(&call.end)) {
-            return self.violation(1, at, response.id, "a piece after the final answer");
+            return self.violation(
+                1,
+                at,
+                response.id,
+                "a stream message after the final answer",
+            );
         }
         if is_final == Some(BoolParam(true)) {
             self.on_final_answer(at, &response.id, end);
@@ -95,7 +100,7 @@
         }
         if at > call.due + self.rules.slack && call.end == CallEnd::Open && !excused {
             let late = at - call.due;
-            let reason = format!("its final answer comes {late} us after its client's time");
+            let reason = format!("its final answer comes {late} us after its client's timeout");
             violations.push((1, reason));
         }
         if end == CallEnd::Refused
@@ -122,7 +127,7 @@
                 rule: 1,
                 at: call.due,
                 subject: id.clone(),
-                reason: "no final answer within its client's time".to_string(),
+                reason: "no final answer within its client's timeout".to_string(),
             })
             .collect()
     }
--- a/standins/audit/src/auditor/attempts.rs
+++ b/standins/audit/src/auditor/attempts.rs
@@ -30,7 +30,8 @@
         };
         self.report.attempts += 1;
         if self.is_past_drain_grace(at, front, worker) {
-            let reason = format!("an attempt at worker {worker} after the grace of its leaving");
+            let reason =
+                format!("an attempt at worker {worker} after the grace period of its drain");
             self.violation(3, at, request.id.clone(), reason);
         }
         let attempt = Attempt {
@@ -59,7 +60,7 @@
         self.load_requests.push((at, front));
         self.report.loads += 1;
         if self.is_past_drain_grace(at, front, worker) {
-            let reason = "a load order after the grace of its leaving";
+            let reason = "a load request after the grace period of its drain";
             self.violation(3, at, format!("worker {worker}"), reason);
         }
     }
--- a/standins/audit/src/auditor/load_budget.rs
+++ b/standins/audit/src/auditor/load_budget.rs
@@ -1,11 +1,11 @@
-//! Rule 5: a front end sends load requests only in proportion to the calls it took.
+//! Rule 5: a front end sends load requests only in proportion to the calls it accepted.
 
 use super::Auditor;
 use crate::report::Violation;
 use crate::rules::LoadBudget;
 
 impl Auditor<'_> {
-    /// Load requests against calls taken, by front end, in every window that ends with a load request.
+    /// Load requests against calls accepted, by front end, in every window that ends with a load request.
     pub(super) fn excess_load_requests(&self) -> Vec<Violation> {
         let Some(LoadBudget {
             free,
@@ -28,17 +28,17 @@
             // A call that came just before the window's edge at the relay may have come just after it at the front end.
             let maybe_within =
                 |time: i64| time >= born && time <= *at && at - time < period + self.rules.slack;
-            let taken = self
+            let accepted = self
                 .calls
                 .values()
                 .filter(|call| call.front == *front && maybe_within(call.at))
                 .count();
-            if requests as f64 > free + per_call * taken as f64 {
+            if requests as f64 > free + per_call * accepted as f64 {
                 violations.push(Violation {
                     rule: 5,
                     at: *at,
                     subject: format!("front end {front}"),
-                    reason: format!("{requests} orders to load for {taken} calls taken"),
+                    reason: format!("{requests} load requests for {accepted} calls accepted"),
                 });
             }
         }
--- a/standins/audit/src/auditor/mod.rs
+++ b/standins/audit/src/auditor/mod.rs
@@ -117,7 +117,7 @@
                 4,
                 at,
                 format!("worker {worker}"),
-                "fell over: sent more than a cold worker bears",
+                "failed under overload: sent more than a cold worker can do",
             ),
             Mark::Killed { front } => self.on_killed(at, front),
             Mark::Stopped { front } => self.pauses.push(Pause {
--- a/standins/audit/src/record.rs
+++ b/standins/audit/src/record.rs
@@ -46,7 +46,7 @@
         /// The worker.
         worker: usize,
     },
-    /// A worker fell over under more load than a cold worker bears.
+    /// A worker failed under more load than a cold worker can serve.
     Overloaded {
         /// The worker.
         worker: usize,
--- a/standins/audit/src/rules.rs
+++ b/standins/audit/src/rules.rs
@@ -24,7 +24,7 @@
     pub cores: f64,
 }
 
-/// When a worker that has just started falls over.
+/// When a worker that has just started fails under overload.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Overload {
     /// It is sent more than this multiple of its present capacity.
@@ -55,7 +55,7 @@
     pub drain_grace: i64,
     /// The capacity of a worker that has just started.
     pub slow_start: SlowStart,
-    /// What a worker that has just started bears.
+    /// The load that a worker that has just started can serve.
     pub overload: Overload,
     /// Load requests that a front end may send; none: they are not checked.
     pub load_budget: Option<LoadBudget>,
--- a/standins/audit/src/versions.rs
+++ b/standins/audit/src/versions.rs
@@ -253,7 +253,7 @@
         };
         self.strict = self.strict.max(last_old.decided_from - first_new.sent_at);
         self.descriptions.push(format!(
-            "version {}: front end {} took {} by it at {:.3} s, front end {} took {} by the one before at {:.3} s",
+            "version {}: front end {} admitted {} under it at {:.3} s, front end {} admitted {} under the one before at {:.3} s",
             proposal.version,
             first_new.front,
             first_new.id,
@@ -276,7 +276,7 @@
         };
         self.joint = self.joint.max(late.decided_from - in_force);
         self.descriptions.push(format!(
-            "version {} is in force at {:.3} s: front end {} took {} as safe at {:.3} s",
+            "version {} is in force at {:.3} s: front end {} admitted {} as safe at {:.3} s",
             proposal.version,
             in_force as f64 / 1e6,
             late.front,
--- a/standins/audit/tests/violations.rs
+++ b/standins/audit/tests/violations.rs
@@ -323,18 +323,18 @@
 }
 
 #[test]
-fn rule_5_orders_to_load_against_calls_taken() {
-    for (orders, violated) in [(2, vec![]), (3, vec![5])] {
+fn rule_5_load_requests_against_calls_accepted() {
+    for (requests, violated) in [(2, vec![]), (3, vec![5])] {
         let mut recording = Recording::start();
-        for n in 0..2 {
-            recording.infer(1, 1 + 2 * n, "read", &format!("call-{n}"), 1);
-            recording.status(1, 1 + 2 * n, OK);
+        for call in 0..2 {
+            recording.infer(1, 1 + 2 * call, "read", &format!("call-{call}"), 1);
+            recording.status(1, 1 + 2 * call, OK);
         }
-        (0..orders).for_each(|n| recording.load(2, 1 + 2 * n));
+        (0..requests).for_each(|request| recording.load(2, 1 + 2 * request));
         assert_eq!(
             recording.violated(),
             violated,
-            "{orders} orders for 2 calls, 1 free"
+            "{requests} load requests for 2 calls, 1 free"
         );
     }
 }
--- a/standins/worker/src/profile.rs
+++ b/standins/worker/src/profile.rs
@@ -47,7 +47,7 @@
     pub cold_from: f64,
     /// It has all of its capacity after this time, microseconds.
     pub warm_up: i64,
-    /// Cold, it falls over when sent more than this multiple of its present capacity over [`Profile::fall_after`].
+    /// Cold, it fails when sent more than this multiple of its present capacity over [`Profile::fall_after`].
     pub fall_multiple: f64,
     /// The time over which a cold worker's load is summed, microseconds.
     pub fall_after: i64,
--- a/standins/worker/src/standin.rs
+++ b/standins/worker/src/standin.rs
@@ -117,7 +117,7 @@
         waiting + running as usize
     }
 
-    /// Whether it fell over: it was sent more than it bears while cold.
+    /// Whether it failed under overload: while cold it was sent more than it can serve.
     pub fn fallen(&self) -> bool {
         self.state.borrow().fallen()
     }
--- a/standins/worker/src/state/mod.rs
+++ b/standins/worker/src/state/mod.rs
@@ -98,7 +98,7 @@
         &self.profile
     }
 
-    /// Whether it fell over: it was sent more than it bears while cold.
+    /// Whether it failed under overload: while cold it was sent more than it can serve.
     pub fn fallen(&self) -> bool {
         self.fallen
     }
@@ -156,7 +156,7 @@
         Admission::Wait(CacheStatus::BeganLoad)
     }
 
-    /// A cold worker falls over when sent more than a multiple of what it can do.
+    /// A cold worker fails when sent more than a multiple of what it can do.
     fn check_cold_load(&mut self, work: i64, now: i64) {
         let age = now - self.started_at;
         let span = self.profile.fall_after;
--- a/standins/worker/src/state/tests.rs
+++ b/standins/worker/src/state/tests.rs
@@ -82,14 +82,14 @@
     // At 1,000 us of 10,000 it has 28% of two cores: 560 us of work in 1,000 us, 1,120 at twice that.
     for (work, falls) in [(100, false), (140, true)] {
         let mut worker = WorkerState::new(profile(), 0, false);
-        for n in 0..11 {
-            worker.admit(n, "a", work, n as i64 * 100);
+        for call in 0..11 {
+            worker.admit(call, "a", work, call as i64 * 100);
         }
         assert_eq!(worker.fallen(), falls, "{work}");
     }
     let mut worker = WorkerState::new(profile(), 0, true);
-    for n in 0..11 {
-        worker.admit(n, "a", 1_000, n as i64 * 100);
+    for call in 0..11 {
+        worker.admit(call, "a", 1_000, call as i64 * 100);
     }
     assert!(!worker.fallen());
 }
