--- a/benches/cost/src/error.rs
+++ b/benches/cost/src/error.rs
@@ -36,7 +36,7 @@
     #[error("proxy: {0}")]
     ProxyServer(tonic::transport::Error),
     /// No call is served through the fleet in time.
-    #[error("the fleet did not find itself")]
+    #[error("the fleet did not form")]
     FleetNotReady,
     /// The process may not have a descriptor for each client.
     #[error("{clients} clients need as many descriptors; {allowed} are allowed")]
--- a/benches/state/src/connections.rs
+++ b/benches/state/src/connections.rs
@@ -179,10 +179,10 @@
             let Some(connections) = self.connections.get_mut(&deadline.pair) else {
                 continue;
             };
-            let expired = connections.iter().position(|c| {
-                c.id == deadline.connection
-                    && c.streams == 0
-                    && c.last_used + idle_timeout == deadline.due
+            let expired = connections.iter().position(|connection| {
+                connection.id == deadline.connection
+                    && connection.streams == 0
+                    && connection.last_used + idle_timeout == deadline.due
             });
             let Some(position) = expired else {
                 continue;
--- a/benches/state/src/dispatch_costs.rs
+++ b/benches/state/src/dispatch_costs.rs
@@ -142,7 +142,7 @@
     let config = inputs::config(function_names, args.front_ends, args.seed);
     let (dispatcher, took) = timed(|| Dispatcher::new(config, Time(0)));
     output.figure("front_ms", ms(took));
-    dispatcher.map_err(|e| BenchError::failed("the ledger's settings", e))
+    dispatcher.map_err(|e| BenchError::failed("the dispatcher's settings", e))
 }
 
 fn worker_list(workers: usize) -> Input {
--- a/benches/state/src/endpoint_lists.rs
+++ b/benches/state/src/endpoint_lists.rs
@@ -73,7 +73,7 @@
     let names = inputs::names(args.functions, args.seed);
     let config = inputs::config(&names, args.front_ends, args.seed);
     let mut dispatcher = Dispatcher::new(config, Time(0))
-        .map_err(|e| BenchError::failed("the ledger's settings", e))?;
+        .map_err(|e| BenchError::failed("the dispatcher's settings", e))?;
     let mut commands = Vec::new();
     let removed = args.seed as usize % args.instances.max(1);
     let updates = [
--- a/benches/state/src/main.rs
+++ b/benches/state/src/main.rs
@@ -14,12 +14,12 @@
 fn main() -> ExitCode {
     let arguments = match Arguments::try_parse() {
         Ok(arguments) => arguments,
-        Err(e) if !e.use_stderr() => {
-            let _ = e.print();
+        Err(error) if !error.use_stderr() => {
+            let _ = error.print();
             return ExitCode::SUCCESS;
         }
-        Err(e) => {
-            eprintln!("{}", tansy_bench_state::one_line(&e));
+        Err(error) => {
+            eprintln!("{}", tansy_bench_state::one_line(&error));
             return ExitCode::from(2);
         }
     };
--- a/benches/state/src/replicated_log.rs
+++ b/benches/state/src/replicated_log.rs
@@ -85,7 +85,7 @@
     output.count("largest_bytes", MAX_MESSAGE_BYTES);
     if encoded_bytes > MAX_MESSAGE_BYTES {
         output.add_note(
-            "the whole log is more than a letter may hold: no other seat can be given it".into(),
+            "the whole log is more than a message may hold: no other voter can be sent it".into(),
         );
     }
 }
@@ -142,7 +142,7 @@
 fn grow_file(args: &Args, path: &Path, output: &mut OutputRecord) -> Result<(), BenchError> {
     let function_names = inputs::names(args.functions, args.seed);
     let (storage, _) =
-        LogStorage::open(path).map_err(|e| BenchError::failed("the seat's file", e))?;
+        LogStorage::open(path).map_err(|e| BenchError::failed("the voter's file", e))?;
     let mut voter = SingleVoter::new(inputs::version(&function_names), Some(storage))?;
     let first_bytes = file_bytes(path);
     let (mut entry_bytes, mut max_bytes) = (0, 0);
--- a/benches/state/src/rollouts.rs
+++ b/benches/state/src/rollouts.rs
@@ -63,11 +63,11 @@
 fn add_rejection(rejection: &RolloutRejection, args: &Args, output: &mut OutputRecord) {
     output.count("refused", 1);
     output.add_note(format!(
-        "a roll over {} front ends is refused: {rejection}",
+        "a rollout over {} front ends is refused: {rejection}",
         args.front_ends
     ));
 }
 
 fn step_failed(rejection: RolloutRejection) -> BenchError {
-    BenchError::failed("a step of the roll", rejection)
+    BenchError::failed("a step of the rollout", rejection)
 }
--- a/benches/state/src/rollouts/duration.rs
+++ b/benches/state/src/rollouts/duration.rs
@@ -110,7 +110,7 @@
     let rollout = &run.rollout;
     if rollout.phase != RolloutPhase::Completed {
         return Err(BenchError::failed(
-            "the roll",
+            "the rollout",
             format!("it is not done: {}", rollout.reason),
         ));
     }
--- a/benches/state/src/roster.rs
+++ b/benches/state/src/roster.rs
@@ -55,7 +55,7 @@
         match joined {
             Ok(_) => {}
             Err(EntryRejection::TooManyMembers) => rejected += 1,
-            Err(e) => return Err(BenchError::failed("a front end that joins", e)),
+            Err(rejection) => return Err(BenchError::failed("a front end that joins", rejection)),
         }
     }
     output.figure("memory_mb", growth.mb());
@@ -88,7 +88,10 @@
         let (granted, took) = timed(|| sessions.grant(now, request));
         times.add(took);
         if granted.is_none() {
-            return Err(BenchError::failed("a stay", "one on the roster got none"));
+            return Err(BenchError::failed(
+                "a session",
+                "one on the roster got none",
+            ));
         }
     }
     output.insert("grant_us", times.us());
--- a/benches/state/src/scopes/catalog.rs
+++ b/benches/state/src/scopes/catalog.rs
@@ -226,7 +226,7 @@
     let is_readable = bytes.len() <= MAX_MESSAGE_BYTES;
     output.count("readable", usize::from(is_readable));
     if !is_readable {
-        output.add_note("the whole log is more than one letter may hold".into());
+        output.add_note("the whole log is more than one message may hold".into());
     }
     Ok(())
 }
@@ -244,7 +244,7 @@
     path: &Path,
     output: &mut OutputRecord,
 ) -> Result<(), BenchError> {
-    let failed = |e| BenchError::failed("the seat's file", e);
+    let failed = |e| BenchError::failed("the voter's file", e);
     let (storage, _) = LogStorage::open(path).map_err(failed)?;
     let mut voter = CatalogVoter::new(Some(storage))?;
     voter.fill(names)?;
@@ -266,7 +266,7 @@
     output.count("scopes", recovered_scopes);
     if recovered_scopes != scopes {
         return Err(BenchError::failed(
-            "the seat's file",
+            "the voter's file",
             "another catalog is in it",
         ));
     }
--- a/benches/state/src/scopes/subscription_table.rs
+++ b/benches/state/src/scopes/subscription_table.rs
@@ -57,7 +57,7 @@
     let (outcome, took) = timed(|| table.on_subscribe(request));
     match outcome {
         SubscribeOutcome::Accepted => Ok(took),
-        other => Err(BenchError::failed("a letter", format!("{other:?}"))),
+        other => Err(BenchError::failed("a message", format!("{other:?}"))),
     }
 }
 
--- a/benches/state/src/scopes/subscriptions.rs
+++ b/benches/state/src/scopes/subscriptions.rs
@@ -150,7 +150,7 @@
             if !matches!(admission, Admission::Admit(_)) {
                 return Err(BenchError::failed(
                     "a call",
-                    format!("of a function that is held: {admission:?}"),
+                    format!("of a function that is subscribed to: {admission:?}"),
                 ));
             }
         }
--- a/benches/state/src/single_voter.rs
+++ b/benches/state/src/single_voter.rs
@@ -69,7 +69,7 @@
             seed: 1,
         };
         let replica = Replica::new(config, persistent, 0)
-            .map_err(|e| BenchError::failed("the seat's first file", e))?;
+            .map_err(|e| BenchError::failed("the voter's first file", e))?;
         let mut voter = SingleVoter {
             replica,
             now: 0,
@@ -121,7 +121,7 @@
             return Ok(());
         };
         let (written, took) = timed(|| storage.append(record, snapshot.as_deref()));
-        written.map_err(|e| BenchError::failed("the seat's file", e))?;
+        written.map_err(|e| BenchError::failed("the voter's file", e))?;
         let times = if snapshot.is_some() {
             &mut writes.snapshot_times
         } else {
@@ -135,7 +135,7 @@
     pub fn log(&self) -> Result<&Log, BenchError> {
         self.replica
             .log()
-            .ok_or_else(|| BenchError::failed("the seat", "it has no log"))
+            .ok_or_else(|| BenchError::failed("the voter", "it has no log"))
     }
 
     /// Index of the entry as of which the log was encoded last.
@@ -150,7 +150,7 @@
         let mut effects = Vec::new();
         self.replica
             .propose(entry, &mut effects)
-            .ok_or_else(|| BenchError::failed("the seat", "it does not lead"))?;
+            .ok_or_else(|| BenchError::failed("the voter", "it does not lead"))?;
         self.execute(effects)?
             .map(drop)
             .ok_or_else(|| BenchError::failed("the entry", "it was not applied"))
--- a/benches/state/src/workers/front_end.rs
+++ b/benches/state/src/workers/front_end.rs
@@ -41,7 +41,7 @@
         let mut config = inputs::config(&[], args.front_ends, seed);
         config.settings = settings(args, index);
         let dispatcher = Dispatcher::new(config, Time(0))
-            .map_err(|e| BenchError::failed("the ledger's settings", e))?;
+            .map_err(|e| BenchError::failed("the dispatcher's settings", e))?;
         let call_seed = args.seed.wrapping_mul(1_000_003).wrapping_add(number);
         Ok(SimulatedFrontEnd {
             dispatcher,
--- a/benches/state/tests/workers.rs
+++ b/benches/state/tests/workers.rs
@@ -39,8 +39,9 @@
 impl ReferencePool {
     fn close_idle(&mut self, now: Micros, idle_timeout: Option<Micros>) {
         let before = self.connections.len();
-        self.connections.retain(|_, c| {
-            c.streams > 0 || idle_timeout.is_none_or(|timeout| c.last_used + timeout > now)
+        self.connections.retain(|_, connection| {
+            connection.streams > 0
+                || idle_timeout.is_none_or(|timeout| connection.last_used + timeout > now)
         });
         self.closed += (before - self.connections.len()) as u64;
     }
