--- a/programs/scale/src/error.rs
+++ b/programs/scale/src/error.rs
@@ -66,7 +66,7 @@
     #[error("no such process")]
     NoSuchProcess,
     /// A process of hollow front ends has closed its input.
-    #[error("a process of hollow front ends takes no orders: {0}")]
+    #[error("a process of hollow front ends accepts no commands: {0}")]
     CommandPipe(io::Error),
     /// A process of hollow front ends reported an error.
     #[error("a process of hollow front ends: {0}")]
@@ -78,7 +78,7 @@
     #[error("the front end {0:?} has ended")]
     FrontEndExited(String),
     /// A front end still admitted calls under settings that had been replaced.
-    #[error("{name:?} acted on the class of {function} before, which was in force no more")]
+    #[error("{name:?} applied an earlier class of {function}, which was no longer in force")]
     StaleAdmission {
         /// The front end; none if it is not one of this fleet.
         name: Option<String>,
@@ -86,7 +86,7 @@
         function: String,
     },
     /// A condition did not hold in time.
-    #[error("no time left to wait for {awaited}: {acting} of {alive} act")]
+    #[error("timed out waiting for {awaited}: {acting} of {alive} act")]
     Timeout {
         /// What was waited for.
         awaited: &'static str,
@@ -96,20 +96,20 @@
         alive: usize,
     },
     /// The leader has no settings yet.
-    #[error("the seat that leads knows of no version")]
+    #[error("the leader has no version of the settings")]
     NoVersion,
     /// The leader carries out another change.
     #[error("a change is under way")]
     ChangeInProgress,
     /// The leader refused a log entry on each attempt.
-    #[error("a change was not taken: {0}")]
+    #[error("a change was refused: {0}")]
     EntryRefused(RequestError),
     /// The leader refused a version of the settings on each attempt.
-    #[error("a proposal was not taken: {0}")]
+    #[error("a proposal was refused: {0}")]
     ProposalRefused(RequestError),
     /// Functions that were set at the start did not come in force.
     #[error(
-        "of {requested} functions that were set {abandoned} were given up, others are not in force"
+        "of {requested} functions that were set {abandoned} were abandoned, others are not in force"
     )]
     FunctionsNotInForce {
         /// Functions in the request.
@@ -118,7 +118,7 @@
         abandoned: usize,
     },
     /// Hollow front ends did not subscribe to all functions that they call.
-    #[error("hollow front ends hold {subscribed} of {called} functions that they call")]
+    #[error("hollow front ends subscribe to {subscribed} of {called} functions that they call")]
     NotSubscribed {
         /// Subscriptions, over all hollow front ends.
         subscribed: usize,
@@ -126,7 +126,7 @@
         called: usize,
     },
     /// The leader's answer has another number of functions than the request.
-    #[error("a seat tells of {received} functions, not {requested}")]
+    #[error("the leader answered for {received} functions, not {requested}")]
     FunctionCount {
         /// Functions in the answer.
         received: usize,
@@ -134,11 +134,11 @@
         requested: usize,
     },
     /// The leader does not know a function that was set before.
-    #[error("the seat that leads knows no function {0}")]
+    #[error("the leader knows no function {0}")]
     UnknownFunction(String),
     /// A version of the settings is larger than any message.
     #[error(
-        "a version of {functions} functions is a letter of {bytes} bytes, which may have {MAX_MESSAGE_BYTES}: it can't be carried"
+        "a version of {functions} functions is a message of {bytes} bytes, which may have {MAX_MESSAGE_BYTES}: it can't be sent"
     )]
     VersionTooLarge {
         /// Functions of the settings.
@@ -150,15 +150,15 @@
     #[error("{0} can't be read")]
     KernelCounters(&'static str),
     /// A line on standard input is no command.
-    #[error("an order that can't be read: {0}")]
+    #[error("a command that can't be read: {0}")]
     UnreadableCommand(serde_json::Error),
     /// A command came before the one that sets a hollow process up.
-    #[error("an order before the first")]
+    #[error("a command before the one that sets the process up")]
     NotInitialized,
     /// The settings of a hollow process have no `fleet`.
     #[error("settings without a fleet")]
     NoFleet,
     /// A hollow front end was to start before its process knew the others.
-    #[error("no ways to the others")]
+    #[error("no connections to the other processes")]
     NotConnected,
 }
--- a/programs/scale/src/fleet/mod.rs
+++ b/programs/scale/src/fleet/mod.rs
@@ -99,7 +99,7 @@
         (0..voters).try_for_each(|index| fleet.start_front_end(index))?;
         fleet.wait_until_all_act(end)?;
         fleet.refresh_leader()?;
-        progress(format!("{} seats act", shape.voters));
+        progress(format!("{} voters act", shape.voters));
         (voters..real).try_for_each(|index| fleet.start_front_end(index))?;
         fleet.start_hollow_processes(end)?;
         for index in real..shape.front_ends as u32 {
--- a/programs/scale/src/fleet/operator.rs
+++ b/programs/scale/src/fleet/operator.rs
@@ -100,7 +100,7 @@
         let leader = self.describe_leader_wait();
         format!(
             "{behind} real front ends and some of {processes} hollow processes are behind, {without_lease} hollow ones have \
-             no lease, {without_session} no stay; {leader}"
+             no lease, {without_session} no session; {leader}"
         )
     }
 
@@ -110,7 +110,7 @@
             .status_within(self.leader_address, REQUEST_TIMEOUT);
         let status = match status {
             Ok(status) => status,
-            Err(error) => return format!("the seat: {error}"),
+            Err(error) => return format!("the leader: {error}"),
         };
         let waits = if status.blocked_by_leases {
             "waits"
@@ -118,7 +118,7 @@
             "does not wait"
         };
         let sessions = status.blocking_members.len();
-        format!("the seat {waits} for leases and for {sessions} stays")
+        format!("the leader {waits} for leases and for {sessions} sessions")
     }
 
     /// Abandons a change that is in progress.
--- a/programs/scale/src/hollow/transport.rs
+++ b/programs/scale/src/hollow/transport.rs
@@ -161,7 +161,7 @@
     };
     let length = u32::from_be_bytes(*length) as usize;
     if length > MAX_MESSAGE_BYTES {
-        return Err(io::Error::other("a letter longer than any"));
+        return Err(io::Error::other("a message longer than any may be"));
     }
     let Some((front_end, _)) = rest.split_first_chunk::<4>() else {
         return Ok(None);
--- a/programs/scale/src/run/arguments.rs
+++ b/programs/scale/src/run/arguments.rs
@@ -74,7 +74,7 @@
 /// What is to be measured.
 #[derive(clap::Args, Clone, Debug)]
 pub struct Arguments {
-    /// Front ends in all, the seats among them.
+    /// Front ends in all, the voters among them.
     #[arg(long)]
     pub(super) front_ends: usize,
     /// Of them gateways as processes of their own; all others are hollow.
@@ -106,16 +106,16 @@
     /// Front ends killed for good before it is counted.
     #[arg(long, default_value_t = 0)]
     pub(super) dead: usize,
-    /// Seconds of a stay (`fleet.stay`): for so long a dead front end holds up changes of strict fields.
+    /// Session timeout in seconds (`fleet.stay`): for so long a dead front end holds up changes of strict fields.
     #[arg(long = "stay", value_name = "STAY", default_value_t = 10)]
     pub(super) session_seconds: u64,
-    /// Front ends that keep the log, real ones: 1, 3, 5 or 7 [default: 3, or 1 with fewer than 3 real ones].
+    /// Voters, which are real front ends: 1, 3, 5 or 7 [default: 3, or 1 with fewer than 3 real ones].
     #[arg(long = "seats", value_name = "SEATS")]
     pub(super) voters: Option<usize>,
     /// Seconds between all views being whole and the counted time.
     ///
-    /// A lease is renewed every 0.15 s, a stay at least every quarter of it or 30 s; news of who joined are told again for
-    /// some rounds of 0.2 s, and who was suspected meanwhile is judged within 2 s.
+    /// A lease is renewed every 0.15 s, a session at least every quarter of its timeout or 30 s; a join is gossiped again
+    /// for some rounds of 0.2 s, and a suspicion that arose meanwhile is settled within 2 s.
     #[arg(long, default_value_t = 15)]
     pub(super) settle: u64,
     /// Print the JSON line alone.
@@ -205,7 +205,7 @@
         })?;
         let max_dead = (self.front_ends - voters) / 2;
         require(self.dead <= max_dead, "--dead", self.dead, || {
-            format!("at most {max_dead}, half of those that are no seats")
+            format!("at most {max_dead}, half of those that are no voters")
         })
     }
 
--- a/programs/scale/src/run/changes.rs
+++ b/programs/scale/src/run/changes.rs
@@ -241,7 +241,7 @@
                 self.in_force_times.push((kind, ms));
                 None
             }
-            Some(UpdateOutcome::Abandoned) => Some("was given up"),
+            Some(UpdateOutcome::Abandoned) => Some("was abandoned"),
             None if Instant::now() < deadline => return false,
             None => Some("was not in force in time"),
         };
--- a/programs/scale/src/run/deaths.rs
+++ b/programs/scale/src/run/deaths.rs
@@ -74,7 +74,7 @@
         let shape = self.fleet.shape;
         let mut hollow = killed.iter().filter(|index| !shape.is_real(**index));
         let Some(first) = hollow.next() else {
-            let issue = "real front ends hold no function here: no death is timed";
+            let issue = "real front ends subscribe to no function here: no death is timed";
             self.issues.push(issue.into());
             self.kill_all(killed)?;
             return Ok(None);
@@ -142,7 +142,7 @@
             if Instant::now() >= end {
                 let name = function_name(functions.blocked);
                 self.record_failure(format!(
-                    "a change of {name} that a dead one held was not in force"
+                    "a change of {name}, to which a dead front end subscribed, was not in force"
                 ));
                 return Ok((updates, None));
             }
--- a/programs/scale/src/run/mod.rs
+++ b/programs/scale/src/run/mod.rs
@@ -182,7 +182,7 @@
         let functions = self.fleet.shape.functions;
         self.is_failed = true;
         self.issues.push(format!(
-            "a change of {functions} functions is a letter of {bytes} bytes, which may have {MAX_MESSAGE_BYTES}: it can't come \
+            "a change of {functions} functions is a message of {bytes} bytes, which may have {MAX_MESSAGE_BYTES}: it can't come \
              in force"
         ));
     }
@@ -263,7 +263,7 @@
         let (functions, seed) = (self.arguments.scopes, self.arguments.seed);
         self.fleet.set_functions(functions, seed)?;
         self.arguments
-            .print_progress("functions are set one by one, and held");
+            .print_progress("functions are set one by one, and subscribed to");
         report.put("set_s", round(began.elapsed().as_secs_f64()));
         let counters = self.fleet.hollow_counters()?;
         let sum = |counter: fn(&HollowCounters) -> usize| {
