--- a/programs/scenario/src/cli/agreement.rs
+++ b/programs/scenario/src/cli/agreement.rs
@@ -126,6 +126,6 @@
     if line.ok {
         println!("verdict: no rule broken");
     } else {
-        println!("verdict: {} breaches", line.violations);
+        println!("verdict: {} violations", line.violations);
     }
 }
--- a/programs/scenario/src/cli/arguments.rs
+++ b/programs/scenario/src/cli/arguments.rs
@@ -9,13 +9,13 @@
 
 /// Runs a scenario with real processes on loopback: gateways and stand-in workers, clients that cancel and read slowly, silence, cuts,
 /// a drain that one front end learns of late, a cold restart, a front end killed and started again, a connection paused. All traffic
-/// passes a proxy; an auditor that shares no code with the gateway's request table judges the rules from it.
+/// passes a proxy; an auditor that shares no code with the gateway's request table checks the rules from it.
 ///
 /// Exit codes: 0 no rule broken, 1 the scenario could not be run, 3 a rule was broken.
 #[derive(Parser)]
 #[command(version)]
 pub(super) struct Arguments {
-    /// `bad`: every fault in turn. `cold-room`: half of the workers come back cold under more load than the rest bears.
+    /// `bad`: every fault in turn. `cold-room`: half of the workers come back cold under more load than the rest can serve.
     /// `agree`: versions of settings change in a fleet of front ends, through faults between them.
     /// `roll`: a new program, with a defect or none, in stages over front ends in three zones.
     #[arg(long, value_enum, default_value = "bad")]
--- a/programs/scenario/src/cli/faults.rs
+++ b/programs/scenario/src/cli/faults.rs
@@ -72,12 +72,12 @@
 fn print_verdict(audit: &Audit, max_printed: usize) -> ExitCode {
     let violations = &audit.violations;
     for violation in violations.iter().take(max_printed) {
-        println!("breach of {}", violation_text(violation));
+        println!("violation of {}", violation_text(violation));
     }
     if violations.is_empty() {
         println!("verdict: no rule broken, no call with two attempts open");
     } else {
-        println!("verdict: {} breaches", violations.len());
+        println!("verdict: {} violations", violations.len());
     }
     exit_code(violations.is_empty())
 }
--- a/programs/scenario/src/cli/mod.rs
+++ b/programs/scenario/src/cli/mod.rs
@@ -70,7 +70,7 @@
     let all = run.iter().chain(baseline.unwrap_or_default());
     let count = all.clone().count();
     all.take(max_printed)
-        .for_each(|violation| println!("breach: {violation}"));
+        .for_each(|violation| println!("violation: {violation}"));
     count
 }
 
--- a/programs/scenario/src/error.rs
+++ b/programs/scenario/src/error.rs
@@ -46,13 +46,13 @@
         answer: String,
     },
     /// The fault proxy's thread has ended.
-    #[error("the relay has ended")]
+    #[error("the fault proxy has ended")]
     ProxyEnded,
     /// A thread of the scenario panicked or ended before it was asked to.
     #[error("the {0} thread ended early")]
     ThreadEnded(&'static str),
     /// Front ends did not all join the fleet in time.
-    #[error("the fleet did not find itself in {within:?}: {statuses}")]
+    #[error("the fleet did not form within {within:?}: {statuses}")]
     FleetNotReady {
         /// The time that was waited.
         within: Duration,
@@ -60,7 +60,7 @@
         statuses: String,
     },
     /// No voter accepted the rollout in time.
-    #[error("no roll could be begun; asked {voters:?}")]
+    #[error("no voter accepted the rollout; asked {voters:?}")]
     RolloutNotStarted {
         /// The voters that were asked.
         voters: Vec<SocketAddr>,
--- a/programs/scenario/src/faults/definition.rs
+++ b/programs/scenario/src/faults/definition.rs
@@ -36,7 +36,7 @@
     script: ALL_FAULTS_SCRIPT,
 };
 
-/// A zone of three workers comes back cold, under more load than the warm zone bears, from four front ends.
+/// A zone of three workers comes back cold, under more load than the warm zone can serve, from four front ends.
 pub const COLD_ZONE: FaultScenario = FaultScenario {
     settings_name: "cold_zone.cue",
     settings_text: include_str!("cold_zone.cue"),
--- a/programs/scenario/src/faults/process_group.rs
+++ b/programs/scenario/src/faults/process_group.rs
@@ -205,7 +205,7 @@
         Ok(())
     }
 
-    /// Ends the gateways, and gives the recording and their counters; workers that fell over are marked.
+    /// Ends the gateways, and gives the recording and their counters; workers that failed under overload are marked.
     ///
     /// # Errors
     /// A gateway can't be asked to end, or the proxy has ended.
