--- a/tests/fault-shim/src/lib.rs
+++ b/tests/fault-shim/src/lib.rs
@@ -9,8 +9,8 @@
 //! - `from=S`, `until=S`: seconds since the process began during which the rule holds.
 //! - `by=S`: seconds by which `STEP` moves the wall clock.
 //!
-//! `FAULT_SEED` seeds the probabilities. A rule that can't be read ends the process, as a fault that isn't played would
-//! pass for one that was borne.
+//! `FAULT_SEED` seeds the probabilities. A rule that can't be read ends the process, as a fault that is not injected would
+//! look like one that was survived.
 
 use std::ffi::{c_char, c_int, c_long, c_void, CStr};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -175,12 +175,12 @@
 
     /// A number from 0 up to 1 (xorshift64*).
     fn draw(&self) -> f64 {
-        let mut x = self.random.load(Ordering::Relaxed);
-        x ^= x >> 12;
-        x ^= x << 25;
-        x ^= x >> 27;
-        self.random.store(x, Ordering::Relaxed);
-        (x.wrapping_mul(0x2545_F491_4F6C_DD1D) >> 11) as f64 / (1u64 << 53) as f64
+        let mut state = self.random.load(Ordering::Relaxed);
+        state ^= state >> 12;
+        state ^= state << 25;
+        state ^= state >> 27;
+        self.random.store(state, Ordering::Relaxed);
+        (state.wrapping_mul(0x2545_F491_4F6C_DD1D) >> 11) as f64 / (1u64 << 53) as f64
     }
 
     fn holds(&self, rule: &Rule) -> bool {
@@ -328,9 +328,9 @@
     static SLOT: OnceLock<usize> = OnceLock::new();
     match length(Call::Receive, wanted) {
         Err(error) => fail(error),
-        Ok(n) => {
+        Ok(length) => {
             type Receive = unsafe extern "C" fn(c_int, *mut c_void, usize, c_int) -> isize;
-            next::<Receive>(&SLOT, c"recv")(fd, buffer, n, flags)
+            next::<Receive>(&SLOT, c"recv")(fd, buffer, length, flags)
         }
     }
 }
@@ -347,9 +347,9 @@
     static SLOT: OnceLock<usize> = OnceLock::new();
     match length(Call::Send, wanted) {
         Err(error) => fail(error),
-        Ok(n) => {
+        Ok(length) => {
             type Send = unsafe extern "C" fn(c_int, *const c_void, usize, c_int) -> isize;
-            next::<Send>(&SLOT, c"send")(fd, buffer, n, flags)
+            next::<Send>(&SLOT, c"send")(fd, buffer, length, flags)
         }
     }
 }
@@ -361,9 +361,9 @@
     static SLOT: OnceLock<usize> = OnceLock::new();
     match length(Call::Read, wanted) {
         Err(error) => fail(error),
-        Ok(n) => {
+        Ok(length) => {
             type Read = unsafe extern "C" fn(c_int, *mut c_void, usize) -> isize;
-            next::<Read>(&SLOT, c"read")(fd, buffer, n)
+            next::<Read>(&SLOT, c"read")(fd, buffer, length)
         }
     }
 }
@@ -380,9 +380,9 @@
     static SLOT: OnceLock<usize> = OnceLock::new();
     match length(Call::Write, wanted) {
         Err(error) => fail(error),
-        Ok(n) => {
+        Ok(length) => {
             type Write = unsafe extern "C" fn(c_int, *const c_void, usize, i64) -> isize;
-            next::<Write>(&SLOT, c"pwrite64")(fd, buffer, n, offset)
+            next::<Write>(&SLOT, c"pwrite64")(fd, buffer, length, offset)
         }
     }
 }
