--- a/tests/soak/src/abuse.rs
+++ b/tests/soak/src/abuse.rs
@@ -11,8 +11,8 @@
 
 /// Such a client is answered or closed by then.
 pub const OWED_WITHIN: Duration = Duration::from_secs(3);
-/// It is waited for so much longer than that, to see how late it comes.
-const BEYOND: Duration = Duration::from_secs(2);
+/// The answer is awaited for so much longer, to see how late it comes.
+const EXTRA_WAIT: Duration = Duration::from_secs(2);
 
 /// What one of them sends: never a request in the page's form.
 fn draw_bytes(random: &mut fastrand::Rng) -> Vec<u8> {
@@ -66,7 +66,7 @@
     // One that is closed meanwhile has been answered.
     let _ = socket.write_all(&bytes).await;
     let mut first = [0u8; 12];
-    let read = timeout(OWED_WITHIN + BEYOND, socket.read(&mut first)).await;
+    let read = timeout(OWED_WITHIN + EXTRA_WAIT, socket.read(&mut first)).await;
     let served = matches!(read, Ok(Ok(length)) if first[..length].starts_with(b"HTTP/1.1 200"));
     let after = read.is_ok().then(|| began.elapsed());
     facts.record(Fact::MalformedRequest {
--- a/tests/soak/src/clients.rs
+++ b/tests/soak/src/clients.rs
@@ -11,16 +11,16 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// A request that crosses the end of a connection with none open is sent once more, if the end came so soon.
-pub const CROSSING: Duration = Duration::from_millis(50);
+/// A request on an idle connection that the front end closes within this time, as the request is on its way, is sent once more.
+pub const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 /// An answer that comes so long after its request's time is late, and no more than that.
 pub const LATE: Duration = Duration::from_millis(500);
-/// Beyond that a client of this soak waits for as long again as its own machine may take.
-const BEYOND: Duration = Duration::from_millis(300);
-/// A new connection rests for so long in milliseconds, when it rests at all: about as long as a front end lets it.
-const REST_NEW_MS: std::ops::Range<u64> = 2200..2400;
-/// A connection that was answered rests for so long, when it rests for long.
-const REST_LONG_MS: std::ops::Range<u64> = 2500..4000;
+/// A client waits for so much longer than that, as this machine itself may be late.
+const EXTRA_WAIT: Duration = Duration::from_millis(300);
+/// For how many milliseconds a new connection is left idle, if it is: about as long as a front end permits.
+const IDLE_NEW_MS: std::ops::Range<u64> = 2200..2400;
+/// For how many milliseconds a connection that was answered is left idle, if it is.
+const IDLE_LONG_MS: std::ops::Range<u64> = 2500..4000;
 /// Functions that are called.
 const FUNCTIONS: u64 = 6;
 
@@ -65,15 +65,15 @@
     KeepAlive,
     /// Answered or not; the connection is gone.
     Closed,
-    /// The connection ended as the request was sent: it is sent once more.
-    Crossed,
+    /// The connection was closed as the request was sent: it is sent once more.
+    CloseRace,
 }
 
 struct Connection {
     socket: TcpStream,
     process: u64,
-    /// It has rested with no request open.
-    rested: bool,
+    /// It has been idle, with no request open.
+    was_idle: bool,
 }
 
 impl Client {
@@ -101,7 +101,7 @@
         Some(Connection {
             socket,
             process: endpoint.process,
-            rested: false,
+            was_idle: false,
         })
     }
 
@@ -112,18 +112,18 @@
             Some(connection) => connection,
             None => self.connect().await?,
         };
-        self.rest(&mut connection).await;
+        self.idle(&mut connection).await;
         if !self.endpoint().open {
             return None;
         }
         let request = self.draw_request();
         match self.exchange(&mut connection, &request).await {
             RequestEnd::KeepAlive => Some(Connection {
-                rested: true,
+                was_idle: true,
                 ..connection
             }),
             RequestEnd::Closed => None,
-            RequestEnd::Crossed => {
+            RequestEnd::CloseRace => {
                 let mut again = self.connect().await?;
                 let _ = self.exchange(&mut again, &request).await;
                 None
@@ -131,15 +131,15 @@
         }
     }
 
-    /// Lets a connection rest now and then.
-    async fn rest(&mut self, connection: &mut Connection) {
-        let rest_ms = match (connection.rested, self.random.u32(0..40)) {
-            (false, 0) => self.random.u64(REST_NEW_MS),
-            (true, 0) => self.random.u64(REST_LONG_MS),
+    /// Lets a connection be idle now and then.
+    async fn idle(&mut self, connection: &mut Connection) {
+        let idle_ms = match (connection.was_idle, self.random.u32(0..40)) {
+            (false, 0) => self.random.u64(IDLE_NEW_MS),
+            (true, 0) => self.random.u64(IDLE_LONG_MS),
             _ => return,
         };
-        connection.rested = true;
-        sleep(Duration::from_millis(rest_ms)).await;
+        connection.was_idle = true;
+        sleep(Duration::from_millis(idle_ms)).await;
     }
 
     fn draw_request(&mut self) -> Request {
@@ -183,7 +183,7 @@
             return RequestEnd::Closed;
         }
         let sent = Instant::now();
-        let idle_before = connection.rested;
+        let idle_before = connection.was_idle;
         self.facts.record(Fact::RequestSent {
             id: request.id,
             front_end: self.front_end,
@@ -205,8 +205,8 @@
                     end,
                 });
                 let closed = end == ConnectionEnd::Closed;
-                if closed && idle_before && sent.elapsed() <= CROSSING {
-                    RequestEnd::Crossed
+                if closed && idle_before && sent.elapsed() <= CLOSE_RACE_WINDOW {
+                    RequestEnd::CloseRace
                 } else {
                     RequestEnd::Closed
                 }
@@ -220,7 +220,7 @@
         match self.random.u32(0..10) {
             0 => timeout.mul_f64(self.random.f64()),
             1..=5 => timeout,
-            _ => timeout + LATE + BEYOND,
+            _ => timeout + LATE + EXTRA_WAIT,
         }
     }
 
--- a/tests/soak/src/error.rs
+++ b/tests/soak/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a run could not be played.
+//! Why a run could not go on.
 
 use std::io;
 use std::net::SocketAddr;
--- a/tests/soak/src/lib.rs
+++ b/tests/soak/src/lib.rs
@@ -5,7 +5,7 @@
 //! It is for faults that overlap at random; a known race has a test of its own (`programs/gateway/tests/platform`), and it
 //! measures no speed.
 //!
-//! - [`run`]: one run. [`SoakError`]: why it could not be played.
+//! - [`run`]: one run. [`SoakError`]: why it could not go on.
 //! - [`facts`]: what was seen. [`oracle`]: the invariants.
 //! - [`fault_schedule`]: what goes wrong. [`shim`]: the library that has system calls fail.
 //! - [`process`], [`clients`], [`abuse`], [`worker`], [`proxy`], [`discovery`]: those who take part.
--- a/tests/soak/src/main.rs
+++ b/tests/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `tansy-soak`: plays the fault soak over a range of seeds, and prints the invariants that did not hold.
+//! `tansy-soak`: runs the fault soak over a range of seeds, and prints the invariants that did not hold.
 
 use clap::Parser;
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 
 /// Randomized faults over real front-end processes on loopback, judged by invariants.
 ///
-/// Exit codes: 0 if all held, 1 if something did not, 2 if a run could not be played.
+/// Exit codes: 0 if all held, 1 if something did not, 2 if a run could not go on.
 #[derive(Parser)]
 struct Arguments {
     /// The program of the front end.
@@ -46,7 +46,7 @@
         .build()
     {
         Ok(runtime) => runtime,
-        Err(error) => return unplayable(&error),
+        Err(error) => return failed_run(&error),
     };
     let mut all_hold = true;
     for seed in arguments.seed..arguments.seed + arguments.runs {
@@ -60,7 +60,7 @@
         };
         match runtime.block_on(run(&options)) {
             Ok(outcome) => all_hold &= print_outcome(seed, &outcome, arguments.show),
-            Err(error) => return unplayable(&error),
+            Err(error) => return failed_run(&error),
         }
     }
     if all_hold {
@@ -70,8 +70,8 @@
     }
 }
 
-fn unplayable(error: &dyn std::fmt::Display) -> ExitCode {
-    eprintln!("the soak could not be played: {error}");
+fn failed_run(error: &dyn std::fmt::Display) -> ExitCode {
+    eprintln!("the soak could not go on: {error}");
     ExitCode::from(2)
 }
 
--- a/tests/soak/src/oracle/mod.rs
+++ b/tests/soak/src/oracle/mod.rs
@@ -74,7 +74,7 @@
     pub statuses: BTreeMap<u16, usize>,
     /// Clients that disconnected before a response.
     pub disconnected: usize,
-    /// Excused ends: the process was killed, or the request crossed an end.
+    /// Excused ends: the process was killed, or it closed an idle connection as the request was sent.
     pub excused: usize,
     /// Attempts.
     pub attempts: usize,
--- a/tests/soak/src/oracle/requests.rs
+++ b/tests/soak/src/oracle/requests.rs
@@ -1,7 +1,7 @@
 //! What requests show: answers, attempts, repeats and drains.
 
 use super::{Attempt, Invariant, Oracle, ORDER_SLACK, TIMEOUT_SLACK};
-use crate::clients::{CROSSING, LATE};
+use crate::clients::{CLOSE_RACE_WINDOW, LATE};
 use crate::configuration::REPEAT_WINDOW;
 use crate::facts::{ConnectionEnd, Effect, Fact, RequestId, WorkerId};
 use std::time::Duration;
@@ -104,9 +104,10 @@
         let came_too_late = lifetime
             .terminated
             .is_some_and(|terminated| sent.at > terminated + TAKEN_AFTER_TERM);
-        let crossed = end == Some(ConnectionEnd::Closed) && at.saturating_sub(sent.at) <= CROSSING;
+        let lost_close_race =
+            end == Some(ConnectionEnd::Closed) && at.saturating_sub(sent.at) <= CLOSE_RACE_WINDOW;
         let stopped = end.is_none() && lifetime.was_stopped(at);
-        if was_killed || came_too_late || crossed || stopped {
+        if was_killed || came_too_late || lost_close_race || stopped {
             self.counts.excused += 1;
             return;
         }
