--- a/tests/soak/src/abuse.rs
+++ b/tests/soak/src/abuse.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep, timeout};
 
 /// Such a client is answered or closed by then.
-pub const OWED_WITHIN: Duration = Duration::from_secs(3);
+pub const RESPONSE_DUE_WITHIN: Duration = Duration::from_secs(3);
 /// The answer is awaited for so much longer, to see how late it comes.
 const EXTRA_WAIT: Duration = Duration::from_secs(2);
 
@@ -60,13 +60,13 @@
     endpoint: Endpoint,
     bytes: Vec<u8>,
 ) -> Option<()> {
-    let connected = timeout(OWED_WITHIN, TcpStream::connect(endpoint.address)).await;
+    let connected = timeout(RESPONSE_DUE_WITHIN, TcpStream::connect(endpoint.address)).await;
     let mut socket = connected.ok()?.ok()?;
     let began = Instant::now();
     // One that is closed meanwhile has been answered.
     let _ = socket.write_all(&bytes).await;
     let mut first = [0u8; 12];
-    let read = timeout(OWED_WITHIN + EXTRA_WAIT, socket.read(&mut first)).await;
+    let read = timeout(RESPONSE_DUE_WITHIN + EXTRA_WAIT, socket.read(&mut first)).await;
     let served = matches!(read, Ok(Ok(length)) if first[..length].starts_with(b"HTTP/1.1 200"));
     let after = read.is_ok().then(|| began.elapsed());
     facts.record(Fact::MalformedRequest {
--- a/tests/soak/src/clients.rs
+++ b/tests/soak/src/clients.rs
@@ -14,7 +14,7 @@
 /// A request on an idle connection that the front end closes within this time, as the request is on its way, is sent once more.
 pub const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 /// An answer that comes so long after its request's time is late, and no more than that.
-pub const LATE: Duration = Duration::from_millis(500);
+pub const ANSWER_SLACK: Duration = Duration::from_millis(500);
 /// A client waits for so much longer than that, as this machine itself may be late.
 const EXTRA_WAIT: Duration = Duration::from_millis(300);
 /// For how many milliseconds a new connection is left idle, if it is: about as long as a front end permits.
@@ -220,7 +220,7 @@
         match self.random.u32(0..10) {
             0 => timeout.mul_f64(self.random.f64()),
             1..=5 => timeout,
-            _ => timeout + LATE + EXTRA_WAIT,
+            _ => timeout + ANSWER_SLACK + EXTRA_WAIT,
         }
     }
 
--- a/tests/soak/src/discovery.rs
+++ b/tests/soak/src/discovery.rs
@@ -96,7 +96,7 @@
         let mut events = self.events.lock().expect("not poisoned");
         events.push(entry.clone());
         let event = events.len() as u64;
-        self.facts.record(Fact::Listed {
+        self.facts.record(Fact::WorkerStateChanged {
             event,
             worker,
             ready: state == WorkerState::Ready,
@@ -107,7 +107,7 @@
     /// Sets how it behaves from now on.
     pub fn set_mode(&self, mode: DiscoveryMode) {
         let answers = matches!(mode, DiscoveryMode::Plain | DiscoveryMode::Slow(_));
-        self.facts.record(Fact::Discovery { answers });
+        self.facts.record(Fact::DiscoveryAvailability { answers });
         self.mode.send_replace(mode);
     }
 
--- a/tests/soak/src/facts.rs
+++ b/tests/soak/src/facts.rs
@@ -111,7 +111,7 @@
         port: u16,
     },
     /// A worker's state changed at the coordinator.
-    Listed {
+    WorkerStateChanged {
         /// The event's number.
         event: u64,
         /// The worker.
@@ -129,7 +129,7 @@
         event: u64,
     },
     /// The coordinator answers whole replies from now on, however slowly, or does not.
-    Discovery {
+    DiscoveryAvailability {
         /// It does.
         answers: bool,
     },
--- a/tests/soak/src/oracle/collect.rs
+++ b/tests/soak/src/oracle/collect.rs
@@ -19,7 +19,7 @@
             Fact::ResponseTimedOut { id } => {
                 self.ends.insert(id, at);
             }
-            Fact::Listed {
+            Fact::WorkerStateChanged {
                 event,
                 worker,
                 ready,
--- a/tests/soak/src/oracle/mod.rs
+++ b/tests/soak/src/oracle/mod.rs
@@ -39,7 +39,7 @@
     /// Nothing goes to a worker that is known to drain.
     Drain,
     /// Events of the endpoint list reach every front end.
-    ListHeard,
+    ListReceived,
     /// Processes end only when signalled to, and in good order.
     Process,
     /// They are ready in time.
@@ -47,7 +47,7 @@
     /// Those who send no requests are answered or closed soon, and never served.
     Abuse,
     /// The program's own checks found nothing.
-    OwnChecks,
+    SelfChecks,
 }
 
 /// An invariant that did not hold.
@@ -216,7 +216,7 @@
         for violation in &mut self.violations {
             let timed = !matches!(
                 violation.invariant,
-                Invariant::Process | Invariant::OwnChecks
+                Invariant::Process | Invariant::SelfChecks
             );
             let near = |(from, to): &(Duration, Duration)| {
                 *from <= violation.at + ORDER_SLACK
--- a/tests/soak/src/oracle/processes.rs
+++ b/tests/soak/src/oracle/processes.rs
@@ -1,8 +1,8 @@
 //! What processes show: ends, readiness, endpoint lists, and clients that send no requests.
 
 use super::{Invariant, Oracle, ProcessId};
-use crate::abuse::OWED_WITHIN;
-use crate::clients::LATE;
+use crate::abuse::RESPONSE_DUE_WITHIN;
+use crate::clients::ANSWER_SLACK;
 use crate::facts::Fact;
 use crate::process::READY_WITHIN;
 use std::time::Duration;
@@ -40,7 +40,7 @@
             || self
                 .stops
                 .iter()
-                .any(|(from, to)| *from <= at && at <= *to + LATE)
+                .any(|(from, to)| *from <= at && at <= *to + ANSWER_SLACK)
     }
 }
 
@@ -68,9 +68,9 @@
         let stopped = lifetime
             .stops
             .iter()
-            .any(|(_, to)| *to + OWED_WITHIN + LATE >= at)
+            .any(|(_, to)| *to + RESPONSE_DUE_WITHIN + ANSWER_SLACK >= at)
             || lifetime.was_stopped(at);
-        if !stopped && after.is_none_or(|after| after > OWED_WITHIN + LATE) {
+        if !stopped && after.is_none_or(|after| after > RESPONSE_DUE_WITHIN + ANSWER_SLACK) {
             self.report(
                 Invariant::Abuse,
                 at,
@@ -86,7 +86,7 @@
         at: Duration,
         process: ProcessId,
         code: Option<i32>,
-        account: &str,
+        last_line: &str,
     ) {
         let Some(lifetime) = self.processes.get(&process) else {
             return;
@@ -107,13 +107,13 @@
         if code == Some(0) {
             for expected in ["guarded=0", "violations=0", "open=0"] {
                 let name = expected.split('=').next().unwrap_or(expected);
-                let is_reported = account.split(' ').any(|word| word == expected);
-                if !is_reported && account.contains(&format!("{name}=")) {
+                let is_reported = last_line.split(' ').any(|word| word == expected);
+                if !is_reported && last_line.contains(&format!("{name}=")) {
                     self.report(
-                        Invariant::OwnChecks,
+                        Invariant::SelfChecks,
                         at,
                         None,
-                        format!("{process:?}: {account}"),
+                        format!("{process:?}: {last_line}"),
                     );
                 }
             }
@@ -122,8 +122,8 @@
 
     /// Each event of the endpoint list reaches each front end in time.
     pub(super) fn check_list(&mut self, facts: &[(Duration, Fact)]) {
-        let listed = facts.iter().filter_map(|(at, f)| match f {
-            Fact::Listed { event, .. } => Some((*at, *event)),
+        let listed = facts.iter().filter_map(|(at, fact)| match fact {
+            Fact::WorkerStateChanged { event, .. } => Some((*at, *event)),
             _ => None,
         });
         let listed: Vec<_> = listed.collect();
@@ -140,8 +140,8 @@
             for (at, event) in &listed {
                 let outage: Duration = down
                     .iter()
-                    .filter(|d| d.1 > *at)
-                    .map(|d| d.1 - d.0.max(*at))
+                    .filter(|outage| outage.1 > *at)
+                    .map(|outage| outage.1 - outage.0.max(*at))
                     .sum();
                 let due = (*at).max(ready) + NOTIFIED_WITHIN + lifetime.time_stopped() + outage;
                 let alive = end.is_none_or(|end| end > due);
@@ -149,17 +149,18 @@
                     .polled
                     .iter()
                     .any(|(time, polled)| polled >= event && *time <= due);
-                if alive && !received && facts.last().is_some_and(|f| f.0 > due) {
+                if alive && !received && facts.last().is_some_and(|fact| fact.0 > due) {
                     late.push((
                         due,
-                        format!("front end {process:?} had not heard event {event} by then"),
+                        format!("front end {process:?} had not received event {event} by then"),
                     ));
                     break;
                 }
             }
         }
-        late.into_iter()
-            .for_each(|(at, description)| self.report(Invariant::ListHeard, at, None, description));
+        late.into_iter().for_each(|(at, description)| {
+            self.report(Invariant::ListReceived, at, None, description)
+        });
     }
 
     /// Each process is ready in time.
@@ -189,8 +190,8 @@
     let mut since = None;
     for (at, fact) in facts {
         match fact {
-            Fact::Discovery { answers: false } => since = since.or(Some(*at)),
-            Fact::Discovery { answers: true } => {
+            Fact::DiscoveryAvailability { answers: false } => since = since.or(Some(*at)),
+            Fact::DiscoveryAvailability { answers: true } => {
                 outages.extend(since.take().map(|from| (from, *at)))
             }
             _ => {}
--- a/tests/soak/src/oracle/requests.rs
+++ b/tests/soak/src/oracle/requests.rs
@@ -1,7 +1,7 @@
 //! What requests show: answers, attempts, repeats and drains.
 
 use super::{Attempt, Invariant, Oracle, ORDER_SLACK, TIMEOUT_SLACK};
-use crate::clients::{CLOSE_RACE_WINDOW, LATE};
+use crate::clients::{ANSWER_SLACK, CLOSE_RACE_WINDOW};
 use crate::configuration::REPEAT_WINDOW;
 use crate::facts::{ConnectionEnd, Effect, Fact, RequestId, WorkerId};
 use std::time::Duration;
@@ -83,7 +83,7 @@
             .processes
             .get(&sent.process)
             .is_some_and(|lifetime| lifetime.was_stopped(at));
-        if took > sent.timeout + LATE && !stopped {
+        if took > sent.timeout + ANSWER_SLACK && !stopped {
             let description = format!("answered after {took:?} of {:?}", sent.timeout);
             self.report(Invariant::InTime, at, Some(id), description);
         }
--- a/tests/soak/tests/oracle.rs
+++ b/tests/soak/tests/oracle.rs
@@ -249,7 +249,7 @@
         let facts = vec![
             (
                 500,
-                Fact::Listed {
+                Fact::WorkerStateChanged {
                     event: 1,
                     worker: WORKER,
                     ready: false,
@@ -274,7 +274,7 @@
 
 #[test]
 fn an_event_that_is_never_received_is_found() {
-    let listed = Fact::Listed {
+    let listed = Fact::WorkerStateChanged {
         event: 1,
         worker: WORKER,
         ready: false,
@@ -287,7 +287,7 @@
     let end = (12_000, Fact::FaultChanged("the end".into()));
     assert_eq!(
         found(vec![(500, listed.clone()), (900, received(0)), end.clone()]),
-        [Invariant::ListHeard]
+        [Invariant::ListReceived]
     );
     assert_eq!(
         found(vec![(500, listed.clone()), (900, received(1)), end.clone()]),
@@ -295,8 +295,8 @@
     );
     // While the coordinator answers nothing, nothing can be received.
     let (down, up) = (
-        Fact::Discovery { answers: false },
-        Fact::Discovery { answers: true },
+        Fact::DiscoveryAvailability { answers: false },
+        Fact::DiscoveryAvailability { answers: true },
     );
     let outage = vec![
         (400, down),
@@ -324,7 +324,7 @@
         (500, signal_sent(Signal::Terminate)),
         (900, process_exited(Some(0), own)),
     ];
-    assert_eq!(found(facts), [Invariant::OwnChecks]);
+    assert_eq!(found(facts), [Invariant::SelfChecks]);
 }
 
 #[test]
