--- a/decide/agreement/tests/scopes/catalog.rs
+++ b/decide/agreement/tests/scopes/catalog.rs
@@ -1,9 +1,10 @@
 //! What the log accepts of scopes, and how its state is sent on.
 
+use super::support::{join, member};
 use super::{apply, fields, finish, new_log, transaction, update};
 use std::collections::BTreeMap;
 use tansy_agreement::compatibility::{Fields, Value};
-use tansy_agreement::lease::{Member, Versioned};
+use tansy_agreement::lease::Versioned;
 use tansy_agreement::log::{
     ApplyOutcome, ChangePhase, EntryRejection, Log, LogEntry, Revision, Version,
 };
@@ -253,28 +254,24 @@
     assert!(log.apply(LogEntry::Advance { from: announced_in }).is_ok());
     assert!(matches!(log.state().next, Some((_, ChangePhase::Joint))));
     // A member that joins needs the latest revision of the versions alone.
-    let join = |at| LogEntry::Join {
-        member: Member {
-            id: 1,
-            incarnation: 1,
-        },
-        name: "g".into(),
-        revision: at,
-    };
+    let join_at = |revision| join(member(1), revision);
     apply(
         &mut log,
         vec![transaction(4, vec![update("d", 0, Some(fields(1, 1)))])],
     );
     assert_eq!(
-        log.validate(&join(Revision(log.state().versions_revision.0 - 1))),
+        log.validate(&join_at(Revision(log.state().versions_revision.0 - 1))),
         Err(EntryRejection::Behind)
     );
     assert_eq!(
-        log.validate(&join(log.state().revision.next())),
+        log.validate(&join_at(log.state().revision.next())),
         Err(EntryRejection::Behind)
     );
-    assert_eq!(log.validate(&join(log.state().versions_revision)), Ok(None));
-    assert_eq!(log.validate(&join(log.state().revision)), Ok(None));
+    assert_eq!(
+        log.validate(&join_at(log.state().versions_revision)),
+        Ok(None)
+    );
+    assert_eq!(log.validate(&join_at(log.state().revision)), Ok(None));
 }
 
 #[test]
--- a/decide/agreement/tests/scopes/histories.rs
+++ b/decide/agreement/tests/scopes/histories.rs
@@ -1,9 +1,8 @@
 //! Random histories of a leader and three members, in which a member that acts on another strict field than the one in
 //! force is detected.
 
-use super::{
-    effective_field, fields, member, new_log, reply_to, schema, transaction, update, SESSION,
-};
+use super::support::{self, is_detected, join, member, restarted, run_without_violation};
+use super::{effective_field, fields, new_log, reply_to, schema, transaction, update, SESSION};
 use tansy_agreement::compatibility::Schema;
 use tansy_agreement::lease::{
     LeaseGrant, LeaseGranter, LeaseHolder, LeaseRequest, LeaseTiming, Member,
@@ -26,7 +25,6 @@
 };
 const SCOPES: [&str; 3] = ["a", "b", "c"];
 const MEMBERS: usize = 3;
-const STEPS: usize = 900;
 /// Messages under way beyond which one is lost with each that arrives.
 const MAX_MESSAGES: usize = 40;
 
@@ -80,7 +78,7 @@
     }
 }
 
-struct History {
+struct ScopeHistory {
     rng: fastrand::Rng,
     defect: Defect,
     schema: Schema,
@@ -96,10 +94,13 @@
     strict_changes: u64,
 }
 
-impl History {
-    fn new(seed: u64, defect: Defect) -> History {
+impl support::History for ScopeHistory {
+    type Defect = Defect;
+    const STEPS: usize = 900;
+
+    fn new(seed: u64, defect: Defect) -> ScopeHistory {
         let epoch = ResyncEpoch::default().next();
-        History {
+        ScopeHistory {
             rng: fastrand::Rng::with_seed(seed),
             defect,
             schema: schema(),
@@ -138,6 +139,37 @@
         }
     }
 
+    /// No member with a session acts on another class than the one in force, nor on more lanes.
+    fn check(&self) -> Result<(), String> {
+        let with_session = |f: &&FrontEnd| f.session.remaining(self.now) > 0;
+        for front_end in self.front_ends.iter().filter(with_session) {
+            let lease = front_end.lease.remaining(self.now) > 0;
+            for scope in SCOPES {
+                let effective = front_end
+                    .subscriptions
+                    .effective_settings(&self.schema, scope, lease)
+                    .filter(|effective| !effective.rejected);
+                let Some(effective) = effective else { continue };
+                let agreed = self.log.catalog().get(scope).cloned().unwrap_or_default();
+                let used = |name| effective_field(&effective.fields, name);
+                let in_force = |name| effective_field(&agreed.fields, name);
+                if used("class") != in_force("class") || used("lanes") > in_force("lanes") {
+                    let (member, revision) = (front_end.member, front_end.lease.revision());
+                    return Err(format!(
+                        "{member:?} at {revision:?} acts on {scope} as {effective:?}, agreed is {agreed:?}"
+                    ));
+                }
+            }
+        }
+        Ok(())
+    }
+
+    fn strict_changes(&self) -> u64 {
+        self.strict_changes
+    }
+}
+
+impl ScopeHistory {
     fn request_session(&mut self, index: usize) {
         let request = self.front_ends[index].request_session(self.now);
         self.messages.push(Message::SessionRequest(index, request));
@@ -170,11 +202,7 @@
     /// A member is killed and comes back as a later process.
     fn restart_member(&mut self, index: usize) {
         let former = self.front_ends[index].member;
-        let restarted = Member {
-            incarnation: former.incarnation + 1,
-            ..former
-        };
-        self.front_ends[index] = FrontEnd::new(restarted, self.now);
+        self.front_ends[index] = FrontEnd::new(restarted(former), self.now);
         self.last_seq[index] = 0;
     }
 
@@ -298,12 +326,7 @@
     fn on_session_request(&mut self, index: usize, request: SessionRequest) {
         let from = request.from;
         if !self.log.has_member(from) {
-            let join = LogEntry::Join {
-                member: from,
-                name: "g".into(),
-                revision: request.revision,
-            };
-            if self.log.apply(join).is_ok() {
+            if self.log.apply(join(from, request.revision)).is_ok() {
                 self.table.on_join(self.now, from, request.revision);
             }
             return;
@@ -350,50 +373,11 @@
             .subscriptions
             .on_reply(self.now, reply, state, &self.schema);
     }
-
-    /// No member with a session acts on another class than the one in force, nor on more lanes.
-    fn check(&self) -> Result<(), String> {
-        let with_session = |f: &&FrontEnd| f.session.remaining(self.now) > 0;
-        for front_end in self.front_ends.iter().filter(with_session) {
-            let lease = front_end.lease.remaining(self.now) > 0;
-            for scope in SCOPES {
-                let effective = front_end
-                    .subscriptions
-                    .effective_settings(&self.schema, scope, lease)
-                    .filter(|effective| !effective.rejected);
-                let Some(effective) = effective else { continue };
-                let agreed = self.log.catalog().get(scope).cloned().unwrap_or_default();
-                let used = |name| effective_field(&effective.fields, name);
-                let in_force = |name| effective_field(&agreed.fields, name);
-                if used("class") != in_force("class") || used("lanes") > in_force("lanes") {
-                    let (member, revision) = (front_end.member, front_end.lease.revision());
-                    return Err(format!(
-                        "{member:?} at {revision:?} acts on {scope} as {effective:?}, agreed is {agreed:?}"
-                    ));
-                }
-            }
-        }
-        Ok(())
-    }
-}
-
-/// Runs one history; the number of strict changes that came in force, or the contradiction.
-fn run(seed: u64, defect: Defect) -> Result<u64, String> {
-    let mut history = History::new(seed, defect);
-    for _ in 0..STEPS {
-        history.step();
-        history
-            .check()
-            .map_err(|contradiction| format!("seed {seed}: {contradiction}"))?;
-    }
-    Ok(history.strict_changes)
 }
 
 #[test]
 fn members_act_on_the_scopes_in_force() {
-    let strict_changes: u64 = (0..3_000)
-        .map(|seed| run(seed, Defect::None).unwrap_or_else(|e| panic!("{e}")))
-        .sum();
+    let strict_changes = run_without_violation::<ScopeHistory>(0..3_000, Defect::None);
     assert!(
         strict_changes > 5_000,
         "the histories get somewhere: {strict_changes} strict changes"
@@ -408,9 +392,6 @@
         Defect::AnyOrder,
         Defect::SubscribersIgnored,
     ] {
-        assert!(
-            (0..3_000).any(|seed| run(seed, defect).is_err()),
-            "{defect:?}"
-        );
+        assert!(is_detected::<ScopeHistory>(0..3_000, defect), "{defect:?}");
     }
 }
--- a/decide/agreement/tests/scopes/main.rs
+++ b/decide/agreement/tests/scopes/main.rs
@@ -4,11 +4,13 @@
 mod catalog;
 mod histories;
 mod subscriptions;
+#[path = "../support/mod.rs"]
+mod support;
 
 use tansy_agreement::compatibility::{
     Compatibility, ExpiredLeasePolicy, Fields, Restrictiveness, Schema, Value,
 };
-use tansy_agreement::lease::{LeaseTiming, Member};
+use tansy_agreement::lease::LeaseTiming;
 use tansy_agreement::log::{ApplyOutcome, EntryRejection, Log, LogEntry, Revision};
 use tansy_agreement::scope::{ScopeTransaction, ScopeUpdate};
 use tansy_agreement::session::{SessionTable, SubscribeOutcome};
@@ -100,10 +102,6 @@
     )
 }
 
-fn member(id: u64) -> Member {
-    Member { id, incarnation: 1 }
-}
-
 fn effective_field(fields: &Option<Fields>, name: &str) -> Option<Value> {
     fields.as_ref().and_then(|fields| fields.get(name).cloned())
 }
--- a/decide/agreement/tests/scopes/subscriptions.rs
+++ b/decide/agreement/tests/scopes/subscriptions.rs
@@ -1,8 +1,7 @@
 //! The subscriptions of one member and the leader's record of them.
 
-use super::{
-    apply, fields, finish, member, new_log, reply_to, schema, transaction, update, SESSION,
-};
+use super::support::member;
+use super::{apply, fields, finish, new_log, reply_to, schema, transaction, update, SESSION};
 use tansy_agreement::lease::Versioned;
 use tansy_agreement::log::{FleetState, Log, Revision};
 use tansy_agreement::scope::{scope_number, ChangeHistory, ScopeRecord, MAX_NAME_BYTES};
--- a/decide/agreement/tests/session.rs
+++ b/decide/agreement/tests/session.rs
@@ -1,6 +1,9 @@
 //! Sessions under random histories of one leader and three members: a member that acts on a revision which the fleet has
 //! left behind is detected.
 
+mod support;
+
+use support::{is_detected, join, member, restarted, run_without_violation};
 use tansy_agreement::compatibility::{Fields, Value};
 use tansy_agreement::lease::{LeaseTiming, Member};
 use tansy_agreement::log::{ApplyOutcome, EntryRejection, Log, LogEntry, Revision};
@@ -12,7 +15,6 @@
     drift_ppm: 10_000,
 };
 const MEMBERS: u64 = 3;
-const STEPS: usize = 400;
 
 /// An injected defect.
 #[derive(Clone, Copy, PartialEq, Debug)]
@@ -39,7 +41,7 @@
     }
 }
 
-struct History {
+struct SessionHistory {
     rng: fastrand::Rng,
     defect: Defect,
     now: i64,
@@ -56,12 +58,15 @@
     Fields::from([("classes.a.group".to_string(), Value::Int(value))])
 }
 
-impl History {
-    fn new(seed: u64, defect: Defect) -> History {
+impl support::History for SessionHistory {
+    type Defect = Defect;
+    const STEPS: usize = 400;
+
+    fn new(seed: u64, defect: Defect) -> SessionHistory {
         let mut rng = fastrand::Rng::with_seed(seed);
         let front_ends = (0..MEMBERS)
             .map(|id| {
-                let member = Member { id, incarnation: 1 };
+                let member = member(id);
                 FrontEnd {
                     session: Session::new(TIMING, member),
                     member,
@@ -70,7 +75,7 @@
                 }
             })
             .collect();
-        History {
+        SessionHistory {
             rng,
             defect,
             now: 0,
@@ -100,6 +105,28 @@
         }
     }
 
+    /// No member with a session acts on a revision that the fleet has left behind by more than one.
+    fn check(&self) -> Result<(), String> {
+        let fleet = self.log.state().revision;
+        for front_end in &self.front_ends {
+            let local_time = front_end.local_time(self.now);
+            let remaining = front_end.session.remaining(local_time);
+            if remaining > 0 && front_end.revision.next() < fleet {
+                return Err(format!(
+                    "at revision {} of {} with a session",
+                    front_end.revision.0, fleet.0
+                ));
+            }
+        }
+        Ok(())
+    }
+
+    fn strict_changes(&self) -> u64 {
+        self.strict_steps
+    }
+}
+
+impl SessionHistory {
     /// A member requests a session; the grant takes its time, or never arrives.
     fn request_session(&mut self, index: usize) {
         let front_end = &mut self.front_ends[index];
@@ -123,12 +150,7 @@
             Defect::JoinsBehind => self.log.state().revision,
             _ => request.revision,
         };
-        let join = LogEntry::Join {
-            member: request.from,
-            name: "g".into(),
-            revision,
-        };
-        match self.log.apply(join) {
+        match self.log.apply(join(request.from, revision)) {
             Ok(_) => self.table.on_join(self.now, request.from, request.revision),
             Err(rejection) => assert_eq!(rejection, EntryRejection::Behind),
         }
@@ -137,7 +159,7 @@
     /// A member is killed and comes back as a later process, which knows nothing.
     fn restart_member(&mut self, index: usize) {
         let front_end = &mut self.front_ends[index];
-        front_end.member.incarnation += 1;
+        front_end.member = restarted(front_end.member);
         front_end.session = Session::new(TIMING, front_end.member);
         front_end.revision = Revision(0);
     }
@@ -173,46 +195,19 @@
         }
         self.strict_steps += 1;
     }
-
-    /// No member with a session acts on a revision that the fleet has left behind by more than one.
-    fn check(&self) -> Result<(), String> {
-        let fleet = self.log.state().revision;
-        for front_end in &self.front_ends {
-            let local_time = front_end.local_time(self.now);
-            let remaining = front_end.session.remaining(local_time);
-            if remaining > 0 && front_end.revision.next() < fleet {
-                return Err(format!(
-                    "at revision {} of {} with a session",
-                    front_end.revision.0, fleet.0
-                ));
-            }
-        }
-        Ok(())
-    }
-}
-
-/// Runs one history; the number of steps of strict changes, or the violation.
-fn run(seed: u64, defect: Defect) -> Result<u64, String> {
-    let mut history = History::new(seed, defect);
-    for _ in 0..STEPS {
-        history.step();
-        history
-            .check()
-            .map_err(|violation| format!("seed {seed}: {violation}"))?;
-    }
-    Ok(history.strict_steps)
 }
 
 #[test]
 fn no_member_with_a_session_is_left_behind() {
-    let steps: u64 = (0..4000)
-        .map(|seed| run(seed, Defect::None).unwrap_or_else(|e| panic!("{e}")))
-        .sum();
+    let steps = run_without_violation::<SessionHistory>(0..4000, Defect::None);
     assert!(steps > 20_000, "the histories get somewhere: {steps} steps");
 }
 
 #[test]
 fn each_injected_defect_leaves_a_member_behind() {
-    assert!((0..4000).any(|seed| run(seed, Defect::JoinsBehind).is_err()));
-    assert!((0..4000).any(|seed| run(seed, Defect::LeaveNotLogged).is_err()));
+    assert!(is_detected::<SessionHistory>(0..4000, Defect::JoinsBehind));
+    assert!(is_detected::<SessionHistory>(
+        0..4000,
+        Defect::LeaveNotLogged
+    ));
 }
