--- a/decide/rollout/tests/crash.rs
+++ b/decide/rollout/tests/crash.rs
@@ -2,27 +2,40 @@
 //! complete or rolled back, with every front end on the side that the log says, never two processes of one name, and never more of a
 //! zone unavailable than the plan allows.
 
+mod support;
+
 use std::collections::BTreeMap;
+use support::{program, target};
 use tansy_canary::{FrontEndReport, RequestCounters};
 use tansy_rollout::{
-    DesiredProcess, FrontEndObservation, ProcessExit, Rollout, RolloutChange, RolloutController,
-    RolloutEntry, RolloutPhase, RolloutPlan, Supervisor, SupervisorCommand, SupervisorLimits,
-    Target, Time, SECOND,
+    DesiredProcess, FrontEndObservation, ProcessExit, Rollout, RolloutController, RolloutEntry,
+    RolloutPhase, RolloutPlan, Supervisor, SupervisorCommand, SupervisorLimits, Time, SECOND,
 };
 
 const TICK: Time = SECOND / 10;
 const ZONES: usize = 3;
 const EACH: usize = 3;
 
-fn zone(n: usize) -> String {
-    format!("z{}", n / EACH)
+fn zone_name(zone_index: usize) -> String {
+    format!("z{zone_index}")
+}
+
+/// The zone of a front end.
+fn zone_of(front_end: usize) -> String {
+    zone_name(front_end / EACH)
+}
+
+fn front_end_name(front_end: usize) -> String {
+    format!("f{front_end}")
 }
 
 fn plan() -> RolloutPlan {
-    let place = |n: usize| Target {
-        name: format!("f{n}"),
-        zone: zone(n),
-        is_voter: n.is_multiple_of(EACH),
+    let place = |front_end: usize| {
+        target(
+            &front_end_name(front_end),
+            &zone_of(front_end),
+            front_end.is_multiple_of(EACH),
+        )
     };
     // One of each zone, among them all voters; then the others.
     let (first, rest): (Vec<usize>, Vec<usize>) = (0..ZONES * EACH).partition(|n| n % EACH == 0);
@@ -78,10 +91,7 @@
 
 impl World {
     fn new(faulty: bool, unstartable: bool) -> World {
-        let change = RolloutChange::Program {
-            label: "new".into(),
-            path: "new".into(),
-        };
+        let change = program("new", "new");
         let rollout = Rollout::begin(7, change, plan(), "a test".into()).expect("a plan");
         let mut world = World {
             now: 0,
@@ -94,78 +104,78 @@
             violations: Vec::new(),
             fault_at: None,
         };
-        (0..ZONES).for_each(|z| world.hosts.push(World::host(z)));
-        (0..ZONES).for_each(|z| world.begin(z));
+        (0..ZONES).for_each(|zone_index| world.hosts.push(World::host(zone_index)));
+        (0..ZONES).for_each(|zone_index| world.begin(zone_index));
         world
     }
 
-    fn host(z: usize) -> ZoneHost {
+    fn host(zone_index: usize) -> ZoneHost {
         ZoneHost {
             supervisor: None,
-            controller: RolloutController::new(format!("s{z}")),
+            controller: RolloutController::new(format!("s{zone_index}")),
             read: None,
             stopped: false,
         }
     }
 
-    fn names(z: usize) -> impl Iterator<Item = String> {
-        (z * EACH..(z + 1) * EACH).map(|n| format!("f{n}"))
+    fn names(zone_index: usize) -> impl Iterator<Item = String> {
+        (zone_index * EACH..(zone_index + 1) * EACH).map(front_end_name)
     }
 
     /// A supervisor starts and adopts the running processes of its names.
-    fn begin(&mut self, z: usize) {
+    fn begin(&mut self, zone_index: usize) {
         let limits = SupervisorLimits {
             drain_timeout: 2 * SECOND,
             start_timeout: 4 * SECOND,
             ..SupervisorLimits::default()
         };
-        let mut supervisor = Supervisor::new(limits, World::names(z), "old");
-        for (pid, p) in &self.processes {
-            supervisor.adopt(self.now, &p.name, *pid, p.label.clone());
+        let mut supervisor = Supervisor::new(limits, World::names(zone_index), "old");
+        for (pid, process) in &self.processes {
+            supervisor.adopt(self.now, &process.name, *pid, process.label.clone());
         }
-        self.hosts[z] = World::host(z);
-        self.hosts[z].supervisor = Some(supervisor);
+        self.hosts[zone_index] = World::host(zone_index);
+        self.hosts[zone_index].supervisor = Some(supervisor);
     }
 
     fn fronts(&self) -> Vec<FrontEndObservation> {
-        let one = |n: usize| {
-            let name = format!("f{n}");
-            let p = self.processes.iter().find(|(_, p)| p.name == name);
-            let up = p.map_or(0, |(_, p)| self.now - p.ready).max(0);
-            let mut t = RequestCounters::default();
+        let observe = |front_end: usize| {
+            let name = front_end_name(front_end);
+            let found = self.processes.iter().find(|(_, p)| p.name == name);
+            let up = found.map_or(0, |(_, p)| self.now - p.ready).max(0);
+            let mut counters = RequestCounters::default();
             let calls = (up / SECOND) as u64 * 200;
-            (t.requested, t.served, t.value_requested, t.value_served) =
-                (calls, calls, calls as f64, calls as f64);
-            let new = p.is_some_and(|(_, p)| p.label == "new");
+            (counters.requested, counters.served) = (calls, calls);
+            (counters.value_requested, counters.value_served) = (calls as f64, calls as f64);
+            let new = found.is_some_and(|(_, p)| p.label == "new");
             FrontEndObservation {
-                ready: p.is_some_and(|(_, p)| p.ready <= self.now && p.ends.is_none()),
+                ready: found.is_some_and(|(_, p)| p.ready <= self.now && p.ends.is_none()),
                 report: FrontEndReport {
                     name,
-                    zone: zone(n),
+                    zone: zone_of(front_end),
                     new,
-                    incarnation: p.map_or(0, |(pid, _)| u64::from(*pid)),
+                    incarnation: found.map_or(0, |(pid, _)| u64::from(*pid)),
                     up: up as f64 / SECOND as f64,
-                    classes: [("c".to_string(), t)].into(),
+                    classes: [("c".to_string(), counters)].into(),
                     memory: 10.0,
                     guarded: u64::from(new && self.faulty && up > 2 * SECOND),
                 },
             }
         };
-        (0..ZONES * EACH).map(one).collect()
+        (0..ZONES * EACH).map(observe).collect()
     }
 
     fn with_supervisor(
         &mut self,
-        z: usize,
+        zone_index: usize,
         act: impl FnOnce(&mut Supervisor, Time, &mut Vec<SupervisorCommand>),
     ) {
-        let mut out = Vec::new();
-        let Some(supervisor) = &mut self.hosts[z].supervisor else {
+        let mut commands = Vec::new();
+        let Some(supervisor) = &mut self.hosts[zone_index].supervisor else {
             return;
         };
-        act(supervisor, self.now, &mut out);
-        for a in out {
-            match a {
+        act(supervisor, self.now, &mut commands);
+        for command in commands {
+            match command {
                 SupervisorCommand::Start { name, label } => {
                     if self.processes.values().any(|p| p.name == name) {
                         self.violations.push(format!("two processes of {name}"));
@@ -173,16 +183,16 @@
                     self.pids += 1;
                     let never = self.unstartable && label == "new" && name == "f1";
                     let ready = if never { Time::MAX } else { self.now + SECOND };
-                    let p = Process {
+                    let process = Process {
                         name: name.clone(),
                         label: label.clone(),
                         ready,
                         began: self.now,
                         ends: None,
                     };
-                    self.processes.insert(self.pids, p);
+                    self.processes.insert(self.pids, process);
                     let (pid, now) = (self.pids, self.now);
-                    if let Some(supervisor) = &mut self.hosts[z].supervisor {
+                    if let Some(supervisor) = &mut self.hosts[zone_index].supervisor {
                         supervisor.on_started(now, &name, pid, label);
                     }
                 }
@@ -233,8 +243,8 @@
             .collect();
         for pid in over {
             self.processes.remove(&pid);
-            for z in 0..ZONES {
-                self.with_supervisor(z, |supervisor, now, out| {
+            for zone_index in 0..ZONES {
+                self.with_supervisor(zone_index, |supervisor, now, out| {
                     supervisor.on_exit(
                         now,
                         pid,
@@ -246,14 +256,14 @@
                 });
             }
         }
-        for z in 0..ZONES {
-            if self.hosts[z].stopped || self.hosts[z].supervisor.is_none() {
+        for zone_index in 0..ZONES {
+            if self.hosts[zone_index].stopped || self.hosts[zone_index].supervisor.is_none() {
                 continue;
             }
             // What it read before it was suspended is acted on first.
-            let read = self.hosts[z].read.take();
+            let read = self.hosts[zone_index].read.take();
             if let Some((asked, rollout)) = read {
-                for name in World::names(z) {
+                for name in World::names(zone_index) {
                     let label = if rollout.new_side(&name) {
                         "new"
                     } else {
@@ -263,7 +273,7 @@
                         label: label.into(),
                         may_replace: rollout.released.contains(&name),
                     };
-                    if let Some(supervisor) = &mut self.hosts[z].supervisor {
+                    if let Some(supervisor) = &mut self.hosts[zone_index].supervisor {
                         supervisor.set_desired(asked, &name, wanted);
                     }
                 }
@@ -274,15 +284,18 @@
                 .filter(|p| p.ready <= now && p.began < now)
                 .map(|p| p.name.clone())
                 .collect();
-            self.with_supervisor(z, |supervisor, now, out| {
+            self.with_supervisor(zone_index, |supervisor, now, out| {
                 ready.iter().for_each(|n| supervisor.on_ready(now, n));
                 supervisor.tick(now, out);
             });
             let (fronts, rollout) = (self.fronts(), self.rollout.clone());
-            if let Some(entry) = self.hosts[z].controller.poll(now, &rollout, &fronts) {
+            if let Some(entry) = self.hosts[zone_index]
+                .controller
+                .poll(now, &rollout, &fronts)
+            {
                 let _ = self.rollout.apply(entry);
             }
-            self.hosts[z].read = Some((now, self.rollout.clone()));
+            self.hosts[zone_index].read = Some((now, self.rollout.clone()));
         }
         self.check_zones();
     }
@@ -292,14 +305,16 @@
             return;
         }
         let fronts = self.fronts();
-        for z in 0..ZONES {
+        for zone_index in 0..ZONES {
             let away = fronts
                 .iter()
-                .filter(|f| f.report.zone == format!("z{z}") && !f.ready)
+                .filter(|f| f.report.zone == zone_name(zone_index) && !f.ready)
                 .count();
             if away > plan().max_unavailable {
-                self.violations
-                    .push(format!("{away} of zone {z} are away at {}", self.now));
+                self.violations.push(format!(
+                    "{away} of zone {zone_index} are away at {}",
+                    self.now
+                ));
             }
         }
     }
@@ -310,18 +325,18 @@
         // All are up before the rollout is looked at.
         let mut ticks = 0;
         while ticks < 1500 && !(world.rollout.has_ended() && ticks > 40) {
-            if let Some((fault, z, at)) = fault {
+            if let Some((fault, zone_index, at)) = fault {
                 if ticks == at {
                     world.fault_at = Some(world.now);
                     match fault {
-                        Fault::Kill => world.hosts[z].supervisor = None,
-                        Fault::Stop => world.hosts[z].stopped = true,
+                        Fault::Kill => world.hosts[zone_index].supervisor = None,
+                        Fault::Stop => world.hosts[zone_index].stopped = true,
                     }
                 }
                 if ticks == at + 70 {
                     match fault {
-                        Fault::Kill => world.begin(z),
-                        Fault::Stop => world.hosts[z].stopped = false,
+                        Fault::Kill => world.begin(zone_index),
+                        Fault::Stop => world.hosts[zone_index].stopped = false,
                     }
                 }
             }
@@ -383,12 +398,12 @@
     let (_, ticks) = World::run(faulty, unstartable, None);
     let mut ends = BTreeMap::new();
     for fault in [Fault::Kill, Fault::Stop] {
-        for z in 0..ZONES {
+        for zone_index in 0..ZONES {
             for at in (20..ticks + 5).step_by(3) {
-                let (world, _) = World::run(faulty, unstartable, Some((fault, z, at)));
+                let (world, _) = World::run(faulty, unstartable, Some((fault, zone_index, at)));
                 world.check(
                     faulty || unstartable,
-                    &format!("{fault:?} of supervisor {z} at tick {at}"),
+                    &format!("{fault:?} of supervisor {zone_index} at tick {at}"),
                 );
                 *ends
                     .entry(format!("{:?}", world.rollout.phase))
--- a/decide/rollout/tests/json_format.rs
+++ b/decide/rollout/tests/json_format.rs
@@ -1,8 +1,9 @@
 //! The JSON text of rollouts and of their log entries is a stored format: names inside the program may change, this text may not.
 
-use tansy_rollout::{
-    InconclusivePolicy, Rollout, RolloutChange, RolloutEntry, RolloutPhase, RolloutPlan, Target,
-};
+mod support;
+
+use support::{program, target};
+use tansy_rollout::{InconclusivePolicy, Rollout, RolloutEntry, RolloutPhase, RolloutPlan};
 
 /// Entries of every variant, in the order of the type.
 const ENTRIES: [&str; 16] = [
@@ -59,21 +60,13 @@
 
 /// The rollout of [`ROLLOUT`], as the program itself comes to it.
 fn reached_by_entries() -> Rollout {
-    let target = Target {
-        name: "f0".into(),
-        zone: "a".into(),
-        is_voter: true,
-    };
-    let change = RolloutChange::Program {
-        label: "d1".into(),
-        path: "/bin/x".into(),
-    };
     let plan = RolloutPlan {
-        stages: vec![vec![target]],
+        stages: vec![vec![target("f0", "a", true)]],
         inconclusive: InconclusivePolicy::Pass,
         ..RolloutPlan::default()
     };
-    let mut rollout = Rollout::begin(7, change, plan, "a test".into()).expect("a plan");
+    let mut rollout =
+        Rollout::begin(7, program("d1", "/bin/x"), plan, "a test".into()).expect("a plan");
     let entries = [
         r#"{"Steer":{"fence":1,"who":"s0"}}"#,
         r#"{"Let":{"at":2,"fence":1,"name":"f0"}}"#,
--- a/decide/rollout/tests/rollout.rs
+++ b/decide/rollout/tests/rollout.rs
@@ -1,26 +1,20 @@
 //! Entries that were made for an older revision, by a former controller, or out of turn change nothing.
 
+mod support;
+
+use support::{program, target};
 use tansy_rollout::{
     Crash, Rollout, RolloutChange, RolloutEntry, RolloutPhase, RolloutPlan, RolloutRejection,
-    Target,
 };
 
-fn target(n: usize, zone: &str, seat: bool) -> Target {
-    Target {
-        name: format!("f{n}"),
-        zone: zone.into(),
-        is_voter: seat,
-    }
-}
-
 fn controlled_rollout(change: RolloutChange) -> Rollout {
     let stages = vec![
         vec![
-            target(0, "a", true),
-            target(1, "a", false),
-            target(2, "b", true),
+            target("f0", "a", true),
+            target("f1", "a", false),
+            target("f2", "b", true),
         ],
-        vec![target(3, "b", false)],
+        vec![target("f3", "b", false)],
     ];
     let mut rollout = Rollout::begin(
         1,
@@ -41,13 +35,6 @@
     rollout
 }
 
-fn program() -> RolloutChange {
-    RolloutChange::Program {
-        label: "new".into(),
-        path: "new".into(),
-    }
-}
-
 fn apply_now(
     rollout: &mut Rollout,
     make: impl Fn(u64, u64) -> RolloutEntry,
@@ -63,7 +50,7 @@
     })
 }
 
-fn moved(rollout: &mut Rollout, name: &str) -> Result<(), RolloutRejection> {
+fn mark_ready(rollout: &mut Rollout, name: &str) -> Result<(), RolloutRejection> {
     apply_now(rollout, |revision, fence| RolloutEntry::MarkReady {
         revision,
         fence,
@@ -71,9 +58,22 @@
     })
 }
 
+fn begin_analysis(rollout: &mut Rollout) -> Result<(), RolloutRejection> {
+    apply_now(rollout, |revision, fence| RolloutEntry::BeginAnalysis {
+        revision,
+        fence,
+    })
+}
+
+/// Lets a front end change, and records that it has changed.
+fn change(rollout: &mut Rollout, name: &str) {
+    release(rollout, name).expect("it may change");
+    mark_ready(rollout, name).expect("it was released");
+}
+
 #[test]
 fn no_two_of_a_zone_and_no_two_voters_are_unavailable_at_once() {
-    let mut rollout = controlled_rollout(program());
+    let mut rollout = controlled_rollout(program("new", "new"));
     assert_eq!(
         release(&mut rollout, "f3"),
         Err(RolloutRejection::NotAllowed),
@@ -95,8 +95,11 @@
         Err(RolloutRejection::NotAllowed),
         "another voter"
     );
-    assert_eq!(moved(&mut rollout, "f0"), Ok(()));
-    assert_eq!(moved(&mut rollout, "f0"), Err(RolloutRejection::NotAllowed));
+    assert_eq!(mark_ready(&mut rollout, "f0"), Ok(()));
+    assert_eq!(
+        mark_ready(&mut rollout, "f0"),
+        Err(RolloutRejection::NotAllowed)
+    );
     assert_eq!(
         (release(&mut rollout, "f1"), release(&mut rollout, "f2")),
         (Ok(()), Ok(()))
@@ -115,7 +118,7 @@
 
 #[test]
 fn a_former_controller_and_a_suspended_one_change_nothing() {
-    let mut rollout = controlled_rollout(program());
+    let mut rollout = controlled_rollout(program("new", "new"));
     let (revision, fence) = (rollout.revision, rollout.fence);
     release(&mut rollout, "f0").expect("it may");
     assert_eq!(
@@ -164,7 +167,7 @@
         }),
         Err(RolloutRejection::Fenced)
     );
-    assert_eq!(moved(&mut rollout, "f0"), Ok(()));
+    assert_eq!(mark_ready(&mut rollout, "f0"), Ok(()));
 }
 
 #[test]
@@ -175,29 +178,17 @@
 fn an_abort_as_the_last_stage_passes_is_one_or_the_other() {
     let mut rollout = controlled_rollout(RolloutChange::Settings);
     for name in ["f0", "f1", "f2"] {
-        (release(&mut rollout, name), moved(&mut rollout, name))
-            .0
-            .expect("it may");
+        change(&mut rollout, name);
     }
-    assert_eq!(
-        apply_now(&mut rollout, |revision, fence| {
-            RolloutEntry::BeginAnalysis { revision, fence }
-        }),
-        Ok(())
-    );
+    assert_eq!(begin_analysis(&mut rollout), Ok(()));
     let pass = |revision, fence| RolloutEntry::Pass {
         revision,
         fence,
         reason: "well".into(),
     };
     assert_eq!(apply_now(&mut rollout, pass), Ok(()));
-    (release(&mut rollout, "f3"), moved(&mut rollout, "f3"))
-        .1
-        .expect("it moves");
-    apply_now(&mut rollout, |revision, fence| {
-        RolloutEntry::BeginAnalysis { revision, fence }
-    })
-    .expect("it stands");
+    change(&mut rollout, "f3");
+    begin_analysis(&mut rollout).expect("the stage has changed");
     let mut first = rollout.clone();
     assert_eq!(apply_now(&mut first, pass), Ok(()));
     assert_eq!(
@@ -245,16 +236,14 @@
         Err(RolloutRejection::Ended)
     );
     for name in ["f0", "f1", "f2", "f3"] {
-        (release(&mut rollout, name), moved(&mut rollout, name))
-            .0
-            .expect("it may");
+        change(&mut rollout, name);
     }
     assert_eq!(rollout.phase, RolloutPhase::RolledBack);
 }
 
 #[test]
 fn a_second_rollout_waits_for_the_first_and_an_invalid_plan_is_rejected() {
-    let mut rollout = controlled_rollout(program());
+    let mut rollout = controlled_rollout(program("new", "new"));
     let begin = |plan: RolloutPlan| RolloutEntry::Begin {
         id: 2,
         change: RolloutChange::Settings,
@@ -262,7 +251,7 @@
         reason: String::new(),
     };
     let plan = RolloutPlan {
-        stages: vec![vec![target(0, "a", false)]],
+        stages: vec![vec![target("f0", "a", false)]],
         ..RolloutPlan::default()
     };
     assert_eq!(
@@ -281,7 +270,10 @@
         "nothing had changed"
     );
     let twice = RolloutPlan {
-        stages: vec![vec![target(0, "a", false)], vec![target(0, "a", false)]],
+        stages: vec![
+            vec![target("f0", "a", false)],
+            vec![target("f0", "a", false)],
+        ],
         ..plan.clone()
     };
     for wrong in [
@@ -310,7 +302,7 @@
 
 #[test]
 fn a_pause_stops_progress_but_not_a_rollback() {
-    let mut rollout = controlled_rollout(program());
+    let mut rollout = controlled_rollout(program("new", "new"));
     rollout
         .apply(RolloutEntry::Pause {
             id: 1,
@@ -350,7 +342,7 @@
         })
         .expect("it goes on");
     assert_eq!(
-        (release(&mut rollout, "f0"), moved(&mut rollout, "f0")),
+        (release(&mut rollout, "f0"), mark_ready(&mut rollout, "f0")),
         (Ok(()), Ok(()))
     );
     assert_eq!(rollout.phase, RolloutPhase::RolledBack);
