--- a/decide/agreement/src/compatibility/schema.rs
+++ b/decide/agreement/src/compatibility/schema.rs
@@ -17,35 +17,43 @@
 
 impl Restrictiveness {
     /// Compares two values, the more restrictive one first.
-    fn order(self, a: &Value, b: &Value) -> Ordering {
+    fn order(self, left: &Value, right: &Value) -> Ordering {
         match self {
-            Restrictiveness::Smallest => a.cmp(b),
-            Restrictiveness::Largest => b.cmp(a),
+            Restrictiveness::Smallest => left.cmp(right),
+            Restrictiveness::Largest => right.cmp(left),
             Restrictiveness::Ranked(names) => {
                 // None, of what is not named, sorts before any rank.
                 let rank = |value: &Value| match value {
                     Value::Text(text) => names.iter().position(|name| name == text),
                     _ => None,
                 };
-                rank(a).cmp(&rank(b)).then_with(|| a.cmp(b))
+                rank(left).cmp(&rank(right)).then_with(|| left.cmp(right))
             }
         }
     }
 
     /// The more restrictive of two values. A field left out restricts nothing.
-    pub fn stricter<'a>(self, a: Option<&'a Value>, b: Option<&'a Value>) -> Option<&'a Value> {
-        match (a, b) {
-            (Some(a), Some(b)) => Some(if self.order(a, b).is_le() { a } else { b }),
-            (a, b) => a.or(b),
+    pub fn stricter<'a>(
+        self,
+        left: Option<&'a Value>,
+        right: Option<&'a Value>,
+    ) -> Option<&'a Value> {
+        match (left, right) {
+            (Some(left), Some(right)) => Some(if self.order(left, right).is_le() {
+                left
+            } else {
+                right
+            }),
+            (left, right) => left.or(right),
         }
     }
 
     /// Whether the first is at least as restrictive as the second.
-    pub fn at_least_as_strict(self, a: Option<&Value>, b: Option<&Value>) -> bool {
-        match (a, b) {
+    pub fn at_least_as_strict(self, left: Option<&Value>, right: Option<&Value>) -> bool {
+        match (left, right) {
             (_, None) => true,
             (None, Some(_)) => false,
-            (Some(a), Some(b)) => self.order(a, b).is_le(),
+            (Some(left), Some(right)) => self.order(left, right).is_le(),
         }
     }
 }
--- a/decide/agreement/src/compatibility/value.rs
+++ b/decide/agreement/src/compatibility/value.rs
@@ -61,15 +61,15 @@
 
     fn as_integer(&self) -> Option<i64> {
         match self {
-            Value::Int(n) | Value::Span(n) | Value::Bytes(n) => Some(*n),
+            Value::Int(integer) | Value::Span(integer) | Value::Bytes(integer) => Some(*integer),
             _ => None,
         }
     }
 
     fn as_float(&self) -> Option<f64> {
         match self {
-            Value::Number(x) => Some(*x),
-            _ => self.as_integer().map(|n| n as f64),
+            Value::Number(number) => Some(*number),
+            _ => self.as_integer().map(|integer| integer as f64),
         }
     }
 }
@@ -99,7 +99,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Value::Flag(flag) => write!(f, "{flag}"),
-            Value::Int(n) => write!(f, "{n}"),
+            Value::Int(integer) => write!(f, "{integer}"),
             Value::Span(micros) => {
                 let units = [
                     ("h", HOUR),
@@ -113,7 +113,7 @@
                 let units = [("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10)];
                 write_in_units(f, *bytes, &units, "B")
             }
-            Value::Number(x) => write!(f, "{x}"),
+            Value::Number(number) => write!(f, "{number}"),
             Value::Text(text) => f.write_str(&quote(text)),
             Value::List(values) => {
                 let values: Vec<String> = values.iter().map(Value::to_string).collect();
@@ -140,14 +140,16 @@
 /// A text in quotes, as a settings file writes it.
 pub fn quote(text: &str) -> String {
     let mut quoted = String::from("\"");
-    for c in text.chars() {
-        match c {
-            '"' | '\\' => quoted.extend(['\\', c]),
+    for character in text.chars() {
+        match character {
+            '"' | '\\' => quoted.extend(['\\', character]),
             '\n' => quoted.push_str("\\n"),
             '\t' => quoted.push_str("\\t"),
             '\r' => quoted.push_str("\\r"),
-            c if c.is_control() => quoted.push_str(&format!("\\u{:04x}", c as u32)),
-            c => quoted.push(c),
+            control if control.is_control() => {
+                quoted.push_str(&format!("\\u{:04x}", control as u32));
+            }
+            other => quoted.push(other),
         }
     }
     quoted + "\""
