--- a/decide/consensus/src/persistence.rs
+++ b/decide/consensus/src/persistence.rs
@@ -29,22 +29,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CorruptState {
     /// The configuration names a voter 0, which raft reserves.
-    #[error("record 0 of the seat's file can't be read: a seat's number is 0; restore the file, or start the seat anew without it")]
+    #[error("record 0 of the voter's file can't be read: a voter's number is 0; restore the file, or start the voter anew without it")]
     ZeroVoterId,
     /// The snapshot has a format that this program does not know.
-    #[error("record 0 of the seat's file can't be read: it is of a form that this program does not know; restore the file, or start the seat anew without it")]
+    #[error("record 0 of the voter's file can't be read: it is of a form that this program does not know; restore the file, or start the voter anew without it")]
     UnknownSnapshotFormat {
         /// The format that the snapshot states.
         format: u64,
     },
     /// The snapshot can't be decoded.
-    #[error("record 0 of the seat's file can't be read: {cause}; restore the file, or start the seat anew without it")]
+    #[error("record 0 of the voter's file can't be read: {cause}; restore the file, or start the voter anew without it")]
     Snapshot {
         /// The decoder's error.
         cause: postcard::Error,
     },
     /// A record can't be decoded.
-    #[error("record {record} of the seat's file can't be read: {cause}; restore the file, or start the seat anew without it")]
+    #[error("record {record} of the voter's file can't be read: {cause}; restore the file, or start the voter anew without it")]
     Record {
         /// Its position after the snapshot, from 1.
         record: usize,
@@ -52,7 +52,7 @@
         cause: postcard::Error,
     },
     /// Raft does not accept the state.
-    #[error("record 0 of the seat's file can't be read: {cause}; restore the file, or start the seat anew without it")]
+    #[error("record 0 of the voter's file can't be read: {cause}; restore the file, or start the voter anew without it")]
     Raft {
         /// Raft's error.
         cause: String,
