--- a/decide/consensus/tests/replica/cluster.rs
+++ b/decide/consensus/tests/replica/cluster.rs
@@ -9,8 +9,8 @@
 
 pub(crate) const SECOND: i64 = 1_000_000;
 
-pub(crate) fn fields(n: i64) -> Fields {
-    [("worker.max_attempts".to_string(), Value::Int(n))].into()
+pub(crate) fn fields(max_attempts: i64) -> Fields {
+    [("worker.max_attempts".to_string(), Value::Int(max_attempts))].into()
 }
 
 #[derive(Default)]
@@ -87,35 +87,35 @@
         };
         cluster.replicas.resize_with(size, || None);
         cluster.disks.resize_with(size, Disk::default);
-        (0..size).for_each(|n| cluster.start(n));
+        (0..size).for_each(|index| cluster.start(index));
         cluster
     }
 
-    pub(crate) fn start(&mut self, n: usize) {
-        self.incarnations[n] += 1;
+    pub(crate) fn start(&mut self, index: usize) {
+        self.incarnations[index] += 1;
         let config = ReplicaConfig {
-            id: n as u64 + 1,
-            incarnation: self.incarnations[n],
+            id: index as u64 + 1,
+            incarnation: self.incarnations[index],
             voters: (1..=self.voter_count as u64)
-                .map(|n| (n, address(n)))
+                .map(|id| (id, address(id)))
                 .collect(),
             timing: LeaseTiming {
                 span: SECOND * 6 / 10,
                 drift_ppm: 1000,
             },
-            initial_fields: fields(n as i64),
+            initial_fields: fields(index as i64),
             seed: self.rng.u64(..),
         };
-        self.replicas[n] =
-            Some(Replica::new(config, &self.disks[n].saved, self.now).expect("what it saved"));
+        self.replicas[index] =
+            Some(Replica::new(config, &self.disks[index].saved, self.now).expect("what it saved"));
     }
 
-    pub(crate) fn kill(&mut self, n: usize) {
-        self.replicas[n] = None;
+    pub(crate) fn kill(&mut self, index: usize) {
+        self.replicas[index] = None;
         // Some of the unsynced writes may have reached the disk.
-        let synced = self.rng.usize(0..=self.disks[n].unsynced.len());
-        (0..synced).for_each(|_| self.disks[n].sync());
-        self.disks[n].unsynced.clear();
+        let synced = self.rng.usize(0..=self.disks[index].unsynced.len());
+        (0..synced).for_each(|_| self.disks[index].sync());
+        self.disks[index].unsynced.clear();
     }
 
     pub(crate) fn schedule(&mut self, delay: i64, event: Event) {
@@ -126,11 +126,11 @@
 
     pub(crate) fn call(
         &mut self,
-        n: usize,
+        index: usize,
         call: impl FnOnce(&mut Replica, i64, &mut Vec<Effect>),
     ) {
         let mut effects = Vec::new();
-        let Some(replica) = &mut self.replicas[n] else {
+        let Some(replica) = &mut self.replicas[index] else {
             return;
         };
         call(replica, self.now, &mut effects);
@@ -139,17 +139,17 @@
             match effects[position].clone() {
                 Effect::Send { to, bytes } => {
                     let to = to as usize - 1;
-                    if !self.blocked_links.contains(&(n, to)) && self.rng.u32(0..50) > 0 {
+                    if !self.blocked_links.contains(&(index, to)) && self.rng.u32(0..50) > 0 {
                         let delay = self.rng.i64(200..20_000);
-                        self.schedule(delay, Event::Message(to, n as u64 + 1, bytes));
+                        self.schedule(delay, Event::Message(to, index as u64 + 1, bytes));
                     }
                 }
                 Effect::Persist { record, snapshot } => {
-                    self.disks[n].unsynced.push((record, snapshot));
+                    self.disks[index].unsynced.push((record, snapshot));
                     let delay = self.rng.i64(500..10_000);
-                    self.schedule(delay, Event::Synced(n, self.incarnations[n]));
+                    self.schedule(delay, Event::Synced(index, self.incarnations[index]));
                     if self.acknowledges_unsynced {
-                        let replica = self.replicas[n].as_mut().expect("it runs");
+                        let replica = self.replicas[index].as_mut().expect("it runs");
                         replica.on_persisted(true, &mut effects);
                     }
                 }
@@ -157,7 +157,7 @@
             }
             position += 1;
         }
-        let replica = self.replicas[n].as_ref().expect("it runs");
+        let replica = self.replicas[index].as_ref().expect("it runs");
         if let Some(log) = replica.log() {
             let state = format!("{:?}", log.state());
             let first = self
@@ -188,11 +188,12 @@
                     Event::Message(to, from, bytes) => self.call(to, |replica, _, effects| {
                         replica.on_message(from, &bytes, effects)
                     }),
-                    Event::Synced(n, incarnation) => {
-                        if self.incarnations[n] == incarnation && self.replicas[n].is_some() {
-                            self.disks[n].sync();
+                    Event::Synced(index, incarnation) => {
+                        if self.incarnations[index] == incarnation && self.replicas[index].is_some()
+                        {
+                            self.disks[index].sync();
                             if !self.acknowledges_unsynced {
-                                self.call(n, |replica, _, effects| {
+                                self.call(index, |replica, _, effects| {
                                     replica.on_persisted(true, effects)
                                 });
                             }
@@ -200,25 +201,26 @@
                     }
                 }
             }
-            for n in 0..self.replicas.len() {
-                if self.replicas[n]
+            for index in 0..self.replicas.len() {
+                if self.replicas[index]
                     .as_ref()
-                    .is_some_and(|s| s.next_deadline() <= self.now)
+                    .is_some_and(|replica| replica.next_deadline() <= self.now)
                 {
-                    self.call(n, Replica::tick);
+                    self.call(index, Replica::tick);
                 }
             }
         }
     }
 
     pub(crate) fn leader(&self) -> Option<usize> {
-        self.replicas.iter().position(|s| {
-            s.as_ref()
-                .is_some_and(|s| s.leader_lease(self.now).is_some())
+        self.replicas.iter().position(|replica| {
+            replica
+                .as_ref()
+                .is_some_and(|replica| replica.leader_lease(self.now).is_some())
         })
     }
 
-    pub(crate) fn propose(&mut self, n: i64) {
+    pub(crate) fn propose(&mut self, number: i64) {
         let Some(leader) = self.leader() else { return };
         let state = self.replicas[leader]
             .as_ref()
@@ -233,7 +235,7 @@
             None => LogEntry::Propose {
                 id: 0,
                 base: state.latest(),
-                fields: fields(1000 + n),
+                fields: fields(1000 + number),
                 reason: String::new(),
             },
         };
--- a/decide/consensus/tests/replica/main.rs
+++ b/decide/consensus/tests/replica/main.rs
@@ -15,8 +15,8 @@
     let mut cluster = Cluster::new(1, 1);
     cluster.run(0.5);
     assert_eq!(cluster.leader(), Some(0));
-    for n in 0..900 {
-        cluster.propose(n);
+    for number in 0..900 {
+        cluster.propose(number);
         cluster.run(0.02);
     }
     let before = cluster.replicas[0]
@@ -50,32 +50,34 @@
     let mut cluster = Cluster::new(3, 2);
     cluster.run(3.0);
     let first = cluster.leader().expect("a leader");
-    for n in 0..3 {
-        if n != first {
-            cluster.blocked_links.extend([(n, first), (first, n)]);
+    for other in 0..3 {
+        if other != first {
+            cluster
+                .blocked_links
+                .extend([(other, first), (first, other)]);
         }
     }
     cluster.run(0.7);
     assert!(
         cluster.replicas[first]
             .as_ref()
-            .is_some_and(|s| s.leader_lease(cluster.now).is_none()),
+            .is_some_and(|replica| replica.leader_lease(cluster.now).is_none()),
         "its lease expires"
     );
     cluster.run(3.0);
     let second = cluster.leader().expect("another leader");
     assert_ne!(first, second);
-    for n in 0..10 {
-        cluster.propose(n);
+    for number in 0..10 {
+        cluster.propose(number);
         cluster.run(0.1);
     }
     cluster.blocked_links.clear();
     cluster.run(3.0);
-    let state = |n: usize| {
-        cluster.replicas[n]
+    let state = |index: usize| {
+        cluster.replicas[index]
             .as_ref()
             .and_then(Replica::log)
-            .map(|l| l.state().clone())
+            .map(|log| log.state().clone())
     };
     assert_eq!(state(first), state(second));
 }
@@ -87,34 +89,34 @@
         let mut cluster = Cluster::new(size, seed);
         cluster.run(3.0);
         for round in 0..6 {
-            for n in 0..cluster.rng.i64(1..6) {
-                cluster.propose(round * 10 + n);
+            for number in 0..cluster.rng.i64(1..6) {
+                cluster.propose(round * 10 + number);
                 cluster.run(0.03);
             }
             match cluster.rng.u32(0..3) {
                 0 => {
                     let dead: Vec<usize> = (0..size).filter(|_| cluster.rng.bool()).collect();
-                    dead.iter().for_each(|n| cluster.kill(*n));
-                    for n in dead {
+                    dead.iter().for_each(|index| cluster.kill(*index));
+                    for index in dead {
                         let wait = cluster.rng.f64();
                         cluster.run(wait);
-                        cluster.start(n);
+                        cluster.start(index);
                     }
                 }
                 1 => {
-                    let (a, b) = (cluster.rng.usize(0..size), cluster.rng.usize(0..size));
-                    cluster.blocked_links.extend([(a, b)]);
+                    let (from, to) = (cluster.rng.usize(0..size), cluster.rng.usize(0..size));
+                    cluster.blocked_links.extend([(from, to)]);
                     let wait = cluster.rng.f64() * 3.0;
                     cluster.run(wait);
                     cluster.blocked_links.clear();
                 }
                 _ => {
                     let side: Vec<usize> = (0..size).filter(|_| cluster.rng.bool()).collect();
-                    for a in 0..size {
-                        let other = |b: &usize| side.contains(&a) != side.contains(b);
+                    for from in 0..size {
+                        let crosses = |to: &usize| side.contains(&from) != side.contains(to);
                         cluster
                             .blocked_links
-                            .extend((0..size).filter(other).map(|b| (a, b)));
+                            .extend((0..size).filter(crosses).map(|to| (from, to)));
                     }
                     let wait = cluster.rng.f64() * 3.0;
                     cluster.run(wait);
@@ -132,7 +134,7 @@
             .replicas
             .iter()
             .flatten()
-            .map(|s| format!("{:?}", s.log().map(|l| l.state())))
+            .map(|replica| format!("{:?}", replica.log().map(|log| log.state())))
             .collect();
         assert_eq!(states.len(), 1, "seed {seed}: {states:?}");
     }
@@ -144,13 +146,13 @@
         let mut cluster = Cluster::new(3, seed);
         cluster.acknowledges_unsynced = true;
         cluster.run(2.0);
-        for n in 0..30 {
-            cluster.propose(n);
+        for number in 0..30 {
+            cluster.propose(number);
             cluster.run(0.02);
-            if n % 5 == 4 {
+            if number % 5 == 4 {
                 let dead: Vec<usize> = (0..3).filter(|_| cluster.rng.u32(0..3) > 0).collect();
-                dead.iter().for_each(|n| cluster.kill(*n));
-                dead.iter().for_each(|n| cluster.start(*n));
+                dead.iter().for_each(|index| cluster.kill(*index));
+                dead.iter().for_each(|index| cluster.start(*index));
                 let wait = 1.0 + cluster.rng.f64();
                 cluster.run(wait);
             }
@@ -173,7 +175,7 @@
         .is_some_and(Replica::is_failed));
     cluster.run(5.0);
     assert!(
-        cluster.leader().is_some_and(|r| r != leader),
+        cluster.leader().is_some_and(|other| other != leader),
         "the others go on"
     );
 }
@@ -183,8 +185,8 @@
     let mut cluster = Cluster::with(4, 3, 5);
     cluster.run(2.0);
     let mut messages = Vec::new();
-    for n in 0..400 {
-        let voter_change = match n {
+    for number in 0..400 {
+        let voter_change = match number {
             100 => Some(LogEntry::BeginVoterReplacement {
                 new: 4,
                 address: address(4),
@@ -201,10 +203,10 @@
             (Some(entry), Some(leader)) => cluster.call(leader, |replica, _, effects| {
                 replica.propose(entry, effects);
             }),
-            _ => cluster.propose(n),
+            _ => cluster.propose(number),
         }
         cluster.run(0.01);
-        messages.extend(cluster.events.values().filter_map(|e| match e {
+        messages.extend(cluster.events.values().filter_map(|event| match event {
             Event::Message(to, from, bytes) => Some((*to, *from, bytes.clone())),
             Event::Synced(..) => None,
         }));
@@ -213,14 +215,14 @@
     let voters = cluster.replicas[0]
         .as_ref()
         .and_then(Replica::log)
-        .map(|l| l.voters().keys().copied().collect::<Vec<_>>());
+        .map(|log| log.voters().keys().copied().collect::<Vec<_>>());
     assert_eq!(
         voters,
         Some(vec![1, 2, 4]),
         "messages of a replacement are among them"
     );
-    for n in 0..60_000 {
-        let (to, from, mut bytes) = messages[n % messages.len()].clone();
+    for round in 0..60_000 {
+        let (to, from, mut bytes) = messages[round % messages.len()].clone();
         for _ in 0..cluster.rng.usize(1..4) {
             let at = cluster.rng.usize(0..bytes.len());
             match cluster.rng.u32(0..3) {
--- a/decide/consensus/tests/replica/recorded.rs
+++ b/decide/consensus/tests/replica/recorded.rs
@@ -11,18 +11,18 @@
 #[test]
 fn state_of_an_earlier_program_is_read() {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/recorded/seat-0.bin");
-    let state = |s: &Replica| {
+    let state = |replica: &Replica| {
         format!(
             "{:?} {:?}",
-            s.log().map(|l| l.state()),
-            s.log().map(|l| l.voters())
+            replica.log().map(|log| log.state()),
+            replica.log().map(|log| log.voters())
         )
     };
     if std::env::var_os("RECORD").is_some() {
         let mut cluster = Cluster::with(4, 3, 11);
         cluster.run(3.0);
-        for n in 0..20 {
-            cluster.propose(n);
+        for number in 0..20 {
+            cluster.propose(number);
             cluster.run(0.1);
         }
         let leader = cluster.leader().expect("a leader");
@@ -46,12 +46,12 @@
     let (snapshot, records, recorded_state): (Option<Vec<u8>>, Vec<Vec<u8>>, String) =
         postcard::from_bytes(&bytes).expect("what was recorded");
     let mut cluster = Cluster::with(4, 3, 12);
-    (0..3).for_each(|n| {
-        cluster.disks[n].saved = PersistentState {
+    (0..3).for_each(|index| {
+        cluster.disks[index].saved = PersistentState {
             snapshot: snapshot.clone(),
             records: records.clone(),
         };
-        cluster.start(n);
+        cluster.start(index);
     });
     cluster.run(6.0);
     assert_eq!(
--- a/decide/consensus/tests/replica/scopes.rs
+++ b/decide/consensus/tests/replica/scopes.rs
@@ -6,17 +6,18 @@
 use tansy_agreement::scope::{ScopeTransaction, ScopeUpdate};
 use tansy_consensus::Replica;
 
-/// The n-th entry of a run of scope changes: each becomes joint, comes into force and settles.
-fn next_scope_entry(log: &Log, n: u64) -> LogEntry {
+/// The entry of this number in a run of scope changes: each becomes joint, comes into force and settles.
+fn next_scope_entry(log: &Log, number: u64) -> LogEntry {
     let open = || {
-        log.catalog()
-            .open()
-            .filter_map(|(n, s)| Some((n.to_string(), s.phase.since()?, s.next().is_some())))
+        log.catalog().open().filter_map(|(name, record)| {
+            let since = record.phase.since()?;
+            Some((name.to_string(), since, record.next().is_some()))
+        })
     };
     let in_phase = |joint| {
         open()
             .filter(|o| o.2 == joint)
-            .map(|(n, since, _)| (n, since))
+            .map(|(name, since, _)| (name, since))
             .collect::<Vec<_>>()
     };
     if open().next().is_some() {
@@ -31,21 +32,21 @@
             .get(&scope)
             .map_or(Revision(0), |s| s.revision);
         let fields = [
-            ("class".to_string(), Value::Text(format!("c{n}"))),
-            ("lanes".to_string(), Value::Int(n as i64)),
+            ("class".to_string(), Value::Text(format!("c{number}"))),
+            ("lanes".to_string(), Value::Int(number as i64)),
         ];
         ScopeUpdate {
             scope,
             base,
-            fields: (!n.is_multiple_of(7) || base == Revision(0)).then(|| fields.into()),
+            fields: (!number.is_multiple_of(7) || base == Revision(0)).then(|| fields.into()),
         }
     };
     let changes = (0..3)
-        .map(|i| change(format!("f{}", (n + i) % 20)))
+        .map(|i| change(format!("f{}", (number + i) % 20)))
         .collect();
     LogEntry::UpdateScopes {
         transactions: vec![ScopeTransaction {
-            id: n,
+            id: number,
             updates: changes,
             reason: "a test".into(),
         }],
@@ -60,14 +61,14 @@
         .find(|n| Some(*n) != cluster.leader())
         .expect("two others");
     cluster.kill(stopped);
-    for n in 1..=600 {
+    for number in 1..=600 {
         if let Some(leader) = cluster.leader() {
             let entry = next_scope_entry(
                 cluster.replicas[leader]
                     .as_ref()
                     .and_then(Replica::log)
                     .expect("a log"),
-                n,
+                number,
             );
             cluster.call(leader, |replica, _, effects| {
                 replica.propose(entry, effects);
