--- a/decide/agreement/tests/endpoints.rs
+++ b/decide/agreement/tests/endpoints.rs
@@ -5,10 +5,10 @@
     DrainTable, Endpoint, EndpointRecord, EndpointState, DRAIN_RETENTION,
 };
 
-fn worker(n: u8) -> Endpoint {
+fn worker(number: u8) -> Endpoint {
     Endpoint {
-        name: format!("w{n}"),
-        address: format!("10.0.0.{n}:1"),
+        name: format!("w{number}"),
+        address: format!("10.0.0.{number}:1"),
     }
 }
 
@@ -66,11 +66,11 @@
 }
 
 fn fastrand_shuffle(records: &mut [EndpointRecord], mut seed: u64) {
-    for n in (1..records.len()).rev() {
+    for last in (1..records.len()).rev() {
         seed = seed
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        records.swap(n, (seed >> 33) as usize % (n + 1));
+        records.swap(last, (seed >> 33) as usize % (last + 1));
     }
 }
 
--- a/decide/agreement/tests/lease_tree.rs
+++ b/decide/agreement/tests/lease_tree.rs
@@ -35,10 +35,10 @@
     fn new(fronts: u64, regions: usize, starts: i64, seed: u64) -> Tree {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut latency = vec![vec![0; regions]; regions];
-        for a in 0..regions {
-            for b in 0..a {
+        for region in 0..regions {
+            for other in 0..region {
                 let delay = rng.i64(SECOND / 25..=SECOND * 2 / 25);
-                (latency[a][b], latency[b][a]) = (delay, delay);
+                (latency[region][other], latency[other][region]) = (delay, delay);
             }
         }
         let topology = LeaseTopology::new(1, 1..=fronts);
@@ -90,11 +90,14 @@
                 self.nodes[0].extend_leader_lease(self.now, self.now + TIMING.span, &mut out);
                 self.send(1, out);
             }
-            while let Some(Reverse((at, n))) =
+            while let Some(Reverse((at, message_number))) =
                 self.arrivals.peek().copied().filter(|m| m.0 .0 <= self.now)
             {
                 self.arrivals.pop();
-                let (from, to, message) = self.messages.remove(&n).expect("a message under way");
+                let (from, to, message) = self
+                    .messages
+                    .remove(&message_number)
+                    .expect("a message under way");
                 let mut out = Vec::new();
                 self.nodes[to as usize - 1].on_message(at, from, message, &mut out);
                 self.send(to, out);
@@ -145,8 +148,8 @@
     let (member, parent) = (Member { id, incarnation: 1 }, topology.parent(id, 0));
     let mut node: LeaseNode<Revision> = LeaseNode::new(TIMING, member, topology, 0);
     let mut requests = BTreeMap::new();
-    for n in 0..60 {
-        let (mut out, now) = (Vec::new(), n * TIMING.span / 4);
+    for quarter in 0..60 {
+        let (mut out, now) = (Vec::new(), quarter * TIMING.span / 4);
         node.tick(now, &mut out);
         for (to, message) in out {
             let LeaseMessage::Request(request) = message else {
--- a/decide/agreement/tests/model_check.rs
+++ b/decide/agreement/tests/model_check.rs
@@ -96,23 +96,23 @@
 }
 
 /// Whether a revision may be acted on beside another.
-fn compatible(a: Revision, b: Revision) -> bool {
+fn compatible(left: Revision, right: Revision) -> bool {
     let versions = |revision: Revision| match revision.0 {
         3 => vec![1, 2],
         6 => vec![2, 3],
         _ => sole_version(revision).into_iter().collect(),
     };
-    match (sole_version(a), sole_version(b)) {
-        (Some(x), Some(y)) => x == y,
-        (Some(x), None) => versions(b).contains(&x),
-        (None, Some(y)) => versions(a).contains(&y),
-        (None, None) => a == b,
+    match (sole_version(left), sole_version(right)) {
+        (Some(left_version), Some(right_version)) => left_version == right_version,
+        (Some(left_version), None) => versions(right).contains(&left_version),
+        (None, Some(right_version)) => versions(left).contains(&right_version),
+        (None, None) => left == right,
     }
 }
 
 impl World {
-    fn request(&mut self, n: usize) {
-        let front_end = &mut self.front_ends[n];
+    fn request(&mut self, index: usize) {
+        let front_end = &mut self.front_ends[index];
         front_end.requests += 1;
         self.requested += 1;
         self.requests
@@ -185,17 +185,17 @@
         if world.now < self.end {
             actions.push(Action::AdvanceTime);
         }
-        for (n, front_end) in world.front_ends.iter().enumerate() {
+        for (index, front_end) in world.front_ends.iter().enumerate() {
             // Front ends are alike: the one with the larger number never sends the first request.
-            let may_begin = n == 0
-                || world.front_ends[n - 1].requests > 0
-                || world.front_ends[n - 1].incarnation > 1;
+            let may_begin = index == 0
+                || world.front_ends[index - 1].requests > 0
+                || world.front_ends[index - 1].incarnation > 1;
             if front_end.requests < MAX_REQUESTS && may_begin && world.requested < MAX_ALL_REQUESTS
             {
-                actions.push(Action::Request(n));
+                actions.push(Action::Request(index));
             }
             if world.front_end_may_crash && front_end.requests > 0 {
-                actions.push(Action::CrashFrontEnd(n));
+                actions.push(Action::CrashFrontEnd(index));
             }
         }
         actions.extend(world.requests.iter().map(|request| Action::Grant(*request)));
@@ -217,7 +217,7 @@
         let mut world = before.clone();
         match action {
             Action::AdvanceTime => world.now += 1,
-            Action::Request(n) => world.request(n),
+            Action::Request(index) => world.request(index),
             Action::Grant(request) => world.grant(request, self.extends),
             Action::Extend => world.extend(),
             Action::OnGrant(grant) => world.on_grant(grant, self.defect),
@@ -228,12 +228,12 @@
                 let waits = self.defect != Defect::NoWaitAfterCrash;
                 world.granter = LeaseGranter::new(TIMING, 8, waits.then_some(world.now));
             }
-            Action::CrashFrontEnd(n) => {
+            Action::CrashFrontEnd(index) => {
                 world.front_end_may_crash = false;
-                let incarnation = world.front_ends[n].incarnation + 1;
-                world.front_ends[n] = new_front_end(n, incarnation);
+                let incarnation = world.front_ends[index].incarnation + 1;
+                world.front_ends[index] = new_front_end(index, incarnation);
                 // A grant under way to the former process is ignored on arrival.
-                world.grants.retain(|g| g.to.id != n as u64 + 1);
+                world.grants.retain(|g| g.to.id != index as u64 + 1);
             }
         }
         Some(world)
--- a/decide/agreement/tests/scopes/catalog.rs
+++ b/decide/agreement/tests/scopes/catalog.rs
@@ -128,9 +128,9 @@
             .map(|n| update(&n.to_string(), 0, to()))
             .collect(),
         (0..30)
-            .map(|n| {
+            .map(|index| {
                 update(
-                    &n.to_string(),
+                    &index.to_string(),
                     0,
                     Some([("class".into(), Value::Text("x".repeat(10_000)))].into()),
                 )
@@ -284,14 +284,14 @@
     let mut log = new_log();
     let mut follower = log.state().clone();
     let mut base = BTreeMap::new();
-    for n in 0..400u64 {
-        let scope = format!("f{}", n % 7);
+    for change in 0..400u64 {
+        let scope = format!("f{}", change % 7);
         let revision = base.get(&scope).copied().unwrap_or(0);
         apply(
             &mut log,
             vec![transaction(
-                n + 1,
-                vec![update(&scope, revision, Some(fields(n as i64, 1)))],
+                change + 1,
+                vec![update(&scope, revision, Some(fields(change as i64, 1)))],
             )],
         );
         finish(&mut log, false);
@@ -334,13 +334,16 @@
     assert_eq!(&snapshot, log.state());
     snapshot.replace_with_snapshot(log.state().without_history(), None);
     assert!(snapshot.history.is_empty() && snapshot.history.since(Revision(1)).is_none());
-    let many = |n: u64| {
+    let many = |batch: u64| {
         (0..1500)
-            .map(|i| update(&format!("m{n}-{i}"), 0, Some(fields(1, 1))))
+            .map(|index| update(&format!("m{batch}-{index}"), 0, Some(fields(1, 1))))
             .collect()
     };
     let before = log.state().revision;
-    (0..4).for_each(|n| assert_eq!(apply(&mut log, vec![transaction(1000 + n, many(n))]), []));
+    (0..4).for_each(|batch| {
+        let transaction = transaction(1000 + batch, many(batch));
+        assert_eq!(apply(&mut log, vec![transaction]), []);
+    });
     assert!(log.state().history.len() <= MAX_HISTORY && log.state().delta_since(before).is_none());
     assert!(log
         .state()
--- a/decide/agreement/tests/scopes/subscriptions.rs
+++ b/decide/agreement/tests/scopes/subscriptions.rs
@@ -304,8 +304,8 @@
     let (log, mut table, mut subscriptions) = subscriber_and_table();
     let (mut now, schema) = (0, &schema());
     subscriptions.on_state(now, log.state(), schema);
-    let rejected = (0..MAX_SUBSCRIPTIONS + 10).filter(|n| {
-        subscriptions.admit(now, schema, &format!("f{n}"), true)
+    let rejected = (0..MAX_SUBSCRIPTIONS + 10).filter(|index| {
+        subscriptions.admit(now, schema, &format!("f{index}"), true)
             == Admission::Reject(RejectReason::TooManyPending)
     });
     assert_eq!(
@@ -331,11 +331,11 @@
         Admission::Unknown
     );
     // Ever new scopes: those called least recently are evicted, and the leader is informed.
-    for n in 0..3 * MAX_SUBSCRIPTIONS {
+    for index in 0..3 * MAX_SUBSCRIPTIONS {
         now += 1_000;
-        subscriptions.admit(now, schema, &format!("g{n}"), true);
+        subscriptions.admit(now, schema, &format!("g{index}"), true);
         subscriptions.admit(now, schema, "f5", true);
-        if n % 100 == 0 {
+        if index % 100 == 0 {
             synchronize(&log, &mut table, &mut subscriptions, &mut now);
         }
         assert!(subscriptions.len() + subscriptions.pending() <= MAX_SUBSCRIPTIONS);
--- a/decide/agreement/tests/settings/compatibility.rs
+++ b/decide/agreement/tests/settings/compatibility.rs
@@ -10,16 +10,16 @@
     #[test]
     fn stricter_is_commutative_idempotent_associative_and_as_strict_as_both(
         order in restrictiveness(),
-        a in proptest::option::of(values()),
-        b in proptest::option::of(values()),
-        c in proptest::option::of(values()),
+        first in proptest::option::of(values()),
+        second in proptest::option::of(values()),
+        third in proptest::option::of(values()),
     ) {
-        let (a, b, c) = (a.as_ref(), b.as_ref(), c.as_ref());
-        let ab = order.stricter(a, b);
-        prop_assert_eq!(ab, order.stricter(b, a));
-        prop_assert_eq!(order.stricter(a, a), a);
-        prop_assert_eq!(order.stricter(ab, c), order.stricter(a, order.stricter(b, c)));
-        prop_assert!(order.at_least_as_strict(ab, a) && order.at_least_as_strict(ab, b), "looser than one of the two");
+        let (first, second, third) = (first.as_ref(), second.as_ref(), third.as_ref());
+        let both = order.stricter(first, second);
+        prop_assert_eq!(both, order.stricter(second, first));
+        prop_assert_eq!(order.stricter(first, first), first);
+        prop_assert_eq!(order.stricter(both, third), order.stricter(first, order.stricter(second, third)));
+        prop_assert!(order.at_least_as_strict(both, first) && order.at_least_as_strict(both, second), "looser than one of the two");
     }
 
     #[test]
--- a/decide/agreement/tests/settings/log.rs
+++ b/decide/agreement/tests/settings/log.rs
@@ -13,12 +13,12 @@
     fn revisions_increment_by_one_and_no_version_is_dropped(entries in proptest::collection::vec((0u8..4, versions(), 0u64..6), 0..60)) {
         let mut log = Log::new(Fields::new(), []);
         let (mut revision, mut in_force) = (Revision(1), Version(1));
-        for (kind, fields, n) in entries {
+        for (kind, fields, number) in entries {
             let latest = log.state().latest();
             let entry = match kind {
                 0 | 1 => LogEntry::Propose { id: 0, base: latest, fields, reason: String::new() },
-                2 => LogEntry::Advance { from: Revision(n.max(1)).max(if n > 2 { log.state().revision } else { Revision(1) }) },
-                _ => LogEntry::Abandon { version: Version(n) },
+                2 => LogEntry::Advance { from: Revision(number.max(1)).max(if number > 2 { log.state().revision } else { Revision(1) }) },
+                _ => LogEntry::Abandon { version: Version(number) },
             };
             let known_versions = log.history().count();
             let before = log.clone();
--- a/decide/agreement/tests/topology.rs
+++ b/decide/agreement/tests/topology.rs
@@ -7,9 +7,9 @@
 fn a_maintained_order_equals_one_made_anew() {
     let mut rng = fastrand::Rng::with_seed(1);
     let (mut order, mut names) = (RendezvousOrder::default(), BTreeSet::new());
-    for n in 0..3000 {
+    for step in 0..3000 {
         let name = rng.u64(0..200);
-        let grows = rng.f64() < if n < 1500 { 0.7 } else { 0.3 };
+        let grows = rng.f64() < if step < 1500 { 0.7 } else { 0.3 };
         let changed = if grows {
             names.insert(name)
         } else {
