--- a/decide/dispatch/benches/decision.rs
+++ b/decide/dispatch/benches/decision.rs
@@ -8,14 +8,14 @@
 use criterion::{criterion_group, criterion_main, Criterion};
 use run::Run;
 
-fn decision(c: &mut Criterion) {
+fn decision(criterion: &mut Criterion) {
     let mut run = Run::new(200, 64, 4, 1);
     (0..200_000).for_each(|_| run.turn(100));
     let before = (run.next, run.steps);
-    c.bench_function(
+    criterion.bench_function(
         "a call in and one answered, 64 workers, 200 functions",
-        |b| {
-            b.iter(|| run.turn(100));
+        |bencher| {
+            bencher.iter(|| run.turn(100));
         },
     );
     let (calls, steps) = (run.next - before.0, run.steps - before.1);
@@ -27,11 +27,13 @@
 }
 
 /// The same with final answers counted by class.
-fn counted(c: &mut Criterion) {
+fn counted(criterion: &mut Criterion) {
     let mut run = Run::new(200, 64, 4, 1);
     run.dispatcher.enable_class_counters();
     (0..200_000).for_each(|_| run.turn(100));
-    c.bench_function("the same, counted by class", |b| b.iter(|| run.turn(100)));
+    criterion.bench_function("the same, counted by class", |bencher| {
+        bencher.iter(|| run.turn(100))
+    });
 }
 
 criterion_group!(benches, decision, counted);
--- a/decide/dispatch/benches/run/mod.rs
+++ b/decide/dispatch/benches/run/mod.rs
@@ -43,9 +43,9 @@
     }
 }
 
-fn worker(n: usize) -> WorkerRecord {
+fn worker(index: usize) -> WorkerRecord {
     WorkerRecord {
-        name: format!("w{n}"),
+        name: format!("w{index}"),
         kind: 0,
         cell: 0,
         zone: 0,
@@ -122,12 +122,12 @@
     /// One call in.
     pub fn call(&mut self) {
         self.next += 1;
-        let n = self.next;
+        let id = self.next;
         let call = Call {
-            id: CallId(n),
+            id: CallId(id),
             function: format!(
                 "function-{}",
-                n.wrapping_mul(7919) as usize % self.functions
+                id.wrapping_mul(7919) as usize % self.functions
             ),
             class: None,
             tenant: 0,
--- a/decide/dispatch/src/outcome.rs
+++ b/decide/dispatch/src/outcome.rs
@@ -216,7 +216,7 @@
 
 /// Classifies the end of an attempt by the table of this module.
 pub fn classify(outcome: AttemptOutcome, trailers: &Trailers) -> RetryClass {
-    let (class, final_status) = match outcome {
+    let (outcome, final_status) = match outcome {
         AttemptOutcome::ConnectRefused | AttemptOutcome::ConnectTimedOut => {
             (Outcome::ConnectFailed, false)
         }
@@ -255,14 +255,14 @@
         AttemptOutcome::Cancelled => (Outcome::Cancelled, false),
     };
     RetryClass {
-        outcome: class,
+        outcome,
         final_status,
     }
 }
 
 impl From<CacheStatus> for tansyrouter::InstanceStatus {
-    fn from(n: CacheStatus) -> tansyrouter::InstanceStatus {
-        match n {
+    fn from(status: CacheStatus) -> tansyrouter::InstanceStatus {
+        match status {
             CacheStatus::Unreported => tansyrouter::InstanceStatus::Silent,
             CacheStatus::Warm => tansyrouter::InstanceStatus::Warm,
             CacheStatus::StartedLoad => tansyrouter::InstanceStatus::BeganLoad,
@@ -273,16 +273,16 @@
 }
 
 impl From<LoadReport> for tansyrouter::LoadReport {
-    fn from(r: LoadReport) -> tansyrouter::LoadReport {
+    fn from(report: LoadReport) -> tansyrouter::LoadReport {
         tansyrouter::LoadReport {
-            queued: r.queued,
-            in_flight: r.in_flight,
-            utilization: r.busy,
-            memory_pinned: r.memory_pinned,
-            loads: r.loads,
-            mean_ms: r.mean_ms,
-            served_per_s: r.served_per_s,
-            errors_per_s: r.errors_per_s,
+            queued: report.queued,
+            in_flight: report.in_flight,
+            utilization: report.busy,
+            memory_pinned: report.memory_pinned,
+            loads: report.loads,
+            mean_ms: report.mean_ms,
+            served_per_s: report.served_per_s,
+            errors_per_s: report.errors_per_s,
         }
     }
 }
--- a/decide/dispatch/src/outcome/tests.rs
+++ b/decide/dispatch/src/outcome/tests.rs
@@ -96,9 +96,9 @@
 #[test]
 fn statuses_of_the_function_itself_are_not_tried_again() {
     let own: Vec<u8> = (0..=16)
-        .filter(|c| {
+        .filter(|code| {
             let outcome = AttemptOutcome::Status {
-                code: *c,
+                code: *code,
                 stage: ResponseStage::Headers,
             };
             classify(outcome, &Trailers::default()).final_status
--- a/decide/dispatch/tests/class_counters.rs
+++ b/decide/dispatch/tests/class_counters.rs
@@ -50,9 +50,9 @@
         code: 0,
         stage: ResponseStage::Messages,
     };
-    for (n, took) in took.iter().enumerate() {
+    for (index, took) in took.iter().enumerate() {
         let began = now;
-        let call = call(n as u64 + 1, "f");
+        let call = call(index as u64 + 1, "f");
         dispatcher.step(Time(now), Input::Call(call), &mut commands);
         let mut pending: VecDeque<Command> = commands.drain(..).collect();
         let mut answered = false;
@@ -98,11 +98,11 @@
 fn latencies_are_counted_as_they_were() {
     let latency = counted(&[20_000, 20_000, 20_000, 300_000]);
     assert_eq!(latency.len(), 4);
-    let near = |q: f64, expected: u64| {
-        let counted = latency.value_at_quantile(q);
+    let near = |quantile: f64, expected: u64| {
+        let counted = latency.value_at_quantile(quantile);
         assert!(
             counted.abs_diff(expected) <= expected / 50,
-            "quantile {q}: {counted} us, {expected} us expected"
+            "quantile {quantile}: {counted} us, {expected} us expected"
         );
     };
     near(0.5, 20_000);
--- a/decide/dispatch/tests/histories.rs
+++ b/decide/dispatch/tests/histories.rs
@@ -31,8 +31,8 @@
     fn step(&mut self, dispatcher: &mut Dispatcher, input: Input) {
         let mut commands = Vec::new();
         dispatcher.step(Time(self.now), input.clone(), &mut commands);
-        for c in &commands {
-            self.check(c);
+        for command in &commands {
+            self.check(command);
         }
         self.steps.push(RecordedStep {
             at: self.now,
@@ -51,8 +51,8 @@
         );
     }
 
-    fn check(&mut self, c: &Command) {
-        match c {
+    fn check(&mut self, command: &Command) {
+        match command {
             Command::SendAttempt {
                 call,
                 attempt,
@@ -102,8 +102,8 @@
                 "a piece after the answer"
             ),
             Command::CancelAttempt { call, .. } => {
-                if let Some(a) = self.attempts.get_mut(call) {
-                    a.1 = true;
+                if let Some(attempt) = self.attempts.get_mut(call) {
+                    attempt.1 = true;
                 }
             }
             Command::Probe { request, .. }
@@ -346,16 +346,16 @@
     let once: Vec<RecordedStep> = replay(&mut first, read()).collect();
     assert_eq!(lines(&once), recorded);
     // Beside another front end in the same process, step by step, as alone.
-    let (mut a, mut b) = (
+    let (mut dispatcher, mut neighbor) = (
         Dispatcher::new(config(7), Time(0)).expect("good"),
         Dispatcher::new(config(8), Time(0)).expect("good"),
     );
     let other = World::run(8, 600).steps;
     let mut beside = Vec::new();
-    for (n, step) in read().enumerate() {
-        beside.extend(replay(&mut a, std::iter::once(step)));
-        if let Some(s) = other.get(n) {
-            replay(&mut b, std::iter::once(s.clone())).for_each(drop);
+    for (index, step) in read().enumerate() {
+        beside.extend(replay(&mut dispatcher, std::iter::once(step)));
+        if let Some(other_step) = other.get(index) {
+            replay(&mut neighbor, std::iter::once(other_step.clone())).for_each(drop);
         }
     }
     assert_eq!(lines(&beside), recorded);
--- a/decide/dispatch/tests/lookup_counters.rs
+++ b/decide/dispatch/tests/lookup_counters.rs
@@ -14,15 +14,21 @@
 /// What a rollout compares: ends of calls that awaited settings, as served, refused and failed, and what they were worth.
 fn awaited(scene: &Scene) -> [u64; 5] {
     let counts = scene.dispatcher.class_counters().expect("they are counted");
-    let c = counts
+    let counters = counts
         .classes()
         .get(PENDING_LOOKUP)
         .expect("some awaited settings");
     assert_eq!(
-        (c.possible_value, c.latency.len()),
-        (c.ended as f64, c.served)
+        (counters.possible_value, counters.latency.len()),
+        (counters.ended as f64, counters.served)
     );
-    [c.ended, c.served, c.refused, c.failed, c.value as u64]
+    [
+        counters.ended,
+        counters.served,
+        counters.refused,
+        counters.failed,
+        counters.value as u64,
+    ]
 }
 
 #[test]
@@ -79,11 +85,11 @@
             1
         ]
     );
-    let a = scene.dispatcher.counters();
+    let counters = scene.dispatcher.counters();
     assert_eq!(
-        a.refused,
+        counters.refused,
         6 + MAX_CALLS_OF_FUNCTION as u64,
-        "as in the account: {a}"
+        "as in the account: {counters}"
     );
     let counts = scene.dispatcher.class_counters().expect("they are counted");
     assert!(
@@ -93,37 +99,46 @@
 }
 
 /// What a rollout knows of a front end: its counts, beside a thousand calls a slice that all were served.
-fn report(n: usize, slice: u64, scene: &Scene, new: bool, with_awaited: bool) -> FrontEndReport {
+fn report(
+    index: usize,
+    slice: u64,
+    scene: &Scene,
+    new: bool,
+    with_awaited: bool,
+) -> FrontEndReport {
     let mut classes = BTreeMap::new();
     let counts = scene.dispatcher.class_counters().expect("they are counted");
-    for (name, c) in counts
+    for (name, counted) in counts
         .classes()
         .iter()
         .filter(|(name, _)| with_awaited || *name != PENDING_LOOKUP)
     {
-        let mut t = RequestCounters {
-            requested: c.ended,
-            served: c.served,
-            rejected: c.refused,
-            failed: c.failed,
-            value_requested: c.possible_value,
-            value_served: c.value,
+        let mut counters = RequestCounters {
+            requested: counted.ended,
+            served: counted.served,
+            rejected: counted.refused,
+            failed: counted.failed,
+            value_requested: counted.possible_value,
+            value_served: counted.value,
             ..RequestCounters::default()
         };
-        t.latency.add(&c.latency).expect("it grows");
-        classes.insert(name.clone(), t);
+        counters.latency.add(&counted.latency).expect("it grows");
+        classes.insert(name.clone(), counters);
     }
     let calls = 1_000 * slice;
-    let mut t = RequestCounters {
+    let mut counters = RequestCounters {
         requested: calls,
         served: calls,
         value_requested: calls as f64,
         value_served: calls as f64,
         ..RequestCounters::default()
     };
-    t.latency.record_n(20_000, calls).expect("it grows");
-    classes.entry("safe".to_string()).or_default().add(&t);
-    let (name, zone) = (format!("f{n}"), "z".to_string());
+    counters.latency.record_n(20_000, calls).expect("it grows");
+    classes
+        .entry("safe".to_string())
+        .or_default()
+        .add(&counters);
+    let (name, zone) = (format!("f{index}"), "z".to_string());
     FrontEndReport {
         name,
         zone,
@@ -150,11 +165,11 @@
     let mut id = 0;
     for slice in 1..=60 {
         let judging = slice > 20;
-        for (n, scene) in scenes.iter_mut().enumerate() {
+        for (index, scene) in scenes.iter_mut().enumerate() {
             for _ in 0..5 {
                 id += 1;
                 scene.call_pending(id, Some(SECOND));
-                let lookup = if breaks && judging && new(n) {
+                let lookup = if breaks && judging && new(index) {
                     FunctionLookup::Refused
                 } else {
                     known(0)
@@ -197,7 +212,7 @@
 fn a_rollout_that_breaks_first_calls_is_recognized() {
     let (verdict, measured) = compare_rollout(true, true);
     assert!(
-        matches!(&verdict, Verdict::Fail { reason: why } if why.contains(PENDING_LOOKUP)),
+        matches!(&verdict, Verdict::Fail { reason } if reason.contains(PENDING_LOOKUP)),
         "{verdict:?} {measured:?}"
     );
     let (verdict, _) = compare_rollout(false, true);
--- a/decide/dispatch/tests/lookup_histories.rs
+++ b/decide/dispatch/tests/lookup_histories.rs
@@ -40,8 +40,8 @@
             .map(|(id, _)| *id)
             .collect();
         for id in &due {
-            let expired = |e: &WaitEnd| {
-                *e == WaitEnd::Refuse {
+            let expired = |end: &WaitEnd| {
+                *end == WaitEnd::Refuse {
                     call: *id,
                     reason: WaitRefusal::TimedOut,
                 }
@@ -89,14 +89,14 @@
                 lookups.resolve(Time(now), &format!("f{function}"), result, &mut ends);
             }
             75..99 => {
-                let n = if open.is_empty() {
+                let position = if open.is_empty() {
                     0
                 } else {
                     rng.usize(0..open.len())
                 };
                 if let Some(id) = open
                     .keys()
-                    .nth(n)
+                    .nth(position)
                     .copied()
                     .filter(|id| !expected.contains(id))
                 {
@@ -164,8 +164,9 @@
 fn every_call_that_waits_has_one_end_in_its_time_and_none_after_its_client_left() {
     let (mut released, mut refused) = (0, 0);
     for seed in 0..300 {
-        let (a, b) = history(seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
-        (released, refused) = (released + a, refused + b);
+        let (history_released, history_refused) =
+            history(seed).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+        (released, refused) = (released + history_released, refused + history_refused);
     }
     assert!(released > 1_000 && refused > 1_000, "{released} {refused}");
 }
@@ -173,8 +174,8 @@
 #[test]
 fn no_more_calls_wait_than_there_is_room_for() {
     let (mut lookups, mut ends) = (PendingLookups::default(), Vec::new());
-    for n in 0..=MAX_CALLS_OF_FUNCTION as u64 {
-        lookups.add(Time(0), call(n, "hot"), SECOND, &mut ends);
+    for id in 0..=MAX_CALLS_OF_FUNCTION as u64 {
+        lookups.add(Time(0), call(id, "hot"), SECOND, &mut ends);
     }
     let full = |id| WaitEnd::Refuse {
         call: CallId(id),
@@ -184,8 +185,8 @@
         std::mem::take(&mut ends),
         [full(MAX_CALLS_OF_FUNCTION as u64)]
     );
-    for n in 1000..1000 + MAX_CALLS as u64 {
-        lookups.add(Time(0), call(n, &format!("f{n}")), SECOND, &mut ends);
+    for id in 1000..1000 + MAX_CALLS as u64 {
+        lookups.add(Time(0), call(id, &format!("f{id}")), SECOND, &mut ends);
     }
     assert_eq!(
         (lookups.len(), ends.len(), &ends[0]),
--- a/decide/dispatch/tests/pending_lookups.rs
+++ b/decide/dispatch/tests/pending_lookups.rs
@@ -38,8 +38,15 @@
     let commands = scene.resolve(100_000, known(1));
     assert_eq!(budgets_and_answers(&commands).0, [880_000]);
     assert_eq!(scene.dispatcher.class_of(CallId(2)), Some("unsafe"));
-    let a = scene.dispatcher.counters();
-    assert_eq!((a.accepted, a.abandoned, a.guard_rejections), (2, 1, 0));
+    let counters = scene.dispatcher.counters();
+    assert_eq!(
+        (
+            counters.accepted,
+            counters.abandoned,
+            counters.guard_rejections
+        ),
+        (2, 1, 0)
+    );
 }
 
 #[test]
@@ -95,9 +102,14 @@
         },
     );
     assert_eq!(budgets_and_answers(&commands), (vec![], vec![REFUSED]));
-    let a = scene.dispatcher.counters();
+    let counters = scene.dispatcher.counters();
     assert_eq!(
-        (a.accepted, a.refused, a.conflicting, a.unknown_function),
+        (
+            counters.accepted,
+            counters.refused,
+            counters.conflicting,
+            counters.unknown_function
+        ),
         (3, 1, 1, 1)
     );
 }
@@ -143,9 +155,14 @@
         budgets_and_answers(&scene.call_pending(5, Some(0))).1,
         [REFUSED]
     );
-    let a = scene.dispatcher.counters();
+    let counters = scene.dispatcher.counters();
     assert_eq!(
-        (a.accepted, a.refused, a.conflicting, a.attempts),
+        (
+            counters.accepted,
+            counters.refused,
+            counters.conflicting,
+            counters.attempts
+        ),
         (5, 5, 5, 0)
     );
 }
@@ -187,14 +204,14 @@
         budgets_and_answers(&scene.resolve(10, known(0))),
         (vec![], vec![])
     );
-    let a = scene.dispatcher.counters();
+    let counters = scene.dispatcher.counters();
     assert_eq!(
         (
-            a.accepted,
-            a.abandoned,
-            a.refused,
-            a.conflicting,
-            a.unknown_function
+            counters.accepted,
+            counters.abandoned,
+            counters.refused,
+            counters.conflicting,
+            counters.unknown_function
         ),
         (4, 1, 3, 1, 1)
     );
--- a/decide/dispatch/tests/request_table.rs
+++ b/decide/dispatch/tests/request_table.rs
@@ -9,10 +9,10 @@
 };
 use tansyrouter::{Time, SECOND};
 
-fn call(n: u64, function: &str, budget: i64) -> Input {
+fn call(id: u64, function: &str, budget: i64) -> Input {
     Input::Call(Call {
         budget: Some(budget),
-        ..support::call(n, function)
+        ..support::call(id, function)
     })
 }
 
@@ -81,14 +81,14 @@
             .any(|c| matches!(c, Command::SendAttempt { attempt: 0, .. })),
         "{commands:?}"
     );
-    let mut at = |t: i64, expected: &str| {
+    let mut at = |now: i64, expected: &str| {
         let mut commands = Vec::new();
-        dispatcher.step(Time(t), Input::Tick, &mut commands);
+        dispatcher.step(Time(now), Input::Tick, &mut commands);
         assert!(
             commands
                 .iter()
                 .any(|c| format!("{c:?}").starts_with(expected)),
-            "{expected} at {t}: {commands:?}"
+            "{expected} at {now}: {commands:?}"
         );
     };
     at(1000 + connect + 500, "ConfirmSent");
@@ -128,12 +128,12 @@
     };
     dispatcher.step(Time(2000), message(false), &mut commands);
     commands.clear();
-    for t in 1..20 {
-        dispatcher.step(Time(t * connect / 4), Input::Tick, &mut commands);
+    for quarter in 1..20 {
+        dispatcher.step(Time(quarter * connect / 4), Input::Tick, &mut commands);
     }
-    let withdrawn = |c: &Command| {
+    let withdrawn = |command: &Command| {
         matches!(
-            c,
+            command,
             Command::CancelAttempt { .. } | Command::Answer { .. } | Command::DropConnection { .. }
         )
     };
@@ -142,13 +142,13 @@
     assert_eq!(answers(&commands), [(1, Answer::Served)]);
 }
 
-fn call_with_shape(n: u64, function: &str) -> Input {
+fn call_with_shape(id: u64, function: &str) -> Input {
     let shape = tansy_dispatch::FunctionShape {
         lanes: 1,
         memory_mb: 50.0,
         load_time: None,
     };
-    match call(n, function, SECOND) {
+    match call(id, function, SECOND) {
         Input::Call(call) => Input::Call(Call {
             shape: Some(shape),
             class: Some(0),
@@ -210,22 +210,22 @@
     let named = dispatcher.name_counts().0;
     let mut now = 0;
     let (mut most, mut commands) = ((0, 0), Vec::new());
-    for n in 0..400u64 {
+    for number in 0..400u64 {
         // Ever new functions, and a worker that is replaced by a new one each time.
-        let list = worker_list(vec![worker(format!("w{n}"), 0)]);
+        let list = worker_list(vec![worker(format!("w{number}"), 0)]);
         dispatcher.step(Time(now), list, &mut commands);
         dispatcher.step(
             Time(now),
-            call_with_shape(n, &format!("f{n}")),
+            call_with_shape(number, &format!("f{number}")),
             &mut commands,
         );
-        for c in std::mem::take(&mut commands) {
-            if let Command::Load { request, .. } = c {
+        for command in std::mem::take(&mut commands) {
+            if let Command::Load { request, .. } = command {
                 dispatcher.step(Time(now), loaded(request), &mut commands);
             }
         }
-        for c in std::mem::take(&mut commands) {
-            if let Command::SendAttempt { call, attempt, .. } = c {
+        for command in std::mem::take(&mut commands) {
+            if let Command::SendAttempt { call, attempt, .. } = command {
                 let outcome = AttemptOutcome::Status {
                     code: 0,
                     stage: ResponseStage::Last,
--- a/decide/dispatch/tests/settings.rs
+++ b/decide/dispatch/tests/settings.rs
@@ -12,26 +12,26 @@
 
 /// Functions of the same names as the classes, each of its own class.
 fn config(classes: &[(&str, Effect)]) -> DispatchConfig {
-    let function = |(n, (name, _)): (usize, &(&str, Effect))| FunctionSpec {
+    let function = |(class, (name, _)): (usize, &(&str, Effect))| FunctionSpec {
         name: name.to_string(),
-        class: n,
+        class,
         lanes: 8,
         memory_mb: 100.0,
         load_time: Some(1_000),
         versions: vec![],
     };
-    let list: Vec<Class> = classes
+    let class_settings: Vec<Class> = classes
         .iter()
-        .map(|(_, e)| class(*e, SECOND, 20 * SECOND))
+        .map(|(_, effect)| class(*effect, SECOND, 20 * SECOND))
         .collect();
     DispatchConfig {
         settings: Settings {
-            classes: list,
+            classes: class_settings,
             max_retry_after: SECOND,
             may_load: false,
             ..Settings::default()
         },
-        classes: classes.iter().map(|c| c.0.to_string()).collect(),
+        classes: classes.iter().map(|(name, _)| name.to_string()).collect(),
         tenants: vec!["acme".into()],
         zones: vec!["z".into()],
         functions: classes.iter().enumerate().map(function).collect(),
@@ -129,13 +129,16 @@
     }
 }
 
-fn sends(c: &Command, call: CallId) -> bool {
-    matches!(c, Command::SendAttempt { call: c, .. } if *c == call)
+fn sends(command: &Command, call: CallId) -> bool {
+    matches!(command, Command::SendAttempt { call: sent, .. } if *sent == call)
 }
 
-fn answer(c: &Command, call: CallId) -> Option<Answer> {
-    match c {
-        Command::Answer { call: c, answer } if *c == call => Some(*answer),
+fn answer(command: &Command, call: CallId) -> Option<Answer> {
+    match command {
+        Command::Answer {
+            call: answered,
+            answer,
+        } if *answered == call => Some(*answer),
         _ => None,
     }
 }
@@ -170,10 +173,13 @@
 #[test]
 fn indices_of_classes_are_used_again_once_their_calls_have_ended() {
     let mut scene = Scene::new(config(&[("a", Effect::Safe), ("b", Effect::Unsafe)]));
-    for n in 0..500 {
+    for round in 0..500 {
         let (call, commands) = scene.call("a");
-        assert!(commands.iter().any(|c| sends(c, call)), "{n}: {commands:?}");
-        let effect = if n % 2 == 0 {
+        assert!(
+            commands.iter().any(|c| sends(c, call)),
+            "{round}: {commands:?}"
+        );
+        let effect = if round % 2 == 0 {
             Effect::Unsafe
         } else {
             Effect::Safe
@@ -185,7 +191,7 @@
             commands
                 .iter()
                 .any(|c| answer(c, call) == Some(Answer::Served)),
-            "{n}: {commands:?}"
+            "{round}: {commands:?}"
         );
     }
     assert!(
@@ -202,8 +208,8 @@
     let (open, _) = scene.call("b");
     scene.apply_settings(config(&[("b", Effect::Safe), ("a", Effect::Safe)]));
     // Named by the call itself: b is safe by now.
-    let b = scene.dispatcher.class_index("b");
-    let (call, commands) = scene.call_as("a", b, false);
+    let named_class = scene.dispatcher.class_index("b");
+    let (call, commands) = scene.call_as("a", named_class, false);
     assert!(commands.iter().any(|c| sends(c, call)));
     let commands = scene.lose(call, 0);
     assert!(commands.iter().any(|c| sends(c, call)), "{commands:?}");
--- a/decide/dispatch/tests/support/four_classes.rs
+++ b/decide/dispatch/tests/support/four_classes.rs
@@ -23,9 +23,9 @@
         class(Effect::Unsafe, false),
         class(Effect::Safe, true),
     ];
-    let function = |(n, name): (usize, &&str)| FunctionSpec {
+    let function = |(class, name): (usize, &&str)| FunctionSpec {
         name: name.to_string(),
-        class: n,
+        class,
         lanes: 2,
         memory_mb: 100.0,
         load_time: Some(50_000),
