--- a/decide/fleet-node/src/known_nodes.rs
+++ b/decide/fleet-node/src/known_nodes.rs
@@ -75,12 +75,14 @@
     }
 
     /// The address of one, by its position in [`KnownNodes::iter`].
-    pub(crate) fn nth_address(&self, n: usize) -> Option<SocketAddr> {
+    pub(crate) fn nth_address(&self, position: usize) -> Option<SocketAddr> {
         match self {
-            KnownNodes::Discovered(membership) => membership.all().nth(n).map(|node| node.address),
+            KnownNodes::Discovered(membership) => {
+                membership.all().nth(position).map(|node| node.address)
+            }
             KnownNodes::Given { id, directory } => {
-                let is_after_self = directory.position(*id).is_ok_and(|own| own <= n);
-                let node = directory.nodes.get(n + usize::from(is_after_self));
+                let is_after_self = directory.position(*id).is_ok_and(|own| own <= position);
+                let node = directory.nodes.get(position + usize::from(is_after_self));
                 node.map(|node| node.address)
             }
         }
--- a/decide/fleet-node/tests/fleet_node/cluster.rs
+++ b/decide/fleet-node/tests/fleet_node/cluster.rs
@@ -18,12 +18,12 @@
 const SESSION_SPAN: i64 = 60 * SECOND;
 
 /// The number of the n-th front end.
-pub(crate) fn id(n: usize) -> u64 {
-    n as u64 + 1
+pub(crate) fn id(index: usize) -> u64 {
+    index as u64 + 1
 }
 
-pub(crate) fn address(n: usize) -> SocketAddr {
-    ([10, 0, 0, n as u8], 7000).into()
+pub(crate) fn address(index: usize) -> SocketAddr {
+    ([10, 0, 0, index as u8], 7000).into()
 }
 
 /// Sees what happens between the events of a cluster.
@@ -33,7 +33,7 @@
         &mut self,
         _now: i64,
         _nodes: &[Option<FleetNode>],
-        _n: usize,
+        _to: usize,
         _body: &MessageBody,
     ) {
     }
@@ -103,17 +103,19 @@
             observer,
         };
         cluster.nodes.resize_with(options.size, || None);
-        (0..options.size).for_each(|n| cluster.start(n));
+        (0..options.size).for_each(|index| cluster.start(index));
         cluster
     }
 
-    pub(crate) fn start(&mut self, n: usize) {
-        self.incarnations[n] += 1;
+    pub(crate) fn start(&mut self, index: usize) {
+        self.incarnations[index] += 1;
         let config = FleetNodeConfig {
             fleet: 7,
-            name: format!("f{n}"),
-            node: NodeId::new(id(n), self.incarnations[n], address(n)),
-            voters: (0..self.voters).map(|n| (id(n), address(n))).collect(),
+            name: format!("f{index}"),
+            node: NodeId::new(id(index), self.incarnations[index], address(index)),
+            voters: (0..self.voters)
+                .map(|voter| (id(voter), address(voter)))
+                .collect(),
             lease: LeaseTiming {
                 span: SECOND * 6 / 10,
                 drift_ppm: 1_000,
@@ -126,31 +128,31 @@
             schema: (self.schema)(),
             seed: self.rng.u64(..),
         };
-        let recovered = self.disks.get(n).map(|disk| RecoveredState {
+        let recovered = self.disks.get(index).map(|disk| RecoveredState {
             persistent: disk.clone(),
             initial_fields: self.initial_fields.clone(),
         });
         let node = FleetNode::new(config, recovered, self.now);
-        self.nodes[n] = Some(node.expect("what it saved"));
+        self.nodes[index] = Some(node.expect("what it saved"));
     }
 
     pub(crate) fn call<R: Default>(
         &mut self,
-        n: usize,
+        index: usize,
         call: impl FnOnce(&mut FleetNode, i64, &mut Vec<Command>) -> R,
     ) -> R {
         let mut commands = Vec::new();
-        let Some(node) = &mut self.nodes[n] else {
+        let Some(node) = &mut self.nodes[index] else {
             return R::default();
         };
         let result = call(node, self.now, &mut commands);
         self.observer.after_event(self.now, &self.nodes);
-        self.carry_out(n, commands);
+        self.carry_out(index, commands);
         result
     }
 
-    fn carry_out(&mut self, n: usize, commands: Vec<Command>) {
-        let Some(node) = &self.nodes[n] else {
+    fn carry_out(&mut self, index: usize, commands: Vec<Command>) {
+        let Some(node) = &self.nodes[index] else {
             return;
         };
         let (from, leader) = (node.setup().node.clone(), node.leader());
@@ -159,36 +161,41 @@
             match command {
                 Command::SendToVoter { to, bytes } => {
                     let body = MessageBody::Consensus(bytes);
-                    self.send(n, (from.clone(), leader), address(to as usize - 1), body);
+                    self.send(
+                        index,
+                        (from.clone(), leader),
+                        address(to as usize - 1),
+                        body,
+                    );
                 }
-                Command::Send { to, body } => self.send(n, (from.clone(), leader), to, body),
+                Command::Send { to, body } => self.send(index, (from.clone(), leader), to, body),
                 Command::Persist { record, snapshot } => {
-                    let result = self.persist(n, record, snapshot);
-                    let node = self.nodes[n].as_mut().expect("it runs");
+                    let result = self.persist(index, record, snapshot);
+                    let node = self.nodes[index].as_mut().expect("it runs");
                     node.on_persisted(self.now, result, &mut follow_up);
                 }
                 Command::Respond { request, outcome } => {
                     self.answers.entry(request).or_default().push(outcome);
                 }
-                Command::Notify(event) => self.events.push((n, event)),
+                Command::Notify(event) => self.events.push((index, event)),
             }
         }
         if !follow_up.is_empty() {
-            self.carry_out(n, follow_up);
+            self.carry_out(index, follow_up);
         }
     }
 
     fn send(
         &mut self,
-        n: usize,
+        from_index: usize,
         (from, leader): (NodeId, Leader),
         to: SocketAddr,
         body: MessageBody,
     ) {
         let to = (0..self.nodes.len())
-            .find(|n| address(*n) == to)
+            .find(|index| address(*index) == to)
             .expect("a known address");
-        if self.blocked_links.contains(&(n, to)) {
+        if self.blocked_links.contains(&(from_index, to)) {
             return;
         }
         if let Some(percent) = self.loss_percent {
@@ -206,21 +213,21 @@
 
     fn persist(
         &mut self,
-        n: usize,
+        index: usize,
         record: Vec<u8>,
         snapshot: Option<Vec<u8>>,
     ) -> Result<(), StorageFailure> {
-        if self.is_disk_full && n == 0 {
+        if self.is_disk_full && index == 0 {
             return Err(StorageFailure("no room".to_string()));
         }
         match snapshot {
             Some(snapshot) => {
-                self.disks[n] = PersistentState {
+                self.disks[index] = PersistentState {
                     snapshot: Some(snapshot),
                     records: Vec::new(),
                 }
             }
-            None => self.disks[n].records.push(record),
+            None => self.disks[index].records.push(record),
         }
         Ok(())
     }
@@ -233,10 +240,10 @@
             let delivery = self.queue.peek().map_or(end, |next| next.0 .0);
             self.now = tick.min(delivery).min(end).max(self.now);
             self.deliver_due();
-            for n in 0..self.nodes.len() {
-                let node = self.nodes[n].as_ref();
+            for index in 0..self.nodes.len() {
+                let node = self.nodes[index].as_ref();
                 if node.is_some_and(|node| node.next_deadline() <= self.now) {
-                    self.call(n, |node, now, commands| node.tick(now, commands));
+                    self.call(index, |node, now, commands| node.tick(now, commands));
                 }
             }
         }
@@ -286,9 +293,9 @@
     }
 
     /// Blocks all links of a front end.
-    pub(crate) fn isolate(&mut self, n: usize) {
-        for other in (0..self.nodes.len()).filter(|other| *other != n) {
-            self.blocked_links.extend([(n, other), (other, n)]);
+    pub(crate) fn isolate(&mut self, index: usize) {
+        for other in (0..self.nodes.len()).filter(|other| *other != index) {
+            self.blocked_links.extend([(index, other), (other, index)]);
         }
     }
 }
--- a/decide/fleet-node/tests/fleet_node/scope_cluster.rs
+++ b/decide/fleet-node/tests/fleet_node/scope_cluster.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    fn check(&self, now: i64, n: usize, node: &FleetNode) {
+    fn check(&self, now: i64, index: usize, node: &FleetNode) {
         for (name, (revision, agreed)) in &self.agreed {
             let settings = node.effective_settings(now, name);
             let Some(settings) = settings.filter(|settings| !settings.rejected) else {
@@ -65,7 +65,7 @@
             // Without a lease the joint fields are the strictest, which bind as much as any.
             assert!(
                 !contradictions.iter().any(|(_, calls)| concerns_scope(calls)),
-                "{now} us: f{n} applies {name} as {settings:?} at {:?}, agreed at {revision:?} is {agreed:?}",
+                "{now} us: f{index} applies {name} as {settings:?} at {:?}, agreed at {revision:?} is {agreed:?}",
                 known_revision(now, Some(node))
             );
         }
@@ -77,15 +77,15 @@
         &mut self,
         now: i64,
         nodes: &[Option<FleetNode>],
-        n: usize,
+        to: usize,
         body: &MessageBody,
     ) {
         if let MessageBody::SubscribeReply(reply) = body {
             if !reply.scopes.is_empty() {
                 self.replies.push(DeliveredReply {
-                    to: n,
+                    to,
                     revision: reply.revision,
-                    receiver_revision: known_revision(now, nodes[n].as_ref()),
+                    receiver_revision: known_revision(now, nodes[to].as_ref()),
                 });
             }
         }
@@ -93,9 +93,9 @@
 
     fn after_event(&mut self, now: i64, nodes: &[Option<FleetNode>]) {
         self.update(nodes);
-        for (n, node) in nodes.iter().enumerate() {
+        for (index, node) in nodes.iter().enumerate() {
             if let Some(node) = node {
-                self.check(now, n, node);
+                self.check(now, index, node);
             }
         }
     }
@@ -199,16 +199,16 @@
         );
     }
 
-    pub(crate) fn admit(&mut self, n: usize, scope: &str) -> Option<Admission> {
-        self.call(n, |node, now, commands| {
+    pub(crate) fn admit(&mut self, index: usize, scope: &str) -> Option<Admission> {
+        self.call(index, |node, now, commands| {
             Some(node.admit(now, scope, commands))
         })
     }
 
     /// Calls until the admission is decided; the class of an admitted call.
-    pub(crate) fn admitted_class(&mut self, n: usize, scope: &str) -> String {
+    pub(crate) fn admitted_class(&mut self, index: usize, scope: &str) -> String {
         for _ in 0..250 {
-            match self.admit(n, scope) {
+            match self.admit(index, scope) {
                 Some(Admission::Wait) => self.run(0.002),
                 admission => return class(admission),
             }
--- a/decide/fleet-node/tests/fleet_node/scope_load.rs
+++ b/decide/fleet-node/tests/fleet_node/scope_load.rs
@@ -13,21 +13,21 @@
     let before = cluster.log().state().revision;
     // Five hundred in a minute, the half of them within a second.
     let mut called = 0;
-    for n in 0..500u64 {
+    for number in 0..500u64 {
         cluster.update_scopes(
-            n + 1,
+            number + 1,
             vec![change(
-                &format!("f{n}"),
+                &format!("f{number}"),
                 Revision(0),
-                Some(fields("chat", 1 + n as i64)),
+                Some(fields("chat", 1 + number as i64)),
             )],
         );
-        if n % 25 == 0 {
-            let at = 1 + (n as usize / 25) % 7;
-            cluster.admit(at, &format!("f{n}"));
+        if number % 25 == 0 {
+            let at = 1 + (number as usize / 25) % 7;
+            cluster.admit(at, &format!("f{number}"));
             called += 1;
         }
-        cluster.run(if n < 250 { 0.004 } else { 0.236 });
+        cluster.run(if number < 250 { 0.004 } else { 0.236 });
     }
     cluster.run(5.0);
     let refused: Vec<_> = cluster
@@ -50,9 +50,9 @@
         "{revisions} revisions of {} and more",
         500 * 2 + called
     );
-    for n in (0..500).step_by(25) {
+    for number in (0..500).step_by(25) {
         assert_eq!(
-            cluster.admitted_class(1 + (n / 25) % 7, &format!("f{n}")),
+            cluster.admitted_class(1 + (number / 25) % 7, &format!("f{number}")),
             "chat"
         );
     }
@@ -61,15 +61,15 @@
 #[test]
 fn a_holder_of_100_of_340_000_scopes_uses_memory_for_100() {
     let mut cluster = ScopeCluster::with_scopes(3, 1, 6);
-    let name = |n: usize| format!("function-{n:06}");
+    let name = |number: usize| format!("function-{number:06}");
     const ALL: usize = 340_000;
     const PART: usize = 2_000;
     for (request, from) in (0..ALL).step_by(PART).enumerate() {
-        let one = |n| {
+        let one = |number| {
             change(
-                &name(n),
+                &name(number),
                 Revision(0),
-                Some(fields("chat", 1 + n as i64 % 8)),
+                Some(fields("chat", 1 + number as i64 % 8)),
             )
         };
         cluster.update_scopes(request as u64 + 1, (from..from + PART).map(one).collect());
@@ -82,8 +82,8 @@
         "{:?}",
         cluster.answers.values().flatten().find(|a| a.is_err())
     );
-    for n in 0..100 {
-        assert_eq!(cluster.admitted_class(2, &name(n * 3_000)), "chat");
+    for call in 0..100 {
+        assert_eq!(cluster.admitted_class(2, &name(call * 3_000)), "chat");
     }
     let peer = cluster.nodes[2].as_ref().expect("it runs");
     assert_eq!(peer.subscription_count(), 100);
@@ -112,9 +112,9 @@
     cluster.update_scopes(2, (2_500..5_000).map(one).collect());
     cluster.run(3.0);
     assert_eq!(cluster.log().catalog().all().len(), 5_000);
-    for n in 0..5_000 {
-        let call = cluster.admit(2, &format!("f{n}"));
-        assert_ne!(call, Some(Admission::Unscoped));
+    for number in 0..5_000 {
+        let admission = cluster.admit(2, &format!("f{number}"));
+        assert_ne!(admission, Some(Admission::Unscoped));
         cluster.run(0.001);
     }
     cluster.run(1.0);
--- a/decide/fleet-node/tests/fleet_node/scopes.rs
+++ b/decide/fleet-node/tests/fleet_node/scopes.rs
@@ -60,9 +60,10 @@
             ("chat".into(), "chat".into())
         );
         cluster.nodes[4] = None;
-        let (a, b) = (cluster.scope("a").revision, cluster.scope("b").revision);
-        cluster.update_scopes(3, vec![change("a", a, Some(fields("batch", 4)))]);
-        cluster.update_scopes(4, vec![change("b", b, Some(fields("batch", 4)))]);
+        let base = cluster.scope("a").revision;
+        let other_base = cluster.scope("b").revision;
+        cluster.update_scopes(3, vec![change("a", base, Some(fields("batch", 4)))]);
+        cluster.update_scopes(4, vec![change("b", other_base, Some(fields("batch", 4)))]);
         let begun = cluster.now;
         assert!(
             cluster.run_until(3.0, |cluster| cluster.scope("b").fields
@@ -114,14 +115,14 @@
     for first in [0, 1] {
         let mut cluster = ScopeCluster::with_scopes(4, 1, 3);
         cluster.set(1, "b", Some(fields("chat", 4)));
-        let b = cluster.scope("b").revision;
+        let base = cluster.scope("b").revision;
         let one = vec![
             change("a", Revision(0), Some(fields("chat", 1))),
-            change("b", b, Some(fields("batch", 1))),
+            change("b", base, Some(fields("batch", 1))),
         ];
         let two = vec![
             change("c", Revision(0), Some(fields("chat", 1))),
-            change("b", b, Some(fields("bulk", 1))),
+            change("b", base, Some(fields("bulk", 1))),
         ];
         let (one, two) = if first == 0 { (one, two) } else { (two, one) };
         cluster.update_scopes(2, one.clone());
@@ -226,13 +227,13 @@
 fn a_scope_removed_while_it_is_held_is_gone_everywhere() {
     let mut cluster = ScopeCluster::with_scopes(5, 1, 9);
     cluster.set(1, "a", Some(fields("chat", 4)));
-    for n in 1..4 {
-        assert_eq!(cluster.admitted_class(n, "a"), "chat");
+    for holder in 1..4 {
+        assert_eq!(cluster.admitted_class(holder, "a"), "chat");
     }
     cluster.set(2, "a", None);
     cluster.run(1.0);
-    for n in 1..5 {
-        assert_eq!(cluster.admitted_class(n, "a"), "Some(Unknown)");
+    for index in 1..5 {
+        assert_eq!(cluster.admitted_class(index, "a"), "Some(Unknown)");
     }
     assert_eq!(cluster.log().catalog().get("a"), None, "it takes no room");
     cluster.set(3, "a", Some(fields("bulk", 1)));
@@ -268,8 +269,8 @@
     );
     cluster.set(3, "b", Some(fields("batch", 2)));
     cluster.set(4, "c", Some(fields("batch", 2)));
-    let a = cluster.scope("a").revision;
-    cluster.update_scopes(5, vec![change("a", a, Some(fields("bulk", 4)))]);
+    let base = cluster.scope("a").revision;
+    cluster.update_scopes(5, vec![change("a", base, Some(fields("bulk", 4)))]);
     cluster.run(12.0);
     assert_eq!(
         cluster.scope("a").fields,
@@ -300,19 +301,19 @@
     for seed in 0..6 {
         let mut cluster = ScopeCluster::with_scopes(7, 3, seed);
         cluster.set(10_000, "x", Some(fields("chat", 4)));
-        for n in 0..7 {
-            cluster.admitted_class(n, "x");
+        for index in 0..7 {
+            cluster.admitted_class(index, "x");
         }
         let all: Vec<u64> = (1..=200).collect();
-        let update = |n: u64| {
+        let update = |id: u64| {
             vec![change(
-                &format!("f{n}"),
+                &format!("f{id}"),
                 Revision(0),
-                Some(fields("chat", n as i64)),
+                Some(fields("chat", id as i64)),
             )]
         };
         all.iter()
-            .for_each(|n| cluster.update_scopes(*n, update(*n)));
+            .for_each(|id| cluster.update_scopes(*id, update(*id)));
         let wait = cluster.rng.f64() * 0.6;
         cluster.run(wait);
         let killed = cluster.leader();
@@ -325,16 +326,16 @@
         let mut remaining: Vec<u64> = all.clone();
         for _ in 0..40 {
             cluster.run(1.0);
-            let is_decided = |cluster: &ScopeCluster, n: u64| {
-                cluster.log().catalog().transaction_result(n).is_some()
+            let is_decided = |cluster: &ScopeCluster, id: u64| {
+                cluster.log().catalog().transaction_result(id).is_some()
             };
-            remaining.retain(|n| !is_decided(&cluster, *n));
+            remaining.retain(|id| !is_decided(&cluster, *id));
             if remaining.is_empty() && cluster.log().catalog().open().next().is_none() {
                 break;
             }
             remaining
                 .iter()
-                .for_each(|n| cluster.update_scopes(*n, update(*n)));
+                .for_each(|id| cluster.update_scopes(*id, update(*id)));
         }
         assert!(
             remaining.is_empty(),
@@ -342,18 +343,19 @@
             remaining.len()
         );
         let catalog = cluster.log().catalog();
-        for n in &all {
-            let r = catalog.transaction_result(*n).expect("it was decided");
+        for id in &all {
+            let result = catalog.transaction_result(*id).expect("it was decided");
             assert_eq!(
-                (r.joint, r.in_force + r.reverted),
+                (result.joint, result.in_force + result.reverted),
                 (0, 1),
-                "seed {seed}: {n}"
+                "seed {seed}: {id}"
             );
-            let there = catalog.get(&format!("f{n}")).and_then(|s| s.fields.clone());
+            let record = catalog.get(&format!("f{id}"));
+            let there = record.and_then(|record| record.fields.clone());
             assert_eq!(
                 there,
-                (r.in_force == 1).then(|| fields("chat", *n as i64)),
-                "seed {seed}: {n}"
+                (result.in_force == 1).then(|| fields("chat", *id as i64)),
+                "seed {seed}: {id}"
             );
         }
     }
--- a/decide/fleet-node/tests/fleet_node/versions.rs
+++ b/decide/fleet-node/tests/fleet_node/versions.rs
@@ -62,14 +62,14 @@
     cluster.isolate(4);
     cluster.run(3.0);
     let active = |cluster: &VersionCluster| {
-        let a = cluster.nodes[4]
+        let active_state = cluster.nodes[4]
             .as_ref()
             .map(|node| node.active_state(cluster.now))
             .expect("it runs");
         (
-            a.lease > 0,
-            a.session > 0,
-            a.state.map(|s| s.in_force.version.0),
+            active_state.lease > 0,
+            active_state.session > 0,
+            active_state.state.map(|s| s.in_force.version.0),
         )
     };
     assert_eq!(
@@ -240,16 +240,16 @@
     cluster.propose(1, 1, fields("cell", 4));
     cluster.propose(2, 1, fields("all", 4));
     cluster.run(3.0);
-    for n in [1, 2] {
+    for request in [1, 2] {
         assert!(
-            matches!(cluster.answer(n), Err(RequestRejection::Storage(cause)) if cause == "no room"),
-            "{n}"
+            matches!(cluster.answer(request), Err(RequestRejection::Storage(cause)) if cause == "no room"),
+            "{request}"
         );
     }
     assert!(cluster
         .events
         .iter()
-        .any(|(n, event)| *n == 0 && matches!(event, FleetEvent::StorageFailed { .. })));
+        .any(|(index, event)| *index == 0 && matches!(event, FleetEvent::StorageFailed { .. })));
     cluster.run(30.0);
     assert_eq!(
         cluster.versions_in_force(),
--- a/decide/fleet-node/tests/fleet_node/voters.rs
+++ b/decide/fleet-node/tests/fleet_node/voters.rs
@@ -54,10 +54,9 @@
         Some((false, true)),
         "its lease has expired, its session has not"
     );
-    let mut new =
-        cluster.nodes.iter().enumerate().filter(|(n, node)| {
-            *n != former && node.as_ref().is_some_and(|node| node.log().is_some())
-        });
+    let mut new = cluster.nodes.iter().enumerate().filter(|(index, node)| {
+        *index != former && node.as_ref().is_some_and(|node| node.log().is_some())
+    });
     let new = new.next().expect("another leader").0;
     let entry = LogEntry::Propose {
         id: 5,
