--- a/decide/membership/tests/fleet.rs
+++ b/decide/membership/tests/fleet.rs
@@ -26,8 +26,12 @@
     downs: Vec<(i64, usize, NodeId)>,
 }
 
-fn node(n: usize, incarnation: u64) -> NodeId {
-    NodeId::new(n as u64, incarnation, ([10, 0, 0, n as u8], 7000).into())
+fn node(index: usize, incarnation: u64) -> NodeId {
+    NodeId::new(
+        index as u64,
+        incarnation,
+        ([10, 0, 0, index as u8], 7000).into(),
+    )
 }
 
 impl Fleet {
@@ -46,38 +50,38 @@
             downs: Vec::new(),
         };
         fleet.members.resize_with(size, || None);
-        (0..size).for_each(|n| fleet.start(n));
+        (0..size).for_each(|index| fleet.start(index));
         fleet
     }
 
     /// A new process, which knows where two others should be.
-    fn start(&mut self, n: usize) {
-        self.incarnations[n] += 1;
+    fn start(&mut self, index: usize) {
+        self.incarnations[index] += 1;
         let seed = self.rng.u64(..);
         let mut member = Membership::new(
             77,
-            node(n, self.incarnations[n]),
+            node(index, self.incarnations[index]),
             GossipTiming::default(),
             seed,
         );
         for _ in 0..2 {
             let other = self.rng.usize(0..self.members.len());
-            if other != n {
+            if other != index {
                 member.join(self.now, node(other, self.incarnations[other].max(1)));
             }
         }
-        self.members[n] = Some(member);
-        self.carry_out(n);
+        self.members[index] = Some(member);
+        self.carry_out(index);
     }
 
-    fn carry_out(&mut self, n: usize) {
-        let Some(member) = &mut self.members[n] else {
+    fn carry_out(&mut self, index: usize) {
+        let Some(member) = &mut self.members[index] else {
             return;
         };
         for datagram in member.take_datagrams() {
             self.sent += 1;
             let to = datagram.to.id as usize;
-            if self.rng.f64() < self.loss_rate || self.blocked_links.contains(&(n, to)) {
+            if self.rng.f64() < self.loss_rate || self.blocked_links.contains(&(index, to)) {
                 continue;
             }
             self.count += 1;
@@ -87,16 +91,16 @@
         }
         for event in member.take_events() {
             if let MembershipEvent::Down(node) = event {
-                self.downs.push((self.now, n, node));
+                self.downs.push((self.now, index, node));
             }
         }
         // What is kept by notifications equals what the protocol knows.
-        let up = member.all().map(|n| n.id).chain([member.local().id]);
+        let up = member.all().map(|node| node.id).chain([member.local().id]);
         assert_eq!(member.topology(0), LeaseTopology::new(0, up));
         assert_eq!(member.count(), member.all().count());
         assert!(member
             .all()
-            .all(|n| member.address(n.id) == Some(n.address)));
+            .all(|node| member.address(node.id) == Some(node.address)));
     }
 
     fn run(&mut self, span: i64) {
@@ -128,13 +132,13 @@
                     self.carry_out(to);
                 }
             }
-            for n in 0..self.members.len() {
-                if let Some(member) = self.members[n]
+            for index in 0..self.members.len() {
+                if let Some(member) = self.members[index]
                     .as_mut()
                     .filter(|m| m.next_deadline().is_some_and(|t| t <= self.now))
                 {
                     member.tick(self.now);
-                    self.carry_out(n);
+                    self.carry_out(index);
                 }
             }
         }
@@ -149,8 +153,11 @@
             .flatten()
             .map(|m| (m.local().id, m.local().incarnation))
             .collect();
-        self.members.iter().flatten().all(|m| {
-            let known = m.all().chain([m.local()]).map(|n| (n.id, n.incarnation));
+        self.members.iter().flatten().all(|member| {
+            let known = member
+                .all()
+                .chain([member.local()])
+                .map(|node| (node.id, node.incarnation));
             known.collect::<BTreeSet<_>>() == running
         })
     }
@@ -174,12 +181,12 @@
     for seed in 0..4 {
         let mut fleet = Fleet::new(30, seed);
         fleet.until_agreed(60 * SECOND);
-        for n in 0..8 {
-            fleet.members[3 * n] = None;
+        for killed in 0..8 {
+            fleet.members[3 * killed] = None;
         }
         fleet.until_agreed(60 * SECOND);
-        for n in 0..8 {
-            fleet.start(3 * n);
+        for killed in 0..8 {
+            fleet.start(3 * killed);
         }
         fleet.until_agreed(60 * SECOND);
     }
@@ -256,22 +263,22 @@
 
 #[test]
 fn foreign_and_malformed_datagrams_are_rejected_with_a_reason() {
-    let mut a = Membership::new(1, node(1, 1), GossipTiming::default(), 1);
-    let mut b = Membership::new(2, node(2, 1), GossipTiming::default(), 2);
-    b.join(0, node(1, 1));
-    let datagram = b.take_datagrams().remove(0).bytes;
+    let mut member = Membership::new(1, node(1, 1), GossipTiming::default(), 1);
+    let mut foreign = Membership::new(2, node(2, 1), GossipTiming::default(), 2);
+    foreign.join(0, node(1, 1));
+    let datagram = foreign.take_datagrams().remove(0).bytes;
     assert_eq!(
-        a.on_datagram(0, &datagram),
+        member.on_datagram(0, &datagram),
         Err(RejectedDatagram::OtherFleet)
     );
     let mut later = datagram.clone();
     later[0] = FORMAT_VERSION + 1;
     assert_eq!(
-        a.on_datagram(0, &later),
+        member.on_datagram(0, &later),
         Err(RejectedDatagram::UnknownFormat(FORMAT_VERSION + 1))
     );
     assert_eq!(
-        a.on_datagram(0, &vec![FORMAT_VERSION; MAX_DATAGRAM_BYTES + 1]),
+        member.on_datagram(0, &vec![FORMAT_VERSION; MAX_DATAGRAM_BYTES + 1]),
         Err(RejectedDatagram::Malformed)
     );
     let mut rng = fastrand::Rng::with_seed(1);
@@ -283,8 +290,8 @@
             noise[at] = rng.u8(..);
         }
         noise.truncate(rng.usize(0..=noise.len()));
-        let _ = a.on_datagram(0, &noise);
-        a.take_datagrams();
+        let _ = member.on_datagram(0, &noise);
+        member.take_datagrams();
     }
-    assert!(a.all().count() < 20_000);
+    assert!(member.all().count() < 20_000);
 }
--- a/decide/timer-wheel/benches/wheel.rs
+++ b/decide/timer-wheel/benches/wheel.rs
@@ -9,37 +9,44 @@
 use tansy_timer_wheel::Wheel;
 
 /// Time-outs of calls: 0.2 to 5 s, from a plain sequence.
-fn span(n: u64) -> i64 {
-    200_000 + (n.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40) as i64 % 4_800_000
+fn span(index: u64) -> i64 {
+    200_000 + (index.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40) as i64 % 4_800_000
 }
 
-fn timers(c: &mut Criterion) {
-    let mut group = c.benchmark_group("set one, clear one");
+fn timers(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("set one, clear one");
     for count in [100u64, 10_000, 1_000_000] {
-        group.bench_with_input(BenchmarkId::new("wheel", count), &count, |b, count| {
-            let mut wheel = Wheel::new(0, 500);
-            let mut handles: Vec<_> = (0..*count).map(|n| wheel.set(span(n), n)).collect();
-            let mut n = 0u64;
-            b.iter(|| {
-                let index = (n % count) as usize;
-                black_box(wheel.clear(handles[index]));
-                handles[index] = wheel.set(span(n), n);
-                n += 1;
-            });
-        });
+        group.bench_with_input(
+            BenchmarkId::new("wheel", count),
+            &count,
+            |bencher, count| {
+                let mut wheel = Wheel::new(0, 500);
+                let mut handles: Vec<_> = (0..*count)
+                    .map(|index| wheel.set(span(index), index))
+                    .collect();
+                let mut set_count = 0u64;
+                bencher.iter(|| {
+                    let index = (set_count % count) as usize;
+                    black_box(wheel.clear(handles[index]));
+                    handles[index] = wheel.set(span(set_count), set_count);
+                    set_count += 1;
+                });
+            },
+        );
         group.bench_with_input(
             BenchmarkId::new("ordered set", count),
             &count,
-            |b, count| {
-                let mut keys: Vec<(i64, u64)> = (0..*count).map(|n| (span(n), n)).collect();
+            |bencher, count| {
+                let mut keys: Vec<(i64, u64)> =
+                    (0..*count).map(|index| (span(index), index)).collect();
                 let mut set: BTreeSet<(i64, u64)> = keys.iter().copied().collect();
-                let mut n = 0u64;
-                b.iter(|| {
-                    let index = (n % count) as usize;
+                let mut set_count = 0u64;
+                bencher.iter(|| {
+                    let index = (set_count % count) as usize;
                     black_box(set.remove(&keys[index]));
-                    keys[index] = (span(n), n);
+                    keys[index] = (span(set_count), set_count);
                     set.insert(keys[index]);
-                    n += 1;
+                    set_count += 1;
                 });
             },
         );
--- a/decide/timer-wheel/tests/ordered_map.rs
+++ b/decide/timer-wheel/tests/ordered_map.rs
@@ -36,27 +36,28 @@
             let mut plain = BTreeMap::new();
         let mut now = start;
             let mut handles = Vec::new();
-        for (n, s) in steps.into_iter().enumerate() {
-            match s {
-                Step::Set(d) => {
-                    let at = now.saturating_add(d);
-                    handles.push((wheel.set(at, n), at, n));
-                    plain.insert((at, n), n);
+        for (value, step) in steps.into_iter().enumerate() {
+            match step {
+                Step::Set(delay) => {
+                    let at = now.saturating_add(delay);
+                    handles.push((wheel.set(at, value), at, value));
+                    plain.insert((at, value), value);
                 }
-                Step::Clear(k) if !handles.is_empty() => {
-                    let (handle, at, n) = handles[k % handles.len()];
-                    prop_assert_eq!(wheel.clear(handle), plain.remove(&(at, n)));
+                Step::Clear(choice) if !handles.is_empty() => {
+                    let (handle, at, value) = handles[choice % handles.len()];
+                    prop_assert_eq!(wheel.clear(handle), plain.remove(&(at, value)));
                 }
                 Step::Clear(_) => {}
-                Step::Pass(d) => {
-                    now += d;
+                Step::Pass(elapsed) => {
+                    now += elapsed;
                     let mut due = Vec::new();
                     wheel.expire(now, |value| due.push(value));
                     let mut expected = Vec::new();
-                    while let Some(((at, n), value)) = plain.pop_first() {
+                    while let Some((key, value)) = plain.pop_first() {
+                        let (at, _) = key;
                         // Due once the tick that follows it has begun.
                         if at.div_euclid(tick) + i64::from(at % tick != 0) > now.div_euclid(tick) {
-                            plain.insert((at, n), value);
+                            plain.insert(key, value);
                             break;
                         }
                         expected.push(value);
