--- a/lang/syntax/src/lexer.rs
+++ b/lang/syntax/src/lexer.rs
@@ -57,16 +57,16 @@
     let inner = lex.slice().strip_prefix('"')?.strip_suffix('"')?;
     let mut text = String::with_capacity(inner.len());
     let mut chars = inner.chars();
-    while let Some(c) = chars.next() {
-        if c != '\\' {
-            text.push(c);
+    while let Some(character) = chars.next() {
+        if character != '\\' {
+            text.push(character);
             continue;
         }
         text.push(match chars.next()? {
             'n' => '\n',
             't' => '\t',
             'r' => '\r',
-            c @ ('"' | '\\' | '/') => c,
+            escaped @ ('"' | '\\' | '/') => escaped,
             'u' => {
                 let code: String = chars.by_ref().take(4).collect();
                 char::from_u32(u32::from_str_radix(&code, 16).ok()?)?
@@ -148,13 +148,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let word = match self {
             Token::Newline => "the end of a line",
-            Token::Word(w) | Token::Definition(w) => return write!(f, "`{w}`"),
-            Token::Text(t) => return write!(f, "{t:?}"),
-            Token::Int(n) => return write!(f, "{n}"),
-            Token::Float(n) => return write!(f, "{n}"),
-            Token::Duration(n) => return write!(f, "{n}us"),
-            Token::Size(n) => return write!(f, "{n}B"),
-            Token::Bool(b) => return write!(f, "{b}"),
+            Token::Word(name) | Token::Definition(name) => return write!(f, "`{name}`"),
+            Token::Text(text) => return write!(f, "{text:?}"),
+            Token::Int(integer) => return write!(f, "{integer}"),
+            Token::Float(number) => return write!(f, "{number}"),
+            Token::Duration(micros) => return write!(f, "{micros}us"),
+            Token::Size(bytes) => return write!(f, "{bytes}B"),
+            Token::Bool(flag) => return write!(f, "{flag}"),
             Token::Open => "`{`",
             Token::Close => "`}`",
             Token::OpenList => "`[`",
