--- a/net/platform/src/call.rs
+++ b/net/platform/src/call.rs
@@ -43,9 +43,7 @@
                 Some(body) => (200, 0, body),
                 None => (502, 0, Vec::new()),
             },
-            Answer::Refused {
-                retry_after: stay_away,
-            } => (503, stay_away, Vec::new()),
+            Answer::Refused { retry_after } => (503, retry_after, Vec::new()),
             Answer::Failed(reason) => match reason {
                 tansy_dispatch::FailureReason::Deadline => (504, 0, Vec::new()),
                 _ => (502, 0, Vec::new()),
--- a/net/platform/src/client/listener.rs
+++ b/net/platform/src/client/listener.rs
@@ -129,13 +129,13 @@
                     };
                     self.serve(socket, waiting_since);
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Accepted::All,
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Accepted::All,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
                 // A readable listener must not turn the loop meanwhile.
-                Err(e) => {
-                    tracing::warn!(error = %e, "accepting rests");
-                    if is_out_of_descriptors(&e) {
+                Err(error) => {
+                    tracing::warn!(%error, "accepting rests");
+                    if is_out_of_descriptors(&error) {
                         self.table().make_room();
                     }
                     return Accepted::Full;
@@ -155,8 +155,8 @@
                 let Some(token) = clients.token.get() else {
                     return;
                 };
-                if let Err(e) = clients.driver.spawner.handle().enable(&token) {
-                    tracing::warn!(error = %e, "accepting rests on");
+                if let Err(error) = clients.driver.spawner.handle().enable(&token) {
+                    tracing::warn!(%error, "accepting rests on");
                     clients.pause();
                 }
             });
--- a/net/platform/src/driver/commands.rs
+++ b/net/platform/src/driver/commands.rs
@@ -21,35 +21,32 @@
             // A worker's answer is passed on whole, with `Answer`.
             Command::ForwardMessage { .. } => {}
             Command::Answer { call, answer } => self.answer_call(call, answer),
-            Command::Probe {
-                request: order,
-                worker,
-            } => self.send_control(order, &worker, &["there"]),
+            Command::Probe { request, worker } => self.send_control(request, &worker, &["there"]),
             Command::Load {
-                request: order,
+                request,
                 worker,
                 function,
                 instances,
             } => {
                 let fields = format!("asset={function},replicas={instances}");
-                self.send_control(order, &worker, &["provision", &fields]);
+                self.send_control(request, &worker, &["provision", &fields]);
             }
             Command::Unload {
-                request: order,
+                request,
                 worker,
                 function,
-            } => self.send_unload(order, &worker, &function),
-            Command::RecallUnsent { request: order } => self.cancel_control(order),
-            Command::CancelControlRequest { request: order } => self.withdraw_control(order),
+            } => self.send_unload(request, &worker, &function),
+            Command::RecallUnsent { request } => self.cancel_control(request),
+            Command::CancelControlRequest { request } => self.withdraw_control(request),
             Command::DropConnection { worker } => self.abort_connections(&worker),
             Command::RetireWorker { worker } => self.retire_pool(&worker),
             Command::ReportMissingFunction {
                 worker,
                 function,
-                outcome: seen,
-                failed_loads: count,
+                outcome,
+                failed_loads,
             } => {
-                tracing::warn!(%worker, %function, status = %seen, count, "a load request left no instance");
+                tracing::warn!(%worker, %function, status = %outcome, count = failed_loads, "a load request left no instance");
             }
             // The list comes unasked.
             Command::FetchWorkerList | Command::SubscribeWorkerList => {}
--- a/net/platform/src/endpoint_poller.rs
+++ b/net/platform/src/endpoint_poller.rs
@@ -161,10 +161,10 @@
             let began = Instant::now();
             let ended = self.poll_on_connection(address, moves, &mut pause).await;
             self.current.take();
-            if let Err(e) = ended {
+            if let Err(error) = ended {
                 if began >= next_log || began.elapsed() > MAX_PAUSE {
                     next_log = began + LOG_EVERY;
-                    tracing::info!(%address, error = %e, index = self.index(), "the coordinator is asked again");
+                    tracing::info!(%address, %error, index = self.index(), "the coordinator is asked again");
                 }
             }
             self.pace(began, moves, &mut pause).await;
@@ -274,7 +274,7 @@
             };
             match self.unless_moved(moves, write).await? {
                 Ok(count) => request = &request[count..],
-                Err(e) => return Some(Err(e.into())),
+                Err(error) => return Some(Err(error.into())),
             }
         }
         let read = |cx: &Context<'_>| {
@@ -304,12 +304,12 @@
                 match std::task::ready!(read(connection, &mut buffer)) {
                     Ok(0) => return Poll::Ready(Err(PollError::Closed)),
                     Ok(count) => connection.reader.push_bytes(&buffer[..count]),
-                    Err(e) => return Poll::Ready(Err(e.into())),
+                    Err(error) => return Poll::Ready(Err(error.into())),
                 }
                 match parse_reply(&mut connection.reader) {
                     Ok(None) => continue,
                     Ok(Some(updates)) => Ok(updates),
-                    Err(e) => Err(e),
+                    Err(error) => Err(error),
                 }
             };
             let applied = |(updates, keep_alive): (EndpointUpdates, bool)| Reply {
@@ -325,7 +325,7 @@
         for connection in [&self.overdue, &self.current] {
             let reply = self.poll_reply(connection, |connection, buffer| {
                 match connection.socket.read_now(buffer) {
-                    Err(e) if e.kind() == io::ErrorKind::WouldBlock => Poll::Pending,
+                    Err(error) if error.kind() == io::ErrorKind::WouldBlock => Poll::Pending,
                     read => Poll::Ready(read),
                 }
             });
--- a/net/platform/src/outbox.rs
+++ b/net/platform/src/outbox.rs
@@ -124,9 +124,9 @@
             };
             let sent = match written {
                 Ok(count) => count,
-                Err(e) => {
+                Err(error) => {
                     self.unsent_rest = batch[..first].to_vec();
-                    return Err(e);
+                    return Err(error);
                 }
             };
             let started = starts.iter().take_while(|start| **start < sent).count();
--- a/net/platform/src/response_slot.rs
+++ b/net/platform/src/response_slot.rs
@@ -57,7 +57,7 @@
     fn record(&self, read: io::Result<usize>) -> ClientInput {
         let input = match read {
             Ok(count) if count > 0 => ClientInput::MoreBytes,
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => ClientInput::Nothing,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => ClientInput::Nothing,
             _ => ClientInput::Closed,
         };
         if input != ClientInput::Nothing {
--- a/net/platform/src/worker_connection/io.rs
+++ b/net/platform/src/worker_connection/io.rs
@@ -46,8 +46,8 @@
     connection: &Rc<WorkerConnection>,
 ) -> AttemptOutcome {
     // An error of this machine says nothing of the worker.
-    let failed = |e: io::Error| {
-        if is_out_of_resources(&e) {
+    let failed = |error: io::Error| {
+        if is_out_of_resources(&error) {
             handler.on_event(ConnectionEvent::OutOfResources);
             return AttemptOutcome::NeverLeft;
         }
@@ -55,7 +55,7 @@
     };
     let socket = match Socket::connect(handler.spawner().handle(), address) {
         Ok(socket) => socket,
-        Err(e) => return failed(e),
+        Err(error) => return failed(error),
     };
     let limit = handler.spawner().sleep(handler.limits().connect_timeout);
     let connected = poll_fn(|cx| {
@@ -68,7 +68,7 @@
     });
     match within(limit, connected).await {
         None => return AttemptOutcome::ConnectTimedOut,
-        Some(Err(e)) => return failed(e),
+        Some(Err(error)) => return failed(error),
         Some(Ok(())) => connection.state.borrow_mut().connected = true,
     }
     let mut reader = Reader::new(ANSWER);
--- a/net/platform/tests/outbox.rs
+++ b/net/platform/tests/outbox.rs
@@ -21,13 +21,13 @@
 fn flush(outbox: &mut Outbox, mut room: usize) -> (Vec<u8>, Vec<OutgoingMessage>) {
     let (mut taken, mut began) = (Vec::new(), Vec::new());
     let write = |bytes: &[u8]| {
-        let n = bytes.len().min(room);
-        if n == 0 {
+        let count = bytes.len().min(room);
+        if count == 0 {
             return Poll::Pending;
         }
-        taken.extend_from_slice(&bytes[..n]);
-        room -= n;
-        Poll::Ready(Ok(n))
+        taken.extend_from_slice(&bytes[..count]);
+        room -= count;
+        Poll::Ready(Ok(count))
     };
     outbox
         .flush(encode, |m| began.push(m.clone()), write)
--- a/net/sockets/src/socket.rs
+++ b/net/sockets/src/socket.rs
@@ -47,8 +47,8 @@
     ) -> Poll<io::Result<T>> {
         while self.ready.get() {
             match call() {
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.ready.set(false),
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => self.ready.set(false),
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 done => return Poll::Ready(done),
             }
         }
@@ -59,12 +59,12 @@
     fn call_now<T>(&self, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
         loop {
             match call() {
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) => {
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => {
                     // What comes after this is reported anew.
                     self.ready
-                        .set(self.ready.get() && e.kind() != io::ErrorKind::WouldBlock);
-                    return Err(e);
+                        .set(self.ready.get() && error.kind() != io::ErrorKind::WouldBlock);
+                    return Err(error);
                 }
                 done => return done,
             }
@@ -151,7 +151,7 @@
     /// Ends our side.
     pub fn shutdown(&self) -> io::Result<()> {
         match self.socket.shutdown(Shutdown::Write) {
-            Err(e) if e.kind() == io::ErrorKind::NotConnected => Ok(()),
+            Err(error) if error.kind() == io::ErrorKind::NotConnected => Ok(()),
             done => done,
         }
     }
@@ -209,9 +209,9 @@
     let mut logged = false;
     loop {
         match attempt() {
-            Err(e) if is_transient(&e) && began.elapsed() < within => {
+            Err(error) if is_transient(&error) && began.elapsed() < within => {
                 if !std::mem::replace(&mut logged, true) {
-                    tracing::warn!(error = %e, what = subject, "a start is tried again");
+                    tracing::warn!(%error, what = subject, "a start is tried again");
                 }
                 std::thread::sleep(RETRY_PAUSE);
             }
@@ -234,14 +234,14 @@
         let mut begun = socket.connect(&address.into());
         for _ in 0..INTERRUPTIONS {
             match &begun {
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {
                     begun = socket.connect(&address.into())
                 }
                 _ => break,
             }
         }
         match begun {
-            Err(e) if !is_one_of(&e, &CONNECTING) => return Err(e),
+            Err(error) if !is_one_of(&error, &CONNECTING) => return Err(error),
             _ => {}
         }
         Socket::new(handle, TcpStream::from(socket))
--- a/net/sockets/tests/timers.rs
+++ b/net/sockets/tests/timers.rs
@@ -24,10 +24,10 @@
     let (ended, done) = (Rc::new(RefCell::new(Vec::new())), Rc::new(Cell::new(false)));
     // Set in an order that arms the timer anew, and leaves it as it is.
     for ms in [30u64, 5, 20, 1, 0, 40] {
-        let (s, ended, done) = (spawner.clone(), ended.clone(), done.clone());
+        let (sleeper, ended, done) = (spawner.clone(), ended.clone(), done.clone());
         spawner.spawn(async move {
             let began = Instant::now();
-            s.sleep(Duration::from_millis(ms)).await;
+            sleeper.sleep(Duration::from_millis(ms)).await;
             assert!(
                 began.elapsed() >= Duration::from_millis(ms),
                 "{ms} ms ended early"
@@ -51,9 +51,9 @@
     }
     assert_eq!(timers.pending(), 1);
     let done = Rc::new(Cell::new(false));
-    let (s, flag) = (spawner.clone(), done.clone());
+    let (sleeper, flag) = (spawner.clone(), done.clone());
     spawner.spawn(async move {
-        s.sleep(Duration::from_millis(10)).await;
+        sleeper.sleep(Duration::from_millis(10)).await;
         flag.set(true);
     });
     run(&mut event_loop, &done, 10);
