--- a/protocol/http1/tests/reading.rs
+++ b/protocol/http1/tests/reading.rs
@@ -28,10 +28,10 @@
         let mut reader = Reader::for_requests(LIMITS);
         let mut at = 0;
         while at < text.len() {
-            let n = (1 + rng.usize(..9)).min(text.len() - at);
+            let count = (1 + rng.usize(..9)).min(text.len() - at);
             assert_eq!(reader.message(|_| ()), Ok(None), "{at}");
-            reader.push_bytes(&text[at..at + n]);
-            at += n;
+            reader.push_bytes(&text[at..at + count]);
+            at += count;
         }
         assert_eq!(
             reader.message(|message| message.body.to_vec()),
--- a/protocol/platform/tests/endpoints.rs
+++ b/protocol/platform/tests/endpoints.rs
@@ -29,9 +29,15 @@
     );
     let got = list.apply(&updates(FIRST), 2000.0);
     assert!(got[0].0);
-    let a = &got[0].1[0].endpoint;
+    let first = &got[0].1[0].endpoint;
     assert_eq!(
-        (a.zone, a.kind, a.cell, a.age, a.relative_size),
+        (
+            first.zone,
+            first.kind,
+            first.cell,
+            first.age,
+            first.relative_size
+        ),
         (1, 1, 2, None, 4.0)
     );
     assert_eq!(got[0].1[1].endpoint.age, Some(500_000));
--- a/protocol/platform/tests/noise.rs
+++ b/protocol/platform/tests/noise.rs
@@ -70,8 +70,12 @@
         let odd = rng.usize(..good.len());
         let value = String::from_utf8_lossy(&spoil(&mut rng, good[odd].1)).into_owned();
         let header = |name: &str| {
-            let n = good.iter().position(|g| g.0 == name)?;
-            Some(if n == odd { value.as_str() } else { good[n].1 })
+            let index = good.iter().position(|header| header.0 == name)?;
+            Some(if index == odd {
+                value.as_str()
+            } else {
+                good[index].1
+            })
         };
         if let Ok(request) = schema.read("POST", "/ops/7f3a9c21e0b4d655/call", header) {
             taken += 1;
@@ -108,9 +112,9 @@
                 .collect();
             let servers: Vec<String> = entries
                 .iter()
-                .map(|(id, s)| {
+                .map(|(id, state)| {
                     format!(
-                        r#"{{"id":"w{id}","addr":"127.0.0.1:{}","state":"{s}"}}"#,
+                        r#"{{"id":"w{id}","addr":"127.0.0.1:{}","state":"{state}"}}"#,
                         100 + id
                     )
                 })
--- a/protocol/platform/tests/request.rs
+++ b/protocol/platform/tests/request.rs
@@ -22,7 +22,7 @@
     change: Option<(&str, Option<&'static str>)>,
 ) -> Result<CallRequest, RequestError> {
     schema().read("POST", target, |name| match change {
-        Some((n, v)) if n == name => v,
+        Some((changed, value)) if changed == name => value,
         _ => GOOD.iter().find(|g| g.0 == name).map(|g| g.1),
     })
 }
--- a/protocol/resp/tests/arrays.rs
+++ b/protocol/resp/tests/arrays.rs
@@ -7,10 +7,10 @@
     strings: 4,
 };
 
-fn all(r: &mut Reader) -> Result<Vec<Vec<Vec<u8>>>, ParseError> {
+fn all(reader: &mut Reader) -> Result<Vec<Vec<Vec<u8>>>, ParseError> {
     let mut out = Vec::new();
-    while let Some(a) = r.next_array()? {
-        out.push(a.into_iter().map(<[u8]>::to_vec).collect());
+    while let Some(array) = reader.next_array()? {
+        out.push(array.into_iter().map(<[u8]>::to_vec).collect());
     }
     Ok(out)
 }
@@ -33,20 +33,23 @@
         vec![b"T1".to_vec(), b"alive".to_vec()],
     ];
     let mut bytes = Vec::new();
-    for a in &sent {
-        write_array(&mut bytes, &a.iter().map(Vec::as_slice).collect::<Vec<_>>());
+    for array in &sent {
+        write_array(
+            &mut bytes,
+            &array.iter().map(Vec::as_slice).collect::<Vec<_>>(),
+        );
     }
     let mut rng = fastrand::Rng::with_seed(3);
     for _ in 0..300 {
-        let (mut r, mut got, mut at) = (Reader::new(LIMITS), Vec::new(), 0);
+        let (mut reader, mut got, mut at) = (Reader::new(LIMITS), Vec::new(), 0);
         while at < bytes.len() {
-            let n = (1 + rng.usize(..20)).min(bytes.len() - at);
-            r.push_bytes(&bytes[at..at + n]);
-            at += n;
-            got.extend(all(&mut r).unwrap());
+            let count = (1 + rng.usize(..20)).min(bytes.len() - at);
+            reader.push_bytes(&bytes[at..at + count]);
+            at += count;
+            got.extend(all(&mut reader).unwrap());
         }
         assert_eq!(got, sent);
-        assert!(!r.has_partial());
+        assert!(!reader.has_partial());
     }
 }
 
@@ -73,10 +76,10 @@
         (b"*1\n", ParseError::MalformedLength),
     ];
     for (text, error) in cases {
-        let mut r = Reader::new(LIMITS);
-        r.push_bytes(text);
+        let mut reader = Reader::new(LIMITS);
+        reader.push_bytes(text);
         assert_eq!(
-            all(&mut r),
+            all(&mut reader),
             Err(error),
             "{:?}",
             String::from_utf8_lossy(text)
@@ -86,18 +89,18 @@
 
 #[test]
 fn an_array_that_stops_short_is_partial_and_its_memory_is_bounded() {
-    let mut r = Reader::new(LIMITS);
-    r.push_bytes(b"*4\r\n$3\r\nab");
-    assert_eq!(all(&mut r), Ok(vec![]));
-    assert!(r.has_partial());
-    let mut r = Reader::new(LIMITS);
+    let mut reader = Reader::new(LIMITS);
+    reader.push_bytes(b"*4\r\n$3\r\nab");
+    assert_eq!(all(&mut reader), Ok(vec![]));
+    assert!(reader.has_partial());
+    let mut reader = Reader::new(LIMITS);
     for _ in 0..10_000 {
         let mut one = Vec::new();
         write_array(&mut one, &[b"9b", b"200", b"-", &[7; 60]]);
-        r.push_bytes(&one);
-        assert_eq!(all(&mut r).unwrap().len(), 1);
+        reader.push_bytes(&one);
+        assert_eq!(all(&mut reader).unwrap().len(), 1);
     }
-    assert!(r.buffer_capacity() < 16 * 1024);
+    assert!(reader.buffer_capacity() < 16 * 1024);
 }
 
 #[test]
@@ -110,8 +113,8 @@
             let at = rng.usize(..text.len());
             text[at] = rng.u8(..);
         }
-        let mut r = Reader::new(LIMITS);
-        r.push_bytes(&text);
-        let _ = all(&mut r);
+        let mut reader = Reader::new(LIMITS);
+        reader.push_bytes(&text);
+        let _ = all(&mut reader);
     }
 }
