--- a/storage/tests/disk.rs
+++ b/storage/tests/disk.rs
@@ -99,8 +99,8 @@
         let mut unsynced = disk.unsynced.clone();
         rng.shuffle(&mut unsynced);
         for (start, data) in unsynced {
-            for (n, sector) in data.chunks(512).enumerate() {
-                let position = start + n * 512;
+            for (index, sector) in data.chunks(512).enumerate() {
+                let position = start + index * 512;
                 if rng.bool() && position + sector.len() <= remaining.len() {
                     remaining[position..position + sector.len()].copy_from_slice(sector);
                 }
@@ -119,9 +119,9 @@
 }
 
 /// Appends a record, now and then with a snapshot that replaces all; `expected` is what has to be recovered from then on.
-fn append(log: &mut LogStorage, expected: &mut RecoveredRecords, n: u64) -> Result<(), Error> {
-    let record = n.to_be_bytes().repeat(1 + n as usize % 5);
-    let snapshot = (n % 37 == 36).then(|| format!("whole {n}").into_bytes());
+fn append(log: &mut LogStorage, expected: &mut RecoveredRecords, number: u64) -> Result<(), Error> {
+    let record = number.to_be_bytes().repeat(1 + number as usize % 5);
+    let snapshot = (number % 37 == 36).then(|| format!("whole {number}").into_bytes());
     log.append(record.clone(), snapshot.as_deref())?;
     match snapshot {
         Some(snapshot) => {
@@ -142,8 +142,8 @@
         let mut disk = Disk::default();
         let (mut log, mut expected) = open(&disk);
         for round in 0..6 {
-            for n in 0..rng.u64(0..60) {
-                append(&mut log, &mut expected, 1000 * round + n).expect("stored");
+            for number in 0..rng.u64(0..60) {
+                append(&mut log, &mut expected, 1000 * round + number).expect("stored");
             }
             // In the middle of whatever the store still does: it is not closed.
             disk = disk.after_a_crash(&mut rng);
@@ -161,12 +161,12 @@
     let used = disk.0.lock().unwrap().content.len();
     disk.0.lock().unwrap().capacity = Some(used);
     let mut failed = None;
-    for n in 0..400 {
-        let record = vec![n as u8; 100_000 + n];
+    for index in 0..400 {
+        let record = vec![index as u8; 100_000 + index];
         match log.append(record.clone(), None) {
             Ok(()) => expected.records.push(record),
-            Err(e) => {
-                failed = Some(e.to_string());
+            Err(error) => {
+                failed = Some(error.to_string());
                 break;
             }
         }
@@ -216,8 +216,8 @@
 fn many_records_are_recovered_with_the_last_snapshot() {
     let disk = Disk::default();
     let (mut log, mut expected) = open(&disk);
-    for n in 0..1000 {
-        append(&mut log, &mut expected, n).expect("stored");
+    for number in 0..1000 {
+        append(&mut log, &mut expected, number).expect("stored");
     }
     assert!(expected.snapshot.is_some() && expected.records.len() == 1000 % 37);
     drop(log);
@@ -257,19 +257,19 @@
         let open = move || Store::with_backend(reopened.clone()).map(LogStorage::from_store);
         let (mut log, _) = RetryingLogStorage::with_opener(Box::new(open)).expect("a store");
         let mut expected = RecoveredRecords::default();
-        for n in 0..120u64 {
-            let record = n.to_be_bytes().to_vec();
-            let snapshot = (n % 37 == 36).then(|| format!("whole {n}").into_bytes());
+        for number in 0..120u64 {
+            let record = number.to_be_bytes().to_vec();
+            let snapshot = (number % 37 == 36).then(|| format!("whole {number}").into_bytes());
             // Some of its next writes and syncs fail, each a few times.
             if rng.u32(0..4) == 0 {
                 disk.0.lock().unwrap().failures = rng.u32(1..6);
                 disk.0.lock().unwrap().calls_before_failure = rng.u32(0..12);
             }
             let mut tries = 0;
-            while let Err(e) = log.append(&record, snapshot.as_deref()) {
-                assert!(e.may_pass(), "seed {seed}: {e}");
+            while let Err(error) = log.append(&record, snapshot.as_deref()) {
+                assert!(error.may_pass(), "seed {seed}: {error}");
                 tries += 1;
-                assert!(tries < 100, "seed {seed}: {e}");
+                assert!(tries < 100, "seed {seed}: {error}");
             }
             match snapshot {
                 Some(snapshot) => {
--- a/storage/tests/processes.rs
+++ b/storage/tests/processes.rs
@@ -16,9 +16,10 @@
         return;
     };
     let (mut log, recovered) = LogStorage::open(&PathBuf::from(path)).expect("a log");
-    for n in recovered.records.len() as u64 + 1.. {
-        log.append(n.to_be_bytes().to_vec(), None).expect("stored");
-        println!("stored {n}");
+    for number in recovered.records.len() as u64 + 1.. {
+        log.append(number.to_be_bytes().to_vec(), None)
+            .expect("stored");
+        println!("stored {number}");
     }
 }
 
