--- a/tests/router/harness.rs
+++ b/tests/router/harness.rs
@@ -227,10 +227,10 @@
 }
 
 /// A fleet at full size in which a call that finds nothing loaded says so.
-pub fn one_of_a_hundred(me: usize) -> Settings {
+pub fn one_of_a_hundred(front_end: usize) -> Settings {
     Settings {
         front_ends: 100,
-        front_end: me,
+        front_end,
         miss_policy: MissPolicy::Miss,
         reports_concurrency: true,
         ..settings_with(Effect::Safe)
--- a/tests/router/health.rs
+++ b/tests/router/health.rs
@@ -41,18 +41,18 @@
     });
     harness.ready_workers(30);
     let mut lost = std::collections::BTreeSet::new();
-    for i in 0..400 {
-        if let Some(at) = requested_load(&harness.arrive(i, 100 + i, 0, 300 * MS)) {
-            if sent_to(&harness.end_load(at, 100 + i, Outcome::Served)).is_some() {
-                harness.end_attempt(i, 0, at, Outcome::ConnectFailed);
+    for request in 0..400 {
+        if let Some(at) = requested_load(&harness.arrive(request, 100 + request, 0, 300 * MS)) {
+            if sent_to(&harness.end_load(at, 100 + request, Outcome::Served)).is_some() {
+                harness.end_attempt(request, 0, at, Outcome::ConnectFailed);
                 lost.insert(at);
             }
         }
     }
     assert!(lost.len() > 25, "{} suspects", lost.len());
     let probed = |actions: &[Action]| -> Vec<WorkerId> {
-        let probe = |a: &Action| {
-            if let Action::Probe { worker } = a {
+        let probe = |action: &Action| {
+            if let Action::Probe { worker } = action {
                 Some(*worker)
             } else {
                 None
--- a/tests/router/loading.rs
+++ b/tests/router/loading.rs
@@ -8,25 +8,25 @@
 
 #[test]
 fn load_orders_stay_within_the_ration() {
-    let ration = Some(LoadBudget {
+    let load_budget = Some(LoadBudget {
         free: 2.0,
         arrival_share: 0.25,
         period: 5_000 * MS,
     });
     let mut harness = Harness::new(Settings {
-        load_budget: ration,
+        load_budget,
         ..settings_with(Effect::Safe)
     });
     harness.ready_workers(8);
     let mut orders = 0;
-    for i in 0..40 {
+    for request in 0..40 {
         harness.now = harness.now.plus(10 * MS);
-        let actions = harness.arrive(i, 100 + i, 0, 5_000 * MS);
-        if let Some(w) = requested_load(&actions) {
+        let actions = harness.arrive(request, 100 + request, 0, 5_000 * MS);
+        if let Some(worker) = requested_load(&actions) {
             orders += 1;
-            harness.end_load(w, 100 + i, Outcome::Served);
+            harness.end_load(worker, 100 + request, Outcome::Served);
         }
-        assert!(orders as f64 <= 2.0 + 0.25 * (i + 1) as f64);
+        assert!(orders as f64 <= 2.0 + 0.25 * (request + 1) as f64);
     }
     assert!(orders > 5, "and are used: {orders}");
 }
@@ -44,16 +44,16 @@
     let (mut orders, mut next) = (0, 0);
     let mut todo = std::collections::VecDeque::new();
     while harness.now < Time(5_000 * MS) {
-        for f in 0..functions {
+        for function in 0..functions {
             next += 1;
-            todo.extend(harness.arrive(next, f, 0, 5_000 * MS));
+            todo.extend(harness.arrive(next, function, 0, 5_000 * MS));
         }
         todo.extend(harness.handle(Event::Timer { token: 0 }));
         let mut steps = 0;
-        while let Some(a) = todo.pop_front() {
+        while let Some(action) = todo.pop_front() {
             steps += 1;
             assert!(steps < 100_000, "orders at the loop's speed");
-            match a {
+            match action {
                 Action::Load {
                     worker,
                     function,
@@ -73,7 +73,7 @@
                 Action::Send {
                     request, worker, ..
                 } => {
-                    let d = AttemptResult {
+                    let result = AttemptResult {
                         request,
                         attempt: 0,
                         worker,
@@ -84,7 +84,7 @@
                         concurrency: None,
                         report: None,
                     };
-                    todo.extend(harness.handle(Event::AttemptEnded(d)));
+                    todo.extend(harness.handle(Event::AttemptEnded(result)));
                 }
                 _ => {}
             }
@@ -103,19 +103,22 @@
         (Outcome::NotLoaded, 0),
     ] {
         // At one place: at once, once more, then after half a second to three quarters, twice that, four times.
-        let n = orders_in_five_seconds(settings_with(Effect::Safe), 1, 1, answer);
-        assert!((3..=6).contains(&n), "{answer:?}: {n}");
-        let n = orders_in_five_seconds(settings_with(Effect::Safe), 1, 40, answer);
+        let orders = orders_in_five_seconds(settings_with(Effect::Safe), 1, 1, answer);
+        assert!((3..=6).contains(&orders), "{answer:?}: {orders}");
+        let orders = orders_in_five_seconds(settings_with(Effect::Safe), 1, 40, answer);
         assert!(
-            (90..=102).contains(&n),
-            "{answer:?}: {n} for many functions at one worker"
+            (90..=102).contains(&orders),
+            "{answer:?}: {orders} for many functions at one worker"
         );
-        let n = orders_in_five_seconds(settings_with(Effect::Safe), 20, 40, answer);
+        let orders = orders_in_five_seconds(settings_with(Effect::Safe), 20, 40, answer);
         // Those in hand before the first answer, two a worker, then the pace.
-        assert!((60..=142).contains(&n), "{answer:?}: {n} at twenty workers");
+        assert!(
+            (60..=142).contains(&orders),
+            "{answer:?}: {orders} at twenty workers"
+        );
     }
-    let n = orders_in_five_seconds(settings_with(Effect::Safe), 1, 1, (Outcome::Served, 1));
-    assert!((3..=6).contains(&n), "told done and missed: {n}");
+    let orders = orders_in_five_seconds(settings_with(Effect::Safe), 1, 1, (Outcome::Served, 1));
+    assert!((3..=6).contains(&orders), "told done and missed: {orders}");
 }
 
 #[test]
--- a/tests/router/placement.rs
+++ b/tests/router/placement.rs
@@ -10,16 +10,16 @@
 #[test]
 fn a_busy_function_is_spread_over_several_homes_and_front_ends_begin_at_different_ones() {
     let mut firsts = std::collections::BTreeSet::new();
-    for me in 0..12 {
+    for front_end in 0..12 {
         let mut harness = Harness::new(Settings {
             front_ends: 100,
-            front_end: me,
+            front_end,
             ..settings_with(Effect::Safe)
         });
         harness.ready_workers(10);
         let mut used = std::collections::BTreeSet::new();
-        for i in 0..20 {
-            let mut actions = harness.arrive(i, 9, 0, 2_000 * MS);
+        for request in 0..20 {
+            let mut actions = harness.arrive(request, 9, 0, 2_000 * MS);
             for _ in 0..8 {
                 let load = actions.iter().find_map(|a| match a {
                     Action::Load { worker, .. } => Some(*worker),
@@ -28,14 +28,14 @@
                 if let Some(at) = sent_to(&actions) {
                     used.insert(at);
                     firsts.extend((used.len() == 2).then_some(at));
-                    harness.end_attempt(i, 0, at, Outcome::Served);
+                    harness.end_attempt(request, 0, at, Outcome::Served);
                 }
                 let Some(at) = load else { break };
                 actions = harness.end_load(at, 9, Outcome::Served);
             }
             harness.advance(500 * MS);
         }
-        assert!(used.len() >= 4, "front end {me} used {used:?}");
+        assert!(used.len() >= 4, "front end {front_end} used {used:?}");
     }
     assert!(firsts.len() >= 4, "all begin at {firsts:?}");
 }
@@ -48,20 +48,20 @@
     let mut harness = Harness::new(one_of_a_hundred(0));
     harness.ready_workers(10);
     let (mut orders, mut found) = (0, 0);
-    for i in 0..40 {
-        let actions = harness.arrive(i, 100 + i, 0, 2_000 * MS);
+    for request in 0..40 {
+        let actions = harness.arrive(request, 100 + request, 0, 2_000 * MS);
         assert_eq!(
             requested_load(&actions),
             None,
             "loaded before a call found it missing"
         );
         let at = sent_to(&actions).expect("presumed at its home");
-        if i % 2 == 0 {
-            orders +=
-                requested_load(&harness.end_attempt(i, 0, at, Outcome::NotLoaded)).is_some() as u32;
+        if request % 2 == 0 {
+            orders += requested_load(&harness.end_attempt(request, 0, at, Outcome::NotLoaded))
+                .is_some() as u32;
         } else {
             found += 1;
-            harness.end_attempt(i, 0, at, Outcome::Served);
+            harness.end_attempt(request, 0, at, Outcome::Served);
         }
         harness.advance(50 * MS);
     }
@@ -80,21 +80,21 @@
     });
     harness.ready_workers(10);
     let (mut orders, mut asked) = (0, 0);
-    for i in 0..40 {
-        for a in harness.arrive(i, 100 + i, 0, 2_000 * MS) {
-            match a {
+    for request in 0..40 {
+        for action in harness.arrive(request, 100 + request, 0, 2_000 * MS) {
+            match action {
                 Action::Load {
                     instances: 0,
                     worker,
                     ..
                 } => {
                     asked += 1;
-                    let found = harness.end_load(worker, 100 + i, Outcome::Served);
+                    let found = harness.end_load(worker, 100 + request, Outcome::Served);
                     assert_eq!(sent_to(&found), Some(worker), "a sibling had it loaded");
-                    harness.end_attempt(i, 0, worker, Outcome::Served);
+                    harness.end_attempt(request, 0, worker, Outcome::Served);
                 }
                 Action::Load { .. } => orders += 1,
-                a => panic!("{a:?} before anything is known to stand"),
+                action => panic!("{action:?} before anything is known to stand"),
             }
         }
         harness.advance(50 * MS);
@@ -109,8 +109,8 @@
 #[test]
 fn front_ends_presume_a_quiet_function_at_the_same_places() {
     let mut firsts = std::collections::BTreeSet::new();
-    for me in 0..20 {
-        let mut harness = Harness::new(one_of_a_hundred(me));
+    for front_end in 0..20 {
+        let mut harness = Harness::new(one_of_a_hundred(front_end));
         harness.ready_workers(30);
         firsts.extend(sent_to(&harness.arrive(1, 9, 0, 2_000 * MS)));
     }
@@ -124,10 +124,10 @@
         let mut harness = Harness::new(one_of_a_hundred(3));
         harness.ready_workers(10);
         let mut used = std::collections::BTreeSet::new();
-        for i in 0..30 {
-            let at = sent_to(&harness.arrive(i, 9, 0, 2_000 * MS)).expect("presumed");
+        for request in 0..30 {
+            let at = sent_to(&harness.arrive(request, 9, 0, 2_000 * MS)).expect("presumed");
             used.insert(at);
-            served_among(&mut harness, i, at, crowd);
+            served_among(&mut harness, request, at, crowd);
             harness.advance(200 * MS);
         }
         used.len()
@@ -145,9 +145,9 @@
     let mut harness = Harness::new(one_of_a_hundred(0));
     harness.ready_workers(10);
     // A busy function with many places, all of them unloaded since.
-    for i in 10..40 {
-        let at = sent_to(&harness.arrive(i, 9, 0, 2_000 * MS)).expect("presumed");
-        served_among(&mut harness, i, at, 20);
+    for request in 10..40 {
+        let at = sent_to(&harness.arrive(request, 9, 0, 2_000 * MS)).expect("presumed");
+        served_among(&mut harness, request, at, 20);
     }
     harness.advance(15 * SECOND);
     let (mut attempt, mut load) = (0, None);
--- a/tests/router/queue.rs
+++ b/tests/router/queue.rs
@@ -151,8 +151,8 @@
     });
     let mut harness = Harness::new(set);
     harness.ready_workers(1);
-    for n in 2..200 {
-        harness.arrive(n, 9, 1, 30_000 * MS);
+    for request in 2..200 {
+        harness.arrive(request, 9, 1, 30_000 * MS);
     }
     harness.arrive(1, 9, 0, 30_000 * MS);
     let refused = Action::Reject {
@@ -205,9 +205,9 @@
         .map(|i| worker(i, WorkerState::Draining, None))
         .collect();
     harness.worker_list(ListKind::Full, none);
-    for f in 0..functions {
+    for function in 0..functions {
         assert_eq!(
-            requested_load(&harness.arrive(f + 1, f, 0, 60_000 * MS)),
+            requested_load(&harness.arrive(function + 1, function, 0, 60_000 * MS)),
             None,
             "no worker to load it"
         );
--- a/tests/router/requests.rs
+++ b/tests/router/requests.rs
@@ -37,7 +37,7 @@
 
 #[test]
 fn an_unsafe_call_that_may_have_run_fails_and_is_not_sent_again() {
-    for o in [
+    for outcome in [
         Outcome::Error,
         Outcome::TimedOut,
         Outcome::ConnectionLost,
@@ -46,12 +46,12 @@
         let mut harness = Harness::new(settings_with(Effect::Unsafe));
         harness.ready_workers(3);
         let at = harness.load_and_send(1, 9, 0);
-        let actions = harness.end_attempt(1, 0, at, o);
+        let actions = harness.end_attempt(1, 0, at, outcome);
         assert!(
             actions.contains(&Action::Fail {
                 request: RequestId(1)
             }),
-            "{o:?}: {actions:?}"
+            "{outcome:?}: {actions:?}"
         );
         assert_eq!(sent_to(&actions), None);
     }
@@ -59,7 +59,7 @@
 
 #[test]
 fn an_unsafe_call_proven_not_run_is_sent_again() {
-    for o in [
+    for outcome in [
         Outcome::Rejected,
         Outcome::ConnectFailed,
         Outcome::NotLoaded,
@@ -68,18 +68,18 @@
         let mut harness = Harness::new(settings_with(Effect::Unsafe));
         harness.ready_workers(3);
         let at = harness.load_and_send(1, 9, 0);
-        let mut actions = harness.end_attempt(1, 0, at, o);
+        let mut actions = harness.end_attempt(1, 0, at, outcome);
         assert!(
             !actions.contains(&Action::Fail {
                 request: RequestId(1)
             }),
-            "{o:?}"
+            "{outcome:?}"
         );
-        if let Some(w) = requested_load(&actions) {
-            actions = harness.end_load(w, 9, Outcome::Served);
+        if let Some(worker) = requested_load(&actions) {
+            actions = harness.end_load(worker, 9, Outcome::Served);
         }
         actions.extend(harness.advance(1_000 * MS));
-        assert!(sent_to(&actions).is_some(), "{o:?}");
+        assert!(sent_to(&actions).is_some(), "{outcome:?}");
     }
 }
 
@@ -102,9 +102,9 @@
     for effect in [Effect::Safe, Effect::Unsafe] {
         let mut harness = Harness::new(settings_with(effect));
         harness.ready_workers(1);
-        for (i, budget) in [0, 3 * MS, -5].into_iter().enumerate() {
-            let actions = harness.arrive(i as u64, 9, 0, budget);
-            let request = RequestId(i as u64);
+        for (index, budget) in [0, 3 * MS, -5].into_iter().enumerate() {
+            let actions = harness.arrive(index as u64, 9, 0, budget);
+            let request = RequestId(index as u64);
             assert!(
                 actions.contains(&Action::Reject {
                     request,
@@ -119,15 +119,15 @@
 /// Odd settings and lists: own number outside the count, a very large count, an empty zone.
 #[test]
 fn an_own_number_outside_the_count_and_a_huge_count_still_serve() {
-    for (me, siblings) in [
+    for (front_end, front_ends) in [
         (7, 1),
         (usize::MAX, 3),
         (0, 1_000_000),
         (usize::MAX, usize::MAX),
     ] {
         let mut harness = Harness::new(Settings {
-            front_end: me,
-            front_ends: siblings,
+            front_end,
+            front_ends,
             zone: 99,
             ..settings_with(Effect::Safe)
         });
@@ -143,7 +143,7 @@
         let mut actions = harness.arrive(2, 9, 0, 30_000 * MS);
         actions.extend(harness.advance(30_000 * MS));
         let asked = actions.iter().any(|a| matches!(a, Action::Load { .. }));
-        assert!(asked, "{me} of {siblings}: {actions:?}");
+        assert!(asked, "{front_end} of {front_ends}: {actions:?}");
     }
 }
 
@@ -163,14 +163,14 @@
         harness.now = harness.now.plus(if late { 300 * MS } else { 10 * MS });
         let mut actions = harness.end_attempt(1, 0, first, Outcome::ConnectionLost);
         for _ in 0..60 {
-            if let Some(w) = requested_load(&actions) {
-                actions = harness.end_load(w, 9, Outcome::Served);
+            if let Some(worker) = requested_load(&actions) {
+                actions = harness.end_load(worker, 9, Outcome::Served);
             }
-            if let Some(w) = sent_to(&actions) {
+            if let Some(worker) = sent_to(&actions) {
                 assert!(!late, "out of its window");
                 assert!(
-                    w == first || group == Group::Zone && w.0 % 2 == first.0 % 2,
-                    "{group:?}: {w:?}"
+                    worker == first || group == Group::Zone && worker.0 % 2 == first.0 % 2,
+                    "{group:?}: {worker:?}"
                 );
                 break;
             }
--- a/tests/router/workers.rs
+++ b/tests/router/workers.rs
@@ -38,12 +38,12 @@
 }
 
 /// Sends to a worker that starts now, by all front ends of a deployment, each with many calls for it.
-fn sends_to_a_cold_worker(siblings: usize, for_seconds: i64) -> usize {
+fn sends_to_a_cold_worker(front_ends: usize, for_seconds: i64) -> usize {
     let mut sends = 0;
-    for me in 0..siblings {
+    for front_end in 0..front_ends {
         let set = Settings {
-            front_ends: siblings,
-            front_end: me,
+            front_ends,
+            front_end,
             may_load: false,
             max_attempts: 1,
             ..settings_with(Effect::Safe)
@@ -57,10 +57,10 @@
         for request in 0..for_seconds as u64 * 5 {
             let mut actions = harness.arrive(request, 20 + request, 0, 600 * MS);
             actions.extend(harness.advance(200 * MS));
-            for a in actions {
+            for action in actions {
                 if let Action::Send {
                     request, worker, ..
-                } = a
+                } = action
                 {
                     sends += 1;
                     harness.end_attempt(request.0, 0, worker, Outcome::NotLoaded);
@@ -76,16 +76,16 @@
 /// one core and may get twice what it can do within any 2 s.
 #[test]
 fn a_cold_worker_is_neither_pushed_over_nor_left_idle_at_any_number_of_front_ends() {
-    for siblings in [1, 3, 30, 120] {
-        let first = sends_to_a_cold_worker(siblings, 2);
+    for front_ends in [1, 3, 30, 120] {
+        let first = sends_to_a_cold_worker(front_ends, 2);
         assert!(
             first as f64 * 0.2 <= 2.0 * 0.2 * 2.0 * 1.5,
-            "{siblings}: {first} sends in the first 2 s"
+            "{front_ends}: {first} sends in the first 2 s"
         );
-        let whole = sends_to_a_cold_worker(siblings, 9);
+        let whole = sends_to_a_cold_worker(front_ends, 9);
         assert!(
             whole >= 8,
-            "{siblings}: {whole} sends in nine tenths of the warm-up"
+            "{front_ends}: {whole} sends in nine tenths of the warm-up"
         );
     }
 }
@@ -127,11 +127,11 @@
     harness.worker_list(ListKind::Full, entries);
     // Until its credit is used up the cold one takes calls; then they go to the other one.
     let mut to = [0, 0];
-    for i in 2..40 {
-        let mut actions = harness.arrive(i, 9, 0, 400 * MS);
+    for number in 2..40 {
+        let mut actions = harness.arrive(number, 9, 0, 400 * MS);
         actions.extend(harness.advance(20 * MS));
-        while let Some(a) = actions.pop() {
-            match a {
+        while let Some(action) = actions.pop() {
+            match action {
                 Action::Load { worker, .. } => {
                     actions.extend(harness.end_load(worker, 9, Outcome::Served))
                 }
@@ -162,23 +162,24 @@
         });
         let mut out: std::collections::VecDeque<(Time, RequestId, WorkerId)> = Default::default();
         let mut cold = 0;
-        for i in 0..4000u64 {
-            if i == 2000 {
+        for number in 0..4000u64 {
+            if number == 2000 {
                 let mut entries: Vec<_> = (1..=2)
                     .map(|n| worker(n, WorkerState::Ready, None))
                     .collect();
                 entries.push(worker(3, WorkerState::Ready, Some(harness.now)));
                 harness.worker_list(ListKind::Full, entries);
             }
-            let mut actions = harness.arrive(i, i / 2_000 * 100 + i % 40, 0, 2_000 * MS);
+            let mut actions =
+                harness.arrive(number, number / 2_000 * 100 + number % 40, 0, 2_000 * MS);
             harness.now = harness.now.plus(10 * MS);
             actions.extend(harness.handle(Event::Timer { token: 0 }));
             while out.front().is_some_and(|(at, ..)| *at <= harness.now) {
                 let (_, request, worker) = out.pop_front().expect("one is due");
                 actions.extend(harness.served_with(request, worker, 100 * MS, None, report));
             }
-            while let Some(a) = actions.pop() {
-                match a {
+            while let Some(action) = actions.pop() {
+                match action {
                     Action::Load {
                         worker, function, ..
                     } => actions.extend(harness.end_load(worker, function.0, Outcome::Served)),
@@ -210,18 +211,18 @@
     });
     harness.ready_workers(2);
     let mut sends = [0, 0];
-    for i in 0..120u64 {
-        let mut actions = harness.arrive(i, 9, 0, 4_000 * MS);
+    for number in 0..120u64 {
+        let mut actions = harness.arrive(number, 9, 0, 4_000 * MS);
         harness.now = harness.now.plus(50 * MS);
-        while let Some(a) = actions.pop() {
-            match a {
+        while let Some(action) = actions.pop() {
+            match action {
                 Action::Load { worker, .. } => {
                     actions.extend(harness.end_load(worker, 9, Outcome::Served))
                 }
                 Action::Send {
                     request, worker, ..
                 } => {
-                    sends[worker.0 as usize - 1] += (i >= 60) as u32;
+                    sends[worker.0 as usize - 1] += (number >= 60) as u32;
                     let latency = if worker.0 == 1 { 700 * MS } else { 70 * MS };
                     actions.extend(harness.served_after(request, worker, latency));
                 }
@@ -261,8 +262,8 @@
     while harness.now < Time(5_000 * MS) {
         harness.now = harness.now.plus(10 * MS);
         todo.extend(harness.handle(Event::Timer { token: 0 }));
-        while let Some(a) = todo.pop() {
-            if matches!(a, Action::Subscribe | Action::FetchList) {
+        while let Some(action) = todo.pop() {
+            if matches!(action, Action::Subscribe | Action::FetchList) {
                 asked += 1;
                 assert!(asked < 1_000, "asked at the loop's speed");
                 todo.extend(harness.worker_list(ListKind::Failed, Vec::new()));
@@ -277,21 +278,21 @@
 /// one with busy cores is given is cut.
 #[test]
 fn slow_answers_of_a_worker_with_idle_cores_do_not_cut_what_it_is_given() {
-    for (busy, most) in [(Some(0.2), 4), (Some(0.9), 1), (None, 1)] {
+    for (utilization, most) in [(Some(0.2), 4), (Some(0.9), 1), (None, 1)] {
         let mut set = settings_with(Effect::Safe);
         (set.front_ends, set.may_load) = (3, true);
         let mut harness = Harness::new(set);
         harness.now = Time(10 * SECOND);
         harness.ready_workers(1);
-        for n in 0..8 {
-            let at = sent_to(&harness.arrive(n, 9, 0, 5_000 * MS));
+        for request in 0..8 {
+            let at = sent_to(&harness.arrive(request, 9, 0, 5_000 * MS));
             let at = at.unwrap_or_else(|| {
                 sent_to(&harness.end_load(WorkerId(1), 9, Outcome::Served)).expect("a send")
             });
-            let latency = if n % 4 == 3 { 900 * MS } else { 100 * MS };
+            let latency = if request % 4 == 3 { 900 * MS } else { 100 * MS };
             harness.now = harness.now.plus(latency);
             harness.handle(Event::AttemptEnded(AttemptResult {
-                request: RequestId(n),
+                request: RequestId(request),
                 attempt: 0,
                 worker: at,
                 outcome: Outcome::Served,
@@ -300,7 +301,7 @@
                 instance_status: InstanceStatus::Warm,
                 concurrency: None,
                 report: Some(LoadReport {
-                    utilization: busy,
+                    utilization,
                     ..LoadReport::default()
                 }),
             }));
@@ -308,13 +309,13 @@
         }
         // Four functions with one lane each: how many calls it is given at once.
         let mut sends = 0;
-        for f in 20..24 {
-            let mut actions = harness.arrive(100 + f, f, 0, 5_000 * MS);
+        for function in 20..24 {
+            let mut actions = harness.arrive(100 + function, function, 0, 5_000 * MS);
             if requested_load(&actions).is_some() {
-                actions = harness.end_load(WorkerId(1), f, Outcome::Served);
+                actions = harness.end_load(WorkerId(1), function, Outcome::Served);
             }
             sends += sent_to(&actions).is_some() as u32;
         }
-        assert_eq!(sends, most, "busy {busy:?}");
+        assert_eq!(sends, most, "busy {utilization:?}");
     }
 }
