--- a/decide/dispatch/tests/guards.rs
+++ b/decide/dispatch/tests/guards.rs
@@ -72,7 +72,7 @@
 }
 
 fn opened(commands: &[Command]) -> Option<u32> {
-    commands.iter().find_map(|c| match c {
+    commands.iter().find_map(|command| match command {
         Command::SendAttempt { attempt, .. } => Some(*attempt),
         _ => None,
     })
--- a/decide/dispatch/tests/request_table.rs
+++ b/decide/dispatch/tests/request_table.rs
@@ -17,7 +17,7 @@
 }
 
 fn answers(commands: &[Command]) -> Vec<(u64, Answer)> {
-    let one = |c: &Command| match c {
+    let one = |command: &Command| match command {
         Command::Answer { call, answer } => Some((call.0, *answer)),
         _ => None,
     };
@@ -165,7 +165,7 @@
     let list = worker_list(vec![worker("w0", 0)]);
     dispatcher.step(Time(0), list, &mut commands);
     dispatcher.step(Time(1), call_with_shape(1, "new"), &mut commands);
-    let load = commands.iter().find_map(|c| match c {
+    let load = commands.iter().find_map(|command| match command {
         Command::Load {
             request,
             instances: 1,
--- a/decide/dispatch/tests/support/lookup_scene.rs
+++ b/decide/dispatch/tests/support/lookup_scene.rs
@@ -117,11 +117,11 @@
 
 /// Budgets of attempts and answers.
 pub fn budgets_and_answers(commands: &[Command]) -> (Vec<Micros>, Vec<Answer>) {
-    let budgets = commands.iter().filter_map(|c| match c {
+    let budgets = commands.iter().filter_map(|command| match command {
         Command::SendAttempt { budget, .. } => Some(*budget),
         _ => None,
     });
-    let answers = commands.iter().filter_map(|c| match c {
+    let answers = commands.iter().filter_map(|command| match command {
         Command::Answer { answer, .. } => Some(*answer),
         _ => None,
     });
--- a/decide/rollout/tests/rollout.rs
+++ b/decide/rollout/tests/rollout.rs
@@ -31,7 +31,7 @@
             fence: 1,
             controller: "s".into(),
         })
-        .expect("nobody steers");
+        .expect("nobody has control");
     rollout
 }
 
--- a/tests/router/placement.rs
+++ b/tests/router/placement.rs
@@ -21,7 +21,7 @@
         for request in 0..20 {
             let mut actions = harness.arrive(request, 9, 0, 2_000 * MS);
             for _ in 0..8 {
-                let load = actions.iter().find_map(|a| match a {
+                let load = actions.iter().find_map(|action| match action {
                     Action::Load { worker, .. } => Some(*worker),
                     _ => None,
                 });
--- a/tests/router/queue.rs
+++ b/tests/router/queue.rs
@@ -217,10 +217,15 @@
     let (mut looked, mut most) = (std::collections::BTreeSet::new(), 0);
     for _ in 0..12 {
         let before = looked.len();
-        looked.extend(harness.advance(20 * MS).iter().filter_map(|a| match a {
-            Action::Load { function, .. } => Some(*function),
-            _ => None,
-        }));
+        looked.extend(
+            harness
+                .advance(20 * MS)
+                .iter()
+                .filter_map(|action| match action {
+                    Action::Load { function, .. } => Some(*function),
+                    _ => None,
+                }),
+        );
         most = most.max(looked.len() - before);
     }
     assert_eq!(
