--- a/decide/agreement/tests/scopes/catalog.rs
+++ b/decide/agreement/tests/scopes/catalog.rs
@@ -1,9 +1,10 @@
 //! What the log accepts of scopes, and how its state is sent on.
 
+use super::support::{join, member};
 use super::{apply, fields, finish, new_log, transaction, update};
 use std::collections::BTreeMap;
 use tansy_agreement::compatibility::{Fields, Value};
-use tansy_agreement::lease::{Member, Versioned};
+use tansy_agreement::lease::Versioned;
 use tansy_agreement::log::{
     ApplyOutcome, ChangePhase, EntryRejection, Log, LogEntry, Revision, Version,
 };
@@ -127,9 +128,9 @@
             .map(|n| update(&n.to_string(), 0, to()))
             .collect(),
         (0..30)
-            .map(|n| {
+            .map(|index| {
                 update(
-                    &n.to_string(),
+                    &index.to_string(),
                     0,
                     Some([("class".into(), Value::Text("x".repeat(10_000)))].into()),
                 )
@@ -253,28 +254,24 @@
     assert!(log.apply(LogEntry::Advance { from: announced_in }).is_ok());
     assert!(matches!(log.state().next, Some((_, ChangePhase::Joint))));
     // A member that joins needs the latest revision of the versions alone.
-    let join = |at| LogEntry::Join {
-        member: Member {
-            id: 1,
-            incarnation: 1,
-        },
-        name: "g".into(),
-        revision: at,
-    };
+    let join_at = |revision| join(member(1), revision);
     apply(
         &mut log,
         vec![transaction(4, vec![update("d", 0, Some(fields(1, 1)))])],
     );
     assert_eq!(
-        log.validate(&join(Revision(log.state().versions_revision.0 - 1))),
+        log.validate(&join_at(Revision(log.state().versions_revision.0 - 1))),
         Err(EntryRejection::Behind)
     );
     assert_eq!(
-        log.validate(&join(log.state().revision.next())),
+        log.validate(&join_at(log.state().revision.next())),
         Err(EntryRejection::Behind)
     );
-    assert_eq!(log.validate(&join(log.state().versions_revision)), Ok(None));
-    assert_eq!(log.validate(&join(log.state().revision)), Ok(None));
+    assert_eq!(
+        log.validate(&join_at(log.state().versions_revision)),
+        Ok(None)
+    );
+    assert_eq!(log.validate(&join_at(log.state().revision)), Ok(None));
 }
 
 #[test]
@@ -287,14 +284,14 @@
     let mut log = new_log();
     let mut follower = log.state().clone();
     let mut base = BTreeMap::new();
-    for n in 0..400u64 {
-        let scope = format!("f{}", n % 7);
+    for change in 0..400u64 {
+        let scope = format!("f{}", change % 7);
         let revision = base.get(&scope).copied().unwrap_or(0);
         apply(
             &mut log,
             vec![transaction(
-                n + 1,
-                vec![update(&scope, revision, Some(fields(n as i64, 1)))],
+                change + 1,
+                vec![update(&scope, revision, Some(fields(change as i64, 1)))],
             )],
         );
         finish(&mut log, false);
@@ -337,13 +334,16 @@
     assert_eq!(&snapshot, log.state());
     snapshot.replace_with_snapshot(log.state().without_history(), None);
     assert!(snapshot.history.is_empty() && snapshot.history.since(Revision(1)).is_none());
-    let many = |n: u64| {
+    let many = |batch: u64| {
         (0..1500)
-            .map(|i| update(&format!("m{n}-{i}"), 0, Some(fields(1, 1))))
+            .map(|index| update(&format!("m{batch}-{index}"), 0, Some(fields(1, 1))))
             .collect()
     };
     let before = log.state().revision;
-    (0..4).for_each(|n| assert_eq!(apply(&mut log, vec![transaction(1000 + n, many(n))]), []));
+    (0..4).for_each(|batch| {
+        let transaction = transaction(1000 + batch, many(batch));
+        assert_eq!(apply(&mut log, vec![transaction]), []);
+    });
     assert!(log.state().history.len() <= MAX_HISTORY && log.state().delta_since(before).is_none());
     assert!(log
         .state()
--- a/tests/router/queue.rs
+++ b/tests/router/queue.rs
@@ -151,8 +151,8 @@
     });
     let mut harness = Harness::new(set);
     harness.ready_workers(1);
-    for n in 2..200 {
-        harness.arrive(n, 9, 1, 30_000 * MS);
+    for request in 2..200 {
+        harness.arrive(request, 9, 1, 30_000 * MS);
     }
     harness.arrive(1, 9, 0, 30_000 * MS);
     let refused = Action::Reject {
@@ -205,9 +205,9 @@
         .map(|i| worker(i, WorkerState::Draining, None))
         .collect();
     harness.worker_list(ListKind::Full, none);
-    for f in 0..functions {
+    for function in 0..functions {
         assert_eq!(
-            requested_load(&harness.arrive(f + 1, f, 0, 60_000 * MS)),
+            requested_load(&harness.arrive(function + 1, function, 0, 60_000 * MS)),
             None,
             "no worker to load it"
         );
@@ -217,10 +217,15 @@
     let (mut looked, mut most) = (std::collections::BTreeSet::new(), 0);
     for _ in 0..12 {
         let before = looked.len();
-        looked.extend(harness.advance(20 * MS).iter().filter_map(|a| match a {
-            Action::Load { function, .. } => Some(*function),
-            _ => None,
-        }));
+        looked.extend(
+            harness
+                .advance(20 * MS)
+                .iter()
+                .filter_map(|action| match action {
+                    Action::Load { function, .. } => Some(*function),
+                    _ => None,
+                }),
+        );
         most = most.max(looked.len() - before);
     }
     assert_eq!(
