--- a/net/inference/src/control.rs
+++ b/net/inference/src/control.rs
@@ -96,7 +96,7 @@
         if let ExchangeEvent::Ended(ending, progress) = event.await {
             if let Ending::Status(code, _) = &ending {
                 if *code != Code::Ok {
-                    tracing::debug!(path = message.path, ?code, "an order was not carried out");
+                    tracing::debug!(path = message.path, ?code, "a control request failed");
                 }
             }
             return AttemptEnd::new(ending, progress, false);
--- a/protocol/fleet/src/fleet_state.rs
+++ b/protocol/fleet/src/fleet_state.rs
@@ -86,7 +86,7 @@
     let next = match (state.next, phase) {
         (Some(next), Some(phase)) => Some((of_settings(next)?, phase)),
         (None, None) => None,
-        _ => return Err(DecodeError::MissingPart("version under way")),
+        _ => return Err(DecodeError::MissingPart("version in progress")),
     };
     let revision = Revision(state.revision);
     let versions_revision = match state.versions_revision {
@@ -94,7 +94,7 @@
         versions_revision => Revision(versions_revision),
     };
     if versions_revision > revision {
-        return Err(DecodeError::MissingPart("step of the versions"));
+        return Err(DecodeError::MissingPart("revision of the versions"));
     }
     let scopes_since = Some(Revision(state.scopes_since)).filter(|since| since.0 != 0);
     Ok(FleetState {
--- a/protocol/fleet/src/rollout.rs
+++ b/protocol/fleet/src/rollout.rs
@@ -71,7 +71,7 @@
         return Err(DecodeError::MissingPart("list of latencies"));
     }
     if !(class.value_requested.is_finite() && class.value_served.is_finite()) {
-        return Err(DecodeError::MissingPart("worth"));
+        return Err(DecodeError::MissingPart("value of requests"));
     }
     let mut counters = RequestCounters {
         requested: class.requests,
--- a/protocol/fleet/src/scopes.rs
+++ b/protocol/fleet/src/scopes.rs
@@ -54,7 +54,7 @@
         Ok(pb::ScopePhase::Joint) => ScopePhase::Joint { next, since },
         Ok(pb::ScopePhase::Settling) => ScopePhase::Settling { since },
         Ok(pb::ScopePhase::Reverting) => ScopePhase::Reverting { since },
-        Err(_) => return Err(DecodeError::MissingPart("standing of a function")),
+        Err(_) => return Err(DecodeError::MissingPart("phase of a function")),
     };
     Ok(ScopeRecord {
         revision: Revision(record.revision),
@@ -88,7 +88,7 @@
         .all(|change| delta.from < change.revision && change.revision <= delta.to);
     let spans = delta.to == to && delta.from < delta.to;
     if !spans || !ordered || !within || delta.changes.len() > MAX_HISTORY {
-        return Err(DecodeError::MissingPart("order of moves"));
+        return Err(DecodeError::MissingPart("order of changes"));
     }
     let changes = delta.changes.into_iter().map(of_change);
     Ok(StateDelta {
--- a/protocol/fleet/src/subscriptions.rs
+++ b/protocol/fleet/src/subscriptions.rs
@@ -47,7 +47,7 @@
     {
         return Err(DecodeError::MissingPart("number of functions"));
     } else if request.seq == 0 {
-        return Err(DecodeError::MissingPart("number of the letter"));
+        return Err(DecodeError::MissingPart("sequence number"));
     }
     let scopes = request.scopes.into_iter().map(of_scope_name);
     let scopes = scopes.collect::<Result<_, _>>()?;
--- a/protocol/fleet/tests/messages.rs
+++ b/protocol/fleet/tests/messages.rs
@@ -127,7 +127,7 @@
                 seq: 0,
                 ..subscribe_request()
             }),
-            "number of the letter",
+            "sequence number",
         ),
         (
             MessageBody::Subscribe(SubscribeRequest {
@@ -179,14 +179,14 @@
                 to: Revision(18),
                 ..delta()
             }),
-            "order of moves",
+            "order of changes",
         ),
         (
             grant_delta(StateDelta {
                 from: Revision(18),
                 ..delta()
             }),
-            "order of moves",
+            "order of changes",
         ),
         (
             grant_delta(StateDelta {
@@ -194,10 +194,13 @@
                 changes: vec![],
                 ..delta()
             }),
-            "order of moves",
+            "order of changes",
+        ),
+        (grant_delta(backwards), "order of changes"),
+        (
+            grant(Some(later_versions), None),
+            "revision of the versions",
         ),
-        (grant_delta(backwards), "order of moves"),
-        (grant(Some(later_versions), None), "step of the versions"),
     ]
 }
 
