--- a/programs/fleet/src/arguments.rs
+++ b/programs/fleet/src/arguments.rs
@@ -5,10 +5,10 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Asks a fleet of front ends for its status and its versions, and proposes others.
+/// Shows the status and the settings versions of a fleet of front ends, and changes them.
 ///
-/// Exit codes: 0 done, 1 a front end could not be reached, 2 wrong arguments or settings, 3 refused, 4 not in force in the
-/// time that was waited, 5 proposed and given up.
+/// Exit codes: 0 done, 1 a front end could not be reached, 2 wrong arguments or settings, 3 rejected, 4 not in force in the
+/// time that was waited, 5 proposed and abandoned.
 #[derive(Parser)]
 #[command(name = "tansy-fleet", version)]
 pub(crate) struct Arguments {
@@ -29,7 +29,7 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Who is in the fleet, what each acts on, and what a change under way waits for.
+    /// Who is in the fleet, what each acts on, and what a change in progress waits for.
     Status,
     /// Proposes the settings of a file as the next version, and waits until it is in force.
     Propose {
@@ -57,7 +57,7 @@
         #[command(flatten)]
         wait: Wait,
     },
-    /// The versions that the seat remembers.
+    /// The versions that the leader remembers.
     History,
     /// What differs between two versions.
     Diff {
@@ -66,16 +66,17 @@
         /// To this.
         new: u64,
     },
-    /// Gives up the change under way.
+    /// Abandons the change in progress.
     Abandon,
-    /// Says that a front end acts no more, so that nothing waits for it. Only for one that is surely dead.
+    /// Removes a front end from the members, so that nothing waits for it. Only for one that is surely dead.
     Dismiss {
         /// Its name.
         name: String,
     },
-    /// Who keeps the agreed log, and who of them leads.
+    /// The voters, which keep the agreed log, and which of them leads.
     Seats,
-    /// Keeps the front ends of this machine as processes, and steers rolls where nobody else does, until SIGTERM or SIGINT.
+    /// Supervises the front ends of this machine as processes, and controls rollouts where nobody else does, until SIGTERM or
+    /// SIGINT.
     Up {
         /// The machine's file (TOML).
         #[arg(long)]
@@ -84,9 +85,9 @@
         #[arg(long, default_value = "info")]
         log: String,
     },
-    /// Steers rolls where nobody else does, without front ends of its own.
+    /// Controls rollouts where nobody else does, without front ends of its own.
     Steer {
-        /// Its name among all that may steer.
+        /// Its name among all rollout controllers.
         #[arg(long)]
         name: String,
     },
@@ -101,15 +102,15 @@
         #[command(subcommand)]
         command: ScopeCommand,
     },
-    /// Makes a front end a seat in the place of another, dead or alive, and waits until it is. It has to run with `--state`.
+    /// Makes a front end a voter in the place of another, dead or alive, and waits until it is. It has to run with `--state`.
     #[command(visible_alias = "seat")]
     ReplaceVoter {
-        /// The name of the one that is to become a seat.
+        /// The name of the one that is to become a voter.
         new: String,
-        /// The name of the seat that it takes over.
+        /// The name of the voter that it replaces.
         #[arg(long, visible_alias = "instead")]
         replaces: String,
-        /// Seconds to wait until it is a seat; 0: not at all.
+        /// Seconds to wait until it is a voter; 0: not at all.
         #[arg(long, default_value_t = 40.0)]
         wait: f64,
     },
@@ -193,7 +194,7 @@
 // What every change of functions takes. A doc comment here would stand in the help of the commands that flatten it.
 #[derive(clap::Args)]
 pub(crate) struct ChangeArguments {
-    /// Why, for the seats' log.
+    /// Why, for the voters' log.
     #[arg(long, default_value = "")]
     pub(crate) why: String,
     /// The revision that the change was made from: another one by now means that somebody else changed it.
@@ -206,7 +207,7 @@
 /// What is to be done with a rollout.
 #[derive(Subcommand)]
 pub(crate) enum RolloutCommand {
-    /// Begins a change. It goes on by itself, steered by whichever supervisor or `tansy-fleet steer` is there.
+    /// Begins a change. It goes on by itself, controlled by whichever supervisor or `tansy-fleet steer` is there.
     Begin(BeginArguments),
     /// Where it stands: stages, old against new, what it waits for.
     Status {
@@ -214,21 +215,21 @@
         #[arg(long)]
         watch: bool,
     },
-    /// Nothing further is changed. What goes back goes on.
+    /// Changes nothing further. What is being rolled back goes on.
     Pause {
         /// Why.
         #[arg(long, default_value = "an operator's word")]
         why: String,
     },
-    /// On with it.
+    /// Continues it.
     Resume,
-    /// It goes back.
+    /// Rolls it back.
     Abort {
         /// Why.
         #[arg(long, default_value = "an operator's word")]
         why: String,
     },
-    /// Writes one page (HTML) on the last roll: what changed, stage by stage, old against new.
+    /// Writes one page (HTML) on the last rollout: what changed, stage by stage, old against new.
     Report {
         /// Where to.
         #[arg(long)]
@@ -258,7 +259,7 @@
     /// Why, for those who read it later.
     #[arg(long, default_value = "")]
     pub(crate) why: String,
-    /// The roll's own number: asked again with the same one, it is the same roll.
+    /// The rollout's own number: asked again with the same one, it is the same rollout.
     #[arg(long)]
     pub(crate) id: Option<u64>,
     /// Only show the plan.
--- a/programs/fleet/src/replace_voter.rs
+++ b/programs/fleet/src/replace_voter.rs
@@ -40,12 +40,12 @@
             Some(Progress::Done) => {
                 session
                     .output
-                    .done(&format!("{new} is a seat, {replaced} is none any more"));
+                    .done(&format!("{new} is a voter, {replaced} is not any more"));
                 return Ok(());
             }
             Some(Progress::Failed) => {
                 return Err(FleetError::Abandoned(format!(
-                    "{new} did not become a seat: was it started with --state?"
+                    "{new} did not become a voter: was it started with --state?"
                 )))
             }
             None => {}
@@ -55,16 +55,16 @@
     if wait <= 0.0 {
         session
             .output
-            .done(&format!("{new} is to become a seat instead of {replaced}"));
+            .done(&format!("{new} is to become a voter instead of {replaced}"));
         return Ok(());
     }
     let state = if learning {
-        "still learns the log"
+        "still receives the log"
     } else {
-        "is a seat, and so is still the other"
+        "is a voter, and so is the other still"
     };
     Err(FleetError::TimedOut(format!(
-        "{new} {state} after {wait} s: `seats` tells how far it is"
+        "{new} {state} after {wait} s: `seats` shows the voters"
     )))
 }
 
--- a/programs/fleet/src/report.rs
+++ b/programs/fleet/src/report.rs
@@ -8,7 +8,7 @@
 /// The verdict on a stage, in words.
 pub fn verdict_text(observation: &StageObservation) -> String {
     match &observation.verdict {
-        None => "nothing said yet".into(),
+        None => "no verdict yet".into(),
         Some(Verdict::Pass) => "no worse".into(),
         Some(Verdict::Fail { reason: why }) => format!("worse: {why}"),
         Some(Verdict::Inconclusive { needs, .. }) => format!("not known yet: {needs}"),
@@ -19,7 +19,7 @@
 }
 
 /// The page up to its first heading.
-const HEAD: &str = "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>Roll</title><style>body{font:15px sans-serif;\
+const HEAD: &str = "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>Rollout</title><style>body{font:15px sans-serif;\
     max-width:60em;margin:2em auto;padding:0 1em}table{border-collapse:collapse}td,th{border-bottom:1px solid #ccc;\
     padding:.2em .8em;text-align:right}td:first-child,th:first-child{text-align:left}</style></head><body>";
 
@@ -78,7 +78,7 @@
         .disable_y_mesh()
         .y_labels(measurements.len() * 2 + 1)
         .y_label_formatter(&name)
-        .x_desc("points lost by the new side, with the interval that holds at all looks")
+        .x_desc("points lost by the new side, with the interval that holds at all samples")
         .draw()?;
     for (row, measurement) in measurements.iter().enumerate() {
         let y = row as f64;
@@ -102,12 +102,12 @@
     let end = match rollout.phase {
         RolloutPhase::Completed => "done: all front ends are changed",
         RolloutPhase::RolledBack => "stopped: all front ends are as they were",
-        RolloutPhase::RollingBack => "going back",
-        RolloutPhase::Changing | RolloutPhase::Analysing => "under way",
+        RolloutPhase::RollingBack => "rolling back",
+        RolloutPhase::Changing | RolloutPhase::Analysing => "in progress",
     };
     let mut html = String::from(HEAD);
     html += &format!(
-        "<h1>Roll {}</h1><p>Of {}. <b>{}</b></p>",
+        "<h1>Rollout {}</h1><p>Of {}. <b>{}</b></p>",
         rollout.id,
         escaped(&change),
         end
--- a/programs/fleet/src/rollout.rs
+++ b/programs/fleet/src/rollout.rs
@@ -38,11 +38,11 @@
             |id| RolloutEntry::Pause { id, reason: why },
             "is paused",
         ),
-        RolloutCommand::Resume => enter(session, |id| RolloutEntry::Resume { id }, "goes on"),
+        RolloutCommand::Resume => enter(session, |id| RolloutEntry::Resume { id }, "continues"),
         RolloutCommand::Abort { why } => enter(
             session,
             |id| RolloutEntry::Abort { id, reason: why },
-            "goes back",
+            "is being rolled back",
         ),
         RolloutCommand::Report { out } => report(session, &out),
     }
@@ -73,7 +73,7 @@
     let entry = Entry::Rollout(roll_entry(&entry, settings.as_ref()));
     session.client.enter(leader, entry)?;
     session.output.done(&format!(
-        "roll {id} has begun; `tansy-fleet roll status --watch` shows it"
+        "rollout {id} has begun; `tansy-fleet rollout status --watch` shows it"
     ));
     Ok(())
 }
@@ -115,7 +115,7 @@
     let page = crate::report::page(&rollout)?;
     std::fs::write(out, page).map_err(|error| FleetError::file(out, error))?;
     session.output.done(&format!(
-        "{} holds the report of roll {}",
+        "{} has the report of rollout {}",
         out.display(),
         rollout.id
     ));
@@ -131,7 +131,7 @@
         .pop()
         .unwrap_or_else(|| Err(RequestError::Unreachable("no answer".into())))?;
     let rollout = of_roll(&reply.rollout).map_err(FleetError::unreachable)?;
-    rollout.ok_or_else(|| FleetError::Rejected("there was no roll yet".into()))
+    rollout.ok_or_else(|| FleetError::Rejected("there was no rollout yet".into()))
 }
 
 /// Enters an operator's entry for the last rollout; `result` says what that does.
@@ -146,6 +146,6 @@
     session.client.enter(leader, entry)?;
     session
         .output
-        .done(&format!("roll {} {result}", rollout.id));
+        .done(&format!("rollout {} {result}", rollout.id));
     Ok(())
 }
--- a/programs/fleet/src/rollout/text.rs
+++ b/programs/fleet/src/rollout/text.rs
@@ -17,7 +17,7 @@
         lines.push(format!("stage {}: {}", number + 1, names.join(", ")));
     }
     lines.push(format!(
-        "each from {} to {} s; {} of a zone away at once; stopped at a loss of {} points that is no luck",
+        "each from {} to {} s; {} of a zone unavailable at once; stopped at a significant loss of {} points",
         plan.min_stage_seconds,
         plan.max_stage_seconds,
         plan.max_unavailable,
@@ -77,12 +77,12 @@
             .join(", ")
     };
     let controller = if rollout.controller.is_empty() {
-        "nobody yet: run `tansy-fleet up` or `steer`"
+        "none yet, run `tansy-fleet up` or `tansy-fleet steer`"
     } else {
         &rollout.controller
     };
     format!(
-        "  changed {} of {}, on their way {moving}; steered by {controller}",
+        "  changed {} of {}, in progress {moving}; rollout controller: {controller}",
         rollout.changed.len(),
         rollout.plan.targets().count(),
     )
--- a/programs/fleet/src/terminal.rs
+++ b/programs/fleet/src/terminal.rs
@@ -22,8 +22,8 @@
     .areas(frame.area());
     let (phase, color) = match rollout.phase {
         RolloutPhase::Changing => ("changing front ends", Color::Yellow),
-        RolloutPhase::Analysing => ("under judgement", Color::Yellow),
-        RolloutPhase::RollingBack => ("going back", Color::Red),
+        RolloutPhase::Analysing => ("under analysis", Color::Yellow),
+        RolloutPhase::RollingBack => ("rolling back", Color::Red),
         RolloutPhase::Completed => ("done", Color::Green),
         RolloutPhase::RolledBack => ("stopped", Color::Red),
     };
@@ -43,7 +43,7 @@
         Line::styled(format!("{change}: {phase}{paused}"), Style::new().fg(color)),
         Line::raw(rollout.reason.clone()),
     ];
-    let title = format!("roll {}, steered by {}", rollout.id, rollout.controller);
+    let title = format!("rollout {}, controller: {}", rollout.id, rollout.controller);
     let state = Paragraph::new(text)
         .wrap(Wrap { trim: true })
         .block(Block::bordered().title(title));
@@ -55,7 +55,7 @@
     let share = (rollout.changed.len() as f64 / all as f64).clamp(0.0, 1.0);
     let moving: Vec<&str> = rollout.released.iter().map(String::as_str).collect();
     let label = format!(
-        "stage {} of {}: {} of {all} changed, on their way {}",
+        "stage {} of {}: {} of {all} changed, in progress {}",
         rollout.stage + 1,
         rollout.plan.stages.len(),
         rollout.changed.len(),
--- a/programs/fleet/src/terminal/tests.rs
+++ b/programs/fleet/src/terminal/tests.rs
@@ -27,7 +27,7 @@
             fence: 1,
             controller: "machine-1".into(),
         })
-        .expect("nobody steers");
+        .expect("there is no controller yet");
     let measured = Measurement {
         metric: "service".into(),
         old: 0.01,
@@ -57,6 +57,7 @@
                 "service",
                 "+4.000",
                 "machine-1 steers",
+                "rollout 5, controller: machine-1",
             ] {
                 assert!(text.contains(part), "{part}: {text}");
             }
--- a/programs/fleet/src/versions.rs
+++ b/programs/fleet/src/versions.rs
@@ -92,7 +92,7 @@
     session.client.enter(leader, Entry::Abandon(reply.next))?;
     session
         .output
-        .done(&format!("version {} is given up", reply.next));
+        .done(&format!("version {} is abandoned", reply.next));
     Ok(())
 }
 
--- a/programs/fleet/tests/fleet.rs
+++ b/programs/fleet/tests/fleet.rs
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_seat_is_replaced_in_service_and_the_new_one_carries_on_from_its_file() {
+fn a_voter_is_replaced_in_service_and_the_new_one_carries_on_from_its_file() {
     let mut fleet = Fleet::start("replaced", 4, 104);
     fleet.wait_until_connected();
     let (code, reply) = fleet.ask(&["seat", "f1", "--instead", "f9"]);
@@ -190,8 +190,9 @@
     assert_eq!(code, 3, "{reply}");
     let (code, reply) = fleet.ask(&["replace-voter", "f3", "--replaces", "f0"]);
     assert_eq!(code, 0, "{reply}");
-    let (_, seats) = fleet.ask(&["seats"]);
-    assert_eq!(field_texts(&seats, "name"), ["f3"], "{seats}");
+    assert_eq!(reply["done"], "f3 is a voter, f0 is not any more");
+    let (_, voters) = fleet.ask(&["seats"]);
+    assert_eq!(field_texts(&voters, "name"), ["f3"], "{voters}");
     // The old one is gone for good; a change goes through, and holds when the new one starts again.
     fleet.kill(0);
     let shorter = fleet.write_changed("b.cue", "window: 30s", "window: 20s");
