--- a/programs/gateway/src/cli/arguments.rs
+++ b/programs/gateway/src/cli/arguments.rs
@@ -42,7 +42,7 @@
     /// Let several processes take connections from the same ports (SO_REUSEPORT).
     #[arg(long)]
     pub(super) shared: bool,
-    /// Write every step of the ledger to this file, for replay.
+    /// Record the dispatcher's inputs in this file, for replay.
     #[arg(long)]
     pub(super) record: Option<PathBuf>,
     /// This front end's name in the fleet that its settings name; goes before the settings.
@@ -51,7 +51,7 @@
     /// Address at which its siblings reach it; goes before the settings. A name keeps its address.
     #[arg(long)]
     pub(super) peers: Option<SocketAddr>,
-    /// The file in which a seat keeps the agreed log; goes before the settings.
+    /// The file in which a voter keeps the agreed log; goes before the settings.
     #[arg(long)]
     pub(super) state: Option<PathBuf>,
     /// Reach the sibling or worker at the first address through the second, as `127.0.0.1:7001=127.0.0.1:9001`.
--- a/programs/gateway/src/cli/error.rs
+++ b/programs/gateway/src/cli/error.rs
@@ -27,7 +27,7 @@
     RecordInFleet,
     #[error("fleet.me: the front end has no name in its fleet: want one, as --name a")]
     NoName,
-    #[error("fleet.listen {listen}: the seat {name:?} is looked for at {address}: want the same address")]
+    #[error("fleet.listen {listen}: the voter {name:?} is looked for at {address}: want the same address")]
     VoterAddress {
         listen: SocketAddr,
         name: String,
--- a/programs/gateway/src/error.rs
+++ b/programs/gateway/src/error.rs
@@ -45,7 +45,7 @@
     #[error(transparent)]
     Fleet(#[from] tansy_net_fleet::StartError),
     /// A voter has no file for the agreed log.
-    #[error("fleet.state: {name:?} keeps the agreed log: want its file, as --state seat.redb")]
+    #[error("fleet.state: the voter {name:?} keeps the agreed log: want its file, as --state voter.redb")]
     NoStateFile {
         /// The voter's name.
         name: String,
