--- a/net/fleet/tests/connections.rs
+++ b/net/fleet/tests/connections.rs
@@ -96,9 +96,10 @@
     let server_stopped = stopped.clone();
     let server = std::thread::spawn(move || serve(listener, &server_stopped));
     let mut connections = Vec::new();
-    for n in 0..FRONT_ENDS {
+    for number in 0..FRONT_ENDS {
         connections.push(
-            connect(address).unwrap_or_else(|e| panic!("front end {n} of {FRONT_ENDS}: {e}")),
+            connect(address)
+                .unwrap_or_else(|error| panic!("front end {number} of {FRONT_ENDS}: {error}")),
         );
     }
     stopped.store(true, Ordering::Relaxed);
--- a/programs/fleet/tests/rollout.rs
+++ b/programs/fleet/tests/rollout.rs
@@ -72,9 +72,9 @@
             deployment.write(&format!("m{index}.toml"), &deployment.machine_file(index));
         }
         (0..ZONES.len()).for_each(|index| deployment.start_supervisor(index));
-        deployment.wait_until("all serve", |d| {
-            d.programs_by_name().values().flatten().count() == FRONT_ENDS
-                && d.acting_front_ends() == FRONT_ENDS
+        deployment.wait_until("all serve", |deployment| {
+            deployment.programs_by_name().values().flatten().count() == FRONT_ENDS
+                && deployment.acting_front_ends() == FRONT_ENDS
         });
         deployment
     }
@@ -191,8 +191,8 @@
 
     /// Until the rollout has changed a front end.
     fn wait_for_first_move(&self) {
-        self.wait_until("one is changed", |d| {
-            let rollout = d.rollout();
+        self.wait_until("one is changed", |deployment| {
+            let rollout = deployment.rollout();
             rollout["moved"].as_array().is_some_and(|m| !m.is_empty())
         });
     }
@@ -301,8 +301,8 @@
     ]);
     assert_eq!(code, 3, "other settings are tried: {reply}");
     deployment.wait_for_phase("done");
-    deployment.wait_until("it is in force", |d| {
-        let (_, status) = d.ask(&["status"]);
+    deployment.wait_until("it is in force", |deployment| {
+        let (_, status) = deployment.ask(&["status"]);
         let front_ends = front_ends(&status);
         let is_done = |f: &Value| f["version"] == 2 && f["next"].is_null();
         front_ends.len() == FRONT_ENDS && front_ends.iter().all(is_done)
--- a/programs/gateway/src/platform/lifecycle.rs
+++ b/programs/gateway/src/platform/lifecycle.rs
@@ -69,8 +69,8 @@
                 self.poller.move_to(config.coordinator, &config.known);
                 true
             }
-            Err(e) => {
-                tracing::error!(error = %e, "the configuration stays as it was");
+            Err(error) => {
+                tracing::error!(%error, "the configuration stays as it was");
                 false
             }
         }
--- a/programs/gateway/tests/platform/deploy.rs
+++ b/programs/gateway/tests/platform/deploy.rs
@@ -28,8 +28,8 @@
 impl DeployRoot {
     fn new(name: &str) -> DeployRoot {
         let root = std::env::temp_dir().join(format!("tansy-deploy-{}-{name}", std::process::id()));
-        for d in ["target/release", "tmp", "home"] {
-            fs::create_dir_all(root.join(d)).expect("a directory");
+        for folder in ["target/release", "tmp", "home"] {
+            fs::create_dir_all(root.join(folder)).expect("a directory");
         }
         let program = root.join("target/release/tansy-gateway");
         std::os::unix::fs::symlink(env!("CARGO_BIN_EXE_tansy-gateway"), program)
@@ -56,14 +56,14 @@
     }
 
     fn files(&self) -> BTreeSet<PathBuf> {
-        let mut todo = vec![self.path.clone()];
+        let mut unread = vec![self.path.clone()];
         let mut all = BTreeSet::new();
-        while let Some(d) = todo.pop() {
-            for e in fs::read_dir(d).expect("a directory").flatten() {
-                if e.file_type().is_ok_and(|t| t.is_dir()) {
-                    todo.push(e.path());
+        while let Some(folder) = unread.pop() {
+            for entry in fs::read_dir(folder).expect("a directory").flatten() {
+                if entry.file_type().is_ok_and(|kind| kind.is_dir()) {
+                    unread.push(entry.path());
                 }
-                all.insert(e.path());
+                all.insert(entry.path());
             }
         }
         all
--- a/programs/gateway/tests/platform/descriptors.rs
+++ b/programs/gateway/tests/platform/descriptors.rs
@@ -14,9 +14,9 @@
 fn fill(process: &GatewayProcess) -> Vec<Client> {
     let half = call(1).text()[..60].to_string();
     let mut all = Vec::new();
-    for n in 0..SOCKETS {
+    for number in 0..SOCKETS {
         let mut client = Client::to(process.address);
-        match n % 3 {
+        match number % 3 {
             0 => {}
             1 => client.send(&half),
             _ => client.send("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n"),
@@ -140,8 +140,8 @@
         (front_end.answer(&mut new), front_end.answer(&mut idle[0])),
         (200, 200)
     );
-    front_end.until("another gives way", |p| {
-        (p.clients().len() <= 10).then_some(())
+    front_end.until("another gives way", |platform| {
+        (platform.clients().len() <= 10).then_some(())
     });
 }
 
--- a/programs/gateway/tests/platform/harness/client.rs
+++ b/programs/gateway/tests/platform/harness/client.rs
@@ -124,7 +124,9 @@
             match self.socket.read(&mut buffer) {
                 Ok(0) => return true,
                 Ok(_) => {}
-                Err(e) => return !matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut),
+                Err(error) => {
+                    return !matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
+                }
             }
         }
     }
--- a/programs/gateway/tests/platform/harness/manual.rs
+++ b/programs/gateway/tests/platform/harness/manual.rs
@@ -123,7 +123,7 @@
 /// Whether there is something to read, an end included, as [`ManualFrontEnd::until`] takes it.
 pub fn readable(socket: &TcpStream) -> Option<()> {
     match socket.peek(&mut [0u8]) {
-        Err(e) if e.kind() == ErrorKind::WouldBlock => None,
+        Err(error) if error.kind() == ErrorKind::WouldBlock => None,
         _ => Some(()),
     }
 }
@@ -195,8 +195,8 @@
             let Some(socket) = &mut connection.socket else {
                 continue;
             };
-            while let Ok(n @ 1..) = socket.read(&mut buffer) {
-                connection.reader.push_bytes(&buffer[..n]);
+            while let Ok(length @ 1..) = socket.read(&mut buffer) {
+                connection.reader.push_bytes(&buffer[..length]);
             }
             while let Ok(Some(strings)) = connection.reader.next_array() {
                 let command = WorkerCommand::read(number, &strings);
@@ -326,7 +326,7 @@
             self.connected += 1;
         }
         let mut buffer = [0u8; 4096];
-        for (n, socket) in self.connections.iter_mut().enumerate() {
+        for (number, socket) in self.connections.iter_mut().enumerate() {
             let Ok(read @ 1..) = socket.read(&mut buffer) else {
                 continue;
             };
@@ -335,7 +335,7 @@
             assert!(text.ends_with("\r\n\r\n"), "{text}");
             self.polls
                 .push(text.split(' ').nth(1).unwrap_or("").to_string());
-            return Some(n);
+            return Some(number);
         }
         None
     }
@@ -348,7 +348,7 @@
     /// Writes what the kernel takes at this moment; none: the other side has gone.
     pub fn write_some(&mut self, connection: usize, bytes: &[u8]) -> Option<usize> {
         match self.connections[connection].write(bytes) {
-            Err(e) if e.kind() == ErrorKind::WouldBlock => Some(0),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => Some(0),
             written => written.ok(),
         }
     }
--- a/programs/gateway/tests/platform/links.rs
+++ b/programs/gateway/tests/platform/links.rs
@@ -28,8 +28,8 @@
         let began = Instant::now();
         // It may have run; the class's repeats are dropped for one second.
         worker.answer(&first, "500", "-");
-        front_end.until("a further attempt is chosen", |p| {
-            (p.driver().worker_connections() == 3).then_some(())
+        front_end.until("a further attempt is chosen", |platform| {
+            (platform.driver().worker_connections() == 3).then_some(())
         });
         if behind {
             // Its connection stands, in the kernel; the loop does not run.
--- a/programs/gateway/tests/platform/watch.rs
+++ b/programs/gateway/tests/platform/watch.rs
@@ -127,8 +127,8 @@
         let mut front_end = ManualFrontEnd::start(&configuration);
         let connection = next_poll(&mut front_end, &mut coordinator);
         let _client = front_end.send(&call(1).with_timeout_ms(2000));
-        front_end.until("the load waits", |p| {
-            (p.driver().worker_connections() == 1).then_some(())
+        front_end.until("the load waits", |platform| {
+            (platform.driver().worker_connections() == 1).then_some(())
         });
         front_end.run_for(Duration::from_millis(20));
         accept_late_connection(&mut worker, 2);
--- a/protocol/fleet/tests/transactions.rs
+++ b/protocol/fleet/tests/transactions.rs
@@ -38,14 +38,19 @@
 fn invalid_transactions_are_rejected() {
     type Case = (&'static str, fn(&mut pb::ScopeTransaction));
     let invalid: [Case; 4] = [
-        ("function's name", |r| r.updates[0].scope.clear()),
-        ("function's name", |r| {
-            r.updates[0].scope = "x".repeat(MAX_NAME_BYTES + 1)
+        ("function's name", |transaction| {
+            transaction.updates[0].scope.clear()
         }),
-        ("number of changes", |r| {
-            r.updates = vec![r.updates[1].clone(); MAX_UPDATES_PER_TRANSACTION + 1]
+        ("function's name", |transaction| {
+            transaction.updates[0].scope = "x".repeat(MAX_NAME_BYTES + 1)
+        }),
+        ("number of changes", |transaction| {
+            transaction.updates =
+                vec![transaction.updates[1].clone(); MAX_UPDATES_PER_TRANSACTION + 1]
+        }),
+        ("reason", |transaction| {
+            transaction.reason = "x".repeat(1 << 20)
         }),
-        ("reason", |r| r.reason = "x".repeat(1 << 20)),
     ];
     for (part, change) in invalid {
         let mut encoded = scope_request(&transaction());
