--- a/tests/compatibility/examples/record.rs
+++ b/tests/compatibility/examples/record.rs
@@ -54,17 +54,17 @@
 
 fn main() {
     record_voters();
-    let letters = fleet::messages::bodies()
+    let fleet_messages = fleet::messages::bodies()
         .into_iter()
         .enumerate()
-        .map(|(n, body)| {
+        .map(|(number, body)| {
             let bytes = tansy_fleet_wire::encode_message(FLEET, &sender(), LEADER, body);
-            (format!("{n:02}"), bytes)
+            (format!("{number:02}"), bytes)
         });
     messages(
         "fleet-letters.txt",
         "Each letter of src/fleet.rs, in their order.",
-        letters,
+        fleet_messages,
     );
     let requests = fleet::requests::requests().into_iter();
     messages(
--- a/tests/compatibility/src/entries.rs
+++ b/tests/compatibility/src/entries.rs
@@ -169,11 +169,11 @@
     ]
 }
 
-fn target(name: &str, zone: &str, seat: bool) -> Target {
+fn target(name: &str, zone: &str, is_voter: bool) -> Target {
     Target {
         name: name.into(),
         zone: zone.into(),
-        is_voter: seat,
+        is_voter,
     }
 }
 
--- a/tests/compatibility/src/membership.rs
+++ b/tests/compatibility/src/membership.rs
@@ -6,13 +6,13 @@
 pub const FLEET: u64 = 77;
 
 /// A front end's process.
-pub fn name(n: u64) -> NodeId {
-    NodeId::new(n, 3, ([10, 0, 0, n as u8], 7000).into())
+pub fn name(id: u64) -> NodeId {
+    NodeId::new(id, 3, ([10, 0, 0, id as u8], 7000).into())
 }
 
 /// One that knows nobody; its random choices are seeded.
-pub fn member(n: u64) -> Membership {
-    Membership::new(FLEET, name(n), GossipTiming::default(), n)
+pub fn member(id: u64) -> Membership {
+    Membership::new(FLEET, name(id), GossipTiming::default(), id)
 }
 
 /// All datagrams in their order, each with who sends and who takes it: `1-to-2`.
--- a/tests/compatibility/src/shape.rs
+++ b/tests/compatibility/src/shape.rs
@@ -62,16 +62,19 @@
         for service in &file.service {
             let mut methods: Vec<_> = service.method.iter().collect();
             methods.sort_by_key(|m| m.name());
-            for m in methods {
+            for method in methods {
                 let streams = |yes: bool| if yes { "stream " } else { "" };
-                let (to, from) = (self.place(m.input_type()), self.place(m.output_type()));
+                let (to, from) = (
+                    self.place(method.input_type()),
+                    self.place(method.output_type()),
+                );
                 let line = format!(
                     "rpc /{}.{}/{} {}{to} -> {}{from}",
                     file.package(),
                     service.name(),
-                    m.name(),
-                    streams(m.client_streaming()),
-                    streams(m.server_streaming()),
+                    method.name(),
+                    streams(method.client_streaming()),
+                    streams(method.server_streaming()),
                 );
                 self.lines.push(line);
             }
--- a/tests/compatibility/tests/programs.rs
+++ b/tests/compatibility/tests/programs.rs
@@ -109,8 +109,8 @@
             .iter()
             .for_each(|v| keys(&format!("{path}[]"), v, all)),
         Value::Object(fields) => {
-            for (name, v) in fields {
-                keys(&format!("{path}.{name}"), v, all);
+            for (name, field) in fields {
+                keys(&format!("{path}.{name}"), field, all);
             }
         }
         _ => {}
--- a/tests/path/src/scoped_fleet.rs
+++ b/tests/path/src/scoped_fleet.rs
@@ -149,8 +149,9 @@
 /// Until it holds a lease and a session, and knows the worker.
 fn wait_until_it_takes_calls(gateway: &GatewayThread) {
     until("it takes calls", || {
-        gateway.with(|g| {
-            g.driver()
+        gateway.with(|gateway| {
+            gateway
+                .driver()
                 .with_dispatcher(|d| d.is_ready() && !d.conflicting().unknown_names)
         })
     });
--- a/tests/path/tests/abuse.rs
+++ b/tests/path/tests/abuse.rs
@@ -9,8 +9,8 @@
 const INFER: &str = "/inference.GRPCInferenceService/ModelInfer";
 
 fn start(settings: &str) -> (GatewayThread, Workers) {
-    let w = Workers::start(1);
-    (GatewayThread::start(settings, &w.listed()), w)
+    let workers = Workers::start(1);
+    (GatewayThread::start(settings, &workers.listed()), workers)
 }
 
 fn still_serves(gateway: &GatewayThread) {
@@ -39,8 +39,8 @@
         match socket.read(&mut buffer) {
             Ok(0) => return,
             Ok(_) => {}
-            Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return,
-            Err(e) => panic!("the connection stays open: {e}"),
+            Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => return,
+            Err(error) => panic!("the connection stays open: {error}"),
         }
     }
 }
@@ -53,9 +53,9 @@
         &[0xff; 4096],
         b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\xff\xff\xff\xff\xff\xff\xff\xff\xff",
     ] {
-        let mut s = TcpStream::connect(gateway.grpc).unwrap();
-        s.write_all(garbage).unwrap();
-        ended(&mut s);
+        let mut socket = TcpStream::connect(gateway.grpc).unwrap();
+        socket.write_all(garbage).unwrap();
+        ended(&mut socket);
     }
     still_serves(&gateway);
 }
@@ -63,10 +63,10 @@
 #[test]
 fn a_preface_that_is_never_finished_is_not_waited_for() {
     let (gateway, _workers) = start(&format!("{SETTINGS}\nfront: preface: 100ms\n"));
-    let mut s = TcpStream::connect(gateway.grpc).unwrap();
-    s.write_all(b"PRI * HTTP").unwrap();
+    let mut socket = TcpStream::connect(gateway.grpc).unwrap();
+    socket.write_all(b"PRI * HTTP").unwrap();
     let began = Instant::now();
-    ended(&mut s);
+    ended(&mut socket);
     assert!(began.elapsed() < Duration::from_secs(5));
     still_serves(&gateway);
 }
@@ -74,7 +74,7 @@
 #[test]
 fn a_huge_header_is_refused_and_the_connection_goes_on() {
     let (gateway, workers) = start(SETTINGS);
-    let mut c = peer::client(gateway.grpc);
+    let mut connection = peer::client(gateway.grpc);
     // 200 fields of 200 bytes: 40 KB, over the 16 KiB allowed, in continuation frames.
     let value = "v".repeat(120);
     let more: Vec<(String, String)> = (0..250)
@@ -83,14 +83,14 @@
     let more: Vec<(&str, &str)> = more.iter().map(|(k, v)| (k.as_str(), v.as_str())).collect();
     let block = peer::request_block(INFER, &more);
     let chunks: Vec<&[u8]> = block.chunks(16_000).collect();
-    for (n, chunk) in chunks.iter().enumerate() {
-        let end = if n + 1 == chunks.len() { 4 } else { 0 };
-        c.send(if n == 0 { kind::HEADERS } else { 9 }, end, 1, chunk);
+    for (number, chunk) in chunks.iter().enumerate() {
+        let end = if number + 1 == chunks.len() { 4 } else { 0 };
+        connection.send(if number == 0 { kind::HEADERS } else { 9 }, end, 1, chunk);
     }
     // Answered by an error of HTTP, a reset or the end of the connection: never by a call.
     let mut answered = false;
-    while let Some(f) = c.frame() {
-        if f.stream == 1 || f.kind == kind::GOAWAY {
+    while let Some(frame) = connection.frame() {
+        if frame.stream == 1 || frame.kind == kind::GOAWAY {
             answered = true;
             break;
         }
@@ -125,14 +125,14 @@
 #[test]
 fn a_malformed_message_is_an_invalid_argument_and_reaches_no_worker() {
     let (gateway, workers) = start(SETTINGS);
-    let mut c = peer::client(gateway.grpc);
-    c.send(kind::HEADERS, 4, 1, &peer::request_block(INFER, &[]));
+    let mut connection = peer::client(gateway.grpc);
+    connection.send(kind::HEADERS, 4, 1, &peer::request_block(INFER, &[]));
     // A field 5 whose length runs over the message's end.
-    c.send(kind::DATA, 1, 1, b"\x00\x00\x00\x00\x03\x2a\x7f\x00");
+    connection.send(kind::DATA, 1, 1, b"\x00\x00\x00\x00\x03\x2a\x7f\x00");
     loop {
-        let f = c.frame().expect("an answer");
-        if f.kind == kind::HEADERS {
-            assert_eq!((f.stream, f.flags & 1), (1, 1), "trailers only");
+        let frame = connection.frame().expect("an answer");
+        if frame.kind == kind::HEADERS {
+            assert_eq!((frame.stream, frame.flags & 1), (1, 1), "trailers only");
             break;
         }
     }
@@ -144,8 +144,8 @@
 #[test]
 fn a_client_that_does_not_read_slows_only_its_own_call() {
     let (gateway, workers) = start(SETTINGS);
-    let mut c = peer::client(gateway.grpc);
-    c.send(
+    let mut connection = peer::client(gateway.grpc);
+    connection.send(
         kind::HEADERS,
         4,
         1,
@@ -164,7 +164,7 @@
     let head = [&[0u8][..], &(message.len() as u32).to_be_bytes()].concat();
     let all = [head, message].concat();
     for part in all.chunks(16_000) {
-        c.send(kind::DATA, 0, 1, part);
+        connection.send(kind::DATA, 0, 1, part);
     }
     // It has sent its call and reads nothing; others are served meanwhile.
     tansy_path_tests::until("its call runs", || workers.ran()[0] > 0);
@@ -182,7 +182,7 @@
         pieces < 200,
         "{pieces} pieces of 30 KB wait for a client that reads none"
     );
-    drop(c);
+    drop(connection);
     let account = gateway.account();
     account.check();
     assert_eq!(
--- a/tests/path/tests/failures.rs
+++ b/tests/path/tests/failures.rs
@@ -95,7 +95,7 @@
             .model_infer(request("echo", "warm", &[]))
             .await
             .unwrap();
-        for n in 0..150u64 {
+        for round in 0..150u64 {
             let mut client = client.clone();
             let call = async move {
                 let call = vec![request("echo", "x", &[("pieces", 2)])];
@@ -107,7 +107,7 @@
                 while pieces.next().await.is_some() {}
             };
             // Around the time that such a call takes: before, at and after its last piece.
-            let _ = tokio::time::timeout(Duration::from_micros(500 + n * 40), call).await;
+            let _ = tokio::time::timeout(Duration::from_micros(500 + round * 40), call).await;
         }
     });
     let account = gateway.account();
@@ -241,9 +241,10 @@
     run(async {
         let client = gateway.client().await;
         let mut tasks = tokio::task::JoinSet::new();
-        for n in 0..400 {
+        for number in 0..400 {
             let mut client = client.clone();
-            let mut call = tonic::Request::new(request("echo", &n.to_string(), &[("work_ms", 20)]));
+            let mut call =
+                tonic::Request::new(request("echo", &number.to_string(), &[("work_ms", 20)]));
             // It is not of interest here how fast the machine is.
             call.set_timeout(Duration::from_secs(15));
             tasks.spawn(async move { client.model_infer(call).await });
@@ -260,10 +261,10 @@
             done.unwrap().unwrap();
         }
         let before = workers.ran();
-        for n in 0..50 {
+        for number in 0..50 {
             let mut client = client.clone();
             client
-                .model_infer(request("echo", &n.to_string(), &[]))
+                .model_infer(request("echo", &number.to_string(), &[]))
                 .await
                 .unwrap();
         }
--- a/tests/path/tests/scoped_fleet.rs
+++ b/tests/path/tests/scoped_fleet.rs
@@ -77,8 +77,9 @@
 
 /// The lanes of `a0`, if the gateway knows it.
 fn lanes(gateway: &GatewayThread) -> Option<u32> {
-    gateway.with(|g| {
-        g.driver()
+    gateway.with(|gateway| {
+        gateway
+            .driver()
             .with_dispatcher(|d| d.function("a0").map(|function| function.lanes))
     })
 }
