--- a/net/fleet/src/service/entries.rs
+++ b/net/fleet/src/service/entries.rs
@@ -87,7 +87,7 @@
             Some((member, _)) => Ok(LogEntry::Leave { member }),
             None => Err(Rejection::new(
                 Code::NotFound,
-                format!("nobody named {name:?} is on the roster"),
+                format!("no front end named {name:?} is on the roster"),
             )),
         }
     })
--- a/programs/fleet/src/arguments.rs
+++ b/programs/fleet/src/arguments.rs
@@ -68,7 +68,7 @@
     },
     /// Abandons the change in progress.
     Abandon,
-    /// Removes a front end from the members, so that nothing waits for it. Only for one that is surely dead.
+    /// Removes a front end from the roster, so that nothing waits for it. Only for one that is surely dead.
     Dismiss {
         /// Its name.
         name: String,
--- a/programs/fleet/src/status.rs
+++ b/programs/fleet/src/status.rs
@@ -21,7 +21,7 @@
     session.client.enter(leader, Entry::Dismiss(name.clone()))?;
     session
         .output
-        .done(&format!("{name} is removed from the members"));
+        .done(&format!("{name} is removed from the roster"));
     Ok(())
 }
 
--- a/programs/fleet/tests/fleet.rs
+++ b/programs/fleet/tests/fleet.rs
@@ -99,6 +99,8 @@
     assert_eq!(code, 4);
     let (code, refusal) = fleet.ask(&["dismiss", "nobody"]);
     assert_eq!(code, 3, "{refusal}");
+    let unknown = r#"no front end named "nobody" is on the roster"#;
+    assert!(error_contains(&refusal, unknown), "{refusal}");
     let (code, _) = fleet.ask(&["dismiss", "f3"]);
     assert_eq!(code, 0);
     fleet.wait_for_version(3, 3);
