--- a/programs/fleet/tests/fleet.rs
+++ b/programs/fleet/tests/fleet.rs
@@ -99,6 +99,8 @@
     assert_eq!(code, 4);
     let (code, refusal) = fleet.ask(&["dismiss", "nobody"]);
     assert_eq!(code, 3, "{refusal}");
+    let unknown = r#"no front end named "nobody" is on the roster"#;
+    assert!(error_contains(&refusal, unknown), "{refusal}");
     let (code, _) = fleet.ask(&["dismiss", "f3"]);
     assert_eq!(code, 0);
     fleet.wait_for_version(3, 3);
@@ -180,7 +182,7 @@
 }
 
 #[test]
-fn a_seat_is_replaced_in_service_and_the_new_one_carries_on_from_its_file() {
+fn a_voter_is_replaced_in_service_and_the_new_one_carries_on_from_its_file() {
     let mut fleet = Fleet::start("replaced", 4, 104);
     fleet.wait_until_connected();
     let (code, reply) = fleet.ask(&["seat", "f1", "--instead", "f9"]);
@@ -190,8 +192,9 @@
     assert_eq!(code, 3, "{reply}");
     let (code, reply) = fleet.ask(&["replace-voter", "f3", "--replaces", "f0"]);
     assert_eq!(code, 0, "{reply}");
-    let (_, seats) = fleet.ask(&["seats"]);
-    assert_eq!(field_texts(&seats, "name"), ["f3"], "{seats}");
+    assert_eq!(reply["done"], "f3 is a voter, f0 is not any more");
+    let (_, voters) = fleet.ask(&["seats"]);
+    assert_eq!(field_texts(&voters, "name"), ["f3"], "{voters}");
     // The old one is gone for good; a change goes through, and holds when the new one starts again.
     fleet.kill(0);
     let shorter = fleet.write_changed("b.cue", "window: 30s", "window: 20s");
