--- a/net/fleet/src/service/entries.rs
+++ b/net/fleet/src/service/entries.rs
@@ -200,14 +200,14 @@
         | ApplyOutcome::Rollout
         | ApplyOutcome::ScopesChanged { .. } => 0,
     };
-    let step = match applied {
+    let revision = match applied {
         ApplyOutcome::ScopesChanged { revision, .. } => revision.0,
         _ => 0,
     };
     pb::EnterReply {
         version,
         is_duplicate: matches!(applied, ApplyOutcome::Duplicate(_)),
-        revision: step,
+        revision,
     }
 }
 
--- a/programs/fleet/src/report.rs
+++ b/programs/fleet/src/report.rs
@@ -10,7 +10,7 @@
     match &observation.verdict {
         None => "no verdict yet".into(),
         Some(Verdict::Pass) => "no worse".into(),
-        Some(Verdict::Fail { reason: why }) => format!("worse: {why}"),
+        Some(Verdict::Fail { reason }) => format!("worse: {reason}"),
         Some(Verdict::Inconclusive { needs, .. }) => format!("not known yet: {needs}"),
         Some(Verdict::SharedFault { slices }) => {
             format!("both sides in trouble for {slices} slices")
--- a/settings/src/schema.cue
+++ b/settings/src/schema.cue
@@ -109,7 +109,7 @@
     me:        string | *""                  // this front end's name in it
     listen:    string | *"127.0.0.1:0"       // where its siblings reach it
     seats:     [...#Seat] | *[]              // who keeps the agreed log
-    state:     string | *""                  // a seat's file
+    state:     string | *""                  // a voter's file
     within:    duration & >=500ms & <=1h | *2s // no two contradict each other for longer
     stay:      duration & >=1s & <=168h | *1h // one cut off goes on with strict fields for so long, and changes of them wait
     clock_ppm: int & >=0 & <=100000 | *1000  // bound on the error of any clock's rate, parts in a million
--- a/simulation/tests/message_size.rs
+++ b/simulation/tests/message_size.rs
@@ -64,11 +64,11 @@
 }
 
 fn settings(rng: &mut fastrand::Rng) -> VersionedSettings {
-    let (version, fields, why) = (Version(number(rng)), fields(rng), text(rng));
+    let (version, fields, reason) = (Version(number(rng)), fields(rng), text(rng));
     VersionedSettings {
         version,
         fields,
-        reason: why,
+        reason,
         id: number(rng),
     }
 }
@@ -79,16 +79,16 @@
             .map(|_| text(rng))
             .collect::<BTreeSet<_>>()
     };
-    let step = Revision(number(rng));
+    let revision = Revision(number(rng));
     FleetState {
-        revision: step,
+        revision,
         versions_revision: if rng.bool() {
-            step
+            revision
         } else {
             Revision(number(rng))
         },
         scopes_since: rng.bool().then(|| Revision(number(rng))),
-        history: ChangeHistory::after(step),
+        history: ChangeHistory::after(revision),
         in_force: settings(rng),
         next: rng.bool().then(|| (settings(rng), ChangePhase::Joint)),
         canary: rng.bool().then(|| {
@@ -190,7 +190,7 @@
 
 fn body(rng: &mut fastrand::Rng) -> MessageBody {
     let bytes = |rng: &mut fastrand::Rng| vec![7; number(rng) as usize % 3000];
-    let step = |rng: &mut fastrand::Rng| Revision(number(rng));
+    let revision = |rng: &mut fastrand::Rng| Revision(number(rng));
     match rng.u32(0..14) {
         0 => MessageBody::Gossip(bytes(rng)),
         1 => {
@@ -199,8 +199,8 @@
             MessageBody::Lease(LeaseMessage::Request(LeaseRequest {
                 from,
                 seq: number(rng),
-                acknowledged: step(rng),
-                known: step(rng),
+                acknowledged: revision(rng),
+                known: revision(rng),
                 accepts_deltas: deltas,
             }))
         }
@@ -212,22 +212,22 @@
                 to,
                 seq,
                 span,
-                revision: step(rng),
+                revision: revision(rng),
                 state,
                 delta,
             }))
         }
-        4 => MessageBody::Lease(LeaseMessage::Revision(step(rng))),
+        4 => MessageBody::Lease(LeaseMessage::Revision(revision(rng))),
         5 => MessageBody::Lease(LeaseMessage::Acknowledge {
             from: member(rng),
-            revision: step(rng),
+            revision: revision(rng),
         }),
         6 => {
             let scopes = rng.bool();
             let ask = session::SessionRequest {
                 from: member(rng),
                 seq: number(rng),
-                revision: step(rng),
+                revision: revision(rng),
                 supports_scopes: scopes,
             };
             MessageBody::SessionRequest(ask, text(rng), number(rng))
