--- a/protocol/conf/src/schema.rs
+++ b/protocol/conf/src/schema.rs
@@ -30,10 +30,10 @@
     /// The tenants.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
-    /// Worth of a request over its tenant's share.
+    /// Priority weight of a request over its tenant's share.
     #[serde(default)]
     pub over_share_worth: f64,
-    /// What worth is counted by: `work`, or requests.
+    /// What value is counted by: `work`, or requests.
     #[serde(default)]
     pub value_by: String,
     /// How the list of workers comes: `on_request`, or unasked.
@@ -69,7 +69,7 @@
     /// Its name.
     #[serde(default)]
     pub name: String,
-    /// Latency objective, seconds: full worth is earned up to here.
+    /// Latency objective, seconds: the full value is earned up to here.
     pub aim_s: f64,
     /// The objective grows by this multiple of the work.
     #[serde(default)]
@@ -84,10 +84,10 @@
     /// For how many seconds they drop repeats.
     #[serde(default)]
     pub repeat_window_s: f64,
-    /// Worth of a request.
+    /// Priority weight of a request.
     #[serde(default = "one")]
     pub gain: f64,
-    /// Share of the worth after the objective.
+    /// Share of the value that is earned after the objective.
     #[serde(default)]
     pub late_worth: f64,
     /// Answers stream.
@@ -135,7 +135,7 @@
     pub second_copies: bool,
 }
 
-/// Prices, as shares of a request's worth.
+/// Prices, as shares of a request's value.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Prices {
