--- a/decide/dispatch/src/lib.rs
+++ b/decide/dispatch/src/lib.rs
@@ -9,6 +9,7 @@
 //! - [`counters`]: calls accepted, answered and sent; they must balance.
 //! - [`class_counters`]: final answers by class, for the comparison of front ends.
 //! - [`missing_functions`]: workers whose loads leave no instance, and when the operator is notified.
+//! - [`input_queue`]: the order in which a driver gives inputs, one at a time.
 //! - [`invariants`]: the rules checked again at run time, against what really left and came.
 //! - [`names`]: names and the router's numbers for them.
 //! - [`pending_lookups`]: calls that wait until the settings of their function are known.
@@ -17,7 +18,7 @@
 //! A call comes, and the one worker is asked to load its function:
 //!
 //! ```
-//! use tansy_dispatch::{Call, CallId, Command, DispatchConfig, Dispatcher, FunctionSpec, Input, WorkerRecord};
+//! use tansy_dispatch::{Call, CallId, Command, DispatchConfig, Dispatcher, FunctionSpec, Input, WorkerRecord, WorkerState};
 //! use tansyrouter::{Class, Effect, Settings, Time, SECOND};
 //!
 //! let class = Class {
@@ -80,6 +81,7 @@
 pub mod class_counters;
 pub mod config;
 pub mod counters;
+pub mod input_queue;
 pub mod invariants;
 pub mod message;
 pub mod missing_functions;
@@ -93,6 +95,7 @@
 pub use class_counters::{ClassCounterTable, ClassCounters};
 pub use config::{ConfigError, ConflictingScopes, DispatchConfig, EffectiveConfig, FunctionSpec};
 pub use counters::Counters;
+pub use input_queue::InputQueue;
 pub use invariants::{InvariantChecker, Violation};
 pub use message::{
     Answer, Call, CallId, Command, ControlRequestId, FailureReason, FunctionLookup, FunctionShape,
--- a/net/inference/src/driver.rs
+++ b/net/inference/src/driver.rs
@@ -7,7 +7,7 @@
 use crate::directory::{DirectoryEntry, FunctionDirectory};
 use crate::options::{DriverOptions, MetadataKeys, WorkerEndpoint};
 use std::cell::{OnceCell, RefCell};
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::{BTreeMap, HashMap};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 use tansy_dispatch::record::RecordedStep;
 use tansy_dispatch::{
     AttemptOutcome, Call, CallId, Command, ConfigError, ControlRequestId, Counters, Dispatcher,
-    EffectiveConfig, FunctionLookup, FunctionShape, Input, Trailers,
+    EffectiveConfig, FunctionLookup, FunctionShape, Input, InputQueue, Trailers,
 };
 use tansy_net_grpc::link::Link;
 use tansy_net_sockets::{clock, Spawner};
@@ -26,9 +26,7 @@
 
 struct DriverState {
     dispatcher: Dispatcher,
-    inputs: VecDeque<Input>,
-    /// An input is being taken: further ones wait in `inputs`.
-    running: bool,
+    inputs: InputQueue,
     next_call: u64,
     calls: HashMap<CallId, Rc<CallContext>>,
     attempts: HashMap<CallId, Rc<CancelSignal>>,
@@ -80,8 +78,7 @@
     ) -> Rc<Driver> {
         let state = RefCell::new(DriverState {
             dispatcher,
-            inputs: VecDeque::new(),
-            running: false,
+            inputs: InputQueue::default(),
             next_call: 0,
             calls: HashMap::new(),
             attempts: HashMap::new(),
@@ -308,20 +305,15 @@
 
     /// Gives the dispatcher an input and executes its commands. Inputs that arise meanwhile follow in order.
     pub fn feed(self: &Rc<Self>, input: Input) {
-        {
-            let mut state = self.state.borrow_mut();
-            state.inputs.push_back(input);
-            if std::mem::replace(&mut state.running, true) {
-                return;
-            }
+        if !self.state.borrow_mut().inputs.push(input) {
+            return;
         }
         let mut commands = Vec::new();
         loop {
             let now = self.now();
             {
                 let mut state = self.state.borrow_mut();
-                let Some(input) = state.inputs.pop_front() else {
-                    state.running = false;
+                let Some(input) = state.inputs.take() else {
                     return;
                 };
                 state.step(now, input, &mut commands);
--- a/net/platform/src/driver/mod.rs
+++ b/net/platform/src/driver/mod.rs
@@ -15,13 +15,13 @@
 use crate::worker_connection::WorkerConnection;
 use crate::worker_pool::WorkerPool;
 use std::cell::{Cell, RefCell};
-use std::collections::{HashMap, HashSet, VecDeque};
+use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tansy_dispatch::{
-    AttemptOutcome, CallId, ControlRequestId, Counters, Dispatcher, Input, InvariantChecker,
-    Trailers, Violation, WorkerState,
+    AttemptOutcome, CallId, ControlRequestId, Counters, Dispatcher, Input, InputQueue,
+    InvariantChecker, Trailers, Violation, WorkerState,
 };
 use tansy_net_sockets::clock::UnixClock;
 use tansy_net_sockets::lag::Lag;
@@ -41,8 +41,7 @@
 
 struct State {
     dispatcher: Dispatcher,
-    inputs: VecDeque<Input>,
-    feeding: bool,
+    inputs: InputQueue,
     next_call: u64,
     /// Calls that are owed an answer.
     calls: HashMap<CallId, Rc<CallContext>>,
@@ -90,8 +89,7 @@
     ) -> Rc<Driver> {
         let state = RefCell::new(State {
             dispatcher,
-            inputs: VecDeque::new(),
-            feeding: false,
+            inputs: InputQueue::default(),
             next_call: 0,
             calls: HashMap::new(),
             attempts: HashMap::new(),
@@ -207,20 +205,15 @@
 
     /// Feeds the dispatcher an input and runs its commands. Inputs that arise meanwhile follow in order.
     pub fn feed(self: &Rc<Self>, input: Input) {
-        {
-            let mut state = self.state.borrow_mut();
-            state.inputs.push_back(input);
-            if std::mem::replace(&mut state.feeding, true) {
-                return;
-            }
+        if !self.state.borrow_mut().inputs.push(input) {
+            return;
         }
         let mut commands = Vec::new();
         loop {
             let now = self.now();
             {
                 let mut state = self.state.borrow_mut();
-                let Some(input) = state.inputs.pop_front() else {
-                    state.feeding = false;
+                let Some(input) = state.inputs.take() else {
                     return;
                 };
                 state.dispatcher.step(now, input, &mut commands);
