--- a/decide/fleet-node/src/config.rs
+++ b/decide/fleet-node/src/config.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The number of a front end's or a fleet's name.
-pub fn number(name: &str) -> u64 {
+pub fn name_to_id(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
--- a/decide/fleet-node/src/lib.rs
+++ b/decide/fleet-node/src/lib.rs
@@ -16,13 +16,13 @@
 //! ```
 //! use tansy_agreement::compatibility::Schema;
 //! use tansy_agreement::lease::LeaseTiming;
-//! use tansy_fleet_node::{number, Command, FleetNode, FleetNodeConfig, RecoveredState};
+//! use tansy_fleet_node::{name_to_id, Command, FleetNode, FleetNodeConfig, RecoveredState};
 //! use tansy_membership::{GossipTiming, NodeId};
 //!
 //! let address = ([127, 0, 0, 1], 7000).into();
-//! let id = number("front-1");
+//! let id = name_to_id("front-1");
 //! let config = FleetNodeConfig {
-//!     fleet: number("fleet"),
+//!     fleet: name_to_id("fleet"),
 //!     name: "front-1".into(),
 //!     node: NodeId::new(id, 1, address),
 //!     voters: vec![(id, address)],
@@ -63,7 +63,7 @@
 
 pub use change_controller::ChangeBlockers;
 pub use command::{Command, FleetEvent, RequestRejection, StorageFailure};
-pub use config::{number, FleetNodeConfig, RecoveredState};
+pub use config::{name_to_id, FleetNodeConfig, RecoveredState};
 pub use fleet_node::{ActiveState, FleetNode};
 pub use known_nodes::Directory;
 pub use message::{Leader, MessageBody};
--- a/net/fleet/src/service/entries.rs
+++ b/net/fleet/src/service/entries.rs
@@ -10,7 +10,7 @@
 use tansy_agreement::compatibility::{changes, Compatibility, Fields};
 use tansy_agreement::log::{ApplyOutcome, LogEntry, Version};
 use tansy_agreement::scope::ScopeTransaction;
-use tansy_fleet_node::{number, RequestRejection};
+use tansy_fleet_node::{name_to_id, RequestRejection};
 use tansy_fleet_wire::{of_roll_entry, of_scope_request, of_settings, pb};
 use tansy_frames::grpc::Code;
 use tansy_net_sockets::within;
@@ -98,8 +98,8 @@
     transport: &FleetTransport,
     request: &pb::ReplaceVoter,
 ) -> Result<LogEntry, Rejection> {
-    let new = number(&request.new_voter);
-    let replaced = number(&request.replaced);
+    let new = name_to_id(&request.new_voter);
+    let replaced = name_to_id(&request.replaced);
     let address = transport.with_node(|node, _| {
         let found = node.others().find(|other| other.id == new);
         found.map(|other| other.address)
--- a/programs/fleet/src/replace_voter.rs
+++ b/programs/fleet/src/replace_voter.rs
@@ -100,7 +100,7 @@
 
 /// Where the front end of this name is reached.
 fn address_of(status: &pb::StatusReply, name: &str) -> Option<String> {
-    let id = tansy_fleet_node::number(name);
+    let id = tansy_fleet_node::name_to_id(name);
     status
         .other_members
         .iter()
--- a/programs/gateway/src/fleet/mod.rs
+++ b/programs/gateway/src/fleet/mod.rs
@@ -22,7 +22,7 @@
 use tansy_agreement::compatibility::{part, Fields};
 use tansy_agreement::lease::LeaseTiming;
 use tansy_agreement::log::{FleetState, VersionedSettings};
-use tansy_fleet_node::{number, FleetNode, FleetNodeConfig};
+use tansy_fleet_node::{name_to_id, FleetNode, FleetNodeConfig};
 use tansy_net_fleet::{FleetTransport, InvalidFields, TransportConfig};
 use tansy_net_inference::Driver;
 use tansy_net_sockets::Spawner;
@@ -54,18 +54,18 @@
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
     let incarnation = u64::try_from(since.as_micros()).unwrap_or(u64::MAX);
-    let id = number(&fleet.node_name);
+    let id = name_to_id(&fleet.node_name);
     let voters = fleet.voters.iter();
     let timing = |span| LeaseTiming {
         span,
         drift_ppm: fleet.clock_ppm,
     };
     FleetNodeConfig {
-        fleet: number(&fleet.name),
+        fleet: name_to_id(&fleet.name),
         name: fleet.node_name.clone(),
         node: tansy_membership::NodeId::new(id, incarnation, address),
         voters: voters
-            .map(|voter| (number(&voter.name), voter.address))
+            .map(|voter| (name_to_id(&voter.name), voter.address))
             .collect(),
         lease: timing(fleet.max_divergence * LEASE_TENTHS / 10),
         session: timing(fleet.session),
--- a/programs/scale/src/fleet/operator.rs
+++ b/programs/scale/src/fleet/operator.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tansy_agreement::compatibility::Fields;
 use tansy_agreement::log::{Version, VersionedSettings};
-use tansy_fleet_node::number;
+use tansy_fleet_node::name_to_id;
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_fleet_wire::{of_state, pb, settings};
 use tansy_net_fleet::client::RequestError;
@@ -79,7 +79,7 @@
 
     fn request_id_at(&mut self, now: i64) -> u64 {
         self.requests += 1;
-        number(&format!("{}/{}/{now}", self.shape.seed, self.requests))
+        name_to_id(&format!("{}/{}/{now}", self.shape.seed, self.requests))
     }
 
     /// What a change that is not in force waits for, in words.
--- a/programs/scale/src/fleet/scope_updates.rs
+++ b/programs/scale/src/fleet/scope_updates.rs
@@ -10,7 +10,7 @@
 use tansy_agreement::compatibility::Fields;
 use tansy_agreement::log::Revision;
 use tansy_agreement::scope::{ScopePhase, ScopeTransaction, ScopeUpdate};
-use tansy_fleet_node::number;
+use tansy_fleet_node::name_to_id;
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_fleet_wire::{of_scoped, pb, scope_request};
 use tansy_net_fleet::client::RequestError;
@@ -207,7 +207,7 @@
         let watched = self.watch(&updates)?;
         let entry = |update: ScopeUpdate| {
             Entry::ScopeTransaction(scope_request(&ScopeTransaction {
-                id: number(&format!("{}/{}", watched.id, update.scope)),
+                id: name_to_id(&format!("{}/{}", watched.id, update.scope)),
                 updates: vec![update],
                 reason: "burst".into(),
             }))
--- a/programs/scale/src/fleet/shape.rs
+++ b/programs/scale/src/fleet/shape.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use tansy_agreement::lease_tree::LeaseTopology;
-use tansy_fleet_node::number;
+use tansy_fleet_node::name_to_id;
 
 /// Hollow front ends of one process, at least: one thread runs them all.
 const MIN_PER_PROCESS: usize = 4;
@@ -121,7 +121,7 @@
 
 /// Which of these front ends grant leases to others, where the one at this index leads.
 pub fn lease_granters(names: &[String], leader: usize) -> Vec<bool> {
-    let ids: Vec<u64> = names.iter().map(|name| number(name)).collect();
+    let ids: Vec<u64> = names.iter().map(|name| name_to_id(name)).collect();
     let topology = LeaseTopology::new(ids[leader], ids.iter().copied());
     let parents: BTreeSet<u64> = ids
         .iter()
