--- a/decide/fleet-node/src/fleet_node.rs
+++ b/decide/fleet-node/src/fleet_node.rs
@@ -120,7 +120,7 @@
     }
 
     /// What it was started with.
-    pub fn setup(&self) -> &FleetNodeConfig {
+    pub fn config(&self) -> &FleetNodeConfig {
         &self.config
     }
 
--- a/decide/fleet-node/tests/fleet_node/cluster.rs
+++ b/decide/fleet-node/tests/fleet_node/cluster.rs
@@ -155,7 +155,7 @@
         let Some(node) = &self.nodes[index] else {
             return;
         };
-        let (from, leader) = (node.setup().node.clone(), node.leader());
+        let (from, leader) = (node.config().node.clone(), node.leader());
         let mut follow_up = Vec::new();
         for command in commands {
             match command {
--- a/net/fleet/src/service/entries.rs
+++ b/net/fleet/src/service/entries.rs
@@ -139,7 +139,7 @@
 fn check_no_strict_changes(transport: &FleetTransport, fields: &Fields) -> Result<(), Rejection> {
     let strict = transport.with_node(|node, now| {
         let state = node.active_state(now).state?;
-        let changes = changes(&node.setup().schema, &state.in_force.fields, fields);
+        let changes = changes(&node.config().schema, &state.in_force.fields, fields);
         let strict = changes
             .into_iter()
             .filter(|change| change.compatibility == Compatibility::Strict);
--- a/net/fleet/src/service/queries.rs
+++ b/net/fleet/src/service/queries.rs
@@ -43,7 +43,7 @@
         dropped: transport.dropped(),
     });
     transport.with_node(|node, now| {
-        let setup = node.setup();
+        let setup = node.config();
         let active = node.active_state(now);
         reply.name = setup.name.clone();
         reply.incarnation = setup.node.incarnation;
--- a/net/fleet/src/service/status.rs
+++ b/net/fleet/src/service/status.rs
@@ -17,7 +17,7 @@
 }
 
 fn status_reply(transport: &FleetTransport, node: &FleetNode, now: Time) -> pb::StatusReply {
-    let setup = node.setup();
+    let setup = node.config();
     let active = node.active_state(now);
     let voters = node.voters();
     let blockers = node.change_blockers(now);
@@ -61,7 +61,7 @@
 }
 
 fn conflicting_calls(node: &FleetNode, active: &ActiveState<'_>) -> Vec<pb::ConflictingCalls> {
-    let schema = &node.setup().schema;
+    let schema = &node.config().schema;
     let conflicts = active.state.map(|state| state.conflicting_fields(schema));
     let mut calls: Vec<String> = conflicts
         .unwrap_or_default()
--- a/net/fleet/src/transport.rs
+++ b/net/fleet/src/transport.rs
@@ -186,7 +186,7 @@
         traffic.received += 1;
         traffic.received_bytes += bytes.len() as u64;
         self.traffic.set(traffic);
-        let fleet = self.node.borrow().setup().fleet;
+        let fleet = self.node.borrow().config().fleet;
         let (from, leader, body) = decode_message(fleet, bytes)?;
         self.drive(|node, now, commands| node.on_message(now, &from, leader, body, commands));
         Ok(())
@@ -267,7 +267,7 @@
     fn send(self: &Rc<Self>, to: SocketAddr, body: MessageBody) {
         let bytes = {
             let node = self.node.borrow();
-            let setup = node.setup();
+            let setup = node.config();
             encode_message(setup.fleet, &setup.node, node.leader(), body)
         };
         let size = bytes.len();
--- a/simulation/src/fleet/lifecycle.rs
+++ b/simulation/src/fleet/lifecycle.rs
@@ -35,7 +35,7 @@
             Ok(mut node) => {
                 if let Some(directories) = &mut self.directories {
                     node.update_members(directories.directory(&self.network, index));
-                    directories.on_start(self.now, index, node.setup().node.clone());
+                    directories.on_start(self.now, index, node.config().node.clone());
                 }
                 self.processes[index].node = Some(node);
             }
--- a/simulation/src/fleet/node_step.rs
+++ b/simulation/src/fleet/node_step.rs
@@ -118,7 +118,7 @@
         let Some(node) = &self.processes[index].node else {
             return;
         };
-        let (sender, leader) = (node.setup().node.clone(), node.leader());
+        let (sender, leader) = (node.config().node.clone(), node.leader());
         self.audit_log(index);
         self.audit_process(index);
         self.detect_join(index);
--- a/simulation/src/scale/losses.rs
+++ b/simulation/src/scale/losses.rs
@@ -168,7 +168,7 @@
 
     /// The membership of a process that is started.
     pub(super) fn member(&self, index: usize) -> Option<Member> {
-        Some(self.processes[index].node.as_ref()?.setup().node.member())
+        Some(self.processes[index].node.as_ref()?.config().node.member())
     }
 
     /// Goes on with a rolling restart, and checks whether the fleet has recovered.
--- a/simulation/src/scale/observe.rs
+++ b/simulation/src/scale/observe.rs
@@ -166,7 +166,7 @@
         let Some(node) = self.processes[index].node.as_ref() else {
             return;
         };
-        let node = node.setup().node.clone();
+        let node = node.config().node.clone();
         if let Some(scale) = &mut self.scale {
             scale.ended.insert(node.id, self.now);
         }
