--- a/decide/fleet-node/src/fleet_node.rs
+++ b/decide/fleet-node/src/fleet_node.rs
@@ -152,7 +152,7 @@
     }
 
     /// At any voter: the index of the last applied entry, and the log.
-    pub fn agreed(&self) -> Option<(u64, &Log)> {
+    pub fn applied_log(&self) -> Option<(u64, &Log)> {
         let controller = self.controller.as_ref()?;
         Some((controller.applied(), controller.log()?))
     }
@@ -172,7 +172,7 @@
 
     /// The voters and their addresses, as far as they are known here.
     pub fn voters(&self) -> Vec<(u64, SocketAddr)> {
-        match self.agreed() {
+        match self.applied_log() {
             Some((_, log)) => {
                 let voters = log.voters().iter();
                 voters.map(|(id, address)| (*id, *address)).collect()
@@ -183,7 +183,7 @@
 
     /// The address of a front end: by the log, then by the settings, then by membership, then by what it sent.
     pub fn address(&self, id: u64) -> Option<SocketAddr> {
-        let log = self.agreed().map(|(_, log)| log);
+        let log = self.applied_log().map(|(_, log)| log);
         let voter = log.and_then(|log| log.voters().get(&id).copied());
         let learner = || {
             log.and_then(Log::voter_replacement)
--- a/decide/fleet-node/tests/fleet_node/cluster.rs
+++ b/decide/fleet-node/tests/fleet_node/cluster.rs
@@ -302,6 +302,6 @@
 
 /// The log of the voter that knows most of it.
 pub(crate) fn latest_log(nodes: &[Option<FleetNode>]) -> Option<&Log> {
-    let logs = nodes.iter().flatten().filter_map(FleetNode::agreed);
+    let logs = nodes.iter().flatten().filter_map(FleetNode::applied_log);
     logs.max_by_key(|(applied, _)| *applied).map(|(_, log)| log)
 }
--- a/net/fleet/src/service/queries.rs
+++ b/net/fleet/src/service/queries.rs
@@ -66,7 +66,9 @@
     let request: pb::RolloutRequest = decode(bytes)?;
     check_fleet(transport, request.fleet, fleet)?;
     transport.with_node(|node, _| {
-        let (_, log) = node.agreed().ok_or_else(|| Rejection::not_a_voter(node))?;
+        let (_, log) = node
+            .applied_log()
+            .ok_or_else(|| Rejection::not_a_voter(node))?;
         let (label, path) = log.program().unwrap_or_default();
         let rollout = log.rollout();
         let reply = pb::RolloutReply {
@@ -92,7 +94,9 @@
         )));
     }
     transport.with_node(|node, now| {
-        let (_, log) = node.agreed().ok_or_else(|| Rejection::not_a_voter(node))?;
+        let (_, log) = node
+            .applied_log()
+            .ok_or_else(|| Rejection::not_a_voter(node))?;
         let catalog = log.catalog();
         let named = |name: String| pb::NamedFunction {
             record: catalog.get(&name).map(scoped),
--- a/net/fleet/src/service/status.rs
+++ b/net/fleet/src/service/status.rs
@@ -48,7 +48,7 @@
 }
 
 fn voter_replacement(node: &FleetNode) -> Option<pb::VoterReplacement> {
-    let (_, log) = node.agreed()?;
+    let (_, log) = node.applied_log()?;
     let replacement = log.voter_replacement()?;
     let replaced = node.address(replacement.replaced);
     Some(pb::VoterReplacement {
--- a/simulation/src/fleet/audit.rs
+++ b/simulation/src/fleet/audit.rs
@@ -52,7 +52,7 @@
     /// Compares what a process knows to be agreed on with the others: all have to have one order of it.
     pub(super) fn audit_log(&mut self, index: usize) {
         let process = &mut self.processes[index];
-        let Some((applied, log)) = process.node.as_ref().and_then(FleetNode::agreed) else {
+        let Some((applied, log)) = process.node.as_ref().and_then(FleetNode::applied_log) else {
             return;
         };
         // A log is another only when more was applied to it.
--- a/simulation/src/scopes/audit.rs
+++ b/simulation/src/scopes/audit.rs
@@ -104,7 +104,7 @@
             return;
         };
         let node = self.processes[index].node.as_ref();
-        let Some((_, log)) = node.and_then(FleetNode::agreed) else {
+        let Some((_, log)) = node.and_then(FleetNode::applied_log) else {
             return;
         };
         if let Some(violation) = scopes.compare_catalog(applied, log) {
@@ -118,7 +118,7 @@
             return false;
         };
         let node = self.processes[index].node.as_ref();
-        let Some((_, log)) = node.and_then(FleetNode::agreed) else {
+        let Some((_, log)) = node.and_then(FleetNode::applied_log) else {
             return false;
         };
         let before = scopes.agreed.revision;
@@ -187,7 +187,7 @@
             .processes
             .iter()
             .enumerate()
-            .filter_map(|(index, process)| Some((index, process.node.as_ref()?.agreed()?)));
+            .filter_map(|(index, process)| Some((index, process.node.as_ref()?.applied_log()?)));
         let Some((index, (_, log))) = logs.max_by_key(|(_, (applied, _))| *applied) else {
             return;
         };
