--- a/benches/state/src/membership.rs
+++ b/benches/state/src/membership.rs
@@ -126,7 +126,7 @@
     let mut local = LocalMembership::new(args.front_ends, args.seed);
     let (join_times, now) = local.join_all(args.front_ends)?;
     let joined = local.membership.take_events().len();
-    output.count("members", local.membership.all().count() + 1);
+    output.count("members", local.membership.other_members().count() + 1);
     output.figure("memory_mb", growth.mb());
     output.insert("join_us", join_times.us());
     let timer_times = local.probe(now);
--- a/decide/fleet-node/src/fleet_node.rs
+++ b/decide/fleet-node/src/fleet_node.rs
@@ -139,7 +139,7 @@
     }
 
     /// The other front ends that are up.
-    pub fn others(&self) -> impl Iterator<Item = &NodeId> {
+    pub fn other_members(&self) -> impl Iterator<Item = &NodeId> {
         self.nodes.iter()
     }
 
--- a/decide/fleet-node/src/known_nodes.rs
+++ b/decide/fleet-node/src/known_nodes.rs
@@ -52,7 +52,7 @@
     /// The others.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &NodeId> {
         let (discovered, given) = match self {
-            KnownNodes::Discovered(membership) => (Some(membership.all()), None),
+            KnownNodes::Discovered(membership) => (Some(membership.other_members()), None),
             KnownNodes::Given { id, directory } => {
                 let others = directory.nodes.iter().filter(|node| node.id != *id);
                 (None, Some(others))
@@ -67,7 +67,7 @@
     /// How many others there are.
     pub(crate) fn count(&self) -> usize {
         match self {
-            KnownNodes::Discovered(membership) => membership.count(),
+            KnownNodes::Discovered(membership) => membership.other_member_count(),
             KnownNodes::Given { id, directory } => {
                 directory.len() - usize::from(directory.position(*id).is_ok())
             }
@@ -77,9 +77,10 @@
     /// The address of one, by its position in [`KnownNodes::iter`].
     pub(crate) fn nth_address(&self, position: usize) -> Option<SocketAddr> {
         match self {
-            KnownNodes::Discovered(membership) => {
-                membership.all().nth(position).map(|node| node.address)
-            }
+            KnownNodes::Discovered(membership) => membership
+                .other_members()
+                .nth(position)
+                .map(|node| node.address),
             KnownNodes::Given { id, directory } => {
                 let is_after_self = directory.position(*id).is_ok_and(|own| own <= position);
                 let node = directory.nodes.get(position + usize::from(is_after_self));
--- a/decide/fleet-node/tests/fleet_node/versions.rs
+++ b/decide/fleet-node/tests/fleet_node/versions.rs
@@ -15,7 +15,7 @@
             .nodes
             .iter()
             .flatten()
-            .all(|node| node.others().count() == 19),
+            .all(|node| node.other_members().count() == 19),
         "each knows all others"
     );
     assert_eq!(cluster.log().roster().count(), 20);
--- a/decide/membership/src/lib.rs
+++ b/decide/membership/src/lib.rs
@@ -20,7 +20,7 @@
 //! for datagram in at_second.take_datagrams() {
 //!     at_first.on_datagram(0, &datagram.bytes)?;
 //! }
-//! assert_eq!(at_first.count(), 1);
+//! assert_eq!(at_first.other_member_count(), 1);
 //! # Ok::<(), tansy_membership::RejectedDatagram>(())
 //! ```
 
--- a/decide/membership/src/membership.rs
+++ b/decide/membership/src/membership.rs
@@ -92,12 +92,12 @@
     }
 
     /// The other processes that are up.
-    pub fn all(&self) -> impl Iterator<Item = &NodeId> {
+    pub fn other_members(&self) -> impl Iterator<Item = &NodeId> {
         self.foca.iter_members().map(|member| member.id())
     }
 
-    /// How many [`Membership::all`] returns.
-    pub fn count(&self) -> usize {
+    /// How many [`Membership::other_members`] returns.
+    pub fn other_member_count(&self) -> usize {
         self.foca.num_members()
     }
 
--- a/decide/membership/tests/fleet.rs
+++ b/decide/membership/tests/fleet.rs
@@ -95,11 +95,14 @@
             }
         }
         // What is kept by notifications equals what the protocol knows.
-        let up = member.all().map(|node| node.id).chain([member.local().id]);
+        let up = member
+            .other_members()
+            .map(|node| node.id)
+            .chain([member.local().id]);
         assert_eq!(member.topology(0), LeaseTopology::new(0, up));
-        assert_eq!(member.count(), member.all().count());
+        assert_eq!(member.other_member_count(), member.other_members().count());
         assert!(member
-            .all()
+            .other_members()
             .all(|node| member.address(node.id) == Some(node.address)));
     }
 
@@ -155,7 +158,7 @@
             .collect();
         self.members.iter().flatten().all(|member| {
             let known = member
-                .all()
+                .other_members()
                 .chain([member.local()])
                 .map(|node| (node.id, node.incarnation));
             known.collect::<BTreeSet<_>>() == running
@@ -200,11 +203,9 @@
     fleet.start(4);
     fleet.until_agreed(30 * SECOND);
     let last = fleet.incarnations[4];
-    assert!(fleet
-        .members
-        .iter()
-        .flatten()
-        .all(|m| m.all().all(|n| n.id != 4 || n.incarnation == last)));
+    assert!(fleet.members.iter().flatten().all(|m| m
+        .other_members()
+        .all(|n| n.id != 4 || n.incarnation == last)));
 }
 
 #[test]
@@ -231,7 +232,7 @@
         fleet.members[0]
             .as_ref()
             .expect("it runs")
-            .all()
+            .other_members()
             .all(|n| n.id < 5),
         "the others are down here"
     );
@@ -293,5 +294,5 @@
         let _ = member.on_datagram(0, &noise);
         member.take_datagrams();
     }
-    assert!(member.all().count() < 20_000);
+    assert!(member.other_members().count() < 20_000);
 }
--- a/net/fleet/src/service/entries.rs
+++ b/net/fleet/src/service/entries.rs
@@ -101,7 +101,7 @@
     let new = name_to_id(&request.new_voter);
     let replaced = name_to_id(&request.replaced);
     let address = transport.with_node(|node, _| {
-        let found = node.others().find(|other| other.id == new);
+        let found = node.other_members().find(|other| other.id == new);
         found.map(|other| other.address)
     });
     let address = address.ok_or_else(|| {
--- a/net/fleet/src/service/status.rs
+++ b/net/fleet/src/service/status.rs
@@ -36,7 +36,7 @@
         state: active.state.map(state),
         lease_remaining: active.lease,
         session_remaining: active.session,
-        other_members: node.others().map(process).collect(),
+        other_members: node.other_members().map(process).collect(),
         conflicting: conflicting_calls(node, &active),
         roster: roster(node),
         blocked_by_leases: waits_for_leases,
--- a/programs/scale/src/hollow/front_ends.rs
+++ b/programs/scale/src/hollow/front_ends.rs
@@ -289,7 +289,7 @@
         let mut counters = self.ended.borrow().clone();
         let views: Vec<usize> = running
             .values()
-            .map(|node| node.with_node(|node, _| node.others().count()))
+            .map(|node| node.with_node(|node, _| node.other_members().count()))
             .collect();
         counters.alive = running.len();
         counters.called_functions = running
--- a/simulation/src/scale/results.rs
+++ b/simulation/src/scale/results.rs
@@ -127,7 +127,7 @@
     fn traffic_report(&self, scale: &ScaleMeasurement) -> ScaleReport {
         let rates = self.rates(scale);
         let nodes = || self.processes.iter().filter_map(|p| p.node.as_ref());
-        let known: usize = nodes().map(|node| node.others().count()).sum();
+        let known: usize = nodes().map(|node| node.other_members().count()).sum();
         let subscribed: usize = nodes().map(|node| node.subscription_count()).sum();
         let running = nodes().count().max(1) as f64;
         let (messages, bytes) = (rates.added_messages, rates.added_bytes);
