--- a/decide/fleet-node/src/fleet_node/scopes.rs
+++ b/decide/fleet-node/src/fleet_node/scopes.rs
@@ -37,7 +37,7 @@
     }
 
     /// Increases whenever [`FleetNode::admit`] might decide otherwise than before.
-    pub fn scopes_changed(&self) -> u64 {
+    pub fn admission_changes(&self) -> u64 {
         self.subscriptions.changes()
     }
 
--- a/net/fleet/src/transport.rs
+++ b/net/fleet/src/transport.rs
@@ -140,10 +140,10 @@
         let (admission, deadline) = {
             let mut node = self.node.borrow_mut();
             let now = clock::now();
-            let scopes_before = node.scopes_changed();
+            let scopes_before = node.admission_changes();
             let mut admission = node.admit(now, function, &mut commands);
             // The leader answers its own subscription at once.
-            if admission == Admission::Wait && node.scopes_changed() != scopes_before {
+            if admission == Admission::Wait && node.admission_changes() != scopes_before {
                 admission = node.admit(now, function, &mut commands);
             }
             (admission, node.next_deadline())
--- a/programs/gateway/src/fleet/applier.rs
+++ b/programs/gateway/src/fleet/applier.rs
@@ -79,7 +79,7 @@
     pub(super) fn on_state_changed(&self, node: &FleetNode, now: Time) -> Option<String> {
         let applied_before = self.applied.get();
         let error = self.apply(node, now);
-        let scope_changes = node.scopes_changed();
+        let scope_changes = node.admission_changes();
         let changed = self.scope_changes.replace(scope_changes) != scope_changes
             || self.applied.get() != applied_before;
         if changed
--- a/simulation/src/scopes/audit.rs
+++ b/simulation/src/scopes/audit.rs
@@ -158,7 +158,7 @@
         let key = AuditKey {
             round: scopes.agreed.round,
             incarnation: process.incarnation,
-            scopes_changed: node.scopes_changed(),
+            scopes_changed: node.admission_changes(),
             has_lease: acting.lease > 0,
             has_session: acting.session > 0,
         };
