--- a/benches/state/src/scopes/catalog.rs
+++ b/benches/state/src/scopes/catalog.rs
@@ -179,7 +179,7 @@
     let mut entry_times: [Distribution; ENTRIES] = Default::default();
     let mut change_times = Distribution::default();
     let (mut encodings, mut entry_bytes) = (0, 0);
-    let mut encoded_at = voter.voter.encoded_at();
+    let mut snapshot_index = voter.voter.snapshot_index();
     for change in 0..CHANGES {
         let name = &names[rng.usize(..names.len())];
         let cost = voter.change(&[name], 2 + change as i64)?;
@@ -188,8 +188,8 @@
         }
         change_times.add(cost.total());
         entry_bytes = cost.entry_bytes;
-        encodings += usize::from(voter.voter.encoded_at() != encoded_at);
-        encoded_at = voter.voter.encoded_at();
+        encodings += usize::from(voter.voter.snapshot_index() != snapshot_index);
+        snapshot_index = voter.voter.snapshot_index();
     }
     let fields = ["joint_ms", "force_ms", "settled_ms"];
     for (field, times) in fields.into_iter().zip(&entry_times) {
--- a/benches/state/src/single_voter.rs
+++ b/benches/state/src/single_voter.rs
@@ -139,8 +139,8 @@
     }
 
     /// Index of the entry as of which the log was encoded last.
-    pub fn encoded_at(&self) -> u64 {
-        self.replica.encoded_at()
+    pub fn snapshot_index(&self) -> u64 {
+        self.replica.snapshot_index()
     }
 
     /// Appends an entry and applies it.
--- a/decide/consensus/src/replica.rs
+++ b/decide/consensus/src/replica.rs
@@ -94,7 +94,7 @@
     }
 
     /// Whether a learner has all committed entries, as far as it acknowledged them; only the leader knows.
-    pub fn caught_up(&self, id: u64) -> bool {
+    pub fn is_caught_up(&self, id: u64) -> bool {
         let raft = &self.node.raft;
         raft.prs()
             .get(id)
@@ -120,7 +120,7 @@
     }
 
     /// Index of the entry as of which the log was last encoded: the snapshot that a replica far behind receives.
-    pub fn encoded_at(&self) -> u64 {
+    pub fn snapshot_index(&self) -> u64 {
         self.node.store().latest.index
     }
 
--- a/decide/fleet-node/src/change_controller/voter_replacement.rs
+++ b/decide/fleet-node/src/change_controller/voter_replacement.rs
@@ -19,7 +19,7 @@
         };
         let (new, replaced) = (replacement.new, replacement.replaced);
         match replacement.phase {
-            ReplacementPhase::Learning if self.replica.caught_up(new) => {
+            ReplacementPhase::Learning if self.replica.is_caught_up(new) => {
                 self.push(LogEntry::EnterJointConsensus { new, replaced });
             }
             ReplacementPhase::Learning => self.wait_for_learner(now, new, commands),
--- a/tests/compatibility/src/voters.rs
+++ b/tests/compatibility/src/voters.rs
@@ -82,7 +82,7 @@
         if let LogEntry::EnterJointConsensus { new, .. } = entry {
             self.run("one that has caught up", |fleet| {
                 let leader = fleet.leader().map(|l| fleet.voter(l));
-                leader.is_some_and(|l| l.caught_up(new))
+                leader.is_some_and(|l| l.is_caught_up(new))
             });
         }
         let text = format!("{entry:?}");
