--- a/net/fleet/src/voter_storage.rs
+++ b/net/fleet/src/voter_storage.rs
@@ -99,7 +99,7 @@
     let mut next_log_line = started;
     loop {
         match log.append(&entry.record, entry.snapshot.as_deref()) {
-            Err(error) if error.may_pass() && !cancelled.load(Ordering::SeqCst) => {
+            Err(error) if error.is_transient() && !cancelled.load(Ordering::SeqCst) => {
                 if Instant::now() >= next_log_line {
                     next_log_line = Instant::now() + LOG_INTERVAL;
                     tracing::warn!(%error, "voter storage rejects writes; retrying");
--- a/storage/src/store.rs
+++ b/storage/src/store.rs
@@ -71,7 +71,7 @@
 
 impl Error {
     /// Whether the same call may succeed later: the disk is full or fails, or another process still has the file open.
-    pub fn may_pass(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         matches!(self, Error::File(_) | Error::InUse)
     }
 }
--- a/storage/src/voter_log.rs
+++ b/storage/src/voter_log.rs
@@ -93,7 +93,7 @@
     }
 
     /// Stores a record, and a snapshot that replaces all records up to it: both are synced when this returns. After an
-    /// error that [may pass](Error::may_pass) the caller repeats the call with the same arguments, and each of them is
+    /// error that [is transient](Error::is_transient) the caller repeats the call with the same arguments, and each of them is
     /// stored once.
     pub fn append(&mut self, record: &[u8], snapshot: Option<&[u8]>) -> Result<(), Error> {
         // A failed attempt leaves the file closed.
--- a/storage/tests/disk.rs
+++ b/storage/tests/disk.rs
@@ -267,7 +267,7 @@
             }
             let mut tries = 0;
             while let Err(error) = log.append(&record, snapshot.as_deref()) {
-                assert!(error.may_pass(), "seed {seed}: {error}");
+                assert!(error.is_transient(), "seed {seed}: {error}");
                 tries += 1;
                 assert!(tries < 100, "seed {seed}: {error}");
             }
@@ -300,6 +300,6 @@
         expected: 1,
         found: 3,
     };
-    assert!(!large.may_pass() && !gap.may_pass());
-    assert!(Error::InUse.may_pass());
+    assert!(!large.is_transient() && !gap.is_transient());
+    assert!(Error::InUse.is_transient());
 }
