--- a/benches/state/src/membership.rs
+++ b/benches/state/src/membership.rs
@@ -42,7 +42,7 @@
 impl LocalMembership {
     fn new(size: usize, seed: u64) -> LocalMembership {
         let timing = GossipTiming {
-            size: u32::try_from(size).unwrap_or(u32::MAX),
+            expected_members: u32::try_from(size).unwrap_or(u32::MAX),
             ..GossipTiming::default()
         };
         let address = inputs::address(LOCAL_ADDRESS, inputs::FLEET_PORT);
--- a/decide/membership/src/membership.rs
+++ b/decide/membership/src/membership.rs
@@ -25,20 +25,20 @@
 #[derive(Clone, Copy, Debug)]
 pub struct GossipTiming {
     /// One other is probed in each of these intervals, microseconds.
-    pub probe: Time,
+    pub probe_interval: Time,
     /// One that does not answer is probed through others, then suspected, and is down after this time unless it refutes
     /// the suspicion, microseconds.
-    pub suspect: Time,
+    pub suspicion_timeout: Time,
     /// Front ends expected; how often an update is sent grows with its logarithm.
-    pub size: u32,
+    pub expected_members: u32,
 }
 
 impl Default for GossipTiming {
     fn default() -> GossipTiming {
         GossipTiming {
-            probe: 500_000,
-            suspect: 2_000_000,
-            size: 300,
+            probe_interval: 500_000,
+            suspicion_timeout: 2_000_000,
+            expected_members: 300,
         }
     }
 }
@@ -207,16 +207,16 @@
 }
 
 fn protocol_config(timing: GossipTiming) -> Config {
-    let size = NonZeroU32::new(timing.size.max(2)).unwrap_or(NonZeroU32::MIN);
+    let size = NonZeroU32::new(timing.expected_members.max(2)).unwrap_or(NonZeroU32::MIN);
     let mut config = Config::new_lan(size);
-    config.probe_period = duration(timing.probe);
-    config.probe_rtt = duration(timing.probe / 3);
-    config.suspect_to_down_after = duration(timing.suspect);
+    config.probe_period = duration(timing.probe_interval);
+    config.probe_rtt = duration(timing.probe_interval / 3);
+    config.suspect_to_down_after = duration(timing.suspicion_timeout);
     // One that is down is asked now and then whether it is back, or the sides of a split would never meet again. It is
     // remembered for a day; front ends are few, so that this stays small.
     config.remove_down_after = Some(DOWN_MEMORY);
     if let Some(announcements) = &mut config.periodic_announce_to_down_members {
-        announcements.frequency = duration(timing.suspect);
+        announcements.frequency = duration(timing.suspicion_timeout);
     }
     config
 }
--- a/simulation/src/fleet/lifecycle.rs
+++ b/simulation/src/fleet/lifecycle.rs
@@ -61,7 +61,7 @@
                 ..options.lease
             },
             gossip: GossipTiming {
-                size: options.front_ends as u32,
+                expected_members: options.front_ends as u32,
                 ..GossipTiming::default()
             },
             schema: if index < self.disks.len() {
