--- a/decide/fleet-node/src/known_nodes.rs
+++ b/decide/fleet-node/src/known_nodes.rs
@@ -19,7 +19,9 @@
     /// A directory of these processes; of two with one number the later one.
     pub fn new(processes: impl IntoIterator<Item = NodeId>) -> Directory {
         let mut nodes: Vec<NodeId> = processes.into_iter().collect();
-        nodes.sort_by(|a, b| (a.id, b.incarnation, b.life).cmp(&(b.id, a.incarnation, a.life)));
+        nodes.sort_by(|a, b| {
+            (a.id, b.incarnation, b.renewals).cmp(&(b.id, a.incarnation, a.renewals))
+        });
         nodes.dedup_by_key(|node| node.id);
         let order = nodes.iter().map(|node| node.id).collect();
         Directory { nodes, order }
--- a/decide/membership/src/node_id.rs
+++ b/decide/membership/src/node_id.rs
@@ -13,7 +13,7 @@
     /// Which of its processes; a later one has a larger number.
     pub incarnation: u64,
     /// How often this process was taken for down and came back.
-    pub life: u32,
+    pub renewals: u32,
     /// Its address.
     pub address: SocketAddr,
 }
@@ -24,7 +24,7 @@
         NodeId {
             id,
             incarnation,
-            life: 0,
+            renewals: 0,
             address,
         }
     }
@@ -43,7 +43,7 @@
 
     fn renew(&self) -> Option<NodeId> {
         Some(NodeId {
-            life: self.life.checked_add(1)?,
+            renewals: self.renewals.checked_add(1)?,
             ..self.clone()
         })
     }
@@ -53,6 +53,6 @@
     }
 
     fn win_addr_conflict(&self, other: &NodeId) -> bool {
-        (self.incarnation, self.life) > (other.incarnation, other.life)
+        (self.incarnation, self.renewals) > (other.incarnation, other.renewals)
     }
 }
--- a/protocol/fleet/src/identity.rs
+++ b/protocol/fleet/src/identity.rs
@@ -10,7 +10,7 @@
     pb::Process {
         id: node.id,
         incarnation: node.incarnation,
-        life: node.life,
+        life: node.renewals,
         address: node.address.to_string(),
     }
 }
@@ -23,7 +23,7 @@
     Ok(NodeId {
         id: process.id,
         incarnation: process.incarnation,
-        life: process.life,
+        renewals: process.life,
         address,
     })
 }
--- a/simulation/src/message_size.rs
+++ b/simulation/src/message_size.rs
@@ -15,7 +15,7 @@
 pub fn message_size(from: &NodeId, leader: Leader, body: &MessageBody) -> usize {
     let sender = fixed(from.id)
         + varint(from.incarnation)
-        + varint(from.life.into())
+        + varint(from.renewals.into())
         + delimited(address(&from.address));
     // The format and the fleet's number, which is a hash.
     let header = 2 + 9;
--- a/simulation/tests/message_size.rs
+++ b/simulation/tests/message_size.rs
@@ -261,7 +261,7 @@
         let from = NodeId {
             id: number(&mut rng),
             incarnation: number(&mut rng),
-            life: rng.u32(0..3),
+            renewals: rng.u32(0..3),
             address,
         };
         let root = Leader {
--- a/tests/compatibility/src/fleet/messages.rs
+++ b/tests/compatibility/src/fleet/messages.rs
@@ -314,7 +314,7 @@
     NodeId {
         id: 5,
         incarnation: 6,
-        life: 7,
+        renewals: 7,
         address: "[::1]:7001".parse().expect("an address"),
     }
 }
--- a/tests/compatibility/tests/membership.rs
+++ b/tests/compatibility/tests/membership.rs
@@ -41,7 +41,7 @@
     let name = NodeId {
         id: 5,
         incarnation: 300,
-        life: 7,
+        renewals: 7,
         address: "[::1]:7001".parse().expect("an address"),
     };
     assert_eq!(postcard::from_bytes(&recorded), Ok(name.clone()));
