--- a/decide/fleet-node/src/fleet_node.rs
+++ b/decide/fleet-node/src/fleet_node.rs
@@ -33,9 +33,9 @@
     /// The last state that it knows; none: it has not received one.
     pub state: Option<&'a FleetState>,
     /// What remains of its lease, microseconds.
-    pub lease: Time,
+    pub lease_remaining: Time,
     /// What remains of its session, microseconds.
-    pub session: Time,
+    pub session_remaining: Time,
 }
 
 /// What the host was notified of last.
@@ -128,8 +128,8 @@
     pub fn active_state(&self, now: Time) -> ActiveState<'_> {
         ActiveState {
             state: self.lease_node.known_state(),
-            lease: self.lease_node.remaining(now),
-            session: self.session.remaining(now),
+            lease_remaining: self.lease_node.remaining(now),
+            session_remaining: self.session.remaining(now),
         }
     }
 
@@ -359,8 +359,8 @@
 
     fn notify_lease_and_session(&mut self, now: Time, commands: &mut Vec<Command>) {
         let active = self.active_state(now);
-        let has_lease = active.lease > 0;
-        let has_session = active.session > 0;
+        let has_lease = active.lease_remaining > 0;
+        let has_session = active.session_remaining > 0;
         if has_lease != self.notified.has_lease {
             commands.push(Command::Notify(FleetEvent::Lease { is_live: has_lease }));
         }
--- a/decide/fleet-node/src/fleet_node/scopes.rs
+++ b/decide/fleet-node/src/fleet_node/scopes.rs
@@ -23,8 +23,8 @@
             return Admission::Unscoped;
         }
         let active = self.active_state(now);
-        let has_lease = active.lease > 0;
-        if active.session <= 0 {
+        let has_lease = active.lease_remaining > 0;
+        if active.session_remaining <= 0 {
             return Admission::Reject(RejectReason::NoSession);
         }
         let admission = self
@@ -56,9 +56,9 @@
     /// The settings of a function that are in effect, without a call of it; none: they may not be applied now.
     pub fn effective_settings(&self, now: Time, function: &str) -> Option<EffectiveSettings> {
         let active = self.active_state(now);
-        let has_session = active.session > 0;
+        let has_session = active.session_remaining > 0;
         self.subscriptions
-            .effective_settings(&self.config.schema, function, active.lease > 0)
+            .effective_settings(&self.config.schema, function, active.lease_remaining > 0)
             .filter(|_| has_session)
     }
 
--- a/decide/fleet-node/tests/fleet_node/version_cluster.rs
+++ b/decide/fleet-node/tests/fleet_node/version_cluster.rs
@@ -69,7 +69,7 @@
             let active = node.as_ref()?.active_state(self.now);
             let state = active
                 .state
-                .filter(|_| active.lease > 0 && active.session > 0)?;
+                .filter(|_| active.lease_remaining > 0 && active.session_remaining > 0)?;
             Some(state.in_force.version.0).filter(|_| state.next.is_none())
         };
         self.nodes.iter().map(version).collect()
--- a/decide/fleet-node/tests/fleet_node/versions.rs
+++ b/decide/fleet-node/tests/fleet_node/versions.rs
@@ -67,8 +67,8 @@
             .map(|node| node.active_state(cluster.now))
             .expect("it runs");
         (
-            active_state.lease > 0,
-            active_state.session > 0,
+            active_state.lease_remaining > 0,
+            active_state.session_remaining > 0,
             active_state.state.map(|s| s.in_force.version.0),
         )
     };
--- a/decide/fleet-node/tests/fleet_node/voters.rs
+++ b/decide/fleet-node/tests/fleet_node/voters.rs
@@ -48,7 +48,7 @@
     let active = cluster.nodes[former]
         .as_ref()
         .map(|node| node.active_state(cluster.now))
-        .map(|a| (a.lease > 0, a.session > 0));
+        .map(|a| (a.lease_remaining > 0, a.session_remaining > 0));
     assert_eq!(
         active,
         Some((false, true)),
--- a/net/fleet/src/service/queries.rs
+++ b/net/fleet/src/service/queries.rs
@@ -47,7 +47,8 @@
         let active = node.active_state(now);
         reply.name = setup.name.clone();
         reply.incarnation = setup.node.incarnation;
-        reply.ready = active.lease > 0 && active.session > 0 && active.state.is_some();
+        reply.ready =
+            active.lease_remaining > 0 && active.session_remaining > 0 && active.state.is_some();
         reply.uptime = node.active_for(now);
         reply.is_voter = node.voters().iter().any(|voter| voter.0 == setup.node.id);
         let state = active.state;
--- a/programs/gateway/src/fleet/applier.rs
+++ b/programs/gateway/src/fleet/applier.rs
@@ -106,10 +106,10 @@
         let state = active.state?;
         let applied = Applied {
             revision: state.revision.0,
-            lease: active.lease > 0,
-            session: active.session > 0,
+            lease: active.lease_remaining > 0,
+            session: active.session_remaining > 0,
         };
-        let expiries = expiries(applied, active.lease, active.session);
+        let expiries = expiries(applied, active.lease_remaining, active.session_remaining);
         let remaining: Vec<i64> = expiries.iter().map(|(remaining, _)| *remaining).collect();
         if self.applied.get() == Some(applied) && self.driver.extend_expiry(&remaining) {
             return self.error();
--- a/programs/scale/src/hollow/front_ends.rs
+++ b/programs/scale/src/hollow/front_ends.rs
@@ -259,7 +259,7 @@
         );
         let version = state.in_force.version.0;
         let before = self.in_force.borrow().get(&front_end).copied();
-        let can_act = active.lease > 0 && active.session > 0;
+        let can_act = active.lease_remaining > 0 && active.session_remaining > 0;
         if before == Some(version) || (before.is_none() && !can_act) {
             return;
         }
@@ -301,7 +301,7 @@
         for node in running.values() {
             let (lease, session) = node.with_node(|node, now| {
                 let active = node.active_state(now);
-                (active.lease > 0, active.session > 0)
+                (active.lease_remaining > 0, active.session_remaining > 0)
             });
             counters.without_lease += usize::from(!lease);
             counters.without_session += usize::from(!session);
--- a/simulation/src/fleet/process.rs
+++ b/simulation/src/fleet/process.rs
@@ -126,7 +126,7 @@
     /// What it would act on now, and by which authority; none: it knows no state, and takes no request.
     pub(super) fn acting_state(&self, now: Time) -> Option<(&FleetState, Authority)> {
         let acting = self.node.as_ref()?.active_state(self.local_time(now));
-        let authority = match (acting.lease > 0, acting.session > 0) {
+        let authority = match (acting.lease_remaining > 0, acting.session_remaining > 0) {
             (true, true) => Authority::Leased,
             (false, true) => Authority::SessionOnly,
             (_, false) => Authority::Expired,
--- a/simulation/src/scopes/audit.rs
+++ b/simulation/src/scopes/audit.rs
@@ -159,8 +159,8 @@
             round: scopes.agreed.round,
             incarnation: process.incarnation,
             scopes_changed: node.admission_changes(),
-            has_lease: acting.lease > 0,
-            has_session: acting.session > 0,
+            has_lease: acting.lease_remaining > 0,
+            has_session: acting.session_remaining > 0,
         };
         if scopes.audited[index].replace(key) == Some(key) {
             return;
