--- a/decide/fleet-node/src/fleet_node.rs
+++ b/decide/fleet-node/src/fleet_node.rs
@@ -33,9 +33,9 @@
     /// The last state that it knows; none: it has not received one.
     pub state: Option<&'a FleetState>,
     /// What remains of its lease, microseconds.
-    pub lease: Time,
+    pub lease_remaining: Time,
     /// What remains of its session, microseconds.
-    pub session: Time,
+    pub session_remaining: Time,
 }
 
 /// What the host was notified of last.
@@ -120,7 +120,7 @@
     }
 
     /// What it was started with.
-    pub fn setup(&self) -> &FleetNodeConfig {
+    pub fn config(&self) -> &FleetNodeConfig {
         &self.config
     }
 
@@ -128,8 +128,8 @@
     pub fn active_state(&self, now: Time) -> ActiveState<'_> {
         ActiveState {
             state: self.lease_node.known_state(),
-            lease: self.lease_node.remaining(now),
-            session: self.session.remaining(now),
+            lease_remaining: self.lease_node.remaining(now),
+            session_remaining: self.session.remaining(now),
         }
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// The other front ends that are up.
-    pub fn others(&self) -> impl Iterator<Item = &NodeId> {
+    pub fn other_members(&self) -> impl Iterator<Item = &NodeId> {
         self.nodes.iter()
     }
 
@@ -152,7 +152,7 @@
     }
 
     /// At any voter: the index of the last applied entry, and the log.
-    pub fn agreed(&self) -> Option<(u64, &Log)> {
+    pub fn applied_log(&self) -> Option<(u64, &Log)> {
         let controller = self.controller.as_ref()?;
         Some((controller.applied(), controller.log()?))
     }
@@ -172,7 +172,7 @@
 
     /// The voters and their addresses, as far as they are known here.
     pub fn voters(&self) -> Vec<(u64, SocketAddr)> {
-        match self.agreed() {
+        match self.applied_log() {
             Some((_, log)) => {
                 let voters = log.voters().iter();
                 voters.map(|(id, address)| (*id, *address)).collect()
@@ -183,7 +183,7 @@
 
     /// The address of a front end: by the log, then by the settings, then by membership, then by what it sent.
     pub fn address(&self, id: u64) -> Option<SocketAddr> {
-        let log = self.agreed().map(|(_, log)| log);
+        let log = self.applied_log().map(|(_, log)| log);
         let voter = log.and_then(|log| log.voters().get(&id).copied());
         let learner = || {
             log.and_then(Log::voter_replacement)
@@ -359,8 +359,8 @@
 
     fn notify_lease_and_session(&mut self, now: Time, commands: &mut Vec<Command>) {
         let active = self.active_state(now);
-        let has_lease = active.lease > 0;
-        let has_session = active.session > 0;
+        let has_lease = active.lease_remaining > 0;
+        let has_session = active.session_remaining > 0;
         if has_lease != self.notified.has_lease {
             commands.push(Command::Notify(FleetEvent::Lease { is_live: has_lease }));
         }
--- a/decide/fleet-node/src/known_nodes.rs
+++ b/decide/fleet-node/src/known_nodes.rs
@@ -19,7 +19,9 @@
     /// A directory of these processes; of two with one number the later one.
     pub fn new(processes: impl IntoIterator<Item = NodeId>) -> Directory {
         let mut nodes: Vec<NodeId> = processes.into_iter().collect();
-        nodes.sort_by(|a, b| (a.id, b.incarnation, b.life).cmp(&(b.id, a.incarnation, a.life)));
+        nodes.sort_by(|a, b| {
+            (a.id, b.incarnation, b.renewals).cmp(&(b.id, a.incarnation, a.renewals))
+        });
         nodes.dedup_by_key(|node| node.id);
         let order = nodes.iter().map(|node| node.id).collect();
         Directory { nodes, order }
@@ -52,7 +54,7 @@
     /// The others.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &NodeId> {
         let (discovered, given) = match self {
-            KnownNodes::Discovered(membership) => (Some(membership.all()), None),
+            KnownNodes::Discovered(membership) => (Some(membership.other_members()), None),
             KnownNodes::Given { id, directory } => {
                 let others = directory.nodes.iter().filter(|node| node.id != *id);
                 (None, Some(others))
@@ -67,7 +69,7 @@
     /// How many others there are.
     pub(crate) fn count(&self) -> usize {
         match self {
-            KnownNodes::Discovered(membership) => membership.count(),
+            KnownNodes::Discovered(membership) => membership.other_member_count(),
             KnownNodes::Given { id, directory } => {
                 directory.len() - usize::from(directory.position(*id).is_ok())
             }
@@ -77,9 +79,10 @@
     /// The address of one, by its position in [`KnownNodes::iter`].
     pub(crate) fn nth_address(&self, position: usize) -> Option<SocketAddr> {
         match self {
-            KnownNodes::Discovered(membership) => {
-                membership.all().nth(position).map(|node| node.address)
-            }
+            KnownNodes::Discovered(membership) => membership
+                .other_members()
+                .nth(position)
+                .map(|node| node.address),
             KnownNodes::Given { id, directory } => {
                 let is_after_self = directory.position(*id).is_ok_and(|own| own <= position);
                 let node = directory.nodes.get(position + usize::from(is_after_self));
--- a/decide/fleet-node/tests/fleet_node/cluster.rs
+++ b/decide/fleet-node/tests/fleet_node/cluster.rs
@@ -155,7 +155,7 @@
         let Some(node) = &self.nodes[index] else {
             return;
         };
-        let (from, leader) = (node.setup().node.clone(), node.leader());
+        let (from, leader) = (node.config().node.clone(), node.leader());
         let mut follow_up = Vec::new();
         for command in commands {
             match command {
@@ -302,6 +302,6 @@
 
 /// The log of the voter that knows most of it.
 pub(crate) fn latest_log(nodes: &[Option<FleetNode>]) -> Option<&Log> {
-    let logs = nodes.iter().flatten().filter_map(FleetNode::agreed);
+    let logs = nodes.iter().flatten().filter_map(FleetNode::applied_log);
     logs.max_by_key(|(applied, _)| *applied).map(|(_, log)| log)
 }
--- a/decide/fleet-node/tests/fleet_node/versions.rs
+++ b/decide/fleet-node/tests/fleet_node/versions.rs
@@ -15,7 +15,7 @@
             .nodes
             .iter()
             .flatten()
-            .all(|node| node.others().count() == 19),
+            .all(|node| node.other_members().count() == 19),
         "each knows all others"
     );
     assert_eq!(cluster.log().roster().count(), 20);
@@ -67,8 +67,8 @@
             .map(|node| node.active_state(cluster.now))
             .expect("it runs");
         (
-            active_state.lease > 0,
-            active_state.session > 0,
+            active_state.lease_remaining > 0,
+            active_state.session_remaining > 0,
             active_state.state.map(|s| s.in_force.version.0),
         )
     };
--- a/net/fleet/src/service/entries.rs
+++ b/net/fleet/src/service/entries.rs
@@ -10,7 +10,7 @@
 use tansy_agreement::compatibility::{changes, Compatibility, Fields};
 use tansy_agreement::log::{ApplyOutcome, LogEntry, Version};
 use tansy_agreement::scope::ScopeTransaction;
-use tansy_fleet_node::{number, RequestRejection};
+use tansy_fleet_node::{name_to_id, RequestRejection};
 use tansy_fleet_wire::{of_roll_entry, of_scope_request, of_settings, pb};
 use tansy_frames::grpc::Code;
 use tansy_net_sockets::within;
@@ -98,10 +98,10 @@
     transport: &FleetTransport,
     request: &pb::ReplaceVoter,
 ) -> Result<LogEntry, Rejection> {
-    let new = number(&request.new_voter);
-    let replaced = number(&request.replaced);
+    let new = name_to_id(&request.new_voter);
+    let replaced = name_to_id(&request.replaced);
     let address = transport.with_node(|node, _| {
-        let found = node.others().find(|other| other.id == new);
+        let found = node.other_members().find(|other| other.id == new);
         found.map(|other| other.address)
     });
     let address = address.ok_or_else(|| {
@@ -139,7 +139,7 @@
 fn check_no_strict_changes(transport: &FleetTransport, fields: &Fields) -> Result<(), Rejection> {
     let strict = transport.with_node(|node, now| {
         let state = node.active_state(now).state?;
-        let changes = changes(&node.setup().schema, &state.in_force.fields, fields);
+        let changes = changes(&node.config().schema, &state.in_force.fields, fields);
         let strict = changes
             .into_iter()
             .filter(|change| change.compatibility == Compatibility::Strict);
--- a/net/fleet/src/service/queries.rs
+++ b/net/fleet/src/service/queries.rs
@@ -43,11 +43,12 @@
         dropped: transport.dropped(),
     });
     transport.with_node(|node, now| {
-        let setup = node.setup();
+        let setup = node.config();
         let active = node.active_state(now);
         reply.name = setup.name.clone();
         reply.incarnation = setup.node.incarnation;
-        reply.ready = active.lease > 0 && active.session > 0 && active.state.is_some();
+        reply.ready =
+            active.lease_remaining > 0 && active.session_remaining > 0 && active.state.is_some();
         reply.uptime = node.active_for(now);
         reply.is_voter = node.voters().iter().any(|voter| voter.0 == setup.node.id);
         let state = active.state;
@@ -66,7 +67,9 @@
     let request: pb::RolloutRequest = decode(bytes)?;
     check_fleet(transport, request.fleet, fleet)?;
     transport.with_node(|node, _| {
-        let (_, log) = node.agreed().ok_or_else(|| Rejection::not_a_voter(node))?;
+        let (_, log) = node
+            .applied_log()
+            .ok_or_else(|| Rejection::not_a_voter(node))?;
         let (label, path) = log.program().unwrap_or_default();
         let rollout = log.rollout();
         let reply = pb::RolloutReply {
@@ -92,7 +95,9 @@
         )));
     }
     transport.with_node(|node, now| {
-        let (_, log) = node.agreed().ok_or_else(|| Rejection::not_a_voter(node))?;
+        let (_, log) = node
+            .applied_log()
+            .ok_or_else(|| Rejection::not_a_voter(node))?;
         let catalog = log.catalog();
         let named = |name: String| pb::NamedFunction {
             record: catalog.get(&name).map(scoped),
--- a/net/fleet/src/service/status.rs
+++ b/net/fleet/src/service/status.rs
@@ -17,7 +17,7 @@
 }
 
 fn status_reply(transport: &FleetTransport, node: &FleetNode, now: Time) -> pb::StatusReply {
-    let setup = node.setup();
+    let setup = node.config();
     let active = node.active_state(now);
     let voters = node.voters();
     let blockers = node.change_blockers(now);
@@ -34,9 +34,9 @@
         is_leader: node.log().is_some(),
         voter_replacement: voter_replacement(node),
         state: active.state.map(state),
-        lease_remaining: active.lease,
-        session_remaining: active.session,
-        other_members: node.others().map(process).collect(),
+        lease_remaining: active.lease_remaining,
+        session_remaining: active.session_remaining,
+        other_members: node.other_members().map(process).collect(),
         conflicting: conflicting_calls(node, &active),
         roster: roster(node),
         blocked_by_leases: waits_for_leases,
@@ -48,7 +48,7 @@
 }
 
 fn voter_replacement(node: &FleetNode) -> Option<pb::VoterReplacement> {
-    let (_, log) = node.agreed()?;
+    let (_, log) = node.applied_log()?;
     let replacement = log.voter_replacement()?;
     let replaced = node.address(replacement.replaced);
     Some(pb::VoterReplacement {
@@ -61,7 +61,7 @@
 }
 
 fn conflicting_calls(node: &FleetNode, active: &ActiveState<'_>) -> Vec<pb::ConflictingCalls> {
-    let schema = &node.setup().schema;
+    let schema = &node.config().schema;
     let conflicts = active.state.map(|state| state.conflicting_fields(schema));
     let mut calls: Vec<String> = conflicts
         .unwrap_or_default()
--- a/net/fleet/src/transport.rs
+++ b/net/fleet/src/transport.rs
@@ -140,10 +140,10 @@
         let (admission, deadline) = {
             let mut node = self.node.borrow_mut();
             let now = clock::now();
-            let scopes_before = node.scopes_changed();
+            let scopes_before = node.admission_changes();
             let mut admission = node.admit(now, function, &mut commands);
             // The leader answers its own subscription at once.
-            if admission == Admission::Wait && node.scopes_changed() != scopes_before {
+            if admission == Admission::Wait && node.admission_changes() != scopes_before {
                 admission = node.admit(now, function, &mut commands);
             }
             (admission, node.next_deadline())
@@ -186,7 +186,7 @@
         traffic.received += 1;
         traffic.received_bytes += bytes.len() as u64;
         self.traffic.set(traffic);
-        let fleet = self.node.borrow().setup().fleet;
+        let fleet = self.node.borrow().config().fleet;
         let (from, leader, body) = decode_message(fleet, bytes)?;
         self.drive(|node, now, commands| node.on_message(now, &from, leader, body, commands));
         Ok(())
@@ -267,7 +267,7 @@
     fn send(self: &Rc<Self>, to: SocketAddr, body: MessageBody) {
         let bytes = {
             let node = self.node.borrow();
-            let setup = node.setup();
+            let setup = node.config();
             encode_message(setup.fleet, &setup.node, node.leader(), body)
         };
         let size = bytes.len();
