--- a/decide/dispatch/src/request_table/attempts.rs
+++ b/decide/dispatch/src/request_table/attempts.rs
@@ -40,7 +40,7 @@
         &mut self,
         id: CallId,
         worker: WorkerId,
-        give_up: Option<Time>,
+        abandon_at: Option<Time>,
         commands: &mut Vec<Command>,
     ) {
         let name = self.worker_name(worker);
@@ -67,13 +67,13 @@
             AttemptTimeout::HeadersSent,
             headers_due,
         );
-        if let Some(at) = give_up {
-            let give_up = TimerEvent::Attempt {
+        if let Some(at) = abandon_at {
+            let abandon = TimerEvent::Attempt {
                 call: id,
                 attempt: number,
                 timeout: AttemptTimeout::Ended,
             };
-            self.timers.set(at.0, give_up);
+            self.timers.set(at.0, abandon);
         }
         self.counters.attempts += 1;
         commands.push(Command::SendAttempt {
--- a/decide/dispatch/src/request_table/routing.rs
+++ b/decide/dispatch/src/request_table/routing.rs
@@ -21,8 +21,8 @@
             Action::Send {
                 request,
                 worker,
-                give_up,
-            } => self.send_attempt(CallId(request.0), worker, give_up, commands),
+                abandon_at,
+            } => self.send_attempt(CallId(request.0), worker, abandon_at, commands),
             Action::Reject { request, stay_away } => {
                 let id = CallId(request.0);
                 let retry_after = self.retry_advice(id, stay_away);
--- a/simulator-adapter/src/command.rs
+++ b/simulator-adapter/src/command.rs
@@ -11,8 +11,8 @@
         Action::Send {
             request,
             worker,
-            give_up,
-        } => send(number, owner, request, worker, give_up),
+            abandon_at,
+        } => send(number, owner, request, worker, abandon_at),
         Action::Reject { request, stay_away } => reject(number, request, stay_away),
         Action::Fail { request } => Command::Fail {
             front_end,
--- a/src/action.rs
+++ b/src/action.rs
@@ -13,7 +13,7 @@
         /// The worker to send it to.
         worker: WorkerId,
         /// When to abandon the attempt; none: at the client's deadline.
-        give_up: Option<Time>,
+        abandon_at: Option<Time>,
     },
     /// Final answer: refused. The client may safely try again.
     Reject {
--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -139,7 +139,7 @@
         actions.push(Action::Send {
             request: request_id,
             worker: worker_id,
-            give_up: None,
+            abandon_at: None,
         });
     }
 }
