--- a/decide/dispatch/src/request_table/routing.rs
+++ b/decide/dispatch/src/request_table/routing.rs
@@ -23,9 +23,12 @@
                 worker,
                 abandon_at,
             } => self.send_attempt(CallId(request.0), worker, abandon_at, commands),
-            Action::Reject { request, stay_away } => {
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
                 let id = CallId(request.0);
-                let retry_after = self.retry_advice(id, stay_away);
+                let retry_after = self.retry_advice(id, retry_after);
                 self.answer(id, Answer::Refused { retry_after }, commands)
             }
             Action::Fail { request } => {
--- a/simulator-adapter/src/command.rs
+++ b/simulator-adapter/src/command.rs
@@ -13,7 +13,10 @@
             worker,
             abandon_at,
         } => send(number, owner, request, worker, abandon_at),
-        Action::Reject { request, stay_away } => reject(number, request, stay_away),
+        Action::Reject {
+            request,
+            retry_after,
+        } => reject(number, request, retry_after),
         Action::Fail { request } => Command::Fail {
             front_end,
             request: request.0,
--- a/src/action.rs
+++ b/src/action.rs
@@ -20,7 +20,7 @@
         /// The request.
         request: RequestId,
         /// How long the client is advised to wait before it tries again; 0: no advice.
-        stay_away: Micros,
+        retry_after: Micros,
     },
     /// Final answer: failed. The request may have run.
     Fail {
--- a/src/router/request.rs
+++ b/src/router/request.rs
@@ -107,7 +107,7 @@
         actions.push(if self.may_refuse(request) {
             Action::Reject {
                 request: request_id,
-                stay_away: 0,
+                retry_after: 0,
             }
         } else {
             Action::Fail {
--- a/tests/router/queue.rs
+++ b/tests/router/queue.rs
@@ -157,7 +157,7 @@
     harness.arrive(1, 9, 0, 30_000 * MS);
     let refused = Action::Reject {
         request: RequestId(1),
-        stay_away: 0,
+        retry_after: 0,
     };
     assert!(
         !harness.advance(500 * MS).contains(&refused),
--- a/tests/router/requests.rs
+++ b/tests/router/requests.rs
@@ -31,7 +31,7 @@
     let actions = harness.advance(300 * MS);
     assert!(actions.contains(&Action::Reject {
         request: RequestId(1),
-        stay_away: 0
+        retry_after: 0
     }));
 }
 
@@ -108,7 +108,7 @@
             assert!(
                 actions.contains(&Action::Reject {
                     request,
-                    stay_away: 0
+                    retry_after: 0
                 }),
                 "{actions:?}"
             );
