--- a/benches/state/src/dispatch_workload/router.rs
+++ b/benches/state/src/dispatch_workload/router.rs
@@ -27,7 +27,7 @@
         lanes: 1,
         memory_mb: 256.0,
         load_time: Some(LOAD),
-        repeat: false,
+        is_client_retry: false,
     }
 }
 
--- a/decide/dispatch/src/request_table/admission.rs
+++ b/decide/dispatch/src/request_table/admission.rs
@@ -26,7 +26,7 @@
         lanes: spec.lanes,
         memory_mb: spec.memory_mb,
         load_time: spec.load_time,
-        repeat: call.repeat,
+        is_client_retry: call.repeat,
     }
 }
 
--- a/simulator-adapter/src/event.rs
+++ b/simulator-adapter/src/event.rs
@@ -87,7 +87,7 @@
         load_time: arrival
             .load_time_ms
             .map(|milliseconds| micros(milliseconds / 1e3)),
-        repeat: arrival.flags & IS_CLIENT_RETRY != 0,
+        is_client_retry: arrival.flags & IS_CLIENT_RETRY != 0,
     }))
 }
 
--- a/src/event.rs
+++ b/src/event.rs
@@ -73,7 +73,7 @@
     /// The usual time of a load, roughly, if it is stated.
     pub load_time: Option<Micros>,
     /// Whether it is a client's own retry, where clients mark these.
-    pub repeat: bool,
+    pub is_client_retry: bool,
 }
 
 /// The end of an attempt.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -21,7 +21,7 @@
 //! router.handle(now, Event::Workers { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
 //! router.handle(now, Event::Arrival(Arrival { request: RequestId(1), function: FunctionId(9), class: 0,
 //!     tenant: 0, budget: 5_000_000, work_hint: None, lanes: 1, memory_mb: 300.0, load_time: None,
-//!     repeat: false }), &mut actions);
+//!     is_client_retry: false }), &mut actions);
 //! // No instance is known yet: the router asks for a load, and the call waits meanwhile.
 //! assert!(actions.iter().any(|action| matches!(action, Action::Load { worker: WorkerId(1), .. })));
 //! ```
--- a/tests/cold_ramp/simulation.rs
+++ b/tests/cold_ramp/simulation.rs
@@ -391,6 +391,6 @@
         lanes: 2,
         memory_mb: 400.0,
         load_time: None,
-        repeat: false,
+        is_client_retry: false,
     })
 }
--- a/tests/odd_events/sequence.rs
+++ b/tests/odd_events/sequence.rs
@@ -135,7 +135,7 @@
             lanes: rng.u32(0..3),
             memory_mb: f64::NAN,
             load_time: rng.bool().then(|| rng.i64(-5..900) * MS),
-            repeat: false,
+            is_client_retry: false,
         })
     }
 
--- a/tests/router/harness.rs
+++ b/tests/router/harness.rs
@@ -88,7 +88,7 @@
             lanes: 1,
             memory_mb: 300.0,
             load_time: Some(500 * MS),
-            repeat: false,
+            is_client_retry: false,
         }))
     }
 
--- a/tests/router/queue.rs
+++ b/tests/router/queue.rs
@@ -54,7 +54,7 @@
             lanes: 2,
             memory_mb: 300.0,
             load_time: Some(50 * MS),
-            repeat: false,
+            is_client_retry: false,
         }))
     }
 
--- a/tests/router/requests.rs
+++ b/tests/router/requests.rs
@@ -236,7 +236,7 @@
             lanes: 0,
             memory_mb: f64::NAN,
             load_time: Some(i64::MAX),
-            repeat: true,
+            is_client_retry: true,
         }));
         harness.end_load(WorkerId(1 + i as u64), 1, Outcome::Served);
     }
