--- a/benches/state/src/dispatch_workload/router.rs
+++ b/benches/state/src/dispatch_workload/router.rs
@@ -98,7 +98,7 @@
         let instance_status = if sent.warm {
             InstanceStatus::Warm
         } else {
-            InstanceStatus::BeganLoad
+            InstanceStatus::StartedLoad
         };
         let result = AttemptResult {
             request: RequestId(sent.call),
--- a/decide/dispatch/src/outcome.rs
+++ b/decide/dispatch/src/outcome.rs
@@ -263,9 +263,9 @@
 impl From<CacheStatus> for tansyrouter::InstanceStatus {
     fn from(status: CacheStatus) -> tansyrouter::InstanceStatus {
         match status {
-            CacheStatus::Unreported => tansyrouter::InstanceStatus::Silent,
+            CacheStatus::Unreported => tansyrouter::InstanceStatus::Unreported,
             CacheStatus::Warm => tansyrouter::InstanceStatus::Warm,
-            CacheStatus::StartedLoad => tansyrouter::InstanceStatus::BeganLoad,
+            CacheStatus::StartedLoad => tansyrouter::InstanceStatus::StartedLoad,
             CacheStatus::AwaitedLoad => tansyrouter::InstanceStatus::AwaitedLoad,
             CacheStatus::LoadFailed => tansyrouter::InstanceStatus::LoadFailed,
         }
--- a/simulator-adapter/src/event.rs
+++ b/simulator-adapter/src/event.rs
@@ -124,10 +124,10 @@
 fn instance_status(instance_code: u32) -> InstanceStatus {
     match instance_code % INSTANCE_STATUSES {
         1 => InstanceStatus::Warm,
-        2 => InstanceStatus::BeganLoad,
+        2 => InstanceStatus::StartedLoad,
         3 => InstanceStatus::AwaitedLoad,
         4 => InstanceStatus::LoadFailed,
-        _ => InstanceStatus::Silent,
+        _ => InstanceStatus::Unreported,
     }
 }
 
--- a/src/event.rs
+++ b/src/event.rs
@@ -40,11 +40,11 @@
 pub enum InstanceStatus {
     /// Nothing.
     #[default]
-    Silent,
+    Unreported,
     /// An instance was loaded already.
     Warm,
     /// The call started a load.
-    BeganLoad,
+    StartedLoad,
     /// The call waited for a load that had started before it.
     AwaitedLoad,
     /// The load failed.
--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -67,7 +67,7 @@
             ran: matches!(result.outcome, Outcome::Served | Outcome::Error),
             warm: matches!(
                 result.instance_status,
-                InstanceStatus::Warm | InstanceStatus::Silent
+                InstanceStatus::Warm | InstanceStatus::Unreported
             ),
             took: result.latency.max(0) as f64,
             expected: self.expected_service(request),
--- a/tests/cold_ramp/simulation.rs
+++ b/tests/cold_ramp/simulation.rs
@@ -328,7 +328,7 @@
             instance_status: if outcome == Outcome::Served {
                 InstanceStatus::Warm
             } else {
-                InstanceStatus::Silent
+                InstanceStatus::Unreported
             },
             concurrency: Some(call.concurrency),
             report: Some(LoadReport {
--- a/tests/router/loading.rs
+++ b/tests/router/loading.rs
@@ -80,7 +80,7 @@
                         outcome: Outcome::NotLoaded,
                         concluded: true,
                         latency: 100,
-                        instance_status: InstanceStatus::Silent,
+                        instance_status: InstanceStatus::Unreported,
                         concurrency: None,
                         report: None,
                     };
