--- a/benches/state/src/inputs.rs
+++ b/benches/state/src/inputs.rs
@@ -7,7 +7,7 @@
 use tansy_dispatch::{
     Call, CallId, DispatchConfig, FunctionShape, FunctionSpec, WorkerRecord, WorkerState,
 };
-use tansyrouter::{Class, Effect, Group, Micros, Settings, SECOND};
+use tansyrouter::{Class, DedupGroup, Effect, Micros, Settings, SECOND};
 
 /// Classes of calls.
 pub const CLASSES: usize = 8;
@@ -93,7 +93,7 @@
 /// The decision module's settings of a front end among so many.
 pub fn settings(front_ends: usize) -> Settings {
     let keyed = Effect::Keyed {
-        group: Group::All,
+        group: DedupGroup::All,
         window: KEY_WINDOW,
     };
     let class = |class: usize| Class {
--- a/decide/dispatch/tests/guards.rs
+++ b/decide/dispatch/tests/guards.rs
@@ -8,7 +8,7 @@
     Answer, AttemptOutcome, Call, CallId, Command, DenialReason, DispatchConfig, Dispatcher,
     FunctionSpec, Input, ResponseStage, Trailers, WorkerState,
 };
-use tansyrouter::{Effect, Group, Micros, Settings, Time, SECOND};
+use tansyrouter::{DedupGroup, Effect, Micros, Settings, Time, SECOND};
 
 const WINDOW: Micros = SECOND;
 const CALL: CallId = CallId(1);
@@ -123,7 +123,7 @@
 #[test]
 fn a_repeat_may_leave_only_while_repeats_are_dropped() {
     let keyed = Effect::Keyed {
-        group: Group::All,
+        group: DedupGroup::All,
         window: WINDOW,
     };
     for (effect, ran) in [(keyed, true), (keyed, false), (Effect::Safe, true)] {
--- a/decide/dispatch/tests/invariants.rs
+++ b/decide/dispatch/tests/invariants.rs
@@ -1,7 +1,7 @@
 //! The check at run time counts each rule that does not hold, and nothing else.
 
 use tansy_dispatch::{CallId, InvariantChecker, Violation};
-use tansyrouter::{Effect, Group, Micros, Time, SECOND};
+use tansyrouter::{DedupGroup, Effect, Micros, Time, SECOND};
 
 const CALL: CallId = CallId(1);
 const MS: Micros = 1000;
@@ -57,7 +57,7 @@
 #[test]
 fn a_keyed_call_sent_again_after_its_window_is_counted() {
     let keyed = Effect::Keyed {
-        group: Group::All,
+        group: DedupGroup::All,
         window: WINDOW,
     };
     for (at, expected) in [
--- a/decide/dispatch/tests/support/four_classes.rs
+++ b/decide/dispatch/tests/support/four_classes.rs
@@ -2,7 +2,7 @@
 
 use super::class;
 use tansy_dispatch::{DispatchConfig, FunctionSpec};
-use tansyrouter::{Class, Effect, Group, Settings, SECOND};
+use tansyrouter::{Class, DedupGroup, Effect, Settings, SECOND};
 
 /// The functions; each is of the class of its name.
 pub const NAMES: [&str; 4] = ["safe", "keyed", "unsafe", "stream"];
@@ -14,7 +14,7 @@
         ..class(effect, SECOND / 2, 2 * SECOND)
     };
     let keyed = Effect::Keyed {
-        group: Group::All,
+        group: DedupGroup::All,
         window: 30 * SECOND,
     };
     let classes = vec![
--- a/protocol/conf/src/convert.rs
+++ b/protocol/conf/src/convert.rs
@@ -93,9 +93,9 @@
 
 fn router_class(class: &Class) -> Result<router::Class, SettingsError> {
     let group = match class.group.as_str() {
-        "zone" => router::Group::Zone,
-        "cell" => router::Group::Cell,
-        _ => router::Group::All,
+        "zone" => router::DedupGroup::Zone,
+        "cell" => router::DedupGroup::Cell,
+        _ => router::DedupGroup::All,
     };
     let effect = match class.effect.as_str() {
         "read_like" => router::Effect::Safe,
--- a/settings/src/read/classes.rs
+++ b/settings/src/read/classes.rs
@@ -38,9 +38,9 @@
 fn effect(record: RecordReader<'_>) -> Option<router::Effect> {
     let window = record.int("window")?;
     let group = match record.text("group")? {
-        "zone" => router::Group::Zone,
-        "cell" => router::Group::Cell,
-        _ => router::Group::All,
+        "zone" => router::DedupGroup::Zone,
+        "cell" => router::DedupGroup::Cell,
+        _ => router::DedupGroup::All,
     };
     Some(match record.text("effect")? {
         "keyed" => router::Effect::Keyed { group, window },
--- a/settings/tests/settings.rs
+++ b/settings/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use tansy_dispatch::WorkerState;
 use tansy_settings::{settings, workers};
-use tansyrouter::{Effect, Group};
+use tansyrouter::{DedupGroup, Effect};
 
 const FULL: &str = r#"
 // A pool of two rooms.
@@ -47,7 +47,7 @@
     assert_eq!(
         router.classes[2].effect,
         Effect::Keyed {
-            group: Group::Zone,
+            group: DedupGroup::Zone,
             window: 30_000_000
         }
     );
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -39,7 +39,7 @@
 pub use id::{FunctionId, RequestId, WorkerId};
 pub use router::Router;
 pub use settings::{
-    Class, Effect, Group, InvalidSettings, LoadBudget, MissPolicy, Reports, Settings, Tenant,
+    Class, DedupGroup, Effect, InvalidSettings, LoadBudget, MissPolicy, Reports, Settings, Tenant,
 };
 pub use time::{Micros, Time, SECOND};
 pub use worker::{ListKind, LoadReport, WorkerEntry, WorkerState};
--- a/src/router/retry.rs
+++ b/src/router/retry.rs
@@ -2,7 +2,7 @@
 
 use super::request::{Attempt, Request};
 use super::Router;
-use crate::{Effect, Group, Time, WorkerEntry};
+use crate::{DedupGroup, Effect, Time, WorkerEntry};
 
 impl Router {
     /// Rule 2: whether a further attempt is allowed, at this worker or (none) at any.
@@ -34,7 +34,7 @@
             self.settings.classes[request.class].effect,
             Effect::Safe
                 | Effect::Keyed {
-                    group: Group::All,
+                    group: DedupGroup::All,
                     ..
                 }
         );
@@ -43,10 +43,10 @@
 }
 
 /// Whether a worker drops repeats of what this attempt may have run.
-fn shares_group(attempt: &Attempt, group: Group, target: Option<&WorkerEntry>) -> bool {
+fn shares_group(attempt: &Attempt, group: DedupGroup, target: Option<&WorkerEntry>) -> bool {
     match (group, target) {
-        (Group::Zone, Some(target)) => attempt.worker.zone == target.zone,
-        (Group::Cell, Some(target)) => attempt.worker.cell == target.cell,
+        (DedupGroup::Zone, Some(target)) => attempt.worker.zone == target.zone,
+        (DedupGroup::Cell, Some(target)) => attempt.worker.cell == target.cell,
         _ => true,
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -4,7 +4,7 @@
 
 /// The workers among which repeats of a keyed request are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupGroup {
     /// Every worker.
     All,
     /// The workers of one zone.
@@ -21,7 +21,7 @@
     /// A group of workers drops repeats for `window` after the first attempt that may have run was sent.
     Keyed {
         /// The workers that share knowledge of repeats.
-        group: Group,
+        group: DedupGroup,
         /// How long repeats are dropped.
         window: Micros,
     },
--- a/tests/compatibility/tests/text_wires.rs
+++ b/tests/compatibility/tests/text_wires.rs
@@ -116,7 +116,7 @@
 
 /// The classes of `fixtures/platform.json`.
 fn expected_classes() -> Vec<tansyrouter::Class> {
-    use tansyrouter::{Class, Effect, Group};
+    use tansyrouter::{Class, DedupGroup, Effect};
     let class = |deadline, effect| Class {
         latency_objective: 1_000_000,
         objective_per_work: 0.0,
@@ -136,8 +136,8 @@
             streamed: true,
             ..class(2_500_000, Effect::Safe)
         },
-        class(3_000_000, keyed(Group::Zone, 5_000_000)),
-        class(3_000_000, keyed(Group::Cell, 0)),
+        class(3_000_000, keyed(DedupGroup::Zone, 5_000_000)),
+        class(3_000_000, keyed(DedupGroup::Cell, 0)),
         class(4_000_000, Effect::Unsafe),
     ]
 }
--- a/tests/odd_events/checker.rs
+++ b/tests/odd_events/checker.rs
@@ -48,9 +48,9 @@
                     );
                     let first = &workers[&earlier.worker];
                     assert!(match group {
-                        Group::All => true,
-                        Group::Zone => first.zone == entry.zone,
-                        Group::Cell => first.cell == entry.cell,
+                        DedupGroup::All => true,
+                        DedupGroup::Zone => first.zone == entry.zone,
+                        DedupGroup::Cell => first.cell == entry.cell,
                     });
                 }
             }
@@ -63,7 +63,7 @@
             self.effect,
             Effect::Safe
                 | Effect::Keyed {
-                    group: Group::All,
+                    group: DedupGroup::All,
                     ..
                 }
         )
--- a/tests/odd_events/sequence.rs
+++ b/tests/odd_events/sequence.rs
@@ -218,7 +218,7 @@
 }
 
 fn settings(rng: &mut fastrand::Rng) -> Settings {
-    let groups = [Group::All, Group::Zone, Group::Cell];
+    let groups = [DedupGroup::All, DedupGroup::Zone, DedupGroup::Cell];
     let class = |effect, rng: &mut fastrand::Rng| Class {
         latency_objective: 500 * MS,
         objective_per_work: 0.0,
--- a/tests/router/queue.rs
+++ b/tests/router/queue.rs
@@ -174,7 +174,7 @@
 
     // Sent once, and from a moment on not to be sent again, with its aim far off.
     let mut set = settings_with(Effect::Keyed {
-        group: Group::Zone,
+        group: DedupGroup::Zone,
         window: 3 * SECOND,
     });
     (set.classes[0].latency_objective, set.classes[0].deadline) = (5 * SECOND, 60 * SECOND);
--- a/tests/router/requests.rs
+++ b/tests/router/requests.rs
@@ -150,9 +150,9 @@
 #[test]
 fn a_keyed_call_is_repeated_within_its_group_and_window_only() {
     for (group, window, late) in [
-        (Group::Zone, 4_000, false),
-        (Group::Cell, 4_000, false),
-        (Group::All, 600, true),
+        (DedupGroup::Zone, 4_000, false),
+        (DedupGroup::Cell, 4_000, false),
+        (DedupGroup::All, 600, true),
     ] {
         let mut harness = Harness::new(settings_with(Effect::Keyed {
             group,
@@ -169,7 +169,7 @@
             if let Some(worker) = sent_to(&actions) {
                 assert!(!late, "out of its window");
                 assert!(
-                    worker == first || group == Group::Zone && worker.0 % 2 == first.0 % 2,
+                    worker == first || group == DedupGroup::Zone && worker.0 % 2 == first.0 % 2,
                     "{group:?}: {worker:?}"
                 );
                 break;
@@ -179,7 +179,7 @@
         }
         let refused = actions.iter().any(|a| matches!(a, Action::Reject { .. }));
         assert!(
-            !refused || group == Group::All,
+            !refused || group == DedupGroup::All,
             "{group:?} may have run: no refusal"
         );
     }
