--- a/benches/state/src/dispatch_costs.rs
+++ b/benches/state/src/dispatch_costs.rs
@@ -31,7 +31,7 @@
     WorkerEntry {
         worker: WorkerId(number as u64),
         cell: inputs::cell(number),
-        share: 1.0,
+        relative_size: 1.0,
         ..WorkerEntry::default()
     }
 }
--- a/decide/dispatch/src/request_table/workers.rs
+++ b/decide/dispatch/src/request_table/workers.rs
@@ -33,7 +33,7 @@
                 zone: record.zone,
                 state: record.state,
                 started,
-                share: record.relative_size,
+                relative_size: record.relative_size,
             });
         }
         if full {
--- a/simulator-adapter/src/event.rs
+++ b/simulator-adapter/src/event.rs
@@ -68,7 +68,7 @@
         zone: listed.zone,
         state,
         started: (started != Time(0)).then_some(started),
-        share: listed.share,
+        relative_size: listed.share,
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,7 +17,7 @@
 //! let now = Time(0);
 //! let mut router = Router::new(Settings::default(), 7, now).expect("settings make sense");
 //! let entry = WorkerEntry { worker: WorkerId(1), kind: 0, cell: 0, zone: 0, state: WorkerState::Ready,
-//!     started: None, share: 1.0 };
+//!     started: None, relative_size: 1.0 };
 //! router.handle(now, Event::Workers { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
 //! router.handle(now, Event::Arrival(Arrival { request: RequestId(1), function: FunctionId(9), class: 0,
 //!     tenant: 0, budget: 5_000_000, work_hint: None, lanes: 1, memory_mb: 300.0, load_time: None,
--- a/src/router/workers.rs
+++ b/src/router/workers.rs
@@ -104,8 +104,8 @@
     }
 
     fn update_worker(&mut self, now: Time, mut entry: WorkerEntry) {
-        if !(entry.share.is_finite() && entry.share > 0.0) {
-            entry.share = 1.0;
+        if !(entry.relative_size.is_finite() && entry.relative_size > 0.0) {
+            entry.relative_size = 1.0;
         }
         let worker_id = entry.worker;
         let former = self.workers.remove(&worker_id);
@@ -142,7 +142,10 @@
 
     /// The totals over ready workers, and what was derived from the list before.
     fn update_fleet_size(&mut self) {
-        let shares = || self.ready_workers().map(|(_, worker)| worker.entry.share);
+        let shares = || {
+            self.ready_workers()
+                .map(|(_, worker)| worker.entry.relative_size)
+        };
         let total_share = shares().sum();
         let largest_share = shares().fold(0.0, f64::max);
         let ready_count = self.ready_workers().count() as f64;
@@ -185,7 +188,7 @@
         let carried = self.recent_work.sum / self.observed_window(now) / busy;
         let kind_slowness = self.kind_slowness(worker.entry.kind);
         let relative_slowness = (kind_slowness / self.kind_slowness(ALL_KINDS)).max(1.0);
-        let capacity = carried / relative_slowness * worker.entry.share;
+        let capacity = carried / relative_slowness * worker.entry.relative_size;
         let one_core = 1.0 / settings.front_ends as f64;
         Some(settings.overload_multiple * warm_part * capacity.max(one_core) / SLOW_START_MARGIN)
     }
@@ -244,6 +247,6 @@
     /// Harm: chance in few answers.
     pub(super) fn capacity_weight(&self, worker: &Worker) -> f64 {
         let kind_slowness = self.kind_slowness(worker.entry.kind);
-        worker.entry.share / worker.service_ratio.slowness(kind_slowness)
+        worker.entry.relative_size / worker.service_ratio.slowness(kind_slowness)
     }
 }
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -31,7 +31,7 @@
     /// When its process last started; none: long ago.
     pub started: Option<Time>,
     /// Its size in proportion to the other workers' sizes.
-    pub share: f64,
+    pub relative_size: f64,
 }
 
 /// How the entries of a list relate to the list that the router has.
--- a/tests/cold_ramp/simulation.rs
+++ b/tests/cold_ramp/simulation.rs
@@ -168,7 +168,7 @@
                 WorkerState::Ready
             },
             started: worker.started,
-            share: 1.0,
+            relative_size: 1.0,
         };
         Event::Workers {
             kind: ListKind::Full,
--- a/tests/odd_events/sequence.rs
+++ b/tests/odd_events/sequence.rs
@@ -114,7 +114,7 @@
                 _ => WorkerState::Ready,
             },
             started: rng.bool().then(|| now.plus(-rng.i64(0..20_000) * MS)),
-            share: [1.0, 2.0, 0.0, f64::NAN][rng.usize(0..4)],
+            relative_size: [1.0, 2.0, 0.0, f64::NAN][rng.usize(0..4)],
         }
     }
 
--- a/tests/router/harness.rs
+++ b/tests/router/harness.rs
@@ -11,7 +11,7 @@
         worker: WorkerId(id),
         state,
         started,
-        share: 1.0,
+        relative_size: 1.0,
         cell: id,
         zone: id as usize % 2,
         kind: 0,
