--- a/benches/state/src/workers.rs
+++ b/benches/state/src/workers.rs
@@ -139,7 +139,7 @@
             instance_counts: vec![0; args.functions],
             last_called: vec![None; args.functions],
             rejects_misses: args.miss,
-            idle_life: front_end::settings(args, 0).idle_life,
+            idle_life: front_end::settings(args, 0).idle_timeout,
             connections: connection_pools(workers),
             commands: Vec::new(),
             calls: CallCounters::default(),
--- a/decide/dispatch/src/request_table/functions.rs
+++ b/decide/dispatch/src/request_table/functions.rs
@@ -53,7 +53,7 @@
     pub(super) fn remove_unused_names(&mut self) {
         let settings = &self.config.settings;
         let retention = settings
-            .idle_life
+            .idle_timeout
             .saturating_mul(UNUSED_IDLE_LIVES)
             .max(settings.load_timeout)
             + UNUSED_MARGIN;
--- a/decide/dispatch/src/request_table/queries.rs
+++ b/decide/dispatch/src/request_table/queries.rs
@@ -79,13 +79,13 @@
 
     /// The functions in the order of the settings, each with its believed state: `READY`, `LOADING` or `UNAVAILABLE`.
     pub fn function_states(&self) -> Vec<(&FunctionSpec, &'static str)> {
-        let idle_life = self.config.settings.idle_life;
+        let idle_timeout = self.config.settings.idle_timeout;
         let state = |spec: &FunctionSpec| {
             let activity = self
                 .function_names
                 .find(&spec.name)
                 .and_then(|id| self.function_activity.get(&FunctionId(id)));
-            let recent = |at: Time| self.now.since(at) < idle_life;
+            let recent = |at: Time| self.now.since(at) < idle_timeout;
             match activity {
                 Some(activity) if activity.warm_at.is_some_and(recent) => "READY",
                 Some(activity) if activity.loading > 0 => "LOADING",
--- a/decide/dispatch/tests/request_table.rs
+++ b/decide/dispatch/tests/request_table.rs
@@ -252,7 +252,7 @@
         "{}",
         dispatcher.counters()
     );
-    let kept = (4 * dispatcher.config().settings.idle_life / SECOND) as usize + 10;
+    let kept = (4 * dispatcher.config().settings.idle_timeout / SECOND) as usize + 10;
     assert!(
         most.0 <= kept && most.1 <= 3,
         "{most:?} of 400 functions and workers"
--- a/programs/worker/src/lib.rs
+++ b/programs/worker/src/lib.rs
@@ -157,7 +157,7 @@
         name: arguments.name.clone(),
         functions: front.functions.iter().map(function).collect(),
         memory_mb: arguments.memory_mb,
-        idle_life: front.settings.idle_life,
+        idle_life: front.settings.idle_timeout,
         loads: arguments.loads.max(1),
         queue: arguments.queue,
         when_absent: match front.settings.miss_policy {
--- a/settings/src/read/router.rs
+++ b/settings/src/read/router.rs
@@ -36,7 +36,7 @@
         max_open_requests: usize::try_from(front.int("max_held")?).ok()?,
         connect_timeout: worker.int("connect_timeout")?,
         miss_policy: miss_policy(worker)?,
-        idle_life: worker.int("idle_life")?,
+        idle_timeout: worker.int("idle_life")?,
         load_timeout: worker.int("order_timeout")?,
         load_budget: load_budget(worker)?,
         reports_warm: worker.flag("tells_warm")?,
--- a/src/router/estimate.rs
+++ b/src/router/estimate.rs
@@ -236,7 +236,7 @@
 
     /// The window over which rates are taken, microseconds.
     pub(super) fn rate_window(&self) -> f64 {
-        (self.settings.idle_life.max(SECOND) * RATE_WINDOW_IDLE_LIVES) as f64
+        (self.settings.idle_timeout.max(SECOND) * RATE_WINDOW_IDLE_LIVES) as f64
     }
 
     /// The part of the rate window that has passed since the router started. It is at least half an idle life,
@@ -245,6 +245,6 @@
         let window = self.rate_window();
         let age = now.since(self.started_at) as f64;
         let passed = window * (1.0 - (-age / window).exp());
-        passed.max(self.settings.idle_life.max(SECOND) as f64 / 2.0)
+        passed.max(self.settings.idle_timeout.max(SECOND) as f64 / 2.0)
     }
 }
--- a/src/router/instances.rs
+++ b/src/router/instances.rs
@@ -179,7 +179,7 @@
     pub(super) fn is_warm(&self, worker: &Worker, instance: &Instance, now: Time) -> bool {
         let started = worker.entry.started;
         let restarted = started.is_some_and(|started| started > instance.last_evidence);
-        let trusted = (self.settings.idle_life as f64 * TRUSTED_IDLE_LIFE) as Micros;
+        let trusted = (self.settings.idle_timeout as f64 * TRUSTED_IDLE_LIFE) as Micros;
         let recent = now.since(instance.last_evidence) < trusted;
         instance.warm && !restarted && (instance.in_flight > 0 || recent)
     }
--- a/src/router/loading.rs
+++ b/src/router/loading.rs
@@ -83,8 +83,8 @@
         if let Some(worker_id) = load_at {
             self.request_load(now, worker_id, function_id, load_time, actions);
         } else if self.must_ask_siblings_instances() {
-            let idle_life = self.settings.idle_life;
-            let ask_at = candidate(1.0, load_time).or_else(|| candidate(0.0, idle_life));
+            let idle_timeout = self.settings.idle_timeout;
+            let ask_at = candidate(1.0, load_time).or_else(|| candidate(0.0, idle_timeout));
             if let Some(worker_id) = ask_at {
                 self.ask_for_instances(now, worker_id, function_id, actions);
             }
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -209,8 +209,8 @@
     /// Forgets functions, instances and workers that have been unused for long: functions that are called only
     /// once would fill the memory otherwise.
     fn forget_unused(&mut self, now: Time) {
-        let idle_life = self.settings.idle_life;
-        let idle_lives = idle_life.saturating_mul(FORGET_AFTER_IDLE_LIVES);
+        let idle_timeout = self.settings.idle_timeout;
+        let idle_lives = idle_timeout.saturating_mul(FORGET_AFTER_IDLE_LIVES);
         let forget_after = idle_lives.max(self.settings.load_timeout);
         let instance_in_use = |instance: &Instance| {
             instance.in_flight > 0
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -128,7 +128,7 @@
     /// What a worker does with a call of a function that is not loaded there.
     pub miss_policy: MissPolicy,
     /// The least time that an idle instance stays loaded.
-    pub idle_life: Micros,
+    pub idle_timeout: Micros,
     /// A load request without an answer for so long has failed.
     pub load_timeout: Micros,
     /// The budget of load requests, if there is one.
@@ -195,7 +195,7 @@
             max_retry_after: 0,
             connect_timeout: SECOND / 4,
             miss_policy: MissPolicy::Load,
-            idle_life: 10 * SECOND,
+            idle_timeout: 10 * SECOND,
             load_timeout: 10 * SECOND,
             load_budget: None,
             reports_warm: true,
--- a/tests/cold_ramp/simulation.rs
+++ b/tests/cold_ramp/simulation.rs
@@ -137,7 +137,7 @@
             },
             may_load: true,
             miss_policy: MissPolicy::Miss,
-            idle_life: IDLE_LIFE,
+            idle_timeout: IDLE_LIFE,
             reports_concurrency: true,
             reports: Reports::Attached,
             slow_start_from: scenario.cold_from,
--- a/tests/compatibility/tests/text_wires.rs
+++ b/tests/compatibility/tests/text_wires.rs
@@ -167,7 +167,7 @@
         max_retry_after: 8_000_000,
         connect_timeout: 500_000,
         miss_policy: MissPolicy::Miss,
-        idle_life: 15_000_000,
+        idle_timeout: 15_000_000,
         load_timeout: 18_000_000,
         load_budget: Some(LoadBudget {
             free: 16.0,
