--- a/benches/state/src/inputs.rs
+++ b/benches/state/src/inputs.rs
@@ -107,7 +107,7 @@
     };
     let siblings = front_ends.max(1);
     Settings {
-        front_end: siblings / 2,
+        front_end_index: siblings / 2,
         front_ends: siblings,
         classes: (0..CLASSES).map(class).collect(),
         ..Settings::default()
--- a/benches/state/src/workers/front_end.rs
+++ b/benches/state/src/workers/front_end.rs
@@ -65,7 +65,7 @@
         MissPolicy::Load
     };
     Settings {
-        front_end,
+        front_end_index: front_end,
         miss_policy,
         may_probe: true,
         reports: Reports::Attached,
--- a/programs/gateway/src/cli/mod.rs
+++ b/programs/gateway/src/cli/mod.rs
@@ -98,12 +98,12 @@
 /// Arguments go before the settings.
 fn override_settings(arguments: &Arguments, settings: &mut Settings) -> Result<(), UsageError> {
     let router = &mut settings.dispatch.settings;
-    router.front_end = arguments.me.unwrap_or(router.front_end);
-    let siblings = router.front_ends.max(router.front_end + 1);
+    router.front_end_index = arguments.me.unwrap_or(router.front_end_index);
+    let siblings = router.front_ends.max(router.front_end_index + 1);
     router.front_ends = arguments.siblings.unwrap_or(siblings);
-    if router.front_end >= router.front_ends {
+    if router.front_end_index >= router.front_ends {
         return Err(UsageError::Number {
-            me: router.front_end,
+            me: router.front_end_index,
             siblings: router.front_ends,
         });
     }
--- a/programs/gateway/src/cli/placement.rs
+++ b/programs/gateway/src/cli/placement.rs
@@ -80,7 +80,7 @@
 /// All fields of the settings' text, with those that arguments override.
 fn own_fields(source: &SettingsSource, settings: &Settings) -> Result<Fields, UsageError> {
     let mut own = agree::fields(&source.name, &source.text)?;
-    let number = i64::try_from(settings.dispatch.settings.front_end).unwrap_or(i64::MAX);
+    let number = i64::try_from(settings.dispatch.settings.front_end_index).unwrap_or(i64::MAX);
     let listen = settings.gateway.listen.to_string();
     let http = settings.gateway.http.to_string();
     own.insert("front.me".into(), Value::Int(number));
--- a/protocol/conf/src/convert.rs
+++ b/protocol/conf/src/convert.rs
@@ -44,7 +44,7 @@
     let specifics = &settings.specifics;
     let defaults = router::Settings::default();
     Ok(router::Settings {
-        front_end: settings.index,
+        front_end_index: settings.index,
         front_ends: settings.siblings,
         zone: settings.locality,
         classes: settings
--- a/settings/src/read/router.rs
+++ b/settings/src/read/router.rs
@@ -15,7 +15,7 @@
     let (all, front) = (sections.all, sections.front);
     let (worker, prices) = (sections.worker, sections.prices);
     Some(router::Settings {
-        front_end: usize::try_from(front.int("me")?).ok()?,
+        front_end_index: usize::try_from(front.int("me")?).ok()?,
         front_ends: usize::try_from(front.int("siblings")?).ok()?,
         zone,
         classes,
--- a/settings/tests/agree.rs
+++ b/settings/tests/agree.rs
@@ -224,8 +224,13 @@
     ] {
         let effective =
             effective_settings(&own, &rules.fields).unwrap_or_else(|error| panic!("{error}"));
-        assert!(effective.dispatch.settings.front_ends > effective.dispatch.settings.front_end);
-        assert_eq!(effective.dispatch.settings.front_end, 2, "it is its own");
+        assert!(
+            effective.dispatch.settings.front_ends > effective.dispatch.settings.front_end_index
+        );
+        assert_eq!(
+            effective.dispatch.settings.front_end_index, 2,
+            "it is its own"
+        );
     }
     // Keyed at one and safe at the other is a class whose workers drop no repeat: no second attempt.
     let both = effective_settings(
--- a/settings/tests/settings.rs
+++ b/settings/tests/settings.rs
@@ -26,7 +26,7 @@
     let all = settings("t.cue", FULL).unwrap_or_else(|error| panic!("{error}"));
     let router = &all.dispatch.settings;
     assert_eq!(
-        (router.front_end, router.front_ends, router.zone),
+        (router.front_end_index, router.front_ends, router.zone),
         (1, 3, 1)
     );
     assert_eq!(all.dispatch.classes, ["overlay", "post", "keyed"]);
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -64,7 +64,7 @@
 
     /// The same with an order of this front end's own, so that siblings begin at different workers.
     pub(super) fn own_affinity(&self, function_id: FunctionId, worker: &Worker) -> f64 {
-        let salted = FunctionId(mix(function_id.0 ^ self.settings.front_end as u64));
+        let salted = FunctionId(mix(function_id.0 ^ self.settings.front_end_index as u64));
         self.affinity(salted, worker)
     }
 
--- a/src/router/workers.rs
+++ b/src/router/workers.rs
@@ -230,7 +230,7 @@
     fn initial_credit(&self, worker: &Worker, now: Time) -> f64 {
         let siblings = self.settings.front_ends as u64;
         let offset = mix(worker.entry.worker.0) % siblings;
-        let turn = (offset + self.settings.front_end as u64 % siblings) % siblings;
+        let turn = (offset + self.settings.front_end_index as u64 % siblings) % siblings;
         let part_of_call = self.service_time(0) * turn as f64 / siblings as f64;
         self.slow_start_rate(worker, now).map_or(0.0, |rate| {
             part_of_call.max(rate * self.settings.overload_window as f64)
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This front end's number among its siblings.
-    pub front_end: usize,
+    pub front_end_index: usize,
     /// How many front ends there are, this one included.
     pub front_ends: usize,
     /// The zone of this front end.
@@ -169,7 +169,7 @@
     /// One front end, one safe class, workers that load on a miss, nothing limited.
     fn default() -> Settings {
         Settings {
-            front_end: 0,
+            front_end_index: 0,
             front_ends: 1,
             zone: 0,
             classes: vec![Class {
--- a/tests/cold_ramp/simulation.rs
+++ b/tests/cold_ramp/simulation.rs
@@ -128,7 +128,7 @@
         let alone = is_restart && scenario.defect == Some(InjectedDefect::RenewedWhole);
         let doubled = scenario.defect == Some(InjectedDefect::Doubled);
         let settings = Settings {
-            front_end: if alone { 0 } else { index },
+            front_end_index: if alone { 0 } else { index },
             front_ends: if alone { 1 } else { scenario.front_ends },
             classes: if scenario.two_classes {
                 vec![class(WORK / 2), class(2 * WORK)]
--- a/tests/compatibility/tests/text_wires.rs
+++ b/tests/compatibility/tests/text_wires.rs
@@ -146,7 +146,7 @@
 fn expected_router_settings() -> tansyrouter::Settings {
     use tansyrouter::{LoadBudget, MissPolicy, Reports, Settings, Tenant};
     Settings {
-        front_end: 1,
+        front_end_index: 1,
         front_ends: 3,
         zone: 2,
         classes: expected_classes(),
--- a/tests/router/harness.rs
+++ b/tests/router/harness.rs
@@ -230,7 +230,7 @@
 pub fn one_of_a_hundred(front_end: usize) -> Settings {
     Settings {
         front_ends: 100,
-        front_end,
+        front_end_index: front_end,
         miss_policy: MissPolicy::Miss,
         reports_concurrency: true,
         ..settings_with(Effect::Safe)
--- a/tests/router/placement.rs
+++ b/tests/router/placement.rs
@@ -13,7 +13,7 @@
     for front_end in 0..12 {
         let mut harness = Harness::new(Settings {
             front_ends: 100,
-            front_end,
+            front_end_index: front_end,
             ..settings_with(Effect::Safe)
         });
         harness.ready_workers(10);
--- a/tests/router/requests.rs
+++ b/tests/router/requests.rs
@@ -126,7 +126,7 @@
         (usize::MAX, usize::MAX),
     ] {
         let mut harness = Harness::new(Settings {
-            front_end,
+            front_end_index: front_end,
             front_ends,
             zone: 99,
             ..settings_with(Effect::Safe)
--- a/tests/router/workers.rs
+++ b/tests/router/workers.rs
@@ -43,7 +43,7 @@
     for front_end in 0..front_ends {
         let set = Settings {
             front_ends,
-            front_end,
+            front_end_index: front_end,
             may_load: false,
             max_attempts: 1,
             ..settings_with(Effect::Safe)
