--- a/benches/state/src/dispatch_workload/router.rs
+++ b/benches/state/src/dispatch_workload/router.rs
@@ -27,7 +27,7 @@
         lanes: 1,
         memory_mb: 256.0,
         load_time: Some(LOAD),
-        repeat: false,
+        is_client_retry: false,
     }
 }
 
@@ -98,7 +98,7 @@
         let instance_status = if sent.warm {
             InstanceStatus::Warm
         } else {
-            InstanceStatus::BeganLoad
+            InstanceStatus::StartedLoad
         };
         let result = AttemptResult {
             request: RequestId(sent.call),
--- a/protocol/conf/src/convert.rs
+++ b/protocol/conf/src/convert.rs
@@ -44,7 +44,7 @@
     let specifics = &settings.specifics;
     let defaults = router::Settings::default();
     Ok(router::Settings {
-        front_end: settings.index,
+        front_end_index: settings.index,
         front_ends: settings.siblings,
         zone: settings.locality,
         classes: settings
@@ -70,7 +70,7 @@
         },
         connect_timeout: micros(limits.connect_timeout_s),
         miss_policy: miss_policy(specifics),
-        idle_life: micros(specifics.idle_life_s),
+        idle_timeout: micros(specifics.idle_life_s),
         load_timeout: micros(specifics.load_wait_s),
         load_budget: load_budget(specifics),
         reports_warm: specifics.says_warm,
@@ -93,9 +93,9 @@
 
 fn router_class(class: &Class) -> Result<router::Class, SettingsError> {
     let group = match class.group.as_str() {
-        "zone" => router::Group::Zone,
-        "cell" => router::Group::Cell,
-        _ => router::Group::All,
+        "zone" => router::DedupGroup::Zone,
+        "cell" => router::DedupGroup::Cell,
+        _ => router::DedupGroup::All,
     };
     let effect = match class.effect.as_str() {
         "read_like" => router::Effect::Safe,
--- a/settings/src/read/router.rs
+++ b/settings/src/read/router.rs
@@ -15,7 +15,7 @@
     let (all, front) = (sections.all, sections.front);
     let (worker, prices) = (sections.worker, sections.prices);
     Some(router::Settings {
-        front_end: usize::try_from(front.int("me")?).ok()?,
+        front_end_index: usize::try_from(front.int("me")?).ok()?,
         front_ends: usize::try_from(front.int("siblings")?).ok()?,
         zone,
         classes,
@@ -36,7 +36,7 @@
         max_open_requests: usize::try_from(front.int("max_held")?).ok()?,
         connect_timeout: worker.int("connect_timeout")?,
         miss_policy: miss_policy(worker)?,
-        idle_life: worker.int("idle_life")?,
+        idle_timeout: worker.int("idle_life")?,
         load_timeout: worker.int("order_timeout")?,
         load_budget: load_budget(worker)?,
         reports_warm: worker.flag("tells_warm")?,
--- a/settings/tests/settings.rs
+++ b/settings/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use tansy_dispatch::WorkerState;
 use tansy_settings::{settings, workers};
-use tansyrouter::{Effect, Group};
+use tansyrouter::{DedupGroup, Effect};
 
 const FULL: &str = r#"
 // A pool of two rooms.
@@ -26,7 +26,7 @@
     let all = settings("t.cue", FULL).unwrap_or_else(|error| panic!("{error}"));
     let router = &all.dispatch.settings;
     assert_eq!(
-        (router.front_end, router.front_ends, router.zone),
+        (router.front_end_index, router.front_ends, router.zone),
         (1, 3, 1)
     );
     assert_eq!(all.dispatch.classes, ["overlay", "post", "keyed"]);
@@ -47,7 +47,7 @@
     assert_eq!(
         router.classes[2].effect,
         Effect::Keyed {
-            group: Group::Zone,
+            group: DedupGroup::Zone,
             window: 30_000_000
         }
     );
--- a/simulator-adapter/src/event.rs
+++ b/simulator-adapter/src/event.rs
@@ -68,7 +68,7 @@
         zone: listed.zone,
         state,
         started: (started != Time(0)).then_some(started),
-        share: listed.share,
+        relative_size: listed.share,
     }
 }
 
@@ -87,7 +87,7 @@
         load_time: arrival
             .load_time_ms
             .map(|milliseconds| micros(milliseconds / 1e3)),
-        repeat: arrival.flags & IS_CLIENT_RETRY != 0,
+        is_client_retry: arrival.flags & IS_CLIENT_RETRY != 0,
     }))
 }
 
@@ -124,10 +124,10 @@
 fn instance_status(instance_code: u32) -> InstanceStatus {
     match instance_code % INSTANCE_STATUSES {
         1 => InstanceStatus::Warm,
-        2 => InstanceStatus::BeganLoad,
+        2 => InstanceStatus::StartedLoad,
         3 => InstanceStatus::AwaitedLoad,
         4 => InstanceStatus::LoadFailed,
-        _ => InstanceStatus::Silent,
+        _ => InstanceStatus::Unreported,
     }
 }
 
--- a/src/action.rs
+++ b/src/action.rs
@@ -13,14 +13,14 @@
         /// The worker to send it to.
         worker: WorkerId,
         /// When to abandon the attempt; none: at the client's deadline.
-        give_up: Option<Time>,
+        abandon_at: Option<Time>,
     },
     /// Final answer: refused. The client may safely try again.
     Reject {
         /// The request.
         request: RequestId,
         /// How long the client is advised to wait before it tries again; 0: no advice.
-        stay_away: Micros,
+        retry_after: Micros,
     },
     /// Final answer: failed. The request may have run.
     Fail {
--- a/src/event.rs
+++ b/src/event.rs
@@ -40,11 +40,11 @@
 pub enum InstanceStatus {
     /// Nothing.
     #[default]
-    Silent,
+    Unreported,
     /// An instance was loaded already.
     Warm,
     /// The call started a load.
-    BeganLoad,
+    StartedLoad,
     /// The call waited for a load that had started before it.
     AwaitedLoad,
     /// The load failed.
@@ -73,7 +73,7 @@
     /// The usual time of a load, roughly, if it is stated.
     pub load_time: Option<Micros>,
     /// Whether it is a client's own retry, where clients mark these.
-    pub repeat: bool,
+    pub is_client_retry: bool,
 }
 
 /// The end of an attempt.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,11 +17,11 @@
 //! let now = Time(0);
 //! let mut router = Router::new(Settings::default(), 7, now).expect("settings make sense");
 //! let entry = WorkerEntry { worker: WorkerId(1), kind: 0, cell: 0, zone: 0, state: WorkerState::Ready,
-//!     started: None, share: 1.0 };
+//!     started: None, relative_size: 1.0 };
 //! router.handle(now, Event::Workers { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
 //! router.handle(now, Event::Arrival(Arrival { request: RequestId(1), function: FunctionId(9), class: 0,
 //!     tenant: 0, budget: 5_000_000, work_hint: None, lanes: 1, memory_mb: 300.0, load_time: None,
-//!     repeat: false }), &mut actions);
+//!     is_client_retry: false }), &mut actions);
 //! // No instance is known yet: the router asks for a load, and the call waits meanwhile.
 //! assert!(actions.iter().any(|action| matches!(action, Action::Load { worker: WorkerId(1), .. })));
 //! ```
@@ -39,7 +39,7 @@
 pub use id::{FunctionId, RequestId, WorkerId};
 pub use router::Router;
 pub use settings::{
-    Class, Effect, Group, InvalidSettings, LoadBudget, MissPolicy, Reports, Settings, Tenant,
+    Class, DedupGroup, Effect, InvalidSettings, LoadBudget, MissPolicy, Reports, Settings, Tenant,
 };
 pub use time::{Micros, Time, SECOND};
 pub use worker::{ListKind, LoadReport, WorkerEntry, WorkerState};
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -4,7 +4,7 @@
 
 /// The workers among which repeats of a keyed request are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupGroup {
     /// Every worker.
     All,
     /// The workers of one zone.
@@ -21,7 +21,7 @@
     /// A group of workers drops repeats for `window` after the first attempt that may have run was sent.
     Keyed {
         /// The workers that share knowledge of repeats.
-        group: Group,
+        group: DedupGroup,
         /// How long repeats are dropped.
         window: Micros,
     },
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This front end's number among its siblings.
-    pub front_end: usize,
+    pub front_end_index: usize,
     /// How many front ends there are, this one included.
     pub front_ends: usize,
     /// The zone of this front end.
@@ -128,7 +128,7 @@
     /// What a worker does with a call of a function that is not loaded there.
     pub miss_policy: MissPolicy,
     /// The least time that an idle instance stays loaded.
-    pub idle_life: Micros,
+    pub idle_timeout: Micros,
     /// A load request without an answer for so long has failed.
     pub load_timeout: Micros,
     /// The budget of load requests, if there is one.
@@ -169,7 +169,7 @@
     /// One front end, one safe class, workers that load on a miss, nothing limited.
     fn default() -> Settings {
         Settings {
-            front_end: 0,
+            front_end_index: 0,
             front_ends: 1,
             zone: 0,
             classes: vec![Class {
@@ -195,7 +195,7 @@
             max_retry_after: 0,
             connect_timeout: SECOND / 4,
             miss_policy: MissPolicy::Load,
-            idle_life: 10 * SECOND,
+            idle_timeout: 10 * SECOND,
             load_timeout: 10 * SECOND,
             load_budget: None,
             reports_warm: true,
--- a/tests/cold_ramp/simulation.rs
+++ b/tests/cold_ramp/simulation.rs
@@ -128,7 +128,7 @@
         let alone = is_restart && scenario.defect == Some(InjectedDefect::RenewedWhole);
         let doubled = scenario.defect == Some(InjectedDefect::Doubled);
         let settings = Settings {
-            front_end: if alone { 0 } else { index },
+            front_end_index: if alone { 0 } else { index },
             front_ends: if alone { 1 } else { scenario.front_ends },
             classes: if scenario.two_classes {
                 vec![class(WORK / 2), class(2 * WORK)]
@@ -137,7 +137,7 @@
             },
             may_load: true,
             miss_policy: MissPolicy::Miss,
-            idle_life: IDLE_LIFE,
+            idle_timeout: IDLE_LIFE,
             reports_concurrency: true,
             reports: Reports::Attached,
             slow_start_from: scenario.cold_from,
@@ -168,7 +168,7 @@
                 WorkerState::Ready
             },
             started: worker.started,
-            share: 1.0,
+            relative_size: 1.0,
         };
         Event::Workers {
             kind: ListKind::Full,
@@ -328,7 +328,7 @@
             instance_status: if outcome == Outcome::Served {
                 InstanceStatus::Warm
             } else {
-                InstanceStatus::Silent
+                InstanceStatus::Unreported
             },
             concurrency: Some(call.concurrency),
             report: Some(LoadReport {
@@ -391,6 +391,6 @@
         lanes: 2,
         memory_mb: 400.0,
         load_time: None,
-        repeat: false,
+        is_client_retry: false,
     })
 }
--- a/tests/compatibility/tests/text_wires.rs
+++ b/tests/compatibility/tests/text_wires.rs
@@ -116,7 +116,7 @@
 
 /// The classes of `fixtures/platform.json`.
 fn expected_classes() -> Vec<tansyrouter::Class> {
-    use tansyrouter::{Class, Effect, Group};
+    use tansyrouter::{Class, DedupGroup, Effect};
     let class = |deadline, effect| Class {
         latency_objective: 1_000_000,
         objective_per_work: 0.0,
@@ -136,8 +136,8 @@
             streamed: true,
             ..class(2_500_000, Effect::Safe)
         },
-        class(3_000_000, keyed(Group::Zone, 5_000_000)),
-        class(3_000_000, keyed(Group::Cell, 0)),
+        class(3_000_000, keyed(DedupGroup::Zone, 5_000_000)),
+        class(3_000_000, keyed(DedupGroup::Cell, 0)),
         class(4_000_000, Effect::Unsafe),
     ]
 }
@@ -146,7 +146,7 @@
 fn expected_router_settings() -> tansyrouter::Settings {
     use tansyrouter::{LoadBudget, MissPolicy, Reports, Settings, Tenant};
     Settings {
-        front_end: 1,
+        front_end_index: 1,
         front_ends: 3,
         zone: 2,
         classes: expected_classes(),
@@ -167,7 +167,7 @@
         max_retry_after: 8_000_000,
         connect_timeout: 500_000,
         miss_policy: MissPolicy::Miss,
-        idle_life: 15_000_000,
+        idle_timeout: 15_000_000,
         load_timeout: 18_000_000,
         load_budget: Some(LoadBudget {
             free: 16.0,
--- a/tests/odd_events/sequence.rs
+++ b/tests/odd_events/sequence.rs
@@ -114,7 +114,7 @@
                 _ => WorkerState::Ready,
             },
             started: rng.bool().then(|| now.plus(-rng.i64(0..20_000) * MS)),
-            share: [1.0, 2.0, 0.0, f64::NAN][rng.usize(0..4)],
+            relative_size: [1.0, 2.0, 0.0, f64::NAN][rng.usize(0..4)],
         }
     }
 
@@ -135,7 +135,7 @@
             lanes: rng.u32(0..3),
             memory_mb: f64::NAN,
             load_time: rng.bool().then(|| rng.i64(-5..900) * MS),
-            repeat: false,
+            is_client_retry: false,
         })
     }
 
@@ -218,7 +218,7 @@
 }
 
 fn settings(rng: &mut fastrand::Rng) -> Settings {
-    let groups = [Group::All, Group::Zone, Group::Cell];
+    let groups = [DedupGroup::All, DedupGroup::Zone, DedupGroup::Cell];
     let class = |effect, rng: &mut fastrand::Rng| Class {
         latency_objective: 500 * MS,
         objective_per_work: 0.0,
--- a/tests/router/harness.rs
+++ b/tests/router/harness.rs
@@ -11,7 +11,7 @@
         worker: WorkerId(id),
         state,
         started,
-        share: 1.0,
+        relative_size: 1.0,
         cell: id,
         zone: id as usize % 2,
         kind: 0,
@@ -88,7 +88,7 @@
             lanes: 1,
             memory_mb: 300.0,
             load_time: Some(500 * MS),
-            repeat: false,
+            is_client_retry: false,
         }))
     }
 
@@ -230,7 +230,7 @@
 pub fn one_of_a_hundred(front_end: usize) -> Settings {
     Settings {
         front_ends: 100,
-        front_end,
+        front_end_index: front_end,
         miss_policy: MissPolicy::Miss,
         reports_concurrency: true,
         ..settings_with(Effect::Safe)
--- a/tests/router/queue.rs
+++ b/tests/router/queue.rs
@@ -54,7 +54,7 @@
             lanes: 2,
             memory_mb: 300.0,
             load_time: Some(50 * MS),
-            repeat: false,
+            is_client_retry: false,
         }))
     }
 
@@ -157,7 +157,7 @@
     harness.arrive(1, 9, 0, 30_000 * MS);
     let refused = Action::Reject {
         request: RequestId(1),
-        stay_away: 0,
+        retry_after: 0,
     };
     assert!(
         !harness.advance(500 * MS).contains(&refused),
@@ -174,7 +174,7 @@
 
     // Sent once, and from a moment on not to be sent again, with its aim far off.
     let mut set = settings_with(Effect::Keyed {
-        group: Group::Zone,
+        group: DedupGroup::Zone,
         window: 3 * SECOND,
     });
     (set.classes[0].latency_objective, set.classes[0].deadline) = (5 * SECOND, 60 * SECOND);
--- a/tests/router/requests.rs
+++ b/tests/router/requests.rs
@@ -31,7 +31,7 @@
     let actions = harness.advance(300 * MS);
     assert!(actions.contains(&Action::Reject {
         request: RequestId(1),
-        stay_away: 0
+        retry_after: 0
     }));
 }
 
@@ -108,7 +108,7 @@
             assert!(
                 actions.contains(&Action::Reject {
                     request,
-                    stay_away: 0
+                    retry_after: 0
                 }),
                 "{actions:?}"
             );
@@ -126,7 +126,7 @@
         (usize::MAX, usize::MAX),
     ] {
         let mut harness = Harness::new(Settings {
-            front_end,
+            front_end_index: front_end,
             front_ends,
             zone: 99,
             ..settings_with(Effect::Safe)
@@ -150,9 +150,9 @@
 #[test]
 fn a_keyed_call_is_repeated_within_its_group_and_window_only() {
     for (group, window, late) in [
-        (Group::Zone, 4_000, false),
-        (Group::Cell, 4_000, false),
-        (Group::All, 600, true),
+        (DedupGroup::Zone, 4_000, false),
+        (DedupGroup::Cell, 4_000, false),
+        (DedupGroup::All, 600, true),
     ] {
         let mut harness = Harness::new(settings_with(Effect::Keyed {
             group,
@@ -169,7 +169,7 @@
             if let Some(worker) = sent_to(&actions) {
                 assert!(!late, "out of its window");
                 assert!(
-                    worker == first || group == Group::Zone && worker.0 % 2 == first.0 % 2,
+                    worker == first || group == DedupGroup::Zone && worker.0 % 2 == first.0 % 2,
                     "{group:?}: {worker:?}"
                 );
                 break;
@@ -179,7 +179,7 @@
         }
         let refused = actions.iter().any(|a| matches!(a, Action::Reject { .. }));
         assert!(
-            !refused || group == Group::All,
+            !refused || group == DedupGroup::All,
             "{group:?} may have run: no refusal"
         );
     }
@@ -236,7 +236,7 @@
             lanes: 0,
             memory_mb: f64::NAN,
             load_time: Some(i64::MAX),
-            repeat: true,
+            is_client_retry: true,
         }));
         harness.end_load(WorkerId(1 + i as u64), 1, Outcome::Served);
     }
