--- a/decide/dispatch/src/request_table/queries.rs
+++ b/decide/dispatch/src/request_table/queries.rs
@@ -12,7 +12,7 @@
     /// When [`Input::Tick`](crate::Input::Tick) is wanted at the latest.
     pub fn next_due(&self) -> Option<Time> {
         [
-            self.timers.next().map(Time),
+            self.timers.next_due().map(Time),
             self.pending_lookups.next_due(),
         ]
         .into_iter()
--- a/decide/timer-wheel/src/lib.rs
+++ b/decide/timer-wheel/src/lib.rs
@@ -154,7 +154,7 @@
 
     /// A moment before which nothing falls due; none: nothing is set. Exact within the lowest level, else the
     /// moment at which a higher level is placed again.
-    pub fn next(&self) -> Option<i64> {
+    pub fn next_due(&self) -> Option<i64> {
         if self.len == 0 {
             return None;
         }
@@ -181,7 +181,7 @@
         while self.now <= to {
             // A whole turn without entries in the lower levels is skipped at once.
             let Some(next) = self
-                .next()
+                .next_due()
                 .map(|at| at.div_euclid(self.tick))
                 .filter(|tick| *tick <= to)
             else {
--- a/decide/timer-wheel/tests/ordered_map.rs
+++ b/decide/timer-wheel/tests/ordered_map.rs
@@ -66,10 +66,10 @@
                 }
             }
             prop_assert_eq!(wheel.len(), plain.len());
-            if let (Some(next), Some(((at, _), _))) = (wheel.next(), plain.first_key_value()) {
+            if let (Some(next), Some(((at, _), _))) = (wheel.next_due(), plain.first_key_value()) {
                 prop_assert!(next <= (*at).max(now) + tick, "next {} after the first due {}", next, at);
             }
-            prop_assert_eq!(wheel.next().is_none(), plain.is_empty());
+            prop_assert_eq!(wheel.next_due().is_none(), plain.is_empty());
         }
     }
 }
--- a/net/sockets/src/timers.rs
+++ b/net/sockets/src/timers.rs
@@ -105,7 +105,7 @@
         let next = {
             let mut wheel = self.wheel.borrow_mut();
             wheel.expire(self.now(), |waker| due.push(waker));
-            wheel.next()
+            wheel.next_due()
         };
         due.drain(..).flatten().for_each(Waker::wake);
         self.due.replace(due);
