--- a/benches/state/src/workers/commands.rs
+++ b/benches/state/src/workers/commands.rs
@@ -51,7 +51,7 @@
             | Command::RecallUnsent { .. }
             | Command::DropConnection { .. }
             | Command::RetireWorker { .. }
-            | Command::ReportMissingFunction { .. }
+            | Command::ReportLoadFailures { .. }
             | Command::FetchWorkerList
             | Command::SubscribeWorkerList => {}
         }
--- a/decide/dispatch/src/lib.rs
+++ b/decide/dispatch/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`outcome`]: what a socket showed of an attempt, and whether the attempt can have run.
 //! - [`counters`]: calls accepted, answered and sent; they must balance.
 //! - [`class_counters`]: final answers by class, for the comparison of front ends.
-//! - [`missing_functions`]: workers whose loads leave no instance, and when the operator is notified.
+//! - [`load_failures`]: workers whose loads leave no instance, and when the operator is notified.
 //! - [`input_queue`]: the order in which a driver gives inputs, one at a time.
 //! - [`invariants`]: the rules checked again at run time, against what really left and came.
 //! - [`names`]: names and the router's numbers for them.
@@ -83,8 +83,8 @@
 pub mod counters;
 pub mod input_queue;
 pub mod invariants;
+pub mod load_failures;
 pub mod message;
-pub mod missing_functions;
 pub mod names;
 pub mod outcome;
 pub mod pending_lookups;
--- a/decide/dispatch/src/missing_functions.rs
+++ b/decide/dispatch/src/load_failures.rs
@@ -10,7 +10,7 @@
 
 /// What is known of a worker whose last load left no instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct MissingFunction {
+pub struct LoadFailure {
     /// The function of its last load without effect.
     pub function: FunctionId,
     /// How that load ended.
@@ -22,9 +22,9 @@
 
 /// The workers whose last load left no instance. Bounded by the list of workers.
 #[derive(Debug, Default)]
-pub struct MissingFunctions(BTreeMap<WorkerId, MissingFunction>);
+pub struct LoadFailures(BTreeMap<WorkerId, LoadFailure>);
 
-impl MissingFunctions {
+impl LoadFailures {
     /// A load left no instance. `Some`: it is time to report so.
     pub fn on_failed_load(
         &mut self,
@@ -32,21 +32,21 @@
         worker: WorkerId,
         function: FunctionId,
         outcome: AttemptOutcome,
-    ) -> Option<MissingFunction> {
-        let missing = self.0.entry(worker).or_insert(MissingFunction {
+    ) -> Option<LoadFailure> {
+        let failure = self.0.entry(worker).or_insert(LoadFailure {
             function,
             outcome,
             failed_loads: 0,
             next_report: now,
         });
-        missing.function = function;
-        missing.outcome = outcome;
-        missing.failed_loads += 1;
-        if now < missing.next_report {
+        failure.function = function;
+        failure.outcome = outcome;
+        failure.failed_loads += 1;
+        if now < failure.next_report {
             return None;
         }
-        missing.next_report = now.plus(REPORT_INTERVAL);
-        Some(*missing)
+        failure.next_report = now.plus(REPORT_INTERVAL);
+        Some(*failure)
     }
 
     /// A load left an instance, which clears the count. The time of the next report stays: one that fails in turns is
@@ -54,7 +54,7 @@
     pub fn on_successful_load(&mut self, worker: WorkerId) {
         self.0
             .entry(worker)
-            .and_modify(|missing| missing.failed_loads = 0);
+            .and_modify(|failure| failure.failed_loads = 0);
     }
 
     /// The worker is gone.
@@ -63,10 +63,10 @@
     }
 
     /// The workers, and what is known of each.
-    pub fn iter(&self) -> impl Iterator<Item = (WorkerId, &MissingFunction)> {
+    pub fn iter(&self) -> impl Iterator<Item = (WorkerId, &LoadFailure)> {
         self.0
             .iter()
-            .filter(|(_, missing)| missing.failed_loads > 0)
-            .map(|(worker, missing)| (*worker, missing))
+            .filter(|(_, failure)| failure.failed_loads > 0)
+            .map(|(worker, failure)| (*worker, failure))
     }
 }
--- a/decide/dispatch/src/message.rs
+++ b/decide/dispatch/src/message.rs
@@ -331,7 +331,7 @@
     },
     /// Report to the operator that loads at a worker leave no instance.
     #[serde(rename = "Tell")]
-    ReportMissingFunction {
+    ReportLoadFailures {
         /// The worker.
         worker: String,
         /// The function of the last such load.
--- a/decide/dispatch/src/request_table.rs
+++ b/decide/dispatch/src/request_table.rs
@@ -29,8 +29,8 @@
 use crate::class_counters::ClassCounterTable;
 use crate::config::{ConfigError, ConflictingScopes, DispatchConfig, FunctionSpec};
 use crate::counters::Counters;
+use crate::load_failures::LoadFailures;
 use crate::message::{CallId, Command, ControlRequestId, Input};
-use crate::missing_functions::MissingFunctions;
 use crate::names::NameTable;
 use crate::pending_lookups::PendingLookups;
 use entries::{ControlRequest, FunctionActivity, OpenCall, TimerEvent, UndeliverableLoad};
@@ -70,7 +70,7 @@
     pending_lookups: PendingLookups,
     control_requests: BTreeMap<ControlRequestId, ControlRequest>,
     function_activity: BTreeMap<FunctionId, FunctionActivity>,
-    missing_functions: MissingFunctions,
+    load_failures: LoadFailures,
     next_control_request: u64,
     timers: Wheel<TimerEvent>,
     counters: Counters,
@@ -114,7 +114,7 @@
             pending_lookups: PendingLookups::default(),
             control_requests: BTreeMap::new(),
             function_activity: BTreeMap::new(),
-            missing_functions: MissingFunctions::default(),
+            load_failures: LoadFailures::default(),
             next_control_request: 0,
             timers: Wheel::new(now.0, TICK),
             counters: Counters::default(),
--- a/decide/dispatch/src/request_table/control_requests.rs
+++ b/decide/dispatch/src/request_table/control_requests.rs
@@ -2,8 +2,8 @@
 
 use super::entries::{ControlKind, ControlRequest, TimerEvent, UndeliverableLoad};
 use super::Dispatcher;
+use crate::load_failures::LoadFailure;
 use crate::message::{Command, ControlRequestId};
-use crate::missing_functions::MissingFunction;
 use crate::outcome::{classify, AttemptOutcome, LoadReport, Trailers};
 use tansyrouter::{Event, FunctionId, Micros, Outcome, WorkerId};
 
@@ -153,7 +153,7 @@
         }
         if instances > 0 {
             activity.warm_at = Some(self.now);
-            self.missing_functions.on_successful_load(load.worker);
+            self.load_failures.on_successful_load(load.worker);
         } else if load.instances > 0 || outcome != Outcome::Served {
             self.on_load_without_effect(load, observed, commands);
         }
@@ -175,17 +175,17 @@
     ) {
         self.counters.loads_without_effect += 1;
         let due_report =
-            self.missing_functions
+            self.load_failures
                 .on_failed_load(self.now, load.worker, load.function, observed);
-        let Some(missing) = due_report else {
+        let Some(failure) = due_report else {
             return;
         };
         if let Some((worker, function)) = self.names_of(load.worker, load.function) {
-            commands.push(Command::ReportMissingFunction {
+            commands.push(Command::ReportLoadFailures {
                 worker,
                 function,
                 outcome: observed,
-                failed_loads: missing.failed_loads,
+                failed_loads: failure.failed_loads,
             });
         }
     }
@@ -213,10 +213,10 @@
     }
 
     /// Workers whose last load left no instance: their names, the name of its function, and what is known of it.
-    pub fn missing_functions(&self) -> impl Iterator<Item = (String, String, &MissingFunction)> {
-        self.missing_functions.iter().filter_map(|(id, missing)| {
-            let (worker, function) = self.names_of(id, missing.function)?;
-            Some((worker, function, missing))
+    pub fn load_failures(&self) -> impl Iterator<Item = (String, String, &LoadFailure)> {
+        self.load_failures.iter().filter_map(|(id, failure)| {
+            let (worker, function) = self.names_of(id, failure.function)?;
+            Some((worker, function, failure))
         })
     }
 }
--- a/decide/dispatch/src/request_table/workers.rs
+++ b/decide/dispatch/src/request_table/workers.rs
@@ -84,7 +84,7 @@
                 commands.extend(name.map(|worker| Command::RetireWorker { worker }));
             }
             self.worker_states.remove(&worker);
-            self.missing_functions.remove_worker(worker);
+            self.load_failures.remove_worker(worker);
             self.worker_starts.remove(&worker);
         }
         if state != WorkerState::Ready {
--- a/decide/dispatch/tests/missing_functions.rs
+++ b/decide/dispatch/tests/load_failures.rs
@@ -1,6 +1,6 @@
 //! How often the operator learns of a worker whose loads leave no instance.
 
-use tansy_dispatch::missing_functions::MissingFunctions;
+use tansy_dispatch::load_failures::LoadFailures;
 use tansy_dispatch::{AttemptOutcome, ResponseStage};
 use tansyrouter::{FunctionId, Time, WorkerId};
 
@@ -11,11 +11,11 @@
         stage: ResponseStage::Headers,
     };
     let worker = WorkerId(7);
-    let mut workers = MissingFunctions::default();
-    let fail = |workers: &mut MissingFunctions, micros: i64| {
+    let mut workers = LoadFailures::default();
+    let fail = |workers: &mut LoadFailures, micros: i64| {
         workers
             .on_failed_load(Time(micros), worker, FunctionId(3), outcome)
-            .map(|missing| missing.failed_loads)
+            .map(|failure| failure.failed_loads)
     };
     let mut reports = Vec::new();
     for ms in (0..25_000).step_by(100) {
@@ -24,7 +24,7 @@
     assert_eq!(reports, [(0, 1), (10_000, 101), (20_000, 201)]);
     let listed: Vec<_> = workers
         .iter()
-        .map(|(worker, missing)| (worker, missing.failed_loads))
+        .map(|(worker, failure)| (worker, failure.failed_loads))
         .collect();
     assert_eq!(listed, [(worker, 250)]);
     workers.on_successful_load(worker);
@@ -41,7 +41,7 @@
 
 #[test]
 fn workers_are_reported_apart() {
-    let mut workers = MissingFunctions::default();
+    let mut workers = LoadFailures::default();
     let outcome = AttemptOutcome::ConnectRefused;
     for id in 0..5 {
         let worker = WorkerId(id);
--- a/net/inference/src/driver/commands.rs
+++ b/net/inference/src/driver/commands.rs
@@ -53,7 +53,7 @@
             }
             Command::DropConnection { worker } => self.drop_connection(&worker),
             Command::RetireWorker { worker } => self.retire_worker(&worker),
-            Command::ReportMissingFunction {
+            Command::ReportLoadFailures {
                 worker,
                 function,
                 outcome,
--- a/net/inference/src/status.rs
+++ b/net/inference/src/status.rs
@@ -34,7 +34,7 @@
     driver.with_dispatcher(|dispatcher| {
         let parked = dispatcher.pending_calls();
         let mut text = format!("{counters} open={open} parked={parked}\n");
-        for (worker, function, missing) in dispatcher.missing_functions() {
+        for (worker, function, missing) in dispatcher.load_failures() {
             text += &format!(
                 "lacking worker={worker} function={function} status=\"{}\" count={}\n",
                 missing.outcome, missing.failed_loads
--- a/net/platform/src/driver/commands.rs
+++ b/net/platform/src/driver/commands.rs
@@ -40,7 +40,7 @@
             Command::CancelControlRequest { request } => self.withdraw_control(request),
             Command::DropConnection { worker } => self.abort_connections(&worker),
             Command::RetireWorker { worker } => self.retire_pool(&worker),
-            Command::ReportMissingFunction {
+            Command::ReportLoadFailures {
                 worker,
                 function,
                 outcome,
--- a/tests/compatibility/src/steps.rs
+++ b/tests/compatibility/src/steps.rs
@@ -206,7 +206,7 @@
         Command::CancelControlRequest { request },
         Command::DropConnection { worker: worker() },
         Command::RetireWorker { worker: worker() },
-        Command::ReportMissingFunction {
+        Command::ReportLoadFailures {
             worker: worker(),
             function: function(),
             outcome: AttemptOutcome::ConnectRefused,
