--- a/benches/state/src/inputs.rs
+++ b/benches/state/src/inputs.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use tansy_agreement::compatibility::{part, Fields, Value};
+use tansy_agreement::compatibility::{escape_name, Fields, Value};
 use tansy_agreement::lease::{LeaseTiming, Member};
 use tansy_dispatch::{
     Call, CallId, DispatchConfig, FunctionShape, FunctionSpec, WorkerRecord, WorkerState,
@@ -73,7 +73,7 @@
     fields.insert("front.siblings".into(), Value::Int(15_000));
     fields.insert("worker.max_attempts".into(), Value::Int(4));
     for (index, name) in names.iter().enumerate() {
-        let prefix = format!("functions.{}", part(name));
+        let prefix = format!("functions.{}", escape_name(name));
         let class = class_name(index % CLASSES);
         fields.insert(format!("{prefix}.class"), Value::Text(class));
         fields.insert(format!("{prefix}.lanes"), Value::Int(1));
@@ -86,7 +86,10 @@
 /// The same fields but for the number of lanes of one function.
 pub fn changed(fields: &Fields, name: &str, lanes: i64) -> Fields {
     let mut fields = fields.clone();
-    fields.insert(format!("functions.{}.lanes", part(name)), Value::Int(lanes));
+    fields.insert(
+        format!("functions.{}.lanes", escape_name(name)),
+        Value::Int(lanes),
+    );
     fields
 }
 
--- a/decide/agreement/src/compatibility/mod.rs
+++ b/decide/agreement/src/compatibility/mod.rs
@@ -14,9 +14,9 @@
 pub use schema::{
     AffectedCalls, CallAttributes, Compatibility, ExpiredLeasePolicy, Restrictiveness, Schema,
 };
-pub use value::{name, part, quote, Value};
+pub use value::{escape_name, quote, unescape_name, Value};
 
 use std::collections::BTreeMap;
 
-/// Fields of the settings by their path, such as `classes.chat.window`. Names in it are escaped by [`part`].
+/// Fields of the settings by their path, such as `classes.chat.window`. Names in it are escaped by [`escape_name`].
 pub type Fields = BTreeMap<String, Value>;
--- a/decide/agreement/src/compatibility/rules.rs
+++ b/decide/agreement/src/compatibility/rules.rs
@@ -1,7 +1,8 @@
 //! The rules that a front end acts on, derived from one version, from two, or from none that is current.
 
 use super::{
-    part, AffectedCalls, CallAttributes, Compatibility, ExpiredLeasePolicy, Fields, Schema, Value,
+    escape_name, AffectedCalls, CallAttributes, Compatibility, ExpiredLeasePolicy, Fields, Schema,
+    Value,
 };
 use std::collections::BTreeSet;
 
@@ -46,7 +47,7 @@
         let (group, Some(name)) = (calls.group(), calls.name()) else {
             return true;
         };
-        let prefix = format!("{group}.{}.", part(name));
+        let prefix = format!("{group}.{}.", escape_name(name));
         self.fields
             .range(prefix.clone()..)
             .next()
--- a/decide/agreement/src/compatibility/schema.rs
+++ b/decide/agreement/src/compatibility/schema.rs
@@ -1,6 +1,6 @@
 //! How fields may differ while two versions are in use, and the calls that they affect.
 
-use super::value::{name, Value};
+use super::value::{unescape_name, Value};
 use std::cmp::Ordering;
 
 /// Which of two values is the more restrictive.
@@ -117,9 +117,13 @@
     pub fn of_path(path: &str) -> AffectedCalls {
         let mut parts = path.splitn(3, '.');
         match (parts.next(), parts.next(), parts.next()) {
-            (Some("classes"), Some(class), Some(_)) => AffectedCalls::Class(name(class)),
-            (Some("tenants"), Some(tenant), Some(_)) => AffectedCalls::Tenant(name(tenant)),
-            (Some("functions"), Some(function), Some(_)) => AffectedCalls::Function(name(function)),
+            (Some("classes"), Some(class), Some(_)) => AffectedCalls::Class(unescape_name(class)),
+            (Some("tenants"), Some(tenant), Some(_)) => {
+                AffectedCalls::Tenant(unescape_name(tenant))
+            }
+            (Some("functions"), Some(function), Some(_)) => {
+                AffectedCalls::Function(unescape_name(function))
+            }
             _ => AffectedCalls::All,
         }
     }
--- a/decide/agreement/src/compatibility/value.rs
+++ b/decide/agreement/src/compatibility/value.rs
@@ -156,11 +156,11 @@
 }
 
 /// A name escaped as a component of a path: without dots.
-pub fn part(name: &str) -> String {
+pub fn escape_name(name: &str) -> String {
     name.replace('%', "%25").replace('.', "%2e")
 }
 
 /// The name that a component of a path stands for.
-pub fn name(part: &str) -> String {
-    part.replace("%2e", ".").replace("%25", "%")
+pub fn unescape_name(component: &str) -> String {
+    component.replace("%2e", ".").replace("%25", "%")
 }
--- a/decide/agreement/src/scope/record.rs
+++ b/decide/agreement/src/scope/record.rs
@@ -2,7 +2,7 @@
 
 use super::fields_bytes;
 use crate::compatibility::{
-    joint_rules, part, rules_without_lease, AffectedCalls, EffectiveRules, Fields, Schema,
+    escape_name, joint_rules, rules_without_lease, AffectedCalls, EffectiveRules, Fields, Schema,
 };
 use crate::revision::Revision;
 use serde::{Deserialize, Serialize};
@@ -128,7 +128,7 @@
 
 /// The prefix of the paths of a scope's fields among all settings.
 fn path_prefix(scope: &str) -> String {
-    format!("functions.{}.", part(scope))
+    format!("functions.{}.", escape_name(scope))
 }
 
 /// A scope's fields by their paths among all settings.
--- a/programs/fleet/src/scopes.rs
+++ b/programs/fleet/src/scopes.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Instant;
-use tansy_agreement::compatibility::{part, quote, Fields};
+use tansy_agreement::compatibility::{escape_name, quote, Fields};
 use tansy_agreement::log::Revision;
 use tansy_agreement::scope::{ScopePhase, ScopeRecord, ScopeTransaction, ScopeUpdate};
 use tansy_fleet_wire::pb::enter_request::Entry;
@@ -108,7 +108,7 @@
                 let all: Vec<String> = versions.iter().map(|version| quote(version)).collect();
                 text += &format!(", versions: [{}]", all.join(", "));
             }
-            let text = format!("functions: {}: {{{text}}}\n", label(&part(&name)));
+            let text = format!("functions: {}: {{{text}}}\n", label(&escape_name(&name)));
             let wanted = parse("the arguments", &text)?;
             change(session, wanted, &arguments)
         }
--- a/programs/gateway/src/fleet/mod.rs
+++ b/programs/gateway/src/fleet/mod.rs
@@ -19,7 +19,7 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::SystemTime;
-use tansy_agreement::compatibility::{part, Fields};
+use tansy_agreement::compatibility::{escape_name, Fields};
 use tansy_agreement::lease::LeaseTiming;
 use tansy_agreement::log::{FleetState, VersionedSettings};
 use tansy_fleet_node::{number, FleetNode, FleetNodeConfig};
@@ -158,7 +158,7 @@
 /// Whether a function's fields are valid, of a class that the settings in force and those under way have.
 fn check_function(name: &str, fields: &Fields, state: &FleetState) -> Result<(), InvalidFields> {
     let function = agree::function(name, fields).map_err(invalid_fields)?;
-    let prefix = format!("classes.{}.", part(&function.class));
+    let prefix = format!("classes.{}.", escape_name(&function.class));
     let has_class = |settings: &VersionedSettings| {
         let first = settings.fields.range(prefix.clone()..).next();
         first.is_some_and(|(path, _)| path.starts_with(&prefix))
--- a/settings/src/agree/flatten.rs
+++ b/settings/src/agree/flatten.rs
@@ -16,7 +16,7 @@
         return;
     };
     for (name, field) in &record.fields {
-        let name = compatibility::part(name);
+        let name = compatibility::escape_name(name);
         let under = if path.is_empty() {
             name
         } else {
--- a/settings/src/agree/text.rs
+++ b/settings/src/agree/text.rs
@@ -28,7 +28,7 @@
 
 /// A part of a path as a label of the text.
 pub fn label(part: &str) -> String {
-    let name = compatibility::name(part);
+    let name = compatibility::unescape_name(part);
     let plain = name.starts_with(|letter: char| letter.is_ascii_lowercase())
         && name
             .chars()
--- a/settings/src/agree/version.rs
+++ b/settings/src/agree/version.rs
@@ -31,7 +31,7 @@
     for (path, value) in fields.into_iter().filter(|(path, _)| is_written(path)) {
         if let [_, function, field] = path.splitn(3, '.').collect::<Vec<_>>()[..] {
             functions
-                .entry(compatibility::name(function))
+                .entry(compatibility::unescape_name(function))
                 .or_default()
                 .insert(field.to_string(), value);
         }
@@ -54,7 +54,7 @@
         for part in path.split('.') {
             node = match node.map(|node| &node.kind) {
                 Some(Kind::Record(record)) => {
-                    let field = record.fields.get(&compatibility::name(part));
+                    let field = record.fields.get(&compatibility::unescape_name(part));
                     field.map(|field| &field.node)
                 }
                 // A field of a reference or an alternative counts as written.
@@ -75,7 +75,7 @@
             let Kind::Record(record) = &node.kind else {
                 return false;
             };
-            let field = record.fields.get(&compatibility::name(part));
+            let field = record.fields.get(&compatibility::unescape_name(part));
             let field = field.map(|field| &field.node);
             let Some(next) = field.or(record.any.as_deref()) else {
                 return false;
