--- a/decide/agreement/src/compatibility/mod.rs
+++ b/decide/agreement/src/compatibility/mod.rs
@@ -8,8 +8,8 @@
 mod value;
 
 pub use rules::{
-    changes, contradictions, joint_rules, rules_after_expiry, rules_without_lease, EffectiveRules,
-    FieldChange,
+    changed_fields, contradictions, joint_rules, rules_after_expiry, rules_without_lease,
+    EffectiveRules, FieldChange,
 };
 pub use schema::{
     AffectedCalls, CallAttributes, Compatibility, ExpiredLeasePolicy, Restrictiveness, Schema,
--- a/decide/agreement/src/compatibility/rules.rs
+++ b/decide/agreement/src/compatibility/rules.rs
@@ -78,7 +78,7 @@
 }
 
 /// The fields that differ between two versions, in the order of their paths.
-pub fn changes(schema: &Schema, old: &Fields, new: &Fields) -> Vec<FieldChange> {
+pub fn changed_fields(schema: &Schema, old: &Fields, new: &Fields) -> Vec<FieldChange> {
     let paths: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
     paths
         .into_iter()
@@ -97,7 +97,7 @@
 /// changed strict field affects are rejected; free fields have the newer version's value already.
 pub fn joint_rules(schema: &Schema, old: &Fields, new: &Fields) -> EffectiveRules {
     let mut rules = EffectiveRules::from_fields(new);
-    for change in changes(schema, old, new) {
+    for change in changed_fields(schema, old, new) {
         match change.compatibility {
             Compatibility::Free => {}
             Compatibility::Joint(restrictiveness, _) => {
--- a/decide/agreement/src/log/state.rs
+++ b/decide/agreement/src/log/state.rs
@@ -2,7 +2,7 @@
 
 use super::{Revision, Version};
 use crate::compatibility::{
-    changes, joint_rules, Compatibility, EffectiveRules, FieldChange, Fields, Schema,
+    changed_fields, joint_rules, Compatibility, EffectiveRules, FieldChange, Fields, Schema,
 };
 use crate::lease::Versioned;
 use crate::scope::{ChangeHistory, StateDelta};
@@ -183,7 +183,7 @@
         let Some((next, _)) = &self.next else {
             return Vec::new();
         };
-        changes(schema, &self.in_force.fields, &next.fields)
+        changed_fields(schema, &self.in_force.fields, &next.fields)
             .into_iter()
             .filter(|change| change.compatibility != Compatibility::Free)
             .collect()
--- a/net/fleet/src/service/entries.rs
+++ b/net/fleet/src/service/entries.rs
@@ -7,7 +7,7 @@
 use std::future::poll_fn;
 use std::rc::Rc;
 use std::time::Duration;
-use tansy_agreement::compatibility::{changes, Compatibility, Fields};
+use tansy_agreement::compatibility::{changed_fields, Compatibility, Fields};
 use tansy_agreement::log::{ApplyOutcome, LogEntry, Version};
 use tansy_agreement::scope::ScopeTransaction;
 use tansy_fleet_node::{number, RequestRejection};
@@ -139,7 +139,7 @@
 fn check_no_strict_changes(transport: &FleetTransport, fields: &Fields) -> Result<(), Rejection> {
     let strict = transport.with_node(|node, now| {
         let state = node.active_state(now).state?;
-        let changes = changes(&node.setup().schema, &state.in_force.fields, fields);
+        let changes = changed_fields(&node.setup().schema, &state.in_force.fields, fields);
         let strict = changes
             .into_iter()
             .filter(|change| change.compatibility == Compatibility::Strict);
--- a/programs/fleet/src/versions.rs
+++ b/programs/fleet/src/versions.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Instant;
-use tansy_agreement::compatibility::{changes, Fields};
+use tansy_agreement::compatibility::{changed_fields, Fields};
 use tansy_agreement::log::VersionedSettings;
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_fleet_wire::{of_settings, pb};
@@ -129,7 +129,7 @@
             .map(|filled| filled.0)
             .map_err(FleetError::invalid)
     };
-    let all = changes(&compatibility_schema(), &fill(old)?, &fill(new)?);
+    let all = changed_fields(&compatibility_schema(), &fill(old)?, &fill(new)?);
     Ok(all.iter().map(FieldChangeRow::of).collect())
 }
 
--- a/settings/tests/agree.rs
+++ b/settings/tests/agree.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 use tansy_agreement::compatibility::{
-    changes, contradictions, joint_rules, rules_after_expiry, AffectedCalls, Compatibility,
+    changed_fields, contradictions, joint_rules, rules_after_expiry, AffectedCalls, Compatibility,
     EffectiveRules, Fields, Value,
 };
 use tansy_settings::agree::{
@@ -105,7 +105,7 @@
         rules.rejected,
         BTreeSet::from([AffectedCalls::Class("chat".into())])
     );
-    let changed: Vec<String> = changes(&compatibility_schema(), &old, &new)
+    let changed: Vec<String> = changed_fields(&compatibility_schema(), &old, &new)
         .into_iter()
         .map(|c| c.path)
         .collect();
