--- a/decide/agreement/src/log/mod.rs
+++ b/decide/agreement/src/log/mod.rs
@@ -169,7 +169,7 @@
     }
 
     /// Whether the change in progress affects a strict field: it then waits for every member of the roster.
-    pub fn strict(&self, schema: &Schema) -> bool {
+    pub fn changes_strict_field(&self, schema: &Schema) -> bool {
         self.state
             .conflicting_fields(schema)
             .iter()
--- a/decide/agreement/src/scope/record.rs
+++ b/decide/agreement/src/scope/record.rs
@@ -75,7 +75,7 @@
 
     /// Whether the change in progress affects a strict field, so that it waits for every subscriber. Whether the
     /// function exists counts as one.
-    pub fn strict(&self, schema: &Schema, scope: &str) -> bool {
+    pub fn changes_strict_field(&self, schema: &Schema, scope: &str) -> bool {
         self.next()
             .is_some_and(|_| self.effective(schema, scope).rejected)
     }
--- a/decide/agreement/src/subscription/replies.rs
+++ b/decide/agreement/src/subscription/replies.rs
@@ -95,7 +95,7 @@
         if active.is_none() && pending.is_none() {
             return;
         }
-        let conflicting = change.record.strict(schema, &change.scope);
+        let conflicting = change.record.changes_strict_field(schema, &change.scope);
         if let Some(active) = active {
             active.record = change.record.clone();
         }
@@ -183,7 +183,7 @@
             return;
         };
         if let Some(since) = record.phase.since() {
-            if record.strict(context.schema, &scope) {
+            if record.changes_strict_field(context.schema, &scope) {
                 self.conflicting_revision = self.conflicting_revision.max(since);
             }
         }
--- a/decide/agreement/src/subscription/subscriptions.rs
+++ b/decide/agreement/src/subscription/subscriptions.rs
@@ -168,7 +168,7 @@
     pub fn delays_change(&self, schema: &Schema) -> bool {
         self.pending.values().any(|scope| scope.conflicting)
             || self.active.iter().any(|(name, scope)| {
-                scope.record.next().is_some() && scope.record.strict(schema, name)
+                scope.record.next().is_some() && scope.record.changes_strict_field(schema, name)
             })
     }
 
--- a/decide/agreement/tests/scopes/histories.rs
+++ b/decide/agreement/tests/scopes/histories.rs
@@ -258,7 +258,7 @@
                 continue;
             };
             let change = (name.to_string(), since);
-            let strict = record.strict(&self.schema, name);
+            let strict = record.changes_strict_field(&self.schema, name);
             let reached = self.granter.all_at_least(self.now, since);
             let behind = strict
                 && self.defect != Defect::SubscribersIgnored
--- a/decide/fleet-node/src/change_controller.rs
+++ b/decide/fleet-node/src/change_controller.rs
@@ -255,7 +255,7 @@
     ) -> Option<ChangeBlockers> {
         let (log, sessions) = (self.replica.log()?, self.sessions.as_ref()?);
         let revision = log.state().versions_revision;
-        let behind = if log.strict(schema) {
+        let behind = if log.changes_strict_field(schema) {
             sessions.behind(revision).collect()
         } else {
             Vec::new()
--- a/decide/fleet-node/src/change_controller/advance.rs
+++ b/decide/fleet-node/src/change_controller/advance.rs
@@ -99,7 +99,8 @@
                 .as_ref()
                 .is_some_and(|sessions| sessions.all_at_least(revision))
         };
-        lease_node.all_past(now, revision) && (!log.strict(schema) || have_sessions_reached())
+        lease_node.all_past(now, revision)
+            && (!log.changes_strict_field(schema) || have_sessions_reached())
     }
 
     /// Proposes queued entries. Joins and departures do not wait for each other, so that 300 front ends which start
--- a/decide/fleet-node/src/change_controller/scopes.rs
+++ b/decide/fleet-node/src/change_controller/scopes.rs
@@ -35,7 +35,10 @@
         .filter(|(_, scope)| scope.next().is_some())
         .take(MAX_REPORTED);
     let with_holders = |(name, scope): (&str, &ScopeRecord)| {
-        let since = scope.phase.since().filter(|_| scope.strict(schema, name));
+        let since = scope
+            .phase
+            .since()
+            .filter(|_| scope.changes_strict_field(schema, name));
         let behind = since.map(|since| {
             sessions
                 .subscribers_behind(scope_number(name), since)
@@ -204,7 +207,7 @@
             let holders_behind = || sessions.subscribers_behind(scope_number(name), since);
             // Holders are looked up first, since most changes wait for none.
             let waits_for_holders =
-                || holders_behind().next().is_some() && scope.strict(schema, name);
+                || holders_behind().next().is_some() && scope.changes_strict_field(schema, name);
             if is_reached && !waits_for_holders() {
                 progress.in_force.push((name.to_string(), since));
             } else if now - first_seen >= JOINT_TIMEOUT {
