--- a/decide/agreement/src/lease_tree/node.rs
+++ b/decide/agreement/src/lease_tree/node.rs
@@ -145,7 +145,7 @@
     }
 
     /// The same for what does not wait for the last revision: the leader acts on this revision or a later one itself.
-    pub fn all_past(&self, now: Time, revision: Revision) -> bool {
+    pub fn all_have_reached(&self, now: Time, revision: Revision) -> bool {
         matches!(&self.source, LeaseSource::Leader { state, .. } if state.revision() >= revision)
             && self.granter.all_at_least(now, revision)
     }
--- a/decide/fleet-node/src/change_controller.rs
+++ b/decide/fleet-node/src/change_controller.rs
@@ -263,7 +263,7 @@
         let scopes = scopes::blocked_scopes(log, sessions, schema);
         let is_changing = log.has_open_changes();
         (is_changing || !scopes.is_empty()).then(|| ChangeBlockers {
-            leases: is_changing && !lease_node.all_past(now, revision),
+            leases: is_changing && !lease_node.all_have_reached(now, revision),
             sessions: behind,
             scopes,
         })
--- a/decide/fleet-node/src/change_controller/advance.rs
+++ b/decide/fleet-node/src/change_controller/advance.rs
@@ -99,7 +99,7 @@
                 .as_ref()
                 .is_some_and(|sessions| sessions.all_at_least(revision))
         };
-        lease_node.all_past(now, revision)
+        lease_node.all_have_reached(now, revision)
             && (!log.changes_strict_field(schema) || have_sessions_reached())
     }
 
--- a/decide/fleet-node/src/change_controller/scopes.rs
+++ b/decide/fleet-node/src/change_controller/scopes.rs
@@ -193,7 +193,7 @@
             };
             let is_reached = *reached_by_leases
                 .entry(since)
-                .or_insert_with(|| lease_node.all_past(now, since));
+                .or_insert_with(|| lease_node.all_have_reached(now, since));
             if !matches!(scope.phase, ScopePhase::Joint { .. }) {
                 if is_reached && progress.settled.len() < MAX_UPDATES_PER_TRANSACTION {
                     progress.settled.push((name.to_string(), since));
