--- a/benches/state/src/settings_change.rs
+++ b/benches/state/src/settings_change.rs
@@ -101,7 +101,7 @@
 /// The calls that are rejected while two versions conflict.
 fn conflicting_scopes(rules: &EffectiveRules) -> ConflictingScopes {
     let mut conflicting = ConflictingScopes {
-        unknown_names: rules.unknown_names,
+        unknown_names: rules.rejects_unknown_names,
         retry_after: SECOND / 2,
         ..ConflictingScopes::default()
     };
--- a/decide/agreement/src/compatibility/rules.rs
+++ b/decide/agreement/src/compatibility/rules.rs
@@ -15,7 +15,7 @@
     pub rejected: BTreeSet<AffectedCalls>,
     /// Whether calls that name a class, tenant or function of which no field is known are rejected as well: a version
     /// that can't be known may define it.
-    pub unknown_names: bool,
+    pub rejects_unknown_names: bool,
 }
 
 impl EffectiveRules {
@@ -39,7 +39,7 @@
             !unnamed && !self.defines(calls)
         };
         self.rejected.iter().any(|calls| calls.includes(call))
-            || self.unknown_names && names.iter().any(unknown)
+            || self.rejects_unknown_names && names.iter().any(unknown)
     }
 
     /// Whether there is a field of this class, tenant or function.
@@ -58,7 +58,7 @@
     fn rejects_all(&self, calls: &AffectedCalls) -> bool {
         self.rejected.contains(calls)
             || self.rejected.contains(&AffectedCalls::All)
-            || self.unknown_names && !self.defines(calls)
+            || self.rejects_unknown_names && !self.defines(calls)
     }
 }
 
@@ -137,7 +137,7 @@
         fields,
         rejected,
         // A tenant of which nothing is known may have a limit by now.
-        unknown_names: true,
+        rejects_unknown_names: true,
     }
 }
 
@@ -145,7 +145,7 @@
 /// restrictive value, calls that any other field affects rejected, and so are calls of what is not known at all.
 pub fn rules_after_expiry(schema: &Schema, known: &Fields) -> EffectiveRules {
     let mut rules = EffectiveRules {
-        unknown_names: true,
+        rejects_unknown_names: true,
         ..EffectiveRules::from_fields(known)
     };
     restrict_missing_fields(schema, known, &mut rules);
--- a/programs/gateway/src/fleet/effective.rs
+++ b/programs/gateway/src/fleet/effective.rs
@@ -100,7 +100,7 @@
     ) -> Result<(EffectiveConfig, MetadataKeys), GatewayError> {
         let settings = agree::effective_settings(&self.own, &rules.fields)?;
         let mut conflicting = ConflictingScopes {
-            unknown_names: rules.unknown_names,
+            unknown_names: rules.rejects_unknown_names,
             retry_after: self.retry_after,
             ..ConflictingScopes::default()
         };
