--- a/benches/state/src/membership.rs
+++ b/benches/state/src/membership.rs
@@ -159,7 +159,7 @@
         make_times.add(took);
         let (is_same, took) = timed(|| next == current);
         compare_times.add(took);
-        let (parent, took) = timed(|| next.parent(front_end, nth % 3));
+        let (parent, took) = timed(|| next.ancestor(front_end, nth % 3));
         parent_times.add(took);
         if !is_same || parent.is_none() {
             return Err(BenchError::failed(
@@ -177,7 +177,7 @@
 
 /// Links from a front end to the leader, each of which a revision takes.
 fn links_to_leader(topology: &LeaseTopology, front_end: u64) -> usize {
-    let leads_elsewhere = |choice: &u32| topology.parent(front_end, *choice) != Some(LEADER);
+    let leads_elsewhere = |choice: &u32| topology.ancestor(front_end, *choice) != Some(LEADER);
     (0..MAX_LINKS).take_while(leads_elsewhere).count() + 1
 }
 
@@ -196,7 +196,7 @@
     for front_end in front_ends.iter().take(LOOKUPS) {
         let (made, took) = timed(make);
         make_times.add(took);
-        let (_, took) = timed(|| made.parent(*front_end, 0));
+        let (_, took) = timed(|| made.ancestor(*front_end, 0));
         parent_times.add(took);
         max_links = max_links.max(links_to_leader(&made, *front_end));
     }
--- a/decide/agreement/src/lease_tree/node.rs
+++ b/decide/agreement/src/lease_tree/node.rs
@@ -115,7 +115,7 @@
     pub fn update_topology(&mut self, topology: LeaseTopology) {
         if let LeaseSource::Granted(lease) = &mut self.source {
             if self.topology != topology {
-                lease.reset_choice();
+                lease.reset_level();
             }
         }
         self.topology = topology;
@@ -239,7 +239,7 @@
 
     /// Whether a member is a child in the topology, or there is room for a guest.
     fn admits(&self, now: Time, member: Member) -> bool {
-        let is_child = |m: Member| self.topology.parent(m.id, 0) == Some(self.member.id);
+        let is_child = |m: Member| self.topology.ancestor(m.id, 0) == Some(self.member.id);
         let other_guests = || {
             self.granter
                 .children(now)
@@ -333,7 +333,7 @@
             };
             outbox.push((*other, acknowledge));
         }
-        let parent = self.topology.parent(self.member.id, 0);
+        let parent = self.topology.ancestor(self.member.id, 0);
         if let Some(parent) = parent.filter(|p| lease.bypasses_parent() && *p != granter) {
             let request = lease.holder.request(now, oldest_below);
             outbox.push((parent, LeaseMessage::Request(request)));
--- a/decide/agreement/src/lease_tree/source.rs
+++ b/decide/agreement/src/lease_tree/source.rs
@@ -41,8 +41,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct GrantedLease<S> {
     pub(super) holder: LeaseHolder<S>,
-    /// Which granter is asked, as [`LeaseTopology::parent`] counts them.
-    choice: u32,
+    /// Which granter is asked, as [`LeaseTopology::ancestor`] counts them.
+    level: u32,
     /// Requests in a row that the chosen granter did not answer.
     unanswered: u32,
 }
@@ -63,30 +63,30 @@
     pub(super) fn new(holder: LeaseHolder<S>) -> GrantedLease<S> {
         GrantedLease {
             holder,
-            choice: 0,
+            level: 0,
             unanswered: 0,
         }
     }
 
     /// Starts over with the own parent.
-    pub(super) fn reset_choice(&mut self) {
-        self.choice = 0;
+    pub(super) fn reset_level(&mut self) {
+        self.level = 0;
         self.unanswered = 0;
     }
 
     /// Whether a granter beyond the own parent is chosen.
     pub(super) fn bypasses_parent(&self) -> bool {
-        self.choice > 0
+        self.level > 0
     }
 
     /// The granter that the next request goes to, which counts as unanswered until a grant arrives; none: the topology
     /// has none.
     pub(super) fn choose_granter(&mut self, topology: &LeaseTopology, member: u64) -> Option<u64> {
         if self.unanswered >= MAX_UNANSWERED {
-            self.choice = topology.next_choice(member, self.choice);
+            self.level = topology.next_level(member, self.level);
             self.unanswered = 0;
         }
-        let granter = topology.parent(member, self.choice)?;
+        let granter = topology.ancestor(member, self.level)?;
         self.unanswered += 1;
         Some(granter)
     }
@@ -100,7 +100,7 @@
         topology: &LeaseTopology,
         timing: LeaseTiming,
     ) -> GrantEffect {
-        let from_chosen = topology.parent(member.id, self.choice) == Some(from);
+        let from_chosen = topology.ancestor(member.id, self.level) == Some(from);
         let before = self.holder.remaining(now);
         let request = self.holder.sent_request(grant.seq);
         let later = self.holder.on_grant(grant);
@@ -114,9 +114,9 @@
         // A lease that is not extended any more is granted out of one that isn't renewed, or goes round in a ring.
         let short = remaining < timing.span / 2;
         if short && !extended && from_chosen {
-            self.choice = topology.next_choice(member.id, self.choice);
-        } else if !short && extended && topology.parent(member.id, 0) == Some(from) {
-            self.choice = 0;
+            self.level = topology.next_level(member.id, self.level);
+        } else if !short && extended && topology.ancestor(member.id, 0) == Some(from) {
+            self.level = 0;
         }
         GrantEffect {
             from_chosen,
--- a/decide/agreement/src/lease_tree/topology.rs
+++ b/decide/agreement/src/lease_tree/topology.rs
@@ -92,9 +92,9 @@
 
     /// The member that another requests its lease from at its n-th choice: its parent, that one's parent, and so on up
     /// to the leader.
-    pub fn parent(&self, name: u64, choice: u32) -> Option<u64> {
+    pub fn ancestor(&self, name: u64, level: u32) -> Option<u64> {
         let mut place = self.place_of(name)?;
-        for _ in 0..=choice {
+        for _ in 0..=level {
             place = place.checked_sub(1)? / FAN_OUT;
             if place == 0 {
                 break;
@@ -105,9 +105,9 @@
 
     /// The choice after this one. After the leader it starts over with the own parent: the leader is gone, or has no
     /// room.
-    pub(super) fn next_choice(&self, name: u64, choice: u32) -> u32 {
-        match self.parent(name, choice) {
-            Some(parent) if parent != self.leader => choice.saturating_add(1),
+    pub(super) fn next_level(&self, name: u64, level: u32) -> u32 {
+        match self.ancestor(name, level) {
+            Some(parent) if parent != self.leader => level.saturating_add(1),
             _ => 0,
         }
     }
--- a/decide/agreement/tests/lease_tree.rs
+++ b/decide/agreement/tests/lease_tree.rs
@@ -141,11 +141,11 @@
 /// grants a lease of length `own` to each, after a tenth of a second; no other member answers.
 fn requests_by_granter(own: i64) -> BTreeMap<u64, usize> {
     let topology = LeaseTopology::new(1, 1..=700);
-    let depth = |id| (0..9).find(|c| topology.parent(id, *c) == Some(1));
+    let depth = |id| (0..9).find(|c| topology.ancestor(id, *c) == Some(1));
     let id = (2..=700)
         .find(|id| depth(*id) == Some(3))
         .expect("a member four links down");
-    let (member, parent) = (Member { id, incarnation: 1 }, topology.parent(id, 0));
+    let (member, parent) = (Member { id, incarnation: 1 }, topology.ancestor(id, 0));
     let mut node: LeaseNode<Revision> = LeaseNode::new(TIMING, member, topology, 0);
     let mut requests = BTreeMap::new();
     for quarter in 0..60 {
--- a/decide/agreement/tests/topology.rs
+++ b/decide/agreement/tests/topology.rs
@@ -61,21 +61,21 @@
             let mut children = BTreeMap::new();
             for name in (1..=count).filter(|n| *n != leader) {
                 let parent = topology
-                    .parent(name, 0)
+                    .ancestor(name, 0)
                     .expect("a known member has a parent");
                 *children.entry(parent).or_insert(0) += 1;
-                assert_eq!(topology.parent(name, u32::MAX), Some(leader));
+                assert_eq!(topology.ancestor(name, u32::MAX), Some(leader));
                 // The next choice is the parent's parent.
                 if parent != leader {
-                    assert_eq!(topology.parent(name, 1), topology.parent(parent, 0));
+                    assert_eq!(topology.ancestor(name, 1), topology.ancestor(parent, 0));
                 }
             }
             assert!(
                 children.values().all(|count| *count <= FAN_OUT),
                 "{count} under {leader}: {children:?}"
             );
-            assert_eq!(topology.parent(leader, 0), None);
-            assert_eq!(topology.parent(count + 9, 0), None);
+            assert_eq!(topology.ancestor(leader, 0), None);
+            assert_eq!(topology.ancestor(count + 9, 0), None);
         }
     }
 }
--- a/programs/scale/src/fleet/shape.rs
+++ b/programs/scale/src/fleet/shape.rs
@@ -125,7 +125,7 @@
     let topology = LeaseTopology::new(ids[leader], ids.iter().copied());
     let parents: BTreeSet<u64> = ids
         .iter()
-        .filter_map(|id| topology.parent(*id, 0))
+        .filter_map(|id| topology.ancestor(*id, 0))
         .collect();
     ids.iter().map(|id| parents.contains(id)).collect()
 }
