--- a/decide/agreement/src/session/table.rs
+++ b/decide/agreement/src/session/table.rs
@@ -77,11 +77,11 @@
         roster: impl IntoIterator<Item = Member>,
         now: Time,
     ) -> SessionTable {
-        SessionTable::begin(timing, roster, now, ResyncEpoch::default().next())
+        SessionTable::with_epoch(timing, roster, now, ResyncEpoch::default().next())
     }
 
     /// The same with the epoch that it begins, which has to be later than any epoch of an earlier table of this fleet.
-    pub fn begin(
+    pub fn with_epoch(
         timing: LeaseTiming,
         roster: impl IntoIterator<Item = Member>,
         now: Time,
@@ -166,11 +166,11 @@
     /// until the log durably has its leaving: a leader that restarts could not know otherwise that the fleet had gone on
     /// without it.
     pub fn all_at_least(&self, revision: Revision) -> bool {
-        self.behind(revision).next().is_none()
+        self.members_behind(revision).next().is_none()
     }
 
     /// The members that may hold a session and are not known to have reached this revision.
-    pub fn behind(&self, revision: Revision) -> impl Iterator<Item = Member> + '_ {
+    pub fn members_behind(&self, revision: Revision) -> impl Iterator<Item = Member> + '_ {
         self.entries
             .iter()
             .filter(move |(_, entry)| entry.revision < revision)
--- a/decide/agreement/tests/scopes/histories.rs
+++ b/decide/agreement/tests/scopes/histories.rs
@@ -106,7 +106,7 @@
             schema: schema(),
             now: 0,
             log: new_log(),
-            table: SessionTable::begin(SESSION, [], 0, epoch),
+            table: SessionTable::with_epoch(SESSION, [], 0, epoch),
             granter: LeaseGranter::new(LEASE, 8, None),
             front_ends: (0..MEMBERS as u64)
                 .map(|id| FrontEnd::new(member(id), 0))
@@ -210,7 +210,7 @@
     fn restart_leader(&mut self) {
         let epoch = self.table.epoch().next();
         let roster: Vec<Member> = self.log.roster().map(|(member, _)| member).collect();
-        self.table = SessionTable::begin(SESSION, roster.iter().copied(), self.now, epoch);
+        self.table = SessionTable::with_epoch(SESSION, roster.iter().copied(), self.now, epoch);
         self.granter = LeaseGranter::new(LEASE, 8, Some(self.now));
         if self.defect != Defect::LeaderForgets {
             return;
--- a/decide/fleet-node/src/change_controller.rs
+++ b/decide/fleet-node/src/change_controller.rs
@@ -149,7 +149,8 @@
         // No earlier process of this voter had an epoch in this term.
         let first_of_term = ResyncEpoch { term, count: 1 };
         self.resync_epoch = self.resync_epoch.next().max(first_of_term);
-        let sessions = SessionTable::begin(self.session_timing, members, now, self.resync_epoch);
+        let sessions =
+            SessionTable::with_epoch(self.session_timing, members, now, self.resync_epoch);
         self.sessions = Some(sessions);
         self.changes.reset();
         self.joint_since = None;
@@ -256,7 +257,7 @@
         let (log, sessions) = (self.replica.log()?, self.sessions.as_ref()?);
         let revision = log.state().versions_revision;
         let behind = if log.changes_strict_field(schema) {
-            sessions.behind(revision).collect()
+            sessions.members_behind(revision).collect()
         } else {
             Vec::new()
         };
--- a/decide/fleet-node/src/change_controller/advance.rs
+++ b/decide/fleet-node/src/change_controller/advance.rs
@@ -74,7 +74,7 @@
             let version = state.latest();
             commands.push(Command::Notify(FleetEvent::ChangeAbandoned {
                 version: version.0,
-                behind: sessions.behind(revision).collect(),
+                behind: sessions.members_behind(revision).collect(),
             }));
             self.push(LogEntry::Abandon { version });
         }
