--- a/decide/agreement/src/log/apply.rs
+++ b/decide/agreement/src/log/apply.rs
@@ -237,7 +237,7 @@
     fn record_scope_changes(&mut self, changes: Vec<Arc<ScopeChange>>) -> Revision {
         if !changes.is_empty() {
             self.state.revision = self.state.revision.next();
-            self.state.scopes_since = self.catalog.since();
+            self.state.scopes_since = self.catalog.scopes_since();
             self.state.history.push(changes);
         }
         self.state.revision
--- a/decide/agreement/src/log/mod.rs
+++ b/decide/agreement/src/log/mod.rs
@@ -105,14 +105,14 @@
         let state = &self.state;
         // In the order of the fields of `CatalogSnapshot`.
         self.catalog
-            .since()
+            .scopes_since()
             .map(|_| (&self.catalog, &state.versions_revision, &state.history))
     }
 
     /// The same log with what was stored of scopes.
     pub fn with_catalog(mut self, snapshot: CatalogSnapshot) -> Log {
         self.catalog = snapshot.catalog;
-        self.state.scopes_since = self.catalog.since();
+        self.state.scopes_since = self.catalog.scopes_since();
         self.state.versions_revision = snapshot.versions_revision;
         self.state.history = snapshot.history;
         self
--- a/decide/agreement/src/log/validate.rs
+++ b/decide/agreement/src/log/validate.rs
@@ -117,7 +117,7 @@
     /// Rejects fields of a version that define a scope of the catalog.
     fn check_no_scope_defined(&self, fields: &Fields) -> Result<(), EntryRejection> {
         // The catalog is empty until its first change: this spares the search.
-        if self.catalog.since().is_none() {
+        if self.catalog.scopes_since().is_none() {
             return Ok(());
         }
         let functions = fields
--- a/decide/agreement/src/scope/catalog.rs
+++ b/decide/agreement/src/scope/catalog.rs
@@ -52,7 +52,7 @@
 impl ScopeCatalog {
     /// The revision in which a scope was changed first, if any ever was: from then on only members that support scopes
     /// may serve.
-    pub fn since(&self) -> Option<Revision> {
+    pub fn scopes_since(&self) -> Option<Revision> {
         self.since
     }
 
--- a/decide/agreement/tests/scopes/histories.rs
+++ b/decide/agreement/tests/scopes/histories.rs
@@ -334,7 +334,7 @@
         let grant = self.table.grant(self.now, request);
         self.messages
             .extend(grant.map(|grant| Message::SessionGrant(index, grant)));
-        if self.log.catalog().since().is_none() {
+        if self.log.catalog().scopes_since().is_none() {
             return;
         }
         if let Some(epoch) = self.table.awaiting_resync(from) {
--- a/decide/fleet-node/src/change_controller/scopes.rs
+++ b/decide/fleet-node/src/change_controller/scopes.rs
@@ -73,7 +73,7 @@
     /// Whether there are scopes or will be: then only programs that support them may be active.
     pub(super) fn uses_scopes(&self) -> bool {
         self.log()
-            .is_some_and(|log| log.catalog().since().is_some())
+            .is_some_and(|log| log.catalog().scopes_since().is_some())
             || self.is_queued(|entry| matches!(entry, LogEntry::UpdateScopes { .. }))
     }
 
@@ -106,7 +106,9 @@
 
     /// The request to a member for its subscriptions, if there are scopes and it has not stated them.
     pub(crate) fn resync_request(&self, member: Member) -> Option<SubscribeReply> {
-        let log = self.log().filter(|log| log.catalog().since().is_some())?;
+        let log = self
+            .log()
+            .filter(|log| log.catalog().scopes_since().is_some())?;
         let epoch = self.sessions.as_ref()?.awaiting_resync(member)?;
         Some(SubscribeReply {
             to: member,
@@ -156,7 +158,7 @@
             return;
         };
         // A program without scopes would not be waited for: all members have to support them before there are any.
-        if log.catalog().since().is_none() {
+        if log.catalog().scopes_since().is_none() {
             if self.is_queued(|entry| matches!(entry, LogEntry::Join { .. })) {
                 // Whether the joining one supports them is not known yet.
                 return;
--- a/tests/compatibility/tests/voters.rs
+++ b/tests/compatibility/tests/voters.rs
@@ -151,7 +151,7 @@
             ("sound".to_string(), scoped(12, Some(sound), joint)),
         ];
         assert_eq!(catalog.all(), &all.into(), "voter {voter}");
-        assert_eq!(catalog.since(), Some(Revision(11)));
+        assert_eq!(catalog.scopes_since(), Some(Revision(11)));
         let request = |id, step, (joint, force, back)| TransactionResult {
             id,
             revision: Revision(step),
