--- a/benches/state/src/scopes/catalog.rs
+++ b/benches/state/src/scopes/catalog.rs
@@ -118,7 +118,7 @@
         let scopes: Vec<(String, Revision)> = self
             .log()?
             .catalog()
-            .open()
+            .unsettled()
             .filter(|(_, scope)| scope.next().is_some() == is_joint)
             .filter_map(|(name, scope)| Some((name.to_string(), scope.phase.since()?)))
             .collect();
--- a/decide/agreement/src/scope/catalog.rs
+++ b/decide/agreement/src/scope/catalog.rs
@@ -67,7 +67,7 @@
     }
 
     /// The scopes that are not settled.
-    pub fn open(&self) -> impl Iterator<Item = (&str, &ScopeRecord)> {
+    pub fn unsettled(&self) -> impl Iterator<Item = (&str, &ScopeRecord)> {
         self.open
             .keys()
             .filter_map(|name| self.records.get_key_value(name))
--- a/decide/agreement/tests/scopes/histories.rs
+++ b/decide/agreement/tests/scopes/histories.rs
@@ -253,7 +253,7 @@
         let mut in_force = Vec::new();
         let mut settled = Vec::new();
         let mut reverted = Vec::new();
-        for (name, record) in self.log.catalog().open() {
+        for (name, record) in self.log.catalog().unsettled() {
             let Some(since) = record.phase.since() else {
                 continue;
             };
--- a/decide/agreement/tests/scopes/main.rs
+++ b/decide/agreement/tests/scopes/main.rs
@@ -66,7 +66,7 @@
     for _ in 0..2 {
         let open: Vec<(String, Revision, bool)> = log
             .catalog()
-            .open()
+            .unsettled()
             .filter_map(|(name, record)| {
                 Some((
                     name.to_string(),
--- a/decide/consensus/tests/replica/scopes.rs
+++ b/decide/consensus/tests/replica/scopes.rs
@@ -9,7 +9,7 @@
 /// The entry of this number in a run of scope changes: each becomes joint, comes into force and settles.
 fn next_scope_entry(log: &Log, number: u64) -> LogEntry {
     let open = || {
-        log.catalog().open().filter_map(|(name, record)| {
+        log.catalog().unsettled().filter_map(|(name, record)| {
             let since = record.phase.since()?;
             Some((name.to_string(), since, record.next().is_some()))
         })
--- a/decide/fleet-node/src/change_controller/scopes.rs
+++ b/decide/fleet-node/src/change_controller/scopes.rs
@@ -31,7 +31,7 @@
 ) -> Vec<(String, Vec<Member>)> {
     let changing = log
         .catalog()
-        .open()
+        .unsettled()
         .filter(|(_, scope)| scope.next().is_some())
         .take(MAX_REPORTED);
     let with_holders = |(name, scope): (&str, &ScopeRecord)| {
@@ -189,7 +189,7 @@
         let mut progress = ScopeProgress::default();
         // Whether no front end with a live lease is behind a revision; many scopes share one.
         let mut reached_by_leases: BTreeMap<Revision, bool> = BTreeMap::new();
-        for (name, scope) in log.catalog().open() {
+        for (name, scope) in log.catalog().unsettled() {
             let Some(since) = scope.phase.since() else {
                 continue;
             };
--- a/decide/fleet-node/tests/fleet_node/scopes.rs
+++ b/decide/fleet-node/tests/fleet_node/scopes.rs
@@ -330,7 +330,7 @@
                 cluster.log().catalog().transaction_result(id).is_some()
             };
             remaining.retain(|id| !is_decided(&cluster, *id));
-            if remaining.is_empty() && cluster.log().catalog().open().next().is_none() {
+            if remaining.is_empty() && cluster.log().catalog().unsettled().next().is_none() {
                 break;
             }
             remaining
--- a/simulation/src/scopes/audit.rs
+++ b/simulation/src/scopes/audit.rs
@@ -20,7 +20,7 @@
 
     /// The changes that never ended, and the requests that were lost.
     fn unfinished(&self, log: &Log) -> Vec<String> {
-        let open = log.catalog().open().map(|(name, record)| {
+        let open = log.catalog().unsettled().map(|(name, record)| {
             format!(
                 "has a change of {name} that never ended: {:?}",
                 record.phase
