--- a/decide/agreement/src/lib.rs
+++ b/decide/agreement/src/lib.rs
@@ -41,7 +41,7 @@
 //!     reason: "more load".to_string(),
 //! };
 //! assert_eq!(log.apply(proposal)?, ApplyOutcome::Announced(Version(2)));
-//! while log.has_open_changes() {
+//! while log.has_version_change() {
 //!     let from = log.state().versions_revision;
 //!     log.apply(LogEntry::Advance { from })?;
 //! }
--- a/decide/agreement/src/log/mod.rs
+++ b/decide/agreement/src/log/mod.rs
@@ -177,7 +177,7 @@
     }
 
     /// Whether a change of version is in progress, which advances once every member has reached its present phase.
-    pub fn has_open_changes(&self) -> bool {
+    pub fn has_version_change(&self) -> bool {
         self.state.next.is_some()
     }
 
--- a/decide/agreement/src/log/validate.rs
+++ b/decide/agreement/src/log/validate.rs
@@ -135,7 +135,7 @@
     }
 
     fn check_advance(&self, from: Revision) -> Result<(), EntryRejection> {
-        let current = from == self.state.versions_revision && self.has_open_changes();
+        let current = from == self.state.versions_revision && self.has_version_change();
         ensure(current, EntryRejection::StaleRevision)
     }
 
--- a/decide/agreement/tests/session.rs
+++ b/decide/agreement/tests/session.rs
@@ -180,7 +180,7 @@
         if !self.table.all_at_least(from) {
             return;
         }
-        if self.log.has_open_changes() {
+        if self.log.has_version_change() {
             let advance = LogEntry::Advance { from };
             self.log.apply(advance).expect("a change in progress");
         } else {
--- a/decide/agreement/tests/settings/log.rs
+++ b/decide/agreement/tests/settings/log.rs
@@ -110,7 +110,7 @@
     log.apply(LogEntry::Advance { from: Revision(4) })
         .expect("settled");
     assert_eq!(
-        (log.state().in_force.version, log.has_open_changes()),
+        (log.state().in_force.version, log.has_version_change()),
         (Version(1), false)
     );
     log.apply(LogEntry::Propose {
--- a/decide/fleet-node/src/change_controller.rs
+++ b/decide/fleet-node/src/change_controller.rs
@@ -262,7 +262,7 @@
             Vec::new()
         };
         let scopes = scopes::blocked_scopes(log, sessions, schema);
-        let is_changing = log.has_open_changes();
+        let is_changing = log.has_version_change();
         (is_changing || !scopes.is_empty()).then(|| ChangeBlockers {
             leases: is_changing && !lease_node.all_have_reached(now, revision),
             sessions: behind,
--- a/decide/fleet-node/src/change_controller/advance.rs
+++ b/decide/fleet-node/src/change_controller/advance.rs
@@ -65,7 +65,7 @@
             _ => is_joint.then_some((revision, now)),
         };
         let is_idle = self.queue.is_empty() && self.storage_failure.is_none();
-        if !is_idle || !log.has_open_changes() {
+        if !is_idle || !log.has_version_change() {
             return;
         }
         if self.can_advance_version(now, log, lease_node, schema) {
--- a/decide/fleet-node/tests/fleet_node/versions.rs
+++ b/decide/fleet-node/tests/fleet_node/versions.rs
@@ -286,6 +286,6 @@
             "seed {seed}: {:?}",
             cluster.log().state()
         );
-        assert!(!cluster.log().has_open_changes(), "seed {seed}");
+        assert!(!cluster.log().has_version_change(), "seed {seed}");
     }
 }
--- a/simulation/src/fleet/audit.rs
+++ b/simulation/src/fleet/audit.rs
@@ -66,7 +66,7 @@
             .filter(|state| ***state == *log.state())
             .cloned()
             .unwrap_or_else(|| Rc::new(log.state().clone()));
-        let has_open_changes = log.has_open_changes();
+        let has_open_changes = log.has_version_change();
         let here = AppliedLog {
             state,
             voters: log.voters().keys().copied().collect(),
