--- a/decide/agreement/src/scope/history.rs
+++ b/decide/agreement/src/scope/history.rs
@@ -47,7 +47,7 @@
     }
 
     /// The revision after which every change is retained.
-    pub fn from(&self) -> Revision {
+    pub fn retained_after(&self) -> Revision {
         self.from
     }
 
--- a/decide/agreement/src/subscription/replies.rs
+++ b/decide/agreement/src/subscription/replies.rs
@@ -50,7 +50,7 @@
             return;
         }
         let before = self.revision;
-        let retained = state.history.from();
+        let retained = state.history.retained_after();
         self.revision = state.revision;
         self.changes += 1;
         if state.scopes_since.is_some() && !self.has_scopes() {
--- a/decide/agreement/tests/scopes/catalog.rs
+++ b/decide/agreement/tests/scopes/catalog.rs
@@ -347,7 +347,7 @@
     assert!(log.state().history.len() <= MAX_HISTORY && log.state().delta_since(before).is_none());
     assert!(log
         .state()
-        .delta_since(log.state().history.from())
+        .delta_since(log.state().history.retained_after())
         .is_some());
 }
 
