--- a/decide/agreement/src/subscription/mod.rs
+++ b/decide/agreement/src/subscription/mod.rs
@@ -126,16 +126,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubscriptionLimits {
     /// The number of scopes, pending ones included; at most [`MAX_SUBSCRIPTIONS`].
-    pub subscriptions: usize,
+    pub max_subscriptions: usize,
     /// A scope without calls for so long is unsubscribed from, microseconds.
-    pub idle: Time,
+    pub idle_timeout: Time,
 }
 
 impl Default for SubscriptionLimits {
     fn default() -> SubscriptionLimits {
         SubscriptionLimits {
-            subscriptions: MAX_SUBSCRIPTIONS,
-            idle: IDLE_TIMEOUT,
+            max_subscriptions: MAX_SUBSCRIPTIONS,
+            idle_timeout: IDLE_TIMEOUT,
         }
     }
 }
--- a/decide/agreement/src/subscription/requests.rs
+++ b/decide/agreement/src/subscription/requests.rs
@@ -59,7 +59,7 @@
     /// Unsubscribes from scopes that were not called lately.
     fn sweep(&mut self, now: Time) {
         self.next_sweep = now + SWEEP_INTERVAL;
-        let idle_timeout = self.limits.idle;
+        let idle_timeout = self.limits.idle_timeout;
         let idle = self
             .active
             .iter()
--- a/decide/agreement/src/subscription/subscriptions.rs
+++ b/decide/agreement/src/subscription/subscriptions.rs
@@ -95,7 +95,7 @@
     pub fn new(member: Member, limits: SubscriptionLimits, now: Time) -> ScopeSubscriptions {
         ScopeSubscriptions {
             limits: SubscriptionLimits {
-                subscriptions: limits.subscriptions.clamp(1, MAX_SUBSCRIPTIONS),
+                max_subscriptions: limits.max_subscriptions.clamp(1, MAX_SUBSCRIPTIONS),
                 ..limits
             },
             member,
@@ -224,7 +224,7 @@
 
     /// Makes room for one more scope by evicting those that were called least recently. False: all are pending.
     fn make_room(&mut self) -> bool {
-        if self.active.len() + self.pending.len() < self.limits.subscriptions {
+        if self.active.len() + self.pending.len() < self.limits.max_subscriptions {
             return true;
         }
         let mut oldest: Vec<(Time, String)> = self
@@ -233,7 +233,7 @@
             .map(|(name, scope)| (scope.last_call, name.clone()))
             .collect();
         oldest.sort_unstable();
-        oldest.truncate((self.limits.subscriptions / EVICTION_FRACTION).max(1));
+        oldest.truncate((self.limits.max_subscriptions / EVICTION_FRACTION).max(1));
         self.evicted += oldest.len() as u64;
         for (_, name) in &oldest {
             self.unsubscribe(name);
--- a/decide/agreement/tests/scopes/histories.rs
+++ b/decide/agreement/tests/scopes/histories.rs
@@ -20,8 +20,8 @@
 };
 /// Less than there are scopes, so that some are evicted all the while.
 const LIMITS: SubscriptionLimits = SubscriptionLimits {
-    subscriptions: 2,
-    idle: 2_000_000,
+    max_subscriptions: 2,
+    idle_timeout: 2_000_000,
 };
 const SCOPES: [&str; 3] = ["a", "b", "c"];
 const MEMBERS: usize = 3;
