--- a/decide/agreement/src/compatibility/mod.rs
+++ b/decide/agreement/src/compatibility/mod.rs
@@ -8,15 +8,15 @@
 mod value;
 
 pub use rules::{
-    changes, contradictions, joint_rules, rules_after_expiry, rules_without_lease, EffectiveRules,
-    FieldChange,
+    changed_fields, contradictions, joint_rules, rules_after_expiry, rules_without_lease,
+    EffectiveRules, FieldChange,
 };
 pub use schema::{
     AffectedCalls, CallAttributes, Compatibility, ExpiredLeasePolicy, Restrictiveness, Schema,
 };
-pub use value::{name, part, quote, Value};
+pub use value::{escape_name, quote, unescape_name, Value};
 
 use std::collections::BTreeMap;
 
-/// Fields of the settings by their path, such as `classes.chat.window`. Names in it are escaped by [`part`].
+/// Fields of the settings by their path, such as `classes.chat.window`. Names in it are escaped by [`escape_name`].
 pub type Fields = BTreeMap<String, Value>;
--- a/decide/agreement/src/compatibility/rules.rs
+++ b/decide/agreement/src/compatibility/rules.rs
@@ -1,7 +1,8 @@
 //! The rules that a front end acts on, derived from one version, from two, or from none that is current.
 
 use super::{
-    part, AffectedCalls, CallAttributes, Compatibility, ExpiredLeasePolicy, Fields, Schema, Value,
+    escape_name, AffectedCalls, CallAttributes, Compatibility, ExpiredLeasePolicy, Fields, Schema,
+    Value,
 };
 use std::collections::BTreeSet;
 
@@ -14,7 +15,7 @@
     pub rejected: BTreeSet<AffectedCalls>,
     /// Whether calls that name a class, tenant or function of which no field is known are rejected as well: a version
     /// that can't be known may define it.
-    pub unknown_names: bool,
+    pub rejects_unknown_names: bool,
 }
 
 impl EffectiveRules {
@@ -38,7 +39,7 @@
             !unnamed && !self.defines(calls)
         };
         self.rejected.iter().any(|calls| calls.includes(call))
-            || self.unknown_names && names.iter().any(unknown)
+            || self.rejects_unknown_names && names.iter().any(unknown)
     }
 
     /// Whether there is a field of this class, tenant or function.
@@ -46,7 +47,7 @@
         let (group, Some(name)) = (calls.group(), calls.name()) else {
             return true;
         };
-        let prefix = format!("{group}.{}.", part(name));
+        let prefix = format!("{group}.{}.", escape_name(name));
         self.fields
             .range(prefix.clone()..)
             .next()
@@ -57,7 +58,7 @@
     fn rejects_all(&self, calls: &AffectedCalls) -> bool {
         self.rejected.contains(calls)
             || self.rejected.contains(&AffectedCalls::All)
-            || self.unknown_names && !self.defines(calls)
+            || self.rejects_unknown_names && !self.defines(calls)
     }
 }
 
@@ -77,7 +78,7 @@
 }
 
 /// The fields that differ between two versions, in the order of their paths.
-pub fn changes(schema: &Schema, old: &Fields, new: &Fields) -> Vec<FieldChange> {
+pub fn changed_fields(schema: &Schema, old: &Fields, new: &Fields) -> Vec<FieldChange> {
     let paths: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
     paths
         .into_iter()
@@ -96,7 +97,7 @@
 /// changed strict field affects are rejected; free fields have the newer version's value already.
 pub fn joint_rules(schema: &Schema, old: &Fields, new: &Fields) -> EffectiveRules {
     let mut rules = EffectiveRules::from_fields(new);
-    for change in changes(schema, old, new) {
+    for change in changed_fields(schema, old, new) {
         match change.compatibility {
             Compatibility::Free => {}
             Compatibility::Joint(restrictiveness, _) => {
@@ -136,7 +137,7 @@
         fields,
         rejected,
         // A tenant of which nothing is known may have a limit by now.
-        unknown_names: true,
+        rejects_unknown_names: true,
     }
 }
 
@@ -144,7 +145,7 @@
 /// restrictive value, calls that any other field affects rejected, and so are calls of what is not known at all.
 pub fn rules_after_expiry(schema: &Schema, known: &Fields) -> EffectiveRules {
     let mut rules = EffectiveRules {
-        unknown_names: true,
+        rejects_unknown_names: true,
         ..EffectiveRules::from_fields(known)
     };
     restrict_missing_fields(schema, known, &mut rules);
--- a/decide/agreement/src/log/mod.rs
+++ b/decide/agreement/src/log/mod.rs
@@ -105,14 +105,14 @@
         let state = &self.state;
         // In the order of the fields of `CatalogSnapshot`.
         self.catalog
-            .since()
+            .scopes_since()
             .map(|_| (&self.catalog, &state.versions_revision, &state.history))
     }
 
     /// The same log with what was stored of scopes.
     pub fn with_catalog(mut self, snapshot: CatalogSnapshot) -> Log {
         self.catalog = snapshot.catalog;
-        self.state.scopes_since = self.catalog.since();
+        self.state.scopes_since = self.catalog.scopes_since();
         self.state.versions_revision = snapshot.versions_revision;
         self.state.history = snapshot.history;
         self
@@ -169,7 +169,7 @@
     }
 
     /// Whether the change in progress affects a strict field: it then waits for every member of the roster.
-    pub fn strict(&self, schema: &Schema) -> bool {
+    pub fn changes_strict_field(&self, schema: &Schema) -> bool {
         self.state
             .conflicting_fields(schema)
             .iter()
@@ -177,7 +177,7 @@
     }
 
     /// Whether a change of version is in progress, which advances once every member has reached its present phase.
-    pub fn has_open_changes(&self) -> bool {
+    pub fn has_version_change(&self) -> bool {
         self.state.next.is_some()
     }
 
--- a/decide/agreement/src/log/validate.rs
+++ b/decide/agreement/src/log/validate.rs
@@ -117,7 +117,7 @@
     /// Rejects fields of a version that define a scope of the catalog.
     fn check_no_scope_defined(&self, fields: &Fields) -> Result<(), EntryRejection> {
         // The catalog is empty until its first change: this spares the search.
-        if self.catalog.since().is_none() {
+        if self.catalog.scopes_since().is_none() {
             return Ok(());
         }
         let functions = fields
@@ -135,7 +135,7 @@
     }
 
     fn check_advance(&self, from: Revision) -> Result<(), EntryRejection> {
-        let current = from == self.state.versions_revision && self.has_open_changes();
+        let current = from == self.state.versions_revision && self.has_version_change();
         ensure(current, EntryRejection::StaleRevision)
     }
 
--- a/decide/agreement/src/scope/catalog.rs
+++ b/decide/agreement/src/scope/catalog.rs
@@ -52,7 +52,7 @@
 impl ScopeCatalog {
     /// The revision in which a scope was changed first, if any ever was: from then on only members that support scopes
     /// may serve.
-    pub fn since(&self) -> Option<Revision> {
+    pub fn scopes_since(&self) -> Option<Revision> {
         self.since
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// The scopes that are not settled.
-    pub fn open(&self) -> impl Iterator<Item = (&str, &ScopeRecord)> {
+    pub fn unsettled(&self) -> impl Iterator<Item = (&str, &ScopeRecord)> {
         self.open
             .keys()
             .filter_map(|name| self.records.get_key_value(name))
--- a/decide/agreement/src/scope/record.rs
+++ b/decide/agreement/src/scope/record.rs
@@ -2,7 +2,7 @@
 
 use super::fields_bytes;
 use crate::compatibility::{
-    joint_rules, part, rules_without_lease, AffectedCalls, EffectiveRules, Fields, Schema,
+    escape_name, joint_rules, rules_without_lease, AffectedCalls, EffectiveRules, Fields, Schema,
 };
 use crate::revision::Revision;
 use serde::{Deserialize, Serialize};
@@ -75,7 +75,7 @@
 
     /// Whether the change in progress affects a strict field, so that it waits for every subscriber. Whether the
     /// function exists counts as one.
-    pub fn strict(&self, schema: &Schema, scope: &str) -> bool {
+    pub fn changes_strict_field(&self, schema: &Schema, scope: &str) -> bool {
         self.next()
             .is_some_and(|_| self.effective(schema, scope).rejected)
     }
@@ -128,7 +128,7 @@
 
 /// The prefix of the paths of a scope's fields among all settings.
 fn path_prefix(scope: &str) -> String {
-    format!("functions.{}.", part(scope))
+    format!("functions.{}.", escape_name(scope))
 }
 
 /// A scope's fields by their paths among all settings.
--- a/decide/agreement/tests/scopes/histories.rs
+++ b/decide/agreement/tests/scopes/histories.rs
@@ -20,8 +20,8 @@
 };
 /// Less than there are scopes, so that some are evicted all the while.
 const LIMITS: SubscriptionLimits = SubscriptionLimits {
-    subscriptions: 2,
-    idle: 2_000_000,
+    max_subscriptions: 2,
+    idle_timeout: 2_000_000,
 };
 const SCOPES: [&str; 3] = ["a", "b", "c"];
 const MEMBERS: usize = 3;
@@ -106,7 +106,7 @@
             schema: schema(),
             now: 0,
             log: new_log(),
-            table: SessionTable::begin(SESSION, [], 0, epoch),
+            table: SessionTable::with_epoch(SESSION, [], 0, epoch),
             granter: LeaseGranter::new(LEASE, 8, None),
             front_ends: (0..MEMBERS as u64)
                 .map(|id| FrontEnd::new(member(id), 0))
@@ -210,7 +210,7 @@
     fn restart_leader(&mut self) {
         let epoch = self.table.epoch().next();
         let roster: Vec<Member> = self.log.roster().map(|(member, _)| member).collect();
-        self.table = SessionTable::begin(SESSION, roster.iter().copied(), self.now, epoch);
+        self.table = SessionTable::with_epoch(SESSION, roster.iter().copied(), self.now, epoch);
         self.granter = LeaseGranter::new(LEASE, 8, Some(self.now));
         if self.defect != Defect::LeaderForgets {
             return;
@@ -253,12 +253,12 @@
         let mut in_force = Vec::new();
         let mut settled = Vec::new();
         let mut reverted = Vec::new();
-        for (name, record) in self.log.catalog().open() {
+        for (name, record) in self.log.catalog().unsettled() {
             let Some(since) = record.phase.since() else {
                 continue;
             };
             let change = (name.to_string(), since);
-            let strict = record.strict(&self.schema, name);
+            let strict = record.changes_strict_field(&self.schema, name);
             let reached = self.granter.all_at_least(self.now, since);
             let behind = strict
                 && self.defect != Defect::SubscribersIgnored
@@ -334,7 +334,7 @@
         let grant = self.table.grant(self.now, request);
         self.messages
             .extend(grant.map(|grant| Message::SessionGrant(index, grant)));
-        if self.log.catalog().since().is_none() {
+        if self.log.catalog().scopes_since().is_none() {
             return;
         }
         if let Some(epoch) = self.table.awaiting_resync(from) {
--- a/decide/fleet-node/src/change_controller/advance.rs
+++ b/decide/fleet-node/src/change_controller/advance.rs
@@ -65,7 +65,7 @@
             _ => is_joint.then_some((revision, now)),
         };
         let is_idle = self.queue.is_empty() && self.storage_failure.is_none();
-        if !is_idle || !log.has_open_changes() {
+        if !is_idle || !log.has_version_change() {
             return;
         }
         if self.can_advance_version(now, log, lease_node, schema) {
@@ -74,7 +74,7 @@
             let version = state.latest();
             commands.push(Command::Notify(FleetEvent::ChangeAbandoned {
                 version: version.0,
-                behind: sessions.behind(revision).collect(),
+                behind: sessions.members_behind(revision).collect(),
             }));
             self.push(LogEntry::Abandon { version });
         }
@@ -99,7 +99,8 @@
                 .as_ref()
                 .is_some_and(|sessions| sessions.all_at_least(revision))
         };
-        lease_node.all_past(now, revision) && (!log.strict(schema) || have_sessions_reached())
+        lease_node.all_have_reached(now, revision)
+            && (!log.changes_strict_field(schema) || have_sessions_reached())
     }
 
     /// Proposes queued entries. Joins and departures do not wait for each other, so that 300 front ends which start
--- a/decide/fleet-node/src/change_controller/scopes.rs
+++ b/decide/fleet-node/src/change_controller/scopes.rs
@@ -31,11 +31,14 @@
 ) -> Vec<(String, Vec<Member>)> {
     let changing = log
         .catalog()
-        .open()
+        .unsettled()
         .filter(|(_, scope)| scope.next().is_some())
         .take(MAX_REPORTED);
     let with_holders = |(name, scope): (&str, &ScopeRecord)| {
-        let since = scope.phase.since().filter(|_| scope.strict(schema, name));
+        let since = scope
+            .phase
+            .since()
+            .filter(|_| scope.changes_strict_field(schema, name));
         let behind = since.map(|since| {
             sessions
                 .subscribers_behind(scope_number(name), since)
@@ -70,7 +73,7 @@
     /// Whether there are scopes or will be: then only programs that support them may be active.
     pub(super) fn uses_scopes(&self) -> bool {
         self.log()
-            .is_some_and(|log| log.catalog().since().is_some())
+            .is_some_and(|log| log.catalog().scopes_since().is_some())
             || self.is_queued(|entry| matches!(entry, LogEntry::UpdateScopes { .. }))
     }
 
@@ -103,7 +106,9 @@
 
     /// The request to a member for its subscriptions, if there are scopes and it has not stated them.
     pub(crate) fn resync_request(&self, member: Member) -> Option<SubscribeReply> {
-        let log = self.log().filter(|log| log.catalog().since().is_some())?;
+        let log = self
+            .log()
+            .filter(|log| log.catalog().scopes_since().is_some())?;
         let epoch = self.sessions.as_ref()?.awaiting_resync(member)?;
         Some(SubscribeReply {
             to: member,
@@ -153,7 +158,7 @@
             return;
         };
         // A program without scopes would not be waited for: all members have to support them before there are any.
-        if log.catalog().since().is_none() {
+        if log.catalog().scopes_since().is_none() {
             if self.is_queued(|entry| matches!(entry, LogEntry::Join { .. })) {
                 // Whether the joining one supports them is not known yet.
                 return;
@@ -184,13 +189,13 @@
         let mut progress = ScopeProgress::default();
         // Whether no front end with a live lease is behind a revision; many scopes share one.
         let mut reached_by_leases: BTreeMap<Revision, bool> = BTreeMap::new();
-        for (name, scope) in log.catalog().open() {
+        for (name, scope) in log.catalog().unsettled() {
             let Some(since) = scope.phase.since() else {
                 continue;
             };
             let is_reached = *reached_by_leases
                 .entry(since)
-                .or_insert_with(|| lease_node.all_past(now, since));
+                .or_insert_with(|| lease_node.all_have_reached(now, since));
             if !matches!(scope.phase, ScopePhase::Joint { .. }) {
                 if is_reached && progress.settled.len() < MAX_UPDATES_PER_TRANSACTION {
                     progress.settled.push((name.to_string(), since));
@@ -204,7 +209,7 @@
             let holders_behind = || sessions.subscribers_behind(scope_number(name), since);
             // Holders are looked up first, since most changes wait for none.
             let waits_for_holders =
-                || holders_behind().next().is_some() && scope.strict(schema, name);
+                || holders_behind().next().is_some() && scope.changes_strict_field(schema, name);
             if is_reached && !waits_for_holders() {
                 progress.in_force.push((name.to_string(), since));
             } else if now - first_seen >= JOINT_TIMEOUT {
