--- a/benches/state/src/rollouts/controller_cost.rs
+++ b/benches/state/src/rollouts/controller_cost.rs
@@ -98,7 +98,7 @@
         self.fleet.pass_time(self.now);
         for observation in &mut self.observations {
             if self.rollout.changed.contains(&observation.report.name) {
-                observation.report.new = true;
+                observation.report.is_canary = true;
             }
         }
         Ok(())
--- a/benches/state/src/rollouts/duration.rs
+++ b/benches/state/src/rollouts/duration.rs
@@ -66,7 +66,7 @@
     for observation in observations {
         if let Some(front_end) = fleet.get(&observation.report.name) {
             observation.ready = front_end.is_ready;
-            observation.report.new = front_end.is_new;
+            observation.report.is_canary = front_end.is_new;
         }
     }
 }
--- a/decide/canary/src/analysis.rs
+++ b/decide/canary/src/analysis.rs
@@ -135,8 +135,8 @@
             .iter()
             .filter_map(|report| self.delta(report))
             .collect();
-        let any_was_new = self.last.values().any(|report| report.new);
-        let any_is_new = reports.iter().any(|report| report.new);
+        let any_was_new = self.last.values().any(|report| report.is_canary);
+        let any_is_new = reports.iter().any(|report| report.is_canary);
         self.last = reports
             .iter()
             .map(|report| (report.name.clone(), report.clone()))
@@ -202,7 +202,7 @@
             .last
             .get(&report.name)
             .filter(|last| last.incarnation == report.incarnation)?;
-        if last.up < self.parameters.warm_up {
+        if last.uptime_seconds < self.parameters.warm_up {
             return None;
         }
         let none = RequestCounters::default();
@@ -246,10 +246,10 @@
 
     /// Fails the new side if a guard prevented something there.
     fn check_guards(&mut self, reports: &[FrontEndReport]) {
-        for report in reports.iter().filter(|report| report.new) {
+        for report in reports.iter().filter(|report| report.is_canary) {
             let known = self.guarded.entry(report.name.clone()).or_insert(0);
-            if report.guarded > *known {
-                *known = report.guarded;
+            if report.guard_interventions > *known {
+                *known = report.guard_interventions;
                 self.stop(format!("a guard of {} held something back", report.name));
             }
         }
@@ -259,13 +259,13 @@
     fn check_memory(&mut self, reports: &[FrontEndReport]) {
         let limit = self.parameters.memory;
         for report in reports {
-            if report.new && report.memory > limit {
+            if report.is_canary && report.memory_mb > limit {
                 self.stop(format!(
                     "{} takes {:.0} MB, over its limit of {limit:.0}",
-                    report.name, report.memory
+                    report.name, report.memory_mb
                 ));
             }
-            if report.up >= self.parameters.warm_up {
+            if report.uptime_seconds >= self.parameters.warm_up {
                 self.memory
                     .entry((report.name.clone(), report.incarnation))
                     .or_default()
--- a/decide/canary/src/memory.rs
+++ b/decide/canary/src/memory.rs
@@ -38,8 +38,8 @@
 impl MemoryHistory {
     pub(crate) fn add(&mut self, report: &FrontEndReport) {
         self.samples.push(MemorySample {
-            up: report.up,
-            megabytes: report.memory,
+            up: report.uptime_seconds,
+            megabytes: report.memory_mb,
         });
         if self.samples.len() > MAX_SAMPLES {
             self.samples.remove(0);
@@ -94,13 +94,13 @@
         };
         let old_slope = reports
             .iter()
-            .filter(|report| !report.new)
+            .filter(|report| !report.is_canary)
             .filter_map(trend)
             .map(|trend| trend.slope)
             .fold(0.0, f64::max);
         reports
             .iter()
-            .filter(|report| report.new)
+            .filter(|report| report.is_canary)
             .find_map(|report| {
                 let trend = trend(report)?;
                 trend.is_leak(old_slope, &self.parameters).then(|| {
--- a/decide/canary/src/request_counters.rs
+++ b/decide/canary/src/request_counters.rs
@@ -84,15 +84,15 @@
     /// Its zone.
     pub zone: String,
     /// Whether it is on the new side: runs the new program, or acts on the new settings.
-    pub new: bool,
+    pub is_canary: bool,
     /// The process; a later one has a larger number, and its counts begin at 0.
     pub incarnation: u64,
     /// Seconds since it began to serve.
-    pub up: f64,
+    pub uptime_seconds: f64,
     /// The counts by class.
     pub classes: BTreeMap<String, RequestCounters>,
     /// Memory in use, in megabytes.
-    pub memory: f64,
+    pub memory_mb: f64,
     /// Times that an internal guard prevented something, which happens only by a defect.
-    pub guarded: u64,
+    pub guard_interventions: u64,
 }
--- a/decide/dispatch/tests/lookup_counters.rs
+++ b/decide/dispatch/tests/lookup_counters.rs
@@ -142,12 +142,12 @@
     FrontEndReport {
         name,
         zone,
-        new,
+        is_canary: new,
         incarnation: 1,
-        up: 60.0 + slice as f64,
+        uptime_seconds: 60.0 + slice as f64,
         classes,
-        memory: 20.0,
-        guarded: 0,
+        memory_mb: 20.0,
+        guard_interventions: 0,
     }
 }
 
--- a/decide/rollout/src/controller.rs
+++ b/decide/rollout/src/controller.rs
@@ -22,7 +22,7 @@
 pub struct FrontEndObservation {
     /// It answers, and may act.
     pub ready: bool,
-    /// What it counted. `report.new`: it is on the new side.
+    /// What it counted. `report.is_canary`: it is on the new side.
     pub report: FrontEndReport,
 }
 
@@ -245,7 +245,7 @@
             let since = *self.released.entry(name.clone()).or_insert(now);
             let arrived = fleet
                 .front_end(name)
-                .is_some_and(|front_end| front_end.ready && front_end.report.new == forward);
+                .is_some_and(|front_end| front_end.ready && front_end.report.is_canary == forward);
             if arrived {
                 let name = name.clone();
                 return Some(RolloutEntry::MarkReady {
--- a/decide/rollout/src/controller/analysis.rs
+++ b/decide/rollout/src/controller/analysis.rs
@@ -91,7 +91,7 @@
         let wanted = |new_only: bool| -> f64 {
             reports
                 .iter()
-                .filter(|report| report.new || !new_only)
+                .filter(|report| report.is_canary || !new_only)
                 .flat_map(|report| report.classes.values())
                 .map(|counters| counters.value_requested)
                 .sum()
--- a/decide/rollout/tests/crash.rs
+++ b/decide/rollout/tests/crash.rs
@@ -152,12 +152,12 @@
                 report: FrontEndReport {
                     name,
                     zone: zone_of(front_end),
-                    new,
+                    is_canary: new,
                     incarnation: found.map_or(0, |(pid, _)| u64::from(*pid)),
-                    up: up as f64 / SECOND as f64,
+                    uptime_seconds: up as f64 / SECOND as f64,
                     classes: [("c".to_string(), counters)].into(),
-                    memory: 10.0,
-                    guarded: u64::from(new && self.faulty && up > 2 * SECOND),
+                    memory_mb: 10.0,
+                    guard_interventions: u64::from(new && self.faulty && up > 2 * SECOND),
                 },
             }
         };
--- a/protocol/fleet/src/rollout.rs
+++ b/protocol/fleet/src/rollout.rs
@@ -52,12 +52,12 @@
     let report = FrontEndReport {
         name: bounded_text(reply.name, "name")?,
         zone: bounded_text(reply.zone, "zone")?,
-        new,
+        is_canary: new,
         incarnation: reply.incarnation,
-        up: reply.uptime as f64 / 1e6,
+        uptime_seconds: reply.uptime as f64 / 1e6,
         classes,
-        memory: reply.memory_bytes as f64 / 1e6,
-        guarded: reply.guard_interventions,
+        memory_mb: reply.memory_bytes as f64 / 1e6,
+        guard_interventions: reply.guard_interventions,
     };
     Ok(FrontEndObservation {
         ready: reply.ready,
--- a/simulation/src/rollout/fixed_rule.rs
+++ b/simulation/src/rollout/fixed_rule.rs
@@ -120,7 +120,7 @@
     fn stage_loss(&self, observations: &[FrontEndObservation], changed: bool) -> Option<f64> {
         let total = observations
             .iter()
-            .filter(|o| o.report.new == changed)
+            .filter(|o| o.report.is_canary == changed)
             .map(|observation| {
                 let report = &observation.report;
                 let began = self.at_stage_begin.get(&report.name);
--- a/simulation/src/rollout/front_ends.rs
+++ b/simulation/src/rollout/front_ends.rs
@@ -247,12 +247,12 @@
             report: FrontEndReport {
                 name: self.name.clone(),
                 zone: format!("z{}", self.zone),
-                new: self.changed,
+                is_canary: self.changed,
                 incarnation: self.incarnation,
-                up: (now - self.started) as f64,
+                uptime_seconds: (now - self.started) as f64,
                 classes: self.counters.clone(),
-                memory: self.memory,
-                guarded: 0,
+                memory_mb: self.memory,
+                guard_interventions: 0,
             },
         }
     }
