--- a/decide/agreement/src/log/apply.rs
+++ b/decide/agreement/src/log/apply.rs
@@ -193,7 +193,7 @@
         let targets = rollout.plan.stages.iter().flatten();
         let members: BTreeSet<String> = targets
             .map(|target| &target.name)
-            .filter(|name| rollout.new_side(name))
+            .filter(|name| rollout.should_be_changed(name))
             .cloned()
             .collect();
         (!members.is_empty()).then(|| {
--- a/decide/rollout/src/lib.rs
+++ b/decide/rollout/src/lib.rs
@@ -18,7 +18,7 @@
 //! let mut rollout = Rollout::begin(1, RolloutChange::Settings, plan, "an example".into())?;
 //! rollout.apply(RolloutEntry::TakeControl { fence: 1, controller: "c".into() })?;
 //! rollout.apply(RolloutEntry::Release { revision: 2, fence: 1, name: "f0".into() })?;
-//! assert!(rollout.new_side("f0"));
+//! assert!(rollout.should_be_changed("f0"));
 //! assert_eq!(rollout.phase, RolloutPhase::Changing);
 //! # Ok::<(), tansy_rollout::RolloutRejection>(())
 //! ```
--- a/decide/rollout/src/state.rs
+++ b/decide/rollout/src/state.rs
@@ -117,7 +117,7 @@
     }
 
     /// Whether this front end is to be on the new side.
-    pub fn new_side(&self, name: &str) -> bool {
+    pub fn should_be_changed(&self, name: &str) -> bool {
         match self.phase {
             RolloutPhase::Completed => true,
             RolloutPhase::RolledBack => false,
--- a/decide/rollout/tests/crash.rs
+++ b/decide/rollout/tests/crash.rs
@@ -264,7 +264,7 @@
             let read = self.hosts[zone_index].read.take();
             if let Some((asked, rollout)) = read {
                 for name in World::names(zone_index) {
-                    let label = if rollout.new_side(&name) {
+                    let label = if rollout.should_be_changed(&name) {
                         "new"
                     } else {
                         "old"
--- a/programs/fleet/src/machine.rs
+++ b/programs/fleet/src/machine.rs
@@ -212,7 +212,7 @@
             return desired;
         };
         if let RolloutChange::Program { label, .. } = &rollout.change {
-            if rollout.new_side(name) {
+            if rollout.should_be_changed(name) {
                 desired.label.clone_from(label);
             }
             desired.may_replace = rollout.released.contains(name) && self.fleet.fresh;
