--- a/programs/fleet/src/client.rs
+++ b/programs/fleet/src/client.rs
@@ -168,7 +168,7 @@
     }
 
     /// What several front ends know of the last rollout.
-    pub fn rolls(
+    pub fn rollouts(
         &mut self,
         to: &[SocketAddr],
         within: Duration,
@@ -210,7 +210,7 @@
     }
 
     /// Proposes several log entries to the leader at once.
-    pub fn enters(
+    pub fn enter_all(
         &mut self,
         leader: SocketAddr,
         entries: Vec<pb::enter_request::Entry>,
@@ -244,7 +244,7 @@
     }
 
     /// Sets this flag once the process is asked to end, by SIGTERM or SIGINT.
-    pub fn on_end(&self, end: Arc<AtomicBool>) -> io::Result<()> {
+    pub fn on_termination(&self, end: Arc<AtomicBool>) -> io::Result<()> {
         let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT])?;
         let on_signal = move |_, _: &mut (), _: &mut ()| end.store(true, Ordering::Relaxed);
         let inserted = self
--- a/programs/fleet/src/machine.rs
+++ b/programs/fleet/src/machine.rs
@@ -6,7 +6,7 @@
 pub(crate) use fleet_state::sample;
 
 use crate::client::Client;
-use crate::processes::{label, ProcessError, Processes, RunningProcess};
+use crate::processes::{program_label, ProcessError, Processes, RunningProcess};
 use crate::FleetError;
 use file::MachineFile;
 use fleet_state::{micros, FleetState};
@@ -41,7 +41,7 @@
     let mut machine = Machine::start(file)?;
     machine
         .client
-        .on_end(end.clone())
+        .on_termination(end.clone())
         .map_err(FleetError::invalid)?;
     println!("ready fronts={}", machine.file.front_ends.len());
     machine.serve(&end);
@@ -53,7 +53,7 @@
     let mut client = Client::new().map_err(FleetError::unreachable)?;
     let end = Arc::new(AtomicBool::new(false));
     client
-        .on_end(end.clone())
+        .on_termination(end.clone())
         .map_err(FleetError::unreachable)?;
     let mut controller = RolloutController::new(name.to_string());
     let mut fleet = FleetState::default();
@@ -85,7 +85,7 @@
 impl Machine {
     fn start(file: MachineFile) -> Result<Machine, FleetError> {
         let program_label =
-            label(&file.program).map_err(|error| FleetError::file(&file.program, error))?;
+            program_label(&file.program).map_err(|error| FleetError::file(&file.program, error))?;
         let (processes, running) = Processes::open(&file.folder)?;
         let limits = SupervisorLimits {
             start_timeout: file.ready as Time * SECOND,
--- a/programs/fleet/src/machine/fleet_state.rs
+++ b/programs/fleet/src/machine/fleet_state.rs
@@ -37,7 +37,7 @@
         let asked = micros(began);
         let addresses: BTreeSet<SocketAddr> = at.iter().chain(&self.known).copied().collect();
         let addresses: Vec<SocketAddr> = addresses.into_iter().collect();
-        let answers = client.rolls(&addresses, ANSWER_TIMEOUT);
+        let answers = client.rollouts(&addresses, ANSWER_TIMEOUT);
         self.fresh = false;
         for (address, answer) in addresses.iter().zip(answers) {
             if let Ok(reply) = answer {
--- a/programs/fleet/src/processes.rs
+++ b/programs/fleet/src/processes.rs
@@ -58,7 +58,7 @@
 }
 
 /// The label of a program: the digest of its file.
-pub fn label(path: &Path) -> io::Result<String> {
+pub fn program_label(path: &Path) -> io::Result<String> {
     let mut file = File::open(path)?;
     let mut hash = Xxh3::new();
     let mut buffer = vec![0; 1 << 16];
@@ -81,7 +81,7 @@
 
 /// A process that some supervisor started, as the kernel reports it.
 #[derive(Debug)]
-pub struct Running {
+pub struct SupervisedProcess {
     /// The process.
     pub pid: ProcessId,
     /// Its supervisor's folder.
@@ -95,7 +95,7 @@
 }
 
 /// All processes that any supervisor started, by their environment.
-pub fn kept() -> Vec<Running> {
+pub fn supervised_processes() -> Vec<SupervisedProcess> {
     let one = |entry: std::fs::DirEntry| {
         let pid = entry.file_name().to_str()?.parse().ok()?;
         let environment = std::fs::read(entry.path().join("environ")).ok()?;
@@ -118,7 +118,7 @@
             .unwrap_or_default()
             .to_string_lossy()
             .into_owned();
-        Some(Running {
+        Some(SupervisedProcess {
             pid,
             folder: PathBuf::from(folder),
             name: name.to_string(),
@@ -179,7 +179,7 @@
     /// Processes whose environment names this folder.
     fn find(&mut self) -> Vec<RunningProcess> {
         let mut all = Vec::new();
-        let here = kept()
+        let here = supervised_processes()
             .into_iter()
             .filter(|process| process.folder == self.folder);
         for process in here {
@@ -207,7 +207,7 @@
                 .join("programs")
                 .join(format!("{expected}.part"));
             std::fs::copy(path, &part).map_err(failed)?;
-            let actual = label(&part).map_err(failed)?;
+            let actual = program_label(&part).map_err(failed)?;
             if actual != expected {
                 return Err(ProcessError::WrongProgram {
                     path: path.to_path_buf(),
--- a/programs/fleet/src/rollout.rs
+++ b/programs/fleet/src/rollout.rs
@@ -9,7 +9,7 @@
 
 use crate::arguments::{BeginArguments, RolloutCommand};
 use crate::error::read_file;
-use crate::processes::label;
+use crate::processes::program_label;
 use crate::{FleetError, Session};
 use std::path::Path;
 use std::time::Duration;
@@ -90,7 +90,7 @@
     let absolute = path
         .canonicalize()
         .map_err(|error| FleetError::file(path, error))?;
-    let label = label(&absolute).map_err(|error| FleetError::file(path, error))?;
+    let label = program_label(&absolute).map_err(|error| FleetError::file(path, error))?;
     let change = RolloutChange::Program {
         label,
         path: absolute.display().to_string(),
@@ -127,7 +127,7 @@
     let leader = session.leader()?;
     let reply = session
         .client
-        .rolls(&[leader], ANSWER_TIMEOUT)
+        .rollouts(&[leader], ANSWER_TIMEOUT)
         .pop()
         .unwrap_or_else(|| Err(RequestError::Unreachable("no answer".into())))?;
     let rollout = of_roll(&reply.rollout).map_err(FleetError::unreachable)?;
--- a/programs/fleet/src/rows.rs
+++ b/programs/fleet/src/rows.rs
@@ -98,7 +98,7 @@
     }
 
     /// Of a front end that did not answer.
-    pub fn silent(address: String, error: String) -> FrontEndStatus {
+    pub fn unreachable(address: String, error: String) -> FrontEndStatus {
         FrontEndStatus {
             name: "?".into(),
             address,
--- a/programs/fleet/src/rows/tests.rs
+++ b/programs/fleet/src/rows/tests.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn a_fleet_status_keeps_its_json_text() {
-    let mut front_end = FrontEndStatus::silent("1.2.3.4:5".into(), "no answer".into());
+    let mut front_end = FrontEndStatus::unreachable("1.2.3.4:5".into(), "no answer".into());
     front_end.next = Some((3, "joint".into()));
     let status = FleetStatus {
         fleet: "north".into(),
--- a/programs/fleet/src/status.rs
+++ b/programs/fleet/src/status.rs
@@ -55,7 +55,7 @@
 ) -> FrontEndStatus {
     match answer {
         Ok(status) => FrontEndStatus::of(status),
-        Err(error) => FrontEndStatus::silent(address.to_string(), error.to_string()),
+        Err(error) => FrontEndStatus::unreachable(address.to_string(), error.to_string()),
     }
 }
 
--- a/programs/fleet/tests/rollout.rs
+++ b/programs/fleet/tests/rollout.rs
@@ -12,7 +12,7 @@
 use std::process::Command;
 use std::time::Duration;
 use support::{ask, gateway};
-use tansy_fleet::processes::kept;
+use tansy_fleet::processes::supervised_processes;
 use tansy_test_support::address::ReservedAddress;
 use tansy_test_support::fleet::{error_contains, front_ends, may_act, reserve_addresses, ANY_PORT};
 use tansy_test_support::folder::TestFolder;
@@ -138,12 +138,12 @@
     }
 
     fn processes(&self) -> Vec<FrontEndProcess> {
-        let all = kept().into_iter();
-        let own = all.filter(|kept| kept.folder.starts_with(self.folder.path()));
-        own.map(|kept| FrontEndProcess {
-            pid: kept.pid,
-            name: kept.name,
-            program: kept.program,
+        let all = supervised_processes().into_iter();
+        let own = all.filter(|process| process.folder.starts_with(self.folder.path()));
+        own.map(|process| FrontEndProcess {
+            pid: process.pid,
+            name: process.name,
+            program: process.program,
         })
         .collect()
     }
@@ -198,7 +198,7 @@
     }
 
     fn all_run(&self, program: &str) -> bool {
-        let label = tansy_fleet::processes::label(&self.path(program)).expect("a program");
+        let label = tansy_fleet::processes::program_label(&self.path(program)).expect("a program");
         let programs = self.programs_by_name();
         programs.len() == FRONT_ENDS && programs.values().all(|p| *p == [label.clone()])
     }
--- a/programs/scale/src/fleet/mod.rs
+++ b/programs/scale/src/fleet/mod.rs
@@ -118,7 +118,7 @@
         let client = Client::new()?;
         let is_interrupted = Arc::new(AtomicBool::new(false));
         // Before any thread starts, which inherit the mask of signals.
-        client.on_end(is_interrupted.clone())?;
+        client.on_termination(is_interrupted.clone())?;
         let folder = std::env::temp_dir().join(format!("tansy-scale-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let names = shape::front_end_names(&shape);
--- a/programs/scale/src/fleet/operator.rs
+++ b/programs/scale/src/fleet/operator.rs
@@ -195,7 +195,7 @@
         };
         let entries = versions.into_iter().map(entry).collect();
         let requested_at = clock::now();
-        let replies = self.client.enters(self.leader_address, entries);
+        let replies = self.client.enter_all(self.leader_address, entries);
         let versions = replies
             .into_iter()
             .map(|reply| reply.map(|reply| reply.version))
--- a/programs/scale/src/fleet/scope_updates.rs
+++ b/programs/scale/src/fleet/scope_updates.rs
@@ -213,7 +213,7 @@
             }))
         };
         let entries = updates.into_iter().map(entry).collect();
-        let replies = self.client.enters(self.leader_address(), entries);
+        let replies = self.client.enter_all(self.leader_address(), entries);
         let refused = replies.into_iter().filter_map(Result::err).collect();
         Ok((watched, refused))
     }
--- a/programs/scenario/src/rollout/cluster.rs
+++ b/programs/scenario/src/rollout/cluster.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tansy_audit::Link;
 use tansy_fleet::client::Client;
-use tansy_fleet::processes::{kept, Running};
+use tansy_fleet::processes::{supervised_processes, SupervisedProcess};
 use tansy_fleet_wire::of_roll;
 use tansy_rollout::Rollout;
 use tansy_test_support::address::ReservedAddress;
@@ -190,7 +190,7 @@
     /// The rollout, as the leader knows it; none: no voter leads at the moment, or there was none.
     pub fn rollout(&mut self) -> Option<Rollout> {
         let voters = self.peers[..VOTERS].to_vec();
-        let replies = self.client.rolls(&voters, ANSWER_TIMEOUT);
+        let replies = self.client.rollouts(&voters, ANSWER_TIMEOUT);
         let leader = replies
             .into_iter()
             .flatten()
@@ -199,9 +199,9 @@
     }
 
     /// The processes of front ends, as the kernel has them.
-    pub fn processes(&self) -> Vec<Running> {
+    pub fn processes(&self) -> Vec<SupervisedProcess> {
         let folder = self.folder.path();
-        let all = kept().into_iter();
+        let all = supervised_processes().into_iter();
         all.filter(|process| process.folder.starts_with(folder))
             .collect()
     }
--- a/programs/scenario/src/rollout/mod.rs
+++ b/programs/scenario/src/rollout/mod.rs
@@ -33,7 +33,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tansy_audit::audit_with_history;
-use tansy_fleet::processes::label;
+use tansy_fleet::processes::program_label;
 use tansy_rollout::Rollout;
 use tansy_settings::Settings;
 
@@ -64,7 +64,7 @@
     let stop = Arc::new(AtomicBool::new(false));
     let clients = load::spawn(load_plan(&cluster, &settings, options, stop.clone()));
     let new_program = cluster.folder.new_program();
-    let new_program = label(&new_program).map_err(ScenarioError::file(&new_program))?;
+    let new_program = program_label(&new_program).map_err(ScenarioError::file(&new_program))?;
     let mut observer = Observer::new(options, new_program.clone());
     let mut faults = Faults::new(options);
     let started = Instant::now();
--- a/programs/scenario/src/rollout/observer.rs
+++ b/programs/scenario/src/rollout/observer.rs
@@ -9,7 +9,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 use tansy_audit::Mark;
-use tansy_fleet::processes::Running;
+use tansy_fleet::processes::SupervisedProcess;
 
 /// A front end that accepts no connection within this time is away.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
@@ -22,7 +22,7 @@
     /// The name of the new program's file, as processes show it.
     new_program: String,
     /// Front ends' processes that were running, by their ids.
-    processes: BTreeMap<u32, Running>,
+    processes: BTreeMap<u32, SupervisedProcess>,
     /// Sum of the shares of front ends that ran the new program, and their number.
     exposed: f64,
     observations: f64,
@@ -75,7 +75,7 @@
     }
 
     /// No two processes may have one name.
-    fn check_names(&mut self, running: &[Running]) {
+    fn check_names(&mut self, running: &[SupervisedProcess]) {
         let mut names = BTreeSet::new();
         for process in running {
             if !names.insert(process.name.as_str()) {
@@ -86,7 +86,11 @@
     }
 
     /// One that ends in the middle of its calls answers none of them; only those with the defect do.
-    fn mark_crashes(&self, cluster: &Cluster, running: &[Running]) -> Result<(), ScenarioError> {
+    fn mark_crashes(
+        &self,
+        cluster: &Cluster,
+        running: &[SupervisedProcess],
+    ) -> Result<(), ScenarioError> {
         if self.options.defect != InjectedDefect::Crash {
             return Ok(());
         }
--- a/programs/scenario/src/rollout/proposal.rs
+++ b/programs/scenario/src/rollout/proposal.rs
@@ -6,7 +6,7 @@
 use crate::error::ScenarioError;
 use crate::fleet;
 use std::time::{Duration, Instant};
-use tansy_fleet::processes::label;
+use tansy_fleet::processes::program_label;
 use tansy_fleet::rollout::stages;
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_fleet_wire::roll_entry;
@@ -26,7 +26,7 @@
         let entry = RolloutEntry::Begin {
             id: 1 + options.seed,
             change: RolloutChange::Program {
-                label: label(&path).map_err(ScenarioError::file(&path))?,
+                label: program_label(&path).map_err(ScenarioError::file(&path))?,
                 path: path.display().to_string(),
             },
             plan: plan(options)?,
--- a/tests/compatibility/src/json.rs
+++ b/tests/compatibility/src/json.rs
@@ -116,7 +116,7 @@
             ..Default::default()
         })
     };
-    let silent = FrontEndStatus::silent("10.0.0.2:7000".into(), "no answer".into());
+    let silent = FrontEndStatus::unreachable("10.0.0.2:7000".into(), "no answer".into());
     let of_fleet = FleetStatus {
         fleet: "pool".into(),
         leader: "10.0.0.1:7000".into(),
