--- a/decide/agreement/src/log/validate.rs
+++ b/decide/agreement/src/log/validate.rs
@@ -199,7 +199,7 @@
             }
             _ => {}
         }
-        if let Some(mistake) = plan.fault() {
+        if let Some(mistake) = plan.validation_error() {
             return Err(EntryRejection::Rollout(RolloutRejection::Plan(mistake)));
         }
         if *change != RolloutChange::Settings {
--- a/decide/rollout/src/plan.rs
+++ b/decide/rollout/src/plan.rs
@@ -96,7 +96,7 @@
 
 impl RolloutPlan {
     /// The first fault of the plan, in words for the operator; `None` if the plan is valid.
-    pub fn fault(&self) -> Option<String> {
+    pub fn validation_error(&self) -> Option<String> {
         self.stages_fault().or_else(|| self.limits_fault())
     }
 
--- a/decide/rollout/src/state.rs
+++ b/decide/rollout/src/state.rs
@@ -83,7 +83,7 @@
         plan: RolloutPlan,
         reason: String,
     ) -> Result<Rollout, RolloutRejection> {
-        if let Some(fault) = plan.fault() {
+        if let Some(fault) = plan.validation_error() {
             return Err(RolloutRejection::Plan(fault));
         }
         let steps = vec![format!("begun: {reason}")];
--- a/decide/rollout/src/validate.rs
+++ b/decide/rollout/src/validate.rs
@@ -9,7 +9,7 @@
         if let RolloutEntry::Begin { plan, .. } = entry {
             require(self.has_ended(), RolloutRejection::Busy)?;
             return plan
-                .fault()
+                .validation_error()
                 .map_or(Ok(()), |fault| Err(RolloutRejection::Plan(fault)));
         }
         require(!self.has_ended(), RolloutRejection::Ended)?;
--- a/programs/fleet/src/rollout.rs
+++ b/programs/fleet/src/rollout.rs
@@ -54,7 +54,7 @@
 fn begin(session: &mut Session, arguments: BeginArguments) -> Result<(), FleetError> {
     let mut plan = plan::read(arguments.plan.as_deref())?;
     plan.stages = stages(plan::targets(session)?, &arguments.stages)?;
-    if let Some(fault) = plan.fault() {
+    if let Some(fault) = plan.validation_error() {
         return Err(FleetError::Invalid(format!("the plan: {fault}")));
     }
     let (what, settings) = change(&arguments)?;
