--- a/benches/state/src/rollouts/controller_cost.rs
+++ b/benches/state/src/rollouts/controller_cost.rs
@@ -90,7 +90,7 @@
     /// Half of the first stage runs the new program.
     fn change_half_of_stage(&mut self) -> Result<(), BenchError> {
         self.now = self.baseline() + self.slice();
-        let targets = self.rollout.plan.up_to(0);
+        let targets = self.rollout.plan.targets_through(0);
         let names: Vec<String> = targets.map(|target| target.name.clone()).collect();
         for name in names.iter().take(names.len() / 2) {
             self.change_front_end(name)?;
--- a/decide/rollout/src/controller/analysis.rs
+++ b/decide/rollout/src/controller/analysis.rs
@@ -61,7 +61,7 @@
 fn stage_names(rollout: &Rollout) -> impl Iterator<Item = String> + '_ {
     rollout
         .plan
-        .up_to(rollout.stage)
+        .targets_through(rollout.stage)
         .map(|target| target.name.clone())
 }
 
--- a/decide/rollout/src/controller/availability.rs
+++ b/decide/rollout/src/controller/availability.rs
@@ -29,7 +29,7 @@
             RolloutPhase::RollingBack => rollout.changed.iter().map(String::as_str).collect(),
             _ => rollout
                 .plan
-                .up_to(rollout.stage)
+                .targets_through(rollout.stage)
                 .map(|target| target.name.as_str())
                 .collect(),
         };
--- a/decide/rollout/src/plan.rs
+++ b/decide/rollout/src/plan.rs
@@ -155,7 +155,7 @@
     }
 
     /// The front ends of all stages up to and including this one.
-    pub fn up_to(&self, stage: usize) -> impl Iterator<Item = &Target> {
+    pub fn targets_through(&self, stage: usize) -> impl Iterator<Item = &Target> {
         self.stages.iter().take(stage + 1).flatten()
     }
 }
--- a/decide/rollout/src/state.rs
+++ b/decide/rollout/src/state.rs
@@ -161,7 +161,7 @@
                     && !self.changed.contains(name)
                     && self
                         .plan
-                        .up_to(self.stage)
+                        .targets_through(self.stage)
                         .any(|target| target.name == name)
             }
             RolloutPhase::RollingBack => self.changed.contains(name),
@@ -174,7 +174,7 @@
         self.released.is_empty()
             && self
                 .plan
-                .up_to(self.stage)
+                .targets_through(self.stage)
                 .all(|target| self.changed.contains(&target.name))
     }
 }
