--- a/decide/rollout/src/plan.rs
+++ b/decide/rollout/src/plan.rs
@@ -96,7 +96,7 @@
 
 impl RolloutPlan {
     /// The first fault of the plan, in words for the operator; `None` if the plan is valid.
-    pub fn fault(&self) -> Option<String> {
+    pub fn validation_error(&self) -> Option<String> {
         self.stages_fault().or_else(|| self.limits_fault())
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// The front ends of all stages up to and including this one.
-    pub fn up_to(&self, stage: usize) -> impl Iterator<Item = &Target> {
+    pub fn targets_through(&self, stage: usize) -> impl Iterator<Item = &Target> {
         self.stages.iter().take(stage + 1).flatten()
     }
 }
--- a/decide/rollout/src/state.rs
+++ b/decide/rollout/src/state.rs
@@ -83,7 +83,7 @@
         plan: RolloutPlan,
         reason: String,
     ) -> Result<Rollout, RolloutRejection> {
-        if let Some(fault) = plan.fault() {
+        if let Some(fault) = plan.validation_error() {
             return Err(RolloutRejection::Plan(fault));
         }
         let steps = vec![format!("begun: {reason}")];
@@ -117,7 +117,7 @@
     }
 
     /// Whether this front end is to be on the new side.
-    pub fn new_side(&self, name: &str) -> bool {
+    pub fn should_be_changed(&self, name: &str) -> bool {
         match self.phase {
             RolloutPhase::Completed => true,
             RolloutPhase::RolledBack => false,
@@ -161,7 +161,7 @@
                     && !self.changed.contains(name)
                     && self
                         .plan
-                        .up_to(self.stage)
+                        .targets_through(self.stage)
                         .any(|target| target.name == name)
             }
             RolloutPhase::RollingBack => self.changed.contains(name),
@@ -174,7 +174,7 @@
         self.released.is_empty()
             && self
                 .plan
-                .up_to(self.stage)
+                .targets_through(self.stage)
                 .all(|target| self.changed.contains(&target.name))
     }
 }
