--- a/decide/dispatch/src/lib.rs
+++ b/decide/dispatch/src/lib.rs
@@ -1,21 +1,23 @@
-//! The dispatcher of a front end: it connects what the protocols observe with what the routing policy decides.
+//! The dispatcher of a front end: translates protocol events for the router, and the router's actions into commands.
 //!
-//! [`Dispatcher::step`] takes one [`Input`] with the time and appends [`Command`]s, to be carried out in order. It has no
-//! clock, no sockets and no threads, so the gateway, a replay of a recorded run and an emulator run the same code.
+//! [`Dispatcher::step`] takes one [`Input`] with the current time and appends the resulting [`Command`]s, which the
+//! caller executes in order. The dispatcher has no clock, sockets or threads, so a gateway, a simulator and the replay
+//! of a recorded run execute the same code.
 //!
-//! - [`config`]: the configuration of a dispatcher. [`message`]: its inputs and commands.
-//! - [`request_table`]: the open calls and their attempts, the timers, the guards of the rules.
-//! - [`outcome`]: what a socket showed of an attempt, and whether the attempt can have run.
-//! - [`counters`]: calls accepted, answered and sent; they must balance.
-//! - [`class_counters`]: final answers by class, for the comparison of front ends.
-//! - [`load_failures`]: workers whose loads leave no instance, and when the operator is notified.
-//! - [`input_queue`]: the order in which a driver gives inputs, one at a time.
-//! - [`invariants`]: the rules checked again at run time, against what really left and came.
-//! - [`names`]: names and the router's numbers for them.
+//! - [`config`]: the configuration of a dispatcher.
+//! - [`message`]: its inputs and commands.
+//! - [`request_table`]: open calls, attempts, control requests, timers and guards.
+//! - [`outcome`]: how attempts end, and whether an attempt may have run.
+//! - [`counters`]: counters of calls, attempts and control requests.
+//! - [`class_counters`]: final answers by class, for comparing front ends.
+//! - [`load_failures`]: workers whose loads leave no instance, and when to report them to the operator.
+//! - [`input_queue`]: queues the inputs of a driver, so that they are handled one at a time.
+//! - [`invariants`]: run-time checks that are independent of the guards.
+//! - [`names`]: names and their numeric ids in the router.
 //! - [`pending_lookups`]: calls that wait until the settings of their function are known.
-//! - [`record`]: inputs and commands as lines of JSON, and their replay.
+//! - [`record`]: recorded steps as JSON lines, and their replay.
 //!
-//! A call comes, and the one worker is asked to load its function:
+//! A call whose function is not loaded anywhere makes the dispatcher load it at the only worker:
 //!
 //! ```
 //! use tansy_dispatch::{Call, CallId, Command, DispatchConfig, Dispatcher, FunctionSpec, Input, WorkerRecord, WorkerState};
--- a/decide/dispatch/src/message.rs
+++ b/decide/dispatch/src/message.rs
@@ -1,119 +1,121 @@
-//! Inputs of the dispatcher and the commands it gives.
+//! Inputs of the dispatcher and the commands it returns.
 //!
-//! Recorded runs spell these types as JSON, so a `serde(rename)` keeps the key wherever the name in the code differs.
+//! Recorded runs contain these types as JSON; `serde(rename)` keeps the recorded key where the name in the code differs.
 
 use crate::outcome::{AttemptOutcome, Trailers};
 use serde::{Deserialize, Serialize};
 use tansyrouter::{Micros, WorkerState};
 
-/// The number of a call at this front end; never used twice.
+/// Identifies a call at this front end. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId(pub u64);
 
-/// The number of a control request: a probe, a load or an unload.
+/// Identifies a control request: a probe, a load or an unload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ControlRequestId(pub u64);
 
-/// What a function needs of a worker, as a call states it where the settings do not name the function.
+/// Resource requirements of a function, stated by calls of functions that the settings do not name.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FunctionShape {
-    /// Calls that one instance runs at a time.
+    /// Number of calls that one instance runs at a time.
     pub lanes: u32,
     /// Memory of one instance, MB.
     pub memory_mb: f64,
-    /// Usual time of a load, microseconds, if stated.
+    /// Expected duration of a load, microseconds, if stated.
     pub load_time: Option<Micros>,
 }
 
-/// What is known of a function that the settings in force do not name.
+/// The result of looking up a function that the settings in force do not name.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FunctionLookup {
-    /// Its calls are accepted.
+    /// The function exists; its calls are accepted.
     #[serde(rename = "Acts")]
     Known {
-        /// Its class, for calls that name none.
+        /// The class of calls that name none.
         class: usize,
-        /// Its shape.
+        /// Resource requirements of the function.
         shape: FunctionShape,
     },
-    /// Its calls are refused: front ends cannot be sure that they agree on it.
+    /// Calls are refused, because front ends may apply different settings to the function.
     Refused,
-    /// There is no such function.
+    /// The function does not exist.
     Unknown,
-    /// Nothing is known yet: its calls wait.
+    /// The lookup has no result yet; calls wait for it.
     #[serde(rename = "Wait")]
     Pending,
 }
 
-/// A call as its protocol stated it.
+/// A call as it was received from the client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Call {
-    /// Its number.
+    /// The id of the call.
     #[serde(rename = "call")]
     pub id: CallId,
     /// The name of the function.
     pub function: String,
-    /// Its class, if the call names one that exists; else the class of the function applies.
+    /// Index of the class, if the call names an existing one; otherwise the class of the function applies.
     pub class: Option<usize>,
-    /// Its tenant; 0 if it names none.
+    /// Index of the tenant; 0 if the call names none.
     pub tenant: usize,
-    /// Time that its client gives it, microseconds; `None`: the deadline of the class.
+    /// Time that the client allows, microseconds; if `None`, the deadline of the class applies.
     pub budget: Option<Micros>,
-    /// Estimate of its work, microseconds.
+    /// Estimated work, microseconds.
     #[serde(rename = "hint")]
     pub work_hint: Option<Micros>,
-    /// The client marked it as a repeat.
+    /// Whether the client marked the call as a retry.
     pub repeat: bool,
-    /// The shape it states for its function; a function that the settings do not name is learned from it.
+    /// Resource requirements that the call states for its function. The dispatcher learns functions that the settings do
+    /// not name from them.
     #[serde(default)]
     pub shape: Option<FunctionShape>,
-    /// It names a class or a tenant that the settings do not know.
+    /// Whether the call names a class or tenant that the settings do not define.
     #[serde(default, rename = "unlisted")]
     pub unknown_names: bool,
-    /// How long it may have waited before it was read, microseconds: its time counts from its last byte.
+    /// How long the call may have waited before it was read, microseconds. This counts against its budget.
     #[serde(default)]
     pub waited: Micros,
 }
 
-/// One entry of a list of workers.
+/// One entry of the worker list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerRecord {
-    /// The name of the worker: the same at every front end.
+    /// The name of the worker, the same at every front end.
     pub name: String,
-    /// Its machine kind.
+    /// Index of the machine kind.
     pub kind: usize,
-    /// Its cell.
+    /// Number of the cell.
     pub cell: u64,
-    /// Its zone.
+    /// Index of the zone.
     pub zone: usize,
-    /// Its state; recorded runs hold it as a number.
+    /// State of the worker; a number in recorded runs.
     #[serde(with = "crate::worker_state_number")]
     pub state: WorkerState,
-    /// How long ago it started, microseconds, if stated.
+    /// Time since the worker started, microseconds, if stated.
     pub age: Option<Micros>,
-    /// Its size, comparable with that of other workers.
+    /// Size of the worker relative to other workers.
     #[serde(rename = "share")]
     pub relative_size: f64,
 }
 
-/// An event that the dispatcher takes.
+/// An event for the dispatcher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Input {
-    /// The full list of workers, or changes to it.
+    /// The full worker list, or changes to it.
     Workers {
-        /// The list is complete: a worker that it does not name is gone.
+        /// Whether the list is complete, so that workers it omits are gone.
         #[serde(rename = "whole")]
         full: bool,
         /// The entries.
         #[serde(rename = "list")]
         workers: Vec<WorkerRecord>,
     },
-    /// The list could not be fetched.
+    /// The worker list could not be fetched.
     #[serde(rename = "ListFailed")]
     WorkerListFailed,
-    /// A call came in.
+    /// A call arrived.
     Call(Call),
-    /// The HEADERS of an attempt have left: asked for by [`Command::ConfirmSent`], and implied by whatever comes back.
+    /// The HEADERS of an attempt were sent. Reported in reply to [`Command::ConfirmSent`]; any response implies it as
+    /// well.
     #[serde(rename = "Opened")]
     AttemptSent {
         /// The call.
@@ -121,17 +123,17 @@
         /// The attempt.
         attempt: u32,
     },
-    /// A message of a streamed answer came.
+    /// A message of a streamed response arrived.
     #[serde(rename = "Piece")]
     ResponseMessage {
         /// The call.
         call: CallId,
         /// The attempt.
         attempt: u32,
-        /// It is the last one.
+        /// Whether this is the last message.
         last: bool,
     },
-    /// An attempt ended: exactly one for each [`Command::SendAttempt`].
+    /// An attempt ended. Given exactly once for each [`Command::SendAttempt`].
     #[serde(rename = "Ended")]
     AttemptEnded {
         /// The call.
@@ -145,12 +147,12 @@
         #[serde(rename = "told")]
         trailers: Trailers,
     },
-    /// The client cancelled, or its connection ended.
+    /// The client cancelled the call, or its connection closed.
     ClientLeft {
         /// The call.
         call: CallId,
     },
-    /// A control request ended: exactly one for each.
+    /// A control request ended. Given exactly once for each.
     #[serde(rename = "OrderEnded")]
     ControlRequestEnded {
         /// The request.
@@ -163,30 +165,30 @@
         #[serde(rename = "told")]
         trailers: Trailers,
     },
-    /// Time has passed.
+    /// Time has passed; due timers run.
     Tick,
-    /// Calls are no longer accepted; those still open after the grace period fail.
+    /// Stop accepting calls. Calls that are still open after the grace period fail.
     #[serde(rename = "Close")]
     Shutdown {
-        /// Microseconds from now.
+        /// The grace period, microseconds.
         #[serde(rename = "within")]
         grace: Micros,
     },
-    /// A call came in whose function the settings in force do not name, and the function was looked up.
+    /// A call arrived whose function the settings in force do not name; includes the result of the lookup.
     #[serde(rename = "Looked")]
     CallLookedUp {
         /// The call.
         call: Call,
-        /// What is known of its function.
+        /// The result of the lookup.
         #[serde(rename = "found")]
         lookup: FunctionLookup,
     },
-    /// A function that calls wait for was resolved.
+    /// The lookup of a function that calls wait for ended.
     #[serde(rename = "Found")]
     FunctionResolved {
         /// The function.
         function: String,
-        /// What is known of it.
+        /// The result of the lookup.
         #[serde(rename = "found")]
         lookup: FunctionLookup,
     },
@@ -195,44 +197,44 @@
 /// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FailureReason {
-    /// Its time is up.
+    /// The deadline of the call passed.
     Deadline,
-    /// The connection to a worker was lost while the call may have been running.
+    /// The connection to a worker was lost while the call may have been running there.
     #[serde(rename = "Lost")]
     ConnectionLost,
-    /// A worker failed.
+    /// A worker answered with an error or an invalid response.
     #[serde(rename = "Worker")]
     WorkerFailed,
-    /// The front end shuts down.
+    /// The front end is shutting down.
     #[serde(rename = "Closing")]
     ShuttingDown,
 }
 
-/// A final answer.
+/// The final answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// What the attempt brought.
+    /// The response of the worker.
     Served,
-    /// The status of the worker as it came: the verdict of the function itself.
+    /// The status that the function itself returned, forwarded unchanged.
     #[serde(rename = "Passed")]
     WorkerStatus,
-    /// Trying again is harmless.
+    /// The client may safely retry: nothing ran, or running twice is harmless.
     Refused {
-        /// Advice to wait so long, microseconds; 0: none.
+        /// How long the client should wait before a retry, microseconds; 0 gives no advice.
         #[serde(rename = "stay_away")]
         retry_after: Micros,
     },
-    /// Nothing is promised.
+    /// The call failed and may have run.
     Failed(FailureReason),
-    /// There is no such function.
+    /// The function does not exist.
     #[serde(rename = "Unknown")]
     UnknownFunction,
 }
 
-/// What the dispatcher wants done; commands are carried out in the order in which they come.
+/// An instruction to the driver. Commands are executed in the order in which they were appended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Begin an attempt: send the request of the call to the worker.
+    /// Start an attempt: send the call to a worker.
     #[serde(rename = "Open")]
     SendAttempt {
         /// The call.
@@ -241,10 +243,10 @@
         attempt: u32,
         /// The name of the worker.
         worker: String,
-        /// What is left of the time of the call, microseconds.
+        /// Remaining time until the deadline of the call, microseconds.
         budget: Micros,
     },
-    /// Cancel an attempt: reset its stream, then report its end.
+    /// Cancel an attempt: reset its stream, then report [`Input::AttemptEnded`].
     #[serde(rename = "Withdraw")]
     CancelAttempt {
         /// The call.
@@ -252,7 +254,7 @@
         /// The attempt.
         attempt: u32,
     },
-    /// If the HEADERS of an attempt have left, report [`Input::AttemptSent`]; if not, cancel it.
+    /// If the HEADERS of an attempt were sent, report [`Input::AttemptSent`]; otherwise cancel the attempt.
     #[serde(rename = "Confirm")]
     ConfirmSent {
         /// The call.
@@ -260,20 +262,20 @@
         /// The attempt.
         attempt: u32,
     },
-    /// Forward the response message just reported to the client.
+    /// Forward the response message of the current input to the client.
     #[serde(rename = "Pass")]
     ForwardMessage {
         /// The call.
         call: CallId,
     },
-    /// Give the client its one final answer.
+    /// Send the client the final answer. Given once per call.
     Answer {
         /// The call.
         call: CallId,
         /// The answer.
         answer: Answer,
     },
-    /// Ask a worker for its load.
+    /// Ask a worker for a load report.
     Probe {
         /// The request.
         #[serde(rename = "order")]
@@ -281,7 +283,7 @@
         /// The worker.
         worker: String,
     },
-    /// Have a worker keep at least so many instances; 0 only asks how many there are.
+    /// Have a worker keep at least this many instances loaded; 0 only queries how many are loaded.
     Load {
         /// The request.
         #[serde(rename = "order")]
@@ -290,7 +292,7 @@
         worker: String,
         /// The function.
         function: String,
-        /// How many.
+        /// The number of instances.
         instances: u32,
     },
     /// Have a worker unload idle instances.
@@ -303,50 +305,50 @@
         /// The function.
         function: String,
     },
-    /// If nothing of a control request has left, take it back and report its end.
+    /// If nothing of a control request was sent, withdraw it and report [`Input::ControlRequestEnded`].
     #[serde(rename = "Recall")]
     RecallUnsent {
         /// The request.
         #[serde(rename = "order")]
         request: ControlRequestId,
     },
-    /// Cancel a control request, then report its end.
+    /// Cancel a control request, then report [`Input::ControlRequestEnded`].
     #[serde(rename = "WithdrawOrder")]
     CancelControlRequest {
         /// The request.
         #[serde(rename = "order")]
         request: ControlRequestId,
     },
-    /// Drop the connection to a worker at once: it accepts nothing.
+    /// Drop the connection to a worker at once, because it accepts no data.
     #[serde(rename = "Drop")]
     DropConnection {
         /// The worker.
         worker: String,
     },
-    /// The worker is gone: close its connection once nothing is open on it.
+    /// The worker is gone: close its connection once it is idle.
     #[serde(rename = "Retire")]
     RetireWorker {
         /// The worker.
         worker: String,
     },
-    /// Report to the operator that loads at a worker leave no instance.
+    /// Notify the operator that loads at a worker leave no instance.
     #[serde(rename = "Tell")]
     ReportLoadFailures {
         /// The worker.
         worker: String,
-        /// The function of the last such load.
+        /// The function of the last failed load.
         function: String,
         /// How that load ended.
         #[serde(rename = "seen")]
         outcome: AttemptOutcome,
-        /// Loads without effect since the last one that left an instance.
+        /// Failed loads since the last successful one.
         #[serde(rename = "count")]
         failed_loads: u64,
     },
-    /// Fetch the full list of workers once.
+    /// Fetch the full worker list once.
     #[serde(rename = "FetchList")]
     FetchWorkerList,
-    /// Have changes of the list of workers sent from here on.
+    /// Subscribe to changes of the worker list.
     #[serde(rename = "Subscribe")]
     SubscribeWorkerList,
 }
