--- a/decide/dispatch/src/outcome.rs
+++ b/decide/dispatch/src/outcome.rs
@@ -1,78 +1,77 @@
-//! What a socket can show of an attempt, and whether the attempt can have run.
+//! How attempts end, and whether an attempt may have run.
 //!
-//! The table is the one home of the retry rule: whatever does not prove that an attempt never ran counts as one that may
-//! have run.
+//! This module alone implements the retry rule: an attempt may have run unless its end proves that it did not.
 //!
-//! | shown | outcome | can have run |
+//! | observed | outcome | may have run |
 //! |---|---|---|
-//! | connect refused, or not made in time | `ConnectFailed` | no: nothing was sent |
-//! | HEADERS never left before the connection ended or the attempt was withdrawn | `NotSent` | no: nothing was sent |
-//! | RST_STREAM with REFUSED_STREAM | `TurnedAway` | no: RFC 9113, 8.7 |
-//! | GOAWAY whose last stream id is below ours | `TurnedAway` | no: RFC 9113, 6.8 |
-//! | GOAWAY at or above ours, then the end | `ConnectionLost` | yes |
-//! | RST_STREAM with any other code | `Error` | yes |
-//! | connection cut before headers, after headers, between pieces | `ConnectionLost` | yes |
-//! | connection cut after the last piece, before the trailers | `ConnectionLost` | yes; the call is served |
-//! | any status with the trailer `tansy-never-ran: turned-away` | `TurnedAway` | no: the worker's promise |
-//! | any status with the trailer `tansy-never-ran: not-loaded` | `NotLoaded` | no: the worker's promise |
-//! | any status with the promise that its time was over before it was begun | `NotSent` | no: the worker's promise |
-//! | status OK with an answer | `Served` | yes |
-//! | a status of the function itself (below) | `Error`, passed on as it is | yes |
-//! | any other status, trailers-only or not | `Error` | yes |
-//! | 200 without trailers, no answer before OK, a frame that is no message, a message over the limit | `Error` | yes |
-//! | a second answer | `Error` | yes |
-//! | silence until the deadline, or withdrawn by us | `TimedOut`, `Cancelled` | yes |
+//! | connection refused or not established in time | `ConnectFailed` | no: nothing was sent |
+//! | HEADERS not sent when the connection ended or the attempt was cancelled | `NotSent` | no: nothing was sent |
+//! | RST_STREAM with REFUSED_STREAM, before response headers | `Rejected` | no: RFC 9113, 8.7 |
+//! | GOAWAY with a last stream id below this stream | `Rejected` | no: RFC 9113, 6.8 |
+//! | GOAWAY with a last stream id at or above this stream, then the connection ends | `ConnectionLost` | yes |
+//! | any other RST_STREAM | `Error` | yes |
+//! | connection lost before headers, after headers or between messages | `ConnectionLost` | yes |
+//! | connection lost after the last message, before the trailers | `ConnectionLost` | yes; the call is served |
+//! | error status with the trailer `tansy-never-ran: turned-away` | `Rejected` | no: guaranteed by the worker |
+//! | error status with the trailer `tansy-never-ran: not-loaded` | `NotLoaded` | no: guaranteed by the worker |
+//! | error status with the guarantee that the call expired unstarted | `NotSent` | no: guaranteed by the worker |
+//! | status OK after a response message | `Served` | yes |
+//! | status of the function itself (see below) | `Error`, status forwarded unchanged | yes |
+//! | any other status, with or without response headers | `Error` | yes |
+//! | no trailers, OK without a message, invalid or oversized message | `Error` | yes |
+//! | second response to a unary call | `Error` | yes |
+//! | no answer before the deadline, or cancelled by this front end | `TimedOut`, `Cancelled` | yes |
 //!
-//! The promise of the trailer counts only if no piece of an answer came before it. In doubt an attempt has run.
+//! A guarantee in the trailers counts only if no response message came before it.
 //!
 //! Statuses of the function itself are INVALID_ARGUMENT, NOT_FOUND, ALREADY_EXISTS, PERMISSION_DENIED,
-//! FAILED_PRECONDITION, OUT_OF_RANGE, UNIMPLEMENTED and UNAUTHENTICATED: another worker would say the same, so a
-//! further attempt would only cost. They end the call as failed, with the worker's status.
+//! FAILED_PRECONDITION, OUT_OF_RANGE, UNIMPLEMENTED and UNAUTHENTICATED. Another worker would return the same status, so
+//! the call is not retried: it fails with the status of the worker.
 
 use serde::{Deserialize, Serialize};
 use tansyrouter::Outcome;
 
-/// How far the answer had come when an attempt ended.
+/// How much of the response had arrived when an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ResponseStage {
-    /// Nothing had come.
+    /// Nothing.
     Nothing,
-    /// Response headers had.
+    /// Response headers only.
     Headers,
-    /// At least one message of the answer had.
+    /// At least one message.
     #[serde(rename = "Pieces")]
     Messages,
-    /// The last message had.
+    /// The last message.
     Last,
 }
 
 /// How an attempt or a control request was observed to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptOutcome {
-    /// The connection was refused, or the address can't be reached.
+    /// The connection was refused, or the address is unreachable.
     ConnectRefused,
-    /// The connection was not made in time.
+    /// The connection was not established in time.
     ConnectTimedOut,
-    /// Its HEADERS never left this machine.
+    /// The HEADERS were never sent.
     NeverLeft,
-    /// A GOAWAY named a last stream below this one.
+    /// A GOAWAY carried a last stream id below this stream.
     GoawayBelow,
-    /// RST_STREAM from the worker.
+    /// The worker reset the stream with RST_STREAM.
     Reset {
-        /// RFC 9113, section 7.
+        /// Error code (RFC 9113, section 7).
         code: u32,
         /// How far the answer had come.
         stage: ResponseStage,
     },
-    /// The connection ended.
+    /// The connection was lost.
     #[serde(rename = "Cut")]
     ConnectionCut {
         /// How far the answer had come.
         stage: ResponseStage,
     },
-    /// A status came: the call's end by the protocol.
+    /// The worker sent a gRPC status.
     Status {
-        /// gRPC's number; 0: OK.
+        /// The gRPC status code; 0 is OK.
         code: u8,
         /// How far the answer had come.
         stage: ResponseStage,
@@ -82,19 +81,19 @@
         /// How far the answer had come.
         stage: ResponseStage,
     },
-    /// What came is no message of the protocol, too long, compressed, or a second answer.
+    /// The response was malformed, too long or compressed, or a second response to a unary call.
     #[serde(rename = "BadAnswer")]
     InvalidResponse {
         /// How far the answer had come.
         stage: ResponseStage,
     },
-    /// We cancelled it, and the cancellation has left this machine.
+    /// This front end cancelled the attempt, and the cancellation was sent.
     #[serde(rename = "Withdrawn")]
     Cancelled,
 }
 
-/// Names of gRPC's status codes, by number.
-const STATUS: [&str; 17] = [
+/// Names of the gRPC status codes.
+const STATUS_NAMES: [&str; 17] = [
     "OK",
     "CANCELLED",
     "UNKNOWN",
@@ -114,7 +113,6 @@
     "UNAUTHENTICATED",
 ];
 
-/// In words, for an operator.
 impl std::fmt::Display for AttemptOutcome {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
@@ -124,9 +122,11 @@
             AttemptOutcome::GoawayBelow => f.write_str("GOAWAY"),
             AttemptOutcome::Reset { code, .. } => write!(f, "RST_STREAM code {code}"),
             AttemptOutcome::ConnectionCut { .. } => f.write_str("connection cut"),
-            AttemptOutcome::Status { code, .. } => {
-                f.write_str(STATUS.get(usize::from(*code)).unwrap_or(&"unknown status"))
-            }
+            AttemptOutcome::Status { code, .. } => f.write_str(
+                STATUS_NAMES
+                    .get(usize::from(*code))
+                    .unwrap_or(&"unknown status"),
+            ),
             AttemptOutcome::NoTrailers { .. } => f.write_str("no trailers"),
             AttemptOutcome::InvalidResponse { .. } => f.write_str("no message of the protocol"),
             AttemptOutcome::Cancelled => f.write_str("no answer in time"),
@@ -134,87 +134,89 @@
     }
 }
 
-/// A worker's promise that a call did not run and will not.
+/// A guarantee of the worker that a call did not run and never will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NeverRan {
-    /// The function is not loaded and no load is under way, or the load failed.
+    /// The function is not loaded or being loaded, or its load failed.
     NotLoaded,
-    /// It was turned away unseen.
+    /// The worker rejected the call without reading it.
     TurnedAway,
-    /// Its time was over before it was begun.
+    /// The deadline passed before the call started.
     Expired,
 }
 
-/// Whether a call found an instance of its function loaded.
+/// Whether an instance of the function was loaded when a call arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum CacheStatus {
-    /// Not stated.
+    /// Not reported.
     #[default]
     #[serde(rename = "Silent")]
     Unreported,
-    /// An instance stood loaded.
+    /// An instance was loaded.
     Warm,
-    /// The call began a load.
+    /// The call started a load.
     #[serde(rename = "BeganLoad")]
     StartedLoad,
-    /// The call waited for a load.
+    /// The call waited for a load that was already in progress.
     AwaitedLoad,
     /// The load failed.
     LoadFailed,
 }
 
-/// A worker's report of its own load.
+/// Load reported by a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Default, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests waiting.
+    /// Queued requests.
     pub queued: Option<f64>,
     /// Requests accepted and not yet answered.
     #[serde(rename = "held")]
     pub in_flight: Option<f64>,
-    /// Share of its cores at work.
+    /// Fraction of the cores that are busy.
     pub busy: Option<f64>,
-    /// Share of its memory that can't be freed.
+    /// Fraction of the memory that cannot be freed.
     pub memory_pinned: Option<f64>,
-    /// Loads under way or waiting.
+    /// Loads in progress or queued.
     pub loads: Option<f64>,
     /// Mean service time, milliseconds.
     pub mean_ms: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub served_per_s: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub errors_per_s: Option<f64>,
 }
 
-/// What the trailers of an answer stated.
+/// Information from the trailers of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Default, Serialize, Deserialize)]
 pub struct Trailers {
-    /// Whether the call found an instance loaded.
+    /// Whether an instance was loaded when the call arrived.
     #[serde(rename = "note")]
     pub cache_status: CacheStatus,
-    /// The promise, if one was given.
+    /// The guarantee that the call did not run, if given.
     pub never_ran: Option<NeverRan>,
-    /// Calls of the function at the worker when this one came.
+    /// Calls of the function at the worker when this call arrived.
     #[serde(rename = "crowd")]
     pub concurrent_calls: Option<u32>,
-    /// Instances that are loaded, from the answer to a load.
+    /// Number of loaded instances, from the response to a load.
     pub instances: Option<u32>,
     /// The load report.
     pub report: Option<LoadReport>,
 }
 
-/// What the end of an attempt means for further attempts.
+/// What the end of an attempt means for retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryClass {
     /// The outcome for the router.
     pub outcome: Outcome,
-    /// The status is of the function itself: it is forwarded, and the call is not tried again.
+    /// Whether the status is of the function itself, so that it is forwarded and the call is not retried.
     pub final_status: bool,
 }
 
+/// HTTP/2 error code REFUSED_STREAM.
 const REFUSED_STREAM: u32 = 7;
+/// gRPC status codes that functions return themselves.
 const FUNCTION_STATUSES: [u8; 8] = [3, 5, 6, 7, 9, 11, 12, 16];
 
-/// Classifies the end of an attempt by the table of this module.
+/// Classifies the end of an attempt; see the table in the module documentation.
 pub fn classify(outcome: AttemptOutcome, trailers: &Trailers) -> RetryClass {
     let (outcome, final_status) = match outcome {
         AttemptOutcome::ConnectRefused | AttemptOutcome::ConnectTimedOut => {
