--- a/decide/dispatch/src/invariants.rs
+++ b/decide/dispatch/src/invariants.rs
@@ -1,45 +1,45 @@
-//! A check of the rules at run time: by what really left and came, it counts what must never happen. It shares nothing
-//! with the guards of the request table, so that an error there shows here.
+//! Checks invariants at run time against what was actually sent and received. It shares no code with the guards of the
+//! request table, so it detects their errors.
 //!
-//! A count over zero is a defect of this program, whoever else failed.
+//! A nonzero count is a defect of this program, whatever its peers do.
 
 use crate::message::CallId;
 use std::collections::{BTreeSet, HashMap};
 use tansyrouter::{Effect, Micros, Time};
 
-/// A worker may be given so much more time than the client has left, microseconds.
-const PATIENCE_SLACK: Micros = 150_000;
-/// An attempt may begin so long after its client has gone, microseconds.
+/// Allowed excess of the budget given to a worker over the time left to the client, microseconds.
+const BUDGET_SLACK: Micros = 150_000;
+/// How long after a client left an attempt at its call may still be sent, microseconds.
 const CLIENT_LEFT_SLACK: Micros = 100_000;
 
-/// Workers that drain or are gone of which the check keeps the names at most.
-const MAX_DRAINED: usize = 4096;
+/// Maximum number of workers remembered as not ready.
+const MAX_NOT_READY: usize = 4096;
 
-/// What must never happen.
+/// A violated invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// An attempt left while another at the same call was out.
+    /// An attempt was sent while another attempt at the same call was in progress.
     TwoAttempts,
-    /// An attempt left after the call had its answer, or its client had gone.
+    /// An attempt was sent after the call was answered or its client had left.
     SentAfterEnd,
-    /// A call that must not run twice was sent again though it may have run.
+    /// A call that must not run twice was sent again although it may have run.
     RepeatedUnsafe,
-    /// A keyed call was sent again after its repeats are dropped no more.
+    /// A keyed call was sent again after the window in which workers drop its repeats.
     RepeatedLate,
-    /// An attempt left for a worker that drains or is gone.
+    /// An attempt was sent to a worker that is draining or gone.
     SentToDrained,
-    /// A load left for a worker that drains or is gone.
+    /// A load was sent to a worker that is draining or gone.
     LoadedAtDrained,
     /// A worker was given more time than the client had left.
     PatienceTooLong,
     /// A call was answered twice.
     AnsweredTwice,
-    /// A connection was closed with its call unanswered.
+    /// A client connection was closed before its call was answered.
     ClosedUnanswered,
 }
 
 impl Violation {
-    /// All of them.
+    /// All violations, in the order of their counts.
     pub const ALL: [Violation; 9] = [
         Violation::TwoAttempts,
         Violation::SentAfterEnd,
@@ -53,40 +53,39 @@
     ];
 }
 
-/// What is known of one call.
 #[derive(Debug)]
-struct WatchedCall {
+struct TrackedCall {
     effect: Effect,
-    /// When its client's time is up.
+    /// When the client stops waiting.
     deadline: Time,
-    /// When the attempt that is out had left.
+    /// When the attempt in progress was sent.
     attempt_sent: Option<Time>,
-    /// When the first attempt that may have run had left.
-    ran_from: Option<Time>,
+    /// When the first attempt that may have run was sent.
+    may_have_run_since: Option<Time>,
     answered: bool,
     client_left: Option<Time>,
 }
 
-/// The check.
+/// Checks calls, attempts and loads, and counts violations.
 #[derive(Debug, Default)]
 pub struct InvariantChecker {
-    calls: HashMap<CallId, WatchedCall>,
-    /// Workers that drain or are gone, until the list names them as ready again.
-    drained: BTreeSet<String>,
+    calls: HashMap<CallId, TrackedCall>,
+    /// Workers that are draining or gone, until they are listed as ready again.
+    not_ready: BTreeSet<String>,
     counts: [u64; Violation::ALL.len()],
 }
 
 impl InvariantChecker {
-    /// How often each violation was counted.
+    /// The number of violations of each kind.
     pub fn counts(&self) -> impl Iterator<Item = (Violation, u64)> + '_ {
         Violation::ALL.into_iter().zip(self.counts)
     }
-    /// Violations of all kinds.
+    /// The number of violations of all kinds.
     pub fn total_violations(&self) -> u64 {
         self.counts.iter().sum()
     }
-    /// Calls that are watched.
-    pub fn watched_calls(&self) -> usize {
+    /// The number of calls being tracked.
+    pub fn tracked_calls(&self) -> usize {
         self.calls.len()
     }
 
@@ -102,41 +101,41 @@
         violated
     }
 
-    /// A call was accepted; its client waits until then.
+    /// A call was accepted, whose client waits until `deadline`.
     pub fn on_accepted(&mut self, id: CallId, effect: Effect, deadline: Time) {
-        let watched = WatchedCall {
+        let tracked = TrackedCall {
             effect,
             deadline,
             attempt_sent: None,
-            ran_from: None,
+            may_have_run_since: None,
             answered: false,
             client_left: None,
         };
-        self.calls.insert(id, watched);
+        self.calls.insert(id, tracked);
     }
 
-    /// The list named a worker.
+    /// A worker was listed, as ready or not.
     pub fn on_worker_state(&mut self, name: &str, ready: bool) {
         if ready {
-            self.drained.remove(name);
+            self.not_ready.remove(name);
         } else {
-            self.drained.insert(name.to_string());
+            self.not_ready.insert(name.to_string());
         }
-        // The list never names workers again that are gone.
-        if self.drained.len() > MAX_DRAINED {
-            self.drained.pop_first();
+        // Workers that are gone are not listed again, so their names would accumulate.
+        if self.not_ready.len() > MAX_NOT_READY {
+            self.not_ready.pop_first();
         }
     }
 
-    /// The first byte of an attempt has left.
+    /// The first byte of an attempt was sent, with this budget for the worker.
     pub fn on_attempt_sent(
         &mut self,
         now: Time,
         id: CallId,
         worker: &str,
-        patience: Micros,
+        budget: Micros,
     ) -> Vec<Violation> {
-        let drained = self.drained.contains(worker);
+        let not_ready = self.not_ready.contains(worker);
         let Some(call) = self.calls.get_mut(&id) else {
             return self.count(&[(true, Violation::SentAfterEnd)]);
         };
@@ -144,7 +143,7 @@
             || call
                 .client_left
                 .is_some_and(|at| now.since(at) > CLIENT_LEFT_SLACK);
-        let late = match (call.effect, call.ran_from) {
+        let late = match (call.effect, call.may_have_run_since) {
             (Effect::Keyed { window, .. }, Some(first)) => now.since(first) >= window,
             _ => false,
         };
@@ -152,13 +151,13 @@
             (call.attempt_sent.is_some(), Violation::TwoAttempts),
             (ended, Violation::SentAfterEnd),
             (
-                call.effect == Effect::Unsafe && call.ran_from.is_some(),
+                call.effect == Effect::Unsafe && call.may_have_run_since.is_some(),
                 Violation::RepeatedUnsafe,
             ),
             (late, Violation::RepeatedLate),
-            (drained, Violation::SentToDrained),
+            (not_ready, Violation::SentToDrained),
             (
-                patience > call.deadline.since(now).max(0) + PATIENCE_SLACK,
+                budget > call.deadline.since(now).max(0) + BUDGET_SLACK,
                 Violation::PatienceTooLong,
             ),
         ];
@@ -166,25 +165,25 @@
         self.count(&checks)
     }
 
-    /// An attempt that had left has ended.
+    /// An attempt that was sent has ended.
     pub fn on_attempt_ended(&mut self, id: CallId, never_ran: bool) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        let left = call.attempt_sent.take();
-        if let Some(left) = left.filter(|_| !never_ran) {
-            call.ran_from.get_or_insert(left);
+        let sent = call.attempt_sent.take();
+        if let Some(sent) = sent.filter(|_| !never_ran) {
+            call.may_have_run_since.get_or_insert(sent);
         }
         self.remove_if_done(id);
     }
 
-    /// The first byte of a load has left.
+    /// The first byte of a load was sent.
     pub fn on_load_sent(&mut self, worker: &str) -> Vec<Violation> {
-        let drained = self.drained.contains(worker);
-        self.count(&[(drained, Violation::LoadedAtDrained)])
+        let not_ready = self.not_ready.contains(worker);
+        self.count(&[(not_ready, Violation::LoadedAtDrained)])
     }
 
-    /// A call's answer was given.
+    /// A call was answered.
     pub fn on_answered(&mut self, id: CallId) -> Vec<Violation> {
         let Some(call) = self.calls.get_mut(&id) else {
             return self.count(&[(true, Violation::AnsweredTwice)]);
@@ -195,7 +194,7 @@
         violated
     }
 
-    /// A call's client has gone.
+    /// The client of a call left.
     pub fn on_client_left(&mut self, now: Time, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -204,18 +203,18 @@
         self.remove_if_done(id);
     }
 
-    /// This side closes a connection whose call is open.
+    /// This front end closes the client connection of a call.
     pub fn on_connection_closed(&mut self, id: CallId) -> Vec<Violation> {
-        let owed = self
+        let unanswered = self
             .calls
             .get(&id)
             .is_some_and(|call| !call.answered && call.client_left.is_none());
-        self.count(&[(owed, Violation::ClosedUnanswered)])
+        self.count(&[(unanswered, Violation::ClosedUnanswered)])
     }
 
-    /// Lets go of a call that is owed nothing and has nothing out.
+    /// Removes a call that has ended and has no attempt in progress.
     fn remove_if_done(&mut self, id: CallId) {
-        let done = |call: &WatchedCall| {
+        let done = |call: &TrackedCall| {
             call.attempt_sent.is_none() && (call.answered || call.client_left.is_some())
         };
         if self.calls.get(&id).is_some_and(done) {
--- a/decide/dispatch/tests/invariants.rs
+++ b/decide/dispatch/tests/invariants.rs
@@ -32,7 +32,7 @@
     assert!(check.on_answered(CALL).is_empty());
     check.on_attempt_ended(CALL, false);
     assert!(check.on_connection_closed(CALL).is_empty());
-    assert_eq!((check.total_violations(), check.watched_calls()), (0, 0));
+    assert_eq!((check.total_violations(), check.tracked_calls()), (0, 0));
 }
 
 #[test]
@@ -84,7 +84,7 @@
     let mut check = watching(Effect::Safe);
     sent(&mut check, MS);
     check.on_client_left(Time(2 * MS), CALL);
-    assert_eq!(check.watched_calls(), 1, "its attempt is out");
+    assert_eq!(check.tracked_calls(), 1, "its attempt is out");
     assert!(
         !sent(&mut check, 50 * MS).contains(&Violation::SentAfterEnd),
         "within the slack"
@@ -158,5 +158,5 @@
             check.on_attempt_ended(call, true);
         }
     }
-    assert_eq!((check.watched_calls(), check.total_violations()), (0, 0));
+    assert_eq!((check.tracked_calls(), check.total_violations()), (0, 0));
 }
