--- a/decide/dispatch/src/class_counters.rs
+++ b/decide/dispatch/src/class_counters.rs
@@ -1,44 +1,44 @@
-//! Final answers by class, for the comparison of front ends. Not counted unless a dispatcher is asked to.
+//! Counters of final answers by class, for comparing front ends. Optional; a dispatcher has them only once enabled.
 
 use crate::message::Answer;
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use tansyrouter::{Class, Micros};
 
-/// Classes that are counted by name; calls of further ones are counted together.
+/// Number of classes with counters of their own; calls of further classes share one set.
 const MAX_CLASSES: usize = 256;
-/// The name under which calls of those classes are counted.
+/// The name of the counters that further classes share.
 pub const OTHER_CLASSES: &str = "(others)";
-/// The name under which calls are counted whose function's settings were not known when they came, the class included:
-/// `served` are those that went on with them, whatever became of them then under their class.
+/// The name of the counters for calls whose function had no known settings, and so no class, when they arrived. Here
+/// `served` counts the calls that proceeded after a lookup; their final answers are counted under their class.
 pub const PENDING_LOOKUP: &str = "(awaited settings)";
-/// Latencies over this count as this, microseconds.
+/// Longest latency recorded, microseconds; longer ones are recorded as this.
 const MAX_LATENCY: u64 = 3_600_000_000;
 
-/// Final answers of one class since the process began.
+/// Final answers of one class since the start of the process.
 #[derive(Clone, Debug)]
 pub struct ClassCounters {
     /// Calls that ended.
     pub ended: u64,
-    /// Answered by a worker; of those that awaited settings: gone on with them.
+    /// Calls answered by a worker; under [`PENDING_LOOKUP`], calls that proceeded after a lookup.
     pub served: u64,
-    /// Refused.
+    /// Calls refused.
     pub refused: u64,
-    /// Failed, or abandoned by their clients.
+    /// Calls that failed or were abandoned by their clients.
     pub failed: u64,
-    /// The value of the calls if all were answered in time: 1 each.
+    /// Value of all calls had they been answered within the latency objective: 1 each.
     pub possible_value: f64,
-    /// The value of the answers, by the latency objective and the deadline of the class.
+    /// Value of the answers, by the latency objective and the deadline of the class.
     pub value: f64,
-    /// Microseconds from arrival to the answer, of served calls.
+    /// Time from arrival to answer of served calls, microseconds.
     pub latency: Histogram<u64>,
 }
 
 impl ClassCounters {
     fn new() -> ClassCounters {
-        // Within bounds from the start: one that grows does not where it is to saturate.
+        // A fixed range, because `saturating_record` does not grow an auto-resizing histogram.
         let latency =
-            Histogram::new_with_bounds(1, MAX_LATENCY, 2).expect("two digits, and an hour");
+            Histogram::new_with_bounds(1, MAX_LATENCY, 2).expect("a valid range and precision");
         ClassCounters {
             ended: 0,
             served: 0,
@@ -66,27 +66,27 @@
     }
 }
 
-/// The counters of all classes, by the class's name.
+/// Counters of all classes, by class name.
 #[derive(Clone, Debug, Default)]
 pub struct ClassCounterTable {
     classes: BTreeMap<String, ClassCounters>,
-    /// By which classes answers are valued, where that is not how they are decided.
+    /// Classes used to value answers instead of the classes in force, by name.
     valuation_classes: BTreeMap<String, Class>,
 }
 
 impl ClassCounterTable {
-    /// The counters by the class's name.
+    /// The counters by class name.
     pub fn classes(&self) -> &BTreeMap<String, ClassCounters> {
         &self.classes
     }
 
-    /// Answers are valued by these classes from now on, by name: front ends that are compared need one scale, also while
-    /// some of them apply other settings.
+    /// Values answers by these classes, by name, from now on. Front ends that are compared need a common scale even while
+    /// they apply different settings.
     pub(crate) fn set_valuation_classes(&mut self, classes: BTreeMap<String, Class>) {
         self.valuation_classes = classes;
     }
 
-    /// A call ended after so long; `None`: its client left.
+    /// Records the end of a call with its latency. `None` as the answer means that the client left.
     pub(crate) fn record_answer(
         &mut self,
         name: &str,
@@ -111,8 +111,8 @@
         self.add(name, answer, latency, value);
     }
 
-    /// A call's wait for the settings of its function ended after so long: it goes on, or has this answer; `None`: its
-    /// client left.
+    /// Records the end of a call's wait for the settings of its function. `Ok` means that the call proceeds; otherwise the
+    /// call ended with this answer, or its client left (`None`).
     pub(crate) fn record_lookup_wait(&mut self, end: Result<(), Option<Answer>>, waited: Micros) {
         let answer = end.map_or_else(|answer| answer, |()| Some(Answer::Served));
         self.add(PENDING_LOOKUP, answer, waited, 1.0);
--- a/decide/dispatch/src/config.rs
+++ b/decide/dispatch/src/config.rs
@@ -8,62 +8,63 @@
 /// A function that may be called.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FunctionSpec {
-    /// Its name on the wire: `model_name`.
+    /// The name, `model_name` on the wire.
     pub name: String,
-    /// The index of its class in the settings, for calls that name none.
+    /// Index of the class of calls that name none.
     pub class: usize,
-    /// Calls that one instance runs at a time.
+    /// Number of calls that one instance runs at a time.
     pub lanes: u32,
     /// Memory of one instance, MB.
     pub memory_mb: f64,
-    /// Usual time of a load, if known.
+    /// Expected duration of a load, microseconds, if known.
     pub load_time: Option<Micros>,
-    /// The versions that are named to clients.
+    /// The versions reported to clients.
     pub versions: Vec<String>,
 }
 
 /// The configuration of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct DispatchConfig {
-    /// The settings of the router.
+    /// Settings of the router.
     pub settings: Settings,
     /// Names of the classes, in the order of the settings.
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of the settings.
     pub tenants: Vec<String>,
-    /// Names of the zones; the number of a zone is its index.
+    /// Names of the zones, by index.
     pub zones: Vec<String>,
-    /// The functions.
+    /// Functions that may be called.
     pub functions: Vec<FunctionSpec>,
-    /// A call may not take longer than this, whatever its client states.
+    /// Upper limit of the budget of a call, microseconds, whatever its client states.
     pub max_call_time: Micros,
-    /// Seed of the router's random numbers.
+    /// Seed of the random numbers of the router.
     pub seed: u64,
 }
 
-/// Calls that are refused, whatever their time, because two versions of the settings may be in force for them at once.
+/// Scopes whose calls are refused, because two versions of the settings may be in force for them at the same time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConflictingScopes {
     /// All calls.
     pub all: bool,
-    /// Those of these classes, by name.
+    /// Calls of these classes, by name.
     pub classes: BTreeSet<String>,
-    /// Those of these tenants.
+    /// Calls of these tenants, by name.
     pub tenants: BTreeSet<String>,
-    /// Those of these functions.
+    /// Calls of these functions, by name.
     pub functions: BTreeSet<String>,
-    /// Those that name a class, tenant or function that the settings do not know: a version that can't be known may.
+    /// Calls that name a class, tenant or function that the settings do not define, but a version that is not known here
+    /// may define.
     pub unknown_names: bool,
-    /// Advice to their clients: the conflict lasts about so long, microseconds.
+    /// Approximate duration of the conflict, microseconds; clients are advised to retry after it.
     pub retry_after: Micros,
 }
 
-/// By what calls are decided: a configuration, and what of it is in conflict.
+/// A configuration, and the scopes in which it conflicts with another version.
 #[derive(Clone, Debug)]
 pub struct EffectiveConfig {
     /// The configuration.
     pub config: DispatchConfig,
-    /// Calls that are refused meanwhile.
+    /// Scopes whose calls are refused.
     pub conflicting: ConflictingScopes,
 }
 
@@ -77,7 +78,7 @@
 }
 
 impl DispatchConfig {
-    /// Whether a dispatcher can be made of it, or go over to it.
+    /// Checks whether a dispatcher can be created with this configuration or switch to it.
     pub fn check(&self) -> Result<(), ConfigError> {
         Router::new(self.settings.clone(), self.seed, Time(0)).map_err(ConfigError::Router)?;
         if self.classes.len() != self.settings.classes.len() {
@@ -96,19 +97,19 @@
     }
 }
 
-/// A configuration of which no dispatcher can be made.
+/// The reason why a configuration is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// The router rejects its settings.
+    /// The router rejects the settings.
     #[error(transparent)]
     Router(InvalidSettings),
-    /// Two functions share a number.
+    /// The names of two functions have the same id.
     #[error(transparent)]
     NameCollision(NameCollision),
     /// A function names a class that does not exist.
-    #[error("function {0:?} names a class that is not there")]
+    #[error("function {0:?} names a class that does not exist")]
     UnknownClass(String),
-    /// There are not as many names of classes as classes.
-    #[error("as many names of classes are wanted as there are classes")]
+    /// The number of class names differs from the number of classes.
+    #[error("the number of class names differs from the number of classes")]
     ClassNames,
 }
--- a/decide/dispatch/src/counters.rs
+++ b/decide/dispatch/src/counters.rs
@@ -1,53 +1,53 @@
-//! Counters of accepted calls, how they ended, and what was sent for them.
+//! Counters of calls, attempts and control requests.
 
 use serde::Serialize;
 use tansyrouter::Outcome;
 
-/// Counters since the start of the process. Where they are printed, by `/account` and as JSON, they keep their keys.
+/// Counters since the start of the process. `/account` and the JSON form use keys that differ from the field names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counters {
     /// Calls accepted.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// Ended by an answer of a worker.
+    /// Calls answered by a worker.
     pub served: u64,
-    /// Ended by a refusal: nothing ran, or a repeat is harmless.
+    /// Calls refused: nothing ran, or running twice is harmless.
     pub refused: u64,
-    /// Ended by a failure: nothing is promised.
+    /// Calls that failed and may have run.
     pub failed: u64,
-    /// Ended by their clients.
+    /// Calls abandoned by their clients.
     #[serde(rename = "departed")]
     pub abandoned: u64,
-    /// Calls of functions that the settings don't name; not accepted.
+    /// Calls of functions that do not exist; these are not accepted.
     #[serde(rename = "unknown")]
     pub unknown_function: u64,
     /// Attempts sent.
     pub attempts: u64,
-    /// Ends of attempts by [`Outcome`], in its order.
+    /// Ended attempts by [`Outcome`]; see [`outcome_index`].
     #[serde(rename = "ends")]
     pub attempt_outcomes: [u64; 9],
     /// Response messages forwarded to clients.
     #[serde(rename = "pieces")]
     pub messages: u64,
-    /// Loads sent, queries for instances not included.
+    /// Loads sent, except queries of 0 instances.
     pub loads: u64,
-    /// Loads that left no instance, and queries that were not answered.
+    /// Loads that left no instance, and queries that failed.
     #[serde(rename = "vain")]
     pub loads_without_effect: u64,
-    /// Loads of 0 instances, which only ask how many there are.
+    /// Loads of 0 instances, which only query how many are loaded.
     #[serde(rename = "asks")]
     pub instance_queries: u64,
     /// Unloads sent.
     pub unloads: u64,
     /// Probes sent.
     pub probes: u64,
-    /// Connections dropped because nothing could be sent on them.
+    /// Worker connections dropped because nothing could be sent on them.
     #[serde(rename = "drops")]
     pub dropped_connections: u64,
-    /// Of the refused calls, those whose settings conflict between versions.
+    /// Refused calls for which versions of the settings conflict.
     #[serde(rename = "contested")]
     pub conflicting: u64,
-    /// Actions of the router that a guard of the dispatcher rejected; 0 unless something is wrong.
+    /// Actions of the router that a guard rejected; nonzero indicates a defect.
     #[serde(rename = "guarded")]
     pub guard_rejections: u64,
 }
@@ -68,7 +68,7 @@
 }
 
 impl Counters {
-    /// Whether every accepted call is answered, abandoned, or still open.
+    /// Whether every accepted call was answered or abandoned, or is one of the `open` calls.
     pub fn balances(&self, open: u64) -> bool {
         self.accepted == self.served + self.refused + self.failed + self.abandoned + open
     }
--- a/decide/dispatch/src/input_queue.rs
+++ b/decide/dispatch/src/input_queue.rs
@@ -1,38 +1,38 @@
-//! The order in which a driver gives inputs to the dispatcher.
+//! A queue of inputs, which keeps a driver from re-entering the dispatcher.
 
 use crate::message::Input;
 use std::collections::VecDeque;
 
-/// Inputs that wait for the dispatcher. One is taken at a time: an input that arises while the commands of another are executed
-/// waits until these are done, so that a driver may push from wherever it is.
+/// Queues inputs for the dispatcher. An input that arises while the commands of an earlier one are executed waits until
+/// they are done, so a driver may push from any callback.
 ///
 /// ```
 /// use tansy_dispatch::{Input, InputQueue};
 ///
 /// let mut queue = InputQueue::default();
-/// assert!(queue.push(Input::Tick), "nobody takes inputs: the caller does");
-/// assert!(!queue.push(Input::Tick), "the first caller takes this one too");
+/// assert!(queue.push(Input::Tick), "the queue was idle: this caller takes the inputs");
+/// assert!(!queue.push(Input::Tick), "the first caller takes this input as well");
 /// while queue.take().is_some() {}
-/// assert!(queue.push(Input::Tick), "all were taken");
+/// assert!(queue.push(Input::Tick), "the queue is idle again");
 /// ```
 #[derive(Debug, Default)]
 pub struct InputQueue {
     inputs: VecDeque<Input>,
-    is_being_taken: bool,
+    has_consumer: bool,
 }
 
 impl InputQueue {
-    /// Appends an input. If it returns true, the caller has to [`take`](Self::take) inputs until there are none; otherwise a caller
-    /// further up the stack does so.
+    /// Appends an input. If this returns true, the caller must [`take`](Self::take) inputs until none is left; otherwise a
+    /// caller further up the stack does.
     pub fn push(&mut self, input: Input) -> bool {
         self.inputs.push_back(input);
-        !std::mem::replace(&mut self.is_being_taken, true)
+        !std::mem::replace(&mut self.has_consumer, true)
     }
 
-    /// The next input; none: all were taken, and whoever pushes next takes inputs again.
+    /// Takes the next input. After `None`, the next caller of [`push`](Self::push) takes inputs again.
     pub fn take(&mut self) -> Option<Input> {
         let input = self.inputs.pop_front();
-        self.is_being_taken = input.is_some();
+        self.has_consumer = input.is_some();
         input
     }
 }
--- a/decide/dispatch/src/load_failures.rs
+++ b/decide/dispatch/src/load_failures.rs
@@ -1,31 +1,31 @@
-//! Workers that answer loads without carrying them out: counted by worker, and reported to the operator once and then
-//! seldom, whatever they are asked meanwhile. What is done about them is the router's to decide.
+//! Workers whose loads leave no instance: counts their failed loads and limits the rate of reports to the operator. The
+//! router decides how to treat such workers.
 
 use crate::outcome::AttemptOutcome;
 use std::collections::BTreeMap;
 use tansyrouter::{FunctionId, Micros, Time, WorkerId, SECOND};
 
-/// The least time between two reports on one worker.
+/// Minimum time between two reports on one worker.
 pub const REPORT_INTERVAL: Micros = 10 * SECOND;
 
-/// What is known of a worker whose last load left no instance.
+/// The failed loads of a worker since its last successful one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadFailure {
-    /// The function of its last load without effect.
+    /// The function of the last failed load.
     pub function: FunctionId,
     /// How that load ended.
     pub outcome: AttemptOutcome,
-    /// Loads without effect since the last one that left an instance.
+    /// Failed loads since the last successful one.
     pub failed_loads: u64,
     next_report: Time,
 }
 
-/// The workers whose last load left no instance. Bounded by the list of workers.
+/// The load failures by worker. Its size is bounded by the worker list.
 #[derive(Debug, Default)]
 pub struct LoadFailures(BTreeMap<WorkerId, LoadFailure>);
 
 impl LoadFailures {
-    /// A load left no instance. `Some`: it is time to report so.
+    /// Records a load that left no instance. Returns the failures of the worker if a report is due.
     pub fn on_failed_load(
         &mut self,
         now: Time,
@@ -49,20 +49,20 @@
         Some(*failure)
     }
 
-    /// A load left an instance, which clears the count. The time of the next report stays: one that fails in turns is
-    /// reported no more often.
+    /// Clears the count of a worker after a load that left an instance. The time of the next report stays, so that a
+    /// worker whose loads fail intermittently is not reported more often.
     pub fn on_successful_load(&mut self, worker: WorkerId) {
         self.0
             .entry(worker)
             .and_modify(|failure| failure.failed_loads = 0);
     }
 
-    /// The worker is gone.
+    /// Removes a worker that is gone.
     pub fn remove_worker(&mut self, worker: WorkerId) {
         self.0.remove(&worker);
     }
 
-    /// The workers, and what is known of each.
+    /// The workers whose last load failed, with their failures.
     pub fn iter(&self) -> impl Iterator<Item = (WorkerId, &LoadFailure)> {
         self.0
             .iter()
--- a/decide/dispatch/src/record.rs
+++ b/decide/dispatch/src/record.rs
@@ -1,4 +1,4 @@
-//! Inputs and commands as lines of JSON, so that a run can be replayed with the same decisions.
+//! Recorded steps as JSON lines, and their replay with the same decisions.
 
 use crate::message::{Command, Input};
 use crate::request_table::Dispatcher;
@@ -6,36 +6,36 @@
 use tansyrouter::Time;
 use thiserror::Error;
 
-/// One step as it is recorded.
+/// One recorded step of a dispatcher.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RecordedStep {
-    /// The dispatcher's clock, microseconds.
+    /// Time of the step on the clock of the dispatcher, microseconds.
     pub at: i64,
-    /// Its input.
+    /// The input.
     pub input: Input,
-    /// The commands it gave.
+    /// The commands that it caused.
     pub commands: Vec<Command>,
 }
 
-/// A line that is no recorded step.
+/// A line that is not a recorded step.
 #[derive(Debug, Error)]
 #[error("not a recorded step: {0}")]
 pub struct RecordError(#[from] serde_json::Error);
 
 impl RecordedStep {
-    /// The step as one line, without its end.
+    /// The step as one JSON line, without the line break.
     pub fn to_line(&self) -> String {
-        // The types hold nothing that JSON can't spell but floats that are no numbers, which become null.
+        // Cannot fail: all keys are strings, and serde_json writes non-finite floats as null.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Reads a line.
+    /// Parses a line.
     pub fn parse(line: &str) -> Result<RecordedStep, RecordError> {
         Ok(serde_json::from_str(line)?)
     }
 }
 
-/// Replays recorded steps on a fresh dispatcher; gives each step with the commands that it brings now.
+/// Replays recorded steps on a new dispatcher. Yields each step with the commands that it causes now.
 pub fn replay<'a>(
     dispatcher: &'a mut Dispatcher,
     steps: impl Iterator<Item = RecordedStep> + 'a,
--- a/decide/dispatch/src/request_table/functions.rs
+++ b/decide/dispatch/src/request_table/functions.rs
@@ -74,7 +74,7 @@
             let in_use =
                 functions_in_use.contains(&function.0) || now.since(*last_used) < retention;
             if !in_use {
-                names.forget(function.0);
+                names.remove(function.0);
                 specs.remove(function);
                 activity.remove(function);
             }
--- a/decide/dispatch/src/worker_state_number.rs
+++ b/decide/dispatch/src/worker_state_number.rs
@@ -1,4 +1,4 @@
-//! The state of a worker as the number that recorded runs hold: `0` ready, `1` draining, any other gone.
+//! Serializes the state of a worker as a number, as in recorded runs: 0 is ready, 1 is draining, any other is gone.
 
 use serde::{Deserialize, Deserializer, Serializer};
 use tansyrouter::WorkerState;
