--- a/decide/dispatch/src/pending_lookups.rs
+++ b/decide/dispatch/src/pending_lookups.rs
@@ -1,55 +1,55 @@
-//! Calls that wait until the settings of their function are known: how many, how long, and one end for each.
+//! Calls that wait until the settings of their function are known, with limits on their number and waiting time.
 //!
-//! Each call that is added comes out once, released or refused, unless it is removed because its client left. It waits at
-//! most [`MAX_WAIT`] and no longer than its own time allows.
+//! Each call that is added is released or refused exactly once, unless it is removed because its client left. It waits at
+//! most [`MAX_WAIT`], and no longer than its own budget allows.
 
 use crate::message::{Call, CallId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use tansyrouter::{Micros, Time};
 
-/// Calls that may wait at once ...
-pub const MAX_CALLS: usize = 4096;
-/// ... and of one function.
-pub const MAX_CALLS_OF_FUNCTION: usize = 512;
-/// A call waits no longer, microseconds: its refusal is to be at the client within 0.49 s, and has a way to go.
+/// Maximum number of calls that wait at the same time.
+pub const MAX_PENDING_CALLS: usize = 4096;
+/// Maximum number of calls of one function that wait at the same time.
+pub const MAX_PENDING_CALLS_PER_FUNCTION: usize = 512;
+/// Longest wait of a call, microseconds, so that its refusal reaches the client within 0.49 s.
 pub const MAX_WAIT: Micros = 480_000;
 
-/// Why a call is refused while it waits.
+/// Why a waiting call is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitRefusal {
-    /// Too many wait.
+    /// Too many calls wait.
     Full,
-    /// Its limit has come.
+    /// The longest wait of the call is over, or it has no time to wait.
     TimedOut,
-    /// The result of the lookup does not let it be accepted.
-    Lookup,
-    /// The front end shuts down.
+    /// The lookup does not permit the call.
+    LookupRefused,
+    /// The front end is shutting down.
     ShuttingDown,
 }
 
-/// The end of a call's wait.
+/// How the wait of a call ends.
 #[derive(Clone, Debug, PartialEq)]
-pub enum WaitEnd {
-    /// It goes on, having waited so long.
+pub enum WaitOutcome {
+    /// The call proceeds.
     Release {
         /// The call.
         call: Call,
-        /// Microseconds.
+        /// How long the call waited, microseconds.
         waited: Micros,
     },
-    /// It is refused.
+    /// The call is refused.
     Refuse {
         /// The call.
         call: CallId,
-        /// Why.
+        /// The reason.
         reason: WaitRefusal,
     },
 }
 
-/// The result of a lookup, for the calls that wait for it.
+/// The effect of a lookup on the calls that wait for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LookupResult {
-    /// The calls go on.
+    /// The calls proceed.
     Proceed,
     /// The calls are refused.
     Refuse,
@@ -59,61 +59,67 @@
 struct WaitingCall {
     call: Call,
     since: Time,
-    until: Time,
+    deadline: Time,
 }
 
 impl WaitingCall {
-    /// The end of its wait by the result of the lookup.
-    fn end(self, now: Time, result: LookupResult) -> WaitEnd {
+    /// Ends the wait with the result of the lookup.
+    fn finish(self, now: Time, result: LookupResult) -> WaitOutcome {
         let reason = match result {
-            LookupResult::Proceed if now < self.until => {
+            LookupResult::Proceed if now < self.deadline => {
                 let waited = now.since(self.since).max(0);
-                return WaitEnd::Release {
+                return WaitOutcome::Release {
                     call: self.call,
                     waited,
                 };
             }
             LookupResult::Proceed => WaitRefusal::TimedOut,
-            LookupResult::Refuse => WaitRefusal::Lookup,
+            LookupResult::Refuse => WaitRefusal::LookupRefused,
         };
-        WaitEnd::Refuse {
+        WaitOutcome::Refuse {
             call: self.call.id,
             reason,
         }
     }
 }
 
-/// The calls that wait.
+/// Calls that wait for lookups.
 #[derive(Debug, Default)]
 pub struct PendingLookups {
     calls: HashMap<CallId, WaitingCall>,
-    /// By function, in the order in which they came.
+    /// Calls by function; ids ascend in the order of arrival.
     functions: BTreeMap<String, BTreeSet<CallId>>,
-    limits: BTreeSet<(Time, CallId)>,
+    deadlines: BTreeSet<(Time, CallId)>,
     closed: bool,
 }
 
 impl PendingLookups {
-    /// Has a call wait for `max_wait` microseconds at most. One that can't wait is refused at once.
-    pub fn add(&mut self, now: Time, call: Call, max_wait: Micros, ends: &mut Vec<WaitEnd>) {
+    /// Adds a call that waits for at most `max_wait` microseconds. A call that cannot wait is refused at once.
+    pub fn add(
+        &mut self,
+        now: Time,
+        call: Call,
+        max_wait: Micros,
+        outcomes: &mut Vec<WaitOutcome>,
+    ) {
         let id = call.id;
         if self.calls.contains_key(&id) {
             return;
         }
         if let Some(reason) = self.refusal(&call.function, max_wait) {
-            ends.push(WaitEnd::Refuse { call: id, reason });
+            outcomes.push(WaitOutcome::Refuse { call: id, reason });
             return;
         }
-        let until = now.plus(max_wait.min(MAX_WAIT));
+        let deadline = now.plus(max_wait.min(MAX_WAIT));
         self.functions
             .entry(call.function.clone())
             .or_default()
             .insert(id);
-        self.limits.insert((until, id));
+        self.deadlines.insert((deadline, id));
         let waiting = WaitingCall {
             call,
             since: now,
-            until,
+            deadline,
         };
         self.calls.insert(id, waiting);
     }
@@ -124,62 +130,64 @@
             Some(WaitRefusal::ShuttingDown)
         } else if max_wait <= 0 {
             Some(WaitRefusal::TimedOut)
-        } else if self.calls.len() >= MAX_CALLS || of_function >= MAX_CALLS_OF_FUNCTION {
+        } else if self.calls.len() >= MAX_PENDING_CALLS
+            || of_function >= MAX_PENDING_CALLS_PER_FUNCTION
+        {
             Some(WaitRefusal::Full)
         } else {
             None
         }
     }
 
-    /// A lookup has its result: ends the wait of all calls of the function, in the order in which they came.
+    /// Ends the wait of all calls of a function with the result of its lookup, in the order of arrival.
     pub fn resolve(
         &mut self,
         now: Time,
         function: &str,
         result: LookupResult,
-        ends: &mut Vec<WaitEnd>,
+        outcomes: &mut Vec<WaitOutcome>,
     ) {
         for id in self.functions.remove(function).unwrap_or_default() {
             let Some(waiting) = self.calls.remove(&id) else {
                 continue;
             };
-            self.limits.remove(&(waiting.until, id));
-            ends.push(waiting.end(now, result));
+            self.deadlines.remove(&(waiting.deadline, id));
+            outcomes.push(waiting.finish(now, result));
         }
     }
 
-    /// The call's client has left. Whether it waited here; nothing more comes of it.
+    /// Removes a call whose client left, without an outcome. Returns whether the call was waiting.
     pub fn remove(&mut self, id: CallId) -> bool {
         let Some(waiting) = self.take(id) else {
             return false;
         };
-        self.limits.remove(&(waiting.until, id));
+        self.deadlines.remove(&(waiting.deadline, id));
         true
     }
 
-    /// Refuses those whose limit has come.
-    pub fn expire(&mut self, now: Time, ends: &mut Vec<WaitEnd>) {
-        while let Some((until, id)) = self.limits.first().copied() {
-            if until > now {
+    /// Refuses the calls whose longest wait is over.
+    pub fn expire(&mut self, now: Time, outcomes: &mut Vec<WaitOutcome>) {
+        while let Some((deadline, id)) = self.deadlines.first().copied() {
+            if deadline > now {
                 return;
             }
-            self.limits.pop_first();
+            self.deadlines.pop_first();
             self.take(id);
-            ends.push(WaitEnd::Refuse {
+            outcomes.push(WaitOutcome::Refuse {
                 call: id,
                 reason: WaitRefusal::TimedOut,
             });
         }
     }
 
-    /// Refuses all, and whatever comes from now on.
-    pub fn close(&mut self, ends: &mut Vec<WaitEnd>) {
+    /// Refuses all calls, and all that are added later.
+    pub fn close(&mut self, outcomes: &mut Vec<WaitOutcome>) {
         self.closed = true;
         self.functions = BTreeMap::new();
-        self.limits = BTreeSet::new();
+        self.deadlines = BTreeSet::new();
         let mut all: Vec<CallId> = self.calls.drain().map(|(id, _)| id).collect();
         all.sort();
-        ends.extend(all.into_iter().map(|call| WaitEnd::Refuse {
+        outcomes.extend(all.into_iter().map(|call| WaitOutcome::Refuse {
             call,
             reason: WaitRefusal::ShuttingDown,
         }));
@@ -196,27 +204,27 @@
         Some(waiting)
     }
 
-    /// When [`PendingLookups::expire`] is wanted.
+    /// When [`PendingLookups::expire`] must run next.
     pub fn next_due(&self) -> Option<Time> {
-        self.limits.first().map(|(until, _)| *until)
+        self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// The functions whose calls wait.
+    /// Functions that calls wait for.
     pub fn functions(&self) -> impl Iterator<Item = &str> {
         self.functions.keys().map(String::as_str)
     }
 
-    /// Whether this call waits.
+    /// Whether a call is waiting.
     pub fn contains(&self, id: CallId) -> bool {
         self.calls.contains_key(&id)
     }
 
-    /// How many wait.
+    /// The number of waiting calls.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether none does.
+    /// Whether no call is waiting.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
--- a/decide/dispatch/src/request_table/lookups.rs
+++ b/decide/dispatch/src/request_table/lookups.rs
@@ -1,10 +1,9 @@
-//! Functions that the settings do not name: their calls come with the result of a lookup, and wait while there is none
-//! yet.
+//! Calls of functions that the settings do not name. They arrive with the result of a lookup, and wait while it is pending.
 
 use super::entries::ResolvedFunction;
 use super::Dispatcher;
 use crate::message::{Answer, Call, CallId, Command, FunctionLookup};
-use crate::pending_lookups::{LookupResult, WaitEnd, WaitRefusal};
+use crate::pending_lookups::{LookupResult, WaitOutcome, WaitRefusal};
 use tansyrouter::{FunctionId, Micros};
 
 impl Dispatcher {
@@ -15,12 +14,12 @@
             .is_some_and(|id| !self.learned_functions.contains_key(&FunctionId(id)))
     }
 
-    /// Functions whose calls wait for the result of a lookup.
+    /// Functions whose calls wait for a lookup.
     pub fn awaited_functions(&self) -> impl Iterator<Item = &str> {
         self.pending_lookups.functions()
     }
 
-    /// Calls that wait for the result of a lookup. They are accepted or refused when they no longer wait.
+    /// The number of calls that wait for a lookup. They count as accepted only once their wait ends.
     pub fn pending_calls(&self) -> usize {
         self.pending_lookups.len()
     }
@@ -54,10 +53,10 @@
             self.refuse_waiting(call.id, self.conflict_retry_after(), commands);
         } else {
             let max_wait = self.lookup_wait_limit(&call);
-            let mut ends = Vec::new();
+            let mut outcomes = Vec::new();
             self.pending_lookups
-                .add(self.now, call, max_wait, &mut ends);
-            self.end_waits(ends, None, commands);
+                .add(self.now, call, max_wait, &mut outcomes);
+            self.apply_wait_outcomes(outcomes, None, commands);
         }
     }
 
@@ -72,44 +71,46 @@
             FunctionLookup::Refused => LookupResult::Refuse,
             FunctionLookup::Known { .. } | FunctionLookup::Unknown => LookupResult::Proceed,
         };
-        let mut ends = Vec::new();
+        let mut outcomes = Vec::new();
         self.pending_lookups
-            .resolve(self.now, function, result, &mut ends);
-        self.end_waits(ends, Some(lookup), commands);
+            .resolve(self.now, function, result, &mut outcomes);
+        self.apply_wait_outcomes(outcomes, Some(lookup), commands);
     }
 
-    /// Ends the waits whose limit has come.
+    /// Refuses the calls whose longest wait is over.
     pub(super) fn expire_pending_lookups(&mut self, commands: &mut Vec<Command>) {
         let due = self.pending_lookups.next_due();
         if due.is_some_and(|at| at <= self.now) {
-            let mut ends = Vec::new();
-            self.pending_lookups.expire(self.now, &mut ends);
-            self.end_waits(ends, None, commands);
+            let mut outcomes = Vec::new();
+            self.pending_lookups.expire(self.now, &mut outcomes);
+            self.apply_wait_outcomes(outcomes, None, commands);
         }
     }
 
-    /// Nothing was sent for the calls that wait: another front end may take them at once.
+    /// Refuses all waiting calls on shutdown. Clients may retry at once, at another front end.
     pub(super) fn close_pending_lookups(&mut self, commands: &mut Vec<Command>) {
-        let mut ends = Vec::new();
-        self.pending_lookups.close(&mut ends);
-        self.end_waits(ends, None, commands);
+        let mut outcomes = Vec::new();
+        self.pending_lookups.close(&mut outcomes);
+        self.apply_wait_outcomes(outcomes, None, commands);
     }
 
-    fn end_waits(
+    fn apply_wait_outcomes(
         &mut self,
-        ends: Vec<WaitEnd>,
+        outcomes: Vec<WaitOutcome>,
         lookup: Option<FunctionLookup>,
         commands: &mut Vec<Command>,
     ) {
-        for end in ends {
-            match end {
-                WaitEnd::Release { call, waited } => self.release(call, waited, lookup, commands),
-                WaitEnd::Refuse { call, reason } => match reason {
+        for outcome in outcomes {
+            match outcome {
+                WaitOutcome::Release { call, waited } => {
+                    self.release(call, waited, lookup, commands)
+                }
+                WaitOutcome::Refuse { call, reason } => match reason {
                     WaitRefusal::ShuttingDown => self.refuse_waiting(call, 0, commands),
                     WaitRefusal::Full => {
                         self.refuse_waiting(call, self.conflict_retry_after(), commands)
                     }
-                    WaitRefusal::TimedOut | WaitRefusal::Lookup => {
+                    WaitRefusal::TimedOut | WaitRefusal::LookupRefused => {
                         self.refuse_conflicting_lookup(call, commands)
                     }
                 },
@@ -117,7 +118,7 @@
         }
     }
 
-    /// A call goes on after its wait, with the result of the lookup.
+    /// Admits a call after its wait, or answers that its function does not exist.
     fn release(
         &mut self,
         call: Call,
@@ -140,36 +141,36 @@
         self.answer_unknown_function(call.id, commands);
     }
 
-    /// How long a call may wait by its own time: what is kept back for the way of its answer is not waited for. One that
-    /// states no time, and no class either, may be of any class.
+    /// How long a call may wait within its own budget, without the reserve for delivering the answer. A call that states
+    /// neither a budget nor a class may be of any class, so the shortest deadline applies.
     fn lookup_wait_limit(&self, call: &Call) -> Micros {
         let classes = &self.config.settings.classes;
         let deadline = |class: usize| classes.get(class).map(|class| class.deadline);
-        let least = || {
+        let shortest_deadline = || {
             let all = self.class_indices.iter();
             all.filter_map(|class| deadline(*class)).min().unwrap_or(0)
         };
         let stated = call
             .budget
             .or_else(|| call.class.and_then(deadline))
-            .unwrap_or_else(least);
+            .unwrap_or_else(shortest_deadline);
         self.usable_budget(stated)
     }
 
-    /// Refuses a call, with advice, because front ends can't be sure that they agree on it.
+    /// Refuses a call with retry advice, because versions of the settings may conflict on it.
     fn refuse_conflicting(&mut self, id: CallId, commands: &mut Vec<Command>) {
         self.counters.conflicting += 1;
         self.refuse_unadmitted(id, self.conflict_retry_after(), commands);
     }
 
-    /// Advice to clients: what is not known now may be known by then.
+    /// Retry advice while settings are not known or conflict, limited to the longest advice that clients follow.
     pub(super) fn conflict_retry_after(&self) -> Micros {
         self.conflicting
             .retry_after
             .min(self.config.settings.max_retry_after)
     }
 
-    /// A call of a function that does not exist; a version that can't be known may have it.
+    /// Answers a call of a function that does not exist; refuses it if a version not known here may define the function.
     pub(super) fn answer_unknown_function(&mut self, id: CallId, commands: &mut Vec<Command>) {
         if self.conflicting.unknown_names {
             return self.refuse_conflicting(id, commands);
@@ -181,26 +182,27 @@
         });
     }
 
-    /// A call whose function's settings are not known here is refused: counted by itself, since its class is one of them.
+    /// Refuses a call because the settings of its function are not known here. Its class is not known either, so it is
+    /// counted under [`PENDING_LOOKUP`](crate::class_counters::PENDING_LOOKUP).
     fn refuse_conflicting_lookup(&mut self, id: CallId, commands: &mut Vec<Command>) {
         self.counters.conflicting += 1;
         self.refuse_waiting(id, self.conflict_retry_after(), commands);
     }
 
-    /// The same where nothing is in conflict.
+    /// Refuses a call whose class is not known, without counting a conflict.
     fn refuse_waiting(&mut self, id: CallId, retry_after: Micros, commands: &mut Vec<Command>) {
         self.count_lookup_wait(Err(Some(Answer::Refused { retry_after })), 0);
         self.refuse_unadmitted(id, retry_after, commands);
     }
 
-    /// A call's wait for the settings of its function has this end.
+    /// Counts the end of a call's wait for the settings of its function.
     pub(super) fn count_lookup_wait(&mut self, end: Result<(), Option<Answer>>, waited: Micros) {
         if let Some(counters) = &mut self.class_counters {
             counters.record_lookup_wait(end, waited);
         }
     }
 
-    /// Refuses a call of which the router has not learned.
+    /// Refuses a call that the router has not received.
     fn refuse_unadmitted(&mut self, id: CallId, retry_after: Micros, commands: &mut Vec<Command>) {
         self.counters.accepted += 1;
         self.counters.refused += 1;
--- a/decide/dispatch/tests/lookup_counters.rs
+++ b/decide/dispatch/tests/lookup_counters.rs
@@ -7,7 +7,7 @@
 use support::OK;
 use tansy_canary::{AnalysisParameters, CanaryAnalysis, FrontEndReport, RequestCounters, Verdict};
 use tansy_dispatch::class_counters::PENDING_LOOKUP;
-use tansy_dispatch::pending_lookups::{MAX_CALLS_OF_FUNCTION, MAX_WAIT};
+use tansy_dispatch::pending_lookups::{MAX_PENDING_CALLS_PER_FUNCTION, MAX_WAIT};
 use tansy_dispatch::{CallId, FunctionLookup, Input, Trailers};
 use tansyrouter::SECOND;
 
@@ -69,7 +69,7 @@
     );
     assert_eq!(awaited(&scene), [7, 1, 4, 2, 1]);
     // Too many of one function, and a close.
-    for id in 0..=MAX_CALLS_OF_FUNCTION as u64 {
+    for id in 0..=MAX_PENDING_CALLS_PER_FUNCTION as u64 {
         scene.call_pending(100 + id, None);
     }
     assert_eq!(awaited(&scene), [8, 1, 5, 2, 1]);
@@ -78,9 +78,9 @@
     assert_eq!(
         awaited(&scene),
         [
-            9 + MAX_CALLS_OF_FUNCTION as u64,
+            9 + MAX_PENDING_CALLS_PER_FUNCTION as u64,
             1,
-            6 + MAX_CALLS_OF_FUNCTION as u64,
+            6 + MAX_PENDING_CALLS_PER_FUNCTION as u64,
             2,
             1
         ]
@@ -88,7 +88,7 @@
     let counters = scene.dispatcher.counters();
     assert_eq!(
         counters.refused,
-        6 + MAX_CALLS_OF_FUNCTION as u64,
+        6 + MAX_PENDING_CALLS_PER_FUNCTION as u64,
         "as in the account: {counters}"
     );
     let counts = scene.dispatcher.class_counters().expect("they are counted");
--- a/decide/dispatch/tests/lookup_histories.rs
+++ b/decide/dispatch/tests/lookup_histories.rs
@@ -5,7 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use support::call;
 use tansy_dispatch::pending_lookups::{
-    LookupResult, PendingLookups, WaitEnd, WaitRefusal, MAX_CALLS, MAX_CALLS_OF_FUNCTION, MAX_WAIT,
+    LookupResult, PendingLookups, WaitOutcome, WaitRefusal, MAX_PENDING_CALLS,
+    MAX_PENDING_CALLS_PER_FUNCTION, MAX_WAIT,
 };
 use tansy_dispatch::CallId;
 use tansyrouter::{Time, SECOND};
@@ -32,21 +33,21 @@
         let mut to = now + rng.i64(0..60_000);
         to = lookups.next_due().map_or(to, |t| to.min(t.0));
         now = to;
-        let mut ends = Vec::new();
-        lookups.expire(Time(now), &mut ends);
+        let mut outcomes = Vec::new();
+        lookups.expire(Time(now), &mut outcomes);
         let due: Vec<CallId> = open
             .iter()
             .filter(|(_, call)| call.until <= now)
             .map(|(id, _)| *id)
             .collect();
         for id in &due {
-            let expired = |end: &WaitEnd| {
-                *end == WaitEnd::Refuse {
+            let expired = |end: &WaitOutcome| {
+                *end == WaitOutcome::Refuse {
                     call: *id,
                     reason: WaitRefusal::TimedOut,
                 }
             };
-            if !ends.iter().any(expired) {
+            if !outcomes.iter().any(expired) {
                 return Err(format!("{step}: {id:?} waits past its limit"));
             }
         }
@@ -68,7 +69,7 @@
                     Time(now),
                     call(next, &format!("f{function}")),
                     max_wait,
-                    &mut ends,
+                    &mut outcomes,
                 );
                 if max_wait <= 0 || closed {
                     expected.push(id);
@@ -86,7 +87,7 @@
                     .filter(|(id, call)| call.function == function && !expected.contains(id));
                 let all: Vec<CallId> = all.map(|(id, _)| *id).collect();
                 expected.extend(all);
-                lookups.resolve(Time(now), &format!("f{function}"), result, &mut ends);
+                lookups.resolve(Time(now), &format!("f{function}"), result, &mut outcomes);
             }
             75..99 => {
                 let position = if open.is_empty() {
@@ -109,20 +110,20 @@
             _ => {
                 closed = true;
                 expected = open.keys().copied().collect();
-                lookups.close(&mut ends);
+                lookups.close(&mut outcomes);
             }
         }
         let mut ended = Vec::new();
-        for end in ends {
+        for end in outcomes {
             let id = match &end {
-                WaitEnd::Release { call, .. } => call.id,
-                WaitEnd::Refuse { call, .. } => *call,
+                WaitOutcome::Release { call, .. } => call.id,
+                WaitOutcome::Refuse { call, .. } => *call,
             };
             let Some(waiting) = open.remove(&id) else {
-                return Err(format!("{step}: {id:?} ends, and is not there"));
+                return Err(format!("{step}: {id:?} ended but was not waiting"));
             };
             match end {
-                WaitEnd::Release { call, waited } => {
+                WaitOutcome::Release { call, waited } => {
                     released += 1;
                     if now >= waiting.until
                         || waited != now - waiting.came
@@ -133,7 +134,7 @@
                         ));
                     }
                 }
-                WaitEnd::Refuse { .. } => refused += 1,
+                WaitOutcome::Refuse { .. } => refused += 1,
             }
             ended.push(id);
         }
@@ -173,47 +174,54 @@
 
 #[test]
 fn no_more_calls_wait_than_there_is_room_for() {
-    let (mut lookups, mut ends) = (PendingLookups::default(), Vec::new());
-    for id in 0..=MAX_CALLS_OF_FUNCTION as u64 {
-        lookups.add(Time(0), call(id, "hot"), SECOND, &mut ends);
+    let (mut lookups, mut outcomes) = (PendingLookups::default(), Vec::new());
+    for id in 0..=MAX_PENDING_CALLS_PER_FUNCTION as u64 {
+        lookups.add(Time(0), call(id, "hot"), SECOND, &mut outcomes);
     }
-    let full = |id| WaitEnd::Refuse {
+    let full = |id| WaitOutcome::Refuse {
         call: CallId(id),
         reason: WaitRefusal::Full,
     };
     assert_eq!(
-        std::mem::take(&mut ends),
-        [full(MAX_CALLS_OF_FUNCTION as u64)]
+        std::mem::take(&mut outcomes),
+        [full(MAX_PENDING_CALLS_PER_FUNCTION as u64)]
     );
-    for id in 1000..1000 + MAX_CALLS as u64 {
-        lookups.add(Time(0), call(id, &format!("f{id}")), SECOND, &mut ends);
+    for id in 1000..1000 + MAX_PENDING_CALLS as u64 {
+        lookups.add(Time(0), call(id, &format!("f{id}")), SECOND, &mut outcomes);
     }
     assert_eq!(
-        (lookups.len(), ends.len(), &ends[0]),
+        (lookups.len(), outcomes.len(), &outcomes[0]),
         (
-            MAX_CALLS,
-            MAX_CALLS_OF_FUNCTION,
-            &full(1000 + (MAX_CALLS - MAX_CALLS_OF_FUNCTION) as u64)
+            MAX_PENDING_CALLS,
+            MAX_PENDING_CALLS_PER_FUNCTION,
+            &full(1000 + (MAX_PENDING_CALLS - MAX_PENDING_CALLS_PER_FUNCTION) as u64)
         )
     );
     // There is room again.
-    ends.clear();
+    outcomes.clear();
     assert!(lookups.remove(CallId(1000)));
-    lookups.add(Time(0), call(9999, "hot"), SECOND, &mut ends);
-    lookups.add(Time(0), call(9998, "cold"), SECOND, &mut ends);
-    assert_eq!((lookups.len(), ends), (MAX_CALLS, vec![full(9999)]));
+    lookups.add(Time(0), call(9999, "hot"), SECOND, &mut outcomes);
+    lookups.add(Time(0), call(9998, "cold"), SECOND, &mut outcomes);
+    assert_eq!(
+        (lookups.len(), outcomes),
+        (MAX_PENDING_CALLS, vec![full(9999)])
+    );
 }
 
 #[test]
 fn a_result_at_the_limit_comes_too_late() {
     for (at, late) in [(MAX_WAIT - 1, false), (MAX_WAIT, true)] {
-        let (mut lookups, mut ends) = (PendingLookups::default(), Vec::new());
-        lookups.add(Time(0), call(1, "f"), SECOND, &mut ends);
-        lookups.resolve(Time(at), "f", LookupResult::Proceed, &mut ends);
-        let end = WaitEnd::Refuse {
+        let (mut lookups, mut outcomes) = (PendingLookups::default(), Vec::new());
+        lookups.add(Time(0), call(1, "f"), SECOND, &mut outcomes);
+        lookups.resolve(Time(at), "f", LookupResult::Proceed, &mut outcomes);
+        let end = WaitOutcome::Refuse {
             call: CallId(1),
             reason: WaitRefusal::TimedOut,
         };
-        assert_eq!((ends.len(), ends[0] == end), (1, late), "{ends:?}");
+        assert_eq!(
+            (outcomes.len(), outcomes[0] == end),
+            (1, late),
+            "{outcomes:?}"
+        );
     }
 }
