--- a/decide/dispatch/src/request_table/functions.rs
+++ b/decide/dispatch/src/request_table/functions.rs
@@ -1,4 +1,4 @@
-//! Functions learned from calls, and names that are no longer used.
+//! Functions learned from calls, and the removal of unused names.
 
 use super::Dispatcher;
 use crate::config::FunctionSpec;
@@ -6,13 +6,13 @@
 use std::collections::BTreeSet;
 use tansyrouter::{FunctionId, Micros, SECOND};
 
-/// Idle lives over which a function may stay uncalled ...
-const UNUSED_IDLE_LIVES: Micros = 4;
-/// ... and how much longer its name is kept than the router keeps it.
-const UNUSED_MARGIN: Micros = 5 * SECOND;
+/// How long an unused function is kept, in idle lives of its instances.
+const RETENTION_IDLE_LIVES: Micros = 4;
+/// Additional time for which a name is kept, so that the router forgets the function first, microseconds.
+const RETENTION_MARGIN: Micros = 5 * SECOND;
 
 impl Dispatcher {
-    /// The function of a call: one of the settings, or one that calls have described.
+    /// The function of a call: one from the settings, or one learned from the resource requirements in calls.
     pub(super) fn resolve_function(&mut self, call: &Call) -> Option<FunctionId> {
         let known = self.function_names.find(&call.function).map(FunctionId);
         let Some(shape) = call.shape else {
@@ -42,21 +42,21 @@
         Some(id)
     }
 
-    /// Notes that a learned function is in use, so that its name is kept.
+    /// Records the use of a learned function, so that its name is kept.
     pub(super) fn mark_used(&mut self, function: FunctionId) {
         if let Some(last_used) = self.learned_functions.get_mut(&function) {
             *last_used = self.now;
         }
     }
 
-    /// Removes learned functions that the router has forgotten, and workers that are gone and have nothing out.
+    /// Removes learned functions that were not used for some time, and names of gone workers without requests in progress.
     pub(super) fn remove_unused_names(&mut self) {
         let settings = &self.config.settings;
         let retention = settings
             .idle_life
-            .saturating_mul(UNUSED_IDLE_LIVES)
+            .saturating_mul(RETENTION_IDLE_LIVES)
             .max(settings.load_timeout)
-            + UNUSED_MARGIN;
+            + RETENTION_MARGIN;
         let mut functions_in_use: BTreeSet<u64> =
             self.calls.values().map(|call| call.function.0).collect();
         let mut workers_in_use: BTreeSet<u64> = self.worker_states.keys().map(|w| w.0).collect();
--- a/decide/dispatch/src/request_table/queries.rs
+++ b/decide/dispatch/src/request_table/queries.rs
@@ -1,4 +1,4 @@
-//! What can be read of a dispatcher from outside, and which of its optional counters it keeps.
+//! Read access to a dispatcher, and the switches of its optional counters.
 
 use super::Dispatcher;
 use crate::class_counters::ClassCounterTable;
@@ -9,7 +9,7 @@
 use tansyrouter::{Class, FunctionId, Time, WorkerState};
 
 impl Dispatcher {
-    /// When [`Input::Tick`](crate::Input::Tick) is wanted at the latest.
+    /// When the next [`Input::Tick`](crate::Input::Tick) is due, unless another input comes first.
     pub fn next_due(&self) -> Option<Time> {
         [
             self.timers.next_due().map(Time),
@@ -20,7 +20,7 @@
         .min()
     }
 
-    /// The counters.
+    /// Counters of calls, attempts and control requests.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
@@ -30,34 +30,34 @@
         self.class_counters.get_or_insert_default();
     }
 
-    /// Answers that are counted by class are valued by these classes, by name, whatever the settings in force say.
+    /// Enables class counters, and values answers by these classes, by name, instead of by the settings in force.
     pub fn set_valuation_classes(&mut self, classes: BTreeMap<String, Class>) {
         self.class_counters
             .get_or_insert_default()
             .set_valuation_classes(classes);
     }
 
-    /// Final answers by class, if they are counted.
+    /// Counters of final answers by class, if enabled.
     pub fn class_counters(&self) -> Option<&ClassCounterTable> {
         self.class_counters.as_deref()
     }
 
-    /// Calls that were accepted and are owed an answer.
+    /// The number of accepted calls that are not answered yet.
     pub fn open_calls(&self) -> usize {
         self.calls.values().filter(|call| !call.answered).count()
     }
 
-    /// Whether nothing is left: no call, no attempt, no control request.
+    /// Whether no call, attempt or control request is left.
     pub fn is_idle(&self) -> bool {
         self.calls.is_empty() && self.pending_lookups.is_empty() && self.control_requests.is_empty()
     }
 
-    /// The settings in force, with the router's own list of classes.
+    /// The configuration in force, with the classes in the order of the router.
     pub fn config(&self) -> &DispatchConfig {
         &self.config
     }
 
-    /// Workers that accept work.
+    /// The number of workers that accept work.
     pub fn ready_workers(&self) -> usize {
         self.worker_states
             .values()
@@ -65,19 +65,19 @@
             .count()
     }
 
-    /// Whether calls are accepted.
+    /// Whether calls are accepted and a worker is ready.
     pub fn is_ready(&self) -> bool {
         !self.shutting_down && !self.conflicting.all && self.ready_workers() > 0
     }
 
-    /// A function by name.
+    /// Finds a function by name.
     pub fn function(&self, name: &str) -> Option<&FunctionSpec> {
         self.function_names
             .find(name)
             .and_then(|id| self.function_specs.get(&FunctionId(id)))
     }
 
-    /// The functions in the order of the settings, each with its believed state: `READY`, `LOADING` or `UNAVAILABLE`.
+    /// The functions in the order of the settings, each with its estimated state: `READY`, `LOADING` or `UNAVAILABLE`.
     pub fn function_states(&self) -> Vec<(&FunctionSpec, &'static str)> {
         let idle_life = self.config.settings.idle_life;
         let state = |spec: &FunctionSpec| {
@@ -85,9 +85,9 @@
                 .function_names
                 .find(&spec.name)
                 .and_then(|id| self.function_activity.get(&FunctionId(id)));
-            let recent = |at: Time| self.now.since(at) < idle_life;
+            let is_recent = |at: Time| self.now.since(at) < idle_life;
             match activity {
-                Some(activity) if activity.warm_at.is_some_and(recent) => "READY",
+                Some(activity) if activity.warm_at.is_some_and(is_recent) => "READY",
                 Some(activity) if activity.loading > 0 => "LOADING",
                 _ => "UNAVAILABLE",
             }
@@ -99,12 +99,12 @@
             .collect()
     }
 
-    /// How many names of functions and of workers are known.
+    /// The number of known function names and worker names.
     pub fn name_counts(&self) -> (usize, usize) {
         (self.function_names.len(), self.worker_names.len())
     }
 
-    /// The class of an open call, for logs.
+    /// The class name of an open call.
     pub fn class_of(&self, id: CallId) -> Option<&str> {
         let class = self.calls.get(&id)?.class;
         self.class_names.get(class).map(String::as_str)
--- a/decide/dispatch/src/request_table/settings.rs
+++ b/decide/dispatch/src/request_table/settings.rs
@@ -1,9 +1,8 @@
-//! Changes of the settings: applied between two inputs, and held to for the whole of a call.
+//! Changes of the settings, applied between two inputs.
 //!
-//! A call is decided by one version from its arrival to its end, over all its attempts: a class that a version changes
-//! gets an index of its own in the router's settings while calls of the old one are open. What bounds workers and control
-//! requests, and how many attempts a call may have, holds for all from the moment of the change. What is known of workers
-//! stays.
+//! The class of a call stays the same for all its attempts: while calls of a changed class are open, the new version of the
+//! class gets an index of its own in the settings of the router. Limits of workers, control requests and attempts apply to
+//! all calls from the moment of the change. What is known about workers is kept.
 
 use super::Dispatcher;
 use crate::config::{ConfigError, ConflictingScopes, DispatchConfig, EffectiveConfig};
@@ -12,25 +11,25 @@
 use std::collections::BTreeSet;
 use tansyrouter::{Class, Effect, FunctionId, Micros, Time};
 
-/// Settings that apply from a moment on: when a lease runs out.
+/// Settings that take effect at a later time, when a lease expires.
 #[derive(Debug)]
 pub(super) struct ScheduledSettings {
     at: Time,
-    /// Boxed: a configuration is large, and nearly always only one is scheduled.
-    after: Box<EffectiveConfig>,
+    /// Boxed because a configuration is large.
+    settings: Box<EffectiveConfig>,
 }
 
-/// The classes of the router while a version is in force, and where the classes of the settings are among them.
+/// The classes of the router under a version of the settings.
 struct ClassLayout {
     classes: Vec<Class>,
     names: Vec<String>,
-    /// The index of each class of the settings.
+    /// For each class of the settings, its index in the router.
     indices: Vec<usize>,
 }
 
 impl ClassLayout {
-    /// Keeps the classes that open calls use, and those that the settings still name, where they are; puts each further
-    /// one at an unused index.
+    /// Keeps the indices of classes that open calls use and of classes that the settings do not change. Gives each other
+    /// class an unused index.
     fn of(
         config: &DispatchConfig,
         mut classes: Vec<Class>,
@@ -50,7 +49,7 @@
             if index.is_some() {
                 continue;
             }
-            // One of its own name first: what is known of its service times is the best guess.
+            // Prefers the index of a class of the same name, whose learned service times are the best estimate.
             let mut free: Vec<usize> = (0..classes.len()).filter(|i| !used.contains(i)).collect();
             free.sort_by_key(|i| names[*i] != *name);
             let at = free.first().copied().unwrap_or(classes.len());
@@ -73,8 +72,7 @@
 }
 
 impl Dispatcher {
-    /// Applies this configuration from now on, and each of `scheduled`, which are in their order, from its moment on. On an
-    /// error nothing changes.
+    /// Applies a configuration now, and each of `scheduled`, sorted by time, at its time. On an error nothing changes.
     pub fn apply_settings(
         &mut self,
         now: Time,
@@ -91,15 +89,16 @@
             .into_iter()
             .map(|(at, after)| ScheduledSettings {
                 at,
-                after: Box::new(after),
+                settings: Box::new(after),
             })
             .collect();
         self.apply_due_settings();
         Ok(())
     }
 
-    /// The settings in force are valid for longer: the scheduled ones apply from these moments, one for each. False: some
-    /// apply already, and nothing changes.
+    /// Postpones the scheduled settings to these times, one for each, because the settings in force stay valid for longer.
+    /// A time earlier than the scheduled one has no effect. Returns false and changes nothing if some of the scheduled
+    /// settings are already in force.
     pub fn extend_expiry(&mut self, now: Time, expiries: &[Time]) -> bool {
         self.now = self.now.max(now);
         self.apply_due_settings();
@@ -112,12 +111,12 @@
         none_applied
     }
 
-    /// When the settings in force expire, if they do.
+    /// When the settings in force expire, if ever.
     pub fn next_expiry(&self) -> Option<Time> {
         self.scheduled.front().map(|scheduled| scheduled.at)
     }
 
-    /// The settings in force as [`Dispatcher::apply_settings`] took them: with their own list of classes.
+    /// The configuration in force as it was given to [`Dispatcher::apply_settings`], with its own order of classes.
     pub fn applied_config(&self) -> DispatchConfig {
         let mut config = self.config.clone();
         let class = |index: &usize| config.settings.classes[*index].clone();
@@ -130,18 +129,18 @@
         config
     }
 
-    /// Scopes on which versions of the settings conflict now.
+    /// Scopes in which versions of the settings conflict now.
     pub fn conflicting(&self) -> &ConflictingScopes {
         &self.conflicting
     }
 
-    /// The index of a class in a [`Call`], by its name.
+    /// The index of a class for [`Call::class`], by name.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         let own = self.config.classes.iter().position(|c| c == name)?;
         self.class_indices.get(own).copied()
     }
 
-    /// What running a call of this class twice would do; the class as in a [`Call`].
+    /// The effect of running a call of this class twice; the class is an index as in [`Call::class`].
     pub fn class_effect(&self, class: usize) -> Effect {
         self.config
             .settings
@@ -150,16 +149,16 @@
             .map_or(Effect::Unsafe, |class| class.effect)
     }
 
-    /// The index of a tenant in a [`Call`], by its name.
+    /// The index of a tenant for [`Call::tenant`], by name.
     pub fn tenant_index(&self, name: &str) -> Option<usize> {
         self.config.tenants.iter().position(|t| t == name)
     }
 
-    /// Applies the scheduled settings whose moment has come.
+    /// Applies the scheduled settings that are due.
     pub(super) fn apply_due_settings(&mut self) {
         while self.scheduled.front().is_some_and(|s| s.at <= self.now) {
             if let Some(scheduled) = self.scheduled.pop_front() {
-                self.replace_settings(*scheduled.after);
+                self.replace_settings(*scheduled.settings);
             }
         }
     }
@@ -174,7 +173,7 @@
         let layout = ClassLayout::of(&config, classes, self.class_names.clone(), open);
         config.settings.classes = layout.classes;
         if let Err(error) = self.router.update_settings(config.settings.clone()) {
-            debug_assert!(false, "settings that were checked: {error}");
+            debug_assert!(false, "checked settings are rejected: {error}");
             self.counters.guard_rejections += 1;
             return;
         }
@@ -185,12 +184,13 @@
         self.conflicting = conflicting;
     }
 
-    /// Takes up the functions of a configuration, and gives them the router's indices of their classes. Functions that it
-    /// no longer names are kept as learned ones.
+    /// Replaces the functions by those of a configuration, and translates their classes to indices of the router. Functions
+    /// that the configuration omits become learned functions, so that their open calls can end.
     fn replace_functions(&mut self, config: &mut DispatchConfig, indices: &[usize]) {
         for spec in &mut config.functions {
             spec.class = indices.get(spec.class).copied().unwrap_or(0);
-            // A name whose number another holds, that is about to be forgotten, is known once that is.
+            // The id may still belong to the name of an omitted function. This function then stays unknown until that name
+            // is removed and settings are applied again.
             let Ok(id) = self.function_names.intern(&spec.name) else {
                 continue;
             };
@@ -198,15 +198,15 @@
             self.function_specs.insert(FunctionId(id), spec.clone());
         }
         let named = |name: &str| config.functions.iter().any(|spec| spec.name == name);
-        let before = std::mem::take(&mut self.config.functions);
-        for spec in before.iter().filter(|spec| !named(&spec.name)) {
+        let previous = std::mem::take(&mut self.config.functions);
+        for spec in previous.iter().filter(|spec| !named(&spec.name)) {
             let id = FunctionId(name_hash(&spec.name));
             self.function_specs.remove(&id);
             self.learned_functions.insert(id, self.now);
         }
     }
 
-    /// Whether a call is refused because versions of the settings conflict on it; with the advice to its client.
+    /// Retry advice if the call must be refused because versions of the settings conflict on it.
     pub(super) fn conflict_advice(&self, call: &Call, class: usize) -> Option<Micros> {
         let scopes = &self.conflicting;
         let class = self.class_names.get(class);
--- a/decide/dispatch/src/request_table/workers.rs
+++ b/decide/dispatch/src/request_table/workers.rs
@@ -1,4 +1,4 @@
-//! The list of workers, and what it means for attempts and control requests that have not left.
+//! The worker list, and its effect on attempts and control requests that were not sent yet.
 
 use super::entries::{AttemptPhase, OpenCall};
 use super::Dispatcher;
@@ -14,9 +14,9 @@
         commands: &mut Vec<Command>,
     ) {
         let mut entries = Vec::with_capacity(workers.len());
-        let mut named = BTreeSet::new();
+        let mut listed = BTreeSet::new();
         for record in workers {
-            // Two names with one number would be one worker for the router: the later one is left out.
+            // The router would confuse two workers whose names have the same id, so the later one is ignored.
             let Ok(id) = self.worker_names.intern(&record.name) else {
                 continue;
             };
@@ -24,7 +24,7 @@
             let started = record
                 .age
                 .map(|age| self.stable_start(worker, self.now.plus(-age.max(0))));
-            named.insert(worker);
+            listed.insert(worker);
             self.set_worker_state(worker, record.state, commands);
             entries.push(WorkerEntry {
                 worker,
@@ -37,7 +37,7 @@
             });
         }
         if full {
-            self.remove_unnamed(&named, commands);
+            self.remove_unlisted(&listed, commands);
         }
         let kind = if full {
             ListKind::Full
@@ -47,21 +47,21 @@
         self.notify_router(Event::Workers { kind, entries }, commands);
     }
 
-    /// Workers that a full list does not name are gone.
-    fn remove_unnamed(&mut self, named: &BTreeSet<WorkerId>, commands: &mut Vec<Command>) {
-        let unnamed: Vec<WorkerId> = self
+    /// Marks workers that a full list omits as gone.
+    fn remove_unlisted(&mut self, listed: &BTreeSet<WorkerId>, commands: &mut Vec<Command>) {
+        let unlisted: Vec<WorkerId> = self
             .worker_states
             .keys()
             .copied()
-            .filter(|worker| !named.contains(worker))
+            .filter(|worker| !listed.contains(worker))
             .collect();
-        for worker in unnamed {
+        for worker in unlisted {
             self.set_worker_state(worker, WorkerState::Gone, commands);
         }
     }
 
-    /// A worker's start as one moment: its age, read at different times, varies with the way of the list, and a start
-    /// that varies would look like a restart.
+    /// The start time of a worker, kept stable across lists. Times computed from reported ages vary with the delay of the
+    /// list, and a changed start time would look like a restart.
     fn stable_start(&mut self, worker: WorkerId, at: Time) -> Time {
         let known = self.worker_starts.get(&worker).copied();
         let start = known
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Rule 3: what has not left yet for a worker that takes no work may not leave late. Only asking is free at any time.
+    /// Stops attempts and loads that were not sent yet to a worker that no longer accepts work. Other control requests are
+    /// harmless there.
     fn stop_unsent_work(&mut self, worker: WorkerId, commands: &mut Vec<Command>) {
         let opening = |call: &OpenCall| {
             let attempt = call.attempt.as_ref();
