--- a/decide/dispatch/src/request_table.rs
+++ b/decide/dispatch/src/request_table.rs
@@ -1,16 +1,22 @@
-//! The open calls and their attempts, the control requests, the timers, the guards.
+//! Open calls and their attempts, control requests, timers and guards.
 //!
-//! A call is open from its [`Input::Call`] to its one [`Command::Answer`] (or until its client leaves). An attempt is out
-//! from its [`Command::SendAttempt`] to its [`Input::AttemptEnded`]; the router learns of its end only then, so a further
-//! attempt can't begin while an earlier one may still be open for a worker.
+//! A call is open from its [`Input::Call`] until its only [`Command::Answer`], or until its client leaves. An attempt is in
+//! progress from its [`Command::SendAttempt`] until its [`Input::AttemptEnded`]. The router learns of the end only then, so
+//! it does not start another attempt while the earlier one may still be running at a worker.
 //!
-//! - `entries`: the rows of the table. `queries`: what can be read of it from outside.
-//! - `admission`: from the arrival of a call to the router. `attempts`: sending, cancelling and ending attempts.
-//! - `answers`: the one answer of each call. `control_requests`: probes, loads and unloads.
-//! - `functions`: functions learned from calls, and names that are no longer used. `lookups`: functions whose settings
-//!   have to be looked up first.
-//! - `settings`: changes of the settings. `workers`: the list of workers. `timers`: what falls due.
-//! - `routing`: events to the router and its actions. [`guards`]: what may be sent.
+//! - `admission`: from the arrival of a call to its event for the router.
+//! - `answers`: the final answer of a call, and the removal of the call.
+//! - `attempts`: sending, cancelling and ending attempts.
+//! - `control_requests`: probes, loads and unloads.
+//! - `entries`: the entries of the table.
+//! - `functions`: functions learned from calls, and the removal of unused names.
+//! - [`guards`]: checks whether an attempt or a control request may be sent.
+//! - `lookups`: calls of functions whose settings must be looked up first.
+//! - `queries`: read access to a dispatcher.
+//! - `routing`: events for the router, and its actions.
+//! - `settings`: changes of the settings.
+//! - `timers`: handling of due timers.
+//! - `workers`: the worker list.
 
 mod admission;
 mod answers;
@@ -40,26 +46,26 @@
     Action, Event, FunctionId, ListKind, Micros, Router, Time, WorkerId, WorkerState, SECOND,
 };
 
-/// Tick of the timers, microseconds.
-const TICK: Micros = 500;
-/// How often names of what is gone or no longer called are removed.
+/// Resolution of the timers, microseconds.
+const TIMER_TICK: Micros = 500;
+/// Interval at which unused names of functions and workers are removed, microseconds.
 const CLEANUP_INTERVAL: Micros = SECOND;
 
 /// The dispatcher of one front end.
 pub struct Dispatcher {
     router: Router,
-    /// The settings, with the router's own list of classes.
+    /// The configuration in force, with the classes in the order of the router.
     config: DispatchConfig,
-    /// The router's index of each class of the settings.
+    /// For each class of the settings, its index in the router.
     class_indices: Vec<usize>,
-    /// The name of each class of the router.
+    /// Names of the classes of the router.
     class_names: Vec<String>,
     conflicting: ConflictingScopes,
     scheduled: VecDeque<settings::ScheduledSettings>,
     now: Time,
     function_names: NameTable,
     function_specs: HashMap<FunctionId, FunctionSpec>,
-    /// Functions learned from calls, and when each was last called or had a control request sent or answered.
+    /// Functions learned from calls, with the time of the last use by a call or a control request.
     learned_functions: HashMap<FunctionId, Time>,
     next_cleanup: Time,
     undeliverable_loads: Vec<UndeliverableLoad>,
@@ -76,13 +82,13 @@
     counters: Counters,
     class_counters: Option<Box<ClassCounterTable>>,
     shutting_down: bool,
-    /// Kept between two steps, so that a step allocates nothing for them.
+    /// Buffers that are reused between steps to avoid allocations.
     actions: Vec<Action>,
     due_timers: Vec<TimerEvent>,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows no worker yet.
+    /// Creates a dispatcher without workers.
     pub fn new(config: DispatchConfig, now: Time) -> Result<Dispatcher, ConfigError> {
         let router =
             Router::new(config.settings.clone(), config.seed, now).map_err(ConfigError::Router)?;
@@ -116,7 +122,7 @@
             function_activity: BTreeMap::new(),
             load_failures: LoadFailures::default(),
             next_control_request: 0,
-            timers: Wheel::new(now.0, TICK),
+            timers: Wheel::new(now.0, TIMER_TICK),
             counters: Counters::default(),
             class_counters: None,
             shutting_down: false,
@@ -126,7 +132,8 @@
         })
     }
 
-    /// Takes one input; what is to be done is appended to `commands`, in order. Time that runs backwards stands still.
+    /// Handles one input and appends the resulting commands in order. A `now` before that of an earlier step counts as
+    /// that earlier time.
     pub fn step(&mut self, now: Time, input: Input, commands: &mut Vec<Command>) {
         self.now = self.now.max(now);
         self.apply_due_settings();
--- a/decide/dispatch/src/request_table/admission.rs
+++ b/decide/dispatch/src/request_table/admission.rs
@@ -1,20 +1,20 @@
-//! From the arrival of a call to the router: what is refused at once, and the time that a call gets.
+//! Admission of calls: immediate refusals, and the budget of an admitted call.
 
 use super::entries::{OpenCall, ResolvedFunction, TimerEvent};
-use super::{Dispatcher, TICK};
+use super::{Dispatcher, TIMER_TICK};
 use crate::config::FunctionSpec;
 use crate::message::{Answer, Call, CallId, Command};
 use crate::names::name_hash;
 use tansyrouter::{Arrival, Event, FunctionId, Micros, RequestId, Time};
 
-/// Part of a call's budget that is kept back for the way of its answer to the client ...
-const RESERVE_FRACTION: Micros = 16;
-/// ... and the most that is, microseconds. A final answer has to arrive while the client still waits.
+/// The budget of a call divided by this is reserved for delivering the answer.
+const RESERVE_DIVISOR: Micros = 16;
+/// Upper limit of the reserve, microseconds.
 const MAX_RESERVE: Micros = 20_000;
-/// The least that is: a timer may be a tick late, and its answer has a way to go.
-const MIN_RESERVE: Micros = 2 * TICK;
+/// Lower limit of the reserve, microseconds; includes one tick by which a timer may be late.
+const MIN_RESERVE: Micros = 2 * TIMER_TICK;
 
-/// An admitted call as the router learns of it.
+/// The event that announces an admitted call to the router.
 fn arrival(call: &Call, spec: &FunctionSpec, class: usize, budget: Micros) -> Arrival {
     Arrival {
         request: RequestId(call.id.0),
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Admits a call that has waited so long, or refuses it; `resolved` if the settings do not name its function.
+    /// Admits or refuses a call that has waited for a lookup for `waited` microseconds. `resolved` is the result of the
+    /// lookup if the settings do not name the function.
     pub(super) fn admit(
         &mut self,
         mut call: Call,
@@ -60,13 +61,17 @@
         let function_class = resolved.map_or(spec.class, |resolved| resolved.class);
         let arrived = Time(self.now.0 - waited);
         self.counters.accepted += 1;
-        // Nothing was sent for it: a refusal is right for every class. Another front end may take it at once while
-        // this one shuts down; one that is full is full for a while.
+        // Nothing was sent, so a refusal is safe for every class. During shutdown the client may retry at once at
+        // another front end; a full front end stays full for some time.
         if self.shutting_down || self.calls.len() >= settings.max_open_requests {
-            let while_full = settings.classes[function_class]
+            let retry_after_full = settings.classes[function_class]
                 .latency_objective
                 .min(settings.max_retry_after);
-            let retry_after = if self.shutting_down { 0 } else { while_full };
+            let retry_after = if self.shutting_down {
+                0
+            } else {
+                retry_after_full
+            };
             return self.refuse_admission(id, function_class, retry_after, arrived, commands);
         }
         let class = call
@@ -80,7 +85,7 @@
         let stated = call.budget.unwrap_or(settings.classes[class].deadline);
         let budget = (self.usable_budget(stated) - waited).max(0);
         if waited > 0 && budget == 0 {
-            // Nothing was sent for it.
+            // Nothing was sent, so a refusal is safe.
             let retry_after = resolved.map_or(0, |_| self.conflict_retry_after());
             return self.refuse_admission(id, class, retry_after, arrived, commands);
         }
@@ -88,7 +93,7 @@
         self.open_call(id, arrival, arrived, commands);
     }
 
-    /// Refuses an accepted call before the router learns of it.
+    /// Refuses an accepted call that the router has not received.
     fn refuse_admission(
         &mut self,
         id: CallId,
@@ -121,16 +126,16 @@
             attempt: None,
             answered: false,
             last_outcome: None,
-            ran_from: None,
+            may_have_run_since: None,
             timer: Some(timer),
         };
         self.calls.insert(id, call);
         self.notify_router(Event::Arrival(arrival), commands);
     }
 
-    /// The part of a call's time that its attempts may use: some is kept back for the way of its answer.
+    /// The part of a call's budget that its attempts may use, without the reserve for delivering the answer.
     pub(super) fn usable_budget(&self, stated: Micros) -> Micros {
         let stated = stated.clamp(0, self.config.max_call_time);
-        (stated - (stated / RESERVE_FRACTION).clamp(MIN_RESERVE, MAX_RESERVE)).max(0)
+        (stated - (stated / RESERVE_DIVISOR).clamp(MIN_RESERVE, MAX_RESERVE)).max(0)
     }
 }
--- a/decide/dispatch/src/request_table/answers.rs
+++ b/decide/dispatch/src/request_table/answers.rs
@@ -1,18 +1,18 @@
-//! The one answer of each call, and its removal once nothing is owed and nothing is out.
+//! The final answer of a call, and the removal of the call once no attempt is in progress.
 
 use super::entries::{AttemptTimeout, OpenCall};
 use super::Dispatcher;
 use crate::message::{Answer, CallId, Command, FailureReason};
 use tansyrouter::{Event, Micros, Outcome, RequestId, Time, SECOND};
 
-/// How long trailers may lag behind the last message before their attempt is cancelled.
+/// How long trailers may follow the last message before the attempt is cancelled, microseconds.
 const TRAILERS_TIMEOUT: Micros = SECOND;
 
 impl Dispatcher {
-    /// The one place where an admitted call is answered: rule 1's exactly once.
+    /// Answers an admitted call. All answers to such calls go through here, so that each gets exactly one.
     pub(super) fn answer(&mut self, id: CallId, answer: Answer, commands: &mut Vec<Command>) {
         let Some(call) = self.calls.get_mut(&id).filter(|call| !call.answered) else {
-            debug_assert!(false, "a second answer to {id:?}");
+            debug_assert!(false, "{id:?} is already answered or unknown");
             self.counters.guard_rejections += 1;
             return;
         };
@@ -28,7 +28,6 @@
         let arrived = call.arrived;
         commands.push(Command::Answer { call: id, answer });
         if answer == Answer::Served {
-            // Its trailers may lag, but not for ever.
             if let Some(attempt) = call.attempt.as_mut() {
                 let at = self.now.plus(TRAILERS_TIMEOUT);
                 attempt.set_timeout(&mut self.timers, id, AttemptTimeout::Ended, at);
@@ -61,7 +60,7 @@
         self.remove_if_done(id);
     }
 
-    /// Removes a call that is owed nothing and has nothing out.
+    /// Removes a call that has ended and has no attempt in progress.
     pub(super) fn remove_if_done(&mut self, id: CallId) {
         let done = |call: &OpenCall| call.answered && call.attempt.is_none();
         if !self.calls.get(&id).is_some_and(done) {
@@ -72,7 +71,7 @@
         }
     }
 
-    /// A call of the router's class ended; it had arrived then.
+    /// Counts the end of a call under its class, an index of the router. Without an answer the client left.
     pub(super) fn count_by_class(&mut self, class: usize, answer: Option<Answer>, arrived: Time) {
         let Some(counters) = &mut self.class_counters else {
             return;
@@ -84,18 +83,18 @@
         }
     }
 
-    /// When a refused client should try again. Where the router gives no advice it is the class's latency objective, as
-    /// far as clients heed any: no worker could take the call within it, so none will before what waits now has passed.
-    pub(super) fn retry_advice(&self, id: CallId, given: Micros) -> Micros {
+    /// How long a refused client should wait before a retry. Without advice from the router this is the latency objective
+    /// of the class: no worker could take the call within that time. Limited to the longest advice that clients follow.
+    pub(super) fn retry_after(&self, id: CallId, advised: Micros) -> Micros {
         let settings = &self.config.settings;
         let objective = self
             .calls
             .get(&id)
             .map_or(0, |call| settings.classes[call.class].latency_objective);
-        if given > 0 { given } else { objective }.min(settings.max_retry_after)
+        if advised > 0 { advised } else { objective }.min(settings.max_retry_after)
     }
 
-    /// Why a call that the router gives up has failed.
+    /// Why a call that the router has given up failed.
     pub(super) fn failure_reason(&self, call: &OpenCall) -> FailureReason {
         match call.last_outcome {
             _ if self.now >= call.deadline => FailureReason::Deadline,
--- a/decide/dispatch/src/request_table/attempts.rs
+++ b/decide/dispatch/src/request_table/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sent, confirmed, cancelled, ended.
+//! Sending, confirming, cancelling and ending attempts.
 
 use super::entries::{Attempt, AttemptPhase, AttemptTimeout, TimerEvent};
 use super::Dispatcher;
@@ -8,12 +8,12 @@
 use tansyrouter::{AttemptResult, Event, Outcome, RequestId, Time, WorkerId};
 
 impl Attempt {
-    /// The outcome for the router, by how the attempt was observed to end and what that means of itself.
-    fn routed_outcome(&self, observed: AttemptOutcome, classified: Outcome) -> Outcome {
+    /// The outcome reported to the router, from the observed end of the attempt and its classification.
+    fn outcome_for_router(&self, observed: AttemptOutcome, classified: Outcome) -> Outcome {
         match self.phase {
-            // Cancelled: it may have run, unless its end proves otherwise.
+            // A cancelled attempt may have run, unless its end proves otherwise.
             AttemptPhase::Closing(reason) if !classified.never_ran() => reason,
-            // Its client left before the connection was made: that says nothing of the worker.
+            // The client left before the connection was established, which says nothing about the worker.
             AttemptPhase::Closing(Outcome::Cancelled)
                 if observed == AttemptOutcome::ConnectTimedOut =>
             {
@@ -24,7 +24,7 @@
     }
 }
 
-/// The answer of a call that ends with its attempt.
+/// The final answer to a call that ends with its attempt.
 fn final_answer(outcome: Outcome, final_status: bool) -> Answer {
     match outcome {
         Outcome::Served => Answer::Served,
@@ -45,8 +45,8 @@
     ) {
         let name = self.worker_name(worker);
         let connect_timeout = self.config.settings.connect_timeout;
-        // Guards behind the router's own: what it never does is not done if it errs either.
-        let permitted = self.may_begin(id, worker);
+        // Checked again here, so that an error of the router cannot cause a forbidden attempt.
+        let permitted = self.may_start_attempt(id, worker);
         let Some(call) = self.calls.get_mut(&id) else {
             self.counters.guard_rejections += 1;
             return;
@@ -54,7 +54,10 @@
         let number = call.attempts_sent;
         call.attempts_sent += 1;
         let Some(name) = name.filter(|_| permitted.is_ok()) else {
-            debug_assert!(false, "the router sent {id:?} to {worker:?}: {permitted:?}");
+            debug_assert!(
+                false,
+                "the router must not send {id:?} to {worker:?}: {permitted:?}"
+            );
             self.counters.guard_rejections += 1;
             return;
         };
@@ -88,11 +91,11 @@
         let Some(attempt) = self.calls.get_mut(&id).and_then(|c| c.attempt.as_mut()) else {
             return;
         };
-        let opening = matches!(
+        let is_unconfirmed = matches!(
             attempt.phase,
             AttemptPhase::Opening | AttemptPhase::Confirming
         );
-        if attempt.number == number && opening {
+        if attempt.number == number && is_unconfirmed {
             attempt.phase = AttemptPhase::Open;
             if let Some(timer) = attempt.timer.take() {
                 self.timers.clear(timer);
@@ -149,11 +152,11 @@
         if let Some(timer) = attempt.timer {
             self.timers.clear(timer);
         }
-        let class = classify(observed, &trailers);
-        let outcome = attempt.routed_outcome(observed, class.outcome);
+        let classified = classify(observed, &trailers);
+        let outcome = attempt.outcome_for_router(observed, classified.outcome);
         call.last_outcome = Some(outcome);
         if !outcome.never_ran() {
-            call.ran_from.get_or_insert(attempt.sent);
+            call.may_have_run_since.get_or_insert(attempt.sent);
         }
         let answered = call.answered;
         let function = call.function;
@@ -163,12 +166,13 @@
             let activity = self.function_activity.entry(function).or_default();
             activity.warm_at = Some(self.now);
         }
-        // An answer that has begun is its client's: no other may follow it, so an end in the middle is final.
-        let ends_call = outcome == Outcome::Served || class.final_status || attempt.response_began;
+        // Once a response has started, the client cannot receive another one, so the end of this attempt is final.
+        let ends_call =
+            outcome == Outcome::Served || classified.final_status || attempt.response_began;
         if !answered && ends_call {
-            self.answer(id, final_answer(outcome, class.final_status), commands);
+            self.answer(id, final_answer(outcome, classified.final_status), commands);
         }
-        let done = AttemptResult {
+        let result = AttemptResult {
             request: RequestId(id.0),
             attempt: number,
             worker: attempt.worker,
@@ -179,11 +183,11 @@
             concurrency: trailers.concurrent_calls,
             report: trailers.report.map(LoadReport::into),
         };
-        self.notify_router(Event::AttemptEnded(done), commands);
+        self.notify_router(Event::AttemptEnded(result), commands);
         self.remove_if_done(id);
     }
 
-    /// Asks whether the HEADERS of a call's attempt have left.
+    /// Asks the driver whether the HEADERS of a call's attempt were sent.
     pub(super) fn confirm_attempt(&mut self, id: CallId, commands: &mut Vec<Command>) {
         let Some(number) =
             self.enter_phase(id, AttemptPhase::Confirming, AttemptTimeout::HeadersSent)
@@ -196,14 +200,13 @@
         });
     }
 
-    /// Cancels a call's attempt, if one is out that is not being cancelled yet.
+    /// Cancels a call's attempt, if one is in progress that is not being cancelled yet.
     pub(super) fn cancel_attempt(
         &mut self,
         id: CallId,
         reason: Outcome,
         commands: &mut Vec<Command>,
     ) {
-        // What can't leave in time for a connection won't leave at all.
         let Some(number) =
             self.enter_phase(id, AttemptPhase::Closing(reason), AttemptTimeout::ResetSent)
         else {
@@ -215,8 +218,8 @@
         });
     }
 
-    /// Has a call's attempt enter a phase that it must leave within the connect time-out; its number. One that is being
-    /// cancelled already stays so.
+    /// Moves a call's attempt to a phase that must end within the connect timeout, and returns the number of the attempt.
+    /// Does nothing if the attempt is already being cancelled.
     fn enter_phase(
         &mut self,
         id: CallId,
--- a/decide/dispatch/src/request_table/control_requests.rs
+++ b/decide/dispatch/src/request_table/control_requests.rs
@@ -1,4 +1,4 @@
-//! Control requests: probes, loads and unloads, and workers whose loads leave no instance.
+//! Control requests: probes, loads and unloads.
 
 use super::entries::{ControlKind, ControlRequest, TimerEvent, UndeliverableLoad};
 use super::Dispatcher;
@@ -7,8 +7,8 @@
 use crate::outcome::{classify, AttemptOutcome, LoadReport, Trailers};
 use tansyrouter::{Event, FunctionId, Micros, Outcome, WorkerId};
 
-/// A probe may take so many connect time-outs.
-const PROBE_TIMEOUTS: Micros = 2;
+/// Timeout of a probe, in connect timeouts.
+const PROBE_CONNECT_TIMEOUTS: Micros = 2;
 
 impl Dispatcher {
     pub(super) fn send_control_request(
@@ -19,15 +19,15 @@
         instances: u32,
         commands: &mut Vec<Command>,
     ) {
-        let ready = self.may_use(worker).is_ok();
+        let ready = self.may_assign(worker).is_ok();
         let names = self.worker_name(worker).zip(match kind {
             ControlKind::Probe => Some(String::new()),
             ControlKind::Load | ControlKind::Unload => self.function_name(function),
         });
         let Some((worker_name, function_name)) = names.filter(|_| ready) else {
-            // Rule 3 for control requests; a load that nobody takes must end for the router.
+            // No control request goes to a worker that is not ready. The router expects an end for each load.
             self.counters.guard_rejections += 1;
-            debug_assert!(ready, "a control request to {worker:?}, which takes none");
+            debug_assert!(ready, "a control request to {worker:?}, which is not ready");
             if kind == ControlKind::Load {
                 self.undeliverable_loads
                     .push(UndeliverableLoad { worker, function });
@@ -67,7 +67,7 @@
         self.next_control_request += 1;
         let settings = &self.config.settings;
         let timeout = match kind {
-            ControlKind::Probe => PROBE_TIMEOUTS * settings.connect_timeout,
+            ControlKind::Probe => PROBE_CONNECT_TIMEOUTS * settings.connect_timeout,
             ControlKind::Load | ControlKind::Unload => settings.load_timeout,
         };
         let due = self.now.plus(timeout);
@@ -110,7 +110,7 @@
         if let Some(timer) = request.timer {
             self.timers.clear(timer);
         }
-        // The answer to a control request is its status; it need not carry messages.
+        // Unlike a call, a control request succeeds by its status alone, without a response message.
         let outcome = match observed {
             AttemptOutcome::Status { code: 0, .. } => Outcome::Served,
             _ if request.cancelled => Outcome::TimedOut,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// A load ended, after which the worker has so many instances of the function.
+    /// Handles the end of a load, after which the worker has `instances` instances of the function.
     fn on_load_ended(
         &mut self,
         load: &ControlRequest,
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Has the router learn of the end of the loads that a guard rejected in this step.
+    /// Reports the loads that a guard rejected in this step to the router as ended.
     pub(super) fn report_undeliverable_loads(&mut self, commands: &mut Vec<Command>) {
         while let Some(load) = self.undeliverable_loads.pop() {
             let event = Event::LoadEnded {
@@ -212,7 +212,7 @@
         self.worker_name(worker).zip(self.function_name(function))
     }
 
-    /// Workers whose last load left no instance: their names, the name of its function, and what is known of it.
+    /// Workers whose last load left no instance: worker name, function name, and the failures.
     pub fn load_failures(&self) -> impl Iterator<Item = (String, String, &LoadFailure)> {
         self.load_failures.iter().filter_map(|(id, failure)| {
             let (worker, function) = self.names_of(id, failure.function)?;
--- a/decide/dispatch/src/request_table/entries.rs
+++ b/decide/dispatch/src/request_table/entries.rs
@@ -1,35 +1,35 @@
-//! The rows of the request table: calls, attempts and control requests, and the timers that refer to them.
+//! The entries of the request table: calls, attempts, control requests and their timers.
 
 use crate::message::{CallId, ControlRequestId, FunctionShape};
 use tansy_timer_wheel::{Handle, Wheel};
 use tansyrouter::{FunctionId, Outcome, Time, WorkerId};
 
-/// How far an attempt has come.
+/// The phase of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptPhase {
-    /// Its HEADERS are on their way, or have left and nobody asked.
+    /// It is not known yet whether the HEADERS were sent.
     Opening,
-    /// The driver was asked whether they have left.
+    /// The driver was asked whether the HEADERS were sent.
     Confirming,
-    /// They have left.
+    /// The HEADERS were sent.
     Open,
-    /// It was cancelled; the router learns of this outcome when the cancellation has left.
+    /// The attempt was cancelled; this outcome is reported to the router once the attempt has ended.
     Closing(Outcome),
 }
 
-/// An attempt that is out.
+/// An attempt in progress.
 pub(super) struct Attempt {
     pub number: u32,
     pub worker: WorkerId,
     pub sent: Time,
     pub phase: AttemptPhase,
-    /// At least one response message has come.
+    /// Whether a response message has arrived.
     pub response_began: bool,
     pub timer: Option<Handle>,
 }
 
 impl Attempt {
-    /// An attempt that is sent now.
+    /// Creates an attempt that is sent at `now`.
     pub fn new(number: u32, worker: WorkerId, now: Time) -> Attempt {
         Attempt {
             number,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Replaces the timer of the attempt, which belongs to this call.
+    /// Replaces the timer of this attempt of `call`.
     pub fn set_timeout(
         &mut self,
         timers: &mut Wheel<TimerEvent>,
@@ -61,7 +61,7 @@
     }
 }
 
-/// A call that is owed an answer, or whose last attempt has not ended yet.
+/// A call that is not answered yet, or whose last attempt has not ended yet.
 pub(super) struct OpenCall {
     pub function: FunctionId,
     pub class: usize,
@@ -70,10 +70,10 @@
     pub attempts_sent: u32,
     pub attempt: Option<Attempt>,
     pub answered: bool,
-    /// How its last attempt ended.
+    /// Outcome of the last attempt.
     pub last_outcome: Option<Outcome>,
-    /// When the first of its attempts that may have run was chosen.
-    pub ran_from: Option<Time>,
+    /// When the first attempt that may have run was handed to the driver.
+    pub may_have_run_since: Option<Time>,
     pub timer: Option<Handle>,
 }
 
@@ -84,64 +84,64 @@
     Unload,
 }
 
-/// A probe, a load or an unload that is out.
+/// A probe, a load or an unload in progress.
 pub(super) struct ControlRequest {
     pub kind: ControlKind,
     pub worker: WorkerId,
     pub function: FunctionId,
     pub sent: Time,
-    /// Of a load: 0 only asks how many instances there are.
+    /// Requested instances of a load; 0 only queries how many are loaded.
     pub instances: u32,
     pub cancelled: bool,
     pub timer: Option<Handle>,
 }
 
-/// A load that a guard rejected; the router learns of its end at the close of the step.
+/// A load that a guard rejected; reported to the router as ended at the end of the step.
 pub(super) struct UndeliverableLoad {
     pub worker: WorkerId,
     pub function: FunctionId,
 }
 
-/// What an attempt's time-out waits for.
+/// The event that must happen before the timeout of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptTimeout {
-    /// Its HEADERS leave.
+    /// The HEADERS are sent.
     HeadersSent,
-    /// It ends: the router gives it up, or its trailers lag.
+    /// The attempt ends: within the limit set by the router, or soon after the last response message.
     Ended,
-    /// Its reset leaves.
+    /// The reset of the stream is sent.
     ResetSent,
 }
 
-/// What a timer is for.
+/// What to do when a timer is due.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum TimerEvent {
-    /// A timer that the router asked for, with its token.
+    /// Return this token to the router, which requested the timer.
     Router(u64),
-    /// The time of a call is up.
+    /// Answer a call whose deadline has passed.
     CallDeadline(CallId),
-    /// An attempt has not come as far as it had to.
+    /// Act on an attempt that did not progress in time.
     Attempt {
         call: CallId,
         attempt: u32,
         timeout: AttemptTimeout,
     },
-    /// A control request was not answered in time.
+    /// Cancel a control request that was not answered in time.
     ControlRequest(ControlRequestId),
-    /// The grace period of the shutdown is over.
+    /// Fail all open calls: the grace period of the shutdown is over.
     ShutdownGraceOver,
 }
 
-/// What is believed of a function's instances.
+/// Recent activity of a function, from which its state is estimated.
 #[derive(Default)]
 pub(super) struct FunctionActivity {
-    /// Loads that are out.
+    /// Loads in progress.
     pub loading: u32,
-    /// When an instance was last known to be warm.
+    /// When an instance was last known to be loaded.
     pub warm_at: Option<Time>,
 }
 
-/// The class and shape of a function that the settings do not name, from its lookup.
+/// Class and resource requirements of a function that the settings do not name, from its lookup.
 #[derive(Clone, Copy)]
 pub(super) struct ResolvedFunction {
     pub class: usize,
--- a/decide/dispatch/src/request_table/guards.rs
+++ b/decide/dispatch/src/request_table/guards.rs
@@ -1,38 +1,38 @@
-//! The guards: whether an attempt may be sent, a call repeated, a load started. Each is written once, here. They are checked
-//! where something is decided, and once more as its bytes are about to leave, which can be long after.
+//! Guards: checks whether an attempt may be sent, a call retried or a load started. They run when the decision is made, and
+//! again just before the bytes are sent, which may be much later.
 
 use super::entries::{AttemptPhase, ControlKind, OpenCall};
 use super::Dispatcher;
 use crate::message::{CallId, ControlRequestId};
 use tansyrouter::{Effect, Micros, Time, WorkerId, WorkerState};
 
-/// Why something may not be sent.
+/// Why an attempt or a control request may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DenialReason {
-    /// There is no such call, attempt or control request any more.
+    /// The call, attempt or control request does not exist or has ended.
     NotFound,
-    /// The call has its answer, or its client has gone.
+    /// The call was answered, or its client left.
     Concluded,
-    /// The call's time is up.
+    /// The deadline of the call passed.
     Expired,
-    /// Another attempt at it is out, or this one has begun already.
+    /// Another attempt at the call is in progress, or this attempt was already sent.
     InProgress,
-    /// The worker drains or is gone.
+    /// The worker is draining or gone.
     WorkerNotReady,
     /// An earlier attempt may have run, and the call must not run twice.
     MayHaveRun,
-    /// An earlier attempt may have run, and the time in which its repeats are dropped is over.
+    /// An earlier attempt may have run, and the window in which workers drop repeats is over.
     RepeatWindowOver,
 }
 
 impl DenialReason {
-    /// For logs.
+    /// The reason as text for log messages.
     pub fn as_str(self) -> &'static str {
         match self {
-            DenialReason::NotFound => "unknown",
+            DenialReason::NotFound => "not found",
             DenialReason::Concluded => "concluded",
             DenialReason::Expired => "expired",
-            DenialReason::InProgress => "under way",
+            DenialReason::InProgress => "in progress",
             DenialReason::WorkerNotReady => "worker not ready",
             DenialReason::MayHaveRun => "may have run",
             DenialReason::RepeatWindowOver => "repeat window over",
@@ -41,7 +41,7 @@
 }
 
 impl Dispatcher {
-    /// Whether an attempt may leave at this moment; the time that its worker has for it, microseconds.
+    /// Checks whether an attempt may be sent now. Returns the remaining budget of the call, microseconds.
     pub fn may_send(&self, now: Time, id: CallId, attempt: u32) -> Result<Micros, DenialReason> {
         let call = self.calls.get(&id).ok_or(DenialReason::NotFound)?;
         let attempt = call
@@ -61,13 +61,17 @@
         ) {
             return Err(DenialReason::InProgress);
         }
-        self.may_use(attempt.worker)?;
-        self.may_repeat(now, call)?;
+        self.may_assign(attempt.worker)?;
+        self.may_retry(now, call)?;
         Ok(call.deadline.since(now))
     }
 
-    /// Whether an attempt at a call may be chosen for a worker.
-    pub(super) fn may_begin(&self, id: CallId, worker: WorkerId) -> Result<(), DenialReason> {
+    /// Checks whether a new attempt at a call may be assigned to a worker.
+    pub(super) fn may_start_attempt(
+        &self,
+        id: CallId,
+        worker: WorkerId,
+    ) -> Result<(), DenialReason> {
         let call = self.calls.get(&id).ok_or(DenialReason::NotFound)?;
         if call.answered {
             return Err(DenialReason::Concluded);
@@ -75,13 +79,13 @@
         if call.attempt.is_some() {
             return Err(DenialReason::InProgress);
         }
-        self.may_use(worker)?;
-        self.may_repeat(self.now, call)
+        self.may_assign(worker)?;
+        self.may_retry(self.now, call)
     }
 
-    /// Whether a further attempt at a call may begin, for all that its earlier ones may have done.
-    fn may_repeat(&self, now: Time, call: &OpenCall) -> Result<(), DenialReason> {
-        let Some(first) = call.ran_from else {
+    /// Checks whether a call may be sent again although earlier attempts may have run.
+    fn may_retry(&self, now: Time, call: &OpenCall) -> Result<(), DenialReason> {
+        let Some(first) = call.may_have_run_since else {
             return Ok(());
         };
         match self.config.settings.classes[call.class].effect {
@@ -92,29 +96,29 @@
         }
     }
 
-    /// Whether a worker takes new work.
-    pub(super) fn may_use(&self, worker: WorkerId) -> Result<(), DenialReason> {
+    /// Checks whether a worker accepts new work.
+    pub(super) fn may_assign(&self, worker: WorkerId) -> Result<(), DenialReason> {
         match self.worker_states.get(&worker) {
             Some(WorkerState::Ready) => Ok(()),
             _ => Err(DenialReason::WorkerNotReady),
         }
     }
 
-    /// Whether a control request is to load, and not just to ask how many instances there are.
+    /// Whether a control request loads instances, rather than only querying their number.
     pub fn is_load(&self, request: ControlRequestId) -> bool {
         self.control_requests
             .get(&request)
             .is_some_and(|request| request.kind == ControlKind::Load && request.instances > 0)
     }
 
-    /// Whether a control request may leave at this moment. Asking costs nothing and is free at any time.
+    /// Checks whether a control request may be sent now. Only loads require a ready worker.
     pub fn may_send_control(&self, request: ControlRequestId) -> Result<(), DenialReason> {
         let request = self
             .control_requests
             .get(&request)
             .ok_or(DenialReason::NotFound)?;
         match request.kind {
-            ControlKind::Load if request.instances > 0 => self.may_use(request.worker),
+            ControlKind::Load if request.instances > 0 => self.may_assign(request.worker),
             ControlKind::Load | ControlKind::Probe | ControlKind::Unload => Ok(()),
         }
     }
--- a/decide/dispatch/src/request_table/routing.rs
+++ b/decide/dispatch/src/request_table/routing.rs
@@ -1,4 +1,4 @@
-//! Events to the router and the actions that it answers with.
+//! Events for the router, and the execution of its actions.
 
 use super::entries::{ControlKind, TimerEvent};
 use super::Dispatcher;
@@ -6,7 +6,7 @@
 use tansyrouter::{Action, Event, FunctionId, Outcome};
 
 impl Dispatcher {
-    /// Gives the router an event and carries out its actions, in their order.
+    /// Passes an event to the router and executes the resulting actions in order.
     pub(super) fn notify_router(&mut self, event: Event, commands: &mut Vec<Command>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.router.handle(self.now, event, &mut actions);
@@ -25,7 +25,7 @@
             } => self.send_attempt(CallId(request.0), worker, give_up, commands),
             Action::Reject { request, stay_away } => {
                 let id = CallId(request.0);
-                let retry_after = self.retry_advice(id, stay_away);
+                let retry_after = self.retry_after(id, stay_away);
                 self.answer(id, Answer::Refused { retry_after }, commands)
             }
             Action::Fail { request } => {
--- a/decide/dispatch/src/request_table/timers.rs
+++ b/decide/dispatch/src/request_table/timers.rs
@@ -1,11 +1,11 @@
-//! What falls due.
+//! Handling of due timers.
 
 use super::entries::{AttemptPhase, AttemptTimeout, TimerEvent};
 use super::Dispatcher;
 use crate::message::{Answer, CallId, Command, ControlRequestId, FailureReason};
 use tansyrouter::{Event, Outcome, RequestId};
 
-/// No token of the router's: the event only gives it the time.
+/// A token that the router never uses, for events that only tell it the time.
 const NO_TOKEN: u64 = u64::MAX;
 
 impl Dispatcher {
@@ -35,14 +35,14 @@
         call.timer = None;
         let streaming = call.attempt.as_ref().is_some_and(|a| a.response_began);
         if !streaming {
-            // The router answers what is due whenever it gets any event; this is the moment.
+            // Any event makes the router answer the calls that are due.
             self.notify_router(Event::Timer { token: NO_TOKEN }, commands);
         }
-        // An answer that began to stream is out of the router's hands; so is what it left unanswered.
+        // The router no longer decides about a call whose response has started to stream.
         if self.calls.get(&id).is_some_and(|call| !call.answered) {
             debug_assert!(
                 streaming,
-                "the router left {id:?} unanswered at its deadline"
+                "the router did not answer {id:?} at its deadline"
             );
             self.counters.guard_rejections += u64::from(!streaming);
             self.answer(id, Answer::Failed(FailureReason::Deadline), commands);
@@ -64,12 +64,12 @@
             return;
         }
         match (timeout, attempt.phase) {
-            // Most have left long ago, and asking for each at once would cost more than the answer is worth.
+            // Asked only now, because most HEADERS are sent long before this timeout.
             (AttemptTimeout::HeadersSent, Opening) => self.confirm_attempt(id, commands),
             (AttemptTimeout::Ended, Opening | Confirming | Open) => {
                 self.cancel_attempt(id, Outcome::TimedOut, commands)
             }
-            // A connection that takes nothing, not even a reset, is dropped, which ends all that is on it.
+            // The connection accepts no data, not even a reset. Dropping it ends all its streams.
             (AttemptTimeout::HeadersSent, Confirming) | (AttemptTimeout::ResetSent, Closing(_)) => {
                 attempt.timer = None;
                 let worker = attempt.worker;
@@ -92,7 +92,7 @@
         commands.push(Command::CancelControlRequest { request: id });
     }
 
-    /// The grace period of the shutdown is over: all calls that are still open fail.
+    /// Fails all open calls when the grace period of the shutdown is over.
     fn fail_open_calls(&mut self, commands: &mut Vec<Command>) {
         let mut open: Vec<CallId> = self
             .calls
