--- a/decide/dispatch/src/outcome/tests.rs
+++ b/decide/dispatch/src/outcome/tests.rs
@@ -1,4 +1,4 @@
-//! The table of outcomes, row by row.
+//! Checks the rows of the outcome table.
 
 use super::*;
 
@@ -14,22 +14,22 @@
 }
 
 #[test]
-fn only_proof_says_that_an_attempt_never_ran() {
-    let unstated = Trailers::default();
+fn an_attempt_may_have_run_unless_its_end_proves_otherwise() {
+    let no_trailers = Trailers::default();
     for outcome in [
         AttemptOutcome::ConnectRefused,
         AttemptOutcome::ConnectTimedOut,
         AttemptOutcome::NeverLeft,
         AttemptOutcome::GoawayBelow,
     ] {
-        assert!(never_ran(outcome, &unstated), "{outcome:?}");
+        assert!(never_ran(outcome, &no_trailers), "{outcome:?}");
     }
     for stage in STAGES {
         for code in 0..=20 {
-            let proof = code == 7 && stage == ResponseStage::Nothing;
+            let proves_not_run = code == 7 && stage == ResponseStage::Nothing;
             assert_eq!(
-                never_ran(AttemptOutcome::Reset { code, stage }, &unstated),
-                proof,
+                never_ran(AttemptOutcome::Reset { code, stage }, &no_trailers),
+                proves_not_run,
                 "code {code} {stage:?}"
             );
             assert!(
@@ -38,9 +38,9 @@
                         code: code as u8,
                         stage
                     },
-                    &unstated
+                    &no_trailers
                 ),
-                "{code} {stage:?}"
+                "status {code} {stage:?}"
             );
         }
         for outcome in [
@@ -48,24 +48,24 @@
             AttemptOutcome::NoTrailers { stage },
             AttemptOutcome::InvalidResponse { stage },
         ] {
-            assert!(!never_ran(outcome, &unstated), "{outcome:?}");
+            assert!(!never_ran(outcome, &no_trailers), "{outcome:?}");
         }
     }
-    assert!(!never_ran(AttemptOutcome::Cancelled, &unstated));
+    assert!(!never_ran(AttemptOutcome::Cancelled, &no_trailers));
 }
 
 #[test]
-fn a_promise_counts_only_with_an_error_and_before_any_piece() {
-    for promise in [NeverRan::NotLoaded, NeverRan::TurnedAway, NeverRan::Expired] {
+fn a_guarantee_counts_only_with_an_error_status_before_any_message() {
+    for guarantee in [NeverRan::NotLoaded, NeverRan::TurnedAway, NeverRan::Expired] {
         let trailers = Trailers {
-            never_ran: Some(promise),
+            never_ran: Some(guarantee),
             ..Trailers::default()
         };
         for stage in STAGES {
-            let early = matches!(stage, ResponseStage::Nothing | ResponseStage::Headers);
+            let before_messages = matches!(stage, ResponseStage::Nothing | ResponseStage::Headers);
             assert_eq!(
                 never_ran(AttemptOutcome::Status { code: 14, stage }, &trailers),
-                early,
+                before_messages,
                 "{stage:?}"
             );
             assert!(
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn an_ok_without_an_answer_is_an_error() {
+fn ok_without_a_message_is_an_error() {
     let ok = |stage| {
         classify(
             AttemptOutcome::Status { code: 0, stage },
@@ -94,8 +94,8 @@
 }
 
 #[test]
-fn statuses_of_the_function_itself_are_not_tried_again() {
-    let own: Vec<u8> = (0..=16)
+fn statuses_of_the_function_itself_are_final() {
+    let final_codes: Vec<u8> = (0..=16)
         .filter(|code| {
             let outcome = AttemptOutcome::Status {
                 code: *code,
@@ -104,5 +104,5 @@
             classify(outcome, &Trailers::default()).final_status
         })
         .collect();
-    assert_eq!(own, FUNCTION_STATUSES);
+    assert_eq!(final_codes, FUNCTION_STATUSES);
 }
--- a/decide/dispatch/tests/class_counters.rs
+++ b/decide/dispatch/tests/class_counters.rs
@@ -1,4 +1,4 @@
-//! The latencies that are counted of served calls, for the comparison of front ends.
+//! Latencies of served calls in the class counters.
 
 mod support;
 
@@ -33,9 +33,9 @@
     }
 }
 
-/// Calls that a worker answers after so long each; what was counted of them.
-fn counted(took: &[i64]) -> hdrhistogram::Histogram<u64> {
-    let mut dispatcher = Dispatcher::new(config(), Time(0)).expect("right settings");
+/// Serves one call for each duration, in microseconds, and returns the latencies that were recorded.
+fn recorded_latencies(durations: &[i64]) -> hdrhistogram::Histogram<u64> {
+    let mut dispatcher = Dispatcher::new(config(), Time(0)).expect("valid settings");
     dispatcher.enable_class_counters();
     let mut commands = Vec::new();
     let mut now = 1;
@@ -50,17 +50,17 @@
         code: 0,
         stage: ResponseStage::Messages,
     };
-    for (index, took) in took.iter().enumerate() {
-        let began = now;
+    for (index, duration) in durations.iter().enumerate() {
+        let arrived = now;
         let call = call(index as u64 + 1, "f");
         dispatcher.step(Time(now), Input::Call(call), &mut commands);
-        let mut pending: VecDeque<Command> = commands.drain(..).collect();
+        let mut queue: VecDeque<Command> = commands.drain(..).collect();
         let mut answered = false;
         while !answered {
-            let Some(command) = pending.pop_front() else {
+            let Some(command) = queue.pop_front() else {
                 now = dispatcher.next_due().map_or(now, |t| t.0.max(now));
                 dispatcher.step(Time(now), Input::Tick, &mut commands);
-                pending.extend(commands.drain(..));
+                queue.extend(commands.drain(..));
                 continue;
             };
             let input = match command {
@@ -70,7 +70,7 @@
                     trailers: warm,
                 },
                 Command::SendAttempt { call, attempt, .. } => {
-                    now = began + took;
+                    now = arrived + duration;
                     Input::AttemptEnded {
                         call,
                         attempt,
@@ -85,26 +85,26 @@
                 _ => continue,
             };
             dispatcher.step(Time(now), input, &mut commands);
-            pending.extend(commands.drain(..));
+            queue.extend(commands.drain(..));
         }
         now += 1;
     }
-    dispatcher.class_counters().expect("counted").classes()["c"]
+    dispatcher.class_counters().expect("enabled").classes()["c"]
         .latency
         .clone()
 }
 
 #[test]
-fn latencies_are_counted_as_they_were() {
-    let latency = counted(&[20_000, 20_000, 20_000, 300_000]);
+fn recorded_latencies_match_the_duration_of_calls() {
+    let latency = recorded_latencies(&[20_000, 20_000, 20_000, 300_000]);
     assert_eq!(latency.len(), 4);
-    let near = |quantile: f64, expected: u64| {
-        let counted = latency.value_at_quantile(quantile);
+    let assert_near = |quantile: f64, expected: u64| {
+        let recorded = latency.value_at_quantile(quantile);
         assert!(
-            counted.abs_diff(expected) <= expected / 50,
-            "quantile {quantile}: {counted} us, {expected} us expected"
+            recorded.abs_diff(expected) <= expected / 50,
+            "quantile {quantile}: {recorded} us, expected {expected} us"
         );
     };
-    near(0.5, 20_000);
-    near(1.0, 300_000);
+    assert_near(0.5, 20_000);
+    assert_near(1.0, 300_000);
 }
--- a/decide/dispatch/tests/guards.rs
+++ b/decide/dispatch/tests/guards.rs
@@ -1,5 +1,5 @@
-//! Whether an attempt may leave, asked when it is about to: between its choice and that moment its call, its worker or the
-//! time in which repeats are dropped may have ended.
+//! Guards that run just before an attempt is sent. After the decision to send it, its call, its worker or its repeat window
+//! may have ended.
 
 mod support;
 
@@ -35,7 +35,7 @@
         max_call_time: 60 * SECOND,
         seed: 7,
     };
-    let mut dispatcher = Dispatcher::new(config, Time(0)).expect("settings");
+    let mut dispatcher = Dispatcher::new(config, Time(0)).expect("valid settings");
     step(&mut dispatcher, 0, workers(WorkerState::Ready));
     dispatcher
 }
@@ -50,46 +50,46 @@
     commands
 }
 
-fn a_call(waited: Micros) -> Call {
+fn call_after(waited: Micros) -> Call {
     Call {
         waited,
         ..call(CALL.0, "f")
     }
 }
 
-/// Takes the call and has its load done; the number of its attempt.
-fn called(dispatcher: &mut Dispatcher) -> u32 {
-    called_after(dispatcher, 0)
+/// Starts a call, completes its load, and returns the number of its first attempt.
+fn start_call(dispatcher: &mut Dispatcher) -> u32 {
+    start_call_after(dispatcher, 0)
 }
 
-/// The same of a call that waited so long before it was read.
-fn called_after(dispatcher: &mut Dispatcher, waited: Micros) -> u32 {
-    let mut commands = step(dispatcher, 0, Input::Call(a_call(waited)));
+/// Like [`start_call`], for a call that waited before it was read.
+fn start_call_after(dispatcher: &mut Dispatcher, waited: Micros) -> u32 {
+    let mut commands = step(dispatcher, 0, Input::Call(call_after(waited)));
     if let Some(Command::Load { request, .. }) = commands.first() {
         commands = step(dispatcher, 1, loaded(*request));
     }
-    opened(&commands).expect("an attempt")
+    sent_attempt(&commands).expect("an attempt")
 }
 
-fn opened(commands: &[Command]) -> Option<u32> {
+fn sent_attempt(commands: &[Command]) -> Option<u32> {
     commands.iter().find_map(|command| match command {
         Command::SendAttempt { attempt, .. } => Some(*attempt),
         _ => None,
     })
 }
 
-fn may(dispatcher: &Dispatcher, at: Micros, attempt: u32) -> bool {
+fn may_send(dispatcher: &Dispatcher, at: Micros, attempt: u32) -> bool {
     dispatcher.may_send(Time(at), CALL, attempt).is_ok()
 }
 
 #[test]
-fn one_just_chosen_may_and_what_ends_it_forbids_it() {
+fn an_attempt_may_be_sent_until_it_its_call_or_its_worker_ends() {
     let ends: [(&str, Input); 4] = [
-        ("its client", Input::ClientLeft { call: CALL }),
-        ("its worker drains", workers(WorkerState::Draining)),
-        ("its worker is gone", workers(WorkerState::Gone)),
+        ("the client left", Input::ClientLeft { call: CALL }),
+        ("the worker drains", workers(WorkerState::Draining)),
+        ("the worker is gone", workers(WorkerState::Gone)),
         (
-            "it",
+            "the attempt ended",
             Input::AttemptEnded {
                 call: CALL,
                 attempt: 0,
@@ -100,37 +100,40 @@
     ];
     for (name, end) in ends {
         let mut dispatcher = dispatcher(Effect::Safe);
-        let attempt = called(&mut dispatcher);
-        assert!(may(&dispatcher, 10, attempt));
-        assert!(!may(&dispatcher, 10, attempt + 1), "no such attempt");
+        let attempt = start_call(&mut dispatcher);
+        assert!(may_send(&dispatcher, 10, attempt));
+        assert!(
+            !may_send(&dispatcher, 10, attempt + 1),
+            "an attempt that does not exist"
+        );
         assert!(
             dispatcher.may_send(Time(10), CallId(2), attempt).is_err(),
-            "no such call"
+            "a call that does not exist"
         );
         step(&mut dispatcher, 20, end);
-        assert!(!may(&dispatcher, 30, attempt), "{name} has ended");
+        assert!(!may_send(&dispatcher, 30, attempt), "{name}");
     }
 }
 
 #[test]
-fn one_whose_calls_time_is_up_may_not() {
+fn an_attempt_may_not_be_sent_after_the_deadline() {
     let mut dispatcher = dispatcher(Effect::Safe);
-    let attempt = called(&mut dispatcher);
-    assert!(may(&dispatcher, 4 * SECOND, attempt));
-    assert!(!may(&dispatcher, 5 * SECOND, attempt));
+    let attempt = start_call(&mut dispatcher);
+    assert!(may_send(&dispatcher, 4 * SECOND, attempt));
+    assert!(!may_send(&dispatcher, 5 * SECOND, attempt));
 }
 
 #[test]
-fn a_repeat_may_leave_only_while_repeats_are_dropped() {
+fn a_keyed_retry_may_be_sent_only_within_its_window() {
     let keyed = Effect::Keyed {
         group: Group::All,
         window: WINDOW,
     };
-    for (effect, ran) in [(keyed, true), (keyed, false), (Effect::Safe, true)] {
+    for (effect, may_have_run) in [(keyed, true), (keyed, false), (Effect::Safe, true)] {
         let mut dispatcher = dispatcher(effect);
-        let first = called(&mut dispatcher);
-        // An error may have run; a refused connect never did.
-        let outcome = if ran {
+        let first = start_call(&mut dispatcher);
+        // After an error status the attempt may have run; an attempt that was not sent did not.
+        let outcome = if may_have_run {
             AttemptOutcome::Status {
                 code: 2,
                 stage: ResponseStage::Headers,
@@ -149,25 +152,25 @@
             },
         );
         let mut at = SECOND / 10;
-        while opened(&commands).is_none() && at < WINDOW / 2 {
+        while sent_attempt(&commands).is_none() && at < WINDOW / 2 {
             at += SECOND / 100;
             commands = step(&mut dispatcher, at, Input::Tick);
         }
-        let second = opened(&commands).expect("a further attempt");
-        assert!(may(&dispatcher, WINDOW - 10, second));
-        // The first was chosen a microsecond after the call came.
+        let second = sent_attempt(&commands).expect("a second attempt");
+        assert!(may_send(&dispatcher, WINDOW - 10, second));
+        // The first attempt was chosen at 1 us.
         assert_eq!(
-            may(&dispatcher, WINDOW + 1, second),
-            !(ran && effect == keyed),
-            "{effect:?}, ran: {ran}"
+            may_send(&dispatcher, WINDOW + 1, second),
+            !(may_have_run && effect == keyed),
+            "{effect:?}, may have run: {may_have_run}"
         );
     }
 }
 
 #[test]
-fn the_answer_ends_it() {
+fn an_attempt_may_not_be_sent_after_the_answer() {
     let mut dispatcher = dispatcher(Effect::Safe);
-    let attempt = called(&mut dispatcher);
+    let attempt = start_call(&mut dispatcher);
     let commands = step(
         &mut dispatcher,
         10,
@@ -181,40 +184,40 @@
         call: CALL,
         answer: Answer::Served
     }));
-    assert!(!may(&dispatcher, 20, attempt));
+    assert!(!may_send(&dispatcher, 20, attempt));
 }
 
 #[test]
-fn each_denial_has_its_reason() {
+fn denials_state_their_reason() {
     let mut dispatcher = dispatcher(Effect::Unsafe);
-    let attempt = called(&mut dispatcher);
-    let ask = |dispatcher: &Dispatcher, at| dispatcher.may_send(Time(at), CALL, attempt);
+    let attempt = start_call(&mut dispatcher);
+    let check = |dispatcher: &Dispatcher, at| dispatcher.may_send(Time(at), CALL, attempt);
     assert_eq!(
-        ask(&dispatcher, 10),
+        check(&dispatcher, 10),
         Ok(usable_budget() - 10),
-        "the time that is left"
+        "the remaining budget"
     );
     assert_eq!(
         dispatcher.may_send(Time(10), CALL, attempt + 1),
         Err(DenialReason::NotFound)
     );
-    assert_eq!(ask(&dispatcher, 5 * SECOND), Err(DenialReason::Expired));
+    assert_eq!(check(&dispatcher, 5 * SECOND), Err(DenialReason::Expired));
     step(&mut dispatcher, 20, workers(WorkerState::Draining));
-    assert_eq!(ask(&dispatcher, 30), Err(DenialReason::WorkerNotReady));
+    assert_eq!(check(&dispatcher, 30), Err(DenialReason::WorkerNotReady));
     step(&mut dispatcher, 40, Input::ClientLeft { call: CALL });
-    assert_eq!(ask(&dispatcher, 50), Err(DenialReason::Concluded));
+    assert_eq!(check(&dispatcher, 50), Err(DenialReason::Concluded));
 }
 
-/// The time that a call of five seconds has, less what is kept for its answer's way.
+/// The budget of a call of five seconds, without the reserve for delivering the answer.
 fn usable_budget() -> Micros {
     5 * SECOND - 20_000
 }
 
 #[test]
-fn a_call_that_waited_has_so_much_less_time() {
+fn waiting_time_reduces_the_budget() {
     let mut dispatcher = dispatcher(Effect::Safe);
     let waited = 2 * SECOND;
-    let attempt = called_after(&mut dispatcher, waited);
+    let attempt = start_call_after(&mut dispatcher, waited);
     assert_eq!(
         dispatcher.may_send(Time(10), CALL, attempt),
         Ok(usable_budget() - waited - 10)
@@ -222,9 +225,9 @@
 }
 
 #[test]
-fn a_call_whose_time_was_over_when_it_was_read_is_refused_and_never_sent() {
+fn a_call_that_expired_before_it_was_read_is_refused_and_never_sent() {
     let mut dispatcher = dispatcher(Effect::Safe);
-    let commands = step(&mut dispatcher, 0, Input::Call(a_call(6 * SECOND)));
+    let commands = step(&mut dispatcher, 0, Input::Call(call_after(6 * SECOND)));
     assert_eq!(
         commands,
         [Command::Answer {
--- a/decide/dispatch/tests/load_failures.rs
+++ b/decide/dispatch/tests/load_failures.rs
@@ -1,11 +1,11 @@
-//! How often the operator learns of a worker whose loads leave no instance.
+//! How often workers whose loads leave no instance are reported to the operator.
 
 use tansy_dispatch::load_failures::LoadFailures;
 use tansy_dispatch::{AttemptOutcome, ResponseStage};
 use tansyrouter::{FunctionId, Time, WorkerId};
 
 #[test]
-fn it_is_reported_at_once_then_every_ten_seconds_with_all_that_came_meanwhile() {
+fn a_failing_worker_is_reported_at_once_and_then_every_ten_seconds() {
     let outcome = AttemptOutcome::Status {
         code: 12,
         stage: ResponseStage::Headers,
@@ -32,7 +32,7 @@
     assert_eq!(
         fail(&mut workers, 25_000_000),
         None,
-        "still within the ten seconds"
+        "within the report interval"
     );
     assert_eq!(fail(&mut workers, 30_000_000), Some(2));
     workers.remove_worker(worker);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn workers_are_reported_apart() {
+fn workers_are_reported_independently() {
     let mut workers = LoadFailures::default();
     let outcome = AttemptOutcome::ConnectRefused;
     for id in 0..5 {
--- a/decide/dispatch/tests/request_table.rs
+++ b/decide/dispatch/tests/request_table.rs
@@ -1,4 +1,4 @@
-//! Calls, attempts and control requests at one dispatcher, event by event.
+//! Calls, attempts and control requests of a dispatcher, event by event.
 
 mod support;
 
@@ -26,13 +26,14 @@
 }
 
 #[test]
-fn refusals_say_when_to_try_again() {
+fn refusals_carry_retry_advice() {
     let mut config = config(1);
     config.settings.max_open_requests = 2;
     config.settings.max_retry_after = SECOND / 4;
     let mut dispatcher = Dispatcher::new(config, Time(0)).expect("settings that make sense");
     let mut commands = Vec::new();
-    // No worker is known: one call has no time, two are held, the next is one too many, then the front end closes.
+    // Without workers: call 1 has no budget, calls 2 and 3 stay open, call 4 exceeds the limit, call 5 arrives during
+    // shutdown.
     dispatcher.step(Time(0), call(1, "unsafe", 0), &mut commands);
     dispatcher.step(Time(1), call(2, "unsafe", SECOND), &mut commands);
     dispatcher.step(Time(2), call(3, "unsafe", SECOND), &mut commands);
@@ -43,14 +44,14 @@
         &mut commands,
     );
     dispatcher.step(Time(5), call(5, "unsafe", SECOND), &mut commands);
-    let quarter = Answer::Refused {
+    let refused = Answer::Refused {
         retry_after: SECOND / 4,
     };
     assert_eq!(
         answers(&commands),
         [
-            (1, quarter),
-            (4, quarter),
+            (1, refused),
+            (4, refused),
             (5, Answer::Refused { retry_after: 0 })
         ]
     );
@@ -60,13 +61,13 @@
     assert_eq!(
         answers(&commands),
         [(2, failed), (3, failed)],
-        "what is held fails when the time to close is over"
+        "open calls fail after the grace period"
     );
     assert!(dispatcher.is_idle());
 }
 
 #[test]
-fn a_connection_that_takes_nothing_is_dropped_and_the_call_goes_elsewhere() {
+fn a_connection_that_accepts_no_data_is_dropped_and_its_call_stays_open() {
     let mut dispatcher = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
     let mut commands = Vec::new();
     let connect = dispatcher.config().settings.connect_timeout;
@@ -82,7 +83,7 @@
             .any(|c| matches!(c, Command::SendAttempt { attempt: 0, .. })),
         "{commands:?}"
     );
-    let mut at = |now: i64, expected: &str| {
+    let mut expect_command = |now: i64, expected: &str| {
         let mut commands = Vec::new();
         dispatcher.step(Time(now), Input::Tick, &mut commands);
         assert!(
@@ -92,9 +93,9 @@
             "{expected} at {now}: {commands:?}"
         );
     };
-    at(1000 + connect + 500, "ConfirmSent");
-    at(1000 + 2 * connect + 1000, "DropConnection");
-    // Nothing of it can leave any more, and nothing had left: it is sent again though it must not run twice.
+    expect_command(1000 + connect + 500, "ConfirmSent");
+    expect_command(1000 + 2 * connect + 1000, "DropConnection");
+    // Nothing of the attempt was sent, so the call is not failed although it must not run twice.
     let (call, attempt) = (CallId(1), 0);
     commands.clear();
     let now = Time(1000 + 2 * connect + 2000);
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn a_stream_may_last_longer_than_a_connection_may_take() {
+fn a_stream_may_outlast_the_connect_timeout() {
     let mut dispatcher = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
     let mut commands = Vec::new();
     let connect = dispatcher.config().settings.connect_timeout;
@@ -132,13 +133,13 @@
     for quarter in 1..20 {
         dispatcher.step(Time(quarter * connect / 4), Input::Tick, &mut commands);
     }
-    let withdrawn = |command: &Command| {
+    let ends_call = |command: &Command| {
         matches!(
             command,
             Command::CancelAttempt { .. } | Command::Answer { .. } | Command::DropConnection { .. }
         )
     };
-    assert!(!commands.iter().any(withdrawn), "{commands:?}");
+    assert!(!commands.iter().any(ends_call), "{commands:?}");
     dispatcher.step(Time(5 * connect), message(true), &mut commands);
     assert_eq!(answers(&commands), [(1, Answer::Served)]);
 }
@@ -160,7 +161,7 @@
 }
 
 #[test]
-fn a_load_that_has_not_left_is_recalled_when_its_worker_drains() {
+fn an_unsent_load_is_recalled_when_its_worker_drains() {
     let mut dispatcher = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
     let mut commands = Vec::new();
     let list = worker_list(vec![worker("w0", WorkerState::Ready)]);
@@ -175,7 +176,7 @@
         } if function == "new" => Some(*request),
         _ => None,
     });
-    let request = load.expect("a function that a call described is loaded");
+    let request = load.expect("the function learned from the call is loaded");
     commands.clear();
     dispatcher.step(
         Time(2),
@@ -201,18 +202,18 @@
     );
     assert!(
         !commands.iter().any(|c| matches!(c, Command::Load { .. })),
-        "nothing is loaded there: {commands:?}"
+        "a load at a draining worker: {commands:?}"
     );
 }
 
 #[test]
-fn functions_no_longer_called_and_workers_that_are_gone_are_forgotten() {
+fn names_of_unused_functions_and_gone_workers_are_removed() {
     let mut dispatcher = Dispatcher::new(config(1), Time(0)).expect("settings that make sense");
-    let named = dispatcher.name_counts().0;
+    let configured = dispatcher.name_counts().0;
     let mut now = 0;
-    let (mut most, mut commands) = ((0, 0), Vec::new());
+    let (mut max_added, mut commands) = ((0, 0), Vec::new());
     for number in 0..400u64 {
-        // Ever new functions, and a worker that is replaced by a new one each time.
+        // Each round calls a new function and replaces the worker by a new one.
         let list = worker_list(vec![worker(format!("w{number}"), WorkerState::Ready)]);
         dispatcher.step(Time(now), list, &mut commands);
         dispatcher.step(
@@ -245,16 +246,16 @@
         }
         now += SECOND;
         let names = dispatcher.name_counts();
-        most = (most.0.max(names.0 - named), most.1.max(names.1));
+        max_added = (max_added.0.max(names.0 - configured), max_added.1.max(names.1));
     }
     assert!(
         dispatcher.counters().served > 300,
         "{}",
         dispatcher.counters()
     );
-    let kept = (4 * dispatcher.config().settings.idle_life / SECOND) as usize + 10;
+    let retained = (4 * dispatcher.config().settings.idle_life / SECOND) as usize + 10;
     assert!(
-        most.0 <= kept && most.1 <= 3,
-        "{most:?} of 400 functions and workers"
+        max_added.0 <= retained && max_added.1 <= 3,
+        "{max_added:?} of 400 functions and workers"
     );
 }
