--- a/decide/dispatch/tests/histories.rs
+++ b/decide/dispatch/tests/histories.rs
@@ -1,4 +1,4 @@
-//! The dispatcher under random histories: the rules, the counters, and the same commands again from the record.
+//! Random histories of a dispatcher: they keep the invariants and counters, and their records replay exactly.
 
 mod support;
 
@@ -12,23 +12,31 @@
 };
 use tansyrouter::{Time, SECOND};
 
+/// Index of the class `unsafe` in [`NAMES`].
+const UNSAFE: usize = 2;
+/// Index of the class `stream` in [`NAMES`].
+const STREAM: usize = 3;
+
+/// A random history, and the state that the dispatcher should have.
 #[derive(Default)]
-struct World {
+struct History {
     now: i64,
     rng: fastrand::Rng,
-    open: BTreeMap<CallId, (usize, i64)>,
+    /// Class and deadline of each call.
+    calls: BTreeMap<CallId, (usize, i64)>,
+    /// Number of the attempt in progress of each call, and whether it is cancelled.
     attempts: BTreeMap<CallId, (u32, bool)>,
-    ran: BTreeSet<CallId>,
+    may_have_run: BTreeSet<CallId>,
     answered: BTreeMap<CallId, Answer>,
     requests: VecDeque<ControlRequestId>,
     draining: BTreeSet<String>,
-    began: BTreeSet<CallId>,
+    streaming: BTreeSet<CallId>,
     next: u64,
     steps: Vec<RecordedStep>,
 }
 
-impl World {
-    /// One worker in five drains.
+impl History {
+    /// Draining for one worker in five, otherwise ready.
     fn random_state(&mut self) -> WorkerState {
         if self.rng.u32(..5) == 0 {
             WorkerState::Draining
@@ -49,13 +57,13 @@
             commands,
         });
         let open = self
-            .open
+            .calls
             .keys()
             .filter(|c| !self.answered.contains_key(c))
             .count();
         assert!(
             dispatcher.counters().balances(open as u64),
-            "{} with {open} open",
+            "{}, {open} open",
             dispatcher.counters()
         );
     }
@@ -70,20 +78,20 @@
             } => {
                 assert!(
                     !self.answered.contains_key(call),
-                    "an attempt after the answer of {call:?}"
+                    "an attempt after the answer to {call:?}"
                 );
                 assert!(
                     !self.attempts.contains_key(call),
-                    "two attempts of {call:?}"
+                    "two concurrent attempts at {call:?}"
                 );
                 assert!(
                     !self.draining.contains(worker),
-                    "an attempt at {worker}, which drains"
+                    "an attempt at the draining worker {worker}"
                 );
-                let class = self.open[call].0;
+                let class = self.calls[call].0;
                 assert!(
-                    class != 2 || !self.ran.contains(call),
-                    "an unsafe call again: {call:?}"
+                    class != UNSAFE || !self.may_have_run.contains(call),
+                    "a retry of the unsafe call {call:?}"
                 );
                 self.attempts.insert(*call, (*attempt, false));
             }
@@ -92,14 +100,15 @@
                     self.answered.insert(*call, *answer).is_none(),
                     "a second answer to {call:?}"
                 );
-                let (class, due) = self.open[call];
+                let (class, due) = self.calls[call];
                 assert!(
                     self.now <= due,
                     "{call:?} is answered {} us late",
                     self.now - due
                 );
-                let may_have_run = self.ran.contains(call) || self.attempts.contains_key(call);
-                if class == 2 && matches!(answer, Answer::Refused { .. }) {
+                let may_have_run =
+                    self.may_have_run.contains(call) || self.attempts.contains_key(call);
+                if class == UNSAFE && matches!(answer, Answer::Refused { .. }) {
                     assert!(
                         !may_have_run,
                         "an unsafe call that may have run is refused: {call:?}"
@@ -108,7 +117,7 @@
             }
             Command::ForwardMessage { call } => assert!(
                 !self.answered.contains_key(call),
-                "a piece after the answer"
+                "a message after the answer to {call:?}"
             ),
             Command::CancelAttempt { call, .. } => {
                 if let Some(attempt) = self.attempts.get_mut(call) {
@@ -122,8 +131,8 @@
         }
     }
 
-    /// Lets time pass; time-outs come when they are due, as a loop would have them.
-    fn pass(&mut self, dispatcher: &mut Dispatcher, to: i64) {
+    /// Advances the time and runs timers when they are due, as an event loop does.
+    fn advance(&mut self, dispatcher: &mut Dispatcher, to: i64) {
         while let Some(due) = dispatcher.next_due().filter(|t| t.0 < to) {
             self.now = self.now.max(due.0);
             self.step(dispatcher, Input::Tick);
@@ -134,13 +143,10 @@
         self.now = to;
     }
 
-    #[expect(
-        clippy::too_many_lines,
-        reason = "one table or one history, read from top to bottom"
-    )]
-    fn turn(&mut self, dispatcher: &mut Dispatcher) {
+    #[expect(clippy::too_many_lines, reason = "one match over the kinds of events")]
+    fn random_step(&mut self, dispatcher: &mut Dispatcher) {
         let to = self.now + self.rng.i64(0..8_000);
-        self.pass(dispatcher, to);
+        self.advance(dispatcher, to);
         let stage = [
             ResponseStage::Nothing,
             ResponseStage::Headers,
@@ -151,7 +157,7 @@
                 self.next += 1;
                 let (id, class) = (CallId(self.next), self.rng.usize(..4));
                 let budget = self.rng.bool().then(|| self.rng.i64(0..1_500_000));
-                self.open
+                self.calls
                     .insert(id, (class, self.now + budget.unwrap_or(2 * SECOND)));
                 let call = Call {
                     budget,
@@ -164,11 +170,11 @@
                 let Some(call) = keys.get(self.rng.usize(..keys.len().max(1))).copied() else {
                     return;
                 };
-                let (attempt, withdrawn) = self.attempts[&call];
-                let streaming = self.open[&call].0 == 3 && !withdrawn;
-                if streaming && self.rng.bool() {
+                let (attempt, cancelled) = self.attempts[&call];
+                let may_stream = self.calls[&call].0 == STREAM && !cancelled;
+                if may_stream && self.rng.bool() {
                     let last = self.rng.u32(..4) == 0;
-                    self.began.insert(call);
+                    self.streaming.insert(call);
                     return self.step(
                         dispatcher,
                         Input::ResponseMessage {
@@ -183,7 +189,7 @@
                     ..Trailers::default()
                 };
                 let outcome = match self.rng.u32(..20) {
-                    _ if withdrawn => AttemptOutcome::Cancelled,
+                    _ if cancelled => AttemptOutcome::Cancelled,
                     0 => AttemptOutcome::ConnectRefused,
                     1 => AttemptOutcome::NeverLeft,
                     2 => AttemptOutcome::GoawayBelow,
@@ -209,7 +215,7 @@
                         stage: ResponseStage::Messages,
                     },
                 };
-                if self.began.contains(&call)
+                if self.streaming.contains(&call)
                     && matches!(
                         outcome,
                         AttemptOutcome::ConnectRefused | AttemptOutcome::NeverLeft
@@ -218,8 +224,8 @@
                     return;
                 }
                 self.attempts.remove(&call);
-                // What has run, judged here by the words of the specifications, not by the table under test.
-                let proof = match outcome {
+                // Whether the attempt may have run, by the specifications and not by the code under test.
+                let proves_not_run = match outcome {
                     AttemptOutcome::ConnectRefused
                     | AttemptOutcome::NeverLeft
                     | AttemptOutcome::GoawayBelow => true,
@@ -229,8 +235,8 @@
                     AttemptOutcome::Status { .. } => trailers.never_ran.is_some(),
                     _ => false,
                 };
-                if !proof {
-                    self.ran.insert(call);
+                if !proves_not_run {
+                    self.may_have_run.insert(call);
                 }
                 self.step(
                     dispatcher,
@@ -244,7 +250,7 @@
             }
             80..=84 => {
                 let open: Vec<CallId> = self
-                    .open
+                    .calls
                     .keys()
                     .filter(|c| !self.answered.contains_key(c))
                     .copied()
@@ -298,41 +304,40 @@
         }
     }
 
-    fn run(seed: u64, turns: usize) -> World {
-        let mut dispatcher =
-            Dispatcher::new(config(seed), Time(0)).expect("settings that make sense");
-        let mut world = World {
+    fn run(seed: u64, steps: usize) -> History {
+        let mut dispatcher = Dispatcher::new(config(seed), Time(0)).expect("valid settings");
+        let mut history = History {
             rng: fastrand::Rng::with_seed(seed),
-            ..World::default()
+            ..History::default()
         };
         let list = (0..4)
             .map(|n| worker(format!("w{n}"), WorkerState::Ready))
             .collect();
-        world.step(&mut dispatcher, worker_list(list));
-        (0..turns).for_each(|_| world.turn(&mut dispatcher));
-        // The end: every client's time passes.
+        history.step(&mut dispatcher, worker_list(list));
+        (0..steps).for_each(|_| history.random_step(&mut dispatcher));
+        // Lets the deadlines of all calls pass.
         for _ in 0..400 {
-            let to = world.now + 10_000;
-            world.pass(&mut dispatcher, to);
-            world.step(&mut dispatcher, Input::Tick);
+            let to = history.now + 10_000;
+            history.advance(&mut dispatcher, to);
+            history.step(&mut dispatcher, Input::Tick);
         }
-        let unanswered: Vec<_> = world
-            .open
+        let unanswered: Vec<_> = history
+            .calls
             .keys()
-            .filter(|c| !world.answered.contains_key(c))
+            .filter(|c| !history.answered.contains_key(c))
             .collect();
         assert!(unanswered.is_empty(), "seed {seed}: {unanswered:?}");
         assert_eq!(dispatcher.counters().guard_rejections, 0, "seed {seed}");
-        world
+        history
     }
 }
 
 #[test]
-fn the_rules_hold_in_random_histories() {
+fn invariants_hold_in_random_histories() {
     let mut served = 0;
     for seed in 0..60 {
-        let world = World::run(seed, 400);
-        served += world
+        let history = History::run(seed, 400);
+        served += history
             .answered
             .values()
             .filter(|a| **a == Answer::Served)
@@ -340,35 +345,35 @@
     }
     assert!(
         served > 1000,
-        "the histories are of calls that get somewhere: {served}"
+        "too few served calls for a meaningful test: {served}"
     );
 }
 
 #[test]
-fn a_record_plays_again_to_the_same_bytes_twice_and_alone() {
+fn replay_reproduces_a_record_alone_and_interleaved() {
     let lines =
         |steps: &[RecordedStep]| steps.iter().map(RecordedStep::to_line).collect::<Vec<_>>();
-    let recorded = lines(&World::run(7, 600).steps);
+    let recorded = lines(&History::run(7, 600).steps);
     let read = || {
         recorded
             .iter()
             .map(|l| RecordedStep::parse(l).expect("a recorded step"))
     };
-    let mut first = Dispatcher::new(config(7), Time(0)).expect("settings that make sense");
-    let once: Vec<RecordedStep> = replay(&mut first, read()).collect();
-    assert_eq!(lines(&once), recorded);
-    // Beside another front end in the same process, step by step, as alone.
+    let mut dispatcher_alone = Dispatcher::new(config(7), Time(0)).expect("valid settings");
+    let alone: Vec<RecordedStep> = replay(&mut dispatcher_alone, read()).collect();
+    assert_eq!(lines(&alone), recorded);
+    // Interleaved with another dispatcher in the same process.
     let (mut dispatcher, mut neighbor) = (
-        Dispatcher::new(config(7), Time(0)).expect("good"),
-        Dispatcher::new(config(8), Time(0)).expect("good"),
+        Dispatcher::new(config(7), Time(0)).expect("valid settings"),
+        Dispatcher::new(config(8), Time(0)).expect("valid settings"),
     );
-    let other = World::run(8, 600).steps;
-    let mut beside = Vec::new();
+    let other = History::run(8, 600).steps;
+    let mut interleaved = Vec::new();
     for (index, step) in read().enumerate() {
-        beside.extend(replay(&mut dispatcher, std::iter::once(step)));
+        interleaved.extend(replay(&mut dispatcher, std::iter::once(step)));
         if let Some(other_step) = other.get(index) {
             replay(&mut neighbor, std::iter::once(other_step.clone())).for_each(drop);
         }
     }
-    assert_eq!(lines(&beside), recorded);
+    assert_eq!(lines(&interleaved), recorded);
 }
--- a/decide/dispatch/tests/lookup_counters.rs
+++ b/decide/dispatch/tests/lookup_counters.rs
@@ -1,9 +1,9 @@
-//! What is counted of calls that wait for their function's settings, and what a rollout makes of it.
+//! Counters of calls that wait for the lookup of their function, and their use in canary analysis.
 
 mod support;
 
 use std::collections::BTreeMap;
-use support::lookup_scene::{budgets_and_answers, call, known, scene, Scene};
+use support::lookup_fixture::{budgets_and_answers, call, fixture, known, Fixture};
 use support::OK;
 use tansy_canary::{AnalysisParameters, CanaryAnalysis, FrontEndReport, RequestCounters, Verdict};
 use tansy_dispatch::class_counters::PENDING_LOOKUP;
@@ -11,13 +11,13 @@
 use tansy_dispatch::{CallId, FunctionLookup, Input, Trailers};
 use tansyrouter::SECOND;
 
-/// What a rollout compares: ends of calls that awaited settings, as served, refused and failed, and what they were worth.
-fn awaited(scene: &Scene) -> [u64; 5] {
-    let counts = scene.dispatcher.class_counters().expect("they are counted");
+/// Calls that waited for a lookup: ended, served, refused and failed calls, and the value of the answers.
+fn pending_lookup_counters(fixture: &Fixture) -> [u64; 5] {
+    let counts = fixture.dispatcher.class_counters().expect("enabled");
     let counters = counts
         .classes()
         .get(PENDING_LOOKUP)
-        .expect("some awaited settings");
+        .expect("calls waited for a lookup");
     assert_eq!(
         (counters.possible_value, counters.latency.len()),
         (counters.ended as f64, counters.served)
@@ -32,51 +32,51 @@
 }
 
 #[test]
-fn calls_that_wait_for_settings_are_counted_whatever_their_end() {
-    let mut scene = scene();
-    scene.dispatcher.enable_class_counters();
-    // One goes on, and is one of its class as well.
-    scene.call_pending(1, Some(SECOND));
-    scene.resolve(300_000, known(0));
-    assert_eq!(awaited(&scene), [1, 1, 0, 0, 1]);
-    // Refused at its limit, by what was found, at once by that, and without any time.
-    scene.call_pending(2, None);
-    scene.give(MAX_WAIT, Input::Tick);
-    scene.call_pending(3, None);
-    scene.resolve(10, FunctionLookup::Refused);
-    scene.give(
+fn every_end_of_a_lookup_wait_is_counted() {
+    let mut fixture = fixture();
+    fixture.dispatcher.enable_class_counters();
+    // Proceeds, and later counts under its class as well.
+    fixture.call_pending(1, Some(SECOND));
+    fixture.resolve(300_000, known(0));
+    assert_eq!(pending_lookup_counters(&fixture), [1, 1, 0, 0, 1]);
+    // Refused at the longest wait, by the result of the lookup, at once by a lookup, and for lack of budget.
+    fixture.call_pending(2, None);
+    fixture.step_after(MAX_WAIT, Input::Tick);
+    fixture.call_pending(3, None);
+    fixture.resolve(10, FunctionLookup::Refused);
+    fixture.step_after(
         0,
         Input::CallLookedUp {
             call: call(4, "f", None),
             lookup: FunctionLookup::Refused,
         },
     );
-    scene.call_pending(5, Some(0));
-    assert_eq!(awaited(&scene), [5, 1, 4, 0, 1]);
-    // There is no such function; its client leaves.
-    scene.call_pending(6, None);
-    scene.resolve(10, FunctionLookup::Unknown);
-    scene.call_pending(7, None);
-    scene.give(10, Input::ClientLeft { call: CallId(7) });
-    assert_eq!(awaited(&scene), [7, 1, 4, 2, 1]);
-    // One that did not wait has its class alone.
-    scene.give(
+    fixture.call_pending(5, Some(0));
+    assert_eq!(pending_lookup_counters(&fixture), [5, 1, 4, 0, 1]);
+    // The function does not exist; the client leaves.
+    fixture.call_pending(6, None);
+    fixture.resolve(10, FunctionLookup::Unknown);
+    fixture.call_pending(7, None);
+    fixture.step_after(10, Input::ClientLeft { call: CallId(7) });
+    assert_eq!(pending_lookup_counters(&fixture), [7, 1, 4, 2, 1]);
+    // A call that did not wait counts under its class only.
+    fixture.step_after(
         0,
         Input::CallLookedUp {
             call: call(8, "f", Some(SECOND)),
             lookup: known(1),
         },
     );
-    assert_eq!(awaited(&scene), [7, 1, 4, 2, 1]);
-    // Too many of one function, and a close.
+    assert_eq!(pending_lookup_counters(&fixture), [7, 1, 4, 2, 1]);
+    // Too many calls of one function, and a shutdown.
     for id in 0..=MAX_PENDING_CALLS_PER_FUNCTION as u64 {
-        scene.call_pending(100 + id, None);
+        fixture.call_pending(100 + id, None);
     }
-    assert_eq!(awaited(&scene), [8, 1, 5, 2, 1]);
-    scene.give(10, Input::Shutdown { grace: SECOND });
-    scene.call_pending(1000, None);
+    assert_eq!(pending_lookup_counters(&fixture), [8, 1, 5, 2, 1]);
+    fixture.step_after(10, Input::Shutdown { grace: SECOND });
+    fixture.call_pending(1000, None);
     assert_eq!(
-        awaited(&scene),
+        pending_lookup_counters(&fixture),
         [
             9 + MAX_PENDING_CALLS_PER_FUNCTION as u64,
             1,
@@ -85,44 +85,47 @@
             1
         ]
     );
-    let counters = scene.dispatcher.counters();
+    let counters = fixture.dispatcher.counters();
     assert_eq!(
         counters.refused,
         6 + MAX_PENDING_CALLS_PER_FUNCTION as u64,
-        "as in the account: {counters}"
+        "the counters agree: {counters}"
     );
-    let counts = scene.dispatcher.class_counters().expect("they are counted");
+    let counts = fixture.dispatcher.class_counters().expect("enabled");
     assert!(
         counts.classes().keys().eq([PENDING_LOOKUP]),
-        "no call of a class has ended"
+        "no call of a class ended"
     );
 }
 
-/// What a rollout knows of a front end: its counts, beside a thousand calls a slice that all were served.
+/// The report of a front end: its counters, and a thousand served calls per slice.
 fn report(
     index: usize,
     slice: u64,
-    scene: &Scene,
-    new: bool,
-    with_awaited: bool,
+    fixture: &Fixture,
+    is_canary: bool,
+    with_lookups: bool,
 ) -> FrontEndReport {
     let mut classes = BTreeMap::new();
-    let counts = scene.dispatcher.class_counters().expect("they are counted");
-    for (name, counted) in counts
+    let counts = fixture.dispatcher.class_counters().expect("enabled");
+    for (name, class_counters) in counts
         .classes()
         .iter()
-        .filter(|(name, _)| with_awaited || *name != PENDING_LOOKUP)
+        .filter(|(name, _)| with_lookups || *name != PENDING_LOOKUP)
     {
         let mut counters = RequestCounters {
-            requested: counted.ended,
-            served: counted.served,
-            rejected: counted.refused,
-            failed: counted.failed,
-            value_requested: counted.possible_value,
-            value_served: counted.value,
+            requested: class_counters.ended,
+            served: class_counters.served,
+            rejected: class_counters.refused,
+            failed: class_counters.failed,
+            value_requested: class_counters.possible_value,
+            value_served: class_counters.value,
             ..RequestCounters::default()
         };
-        counters.latency.add(&counted.latency).expect("it grows");
+        counters
+            .latency
+            .add(&class_counters.latency)
+            .expect("auto-resizing");
         classes.insert(name.clone(), counters);
     }
     let calls = 1_000 * slice;
@@ -133,7 +136,10 @@
         value_served: calls as f64,
         ..RequestCounters::default()
     };
-    counters.latency.record_n(20_000, calls).expect("it grows");
+    counters
+        .latency
+        .record_n(20_000, calls)
+        .expect("auto-resizing");
     classes
         .entry("safe".to_string())
         .or_default()
@@ -142,7 +148,7 @@
     FrontEndReport {
         name,
         zone,
-        new,
+        new: is_canary,
         incarnation: 1,
         up: 60.0 + slice as f64,
         classes,
@@ -151,34 +157,35 @@
     }
 }
 
-/// A rollout of a program that refuses every first call of a function, of which each front end has five in a slice of a thousand.
-fn compare_rollout(breaks: bool, with_awaited: bool) -> (Verdict, Vec<String>) {
-    let mut scenes: Vec<Scene> = (0..8).map(|_| scene()).collect();
-    scenes
+/// Analyzes a canary. With `refuses_first_calls` it refuses the first call of each function, which is five in a thousand
+/// calls of a slice. `with_lookups` includes the counters of calls that waited for a lookup.
+fn analyze_canary(refuses_first_calls: bool, with_lookups: bool) -> (Verdict, Vec<String>) {
+    let mut fixtures: Vec<Fixture> = (0..8).map(|_| fixture()).collect();
+    fixtures
         .iter_mut()
-        .for_each(|scene| scene.dispatcher.enable_class_counters());
-    let new = |n: usize| n < 3;
-    let mut judge = CanaryAnalysis::new(
+        .for_each(|fixture| fixture.dispatcher.enable_class_counters());
+    let is_canary = |n: usize| n < 3;
+    let mut analysis = CanaryAnalysis::new(
         AnalysisParameters::default(),
-        (0..8).filter(|n| new(*n)).map(|n| format!("f{n}")),
+        (0..8).filter(|n| is_canary(*n)).map(|n| format!("f{n}")),
     );
     let mut id = 0;
     for slice in 1..=60 {
-        let judging = slice > 20;
-        for (index, scene) in scenes.iter_mut().enumerate() {
+        let analyzing = slice > 20;
+        for (index, fixture) in fixtures.iter_mut().enumerate() {
             for _ in 0..5 {
                 id += 1;
-                scene.call_pending(id, Some(SECOND));
-                let lookup = if breaks && judging && new(index) {
+                fixture.call_pending(id, Some(SECOND));
+                let lookup = if refuses_first_calls && analyzing && is_canary(index) {
                     FunctionLookup::Refused
                 } else {
                     known(0)
                 };
-                let commands = scene.resolve(20_000, lookup);
+                let commands = fixture.resolve(20_000, lookup);
                 if !budgets_and_answers(&commands).0.is_empty() {
                     let (call, attempt) = (CallId(id), 0);
-                    scene.give(0, Input::AttemptSent { call, attempt });
-                    scene.give(
+                    fixture.step_after(0, Input::AttemptSent { call, attempt });
+                    fixture.step_after(
                         10_000,
                         Input::ResponseMessage {
                             call,
@@ -186,7 +193,7 @@
                             last: true,
                         },
                     );
-                    scene.give(
+                    fixture.step_after(
                         0,
                         Input::AttemptEnded {
                             call,
@@ -198,26 +205,30 @@
                 }
             }
         }
-        let each = |(n, scene)| report(n, slice, scene, judging && new(n), with_awaited);
-        let reports: Vec<FrontEndReport> = scenes.iter().enumerate().map(each).collect();
-        judge.observe(&reports, judging);
+        let each = |(n, f)| report(n, slice, f, analyzing && is_canary(n), with_lookups);
+        let reports: Vec<FrontEndReport> = fixtures.iter().enumerate().map(each).collect();
+        analysis.observe(&reports, analyzing);
     }
     (
-        judge.verdict(),
-        judge.measurements().into_iter().map(|m| m.metric).collect(),
+        analysis.verdict(),
+        analysis
+            .measurements()
+            .into_iter()
+            .map(|m| m.metric)
+            .collect(),
     )
 }
 
 #[test]
-fn a_rollout_that_breaks_first_calls_is_recognized() {
-    let (verdict, measured) = compare_rollout(true, true);
+fn canary_analysis_detects_refused_first_calls() {
+    let (verdict, measured) = analyze_canary(true, true);
     assert!(
         matches!(&verdict, Verdict::Fail { reason } if reason.contains(PENDING_LOOKUP)),
         "{verdict:?} {measured:?}"
     );
-    let (verdict, _) = compare_rollout(false, true);
-    assert_eq!(verdict, Verdict::Pass, "one that breaks nothing");
-    // Without these counts nothing shows: the calls were never of a class.
-    let (verdict, _) = compare_rollout(true, false);
+    let (verdict, _) = analyze_canary(false, true);
+    assert_eq!(verdict, Verdict::Pass, "a canary without defect");
+    // The calls never had a class, so without their own counters the defect is invisible.
+    let (verdict, _) = analyze_canary(true, false);
     assert_eq!(verdict, Verdict::Pass);
 }
--- a/decide/dispatch/tests/lookup_histories.rs
+++ b/decide/dispatch/tests/lookup_histories.rs
@@ -1,4 +1,4 @@
-//! The calls that wait for their function's settings, by themselves: each has one end, in its time.
+//! Random histories of waiting calls: each call ends exactly once and in time.
 
 mod support;
 
@@ -11,25 +11,22 @@
 use tansy_dispatch::CallId;
 use tansyrouter::{Time, SECOND};
 
-/// What a history knows of a call that waits.
+/// The expected state of a waiting call.
 struct WaitingCall {
     function: usize,
-    came: i64,
-    until: i64,
+    arrived: i64,
+    deadline: i64,
 }
 
-/// Plays a random history; the number of releases and of refusals.
-#[expect(
-    clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
-)]
+/// Runs a random history and returns the number of releases and of refusals.
+#[expect(clippy::too_many_lines, reason = "one match over the kinds of events")]
 fn history(seed: u64) -> Result<(u64, u64), String> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let (mut lookups, mut now, mut next) = (PendingLookups::default(), 0i64, 0u64);
     let mut open: BTreeMap<CallId, WaitingCall> = BTreeMap::new();
     let (mut released, mut refused, mut closed) = (0, 0, false);
     for step in 0..400 {
-        // Whoever drives it wakes for its limits.
+        // A driver wakes up at each deadline.
         let mut to = now + rng.i64(0..60_000);
         to = lookups.next_due().map_or(to, |t| to.min(t.0));
         now = to;
@@ -37,7 +34,7 @@
         lookups.expire(Time(now), &mut outcomes);
         let due: Vec<CallId> = open
             .iter()
-            .filter(|(_, call)| call.until <= now)
+            .filter(|(_, call)| call.deadline <= now)
             .map(|(id, _)| *id)
             .collect();
         for id in &due {
@@ -48,7 +45,7 @@
                 }
             };
             if !outcomes.iter().any(expired) {
-                return Err(format!("{step}: {id:?} waits past its limit"));
+                return Err(format!("{step}: {id:?} waits past its deadline"));
             }
         }
         let mut expected = due;
@@ -61,8 +58,8 @@
                     id,
                     WaitingCall {
                         function,
-                        came: now,
-                        until: now + max_wait.min(MAX_WAIT),
+                        arrived: now,
+                        deadline: now + max_wait.min(MAX_WAIT),
                     },
                 );
                 lookups.add(
@@ -102,7 +99,7 @@
                     .filter(|id| !expected.contains(id))
                 {
                     if !lookups.remove(id) || lookups.remove(id) {
-                        return Err(format!("{step}: {id:?} left, and was there once"));
+                        return Err(format!("{step}: {id:?} must be removed exactly once"));
                     }
                     open.remove(&id);
                 }
@@ -125,12 +122,12 @@
             match end {
                 WaitOutcome::Release { call, waited } => {
                     released += 1;
-                    if now >= waiting.until
-                        || waited != now - waiting.came
+                    if now >= waiting.deadline
+                        || waited != now - waiting.arrived
                         || call.function != format!("f{}", waiting.function)
                     {
                         return Err(format!(
-                            "{step}: {call:?} goes on at {now}, having waited {waited}"
+                            "{step}: {call:?} was released at {now} after {waited}"
                         ));
                     }
                 }
@@ -153,7 +150,7 @@
         if ended != expected || lookups.len() != open.len() || lookups.is_empty() != open.is_empty()
         {
             return Err(format!(
-                "{step}: {ended:?} ended, not {expected:?}; {} wait",
+                "{step}: {ended:?} ended, expected {expected:?}; {} wait",
                 lookups.len()
             ));
         }
@@ -162,7 +159,7 @@
 }
 
 #[test]
-fn every_call_that_waits_has_one_end_in_its_time_and_none_after_its_client_left() {
+fn every_waiting_call_ends_once_in_time_and_never_after_its_client_left() {
     let (mut released, mut refused) = (0, 0);
     for seed in 0..300 {
         let (history_released, history_refused) =
@@ -173,7 +170,7 @@
 }
 
 #[test]
-fn no_more_calls_wait_than_there_is_room_for() {
+fn waiting_calls_are_limited_in_total_and_per_function() {
     let (mut lookups, mut outcomes) = (PendingLookups::default(), Vec::new());
     for id in 0..=MAX_PENDING_CALLS_PER_FUNCTION as u64 {
         lookups.add(Time(0), call(id, "hot"), SECOND, &mut outcomes);
@@ -197,7 +194,7 @@
             &full(1000 + (MAX_PENDING_CALLS - MAX_PENDING_CALLS_PER_FUNCTION) as u64)
         )
     );
-    // There is room again.
+    // A removed call makes room for another.
     outcomes.clear();
     assert!(lookups.remove(CallId(1000)));
     lookups.add(Time(0), call(9999, "hot"), SECOND, &mut outcomes);
@@ -209,8 +206,8 @@
 }
 
 #[test]
-fn a_result_at_the_limit_comes_too_late() {
-    for (at, late) in [(MAX_WAIT - 1, false), (MAX_WAIT, true)] {
+fn a_result_at_the_deadline_is_too_late() {
+    for (at, is_late) in [(MAX_WAIT - 1, false), (MAX_WAIT, true)] {
         let (mut lookups, mut outcomes) = (PendingLookups::default(), Vec::new());
         lookups.add(Time(0), call(1, "f"), SECOND, &mut outcomes);
         lookups.resolve(Time(at), "f", LookupResult::Proceed, &mut outcomes);
@@ -220,7 +217,7 @@
         };
         assert_eq!(
             (outcomes.len(), outcomes[0] == end),
-            (1, late),
+            (1, is_late),
             "{outcomes:?}"
         );
     }
--- a/decide/dispatch/tests/pending_lookups.rs
+++ b/decide/dispatch/tests/pending_lookups.rs
@@ -1,44 +1,43 @@
-//! Calls that wait for their function's settings at a dispatcher: each has one end, in its time, and none once its client
-//! has left.
+//! Calls that wait for a lookup at a dispatcher end exactly once and in time, and never after their client left.
 
 mod support;
 
-use support::lookup_scene::{budgets_and_answers, call, known, scene, REFUSED};
+use support::lookup_fixture::{budgets_and_answers, call, fixture, known, REFUSED};
 use tansy_dispatch::pending_lookups::MAX_WAIT;
 use tansy_dispatch::{Answer, Call, CallId, FunctionLookup, Input};
 use tansyrouter::{Time, SECOND};
 
 #[test]
-fn a_call_that_waited_goes_on_with_what_is_left_of_its_time() {
-    let mut scene = scene();
+fn a_call_that_waited_proceeds_with_the_rest_of_its_budget() {
+    let mut fixture = fixture();
     assert_eq!(
-        budgets_and_answers(&scene.call_pending(1, Some(SECOND))),
+        budgets_and_answers(&fixture.call_pending(1, Some(SECOND))),
         (vec![], vec![])
     );
     assert!(
-        scene.dispatcher.awaited_functions().eq(["f"])
-            && !scene.dispatcher.is_idle()
-            && scene.dispatcher.open_calls() == 0
+        fixture.dispatcher.awaited_functions().eq(["f"])
+            && !fixture.dispatcher.is_idle()
+            && fixture.dispatcher.open_calls() == 0
     );
-    // 20 ms are kept back for its answer's way.
+    // 20 ms are reserved for delivering the answer.
     assert_eq!(
-        budgets_and_answers(&scene.resolve(300_000, known(0))),
+        budgets_and_answers(&fixture.resolve(300_000, known(0))),
         (vec![680_000], vec![])
     );
     assert_eq!(
         (
-            scene.dispatcher.pending_calls(),
-            scene.dispatcher.open_calls()
+            fixture.dispatcher.pending_calls(),
+            fixture.dispatcher.open_calls()
         ),
         (0, 1)
     );
-    // One that tells no time has its function's class's, less what it waited.
-    scene.call_pending(2, None);
-    scene.give(0, Input::ClientLeft { call: CallId(1) });
-    let commands = scene.resolve(100_000, known(1));
+    // A call without a budget has the deadline of the class of its function, less its wait.
+    fixture.call_pending(2, None);
+    fixture.step_after(0, Input::ClientLeft { call: CallId(1) });
+    let commands = fixture.resolve(100_000, known(1));
     assert_eq!(budgets_and_answers(&commands).0, [880_000]);
-    assert_eq!(scene.dispatcher.class_of(CallId(2)), Some("unsafe"));
-    let counters = scene.dispatcher.counters();
+    assert_eq!(fixture.dispatcher.class_of(CallId(2)), Some("unsafe"));
+    let counters = fixture.dispatcher.counters();
     assert_eq!(
         (
             counters.accepted,
@@ -50,9 +49,9 @@
 }
 
 #[test]
-fn a_call_looked_up_in_time_does_not_wait_and_one_that_names_its_class_keeps_it() {
-    let mut scene = scene();
-    let commands = scene.give(
+fn a_call_with_a_lookup_result_does_not_wait_and_keeps_a_class_that_it_names() {
+    let mut fixture = fixture();
+    let commands = fixture.step_after(
         0,
         Input::CallLookedUp {
             call: call(1, "f", Some(SECOND)),
@@ -62,28 +61,28 @@
     assert_eq!(
         (
             budgets_and_answers(&commands).0,
-            scene.dispatcher.class_of(CallId(1))
+            fixture.dispatcher.class_of(CallId(1))
         ),
         (vec![980_000], Some("unsafe"))
     );
     assert!(
-        !scene.dispatcher.is_configured("f"),
-        "it is looked up each time"
+        !fixture.dispatcher.is_configured("f"),
+        "a function that is looked up is not configured"
     );
     let named = Call {
         class: Some(0),
         ..call(2, "f", Some(SECOND))
     };
-    scene.give(
+    fixture.step_after(
         0,
         Input::CallLookedUp {
             call: named,
             lookup: known(1),
         },
     );
-    assert_eq!(scene.dispatcher.class_of(CallId(2)), Some("safe"));
-    // What was learned of it once does not count once it is gone.
-    let commands = scene.give(
+    assert_eq!(fixture.dispatcher.class_of(CallId(2)), Some("safe"));
+    // What was learned from earlier calls does not count once the lookup finds no function.
+    let commands = fixture.step_after(
         0,
         Input::CallLookedUp {
             call: call(3, "f", None),
@@ -94,7 +93,7 @@
         budgets_and_answers(&commands),
         (vec![], vec![Answer::UnknownFunction])
     );
-    let commands = scene.give(
+    let commands = fixture.step_after(
         0,
         Input::CallLookedUp {
             call: call(4, "f", None),
@@ -102,7 +101,7 @@
         },
     );
     assert_eq!(budgets_and_answers(&commands), (vec![], vec![REFUSED]));
-    let counters = scene.dispatcher.counters();
+    let counters = fixture.dispatcher.counters();
     assert_eq!(
         (
             counters.accepted,
@@ -115,47 +114,47 @@
 }
 
 #[test]
-fn a_call_that_waits_is_refused_at_its_limit_and_no_later() {
-    let mut scene = scene();
-    for (id, budget, limit) in [
+fn a_waiting_call_is_refused_at_its_longest_wait() {
+    let mut fixture = fixture();
+    for (id, budget, max_wait) in [
         (1, Some(10 * SECOND), MAX_WAIT),
         (2, Some(SECOND / 5), 187_500),
         (3, None, MAX_WAIT),
     ] {
-        scene.call_pending(id, budget);
+        fixture.call_pending(id, budget);
         assert!(
-            scene
+            fixture
                 .dispatcher
                 .next_due()
-                .is_some_and(|t| t <= Time(scene.now + limit)),
+                .is_some_and(|t| t <= Time(fixture.now + max_wait)),
             "{id}"
         );
         assert_eq!(
-            budgets_and_answers(&scene.give(limit - 1, Input::Tick)).1,
+            budgets_and_answers(&fixture.step_after(max_wait - 1, Input::Tick)).1,
             []
         );
         assert_eq!(
-            budgets_and_answers(&scene.give(1, Input::Tick)).1,
+            budgets_and_answers(&fixture.step_after(1, Input::Tick)).1,
             [REFUSED],
             "{id}"
         );
         assert_eq!(
-            budgets_and_answers(&scene.resolve(0, known(0))),
+            budgets_and_answers(&fixture.resolve(0, known(0))),
             (vec![], vec![]),
             "{id}"
         );
     }
-    // What comes at the limit is too late as well, and one without time does not wait.
-    scene.call_pending(4, Some(SECOND));
+    // A result exactly at the longest wait is too late, and a call without budget does not wait.
+    fixture.call_pending(4, Some(SECOND));
     assert_eq!(
-        budgets_and_answers(&scene.resolve(MAX_WAIT, known(0))),
+        budgets_and_answers(&fixture.resolve(MAX_WAIT, known(0))),
         (vec![], vec![REFUSED])
     );
     assert_eq!(
-        budgets_and_answers(&scene.call_pending(5, Some(0))).1,
+        budgets_and_answers(&fixture.call_pending(5, Some(0))).1,
         [REFUSED]
     );
-    let counters = scene.dispatcher.counters();
+    let counters = fixture.dispatcher.counters();
     assert_eq!(
         (
             counters.accepted,
@@ -168,43 +167,46 @@
 }
 
 #[test]
-fn a_client_that_left_a_close_and_an_end_without_a_function_end_a_wait() {
-    let mut scene = scene();
-    scene.call_pending(1, None);
-    assert_eq!(scene.give(10, Input::ClientLeft { call: CallId(1) }), []);
+fn a_wait_ends_when_the_client_leaves_on_shutdown_and_for_an_unknown_function() {
+    let mut fixture = fixture();
+    fixture.call_pending(1, None);
     assert_eq!(
-        budgets_and_answers(&scene.resolve(10, known(0))),
+        fixture.step_after(10, Input::ClientLeft { call: CallId(1) }),
+        []
+    );
+    assert_eq!(
+        budgets_and_answers(&fixture.resolve(10, known(0))),
         (vec![], vec![])
     );
-    scene.call_pending(2, None);
+    fixture.call_pending(2, None);
     assert_eq!(
-        budgets_and_answers(&scene.resolve(10, FunctionLookup::Unknown)).1,
+        budgets_and_answers(&fixture.resolve(10, FunctionLookup::Unknown)).1,
         [Answer::UnknownFunction]
     );
-    scene.call_pending(3, None);
+    fixture.call_pending(3, None);
     assert_eq!(
-        budgets_and_answers(&scene.resolve(10, FunctionLookup::Pending)).1,
+        budgets_and_answers(&fixture.resolve(10, FunctionLookup::Pending)).1,
         []
     );
     assert_eq!(
-        budgets_and_answers(&scene.resolve(10, FunctionLookup::Refused)).1,
+        budgets_and_answers(&fixture.resolve(10, FunctionLookup::Refused)).1,
         [REFUSED]
     );
-    scene.call_pending(4, None);
-    let at_once = Answer::Refused { retry_after: 0 };
+    fixture.call_pending(4, None);
+    let refused_on_shutdown = Answer::Refused { retry_after: 0 };
     assert_eq!(
-        budgets_and_answers(&scene.give(10, Input::Shutdown { grace: SECOND })).1,
-        [at_once]
+        budgets_and_answers(&fixture.step_after(10, Input::Shutdown { grace: SECOND })).1,
+        [refused_on_shutdown]
     );
     assert_eq!(
-        budgets_and_answers(&scene.call_pending(5, None)).1,
-        [at_once]
+        budgets_and_answers(&fixture.call_pending(5, None)).1,
+        [refused_on_shutdown]
     );
     assert_eq!(
-        budgets_and_answers(&scene.resolve(10, known(0))),
+        budgets_and_answers(&fixture.resolve(10, known(0))),
         (vec![], vec![])
     );
-    let counters = scene.dispatcher.counters();
+    let counters = fixture.dispatcher.counters();
     assert_eq!(
         (
             counters.accepted,
@@ -215,5 +217,5 @@
         ),
         (4, 1, 3, 1, 1)
     );
-    assert!(scene.dispatcher.is_idle());
+    assert!(fixture.dispatcher.is_idle());
 }
--- a/decide/dispatch/tests/request_table.rs
+++ b/decide/dispatch/tests/request_table.rs
@@ -246,7 +246,10 @@
         }
         now += SECOND;
         let names = dispatcher.name_counts();
-        max_added = (max_added.0.max(names.0 - configured), max_added.1.max(names.1));
+        max_added = (
+            max_added.0.max(names.0 - configured),
+            max_added.1.max(names.1),
+        );
     }
     assert!(
         dispatcher.counters().served > 300,
--- a/decide/dispatch/tests/settings.rs
+++ b/decide/dispatch/tests/settings.rs
@@ -1,5 +1,4 @@
-//! Versions of the settings at one front end: what a call that came before a change may do after it, and what comes when a
-//! lease runs out.
+//! Changes of the settings: their effect on open calls, and the expiry of a lease.
 
 mod support;
 
@@ -10,7 +9,7 @@
 };
 use tansyrouter::{Class, Effect, Settings, Time, SECOND};
 
-/// Functions of the same names as the classes, each of its own class.
+/// A configuration with these classes, each with one function of the same name.
 fn config(classes: &[(&str, Effect)]) -> DispatchConfig {
     let function = |(class, (name, _)): (usize, &(&str, Effect))| FunctionSpec {
         name: name.to_string(),
@@ -40,28 +39,28 @@
     }
 }
 
-struct Scene {
+struct Fixture {
     dispatcher: Dispatcher,
     now: i64,
     calls: u64,
 }
 
-impl Scene {
-    /// A front end with two workers.
-    fn new(config: DispatchConfig) -> Scene {
-        let mut scene = Scene {
-            dispatcher: Dispatcher::new(config, Time(0)).expect("settings that make sense"),
+impl Fixture {
+    /// A dispatcher with two workers.
+    fn new(config: DispatchConfig) -> Fixture {
+        let mut fixture = Fixture {
+            dispatcher: Dispatcher::new(config, Time(0)).expect("valid settings"),
             now: 0,
             calls: 0,
         };
-        scene.give(worker_list(vec![
+        fixture.step(worker_list(vec![
             worker("w0", WorkerState::Ready),
             worker("w1", WorkerState::Ready),
         ]));
-        scene
+        fixture
     }
 
-    fn give(&mut self, input: Input) -> Vec<Command> {
+    fn step(&mut self, input: Input) -> Vec<Command> {
         self.now += 1_000;
         let mut commands = Vec::new();
         self.dispatcher.step(Time(self.now), input, &mut commands);
@@ -85,15 +84,16 @@
             unknown_names,
             ..support::call(self.calls, function)
         });
-        (call, self.give(input))
+        (call, self.step(input))
     }
 
-    /// A call's attempt is lost on the way after it may have run; what comes of it until it is sent again or answered.
-    fn lose(&mut self, call: CallId, attempt: u32) -> Vec<Command> {
+    /// Ends an attempt with a lost connection, so that it may have run. Returns the commands until the call is sent again or
+    /// answered.
+    fn lose_attempt(&mut self, call: CallId, attempt: u32) -> Vec<Command> {
         let outcome = AttemptOutcome::ConnectionCut {
             stage: ResponseStage::Nothing,
         };
-        let mut commands = self.give(Input::AttemptEnded {
+        let mut commands = self.step(Input::AttemptEnded {
             call,
             attempt,
             outcome,
@@ -102,22 +102,22 @@
         for _ in 0..200 {
             if commands
                 .iter()
-                .any(|c| sends(c, call) || answer(c, call).is_some())
+                .any(|c| sends(c, call) || answer_to(c, call).is_some())
             {
                 break;
             }
             self.now += 10_000;
-            commands.extend(self.give(Input::Tick));
+            commands.extend(self.step(Input::Tick));
         }
         commands
     }
 
-    fn serve(&mut self, call: CallId, attempt: u32) -> Vec<Command> {
+    fn serve_attempt(&mut self, call: CallId, attempt: u32) -> Vec<Command> {
         let outcome = AttemptOutcome::Status {
             code: 0,
             stage: ResponseStage::Messages,
         };
-        self.give(Input::AttemptEnded {
+        self.step(Input::AttemptEnded {
             call,
             attempt,
             outcome,
@@ -125,10 +125,10 @@
         })
     }
 
-    fn apply_settings(&mut self, terms: impl Into<EffectiveConfig>) {
+    fn apply_settings(&mut self, settings: impl Into<EffectiveConfig>) {
         self.dispatcher
-            .apply_settings(Time(self.now), terms.into(), vec![])
-            .expect("settings that make sense");
+            .apply_settings(Time(self.now), settings.into(), vec![])
+            .expect("valid settings");
     }
 }
 
@@ -136,7 +136,7 @@
     matches!(command, Command::SendAttempt { call: sent, .. } if *sent == call)
 }
 
-fn answer(command: &Command, call: CallId) -> Option<Answer> {
+fn answer_to(command: &Command, call: CallId) -> Option<Answer> {
     match command {
         Command::Answer {
             call: answered,
@@ -147,37 +147,37 @@
 }
 
 #[test]
-fn a_call_keeps_the_effect_that_it_came_under() {
-    for (old, new, again) in [
+fn a_call_keeps_the_effect_in_force_when_it_arrived() {
+    for (old, new, is_retried) in [
         (Effect::Safe, Effect::Unsafe, true),
         (Effect::Unsafe, Effect::Safe, false),
     ] {
-        let mut scene = Scene::new(config(&[("a", old)]));
-        let (before, commands) = scene.call("a");
+        let mut fixture = Fixture::new(config(&[("a", old)]));
+        let (before, commands) = fixture.call("a");
         assert!(commands.iter().any(|c| sends(c, before)), "{commands:?}");
-        scene.apply_settings(config(&[("a", new)]));
-        let (after, commands) = scene.call("a");
+        fixture.apply_settings(config(&[("a", new)]));
+        let (after, commands) = fixture.call("a");
         assert!(commands.iter().any(|c| sends(c, after)), "{commands:?}");
-        let commands = scene.lose(before, 0);
+        let commands = fixture.lose_attempt(before, 0);
         assert_eq!(
             commands.iter().any(|c| sends(c, before)),
-            again,
+            is_retried,
             "{old:?} before {new:?}: {commands:?}"
         );
-        let commands = scene.lose(after, 0);
+        let commands = fixture.lose_attempt(after, 0);
         assert_eq!(
             commands.iter().any(|c| sends(c, after)),
-            !again,
+            !is_retried,
             "{new:?} after {old:?}: {commands:?}"
         );
     }
 }
 
 #[test]
-fn indices_of_classes_are_used_again_once_their_calls_have_ended() {
-    let mut scene = Scene::new(config(&[("a", Effect::Safe), ("b", Effect::Unsafe)]));
+fn indices_of_classes_are_reused_once_their_calls_have_ended() {
+    let mut fixture = Fixture::new(config(&[("a", Effect::Safe), ("b", Effect::Unsafe)]));
     for round in 0..500 {
-        let (call, commands) = scene.call("a");
+        let (call, commands) = fixture.call("a");
         assert!(
             commands.iter().any(|c| sends(c, call)),
             "{round}: {commands:?}"
@@ -187,71 +187,71 @@
         } else {
             Effect::Safe
         };
-        scene.apply_settings(config(&[("b", Effect::Unsafe), ("a", effect)]));
-        assert_eq!(scene.dispatcher.class_of(call), Some("a"));
-        let commands = scene.serve(call, 0);
+        fixture.apply_settings(config(&[("b", Effect::Unsafe), ("a", effect)]));
+        assert_eq!(fixture.dispatcher.class_of(call), Some("a"));
+        let commands = fixture.serve_attempt(call, 0);
         assert!(
             commands
                 .iter()
-                .any(|c| answer(c, call) == Some(Answer::Served)),
+                .any(|c| answer_to(c, call) == Some(Answer::Served)),
             "{round}: {commands:?}"
         );
     }
     assert!(
-        scene.dispatcher.config().settings.classes.len() <= 3,
+        fixture.dispatcher.config().settings.classes.len() <= 3,
         "{}",
-        scene.dispatcher.config().settings.classes.len()
+        fixture.dispatcher.config().settings.classes.len()
     );
-    assert_eq!(scene.dispatcher.counters().guard_rejections, 0);
+    assert_eq!(fixture.dispatcher.counters().guard_rejections, 0);
 }
 
 #[test]
-fn a_class_has_its_index_by_name_wherever_the_router_has_it() {
-    let mut scene = Scene::new(config(&[("a", Effect::Safe), ("b", Effect::Unsafe)]));
-    let (open, _) = scene.call("b");
-    scene.apply_settings(config(&[("b", Effect::Safe), ("a", Effect::Safe)]));
-    // Named by the call itself: b is safe by now.
-    let named_class = scene.dispatcher.class_index("b");
-    let (call, commands) = scene.call_as("a", named_class, false);
+fn a_class_is_found_by_name_after_its_index_changed() {
+    let mut fixture = Fixture::new(config(&[("a", Effect::Safe), ("b", Effect::Unsafe)]));
+    let (open, _) = fixture.call("b");
+    fixture.apply_settings(config(&[("b", Effect::Safe), ("a", Effect::Safe)]));
+    // The call names class b, which is safe now.
+    let named_class = fixture.dispatcher.class_index("b");
+    let (call, commands) = fixture.call_as("a", named_class, false);
     assert!(commands.iter().any(|c| sends(c, call)));
-    let commands = scene.lose(call, 0);
+    let commands = fixture.lose_attempt(call, 0);
     assert!(commands.iter().any(|c| sends(c, call)), "{commands:?}");
-    let commands = scene.lose(open, 0);
+    let commands = fixture.lose_attempt(open, 0);
     assert!(!commands.iter().any(|c| sends(c, open)), "{commands:?}");
-    assert_eq!(scene.dispatcher.class_index("none"), None);
-    assert_eq!(scene.dispatcher.tenant_index("acme"), Some(0));
+    assert_eq!(fixture.dispatcher.class_index("none"), None);
+    assert_eq!(fixture.dispatcher.tenant_index("acme"), Some(0));
 }
 
 #[test]
-fn a_function_that_a_version_omits_is_unknown_but_its_open_calls_end_well() {
-    let mut scene = Scene::new(config(&[("a", Effect::Safe), ("b", Effect::Safe)]));
-    let (open, _) = scene.call("b");
-    scene.apply_settings(config(&[("a", Effect::Safe)]));
-    let (call, commands) = scene.call("b");
+fn an_omitted_function_is_unknown_but_its_open_calls_are_served() {
+    let mut fixture = Fixture::new(config(&[("a", Effect::Safe), ("b", Effect::Safe)]));
+    let (open, _) = fixture.call("b");
+    fixture.apply_settings(config(&[("a", Effect::Safe)]));
+    let (call, commands) = fixture.call("b");
     assert_eq!(
-        commands.iter().find_map(|c| answer(c, call)),
+        commands.iter().find_map(|c| answer_to(c, call)),
         Some(Answer::UnknownFunction)
     );
-    let commands = scene.lose(open, 0);
+    let commands = fixture.lose_attempt(open, 0);
     assert!(commands.iter().any(|c| sends(c, open)), "{commands:?}");
-    let commands = scene.serve(open, 1);
+    let commands = fixture.serve_attempt(open, 1);
     assert_eq!(
-        commands.iter().find_map(|c| answer(c, open)),
+        commands.iter().find_map(|c| answer_to(c, open)),
         Some(Answer::Served)
     );
-    // Back in a later version, it is known as before, also after what is not called was forgotten.
-    scene.apply_settings(config(&[("b", Effect::Safe)]));
+    // A later version defines the function again, after the names of unused functions were removed.
+    fixture.apply_settings(config(&[("b", Effect::Safe)]));
     for _ in 0..100 {
-        scene.now += SECOND;
-        scene.give(Input::Tick);
+        fixture.now += SECOND;
+        fixture.step(Input::Tick);
     }
-    let (call, commands) = scene.call("b");
+    let (call, commands) = fixture.call("b");
     assert!(commands.iter().any(|c| sends(c, call)), "{commands:?}");
 }
 
 #[test]
-fn conflicting_calls_are_refused_at_once_and_no_others() {
-    let mut scene = Scene::new(config(&[("a", Effect::Safe), ("b", Effect::Safe)]));
+fn only_conflicting_calls_are_refused() {
+    let mut fixture = Fixture::new(config(&[("a", Effect::Safe), ("b", Effect::Safe)]));
     let conflicting = |change: fn(&mut ConflictingScopes)| {
         let mut conflicting = ConflictingScopes {
             retry_after: SECOND / 2,
@@ -274,37 +274,37 @@
         (|c| assert!(c.tenants.insert("acme".into())), [true, true]),
     ];
     for (n, (change, expected)) in cases.into_iter().enumerate() {
-        scene.apply_settings(conflicting(change));
+        fixture.apply_settings(conflicting(change));
         for (function, expected) in ["a", "b"].into_iter().zip(expected) {
-            let (call, commands) = scene.call(function);
-            let got = commands.iter().find_map(|c| answer(c, call));
+            let (call, commands) = fixture.call(function);
+            let got = commands.iter().find_map(|c| answer_to(c, call));
             assert_eq!(got == refused, expected, "{n} {function}: {commands:?}");
             assert_eq!(
                 commands.iter().any(|c| sends(c, call)),
                 !expected,
                 "{n} {function}: {commands:?}"
             );
-            scene.serve(call, 0);
+            fixture.serve_attempt(call, 0);
         }
     }
-    assert_eq!(scene.dispatcher.counters().conflicting, 6);
-    // What names a class that is not known is refused only where a version that can't be known may have it.
-    let (call, commands) = scene.call_as("a", None, true);
+    assert_eq!(fixture.dispatcher.counters().conflicting, 6);
+    // A call with unknown names is refused only if a version that is not known here may define them.
+    let (call, commands) = fixture.call_as("a", None, true);
     assert_eq!(
-        commands.iter().find_map(|c| answer(c, call)),
+        commands.iter().find_map(|c| answer_to(c, call)),
         refused,
-        "the tenant is contested still"
+        "the tenant still conflicts"
     );
-    scene.apply_settings(conflicting(|c| c.unknown_names = true));
-    let (call, commands) = scene.call_as("a", None, true);
-    assert_eq!(commands.iter().find_map(|c| answer(c, call)), refused);
-    let (call, commands) = scene.call_as("a", None, false);
+    fixture.apply_settings(conflicting(|c| c.unknown_names = true));
+    let (call, commands) = fixture.call_as("a", None, true);
+    assert_eq!(commands.iter().find_map(|c| answer_to(c, call)), refused);
+    let (call, commands) = fixture.call_as("a", None, false);
     assert!(commands.iter().any(|c| sends(c, call)));
 }
 
 #[test]
-fn a_lease_that_ran_out_binds_at_the_very_next_input() {
-    let mut scene = Scene::new(config(&[("a", Effect::Safe)]));
+fn an_expired_lease_takes_effect_at_the_next_input() {
+    let mut fixture = Fixture::new(config(&[("a", Effect::Safe)]));
     let after = || EffectiveConfig {
         conflicting: ConflictingScopes {
             all: true,
@@ -312,83 +312,92 @@
         },
         config: config(&[("a", Effect::Safe)]),
     };
-    let terms = || EffectiveConfig::from(config(&[("a", Effect::Safe)]));
-    let until = Time(scene.now + SECOND);
-    scene
+    let settings = || EffectiveConfig::from(config(&[("a", Effect::Safe)]));
+    let until = Time(fixture.now + SECOND);
+    fixture
         .dispatcher
-        .apply_settings(Time(scene.now), terms(), vec![(until, after())])
-        .expect("good settings");
-    let (call, commands) = scene.call("a");
+        .apply_settings(Time(fixture.now), settings(), vec![(until, after())])
+        .expect("valid settings");
+    let (call, commands) = fixture.call("a");
     assert!(commands.iter().any(|c| sends(c, call)));
-    assert!(scene
+    assert!(fixture
         .dispatcher
-        .extend_expiry(Time(scene.now), &[until.plus(SECOND)]));
+        .extend_expiry(Time(fixture.now), &[until.plus(SECOND)]));
     assert!(
-        scene.dispatcher.extend_expiry(Time(scene.now), &[until]),
-        "an older end is no shorter lease"
+        fixture
+            .dispatcher
+            .extend_expiry(Time(fixture.now), &[until]),
+        "an earlier expiry does not shorten the lease"
+    );
+    assert_eq!(fixture.dispatcher.next_expiry(), Some(until.plus(SECOND)));
+    fixture.now = until.plus(SECOND).0 - 2_000;
+    let (call, commands) = fixture.call("a");
+    assert!(
+        commands.iter().any(|c| sends(c, call)),
+        "the lease is still valid"
     );
-    assert_eq!(scene.dispatcher.next_expiry(), Some(until.plus(SECOND)));
-    scene.now = until.plus(SECOND).0 - 2_000;
-    let (call, commands) = scene.call("a");
-    assert!(commands.iter().any(|c| sends(c, call)), "still within it");
-    // Stopped for a while, and woken by a call that waited.
-    scene.now = until.plus(SECOND).0;
-    let (call, commands) = scene.call("a");
+    // The first input after the expiry is a call.
+    fixture.now = until.plus(SECOND).0;
+    let (call, commands) = fixture.call("a");
     assert!(
         matches!(
-            commands.iter().find_map(|c| answer(c, call)),
+            commands.iter().find_map(|c| answer_to(c, call)),
             Some(Answer::Refused { .. })
         ),
         "{commands:?}"
     );
     assert!(
-        !scene
+        !fixture
             .dispatcher
-            .extend_expiry(Time(scene.now), &[until.plus(9 * SECOND)]),
-        "it has to be taken up anew"
+            .extend_expiry(Time(fixture.now), &[until.plus(9 * SECOND)]),
+        "expired settings must be applied again"
     );
-    scene.apply_settings(terms());
-    let (call, commands) = scene.call("a");
+    fixture.apply_settings(settings());
+    let (call, commands) = fixture.call("a");
     assert!(commands.iter().any(|c| sends(c, call)));
-    // One that is over when it comes binds at once.
-    scene
+    // A lease that has expired when it is applied takes effect at once.
+    fixture
         .dispatcher
-        .apply_settings(Time(scene.now), terms(), vec![(Time(scene.now), after())])
-        .expect("good settings");
-    let (call, commands) = scene.call("a");
+        .apply_settings(
+            Time(fixture.now),
+            settings(),
+            vec![(Time(fixture.now), after())],
+        )
+        .expect("valid settings");
+    let (call, commands) = fixture.call("a");
     assert!(!commands.iter().any(|c| sends(c, call)), "{commands:?}");
 }
 
 #[test]
-fn settings_that_make_no_sense_change_nothing() {
-    let mut scene = Scene::new(config(&[("a", Effect::Safe)]));
-    let mut none = config(&[]);
-    none.functions.clear();
-    let mut timeless = config(&[("a", Effect::Safe)]);
-    timeless.settings.classes[0].deadline = 0;
-    let mut lost = config(&[("a", Effect::Safe)]);
-    lost.functions[0].class = 1;
-    let mut unnamed = config(&[("a", Effect::Safe)]);
-    unnamed.classes.clear();
-    for invalid in [none, timeless, lost, unnamed] {
-        assert!(scene
+fn invalid_settings_change_nothing() {
+    let mut fixture = Fixture::new(config(&[("a", Effect::Safe)]));
+    let mut no_classes = config(&[]);
+    no_classes.functions.clear();
+    let mut no_deadline = config(&[("a", Effect::Safe)]);
+    no_deadline.settings.classes[0].deadline = 0;
+    let mut unknown_class = config(&[("a", Effect::Safe)]);
+    unknown_class.functions[0].class = 1;
+    let mut missing_class_name = config(&[("a", Effect::Safe)]);
+    missing_class_name.classes.clear();
+    for invalid in [no_classes, no_deadline, unknown_class, missing_class_name] {
+        assert!(fixture
             .dispatcher
-            .apply_settings(Time(scene.now), invalid.clone().into(), vec![])
+            .apply_settings(Time(fixture.now), invalid.clone().into(), vec![])
             .is_err());
-        let good = config(&[("a", Effect::Unsafe)]).into();
-        let lease = vec![(Time(scene.now + SECOND), EffectiveConfig::from(invalid))];
+        let valid = config(&[("a", Effect::Unsafe)]).into();
+        let lease = vec![(Time(fixture.now + SECOND), EffectiveConfig::from(invalid))];
         assert!(
-            scene
+            fixture
                 .dispatcher
-                .apply_settings(Time(scene.now), good, lease)
+                .apply_settings(Time(fixture.now), valid, lease)
                 .is_err(),
-            "what comes after has to make sense too"
+            "scheduled settings are checked as well"
         );
     }
-    let (call, _) = scene.call("a");
-    let commands = scene.lose(call, 0);
+    let (call, _) = fixture.call("a");
+    let commands = fixture.lose_attempt(call, 0);
     assert!(
         commands.iter().any(|c| sends(c, call)),
-        "it is safe still: {commands:?}"
+        "the class is still safe: {commands:?}"
     );
 }
--- a/decide/dispatch/tests/support/four_classes.rs
+++ b/decide/dispatch/tests/support/four_classes.rs
@@ -1,13 +1,13 @@
-//! A configuration with a function of each effect, and one that streams.
+//! A configuration with one function for each effect, and one that streams.
 
 use super::class;
 use tansy_dispatch::{DispatchConfig, FunctionSpec};
 use tansyrouter::{Class, Effect, Group, Settings, SECOND};
 
-/// The functions; each is of the class of its name.
+/// Names of the functions, and of their classes.
 pub const NAMES: [&str; 4] = ["safe", "keyed", "unsafe", "stream"];
 
-/// The configuration.
+/// The configuration with these functions and the seed of its router.
 pub fn config(seed: u64) -> DispatchConfig {
     let class = |effect, streamed| Class {
         streamed,
--- a/decide/dispatch/tests/support/lookup_scene.rs
+++ b/decide/dispatch/tests/support/lookup_fixture.rs
@@ -1,4 +1,4 @@
-//! A dispatcher whose calls wait for the settings of their function.
+//! A dispatcher whose calls wait for the lookup of their function.
 
 use super::{class, worker, worker_list};
 use tansy_dispatch::{
@@ -7,7 +7,7 @@
 };
 use tansyrouter::{Effect, Micros, Settings, Time, SECOND};
 
-/// A call of a time of its own.
+/// A call with a budget.
 pub fn call(id: u64, function: &str, budget: Option<Micros>) -> Call {
     Call {
         budget,
@@ -15,17 +15,17 @@
     }
 }
 
-/// A dispatcher and its clock.
-pub struct Scene {
+/// A dispatcher and its current time.
+pub struct Fixture {
     pub dispatcher: Dispatcher,
     pub now: i64,
 }
 
-/// The advice while settings are in conflict.
-pub const ABOUT: Micros = SECOND / 2;
+/// The retry advice while settings conflict.
+pub const RETRY_AFTER: Micros = SECOND / 2;
 
-/// A front end with one worker, two classes and one function of the settings.
-pub fn scene() -> Scene {
+/// A dispatcher with one worker and two classes, whose settings name no function.
+pub fn fixture() -> Fixture {
     let config = DispatchConfig {
         settings: Settings {
             classes: vec![
@@ -43,15 +43,15 @@
         max_call_time: 60 * SECOND,
         seed: 1,
     };
-    let mut scene = Scene {
-        dispatcher: Dispatcher::new(config.clone(), Time(0)).expect("good settings"),
+    let mut fixture = Fixture {
+        dispatcher: Dispatcher::new(config.clone(), Time(0)).expect("valid settings"),
         now: 0,
     };
     let conflicting = ConflictingScopes {
-        retry_after: ABOUT,
+        retry_after: RETRY_AFTER,
         ..ConflictingScopes::default()
     };
-    scene
+    fixture
         .dispatcher
         .apply_settings(
             Time(0),
@@ -61,14 +61,14 @@
             },
             vec![],
         )
-        .expect("good settings");
-    scene.give(0, worker_list(vec![worker("w", WorkerState::Ready)]));
-    scene
+        .expect("valid settings");
+    fixture.step_after(0, worker_list(vec![worker("w", WorkerState::Ready)]));
+    fixture
 }
 
-impl Scene {
-    /// Gives the dispatcher an input after so long.
-    pub fn give(&mut self, after: Micros, input: Input) -> Vec<Command> {
+impl Fixture {
+    /// Advances the time and passes an input to the dispatcher.
+    pub fn step_after(&mut self, after: Micros, input: Input) -> Vec<Command> {
         self.now += after;
         let mut commands = Vec::new();
         self.dispatcher.step(Time(self.now), input, &mut commands);
@@ -81,9 +81,9 @@
         );
         commands
     }
-    /// A call comes whose function is not known yet.
+    /// Passes a call whose lookup is pending.
     pub fn call_pending(&mut self, id: u64, budget: Option<Micros>) -> Vec<Command> {
-        self.give(
+        self.step_after(
             0,
             Input::CallLookedUp {
                 call: call(id, "f", budget),
@@ -91,9 +91,9 @@
             },
         )
     }
-    /// The lookup of the function has this result after so long.
+    /// Advances the time and passes the result of the lookup.
     pub fn resolve(&mut self, after: Micros, lookup: FunctionLookup) -> Vec<Command> {
-        self.give(
+        self.step_after(
             after,
             Input::FunctionResolved {
                 function: "f".into(),
@@ -103,7 +103,7 @@
     }
 }
 
-/// A function that is known, of this class.
+/// The lookup of a function of this class that exists.
 pub fn known(class: usize) -> FunctionLookup {
     FunctionLookup::Known {
         class,
@@ -115,7 +115,7 @@
     }
 }
 
-/// Budgets of attempts and answers.
+/// The budgets of the attempts sent, and the answers.
 pub fn budgets_and_answers(commands: &[Command]) -> (Vec<Micros>, Vec<Answer>) {
     let budgets = commands.iter().filter_map(|command| match command {
         Command::SendAttempt { budget, .. } => Some(*budget),
@@ -128,5 +128,7 @@
     (budgets.collect(), answers.collect())
 }
 
-/// A refusal with that advice.
-pub const REFUSED: Answer = Answer::Refused { retry_after: ABOUT };
+/// A refusal with [`RETRY_AFTER`].
+pub const REFUSED: Answer = Answer::Refused {
+    retry_after: RETRY_AFTER,
+};
--- a/decide/dispatch/tests/support/mod.rs
+++ b/decide/dispatch/tests/support/mod.rs
@@ -1,10 +1,10 @@
-//! Inputs and configurations that several tests use.
+//! Inputs and configurations shared by the tests.
 
-// Each test is a program of its own, and none uses all of it.
+// Each test file is a crate of its own and uses only a part.
 #![allow(dead_code)]
 
 pub mod four_classes;
-pub mod lookup_scene;
+pub mod lookup_fixture;
 
 use tansy_dispatch::{
     AttemptOutcome, Call, CallId, Command, ControlRequestId, Input, ResponseStage, Trailers,
@@ -12,16 +12,16 @@
 };
 use tansyrouter::{Class, Effect, Micros};
 
-/// An attempt or a control request that ended well.
+/// The outcome of a successful attempt or control request.
 pub const OK: AttemptOutcome = AttemptOutcome::Status {
     code: 0,
     stage: ResponseStage::Last,
 };
 
-/// A class without a stretch of its latency objective.
-pub fn class(effect: Effect, aim: Micros, deadline: Micros) -> Class {
+/// A class whose latency objective does not depend on the work of a call.
+pub fn class(effect: Effect, latency_objective: Micros, deadline: Micros) -> Class {
     Class {
-        latency_objective: aim,
+        latency_objective,
         objective_per_work: 0.0,
         deadline,
         effect,
@@ -31,7 +31,7 @@
     }
 }
 
-/// A worker of the list, in a state.
+/// An entry of the worker list.
 pub fn worker(name: impl Into<String>, state: WorkerState) -> WorkerRecord {
     WorkerRecord {
         name: name.into(),
@@ -44,7 +44,7 @@
     }
 }
 
-/// The full list of workers.
+/// A full worker list.
 pub fn worker_list(workers: Vec<WorkerRecord>) -> Input {
     Input::Workers {
         full: true,
@@ -52,7 +52,7 @@
     }
 }
 
-/// A call that states nothing but its function.
+/// A call that states only its function.
 pub fn call(id: u64, function: &str) -> Call {
     Call {
         id: CallId(id),
@@ -68,7 +68,7 @@
     }
 }
 
-/// A load ended, and left one instance.
+/// The successful end of a load that left one instance.
 pub fn loaded(request: ControlRequestId) -> Input {
     Input::ControlRequestEnded {
         request,
