--- a/decide/dispatch/benches/waiting.rs
+++ b/decide/dispatch/benches/waiting.rs
@@ -1,55 +1,56 @@
-//! A decision while calls wait: an event in, commands out, by calls waiting, functions and workers.
+//! Cost of an input while calls wait for a worker, by number of open calls, functions and workers.
 //!
-//! Prints a table of microseconds an event. Calls come and are answered one for one, every 70 us of the dispatcher's clock,
-//! so that its regular work is in the figure; workers have too few lanes for what waits.
+//! Prints a table in microseconds per input. Every 70 us of simulated time one call arrives and one is answered, so the
+//! periodic work of the dispatcher is included. Workers have too few lanes for the open calls.
 
 #![allow(missing_docs)]
 
-mod run;
+mod workload;
 
-use run::Run;
 use std::time::{Duration, Instant};
+use workload::Workload;
 
-/// Time of one point.
-const SPAN: Duration = Duration::from_millis(1500);
+/// Measuring time of one cell of the table.
+const MEASURE_TIME: Duration = Duration::from_millis(1500);
 
 fn main() {
-    let points: Vec<usize> = std::env::args()
+    let arguments: Vec<usize> = std::env::args()
         .skip(1)
         .filter_map(|a| a.parse().ok())
         .collect();
-    let waiting = if points.is_empty() {
+    let open_calls = if arguments.is_empty() {
         vec![16, 256, 2_000, 20_000]
     } else {
-        points
+        arguments
     };
     println!(
         "| functions | workers | {} |",
-        waiting
+        open_calls
             .iter()
             .map(|n| format!("{n} open"))
             .collect::<Vec<_>>()
             .join(" | ")
     );
-    println!("|---|---|{}", "---|".repeat(waiting.len()));
+    println!("|---|---|{}", "---|".repeat(open_calls.len()));
     for functions in [1, 50, 1_000] {
         for workers in [4, 400] {
             let mut row = format!("| {functions} | {workers} |");
-            for open in &waiting {
-                let mut run = Run::new(functions, workers, 1, 100);
+            for open in &open_calls {
+                let mut workload = Workload::new(functions, workers, 1, 100);
                 for _ in 0..*open {
-                    run.call();
+                    workload.call();
                 }
-                let settle = Instant::now();
-                while settle.elapsed() < SPAN / 3 {
-                    run.turn(0);
+                let warm_up_started = Instant::now();
+                while warm_up_started.elapsed() < MEASURE_TIME / 3 {
+                    workload.call_and_answer(0);
                 }
-                let (steps, began) = (run.steps, Instant::now());
-                while began.elapsed() < SPAN {
-                    run.turn(0);
+                let (steps_before, started) = (workload.steps, Instant::now());
+                while started.elapsed() < MEASURE_TIME {
+                    workload.call_and_answer(0);
                 }
-                let each = began.elapsed().as_secs_f64() * 1e6 / (run.steps - steps) as f64;
-                row += &format!(" {each:.2} |");
+                let micros_per_input =
+                    started.elapsed().as_secs_f64() * 1e6 / (workload.steps - steps_before) as f64;
+                row += &format!(" {micros_per_input:.2} |");
             }
             println!("{row}");
         }
--- a/decide/dispatch/benches/run/mod.rs
+++ b/decide/dispatch/benches/workload/mod.rs
@@ -1,4 +1,4 @@
-//! A dispatcher without sockets for the benches: calls in, attempts answered, control requests carried out at once.
+//! A workload for the benches: passes calls to a dispatcher, answers its attempts and completes its control requests.
 
 use std::collections::VecDeque;
 use tansy_dispatch::{
@@ -7,14 +7,14 @@
 };
 use tansyrouter::{Class, Effect, Settings, Time, SECOND};
 
-/// Between two calls on the dispatcher's clock, microseconds.
+/// Simulated time between two calls, microseconds.
 const CALL_INTERVAL: i64 = 70;
 
-fn config(functions: usize, lanes: u32, aim: i64) -> DispatchConfig {
+fn config(functions: usize, lanes: u32, objective_s: i64) -> DispatchConfig {
     let class = Class {
-        latency_objective: aim * SECOND,
+        latency_objective: objective_s * SECOND,
         objective_per_work: 0.0,
-        deadline: 5 * aim * SECOND,
+        deadline: 5 * objective_s * SECOND,
         effect: Effect::Safe,
         priority_weight: 1.0,
         late_weight: 0.0,
@@ -38,7 +38,7 @@
         tenants: Vec::new(),
         zones: vec!["z".into()],
         functions: (0..functions).map(function).collect(),
-        max_call_time: 10 * aim * SECOND,
+        max_call_time: 10 * objective_s * SECOND,
         seed: 1,
     }
 }
@@ -55,32 +55,34 @@
     }
 }
 
-/// A dispatcher, the attempts that are out, and the counts.
-pub struct Run {
+/// A dispatcher with its attempts in progress.
+pub struct Workload {
     pub dispatcher: Dispatcher,
     now: i64,
-    pub next: u64,
+    /// The number of calls so far; also the id of the last one.
+    pub calls_made: u64,
     functions: usize,
     attempts: VecDeque<(CallId, u32)>,
     commands: Vec<Command>,
+    /// The number of inputs so far.
     pub steps: u64,
 }
 
-impl Run {
-    /// So many functions of so many lanes, workers, and an aim in seconds.
-    pub fn new(functions: usize, workers: usize, lanes: u32, aim: i64) -> Run {
-        let config = config(functions, lanes, aim);
-        let mut dispatcher = Dispatcher::new(config, Time(0)).expect("settings that make sense");
+impl Workload {
+    /// Creates a workload of functions with this number of lanes, and a latency objective in seconds.
+    pub fn new(functions: usize, workers: usize, lanes: u32, objective_s: i64) -> Workload {
+        let config = config(functions, lanes, objective_s);
+        let mut dispatcher = Dispatcher::new(config, Time(0)).expect("valid settings");
         let workers = (0..workers).map(worker).collect();
         let list = Input::Workers {
             full: true,
             workers,
         };
         dispatcher.step(Time(0), list, &mut Vec::new());
-        Run {
+        Workload {
             dispatcher,
             now: 0,
-            next: 0,
+            calls_made: 0,
             functions,
             attempts: VecDeque::new(),
             commands: Vec::new(),
@@ -119,10 +121,10 @@
             });
         }
     }
-    /// One call in.
+    /// Passes the next call to the dispatcher.
     pub fn call(&mut self) {
-        self.next += 1;
-        let id = self.next;
+        self.calls_made += 1;
+        let id = self.calls_made;
         let call = Call {
             id: CallId(id),
             function: format!(
@@ -140,8 +142,8 @@
         };
         self.step(Input::Call(call));
     }
-    /// One call in, and the oldest one out is answered, if more than so many are.
-    pub fn turn(&mut self, open: usize) {
+    /// Passes one call, and answers the oldest attempt if more than `open` attempts are in progress.
+    pub fn call_and_answer(&mut self, open: usize) {
         self.now += CALL_INTERVAL;
         self.call();
         let oldest = if self.attempts.len() > open {
