--- a/decide/timer-wheel/benches/wheel.rs
+++ b/decide/timer-wheel/benches/wheel.rs
@@ -1,6 +1,6 @@
-//! The wheel against an ordered set, with the timers of a gateway: set one, clear one set before, most never due.
+//! Compares the timer wheel with an ordered set: each step clears an earlier timer and sets a new one, as a gateway does.
 
-// The macros of the bench library make functions without documentation.
+// The macros of criterion generate functions without documentation.
 #![allow(missing_docs)]
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
@@ -8,8 +8,8 @@
 use std::hint::black_box;
 use tansy_timer_wheel::Wheel;
 
-/// Time-outs of calls: 0.2 to 5 s, from a plain sequence.
-fn span(index: u64) -> i64 {
+/// The timeout of a call, 0.2 to 5 s, in microseconds, pseudorandom by `index`.
+fn timeout(index: u64) -> i64 {
     200_000 + (index.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40) as i64 % 4_800_000
 }
 
@@ -22,13 +22,13 @@
             |bencher, count| {
                 let mut wheel = Wheel::new(0, 500);
                 let mut handles: Vec<_> = (0..*count)
-                    .map(|index| wheel.set(span(index), index))
+                    .map(|index| wheel.set(timeout(index), index))
                     .collect();
                 let mut set_count = 0u64;
                 bencher.iter(|| {
                     let index = (set_count % count) as usize;
                     black_box(wheel.clear(handles[index]));
-                    handles[index] = wheel.set(span(set_count), set_count);
+                    handles[index] = wheel.set(timeout(set_count), set_count);
                     set_count += 1;
                 });
             },
@@ -38,13 +38,13 @@
             &count,
             |bencher, count| {
                 let mut keys: Vec<(i64, u64)> =
-                    (0..*count).map(|index| (span(index), index)).collect();
+                    (0..*count).map(|index| (timeout(index), index)).collect();
                 let mut set: BTreeSet<(i64, u64)> = keys.iter().copied().collect();
                 let mut set_count = 0u64;
                 bencher.iter(|| {
                     let index = (set_count % count) as usize;
                     black_box(set.remove(&keys[index]));
-                    keys[index] = (span(set_count), set_count);
+                    keys[index] = (timeout(set_count), set_count);
                     set.insert(keys[index]);
                     set_count += 1;
                 });
