--- a/decide/dispatch/src/counters.rs
+++ b/decide/dispatch/src/counters.rs
@@ -44,7 +44,7 @@
     /// Worker connections dropped because nothing could be sent on them.
     #[serde(rename = "drops")]
     pub dropped_connections: u64,
-    /// Refused calls for which versions of the settings conflict.
+    /// Refused calls whose settings conflict between versions or are not known.
     #[serde(rename = "contested")]
     pub conflicting: u64,
     /// Actions of the router that a guard rejected; nonzero indicates a defect.
--- a/decide/dispatch/src/message.rs
+++ b/decide/dispatch/src/message.rs
@@ -199,7 +199,7 @@
 pub enum FailureReason {
     /// The deadline of the call passed.
     Deadline,
-    /// The connection to a worker was lost while the call may have been running there.
+    /// The connection to a worker was lost or could not be established.
     #[serde(rename = "Lost")]
     ConnectionLost,
     /// A worker answered with an error or an invalid response.
--- a/decide/dispatch/src/request_table/entries.rs
+++ b/decide/dispatch/src/request_table/entries.rs
@@ -64,6 +64,7 @@
 /// A call that is not answered yet, or whose last attempt has not ended yet.
 pub(super) struct OpenCall {
     pub function: FunctionId,
+    /// Index of the class in the router.
     pub class: usize,
     pub arrived: Time,
     pub deadline: Time,
--- a/decide/dispatch/src/request_table/settings.rs
+++ b/decide/dispatch/src/request_table/settings.rs
@@ -30,7 +30,7 @@
 impl ClassLayout {
     /// Keeps the indices of classes that open calls use and of classes that the settings do not change. Gives each other
     /// class an unused index.
-    fn of(
+    fn new(
         config: &DispatchConfig,
         mut classes: Vec<Class>,
         mut names: Vec<String>,
@@ -170,7 +170,7 @@
         } = effective;
         let open: BTreeSet<usize> = self.calls.values().map(|call| call.class).collect();
         let classes = self.config.settings.classes.clone();
-        let layout = ClassLayout::of(&config, classes, self.class_names.clone(), open);
+        let layout = ClassLayout::new(&config, classes, self.class_names.clone(), open);
         config.settings.classes = layout.classes;
         if let Err(error) = self.router.update_settings(config.settings.clone()) {
             debug_assert!(false, "checked settings are rejected: {error}");
