--- a/decide/dispatch/tests/lookup_histories.rs
+++ b/decide/dispatch/tests/lookup_histories.rs
@@ -1,53 +1,51 @@
-//! The calls that wait for their function's settings, by themselves: each has one end, in its time.
+//! Random histories of waiting calls: each call ends exactly once and in time.
 
 mod support;
 
 use std::collections::{BTreeMap, BTreeSet};
 use support::call;
 use tansy_dispatch::pending_lookups::{
-    LookupResult, PendingLookups, WaitEnd, WaitRefusal, MAX_CALLS, MAX_CALLS_OF_FUNCTION, MAX_WAIT,
+    LookupResult, PendingLookups, WaitOutcome, WaitRefusal, MAX_PENDING_CALLS,
+    MAX_PENDING_CALLS_PER_FUNCTION, MAX_WAIT,
 };
 use tansy_dispatch::CallId;
 use tansyrouter::{Time, SECOND};
 
-/// What a history knows of a call that waits.
+/// The expected state of a waiting call.
 struct WaitingCall {
     function: usize,
-    came: i64,
-    until: i64,
+    arrived: i64,
+    deadline: i64,
 }
 
-/// Plays a random history; the number of releases and of refusals.
-#[expect(
-    clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
-)]
+/// Runs a random history and returns the number of releases and of refusals.
+#[expect(clippy::too_many_lines, reason = "one match over the kinds of events")]
 fn history(seed: u64) -> Result<(u64, u64), String> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let (mut lookups, mut now, mut next) = (PendingLookups::default(), 0i64, 0u64);
     let mut open: BTreeMap<CallId, WaitingCall> = BTreeMap::new();
     let (mut released, mut refused, mut closed) = (0, 0, false);
     for step in 0..400 {
-        // Whoever drives it wakes for its limits.
+        // A driver wakes up at each deadline.
         let mut to = now + rng.i64(0..60_000);
         to = lookups.next_due().map_or(to, |t| to.min(t.0));
         now = to;
-        let mut ends = Vec::new();
-        lookups.expire(Time(now), &mut ends);
+        let mut outcomes = Vec::new();
+        lookups.expire(Time(now), &mut outcomes);
         let due: Vec<CallId> = open
             .iter()
-            .filter(|(_, call)| call.until <= now)
+            .filter(|(_, call)| call.deadline <= now)
             .map(|(id, _)| *id)
             .collect();
         for id in &due {
-            let expired = |end: &WaitEnd| {
-                *end == WaitEnd::Refuse {
+            let expired = |end: &WaitOutcome| {
+                *end == WaitOutcome::Refuse {
                     call: *id,
                     reason: WaitRefusal::TimedOut,
                 }
             };
-            if !ends.iter().any(expired) {
-                return Err(format!("{step}: {id:?} waits past its limit"));
+            if !outcomes.iter().any(expired) {
+                return Err(format!("{step}: {id:?} waits past its deadline"));
             }
         }
         let mut expected = due;
@@ -60,15 +58,15 @@
                     id,
                     WaitingCall {
                         function,
-                        came: now,
-                        until: now + max_wait.min(MAX_WAIT),
+                        arrived: now,
+                        deadline: now + max_wait.min(MAX_WAIT),
                     },
                 );
                 lookups.add(
                     Time(now),
                     call(next, &format!("f{function}")),
                     max_wait,
-                    &mut ends,
+                    &mut outcomes,
                 );
                 if max_wait <= 0 || closed {
                     expected.push(id);
@@ -86,7 +84,7 @@
                     .filter(|(id, call)| call.function == function && !expected.contains(id));
                 let all: Vec<CallId> = all.map(|(id, _)| *id).collect();
                 expected.extend(all);
-                lookups.resolve(Time(now), &format!("f{function}"), result, &mut ends);
+                lookups.resolve(Time(now), &format!("f{function}"), result, &mut outcomes);
             }
             75..99 => {
                 let position = if open.is_empty() {
@@ -101,7 +99,7 @@
                     .filter(|id| !expected.contains(id))
                 {
                     if !lookups.remove(id) || lookups.remove(id) {
-                        return Err(format!("{step}: {id:?} left, and was there once"));
+                        return Err(format!("{step}: {id:?} must be removed exactly once"));
                     }
                     open.remove(&id);
                 }
@@ -109,31 +107,31 @@
             _ => {
                 closed = true;
                 expected = open.keys().copied().collect();
-                lookups.close(&mut ends);
+                lookups.close(&mut outcomes);
             }
         }
         let mut ended = Vec::new();
-        for end in ends {
+        for end in outcomes {
             let id = match &end {
-                WaitEnd::Release { call, .. } => call.id,
-                WaitEnd::Refuse { call, .. } => *call,
+                WaitOutcome::Release { call, .. } => call.id,
+                WaitOutcome::Refuse { call, .. } => *call,
             };
             let Some(waiting) = open.remove(&id) else {
-                return Err(format!("{step}: {id:?} ends, and is not there"));
+                return Err(format!("{step}: {id:?} ended but was not waiting"));
             };
             match end {
-                WaitEnd::Release { call, waited } => {
+                WaitOutcome::Release { call, waited } => {
                     released += 1;
-                    if now >= waiting.until
-                        || waited != now - waiting.came
+                    if now >= waiting.deadline
+                        || waited != now - waiting.arrived
                         || call.function != format!("f{}", waiting.function)
                     {
                         return Err(format!(
-                            "{step}: {call:?} goes on at {now}, having waited {waited}"
+                            "{step}: {call:?} was released at {now} after {waited}"
                         ));
                     }
                 }
-                WaitEnd::Refuse { .. } => refused += 1,
+                WaitOutcome::Refuse { .. } => refused += 1,
             }
             ended.push(id);
         }
@@ -152,7 +150,7 @@
         if ended != expected || lookups.len() != open.len() || lookups.is_empty() != open.is_empty()
         {
             return Err(format!(
-                "{step}: {ended:?} ended, not {expected:?}; {} wait",
+                "{step}: {ended:?} ended, expected {expected:?}; {} wait",
                 lookups.len()
             ));
         }
@@ -161,7 +159,7 @@
 }
 
 #[test]
-fn every_call_that_waits_has_one_end_in_its_time_and_none_after_its_client_left() {
+fn every_waiting_call_ends_once_in_time_and_never_after_its_client_left() {
     let (mut released, mut refused) = (0, 0);
     for seed in 0..300 {
         let (history_released, history_refused) =
@@ -172,48 +170,55 @@
 }
 
 #[test]
-fn no_more_calls_wait_than_there_is_room_for() {
-    let (mut lookups, mut ends) = (PendingLookups::default(), Vec::new());
-    for id in 0..=MAX_CALLS_OF_FUNCTION as u64 {
-        lookups.add(Time(0), call(id, "hot"), SECOND, &mut ends);
+fn waiting_calls_are_limited_in_total_and_per_function() {
+    let (mut lookups, mut outcomes) = (PendingLookups::default(), Vec::new());
+    for id in 0..=MAX_PENDING_CALLS_PER_FUNCTION as u64 {
+        lookups.add(Time(0), call(id, "hot"), SECOND, &mut outcomes);
     }
-    let full = |id| WaitEnd::Refuse {
+    let full = |id| WaitOutcome::Refuse {
         call: CallId(id),
         reason: WaitRefusal::Full,
     };
     assert_eq!(
-        std::mem::take(&mut ends),
-        [full(MAX_CALLS_OF_FUNCTION as u64)]
+        std::mem::take(&mut outcomes),
+        [full(MAX_PENDING_CALLS_PER_FUNCTION as u64)]
     );
-    for id in 1000..1000 + MAX_CALLS as u64 {
-        lookups.add(Time(0), call(id, &format!("f{id}")), SECOND, &mut ends);
+    for id in 1000..1000 + MAX_PENDING_CALLS as u64 {
+        lookups.add(Time(0), call(id, &format!("f{id}")), SECOND, &mut outcomes);
     }
     assert_eq!(
-        (lookups.len(), ends.len(), &ends[0]),
+        (lookups.len(), outcomes.len(), &outcomes[0]),
         (
-            MAX_CALLS,
-            MAX_CALLS_OF_FUNCTION,
-            &full(1000 + (MAX_CALLS - MAX_CALLS_OF_FUNCTION) as u64)
+            MAX_PENDING_CALLS,
+            MAX_PENDING_CALLS_PER_FUNCTION,
+            &full(1000 + (MAX_PENDING_CALLS - MAX_PENDING_CALLS_PER_FUNCTION) as u64)
         )
     );
-    // There is room again.
-    ends.clear();
+    // A removed call makes room for another.
+    outcomes.clear();
     assert!(lookups.remove(CallId(1000)));
-    lookups.add(Time(0), call(9999, "hot"), SECOND, &mut ends);
-    lookups.add(Time(0), call(9998, "cold"), SECOND, &mut ends);
-    assert_eq!((lookups.len(), ends), (MAX_CALLS, vec![full(9999)]));
+    lookups.add(Time(0), call(9999, "hot"), SECOND, &mut outcomes);
+    lookups.add(Time(0), call(9998, "cold"), SECOND, &mut outcomes);
+    assert_eq!(
+        (lookups.len(), outcomes),
+        (MAX_PENDING_CALLS, vec![full(9999)])
+    );
 }
 
 #[test]
-fn a_result_at_the_limit_comes_too_late() {
-    for (at, late) in [(MAX_WAIT - 1, false), (MAX_WAIT, true)] {
-        let (mut lookups, mut ends) = (PendingLookups::default(), Vec::new());
-        lookups.add(Time(0), call(1, "f"), SECOND, &mut ends);
-        lookups.resolve(Time(at), "f", LookupResult::Proceed, &mut ends);
-        let end = WaitEnd::Refuse {
+fn a_result_at_the_deadline_is_too_late() {
+    for (at, is_late) in [(MAX_WAIT - 1, false), (MAX_WAIT, true)] {
+        let (mut lookups, mut outcomes) = (PendingLookups::default(), Vec::new());
+        lookups.add(Time(0), call(1, "f"), SECOND, &mut outcomes);
+        lookups.resolve(Time(at), "f", LookupResult::Proceed, &mut outcomes);
+        let end = WaitOutcome::Refuse {
             call: CallId(1),
             reason: WaitRefusal::TimedOut,
         };
-        assert_eq!((ends.len(), ends[0] == end), (1, late), "{ends:?}");
+        assert_eq!(
+            (outcomes.len(), outcomes[0] == end),
+            (1, is_late),
+            "{outcomes:?}"
+        );
     }
 }
