--- a/src/router/attempt.rs
+++ b/src/router/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts of a request at a worker: sending one, and what follows from how it ended.
+//! Attempts of a request at workers: sending them and handling their results.
 
 use super::estimate::ExpectedService;
 use super::request::Attempt;
@@ -7,24 +7,24 @@
     Action, AttemptResult, FunctionId, InstanceStatus, Outcome, RequestId, Time, WorkerId,
 };
 
-/// An attempt that has ended, with what was expected of it.
+/// An ended attempt and what was expected of it.
 pub(super) struct EndedAttempt {
     pub(super) worker: WorkerId,
     pub(super) function: FunctionId,
     pub(super) class: usize,
-    /// Its request is still owed an answer.
+    /// The client is still waiting for an answer.
     pub(super) answer_owed: bool,
-    /// The function ran, whether it succeeded or not.
+    /// The function ran, successfully or not.
     pub(super) ran: bool,
-    /// An instance was loaded already, as far as the answer says.
+    /// The response does not say that the call waited for a load.
     pub(super) warm: bool,
-    /// Time from send to end, microseconds.
-    pub(super) took: f64,
+    /// Time from send to end, in microseconds.
+    pub(super) duration: f64,
     pub(super) expected: ExpectedService,
 }
 
 impl Router {
-    /// An attempt ended: learns from it, and requeues, answers or finishes its request.
+    /// Handles the end of an attempt: updates the estimates, then requeues, answers or closes its request.
     pub(super) fn on_attempt_result(
         &mut self,
         now: Time,
@@ -44,7 +44,8 @@
         self.dispatch_queue(now, ended.function, actions);
     }
 
-    /// Marks an attempt as ended, and its worker as free of it. None if it is unknown or had ended before.
+    /// Marks an attempt as ended and frees its place at the worker. Returns `None` if the attempt is unknown or had
+    /// already ended.
     fn close_attempt(&mut self, result: &AttemptResult) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&result.request)?;
         let attempt = request.attempts.get_mut(result.attempt as usize)?;
@@ -69,13 +70,12 @@
                 result.instance_status,
                 InstanceStatus::Warm | InstanceStatus::Unreported
             ),
-            took: result.latency.max(0) as f64,
+            duration: result.latency.max(0) as f64,
             expected: self.expected_service(request),
         })
     }
 
-    /// Queues the request of an ended attempt again if it is owed an answer and may be attempted again, answers
-    /// it if it may not, and forgets it if nothing is owed.
+    /// Closes the request if no answer is owed, requeues it if it may be retried, and answers it otherwise.
     fn requeue_or_finish(
         &mut self,
         now: Time,
--- a/src/router/concurrency.rs
+++ b/src/router/concurrency.rs
@@ -1,4 +1,4 @@
-//! The limit on calls in flight at a worker, adapted to how its answers come back.
+//! Adaptive limit of the calls in flight at a worker.
 
 use super::attempt::EndedAttempt;
 use super::estimate::SMOOTHING;
@@ -6,24 +6,24 @@
 use super::Router;
 use crate::{AttemptResult, Micros, Outcome, Time};
 
-/// The limit of a worker of which nothing is known.
+/// Limit of a worker without observations.
 pub(super) const INITIAL_LIMIT: f64 = 4.0;
 
-/// Calls that all front ends together still let a worker have when it answers badly.
+/// Minimum of the sum of all front ends' limits of a worker, in calls.
 const MIN_FLEET_LIMIT: f64 = 2.0;
 
-/// What is left of a limit after each decrease.
+/// Factor of a multiplicative decrease.
 const LIMIT_DECREASE: f64 = 0.8;
 
-/// The limit grows only when at most this much of it is unused, the call that just ended included.
+/// The limit grows only if at most this much of it is unused, the place of the call that just ended included.
 const UNUSED_LIMIT: f64 = 1.5;
 
-/// A worker that reports a smaller share of its cores as busy is idle.
-pub(super) const IDLE_CORE_SHARE: f64 = 0.5;
+/// A worker that reports a lower core utilization counts as idle.
+pub(super) const IDLE_UTILIZATION: f64 = 0.5;
 
 impl Worker {
-    /// How long a worker whose limit is under one call must still be given none, where a call takes
-    /// `service_time`; at most 0 if it need not wait.
+    /// Returns how much longer a worker with a limit below one call gets no call, where a call takes `service_time`.
+    /// Zero or negative if it may get one now.
     pub(super) fn pacing_delay(&self, service_time: f64, now: Time) -> f64 {
         if self.concurrency_limit < 1.0 {
             let since_last = self
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Whether the limit leaves room for one more call.
+    /// Whether the limit allows one more call.
     pub(super) fn has_spare_concurrency(&self, service_time: f64, now: Time) -> bool {
         (self.in_flight as f64) < self.concurrency_limit.max(1.0)
             && self.pacing_delay(service_time, now) <= 0.0
@@ -43,16 +43,16 @@
 }
 
 impl Router {
-    /// Adapts the limit of a worker: additive increase, multiplicative decrease.
+    /// Adapts the limit of a worker by additive increase and multiplicative decrease.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: calls in flight at a worker are bounded by what comes back in good time, whatever slows it:
-    /// siblings' calls, few cores, ageing, a jam. With many siblings the bound is under one call: the part of
-    /// the time that one may be there ([`Worker::pacing_delay`]). A worker with idle cores is left out: its
-    /// calls are long, or it is slow whatever it has.
+    /// The calls in flight at a worker are limited to what it answers in good time, whatever slows it down: calls of
+    /// other front ends, few cores or an overload. With many front ends, the limit of one can be below one call; it
+    /// is then the fraction of time for which a call may be there ([`Worker::pacing_delay`]). Slow answers of a
+    /// worker with idle cores are ignored, as fewer calls would not make them faster.
     ///
-    /// Harm: it gives up some room to chance.
+    /// Trade-off: some capacity is lost to random variation of answer times.
     pub(super) fn update_concurrency_limit(
         &mut self,
         now: Time,
@@ -66,8 +66,8 @@
         };
         let expected = ended.expected.time;
         let busy = result.report.and_then(|report| report.utilization);
-        let idle = busy.is_some_and(|share| share < IDLE_CORE_SHARE);
-        let late = ended.took > objective / 2.0 && ended.took > 2.0 * expected;
+        let idle = busy.is_some_and(|share| share < IDLE_UTILIZATION);
+        let late = ended.duration > objective / 2.0 && ended.duration > 2.0 * expected;
         let slow = ended.ran && ended.warm && late && !idle;
         let overloaded = slow || matches!(result.outcome, Outcome::Rejected | Outcome::TimedOut);
         if overloaded && now.since(worker.limit_cut_at) > expected as Micros {
--- a/src/router/estimate.rs
+++ b/src/router/estimate.rs
@@ -1,4 +1,4 @@
-//! Estimates of service times, answer times and rates from what was observed.
+//! Estimates of service times, answer times and rates from observations.
 
 use super::attempt::EndedAttempt;
 use super::request::Request;
@@ -8,19 +8,20 @@
 /// Weight of one sample in slow averages.
 pub(super) const SMOOTHING: f64 = 0.1;
 
-/// Under so many answers a worker is presumed to be like its kind, and a kind like all workers.
+/// Weight of the prior, in answers: a worker with few answers is presumed to be like its kind, and a kind like all
+/// workers.
 const PRIOR_SAMPLES: f64 = 4.0;
 
-/// Idle lives over which the rate of a function is taken: with many siblings each sees few of its calls.
-const RATE_WINDOW_IDLE_LIVES: Micros = 2;
+/// Window of rates, in idle timeouts. It has to be long, as each of many front ends sees few calls of a function.
+const RATE_WINDOW_IDLE_TIMEOUTS: Micros = 2;
 
-/// The key of all kinds of workers together among the ratios by kind.
+/// Key of the ratio over all kinds of workers.
 pub(super) const ALL_KINDS: usize = usize::MAX;
 
-/// The first guess of a service time, before any answer, as a share of the class's latency objective.
-const INITIAL_SERVICE_SHARE: f64 = 0.2;
+/// Initial service time, as a fraction of the latency objective of the class.
+const INITIAL_SERVICE_FRACTION: f64 = 0.2;
 
-/// A smoothed mean and mean deviation of times.
+/// Smoothed mean and mean deviation of durations.
 #[derive(Default, Clone, Copy)]
 pub(super) struct LatencyEstimate {
     pub(super) mean: f64,
@@ -39,7 +40,7 @@
     }
 }
 
-/// A sum whose terms decay exponentially over a window.
+/// A sum whose terms decay exponentially.
 #[derive(Default, Clone, Copy)]
 pub(super) struct DecayingSum {
     pub(super) sum: f64,
@@ -54,7 +55,7 @@
     }
 }
 
-/// A mean whose samples decay exponentially over a window.
+/// A mean whose samples decay exponentially.
 #[derive(Default, Clone, Copy)]
 pub(super) struct DecayingMean {
     sum: DecayingSum,
@@ -67,7 +68,7 @@
         self.count.add(now, 1.0, window);
     }
 
-    /// The mean; 1 while there is none.
+    /// Returns the mean, or 1 if there are no samples.
     pub(super) fn mean_or_one(&self) -> f64 {
         let mean = self.sum.sum / self.count.sum;
         if mean >= 0.0 {
@@ -77,13 +78,13 @@
         }
     }
 
-    /// The mean together with [`PRIOR_SAMPLES`] samples of a presumed value.
+    /// Returns the mean including [`PRIOR_SAMPLES`] samples of a presumed value.
     fn mean_with_prior(&self, presumed: f64) -> f64 {
         (self.sum.sum + PRIOR_SAMPLES * presumed) / (self.count.sum + PRIOR_SAMPLES)
     }
 }
 
-/// The mean of service times over those expected: above 1 for what answers more slowly than usual.
+/// Mean ratio of observed to expected service time: above 1 for slow workers.
 #[derive(Default, Clone, Copy)]
 pub(super) struct ServiceTimeRatio(DecayingMean);
 
@@ -92,26 +93,26 @@
         self.0.add(now, ratio, window);
     }
 
-    /// How slow it is, where few answers are taken with a presumed slowness.
+    /// Returns the mean ratio, with `presumed` as its prior.
     pub(super) fn slowness(&self, presumed: f64) -> f64 {
         self.0.mean_with_prior(presumed)
     }
 
-    /// A lower bound of its slowness for any presumed value that is not below its own mean.
+    /// Returns the mean ratio without prior, a lower bound of `slowness` for any presumed value that is not below it.
     pub(super) fn observed(&self) -> f64 {
         self.0.mean_or_one()
     }
 }
 
-/// What a call is expected to take.
+/// Expected service of a call.
 pub(super) struct ExpectedService {
-    /// Microseconds in a warm lane.
+    /// Service time in a warm lane, in microseconds.
     pub(super) time: f64,
-    /// Its work over the mean work of its function's calls.
+    /// Its work divided by the mean work of the calls of its function.
     pub(super) relative_work: f64,
 }
 
-/// A low estimate of service times: it falls fast and rises slowly, so that time spent in queues weighs little.
+/// Updates a low estimate of service times. It falls fast and rises slowly, so that queueing time has little weight.
 fn low_estimate(old: f64, sample: f64) -> f64 {
     let gain = if sample < old {
         2.0 * SMOOTHING
@@ -122,21 +123,21 @@
 }
 
 impl Router {
-    /// How slowly a kind of workers answers, as far as observed.
+    /// Returns the slowness of a kind of workers.
     pub(super) fn kind_slowness(&self, kind: usize) -> f64 {
         self.kind_ratios
             .get(&kind)
             .map_or(1.0, |ratio| ratio.slowness(1.0))
     }
 
-    /// Keeps the lower bound of all slowness that ends the search for preferred workers early.
+    /// Updates the lower bound of the slowness of all workers, which ends the search for preferred workers early.
     pub(super) fn update_lowest_slowness(&mut self) {
         let of_workers = self.workers.values().map(|worker| &worker.service_ratio);
         let ratios = of_workers.chain(self.kind_ratios.values());
         self.lowest_slowness = ratios.map(ServiceTimeRatio::observed).fold(1.0, f64::min);
     }
 
-    /// What this call should take.
+    /// Returns the expected service of a call.
     pub(super) fn expected_service(&self, request: &Request) -> ExpectedService {
         let function = self.functions.get(&request.function);
         let usual = function
@@ -153,17 +154,17 @@
         }
     }
 
-    /// What calls of a class take in a warm lane, microseconds.
+    /// Returns the service time of a class in a warm lane, in microseconds.
     pub(super) fn service_time(&self, class: usize) -> f64 {
         let guess =
-            || self.settings.classes[class].latency_objective as f64 * INITIAL_SERVICE_SHARE;
+            || self.settings.classes[class].latency_objective as f64 * INITIAL_SERVICE_FRACTION;
         self.class_service_times
             .get(&class)
             .copied()
             .unwrap_or_else(guess)
     }
 
-    /// What an answer usually takes of late, queues and chance included.
+    /// Returns the usual answer time: the recent mean, including queueing, plus its mean deviation.
     pub(super) fn usual_answer_time(&self) -> f64 {
         let observed = self.answer_times.mean + self.answer_times.deviation;
         if observed > 0.0 {
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Learns from a served call how long answers and services take, and how much work is done.
+    /// Updates answer times, service times and the amount of work from a served call.
     pub(super) fn learn_service_time(
         &mut self,
         now: Time,
@@ -199,16 +200,16 @@
                 function.service_time = Some(of_function);
             }
         }
-        let work_per_share = if self.total_share > 0.0 {
-            self.service_time(ended.class) / self.total_share
+        let work_per_size = if self.total_size > 0.0 {
+            self.service_time(ended.class) / self.total_size
         } else {
             0.0
         };
         let window = self.rate_window();
-        self.recent_work.add(now, work_per_share, window);
+        self.recent_work.add(now, work_per_size, window);
     }
 
-    /// Learns how much slower than expected a worker and its kind answer, and how busy workers are.
+    /// Updates the slowness of a worker and its kind, and the core utilization of workers.
     pub(super) fn learn_slowness(
         &mut self,
         now: Time,
@@ -220,12 +221,12 @@
             return;
         };
         if let Some(busy) = result.report.and_then(|report| report.utilization) {
-            self.busy_cores.add(now, busy, window);
+            self.core_utilization.add(now, busy, window);
         }
         if !(ended.ran && ended.warm) {
             return;
         }
-        let ratio = ended.took / ended.expected.time.max(1.0);
+        let ratio = ended.duration / ended.expected.time.max(1.0);
         worker.service_ratio.add(now, ratio, window);
         self.lowest_slowness = self.lowest_slowness.min(ratio);
         for kind in [worker.entry.kind, ALL_KINDS] {
@@ -234,13 +235,13 @@
         }
     }
 
-    /// The window over which rates are taken, microseconds.
+    /// Returns the window of rates, in microseconds.
     pub(super) fn rate_window(&self) -> f64 {
-        (self.settings.idle_timeout.max(SECOND) * RATE_WINDOW_IDLE_LIVES) as f64
+        (self.settings.idle_timeout.max(SECOND) * RATE_WINDOW_IDLE_TIMEOUTS) as f64
     }
 
-    /// The part of the rate window that has passed since the router started. It is at least half an idle life,
-    /// so that a few early events are not taken for a high rate.
+    /// Returns the part of the rate window that has passed since the router started, but at least half an idle
+    /// timeout, so that a few early events do not appear as a high rate.
     pub(super) fn observed_window(&self, now: Time) -> f64 {
         let window = self.rate_window();
         let age = now.since(self.started_at) as f64;
--- a/src/router/health.rs
+++ b/src/router/health.rs
@@ -1,4 +1,4 @@
-//! Suspicion of workers that are silent or lose connections, and the probes that clear them.
+//! Detection of workers that are silent or lose connections ("suspects"), and the probes that clear them.
 
 use super::attempt::EndedAttempt;
 use super::random::with_jitter;
@@ -6,28 +6,29 @@
 use super::{Router, CHECK_INTERVAL};
 use crate::{Action, Effect, Micros, Outcome, RequestId, Time, WorkerId, WorkerState, SECOND};
 
-/// Silence of a worker that makes it suspect, in usual answer times summed over the calls pending there.
+/// A worker becomes suspect when its silence, summed over its pending calls, exceeds this many usual answer times.
 pub(super) const SILENCE_THRESHOLD: f64 = 10.0;
 
-/// The longest time between two probes of a suspect.
+/// Upper bound of the probe interval of a suspect.
 const MAX_PROBE_INTERVAL: Micros = 4 * SECOND;
 
-/// A call sent to a suspect as a trial is left there for so many usual answer times.
+/// A trial call is left at a suspect for this many usual answer times before it may be cancelled.
 const TRIAL_ANSWER_TIMES: f64 = 2.0;
 
-/// A silence that lasts longer than so many check intervals without a single event is a stall of this process.
+/// An event that comes more than this many check intervals after the timer was due shows that this process has
+/// stalled.
 const STALL_INTERVALS: Micros = 5;
 
 impl Worker {
-    /// Makes a worker suspect. `probe_after` is 0 for a lost connection, and the time that it has been silent for
-    /// otherwise.
+    /// Marks a worker as suspect. `probe_after` is 0 after a lost connection, otherwise the delay before the first
+    /// probe.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: a lost connection says little about a worker whose next one answers: probed at once, that clears
-    /// it, unless no call was answered since it was last suspect.
+    /// A lost connection says little about a worker that accepts the next one, so the worker is probed at once and
+    /// cleared by an answer, unless it has answered no call since it was last suspect.
     ///
-    /// Harm: a worker that cuts connections often is given calls.
+    /// Trade-off: a worker that often closes connections keeps receiving calls.
     pub(super) fn mark_suspect(&mut self, now: Time, probe_after: Micros) {
         if self.suspect {
             return;
@@ -40,14 +41,14 @@
         self.next_probe = now.plus(self.probe_interval);
     }
 
-    /// A probe of the worker, or anything that serves as one, ended with an answer or without.
+    /// Handles the end of a probe, or of a request that serves as one.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: a worker that is suspect for its silence has one safe call or one load as a trial once its
-    /// process answers; it could not come back otherwise.
+    /// Once the process of an unresponsive worker answers a probe, the worker may get one safe call or one load as a
+    /// trial. Without it, the worker would never be cleared.
     ///
-    /// Harm: one call is held up.
+    /// Trade-off: if the worker is still stuck, the trial call is delayed.
     fn on_probe_result(&mut self, answered: bool) {
         self.suspect &= self.unresponsive || !answered;
         self.trial_allowed |= answered;
@@ -55,15 +56,15 @@
 }
 
 impl Router {
-    /// Takes the silence of workers to begin now, if this process itself has stalled.
+    /// Restarts the measurement of silence at all workers if this process has stalled.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: after a stall of this process, or a suspension of its machine, silence says nothing about the
-    /// workers.
+    /// After a stall of this process or a suspension of its machine, answers may be waiting unread, so silence is no
+    /// evidence against workers.
     ///
-    /// Harm: a silent worker is found that much later.
-    pub(super) fn excuse_silence_after_stall(&mut self, now: Time) {
+    /// Trade-off: a silent worker is detected later by the length of the stall.
+    pub(super) fn reset_silence_after_stall(&mut self, now: Time) {
         let stalled = |due: Time| now.since(due) > STALL_INTERVALS * CHECK_INTERVAL;
         if self.timer_at.is_some_and(stalled) {
             for worker in self.workers.values_mut() {
@@ -72,14 +73,14 @@
         }
     }
 
-    /// A probe ended, or something that shows as well whether the worker's process answers.
+    /// Handles the end of a probe, or of a request that shows just as well whether the worker process answers.
     pub(super) fn on_probe_result(&mut self, worker_id: WorkerId, answered: bool) {
         if let Some(worker) = self.workers.get_mut(&worker_id) {
             worker.on_probe_result(answered);
         }
     }
 
-    /// Updates the health of a worker from how an attempt there ended.
+    /// Updates the health of a worker from the outcome of an attempt.
     pub(super) fn update_health(&mut self, now: Time, ended: &EndedAttempt, outcome: Outcome) {
         let Some(worker) = self.workers.get_mut(&ended.worker) else {
             return;
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Looks for workers that are silent, probes suspects, and takes calls back from those that do not respond.
+    /// Marks silent workers as suspect, probes suspects, and cancels calls at workers that do not respond.
     pub(super) fn check_health(&mut self, now: Time, actions: &mut Vec<Action>) {
         let answer_time = self.usual_answer_time();
         self.mark_silent_workers(now, answer_time);
@@ -106,7 +107,7 @@
             if to_probe == Some(worker_id) {
                 self.probe_suspect(now, worker_id, answer_time, actions);
             }
-            self.take_back_calls(now, worker_id, answer_time, actions);
+            self.cancel_stuck_attempts(now, worker_id, answer_time, actions);
         }
     }
 
@@ -124,15 +125,16 @@
         }
     }
 
-    /// The silence of a worker, in answer times, summed over the calls pending there: one long call alone proves
-    /// little, several that are all silent prove more. A call that was taken from a suspect before counts less.
+    /// Returns the silence of a worker in usual answer times, summed over its pending calls: one long call proves
+    /// little, several unanswered ones prove more. A call counts for less the more attempts it
+    /// has had.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: silence shorter than the interval of checks is not counted, since with many fast calls in flight
-    /// answers wait that long to be read.
+    /// Silence shorter than the check interval is ignored: with many fast calls in flight, answers may wait that long
+    /// to be read.
     ///
-    /// Harm: a worker that is silent for very short calls is found one check later.
+    /// Trade-off: a worker that only stops answering very short calls is detected one check later.
     fn silence(&self, worker: &Worker, now: Time, answer_time: f64) -> f64 {
         let evidence = worker.unanswered.iter().filter_map(|(sent_at, id)| {
             let request = self.requests.get(id)?;
@@ -144,14 +146,14 @@
         evidence.sum::<f64>()
     }
 
-    /// The suspect to probe now, if any.
+    /// Returns the suspect to probe now, if any.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: all probes together are paced, one an answer time, the one due longest first. A lost zone would
-    /// cost a probe for each of its workers otherwise.
+    /// At most one probe per usual answer time is sent, to the suspect whose probe is most overdue. Otherwise the
+    /// loss of a zone would cause a probe to each of its workers at once.
     ///
-    /// Harm: a worker that is well again waits for its turn.
+    /// Trade-off: a worker that has recovered waits for its probe.
     fn next_to_probe(&self, now: Time) -> Option<WorkerId> {
         if now < self.next_probe {
             return None;
@@ -163,7 +165,8 @@
             .map(|(id, _)| *id)
     }
 
-    /// Probes a suspect: by a probe, else by asking for an instance, else by allowing a trial.
+    /// Checks whether a suspect answers: with a probe if these are allowed, else by querying its instances, else by
+    /// allowing a trial call.
     fn probe_suspect(
         &mut self,
         now: Time,
@@ -194,9 +197,9 @@
         }
     }
 
-    /// Cancels the calls at a worker that does not respond, where they may be attempted elsewhere. What was sent
-    /// there as a trial is left the time that an answer takes.
-    fn take_back_calls(
+    /// Cancels the calls at an unresponsive worker that may be attempted elsewhere. A trial call is kept for
+    /// [`TRIAL_ANSWER_TIMES`].
+    fn cancel_stuck_attempts(
         &mut self,
         now: Time,
         worker_id: WorkerId,
@@ -213,10 +216,9 @@
             sent_at > worker.suspect_since
                 && (now.since(sent_at) as f64) < TRIAL_ANSWER_TIMES * answer_time
         };
-        let stuck = worker
-            .unanswered
-            .iter()
-            .filter(|(sent_at, request_id)| !on_trial(*sent_at) && self.may_take_back(*request_id));
+        let stuck = worker.unanswered.iter().filter(|(sent_at, request_id)| {
+            !on_trial(*sent_at) && self.may_cancel_attempt(*request_id)
+        });
         for key in stuck.copied().collect::<Vec<_>>() {
             let request_id = key.1;
             let request = self.requests.get(&request_id);
@@ -231,8 +233,8 @@
         }
     }
 
-    /// Whether the pending attempt of a request may be cancelled to attempt it again elsewhere.
-    fn may_take_back(&self, request_id: RequestId) -> bool {
+    /// Whether the pending attempt of a request may be cancelled in favor of an attempt at another worker.
+    fn may_cancel_attempt(&self, request_id: RequestId) -> bool {
         self.requests.get(&request_id).is_some_and(|request| {
             !request.streaming
                 && !request.concluded
--- a/src/router/instances.rs
+++ b/src/router/instances.rs
@@ -1,4 +1,4 @@
-//! What is believed to be loaded where: instances of functions, whether they can be used, and how many are needed.
+//! Which functions are believed to be loaded at which workers, and how many instances a function needs.
 
 use super::attempt::EndedAttempt;
 use super::estimate::{DecayingSum, SMOOTHING};
@@ -11,56 +11,56 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An instance is taken to serve at least so many calls at a time, however little the workers carry.
+/// Lower bound of the estimated number of concurrent calls of an instance.
 const MIN_INSTANCE_CAPACITY: f64 = 0.5;
 
-/// The part of its idle life after which an unused instance is no longer taken to be loaded. The rest covers the
-/// way to the worker and late checks.
-const TRUSTED_IDLE_LIFE: f64 = 0.9;
+/// Fraction of the idle timeout for which an unused instance is assumed to be loaded. The rest covers the time until
+/// a call reaches the worker, and checks that run late.
+const TRUSTED_IDLE_FRACTION: f64 = 0.9;
 
-/// What this front end believes about the instances of one function at one worker.
+/// What this front end knows of the instances of one function at one worker.
 #[derive(Default)]
 pub(super) struct Instance {
     pub(super) warm: bool,
-    /// Instances loaded at this worker, as far as it said.
+    /// Number of instances at this worker, as last reported.
     pub(super) count: u32,
     pub(super) in_flight: u32,
     pub(super) last_send: Option<Time>,
-    /// When an answer last said whether it is loaded.
-    pub(super) last_evidence: Time,
-    /// When the load that is in progress was asked for.
+    /// When an answer last said whether an instance is loaded.
+    pub(super) last_confirmed: Time,
+    /// When the load in progress was requested.
     pub(super) load_requested: Option<Time>,
-    /// When a call found it missing, or its worker was asked for it, since it was last known to be loaded.
+    /// When a call found it missing or its worker was queried for it, if it has not been found loaded since.
     pub(super) missed_at: Option<Time>,
-    /// Until when no call is sent there.
+    /// No call is sent there before this time.
     pub(super) excluded_until: Time,
-    /// A load was reported to be done and no call has been served there since.
+    /// A load was reported as done and no call has been served there since.
     pub(super) load_unconfirmed: bool,
-    /// Loads without effect in a row.
+    /// Number of consecutive loads without effect.
     pub(super) ineffective_loads: u32,
 }
 
 impl Instance {
-    /// Whether its lanes have room for one more call.
+    /// Whether a lane is free.
     pub(super) fn has_free_lane(&self, function: &Function, now: Time) -> bool {
         self.warm
             && self.in_flight < self.count.max(1) * function.lanes
             && now >= self.excluded_until
     }
 
-    /// When it was last used or heard of.
+    /// Returns when it was last used or confirmed.
     pub(super) fn last_activity(&self) -> Time {
         self.last_send
-            .map_or(self.last_evidence, |sent| sent.max(self.last_evidence))
+            .map_or(self.last_confirmed, |sent| sent.max(self.last_confirmed))
     }
 
-    /// The worker said how many instances are loaded there at the end of a load request.
+    /// Handles the number of instances that the worker reports at the end of a load request.
     pub(super) fn on_reported_count(&mut self, now: Time, outcome: Outcome, count: u32) {
         let loaded = count > 0;
         self.count = count;
         self.warm = loaded;
         self.load_unconfirmed = loaded;
-        self.last_evidence = now;
+        self.last_confirmed = now;
         if loaded {
             self.missed_at = None;
         }
@@ -71,20 +71,20 @@
         };
     }
 
-    /// Takes it for loaded since the load was asked for, without a word from its worker.
+    /// Assumes that it has been loaded since the load was requested, without a report of its worker.
     pub(super) fn presume_loaded(&mut self, load_requested: Time) {
         self.warm = true;
-        self.last_evidence = self.last_evidence.max(load_requested);
+        self.last_confirmed = self.last_confirmed.max(load_requested);
     }
 
-    /// An attempt ended there. Returns whether that shows a load reported as done to have had no effect.
+    /// Handles the end of an attempt. Returns whether it shows that a load reported as done had no effect.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: a call that was turned away, timed out or taken back shows a full queue, a stuck instance or a
-    /// bad image; the instance rests for the time that a call takes.
+    /// A call that was rejected, timed out or was cancelled points to a full queue, a stuck instance or a broken
+    /// image. The instance gets no calls for the expected time of a call.
     ///
-    /// Harm: another instance is loaded meanwhile.
+    /// Trade-off: another instance may be loaded in the meantime.
     fn on_attempt_end(&mut self, now: Time, outcome: Outcome, expected_time: f64) -> bool {
         self.in_flight = self.in_flight.saturating_sub(1);
         let load_was_ineffective = outcome == Outcome::NotLoaded && self.load_unconfirmed;
@@ -94,7 +94,7 @@
                 self.ineffective_loads = 0;
                 self.warm = true;
                 self.missed_at = None;
-                self.last_evidence = now;
+                self.last_confirmed = now;
             }
             Outcome::NotLoaded => {
                 self.warm = false;
@@ -110,40 +110,40 @@
     }
 }
 
-/// What is known about a function.
+/// State of one function.
 #[derive(Default)]
 pub(super) struct Function {
     /// Calls that one instance runs at a time.
     pub(super) lanes: u32,
-    pub(super) stated_load_time: Option<Micros>,
+    pub(super) load_time_hint: Option<Micros>,
     /// The class of its latest call.
     pub(super) class: usize,
-    /// A low estimate of what a call of usual work takes in a warm lane, microseconds.
+    /// Service time of a call of average work in a warm lane, in microseconds, as a low estimate.
     pub(super) service_time: Option<f64>,
     pub(super) mean_work_hint: f64,
     pub(super) recent_calls: DecayingSum,
-    /// Workers with instances that it needs, by the calls of all front ends that answers state.
+    /// Estimated number of workers that need an instance, from the concurrency that answers report.
     pub(super) estimated_instances: f64,
     pub(super) instances: BTreeMap<WorkerId, Instance>,
-    /// Its calls that wait.
+    /// Its waiting calls.
     pub(super) queue: BTreeSet<QueueKey>,
-    /// Those in the queue that have been attempted: whether they may be again changes with time.
+    /// The queued calls that have been attempted before. Whether they may be retried changes with time.
     pub(super) queued_retries: BTreeSet<QueueKey>,
     /// The largest work hint in the queue since it was last empty.
     pub(super) largest_queued_hint: Micros,
     pub(super) affinity_order: RefCell<AffinityOrder>,
 }
 
-/// The ready workers by a function's affinity to them, the sizes of workers left aside.
+/// The ready workers in the order of a function's affinity, without their sizes.
 #[derive(Default)]
 pub(super) struct AffinityOrder {
-    /// The revision of list and settings that it was made for.
+    /// The configuration revision for which the order was computed.
     pub(super) revision: u64,
     pub(super) workers: Vec<(f64, WorkerId)>,
 }
 
 impl Router {
-    /// The instances of a function whose workers are known, with these workers.
+    /// Iterates over the instances of a function whose workers are known, with these workers.
     pub(super) fn instances_with_workers<'a>(
         &'a self,
         function: &'a Function,
@@ -154,7 +154,7 @@
             .filter_map(|(id, instance)| Some((*id, instance, self.workers.get(id)?)))
     }
 
-    /// What is believed about a function at a worker, made anew if there is nothing yet.
+    /// Returns the instance entry of a function at a worker; creates it if there is none.
     pub(super) fn instance_mut(
         &mut self,
         function_id: FunctionId,
@@ -164,7 +164,7 @@
         function.instances.entry(worker_id).or_default()
     }
 
-    /// What is believed about a function at a worker, if there is anything.
+    /// Returns the instance entry of a function at a worker, if there is one.
     pub(super) fn known_instance_mut(
         &mut self,
         function_id: FunctionId,
@@ -174,23 +174,24 @@
         function.instances.get_mut(&worker_id)
     }
 
-    /// Whether an instance is taken to be loaded: seen so in the present life of its worker's process, and used
-    /// within its idle life.
+    /// Whether an instance is assumed to be loaded: it was confirmed since its worker process started, and has a call
+    /// in flight or was confirmed within the idle timeout.
     pub(super) fn is_warm(&self, worker: &Worker, instance: &Instance, now: Time) -> bool {
         let started = worker.entry.started;
-        let restarted = started.is_some_and(|started| started > instance.last_evidence);
-        let trusted = (self.settings.idle_timeout as f64 * TRUSTED_IDLE_LIFE) as Micros;
-        let recent = now.since(instance.last_evidence) < trusted;
+        let restarted = started.is_some_and(|started| started > instance.last_confirmed);
+        let trusted = (self.settings.idle_timeout as f64 * TRUSTED_IDLE_FRACTION) as Micros;
+        let recent = now.since(instance.last_confirmed) < trusted;
         instance.warm && !restarted && (instance.in_flight > 0 || recent)
     }
 
-    /// Whether an instance is silent, excluded or paced for so long that it does not count as one.
+    /// Whether an instance is not counted as one because it is silent, excluded, or paced for longer than an answer
+    /// takes.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: a stuck instance, or one whose worker may be sent little, would keep another from being loaded.
+    /// A stuck instance, or one whose worker may be sent little, would otherwise prevent the load of another.
     ///
-    /// Harm: another instance is loaded.
+    /// Trade-off: an additional instance is loaded.
     pub(super) fn is_unresponsive(&self, worker: &Worker, instance: &Instance, now: Time) -> bool {
         let answer_time = self.usual_answer_time();
         let silence = now.since(instance.last_activity()) as f64;
@@ -199,30 +200,31 @@
         now < instance.excluded_until || silent || paced
     }
 
-    /// Whether siblings are likely to have loaded instances that a call finds just by being sent there.
+    /// Whether other front ends may have loaded instances that a call can find without risk, as a miss loads nothing.
     pub(super) fn siblings_may_have_loaded(&self) -> bool {
         self.settings.front_ends > 1
             && self.settings.may_load
             && self.settings.miss_policy == MissPolicy::Miss
     }
 
-    /// Calls that one instance serves at a time: its lanes, but no more than the usual load of a worker by all
+    /// Returns the concurrent calls of one instance: its lanes, but no more than the mean load of a worker by all
     /// front ends.
     pub(super) fn instance_capacity(&self, function: &Function, now: Time) -> f64 {
         let fleet_load = self.recent_work.sum / self.observed_window(now)
             * self.settings.front_ends as f64
-            * self.total_share;
+            * self.total_size;
         (fleet_load / self.ready_count.max(1.0))
             .max(MIN_INSTANCE_CAPACITY)
             .min(function.lanes as f64)
     }
 
-    /// How many workers may have a function loaded: by the calls at workers where answers state them, else by
-    /// its own calls and as many of each sibling. `fewer` calls or instances are left out of the count: loads
-    /// leave out the call that is just here, which is no evidence of others.
-    pub(super) fn instance_cap(&self, function: &Function, now: Time, fewer: f64) -> usize {
+    /// Returns the maximum number of workers that may have a function loaded. It is estimated from the concurrency
+    /// that answers report, if they do, else from the calls at this front end, assuming as many at each other front
+    /// end. `discount` is subtracted from the estimated instances or calls: before a load it leaves out the call that
+    /// has just arrived, which does not show that there will be others.
+    pub(super) fn instance_cap(&self, function: &Function, now: Time, discount: f64) -> usize {
         if self.settings.reports_concurrency && self.siblings_may_have_loaded() {
-            return (function.estimated_instances.max(1.0) - fewer) as usize + 1;
+            return (function.estimated_instances.max(1.0) - discount) as usize + 1;
         }
         let service_time = function
             .service_time
@@ -230,17 +232,18 @@
         let instances_per_call = service_time * self.settings.front_ends as f64
             / self.observed_window(now)
             / self.instance_capacity(function, now);
-        1 + ((function.recent_calls.sum - fewer).max(0.0) * instances_per_call) as usize
+        1 + ((function.recent_calls.sum - discount).max(0.0) * instances_per_call) as usize
     }
 
-    /// Learns how many workers need a function from the number of its calls that an answer states.
+    /// Updates the number of workers that a function needs from the concurrency that an answer reports.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: answers state what all front ends send, free of charge; own calls times siblings were ten times
-    /// the need. The estimate moves by a fifth of what that number is over or under an instance's capacity.
+    /// The reported concurrency covers the calls of all front ends at no cost, while the own calls times the number
+    /// of front ends overestimate the need by far. The estimate changes by a fifth of the relative difference between
+    /// the reported concurrency and the capacity of an instance.
     ///
-    /// Harm: it is slow to learn from few answers.
+    /// Trade-off: few answers change the estimate slowly.
     pub(super) fn learn_instance_demand(
         &mut self,
         now: Time,
@@ -263,7 +266,7 @@
         }
     }
 
-    /// Updates what is believed about the instance that an attempt was sent to.
+    /// Updates the instance to which an attempt was sent.
     pub(super) fn update_instance(&mut self, now: Time, ended: &EndedAttempt, outcome: Outcome) {
         let Some(function) = self.functions.get_mut(&ended.function) else {
             return;
--- a/src/router/loading.rs
+++ b/src/router/loading.rs
@@ -1,4 +1,4 @@
-//! Requests to load: when one may be given, and what follows from how it ended.
+//! Load requests: when they are sent, and how their results are handled.
 
 use super::estimate::LatencyEstimate;
 use super::instances::Function;
@@ -9,53 +9,54 @@
 use crate::{Action, FunctionId, Micros, Outcome, RequestId, Time, WorkerId, SECOND};
 use std::collections::VecDeque;
 
-/// Loads in progress for each worker, by all front ends together: workers run few at a time.
+/// Maximum number of loads in progress per worker, over all front ends: workers run only a few at a time.
 pub(super) const LOADS_PER_WORKER: usize = 3;
 
-/// How long no call is sent to an instance whose load failed.
+/// How long no call is sent to an instance after its load failed.
 pub(super) const FAILED_LOAD_EXCLUSION: Micros = SECOND / 2;
 
-/// Least time between two load requests to workers whose last one had no effect.
+/// Minimum interval between load requests to workers whose last one had no effect.
 const INEFFECTIVE_LOAD_INTERVAL: Micros = SECOND / 20;
 
-/// The backoff of an instance after the second load without effect in a row; it doubles with each further one.
+/// Backoff of an instance after the second consecutive load without effect; doubles with each further one.
 const LOAD_BACKOFF: Micros = SECOND / 2;
 
-/// How often that backoff doubles at most.
+/// Maximum number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// How a load request ended.
+/// The result of a load request.
 #[derive(Clone, Copy)]
 pub(super) struct LoadResult {
     pub(super) worker: WorkerId,
     pub(super) function: FunctionId,
     pub(super) outcome: Outcome,
     pub(super) latency: Micros,
-    /// Instances that the worker reports as loaded.
+    /// Number of instances that the worker reports as loaded.
     pub(super) instances: u32,
 }
 
-/// The load requests of this front end.
+/// State of the load requests of this front end.
 #[derive(Default)]
 pub(super) struct LoadState {
-    /// What loads take: microseconds, or multiples of the stated load time where there is one.
+    /// Load durations: in microseconds, or relative to the load time hint if there is one.
     durations: LatencyEstimate,
     in_progress: usize,
-    /// How many may be in progress at a time; under one where there are many siblings.
+    /// Maximum number in progress; below one with many front ends.
     pub(super) window: f64,
-    /// When the next one may start where the window is under one.
-    next_turn: Time,
-    /// When the next one may start at a worker whose last one had no effect.
+    /// When the next load may start if the window is below one.
+    next_slot_at: Time,
+    /// When the next load may start at a worker whose last one had no effect.
     next_after_ineffective: Time,
-    /// The last one that ended had no effect.
+    /// The last load that ended had no effect.
     last_ineffective: bool,
-    /// When those within the period of the budget were given.
+    /// When the load requests in the current period of the load budget were sent.
     recent: VecDeque<Time>,
 }
 
 impl Router {
-    /// Asks for a load where the function has fewer instances than its cap, or sends the call along where only
-    /// calls load. `request_id` is the call that waits for it, if there is one.
+    /// Requests a load if the function has fewer instances than its cap. If load requests are not allowed, sends the
+    /// call to a worker, which loads the function for it. `request_id` is the call that waits for the load, if there
+    /// is one.
     pub(super) fn load_more(
         &mut self,
         now: Time,
@@ -69,8 +70,8 @@
         };
         let load_time = self.expected_load_time(function);
         let request = request_id.and_then(|id| self.requests.get(&id));
-        let candidate = |fewer: f64, retry_after: Micros| {
-            self.load_candidate(now, request, function_id, fewer, retry_after)
+        let candidate = |discount: f64, retry_after: Micros| {
+            self.load_candidate(now, request, function_id, discount, retry_after)
         };
         if !self.settings.may_load {
             if let (Some(worker_id), Some(request_id)) = (candidate(1.0, 0), request_id) {
@@ -82,50 +83,51 @@
         let load_at = may_load.then(|| candidate(1.0, 0)).flatten();
         if let Some(worker_id) = load_at {
             self.request_load(now, worker_id, function_id, load_time, actions);
-        } else if self.must_ask_siblings_instances() {
+        } else if self.must_query_instances() {
             let idle_timeout = self.settings.idle_timeout;
             let ask_at = candidate(1.0, load_time).or_else(|| candidate(0.0, idle_timeout));
             if let Some(worker_id) = ask_at {
-                self.ask_for_instances(now, worker_id, function_id, actions);
+                self.query_instances(now, worker_id, function_id, actions);
             }
         }
     }
 
-    /// Whether one more load may be in progress.
+    /// Whether another load may be in progress.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: loads in progress are few over all front ends, which holds for a release of many functions, a
-    /// slow store and an empty zone. Where a front end's share of them is under one, it has turns of its own.
+    /// The number of loads in progress is limited over all front ends, which bounds the load of the function store
+    /// after a release of many functions, when it is slow, or when a zone starts empty. If the share of a front end
+    /// is below one, it may start one load per interval.
     ///
-    /// Harm: loads wait here then.
+    /// Trade-off: loads wait for their interval.
     fn has_load_slot(&self, now: Time) -> bool {
         let loads = &self.loads;
         let within_window = (loads.in_progress as f64) < loads.window && loads.window >= 1.0;
-        within_window || loads.in_progress == 0 && now >= loads.next_turn
+        within_window || loads.in_progress == 0 && now >= loads.next_slot_at
     }
 
-    /// Whether what siblings have loaded is found only by asking for it.
+    /// Whether instances loaded by other front ends are found only by a query.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: where a miss would load, a call can't be sent to see whether siblings keep an instance; the
-    /// worker is asked instead, without a load.
+    /// Where a miss loads the function, a call cannot be sent just to see whether an instance exists. The worker is
+    /// queried for its instances instead, which loads nothing.
     ///
-    /// Harm: the price of a probe.
-    fn must_ask_siblings_instances(&self) -> bool {
+    /// Trade-off: the cost of the query.
+    fn must_query_instances(&self) -> bool {
         self.settings.front_ends > 1 && !self.siblings_may_have_loaded()
     }
 
-    /// The worker where a function is to be loaded or asked for next. Where siblings may have loaded it, only
-    /// one where a call found it missing, or one for a call that waits. A worker where it was missed less than
-    /// `retry_after` ago is left out; `fewer` is as for [`Router::instance_cap`].
+    /// Selects the worker to load a function at or to query for it. Where other front ends may have loaded it, a
+    /// worker qualifies only if a call found the instance missing there or a call is waiting. A worker where it was
+    /// missed less than `retry_after` ago does not qualify. `discount` is that of [`Router::instance_cap`].
     fn load_candidate(
         &self,
         now: Time,
         request: Option<&Request>,
         function_id: FunctionId,
-        fewer: f64,
+        discount: f64,
         retry_after: Micros,
     ) -> Option<WorkerId> {
         let function = self.functions.get(&function_id)?;
@@ -135,13 +137,13 @@
                 !calls_load || request.is_some_and(|call| self.may_send(call, worker, now));
             sendable && !self.must_pace_loads(worker, now)
         };
-        let unseen_is_enough = request.is_some() || !self.siblings_may_have_loaded();
+        let miss_not_required = request.is_some() || !self.siblings_may_have_loaded();
         let is_due = |worker_id: &WorkerId| {
             let instance = function.instances.get(worker_id);
             let missed_at = instance.and_then(|instance| instance.missed_at);
-            missed_at.map_or(unseen_is_enough, |at| now.since(at) >= retry_after)
+            missed_at.map_or(miss_not_required, |at| now.since(at) >= retry_after)
         };
-        self.missing_instances(function_id, now, fewer, can_take_load)
+        self.missing_instances(function_id, now, discount, can_take_load)
             .into_iter()
             .filter(is_due)
             .filter_map(|id| Some((self.own_affinity(function_id, self.workers.get(&id)?), id)))
@@ -149,13 +151,13 @@
             .map(|(_, id)| id)
     }
 
-    /// Whether a load at this worker must wait because the last ones had no effect.
+    /// Whether a load at this worker has to wait because recent loads had no effect.
     fn must_pace_loads(&self, worker: &Worker, now: Time) -> bool {
         now < self.loads.next_after_ineffective
             && (worker.last_load_ineffective || self.loads.last_ineffective)
     }
 
-    /// Has a worker load one instance.
+    /// Requests a worker to load one instance.
     fn request_load(
         &mut self,
         now: Time,
@@ -166,10 +168,10 @@
     ) {
         self.pace_ineffective_loads(now, worker_id);
         let least_window = 1.0 / self.settings.front_ends as f64;
-        let turn_length = (load_time as f64 / self.loads.window.max(least_window)) as Micros;
+        let slot_interval = (load_time as f64 / self.loads.window.max(least_window)) as Micros;
         self.loads.in_progress += 1;
         self.loads.recent.push_back(now);
-        self.loads.next_turn = now.plus(turn_length);
+        self.loads.next_slot_at = now.plus(slot_interval);
         if let Some(worker) = self.workers.get_mut(&worker_id) {
             worker.trial_allowed = false;
         }
@@ -181,8 +183,8 @@
         });
     }
 
-    /// Asks a worker for the instances it has, without a load.
-    fn ask_for_instances(
+    /// Queries the instances of a worker without loading any.
+    fn query_instances(
         &mut self,
         now: Time,
         worker_id: WorkerId,
@@ -198,7 +200,7 @@
         });
     }
 
-    /// Delays the next load where the last ones had no effect, as one is asked for now.
+    /// Delays the next load if this one follows loads without effect.
     fn pace_ineffective_loads(&mut self, now: Time, worker_id: WorkerId) {
         let worker = self.workers.get(&worker_id);
         let at_worker = worker.is_some_and(|worker| worker.last_load_ineffective);
@@ -207,10 +209,10 @@
         }
     }
 
-    /// How long a load of this function should take now.
+    /// Returns the expected duration of a load of this function.
     pub(super) fn expected_load_time(&self, function: &Function) -> Micros {
         let mean = self.loads.durations.mean;
-        let expected = match function.stated_load_time {
+        let expected = match function.load_time_hint {
             Some(stated) => stated as f64 * mean.max(1.0),
             None if mean > 0.0 => mean,
             None => SECOND as f64,
@@ -219,8 +221,9 @@
         expected.min(longest).max(CHECK_INTERVAL as f64) as Micros
     }
 
-    /// Rule 5: whether the load requests of the period, one more included, are within the free number and the
-    /// share of arrivals.
+    /// Whether one more load request stays within the load budget of the period: the base number plus the share of
+    /// arrivals. Loads expire a tick later and arrivals a tick earlier, so that the budget also holds when times are
+    /// off by a tick.
     fn within_load_budget(&mut self, now: Time) -> bool {
         let tick = self.settings.tick;
         let period = self.settings.load_budget.map_or(0, |budget| budget.period);
@@ -237,7 +240,7 @@
             .is_none_or(|budget| given <= budget.free + budget.arrival_share * received)
     }
 
-    /// A load request ended: learns from it and serves the function's queue.
+    /// Handles the end of a load request: updates the estimates and dispatches the queue of the function.
     pub(super) fn on_load_result(
         &mut self,
         now: Time,
@@ -255,7 +258,7 @@
         if result.outcome != ConnectionLost {
             instance.on_reported_count(now, result.outcome, result.instances);
         }
-        self.note_load_effect(now, &result, load_requested.is_some());
+        self.record_load_effect(now, &result, load_requested.is_some());
         if let Some(requested_at) = load_requested {
             self.loads.in_progress = self.loads.in_progress.saturating_sub(1);
             let presumed = self.presume_loaded_after_lost_connection(&result, requested_at);
@@ -268,16 +271,16 @@
         self.dispatch_queue(now, result.function, actions);
     }
 
-    /// Takes an instance for loaded, from when the load was asked for, though the connection of the load request
-    /// ended. Returns whether it does.
+    /// Presumes that an instance was loaded although the connection of its load request was lost. Returns whether it
+    /// does.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: connections close sooner than stated, which a load outlasts; each load was asked for again
-    /// elsewhere, and each worker became suspect. Where a miss says so, a call goes and sees. A connection that
-    /// ends at once makes a suspect.
+    /// Connections may be closed while a long load is in progress. Treating each of these loads as failed repeats it
+    /// elsewhere and makes the worker suspect. Where a miss loads nothing, a call is sent to find out instead. A
+    /// connection that is lost within the connect timeout still makes the worker suspect.
     ///
-    /// Harm: a worker that died meanwhile costs one attempt.
+    /// Trade-off: if the worker has died, one attempt is lost.
     fn presume_loaded_after_lost_connection(
         &mut self,
         result: &LoadResult,
@@ -294,9 +297,9 @@
         presumed
     }
 
-    /// Notes whether a load request left an instance. Without a load requested here, the end of asking for
-    /// instances counts only if it failed.
-    fn note_load_effect(&mut self, now: Time, result: &LoadResult, load_requested: bool) {
+    /// Records whether a load request left an instance loaded. The end of a query, without a requested load, counts
+    /// only if it failed.
+    fn record_load_effect(&mut self, now: Time, result: &LoadResult, load_requested: bool) {
         if result.instances > 0 {
             if let Some(worker) = self.workers.get_mut(&result.worker) {
                 worker.last_load_ineffective = false;
@@ -320,32 +323,33 @@
         }
     }
 
-    /// Learns what loads take from one that succeeded.
+    /// Updates the load duration from a successful load.
     fn learn_load_time(&mut self, now: Time, result: &LoadResult) {
         if result.outcome != Outcome::Served {
             return;
         }
         if result.latency > self.settings.connect_timeout {
             let function = self.functions.get(&result.function);
-            let stated = function.and_then(|function| function.stated_load_time);
+            let stated = function.and_then(|function| function.load_time_hint);
             let unit = stated.map_or(1.0, |time| time as f64);
             self.loads.durations.add(result.latency as f64 / unit);
         } else if result.instances > 0 {
-            // It was loaded already: the next load need not wait for this one.
-            self.loads.next_turn = now;
+            // The instance was already loaded, so the next load need not wait.
+            self.loads.next_slot_at = now;
         }
     }
 
-    /// A load left no instance, or (`missed_by_call`) the first call after one reported as done found none.
+    /// Handles a load that left no instance, or, if `missed_by_call`, one that was reported as done but missed by the
+    /// first call after it.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: a worker that answers at once and wrongly would be asked for loads without pause. From the second
-    /// load without effect in a row its instance is excluded, for twice as long each time. Workers whose last
-    /// load had no effect are asked for the next ones one by one, and so are all while that is how the last load
-    /// at any of them ended.
+    /// A worker that falsely reports the end of loads at once would receive load requests without pause. From the
+    /// second consecutive load without effect, the instance is excluded with exponential backoff. Further loads are
+    /// spaced by [`INEFFECTIVE_LOAD_INTERVAL`] at workers whose last load had no effect, and at all workers while the
+    /// last load of any had none.
     ///
-    /// Harm: a worker that is mended without a restart is found seconds later.
+    /// Trade-off: a worker that is repaired without a restart is used again only seconds later.
     pub(super) fn load_without_effect(
         &mut self,
         now: Time,
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,16 +1,17 @@
-//! Every decision of the router, one concern a file. The interface - settings, events, actions, identifiers -
-//! stands in the modules beside this one.
+//! Routing decisions, one concern per file. The public interface - settings, events, actions, identifiers - is in the
+//! modules next to this one.
 //!
-//! # The mechanism
+//! # Base algorithm
 //!
-//! Among workers that are believed to have a warm instance with a free lane, a call goes to the one that this
-//! front end used least recently ([`selection`]); else the function is loaded, under a cap of its own
-//! ([`loading`]); else the call waits for a lane ([`queue`]). `docs/design.md` names the source.
+//! A call goes to a worker that is believed to have a warm instance with a free lane; among several, to the one that
+//! this front end used least recently ([`selection`]). If there is none, the router requests a load of the function,
+//! unless enough workers have it already ([`loading`]). Until a lane is free, the call waits in a queue ([`queue`]).
+//! `docs/design.md` names the source of the algorithm.
 //!
-//! # Departures from it
+//! # Departures from the base algorithm
 //!
-//! Each departure is one function, whose comment has a section "Departure from the mechanism" with the symptom
-//! that it answers and where it could do harm. A search for these words finds all of them.
+//! A function that departs from the base algorithm says why, and at what cost, in a section of its doc comment headed
+//! "Departure from the base algorithm". Search for this heading to find all of them.
 
 mod attempt;
 mod concurrency;
@@ -36,67 +37,68 @@
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// How often queued calls and silent workers are looked over, microseconds. Well under any objective that people
-/// notice.
+/// Interval of the checks of queued calls and silent workers, in microseconds. It is far below the latency objectives
+/// of calls that people wait for.
 const CHECK_INTERVAL: Micros = 20_000;
 
-/// How often the router looks over the state that it may forget.
+/// Interval of the removal of unused state.
 const CLEANUP_INTERVAL: Micros = SECOND;
 
-/// How often the timer runs while nothing is waiting.
+/// Timer interval while no request is open.
 const IDLE_TIMER_INTERVAL: Micros = SECOND;
 
-/// Idle lives after its last call that a function is remembered: its instances are unloaded long before.
-const FORGET_AFTER_IDLE_LIVES: Micros = 4;
+/// State of a function that has had no calls for this many idle timeouts is removed; its instances are unloaded long
+/// before.
+const FORGET_AFTER_IDLE_TIMEOUTS: Micros = 4;
 
-/// The decisions of one front end. See the example of the crate. The default knows nothing and has the default
-/// settings.
+/// Routes the calls of one front end. The crate documentation has an example. `Router::default()` has the default
+/// settings and knows no workers.
 #[derive(Default)]
 pub struct Router {
     settings: Settings,
     seed: u64,
     started_at: Time,
-    /// Counts changes of the list of workers and of the settings.
+    /// Incremented at each change of the worker list or the settings.
     configuration_revision: u64,
 
     workers: BTreeMap<WorkerId, Worker>,
     functions: BTreeMap<FunctionId, Function>,
     requests: BTreeMap<RequestId, Request>,
-    /// Functions with calls in their queues.
+    /// Functions whose queues are not empty.
     functions_waiting: BTreeSet<FunctionId>,
-    /// Requests that are owed an answer and are not streaming.
+    /// Requests that are neither answered nor streaming, by deadline.
     deadlines: BTreeSet<(Time, RequestId)>,
     loads: LoadState,
-    /// When the requests within the period of the load budget arrived.
+    /// Arrival times of the requests in the current period of the load budget.
     recent_arrivals: VecDeque<Time>,
 
-    total_share: f64,
-    largest_share: f64,
+    total_size: f64,
+    largest_size: f64,
     ready_count: f64,
     list_requested_at: Time,
 
-    /// Low estimates of what calls of each class take in a warm lane, microseconds.
+    /// Service time of each class in a warm lane, in microseconds, as a low estimate.
     class_service_times: BTreeMap<usize, f64>,
     answer_times: LatencyEstimate,
-    /// Service times over those expected, by kind of worker and for all kinds.
+    /// Observed over expected service time, for each kind of worker and for all kinds together.
     kind_ratios: BTreeMap<usize, ServiceTimeRatio>,
-    /// No more than the slowness of any worker.
+    /// A lower bound of the slowness of every worker.
     lowest_slowness: f64,
-    /// Work of calls served, over the total share of the workers at that time.
+    /// Work of served calls, divided by the total size of the workers when they were served.
     recent_work: DecayingSum,
-    /// Shares of their cores that answering workers report as busy.
-    busy_cores: DecayingMean,
+    /// Core utilization that workers report with their answers.
+    core_utilization: DecayingMean,
 
     next_check: Time,
     next_cleanup: Time,
     next_probe: Time,
-    /// Where the next check starts among the functions with queued calls.
+    /// Index of the function with which the next check starts.
     check_offset: usize,
     timer_at: Option<Time>,
 }
 
 impl Router {
-    /// A router that knows nothing yet. The seed is for its random numbers.
+    /// Creates a router without workers. `seed` seeds its random numbers.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Router, InvalidSettings> {
         let mut router = Router {
             seed,
@@ -109,7 +111,7 @@
         Ok(router)
     }
 
-    /// Replaces the settings; what was learned stays. Classes of open requests must keep their indexes.
+    /// Replaces the settings and keeps all learned state. The classes of open requests must keep their indexes.
     pub fn update_settings(&mut self, settings: Settings) -> Result<(), InvalidSettings> {
         let classes_in_use = self.requests.values().map(|request| request.class);
         let last_class = classes_in_use.max().unwrap_or(0);
@@ -118,21 +120,23 @@
             || settings.max_attempts == 0
         {
             return Err(InvalidSettings(
-                "no class of requests, no front end or no attempt".into(),
+                "no classes, too few for the open requests, no front ends or no attempts".into(),
             ));
         }
         let mut classes = settings.classes.iter();
         if classes.any(|class| class.latency_objective <= 0 || class.deadline <= 0) {
-            return Err(InvalidSettings("an aim or deadline not above zero".into()));
+            return Err(InvalidSettings(
+                "a latency objective or deadline is not above zero".into(),
+            ));
         }
         self.settings = settings;
         self.configuration_revision += 1;
         Ok(())
     }
 
-    /// Takes one event and adds to `actions` what is to be done, in order.
+    /// Handles one event and appends the resulting actions to `actions`, in the order in which to carry them out.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        self.excuse_silence_after_stall(now);
+        self.reset_silence_after_stall(now);
         self.on_event(now, event, actions);
         self.answer_overdue(now, actions);
         if now >= self.next_check {
@@ -172,7 +176,7 @@
         }
     }
 
-    /// What is due at every check, whether a timer or another event came first.
+    /// Periodic work; runs when a check is due, whichever event comes then.
     fn on_timer(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.update_lowest_slowness();
         if now >= self.next_cleanup {
@@ -184,7 +188,7 @@
         self.check_queues(now, actions);
     }
 
-    /// Asks for a timer at the next check, unless one that is set comes no later.
+    /// Requests a timer for the next check, unless a pending timer fires no later.
     fn set_timer(&mut self, now: Time, actions: &mut Vec<Action>) {
         let idle = self.functions_waiting.is_empty() && self.requests.is_empty();
         let at = if idle {
@@ -206,12 +210,12 @@
         }
     }
 
-    /// Forgets functions, instances and workers that have been unused for long: functions that are called only
-    /// once would fill the memory otherwise.
+    /// Removes functions, instances and workers that have been unused for long, so that functions that are called
+    /// only once do not accumulate.
     fn forget_unused(&mut self, now: Time) {
         let idle_timeout = self.settings.idle_timeout;
-        let idle_lives = idle_timeout.saturating_mul(FORGET_AFTER_IDLE_LIVES);
-        let forget_after = idle_lives.max(self.settings.load_timeout);
+        let idle_period = idle_timeout.saturating_mul(FORGET_AFTER_IDLE_TIMEOUTS);
+        let forget_after = idle_period.max(self.settings.load_timeout);
         let instance_in_use = |instance: &Instance| {
             instance.in_flight > 0
                 || instance.load_requested.is_some()
--- a/src/router/queue.rs
+++ b/src/router/queue.rs
@@ -1,15 +1,15 @@
-//! Calls that wait: their order, their deadlines, and the shedding of those that are too late.
+//! Queues of waiting calls: their order, their deadlines, and the shedding of late calls.
 
 use super::instances::Function;
 use super::{Router, CHECK_INTERVAL};
 use crate::{Action, FunctionId, Micros, RequestId, Time};
 use std::ops::Bound::Excluded;
 
-/// Functions whose queues one check serves at most.
+/// Maximum number of functions whose queues are served by one check.
 const FUNCTIONS_PER_CHECK: usize = 128;
 
-/// The place of a call in the queue of its function: those that can meet their objective first, then by when it
-/// ends.
+/// The position of a call in the queue of its function: calls that can still meet their objective first, then by the
+/// end of the objective.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueueKey {
     late: bool,
@@ -18,20 +18,20 @@
 }
 
 impl QueueKey {
-    /// Not after any key.
+    /// Sorts before or equal to every key.
     const FIRST: QueueKey = QueueKey {
         late: false,
         objective_at: Time(i64::MIN),
         request: RequestId(0),
     };
 
-    /// Not after any key of a late call.
+    /// Sorts before or equal to every key of a late call.
     const FIRST_LATE: QueueKey = QueueKey {
         late: true,
         ..QueueKey::FIRST
     };
 
-    /// The least key after this one.
+    /// Returns the smallest key after this one.
     fn next(self) -> QueueKey {
         QueueKey {
             request: RequestId(self.request.0.saturating_add(1)),
@@ -40,20 +40,21 @@
     }
 }
 
-/// Whether a moment is past once `remaining` more microseconds have gone by.
-fn is_past(moment: Time, remaining: f64, now: Time) -> bool {
-    now.since(moment) as f64 + remaining > 0.0
+/// Whether something that takes `remaining` more microseconds ends after `limit`.
+fn will_miss(limit: Time, remaining: f64, now: Time) -> bool {
+    now.since(limit) as f64 + remaining > 0.0
 }
 
 impl Router {
-    /// Answers the requests whose time is up.
+    /// Answers the requests whose deadline has passed or is about to.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason (rule 1): what can't be held until the next check is answered at once, also what comes with no
-    /// time left, as after a stall of this process. A pending attempt may answer until the very end.
+    /// Every call must be answered by its deadline. A call without a pending attempt is answered at once if its
+    /// deadline comes before the next check, for example when it arrives with no time left after a stall of this
+    /// process. A pending attempt may still be answered until the deadline.
     ///
-    /// Harm: a call is refused some milliseconds early.
+    /// Trade-off: such a call is refused a few milliseconds early.
     pub(super) fn answer_overdue(&mut self, now: Time, actions: &mut Vec<Action>) {
         let before_next_check = now.plus(2 * self.settings.tick + CHECK_INTERVAL);
         let due = self
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Takes a request out of the queue of its function, if it waits there.
+    /// Removes a request from the queue of its function, if it is queued.
     pub(super) fn dequeue(&mut self, request_id: RequestId) {
         let Some(request) = self.requests.get_mut(&request_id) else {
             return;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Puts a request into the queue of its function, behind the calls in time if it is late.
+    /// Queues a request at its function, behind the calls that can meet their objective if it cannot.
     pub(super) fn enqueue(&mut self, request_id: RequestId, now: Time) {
         self.dequeue(request_id);
         let Some(request) = self.requests.get(&request_id) else {
@@ -116,7 +117,7 @@
         self.functions_waiting.insert(request.function);
     }
 
-    /// Sends the calls in the queue of a function as far as its instances go, and loads where they do not.
+    /// Sends the queued calls of a function to free instances and requests loads for the others.
     pub(super) fn dispatch_queue(
         &mut self,
         now: Time,
@@ -135,7 +136,7 @@
                 any_sent = true;
             } else {
                 self.load_more(now, Some(key.request), function_id, actions);
-                // The next call may go where a further attempt may not; where a first one can't, none can.
+                // A later call may be allowed where a retry is not; if a first attempt cannot be sent, none can.
                 if first_attempt {
                     return;
                 }
@@ -147,13 +148,14 @@
         }
     }
 
-    /// The first queued call of a function from a key on.
+    /// Returns the first queued call of a function at or after a key.
     fn queued_from(&self, function_id: FunctionId, from: QueueKey) -> Option<QueueKey> {
         let function = self.functions.get(&function_id)?;
         function.queue.range(from..).next().copied()
     }
 
-    /// Looks over the queues: answers the calls that are too late, moves late ones back, and serves the rest.
+    /// Checks all queues: answers the calls that cannot be served in time, moves late ones back, and serves the
+    /// others.
     pub(super) fn check_queues(&mut self, now: Time, actions: &mut Vec<Action>) {
         let contended = self.timely_calls_wait_for_lane(now);
         let waiting: Vec<FunctionId> = self.functions_waiting.iter().copied().collect();
@@ -165,7 +167,7 @@
         self.dispatch_waiting(now, actions);
     }
 
-    /// Whether a call that can be in time waits for a lane of a loaded instance, not for a load.
+    /// Whether any call that can meet its objective waits for a lane of a loaded instance, rather than for a load.
     fn timely_calls_wait_for_lane(&self, now: Time) -> bool {
         let mut functions = self
             .functions_waiting
@@ -179,14 +181,14 @@
         })
     }
 
-    /// Answers a queued call that can't be served any more, or moves it back if it has become late.
+    /// Answers a queued call that cannot be served any more, or moves it back if it has become late.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: while calls that can be in time wait for a lane, late ones are refused, as they would make the
-    /// next ones late too.
+    /// While calls that can meet their objective wait for a lane, calls that are likely to be late are refused, as
+    /// they would make the next ones late too.
     ///
-    /// Harm: the small value of their answers is lost.
+    /// Trade-off: the reduced value of a late answer is lost.
     fn check_queued_call(
         &mut self,
         now: Time,
@@ -198,12 +200,12 @@
             return;
         };
         let expected = self.expected_service(request).time;
-        let late = is_past(request.objective_at, expected, now);
-        let unservable = is_past(request.deadline, expected, now)
+        let late = will_miss(request.objective_at, expected, now);
+        let unservable = will_miss(request.deadline, expected, now)
             || late && self.settings.classes[request.class].late_weight <= 0.0
             || !self.may_attempt_again(request, None, now);
         let usual = expected.max(self.usual_answer_time());
-        let likely_late = is_past(request.objective_at, usual, now);
+        let likely_late = will_miss(request.objective_at, usual, now);
         if unservable || likely_late && contended {
             self.answer_unserved(key.request, actions);
         } else if late && !key.late {
@@ -211,14 +213,14 @@
         }
     }
 
-    /// Serves the functions with queued calls, those with the most urgent call first.
+    /// Serves the functions with queued calls, in the order of their most urgent calls.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: one check serves a limited number of functions, in turns. With very many it would last until
-    /// after the next is due, and nothing else would be done.
+    /// One check serves a limited number of functions, and the next check continues after them. With very many
+    /// functions a check would otherwise take longer than the check interval.
     ///
-    /// Harm: some are served later.
+    /// Trade-off: some functions are served later.
     fn dispatch_waiting(&mut self, now: Time, actions: &mut Vec<Action>) {
         let first_calls = self.functions_waiting.iter().filter_map(|function_id| {
             let function = self.functions.get(function_id)?;
@@ -239,8 +241,9 @@
         }
     }
 
-    /// The queued calls of a function that may be late, too late or barred from a further attempt by now, in
-    /// their order. A first attempt whose objective is further off than any answer takes is none of these.
+    /// Returns the queued calls of a function, in their order, that may by now be late, be past their deadline or
+    /// have lost their right to a retry. A first attempt whose objective ends later than any answer takes cannot be
+    /// one of them.
     fn calls_to_check(&self, function_id: FunctionId, now: Time) -> Vec<QueueKey> {
         let Some(function) = self.functions.get(&function_id) else {
             return Vec::new();
@@ -258,7 +261,7 @@
         keys
     }
 
-    /// An upper bound of what a queued call of a function is expected to take.
+    /// Returns an upper bound of the expected service time of the queued calls of a function.
     fn longest_service(&self, function: &Function) -> f64 {
         let classes = 0..self.settings.classes.len();
         let slowest_class = classes
--- a/src/router/request.rs
+++ b/src/router/request.rs
@@ -1,4 +1,4 @@
-//! Client requests, from their arrival to their final answer.
+//! Client requests, from arrival to final answer.
 
 use super::estimate::SMOOTHING;
 use super::instances::Function;
@@ -8,21 +8,21 @@
 
 /// One attempt of a request at a worker.
 pub(super) struct Attempt {
-    /// The worker as the list described it when the attempt was sent.
+    /// The list entry of the worker when the attempt was sent.
     pub(super) worker: WorkerEntry,
     pub(super) sent_at: Time,
-    /// Whether it may have run; none while it is pending.
+    /// Whether the ended attempt may have run; `None` while it is pending.
     pub(super) ended_may_have_run: Option<bool>,
 }
 
 impl Attempt {
-    /// Whether the call may have run, or may yet run.
+    /// Whether the call may have run or may still run.
     pub(super) fn may_have_run(&self) -> bool {
         self.ended_may_have_run != Some(false)
     }
 }
 
-/// A request that is owed an answer, or one with an attempt pending.
+/// A request that is waiting for its answer or has a pending attempt.
 #[derive(Default)]
 pub(super) struct Request {
     pub(super) class: usize,
@@ -35,7 +35,7 @@
     pub(super) attempts: Vec<Attempt>,
     pub(super) streaming: bool,
     pub(super) concluded: bool,
-    /// Its entry in the queue of its function, if it waits there.
+    /// Its key in the queue of its function, if it is queued.
     pub(super) queue_key: Option<QueueKey>,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Router {
-    /// Takes in a request, queues it and serves the queue.
+    /// Queues a new request and dispatches its queue.
     pub(super) fn on_arrival(&mut self, now: Time, arrival: Arrival, actions: &mut Vec<Action>) {
         if self.requests.contains_key(&arrival.request) {
             return;
@@ -76,7 +76,7 @@
         self.dispatch_queue(now, arrival.function, actions);
     }
 
-    /// When the latency objective of a request that arrives now ends.
+    /// Returns when the latency objective of a request that arrives now ends.
     fn objective_end(&self, now: Time, class: usize, work_hint: Option<Micros>) -> Time {
         let class = &self.settings.classes[class];
         let stretch = (class.objective_per_work * work_hint.unwrap_or(0) as f64) as Micros;
@@ -88,7 +88,7 @@
         )
     }
 
-    /// An answer has begun to stream: the client's deadline no longer applies to it.
+    /// Marks a request as streaming; its deadline no longer applies.
     pub(super) fn on_stream_start(&mut self, request_id: RequestId) {
         if let Some(request) = self.requests.get_mut(&request_id) {
             request.streaming = true;
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Gives a request that was not served its final answer: refused where that is true, else failed.
+    /// Sends the final answer of a request that was not served: rejected if the client may safely repeat it, failed
+    /// otherwise.
     pub(super) fn answer_unserved(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&request_id) else {
             return;
@@ -117,7 +118,7 @@
         self.close_request(request_id);
     }
 
-    /// Nothing more is owed to a request; it is forgotten once no attempt is pending.
+    /// Marks a request as concluded, and removes it unless an attempt is pending.
     pub(super) fn close_request(&mut self, request_id: RequestId) {
         self.dequeue(request_id);
         if let Some(request) = self.requests.get_mut(&request_id) {
@@ -131,7 +132,7 @@
 }
 
 impl Function {
-    /// Learns from the arrival of one of its calls.
+    /// Updates the function from the arrival of one of its calls.
     fn on_arrival(
         &mut self,
         now: Time,
@@ -141,7 +142,7 @@
         rate_window: f64,
     ) {
         self.lanes = arrival.lanes.max(1);
-        self.stated_load_time = arrival.load_time.filter(|time| *time > 0);
+        self.load_time_hint = arrival.load_time.filter(|time| *time > 0);
         self.class = class;
         self.recent_calls.add(now, 1.0, rate_window);
         if let Some(hint) = work_hint {
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -1,24 +1,24 @@
-//! The mechanism: which warm instance serves a call, and which workers a function belongs on.
+//! The base algorithm: which warm instance serves a call, and which workers are preferred for a function.
 
 use super::instances::{AffinityOrder, Function, Instance};
-use super::random::{mix, rendezvous};
+use super::random::{mix_bits, rendezvous_score};
 use super::request::Request;
 use super::workers::Worker;
 use super::Router;
 use crate::{Effect, FunctionId, Micros, Time, WorkerId};
 
-/// A load that was asked for counts as an instance for so many times the expected time of a load, and an instance
-/// that was missed is not presumed to be there for as long.
+/// For this many expected load times, a requested load counts as an instance, and a missed instance is not presumed
+/// to be loaded.
 const LOAD_TIME_MARGIN: Micros = 3;
 
-/// Attempts that a call must have left, this one included, to be sent where an instance is only presumed.
+/// Attempts that a call must have left, including this one, to be sent to an instance that is only presumed.
 const ATTEMPTS_FOR_PRESUMPTION: usize = 2;
 
-/// Covers rounding in the bound that ends the search for preferred workers.
+/// Covers rounding errors in the bound that ends the search for preferred workers.
 const ROUNDING_MARGIN: f64 = 1.000_001;
 
-/// How long a candidate has not been used. The most idle one is selected: of those never used, if there are any,
-/// the one with the highest affinity.
+/// How long a candidate has been idle. The most idle candidate is selected; one that was never used precedes the
+/// others, the one with the highest affinity first.
 #[derive(Clone, Copy)]
 struct Idleness {
     never_used: bool,
@@ -32,20 +32,20 @@
     }
 }
 
-/// What a function needs at one moment.
+/// The inputs of the selection for one function at one time.
 struct Demand<'a> {
     function_id: FunctionId,
     function: &'a Function,
     now: Time,
-    /// How many workers may have it loaded.
+    /// Maximum number of workers that may have it loaded.
     cap: usize,
     load_time: Micros,
-    /// What one of its calls counts for at a worker in slow start.
+    /// Weight of one of its calls against the slow start credit of a worker.
     call_weight: f64,
 }
 
 impl Demand<'_> {
-    /// Whether a load was asked for and may still be in progress.
+    /// Whether a load was requested and may still be in progress.
     fn is_loading(&self, instance: &Instance) -> bool {
         let requested = instance.load_requested;
         requested.is_some_and(|at| self.now.since(at) < LOAD_TIME_MARGIN * self.load_time)
@@ -53,22 +53,25 @@
 }
 
 impl Router {
-    /// How much a function belongs at a worker: the same at every front end.
+    /// Returns the affinity of a function to a worker. It is the same at all front ends.
     fn affinity(&self, function_id: FunctionId, worker: &Worker) -> f64 {
-        rendezvous(
+        rendezvous_score(
             function_id,
             worker.entry.worker,
             self.capacity_weight(worker),
         )
     }
 
-    /// The same with an order of this front end's own, so that siblings begin at different workers.
+    /// Returns the affinity in an order specific to this front end, so that front ends start with different workers.
     pub(super) fn own_affinity(&self, function_id: FunctionId, worker: &Worker) -> f64 {
-        let salted = FunctionId(mix(function_id.0 ^ self.settings.front_end_index as u64));
+        let salted = FunctionId(mix_bits(
+            function_id.0 ^ self.settings.front_end_index as u64,
+        ));
         self.affinity(salted, worker)
     }
 
-    /// What every send has to pass: rules 1 and 2, and the room and health of the worker.
+    /// Whether a request may be sent to a worker. Every send requires this: an answer is owed, no attempt is pending,
+    /// another attempt is allowed, and the worker is healthy and has capacity.
     pub(super) fn may_send(&self, request: &Request, worker: &Worker, now: Time) -> bool {
         let owed = !request.concluded
             && !request.streaming
@@ -83,10 +86,9 @@
             && self.may_attempt_again(request, Some(&worker.entry), now)
     }
 
-    /// The mechanism: the least recently used of the warm instances with a free lane, so that the idle time of
-    /// each instance is renewed (the LCS rule as rebuilt by Sachan and Somdev, 2025; see `docs/design.md`). A call
-    /// that is about to miss its objective waits like any other: sent on to the queue of a worker, it made others
-    /// late too.
+    /// Selects the least recently used warm instance with a free lane, which renews the idle timeout of all instances
+    /// in turn (LCS, as described by Sachan and Somdev, 2025; see `docs/design.md`). A call that is about to miss its
+    /// objective also waits for a free lane: in the queue of a worker it would delay other calls.
     pub(super) fn select_worker(&self, request: &Request, now: Time) -> Option<WorkerId> {
         let function = self.functions.get(&request.function)?;
         let free = self
@@ -130,14 +132,14 @@
         }
     }
 
-    /// The workers where an instance is presumed though this front end has not seen it.
+    /// Returns the workers where an instance is presumed although this front end has not seen it.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: what belongs on a preferred worker is presumed to be kept there by the siblings until an answer
-    /// says otherwise. Asking first would cost a probe of each front end for each function.
+    /// An instance on a preferred worker is presumed to be kept loaded by other front ends until an answer says
+    /// otherwise. Querying it first would cost one request per front end and function.
     ///
-    /// Harm: a call that is not served there has lost one attempt and the time of the way.
+    /// Trade-off: a call that misses loses one attempt and a round trip.
     fn presumed_instances(
         &self,
         request: &Request,
@@ -160,13 +162,13 @@
         presumed
     }
 
-    /// The preferred workers where a function with fewer instances than its cap has none; `fewer` as for
-    /// [`Router::instance_cap`].
+    /// Returns the preferred workers without an instance of a function that has fewer instances than
+    /// [`Router::instance_cap`] allows, with the given `discount`.
     pub(super) fn missing_instances(
         &self,
         function_id: FunctionId,
         now: Time,
-        fewer: f64,
+        discount: f64,
         is_eligible: impl Fn(&Worker) -> bool,
     ) -> Vec<WorkerId> {
         let Some(function) = self.functions.get(&function_id) else {
@@ -176,7 +178,7 @@
             function_id,
             function,
             now,
-            cap: self.instance_cap(function, now, fewer),
+            cap: self.instance_cap(function, now, discount),
             load_time: self.expected_load_time(function),
             call_weight: self.service_time(function.class),
         };
@@ -211,9 +213,9 @@
         })
     }
 
-    /// Whether a worker may be named as one where an instance is or could be.
+    /// Whether a worker can be returned as one that has, or could load, an instance.
     fn may_host(&self, demand: &Demand, worker: &Worker) -> bool {
-        let spoiled = |instance: &Instance| {
+        let unusable = |instance: &Instance| {
             let load_overdue = instance.load_requested.is_some()
                 && !self.is_warm(worker, instance, demand.now)
                 && !demand.is_loading(instance);
@@ -222,26 +224,26 @@
         let instance = demand.function.instances.get(&worker.entry.worker);
         (!worker.suspect || worker.trial_allowed)
             && self.counts_in_slow_start(demand, worker)
-            && !instance.is_some_and(spoiled)
+            && !instance.is_some_and(unusable)
     }
 
     /// Whether a worker in slow start could be sent a call of this function.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: calls waited for the credit of a starting worker that came once in seconds. Where siblings'
-    /// instances are found by the call itself, a worker whose credit is under a call neither counts as having
-    /// an instance nor is named for one.
+    /// Applies where calls find instances loaded by other front ends. A worker whose slow start credit is less than
+    /// one call neither counts as having an instance nor is returned as a candidate; calls would otherwise wait
+    /// seconds for its credit.
     ///
-    /// Harm: its instances are loaded again elsewhere.
+    /// Trade-off: its instances are loaded again at other workers.
     fn counts_in_slow_start(&self, demand: &Demand, worker: &Worker) -> bool {
         !self.siblings_may_have_loaded()
             || self.has_slow_start_credit(worker, demand.call_weight, demand.now)
     }
 
-    /// The workers with the highest affinities to a function among those that may host it, as many as its cap.
-    /// The weights of most workers are little over one, so that the order without weights ends the search early;
-    /// the result is the same as that of a full search.
+    /// Returns the workers with the highest affinities to a function among those that may host it, up to its cap. The
+    /// order without weights bounds the remaining affinities, so the search ends early with the result of a full
+    /// search.
     fn preferred_workers(
         &self,
         demand: &Demand,
@@ -249,7 +251,7 @@
     ) -> Vec<WorkerId> {
         let mut order = demand.function.affinity_order.borrow_mut();
         self.refresh_affinity_order(demand.function_id, &mut order);
-        let largest_weight = self.largest_share / self.lowest_slowness * ROUNDING_MARGIN;
+        let largest_weight = self.largest_size / self.lowest_slowness * ROUNDING_MARGIN;
         let mut preferred: Vec<(f64, WorkerId)> = Vec::new();
         for &(unweighted, worker_id) in &order.workers {
             let bound = unweighted * largest_weight;
@@ -271,14 +273,14 @@
         preferred.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Ranks the ready workers anew if the list or the settings have changed since the last time.
+    /// Recomputes the order of the ready workers if the list or the settings have changed.
     fn refresh_affinity_order(&self, function_id: FunctionId, order: &mut AffinityOrder) {
         if order.revision == self.configuration_revision {
             return;
         }
         let ranked = self
             .ready_workers()
-            .map(|(id, _)| (rendezvous(function_id, *id, 1.0), *id));
+            .map(|(id, _)| (rendezvous_score(function_id, *id, 1.0), *id));
         order.revision = self.configuration_revision;
         order.workers = ranked.collect();
         order
--- a/src/router/workers.rs
+++ b/src/router/workers.rs
@@ -1,55 +1,55 @@
-//! The workers: what is known of each, the list of them, and the slow start of those that started lately.
+//! Worker state, updates of the worker list, and the slow start of recently started workers.
 
-use super::concurrency::{IDLE_CORE_SHARE, INITIAL_LIMIT};
+use super::concurrency::{IDLE_UTILIZATION, INITIAL_LIMIT};
 use super::estimate::{DecayingSum, ServiceTimeRatio, ALL_KINDS};
 use super::loading::LOADS_PER_WORKER;
-use super::random::mix;
+use super::random::mix_bits;
 use super::Router;
 use crate::{ListKind, Micros, RequestId, Time, WorkerEntry, WorkerId, WorkerState};
 use std::collections::BTreeSet;
 
-/// The part of the multiple that a starting worker bears that is used. Credit that was saved and credit that is
-/// new together never pass the multiple.
+/// Divisor of the overload multiple in slow start. Saved and newly earned credit can be spent within one overload
+/// window; with this margin their sum stays within the multiple.
 const SLOW_START_MARGIN: f64 = 2.0;
 
-/// What is known of a worker.
+/// State of one worker.
 #[derive(Default)]
 pub(super) struct Worker {
     pub(super) entry: WorkerEntry,
-    /// When the list first said that it is draining or gone, while it does.
+    /// When the list first reported it as draining or gone; `None` while it is ready.
     pub(super) left_at: Option<Time>,
 
     /// Attempts that have not ended.
     pub(super) in_flight: usize,
-    /// Those whose answers are still waited for: without those that were cancelled.
+    /// Attempts whose answers are awaited: those in flight that were not cancelled.
     pub(super) unanswered: BTreeSet<(Time, RequestId)>,
     pub(super) concurrency_limit: f64,
     pub(super) limit_cut_at: Time,
     pub(super) last_send: Option<Time>,
     pub(super) recent_sends: DecayingSum,
     pub(super) last_answer: Time,
-    /// Its service times over those expected.
+    /// Observed over expected service time.
     pub(super) service_ratio: ServiceTimeRatio,
 
-    /// Work that it may be sent in slow start, microseconds, as of `credit_updated_at`.
+    /// Slow start credit as of `credit_updated_at`: the work that it may still be sent, in microseconds.
     pub(super) slow_start_credit: f64,
     pub(super) credit_updated_at: Time,
 
     pub(super) suspect: bool,
     pub(super) suspect_since: Time,
-    /// Suspect for its silence, not only for a lost connection.
+    /// Suspect because of silence, not only because of a lost connection.
     pub(super) unresponsive: bool,
     pub(super) next_probe: Time,
     pub(super) probe_interval: Micros,
-    /// A suspect whose process answers may get one safe call or one load.
+    /// This suspect may get one safe call or one load as a trial.
     pub(super) trial_allowed: bool,
 
-    /// The last load there left no instance.
+    /// The last load at this worker left no instance loaded.
     pub(super) last_load_ineffective: bool,
 }
 
 impl Worker {
-    /// A worker whose process is new, with what the former process was sent.
+    /// Returns the state of a worker after its process restarted. Attempts sent to the previous process stay counted.
     fn restarted(former: Worker, now: Time) -> Worker {
         Worker {
             entry: former.entry,
@@ -63,23 +63,23 @@
         }
     }
 
-    /// Whether it may get new work at all: every send and every load has to pass this, trials aside.
+    /// Whether it may get new work. Every send and load requires this, except trials of suspects.
     pub(super) fn accepts_work(&self) -> bool {
         self.entry.state == WorkerState::Ready && !self.suspect
     }
 
-    /// Whether it is a suspect that may get a trial.
+    /// Whether it is a suspect that may get a trial call or load.
     pub(super) fn allows_trial(&self) -> bool {
         self.entry.state == WorkerState::Ready && self.suspect && self.trial_allowed
     }
 }
 
 impl Router {
-    /// Takes in a list of workers, or the changes of one.
+    /// Applies a worker list or changes of it.
     pub(super) fn on_worker_list(&mut self, now: Time, kind: ListKind, entries: Vec<WorkerEntry>) {
         match kind {
             ListKind::Failed => {
-                // Asked for again soon.
+                // Brings the next request for the list forward.
                 let earlier = -self.settings.max_list_poll_interval / 4;
                 self.list_requested_at = self.list_requested_at.plus(earlier);
                 return;
@@ -120,15 +120,16 @@
         };
         worker.entry = entry;
         if !same_process {
-            self.lift_load_backoff(now, worker_id);
+            self.reset_load_backoff(now, worker_id);
             worker = Worker::restarted(worker, now);
             worker.slow_start_credit = self.initial_credit(&worker, now);
         }
         self.workers.insert(worker_id, worker);
     }
 
-    /// A restart voids what was believed of the process before it, good ([`Router::is_warm`]) or bad.
-    fn lift_load_backoff(&mut self, now: Time, worker_id: WorkerId) {
+    /// A restarted process has none of the instances of its predecessor ([`Router::is_warm`]); the load backoff that
+    /// it earned is reset as well.
+    fn reset_load_backoff(&mut self, now: Time, worker_id: WorkerId) {
         for function in self.functions.values_mut() {
             let Some(instance) = function.instances.get_mut(&worker_id) else {
                 continue;
@@ -140,17 +141,17 @@
         }
     }
 
-    /// The totals over ready workers, and what was derived from the list before.
+    /// Updates the totals over ready workers and what is derived from them.
     fn update_fleet_size(&mut self) {
-        let shares = || {
+        let sizes = || {
             self.ready_workers()
                 .map(|(_, worker)| worker.entry.relative_size)
         };
-        let total_share = shares().sum();
-        let largest_share = shares().fold(0.0, f64::max);
+        let total_size = sizes().sum();
+        let largest_size = sizes().fold(0.0, f64::max);
         let ready_count = self.ready_workers().count() as f64;
-        self.total_share = total_share;
-        self.largest_share = largest_share;
+        self.total_size = total_size;
+        self.largest_size = largest_size;
         self.ready_count = ready_count;
         self.configuration_revision += 1;
         if self.loads.window == 0.0 {
@@ -165,16 +166,18 @@
             .filter(|(_, worker)| worker.entry.state == WorkerState::Ready)
     }
 
-    /// The work per microsecond that a worker in slow start may be sent; none if it is not in slow start.
+    /// Returns the work per microsecond that a worker in slow start may be sent; `None` if it is not in slow start.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason (rule 4): a worker that started lately is sent no more than this front end's share of half the
-    /// multiple of its present capacity, as a credit that grows with time. Its full capacity is what one of its
-    /// size and kind could carry, at least one core: what is carried, over how busy the workers report to be.
-    /// Where the credit is less than a call, front ends begin at different parts of one by their numbers.
+    /// A worker that started recently fails if all front ends together send it more than the overload multiple of its
+    /// present capacity. This front end sends it no more than its share of half that multiple, as a credit that grows
+    /// with time. The full capacity of the worker is estimated from workers of its size and kind, as the work that
+    /// they serve divided by their utilization, and is at least one core. Where the credit is less than one call,
+    /// front ends start with different fractions of a call so that they do not all send at once.
     ///
-    /// Harm: it warms up more slowly. Wrong reports of busy cores change it by up to twice.
+    /// Trade-off: the worker warms up more slowly. Wrong utilization reports change the rate by up to a factor of
+    /// two.
     fn slow_start_rate(&self, worker: &Worker, now: Time) -> Option<f64> {
         let settings = &self.settings;
         let age = now.since(worker.entry.started?);
@@ -184,7 +187,10 @@
         let progress = (age - settings.overload_window).max(0) as f64
             / settings.slow_start_window.max(1) as f64;
         let warm_part = settings.slow_start_from + (1.0 - settings.slow_start_from) * progress;
-        let busy = self.busy_cores.mean_or_one().clamp(IDLE_CORE_SHARE, 1.0);
+        let busy = self
+            .core_utilization
+            .mean_or_one()
+            .clamp(IDLE_UTILIZATION, 1.0);
         let carried = self.recent_work.sum / self.observed_window(now) / busy;
         let kind_slowness = self.kind_slowness(worker.entry.kind);
         let relative_slowness = (kind_slowness / self.kind_slowness(ALL_KINDS)).max(1.0);
@@ -193,14 +199,13 @@
         Some(settings.overload_multiple * warm_part * capacity.max(one_core) / SLOW_START_MARGIN)
     }
 
-    /// The slow start credit of a worker now, for a call of this weight; none if it is not in slow start.
+    /// Returns the present slow start credit of a worker, for calls of this weight; `None` if it is not in slow
+    /// start.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: credit grows by the rate at the middle of the time since it was last updated. By the present,
-    /// higher rate a front end that has sent nothing for long would count it back to the start.
-    ///
-    /// Harm: none seen.
+    /// The credit since its last update grows at the rate at the middle of that time. At the present, higher rate, a
+    /// front end that has not sent anything for long would get too much.
     pub(super) fn slow_start_credit(
         &self,
         worker: &Worker,
@@ -214,7 +219,7 @@
         Some((worker.slow_start_credit + mean_rate * elapsed as f64).min(most))
     }
 
-    /// Whether a worker may be sent a call of this weight as far as slow start goes.
+    /// Whether slow start allows a call of this weight to be sent to the worker.
     pub(super) fn has_slow_start_credit(
         &self,
         worker: &Worker,
@@ -225,26 +230,26 @@
             .is_none_or(|credit| credit >= call_weight)
     }
 
-    /// The credit that a worker starts with: front ends begin at different parts of a call, in an order that
-    /// differs from worker to worker.
+    /// Returns the initial slow start credit of a worker. Front ends start with different fractions of a call, in an
+    /// order that differs between workers.
     fn initial_credit(&self, worker: &Worker, now: Time) -> f64 {
         let siblings = self.settings.front_ends as u64;
-        let offset = mix(worker.entry.worker.0) % siblings;
-        let turn = (offset + self.settings.front_end_index as u64 % siblings) % siblings;
-        let part_of_call = self.service_time(0) * turn as f64 / siblings as f64;
+        let offset = mix_bits(worker.entry.worker.0) % siblings;
+        let position = (offset + self.settings.front_end_index as u64 % siblings) % siblings;
+        let part_of_call = self.service_time(0) * position as f64 / siblings as f64;
         self.slow_start_rate(worker, now).map_or(0.0, |rate| {
             part_of_call.max(rate * self.settings.overload_window as f64)
         })
     }
 
-    /// The size of a worker as far as selection and affinity go.
+    /// Returns the size of a worker for selection and affinity.
     ///
-    /// # Departure from the mechanism
+    /// # Departure from the base algorithm
     ///
-    /// Reason: the listed size over how slowly it answers, as far as observed, else its kind. Workers that have
-    /// few cores, age or jam get less. With all alike it changes nothing.
+    /// The listed size is divided by the observed slowness of the worker, or of its kind while few answers are known,
+    /// so that workers that are slow for any reason get fewer calls. If all are equally fast, nothing changes.
     ///
-    /// Harm: chance in few answers.
+    /// Trade-off: with few answers, chance affects the weights.
     pub(super) fn capacity_weight(&self, worker: &Worker) -> f64 {
         let kind_slowness = self.kind_slowness(worker.entry.kind);
         worker.entry.relative_size / worker.service_ratio.slowness(kind_slowness)
