--- a/src/action.rs
+++ b/src/action.rs
@@ -1,9 +1,9 @@
-//! The actions that a router asks for.
+//! The actions that a router requests.
 
 use crate::id::{FunctionId, RequestId, WorkerId};
 use crate::time::{Micros, Time};
 
-/// Something that the caller has to do. Actions are carried out in the order given.
+/// An action for the caller to carry out. Actions are carried out in the order given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send the request to the worker, as its next attempt.
@@ -12,14 +12,14 @@
         request: RequestId,
         /// The worker to send it to.
         worker: WorkerId,
-        /// When to abandon the attempt; none: at the client's deadline.
+        /// When to abandon the attempt; `None` means the client's deadline.
         abandon_at: Option<Time>,
     },
-    /// Final answer: refused. The client may safely try again.
+    /// Final answer: refused. The client may safely retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client is advised to wait before it tries again; 0: no advice.
+        /// How long the client should wait before it retries; 0 means no advice.
         retry_after: Micros,
     },
     /// Final answer: failed. The request may have run.
@@ -34,12 +34,12 @@
         /// The number of the attempt.
         attempt: u32,
     },
-    /// Ask a worker for a report of its load.
+    /// Request a load report from a worker.
     Probe {
         /// The worker.
         worker: WorkerId,
     },
-    /// Have a worker keep at least so many instances loaded; 0 only asks how many there are.
+    /// Request a worker to keep at least this many instances loaded; 0 only queries how many there are.
     Load {
         /// The worker.
         worker: WorkerId,
@@ -48,22 +48,22 @@
         /// The number of instances.
         instances: u32,
     },
-    /// Have a worker unload idle instances.
+    /// Request a worker to unload idle instances.
     Unload {
         /// The worker.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
     },
-    /// Ask for an [`Event::Timer`](crate::Event::Timer).
+    /// Request an [`Event::Timer`](crate::Event::Timer).
     SetTimer {
         /// When the timer is due.
         at: Time,
         /// Returned with the event.
         token: u64,
     },
-    /// Ask once for the full list of workers.
+    /// Fetch the full list of workers once.
     FetchList,
-    /// Ask for the changes of the list from here on.
+    /// Subscribe to changes of the list of workers.
     Subscribe,
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,4 +1,4 @@
-//! The events that a router is given, and how the attempts, probes and loads it asked for ended.
+//! The events that a router handles, and the outcomes of attempts, probes and load requests.
 
 use crate::id::{FunctionId, RequestId, WorkerId};
 use crate::time::Micros;
@@ -7,7 +7,7 @@
 /// How an attempt, a probe or a load request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was served.
+    /// Served.
     Served,
     /// The worker returned an error; the attempt may have run.
     Error,
@@ -17,13 +17,13 @@
     TimedOut,
     /// No connection was made; the attempt never ran.
     ConnectFailed,
-    /// The connection broke; the attempt may have run.
+    /// The connection was lost; the attempt may have run.
     ConnectionLost,
     /// Cancelled by this front end; the attempt may have run.
     Cancelled,
-    /// It was not sent; the attempt never ran.
+    /// Not sent; the attempt never ran.
     NotSent,
-    /// The function is not loaded there and is not being loaded, or its load failed; the attempt never ran.
+    /// The function is neither loaded nor being loaded at the worker, or its load failed; the attempt never ran.
     NotLoaded,
 }
 
@@ -35,23 +35,23 @@
     }
 }
 
-/// What an answer says about the instance that served the call.
+/// What an answer reports about the instance that served the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum InstanceStatus {
-    /// Nothing.
+    /// The answer reports nothing.
     #[default]
     Unreported,
-    /// An instance was loaded already.
+    /// An instance was already loaded.
     Warm,
     /// The call started a load.
     StartedLoad,
-    /// The call waited for a load that had started before it.
+    /// The call waited for a load that was already in progress.
     AwaitedLoad,
     /// The load failed.
     LoadFailed,
 }
 
-/// A request that has come in.
+/// A new request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// Its identifier.
@@ -62,17 +62,17 @@
     pub class: usize,
     /// Its tenant: an index into [`Settings::tenants`](crate::Settings::tenants).
     pub tenant: usize,
-    /// Time left before the client gives up this try.
+    /// Time until the client gives up this try.
     pub budget: Micros,
-    /// The approximate time it takes on a standard core, if the client states it.
+    /// The approximate service time on a standard core, if the client states it.
     pub work_hint: Option<Micros>,
-    /// Calls that one instance runs at a time.
+    /// Number of calls that one instance runs at a time.
     pub lanes: u32,
     /// Memory of one instance, MB.
     pub memory_mb: f64,
-    /// The usual time of a load, roughly, if it is stated.
+    /// The approximate duration of a load, if stated.
     pub load_time: Option<Micros>,
-    /// Whether it is a client's own retry, where clients mark these.
+    /// Whether it is a retry by the client, where clients mark these.
     pub is_client_retry: bool,
 }
 
@@ -81,42 +81,42 @@
 pub struct AttemptResult {
     /// Its request.
     pub request: RequestId,
-    /// Its number: the attempts of a request count from 0 in the order they were sent.
+    /// The number of the attempt; attempts of a request are numbered from 0 in the order in which they were sent.
     pub attempt: u32,
     /// The worker it was sent to.
     pub worker: WorkerId,
     /// How it ended.
     pub outcome: Outcome,
-    /// The request has its final answer; nothing more is owed to the client.
+    /// The request has received its final answer.
     pub concluded: bool,
     /// Time since it was sent.
     pub latency: Micros,
-    /// What the answer says about the instance.
+    /// What the answer reports about the instance.
     pub instance_status: InstanceStatus,
-    /// Calls of the function at the worker when this one arrived there, if the worker states it.
+    /// Number of calls of the function at the worker when this one arrived, if the worker reports it.
     pub concurrency: Option<u32>,
-    /// The worker's load report, if one is attached.
+    /// The load report of the worker, if attached.
     pub report: Option<LoadReport>,
 }
 
-/// Something that happened and that the router has to know.
+/// An event that the router handles.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The list of workers.
     Workers {
-        /// How `entries` relate to the list so far.
+        /// How `entries` change the list.
         kind: ListKind,
         /// The entries.
         entries: Vec<WorkerEntry>,
     },
-    /// A request came in.
+    /// A request arrived.
     Arrival(Arrival),
     /// A timer is due.
     Timer {
-        /// As given in [`Action::SetTimer`](crate::Action::SetTimer).
+        /// The token given in [`Action::SetTimer`](crate::Action::SetTimer).
         token: u64,
     },
-    /// An answer began to stream; from here on the client receives it.
+    /// An answer started streaming to the client.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -125,7 +125,7 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptResult),
-    /// The client left, or its answer is overdue; nothing more is owed to it.
+    /// The client disconnected, or its answer is overdue. No answer is owed any more.
     ClientLeft {
         /// The request.
         request: RequestId,
@@ -138,12 +138,12 @@
         outcome: Outcome,
         /// Time since the probe was sent.
         latency: Micros,
-        /// The report, if one came.
+        /// The load report, if there is one.
         report: Option<LoadReport>,
     },
     /// A load request ended.
     LoadEnded {
-        /// The worker that was asked to load.
+        /// The worker to which the load request was sent.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
@@ -151,7 +151,7 @@
         outcome: Outcome,
         /// Time since the request was sent.
         latency: Micros,
-        /// Instances that are loaded there; 0 if the worker said nothing.
+        /// Number of instances loaded at the worker; 0 if it reported none.
         instances: u32,
     },
 }
--- a/src/router/health.rs
+++ b/src/router/health.rs
@@ -126,8 +126,8 @@
     }
 
     /// Returns the silence of a worker in usual answer times, summed over its pending calls: one long call proves
-    /// little, several unanswered ones prove more. A call counts for less the more attempts it
-    /// has had.
+    /// little, several unanswered ones prove more. A call counts for less the more
+    /// attempts it has had.
     ///
     /// # Departure from the base algorithm
     ///
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,8 +1,8 @@
-//! What a router is configured with: classes of requests, limits, and what its environment supports.
+//! Settings of a router: classes of requests, limits, and capabilities of its environment.
 
 use crate::time::{Micros, SECOND};
 
-/// The workers among which repeats of a keyed request are dropped.
+/// The group of workers that deduplicates keyed requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupGroup {
     /// Every worker.
@@ -16,53 +16,53 @@
 /// The effect of running a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// A repeat is harmless.
+    /// Repeats have no further effect.
     Safe,
-    /// A group of workers drops repeats for `window` after the first attempt that may have run was sent.
+    /// A group of workers drops repeats for `window`, counted from when the first attempt that may have run was sent.
     Keyed {
-        /// The workers that share knowledge of repeats.
+        /// The workers that drop repeats of each other's requests.
         group: DedupGroup,
         /// How long repeats are dropped.
         window: Micros,
     },
-    /// A repeat would act twice.
+    /// Each repeat has an effect.
     Unsafe,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// The latency objective: an answer up to here after arrival has its full value.
+    /// The latency objective: an answer has its full value until this long after arrival.
     pub latency_objective: Micros,
-    /// The objective grows by this multiple of the request's own work (0: it does not).
+    /// The objective increases by this multiple of the work hint of the request.
     pub objective_per_work: f64,
-    /// How long a client waits, over all its tries.
+    /// How long a client waits, including its own retries.
     pub deadline: Micros,
-    /// Whether repeats are allowed.
+    /// Whether a request may run more than once.
     pub effect: Effect,
     /// The value of an answer within the objective.
     pub priority_weight: f64,
-    /// The share of that value left to an answer after the objective.
+    /// The fraction of that value that an answer after the objective has.
     pub late_weight: f64,
-    /// Whether the answer is streamed.
+    /// Whether answers are streamed.
     pub streamed: bool,
 }
 
-/// One tenant.
+/// A tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests per second within its quota, over all front ends.
+    /// Its quota in requests per second, over all front ends.
     pub quota_per_s: f64,
-    /// Its share of the service, 0 to 1.
+    /// Its fraction of the service, 0 to 1.
     pub fraction: f64,
 }
 
 /// What a worker does with a call of a function that is not loaded there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MissPolicy {
-    /// It loads the function while the call waits.
+    /// Loads the function while the call waits.
     Load,
-    /// It answers [`Outcome::NotLoaded`](crate::Outcome::NotLoaded); only a load request loads.
+    /// Answers [`Outcome::NotLoaded`](crate::Outcome::NotLoaded); only load requests load functions.
     Miss,
 }
 
@@ -71,43 +71,43 @@
 pub enum Reports {
     /// Attached to outcomes and to probe results.
     Attached,
-    /// With probe results only.
+    /// Only with probe results.
     Pulled,
-    /// There are none.
+    /// There are no load reports.
     Absent,
 }
 
-/// The budget of load requests: `free + part x requests received`, over any `period`.
+/// The budget of load requests within any `period`: `free + arrival_share * arrivals`.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadBudget {
-    /// Load requests that need no request of a client.
+    /// Load requests that are always allowed.
     pub free: f64,
-    /// Load requests for each request received.
+    /// Further load requests allowed per arriving request.
     pub arrival_share: f64,
-    /// The time over which both are counted.
+    /// The period over which both are counted.
     pub period: Micros,
 }
 
 /// The settings of a router.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This front end's number among its siblings.
+    /// The index of this front end among all front ends.
     pub front_end_index: usize,
-    /// How many front ends there are, this one included.
+    /// The number of front ends, including this one.
     pub front_ends: usize,
     /// The zone of this front end.
     pub zone: usize,
-    /// The classes of requests; a request names one by its index here.
+    /// The classes of requests; [`Arrival::class`](crate::Arrival::class) is an index into them.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The value of a request over its tenant's quota, as a share of its usual value.
+    /// The value of a request over the quota of its tenant, as a fraction of its usual value.
     pub over_quota_weight: f64,
-    /// Value counts for each unit of work, not for each request.
+    /// Whether values are per unit of work instead of per request.
     pub weight_by_work: bool,
-    /// Whether the list of workers arrives without being asked for.
+    /// Whether the list of workers is pushed, without requests for it.
     pub list_pushed: bool,
-    /// Where it must be asked for: the longest time between two times of asking.
+    /// The maximum interval between requests for the list, if it is not pushed.
     pub max_list_poll_interval: Micros,
     /// [`Action::Cancel`](crate::Action::Cancel) is allowed.
     pub may_cancel: bool,
@@ -117,56 +117,56 @@
     pub may_load: bool,
     /// A request may have two attempts in flight at once.
     pub may_hedge: bool,
-    /// The number of attempts a request may have.
+    /// The maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// The number of requests that may be open at a front end.
+    /// The maximum number of open requests at a front end.
     pub max_open_requests: usize,
-    /// The longest advice to wait before a retry that clients follow; 0: they follow none.
+    /// The longest retry delay that clients follow; 0 if they follow none.
     pub max_retry_after: Micros,
-    /// A connection that is not made within this time has failed.
+    /// The timeout of connection attempts.
     pub connect_timeout: Micros,
     /// What a worker does with a call of a function that is not loaded there.
     pub miss_policy: MissPolicy,
-    /// The least time that an idle instance stays loaded.
+    /// How long an idle instance stays loaded at least.
     pub idle_timeout: Micros,
-    /// A load request without an answer for so long has failed.
+    /// The timeout of load requests.
     pub load_timeout: Micros,
     /// The budget of load requests, if there is one.
     pub load_budget: Option<LoadBudget>,
-    /// Whether outcomes state that an instance was loaded already.
+    /// Whether outcomes report that an instance was already loaded.
     pub reports_warm: bool,
-    /// Whether outcomes state how many calls of the function were at the worker.
+    /// Whether outcomes report the number of calls of the function at the worker.
     pub reports_concurrency: bool,
     /// How load reports reach the router.
     pub reports: Reports,
     /// Memory of each kind of machine, MB.
     pub kind_memory_mb: Vec<f64>,
-    /// Price of an attempt that crosses zones, as a share of a request's value.
+    /// Price of an attempt in another zone, as a fraction of the value of a request.
     pub cross_zone_price: f64,
-    /// Price of a fetch from the shared store, likewise.
+    /// Price of loading from the shared store, in the same unit.
     pub fetch_price: f64,
-    /// Price of all memory being idle, likewise.
+    /// Price of having all memory idle, in the same unit.
     pub idle_price: f64,
-    /// Price of one probe or load request, likewise.
+    /// Price of a probe or load request, in the same unit.
     pub probe_price: f64,
-    /// A starting worker has at least this share of its capacity.
+    /// The fraction of its capacity that a worker has when it starts.
     pub slow_start_from: f64,
-    /// And all of it after this time.
+    /// How long after its start a worker reaches its full capacity.
     pub slow_start_window: Micros,
-    /// A worker that is still starting fails when sent more than this multiple of its present capacity ...
+    /// A starting worker fails when it is sent more than this multiple of its present capacity ...
     pub overload_multiple: f64,
     /// ... for this long.
     pub overload_window: Micros,
-    /// Sends to a draining or gone worker must stop within this time of its list entry.
+    /// Time after the list entry within which sends to a draining or gone worker must stop.
     pub drain_grace: Micros,
-    /// A final answer so long after the client's deadline is still in time.
+    /// Tolerance for final answers after the client's deadline.
     pub answer_slack: Micros,
-    /// Least time between two batches of events.
+    /// The minimum interval between two batches of events.
     pub tick: Micros,
 }
 
 impl Default for Settings {
-    /// One front end, one safe class, workers that load on a miss, nothing limited.
+    /// One front end, one safe class, workers that load on a miss, no limits.
     fn default() -> Settings {
         Settings {
             front_end_index: 0,
@@ -217,13 +217,13 @@
     }
 }
 
-/// Settings that contradict themselves, with the reason.
+/// Invalid settings, with the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidSettings(pub String);
 
 impl std::fmt::Display for InvalidSettings {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "settings make no sense: {}", self.0)
+        write!(f, "invalid settings: {}", self.0)
     }
 }
 
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -1,4 +1,4 @@
-//! What a router is given about workers: entries of their list, and reports of their load.
+//! Entries of the list of workers, and load reports.
 
 use crate::id::WorkerId;
 use crate::time::Time;
@@ -9,7 +9,7 @@
     /// Accepts work.
     #[default]
     Ready,
-    /// Finishes the work it has and must get none that is new.
+    /// Finishes its present work and must get no new work.
     Draining,
     /// Removed.
     Gone,
@@ -28,37 +28,37 @@
     pub zone: usize,
     /// Its state.
     pub state: WorkerState,
-    /// When its process last started; none: long ago.
+    /// When its process last started; `None` if long ago.
     pub started: Option<Time>,
-    /// Its size in proportion to the other workers' sizes.
+    /// Its size relative to other workers.
     pub relative_size: f64,
 }
 
-/// How the entries of a list relate to the list that the router has.
+/// How the entries of a list change the list that the router has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changes only; workers that are not named stay as they are.
+    /// Changes only; workers without an entry are unchanged.
     Changes,
-    /// The whole list; a worker that is not named is gone.
+    /// The full list; workers without an entry are gone.
     Full,
-    /// The whole list from a cache, perhaps out of date.
+    /// The full list from a cache, possibly out of date.
     Cached,
     /// The list could not be read; there are no entries.
     Failed,
 }
 
-/// A worker's own report of its load. Reports arrive late and are noisy.
+/// The load as reported by a worker. Reports are delayed and noisy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub queued: Option<f64>,
-    /// Requests at the worker, waiting or being served.
+    /// Number of requests that are waiting or being served.
     pub in_flight: Option<f64>,
-    /// Share of its cores that are busy.
+    /// Fraction of cores that are busy.
     pub utilization: Option<f64>,
-    /// Share of its memory that can't be freed.
+    /// Fraction of memory that cannot be freed.
     pub memory_pinned: Option<f64>,
-    /// Loads in progress or waiting.
+    /// Number of loads in progress or waiting.
     pub loads: Option<f64>,
     /// Recent mean service time, milliseconds.
     pub mean_ms: Option<f64>,
