--- a/simulator-adapter/src/command.rs
+++ b/simulator-adapter/src/command.rs
@@ -1,18 +1,18 @@
-//! Actions of a front end's router as commands to the simulator.
+//! Conversion of router actions to commands.
 
 use crate::front_end::FrontEnd;
 use crate::wire::Command;
 use tansyrouter::{Action, Micros, RequestId, Time, WorkerId};
 
-/// The command that carries out an action.
-pub fn command(number: u64, owner: &FrontEnd, action: Action) -> Command<'_> {
+/// Returns the command for an action of front end `number`.
+pub fn command(number: u64, state: &FrontEnd, action: Action) -> Command<'_> {
     let front_end = number;
     match action {
         Action::Send {
             request,
             worker,
             abandon_at,
-        } => send(number, owner, request, worker, abandon_at),
+        } => send(number, state, request, worker, abandon_at),
         Action::Reject {
             request,
             retry_after,
@@ -28,7 +28,7 @@
         },
         Action::Probe { worker } => Command::Probe {
             front_end,
-            worker: owner.workers.name(worker),
+            worker: state.workers.name(worker),
         },
         Action::Load {
             worker,
@@ -36,14 +36,14 @@
             instances,
         } => Command::Load {
             front_end,
-            function: owner.functions.name(function),
+            function: state.functions.name(function),
             instances,
-            worker: owner.workers.name(worker),
+            worker: state.workers.name(worker),
         },
         Action::Unload { worker, function } => Command::Unload {
             front_end,
-            function: owner.functions.name(function),
-            worker: owner.workers.name(worker),
+            function: state.functions.name(function),
+            worker: state.workers.name(worker),
         },
         Action::SetTimer { at, token } => set_timer(number, at, token),
         Action::FetchList => Command::FetchList { front_end },
@@ -56,7 +56,7 @@
 
 fn send(
     front_end: u64,
-    owner: &FrontEnd,
+    state: &FrontEnd,
     request: RequestId,
     worker: WorkerId,
     abandon_at: Option<Time>,
@@ -64,7 +64,7 @@
     Command::Send {
         front_end,
         request: request.0,
-        worker: owner.workers.name(worker),
+        worker: state.workers.name(worker),
         abandon_at_s: abandon_at.map(|at| seconds(at.0)),
     }
 }
--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -1,81 +1,81 @@
-//! What ends a session early.
+//! Errors that end a session.
 
 use std::io;
 use tansy_conf::SettingsError;
 use tansyrouter::InvalidSettings;
 
-/// Why a session ended before its input did.
+/// Why a session ended before its input.
 #[derive(Debug, thiserror::Error)]
 pub enum SessionError {
-    /// A line can't be read, understood or answered.
+    /// A line cannot be read, processed or answered.
     #[error("line {number}: {source}")]
     Line {
-        /// The line's number, from 1.
+        /// The line number, from 1.
         number: u64,
-        /// What is wrong with it.
+        /// The error.
         source: LineError,
     },
     /// The input ends between a `Clock` and its `Commit`.
     #[error("line {number}: the input ends inside batch {sequence}")]
     UnfinishedBatch {
-        /// The number that the next line would have.
+        /// The number of the missing line.
         number: u64,
-        /// The batch's sequence number.
+        /// The sequence number of the batch.
         sequence: u64,
     },
 }
 
-/// What is wrong with a line of the input.
+/// Errors of a single input line.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// It can't be read from the input.
+    /// The line cannot be read.
     #[error(transparent)]
     Read(io::Error),
-    /// It is no message: not JSON, or a message of no known form.
+    /// The line is not JSON or not a known message.
     #[error(transparent)]
     Malformed(serde_json::Error),
-    /// A `Clock` before the `Commit` of the batch that is open.
-    #[error("a Clock inside a batch")]
+    /// A `Clock` while a batch is open.
+    #[error("Clock inside a batch, before its Commit")]
     ClockInsideBatch,
-    /// A `Commit` without a `Clock` before it.
-    #[error("a Commit outside a batch")]
+    /// A `Commit` without an open batch.
+    #[error("Commit outside a batch, without a Clock before it")]
     CommitOutsideBatch,
-    /// An event without a `Clock` before it.
-    #[error("an event outside a batch")]
+    /// An event outside a batch.
+    #[error("event outside a batch, without a Clock before it")]
     EventOutsideBatch,
-    /// An event for a front end that was not started, or that was stopped.
-    #[error("instance {front_end} is not up")]
+    /// An event for a front end that is not running.
+    #[error("front end {front_end} is not running")]
     UnknownFrontEnd {
-        /// The front end's number.
+        /// The number of the front end.
         front_end: u64,
     },
-    /// Settings of a front end with a value that makes no sense.
+    /// Invalid settings of a front end.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Settings of a front end that the router does not accept.
+    /// Settings that the router rejects.
     #[error(transparent)]
     Router(#[from] InvalidSettings),
-    /// A list of workers in a mode other than 1 to 4.
-    #[error("mode {mode} of Targets is unknown")]
+    /// A worker list with an unknown mode.
+    #[error("unknown mode {mode} in Targets")]
     UnknownListMode {
         /// The mode.
         mode: u8,
     },
-    /// A worker in a state other than 1 to 3.
-    #[error("health {health} of {worker} is unknown")]
+    /// A worker with an unknown state.
+    #[error("unknown health {health} of worker {worker:?}")]
     UnknownWorkerState {
         /// The state.
         health: u8,
-        /// The worker's name.
+        /// The name of the worker.
         worker: String,
     },
-    /// A function's name that is not 16 hexadecimal digits.
+    /// A function name that is not 16 hexadecimal digits.
     #[error("callee {name:?} is not 16 hex digits")]
     InvalidFunctionName {
         /// The name.
         name: String,
     },
-    /// The commands can't be written to the output.
-    #[error("writing the reply: {0}")]
+    /// The output cannot be written.
+    #[error("cannot write the output: {0}")]
     Write(io::Error),
 }
--- a/simulator-adapter/src/event.rs
+++ b/simulator-adapter/src/event.rs
@@ -1,4 +1,4 @@
-//! Messages of the simulator as events of a front end's router.
+//! Conversion of messages to router events.
 
 use crate::error::LineError;
 use crate::front_end::FrontEnd;
@@ -7,16 +7,16 @@
 use tansyrouter as router;
 use tansyrouter::{Event, InstanceStatus, ListKind, RequestId, Time, WorkerId, WorkerState};
 
-/// The flag of an arrival that states its work.
+/// Flag of an arrival whose work hint is valid.
 const WORK_IS_STATED: u32 = 1;
-/// The flag of an arrival that is a client's own retry.
+/// Flag of an arrival that is a retry by the client.
 const IS_CLIENT_RETRY: u32 = 2;
-/// An attempt's instance code is its instance's status, and this many times the calls that ran beside it.
+/// An instance code is the instance status plus this factor times the number of concurrent calls.
 const INSTANCE_STATUSES: u32 = 8;
-/// A token that no router gives: for a timer whose token is no number.
+/// Token for timers with a non-numeric token; routers never use it.
 const UNKNOWN_TOKEN: u64 = u64::MAX;
 
-/// How the entries of a list relate to the list so far.
+/// Returns how the entries of a list change it.
 pub fn list_kind(mode: u8) -> Result<ListKind, LineError> {
     match mode {
         1 => Ok(ListKind::Cached),
@@ -27,7 +27,7 @@
     }
 }
 
-/// A list of workers. Their names are recorded; those of workers that have left are removed after the batch.
+/// Converts a worker list and records its names. Workers that have left are removed after the batch.
 pub fn worker_list(
     front_end: &mut FrontEnd,
     kind: ListKind,
@@ -68,11 +68,11 @@
         zone: listed.zone,
         state,
         started: (started != Time(0)).then_some(started),
-        relative_size: listed.share,
+        relative_size: listed.relative_size,
     }
 }
 
-/// A request that has come in.
+/// Converts the arrival of a request.
 pub fn arrival(front_end: &mut FrontEnd, arrival: Arrival) -> Result<Event, LineError> {
     let is_work_stated = arrival.flags & WORK_IS_STATED != 0;
     Ok(Event::Arrival(router::Arrival {
@@ -91,14 +91,14 @@
     }))
 }
 
-/// A timer that is due.
+/// Converts a timer that is due.
 pub fn timer_due(timer: &Timer) -> Event {
     Event::Timer {
         token: timer.token.parse().unwrap_or(UNKNOWN_TOKEN),
     }
 }
 
-/// An answer that began to stream.
+/// Converts the start of a streamed answer.
 pub fn stream_started(stream: &StreamStarted) -> Event {
     Event::StreamStarted {
         request: RequestId(stream.request),
@@ -106,7 +106,7 @@
     }
 }
 
-/// The end of an attempt.
+/// Converts the end of an attempt.
 pub fn attempt_ended(front_end: &FrontEnd, attempt: AttemptEnded) -> Event {
     Event::AttemptEnded(router::AttemptResult {
         request: RequestId(attempt.request),
@@ -131,14 +131,14 @@
     }
 }
 
-/// A client that left.
+/// Converts the disconnection of a client.
 pub fn client_left(request: u64) -> Event {
     Event::ClientLeft {
         request: RequestId(request),
     }
 }
 
-/// The end of a probe.
+/// Converts the end of a probe.
 pub fn probe_ended(front_end: &FrontEnd, probe: ProbeEnded) -> Event {
     Event::ProbeEnded {
         worker: front_end.workers.id(&probe.worker),
@@ -148,7 +148,7 @@
     }
 }
 
-/// The end of a load request.
+/// Converts the end of a load request.
 pub fn load_ended(front_end: &mut FrontEnd, load: &LoadEnded) -> Result<Event, LineError> {
     Ok(Event::LoadEnded {
         worker: front_end.workers.id(&load.worker),
--- a/simulator-adapter/src/front_end/function_names.rs
+++ b/simulator-adapter/src/front_end/function_names.rs
@@ -1,32 +1,35 @@
-//! The names of a front end's functions, and the identifiers that its router knows them by.
+//! Conversion between function names and the identifiers of the router.
 
 use crate::error::LineError;
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 use tansyrouter::FunctionId;
 
-/// Digits of a function's name: a 64-bit number in hexadecimal.
+/// Length of a function name, which is a 64-bit number in hexadecimal.
 const NAME_DIGITS: usize = 16;
 
-/// The functions whose names are not their identifiers in lower case; all others follow from the identifier.
+/// Function names. Only names that are not the lower-case form of their identifier are stored; the others are
+/// computed.
 #[derive(Default)]
 pub struct FunctionNames {
-    unusual: BTreeMap<FunctionId, String>,
+    non_canonical: BTreeMap<FunctionId, String>,
 }
 
 impl FunctionNames {
-    /// The identifier of a function; its name is recorded if it can't be told from the identifier.
+    /// Returns the identifier of a function. Records its name if it cannot be computed from the identifier.
     pub fn register(&mut self, name: &str) -> Result<FunctionId, LineError> {
         let id = parse(name).ok_or_else(|| LineError::InvalidFunctionName { name: name.into() })?;
         if !is_canonical(name) {
-            self.unusual.entry(id).or_insert_with(|| name.to_string());
+            self.non_canonical
+                .entry(id)
+                .or_insert_with(|| name.to_string());
         }
         Ok(id)
     }
 
-    /// The name of a function.
+    /// Returns the name of a function.
     pub fn name(&self, id: FunctionId) -> Cow<'_, str> {
-        match self.unusual.get(&id) {
+        match self.non_canonical.get(&id) {
             Some(name) => Cow::Borrowed(name),
             None => Cow::Owned(format!("{:016x}", id.0)),
         }
@@ -40,7 +43,7 @@
     u64::from_str_radix(name, 16).ok().map(FunctionId)
 }
 
-/// Whether a name of the right length is how its identifier is written: without a sign, in lower case.
+/// Whether a name of the right length is written as its identifier would be: lower case, without a sign.
 fn is_canonical(name: &str) -> bool {
     name.bytes()
         .all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'))
--- a/simulator-adapter/src/front_end/mod.rs
+++ b/simulator-adapter/src/front_end/mod.rs
@@ -1,4 +1,4 @@
-//! The front ends of a session: a router each, with tables of the names that the wire gives to workers and functions.
+//! The front ends of a session, each with a router and tables of worker and function names.
 
 mod function_names;
 mod table;
@@ -13,19 +13,19 @@
 use tansyrouter::{LoadReport, Router, Time};
 use worker_names::WorkerNames;
 
-/// A front end.
+/// One front end.
 pub struct FrontEnd {
-    /// Decides.
+    /// Makes the decisions.
     pub router: Router,
-    /// The workers by their names.
+    /// Worker names.
     pub workers: WorkerNames,
-    /// The functions by their names.
+    /// Function names.
     pub functions: FunctionNames,
     report_fields: Vec<String>,
 }
 
 impl FrontEnd {
-    /// Starts a front end, with an empty list of workers.
+    /// Creates a front end with an empty worker list.
     pub fn start(message: StartFrontEnd, now: Time) -> Result<FrontEnd, LineError> {
         let settings = router_settings(&message.settings)?;
         Ok(FrontEnd {
@@ -36,7 +36,7 @@
         })
     }
 
-    /// A worker's load report from its values, in the order of the fields that the settings name.
+    /// Converts the values of a load report, which are in the order of the fields in the settings.
     pub fn load_report(&self, values: Option<Vec<Option<f64>>>) -> Option<LoadReport> {
         let names = self.report_fields.iter().map(String::as_str);
         Some(load_report(names.zip(values?)))
--- a/simulator-adapter/src/front_end/table.rs
+++ b/simulator-adapter/src/front_end/table.rs
@@ -1,4 +1,4 @@
-//! All front ends of a session, and the actions that wait for the end of the batch.
+//! The front ends of a session, and their actions until the end of the batch.
 
 use super::FrontEnd;
 use crate::command::command;
@@ -9,31 +9,31 @@
 use std::io::{self, Write};
 use tansyrouter::{Action, Event, Time};
 
-/// An action of a front end's router.
+/// An action requested by the router of a front end.
 struct PendingAction {
     front_end: u64,
     action: Action,
 }
 
-/// The front ends by their numbers.
+/// The front ends, by number.
 #[derive(Default)]
 pub struct FrontEndTable {
     now: Time,
     front_ends: BTreeMap<u64, FrontEnd>,
     pending: Vec<PendingAction>,
-    /// Front ends that had a list of workers in this batch.
-    listed: Vec<u64>,
-    /// Reused for the actions of one event.
+    /// Front ends that received a worker list in this batch.
+    with_new_list: Vec<u64>,
+    /// Buffer for the actions of one event.
     actions: Vec<Action>,
 }
 
 impl FrontEndTable {
-    /// Sets the time of all events from here on.
+    /// Sets the time of the following events.
     pub fn set_clock(&mut self, now: Time) {
         self.now = now;
     }
 
-    /// Hands a message to its front end. Those that bound batches or that the router exchanges with nobody are none's.
+    /// Passes a message to its front end. Messages that delimit batches, and those between front ends, are ignored.
     pub fn on_message(&mut self, message: Message) -> Result<(), LineError> {
         match message {
             Message::Clock(_) | Message::Commit {} | Message::FromPeer {} => Ok(()),
@@ -81,13 +81,13 @@
 
     fn on_worker_list(&mut self, list: WorkerList) -> Result<(), LineError> {
         let kind = event::list_kind(list.mode)?;
-        self.listed.push(list.front_end);
+        self.with_new_list.push(list.front_end);
         self.on_event(list.front_end, |front_end| {
             event::worker_list(front_end, kind, list.entries)
         })
     }
 
-    /// Hands an event to a front end's router, and keeps the actions that it asks for.
+    /// Passes an event to the router of a front end and keeps the resulting actions.
     fn on_event(
         &mut self,
         number: u64,
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// Writes the commands that a batch led to, and its acknowledgement.
+    /// Writes the commands of a batch and its acknowledgement.
     pub fn write_commands(&mut self, sequence: u64, output: &mut dyn Write) -> io::Result<()> {
         for pending in self.pending.drain(..) {
             let number = pending.front_end;
@@ -115,7 +115,7 @@
                 write_line(output, &command(number, front_end, pending.action))?;
             }
         }
-        for number in std::mem::take(&mut self.listed) {
+        for number in std::mem::take(&mut self.with_new_list) {
             if let Some(front_end) = self.front_ends.get_mut(&number) {
                 front_end.workers.remove_departed();
             }
--- a/simulator-adapter/src/front_end/worker_names.rs
+++ b/simulator-adapter/src/front_end/worker_names.rs
@@ -1,11 +1,11 @@
-//! The names of a front end's workers, and the identifiers that its router knows them by.
+//! Conversion between worker names and the identifiers of the router.
 
 use fnv::FnvHasher;
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 use tansyrouter::{ListKind, WorkerEntry, WorkerId, WorkerState};
 
-/// The workers that lists have named and that have not left since.
+/// The names of the workers that lists have named and that have not left.
 #[derive(Default)]
 pub struct WorkerNames {
     ids: BTreeMap<String, WorkerId>,
@@ -14,9 +14,10 @@
 }
 
 impl WorkerNames {
-    /// A worker's identifier: a hash of its name, the same at every front end; the next free one on a collision.
+    /// Returns the identifier of a worker: a hash of its name, which is the same at every front end, or the next free
+    /// number if another worker has that hash.
     ///
-    /// An outcome may still name a worker that has left: it gets an identifier, but no entry.
+    /// An outcome may name a worker that has left. It gets an identifier but is not recorded.
     pub fn id(&self, name: &str) -> WorkerId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -30,12 +31,12 @@
         id
     }
 
-    /// The name of a worker; empty if there is none of this identifier.
+    /// Returns the name of a worker, or an empty string if the identifier is unknown.
     pub fn name(&self, id: WorkerId) -> &str {
         self.names.get(&id).map_or("", String::as_str)
     }
 
-    /// Records the name of a worker of a list.
+    /// Records the name of a listed worker and returns its identifier.
     pub fn register(&mut self, name: String) -> WorkerId {
         let id = self.id(&name);
         self.names.insert(id, name.clone());
@@ -43,16 +44,16 @@
         id
     }
 
-    /// Records which workers have left by a list.
+    /// Marks the workers that have left according to a list.
     pub fn mark_departed(&mut self, kind: ListKind, entries: &[WorkerEntry]) {
-        let remains = |id: &WorkerId| {
+        let is_present = |id: &WorkerId| {
             entries
                 .iter()
                 .any(|entry| entry.worker == *id && entry.state != WorkerState::Gone)
         };
-        self.departed.retain(|id| !remains(id));
+        self.departed.retain(|id| !is_present(id));
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            let absent = self.names.keys().filter(|id| !remains(id));
+            let absent = self.names.keys().filter(|id| !is_present(id));
             self.departed.extend(absent);
         } else {
             let gone = entries
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Removes the workers that have left, once no command can name them any more.
+    /// Removes the workers that have left. Called when all commands that may name them have been written.
     pub fn remove_departed(&mut self) {
         for id in self.departed.drain(..) {
             if let Some(name) = self.names.remove(&id) {
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,15 +1,14 @@
 #![forbid(unsafe_code)]
-//! Plays the router's decisions on a simulator's wire: messages as JSON lines from standard input, commands as JSON lines
-//! to standard output.
+//! Connects the router to a simulator: reads messages as JSON lines from standard input and writes commands as JSON
+//! lines to standard output.
 //!
-//! It is for a simulator that drives one or several front ends, each with a [`tansyrouter::Router`] of its own. It is not
-//! for calls over a network, and it decides nothing: each message becomes an event of a router, each action of a router
-//! a command.
+//! The simulator drives one or several front ends, each with its own [`tansyrouter::Router`]. The adapter makes no
+//! decisions and uses no network: it converts each message to a router event and each router action to a command.
 //!
-//! - [`wire`]: the messages and commands as types.
-//! - [`session`]: batches of messages, each answered once it is complete.
-//! - [`front_end`]: the front ends and their tables of names.
-//! - [`event`], [`command`]: messages as events of the router, actions of the router as commands.
+//! - [`wire`]: types of messages and commands.
+//! - [`session`]: reads batches of messages and answers each when it is complete.
+//! - [`front_end`]: the front ends and their name tables.
+//! - [`event`], [`command`]: conversion of messages to router events and of router actions to commands.
 
 mod command;
 mod error;
@@ -20,7 +19,7 @@
 
 use std::process::ExitCode;
 
-/// Bytes of commands that are kept before they are written.
+/// Size of the output buffer.
 const OUTPUT_BUFFER_BYTES: usize = 1 << 16;
 
 fn main() -> ExitCode {
--- a/simulator-adapter/src/session.rs
+++ b/simulator-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! Reads batches of messages until the input ends, and answers each once it is complete.
+//! Reads batches of messages until the input ends and answers each when it is complete.
 
 use crate::error::{LineError, SessionError};
 use crate::front_end::FrontEndTable;
@@ -7,7 +7,7 @@
 use tansy_conf::micros;
 use tansyrouter::Time;
 
-/// Plays a whole session.
+/// Runs a session to the end of its input.
 pub fn run(input: &mut dyn BufRead, output: &mut dyn Write) -> Result<(), SessionError> {
     let mut session = Session::default();
     let mut line = String::new();
@@ -16,15 +16,15 @@
         number += 1;
         line.clear();
         match session.on_next_line(input, &mut line, output) {
-            Ok(Progress::Line) => {}
-            Ok(Progress::EndOfInput) => return session.end(number),
+            Ok(ReadResult::Line) => {}
+            Ok(ReadResult::EndOfInput) => return session.end(number),
             Err(source) => return Err(SessionError::Line { number, source }),
         }
     }
 }
 
-/// What a read of the input gave.
-enum Progress {
+/// The result of reading one line.
+enum ReadResult {
     Line,
     EndOfInput,
 }
@@ -32,7 +32,7 @@
 #[derive(Default)]
 struct Session {
     front_ends: FrontEndTable,
-    /// The sequence number of the batch that is open.
+    /// The sequence number of the open batch, if there is one.
     batch: Option<u64>,
 }
 
@@ -42,13 +42,13 @@
         input: &mut dyn BufRead,
         line: &mut String,
         output: &mut dyn Write,
-    ) -> Result<Progress, LineError> {
+    ) -> Result<ReadResult, LineError> {
         if input.read_line(line).map_err(LineError::Read)? == 0 {
-            return Ok(Progress::EndOfInput);
+            return Ok(ReadResult::EndOfInput);
         }
         let message = serde_json::from_str(line.trim_end()).map_err(LineError::Malformed)?;
         self.on_message(message, output)?;
-        Ok(Progress::Line)
+        Ok(ReadResult::Line)
     }
 
     fn on_message(&mut self, message: Message, output: &mut dyn Write) -> Result<(), LineError> {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Checks that the input ends between two batches.
+    /// Checks that no batch is open at the end of the input.
     fn end(&self, number: u64) -> Result<(), SessionError> {
         match self.batch {
             None => Ok(()),
--- a/simulator-adapter/src/wire/command.rs
+++ b/simulator-adapter/src/wire/command.rs
@@ -1,4 +1,4 @@
-//! Commands to the simulator, as they are written.
+//! Commands to the simulator.
 
 use serde::Serialize;
 use std::borrow::Cow;
@@ -10,124 +10,124 @@
     /// Send a request to a worker, as its next attempt.
     #[serde(rename = "HandOff")]
     Send {
-        /// The front end's number.
+        /// The number of the front end.
         #[serde(rename = "end")]
         front_end: u64,
-        /// The request's number.
+        /// The number of the request.
         #[serde(rename = "req")]
         request: u64,
-        /// The worker's name.
+        /// The name of the worker.
         worker: &'a str,
-        /// When to abandon the attempt, in seconds since the simulation's start.
+        /// When to abandon the attempt, in seconds since the start of the simulation.
         #[serde(rename = "cut_at_s", skip_serializing_if = "Option::is_none")]
         abandon_at_s: Option<f64>,
     },
     /// Final answer: rejected.
     #[serde(rename = "Deny")]
     Reject {
-        /// The front end's number.
+        /// The number of the front end.
         #[serde(rename = "end")]
         front_end: u64,
-        /// The request's number.
+        /// The number of the request.
         #[serde(rename = "req")]
         request: u64,
-        /// Seconds that the client is advised to wait before it tries again.
+        /// Seconds that the client should wait before it retries.
         #[serde(rename = "stay_away_s", skip_serializing_if = "Option::is_none")]
         retry_after_s: Option<f64>,
     },
     /// Final answer: failed.
     #[serde(rename = "GiveUp")]
     Fail {
-        /// The front end's number.
+        /// The number of the front end.
         #[serde(rename = "end")]
         front_end: u64,
-        /// The request's number.
+        /// The number of the request.
         #[serde(rename = "req")]
         request: u64,
     },
     /// Stop waiting for an attempt.
     #[serde(rename = "Revoke")]
     Cancel {
-        /// The front end's number.
+        /// The number of the front end.
         #[serde(rename = "end")]
         front_end: u64,
-        /// The request's number.
+        /// The number of the request.
         #[serde(rename = "req")]
         request: u64,
-        /// The attempt's number.
+        /// The number of the attempt.
         #[serde(rename = "hop")]
         attempt: u32,
     },
-    /// Ask a worker for a report of its load.
+    /// Request a load report from a worker.
     #[serde(rename = "AskLoad")]
     Probe {
-        /// The front end's number.
+        /// The number of the front end.
         #[serde(rename = "end")]
         front_end: u64,
-        /// The worker's name.
+        /// The name of the worker.
         worker: &'a str,
     },
-    /// Have a worker keep at least so many instances loaded.
+    /// Request a worker to keep at least this many instances loaded; 0 only queries how many there are.
     #[serde(rename = "StartCopy")]
     Load {
-        /// The front end's number.
+        /// The number of the front end.
         #[serde(rename = "end")]
         front_end: u64,
-        /// The function's name.
+        /// The name of the function.
         #[serde(rename = "callee")]
         function: Cow<'a, str>,
         /// The number of instances.
         #[serde(rename = "number")]
         instances: u32,
-        /// The worker's name.
+        /// The name of the worker.
         worker: &'a str,
     },
-    /// Have a worker unload idle instances.
+    /// Request a worker to unload idle instances.
     #[serde(rename = "LetCool")]
     Unload {
-        /// The front end's number.
+        /// The number of the front end.
         #[serde(rename = "end")]
         front_end: u64,
-        /// The function's name.
+        /// The name of the function.
         #[serde(rename = "callee")]
         function: Cow<'a, str>,
-        /// The worker's name.
+        /// The name of the worker.
         worker: &'a str,
     },
     /// Set a timer.
     #[serde(rename = "After")]
     SetTimer {
-        /// The front end's number.
+        /// The number of the front end.
         #[serde(rename = "end")]
         front_end: u64,
-        /// When it is due, in seconds since the simulation's start.
+        /// When it is due, in seconds since the start of the simulation.
         #[serde(rename = "alarm_time_s")]
         due_at_s: f64,
-        /// Returned with the message that it is due.
+        /// Returned with the timer message.
         #[serde(rename = "nonce")]
         token: String,
     },
-    /// Ask for the changes of the list of workers from here on.
+    /// Subscribe to changes of the list of workers.
     #[serde(rename = "Listen")]
     Subscribe {
-        /// The front end's number.
+        /// The number of the front end.
         #[serde(rename = "end")]
         front_end: u64,
-        /// Whether they are wanted.
+        /// Whether changes are to be sent.
         #[serde(rename = "want")]
         enabled: bool,
     },
-    /// Ask once for the full list of workers.
+    /// Fetch the full list of workers once.
     #[serde(rename = "Reload")]
     FetchList {
-        /// The front end's number.
+        /// The number of the front end.
         #[serde(rename = "end")]
         front_end: u64,
     },
-    /// Acknowledges a batch, after all commands that it led to.
+    /// Acknowledge a batch; written after all of its commands.
     #[serde(rename = "Ok")]
     Acknowledge {
-        /// The batch's sequence number.
+        /// The sequence number of the batch.
         #[serde(rename = "seq")]
         sequence: u64,
     },
--- a/simulator-adapter/src/wire/message.rs
+++ b/simulator-adapter/src/wire/message.rs
@@ -1,6 +1,6 @@
-//! Messages of the simulator, as they are read.
+//! Messages from the simulator.
 //!
-//! `expecting` keeps the texts of errors about lines of a wrong shape, such as an array that is too short.
+//! The `expecting` attributes fix the texts of errors about messages of a wrong shape.
 
 use serde::Deserialize;
 use tansy_conf::InstanceSettings;
@@ -17,14 +17,14 @@
     /// Starts a front end.
     #[serde(rename = "Up")]
     StartFrontEnd(StartFrontEnd),
-    /// A front end's list of workers.
+    /// The worker list of a front end.
     #[serde(rename = "Targets")]
     WorkerList(WorkerList),
-    /// A request came in.
+    /// A request arrived.
     Arrival(Arrival),
     /// A timer is due.
     Timer(Timer),
-    /// An answer began to stream.
+    /// An answer started streaming.
     #[serde(rename = "UnderWay")]
     StreamStarted(StreamStarted),
     /// Stops a front end.
@@ -33,10 +33,10 @@
     /// An attempt ended.
     #[serde(rename = "Done")]
     AttemptEnded(AttemptEnded),
-    /// A message of another front end; the router exchanges none.
+    /// A message from another front end. Ignored, as routers exchange no messages.
     #[serde(rename = "Mail")]
     FromPeer {},
-    /// The client left, or its answer is overdue.
+    /// The client disconnected, or its answer is overdue.
     #[serde(rename = "Dropped")]
     ClientLeft(ClientLeft),
     /// A probe ended.
@@ -47,25 +47,25 @@
     LoadEnded(LoadEnded),
 }
 
-/// The begin of a batch: all of its events happen at this moment.
+/// The start of a batch, with the time of all its events.
 #[derive(Deserialize)]
 #[serde(expecting = "struct variant Line::Clock with 2 elements")]
 pub struct Clock {
-    /// Seconds since the simulation's start.
+    /// Seconds since the start of the simulation.
     pub moment_s: f64,
-    /// The batch's sequence number, which its acknowledgement repeats.
+    /// The sequence number of the batch, repeated by its acknowledgement.
     #[serde(rename = "seq")]
     pub sequence: u64,
 }
 
-/// A front end that starts.
+/// The start of a front end.
 #[derive(Deserialize)]
 #[serde(expecting = "struct variant Line::Up with 3 elements")]
 pub struct StartFrontEnd {
     /// Its number.
     #[serde(rename = "end")]
     pub front_end: u64,
-    /// The seed of its router's random draws.
+    /// The random seed of its router.
     #[serde(rename = "salt")]
     pub seed: u64,
     /// Its settings.
@@ -73,7 +73,7 @@
     pub settings: Box<InstanceSettings>,
 }
 
-/// A front end that stops.
+/// The stop of a front end.
 #[derive(Deserialize)]
 #[serde(expecting = "struct variant Line::Shutdown with 1 element")]
 pub struct StopFrontEnd {
@@ -82,22 +82,22 @@
     pub front_end: u64,
 }
 
-/// A list of workers, or changes of it.
+/// A worker list, or changes of it.
 #[derive(Deserialize)]
 #[serde(expecting = "struct variant Line::Targets with 3 elements")]
 pub struct WorkerList {
-    /// The front end's number.
+    /// The number of the front end.
     #[serde(rename = "end")]
     pub front_end: u64,
-    /// How the entries relate to the list so far: 1 a whole list from a cache, 2 none could be read, 3 a whole list, 4
-    /// changes.
+    /// How the entries change the list: 1, a full list from a cache; 2, the list could not be read; 3, a full list;
+    /// 4, changes only.
     pub mode: u8,
     /// The entries.
     #[serde(default)]
     pub entries: Vec<Entry>,
 }
 
-/// A worker of a list.
+/// An entry of a worker list.
 #[derive(Deserialize)]
 pub struct Entry {
     /// Its kind of machine.
@@ -106,7 +106,7 @@
     /// Its cell.
     #[serde(default)]
     pub cell: u64,
-    /// When its process last started, in seconds; 0: long ago.
+    /// When its process last started, in seconds since the start of the simulation; 0 if long ago.
     #[serde(default, rename = "last_start_s")]
     pub started_s: f64,
     /// Its name.
@@ -114,27 +114,27 @@
     /// Its zone.
     #[serde(default, rename = "dc")]
     pub zone: usize,
-    /// Its state: 1 ready, 2 gone, 3 draining.
+    /// Its state: 1, ready; 2, gone; 3, draining.
     pub health: u8,
-    /// Its size in proportion to the other workers' sizes.
-    #[serde(default = "one")]
-    pub share: f64,
+    /// Its size relative to other workers.
+    #[serde(default = "one", rename = "share")]
+    pub relative_size: f64,
 }
 
 fn one() -> f64 {
     1.0
 }
 
-/// A request that has come in.
+/// A new request.
 #[derive(Deserialize)]
 pub struct Arrival {
-    /// The front end's number.
+    /// The number of the front end.
     #[serde(rename = "end")]
     pub front_end: u64,
-    /// The request's number.
+    /// The number of the request.
     #[serde(rename = "req")]
     pub request: u64,
-    /// Bits: 1, the work is stated; 2, a client's own retry.
+    /// Bit flags: 1, the work hint is valid; 2, a retry by the client.
     #[serde(default, rename = "marks")]
     pub flags: u32,
     /// The tenant, as an index into the settings.
@@ -143,19 +143,19 @@
     /// The class, as an index into the settings.
     #[serde(default, rename = "tier_class")]
     pub class: usize,
-    /// The usual time of a load in milliseconds, if it is stated.
+    /// The approximate duration of a load in milliseconds, if stated.
     #[serde(rename = "start_ms")]
     pub load_time_ms: Option<f64>,
-    /// Calls that one instance runs at a time.
+    /// Number of calls that one instance runs at a time.
     #[serde(default, rename = "width")]
     pub lanes: f64,
     /// Memory of one instance, MB.
     #[serde(default, rename = "ram_mb")]
     pub memory_mb: f64,
-    /// The work in seconds; it counts only if the flag says so.
+    /// The work in seconds; valid only if its flag is set.
     #[serde(rename = "weight_hint_s")]
     pub work_hint_s: Option<f64>,
-    /// The function's name.
+    /// The name of the function.
     #[serde(rename = "callee")]
     pub function: String,
     /// Seconds until the client gives up.
@@ -167,25 +167,25 @@
 #[derive(Deserialize)]
 #[serde(expecting = "struct variant Line::Timer with 2 elements")]
 pub struct Timer {
-    /// The front end's number.
+    /// The number of the front end.
     #[serde(rename = "end")]
     pub front_end: u64,
-    /// The token that the command gave.
+    /// The token of the command that set it.
     #[serde(rename = "nonce")]
     pub token: String,
 }
 
-/// An answer that began to stream.
+/// The start of a streamed answer.
 #[derive(Deserialize)]
 #[serde(expecting = "struct variant Line::UnderWay with 3 elements")]
 pub struct StreamStarted {
-    /// The front end's number.
+    /// The number of the front end.
     #[serde(rename = "end")]
     pub front_end: u64,
-    /// The request's number.
+    /// The number of the request.
     #[serde(rename = "req")]
     pub request: u64,
-    /// The attempt's number.
+    /// The number of the attempt.
     #[serde(rename = "hop")]
     pub attempt: u32,
 }
@@ -194,42 +194,42 @@
 #[derive(Deserialize)]
 #[serde(expecting = "struct Done with 9 elements")]
 pub struct AttemptEnded {
-    /// The front end's number.
+    /// The number of the front end.
     #[serde(rename = "end")]
     pub front_end: u64,
-    /// The request's number.
+    /// The number of the request.
     #[serde(rename = "req")]
     pub request: u64,
-    /// What the answer says about the instance: its status, and eight times the calls that ran beside this one.
+    /// The status of the instance plus eight times the number of concurrent calls.
     #[serde(default, rename = "note")]
     pub instance_code: u32,
     /// How it ended.
     #[serde(rename = "result", with = "OutcomeName")]
     pub outcome: Outcome,
-    /// The request has its final answer.
+    /// Whether the request has received its final answer.
     #[serde(default, rename = "no_more")]
     pub concluded: bool,
-    /// The attempt's number.
+    /// The number of the attempt.
     #[serde(default, rename = "hop")]
     pub attempt: u32,
     /// Seconds since it was sent.
     #[serde(default)]
     pub latency_s: f64,
-    /// The worker's name.
+    /// The name of the worker.
     pub worker: String,
-    /// The worker's load report, by the fields of the settings.
+    /// The values of the worker's load report, in the order of the fields in the settings.
     #[serde(default, rename = "health_info")]
     pub load_report: Option<Vec<Option<f64>>>,
 }
 
-/// A client that left.
+/// The disconnection of a client.
 #[derive(Deserialize)]
 #[serde(expecting = "struct variant Line::Dropped with 2 elements")]
 pub struct ClientLeft {
-    /// The front end's number.
+    /// The number of the front end.
     #[serde(rename = "end")]
     pub front_end: u64,
-    /// The request's number.
+    /// The number of the request.
     #[serde(rename = "req")]
     pub request: u64,
 }
@@ -238,10 +238,10 @@
 #[derive(Deserialize)]
 #[serde(expecting = "struct variant Line::HealthResult with 5 elements")]
 pub struct ProbeEnded {
-    /// The front end's number.
+    /// The number of the front end.
     #[serde(rename = "end")]
     pub front_end: u64,
-    /// The worker's name.
+    /// The name of the worker.
     pub worker: String,
     /// How it ended.
     #[serde(rename = "result", with = "OutcomeName")]
@@ -249,7 +249,7 @@
     /// Seconds since it was sent.
     #[serde(default)]
     pub latency_s: f64,
-    /// The worker's load report, by the fields of the settings.
+    /// The values of the worker's load report, in the order of the fields in the settings.
     #[serde(default, rename = "health_info")]
     pub load_report: Option<Vec<Option<f64>>>,
 }
@@ -258,12 +258,12 @@
 #[derive(Deserialize)]
 #[serde(expecting = "struct variant Line::LoadDone with 6 elements")]
 pub struct LoadEnded {
-    /// The front end's number.
+    /// The number of the front end.
     #[serde(rename = "end")]
     pub front_end: u64,
-    /// The worker's name.
+    /// The name of the worker.
     pub worker: String,
-    /// The function's name.
+    /// The name of the function.
     #[serde(rename = "callee")]
     pub function: String,
     /// How it ended.
@@ -272,12 +272,12 @@
     /// Seconds since it was sent.
     #[serde(default)]
     pub latency_s: f64,
-    /// Instances that are loaded there.
+    /// Number of instances loaded there.
     #[serde(default, rename = "number")]
     pub instances: u32,
 }
 
-/// The wire's names of outcomes.
+/// The names of outcomes on the wire.
 #[derive(Deserialize)]
 #[serde(
     remote = "Outcome",
--- a/simulator-adapter/src/wire/mod.rs
+++ b/simulator-adapter/src/wire/mod.rs
@@ -1,7 +1,7 @@
-//! The wire's lines as types. Each line is a JSON object whose `kind` names its form; absent optional values take the wire
-//! page's defaults.
+//! Types of the lines on the wire. Each line is a JSON object whose `kind` names the message or command. Missing
+//! optional values take their defaults.
 //!
-//! Items and fields have the field's usual names; `serde` attributes give those of the wire.
+//! Items and fields have names of the domain; `serde` attributes give the names on the wire.
 
 mod command;
 mod message;
--- a/simulator-adapter/src/wire/tests.rs
+++ b/simulator-adapter/src/wire/tests.rs
@@ -1,15 +1,15 @@
-//! The commands' bytes, also of those that the router gives seldom.
+//! The JSON of every command, including those that the router sends rarely.
 
 use super::Command;
 
 const FRONT_END: u64 = 3;
 
-fn written(command: Command<'_>) -> String {
-    serde_json::to_string(&command).expect("a command can be written")
+fn to_json(command: Command<'_>) -> String {
+    serde_json::to_string(&command).expect("commands serialize")
 }
 
 #[test]
-fn commands_about_requests_have_their_bytes() {
+fn request_commands_serialize_as_on_the_wire() {
     let send = |abandon_at_s| Command::Send {
         front_end: FRONT_END,
         request: 42,
@@ -48,12 +48,12 @@
         (cancel, r#"{"kind":"Revoke","end":3,"req":42,"hop":1}"#),
     ];
     for (command, expected) in cases {
-        assert_eq!(written(command), expected);
+        assert_eq!(to_json(command), expected);
     }
 }
 
 #[test]
-fn commands_about_workers_and_functions_have_their_bytes() {
+fn worker_and_function_commands_serialize_as_on_the_wire() {
     let function = "0000007c55d20a01";
     let probe = Command::Probe {
         front_end: FRONT_END,
@@ -82,12 +82,12 @@
         ),
     ];
     for (command, expected) in cases {
-        assert_eq!(written(command), expected);
+        assert_eq!(to_json(command), expected);
     }
 }
 
 #[test]
-fn commands_about_time_and_lists_have_their_bytes() {
+fn timer_and_list_commands_serialize_as_on_the_wire() {
     let front_end = FRONT_END;
     let timer = Command::SetTimer {
         front_end,
@@ -114,6 +114,6 @@
         ),
     ];
     for (command, expected) in cases {
-        assert_eq!(written(command), expected);
+        assert_eq!(to_json(command), expected);
     }
 }
--- a/simulator-adapter/tests/wire.rs
+++ b/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter on hand-written transcripts, good and malformed.
+//! Runs the adapter on transcripts, valid and malformed.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -46,7 +46,7 @@
     format!("{{\"kind\":\"LoadDone\",\"end\":{end},\"worker\":\"{worker}\",\"callee\":\"0000007c55d20a01\",\"result\":\"served\",\"latency_s\":0.5,\"number\":1}}\n")
 }
 
-/// The actions of one instance, without its name and the batch ends.
+/// Returns the commands to one front end, without its number and the acknowledgements.
 fn actions(out: &Output, end: u32) -> Vec<String> {
     let text = String::from_utf8(out.stdout.clone()).unwrap();
     let own = format!("\"end\":{end},");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn empty_input_and_empty_batches_end_well() {
+fn empty_input_and_empty_batches_succeed() {
     assert!(run_adapter("").status.success());
     let out = run_adapter(&batch(1, 1.0, ""));
     assert!(out.status.success());
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn malformed_input_is_reported_with_its_line_and_ends_the_session() {
+fn malformed_input_ends_the_session_with_its_line_number() {
     let valid = batch(1, 5.0, &start(0, 1));
     let line = valid.lines().count() + 2;
     for (malformed, expected_text) in [
@@ -103,7 +103,7 @@
         ("{\"kind\":\"Nonsense\",\"end\":0}\n", "unknown variant"),
         (
             "{\"kind\":\"Dropped\",\"end\":9,\"req\":1}\n",
-            "instance 9 is not up",
+            "front end 9 is not running",
         ),
         (
             "{\"kind\":\"Arrival\",\"end\":0,\"req\":1,\"callee\":\"xyz\",\"time_budget_s\":1}\n",
@@ -120,13 +120,13 @@
         let text = String::from_utf8(out.stdout).unwrap();
         assert!(
             text.lines().all(|line| line.starts_with("{\"kind\":")),
-            "only replies on standard output"
+            "standard output contains only commands"
         );
     }
 }
 
 #[test]
-fn a_batch_cut_short_is_an_error() {
+fn an_unfinished_batch_is_an_error() {
     let out = run_adapter("{\"kind\":\"Clock\",\"moment_s\":1,\"seq\":4}\n");
     assert!(!out.status.success());
     assert!(String::from_utf8(out.stderr)
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn instances_act_alike_in_one_process_and_in_several() {
+fn front_ends_act_the_same_in_one_process_and_in_several() {
     let events = |ends: &[u32]| {
         let all = |f: &dyn Fn(u32) -> String| ends.iter().map(|e| f(*e)).collect::<String>();
         let mut text = batch(1, 5.0, &all(&|end| start(end, 7 + end)));
@@ -167,9 +167,9 @@
     }
 }
 
-/// A worker that has left is forgotten; outcomes that still name it do no harm, and it may return under its name.
+/// The names of workers that have left are removed. Outcomes may still name such a worker, and it may return.
 #[test]
-fn a_worker_that_left_may_still_be_named_and_may_return() {
+fn a_removed_worker_may_be_named_in_late_outcomes_and_may_return() {
     let change = |health: u8| {
         format!("{{\"kind\":\"Targets\",\"end\":3,\"mode\":4,\"epoch\":2,\"entries\":[{{\"worker\":\"10.0.0.1:80\",\"health\":{health},\"share\":1}},{{\"worker\":\"10.0.0.2:80\",\"health\":{health},\"share\":1}}]}}\n")
     };
@@ -191,7 +191,7 @@
     assert_eq!(
         load_requests(&out),
         1,
-        "a load request made before the list changed still names its worker"
+        "the load request sent before the list change still names its worker"
     );
     let out =
         run_adapter(&(start + &batch(3, 6.0, &late) + &batch(4, 8.0, &(change(1) + &call(3, 44)))));
