--- a/tests/router.rs
+++ b/tests/router.rs
@@ -1,4 +1,4 @@
-//! The rules and the mechanism, tried through the public interface.
+//! Tests of the router through its public interface.
 
 #[path = "router/harness.rs"]
 mod harness;
--- a/tests/router/harness.rs
+++ b/tests/router/harness.rs
@@ -1,11 +1,11 @@
-//! A router, a clock, and what is known of its actions.
+//! A router driven by hand with a simulated clock, and helpers to inspect its actions.
 
 use tansyrouter::*;
 
-/// Microseconds of a millisecond.
+/// One millisecond in microseconds.
 pub const MS: i64 = 1_000;
 
-/// An entry of the workers' list.
+/// Returns an entry of the worker list.
 pub fn worker(id: u64, state: WorkerState, started: Option<Time>) -> WorkerEntry {
     WorkerEntry {
         worker: WorkerId(id),
@@ -28,7 +28,7 @@
 }
 
 impl Harness {
-    /// A router at time zero that knows no worker.
+    /// Creates a router at time zero without workers.
     pub fn new(settings: Settings) -> Harness {
         Harness {
             router: Router::new(settings, 1, Time(0)).unwrap(),
@@ -37,16 +37,17 @@
         }
     }
 
-    /// A router with this many workers, one of which has served a call of function 9; tells which.
+    /// Creates a router with this many workers, one of which has served a call of function 9, and returns that
+    /// worker.
     pub fn with_warm_instance(settings: Settings, workers: u64) -> (Harness, WorkerId) {
         let mut harness = Harness::new(settings);
-        harness.ready_workers(workers);
+        harness.set_ready_workers(workers);
         let worker = harness.load_and_send(1, 9, 0);
         harness.end_attempt(1, 0, worker, Outcome::Served);
         (harness, worker)
     }
 
-    /// Hands the router an event: its actions, without those that set its timer.
+    /// Passes an event to the router. Returns its actions other than timers.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         self.actions.clear();
         self.router.handle(self.now, event, &mut self.actions);
@@ -57,13 +58,13 @@
             .collect()
     }
 
-    /// Hands the router a list of workers.
+    /// Passes a worker list to the router.
     pub fn worker_list(&mut self, kind: ListKind, entries: Vec<WorkerEntry>) -> Vec<Action> {
         self.handle(Event::Workers { kind, entries })
     }
 
-    /// A full list of this many ready workers.
-    pub fn ready_workers(&mut self, count: u64) {
+    /// Passes a full list of this many ready workers to the router.
+    pub fn set_ready_workers(&mut self, count: u64) {
         let entries = (1..=count)
             .map(|id| worker(id, WorkerState::Ready, None))
             .collect();
@@ -92,7 +93,7 @@
         }))
     }
 
-    /// An attempt ends, without a report of the worker.
+    /// Ends an attempt, without a load report.
     pub fn end_attempt(
         &mut self,
         request: u64,
@@ -113,7 +114,7 @@
         }))
     }
 
-    /// Served at the first attempt, after this time.
+    /// Serves a call at its first attempt, after this time.
     pub fn served_after(
         &mut self,
         request: RequestId,
@@ -123,7 +124,7 @@
         self.served_with(request, worker, latency, None, None)
     }
 
-    /// Served at the first attempt, with the calls of its function and the load that the worker reports.
+    /// Serves a call at its first attempt. The answer reports this concurrency and load.
     pub fn served_with(
         &mut self,
         request: RequestId,
@@ -145,7 +146,7 @@
         }))
     }
 
-    /// A load ends.
+    /// Ends a load request.
     pub fn end_load(&mut self, worker: WorkerId, function: u64, outcome: Outcome) -> Vec<Action> {
         let instances = (outcome == Outcome::Served) as u32;
         let function = FunctionId(function);
@@ -158,7 +159,7 @@
         })
     }
 
-    /// Time goes by; all actions of its timers.
+    /// Advances the clock, with a timer event every 10 ms. Returns all actions.
     pub fn advance(&mut self, span: Micros) -> Vec<Action> {
         let mut all = Vec::new();
         let end = self.now.plus(span);
@@ -169,14 +170,15 @@
         all
     }
 
-    /// Brings a function up and has one call of it sent; tells where.
+    /// Loads a function and has one call of it sent. Returns its worker.
     pub fn load_and_send(&mut self, request: u64, function: u64, class: usize) -> WorkerId {
-        let at =
-            requested_load(&self.arrive(request, function, class, 5_000 * MS)).expect("a load");
-        sent_to(&self.end_load(at, function, Outcome::Served)).expect("a send")
+        let worker_id = requested_load(&self.arrive(request, function, class, 5_000 * MS))
+            .expect("a load request");
+        sent_to(&self.end_load(worker_id, function, Outcome::Served)).expect("a send")
     }
 
-    /// Has one call miss at its home until a load is requested and the call held for it; tells where.
+    /// Lets the attempts of a call miss until a load is requested and the call waits for it. Returns the worker that
+    /// loads.
     pub fn miss_until_load(&mut self, request: u64, function: u64) -> WorkerId {
         let mut actions = self.arrive(request, function, 0, 2_000 * MS);
         let mut attempt = 0;
@@ -186,19 +188,22 @@
                 actions = self.end_attempt(request, attempt, to, Outcome::NotLoaded);
                 attempt += 1;
             }
-            if let Some(at) = requested_load(&actions) {
+            if let Some(worker_id) = requested_load(&actions) {
                 if let Some(next) = sent_to(&actions) {
                     actions = self.end_attempt(request, attempt, next, Outcome::NotLoaded);
                 }
-                assert_eq!(sent_to(&actions), None, "held for its load");
-                return at;
+                assert_eq!(sent_to(&actions), None, "the call waits for its load");
+                return worker_id;
             }
-            assert!(to.is_some(), "neither sent nor requested");
+            assert!(
+                to.is_some(),
+                "the call is neither sent nor is a load requested"
+            );
         }
     }
 }
 
-/// The worker of the first load in these actions.
+/// Returns the worker of the first load request in these actions.
 pub fn requested_load(actions: &[Action]) -> Option<WorkerId> {
     actions.iter().find_map(|action| match action {
         Action::Load {
@@ -210,7 +215,7 @@
     })
 }
 
-/// The worker of the first attempt in these actions.
+/// Returns the worker of the first attempt in these actions.
 pub fn sent_to(actions: &[Action]) -> Option<WorkerId> {
     actions.iter().find_map(|action| match action {
         Action::Send { worker, .. } => Some(*worker),
@@ -218,7 +223,7 @@
     })
 }
 
-/// Settings of one class with this effect.
+/// Returns settings with one class of this effect.
 pub fn settings_with(effect: Effect) -> Settings {
     let mut settings = Settings::default();
     settings.classes[0].effect = effect;
@@ -226,8 +231,8 @@
     settings
 }
 
-/// A fleet at full size in which a call that finds nothing loaded says so.
-pub fn one_of_a_hundred(front_end: usize) -> Settings {
+/// Returns settings of one of 100 front ends, where a call whose function is not loaded is answered with a miss.
+pub fn one_of_100_front_ends(front_end: usize) -> Settings {
     Settings {
         front_ends: 100,
         front_end_index: front_end,
@@ -237,18 +242,24 @@
     }
 }
 
-/// An answer to the only attempt of a call, with the calls of its function that the worker held.
-pub fn served_among(
+/// Serves a call at its first attempt. The answer reports this concurrency.
+pub fn serve_with_concurrency(
     harness: &mut Harness,
     request: u64,
     worker: WorkerId,
-    crowd: u32,
+    concurrency: u32,
 ) -> Vec<Action> {
-    harness.served_with(RequestId(request), worker, 100 * MS, Some(crowd), None)
+    harness.served_with(
+        RequestId(request),
+        worker,
+        100 * MS,
+        Some(concurrency),
+        None,
+    )
 }
 
-/// The worker of the first question for standing instances in these actions.
-pub fn asked_worker(actions: &[Action]) -> Option<WorkerId> {
+/// Returns the worker of the first query for loaded instances in these actions.
+pub fn queried_worker(actions: &[Action]) -> Option<WorkerId> {
     actions.iter().find_map(|action| match action {
         Action::Load {
             worker,
@@ -259,20 +270,20 @@
     })
 }
 
-/// One worker with one function that has served at 100 ms.
-pub fn served_once() -> (Harness, WorkerId) {
+/// Creates a router with one worker that has served one call of function 9 in 100 ms.
+pub fn harness_with_one_served_call() -> (Harness, WorkerId) {
     let mut harness = Harness::new(settings_with(Effect::Safe));
     harness.now = Time(10 * SECOND);
-    harness.ready_workers(1);
-    let at = harness.load_and_send(1, 9, 0);
+    harness.set_ready_workers(1);
+    let worker_id = harness.load_and_send(1, 9, 0);
     harness.now = harness.now.plus(100 * MS);
-    harness.end_attempt(1, 0, at, Outcome::Served);
-    (harness, at)
+    harness.end_attempt(1, 0, worker_id, Outcome::Served);
+    (harness, worker_id)
 }
 
-/// Answers the next ask for a worker's instances, as one that stands.
-pub fn answer_next(harness: &mut Harness, at: WorkerId) -> Vec<Action> {
-    let asks = (0..200).any(|_| asked_worker(&harness.advance(10 * MS)) == Some(at));
-    assert!(asks, "a suspect that is never asked");
-    harness.end_load(at, 9, Outcome::Served)
+/// Waits for the next query of the worker and answers that an instance is loaded.
+pub fn answer_next_query(harness: &mut Harness, worker_id: WorkerId) -> Vec<Action> {
+    let is_queried = (0..200).any(|_| queried_worker(&harness.advance(10 * MS)) == Some(worker_id));
+    assert!(is_queried, "the suspect is never queried");
+    harness.end_load(worker_id, 9, Outcome::Served)
 }
--- a/tests/router/loading.rs
+++ b/tests/router/loading.rs
@@ -1,13 +1,13 @@
-//! Load requests: their budget, their backoff, and those without an effect.
+//! Load requests: their budget, the backoff after loads without effect, and lost connections.
 
 use crate::harness::{
-    answer_next, asked_worker, one_of_a_hundred, requested_load, sent_to, served_once,
-    settings_with, worker, Harness, MS,
+    answer_next_query, harness_with_one_served_call, one_of_100_front_ends, queried_worker,
+    requested_load, sent_to, settings_with, worker, Harness, MS,
 };
 use tansyrouter::*;
 
 #[test]
-fn load_orders_stay_within_the_ration() {
+fn load_requests_stay_within_the_budget() {
     let load_budget = Some(LoadBudget {
         free: 2.0,
         arrival_share: 0.25,
@@ -17,52 +17,52 @@
         load_budget,
         ..settings_with(Effect::Safe)
     });
-    harness.ready_workers(8);
-    let mut orders = 0;
+    harness.set_ready_workers(8);
+    let mut loads = 0;
     for request in 0..40 {
         harness.now = harness.now.plus(10 * MS);
         let actions = harness.arrive(request, 100 + request, 0, 5_000 * MS);
         if let Some(worker) = requested_load(&actions) {
-            orders += 1;
+            loads += 1;
             harness.end_load(worker, 100 + request, Outcome::Served);
         }
-        assert!(orders as f64 <= 2.0 + 0.25 * (request + 1) as f64);
+        assert!(loads as f64 <= 2.0 + 0.25 * (request + 1) as f64);
     }
-    assert!(orders > 5, "and are used: {orders}");
+    assert!(loads > 5, "only {loads} of the budget are used");
 }
 
-/// One worker, load requests answered by `answer` as soon as they are given, calls likewise missed; counts those of
-/// five seconds. `functions` functions have calls waiting all the time.
-fn orders_in_five_seconds(
-    set: Settings,
+/// Counts the load requests in five seconds, while `functions` functions always have calls waiting. Load requests are
+/// answered with `answer` at once, and calls miss.
+fn load_requests_in_five_seconds(
+    settings: Settings,
     workers: u64,
     functions: u64,
     answer: (Outcome, u32),
 ) -> usize {
-    let mut harness = Harness::new(set);
-    harness.ready_workers(workers);
-    let (mut orders, mut next) = (0, 0);
-    let mut todo = std::collections::VecDeque::new();
+    let mut harness = Harness::new(settings);
+    harness.set_ready_workers(workers);
+    let (mut loads, mut next) = (0, 0);
+    let mut pending = std::collections::VecDeque::new();
     while harness.now < Time(5_000 * MS) {
         for function in 0..functions {
             next += 1;
-            todo.extend(harness.arrive(next, function, 0, 5_000 * MS));
+            pending.extend(harness.arrive(next, function, 0, 5_000 * MS));
         }
-        todo.extend(harness.handle(Event::Timer { token: 0 }));
+        pending.extend(harness.handle(Event::Timer { token: 0 }));
         let mut steps = 0;
-        while let Some(action) = todo.pop_front() {
+        while let Some(action) = pending.pop_front() {
             steps += 1;
-            assert!(steps < 100_000, "orders at the loop's speed");
+            assert!(steps < 100_000, "load requests without pause");
             match action {
                 Action::Load {
                     worker,
                     function,
-                    instances: wanted,
+                    instances: requested,
                 } => {
-                    orders += (wanted > 0) as usize;
+                    loads += (requested > 0) as usize;
                     let (outcome, instances) = answer;
                     let latency = 100;
-                    todo.extend(harness.handle(Event::LoadEnded {
+                    pending.extend(harness.handle(Event::LoadEnded {
                         worker,
                         function,
                         outcome,
@@ -84,59 +84,65 @@
                         concurrency: None,
                         report: None,
                     };
-                    todo.extend(harness.handle(Event::AttemptEnded(result)));
+                    pending.extend(harness.handle(Event::AttemptEnded(result)));
                 }
                 _ => {}
             }
         }
         harness.now = harness.now.plus(50 * MS);
     }
-    orders
+    loads
 }
 
 #[test]
-fn orders_in_vain_wait_longer_each_time_at_a_place_and_are_paced_over_all() {
+fn ineffective_loads_back_off_per_instance_and_are_paced_over_all_workers() {
     for answer in [
         (Outcome::Served, 0),
         (Outcome::Error, 0),
         (Outcome::Rejected, 0),
         (Outcome::NotLoaded, 0),
     ] {
-        // At one place: at once, once more, then after half a second to three quarters, twice that, four times.
-        let orders = orders_in_five_seconds(settings_with(Effect::Safe), 1, 1, answer);
-        assert!((3..=6).contains(&orders), "{answer:?}: {orders}");
-        let orders = orders_in_five_seconds(settings_with(Effect::Safe), 1, 40, answer);
+        // One instance: requested at once and once more, then after backoffs of half a second (plus jitter), one
+        // second and two seconds.
+        let loads = load_requests_in_five_seconds(settings_with(Effect::Safe), 1, 1, answer);
+        assert!((3..=6).contains(&loads), "{answer:?}: {loads} loads");
+        let loads = load_requests_in_five_seconds(settings_with(Effect::Safe), 1, 40, answer);
         assert!(
-            (90..=102).contains(&orders),
-            "{answer:?}: {orders} for many functions at one worker"
+            (90..=102).contains(&loads),
+            "{answer:?}: {loads} loads for many functions at one worker"
         );
-        let orders = orders_in_five_seconds(settings_with(Effect::Safe), 20, 40, answer);
-        // Those in hand before the first answer, two a worker, then the pace.
+        let loads = load_requests_in_five_seconds(settings_with(Effect::Safe), 20, 40, answer);
+        // The window of loads before the first answer, then one per interval.
         assert!(
-            (60..=142).contains(&orders),
-            "{answer:?}: {orders} at twenty workers"
+            (60..=142).contains(&loads),
+            "{answer:?}: {loads} loads at twenty workers"
         );
     }
-    let orders = orders_in_five_seconds(settings_with(Effect::Safe), 1, 1, (Outcome::Served, 1));
-    assert!((3..=6).contains(&orders), "told done and missed: {orders}");
+    let loads =
+        load_requests_in_five_seconds(settings_with(Effect::Safe), 1, 1, (Outcome::Served, 1));
+    assert!(
+        (3..=6).contains(&loads),
+        "{loads} loads that are reported as done and missed by calls"
+    );
 }
 
 #[test]
-fn a_call_served_or_a_restart_clears_what_was_in_vain() {
+fn a_served_call_or_a_restart_resets_the_load_backoff() {
     for restart in [false, true] {
         let mut harness = Harness::new(settings_with(Effect::Safe));
-        harness.ready_workers(1);
-        let mut at = requested_load(&harness.arrive(1, 9, 0, 60_000 * MS)).expect("a load");
+        harness.set_ready_workers(1);
+        let mut worker_id =
+            requested_load(&harness.arrive(1, 9, 0, 60_000 * MS)).expect("a load request");
         for _ in 0..4 {
-            let mut next = harness.end_load(at, 9, Outcome::Error);
+            let mut next = harness.end_load(worker_id, 9, Outcome::Error);
             while requested_load(&next).is_none() {
                 next = harness.advance(10 * MS);
             }
-            at = requested_load(&next).unwrap();
+            worker_id = requested_load(&next).unwrap();
         }
         let since = harness.now;
         let next = if restart {
-            harness.end_load(at, 9, Outcome::Error);
+            harness.end_load(worker_id, 9, Outcome::Error);
             let now = harness.now;
             harness.worker_list(
                 ListKind::Full,
@@ -144,95 +150,110 @@
             );
             harness.advance(60 * MS)
         } else {
-            assert_eq!(sent_to(&harness.end_load(at, 9, Outcome::Served)), Some(at));
-            harness.end_attempt(1, 0, at, Outcome::Served);
-            // It lapses; the next load request fails once, and is given again at once as after a first failure.
+            assert_eq!(
+                sent_to(&harness.end_load(worker_id, 9, Outcome::Served)),
+                Some(worker_id)
+            );
+            harness.end_attempt(1, 0, worker_id, Outcome::Served);
+            // It reaches its idle timeout. The next load request fails once and is repeated at once, as after a first
+            // failure.
             harness.advance(20_000 * MS);
             assert!(requested_load(&harness.arrive(2, 9, 0, 60_000 * MS)).is_some());
-            harness.end_load(at, 9, Outcome::Error);
+            harness.end_load(worker_id, 9, Outcome::Error);
             harness.advance(600 * MS)
         };
         assert!(
             requested_load(&next).is_some(),
-            "restart {restart}, {} us on",
+            "restart {restart}: no load request after {} us",
             harness.now.since(since)
         );
     }
 }
 
 #[test]
-fn an_order_whose_connection_is_lost_is_not_in_vain() {
-    let (mut harness, at) = served_once();
+fn a_load_with_a_lost_connection_does_not_count_as_ineffective() {
+    let (mut harness, worker_id) = harness_with_one_served_call();
     let first = requested_load(&harness.arrive(2, 10, 0, 5_000 * MS));
-    assert_eq!(first, Some(at));
-    harness.end_load(at, 10, Outcome::ConnectionLost);
-    // It is given again as soon as the worker answers, well within the half second of a place that is barred.
-    let mut actions = answer_next(&mut harness, at);
+    assert_eq!(first, Some(worker_id));
+    harness.end_load(worker_id, 10, Outcome::ConnectionLost);
+    // It is repeated as soon as the worker answers, well before the half second of the first backoff.
+    let mut actions = answer_next_query(&mut harness, worker_id);
     actions.extend(harness.advance(60 * MS));
-    assert_eq!(requested_load(&actions), Some(at));
-    // And what stood there stands: a call goes to it.
-    assert_eq!(sent_to(&harness.arrive(3, 9, 0, 5_000 * MS)), Some(at));
+    assert_eq!(requested_load(&actions), Some(worker_id));
+    // Instances that were loaded there before still count: a call is sent to one.
+    assert_eq!(
+        sent_to(&harness.arrive(3, 9, 0, 5_000 * MS)),
+        Some(worker_id)
+    );
 }
 
-/// Load requests outlast connections that end when nothing passes on them, and stand all the same: where a miss says so a call
-/// goes and sees, and the worker is no suspect. Else each is given again elsewhere, and each worker is shut out.
+/// A load may succeed although its connection was closed while idle. If the connection is lost long after the request
+/// was sent, and a miss loads nothing, a call is sent to find out and the worker is not suspect. Otherwise every such
+/// load would be repeated elsewhere and its worker excluded.
 #[test]
-fn an_order_whose_connection_ends_long_after_it_left_is_taken_to_stand() {
-    for (latency, stands) in [(500 * MS, true), (MS, false)] {
-        let mut harness = Harness::new(one_of_a_hundred(0));
-        harness.ready_workers(10);
-        let at = harness.miss_until_load(1, 9);
+fn a_load_whose_connection_is_lost_late_is_presumed_to_succeed() {
+    for (latency, presumed) in [(500 * MS, true), (MS, false)] {
+        let mut harness = Harness::new(one_of_100_front_ends(0));
+        harness.set_ready_workers(10);
+        let worker_id = harness.miss_until_load(1, 9);
         let (function, outcome) = (FunctionId(9), Outcome::ConnectionLost);
-        let told = Event::LoadEnded {
-            worker: at,
+        let ended = Event::LoadEnded {
+            worker: worker_id,
             function,
             outcome,
             latency,
             instances: 0,
         };
-        let actions = harness.handle(told);
+        let actions = harness.handle(ended);
+        assert_eq!(
+            sent_to(&actions) == Some(worker_id),
+            presumed,
+            "lost after {latency} us: {actions:?}"
+        );
+        assert_eq!(
+            requested_load(&actions),
+            None,
+            "{latency}: the load is requested again"
+        );
+        let is_queried = (0..20).any(|_| queried_worker(&harness.advance(10 * MS)).is_some());
         assert_eq!(
-            sent_to(&actions) == Some(at),
-            stands,
-            "{latency}: {actions:?}"
+            is_queried, !presumed,
+            "{latency}: whether its worker is queried"
         );
-        assert_eq!(requested_load(&actions), None, "{latency}: ordered again");
-        let asks = (0..20).any(|_| asked_worker(&harness.advance(10 * MS)).is_some());
-        assert_eq!(asks, !stands, "{latency}: its worker is tested");
     }
 }
 
-/// What is taken to stand is as old as its load request: a process that started after that left never got it, so that
-/// a call there goes in vain. With a short warm-up nothing else keeps the call away.
+/// A presumed instance is only as recent as its load request: a process that started after the request was sent never
+/// received it, so a call must not be sent there. The short slow start rules out other reasons.
 #[test]
-fn an_order_that_left_before_its_worker_started_again_is_not_taken_to_stand() {
-    for restarts in [false, true] {
-        let mut set = one_of_a_hundred(0);
-        set.slow_start_window = 50 * MS;
-        let mut harness = Harness::new(set);
-        harness.ready_workers(10);
-        let at = harness.miss_until_load(1, 9);
+fn a_load_requested_before_its_worker_restarted_is_not_presumed_to_succeed() {
+    for restarted in [false, true] {
+        let mut settings = one_of_100_front_ends(0);
+        settings.slow_start_window = 50 * MS;
+        let mut harness = Harness::new(settings);
+        harness.set_ready_workers(10);
+        let worker_id = harness.miss_until_load(1, 9);
         harness.advance(200 * MS);
-        if restarts {
+        if restarted {
             harness.worker_list(
                 ListKind::Changes,
-                vec![worker(at.0, WorkerState::Ready, Some(harness.now))],
+                vec![worker(worker_id.0, WorkerState::Ready, Some(harness.now))],
             );
         }
         harness.advance(300 * MS);
         let (function, outcome) = (FunctionId(9), Outcome::ConnectionLost);
-        let told = Event::LoadEnded {
-            worker: at,
+        let ended = Event::LoadEnded {
+            worker: worker_id,
             function,
             outcome,
             latency: 500 * MS,
             instances: 0,
         };
-        let actions = harness.handle(told);
+        let actions = harness.handle(ended);
         assert_eq!(
-            sent_to(&actions) == Some(at),
-            !restarts,
-            "{restarts}: {actions:?}"
+            sent_to(&actions) == Some(worker_id),
+            !restarted,
+            "restarted {restarted}: {actions:?}"
         );
     }
 }
--- a/tests/router/queue.rs
+++ b/tests/router/queue.rs
@@ -1,25 +1,25 @@
-//! Calls that wait, in their order.
+//! The order of queued calls, their deadlines and the checks of the queues.
 
 use crate::harness::{requested_load, settings_with, worker, Harness, MS};
 use std::collections::{BTreeMap, VecDeque};
 use tansyrouter::*;
 
-/// The time of a call's client, in the next test.
+/// How long clients wait in the test with a busy lane.
 const CLIENT_TIMEOUT: Micros = 6 * SECOND;
 
-/// An attempt that has no end yet.
+/// An attempt that has not answered_at.
 struct OpenAttempt {
     request: RequestId,
     worker: WorkerId,
     attempt: u32,
 }
 
-/// Calls with hints from light to heavy wait on one busy lane; some come back from a worker that is cut off.
+/// A queue of calls with light and heavy work hints behind one busy lane; some attempts are rejected and retried.
 struct BusyLane {
     harness: Harness,
     rng: fastrand::Rng,
     arrived: BTreeMap<RequestId, Time>,
-    ended: BTreeMap<RequestId, Time>,
+    answered_at: BTreeMap<RequestId, Time>,
     open: VecDeque<OpenAttempt>,
     attempts: BTreeMap<RequestId, u32>,
 }
@@ -30,12 +30,12 @@
         settings.classes[0].latency_objective = 2 * SECOND;
         settings.classes[0].deadline = CLIENT_TIMEOUT;
         let mut harness = Harness::new(settings);
-        harness.ready_workers(2);
+        harness.set_ready_workers(2);
         BusyLane {
             harness,
             rng: fastrand::Rng::with_seed(5),
             arrived: BTreeMap::new(),
-            ended: BTreeMap::new(),
+            answered_at: BTreeMap::new(),
             open: VecDeque::new(),
             attempts: BTreeMap::new(),
         }
@@ -58,7 +58,7 @@
         }))
     }
 
-    /// Ends the oldest open attempt, two of three times well.
+    /// Ends the oldest open attempt, served in two of three cases.
     fn end_attempt(&mut self) -> Vec<Action> {
         let Some(oldest) = self.open.pop_front() else {
             return Vec::new();
@@ -67,7 +67,7 @@
         let outcome = *self.rng.choice(&outcomes).unwrap();
         let concluded = outcome == Outcome::Served;
         if concluded {
-            self.ended.insert(oldest.request, self.harness.now);
+            self.answered_at.insert(oldest.request, self.harness.now);
         }
         self.harness.handle(Event::AttemptEnded(AttemptResult {
             request: oldest.request,
@@ -82,7 +82,7 @@
         }))
     }
 
-    /// Carries actions out, the last one first.
+    /// Carries out actions, the last one first.
     fn carry_out(&mut self, mut actions: Vec<Action>) {
         while let Some(action) = actions.pop() {
             match action {
@@ -97,8 +97,8 @@
                 } => self.send(request, worker),
                 Action::Reject { request, .. } | Action::Fail { request } => {
                     assert!(
-                        self.ended.insert(request, self.harness.now).is_none(),
-                        "{request:?} ended twice"
+                        self.answered_at.insert(request, self.harness.now).is_none(),
+                        "{request:?} answered twice"
                     );
                 }
                 _ => {}
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn with_thousands_waiting_late_lost_and_repeated_calls_are_still_found_in_their_order() {
+fn thousands_of_queued_calls_are_all_answered_in_time() {
     let mut lane = BusyLane::new();
     for step in 0..900 {
         let mut actions = Vec::new();
@@ -130,27 +130,36 @@
         lane.carry_out(actions);
     }
     let arrived = &lane.arrived;
-    assert_eq!(lane.ended.len(), arrived.len(), "every call has an end");
-    let ends = lane.ended.iter();
-    let late = ends.filter(|(request, end)| end.since(arrived[request]) > CLIENT_TIMEOUT);
-    assert_eq!(late.count(), 0, "none after its client's time");
+    assert_eq!(
+        lane.answered_at.len(),
+        arrived.len(),
+        "every call is answered"
+    );
+    let answers = lane.answered_at.iter();
+    let late =
+        answers.filter(|(request, answered)| answered.since(arrived[request]) > CLIENT_TIMEOUT);
+    assert_eq!(
+        late.count(),
+        0,
+        "no call is answered after its client has given up"
+    );
 }
 
 #[test]
-fn a_held_call_ends_when_it_can_no_longer_be_of_use_and_not_at_its_deadline() {
-    // Too late for any worth, behind calls whose aims are further off.
-    let mut set = settings_with(Effect::Safe);
+fn a_queued_call_is_answered_as_soon_as_it_cannot_be_served() {
+    // A call whose answer after the objective has no value, queued behind calls with later objectives.
+    let mut settings = settings_with(Effect::Safe);
     (
-        set.classes[0].late_weight,
-        set.classes[0].latency_objective,
-        set.classes[0].deadline,
+        settings.classes[0].late_weight,
+        settings.classes[0].latency_objective,
+        settings.classes[0].deadline,
     ) = (0.0, SECOND, 30 * SECOND);
-    set.classes.push(Class {
+    settings.classes.push(Class {
         latency_objective: 20 * SECOND,
-        ..set.classes[0].clone()
+        ..settings.classes[0].clone()
     });
-    let mut harness = Harness::new(set);
-    harness.ready_workers(1);
+    let mut harness = Harness::new(settings);
+    harness.set_ready_workers(1);
     for request in 2..200 {
         harness.arrive(request, 9, 1, 30_000 * MS);
     }
@@ -161,7 +170,7 @@
     };
     assert!(
         !harness.advance(500 * MS).contains(&refused),
-        "half of its aim is left"
+        "half of its objective is left"
     );
     let actions = harness.advance(500 * MS);
     assert_eq!(
@@ -172,52 +181,55 @@
         [&refused]
     );
 
-    // Sent once, and from a moment on not to be sent again, with its aim far off.
-    let mut set = settings_with(Effect::Keyed {
+    // A call that was sent once and loses its right to a retry long before its objective answers.
+    let mut settings = settings_with(Effect::Keyed {
         group: DedupGroup::Zone,
         window: 3 * SECOND,
     });
-    (set.classes[0].latency_objective, set.classes[0].deadline) = (5 * SECOND, 60 * SECOND);
-    let mut harness = Harness::new(set);
-    harness.ready_workers(1);
-    let at = harness.load_and_send(1, 9, 0);
+    (
+        settings.classes[0].latency_objective,
+        settings.classes[0].deadline,
+    ) = (5 * SECOND, 60 * SECOND);
+    let mut harness = Harness::new(settings);
+    harness.set_ready_workers(1);
+    let worker_id = harness.load_and_send(1, 9, 0);
     harness.arrive(2, 9, 0, 60_000 * MS);
-    harness.end_attempt(1, 0, at, Outcome::ConnectionLost);
+    harness.end_attempt(1, 0, worker_id, Outcome::ConnectionLost);
     let failed = Action::Fail {
         request: RequestId(1),
     };
     assert!(
         !harness.advance(2_000 * MS).contains(&failed),
-        "it may be sent again yet"
+        "a retry is still allowed"
     );
     assert!(
         harness.advance(600 * MS).contains(&failed),
-        "its window, less two connect time-outs, is over"
+        "its window, less two connect timeouts, has passed"
     );
 }
 
 #[test]
-fn with_very_many_functions_waiting_each_is_looked_over_in_its_turn() {
+fn very_many_waiting_functions_are_checked_in_turn() {
     let (workers, functions) = (300, 600);
     let mut harness = Harness::new(settings_with(Effect::Safe));
-    harness.ready_workers(workers);
-    let none = (1..=workers)
+    harness.set_ready_workers(workers);
+    let all_draining = (1..=workers)
         .map(|i| worker(i, WorkerState::Draining, None))
         .collect();
-    harness.worker_list(ListKind::Full, none);
+    harness.worker_list(ListKind::Full, all_draining);
     for function in 0..functions {
         assert_eq!(
             requested_load(&harness.arrive(function + 1, function, 0, 60_000 * MS)),
             None,
-            "no worker to load it"
+            "there is no worker to load it"
         );
     }
-    // Once there are workers again, only a look can find that a function may be loaded.
-    harness.ready_workers(workers);
-    let (mut looked, mut most) = (std::collections::BTreeSet::new(), 0);
+    // When workers are ready again, only the checks find functions to load.
+    harness.set_ready_workers(workers);
+    let (mut checked, mut most) = (std::collections::BTreeSet::new(), 0);
     for _ in 0..12 {
-        let before = looked.len();
-        looked.extend(
+        let before = checked.len();
+        checked.extend(
             harness
                 .advance(20 * MS)
                 .iter()
@@ -226,15 +238,15 @@
                     _ => None,
                 }),
         );
-        most = most.max(looked.len() - before);
+        most = most.max(checked.len() - before);
     }
     assert_eq!(
-        looked.len() as u64,
+        checked.len() as u64,
         functions,
-        "looked over within twelve looks"
+        "all functions are checked within twelve checks"
     );
     assert!(
         most < functions as usize / 2,
-        "{most} of {functions} in one look"
+        "{most} of {functions} functions in one check"
     );
 }
--- a/tests/router/requests.rs
+++ b/tests/router/requests.rs
@@ -1,32 +1,32 @@
-//! Calls: when they are held, repeated, refused and failed.
+//! When calls are queued, retried, refused and failed.
 
 use crate::harness::{requested_load, sent_to, settings_with, worker, Harness, MS};
 use tansyrouter::*;
 
 #[test]
-fn a_call_without_an_instance_is_held_for_a_load_and_sent_where_it_stands() {
-    let (mut harness, at) = Harness::with_warm_instance(settings_with(Effect::Safe), 3);
+fn a_call_without_a_free_lane_waits_and_is_sent_when_one_is_free() {
+    let (mut harness, worker_id) = Harness::with_warm_instance(settings_with(Effect::Safe), 3);
     assert_eq!(
         sent_to(&harness.arrive(2, 9, 0, 5_000 * MS)),
-        Some(at),
-        "a warm free lane is used"
+        Some(worker_id),
+        "a free lane of a warm instance is used"
     );
     assert_eq!(
         sent_to(&harness.arrive(3, 9, 0, 5_000 * MS)),
         None,
-        "with the lane taken the next one is held"
+        "the next call waits while the lane is taken"
     );
     assert_eq!(
-        sent_to(&harness.end_attempt(2, 0, at, Outcome::Served)),
-        Some(at),
-        "the returning lane goes to the line"
+        sent_to(&harness.end_attempt(2, 0, worker_id, Outcome::Served)),
+        Some(worker_id),
+        "the lane that becomes free serves the queue"
     );
 }
 
 #[test]
-fn held_calls_are_refused_before_their_own_budget_ends() {
+fn queued_calls_are_refused_before_their_deadline() {
     let mut harness = Harness::new(settings_with(Effect::Unsafe));
-    harness.ready_workers(1);
+    harness.set_ready_workers(1);
     harness.arrive(1, 9, 0, 300 * MS);
     let actions = harness.advance(300 * MS);
     assert!(actions.contains(&Action::Reject {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_unsafe_call_that_may_have_run_fails_and_is_not_sent_again() {
+fn an_unsafe_call_that_may_have_run_fails_and_is_not_retried() {
     for outcome in [
         Outcome::Error,
         Outcome::TimedOut,
@@ -44,9 +44,9 @@
         Outcome::Cancelled,
     ] {
         let mut harness = Harness::new(settings_with(Effect::Unsafe));
-        harness.ready_workers(3);
-        let at = harness.load_and_send(1, 9, 0);
-        let actions = harness.end_attempt(1, 0, at, outcome);
+        harness.set_ready_workers(3);
+        let worker_id = harness.load_and_send(1, 9, 0);
+        let actions = harness.end_attempt(1, 0, worker_id, outcome);
         assert!(
             actions.contains(&Action::Fail {
                 request: RequestId(1)
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn an_unsafe_call_proven_not_run_is_sent_again() {
+fn an_unsafe_call_that_never_ran_is_retried() {
     for outcome in [
         Outcome::Rejected,
         Outcome::ConnectFailed,
@@ -66,9 +66,9 @@
         Outcome::NotSent,
     ] {
         let mut harness = Harness::new(settings_with(Effect::Unsafe));
-        harness.ready_workers(3);
-        let at = harness.load_and_send(1, 9, 0);
-        let mut actions = harness.end_attempt(1, 0, at, outcome);
+        harness.set_ready_workers(3);
+        let worker_id = harness.load_and_send(1, 9, 0);
+        let mut actions = harness.end_attempt(1, 0, worker_id, outcome);
         assert!(
             !actions.contains(&Action::Fail {
                 request: RequestId(1)
@@ -84,24 +84,24 @@
 }
 
 #[test]
-fn settings_without_sense_are_an_error() {
-    let none = Settings {
+fn settings_without_classes_are_rejected() {
+    let no_classes = Settings {
         classes: Vec::new(),
         ..Settings::default()
     };
-    assert!(Router::new(none, 1, Time(0))
+    assert!(Router::new(no_classes, 1, Time(0))
         .err()
         .unwrap()
         .to_string()
         .contains("no class"));
 }
 
-/// Incidents i7100b7 and i39140c: a stalled front end is handed calls whose time has already run out.
+/// A front end that has stalled receives calls whose time has already run out. They must be answered at once.
 #[test]
-fn a_call_without_time_left_is_answered_in_the_same_breath() {
+fn a_call_without_time_left_is_answered_at_once() {
     for effect in [Effect::Safe, Effect::Unsafe] {
         let mut harness = Harness::new(settings_with(effect));
-        harness.ready_workers(1);
+        harness.set_ready_workers(1);
         for (index, budget) in [0, 3 * MS, -5].into_iter().enumerate() {
             let actions = harness.arrive(index as u64, 9, 0, budget);
             let request = RequestId(index as u64);
@@ -116,9 +116,10 @@
     }
 }
 
-/// Odd settings and lists: own number outside the count, a very large count, an empty zone.
+/// The router must still request loads if its index is outside the number of front ends, if that number is very
+/// large, and after an empty worker list.
 #[test]
-fn an_own_number_outside_the_count_and_a_huge_count_still_serve() {
+fn a_router_works_with_an_index_out_of_range_and_a_huge_number_of_front_ends() {
     for (front_end, front_ends) in [
         (7, 1),
         (usize::MAX, 3),
@@ -142,13 +143,16 @@
         );
         let mut actions = harness.arrive(2, 9, 0, 30_000 * MS);
         actions.extend(harness.advance(30_000 * MS));
-        let asked = actions.iter().any(|a| matches!(a, Action::Load { .. }));
-        assert!(asked, "{front_end} of {front_ends}: {actions:?}");
+        let load_requested = actions.iter().any(|a| matches!(a, Action::Load { .. }));
+        assert!(
+            load_requested,
+            "front end {front_end} of {front_ends}: {actions:?}"
+        );
     }
 }
 
 #[test]
-fn a_keyed_call_is_repeated_within_its_group_and_window_only() {
+fn a_keyed_call_is_retried_only_within_its_group_and_window() {
     for (group, window, late) in [
         (DedupGroup::Zone, 4_000, false),
         (DedupGroup::Cell, 4_000, false),
@@ -158,7 +162,7 @@
             group,
             window: window * MS,
         }));
-        harness.ready_workers(4);
+        harness.set_ready_workers(4);
         let first = harness.load_and_send(1, 9, 0);
         harness.now = harness.now.plus(if late { 300 * MS } else { 10 * MS });
         let mut actions = harness.end_attempt(1, 0, first, Outcome::ConnectionLost);
@@ -167,7 +171,7 @@
                 actions = harness.end_load(worker, 9, Outcome::Served);
             }
             if let Some(worker) = sent_to(&actions) {
-                assert!(!late, "out of its window");
+                assert!(!late, "retried after its window");
                 assert!(
                     worker == first || group == DedupGroup::Zone && worker.0 % 2 == first.0 % 2,
                     "{group:?}: {worker:?}"
@@ -180,13 +184,13 @@
         let refused = actions.iter().any(|a| matches!(a, Action::Reject { .. }));
         assert!(
             !refused || group == DedupGroup::All,
-            "{group:?} may have run: no refusal"
+            "{group:?}: refused though it may have run"
         );
     }
 }
 
 #[test]
-fn an_unsafe_call_is_never_taken_back_from_a_silent_worker() {
+fn an_unsafe_call_is_never_cancelled_at_a_silent_worker() {
     for (effect, cancels) in [(Effect::Safe, true), (Effect::Unsafe, false)] {
         let (mut harness, _) = Harness::with_warm_instance(settings_with(effect), 3);
         harness.arrive(2, 9, 0, 5_000 * MS);
@@ -200,9 +204,9 @@
 }
 
 #[test]
-fn a_departed_client_is_owed_nothing() {
+fn a_call_of_a_disconnected_client_gets_no_answer() {
     let mut harness = Harness::new(settings_with(Effect::Safe));
-    harness.ready_workers(1);
+    harness.set_ready_workers(1);
     harness.arrive(1, 9, 0, 500 * MS);
     harness.handle(Event::ClientLeft {
         request: RequestId(1),
@@ -217,11 +221,11 @@
 }
 
 #[test]
-fn huge_and_odd_numbers_do_not_panic() {
-    let mut set = settings_with(Effect::Safe);
-    set.classes[0].objective_per_work = 1e9;
-    let mut harness = Harness::new(set);
-    harness.ready_workers(2);
+fn extreme_values_do_not_panic() {
+    let mut settings = settings_with(Effect::Safe);
+    settings.classes[0].objective_per_work = 1e9;
+    let mut harness = Harness::new(settings);
+    harness.set_ready_workers(2);
     for (i, (budget, hint)) in [(i64::MAX, i64::MAX), (i64::MIN, i64::MIN), (1, 0)]
         .into_iter()
         .enumerate()
--- a/tests/router/workers.rs
+++ b/tests/router/workers.rs
@@ -1,19 +1,19 @@
-//! Workers of the list: those that leave, start cold or answer slowly.
+//! Workers that leave the list, are in slow start or answer slowly.
 
 use crate::harness::{requested_load, sent_to, settings_with, worker, Harness, MS};
 use tansyrouter::*;
 
 #[test]
-fn a_draining_gone_or_omitted_worker_gets_nothing_new() {
-    for how in 0..3 {
+fn a_draining_gone_or_unlisted_worker_gets_no_new_work() {
+    for case in 0..3 {
         let (mut harness, _) = Harness::with_warm_instance(settings_with(Effect::Safe), 1);
-        let entries = match how {
+        let entries = match case {
             0 => vec![worker(1, WorkerState::Draining, None)],
             1 => vec![worker(1, WorkerState::Gone, None)],
             _ => Vec::new(),
         };
         harness.worker_list(
-            if how == 2 {
+            if case == 2 {
                 ListKind::Full
             } else {
                 ListKind::Changes
@@ -26,35 +26,35 @@
         assert_eq!(
             (sent_to(&actions), requested_load(&actions)),
             (None, None),
-            "{how}"
+            "case {case}"
         );
         harness.worker_list(ListKind::Changes, vec![worker(1, WorkerState::Ready, None)]);
         assert_eq!(
             requested_load(&harness.arrive(4, 11, 0, 2_000 * MS)),
             Some(WorkerId(1)),
-            "back under the same id"
+            "the worker is back under its identifier"
         );
     }
 }
 
-/// Sends to a worker that starts now, by all front ends of a deployment, each with many calls for it.
-fn sends_to_a_cold_worker(front_ends: usize, for_seconds: i64) -> usize {
+/// Counts the calls that all front ends send to a worker that has just started, each with many calls for it.
+fn sends_to_a_starting_worker(front_ends: usize, seconds: i64) -> usize {
     let mut sends = 0;
     for front_end in 0..front_ends {
-        let set = Settings {
+        let settings = Settings {
             front_ends,
             front_end_index: front_end,
             may_load: false,
             max_attempts: 1,
             ..settings_with(Effect::Safe)
         };
-        let mut harness = Harness::new(set);
+        let mut harness = Harness::new(settings);
         harness.now = Time(1_000 * MS);
         harness.worker_list(
             ListKind::Full,
             vec![worker(1, WorkerState::Ready, Some(harness.now))],
         );
-        for request in 0..for_seconds as u64 * 5 {
+        for request in 0..seconds as u64 * 5 {
             let mut actions = harness.arrive(request, 20 + request, 0, 600 * MS);
             actions.extend(harness.advance(200 * MS));
             for action in actions {
@@ -71,27 +71,27 @@
     sends
 }
 
-/// Full size: divided among a hundred, a budget lets nothing through for a whole warm-up; taken whole by each, it
-/// pushes the worker over. A call weighs 0.2 s here (a fifth of the aim), misses too; the worker starts at 0.2 of
-/// one core and may get twice what it can do within any 2 s.
+/// With many front ends, the slow start credit must neither be divided so finely that a starting worker gets no
+/// calls, nor be granted to each front end in full so that they overload the worker. A call weighs 0.2 s, a fifth of
+/// the latency objective; the worker starts with 0.2 of one core and may get twice its capacity within any 2 s.
 #[test]
-fn a_cold_worker_is_neither_pushed_over_nor_left_idle_at_any_number_of_front_ends() {
+fn slow_start_neither_overloads_nor_starves_a_worker_with_any_number_of_front_ends() {
     for front_ends in [1, 3, 30, 120] {
-        let first = sends_to_a_cold_worker(front_ends, 2);
+        let first = sends_to_a_starting_worker(front_ends, 2);
         assert!(
             first as f64 * 0.2 <= 2.0 * 0.2 * 2.0 * 1.5,
-            "{front_ends}: {first} sends in the first 2 s"
+            "{front_ends} front ends: {first} sends in the first 2 s"
         );
-        let whole = sends_to_a_cold_worker(front_ends, 9);
+        let whole = sends_to_a_starting_worker(front_ends, 9);
         assert!(
             whole >= 8,
-            "{front_ends}: {whole} sends in nine tenths of the warm-up"
+            "{front_ends} front ends: {whole} sends in nine tenths of the slow start"
         );
     }
 }
 
 #[test]
-fn a_restarted_worker_is_taken_as_empty() {
+fn a_restarted_worker_has_no_instances() {
     let (mut harness, _) = Harness::with_warm_instance(
         Settings {
             front_ends: 3,
@@ -108,25 +108,26 @@
     assert_eq!(sent_to(&harness.arrive(2, 9, 0, 5_000 * MS)), None);
 }
 
-/// Rolling change at full size: the place of a function is at a worker that started just now and has no credit for
-/// a call. It is not waited for; another place is loaded.
+/// A preferred worker in slow start without credit for a call must not delay calls: the function is loaded at another
+/// worker.
 #[test]
-fn a_cold_place_without_credit_is_not_waited_for() {
-    let mut set = settings_with(Effect::Safe);
-    set.miss_policy = MissPolicy::Miss;
-    (set.slow_start_window, set.front_ends) = (60 * SECOND, 6);
-    let mut harness = Harness::new(set);
-    harness.ready_workers(1);
-    let at = sent_to(&harness.arrive(1, 9, 0, 5_000 * MS)).expect("presumed");
-    harness.end_attempt(1, 0, at, Outcome::Served);
+fn calls_do_not_wait_for_slow_start_credit() {
+    let mut settings = settings_with(Effect::Safe);
+    settings.miss_policy = MissPolicy::Miss;
+    (settings.slow_start_window, settings.front_ends) = (60 * SECOND, 6);
+    let mut harness = Harness::new(settings);
+    harness.set_ready_workers(1);
+    let worker_id =
+        sent_to(&harness.arrive(1, 9, 0, 5_000 * MS)).expect("sent to a presumed instance");
+    harness.end_attempt(1, 0, worker_id, Outcome::Served);
     harness.advance(1_000 * MS);
     let entries = vec![
         worker(1, WorkerState::Ready, Some(harness.now)),
         worker(2, WorkerState::Ready, None),
     ];
     harness.worker_list(ListKind::Full, entries);
-    // Until its credit is used up the cold one takes calls; then they go to the other one.
-    let mut to = [0, 0];
+    // The starting worker takes calls until its credit is used up; then they go to the other worker.
+    let mut sends = [0, 0];
     for number in 2..40 {
         let mut actions = harness.arrive(number, 9, 0, 400 * MS);
         actions.extend(harness.advance(20 * MS));
@@ -138,30 +139,35 @@
                 Action::Send {
                     request, worker, ..
                 } => {
-                    to[worker.0 as usize - 1] += 1;
+                    sends[worker.0 as usize - 1] += 1;
                     actions.extend(harness.served_after(request, worker, 100 * MS));
                 }
                 _ => {}
             }
         }
     }
-    assert!(to[1] > 30, "{to:?} sent to the cold and to the warm one");
+    assert!(
+        sends[1] > 30,
+        "calls sent to the starting and the warm worker: {sends:?}"
+    );
 }
 
-/// A worker that tells to be half busy could carry twice what it is seen to carry: a cold one of its size gets so much.
+/// The capacity of a starting worker is estimated from what the other workers could carry, which is twice what they
+/// carry if they are half busy.
 #[test]
-fn cold_workers_are_given_by_what_workers_could_carry() {
-    let to_cold = |busy: f64| {
-        let mut set = settings_with(Effect::Safe);
-        (set.slow_start_window, set.front_ends) = (600 * SECOND, 2);
-        let mut harness = Harness::new(set);
-        harness.ready_workers(2);
+fn slow_start_accounts_for_the_utilization_of_other_workers() {
+    let sends_to_starting_worker = |busy: f64| {
+        let mut settings = settings_with(Effect::Safe);
+        (settings.slow_start_window, settings.front_ends) = (600 * SECOND, 2);
+        let mut harness = Harness::new(settings);
+        harness.set_ready_workers(2);
         let report = Some(LoadReport {
             utilization: Some(busy),
             ..LoadReport::default()
         });
-        let mut out: std::collections::VecDeque<(Time, RequestId, WorkerId)> = Default::default();
-        let mut cold = 0;
+        let mut in_flight: std::collections::VecDeque<(Time, RequestId, WorkerId)> =
+            Default::default();
+        let mut sends = 0;
         for number in 0..4000u64 {
             if number == 2000 {
                 let mut entries: Vec<_> = (1..=2)
@@ -174,8 +180,8 @@
                 harness.arrive(number, number / 2_000 * 100 + number % 40, 0, 2_000 * MS);
             harness.now = harness.now.plus(10 * MS);
             actions.extend(harness.handle(Event::Timer { token: 0 }));
-            while out.front().is_some_and(|(at, ..)| *at <= harness.now) {
-                let (_, request, worker) = out.pop_front().expect("one is due");
+            while in_flight.front().is_some_and(|(at, ..)| *at <= harness.now) {
+                let (_, request, worker) = in_flight.pop_front().expect("an attempt is due");
                 actions.extend(harness.served_with(request, worker, 100 * MS, None, report));
             }
             while let Some(action) = actions.pop() {
@@ -186,30 +192,30 @@
                     Action::Send {
                         request, worker, ..
                     } => {
-                        cold += (worker.0 == 3) as u32;
-                        out.push_back((harness.now.plus(100 * MS), request, worker));
+                        sends += (worker.0 == 3) as u32;
+                        in_flight.push_back((harness.now.plus(100 * MS), request, worker));
                     }
                     _ => {}
                 }
             }
         }
-        cold
+        sends
     };
-    let (full, half) = (to_cold(1.0), to_cold(0.5));
+    let (full, half) = (sends_to_starting_worker(1.0), sends_to_starting_worker(0.5));
     assert!(
         half * 10 > full * 15,
-        "{full} calls where workers are full, {half} where they are half busy"
+        "{full} calls if the other workers are busy, {half} if they are half busy"
     );
 }
 
-/// Slow answers at full size (ageing, few cores, a jam): a worker whose answers come late gets fewer calls.
+/// A worker that answers slowly must get fewer calls.
 #[test]
-fn a_worker_that_answers_slowly_gets_less() {
+fn a_slow_worker_gets_fewer_calls() {
     let mut harness = Harness::new(Settings {
         front_ends: 3,
         ..settings_with(Effect::Safe)
     });
-    harness.ready_workers(2);
+    harness.set_ready_workers(2);
     let mut sends = [0, 0];
     for number in 0..120u64 {
         let mut actions = harness.arrive(number, 9, 0, 4_000 * MS);
@@ -233,68 +239,71 @@
     assert!(sends[0] * 2 < sends[1], "{sends:?}");
 }
 
-/// Workers and functions that come and go for long leave nothing behind that acts: a worker that was gone for
-/// minutes is as new when it returns, and one that the list forgot takes nothing.
+/// A worker that was gone for minutes must be treated as new when it returns, and late results of its old attempts
+/// must not matter.
 #[test]
-fn a_worker_gone_for_minutes_is_as_new_when_it_returns() {
-    let (mut harness, at) = Harness::with_warm_instance(settings_with(Effect::Safe), 1);
+fn a_worker_that_returns_after_minutes_is_treated_as_new() {
+    let (mut harness, worker_id) = Harness::with_warm_instance(settings_with(Effect::Safe), 1);
     harness.worker_list(ListKind::Changes, vec![worker(1, WorkerState::Gone, None)]);
     harness.advance(120_000 * MS);
-    harness.end_attempt(1, 0, at, Outcome::TimedOut);
+    harness.end_attempt(1, 0, worker_id, Outcome::TimedOut);
     assert_eq!(requested_load(&harness.arrive(2, 9, 0, 1_000 * MS)), None);
     harness.worker_list(ListKind::Changes, vec![worker(1, WorkerState::Ready, None)]);
     assert_eq!(
         requested_load(&harness.arrive(3, 9, 0, 1_000 * MS)),
-        Some(at)
+        Some(worker_id)
     );
 }
 
 #[test]
-fn a_list_that_fails_at_once_is_asked_for_seldom() {
-    let set = Settings {
+fn a_failing_worker_list_is_polled_at_a_limited_rate() {
+    let settings = Settings {
         list_pushed: false,
         max_list_poll_interval: SECOND,
         ..settings_with(Effect::Safe)
     };
-    let mut harness = Harness::new(set);
-    harness.ready_workers(1);
-    let (mut asked, mut todo) = (0, Vec::new());
+    let mut harness = Harness::new(settings);
+    harness.set_ready_workers(1);
+    let (mut requests, mut pending) = (0, Vec::new());
     while harness.now < Time(5_000 * MS) {
         harness.now = harness.now.plus(10 * MS);
-        todo.extend(harness.handle(Event::Timer { token: 0 }));
-        while let Some(action) = todo.pop() {
+        pending.extend(harness.handle(Event::Timer { token: 0 }));
+        while let Some(action) = pending.pop() {
             if matches!(action, Action::Subscribe | Action::FetchList) {
-                asked += 1;
-                assert!(asked < 1_000, "asked at the loop's speed");
-                todo.extend(harness.worker_list(ListKind::Failed, Vec::new()));
+                requests += 1;
+                assert!(requests < 1_000, "the list is requested without pause");
+                pending.extend(harness.worker_list(ListKind::Failed, Vec::new()));
             }
         }
     }
-    // At most once a quarter of the time within which it is to be asked for, and never not.
-    assert!((5..=20).contains(&asked), "{asked} in 5 s");
+    // At most once per quarter of the polling interval, but not never.
+    assert!(
+        (5..=20).contains(&requests),
+        "{requests} list requests in 5 s"
+    );
 }
 
-/// Answers that are slow now and then, one call at a time: what a worker with idle cores is given stays as it was, what
-/// one with busy cores is given is cut.
+/// Occasional slow answers must reduce the concurrency limit of a worker with busy cores, but not of one with idle
+/// cores.
 #[test]
-fn slow_answers_of_a_worker_with_idle_cores_do_not_cut_what_it_is_given() {
+fn slow_answers_of_a_worker_with_idle_cores_do_not_reduce_its_limit() {
     for (utilization, most) in [(Some(0.2), 4), (Some(0.9), 1), (None, 1)] {
-        let mut set = settings_with(Effect::Safe);
-        (set.front_ends, set.may_load) = (3, true);
-        let mut harness = Harness::new(set);
+        let mut settings = settings_with(Effect::Safe);
+        (settings.front_ends, settings.may_load) = (3, true);
+        let mut harness = Harness::new(settings);
         harness.now = Time(10 * SECOND);
-        harness.ready_workers(1);
+        harness.set_ready_workers(1);
         for request in 0..8 {
-            let at = sent_to(&harness.arrive(request, 9, 0, 5_000 * MS));
-            let at = at.unwrap_or_else(|| {
-                sent_to(&harness.end_load(WorkerId(1), 9, Outcome::Served)).expect("a send")
+            let worker_id = sent_to(&harness.arrive(request, 9, 0, 5_000 * MS));
+            let worker_id = worker_id.unwrap_or_else(|| {
+                sent_to(&harness.end_load(WorkerId(1), 9, Outcome::Served)).expect("a call is sent")
             });
             let latency = if request % 4 == 3 { 900 * MS } else { 100 * MS };
             harness.now = harness.now.plus(latency);
             harness.handle(Event::AttemptEnded(AttemptResult {
                 request: RequestId(request),
                 attempt: 0,
-                worker: at,
+                worker: worker_id,
                 outcome: Outcome::Served,
                 concluded: true,
                 latency,
@@ -307,7 +316,7 @@
             }));
             harness.advance(400 * MS);
         }
-        // Four functions with one lane each: how many calls it is given at once.
+        // Number of calls sent at once for four functions with one lane each.
         let mut sends = 0;
         for function in 20..24 {
             let mut actions = harness.arrive(100 + function, function, 0, 5_000 * MS);
@@ -316,6 +325,6 @@
             }
             sends += sent_to(&actions).is_some() as u32;
         }
-        assert_eq!(sends, most, "busy {utilization:?}");
+        assert_eq!(sends, most, "utilization {utilization:?}");
     }
 }
