--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -1,5 +1,7 @@
-//! Rule 4 for all front ends together: many routers that share nothing, a fleet whose workers start cold, and a check of
-//! its own that counts what reached each cold worker. No bench and no sockets: an event queue and the module itself.
+//! Slow start over all front ends: many independent routers must together not overload workers in slow start.
+//!
+//! A discrete event simulation runs the routers against a fleet with starting workers and counts the calls that reach
+//! each of them, independently of the credits of the routers.
 
 #[path = "cold_ramp/measurement.rs"]
 mod measurement;
@@ -11,41 +13,41 @@
 mod workers;
 
 use measurement::{measure, print_row};
-use scenario::{InjectedDefect, Scenario, WINDOWS};
+use scenario::{InjectedDefect, Scenario, MIN_WINDOWS};
 use tansyrouter::SECOND;
 
-/// All scenarios of a table keep to the bound in every window; the figures are printed for the table in the docs.
-fn check_bound(table: &[(&str, Scenario)]) {
+/// Checks that no scenario exceeds the bound in any window, and prints its measurement.
+fn assert_bound(table: &[(&str, Scenario)]) {
     for (name, scenario) in table {
-        let result = measure(*scenario, WINDOWS);
+        let result = measure(*scenario, MIN_WINDOWS);
         print_row(name, &result);
-        assert_eq!(result.over, 0, "{name}: {result:?}");
+        assert_eq!(result.windows_over_bound, 0, "{name}: {result:?}");
     }
 }
 
-/// A room that comes back cold under more load than what is warm can bear.
-fn room() -> Scenario {
+/// Many workers start while the ready ones are overloaded.
+fn many_starting_workers() -> Scenario {
     Scenario {
-        cold_workers: 11,
+        starting_workers: 11,
         utilization: 0.8,
         ..Scenario::default()
     }
 }
-/// Some start, and while they are cold all others are lost.
-fn lost() -> Scenario {
+/// Some workers start, and all others are lost during their slow start.
+fn loss_of_other_workers() -> Scenario {
     Scenario {
-        cold_workers: 4,
+        starting_workers: 4,
         utilization: 0.5,
-        lost_after: Some(4 * SECOND),
+        others_lost_after: Some(4 * SECOND),
         ..Scenario::default()
     }
 }
 
 #[test]
-fn at_any_number_of_front_ends() {
+fn holds_for_any_number_of_front_ends() {
     let with = |front_ends| Scenario {
         front_ends,
-        ..room()
+        ..many_starting_workers()
     };
     let table = [
         ("1", with(1)),
@@ -59,37 +61,37 @@
             Scenario {
                 front_ends: 300,
                 workers: 60,
-                cold_workers: 20,
+                starting_workers: 20,
                 utilization: 0.5,
                 ..Scenario::default()
             },
         ),
     ];
-    check_bound(&table);
+    assert_bound(&table);
 }
 
 #[test]
-fn whoever_has_more_traffic_hears_late_or_starts_anew() {
+fn holds_with_uneven_traffic_late_lists_and_restarts() {
     let table = [
         (
-            "uneven",
+            "uneven traffic",
             Scenario {
                 uneven_traffic: true,
-                ..room()
+                ..many_starting_workers()
             },
         ),
         (
-            "told over 3 s",
+            "list delayed up to 3 s",
             Scenario {
-                notice_spread: 3 * SECOND,
-                ..room()
+                max_list_delay: 3 * SECOND,
+                ..many_starting_workers()
             },
         ),
         (
-            "all restarted meanwhile",
+            "all restarted",
             Scenario {
                 restarted_percent: 100,
-                ..room()
+                ..many_starting_workers()
             },
         ),
         (
@@ -97,107 +99,107 @@
             Scenario {
                 front_ends: 8,
                 restarted_percent: 100,
-                ..room()
+                ..many_starting_workers()
             },
         ),
         (
-            "uneven, a third restarted, told late",
+            "uneven traffic, a third restarted, list delayed up to 1 s",
             Scenario {
                 uneven_traffic: true,
                 restarted_percent: 33,
-                notice_spread: SECOND,
-                ..room()
+                max_list_delay: SECOND,
+                ..many_starting_workers()
             },
         ),
         (
-            "restarted as the rest is lost",
+            "all restarted, other workers lost",
             Scenario {
                 restarted_percent: 100,
-                ..lost()
+                ..loss_of_other_workers()
             },
         ),
     ];
-    check_bound(&table);
+    assert_bound(&table);
 }
 
 #[test]
-fn whatever_the_calls_and_the_workers_are() {
-    let slow = Scenario {
+fn holds_for_different_classes_and_worker_kinds() {
+    let slower_half = Scenario {
         second_kind_speed: 0.6,
         utilization: 0.65,
-        ..room()
+        ..many_starting_workers()
     };
     let table = [
         (
-            "classes of 4 to 1 in work",
+            "two classes",
             Scenario {
                 two_classes: true,
-                ..room()
+                ..many_starting_workers()
             },
         ),
-        ("half the workers slower by 0.6", slow),
+        ("half the workers at 0.6 speed", slower_half),
         (
-            "and classes of 4 to 1",
+            "half the workers at 0.6 speed, two classes",
             Scenario {
                 two_classes: true,
-                ..slow
+                ..slower_half
             },
         ),
         (
-            "slower, 8",
+            "half the workers at 0.6 speed, 8",
             Scenario {
                 front_ends: 8,
-                ..slow
+                ..slower_half
             },
         ),
         (
-            "slower, 64",
+            "half the workers at 0.6 speed, 64",
             Scenario {
                 front_ends: 64,
-                ..slow
+                ..slower_half
             },
         ),
         (
-            "long ramp from 0.1",
+            "long slow start from 0.1",
             Scenario {
-                cold_from: 0.1,
-                warm_up: 30 * SECOND,
-                ..room()
+                slow_start_from: 0.1,
+                slow_start_window: 30 * SECOND,
+                ..many_starting_workers()
             },
         ),
     ];
-    check_bound(&table);
+    assert_bound(&table);
 }
 
 #[test]
-fn when_all_calls_come_at_once_to_workers_that_had_few() {
-    let long = Scenario {
-        warm_up: 30 * SECOND,
-        lost_after: Some(15 * SECOND),
-        ..lost()
+fn holds_when_the_other_workers_are_lost() {
+    let long_slow_start = Scenario {
+        slow_start_window: 30 * SECOND,
+        others_lost_after: Some(15 * SECOND),
+        ..loss_of_other_workers()
     };
     let table = [
         (
             "8",
             Scenario {
                 front_ends: 8,
-                ..lost()
+                ..loss_of_other_workers()
             },
         ),
-        ("30", lost()),
+        ("30", loss_of_other_workers()),
         (
             "64",
             Scenario {
                 front_ends: 64,
-                ..lost()
+                ..loss_of_other_workers()
             },
         ),
-        ("30, long ramp", long),
+        ("30, long slow start", long_slow_start),
         (
-            "64, long ramp",
+            "64, long slow start",
             Scenario {
                 front_ends: 64,
-                ..long
+                ..long_slow_start
             },
         ),
         (
@@ -205,16 +207,16 @@
             Scenario {
                 front_ends: 300,
                 workers: 60,
-                cold_workers: 20,
-                ..lost()
+                starting_workers: 20,
+                ..loss_of_other_workers()
             },
         ),
     ];
-    check_bound(&table);
+    assert_bound(&table);
 }
 
-/// A multiple so low that the credit is what binds, not the workers' queues.
-fn tight(scenario: Scenario) -> Scenario {
+/// Uses an overload multiple so low that the credit limits the calls, not the queues of the workers.
+fn with_low_multiple(scenario: Scenario) -> Scenario {
     Scenario {
         overload_multiple: 1.5,
         ..scenario
@@ -222,135 +224,138 @@
 }
 
 #[test]
-fn where_nothing_but_the_credit_binds() {
-    let slow = Scenario {
+fn holds_with_a_low_multiple() {
+    let slower_half = Scenario {
         second_kind_speed: 0.6,
         utilization: 0.65,
-        ..room()
+        ..many_starting_workers()
     };
     let table = [
-        ("1.5 times", tight(room())),
+        ("30", with_low_multiple(many_starting_workers())),
         (
             "8",
-            tight(Scenario {
+            with_low_multiple(Scenario {
                 front_ends: 8,
-                ..room()
+                ..many_starting_workers()
             }),
         ),
         (
             "64",
-            tight(Scenario {
+            with_low_multiple(Scenario {
                 front_ends: 64,
-                ..room()
+                ..many_starting_workers()
             }),
         ),
         (
-            "uneven",
-            tight(Scenario {
+            "uneven traffic",
+            with_low_multiple(Scenario {
                 uneven_traffic: true,
-                ..room()
+                ..many_starting_workers()
             }),
         ),
         (
             "all restarted",
-            tight(Scenario {
+            with_low_multiple(Scenario {
                 restarted_percent: 100,
-                ..room()
+                ..many_starting_workers()
             }),
         ),
-        ("slower", tight(slow)),
+        (
+            "half the workers at 0.6 speed",
+            with_low_multiple(slower_half),
+        ),
     ];
-    check_bound(&table);
+    assert_bound(&table);
 }
 
-/// What workers were seen to carry together was carried by all there were then, not by those that are left.
+/// After a loss, the capacity observed over all workers must not be attributed to the remaining ones.
 #[test]
-fn where_nothing_but_the_credit_binds_and_the_rest_is_lost() {
+fn holds_with_a_low_multiple_when_the_other_workers_are_lost() {
     let table = [
-        ("30", tight(lost())),
+        ("30", with_low_multiple(loss_of_other_workers())),
         (
-            "uneven",
-            tight(Scenario {
+            "uneven traffic",
+            with_low_multiple(Scenario {
                 uneven_traffic: true,
-                ..lost()
+                ..loss_of_other_workers()
             }),
         ),
         (
-            "slower",
-            tight(Scenario {
+            "half the workers at 0.6 speed",
+            with_low_multiple(Scenario {
                 second_kind_speed: 0.6,
                 utilization: 0.4,
-                ..lost()
+                ..loss_of_other_workers()
             }),
         ),
         (
             "8",
-            tight(Scenario {
+            with_low_multiple(Scenario {
                 front_ends: 8,
-                ..lost()
+                ..loss_of_other_workers()
             }),
         ),
         (
             "64",
-            tight(Scenario {
+            with_low_multiple(Scenario {
                 front_ends: 64,
-                ..lost()
+                ..loss_of_other_workers()
             }),
         ),
         (
-            "long ramp",
-            tight(Scenario {
-                warm_up: 30 * SECOND,
-                ..lost()
+            "long slow start",
+            with_low_multiple(Scenario {
+                slow_start_window: 30 * SECOND,
+                ..loss_of_other_workers()
             }),
         ),
     ];
-    check_bound(&table);
+    assert_bound(&table);
 }
 
-/// The check finds injected defects: front ends that send twice what they may, and such as take themselves for the only one
-/// after a restart.
+/// The bound must detect injected defects: front ends that send twice their share, and restarted front ends that
+/// assume to be the only one.
 #[test]
-fn what_is_planted_is_found() {
-    let restarted = tight(Scenario {
+fn injected_defects_are_detected() {
+    let restarted = with_low_multiple(Scenario {
         restarted_percent: 100,
-        ..room()
+        ..many_starting_workers()
     });
     let table = [
         (
-            "doubled",
+            "doubled multiple",
             Scenario {
-                defect: Some(InjectedDefect::Doubled),
-                ..tight(room())
+                defect: Some(InjectedDefect::DoubledMultiple),
+                ..with_low_multiple(many_starting_workers())
             },
         ),
         (
-            "doubled, 8",
+            "doubled multiple, 8",
             Scenario {
                 front_ends: 8,
-                defect: Some(InjectedDefect::Doubled),
-                ..tight(room())
+                defect: Some(InjectedDefect::DoubledMultiple),
+                ..with_low_multiple(many_starting_workers())
             },
         ),
         (
-            "doubled, 64",
+            "doubled multiple, 64",
             Scenario {
                 front_ends: 64,
-                defect: Some(InjectedDefect::Doubled),
-                ..tight(room())
+                defect: Some(InjectedDefect::DoubledMultiple),
+                ..with_low_multiple(many_starting_workers())
             },
         ),
         (
-            "renewed",
+            "alone after restart",
             Scenario {
-                defect: Some(InjectedDefect::RenewedWhole),
+                defect: Some(InjectedDefect::AssumesToBeAlone),
                 ..restarted
             },
         ),
     ];
     for (name, scenario) in table {
-        let result = measure(scenario, WINDOWS);
+        let result = measure(scenario, MIN_WINDOWS);
         print_row(name, &result);
-        assert!(result.over > 0, "{name}: {result:?}");
+        assert!(result.windows_over_bound > 0, "{name}: {result:?}");
     }
 }
--- a/tests/cold_ramp/actions.rs
+++ b/tests/cold_ramp/actions.rs
@@ -1,4 +1,4 @@
-//! What becomes of the actions of a router.
+//! Carries out the actions of routers.
 
 use super::{SimulatedEvent, Simulation};
 use crate::scenario::{MS, NETWORK_DELAY};
@@ -6,7 +6,7 @@
 use tansyrouter::*;
 
 impl Simulation {
-    /// Carries out an action of this front end's router.
+    /// Carries out an action of the router of this front end.
     pub(super) fn carry_out(&mut self, front_end: FrontEndId, action: Action) {
         match action {
             Action::Send {
@@ -47,7 +47,7 @@
         self.schedule(arrival, SimulatedEvent::AttemptArrived(attempt));
     }
 
-    /// The answer to a question for the standing instances of a function.
+    /// Answers a query for the loaded instances of a function.
     fn report_instances(&mut self, front_end: FrontEndId, worker: WorkerId, function: FunctionId) {
         let loaded = &self.workers[&worker.0].loaded;
         let event = Event::LoadEnded {
@@ -57,8 +57,8 @@
             latency: MS,
             instances: loaded.contains_key(&function.0) as u32,
         };
-        let notice = SimulatedEvent::Notice { front_end, event };
-        self.schedule(self.now.plus(MS), notice);
+        let router_event = SimulatedEvent::RouterEvent { front_end, event };
+        self.schedule(self.now.plus(MS), router_event);
     }
 
     fn load(&mut self, front_end: FrontEndId, worker: WorkerId, function: FunctionId) {
--- a/tests/cold_ramp/events.rs
+++ b/tests/cold_ramp/events.rs
@@ -1,21 +1,21 @@
-//! What happens in a simulation.
+//! Events of a simulation.
 
 use crate::workers::{Attempt, FrontEndId};
 use tansyrouter::{Event, Time};
 
-/// What happens at its time.
+/// An event.
 #[derive(Debug)]
 pub enum SimulatedEvent {
-    /// A call arrives at some front end.
+    /// A call arrives at a front end.
     Arrival,
-    /// A router's timer is due.
+    /// The timer of a router is due.
     Timer(usize),
     /// An attempt reaches its worker.
     AttemptArrived(Attempt),
-    /// A worker is done with one of its running calls.
+    /// A worker has finished a running call.
     CallFinished { worker: u64, serial: u64 },
-    /// A front end learns something, unless it has started anew since.
-    Notice { front_end: FrontEndId, event: Event },
+    /// A router event reaches a front end, unless that has restarted in the meantime.
+    RouterEvent { front_end: FrontEndId, event: Event },
     /// A worker has loaded a function.
     Loaded {
         front_end: FrontEndId,
@@ -23,10 +23,10 @@
         function: u64,
         sent: Time,
     },
-    /// Cold workers start in the place of others.
-    ColdStart,
-    /// All workers that did not start are lost.
+    /// New workers start and replace others.
+    WorkersStart,
+    /// All workers other than the started ones are lost.
     OthersLost,
-    /// A front end starts anew.
+    /// A front end restarts.
     Restart(usize),
 }
--- a/tests/cold_ramp/measurement.rs
+++ b/tests/cold_ramp/measurement.rs
@@ -1,27 +1,27 @@
-//! What reached cold workers, over what they may have.
+//! Measures how many calls reach starting workers, relative to the allowed number.
 
-use crate::scenario::{Scenario, CORES, OVERLOAD_WINDOW, WORK};
+use crate::scenario::{Scenario, CORES, MEAN_WORK, OVERLOAD_WINDOW};
 use crate::simulation::Simulation;
 
-/// The result of one simulation, or of several.
+/// The measurement of one or several simulations.
 #[derive(Debug, Default)]
 pub struct Measurement {
-    /// Windows that were counted.
+    /// Number of windows that were counted.
     pub windows: usize,
-    /// Windows in which more arrived than may.
-    pub over: usize,
-    /// Worst of (count - N - 2) / root N.
-    worst: f64,
-    /// What was sent to cold workers over what they may have, in the warm-up.
-    used: f64,
-    /// Calls that were served, of all that were answered.
-    served: f64,
+    /// Number of windows with more calls than the bound.
+    pub windows_over_bound: usize,
+    /// Maximum of (count - allowance - 2) / sqrt(allowance) over all windows.
+    worst_excess: f64,
+    /// Calls sent to starting workers during slow start, as a fraction of the allowed number.
+    sent_over_allowed: f64,
+    /// Served calls as a fraction of all answered calls.
+    served_fraction: f64,
 }
 
-/// Simulates a scenario with one seed after the other until so many windows were counted.
-pub fn measure(scenario: Scenario, least_windows: usize) -> Measurement {
+/// Simulates a scenario with successive seeds until this many windows were counted.
+pub fn measure(scenario: Scenario, min_windows: usize) -> Measurement {
     let mut all = Measurement {
-        worst: f64::MIN,
+        worst_excess: f64::MIN,
         ..Measurement::default()
     };
     let mut simulations = 0.0;
@@ -29,59 +29,68 @@
         let one = count_windows(&Simulation::run(scenario, seed));
         assert!(
             one.windows > 0,
-            "{scenario:?}: nothing reached a cold worker"
+            "{scenario:?}: no call reached a starting worker"
         );
         all.windows += one.windows;
-        all.over += one.over;
-        all.worst = all.worst.max(one.worst);
-        all.used += one.used;
-        all.served += one.served;
+        all.windows_over_bound += one.windows_over_bound;
+        all.worst_excess = all.worst_excess.max(one.worst_excess);
+        all.sent_over_allowed += one.sent_over_allowed;
+        all.served_fraction += one.served_fraction;
         simulations += 1.0;
-        if all.windows >= least_windows {
+        if all.windows >= min_windows {
             break;
         }
     }
     Measurement {
-        used: all.used / simulations,
-        served: all.served / simulations,
+        sent_over_allowed: all.sent_over_allowed / simulations,
+        served_fraction: all.served_fraction / simulations,
         ..all
     }
 }
 
-/// Counts every window that begins with a call at a cold worker against what it may have then.
+/// Counts the calls of every window that begins with a call at a starting worker, and compares them with the
+/// allowance. The bound adds a margin for the random distribution of arrivals.
 fn count_windows(simulation: &Simulation) -> Measurement {
     let scenario = &simulation.scenario;
-    let calls_per_micro = CORES as f64 / WORK as f64;
+    let calls_per_micro = CORES as f64 / MEAN_WORK as f64;
     let mut result = Measurement {
-        worst: f64::MIN,
+        worst_excess: f64::MIN,
         ..Measurement::default()
     };
     let (mut sent, mut allowed) = (0.0, 0.0);
-    for (worker, arrivals) in &simulation.arrivals_at_cold_workers {
+    for (worker, arrivals) in &simulation.arrivals_at_starting_workers {
         for (first, from) in arrivals.iter().enumerate() {
             let until = from.at.plus(OVERLOAD_WINDOW);
             let window = arrivals[first..].iter().take_while(|a| a.at <= until);
             let count: f64 = window.map(|arrival| arrival.weight).sum();
             let speed = simulation.speed(*worker, from.at);
-            let may = scenario.overload_multiple * speed * calls_per_micro * OVERLOAD_WINDOW as f64;
+            let allowance =
+                scenario.overload_multiple * speed * calls_per_micro * OVERLOAD_WINDOW as f64;
             result.windows += 1;
-            result.over += (count > may + 2.0 * may.sqrt() + 2.0) as usize;
-            result.worst = result.worst.max((count - may - 2.0) / may.sqrt());
+            result.windows_over_bound +=
+                (count > allowance + 2.0 * allowance.sqrt() + 2.0) as usize;
+            result.worst_excess = result
+                .worst_excess
+                .max((count - allowance - 2.0) / allowance.sqrt());
         }
         sent += arrivals.iter().map(|arrival| arrival.weight).sum::<f64>();
-        let mean = scenario.overload_multiple * (scenario.cold_from + 1.0) / 2.0;
-        allowed += mean * calls_per_micro * scenario.warm_up as f64;
+        let mean = scenario.overload_multiple * (scenario.slow_start_from + 1.0) / 2.0;
+        allowed += mean * calls_per_micro * scenario.slow_start_window as f64;
     }
-    result.used = sent / allowed;
+    result.sent_over_allowed = sent / allowed;
     let answered = simulation.served + simulation.unserved;
-    result.served = simulation.served as f64 / answered.max(1) as f64;
+    result.served_fraction = simulation.served as f64 / answered.max(1) as f64;
     result
 }
 
-/// Prints a row of the table in the docs.
+/// Prints a measurement as a row of a Markdown table.
 pub fn print_row(name: &str, result: &Measurement) {
     println!(
         "| {name} | {} | {} | {:.2} | {:.2} | {:.2} |",
-        result.windows, result.over, result.worst, result.used, result.served
+        result.windows,
+        result.windows_over_bound,
+        result.worst_excess,
+        result.sent_over_allowed,
+        result.served_fraction
     );
 }
--- a/tests/cold_ramp/scenario.rs
+++ b/tests/cold_ramp/scenario.rs
@@ -1,68 +1,68 @@
-//! What a simulation is run with.
+//! Scenarios and constants of the simulation.
 
 use tansyrouter::{Micros, SECOND};
 
-/// Microseconds of a millisecond.
+/// One millisecond in microseconds.
 pub const MS: Micros = SECOND / 1000;
 /// Cores of a worker.
 pub const CORES: usize = 3;
-/// Work of a call, on average.
-pub const WORK: Micros = 130 * MS;
-/// Functions that are called.
+/// Mean work of a call.
+pub const MEAN_WORK: Micros = 130 * MS;
+/// Number of functions.
 pub const FUNCTIONS: u64 = 48;
-/// An instance without calls is unloaded after this time.
-pub const IDLE_LIFE: Micros = 12 * SECOND;
-/// The window in which calls at a cold worker are counted.
+/// Idle timeout of instances.
+pub const IDLE_TIMEOUT: Micros = 12 * SECOND;
+/// Length of the windows in which calls at a starting worker are counted.
 pub const OVERLOAD_WINDOW: Micros = 3 * SECOND;
-/// When workers start cold.
-pub const START: Micros = 16 * SECOND;
-/// Windows counted of each scenario.
-pub const WINDOWS: usize = 10_000;
-/// From a front end to a worker.
+/// When the starting workers start.
+pub const WORKERS_START_AT: Micros = 16 * SECOND;
+/// Minimum number of windows counted for each scenario.
+pub const MIN_WINDOWS: usize = 10_000;
+/// Network delay between front ends and workers.
 pub const NETWORK_DELAY: Micros = MS / 2;
-/// The time of a call.
+/// Time budget of a call.
 pub const CALL_TIMEOUT: Micros = 2500 * MS;
 
-/// A fleet, its traffic, and what happens to it.
+/// A fleet, its traffic, and the incidents during the simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
-    /// Front ends that share nothing.
+    /// Number of front ends.
     pub front_ends: usize,
-    /// Workers at the beginning.
+    /// Number of workers at the beginning.
     pub workers: usize,
-    /// Workers that start cold at the same time, in the place of others.
-    pub cold_workers: usize,
-    /// A fifth of the front ends have four times the traffic of the rest.
+    /// Number of workers that start at the same time and replace others.
+    pub starting_workers: usize,
+    /// Whether a fifth of the front ends have four times the traffic of the others.
     pub uneven_traffic: bool,
-    /// Front ends learn of the start within this time.
-    pub notice_spread: Micros,
-    /// So many front ends in a hundred start anew, one after the other, while the workers are cold.
+    /// Front ends receive the list with the started workers after a random delay of up to this.
+    pub max_list_delay: Micros,
+    /// Percentage of front ends that restart one after the other during slow start.
     pub restarted_percent: usize,
-    /// Classes of twice and half the work.
+    /// Whether there are two classes, with half and twice the work, instead of one.
     pub two_classes: bool,
-    /// Share of all cores that calls ask for.
+    /// Work of arriving calls, as a fraction of all cores.
     pub utilization: f64,
-    /// How long a worker is cold.
-    pub warm_up: Micros,
-    /// The part of its speed with which a cold worker starts.
-    pub cold_from: f64,
-    /// What a cold worker may get over what it can do.
+    /// Length of slow start.
+    pub slow_start_window: Micros,
+    /// Fraction of its full speed with which a worker starts.
+    pub slow_start_from: f64,
+    /// Multiple of its present capacity that a starting worker may be sent.
     pub overload_multiple: f64,
-    /// Speed of the second half of the workers, a kind of their own, over that of the others.
+    /// Speed of the second half of the workers, which are of a second kind, relative to the first kind.
     pub second_kind_speed: f64,
-    /// The workers that did not start are lost so long after the start.
-    pub lost_after: Option<Micros>,
-    /// What the check has to find.
+    /// The workers other than the started ones are lost this long after the start.
+    pub others_lost_after: Option<Micros>,
+    /// Defect that the measurement has to detect.
     pub defect: Option<InjectedDefect>,
 }
 
-/// Credits and rates that are not the router's.
+/// A defect that is injected into the settings of the routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum InjectedDefect {
-    /// Each front end gives twice what it may.
-    Doubled,
-    /// A front end that starts anew takes itself for the only one.
-    RenewedWhole,
+    /// Each front end sends twice what it may.
+    DoubledMultiple,
+    /// A restarted front end assumes to be the only one.
+    AssumesToBeAlone,
 }
 
 impl Default for Scenario {
@@ -70,35 +70,43 @@
         Scenario {
             front_ends: 30,
             workers: 12,
-            cold_workers: 2,
+            starting_workers: 2,
             uneven_traffic: false,
-            notice_spread: 0,
+            max_list_delay: 0,
             restarted_percent: 0,
             two_classes: false,
             utilization: 0.55,
-            warm_up: 9 * SECOND,
-            cold_from: 0.36,
+            slow_start_window: 9 * SECOND,
+            slow_start_from: 0.36,
             overload_multiple: 4.0,
             second_kind_speed: 1.0,
-            lost_after: None,
+            others_lost_after: None,
             defect: None,
         }
     }
 }
 
 impl Scenario {
-    /// The kind of a worker: the second half of them, and those that come in their place, are of the second kind.
+    /// Returns the kind of a worker. The second half of the workers, and those that replace them, are of the second
+    /// kind.
     pub fn kind(&self, worker: u64) -> usize {
         let workers = self.workers as u64;
         (worker % workers >= workers / 2) as usize
     }
 
-    /// The mean work of a call of this class.
+    /// Returns the mean work of a call of this class.
     pub fn mean_work(&self, class: usize) -> Micros {
-        [if self.two_classes { WORK / 2 } else { WORK }, 2 * WORK][class]
+        [
+            if self.two_classes {
+                MEAN_WORK / 2
+            } else {
+                MEAN_WORK
+            },
+            2 * MEAN_WORK,
+        ][class]
     }
 
-    /// How many calls of mean work a call of this class counts for.
+    /// Returns the weight of a call of this class, in calls of mean work.
     pub fn call_weight(&self, class: usize) -> f64 {
         if self.two_classes {
             [0.5, 2.0][class]
--- a/tests/cold_ramp/simulation.rs
+++ b/tests/cold_ramp/simulation.rs
@@ -1,4 +1,4 @@
-//! Routers, workers and calls in emulated time.
+//! Discrete event simulation of routers, workers and calls.
 
 #[path = "actions.rs"]
 mod actions;
@@ -8,8 +8,8 @@
 mod incidents;
 
 use crate::scenario::{
-    InjectedDefect, Scenario, CALL_TIMEOUT, CORES, FUNCTIONS, IDLE_LIFE, NETWORK_DELAY,
-    OVERLOAD_WINDOW, START, WORK,
+    InjectedDefect, Scenario, CALL_TIMEOUT, CORES, FUNCTIONS, IDLE_TIMEOUT, MEAN_WORK,
+    NETWORK_DELAY, OVERLOAD_WINDOW, WORKERS_START_AT,
 };
 use crate::workers::{AcceptedAttempt, Attempt, FrontEndId, Worker};
 use events::SimulatedEvent;
@@ -24,7 +24,7 @@
     timer: Option<Time>,
 }
 
-/// An open call at a front end.
+/// A call that has not been answered.
 struct OpenCall {
     function: u64,
     class: usize,
@@ -32,23 +32,23 @@
     attempts: u32,
 }
 
-/// A call that reached a cold worker.
-pub struct ColdArrival {
-    /// When.
+/// The arrival of a call at a starting worker.
+pub struct CallArrival {
+    /// When it arrived.
     pub at: Time,
-    /// How many calls of mean work it counts for.
+    /// Its weight, in calls of mean work.
     pub weight: f64,
 }
 
-/// The state of a simulation.
+/// State of a simulation.
 pub struct Simulation {
-    /// What it is run with.
+    /// The scenario.
     pub scenario: Scenario,
-    /// What reached each cold worker.
-    pub arrivals_at_cold_workers: BTreeMap<u64, Vec<ColdArrival>>,
-    /// Calls that were served.
+    /// Calls that reached each starting worker.
+    pub arrivals_at_starting_workers: BTreeMap<u64, Vec<CallArrival>>,
+    /// Number of calls that were served.
     pub served: u64,
-    /// Calls that were refused or failed.
+    /// Number of calls that were refused or failed.
     pub unserved: u64,
     rng: fastrand::Rng,
     now: Time,
@@ -59,15 +59,15 @@
     workers: BTreeMap<u64, Worker>,
     calls: HashMap<(FrontEndId, RequestId), OpenCall>,
     last_request: u64,
-    /// The traffic of each front end, over that of the others.
+    /// Traffic of each front end, relative to each other.
     traffic: Vec<f64>,
 }
 
 impl Simulation {
-    /// Runs a scenario until its cold workers are warm.
+    /// Runs a scenario until the slow start of its workers ends.
     pub fn run(scenario: Scenario, seed: u64) -> Simulation {
         let mut simulation = Simulation::new(scenario, seed);
-        let end = Time(START + scenario.warm_up);
+        let end = Time(WORKERS_START_AT + scenario.slow_start_window);
         while let Some(Reverse((at, serial))) = simulation.queue.pop() {
             if at > end {
                 break;
@@ -86,7 +86,7 @@
         let worker = |id| (id, Worker::default());
         let mut simulation = Simulation {
             scenario,
-            arrivals_at_cold_workers: BTreeMap::new(),
+            arrivals_at_starting_workers: BTreeMap::new(),
             served: 0,
             unserved: 0,
             rng: fastrand::Rng::with_seed(seed),
@@ -110,7 +110,7 @@
             simulation.handle(index, simulation.full_list());
         }
         simulation.schedule(Time(0), SimulatedEvent::Arrival);
-        simulation.schedule(Time(START), SimulatedEvent::ColdStart);
+        simulation.schedule(Time(WORKERS_START_AT), SimulatedEvent::WorkersStart);
         simulation
     }
 
@@ -125,29 +125,29 @@
             late_weight: 0.1,
             streamed: false,
         };
-        let alone = is_restart && scenario.defect == Some(InjectedDefect::RenewedWhole);
-        let doubled = scenario.defect == Some(InjectedDefect::Doubled);
+        let alone = is_restart && scenario.defect == Some(InjectedDefect::AssumesToBeAlone);
+        let doubled = scenario.defect == Some(InjectedDefect::DoubledMultiple);
         let settings = Settings {
             front_end_index: if alone { 0 } else { index },
             front_ends: if alone { 1 } else { scenario.front_ends },
             classes: if scenario.two_classes {
-                vec![class(WORK / 2), class(2 * WORK)]
+                vec![class(MEAN_WORK / 2), class(2 * MEAN_WORK)]
             } else {
-                vec![class(WORK)]
+                vec![class(MEAN_WORK)]
             },
             may_load: true,
             miss_policy: MissPolicy::Miss,
-            idle_timeout: IDLE_LIFE,
+            idle_timeout: IDLE_TIMEOUT,
             reports_concurrency: true,
             reports: Reports::Attached,
-            slow_start_from: scenario.cold_from,
-            slow_start_window: scenario.warm_up,
+            slow_start_from: scenario.slow_start_from,
+            slow_start_window: scenario.slow_start_window,
             overload_multiple: scenario.overload_multiple * if doubled { 2.0 } else { 1.0 },
             overload_window: OVERLOAD_WINDOW,
             drain_grace: SECOND / 4,
             ..Settings::default()
         };
-        Router::new(settings, self.rng.u64(..), self.now).expect("settings")
+        Router::new(settings, self.rng.u64(..), self.now).expect("valid settings")
     }
 
     fn schedule(&mut self, at: Time, event: SimulatedEvent) {
@@ -181,22 +181,23 @@
         FrontEndId { index, incarnation }
     }
 
-    /// The speed of a worker at this time, over that of a warm one of the first kind.
+    /// Returns the speed of a worker at this time, relative to the full speed of the first kind.
     pub fn speed(&self, worker: u64, at: Time) -> f64 {
         let scenario = &self.scenario;
         let speed = [1.0, scenario.second_kind_speed][scenario.kind(worker)];
         let Some(started) = self.workers[&worker].started else {
             return speed;
         };
-        let age = at.since(started).clamp(0, scenario.warm_up) as f64 / scenario.warm_up as f64;
-        speed * (scenario.cold_from + (1.0 - scenario.cold_from) * age)
+        let age = at.since(started).clamp(0, scenario.slow_start_window) as f64
+            / scenario.slow_start_window as f64;
+        speed * (scenario.slow_start_from + (1.0 - scenario.slow_start_from) * age)
     }
 
     fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.rng.f64()).ln()
     }
 
-    /// Hands a router an event, and carries its actions out.
+    /// Passes an event to a router and carries out its actions.
     fn handle(&mut self, index: usize, event: Event) {
         let mut actions = Vec::new();
         let router = &mut self.front_ends[index].router;
@@ -213,14 +214,16 @@
             SimulatedEvent::Timer(index) => self.on_timer(index),
             SimulatedEvent::AttemptArrived(attempt) => self.on_attempt(attempt),
             SimulatedEvent::CallFinished { worker, serial } => self.on_finished(worker, serial),
-            SimulatedEvent::Notice { front_end, event } => self.on_notice(front_end, event),
+            SimulatedEvent::RouterEvent { front_end, event } => {
+                self.on_router_event(front_end, event)
+            }
             SimulatedEvent::Loaded {
                 front_end,
                 worker,
                 function,
                 sent,
             } => self.on_loaded(front_end, worker, function, sent),
-            SimulatedEvent::ColdStart => self.on_cold_start(),
+            SimulatedEvent::WorkersStart => self.on_workers_start(),
             SimulatedEvent::OthersLost => self.on_others_lost(),
             SimulatedEvent::Restart(index) => self.on_restart(index),
         }
@@ -229,7 +232,7 @@
     fn on_arrival(&mut self) {
         let scenario = self.scenario;
         let cores = (scenario.workers * CORES) as f64;
-        let rate = scenario.utilization * cores / WORK as f64;
+        let rate = scenario.utilization * cores / MEAN_WORK as f64;
         let gap = self.exponential(1.0 / rate) as Micros;
         self.schedule(self.now.plus(gap.max(1)), SimulatedEvent::Arrival);
         let mut pick = self.rng.f64() * self.traffic.iter().sum::<f64>();
@@ -238,9 +241,9 @@
             pick < 0.0
         });
         let index = index.unwrap_or(0);
-        // Few functions have most of the calls.
+        // A few functions have most of the calls.
         let function = (FUNCTIONS as f64).powf(self.rng.f64()) as u64 - 1;
-        // A third of the calls is of the heavy class: the mean is the same.
+        // A third of the calls is of the heavy class, which keeps the mean work the same.
         let class = (scenario.two_classes && self.rng.f64() < 1.0 / 3.0) as usize;
         let work = self.exponential(scenario.mean_work(class) as f64) as Micros + 1;
         self.last_request += 1;
@@ -268,8 +271,8 @@
         let (id, function, now) = (attempt.worker, attempt.function, self.now);
         if self.workers[&id].started.is_some() {
             let weight = self.scenario.call_weight(attempt.class);
-            let arrivals = self.arrivals_at_cold_workers.entry(id).or_default();
-            arrivals.push(ColdArrival { at: now, weight });
+            let arrivals = self.arrivals_at_starting_workers.entry(id).or_default();
+            arrivals.push(CallArrival { at: now, weight });
         }
         self.serial += 1;
         let Some(worker) = self.workers.get_mut(&id) else {
@@ -336,14 +339,14 @@
                 ..LoadReport::default()
             }),
         };
-        let notice = SimulatedEvent::Notice {
+        let router_event = SimulatedEvent::RouterEvent {
             front_end: attempt.front_end,
             event: Event::AttemptEnded(result),
         };
-        self.schedule(self.now.plus(NETWORK_DELAY), notice);
+        self.schedule(self.now.plus(NETWORK_DELAY), router_event);
     }
 
-    fn on_notice(&mut self, front_end: FrontEndId, event: Event) {
+    fn on_router_event(&mut self, front_end: FrontEndId, event: Event) {
         if self.front_end_id(front_end.index) != front_end {
             return;
         }
@@ -376,7 +379,7 @@
             latency: now.since(sent),
             instances,
         };
-        self.on_notice(front_end, event);
+        self.on_router_event(front_end, event);
     }
 }
 
--- a/tests/cold_ramp/workers.rs
+++ b/tests/cold_ramp/workers.rs
@@ -1,34 +1,34 @@
-//! Simulated workers: what they have loaded, run and queue.
+//! Simulated workers: their loaded functions, running calls and queues.
 
-use crate::scenario::{CORES, IDLE_LIFE};
+use crate::scenario::{CORES, IDLE_TIMEOUT};
 use std::collections::HashMap;
 use tansyrouter::{Micros, RequestId, Time};
 
-/// A front end's process: it gets a new incarnation when it starts anew.
+/// Identifies a process of a front end. A restart increments the incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct FrontEndId {
-    /// Which front end.
+    /// Index of the front end.
     pub index: usize,
-    /// Which of its processes.
+    /// Number of its restarts.
     pub incarnation: u32,
 }
 
 /// An attempt of a call on its way to a worker.
 #[derive(Debug)]
 pub struct Attempt {
-    /// Who sent it.
+    /// The front end that sent it.
     pub front_end: FrontEndId,
-    /// Of which call.
+    /// The request that it belongs to.
     pub request: RequestId,
     /// The number of the attempt.
     pub number: u32,
-    /// Where to.
+    /// The worker that it is sent to.
     pub worker: u64,
     /// The function that is called.
     pub function: u64,
-    /// The call's class.
+    /// The class of the call.
     pub class: usize,
-    /// The work of the call on a worker of the first kind that is warm.
+    /// The work of the call, as its time at full speed on a worker of the first kind.
     pub work: Micros,
 }
 
@@ -38,7 +38,7 @@
     pub attempt: Attempt,
     /// When it was sent.
     pub sent: Time,
-    /// The calls of its function that the worker had then.
+    /// Calls of its function at the worker when it arrived.
     pub concurrency: u32,
     /// Its number in the simulation.
     pub serial: u64,
@@ -47,20 +47,20 @@
 /// A worker.
 #[derive(Default)]
 pub struct Worker {
-    /// When it started, if it started cold.
+    /// When it started; `None` for workers that exist from the beginning.
     pub started: Option<Time>,
-    /// It has left.
+    /// Whether it is gone.
     pub gone: bool,
-    /// Functions that are loaded, each with its last use.
+    /// Loaded functions, each with the time of its last use.
     pub loaded: HashMap<u64, Time>,
-    /// Calls that run.
+    /// Running calls.
     pub running: Vec<AcceptedAttempt>,
-    /// Calls that wait for a core.
+    /// Calls that are waiting for a core.
     pub waiting: Vec<AcceptedAttempt>,
 }
 
 impl Worker {
-    /// Calls of a function that run or wait.
+    /// Returns the number of calls of a function that are running or waiting.
     pub fn concurrency(&self, function: u64) -> u32 {
         let calls = self.running.iter().chain(&self.waiting);
         calls
@@ -68,18 +68,18 @@
             .count() as u32
     }
 
-    /// Whether an instance of the function is loaded and still in use.
+    /// Whether an instance of the function is loaded and within its idle timeout.
     pub fn has_instance(&self, function: u64, now: Time) -> bool {
         let last_use = self.loaded.get(&function);
-        last_use.is_some_and(|at| now.since(*at) < IDLE_LIFE)
+        last_use.is_some_and(|at| now.since(*at) < IDLE_TIMEOUT)
     }
 
-    /// Whether its queue takes no more calls.
+    /// Whether its queue is full.
     pub fn is_full(&self) -> bool {
         self.waiting.len() > 4 * CORES
     }
 
-    /// Starts calls that wait on the cores that are free: number and work of each.
+    /// Starts waiting calls on free cores. Returns the number and work of each.
     pub fn start_waiting(&mut self) -> Vec<(u64, Micros)> {
         let mut started = Vec::new();
         while self.running.len() < CORES && !self.waiting.is_empty() {
