--- a/tests/odd_events.rs
+++ b/tests/odd_events.rs
@@ -1,5 +1,5 @@
-//! Long odd but legal event sequences with a fixed seed, judged by a checker that knows the rules and nothing
-//! of the router.
+//! Runs the router on long pseudo-random sequences of unusual but valid events, and checks its actions against its
+//! guarantees.
 
 #[path = "odd_events/checker.rs"]
 mod checker;
@@ -9,7 +9,7 @@
 use sequence::Sequence;
 
 #[test]
-fn odd_legal_sequences_break_no_rule() {
+fn unusual_valid_sequences_violate_no_guarantee() {
     let mut rng = fastrand::Rng::with_seed(20_261_128);
     let (mut sends, mut answers) = (0, 0);
     for round in 0..24 {
@@ -20,6 +20,6 @@
     }
     assert!(
         sends > 500 && answers > 2_000,
-        "the sequences reach the rules: {sends} {answers}"
+        "too few actions to test the guarantees: {sends} sends, {answers} answers"
     );
 }
--- a/tests/odd_events/checker.rs
+++ b/tests/odd_events/checker.rs
@@ -1,4 +1,9 @@
-//! The five rules, by their wording.
+//! Checks the actions of a router against its guarantees, independently of its implementation:
+//!
+//! - Each call is answered once, in time, and is not sent afterwards.
+//! - A call has one attempt at a time, and is repeated or refused only if that cannot make it take effect twice.
+//! - A worker that is draining or gone gets no new work.
+//! - Load requests stay within the load budget.
 
 use std::collections::{BTreeMap, VecDeque};
 use tansyrouter::*;
@@ -6,11 +11,11 @@
 /// An attempt that was sent.
 #[derive(Clone, Copy)]
 pub struct Attempt {
-    /// Where to.
+    /// The worker that it was sent to.
     pub worker: WorkerId,
-    /// When.
+    /// When it was sent.
     pub sent: Time,
-    /// None while it is open.
+    /// How it ended; `None` while it is open.
     pub outcome: Option<Outcome>,
 }
 
@@ -18,16 +23,16 @@
 pub struct Call {
     /// The effect of its class.
     pub effect: Effect,
-    /// When its time ends.
+    /// Its deadline.
     pub deadline: Time,
-    /// Its attempts, in their order.
+    /// Its attempts, in order.
     pub attempts: Vec<Attempt>,
-    /// It is answered, or its client has left.
-    pub over: bool,
+    /// Whether it was answered or its client has left.
+    pub concluded: bool,
 }
 
 impl Call {
-    /// Whether it may be sent to this worker again, by rule 2.
+    /// Checks that the idempotency of its class allows another attempt at this worker.
     fn check_repeat(
         &self,
         now: Time,
@@ -40,11 +45,11 @@
             }
             match self.effect {
                 Effect::Safe => {}
-                Effect::Unsafe => panic!("rule 2: an unsafe call sent again"),
+                Effect::Unsafe => panic!("an unsafe call that may have run is sent again"),
                 Effect::Keyed { group, window } => {
                     assert!(
                         now.since(earlier.sent) < window,
-                        "rule 2: out of its window"
+                        "a keyed call is repeated after its window"
                     );
                     let first = &workers[&earlier.worker];
                     assert!(match group {
@@ -57,7 +62,7 @@
         }
     }
 
-    /// Whether it may run any number of times.
+    /// Whether any number of repeats is harmless.
     fn may_always_repeat(&self) -> bool {
         matches!(
             self.effect,
@@ -70,22 +75,22 @@
     }
 }
 
-/// What the rules are checked with.
+/// Checks the actions of one router.
 pub struct Checker {
-    /// The router's settings.
+    /// The settings of the router.
     pub settings: Settings,
     /// All calls.
     pub calls: BTreeMap<RequestId, Call>,
-    /// Workers that get nothing new, each since when.
+    /// Workers that must get no new work, each with the time since when.
     leaving: BTreeMap<WorkerId, Time>,
-    /// The last entry of each worker.
+    /// The last list entry of each worker.
     workers: BTreeMap<WorkerId, WorkerEntry>,
     loads: VecDeque<Time>,
     arrivals: VecDeque<Time>,
 }
 
 impl Checker {
-    /// A checker that has seen nothing.
+    /// Creates a checker without state.
     pub fn new(settings: Settings) -> Checker {
         Checker {
             settings,
@@ -97,7 +102,7 @@
         }
     }
 
-    /// The router is given this list of workers.
+    /// Records a worker list.
     pub fn on_worker_list(&mut self, now: Time, kind: ListKind, entries: &[WorkerEntry]) {
         if kind == ListKind::Full {
             let is_named = |worker: &WorkerId| entries.iter().any(|entry| entry.worker == *worker);
@@ -115,19 +120,19 @@
         }
     }
 
-    /// The router is given this call.
+    /// Records the arrival of a call.
     pub fn on_arrival(&mut self, now: Time, request: RequestId, class: usize, budget: Micros) {
         let call = Call {
             effect: self.settings.classes[class].effect,
             deadline: now.plus(budget),
             attempts: Vec::new(),
-            over: false,
+            concluded: false,
         };
         self.calls.insert(request, call);
         self.arrivals.push_back(now);
     }
 
-    /// An action of the router.
+    /// Checks an action of the router.
     pub fn on_action(&mut self, now: Time, action: &Action) {
         match action {
             Action::Send {
@@ -146,16 +151,16 @@
     }
 
     fn on_send(&mut self, now: Time, request: RequestId, worker: WorkerId) {
-        self.check_not_leaving(now, worker);
+        self.check_accepts_work(now, worker);
         let entry = self.workers.get(&worker);
-        let entry = entry.expect("a worker that a list named");
+        let entry = entry.expect("a worker that was in a list");
         let call = self.calls.get_mut(&request).expect("a known call");
-        assert!(!call.over, "rule 1: sent after its end");
+        assert!(!call.concluded, "a call is sent after it was answered");
         assert!(
             call.attempts
                 .iter()
                 .all(|attempt| attempt.outcome.is_some()),
-            "rule 2: two attempts out at once"
+            "a call has two attempts at once"
         );
         assert!(call.attempts.len() < self.settings.max_attempts as usize);
         call.check_repeat(now, entry, &self.workers);
@@ -174,18 +179,18 @@
         self.on_answer(request);
         assert!(
             never_ran || may_repeat,
-            "rule 2: refused though it may have run"
+            "a call that may have run is refused"
         );
     }
 
     fn on_answer(&mut self, request: RequestId) {
         let call = self.calls.get_mut(&request).expect("a known call");
-        assert!(!call.over, "rule 1: answered twice");
-        call.over = true;
+        assert!(!call.concluded, "a call is answered twice");
+        call.concluded = true;
     }
 
     fn on_load(&mut self, now: Time, worker: WorkerId) {
-        self.check_not_leaving(now, worker);
+        self.check_accepts_work(now, worker);
         self.loads.push_back(now);
         let Some(budget) = &self.settings.load_budget else {
             return;
@@ -195,23 +200,26 @@
             recent.count() as f64
         };
         let allowed = budget.free + budget.arrival_share * in_period(&self.arrivals);
-        assert!(in_period(&self.loads) <= allowed, "rule 5");
+        assert!(
+            in_period(&self.loads) <= allowed,
+            "the load budget is exceeded"
+        );
     }
 
-    fn check_not_leaving(&self, now: Time, worker: WorkerId) {
+    fn check_accepts_work(&self, now: Time, worker: WorkerId) {
         let since = self.leaving.get(&worker);
         assert!(
             since.is_none_or(|since| now.since(*since) <= self.settings.drain_grace),
-            "rule 3: work for a leaving worker"
+            "new work for a worker that is draining or gone"
         );
     }
 
-    /// No call waits longer than its time.
+    /// Checks that no call is unanswered after its deadline.
     pub fn check_overdue(&self, now: Time) {
-        for call in self.calls.values().filter(|call| !call.over) {
+        for call in self.calls.values().filter(|call| !call.concluded) {
             assert!(
                 now.since(call.deadline) <= self.settings.answer_slack,
-                "rule 1: no answer in time"
+                "a call is not answered in time"
             );
         }
     }
--- a/tests/odd_events/sequence.rs
+++ b/tests/odd_events/sequence.rs
@@ -1,12 +1,12 @@
-//! A sequence of odd but legal events for one router.
+//! A pseudo-random sequence of unusual but valid events for one router.
 
 use crate::checker::Checker;
 use tansyrouter::*;
 
-/// Microseconds of a millisecond.
+/// One millisecond in microseconds.
 const MS: i64 = 1_000;
 
-/// A router with settings that are drawn, and what it is given.
+/// A router with random settings, and the events that it receives.
 pub struct Sequence<'a> {
     rng: &'a mut fastrand::Rng,
     now: Time,
@@ -14,14 +14,14 @@
     checker: Checker,
     loads: Vec<(WorkerId, FunctionId)>,
     last_request: u64,
-    /// Attempts that the router sent.
+    /// Number of attempts that the router has sent.
     pub sends: u64,
-    /// Calls that the router answered itself.
+    /// Number of calls that the router has answered itself.
     pub answers: u64,
 }
 
 impl Sequence<'_> {
-    /// A sequence with the next draws.
+    /// Creates a sequence with random settings.
     pub fn new(rng: &mut fastrand::Rng, seed: u64) -> Sequence<'_> {
         let settings = settings(rng);
         let now = Time(rng.i64(-5_000..5_000) * MS);
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Gives the router one event, and checks its actions. The first event is a list of workers.
+    /// Passes a random event to the router and checks its actions. The first event is a worker list.
     pub fn step(&mut self, step: u64) {
         self.now = self.now.plus(self.rng.i64(0..4) * MS);
         let worker = WorkerId(self.rng.u64(0..8));
@@ -65,7 +65,7 @@
         }
     }
 
-    /// An event of this kind, if there is one now.
+    /// Returns an event of this kind, if one is possible now.
     fn event(&mut self, kind: u8, worker: WorkerId) -> Option<Event> {
         match kind {
             0..=3 => Some(self.worker_list()),
@@ -139,7 +139,7 @@
         })
     }
 
-    /// One of the open attempts: of which call, and which attempt.
+    /// Returns a random open attempt as its call and its number.
     fn open_attempt(&mut self) -> Option<(RequestId, usize)> {
         let mut open = Vec::new();
         for (request, call) in &self.checker.calls {
@@ -168,13 +168,13 @@
         let call = self.checker.calls.get_mut(&request).unwrap();
         let attempt = &mut call.attempts[index];
         attempt.outcome = Some(outcome);
-        call.over |= outcome == Outcome::Served;
+        call.concluded |= outcome == Outcome::Served;
         Some(Event::AttemptEnded(AttemptResult {
             request,
             attempt: index as u32,
             worker: attempt.worker,
             outcome,
-            concluded: call.over,
+            concluded: call.concluded,
             latency: self.now.since(attempt.sent),
             instance_status: InstanceStatus::Warm,
             concurrency: Some(rng.u32(0..4)),
@@ -211,7 +211,7 @@
     fn client_left(&mut self) -> Event {
         let request = RequestId(self.rng.u64(0..self.last_request.max(1) + 3));
         if let Some(call) = self.checker.calls.get_mut(&request) {
-            call.over = true;
+            call.concluded = true;
         }
         Event::ClientLeft { request }
     }
