--- a/src/router/instances.rs
+++ b/src/router/instances.rs
@@ -18,7 +18,7 @@
 /// a call reaches the worker, and checks that run late.
 const TRUSTED_IDLE_FRACTION: f64 = 0.9;
 
-/// What this front end knows of the instances of one function at one worker.
+/// What this front end knows about the instances of one function at one worker.
 #[derive(Default)]
 pub(super) struct Instance {
     pub(super) warm: bool,
@@ -27,7 +27,7 @@
     pub(super) in_flight: u32,
     pub(super) last_send: Option<Time>,
     /// When an answer last said whether an instance is loaded.
-    pub(super) last_confirmed: Time,
+    pub(super) last_reported: Time,
     /// When the load in progress was requested.
     pub(super) load_requested: Option<Time>,
     /// When a call found it missing or its worker was queried for it, if it has not been found loaded since.
@@ -48,10 +48,10 @@
             && now >= self.excluded_until
     }
 
-    /// Returns when it was last used or confirmed.
+    /// Returns when it was last used or reported.
     pub(super) fn last_activity(&self) -> Time {
         self.last_send
-            .map_or(self.last_confirmed, |sent| sent.max(self.last_confirmed))
+            .map_or(self.last_reported, |sent| sent.max(self.last_reported))
     }
 
     /// Handles the number of instances that the worker reports at the end of a load request.
@@ -60,7 +60,7 @@
         self.count = count;
         self.warm = loaded;
         self.load_unconfirmed = loaded;
-        self.last_confirmed = now;
+        self.last_reported = now;
         if loaded {
             self.missed_at = None;
         }
@@ -74,7 +74,7 @@
     /// Assumes that it has been loaded since the load was requested, without a report of its worker.
     pub(super) fn presume_loaded(&mut self, load_requested: Time) {
         self.warm = true;
-        self.last_confirmed = self.last_confirmed.max(load_requested);
+        self.last_reported = self.last_reported.max(load_requested);
     }
 
     /// Handles the end of an attempt. Returns whether it shows that a load reported as done had no effect.
@@ -94,7 +94,7 @@
                 self.ineffective_loads = 0;
                 self.warm = true;
                 self.missed_at = None;
-                self.last_confirmed = now;
+                self.last_reported = now;
             }
             Outcome::NotLoaded => {
                 self.warm = false;
@@ -174,13 +174,13 @@
         function.instances.get_mut(&worker_id)
     }
 
-    /// Whether an instance is assumed to be loaded: it was confirmed since its worker process started, and has a call
-    /// in flight or was confirmed within the idle timeout.
+    /// Whether an instance is assumed to be loaded: it was reported as loaded since its worker process started, and
+    /// has a call in flight or was reported within the idle timeout.
     pub(super) fn is_warm(&self, worker: &Worker, instance: &Instance, now: Time) -> bool {
         let started = worker.entry.started;
-        let restarted = started.is_some_and(|started| started > instance.last_confirmed);
+        let restarted = started.is_some_and(|started| started > instance.last_reported);
         let trusted = (self.settings.idle_timeout as f64 * TRUSTED_IDLE_FRACTION) as Micros;
-        let recent = now.since(instance.last_confirmed) < trusted;
+        let recent = now.since(instance.last_reported) < trusted;
         instance.warm && !restarted && (instance.in_flight > 0 || recent)
     }
 
@@ -201,14 +201,14 @@
     }
 
     /// Whether other front ends may have loaded instances that a call can find without risk, as a miss loads nothing.
-    pub(super) fn siblings_may_have_loaded(&self) -> bool {
+    pub(super) fn others_may_have_loaded(&self) -> bool {
         self.settings.front_ends > 1
             && self.settings.may_load
             && self.settings.miss_policy == MissPolicy::Miss
     }
 
-    /// Returns the concurrent calls of one instance: its lanes, but no more than the mean load of a worker by all
-    /// front ends.
+    /// Returns how many concurrent calls one instance serves: the number of its lanes, but no more than the mean load
+    /// of a worker by all front ends.
     pub(super) fn instance_capacity(&self, function: &Function, now: Time) -> f64 {
         let fleet_load = self.recent_work.sum / self.observed_window(now)
             * self.settings.front_ends as f64
@@ -223,7 +223,7 @@
     /// end. `discount` is subtracted from the estimated instances or calls: before a load it leaves out the call that
     /// has just arrived, which does not show that there will be others.
     pub(super) fn instance_cap(&self, function: &Function, now: Time, discount: f64) -> usize {
-        if self.settings.reports_concurrency && self.siblings_may_have_loaded() {
+        if self.settings.reports_concurrency && self.others_may_have_loaded() {
             return (function.estimated_instances.max(1.0) - discount) as usize + 1;
         }
         let service_time = function
--- a/src/router/loading.rs
+++ b/src/router/loading.rs
@@ -116,7 +116,7 @@
     ///
     /// Trade-off: the cost of the query.
     fn must_query_instances(&self) -> bool {
-        self.settings.front_ends > 1 && !self.siblings_may_have_loaded()
+        self.settings.front_ends > 1 && !self.others_may_have_loaded()
     }
 
     /// Selects the worker to load a function at or to query for it. Where other front ends may have loaded it, a
@@ -137,7 +137,7 @@
                 !calls_load || request.is_some_and(|call| self.may_send(call, worker, now));
             sendable && !self.must_pace_loads(worker, now)
         };
-        let miss_not_required = request.is_some() || !self.siblings_may_have_loaded();
+        let miss_not_required = request.is_some() || !self.others_may_have_loaded();
         let is_due = |worker_id: &WorkerId| {
             let instance = function.instances.get(worker_id);
             let missed_at = instance.and_then(|instance| instance.missed_at);
@@ -287,7 +287,7 @@
         requested_at: Time,
     ) -> bool {
         let presumed = result.outcome == Outcome::ConnectionLost
-            && self.siblings_may_have_loaded()
+            && self.others_may_have_loaded()
             && result.latency > self.settings.connect_timeout;
         if presumed {
             if let Some(instance) = self.known_instance_mut(result.function, result.worker) {
--- a/src/router/random.rs
+++ b/src/router/random.rs
@@ -16,7 +16,7 @@
 }
 
 /// Returns the score of a worker for a function by weighted rendezvous hashing. The workers with the highest scores
-/// are preferred for the function. All front ends compute the same scores without communication.
+/// are preferred for the function. Front ends compute the same scores from the same weights, without communication.
 pub(super) fn rendezvous_score(function: FunctionId, worker: WorkerId, weight: f64) -> f64 {
     let hash = mix_bits(function.0 ^ mix_bits(worker.0.wrapping_add(0x9e37_79b9_7f4a_7c15)));
     let unit = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -53,7 +53,8 @@
 }
 
 impl Router {
-    /// Returns the affinity of a function to a worker. It is the same at all front ends.
+    /// Returns the affinity of a function to a worker. It differs between front ends only by the slowness that they
+    /// observe.
     fn affinity(&self, function_id: FunctionId, worker: &Worker) -> f64 {
         rendezvous_score(
             function_id,
@@ -148,7 +149,7 @@
     ) -> Vec<WorkerId> {
         let attempts = request.attempts.len() + ATTEMPTS_FOR_PRESUMPTION;
         let can_spare_attempt = attempts < self.settings.max_attempts as usize;
-        if !self.siblings_may_have_loaded() || !can_spare_attempt {
+        if !self.others_may_have_loaded() || !can_spare_attempt {
             return Vec::new();
         }
         let load_time = self.expected_load_time(function);
@@ -237,7 +238,7 @@
     ///
     /// Trade-off: its instances are loaded again at other workers.
     fn counts_in_slow_start(&self, demand: &Demand, worker: &Worker) -> bool {
-        !self.siblings_may_have_loaded()
+        !self.others_may_have_loaded()
             || self.has_slow_start_credit(worker, demand.call_weight, demand.now)
     }
 
--- a/src/router/workers.rs
+++ b/src/router/workers.rs
@@ -155,8 +155,8 @@
         self.ready_count = ready_count;
         self.configuration_revision += 1;
         if self.loads.window == 0.0 {
-            let siblings = self.settings.front_ends as u64;
-            self.loads.window = ready_count * LOADS_PER_WORKER as f64 / siblings as f64;
+            let front_ends = self.settings.front_ends as u64;
+            self.loads.window = ready_count * LOADS_PER_WORKER as f64 / front_ends as f64;
         }
     }
 
@@ -233,10 +233,10 @@
     /// Returns the initial slow start credit of a worker. Front ends start with different fractions of a call, in an
     /// order that differs between workers.
     fn initial_credit(&self, worker: &Worker, now: Time) -> f64 {
-        let siblings = self.settings.front_ends as u64;
-        let offset = mix_bits(worker.entry.worker.0) % siblings;
-        let position = (offset + self.settings.front_end_index as u64 % siblings) % siblings;
-        let part_of_call = self.service_time(0) * position as f64 / siblings as f64;
+        let front_ends = self.settings.front_ends as u64;
+        let offset = mix_bits(worker.entry.worker.0) % front_ends;
+        let position = (offset + self.settings.front_end_index as u64 % front_ends) % front_ends;
+        let part_of_call = self.service_time(0) * position as f64 / front_ends as f64;
         self.slow_start_rate(worker, now).map_or(0.0, |rate| {
             part_of_call.max(rate * self.settings.overload_window as f64)
         })
