--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -4,7 +4,7 @@
 use tansy_conf::SettingsError;
 use tansyrouter::InvalidSettings;
 
-/// Why a session ended before its input.
+/// Why a session ended before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum SessionError {
     /// A line cannot be read, processed or answered.
--- a/simulator-adapter/tests/wire.rs
+++ b/simulator-adapter/tests/wire.rs
@@ -46,8 +46,8 @@
     format!("{{\"kind\":\"LoadDone\",\"end\":{end},\"worker\":\"{worker}\",\"callee\":\"0000007c55d20a01\",\"result\":\"served\",\"latency_s\":0.5,\"number\":1}}\n")
 }
 
-/// Returns the commands to one front end, without its number and the acknowledgements.
-fn actions(out: &Output, end: u32) -> Vec<String> {
+/// Returns the commands for one front end, without its number and the acknowledgements.
+fn commands_for(out: &Output, end: u32) -> Vec<String> {
     let text = String::from_utf8(out.stdout.clone()).unwrap();
     let own = format!("\"end\":{end},");
     text.lines()
@@ -61,7 +61,7 @@
     let first = batch(1, 5.0, &start(3, 7)) + &batch(2, 5.5, &call(3, 42));
     let out = run_adapter(&first);
     assert!(out.status.success());
-    let load_request = actions(&out, 3)
+    let load_request = commands_for(&out, 3)
         .into_iter()
         .find(|line| line.contains("StartCopy"))
         .expect("a load request");
@@ -161,9 +161,9 @@
     };
     let together = run_adapter(&events(&[1, 2, 3]));
     for end in 1..=3 {
-        let alone = actions(&run_adapter(&events(&[end])), end);
+        let alone = commands_for(&run_adapter(&events(&[end])), end);
         assert!(alone.len() > 20);
-        assert_eq!(actions(&together, end), alone);
+        assert_eq!(commands_for(&together, end), alone);
     }
 }
 
@@ -183,7 +183,7 @@
     let out = run_adapter(&(start.clone() + &batch(3, 6.0, &(late.clone() + &call(3, 43)))));
     assert!(out.status.success());
     let load_requests = |out: &Output| {
-        actions(out, 3)
+        commands_for(out, 3)
             .iter()
             .filter(|line| line.contains("StartCopy"))
             .count()
@@ -196,7 +196,7 @@
     let out =
         run_adapter(&(start + &batch(3, 6.0, &late) + &batch(4, 8.0, &(change(1) + &call(3, 44)))));
     assert!(out.status.success());
-    let all = actions(&out, 3);
+    let all = commands_for(&out, 3);
     assert!(
         all.iter().all(|l| !l.contains("\"worker\":\"\"")),
         "{all:?}"
--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -314,7 +314,7 @@
 }
 
 /// The bound must detect injected defects: front ends that send twice their share, and restarted front ends that
-/// assume to be the only one.
+/// assume that they are the only one.
 #[test]
 fn injected_defects_are_detected() {
     let restarted = with_low_multiple(Scenario {
--- a/tests/cold_ramp/scenario.rs
+++ b/tests/cold_ramp/scenario.rs
@@ -61,7 +61,7 @@
 pub enum InjectedDefect {
     /// Each front end sends twice what it may.
     DoubledMultiple,
-    /// A restarted front end assumes to be the only one.
+    /// A restarted front end assumes that it is the only one.
     AssumesToBeAlone,
 }
 
--- a/tests/cold_ramp/simulation.rs
+++ b/tests/cold_ramp/simulation.rs
@@ -59,7 +59,7 @@
     workers: BTreeMap<u64, Worker>,
     calls: HashMap<(FrontEndId, RequestId), OpenCall>,
     last_request: u64,
-    /// Traffic of each front end, relative to each other.
+    /// Traffic of each front end, in proportion to that of the others.
     traffic: Vec<f64>,
 }
 
--- a/tests/router/queue.rs
+++ b/tests/router/queue.rs
@@ -7,7 +7,7 @@
 /// How long clients wait in the test with a busy lane.
 const CLIENT_TIMEOUT: Micros = 6 * SECOND;
 
-/// An attempt that has not answered_at.
+/// An attempt that has not ended.
 struct OpenAttempt {
     request: RequestId,
     worker: WorkerId,
@@ -181,7 +181,7 @@
         [&refused]
     );
 
-    // A call that was sent once and loses its right to a retry long before its objective answers.
+    // A call that was sent once and loses its right to a retry long before its objective ends.
     let mut settings = settings_with(Effect::Keyed {
         group: DedupGroup::Zone,
         window: 3 * SECOND,
