--- a/net/fleet/src/start.rs
+++ b/net/fleet/src/start.rs
@@ -16,7 +16,7 @@
 use tansy_fleet_node::RecoveredState;
 use tansy_net_grpc::server::{Limits, Server};
 use tansy_net_sockets::interrupt::Uninterrupted;
-use tansy_net_sockets::socket::descriptors;
+use tansy_net_sockets::socket::descriptor_limit;
 use tansy_net_sockets::Spawner;
 
 /// Connections of peers and operators that are accepted however few descriptors there are.
@@ -28,7 +28,7 @@
 /// of the descriptors go. A front end that finds no room never becomes active, since it gets no session.
 fn limits() -> Limits {
     Limits {
-        connections: (descriptors() / 2).clamp(MIN_CONNECTIONS, MAX_MEMBERS),
+        connections: (descriptor_limit() / 2).clamp(MIN_CONNECTIONS, MAX_MEMBERS),
         streams: 256,
         header_bytes: 8 * 1024,
         stream_window: 64 * 1024,
--- a/net/sockets/src/socket.rs
+++ b/net/sockets/src/socket.rs
@@ -79,7 +79,7 @@
 }
 
 /// Descriptors that this process may have open.
-pub fn descriptors() -> usize {
+pub fn descriptor_limit() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     limit.map_or(usize::MAX, |count| {
         usize::try_from(count).unwrap_or(usize::MAX)
--- a/programs/gateway/src/platform/mod.rs
+++ b/programs/gateway/src/platform/mod.rs
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 use tansy_dispatch::{DispatchConfig, Dispatcher};
 use tansy_net_platform::{ClientListener, Driver, EndpointPoller, ServingLimits};
-use tansy_net_sockets::socket::{descriptors, listen, retry};
+use tansy_net_sockets::socket::{descriptor_limit, listen, retry};
 use tansy_net_sockets::{io_error, Spawner};
 use tansy_platform::{Config, EndpointList};
 use tansyrouter::{Micros, Time};
@@ -67,7 +67,7 @@
         let address = listener.local_addr()?;
         let dispatcher = Dispatcher::new(dispatch, Time(0))?;
         // The machine's bound goes before the stated one where it is lower.
-        let limits = ServingLimits::new(config, descriptors());
+        let limits = ServingLimits::new(config, descriptor_limit());
         let driver = Driver::new(spawner.clone(), dispatcher, limits, Instant::now());
         let list = EndpointList::new(
             config.settings.zones.clone(),
