--- a/net/fleet/src/start.rs
+++ b/net/fleet/src/start.rs
@@ -15,7 +15,7 @@
 use tansy_consensus::PersistentState;
 use tansy_fleet_node::RecoveredState;
 use tansy_net_grpc::server::{Limits, Server};
-use tansy_net_sockets::interrupt::Uninterrupted;
+use tansy_net_sockets::interrupt::IgnoreInterrupts;
 use tansy_net_sockets::socket::descriptor_limit;
 use tansy_net_sockets::Spawner;
 
@@ -105,7 +105,7 @@
     results: Channel<PersistResult>,
     transport: Rc<FleetTransport>,
 ) -> Result<(), StartError> {
-    let source = Uninterrupted(results);
+    let source = IgnoreInterrupts(results);
     let inserted = spawner.handle().insert_source(source, move |event, _, ()| {
         if let Event::Msg(result) = event {
             transport.on_persisted(result);
--- a/net/grpc/src/server.rs
+++ b/net/grpc/src/server.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use std::task::{ready, Context, Poll, Waker};
 use std::time::Duration;
-use tansy_net_sockets::interrupt::Uninterrupted;
+use tansy_net_sockets::interrupt::IgnoreInterrupts;
 use tansy_net_sockets::socket::Socket;
 use tansy_net_sockets::{within, Spawner, Yield};
 
@@ -141,7 +141,7 @@
         let readable = readable.map_err(|error| io::Error::other(error.to_string()))?;
         let server = self.clone();
         let accepted = listener.clone();
-        let resumed = handle.insert_source(Uninterrupted(pinged), move |(), _, ()| {
+        let resumed = handle.insert_source(IgnoreInterrupts(pinged), move |(), _, ()| {
             server.accept(&accepted);
         });
         let resumed = resumed.map_err(|error| io::Error::other(error.to_string()))?;
--- a/net/sockets/src/interrupt.rs
+++ b/net/sockets/src/interrupt.rs
@@ -9,7 +9,7 @@
 use std::io;
 
 /// A source whose interrupted reads are no errors.
-pub struct Uninterrupted<S>(pub S);
+pub struct IgnoreInterrupts<S>(pub S);
 
 /// Whether an error, or what caused it, says that a call was interrupted, or that there was nothing to read after all.
 pub fn is_interruption(error: &(dyn Error + 'static)) -> bool {
@@ -33,7 +33,7 @@
     text.contains("EINTR") || text.contains("Interrupted system call")
 }
 
-impl<S: EventSource> EventSource for Uninterrupted<S>
+impl<S: EventSource> EventSource for IgnoreInterrupts<S>
 where
     S::Error: Error + 'static,
 {
--- a/net/sockets/src/lib.rs
+++ b/net/sockets/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod socket;
 pub mod timers;
 
-use crate::interrupt::Uninterrupted;
+use crate::interrupt::IgnoreInterrupts;
 use crate::timers::{Sleep, Timers};
 use calloop::futures::Scheduler;
 use calloop::LoopHandle;
@@ -38,7 +38,7 @@
     /// A spawner for a loop; its executor is inserted there.
     pub fn new(handle: LoopHandle<'static, ()>) -> std::io::Result<Spawner> {
         let (executor, scheduler) = calloop::futures::executor::<()>().map_err(io_error)?;
-        let inserted = handle.insert_source(Uninterrupted(executor), |(), _, _| {});
+        let inserted = handle.insert_source(IgnoreInterrupts(executor), |(), _, _| {});
         inserted.map_err(|e| std::io::Error::other(e.to_string()))?;
         let timers = Timers::new(handle.clone())?;
         Ok(Spawner {
--- a/programs/fleet/src/client.rs
+++ b/programs/fleet/src/client.rs
@@ -14,7 +14,7 @@
 use tansy_fleet_wire::pb;
 use tansy_net_fleet::client::{ask, RequestError};
 use tansy_net_grpc::link::{Limits, Link};
-use tansy_net_sockets::interrupt::Uninterrupted;
+use tansy_net_sockets::interrupt::IgnoreInterrupts;
 use tansy_net_sockets::Spawner;
 
 /// Time for an answer.
@@ -250,7 +250,7 @@
         let inserted = self
             .event_loop
             .handle()
-            .insert_source(Uninterrupted(signals), on_signal);
+            .insert_source(IgnoreInterrupts(signals), on_signal);
         inserted
             .map(|_| ())
             .map_err(|error| io::Error::other(error.to_string()))
--- a/programs/gateway/src/gateway.rs
+++ b/programs/gateway/src/gateway.rs
@@ -15,7 +15,7 @@
 use tansy_net_grpc::link::Limits as LinkLimits;
 use tansy_net_grpc::server::{Limits, Server};
 use tansy_net_inference::{clients, status, Driver, DriverOptions, MetadataKeys, WorkerEndpoint};
-use tansy_net_sockets::interrupt::Uninterrupted;
+use tansy_net_sockets::interrupt::IgnoreInterrupts;
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::Spawner;
 use tansy_settings::{ConfiguredWorker, Fleet, Settings};
@@ -126,7 +126,7 @@
         let requested = stop_requested.clone();
         let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT])?;
         let handle = self.event_loop.handle();
-        let inserted = handle.insert_source(Uninterrupted(signals), move |_, _, ()| {
+        let inserted = handle.insert_source(IgnoreInterrupts(signals), move |_, _, ()| {
             requested.set(true);
         });
         inserted.map_err(|error| GatewayError::Signals(error.to_string()))?;
--- a/programs/gateway/src/platform/lifecycle.rs
+++ b/programs/gateway/src/platform/lifecycle.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tansy_dispatch::Input;
-use tansy_net_sockets::interrupt::Uninterrupted;
+use tansy_net_sockets::interrupt::IgnoreInterrupts;
 use tansyrouter::Micros;
 
 /// After SIGTERM the platform still opens connections for 0.4 s and sends requests for 0.2 s more; both are served.
@@ -98,7 +98,7 @@
         let requested = Rc::new(Requested::default());
         let recorded = requested.clone();
         let inserted = self.event_loop.handle().insert_source(
-            Uninterrupted(signals.0),
+            IgnoreInterrupts(signals.0),
             move |event, _, ()| {
                 let flag = if event.signal() == Signal::SIGHUP {
                     &recorded.reload
--- a/programs/worker/src/lib.rs
+++ b/programs/worker/src/lib.rs
@@ -13,7 +13,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
-use tansy_net_sockets::interrupt::Uninterrupted;
+use tansy_net_sockets::interrupt::IgnoreInterrupts;
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::Spawner;
 use tansy_standin_worker::{Function, Profile, Standin, WhenAbsent};
@@ -196,7 +196,7 @@
     std::io::stdout().flush()?;
     let stop = Rc::new(Cell::new(false));
     let on_signal = stop.clone();
-    let signals = Uninterrupted(Signals::new(&[Signal::SIGTERM, Signal::SIGINT])?);
+    let signals = IgnoreInterrupts(Signals::new(&[Signal::SIGTERM, Signal::SIGINT])?);
     event_loop
         .handle()
         .insert_source(signals, move |_, _, ()| on_signal.set(true))
