--- a/net/fleet/src/start.rs
+++ b/net/fleet/src/start.rs
@@ -33,7 +33,7 @@
         header_bytes: 8 * 1024,
         stream_window: 64 * 1024,
         message_bytes: tansy_fleet_wire::MAX_MESSAGE_BYTES,
-        preface_within: Duration::from_secs(5),
+        preface_timeout: Duration::from_secs(5),
     }
 }
 
--- a/net/grpc/src/server.rs
+++ b/net/grpc/src/server.rs
@@ -39,7 +39,7 @@
     /// Bytes of one message.
     pub message_bytes: usize,
     /// Time to send the connection's preface.
-    pub preface_within: Duration,
+    pub preface_timeout: Duration,
 }
 
 impl Default for Limits {
@@ -50,7 +50,7 @@
             header_bytes: 16 * 1024,
             stream_window: 64 * 1024,
             message_bytes: 4 * 1024 * 1024,
-            preface_within: Duration::from_secs(5),
+            preface_timeout: Duration::from_secs(5),
         }
     }
 }
@@ -297,7 +297,7 @@
             .max_pending_accept_reset_streams(MAX_RESET_STREAMS)
             .max_send_buffer_size(limits.stream_window as usize)
             .handshake::<_, Bytes>(socket);
-        let limit = self.spawner.sleep(limits.preface_within);
+        let limit = self.spawner.sleep(limits.preface_timeout);
         let mut handshake = Box::pin(handshake);
         let made = poll_fn(|cx| {
             let made = handshake.as_mut().poll(cx);
--- a/programs/gateway/src/gateway.rs
+++ b/programs/gateway/src/gateway.rs
@@ -201,7 +201,7 @@
             header_bytes: gateway.headers,
             stream_window: gateway.stream_window,
             message_bytes: gateway.message,
-            preface_within: Duration::from_micros(gateway.preface.max(0) as u64),
+            preface_timeout: Duration::from_micros(gateway.preface.max(0) as u64),
         },
         workers: LinkLimits {
             stream_window: gateway.worker_window,
