--- a/net/grpc/src/exchange.rs
+++ b/net/grpc/src/exchange.rs
@@ -56,11 +56,11 @@
     /// RST_STREAM from the server, with its code.
     Reset(u32),
     /// The connection ended.
-    ConnectionCut,
+    ConnectionLost,
     /// A GOAWAY named a last stream below this one.
-    GoawayBelow,
+    RefusedByGoaway,
     /// Its HEADERS never left.
-    NeverLeft,
+    NotSent,
     /// It ended without trailers.
     NoTrailers,
     /// What came is no answer.
@@ -113,7 +113,7 @@
         connection.traffic.borrow_mut().track(stream);
         // Queued whole: a message is bounded where it came in, and it is shared, not copied.
         let queued = send.send_data(body, true);
-        let closing = queued.err().map(|_| Ending::ConnectionCut);
+        let closing = queued.err().map(|_| Ending::ConnectionLost);
         Ok(Exchange {
             connection,
             stream,
@@ -201,7 +201,7 @@
             return Poll::Pending;
         }
         let ending = self.closing.take().filter(|_| headers_sent);
-        Poll::Ready(self.end(ending.unwrap_or(Ending::NeverLeft)))
+        Poll::Ready(self.end(ending.unwrap_or(Ending::NotSent)))
     }
 
     fn end(&mut self, ending: Ending) -> ExchangeEvent {
@@ -297,15 +297,15 @@
         let stream = traffic.stream(self.stream);
         let headers_sent = stream.is_some_and(|stream| stream.headers_sent);
         let ending = if traffic.goaway.is_some_and(|last| self.stream > last) {
-            Ending::GoawayBelow
+            Ending::RefusedByGoaway
         } else if !headers_sent {
-            Ending::NeverLeft
+            Ending::NotSent
         } else if error.is_reset() && error.is_remote() {
             Ending::Reset(error.reason().map_or(2, u32::from))
         } else if error.is_reset() {
             return Err(ResponseError::Protocol(error.to_string()));
         } else {
-            Ending::ConnectionCut
+            Ending::ConnectionLost
         };
         Ok(self.ended_by(ending))
     }
--- a/net/inference/src/attempts.rs
+++ b/net/inference/src/attempts.rs
@@ -81,9 +81,9 @@
                 };
             }
             Ending::Reset(code) => AttemptOutcome::Reset { code, stage },
-            Ending::ConnectionCut => AttemptOutcome::ConnectionCut { stage },
-            Ending::GoawayBelow => AttemptOutcome::GoawayBelow,
-            Ending::NeverLeft => AttemptOutcome::NeverLeft,
+            Ending::ConnectionLost => AttemptOutcome::ConnectionCut { stage },
+            Ending::RefusedByGoaway => AttemptOutcome::GoawayBelow,
+            Ending::NotSent => AttemptOutcome::NeverLeft,
             Ending::NoTrailers => AttemptOutcome::NoTrailers { stage },
             Ending::InvalidResponse(error) => {
                 tracing::debug!(%error, "a worker's answer was refused");
--- a/programs/scenario/src/load/exchange.rs
+++ b/programs/scenario/src/load/exchange.rs
@@ -105,7 +105,7 @@
         Ending::Status(Code::Unavailable, _) => CallOutcome::Refused,
         Ending::Status(..) => CallOutcome::Failed,
         // The server says that it has not processed it.
-        Ending::GoawayBelow | Ending::NeverLeft | Ending::Reset(REFUSED_STREAM) => {
+        Ending::RefusedByGoaway | Ending::NotSent | Ending::Reset(REFUSED_STREAM) => {
             CallOutcome::NotSent
         }
         _ => CallOutcome::Lost,
