--- a/net/platform/src/call.rs
+++ b/net/platform/src/call.rs
@@ -1,4 +1,4 @@
-//! A call on its way: what is sent for it, and how its response reaches its client.
+//! The context of an accepted call: what its attempts send, and how its response reaches the client.
 
 use crate::limits::ServingLimits;
 use crate::response_slot::{FinalResponse, ResponseSlot};
@@ -9,37 +9,38 @@
 use tansy_platform::request::CallRequest;
 use tansyrouter::Micros;
 
-/// What the front end holds of a call until it is answered and its attempts have ended.
+/// The state of a call, kept until it is answered and its attempts have ended.
 pub struct CallContext {
     /// The client's request.
     pub request: CallRequest,
-    /// The client's body, passed on as it came.
+    /// The client's body, forwarded unchanged.
     pub body: Vec<u8>,
-    /// Where its response goes.
+    /// Receives the response.
     pub slot: Rc<ResponseSlot>,
-    /// Connections that its attempts went out on: an answer there can't be told from an earlier attempt's.
+    /// Connections already used by its attempts. Answers carry only the request id, so a retry on the same connection
+    /// could receive the answer to an earlier attempt.
     pub used_connections: RefCell<Vec<u64>>,
-    /// The worker's body that the dispatcher has been informed of.
-    pub staged_body: RefCell<Option<Vec<u8>>>,
-    /// How its last attempt ended.
+    /// The body of the worker's answer, held until the dispatcher answers the call.
+    pub response_body: RefCell<Option<Vec<u8>>>,
+    /// The outcome of its latest attempt.
     pub last_outcome: Cell<Option<AttemptOutcome>>,
-    /// How long it had waited when it was read, microseconds.
+    /// Time between its arrival and its acceptance, microseconds.
     pub waited: Micros,
-    /// When it was read.
+    /// When it was accepted.
     pub accepted_at: Instant,
 }
 
 impl CallContext {
-    /// The request's id, for logs.
+    /// The request id as text, for logs.
     pub fn request_id(&self) -> &str {
         std::str::from_utf8(&self.request.id).unwrap_or("")
     }
 
-    /// Gives the client its final answer.
+    /// Sends the client its final response.
     pub fn respond(&self, answer: Answer) {
-        let staged = self.staged_body.borrow_mut().take();
+        let body = self.response_body.borrow_mut().take();
         let (status, retry_after, body) = match answer {
-            Answer::Served => match staged {
+            Answer::Served => match body {
                 Some(body) => (200, 0, body),
                 None => (502, 0, Vec::new()),
             },
@@ -62,16 +63,16 @@
 /// One attempt at a call.
 #[derive(Clone)]
 pub struct Attempt {
-    /// The call.
+    /// The call's id in the dispatcher.
     pub call: CallId,
-    /// The attempt's number.
+    /// The attempt's number within its call.
     pub number: u32,
-    /// What is sent.
+    /// The call's context.
     pub context: Rc<CallContext>,
 }
 
 impl Attempt {
-    /// Its bytes, for a worker that is given `patience` microseconds.
+    /// Encodes the attempt for a worker that has `patience` microseconds to answer.
     pub fn encode(&self, limits: &ServingLimits, patience: Micros) -> Vec<u8> {
         let request = &self.context.request;
         let class = limits.request_schema.class(request.class);
--- a/net/platform/src/client/connection.rs
+++ b/net/platform/src/client/connection.rs
@@ -169,7 +169,7 @@
     /// Why the connection ends that brought no request.
     fn silence_reason(&self, was_read: bool, is_first: bool) -> CloseReason {
         match (self.entry.is_shed.get(), was_read, is_first) {
-            (true, ..) => CloseReason::GaveWay,
+            (true, ..) => CloseReason::Evicted,
             (_, true, _) => CloseReason::ClientLeft,
             (_, false, true) => CloseReason::Silent,
             (_, false, false) => CloseReason::Idle,
--- a/net/platform/src/client/session.rs
+++ b/net/platform/src/client/session.rs
@@ -50,11 +50,11 @@
         };
         let keep_alive = keep_alive && !connection.table().is_closed();
         if !connection.write_response(response, keep_alive).await {
-            return CloseReason::NotTaken;
+            return CloseReason::WriteTimedOut;
         }
         if !keep_alive {
             connection.linger().await;
-            return CloseReason::LastAnswer;
+            return CloseReason::LastResponse;
         }
         connection.entry().phase.set(Phase::Idle);
     }
--- a/net/platform/src/driver/calls.rs
+++ b/net/platform/src/driver/calls.rs
@@ -41,7 +41,7 @@
             body,
             slot: slot.clone(),
             used_connections: RefCell::new(Vec::new()),
-            staged_body: RefCell::new(None),
+            response_body: RefCell::new(None),
             last_outcome: Cell::new(None),
             waited,
             accepted_at,
@@ -99,7 +99,7 @@
         let last = context.last_outcome.get();
         let attempts = context.used_connections.borrow().len();
         if let Answer::Refused { .. } = answer {
-            let reason = RefusalReason::of(attempts, context.waited, context.request.budget);
+            let reason = RefusalReason::classify(attempts, context.waited, context.request.budget);
             self.reasons.count_refused(reason);
             let reason = reason.as_str();
             tracing::debug!(request, reason, attempts, ?last, after_ms, "refused");
--- a/net/platform/src/driver/commands.rs
+++ b/net/platform/src/driver/commands.rs
@@ -83,7 +83,7 @@
             });
         };
         if let Some(last) = context.last_outcome.get() {
-            self.reasons.count_repeated(last);
+            self.reasons.count_retry(last);
             let request = context.request_id();
             tracing::debug!(request, attempt = number, %worker, last = %last, "a request is repeated");
         }
--- a/net/platform/src/driver/connections.rs
+++ b/net/platform/src/driver/connections.rs
@@ -44,8 +44,8 @@
         if let Some(connection) = pool.find(role, &self.limits, is_usable) {
             return Some(connection);
         }
-        let is_full = self.worker_connections.get() >= self.limits.max_worker_connections;
-        if is_full && !self.close_idle_connection() {
+        let is_at_capacity = self.worker_connections.get() >= self.limits.max_worker_connections;
+        if is_at_capacity && !self.close_idle_connection() {
             return None;
         }
         self.next_serial.set(self.next_serial.get() + 1);
@@ -188,7 +188,7 @@
                 trailers,
                 body,
             } => {
-                *attempt.context.staged_body.borrow_mut() = Some(body);
+                *attempt.context.response_body.borrow_mut() = Some(body);
                 self.attempt_ended(attempt.call, attempt.number, outcome, trailers);
             }
             ConnectionEvent::AttemptLost { attempt, outcome } => {
--- a/net/platform/src/lib.rs
+++ b/net/platform/src/lib.rs
@@ -1,15 +1,17 @@
-//! The platform's protocol on sockets: calls in over HTTP/1.1, attempts and control requests out to workers over RESP, the
-//! list of workers from a coordinator's long poll. All on one thread; every choice is the dispatcher's.
+//! The platform protocol over sockets: client calls over HTTP/1.1, attempts and control requests to workers over
+//! RESP, and the worker list from the coordinator's long poll. Everything runs on one thread; all decisions are made
+//! by the dispatcher.
 //!
-//! Layers, each using only those above it in this list:
+//! Modules form layers; each uses only itself and the modules listed before it:
 //!
-//! - [`limits`], [`reasons`]: the limits to serve by, and counters of why connections and requests ended.
-//! - [`outbox`]: messages that wait to be sent on one connection. [`response_slot`]: where a call's response is put.
-//! - [`call`]: a call on its way.
-//! - [`worker_connection`]: one connection to a worker. It reports events to a handler, and knows nothing of who that is.
+//! - [`limits`], [`reasons`]: serving limits, and counters of why connections closed and requests were refused.
+//! - [`outbox`]: the send queue of one connection. [`response_slot`]: hands a response to its client's task.
+//! - [`call`]: the context of an accepted call and its attempts.
+//! - [`worker_connection`]: one connection to a worker, which reports events to a
+//!   [`worker_connection::events::ConnectionHandler`].
 //! - [`worker_pool`]: the connections to one worker.
-//! - [`driver`]: feeds the dispatcher, runs its commands, handles the events of connections.
-//! - [`client`]: the listener and the connections of clients. [`endpoint_poller`]: the coordinator's long poll.
+//! - [`driver`]: feeds the dispatcher, runs its commands and handles connection events.
+//! - [`client`]: the listener and client connections. [`endpoint_poller`]: the coordinator's long poll.
 
 pub mod call;
 pub mod client;
--- a/net/platform/src/limits.rs
+++ b/net/platform/src/limits.rs
@@ -1,34 +1,34 @@
-//! The limits that a front end serves by: connections, streams and time-outs.
+//! Serving limits of a front end: connections, requests per connection and timeouts.
 
 use std::time::Duration;
 use tansy_platform::RequestSchema;
 
-/// Limits taken from the configuration.
+/// Serving limits derived from the configuration.
 #[derive(Clone, Debug)]
 pub struct ServingLimits {
-    /// The form of a valid request: classes and their bounds.
+    /// Validates requests: known classes and the bounds of their parameters.
     pub request_schema: RequestSchema,
-    /// Whether workers report how many other calls ran beside an answered one.
+    /// Whether workers report the number of calls that ran concurrently with an answered one.
     pub reports_concurrency: bool,
-    /// Requests open at once on one connection to a worker.
+    /// Maximum number of open requests on one connection to a worker.
     pub streams_per_connection: usize,
-    /// A connection that is not established by then has failed; an answer that stalls for so long has as well.
+    /// Time limit for establishing a connection, and for the rest of an answer that has started to arrive.
     pub connect_timeout: Duration,
-    /// A worker closes a connection that was idle for so long.
+    /// Workers close connections that have been idle for this long.
     pub idle_timeout: Duration,
-    /// Connections of clients at once.
+    /// Maximum number of client connections.
     pub max_client_connections: usize,
-    /// Connections to workers at once.
+    /// Maximum number of connections to workers.
     pub max_worker_connections: usize,
 }
 
-/// Descriptors that are neither clients' nor workers': the loop's own, the listener, logs, the poll, the
-/// configuration when it is read again, and connections that are accepted before those they replace are closed.
+/// Descriptors reserved for other uses: the event loop, the listener, logs, the coordinator poll, reloads of the
+/// configuration, and accepted connections that await the close of an evicted one.
 const RESERVED_DESCRIPTORS: usize = 40;
 
 impl ServingLimits {
-    /// From the configuration and the descriptors that this process may open; those beyond the reserved ones go to
-    /// clients and workers, two to one.
+    /// Derives the limits from the configuration and the process's descriptor limit. Two thirds of the unreserved
+    /// descriptors go to clients, one third to workers.
     pub fn new(config: &tansy_platform::Config, descriptors: usize) -> ServingLimits {
         let settings = &config.settings;
         let timeout =
@@ -50,9 +50,8 @@
         }
     }
 
-    /// A connection that was idle for most of the time after which the worker closes it may be closing now: it takes
-    /// nothing new after this.
-    pub fn reuse_within(&self) -> Duration {
+    /// Connections that have been idle for longer are not reused: the worker may be closing them.
+    pub fn max_reuse_idle(&self) -> Duration {
         self.idle_timeout * 3 / 4
     }
 }
--- a/net/platform/src/outbox.rs
+++ b/net/platform/src/outbox.rs
@@ -1,5 +1,5 @@
-//! Messages that wait to be sent on one connection. A message is encoded only as it is about to be sent: until its first
-//! byte is, it can be cancelled, and the remaining time that it states is true when it goes.
+//! The send queue of one connection. A message is encoded only when it is written, so that it can be cancelled until
+//! its first_offset byte is sent and states the time that remains at that moment.
 
 use std::collections::VecDeque;
 use std::io;
@@ -10,89 +10,87 @@
 /// A message to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OutgoingMessage {
-    /// An attempt at the request of this id.
+    /// An attempt at the request with this id.
     Attempt(RequestId),
-    /// A probe or a load request, encoded.
+    /// An encoded probe or load request.
     Control(ControlRequestId, Vec<u8>),
-    /// A message without an answer, encoded.
+    /// An encoded message that has no reply.
     Unacknowledged(Vec<u8>),
 }
 
-struct Waiting {
+struct QueuedMessage {
     message: OutgoingMessage,
-    /// Bytes that it takes up, approximately.
+    /// Approximate size in bytes.
     size: usize,
 }
 
-/// The messages of one connection that have not been sent whole.
+/// The messages of one connection that have not been fully sent.
 #[derive(Default)]
 pub struct Outbox {
-    waiting: VecDeque<Waiting>,
-    /// The rest of a message of which a part is sent.
-    unsent_rest: Vec<u8>,
+    queued: VecDeque<QueuedMessage>,
+    /// The unsent remainder of a partly sent message.
+    unsent_tail: Vec<u8>,
     bytes: usize,
 }
 
 impl Outbox {
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty() && self.unsent_rest.is_empty()
+        self.queued.is_empty() && self.unsent_tail.is_empty()
     }
-    /// Bytes that wait, approximately.
+    /// Approximate number of unsent bytes.
     pub fn bytes(&self) -> usize {
-        self.bytes + self.unsent_rest.len()
+        self.bytes + self.unsent_tail.len()
     }
-    /// Adds a message that takes up approximately `size` bytes.
+    /// Queues a message of approximately `size` bytes.
     pub fn push(&mut self, message: OutgoingMessage, size: usize) {
         self.bytes += size;
-        self.waiting.push_back(Waiting { message, size });
+        self.queued.push_back(QueuedMessage { message, size });
     }
-    /// Discards everything.
+    /// Discards all messages.
     pub fn clear(&mut self) {
         *self = Outbox::default();
     }
 
-    /// Attempts of which no byte is sent, in their order.
+    /// Ids of the attempts of which no byte has been sent, in queue order.
     pub fn attempts(&self) -> impl Iterator<Item = RequestId> + '_ {
-        self.waiting.iter().filter_map(|entry| match entry.message {
+        self.queued.iter().filter_map(|entry| match entry.message {
             OutgoingMessage::Attempt(id) => Some(id),
             _ => None,
         })
     }
-    /// Control requests of which no byte is sent, in their order.
+    /// Control requests of which no byte has been sent, in queue order.
     pub fn control_requests(&self) -> impl Iterator<Item = ControlRequestId> + '_ {
-        self.waiting.iter().filter_map(|entry| match entry.message {
+        self.queued.iter().filter_map(|entry| match entry.message {
             OutgoingMessage::Control(request, _) => Some(request),
             _ => None,
         })
     }
 
-    /// Cancels an attempt; false: a part of it is sent.
+    /// Removes an attempt from the queue. Returns false if its first byte has been sent.
     pub fn cancel_attempt(&mut self, id: &RequestId) -> bool {
-        self.remove(|message| matches!(message, OutgoingMessage::Attempt(of) if of == id))
+        self.remove(|message| matches!(message, OutgoingMessage::Attempt(queued) if queued == id))
     }
-    /// Cancels a control request; false: a part of it is sent.
+    /// Removes a control request from the queue. Returns false if its first byte has been sent.
     pub fn cancel_control(&mut self, request: ControlRequestId) -> bool {
-        self.remove(|message| matches!(message, OutgoingMessage::Control(of, _) if *of == request))
+        self.remove(
+            |message| matches!(message, OutgoingMessage::Control(queued, _) if *queued == request),
+        )
     }
 
     fn remove(&mut self, matches: impl Fn(&OutgoingMessage) -> bool) -> bool {
-        let Some(index) = self
-            .waiting
-            .iter()
-            .position(|entry| matches(&entry.message))
-        else {
+        let Some(index) = self.queued.iter().position(|entry| matches(&entry.message)) else {
             return false;
         };
-        if let Some(removed) = self.waiting.remove(index) {
+        if let Some(removed) = self.queued.remove(index) {
             self.bytes -= removed.size;
         }
         true
     }
 
-    /// Writes as much as `write` takes. Messages are encoded by `encode`, and discarded if that gives no bytes;
-    /// `on_started` is called for each whose first byte is sent. The others go on waiting, and are encoded anew the
-    /// next time.
+    /// Writes as many bytes as `write` accepts. Messages are encoded by `encode`, and dropped if the result is empty;
+    /// `on_started` is called for each message whose first byte has been sent. The others stay queued and are encoded
+    /// again by the next flush.
     pub fn flush(
         &mut self,
         encode: impl Fn(&OutgoingMessage) -> Vec<u8>,
@@ -100,23 +98,23 @@
         mut write: impl FnMut(&[u8]) -> Poll<io::Result<usize>>,
     ) -> io::Result<()> {
         while !self.is_empty() {
-            let mut batch = std::mem::take(&mut self.unsent_rest);
-            let mut starts = Vec::with_capacity(self.waiting.len());
+            let mut batch = std::mem::take(&mut self.unsent_tail);
+            let mut offsets = Vec::with_capacity(self.queued.len());
             let bytes = &mut self.bytes;
-            self.waiting.retain(|waiting| {
-                let encoded = encode(&waiting.message);
+            self.queued.retain(|queued| {
+                let encoded = encode(&queued.message);
                 if encoded.is_empty() {
-                    *bytes -= waiting.size;
+                    *bytes -= queued.size;
                     return false;
                 }
-                starts.push(batch.len());
+                offsets.push(batch.len());
                 batch.extend_from_slice(&encoded);
                 true
             });
             if batch.is_empty() {
                 return Ok(());
             }
-            let first = starts.first().copied().unwrap_or(batch.len());
+            let first_offset = offsets.first().copied().unwrap_or(batch.len());
             let written = match write(&batch) {
                 Poll::Ready(Ok(0)) => Err(io::ErrorKind::WriteZero.into()),
                 Poll::Ready(written) => written,
@@ -125,17 +123,17 @@
             let sent = match written {
                 Ok(count) => count,
                 Err(error) => {
-                    self.unsent_rest = batch[..first].to_vec();
+                    self.unsent_tail = batch[..first_offset].to_vec();
                     return Err(error);
                 }
             };
-            let started = starts.iter().take_while(|start| **start < sent).count();
-            for waiting in self.waiting.drain(..started) {
-                self.bytes -= waiting.size;
-                on_started(&waiting.message);
+            let started = offsets.iter().take_while(|offset| **offset < sent).count();
+            for queued in self.queued.drain(..started) {
+                self.bytes -= queued.size;
+                on_started(&queued.message);
             }
-            let end = starts.get(started).copied().unwrap_or(batch.len());
-            self.unsent_rest = batch[sent.min(end)..end].to_vec();
+            let end = offsets.get(started).copied().unwrap_or(batch.len());
+            self.unsent_tail = batch[sent.min(end)..end].to_vec();
             if sent == 0 {
                 return Ok(());
             }
--- a/net/platform/src/reasons.rs
+++ b/net/platform/src/reasons.rs
@@ -1,4 +1,5 @@
-//! Why connections were closed, requests refused and attempts repeated: counted here, logged with the totals.
+//! Counters of why client connections closed, requests were refused and attempts were retried; logged with the
+//! totals.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -8,20 +9,21 @@
 /// Why a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client closed or reset it.
+    /// The client closed or reset the connection.
     ClientLeft,
-    /// It never sent a byte.
+    /// The client never sent a byte.
     Silent,
-    /// It was answered, and sent nothing after that.
+    /// The client sent no further request after its last response.
     Idle,
-    /// Its descriptor was needed.
-    GaveWay,
-    /// What it sent was not a valid request.
+    /// The connection was evicted to free its descriptor.
+    Evicted,
+    /// The client sent an invalid request.
     BadRequest,
-    /// Its answer was not read in time.
-    NotTaken,
-    /// Its request asked for that, or this front end takes no more.
-    LastAnswer,
+    /// The client did not read its response in time.
+    WriteTimedOut,
+    /// The response was the last on its connection: the client did not ask for keep-alive, or the front end is
+    /// shutting down.
+    LastResponse,
 }
 
 impl CloseReason {
@@ -29,22 +31,22 @@
         CloseReason::ClientLeft,
         CloseReason::Silent,
         CloseReason::Idle,
-        CloseReason::GaveWay,
+        CloseReason::Evicted,
         CloseReason::BadRequest,
-        CloseReason::NotTaken,
-        CloseReason::LastAnswer,
+        CloseReason::WriteTimedOut,
+        CloseReason::LastResponse,
     ];
 
-    /// For logs.
+    /// The key in the logged totals.
     pub fn as_str(self) -> &'static str {
         match self {
             CloseReason::ClientLeft => "client_left",
             CloseReason::Silent => "silent",
             CloseReason::Idle => "idle",
-            CloseReason::GaveWay => "gave_way",
+            CloseReason::Evicted => "gave_way",
             CloseReason::BadRequest => "bad_request",
-            CloseReason::NotTaken => "not_taken",
-            CloseReason::LastAnswer => "last_answer",
+            CloseReason::WriteTimedOut => "not_taken",
+            CloseReason::LastResponse => "last_answer",
         }
     }
 }
@@ -52,80 +54,85 @@
 /// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// Its deadline had passed when it was read.
-    TooLate,
-    /// No worker could take it, or this front end takes no more.
-    NeverSent,
-    /// Attempts were made, and none of them ran.
+    /// The deadline had passed when the request was read.
+    DeadlinePassed,
+    /// No attempt was sent: no worker could take the request, or the front end is shutting down.
+    NotSent,
+    /// Attempts were sent, but none of them ran.
     NoneRan,
 }
 
 impl RefusalReason {
     const ALL: [RefusalReason; 3] = [
-        RefusalReason::TooLate,
-        RefusalReason::NeverSent,
+        RefusalReason::DeadlinePassed,
+        RefusalReason::NotSent,
         RefusalReason::NoneRan,
     ];
 
-    /// By the attempts made, and the time waited and given, microseconds.
-    pub fn of(attempts: usize, waited: Micros, budget: Micros) -> RefusalReason {
+    /// Classifies a refusal by the number of attempts made, the time waited and the client's time budget, in
+    /// microseconds.
+    pub fn classify(attempts: usize, waited: Micros, budget: Micros) -> RefusalReason {
         match attempts {
-            0 if waited > 0 && waited >= budget => RefusalReason::TooLate,
-            0 => RefusalReason::NeverSent,
+            0 if waited > 0 && waited >= budget => RefusalReason::DeadlinePassed,
+            0 => RefusalReason::NotSent,
             _ => RefusalReason::NoneRan,
         }
     }
 
-    /// For logs.
+    /// The key in the logged totals.
     pub fn as_str(self) -> &'static str {
         match self {
-            RefusalReason::TooLate => "too_late",
-            RefusalReason::NeverSent => "never_sent",
+            RefusalReason::DeadlinePassed => "too_late",
+            RefusalReason::NotSent => "never_sent",
             RefusalReason::NoneRan => "none_ran",
         }
     }
 }
 
-/// The counts since the start.
+/// Counts since the start of the process.
 #[derive(Debug, Default)]
 pub struct ReasonCounters {
     closed: [Cell<u64>; CloseReason::ALL.len()],
     refused: [Cell<u64>; RefusalReason::ALL.len()],
-    /// By how the attempt before had ended.
-    repeated: RefCell<BTreeMap<String, u64>>,
-    /// Connections to workers, by how they ended.
+    /// Retries, by the outcome of the previous attempt.
+    retried: RefCell<BTreeMap<String, u64>>,
+    /// Closed connections to workers, by outcome.
     disconnected: RefCell<BTreeMap<String, u64>>,
 }
 
-fn increment(cell: &Cell<u64>) {
-    cell.set(cell.get() + 1);
+fn increment(counter: &Cell<u64>) {
+    counter.set(counter.get() + 1);
 }
 
 impl ReasonCounters {
-    /// A client's connection was closed.
+    /// Counts the close of a client connection.
     pub fn count_closed(&self, reason: CloseReason) {
         increment(&self.closed[reason as usize]);
     }
-    /// A request was refused.
+    /// Counts a refused request.
     pub fn count_refused(&self, reason: RefusalReason) {
         increment(&self.refused[reason as usize]);
     }
-    /// A request was sent once more; its attempt before had ended with `last`.
-    pub fn count_repeated(&self, last: AttemptOutcome) {
-        *self.repeated.borrow_mut().entry(label(last)).or_default() += 1;
+    /// Counts a retry after an attempt that ended with `last`.
+    pub fn count_retry(&self, last: AttemptOutcome) {
+        *self
+            .retried
+            .borrow_mut()
+            .entry(outcome_key(last))
+            .or_default() += 1;
     }
-    /// A connection to a worker has ended with `outcome`.
+    /// Counts the end of a connection to a worker.
     pub fn count_disconnected(&self, outcome: AttemptOutcome) {
         *self
             .disconnected
             .borrow_mut()
-            .entry(label(outcome))
+            .entry(outcome_key(outcome))
             .or_default() += 1;
     }
 }
 
-/// An outcome's name in the totals. There are few: statuses of workers and what sockets show.
-fn label(outcome: AttemptOutcome) -> String {
+/// An outcome's key in the logged totals. The number of distinct keys is small: worker statuses and socket errors.
+fn outcome_key(outcome: AttemptOutcome) -> String {
     outcome.to_string().to_lowercase().replace(' ', "_")
 }
 
@@ -145,7 +152,7 @@
         for (reason, total) in refused.filter(|entry| entry.1 > 0) {
             write!(f, "refused.{reason}={total} ")?;
         }
-        for (outcome, total) in self.repeated.borrow().iter() {
+        for (outcome, total) in self.retried.borrow().iter() {
             write!(f, "repeated.{outcome}={total} ")?;
         }
         for (outcome, total) in self.disconnected.borrow().iter() {
--- a/net/platform/src/response_slot.rs
+++ b/net/platform/src/response_slot.rs
@@ -1,4 +1,4 @@
-//! Where a call's final response is put for its client's task, and whether that client still waits for it.
+//! Hands the final response of a call to its client's task, and detects whether the client is still waiting.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -7,28 +7,28 @@
 use tansy_net_sockets::socket::Socket;
 use tansyrouter::Micros;
 
-/// What arrived from a client while its call is open.
+/// Input received from a client while its call is open.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum ClientInput {
-    /// Nothing: it waits.
+    /// No input: the client is waiting for its response.
     Nothing,
-    /// Bytes of a further request.
+    /// Bytes of another request.
     MoreBytes,
-    /// It closed or reset its connection.
+    /// The client closed or reset the connection.
     Closed,
 }
 
-/// A final response.
+/// The final response to a call.
 pub struct FinalResponse {
     /// The HTTP status.
     pub status: u16,
-    /// Advice not to try again for so long, microseconds; 0: none.
+    /// Delay that the client is asked to observe before a retry, microseconds; 0 if none.
     pub retry_after: Micros,
-    /// The body.
+    /// The response body.
     pub body: Vec<u8>,
 }
 
-/// The place of one call's response.
+/// Holds the response of one call until the client's task takes it.
 pub struct ResponseSlot {
     response: RefCell<Option<FinalResponse>>,
     waker: RefCell<Option<Waker>>,
@@ -37,7 +37,7 @@
 }
 
 impl ResponseSlot {
-    /// An empty slot for the client at the other end of `socket`.
+    /// Creates an empty slot for the client connected by `socket`.
     pub fn new(socket: Rc<Socket>) -> ResponseSlot {
         let (response, waker) = (RefCell::default(), RefCell::default());
         ResponseSlot {
@@ -53,7 +53,7 @@
         waker.into_iter().for_each(Waker::wake);
     }
 
-    /// Records what a read brought.
+    /// Records the result of a read.
     fn record(&self, read: io::Result<usize>) -> ClientInput {
         let input = match read {
             Ok(count) if count > 0 => ClientInput::MoreBytes,
@@ -67,20 +67,20 @@
         input
     }
 
-    /// Whether the client waits for its response as far as this machine knows at this moment: its close may have
-    /// arrived without the loop having reported it yet.
+    /// Whether the client is still waiting. Reads the socket directly, since the event loop may not have reported a
+    /// close yet.
     pub fn is_client_waiting(&self) -> bool {
         self.input.get() == ClientInput::Nothing
             && self.record(self.socket.read_now(&mut [0u8; 256])) == ClientInput::Nothing
     }
 
-    /// Puts the response in and wakes the client's task.
+    /// Stores the response and wakes the client's task.
     pub fn complete(&self, response: FinalResponse) {
         *self.response.borrow_mut() = Some(response);
         self.wake();
     }
 
-    /// Ready: the response, or what arrived from the client instead.
+    /// Resolves to the response, or to the input received from the client instead.
     pub fn poll(&self, cx: &Context<'_>) -> Poll<Result<FinalResponse, ClientInput>> {
         if let Some(response) = self.response.borrow_mut().take() {
             return Poll::Ready(Ok(response));
--- a/net/platform/src/worker_connection/mod.rs
+++ b/net/platform/src/worker_connection/mod.rs
@@ -117,11 +117,11 @@
         self.state.borrow().ended
     }
     /// Whether one more request may go out on it, with at most `streams` open at once. One that was idle for
-    /// `reuse_within` may be closing at the other end.
-    pub fn accepts(&self, role: ConnectionRole, streams: usize, reuse_within: Duration) -> bool {
+    /// `max_reuse_idle` may be closing at the other end.
+    pub fn accepts(&self, role: ConnectionRole, streams: usize, max_reuse_idle: Duration) -> bool {
         let state = self.state.borrow();
         let open = state.open_requests();
-        let fresh = open > 0 || state.last_queued.elapsed() < reuse_within;
+        let fresh = open > 0 || state.last_queued.elapsed() < max_reuse_idle;
         self.role == role && !state.retired && state.abort.is_none() && fresh && open < streams
     }
     /// Whether an attempt at this request was abandoned here: another's answer could not be told from its.
--- a/net/platform/src/worker_pool.rs
+++ b/net/platform/src/worker_pool.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use tansy_dispatch::{AttemptOutcome, ResponseStage};
 
-/// The connections to one worker.
+/// The open connections to one worker.
 pub struct WorkerPool {
     worker: String,
     address: SocketAddr,
@@ -15,7 +15,7 @@
 }
 
 impl WorkerPool {
-    /// Without a connection yet.
+    /// Creates an empty pool.
     pub fn new(worker: &str, address: SocketAddr) -> Rc<WorkerPool> {
         Rc::new(WorkerPool {
             worker: worker.to_string(),
@@ -24,13 +24,13 @@
         })
     }
 
-    /// Where the worker is.
+    /// The worker's address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// A connection that takes one more request of this role, and that the caller can use. Connections that have ended
-    /// are dropped.
+    /// Returns a connection of this role that accepts another request and satisfies `is_usable`. Removes ended
+    /// connections.
     pub fn find(
         &self,
         role: ConnectionRole,
@@ -39,22 +39,22 @@
     ) -> Option<Rc<WorkerConnection>> {
         let mut connections = self.connections.borrow_mut();
         connections.retain(|connection| !connection.has_ended());
-        let reuse_within = limits.reuse_within();
+        let max_reuse_idle = limits.max_reuse_idle();
         let connection = connections.iter().find(|connection| {
-            connection.accepts(role, limits.streams_per_connection, reuse_within)
+            connection.accepts(role, limits.streams_per_connection, max_reuse_idle)
                 && is_usable(connection)
         });
         connection.cloned()
     }
 
-    /// Adds a connection, which is still to be established.
+    /// Adds a connection that is not established yet.
     pub fn add(&self, serial: u64, role: ConnectionRole) -> Rc<WorkerConnection> {
         let connection = Rc::new(WorkerConnection::new(serial, &self.worker, role));
         self.connections.borrow_mut().push(connection.clone());
         connection
     }
 
-    /// Ends all connections at once.
+    /// Aborts all connections.
     pub fn abort_all(&self) {
         self.connections.borrow().iter().for_each(|connection| {
             connection.abort(AttemptOutcome::ConnectionCut {
@@ -62,28 +62,29 @@
             })
         });
     }
-    /// The worker has left: its connections close once nothing is open on them.
+    /// Closes each connection once its open requests have ended; used for a worker that has left the list.
     pub fn retire(&self) {
         let connections = self.connections.borrow();
         connections
             .iter()
             .for_each(|connection| connection.retire());
     }
-    /// Closes an idle connection; false: there is none.
+    /// Closes an idle connection. Returns false if there is none.
     pub fn close_idle_connection(&self) -> bool {
         let connections = self.connections.borrow();
         let idle = connections.iter().find(|connection| connection.is_idle());
         idle.map(|connection| connection.abort(AttemptOutcome::NeverLeft))
             .is_some()
     }
-    /// Closes what has been idle for long, and what stopped in the middle of an answer.
+    /// Retires connections that have been idle for too long, and aborts those that stalled in the middle of an
+    /// answer.
     pub fn maintain(&self, limits: &ServingLimits) {
         for connection in self.connections.borrow().iter() {
             if connection.is_stalled(limits.connect_timeout) {
                 connection.abort(AttemptOutcome::InvalidResponse {
                     stage: ResponseStage::Headers,
                 });
-            } else if connection.is_idle_for(limits.reuse_within()) {
+            } else if connection.is_idle_for(limits.max_reuse_idle()) {
                 connection.retire();
             }
         }
--- a/net/platform/tests/layers.rs
+++ b/net/platform/tests/layers.rs
@@ -1,9 +1,9 @@
-//! The modules are layers: each uses only itself and those below it.
+//! Checks that each module uses only itself and modules of lower layers.
 
 use std::fs;
 use std::path::Path;
 
-/// From the lowest to the highest.
+/// Module names, lowest layer first.
 const LAYERS: [&str; 10] = [
     "limits",
     "reasons",
@@ -19,33 +19,33 @@
 
 fn layer(name: &str) -> usize {
     let index = LAYERS.iter().position(|layer| *layer == name);
-    index.unwrap_or_else(|| panic!("{name} is not among the layers"))
+    index.unwrap_or_else(|| panic!("module {name} is not listed in LAYERS"))
 }
 
-/// The modules of this package that a source file names by `crate::`.
+/// The modules that a source file refers to as `crate::MODULE`.
 fn modules_used(path: &Path) -> Vec<String> {
     let text = fs::read_to_string(path).unwrap();
     assert!(
         !text.contains("use crate::{"),
-        "{}: one module a line, so that this test sees it",
+        "{}: write one `use` per module; this test does not parse groups",
         path.display()
     );
-    let is_name = |letter: &char| letter.is_alphanumeric() || *letter == '_';
+    let is_identifier_char = |c: &char| c.is_alphanumeric() || *c == '_';
     let uses = text.split("crate::").skip(1);
-    uses.map(|rest| rest.chars().take_while(is_name).collect())
+    uses.map(|rest| rest.chars().take_while(is_identifier_char).collect())
         .collect()
 }
 
 #[test]
-fn no_module_uses_one_above_it() {
+fn modules_use_only_lower_layers() {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut checked = 0;
     for entry in fs::read_dir(&source).unwrap() {
         let path = entry.unwrap().path();
         let name = path.file_stem().unwrap().to_str().unwrap().to_string();
         let files: Vec<_> = if path.is_dir() {
-            let inside = fs::read_dir(&path).unwrap();
-            inside.map(|file| file.unwrap().path()).collect()
+            let entries = fs::read_dir(&path).unwrap();
+            entries.map(|entry| entry.unwrap().path()).collect()
         } else if name == "lib" {
             continue;
         } else {
@@ -56,11 +56,11 @@
                 checked += 1;
                 assert!(
                     layer(&used) <= layer(&name),
-                    "{} uses {used}, which is above {name}",
+                    "{} uses {used}, which is in a higher layer than {name}",
                     file.display()
                 );
             }
         }
     }
-    assert!(checked > 20, "only {checked} uses were read");
+    assert!(checked > 20, "only {checked} uses were found");
 }
--- a/net/platform/tests/outbox.rs
+++ b/net/platform/tests/outbox.rs
@@ -1,4 +1,4 @@
-//! What waits to leave on a connection can be taken back until its first byte has left.
+//! A queued message can be cancelled until its first byte has been sent.
 
 use std::io;
 use std::task::Poll;
@@ -17,61 +17,72 @@
     }
 }
 
-/// Flushes into a sink that takes so many bytes in all; what it took, and what began to leave.
-fn flush(outbox: &mut Outbox, mut room: usize) -> (Vec<u8>, Vec<OutgoingMessage>) {
-    let (mut taken, mut began) = (Vec::new(), Vec::new());
+/// Flushes into a sink that accepts `capacity` bytes in total. Returns the bytes written and the messages started.
+fn flush(outbox: &mut Outbox, mut capacity: usize) -> (Vec<u8>, Vec<OutgoingMessage>) {
+    let (mut written, mut started) = (Vec::new(), Vec::new());
     let write = |bytes: &[u8]| {
-        let count = bytes.len().min(room);
+        let count = bytes.len().min(capacity);
         if count == 0 {
             return Poll::Pending;
         }
-        taken.extend_from_slice(&bytes[..count]);
-        room -= count;
+        written.extend_from_slice(&bytes[..count]);
+        capacity -= count;
         Poll::Ready(Ok(count))
     };
     outbox
-        .flush(encode, |m| began.push(m.clone()), write)
-        .expect("no error");
-    (taken, began)
+        .flush(encode, |m| started.push(m.clone()), write)
+        .expect("the sink does not fail");
+    (written, started)
 }
 
 #[test]
-fn a_message_can_be_taken_back_until_its_first_byte_has_left() {
-    for room in 0..=40 {
+fn message_can_be_cancelled_until_its_first_byte_is_sent() {
+    for capacity in 0..=40 {
         let mut outbox = Outbox::default();
         outbox.push(OutgoingMessage::Attempt(FIRST), 16);
         outbox.push(OutgoingMessage::Unacknowledged(b"12345678".to_vec()), 8);
         outbox.push(OutgoingMessage::Attempt(SECOND), 16);
-        let whole: Vec<u8> = [&FIRST[..], b"12345678", &SECOND[..]].concat();
-        let (taken, began) = flush(&mut outbox, room);
-        assert_eq!(taken, whole[..room], "room {room}");
+        let expected: Vec<u8> = [&FIRST[..], b"12345678", &SECOND[..]].concat();
+        let (written, started) = flush(&mut outbox, capacity);
+        assert_eq!(written, expected[..capacity], "capacity {capacity}");
         assert_eq!(
-            began.len(),
-            [0, 16, 24].iter().filter(|start| **start < room).count(),
-            "room {room}"
+            started.len(),
+            [0, 16, 24]
+                .iter()
+                .filter(|start| **start < capacity)
+                .count(),
+            "capacity {capacity}"
         );
-        assert_eq!(outbox.cancel_attempt(&FIRST), room == 0, "room {room}");
-        assert_eq!(outbox.cancel_attempt(&SECOND), room <= 24, "room {room}");
-        // What had begun is finished, and nothing that was taken back leaves.
+        assert_eq!(
+            outbox.cancel_attempt(&FIRST),
+            capacity == 0,
+            "capacity {capacity}"
+        );
+        assert_eq!(
+            outbox.cancel_attempt(&SECOND),
+            capacity <= 24,
+            "capacity {capacity}"
+        );
+        // Started messages are completed; cancelled messages are never sent.
         let rest = flush(&mut outbox, 100).0;
-        let wanted: &[u8] = match room {
+        let expected_rest: &[u8] = match capacity {
             0 => b"12345678",
-            1..=24 => &whole[room..24],
-            _ => &whole[room..],
+            1..=24 => &expected[capacity..24],
+            _ => &expected[capacity..],
         };
-        assert_eq!(rest, wanted, "room {room}");
+        assert_eq!(rest, expected_rest, "capacity {capacity}");
         assert!(outbox.is_empty());
         assert_eq!(outbox.bytes(), 0);
     }
 }
 
 #[test]
-fn an_error_leaves_what_has_not_begun_as_it_was() {
+fn write_error_keeps_unstarted_messages_queued() {
     let mut outbox = Outbox::default();
     outbox.push(OutgoingMessage::Attempt(FIRST), 16);
     let failed = outbox.flush(
         encode,
-        |_| panic!("nothing left"),
+        |_| panic!("a message was started"),
         |_| Poll::Ready(Err(io::ErrorKind::ConnectionReset.into())),
     );
     assert!(failed.is_err());
@@ -79,19 +90,19 @@
 }
 
 #[test]
-fn what_has_no_bytes_any_more_is_let_go() {
+fn messages_with_empty_encodings_are_dropped() {
     let mut outbox = Outbox::default();
     outbox.push(OutgoingMessage::Attempt(FIRST), 16);
     outbox.push(OutgoingMessage::Attempt(SECOND), 16);
-    let (mut taken, mut began) = (Vec::new(), 0);
-    let none = |_: &OutgoingMessage| Vec::new();
+    let (mut written, mut started) = (Vec::new(), 0);
+    let encode_empty = |_: &OutgoingMessage| Vec::new();
     let write = |bytes: &[u8]| {
-        taken.extend_from_slice(bytes);
+        written.extend_from_slice(bytes);
         Poll::Ready(Ok(bytes.len()))
     };
     outbox
-        .flush(none, |_| began += 1, write)
-        .expect("nothing to write is no error");
-    assert!(outbox.is_empty() && taken.is_empty());
-    assert_eq!((began, outbox.bytes()), (0, 0));
+        .flush(encode_empty, |_| started += 1, write)
+        .expect("flushing empty messages succeeds");
+    assert!(outbox.is_empty() && written.is_empty());
+    assert_eq!((started, outbox.bytes()), (0, 0));
 }
