--- a/net/platform/src/client/session.rs
+++ b/net/platform/src/client/session.rs
@@ -90,7 +90,7 @@
     let request = schema.read(message.method, message.target, |name| {
         message.single_header(name)
     })?;
-    if driver.is_open(&request.id) {
+    if driver.is_request_open(&request.id) {
         return Err(Rejection::DuplicateId);
     }
     Ok(ClientRequest::Call(request, message.body.to_vec()))
--- a/net/platform/src/driver/calls.rs
+++ b/net/platform/src/driver/calls.rs
@@ -1,4 +1,4 @@
-//! Calls from their acceptance to their response.
+//! Calls, from acceptance to response.
 
 use super::Driver;
 use crate::call::CallContext;
@@ -12,12 +12,12 @@
 use tansyrouter::Micros;
 
 impl Driver {
-    /// Whether a request of this id is open.
-    pub fn is_open(&self, id: &RequestId) -> bool {
+    /// Whether a call with this request id is open.
+    pub fn is_request_open(&self, id: &RequestId) -> bool {
         self.state.borrow().request_ids.contains(id)
     }
 
-    /// Accepts a call that arrived whole at `arrived`; its response comes to `slot`.
+    /// Accepts a call whose last byte arrived at `arrived`; the response is put into `slot`.
     pub fn accept_call(
         self: &Rc<Self>,
         request: CallRequest,
@@ -32,7 +32,7 @@
         let mut state = self.state.borrow_mut();
         state.next_call += 1;
         let id = CallId(state.next_call);
-        let call = dispatched_call(id, &request, waited);
+        let call = to_dispatcher_call(id, &request, waited);
         state.request_ids.insert(request.id);
         let deadline = now.plus(request.budget.saturating_sub(waited));
         let effect = state.dispatcher.class_effect(request.class);
@@ -50,7 +50,7 @@
             request = context.request_id(),
             call = id.0,
             waited,
-            "a request is taken"
+            "request accepted"
         );
         state.calls.insert(id, Rc::new(context));
         drop(state);
@@ -61,37 +61,37 @@
         id
     }
 
-    /// The client of a call has left.
+    /// Handles the departure of a call's client.
     pub fn on_client_left(self: &Rc<Self>, call: CallId) {
         self.invariants
             .borrow_mut()
             .on_client_left(self.now(), call);
-        if let Some(context) = self.close_call(call) {
+        if let Some(context) = self.remove_call(call) {
             let request = context.request_id();
-            tracing::debug!(request, call = call.0, "the client has left");
+            tracing::debug!(request, call = call.0, "client disconnected");
         }
         self.feed(Input::ClientLeft { call });
     }
 
-    /// This side ends a client's connection while its call may be open.
+    /// Called before a client's connection is closed; a call that is still unanswered violates an invariant.
     pub fn on_client_closing(&self, call: CallId) {
         let violations = self.invariants.borrow_mut().on_connection_closed(call);
         self.log_violations(&violations, call);
     }
 
-    /// Removes a call that is owed nothing; its attempt may still be out.
-    fn close_call(&self, call: CallId) -> Option<Rc<CallContext>> {
+    /// Removes a call that needs no further answer; its attempt may still be open.
+    fn remove_call(&self, call: CallId) -> Option<Rc<CallContext>> {
         let mut state = self.state.borrow_mut();
         let context = state.calls.remove(&call)?;
         state.request_ids.remove(&context.request.id);
         Some(context)
     }
 
-    /// Gives a call's client its final answer.
+    /// Sends a call's client its final response.
     pub(super) fn answer_call(&self, call: CallId, answer: Answer) {
         let violations = self.invariants.borrow_mut().on_answered(call);
         self.log_violations(&violations, call);
-        let Some(context) = self.close_call(call) else {
+        let Some(context) = self.remove_call(call) else {
             return;
         };
         let after_ms = context.accepted_at.elapsed().as_millis() as u64;
@@ -102,15 +102,15 @@
             let reason = RefusalReason::classify(attempts, context.waited, context.request.budget);
             self.reasons.count_refused(reason);
             let reason = reason.as_str();
-            tracing::debug!(request, reason, attempts, ?last, after_ms, "refused");
+            tracing::debug!(request, reason, attempts, last_outcome = ?last, after_ms, "request refused");
         } else {
-            tracing::debug!(request, ?answer, attempts, ?last, after_ms, "answered");
+            tracing::debug!(request, ?answer, attempts, last_outcome = ?last, after_ms, "request answered");
         }
         context.respond(answer);
     }
 
-    /// An attempt has ended.
-    pub(super) fn attempt_ended(
+    /// Reports the end of an attempt to the dispatcher.
+    pub(super) fn on_attempt_ended(
         self: &Rc<Self>,
         call: CallId,
         attempt: u32,
@@ -125,7 +125,7 @@
             .on_attempt_ended(call, never_ran);
         if let Some(open) = self.state.borrow_mut().attempts.remove(&call) {
             let request = open.context.request_id();
-            tracing::debug!(request, attempt, seen = %outcome, never_ran, "an attempt has ended");
+            tracing::debug!(request, attempt, outcome = %outcome, never_ran, "attempt ended");
             open.context.last_outcome.set(Some(outcome));
         }
         self.feed(Input::AttemptEnded {
@@ -137,8 +137,8 @@
     }
 }
 
-/// A client's request as the dispatcher takes it.
-fn dispatched_call(call: CallId, request: &CallRequest, waited: Micros) -> Call {
+/// Converts a client's request into the dispatcher's input.
+fn to_dispatcher_call(call: CallId, request: &CallRequest, waited: Micros) -> Call {
     Call {
         id: call,
         function: request.function.clone(),
--- a/net/platform/src/driver/commands.rs
+++ b/net/platform/src/driver/commands.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's commands.
+//! Runs the dispatcher's commands.
 
 use super::{Driver, OpenAttempt};
 use crate::call::Attempt;
@@ -15,10 +15,10 @@
                 attempt,
                 worker,
                 ..
-            } => self.open_attempt(call, attempt, &worker),
-            Command::CancelAttempt { call, attempt } => self.withdraw_attempt(call, attempt),
-            Command::ConfirmSent { call, attempt } => self.confirm_attempt(call, attempt),
-            // A worker's answer is passed on whole, with `Answer`.
+            } => self.send_attempt(call, attempt, &worker),
+            Command::CancelAttempt { call, attempt } => self.cancel_attempt(call, attempt),
+            Command::ConfirmSent { call, attempt } => self.confirm_sent(call, attempt),
+            // Answers have a single message, which is sent by `Answer`.
             Command::ForwardMessage { .. } => {}
             Command::Answer { call, answer } => self.answer_call(call, answer),
             Command::Probe { request, worker } => self.send_control(request, &worker, &["there"]),
@@ -36,8 +36,8 @@
                 worker,
                 function,
             } => self.send_unload(request, &worker, &function),
-            Command::RecallUnsent { request } => self.cancel_control(request),
-            Command::CancelControlRequest { request } => self.withdraw_control(request),
+            Command::RecallUnsent { request } => self.recall_control(request),
+            Command::CancelControlRequest { request } => self.cancel_control(request),
             Command::DropConnection { worker } => self.abort_connections(&worker),
             Command::RetireWorker { worker } => self.retire_pool(&worker),
             Command::ReportLoadFailures {
@@ -46,9 +46,9 @@
                 outcome,
                 failed_loads,
             } => {
-                tracing::warn!(%worker, %function, status = %outcome, count = failed_loads, "a load request left no instance");
+                tracing::warn!(%worker, %function, status = %outcome, count = failed_loads, "load request left no instance loaded");
             }
-            // The list comes unasked.
+            // The endpoint poller follows the list continuously.
             Command::FetchWorkerList | Command::SubscribeWorkerList => {}
         }
     }
@@ -68,7 +68,7 @@
     }
 
     /// Sends an attempt on a connection to its worker.
-    fn open_attempt(self: &Rc<Self>, call: CallId, number: u32, worker: &str) {
+    fn send_attempt(self: &Rc<Self>, call: CallId, number: u32, worker: &str) {
         let context = self.state.borrow().calls.get(&call).cloned();
         let connection = context.as_ref().and_then(|context| {
             let used = context.used_connections.borrow();
@@ -85,7 +85,7 @@
         if let Some(last) = context.last_outcome.get() {
             self.reasons.count_retry(last);
             let request = context.request_id();
-            tracing::debug!(request, attempt = number, %worker, last = %last, "a request is repeated");
+            tracing::debug!(request, attempt = number, %worker, last_outcome = %last, "retrying request");
         }
         context
             .used_connections
@@ -103,34 +103,38 @@
         });
     }
 
-    /// The request id of a call's open attempt, and the connection that it is on.
+    /// The request id of a call's open attempt, and the connection that carries it.
     fn find_open_attempt(&self, call: CallId) -> Option<(RequestId, Rc<WorkerConnection>)> {
         let state = self.state.borrow();
         let open = state.attempts.get(&call)?;
         Some((open.context.request.id, open.connection.clone()))
     }
 
-    fn withdraw_attempt(self: &Rc<Self>, call: CallId, attempt: u32) {
+    fn cancel_attempt(self: &Rc<Self>, call: CallId, attempt: u32) {
         if let Some((id, connection)) = self.find_open_attempt(call) {
-            if let Some(outcome) = connection.withdraw_attempt(&id) {
-                self.attempt_ended(call, attempt, outcome, Trailers::default());
+            if let Some(outcome) = connection.cancel_attempt(&id) {
+                self.on_attempt_ended(call, attempt, outcome, Trailers::default());
             }
         }
     }
 
-    fn confirm_attempt(self: &Rc<Self>, call: CallId, attempt: u32) {
+    fn confirm_sent(self: &Rc<Self>, call: CallId, attempt: u32) {
         let Some((id, connection)) = self.find_open_attempt(call) else {
             return;
         };
-        match connection.confirm_started(&id) {
+        match connection.confirm_sent(&id) {
             Ok(()) => self.feed(Input::AttemptSent { call, attempt }),
-            Err(outcome) => self.attempt_ended(call, attempt, outcome, Trailers::default()),
+            Err(outcome) => self.on_attempt_ended(call, attempt, outcome, Trailers::default()),
         }
     }
 
     fn send_control(self: &Rc<Self>, request: ControlRequestId, worker: &str, words: &[&str]) {
         let Some(connection) = self.connection_for_control(worker) else {
-            return self.control_ended(request, AttemptOutcome::NeverLeft, Trailers::default());
+            return self.feed_control_ended(
+                request,
+                AttemptOutcome::NeverLeft,
+                Trailers::default(),
+            );
         };
         let mut state = self.state.borrow_mut();
         state.control.insert(request, connection.clone());
@@ -142,22 +146,23 @@
         if let Some(connection) = self.connection_for_control(worker) {
             connection.send_unacknowledged(&[b"retire", function.as_bytes()]);
         }
-        // There is no answer to it.
-        self.control_ended(request, AttemptOutcome::NeverLeft, Trailers::default());
+        // Unload messages have no reply.
+        self.feed_control_ended(request, AttemptOutcome::NeverLeft, Trailers::default());
     }
 
-    fn cancel_control(self: &Rc<Self>, request: ControlRequestId) {
+    fn recall_control(self: &Rc<Self>, request: ControlRequestId) {
         let connection = self.state.borrow().control.get(&request).cloned();
-        if let Some(outcome) = connection.and_then(|it| it.cancel_control(request)) {
-            self.close_control(request, outcome, Trailers::default());
+        if let Some(outcome) = connection.and_then(|connection| connection.recall_control(request))
+        {
+            self.on_control_ended(request, outcome, Trailers::default());
         }
     }
 
-    fn withdraw_control(self: &Rc<Self>, request: ControlRequestId) {
+    fn cancel_control(self: &Rc<Self>, request: ControlRequestId) {
         let connection = self.state.borrow().control.get(&request).cloned();
         if let Some(connection) = connection {
-            let outcome = connection.withdraw_control(request);
-            self.close_control(request, outcome, Trailers::default());
+            let outcome = connection.cancel_control(request);
+            self.on_control_ended(request, outcome, Trailers::default());
         }
     }
 }
--- a/net/platform/src/driver/connections.rs
+++ b/net/platform/src/driver/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to workers: which one a request goes out on, and what each of them reports.
+//! Selects connections to workers, and handles the events that they report.
 
 use super::Driver;
 use crate::call::Attempt;
@@ -14,7 +14,8 @@
 use tansyrouter::{Micros, Time};
 
 impl Driver {
-    /// A connection for one more attempt at a call, none of those it `used` before. None: there is no room for one.
+    /// Returns a connection for another attempt at a call, other than those in `used`; none if the connection limit
+    /// is reached.
     pub(super) fn connection_for_attempt(
         self: &Rc<Self>,
         worker: &str,
@@ -25,7 +26,7 @@
             !used.contains(&connection.serial()) && !connection.has_abandoned(id)
         })
     }
-    /// A connection for one more control request. None: there is no room for one.
+    /// Returns a connection for another control request; none if the connection limit is reached.
     pub(super) fn connection_for_control(
         self: &Rc<Self>,
         worker: &str,
@@ -33,7 +34,7 @@
         self.connection(worker, ConnectionRole::Control, |_| true)
     }
 
-    /// A connection to a worker that can be used; one is begun if there is none.
+    /// Returns a usable connection to a worker, starting a new one if necessary.
     fn connection(
         self: &Rc<Self>,
         worker: &str,
@@ -70,44 +71,49 @@
         Some(pool.clone())
     }
 
-    /// Connections to workers that stand or are being made.
+    /// The number of connections to workers that are open or being established.
     pub fn worker_connections(&self) -> usize {
         self.worker_connections.get()
     }
     fn pools(&self) -> Vec<Rc<WorkerPool>> {
         self.state.borrow().pools.values().cloned().collect()
     }
-    /// Closes idle connections to workers before the workers do, and those whose answer stalled.
+    /// Closes connections to workers that are idle, before the worker does, and those whose answer has stalled.
     pub fn maintain_connections(&self) {
         let pools = self.pools();
         pools.iter().for_each(|pool| pool.maintain(&self.limits));
     }
-    /// Closes one idle connection to a worker, to make room for another.
+    /// Closes one idle connection to any worker to free its descriptor. Returns false if there is none.
     fn close_idle_connection(&self) -> bool {
         self.pools().iter().any(|pool| pool.close_idle_connection())
     }
 
-    /// A control request has ended on its connection.
-    pub(super) fn close_control(
+    /// Handles the end of a control request.
+    pub(super) fn on_control_ended(
         self: &Rc<Self>,
         request: ControlRequestId,
         outcome: AttemptOutcome,
         trailers: Trailers,
     ) {
         self.state.borrow_mut().control.remove(&request);
-        self.control_ended(request, outcome, trailers);
+        self.feed_control_ended(request, outcome, trailers);
     }
 
-    /// An attempt was cancelled as it was about to be sent.
+    /// Handles an attempt that was cancelled just before it was sent.
     fn on_attempt_denied(self: &Rc<Self>, attempt: &Attempt, reason: DenialReason) {
         let reason = reason.as_str();
         let request = attempt.context.request_id();
-        tracing::debug!(request, attempt = attempt.number, reason, "held back");
+        tracing::debug!(
+            request,
+            attempt = attempt.number,
+            reason,
+            "attempt denied before sending"
+        );
         let outcome = AttemptOutcome::NeverLeft;
-        self.attempt_ended(attempt.call, attempt.number, outcome, Trailers::default());
+        self.on_attempt_ended(attempt.call, attempt.number, outcome, Trailers::default());
     }
 
-    /// The first byte of an attempt is sent.
+    /// Checks invariants when the first byte of an attempt is sent.
     fn on_attempt_started(&self, now: Time, call: CallId, worker: &str, patience: Micros) {
         let mut invariants = self.invariants.borrow_mut();
         let violations = invariants.on_attempt_sent(now, call, worker, patience);
@@ -116,17 +122,17 @@
     }
 
     fn on_connection_closed(&self, outcome: AttemptOutcome) {
-        let standing = self.worker_connections.get();
-        self.worker_connections.set(standing.saturating_sub(1));
+        let open = self.worker_connections.get();
+        self.worker_connections.set(open.saturating_sub(1));
         self.reasons.count_disconnected(outcome);
     }
 
-    /// The first byte of a control request is sent.
+    /// Checks invariants when the first byte of a load request is sent.
     fn on_control_started(&self, request: ControlRequestId, worker: &str) {
         if self.with_dispatcher(|dispatcher| dispatcher.is_load(request)) {
             let violations = self.invariants.borrow_mut().on_load_sent(worker);
             for violation in violations {
-                tracing::error!(?violation, order = request.0, %worker, "a rule does not hold: a defect of this program");
+                tracing::error!(?violation, request = request.0, %worker, "invariant violated: this is a bug in the front end");
             }
         }
     }
@@ -143,9 +149,10 @@
         Driver::now(self)
     }
     fn before_sending(self: &Rc<Self>) {
-        self.poll_endpoint_list();
+        self.read_endpoint_updates();
     }
-    /// What has arrived from the client is read first: a client that has left is reported to the dispatcher.
+    /// Reads the client's socket first, so that a client that has left is reported to the dispatcher before the
+    /// check.
     fn may_send(self: &Rc<Self>, attempt: &Attempt) -> Result<Micros, DenialReason> {
         let is_open = self.state.borrow().calls.contains_key(&attempt.call);
         if is_open && !attempt.context.slot.is_client_waiting() {
@@ -176,7 +183,7 @@
                 connection,
             } => {
                 let (request, number) = (attempt.context.request_id(), attempt.number);
-                tracing::debug!(request, attempt = number, %worker, patience, connection, "sent");
+                tracing::debug!(request, attempt = number, %worker, patience, connection, "attempt sent");
                 self.on_attempt_started(now, attempt.call, worker, patience);
             }
             ConnectionEvent::AttemptDenied { attempt, reason } => {
@@ -189,10 +196,10 @@
                 body,
             } => {
                 *attempt.context.response_body.borrow_mut() = Some(body);
-                self.attempt_ended(attempt.call, attempt.number, outcome, trailers);
+                self.on_attempt_ended(attempt.call, attempt.number, outcome, trailers);
             }
             ConnectionEvent::AttemptLost { attempt, outcome } => {
-                self.attempt_ended(attempt.call, attempt.number, outcome, Trailers::default());
+                self.on_attempt_ended(attempt.call, attempt.number, outcome, Trailers::default());
             }
             ConnectionEvent::ControlStarted { request, worker } => {
                 self.on_control_started(request, worker);
@@ -201,9 +208,9 @@
                 request,
                 outcome,
                 trailers,
-            } => self.close_control(request, outcome, trailers),
+            } => self.on_control_ended(request, outcome, trailers),
             ConnectionEvent::OutOfResources => {
-                // An idle connection makes room for the next.
+                // Frees a descriptor for the next connection.
                 self.close_idle_connection();
             }
             ConnectionEvent::Closed {
@@ -213,7 +220,7 @@
                 open_requests,
             } => {
                 self.on_connection_closed(outcome);
-                tracing::debug!(%worker, connection, reason = %outcome, open = open_requests, "a connection to a worker has ended");
+                tracing::debug!(%worker, connection, reason = %outcome, open = open_requests, "worker connection ended");
             }
         }
     }
--- a/net/platform/src/driver/mod.rs
+++ b/net/platform/src/driver/mod.rs
@@ -1,9 +1,9 @@
-//! The driver: feeds the dispatcher its inputs and runs the commands that it returns.
+//! Connects the dispatcher to the network: feeds it inputs and runs the commands that it returns.
 //!
-//! - this file: its state, the feeding loop, the list of workers.
-//! - `calls`: calls from their acceptance to their response.
+//! - this file: the driver's state, the input loop and the worker list.
+//! - `calls`: calls, from acceptance to response.
 //! - `commands`: the dispatcher's commands.
-//! - `connections`: connections to workers, and the events that they report.
+//! - `connections`: connections to workers and their events.
 
 mod calls;
 mod commands;
@@ -30,10 +30,10 @@
 use tansy_platform::EndpointChange;
 use tansyrouter::Time;
 
-/// The dispatcher's wheel fires with its next tick: the loop sleeps this much past a due time, so that the tick has begun.
-const TIMER_TICK_MICROS: u64 = 50;
+/// Added to the event loop's sleep: a timer expires only once the timer wheel's next tick has begun.
+const TIMER_SLACK_MICROS: u64 = 50;
 
-/// An attempt that has not ended, and the connection that it is on.
+/// An attempt that has not ended, and the connection that carries it.
 struct OpenAttempt {
     context: Rc<CallContext>,
     connection: Rc<WorkerConnection>,
@@ -43,9 +43,9 @@
     dispatcher: Dispatcher,
     inputs: InputQueue,
     next_call: u64,
-    /// Calls that are owed an answer.
+    /// Unanswered calls.
     calls: HashMap<CallId, Rc<CallContext>>,
-    /// Attempts that have not ended; their calls may be answered.
+    /// Attempts that have not ended, by call; the call may already be answered.
     attempts: HashMap<CallId, OpenAttempt>,
     request_ids: HashSet<RequestId>,
     control: HashMap<ControlRequestId, Rc<WorkerConnection>>,
@@ -53,34 +53,34 @@
     addresses: HashMap<String, SocketAddr>,
 }
 
-/// Drives one front end.
+/// Runs the dispatcher of one front end.
 pub struct Driver {
-    /// Starts its tasks.
+    /// Spawns the front end's tasks.
     pub spawner: Spawner,
-    /// The limits it serves by.
+    /// The serving limits.
     pub limits: ServingLimits,
-    /// Connections to workers that stand or are being made.
+    /// Connections to workers that are open or being established.
     worker_connections: Cell<usize>,
-    /// Connections to workers that were ever begun.
+    /// The number of connections to workers started so far.
     next_serial: Cell<u64>,
     epoch: Instant,
-    /// Applies the events of the endpoint list that have arrived.
-    endpoint_poll: RefCell<Option<Rc<dyn Fn()>>>,
-    /// Whether that was done in this turn of the loop.
-    endpoints_polled: Cell<bool>,
+    /// Reads and applies worker list updates that have arrived but that the event loop has not reported.
+    endpoint_reader: RefCell<Option<Rc<dyn Fn()>>>,
+    /// Whether `endpoint_reader` has run in this turn of the event loop.
+    endpoints_read: Cell<bool>,
     state: RefCell<State>,
-    /// Whether the loop was stalled, and since when.
+    /// Detects stalls of the event loop.
     pub lag: Rc<Lag>,
-    /// The wall clock, for the ages of workers.
+    /// The wall clock, used to compute how long ago workers started.
     pub unix_clock: UnixClock,
-    /// How often connections were closed, requests refused and attempts repeated, by reason.
+    /// Counts closed connections, refused requests and retried attempts by reason.
     pub reasons: ReasonCounters,
-    /// The rules, checked at run time.
+    /// Checks the dispatcher's invariants at run time.
     invariants: RefCell<InvariantChecker>,
 }
 
 impl Driver {
-    /// A driver of a dispatcher that starts now.
+    /// Creates a driver whose dispatcher clock starts at `epoch`.
     pub fn new(
         spawner: Spawner,
         dispatcher: Dispatcher,
@@ -104,8 +104,8 @@
             worker_connections: Cell::new(0),
             next_serial: Cell::new(0),
             epoch,
-            endpoint_poll: RefCell::new(None),
-            endpoints_polled: Cell::new(false),
+            endpoint_reader: RefCell::new(None),
+            endpoints_read: Cell::new(false),
             state,
             lag: Rc::new(Lag::new(Instant::now())),
             unix_clock: UnixClock::new(),
@@ -114,30 +114,31 @@
         })
     }
 
-    /// The dispatcher's clock.
+    /// The current time on the dispatcher's clock.
     pub fn now(&self) -> Time {
         Time(i64::try_from(self.epoch.elapsed().as_micros()).unwrap_or(i64::MAX))
     }
-    /// How long the loop may sleep; [`Driver::on_turn_end`] is called after each turn of it.
+    /// Time until the dispatcher's next timer. The caller sleeps no longer, and calls [`Driver::on_turn_end`] after
+    /// each turn of the event loop.
     pub fn next_timer_in(&self) -> Option<Duration> {
         let due = self.state.borrow().dispatcher.next_due()?;
         Some(Duration::from_micros(
-            due.since(self.now()).max(0) as u64 + TIMER_TICK_MICROS,
+            due.since(self.now()).max(0) as u64 + TIMER_SLACK_MICROS,
         ))
     }
-    /// A turn of the loop has ended: the dispatcher's timers run if one is due.
+    /// Runs the dispatcher's timers that are due; called after each turn of the event loop.
     pub fn on_turn_end(self: &Rc<Self>) {
-        self.endpoints_polled.set(false);
+        self.endpoints_read.set(false);
         let due = self.state.borrow().dispatcher.next_due();
         if due.is_some_and(|due| due <= self.now()) {
             self.feed(Input::Tick);
         }
     }
-    /// Reads the dispatcher.
+    /// Calls `read` with the dispatcher.
     pub fn with_dispatcher<T>(&self, read: impl FnOnce(&Dispatcher) -> T) -> T {
         read(&self.state.borrow().dispatcher)
     }
-    /// The counters, and calls still open.
+    /// The counters and the number of open calls.
     pub fn counters(&self) -> (Counters, u64) {
         self.with_dispatcher(|dispatcher| {
             (
@@ -146,7 +147,7 @@
             )
         })
     }
-    /// Sizes of its tables, for logs and tests: calls, request ids, control requests, pools.
+    /// Sizes of the tables, for logs and tests: calls, request ids, control requests, worker pools.
     pub fn table_sizes(&self) -> [usize; 4] {
         let state = self.state.borrow();
         [
@@ -157,19 +158,19 @@
         ]
     }
 
-    /// Sets what applies the events of the endpoint list that have arrived.
-    pub fn set_endpoint_poll(&self, poll: Rc<dyn Fn()>) {
-        *self.endpoint_poll.borrow_mut() = Some(poll);
+    /// Sets the function that reads and applies pending worker list updates.
+    pub fn set_endpoint_reader(&self, read: Rc<dyn Fn()>) {
+        *self.endpoint_reader.borrow_mut() = Some(read);
     }
-    /// Applies the events of the endpoint list that have arrived before what the loop does next, once a turn: after a
-    /// stall, a message may be ready to be sent before the drain that forbids it is read.
-    fn poll_endpoint_list(&self) {
-        let poll = self.endpoint_poll.borrow().clone();
-        if let Some(poll) = poll.filter(|_| !self.endpoints_polled.replace(true)) {
-            poll();
+    /// Applies pending worker list updates, at most once per turn of the event loop. After a stall of the loop, an
+    /// update that drains a worker may be unread while a message to that worker is ready to be sent.
+    fn read_endpoint_updates(&self) {
+        let read = self.endpoint_reader.borrow().clone();
+        if let Some(read) = read.filter(|_| !self.endpoints_read.replace(true)) {
+            read();
         }
     }
-    /// Takes the whole list of workers (`full`), or changes of it.
+    /// Applies the complete worker list (`full`) or changes to it.
     pub fn on_endpoint_list(self: &Rc<Self>, full: bool, changes: Vec<EndpointChange>) {
         {
             let mut state = self.state.borrow_mut();
@@ -183,7 +184,7 @@
         }
         let list: Vec<_> = changes.into_iter().map(|change| change.endpoint).collect();
         for worker in &list {
-            tracing::debug!(worker = %worker.name, state = ?worker.state, age = ?worker.age, "a worker is listed");
+            tracing::debug!(worker = %worker.name, state = ?worker.state, age = ?worker.age, "worker is listed");
             self.invariants
                 .borrow_mut()
                 .on_worker_state(&worker.name, worker.state == WorkerState::Ready);
@@ -203,7 +204,8 @@
         }
     }
 
-    /// Feeds the dispatcher an input and runs its commands. Inputs that arise meanwhile follow in order.
+    /// Feeds the dispatcher an input and runs the resulting commands. Inputs fed meanwhile are queued and processed
+    /// in order.
     pub fn feed(self: &Rc<Self>, input: Input) {
         if !self.state.borrow_mut().inputs.push(input) {
             return;
@@ -224,7 +226,7 @@
         }
     }
 
-    fn control_ended(
+    fn feed_control_ended(
         self: &Rc<Self>,
         request: ControlRequestId,
         outcome: AttemptOutcome,
@@ -242,11 +244,11 @@
             tracing::error!(
                 ?violation,
                 call = call.0,
-                "a rule does not hold: a defect of this program"
+                "invariant violated: this is a bug in the front end"
             );
         }
     }
-    /// Violations of the rules that were counted.
+    /// The number of invariant violations so far.
     pub fn violations(&self) -> u64 {
         self.invariants.borrow().total_violations()
     }
--- a/net/platform/src/endpoint_poller.rs
+++ b/net/platform/src/endpoint_poller.rs
@@ -113,7 +113,7 @@
         let (task, early) = (poller.clone(), Rc::downgrade(&poller));
         let spawner = &poller.driver.spawner;
         spawner.spawn(async move { task.run().await });
-        poller.driver.set_endpoint_poll(Rc::new(move || {
+        poller.driver.set_endpoint_reader(Rc::new(move || {
             let poller = early.upgrade();
             poller.into_iter().for_each(|poller| poller.read_early());
         }));
--- a/net/platform/src/worker_connection/events.rs
+++ b/net/platform/src/worker_connection/events.rs
@@ -1,4 +1,4 @@
-//! What a connection to a worker reports, and what it asks of whoever handles that.
+//! The events that a connection to a worker reports, and the trait of their handler.
 
 use crate::call::Attempt;
 use crate::limits::ServingLimits;
@@ -7,28 +7,28 @@
 use tansy_net_sockets::Spawner;
 use tansyrouter::{Micros, Time};
 
-/// An event of a connection. It is handled before the connection goes on, so events keep the order in which things
-/// happened.
+/// An event of a connection. The handler runs before the connection continues, so events arrive in the order in which
+/// they happened.
 pub enum ConnectionEvent<'a> {
-    /// The first byte of an attempt is sent. The connection's state is borrowed meanwhile: the handler must not call
-    /// into the connection.
+    /// The first byte of an attempt was sent. The connection's state is borrowed during this event: the handler must
+    /// not call into the connection.
     AttemptStarted {
         /// The attempt.
         attempt: &'a Attempt,
-        /// The moment at which it was checked and encoded.
+        /// The time at which the attempt was checked and encoded.
         now: Time,
-        /// The time that its worker was given, microseconds.
+        /// The time that the worker has to answer, microseconds.
         patience: Micros,
         /// The worker.
         worker: &'a str,
-        /// The connection's number.
+        /// The connection's serial number.
         connection: u64,
     },
-    /// An attempt was cancelled before its first byte was sent, because it may no longer be.
+    /// An attempt was cancelled before its first byte was sent, because [`ConnectionHandler::may_send`] denied it.
     AttemptDenied {
         /// The attempt.
         attempt: &'a Attempt,
-        /// The guard that denied it.
+        /// Why it was denied.
         reason: DenialReason,
     },
     /// A worker answered an attempt.
@@ -37,19 +37,19 @@
         attempt: &'a Attempt,
         /// How it ended.
         outcome: AttemptOutcome,
-        /// What came with the answer.
+        /// Metadata of the answer.
         trailers: Trailers,
-        /// The answer's body.
+        /// The body of the answer.
         body: Vec<u8>,
     },
-    /// An attempt ended with its connection.
+    /// An attempt ended because its connection ended.
     AttemptLost {
         /// The attempt.
         attempt: &'a Attempt,
         /// How it ended.
         outcome: AttemptOutcome,
     },
-    /// The first byte of a control request is sent. As for [`ConnectionEvent::AttemptStarted`], the handler must not
+    /// The first byte of a control request was sent. As for [`ConnectionEvent::AttemptStarted`], the handler must not
     /// call into the connection.
     ControlStarted {
         /// The request.
@@ -63,40 +63,41 @@
         request: ControlRequestId,
         /// How it ended.
         outcome: AttemptOutcome,
-        /// What came with the answer.
+        /// Metadata of the answer.
         trailers: Trailers,
     },
-    /// This machine has no descriptor, memory or port for the connection.
+    /// This machine lacks the descriptors, memory or ports to open the connection.
     OutOfResources,
-    /// The connection has ended; the ends of what was open on it follow.
+    /// The connection has ended. An event for each request that was open on it follows.
     Closed {
         /// The worker.
         worker: &'a str,
-        /// The connection's number.
+        /// The connection's serial number.
         connection: u64,
         /// How it ended.
         outcome: AttemptOutcome,
-        /// Requests that were open on it.
+        /// The number of requests that were open on it.
         open_requests: usize,
     },
 }
 
-/// Handles the events of connections to workers, and holds what they need to run.
+/// Handles the events of connections to workers, and provides what they need to run.
 pub trait ConnectionHandler {
-    /// Starts tasks and time-outs.
+    /// Spawns tasks and timeouts.
     fn spawner(&self) -> &Spawner;
-    /// The limits to serve by.
+    /// The serving limits.
     fn limits(&self) -> &ServingLimits;
-    /// The dispatcher's clock.
+    /// The current time on the dispatcher's clock.
     fn now(&self) -> Time;
-    /// Messages are about to be checked and sent: what has arrived that could forbid them is applied first.
+    /// Called before queued messages are checked and sent; applies pending input that could forbid them.
     fn before_sending(self: &Rc<Self>);
-    /// Whether an attempt may be sent now. It may end attempts of the connection that asks.
+    /// Checks whether an attempt may be sent now, and returns the time that its worker has to answer. The check may
+    /// end other attempts on the same connection.
     fn may_send(self: &Rc<Self>, attempt: &Attempt) -> Result<Micros, DenialReason>;
-    /// The time that an attempt's worker is given at `now`, microseconds.
+    /// The time that an attempt's worker has to answer when it is sent at `now`, microseconds.
     fn patience(&self, now: Time, attempt: &Attempt) -> Micros;
     /// Whether a control request may be sent now.
     fn may_start(&self, request: ControlRequestId) -> bool;
-    /// Takes an event.
+    /// Handles an event.
     fn on_event(self: &Rc<Self>, event: ConnectionEvent<'_>);
 }
--- a/net/platform/src/worker_connection/io.rs
+++ b/net/platform/src/worker_connection/io.rs
@@ -1,5 +1,5 @@
-//! The task of one connection to a worker: it connects, sends what waits, reads answers, and reports each event to its
-//! handler as it happens.
+//! The task of one connection to a worker: connects, sends queued messages, reads answers, and reports each event to
+//! the handler.
 
 use super::events::{ConnectionEvent, ConnectionHandler};
 use super::{Pending, WorkerConnection};
@@ -18,19 +18,19 @@
 use tansy_resp::{Limits, Reader};
 use tansyrouter::Time;
 
-/// Limits of one answer: its body, and its strings.
-const ANSWER: Limits = Limits {
+/// Limits of one answer.
+const ANSWER_LIMITS: Limits = Limits {
     string: 256 * 1024,
     strings: 4,
 };
-/// Bytes read in one turn of the loop from one connection.
-const READ_SHARE: usize = 64 * 1024;
-/// How a connection ends that breaks, before anything of an answer is known.
-const BROKEN: AttemptOutcome = AttemptOutcome::ConnectionCut {
+/// Maximum number of bytes read from one connection per turn of the event loop.
+const MAX_READ_PER_TURN: usize = 64 * 1024;
+/// The outcome of a connection that is lost before any part of an answer is known.
+const CONNECTION_LOST: AttemptOutcome = AttemptOutcome::ConnectionCut {
     stage: ResponseStage::Nothing,
 };
 
-/// Runs a connection from its making to its end.
+/// Runs a connection until it ends.
 pub async fn run_connection<H: ConnectionHandler>(
     handler: Rc<H>,
     address: SocketAddr,
@@ -45,7 +45,7 @@
     address: SocketAddr,
     connection: &Rc<WorkerConnection>,
 ) -> AttemptOutcome {
-    // An error of this machine says nothing of the worker.
+    // A local shortage of resources says nothing about the worker.
     let failed = |error: io::Error| {
         if is_out_of_resources(&error) {
             handler.on_event(ConnectionEvent::OutOfResources);
@@ -71,12 +71,12 @@
         Some(Err(error)) => return failed(error),
         Some(Ok(())) => connection.state.borrow_mut().connected = true,
     }
-    let mut reader = Reader::new(ANSWER);
+    let mut reader = Reader::new(ANSWER_LIMITS);
     poll_fn(|cx| connection.poll(handler, &socket, &mut reader, cx)).await
 }
 
 impl WorkerConnection {
-    /// One turn: sends what waits, reads a share of what arrived. Ready: how the connection ended.
+    /// Sends queued messages and reads available answers. Resolves to the outcome once the connection has ended.
     fn poll<H: ConnectionHandler>(
         &self,
         handler: &Rc<H>,
@@ -91,24 +91,24 @@
                 return Poll::Ready(outcome);
             }
         }
-        let has_waiting = !self.state.borrow().outbox.is_empty();
-        if has_waiting && self.flush(handler, socket, cx).is_err() {
-            return Poll::Ready(BROKEN);
+        let has_queued = !self.state.borrow().outbox.is_empty();
+        if has_queued && self.flush(handler, socket, cx).is_err() {
+            return Poll::Ready(CONNECTION_LOST);
         }
         {
             let state = self.state.borrow();
             if let Some(outcome) = state.abort {
                 return Poll::Ready(outcome);
             }
-            let is_done = state.attempts.is_empty() && state.control.is_empty();
-            if state.retired && is_done && state.outbox.is_empty() {
+            let is_idle = state.attempts.is_empty() && state.control.is_empty();
+            if state.retired && is_idle && state.outbox.is_empty() {
                 return Poll::Ready(AttemptOutcome::NeverLeft);
             }
         }
         self.poll_answers(handler, socket, reader, cx)
     }
 
-    /// Reads a share of what arrived, and reports each whole answer.
+    /// Reads up to [`MAX_READ_PER_TURN`] bytes and reports each complete answer.
     fn poll_answers<H: ConnectionHandler>(
         &self,
         handler: &Rc<H>,
@@ -121,7 +121,7 @@
         loop {
             let count = match socket.poll_read(cx, &mut buffer) {
                 Poll::Ready(Ok(count)) if count > 0 => count,
-                Poll::Ready(_) => return Poll::Ready(BROKEN),
+                Poll::Ready(_) => return Poll::Ready(CONNECTION_LOST),
                 Poll::Pending => return Poll::Pending,
             };
             self.state.borrow_mut().last_read = Instant::now();
@@ -137,17 +137,18 @@
                     }
                 }
             }
-            self.state.borrow_mut().partial_answer = reader.has_partial();
+            self.state.borrow_mut().has_partial_answer = reader.has_partial();
             bytes_read += count;
-            if bytes_read >= READ_SHARE {
-                // The other connections come first.
+            if bytes_read >= MAX_READ_PER_TURN {
+                // Yield to the other connections.
                 cx.waker().wake_by_ref();
                 return Poll::Pending;
             }
         }
     }
 
-    /// Takes one answer.
+    /// Matches an answer to the open attempt or control request with its tag, and reports it. Answers to unknown tags
+    /// are ignored.
     fn on_answer<H: ConnectionHandler>(&self, handler: &Rc<H>, strings: &[&[u8]]) {
         let part = |index: usize| strings.get(index).copied().unwrap_or(b"");
         let (tag, word, fields, body) = (part(0), part(1), part(2), part(3));
@@ -177,12 +178,12 @@
         }
     }
 
-    /// Checks each attempt and control request of which nothing is sent once more, and cancels those that may no longer
-    /// be: they were chosen when the connection was not up, or the loop was behind.
+    /// Repeats the checks of queued attempts and control requests, and cancels those that are no longer allowed. Time
+    /// may have passed since they were queued: the connection was not established, or the event loop stalled.
     fn cancel_denied<H: ConnectionHandler>(&self, handler: &Rc<H>) {
         handler.before_sending();
-        let waiting: Vec<RequestId> = self.state.borrow().outbox.attempts().collect();
-        for id in waiting {
+        let queued: Vec<RequestId> = self.state.borrow().outbox.attempts().collect();
+        for id in queued {
             let pending = self
                 .state
                 .borrow()
@@ -195,7 +196,7 @@
             let Err(reason) = handler.may_send(&attempt) else {
                 continue;
             };
-            // The check may have ended and cancelled it already.
+            // `may_send` may already have ended and cancelled this attempt.
             let cancelled = {
                 let mut state = self.state.borrow_mut();
                 let was_open = state.attempts.remove(&id).is_some();
@@ -208,13 +209,12 @@
                 });
             }
         }
-        let waiting: Vec<ControlRequestId> =
-            self.state.borrow().outbox.control_requests().collect();
-        for request in waiting {
+        let queued: Vec<ControlRequestId> = self.state.borrow().outbox.control_requests().collect();
+        for request in queued {
             if handler.may_start(request) {
                 continue;
             }
-            if let Some(outcome) = self.cancel_control(request) {
+            if let Some(outcome) = self.recall_control(request) {
                 handler.on_event(ConnectionEvent::ControlEnded {
                     request,
                     outcome,
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Sends what waits and may be sent.
+    /// Sends the queued messages that are still allowed.
     fn flush<H: ConnectionHandler>(
         &self,
         handler: &Rc<H>,
@@ -236,7 +236,7 @@
         if state.abort.is_some() {
             return Ok(());
         }
-        // The same moment for all: the time that a worker is given is checked against it.
+        // One timestamp for the whole batch: each worker's time limit is computed and checked against it.
         let now = handler.now();
         let attempts = &state.attempts;
         let mut started = Vec::new();
@@ -298,7 +298,7 @@
         });
     }
 
-    /// The connection has ended: so has all that was open on it.
+    /// Ends the connection and all requests that are open on it.
     fn end<H: ConnectionHandler>(&self, handler: &Rc<H>, outcome: AttemptOutcome) {
         let (mut attempts, mut control) = {
             let mut state = self.state.borrow_mut();
@@ -319,13 +319,13 @@
         for pending in attempts {
             handler.on_event(ConnectionEvent::AttemptLost {
                 attempt: &pending.request,
-                outcome: outcome_of(pending.started, outcome),
+                outcome: request_outcome(pending.started, outcome),
             });
         }
         for (request, pending) in control {
-            // Nothing was heard of a control request whose connection ended, whatever ended the connection.
-            let outcome = match outcome_of(pending.started, outcome) {
-                AttemptOutcome::InvalidResponse { .. } => BROKEN,
+            // An unreadable answer on the connection is not an answer to the control request.
+            let outcome = match request_outcome(pending.started, outcome) {
+                AttemptOutcome::InvalidResponse { .. } => CONNECTION_LOST,
                 other => other,
             };
             handler.on_event(ConnectionEvent::ControlEnded {
@@ -337,8 +337,8 @@
     }
 }
 
-/// How a request ended whose connection ended with `outcome`.
-fn outcome_of(started: bool, outcome: AttemptOutcome) -> AttemptOutcome {
+/// The outcome of a request whose connection ended with `outcome`.
+fn request_outcome(started: bool, outcome: AttemptOutcome) -> AttemptOutcome {
     let was_connected = !matches!(
         outcome,
         AttemptOutcome::ConnectRefused | AttemptOutcome::ConnectTimedOut
@@ -350,11 +350,12 @@
     }
 }
 
-/// Takes what is open under this name. What is not sent can't have been answered: such an answer is ignored.
+/// Removes a request by its key if it has been sent. A request that was not sent cannot have been answered, so an
+/// answer to it is ignored.
 fn take_started<K: Eq + std::hash::Hash, T>(
     open: &mut HashMap<K, Pending<T>>,
-    name: &K,
+    key: &K,
 ) -> Option<Pending<T>> {
-    open.get(name).filter(|pending| pending.started)?;
-    open.remove(name)
+    open.get(key).filter(|pending| pending.started)?;
+    open.remove(key)
 }
--- a/net/platform/src/worker_connection/mod.rs
+++ b/net/platform/src/worker_connection/mod.rs
@@ -1,7 +1,8 @@
-//! One connection to a worker: what is open on it, what waits to be sent, and when it may take more. An attempt is known
-//! on it by its request's id; an answer for an id that is not open there is ignored.
+//! One connection to a worker: its open requests, its send queue and its eligibility for new requests. Answers are
+//! matched to attempts by request id; an answer whose id is not open is ignored.
 //!
-//! This file holds the side that callers use; [`io`] is the task that moves the bytes, and [`events`] what it reports.
+//! This file holds the interface for callers, [`io`] the task that performs the I/O, and [`events`] the events it
+//! reports.
 
 pub mod events;
 pub mod io;
@@ -15,27 +16,27 @@
 use tansy_dispatch::{AttemptOutcome, ControlRequestId, ResponseStage};
 use tansy_platform::request::RequestId;
 
-/// Bytes that may wait for the kernel on one connection; more means that the worker reads nothing.
+/// A connection with more unsent bytes is closed: the worker is not reading.
 const MAX_OUTBOX_BYTES: usize = 1024 * 1024;
-/// Bytes of an attempt beside its body, approximately.
+/// Approximate size of an attempt without its body, bytes.
 const ATTEMPT_OVERHEAD: usize = 256;
-/// Ids of attempts abandoned on one connection that are remembered: an answer may still come for each.
+/// Maximum number of abandoned request ids remembered per connection; an answer to each may still arrive.
 const MAX_ABANDONED: usize = 128;
 
-/// What a connection carries. An answer that can't be read ends all that is open on its connection; a load lasts much
-/// longer than a call, and would rarely live to its end beside calls.
+/// The kind of requests that a connection carries. An unreadable answer ends all requests on its connection; loads
+/// take much longer than calls and would often be lost if they shared one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionRole {
     /// Attempts.
     Calls,
-    /// Control requests: probes and load requests.
+    /// Probes and load requests.
     Control,
 }
 
-/// A request that is open on a connection.
+/// An open request on a connection.
 struct Pending<T> {
     request: T,
-    /// Its first byte is sent.
+    /// Whether its first byte has been sent.
     started: bool,
     queued_at: Instant,
 }
@@ -53,18 +54,19 @@
 struct State {
     connected: bool,
     ended: bool,
-    /// No new request goes out on it; it closes once nothing is open.
+    /// Accepts no new requests, and closes once no request is open.
     retired: bool,
     abort: Option<AttemptOutcome>,
     outbox: Outbox,
     attempts: HashMap<RequestId, Pending<Attempt>>,
     control: HashMap<ControlRequestId, Pending<()>>,
-    /// Requests abandoned here, the latest last: another attempt of the same id could not be told from them.
+    /// Ids of abandoned requests, oldest first. A late answer to one could be mistaken for the answer to a new
+    /// attempt with the same id.
     abandoned: VecDeque<RequestId>,
     last_read: Instant,
     last_queued: Instant,
-    /// An answer has begun and not ended.
-    partial_answer: bool,
+    /// Whether an answer has been received in part.
+    has_partial_answer: bool,
     waker: Option<Waker>,
 }
 
@@ -83,7 +85,7 @@
 }
 
 impl WorkerConnection {
-    /// One that is not established yet; [`io::run_connection`] does that.
+    /// Creates a connection that [`io::run_connection`] establishes and serves.
     pub fn new(serial: u64, worker: &str, role: ConnectionRole) -> WorkerConnection {
         let now = Instant::now();
         let state = State {
@@ -97,7 +99,7 @@
             abandoned: VecDeque::new(),
             last_read: now,
             last_queued: now,
-            partial_answer: false,
+            has_partial_answer: false,
             waker: None,
         };
         WorkerConnection {
@@ -108,27 +110,32 @@
         }
     }
 
-    /// Its number; never used twice.
+    /// The connection's unique serial number.
     pub fn serial(&self) -> u64 {
         self.serial
     }
-    /// Whether it has ended.
+    /// Whether the connection has ended.
     pub fn has_ended(&self) -> bool {
         self.state.borrow().ended
     }
-    /// Whether one more request may go out on it, with at most `streams` open at once. One that was idle for
-    /// `max_reuse_idle` may be closing at the other end.
+    /// Whether the connection accepts another request of this role, given a limit of `streams` open requests. A
+    /// connection that has been idle for `max_reuse_idle` does not, since the worker may be closing it.
     pub fn accepts(&self, role: ConnectionRole, streams: usize, max_reuse_idle: Duration) -> bool {
         let state = self.state.borrow();
         let open = state.open_requests();
-        let fresh = open > 0 || state.last_queued.elapsed() < max_reuse_idle;
-        self.role == role && !state.retired && state.abort.is_none() && fresh && open < streams
+        let is_reusable = open > 0 || state.last_queued.elapsed() < max_reuse_idle;
+        self.role == role
+            && !state.retired
+            && state.abort.is_none()
+            && is_reusable
+            && open < streams
     }
-    /// Whether an attempt at this request was abandoned here: another's answer could not be told from its.
+    /// Whether an attempt with this request id was abandoned here. An answer to a new attempt could not be told from
+    /// an answer to that one.
     pub fn has_abandoned(&self, id: &RequestId) -> bool {
         self.state.borrow().abandoned.contains(id)
     }
-    /// Whether it stands and carries nothing.
+    /// Whether the connection is open and carries no request.
     pub fn is_idle(&self) -> bool {
         let state = self.state.borrow();
         !state.ended
@@ -136,27 +143,27 @@
             && state.attempts.is_empty()
             && state.control.is_empty()
     }
-    /// Whether it has carried nothing for so long.
+    /// Whether the connection has carried no request for at least `span`.
     pub fn is_idle_for(&self, span: Duration) -> bool {
         let state = self.state.borrow();
         state.attempts.is_empty() && state.control.is_empty() && state.last_queued.elapsed() >= span
     }
-    /// Whether it stopped in the middle of an answer, and nothing was read for so long.
+    /// Whether an answer has been received in part and nothing was read for longer than `span`.
     pub fn is_stalled(&self, span: Duration) -> bool {
         let state = self.state.borrow();
-        state.partial_answer && state.last_read.elapsed() > span
+        state.has_partial_answer && state.last_read.elapsed() > span
     }
 
     fn wake(&self) {
         let waker = self.state.borrow_mut().waker.take();
         waker.into_iter().for_each(Waker::wake);
     }
-    /// Ends at once.
+    /// Ends the connection immediately with `outcome`.
     pub fn abort(&self, outcome: AttemptOutcome) {
         self.state.borrow_mut().abort.get_or_insert(outcome);
         self.wake();
     }
-    /// Takes nothing new, and ends once nothing is open.
+    /// Stops accepting requests, and closes the connection once no request is open.
     pub fn retire(&self) {
         self.state.borrow_mut().retired = true;
         self.wake();
@@ -183,14 +190,14 @@
         self.state.borrow_mut().attempts.insert(id, pending);
         self.push(OutgoingMessage::Attempt(id), size);
     }
-    /// Sends a message that has no answer.
+    /// Sends a message that has no reply.
     pub fn send_unacknowledged(&self, words: &[&[u8]]) {
         let mut bytes = Vec::new();
         tansy_resp::write_array(&mut bytes, words);
         let size = bytes.len();
         self.push(OutgoingMessage::Unacknowledged(bytes), size);
     }
-    /// Sends a control request; its tag follows the first word.
+    /// Sends a control request; its tag is inserted after the first word.
     pub fn send_control(&self, request: ControlRequestId, words: &[&str]) {
         let tag = format!("o{}", request.0);
         let mut tagged: Vec<&[u8]> = vec![
@@ -206,8 +213,9 @@
         self.push(OutgoingMessage::Control(request, bytes), size);
     }
 
-    /// Abandons an attempt. Some: how it ended, at once; none: it has ended already.
-    pub fn withdraw_attempt(&self, id: &RequestId) -> Option<AttemptOutcome> {
+    /// Cancels an attempt and returns its outcome, or none if it has already ended. If part of it has been sent, the
+    /// worker is told to drop it.
+    pub fn cancel_attempt(&self, id: &RequestId) -> Option<AttemptOutcome> {
         let pending = {
             let mut state = self.state.borrow_mut();
             let pending = state.attempts.remove(id)?;
@@ -220,12 +228,13 @@
             }
             pending
         };
-        self.retire_if_silent_since(pending.queued_at);
+        self.retire_if_unresponsive_since(pending.queued_at);
         self.send_unacknowledged(&[b"never_mind", id]);
         Some(AttemptOutcome::Cancelled)
     }
-    /// Whether an attempt has begun to be sent; if not, it is cancelled, and the error is how it ended.
-    pub fn confirm_started(&self, id: &RequestId) -> Result<(), AttemptOutcome> {
+    /// Checks that the first byte of an attempt has been sent. Otherwise cancels it and returns its outcome as the
+    /// error.
+    pub fn confirm_sent(&self, id: &RequestId) -> Result<(), AttemptOutcome> {
         let mut state = self.state.borrow_mut();
         if !state.outbox.cancel_attempt(id) {
             return Ok(());
@@ -237,8 +246,8 @@
             AttemptOutcome::ConnectTimedOut
         })
     }
-    /// Cancels a control request if nothing of it is sent; some: how it ended.
-    pub fn cancel_control(&self, request: ControlRequestId) -> Option<AttemptOutcome> {
+    /// Cancels a control request if none of it has been sent. Returns its outcome, or none if it has been sent.
+    pub fn recall_control(&self, request: ControlRequestId) -> Option<AttemptOutcome> {
         let mut state = self.state.borrow_mut();
         if !state.outbox.cancel_control(request) {
             return None;
@@ -246,26 +255,26 @@
         state.control.remove(&request);
         Some(AttemptOutcome::NeverLeft)
     }
-    /// Abandons a control request.
-    pub fn withdraw_control(&self, request: ControlRequestId) -> AttemptOutcome {
-        let (pending, was_waiting) = {
+    /// Cancels a control request and returns its outcome.
+    pub fn cancel_control(&self, request: ControlRequestId) -> AttemptOutcome {
+        let (pending, was_queued) = {
             let mut state = self.state.borrow_mut();
             let pending = state.control.remove(&request);
             (pending, state.outbox.cancel_control(request))
         };
         match pending {
-            Some(_) if was_waiting => AttemptOutcome::NeverLeft,
+            Some(_) if was_queued => AttemptOutcome::NeverLeft,
             Some(pending) => {
-                self.retire_if_silent_since(pending.queued_at);
+                self.retire_if_unresponsive_since(pending.queued_at);
                 AttemptOutcome::Cancelled
             }
             None => AttemptOutcome::Cancelled,
         }
     }
 
-    /// If nothing was read since an abandoned request was queued, the connection may lead nowhere, so it takes nothing
-    /// new.
-    fn retire_if_silent_since(&self, queued_at: Instant) {
+    /// Retires the connection if nothing was read since the cancelled request was queued: the peer may be
+    /// unreachable.
+    fn retire_if_unresponsive_since(&self, queued_at: Instant) {
         let mut state = self.state.borrow_mut();
         state.retired |= state.last_read <= queued_at;
     }
