--- a/net/platform/src/client/connection.rs
+++ b/net/platform/src/client/connection.rs
@@ -1,5 +1,5 @@
-//! One client's connection: requests in the protocol's exact form read within its times, responses written, and whatever
-//! is not a valid request rejected. It knows nothing of what becomes of a request.
+//! One client connection: reads and parses requests within their time limits, writes responses, and rejects invalid
+//! input. How a request is answered is left to [`super::session`].
 
 use super::rejection::Rejection;
 use super::table::{ClientEntry, ClientTable, Phase};
@@ -15,112 +15,116 @@
 use tansy_net_sockets::{socket::Socket, within, Spawner};
 use tansy_platform::CallRequest;
 
-/// Limits of one request: the protocol's 16 KiB of body, and a head well over any honest one.
-const REQUEST: Limits = Limits {
+/// Limits of one request. The protocol allows a body of 16 KiB; valid heads are far smaller than the limit.
+const REQUEST_LIMITS: Limits = Limits {
     head: 4 * 1024,
     body: 16 * 1024,
 };
-/// A connection's first request is whole by then: the protocol's 3 s, less the way of the answer.
-const FIRST_WITHIN: Duration = Duration::from_millis(2300);
-/// A request is whole so long after its first byte.
-const WHOLE_WITHIN: Duration = Duration::from_millis(2000);
-/// A first request that is found at the end of its time has at least so long to be whole.
-const LEAST_WHOLE: Duration = Duration::from_millis(400);
-/// A connection may be idle for so long: the protocol's 4 s, and the way of the client's close.
-const IDLE: Duration = Duration::from_millis(5500);
-/// A client reads its answer in this time.
-const WRITTEN_WITHIN: Duration = Duration::from_millis(1000);
-/// What a client that was rejected still sends is read for so long, so that its answer is not reset away.
-const LINGER: Duration = Duration::from_millis(500);
-/// Bytes read in one turn of the loop from one connection.
-const READ_SHARE: usize = 16 * 1024;
+/// Time limit for a connection's first request. Clients wait 3 s; the difference leaves time to deliver the response.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2300);
+/// Time limit for a complete request, from its first byte.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Minimum time to complete a first request whose first byte arrives late within [`FIRST_REQUEST_TIMEOUT`].
+const MIN_REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
+/// Idle time limit between requests. The protocol lets clients reuse a connection for 4 s; the margin covers the
+/// arrival of their close.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(5500);
+/// Time limit for a client to read its response.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Time limit for draining a client's input after the last response. Closing with unread input would reset the
+/// connection and could discard the response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum number of bytes read from one connection per turn of the event loop.
+const MAX_READ_PER_TURN: usize = 16 * 1024;
 
-/// What the connections of one listener share.
+/// State shared by the connections of one listener.
 pub struct ConnectionContext {
-    /// Time-outs.
+    /// Spawns tasks and timeouts.
     pub spawner: Spawner,
-    /// Whether the loop was stalled, and since when.
+    /// Detects stalls of the event loop.
     pub lag: Rc<Lag>,
-    /// The open connections.
+    /// The open client connections.
     pub table: ClientTable,
 }
 
 /// A valid request.
 pub enum ClientRequest {
-    /// Whether the front end is up.
+    /// A health check of the front end.
     Alive,
     /// A call, with its body.
     Call(CallRequest, Vec<u8>),
 }
 
-/// What waiting for a request came to.
+/// The result of waiting for a request.
 pub enum Incoming {
     /// A valid request.
     Request {
-        /// What it asks for.
+        /// The request.
         request: ClientRequest,
-        /// Whether its client keeps the connection.
+        /// Whether the client keeps the connection open.
         keep_alive: bool,
     },
-    /// What is no valid request.
+    /// Invalid input, to be rejected.
     Invalid(Rejection),
-    /// No request: the connection ends.
+    /// No request arrived; the connection ends.
     Ended(CloseReason),
 }
 
-/// Reads a message as a request, or says why it is none.
+/// Converts a complete HTTP message to a request, or returns why it is rejected.
 pub type ParseRequest<'a> = &'a dyn Fn(&Message<'_>) -> Result<ClientRequest, Rejection>;
 
-/// One connection, as long as it is served.
+/// An open client connection.
 pub struct ClientConnection {
     context: Rc<ConnectionContext>,
     entry: Rc<ClientEntry>,
     socket: Rc<Socket>,
-    /// What the kernel held when it was accepted can have come since then; none once that has been read.
-    waiting_since: Cell<Option<Instant>>,
-    /// The earliest moment at which the last bytes read can have come.
+    /// The earliest arrival time of input that was received before the connection was accepted; none once that input
+    /// has been read.
+    queued_since: Cell<Option<Instant>>,
+    /// The earliest possible arrival time of the last bytes read.
     arrived: Cell<Instant>,
 }
 
 impl ClientConnection {
-    /// One that was accepted; what the kernel held of it then can have come since `waiting_since`.
+    /// Creates a connection whose input may have waited in the kernel since `queued_since`.
     pub fn new(
         context: Rc<ConnectionContext>,
         entry: Rc<ClientEntry>,
         socket: Socket,
-        waiting_since: Instant,
+        queued_since: Instant,
     ) -> ClientConnection {
         ClientConnection {
             context,
             entry,
             socket: Rc::new(socket),
-            waiting_since: Cell::new(Some(waiting_since)),
-            arrived: Cell::new(waiting_since),
+            queued_since: Cell::new(Some(queued_since)),
+            arrived: Cell::new(queued_since),
         }
     }
 
-    /// A reader for its requests.
+    /// Creates a reader for the requests of a connection.
     pub fn reader() -> Reader {
-        Reader::for_requests(REQUEST)
+        Reader::for_requests(REQUEST_LIMITS)
     }
-    /// The open connections.
+    /// The open client connections.
     pub fn table(&self) -> &ClientTable {
         &self.context.table
     }
-    /// Its entry there.
+    /// This connection's entry in the table.
     pub fn entry(&self) -> &ClientEntry {
         &self.entry
     }
-    /// Its socket.
+    /// The connection's socket.
     pub fn socket(&self) -> &Rc<Socket> {
         &self.socket
     }
-    /// The earliest moment at which the last request can have arrived.
+    /// The earliest possible arrival time of the last request.
     pub fn arrived(&self) -> Instant {
         self.arrived.get()
     }
 
-    /// The next request. The first is whole in its time from the connection's start, a later one from its first byte.
+    /// Waits for the next request. The time limit of the first request counts from the start of the connection, that
+    /// of later ones from their first byte.
     pub async fn next_request(
         &self,
         reader: &mut Reader,
@@ -128,30 +132,34 @@
         parse: ParseRequest<'_>,
     ) -> Incoming {
         let began = Instant::now();
-        let silence_limit = if is_first { FIRST_WITHIN } else { IDLE };
-        // What came before its time is rejected with its request: nothing is buffered here.
-        if !(is_first && self.read_accepted(reader)) {
+        let first_byte_timeout = if is_first {
+            FIRST_REQUEST_TIMEOUT
+        } else {
+            IDLE_TIMEOUT
+        };
+        // The reader is empty here: a request that is followed by further bytes is rejected.
+        if !(is_first && self.read_queued(reader)) {
             let read = poll_fn(|cx| self.poll_read(cx, reader));
-            let read = within(self.context.spawner.sleep(silence_limit), read).await;
+            let read = within(self.context.spawner.sleep(first_byte_timeout), read).await;
             if !read.unwrap_or_else(|| self.read_buffered(reader)) {
-                return Incoming::Ended(self.silence_reason(read.is_some(), is_first));
+                return Incoming::Ended(self.close_reason(read.is_some(), is_first));
             }
         }
-        let whole_within = if is_first {
-            silence_limit
+        let request_timeout = if is_first {
+            first_byte_timeout
                 .saturating_sub(began.elapsed())
-                .max(LEAST_WHOLE)
+                .max(MIN_REQUEST_TIMEOUT)
         } else {
-            WHOLE_WITHIN
+            REQUEST_TIMEOUT
         };
-        let limit = self.context.spawner.sleep(whole_within);
+        let limit = self.context.spawner.sleep(request_timeout);
         within(limit, self.read_request(reader, parse))
             .await
             .unwrap_or(Incoming::Invalid(Rejection::TooSlow))
     }
 
-    /// A connection is closed for its silence only if the kernel holds nothing of it either. Whether it holds something,
-    /// which is then read.
+    /// Reads the input that the kernel holds, and returns whether there was any. A connection is closed for
+    /// inactivity only if there is none.
     fn read_buffered(&self, reader: &mut Reader) -> bool {
         let mut buffer = [0u8; 8 * 1024];
         let count = self.socket.read_now(&mut buffer).unwrap_or(0);
@@ -159,16 +167,16 @@
         count > 0
     }
 
-    /// Reads what came before the connection was accepted, which may be long ago; what comes later is new.
-    fn read_accepted(&self, reader: &mut Reader) -> bool {
+    /// Reads input that arrived before the connection was accepted. Later input counts as new.
+    fn read_queued(&self, reader: &mut Reader) -> bool {
         let read = self.read_buffered(reader);
-        self.waiting_since.set(None);
+        self.queued_since.set(None);
         read
     }
 
-    /// Why the connection ends that brought no request.
-    fn silence_reason(&self, was_read: bool, is_first: bool) -> CloseReason {
-        match (self.entry.is_shed.get(), was_read, is_first) {
+    /// Why a connection without a request is closed.
+    fn close_reason(&self, read_ended: bool, is_first: bool) -> CloseReason {
+        match (self.entry.is_evicted.get(), read_ended, is_first) {
             (true, ..) => CloseReason::Evicted,
             (_, true, _) => CloseReason::ClientLeft,
             (_, false, true) => CloseReason::Silent,
@@ -176,9 +184,10 @@
         }
     }
 
-    /// Reads one piece; ready: whether there was one. A connection that is shed has none but what the kernel holds.
+    /// Reads available input, and resolves to whether there was any. If the connection is being evicted, only reads
+    /// what the kernel already holds.
     fn poll_read(&self, cx: &Context<'_>, reader: &mut Reader) -> Poll<bool> {
-        if self.entry.is_shed.get() {
+        if self.entry.is_evicted.get() {
             return Poll::Ready(self.read_buffered(reader));
         }
         let mut buffer = [0u8; 8 * 1024];
@@ -188,23 +197,23 @@
         Poll::Ready(count > 0)
     }
 
-    /// Takes bytes that were read.
+    /// Passes bytes to the reader, and updates the arrival time and the phase.
     fn on_bytes(&self, reader: &mut Reader, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
         }
         let now = Instant::now();
-        let waiting_since = self.waiting_since.get().unwrap_or(now);
+        let queued_since = self.queued_since.get().unwrap_or(now);
         self.arrived
-            .set(self.context.lag.earliest_arrival(now).min(waiting_since));
+            .set(self.context.lag.earliest_arrival(now).min(queued_since));
         if reader.is_empty() {
             self.entry.phase.set(Phase::PartialRequest(now));
-            self.table().cancel_shedding(&self.entry);
+            self.table().cancel_eviction(&self.entry);
         }
         reader.push_bytes(bytes);
     }
 
-    /// Reads until a request is whole, or can't be one.
+    /// Reads until a request is complete or invalid.
     async fn read_request(&self, reader: &mut Reader, parse: ParseRequest<'_>) -> Incoming {
         let mut bytes_read = 0;
         poll_fn(move |cx| loop {
@@ -217,8 +226,8 @@
             if let Some(incoming) = take_request(reader, parse) {
                 return Poll::Ready(incoming);
             }
-            if bytes_read >= READ_SHARE {
-                // The other connections come first.
+            if bytes_read >= MAX_READ_PER_TURN {
+                // Yield to the other connections.
                 bytes_read = 0;
                 cx.waker().wake_by_ref();
                 return Poll::Pending;
@@ -228,8 +237,8 @@
                 bytes_read += reader.len() - buffered;
                 continue;
             }
-            return Poll::Ready(if self.entry.is_shed.get() {
-                Incoming::Invalid(Rejection::Shed)
+            return Poll::Ready(if self.entry.is_evicted.get() {
+                Incoming::Invalid(Rejection::Evicted)
             } else {
                 Incoming::Ended(CloseReason::ClientLeft)
             });
@@ -237,7 +246,7 @@
         .await
     }
 
-    /// Writes a response; whether it was taken.
+    /// Writes a response and returns whether the client took all of it in time.
     pub async fn write_response(&self, response: FinalResponse, keep_alive: bool) -> bool {
         let retry_after = response.retry_after;
         let extra = if retry_after > 0 {
@@ -266,15 +275,15 @@
             }
             true
         };
-        within(self.context.spawner.sleep(WRITTEN_WITHIN), written)
+        within(self.context.spawner.sleep(WRITE_TIMEOUT), written)
             .await
             .unwrap_or(false)
     }
 
-    /// Answers what is no valid request, and ends.
+    /// Writes an error response and lingers.
     pub async fn reject(&self, rejection: Rejection) -> CloseReason {
         let (status, reason) = (rejection.status(), rejection.to_string());
-        tracing::debug!(status, what = reason.as_str(), "a client is turned away");
+        tracing::debug!(status, reason = reason.as_str(), "client rejected");
         let mut bytes = Vec::new();
         tansy_http1::write_response(&mut bytes, status, "", reason.as_bytes(), false);
         if self.write(&bytes).await {
@@ -283,13 +292,14 @@
         CloseReason::BadRequest
     }
 
-    /// Ends our side, and reads what still comes for a while: closing on unread input would reset the answer away.
+    /// Shuts down the sending side and drains the client's input for up to [`LINGER_TIMEOUT`]. Closing with unread
+    /// input would reset the connection and could discard the response.
     pub async fn linger(&self) {
         if self.socket.shutdown().is_err() {
             return;
         }
         let drained = poll_fn(|cx| {
-            let mut buffer = [0u8; READ_SHARE];
+            let mut buffer = [0u8; MAX_READ_PER_TURN];
             match std::task::ready!(self.socket.poll_read(cx, &mut buffer)) {
                 Ok(count) if count > 0 => {
                     cx.waker().wake_by_ref();
@@ -298,11 +308,11 @@
                 _ => Poll::Ready(()),
             }
         });
-        within(self.context.spawner.sleep(LINGER), drained).await;
+        within(self.context.spawner.sleep(LINGER_TIMEOUT), drained).await;
     }
 }
 
-/// The request at the front of what was read; none: more has to come.
+/// Takes the request at the front of the buffer; none if it is incomplete.
 fn take_request(reader: &mut Reader, parse: ParseRequest<'_>) -> Option<Incoming> {
     match reader.message(|message| (parse(&message), message.keep_alive)) {
         Ok(Some((Ok(request), keep_alive))) => {
--- a/net/platform/src/client/listener.rs
+++ b/net/platform/src/client/listener.rs
@@ -1,4 +1,4 @@
-//! The listener: which connections are accepted, and how it comes to an end.
+//! The listener: accepts client connections, and stops accepting at shutdown.
 
 use super::connection::{ClientConnection, ConnectionContext};
 use super::session::run_session;
@@ -13,35 +13,35 @@
 use std::time::{Duration, Instant};
 use tansy_net_sockets::socket::{is_out_of_descriptors, Socket};
 
-/// Connections accepted in one turn.
-const ACCEPTS_PER_TURN: usize = 16;
-/// With no descriptor left, the listener pauses for so long.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Maximum number of connections accepted per turn of the event loop.
+const MAX_ACCEPTS_PER_TURN: usize = 16;
+/// Delay before accepting again after an error or at the connection limit.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The listener and its connections.
+/// The listener and its open connections.
 pub struct ClientListener {
     driver: Rc<Driver>,
     context: Rc<ConnectionContext>,
     paused: Cell<bool>,
-    /// Connections may wait in the kernel's queue since then: not all of them were accepted the last time.
+    /// Since when connections may have waited in the kernel's accept queue; none if the queue was emptied.
     unaccepted_since: Cell<Option<Instant>>,
     listener: RefCell<Option<Rc<TcpListener>>>,
     token: Cell<Option<RegistrationToken>>,
 }
 
-/// Where accepting stopped.
+/// Why accepting stopped.
 #[derive(PartialEq, Eq)]
-enum Accepted {
-    /// The queue is empty.
-    All,
-    /// After a turn's share.
-    Share,
-    /// There is no room.
-    Full,
+enum AcceptStop {
+    /// The accept queue is empty.
+    QueueEmpty,
+    /// [`MAX_ACCEPTS_PER_TURN`] connections were accepted.
+    TurnLimit,
+    /// The connection limit is reached and no connection can be evicted, or `accept` failed.
+    NoCapacity,
 }
 
 impl ClientListener {
-    /// Serves a listening socket.
+    /// Starts accepting connections from a listening socket.
     pub fn start(driver: Rc<Driver>, listener: TcpListener) -> io::Result<Rc<ClientListener>> {
         listener.set_nonblocking(true)?;
         let listener = Rc::new(listener);
@@ -64,7 +64,7 @@
             .spawner
             .handle()
             .insert_source(source, move |_, _, ()| {
-                if inner.accept() != Accepted::Full {
+                if inner.accept() != AcceptStop::NoCapacity {
                     return Ok(PostAction::Continue);
                 }
                 inner.pause();
@@ -79,21 +79,22 @@
     fn table(&self) -> &ClientTable {
         &self.context.table
     }
-    /// Connections that are open.
+    /// The number of open connections.
     pub fn len(&self) -> usize {
         self.table().len()
     }
-    /// Whether none is.
+    /// Whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
-    /// Takes no new connection beyond those that the kernel has accepted, and no new request on those that wait for
-    /// one. False: not all of the former are accepted yet, and it is to be called again after a turn of the loop.
+    /// Stops accepting connections, except for those already in the kernel's accept queue, and closes connections
+    /// that wait for a request. Returns false if the accept queue is not empty yet; call again after a turn of the
+    /// event loop.
     pub fn stop_accepting(self: &Rc<Self>) -> bool {
         self.table().close();
-        let accepted = self.accept();
-        self.table().shed_waiting();
-        if accepted != Accepted::All {
+        let stop = self.accept();
+        self.table().evict_waiting();
+        if stop != AcceptStop::QueueEmpty {
             return false;
         }
         if let Some(token) = self.token.take() {
@@ -103,78 +104,81 @@
         true
     }
 
-    /// Accepts what waits, up to a turn's share. What is left waits since the queue was last known to be empty.
-    fn accept(self: &Rc<Self>) -> Accepted {
+    /// Accepts queued connections, up to [`MAX_ACCEPTS_PER_TURN`]. Connections that remain have possibly waited since
+    /// the queue was last known to be empty.
+    fn accept(self: &Rc<Self>) -> AcceptStop {
         let arrived = self.driver.lag.earliest_arrival(Instant::now());
-        let waiting_since = self.unaccepted_since.get().unwrap_or(arrived);
-        let accepted = self.accept_share(waiting_since);
-        let is_left = accepted != Accepted::All;
-        self.unaccepted_since.set(is_left.then_some(waiting_since));
-        accepted
+        let queued_since = self.unaccepted_since.get().unwrap_or(arrived);
+        let stop = self.accept_batch(queued_since);
+        let has_more = stop != AcceptStop::QueueEmpty;
+        self.unaccepted_since.set(has_more.then_some(queued_since));
+        stop
     }
 
-    fn accept_share(self: &Rc<Self>, waiting_since: Instant) -> Accepted {
+    fn accept_batch(self: &Rc<Self>, queued_since: Instant) -> AcceptStop {
         let Some(listener) = self.listener.borrow().clone() else {
-            return Accepted::All;
+            return AcceptStop::QueueEmpty;
         };
-        for _ in 0..ACCEPTS_PER_TURN {
-            if self.table().is_full() && !self.table().make_room() {
-                return Accepted::Full;
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            if self.table().is_full() && !self.table().evict_one() {
+                return AcceptStop::NoCapacity;
             }
             match listener.accept() {
                 Ok((socket, _)) => {
                     let _ = socket.set_nodelay(true);
                     let Ok(socket) = Socket::new(self.driver.spawner.handle(), socket) else {
-                        return Accepted::Full;
+                        return AcceptStop::NoCapacity;
                     };
-                    self.serve(socket, waiting_since);
+                    self.serve(socket, queued_since);
+                }
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    return AcceptStop::QueueEmpty
                 }
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Accepted::All,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
-                // A readable listener must not turn the loop meanwhile.
+                // The listener stays readable; pausing keeps the event loop from spinning.
                 Err(error) => {
-                    tracing::warn!(%error, "accepting rests");
+                    tracing::warn!(%error, "cannot accept connections; pausing");
                     if is_out_of_descriptors(&error) {
-                        self.table().make_room();
+                        self.table().evict_one();
                     }
-                    return Accepted::Full;
+                    return AcceptStop::NoCapacity;
                 }
             }
         }
-        Accepted::Share
+        AcceptStop::TurnLimit
     }
 
-    /// Accepts nothing for a while.
+    /// Stops accepting for [`ACCEPT_RETRY_DELAY`].
     fn pause(self: &Rc<Self>) {
         if !self.paused.replace(true) {
             let clients = self.clone();
             self.driver.spawner.spawn(async move {
-                clients.driver.spawner.sleep(PAUSE).await;
+                clients.driver.spawner.sleep(ACCEPT_RETRY_DELAY).await;
                 clients.paused.set(false);
                 let Some(token) = clients.token.get() else {
                     return;
                 };
                 if let Err(error) = clients.driver.spawner.handle().enable(&token) {
-                    tracing::warn!(%error, "accepting rests on");
+                    tracing::warn!(%error, "cannot resume accepting connections");
                     clients.pause();
                 }
             });
         }
     }
 
-    fn serve(self: &Rc<Self>, socket: Socket, waiting_since: Instant) {
+    fn serve(self: &Rc<Self>, socket: Socket, queued_since: Instant) {
         let (id, entry) = self.table().insert();
         let clients = self.clone();
         self.driver.spawner.spawn(async move {
             let context = clients.context.clone();
-            let connection = ClientConnection::new(context, entry.clone(), socket, waiting_since);
+            let connection = ClientConnection::new(context, entry.clone(), socket, queued_since);
             let reason = run_session(clients.driver.clone(), connection).await;
             clients.driver.reasons.count_closed(reason);
             tracing::debug!(
                 connection = id,
                 reason = reason.as_str(),
-                "a client's connection is closed"
+                "client connection closed"
             );
             clients.table().remove(id, &entry);
         });
--- a/net/platform/src/client/mod.rs
+++ b/net/platform/src/client/mod.rs
@@ -1,5 +1,5 @@
-//! Connections of clients, in layers: [`table`] knows what each is at and which may give way, [`connection`] reads requests
-//! and writes responses or a [`rejection`], [`session`] has them answered, [`listener`] accepts them.
+//! Client connections, in layers: [`table`] tracks open connections and selects which to evict, [`connection`] reads
+//! requests and writes responses or a [`rejection`], [`session`] answers requests, [`listener`] accepts connections.
 
 pub mod connection;
 pub mod listener;
--- a/net/platform/src/client/rejection.rs
+++ b/net/platform/src/client/rejection.rs
@@ -1,34 +1,34 @@
-//! Why a client's connection is rejected: what it sent was no valid request, or came too late or too early.
+//! Reasons for rejecting a client's input.
 
 use tansy_platform::RequestError;
 
-/// Why a client's connection is rejected. The text is the body of the response.
+/// Why a client's input is rejected. The error text is the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// It is no HTTP/1.1 message within the limits.
+    /// Not an HTTP/1.1 message within the limits.
     #[error("not a message of the protocol")]
     Http(tansy_http1::ParseError),
-    /// It is not a request of the protocol's form.
+    /// Not a valid request of the platform protocol.
     #[error("{0}")]
     Request(#[from] RequestError),
-    /// `GET /alive` with a body.
+    /// A `GET /alive` request has a body.
     #[error("a body; want none")]
     UnexpectedBody,
-    /// A request of its id is open.
+    /// A request with the same id is open.
     #[error("X-Request-Id of a request that is open")]
     DuplicateId,
-    /// Another request came with it.
+    /// Further bytes arrived together with the request.
     #[error("a request before the answer to the last")]
     Pipelined,
-    /// Another request came before it was answered.
+    /// Another request arrived before the open one was answered.
     #[error("a further request before the answer to the last")]
     PipelinedWhileOpen,
-    /// It was not whole in time.
+    /// The request was not complete within its time limit.
     #[error("a request not whole in time")]
     TooSlow,
-    /// It was not whole when its connection was shed.
+    /// The request was incomplete when its connection was evicted.
     #[error("a request not whole when its place was needed")]
-    Shed,
+    Evicted,
 }
 
 impl Rejection {
@@ -38,7 +38,7 @@
             Rejection::Http(error) => error.status(),
             Rejection::Request(error) => error.status(),
             Rejection::UnexpectedBody | Rejection::Pipelined | Rejection::PipelinedWhileOpen => 400,
-            Rejection::TooSlow | Rejection::Shed => 408,
+            Rejection::TooSlow | Rejection::Evicted => 408,
             Rejection::DuplicateId => 409,
         }
     }
--- a/net/platform/src/client/session.rs
+++ b/net/platform/src/client/session.rs
@@ -1,4 +1,4 @@
-//! A client's session: one request after another on its connection, each answered before the next.
+//! Serves one client connection: its requests are answered one after another.
 
 use super::connection::{ClientConnection, ClientRequest, Incoming};
 use super::rejection::Rejection;
@@ -11,7 +11,7 @@
 use tansy_http1::Message;
 use tansy_platform::CallRequest;
 
-/// Serves a connection; why it came to an end.
+/// Serves a connection until it ends, and returns why it ended.
 pub async fn run_session(driver: Rc<Driver>, connection: ClientConnection) -> CloseReason {
     let mut reader = ClientConnection::reader();
     let mut is_first = true;
@@ -29,7 +29,7 @@
             Incoming::Ended(reason) => return reason,
             Incoming::Invalid(rejection) => return connection.reject(rejection).await,
         };
-        connection.table().cancel_shedding(connection.entry());
+        connection.table().cancel_eviction(connection.entry());
         let response = match request {
             ClientRequest::Alive => FinalResponse {
                 status: 200,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Has a call answered; an error: what arrived from the client instead.
+/// Has the dispatcher answer a call. The error is the input received from the client before the response.
 async fn respond_to_call(
     driver: &Rc<Driver>,
     connection: &ClientConnection,
@@ -77,7 +77,7 @@
     response
 }
 
-/// A whole message as a request, unless one of its id is open.
+/// Parses a message as a request, and rejects it if a request with the same id is open.
 fn parse_request(driver: &Driver, message: &Message<'_>) -> Result<ClientRequest, Rejection> {
     if message.method == "GET" && message.target == "/alive" {
         return if message.body.is_empty() {
--- a/net/platform/src/client/table.rs
+++ b/net/platform/src/client/table.rs
@@ -1,4 +1,4 @@
-//! The open connections of clients: what each is at, and which gives way when there are too many.
+//! Tracks the open client connections, and selects one to evict when there are too many.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -6,88 +6,88 @@
 use std::task::Waker;
 use std::time::{Duration, Instant};
 
-/// A request that is not whole may be shed for a new connection so long after its first byte: one that comes in two
-/// pieces is whole by then.
-const PARTIAL_FOR: Duration = Duration::from_millis(250);
+/// Minimum age of an incomplete request before its connection may be evicted; a request sent in two segments is
+/// complete by then.
+const MIN_PARTIAL_AGE: Duration = Duration::from_millis(250);
 
-/// What a connection is at, for choosing which to shed.
+/// The phase of a connection, which decides whether it may be evicted.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// It has never sent a byte.
+    /// No byte has been received.
     Silent,
-    /// It has been answered and waits for its next request.
+    /// The last request was answered and no byte of the next has been received.
     Idle,
-    /// Its request is not whole, since then.
+    /// A request is incomplete; its first byte arrived at this time.
     PartialRequest(Instant),
-    /// Anything else.
+    /// Any other phase; the connection is not evicted.
     Busy,
 }
 
-/// What the table knows of a connection.
+/// The table's entry of a connection.
 pub struct ClientEntry {
-    /// What it is at.
+    /// The connection's phase.
     pub phase: Cell<Phase>,
-    /// It is to close, unless the kernel holds unread bytes of it.
-    pub is_shed: Cell<bool>,
-    /// Its task, while that waits for bytes.
+    /// The connection is to close unless the kernel holds unread input of it.
+    pub is_evicted: Cell<bool>,
+    /// Wakes the connection's task while it waits for input.
     pub waker: RefCell<Option<Waker>>,
 }
 
 impl ClientEntry {
     fn new() -> Rc<ClientEntry> {
-        let (phase, is_shed) = (Cell::new(Phase::Silent), Cell::new(false));
+        let (phase, is_evicted) = (Cell::new(Phase::Silent), Cell::new(false));
         Rc::new(ClientEntry {
             phase,
-            is_shed,
+            is_evicted,
             waker: RefCell::new(None),
         })
     }
 }
 
-/// The open connections.
+/// The open client connections.
 pub struct ClientTable {
     open: RefCell<BTreeMap<u64, Rc<ClientEntry>>>,
     next_id: Cell<u64>,
     capacity: usize,
-    /// Connections that are shed and have not ended.
-    shedding: Cell<usize>,
+    /// Connections that are being evicted and have not ended.
+    evicting: Cell<usize>,
     closed: Cell<bool>,
 }
 
 impl ClientTable {
-    /// An empty table for at most `capacity` connections, beside those that are shed.
+    /// Creates an empty table for at most `capacity` connections, not counting those being evicted.
     pub fn new(capacity: usize) -> ClientTable {
         ClientTable {
             open: RefCell::new(BTreeMap::new()),
             next_id: Cell::new(0),
             capacity,
-            shedding: Cell::new(0),
+            evicting: Cell::new(0),
             closed: Cell::new(false),
         }
     }
 
-    /// Whether no new request is taken on connections that are answered.
+    /// Whether the table is closed: connections end after their current response.
     pub fn is_closed(&self) -> bool {
         self.closed.get()
     }
-    /// Takes no new request from here on.
+    /// Stops connections from taking further requests.
     pub fn close(&self) {
         self.closed.set(true);
     }
-    /// Connections that are open.
+    /// The number of open connections.
     pub fn len(&self) -> usize {
         self.open.borrow().len()
     }
-    /// Whether none is open.
+    /// Whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
-    /// Whether one more connection has to wait for another to give way.
+    /// Whether a connection must be evicted before another is accepted.
     pub fn is_full(&self) -> bool {
-        self.len() >= self.capacity + self.shedding.get()
+        self.len() >= self.capacity + self.evicting.get()
     }
 
-    /// Adds a connection; its number and its entry.
+    /// Adds a connection and returns its id and entry.
     pub fn insert(&self) -> (u64, Rc<ClientEntry>) {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
@@ -97,24 +97,24 @@
     }
     /// Removes a connection that has ended.
     pub fn remove(&self, id: u64, entry: &ClientEntry) {
-        if entry.is_shed.get() {
-            self.shedding.set(self.shedding.get().saturating_sub(1));
+        if entry.is_evicted.get() {
+            self.evicting.set(self.evicting.get().saturating_sub(1));
         }
         self.open.borrow_mut().remove(&id);
     }
 
-    /// Sheds a connection: the oldest that never sent a byte, else the oldest idle one, else the one whose request has
-    /// been partial for longest, if that is long. False: there is none.
-    pub fn make_room(&self) -> bool {
+    /// Evicts the oldest connection without input, else the oldest idle one, else the one whose request has been
+    /// incomplete for longest, if at least [`MIN_PARTIAL_AGE`]. Returns false if there is none.
+    pub fn evict_one(&self) -> bool {
         let open = self.open.borrow();
         let oldest_at = |phase| {
             open.values()
-                .find(|entry| entry.phase.get() == phase && !entry.is_shed.get())
+                .find(|entry| entry.phase.get() == phase && !entry.is_evicted.get())
         };
         let longest_partial = || {
             let since = |entry: &&Rc<ClientEntry>| match entry.phase.get() {
                 Phase::PartialRequest(since)
-                    if !entry.is_shed.get() && since.elapsed() >= PARTIAL_FOR =>
+                    if !entry.is_evicted.get() && since.elapsed() >= MIN_PARTIAL_AGE =>
                 {
                     Some(since)
                 }
@@ -127,33 +127,34 @@
         let entry = oldest_at(Phase::Silent)
             .or_else(|| oldest_at(Phase::Idle))
             .or_else(longest_partial);
-        entry.map(|entry| self.shed(entry)).is_some()
+        entry.map(|entry| self.evict(entry)).is_some()
     }
 
-    /// Sheds the connections that wait for a request.
-    pub fn shed_waiting(&self) {
+    /// Evicts all connections that wait for a request.
+    pub fn evict_waiting(&self) {
         let open: Vec<_> = self.open.borrow().values().cloned().collect();
         let is_waiting = |entry: &&Rc<ClientEntry>| {
-            matches!(entry.phase.get(), Phase::Silent | Phase::Idle) && !entry.is_shed.get()
+            matches!(entry.phase.get(), Phase::Silent | Phase::Idle) && !entry.is_evicted.get()
         };
         open.iter()
             .filter(is_waiting)
-            .for_each(|entry| self.shed(entry));
+            .for_each(|entry| self.evict(entry));
     }
 
-    fn shed(&self, entry: &ClientEntry) {
-        entry.is_shed.set(true);
-        self.shedding.set(self.shedding.get() + 1);
+    fn evict(&self, entry: &ClientEntry) {
+        entry.is_evicted.set(true);
+        self.evicting.set(self.evicting.get() + 1);
         let waker = entry.waker.borrow_mut().take();
         waker.into_iter().for_each(Waker::wake);
     }
 
-    /// A connection that was to be shed has sent a request: it is kept, and another has to go if there are too many.
-    pub fn cancel_shedding(&self, entry: &ClientEntry) {
-        if entry.is_shed.take() {
-            self.shedding.set(self.shedding.get().saturating_sub(1));
-            if self.len() > self.capacity + self.shedding.get() {
-                self.make_room();
+    /// Keeps a connection that received input while it was being evicted, and evicts another if the table is over
+    /// capacity.
+    pub fn cancel_eviction(&self, entry: &ClientEntry) {
+        if entry.is_evicted.take() {
+            self.evicting.set(self.evicting.get().saturating_sub(1));
+            if self.len() > self.capacity + self.evicting.get() {
+                self.evict_one();
             }
         }
     }
--- a/net/platform/src/endpoint_poller.rs
+++ b/net/platform/src/endpoint_poller.rs
@@ -1,6 +1,8 @@
-//! The coordinator's long poll: one is always out, and what breaks or stalls is asked again soon, from the last event
-//! that came whole. A poll that takes too long is waited for beside the next: a coordinator that is slow or crowded takes as
-//! long over that one, and one that has stopped never answers the first.
+//! The coordinator's long poll. A poll is always outstanding; after an error or a timeout the next one is sent soon,
+//! starting from the last event that was fully received.
+//!
+//! A poll that times out is awaited in parallel with the next one: a coordinator that is slow would take as long to
+//! answer the new poll, and one that has stopped never answers the old one.
 
 use crate::driver::Driver;
 use std::cell::{Cell, RefCell};
@@ -14,86 +16,89 @@
 use tansy_net_sockets::{socket::Socket, within};
 use tansy_platform::{EndpointList, EndpointUpdates};
 
-/// Limits of one reply: an outage and a rollout of some thousand workers leave some megabytes of events.
-const REPLY: Limits = Limits {
+/// Limits of one reply. An outage followed by a rollout of thousands of workers produces several megabytes of events.
+const REPLY_LIMITS: Limits = Limits {
     head: 8 * 1024,
     body: 4 * 1024 * 1024,
 };
-/// The coordinator may take so long over a poll, ...
-const WAIT: Duration = Duration::from_millis(1000);
-/// ... and its reply is whole so much later: then the next is asked on another connection.
-const LATE: Duration = Duration::from_millis(300);
-/// A poll that is late is waited for so long yet: an event counts as known 7 s after it happened, whatever becomes of polls.
-const OVERDUE_WITHIN: Duration = Duration::from_millis(5700);
-/// Between two polls that end soon and bring nothing, the first time; it doubles, ...
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// ... up to this: the events of a coordinator that is back wait no longer. A poll that took as long has paced itself.
+/// The longest time that the coordinator holds a poll without events.
+const POLL_WAIT: Duration = Duration::from_millis(1000);
+/// Additional time for a reply to arrive before the next poll is sent on another connection.
+const REPLY_MARGIN: Duration = Duration::from_millis(300);
+/// Additional time that a late poll is awaited. An event is assumed to be known 7 s after it happened, which is the
+/// sum of [`POLL_WAIT`], [`REPLY_MARGIN`] and this.
+const OVERDUE_TIMEOUT: Duration = Duration::from_millis(5700);
+/// Pause after the first quick poll without events; it doubles up to [`MAX_PAUSE`].
+const MIN_PAUSE: Duration = Duration::from_millis(50);
+/// The longest pause, which bounds the delay of events once the coordinator is available again. No pause follows a
+/// poll that took longer.
 const MAX_PAUSE: Duration = Duration::from_millis(200);
-/// Tasks that wait at once: the poll's own, and one for a poll that is late; beyond that some have ended.
+/// Maximum number of registered wakers: one for the current poll, one for the overdue poll. More means that some are
+/// stale.
 const MAX_WAKERS: usize = 8;
-/// Between two log lines on a coordinator that can't be reached.
-const LOG_EVERY: Duration = Duration::from_secs(10);
+/// Minimum time between log messages about an unreachable coordinator.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Why a poll ended without a reply.
 #[derive(Debug, thiserror::Error)]
 pub enum PollError {
-    /// The connection was not established within the limit.
-    #[error("no connection in time")]
+    /// The connection was not established in time.
+    #[error("connecting timed out")]
     ConnectTimedOut,
-    /// There is no connection any more.
-    #[error("no connection")]
+    /// The connection is gone.
+    #[error("not connected")]
     NotConnected,
     /// The coordinator closed the connection.
-    #[error("it ended the connection")]
+    #[error("the coordinator closed the connection")]
     Closed,
-    /// The reply was not whole within the limit.
-    #[error("no whole reply in time")]
+    /// The reply was not complete in time.
+    #[error("the reply timed out")]
     ReplyTimedOut,
     /// A system call failed.
-    #[error("{0}")]
+    #[error("I/O error: {0}")]
     Io(#[from] io::Error),
-    /// The reply is no HTTP message.
-    #[error("{0}")]
+    /// The reply is not a valid HTTP message.
+    #[error("invalid HTTP reply: {0}")]
     Http(#[from] tansy_http1::ParseError),
-    /// The reply has another status than 200.
-    #[error("status {0}")]
+    /// The reply's status is not 200.
+    #[error("unexpected HTTP status {0}")]
     Status(u16),
-    /// The reply's body is no list of events.
-    #[error("{0}")]
+    /// The reply's body is not a list of events.
+    #[error("invalid list of events: {0}")]
     Body(#[from] serde_json::Error),
 }
 
-/// A connection to the coordinator with one poll out.
+/// A connection to the coordinator with an outstanding poll.
 struct PollConnection {
     socket: Socket,
     reader: Reader,
-    /// How the poll ended, if that was read before its task ran.
+    /// The poll's result, if it was read before the task ran.
     ended: Option<Result<Reply, PollError>>,
 }
 
-/// A whole reply whose events have been taken.
+/// A complete reply whose events have been applied.
 #[derive(Clone, Copy)]
 struct Reply {
     keep_alive: bool,
     has_events: bool,
 }
 
-/// Follows the list of workers.
+/// Follows the worker list of the coordinator.
 pub struct EndpointPoller {
     driver: Rc<Driver>,
     list: RefCell<EndpointList>,
     address: Cell<SocketAddr>,
-    /// Counts changes of the address; what waits for an earlier one ends.
-    moves: Cell<u64>,
+    /// The number of address changes; tasks that began before the last one end.
+    address_changes: Cell<u64>,
     current: RefCell<Option<PollConnection>>,
-    /// The oldest poll that is late, on its connection.
+    /// The oldest late poll and its connection.
     overdue: RefCell<Option<PollConnection>>,
-    /// Tasks that wait for a reply or a move.
+    /// Wakers of tasks that wait for a reply or an address change.
     wakers: RefCell<Vec<Waker>>,
 }
 
 impl EndpointPoller {
-    /// Starts with the events that are known.
+    /// Starts polling, with the list initialized from `known` events.
     pub fn start(
         driver: Rc<Driver>,
         list: EndpointList,
@@ -104,27 +109,27 @@
             driver,
             list: RefCell::new(list),
             address: Cell::new(address),
-            moves: Cell::new(0),
+            address_changes: Cell::new(0),
             current: RefCell::new(None),
             overdue: RefCell::new(None),
             wakers: RefCell::new(Vec::new()),
         });
         poller.apply(known);
-        let (task, early) = (poller.clone(), Rc::downgrade(&poller));
+        let (task, weak) = (poller.clone(), Rc::downgrade(&poller));
         let spawner = &poller.driver.spawner;
         spawner.spawn(async move { task.run().await });
         poller.driver.set_endpoint_reader(Rc::new(move || {
-            let poller = early.upgrade();
-            poller.into_iter().for_each(|poller| poller.read_early());
+            let poller = weak.upgrade();
+            poller.into_iter().for_each(|poller| poller.read_pending());
         }));
         poller
     }
 
-    /// Asks at another address from here on; the numbers of events go on.
+    /// Polls another address from now on; event indexes continue.
     pub fn move_to(&self, address: SocketAddr, known: &EndpointUpdates) {
         self.apply(known);
         if self.address.replace(address) != address {
-            self.moves.set(self.moves.get() + 1);
+            self.address_changes.set(self.address_changes.get() + 1);
             self.wake();
         }
     }
@@ -133,12 +138,12 @@
         self.wakers.take().into_iter().for_each(Waker::wake);
     }
 
-    /// The number of the last event that was taken.
+    /// The index of the last event applied.
     pub fn index(&self) -> u64 {
         self.list.borrow().index()
     }
 
-    /// Takes events; whether there was a later one.
+    /// Applies events and returns whether any of them was new.
     fn apply(&self, updates: &EndpointUpdates) -> bool {
         let before = self.index();
         let changes = self
@@ -152,49 +157,55 @@
     }
 
     async fn run(self: &Rc<Self>) {
-        // A coordinator that can't be reached is logged at once, and then seldom.
+        // The first failure is logged at once, further ones at intervals.
         let mut next_log = Instant::now();
-        let mut pause = FIRST_PAUSE;
+        let mut pause = MIN_PAUSE;
         loop {
-            let moves = self.moves.get();
+            let address_changes = self.address_changes.get();
             let address = self.address.get();
             let began = Instant::now();
-            let ended = self.poll_on_connection(address, moves, &mut pause).await;
+            let ended = self
+                .poll_on_connection(address, address_changes, &mut pause)
+                .await;
             self.current.take();
             if let Err(error) = ended {
                 if began >= next_log || began.elapsed() > MAX_PAUSE {
-                    next_log = began + LOG_EVERY;
-                    tracing::info!(%address, %error, index = self.index(), "the coordinator is asked again");
+                    next_log = began + LOG_INTERVAL;
+                    tracing::info!(%address, %error, index = self.index(), "coordinator poll failed; retrying");
                 }
             }
-            self.pace(began, moves, &mut pause).await;
+            self.back_off(began, address_changes, &mut pause).await;
         }
     }
 
-    /// Pauses after a poll that ended soon and brought nothing.
-    async fn pace(&self, began: Instant, moves: u64, pause: &mut Duration) {
+    /// Pauses after a poll that ended quickly without events.
+    async fn back_off(&self, began: Instant, address_changes: u64, pause: &mut Duration) {
         if began.elapsed() >= MAX_PAUSE {
-            *pause = FIRST_PAUSE;
+            *pause = MIN_PAUSE;
             return;
         }
         let limit = self.driver.spawner.sleep(*pause);
         *pause = (*pause * 2).min(MAX_PAUSE);
-        within(limit, self.unless_moved(moves, |_| Poll::<()>::Pending)).await;
+        within(
+            limit,
+            self.until_address_change(address_changes, |_| Poll::<()>::Pending),
+        )
+        .await;
     }
 
-    /// Polls on one connection until it breaks, stalls or is moved.
+    /// Polls on one connection until it breaks, times out or the address changes.
     async fn poll_on_connection(
         self: &Rc<Self>,
         address: SocketAddr,
-        moves: u64,
+        address_changes: u64,
         pause: &mut Duration,
     ) -> Result<(), PollError> {
-        let Some(socket) = self.connect(address, moves).await? else {
+        let Some(socket) = self.connect(address, address_changes).await? else {
             return Ok(());
         };
         *self.current.borrow_mut() = Some(PollConnection {
             socket,
-            reader: Reader::for_responses(REPLY),
+            reader: Reader::for_responses(REPLY_LIMITS),
             ended: None,
         });
         loop {
@@ -203,37 +214,41 @@
             let target = format!(
                 "/v2/stream?follow={}&wait_ms={}",
                 self.index(),
-                WAIT.as_millis()
+                POLL_WAIT.as_millis()
             );
             tansy_http1::write_get(&mut request, &target, &address.to_string());
-            let limit = self.driver.spawner.sleep(WAIT + LATE);
-            let reply = match within(limit, self.exchange(&request, moves)).await {
+            let limit = self.driver.spawner.sleep(POLL_WAIT + REPLY_MARGIN);
+            let reply = match within(limit, self.exchange(&request, address_changes)).await {
                 None => {
-                    self.keep_overdue(moves);
+                    self.await_overdue(address_changes);
                     return Err(PollError::ReplyTimedOut);
                 }
                 Some(None) => return Ok(()),
                 Some(Some(reply)) => reply?,
             };
             if !reply.has_events {
-                self.pace(began, moves, pause).await;
+                self.back_off(began, address_changes, pause).await;
             } else {
-                *pause = FIRST_PAUSE;
+                *pause = MIN_PAUSE;
             }
-            if !reply.keep_alive || self.moves.get() != moves {
+            if !reply.keep_alive || self.address_changes.get() != address_changes {
                 return Ok(());
             }
         }
     }
 
-    /// Connects; none: the address has changed.
-    async fn connect(&self, address: SocketAddr, moves: u64) -> Result<Option<Socket>, PollError> {
+    /// Connects to the coordinator; none if the address has changed.
+    async fn connect(
+        &self,
+        address: SocketAddr,
+        address_changes: u64,
+    ) -> Result<Option<Socket>, PollError> {
         let socket = Socket::connect(self.driver.spawner.handle(), address)?;
         let limit = self
             .driver
             .spawner
             .sleep(self.driver.limits.connect_timeout);
-        let connected = self.unless_moved(moves, |cx| socket.poll_connected(cx));
+        let connected = self.until_address_change(address_changes, |cx| socket.poll_connected(cx));
         match within(limit, connected).await {
             None => Err(PollError::ConnectTimedOut),
             Some(None) => Ok(None),
@@ -244,35 +259,39 @@
         }
     }
 
-    /// Waits on for the poll that is late, unless an older one is waited for already.
-    fn keep_overdue(self: &Rc<Self>, moves: u64) {
+    /// Continues to await a late poll in the background, unless an older one is already awaited.
+    fn await_overdue(self: &Rc<Self>, address_changes: u64) {
         if self.overdue.borrow().is_some() {
             return;
         }
         *self.overdue.borrow_mut() = self.current.take();
         let poller = self.clone();
         self.driver.spawner.spawn(async move {
-            let reply = poller.unless_moved(moves, |cx| {
+            let reply = poller.until_address_change(address_changes, |cx| {
                 poller.poll_reply(&poller.overdue, |connection, buffer| {
                     connection.socket.poll_read(cx, buffer)
                 })
             });
-            let limit = poller.driver.spawner.sleep(OVERDUE_WITHIN);
+            let limit = poller.driver.spawner.sleep(OVERDUE_TIMEOUT);
             let answered = matches!(within(limit, reply).await, Some(Some(Ok(_))));
             let index = poller.index();
-            tracing::debug!(answered, index, "a late poll of the coordinator has ended");
+            tracing::debug!(answered, index, "late coordinator poll ended");
             poller.overdue.take();
         });
     }
 
-    /// One poll and its reply; none: the address has changed.
-    async fn exchange(&self, mut request: &[u8], moves: u64) -> Option<Result<Reply, PollError>> {
+    /// Sends a poll and awaits its reply; none if the address has changed.
+    async fn exchange(
+        &self,
+        mut request: &[u8],
+        address_changes: u64,
+    ) -> Option<Result<Reply, PollError>> {
         while !request.is_empty() {
             let write = |cx: &Context<'_>| match &*self.current.borrow() {
                 Some(connection) => connection.socket.poll_write(cx, request),
                 None => Poll::Ready(Err(io::ErrorKind::NotConnected.into())),
             };
-            match self.unless_moved(moves, write).await? {
+            match self.until_address_change(address_changes, write).await? {
                 Ok(count) => request = &request[count..],
                 Err(error) => return Some(Err(error.into())),
             }
@@ -282,10 +301,10 @@
                 connection.socket.poll_read(cx, buffer)
             })
         };
-        self.unless_moved(moves, read).await
+        self.until_address_change(address_changes, read).await
     }
 
-    /// Reads as long as `read` gives something; ready: how the poll ended.
+    /// Reads until the reply is complete or `read` has no more input. Resolves to the poll's result.
     fn poll_reply(
         &self,
         connection: &RefCell<Option<PollConnection>>,
@@ -320,8 +339,8 @@
         }
     }
 
-    /// Reads replies that the kernel has, whether or not the loop has reported them.
-    fn read_early(&self) {
+    /// Reads replies that have arrived but that the event loop has not reported.
+    fn read_pending(&self) {
         for connection in [&self.overdue, &self.current] {
             let reply = self.poll_reply(connection, |connection, buffer| {
                 match connection.socket.read_now(buffer) {
@@ -338,10 +357,10 @@
         }
     }
 
-    /// Has the task woken by a move, or by a reply that is read early.
+    /// Registers the task to be woken by an address change or by a reply that was read early.
     fn register_waker(&self, cx: &Context<'_>) {
         if self.wakers.borrow().len() >= MAX_WAKERS {
-            // Those of tasks that have ended are dropped; the others register again.
+            // Drops the wakers of ended tasks; the others register again.
             self.wake();
         }
         let mut wakers = self.wakers.borrow_mut();
@@ -350,14 +369,14 @@
         }
     }
 
-    /// The outcome of `poll`, or none once the address has changed.
-    async fn unless_moved<T>(
+    /// Resolves to the output of `poll`, or to none once the address has changed.
+    async fn until_address_change<T>(
         &self,
-        moves: u64,
+        address_changes: u64,
         mut poll: impl FnMut(&Context<'_>) -> Poll<T>,
     ) -> Option<T> {
         poll_fn(|cx| {
-            if self.moves.get() != moves {
+            if self.address_changes.get() != address_changes {
                 return Poll::Ready(None);
             }
             self.register_waker(cx);
@@ -367,7 +386,7 @@
     }
 }
 
-/// The whole reply at the front of what was read, and whether the connection goes on; none: more has to come.
+/// Parses the reply at the front of the buffer and whether the connection is kept alive; none if it is incomplete.
 fn parse_reply(reader: &mut Reader) -> Result<Option<(EndpointUpdates, bool)>, PollError> {
     let reply = reader.message(|message| match message.status {
         200 => Ok((serde_json::from_slice(message.body)?, message.keep_alive)),
