--- a/net/sockets/src/clock.rs
+++ b/net/sockets/src/clock.rs
@@ -1,11 +1,11 @@
-//! Clocks: for ages of what other processes started, and for spans that go on while the machine sleeps.
+//! Clocks: a Unix clock that tolerates steps, and a monotonic clock that includes suspend.
 
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// The Unix clock, for ages of what other processes started. It may be stepped in service, or be wrong at the start and
-/// set right: the earlier is taken of what it shows now and of what it showed at the start plus the time since, so that a
-/// step makes nothing older than it is.
+/// A Unix clock for computing how long ago other processes started. The system clock may be stepped, or be wrong
+/// until it is synchronized. This clock takes the earlier of the current system time and the system time at its
+/// creation plus the time elapsed since, so that a step never overstates an age.
 #[derive(Clone, Copy, Debug)]
 pub struct UnixClock {
     start: Instant,
@@ -13,21 +13,21 @@
 }
 
 impl UnixClock {
-    /// From now on.
+    /// Starts from the current system time.
     pub fn new() -> UnixClock {
         UnixClock {
             start: Instant::now(),
             start_ms: system_ms(),
         }
     }
-    /// Milliseconds of the Unix clock, rather too early than too late.
+    /// Unix time in milliseconds; after a step of the system clock it may be behind, but not ahead.
     pub fn earliest_ms(&self) -> f64 {
         let since_start = self.start.elapsed().as_secs_f64() * 1e3;
         system_ms().min(self.start_ms + since_start)
     }
 }
 
-/// The system's clock, milliseconds.
+/// The system time, milliseconds since the Unix epoch.
 fn system_ms() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -40,8 +40,8 @@
     }
 }
 
-/// Microseconds of a clock that goes on while the machine sleeps and is never set; its zero is arbitrary, and the same for
-/// all processes of one machine until that starts anew.
+/// Monotonic time in microseconds that includes the time in which the machine is suspended (`CLOCK_BOOTTIME`). Its
+/// epoch is the boot of the machine, the same for all processes.
 pub fn now() -> i64 {
     let time = clock_gettime(ClockId::Boottime);
     time.tv_sec
--- a/net/sockets/src/interrupt.rs
+++ b/net/sockets/src/interrupt.rs
@@ -1,18 +1,18 @@
-//! Sources of the event loop whose reads a signal may interrupt.
+//! Event sources whose reads may be interrupted by a signal.
 //!
-//! The loop library returns an error of one source to whoever turns the loop, and drops the other events of that turn.
-//! Sockets are reported by edges, so what is dropped is never reported again. An interrupted read is therefore no error
-//! here: the source is readable still, and is reported in the next turn.
+//! calloop returns an error of one source from `dispatch`, and drops the remaining events of that turn. Sockets are
+//! registered edge-triggered, so a dropped event is never reported again. An interrupted read is therefore ignored
+//! here; the source stays readable and is reported in the next turn.
 
 use calloop::{EventSource, Poll, PostAction, Readiness, Token, TokenFactory};
 use std::error::Error;
 use std::io;
 
-/// A source whose interrupted reads are no errors.
+/// An event source that ignores errors from interrupted reads.
 pub struct IgnoreInterrupts<S>(pub S);
 
-/// Whether an error, or what caused it, says that a call was interrupted, or that there was nothing to read after all.
-pub fn is_interruption(error: &(dyn Error + 'static)) -> bool {
+/// Whether an error or one of its sources is `EINTR` or `EWOULDBLOCK`.
+pub fn is_interrupted_or_would_block(error: &(dyn Error + 'static)) -> bool {
     let mut cause = Some(error);
     while let Some(current) = cause {
         let kind = current.downcast_ref::<io::Error>().map(io::Error::kind);
@@ -28,7 +28,7 @@
         }
         cause = current.source();
     }
-    // Errors of other libraries' own kinds are known by the system's text alone.
+    // Some libraries wrap the system error so that only its text is accessible.
     let text = error.to_string();
     text.contains("EINTR") || text.contains("Interrupted system call")
 }
@@ -52,7 +52,7 @@
         F: FnMut(Self::Event, &mut Self::Metadata) -> Self::Ret,
     {
         match self.0.process_events(readiness, token, callback) {
-            Err(error) if is_interruption(&error) => Ok(PostAction::Continue),
+            Err(error) if is_interrupted_or_would_block(&error) => Ok(PostAction::Continue),
             outcome => outcome,
         }
     }
--- a/net/sockets/src/lag.rs
+++ b/net/sockets/src/lag.rs
@@ -1,31 +1,33 @@
-//! Event loop lag: whether the loop was stalled by a process that was stopped, a machine that gave it no time, or a long
-//! turn. What is read then may have waited in the kernel since the loop last ran in time.
+//! Detects stalls of the event loop: the process was stopped, the machine was overloaded, or a turn took long. Data
+//! that is read after a stall may have waited in the kernel since the loop last ran on time.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// A loop that runs this much later than it meant to was stalled.
+/// A loop that runs later than planned by more than this was stalled.
 pub const LATE_MARGIN: Duration = Duration::from_millis(30);
-/// Turns that have to run in time before the loop has caught up: what was reported in a turn is read in the next ones.
+/// Number of turns on time after which the loop has caught up. Data reported in one turn is read in the following
+/// ones.
 const CATCH_UP_TURNS: u8 = 3;
 
-/// The lag of one loop.
+/// The lag of one event loop.
 #[derive(Debug)]
 pub struct Lag {
-    /// When this turn began.
+    /// When the current turn began.
     turn_started: Cell<Instant>,
-    /// When the turn before ended.
+    /// When the previous turn ended.
     turn_ended: Cell<Instant>,
-    /// How long this turn may wait.
+    /// How long the current turn may wait for events.
     planned_wait: Cell<Duration>,
-    /// Since when what is read can have waited: the begin of the turn that was late, or the end of the one before it.
+    /// The earliest time since which data may have waited: the start of the late turn, or the end of the turn before
+    /// it.
     behind_since: Cell<Option<Instant>>,
-    /// Turns to go until it has caught up.
+    /// Turns left until the loop has caught up.
     turns_behind: Cell<u8>,
 }
 
 impl Lag {
-    /// The lag of a loop that has not run yet.
+    /// Creates the lag of a loop that has not run yet.
     pub fn new(now: Instant) -> Lag {
         Lag {
             turn_started: Cell::new(now),
@@ -36,7 +38,7 @@
         }
     }
 
-    /// A turn begins, which waits for at most `planned_wait`.
+    /// Called at the start of a turn that waits for at most `planned_wait`.
     pub fn on_turn_start(&self, now: Instant, planned_wait: Duration) {
         if now.saturating_duration_since(self.turn_ended.get()) > LATE_MARGIN {
             self.set_behind(self.turn_ended.get());
@@ -45,7 +47,7 @@
         self.planned_wait.set(planned_wait);
     }
 
-    /// A turn ends.
+    /// Called at the end of a turn.
     pub fn on_turn_end(&self, now: Instant) {
         self.turn_ended.set(now);
         if self.is_late(now) {
@@ -69,7 +71,7 @@
             > self.planned_wait.get() + LATE_MARGIN
     }
 
-    /// The earliest moment at which what is read now can have come; `now` if the loop runs in time.
+    /// The earliest time at which data read now can have arrived; `now` if the loop runs on time.
     pub fn earliest_arrival(&self, now: Instant) -> Instant {
         let in_this_turn = self.is_late(now).then(|| self.turn_started.get());
         self.behind_since.get().or(in_this_turn).unwrap_or(now)
--- a/net/sockets/src/lib.rs
+++ b/net/sockets/src/lib.rs
@@ -1,7 +1,7 @@
-//! Sockets, tasks and time-outs on a calloop loop, all on one thread: what every protocol of the project builds on.
+//! Sockets, tasks and timeouts on a single-threaded calloop event loop.
 //!
-//! - [`socket`]: TCP sockets on the loop, and errors of the machine that pass. [`timers`]: time-outs.
-//! - [`interrupt`]: sources whose reads a signal may interrupt. [`lag`]: whether the loop was stalled. [`clock`]: clocks.
+//! - [`socket`]: TCP sockets and classification of socket errors. [`timers`]: timeouts.
+//! - [`interrupt`]: event sources that tolerate signals. [`lag`]: detection of event loop stalls. [`clock`]: clocks.
 
 pub mod clock;
 pub mod interrupt;
@@ -18,7 +18,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// The system's error behind one of the loop library.
+/// Converts an error of calloop to the I/O error that caused it.
 pub fn io_error(error: calloop::Error) -> std::io::Error {
     match error {
         calloop::Error::IoError(error) => error,
@@ -26,7 +26,7 @@
     }
 }
 
-/// Starts tasks on the loop.
+/// Spawns tasks on the event loop.
 #[derive(Clone)]
 pub struct Spawner {
     handle: LoopHandle<'static, ()>,
@@ -35,7 +35,7 @@
 }
 
 impl Spawner {
-    /// A spawner for a loop; its executor is inserted there.
+    /// Creates a spawner and inserts its executor into the event loop.
     pub fn new(handle: LoopHandle<'static, ()>) -> std::io::Result<Spawner> {
         let (executor, scheduler) = calloop::futures::executor::<()>().map_err(io_error)?;
         let inserted = handle.insert_source(IgnoreInterrupts(executor), |(), _, _| {});
@@ -49,33 +49,33 @@
     }
     /// Runs a task on the loop until it ends.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
-        // The one error is a loop that has ended, and with it all tasks.
+        // Fails only if the event loop has ended, along with all tasks.
         let _ = self.scheduler.schedule(task);
     }
-    /// Ends after so long.
+    /// Returns a future that completes after `span`.
     pub fn sleep(&self, span: Duration) -> Sleep {
         self.timers.sleep(span)
     }
-    /// Its time-outs.
+    /// The timeouts of the event loop.
     pub fn timers(&self) -> &Rc<Timers> {
         &self.timers
     }
-    /// The loop.
+    /// The handle of the event loop.
     pub fn handle(&self) -> &LoopHandle<'static, ()> {
         &self.handle
     }
 }
 
-/// Lets the tasks that are ready now run first, once. A connection's driver waits so for the streams that have more to
-/// send, and what they send leaves in one system call.
+/// Lets all other ready tasks run once. A connection's driver uses it so that its streams queue their data first and
+/// one system call sends all of it.
 pub struct Yield(bool);
 
 impl Yield {
-    /// For one driver.
+    /// Creates a yield for one task.
     pub fn new() -> Yield {
         Yield(false)
     }
-    /// Pending every other time, with a wake at the end of the queue.
+    /// Returns pending on every other call, after scheduling the task behind those that are ready.
     pub fn poll(&mut self, cx: &Context<'_>) -> Poll<()> {
         self.0 = !self.0;
         if self.0 {
@@ -92,7 +92,7 @@
     }
 }
 
-/// Ends with `Some` of the future's output, or `None` if `limit` ends first.
+/// Resolves to the future's output, or to `None` if `limit` completes first.
 pub async fn within<F: Future>(limit: impl Future<Output = ()>, future: F) -> Option<F::Output> {
     let (mut limit, mut future) = (Box::pin(limit), Box::pin(future));
     std::future::poll_fn(move |cx| {
--- a/net/sockets/src/socket.rs
+++ b/net/sockets/src/socket.rs
@@ -1,8 +1,8 @@
-//! A TCP socket on the loop, readable and writable at the same time.
+//! A TCP socket on the event loop that can be awaited for reading and writing at the same time.
 //!
-//! The loop library's own adapter holds one interest and one waker for a socket. A connection that waits to write and
-//! to read at once would lose one of them, and two such ends that wait for each other would stand still for ever. Here
-//! the socket is registered once, for both, by its edges; each direction remembers whether it may be ready.
+//! calloop's adapter has a single interest and waker per socket. A connection that waits to write and to read would
+//! lose one of the two, and two such peers could deadlock. Here the socket is registered once for both directions,
+//! edge-triggered, and each direction remembers whether it may be ready.
 
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -34,12 +34,12 @@
         let mut waker = self.waker.borrow_mut();
         if !waker
             .as_ref()
-            .is_some_and(|known| known.will_wake(cx.waker()))
+            .is_some_and(|waker| waker.will_wake(cx.waker()))
         {
             *waker = Some(cx.waker().clone());
         }
     }
-    /// Runs a system call while the socket may be ready.
+    /// Repeats a system call until it succeeds or would block.
     fn poll<T>(
         &self,
         cx: &Context<'_>,
@@ -49,24 +49,24 @@
             match call() {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => self.ready.set(false),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                done => return Poll::Ready(done),
+                result => return Poll::Ready(result),
             }
         }
         self.register_waker(cx);
         Poll::Pending
     }
-    /// Runs a system call whatever was reported so far; "would block" is an error.
+    /// Makes a system call regardless of reported readiness. Returns a `WouldBlock` error if the socket is not ready.
     fn call_now<T>(&self, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
         loop {
             match call() {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => {
-                    // What comes after this is reported anew.
+                    // The next edge reports the direction as ready again.
                     self.ready
                         .set(self.ready.get() && error.kind() != io::ErrorKind::WouldBlock);
                     return Err(error);
                 }
-                done => return done,
+                result => return result,
             }
         }
     }
@@ -78,7 +78,7 @@
     write: Direction,
 }
 
-/// Descriptors that this process may have open.
+/// The limit on open descriptors of this process.
 pub fn descriptor_limit() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     limit.map_or(usize::MAX, |count| {
@@ -86,7 +86,7 @@
     })
 }
 
-/// A TCP socket on the loop. It is closed when this is dropped.
+/// A TCP socket on the event loop; closed when dropped.
 pub struct Socket {
     socket: Rc<TcpStream>,
     directions: Rc<Directions>,
@@ -95,7 +95,7 @@
 }
 
 impl Socket {
-    /// Registers a socket; it is made non-blocking.
+    /// Registers a socket and makes it non-blocking.
     pub fn new(handle: &LoopHandle<'static, ()>, socket: TcpStream) -> io::Result<Socket> {
         socket.set_nonblocking(true)?;
         let socket = Rc::new(socket);
@@ -103,7 +103,7 @@
         let reported = directions.clone();
         let source = Generic::new(socket.clone(), Interest::BOTH, Mode::Edge);
         let token = handle.insert_source(source, move |readiness, _, ()| {
-            // A hang-up or an error is read from either direction.
+            // Both directions observe a hang-up or an error by their next system call.
             if readiness.readable || readiness.error {
                 reported.read.set_ready();
             }
@@ -121,11 +121,11 @@
         })
     }
 
-    /// The socket itself.
+    /// The underlying socket.
     pub fn get(&self) -> &TcpStream {
         &self.socket
     }
-    /// Ready once the socket is reported writable: a connection stands, or has failed.
+    /// Ready once the socket is reported writable: it is connected, or connecting failed.
     pub fn poll_writable(&self, cx: &Context<'_>) -> Poll<()> {
         if self.directions.write.ready.get() {
             return Poll::Ready(());
@@ -133,37 +133,37 @@
         self.directions.write.register_waker(cx);
         Poll::Pending
     }
-    /// Reads; 0 bytes: the other side has ended.
+    /// Reads available bytes; 0 means that the peer has shut down its side.
     pub fn poll_read(&self, cx: &Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         self.directions.read.poll(cx, || (&*self.socket).read(buf))
     }
-    /// Reads what the kernel holds at this moment, which the loop may not have reported yet; an error of the kind
-    /// `WouldBlock`: nothing.
+    /// Reads bytes that the kernel holds, even if the event loop has not reported them. Returns a `WouldBlock` error
+    /// if there are none.
     pub fn read_now(&self, buf: &mut [u8]) -> io::Result<usize> {
         self.directions.read.call_now(|| (&*self.socket).read(buf))
     }
-    /// Writes what the kernel takes.
+    /// Writes as many bytes as the kernel accepts.
     pub fn poll_write(&self, cx: &Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.directions
             .write
             .poll(cx, || (&*self.socket).write(buf))
     }
-    /// Ends our side.
+    /// Shuts down the sending side.
     pub fn shutdown(&self) -> io::Result<()> {
         match self.socket.shutdown(Shutdown::Write) {
             Err(error) if error.kind() == io::ErrorKind::NotConnected => Ok(()),
-            done => done,
+            result => result,
         }
     }
 }
 
-/// Between two tries of what may pass.
+/// Pause between retries of a transient failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// A call that is interrupted is made again so often.
-const INTERRUPTIONS: usize = 16;
-/// A connection is being made; the last two come of a call that was interrupted, and whose work went on by itself.
-const CONNECTING: [Errno; 3] = [Errno::INPROGRESS, Errno::ALREADY, Errno::ISCONN];
-/// This machine has no resources for a socket, or no network at the moment, whoever is at the other end.
+/// Maximum number of retries of an interrupted `connect`.
+const MAX_CONNECT_RETRIES: usize = 16;
+/// The connection is being established. After an interrupted `connect`, a repeated call returns one of the last two.
+const CONNECT_IN_PROGRESS: [Errno; 3] = [Errno::INPROGRESS, Errno::ALREADY, Errno::ISCONN];
+/// This machine lacks resources or network access, independently of the peer.
 const OUT_OF_RESOURCES: [Errno; 8] = [
     Errno::AGAIN,
     Errno::NOMEM,
@@ -174,32 +174,32 @@
     Errno::NETUNREACH,
     Errno::NOBUFS,
 ];
-/// What passes as well: an earlier process may still serve its last requests at the address.
+/// Also transient at startup: a previous process may still be serving its last requests on the address.
 const TRANSIENT: [Errno; 2] = [Errno::INTR, Errno::ADDRINUSE];
-/// No descriptor is left, for the system or for this process.
+/// The process or the system has no descriptor left.
 const OUT_OF_DESCRIPTORS: [Errno; 2] = [Errno::NFILE, Errno::MFILE];
 
-fn is_one_of(error: &io::Error, known: &[Errno]) -> bool {
-    Errno::from_io_error(error).is_some_and(|errno| known.contains(&errno))
+fn is_one_of(error: &io::Error, errnos: &[Errno]) -> bool {
+    Errno::from_io_error(error).is_some_and(|errno| errnos.contains(&errno))
 }
 
-/// Whether an error says that this process or its machine has no resources for another socket, or no network.
+/// Whether an error means that this machine lacks the resources for a socket or has no network.
 pub fn is_out_of_resources(error: &io::Error) -> bool {
     is_one_of(error, &OUT_OF_RESOURCES)
 }
 
-/// Whether an error says that there is no descriptor left.
+/// Whether an error means that no descriptor is left.
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
     is_one_of(error, &OUT_OF_DESCRIPTORS)
 }
 
-/// Whether an error at a start may pass by itself.
+/// Whether an error at startup may go away by itself.
 pub fn is_transient(error: &io::Error) -> bool {
     is_out_of_resources(error) || is_one_of(error, &TRANSIENT)
 }
 
-/// Tries again what failed with an error that may pass, until it has done so for `within`. The first error is logged, with
-/// what it was of (`subject`).
+/// Retries an operation that fails with a transient error, for at most `within`. Logs the first error with the
+/// `subject` of the operation.
 pub fn retry<T>(
     within: Duration,
     subject: &str,
@@ -211,17 +211,17 @@
         match attempt() {
             Err(error) if is_transient(&error) && began.elapsed() < within => {
                 if !std::mem::replace(&mut logged, true) {
-                    tracing::warn!(%error, what = subject, "a start is tried again");
+                    tracing::warn!(%error, operation = subject, "transient error; retrying");
                 }
                 std::thread::sleep(RETRY_PAUSE);
             }
-            done => return done,
+            result => return result,
         }
     }
 }
 
 impl Socket {
-    /// A socket that connects, or has failed to begin: see [`Socket::poll_connected`].
+    /// Starts connecting to an address; [`Socket::poll_connected`] reports the result.
     pub fn connect(handle: &LoopHandle<'static, ()>, address: SocketAddr) -> io::Result<Socket> {
         let domain = if address.is_ipv6() {
             Domain::IPV6
@@ -231,22 +231,22 @@
         let socket = socket2::Socket::new(domain, Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
-        let mut begun = socket.connect(&address.into());
-        for _ in 0..INTERRUPTIONS {
-            match &begun {
+        let mut result = socket.connect(&address.into());
+        for _ in 0..MAX_CONNECT_RETRIES {
+            match &result {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {
-                    begun = socket.connect(&address.into())
+                    result = socket.connect(&address.into())
                 }
                 _ => break,
             }
         }
-        match begun {
-            Err(error) if !is_one_of(&error, &CONNECTING) => return Err(error),
+        match result {
+            Err(error) if !is_one_of(&error, &CONNECT_IN_PROGRESS) => return Err(error),
             _ => {}
         }
         Socket::new(handle, TcpStream::from(socket))
     }
-    /// Ready once a connection that was begun stands, or has failed.
+    /// Ready once the connection is established or has failed.
     pub fn poll_connected(&self, cx: &Context<'_>) -> Poll<io::Result<()>> {
         std::task::ready!(self.poll_writable(cx));
         Poll::Ready(self.get().take_error().and_then(|e| e.map_or(Ok(()), Err)))
@@ -259,7 +259,7 @@
     }
 }
 
-/// A listening socket; `shared` lets several processes take connections from one port.
+/// Creates a listening socket. With `shared`, several processes can accept connections on the same port.
 pub fn listen(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     let domain = if address.is_ipv6() {
         Domain::IPV6
--- a/net/sockets/src/timers.rs
+++ b/net/sockets/src/timers.rs
@@ -1,8 +1,8 @@
-//! All time-outs of a loop behind one timer of the loop library.
+//! All timeouts of an event loop, behind a single calloop timer.
 //!
-//! The library keeps its sources in a list that is searched when one is added, and its timers in a heap that is searched
-//! when one is taken out: with a timer for each slow client, each client would make every other's timers slower. A wheel
-//! sets and clears in a few steps however many there are (`tansy_timer_wheel`).
+//! calloop searches its list of sources on insertion and its timer heap on removal, so with one timer per slow client
+//! each client would slow down the others. The timer wheel (`tansy_timer_wheel`) inserts and removes in time
+//! independent of the number of timeouts.
 
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{Dispatcher, LoopHandle, RegistrationToken};
@@ -15,23 +15,23 @@
 use std::time::{Duration, Instant};
 use tansy_timer_wheel::{Handle, Wheel};
 
-/// A tick of the wheel, microseconds: a time-out ends at most so late.
+/// Duration of a tick of the wheel, microseconds; a timeout fires at most this late.
 const TICK_MICROS: i64 = 100;
 
-/// The time-outs of one loop.
+/// The timeouts of one event loop.
 pub struct Timers {
     epoch: Instant,
     handle: LoopHandle<'static, ()>,
     wheel: RefCell<Wheel<Option<Waker>>>,
     source: Dispatcher<'static, Timer, ()>,
     token: Cell<Option<RegistrationToken>>,
-    /// When the loop's timer falls due, on the wheel's clock; none: it does not.
+    /// When the calloop timer is due, on the wheel's clock; none if no timeout is set.
     armed: Cell<Option<i64>>,
     due: RefCell<Vec<Option<Waker>>>,
 }
 
 impl Timers {
-    /// Puts its one timer on a loop.
+    /// Inserts the calloop timer into an event loop.
     pub fn new(handle: LoopHandle<'static, ()>) -> io::Result<Rc<Timers>> {
         let timers = Rc::new_cyclic(|weak: &Weak<Timers>| {
             let weak = weak.clone();
@@ -58,7 +58,7 @@
         to_micros(self.epoch.elapsed())
     }
 
-    /// Ends after so long.
+    /// Returns a future that completes after `span`.
     pub fn sleep(self: &Rc<Self>, span: Duration) -> Sleep {
         let at = self.now().saturating_add(to_micros(span));
         let handle = self.wheel.borrow_mut().set(at, None);
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Time-outs that are set and have not ended.
+    /// The number of timeouts that have not fired.
     pub fn pending(&self) -> usize {
         self.wheel.borrow().len()
     }
 
-    /// How long the loop may wait for the next of them.
+    /// Time until the calloop timer fires, which bounds the sleep of the event loop.
     pub fn next_in(&self) -> Option<Duration> {
         let at = self.armed.get()?;
         Some(self.instant(at).saturating_duration_since(Instant::now()))
@@ -86,20 +86,21 @@
         self.armed.set(Some(at));
         self.source.as_source_mut().set_deadline(self.instant(at));
         if let Some(token) = self.token.get() {
-            // Fails only for a source that is not there, and this one goes with the loop.
+            // Fails only if the source was removed, which happens only with the event loop.
             let _ = self.handle.update(&token);
         }
     }
 
     fn instant(&self, at: i64) -> Instant {
-        // The tick after it has begun by then. What is beyond the clock's range is looked at in a day.
+        // The first tick at or after `at` has begun by then. Times beyond the clock's range are checked again after a
+        // day.
         let span = Duration::from_micros(at.saturating_add(TICK_MICROS).max(0) as u64);
         self.epoch
             .checked_add(span)
             .unwrap_or_else(|| Instant::now() + Duration::from_secs(86_400))
     }
 
-    /// Wakes what is due; the loop's timer runs again at the next.
+    /// Wakes the tasks whose timeouts are due and rearms the calloop timer.
     fn on_fired(&self) -> TimeoutAction {
         let mut due = self.due.take();
         let next = {
@@ -112,7 +113,7 @@
         self.armed.set(next);
         match next {
             Some(at) => TimeoutAction::ToInstant(self.instant(at)),
-            // Far off; whatever is set meanwhile arms it anew.
+            // No timeout is set; setting one rearms the timer.
             None => TimeoutAction::ToDuration(Duration::from_secs(86_400)),
         }
     }
@@ -122,7 +123,7 @@
     i64::try_from(span.as_micros()).unwrap_or(i64::MAX)
 }
 
-/// Ends when its time has come. Dropped before, it leaves nothing behind.
+/// Completes at its due time. Dropping it earlier removes its timeout.
 pub struct Sleep {
     timers: Rc<Timers>,
     handle: Handle,
@@ -136,7 +137,7 @@
             Some(waker) => {
                 if !waker
                     .as_ref()
-                    .is_some_and(|known| known.will_wake(cx.waker()))
+                    .is_some_and(|waker| waker.will_wake(cx.waker()))
                 {
                     *waker = Some(cx.waker().clone());
                 }
--- a/net/sockets/tests/lag.rs
+++ b/net/sockets/tests/lag.rs
@@ -1,4 +1,4 @@
-//! When what is read can have come: a loop that was held up does not know.
+//! The earliest arrival time of data covers any stall of the event loop before the read.
 
 use std::time::{Duration, Instant};
 use tansy_net_sockets::lag::{Lag, LATE_MARGIN};
@@ -6,7 +6,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn a_loop_in_time_takes_what_it_reads_as_new() {
+fn data_read_on_time_arrived_now() {
     let start = Instant::now();
     let lag = Lag::new(start);
     for turn in 0..10 {
@@ -19,25 +19,25 @@
 }
 
 #[test]
-fn what_is_read_after_a_stop_can_have_come_since_the_turn_began() {
+fn data_read_after_a_stall_may_have_arrived_since_the_turn_began() {
     let start = Instant::now();
     let lag = Lag::new(start);
     lag.on_turn_start(start, 50 * MS);
-    let woken = start + 900 * MS;
+    let resumed = start + 900 * MS;
+    assert_eq!(lag.earliest_arrival(resumed), start, "in the stalled turn");
+    lag.on_turn_end(resumed);
+    // Data reported in the stalled turn is read in the next one.
+    lag.on_turn_start(resumed, Duration::ZERO);
     assert_eq!(
-        lag.earliest_arrival(woken),
+        lag.earliest_arrival(resumed + MS),
         start,
-        "in the turn that was stopped"
+        "in the next turn"
     );
-    lag.on_turn_end(woken);
-    // What that turn was told of is read in the next.
-    lag.on_turn_start(woken, Duration::ZERO);
-    assert_eq!(lag.earliest_arrival(woken + MS), start, "in the next turn");
-    lag.on_turn_end(woken + MS);
+    lag.on_turn_end(resumed + MS);
 }
 
 #[test]
-fn a_loop_that_has_caught_up_takes_what_it_reads_as_new_again() {
+fn data_read_after_catching_up_arrived_now() {
     let start = Instant::now();
     let lag = Lag::new(start);
     lag.on_turn_start(start, Duration::ZERO);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_second_stop_before_it_has_caught_up_counts_from_the_first() {
+fn stall_before_catching_up_counts_from_the_first_stall() {
     let start = Instant::now();
     let lag = Lag::new(start);
     lag.on_turn_start(start, Duration::ZERO);
@@ -65,23 +65,23 @@
 }
 
 #[test]
-fn a_stop_between_two_turns_counts_from_the_end_of_the_first() {
+fn stall_between_turns_counts_from_the_end_of_the_previous_turn() {
     let start = Instant::now();
     let lag = Lag::new(start);
     lag.on_turn_start(start, 10 * MS);
     lag.on_turn_end(start + 5 * MS);
-    let woken = start + 500 * MS;
-    lag.on_turn_start(woken, 10 * MS);
+    let resumed = start + 500 * MS;
+    lag.on_turn_start(resumed, 10 * MS);
     assert_eq!(
-        lag.earliest_arrival(woken + MS),
+        lag.earliest_arrival(resumed + MS),
         start + 5 * MS,
-        "in the turn after the stop"
+        "in the turn after the stall"
     );
-    lag.on_turn_end(woken + MS);
-    lag.on_turn_start(woken + MS, Duration::ZERO);
+    lag.on_turn_end(resumed + MS);
+    lag.on_turn_start(resumed + MS, Duration::ZERO);
     assert_eq!(
-        lag.earliest_arrival(woken + 2 * MS),
+        lag.earliest_arrival(resumed + 2 * MS),
         start + 5 * MS,
-        "in the next"
+        "in the next turn"
     );
 }
--- a/net/sockets/tests/timers.rs
+++ b/net/sockets/tests/timers.rs
@@ -1,4 +1,4 @@
-//! Sleeps end in order and in time, and leave nothing behind.
+//! Sleeps complete in order, never early, and leave no timeout behind.
 
 use calloop::EventLoop;
 use std::cell::{Cell, RefCell};
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use tansy_net_sockets::Spawner;
 
-/// Runs a loop until the flag is set, at most so many seconds.
+/// Runs the event loop until `done` is set, for at most `seconds`.
 fn run(event_loop: &mut EventLoop<'static, ()>, done: &Cell<bool>, seconds: u64) {
     let until = Instant::now() + Duration::from_secs(seconds);
     while !done.get() && Instant::now() < until {
@@ -14,38 +14,38 @@
             .dispatch(Some(Duration::from_millis(100)), &mut ())
             .unwrap();
     }
-    assert!(done.get(), "not done in {seconds} s");
+    assert!(done.get(), "not done within {seconds} s");
 }
 
 #[test]
-fn sleeps_end_in_their_order_and_none_early() {
+fn sleeps_complete_in_order_and_never_early() {
     let mut event_loop = EventLoop::try_new().unwrap();
     let spawner = Spawner::new(event_loop.handle()).unwrap();
-    let (ended, done) = (Rc::new(RefCell::new(Vec::new())), Rc::new(Cell::new(false)));
-    // Set in an order that arms the timer anew, and leaves it as it is.
+    let (completed, done) = (Rc::new(RefCell::new(Vec::new())), Rc::new(Cell::new(false)));
+    // Some of these rearm the timer, others do not.
     for ms in [30u64, 5, 20, 1, 0, 40] {
-        let (sleeper, ended, done) = (spawner.clone(), ended.clone(), done.clone());
+        let (sleeper, completed, done) = (spawner.clone(), completed.clone(), done.clone());
         spawner.spawn(async move {
-            let began = Instant::now();
+            let start = Instant::now();
             sleeper.sleep(Duration::from_millis(ms)).await;
             assert!(
-                began.elapsed() >= Duration::from_millis(ms),
-                "{ms} ms ended early"
+                start.elapsed() >= Duration::from_millis(ms),
+                "the sleep of {ms} ms completed early"
             );
-            ended.borrow_mut().push(ms);
-            done.set(ended.borrow().len() == 6);
+            completed.borrow_mut().push(ms);
+            done.set(completed.borrow().len() == 6);
         });
     }
     run(&mut event_loop, &done, 10);
-    assert_eq!(*ended.borrow(), [0, 1, 5, 20, 30, 40]);
+    assert_eq!(*completed.borrow(), [0, 1, 5, 20, 30, 40]);
 }
 
 #[test]
-fn a_sleep_that_is_dropped_leaves_nothing_and_one_that_never_ends_stands_no_one_in_the_way() {
+fn dropped_sleeps_are_removed_and_endless_sleeps_delay_no_others() {
     let mut event_loop = EventLoop::try_new().unwrap();
     let spawner = Spawner::new(event_loop.handle()).unwrap();
     let timers = spawner.timers().clone();
-    let for_ever = spawner.sleep(Duration::MAX);
+    let endless = spawner.sleep(Duration::MAX);
     for _ in 0..1000 {
         drop(spawner.sleep(Duration::from_millis(1)));
     }
@@ -58,6 +58,6 @@
     });
     run(&mut event_loop, &done, 10);
     assert_eq!(timers.pending(), 1);
-    drop(for_ever);
+    drop(endless);
     assert_eq!(timers.pending(), 0);
 }
