--- a/net/grpc/src/exchange.rs
+++ b/net/grpc/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request on a link and its answer: from its start to exactly one [`Ending`].
+//! One request on a link and its response, from the start to exactly one [`Ending`].
 
 use crate::link::Connection;
 use bytes::Bytes;
@@ -11,39 +11,39 @@
 use tansy_frames::grpc::{Assembler, Code, FrameError};
 use thiserror::Error;
 
-/// How far an answer has come.
+/// How much of the response has arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Progress {
-    /// Nothing.
+    /// No part of it.
     Nothing,
-    /// Its headers.
+    /// The headers.
     Headers,
     /// At least one message.
     Messages,
 }
 
-/// Why what came is no answer.
+/// Why a response is invalid.
 #[derive(Clone, Debug, Error)]
 pub enum ResponseError {
-    /// The status of HTTP says so.
+    /// The HTTP status is not 200, and there is no `grpc-status`.
     #[error("HTTP status {0} without a grpc-status")]
     HttpStatus(StatusCode),
-    /// It is not gRPC.
-    #[error("a content-type other than application/grpc")]
+    /// The content type is not that of gRPC.
+    #[error("the content-type is not application/grpc")]
     ContentType,
-    /// A unary call has one answer.
-    #[error("a second answer to a unary call")]
+    /// A unary call received a second message.
+    #[error("a unary call received a second message")]
     SecondMessage,
-    /// Its bytes are not messages, or one is too long or compressed.
+    /// A message is malformed, compressed or too long.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The stream ended within a message.
-    #[error("a message cut short by the end of its stream")]
+    /// The stream ended in the middle of a message.
+    #[error("the stream ended in the middle of a message")]
     Truncated,
-    /// The HTTP/2 library rejected it.
-    #[error("an answer that breaks HTTP/2: {0}")]
+    /// The HTTP/2 library detected a protocol error.
+    #[error("HTTP/2 protocol error: {0}")]
     Protocol(String),
-    /// The reader of the exchange rejected it.
+    /// The user of the exchange rejected the response.
     #[error("{0}")]
     Rejected(String),
 }
@@ -51,37 +51,37 @@
 /// How an exchange ended.
 #[derive(Clone, Debug)]
 pub enum Ending {
-    /// A status came; with the trailers (the headers, if it came in those).
+    /// A gRPC status, with the trailers that carried it (or the headers, for Trailers-Only).
     Status(Code, HeaderMap),
-    /// RST_STREAM from the server, with its code.
+    /// The server sent RST_STREAM with this error code.
     Reset(u32),
-    /// The connection ended.
+    /// The connection was lost.
     ConnectionLost,
-    /// A GOAWAY named a last stream below this one.
+    /// The server sent a GOAWAY with a lower last stream id: it has not processed the request.
     RefusedByGoaway,
-    /// Its HEADERS never left.
+    /// HEADERS were never sent.
     NotSent,
-    /// It ended without trailers.
+    /// The stream ended without a gRPC status.
     NoTrailers,
-    /// What came is no answer.
+    /// The response is invalid.
     InvalidResponse(ResponseError),
-    /// Cancelled by us, and the RST_STREAM has left or the connection has ended.
+    /// Cancelled by the client; RST_STREAM has been sent or the connection has ended.
     Cancelled,
 }
 
-/// What happens to an exchange.
+/// An event of an exchange.
 #[derive(Debug)]
 pub enum ExchangeEvent {
-    /// A message came.
+    /// A message arrived.
     Message(Bytes),
-    /// It has ended; nothing follows.
+    /// The exchange has ended; no further event follows.
     Ended(Ending, Progress),
 }
 
-/// The answer's next event; an error is an answer that is none, to be closed by us.
-type AnswerEvent = Result<ExchangeEvent, ResponseError>;
+/// The next event of the response. An error is an invalid response, whose stream is to be closed.
+type ResponseEvent = Result<ExchangeEvent, ResponseError>;
 
-/// One request and its answer.
+/// One request and its response.
 pub struct Exchange {
     connection: Connection,
     stream: u32,
@@ -91,7 +91,7 @@
     assembler: Assembler,
     unary: bool,
     progress: Progress,
-    /// Bytes that were read and whose room the server has not got back.
+    /// Bytes read for which flow control capacity has not been released.
     unreleased: usize,
     data_done: bool,
     closing: Option<Ending>,
@@ -100,7 +100,7 @@
 }
 
 impl Exchange {
-    /// Opens a stream on a connection that is ready for one, sends the request and ends its own side.
+    /// Opens a stream on a ready connection, and sends the whole request.
     pub fn start(
         mut connection: Connection,
         request: Request<()>,
@@ -111,7 +111,8 @@
         let (response, mut send) = connection.send.send_request(request, false)?;
         let stream = send.stream_id().as_u32();
         connection.traffic.borrow_mut().track(stream);
-        // Queued whole: a message is bounded where it came in, and it is shared, not copied.
+        // Queued without regard to flow control: the message's size is already limited, and `Bytes` shares its
+        // memory.
         let queued = send.send_data(body, true);
         let closing = queued.err().map(|_| Ending::ConnectionLost);
         Ok(Exchange {
@@ -131,7 +132,7 @@
         })
     }
 
-    /// Whether its HEADERS have left.
+    /// Whether HEADERS have been sent.
     pub fn headers_sent(&self) -> bool {
         self.connection
             .traffic
@@ -140,12 +141,12 @@
             .is_some_and(|stream| stream.headers_sent)
     }
 
-    /// Cancels it: RST_STREAM with CANCEL once its HEADERS have left.
+    /// Cancels the exchange. RST_STREAM(CANCEL) is sent once HEADERS have been sent.
     pub fn cancel(&mut self) {
         self.close(Ending::Cancelled);
     }
 
-    /// Closes it because what came is no answer.
+    /// Closes the exchange because its response is invalid.
     pub fn reject(&mut self, reason: String) {
         self.close(Ending::InvalidResponse(ResponseError::Rejected(reason)));
     }
@@ -156,17 +157,17 @@
         self.body = None;
     }
 
-    /// Lets the server send as much again as was read: the reader has room.
+    /// Releases flow control capacity for the bytes read, so that the server can send more.
     pub fn release_capacity(&mut self) {
         if let Some(body) = &mut self.body {
-            // Fails only on more than was read.
+            // Fails only if more is released than was received.
             let _ = body
                 .flow_control()
                 .release_capacity(std::mem::take(&mut self.unreleased));
         }
     }
 
-    /// The next event. After `Ended` there is none.
+    /// Resolves to the next event; stays pending after `Ended`.
     pub fn poll_event(&mut self, cx: &mut Context<'_>) -> Poll<ExchangeEvent> {
         if self.ended {
             return Poll::Pending;
@@ -174,7 +175,7 @@
         if self.closing.is_some() {
             return self.poll_closing(cx);
         }
-        match ready!(self.poll_answer(cx)) {
+        match ready!(self.poll_response(cx)) {
             Ok(ExchangeEvent::Ended(ending, _)) => Poll::Ready(self.end(ending)),
             Ok(event) => Poll::Ready(event),
             Err(error) => {
@@ -184,10 +185,11 @@
         }
     }
 
-    /// Ready once nothing of it can still leave: its reset has left, both sides have ended, or the connection has.
+    /// Ready once nothing more can be sent on the stream: RST_STREAM has been sent, both sides have ended, or the
+    /// connection has.
     fn poll_closing(&mut self, cx: &mut Context<'_>) -> Poll<ExchangeEvent> {
         let mut traffic = self.connection.traffic.borrow_mut();
-        let cut = traffic.ended;
+        let connection_ended = traffic.ended;
         let (headers_sent, closed) = match traffic.watch_stream(self.stream, cx) {
             Some(stream) => (stream.headers_sent, stream.is_closed()),
             None => (true, true),
@@ -197,7 +199,7 @@
             self.reset_sent = true;
             self.send.send_reset(Reason::CANCEL);
         }
-        if !(cut || headers_sent && closed) {
+        if !(connection_ended || headers_sent && closed) {
             return Poll::Pending;
         }
         let ending = self.closing.take().filter(|_| headers_sent);
@@ -209,7 +211,7 @@
         ExchangeEvent::Ended(ending, self.progress)
     }
 
-    fn poll_answer(&mut self, cx: &mut Context<'_>) -> Poll<AnswerEvent> {
+    fn poll_response(&mut self, cx: &mut Context<'_>) -> Poll<ResponseEvent> {
         if let Some(response) = &mut self.response {
             let response = ready!(Pin::new(response).poll(cx));
             let event = match response {
@@ -223,14 +225,14 @@
         self.poll_body(cx)
     }
 
-    /// Takes the head of the response; an event if it is all of the answer, or none.
-    fn on_response_head(&mut self, response: Response<RecvStream>) -> Option<AnswerEvent> {
+    /// Processes the response head. Returns an event if the response ends with it or is invalid.
+    fn on_response_head(&mut self, response: Response<RecvStream>) -> Option<ResponseEvent> {
         self.response = None;
         let (head, body) = response.into_parts();
         let ends = body.is_end_stream();
         self.body = Some(body);
         if ends && head.headers.contains_key("grpc-status") {
-            return Some(Ok(self.ended_by(status(head.headers))));
+            return Some(Ok(self.ended_event(status_ending(head.headers))));
         }
         if head.status != StatusCode::OK {
             return Some(Err(ResponseError::HttpStatus(head.status)));
@@ -243,7 +245,7 @@
         None
     }
 
-    fn poll_body(&mut self, cx: &mut Context<'_>) -> Poll<AnswerEvent> {
+    fn poll_body(&mut self, cx: &mut Context<'_>) -> Poll<ResponseEvent> {
         loop {
             match self.assembler.next_message() {
                 Ok(Some(_)) if self.unary && self.progress == Progress::Messages => {
@@ -274,25 +276,25 @@
     fn on_data(&mut self, bytes: &[u8]) {
         self.unreleased += bytes.len();
         self.assembler.push(bytes);
-        // A message longer than the window must be able to grow to its limit.
+        // A message may be larger than the window; release capacity until it is complete.
         if self.unary || self.unreleased > 0 && !self.assembler.has_message() {
             self.release_capacity();
         }
     }
 
-    fn on_trailers(&self, trailers: Result<Option<HeaderMap>, h2::Error>) -> AnswerEvent {
+    fn on_trailers(&self, trailers: Result<Option<HeaderMap>, h2::Error>) -> ResponseEvent {
         match trailers {
             Err(error) => self.on_error(&error),
             Ok(_) if !self.assembler.is_empty() => Err(ResponseError::Truncated),
             Ok(Some(trailers)) if trailers.contains_key("grpc-status") => {
-                Ok(self.ended_by(status(trailers)))
+                Ok(self.ended_event(status_ending(trailers)))
             }
-            Ok(_) => Ok(self.ended_by(Ending::NoTrailers)),
+            Ok(_) => Ok(self.ended_event(Ending::NoTrailers)),
         }
     }
 
-    /// The end of the answer by an error of the HTTP/2 library, distinguished by what has passed on the connection.
-    fn on_error(&self, error: &h2::Error) -> AnswerEvent {
+    /// Maps an error of the HTTP/2 library to an ending, using the frames transferred on the connection.
+    fn on_error(&self, error: &h2::Error) -> ResponseEvent {
         let traffic = self.connection.traffic.borrow();
         let stream = traffic.stream(self.stream);
         let headers_sent = stream.is_some_and(|stream| stream.headers_sent);
@@ -307,10 +309,10 @@
         } else {
             Ending::ConnectionLost
         };
-        Ok(self.ended_by(ending))
+        Ok(self.ended_event(ending))
     }
 
-    fn ended_by(&self, ending: Ending) -> ExchangeEvent {
+    fn ended_event(&self, ending: Ending) -> ExchangeEvent {
         ExchangeEvent::Ended(ending, self.progress)
     }
 }
@@ -321,7 +323,7 @@
     }
 }
 
-fn status(headers: HeaderMap) -> Ending {
+fn status_ending(headers: HeaderMap) -> Ending {
     let code = headers
         .get("grpc-status")
         .map_or(Code::Unknown, |v| Code::parse(v.as_bytes()));
--- a/net/grpc/src/io.rs
+++ b/net/grpc/src/io.rs
@@ -1,4 +1,5 @@
-//! A socket on the loop with the traits that the HTTP/2 library wants; what passes is followed by its frames.
+//! Adapts a socket of the event loop to the I/O traits that the HTTP/2 library requires, and reports transferred
+//! bytes to [`ConnectionTraffic`].
 
 use crate::traffic::ConnectionTraffic;
 use std::cell::RefCell;
@@ -9,13 +10,13 @@
 use tansy_net_sockets::socket::Socket;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes that wait for the kernel at most; beyond it the library is held back.
-const MAX_UNSENT: usize = 256 * 1024;
-/// An empty outbox keeps no more room than this: most connections are idle.
+/// Maximum number of unsent bytes buffered before writes are blocked.
+const MAX_UNSENT_BYTES: usize = 256 * 1024;
+/// Capacity that an empty buffer keeps. Most connections are idle, so it is small.
 const IDLE_CAPACITY: usize = 16 * 1024;
 
-/// What a connection has to send: the library hands over frame by frame, the kernel gets them together.
-struct Outbox {
+/// Bytes to be sent. The library writes frame by frame; the buffer combines them into one system call.
+struct SendBuffer {
     bytes: Vec<u8>,
     sent: usize,
 }
@@ -23,53 +24,54 @@
 struct Shared {
     socket: Socket,
     traffic: Option<Rc<RefCell<ConnectionTraffic>>>,
-    outbox: RefCell<Outbox>,
+    send_buffer: RefCell<SendBuffer>,
 }
 
 impl Shared {
-    fn aborted(&self) -> bool {
+    fn is_aborted(&self) -> bool {
         let traffic = self.traffic.as_ref();
         traffic.is_some_and(|traffic| traffic.borrow().aborted)
     }
 }
 
-/// The library's half of a socket. What it writes leaves when the connection's driver flushes its [`Flusher`].
+/// The half of a socket used by the HTTP/2 library. Written data is buffered until the connection's driver calls
+/// [`Flusher::poll_flush`].
 pub struct BufferedSocket(Rc<Shared>);
 
-/// The driver's half of a socket.
+/// The half of a socket used by the connection's driver.
 pub struct Flusher(Rc<Shared>);
 
-/// Both halves of a socket; its frames are reported to `traffic` as they leave and come.
+/// Splits a socket into its two halves. Bytes sent and received are reported to `traffic`.
 pub fn split(
     socket: Socket,
     traffic: Option<Rc<RefCell<ConnectionTraffic>>>,
 ) -> (BufferedSocket, Flusher) {
-    let outbox = RefCell::new(Outbox {
+    let send_buffer = RefCell::new(SendBuffer {
         bytes: Vec::new(),
         sent: 0,
     });
     let shared = Rc::new(Shared {
         socket,
         traffic,
-        outbox,
+        send_buffer,
     });
     (BufferedSocket(shared.clone()), Flusher(shared))
 }
 
-fn aborted() -> io::Error {
-    io::Error::new(io::ErrorKind::ConnectionAborted, "dropped: it took nothing")
+fn aborted_error() -> io::Error {
+    io::Error::new(io::ErrorKind::ConnectionAborted, "connection aborted")
 }
 
 impl Flusher {
-    /// Sends what waits; ready when all has left.
+    /// Sends the buffered bytes; ready once all are sent.
     pub fn poll_flush(&self, cx: &Context<'_>) -> Poll<io::Result<()>> {
         let shared = &self.0;
-        let mut outbox = shared.outbox.borrow_mut();
-        while outbox.sent < outbox.bytes.len() {
-            if shared.aborted() {
-                return Poll::Ready(Err(aborted()));
+        let mut send_buffer = shared.send_buffer.borrow_mut();
+        while send_buffer.sent < send_buffer.bytes.len() {
+            if shared.is_aborted() {
+                return Poll::Ready(Err(aborted_error()));
             }
-            let unsent = &outbox.bytes[outbox.sent..];
+            let unsent = &send_buffer.bytes[send_buffer.sent..];
             let written = match ready!(shared.socket.poll_write(cx, unsent)) {
                 Ok(0) => return Poll::Ready(Err(io::ErrorKind::WriteZero.into())),
                 Ok(written) => written,
@@ -78,11 +80,11 @@
             if let Some(traffic) = &shared.traffic {
                 traffic.borrow_mut().on_sent(&unsent[..written]);
             }
-            outbox.sent += written;
+            send_buffer.sent += written;
         }
-        outbox.sent = 0;
-        outbox.bytes.clear();
-        outbox.bytes.shrink_to(IDLE_CAPACITY);
+        send_buffer.sent = 0;
+        send_buffer.bytes.clear();
+        send_buffer.bytes.shrink_to(IDLE_CAPACITY);
         Poll::Ready(Ok(()))
     }
 }
@@ -94,8 +96,8 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let shared = &self.0;
-        if shared.aborted() {
-            return Poll::Ready(Err(aborted()));
+        if shared.is_aborted() {
+            return Poll::Ready(Err(aborted_error()));
         }
         let read = ready!(shared.socket.poll_read(cx, buf.initialize_unfilled()))?;
         if let Some(traffic) = &shared.traffic {
@@ -115,22 +117,22 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let unsent = {
-            let outbox = self.0.outbox.borrow();
-            outbox.bytes.len() - outbox.sent
+            let send_buffer = self.0.send_buffer.borrow();
+            send_buffer.bytes.len() - send_buffer.sent
         };
-        if unsent >= MAX_UNSENT {
-            // The kernel must take something first.
+        if unsent >= MAX_UNSENT_BYTES {
+            // Wait until the kernel accepts some of the buffered bytes.
             ready!(Flusher(self.0.clone()).poll_flush(cx))?;
         }
-        if self.0.aborted() {
-            return Poll::Ready(Err(aborted()));
+        if self.0.is_aborted() {
+            return Poll::Ready(Err(aborted_error()));
         }
-        self.0.outbox.borrow_mut().bytes.extend_from_slice(buf);
+        self.0.send_buffer.borrow_mut().bytes.extend_from_slice(buf);
         Poll::Ready(Ok(buf.len()))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // The driver flushes once for all that its streams had to send.
+        // The driver flushes once for the data of all streams.
         Poll::Ready(Ok(()))
     }
 
--- a/net/grpc/src/lib.rs
+++ b/net/grpc/src/lib.rs
@@ -1,10 +1,11 @@
-//! gRPC over HTTP/2 on a calloop loop, one thread: listeners and server streams, links to servers and exchanges on
-//! them. What has really left or reached a socket is followed by its frame headers (`tansy_frames::tap`).
+//! gRPC over HTTP/2 on a single-threaded calloop event loop: servers, links to servers, and exchanges on them. Client
+//! connections follow the frame headers on the wire (`tansy_frames::tap`) to learn what was really sent and received.
 //!
-//! - [`io`], [`traffic`]: the socket under the HTTP/2 library, and what has passed on it.
-//! - [`link`], [`exchange`]: the client's side: one connection to a server, one request on it.
-//! - [`server`], [`requests`], [`responses`]: the server's side: connections, the messages of requests, answers.
-//! - [`status_server`]: a small port for health checks and counters.
+//! - [`io`], [`traffic`]: the buffered socket under the HTTP/2 library, and what has been transferred on it.
+//! - [`link`], [`exchange`]: the client side: a reconnecting connection to a server, and one request with its
+//!   response.
+//! - [`server`], [`requests`], [`responses`]: the server side: connections, request messages and responses.
+//! - [`status_server`]: an HTTP/1.1 server for health checks and counters.
 
 pub mod exchange;
 pub mod io;
--- a/net/grpc/src/link.rs
+++ b/net/grpc/src/link.rs
@@ -1,4 +1,4 @@
-//! A link to one server: one connection, made when it is first needed and made anew after it ended.
+//! A link to one server: a single connection, established on demand and re-established after it has ended.
 
 use crate::io::{split, BufferedSocket, Flusher};
 use crate::traffic::ConnectionTraffic;
@@ -15,12 +15,12 @@
 use tansy_net_sockets::socket::Socket;
 use tansy_net_sockets::{Spawner, Yield};
 
-/// Bounds of a link's connection.
+/// Limits of a link's connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes that may wait unread for one stream: what a client that does not read costs.
+    /// Flow control window of a stream: the maximum number of unread bytes buffered for it.
     pub stream_window: u32,
-    /// Bytes of headers accepted in one answer.
+    /// Maximum size of the headers of a response, bytes.
     pub header_bytes: u32,
 }
 
@@ -33,28 +33,28 @@
     }
 }
 
-/// The largest window of HTTP/2.
+/// The largest flow control window of HTTP/2 (RFC 9113, section 6.9.1).
 const MAX_WINDOW: u32 = (1 << 31) - 1;
-/// Cancelled streams that are remembered on one connection ...
+/// Maximum number of reset streams remembered per connection.
 const MAX_RESET_STREAMS: usize = 10_000;
-/// ... and for how long.
-const RESET_STREAM_MEMORY: Duration = Duration::from_secs(30);
+/// How long a reset stream is remembered.
+const RESET_STREAM_TTL: Duration = Duration::from_secs(30);
 
 /// An established connection.
 #[derive(Clone)]
 pub struct Connection {
     /// Opens streams.
     pub send: SendRequest<Bytes>,
-    /// What has passed on it.
+    /// The frames transferred on the connection.
     pub traffic: Rc<RefCell<ConnectionTraffic>>,
 }
 
-/// Why there is no connection.
+/// Why connecting failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectError {
-    /// Refused, unreachable, or ended in the handshake.
+    /// The connection was refused, the server is unreachable, or the handshake failed.
     Refused,
-    /// Given up by us.
+    /// The attempt was abandoned by the client.
     Abandoned,
 }
 
@@ -65,7 +65,7 @@
         attempt: u64,
     },
     Connected(Connection),
-    /// The end of the last try, for those that waited for it.
+    /// The result of the last attempt, for the tasks that wait for it.
     Failed {
         error: ConnectError,
         attempt: u64,
@@ -78,18 +78,18 @@
     address: SocketAddr,
     limits: Limits,
     state: RefCell<LinkState>,
-    tries: RefCell<u64>,
+    attempts: RefCell<u64>,
 }
 
 impl Link {
-    /// A link that is not connected yet.
+    /// Creates a link that is not connected.
     pub fn new(spawner: Spawner, address: SocketAddr, limits: Limits) -> Rc<Link> {
         Rc::new(Link {
             spawner,
             address,
             limits,
             state: RefCell::new(LinkState::Idle),
-            tries: RefCell::new(0),
+            attempts: RefCell::new(0),
         })
     }
 
@@ -98,7 +98,7 @@
         self.address
     }
 
-    /// The connection, made first if there is none that takes streams.
+    /// Returns the connection, after establishing it if there is none that accepts streams.
     pub fn connection(self: &Rc<Self>) -> Connecting {
         let attempt = self.ensure_connecting();
         Connecting {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Ends the connection at once: nothing more leaves on it; a try to connect is given up.
+    /// Aborts the connection without sending anything more, or abandons the attempt to connect.
     pub fn drop_connection(&self) {
         let mut state = self.state.borrow_mut();
         match &mut *state {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Lets go of the connection: it closes once nothing is open on it.
+    /// Releases the connection, which closes once no stream is open on it.
     pub fn retire(&self) {
         let mut state = self.state.borrow_mut();
         if matches!(*state, LinkState::Connected(_)) {
@@ -139,15 +139,15 @@
         let mut state = self.state.borrow_mut();
         match &*state {
             LinkState::Connected(connection) if is_usable(connection) => {
-                return *self.tries.borrow()
+                return *self.attempts.borrow()
             }
             LinkState::Connecting { attempt, .. } => return *attempt,
             _ => {}
         }
         let attempt = {
-            let mut tries = self.tries.borrow_mut();
-            *tries += 1;
-            *tries
+            let mut attempts = self.attempts.borrow_mut();
+            *attempts += 1;
+            *attempts
         };
         *state = LinkState::Connecting {
             waiting: Vec::new(),
@@ -155,19 +155,20 @@
         };
         let link = self.clone();
         self.spawner.spawn(async move {
-            let made = link.connect().await;
-            if let Some(driver) = link.on_connected(attempt, made) {
+            let result = link.connect().await;
+            if let Some(driver) = link.on_connected(attempt, result) {
                 driver.run().await;
             }
         });
         attempt
     }
 
-    /// A try to connect has ended; gives the driver of the connection, unless the try was abandoned meanwhile.
+    /// Handles the end of an attempt to connect. Returns the driver of the connection, unless the attempt was
+    /// abandoned.
     fn on_connected(
         &self,
         attempt: u64,
-        made: io::Result<(Connection, ConnectionDriver)>,
+        result: io::Result<(Connection, ConnectionDriver)>,
     ) -> Option<ConnectionDriver> {
         let mut state = self.state.borrow_mut();
         let LinkState::Connecting {
@@ -181,7 +182,7 @@
             return None;
         }
         let waiting = std::mem::take(waiting);
-        let driver = match made {
+        let driver = match result {
             Ok((connection, driver)) => {
                 *state = LinkState::Connected(connection);
                 Some(driver)
@@ -203,22 +204,22 @@
         let (socket, flusher) = split(socket, Some(traffic.clone()));
         let handshake = h2::client::Builder::new()
             .initial_window_size(self.limits.stream_window)
-            // Streams are bounded one by one; a slow one must not take the connection's window from the others.
+            // Streams have windows of their own; a slow stream must not exhaust the window of the connection.
             .initial_connection_window_size(MAX_WINDOW)
             .max_header_list_size(self.limits.header_bytes)
             .enable_push(false)
-            // Of cancelled streams the answers may still be under way. What the library no longer remembers it takes for
-            // a fault of the server, and after enough of them it would end the connection with all that is open on it.
+            // Responses to reset streams may still arrive. The library treats frames of forgotten streams as protocol
+            // errors of the server, and would close the connection after several of them.
             .max_concurrent_reset_streams(MAX_RESET_STREAMS)
-            .reset_stream_duration(RESET_STREAM_MEMORY)
+            .reset_stream_duration(RESET_STREAM_TTL)
             .max_local_error_reset_streams(None)
             .handshake::<_, Bytes>(socket);
         let mut handshake = std::pin::pin!(handshake);
         let (send, connection) = poll_fn(|cx| {
-            let made = handshake.as_mut().poll(cx);
-            // What does not leave at once leaves with the driver's first turn.
+            let result = handshake.as_mut().poll(cx);
+            // What cannot be sent now is sent by the driver.
             let _ = flusher.poll_flush(cx);
-            made
+            result
         })
         .await
         .map_err(io::Error::other)?;
@@ -231,7 +232,7 @@
     }
 }
 
-/// Drives one connection to its end.
+/// Drives a connection until it ends.
 struct ConnectionDriver {
     connection: HttpConnection<BufferedSocket, Bytes>,
     flusher: Flusher,
@@ -245,9 +246,9 @@
             flusher,
             traffic,
         } = self;
-        let mut others = Yield::new();
+        let mut yielder = Yield::new();
         let ended = poll_fn(|cx| {
-            ready!(others.poll(cx));
+            ready!(yielder.poll(cx));
             traffic.borrow_mut().set_driver(cx);
             if traffic.borrow().aborted {
                 return Poll::Ready(Ok(()));
@@ -259,21 +260,21 @@
             }
         });
         if let Err(error) = ended.await {
-            tracing::debug!(%error, "a worker's connection ended");
+            tracing::debug!(%error, "connection to server ended");
         }
-        // The socket goes first: from here on nothing can leave.
+        // Drop the socket first, so that nothing more is sent.
         drop((connection, flusher));
         traffic.borrow_mut().on_end();
     }
 }
 
-/// Whether a connection takes new streams.
+/// Whether the connection accepts new streams.
 fn is_usable(connection: &Connection) -> bool {
     let traffic = connection.traffic.borrow();
     !traffic.ended && !traffic.aborted && traffic.goaway.is_none()
 }
 
-/// Waits for a link's connection.
+/// Resolves to the link's connection.
 pub struct Connecting {
     link: Rc<Link>,
     attempt: u64,
@@ -295,7 +296,7 @@
             LinkState::Failed { error, attempt } if *attempt == self.attempt => {
                 Poll::Ready(Err(*error))
             }
-            // A later try is under way: the end of this one is past.
+            // A newer attempt has replaced this one.
             _ => Poll::Ready(Err(ConnectError::Abandoned)),
         }
     }
--- a/net/grpc/src/requests.rs
+++ b/net/grpc/src/requests.rs
@@ -1,4 +1,4 @@
-//! The messages that a client sends on one stream.
+//! The request messages of one stream.
 
 use bytes::Bytes;
 use h2::RecvStream;
@@ -9,28 +9,28 @@
 /// Why the messages of a request ended early.
 #[derive(Debug, Error)]
 pub enum StreamError {
-    /// The client cancelled, or its connection ended.
-    #[error("the client left")]
+    /// The client cancelled the request, or its connection was lost.
+    #[error("the client has left")]
     ClientLeft,
-    /// What came is no message.
+    /// A message is malformed, compressed or too long.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The stream ended within a message.
-    #[error("the stream ended within a message")]
+    /// The stream ended in the middle of a message.
+    #[error("the stream ended in the middle of a message")]
     Truncated,
-    /// A unary request of two messages.
-    #[error("two messages in a unary request")]
+    /// A unary request has more than one message.
+    #[error("a unary request has more than one message")]
     SecondMessage,
 }
 
-/// The messages that a client sends on one stream.
+/// Reads the messages that a client sends on one stream.
 pub struct RequestMessages {
     body: RecvStream,
     assembler: Assembler,
 }
 
 impl RequestMessages {
-    /// Of a request's body, with a limit on one message.
+    /// Reads messages of at most `limit` bytes from a request's body.
     pub fn new(body: RecvStream, limit: usize) -> RequestMessages {
         RequestMessages {
             body,
@@ -38,8 +38,8 @@
         }
     }
 
-    /// The one message of a unary request, read to the end of its stream: a client that ends it with a frame of its own
-    /// must not find the stream closed. `None` if none came; a second one is an error.
+    /// Reads the message of a unary request up to the end of its stream, since a client may send END_STREAM in a
+    /// frame of its own. Resolves to `None` if there is no message, and to an error if there are several.
     pub fn poll_unary(
         &mut self,
         first: &mut Option<Bytes>,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The next message; `None` when the client has sent its last.
+    /// Resolves to the next message, or to `None` at the end of the stream.
     pub fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, StreamError>> {
         loop {
             match self.assembler.next_message() {
@@ -67,7 +67,7 @@
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Some(Ok(bytes))) => {
                     self.assembler.push(&bytes);
-                    // Fails only on more than was read.
+                    // Fails only if more is released than was received.
                     let _ = self.body.flow_control().release_capacity(bytes.len());
                 }
                 Poll::Ready(Some(Err(_))) => return Poll::Ready(Err(StreamError::ClientLeft)),
--- a/net/grpc/src/responses.rs
+++ b/net/grpc/src/responses.rs
@@ -1,4 +1,4 @@
-//! Answers of a server: headers, messages, trailers.
+//! Responses of a server: headers, messages and trailers.
 
 use bytes::Bytes;
 use h2::server::SendResponse;
@@ -7,8 +7,8 @@
 use std::task::{ready, Context, Poll};
 use tansy_frames::grpc::{encode_message, frame, Code};
 
-/// Sends bytes as far as the other side takes them, which are then taken off; ready when all are sent. An error: it has
-/// gone.
+/// Sends bytes as far as flow control permits and removes them from `bytes`; ready once all are sent. Fails if the
+/// client has left.
 pub fn poll_write(
     send: &mut SendStream<Bytes>,
     bytes: &mut Bytes,
@@ -30,7 +30,7 @@
     Poll::Ready(Ok(()))
 }
 
-/// Response headers of gRPC.
+/// The response headers of gRPC.
 pub fn response_headers() -> Response<()> {
     let mut response = Response::new(());
     let kind = HeaderValue::from_static("application/grpc");
@@ -40,7 +40,7 @@
     response
 }
 
-/// Trailers with a status; `message` may be empty.
+/// Trailers with a status, and with a message unless it is empty.
 pub fn status_trailers(code: Code, message: &str) -> HeaderMap {
     let mut map = HeaderMap::with_capacity(4);
     map.insert("grpc-status", HeaderValue::from(u16::from(code.number())));
@@ -52,9 +52,9 @@
     map
 }
 
-/// Answers a unary request: headers, one message, trailers.
+/// Responds to a unary request with headers, one message and trailers.
 pub fn respond_unary(mut respond: SendResponse<Bytes>, message: &[u8], trailers: HeaderMap) {
-    // Fails only if the client has gone.
+    // Fails only if the client has left.
     if let Ok(mut send) = respond.send_response(response_headers(), false) {
         let _ = send
             .send_data(frame(message), false)
@@ -62,10 +62,10 @@
     }
 }
 
-/// Ends a stream with its status in the headers ("Trailers-Only").
+/// Responds with the status in the headers ("Trailers-Only").
 pub fn respond_trailers_only(respond: &mut SendResponse<Bytes>, trailers: HeaderMap) {
     let mut response = response_headers();
     response.headers_mut().extend(trailers);
-    // Fails only if the client has gone.
+    // Fails only if the client has left.
     let _ = respond.send_response(response, true);
 }
--- a/net/grpc/src/server.rs
+++ b/net/grpc/src/server.rs
@@ -1,4 +1,4 @@
-//! A listener and the connections of its clients.
+//! A listener and its client connections.
 
 use crate::io::{split, BufferedSocket, Flusher};
 use bytes::Bytes;
@@ -25,20 +25,20 @@
     poll_write, respond_trailers_only, respond_unary, response_headers, status_trailers,
 };
 
-/// Bounds of what clients may do.
+/// Limits for clients.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Connections at once; further ones wait in the kernel's queue.
+    /// Maximum number of connections; further ones wait in the kernel's accept queue.
     pub connections: usize,
-    /// Streams on one connection.
+    /// Maximum number of concurrent streams per connection.
     pub streams: u32,
-    /// Bytes of headers in one request.
+    /// Maximum size of the headers of a request, bytes.
     pub header_bytes: u32,
-    /// Bytes that may wait unread for one stream.
+    /// Flow control window of a stream: the maximum number of unread bytes buffered for it.
     pub stream_window: u32,
-    /// Bytes of one message.
+    /// Maximum size of a message, bytes.
     pub message_bytes: usize,
-    /// Time to send the connection's preface.
+    /// Time limit for the HTTP/2 handshake.
     pub preface_timeout: Duration,
 }
 
@@ -55,47 +55,47 @@
     }
 }
 
-/// After an error of accept the next try comes so much later.
+/// Delay before accepting again after an error.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Time for the last frames of a connection that ends.
+/// Time limit for flushing the last frames of a connection that ends.
 const LAST_FRAMES_TIMEOUT: Duration = Duration::from_secs(1);
-/// The largest window of HTTP/2.
+/// The largest flow control window of HTTP/2 (RFC 9113, section 6.9.1).
 const MAX_WINDOW: u32 = (1 << 31) - 1;
-/// Cancelled streams that are remembered on one connection.
+/// Maximum number of reset streams remembered per connection.
 const MAX_RESET_STREAMS: usize = 1000;
 
-/// Takes one request and the way to answer it.
+/// Handles a request; responds through the given handle.
 pub type RequestHandler = Rc<dyn Fn(Request<RecvStream>, SendResponse<Bytes>)>;
 
-/// The listener, and what of the loop waits for connections on it.
+/// The listener and its event sources.
 struct Listening {
     listener: Rc<TcpListener>,
     sources: Vec<RegistrationToken>,
 }
 
-/// A listener's connections.
+/// A listener and its open connections.
 pub struct Server {
     spawner: Spawner,
     limits: Limits,
     handler: RequestHandler,
     connections: Cell<usize>,
     closing: Cell<bool>,
-    /// After an error of accept, until it is tried again.
+    /// Whether accepting is paused after an error.
     accept_paused: Cell<bool>,
-    /// Counts up each time that all connections are to be dropped, and that all are to be drained: a connection that
-    /// began at a lower count is meant.
+    /// Number of calls of `drop_connections` and of `drain_connections`. A connection is affected if the number has
+    /// risen since the connection began.
     drops: Cell<u64>,
     drains: Cell<u64>,
-    /// Of the connections' drivers, by connection: each is found without a look at the others.
+    /// Wakers of the connection drivers, by connection number.
     wakers: RefCell<HashMap<u64, Waker>>,
     next_connection: Cell<u64>,
-    resume: RefCell<Option<Ping>>,
-    /// Until the server is closed.
+    resume_accept: RefCell<Option<Ping>>,
+    /// The open listener; none once the server is closed.
     listening: RefCell<Option<Listening>>,
 }
 
 impl Server {
-    /// Serves the connections of a listener, each request by the handler.
+    /// Starts serving the connections of a listener; `handler` is called with each request.
     pub fn start(
         spawner: Spawner,
         listener: TcpListener,
@@ -114,7 +114,7 @@
             drains: Cell::new(0),
             wakers: RefCell::new(HashMap::new()),
             next_connection: Cell::new(0),
-            resume: RefCell::new(None),
+            resume_accept: RefCell::new(None),
             listening: RefCell::new(None),
         });
         server.listen(Rc::new(listener))?;
@@ -122,13 +122,13 @@
     }
 
     fn listen(self: &Rc<Self>, listener: Rc<TcpListener>) -> io::Result<()> {
-        // A listener that is full is not read until a connection ends; the ping wakes it.
-        let (ping, pinged) = make_ping()?;
-        *self.resume.borrow_mut() = Some(ping);
+        // At the connection limit the listener is not read; the ping resumes accepting when a connection ends.
+        let (ping, ping_source) = make_ping()?;
+        *self.resume_accept.borrow_mut() = Some(ping);
         let source = Generic::new(
-            OwnedListener(listener.try_clone()?),
+            ListenerSource(listener.try_clone()?),
             Interest::READ,
-            // Edge: what is left in the queue when the server is full is taken when a connection ends.
+            // Edge-triggered: connections left in the queue at the limit are accepted after the ping.
             Mode::Edge,
         );
         let handle = self.spawner.handle();
@@ -141,7 +141,7 @@
         let readable = readable.map_err(|error| io::Error::other(error.to_string()))?;
         let server = self.clone();
         let accepted = listener.clone();
-        let resumed = handle.insert_source(IgnoreInterrupts(pinged), move |(), _, ()| {
+        let resumed = handle.insert_source(IgnoreInterrupts(ping_source), move |(), _, ()| {
             server.accept(&accepted);
         });
         let resumed = resumed.map_err(|error| io::Error::other(error.to_string()))?;
@@ -158,10 +158,10 @@
             .for_each(Waker::wake);
     }
 
-    /// Takes no new connection, and tells clients to open no new stream; those open go on.
+    /// Stops accepting connections, and tells clients to open no new streams; open streams continue.
     ///
-    /// Connections that the kernel has taken by now are served as the others; whoever comes later is turned away by the
-    /// kernel, and knows at once to go elsewhere. Left in the queue, they would wait for an answer that never comes.
+    /// Connections in the kernel's accept queue are accepted first. Later ones are refused by the kernel, so that
+    /// their clients can try another server at once; left in the queue, they would never be answered.
     pub fn close(self: &Rc<Self>) {
         let listening = self.listening.borrow_mut().take();
         if let Some(listening) = listening {
@@ -174,19 +174,19 @@
         self.wake_all();
     }
 
-    /// Ends every connection at once, with all that is open on it.
+    /// Ends all connections immediately, with all of their streams.
     pub fn drop_connections(&self) {
         self.drops.set(self.drops.get() + 1);
         self.wake_all();
     }
 
-    /// Tells the clients of all connections to open no new stream there; new connections are taken.
+    /// Tells the clients of all connections to open no new streams on them; new connections are accepted.
     pub fn drain_connections(&self) {
         self.drains.set(self.drains.get() + 1);
         self.wake_all();
     }
 
-    /// Connections at this moment.
+    /// The number of open connections.
     pub fn connections(&self) -> usize {
         self.connections.get()
     }
@@ -196,22 +196,23 @@
             match listener.accept() {
                 Ok((socket, _)) => {
                     if let Err(error) = self.start_connection(socket) {
-                        tracing::warn!(%error, "a connection could not be taken");
+                        tracing::warn!(%error, "cannot serve accepted connection");
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // The call was interrupted, or the connection died in the queue: the next one may fare better.
+                // The call was interrupted, or the connection was closed while queued: try the next one.
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(error) => {
-                    tracing::warn!(%error, "accepting rests");
+                    tracing::warn!(%error, "cannot accept connections; pausing");
                     return self.pause_accepting();
                 }
             }
         }
     }
 
-    /// Accepts again after a while: the listener is signalled by edges, and nobody else may come.
+    /// Accepts again after a delay. The listener is edge-triggered, so no event may report the connections left in
+    /// the queue.
     fn pause_accepting(self: &Rc<Self>) {
         if self.accept_paused.replace(true) {
             return;
@@ -242,11 +243,11 @@
                 .replace(server.next_connection.get() + 1);
             server.serve(number, socket, &flusher).await;
             server.wakers.borrow_mut().remove(&number);
-            // The last frames, if the other side takes them.
+            // Flush the last frames, if the client reads them.
             let last = poll_fn(|cx| flusher.poll_flush(cx));
             within(server.spawner.sleep(LAST_FRAMES_TIMEOUT), last).await;
             server.connections.set(server.connections.get() - 1);
-            if let Some(ping) = &*server.resume.borrow() {
+            if let Some(ping) = &*server.resume_accept.borrow() {
                 ping.ping();
             }
         });
@@ -255,7 +256,7 @@
 
     async fn serve(&self, number: u64, socket: BufferedSocket, flusher: &Flusher) {
         let Some(connection) = self.handshake(socket, flusher).await else {
-            tracing::debug!("a connection without a preface in time was closed");
+            tracing::debug!("HTTP/2 handshake failed or timed out; connection closed");
             return;
         };
         let mut driver = ConnectionDriver {
@@ -266,14 +267,14 @@
             drops: self.drops.get(),
             drains: self.drains.get(),
             draining: false,
-            others: Yield::new(),
-            yields: false,
+            yielder: Yield::new(),
+            yield_first: false,
         };
         loop {
             match poll_fn(|cx| driver.poll_request(cx)).await {
                 Some(Ok((request, respond))) => (self.handler)(request, respond),
                 Some(Err(error)) => {
-                    tracing::debug!(%error, "a client's connection ended");
+                    tracing::debug!(%error, "client connection ended");
                     return;
                 }
                 None => return,
@@ -292,26 +293,27 @@
             .initial_connection_window_size(MAX_WINDOW)
             .max_concurrent_streams(limits.streams)
             .max_header_list_size(limits.header_bytes)
-            // Clients may cancel many calls at once; those that only open and cancel are still cut off.
+            // Clients may cancel many calls at once, but a client that does nothing but open and reset streams is
+            // disconnected.
             .max_concurrent_reset_streams(MAX_RESET_STREAMS)
             .max_pending_accept_reset_streams(MAX_RESET_STREAMS)
             .max_send_buffer_size(limits.stream_window as usize)
             .handshake::<_, Bytes>(socket);
         let limit = self.spawner.sleep(limits.preface_timeout);
         let mut handshake = Box::pin(handshake);
-        let made = poll_fn(|cx| {
-            let made = handshake.as_mut().poll(cx);
-            // What does not leave at once leaves with the next turn.
+        let completed = poll_fn(|cx| {
+            let result = handshake.as_mut().poll(cx);
+            // What cannot be sent now is sent by the driver.
             let _ = flusher.poll_flush(cx);
-            made
+            result
         });
-        within(limit, made).await?.ok()
+        within(limit, completed).await?.ok()
     }
 }
 
 type IncomingRequest = Result<(Request<RecvStream>, SendResponse<Bytes>), h2::Error>;
 
-/// Drives one connection from its handshake to its end.
+/// Drives a connection from the handshake to its end.
 struct ConnectionDriver<'a> {
     server: &'a Server,
     number: u64,
@@ -321,16 +323,16 @@
     drops: u64,
     drains: u64,
     draining: bool,
-    others: Yield,
-    /// Other tasks run before the next turn.
-    yields: bool,
+    yielder: Yield,
+    /// Whether to let other tasks run before the next poll.
+    yield_first: bool,
 }
 
 impl ConnectionDriver<'_> {
-    /// The next request; `None`: the connection has ended.
+    /// Resolves to the next request, or to `None` once the connection has ended.
     fn poll_request(&mut self, cx: &mut Context<'_>) -> Poll<Option<IncomingRequest>> {
-        if self.yields {
-            ready!(self.others.poll(cx));
+        if self.yield_first {
+            ready!(self.yielder.poll(cx));
         }
         if self.server.drops.get() != self.drops {
             return Poll::Ready(None);
@@ -341,8 +343,8 @@
             self.connection.graceful_shutdown();
         }
         let next = self.connection.poll_accept(cx);
-        // Of what has come in together, only the first waits for others.
-        self.yields = next.is_pending();
+        // Of several requests that arrived together, only the first is preceded by a yield.
+        self.yield_first = next.is_pending();
         if next.is_ready() {
             return next;
         }
@@ -358,10 +360,10 @@
     }
 }
 
-/// Lets a listener be polled without giving it up.
-struct OwnedListener(TcpListener);
+/// Allows an owned listener to be registered as an event source.
+struct ListenerSource(TcpListener);
 
-impl std::os::fd::AsFd for OwnedListener {
+impl std::os::fd::AsFd for ListenerSource {
     fn as_fd(&self) -> std::os::fd::BorrowedFd<'_> {
         self.0.as_fd()
     }
--- a/net/grpc/src/status_server.rs
+++ b/net/grpc/src/status_server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 port for health checks and counters: `GET` of a path, answered with a line of text.
+//! A small HTTP/1.1 server for health checks and counters: answers `GET` requests with one line of text.
 
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction};
@@ -10,20 +10,20 @@
 use tansy_net_sockets::socket::Socket;
 use tansy_net_sockets::{within, Spawner};
 
-/// Bytes of the head of one request.
+/// Maximum size of the head of a request.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Time for one request, and between two.
+/// Time limit for reading a request, including the wait for it, and for writing its response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// Connections at once; further ones are closed.
+/// Maximum number of connections; further ones are closed.
 const MAX_CONNECTIONS: usize = 256;
 
-/// Answers a path: the end of its status line, and its body.
-pub type Answers = Rc<dyn Fn(&str) -> (&'static str, String)>;
+/// Maps a path to the rest of the status line (code and reason) and the body.
+pub type StatusHandler = Rc<dyn Fn(&str) -> (&'static str, String)>;
 
-/// Serves the port on a listener.
-pub fn start(spawner: Spawner, listener: TcpListener, answers: Answers) -> io::Result<()> {
+/// Starts serving on a listener.
+pub fn start(spawner: Spawner, listener: TcpListener, handler: StatusHandler) -> io::Result<()> {
     listener.set_nonblocking(true)?;
-    // Counts the connections: each holds a clone.
+    // Counts open connections: each holds a clone.
     let open = Rc::new(());
     let handle = spawner.handle().clone();
     let source = Generic::new(listener, Interest::READ, Mode::Level);
@@ -35,7 +35,7 @@
                 };
                 let connection = StatusConnection {
                     spawner: spawner.clone(),
-                    answers: answers.clone(),
+                    handler: handler.clone(),
                     socket,
                     _open: open.clone(),
                 };
@@ -52,7 +52,7 @@
 
 struct StatusConnection {
     spawner: Spawner,
-    answers: Answers,
+    handler: StatusHandler,
     socket: Socket,
     _open: Rc<()>,
 }
@@ -66,14 +66,14 @@
             let Some(Ok(Some(request))) = request else {
                 return;
             };
-            let (status, body) = (self.answers)(&request.path);
-            let close = if request.keep_alive {
+            let (status, body) = (self.handler)(&request.path);
+            let connection_header = if request.keep_alive {
                 ""
             } else {
                 "Connection: close\r\n"
             };
             let response = format!(
-                "HTTP/1.1 {status}\r\nContent-Length: {}\r\n{close}\r\n{body}",
+                "HTTP/1.1 {status}\r\nContent-Length: {}\r\n{connection_header}\r\n{body}",
                 body.len()
             );
             let written = write(&self.socket, response.as_bytes());
@@ -85,7 +85,7 @@
     }
 }
 
-/// A request without a body. Its path is empty unless it is a `GET`.
+/// A request without a body. The path is empty unless the method is `GET`.
 struct StatusRequest {
     path: String,
     keep_alive: bool,
@@ -94,7 +94,7 @@
 impl StatusRequest {
     fn new(parsed: &httparse::Request<'_, '_>) -> StatusRequest {
         let headers = &*parsed.headers;
-        let closes = headers.iter().any(|header| {
+        let wants_close = headers.iter().any(|header| {
             header.name.eq_ignore_ascii_case("connection")
                 && header.value.eq_ignore_ascii_case(b"close")
         });
@@ -109,7 +109,7 @@
                 .filter(|_| is_get)
                 .unwrap_or_default()
                 .to_string(),
-            keep_alive: parsed.version == Some(1) && !closes && !has_body,
+            keep_alive: parsed.version == Some(1) && !wants_close && !has_body,
         }
     }
 }
@@ -118,7 +118,7 @@
     io::Error::new(io::ErrorKind::InvalidData, reason.into())
 }
 
-/// Reads one request; `None`: the other side has ended the connection.
+/// Reads a request; `None` if the client has closed the connection.
 async fn read_request(socket: &Socket, unread: &mut Vec<u8>) -> io::Result<Option<StatusRequest>> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; 64];
@@ -132,14 +132,14 @@
             return Ok(Some(request));
         }
         if unread.len() >= MAX_HEAD_BYTES {
-            return Err(invalid("a request head over the limit"));
+            return Err(invalid("request head exceeds the size limit"));
         }
-        let mut part = [0u8; 1024];
-        let read = poll_fn(|cx| socket.poll_read(cx, &mut part)).await?;
+        let mut chunk = [0u8; 1024];
+        let read = poll_fn(|cx| socket.poll_read(cx, &mut chunk)).await?;
         if read == 0 {
             return Ok(None);
         }
-        unread.extend_from_slice(&part[..read]);
+        unread.extend_from_slice(&chunk[..read]);
     }
 }
 
--- a/net/grpc/src/traffic.rs
+++ b/net/grpc/src/traffic.rs
@@ -1,26 +1,26 @@
-//! What has passed on a client's connection, by its frame headers: the proof of what a server can have received.
+//! Tracks the frames sent and received on a client connection, to determine what the server can have received.
 
 use std::collections::HashMap;
 use std::task::{Context, Waker};
 use tansy_frames::tap::{kind, Frame, Tap, END_STREAM};
 
-/// What has passed on one stream of a client's connection.
+/// The frames transferred on one stream of a client connection.
 #[derive(Debug, Default)]
 pub struct StreamTraffic {
-    /// Its HEADERS have left.
+    /// Whether HEADERS have been sent.
     pub headers_sent: bool,
-    /// Its END_STREAM or RST_STREAM has left.
+    /// Whether END_STREAM or RST_STREAM has been sent.
     pub end_sent: bool,
-    /// A RST_STREAM for it has left.
+    /// Whether RST_STREAM has been sent.
     pub reset_sent: bool,
-    /// The peer has ended or reset it.
+    /// Whether the server has ended or reset the stream.
     pub end_received: bool,
-    /// Woken by what passes: only a cancellation waits for that.
+    /// Wakes a cancelled exchange when the stream's state changes.
     waker: Option<Waker>,
 }
 
 impl StreamTraffic {
-    /// Whether nothing of it can still leave.
+    /// Whether nothing more can be sent on the stream.
     pub fn is_closed(&self) -> bool {
         self.reset_sent || self.end_received && self.end_sent
     }
@@ -32,17 +32,17 @@
     }
 }
 
-/// What has passed on a client's connection.
+/// The frames transferred on a client connection.
 #[derive(Debug)]
 pub struct ConnectionTraffic {
     outgoing: Tap,
     incoming: Tap,
     streams: HashMap<u32, StreamTraffic>,
-    /// The least last stream id of the GOAWAYs received.
+    /// The lowest last stream id of the GOAWAY frames received.
     pub goaway: Option<u32>,
-    /// The connection has ended; nothing more leaves.
+    /// Whether the connection has ended; nothing more is sent.
     pub ended: bool,
-    /// The socket is to be closed at the next touch, whatever the library holds for it.
+    /// Whether the connection is aborted: the next I/O fails, and unsent data is discarded.
     pub aborted: bool,
     driver: Option<Waker>,
 }
@@ -61,23 +61,23 @@
     }
 }
 
-/// Whether a frame ends its side of a stream in order.
+/// Whether a frame carries END_STREAM.
 fn ends_stream(frame: &Frame) -> bool {
     matches!(frame.kind, kind::HEADERS | kind::DATA) && frame.flags & END_STREAM != 0
 }
 
 impl ConnectionTraffic {
-    /// Tracks a stream from here on.
+    /// Starts tracking a stream.
     pub fn track(&mut self, stream: u32) {
         self.streams.entry(stream).or_default();
     }
 
-    /// No longer tracks it.
+    /// Stops tracking a stream.
     pub fn untrack(&mut self, stream: u32) {
         self.streams.remove(&stream);
     }
 
-    /// What has passed on a stream; wakes the task when that changes.
+    /// The state of a stream; wakes the task when it changes.
     pub fn watch_stream(&mut self, stream: u32, cx: &Context<'_>) -> Option<&StreamTraffic> {
         let stream = self.streams.get_mut(&stream)?;
         let known = stream.waker.as_ref();
@@ -87,12 +87,12 @@
         Some(stream)
     }
 
-    /// What has passed on a stream.
+    /// The state of a stream.
     pub fn stream(&self, stream: u32) -> Option<&StreamTraffic> {
         self.streams.get(&stream)
     }
 
-    /// Ends the connection without letting anything more leave.
+    /// Aborts the connection without sending anything more.
     pub fn abort(&mut self) {
         self.aborted = true;
         if let Some(driver) = self.driver.take() {
@@ -100,18 +100,18 @@
         }
     }
 
-    /// The task that drives the connection, woken by [`ConnectionTraffic::abort`].
+    /// Registers the task that drives the connection, to be woken by [`ConnectionTraffic::abort`].
     pub fn set_driver(&mut self, cx: &Context<'_>) {
         self.driver = Some(cx.waker().clone());
     }
 
-    /// The connection has ended: wakes all that watch a stream.
+    /// Marks the connection as ended and wakes all tasks that watch a stream.
     pub fn on_end(&mut self) {
         self.ended = true;
         self.streams.values_mut().for_each(StreamTraffic::wake);
     }
 
-    /// These bytes have left.
+    /// Processes bytes that were sent.
     pub(crate) fn on_sent(&mut self, bytes: &[u8]) {
         let streams = &mut self.streams;
         self.outgoing.feed(bytes, |frame: Frame| {
@@ -130,7 +130,7 @@
         });
     }
 
-    /// These bytes have come.
+    /// Processes bytes that were received.
     pub(crate) fn on_received(&mut self, bytes: &[u8]) {
         let streams = &mut self.streams;
         let goaway = &mut self.goaway;
