--- a/net/platform/src/client/connection.rs
+++ b/net/platform/src/client/connection.rs
@@ -20,14 +20,13 @@
     head: 4 * 1024,
     body: 16 * 1024,
 };
-/// Time limit for a connection's first request. Clients wait 3 s; the difference leaves time to deliver the response.
+/// Time limit for a connection's first request. The protocol sets 3 s; the difference leaves time to deliver the response.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2300);
 /// Time limit for a complete request, from its first byte.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2000);
 /// Minimum time to complete a first request whose first byte arrives late within [`FIRST_REQUEST_TIMEOUT`].
 const MIN_REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
-/// Idle time limit between requests. The protocol lets clients reuse a connection for 4 s; the margin covers the
-/// arrival of their close.
+/// Idle time limit between requests. The protocol sets 4 s; the difference leaves time for the client's close to arrive.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(5500);
 /// Time limit for a client to read its response.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1000);
@@ -292,7 +291,7 @@
         CloseReason::BadRequest
     }
 
-    /// Shuts down the sending side and drains the client's input for up to [`LINGER_TIMEOUT`]. Closing with unread
+    /// Shuts down the sending side and drains the client's input for a limited time. Closing with unread
     /// input would reset the connection and could discard the response.
     pub async fn linger(&self) {
         if self.socket.shutdown().is_err() {
--- a/net/platform/src/client/table.rs
+++ b/net/platform/src/client/table.rs
@@ -104,7 +104,7 @@
     }
 
     /// Evicts the oldest connection without input, else the oldest idle one, else the one whose request has been
-    /// incomplete for longest, if at least [`MIN_PARTIAL_AGE`]. Returns false if there is none.
+    /// incomplete for longest, if that is long enough. Returns false if there is none.
     pub fn evict_one(&self) -> bool {
         let open = self.open.borrow();
         let oldest_at = |phase| {
--- a/net/platform/src/endpoint_poller.rs
+++ b/net/platform/src/endpoint_poller.rs
@@ -33,8 +33,7 @@
 /// The longest pause, which bounds the delay of events once the coordinator is available again. No pause follows a
 /// poll that took longer.
 const MAX_PAUSE: Duration = Duration::from_millis(200);
-/// Maximum number of registered wakers: one for the current poll, one for the overdue poll. More means that some are
-/// stale.
+/// Number of registered wakers from which some must be stale: only the current and the overdue poll wait.
 const MAX_WAKERS: usize = 8;
 /// Minimum time between log messages about an unreachable coordinator.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
