--- a/net/grpc/src/io.rs
+++ b/net/grpc/src/io.rs
@@ -150,7 +150,7 @@
         let mut socket = self;
         for buf in bufs.iter().filter(|buf| !buf.is_empty()) {
             match socket.as_mut().poll_write(cx, buf) {
-                Poll::Ready(Ok(taken)) => written += taken,
+                Poll::Ready(Ok(count)) => written += count,
                 _ if written > 0 => break,
                 other => return other,
             }
--- a/net/platform/src/client/connection.rs
+++ b/net/platform/src/client/connection.rs
@@ -20,13 +20,15 @@
     head: 4 * 1024,
     body: 16 * 1024,
 };
-/// Time limit for a connection's first request. The protocol sets 3 s; the difference leaves time to deliver the response.
+/// Time limit for a connection's first request. The protocol sets 3 s; the difference leaves time to deliver the
+/// response.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2300);
 /// Time limit for a complete request, from its first byte.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2000);
 /// Minimum time to complete a first request whose first byte arrives late within [`FIRST_REQUEST_TIMEOUT`].
 const MIN_REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
-/// Idle time limit between requests. The protocol sets 4 s; the difference leaves time for the client's close to arrive.
+/// Idle time limit between requests. The protocol sets 4 s; the difference leaves time for the client's close to
+/// arrive.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(5500);
 /// Time limit for a client to read its response.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1000);
@@ -130,7 +132,7 @@
         is_first: bool,
         parse: ParseRequest<'_>,
     ) -> Incoming {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let first_byte_timeout = if is_first {
             FIRST_REQUEST_TIMEOUT
         } else {
@@ -146,7 +148,7 @@
         }
         let request_timeout = if is_first {
             first_byte_timeout
-                .saturating_sub(began.elapsed())
+                .saturating_sub(started_at.elapsed())
                 .max(MIN_REQUEST_TIMEOUT)
         } else {
             REQUEST_TIMEOUT
--- a/net/platform/src/endpoint_poller.rs
+++ b/net/platform/src/endpoint_poller.rs
@@ -162,24 +162,24 @@
         loop {
             let address_changes = self.address_changes.get();
             let address = self.address.get();
-            let began = Instant::now();
+            let started_at = Instant::now();
             let ended = self
                 .poll_on_connection(address, address_changes, &mut pause)
                 .await;
             self.current.take();
             if let Err(error) = ended {
-                if began >= next_log || began.elapsed() > MAX_PAUSE {
-                    next_log = began + LOG_INTERVAL;
+                if started_at >= next_log || started_at.elapsed() > MAX_PAUSE {
+                    next_log = started_at + LOG_INTERVAL;
                     tracing::info!(%address, %error, index = self.index(), "coordinator poll failed; retrying");
                 }
             }
-            self.back_off(began, address_changes, &mut pause).await;
+            self.back_off(started_at, address_changes, &mut pause).await;
         }
     }
 
     /// Pauses after a poll that ended quickly without events.
-    async fn back_off(&self, began: Instant, address_changes: u64, pause: &mut Duration) {
-        if began.elapsed() >= MAX_PAUSE {
+    async fn back_off(&self, started_at: Instant, address_changes: u64, pause: &mut Duration) {
+        if started_at.elapsed() >= MAX_PAUSE {
             *pause = MIN_PAUSE;
             return;
         }
@@ -208,7 +208,7 @@
             ended: None,
         });
         loop {
-            let began = Instant::now();
+            let started_at = Instant::now();
             let mut request = Vec::new();
             let target = format!(
                 "/v2/stream?follow={}&wait_ms={}",
@@ -226,7 +226,7 @@
                 Some(Some(reply)) => reply?,
             };
             if !reply.has_events {
-                self.back_off(began, address_changes, pause).await;
+                self.back_off(started_at, address_changes, pause).await;
             } else {
                 *pause = MIN_PAUSE;
             }
--- a/net/sockets/src/socket.rs
+++ b/net/sockets/src/socket.rs
@@ -205,11 +205,11 @@
     subject: &str,
     mut attempt: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut logged = false;
     loop {
         match attempt() {
-            Err(error) if is_transient(&error) && began.elapsed() < within => {
+            Err(error) if is_transient(&error) && started_at.elapsed() < within => {
                 if !std::mem::replace(&mut logged, true) {
                     tracing::warn!(%error, operation = subject, "transient error; retrying");
                 }
