--- a/decide/fleet-node/src/change_controller.rs
+++ b/decide/fleet-node/src/change_controller.rs
@@ -1,4 +1,5 @@
-//! A voter's part: its replica of the agreed log, and, while it leads, the entries that a change needs.
+//! The voter's side of a fleet node: its replica of the agreed log and, while it leads, the log entries that advance
+//! changes.
 
 mod advance;
 mod scopes;
@@ -16,43 +17,44 @@
 use tansy_agreement::subscription::ResyncEpoch;
 use tansy_consensus::{Effect, Replica};
 
-/// A change of strict fields that is joint, so that calls are rejected because of it, is abandoned after this time.
+/// A joint change of strict fields, which rejects the calls that it affects, is abandoned after this time.
 const JOINT_TIMEOUT: Time = 10_000_000;
-/// How often sessions are checked for expiry, and scopes for whether they can be advanced.
+/// Time between two checks for expired sessions, and between two checks for scopes that can be advanced.
 const CHECK_INTERVAL: Time = 50_000;
-/// The cause of [`FleetEvent::StorageFailed`] where the log holds an entry of a later program.
+/// Cause of [`FleetEvent::StorageFailed`] when the log holds an entry that this program can't decode.
 const UNKNOWN_ENTRY_CAUSE: &str =
-    "the agreed log holds what a later program wrote: finish the update of the programs";
+    "the agreed log holds an entry written by a later version: upgrade this program";
 
-/// What the change that is being introduced waits for.
+/// What the changes in progress wait for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChangeBlockers {
-    /// Some front end with a live lease is not known to have reached the change's revision.
+    /// Whether some front end with a live lease is not known to have reached the new version's revision.
     pub leases: bool,
-    /// The members that are not known to have reached it. They block the change if it concerns strict fields.
+    /// Members not known to have reached that revision; listed only if the new version changes strict fields.
     pub sessions: Vec<Member>,
-    /// Scopes that change, and for each the holders that are not known to have reached its revision; none: it waits for
-    /// leases alone.
+    /// Scopes that are changing, each with the subscribers not known to have reached its revision. A scope without such
+    /// subscribers waits only for leases.
     pub scopes: Vec<(String, Vec<Member>)>,
 }
 
-/// A voter's replica, and the changes that it advances as leader.
+/// A voter's replica, and the changes that it advances while it leads.
 pub(crate) struct ChangeController {
     replica: Replica,
     session_timing: LeaseTiming,
-    /// While it leads: the members that may hold sessions.
+    /// The members that may hold sessions; `None` unless this voter leads.
     sessions: Option<SessionTable>,
     /// The last epoch that a session table of this voter started.
     resync_epoch: ResyncEpoch,
-    /// Entries to propose. The first of them are proposed already, one for each of `proposals`.
+    /// Entries to propose and to apply, in order. The first `proposals.len()` of them are proposed.
     queue: VecDeque<QueuedEntry>,
+    /// Proposal numbers of the proposed entries.
     proposals: VecDeque<u64>,
-    /// Why it takes no entries, if it does not.
+    /// Why this voter accepts no entries; `None` while it does.
     storage_failure: Option<String>,
     changes: PendingChanges,
-    /// The revision since which a version is joint, and when that was first seen.
+    /// The revision at which the version being introduced became joint, and when this leader first saw it.
     joint_since: Option<(Revision, Time)>,
-    /// The learner that is to become a voter, and when that was first seen.
+    /// Id of the learner that replaces a voter, and when this leader first saw it.
     learning_since: Option<(u64, Time)>,
     next_check: Time,
 }
@@ -74,7 +76,7 @@
         }
     }
 
-    /// The log as far as it is known to be committed.
+    /// The committed log, as far as it is known here.
     pub(crate) fn log(&self) -> Option<&Log> {
         self.replica.log()
     }
@@ -84,17 +86,17 @@
         self.replica.applied()
     }
 
-    /// The term and the voter that leads in it.
+    /// The current term and the id of its leader.
     pub(crate) fn leader(&self) -> Option<(u64, u64)> {
         self.replica.leader()
     }
 
-    /// Until when this voter may act as the leader.
+    /// Expiry of the lease under which this voter leads.
     pub(crate) fn leader_lease(&self, now: Time) -> Option<Time> {
         self.replica.leader_lease(now)
     }
 
-    /// When it has something to do next.
+    /// When [`ChangeController::tick`] or [`ChangeController::advance`] is due next.
     pub(crate) fn next_deadline(&self) -> Time {
         let check = match self.sessions {
             Some(_) => self.next_check,
@@ -109,7 +111,7 @@
         self.carry_out(now, effects, commands);
     }
 
-    /// Takes a message of another voter.
+    /// Handles a message from another voter.
     pub(crate) fn on_message(
         &mut self,
         now: Time,
@@ -122,7 +124,7 @@
         self.carry_out(now, effects, commands);
     }
 
-    /// The first record that was to be persisted is synced, or could not be written.
+    /// Handles the result of the oldest pending write.
     pub(crate) fn on_persisted(
         &mut self,
         now: Time,
@@ -132,13 +134,13 @@
         let mut effects = Vec::new();
         self.replica.on_persisted(result.is_ok(), &mut effects);
         if let Err(StorageFailure(cause)) = result {
-            // Whether the record is on disk is not known until the file is read again; nobody is notified of its entries.
+            // The record may or may not be on disk, so requests for its entries are not answered with a result.
             self.fail(cause, commands);
         }
         self.carry_out(now, effects, commands);
     }
 
-    /// Starts to lead: the members of the roster may hold sessions.
+    /// Starts leading. All members of the roster may hold sessions that an earlier leader granted.
     pub(crate) fn begin_leadership(&mut self, now: Time) {
         let log = self.replica.log();
         let members = log
@@ -146,7 +148,7 @@
             .flat_map(Log::roster)
             .map(|(member, _)| member);
         let term = self.replica.leader().map_or(0, |(term, _)| term);
-        // No earlier process of this voter had an epoch in this term.
+        // Later than any epoch of an earlier leader or of an earlier process of this voter.
         let first_of_term = ResyncEpoch { term, count: 1 };
         self.resync_epoch = self.resync_epoch.next().max(first_of_term);
         let sessions = SessionTable::begin(self.session_timing, members, now, self.resync_epoch);
@@ -165,7 +167,7 @@
         self.reject_all(&RequestRejection::LeadershipLost, commands);
     }
 
-    /// A session for a member of the roster. Another front end is entered there first, and gets one when it asks again.
+    /// Grants a session to a member of the roster. For any other front end a join is queued, and a later request succeeds.
     pub(crate) fn grant_session(
         &mut self,
         now: Time,
@@ -175,19 +177,19 @@
         let uses_scopes = self.uses_scopes();
         let sessions = self.sessions.as_mut()?;
         let log = self.replica.log()?;
-        // A program without scopes would apply the versions alone to every function.
+        // A program without support for scopes would apply only the versions to every function.
         if uses_scopes && !request.supports_scopes {
             return None;
         }
         let member = request.from;
         if log.has_member(member) {
-            // One whose removal is queued gets none: changes would not wait for it.
-            if self.queue.iter().any(|queued| removes(queued, member)) {
+            // Once a member is removed, changes no longer wait for it, so it must not hold a session.
+            if self.queue.iter().any(|queued| is_leave_of(queued, member)) {
                 return None;
             }
             return sessions.grant(now, request);
         }
-        if !self.queue.iter().any(|queued| adds(queued, member)) {
+        if !self.queue.iter().any(|queued| is_join_of(queued, member)) {
             self.push(LogEntry::Join {
                 member,
                 name,
@@ -197,21 +199,21 @@
         None
     }
 
-    /// Whether a front end may hold a session already.
+    /// Whether a front end may already hold a session.
     pub(crate) fn has_session_entry(&self, member: Member) -> bool {
         self.sessions
             .as_ref()
             .is_some_and(|sessions| sessions.contains(member))
     }
 
-    /// A front end stopped being active.
+    /// Queues the removal of a front end that shut down.
     pub(crate) fn on_departed(&mut self, member: Member) {
         if self.sessions.is_some() && self.log().is_some_and(|log| log.has_member(member)) {
             self.push(LogEntry::Leave { member });
         }
     }
 
-    /// Queues an entry that an operator asked for.
+    /// Queues an entry that was requested through [`FleetNode::request`](crate::FleetNode::request).
     pub(crate) fn request(&mut self, request: u64, entry: LogEntry, commands: &mut Vec<Command>) {
         if let Err(rejection) = self.queue_request(request, entry) {
             commands.push(Command::Respond {
@@ -246,7 +248,7 @@
         }
     }
 
-    /// What the change that is being introduced waits for; none: there is no change, or it does not lead.
+    /// What the changes in progress wait for; `None` if there are none or this voter does not lead.
     pub(crate) fn blockers(
         &self,
         now: Time,
@@ -269,7 +271,7 @@
         })
     }
 
-    /// Queues an entry that nobody asked for. It is dropped if there is no room: what led to it is checked again.
+    /// Queues an entry of the leader itself. If the queue is full, the entry is dropped; the next check queues it again.
     fn push(&mut self, entry: LogEntry) {
         if self.storage_failure.is_none() && self.queue.len() < MAX_QUEUED_ENTRIES {
             self.queue.push_back(QueuedEntry {
@@ -279,7 +281,7 @@
         }
     }
 
-    /// Takes no entry from now on.
+    /// Rejects all queued and all later entries.
     fn fail(&mut self, cause: String, commands: &mut Vec<Command>) {
         if self.storage_failure.is_some() {
             return;
@@ -291,7 +293,7 @@
         self.storage_failure = Some(cause);
     }
 
-    /// Answers everything that is queued with this rejection.
+    /// Rejects all queued entries and all pending scope changes.
     fn reject_all(&mut self, rejection: &RequestRejection, commands: &mut Vec<Command>) {
         self.proposals.clear();
         for queued in self.queue.drain(..) {
@@ -344,10 +346,10 @@
     }
 }
 
-fn removes(queued: &QueuedEntry, id: Member) -> bool {
+fn is_leave_of(queued: &QueuedEntry, id: Member) -> bool {
     matches!(&queued.entry, LogEntry::Leave { member } if *member == id)
 }
 
-fn adds(queued: &QueuedEntry, id: Member) -> bool {
+fn is_join_of(queued: &QueuedEntry, id: Member) -> bool {
     matches!(&queued.entry, LogEntry::Join { member, .. } if *member == id)
 }
--- a/decide/fleet-node/src/change_controller/advance.rs
+++ b/decide/fleet-node/src/change_controller/advance.rs
@@ -1,7 +1,7 @@
-//! What a leader enters as time passes: members whose session expired, the next phase of a version, and the proposals of
-//! queued entries.
+//! Periodic work of a leader: it removes members with expired sessions, advances the version that is being introduced,
+//! and proposes queued entries.
 
-use super::{removes, ChangeController, CHECK_INTERVAL, JOINT_TIMEOUT};
+use super::{is_leave_of, ChangeController, CHECK_INTERVAL, JOINT_TIMEOUT};
 use crate::command::{Command, FleetEvent, RequestRejection};
 use crate::queued_entry::QueuedEntry;
 use tansy_agreement::compatibility::Schema;
@@ -10,7 +10,7 @@
 use tansy_agreement::log::{ApplyOutcome, ChangePhase, FleetState, Log, LogEntry, Revision};
 
 impl ChangeController {
-    /// Queues the entries that are due and proposes what can be proposed now; as leader only.
+    /// Queues the entries that are due and proposes what can be proposed. Does nothing unless this voter leads.
     pub(crate) fn advance(
         &mut self,
         now: Time,
@@ -36,7 +36,8 @@
             return;
         };
         self.next_check = now + CHECK_INTERVAL;
-        let is_queued = |member: &Member| self.queue.iter().any(|queued| removes(queued, *member));
+        let is_queued =
+            |member: &Member| self.queue.iter().any(|queued| is_leave_of(queued, *member));
         let expired: Vec<Member> = sessions
             .expired(now)
             .filter(|member| !is_queued(member))
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Queues the next phase of the version that is being introduced, or its end after too long a time.
+    /// Queues the next phase of the version that is being introduced, or its end if it has been joint for too long.
     fn advance_version(
         &mut self,
         now: Time,
@@ -70,7 +71,7 @@
         }
         if self.can_advance_version(now, log, lease_node, schema) {
             self.push(LogEntry::Advance { from: revision });
-        } else if self.is_joint_too_long(now, revision) {
+        } else if self.has_joint_timed_out(now, revision) {
             let version = state.latest();
             commands.push(Command::Notify(FleetEvent::ChangeAbandoned {
                 version: version.0,
@@ -80,12 +81,12 @@
         }
     }
 
-    fn is_joint_too_long(&self, now: Time, revision: Revision) -> bool {
+    fn has_joint_timed_out(&self, now: Time, revision: Revision) -> bool {
         self.joint_since
             .is_some_and(|(since, seen)| since == revision && now - seen >= JOINT_TIMEOUT)
     }
 
-    /// Whether all that the next phase has to wait for have reached the current one.
+    /// Whether all front ends that the next phase has to wait for have reached the current one.
     fn can_advance_version(
         &self,
         now: Time,
@@ -102,8 +103,8 @@
         lease_node.all_past(now, revision) && (!log.strict(schema) || have_sessions_reached())
     }
 
-    /// Proposes queued entries. Joins and departures do not wait for each other, so that 300 front ends which start
-    /// together are entered together; any other entry is validated against a log to which all before it is applied.
+    /// Proposes queued entries. Joins and leaves are proposed without waiting for each other, so that a fleet that starts
+    /// joins quickly. Any other entry is validated against a log to which all earlier entries are applied.
     fn propose_queued(&mut self, now: Time, commands: &mut Vec<Command>) {
         loop {
             let position = self.proposals.len();
@@ -115,7 +116,7 @@
             if position > 0 && !can_overlap {
                 return;
             }
-            // An entry that changes nothing is answered without a proposal.
+            // Duplicates and invalid entries are answered without a proposal.
             let outcome = match log.validate(&queued.entry) {
                 Ok(Some(version)) => Ok(ApplyOutcome::Duplicate(version)),
                 Err(rejection) => Err(RequestRejection::Log(rejection)),
--- a/decide/fleet-node/src/change_controller/scopes.rs
+++ b/decide/fleet-node/src/change_controller/scopes.rs
@@ -1,7 +1,7 @@
-//! Changes of scopes at the leader: subscriptions are answered, requests are entered, and each scope is advanced once
-//! those that it has to wait for have reached its revision.
+//! Scopes at the leader: it answers subscribe requests, queues requested changes, and advances each scope once all leases
+//! and subscribers that the change waits for have reached its revision.
 
-use super::{removes, ChangeController, CHECK_INTERVAL, JOINT_TIMEOUT};
+use super::{is_leave_of, ChangeController, CHECK_INTERVAL, JOINT_TIMEOUT};
 use crate::command::{Command, FleetEvent, RequestRejection};
 use std::collections::{BTreeMap, BTreeSet};
 use tansy_agreement::compatibility::Schema;
@@ -14,16 +14,16 @@
 use tansy_agreement::session::{SessionTable, SubscribeOutcome};
 use tansy_agreement::subscription::{SubscribeReply, SubscribeRequest};
 
-/// Time between two entries of the same kind.
+/// Shortest time between two entries that update scopes, and between two that advance them.
 const ENTRY_INTERVAL: Time = 100_000;
-/// Bytes of scopes in one reply.
+/// Maximum size of the scopes in one reply.
 const MAX_REPLY_BYTES: usize = 1 << 20;
-/// Bytes that a scope without settings counts for in a reply.
+/// Size that a scope without a record counts for in a reply.
 const ABSENT_SCOPE_BYTES: usize = 8;
-/// Scopes and members that one report lists.
+/// Maximum number of scopes, and of members, in one report.
 const MAX_REPORTED: usize = 64;
 
-/// Scopes that change, and for each the holders that are not known to have reached its revision.
+/// Scopes that are changing, each with the subscribers not known to have reached its revision.
 pub(super) fn blocked_scopes(
     log: &Log,
     sessions: &SessionTable,
@@ -34,7 +34,7 @@
         .open()
         .filter(|(_, scope)| scope.next().is_some())
         .take(MAX_REPORTED);
-    let with_holders = |(name, scope): (&str, &ScopeRecord)| {
+    let with_subscribers = |(name, scope): (&str, &ScopeRecord)| {
         let since = scope.phase.since().filter(|_| scope.strict(schema, name));
         let behind = since.map(|since| {
             sessions
@@ -43,18 +43,18 @@
         });
         (name.to_string(), behind.unwrap_or_default())
     };
-    changing.map(with_holders).collect()
+    changing.map(with_subscribers).collect()
 }
 
-/// What the open scopes have come to.
+/// The next phase of each open scope that is due for one.
 #[derive(Default)]
 struct ScopeProgress {
     in_force: Vec<(String, Revision)>,
     settled: Vec<(String, Revision)>,
     reverted: Vec<(String, Revision)>,
-    /// Holders that the reverted ones waited for.
+    /// Subscribers that the reverted changes waited for.
     behind: BTreeSet<Member>,
-    /// Bytes of the scopes that come into force or are reverted.
+    /// Size of the scopes that come into force or are reverted.
     bytes: usize,
 }
 
@@ -67,17 +67,18 @@
 }
 
 impl ChangeController {
-    /// Whether there are scopes or will be: then only programs that support them may be active.
+    /// Whether the fleet uses scopes or an entry that creates the first ones is queued. From then on, only front ends that
+    /// support scopes may be active.
     pub(super) fn uses_scopes(&self) -> bool {
         self.log()
             .is_some_and(|log| log.catalog().since().is_some())
             || self.is_queued(|entry| matches!(entry, LogEntry::UpdateScopes { .. }))
     }
 
-    /// Takes what a front end wants and holds; the reply, if there is one.
+    /// Records the subscriptions that a front end reports and returns the reply, if any.
     pub(crate) fn on_subscribe(&mut self, request: &SubscribeRequest) -> Option<SubscribeReply> {
         let member = request.from;
-        if self.queue.iter().any(|queued| removes(queued, member)) {
+        if self.queue.iter().any(|queued| is_leave_of(queued, member)) {
             return None;
         }
         let log = self.replica.log()?;
@@ -101,7 +102,7 @@
         }
     }
 
-    /// The request to a member for its subscriptions, if there are scopes and it has not stated them.
+    /// A request to a member for the list of its subscriptions, if the fleet uses scopes and the list is not known.
     pub(crate) fn resync_request(&self, member: Member) -> Option<SubscribeReply> {
         let log = self.log().filter(|log| log.catalog().since().is_some())?;
         let epoch = self.sessions.as_ref()?.awaiting_resync(member)?;
@@ -114,7 +115,7 @@
         })
     }
 
-    /// Queues requests and advances scopes, each when it is due.
+    /// Queues requested scope changes and the next phases of open scopes, if they are due.
     pub(super) fn advance_scope_changes(
         &mut self,
         now: Time,
@@ -132,7 +133,7 @@
                 LogEntry::AdvanceScopes { .. } | LogEntry::RevertScopes { .. }
             )
         });
-        if !is_updating && now >= self.changes.next_entry && !self.changes.is_empty() {
+        if !is_updating && now >= self.changes.next_update && !self.changes.is_empty() {
             self.queue_scope_updates(now, commands);
         }
         if !is_advancing && now >= self.changes.next_check {
@@ -147,15 +148,16 @@
         self.queue.iter().any(|queued| matches(&queued.entry))
     }
 
-    /// Queues one entry of the requests that wait.
+    /// Queues one entry that merges pending requests.
     fn queue_scope_updates(&mut self, now: Time, commands: &mut Vec<Command>) {
         let (Some(log), Some(sessions)) = (self.replica.log(), &self.sessions) else {
             return;
         };
-        // A program without scopes would not be waited for: all members have to support them before there are any.
+        // Changes do not wait for members without support for scopes, so all members have to support them before the first
+        // scope is created.
         if log.catalog().since().is_none() {
             if self.is_queued(|entry| matches!(entry, LogEntry::Join { .. })) {
-                // Whether the joining one supports them is not known yet.
+                // It is not known yet whether the joining member supports scopes.
                 return;
             }
             if let Some(member) = sessions.without_scope_support() {
@@ -167,12 +169,12 @@
             }
         }
         if let Some(queued) = self.changes.merge(log, commands) {
-            self.changes.next_entry = now + ENTRY_INTERVAL;
+            self.changes.next_update = now + ENTRY_INTERVAL;
             self.queue.push_back(queued);
         }
     }
 
-    /// Sorts the open scopes by what they have come to.
+    /// Collects the open scopes that are due for their next phase.
     fn scope_progress(
         &mut self,
         now: Time,
@@ -182,7 +184,7 @@
         let log = self.replica.log()?;
         let sessions = self.sessions.as_ref()?;
         let mut progress = ScopeProgress::default();
-        // Whether no front end with a live lease is behind a revision; many scopes share one.
+        // Whether all live leases have reached a revision; many scopes share a revision.
         let mut reached_by_leases: BTreeMap<Revision, bool> = BTreeMap::new();
         for (name, scope) in log.catalog().open() {
             let Some(since) = scope.phase.since() else {
@@ -201,15 +203,17 @@
             if progress.is_full() {
                 continue;
             }
-            let holders_behind = || sessions.subscribers_behind(scope_number(name), since);
-            // Holders are looked up first, since most changes wait for none.
-            let waits_for_holders =
-                || holders_behind().next().is_some() && scope.strict(schema, name);
-            if is_reached && !waits_for_holders() {
+            let subscribers_behind = || sessions.subscribers_behind(scope_number(name), since);
+            // The subscribers are checked first, because most changes wait for none.
+            let waits_for_subscribers =
+                || subscribers_behind().next().is_some() && scope.strict(schema, name);
+            if is_reached && !waits_for_subscribers() {
                 progress.in_force.push((name.to_string(), since));
             } else if now - first_seen >= JOINT_TIMEOUT {
                 if progress.behind.len() < MAX_REPORTED {
-                    progress.behind.extend(holders_behind().take(MAX_REPORTED));
+                    progress
+                        .behind
+                        .extend(subscribers_behind().take(MAX_REPORTED));
                 }
                 progress.reverted.push((name.to_string(), since));
             } else {
@@ -223,7 +227,7 @@
         Some(progress)
     }
 
-    /// Queues the entries for what scopes have come to.
+    /// Queues the entries that move scopes to their next phase.
     fn queue_scope_progress(
         &mut self,
         now: Time,
@@ -250,7 +254,7 @@
     }
 }
 
-/// The scopes of a request with their records, as many as fit into a reply. The others are requested again.
+/// The requested scopes with their records, as many as fit into a reply. The front end requests the others again.
 fn requested_scopes(log: &Log, request: &SubscribeRequest) -> Vec<(String, Option<ScopeRecord>)> {
     let mut bytes = 0;
     request
--- a/decide/fleet-node/src/change_controller/voter_replacement.rs
+++ b/decide/fleet-node/src/change_controller/voter_replacement.rs
@@ -1,15 +1,15 @@
-//! The phases of replacing a voter: the new one learns the log, then both vote, then the old one is removed.
+//! Replacement of a voter: the new voter learns the log, then both vote in joint consensus, then the old one is removed.
 
 use super::ChangeController;
 use crate::command::{Command, FleetEvent};
 use tansy_agreement::lease::Time;
 use tansy_agreement::log::{Log, LogEntry, ReplacementPhase};
 
-/// A learner that has not caught up with the log after this time does not become a voter.
+/// The replacement is cancelled if the learner has not caught up with the log after this time.
 const LEARNING_TIMEOUT: Time = 30_000_000;
 
 impl ChangeController {
-    /// Queues the next phase of a replacement. A leader that is to be removed hands leadership over first.
+    /// Queues the next phase of a replacement. A leader that is being replaced first transfers its leadership.
     pub(super) fn advance_voter_replacement(&mut self, now: Time, commands: &mut Vec<Command>) {
         let replacement = self.replica.log().and_then(Log::voter_replacement);
         let is_idle = self.queue.is_empty() && self.storage_failure.is_none();
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Cancels the replacement if the learner takes too long.
+    /// Cancels the replacement if the learner does not catch up in time.
     fn wait_for_learner(&mut self, now: Time, new: u64, commands: &mut Vec<Command>) {
         let since = self
             .learning_since
--- a/decide/fleet-node/src/command.rs
+++ b/decide/fleet-node/src/command.rs
@@ -1,4 +1,4 @@
-//! What a front end asks of its host.
+//! Commands that a fleet node gives its host, and the events and errors that they carry.
 
 use crate::message::MessageBody;
 use crate::queued_entry::MAX_QUEUED_ENTRIES;
@@ -7,105 +7,106 @@
 use tansy_agreement::log::{ApplyOutcome, EntryRejection, Revision};
 use tansy_membership::{MembershipEvent, RejectedDatagram};
 
-/// What the host has to do, in the order given.
+/// A command to the host, which carries commands out in the order given.
 #[derive(Clone, Debug, PartialEq)]
 #[expect(
     clippy::large_enum_variant,
-    reason = "nearly all are messages, and each lives for one turn of the loop"
+    reason = "nearly all commands are messages, and they are short-lived"
 )]
 pub enum Command {
-    /// Send to the front end at this address. The message may be lost, reordered or duplicated.
+    /// Send a message to a front end. It may be lost, reordered or duplicated.
     Send {
-        /// The receiver's address.
+        /// Address of the receiver.
         to: SocketAddr,
         /// The message.
         body: MessageBody,
     },
-    /// Send to the voter of this number, at [`FleetNode::address`](crate::FleetNode::address).
+    /// Send a message to a voter, at [`FleetNode::address`](crate::FleetNode::address).
     SendToVoter {
-        /// The voter's number.
+        /// Id of the voter.
         to: u64,
-        /// The message, for [`MessageBody::Consensus`].
+        /// The content of a [`MessageBody::Consensus`].
         bytes: Vec<u8>,
     },
-    /// Write and sync a record, then call [`FleetNode::on_persisted`](crate::FleetNode::on_persisted); in order. A snapshot
-    /// replaces all records up to and including this one.
+    /// Write and sync a record, then call [`FleetNode::on_persisted`](crate::FleetNode::on_persisted). Records are written
+    /// in order. A snapshot replaces all records up to and including this one.
     Persist {
         /// The record.
         record: Vec<u8>,
-        /// The whole state, this record included.
+        /// The whole state as of this record.
         snapshot: Option<Vec<u8>>,
     },
-    /// The outcome of a request for an entry.
+    /// Pass on the outcome of a [`FleetNode::request`](crate::FleetNode::request).
     Respond {
-        /// The request's number.
+        /// Number of the request.
         request: u64,
-        /// The result, or why there is none.
+        /// The result of applying the entry, or why it was rejected.
         outcome: Result<ApplyOutcome, RequestRejection>,
     },
-    /// Report to the operator.
+    /// Report an event to the operator.
     Notify(FleetEvent),
 }
 
-/// What an operator may want to know.
+/// An event of interest to an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetEvent {
     /// A front end came up or went down.
     Membership(MembershipEvent),
-    /// This front end's revision changed: that of the log at a voter, else that of its lease. Revisions which change scopes
-    /// alone are not reported.
+    /// This front end learnt of a state whose versions changed. Revisions that change only scopes are not reported.
     RevisionChanged {
-        /// The revision.
+        /// The revision of the state.
         revision: Revision,
-        /// The version in force there.
+        /// The version in force.
         in_force: u64,
         /// The version that is being introduced, if any.
         next: Option<u64>,
     },
-    /// The lease expired, or there is one again.
+    /// The lease expired or was acquired.
     Lease {
-        /// Whether there is one.
+        /// Whether this front end holds a lease.
         is_live: bool,
     },
-    /// The session expired, or there is one again.
+    /// The session expired or was established.
     Session {
-        /// Whether there is one.
+        /// Whether this front end holds a session.
         is_live: bool,
     },
     /// This voter started or stopped leading the fleet.
     Leadership {
-        /// Whether it leads.
+        /// Whether this voter leads.
         is_live: bool,
     },
     /// A datagram of the membership protocol was rejected.
     DatagramRejected(RejectedDatagram),
-    /// A change of strict fields did not complete in time and is abandoned.
+    /// A change of strict fields timed out and was abandoned.
     ChangeAbandoned {
-        /// The version.
+        /// The version that was being introduced.
         version: u64,
-        /// The members that were not known to have reached its revision.
+        /// The members not known to have reached the change's revision.
         behind: Vec<Member>,
     },
-    /// A learner did not catch up with the log in time, and does not become a voter.
+    /// The replacement of a voter was cancelled because the learner did not catch up with the log in time.
     VoterReplacementAbandoned {
-        /// The learner.
+        /// Id of the learner.
         new: u64,
     },
-    /// Scopes in use were evicted, since more are called than one front end may hold.
+    /// Subscriptions to scopes in use were evicted, because the calls at this front end need more scopes than one front
+    /// end may subscribe to.
     SubscriptionsEvicted {
-        /// How many so far.
+        /// Evictions since the start of the process.
         total: u64,
-        /// How many are held.
+        /// Current number of subscriptions.
         subscribed: usize,
     },
-    /// Changes of scopes did not complete in time and are abandoned.
+    /// Changes of scopes timed out and were abandoned.
     ScopeChangesAbandoned {
-        /// The first of the scopes.
+        /// Some of the scopes.
         scopes: Vec<String>,
-        /// The first of the members that hold them and were not known to have reached the changes' revision.
+        /// Some of the subscribers not known to have reached the changes' revision.
         behind: Vec<Member>,
     },
-    /// The voter's disk failed: it takes no entry until it is restarted.
+    /// The voter's storage failed, or its log holds an entry that this program can't decode. The voter accepts no entry
+    /// until it is restarted.
     StorageFailed {
         /// The cause.
         cause: String,
@@ -115,27 +116,29 @@
 /// Why a request for an entry was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestRejection {
-    /// The log rejects it.
+    /// The entry is not valid for the current log.
     #[error("{0}")]
     Log(EntryRejection),
-    /// Another front end leads.
+    /// This front end does not lead the fleet.
     #[error("this front end does not lead the fleet: ask {leader}")]
     NotLeader {
-        /// That one's address, as far as it is known.
+        /// Address of the last known leader.
         leader: SocketAddr,
     },
     /// Too many requests are queued.
-    #[error("{} requests wait: try again later", MAX_QUEUED_ENTRIES)]
+    #[error("{} requests are queued: try again later", MAX_QUEUED_ENTRIES)]
     Busy,
-    /// The disk failed.
-    #[error("the voter's disk does not accept it: {0}; repair it and restart the voter")]
+    /// The voter's storage failed.
+    #[error("the voter's storage failed: {0}; resolve the cause and restart the voter")]
     Storage(String),
-    /// Another front end leads by now: whether the entry was committed is not known here.
-    #[error("another front end leads by now: ask again with the same id to learn what came of it")]
+    /// Leadership was lost before the entry was applied, so this front end does not know whether it was committed.
+    #[error(
+        "leadership was lost before the outcome was known: repeat the request with the same id"
+    )]
     LeadershipLost,
 }
 
-/// Why a record of a voter's log could not be written, in the words of its storage.
+/// The storage's error message for a record that could not be written.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct StorageFailure(pub String);
--- a/decide/fleet-node/src/config.rs
+++ b/decide/fleet-node/src/config.rs
@@ -1,4 +1,4 @@
-//! What a front end is started with.
+//! Configuration and recovered state of a fleet node.
 
 use std::net::SocketAddr;
 use tansy_agreement::compatibility::{Fields, Schema};
@@ -7,39 +7,39 @@
 use tansy_membership::{GossipTiming, NodeId};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The number of a front end's or a fleet's name.
+/// The id of a front end or a fleet: a hash of its name.
 pub fn name_to_id(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// What a front end of a fleet is configured with.
+/// Configuration of a fleet node.
 #[derive(Clone, Debug)]
 pub struct FleetNodeConfig {
-    /// The fleet's number.
+    /// Id of the fleet, by [`name_to_id`].
     pub fleet: u64,
-    /// The front end's name.
+    /// Name of the front end.
     pub name: String,
-    /// Its process and address.
+    /// Id, incarnation and address of the front end's process.
     pub node: NodeId,
-    /// The numbers and addresses of the voters that a new fleet starts with; through these a front end finds the fleet.
+    /// Ids and addresses of a new fleet's first voters. A front end contacts them to find the other members.
     pub voters: Vec<(u64, SocketAddr)>,
-    /// Span and clock drift of leases.
+    /// Length of a lease and bound on clock drift.
     pub lease: LeaseTiming,
-    /// Span and clock drift of sessions.
+    /// Length of a session and bound on clock drift.
     pub session: LeaseTiming,
     /// Timing of the membership protocol.
     pub gossip: GossipTiming,
-    /// How fields may differ between two versions.
+    /// Compatibility of each field between two versions.
     pub schema: Schema,
-    /// Seed of its random choices.
+    /// Seed of the node's random number generators.
     pub seed: u64,
 }
 
-/// What a voter is started from.
+/// State that a voter starts from.
 #[derive(Clone, Debug, Default)]
 pub struct RecoveredState {
-    /// What its disk holds.
+    /// The snapshot and records read from disk.
     pub persistent: PersistentState,
-    /// The fields of the first version of a new fleet.
+    /// The settings of version 1, for a fleet that starts for the first time.
     pub initial_fields: Fields,
 }
--- a/decide/fleet-node/src/drain_gossip.rs
+++ b/decide/fleet-node/src/drain_gossip.rs
@@ -1,5 +1,5 @@
-//! Distributes which endpoints drain: a change goes to a few others at once, and a digest to one now and then, so that
-//! tables that differ after a loss are found.
+//! Distribution of the drain table by gossip: changes are sent to a few other front ends at once, and a periodic digest
+//! to a random one detects tables that differ because messages were lost.
 
 use crate::command::Command;
 use crate::known_nodes::KnownNodes;
@@ -9,7 +9,7 @@
 use tansy_membership::NodeId;
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Front ends that a change is sent to; each of them forwards it to as many.
+/// Number of front ends that a change is sent to; each of them forwards it to as many.
 const FANOUT: usize = 3;
 /// Time between two digests.
 const DIGEST_INTERVAL: Time = 500_000;
@@ -39,7 +39,7 @@
         &self.table
     }
 
-    /// Increases with each change of the table.
+    /// Counts the changes of the table.
     pub(crate) fn changes(&self) -> u64 {
         self.changes
     }
@@ -53,12 +53,12 @@
         self.next_digest
     }
 
-    /// The whole table, for a front end whose table differs.
+    /// A message with the whole table, for a front end whose table differs.
     pub(crate) fn full_table(&self, wants_reply: bool) -> MessageBody {
         MessageBody::Drains(self.table.records().collect(), wants_reply)
     }
 
-    /// Merges records; those that are new are forwarded to a few others.
+    /// Merges records and forwards those that are new to a few other front ends.
     pub(crate) fn on_records<'a>(
         &mut self,
         now: Time,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Removes expired records and sends the digest to one other, if that is due.
+    /// Removes expired records and sends the digest to a random front end, if that is due.
     pub(crate) fn tick(&mut self, now: Time, others: &KnownNodes, commands: &mut Vec<Command>) {
         if now < self.next_digest {
             return;
@@ -110,7 +110,7 @@
     }
 }
 
-/// Equal for equal tables, at every front end.
+/// A hash of the table, which is the same on every front end that has the same table.
 fn table_digest(table: &DrainTable) -> u64 {
     let mut hash = Xxh3Default::new();
     for record in table.records() {
--- a/decide/fleet-node/src/fleet_node.rs
+++ b/decide/fleet-node/src/fleet_node.rs
@@ -1,4 +1,4 @@
-//! The state machine of a front end: its interface, and the order in which its parts are advanced.
+//! The state machine: its interface, and the order in which its parts are advanced.
 
 mod leadership;
 mod members;
@@ -24,21 +24,22 @@
 use tansy_consensus::{CorruptState, Replica, ReplicaConfig};
 use tansy_membership::{Membership, NodeId};
 
-/// Time between two attempts to find the fleet, and between two requests for a first session.
+/// Time between two attempts to join while no other front end is known, and between two session requests while there is
+/// no session or the last request is unanswered.
 const RETRY_INTERVAL: Time = 200_000;
 
-/// The state that a front end applies, and for how long it may.
+/// The state that a front end applies, and the time for which it may.
 #[derive(Clone, Copy, Debug)]
 pub struct ActiveState<'a> {
-    /// The last state that it knows; none: it has not received one.
+    /// The last known state; `None` until the front end has received one.
     pub state: Option<&'a FleetState>,
-    /// What remains of its lease, microseconds.
+    /// Microseconds until the lease expires; 0 without a lease.
     pub lease_remaining: Time,
-    /// What remains of its session, microseconds.
+    /// Microseconds until the session expires; 0 without a session.
     pub session_remaining: Time,
 }
 
-/// What the host was notified of last.
+/// The state as of the last notifications to the host.
 #[derive(Clone, Copy, Default)]
 struct Notified {
     versions_revision: Revision,
@@ -46,7 +47,7 @@
     has_session: bool,
 }
 
-/// A front end.
+/// The fleet node of one front end.
 pub struct FleetNode {
     config: FleetNodeConfig,
     nodes: KnownNodes,
@@ -54,28 +55,28 @@
     session: Session,
     next_session_request: Time,
     next_join: Time,
-    /// At a voter.
+    /// `None` unless this front end is a voter or may become one.
     controller: Option<ChangeController>,
     leader: Leader,
     is_leader: bool,
-    /// Requests for a session in a row that nobody answered.
+    /// Session requests sent since the last grant.
     unanswered_requests: usize,
     drains: DrainGossip,
     subscriptions: ScopeSubscriptions,
-    /// The revision that it stated in its last request for a session.
+    /// The revision reported in the last session request.
     reported_revision: Revision,
-    /// Evictions are not reported again before this time.
+    /// Earliest time of the next report of evictions.
     next_eviction_report: Time,
     reported_evictions: u64,
-    /// Addresses of front ends that sent something, for those that are not known as members yet.
+    /// Addresses of senders by id, for front ends that are not known as members yet.
     sender_addresses: BTreeMap<u64, SocketAddr>,
     notified: Notified,
-    /// When it first had a lease and a session.
+    /// When this front end first held both a lease and a session.
     active_since: Option<Time>,
 }
 
 impl FleetNode {
-    /// A front end that starts without state; a voter continues from what its disk holds.
+    /// Creates a node that knows no state. A voter passes the state recovered from its disk.
     pub fn new(
         config: FleetNodeConfig,
         recovered: Option<RecoveredState>,
@@ -119,12 +120,12 @@
         })
     }
 
-    /// What it was started with.
+    /// The configuration that the node was created with.
     pub fn config(&self) -> &FleetNodeConfig {
         &self.config
     }
 
-    /// The state that it may apply now. The caller has to ask again once the lease or the session has expired.
+    /// The state that the front end may apply now. It changes when the lease or the session expires.
     pub fn active_state(&self, now: Time) -> ActiveState<'_> {
         ActiveState {
             state: self.lease_node.known_state(),
@@ -133,7 +134,7 @@
         }
     }
 
-    /// How long it has been active: since it first had a lease and a session.
+    /// The time since the front end first held both a lease and a session.
     pub fn active_for(&self, now: Time) -> Time {
         self.active_since.map_or(0, |since| (now - since).max(0))
     }
@@ -143,7 +144,7 @@
         self.nodes.iter()
     }
 
-    /// The agreed log, at the leader.
+    /// The agreed log; `None` unless this front end leads.
     pub fn log(&self) -> Option<&Log> {
         self.controller
             .as_ref()
@@ -151,18 +152,18 @@
             .and_then(ChangeController::log)
     }
 
-    /// At any voter: the index of the last applied entry, and the log.
+    /// The index of the last applied entry and the log as of it; `None` unless this front end has a replica of the log.
     pub fn applied_log(&self) -> Option<(u64, &Log)> {
         let controller = self.controller.as_ref()?;
         Some((controller.applied(), controller.log()?))
     }
 
-    /// The leader, as far as it is known.
+    /// The last known leader.
     pub fn leader(&self) -> Leader {
         self.leader
     }
 
-    /// The leader's address.
+    /// Address of the last known leader.
     pub fn leader_address(&self) -> SocketAddr {
         let first_voter = || self.config.voters.first().map(|voter| voter.1);
         self.address(self.leader.id)
@@ -170,7 +171,7 @@
             .unwrap_or(self.config.node.address)
     }
 
-    /// The voters and their addresses, as far as they are known here.
+    /// Ids and addresses of the voters by the applied log, or else by the configuration.
     pub fn voters(&self) -> Vec<(u64, SocketAddr)> {
         match self.applied_log() {
             Some((_, log)) => {
@@ -181,7 +182,7 @@
         }
     }
 
-    /// The address of a front end: by the log, then by the settings, then by membership, then by what it sent.
+    /// Address of a front end. The log is looked up first, then the configuration, membership, and addresses of senders.
     pub fn address(&self, id: u64) -> Option<SocketAddr> {
         let log = self.applied_log().map(|(_, log)| log);
         let voter = log.and_then(|log| log.voters().get(&id).copied());
@@ -203,7 +204,7 @@
             .or_else(|| self.sender_addresses.get(&id).copied())
     }
 
-    /// What the change that is being introduced waits for, at the leader.
+    /// What the changes in progress wait for; `None` if there are none or this front end does not lead.
     pub fn change_blockers(&self, now: Time) -> Option<ChangeBlockers> {
         self.controller
             .as_ref()?
@@ -225,7 +226,7 @@
         deadlines.into_iter().min().unwrap_or(Time::MAX)
     }
 
-    /// Does what is due.
+    /// Handles everything that is due by now.
     pub fn tick(&mut self, now: Time, commands: &mut Vec<Command>) {
         self.nodes.tick(now);
         if let Some(controller) = &mut self.controller {
@@ -244,7 +245,7 @@
         self.advance(now, commands);
     }
 
-    /// A list of endpoints was read here: those that drain are made known to the others.
+    /// Merges the drains of an endpoint list that this front end read, and sends new ones to others.
     pub fn update_endpoints(
         &mut self,
         now: Time,
@@ -255,17 +256,17 @@
             .on_records(now, records, self.nodes.iter(), commands);
     }
 
-    /// The endpoints that drain, by all that the fleet made known.
+    /// The endpoints that are draining or gone, as known in the fleet.
     pub fn drains(&self) -> &DrainTable {
         self.drains.table()
     }
 
-    /// Increases with each change of [`FleetNode::drains`].
+    /// Counts the changes of [`FleetNode::drains`].
     pub fn drain_changes(&self) -> u64 {
         self.drains.changes()
     }
 
-    /// Asks for an entry; [`Command::Respond`] carries this number.
+    /// Requests an entry of the log. [`Command::Respond`] with this request number gives the outcome.
     pub fn request(
         &mut self,
         now: Time,
@@ -286,7 +287,7 @@
         self.advance(now, commands);
     }
 
-    /// The first record that was to be persisted is synced, or could not be written.
+    /// Reports the result of the oldest [`Command::Persist`] that was not reported yet.
     pub fn on_persisted(
         &mut self,
         now: Time,
@@ -301,7 +302,7 @@
         self.advance(now, commands);
     }
 
-    /// It stops being active: the others need not detect it, and no change waits for it.
+    /// Announces that this front end shuts down, so that others need not detect it and no change waits for it.
     pub fn leave(&mut self, now: Time, commands: &mut Vec<Command>) {
         let member = self.config.node.member();
         match &mut self.controller {
@@ -316,7 +317,7 @@
         self.flush_membership(now, commands);
     }
 
-    /// Whether a change of strict fields is being introduced.
+    /// Whether a version that changes strict fields is being introduced.
     fn has_strict_change(&self, state: &FleetState) -> bool {
         state
             .conflicting_fields(&self.config.schema)
@@ -324,7 +325,7 @@
             .any(|conflict| conflict.compatibility == Compatibility::Strict)
     }
 
-    /// Does what follows from an event: the leader's entries, requests to the leader, and notifications.
+    /// Runs after every event: applies a new state, advances the leader's changes, and sends requests and notifications.
     fn advance(&mut self, now: Time, commands: &mut Vec<Command>) {
         self.apply_known_state(now);
         let known = self.lease_node.known_state();
@@ -351,7 +352,8 @@
             }));
             is_strict = self.has_strict_change(state);
         }
-        // The leader waits for all sessions before a strict change goes on; and a first session is urgent.
+        // The leader advances a strict change only once all session holders have reported its revision, and a front end
+        // without a session can't serve.
         if is_strict || self.session.remaining(now) == 0 {
             self.request_session(now, commands);
         }
--- a/decide/fleet-node/src/fleet_node/leadership.rs
+++ b/decide/fleet-node/src/fleet_node/leadership.rs
@@ -1,4 +1,4 @@
-//! Follows who leads, and starts or stops leading as a voter.
+//! Tracks the leader of the fleet, and starts and ends this voter's own leadership.
 
 use super::FleetNode;
 use crate::change_controller::ChangeController;
@@ -9,7 +9,7 @@
 use tansy_agreement::log::{FleetState, Log};
 
 impl FleetNode {
-    /// Starts leading, goes on with it, or stops, by the leader lease of this voter.
+    /// Starts, extends or ends this voter's leadership according to its leader lease.
     pub(super) fn update_leadership(&mut self, now: Time, commands: &mut Vec<Command>) {
         let Some(controller) = &self.controller else {
             return;
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Another voter leads, by what somebody sent. It is whom this front end asks from now on, whether it is a known voter
-    /// or not: a leader that may not lead grants nothing.
+    /// Follows the leader that a message names, if its term is later. The leader need not be a voter known here, since a
+    /// front end without a leader lease grants nothing.
     pub(super) fn on_leader(&mut self, now: Time, leader: Leader) {
         if leader > self.leader && leader.id != self.config.node.id && !self.is_leader {
             self.leader = leader;
--- a/decide/fleet-node/src/fleet_node/members.rs
+++ b/decide/fleet-node/src/fleet_node/members.rs
@@ -1,4 +1,4 @@
-//! Which front ends are up, and the messages that follow from a change of it.
+//! Tracks which front ends are up, and updates the lease tree when that changes.
 
 use super::{FleetNode, RETRY_INTERVAL};
 use crate::command::{Command, FleetEvent};
@@ -11,11 +11,11 @@
 use tansy_agreement::scope::StateDelta;
 use tansy_membership::NodeId;
 
-/// Time between two attempts to find the fleet where somebody is known, in retry intervals.
+/// Retry intervals between two checks whether to join, while other front ends are known.
 const JOIN_INTERVALS: Time = 10;
 
 impl FleetNode {
-    /// From now on the host says which front ends are up: this one sends and reads no datagrams of membership.
+    /// Replaces the membership protocol with a directory that the host provides and updates.
     pub fn update_members(&mut self, directory: Arc<Directory>) {
         self.nodes = KnownNodes::Given {
             id: self.config.node.id,
@@ -25,7 +25,7 @@
         self.lease_node.update_topology(topology);
     }
 
-    /// Announces itself to the voters as long as nobody is known; they know the others.
+    /// Announces this front end to the voters, which know the others, while no other front end is known.
     pub(super) fn join(&mut self, now: Time) {
         let is_alone = self.nodes.count() == 0;
         if is_alone {
@@ -38,7 +38,7 @@
         self.next_join = now + RETRY_INTERVAL * if is_alone { 1 } else { JOIN_INTERVALS };
     }
 
-    /// Sends what membership has to send, and takes its events.
+    /// Sends the datagrams of the membership protocol and handles its events.
     pub(super) fn flush_membership(&mut self, now: Time, commands: &mut Vec<Command>) {
         let (datagrams, events) = self.nodes.take();
         for datagram in datagrams {
@@ -63,7 +63,7 @@
         self.send_leases(messages, commands);
     }
 
-    /// Sends messages of the lease tree. One to a front end without a known address is dropped, as the network might.
+    /// Sends messages of the lease tree. Messages to a front end whose address is not known are dropped.
     pub(super) fn send_leases(
         &mut self,
         messages: Vec<(u64, LeaseMessage<FleetState, StateDelta>)>,
--- a/decide/fleet-node/src/fleet_node/messages.rs
+++ b/decide/fleet-node/src/fleet_node/messages.rs
@@ -1,4 +1,4 @@
-//! Takes messages of other front ends.
+//! Handling of messages from other front ends.
 
 use super::FleetNode;
 use crate::command::{Command, FleetEvent};
@@ -11,11 +11,11 @@
 use tansy_agreement::session::{SessionGrant, SessionRequest};
 use tansy_membership::NodeId;
 
-/// Addresses that are kept of senders.
+/// Maximum number of senders whose addresses are kept.
 const MAX_SENDER_ADDRESSES: usize = 1024;
 
 impl FleetNode {
-    /// Takes a message of another front end. `leader` is the one that its header names.
+    /// Handles a message from another front end. `leader` is the leader that the message's header names.
     pub fn on_message(
         &mut self,
         now: Time,
@@ -28,7 +28,7 @@
             return;
         }
         self.on_leader(now, leader);
-        // A leader lease that expired while the process stood still grants nothing.
+        // The leader lease may have expired while the process was paused; nothing must be granted then.
         self.update_leadership(now, commands);
         self.remember_sender(from);
         self.dispatch(now, from, body, commands);
@@ -115,7 +115,7 @@
         let Some(controller) = controller.filter(|_| request.from == member) else {
             return;
         };
-        // A front end that starts without state receives the drain table before its first session.
+        // A front end receives the drain table before its first session.
         let knows_drains = digest == self.drains.digest();
         let may_grant = self.is_leader && (knows_drains || controller.has_session_entry(member));
         let grant = if may_grant {
@@ -126,7 +126,7 @@
         let body = match grant {
             Some(grant) => MessageBody::SessionGrant(grant),
             None if !knows_drains => self.drains.full_table(true),
-            // The header says at least who leads.
+            // The header at least names the leader.
             None => MessageBody::HeaderOnly,
         };
         let to = from.address;
--- a/decide/fleet-node/src/fleet_node/scopes.rs
+++ b/decide/fleet-node/src/fleet_node/scopes.rs
@@ -1,4 +1,4 @@
-//! Scopes at a front end: whether a call is admitted, what is requested from the leader, and, at the leader, the answers.
+//! Scopes at a front end: admission of calls and subscriptions, and the leader's replies to subscribe requests.
 
 use super::session::AWAITED_RENEWAL_INTERVAL;
 use super::FleetNode;
@@ -13,11 +13,11 @@
 
 /// Time between two reports of evictions.
 const EVICTION_REPORT_INTERVAL: Time = 60_000_000;
-/// Requests to the leader in a row: a leader's answer to itself may lead to another one.
+/// Subscribe requests sent by one update. A leader answers its own request at once, which may make another one due.
 const MAX_REQUESTS_PER_UPDATE: usize = 2;
 
 impl FleetNode {
-    /// Whether a call of a function is admitted now.
+    /// Decides whether a call of a function is admitted now.
     pub fn admit(&mut self, now: Time, function: &str, commands: &mut Vec<Command>) -> Admission {
         if !self.subscriptions.has_scopes() {
             return Admission::Unscoped;
@@ -36,24 +36,25 @@
         admission
     }
 
-    /// Increases whenever [`FleetNode::admit`] might decide otherwise than before.
+    /// Increases whenever [`FleetNode::admit`] might decide differently than before.
     pub fn admission_changes(&self) -> u64 {
         self.subscriptions.changes()
     }
 
-    /// How many scopes it holds.
+    /// The number of scopes whose records this front end holds.
     pub fn subscription_count(&self) -> usize {
         self.subscriptions.len()
     }
 
-    /// Bytes that these take, about.
+    /// Approximate memory that the subscriptions take, in bytes.
     pub fn subscription_bytes(&self) -> usize {
         let known = self.lease_node.known_state();
         let history = known.map_or(0, |state| state.history.memory_bytes());
         self.subscriptions.memory_bytes() + history
     }
 
-    /// The settings of a function that are in effect, without a call of it; none: they may not be applied now.
+    /// The settings of a function that are in effect; `None` if this front end may not apply any now. Unlike
+    /// [`FleetNode::admit`] it does not count as a use of the scope.
     pub fn effective_settings(&self, now: Time, function: &str) -> Option<EffectiveSettings> {
         let active = self.active_state(now);
         let has_session = active.session_remaining > 0;
@@ -62,19 +63,19 @@
             .filter(|_| has_session)
     }
 
-    /// Applies the known state to the scopes that it holds; before anything that follows from it is sent.
+    /// Applies the known state to the subscribed scopes. Has to precede every message that reports the state's revision.
     pub(super) fn apply_known_state(&mut self, now: Time) {
         if let Some(state) = self.lease_node.known_state() {
             self.subscriptions.on_state(now, state, &self.config.schema);
         }
     }
 
-    /// Sends the leader what it has to know, and reports evictions.
+    /// Reports subscriptions and strict changes to the leader, and evictions to the host.
     pub(super) fn update_subscriptions(&mut self, now: Time, commands: &mut Vec<Command>) {
         let known = self.lease_node.known_state();
         let revision = known.map_or(Revision(0), |state| state.revision);
         let has_session = self.session.remaining(now) > 0;
-        // The leader waits for this front end before a change of strict fields that it holds goes on.
+        // The leader waits for this report before it advances a strict change of a scope that is subscribed to here.
         let conflicting = self.subscriptions.conflicting_revision();
         if has_session && conflicting > self.reported_revision && revision >= conflicting {
             self.request_session(now, commands);
@@ -121,7 +122,7 @@
         }
     }
 
-    /// A front end states what it wants and holds.
+    /// Handles a front end's subscribe request; only the leader replies with more than a header.
     pub(super) fn on_subscribe(
         &mut self,
         now: Time,
@@ -132,7 +133,7 @@
         if request.from != from.member() {
             return;
         }
-        // The state is applied here before others learn of it.
+        // The leader applies a state before it sends records of it to others.
         self.apply_known_state(now);
         let controller = self.controller.as_mut().filter(|_| self.is_leader);
         let reply = controller.and_then(|controller| controller.on_subscribe(&request));
@@ -143,19 +144,19 @@
         });
     }
 
-    /// Takes the leader's answer.
+    /// Handles the leader's reply to a subscribe request.
     pub(super) fn on_subscribe_reply(&mut self, now: Time, reply: SubscribeReply) {
         let known = self.lease_node.known_state();
         self.subscriptions
             .on_reply(now, reply, known, &self.config.schema);
         if self.subscriptions.delays_change(&self.config.schema) {
-            // The request that stated its revision may have been lost.
+            // The session request that reported the revision may have been lost.
             let awaited = now + AWAITED_RENEWAL_INTERVAL;
             self.next_session_request = self.next_session_request.min(awaited);
         }
     }
 
-    /// Asks a front end for its subscriptions, if there are scopes and it has not stated them.
+    /// As leader, asks a front end for the list of its subscriptions if the fleet uses scopes and the list is not known.
     pub(super) fn send_resync_request(
         &self,
         member: Member,
--- a/decide/fleet-node/src/fleet_node/session.rs
+++ b/decide/fleet-node/src/fleet_node/session.rs
@@ -1,4 +1,4 @@
-//! This front end's own session: when it asks for one, and whom.
+//! This front end's own session: when it is requested, and from which voter.
 
 use super::{FleetNode, RETRY_INTERVAL};
 use crate::command::Command;
@@ -8,22 +8,23 @@
 use tansy_agreement::log::Revision;
 use tansy_agreement::session::SessionGrant;
 
-/// A session is renewed after this part of its span ...
-const RENEWAL_FRACTION: Time = 4;
-/// ... and at least so often: the leader wants to know who is active, at little cost.
+/// Renewals per span of a session.
+const RENEWALS_PER_SPAN: Time = 4;
+/// Longest time between two renewals, so that the leader knows which front ends are active.
 const MAX_RENEWAL_INTERVAL: Time = 30_000_000;
-/// The same while a change of strict fields waits for the revision that the request states, in case one is lost.
+/// Longest time between two renewals while a strict change waits for the revision that they report, since a request may
+/// be lost.
 pub(super) const AWAITED_RENEWAL_INTERVAL: Time = 1_000_000;
-/// Unanswered requests after which voters other than the leader are asked, too.
+/// Unanswered requests after which other voters are asked as well as the leader.
 const REQUESTS_BEFORE_OTHER_VOTERS: usize = 3;
 
 impl FleetNode {
-    /// Asks for a session, and states the revision that this front end has reached.
+    /// Requests a session and reports the revision that this front end has reached.
     pub(super) fn request_session(&mut self, now: Time, commands: &mut Vec<Command>) {
         let known = self.lease_node.known_state();
         let revision = known.map_or(Revision(0), |state| state.revision);
         self.next_session_request = now + self.session_request_interval(now);
-        // Without a state there is nothing that a session would be needed for.
+        // A session is of no use before the first state is known.
         if revision == Revision(0) {
             return;
         }
@@ -31,7 +32,7 @@
         let request = self.session.request(now, revision);
         let name = self.config.name.clone();
         if let Some(controller) = self.controller.as_mut().filter(|_| self.is_leader) {
-            // The leader is on the roster as any other: the next leader has to wait for it.
+            // The leader needs a session like any member, so that the next leader waits for it.
             if let Some(grant) = controller.grant_session(now, request, name) {
                 self.accept_session(now, grant);
             }
@@ -39,7 +40,7 @@
         }
         self.unanswered_requests += 1;
         let to = self
-            .other_voter_to_ask()
+            .fallback_voter()
             .unwrap_or_else(|| self.leader_address());
         let digest = self.drains.digest();
         commands.push(Command::Send {
@@ -48,7 +49,8 @@
         });
     }
 
-    /// Takes a session. While the last one was expired, nobody waited for this front end.
+    /// Accepts a session. If the previous one had expired, changes may not have waited for this front end, so that its
+    /// subscriptions are no longer valid.
     pub(super) fn accept_session(&mut self, now: Time, grant: SessionGrant) {
         self.unanswered_requests = 0;
         if self.session.remaining(now) == 0 {
@@ -69,12 +71,12 @@
         } else {
             MAX_RENEWAL_INTERVAL
         };
-        (self.config.session.span / RENEWAL_FRACTION).min(longest)
+        (self.config.session.span / RENEWALS_PER_SPAN).min(longest)
     }
 
-    /// A voter to ask in place of a leader that does not answer: any voter may know the new leader by now. Only every other
-    /// request goes there, since all voters that are known here may have been replaced.
-    fn other_voter_to_ask(&self) -> Option<SocketAddr> {
+    /// A voter to ask instead of a leader that does not answer, since any voter may know the new leader. Only every other
+    /// request goes to one, because all the voters known here may have been replaced.
+    fn fallback_voter(&self) -> Option<SocketAddr> {
         let attempt = self
             .unanswered_requests
             .checked_sub(REQUESTS_BEFORE_OTHER_VOTERS)?;
--- a/decide/fleet-node/src/known_nodes.rs
+++ b/decide/fleet-node/src/known_nodes.rs
@@ -1,4 +1,4 @@
-//! The other front ends of the fleet: found by the membership protocol, or given by the host.
+//! The other front ends of the fleet, found by the membership protocol or provided by the host.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,17 +6,17 @@
 use tansy_agreement::lease_tree::{LeaseTopology, RendezvousOrder};
 use tansy_membership::{Datagram, Membership, MembershipEvent, NodeId, RejectedDatagram};
 
-/// The members of a fleet as its host knows them. Many nodes of one process share it in place of a membership protocol
-/// each, for which a simulation of a large fleet has no memory.
+/// The members of a fleet as the host knows them. The nodes of a large simulation share one directory, since a membership
+/// protocol for each would need too much memory.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    /// In the order of their numbers.
+    /// Sorted by id.
     nodes: Vec<NodeId>,
     order: RendezvousOrder,
 }
 
 impl Directory {
-    /// A directory of these processes; of two with one number the later one.
+    /// Creates a directory of these processes. Of several with the same id it keeps the latest.
     pub fn new(processes: impl IntoIterator<Item = NodeId>) -> Directory {
         let mut nodes: Vec<NodeId> = processes.into_iter().collect();
         nodes.sort_by(|a, b| {
@@ -27,12 +27,12 @@
         Directory { nodes, order }
     }
 
-    /// How many nodes there are.
+    /// The number of nodes.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Whether there is none.
+    /// Whether the directory has no nodes.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
@@ -42,16 +42,16 @@
     }
 }
 
-/// What a front end knows of the others.
+/// The source of a front end's knowledge of the others.
 pub(crate) enum KnownNodes {
-    /// It finds them itself.
+    /// The membership protocol finds them.
     Discovered(Box<Membership>),
-    /// The host gives them; `id` is this front end's own.
+    /// The host provides them; `id` is this front end's own.
     Given { id: u64, directory: Arc<Directory> },
 }
 
 impl KnownNodes {
-    /// The others.
+    /// The other front ends that are up.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &NodeId> {
         let (discovered, given) = match self {
             KnownNodes::Discovered(membership) => (Some(membership.other_members()), None),
@@ -66,7 +66,7 @@
             .chain(given.into_iter().flatten())
     }
 
-    /// How many others there are.
+    /// The number of other front ends that are up.
     pub(crate) fn count(&self) -> usize {
         match self {
             KnownNodes::Discovered(membership) => membership.other_member_count(),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The address of one, by its position in [`KnownNodes::iter`].
+    /// The address of the front end at this position of [`KnownNodes::iter`].
     pub(crate) fn nth_address(&self, position: usize) -> Option<SocketAddr> {
         match self {
             KnownNodes::Discovered(membership) => membership
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The address of the one with this number.
+    /// The address of another front end by its id.
     pub(crate) fn address(&self, id: u64) -> Option<SocketAddr> {
         match self {
             KnownNodes::Discovered(membership) => membership.address(id),
@@ -103,12 +103,12 @@
         }
     }
 
-    /// The lease tree below this leader.
+    /// The lease tree of all front ends that are up, with this leader as its root.
     pub(crate) fn topology(&self, leader: u64) -> LeaseTopology {
         match self {
             KnownNodes::Discovered(membership) => membership.topology(leader),
             KnownNodes::Given { id, directory } => {
-                // This front end is up, whether the directory lists it or not.
+                // The directory may not list this front end, which is up.
                 let mut order = directory.order.clone();
                 order.insert(*id);
                 LeaseTopology::with_order(leader, order)
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Announces this front end to one that may be up.
+    /// Announces this front end to another one, which may be down.
     pub(crate) fn join(&mut self, now: Time, to: NodeId) {
         if let KnownNodes::Discovered(membership) = self {
             membership.join(now, to);
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Datagrams to send and events since the last call.
+    /// Takes the datagrams to send and the events since the last call.
     pub(crate) fn take(&mut self) -> (Vec<Datagram>, Vec<MembershipEvent>) {
         match self {
             KnownNodes::Discovered(membership) => {
--- a/decide/fleet-node/src/lib.rs
+++ b/decide/fleet-node/src/lib.rs
@@ -1,17 +1,17 @@
-//! One front end of a fleet, as one state machine.
+//! The fleet node: the deterministic state machine by which a front end takes part in its fleet.
 //!
-//! A [`FleetNode`] connects what `tansy-agreement`, `tansy-membership` and `tansy-consensus` keep apart: which front ends
-//! are up, the lease and the session under which this one is active, the agreed state that it applies, and, at a voter, the
-//! agreed log. It is given messages and the time and returns [`Command`]s, which its host carries out in order.
+//! A [`FleetNode`] combines membership (`tansy-membership`), leases, sessions and subscriptions (`tansy-agreement`), and
+//! on voters a replica of the agreed log (`tansy-consensus`). Its host passes in messages and the current time; the node
+//! returns [`Command`]s, which the host carries out in order.
 //!
-//! Times are microseconds of one monotonic clock of the caller, which has to go on while the machine sleeps.
+//! Times are microseconds of one monotonic clock, which must keep running while the machine is suspended.
 //!
-//! Not here: sockets, disks and clocks (`tansy-net-fleet` and `tansy-simulation` have one host each), the encoding of messages, and
-//! what a front end does with the settings.
+//! Sockets, disks and clocks belong to the host (`tansy-net-fleet` or `tansy-simulation`). `tansy-fleet-wire` encodes
+//! messages, and the gateway applies the agreed settings.
 //!
-//! Modules from the lowest layer up: [`MessageBody`] and [`Command`] are the interface; `known_nodes` and `drain_gossip`
-//! hold what is known of others; `queued_entry` and `pending_changes` hold what waits to be proposed; `change_controller`
-//! is a voter's part; `fleet_node` joins them.
+//! [`MessageBody`] and [`Command`] are the interface. `known_nodes` and `drain_gossip` track the other front ends,
+//! `queued_entry` and `pending_changes` hold requests that are not proposed yet, `change_controller` runs on voters, and
+//! `fleet_node` ties these modules together.
 //!
 //! ```
 //! use tansy_agreement::compatibility::Schema;
--- a/decide/fleet-node/src/message.rs
+++ b/decide/fleet-node/src/message.rs
@@ -1,4 +1,4 @@
-//! What front ends send to each other.
+//! Messages between front ends.
 
 use tansy_agreement::endpoints::EndpointRecord;
 use tansy_agreement::lease::Member;
@@ -13,34 +13,34 @@
 pub enum MessageBody {
     /// A datagram of the membership protocol.
     Gossip(Vec<u8>),
-    /// Leases and the state that they are for.
+    /// A message of the lease tree.
     Lease(LeaseMessage<FleetState, StateDelta>),
-    /// A request for a session, with the front end's name and the digest of its drain table.
+    /// A request for a session, with the sender's name and the digest of its drain table.
     SessionRequest(SessionRequest, String, u64),
-    /// A session.
+    /// The leader grants a session.
     SessionGrant(SessionGrant),
-    /// To the leader: this process has stopped being active, for good.
+    /// Tells the leader that this process has shut down.
     Departed(Member),
-    /// Endpoints that are draining or gone; whether the receiver's whole table is wanted in return.
+    /// Endpoints that are draining or gone. The flag asks the receiver for its whole drain table.
     Drains(Vec<EndpointRecord>, bool),
-    /// The digest of the sender's drain table, for a receiver whose table differs to answer with it.
+    /// Digest of the sender's drain table. A receiver whose digest differs replies with its own table.
     DrainDigest(u64),
-    /// From voter to voter.
+    /// A message between two replicas of the agreed log.
     Consensus(Vec<u8>),
-    /// To the leader: the scopes that the sender wants and holds.
+    /// Tells the leader which scopes the sender requests and drops.
     Subscribe(SubscribeRequest),
-    /// The leader's answer.
+    /// The leader's reply to a subscribe request, or its request for all subscriptions of the receiver.
     SubscribeReply(SubscribeReply),
-    /// Nothing beyond the header, which every message has.
+    /// No content beyond the header that every message has.
     HeaderOnly,
 }
 
-/// The voter that leads, and the term in which it does; the later term is the valid one. It is in the header of every
-/// message.
+/// The leader of the fleet and its term, sent in the header of every message. Of two, the one with the later term is
+/// valid.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Leader {
-    /// Increases with each change of the leader.
+    /// The term, which increases with each election.
     pub term: u64,
-    /// The front end's number.
+    /// Id of the front end that leads.
     pub id: u64,
 }
--- a/decide/fleet-node/src/pending_changes.rs
+++ b/decide/fleet-node/src/pending_changes.rs
@@ -1,4 +1,4 @@
-//! Requests for changes of scopes, which are merged into few entries, and the times at which the changes are advanced.
+//! Requested changes of scopes that are not proposed yet. They are merged into few log entries.
 
 use crate::command::{Command, RequestRejection};
 use crate::queued_entry::{QueuedEntry, Requester};
@@ -9,31 +9,31 @@
     ScopeTransaction, MAX_TRANSACTION_BYTES, MAX_UPDATES_PER_TRANSACTION,
 };
 
-/// Requests that may wait to be merged into an entry ...
+/// Maximum number of pending requests.
 const MAX_REQUESTS: usize = 4096;
-/// ... and their bytes.
+/// Maximum total size of pending requests.
 const MAX_REQUEST_BYTES: usize = 32 << 20;
 
-/// Requests that wait, and since when changes are joint.
+/// The pending requests, and the times that limit how often entries are queued and how long changes stay joint.
 #[derive(Default)]
 pub(crate) struct PendingChanges {
     requests: VecDeque<(u64, ScopeTransaction)>,
     request_bytes: usize,
-    /// When the next entry of requests may be queued.
-    pub(crate) next_entry: Time,
-    /// When it is next checked which scopes can be advanced.
+    /// Earliest time of the next entry that merges requests.
+    pub(crate) next_update: Time,
+    /// Earliest time of the next check for scopes that can be advanced.
     pub(crate) next_check: Time,
-    /// When this leader first saw the scopes that are joint since a revision.
+    /// By revision: when this leader first saw scopes that became joint at it.
     pub(crate) joint_since: BTreeMap<Revision, Time>,
 }
 
 impl PendingChanges {
-    /// Starts with nothing, as a new leader.
+    /// Clears all state, for a new leader.
     pub(crate) fn reset(&mut self) {
         *self = PendingChanges::default();
     }
 
-    /// Rejects all requests: this voter stopped leading or takes no entries.
+    /// Rejects all pending requests.
     pub(crate) fn reject_all(&mut self, reason: &RequestRejection, commands: &mut Vec<Command>) {
         for (request, _) in self.requests.drain(..) {
             commands.push(Command::Respond {
@@ -44,12 +44,12 @@
         self.reset();
     }
 
-    /// Whether no request waits.
+    /// Whether no request is pending.
     pub(crate) fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Queues a request. False: too many wait.
+    /// Adds a request; returns `false` if too many are pending.
     pub(crate) fn push(&mut self, request: u64, transaction: ScopeTransaction) -> bool {
         let bytes = transaction.encoded_len();
         let has_room =
@@ -61,13 +61,13 @@
         has_room
     }
 
-    /// Merges into one entry what is compatible, in the order of the requests; answers those that change nothing.
+    /// Merges as many requests as fit into one entry, in order. Duplicates and requests that conflict are answered at once.
     pub(crate) fn merge(&mut self, log: &Log, commands: &mut Vec<Command>) -> Option<QueuedEntry> {
         let mut batch = Batch::default();
         while let Some((request, transaction)) = self.requests.pop_front() {
             let bytes = transaction.encoded_len();
             match batch.check(log, &transaction) {
-                Check::SameAs(position) => batch.requests.push((position, request)),
+                Check::DuplicateOf(position) => batch.requests.push((position, request)),
                 Check::Answer(outcome) => commands.push(Command::Respond { request, outcome }),
                 Check::New if batch.is_full_for(&transaction, bytes) => {
                     self.requests.push_front((request, transaction));
@@ -81,23 +81,23 @@
     }
 }
 
-/// Transactions that are merged into one entry.
+/// Transactions to be merged into one entry.
 #[derive(Default)]
 struct Batch {
     transactions: Vec<ScopeTransaction>,
-    /// The requests to answer, by the position of their transaction.
+    /// Index of a transaction, and number of a request that it answers.
     requests: Vec<(usize, u64)>,
     scopes: BTreeSet<String>,
     bytes: usize,
 }
 
-/// What becomes of a request for a batch.
+/// The result of checking a request against a batch.
 enum Check {
-    /// It repeats the transaction at this position.
-    SameAs(usize),
-    /// It is answered without an entry.
+    /// The request repeats the transaction at this index.
+    DuplicateOf(usize),
+    /// The request is answered without an entry.
     Answer(Result<ApplyOutcome, RequestRejection>),
-    /// It can be added, if there is room.
+    /// The request can be added if the batch has room.
     New,
 }
 
@@ -105,7 +105,7 @@
     fn check(&self, log: &Log, transaction: &ScopeTransaction) -> Check {
         let same = |other: &ScopeTransaction| other.id == transaction.id && other.id != 0;
         if let Some(position) = self.transactions.iter().position(same) {
-            return Check::SameAs(position);
+            return Check::DuplicateOf(position);
         }
         let overlap = transaction
             .updates
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Whether this transaction has to wait for the next entry. A single one always fits.
+    /// Whether this transaction has to wait for the next entry. An empty batch has room for any transaction.
     fn is_full_for(&self, transaction: &ScopeTransaction, bytes: usize) -> bool {
         let updates = self.scopes.len() + transaction.updates.len();
         !self.transactions.is_empty()
--- a/decide/fleet-node/src/queued_entry.rs
+++ b/decide/fleet-node/src/queued_entry.rs
@@ -1,29 +1,29 @@
-//! Entries that wait to be proposed, and who is answered once they are applied.
+//! Log entries in the leader's queue, and the requests to answer once they are applied.
 
 use crate::command::{Command, RequestRejection};
 use tansy_agreement::log::{ApplyOutcome, LogEntry};
 
-/// Entries that may wait at a time.
+/// Capacity of the queue.
 pub(crate) const MAX_QUEUED_ENTRIES: usize = 512;
 
-/// An entry that waits to be proposed or applied.
+/// An entry that is not proposed or not applied yet.
 pub(crate) struct QueuedEntry {
     pub(crate) entry: LogEntry,
     pub(crate) requester: Requester,
 }
 
-/// Who is answered for an entry.
+/// The requests that an entry answers.
 pub(crate) enum Requester {
-    /// Nobody.
+    /// None: the leader queued the entry itself.
     None,
-    /// The request of this number.
+    /// Number of the request.
     Single(u64),
-    /// For each transaction of the entry, by its position: the request of this number.
+    /// Index of a transaction in the entry, and number of the request that it answers.
     Transactions(Vec<(usize, u64)>),
 }
 
 impl Requester {
-    /// Answers the requests.
+    /// Answers each request with its part of the outcome.
     pub(crate) fn respond(
         self,
         outcome: Result<ApplyOutcome, RequestRejection>,
@@ -42,7 +42,7 @@
     }
 }
 
-/// The part of an entry's outcome that concerns its transaction at this position.
+/// Returns the outcome of one transaction of an entry.
 fn transaction_outcome(
     outcome: &Result<ApplyOutcome, RequestRejection>,
     position: usize,
