--- a/decide/fleet-node/tests/fleet_node/cluster.rs
+++ b/decide/fleet-node/tests/fleet_node/cluster.rs
@@ -1,5 +1,5 @@
-//! Front ends in virtual time, with the links and disks between them. What a subject checks beside its tests is an
-//! [`Observer`].
+//! A simulated cluster of front ends in virtual time, with its links and disks. An [`Observer`] checks invariants after
+//! every event.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -17,7 +17,7 @@
 pub(crate) const SECOND: i64 = 1_000_000;
 const SESSION_SPAN: i64 = 60 * SECOND;
 
-/// The number of the n-th front end.
+/// Id of the front end at an index.
 pub(crate) fn id(index: usize) -> u64 {
     index as u64 + 1
 }
@@ -26,9 +26,9 @@
     ([10, 0, 0, index as u8], 7000).into()
 }
 
-/// Sees what happens between the events of a cluster.
+/// Hooks that run around the events of a cluster.
 pub(crate) trait Observer {
-    /// A message is about to be delivered to the n-th front end.
+    /// Runs before a message is delivered to the front end at index `to`.
     fn before_delivery(
         &mut self,
         _now: i64,
@@ -37,23 +37,23 @@
         _body: &MessageBody,
     ) {
     }
-    /// A front end handled an event, and nothing that follows from it was sent.
+    /// Runs after a front end handled an event, before its commands are carried out.
     fn after_event(&mut self, _now: i64, _nodes: &[Option<FleetNode>]) {}
 }
 
 impl Observer for () {}
 
-/// What a cluster is made of.
+/// Configuration of a cluster.
 pub(crate) struct Options {
     pub(crate) size: usize,
-    /// How many start as voters.
+    /// Number of front ends that start as voters.
     pub(crate) voters: usize,
-    /// How many have a disk: the voters, and those that may become one.
+    /// Number of front ends with a disk, which are voters or may become voters.
     pub(crate) disks: usize,
     pub(crate) seed: u64,
     pub(crate) schema: fn() -> Schema,
     pub(crate) initial_fields: Fields,
-    /// Of a hundred messages how many are lost; none: none is, and no random number is drawn for it.
+    /// Percentage of messages that are lost. With `None` none is lost, and no random number is drawn for it.
     pub(crate) loss_percent: Option<u32>,
 }
 
@@ -65,13 +65,13 @@
     schema: fn() -> Schema,
     initial_fields: Fields,
     disks: Vec<PersistentState>,
-    /// The first one's disk takes nothing.
+    /// Writes to the disk of front end 0 fail.
     pub(crate) is_disk_full: bool,
     queue: BinaryHeap<Reverse<(i64, u64)>>,
     messages: BTreeMap<u64, (usize, NodeId, Leader, MessageBody)>,
     message_count: u64,
     pub(crate) blocked_links: BTreeSet<(usize, usize)>,
-    /// Microseconds.
+    /// Upper bound of the delay of a message, in microseconds.
     pub(crate) max_delay: i64,
     pub(crate) loss_percent: Option<u32>,
     pub(crate) answers: BTreeMap<u64, Vec<Result<ApplyOutcome, RequestRejection>>>,
@@ -133,7 +133,7 @@
             initial_fields: self.initial_fields.clone(),
         });
         let node = FleetNode::new(config, recovered, self.now);
-        self.nodes[index] = Some(node.expect("what it saved"));
+        self.nodes[index] = Some(node.expect("the state on disk is valid"));
     }
 
     pub(crate) fn call<R: Default>(
@@ -171,7 +171,7 @@
                 Command::Send { to, body } => self.send(index, (from.clone(), leader), to, body),
                 Command::Persist { record, snapshot } => {
                     let result = self.persist(index, record, snapshot);
-                    let node = self.nodes[index].as_mut().expect("it runs");
+                    let node = self.nodes[index].as_mut().expect("the node runs");
                     node.on_persisted(self.now, result, &mut follow_up);
                 }
                 Command::Respond { request, outcome } => {
@@ -218,7 +218,7 @@
         snapshot: Option<Vec<u8>>,
     ) -> Result<(), StorageFailure> {
         if self.is_disk_full && index == 0 {
-            return Err(StorageFailure("no room".to_string()));
+            return Err(StorageFailure("disk full".to_string()));
         }
         match snapshot {
             Some(snapshot) => {
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Asks the leader for an entry.
+    /// Requests an entry at the leader.
     pub(crate) fn request(&mut self, request: u64, entry: LogEntry) {
         let leader = self.leader();
         self.call(leader, |node, now, commands| {
@@ -277,7 +277,7 @@
         answers.and_then(|all| all.last()).expect("an answer")
     }
 
-    /// The log of the voter that knows most of it.
+    /// The log with the most entries applied.
     pub(crate) fn log(&self) -> &Log {
         latest_log(&self.nodes).expect("a voter that runs")
     }
@@ -292,7 +292,7 @@
         self.find_leader().expect("a leader")
     }
 
-    /// Blocks all links of a front end.
+    /// Blocks all links from and to a front end.
     pub(crate) fn isolate(&mut self, index: usize) {
         for other in (0..self.nodes.len()).filter(|other| *other != index) {
             self.blocked_links.extend([(index, other), (other, index)]);
@@ -300,7 +300,7 @@
     }
 }
 
-/// The log of the voter that knows most of it.
+/// The log with the most entries applied.
 pub(crate) fn latest_log(nodes: &[Option<FleetNode>]) -> Option<&Log> {
     let logs = nodes.iter().flatten().filter_map(FleetNode::applied_log);
     logs.max_by_key(|(applied, _)| *applied).map(|(_, log)| log)
--- a/decide/fleet-node/tests/fleet_node/main.rs
+++ b/decide/fleet-node/tests/fleet_node/main.rs
@@ -1,4 +1,4 @@
-//! Front ends of a fleet in virtual time, each with its disk, links that can be blocked, and processes that are killed.
+//! Fleets of front ends in virtual time, with lost messages, blocked links, killed processes and full disks.
 
 mod cluster;
 mod scope_cluster;
--- a/decide/fleet-node/tests/fleet_node/scope_cluster.rs
+++ b/decide/fleet-node/tests/fleet_node/scope_cluster.rs
@@ -1,5 +1,5 @@
-//! A cluster whose tests change scopes. After every event what each front end applies is compared with what is agreed on:
-//! one with a session applies no other strict field than the one in force, and is no less restricted.
+//! A cluster for tests that change scopes. After every event the settings that each front end with a session applies are
+//! compared with the agreed ones: strict fields must be equal, and joint fields no less restrictive.
 
 use crate::cluster::{latest_log, Cluster, Observer, Options};
 use std::collections::BTreeMap;
@@ -16,18 +16,18 @@
 
 pub(crate) type ScopeCluster = Cluster<ScopeObserver>;
 
-/// A reply with scopes that was delivered.
+/// A subscribe reply with scopes that was delivered.
 pub(crate) struct DeliveredReply {
     pub(crate) to: usize,
-    /// The revision of the reply.
+    /// Revision of the reply.
     pub(crate) revision: Revision,
-    /// The revision that its receiver had reached.
+    /// Revision that the receiver had reached.
     pub(crate) receiver_revision: Revision,
 }
 
 #[derive(Default)]
 pub(crate) struct ScopeObserver {
-    /// The scopes that are checked, and the latest agreed record of each.
+    /// The latest agreed revision and record of each scope that is checked.
     agreed: BTreeMap<String, (Revision, ScopeRecord)>,
     pub(crate) replies: Vec<DeliveredReply>,
 }
@@ -62,7 +62,7 @@
                 &EffectiveRules::from_fields(&qualified(&settings.fields)),
             );
             let concerns_scope = |calls: &AffectedCalls| matches!(calls, AffectedCalls::Function(function) if function == name);
-            // Without a lease the joint fields are the strictest, which bind as much as any.
+            // Without a lease the strictest value of a joint field applies, which contradicts no agreed value.
             assert!(
                 !contradictions.iter().any(|(_, calls)| concerns_scope(calls)),
                 "{now} us: f{index} applies {name} as {settings:?} at {:?}, agreed at {revision:?} is {agreed:?}",
@@ -156,7 +156,7 @@
         cluster
     }
 
-    /// Runs until this holds; at most some seconds.
+    /// Runs until the condition holds, or until the time is up; returns whether it holds.
     pub(crate) fn run_until(&mut self, seconds: f64, holds: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + (seconds * 1e6) as i64;
         while self.now < end && !holds(self) {
@@ -181,7 +181,7 @@
         self.request(request, entry);
     }
 
-    /// Sets a scope and waits until that has settled.
+    /// Sets a scope and runs until the change has settled.
     pub(crate) fn set(&mut self, request: u64, scope: &str, fields: Option<Fields>) {
         let agreed = &mut self.observer.agreed;
         agreed.entry(scope.to_string()).or_default();
@@ -205,7 +205,7 @@
         })
     }
 
-    /// Calls until the admission is decided; the class of an admitted call.
+    /// Calls a function until its admission is decided, and returns the class of the admitted call.
     pub(crate) fn admitted_class(&mut self, index: usize, scope: &str) -> String {
         for _ in 0..250 {
             match self.admit(index, scope) {
--- a/decide/fleet-node/tests/fleet_node/scope_load.rs
+++ b/decide/fleet-node/tests/fleet_node/scope_load.rs
@@ -1,4 +1,4 @@
-//! Many scopes: bursts of changes, and what a front end holds of them.
+//! Many scopes: bursts of changes, memory of a front end, and the bound on its subscriptions.
 
 use crate::scope_cluster::{change, fields, ScopeCluster};
 use tansy_agreement::log::Revision;
@@ -11,7 +11,7 @@
     let mut cluster = ScopeCluster::with_scopes(8, 1, 5);
     cluster.set(10_000, "x", Some(fields("chat", 4)));
     let before = cluster.log().state().revision;
-    // Five hundred in a minute, the half of them within a second.
+    // 500 changes within a minute, 250 of them within the first second.
     let mut called = 0;
     for number in 0..500u64 {
         cluster.update_scopes(
@@ -30,13 +30,13 @@
         cluster.run(if number < 250 { 0.004 } else { 0.236 });
     }
     cluster.run(5.0);
-    let refused: Vec<_> = cluster
+    let rejected: Vec<_> = cluster
         .answers
         .values()
         .flatten()
         .filter(|a| a.is_err())
         .collect();
-    assert!(refused.is_empty(), "{:?}", refused.first());
+    assert!(rejected.is_empty(), "{:?}", rejected.first());
     assert_eq!(cluster.log().catalog().all().len(), 501);
     assert!(cluster
         .log()
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_holder_of_100_of_340_000_scopes_uses_memory_for_100() {
+fn a_subscriber_to_100_of_340_000_scopes_uses_memory_for_100() {
     let mut cluster = ScopeCluster::with_scopes(3, 1, 6);
     let name = |number: usize| format!("function-{number:06}");
     const ALL: usize = 340_000;
@@ -85,17 +85,17 @@
     for call in 0..100 {
         assert_eq!(cluster.admitted_class(2, &name(call * 3_000)), "chat");
     }
-    let peer = cluster.nodes[2].as_ref().expect("it runs");
-    assert_eq!(peer.subscription_count(), 100);
-    let history = peer
+    let node = cluster.nodes[2].as_ref().expect("the node runs");
+    assert_eq!(node.subscription_count(), 100);
+    let history = node
         .active_state(cluster.now)
         .state
         .map_or(0, |s| s.history.memory_bytes());
     assert!(history <= MAX_HISTORY_BYTES, "{history}");
     assert!(
-        peer.subscription_bytes() - history < 100 * 500,
+        node.subscription_bytes() - history < 100 * 500,
         "{}",
-        peer.subscription_bytes()
+        node.subscription_bytes()
     );
     let scope = name(3_000);
     cluster.set(9_999, &scope, Some(fields("batch", 1)));
@@ -122,13 +122,13 @@
     let subscribed = cluster.nodes[2]
         .as_ref()
         .map(FleetNode::subscription_count)
-        .expect("it runs");
+        .expect("the node runs");
     assert!(
         subscribed > MAX_SUBSCRIPTIONS / 2 && subscribed <= MAX_SUBSCRIPTIONS,
         "{subscribed}"
     );
     assert!(cluster.events.iter().any(|(n, event)| *n == 2
         && matches!(event, FleetEvent::SubscriptionsEvicted { total, .. } if *total > 0)));
-    // Those called longest ago were evicted first, and can be requested again.
+    // The least recently called scopes were evicted first, and can be requested again.
     assert_eq!(cluster.admitted_class(2, "f0"), "chat");
 }
--- a/decide/fleet-node/tests/fleet_node/scopes.rs
+++ b/decide/fleet-node/tests/fleet_node/scopes.rs
@@ -1,4 +1,4 @@
-//! Scopes: subscriptions, changes of them, and faults while they change.
+//! Scopes: subscriptions, changes, and faults during changes.
 
 use crate::cluster::SECOND;
 use crate::scope_cluster::{change, class, fields, ScopeCluster};
@@ -10,7 +10,7 @@
 use tansy_fleet_node::{FleetEvent, RequestRejection};
 
 #[test]
-fn a_scope_is_requested_once_and_updated_at_its_holders() {
+fn a_scope_is_requested_once_and_updated_at_its_subscribers() {
     let mut cluster = ScopeCluster::with_scopes(6, 1, 1);
     assert_eq!(
         cluster.admit(2, "a"),
@@ -36,7 +36,7 @@
     assert_eq!(
         cluster.admitted_class(3, "none"),
         "chat",
-        "its absence is held as well"
+        "the absence of a scope is subscribed to as well"
     );
     assert_eq!(
         cluster.observer.replies.len(),
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_killed_holder_delays_only_its_own_scopes() {
+fn a_killed_subscriber_delays_only_its_own_scopes() {
     for seed in 0..20 {
         let mut cluster = ScopeCluster::with_scopes(6, 1, seed);
         cluster.set(1, "a", Some(fields("chat", 4)));
@@ -75,7 +75,7 @@
         let blockers = cluster.nodes[0]
             .as_ref()
             .and_then(|node| node.change_blockers(cluster.now))
-            .expect("a change goes on");
+            .expect("a change is in progress");
         assert_eq!(
             blockers
                 .scopes
@@ -84,7 +84,7 @@
                 .collect::<Vec<_>>(),
             [("a", 1)]
         );
-        // A joint field waits for leases alone, of which the dead one has none.
+        // The strict change of "a" waits for the killed subscriber until it times out.
         assert!(
             cluster.run_until(12.0, |cluster| cluster.scope("a").phase
                 == ScopePhase::Settled),
@@ -94,15 +94,16 @@
         assert_eq!(
             cluster.scope("a").fields,
             Some(fields("chat", 4)),
-            "reverted alone"
+            "only this change is reverted"
         );
         assert!(cluster
             .events
             .iter()
             .any(|(_, event)| matches!(event, FleetEvent::ScopeChangesAbandoned { scopes, .. } if scopes == &["a"])));
+        // A joint change waits only for leases, and the killed front end has none.
         cluster.set(5, "a", Some(fields("chat", 2)));
         assert_eq!(cluster.admitted_class(3, "b"), "batch");
-        // Once it has restarted, or its session has expired, it is not waited for.
+        // A restarted front end no longer delays changes.
         cluster.start(4);
         cluster.run(3.0);
         cluster.set(6, "a", Some(fields("batch", 2)));
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn of_two_overlapping_transactions_one_is_rejected_whole() {
+fn of_two_overlapping_transactions_one_is_rejected_entirely() {
     for first in [0, 1] {
         let mut cluster = ScopeCluster::with_scopes(4, 1, 3);
         cluster.set(1, "b", Some(fields("chat", 4)));
@@ -148,7 +149,7 @@
         assert_eq!(
             cluster.scope(&two[0].scope),
             ScopeRecord::default(),
-            "no part of it is applied"
+            "no part of the rejected transaction is applied"
         );
         cluster.update_scopes(5, two);
         cluster.run(0.5);
@@ -173,7 +174,7 @@
         cluster.max_delay = 60_000;
         cluster.loss_percent = Some(5);
         let base = cluster.scope("a").revision;
-        // The change first, or the call.
+        // Either the change or the call comes first.
         let wait = cluster.rng.f64() * 0.15;
         let to = cluster.rng.bool().then(|| fields("batch", 2));
         cluster.observer.replies.clear();
@@ -201,7 +202,7 @@
             .log()
             .catalog()
             .transaction_result(2)
-            .expect("it was decided")
+            .expect("a result")
             .revision;
         orders.extend(
             cluster
@@ -217,14 +218,14 @@
         let expected = to.map_or("Some(Unknown)", |_| "batch");
         assert_eq!(cluster.admitted_class(3, "a"), expected, "seed {seed}");
     }
-    // Applied before or after the subscription, answered before or after the revision came through the lease tree.
+    // The reply is of a revision before or after the change, and the receiver had reached the change or not.
     let all = [(true, true), (true, false), (false, true), (false, false)];
     let observed: BTreeSet<(bool, bool)> = orders.iter().map(|o| (o.0, o.1)).collect();
     assert_eq!(observed, all.into(), "{orders:?}");
 }
 
 #[test]
-fn a_scope_removed_while_it_is_held_is_gone_everywhere() {
+fn a_scope_removed_while_it_is_subscribed_to_is_gone_everywhere() {
     let mut cluster = ScopeCluster::with_scopes(5, 1, 9);
     cluster.set(1, "a", Some(fields("chat", 4)));
     for holder in 1..4 {
@@ -235,14 +236,14 @@
     for index in 1..5 {
         assert_eq!(cluster.admitted_class(index, "a"), "Some(Unknown)");
     }
-    assert_eq!(cluster.log().catalog().get("a"), None, "it takes no room");
+    assert_eq!(cluster.log().catalog().get("a"), None, "no record is left");
     cluster.set(3, "a", Some(fields("bulk", 1)));
     cluster.run(1.0);
     assert_eq!(cluster.admitted_class(2, "a"), "bulk");
 }
 
 #[test]
-fn an_isolated_holder_keeps_its_scopes_and_delays_only_these() {
+fn an_isolated_subscriber_keeps_its_scopes_and_delays_only_these() {
     let mut cluster = ScopeCluster::with_scopes(6, 1, 4);
     cluster.set(1, "a", Some(fields("chat", 4)));
     cluster.set(2, "b", Some(fields("chat", 4)));
@@ -256,7 +257,7 @@
     cluster.isolate(4);
     cluster.run(2.0);
     let Some(Admission::Admit(isolated)) = cluster.admit(4, "a") else {
-        panic!("it stays active")
+        panic!("the isolated front end stays active")
     };
     assert_eq!(
         (&isolated["class"], &isolated["lanes"]),
@@ -265,7 +266,7 @@
     assert_eq!(
         cluster.admit(4, "b"),
         Some(Admission::Wait),
-        "it can't know another"
+        "an isolated front end can't subscribe to another scope"
     );
     cluster.set(3, "b", Some(fields("batch", 2)));
     cluster.set(4, "c", Some(fields("batch", 2)));
@@ -275,7 +276,7 @@
     assert_eq!(
         cluster.scope("a").fields,
         Some(fields("chat", 4)),
-        "a change of it is reverted"
+        "a change of its scope is reverted"
     );
     assert_eq!(class(cluster.admit(4, "a")), "chat");
     cluster.run(60.0);
@@ -322,7 +323,7 @@
             cluster.run_until(10.0, |cluster| cluster.find_leader().is_some()),
             "seed {seed}: another leads"
         );
-        // A request without an answer is repeated with the same id.
+        // Requests without an outcome are repeated with the same id.
         let mut remaining: Vec<u64> = all.clone();
         for _ in 0..40 {
             cluster.run(1.0);
@@ -339,12 +340,12 @@
         }
         assert!(
             remaining.is_empty(),
-            "seed {seed}: {} came to no end",
+            "seed {seed}: {} changes have no outcome",
             remaining.len()
         );
         let catalog = cluster.log().catalog();
         for id in &all {
-            let result = catalog.transaction_result(*id).expect("it was decided");
+            let result = catalog.transaction_result(*id).expect("a result");
             assert_eq!(
                 (result.joint, result.in_force + result.reverted),
                 (0, 1),
--- a/decide/fleet-node/tests/fleet_node/version_cluster.rs
+++ b/decide/fleet-node/tests/fleet_node/version_cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster whose tests change versions of fields.
+//! A cluster for tests that change versions of the settings.
 
 use crate::cluster::{Cluster, Options};
 use tansy_agreement::compatibility::{
@@ -31,7 +31,7 @@
 }
 
 impl VersionCluster {
-    /// One voter, which is number 0.
+    /// A cluster whose only voter is front end 0.
     pub(crate) fn with_one_voter(size: usize) -> VersionCluster {
         VersionCluster::with_voters(size, 1)
     }
@@ -63,7 +63,7 @@
         self.request(request, entry);
     }
 
-    /// The version in force at each front end that is active; none: it is not, or a change is being introduced.
+    /// The version in force at each front end; `None` if the front end is not active or a version is being introduced.
     pub(crate) fn versions_in_force(&self) -> Vec<Option<u64>> {
         let version = |node: &Option<FleetNode>| {
             let active = node.as_ref()?.active_state(self.now);
--- a/decide/fleet-node/tests/fleet_node/versions.rs
+++ b/decide/fleet-node/tests/fleet_node/versions.rs
@@ -1,4 +1,4 @@
-//! Versions of fields under faults of front ends and of a single voter.
+//! Changes of versions under faults of front ends and of the only voter.
 
 use crate::cluster::{address, id};
 use crate::version_cluster::{fields, VersionCluster};
@@ -28,7 +28,7 @@
         "{:?}",
         cluster.events.last()
     );
-    // Repeated it is a duplicate; based on another version, or sent to a front end that does not lead, it is rejected.
+    // A repeated proposal is a duplicate. One with a stale base, or sent to a front end that does not lead, is rejected.
     cluster.propose(9, 1, fields("cell", 2));
     cluster.propose(10, 1, fields("all", 2));
     cluster.run(0.1);
@@ -54,7 +54,7 @@
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
+    reason = "one sequence of events, read from top to bottom"
 )]
 fn an_isolated_front_end_delays_only_strict_changes_until_its_session_expires() {
     let mut cluster = VersionCluster::with_one_voter(6);
@@ -65,7 +65,7 @@
         let active_state = cluster.nodes[4]
             .as_ref()
             .map(|node| node.active_state(cluster.now))
-            .expect("it runs");
+            .expect("the node runs");
         (
             active_state.lease_remaining > 0,
             active_state.session_remaining > 0,
@@ -82,19 +82,19 @@
     assert_eq!(
         cluster.versions_in_force()[..4],
         vec![Some(2); 4],
-        "a joint field does not wait for it"
+        "a joint change does not wait for the isolated front end"
     );
     cluster.propose(2, 2, fields("cell", 2));
     cluster.run(20.0);
     assert_eq!(
         cluster.log().state().in_force.version,
         Version(2),
-        "a strict one does"
+        "a strict change waits for the isolated front end"
     );
     let blockers = cluster.nodes[0]
         .as_ref()
         .and_then(|node| node.change_blockers(cluster.now))
-        .expect("a change goes on");
+        .expect("a change is in progress");
     assert_eq!(
         blockers.sessions.iter().map(|m| m.id).collect::<Vec<_>>(),
         [id(4)]
@@ -107,7 +107,7 @@
         "its session has expired by now"
     );
     assert_eq!(active(&cluster), (false, false, Some(1)));
-    // It reaches the voter alone: it gets no session before it has reached the revision.
+    // The front end reaches only the voter again. It must not get a session before it has reached the current revision.
     cluster
         .blocked_links
         .retain(|(a, b)| !(*a == 4 && *b == 0 || *a == 0 && *b == 4));
@@ -115,7 +115,7 @@
     let (_, has_session, version) = active(&cluster);
     assert!(
         !has_session || version == Some(3),
-        "it must not apply version 1 again"
+        "the front end must not apply version 1 again"
     );
     cluster.blocked_links.clear();
     cluster.run(5.0);
@@ -134,7 +134,7 @@
     cluster.start(3);
     cluster.run(5.0);
     assert_eq!(cluster.versions_in_force(), vec![Some(2); 6]);
-    // Neither one that leaves nor one that an operator removes is waited for.
+    // Changes do not wait for a front end that leaves or that an operator removes.
     cluster.call(1, |node, now, commands| node.leave(now, commands));
     cluster.run(0.1);
     cluster.nodes[1] = None;
@@ -150,7 +150,7 @@
         .roster()
         .find(|(m, _)| m.id == id(5))
         .map(|(m, _)| m)
-        .expect("it is on the roster");
+        .expect("the member is on the roster");
     cluster.call(0, |node, now, commands| {
         node.request(now, 3, LogEntry::Leave { member }, commands)
     });
@@ -159,11 +159,11 @@
 }
 
 #[test]
-fn a_joint_strict_change_is_abandoned_after_a_time() {
+fn a_joint_strict_change_is_abandoned_after_a_timeout() {
     let mut cluster = VersionCluster::with_one_voter(5);
     cluster.run(5.0);
     cluster.propose(1, 1, fields("cell", 4));
-    // Until it is joint at the voter; then one front end is isolated.
+    // One front end is isolated once the change is joint at the voter.
     while cluster.log().state().revision.0 < 3 {
         cluster.run(0.002);
     }
@@ -189,7 +189,7 @@
         while cluster.log().state().revision.0 < step {
             cluster.run(0.001);
         }
-        // All have reported their revision to it, which it forgets.
+        // All front ends have reported their revision to the voter, which loses the reports when it is killed.
         cluster.run(0.02);
         cluster.nodes[0] = None;
         cluster.run(0.5);
@@ -216,7 +216,7 @@
             .iter()
             .skip(1)
             .all(Option::is_none),
-        "nobody has a lease without the voter"
+        "no front end has a lease without the voter"
     );
     cluster.start(0);
     cluster.run(3.0);
@@ -225,7 +225,7 @@
     assert_eq!(
         cluster.log().state().in_force.version,
         Version(1),
-        "it knows the one that it has not heard from since"
+        "the voter waits for the member that it has not heard from since its restart"
     );
     cluster.blocked_links.clear();
     cluster.run(5.0);
@@ -242,7 +242,7 @@
     cluster.run(3.0);
     for request in [1, 2] {
         assert!(
-            matches!(cluster.answer(request), Err(RequestRejection::Storage(cause)) if cause == "no room"),
+            matches!(cluster.answer(request), Err(RequestRejection::Storage(cause)) if cause == "disk full"),
             "{request}"
         );
     }
@@ -254,7 +254,7 @@
     assert_eq!(
         cluster.versions_in_force(),
         vec![Some(1); 5],
-        "leases and sessions go on"
+        "leases and sessions are still renewed"
     );
     cluster.is_disk_full = false;
     cluster.start(0);
--- a/decide/fleet-node/tests/fleet_node/voters.rs
+++ b/decide/fleet-node/tests/fleet_node/voters.rs
@@ -18,13 +18,13 @@
             all.remove(killed);
             all
         };
-        assert_eq!(others(&cluster), vec![Some(1); 8], "voter {killed} is gone");
+        assert_eq!(others(&cluster), vec![Some(1); 8], "voter {killed} is down");
         cluster.propose(1, 1, fields("zone", 2));
         cluster.run(3.0);
         assert_eq!(
             others(&cluster),
             vec![Some(2); 8],
-            "a joint field, without voter {killed}"
+            "a joint field changes without voter {killed}"
         );
         cluster.start(killed);
         cluster.run(6.0);
@@ -33,7 +33,7 @@
         assert_eq!(
             cluster.versions_in_force(),
             vec![Some(3); 9],
-            "a strict one, with it back"
+            "a strict field changes once voter {killed} is back"
         );
     }
 }
@@ -98,7 +98,7 @@
 fn all_voters_are_replaced_and_the_new_ones_carry_on_alone() {
     let mut cluster = VersionCluster::with_disks(9, 3, 6);
     cluster.run(6.0);
-    // One is dead and is replaced; then the leaders are, one after another.
+    // A dead voter is replaced first, then two leaders one after another.
     let dead = (0..3).find(|n| *n != cluster.leader()).expect("two others");
     cluster.nodes[dead] = None;
     cluster.run(3.0);
@@ -122,10 +122,10 @@
         assert_ne!(
             cluster.leader(),
             former,
-            "one that is replaced hands over leadership first"
+            "a leader that is replaced transfers leadership first"
         );
     }
-    // The replaced voters may stop: the others carry on, also from their disks.
+    // The new voters work without the replaced ones, and recover from their disks.
     let voters = cluster.voter_indices();
     (0..3)
         .filter(|n| !voters.contains(n))
@@ -140,7 +140,7 @@
     assert_eq!(
         cluster.voter_indices(),
         voters,
-        "a voter recovers from its disk, whatever its settings say"
+        "a voter recovers the voters from its disk, not from its configuration"
     );
     cluster.propose(8, 2, fields("zone", 3));
     cluster.run(5.0);
@@ -165,17 +165,17 @@
 }
 
 #[test]
-fn a_learner_that_does_not_catch_up_becomes_no_voter() {
+fn a_learner_that_does_not_catch_up_does_not_become_a_voter() {
     let mut cluster = VersionCluster::with_disks(6, 3, 3);
     cluster.run(6.0);
-    // It was started without a disk.
+    // Front end 4 has no disk and therefore no replica of the log.
     cluster.replace(1, 4, 0);
     cluster.replace(2, 5, 1);
     cluster.run(5.0);
     assert_eq!(
         *cluster.answer(2),
         Err(RequestRejection::Log(EntryRejection::ReplacementInProgress)),
-        "one at a time"
+        "one replacement at a time"
     );
     cluster.propose(3, 1, fields("zone", 2));
     cluster.run(4.0);
