--- a/decide/consensus/src/config.rs
+++ b/decide/consensus/src/config.rs
@@ -1,4 +1,4 @@
-//! What a replica is configured with, and the parameters of raft.
+//! Configuration of a replica, and parameters of the Raft library.
 
 use raft::{Config, ReadOnlyOption};
 use std::collections::BTreeMap;
@@ -6,36 +6,36 @@
 use tansy_agreement::compatibility::Fields;
 use tansy_agreement::lease::{LeaseTiming, Time};
 
-/// Time between two ticks of raft, microseconds.
+/// Time between two ticks of Raft, in microseconds.
 pub(crate) const TICK_INTERVAL: Time = 50_000;
-/// Ticks without a leader's message after which a voter stands for election, at least; at most twice as many.
+/// Lower bound of the election timeout, in ticks. The timeout is random and less than twice as long.
 pub(crate) const ELECTION_TICKS: usize = 10;
 /// Ticks between two heartbeats of a leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// Bytes of entries in one message.
+/// Maximum size of the entries in one message.
 const MAX_MESSAGE_BYTES: u64 = 1 << 20;
-/// Messages to one follower that may be unacknowledged.
+/// Maximum number of unacknowledged messages to one follower.
 const MAX_INFLIGHT_MESSAGES: usize = 64;
 
-/// What a replica is configured with.
+/// Configuration of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
-    /// The voter's number.
+    /// Id of the front end.
     pub id: u64,
-    /// Its process; a later one has a larger number.
+    /// Incarnation of the front end's process, which increases with each restart.
     pub incarnation: u64,
-    /// The voters of a fleet that starts for the first time, and their addresses. A replica which is not among them learns
-    /// the log while it replaces a voter, and does not vote until then.
+    /// Ids and addresses of a new fleet's first voters. Any other replica starts as a learner when it is to replace a
+    /// voter, and does not vote before that.
     pub voters: BTreeMap<u64, SocketAddr>,
-    /// Span and clock drift of leases.
+    /// Length of a lease and bound on clock drift.
     pub timing: LeaseTiming,
-    /// The fields of the first version of a fleet that starts for the first time.
+    /// The settings of version 1, for a fleet that starts for the first time.
     pub initial_fields: Fields,
-    /// Seed of its random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// The configuration of the raft library for a replica whose log was applied up to this index.
+/// The Raft library's configuration for a replica that has applied entries up to this index.
 pub(crate) fn raft_config(id: u64, applied: u64) -> Config {
     Config {
         id,
--- a/decide/consensus/src/leader_lease.rs
+++ b/decide/consensus/src/leader_lease.rs
@@ -1,18 +1,19 @@
-//! The lease of a leader: how long it may act as the leader of the fleet, by the rounds that a quorum confirmed.
+//! The leader lease: until when a replica may act as the leader of the fleet, as confirmed by rounds of read requests that
+//! a quorum answers.
 
 use std::collections::VecDeque;
 use tansy_agreement::lease::{LeaseTiming, Time};
 
 /// Rounds started per lease span.
 const ROUNDS_PER_SPAN: i64 = 4;
-/// Rounds that may be unanswered at a time.
+/// Maximum number of unanswered rounds.
 const MAX_PENDING_ROUNDS: usize = 32;
 
-/// The rounds of one leadership and the lease that follows from them.
+/// The rounds that a leader started, and its lease.
 pub(crate) struct LeaderLease {
     timing: LeaseTiming,
     next_round: Time,
-    /// The rounds that no quorum has answered yet: number and start.
+    /// Number and start time of each round that no quorum has answered yet.
     pending: VecDeque<(u64, Time)>,
     last_round: u64,
     expiry: Option<Time>,
@@ -29,19 +30,19 @@
         }
     }
 
-    /// When the lease expires; it may be in the past.
+    /// When the lease expires or expired.
     pub(crate) fn expiry(&self) -> Option<Time> {
         self.expiry
     }
 
-    /// Ends the lease with the leadership. Numbers of rounds are not reused.
+    /// Drops the lease when leadership ends. Round numbers are not reused.
     pub(crate) fn clear(&mut self) {
         self.pending.clear();
         self.expiry = None;
     }
 
-    /// Starts a round if one is due; returns the context that its read request carries. `can_read`: the leader has
-    /// committed an entry of its term, without which raft answers no read request.
+    /// Starts a round if one is due, and returns the context of its read request. Raft answers read requests only once the
+    /// leader has committed an entry of its term (`can_read`).
     pub(crate) fn start_round(&mut self, now: Time, can_read: bool) -> Option<Vec<u8>> {
         if now < self.next_round {
             return None;
@@ -59,8 +60,8 @@
         Some(self.last_round.to_be_bytes().to_vec())
     }
 
-    /// A quorum answered the round of this context. The lease is extended from the round's start, if everything that was
-    /// committed by then is applied here.
+    /// Handles a round that a quorum answered. The lease is extended from the start of the round, unless entries that were
+    /// committed by then are still to be applied here.
     pub(crate) fn on_quorum(&mut self, context: &[u8], is_applied: bool) {
         let round = context.try_into().map(u64::from_be_bytes).unwrap_or(0);
         let started = self
--- a/decide/consensus/src/lib.rs
+++ b/decide/consensus/src/lib.rs
@@ -1,17 +1,17 @@
-//! The agreed log of a fleet, replicated by raft among a few front ends, its voters: one, three, five or seven.
+//! The agreed log of a fleet, replicated by Raft among the fleet's voters, which are one, three, five or seven front ends.
 //!
-//! A [`Replica`] is one voter as a state machine. It is given the time, messages and acknowledgements of writes, and
-//! returns [`Effect`]s which its host carries out in order. The order of entries is decided by the library `raft`; this
-//! crate adds the encoding of messages and records, the application of entries to the log, the replacement of voters, and
-//! the **leader lease**: the time until which this replica may act as the leader of the fleet.
+//! A [`Replica`] is one voter as a deterministic state machine. Its host passes in the time, messages and acknowledgements
+//! of writes, and carries out the [`Effect`]s that it returns, in order. The `raft` library decides the order of entries.
+//! This crate encodes messages and records, applies entries to the log, replaces voters, and maintains the **leader
+//! lease**: the time until which this replica may act as the leader of the fleet.
 //!
-//! A leader lease starts before a round of heartbeats that a quorum answered. There is none before an entry of the
-//! leader's own term was applied here, so that a leader knows everything that its predecessors entered after a check of
-//! their own. A new leader waits for one lease span before it advances a change: the quorum that elected it overlaps with
-//! the one that confirmed the last leader.
+//! A leader lease is counted from the start of a heartbeat round that a quorum confirmed. A replica holds no leader lease
+//! before it has applied an entry of its own term, so that a leader has applied everything that its predecessors
+//! committed. A new leader waits for one lease span before it advances a change, because the last leader's lease may still
+//! be live.
 //!
-//! Not here: sockets, disks and clocks (the host's), the meaning of entries (`tansy-agreement`), and the front ends
-//! which do not vote (`tansy-fleet-node`).
+//! Sockets, disks and clocks belong to the host. `tansy-agreement` defines the entries and what they do, and
+//! `tansy-fleet-node` the front ends, whether they vote or not.
 //!
 //! ```
 //! use tansy_agreement::compatibility::Fields;
--- a/decide/consensus/src/persistence.rs
+++ b/decide/consensus/src/persistence.rs
@@ -1,4 +1,4 @@
-//! Records of a replica on disk, and how its state is rebuilt from them.
+//! Encoding of a replica's records and snapshots on disk, and recovery from them.
 
 use crate::config::ReplicaConfig;
 use crate::raft_storage::RaftStorage;
@@ -12,54 +12,55 @@
 use tansy_agreement::log::{Log, LogEntry};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Format of a snapshot on disk. Files of the first format, whose voters were those of the settings, began with a term,
-/// which is never 0.
+/// Format of a snapshot on disk. Snapshots of the first format, which listed no voters, began with a term, which is never 0.
 const SNAPSHOT_FORMAT: u64 = 0;
 
-/// What a disk holds.
+/// The state that a replica has on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistentState {
     /// The last snapshot.
     pub snapshot: Option<Vec<u8>>,
-    /// The records after it, in the order in which they were written.
+    /// The records after the snapshot, in the order in which they were written.
     pub records: Vec<Vec<u8>>,
 }
 
-/// Why a replica can't be started from what its disk holds. Record 0 of the texts is the snapshot.
+/// Why a replica can't be started from its state on disk.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CorruptState {
-    /// The configuration names a voter 0, which raft reserves.
-    #[error("record 0 of the voter's file can't be read: a voter's number is 0; restore the file, or start the voter anew without it")]
+    /// The configuration has a voter with id 0, which Raft reserves.
+    #[error("the id of a voter is 0, which is not allowed; rename that voter")]
     ZeroVoterId,
     /// The snapshot has a format that this program does not know.
-    #[error("record 0 of the voter's file can't be read: it is of a form that this program does not know; restore the file, or start the voter anew without it")]
+    #[error("the snapshot in the state file has unknown format {format}; restore the file, or start the voter without it")]
     UnknownSnapshotFormat {
         /// The format that the snapshot states.
         format: u64,
     },
     /// The snapshot can't be decoded.
-    #[error("record 0 of the voter's file can't be read: {cause}; restore the file, or start the voter anew without it")]
+    #[error("the snapshot in the state file can't be decoded: {cause}; restore the file, or start the voter without it")]
     Snapshot {
         /// The decoder's error.
         cause: postcard::Error,
     },
     /// A record can't be decoded.
-    #[error("record {record} of the voter's file can't be read: {cause}; restore the file, or start the voter anew without it")]
+    #[error("record {record} in the state file can't be decoded: {cause}; restore the file, or start the voter without it")]
     Record {
-        /// Its position after the snapshot, from 1.
+        /// Number of the record after the snapshot, from 1.
         record: usize,
         /// The decoder's error.
         cause: postcard::Error,
     },
     /// Raft does not accept the state.
-    #[error("record 0 of the voter's file can't be read: {cause}; restore the file, or start the voter anew without it")]
+    #[error(
+        "the state file is inconsistent: {cause}; restore the file, or start the voter without it"
+    )]
     Raft {
         /// Raft's error.
         cause: String,
     },
 }
 
-/// What one write adds.
+/// A record of one write.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum Record {
     Ready {
@@ -69,10 +70,10 @@
     },
 }
 
-/// All of a replica's state; it replaces the records before it.
+/// A replica's whole state, which replaces all earlier records.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct StoredSnapshot {
-    /// [`SNAPSHOT_FORMAT`].
+    /// Always [`SNAPSHOT_FORMAT`].
     format: u64,
     hard_state: (u64, u64, u64),
     base: (u64, u64),
@@ -80,16 +81,16 @@
     latest: WireSnapshot,
 }
 
-/// The data of an entry in raft's log.
+/// The data of an entry in Raft's log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum ReplicatedEntry {
-    /// The fields and voters that the fleet starts with; only the first of these entries counts.
+    /// The settings and voters that the fleet starts with. Only the first such entry has an effect.
     Begin(Fields, BTreeMap<u64, SocketAddr>),
-    /// An entry of the agreed log, with its proposer's id and incarnation and the proposal's number.
+    /// An entry of the agreed log, after the id and incarnation of its proposer and the number of the proposal.
     Entry(u64, u64, u64, LogEntry),
 }
 
-/// Rebuilds raft's state from what the disk holds.
+/// Recovers Raft's state from the disk.
 pub(crate) fn load(
     config: &ReplicaConfig,
     saved: &PersistentState,
@@ -108,14 +109,14 @@
         })?;
         apply_record(&mut storage, record);
     }
-    // A commit may be announced before it is written: what the disk holds of it may be behind, and is never past the last
-    // entry.
+    // The commit index on disk may be behind, since commits are announced before they are written. It must not be past the
+    // last entry.
     let commit = storage.hard_state.commit;
     storage.hard_state.commit = commit.clamp(storage.latest.index, storage.last());
     Ok(storage)
 }
 
-/// The log of the latest snapshot; none: the fleet has not started.
+/// The log of the latest snapshot; `None` if the fleet has not started.
 pub(crate) fn load_log(storage: &RaftStorage) -> Result<Option<Log>, CorruptState> {
     if storage.latest.log.is_empty() {
         return Ok(None);
@@ -128,8 +129,8 @@
 fn initial_storage(config: &ReplicaConfig) -> Result<RaftStorage, CorruptState> {
     let mut storage = RaftStorage::default();
     if config.voters.contains_key(&config.id) {
-        // The first voters stand before the first entry, as an entry that nobody has: a replica which is not among them
-        // has to learn them with a snapshot.
+        // The first voters are part of a snapshot at index 1, an entry that no replica has. Other replicas therefore
+        // receive a snapshot, which lists the voters, instead of entries from the start.
         let voters: Vec<u64> = config.voters.keys().copied().collect();
         let encoded =
             postcard::to_stdvec(&voters).map_err(|cause| CorruptState::Snapshot { cause })?;
@@ -177,14 +178,14 @@
     }
 }
 
-/// Encodes what one write adds: entries and a snapshot, with the state as it is after them.
+/// Encodes a record of new entries, a snapshot received from another replica, and the hard state after them.
 pub(crate) fn encode_record(
     storage: &RaftStorage,
     entries: &[Entry],
     snapshot: Option<WireSnapshot>,
 ) -> Vec<u8> {
-    // What is known to be committed is written with the entries after it: a replica that restarts is at most one change of
-    // voters behind, since the next one is proposed by a leader that knows the last to be committed.
+    // The commit index is written with every record, so that a replica that restarts is at most one voter change behind:
+    // a leader proposes the next change only once the last one is committed.
     let record = Record::Ready {
         hard_state: Some(hard_state_parts(&storage.hard_state)),
         entries: entries.iter().map(wire::entry_from_raft).collect(),
@@ -193,7 +194,7 @@
     postcard::to_stdvec(&record).unwrap_or_default()
 }
 
-/// Encodes all that there is.
+/// Encodes the whole state.
 pub(crate) fn encode_snapshot(storage: &RaftStorage) -> Vec<u8> {
     let snapshot = StoredSnapshot {
         format: SNAPSHOT_FORMAT,
--- a/decide/consensus/src/raft_storage.rs
+++ b/decide/consensus/src/raft_storage.rs
@@ -1,35 +1,37 @@
-//! The log as the raft library reads it: entries after a snapshot, in memory. The disk holds the same.
+//! The Raft library's storage: a snapshot and the entries after it, in memory. The disk has a copy.
 
 use crate::wire::{snapshot_into_raft, WireSnapshot};
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
 
-/// Bytes that an entry counts for in a message, beside its data.
+/// Size that an entry counts for in a message beside its data.
 const ENTRY_OVERHEAD_BYTES: u64 = 32;
 
-/// Entries and state of raft in memory.
+/// Raft's entries and state.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RaftStorage {
     pub(crate) hard_state: HardState,
-    /// Index and term of the last entry that was removed.
+    /// Index and term of the last entry removed by compaction, just before the first of `entries`.
     pub(crate) base: (u64, u64),
     pub(crate) entries: Vec<Entry>,
-    /// The encoded log and the voters as of an entry that was applied.
+    /// The latest snapshot: the encoded log and the voters as of an applied entry.
     pub(crate) latest: WireSnapshot,
 }
 
 impl RaftStorage {
+    /// Index of the last entry.
     pub(crate) fn last(&self) -> u64 {
         self.entries.last().map_or(self.base.0, |entry| entry.index)
     }
 
-    /// Appends entries. Those that stand from the first one's index on were never committed, and are replaced.
+    /// Appends entries. Existing entries from the first new index on were never committed, and are replaced.
     pub(crate) fn append(&mut self, new: &[Entry]) {
         let Some(first) = new.first() else { return };
         self.entries.retain(|entry| entry.index < first.index);
         self.entries.extend_from_slice(new);
     }
 
+    /// Replaces the entries that a snapshot of another replica covers.
     pub(crate) fn restore(&mut self, snapshot: WireSnapshot) {
         self.base = (snapshot.index, snapshot.term);
         self.entries.retain(|entry| entry.index > snapshot.index);
@@ -42,7 +44,7 @@
         self.latest = snapshot;
     }
 
-    /// Removes all but so many of the entries that the latest snapshot covers.
+    /// Removes the entries that the latest snapshot covers, except the last `retained` of them.
     pub(crate) fn compact(&mut self, retained: u64) {
         let index = self.latest.index.saturating_sub(retained);
         let position = self.entries.iter().position(|entry| entry.index == index);
--- a/decide/consensus/src/replica.rs
+++ b/decide/consensus/src/replica.rs
@@ -1,4 +1,4 @@
-//! One voter: the interface to its host, and the parts that time and messages play.
+//! A replica of the agreed log: its interface, and its handling of time and messages.
 
 mod apply;
 mod ready;
@@ -19,10 +19,10 @@
 use tansy_agreement::lease::Time;
 use tansy_agreement::log::{Log, LogEntry};
 
-/// Ticks that are made up for at once; after a longer pause the time that passed counts as one.
+/// Most ticks that are made up for after a pause of the process. A longer pause counts as one tick.
 const MAX_MISSED_TICKS: Time = 4;
 
-/// One voter of the fleet.
+/// A replica of the agreed log, as a voter or a learner.
 pub struct Replica {
     config: ReplicaConfig,
     node: RawNode<RaftStorage>,
@@ -32,21 +32,22 @@
     applied_term: u64,
     next_tick: Time,
     lease: LeaderLease,
-    /// Writes that the disk has not acknowledged, with what may be sent once it has.
+    /// Writes that the disk has not acknowledged, with the messages that wait for them.
     pending_writes: VecDeque<PendingWrite>,
-    /// Numbers of those writes that hold a snapshot of another replica: nothing after it is applied before it is synced.
+    /// Numbers of the unacknowledged ready states with a snapshot of another replica. Raft learns of later applied entries
+    /// once the snapshot is synced.
     unsynced_snapshots: VecDeque<u64>,
     record_count: u64,
     next_proposal: u64,
     has_proposed_initial_state: bool,
     is_failed: bool,
     rng: fastrand::Rng,
-    /// Term and role for which the election timeout was drawn.
+    /// Term and role for which the current election timeout was drawn.
     timeout_drawn_for: Option<(u64, StateRole)>,
 }
 
 impl Replica {
-    /// A replica that continues from what its disk holds.
+    /// Creates a replica that continues from its state on disk.
     pub fn new(
         config: ReplicaConfig,
         saved: &PersistentState,
@@ -82,18 +83,18 @@
         };
         replica.draw_election_timeout();
         if replica.is_sole_voter() {
-            // There is nobody to wait for.
+            // A sole voter need not wait for an election timeout.
             let _ = replica.node.campaign();
         }
         Ok(replica)
     }
 
-    /// Its own number.
+    /// Id of this replica's front end.
     pub fn id(&self) -> u64 {
         self.config.id
     }
 
-    /// Whether a learner has all committed entries, as far as it acknowledged them; only the leader knows.
+    /// Whether another replica has acknowledged all committed entries. Only the leader knows.
     pub fn is_caught_up(&self, id: u64) -> bool {
         let raft = &self.node.raft;
         raft.prs()
@@ -101,7 +102,7 @@
             .is_some_and(|progress| progress.matched >= raft.raft_log.committed)
     }
 
-    /// Starts to hand leadership over to another voter, if raft allows it; the transfer may fail.
+    /// Starts a transfer of leadership to another voter, unless one is in progress. The transfer may fail.
     pub fn transfer_leadership(&mut self, to: u64, effects: &mut Vec<Effect>) {
         if self.node.raft.lead_transferee.is_none() {
             self.node.transfer_leader(to);
@@ -109,28 +110,28 @@
         }
     }
 
-    /// The log as far as it is known to be committed here; none: the fleet has not started.
+    /// The committed log, as far as it is applied here; `None` if the fleet has not started.
     pub fn log(&self) -> Option<&Log> {
         self.log.as_ref()
     }
 
-    /// Index of the last entry that was applied.
+    /// Index of the last applied entry.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// Index of the entry as of which the log was last encoded: the snapshot that a replica far behind receives.
+    /// Index of the latest snapshot, which is sent to replicas that are far behind.
     pub fn snapshot_index(&self) -> u64 {
         self.node.store().latest.index
     }
 
-    /// The term and the voter that leads in it, as far as this replica knows.
+    /// The current term and the id of its leader, if this replica knows one.
     pub fn leader(&self) -> Option<(u64, u64)> {
         let raft = &self.node.raft;
         (raft.leader_id != 0).then_some((raft.term, raft.leader_id))
     }
 
-    /// Until when it may act as the fleet's leader; none: it may not.
+    /// Until when this replica may act as the fleet's leader; `None` if it may not.
     pub fn leader_lease(&self, now: Time) -> Option<Time> {
         let is_leader = self.is_leader() && self.log.is_some();
         let has_applied_own_term = self.applied_term == self.node.raft.term;
@@ -147,12 +148,12 @@
         self.next_tick
     }
 
-    /// Whether it stopped taking part, because its disk failed or the log holds an entry that it does not know.
+    /// Whether the replica stopped taking part, because its disk failed or the log holds an entry that it can't decode.
     pub fn is_failed(&self) -> bool {
         self.is_failed
     }
 
-    /// Advances raft's clock and, as leader, the lease.
+    /// Advances Raft's clock and, as leader, renews the leader lease.
     pub fn tick(&mut self, now: Time, effects: &mut Vec<Effect>) {
         if self.is_stopped() {
             return;
@@ -160,7 +161,7 @@
         while now >= self.next_tick {
             self.node.tick();
             self.draw_election_timeout();
-            // The other replicas have clocks of their own: after a pause of this process they have not waited for it.
+            // After a pause, ticks are not made up for one by one: the other replicas' clocks kept running.
             self.next_tick = if now - self.next_tick > MAX_MISSED_TICKS * TICK_INTERVAL {
                 now + TICK_INTERVAL
             } else {
@@ -168,7 +169,7 @@
             };
         }
         if self.is_leader() && !self.voters().contains_voter(self.config.id) {
-            // Its own removal was committed while it led: another voter has to lead.
+            // The removal of this voter was committed while it led.
             let candidates = self.voters().voters.clone();
             let successor = self.rng.choice(candidates).unwrap_or(0);
             self.transfer_leadership(successor, effects);
@@ -184,7 +185,7 @@
         self.collect(effects);
     }
 
-    /// Takes a message of another voter.
+    /// Handles a message from another replica.
     pub fn on_message(&mut self, from: u64, bytes: &[u8], effects: &mut Vec<Effect>) {
         if self.is_failed {
             return;
@@ -200,14 +201,14 @@
         if self.contradicts_log(&message) {
             return;
         }
-        // Raft returns an error for a message that it ignored.
+        // Raft returns an error for a message that it ignores.
         let _ = self.node.step(message);
         self.draw_election_timeout();
         self.collect(effects);
     }
 
-    /// Proposes an entry and returns the proposal's number, by which [`Effect::Applied`] names it; none: it does not lead,
-    /// or another change of voters is not applied yet.
+    /// Proposes an entry and returns the proposal's number, which [`Effect::Applied`] repeats. `None` if this replica does
+    /// not lead, or if the entry changes the voters and an earlier such change is not applied yet.
     pub fn propose(&mut self, entry: LogEntry, effects: &mut Vec<Effect>) -> Option<u64> {
         let number = self.next_proposal;
         let entry = ReplicatedEntry::Entry(self.config.id, self.config.incarnation, number, entry);
@@ -219,8 +220,7 @@
         Some(number)
     }
 
-    /// The first record that the disk was given and has not answered for is synced, or could not be written. In the second
-    /// case this replica stops taking part.
+    /// Handles the result of the oldest unacknowledged write. If the write failed, the replica stops taking part.
     pub fn on_persisted(&mut self, is_synced: bool, effects: &mut Vec<Effect>) {
         if !is_synced {
             self.is_failed = true;
@@ -251,12 +251,13 @@
         self.voters().voters == [self.config.id] && self.voters().outgoing.is_empty()
     }
 
-    /// A failed replica is silent, so that the others elect another leader; a sole voter has nobody to leave it to.
+    /// Whether the replica must be silent. A failed replica is, so that the others elect another leader, unless it is the
+    /// only voter.
     fn is_stopped(&self) -> bool {
         self.is_failed && !self.is_sole_voter()
     }
 
-    /// Whether a message contradicts the log here: this replica's disk lost what it had acknowledged, or the sender's did.
+    /// Whether a message contradicts the log here, because this replica's or the sender's disk lost acknowledged entries.
     fn contradicts_log(&self, message: &Message) -> bool {
         let raft_log = &self.node.raft.raft_log;
         let commits_past_end = message.get_msg_type() == MessageType::MsgHeartbeat
@@ -270,7 +271,7 @@
             })
     }
 
-    /// Gives an entry to raft; false: it does not lead, or can't take it now.
+    /// Proposes an entry to Raft; returns `false` if this replica does not lead or Raft can't accept the entry now.
     fn replicate(&mut self, entry: &ReplicatedEntry) -> bool {
         if !self.is_leader() || self.is_failed {
             return false;
@@ -282,13 +283,13 @@
         };
         match change {
             None => self.node.propose(Vec::new(), bytes).is_ok(),
-            // Raft would silently replace it by an empty entry.
+            // Raft would silently replace the entry by an empty one.
             Some(_) if self.node.raft.has_pending_conf() => false,
             Some(change) => self.node.propose_conf_change(bytes, change).is_ok(),
         }
     }
 
-    /// Sets the election timeout from this replica's own random numbers, anew with each term and role.
+    /// Draws the election timeout from this replica's seeded generator, once for each term and role.
     fn draw_election_timeout(&mut self) {
         let current = (self.node.raft.term, self.node.raft.state);
         if self.timeout_drawn_for != Some(current) {
--- a/decide/consensus/src/replica/apply.rs
+++ b/decide/consensus/src/replica/apply.rs
@@ -1,4 +1,4 @@
-//! Applies committed entries to the log, and encodes it now and then for replicas that are far behind.
+//! Application of committed entries to the log, and periodic snapshots of it for replicas that are far behind.
 
 use super::Replica;
 use crate::effect::Effect;
@@ -8,15 +8,15 @@
 use raft::eraftpb::{Entry, EntryType};
 use tansy_agreement::log::{Log, LogEntry};
 
-/// Entries after which the log is encoded again.
+/// Shortest interval between two snapshots of the log, in entries.
 const ENCODE_INTERVAL: u64 = 32;
-/// For each so many bytes of the encoded log the interval is one entry longer, up to [`RETAINED_ENTRIES`].
+/// The interval has at least one entry per this many bytes of the encoded log, up to [`RETAINED_ENTRIES`].
 const BYTES_PER_INTERVAL_ENTRY: usize = 64 << 10;
-/// Applied entries that stay in memory, for replicas that are a little behind.
+/// Applied entries that stay in memory for replicas that are slightly behind.
 const RETAINED_ENTRIES: u64 = 256;
 
 impl Replica {
-    /// Applies committed entries in their order.
+    /// Applies committed entries in order.
     pub(super) fn apply(&mut self, entries: Vec<Entry>, effects: &mut Vec<Effect>) {
         if entries.is_empty() {
             return;
@@ -44,7 +44,7 @@
                     let proposal = is_own.then_some(number);
                     have_voters_changed |= self.apply_entry(proposal, entry, effects);
                 }
-                // Raft's own entry at the start of a term is empty.
+                // Raft starts each term with an empty entry.
                 Ok(ReplicatedEntry::Begin(..)) | Err(_) => {}
             }
         }
@@ -62,7 +62,7 @@
             return false;
         };
         let outcome = log.apply(entry.clone());
-        // The voters change together with the log that states it, at the same index everywhere.
+        // Every replica changes the voters at the index at which it applies the entry to the log.
         let change = conf_change(&entry).filter(|_| outcome.is_ok());
         let applied_change = change.map(|change| self.node.apply_conf_change(&change));
         let mut have_voters_changed = false;
@@ -78,7 +78,7 @@
         have_voters_changed
     }
 
-    /// Encodes the log as a snapshot for others, if enough entries were applied since or the voters changed.
+    /// Encodes the log as a snapshot for other replicas, if one is due or the voters changed.
     fn encode_log(&mut self, have_voters_changed: bool) {
         let latest = &self.node.store().latest;
         let interval = ENCODE_INTERVAL
--- a/decide/consensus/src/replica/ready.rs
+++ b/decide/consensus/src/replica/ready.rs
@@ -1,4 +1,4 @@
-//! Carries out what raft has ready: messages, writes, snapshots, answered rounds and committed entries.
+//! Processing of Raft's ready states: messages, writes, snapshots, answered read requests and committed entries.
 
 use super::Replica;
 use crate::effect::Effect;
@@ -7,19 +7,19 @@
 use raft::eraftpb::{Entry, Message};
 use raft::{ReadState, Ready};
 
-/// Records after which a snapshot replaces them on disk.
+/// Number of records after which a snapshot replaces them on disk.
 const SNAPSHOT_INTERVAL: u64 = 256;
 
 /// A write that the disk has not acknowledged.
 pub(super) struct PendingWrite {
-    /// Raft's number of the last state that waits for it.
+    /// Raft's number of the last ready state that waits for the write.
     pub(super) ready_number: u64,
-    /// What may be sent once it is synced.
+    /// Messages to send once the write is synced.
     pub(super) messages: Vec<Effect>,
 }
 
 impl Replica {
-    /// Carries out all that raft has ready, and starts the log where this replica leads a new fleet.
+    /// Processes all ready states, and proposes the initial state if this replica leads a new fleet.
     pub(super) fn collect(&mut self, effects: &mut Vec<Effect>) {
         while self.node.has_ready() {
             let ready = self.node.ready();
@@ -40,20 +40,20 @@
         }
     }
 
-    /// Stops taking part, since what it made of the log would differ from the others'.
+    /// Stops taking part, since this replica's log would diverge from the others'.
     pub(super) fn stop_at_unknown_entry(&mut self, effects: &mut Vec<Effect>) {
         self.is_failed = true;
         effects.push(Effect::UnknownEntry);
     }
 
-    /// Tells raft that committed entries are applied, once no snapshot before them waits for the disk.
+    /// Informs Raft that committed entries are applied, unless an earlier snapshot is not synced yet.
     pub(super) fn acknowledge_applied(&mut self) {
         if self.unsynced_snapshots.is_empty() {
             self.node.advance_apply();
         }
     }
 
-    /// Carries out one state that raft has ready. An error: it holds a snapshot that this program can't decode.
+    /// Processes one ready state. Fails if it has a snapshot that this program can't decode.
     fn process_ready(
         &mut self,
         mut ready: Ready,
@@ -83,7 +83,7 @@
         Ok(())
     }
 
-    /// Replaces the log by another replica's snapshot.
+    /// Replaces the log with a snapshot of another replica.
     fn install_snapshot(
         &mut self,
         snapshot: &WireSnapshot,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Asks for a write; messages that depend on it wait until it is synced.
+    /// Requests a write. Messages that depend on it wait until it is synced.
     fn write(
         &mut self,
         entries: &[Entry],
@@ -128,7 +128,7 @@
         self.node.advance_append_async(ready);
     }
 
-    /// Nothing is to be written: messages go out at once, or after the writes that they must not overtake.
+    /// Handles a ready state with nothing to write: its messages are sent at once, or after the writes that are pending.
     fn follow_writes(&mut self, ready: Ready, messages: Vec<Effect>, effects: &mut Vec<Effect>) {
         let ready_number = ready.number();
         if let Some(write) = self.pending_writes.back_mut() {
--- a/decide/consensus/src/replica/tests.rs
+++ b/decide/consensus/src/replica/tests.rs
@@ -1,10 +1,10 @@
-//! A replica that meets an entry of a later program.
+//! Entries that a later version wrote and this one can't decode.
 
 use super::*;
 use tansy_agreement::compatibility::Fields;
 use tansy_agreement::lease::LeaseTiming;
 
-/// Acknowledges every write that these effects ask for, and those that follow.
+/// Acknowledges every write among the effects, and those that follow from it.
 fn acknowledge_writes(replica: &mut Replica, effects: &mut Vec<Effect>) {
     let mut position = 0;
     while position < effects.len() {
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_entry_of_a_later_program_stops_a_replica_and_changes_nothing() {
+fn an_unknown_entry_stops_a_replica_and_changes_nothing() {
     let address = ([127, 0, 0, 1], 7000).into();
     let config = ReplicaConfig {
         id: 1,
@@ -30,7 +30,7 @@
         seed: 1,
     };
     let mut replica =
-        Replica::new(config, &PersistentState::default(), 0).expect("nothing was saved");
+        Replica::new(config, &PersistentState::default(), 0).expect("an empty state is valid");
     let mut effects = Vec::new();
     replica.tick(0, &mut effects);
     acknowledge_writes(&mut replica, &mut effects);
@@ -40,7 +40,7 @@
     replica
         .node
         .propose(Vec::new(), vec![250, 1, 2, 3])
-        .expect("it leads");
+        .expect("the replica leads");
     replica.collect(&mut effects);
     acknowledge_writes(&mut replica, &mut effects);
     assert!(effects.contains(&Effect::UnknownEntry) && replica.is_failed());
--- a/decide/consensus/src/voter_changes.rs
+++ b/decide/consensus/src/voter_changes.rs
@@ -1,4 +1,4 @@
-//! The voters, and the changes of raft's configuration that entries of the log stand for.
+//! The voters, and the changes of Raft's configuration that follow from log entries.
 
 use protobuf::Message as _;
 use raft::eraftpb::{
@@ -8,20 +8,20 @@
 use std::collections::BTreeSet;
 use tansy_agreement::log::LogEntry;
 
-/// Members of one set of voters: old and new ones and a learner.
+/// Maximum size of each part of a voter set.
 const MAX_VOTERS: usize = 16;
 
-/// Who replicates the log.
+/// The replicas of the log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct VoterSet {
     pub(crate) voters: Vec<u64>,
-    /// The voters before the replacement that is under way.
+    /// In joint consensus: the voters before the replacement.
     pub(crate) outgoing: Vec<u64>,
     pub(crate) learners: Vec<u64>,
 }
 
 impl VoterSet {
-    /// The set as raft states it, in ascending order.
+    /// Converts Raft's configuration; ids are sorted.
     pub(crate) fn from_raft(state: &ConfState) -> VoterSet {
         VoterSet {
             voters: sorted(&state.voters),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The form that raft takes.
+    /// Converts to Raft's configuration.
     pub(crate) fn into_raft(self) -> ConfState {
         ConfState {
             voters: self.voters,
@@ -40,12 +40,12 @@
         }
     }
 
-    /// Whether this replica votes, by the old or the new set.
+    /// Whether a replica votes, in the current or the outgoing set.
     pub(crate) fn contains_voter(&self, id: u64) -> bool {
         self.voters.contains(&id) || self.outgoing.contains(&id)
     }
 
-    /// Whether the set can exist; raft panics on one that can't.
+    /// Whether the set is consistent. Raft panics on one that is not.
     pub(crate) fn is_valid(&self) -> bool {
         let parts = [&self.voters, &self.outgoing, &self.learners];
         let are_sets = parts
@@ -71,7 +71,7 @@
     ids.iter().copied().collect()
 }
 
-/// The change of raft's configuration that an entry stands for, if any.
+/// The change of Raft's configuration that a log entry makes, if any.
 pub(crate) fn conf_change(entry: &LogEntry) -> Option<ConfChangeV2> {
     use ConfChangeType::{AddLearnerNode, AddNode, RemoveNode};
     let mut change = ConfChangeV2::default();
@@ -90,14 +90,14 @@
             change.set_changes(changes.into());
             change.set_transition(ConfChangeTransition::Explicit);
         }
-        // A change without parts leaves the joint configuration.
+        // An empty change leaves the joint configuration.
         LogEntry::CompleteVoterReplacement { .. } => {}
         _ => return None,
     }
     Some(change)
 }
 
-/// The same, encoded as raft's entries carry it.
+/// The change that a log entry makes, encoded as data of Raft's entry.
 pub(crate) fn encoded_conf_change(entry: &LogEntry) -> Option<Vec<u8>> {
     conf_change(entry)?.write_to_bytes().ok()
 }
--- a/decide/consensus/src/wire.rs
+++ b/decide/consensus/src/wire.rs
@@ -1,8 +1,7 @@
-//! The encoding of messages between replicas, and of the entries and snapshots that messages and records share.
+//! Encoding of messages between replicas, and of the entries and snapshots in messages and records.
 //!
-//! The raft library comes with an old protobuf which has an advisory on deep recursion in its parser, so nothing that
-//! arrives is parsed by it. The library also panics on a message that contradicts its log: such messages are rejected
-//! before it reads them.
+//! The Raft library's own encoding is not used for input, because its protobuf version has a known advisory on unbounded
+//! recursion in the parser. The library also panics on some inconsistent messages, so decoding rejects those first.
 
 use crate::persistence::ReplicatedEntry;
 use crate::voter_changes::{encoded_conf_change, VoterSet};
@@ -11,16 +10,16 @@
 use tansy_agreement::log::Log;
 use tansy_agreement::scope::CatalogSnapshot;
 
-/// Entries in one message.
+/// Maximum number of entries in one message.
 const MAX_MESSAGE_ENTRIES: usize = 4096;
-/// Kind of an entry that leaves the voters as they are.
+/// Kind of an entry that does not change the voters.
 const NORMAL_ENTRY: u8 = 0;
 /// Kind of an entry that changes the voters.
 const VOTER_CHANGE_ENTRY: u8 = 2;
-/// Stands before a log that has a catalog of scopes. No postcard integer is encoded so: a program that does not know
-/// scopes fails to decode such a log instead of reading it as one without.
+/// Prefix of an encoded log that has a catalog of scopes. It is not a valid postcard integer, so that a program without
+/// support for scopes fails to decode such a log instead of losing the catalog.
 const CATALOG_MARKER: [u8; 11] = [0xff; 11];
-/// The kinds of message that one replica sends to another. Raft's other kinds are local to a process.
+/// The types of messages that replicas send to each other. Raft's other types are local to a process.
 const REMOTE_MESSAGE_TYPES: [MessageType; 12] = [
     MessageType::MsgAppend,
     MessageType::MsgAppendResponse,
@@ -36,7 +35,7 @@
     MessageType::MsgTimeoutNow,
 ];
 
-/// An entry of raft's log.
+/// An entry of Raft's log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct WireEntry {
     kind: u8,
@@ -45,13 +44,13 @@
     data: Vec<u8>,
 }
 
-/// The log as of an entry.
+/// A snapshot of the log and the voters as of an entry.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct WireSnapshot {
     pub(crate) index: u64,
     pub(crate) term: u64,
     pub(crate) voters: VoterSet,
-    /// Hash of the voters that the raft group started with; messages of another group are rejected.
+    /// Id of the Raft group: a hash of its first voters. Messages of another group are rejected.
     pub(crate) group: u64,
     pub(crate) log: Vec<u8>,
 }
@@ -77,7 +76,7 @@
 }
 
 impl WireMessage {
-    /// Whether its entries follow each other and their terms are possible in a message of this term.
+    /// Whether the entries are consecutive and their terms are valid in a message of this term.
     fn has_consistent_entries(&self) -> bool {
         let are_consecutive = self
             .entries
@@ -100,7 +99,7 @@
     }
 }
 
-/// Decodes what [`encode_log`] made.
+/// Decodes the result of [`encode_log`].
 pub(crate) fn decode_log(bytes: &[u8]) -> postcard::Result<Log> {
     match bytes.strip_prefix(&CATALOG_MARKER) {
         None => postcard::from_bytes(bytes),
@@ -111,9 +110,9 @@
     }
 }
 
-/// An entry of raft's in our form.
+/// Converts Raft's entry to its encoded form.
 pub(crate) fn entry_from_raft(entry: &Entry) -> WireEntry {
-    // A change of voters travels as our entry alone; raft's form of it is derived from that again.
+    // For a voter change only the log entry is sent; the receiver derives Raft's configuration change from it.
     let (kind, data) = match entry.get_entry_type() {
         EntryType::EntryNormal => (NORMAL_ENTRY, &entry.data),
         _ => (VOTER_CHANGE_ENTRY, &entry.context),
@@ -126,7 +125,7 @@
     }
 }
 
-/// An entry in the form that raft takes; none if this program does not know its kind.
+/// Converts an entry to Raft's form; `None` if its kind or its voter change is unknown.
 pub(crate) fn entry_into_raft(entry: WireEntry) -> Option<Entry> {
     let mut raft_entry = Entry {
         term: entry.term,
@@ -149,7 +148,7 @@
     Some(raft_entry)
 }
 
-/// A snapshot in the form that raft takes.
+/// Converts a snapshot to Raft's form.
 pub(crate) fn snapshot_into_raft(snapshot: WireSnapshot) -> Snapshot {
     let mut raft_snapshot = Snapshot::default();
     let metadata = raft_snapshot.mut_metadata();
@@ -160,7 +159,7 @@
     raft_snapshot
 }
 
-/// A snapshot of raft's in our form; none if there is none, which raft states by one without voters.
+/// Converts Raft's snapshot; `None` for one without voters, which is how Raft represents the absence of a snapshot.
 pub(crate) fn snapshot_from_raft(snapshot: &Snapshot, group: u64) -> Option<WireSnapshot> {
     let metadata = snapshot.get_metadata();
     let has_voters = !metadata.get_conf_state().voters.is_empty();
@@ -193,12 +192,12 @@
         context: message.context.to_vec(),
         priority: message.priority,
     };
-    // Plain data in memory always has an encoding.
+    // Encoding plain data does not fail.
     postcard::to_stdvec(&wire_message).unwrap_or_default()
 }
 
-/// Decodes a message of the voter `from` to `to`, and the group that it belongs to. None: it is malformed, inconsistent,
-/// or of another group than `group`; 0 there means that this replica has not learnt its group yet.
+/// Decodes a message from the voter `from` to `to`, and returns it with its group. `None` if the message is malformed,
+/// inconsistent, or of another group than `group`. `group` is 0 while this replica does not know its group.
 pub(crate) fn decode_message(
     bytes: &[u8],
     from: u64,
--- a/decide/consensus/tests/replica/cluster.rs
+++ b/decide/consensus/tests/replica/cluster.rs
@@ -1,4 +1,4 @@
-//! Replicas in virtual time, each with a disk, and links between them that lose and delay messages.
+//! A simulated cluster of replicas in virtual time, with disks and with links that lose and delay messages.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -16,7 +16,7 @@
 #[derive(Default)]
 pub(crate) struct Disk {
     pub(crate) saved: PersistentState,
-    /// Written, and not synced yet: each record with the snapshot that replaces all.
+    /// Writes that are not synced yet: each record with the snapshot that replaces all records, if any.
     pub(crate) unsynced: Vec<(Vec<u8>, Option<Vec<u8>>)>,
 }
 
@@ -50,12 +50,13 @@
     pub(crate) events: BTreeMap<u64, Event>,
     pub(crate) count: u64,
     pub(crate) blocked_links: BTreeSet<(usize, usize)>,
-    /// The state at each index, by the replica that applied it first.
+    /// The state after each index, as the first replica to apply it had it.
     pub(crate) committed: BTreeMap<u64, String>,
-    /// A planted defect: writes are acknowledged before they are synced.
+    /// An injected defect: writes are acknowledged before they are synced.
     pub(crate) acknowledges_unsynced: bool,
+    /// Whether two replicas had different states after the same index.
     pub(crate) diverged: bool,
-    /// Voters that the fleet starts with.
+    /// Number of replicas that start as voters.
     pub(crate) voter_count: usize,
 }
 
@@ -65,11 +66,11 @@
 
 impl Cluster {
     pub(crate) fn new(size: usize, seed: u64) -> Cluster {
-        Cluster::with(size, size, seed)
+        Cluster::with_voters(size, size, seed)
     }
 
-    /// So many replicas, of which the first ones start as voters.
-    pub(crate) fn with(size: usize, voter_count: usize, seed: u64) -> Cluster {
+    /// A cluster whose first `voter_count` replicas start as voters.
+    pub(crate) fn with_voters(size: usize, voter_count: usize, seed: u64) -> Cluster {
         let mut cluster = Cluster {
             voter_count,
             now: 0,
@@ -106,8 +107,10 @@
             initial_fields: fields(index as i64),
             seed: self.rng.u64(..),
         };
-        self.replicas[index] =
-            Some(Replica::new(config, &self.disks[index].saved, self.now).expect("what it saved"));
+        self.replicas[index] = Some(
+            Replica::new(config, &self.disks[index].saved, self.now)
+                .expect("the state on disk is valid"),
+        );
     }
 
     pub(crate) fn kill(&mut self, index: usize) {
@@ -149,7 +152,7 @@
                     let delay = self.rng.i64(500..10_000);
                     self.schedule(delay, Event::Synced(index, self.incarnations[index]));
                     if self.acknowledges_unsynced {
-                        let replica = self.replicas[index].as_mut().expect("it runs");
+                        let replica = self.replicas[index].as_mut().expect("the replica runs");
                         replica.on_persisted(true, &mut effects);
                     }
                 }
@@ -157,7 +160,7 @@
             }
             position += 1;
         }
-        let replica = self.replicas[index].as_ref().expect("it runs");
+        let replica = self.replicas[index].as_ref().expect("the replica runs");
         if let Some(log) = replica.log() {
             let state = format!("{:?}", log.state());
             let first = self
--- a/decide/consensus/tests/replica/main.rs
+++ b/decide/consensus/tests/replica/main.rs
@@ -1,5 +1,5 @@
-//! Replicas in virtual time, each with a disk: they commit one order of entries, whichever of them are killed, partitioned
-//! or lose unsynced writes; and one of them has a leader lease again once a quorum is up.
+//! Replicas that are killed, partitioned or lose unsynced writes commit the same order of entries, and one of them has a
+//! leader lease again once a quorum is up.
 
 mod cluster;
 mod recorded;
@@ -62,7 +62,7 @@
         cluster.replicas[first]
             .as_ref()
             .is_some_and(|replica| replica.leader_lease(cluster.now).is_none()),
-        "its lease expires"
+        "the isolated leader's lease expires"
     );
     cluster.run(3.0);
     let second = cluster.leader().expect("another leader");
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn replicas_killed_and_partitioned_commit_one_order() {
+fn killed_and_partitioned_replicas_commit_the_same_order() {
     for seed in 0..60 {
         let size = [3, 5, 7][seed as usize % 3];
         let mut cluster = Cluster::new(size, seed);
@@ -125,10 +125,10 @@
             }
         }
         cluster.run(6.0);
-        assert!(!cluster.diverged, "seed {seed}: two orders of entries");
+        assert!(!cluster.diverged, "seed {seed}: replicas diverged");
         assert!(
             cluster.leader().is_some(),
-            "seed {seed}: nobody has a leader lease"
+            "seed {seed}: no replica has a leader lease"
         );
         let states: BTreeSet<String> = cluster
             .replicas
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_failed_disk_stops_one_replica_only() {
+fn a_failed_disk_stops_only_its_replica() {
     let mut cluster = Cluster::new(3, 9);
     cluster.run(3.0);
     let leader = cluster.leader().expect("a leader");
@@ -176,13 +176,13 @@
     cluster.run(5.0);
     assert!(
         cluster.leader().is_some_and(|other| other != leader),
-        "the others go on"
+        "another replica leads"
     );
 }
 
 #[test]
-fn no_message_crashes_a_replica() {
-    let mut cluster = Cluster::with(4, 3, 5);
+fn corrupted_messages_do_not_crash_a_replica() {
+    let mut cluster = Cluster::with_voters(4, 3, 5);
     cluster.run(2.0);
     let mut messages = Vec::new();
     for number in 0..400 {
@@ -219,7 +219,7 @@
     assert_eq!(
         voters,
         Some(vec![1, 2, 4]),
-        "messages of a replacement are among them"
+        "the messages include those of a voter replacement"
     );
     for round in 0..60_000 {
         let (to, from, mut bytes) = messages[round % messages.len()].clone();
--- a/decide/consensus/tests/replica/recorded.rs
+++ b/decide/consensus/tests/replica/recorded.rs
@@ -1,4 +1,4 @@
-//! What earlier programs wrote to disk and sent is read by this one.
+//! State and entries that earlier versions wrote can be read.
 
 use crate::cluster::{address, Cluster};
 use tansy_agreement::compatibility::Value;
@@ -6,10 +6,10 @@
 use tansy_agreement::log::{LogEntry, Revision, Version};
 use tansy_consensus::{PersistentState, Replica};
 
-/// What a replica of the first supported format wrote: recorded then, read by every later program. `RECORD=1` records it
-/// again, which is correct only together with a new format.
+/// Reads the recorded state of a replica of the first supported format. `RECORD=1` records it again, which is correct only
+/// together with a new format.
 #[test]
-fn state_of_an_earlier_program_is_read() {
+fn state_of_an_earlier_version_is_read() {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/recorded/seat-0.bin");
     let state = |replica: &Replica| {
         format!(
@@ -19,7 +19,7 @@
         )
     };
     if std::env::var_os("RECORD").is_some() {
-        let mut cluster = Cluster::with(4, 3, 11);
+        let mut cluster = Cluster::with_voters(4, 3, 11);
         cluster.run(3.0);
         for number in 0..20 {
             cluster.propose(number);
@@ -36,16 +36,16 @@
         });
         cluster.run(2.0);
         let saved = &cluster.disks[0].saved;
-        let text = state(cluster.replicas[0].as_ref().expect("it runs"));
+        let text = state(cluster.replicas[0].as_ref().expect("the replica runs"));
         let bytes =
             postcard::to_stdvec(&(&saved.snapshot, &saved.records, &text)).expect("plain data");
         std::fs::create_dir_all(path.parent().expect("a folder")).expect("a folder");
-        std::fs::write(&path, bytes).expect("a file");
+        std::fs::write(&path, bytes).expect("the file is written");
     }
-    let bytes = std::fs::read(&path).expect("what was recorded");
+    let bytes = std::fs::read(&path).expect("the recorded file exists");
     let (snapshot, records, recorded_state): (Option<Vec<u8>>, Vec<Vec<u8>>, String) =
-        postcard::from_bytes(&bytes).expect("what was recorded");
-    let mut cluster = Cluster::with(4, 3, 12);
+        postcard::from_bytes(&bytes).expect("the recorded file is valid");
+    let mut cluster = Cluster::with_voters(4, 3, 12);
     (0..3).for_each(|index| {
         cluster.disks[index].saved = PersistentState {
             snapshot: snapshot.clone(),
@@ -55,14 +55,14 @@
     });
     cluster.run(6.0);
     assert_eq!(
-        state(cluster.replicas[0].as_ref().expect("it runs")),
+        state(cluster.replicas[0].as_ref().expect("the replica runs")),
         with_current_names(&recorded_state),
-        "the same log, whichever program reads it"
+        "the recovered state equals the recorded one"
     );
 }
 
-/// The recorded text of a state was written by `Debug` and carries the names that its types had then; only those are
-/// replaced, so that every value is still compared.
+/// Replaces the names in the recorded `Debug` text of a state by the current names of its types and fields. All values are
+/// still compared.
 fn with_current_names(recorded: &str) -> String {
     let names = [
         ("State {", "FleetState {"),
@@ -79,9 +79,9 @@
         })
 }
 
-/// Entries as programs without scopes wrote them.
+/// Entries as versions without scopes wrote them.
 #[test]
-fn entries_that_an_earlier_program_wrote_are_read() {
+fn entries_that_an_earlier_version_wrote_are_read() {
     let member = Member {
         id: 5,
         incarnation: 6,
--- a/decide/consensus/tests/replica/scopes.rs
+++ b/decide/consensus/tests/replica/scopes.rs
@@ -1,4 +1,4 @@
-//! Scopes travel and are persisted with the log.
+//! Scopes are persisted, and sent in snapshots, with the log.
 
 use crate::cluster::Cluster;
 use tansy_agreement::compatibility::Value;
@@ -6,7 +6,7 @@
 use tansy_agreement::scope::{ScopeTransaction, ScopeUpdate};
 use tansy_consensus::Replica;
 
-/// The entry of this number in a run of scope changes: each becomes joint, comes into force and settles.
+/// The next entry of a series of scope changes: each change becomes joint, comes into force and settles.
 fn next_scope_entry(log: &Log, number: u64) -> LogEntry {
     let open = || {
         log.catalog().open().filter_map(|(name, record)| {
@@ -16,7 +16,7 @@
     };
     let in_phase = |joint| {
         open()
-            .filter(|o| o.2 == joint)
+            .filter(|change| change.2 == joint)
             .map(|(name, since, _)| (name, since))
             .collect::<Vec<_>>()
     };
@@ -30,7 +30,7 @@
         let base = log
             .catalog()
             .get(&scope)
-            .map_or(Revision(0), |s| s.revision);
+            .map_or(Revision(0), |record| record.revision);
         let fields = [
             ("class".to_string(), Value::Text(format!("c{number}"))),
             ("lanes".to_string(), Value::Int(number as i64)),
@@ -42,7 +42,7 @@
         }
     };
     let changes = (0..3)
-        .map(|i| change(format!("f{}", (number + i) % 20)))
+        .map(|offset| change(format!("f{}", (number + offset) % 20)))
         .collect();
     LogEntry::UpdateScopes {
         transactions: vec![ScopeTransaction {
@@ -58,8 +58,8 @@
     let mut cluster = Cluster::new(3, 8);
     cluster.run(3.0);
     let stopped = (0..3)
-        .find(|n| Some(*n) != cluster.leader())
-        .expect("two others");
+        .find(|index| Some(*index) != cluster.leader())
+        .expect("a follower");
     cluster.kill(stopped);
     for number in 1..=600 {
         if let Some(leader) = cluster.leader() {
@@ -76,7 +76,7 @@
         }
         cluster.run(0.06);
     }
-    // The stopped replica learns all of it; then all recover it from their disks.
+    // The stopped replica catches up. Then all replicas are restarted and recover from their disks.
     cluster.start(stopped);
     cluster.run(5.0);
     let logs = |cluster: &Cluster| {
@@ -84,7 +84,7 @@
             .replicas
             .iter()
             .flatten()
-            .map(|s| s.log().expect("a log").clone())
+            .map(|replica| replica.log().expect("a log").clone())
             .collect::<Vec<_>>()
     };
     let expected = logs(&cluster);
@@ -95,15 +95,15 @@
     );
     assert!(expected[0].state().history.len() > 100);
     assert!(
-        expected.iter().all(|l| *l == expected[0]),
+        expected.iter().all(|log| *log == expected[0]),
         "the stopped replica has the same log"
     );
-    (0..3).for_each(|n| cluster.kill(n));
-    (0..3).for_each(|n| cluster.start(n));
+    (0..3).for_each(|index| cluster.kill(index));
+    (0..3).for_each(|index| cluster.start(index));
     cluster.run(5.0);
     assert!(
-        logs(&cluster).iter().all(|l| *l == expected[0]),
-        "all recover it from their disks"
+        logs(&cluster).iter().all(|log| *log == expected[0]),
+        "all replicas recover the log from their disks"
     );
     assert!(!cluster.diverged);
 }
