--- a/decide/membership/src/datagram.rs
+++ b/decide/membership/src/datagram.rs
@@ -1,10 +1,10 @@
-//! The header of a datagram: its format and the fleet that it belongs to.
+//! The header of a datagram, which states its format and its fleet.
 
 use crate::node_id::NodeId;
 
-/// The format of a datagram. One of another format is rejected.
+/// Format of datagrams. Datagrams of other formats are rejected.
 pub const FORMAT_VERSION: u8 = 1;
-/// Bytes that a datagram may have.
+/// Maximum size of a datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 1400 + HEADER_BYTES;
 const HEADER_BYTES: usize = 9;
 
@@ -13,25 +13,25 @@
 pub struct Datagram {
     /// The receiver.
     pub to: NodeId,
-    /// The header and the payload.
+    /// Header and payload.
     pub bytes: Vec<u8>,
 }
 
 /// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RejectedDatagram {
-    /// It has another format, of a program that this one can't read.
-    #[error("a datagram of form {0}, this program knows form {known}", known = FORMAT_VERSION)]
+    /// The datagram has a format that this program does not know.
+    #[error("datagram has format {0}, but this program supports only format {known}", known = FORMAT_VERSION)]
     UnknownFormat(u8),
-    /// It belongs to another fleet.
-    #[error("a datagram of another fleet: two fleets are wired to each other")]
+    /// The datagram belongs to another fleet.
+    #[error("datagram of another fleet: check fleet.name and fleet.seats on both sides")]
     OtherFleet,
-    /// It is too short, too long, or can't be decoded.
-    #[error("a datagram that can't be read")]
+    /// The datagram is too short, too long, or can't be decoded.
+    #[error("malformed datagram")]
     Malformed,
 }
 
-/// A datagram of a fleet.
+/// Encodes a datagram of a fleet.
 pub(crate) fn encode(fleet: u64, payload: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
     bytes.push(FORMAT_VERSION);
@@ -40,7 +40,7 @@
     bytes
 }
 
-/// The payload of a datagram of this fleet.
+/// Checks the header of a datagram and returns its payload.
 pub(crate) fn decode(fleet: u64, bytes: &[u8]) -> Result<&[u8], RejectedDatagram> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(RejectedDatagram::Malformed);
--- a/decide/membership/src/lib.rs
+++ b/decide/membership/src/lib.rs
@@ -1,13 +1,13 @@
-//! Which front ends of a fleet are up, as each of them sees it.
+//! Membership: each front end's view of which front ends of the fleet are up.
 //!
-//! Joining, suspicion, refutation and leaving follow SWIM, as `foca` implements it without I/O. This crate adds the
-//! identity of nodes, time as an argument, bounds, and the fleet's number in every datagram. The result is the input of
-//! [`tansy_agreement::lease_tree::LeaseTopology`]: membership decides who asks whom for a lease and never who may be active.
-//! A view that is wrong costs time, not safety.
+//! Joining, failure detection, refutation and leaving follow the SWIM protocol, as implemented by `foca`. This crate adds
+//! node identities, explicit time, bounds, and a fleet id in every datagram. The view determines the
+//! [`tansy_agreement::lease_tree::LeaseTopology`], that is, from which member a front end requests its lease. It does not
+//! decide which front ends may be active, so a wrong view affects availability but not safety.
 //!
-//! A process is identified by its front end's number and an incarnation. A front end that restarts is a new process which
-//! starts without state and replaces the former one wherever both are known. A process that was taken for down although it
-//! runs goes on with a further life.
+//! A process is identified by its front end's id and an incarnation. A restarted front end is a new process without state,
+//! which replaces the former process wherever both are known. A process that was declared down although it runs renews its
+//! identity.
 //!
 //! ```
 //! use tansy_membership::{GossipTiming, Membership, NodeId};
--- a/decide/membership/src/membership.rs
+++ b/decide/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! One front end's view of the others, by `foca`.
+//! One front end's view of the fleet, maintained by `foca`.
 
 use crate::datagram::{self, Datagram, RejectedDatagram};
 use crate::node_id::NodeId;
@@ -14,22 +14,22 @@
 use tansy_agreement::lease::Time;
 use tansy_agreement::lease_tree::{LeaseTopology, RendezvousOrder};
 
-/// How long a process that is down is remembered, and asked now and then whether it is back.
-const DOWN_MEMORY: Duration = Duration::from_secs(24 * 3600);
-/// The shortest time that the protocol is configured with, microseconds.
+/// Time for which a down process is remembered and periodically contacted again.
+const DOWN_RETENTION: Duration = Duration::from_secs(24 * 3600);
+/// Lower bound of the protocol's time settings, in microseconds.
 const MIN_INTERVAL: Time = 1000;
-/// Timers that may be pending; more would be a defect.
+/// Maximum number of pending timers. The protocol needs far fewer; the bound limits memory in case of a defect.
 const MAX_TIMERS: usize = 10_000;
 
-/// How quickly other front ends are found and lost.
+/// Parameters of failure detection and dissemination.
 #[derive(Clone, Copy, Debug)]
 pub struct GossipTiming {
-    /// One other is probed in each of these intervals, microseconds.
+    /// Interval in which one other member is probed, in microseconds.
     pub probe_interval: Time,
-    /// One that does not answer is probed through others, then suspected, and is down after this time unless it refutes
-    /// the suspicion, microseconds.
+    /// Time after which a suspected member is declared down unless it refutes the suspicion, in microseconds. A member is
+    /// suspected if it answers neither direct nor indirect probes.
     pub suspicion_timeout: Time,
-    /// Front ends expected; how often an update is sent grows with its logarithm.
+    /// Expected number of front ends. Each update is sent a number of times that grows with the logarithm of this.
     pub expected_members: u32,
 }
 
@@ -48,28 +48,28 @@
 pub enum MembershipEvent {
     /// A process came up.
     Up(NodeId),
-    /// A process left, or is taken for down.
+    /// A process left or was declared down.
     Down(NodeId),
 }
 
-/// One front end's view.
+/// One front end's view of the fleet.
 pub struct Membership {
     fleet: u64,
     foca: Foca<NodeId, PostcardCodec, StdRng, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<NodeId>,
-    /// By their deadline, and the order in which they were set.
+    /// Pending timers by deadline, and by the order in which they were set.
     timers: BTreeMap<(Time, u64), Timer<NodeId>>,
     timer_count: u64,
     datagrams: Vec<Datagram>,
     events: Vec<MembershipEvent>,
-    /// The processes that are up and this one, as the protocol's notifications say.
+    /// The front ends that are up, with this one.
     order: RendezvousOrder,
-    /// The addresses of the others that are up.
+    /// Addresses of the other front ends that are up.
     addresses: BTreeMap<u64, SocketAddr>,
 }
 
 impl Membership {
-    /// A view without others. `fleet`: the number of the fleet's name.
+    /// Creates a view without other members. `fleet` is the fleet's id.
     pub fn new(fleet: u64, node: NodeId, timing: GossipTiming, seed: u64) -> Membership {
         let order = RendezvousOrder::from_iter([node.id]);
         let rng = StdRng::seed_from_u64(seed);
@@ -86,7 +86,7 @@
         }
     }
 
-    /// This process, with its current life.
+    /// The current identity of this process.
     pub fn local(&self) -> &NodeId {
         self.foca.identity()
     }
@@ -96,7 +96,7 @@
         self.foca.iter_members().map(|member| member.id())
     }
 
-    /// How many [`Membership::other_members`] returns.
+    /// The number of [`Membership::other_members`].
     pub fn other_member_count(&self) -> usize {
         self.foca.num_members()
     }
@@ -106,12 +106,12 @@
         self.addresses.get(&id).copied()
     }
 
-    /// The lease tree of all front ends that are up, this one among them, below this leader.
+    /// The lease tree of all front ends that are up, this one included, with this leader as its root.
     pub fn topology(&self, leader: u64) -> LeaseTopology {
         LeaseTopology::with_order(leader, self.order.clone())
     }
 
-    /// Announces this process to one that may be up.
+    /// Announces this process to another one, which may be down.
     pub fn join(&mut self, now: Time, to: NodeId) {
         let _ = self.foca.announce(to, &mut self.runtime);
         self.collect(now);
@@ -123,7 +123,7 @@
         self.collect(now);
     }
 
-    /// Takes a datagram. One that is rejected changes nothing.
+    /// Handles a datagram. A rejected datagram changes nothing.
     pub fn on_datagram(&mut self, now: Time, bytes: &[u8]) -> Result<(), RejectedDatagram> {
         let payload = datagram::decode(self.fleet, bytes)?;
         let result = self.foca.handle_data(payload, &mut self.runtime);
@@ -139,7 +139,7 @@
             .filter(|entry| entry.key().0 <= now)
         {
             let timer = entry.remove();
-            // A timer that is late, or of a former life, is not an error that a caller could act on.
+            // Errors for late timers and for timers of an earlier identity need no handling.
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
             self.collect(now);
         }
@@ -152,17 +152,17 @@
             .map(|((deadline, _), _)| *deadline)
     }
 
-    /// The datagrams to send since the last call.
+    /// Takes the datagrams to send since the last call.
     pub fn take_datagrams(&mut self) -> Vec<Datagram> {
         std::mem::take(&mut self.datagrams)
     }
 
-    /// The changes of the view since the last call.
+    /// Takes the changes of the view since the last call.
     pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Takes what the protocol wants sent, timed and notified.
+    /// Collects the protocol's datagrams, timers and notifications.
     fn collect(&mut self, now: Time) {
         while let Some((to, payload)) = self.runtime.to_send() {
             let bytes = datagram::encode(self.fleet, &payload);
@@ -188,14 +188,14 @@
                 self.events.push(MembershipEvent::Up(node));
             }
             OwnedNotification::MemberDown(node) => {
-                // This front end is up, whatever is said of a former process of it.
+                // An earlier process of this front end may be declared down, but this one is up.
                 if node.id != self.local().id {
                     self.order.remove(node.id);
                 }
                 self.addresses.remove(&node.id);
                 self.events.push(MembershipEvent::Down(node));
             }
-            // A later process or life of one that is up, perhaps at another address.
+            // A front end that is up has a new process or renewed identity, possibly at another address.
             OwnedNotification::Rename(_, node) => {
                 self.addresses
                     .entry(node.id)
@@ -212,9 +212,8 @@
     config.probe_period = duration(timing.probe_interval);
     config.probe_rtt = duration(timing.probe_interval / 3);
     config.suspect_to_down_after = duration(timing.suspicion_timeout);
-    // One that is down is asked now and then whether it is back, or the sides of a split would never meet again. It is
-    // remembered for a day; front ends are few, so that this stays small.
-    config.remove_down_after = Some(DOWN_MEMORY);
+    // Down members are contacted again periodically, without which the sides of a partition would not find each other.
+    config.remove_down_after = Some(DOWN_RETENTION);
     if let Some(announcements) = &mut config.periodic_announce_to_down_members {
         announcements.frequency = duration(timing.suspicion_timeout);
     }
--- a/decide/membership/src/node_id.rs
+++ b/decide/membership/src/node_id.rs
@@ -5,21 +5,21 @@
 use std::net::SocketAddr;
 use tansy_agreement::lease::Member;
 
-/// A process of a front end, as the others know it.
+/// Identity and address of a front end's process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId {
-    /// The front end's number.
+    /// Id of the front end.
     pub id: u64,
-    /// Which of its processes; a later one has a larger number.
+    /// Incarnation of the process, which increases with each restart of the front end.
     pub incarnation: u64,
-    /// How often this process was taken for down and came back.
+    /// How often the process renewed its identity, because others had declared it down.
     pub renewals: u32,
-    /// Its address.
+    /// Address of the front end.
     pub address: SocketAddr,
 }
 
 impl NodeId {
-    /// A new process.
+    /// The identity of a new process.
     pub fn new(id: u64, incarnation: u64, address: SocketAddr) -> NodeId {
         NodeId {
             id,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The same without address and life.
+    /// The id and incarnation.
     pub fn member(&self) -> Member {
         Member {
             id: self.id,
--- a/decide/membership/tests/fleet.rs
+++ b/decide/membership/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Fleets of members in virtual time: they find each other, remove those that are killed, accept those that return, and
-//! reject datagrams that are not theirs.
+//! Fleets in virtual time: members find each other, detect killed members, accept restarted ones, and reject foreign
+//! datagrams.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -20,7 +20,7 @@
     datagrams: BTreeMap<u64, (usize, Vec<u8>)>,
     count: u64,
     loss_rate: f64,
-    /// Links on which nothing passes, by direction.
+    /// Directed links on which all datagrams are lost.
     blocked_links: BTreeSet<(usize, usize)>,
     sent: u64,
     downs: Vec<(i64, usize, NodeId)>,
@@ -54,7 +54,7 @@
         fleet
     }
 
-    /// A new process, which knows where two others should be.
+    /// Starts a new process, which joins through up to two random members.
     fn start(&mut self, index: usize) {
         self.incarnations[index] += 1;
         let seed = self.rng.u64(..);
@@ -94,7 +94,7 @@
                 self.downs.push((self.now, index, node));
             }
         }
-        // What is kept by notifications equals what the protocol knows.
+        // The view that is maintained from notifications equals the protocol's own.
         let up = member
             .other_members()
             .map(|node| node.id)
@@ -125,8 +125,11 @@
                 break;
             };
             self.now = at.max(self.now);
-            while let Some(Reverse((_, number))) =
-                self.queue.peek().copied().filter(|m| m.0 .0 <= self.now)
+            while let Some(Reverse((_, number))) = self
+                .queue
+                .peek()
+                .copied()
+                .filter(|next| next.0 .0 <= self.now)
             {
                 self.queue.pop();
                 let (to, bytes) = self.datagrams.remove(&number).expect("a datagram");
@@ -148,8 +151,8 @@
         self.now = end;
     }
 
-    /// Whether all running members know exactly the running processes.
-    fn agrees(&self) -> bool {
+    /// Whether the view of every running member consists of exactly the running processes.
+    fn has_converged(&self) -> bool {
         let running: BTreeSet<(u64, u64)> = self
             .members
             .iter()
@@ -165,12 +168,13 @@
         })
     }
 
-    fn until_agreed(&mut self, within: i64) -> i64 {
+    /// Runs until all views have converged, and returns how long that took.
+    fn run_until_converged(&mut self, within: i64) -> i64 {
         let since = self.now;
-        while !self.agrees() {
+        while !self.has_converged() {
             assert!(
                 self.now - since < within,
-                "not agreed after {} s",
+                "views have not converged after {} s",
                 within / SECOND
             );
             self.run(SECOND / 10);
@@ -180,28 +184,28 @@
 }
 
 #[test]
-fn members_find_each_other_remove_the_killed_and_accept_the_returned() {
+fn members_find_each_other_remove_killed_members_and_accept_restarted_ones() {
     for seed in 0..4 {
         let mut fleet = Fleet::new(30, seed);
-        fleet.until_agreed(60 * SECOND);
+        fleet.run_until_converged(60 * SECOND);
         for killed in 0..8 {
             fleet.members[3 * killed] = None;
         }
-        fleet.until_agreed(60 * SECOND);
+        fleet.run_until_converged(60 * SECOND);
         for killed in 0..8 {
             fleet.start(3 * killed);
         }
-        fleet.until_agreed(60 * SECOND);
+        fleet.run_until_converged(60 * SECOND);
     }
 }
 
 #[test]
 fn a_process_restarted_at_once_replaces_its_predecessor() {
     let mut fleet = Fleet::new(12, 5);
-    fleet.until_agreed(60 * SECOND);
+    fleet.run_until_converged(60 * SECOND);
     fleet.members[4] = None;
     fleet.start(4);
-    fleet.until_agreed(30 * SECOND);
+    fleet.run_until_converged(30 * SECOND);
     let last = fleet.incarnations[4];
     assert!(fleet.members.iter().flatten().all(|m| m
         .other_members()
@@ -209,21 +213,21 @@
 }
 
 #[test]
-fn a_one_way_or_blocked_link_takes_nobody_down() {
+fn a_link_blocked_in_one_or_both_directions_takes_no_member_down() {
     let mut fleet = Fleet::new(10, 9);
-    fleet.until_agreed(60 * SECOND);
-    // 1 and 2 receive nothing from 0, and 3 and 4 nothing from each other: all are reached through others.
+    fleet.run_until_converged(60 * SECOND);
+    // All members can still be probed indirectly.
     fleet.blocked_links = BTreeSet::from([(0, 1), (0, 2), (3, 4), (4, 3)]);
     fleet.downs.clear();
     fleet.run(60 * SECOND);
     assert_eq!(fleet.downs.len(), 0, "{:?}", fleet.downs);
-    assert!(fleet.agrees());
+    assert!(fleet.has_converged());
 }
 
 #[test]
 fn both_sides_of_a_partition_find_each_other_again() {
     let mut fleet = Fleet::new(12, 3);
-    fleet.until_agreed(60 * SECOND);
+    fleet.run_until_converged(60 * SECOND);
     fleet.blocked_links = (0..5)
         .flat_map(|a| (5..12).flat_map(move |b| [(a, b), (b, a)]))
         .collect();
@@ -231,34 +235,37 @@
     assert!(
         fleet.members[0]
             .as_ref()
-            .expect("it runs")
+            .expect("the member runs")
             .other_members()
             .all(|n| n.id < 5),
-        "the others are down here"
+        "members of the other side are declared down"
     );
     fleet.blocked_links.clear();
-    fleet.until_agreed(150 * SECOND);
+    fleet.run_until_converged(150 * SECOND);
 }
 
 #[test]
-fn a_departure_is_known_at_once_and_traffic_per_member_does_not_grow_with_the_fleet() {
+fn a_member_that_leaves_is_removed_quickly_and_traffic_per_member_does_not_grow_with_the_fleet() {
     let rate = |size: usize| {
         let mut fleet = Fleet::new(size, 21);
-        fleet.until_agreed(90 * SECOND);
+        fleet.run_until_converged(90 * SECOND);
         let (sent, since) = (fleet.sent, fleet.now);
         fleet.run(20 * SECOND);
         let rate = (fleet.sent - sent) as f64 / ((fleet.now - since) as f64 / 1e6) / size as f64;
         let now = fleet.now;
-        fleet.members[1].as_mut().expect("it runs").leave(now);
+        fleet.members[1]
+            .as_mut()
+            .expect("the member runs")
+            .leave(now);
         fleet.carry_out(1);
         fleet.members[1] = None;
-        fleet.until_agreed(10 * SECOND);
+        fleet.run_until_converged(10 * SECOND);
         rate
     };
     let (small, large) = (rate(8), rate(80));
     assert!(
         large < 1.5 * small,
-        "{small} and {large} datagrams a member a second"
+        "{small} and {large} datagrams per member per second"
     );
 }
 
@@ -284,6 +291,7 @@
     );
     let mut rng = fastrand::Rng::with_seed(1);
     for _ in 0..20_000 {
+        // The datagram belongs to the member's fleet, but its payload is corrupted.
         let mut noise = datagram.clone();
         noise[1..9].copy_from_slice(&1u64.to_be_bytes());
         for _ in 0..rng.usize(1..6) {
