--- a/storage/src/lib.rs
+++ b/storage/src/lib.rs
@@ -1,9 +1,9 @@
-//! Durable state in one file.
+//! Durable storage in one file.
 //!
-//! A [`store::Store`] holds numbered entries after one snapshot and syncs them before it returns; opening it recovers them.
-//! [`voter_log`] builds the write-ahead log of a voter on it.
+//! A [`store::Store`] holds a snapshot and the numbered entries after it. Writes are synced before they return, and opening
+//! the file recovers the content. [`voter_log`] is the write-ahead log of a voter on top of a store.
 //!
-//! Not here: threads and retries over time (the callers'), and the meaning of what is stored.
+//! Callers provide threads and timing of retries, and give the content its meaning.
 //!
 //! ```
 //! use tansy_storage::voter_log::LogStorage;
--- a/storage/src/store.rs
+++ b/storage/src/store.rs
@@ -1,8 +1,8 @@
-//! Entries after a snapshot, in one file.
+//! A snapshot and the entries after it, in one file.
 //!
-//! The file is a `redb` database: pages with checksums, and transactions that a crash leaves complete or undone. Entries
-//! are numbered without gaps; those that are appended together are synced together. The file states its format, and a
-//! program rejects a file of a later format before it reads anything else.
+//! The file is a `redb` database, which has checksums and atomic transactions. Entries are numbered without gaps, and
+//! entries that are appended together are stored in one transaction. The file states its format; a file of a later format
+//! is rejected before anything else is read.
 
 use redb::{
     Database, ReadTransaction, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition,
@@ -10,11 +10,11 @@
 };
 use std::path::Path;
 
-/// The format that this program writes.
+/// Format of the files that this program writes.
 pub const FORMAT_VERSION: u64 = 1;
-/// Bytes that one entry or snapshot may have.
+/// Maximum size of an entry or a snapshot.
 pub const MAX_ENTRY_BYTES: usize = 16 << 20;
-/// Memory for cached pages.
+/// Size of the page cache.
 const CACHE_BYTES: usize = 4 << 20;
 
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
@@ -22,55 +22,53 @@
 const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
 const SNAPSHOT: TableDefinition<u64, &[u8]> = TableDefinition::new("snapshot");
 
-/// Why something is not stored, or can't be read.
+/// Errors of opening, reading and writing a file.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The file's format is later than this program's.
+    /// The file has a later format than this program supports.
     #[error(
-        "the state file has format {found}, this program knows up to {}: start the later program",
+        "the state file has format {found}, but this program supports formats up to {}: upgrade this program",
         FORMAT_VERSION
     )]
     NewerFormat {
-        /// The file's format.
+        /// Format of the file.
         found: u64,
     },
     /// Another process has the file open.
-    #[error("another process has the state file open: end it first")]
+    #[error("another process has the state file open: stop that process first")]
     InUse,
-    /// The file can't be opened, read or written; what was stored before is still there.
-    #[error("the state file: {0}; free room or mend its rights, then start again")]
+    /// The file can't be opened, read or written. Its earlier content is unchanged.
+    #[error("error in the state file: {0}; check free disk space and permissions, then restart")]
     File(redb::Error),
     /// An entry is missing in the file.
-    #[error(
-        "the state file lacks entry {expected}, {found} stands there: restore it from another voter"
-    )]
+    #[error("the state file has entry {found} in place of entry {expected}: restore the file from another voter")]
     Gap {
-        /// The number of the missing entry.
+        /// Number of the missing entry.
         expected: u64,
-        /// The number in its place.
+        /// Number of the entry in its place.
         found: u64,
     },
-    /// An entry to be appended is not the next one.
-    #[error("entry {given} was given where {expected} is next")]
+    /// The number of an entry to append is not the next one.
+    #[error("entry {given} is out of order: the next entry is {expected}")]
     OutOfOrder {
         /// The next number.
         expected: u64,
-        /// The number given.
+        /// The given number.
         given: u64,
     },
-    /// An entry or snapshot has more than [`MAX_ENTRY_BYTES`].
+    /// An entry or snapshot is larger than [`MAX_ENTRY_BYTES`].
     #[error(
-        "{bytes} bytes are more than the {} that an entry may have",
+        "size of {bytes} bytes exceeds the maximum of {} bytes",
         MAX_ENTRY_BYTES
     )]
     TooLarge {
-        /// Its bytes.
+        /// Size of the entry or snapshot.
         bytes: usize,
     },
 }
 
 impl Error {
-    /// Whether the same call may succeed later: the disk is full or fails, or another process still has the file open.
+    /// Whether the same call may succeed later, because the disk is full or failing, or another process has the file open.
     pub fn is_transient(&self) -> bool {
         matches!(self, Error::File(_) | Error::InUse)
     }
@@ -85,12 +83,12 @@
     }
 }
 
-/// What a file held when it was opened.
+/// The content of a file when it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredLog {
-    /// The snapshot, and the number of the last entry that it covers.
+    /// The number of the last entry that the snapshot covers, and the snapshot.
     pub snapshot: Option<(u64, Vec<u8>)>,
-    /// The entries after it, in order, without gaps.
+    /// Numbers and content of the entries after the snapshot, without gaps.
     pub entries: Vec<(u64, Vec<u8>)>,
 }
 
@@ -101,7 +99,7 @@
     }
 }
 
-/// An open file.
+/// An open file with a snapshot and the entries after it.
 #[derive(Debug)]
 pub struct Store {
     database: Database,
@@ -109,12 +107,12 @@
 }
 
 impl Store {
-    /// Opens or creates a file, and returns what it holds.
+    /// Opens or creates a file, and returns its content.
     pub fn open(path: &Path) -> Result<(Store, RecoveredLog), Error> {
         Store::recover(builder().create(path)?)
     }
 
-    /// The same on another kind of storage, for tests of its faults.
+    /// Opens a store on another storage backend, for tests with injected faults.
     pub fn with_backend(backend: impl StorageBackend) -> Result<(Store, RecoveredLog), Error> {
         Store::recover(builder().create_with_backend(backend)?)
     }
@@ -124,8 +122,8 @@
         self.next_number
     }
 
-    /// Appends entries, of which the first has this number. All are synced when it returns, or none is stored. After an
-    /// error of the file nothing more can be stored until it is opened again.
+    /// Appends entries, numbered from `first`, in one transaction that is synced when this returns. After
+    /// [`Error::File`] the file has to be opened again before anything else can be stored.
     pub fn append(&mut self, first: u64, entries: &[Vec<u8>]) -> Result<(), Error> {
         if first != self.next_number {
             return Err(Error::OutOfOrder {
@@ -146,7 +144,7 @@
         Ok(())
     }
 
-    /// Stores a snapshot that covers the entries up to this one, and removes those and the snapshot before.
+    /// Stores a snapshot that covers all entries up to `last_covered`, and removes these and earlier snapshots.
     pub fn snapshot(&mut self, last_covered: u64, bytes: &[u8]) -> Result<(), Error> {
         if last_covered >= self.next_number {
             return Err(Error::OutOfOrder {
@@ -190,7 +188,7 @@
     builder
 }
 
-/// The format that a file states; none: the file is new.
+/// The format that the file states; `None` for a new file.
 fn read_format(transaction: &ReadTransaction) -> Result<Option<u64>, Error> {
     match transaction.open_table(META) {
         Ok(meta) => Ok(meta.get(FORMAT_KEY)?.map(|format| format.value())),
--- a/storage/src/voter_log.rs
+++ b/storage/src/voter_log.rs
@@ -1,30 +1,30 @@
-//! The write-ahead log of a voter: records are synced before anything that depends on them is sent.
+//! The write-ahead log of a voter. Records are synced before messages that depend on them are sent.
 
 use crate::store::{Error, RecoveredLog, Store};
 use std::path::{Path, PathBuf};
 
-/// What a voter's file holds.
+/// The content of a voter's log file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredRecords {
     /// The last snapshot.
     pub snapshot: Option<Vec<u8>>,
-    /// The records after it, in order.
+    /// The records after the snapshot, in order.
     pub records: Vec<Vec<u8>>,
 }
 
-/// A voter's file.
+/// A voter's log file.
 #[derive(Debug)]
 pub struct LogStorage {
     store: Store,
 }
 
 impl LogStorage {
-    /// Opens or creates the file, and returns what it holds.
+    /// Opens or creates the file, and returns its content.
     pub fn open(path: &Path) -> Result<(LogStorage, RecoveredRecords), Error> {
         Ok(LogStorage::from_store(Store::open(path)?))
     }
 
-    /// On a store, with what was recovered of it.
+    /// Uses a store that is open, with the content recovered from it.
     pub fn from_store((store, recovered): (Store, RecoveredLog)) -> (LogStorage, RecoveredRecords) {
         let records = RecoveredRecords {
             snapshot: recovered.snapshot.map(|(_, bytes)| bytes),
@@ -42,7 +42,7 @@
         self.store.next_number()
     }
 
-    /// Stores a record: it is synced when this returns, else it may be stored or not. A snapshot replaces all records up to
+    /// Stores a record and syncs it. After an error the record may be stored or not. A snapshot replaces all records up to
     /// and including this one.
     pub fn append(&mut self, record: Vec<u8>, snapshot: Option<&[u8]>) -> Result<(), Error> {
         let number = self.store.next_number();
@@ -50,7 +50,7 @@
         self.replace(number, snapshot)
     }
 
-    /// Replaces all records up to this number by a snapshot, if there is one. Doing so again changes nothing.
+    /// Replaces all records up to this number with a snapshot, if one is given. This is idempotent.
     fn replace(&mut self, last_covered: u64, snapshot: Option<&[u8]>) -> Result<(), Error> {
         match snapshot {
             Some(bytes) => self.store.snapshot(last_covered, bytes),
@@ -59,27 +59,27 @@
     }
 }
 
-/// Opens a file, at the start and after an error.
+/// Opens the file, at the start and after each error.
 type Opener = Box<dyn FnMut() -> Result<(LogStorage, RecoveredRecords), Error> + Send>;
 
-/// A voter's file through errors of the disk. After an error it is opened and read again, which shows whether the record
-/// was stored.
+/// A voter's log file that survives errors of the disk. After an error the file is opened again, which shows whether the
+/// record was stored.
 pub struct RetryingLogStorage {
     opener: Opener,
-    /// None: the last call failed, and the file is closed.
+    /// `None` after a failed call, which closes the file.
     storage: Option<LogStorage>,
-    /// The number of the record that is to be stored next.
+    /// The number of the next record.
     next_number: u64,
 }
 
 impl RetryingLogStorage {
-    /// Opens or creates the file, and returns what it holds.
+    /// Opens or creates the file, and returns its content.
     pub fn open(path: &Path) -> Result<(RetryingLogStorage, RecoveredRecords), Error> {
         let path: PathBuf = path.to_path_buf();
         RetryingLogStorage::with_opener(Box::new(move || LogStorage::open(&path)))
     }
 
-    /// The same by any way of opening it.
+    /// Opens the file by a function, which is called again after each error.
     pub fn with_opener(
         mut opener: Opener,
     ) -> Result<(RetryingLogStorage, RecoveredRecords), Error> {
@@ -92,9 +92,9 @@
         Ok((retrying, recovered))
     }
 
-    /// Stores a record, and a snapshot that replaces all records up to it: both are synced when this returns. After an
-    /// error that [is transient](Error::is_transient) the caller repeats the call with the same arguments, and each of them is
-    /// stored once.
+    /// Stores and syncs a record, and a snapshot that replaces all records up to it. After a
+    /// [transient](Error::is_transient) error the caller repeats the call with the same arguments; the record is stored only
+    /// once.
     pub fn append(&mut self, record: &[u8], snapshot: Option<&[u8]>) -> Result<(), Error> {
         // A failed attempt leaves the file closed.
         let storage = self.attempt(record, snapshot)?;
@@ -109,7 +109,7 @@
             None => (self.opener)()?.0,
         };
         if storage.next_number() == self.next_number + 1 {
-            // The last attempt stored the record and failed afterwards.
+            // The last attempt failed after it had stored the record.
             storage.replace(self.next_number, snapshot)?;
         } else if storage.next_number() == self.next_number {
             storage.append(record.to_vec(), snapshot)?;
--- a/storage/tests/disk.rs
+++ b/storage/tests/disk.rs
@@ -1,4 +1,4 @@
-//! Disks that lose or tear unsynced writes, are full, fail for a while, or hold a later format.
+//! Disks that lose or tear unsynced writes, are full, fail temporarily, or have a file of a later format.
 
 use redb::StorageBackend;
 use std::sync::{Arc, Mutex};
@@ -7,13 +7,13 @@
 
 #[derive(Debug, Default)]
 struct DiskState {
-    /// What remains after any crash.
+    /// The content as of the last sync, which survives a crash.
     synced: Vec<u8>,
-    /// What reads return.
+    /// The content that reads return.
     content: Vec<u8>,
     unsynced: Vec<(usize, Vec<u8>)>,
     capacity: Option<usize>,
-    /// So many writes and syncs fail, after so many more that do not.
+    /// Number of writes and syncs that fail, after `calls_before_failure` successful ones.
     failures: u32,
     calls_before_failure: u32,
 }
@@ -31,7 +31,7 @@
     }
 }
 
-/// A disk in memory.
+/// A simulated disk in memory.
 #[derive(Clone, Debug, Default)]
 struct Disk(Arc<Mutex<DiskState>>);
 
@@ -60,7 +60,7 @@
             return Err(full());
         }
         disk.content.resize(len as usize, 0);
-        // A file's length is kept apart from its content, and may be ahead of it.
+        // The length of a file is metadata, which may reach the disk before the content.
         disk.synced.resize(len as usize, 0);
         Ok(())
     }
@@ -92,8 +92,8 @@
 }
 
 impl Disk {
-    /// What remains after the power went: of the writes since the last sync any part, in any order, torn by sectors.
-    fn after_a_crash(&self, rng: &mut fastrand::Rng) -> Disk {
+    /// The disk after a power failure. Any sectors of the writes since the last sync are kept, in any order.
+    fn after_crash(&self, rng: &mut fastrand::Rng) -> Disk {
         let disk = self.0.lock().unwrap();
         let mut remaining = disk.synced.clone();
         let mut unsynced = disk.unsynced.clone();
@@ -118,7 +118,7 @@
     LogStorage::from_store(Store::with_backend(disk.clone()).expect("a store"))
 }
 
-/// Appends a record, now and then with a snapshot that replaces all; `expected` is what has to be recovered from then on.
+/// Appends a record, periodically with a snapshot, and updates the expected content.
 fn append(log: &mut LogStorage, expected: &mut RecoveredRecords, number: u64) -> Result<(), Error> {
     let record = number.to_be_bytes().repeat(1 + number as usize % 5);
     let snapshot = (number % 37 == 36).then(|| format!("whole {number}").into_bytes());
@@ -145,8 +145,8 @@
             for number in 0..rng.u64(0..60) {
                 append(&mut log, &mut expected, 1000 * round + number).expect("stored");
             }
-            // In the middle of whatever the store still does: it is not closed.
-            disk = disk.after_a_crash(&mut rng);
+            // The store is not closed before the crash.
+            disk = disk.after_crash(&mut rng);
             let (after, recovered) = open(&disk);
             std::mem::forget(std::mem::replace(&mut log, after));
             assert_eq!(recovered, expected, "seed {seed}, round {round}");
@@ -171,10 +171,10 @@
             }
         }
     }
-    let message = failed.expect("the disk is full at some time");
+    let message = failed.expect("the disk becomes full");
     assert!(message.contains("the state file"), "{message}");
     disk.0.lock().unwrap().capacity = None;
-    let after = disk.after_a_crash(&mut fastrand::Rng::with_seed(1));
+    let after = disk.after_crash(&mut fastrand::Rng::with_seed(1));
     std::mem::forget(log);
     assert!(open(&after).1 == expected);
 }
@@ -196,7 +196,7 @@
     ));
     assert!(
         matches!(store.snapshot(4, &[7]), Err(Error::OutOfOrder { .. })),
-        "it covers an entry that is not there"
+        "the snapshot would cover an entry that does not exist"
     );
     store.snapshot(2, &[7]).expect("a snapshot");
     let large = vec![0; tansy_storage::store::MAX_ENTRY_BYTES + 1];
@@ -240,16 +240,16 @@
         .expect("a value");
     write.commit().expect("written");
     drop(db);
-    let refused = Store::with_backend(disk.clone()).expect_err("refused");
+    let rejected = Store::with_backend(disk.clone()).expect_err("the file is rejected");
     assert!(
-        matches!(refused, Error::NewerFormat { found: 7 }),
-        "{refused}"
+        matches!(rejected, Error::NewerFormat { found: 7 }),
+        "{rejected}"
     );
-    assert!(refused.to_string().contains("start the later program"));
+    assert!(rejected.to_string().contains("upgrade this program"));
 }
 
 #[test]
-fn a_disk_that_fails_for_a_while_stores_each_record_once_and_in_order() {
+fn a_disk_that_fails_temporarily_stores_each_record_once_and_in_order() {
     for seed in 0..60 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let disk = Disk::default();
@@ -260,7 +260,7 @@
         for number in 0..120u64 {
             let record = number.to_be_bytes().to_vec();
             let snapshot = (number % 37 == 36).then(|| format!("whole {number}").into_bytes());
-            // Some of its next writes and syncs fail, each a few times.
+            // Some of the next writes and syncs fail.
             if rng.u32(0..4) == 0 {
                 disk.0.lock().unwrap().failures = rng.u32(1..6);
                 disk.0.lock().unwrap().calls_before_failure = rng.u32(0..12);
--- a/storage/tests/processes.rs
+++ b/storage/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Voters as processes of their own that are killed: what one acknowledged is recovered by the next.
+//! Voter processes that are killed: the next process recovers all acknowledged records.
 
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
@@ -8,9 +8,9 @@
 
 const FILE: &str = "TANSY_STATE_TEST_FILE";
 
-/// Not a test by itself: the process that the tests start. It acknowledges each record once it is stored, until it is killed.
+/// The process that the other tests start. It appends records and acknowledges each on its output, until it is killed.
 #[test]
-#[ignore = "started by the others, with a file"]
+#[ignore = "started by the other tests with a state file"]
 fn voter_process() {
     let Some(path) = std::env::var_os(FILE) else {
         return;
@@ -23,7 +23,7 @@
     }
 }
 
-/// A process that is killed with the value.
+/// A process that is killed when the value is dropped.
 struct VoterProcess(Child);
 
 impl Drop for VoterProcess {
@@ -45,7 +45,7 @@
 
 fn acknowledged(child: &mut VoterProcess) -> impl Iterator<Item = u64> {
     let lines = BufReader::new(child.0.stdout.take().expect("its output")).lines();
-    // The first line may follow output of the test harness.
+    // The first acknowledgement may share a line with output of the test harness.
     lines
         .map_while(Result::ok)
         .filter_map(|l| l.rsplit("stored ").next()?.parse().ok())
@@ -82,8 +82,8 @@
             );
             acknowledged_count = number;
         }
-        // With SIGKILL, wherever it is by now; what it acknowledged meanwhile counts as well.
-        child.0.kill().expect("it runs");
+        // SIGKILL at an arbitrary point. Acknowledgements sent before it took effect count as well.
+        child.0.kill().expect("the process runs");
         acknowledged_count = acknowledgements.last().unwrap_or(acknowledged_count);
         drop(child);
         let (log, all) = LogStorage::open(&file.0).expect("the log");
@@ -95,7 +95,7 @@
             .map(|r| u64::from_be_bytes(r[..].try_into().expect("a number")));
         assert!(
             numbers.eq(1..=recovered),
-            "round {round}: each once, in order"
+            "round {round}: each record once, in order"
         );
         assert!(
             recovered == acknowledged_count || recovered == acknowledged_count + 1,
@@ -113,5 +113,5 @@
     let second = LogStorage::open(&file.0);
     assert!(matches!(second, Err(Error::InUse)), "{second:?}");
     drop(child);
-    LogStorage::open(&file.0).expect("free again");
+    LogStorage::open(&file.0).expect("the log is no longer in use");
 }
