--- a/decide/agreement/src/subscription/replies.rs
+++ b/decide/agreement/src/subscription/replies.rs
@@ -39,7 +39,7 @@
             pending.restart();
         }
         if !active.is_empty() || !self.pending.is_empty() {
-            self.changes += 1;
+            self.generation += 1;
             self.schedule_request(now);
         }
     }
@@ -52,7 +52,7 @@
         let before = self.revision;
         let retained = state.history.retained_after();
         self.revision = state.revision;
-        self.changes += 1;
+        self.generation += 1;
         if state.scopes_since.is_some() && !self.has_scopes() {
             // No change goes on before every member has declared that it supports scopes.
             self.has_scopes = true;
@@ -194,7 +194,7 @@
             last_call,
         };
         self.active.insert(scope, active);
-        self.changes += 1;
+        self.generation += 1;
     }
 
     /// A record of a reply with the changes made since, and the revision that it is valid from; none: these are not all
--- a/decide/agreement/src/subscription/subscriptions.rs
+++ b/decide/agreement/src/subscription/subscriptions.rs
@@ -85,7 +85,7 @@
     pub(super) next_sweep: Time,
     /// The number of requests since the last reply.
     pub(super) unanswered: u32,
-    pub(super) changes: u64,
+    pub(super) generation: u64,
     evicted: u64,
     pub(super) conflicting_revision: Revision,
 }
@@ -112,7 +112,7 @@
             next_request: Time::MAX,
             next_sweep: now + SWEEP_INTERVAL,
             unanswered: 0,
-            changes: 0,
+            generation: 0,
             evicted: 0,
             conflicting_revision: Revision(0),
         }
@@ -144,8 +144,8 @@
     }
 
     /// Counts up whenever a call might be admitted otherwise than before.
-    pub fn changes(&self) -> u64 {
-        self.changes
+    pub fn generation(&self) -> u64 {
+        self.generation
     }
 
     /// The approximate size in bytes.
--- a/decide/fleet-node/src/fleet_node/scopes.rs
+++ b/decide/fleet-node/src/fleet_node/scopes.rs
@@ -38,7 +38,7 @@
 
     /// Increases whenever [`FleetNode::admit`] might decide otherwise than before.
     pub fn scopes_changed(&self) -> u64 {
-        self.subscriptions.changes()
+        self.subscriptions.generation()
     }
 
     /// How many scopes it holds.
