--- a/decide/agreement/src/log/validate.rs
+++ b/decide/agreement/src/log/validate.rs
@@ -102,7 +102,9 @@
 
     fn check_no_change_in_progress(&self) -> Result<(), EntryRejection> {
         match &self.state.next {
-            Some((next, _)) => Err(EntryRejection::ChangeInProgress { with: next.version }),
+            Some((next, _)) => Err(EntryRejection::ChangeInProgress {
+                version: next.version,
+            }),
             None => Ok(()),
         }
     }
--- a/decide/agreement/src/rejection.rs
+++ b/decide/agreement/src/rejection.rs
@@ -13,10 +13,10 @@
         latest: Version,
     },
     /// Another change is in progress.
-    #[error("the change to version {} goes on: wait, or abandon it first", .with.0)]
+    #[error("the change to version {} goes on: wait, or abandon it first", .version.0)]
     ChangeInProgress {
         /// The version of that change.
-        with: Version,
+        version: Version,
     },
     /// The entry changes no field.
     #[error("no field differs from the latest version")]
--- a/decide/agreement/tests/settings/log.rs
+++ b/decide/agreement/tests/settings/log.rs
@@ -60,7 +60,9 @@
     );
     assert_eq!(
         log.apply(propose(8, 1, 3)),
-        Err(EntryRejection::ChangeInProgress { with: Version(2) })
+        Err(EntryRejection::ChangeInProgress {
+            version: Version(2)
+        })
     );
     log.apply(LogEntry::Advance { from: Revision(2) })
         .expect("joint");
