--- a/decide/agreement/src/log/apply.rs
+++ b/decide/agreement/src/log/apply.rs
@@ -95,14 +95,14 @@
 
     fn join(&mut self, member: Member, name: String) -> ApplyOutcome {
         self.roster.insert(member.id, (member.incarnation, name));
-        ApplyOutcome::Roster
+        ApplyOutcome::RosterUpdated
     }
 
     fn leave(&mut self, member: Member) -> ApplyOutcome {
         if self.has_member(member) {
             self.roster.remove(&member.id);
         }
-        ApplyOutcome::Roster
+        ApplyOutcome::RosterUpdated
     }
 
     fn begin_replacement(&mut self, new: u64, address: SocketAddr, replaced: u64) -> ApplyOutcome {
@@ -112,7 +112,7 @@
             replaced,
             phase: ReplacementPhase::Learning,
         });
-        ApplyOutcome::Voters
+        ApplyOutcome::VotersChanged
     }
 
     fn enter_joint_consensus(&mut self) -> ApplyOutcome {
@@ -120,19 +120,19 @@
             replacement.phase = ReplacementPhase::JointConsensus;
             self.voters.insert(replacement.new, replacement.address);
         }
-        ApplyOutcome::Voters
+        ApplyOutcome::VotersChanged
     }
 
     fn complete_replacement(&mut self) -> ApplyOutcome {
         if let Some(replacement) = self.voter_replacement.take() {
             self.voters.remove(&replacement.replaced);
         }
-        ApplyOutcome::Voters
+        ApplyOutcome::VotersChanged
     }
 
     fn cancel_replacement(&mut self) -> ApplyOutcome {
         self.voter_replacement = None;
-        ApplyOutcome::Voters
+        ApplyOutcome::VotersChanged
     }
 
     fn apply_rollout(
@@ -158,7 +158,7 @@
             (_, None) => {}
         }
         self.on_rollout_changed();
-        Ok(ApplyOutcome::Rollout)
+        Ok(ApplyOutcome::RolloutChanged)
     }
 
     /// What follows from a transition of the rollout: which members try settings, and, once it is done, which program is
--- a/decide/agreement/src/log/entry.rs
+++ b/decide/agreement/src/log/entry.rs
@@ -133,11 +133,11 @@
     /// The state advanced to this revision.
     Advanced(Revision),
     /// The roster was written, whether it changed or not.
-    Roster,
+    RosterUpdated,
     /// The set of voters, or its replacement in progress, changed.
-    Voters,
+    VotersChanged,
     /// The rollout made a transition.
-    Rollout,
+    RolloutChanged,
     /// Transactions of scopes: those that are not rejected became joint in this revision, or did so before.
     ScopesChanged {
         /// The revision.
--- a/decide/agreement/tests/session.rs
+++ b/decide/agreement/tests/session.rs
@@ -168,7 +168,10 @@
         for member in self.table.expired(self.now).collect::<Vec<_>>() {
             if self.defect != Defect::LeaveNotLogged {
                 let outcome = self.log.apply(LogEntry::Leave { member });
-                assert_eq!(outcome.expect("a member may leave"), ApplyOutcome::Roster);
+                assert_eq!(
+                    outcome.expect("a member may leave"),
+                    ApplyOutcome::RosterUpdated
+                );
             }
             self.table.remove(member);
         }
--- a/decide/fleet-node/tests/fleet_node/voters.rs
+++ b/decide/fleet-node/tests/fleet_node/voters.rs
@@ -104,7 +104,7 @@
     cluster.run(3.0);
     cluster.replace(1, 3, dead);
     cluster.run(5.0);
-    assert_eq!(*cluster.answer(1), Ok(ApplyOutcome::Voters));
+    assert_eq!(*cluster.answer(1), Ok(ApplyOutcome::VotersChanged));
     assert!(
         cluster.voter_indices().contains(&3) && !cluster.voter_indices().contains(&dead),
         "{:?}",
--- a/net/fleet/src/service/entries.rs
+++ b/net/fleet/src/service/entries.rs
@@ -195,9 +195,9 @@
     let version = match applied {
         ApplyOutcome::Announced(version) | ApplyOutcome::Duplicate(version) => version.0,
         ApplyOutcome::Advanced(_)
-        | ApplyOutcome::Roster
-        | ApplyOutcome::Voters
-        | ApplyOutcome::Rollout
+        | ApplyOutcome::RosterUpdated
+        | ApplyOutcome::VotersChanged
+        | ApplyOutcome::RolloutChanged
         | ApplyOutcome::ScopesChanged { .. } => 0,
     };
     let revision = match applied {
