--- a/decide/agreement/src/endpoints.rs
+++ b/decide/agreement/src/endpoints.rs
@@ -1,52 +1,53 @@
-//! Workers that drain or are gone, as any member has learnt of it: drains take effect everywhere first.
+//! The table of workers that are draining or gone, merged from what all members report.
 //!
-//! Front ends read lists of workers of their own, which disagree and lag. Arrivals may lag; that a worker drains or is
-//! gone is forwarded by whichever member learns of it, and never taken back for that process of the worker:
+//! Front ends read their own lists of workers, which disagree and lag. It is harmless if a new worker is noticed late,
+//! but a drain must take effect everywhere at once. So the member that first learns of a drain forwards it to the
+//! others, and it is never undone for that process of the worker:
 //!
-//! - A worker is a name at an address. A process of it is an incarnation: a later one supersedes all records of those
-//!   before; of one incarnation the last state counts, in the order ready, draining, gone. So a drain recorded once holds
-//!   for that process, and no older list makes it ready again; a worker that is to serve again is listed with a later
-//!   incarnation.
-//! - Records merge in any order, any number of times, to the same table.
-//! - A record is retained for a stated time, so that a late list can't bring a worker back.
+//! - A worker is identified by its name and address, a process of the worker by its incarnation. Records of a later
+//!   incarnation override those of earlier ones. Within one incarnation the latest state counts, in the order ready,
+//!   draining, gone. No outdated list can therefore make a drained process ready again; to serve again, the worker has
+//!   to be listed with a later incarnation.
+//! - Merging is commutative and idempotent: records may arrive in any order and any number of times.
+//! - A record is retained for [`DRAIN_RETENTION`], so that an outdated list can't bring a worker back.
 
 use crate::lease::Time;
 use std::collections::BTreeMap;
 
-/// A worker: a name at an address.
+/// A worker, identified by name and address.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Endpoint {
-    /// Its name.
+    /// The worker's name.
     pub name: String,
-    /// The address that it listens on, as the list writes it.
+    /// The address that the worker listens on, as written in the list.
     pub address: String,
 }
 
-/// The state of a worker's process; a later one in this order overrides an earlier one.
+/// The state of a worker's process; a state that is later in this order overrides an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndpointState {
-    /// Accepts calls.
+    /// The process accepts calls.
     Ready,
-    /// Finishes the calls that it has.
+    /// The process finishes the calls that it has and accepts no new ones.
     Draining,
-    /// Removed.
+    /// The process has been removed.
     Gone,
 }
 
-/// One record of a list.
+/// A worker's process and its state, as listed or forwarded.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointRecord {
     /// The worker.
     pub endpoint: Endpoint,
-    /// Which of its processes; a later one is larger.
+    /// Which process of the worker; later processes have larger numbers.
     pub incarnation: u64,
     /// The state of that process.
     pub state: EndpointState,
 }
 
-/// The largest number of workers in the drain table; more than any installation has.
+/// The largest number of workers in the drain table, which bounds its memory.
 pub const MAX_DRAINS: usize = 20_000;
-/// A drain is retained for so long after it was last reported: longer than any list may lag.
+/// For how long a drain is retained after its last report: longer than any list may lag.
 pub const DRAIN_RETENTION: Time = 24 * 3_600_000_000;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -57,20 +58,20 @@
 }
 
 impl Drain {
-    /// The order in which drains of one worker override each other.
+    /// Orders drains of the same worker: the larger one overrides the smaller one.
     fn precedence(&self) -> (u64, EndpointState) {
         (self.incarnation, self.state)
     }
 }
 
-/// The workers that drain or are gone.
+/// The workers that are draining or gone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DrainTable {
     drains: BTreeMap<Endpoint, Drain>,
 }
 
 impl DrainTable {
-    /// Merges records. Those that changed the table are returned, to be forwarded.
+    /// Merges records and returns those that changed the table, which are to be forwarded.
     pub fn merge(
         &mut self,
         now: Time,
@@ -82,7 +83,7 @@
             .collect()
     }
 
-    /// Merges the record of a drain. True: it changed the table.
+    /// Merges the record of a drain. Returns whether the table changed.
     fn merge_one(&mut self, now: Time, record: &EndpointRecord) -> bool {
         let drain = Drain {
             incarnation: record.incarnation,
@@ -96,7 +97,7 @@
                 true
             }
             Some(known) => {
-                // A repeated report extends the retention and changes nothing else.
+                // A repeated report only extends the retention.
                 if known.precedence() == drain.precedence() {
                     known.last_reported = known.last_reported.max(now);
                 }
@@ -110,7 +111,7 @@
         }
     }
 
-    /// The state of a worker's process that a list has in state `listed`.
+    /// The state of a worker's process, given the state `listed` that a list has for it.
     pub fn state_of(
         &self,
         worker: &Endpoint,
@@ -118,14 +119,14 @@
         listed: EndpointState,
     ) -> EndpointState {
         match self.drains.get(worker) {
-            // The one process ended before the other began.
+            // A later process of the worker has been recorded, so this one has ended.
             Some(drain) if drain.incarnation > incarnation => EndpointState::Gone,
             Some(drain) if drain.incarnation == incarnation => drain.state.max(listed),
             _ => listed,
         }
     }
 
-    /// All records that are retained.
+    /// All retained records.
     pub fn records(&self) -> impl Iterator<Item = EndpointRecord> + '_ {
         self.drains.iter().map(|(worker, drain)| EndpointRecord {
             endpoint: worker.clone(),
@@ -134,7 +135,7 @@
         })
     }
 
-    /// Drops the records that were not reported for [`DRAIN_RETENTION`].
+    /// Drops records that have not been reported for [`DRAIN_RETENTION`].
     pub fn expire(&mut self, now: Time) {
         self.drains
             .retain(|_, drain| now.saturating_sub(drain.last_reported) < DRAIN_RETENTION);
--- a/decide/agreement/src/lib.rs
+++ b/decide/agreement/src/lib.rs
@@ -1,31 +1,37 @@
-//! How the front ends of a fleet act on numbered versions of settings such that no two act on contradictory rules.
+//! Agreement of a fleet's front ends on numbered versions of the settings, such that no two of them act on
+//! contradictory rules.
 //!
-//! The crate consists of state machines that know neither sockets nor clocks nor disks: time is an argument, messages
-//! are returned to the caller, and durable order is the caller's concern (a consensus group, or a single durable log).
+//! The crate consists of state machines without sockets, clocks or disks: the caller passes the time as an argument,
+//! sends the messages that are returned, and makes the order of the log's entries durable (with a consensus group or a
+//! single durable log).
 //!
-//! - [`compatibility`]: what the change of a field means for calls: `free`, `joint` (while both versions are in use, the
-//!   stricter value holds) or `strict` (never both: the calls that the field affects are rejected in the meantime).
+//! - [`compatibility`]: how a changed field may take effect: `free` (old and new value may be used side by side),
+//!   `joint` (while both versions are in use, the stricter value applies) or `strict` (never both: affected calls are
+//!   rejected until the change is complete).
 //! - [`log`]: the agreed order of entries, and the phases of a version: announced, joint, in force.
 //! - [`lease`]: which process may act on which revision, and until when. A front end is granted a lease by its parent,
-//!   the leader or another front end; leases nest, so that a parent's request for its own lease covers its children.
-//! - [`lease_tree`]: a front end's node in the tree of leases: from which member it requests its lease, to which it
-//!   grants, and the state that it acts on.
-//! - [`session`]: long leases for strict fields; changes of these wait for every front end.
-//! - [`scope`]: settings of single functions that are agreed on one by one, beside the versions.
-//! - [`subscription`]: the scopes that a front end acts on, so that their changes wait for it and those of others do not.
-//! - [`endpoints`]: the drains of workers, merged from lists that disagree and lag.
-//!
-//! The whole rests on this: **a step that changes rules is taken only when no front end with a live lease is behind the
-//! revision before it**, so that what two of them act on is at most one step of a change apart, and such steps never
-//! contradict each other. `lease` ensures the first half, `log` the second. A front end whose lease has expired acts by
-//! [`compatibility::rules_after_expiry`], which contradicts no version at all.
-//!
-//! Times are microseconds of the caller's own monotonic clock. Clocks need not agree; their rates must, within a stated
-//! bound.
+//!   which is the leader or another front end. Leases nest: what a parent reports with the request for its own lease
+//!   covers its children.
+//! - [`lease_tree`]: a front end's node in the tree of leases: the member that it requests its lease from, the members
+//!   that it grants leases to, and the state that it acts on.
+//! - [`session`]: long leases for strict fields. A change of a strict field waits for every front end of the roster.
+//! - [`scope`]: settings of single functions, which are agreed on one by one, separately from the versions.
+//! - [`subscription`]: the scopes that a front end acts on. A change of a scope waits for its subscribers only.
+//! - [`endpoints`]: the workers that are draining or gone, merged from worker lists that disagree and lag.
+//!
+//! Safety rests on one invariant: **a step that changes rules is taken only when no front end with a live lease is
+//! behind the current revision**. The revisions that two front ends act on are then at most one step of a change apart,
+//! and two such revisions never contradict each other. `lease` ensures the first half, `log` the second. A front end
+//! whose lease has expired acts on [`compatibility::rules_without_lease`] while its session is live, and after that on
+//! [`compatibility::rules_after_expiry`]; neither contradicts a version that may be in force.
+//!
+//! Times are microseconds of the caller's own monotonic clock. Clocks of different machines need not agree, but the
+//! error of their rates must be within [`lease::LeaseTiming::drift_ppm`].
 //!
 //! # Example
 //!
-//! A version is proposed, announced, joint and in force; each [`log::LogEntry::Advance`] would wait for the leases.
+//! A version is proposed and announced, becomes joint, and comes in force. In a fleet, each [`log::LogEntry::Advance`]
+//! is entered only when the leases allow it.
 //!
 //! ```
 //! use tansy_agreement::compatibility::{Fields, Value};
--- a/decide/agreement/src/revision.rs
+++ b/decide/agreement/src/revision.rs
@@ -1,16 +1,16 @@
-//! The two counters that everything else refers to: versions of the settings and revisions of the fleet's state.
+//! Counters of the settings' versions and of the fleet's state.
 //!
-//! They stand in a module of their own so that leases, scopes and the log can name them without importing each other.
+//! They have a module of their own so that leases, scopes and the log can use them without importing each other.
 
 use serde::{Deserialize, Serialize};
 
-/// A version of the settings; the first is 1, and 0 means that there is none.
+/// The number of a version of the settings. The first version is 1; 0 stands for no version.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Version(pub u64);
 
-/// A revision of the fleet's state; each change of the state increments it by one.
+/// The number of a revision of the fleet's state; each change of the state increments it by one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
