--- a/decide/agreement/src/log/apply.rs
+++ b/decide/agreement/src/log/apply.rs
@@ -1,4 +1,4 @@
-//! Applies entries to the log.
+//! Applying entries to the log.
 
 use super::{
     ApplyOutcome, Canary, ChangePhase, EntryRejection, Log, LogEntry, ReplacementPhase, Revision,
@@ -13,7 +13,7 @@
 use tansy_rollout::{Rollout, RolloutChange, RolloutEntry, RolloutPhase};
 
 impl Log {
-    /// Applies one entry. The outcome depends on the entries alone, so that every replica has the same.
+    /// Applies one entry. The outcome depends on the entries alone, so that it is the same at every replica.
     pub fn apply(&mut self, entry: LogEntry) -> Result<ApplyOutcome, EntryRejection> {
         if let Some(version) = self.validate(&entry)? {
             return Ok(ApplyOutcome::Duplicate(version));
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Numbers a new version and makes it the change in progress.
+    /// Assigns a number to a new version and makes it the change in progress.
     fn announce(&mut self, id: u64, fields: Fields, reason: String) -> ApplyOutcome {
         self.last_version = Version(self.last_version.0 + 1);
         let next = VersionedSettings {
@@ -64,7 +64,7 @@
         ApplyOutcome::Announced(self.last_version)
     }
 
-    /// The change in progress enters its next phase.
+    /// Moves the change in progress to its next phase.
     fn advance_version(&mut self) -> ApplyOutcome {
         match self.state.next.take() {
             Some((next, ChangePhase::Announced)) => {
@@ -77,8 +77,8 @@
         ApplyOutcome::Advanced(self.state.revision)
     }
 
-    /// Gives up the change in progress. No member acts on it while it is only announced; once it is joint, all have to
-    /// be back at the version in force before another change may begin.
+    /// Abandons the change in progress. No member acts on it while it is only announced. Once it is joint, all members
+    /// have to be back at the version in force before another change may begin.
     fn abandon_version(&mut self) -> ApplyOutcome {
         if let Some((next, ChangePhase::Joint)) = self.state.next.take() {
             self.state.next = Some((next, ChangePhase::RolledBack));
@@ -87,7 +87,7 @@
         ApplyOutcome::Advanced(self.state.revision)
     }
 
-    /// A new revision that changes the versions, or the members of a canary.
+    /// Begins a new revision that changes a version or the canary.
     fn increment_versions_revision(&mut self) {
         self.state.revision = self.state.revision.next();
         self.state.versions_revision = self.state.revision;
@@ -161,21 +161,21 @@
         Ok(ApplyOutcome::RolloutChanged)
     }
 
-    /// What follows from a transition of the rollout: which members try settings, and, once it is done, which program is
-    /// to run or which version is announced.
+    /// Updates what depends on the rollout: the members that try settings and, once the rollout is completed, the
+    /// program to run or the announced version.
     fn on_rollout_changed(&mut self) {
         let Some(rollout) = &self.rollout else { return };
-        let (over, done) = (
+        let (ended, completed) = (
             rollout.has_ended(),
             rollout.phase == RolloutPhase::Completed,
         );
         let (id, reason) = (rollout.id, rollout.reason.clone());
-        if let (RolloutChange::Program { label, path }, true) = (&rollout.change, done) {
+        if let (RolloutChange::Program { label, path }, true) = (&rollout.change, completed) {
             self.program = Some((label.clone(), path.clone()));
         }
         let canary = self.canary_of(rollout);
-        let tried = self.canary_fields.take_if(|_| over);
-        if let (Some(fields), true) = (tried, done) {
+        let tried_fields = self.canary_fields.take_if(|_| ended);
+        if let (Some(fields), true) = (tried_fields, completed) {
             self.state.canary = None;
             self.announce(id, fields, reason);
         } else if self.state.canary != canary {
@@ -184,7 +184,8 @@
         }
     }
 
-    /// The settings that a rollout in progress tries, and the members that it has moved to them; none: no member yet.
+    /// The settings that a rollout in progress tries, and the members that it has moved to them; `None` if there is no
+    /// such member.
     fn canary_of(&self, rollout: &Rollout) -> Option<Box<Canary>> {
         let fields = self.canary_fields.as_ref()?;
         if rollout.change != RolloutChange::Settings || rollout.has_ended() {
@@ -233,7 +234,7 @@
         ApplyOutcome::Advanced(self.record_scope_changes(changes))
     }
 
-    /// A new revision, if any scope changed in it.
+    /// Records changes of scopes under a new revision, if there are any.
     fn record_scope_changes(&mut self, changes: Vec<Arc<ScopeChange>>) -> Revision {
         if !changes.is_empty() {
             self.state.revision = self.state.revision.next();
--- a/decide/agreement/src/log/entry.rs
+++ b/decide/agreement/src/log/entry.rs
@@ -1,4 +1,4 @@
-//! The entries of the log and what applying one yields.
+//! The entries of the log, and the outcomes of applying them.
 
 use super::{EntryRejection, Revision, Version};
 use crate::compatibility::Fields;
@@ -10,67 +10,67 @@
 /// One agreed entry. The stored form depends on the order of variants and fields.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LogEntry {
-    /// A new version, to follow the latest.
+    /// Proposes the version that follows the latest one.
     Propose {
-        /// The proposer's idempotency key: two proposals of one key count once; 0 is no key.
+        /// The proposal's idempotency key: a second proposal with the same key is a duplicate. 0 stands for no key.
         id: u64,
-        /// The version that the proposal was made from.
+        /// The version that the proposal is based on.
         base: Version,
         /// All fields of the new version.
         fields: Fields,
-        /// Why it is proposed, for operators.
+        /// Why the version is proposed, for operators.
         reason: String,
     },
-    /// The change in progress enters its next phase.
+    /// Moves the change in progress to its next phase.
     Advance {
-        /// The revision that every member with a live lease had reached.
+        /// The revision that every member with a live lease has reached.
         from: Revision,
     },
-    /// The change in progress is given up.
+    /// Abandons the change in progress.
     Abandon {
-        /// The version that is given up.
+        /// The version to abandon.
         version: Version,
     },
-    /// A front end's process is about to serve: from here on changes of strict fields wait for it. Earlier processes of
-    /// its name have ended, since this one has taken over their address.
+    /// Adds a front end's process that is about to serve to the roster: from now on changes of strict fields wait for
+    /// it. Earlier processes of its name have ended, since this one uses their address.
     Join {
         /// The process.
         member: Member,
-        /// Its name, for operators.
+        /// The member's name, for operators.
         name: String,
-        /// The revision that it acts on. It is never older than the last one that changed the versions, so that every
-        /// member of the roster has been waited for ever since. The scopes that it subscribes to are not known yet, so
-        /// that changes of any scope wait until it has declared them.
+        /// The revision that the member acts on. It is at least the last one that changed a version, so that changes
+        /// have waited for every member of the roster ever since. The member's subscriptions are not known yet, so
+        /// changes of any scope wait until it has declared them.
         revision: Revision,
     },
-    /// The process is known not to serve any more.
+    /// Removes a process that does not serve any more from the roster.
     Leave {
         /// The process.
         member: Member,
     },
-    /// A front end is to keep the log in the place of a voter; it learns the log first.
+    /// Begins to replace a voter with a front end, which first learns the log.
     BeginVoterReplacement {
         /// The new voter.
         new: u64,
-        /// Its address.
+        /// The new voter's address.
         address: SocketAddr,
-        /// The voter that it replaces.
+        /// The voter to be replaced.
         replaced: u64,
     },
-    /// The new voter has the log: from here on an agreement needs a majority of the voters with the replaced one and a
-    /// majority of those with the new one.
+    /// Gives the new voter, which has learnt the log, a vote: from now on agreement needs a majority of the voters
+    /// including the replaced one and a majority of the voters including the new one.
     EnterJointConsensus {
         /// The new voter.
         new: u64,
-        /// The voter that it replaces.
+        /// The voter to be replaced.
         replaced: u64,
     },
-    /// The replaced voter is a voter no more.
+    /// Removes the replaced voter from the voters.
     CompleteVoterReplacement {
         /// The new voter.
         new: u64,
     },
-    /// The new voter did not learn the log in time, or is not wanted any more.
+    /// Cancels a replacement, because the new voter did not learn the log in time or is not wanted any more.
     CancelVoterReplacement {
         /// The new voter.
         new: u64,
@@ -79,34 +79,34 @@
     Rollout {
         /// The transition.
         entry: Box<tansy_rollout::RolloutEntry>,
-        /// With the first entry of a rollout of settings: all fields of the version that it tries.
+        /// All fields of the version that a rollout of settings tries; only with its first entry.
         fields: Option<Fields>,
     },
-    /// Updates of scopes, which become joint. Each transaction is accepted or rejected as a whole.
+    /// Makes changes of scopes joint. Each transaction is accepted or rejected as a whole.
     UpdateScopes {
         /// The transactions, in the order in which they were made.
         transactions: Vec<ScopeTransaction>,
     },
-    /// Scopes whose phase every member concerned has reached.
+    /// Moves changes of scopes to their next phase, once all members concerned have reached the current one.
     AdvanceScopes {
         /// Scopes whose next fields come in force, with the revision in which each became joint.
         in_force: Vec<(String, Revision)>,
         /// Scopes that are settled, with the revision in which each came in force or was reverted.
         settled: Vec<(String, Revision)>,
     },
-    /// Changes of scopes are given up.
+    /// Reverts joint changes of scopes.
     RevertScopes {
         /// The scopes, with the revision in which each became joint.
         scopes: Vec<(String, Revision)>,
     },
 }
 
-/// How far the replacement of a voter has come.
+/// The phase of a voter's replacement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ReplacementPhase {
     /// The new voter learns the log and has no vote.
     Learning,
-    /// Both have a vote.
+    /// Both the replaced and the new voter have a vote.
     JointConsensus,
 }
 
@@ -115,32 +115,33 @@
 pub struct VoterReplacement {
     /// The new voter.
     pub new: u64,
-    /// Its address.
+    /// The new voter's address.
     pub address: SocketAddr,
-    /// The voter that it replaces.
+    /// The voter to be replaced.
     pub replaced: u64,
-    /// How far the replacement has come.
+    /// The phase of the replacement.
     pub phase: ReplacementPhase,
 }
 
-/// What an entry did.
+/// The outcome of applying an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
     /// A version was announced under this number.
     Announced(Version),
-    /// This proposal was applied before, as this version.
+    /// The same proposal was applied before and has become this version.
     Duplicate(Version),
     /// The state advanced to this revision.
     Advanced(Revision),
-    /// The roster was written, whether it changed or not.
+    /// The roster was updated, possibly without a change.
     RosterUpdated,
-    /// The set of voters, or its replacement in progress, changed.
+    /// The set of voters or the replacement in progress changed.
     VotersChanged,
     /// The rollout made a transition.
     RolloutChanged,
-    /// Transactions of scopes: those that are not rejected became joint in this revision, or did so before.
+    /// Transactions of scopes were applied: those that were not rejected are joint since this revision or an earlier
+    /// one.
     ScopesChanged {
-        /// The revision.
+        /// The revision after the entry.
         revision: Revision,
         /// The rejected transactions, by their index in the entry.
         rejected: Vec<(usize, EntryRejection)>,
--- a/decide/agreement/src/log/mod.rs
+++ b/decide/agreement/src/log/mod.rs
@@ -1,21 +1,22 @@
-//! The agreed order of entries and the state that results from applying them.
+//! The agreed order of entries, and the state that results from applying them.
 //!
-//! Entries come from wherever order is agreed on (the durable log of one voter, or a majority of several voters) and
-//! are applied in that order by every replica; the outcome depends on nothing else. A version goes through three phases:
+//! The order comes from the durable log of a single voter, or from a majority of several voters. Every replica applies
+//! the entries in that order, and the outcome depends on nothing else. A version goes through three phases:
 //!
-//! 1. **announced**: every front end is notified of it and acts as before. A front end whose lease expires from here on
-//!    knows which fields are in conflict.
-//! 2. **joint**: some may act on the old version and some on the new one; the stricter of the two holds, calls that a
-//!    conflict affects are refused.
-//! 3. **in force**: the new version alone.
+//! 1. **announced**: every front end learns of the version and acts as before. A front end whose lease expires from now
+//!    on knows which fields are in conflict.
+//! 2. **joint**: some members may act on the old version and some on the new one. The stricter of the two values
+//!    applies, and calls that a change of a strict field affects are rejected.
+//! 3. **in force**: all members act on the new version alone.
 //!
 //! [`LogEntry::Advance`] is entered only when no front end with a live lease is behind the revision that it advances
-//! from (see [`crate::lease`]). The other entries need not wait: announcing a version changes no rule, and abandoning
-//! one leads from the stricter of two back to one of them. One change is in progress at a time: a proposal names the
-//! version that it was made from, and is rejected when that is not the latest.
+//! from (see [`crate::lease`]). The other entries don't have to wait: announcing a version changes no rule, and
+//! abandoning a version leads from the stricter of two values back to one of them. Only one change is in progress at a
+//! time: a proposal names the version that it is based on, and is rejected if that version is not the latest.
 //!
-//! Beside the versions, scopes are changed one by one ([`crate::scope`]): their entries increment the same revision, so
-//! that one lease covers both. What concerns the versions alone is compared with the last revision that changed them.
+//! Scopes are changed one by one, separately from the versions ([`crate::scope`]). Their entries increment the same
+//! revision, so that one lease covers both. Entries that concern only versions are compared with the last revision that
+//! changed a version.
 
 mod apply;
 mod entry;
@@ -39,31 +40,33 @@
 /// The number of versions that are retained for `history` and `revert`.
 pub const MAX_PAST_VERSIONS: usize = 256;
 
-/// The outcome of all entries so far. The stored form depends on the order of the fields.
+/// The outcome of all entries applied so far. The stored form depends on the order of the fields.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Log {
     #[serde(deserialize_with = "deserialize_state")]
     state: FleetState,
-    /// The last version that was numbered, abandoned or not.
+    /// The highest version number assigned so far, also if that version was abandoned.
     last_version: Version,
     past_versions: VecDeque<VersionedSettings>,
-    /// The members that may act under a session: by the number of their name, the incarnation and the name.
+    /// The members that may act under a session: incarnation and name by the number of the name.
     roster: BTreeMap<u64, (u64, String)>,
-    /// The voters that keep the log, and the address of each.
+    /// The voters and their addresses.
     voters: BTreeMap<u64, SocketAddr>,
     voter_replacement: Option<VoterReplacement>,
-    /// The last rollout, over or not.
+    /// The latest rollout, which may have ended.
     rollout: Option<Rollout>,
-    /// The fields that the rollout tries, if it is one of settings.
+    /// The fields that the rollout tries, if it is a rollout of settings.
     canary_fields: Option<Fields>,
-    /// The program that all are to run, by its label and its path; none: the one that they were started with.
+    /// The label and the path of the program that all front ends are to run; `None` means the program that they were
+    /// started with.
     program: Option<(String, String)>,
-    /// It is stored apart ([`Log::catalog_snapshot`]), so that a log from before there were scopes is read as it was.
+    /// The scopes, which are stored separately ([`Log::catalog_snapshot`]) so that the stored form of a log without
+    /// scopes is unchanged.
     #[serde(skip)]
     catalog: ScopeCatalog,
 }
 
-/// Reads a state without scopes, all of whose revisions changed versions.
+/// Reads a state without scopes, in which every revision changed a version.
 fn deserialize_state<'de, D: Deserializer<'de>>(from: D) -> Result<FleetState, D::Error> {
     let mut state = FleetState::deserialize(from)?;
     state.versions_revision = state.revision;
@@ -72,7 +75,7 @@
 }
 
 impl Log {
-    /// A fleet that begins with these fields as its first version, and these voters.
+    /// Creates the log of a new fleet with these voters, whose first version has these fields.
     pub fn new(fields: Fields, voters: impl IntoIterator<Item = (u64, SocketAddr)>) -> Log {
         let first = VersionedSettings {
             version: Version(1),
@@ -94,22 +97,22 @@
         }
     }
 
-    /// The scopes.
+    /// The catalog of all scopes.
     pub fn catalog(&self) -> &ScopeCatalog {
         &self.catalog
     }
 
-    /// What is to be stored of scopes beside the log itself, in the form of [`CatalogSnapshot`]; none: there never were
-    /// any.
+    /// The scopes in the stored form of [`CatalogSnapshot`], to be stored beside the log itself. `None` if no scope was
+    /// ever changed.
     pub fn catalog_snapshot(&self) -> Option<impl Serialize + '_> {
         let state = &self.state;
-        // In the order of the fields of `CatalogSnapshot`.
+        // The tuple has the order of the fields of `CatalogSnapshot`.
         self.catalog
             .scopes_since()
             .map(|_| (&self.catalog, &state.versions_revision, &state.history))
     }
 
-    /// The same log with what was stored of scopes.
+    /// Returns the log with the stored scopes.
     pub fn with_catalog(mut self, snapshot: CatalogSnapshot) -> Log {
         self.catalog = snapshot.catalog;
         self.state.scopes_since = self.catalog.scopes_since();
@@ -118,19 +121,19 @@
         self
     }
 
-    /// The last rollout, over or not.
+    /// The latest rollout, which may have ended.
     pub fn rollout(&self) -> Option<&Rollout> {
         self.rollout.as_ref()
     }
 
-    /// The program that all are to run unless a rollout says otherwise: its label and its path.
+    /// The label and the path of the program that all front ends are to run unless a rollout says otherwise.
     pub fn program(&self) -> Option<(&str, &str)> {
         self.program
             .as_ref()
             .map(|(label, path)| (label.as_str(), path.as_str()))
     }
 
-    /// The voters that keep the log, and the address of each.
+    /// The voters and their addresses.
     pub fn voters(&self) -> &BTreeMap<u64, SocketAddr> {
         &self.voters
     }
@@ -145,7 +148,7 @@
         &self.state
     }
 
-    /// The retained versions, the oldest first, abandoned ones among them.
+    /// The retained versions, oldest first, including abandoned ones.
     pub fn history(&self) -> impl Iterator<Item = &VersionedSettings> {
         self.past_versions.iter()
     }
@@ -168,7 +171,7 @@
             .is_some_and(|(incarnation, _)| *incarnation == member.incarnation)
     }
 
-    /// Whether the change in progress affects a strict field: it then waits for every member of the roster.
+    /// Whether the change in progress affects a strict field; such a change waits for every member of the roster.
     pub fn changes_strict_field(&self, schema: &Schema) -> bool {
         self.state
             .conflicting_fields(schema)
@@ -176,7 +179,7 @@
             .any(|change| change.compatibility == Compatibility::Strict)
     }
 
-    /// Whether a change of version is in progress, which advances once every member has reached its present phase.
+    /// Whether a change of version is in progress. It advances once every member has reached its current phase.
     pub fn has_version_change(&self) -> bool {
         self.state.next.is_some()
     }
@@ -188,7 +191,7 @@
         })
     }
 
-    /// The replacement of a voter, if it is by this one and in this phase.
+    /// The replacement in progress, if its new voter is `new` and it is in this phase.
     fn replacement_in_phase(&self, new: u64, phase: ReplacementPhase) -> Option<VoterReplacement> {
         self.voter_replacement
             .filter(|replacement| (replacement.new, replacement.phase) == (new, phase))
--- a/decide/agreement/src/log/state.rs
+++ b/decide/agreement/src/log/state.rs
@@ -13,42 +13,42 @@
 /// The phase of a change of version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ChangePhase {
-    /// Known to all members, acted on by none.
+    /// All members know the version, none acts on it.
     Announced,
     /// Some members may act on the old version and some on the new one.
     Joint,
-    /// Given up after it had been joint; the version before it is acted on alone again.
+    /// Abandoned while joint; some members may still act on the joint phase.
     RolledBack,
 }
 
-/// A version with its fields.
+/// A version of the settings with its fields.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedSettings {
-    /// Its number.
+    /// The version's number.
     pub version: Version,
-    /// Its fields.
+    /// All fields of the version.
     pub fields: Fields,
-    /// Why it was proposed.
+    /// Why the version was proposed.
     pub reason: String,
     /// The idempotency key of the proposal.
     pub id: u64,
 }
 
-/// What every front end acts on, and what a lease is granted for.
+/// The state that every front end acts on, and that leases are granted for.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetState {
     /// The revision of the state.
     pub revision: Revision,
-    /// The version in force, or in force until the change in progress ends.
+    /// The version in force; while a change is in progress, the version before it.
     pub in_force: VersionedSettings,
-    /// The change in progress.
+    /// The change in progress, and its phase.
     pub next: Option<(VersionedSettings, ChangePhase)>,
-    /// Settings that some front ends try, in stages, beside the version in force.
+    /// Settings that a rollout tries on some front ends while the others act on the version in force.
     pub canary: Option<Box<Canary>>,
-    /// The last revision that changed any of these; later ones changed scopes alone.
+    /// The last revision that changed a version or the canary; later revisions changed only scopes.
     #[serde(skip)]
     pub versions_revision: Revision,
-    /// The revision of the first change of a scope; none: there never was one.
+    /// The revision of the first change of a scope; `None` if no scope was ever changed.
     #[serde(skip)]
     pub scopes_since: Option<Revision>,
     /// The recent changes of scopes.
@@ -56,18 +56,18 @@
     pub history: ChangeHistory,
 }
 
-/// Settings that are tried. A member that tries them acts on their free fields and on the stricter of both versions'
-/// joint ones, so that it contradicts no member that acts on the version in force; strict fields can't differ.
+/// Settings that some members try. These members act on the new free fields and on the stricter of both versions' joint
+/// fields, so they contradict no member that acts on the version in force. Strict fields can't differ between the two.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Canary {
-    /// All fields of the version that is tried.
+    /// All fields of the settings that are tried.
     pub fields: Fields,
     /// The names of the members that try them.
     pub members: BTreeSet<String>,
 }
 
 impl fmt::Debug for FleetState {
-    /// Leaves out what concerns scopes in a fleet that never had any.
+    /// Leaves out the fields that concern scopes if the fleet never had any scope.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut text = f.debug_struct("FleetState");
         text.field("revision", &self.revision)
@@ -84,7 +84,7 @@
 }
 
 impl FleetState {
-    /// The first revision of a fleet, with its first version in force.
+    /// The state of a new fleet, with its first version in force.
     pub(super) fn initial(in_force: VersionedSettings) -> FleetState {
         let revision = Revision(1);
         FleetState {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// A copy without the history of scopes.
+    /// Returns a copy without the history of scopes.
     pub fn without_history(&self) -> FleetState {
         FleetState {
             revision: self.revision,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The changes of scopes after a revision; none: they are not all retained.
+    /// The changes of scopes after a revision; `None` if not all of them are retained.
     pub fn delta_since(&self, from: Revision) -> Option<StateDelta> {
         let changes = self
             .history
@@ -126,7 +126,8 @@
         })
     }
 
-    /// Applies changes of scopes. False: some in between are missing, and nothing is done.
+    /// Applies changes of scopes. Returns false, without applying any, if there is a gap between this state and the
+    /// delta.
     pub fn apply_delta(&mut self, delta: &StateDelta) -> bool {
         if delta.from > self.revision {
             return false;
@@ -143,7 +144,8 @@
         true
     }
 
-    /// The state as the front end of this name acts on it: a member of the canary is in the joint phase of it.
+    /// The state that the front end of this name acts on: for a member of the canary, the tried settings are a change
+    /// in the joint phase.
     pub fn for_member(&self, name: &str) -> FleetState {
         let mut state = self.clone();
         if state.next.is_none() {
@@ -171,14 +173,14 @@
         }
     }
 
-    /// The latest version, whether in force or not.
+    /// The latest version, whether in force or in progress.
     pub fn latest(&self) -> Version {
         self.next
             .as_ref()
             .map_or(self.in_force.version, |(next, _)| next.version)
     }
 
-    /// The fields in which the version in force and the next one are in conflict.
+    /// The fields other than free ones that differ between the version in force and the next one.
     pub fn conflicting_fields(&self, schema: &Schema) -> Vec<FieldChange> {
         let Some((next, _)) = &self.next else {
             return Vec::new();
--- a/decide/agreement/src/log/validate.rs
+++ b/decide/agreement/src/log/validate.rs
@@ -1,4 +1,4 @@
-//! Whether the log accepts an entry, without applying it.
+//! Validation of entries without applying them.
 
 use super::{
     ChangePhase, EntryRejection, Log, LogEntry, ReplacementPhase, Revision, Version, MAX_MEMBERS,
@@ -9,7 +9,8 @@
 use tansy_rollout::{RolloutChange, RolloutEntry, RolloutRejection};
 
 impl Log {
-    /// What an entry would do: it is rejected, or is a duplicate of the proposal of a version, or has an effect (none).
+    /// Checks an entry. Returns the version if the entry repeats a proposal, and `None` if applying it would have an
+    /// effect.
     pub fn validate(&self, entry: &LogEntry) -> Result<Option<Version>, EntryRejection> {
         let duplicate = self.duplicate_of(entry);
         if duplicate.is_none() {
@@ -18,8 +19,8 @@
         Ok(duplicate)
     }
 
-    /// What a transaction would do: it is rejected, or is a duplicate of one that became joint in a revision, or has an
-    /// effect (none).
+    /// Checks a transaction. Returns the revision in which it became joint if it is a duplicate, and `None` if applying
+    /// it would have an effect.
     pub fn validate_transaction(
         &self,
         transaction: &ScopeTransaction,
@@ -38,7 +39,7 @@
         })
     }
 
-    /// The version that the same proposal became before.
+    /// The version that an earlier proposal with the same idempotency key has become.
     fn duplicate_of(&self, entry: &LogEntry) -> Option<Version> {
         let LogEntry::Propose { id, .. } = entry else {
             return None;
@@ -116,9 +117,9 @@
         )
     }
 
-    /// Rejects fields of a version that define a scope of the catalog.
+    /// Rejects a version whose fields define a function that is in the catalog of scopes.
     fn check_no_scope_defined(&self, fields: &Fields) -> Result<(), EntryRejection> {
-        // The catalog is empty until its first change: this spares the search.
+        // Saves the search in a fleet without scopes.
         if self.catalog.scopes_since().is_none() {
             return Ok(());
         }
@@ -201,8 +202,8 @@
             }
             _ => {}
         }
-        if let Some(mistake) = plan.fault() {
-            return Err(EntryRejection::Rollout(RolloutRejection::Plan(mistake)));
+        if let Some(fault) = plan.fault() {
+            return Err(EntryRejection::Rollout(RolloutRejection::Plan(fault)));
         }
         if *change != RolloutChange::Settings {
             return Ok(());
