--- a/decide/agreement/src/compatibility/mod.rs
+++ b/decide/agreement/src/compatibility/mod.rs
@@ -1,7 +1,7 @@
-//! What the change of a settings field means for calls while members act on two versions of it.
+//! How a change of a settings field may take effect while members act on two versions of it.
 //!
-//! A [`Schema`] gives each field its [`Compatibility`]; [`joint_rules`], [`rules_without_lease`] and
-//! [`rules_after_expiry`] derive from it what a front end acts on.
+//! A [`Schema`] assigns each field its [`Compatibility`]. [`joint_rules`], [`rules_without_lease`] and
+//! [`rules_after_expiry`] derive from it the rules that a front end acts on.
 
 mod rules;
 mod schema;
@@ -18,5 +18,6 @@
 
 use std::collections::BTreeMap;
 
-/// Fields of the settings by their path, such as `classes.chat.window`. Names in it are escaped by [`escape_name`].
+/// Fields of the settings by their path, such as `classes.chat.window`. Names within a path are escaped by
+/// [`escape_name`].
 pub type Fields = BTreeMap<String, Value>;
--- a/decide/agreement/src/compatibility/rules.rs
+++ b/decide/agreement/src/compatibility/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that a front end acts on, derived from one version, from two, or from none that is current.
+//! The rules that a front end acts on: those of one version, of two versions in use at once, or of an outdated version.
 
 use super::{
     escape_name, AffectedCalls, CallAttributes, Compatibility, ExpiredLeasePolicy, Fields, Schema,
@@ -6,20 +6,20 @@
 };
 use std::collections::BTreeSet;
 
-/// Rules that a front end acts on: values, and the calls that it rejects in the meantime.
+/// The rules that a front end acts on: values, and the calls that are rejected until a change is complete.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EffectiveRules {
     /// The values in use.
     pub fields: Fields,
-    /// Calls on which versions are in conflict.
+    /// Calls that are rejected because versions are in conflict on them.
     pub rejected: BTreeSet<AffectedCalls>,
-    /// Whether calls that name a class, tenant or function of which no field is known are rejected as well: a version
-    /// that can't be known may define it.
+    /// Whether calls are rejected as well whose class, tenant or function has no known field: a version that the front
+    /// end doesn't know may define it.
     pub rejects_unknown_names: bool,
 }
 
 impl EffectiveRules {
-    /// The rules of one version alone.
+    /// The rules of a single version.
     pub fn from_fields(fields: &Fields) -> EffectiveRules {
         EffectiveRules {
             fields: fields.clone(),
@@ -42,7 +42,7 @@
             || self.rejects_unknown_names && names.iter().any(unknown)
     }
 
-    /// Whether there is a field of this class, tenant or function.
+    /// Whether the rules have a field of this class, tenant or function.
     fn defines(&self, calls: &AffectedCalls) -> bool {
         let (group, Some(name)) = (calls.group(), calls.name()) else {
             return true;
@@ -54,7 +54,7 @@
             .is_some_and(|(path, _)| path.starts_with(&prefix))
     }
 
-    /// Whether every one of these calls is rejected.
+    /// Whether all of these calls are rejected.
     fn rejects_all(&self, calls: &AffectedCalls) -> bool {
         self.rejected.contains(calls)
             || self.rejected.contains(&AffectedCalls::All)
@@ -65,19 +65,19 @@
 /// A field that differs between two versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldChange {
-    /// Its path.
+    /// The field's path.
     pub path: String,
-    /// Its old value; none: left out.
+    /// The old value; `None` if the old version leaves the field out.
     pub old: Option<Value>,
-    /// Its new value; none: left out.
+    /// The new value; `None` if the new version leaves the field out.
     pub new: Option<Value>,
-    /// How its values may differ.
+    /// How the field's values may differ between members.
     pub compatibility: Compatibility,
-    /// The calls that it affects.
+    /// The calls that the field affects.
     pub affected: AffectedCalls,
 }
 
-/// The fields that differ between two versions, in the order of their paths.
+/// The fields that differ between two versions, ordered by path.
 pub fn changed_fields(schema: &Schema, old: &Fields, new: &Fields) -> Vec<FieldChange> {
     let paths: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
     paths
@@ -93,8 +93,8 @@
         .collect()
 }
 
-/// The rules under which either version may be in force elsewhere: of joint fields the stricter value; calls that a
-/// changed strict field affects are rejected; free fields have the newer version's value already.
+/// The rules while either version may be in force at other members: joint fields have the stricter value, calls that a
+/// changed strict field affects are rejected, and free fields already have the new value.
 pub fn joint_rules(schema: &Schema, old: &Fields, new: &Fields) -> EffectiveRules {
     let mut rules = EffectiveRules::from_fields(new);
     for change in changed_fields(schema, old, new) {
@@ -114,9 +114,9 @@
     rules
 }
 
-/// The rules of a front end whose lease has expired while its session lives: every joint field has the most restrictive
-/// value, since a version that it doesn't know may be in force; strict fields are as they were, since no change of one
-/// goes on without it.
+/// The rules of a front end whose lease has expired while its session is live. Joint fields have their most restrictive
+/// value, since a version that the front end doesn't know may be in force. Strict fields keep their values, since no
+/// change of a strict field proceeds without a member that has a session.
 pub fn rules_without_lease(schema: &Schema, known: EffectiveRules) -> EffectiveRules {
     let expired = rules_after_expiry(schema, &known.fields);
     let mut fields = known.fields;
@@ -136,13 +136,13 @@
     EffectiveRules {
         fields,
         rejected,
-        // A tenant of which nothing is known may have a limit by now.
+        // An unknown tenant may have a limit in the version in force.
         rejects_unknown_names: true,
     }
 }
 
-/// The rules of a front end that can't know what is in force by now: free fields as they were, joint ones at their most
-/// restrictive value, calls that any other field affects rejected, and so are calls of what is not known at all.
+/// The rules of a front end that can't know which version is in force. Free fields keep their values, joint fields have
+/// their most restrictive value, and calls that any other field affects or that name something unknown are rejected.
 pub fn rules_after_expiry(schema: &Schema, known: &Fields) -> EffectiveRules {
     let mut rules = EffectiveRules {
         rejects_unknown_names: true,
@@ -167,12 +167,13 @@
     rules
 }
 
-/// Restricts the fields that were left out and may be set by now, in general or under any known name.
+/// Restricts fields that are missing in the known version but may be set in the version in force: those without a name
+/// in their path, and those of any known name.
 fn restrict_missing_fields(schema: &Schema, known: &Fields, rules: &mut EffectiveRules) {
     let names = defined_names(known);
     for (pattern, compatibility) in schema.patterns() {
         let paths = paths_of_pattern(pattern, &names);
-        // An earlier pattern may hold for the path.
+        // An earlier pattern takes precedence if it matches the path.
         for path in paths
             .into_iter()
             .filter(|path| schema.compatibility(path) == compatibility)
@@ -193,7 +194,7 @@
     }
 }
 
-/// The names under which there are fields, each with its group (`classes`, `tenants`, `functions`).
+/// The names that have fields, each with its group (`classes`, `tenants`, `functions`).
 fn defined_names(fields: &Fields) -> BTreeSet<(&str, &str)> {
     fields
         .keys()
@@ -206,7 +207,7 @@
         .collect()
 }
 
-/// The paths that a pattern may match with these names.
+/// The paths with one of these names that a pattern may match.
 fn paths_of_pattern(pattern: &[String], names: &BTreeSet<(&str, &str)>) -> Vec<String> {
     match pattern {
         [group, any, field] if any == "*" => names
@@ -219,10 +220,9 @@
     }
 }
 
-/// The fields on which a front end contradicts the fleet, with the calls that each affects: a strict one with another
-/// value than the one in force, or a joint one that is less restrictive than the one in force.
-///
-/// `in_force` is the version in force by the agreed log; a front end may always be more restrictive, never less.
+/// The fields on which a front end's rules contradict the version in force, with the calls that each affects: strict
+/// fields with another value, and joint fields with a less restrictive value. Being more restrictive is never a
+/// contradiction.
 pub fn contradictions(
     schema: &Schema,
     in_force: &Fields,
--- a/decide/agreement/src/compatibility/schema.rs
+++ b/decide/agreement/src/compatibility/schema.rs
@@ -1,4 +1,4 @@
-//! How fields may differ while two versions are in use, and the calls that they affect.
+//! The compatibility of fields between versions, and the calls that a field affects.
 
 use super::value::{unescape_name, Value};
 use std::cmp::Ordering;
@@ -6,23 +6,23 @@
 /// Which of two values is the more restrictive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Restrictiveness {
-    /// The smaller: limits, windows, budgets; of flags that allow something, `false`.
+    /// The smaller value, for limits, windows, budgets, and flags that allow something.
     Smallest,
-    /// The larger: counts that a budget is divided by, times to back off.
+    /// The larger value, for counts that a budget is divided by, and for backoff times.
     Largest,
-    /// The one named first here. What is not named is the most restrictive of all, so that a value of a newer schema is
-    /// safe.
+    /// The value that is named earlier in this list. A value that isn't in the list is the most restrictive of all, so
+    /// that values of a newer schema are handled safely.
     Ranked(&'static [&'static str]),
 }
 
 impl Restrictiveness {
-    /// Compares two values, the more restrictive one first.
+    /// Compares two values; the more restrictive one is less.
     fn order(self, left: &Value, right: &Value) -> Ordering {
         match self {
             Restrictiveness::Smallest => left.cmp(right),
             Restrictiveness::Largest => right.cmp(left),
             Restrictiveness::Ranked(names) => {
-                // None, of what is not named, sorts before any rank.
+                // `None`, for a value that isn't named, is less than any rank.
                 let rank = |value: &Value| match value {
                     Value::Text(text) => names.iter().position(|name| name == text),
                     _ => None,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The more restrictive of two values. A field left out restricts nothing.
+    /// The more restrictive of two values. A missing value restricts nothing.
     pub fn stricter<'a>(
         self,
         left: Option<&'a Value>,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether the first is at least as restrictive as the second.
+    /// Whether the left value is at least as restrictive as the right one.
     pub fn at_least_as_strict(self, left: Option<&Value>, right: Option<&Value>) -> bool {
         match (left, right) {
             (_, None) => true,
@@ -58,10 +58,10 @@
     }
 }
 
-/// What a front end does with a field once its lease has expired, so that it contradicts no version that it can't know.
+/// How a front end handles a joint field after its lease has expired, when it can't know the version in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExpiredLeasePolicy {
-    /// It uses the most restrictive value that may ever be set.
+    /// It uses this value, the most restrictive that may ever be set.
     Strictest(Value),
     /// It rejects the calls that the field affects.
     Reject,
@@ -70,40 +70,40 @@
 /// How the values of a field may differ while two versions are in use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Compatibility {
-    /// Old and new side by side are harmless.
+    /// Old and new value may be used side by side.
     Free,
-    /// While both may be in use, the more restrictive one holds.
+    /// While both versions may be in use, the more restrictive value applies.
     Joint(Restrictiveness, ExpiredLeasePolicy),
-    /// Never both: in the meantime the calls that the field affects are rejected.
+    /// Two values must never be in use at once: calls that the field affects are rejected during a change.
     Strict,
 }
 
 /// The calls that a field affects.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AffectedCalls {
-    /// Every call.
+    /// All calls.
     All,
-    /// Calls of a class.
+    /// The calls of a class.
     Class(String),
-    /// Calls of a tenant.
+    /// The calls of a tenant.
     Tenant(String),
-    /// Calls of a function.
+    /// The calls of a function.
     Function(String),
 }
 
-/// A call, as far as rules distinguish calls.
+/// The attributes of a call that rules depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct CallAttributes<'a> {
-    /// Its class.
+    /// The name of the call's class.
     pub class: &'a str,
-    /// Its tenant.
+    /// The name of the call's tenant.
     pub tenant: &'a str,
-    /// Its function.
+    /// The name of the called function.
     pub function: &'a str,
 }
 
 impl AffectedCalls {
-    /// Whether this call is among them.
+    /// Whether the field affects this call.
     pub fn includes(&self, call: CallAttributes<'_>) -> bool {
         match self {
             AffectedCalls::All => true,
@@ -113,7 +113,8 @@
         }
     }
 
-    /// By a field's path: a field under a class, tenant or function affects the calls of that one.
+    /// The calls that the field at this path affects: those of a class, tenant or function if the path contains its
+    /// name, otherwise all calls.
     pub fn of_path(path: &str) -> AffectedCalls {
         let mut parts = path.splitn(3, '.');
         match (parts.next(), parts.next(), parts.next()) {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// The class, tenant or function whose calls these are.
+    /// The name of the class, tenant or function; `None` for all calls.
     pub(super) fn name(&self) -> Option<&str> {
         match self {
             AffectedCalls::All => None,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// The first component of the paths of their fields.
+    /// The first component of the paths of these fields.
     pub(super) fn group(&self) -> &'static str {
         match self {
             AffectedCalls::All => "",
@@ -149,15 +150,16 @@
     }
 }
 
-/// The compatibility of each field, by patterns of paths in which `*` stands for one name. The first match holds; a
-/// field that no pattern matches is strict for all calls, so that what a newer program adds is never taken lightly.
+/// The compatibility of each field, by patterns of paths in which `*` matches one name. The first matching pattern
+/// applies. A field that no pattern matches is strict and affects all calls unless its path names a class, tenant or
+/// function, so that fields of newer programs are handled safely.
 #[derive(Clone, Debug, Default)]
 pub struct Schema {
     patterns: Vec<(Vec<String>, Compatibility)>,
 }
 
 impl Schema {
-    /// A schema of these patterns.
+    /// Creates a schema from patterns in order of precedence.
     pub fn new<'a>(patterns: impl IntoIterator<Item = (&'a str, Compatibility)>) -> Schema {
         let components = |pattern: &str| pattern.split('.').map(String::from).collect();
         Schema {
@@ -176,7 +178,7 @@
             .map_or(&Compatibility::Strict, |(_, compatibility)| compatibility)
     }
 
-    /// The patterns by their components, each with its compatibility.
+    /// The patterns, split into components, with their compatibility.
     pub(super) fn patterns(&self) -> impl Iterator<Item = (&[String], &Compatibility)> {
         self.patterns
             .iter()
--- a/decide/agreement/src/compatibility/value.rs
+++ b/decide/agreement/src/compatibility/value.rs
@@ -1,35 +1,35 @@
-//! The values of fields, and their text in settings files and paths.
+//! The values of fields, and how values and names are written in settings files and paths.
 
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 use std::fmt;
 
-const HOUR: i64 = 3_600_000_000;
-const MINUTE: i64 = 60_000_000;
-const SECOND: i64 = 1_000_000;
-const MILLISECOND: i64 = 1000;
+const MICROS_PER_HOUR: i64 = 3_600_000_000;
+const MICROS_PER_MINUTE: i64 = 60_000_000;
+const MICROS_PER_SECOND: i64 = 1_000_000;
+const MICROS_PER_MILLISECOND: i64 = 1000;
 
-/// A field's value, as the settings have it once they are read.
+/// A field's value, parsed from the settings.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Value {
-    /// Yes or no.
+    /// A boolean.
     Flag(bool),
-    /// A whole number.
+    /// An integer.
     Int(i64),
-    /// A duration, microseconds.
+    /// A duration in microseconds.
     Span(i64),
-    /// A size, bytes.
+    /// A size in bytes.
     Bytes(i64),
-    /// A number.
+    /// A floating-point number.
     Number(f64),
-    /// A name or a choice.
+    /// A name or one of several choices.
     Text(String),
-    /// Several values in their order.
+    /// A list of values, in order.
     List(Vec<Value>),
 }
 
 impl Value {
-    /// A total order over all values: numbers by size whatever their form, else by kind, then by content.
+    /// A total order over all values: numeric kinds compare by magnitude, other values by kind and then by content.
     fn compare(&self, other: &Value) -> Ordering {
         match (self, other) {
             (Value::Flag(a), Value::Flag(b)) => a.cmp(b),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Compares numbers by size; of other values, different in kind, the kind decides.
+    /// Compares numeric values by magnitude, and all other values by kind.
     fn compare_numbers(&self, other: &Value) -> Ordering {
         match (self.as_integer(), other.as_integer()) {
             (Some(a), Some(b)) => a.cmp(&b),
@@ -95,17 +95,17 @@
 }
 
 impl fmt::Display for Value {
-    /// As a settings file writes it.
+    /// Formats the value as in a settings file.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Value::Flag(flag) => write!(f, "{flag}"),
             Value::Int(integer) => write!(f, "{integer}"),
             Value::Span(micros) => {
                 let units = [
-                    ("h", HOUR),
-                    ("m", MINUTE),
-                    ("s", SECOND),
-                    ("ms", MILLISECOND),
+                    ("h", MICROS_PER_HOUR),
+                    ("m", MICROS_PER_MINUTE),
+                    ("s", MICROS_PER_SECOND),
+                    ("ms", MICROS_PER_MILLISECOND),
                 ];
                 write_in_units(f, *micros, &units, "us")
             }
@@ -123,7 +123,7 @@
     }
 }
 
-/// Writes a quantity in the largest unit of which it is a whole number.
+/// Writes a quantity in the largest unit of which it is an integer multiple.
 fn write_in_units(
     f: &mut fmt::Formatter<'_>,
     quantity: i64,
@@ -137,7 +137,7 @@
     }
 }
 
-/// A text in quotes, as a settings file writes it.
+/// Quotes and escapes a text as in a settings file.
 pub fn quote(text: &str) -> String {
     let mut quoted = String::from("\"");
     for character in text.chars() {
@@ -155,12 +155,12 @@
     quoted + "\""
 }
 
-/// A name escaped as a component of a path: without dots.
+/// Escapes a name for use as one component of a path, which can't contain dots.
 pub fn escape_name(name: &str) -> String {
     name.replace('%', "%25").replace('.', "%2e")
 }
 
-/// The name that a component of a path stands for.
+/// The name that [`escape_name`] has escaped as this component.
 pub fn unescape_name(component: &str) -> String {
     component.replace("%2e", ".").replace("%25", "%")
 }
