--- a/decide/agreement/src/lease/granter.rs
+++ b/decide/agreement/src/lease/granter.rs
@@ -4,54 +4,53 @@
 use crate::revision::Revision;
 use std::collections::BTreeMap;
 
-/// The part of a lease's length by which a granter's own lease has to grow before it answers a request once more.
-const EXTENSION_FRACTION: i64 = 32;
+/// A request is answered again only if the span of its lease grows by at least the full span divided by this.
+const EXTENSION_DIVISOR: i64 = 32;
 
-/// A process that grants leases.
+/// Grants leases to other processes, and tracks which revisions these may act on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseGranter {
     timing: LeaseTiming,
     children: BTreeMap<Member, Child>,
-    /// Until then leases may live that were granted before, out of the same right, and that this granter knows nothing
-    /// of.
+    /// Until this time, leases may be live that this granter doesn't know of.
     unknown_leases_until: Option<Time>,
     max_children: usize,
 }
 
-/// A holder of leases of this granter.
+/// A holder of leases from this granter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Child {
-    /// No live lease of it is for a revision before this one.
+    /// No live lease of this holder is for an earlier revision.
     acknowledged: Revision,
-    /// When all of its leases have expired, whichever of the grants it received.
+    /// When every lease granted to this holder has expired, whichever of the grants it received.
     expiry: Time,
-    /// The number of its last request, and the revision that it had then.
+    /// The number of the holder's last request, and the revision that the request says it knows.
     last_request: (u64, Revision),
-    /// When that request was answered first.
+    /// When the last request was first answered.
     answered_at: Time,
-    /// The length last granted for it.
+    /// The lease span last granted for that request.
     span: i64,
 }
 
 impl LeaseGranter {
-    /// A granter to at most `max_children` holders at a time. `predecessor`: the present time, if leases may live that
-    /// it knows nothing of, because an earlier process or another member granted out of the same right.
+    /// Creates a granter to at most `max_children` holders at a time. `unknown_leases_since` is the current time if
+    /// leases may be live that this granter doesn't know of, because an earlier process or another leader granted them.
     pub fn new(
         timing: LeaseTiming,
         max_children: usize,
-        predecessor: Option<Time>,
+        unknown_leases_since: Option<Time>,
     ) -> LeaseGranter {
         let longest = timing.granter_span(timing.span);
         LeaseGranter {
             timing,
             children: BTreeMap::new(),
-            unknown_leases_until: predecessor.map(|now| now.saturating_add(longest)),
+            unknown_leases_until: unknown_leases_since.map(|now| now.saturating_add(longest)),
             max_children,
         }
     }
 
-    /// Answers a request out of a right that lasts for `remaining` more by its own clock. None: it has nothing to grant,
-    /// or too many hold a lease already.
+    /// Answers a request. `remaining` is how long, by its own clock, the granter may still rely on its own lease.
+    /// Returns `None` if that leaves nothing to grant, or if `max_children` others hold a lease.
     pub fn grant<S: Versioned>(
         &mut self,
         now: Time,
@@ -72,8 +71,9 @@
 
     fn record_grant(&mut self, now: Time, request: &LeaseRequest, revision: Revision, span: i64) {
         let expiry = now.saturating_add(self.timing.granter_span(span));
-        // A lease of this granter is for this revision, so that a first one is for no earlier one; of several grants the
-        // holder may have received the first alone.
+        // The first grant to a holder is for the current revision, so it has no live lease for an earlier one. If
+        // several grants were sent, the holder may have received only the first, so its acknowledged revision isn't
+        // raised by a grant.
         let child = self.children.entry(request.from).or_insert(Child {
             acknowledged: revision,
             expiry,
@@ -88,9 +88,9 @@
         child.span = span;
     }
 
-    /// Its own right was extended and lasts for `remaining` more: answers once more the last requests that were granted
-    /// much less, of the holders that have this revision. Such a lease is counted from before that request, as the first
-    /// one was. Returns the holder, the request's number and the length of each.
+    /// Answers last requests again after the granter's own lease was extended, which now lasts for `remaining`. Only
+    /// holders that know this revision and would gain a considerable span are answered. Holders count the lease from
+    /// before the request, as with the first answer. Returns the holder, the request's number and the new span of each.
     pub fn extend_live_leases(
         &mut self,
         now: Time,
@@ -98,12 +98,12 @@
         remaining: i64,
     ) -> Vec<(Member, u64, i64)> {
         let span = self.timing.sublease_span(remaining);
-        let least_gain = (self.timing.span / EXTENSION_FRACTION).max(1);
+        let min_gain = (self.timing.span / EXTENSION_DIVISOR).max(1);
         let lease_span = self.timing.granter_span(span);
         let mut extended = Vec::new();
         for (member, child) in &mut self.children {
             let (seq, known) = child.last_request;
-            let gains = span >= child.span.saturating_add(least_gain);
+            let gains = span >= child.span.saturating_add(min_gain);
             if child.expiry <= now || known < revision || !gains {
                 continue;
             }
@@ -115,21 +115,22 @@
         extended
     }
 
-    /// A member that may hold a lease reports, without a request, that none below it is for a revision before this one.
+    /// Handles a report, without a request, that no live lease of `from` or of the holders below it is for an earlier
+    /// revision.
     pub fn acknowledge(&mut self, from: Member, revision: Revision) {
         if let Some(child) = self.children.get_mut(&from) {
             child.acknowledged = child.acknowledged.max(revision);
         }
     }
 
-    /// The oldest revision for which a lease that it granted may live; none: there is no such lease.
+    /// The oldest revision that a live lease of this granter may be for; `None` if there is no live lease.
     pub fn oldest_live_revision(&self, now: Time) -> Option<Revision> {
         self.live_children(now)
             .map(|(_, child)| child.acknowledged)
             .min()
     }
 
-    /// Whether no lease may live for a revision before this one, which a change of rules waits for.
+    /// Whether no live lease is for an earlier revision than this one. A change of rules waits for that.
     pub fn all_at_least(&self, now: Time, revision: Revision) -> bool {
         self.unknown_leases_until.is_none_or(|until| now >= until)
             && self
@@ -137,7 +138,7 @@
                 .is_none_or(|oldest| oldest >= revision)
     }
 
-    /// The members that may hold a lease.
+    /// The members that may hold a live lease.
     pub fn children(&self, now: Time) -> impl Iterator<Item = Member> + '_ {
         self.live_children(now).map(|(member, _)| *member)
     }
--- a/decide/agreement/src/lease/holder.rs
+++ b/decide/agreement/src/lease/holder.rs
@@ -4,7 +4,7 @@
 use crate::revision::Revision;
 use std::collections::VecDeque;
 
-/// The number of requests that a holder remembers; a grant to an older one is of no use any more.
+/// The number of requests that are remembered; a grant for an older request is ignored.
 const REMEMBERED_REQUESTS: usize = 8;
 
 /// A process that acts under a lease.
@@ -26,7 +26,7 @@
 }
 
 impl<S: Versioned> LeaseHolder<S> {
-    /// A holder that knows no state and holds no lease.
+    /// Creates a holder without a state or a lease.
     pub fn new(timing: LeaseTiming, member: Member) -> LeaseHolder<S> {
         LeaseHolder {
             timing,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A holder that knows a state from before, and holds no lease for it.
+    /// Creates a holder that knows a state, and holds no lease for it.
     pub fn with_state(timing: LeaseTiming, member: Member, state: S) -> LeaseHolder<S> {
         LeaseHolder {
             state: Some(state),
@@ -46,28 +46,29 @@
         }
     }
 
-    /// The last known state, acted on or not.
+    /// The latest known state, whether or not the holder may act on it.
     pub fn known_state(&self) -> Option<&S> {
         self.state.as_ref()
     }
 
-    /// The state that it acts on at this time; none: it holds no live lease.
+    /// The state that the holder may act on now; `None` without a live lease.
     pub fn active_state(&self, now: Time) -> Option<&S> {
         self.state.as_ref().filter(|_| self.remaining(now) > 0)
     }
 
-    /// The time until its lease expires.
+    /// The time until the lease expires; zero without a live lease.
     pub fn remaining(&self, now: Time) -> i64 {
         self.expiry
             .map_or(0, |expiry| expiry.saturating_sub(now).max(0))
     }
 
-    /// The revision of the last known state; zero before any.
+    /// The revision of the latest known state; zero if none is known.
     pub fn revision(&self) -> Revision {
         self.state.as_ref().map_or(Revision(0), Versioned::revision)
     }
 
-    /// A request, to be sent at once. `oldest_below`: the oldest revision of a live lease that it granted itself, if any.
+    /// Creates a request, which is to be sent at once. `oldest_below` is the oldest revision of the live leases that
+    /// this process has granted itself.
     pub fn request(&mut self, now: Time, oldest_below: Option<Revision>) -> LeaseRequest {
         self.seq += 1;
         self.requests.push_back(SentRequest {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// When the request of this number was sent, if it is remembered, and whether it was answered.
+    /// When the request of this number was sent and whether it was answered, if it is still remembered.
     pub fn sent_request(&self, seq: u64) -> Option<(Time, bool)> {
         self.requests
             .iter()
@@ -96,7 +97,7 @@
             .map(|request| (request.sent_at, request.answered))
     }
 
-    /// Handles a grant. True: it now acts on, or knows of, a later revision than before.
+    /// Handles a grant. Returns whether the known state moved on to a later revision.
     pub fn on_grant(&mut self, grant: LeaseGrant<S, S::Delta>) -> bool {
         if grant.to != self.member {
             return false;
@@ -108,7 +109,7 @@
         let sent_at = request.sent_at;
         let span = grant.span.min(self.timing.span);
         let later = grant.revision > self.revision();
-        // A lease for a revision whose state is missing would be one for what the holder can't act on.
+        // A lease counts only if the state of its revision is known.
         if later && !self.update_state(grant) {
             return false;
         }
@@ -117,7 +118,7 @@
         later
     }
 
-    /// Moves on to the later revision of a grant. False: the grant does not lead there.
+    /// Moves on to the later revision of a grant. Returns false if the grant does not contain what is needed for that.
     fn update_state(&mut self, grant: LeaseGrant<S, S::Delta>) -> bool {
         let delta = grant.delta.as_ref();
         let snapshot = grant.state.filter(|s| s.revision() == grant.revision);
--- a/decide/agreement/src/lease_tree/mod.rs
+++ b/decide/agreement/src/lease_tree/mod.rs
@@ -1,11 +1,12 @@
-//! A front end's node in the tree of leases: it holds a lease, grants leases to those below it, and knows the state that
-//! it may act on.
+//! A front end's node in the tree of leases: it holds a lease, grants leases to the nodes below it, and knows the state
+//! that it may act on.
 //!
-//! Parents are chosen without coordination: each member sorts the members that it knows by one hash, the leader first,
-//! and requests its lease from the one at its own place divided by [`FAN_OUT`]. So the leader answers [`FAN_OUT`] front
-//! ends however large the fleet is, and a revision reaches all over a few links. Topologies may differ between members:
-//! a lease that goes round in a ring can only shrink, and a member whose lease shrinks, or that gets no answer, turns to
-//! one nearer to the leader.
+//! Parents are chosen without coordination: each member sorts the members that it knows by one hash function, with the
+//! leader first, and requests its lease from the member at its own index divided by [`FAN_OUT`]. The leader therefore
+//! answers [`FAN_OUT`] front ends however large the fleet is, and a revision reaches all members in a number of hops
+//! that is logarithmic in the size of the fleet. The topologies of members may differ. A lease that is passed around a
+//! cycle can only shrink, and a member whose lease shrinks, or that gets no answer, turns to a member closer to the
+//! leader.
 
 mod node;
 mod source;
@@ -17,32 +18,32 @@
 pub use node::LeaseNode;
 pub use topology::{LeaseTopology, RendezvousOrder};
 
-/// The number of front ends that a member grants leases to.
+/// The largest number of children of a node in the topology.
 pub const FAN_OUT: usize = 8;
-/// The number of others that it admits beside them, while their own parents are away or topologies differ. They never
-/// keep out a member's own children: a leader that could be filled by members without a parent would keep out the very
-/// ones that are to be their parents.
-const GUESTS: usize = 2 * FAN_OUT;
-/// Requests in the length of a lease.
+/// The number of other members that a node grants leases to, while their own parents are unavailable or topologies
+/// differ. They never take the place of a node's own children: if members without a parent could fill the leader, it
+/// would refuse those that are to become their parents.
+const MAX_EXTRA_CHILDREN: usize = 2 * FAN_OUT;
+/// The number of requests that a node sends during the full span of a lease.
 const REQUESTS_PER_SPAN: i64 = 4;
 
-/// A message between two members. `D`: the delta between states, [`Versioned::Delta`] of `S`.
+/// A message between two members. `D` is the delta between states, [`Versioned::Delta`] of `S`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LeaseMessage<S, D = ()> {
-    /// A request for a lease.
+    /// Requests a lease.
     Request(LeaseRequest),
-    /// A lease.
+    /// Grants a lease.
     Grant(LeaseGrant<S, D>),
-    /// There is a new revision to request.
+    /// Announces a new revision, which the receiver may request.
     Revision(Revision),
-    /// To a former granter: what a request reports, without requesting a lease.
+    /// Reports progress to a former granter without requesting a lease.
     Acknowledge {
         /// The sender.
         from: Member,
-        /// No live lease below it, nor its own, is for a revision before this one.
+        /// No live lease of the sender or of the holders below it is for an earlier revision.
         revision: Revision,
     },
 }
 
-/// Messages with the names that they are for.
+/// Messages with the [`Member::id`] that each is for.
 type Outbox<S> = Vec<(u64, LeaseMessage<S, <S as Versioned>::Delta>)>;
--- a/decide/agreement/src/lease_tree/node.rs
+++ b/decide/agreement/src/lease_tree/node.rs
@@ -1,18 +1,18 @@
 //! The state machine of one node of the tree.
 
 use super::source::{GrantedLease, LeaseSource};
-use super::{LeaseMessage, LeaseTopology, Outbox, FAN_OUT, GUESTS, REQUESTS_PER_SPAN};
+use super::{LeaseMessage, LeaseTopology, Outbox, FAN_OUT, MAX_EXTRA_CHILDREN, REQUESTS_PER_SPAN};
 use crate::lease::{
     LeaseGrant, LeaseGranter, LeaseHolder, LeaseRequest, LeaseTiming, Member, Time, Versioned,
 };
 use crate::revision::Revision;
 use std::collections::BTreeMap;
 
-/// The part of a lease's length by which a request follows the renewal of the granter's own lease, so that it does not
-/// arrive before that now and then.
-const RENEWAL_MARGIN: i64 = 64;
-/// The number of names whose incarnation is remembered before those without a live lease are dropped.
-const MAX_INCARNATIONS: usize = 4 * GUESTS;
+/// A request follows the renewal of the granter's lease by the span of a lease divided by this, so that it doesn't
+/// arrive before the renewal.
+const RENEWAL_MARGIN_DIVISOR: i64 = 64;
+/// The number of members whose incarnation is remembered before those without a live lease are dropped.
+const MAX_INCARNATIONS: usize = 4 * MAX_EXTRA_CHILDREN;
 
 /// A node of the tree: a front end, or the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -23,19 +23,19 @@
     source: LeaseSource<S>,
     granter: LeaseGranter,
     next_request: Time,
-    /// The latest incarnation that requested a lease, by name; requests of earlier ones are ignored.
+    /// The latest incarnation that requested a lease, by [`Member::id`]; requests of earlier ones are ignored.
     incarnations: BTreeMap<u64, u64>,
-    /// The revision that it last acknowledged to its granter.
+    /// The revision that this node last acknowledged to its granter.
     acknowledged: Revision,
-    /// The time from its last answered request to the answer.
+    /// The time between the last answered request and its answer.
     round_trip: Time,
-    /// The members that granted it a lease lately, and when last: until that lease expires they wait for what this node
-    /// acknowledges.
+    /// The members that recently granted this node a lease, with the time of the last grant. Until that lease expires,
+    /// they wait for what this node acknowledges.
     recent_granters: BTreeMap<u64, Time>,
 }
 
 impl<S: Versioned> LeaseNode<S> {
-    /// A front end that knows no state.
+    /// Creates the node of a front end that knows no state.
     pub fn new(
         timing: LeaseTiming,
         member: Member,
@@ -46,8 +46,8 @@
         LeaseNode::with_holder(timing, member, topology, holder, now)
     }
 
-    /// A front end that was the leader until now and knows this state. Leases that it granted expire with its right as
-    /// the leader, which the next leader waits for.
+    /// Creates the node of a front end that was the leader until now and knows this state. The leases that it granted
+    /// expire with its own lease as the leader, which the next leader waits for.
     pub fn with_state(
         timing: LeaseTiming,
         member: Member,
@@ -59,8 +59,8 @@
         LeaseNode::with_holder(timing, member, topology, holder, now)
     }
 
-    /// The leader, with the state of its log. It takes no step that changes rules before all leases that an earlier
-    /// process or leader may have granted have expired.
+    /// Creates the node of the leader, with the state of its log. It takes no step that changes rules until all leases
+    /// have expired that an earlier process or leader may have granted.
     pub fn leader(
         timing: LeaseTiming,
         member: Member,
@@ -89,7 +89,7 @@
         member: Member,
         topology: LeaseTopology,
         source: LeaseSource<S>,
-        predecessor: Option<Time>,
+        unknown_leases_since: Option<Time>,
         now: Time,
     ) -> LeaseNode<S> {
         LeaseNode {
@@ -97,7 +97,7 @@
             member,
             topology,
             source,
-            granter: LeaseGranter::new(timing, FAN_OUT + GUESTS, predecessor),
+            granter: LeaseGranter::new(timing, FAN_OUT + MAX_EXTRA_CHILDREN, unknown_leases_since),
             next_request: now,
             incarnations: BTreeMap::new(),
             acknowledged: Revision(0),
@@ -106,12 +106,12 @@
         }
     }
 
-    /// The member that this node is.
+    /// The member that this node belongs to.
     pub fn member(&self) -> Member {
         self.member
     }
 
-    /// The known members changed.
+    /// Handles a change of the known members.
     pub fn update_topology(&mut self, topology: LeaseTopology) {
         if let LeaseSource::Granted(lease) = &mut self.source {
             if self.topology != topology {
@@ -121,45 +121,45 @@
         self.topology = topology;
     }
 
-    /// The state that it acts on at this time; none: it holds no live lease, and acts by
-    /// [`crate::compatibility::rules_after_expiry`].
+    /// The state that this node may act on now. Without a live lease it is `None`, and the front end acts on
+    /// [`crate::compatibility::rules_without_lease`] or [`crate::compatibility::rules_after_expiry`].
     pub fn active_state(&self, now: Time) -> Option<&S> {
         self.source.active_state(now)
     }
 
-    /// The last known state.
+    /// The latest known state.
     pub fn known_state(&self) -> Option<&S> {
         self.source.known_state()
     }
 
-    /// The time for which it may still act, and grant leases.
+    /// For how long the node may still act and grant leases.
     pub fn remaining(&self, now: Time) -> i64 {
         self.source.remaining(now)
     }
 
-    /// Whether no live lease of the fleet is for a revision before this one. Only the leader can tell, and only of the
-    /// revision that it acts on itself: its log may be ahead of it.
+    /// Whether no live lease of the fleet is for an earlier revision. Only the leader can know that, and this holds
+    /// only for the revision that its node has: the log may be ahead of the node.
     pub fn all_at_least(&self, now: Time, revision: Revision) -> bool {
         matches!(&self.source, LeaseSource::Leader { state, .. } if state.revision() == revision)
             && self.granter.all_at_least(now, revision)
     }
 
-    /// The same for what does not wait for the last revision: the leader acts on this revision or a later one itself.
+    /// Like [`LeaseNode::all_at_least`], but also for revisions before the one that the leader's node has.
     pub fn all_have_reached(&self, now: Time, revision: Revision) -> bool {
         matches!(&self.source, LeaseSource::Leader { state, .. } if state.revision() >= revision)
             && self.granter.all_at_least(now, revision)
     }
 
-    /// The leader may act until a later time.
-    pub fn extend_leader_lease(&mut self, now: Time, to: Time, outbox: &mut Outbox<S>) {
+    /// Extends the time until which the leader may act.
+    pub fn extend_leader_lease(&mut self, now: Time, new_expiry: Time, outbox: &mut Outbox<S>) {
         match &mut self.source {
-            LeaseSource::Leader { until, .. } if to > *until => *until = to,
+            LeaseSource::Leader { until, .. } if new_expiry > *until => *until = new_expiry,
             _ => return,
         }
         self.extend_subleases(now, outbox);
     }
 
-    /// The leader's log has a new state.
+    /// Handles a new state of the leader's log.
     pub fn on_state_change(&mut self, now: Time, new: S, outbox: &mut Outbox<S>) {
         if let LeaseSource::Leader { state, .. } = &mut self.source {
             *state = new;
@@ -174,7 +174,7 @@
         }
     }
 
-    /// When [`LeaseNode::tick`] has something to do.
+    /// When [`LeaseNode::tick`] has to be called next.
     pub fn next_deadline(&self) -> Time {
         match self.source {
             LeaseSource::Leader { .. } => Time::MAX,
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Handles a message from the member of this name.
+    /// Handles a message from this member.
     pub fn on_message(
         &mut self,
         now: Time,
@@ -201,7 +201,7 @@
                 self.granter.acknowledge(member, revision);
                 self.acknowledge_upward(now, outbox);
             }
-            // Sent in the name of another.
+            // The sender claims to be another member.
             LeaseMessage::Request(_) | LeaseMessage::Acknowledge { .. } => {}
             LeaseMessage::Grant(grant) => self.on_grant(now, from, grant, outbox),
             LeaseMessage::Revision(revision) => {
@@ -223,7 +223,8 @@
         self.acknowledge_upward(now, outbox);
     }
 
-    /// Whether no later process of its name has requested a lease; it is then remembered as the latest.
+    /// Whether no later process of the same name has requested a lease. If so, this process is remembered as the
+    /// latest.
     fn is_latest_incarnation(&mut self, now: Time, member: Member) -> bool {
         let latest = self.incarnations.get(&member.id).copied().unwrap_or(0);
         if member.incarnation < latest {
@@ -237,16 +238,16 @@
         true
     }
 
-    /// Whether a member is a child in the topology, or there is room for a guest.
+    /// Whether the node grants leases to a member: to its children in the topology, and to others while there is room.
     fn admits(&self, now: Time, member: Member) -> bool {
         let is_child = |m: Member| self.topology.ancestor(m.id, 0) == Some(self.member.id);
-        let other_guests = || {
+        let other_extra_children = || {
             self.granter
                 .children(now)
                 .filter(|m| *m != member && !is_child(*m))
                 .count()
         };
-        is_child(member) || other_guests() < GUESTS
+        is_child(member) || other_extra_children() < MAX_EXTRA_CHILDREN
     }
 
     fn on_grant(
@@ -263,17 +264,18 @@
         let effect = lease.on_grant(now, from, grant, self.member, &self.topology, self.timing);
         match effect.request {
             Some((sent_at, false)) => self.round_trip = now - sent_at,
-            // The granter's own lease was renewed just now: from here on requests follow shortly after that.
+            // A repeated answer means that the granter's own lease was renewed just now. From now on, requests are
+            // timed to arrive shortly after such renewals.
             Some((_, true)) if effect.extended && !effect.later && effect.from_chosen => {
                 self.send_request(now, outbox);
                 let lead = self.round_trip.clamp(0, self.timing.span / 8);
-                self.next_request += self.timing.span / RENEWAL_MARGIN - lead;
+                self.next_request += self.timing.span / RENEWAL_MARGIN_DIVISOR - lead;
             }
             _ => {}
         }
         if effect.later {
             self.announce_revision(now, outbox);
-            // The granter waits for this node to reach the revision, which it has now.
+            // The granter waits for this node to reach the revision, which it now has.
             self.send_request(now, outbox);
         }
         if effect.extended {
@@ -281,8 +283,9 @@
         }
     }
 
-    /// Its own right was renewed. Those below send requests as often as it does, so that one that did so just before
-    /// would get the shortest lease each time, and after several links none at all: they are granted the rest.
+    /// Extends granted leases after this node's own lease was renewed. The nodes below request leases as often as this
+    /// node does, so one that sent its request just before the renewal would get the shortest lease each time, and
+    /// after several hops none at all.
     fn extend_subleases(&mut self, now: Time, outbox: &mut Outbox<S>) {
         let remaining = self.remaining(now);
         let Some(revision) = self.known_state().map(Versioned::revision) else {
@@ -301,7 +304,7 @@
         }
     }
 
-    /// Notifies those below that there is a revision to request.
+    /// Announces the revision to the nodes below.
     fn announce_revision(&self, now: Time, outbox: &mut Outbox<S>) {
         if let Some(revision) = self.known_state().map(Versioned::revision) {
             let children = self.granter.children(now);
@@ -309,8 +312,9 @@
         }
     }
 
-    /// Sends a request to the chosen granter and an acknowledgement to recent ones. A node that has turned to a granter
-    /// beyond its own parent goes on sending requests to that parent, and returns to it once it grants.
+    /// Sends a request to the current granter and an acknowledgement to other recent granters. A node that has turned
+    /// to a granter above its parent keeps sending requests to the parent, and returns to the parent when that grants a
+    /// lease.
     fn send_request(&mut self, now: Time, outbox: &mut Outbox<S>) {
         let LeaseSource::Granted(lease) = &mut self.source else {
             return;
@@ -340,7 +344,7 @@
         }
     }
 
-    /// When the last one below has come as far as this node, the granter, which waits for that, is sent it at once.
+    /// Notifies the granter, which waits for that, once all nodes below have reached a later revision.
     fn acknowledge_upward(&mut self, now: Time, outbox: &mut Outbox<S>) {
         let known = self.known_state().map_or(Revision(0), Versioned::revision);
         let reached = self
--- a/decide/agreement/src/lease_tree/source.rs
+++ b/decide/agreement/src/lease_tree/source.rs
@@ -1,16 +1,16 @@
-//! What a node's right to act and to grant leases comes from.
+//! The source of a node's authority to act and to grant leases.
 
 use super::{LeaseTopology, REQUESTS_PER_SPAN};
 use crate::lease::{LeaseGrant, LeaseHolder, LeaseTiming, Member, Time, Versioned};
 
-/// The number of unanswered requests after which a node turns to the next granter.
+/// The number of consecutive unanswered requests after which a node turns to the next granter.
 const MAX_UNANSWERED: u32 = 2;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum LeaseSource<S> {
-    /// The leader's own: the state of the log, for as long as it leads.
+    /// This node is the leader: the state of the log, and until when it leads.
     Leader { state: S, until: Time },
-    /// A lease granted by another member.
+    /// A lease that another member has granted.
     Granted(GrantedLease<S>),
 }
 
@@ -41,19 +41,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct GrantedLease<S> {
     pub(super) holder: LeaseHolder<S>,
-    /// Which granter is asked, as [`LeaseTopology::ancestor`] counts them.
+    /// The level of the current granter above this node, as in [`LeaseTopology::ancestor`].
     level: u32,
-    /// Requests in a row that the chosen granter did not answer.
+    /// The number of consecutive requests that the current granter did not answer.
     unanswered: u32,
 }
 
-/// What a grant did to a node's lease.
+/// The effect of a grant on a node's lease.
 pub(super) struct GrantEffect {
-    /// Whether it came from the granter of the present choice.
+    /// Whether the grant came from the current granter.
     pub(super) from_chosen: bool,
-    /// When the request that it answers was sent, and whether that was answered before.
+    /// When the request that the grant answers was sent, and whether it was answered before.
     pub(super) request: Option<(Time, bool)>,
-    /// Whether it leads to a later revision.
+    /// Whether the known state moved on to a later revision.
     pub(super) later: bool,
     /// Whether the lease lasts longer than before.
     pub(super) extended: bool,
@@ -68,19 +68,19 @@
         }
     }
 
-    /// Starts over with the own parent.
+    /// Returns to the parent as granter.
     pub(super) fn reset_level(&mut self) {
         self.level = 0;
         self.unanswered = 0;
     }
 
-    /// Whether a granter beyond the own parent is chosen.
+    /// Whether the current granter is above the parent.
     pub(super) fn bypasses_parent(&self) -> bool {
         self.level > 0
     }
 
-    /// The granter that the next request goes to, which counts as unanswered until a grant arrives; none: the topology
-    /// has none.
+    /// The member that the next request goes to; `None` if the topology has none. The request counts as unanswered
+    /// until a grant arrives.
     pub(super) fn choose_granter(&mut self, topology: &LeaseTopology, member: u64) -> Option<u64> {
         if self.unanswered >= MAX_UNANSWERED {
             self.level = topology.next_level(member, self.level);
@@ -106,12 +106,13 @@
         let later = self.holder.on_grant(grant);
         let remaining = self.holder.remaining(now);
         let extended = remaining > before;
-        // A lease that expires before the next answer is none, nor does a grant of the own parent count for the chosen
-        // granter.
+        // A lease that expires before the next answer can arrive is useless, and a grant from the parent doesn't count
+        // for the current granter.
         if from_chosen && remaining >= timing.span / REQUESTS_PER_SPAN {
             self.unanswered = 0;
         }
-        // A lease that is not extended any more is granted out of one that isn't renewed, or goes round in a ring.
+        // If a lease is not extended any more, its granter's own lease isn't renewed, or leases are passed around a
+        // cycle.
         let short = remaining < timing.span / 2;
         if short && !extended && from_chosen {
             self.level = topology.next_level(member.id, self.level);
--- a/decide/agreement/src/lease_tree/topology.rs
+++ b/decide/agreement/src/lease_tree/topology.rs
@@ -1,18 +1,18 @@
-//! Which member requests its lease from which: a tree that every member computes alone.
+//! Which member requests its lease from which: a tree that every member computes on its own.
 
 use super::FAN_OUT;
 use std::sync::Arc;
 
-/// Names in an order that every member computes alike, maintained as names come and go. Copies are cheap until one of
-/// them changes.
+/// Member names in an order that is the same at every member, maintained as members come and go. Cloning is cheap until
+/// a copy is changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RendezvousOrder {
-    /// Each name with its [`mix`], by which they are sorted and which no two names share.
+    /// Each name with its rank, [`mix`], which the names are sorted by. No two names have the same rank.
     ranked: Arc<Vec<(u64, u64)>>,
 }
 
 impl RendezvousOrder {
-    /// Adds a name. False: it was there.
+    /// Adds a name. Returns false if it was present.
     pub fn insert(&mut self, name: u64) -> bool {
         let position = self.position(name);
         if let Err(index) = position {
@@ -21,7 +21,7 @@
         position.is_err()
     }
 
-    /// Removes a name. False: it was not there.
+    /// Removes a name. Returns false if it was not present.
     pub fn remove(&mut self, name: u64) -> bool {
         let position = self.position(name);
         if let Ok(index) = position {
@@ -40,7 +40,7 @@
         self.ranked.is_empty()
     }
 
-    /// The index of a name, or the one at which it would be inserted.
+    /// The index of a name, or the index at which to insert it.
     fn position(&self, name: u64) -> Result<usize, usize> {
         self.ranked
             .binary_search_by_key(&mix(name), |(rank, _)| *rank)
@@ -58,29 +58,29 @@
     }
 }
 
-/// A bijection that scatters names over the order, so that no two names share a rank.
+/// The rank of a name: a bijection (the finalizer of SplitMix64), so that ranks are scattered and unique.
 fn mix(name: u64) -> u64 {
     let mixed = (name ^ (name >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ (mixed >> 31)
 }
 
-/// The members that one knows, as a tree: the leader is its root, the others follow in [`RendezvousOrder`].
+/// The tree of the known members: the leader is the root, the others follow level by level in [`RendezvousOrder`].
 #[derive(Clone, Debug, Default)]
 pub struct LeaseTopology {
     leader: u64,
     order: RendezvousOrder,
-    /// The leader's index in the order, if it is in it.
+    /// The leader's index in the order, if it is part of it.
     leader_index: Option<usize>,
 }
 
 impl LeaseTopology {
-    /// The tree of these names under a leader.
+    /// Creates the tree of these names under a leader.
     pub fn new(leader: u64, names: impl IntoIterator<Item = u64>) -> LeaseTopology {
         LeaseTopology::with_order(leader, names.into_iter().collect())
     }
 
-    /// The tree of names that are in order already.
+    /// Creates the tree from an order that is already maintained.
     pub fn with_order(leader: u64, order: RendezvousOrder) -> LeaseTopology {
         let leader_index = order.position(leader).ok();
         LeaseTopology {
@@ -90,30 +90,30 @@
         }
     }
 
-    /// The member that another requests its lease from at its n-th choice: its parent, that one's parent, and so on up
-    /// to the leader.
+    /// The ancestor of a member at a level: 0 is its parent, 1 the parent's parent, and so on. Levels above the leader
+    /// stand for the leader. `None` for the leader itself and for unknown members.
     pub fn ancestor(&self, name: u64, level: u32) -> Option<u64> {
-        let mut place = self.place_of(name)?;
+        let mut tree_index = self.tree_index_of(name)?;
         for _ in 0..=level {
-            place = place.checked_sub(1)? / FAN_OUT;
-            if place == 0 {
+            tree_index = tree_index.checked_sub(1)? / FAN_OUT;
+            if tree_index == 0 {
                 break;
             }
         }
-        self.name_at(place)
+        self.name_at(tree_index)
     }
 
-    /// The choice after this one. After the leader it starts over with the own parent: the leader is gone, or has no
-    /// room.
+    /// The level to turn to after this one. The leader is followed by the parent again: the leader is unavailable or
+    /// has no room.
     pub(super) fn next_level(&self, name: u64, level: u32) -> u32 {
         match self.ancestor(name, level) {
-            Some(parent) if parent != self.leader => level.saturating_add(1),
+            Some(granter) if granter != self.leader => level.saturating_add(1),
             _ => 0,
         }
     }
 
-    /// The place of a name in the tree, counted by levels from the leader's, which is zero.
-    fn place_of(&self, name: u64) -> Option<usize> {
+    /// The index of a name in the tree, counted level by level from the leader at index 0.
+    fn tree_index_of(&self, name: u64) -> Option<usize> {
         if name == self.leader {
             return Some(0);
         }
@@ -122,8 +122,8 @@
         Some(index + usize::from(before_leader))
     }
 
-    fn name_at(&self, place: usize) -> Option<u64> {
-        let Some(index) = place.checked_sub(1) else {
+    fn name_at(&self, tree_index: usize) -> Option<u64> {
+        let Some(index) = tree_index.checked_sub(1) else {
             return Some(self.leader);
         };
         let after_leader = self.leader_index.is_some_and(|leader| leader <= index);
@@ -131,14 +131,14 @@
         self.order.ranked.get(index).map(|(_, name)| *name)
     }
 
-    /// The number of members beside the leader.
+    /// The number of members other than the leader.
     fn followers(&self) -> usize {
         self.order.len() - usize::from(self.leader_index.is_some())
     }
 }
 
 impl PartialEq for LeaseTopology {
-    /// The same members under the same leader, which counts as one of them whether it is in the order or not.
+    /// Compares the members and the leader, which counts as a member whether or not it is in the order.
     fn eq(&self, other: &LeaseTopology) -> bool {
         if self.leader != other.leader {
             return false;
@@ -147,7 +147,8 @@
             return true;
         }
         self.followers() == other.followers()
-            && (1..=self.followers()).all(|place| self.name_at(place) == other.name_at(place))
+            && (1..=self.followers())
+                .all(|tree_index| self.name_at(tree_index) == other.name_at(tree_index))
     }
 }
 
