--- a/decide/agreement/src/scope/catalog.rs
+++ b/decide/agreement/src/scope/catalog.rs
@@ -1,4 +1,4 @@
-//! All scopes of the log, and the results of recent transactions.
+//! The catalog of all scopes, and the results of recent transactions.
 
 use super::transaction::check_limit;
 use super::{ChangeHistory, ScopeChange, ScopePhase, ScopeRecord, ScopeTransaction};
@@ -11,13 +11,13 @@
 
 /// The largest number of scopes in the catalog.
 pub const MAX_SCOPES: usize = 1 << 19;
-/// The number of transactions whose result is remembered.
+/// The number of recent transactions whose result is remembered.
 pub const MAX_REMEMBERED_TRANSACTIONS: usize = 1024;
 
-/// An accepted transaction and what became of its updates.
+/// An accepted transaction and the progress of its updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransactionResult {
-    /// Its idempotency key.
+    /// The transaction's idempotency key.
     pub id: u64,
     /// The revision in which its scopes became joint.
     pub revision: Revision,
@@ -25,7 +25,7 @@
     pub joint: u32,
     /// The number of scopes whose change came in force.
     pub in_force: u32,
-    /// The number of scopes whose change was given up.
+    /// The number of scopes whose change was reverted.
     pub reverted: u32,
 }
 
@@ -34,7 +34,7 @@
 pub(crate) enum ChangeEnd {
     /// The next fields come in force.
     InForce,
-    /// The change is given up.
+    /// The fields before the change remain in force.
     Reverted,
 }
 
@@ -42,15 +42,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ScopeCatalog {
     records: BTreeMap<String, ScopeRecord>,
-    /// Scopes that are not settled, each with the transaction that it belongs to.
+    /// The scopes that are not settled, each with the idempotency key of its transaction.
     open: BTreeMap<String, u64>,
     results: VecDeque<TransactionResult>,
-    /// The revision of the first change.
+    /// The revision of the first change of any scope.
     since: Option<Revision>,
 }
 
 impl ScopeCatalog {
-    /// The revision in which a scope was changed first, if any ever was: from then on only members that support scopes
+    /// The revision of the first change of any scope, if there was one. From then on, only members that support scopes
     /// may serve.
     pub fn scopes_since(&self) -> Option<Revision> {
         self.since
@@ -61,7 +61,7 @@
         &self.records
     }
 
-    /// One scope.
+    /// The record of a scope.
     pub fn get(&self, scope: &str) -> Option<&ScopeRecord> {
         self.records.get(scope)
     }
@@ -74,15 +74,15 @@
             .map(|(name, record)| (name.as_str(), record))
     }
 
-    /// The result of a recent transaction.
+    /// The result of the recent transaction with this idempotency key.
     pub fn transaction_result(&self, id: u64) -> Option<&TransactionResult> {
         self.results
             .iter()
             .find(|result| result.id == id && id != 0)
     }
 
-    /// What a transaction would do: it is rejected, or is a duplicate of one that became joint in a revision, or has an
-    /// effect (none). `in_versions`: whether a version defines the function.
+    /// Checks a transaction. Returns the revision in which it became joint if it is a duplicate, and `None` if applying
+    /// it would have an effect. `in_versions` tells whether a version defines a function.
     pub(crate) fn validate(
         &self,
         transaction: &ScopeTransaction,
@@ -116,7 +116,7 @@
         Ok(None)
     }
 
-    /// Whether a scope may be changed from this revision.
+    /// Checks that a scope may be changed by an update that is based on this revision.
     fn check_base(&self, scope: &str, base: Revision) -> Result<(), EntryRejection> {
         let known = self.get(scope);
         if known.is_some_and(|record| record.phase != ScopePhase::Settled) {
@@ -134,12 +134,12 @@
         Ok(())
     }
 
-    /// The fields of a scope that are in force; none: there is no such scope.
+    /// The fields of a scope that are in force; `None` if the scope does not exist.
     fn fields(&self, scope: &str) -> &Option<Fields> {
         self.get(scope).map_or(&None, |record| &record.fields)
     }
 
-    /// The scopes of a valid transaction become joint in this revision; an update that changes nothing is left out.
+    /// Makes the scopes of a valid transaction joint in this revision. Updates that change nothing are skipped.
     pub(crate) fn begin_changes(
         &mut self,
         revision: Revision,
@@ -184,7 +184,8 @@
         }
     }
 
-    /// Ends the joint phase, in this revision, of the scopes that have been joint since the revisions given.
+    /// Ends the joint phase of scopes in this revision. Each scope comes with the revision in which it became joint;
+    /// those that are not joint since that revision are skipped.
     pub(crate) fn end_changes(
         &mut self,
         revision: Revision,
@@ -223,8 +224,9 @@
         }
     }
 
-    /// No member acts on the joint phase of these scopes any more: they may change again. What is not at the revision
-    /// given is left as it is.
+    /// Settles scopes after no member acts on their joint phase any more, so that they may change again. Each scope
+    /// comes with the revision in which its joint phase ended; those in another phase, or in that phase since another
+    /// revision, are skipped.
     pub(crate) fn settle(&mut self, scopes: &[(String, Revision)]) {
         for (scope, ended_in) in scopes {
             let Some(record) = self.records.get_mut(scope) else {
@@ -238,7 +240,7 @@
                 continue;
             }
             record.phase = ScopePhase::Settled;
-            // A scope without fields is not there, and needs no record.
+            // A scope without fields does not exist and needs no record.
             if record.fields.is_none() {
                 self.records.remove(scope);
             }
@@ -246,8 +248,8 @@
         }
     }
 
-    /// Whether any of these scopes has been in its phase since the revision given; `joint`: whether that is the joint
-    /// phase or one after it.
+    /// Whether any of these scopes has been in its phase since the given revision. `joint` selects the joint phase or
+    /// the phases after it.
     pub(crate) fn any_in_phase(&self, scopes: &[(String, Revision)], joint: bool) -> bool {
         let since = |record: &ScopeRecord| {
             record
@@ -262,7 +264,8 @@
 }
 
 impl ScopeRecord {
-    /// Ends the joint phase in this revision. False: it is not joint since the revision given, and nothing is done.
+    /// Ends the joint phase in this revision. Returns false, without a change, unless the scope has been joint since
+    /// `joint_since`.
     fn end_change(&mut self, revision: Revision, joint_since: Revision, end: ChangeEnd) -> bool {
         if !matches!(self.phase, ScopePhase::Joint { since, .. } if since == joint_since) {
             return false;
@@ -281,8 +284,8 @@
     }
 }
 
-/// What a log stores of scopes, apart from the rest, which programs from before there were scopes read. The stored form
-/// depends on the order of the fields.
+/// The part of a log that concerns scopes. It is stored separately, since programs that predate scopes read the rest.
+/// The stored form depends on the order of the fields.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CatalogSnapshot {
     pub(crate) catalog: ScopeCatalog,
--- a/decide/agreement/src/scope/history.rs
+++ b/decide/agreement/src/scope/history.rs
@@ -1,4 +1,4 @@
-//! The recent changes of scopes, from which a member that is a little behind catches up.
+//! The recent changes of scopes, from which a member that is slightly behind catches up.
 
 use super::ScopeRecord;
 use crate::revision::Revision;
@@ -6,24 +6,24 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// The largest number of changes that are retained.
+/// The largest number of retained changes.
 pub const MAX_HISTORY: usize = 4096;
-/// The largest size of the retained changes in bytes.
+/// The largest total size of the retained changes in bytes.
 pub const MAX_HISTORY_BYTES: usize = 1 << 20;
 
-/// A scope's record changed.
+/// A change of a scope's record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScopeChange {
     /// The revision of the change.
     pub revision: Revision,
     /// The scope's name.
     pub scope: String,
-    /// Its record from then on.
+    /// The scope's record after the change.
     pub record: ScopeRecord,
 }
 
 impl ScopeChange {
-    /// The approximate size in bytes.
+    /// The approximate size of the change in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.scope.len() + 16 + self.record.memory_bytes()
     }
@@ -38,7 +38,7 @@
 }
 
 impl ChangeHistory {
-    /// An empty history; there may have been changes up to this revision.
+    /// Creates an empty history. Changes may have been made up to this revision, but not after it.
     pub fn after(from: Revision) -> ChangeHistory {
         ChangeHistory {
             from,
@@ -51,28 +51,29 @@
         self.from
     }
 
-    /// The changes after a revision; none: some of them are not retained.
+    /// The changes after a revision; `None` if some of them are not retained.
     pub fn since(&self, revision: Revision) -> Option<impl Iterator<Item = &Arc<ScopeChange>>> {
         let first = self.changes.partition_point(|c| c.revision <= revision);
         (revision >= self.from).then(|| self.changes.range(first..))
     }
 
-    /// The number of changes.
+    /// The number of retained changes.
     pub fn len(&self) -> usize {
         self.changes.len()
     }
 
-    /// Whether there are none.
+    /// Whether no change is retained.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// The approximate size in bytes.
+    /// The approximate size of the retained changes in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.memory_bytes
     }
 
-    /// Appends later changes. Old ones are dropped by whole revisions.
+    /// Appends later changes. Beyond the limits, the oldest changes are dropped, always all changes of a revision
+    /// together.
     pub(crate) fn push(&mut self, changes: impl IntoIterator<Item = Arc<ScopeChange>>) {
         for change in changes {
             self.memory_bytes += change.memory_bytes();
@@ -110,13 +111,13 @@
     }
 }
 
-/// What brings a member with one revision to a later one.
+/// The changes that lead a member from one revision to a later one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StateDelta {
-    /// The revision that the member has.
+    /// The revision that the member has before.
     pub from: Revision,
-    /// The revision that it has afterwards.
+    /// The revision that the member has afterwards.
     pub to: Revision,
-    /// All changes between, in their order.
+    /// All changes in between, in order.
     pub changes: Vec<Arc<ScopeChange>>,
 }
--- a/decide/agreement/src/scope/mod.rs
+++ b/decide/agreement/src/scope/mod.rs
@@ -1,12 +1,13 @@
-//! Settings of functions that are agreed on one by one, beside the numbered versions.
+//! Settings of single functions, which are agreed on one by one, separately from the numbered versions.
 //!
-//! A **scope** is the settings of one function. The [`ScopeCatalog`] of the agreed log has all of them, each with the
-//! revision of its last change and the phase of a change in progress: a change becomes **joint**, then comes **in force**
-//! (or is **reverted**), and is settled once no member with a live lease is behind that. Recent changes are retained as
-//! [`ScopeChange`]s, so that a member with a recent revision is sent these alone.
+//! A **scope** is the settings of one function. The [`ScopeCatalog`] of the agreed log contains all scopes, each with
+//! the revision in which its fields came in force and the phase of a change in progress. A change becomes **joint**,
+//! then comes **in force** or is **reverted**, and is settled once no member with a live lease acts on the joint phase
+//! any more. Recent changes are retained as [`ScopeChange`]s, so that a member with a recent revision is sent only
+//! these.
 //!
-//! The log validates and applies (see [`crate::log`]); the leader, who knows leases and subscriptions, decides when a
-//! change is ready.
+//! The log validates and applies changes (see [`crate::log`]). The leader, which knows leases and subscriptions,
+//! decides when a change may proceed.
 
 mod catalog;
 mod history;
@@ -28,13 +29,13 @@
 use crate::compatibility::{Fields, Value};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The number of a scope, by which the leader keeps subscriptions. Two names may share a number: members subscribed to
-/// either are then waited for.
+/// The number by which the leader identifies a scope in subscriptions. If two names have the same number, changes of
+/// either wait for the subscribers of both.
 pub fn scope_number(scope: &str) -> u64 {
     xxh3_64(scope.as_bytes())
 }
 
-/// The approximate size of fields in bytes.
+/// The approximate size of the fields in bytes.
 fn fields_bytes(fields: &Option<Fields>) -> usize {
     fields
         .iter()
--- a/decide/agreement/src/scope/record.rs
+++ b/decide/agreement/src/scope/record.rs
@@ -1,4 +1,4 @@
-//! A scope as the log has it, and what a front end acts on of it.
+//! The record of a scope in the log, and the settings that a front end derives from it.
 
 use super::fields_bytes;
 use crate::compatibility::{
@@ -13,27 +13,27 @@
     /// No change is in progress.
     #[default]
     Settled,
-    /// Some members may act on the present fields and some on the next ones.
+    /// Some members may act on the current fields and some on the next ones.
     Joint {
-        /// The fields that are to come in force; none: the scope is removed.
+        /// The fields that are to come in force; `None` if the scope is to be removed.
         next: Option<Fields>,
         /// The revision in which the change became joint.
         since: Revision,
     },
-    /// In force, while some members may still act on the joint phase.
+    /// The change is in force, but some members may still act on the joint phase.
     Settling {
         /// The revision in which the change came in force.
         since: Revision,
     },
-    /// Given up, while some members may still act on the joint phase.
+    /// The change was reverted, but some members may still act on the joint phase.
     Reverting {
-        /// The revision in which the change was given up.
+        /// The revision in which the change was reverted.
         since: Revision,
     },
 }
 
 impl ScopePhase {
-    /// The revision in which this phase began; none: it is settled.
+    /// The revision in which this phase began; `None` if no change is in progress.
     pub fn since(&self) -> Option<Revision> {
         match self {
             ScopePhase::Settled => None,
@@ -44,28 +44,28 @@
     }
 }
 
-/// A scope as the log has it.
+/// The record of a scope in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScopeRecord {
-    /// The revision in which its fields came in force; zero: it never had any.
+    /// The revision in which the scope's fields came in force; zero before its first change is in force.
     pub revision: Revision,
-    /// The fields in force, or in force until the change in progress ends; none: there is no such function.
+    /// The fields in force; `None` if there is no such function.
     pub fields: Option<Fields>,
-    /// The phase of its change.
+    /// The phase of the scope's change.
     pub phase: ScopePhase,
 }
 
-/// What a front end acts on for calls of a function.
+/// The settings that a front end acts on for calls of a function.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EffectiveSettings {
-    /// The settings in use; none: there is no such function.
+    /// The settings in use; `None` if there is no such function.
     pub fields: Option<Fields>,
-    /// Whether its calls are rejected for the time being.
+    /// Whether calls of the function are rejected until a change is complete.
     pub rejected: bool,
 }
 
 impl ScopeRecord {
-    /// The next fields, while the change is joint.
+    /// The next fields, if a change is in its joint phase.
     pub fn next(&self) -> Option<&Option<Fields>> {
         match &self.phase {
             ScopePhase::Joint { next, .. } => Some(next),
@@ -73,14 +73,14 @@
         }
     }
 
-    /// Whether the change in progress affects a strict field, so that it waits for every subscriber. Whether the
-    /// function exists counts as one.
+    /// Whether a change in its joint phase affects a strict field, so that it waits for every subscriber. Adding and
+    /// removing the function count as such changes.
     pub fn changes_strict_field(&self, schema: &Schema, scope: &str) -> bool {
         self.next()
             .is_some_and(|_| self.effective(schema, scope).rejected)
     }
 
-    /// What a member acts on while its lease lives.
+    /// The settings that a member with a live lease acts on.
     pub fn effective(&self, schema: &Schema, scope: &str) -> EffectiveSettings {
         match (&self.fields, self.next()) {
             (fields, None) => EffectiveSettings {
@@ -103,8 +103,8 @@
         }
     }
 
-    /// What a member acts on once its lease has expired, while its session lives: joint fields at their most
-    /// restrictive value.
+    /// The settings that a member acts on whose lease has expired while its session is live: joint fields have their
+    /// most restrictive value.
     pub fn effective_without_lease(&self, schema: &Schema, scope: &str) -> EffectiveSettings {
         let effective = self.effective(schema, scope);
         let Some(fields) = &effective.fields else {
@@ -120,18 +120,18 @@
         }
     }
 
-    /// The approximate size in bytes.
+    /// The approximate size of the record in bytes.
     pub fn memory_bytes(&self) -> usize {
         32 + fields_bytes(&self.fields) + self.next().map_or(0, fields_bytes)
     }
 }
 
-/// The prefix of the paths of a scope's fields among all settings.
+/// The prefix of the paths of a scope's fields within all settings.
 fn path_prefix(scope: &str) -> String {
     format!("functions.{}.", escape_name(scope))
 }
 
-/// A scope's fields by their paths among all settings.
+/// A scope's fields, by their paths within all settings.
 pub fn qualified_fields(scope: &str, fields: &Fields) -> Fields {
     let prefix = path_prefix(scope);
     fields
@@ -140,7 +140,7 @@
         .collect()
 }
 
-/// The fields of a scope among all, by their names under it.
+/// The fields of a scope within all settings, by their names without the path prefix.
 fn fields_of_scope(scope: &str, rules: &EffectiveRules) -> Fields {
     let prefix = path_prefix(scope);
     rules
--- a/decide/agreement/src/scope/transaction.rs
+++ b/decide/agreement/src/scope/transaction.rs
@@ -1,4 +1,4 @@
-//! Updates of scopes as they are proposed.
+//! Proposed updates of scopes.
 
 use super::fields_bytes;
 use crate::compatibility::Fields;
@@ -6,9 +6,9 @@
 use crate::revision::Revision;
 use serde::{Deserialize, Serialize};
 
-/// The largest number of updates in a transaction, and in an entry.
+/// The largest number of updates in a transaction and in a log entry.
 pub const MAX_UPDATES_PER_TRANSACTION: usize = 4096;
-/// The largest size of a transaction, and of an entry, as [`ScopeTransaction::encoded_len`] counts it.
+/// The largest size in bytes of a transaction and of a log entry, as computed by [`ScopeTransaction::encoded_len`].
 pub const MAX_TRANSACTION_BYTES: usize = 256 << 10;
 /// The largest length of a scope's name in bytes.
 pub const MAX_NAME_BYTES: usize = 256;
@@ -20,32 +20,32 @@
 pub struct ScopeUpdate {
     /// The function's name.
     pub scope: String,
-    /// The revision that the update was made from; zero: there was no such scope.
+    /// The revision of the scope that the update is based on; zero if the scope did not exist.
     pub base: Revision,
-    /// Its new fields, by their names under the function (`class`, `lanes`); none: it is removed.
+    /// The new fields, by their names without the path prefix (`class`, `lanes`); `None` removes the scope.
     pub fields: Option<Fields>,
 }
 
-/// Updates of several scopes, which are accepted or rejected together.
+/// Updates of several scopes, which are accepted or rejected as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScopeTransaction {
-    /// The idempotency key: two transactions of one key count once; 0 is no key.
+    /// The idempotency key: a second transaction with the same key is a duplicate. 0 stands for no key.
     pub id: u64,
-    /// The updates; a scope occurs at most once.
+    /// The updates, at most one for each scope.
     pub updates: Vec<ScopeUpdate>,
-    /// Why it is proposed, for operators.
+    /// Why the transaction is proposed, for operators.
     pub reason: String,
 }
 
 impl ScopeTransaction {
-    /// The approximate size in bytes.
+    /// The approximate encoded size in bytes.
     pub fn encoded_len(&self) -> usize {
         let update_bytes =
             |update: &ScopeUpdate| update.scope.len() + 16 + fields_bytes(&update.fields);
         self.reason.len() + 16 + self.updates.iter().map(update_bytes).sum::<usize>()
     }
 
-    /// The checks that do not depend on the catalog.
+    /// Runs the checks that do not depend on the catalog.
     pub(super) fn validate(&self) -> Result<(), EntryRejection> {
         check_limit(
             self.updates.len(),
