--- a/decide/agreement/src/session/table.rs
+++ b/decide/agreement/src/session/table.rs
@@ -1,4 +1,4 @@
-//! The leader's table of sessions, and of the scopes that each member subscribes to.
+//! The leader's table of sessions and of each member's subscriptions.
 
 use super::{SessionGrant, SessionRequest};
 use crate::lease::{LeaseTiming, Member, Time};
@@ -10,24 +10,24 @@
 /// The scopes that a member may act on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Subscriptions {
-    /// It has not declared them: any.
+    /// The member has not declared its subscriptions and may act on any scope.
     Unknown,
-    /// Those of these numbers.
+    /// The member may act only on the scopes with these numbers.
     Known(BTreeSet<u64>),
 }
 
 /// A member of the roster, which may hold a session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct SessionEntry {
-    /// The oldest revision that it may act on.
+    /// The oldest revision that the member may act on.
     revision: Revision,
     expiry: Time,
-    /// It has declared that it supports scopes.
+    /// Whether the member has declared that it supports scopes.
     supports_scopes: bool,
     subscriptions: Subscriptions,
-    /// The epoch in which its subscriptions are known, or have to be declared.
+    /// The epoch in which the member's subscriptions were declared or have to be.
     epoch: ResyncEpoch,
-    /// The number of the last accepted request of that epoch.
+    /// The number of the last accepted subscribe request of that epoch.
     last_seq: u64,
 }
 
@@ -44,34 +44,34 @@
     }
 }
 
-/// What became of a [`SubscribeRequest`].
+/// The outcome of a [`SubscribeRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubscribeOutcome {
-    /// Its sender is not on the roster.
+    /// The sender is not on the roster.
     UnknownMember,
-    /// The sender first has to declare all of its subscriptions, in this epoch.
+    /// The sender first has to declare all of its subscriptions in this epoch.
     ResyncRequired(ResyncEpoch),
-    /// A later request was accepted before, or this one exceeds the limits.
+    /// A later request was accepted before, or this request exceeds the limits.
     Stale,
-    /// It is recorded.
+    /// The subscriptions are recorded.
     Accepted,
 }
 
-/// The leader's side of sessions: what is known of the members of the roster.
+/// The leader's side of sessions: the members of the roster with their revisions, sessions and subscriptions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionTable {
     timing: LeaseTiming,
     entries: BTreeMap<Member, SessionEntry>,
     epoch: ResyncEpoch,
-    /// All subscriptions, by the scope's number and the subscriber's name.
+    /// All subscriptions, as pairs of the scope's number and the subscriber's [`Member::id`].
     subscribers: BTreeSet<(u64, u64)>,
-    /// The names of the members whose subscriptions are not known.
+    /// The [`Member::id`]s of the members that have not declared their subscriptions.
     undeclared: BTreeSet<u64>,
 }
 
 impl SessionTable {
-    /// The table of a leader that starts: each member of the roster may have been granted a session a moment ago, acts
-    /// on a revision that is not known, and subscribes to any scope.
+    /// Creates the table of a leader that starts. Each member of the roster may have been granted a session just
+    /// before, may act on any revision, and counts as a subscriber of all scopes.
     pub fn new(
         timing: LeaseTiming,
         roster: impl IntoIterator<Item = Member>,
@@ -80,7 +80,8 @@
         SessionTable::with_epoch(timing, roster, now, ResyncEpoch::default().next())
     }
 
-    /// The same with the epoch that it begins, which has to be later than any epoch of an earlier table of this fleet.
+    /// Like [`SessionTable::new`], with the epoch in which members declare their subscriptions. It must be later than
+    /// all epochs of earlier tables of this fleet.
     pub fn with_epoch(
         timing: LeaseTiming,
         roster: impl IntoIterator<Item = Member>,
@@ -102,13 +103,13 @@
         }
     }
 
-    /// The last epoch that it began.
+    /// The latest epoch that was begun.
     pub fn epoch(&self) -> ResyncEpoch {
         self.epoch
     }
 
-    /// Grants a session to a member of the log's roster. The fleet has waited for it since it joined, so that it may go
-    /// on from whatever revision it reports.
+    /// Grants a session to a member of the roster. Changes of strict fields have waited for the member since it joined,
+    /// so it may continue at whatever revision it reports.
     pub fn grant(&mut self, now: Time, request: SessionRequest) -> Option<SessionGrant> {
         let expiry = self.expiry_of_grant(now);
         let entry = self.entries.get_mut(&request.from)?;
@@ -131,8 +132,8 @@
         self.entries.contains_key(&member)
     }
 
-    /// A member is on the roster no more: the log durably has its leaving, or the joining of a later process of its
-    /// name.
+    /// Removes a member from the table, once the log durably contains that it has left or that a later process of its
+    /// name has joined.
     pub fn remove(&mut self, member: Member) {
         let Some(entry) = self.entries.remove(&member) else {
             return;
@@ -145,7 +146,8 @@
         }
     }
 
-    /// The log durably has that a member joined, at this revision. Earlier processes of its name have ended.
+    /// Adds a member to the table, once the log durably contains that it has joined at this revision. Earlier processes
+    /// of its name have ended.
     pub fn on_join(&mut self, now: Time, member: Member, revision: Revision) {
         let predecessors: Vec<Member> = self
             .entries
@@ -163,8 +165,8 @@
     }
 
     /// Whether no member that may hold a session is behind this revision. A member whose session has expired counts
-    /// until the log durably has its leaving: a leader that restarts could not know otherwise that the fleet had gone on
-    /// without it.
+    /// until the log durably contains that it has left: otherwise a leader that restarts would not know that changes no
+    /// longer waited for that member.
     pub fn all_at_least(&self, revision: Revision) -> bool {
         self.members_behind(revision).next().is_none()
     }
@@ -177,7 +179,7 @@
             .map(|(member, _)| *member)
     }
 
-    /// The members whose session has expired: they are to leave the roster.
+    /// The members whose session has expired, which are to leave the roster.
     pub fn expired(&self, now: Time) -> impl Iterator<Item = Member> + '_ {
         self.entries
             .iter()
@@ -185,7 +187,7 @@
             .map(|(member, _)| *member)
     }
 
-    /// A member that has not declared that it supports scopes.
+    /// A member that has not declared that it supports scopes, if there is one.
     pub fn without_scope_support(&self) -> Option<Member> {
         self.entries
             .iter()
@@ -193,7 +195,7 @@
             .map(|(member, _)| *member)
     }
 
-    /// The epoch in which a member has to declare all of its subscriptions, if it has not.
+    /// The epoch in which a member has to declare all of its subscriptions, if it has not yet done so.
     pub fn awaiting_resync(&self, member: Member) -> Option<ResyncEpoch> {
         self.entries
             .get(&member)
@@ -201,13 +203,13 @@
             .map(|entry| entry.epoch)
     }
 
-    /// Records what a member declares of its subscriptions. Only after [`SubscribeOutcome::Accepted`] may the reply contain
-    /// scopes.
+    /// Records the subscriptions that a member declares. The reply may contain scopes only if the outcome is
+    /// [`SubscribeOutcome::Accepted`].
     pub fn on_subscribe(&mut self, request: &SubscribeRequest) -> SubscribeOutcome {
         let Some(entry) = self.entries.get_mut(&request.from) else {
             return SubscribeOutcome::UnknownMember;
         };
-        // True whatever becomes of the rest.
+        // The reported revision counts even if the rest of the request is not accepted.
         entry.revision = entry.revision.max(request.revision);
         if request.epoch != entry.epoch {
             return SubscribeOutcome::ResyncRequired(entry.epoch);
@@ -229,7 +231,7 @@
         SubscribeOutcome::Accepted
     }
 
-    /// Replaces all subscriptions of a member by these.
+    /// Replaces all subscriptions of a member.
     fn replace_subscriptions(&mut self, member: Member, scopes: &[u64]) {
         let Some(entry) = self.entries.get_mut(&member) else {
             return;
@@ -245,7 +247,7 @@
         self.undeclared.remove(&member.id);
     }
 
-    /// Removes and adds the subscriptions of a request. False: there would be too many, and none is added.
+    /// Removes and adds the subscriptions of a request. Returns false, without adding any, if there would be too many.
     fn update_subscriptions(&mut self, request: &SubscribeRequest) -> bool {
         let id = request.from.id;
         let Some(entry) = self.entries.get_mut(&request.from) else {
@@ -268,8 +270,9 @@
         true
     }
 
-    /// The members that may act on a scope of this number and are not known to have reached this revision. A member that
-    /// has not declared its subscriptions counts, whatever its revision: it may not know yet that there are scopes.
+    /// The members that may act on a scope with this number and are not known to have reached this revision. Members
+    /// that have not declared their subscriptions are included whatever their revision, since they may not know yet
+    /// that there are scopes.
     pub fn subscribers_behind(
         &self,
         scope: u64,
@@ -284,7 +287,7 @@
         undeclared.chain(subscribers).map(|(member, _)| *member)
     }
 
-    /// The entry of the member of this name.
+    /// The entry of the member with this [`Member::id`].
     fn entry_of(&self, id: u64) -> Option<(&Member, &SessionEntry)> {
         let incarnation = |incarnation| Member { id, incarnation };
         self.entries
--- a/decide/agreement/src/subscription/replies.rs
+++ b/decide/agreement/src/subscription/replies.rs
@@ -1,4 +1,4 @@
-//! What the leader's replies, later states and lost sessions do to the subscriptions.
+//! The effect of replies, new states and lost sessions on the subscriptions.
 
 use super::subscriptions::{ActiveScope, FullList, ScopeSubscriptions};
 use super::{ResyncEpoch, SubscribeReply};
@@ -8,20 +8,21 @@
 use crate::revision::Revision;
 use crate::scope::{ScopeChange, ScopeRecord};
 
-/// What the records of a reply are read with.
+/// The context in which the records of a reply are handled.
 struct ReplyContext<'a> {
     now: Time,
-    /// The number of the request that is replied to.
+    /// The number of the request that the reply answers.
     seq: u64,
     /// The revision of the records.
     revision: Revision,
-    /// The state that is acted on.
+    /// The state that the front end acts on.
     state: Option<&'a FleetState>,
     schema: &'a Schema,
 }
 
 impl ScopeSubscriptions {
-    /// There is another leader: if any leader ever knew of this front end, its subscriptions are listed at once.
+    /// Handles a change of leader. If any leader has known this front end, all subscriptions are listed to the new one
+    /// at once.
     pub fn on_new_leader(&mut self, now: Time) {
         if self.epoch > ResyncEpoch::default() {
             self.full_list = FullList::Due;
@@ -30,8 +31,9 @@
         }
     }
 
-    /// Its session expired: the fleet may have gone on without it since. It unsubscribes from all scopes, and pending
-    /// requests are not answered by what the leader replied before. Has to be called before another session is used.
+    /// Handles the expiry of the session, after which changes may no longer wait for this front end. It unsubscribes
+    /// from all scopes, and replies to earlier requests no longer count for pending scopes. Must be called before
+    /// another session is used.
     pub fn on_session_expired(&mut self, now: Time) {
         let active: Vec<String> = self.active.keys().cloned().collect();
         self.unsubscribe_all(&active);
@@ -44,7 +46,8 @@
         }
     }
 
-    /// The state that is acted on has a later revision. Has to be called before that revision is acknowledged.
+    /// Handles a later revision of the state that the front end acts on. Must be called before that revision is
+    /// acknowledged.
     pub fn on_state(&mut self, now: Time, state: &FleetState, schema: &Schema) {
         if state.revision <= self.revision {
             return;
@@ -54,7 +57,7 @@
         self.revision = state.revision;
         self.generation += 1;
         if state.scopes_since.is_some() && !self.has_scopes() {
-            // No change goes on before every member has declared that it supports scopes.
+            // No change proceeds before every member has declared that it supports scopes.
             self.has_scopes = true;
             self.full_list = FullList::Due;
             self.schedule_request(now);
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Unsubscribes from the scopes whose changes since their record are not all retained.
+    /// Unsubscribes from the scopes for which not all changes since their record are retained.
     fn unsubscribe_outdated(&mut self, now: Time, before: Revision, retained: Revision) {
         let current = self.revision;
         let outdated: Vec<String> = self
@@ -107,7 +110,7 @@
         }
     }
 
-    /// Handles a reply. `state`: the state that is acted on.
+    /// Handles a reply. `state` is the state that the front end acts on.
     pub fn on_reply(
         &mut self,
         now: Time,
@@ -141,7 +144,7 @@
         }
     }
 
-    /// The leader knows nothing of this front end, whatever else its reply contains.
+    /// Starts a new epoch, in which the leader knows none of the subscriptions, whatever else its reply contains.
     fn begin_epoch(&mut self, now: Time, epoch: ResyncEpoch) {
         self.epoch = epoch;
         self.full_list = FullList::Due;
@@ -153,7 +156,7 @@
         self.schedule_request(now);
     }
 
-    /// The leader has accepted the request of this number.
+    /// Handles the leader's acceptance of the request with this number.
     fn on_acknowledged(&mut self, seq: u64) {
         self.unanswered = 0;
         self.unsubscribed
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Handles the record of a scope that was requested.
+    /// Handles the record of a requested scope.
     fn on_record(&mut self, context: &ReplyContext<'_>, scope: String, record: ScopeRecord) {
         let Some(pending) = self.pending.get(&scope) else {
             return;
@@ -197,8 +200,8 @@
         self.generation += 1;
     }
 
-    /// A record of a reply with the changes made since, and the revision that it is valid from; none: these are not all
-    /// known.
+    /// Brings a reply's record up to date with the changes made since. Returns it with the revision that it is valid
+    /// from, or `None` if not all of these changes are known.
     fn current_record(
         &self,
         context: &ReplyContext<'_>,
--- a/decide/agreement/src/subscription/requests.rs
+++ b/decide/agreement/src/subscription/requests.rs
@@ -1,4 +1,4 @@
-//! When requests are sent, and what they contain.
+//! When subscribe requests are sent, and what they contain.
 
 use super::subscriptions::{FullList, ScopeSubscriptions};
 use super::{SubscribeRequest, MAX_SCOPES_PER_REQUEST};
@@ -7,22 +7,22 @@
 use crate::scope::scope_number;
 use std::collections::BTreeSet;
 
-/// A pending scope without calls for so long is given up.
+/// The time without calls after which a pending scope is dropped.
 const PENDING_TIMEOUT: Time = 10_000_000;
-/// What was not acknowledged is sent again after this time, the first few times; then ever less often.
+/// The time after which unacknowledged subscriptions are sent again; it doubles while requests remain unanswered.
 const RETRY_INTERVAL: Time = 100_000;
-/// The time between two requests.
+/// The minimum time between two requests.
 pub(super) const MIN_REQUEST_INTERVAL: Time = 10_000;
 /// The number of unanswered requests after which the retry interval doubles.
 const REQUESTS_PER_DOUBLING: u32 = 5;
-/// How often it doubles at most.
+/// The largest number of times that the retry interval doubles.
 const MAX_DOUBLINGS: u32 = 5;
 /// The time between two searches for idle scopes.
 pub(super) const SWEEP_INTERVAL: Time = 10_000_000;
 
 impl ScopeSubscriptions {
-    /// Unsubscribes from idle scopes, and returns a request if one is to be sent. `revision`: the revision that is acted
-    /// on. `session`: whether its session lives; without one nothing is requested.
+    /// Unsubscribes from idle scopes, and returns a request if one is due. `revision` is the revision that the front
+    /// end acts on. `session` tells whether its session is live; without one, nothing is requested.
     pub fn tick(
         &mut self,
         now: Time,
@@ -45,18 +45,18 @@
         session.then(|| self.request(now, revision, retry_after))
     }
 
-    /// When [`ScopeSubscriptions::tick`] has something to do.
+    /// When [`ScopeSubscriptions::tick`] has to be called next.
     pub fn next_deadline(&self) -> Time {
         self.next_request.min(self.next_sweep)
     }
 
-    /// There is something to send, as soon as the interval between requests allows.
+    /// Schedules the next request for as soon as the minimum interval allows.
     pub(super) fn schedule_request(&mut self, now: Time) {
         let earliest = now.max(self.last_request + MIN_REQUEST_INTERVAL);
         self.next_request = self.next_request.min(earliest);
     }
 
-    /// Unsubscribes from scopes that were not called lately.
+    /// Unsubscribes from scopes without recent calls.
     fn sweep(&mut self, now: Time) {
         self.next_sweep = now + SWEEP_INTERVAL;
         let idle_timeout = self.limits.idle_timeout;
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Whether the leader knows all subscriptions and none is pending.
+    /// Whether the leader knows all subscriptions and no scope is pending.
     fn is_synchronized(&self) -> bool {
         self.full_list == FullList::Acknowledged
             && self.pending.is_empty()
@@ -88,7 +88,7 @@
         self.seq += 1;
         self.last_request = now;
         self.unanswered = self.unanswered.saturating_add(1);
-        // Before the scopes of this request count as requested.
+        // Listed before the scopes of this request count as requested.
         let full_list = self.list_subscriptions();
         let scopes = self.take_due_scopes(now, retry_after);
         SubscribeRequest {
@@ -102,8 +102,8 @@
         }
     }
 
-    /// The numbers of all scopes that the front end may act on, unless the leader has them: active scopes, and pending
-    /// ones that were requested before.
+    /// The numbers of all scopes that the front end may act on, unless the leader knows them: the active scopes, and
+    /// the pending ones that an earlier request contained.
     fn list_subscriptions(&mut self) -> Option<Vec<u64>> {
         match self.full_list {
             FullList::Acknowledged => return None,
@@ -124,8 +124,8 @@
         Some(numbers.into_iter().collect())
     }
 
-    /// The pending scopes that are to be requested now, those that have waited longest first. If there are more than a
-    /// request may contain, another request follows.
+    /// The pending scopes that are due to be requested, those that have waited longest first. If there are more than
+    /// one request may contain, another request is scheduled.
     fn take_due_scopes(&mut self, now: Time, retry_after: Time) -> Vec<String> {
         let mut due: Vec<(Time, &String)> = self
             .pending
@@ -149,7 +149,7 @@
         scopes
     }
 
-    /// The numbers of the scopes that are unsubscribed from, until that is acknowledged.
+    /// The numbers of the scopes to unsubscribe from, until the leader has acknowledged that.
     fn list_unsubscribed(&mut self) -> Vec<u64> {
         for first_request in self.unsubscribed.values_mut() {
             first_request.get_or_insert(self.seq);
--- a/decide/agreement/src/subscription/subscriptions.rs
+++ b/decide/agreement/src/subscription/subscriptions.rs
@@ -1,4 +1,4 @@
-//! The scopes of one front end, and the admission of calls by them.
+//! The subscriptions of one front end, and the admission of calls based on them.
 
 use super::requests::{MIN_REQUEST_INTERVAL, SWEEP_INTERVAL};
 use super::{
@@ -11,26 +11,26 @@
 use crate::scope::{scope_number, EffectiveSettings, ScopeRecord, MAX_NAME_BYTES};
 use std::collections::BTreeMap;
 
-/// The part of all subscriptions that is evicted at once when there is no room.
-const EVICTION_FRACTION: usize = 32;
+/// When there is no room for another scope, the limit of subscriptions divided by this is evicted at once.
+const EVICTION_DIVISOR: usize = 32;
 
 /// A scope whose record is known.
 #[derive(Clone, Debug)]
 pub(super) struct ActiveScope {
     pub(super) record: ScopeRecord,
-    /// The first revision at which it may be acted on.
+    /// The first revision at which the front end may act on the scope.
     pub(super) valid_from: Revision,
     pub(super) last_call: Time,
 }
 
-/// A scope that is being requested.
+/// A scope whose record has been requested or is to be requested.
 #[derive(Clone, Debug)]
 pub(super) struct PendingScope {
-    /// The first request that contained it.
+    /// The number of the first request that contained the scope.
     pub(super) first_request: Option<u64>,
     pub(super) sent_at: Time,
     pub(super) last_call: Time,
-    /// A change of strict fields is in progress; the leader may wait for this front end.
+    /// Whether a change of strict fields is in progress, for which the leader may wait for this front end.
     pub(super) conflicting: bool,
 }
 
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Is to be requested again, as if it had not been.
+    /// Makes the scope due to be requested again, as if it had never been requested.
     pub(super) fn restart(&mut self) {
         self.first_request = None;
         self.sent_at = Time::MIN;
@@ -54,15 +54,15 @@
 /// Whether the leader has the list of all subscriptions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FullList {
-    /// It is to be sent.
+    /// The list has to be sent.
     Due,
-    /// Every request since this one contains it; none is acknowledged.
+    /// Every request since the one with this number contains the list, and none of them has been acknowledged.
     SentSince(u64),
-    /// The leader has it.
+    /// The leader has the list.
     Acknowledged,
 }
 
-/// The subscriptions of a front end.
+/// The subscriptions of one front end.
 #[derive(Clone, Debug)]
 pub struct ScopeSubscriptions {
     pub(super) limits: SubscriptionLimits,
@@ -72,13 +72,13 @@
     /// The number of the last request.
     pub(super) seq: u64,
     pub(super) full_list: FullList,
-    /// The revision that the records are of.
+    /// The revision that the records of the active scopes are up to date with.
     pub(super) revision: Revision,
     pub(super) active: BTreeMap<String, ActiveScope>,
     pub(super) pending: BTreeMap<String, PendingScope>,
-    /// How many of the active and pending scopes share a number.
+    /// For each scope number, how many active and pending scopes have it.
     scopes_by_number: BTreeMap<u64, u32>,
-    /// The numbers of scopes unsubscribed from, with the first request that contained each.
+    /// The numbers of the scopes unsubscribed from, each with the first request that reported it.
     pub(super) unsubscribed: BTreeMap<u64, Option<u64>>,
     pub(super) last_request: Time,
     pub(super) next_request: Time,
@@ -91,7 +91,7 @@
 }
 
 impl ScopeSubscriptions {
-    /// A front end without subscriptions.
+    /// Creates the subscriptions of a front end that has none yet.
     pub fn new(member: Member, limits: SubscriptionLimits, now: Time) -> ScopeSubscriptions {
         ScopeSubscriptions {
             limits: SubscriptionLimits {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Whether there are scopes, as far as it knows.
+    /// Whether the front end knows that the fleet has scopes.
     pub fn has_scopes(&self) -> bool {
         self.has_scopes || self.epoch > ResyncEpoch::default()
     }
@@ -138,12 +138,12 @@
         self.pending.len()
     }
 
-    /// The number of scopes that were unsubscribed from because there was no room for others.
+    /// The number of scopes that were unsubscribed from to make room for others.
     pub fn evicted(&self) -> u64 {
         self.evicted
     }
 
-    /// Counts up whenever a call might be admitted otherwise than before.
+    /// A counter that increases whenever the admission of a call may have changed.
     pub fn generation(&self) -> u64 {
         self.generation
     }
@@ -158,8 +158,8 @@
         active.sum::<usize>() + pending.sum::<usize>() + 24 * self.unsubscribed.len()
     }
 
-    /// The last revision in which a change of strict fields became joint for a scope that the leader may wait for: the
-    /// leader is to be informed that this revision is acted on.
+    /// The last revision in which a change of strict fields became joint for a scope for which the leader may wait for
+    /// this front end. The leader has to be informed once the front end acts on that revision.
     pub fn conflicting_revision(&self) -> Revision {
         self.conflicting_revision
     }
@@ -172,7 +172,8 @@
             })
     }
 
-    /// What it acts on of a scope, without a call of it; none: it may not act on it. `lease`: whether its lease lives.
+    /// The settings that the front end acts on for a scope, without counting as a call; `None` if it may not act on the
+    /// scope. `lease` tells whether its lease is live.
     pub fn effective_settings(
         &self,
         schema: &Schema,
@@ -190,7 +191,7 @@
         })
     }
 
-    /// Decides on a call of a function while its session lives; `lease`: whether its lease lives.
+    /// Decides on a call of a function while the session is live. `lease` tells whether the lease is live.
     pub fn admit(&mut self, now: Time, schema: &Schema, scope: &str, lease: bool) -> Admission {
         if scope.len() > MAX_NAME_BYTES {
             return Admission::Reject(RejectReason::NameTooLong);
@@ -222,7 +223,8 @@
             .map_or(Admission::Unknown, Admission::Admit)
     }
 
-    /// Makes room for one more scope by evicting those that were called least recently. False: all are pending.
+    /// Makes room for another scope by evicting those that were called least recently. Returns false if all scopes are
+    /// pending.
     fn make_room(&mut self) -> bool {
         if self.active.len() + self.pending.len() < self.limits.max_subscriptions {
             return true;
@@ -233,7 +235,7 @@
             .map(|(name, scope)| (scope.last_call, name.clone()))
             .collect();
         oldest.sort_unstable();
-        oldest.truncate((self.limits.max_subscriptions / EVICTION_FRACTION).max(1));
+        oldest.truncate((self.limits.max_subscriptions / EVICTION_DIVISOR).max(1));
         self.evicted += oldest.len() as u64;
         for (_, name) in &oldest {
             self.unsubscribe(name);
@@ -250,7 +252,7 @@
         self.schedule_request(now);
     }
 
-    /// Ceases to act on a scope, which the next request reports.
+    /// Stops acting on a scope, which the next request reports.
     pub(super) fn unsubscribe(&mut self, scope: &str) {
         let active = self.active.remove(scope);
         let pending = self.pending.remove(scope);
@@ -270,7 +272,7 @@
             }
         }
         if self.unsubscribed.len() > MAX_UNSUBSCRIBES_PER_REQUEST {
-            // The list of all that remain takes their place.
+            // The list of all remaining subscriptions is sent instead.
             self.unsubscribed.clear();
             self.full_list = FullList::Due;
         }
