--- a/decide/agreement/tests/endpoints.rs
+++ b/decide/agreement/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! The drain table: records merge in any order and any number of times to the same, and are never taken back.
+//! The drain table: the order and repetition of records don't matter, and no record is ever undone.
 
 use proptest::prelude::*;
 use tansy_agreement::endpoints::{
@@ -35,37 +35,37 @@
 proptest! {
     #[test]
     fn order_and_repetition_of_records_change_nothing(all in records(), seed in any::<u64>()) {
-        let mut other: Vec<EndpointRecord> = all.iter().chain(&all).cloned().collect();
-        fastrand_shuffle(&mut other, seed);
-        prop_assert_eq!(merged(&all), merged(&other));
+        let mut shuffled: Vec<EndpointRecord> = all.iter().chain(&all).cloned().collect();
+        shuffle(&mut shuffled, seed);
+        prop_assert_eq!(merged(&all), merged(&shuffled));
     }
 
     #[test]
-    fn forwarded_records_are_all_that_another_needs(all in records()) {
-        let (mut first, mut second) = (DrainTable::default(), DrainTable::default());
+    fn forwarded_records_suffice_for_another_table(all in records()) {
+        let (mut table, mut receiver) = (DrainTable::default(), DrainTable::default());
         for record in &all {
-            let new = first.merge(0, [record.clone()]);
-            second.merge(0, new);
+            let forwarded = table.merge(0, [record.clone()]);
+            receiver.merge(0, forwarded);
         }
-        prop_assert_eq!(first.records().collect::<Vec<_>>(), second.records().collect::<Vec<_>>());
-        prop_assert!(first.merge(0, all).is_empty(), "a repeated record changes nothing");
+        prop_assert_eq!(table.records().collect::<Vec<_>>(), receiver.records().collect::<Vec<_>>());
+        prop_assert!(table.merge(0, all).is_empty(), "a repeated record changes nothing");
     }
 
     #[test]
-    fn a_drain_holds_for_its_process_whatever_a_list_reports(all in records()) {
+    fn a_drain_is_kept_whatever_state_a_list_reports(all in records()) {
         let mut table = DrainTable::default();
         table.merge(0, all.clone());
         for record in all.iter().filter(|record| record.state != EndpointState::Ready) {
-            let taken = table.state_of(&record.endpoint, record.incarnation, EndpointState::Ready);
-            prop_assert!(taken >= record.state, "{:?} is taken for {:?}", record, taken);
-            // No record concerns a process later than any recorded one.
+            let state = table.state_of(&record.endpoint, record.incarnation, EndpointState::Ready);
+            prop_assert!(state >= record.state, "{:?} has state {:?}", record, state);
+            // All recorded incarnations are below 4, so this process is later than any of them.
             let later = table.state_of(&record.endpoint, 9, EndpointState::Ready);
             prop_assert_eq!(later, EndpointState::Ready);
         }
     }
 }
 
-fn fastrand_shuffle(records: &mut [EndpointRecord], mut seed: u64) {
+fn shuffle(records: &mut [EndpointRecord], mut seed: u64) {
     for last in (1..records.len()).rev() {
         seed = seed
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -99,7 +99,7 @@
         table.state_of(&worker(1), 3, EndpointState::Ready),
         EndpointState::Ready
     );
-    // The same name elsewhere is another worker.
+    // The same name at another address is another worker.
     let moved = Endpoint {
         address: "10.0.0.9:1".into(),
         ..worker(1)
--- a/decide/agreement/tests/lease_tree.rs
+++ b/decide/agreement/tests/lease_tree.rs
@@ -1,4 +1,5 @@
-//! Leases down a tree of many front ends, in virtual time: no member loses its lease while nothing fails.
+//! Leases in a tree of many front ends, simulated in virtual time. Guards against members that lose their lease
+//! although nothing fails, and against requests that never reach a granter with a lease.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -14,25 +15,25 @@
 
 type Message = (u64, u64, LeaseMessage<Revision>);
 
-/// Front ends from 1 on with the leader 1, each in one of some regions; all clocks run alike.
+/// Front ends numbered from 1, of which 1 is the leader, spread over regions. Their clocks agree.
 struct Tree {
     now: i64,
     nodes: Vec<LeaseNode<Revision>>,
-    /// The time of a message between two regions.
+    /// The latency of a message between two regions.
     latency: Vec<Vec<i64>>,
     arrivals: BinaryHeap<Reverse<(i64, u64)>>,
     messages: BTreeMap<u64, Message>,
-    count: u64,
+    last_message: u64,
     rng: fastrand::Rng,
 }
 
 impl Tree {
-    /// All start within `starts`.
+    /// Each node sends its first request within `starts`.
     #[allow(
         clippy::needless_range_loop,
-        reason = "both halves of a table are filled at once"
+        reason = "the matrix is symmetric, so two entries are filled at once"
     )]
-    fn new(fronts: u64, regions: usize, starts: i64, seed: u64) -> Tree {
+    fn new(front_ends: u64, regions: usize, starts: i64, seed: u64) -> Tree {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut latency = vec![vec![0; regions]; regions];
         for region in 0..regions {
@@ -41,7 +42,7 @@
                 (latency[region][other], latency[other][region]) = (delay, delay);
             }
         }
-        let topology = LeaseTopology::new(1, 1..=fronts);
+        let topology = LeaseTopology::new(1, 1..=front_ends);
         let mut node = |id| {
             let member = Member { id, incarnation: 1 };
             match id {
@@ -56,7 +57,7 @@
                 _ => LeaseNode::new(TIMING, member, topology.clone(), rng.i64(0..starts)),
             }
         };
-        let nodes = (1..=fronts).map(&mut node).collect();
+        let nodes = (1..=front_ends).map(&mut node).collect();
         let (arrivals, messages) = (BinaryHeap::new(), BTreeMap::new());
         Tree {
             now: 0,
@@ -64,7 +65,7 @@
             latency,
             arrivals,
             messages,
-            count: 0,
+            last_message: 0,
             rng,
         }
     }
@@ -74,14 +75,15 @@
             let region = |id: u64| id as usize % self.latency.len();
             let delay = self.latency[region(from)][region(to)]
                 + self.rng.i64(SECOND / 5000..=SECOND * 3 / 1000);
-            self.count += 1;
-            self.arrivals.push(Reverse((self.now + delay, self.count)));
-            self.messages.insert(self.count, (from, to, message));
+            self.last_message += 1;
+            self.arrivals
+                .push(Reverse((self.now + delay, self.last_message)));
+            self.messages.insert(self.last_message, (from, to, message));
         }
     }
 
-    /// Runs on until then, a hundredth of a second at a time; `observe` sees the tree after each. The leader's lease is
-    /// extended ten times a second.
+    /// Runs until `end` in steps of 10 ms, and calls `observe` after each step. The leader's lease is extended every
+    /// 100 ms.
     fn run_until(&mut self, end: i64, mut observe: impl FnMut(&Tree)) {
         while self.now < end {
             self.now += SECOND / 100;
@@ -97,7 +99,7 @@
                 let (from, to, message) = self
                     .messages
                     .remove(&message_number)
-                    .expect("a message under way");
+                    .expect("the message is in transit");
                 let mut out = Vec::new();
                 self.nodes[to as usize - 1].on_message(at, from, message, &mut out);
                 self.send(to, out);
@@ -122,29 +124,30 @@
 #[test]
 fn no_member_loses_its_lease_while_nothing_fails() {
     for seed in 1..=3 {
-        // At most five links deep.
+        // The tree is at most five links deep.
         let mut tree = Tree::new(5000, 7, 5 * SECOND, seed);
         tree.run_until(12 * SECOND, |_| {});
-        let (mut observations, mut without) = (0, 0);
+        let (mut observations, mut without_lease) = (0, 0);
         tree.run_until(22 * SECOND, |tree| {
             observations += tree.nodes.len();
-            without += tree.without_lease();
+            without_lease += tree.without_lease();
         });
         assert_eq!(
-            without, 0,
-            "seed {seed}: of {observations} observations of a front end"
+            without_lease, 0,
+            "seed {seed}: front ends without a lease in {observations} observations"
         );
     }
 }
 
-/// Requests of a member four links below the leader, by the member that they go to, during some leases. Its own parent
-/// grants a lease of length `own` to each, after a tenth of a second; no other member answers.
-fn requests_by_granter(own: i64) -> BTreeMap<u64, usize> {
+/// Counts the requests that a member four links below the leader sends during 15 lease spans, by their receiver. The
+/// member's parent answers each request after 100 ms with a lease of length `span`, or not at all if that is zero; no
+/// other member answers.
+fn requests_by_granter(span: i64) -> BTreeMap<u64, usize> {
     let topology = LeaseTopology::new(1, 1..=700);
-    let depth = |id| (0..9).find(|c| topology.ancestor(id, *c) == Some(1));
+    let leader_level = |id| (0..9).find(|level| topology.ancestor(id, *level) == Some(1));
     let id = (2..=700)
-        .find(|id| depth(*id) == Some(3))
-        .expect("a member four links down");
+        .find(|id| leader_level(*id) == Some(3))
+        .expect("a member four links below the leader");
     let (member, parent) = (Member { id, incarnation: 1 }, topology.ancestor(id, 0));
     let mut node: LeaseNode<Revision> = LeaseNode::new(TIMING, member, topology, 0);
     let mut requests = BTreeMap::new();
@@ -156,12 +159,12 @@
                 continue;
             };
             *requests.entry(to).or_insert(0) += 1;
-            if Some(to) == parent && own > 0 {
+            if Some(to) == parent && span > 0 {
                 let state = (request.known < Revision(1)).then_some(Revision(1));
                 let grant = LeaseGrant {
                     to: member,
                     seq: request.seq,
-                    span: own,
+                    span,
                     revision: Revision(1),
                     state,
                     delta: None,
@@ -179,14 +182,14 @@
 }
 
 #[test]
-fn a_member_without_lease_asks_all_between_it_and_the_leader_repeatedly() {
-    // The leader has no room, and the own parent is silent, or grants a lease that has expired on arrival or lives for a
-    // moment.
-    for own in [0, SECOND / 100, SECOND / 5] {
-        let requests = requests_by_granter(own);
+fn a_member_without_a_lease_keeps_requesting_from_every_ancestor() {
+    // No granter above the parent answers. The parent doesn't answer either, or grants a lease that has expired on
+    // arrival or expires shortly after it.
+    for span in [0, SECOND / 100, SECOND / 5] {
+        let requests = requests_by_granter(span);
         assert!(
             requests.len() == 4 && requests.values().all(|n| *n >= 8),
-            "{own}: {requests:?}"
+            "span {span}: {requests:?}"
         );
     }
 }
--- a/decide/agreement/tests/session.rs
+++ b/decide/agreement/tests/session.rs
@@ -1,5 +1,5 @@
-//! Sessions under random histories of one leader and three members: a member that acts on a revision which the fleet has
-//! left behind is detected.
+//! Random histories of sessions with one leader and three members. Guards against a member with a session that acts on
+//! a revision from before the current change.
 
 mod support;
 
@@ -20,18 +20,19 @@
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Defect {
     None,
-    /// A member joins at the present revision while it acts on an earlier one.
+    /// A member joins at the current revision while it acts on an earlier one.
     JoinsBehind,
-    /// A member whose session expired is removed from the table, with no entry of it in the log that a leader starts from.
+    /// A member whose session has expired is removed from the table but not from the log's roster, with which a leader
+    /// restarts.
     LeaveNotLogged,
 }
 
 struct FrontEnd {
     session: Session,
     member: Member,
-    /// The revision that it acts on, which follows the log when it learns of it.
+    /// The revision that the member acts on.
     revision: Revision,
-    /// The rate of its clock.
+    /// The rate of the member's clock.
     rate: f64,
 }
 
@@ -48,9 +49,9 @@
     log: Log,
     table: SessionTable,
     front_ends: Vec<FrontEnd>,
-    /// The number of versions that were proposed.
+    /// The number of proposed versions.
     proposals: i64,
-    /// The number of steps of strict changes.
+    /// The number of steps taken by strict changes.
     strict_steps: u64,
 }
 
@@ -91,11 +92,11 @@
         self.now += self.rng.i64(0..SPAN / 4);
         let index = self.rng.usize(0..self.front_ends.len());
         match self.rng.u32(0..12) {
-            // It learns of the log's state, as it does by leases, and acts on that from then on.
+            // The member learns the log's state and acts on it from now on.
             0..=2 => self.front_ends[index].revision = self.log.state().revision,
             3..=6 => self.request_session(index),
             7 => self.restart_member(index),
-            // The leader restarts.
+            // The leader restarts with the roster of its log.
             8 => {
                 let roster = self.log.roster().map(|(member, _)| member);
                 self.table = SessionTable::new(TIMING, roster, self.now);
@@ -105,7 +106,7 @@
         }
     }
 
-    /// No member with a session acts on a revision that the fleet has left behind by more than one.
+    /// A member with a session acts on the current revision or the one before it.
     fn check(&self) -> Result<(), String> {
         let fleet = self.log.state().revision;
         for front_end in &self.front_ends {
@@ -113,7 +114,7 @@
             let remaining = front_end.session.remaining(local_time);
             if remaining > 0 && front_end.revision.next() < fleet {
                 return Err(format!(
-                    "at revision {} of {} with a session",
+                    "acts on revision {} under a session, while the fleet is at {}",
                     front_end.revision.0, fleet.0
                 ));
             }
@@ -127,7 +128,7 @@
 }
 
 impl SessionHistory {
-    /// A member requests a session; the grant takes its time, or never arrives.
+    /// A member requests a session. The grant is delayed or lost.
     fn request_session(&mut self, index: usize) {
         let front_end = &mut self.front_ends[index];
         let local_time = front_end.local_time(self.now);
@@ -156,7 +157,7 @@
         }
     }
 
-    /// A member is killed and comes back as a later process, which knows nothing.
+    /// A member crashes and restarts as a later process without any state.
     fn restart_member(&mut self, index: usize) {
         let front_end = &mut self.front_ends[index];
         front_end.member = restarted(front_end.member);
@@ -177,7 +178,7 @@
         }
     }
 
-    /// A change of a strict field takes a step, if no member of the roster is behind.
+    /// A change of a strict field takes a step if no member of the roster is behind.
     fn change_strict_field(&mut self) {
         let from = self.log.state().revision;
         if !self.table.all_at_least(from) {
@@ -185,7 +186,7 @@
         }
         if self.log.has_version_change() {
             let advance = LogEntry::Advance { from };
-            self.log.apply(advance).expect("a change in progress");
+            self.log.apply(advance).expect("the change advances");
         } else {
             self.proposals += 1;
             let proposal = LogEntry::Propose {
@@ -194,7 +195,7 @@
                 fields: strict_fields(self.proposals),
                 reason: String::new(),
             };
-            self.log.apply(proposal).expect("a change");
+            self.log.apply(proposal).expect("the proposal is accepted");
         }
         self.strict_steps += 1;
     }
@@ -203,7 +204,7 @@
 #[test]
 fn no_member_with_a_session_is_left_behind() {
     let steps = run_without_violation::<SessionHistory>(0..4000, Defect::None);
-    assert!(steps > 20_000, "the histories get somewhere: {steps} steps");
+    assert!(steps > 20_000, "strict changes took only {steps} steps");
 }
 
 #[test]
--- a/decide/agreement/tests/support/mod.rs
+++ b/decide/agreement/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Runs of random histories, each determined by its seed.
+//! Random histories, each determined by its seed.
 
 use std::fmt::Debug;
 use std::ops::Range;
@@ -16,14 +16,14 @@
 
     fn step(&mut self);
 
-    /// Checks the invariant; the error describes its violation.
+    /// Checks the invariant; the error describes the violation.
     fn check(&self) -> Result<(), String>;
 
-    /// The number of strict changes, or steps of such, so far.
+    /// The number of strict changes or of their steps so far.
     fn strict_changes(&self) -> u64;
 }
 
-/// Runs one history; the number of its strict changes, or the violation.
+/// Runs one history. Returns the number of its strict changes, or the violation.
 pub fn run<H: History>(seed: u64, defect: H::Defect) -> Result<u64, String> {
     let mut history = H::new(seed, defect);
     for _ in 0..H::STEPS {
@@ -35,7 +35,8 @@
     Ok(history.strict_changes())
 }
 
-/// Runs the histories of these seeds, none of which may violate the invariant; the number of their strict changes.
+/// Runs the histories of these seeds, none of which may violate the invariant. Returns the number of their strict
+/// changes.
 pub fn run_without_violation<H: History>(seeds: Range<u64>, defect: H::Defect) -> u64 {
     seeds
         .map(|seed| run::<H>(seed, defect).unwrap_or_else(|violation| panic!("{violation}")))
