--- a/decide/agreement/tests/model_check.rs
+++ b/decide/agreement/tests/model_check.rs
@@ -1,6 +1,6 @@
-//! The change of versions under leases, checked over all orders of events within bounds: a leader and three front ends,
-//! two changes, a crash of the leader and one of a front end, messages that are delayed without limit or lost, and
-//! processes that pause between any two of their steps.
+//! Model check of version changes under leases: all orders of events within bounds, for a leader and three front ends,
+//! two changes, a crash of the leader and of a front end, messages that are lost or delayed without limit, and
+//! processes that pause between any two steps.
 
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
@@ -14,11 +14,11 @@
     drift_ppm: 0,
 };
 const FRONT_ENDS: usize = 3;
-/// Requests that a front end may send.
+/// The largest number of requests of one front end.
 const MAX_REQUESTS: u8 = 2;
-/// Requests that all front ends together may send.
+/// The largest number of requests of all front ends together.
 const MAX_ALL_REQUESTS: u8 = 3;
-/// Two changes of three revisions each.
+/// Two changes take three revisions each.
 const LAST_REVISION: Revision = Revision(7);
 
 /// An injected defect.
@@ -33,9 +33,9 @@
 
 struct Fleet {
     defect: Defect,
-    /// Time ends here.
+    /// The time at which the model ends.
     end: i64,
-    /// The leader's own lease is short whenever it grants, and is extended at any time after.
+    /// Whether the leader's own lease is short whenever it grants a lease, and may be extended at any time after that.
     extends: bool,
 }
 
@@ -46,7 +46,7 @@
     requests: u8,
 }
 
-/// The state of all processes and the messages under way.
+/// The state of all processes and the messages in transit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     now: i64,
@@ -85,7 +85,7 @@
     }
 }
 
-/// The version that members act on alone at a revision; none: the change is joint.
+/// The version that members act on at a revision; `None` if a change is joint.
 fn sole_version(revision: Revision) -> Option<u64> {
     match revision.0 {
         3 | 6 => None,
@@ -95,7 +95,7 @@
     }
 }
 
-/// Whether a revision may be acted on beside another.
+/// Whether members may act on these two revisions at the same time.
 fn compatible(left: Revision, right: Revision) -> bool {
     let versions = |revision: Revision| match revision.0 {
         3 => vec![1, 2],
@@ -186,7 +186,7 @@
             actions.push(Action::AdvanceTime);
         }
         for (index, front_end) in world.front_ends.iter().enumerate() {
-            // Front ends are alike: the one with the larger number never sends the first request.
+            // Front ends are interchangeable, so the first request always comes from the one with the smallest index.
             let may_begin = index == 0
                 || world.front_ends[index - 1].requests > 0
                 || world.front_ends[index - 1].incarnation > 1;
@@ -224,7 +224,7 @@
             Action::Advance => world.advance(self.defect),
             Action::CrashLeader => {
                 world.leader_may_crash = false;
-                // Its revision is durable; the leases that it granted are not.
+                // The leader's revision is durable, the leases that it granted are not.
                 let waits = self.defect != Defect::NoWaitAfterCrash;
                 world.granter = LeaseGranter::new(TIMING, 8, waits.then_some(world.now));
             }
@@ -232,7 +232,7 @@
                 world.front_end_may_crash = false;
                 let incarnation = world.front_ends[index].incarnation + 1;
                 world.front_ends[index] = new_front_end(index, incarnation);
-                // A grant under way to the former process is ignored on arrival.
+                // A grant for the previous process would be ignored on arrival.
                 world.grants.retain(|g| g.to.id != index as u64 + 1);
             }
         }
@@ -251,7 +251,7 @@
                 },
             ),
             Property::sometimes(
-                "a request is granted once more",
+                "a granted lease is extended",
                 |fleet: &Fleet, world: &World| world.extended || !fleet.extends,
             ),
             Property::sometimes("both changes come in force", |_, world: &World| {
@@ -270,7 +270,7 @@
     }
 }
 
-/// The revisions that members act on now, the leader among them.
+/// The revisions that members act on now, including the leader.
 fn active_revisions(world: &World) -> Vec<Revision> {
     let front_ends = world
         .front_ends
@@ -309,16 +309,16 @@
 }
 
 #[test]
-fn nor_does_extending_granted_leases() {
+fn extending_granted_leases_causes_no_contradiction() {
     let (states, violated) = check_with(Defect::None, 2, true);
     println!("{states} states");
     assert!(!violated && states > 100_000, "{states} states");
 }
 
-/// The same until a lease after the last one has expired as well: millions of states, for a release build.
+/// Runs long enough for one more lease to expire, which takes millions of states.
 #[test]
-#[ignore = "long: half a minute on six cores, 6 GB"]
-fn nor_does_one_more_lease() {
+#[ignore = "needs a release build and several gigabytes of memory"]
+fn one_more_lease_causes_no_contradiction() {
     let (states, violated) = check(Defect::None, 3);
     println!("{states} states");
     assert!(!violated && states > 1_000_000, "{states} states");
