--- a/decide/agreement/tests/scopes/catalog.rs
+++ b/decide/agreement/tests/scopes/catalog.rs
@@ -1,4 +1,4 @@
-//! What the log accepts of scopes, and how its state is sent on.
+//! Changes of scopes in the log: validation, phases, and the deltas that bring members up to date.
 
 use super::support::{join, member};
 use super::{apply, fields, finish, new_log, transaction, update};
@@ -13,8 +13,7 @@
     MAX_FIELDS_BYTES, MAX_HISTORY, MAX_NAME_BYTES, MAX_UPDATES_PER_TRANSACTION,
 };
 
-/// A transaction of two scopes.
-fn of_two_scopes() -> ScopeTransaction {
+fn two_scope_transaction() -> ScopeTransaction {
     transaction(
         1,
         vec![
@@ -24,10 +23,10 @@
     )
 }
 
-/// A log in which that transaction is settled.
+/// A log in which [`two_scope_transaction`] is settled.
 fn settled_log() -> Log {
     let mut log = new_log();
-    apply(&mut log, vec![of_two_scopes()]);
+    apply(&mut log, vec![two_scope_transaction()]);
     finish(&mut log, false);
     log
 }
@@ -52,7 +51,10 @@
         ],
     );
     let independent = transaction(3, vec![update("d", 0, Some(fields(1, 1)))]);
-    let rejected = apply(&mut log, vec![of_two_scopes(), overlaps, independent]);
+    let rejected = apply(
+        &mut log,
+        vec![two_scope_transaction(), overlaps, independent],
+    );
     assert_eq!(
         rejected,
         [(
@@ -77,19 +79,25 @@
 fn duplicate_and_invalid_transactions_are_recognized() {
     let log = settled_log();
     assert_eq!(
-        log.validate_transaction(&of_two_scopes()),
+        log.validate_transaction(&two_scope_transaction()),
         Ok(Some(Revision(2)))
     );
-    let validated = |changes| log.validate_transaction(&transaction(9, changes));
-    let to = || Some(fields(2, 2));
-    let base = |scope: &str, revision| {
+    let validated = |updates| log.validate_transaction(&transaction(9, updates));
+    let new_fields = || Some(fields(2, 2));
+    let stale_base = |scope: &str, revision| {
         Err(EntryRejection::StaleScopeBase {
             scope: scope.into(),
             revision: Revision(revision),
         })
     };
-    assert_eq!(validated(vec![update("a", 2, to())]), base("a", 3));
-    assert_eq!(validated(vec![update("e", 3, to())]), base("e", 0));
+    assert_eq!(
+        validated(vec![update("a", 2, new_fields())]),
+        stale_base("a", 3)
+    );
+    assert_eq!(
+        validated(vec![update("e", 3, new_fields())]),
+        stale_base("e", 0)
+    );
     assert_eq!(
         validated(vec![update("a", 3, Some(fields(1, 1)))]),
         Err(EntryRejection::NoChange)
@@ -100,11 +108,11 @@
         "there is no scope to remove"
     );
     assert_eq!(
-        validated(vec![update("a", 3, to()), update("a", 3, None)]),
+        validated(vec![update("a", 3, new_fields()), update("a", 3, None)]),
         Err(EntryRejection::DuplicateScope { scope: "a".into() })
     );
     assert_eq!(
-        validated(vec![update("", 0, to())]),
+        validated(vec![update("", 0, new_fields())]),
         Err(EntryRejection::MissingName)
     );
 }
@@ -112,10 +120,10 @@
 #[test]
 fn transactions_beyond_the_limits_are_rejected() {
     let log = settled_log();
-    let validated = |changes| log.validate_transaction(&transaction(9, changes));
-    let to = || Some(fields(2, 2));
-    for changes in [
-        vec![update(&"n".repeat(MAX_NAME_BYTES + 1), 0, to())],
+    let validated = |updates| log.validate_transaction(&transaction(9, updates));
+    let new_fields = || Some(fields(2, 2));
+    for updates in [
+        vec![update(&"n".repeat(MAX_NAME_BYTES + 1), 0, new_fields())],
         vec![update(
             "e",
             0,
@@ -125,7 +133,7 @@
             )])),
         )],
         (0..=MAX_UPDATES_PER_TRANSACTION)
-            .map(|n| update(&n.to_string(), 0, to()))
+            .map(|n| update(&n.to_string(), 0, new_fields()))
             .collect(),
         (0..30)
             .map(|index| {
@@ -138,7 +146,7 @@
             .collect(),
     ] {
         assert!(matches!(
-            validated(changes),
+            validated(updates),
             Err(EntryRejection::TooMany { .. })
         ));
     }
@@ -206,7 +214,7 @@
     }
 }
 
-/// A log with a joint change of one scope, whose name has a dot.
+/// A log with a joint change of one scope, whose name contains a dot.
 fn log_with_scope() -> Log {
     let mut log = new_log();
     let updates = vec![update("a.b", 0, Some(fields(1, 1)))];
@@ -235,11 +243,11 @@
 }
 
 #[test]
-fn revisions_of_scopes_and_of_versions_are_apart() {
+fn revisions_of_scopes_and_of_versions_are_independent() {
     let mut log = log_with_scope();
     log.apply(propose(1, one_field("functions.a.lanes")))
         .expect("a new version");
-    // Revisions of scopes neither delay a version nor count as its own.
+    // A change of scopes neither delays a version nor advances it.
     let announced_in = log.state().versions_revision;
     apply(
         &mut log,
@@ -253,7 +261,7 @@
     );
     assert!(log.apply(LogEntry::Advance { from: announced_in }).is_ok());
     assert!(matches!(log.state().next, Some((_, ChangePhase::Joint))));
-    // A member that joins needs the latest revision of the versions alone.
+    // A member may join at any revision from the last one that changed a version.
     let join_at = |revision| join(member(1), revision);
     apply(
         &mut log,
@@ -277,9 +285,9 @@
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
+    reason = "one sequence of changes, read from top to bottom"
 )]
-fn deltas_lead_where_snapshots_do_and_dropped_history_is_not_guessed() {
+fn deltas_lead_to_the_same_state_as_snapshots_unless_history_was_dropped() {
     let mut rng = fastrand::Rng::with_seed(5);
     let mut log = new_log();
     let mut follower = log.state().clone();
@@ -325,7 +333,7 @@
             );
         }
     }
-    // A snapshot has no history; with the delta up to it nothing is dropped.
+    // A snapshot contains no history; the delta that leads to it preserves the history.
     let mut snapshot = follower.clone();
     snapshot.replace_with_snapshot(
         log.state().without_history(),
@@ -334,14 +342,14 @@
     assert_eq!(&snapshot, log.state());
     snapshot.replace_with_snapshot(log.state().without_history(), None);
     assert!(snapshot.history.is_empty() && snapshot.history.since(Revision(1)).is_none());
-    let many = |batch: u64| {
+    let updates_of_batch = |batch: u64| {
         (0..1500)
             .map(|index| update(&format!("m{batch}-{index}"), 0, Some(fields(1, 1))))
             .collect()
     };
     let before = log.state().revision;
     (0..4).for_each(|batch| {
-        let transaction = transaction(1000 + batch, many(batch));
+        let transaction = transaction(1000 + batch, updates_of_batch(batch));
         assert_eq!(apply(&mut log, vec![transaction]), []);
     });
     assert!(log.state().history.len() <= MAX_HISTORY && log.state().delta_since(before).is_none());
@@ -352,7 +360,7 @@
 }
 
 #[test]
-fn a_history_knows_what_it_dropped() {
+fn a_history_tells_when_changes_were_dropped() {
     assert_eq!(
         ChangeHistory::after(Revision(3))
             .since(Revision(2))
--- a/decide/agreement/tests/scopes/histories.rs
+++ b/decide/agreement/tests/scopes/histories.rs
@@ -1,5 +1,5 @@
-//! Random histories of a leader and three members, in which a member that acts on another strict field than the one in
-//! force is detected.
+//! Random histories of a leader and three members. Guards against a member that acts on another strict field of a scope
+//! than the one in force.
 
 use super::support::{self, is_detected, join, member, restarted, run_without_violation};
 use super::{effective_field, fields, new_log, reply_to, schema, transaction, update, SESSION};
@@ -18,31 +18,31 @@
     span: 600_000,
     drift_ppm: 1_000,
 };
-/// Less than there are scopes, so that some are evicted all the while.
+/// Fewer subscriptions than there are scopes, so that scopes are evicted again and again.
 const LIMITS: SubscriptionLimits = SubscriptionLimits {
     max_subscriptions: 2,
     idle_timeout: 2_000_000,
 };
 const SCOPES: [&str; 3] = ["a", "b", "c"];
 const MEMBERS: usize = 3;
-/// Messages under way beyond which one is lost with each that arrives.
+/// The number of messages in transit beyond which another one is lost with each delivery.
 const MAX_MESSAGES: usize = 40;
 
 /// An injected defect.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Defect {
     None,
-    /// A leader that begins takes the members of its roster for subscribers of nothing.
+    /// A leader that starts assumes that the members of its roster have no subscriptions.
     LeaderForgets,
-    /// A member takes a reply of an earlier revision for one of its own.
+    /// A member handles a reply of an earlier revision as one of its own revision.
     StaleReply,
     /// The leader accepts requests in any order.
     AnyOrder,
-    /// A change goes on without its subscribers.
+    /// Changes don't wait for subscribers.
     SubscribersIgnored,
 }
 
-/// A message under way, with the index of the member that it is from or for.
+/// A message in transit, with the index of its sender or receiver.
 enum Message {
     LeaseRequest(usize, LeaseRequest),
     LeaseGrant(usize, LeaseGrant<FleetState, StateDelta>),
@@ -57,7 +57,7 @@
     lease: LeaseHolder<FleetState>,
     session: Session,
     subscriptions: ScopeSubscriptions,
-    /// The last revision that it reported with a session request.
+    /// The last revision that was reported with a session request.
     reported: Revision,
 }
 
@@ -88,7 +88,7 @@
     granter: LeaseGranter,
     front_ends: Vec<FrontEnd>,
     messages: Vec<Message>,
-    /// The last number of a subscribe request that arrived, by member.
+    /// The largest number of a subscribe request that has arrived, by member.
     last_seq: [u64; MEMBERS],
     last_transaction: u64,
     strict_changes: u64,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// No member with a session acts on another class than the one in force, nor on more lanes.
+    /// A member with a session acts on the class in force and on no more lanes than are in force.
     fn check(&self) -> Result<(), String> {
         let with_session = |f: &&FrontEnd| f.session.remaining(self.now) > 0;
         for front_end in self.front_ends.iter().filter(with_session) {
@@ -156,7 +156,7 @@
                 if used("class") != in_force("class") || used("lanes") > in_force("lanes") {
                     let (member, revision) = (front_end.member, front_end.lease.revision());
                     return Err(format!(
-                        "{member:?} at {revision:?} acts on {scope} as {effective:?}, agreed is {agreed:?}"
+                        "{member:?} at {revision:?} acts on {scope} as {effective:?}, but {agreed:?} is in force"
                     ));
                 }
             }
@@ -199,14 +199,14 @@
         self.messages.extend(message);
     }
 
-    /// A member is killed and comes back as a later process.
+    /// A member crashes and restarts as a later process.
     fn restart_member(&mut self, index: usize) {
         let former = self.front_ends[index].member;
         self.front_ends[index] = FrontEnd::new(restarted(former), self.now);
         self.last_seq[index] = 0;
     }
 
-    /// Another leader begins, or the same anew.
+    /// Another leader takes over, or the same one restarts.
     fn restart_leader(&mut self) {
         let epoch = self.table.epoch().next();
         let roster: Vec<Member> = self.log.roster().map(|(member, _)| member).collect();
@@ -242,13 +242,13 @@
         let base = self.log.catalog().get(scope).map_or(0, |r| r.revision.0);
         let new = (self.rng.u32(0..6) > 0).then(|| fields(self.rng.i64(0..3), self.rng.i64(1..5)));
         let updates = vec![update(scope, base, new)];
-        // It may be rejected, as while another change of the scope is in progress.
+        // The update may be rejected, for example while another change of the scope is in progress.
         let _ = self.log.apply(LogEntry::UpdateScopes {
             transactions: vec![transaction(self.last_transaction, updates)],
         });
     }
 
-    /// Changes that are ready go on; of those that are not some are reverted.
+    /// Advances the changes that may proceed, and reverts some of the others.
     fn advance_scopes(&mut self) {
         let mut in_force = Vec::new();
         let mut settled = Vec::new();
@@ -277,14 +277,14 @@
                 _ => {}
             }
         }
-        // Either is rejected when it has nothing to do.
+        // Either entry is rejected if it has nothing to change.
         let _ = self.log.apply(LogEntry::RevertScopes { scopes: reverted });
         let _ = self
             .log
             .apply(LogEntry::AdvanceScopes { in_force, settled });
     }
 
-    /// A message arrives, in any order, or is lost.
+    /// Delivers or loses a random message.
     fn deliver(&mut self) {
         let message = self
             .messages
@@ -380,7 +380,7 @@
     let strict_changes = run_without_violation::<ScopeHistory>(0..3_000, Defect::None);
     assert!(
         strict_changes > 5_000,
-        "the histories get somewhere: {strict_changes} strict changes"
+        "only {strict_changes} strict changes came in force"
     );
 }
 
--- a/decide/agreement/tests/scopes/main.rs
+++ b/decide/agreement/tests/scopes/main.rs
@@ -1,5 +1,4 @@
-//! Settings of functions that are agreed on one by one: what the log accepts, what a front end subscribes to, and random
-//! histories of both.
+//! Scopes: what the log accepts, what a front end subscribes to, and random histories of both.
 
 mod catalog;
 mod histories;
@@ -61,7 +60,7 @@
     }
 }
 
-/// Brings the open changes in force, or reverts them, and settles them.
+/// Brings changes in progress in force, or reverts them, and then settles them.
 fn finish(log: &mut Log, revert: bool) {
     for _ in 0..2 {
         let open: Vec<(String, Revision, bool)> = log
@@ -106,7 +105,7 @@
     fields.as_ref().and_then(|fields| fields.get(name).cloned())
 }
 
-/// What the leader does with a request.
+/// The leader's reply to a request.
 fn reply_to(
     log: &Log,
     table: &mut SessionTable,
--- a/decide/agreement/tests/scopes/subscriptions.rs
+++ b/decide/agreement/tests/scopes/subscriptions.rs
@@ -1,4 +1,4 @@
-//! The subscriptions of one member and the leader's record of them.
+//! The subscriptions of a member and the leader's record of them.
 
 use super::support::member;
 use super::{apply, fields, finish, new_log, reply_to, schema, transaction, update, SESSION};
@@ -25,7 +25,7 @@
     )
 }
 
-/// Exchanges messages until nothing is left to send.
+/// Exchanges messages until none is left to send.
 fn synchronize(
     log: &Log,
     table: &mut SessionTable,
@@ -124,7 +124,7 @@
     );
 }
 
-/// A request of another scope, and a valid reply to it.
+/// Requests another scope, and returns the request and a valid reply to it.
 fn request_another_scope(exchange: &mut Exchange) -> (SubscribeRequest, SubscribeReply) {
     let Exchange {
         log,
@@ -158,7 +158,8 @@
     (request, valid)
 }
 
-/// Replies that do not concern the request are ignored; one of a later revision counts from that on.
+/// Replies that don't match the request are ignored. One of a later revision counts only once that revision is acted
+/// on.
 fn check_invalid_replies(
     exchange: &mut Exchange,
     request: &SubscribeRequest,
@@ -171,7 +172,7 @@
         ..
     } = exchange;
     let schema = &schema();
-    // For another member, to a request not sent yet, to an older one, to none, and of another epoch.
+    // For another member, to a request that was not sent yet, to an earlier request, to none, and of another epoch.
     for invalid in [
         SubscribeReply {
             to: member(2),
@@ -201,7 +202,7 @@
             "{invalid:?}"
         );
     }
-    // Of a revision that it does not act on yet: it waits for that.
+    // The record is of a revision that the member does not act on yet.
     let ahead = SubscribeReply {
         revision: Revision(log.state().revision.0 + 2),
         ..valid.clone()
@@ -213,10 +214,10 @@
     );
 }
 
-/// The leader ignores the requests of a stranger, earlier ones, and those of another epoch.
+/// The leader ignores requests of members that are not on the roster, earlier requests, and those of another epoch.
 fn check_ignored_requests(exchange: &mut Exchange, request: &SubscribeRequest) {
     let Exchange { table, .. } = exchange;
-    // It unsubscribes from a scope that a later request may have requested.
+    // An earlier request that unsubscribes from a scope, which a later one may have requested again.
     let old = SubscribeRequest {
         unsubscribed: vec![scope_number("a")],
         scopes: vec![],
@@ -247,7 +248,7 @@
     );
 }
 
-/// Once changes are not retained the scope is acted on no more, and is requested again.
+/// If changes since a scope's record are not retained, the scope is no longer acted on and is requested again.
 fn check_missing_history(exchange: &mut Exchange, valid: SubscribeReply) {
     let Exchange {
         log,
@@ -308,11 +309,7 @@
         subscriptions.admit(now, schema, &format!("f{index}"), true)
             == Admission::Reject(RejectReason::TooManyPending)
     });
-    assert_eq!(
-        rejected.count(),
-        10,
-        "while all are pending none can be evicted"
-    );
+    assert_eq!(rejected.count(), 10, "pending scopes are not evicted");
     let first = subscriptions
         .tick(100_000, Revision(1), true)
         .expect("a request");
@@ -330,7 +327,7 @@
         subscriptions.admit(now, schema, "f5", true),
         Admission::Unknown
     );
-    // Ever new scopes: those called least recently are evicted, and the leader is informed.
+    // With ever new scopes, those called least recently are evicted, and the leader is informed.
     for index in 0..3 * MAX_SUBSCRIPTIONS {
         now += 1_000;
         subscriptions.admit(now, schema, &format!("g{index}"), true);
@@ -345,14 +342,14 @@
     assert_eq!(
         subscriptions.admit(now, schema, "f5", true),
         Admission::Unknown,
-        "it was called all the while and is retained"
+        "a scope that is called continually is retained"
     );
     assert_eq!(
         table.subscription_count(),
         subscriptions.len(),
         "the leader knows the subscriptions"
     );
-    // Without calls all are unsubscribed from.
+    // Without calls, all scopes are unsubscribed from.
     now += 700_000_000;
     synchronize(&log, &mut table, &mut subscriptions, &mut now);
     assert_eq!((subscriptions.len(), table.subscription_count()), (0, 0));
--- a/decide/agreement/tests/settings/compatibility.rs
+++ b/decide/agreement/tests/settings/compatibility.rs
@@ -1,4 +1,4 @@
-//! What holds while two versions are in use, and what a front end does that knows neither.
+//! Rules while two versions are in use, and rules of a front end that doesn't know the version in force.
 
 use super::{restrictiveness, schema, values, versions};
 use proptest::prelude::*;
@@ -19,7 +19,7 @@
         prop_assert_eq!(both, order.stricter(second, first));
         prop_assert_eq!(order.stricter(first, first), first);
         prop_assert_eq!(order.stricter(both, third), order.stricter(first, order.stricter(second, third)));
-        prop_assert!(order.at_least_as_strict(both, first) && order.at_least_as_strict(both, second), "looser than one of the two");
+        prop_assert!(order.at_least_as_strict(both, first) && order.at_least_as_strict(both, second), "less strict than one of the two");
     }
 
     #[test]
@@ -32,13 +32,13 @@
     #[test]
     fn rules_after_expiry_contradict_no_version(known in versions(), in_force in versions()) {
         let rules = rules_after_expiry(&schema(), &known);
-        // A strict field that the known version does not have, and that affects all calls, is beyond what a member can know.
+        // A member can't know of a strict field that affects all calls and that its version doesn't have.
         let contradictions = contradictions(&schema(), &in_force, &rules);
         prop_assert!(contradictions.iter().all(|(path, _)| path == "novel" && !known.contains_key("novel")), "{:?}", contradictions);
     }
 
     #[test]
-    fn a_version_that_changes_nothing_strict_interrupts_no_call(old in versions(), limit in 0i64..9) {
+    fn a_change_without_strict_fields_rejects_no_call(old in versions(), limit in 0i64..9) {
         let mut new = old.clone();
         new.insert("classes.a.aim".into(), Value::Int(limit));
         new.insert("limit".into(), Value::Int(limit));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn calls_that_no_conflicting_field_affects_go_on() {
+fn calls_that_no_conflicting_field_affects_are_not_rejected() {
     let with = |group: &str| -> Fields {
         [("classes.pay.group".to_string(), Value::Text(group.into()))].into()
     };
--- a/decide/agreement/tests/settings/log.rs
+++ b/decide/agreement/tests/settings/log.rs
@@ -69,7 +69,7 @@
     assert_eq!(
         log.state().rules(&schema()).fields["limit"],
         Value::Int(2),
-        "the stricter holds"
+        "the stricter value applies"
     );
     assert_eq!(
         log.apply(LogEntry::Advance { from: Revision(2) }),
@@ -82,13 +82,13 @@
     assert_eq!(
         log.apply(propose(9, 1, 3)),
         Err(EntryRejection::StaleBase { latest: Version(2) }),
-        "a lost update"
+        "the proposal would overwrite version 2"
     );
     assert_eq!(log.apply(propose(10, 2, 2)), Err(EntryRejection::NoChange));
 }
 
 #[test]
-fn a_change_abandoned_while_joint_is_rolled_back_in_a_phase_of_its_own() {
+fn a_change_abandoned_while_joint_enters_the_rolled_back_phase() {
     let limit = |n: i64| -> Fields { [("limit".to_string(), Value::Int(n))].into() };
     let mut log = Log::new(limit(4), []);
     log.apply(LogEntry::Propose {
@@ -121,11 +121,11 @@
         fields: limit(5),
         reason: String::new(),
     })
-    .expect("the next");
+    .expect("the next version is announced");
     assert_eq!(
         log.state().latest(),
         Version(3),
-        "numbers are not used twice"
+        "the number of an abandoned version is not reused"
     );
 }
 
@@ -165,7 +165,7 @@
         log.apply(entry).expect("accepted");
     }
     let before = log.clone();
-    // An invalid plan after another rollout; the same rollout again.
+    // A rollout with an invalid plan, and a rollout that was begun before.
     for entry in [begin(2, &RolloutPlan::default()), begin(1, &plan)] {
         assert!(matches!(log.apply(entry), Err(EntryRejection::Rollout(_))));
         assert_eq!(log, before);
--- a/decide/agreement/tests/settings/main.rs
+++ b/decide/agreement/tests/settings/main.rs
@@ -1,4 +1,4 @@
-//! Versions of the settings: what holds while two of them are in use, and the phases by which the log takes one into force.
+//! Versions of the settings: the rules while two versions are in use, and the phases of a version in the log.
 
 mod compatibility;
 mod log;
@@ -56,7 +56,7 @@
     ])
 }
 
-/// Versions over the fields of the schema and one that it does not contain.
+/// Versions with fields of the schema and one field that it does not contain.
 fn versions() -> impl Strategy<Value = Fields> {
     let field = prop_oneof![
         (Just("limit"), 0i64..5),
