--- a/decide/agreement/src/lease_tree/node.rs
+++ b/decide/agreement/src/lease_tree/node.rs
@@ -8,9 +8,11 @@
 use crate::revision::Revision;
 use std::collections::BTreeMap;
 
-/// A request follows the renewal of the granter's lease by the span of a lease divided by this, so that it doesn't
-/// arrive before the renewal.
+/// Requests are timed to arrive after the renewal of the granter's lease by the span of a lease divided by this, so that
+/// they don't arrive before it.
 const RENEWAL_MARGIN_DIVISOR: i64 = 64;
+/// Requests are sent ahead of a renewal by their round trip, but by at most the span of a lease divided by this.
+const MAX_LEAD_DIVISOR: i64 = 8;
 /// The number of members whose incarnation is remembered before those without a live lease are dropped.
 const MAX_INCARNATIONS: usize = 4 * MAX_EXTRA_CHILDREN;
 
@@ -30,7 +32,7 @@
     /// The time between the last answered request and its answer.
     round_trip: Time,
     /// The members that recently granted this node a lease, with the time of the last grant. Until that lease expires,
-    /// they wait for what this node acknowledges.
+    /// they wait for this node's acknowledgements.
     recent_granters: BTreeMap<u64, Time>,
 }
 
@@ -268,7 +270,9 @@
             // timed to arrive shortly after such renewals.
             Some((_, true)) if effect.extended && !effect.later && effect.from_chosen => {
                 self.send_request(now, outbox);
-                let lead = self.round_trip.clamp(0, self.timing.span / 8);
+                let lead = self
+                    .round_trip
+                    .clamp(0, self.timing.span / MAX_LEAD_DIVISOR);
                 self.next_request += self.timing.span / RENEWAL_MARGIN_DIVISOR - lead;
             }
             _ => {}
--- a/decide/agreement/src/log/state.rs
+++ b/decide/agreement/src/log/state.rs
@@ -13,7 +13,7 @@
 /// The phase of a change of version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ChangePhase {
-    /// All members know the version, none acts on it.
+    /// Members are notified of the version; none acts on it.
     Announced,
     /// Some members may act on the old version and some on the new one.
     Joint,
--- a/decide/agreement/src/scope/history.rs
+++ b/decide/agreement/src/scope/history.rs
@@ -11,6 +11,9 @@
 /// The largest total size of the retained changes in bytes.
 pub const MAX_HISTORY_BYTES: usize = 1 << 20;
 
+/// The approximate size in bytes of a change without the scope's name and record.
+const CHANGE_OVERHEAD_BYTES: usize = 16;
+
 /// A change of a scope's record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScopeChange {
@@ -25,7 +28,7 @@
 impl ScopeChange {
     /// The approximate size of the change in bytes.
     pub fn memory_bytes(&self) -> usize {
-        self.scope.len() + 16 + self.record.memory_bytes()
+        self.scope.len() + CHANGE_OVERHEAD_BYTES + self.record.memory_bytes()
     }
 }
 
--- a/decide/agreement/src/scope/mod.rs
+++ b/decide/agreement/src/scope/mod.rs
@@ -35,6 +35,9 @@
     xxh3_64(scope.as_bytes())
 }
 
+/// The approximate size in bytes of a value without its contents.
+const VALUE_BYTES: usize = 8;
+
 /// The approximate size of the fields in bytes.
 fn fields_bytes(fields: &Option<Fields>) -> usize {
     fields
@@ -46,8 +49,8 @@
 
 fn value_bytes(value: &Value) -> usize {
     match value {
-        Value::Text(text) => 8 + text.len(),
-        Value::List(values) => 8 + values.iter().map(value_bytes).sum::<usize>(),
-        _ => 8,
+        Value::Text(text) => VALUE_BYTES + text.len(),
+        Value::List(values) => VALUE_BYTES + values.iter().map(value_bytes).sum::<usize>(),
+        _ => VALUE_BYTES,
     }
 }
--- a/decide/agreement/src/scope/record.rs
+++ b/decide/agreement/src/scope/record.rs
@@ -7,6 +7,9 @@
 use crate::revision::Revision;
 use serde::{Deserialize, Serialize};
 
+/// The approximate size in bytes of a record without its fields.
+const RECORD_OVERHEAD_BYTES: usize = 32;
+
 /// The phase of a scope's change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ScopePhase {
@@ -122,7 +125,7 @@
 
     /// The approximate size of the record in bytes.
     pub fn memory_bytes(&self) -> usize {
-        32 + fields_bytes(&self.fields) + self.next().map_or(0, fields_bytes)
+        RECORD_OVERHEAD_BYTES + fields_bytes(&self.fields) + self.next().map_or(0, fields_bytes)
     }
 }
 
--- a/decide/agreement/src/scope/transaction.rs
+++ b/decide/agreement/src/scope/transaction.rs
@@ -14,6 +14,10 @@
 pub const MAX_NAME_BYTES: usize = 256;
 /// The largest size of a scope's fields in bytes.
 pub const MAX_FIELDS_BYTES: usize = 16 << 10;
+/// The approximate size in bytes of a transaction without its reason and updates.
+const TRANSACTION_OVERHEAD_BYTES: usize = 16;
+/// The approximate size in bytes of an update without its name and fields.
+const UPDATE_OVERHEAD_BYTES: usize = 16;
 
 /// The update of one scope.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -40,9 +44,12 @@
 impl ScopeTransaction {
     /// The approximate encoded size in bytes.
     pub fn encoded_len(&self) -> usize {
-        let update_bytes =
-            |update: &ScopeUpdate| update.scope.len() + 16 + fields_bytes(&update.fields);
-        self.reason.len() + 16 + self.updates.iter().map(update_bytes).sum::<usize>()
+        let update_bytes = |update: &ScopeUpdate| {
+            update.scope.len() + UPDATE_OVERHEAD_BYTES + fields_bytes(&update.fields)
+        };
+        self.reason.len()
+            + TRANSACTION_OVERHEAD_BYTES
+            + self.updates.iter().map(update_bytes).sum::<usize>()
     }
 
     /// Runs the checks that do not depend on the catalog.
--- a/decide/agreement/src/subscription/subscriptions.rs
+++ b/decide/agreement/src/subscription/subscriptions.rs
@@ -13,6 +13,10 @@
 
 /// When there is no room for another scope, the limit of subscriptions divided by this is evicted at once.
 const EVICTION_DIVISOR: usize = 32;
+/// The approximate size in bytes of a scope's entry without its name and record.
+const SCOPE_OVERHEAD_BYTES: usize = 64;
+/// The approximate size in bytes of an entry for a scope that was unsubscribed from.
+const UNSUBSCRIBED_BYTES: usize = 24;
 
 /// A scope whose record is known.
 #[derive(Clone, Debug)]
@@ -150,12 +154,16 @@
 
     /// The approximate size in bytes.
     pub fn memory_bytes(&self) -> usize {
-        let active = self
-            .active
-            .iter()
-            .map(|(name, scope)| 2 * name.len() + 64 + scope.record.memory_bytes());
-        let pending = self.pending.keys().map(|name| 2 * name.len() + 64);
-        active.sum::<usize>() + pending.sum::<usize>() + 24 * self.unsubscribed.len()
+        let active = self.active.iter().map(|(name, scope)| {
+            2 * name.len() + SCOPE_OVERHEAD_BYTES + scope.record.memory_bytes()
+        });
+        let pending = self
+            .pending
+            .keys()
+            .map(|name| 2 * name.len() + SCOPE_OVERHEAD_BYTES);
+        active.sum::<usize>()
+            + pending.sum::<usize>()
+            + UNSUBSCRIBED_BYTES * self.unsubscribed.len()
     }
 
     /// The last revision in which a change of strict fields became joint for a scope for which the leader may wait for
