--- a/decide/agreement/src/rejection.rs
+++ b/decide/agreement/src/rejection.rs
@@ -43,7 +43,7 @@
     #[error("the new voter is already a voter")]
     AlreadyVoter,
     /// The node to be replaced is not a voter.
-    #[error("the node to be replaced is not a voter")]
+    #[error("the node to be replaced is no voter")]
     NotVoter,
     /// No replacement of a voter is in the phase that the entry requires.
     #[error("no replacement of a voter is in the required phase")]
