--- a/decide/agreement/src/lease_tree/node.rs
+++ b/decide/agreement/src/lease_tree/node.rs
@@ -8,8 +8,8 @@
 use crate::revision::Revision;
 use std::collections::BTreeMap;
 
-/// Requests are timed to arrive after the renewal of the granter's lease by the span of a lease divided by this, so that
-/// they don't arrive before it.
+/// Requests are timed to arrive after the granter's lease is renewed, later by the span of a lease divided by this, so
+/// that they don't arrive before the renewal.
 const RENEWAL_MARGIN_DIVISOR: i64 = 64;
 /// Requests are sent ahead of a renewal by their round trip, but by at most the span of a lease divided by this.
 const MAX_LEAD_DIVISOR: i64 = 8;
