--- a/decide/fleet-node/src/fleet_node/scopes.rs
+++ b/decide/fleet-node/src/fleet_node/scopes.rs
@@ -38,7 +38,7 @@
 
     /// Increases whenever [`FleetNode::admit`] might decide differently than before.
     pub fn admission_changes(&self) -> u64 {
-        self.subscriptions.changes()
+        self.subscriptions.generation()
     }
 
     /// The number of scopes whose records this front end holds.
