--- a/decide/rollout/src/apply.rs
+++ b/decide/rollout/src/apply.rs
@@ -1,15 +1,15 @@
-//! Applying an entry to a rollout. The result depends on the state and the entry alone, so that all replicas agree.
+//! Application of entries to a rollout. It is deterministic, so that all replicas reach the same state.
 
 use crate::entry::{Crash, RolloutEntry, RolloutRejection, StageObservation};
 use crate::state::{Rollout, RolloutPhase};
 
-/// Crashes that are remembered.
+/// Maximum number of crashes kept of a stage.
 const MAX_CRASHES: usize = 64;
-/// Lines of [`Rollout::steps`] that are remembered.
+/// Maximum number of lines in [`Rollout::steps`].
 const MAX_STEPS: usize = 4 * MAX_CRASHES;
 
 impl Rollout {
-    /// Applies an entry, or rejects it and changes nothing.
+    /// Applies an entry. A rejected entry changes nothing.
     pub fn apply(&mut self, entry: RolloutEntry) -> Result<(), RolloutRejection> {
         self.check(&entry)?;
         if !matches!(entry, RolloutEntry::Heartbeat { .. }) {
@@ -28,7 +28,7 @@
                 self.changed.remove(&name);
                 self.released.insert(name);
             }
-            RolloutEntry::MarkReady { name, .. } => self.complete_move(name),
+            RolloutEntry::MarkReady { name, .. } => self.mark_ready(name),
             RolloutEntry::BeginAnalysis { .. } => self.begin_analysis(),
             RolloutEntry::Pass { reason, .. } => self.pass_stage(reason),
             RolloutEntry::Fail { reason, .. } => self.roll_back(reason),
@@ -51,7 +51,8 @@
         self.record(format!("{controller} steers"));
         self.fence = fence;
         self.controller = controller;
-        // The former controller's samples of the stage are lost: the analysis begins anew, with its own part of the error.
+        // The former controller's samples of the stage are lost, so a new analysis begins, with its own part of the error
+        // probability.
         if self.phase == RolloutPhase::Analysing {
             self.analyses = self.analyses.saturating_add(1);
         }
@@ -66,7 +67,7 @@
         }
     }
 
-    fn complete_move(&mut self, name: String) {
+    fn mark_ready(&mut self, name: String) {
         self.released.remove(&name);
         if self.phase != RolloutPhase::RollingBack {
             self.changed.insert(name);
@@ -102,13 +103,13 @@
         }
     }
 
-    /// Changes back all that changed or may have.
+    /// Begins to change back all front ends that changed or may have changed.
     fn roll_back(&mut self, reason: String) {
         self.record(format!("goes back: {reason}"));
         self.reason = reason;
-        // A released front end may be on either side: it is released again, to be brought back.
-        let moving = std::mem::take(&mut self.released);
-        self.changed.extend(moving);
+        // A released front end may already be changed, so it is changed back too.
+        let released = std::mem::take(&mut self.released);
+        self.changed.extend(released);
         self.phase = if self.changed.is_empty() {
             RolloutPhase::RolledBack
         } else {
@@ -117,7 +118,7 @@
         self.paused = false;
     }
 
-    /// Adds a line to the history for people.
+    /// Appends a line to [`Rollout::steps`] and drops the oldest if there are too many.
     fn record(&mut self, line: String) {
         self.steps.push(line);
         if self.steps.len() > MAX_STEPS {
--- a/decide/rollout/src/controller.rs
+++ b/decide/rollout/src/controller.rs
@@ -1,4 +1,4 @@
-//! The controller of a rollout: observes the replicated state and the front ends, and proposes the next entry.
+//! The controller of a rollout: observes the replicated state and the front ends and proposes the next entry.
 
 mod analysis;
 mod availability;
@@ -7,71 +7,72 @@
 use crate::plan::InconclusivePolicy;
 use crate::state::{Rollout, RolloutPhase};
 use crate::{Time, SECOND};
-use analysis::{RunningAnalysis, ValueLost};
+use analysis::{StageAnalysis, ValueLost};
 use availability::FleetView;
 use std::collections::BTreeMap;
 use tansy_canary::{FrontEndReport, Verdict};
 
 /// Time between two heartbeats of a controller.
 const HEARTBEAT_INTERVAL: Time = SECOND;
-/// A controller without a heartbeat for so long is replaced.
+/// Time without a heartbeat after which another controller takes over.
 const HEARTBEAT_TIMEOUT: Time = 4 * SECOND;
 
 /// A sample of a front end.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FrontEndObservation {
-    /// It answers, and may act.
+    /// Whether the front end holds a lease and a session.
     pub ready: bool,
-    /// What it counted. `report.is_canary`: it is on the new side.
+    /// Its counters; `report.is_canary` tells whether it has the change.
     pub report: FrontEndReport,
 }
 
-/// The last heartbeat that was seen, and since when it is the last one.
+/// The last heartbeat that was seen, and when it was first seen.
 #[derive(Clone, Copy, Debug)]
 struct LastHeartbeat {
     fence: u64,
     heartbeat: u64,
-    since: Time,
+    seen_at: Time,
 }
 
-/// Since when the analysis of this number lasts.
+/// When the analysis with this number began.
 #[derive(Clone, Copy, Debug)]
 struct AnalysisStart {
     number: u64,
-    since: Time,
+    began_at: Time,
 }
 
-/// A node that may control rollouts. Several may propose entries at once; those of the one that the log knows as the controller count.
+/// A node that may control rollouts. Several nodes may propose entries at the same time; only entries with the current fencing token
+/// are accepted.
 #[derive(Clone, Debug)]
 pub struct RolloutController {
     name: String,
-    analysis: Option<RunningAnalysis>,
-    /// The fence that this controller asked for; it controls the rollout once the log has it.
+    analysis: Option<StageAnalysis>,
+    /// The fencing token that this controller requested. It controls the rollout once [`Rollout::fence`] equals it.
     fence: Option<u64>,
-    /// When it asked for the fence.
+    /// When the fencing token was requested.
     requested_at: Time,
-    /// Since when it samples the fleet as it was before the change.
-    baseline_since: Option<Time>,
+    /// When this controller began to sample the unchanged fleet.
+    pre_change_since: Option<Time>,
     last_heartbeat: Option<LastHeartbeat>,
-    /// When each front end was released, as first seen here.
+    /// When this controller first saw each released front end.
     released: BTreeMap<String, Time>,
     analysis_start: Option<AnalysisStart>,
     next_sample: Time,
     next_heartbeat: Time,
     value_lost: ValueLost,
-    /// What the next heartbeat carries.
+    /// The observation to be sent with the next heartbeat.
     unsent: Option<StageObservation>,
 }
 
 impl RolloutController {
-    /// A controller of this name that has seen nothing.
+    /// Creates a controller with this name.
     pub fn new(name: String) -> RolloutController {
         RolloutController {
             name,
             analysis: None,
             fence: None,
             requested_at: Time::MIN,
-            baseline_since: None,
+            pre_change_since: None,
             last_heartbeat: None,
             released: BTreeMap::new(),
             analysis_start: None,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The next entry to propose, if any.
+    /// Returns the next entry to propose, if any.
     pub fn poll(
         &mut self,
         now: Time,
@@ -100,7 +101,7 @@
         self.observe(now, rollout, front_ends);
         let entry = match rollout.phase {
             RolloutPhase::Changing | RolloutPhase::RollingBack => {
-                self.move_front_ends(now, rollout, front_ends)
+                self.change_front_ends(now, rollout, front_ends)
             }
             RolloutPhase::Analysing => self.conclude(now, rollout),
             RolloutPhase::Completed | RolloutPhase::RolledBack => None,
@@ -108,7 +109,7 @@
         if entry.is_some() && (self.unsent.is_none() || rollout.phase != RolloutPhase::Analysing) {
             return entry;
         }
-        // The log is to have what a verdict rests on before the verdict itself.
+        // The observation that a verdict is based on enters the log before the verdict.
         let due = entry.is_some() || now >= self.next_heartbeat;
         due.then(|| self.heartbeat(now, rollout))
     }
@@ -121,14 +122,14 @@
             self.last_heartbeat = Some(LastHeartbeat {
                 fence: rollout.fence,
                 heartbeat: rollout.heartbeat,
-                since: now,
+                seen_at: now,
             });
         }
     }
 
-    /// Asks for control if no other controller is alive.
+    /// Requests control if no other controller is alive.
     fn try_take_control(&mut self, now: Time, rollout: &Rollout) -> Option<RolloutEntry> {
-        // A controller that was restarted under its old name has a new fence: its predecessor's samples are not its own.
+        // Another controller, perhaps of the same name, has taken over: this one's samples no longer count.
         if self.fence.is_some_and(|fence| fence < rollout.fence) {
             self.fence = None;
             self.analysis = None;
@@ -138,7 +139,7 @@
         let next_fence = rollout.fence + 1;
         let timed_out = self
             .last_heartbeat
-            .is_some_and(|last| now - last.since >= HEARTBEAT_TIMEOUT);
+            .is_some_and(|last| now - last.seen_at >= HEARTBEAT_TIMEOUT);
         let requested = self.fence == Some(next_fence)
             && now.saturating_sub(self.requested_at) < HEARTBEAT_INTERVAL;
         if requested || !(rollout.fence == 0 || timed_out) {
@@ -160,15 +161,15 @@
         }
     }
 
-    /// Gives the analysis what is new: the stage, crashes, and a sample of the front ends if one is due.
+    /// Feeds the analysis: the current stage, new crashes, and a sample of the front ends if one is due.
     fn observe(&mut self, now: Time, rollout: &Rollout, front_ends: &[FrontEndObservation]) {
         let analysing = rollout.phase == RolloutPhase::Analysing;
         let number = u64::from(rollout.analyses);
-        let running = self
+        let stage_analysis = self
             .analysis
-            .get_or_insert_with(|| RunningAnalysis::new(rollout));
+            .get_or_insert_with(|| StageAnalysis::new(rollout));
         if analysing {
-            running.set_number(rollout);
+            stage_analysis.begin_if_new(rollout);
         }
         if !analysing {
             self.analysis_start = None;
@@ -176,9 +177,12 @@
             .analysis_start
             .is_none_or(|start| start.number != number)
         {
-            self.analysis_start = Some(AnalysisStart { number, since: now });
+            self.analysis_start = Some(AnalysisStart {
+                number,
+                began_at: now,
+            });
         }
-        running.add_crashes(rollout);
+        stage_analysis.add_crashes(rollout);
         if now < self.next_sample {
             return;
         }
@@ -187,24 +191,24 @@
             .iter()
             .map(|front_end| front_end.report.clone())
             .collect();
-        running.analysis.observe(&reports, analysing);
+        stage_analysis.analysis.observe(&reports, analysing);
         if analysing {
             let elapsed = self
                 .analysis_start
-                .map_or(0, |start| ((now - start.since) / SECOND) as u64);
-            let measurements = running.analysis.measurements();
+                .map_or(0, |start| ((now - start.began_at) / SECOND) as u64);
+            let measurements = stage_analysis.analysis.measurements();
             self.value_lost = ValueLost::of(&reports, &measurements);
             self.unsent = Some(StageObservation {
                 stage: rollout.stage,
                 elapsed_seconds: elapsed,
                 measurements,
-                verdict: Some(running.analysis.verdict()),
+                verdict: Some(stage_analysis.analysis.verdict()),
             });
         }
     }
 
-    /// While front ends are moving: confirms or fails those that were released, then releases the next one.
-    fn move_front_ends(
+    /// While front ends are changed or changed back: completes or fails the released ones, then releases the next one.
+    fn change_front_ends(
         &mut self,
         now: Time,
         rollout: &Rollout,
@@ -220,8 +224,8 @@
         let revision = rollout.revision;
         let fence = rollout.fence;
         if let Some(name) = fleet.next_to_release() {
-            let allowed =
-                rollout.phase == RolloutPhase::RollingBack || self.has_baseline(now, rollout);
+            let allowed = rollout.phase == RolloutPhase::RollingBack
+                || self.has_pre_change_samples(now, rollout);
             let name = name.to_string();
             return allowed.then_some(RolloutEntry::Release {
                 revision,
@@ -233,20 +237,20 @@
         (complete && !rollout.paused).then_some(RolloutEntry::BeginAnalysis { revision, fence })
     }
 
-    /// The first released front end that is back, or is not back in time.
+    /// The entry for the first released front end that is ready again, or that is not ready in time.
     fn check_released(&mut self, now: Time, fleet: &FleetView<'_>) -> Option<RolloutEntry> {
         let rollout = fleet.rollout;
         let revision = rollout.revision;
         let fence = rollout.fence;
-        let forward = rollout.phase != RolloutPhase::RollingBack;
+        let changing = rollout.phase != RolloutPhase::RollingBack;
         self.released
             .retain(|name, _| rollout.released.contains(name));
         for name in &rollout.released {
             let since = *self.released.entry(name.clone()).or_insert(now);
-            let arrived = fleet
+            let is_ready = fleet
                 .front_end(name)
-                .is_some_and(|front_end| front_end.ready && front_end.report.is_canary == forward);
-            if arrived {
+                .is_some_and(|front_end| front_end.ready && front_end.report.is_canary == changing);
+            if is_ready {
                 let name = name.clone();
                 return Some(RolloutEntry::MarkReady {
                     revision,
@@ -254,7 +258,7 @@
                     name,
                 });
             }
-            if forward && now - since >= rollout.plan.ready_timeout_seconds as Time * SECOND {
+            if changing && now - since >= rollout.plan.ready_timeout_seconds as Time * SECOND {
                 let reason = format!(
                     "{name} was not ready {} s after it was let go",
                     rollout.plan.ready_timeout_seconds
@@ -269,19 +273,19 @@
         None
     }
 
-    /// Whether the fleet was sampled for long enough before the first front end is changed.
-    fn has_baseline(&mut self, now: Time, rollout: &Rollout) -> bool {
+    /// Whether the unchanged fleet was sampled for long enough to change the first front end.
+    fn has_pre_change_samples(&mut self, now: Time, rollout: &Rollout) -> bool {
         let unchanged =
             rollout.changed.is_empty() && rollout.released.is_empty() && rollout.stage == 0;
-        let since = *self.baseline_since.get_or_insert(now);
+        let since = *self.pre_change_since.get_or_insert(now);
         !unchanged || now - since >= rollout.plan.min_stage_seconds as Time * SECOND
     }
 
-    /// While a stage is analysed: the entry that ends the analysis, once there is a reason for one.
+    /// While a stage is analysed: the entry that ends the analysis or pauses the rollout, if it is time for one.
     fn conclude(&self, now: Time, rollout: &Rollout) -> Option<RolloutEntry> {
         let revision = rollout.revision;
         let fence = rollout.fence;
-        let since = self.analysis_start.map_or(now, |start| start.since);
+        let since = self.analysis_start.map_or(now, |start| start.began_at);
         let elapsed = (now - since) / SECOND;
         let verdict = self.analysis.as_ref()?.analysis.verdict();
         if let Verdict::Fail { reason } = verdict {
@@ -326,7 +330,7 @@
     }
 }
 
-/// The entry that the plan's policy asks for at the end of a stage without a verdict.
+/// The entry by which [`InconclusivePolicy`] ends a stage without a verdict.
 fn end_inconclusive(rollout: &Rollout, reason: String) -> RolloutEntry {
     let revision = rollout.revision;
     let fence = rollout.fence;
--- a/decide/rollout/src/controller/analysis.rs
+++ b/decide/rollout/src/controller/analysis.rs
@@ -1,40 +1,40 @@
-//! The analysis of a stage, as the controller feeds it.
+//! The controller's canary analysis of the current stage.
 
 use crate::state::Rollout;
 use tansy_canary::{
     AnalysisParameters, CanaryAnalysis, FrontEndReport, Measurement, UnplannedExit,
 };
 
-/// Crashes in a row that fail a stage.
+/// Consecutive crashes of one front end that fail a stage.
 const CRASH_LOOP: u32 = 3;
 
-/// The analysis in progress, and the value of [`Rollout::analyses`] that it belongs to.
+/// The canary analysis of a stage, numbered as by [`Rollout::analyses`].
 #[derive(Clone, Debug)]
-pub(super) struct RunningAnalysis {
+pub(super) struct StageAnalysis {
     number: u64,
     pub(super) analysis: CanaryAnalysis,
-    /// Crashes of the stage that it was given.
+    /// Number of the stage's crashes already given to the analysis.
     crashes_seen: usize,
 }
 
-/// How much of the value of all calls is lost to the change.
+/// The value of calls lost to the change, and the value of all calls.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ValueLost {
     lost: f64,
     total: f64,
 }
 
-impl RunningAnalysis {
-    pub(super) fn new(rollout: &Rollout) -> RunningAnalysis {
-        RunningAnalysis {
+impl StageAnalysis {
+    pub(super) fn new(rollout: &Rollout) -> StageAnalysis {
+        StageAnalysis {
             number: u64::from(rollout.analyses),
             analysis: CanaryAnalysis::new(analysis_parameters(rollout), stage_names(rollout)),
             crashes_seen: 0,
         }
     }
 
-    /// Goes on to the analysis of the present stage, if it is still that of an earlier one.
-    pub(super) fn set_number(&mut self, rollout: &Rollout) {
+    /// Begins a new analysis if the rollout has begun one since the last call.
+    pub(super) fn begin_if_new(&mut self, rollout: &Rollout) {
         let number = u64::from(rollout.analyses);
         if self.number != number {
             self.number = number;
@@ -77,8 +77,8 @@
     }
 }
 
-/// This analysis' part of the plan's probability of error. The parts are those of the series of inverse squares, so that they add up to
-/// the whole however many analyses are begun.
+/// The part of the plan's error probability that this analysis may use. The n-th analysis gets a share of 6/(π²n²): the shares of any
+/// number of analyses add up to at most 1.
 fn error_share(rollout: &Rollout) -> f64 {
     let number = f64::from(rollout.analyses.max(1));
     rollout.plan.error_probability * 6.0
@@ -86,12 +86,12 @@
 }
 
 impl ValueLost {
-    /// The value that the new side certainly lost, beside the value of all calls.
+    /// Estimates the loss at the lower end of its confidence interval, so that only a significant loss counts.
     pub(super) fn of(reports: &[FrontEndReport], measurements: &[Measurement]) -> ValueLost {
-        let wanted = |new_only: bool| -> f64 {
+        let value_requested = |canary_only: bool| -> f64 {
             reports
                 .iter()
-                .filter(|report| report.is_canary || !new_only)
+                .filter(|report| report.is_canary || !canary_only)
                 .flat_map(|report| report.classes.values())
                 .map(|counters| counters.value_requested)
                 .sum()
@@ -101,12 +101,12 @@
             .find(|measurement| measurement.metric == "service")
             .map_or(0.0, |service| (service.loss - service.half_width).max(0.0));
         ValueLost {
-            lost: share * wanted(true),
-            total: wanted(false),
+            lost: share * value_requested(true),
+            total: value_requested(false),
         }
     }
 
-    /// In words, if more than this share is lost.
+    /// The reason for a rollback if at least the share `allowed` is lost.
     pub(super) fn excess(&self, allowed: f64) -> Option<String> {
         let share = self.lost / self.total;
         (self.total > 0.0 && share >= allowed).then(|| {
--- a/decide/rollout/src/controller/availability.rs
+++ b/decide/rollout/src/controller/availability.rs
@@ -1,10 +1,10 @@
-//! Which front end may be released without making too many of its zone unavailable.
+//! Selection of the next front end to release, within the limit on unavailable front ends of a zone.
 
 use super::FrontEndObservation;
 use crate::plan::{RolloutChange, Target};
 use crate::state::{Rollout, RolloutPhase};
 
-/// A rollout beside the present samples of the front ends.
+/// A rollout and the latest samples of the front ends.
 pub(super) struct FleetView<'a> {
     pub(super) rollout: &'a Rollout,
     pub(super) front_ends: &'a [FrontEndObservation],
@@ -22,7 +22,7 @@
             .is_some_and(|front_end| front_end.ready)
     }
 
-    /// The first front end of the stage, or of those to be changed back, that may be released.
+    /// The first front end still to be changed, or changed back, that may be released.
     pub(super) fn next_to_release(&self) -> Option<&'a str> {
         let rollout = self.rollout;
         let candidates: Vec<&str> = match rollout.phase {
@@ -38,7 +38,8 @@
             .find(|name| rollout.may_release(name) && self.zone_allows(name))
     }
 
-    /// Whether the zone can spare this front end: besides released ones, those that are down count as unavailable.
+    /// Whether the front end's zone stays within the limit on unavailable front ends if it is released. Front ends that are down
+    /// without having been released count as unavailable too; one that is down itself may always be released.
     fn zone_allows(&self, name: &str) -> bool {
         let rollout = self.rollout;
         let Some(target) = rollout.plan.target(name) else {
@@ -56,7 +57,7 @@
         released + self.down_in_zone(target) < rollout.plan.max_unavailable
     }
 
-    /// Other front ends of the target's zone that are down without having been released.
+    /// Number of other front ends of the target's zone that are down without having been released.
     fn down_in_zone(&self, target: &Target) -> usize {
         let is_down = |other: &&Target| {
             other.zone == target.zone
--- a/decide/rollout/src/entry.rs
+++ b/decide/rollout/src/entry.rs
@@ -1,175 +1,176 @@
-//! The log entries that change a rollout, and the reasons for which one is rejected.
+//! The log entries that change a rollout, and the reasons for rejecting one.
 
 use crate::plan::{RolloutChange, RolloutPlan};
 use serde::{Deserialize, Serialize};
 use tansy_canary::{Measurement, Verdict};
 
-/// A process that ended without being asked to.
+/// A process that exited without having been asked to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
     /// The front end's name.
     pub name: String,
-    /// The process, as its supervisor numbers them.
+    /// The process id; 0 if the process could not be started.
     pub process: u64,
-    /// How it ended; equal texts are ends of the same kind.
+    /// How the process ended, such as `signal 6`. Crashes with equal texts count as the same kind.
     #[serde(rename = "sort")]
     pub kind: String,
-    /// Crashes in a row, this one included.
+    /// Consecutive crashes of the front end, including this one.
     #[serde(rename = "again")]
     pub consecutive: u32,
 }
 
-/// What the controller observes of a stage.
+/// What the controller has observed of a stage.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StageObservation {
-    /// The stage, from 0.
+    /// Index of the stage, from 0.
     pub stage: usize,
-    /// Seconds since the stage was complete.
+    /// Seconds since the stage's analysis began.
     #[serde(rename = "stood")]
     pub elapsed_seconds: u64,
-    /// The differences between the two sides.
+    /// Differences between changed and unchanged front ends.
     #[serde(rename = "measured")]
     pub measurements: Vec<Measurement>,
-    /// The verdict on them.
+    /// The verdict on the measurements.
     pub verdict: Option<Verdict>,
 }
 
-/// One agreed change of a rollout's state. `revision` is the one that the entry was made for, `fence` that of its controller.
+/// A replicated change of a rollout's state. `revision` is the rollout's revision that the entry was made for; `fence` is the fencing
+/// token of the controller that made it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RolloutEntry {
-    /// A rollout begins.
+    /// Begins a rollout.
     Begin {
-        /// Chosen by the operator: a repeated request with the same id is the same rollout.
+        /// Chosen by the operator. A repeated request with the same id refers to the same rollout.
         id: u64,
-        /// What changes.
+        /// What the rollout changes.
         #[serde(rename = "what")]
         change: RolloutChange,
-        /// How it is to proceed.
+        /// Stages and limits.
         plan: RolloutPlan,
         /// The operator's reason.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// A controller takes over.
+    /// A controller takes control.
     #[serde(rename = "Steer")]
     TakeControl {
-        /// The successor of the present fence.
+        /// The current fencing token plus one.
         fence: u64,
         /// The controller's name.
         #[serde(rename = "who")]
         controller: String,
     },
-    /// The controller is alive.
+    /// Shows that the controller is alive.
     #[serde(rename = "Beat")]
     Heartbeat {
-        /// The controller's fence.
+        /// The controller's fencing token.
         fence: u64,
-        /// What it observes, if that has changed since its last heartbeat.
+        /// What the controller has observed since its last heartbeat, if anything.
         #[serde(rename = "seen")]
         observation: Option<Box<StageObservation>>,
     },
-    /// This front end is released: it may be changed now, and be unavailable while that lasts.
+    /// Allows this front end to be changed (or changed back) now, and to be unavailable meanwhile.
     #[serde(rename = "Let")]
     Release {
-        /// The revision.
+        /// The rollout's revision.
         #[serde(rename = "at")]
         revision: u64,
-        /// The controller's fence.
+        /// The controller's fencing token.
         fence: u64,
-        /// The front end.
+        /// Name of the front end.
         name: String,
     },
-    /// The front end is ready on the side where it should be.
+    /// Records that a released front end is ready with its assigned program or settings.
     #[serde(rename = "Moved")]
     MarkReady {
-        /// The revision.
+        /// The rollout's revision.
         #[serde(rename = "at")]
         revision: u64,
-        /// The controller's fence.
+        /// The controller's fencing token.
         fence: u64,
-        /// The front end.
+        /// Name of the front end.
         name: String,
     },
-    /// All front ends of the stage are changed: its analysis begins.
+    /// Begins the stage's analysis, once all its front ends are changed.
     #[serde(rename = "Judge")]
     BeginAnalysis {
-        /// The revision.
+        /// The rollout's revision.
         #[serde(rename = "at")]
         revision: u64,
-        /// The controller's fence.
+        /// The controller's fencing token.
         fence: u64,
     },
-    /// The stage has passed.
+    /// Passes the stage: the next one begins, or the rollout is complete.
     Pass {
-        /// The revision.
+        /// The rollout's revision.
         #[serde(rename = "at")]
         revision: u64,
-        /// The controller's fence.
+        /// The controller's fencing token.
         fence: u64,
-        /// The reason, in words.
+        /// The reason, for operators.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// The new side does worse: the change is rolled back.
+    /// Fails the stage: the change is rolled back.
     #[serde(rename = "Worse")]
     Fail {
-        /// The revision.
+        /// The rollout's revision.
         #[serde(rename = "at")]
         revision: u64,
-        /// The controller's fence.
+        /// The controller's fencing token.
         fence: u64,
-        /// The reason, in words.
+        /// The reason, for operators.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// A process crashed, as reported by its supervisor.
+    /// Records a crash that a supervisor reported.
     #[serde(rename = "Fell")]
     Crashed(Crash),
-    /// No further front end is changed until [`RolloutEntry::Resume`]. A rollback is not paused.
+    /// Changes no further front end until [`RolloutEntry::Resume`]. A rollback continues despite a pause.
     Pause {
-        /// The rollout.
+        /// Id of the rollout.
         id: u64,
-        /// The reason, in words.
+        /// The reason, for operators.
         #[serde(rename = "why")]
         reason: String,
     },
     /// Ends a pause.
     Resume {
-        /// The rollout.
+        /// Id of the rollout.
         id: u64,
     },
-    /// The change is rolled back.
+    /// Rolls the change back at an operator's request.
     Abort {
-        /// The rollout.
+        /// Id of the rollout.
         id: u64,
-        /// The reason, in words.
+        /// The reason, for operators.
         #[serde(rename = "why")]
         reason: String,
     },
 }
 
-/// Why an entry changed nothing.
+/// Why an entry was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RolloutRejection {
     /// Another rollout is in progress.
-    #[error("another rollout is in progress: wait for its end, or abort it first")]
+    #[error("another rollout is in progress; wait until it ends, or abort it")]
     Busy,
-    /// A rollout of this id was begun before.
-    #[error("this rollout was begun before")]
+    /// A rollout with this id was already begun.
+    #[error("a rollout with this id was already begun")]
     AlreadyBegun,
     /// The plan is invalid.
-    #[error("the plan: {0}")]
+    #[error("invalid plan: {0}")]
     Plan(String),
-    /// There is no such rollout, or it has ended.
+    /// No such rollout exists, or it has ended.
     #[error("no such rollout is in progress")]
     Ended,
     /// The entry was made for an older revision.
-    #[error("the rollout is past that revision")]
+    #[error("the rollout has changed since this entry was made")]
     StaleRevision,
     /// Another controller has taken over.
     #[error("another controller has taken over the rollout")]
     Fenced,
-    /// The present phase doesn't allow it: too many front ends are unavailable, or this one is where it should be.
-    #[error("not allowed in this phase of the rollout")]
+    /// The rollout's current state does not allow the entry, for instance because too many front ends are unavailable.
+    #[error("the current state of the rollout does not allow this")]
     NotAllowed,
 }
--- a/decide/rollout/src/lib.rs
+++ b/decide/rollout/src/lib.rs
@@ -1,14 +1,15 @@
-//! Staged rollouts: a change of the program or of the settings over a whole fleet, with the old and the new side running beside
-//! each other until the change is complete or rolled back.
+//! Staged rollouts: change the program or the settings of a fleet stage by stage. Changed and unchanged front ends run side by side
+//! until all are changed or the change is rolled back.
 //!
-//! - [`Rollout`] is the replicated state. It changes only by [`RolloutEntry`]s of the fleet's log, each made for one revision of the
-//!   state. Any node can therefore carry a rollout on, and an entry that was made for an older revision changes nothing.
+//! - [`Rollout`] is the replicated state. Only a [`RolloutEntry`] of the fleet's log changes it. The controller's entries name the
+//!   revision that they were made for and are rejected at any other, so that any node can continue a rollout.
 //! - [`RolloutController`] observes the rollout and the front ends, and proposes the next entry. It may fail at any moment: another
-//!   controller takes over with a larger fence, after which entries of the former one are rejected.
-//! - [`Supervisor`] decides for the processes of one machine: one process for each name, of the program that the rollout assigns.
+//!   controller then takes over with the next fencing token (`fence`), and entries of the former one are rejected.
+//! - [`Supervisor`] decides which processes one machine runs: at most one for each of its front ends, of the program that the rollout
+//!   assigns to that front end.
 //!
-//! The crate has no clocks, sockets or processes of its own. Times are microseconds of one monotonic clock of the caller. Whether a
-//! stage does worse than the rest of the fleet is decided by `tansy_canary`, not here.
+//! The crate performs no I/O, starts no processes and reads no clock: the caller passes the time in. Whether changed front ends do
+//! worse than unchanged ones is decided by `tansy_canary`.
 //!
 //! ```
 //! use tansy_rollout::{Rollout, RolloutChange, RolloutEntry, RolloutPhase, RolloutPlan, Target};
@@ -39,7 +40,7 @@
     DesiredProcess, ProcessExit, ProcessId, Supervisor, SupervisorCommand, SupervisorLimits,
 };
 
-/// Microseconds of the caller's monotonic clock.
+/// Microseconds on the caller's monotonic clock.
 pub type Time = i64;
 /// One second in [`Time`].
 pub const SECOND: Time = 1_000_000;
--- a/decide/rollout/src/plan.rs
+++ b/decide/rollout/src/plan.rs
@@ -1,60 +1,60 @@
-//! What a rollout changes, and how it is to proceed.
+//! The plan of a rollout: what it changes, in which stages and within which limits.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Front ends that a plan may contain.
+/// Maximum number of front ends in a plan.
 const MAX_TARGETS: usize = 10_000;
 
-/// A front end of a plan.
+/// A front end that a plan changes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Target {
-    /// Its name.
+    /// Name of the front end.
     pub name: String,
-    /// Its zone.
+    /// Zone of the front end.
     pub zone: String,
-    /// Whether it is a voter of the agreed log.
+    /// Whether the front end is a voter of the replicated log.
     #[serde(rename = "seat")]
     pub is_voter: bool,
 }
 
-/// What happens to a stage that has neither passed nor failed at the end of its longest time.
+/// What happens to a stage that has neither passed nor failed after [`RolloutPlan::max_stage_seconds`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InconclusivePolicy {
-    /// The rollout is paused until an operator decides.
+    /// Pauses the rollout until an operator decides.
     Hold,
-    /// The change is rolled back.
+    /// Rolls the change back.
     #[serde(rename = "back")]
     RollBack,
-    /// The stage passes.
+    /// Passes the stage.
     Pass,
 }
 
-/// How a rollout is to proceed.
+/// Stages and limits of a rollout.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutPlan {
-    /// The stages, each with the front ends that it adds.
+    /// The stages, each with the front ends that it changes.
     pub stages: Vec<Vec<Target>>,
-    /// Front ends of one zone that may be unavailable at the same time.
+    /// Maximum number of front ends of one zone that may be unavailable at a time.
     #[serde(rename = "at_once")]
     pub max_unavailable: usize,
-    /// Seconds that a stage lasts at least.
+    /// Minimum duration of a stage's analysis, and of sampling before the first change, in seconds.
     #[serde(rename = "least")]
     pub min_stage_seconds: u64,
-    /// Seconds that a stage lasts at most.
+    /// Maximum duration of a stage's analysis, in seconds; see [`RolloutPlan::inconclusive`].
     #[serde(rename = "longest")]
     pub max_stage_seconds: u64,
-    /// Seconds within which a released front end has to be back and ready.
+    /// Seconds within which a released front end has to be changed and ready.
     #[serde(rename = "ready")]
     pub ready_timeout_seconds: u64,
-    /// Seconds between two samples that are compared.
+    /// Seconds between two samples of the front ends.
     #[serde(rename = "slice")]
     pub sample_seconds: u64,
-    /// Share of the value of all calls that may be lost to the change before it is rolled back regardless of the evidence.
+    /// Share of the value of all calls that may be lost to the change before it is rolled back whatever the verdict.
     #[serde(rename = "spend")]
     pub max_value_lost: f64,
-    /// See `tansy_canary::AnalysisParameters::error`.
+    /// See `tansy_canary::AnalysisParameters::error_probability`; shared by all analyses of the rollout.
     #[serde(rename = "error")]
     pub error_probability: f64,
     /// See `tansy_canary::AnalysisParameters::relevant_loss`.
@@ -63,13 +63,13 @@
     /// See `tansy_canary::AnalysisParameters::tolerated_loss`.
     #[serde(rename = "accept")]
     pub tolerated_loss: f64,
-    /// See `tansy_canary::AnalysisParameters::warm_up`.
+    /// See `tansy_canary::AnalysisParameters::warm_up_seconds`.
     #[serde(rename = "warm_up")]
     pub warm_up_seconds: u64,
-    /// Megabytes that a front end may use.
+    /// Memory that a front end may use, in megabytes.
     #[serde(rename = "memory")]
     pub memory_limit_mb: u64,
-    /// What happens to a stage without a verdict.
+    /// What happens to a stage without a verdict after its maximum duration.
     #[serde(rename = "undecided")]
     pub inconclusive: InconclusivePolicy,
 }
@@ -95,21 +95,21 @@
 }
 
 impl RolloutPlan {
-    /// The first fault of the plan, in words for the operator; `None` if the plan is valid.
+    /// Why the plan is invalid, for operators; `None` if it is valid.
     pub fn validation_error(&self) -> Option<String> {
-        self.stages_fault().or_else(|| self.limits_fault())
+        self.stages_error().or_else(|| self.limits_error())
     }
 
-    fn stages_fault(&self) -> Option<String> {
+    fn stages_error(&self) -> Option<String> {
         let names: Vec<&String> = self.targets().map(|target| &target.name).collect();
         let distinct: BTreeSet<&String> = names.iter().copied().collect();
         if names.is_empty() || self.stages.iter().any(Vec::is_empty) {
-            Some("a stage without front ends: want one name or more in each stage".into())
+            Some("a stage has no front ends; each stage needs at least one".into())
         } else if distinct.len() != names.len() {
-            Some("a front end stands in the plan twice: want each name once".into())
+            Some("a front end is listed more than once".into())
         } else if names.len() > MAX_TARGETS {
             Some(format!(
-                "{} front ends: want {MAX_TARGETS} at most",
+                "{} front ends exceed the maximum of {MAX_TARGETS}",
                 names.len()
             ))
         } else {
@@ -117,7 +117,7 @@
         }
     }
 
-    fn limits_fault(&self) -> Option<String> {
+    fn limits_error(&self) -> Option<String> {
         let is_share = |value: f64| value > 0.0 && value < 1.0;
         let shares = [
             self.max_value_lost,
@@ -126,19 +126,17 @@
             self.tolerated_loss,
         ];
         if self.max_unavailable == 0 {
-            Some(
-                "at_once is 0: want 1 or more front ends of a zone that may be away at once".into(),
-            )
+            Some("at_once must be at least 1".into())
         } else if self.sample_seconds == 0
             || self.max_stage_seconds < self.min_stage_seconds
             || self.ready_timeout_seconds == 0
         {
             Some(
-                "times: want a slice and a ready of 1 s or more, and a longest of no less than the least"
+                "slice and ready must be at least 1 s, and longest must not be less than least"
                     .into(),
             )
         } else if !shares.into_iter().all(is_share) {
-            Some("shares: want spend, error, matters and accept over 0 and under 1".into())
+            Some("spend, error, matters and accept must be greater than 0 and less than 1".into())
         } else {
             None
         }
@@ -149,12 +147,12 @@
         self.stages.iter().flatten()
     }
 
-    /// The front end of this name.
+    /// The front end with this name.
     pub fn target(&self, name: &str) -> Option<&Target> {
         self.targets().find(|target| target.name == name)
     }
 
-    /// The front ends of all stages up to and including this one.
+    /// The front ends of all stages through this one.
     pub fn targets_through(&self, stage: usize) -> impl Iterator<Item = &Target> {
         self.stages.iter().take(stage + 1).flatten()
     }
@@ -166,9 +164,9 @@
 pub enum RolloutChange {
     /// The program.
     Program {
-        /// Identifies the program, such as its digest; a process reports the label that it was started with.
+        /// Identifies the program, for instance by its digest. A process reports the label that it was started with.
         label: String,
-        /// Where supervisors find it.
+        /// Path of the program on each machine.
         path: String,
     },
     /// The settings.
--- a/decide/rollout/src/state.rs
+++ b/decide/rollout/src/state.rs
@@ -9,82 +9,82 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutPhase {
-    /// The stage's front ends are being changed.
+    /// Front ends of the current stage are being changed.
     #[serde(rename = "moving")]
     Changing,
-    /// All front ends of the stage are changed, and the stage is analysed.
+    /// All front ends of the stage are changed and compared with the unchanged ones.
     #[serde(rename = "judging")]
     Analysing,
-    /// All that changed are being changed back.
+    /// Changed front ends are being changed back.
     #[serde(rename = "back")]
     RollingBack,
-    /// Ended: all are changed.
+    /// Ended with all front ends changed.
     #[serde(rename = "done")]
     Completed,
-    /// Ended: all are as they were.
+    /// Ended with all front ends unchanged.
     #[serde(rename = "stopped")]
     RolledBack,
 }
 
-/// A rollout, as far as it is agreed on.
+/// The replicated state of a rollout.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// Chosen by the operator.
+    /// Id, chosen by the operator.
     pub id: u64,
-    /// The revision: increases with each entry but heartbeats.
+    /// Increases with every applied entry except heartbeats.
     #[serde(rename = "at")]
     pub revision: u64,
-    /// What changes.
+    /// What the rollout changes.
     #[serde(rename = "what")]
     pub change: RolloutChange,
-    /// How it is to proceed.
+    /// Stages and limits.
     pub plan: RolloutPlan,
-    /// The present phase.
+    /// Current phase.
     pub phase: RolloutPhase,
-    /// The stage, from 0.
+    /// Index of the current stage, from 0.
     pub stage: usize,
-    /// No further front end is changed.
+    /// Whether the rollout is paused: no further front end is changed, and no stage passes.
     pub paused: bool,
-    /// The controller's fence; 0 before there was any controller.
+    /// Fencing token of the controller; 0 before the first controller.
     pub fence: u64,
-    /// The controller's name.
+    /// Name of the controller.
     #[serde(rename = "steerer")]
     pub controller: String,
-    /// Increases with each heartbeat of the controller.
+    /// Number of controller heartbeats so far.
     #[serde(rename = "beat")]
     pub heartbeat: u64,
-    /// Front ends that are released: they may be unavailable.
+    /// Front ends that are allowed to be changed or changed back now, and may be unavailable meanwhile.
     #[serde(rename = "moving")]
     pub released: BTreeSet<String>,
-    /// Front ends that are changed and not released to be changed back.
+    /// Front ends that are changed, except those released to be changed back.
     #[serde(rename = "moved")]
     pub changed: BTreeSet<String>,
-    /// Analyses that were begun; each may use a part of the plan's probability of error.
+    /// Number of analyses begun so far. Each uses a part of the plan's error probability.
     #[serde(rename = "judged")]
     pub analyses: u32,
-    /// Crashes in this stage.
+    /// Crashes during the current stage.
     #[serde(rename = "fallen")]
     pub crashes: Vec<Crash>,
-    /// The reason for the present state.
+    /// Reason for the current state.
     #[serde(rename = "why")]
     pub reason: String,
-    /// What happened, in words, the latest last.
+    /// History for operators, oldest first.
     pub steps: Vec<String>,
-    /// The last observation of each stage.
+    /// The last observation of each stage that has one.
     #[serde(rename = "seen")]
     pub observations: Vec<StageObservation>,
 }
 
 impl Rollout {
-    /// A rollout at its first revision, without a controller.
+    /// Creates a rollout at its first revision, without a controller.
     pub fn begin(
         id: u64,
         change: RolloutChange,
         plan: RolloutPlan,
         reason: String,
     ) -> Result<Rollout, RolloutRejection> {
-        if let Some(fault) = plan.validation_error() {
-            return Err(RolloutRejection::Plan(fault));
+        if let Some(error) = plan.validation_error() {
+            return Err(RolloutRejection::Plan(error));
         }
         let steps = vec![format!("begun: {reason}")];
         Ok(Rollout {
@@ -108,7 +108,7 @@
         })
     }
 
-    /// Whether it has ended.
+    /// Whether the rollout has ended, completed or rolled back.
     pub fn has_ended(&self) -> bool {
         matches!(
             self.phase,
@@ -116,12 +116,12 @@
         )
     }
 
-    /// Whether this front end is to be on the new side.
+    /// Whether this front end is to have the change in the current phase.
     pub fn should_be_changed(&self, name: &str) -> bool {
         match self.phase {
             RolloutPhase::Completed => true,
             RolloutPhase::RolledBack => false,
-            // One that is released to be changed back is no longer in `changed`.
+            // A front end that is released to be changed back is no longer in `changed`.
             RolloutPhase::RollingBack => self.changed.contains(name),
             RolloutPhase::Changing | RolloutPhase::Analysing => {
                 self.changed.contains(name) || self.released.contains(name)
@@ -129,16 +129,17 @@
         }
     }
 
-    /// Whether this front end may be released now.
+    /// Whether this front end may be released now: the phase calls for it, its zone has fewer released front ends than
+    /// [`RolloutPlan::max_unavailable`], and no other voter is released if it is a voter.
     pub fn may_release(&self, name: &str) -> bool {
         let Some(target) = self.plan.target(name) else {
             return false;
         };
-        if !self.is_to_move(name) || self.released.contains(name) {
+        if !self.needs_release(name) || self.released.contains(name) {
             return false;
         }
         if self.change == RolloutChange::Settings {
-            // New settings make no front end unavailable.
+            // Applying settings does not make a front end unavailable.
             return true;
         }
         let unavailable = || {
@@ -153,8 +154,8 @@
         in_zone < self.plan.max_unavailable && voters_allow
     }
 
-    /// Whether the phase asks for this front end to change sides.
-    fn is_to_move(&self, name: &str) -> bool {
+    /// Whether the current phase has this front end changed or changed back.
+    fn needs_release(&self, name: &str) -> bool {
         match self.phase {
             RolloutPhase::Changing => {
                 !self.paused
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Whether all front ends up to the present stage are changed.
+    /// Whether all front ends of the stages so far are changed.
     pub fn stage_is_complete(&self) -> bool {
         self.released.is_empty()
             && self
--- a/decide/rollout/src/supervisor.rs
+++ b/decide/rollout/src/supervisor.rs
@@ -1,6 +1,6 @@
-//! The process supervisor of one machine: at most one process for each of its front ends.
+//! The process supervisor of one machine: keeps at most one process for each of its front ends.
 //!
-//! A process is asked to end only while the rollout releases its front end, and only by an assignment no older than
+//! A process is replaced only while the rollout releases its front end, and only by an assignment no older than
 //! [`SupervisorLimits::assignment_validity`]: a supervisor that was suspended has to read the rollout again before it acts. A process
 //! that crashes is restarted after an exponentially growing delay, with the program that is assigned by then.
 
@@ -10,23 +10,26 @@
 use process::{ManagedProcess, ProcessState};
 use std::collections::BTreeMap;
 
-/// The operating system's number of a process.
+/// Doublings of the restart delay after which it no longer grows, to keep the shift from overflowing.
+const MAX_DOUBLINGS: u32 = 20;
+
+/// Process id of the operating system.
 pub type ProcessId = u32;
 
-/// Limits on how long things may take.
+/// Timeouts and restart delays of a supervisor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SupervisorLimits {
-    /// From the start to ready; a process that takes longer is killed and started again.
+    /// Time from a process' start until it is ready; after that it is killed and restarted.
     pub start_timeout: Time,
-    /// From the request to end to the end; a process that takes longer is killed.
+    /// Time from SIGTERM until the process exits; after that it is killed.
     pub drain_timeout: Time,
-    /// The delay of the restart after a first crash.
+    /// Restart delay after the first crash.
     pub first_restart_delay: Time,
-    /// The longest delay of a restart.
+    /// Maximum restart delay.
     pub max_restart_delay: Time,
-    /// A process that was ready for so long counts as stable: the delay after its crash is the first one again.
+    /// Time ready after which a process is stable: the restart delay after its next crash is the first one again.
     pub stable_after: Time,
-    /// How long an assignment is valid, counted from before the rollout was asked for it.
+    /// How long an assignment is valid, counted from the request for it.
     pub assignment_validity: Time,
 }
 
@@ -44,9 +47,9 @@
 }
 
 impl SupervisorLimits {
-    /// The delay of the restart after so many crashes in a row.
+    /// The restart delay after this many consecutive crashes.
     fn restart_delay(&self, crashes: u32) -> Time {
-        let doublings = crashes.saturating_sub(1).min(20);
+        let doublings = crashes.saturating_sub(1).min(MAX_DOUBLINGS);
         let doubled = self.first_restart_delay.saturating_mul(1 << doublings);
         doubled.min(self.max_restart_delay)
     }
@@ -57,46 +60,46 @@
 pub struct DesiredProcess {
     /// The label of the program to run.
     pub label: String,
-    /// A process of another program may be asked to end now.
+    /// Whether a process of another program may be terminated now.
     pub may_replace: bool,
 }
 
-/// How a process ended.
+/// How a process exited.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProcessExit {
-    /// In words; equal texts are ends of the same kind.
+    /// How it exited, such as `exit code 7`. Equal texts are exits of the same kind.
     pub kind: String,
 }
 
-/// What the caller is to do.
+/// A command for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SupervisorCommand {
     /// Start a process, then call [`Supervisor::on_started`] or [`Supervisor::on_start_failed`].
     Start {
-        /// The front end.
+        /// Name of the front end.
         name: String,
-        /// The label of the program.
+        /// Label of the program.
         label: String,
     },
-    /// Ask a process to end (SIGTERM).
+    /// Ask a process to exit (SIGTERM).
     Terminate {
-        /// The process.
+        /// The process id.
         pid: ProcessId,
     },
-    /// End a process at once (SIGKILL).
+    /// Kill a process (SIGKILL).
     Kill {
-        /// The process.
+        /// The process id.
         pid: ProcessId,
     },
     /// Report a crash to the rollout.
     ReportCrash {
-        /// The front end.
+        /// Name of the front end.
         name: String,
-        /// The process; 0 if it could not be started.
+        /// The process id; 0 if the process could not be started.
         pid: ProcessId,
-        /// How it ended.
+        /// How the process exited, or why it was not started.
         kind: String,
-        /// Crashes in a row, this one included.
+        /// Consecutive crashes of the front end, including this one.
         consecutive: u32,
     },
 }
@@ -110,7 +113,7 @@
 }
 
 impl Supervisor {
-    /// A supervisor of these front ends, none of which has a known process, each to run this program until another is assigned.
+    /// Creates a supervisor of these front ends without processes. Each runs the program `label` until another one is assigned.
     pub fn new(
         limits: SupervisorLimits,
         names: impl IntoIterator<Item = String>,
@@ -138,21 +141,21 @@
         }
     }
 
-    /// Takes over a running process of an earlier supervisor.
+    /// Takes over a process that an earlier supervisor started, and counts it as ready.
     pub fn adopt(&mut self, now: Time, name: &str, pid: ProcessId, label: String) {
         self.set_running(now, name, pid, label, Some(now));
     }
 
-    /// Sets what the rollout assigns to a front end, as answered to a question asked at this time.
-    pub fn set_desired(&mut self, asked: Time, name: &str, desired: DesiredProcess) {
+    /// Sets what the rollout assigns to a front end. An answer to a request older than the last one is ignored.
+    pub fn set_desired(&mut self, requested_at: Time, name: &str, desired: DesiredProcess) {
         let process = self.processes.get_mut(name);
-        if let Some(process) = process.filter(|process| asked >= process.desired_at) {
+        if let Some(process) = process.filter(|process| requested_at >= process.desired_at) {
             process.desired = desired;
-            process.desired_at = asked;
+            process.desired_at = requested_at;
         }
     }
 
-    /// A process was started.
+    /// Records that a process was started.
     pub fn on_started(&mut self, now: Time, name: &str, pid: ProcessId, label: String) {
         self.set_running(now, name, pid, label, None);
     }
@@ -175,7 +178,7 @@
         }
     }
 
-    /// A process could not be started.
+    /// Records that a process could not be started, which counts as a crash.
     pub fn on_start_failed(
         &mut self,
         now: Time,
@@ -188,7 +191,7 @@
         }
     }
 
-    /// A process is ready.
+    /// Records that a front end's process is ready.
     pub fn on_ready(&mut self, now: Time, name: &str) {
         let state = self
             .processes
@@ -199,7 +202,7 @@
         }
     }
 
-    /// A process has ended.
+    /// Handles the exit of a process. One that was not to be terminated counts as a crash.
     pub fn on_exit(
         &mut self,
         now: Time,
@@ -211,7 +214,7 @@
         for (name, process) in &mut self.processes {
             match process.state {
                 ProcessState::Ending { pid, planned, .. } if pid == exited => {
-                    // One that was not ready in time is started again ever more slowly.
+                    // A process that was killed because it was not ready in time is restarted with the delay of a crash.
                     let delay = match planned {
                         true => 0,
                         false => limits.restart_delay(process.crashes),
@@ -231,7 +234,7 @@
         }
     }
 
-    /// Ends all processes and starts none from now on.
+    /// Terminates all processes and starts none from now on.
     pub fn shut_down(&mut self, now: Time, commands: &mut Vec<SupervisorCommand>) {
         self.shutting_down = true;
         for process in self.processes.values_mut() {
@@ -241,14 +244,14 @@
         }
     }
 
-    /// Whether no process is left.
+    /// Whether no process runs.
     pub fn is_finished(&self) -> bool {
         self.processes
             .values()
             .all(|process| matches!(process.state, ProcessState::Absent { .. }))
     }
 
-    /// The process of a front end, and the label of its program unless it is ending.
+    /// The process of a front end, and the label of its program unless it is being terminated.
     pub fn process(&self, name: &str) -> Option<(ProcessId, Option<&str>)> {
         match &self.processes.get(name)?.state {
             ProcessState::Running { pid, label, .. } => Some((*pid, Some(label))),
@@ -257,14 +260,14 @@
         }
     }
 
-    /// Does what is due at this time.
+    /// Issues the commands that are due.
     pub fn tick(&mut self, now: Time, commands: &mut Vec<SupervisorCommand>) {
         for (name, process) in &mut self.processes {
             process.tick(now, &self.limits, name, self.shutting_down, commands);
         }
     }
 
-    /// When [`Supervisor::tick`] has something to do, unless an event comes first.
+    /// When [`Supervisor::tick`] next has something to do, if nothing else happens before.
     pub fn next_deadline(&self) -> Time {
         let deadline = |process: &ManagedProcess| match &process.state {
             ProcessState::Absent { start_from } if !self.shutting_down => *start_from,
--- a/decide/rollout/src/supervisor/process.rs
+++ b/decide/rollout/src/supervisor/process.rs
@@ -6,22 +6,25 @@
 /// The process of one front end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ProcessState {
-    /// There is none; the next may be started from this time on.
+    /// No process; one may be started from this time on.
     Absent { start_from: Time },
-    /// A start was commanded; the process is not known yet.
+    /// [`SupervisorCommand::Start`] was issued; the process id is not known yet.
     Starting,
     Running {
         pid: ProcessId,
         label: String,
+        /// When it was started, or adopted.
         since: Time,
+        /// When it became ready.
         ready: Option<Time>,
     },
-    /// It was asked to end, or killed.
+    /// It was sent SIGTERM or SIGKILL and has not exited yet.
     Ending {
         pid: ProcessId,
         deadline: Time,
         killed: bool,
-        /// It ends as planned: the next one is started without a delay.
+        /// Whether it is being replaced or shut down, rather than killed for not being ready in time; its successor starts without
+        /// delay.
         planned: bool,
     },
 }
@@ -30,9 +33,9 @@
 pub(super) struct ManagedProcess {
     pub(super) state: ProcessState,
     pub(super) desired: DesiredProcess,
-    /// When the rollout was asked for `desired`.
+    /// When `desired` was requested.
     pub(super) desired_at: Time,
-    /// Crashes in a row.
+    /// Consecutive crashes.
     pub(super) crashes: u32,
 }
 
@@ -49,7 +52,9 @@
             ProcessState::Absent { start_from } if now >= *start_from && !shutting_down => {
                 commands.push(self.start(name));
             }
-            ProcessState::Running { pid, label, .. } if self.is_to_replace(now, limits, label) => {
+            ProcessState::Running { pid, label, .. }
+                if self.needs_replacement(now, limits, label) =>
+            {
                 commands.push(self.terminate(*pid, now + limits.drain_timeout));
             }
             ProcessState::Running {
@@ -70,8 +75,8 @@
         }
     }
 
-    /// Whether the process is to be replaced by one of the desired program, by an assignment that is still valid.
-    fn is_to_replace(&self, now: Time, limits: &SupervisorLimits, label: &str) -> bool {
+    /// Whether a valid assignment has the process replaced by one of another program.
+    fn needs_replacement(&self, now: Time, limits: &SupervisorLimits, label: &str) -> bool {
         let valid = now.saturating_sub(self.desired_at) <= limits.assignment_validity;
         label != self.desired.label && self.desired.may_replace && valid
     }
@@ -114,7 +119,7 @@
         ]
     }
 
-    /// The process ended without being asked to.
+    /// Handles an exit without a request, or a failed start.
     pub(super) fn on_crash(
         &mut self,
         now: Time,
--- a/decide/rollout/src/validate.rs
+++ b/decide/rollout/src/validate.rs
@@ -1,23 +1,23 @@
-//! Whether an entry may be applied to a rollout.
+//! Validation of entries against the state of a rollout.
 
 use crate::entry::{RolloutEntry, RolloutRejection};
 use crate::state::{Rollout, RolloutPhase};
 
 impl Rollout {
-    /// Whether the entry would be applied, and if not, why.
+    /// Whether [`Rollout::apply`] would accept the entry.
     pub fn check(&self, entry: &RolloutEntry) -> Result<(), RolloutRejection> {
         if let RolloutEntry::Begin { plan, .. } = entry {
             require(self.has_ended(), RolloutRejection::Busy)?;
             return plan
                 .validation_error()
-                .map_or(Ok(()), |fault| Err(RolloutRejection::Plan(fault)));
+                .map_or(Ok(()), |error| Err(RolloutRejection::Plan(error)));
         }
         require(!self.has_ended(), RolloutRejection::Ended)?;
         self.check_origin(entry)?;
         require(self.allows(entry), RolloutRejection::NotAllowed)
     }
 
-    /// Whether the entry comes from the present controller at the present revision, or names this rollout.
+    /// Rejects entries of a former controller, for an earlier revision, or for another rollout.
     fn check_origin(&self, entry: &RolloutEntry) -> Result<(), RolloutRejection> {
         match entry {
             RolloutEntry::Begin { .. } | RolloutEntry::Crashed(_) => Ok(()),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Whether the present phase allows the entry.
+    /// Whether the current state allows the entry.
     fn allows(&self, entry: &RolloutEntry) -> bool {
         match entry {
             RolloutEntry::Begin { .. }
@@ -73,10 +73,10 @@
     }
 }
 
-fn require(holds: bool, otherwise: RolloutRejection) -> Result<(), RolloutRejection> {
-    if holds {
+fn require(condition: bool, rejection: RolloutRejection) -> Result<(), RolloutRejection> {
+    if condition {
         Ok(())
     } else {
-        Err(otherwise)
+        Err(rejection)
     }
 }
--- a/decide/rollout/tests/crash.rs
+++ b/decide/rollout/tests/crash.rs
@@ -1,6 +1,6 @@
-//! Rollouts during which each supervisor, and with it its controller, is killed or suspended at every moment: the rollout always ends,
-//! complete or rolled back, with every front end on the side that the log says, never two processes of one name, and never more of a
-//! zone unavailable than the plan allows.
+//! Simulated rollouts in which one supervisor, together with its controller, is killed or suspended at one of many moments. Every
+//! rollout has to end, completed or rolled back, with each front end running the program that the log assigns to it. A front end
+//! must never have two processes, and a zone never more unavailable front ends than the plan allows.
 
 mod support;
 
@@ -12,9 +12,20 @@
     RolloutPhase, RolloutPlan, Supervisor, SupervisorCommand, SupervisorLimits, Time, SECOND,
 };
 
+/// Simulated time between two steps.
 const TICK: Time = SECOND / 10;
+/// Ticks from a fault until the supervisor is restarted or resumed.
+const FAULT_TICKS: i64 = 70;
+/// Minimum ticks of a run, so that all front ends have started.
+const MIN_TICKS: i64 = 40;
+/// Maximum ticks of a run; a rollout that has not ended by then fails the test.
+const MAX_TICKS: i64 = 1500;
+/// Ticks after the end of the rollout during which processes follow the log.
+const SETTLE_TICKS: i64 = 60;
+/// Calls that a front end serves per second.
+const CALLS_PER_SECOND: u64 = 200;
 const ZONES: usize = 3;
-const EACH: usize = 3;
+const FRONT_ENDS_PER_ZONE: usize = 3;
 
 fn zone_name(zone_index: usize) -> String {
     format!("z{zone_index}")
@@ -22,7 +33,7 @@
 
 /// The zone of a front end.
 fn zone_of(front_end: usize) -> String {
-    zone_name(front_end / EACH)
+    zone_name(front_end / FRONT_ENDS_PER_ZONE)
 }
 
 fn front_end_name(front_end: usize) -> String {
@@ -30,19 +41,20 @@
 }
 
 fn plan() -> RolloutPlan {
-    let place = |front_end: usize| {
+    let to_target = |front_end: usize| {
         target(
             &front_end_name(front_end),
             &zone_of(front_end),
-            front_end.is_multiple_of(EACH),
+            front_end.is_multiple_of(FRONT_ENDS_PER_ZONE),
         )
     };
-    // One of each zone, among them all voters; then the others.
-    let (first, rest): (Vec<usize>, Vec<usize>) = (0..ZONES * EACH).partition(|n| n % EACH == 0);
+    // The first stage has one front end of each zone, all of them voters; the second has the others.
+    let (first, rest): (Vec<usize>, Vec<usize>) =
+        (0..ZONES * FRONT_ENDS_PER_ZONE).partition(|n| n % FRONT_ENDS_PER_ZONE == 0);
     RolloutPlan {
         stages: [first, rest]
             .into_iter()
-            .map(|s| s.into_iter().map(place).collect())
+            .map(|stage| stage.into_iter().map(to_target).collect())
             .collect(),
         min_stage_seconds: 3,
         max_stage_seconds: 20,
@@ -57,27 +69,32 @@
 struct Process {
     name: String,
     label: String,
-    ready: Time,
-    began: Time,
-    ends: Option<Time>,
+    /// When it becomes ready.
+    ready_at: Time,
+    started_at: Time,
+    /// When it exits, once it was terminated or killed.
+    exits_at: Option<Time>,
 }
 
+/// The machine of one zone.
 struct ZoneHost {
     supervisor: Option<Supervisor>,
     controller: RolloutController,
-    /// The rollout as it read it last, and when it asked; a suspended one acts on it when it is resumed.
-    read: Option<(Time, Rollout)>,
-    stopped: bool,
+    /// The rollout as last read, and when it was read. A suspended host acts on it when it is resumed.
+    last_read: Option<(Time, Rollout)>,
+    suspended: bool,
 }
 
-struct World {
+/// The simulated fleet and its rollout.
+struct Simulation {
     now: Time,
     rollout: Rollout,
     processes: BTreeMap<u32, Process>,
-    pids: u32,
+    last_pid: u32,
     hosts: Vec<ZoneHost>,
+    /// Whether a guard intervenes in the new program.
     faulty: bool,
-    /// The next process of this name does not become ready.
+    /// Whether the new program never becomes ready on front end `f1`.
     unstartable: bool,
     violations: Vec<String>,
     fault_at: Option<Time>,
@@ -86,112 +103,115 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     Kill,
-    Stop,
+    Suspend,
 }
 
-impl World {
-    fn new(faulty: bool, unstartable: bool) -> World {
+impl Simulation {
+    fn new(faulty: bool, unstartable: bool) -> Simulation {
         let change = program("new", "new");
-        let rollout = Rollout::begin(7, change, plan(), "a test".into()).expect("a plan");
-        let mut world = World {
+        let rollout =
+            Rollout::begin(7, change, plan(), "a test".into()).expect("the plan is valid");
+        let mut simulation = Simulation {
             now: 0,
             rollout,
             processes: BTreeMap::new(),
-            pids: 0,
+            last_pid: 0,
             hosts: Vec::new(),
             faulty,
             unstartable,
             violations: Vec::new(),
             fault_at: None,
         };
-        (0..ZONES).for_each(|zone_index| world.hosts.push(World::host(zone_index)));
-        (0..ZONES).for_each(|zone_index| world.begin(zone_index));
-        world
+        (0..ZONES).for_each(|zone_index| simulation.hosts.push(Simulation::host(zone_index)));
+        (0..ZONES).for_each(|zone_index| simulation.start_supervisor(zone_index));
+        simulation
     }
 
     fn host(zone_index: usize) -> ZoneHost {
         ZoneHost {
             supervisor: None,
             controller: RolloutController::new(format!("s{zone_index}")),
-            read: None,
-            stopped: false,
+            last_read: None,
+            suspended: false,
         }
     }
 
-    fn names(zone_index: usize) -> impl Iterator<Item = String> {
-        (zone_index * EACH..(zone_index + 1) * EACH).map(front_end_name)
+    fn zone_front_ends(zone_index: usize) -> impl Iterator<Item = String> {
+        (zone_index * FRONT_ENDS_PER_ZONE..(zone_index + 1) * FRONT_ENDS_PER_ZONE)
+            .map(front_end_name)
     }
 
-    /// A supervisor starts and adopts the running processes of its names.
-    fn begin(&mut self, zone_index: usize) {
+    /// Starts a supervisor, which adopts the running processes of its front ends.
+    fn start_supervisor(&mut self, zone_index: usize) {
         let limits = SupervisorLimits {
             drain_timeout: 2 * SECOND,
             start_timeout: 4 * SECOND,
             ..SupervisorLimits::default()
         };
-        let mut supervisor = Supervisor::new(limits, World::names(zone_index), "old");
+        let mut supervisor =
+            Supervisor::new(limits, Simulation::zone_front_ends(zone_index), "old");
         for (pid, process) in &self.processes {
             supervisor.adopt(self.now, &process.name, *pid, process.label.clone());
         }
-        self.hosts[zone_index] = World::host(zone_index);
+        self.hosts[zone_index] = Simulation::host(zone_index);
         self.hosts[zone_index].supervisor = Some(supervisor);
     }
 
-    fn fronts(&self) -> Vec<FrontEndObservation> {
+    fn observe_front_ends(&self) -> Vec<FrontEndObservation> {
         let observe = |front_end: usize| {
             let name = front_end_name(front_end);
             let found = self.processes.iter().find(|(_, p)| p.name == name);
-            let up = found.map_or(0, |(_, p)| self.now - p.ready).max(0);
+            let uptime = found.map_or(0, |(_, p)| self.now - p.ready_at).max(0);
             let mut counters = RequestCounters::default();
-            let calls = (up / SECOND) as u64 * 200;
+            let calls = (uptime / SECOND) as u64 * CALLS_PER_SECOND;
             (counters.requested, counters.served) = (calls, calls);
             (counters.value_requested, counters.value_served) = (calls as f64, calls as f64);
-            let new = found.is_some_and(|(_, p)| p.label == "new");
+            let is_canary = found.is_some_and(|(_, p)| p.label == "new");
             FrontEndObservation {
-                ready: found.is_some_and(|(_, p)| p.ready <= self.now && p.ends.is_none()),
+                ready: found.is_some_and(|(_, p)| p.ready_at <= self.now && p.exits_at.is_none()),
                 report: FrontEndReport {
                     name,
                     zone: zone_of(front_end),
-                    is_canary: new,
+                    is_canary,
                     incarnation: found.map_or(0, |(pid, _)| u64::from(*pid)),
-                    uptime_seconds: up as f64 / SECOND as f64,
+                    uptime_seconds: uptime as f64 / SECOND as f64,
                     classes: [("c".to_string(), counters)].into(),
                     memory_mb: 10.0,
-                    guard_interventions: u64::from(new && self.faulty && up > 2 * SECOND),
+                    guard_interventions: u64::from(is_canary && self.faulty && uptime > 2 * SECOND),
                 },
             }
         };
-        (0..ZONES * EACH).map(observe).collect()
+        (0..ZONES * FRONT_ENDS_PER_ZONE).map(observe).collect()
     }
 
     fn with_supervisor(
         &mut self,
         zone_index: usize,
-        act: impl FnOnce(&mut Supervisor, Time, &mut Vec<SupervisorCommand>),
+        event: impl FnOnce(&mut Supervisor, Time, &mut Vec<SupervisorCommand>),
     ) {
         let mut commands = Vec::new();
         let Some(supervisor) = &mut self.hosts[zone_index].supervisor else {
             return;
         };
-        act(supervisor, self.now, &mut commands);
+        event(supervisor, self.now, &mut commands);
         for command in commands {
             match command {
                 SupervisorCommand::Start { name, label } => {
                     if self.processes.values().any(|p| p.name == name) {
                         self.violations.push(format!("two processes of {name}"));
                     }
-                    self.pids += 1;
-                    let never = self.unstartable && label == "new" && name == "f1";
-                    let ready = if never { Time::MAX } else { self.now + SECOND };
+                    self.last_pid += 1;
+                    let hangs = self.unstartable && label == "new" && name == "f1";
+                    let ready_at = if hangs { Time::MAX } else { self.now + SECOND };
                     let process = Process {
                         name: name.clone(),
                         label: label.clone(),
-                        ready,
-                        began: self.now,
-                        ends: None,
+                        ready_at,
+                        started_at: self.now,
+                        exits_at: None,
                     };
-                    self.processes.insert(self.pids, process);
-                    let (pid, now) = (self.pids, self.now);
+                    self.processes.insert(self.last_pid, process);
+                    let (pid, now) = (self.last_pid, self.now);
                     if let Some(supervisor) = &mut self.hosts[zone_index].supervisor {
                         supervisor.on_started(now, &name, pid, label);
                     }
@@ -201,14 +221,14 @@
                     self.processes
                         .get_mut(&pid)
                         .into_iter()
-                        .for_each(|p| p.ends = Some(at));
+                        .for_each(|p| p.exits_at = Some(at));
                 }
                 SupervisorCommand::Kill { pid } => {
                     let at = self.now;
                     self.processes
                         .get_mut(&pid)
                         .into_iter()
-                        .for_each(|p| p.ends = Some(at));
+                        .for_each(|p| p.exits_at = Some(at));
                 }
                 SupervisorCommand::ReportCrash {
                     name,
@@ -230,18 +250,18 @@
 
     #[expect(
         clippy::too_many_lines,
-        reason = "one table or one history, read from top to bottom"
+        reason = "one step of the simulation, in order"
     )]
     fn tick(&mut self) {
         self.now += TICK;
         let now = self.now;
-        let over: Vec<u32> = self
+        let exited: Vec<u32> = self
             .processes
             .iter()
-            .filter(|(_, p)| p.ends.is_some_and(|e| e <= now))
+            .filter(|(_, p)| p.exits_at.is_some_and(|at| at <= now))
             .map(|(pid, _)| *pid)
             .collect();
-        for pid in over {
+        for pid in exited {
             self.processes.remove(&pid);
             for zone_index in 0..ZONES {
                 self.with_supervisor(zone_index, |supervisor, now, out| {
@@ -257,95 +277,99 @@
             }
         }
         for zone_index in 0..ZONES {
-            if self.hosts[zone_index].stopped || self.hosts[zone_index].supervisor.is_none() {
+            if self.hosts[zone_index].suspended || self.hosts[zone_index].supervisor.is_none() {
                 continue;
             }
-            // What it read before it was suspended is acted on first.
-            let read = self.hosts[zone_index].read.take();
-            if let Some((asked, rollout)) = read {
-                for name in World::names(zone_index) {
+            // A resumed supervisor first acts on what it read before it was suspended.
+            let last_read = self.hosts[zone_index].last_read.take();
+            if let Some((read_at, rollout)) = last_read {
+                for name in Simulation::zone_front_ends(zone_index) {
                     let label = if rollout.should_be_changed(&name) {
                         "new"
                     } else {
                         "old"
                     };
-                    let wanted = DesiredProcess {
+                    let desired = DesiredProcess {
                         label: label.into(),
                         may_replace: rollout.released.contains(&name),
                     };
                     if let Some(supervisor) = &mut self.hosts[zone_index].supervisor {
-                        supervisor.set_desired(asked, &name, wanted);
+                        supervisor.set_desired(read_at, &name, desired);
                     }
                 }
             }
             let ready: Vec<String> = self
                 .processes
                 .values()
-                .filter(|p| p.ready <= now && p.began < now)
+                .filter(|p| p.ready_at <= now && p.started_at < now)
                 .map(|p| p.name.clone())
                 .collect();
             self.with_supervisor(zone_index, |supervisor, now, out| {
                 ready.iter().for_each(|n| supervisor.on_ready(now, n));
                 supervisor.tick(now, out);
             });
-            let (fronts, rollout) = (self.fronts(), self.rollout.clone());
+            let (front_ends, rollout) = (self.observe_front_ends(), self.rollout.clone());
             if let Some(entry) = self.hosts[zone_index]
                 .controller
-                .poll(now, &rollout, &fronts)
+                .poll(now, &rollout, &front_ends)
             {
                 let _ = self.rollout.apply(entry);
             }
-            self.hosts[zone_index].read = Some((now, self.rollout.clone()));
+            self.hosts[zone_index].last_read = Some((now, self.rollout.clone()));
         }
         self.check_zones();
     }
 
     fn check_zones(&mut self) {
+        // At first all front ends are starting.
         if self.now < 3 * SECOND {
             return;
         }
-        let fronts = self.fronts();
+        let front_ends = self.observe_front_ends();
         for zone_index in 0..ZONES {
-            let away = fronts
+            let unavailable = front_ends
                 .iter()
                 .filter(|f| f.report.zone == zone_name(zone_index) && !f.ready)
                 .count();
-            if away > plan().max_unavailable {
+            if unavailable > plan().max_unavailable {
                 self.violations.push(format!(
-                    "{away} of zone {zone_index} are away at {}",
+                    "{unavailable} front ends of zone {zone_index} are unavailable at {}",
                     self.now
                 ));
             }
         }
     }
 
-    /// A rollout to its end, with this fault of one supervisor at this tick, if any.
-    fn run(faulty: bool, unstartable: bool, fault: Option<(Fault, usize, i64)>) -> (World, i64) {
-        let mut world = World::new(faulty, unstartable);
-        // All are up before the rollout is looked at.
+    /// Runs a rollout to its end and returns the number of ticks that it took. `fault`: a fault, the zone whose supervisor has it,
+    /// and the tick at which it begins.
+    fn run(
+        faulty: bool,
+        unstartable: bool,
+        fault: Option<(Fault, usize, i64)>,
+    ) -> (Simulation, i64) {
+        let mut simulation = Simulation::new(faulty, unstartable);
         let mut ticks = 0;
-        while ticks < 1500 && !(world.rollout.has_ended() && ticks > 40) {
+        while ticks < MAX_TICKS && !(simulation.rollout.has_ended() && ticks > MIN_TICKS) {
             if let Some((fault, zone_index, at)) = fault {
                 if ticks == at {
-                    world.fault_at = Some(world.now);
+                    simulation.fault_at = Some(simulation.now);
                     match fault {
-                        Fault::Kill => world.hosts[zone_index].supervisor = None,
-                        Fault::Stop => world.hosts[zone_index].stopped = true,
+                        Fault::Kill => simulation.hosts[zone_index].supervisor = None,
+                        Fault::Suspend => simulation.hosts[zone_index].suspended = true,
                     }
                 }
-                if ticks == at + 70 {
+                if ticks == at + FAULT_TICKS {
                     match fault {
-                        Fault::Kill => world.begin(zone_index),
-                        Fault::Stop => world.hosts[zone_index].stopped = false,
+                        Fault::Kill => simulation.start_supervisor(zone_index),
+                        Fault::Suspend => simulation.hosts[zone_index].suspended = false,
                     }
                 }
             }
-            world.tick();
+            simulation.tick();
             ticks += 1;
         }
-        // Processes follow the log with a delay.
-        (0..60).for_each(|_| world.tick());
-        (world, ticks)
+        (0..SETTLE_TICKS).for_each(|_| simulation.tick());
+        (simulation, ticks)
     }
 
     fn check(&self, faulty: bool, case: &str) {
@@ -359,33 +383,33 @@
             RolloutPhase::RolledBack => "old",
             _ => panic!("{case}: {:?} {:?}", self.rollout.phase, self.rollout.steps),
         };
-        let half: Vec<&String> = self
+        let wrong_program: Vec<&String> = self
             .processes
             .values()
             .filter(|p| p.label != label)
             .map(|p| &p.name)
             .collect();
         assert!(
-            half.is_empty() && self.processes.len() == ZONES * EACH,
-            "{case}: {half:?}: {:?}",
+            wrong_program.is_empty() && self.processes.len() == ZONES * FRONT_ENDS_PER_ZONE,
+            "{case}: {wrong_program:?}: {:?}",
             self.rollout.steps
         );
     }
 }
 
 #[test]
-fn without_a_fault_a_good_one_is_done_and_a_bad_one_goes_back() {
-    let (good, _) = World::run(false, false, None);
+fn without_faults_a_good_program_completes_and_a_bad_one_is_rolled_back() {
+    let (good, _) = Simulation::run(false, false, None);
     good.check(false, "good");
     assert_eq!(good.rollout.phase, RolloutPhase::Completed);
-    let (faulty, _) = World::run(true, false, None);
+    let (faulty, _) = Simulation::run(true, false, None);
     faulty.check(true, "faulty");
     assert!(
         faulty.rollout.reason.contains("guard"),
         "{}",
         faulty.rollout.reason
     );
-    let (unstartable, _) = World::run(false, true, None);
+    let (unstartable, _) = Simulation::run(false, true, None);
     unstartable.check(true, "unstartable");
     assert!(
         unstartable.rollout.reason.contains("not ready"),
@@ -394,19 +418,20 @@
     );
 }
 
-fn every_moment(faulty: bool, unstartable: bool) {
-    let (_, ticks) = World::run(faulty, unstartable, None);
+fn check_faults_at_many_moments(faulty: bool, unstartable: bool) {
+    let (_, ticks) = Simulation::run(faulty, unstartable, None);
     let mut ends = BTreeMap::new();
-    for fault in [Fault::Kill, Fault::Stop] {
+    for fault in [Fault::Kill, Fault::Suspend] {
         for zone_index in 0..ZONES {
             for at in (20..ticks + 5).step_by(3) {
-                let (world, _) = World::run(faulty, unstartable, Some((fault, zone_index, at)));
-                world.check(
+                let (simulation, _) =
+                    Simulation::run(faulty, unstartable, Some((fault, zone_index, at)));
+                simulation.check(
                     faulty || unstartable,
                     &format!("{fault:?} of supervisor {zone_index} at tick {at}"),
                 );
                 *ends
-                    .entry(format!("{:?}", world.rollout.phase))
+                    .entry(format!("{:?}", simulation.rollout.phase))
                     .or_insert(0) += 1;
             }
         }
@@ -415,16 +440,16 @@
 }
 
 #[test]
-fn a_good_one_ends_whole_whatever_is_killed_or_stopped_when() {
-    every_moment(false, false);
+fn a_good_rollout_ends_with_one_program_whichever_supervisor_fails_when() {
+    check_faults_at_many_moments(false, false);
 }
 
 #[test]
-fn a_bad_one_goes_back_whatever_is_killed_or_stopped_when() {
-    every_moment(true, false);
+fn a_faulty_program_is_rolled_back_whichever_supervisor_fails_when() {
+    check_faults_at_many_moments(true, false);
 }
 
 #[test]
-fn one_whose_program_does_not_start_goes_back_whatever_is_killed_or_stopped_when() {
-    every_moment(false, true);
+fn a_program_that_never_becomes_ready_is_rolled_back_whichever_supervisor_fails_when() {
+    check_faults_at_many_moments(false, true);
 }
--- a/decide/rollout/tests/json_format.rs
+++ b/decide/rollout/tests/json_format.rs
@@ -1,11 +1,11 @@
-//! The JSON text of rollouts and of their log entries is a stored format: names inside the program may change, this text may not.
+//! The JSON text of rollouts and their log entries is stored and sent to other nodes: renames in the code must not change it.
 
 mod support;
 
 use support::{program, target};
 use tansy_rollout::{InconclusivePolicy, Rollout, RolloutEntry, RolloutPhase, RolloutPlan};
 
-/// Entries of every variant, in the order of the type.
+/// Entries of every variant but `Abort`, in declaration order.
 const ENTRIES: [&str; 16] = [
     r#"{"Begin":{"id":7,"what":{"program":{"label":"d1","path":"/bin/x"}},"plan":{"stages":[[{"name":"f0","zone":"a","seat":true}],[{"name":"f1","zone":"b","seat":false}]],"at_once":2,"least":61,"longest":1801,"ready":62,"slice":6,"spend":0.02,"error":0.03,"matters":0.04,"accept":0.05,"warm_up":11,"memory":1025,"undecided":"back"},"why":"a test"}}"#,
     r#"{"Begin":{"id":8,"what":"settings","plan":{"stages":[],"at_once":1,"least":60,"longest":1800,"ready":60,"slice":5,"spend":0.01,"error":0.01,"matters":0.01,"accept":0.03,"warm_up":10,"memory":1024,"undecided":"hold"},"why":""}}"#,
@@ -33,15 +33,21 @@
 fn log_entries_keep_their_json_text() {
     for text in ENTRIES.into_iter().chain([ABORT]) {
         let entry: RolloutEntry = serde_json::from_str(text).expect(text);
-        assert_eq!(serde_json::to_string(&entry).expect("plain data"), text);
+        assert_eq!(
+            serde_json::to_string(&entry).expect("the value can be encoded"),
+            text
+        );
     }
 }
 
 #[test]
 fn a_rollout_keeps_its_json_text() {
-    let read: Rollout = serde_json::from_str(ROLLOUT).expect("a rollout");
-    assert_eq!(serde_json::to_string(&read).expect("plain data"), ROLLOUT);
-    assert_eq!(read, reached_by_entries());
+    let decoded: Rollout = serde_json::from_str(ROLLOUT).expect("the text is a rollout");
+    assert_eq!(
+        serde_json::to_string(&decoded).expect("the value can be encoded"),
+        ROLLOUT
+    );
+    assert_eq!(decoded, rollout_from_entries());
 }
 
 #[test]
@@ -54,19 +60,22 @@
         (RolloutPhase::RolledBack, r#""stopped""#),
     ];
     for (phase, text) in all {
-        assert_eq!(serde_json::to_string(&phase).expect("plain data"), text);
+        assert_eq!(
+            serde_json::to_string(&phase).expect("the value can be encoded"),
+            text
+        );
     }
 }
 
-/// The rollout of [`ROLLOUT`], as the program itself comes to it.
-fn reached_by_entries() -> Rollout {
+/// Builds the rollout of [`ROLLOUT`] by applying entries.
+fn rollout_from_entries() -> Rollout {
     let plan = RolloutPlan {
         stages: vec![vec![target("f0", "a", true)]],
         inconclusive: InconclusivePolicy::Pass,
         ..RolloutPlan::default()
     };
-    let mut rollout =
-        Rollout::begin(7, program("d1", "/bin/x"), plan, "a test".into()).expect("a plan");
+    let mut rollout = Rollout::begin(7, program("d1", "/bin/x"), plan, "a test".into())
+        .expect("the plan is valid");
     let entries = [
         r#"{"Steer":{"fence":1,"who":"s0"}}"#,
         r#"{"Let":{"at":2,"fence":1,"name":"f0"}}"#,
--- a/decide/rollout/tests/rollout.rs
+++ b/decide/rollout/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Entries that were made for an older revision, by a former controller, or out of turn change nothing.
+//! Rejection of entries that are for an older revision, by a former controller, or not allowed in the current state.
 
 mod support;
 
@@ -25,17 +25,17 @@
         },
         "a test".into(),
     )
-    .expect("a plan");
+    .expect("the plan is valid");
     rollout
         .apply(RolloutEntry::TakeControl {
             fence: 1,
             controller: "s".into(),
         })
-        .expect("nobody has control");
+        .expect("there is no controller yet");
     rollout
 }
 
-fn apply_now(
+fn apply_current(
     rollout: &mut Rollout,
     make: impl Fn(u64, u64) -> RolloutEntry,
 ) -> Result<(), RolloutRejection> {
@@ -43,7 +43,7 @@
 }
 
 fn release(rollout: &mut Rollout, name: &str) -> Result<(), RolloutRejection> {
-    apply_now(rollout, |revision, fence| RolloutEntry::Release {
+    apply_current(rollout, |revision, fence| RolloutEntry::Release {
         revision,
         fence,
         name: name.into(),
@@ -51,7 +51,7 @@
 }
 
 fn mark_ready(rollout: &mut Rollout, name: &str) -> Result<(), RolloutRejection> {
-    apply_now(rollout, |revision, fence| RolloutEntry::MarkReady {
+    apply_current(rollout, |revision, fence| RolloutEntry::MarkReady {
         revision,
         fence,
         name: name.into(),
@@ -59,16 +59,16 @@
 }
 
 fn begin_analysis(rollout: &mut Rollout) -> Result<(), RolloutRejection> {
-    apply_now(rollout, |revision, fence| RolloutEntry::BeginAnalysis {
+    apply_current(rollout, |revision, fence| RolloutEntry::BeginAnalysis {
         revision,
         fence,
     })
 }
 
-/// Lets a front end change, and records that it has changed.
+/// Releases a front end and marks it ready.
 fn change(rollout: &mut Rollout, name: &str) {
-    release(rollout, name).expect("it may change");
-    mark_ready(rollout, name).expect("it was released");
+    release(rollout, name).expect("the front end may be released");
+    mark_ready(rollout, name).expect("the front end was released");
 }
 
 #[test]
@@ -77,23 +77,23 @@
     assert_eq!(
         release(&mut rollout, "f3"),
         Err(RolloutRejection::NotAllowed),
-        "it is of a later stage"
+        "the front end belongs to a later stage"
     );
     assert_eq!(
         release(&mut rollout, "f9"),
         Err(RolloutRejection::NotAllowed),
-        "it is of no stage"
+        "the front end is not in the plan"
     );
     assert_eq!(release(&mut rollout, "f0"), Ok(()));
     assert_eq!(
         release(&mut rollout, "f1"),
         Err(RolloutRejection::NotAllowed),
-        "the same zone"
+        "another front end of the zone is released"
     );
     assert_eq!(
         release(&mut rollout, "f2"),
         Err(RolloutRejection::NotAllowed),
-        "another voter"
+        "another voter is released"
     );
     assert_eq!(mark_ready(&mut rollout, "f0"), Ok(()));
     assert_eq!(
@@ -104,7 +104,7 @@
         (release(&mut rollout, "f1"), release(&mut rollout, "f2")),
         (Ok(()), Ok(()))
     );
-    // New settings make nothing unavailable.
+    // Applying settings makes no front end unavailable.
     let mut rollout = controlled_rollout(RolloutChange::Settings);
     assert_eq!(
         (
@@ -117,10 +117,10 @@
 }
 
 #[test]
-fn a_former_controller_and_a_suspended_one_change_nothing() {
+fn entries_of_a_former_controller_and_for_an_older_revision_are_rejected() {
     let mut rollout = controlled_rollout(program("new", "new"));
     let (revision, fence) = (rollout.revision, rollout.fence);
-    release(&mut rollout, "f0").expect("it may");
+    release(&mut rollout, "f0").expect("the front end may be released");
     assert_eq!(
         rollout.apply(RolloutEntry::Release {
             revision,
@@ -149,7 +149,7 @@
             controller: "u".into()
         }),
         Err(RolloutRejection::Fenced),
-        "one was first"
+        "another controller has already used the fencing token"
     );
     let revision = rollout.revision;
     assert_eq!(
@@ -171,11 +171,8 @@
 }
 
 #[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
-)]
-fn an_abort_as_the_last_stage_passes_is_one_or_the_other() {
+#[expect(clippy::too_many_lines, reason = "one sequence of entries")]
+fn an_abort_and_the_pass_of_the_last_stage_exclude_each_other() {
     let mut rollout = controlled_rollout(RolloutChange::Settings);
     for name in ["f0", "f1", "f2"] {
         change(&mut rollout, name);
@@ -184,22 +181,22 @@
     let pass = |revision, fence| RolloutEntry::Pass {
         revision,
         fence,
-        reason: "well".into(),
+        reason: "no worse".into(),
     };
-    assert_eq!(apply_now(&mut rollout, pass), Ok(()));
+    assert_eq!(apply_current(&mut rollout, pass), Ok(()));
     change(&mut rollout, "f3");
-    begin_analysis(&mut rollout).expect("the stage has changed");
-    let mut first = rollout.clone();
-    assert_eq!(apply_now(&mut first, pass), Ok(()));
+    begin_analysis(&mut rollout).expect("all front ends of the stage are changed");
+    let mut passed = rollout.clone();
+    assert_eq!(apply_current(&mut passed, pass), Ok(()));
     assert_eq!(
-        first.apply(RolloutEntry::Abort {
+        passed.apply(RolloutEntry::Abort {
             id: 1,
             reason: "no".into()
         }),
         Err(RolloutRejection::Ended),
-        "it is done"
+        "the rollout is complete"
     );
-    assert_eq!(first.phase, RolloutPhase::Completed);
+    assert_eq!(passed.phase, RolloutPhase::Completed);
     let (revision, fence) = (rollout.revision, rollout.fence);
     assert_eq!(
         rollout.apply(RolloutEntry::Abort {
@@ -212,12 +209,12 @@
         rollout.apply(RolloutEntry::Pass {
             revision,
             fence,
-            reason: "well".into()
+            reason: "no worse".into()
         }),
         Err(RolloutRejection::StaleRevision)
     );
     assert_eq!(
-        apply_now(&mut rollout, pass),
+        apply_current(&mut rollout, pass),
         Err(RolloutRejection::NotAllowed)
     );
     assert_eq!(
@@ -226,7 +223,7 @@
             reason: "again".into()
         }),
         Err(RolloutRejection::NotAllowed),
-        "it goes back already"
+        "the rollout is already being rolled back"
     );
     assert_eq!(
         rollout.apply(RolloutEntry::Abort {
@@ -263,22 +260,22 @@
             id: 1,
             reason: "no".into(),
         })
-        .expect("it goes on");
+        .expect("the rollout is in progress");
     assert_eq!(
         rollout.phase,
         RolloutPhase::RolledBack,
-        "nothing had changed"
+        "no front end was changed"
     );
-    let twice = RolloutPlan {
+    let duplicate = RolloutPlan {
         stages: vec![
             vec![target("f0", "a", false)],
             vec![target("f0", "a", false)],
         ],
         ..plan.clone()
     };
-    for wrong in [
+    for invalid in [
         RolloutPlan::default(),
-        twice,
+        duplicate,
         RolloutPlan {
             max_unavailable: 0,
             ..plan.clone()
@@ -289,7 +286,7 @@
         },
     ] {
         assert!(matches!(
-            rollout.apply(begin(wrong)),
+            rollout.apply(begin(invalid)),
             Err(RolloutRejection::Plan(_))
         ));
     }
@@ -308,15 +305,15 @@
             id: 1,
             reason: "a look".into(),
         })
-        .expect("it goes on");
+        .expect("the rollout is in progress");
     assert_eq!(
         release(&mut rollout, "f0"),
         Err(RolloutRejection::NotAllowed)
     );
     rollout
         .apply(RolloutEntry::Resume { id: 1 })
-        .expect("it is paused");
-    release(&mut rollout, "f0").expect("it may");
+        .expect("the rollout is paused");
+    release(&mut rollout, "f0").expect("the front end may be released");
     let crash = Crash {
         name: "f0".into(),
         process: 3,
@@ -327,20 +324,20 @@
     assert_eq!(
         rollout.apply(RolloutEntry::Crashed(crash)),
         Err(RolloutRejection::NotAllowed),
-        "reported twice it is one"
+        "the crash was already reported"
     );
     rollout
         .apply(RolloutEntry::Pause {
             id: 1,
             reason: "a look".into(),
         })
-        .expect("it goes on");
+        .expect("the rollout is in progress");
     rollout
         .apply(RolloutEntry::Abort {
             id: 1,
             reason: "no".into(),
         })
-        .expect("it goes on");
+        .expect("the rollout is in progress");
     assert_eq!(
         (release(&mut rollout, "f0"), mark_ready(&mut rollout, "f0")),
         (Ok(()), Ok(()))
--- a/decide/rollout/tests/support/mod.rs
+++ b/decide/rollout/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! Front ends and changes that several tests use.
+//! Constructors that the tests share.
 
 use tansy_rollout::{RolloutChange, Target};
 
-/// A front end of a rollout's plan.
+/// A target with these fields.
 pub fn target(name: &str, zone: &str, is_voter: bool) -> Target {
     Target {
         name: name.into(),
@@ -11,7 +11,7 @@
     }
 }
 
-/// A change to the program of this label and path.
+/// A change to the program with this label and path.
 pub fn program(label: &str, path: &str) -> RolloutChange {
     RolloutChange::Program {
         label: label.into(),
