--- a/decide/canary/src/analysis.rs
+++ b/decide/canary/src/analysis.rs
@@ -1,4 +1,4 @@
-//! The state of a canary analysis, and the samples and events that it takes in.
+//! The state of a canary analysis, and its input: samples and events.
 
 use crate::comparison::MetricEvidence;
 use crate::memory::MemoryHistory;
@@ -6,54 +6,54 @@
 use crate::request_counters::{FrontEndReport, RequestCounters};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Slices from before the change that are kept.
-const MAX_BASELINE: usize = 120;
-/// Answers of a class from before the change that its 99th percentile needs.
+/// Maximum number of slices kept from before the change.
+const MAX_PRE_CHANGE_SLICES: usize = 120;
+/// Minimum answers of a class before the change for an estimate of its 99th percentile.
 const MIN_LATENCIES: u64 = 200;
 
-/// What a verdict rests on.
+/// Parameters of the verdict.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AnalysisParameters {
-    /// The probability with which a change without effect may be called worse, at all looks of one analysis together.
-    pub error: f64,
-    /// The least loss of service that matters, as a share of the calls' value.
+    /// Probability that a change without effect fails at any time during one analysis.
+    pub error_probability: f64,
+    /// Smallest loss of service that matters, as a share of the calls' value.
     pub relevant_loss: f64,
-    /// A loss up to this much may stay hidden for the new side to be fine.
+    /// The change passes once a loss larger than this can be ruled out.
     pub tolerated_loss: f64,
-    /// Seconds during which a fresh front end is left out.
-    pub warm_up: f64,
-    /// A slice in which the old side lost this much more than before the change is one of trouble that both sides share.
-    pub shared_fault: f64,
-    /// Megabytes that a front end may use.
-    pub memory: f64,
+    /// Seconds after its start during which a front end is not compared.
+    pub warm_up_seconds: f64,
+    /// A slice in which the baseline group loses this much more than before the change is attributed to a fault that both groups share.
+    pub shared_fault_loss: f64,
+    /// Memory that a front end may use, in megabytes.
+    pub memory_limit_mb: f64,
     /// Seconds over which growing memory is extrapolated.
-    pub horizon: f64,
+    pub memory_horizon_seconds: f64,
 }
 
 impl Default for AnalysisParameters {
     fn default() -> AnalysisParameters {
         AnalysisParameters {
-            error: 0.01,
+            error_probability: 0.01,
             relevant_loss: 0.01,
             tolerated_loss: 0.03,
-            warm_up: 10.0,
-            shared_fault: 0.1,
-            memory: 1024.0,
-            horizon: 3600.0,
+            warm_up_seconds: 10.0,
+            shared_fault_loss: 0.1,
+            memory_limit_mb: 1024.0,
+            memory_horizon_seconds: 3600.0,
         }
     }
 }
 
-/// The end of a front end's process that nobody had asked for.
+/// An exit of a front end's process that nobody requested.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnplannedExit {
-    /// The front end.
+    /// Name of the front end.
     pub name: String,
-    /// How it ended; equal texts are ends of the same kind.
+    /// How the process exited, such as `signal 6`. Equal texts are exits of the same kind.
     pub kind: String,
 }
 
-/// What a front end counted between two samples.
+/// The difference between two samples of a front end.
 #[derive(Clone, Debug)]
 pub(crate) struct FrontEndDelta {
     pub(crate) name: String,
@@ -61,154 +61,160 @@
     pub(crate) classes: BTreeMap<String, RequestCounters>,
 }
 
-/// Names of front ends that crashed, by the kind of crash.
+/// Names of front ends with an unplanned exit, by the kind of exit.
 type Exits = BTreeMap<String, BTreeSet<String>>;
 
-/// Analyses one stage at a time: the front ends of the stage are its new side, all others the old one.
+/// Analyses a rollout one stage at a time. The front ends changed by the end of the stage are the canary group; all others are the
+/// baseline group.
 #[derive(Clone, Debug)]
 pub struct CanaryAnalysis {
     pub(crate) parameters: AnalysisParameters,
-    /// The names of the new side.
-    pub(crate) new: BTreeSet<String>,
+    /// Names of the front ends in the canary group.
+    pub(crate) canaries: BTreeSet<String>,
     /// The last sample of each front end.
-    pub(crate) last: BTreeMap<String, FrontEndReport>,
-    /// The slices before the change.
-    pub(crate) baseline: Vec<Vec<FrontEndDelta>>,
-    /// By class, the 99th percentile of the latency before the change, in microseconds.
-    pub(crate) slow_over: BTreeMap<String, u64>,
+    pub(crate) last_reports: BTreeMap<String, FrontEndReport>,
+    /// Slices from before the change.
+    pub(crate) pre_change_slices: Vec<Vec<FrontEndDelta>>,
+    /// The 99th percentile of the latency before the change, in microseconds, by class.
+    pub(crate) slow_thresholds: BTreeMap<String, u64>,
     pub(crate) evidence: BTreeMap<Metric, MetricEvidence>,
-    /// The new side is in place and compared.
+    /// Whether the canary group is changed and is being compared.
     comparing: bool,
-    /// The share that was lost before the change.
-    pub(crate) usual_loss: Option<f64>,
-    /// Slices in a row in which both sides were in trouble.
-    pub(crate) troubled_slices: usize,
-    /// Unplanned exits of the old and the new side.
+    /// The share of value lost before the change.
+    pub(crate) pre_change_loss: Option<f64>,
+    /// Consecutive slices in which the baseline group was in trouble too.
+    pub(crate) shared_fault_slices: usize,
+    /// Unplanned exits in the baseline and the canary group.
     exits: [Exits; 2],
-    /// The last count of guarded defects of each new front end.
-    guarded: BTreeMap<String, u64>,
-    /// By name and incarnation.
+    /// The last count of guard interventions of each canary.
+    guard_interventions: BTreeMap<String, u64>,
+    /// Memory samples by front end name and incarnation.
     pub(crate) memory: BTreeMap<(String, u64), MemoryHistory>,
-    /// Why the new side has failed regardless of statistics.
+    /// Why the canary group has failed, for a reason that needs no statistics.
     pub(crate) failure: Option<String>,
 }
 
 impl CanaryAnalysis {
-    /// An analysis without samples of a stage with this new side.
+    /// Creates an analysis of the first stage, with these front ends in the canary group.
     pub fn new(
         parameters: AnalysisParameters,
-        new: impl IntoIterator<Item = String>,
+        canaries: impl IntoIterator<Item = String>,
     ) -> CanaryAnalysis {
         CanaryAnalysis {
             parameters,
-            new: new.into_iter().collect(),
-            last: BTreeMap::new(),
-            baseline: Vec::new(),
-            slow_over: BTreeMap::new(),
+            canaries: canaries.into_iter().collect(),
+            last_reports: BTreeMap::new(),
+            pre_change_slices: Vec::new(),
+            slow_thresholds: BTreeMap::new(),
             evidence: BTreeMap::new(),
             comparing: false,
-            usual_loss: None,
-            troubled_slices: 0,
+            pre_change_loss: None,
+            shared_fault_slices: 0,
             exits: Default::default(),
-            guarded: BTreeMap::new(),
+            guard_interventions: BTreeMap::new(),
             memory: BTreeMap::new(),
             failure: None,
         }
     }
 
-    /// Goes on to the next stage, with a larger new side and this probability of error. The baseline is kept; evidence begins anew.
-    pub fn next(&mut self, new: impl IntoIterator<Item = String>, error: f64) {
-        self.new = new.into_iter().collect();
-        self.parameters.error = error;
+    /// Begins the analysis of another stage, with this canary group and error probability. Slices from before the change are kept;
+    /// the evidence of the previous stage is discarded.
+    pub fn begin_stage(
+        &mut self,
+        canaries: impl IntoIterator<Item = String>,
+        error_probability: f64,
+    ) {
+        self.canaries = canaries.into_iter().collect();
+        self.parameters.error_probability = error_probability;
         self.comparing = false;
-        self.troubled_slices = 0;
+        self.shared_fault_slices = 0;
         self.failure = None;
         self.evidence.clear();
         self.exits = Default::default();
-        self.guarded.clear();
+        self.guard_interventions.clear();
         self.memory.clear();
     }
 
-    /// Takes a sample of all front ends. `comparing`: the new side is in place; until then samples only make up the baseline.
+    /// Adds a sample of all front ends. `comparing`: whether the canary group is changed; until then samples only tell how front ends
+    /// behave before the change.
     pub fn observe(&mut self, reports: &[FrontEndReport], comparing: bool) {
         let deltas: Vec<FrontEndDelta> = reports
             .iter()
             .filter_map(|report| self.delta(report))
             .collect();
-        let any_was_new = self.last.values().any(|report| report.is_canary);
-        let any_is_new = reports.iter().any(|report| report.is_canary);
-        self.last = reports
+        let any_was_changed = self.last_reports.values().any(|report| report.is_canary);
+        let any_is_changed = reports.iter().any(|report| report.is_canary);
+        self.last_reports = reports
             .iter()
             .map(|report| (report.name.clone(), report.clone()))
             .collect();
         if !comparing {
-            // The baseline is what there was before anything had changed.
-            if !any_is_new && !any_was_new && !deltas.is_empty() {
-                self.add_to_baseline(deltas);
+            if !any_is_changed && !any_was_changed && !deltas.is_empty() {
+                self.add_pre_change_slice(deltas);
             }
             return;
         }
         if !self.comparing {
             self.comparing = true;
-            self.summarize_baseline();
+            self.summarize_pre_change_slices();
         }
         self.check_guards(reports);
         self.check_memory(reports);
         self.compare(&deltas);
         if let Some(reason) = self.memory_leak(reports) {
-            self.stop(reason);
+            self.fail(reason);
         }
     }
 
-    /// A process ended without being asked to.
+    /// Records an unplanned exit. The canary group fails when two of its front ends have an exit of the same kind, unless such exits
+    /// are at least half as frequent in the baseline group.
     pub fn on_unplanned_exit(&mut self, exit: UnplannedExit) {
-        let is_new = self.new.contains(&exit.name);
-        self.exits[usize::from(is_new)]
+        let is_canary = self.canaries.contains(&exit.name);
+        self.exits[usize::from(is_canary)]
             .entry(exit.kind.clone())
             .or_default()
             .insert(exit.name);
-        let exited = |side: usize| self.exits[side].get(&exit.kind).map_or(0, BTreeSet::len);
-        let old_exited = exited(0);
-        let new_exited = exited(1);
-        let new_count = self.new.len();
-        let old_count = self.last.len().saturating_sub(new_count);
-        // Two exits of one kind are no accident, unless they are as frequent on the old side.
-        let old_rate = old_exited as f64 / old_count.max(1) as f64;
-        let shared = old_rate >= 0.5 * new_exited as f64 / new_count.max(1) as f64;
-        if is_new && new_exited >= 2 && !(old_exited > 0 && shared) {
-            self.stop(format!(
-                "{new_exited} of the new side ended by themselves: {}",
+        let exited = |group: usize| self.exits[group].get(&exit.kind).map_or(0, BTreeSet::len);
+        let baseline_exited = exited(0);
+        let canary_exited = exited(1);
+        let canary_count = self.canaries.len();
+        let baseline_count = self.last_reports.len().saturating_sub(canary_count);
+        let baseline_rate = baseline_exited as f64 / baseline_count.max(1) as f64;
+        let shared = baseline_rate >= 0.5 * canary_exited as f64 / canary_count.max(1) as f64;
+        if is_canary && canary_exited >= 2 && !(baseline_exited > 0 && shared) {
+            self.fail(format!(
+                "{canary_exited} of the new side ended by themselves: {}",
                 exit.kind
             ));
         }
     }
 
-    /// The process of one front end ends again and again.
+    /// Records that the process of a front end crashes repeatedly. A canary fails at once.
     pub fn on_crash_loop(&mut self, name: &str, kind: &str) {
-        if self.new.contains(name) {
-            self.stop(format!("{name} ends again and again: {kind}"));
+        if self.canaries.contains(name) {
+            self.fail(format!("{name} ends again and again: {kind}"));
         }
     }
 
-    /// Fails the new side for a reason that needs no statistics. The first reason stands.
-    pub fn stop(&mut self, reason: String) {
+    /// Fails the canary group for a reason that needs no statistics. The first reason is kept.
+    pub fn fail(&mut self, reason: String) {
         self.failure.get_or_insert(reason);
     }
 
-    /// What a front end counted since its last sample, if it has the same process and that was warm by then. That the process of
-    /// either side was restarted is not to be compared.
+    /// The difference from a front end's last sample, if the same process had already finished its warm-up then. This leaves the
+    /// effects of restarts out of the comparison.
     fn delta(&self, report: &FrontEndReport) -> Option<FrontEndDelta> {
         let last = self
-            .last
+            .last_reports
             .get(&report.name)
             .filter(|last| last.incarnation == report.incarnation)?;
-        if last.uptime_seconds < self.parameters.warm_up {
+        if last.uptime_seconds < self.parameters.warm_up_seconds {
             return None;
         }
         let none = RequestCounters::default();
         let since = |(class, counters): (&String, &RequestCounters)| {
-            let before = last.classes.get(class).unwrap_or(&none);
-            (class.clone(), counters.since(before))
+            let earlier = last.classes.get(class).unwrap_or(&none);
+            (class.clone(), counters.since(earlier))
         };
         Some(FrontEndDelta {
             name: report.name.clone(),
@@ -217,19 +223,19 @@
         })
     }
 
-    fn add_to_baseline(&mut self, deltas: Vec<FrontEndDelta>) {
-        self.baseline.push(deltas);
-        if self.baseline.len() > MAX_BASELINE {
-            self.baseline.remove(0);
+    fn add_pre_change_slice(&mut self, deltas: Vec<FrontEndDelta>) {
+        self.pre_change_slices.push(deltas);
+        if self.pre_change_slices.len() > MAX_PRE_CHANGE_SLICES {
+            self.pre_change_slices.remove(0);
         }
     }
 
-    /// What was slow, and what was lost, before the change.
-    fn summarize_baseline(&mut self) {
+    /// Computes the latency thresholds and the loss before the change.
+    fn summarize_pre_change_slices(&mut self) {
         let mut classes: BTreeMap<String, RequestCounters> = BTreeMap::new();
         let mut value_served = 0.0;
         let mut value_requested = 0.0;
-        for delta in self.baseline.iter().flatten() {
+        for delta in self.pre_change_slices.iter().flatten() {
             for (class, counters) in &delta.classes {
                 classes.entry(class.clone()).or_default().add(counters);
                 value_served += counters.value_served;
@@ -237,35 +243,39 @@
             }
         }
         let percentile = |(class, counters): (String, RequestCounters)| {
-            let known = counters.latency.len() >= MIN_LATENCIES;
-            known.then(|| (class, counters.latency.value_at_quantile(0.99)))
+            let is_sufficient = counters.latency.len() >= MIN_LATENCIES;
+            is_sufficient.then(|| (class, counters.latency.value_at_quantile(0.99)))
         };
-        self.slow_over = classes.into_iter().filter_map(percentile).collect();
-        self.usual_loss = (value_requested > 0.0).then(|| 1.0 - value_served / value_requested);
+        self.slow_thresholds = classes.into_iter().filter_map(percentile).collect();
+        self.pre_change_loss =
+            (value_requested > 0.0).then(|| 1.0 - value_served / value_requested);
     }
 
-    /// Fails the new side if a guard prevented something there.
+    /// Fails the canary group if a guard has intervened on a canary.
     fn check_guards(&mut self, reports: &[FrontEndReport]) {
         for report in reports.iter().filter(|report| report.is_canary) {
-            let known = self.guarded.entry(report.name.clone()).or_insert(0);
+            let known = self
+                .guard_interventions
+                .entry(report.name.clone())
+                .or_insert(0);
             if report.guard_interventions > *known {
                 *known = report.guard_interventions;
-                self.stop(format!("a guard of {} held something back", report.name));
+                self.fail(format!("a guard of {} held something back", report.name));
             }
         }
     }
 
-    /// Fails the new side if one uses too much memory, and records the memory of all that are warm.
+    /// Fails the canary group if a canary exceeds the memory limit, and records the memory of all front ends past their warm-up.
     fn check_memory(&mut self, reports: &[FrontEndReport]) {
-        let limit = self.parameters.memory;
+        let limit = self.parameters.memory_limit_mb;
         for report in reports {
             if report.is_canary && report.memory_mb > limit {
-                self.stop(format!(
+                self.fail(format!(
                     "{} takes {:.0} MB, over its limit of {limit:.0}",
                     report.name, report.memory_mb
                 ));
             }
-            if report.uptime_seconds >= self.parameters.warm_up {
+            if report.uptime_seconds >= self.parameters.warm_up_seconds {
                 self.memory
                     .entry((report.name.clone(), report.incarnation))
                     .or_default()
--- a/decide/canary/src/comparison.rs
+++ b/decide/canary/src/comparison.rs
@@ -1,33 +1,35 @@
-//! Comparing the two sides slice by slice.
+//! Slice-by-slice comparison of the two groups.
 
 use crate::analysis::{CanaryAnalysis, FrontEndDelta};
-use crate::metric::{observe_spill, CellSums, Cells, Metric, SideTotals};
+use crate::metric::{observe_spill, CellSums, Cells, GroupTotals, Metric};
 use crate::request_counters::FrontEndReport;
-use crate::sequential_test::{Observation, Prior, SequentialTest};
+use crate::sequential_test::{Observation, PreChangeDifference, SequentialTest};
 use std::collections::BTreeSet;
 
-/// Metrics that are tested at most.
+/// Maximum number of metrics tested, since each one reduces the error probability left for the others.
 const MAX_METRICS: usize = 24;
-/// Calls below which the share that a front end lost says nothing.
-const MIN_CASES: f64 = 50.0;
+/// Minimum baseline front ends for an estimate of the variance among them.
+const MIN_FRONT_ENDS: usize = 3;
+/// Minimum calls of a front end for its loss rate to be used.
+const MIN_CALLS: f64 = 50.0;
 
-/// The evidence on one metric.
+/// The data collected on one metric.
 #[derive(Clone, Debug)]
 pub(crate) struct MetricEvidence {
     pub(crate) test: SequentialTest,
-    pub(crate) prior: Prior,
-    pub(crate) totals: SideTotals,
+    pub(crate) pre_change: PreChangeDifference,
+    pub(crate) totals: GroupTotals,
 }
 
 impl CanaryAnalysis {
-    /// Adds a slice to the evidence, unless both sides are in trouble.
+    /// Adds a slice to the evidence, unless the baseline group is in trouble.
     pub(crate) fn compare(&mut self, deltas: &[FrontEndDelta]) {
         let cells = self.cells(deltas);
-        if self.is_troubled(&cells) {
-            self.troubled_slices += 1;
+        if self.has_shared_fault(&cells) {
+            self.shared_fault_slices += 1;
             return;
         }
-        self.troubled_slices = 0;
+        self.shared_fault_slices = 0;
         for metric in metrics(&cells) {
             let Some((observation, totals)) = self.observe_metric(&metric, &cells) else {
                 continue;
@@ -38,8 +40,8 @@
                 }
                 let evidence = MetricEvidence {
                     test: SequentialTest::default(),
-                    prior: self.prior(&metric),
-                    totals: SideTotals::default(),
+                    pre_change: self.pre_change(&metric),
+                    totals: GroupTotals::default(),
                 };
                 self.evidence.insert(metric.clone(), evidence);
             }
@@ -50,104 +52,108 @@
         }
     }
 
-    /// Whether the old side loses much more than before the change. Once all front ends are changed there is no old side, and the
-    /// new one is compared with what was usual.
-    fn is_troubled(&self, cells: &Cells) -> bool {
-        let loss = |side: usize| {
-            let sum = |part: fn(&CellSums) -> f64| {
-                cells.values().map(|sides| part(&sides[side])).sum::<f64>()
+    /// Whether the baseline group loses much more than before the change. Once all front ends are changed there is no baseline group,
+    /// and the canary group is checked instead.
+    fn has_shared_fault(&self, cells: &Cells) -> bool {
+        let loss = |group: usize| {
+            let sum = |field: fn(&CellSums) -> f64| {
+                cells
+                    .values()
+                    .map(|groups| field(&groups[group]))
+                    .sum::<f64>()
             };
             let value_served = sum(|sums| sums.value_served);
             let value_requested = sum(|sums| sums.value_requested);
             (value_requested > 0.0).then(|| 1.0 - value_served / value_requested)
         };
-        self.usual_loss
+        self.pre_change_loss
             .zip(loss(0).or(loss(1)))
-            .is_some_and(|(usual, now)| now - usual >= self.parameters.shared_fault)
+            .is_some_and(|(before, now)| now - before >= self.parameters.shared_fault_loss)
     }
 
-    /// The calls of a slice by zone and class.
+    /// Sums a slice by zone, class and group.
     fn cells(&self, deltas: &[FrontEndDelta]) -> Cells {
         let mut cells = Cells::new();
         for delta in deltas {
-            // The side is that of now, also in slices from before the change.
-            let side = usize::from(self.new.contains(&delta.name));
+            // Slices from before the change are divided into the groups of the current stage as well.
+            let group = usize::from(self.canaries.contains(&delta.name));
             for (class, counters) in &delta.classes {
                 let cell = cells
                     .entry((delta.zone.clone(), class.clone()))
                     .or_default();
-                cell[side].add(counters, self.slow_over.get(class).copied());
+                cell[group].add(counters, self.slow_thresholds.get(class).copied());
             }
         }
         cells
     }
 
-    fn observe_metric(&self, metric: &Metric, cells: &Cells) -> Option<(Observation, SideTotals)> {
+    fn observe_metric(&self, metric: &Metric, cells: &Cells) -> Option<(Observation, GroupTotals)> {
         if *metric != Metric::Spill {
             return metric.observe(cells);
         }
-        let staged: BTreeSet<&String> = self
-            .last
+        let canary_zones: BTreeSet<&String> = self
+            .last_reports
             .values()
-            .filter(|report| self.new.contains(&report.name))
+            .filter(|report| self.canaries.contains(&report.name))
             .map(|report| &report.zone)
             .collect();
-        observe_spill(cells, &staged)
+        observe_spill(cells, &canary_zones)
     }
 
-    /// What the sides of now differed by before the change.
-    fn prior(&self, metric: &Metric) -> Prior {
+    /// The difference between the current groups before the change.
+    fn pre_change(&self, metric: &Metric) -> PreChangeDifference {
         let observations: Vec<Observation> = self
-            .baseline
+            .pre_change_slices
             .iter()
             .filter_map(|deltas| self.observe_metric(metric, &self.cells(deltas)))
             .map(|(observation, _)| observation)
             .collect();
-        let prior = Prior::of(&observations);
-        if prior.variance.is_finite() {
-            return prior;
+        let pre_change = PreChangeDifference::from_observations(&observations);
+        if pre_change.variance.is_finite() {
+            return pre_change;
         }
-        Prior {
-            variance: self.variance_between_old(metric),
-            ..prior
+        PreChangeDifference {
+            variance: self.variance_among_baseline(metric),
+            ..pre_change
         }
     }
 
-    /// Without a baseline: how far the means of two sides of this size may lie apart, by how far old front ends do.
-    fn variance_between_old(&self, metric: &Metric) -> f64 {
-        let shares: Vec<f64> = self
-            .last
+    /// The variance of the difference between two groups of this size, estimated from the differences among baseline front ends. Used
+    /// if there are too few slices from before the change.
+    fn variance_among_baseline(&self, metric: &Metric) -> f64 {
+        let loss_rates: Vec<f64> = self
+            .last_reports
             .values()
-            .filter(|report| !self.new.contains(&report.name))
-            .filter_map(|report| lost_share(metric, report))
+            .filter(|report| !self.canaries.contains(&report.name))
+            .filter_map(|report| loss_rate(metric, report))
             .collect();
-        if shares.len() < 3 {
+        if loss_rates.len() < MIN_FRONT_ENDS {
             return f64::INFINITY;
         }
-        let count = shares.len() as f64;
-        let mean = shares.iter().sum::<f64>() / count;
-        let variance = shares
+        let count = loss_rates.len() as f64;
+        let mean = loss_rates.iter().sum::<f64>() / count;
+        let variance = loss_rates
             .iter()
-            .map(|share| (share - mean).powi(2))
+            .map(|rate| (rate - mean).powi(2))
             .sum::<f64>()
             / (count - 1.0);
-        variance * (1.0 / count + 1.0 / self.new.len().max(1) as f64)
+        variance * (1.0 / count + 1.0 / self.canaries.len().max(1) as f64)
     }
 }
 
-/// The share that a front end lost since its process began, if it had enough calls.
-fn lost_share(metric: &Metric, report: &FrontEndReport) -> Option<f64> {
+/// The loss rate of a front end since its process started, if it had enough calls.
+fn loss_rate(metric: &Metric, report: &FrontEndReport) -> Option<f64> {
     let mut sums = CellSums::default();
     for (class, counters) in &report.classes {
         if metric.covers(&report.zone, class) {
             sums.add(counters, None);
         }
     }
-    let share = metric.share(&sums);
-    (share.cases >= MIN_CASES).then_some(share.lost)
+    let loss = metric.loss_rate(&sums);
+    (loss.calls >= MIN_CALLS).then_some(loss.rate)
 }
 
-/// The metrics of a slice: the general ones, and those of each class and zone if there are several.
+/// The metrics of a slice: those of the whole service, and those of each class and zone if there are several.
 fn metrics(cells: &Cells) -> Vec<Metric> {
     let mut metrics = vec![
         Metric::Service,
--- a/decide/canary/src/lib.rs
+++ b/decide/canary/src/lib.rs
@@ -1,17 +1,18 @@
-//! Canary analysis: does the new side of a change do worse than the old side that runs beside it?
+//! Canary analysis: do front ends with a change (the **canary group**) do worse than those without it (the **baseline group**)?
 //!
-//! Front ends are sampled again and again; what happened between two samples is a **slice**. In each slice, calls of one class in one
-//! zone are compared: those that ended at front ends of the new side with those that ended at old ones. What affects both sides (the
-//! loss of a zone, a storm of retries, twice the traffic) therefore makes no difference, and what the same front ends differed by
-//! before the change is subtracted.
+//! Front ends are sampled at regular intervals. The counts between two samples are a **slice**. In each slice, calls of the same class
+//! and zone are compared between the two groups. Effects on both groups, such as the loss of a zone, a retry storm or doubled traffic,
+//! therefore cancel out. What the same front ends differed by before the change is subtracted.
 //!
-//! A [`CanaryAnalysis`] takes samples and answers [`Verdict`]s. The verdict is [`Verdict::Fail`] when a [`sequential_test`]
-//! passes its bound and the loss is as large as matters, or when something happened that needs no statistics; it is
-//! [`Verdict::Pass`] when the loss that may still be hidden is small enough; otherwise it is [`Verdict::Inconclusive`] and says
-//! what would settle it.
+//! A [`CanaryAnalysis`] takes samples and gives a [`Verdict`]:
 //!
-//! The crate has no clock and no I/O, knows no metrics but its own, and decides nothing: what follows from a verdict is the matter of
-//! `tansy_rollout`.
+//! - [`Verdict::Fail`]: a [`sequential_test`] has found a loss that is significant and large enough to matter, or an event has
+//!   occurred that needs no statistics, such as a crash loop.
+//! - [`Verdict::Pass`]: the largest loss that is still compatible with the data is tolerated.
+//! - [`Verdict::SharedFault`]: both groups are currently in trouble.
+//! - [`Verdict::Inconclusive`]: more data is needed.
+//!
+//! The crate performs no I/O and reads no clock. What follows from a verdict is decided by `tansy_rollout`.
 //!
 //! ```
 //! use tansy_canary::{AnalysisParameters, CanaryAnalysis, Verdict};
--- a/decide/canary/src/metric.rs
+++ b/decide/canary/src/metric.rs
@@ -1,27 +1,28 @@
-//! What is compared between the two sides, and how a slice gives a difference.
+//! The metrics that are compared between the two groups, and the difference that a slice gives.
 
 use crate::request_counters::RequestCounters;
 use crate::sequential_test::Observation;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A difference that is tested. The order is that of the reports.
+/// A metric that is tested for a difference between the groups. Reports list metrics in declaration order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Metric {
-    /// Value lost, over all calls.
+    /// Share of the value of all calls that is lost.
     Service,
-    /// Value lost, over calls of one class.
+    /// Share of the value of one class's calls that is lost.
     Class(String),
-    /// Value lost, over calls in one zone.
+    /// Share of the value of one zone's calls that is lost.
     Zone(String),
-    /// Answers slower than nearly all were before the change.
+    /// Share of answers slower than the 99th percentile before the change.
     Slow,
-    /// Rejected calls.
+    /// Share of calls that are rejected.
     Rejected,
-    /// Value lost at old front ends of zones that have new ones.
+    /// Share of value lost by baseline front ends in zones that have canaries, compared with other zones. It shows harm that
+    /// canaries do to their neighbours.
     Spill,
 }
 
-/// Calls of one side in one cell.
+/// Sums over the calls of one group in one cell, that is of one class in one zone.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CellSums {
     pub(crate) requested: f64,
@@ -33,49 +34,49 @@
 }
 
 impl CellSums {
-    /// Adds counts. `slow_over`: the latency beyond which answers of the class are slow, if that is known.
+    /// Adds counters. `slow_over`: the latency in microseconds above which answers of the class are slow, if known.
     pub(crate) fn add(&mut self, counters: &RequestCounters, slow_over: Option<u64>) {
         self.requested += counters.requested as f64;
         self.value_requested += counters.value_requested;
         self.value_served += counters.value_served;
         self.rejected += counters.rejected as f64;
         self.served += counters.served as f64;
-        self.slow += slow_over.map_or(0.0, |limit| counters.slower(limit) as f64);
+        self.slow += slow_over.map_or(0.0, |limit| counters.slower_than(limit) as f64);
     }
 }
 
-/// Calls by zone and class, of the old and the new side.
+/// Calls by zone and class, of the baseline and the canary group.
 pub(crate) type Cells = BTreeMap<(String, String), [CellSums; 2]>;
 
-/// How many cases there were on a side, and the share of them that was lost.
+/// The number of calls that a metric counts in a group, and the share of them that was lost.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LossShare {
-    pub(crate) cases: f64,
-    pub(crate) lost: f64,
+pub(crate) struct LossRate {
+    pub(crate) calls: f64,
+    pub(crate) rate: f64,
 }
 
-/// Losses and cases of both sides, added up.
+/// Lost calls and all calls of both groups over all slices.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct SideTotals {
-    pub(crate) old_lost: f64,
-    pub(crate) old_cases: f64,
-    pub(crate) new_lost: f64,
-    pub(crate) new_cases: f64,
+pub(crate) struct GroupTotals {
+    pub(crate) baseline_lost: f64,
+    pub(crate) baseline_calls: f64,
+    pub(crate) canary_lost: f64,
+    pub(crate) canary_calls: f64,
 }
 
-impl SideTotals {
-    fn add_shares(&mut self, old: LossShare, new: LossShare) {
-        self.old_lost += old.lost * old.cases;
-        self.old_cases += old.cases;
-        self.new_lost += new.lost * new.cases;
-        self.new_cases += new.cases;
+impl GroupTotals {
+    fn add_rates(&mut self, baseline: LossRate, canary: LossRate) {
+        self.baseline_lost += baseline.rate * baseline.calls;
+        self.baseline_calls += baseline.calls;
+        self.canary_lost += canary.rate * canary.calls;
+        self.canary_calls += canary.calls;
     }
 
-    pub(crate) fn add(&mut self, other: SideTotals) {
-        self.old_lost += other.old_lost;
-        self.old_cases += other.old_cases;
-        self.new_lost += other.new_lost;
-        self.new_cases += other.new_cases;
+    pub(crate) fn add(&mut self, other: GroupTotals) {
+        self.baseline_lost += other.baseline_lost;
+        self.baseline_calls += other.baseline_calls;
+        self.canary_lost += other.canary_lost;
+        self.canary_calls += other.canary_calls;
     }
 }
 
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Whether calls of this cell count.
+    /// Whether the metric counts calls of this cell.
     pub(crate) fn covers(&self, zone: &str, class: &str) -> bool {
         match self {
             Metric::Class(only) => only == class,
@@ -101,45 +102,45 @@
         }
     }
 
-    /// What one side lost in a cell.
-    pub(crate) fn share(&self, sums: &CellSums) -> LossShare {
+    /// The loss rate of one group in a cell.
+    pub(crate) fn loss_rate(&self, sums: &CellSums) -> LossRate {
         match self {
-            Metric::Slow => LossShare {
-                cases: sums.served,
-                lost: sums.slow / sums.served.max(1.0),
+            Metric::Slow => LossRate {
+                calls: sums.served,
+                rate: sums.slow / sums.served.max(1.0),
             },
-            Metric::Rejected => LossShare {
-                cases: sums.requested,
-                lost: sums.rejected / sums.requested.max(1.0),
+            Metric::Rejected => LossRate {
+                calls: sums.requested,
+                rate: sums.rejected / sums.requested.max(1.0),
             },
-            _ => LossShare {
-                cases: sums.requested,
-                lost: 1.0 - sums.value_served / sums.value_requested.max(1e-9),
+            _ => LossRate {
+                calls: sums.requested,
+                rate: 1.0 - sums.value_served / sums.value_requested.max(1e-9),
             },
         }
     }
 
-    /// The difference of a slice and the totals of both sides, if both had calls in one cell. [`Metric::Spill`] is compared by
-    /// [`observe_spill`].
-    pub(crate) fn observe(&self, cells: &Cells) -> Option<(Observation, SideTotals)> {
+    /// The difference between the groups in a slice, averaged over the cells in which both have calls, and the totals of these
+    /// cells. `None` if there is no such cell. [`Metric::Spill`] is compared by [`observe_spill`] instead.
+    pub(crate) fn observe(&self, cells: &Cells) -> Option<(Observation, GroupTotals)> {
         let mut difference = 0.0;
         let mut variance = 0.0;
         let mut weight = 0.0;
-        let mut totals = SideTotals::default();
-        for ((zone, class), [old, new]) in cells {
-            let old = self.share(old);
-            let new = self.share(new);
-            if !self.covers(zone, class) || old.cases < 1.0 || new.cases < 1.0 {
+        let mut totals = GroupTotals::default();
+        for ((zone, class), [baseline, canary]) in cells {
+            let baseline = self.loss_rate(baseline);
+            let canary = self.loss_rate(canary);
+            if !self.covers(zone, class) || baseline.calls < 1.0 || canary.calls < 1.0 {
                 continue;
             }
-            let cell_weight = old.cases * new.cases / (old.cases + new.cases);
-            difference += cell_weight * (new.lost - old.lost);
+            let cell_weight = baseline.calls * canary.calls / (baseline.calls + canary.calls);
+            difference += cell_weight * (canary.rate - baseline.rate);
             variance += cell_weight
                 * cell_weight
-                * pooled_variance(old, new)
-                * (1.0 / old.cases + 1.0 / new.cases);
+                * pooled_variance(baseline, canary)
+                * (1.0 / baseline.calls + 1.0 / canary.calls);
             weight += cell_weight;
-            totals.add_shares(old, new);
+            totals.add_rates(baseline, canary);
         }
         let observation = Observation {
             difference: difference / weight,
@@ -149,35 +150,37 @@
     }
 }
 
-/// What old front ends lose in the zones that have new ones (`staged`), beside old front ends in zones that have none.
+/// Compares baseline front ends in zones that have canaries with those in other zones.
 pub(crate) fn observe_spill(
     cells: &Cells,
-    staged: &BTreeSet<&String>,
-) -> Option<(Observation, SideTotals)> {
-    let mut sides = [CellSums::default(); 2];
-    for ((zone, _), [old, _]) in cells {
-        let side = &mut sides[usize::from(staged.contains(zone))];
-        side.requested += old.requested;
-        side.value_requested += old.value_requested;
-        side.value_served += old.value_served;
+    canary_zones: &BTreeSet<&String>,
+) -> Option<(Observation, GroupTotals)> {
+    let mut sums = [CellSums::default(); 2];
+    for ((zone, _), [baseline, _]) in cells {
+        let sum = &mut sums[usize::from(canary_zones.contains(zone))];
+        sum.requested += baseline.requested;
+        sum.value_requested += baseline.value_requested;
+        sum.value_served += baseline.value_served;
     }
-    let outside = Metric::Service.share(&sides[0]);
-    let beside = Metric::Service.share(&sides[1]);
-    if outside.cases < 1.0 || beside.cases < 1.0 {
+    let others = Metric::Service.loss_rate(&sums[0]);
+    let neighbours = Metric::Service.loss_rate(&sums[1]);
+    if others.calls < 1.0 || neighbours.calls < 1.0 {
         return None;
     }
     let observation = Observation {
-        difference: beside.lost - outside.lost,
-        variance: pooled_variance(outside, beside) * (1.0 / outside.cases + 1.0 / beside.cases),
+        difference: neighbours.rate - others.rate,
+        variance: pooled_variance(others, neighbours)
+            * (1.0 / others.calls + 1.0 / neighbours.calls),
     };
-    let mut totals = SideTotals::default();
-    totals.add_shares(outside, beside);
+    let mut totals = GroupTotals::default();
+    totals.add_rates(others, neighbours);
     Some((observation, totals))
 }
 
-/// The variance of one case, by the share that both sides lost together. It is never zero: few cases may all be well by luck.
-fn pooled_variance(old: LossShare, new: LossShare) -> f64 {
-    let cases = old.cases + new.cases;
-    let both = (old.lost * old.cases + new.lost * new.cases) / cases;
-    (both * (1.0 - both)).max(0.0) + 0.5 / (cases + 1.0)
+/// The variance of the loss of one call, estimated over both groups together. It is never zero, since a few calls may all succeed
+/// by chance.
+fn pooled_variance(baseline: LossRate, canary: LossRate) -> f64 {
+    let calls = baseline.calls + canary.calls;
+    let pooled = (baseline.rate * baseline.calls + canary.rate * canary.calls) / calls;
+    (pooled * (1.0 - pooled)).max(0.0) + 0.5 / (calls + 1.0)
 }
--- a/decide/canary/src/request_counters.rs
+++ b/decide/canary/src/request_counters.rs
@@ -1,31 +1,34 @@
-//! What a front end counted of its calls, and the difference between two samples of it.
+//! Call counters of a front end, and the difference between two samples of them.
 
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// Final answers to calls of one class since the process began. Counts only grow while the process lives.
+/// Significant digits of a latency histogram, which takes about 20 kB for latencies of up to a minute.
+const LATENCY_DIGITS: u8 = 2;
+
+/// Counters of the completed calls of one class since the process started. They never decrease while the process runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestCounters {
-    /// Calls that ended.
+    /// Completed calls.
     pub requested: u64,
-    /// Answered by a worker.
+    /// Calls that a worker answered.
     pub served: u64,
-    /// Rejected: nothing ran.
+    /// Calls that were rejected before any worker ran them.
     pub rejected: u64,
-    /// Failed.
+    /// Calls that failed.
     pub failed: u64,
-    /// The value of the calls had they been answered in time; that of one call is 1 at most.
+    /// Total value that the calls would have had if answered in time; at most 1 for each call.
     pub value_requested: f64,
-    /// The value of the answers.
+    /// Total value of the answers.
     pub value_served: f64,
-    /// Microseconds from the arrival to the final answer, of served calls.
+    /// Latency of served calls from arrival to the final answer, in microseconds.
     pub latency: Histogram<u64>,
 }
 
 impl Default for RequestCounters {
     fn default() -> RequestCounters {
-        // It grows as needed, to some 20 kB for latencies up to a minute.
-        let latency = Histogram::new(2).expect("two digits are allowed");
+        let latency =
+            Histogram::new(LATENCY_DIGITS).expect("the number of digits is in the allowed range");
         RequestCounters {
             requested: 0,
             served: 0,
@@ -39,7 +42,7 @@
 }
 
 impl RequestCounters {
-    /// Adds the counts of another.
+    /// Adds other counters.
     pub fn add(&mut self, other: &RequestCounters) {
         self.requested += other.requested;
         self.served += other.served;
@@ -47,29 +50,29 @@
         self.failed += other.failed;
         self.value_requested += other.value_requested;
         self.value_served += other.value_served;
-        // Both histograms resize automatically, so that adding can't fail.
+        // Both histograms resize automatically, so adding cannot fail.
         let _ = self.latency.add(&other.latency);
     }
 
-    /// What was counted since an earlier sample of the same process.
-    pub fn since(&self, before: &RequestCounters) -> RequestCounters {
+    /// The difference from an earlier sample of the same process.
+    pub fn since(&self, earlier: &RequestCounters) -> RequestCounters {
         let mut latency = self.latency.clone();
-        if latency.subtract(&before.latency).is_err() {
+        if latency.subtract(&earlier.latency).is_err() {
             latency.reset();
         }
         RequestCounters {
-            requested: self.requested.saturating_sub(before.requested),
-            served: self.served.saturating_sub(before.served),
-            rejected: self.rejected.saturating_sub(before.rejected),
-            failed: self.failed.saturating_sub(before.failed),
-            value_requested: (self.value_requested - before.value_requested).max(0.0),
-            value_served: (self.value_served - before.value_served).max(0.0),
+            requested: self.requested.saturating_sub(earlier.requested),
+            served: self.served.saturating_sub(earlier.served),
+            rejected: self.rejected.saturating_sub(earlier.rejected),
+            failed: self.failed.saturating_sub(earlier.failed),
+            value_requested: (self.value_requested - earlier.value_requested).max(0.0),
+            value_served: (self.value_served - earlier.value_served).max(0.0),
             latency,
         }
     }
 
-    /// Served calls that took longer than this many microseconds.
-    pub fn slower(&self, threshold: u64) -> u64 {
+    /// Number of served calls with a latency above `threshold` microseconds.
+    pub fn slower_than(&self, threshold: u64) -> u64 {
         self.latency
             .len()
             .saturating_sub(self.latency.count_between(0, threshold))
@@ -79,20 +82,20 @@
 /// One sample of a front end.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FrontEndReport {
-    /// Its name.
+    /// Name of the front end.
     pub name: String,
-    /// Its zone.
+    /// Zone of the front end.
     pub zone: String,
-    /// Whether it is on the new side: runs the new program, or acts on the new settings.
+    /// Whether the front end has the change: it runs the new program, or applies the new settings.
     pub is_canary: bool,
-    /// The process; a later one has a larger number, and its counts begin at 0.
+    /// Identifies the process. A later process has a larger number, and its counters begin at 0.
     pub incarnation: u64,
-    /// Seconds since it began to serve.
+    /// Seconds since the process began to serve.
     pub uptime_seconds: f64,
-    /// The counts by class.
+    /// Counters by class.
     pub classes: BTreeMap<String, RequestCounters>,
-    /// Memory in use, in megabytes.
+    /// Memory in use by the process, in megabytes.
     pub memory_mb: f64,
-    /// Times that an internal guard prevented something, which happens only by a defect.
+    /// Number of times that a runtime check of the front end blocked an action. Such an action is always a defect.
     pub guard_interventions: u64,
 }
--- a/decide/canary/src/verdict.rs
+++ b/decide/canary/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What is said of the new side, and the measurements that it rests on.
+//! Verdicts on the canary group, and the measurements they are based on.
 
 use crate::analysis::CanaryAnalysis;
 use crate::comparison::MetricEvidence;
@@ -6,76 +6,80 @@
 use crate::sequential_test::Estimate;
 use serde::{Deserialize, Serialize};
 
-/// One difference between the two sides.
+/// The measured difference between the two groups in one metric.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Measurement {
     /// The metric: `service`, `service class NAME`, `service zone NAME`, `slow`, `refused`, `spill`.
     #[serde(rename = "what")]
     pub metric: String,
-    /// The share that the old side lost over all slices.
+    /// Share lost by the baseline group over all slices.
     #[serde(rename = "old")]
     pub baseline_loss_rate: f64,
-    /// The share that the new side lost over all slices.
+    /// Share lost by the canary group over all slices.
     #[serde(rename = "new")]
     pub canary_loss_rate: f64,
-    /// The loss: the canary's share less the baseline's, less what there was before the change.
+    /// Loss caused by the change: the difference between the groups, less the difference before the change.
     pub loss: f64,
-    /// Half of the width of the loss' interval.
+    /// Half width of the confidence interval around `loss`.
     #[serde(rename = "half")]
     pub half_width: f64,
-    /// The loss since the moment at which it most likely began.
+    /// The loss since the slice in which it most likely began.
     #[serde(rename = "lately")]
     pub recent_loss: f64,
-    /// Slices that it rests on.
+    /// Number of slices measured.
     pub slices: usize,
 }
 
-/// What is said of the new side.
+/// The verdict on the canary group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It does worse.
+    /// The canary group does worse.
     #[serde(rename = "worse")]
     Fail {
-        /// The reason, in words.
+        /// The reason, for operators.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// A loss that matters would have been seen.
+    /// The largest loss within the confidence interval is tolerated.
     #[serde(rename = "fine")]
     Pass,
-    /// Not known yet.
+    /// There is not enough data for a verdict.
     #[serde(rename = "open")]
     Inconclusive {
-        /// What it would take, in words.
+        /// What a verdict needs, for operators.
         needs: String,
-        /// About how many slices like those so far it takes; `None` if that can't be said.
+        /// Estimated number of further slices like those so far; `None` if it cannot be estimated.
         slices: Option<usize>,
     },
-    /// Both sides have the same fault, which is attributed to neither.
+    /// The baseline group is in trouble too, so that nothing can be attributed to the change.
     #[serde(rename = "held")]
     SharedFault {
-        /// For how many slices in a row.
+        /// Consecutive slices for which this has lasted.
         slices: usize,
     },
 }
 
 impl CanaryAnalysis {
-    /// The verdict on all samples so far.
+    /// Returns the verdict on all samples so far.
     pub fn verdict(&self) -> Verdict {
         let failure = self.failure.clone().or_else(|| self.significant_loss());
         if let Some(reason) = failure {
             return Verdict::Fail { reason };
         }
-        if self.troubled_slices > 0 {
+        if self.shared_fault_slices > 0 {
             return Verdict::SharedFault {
-                slices: self.troubled_slices,
+                slices: self.shared_fault_slices,
             };
         }
         match self.evidence.get(&Metric::Service) {
             Some(evidence) => self.service_verdict(evidence),
-            // Once all front ends are changed there is nothing to compare with.
-            None if self.new.len() >= self.last.len() && !self.last.is_empty() => Verdict::Pass,
+            // Once all front ends are changed, there is no baseline group to compare with.
+            None if self.canaries.len() >= self.last_reports.len()
+                && !self.last_reports.is_empty() =>
+            {
+                Verdict::Pass
+            }
             None => Verdict::Inconclusive {
                 needs: "calls of one class in one zone at both sides".into(),
                 slices: None,
@@ -83,12 +87,12 @@
         }
     }
 
-    /// In words, the first metric whose evidence passes its bound with a loss as large as matters.
+    /// The reason for a failure if a metric shows a loss that is significant and large enough to matter.
     fn significant_loss(&self) -> Option<String> {
         let bound = 1.0 / self.error_per_metric();
         self.estimates().find_map(|(metric, estimate, _)| {
             let significant = estimate.likelihood_ratio >= bound
-                && estimate.recent_mean >= self.least_loss(metric);
+                && estimate.recent_mean >= self.min_relevant_loss(metric);
             significant.then(|| {
                 format!(
                     "{}: {:.1} points worse (over the stage {:.1}, give or take {:.1})",
@@ -101,43 +105,48 @@
         })
     }
 
-    /// [`Verdict::Pass`] if the loss that may be hidden is accepted, else [`Verdict::Inconclusive`].
+    /// [`Verdict::Pass`] if the largest loss within the confidence interval is tolerated, otherwise [`Verdict::Inconclusive`].
     fn service_verdict(&self, evidence: &MetricEvidence) -> Verdict {
         let parameters = &self.parameters;
         let error = self.error_per_metric();
-        let estimate = evidence
-            .test
-            .estimate(&evidence.prior, parameters.relevant_loss, error);
-        let hidden = estimate.mean + estimate.half_width;
-        if hidden <= parameters.tolerated_loss {
-            return Verdict::Pass;
-        }
-        let room = parameters.tolerated_loss - estimate.mean.max(0.0);
-        let slices =
+        let estimate =
             evidence
                 .test
-                .slices_needed(&evidence.prior, parameters.relevant_loss, error, room);
+                .estimate(&evidence.pre_change, parameters.relevant_loss, error);
+        let largest_loss = estimate.mean + estimate.half_width;
+        if largest_loss <= parameters.tolerated_loss {
+            return Verdict::Pass;
+        }
+        let needed_half_width = parameters.tolerated_loss - estimate.mean.max(0.0);
+        let slices = evidence.test.slices_needed(
+            &evidence.pre_change,
+            parameters.relevant_loss,
+            error,
+            needed_half_width,
+        );
         let remedy = match slices {
             Some(count) => format!("about {count} slices more like these"),
             None => "more calls a slice, or more front ends in the stage".into(),
         };
         let needs = format!(
             "a loss of up to {:.1} points may be hidden, {:.1} are accepted: {remedy}",
-            hidden * 100.0,
+            largest_loss * 100.0,
             parameters.tolerated_loss * 100.0
         );
         Verdict::Inconclusive { needs, slices }
     }
 
-    /// All metrics as they stand.
+    /// The current measurements of all metrics.
     pub fn measurements(&self) -> Vec<Measurement> {
         let measurement =
             |(metric, estimate, evidence): (&Metric, Estimate, &MetricEvidence)| Measurement {
                 metric: metric.name(),
-                baseline_loss_rate: evidence.totals.old_lost / evidence.totals.old_cases.max(1.0),
-                canary_loss_rate: evidence.totals.new_lost / evidence.totals.new_cases.max(1.0),
+                baseline_loss_rate: evidence.totals.baseline_lost
+                    / evidence.totals.baseline_calls.max(1.0),
+                canary_loss_rate: evidence.totals.canary_lost
+                    / evidence.totals.canary_calls.max(1.0),
                 loss: estimate.mean,
-                // A share can't be lost more than once.
+                // A loss is a share, so a wider interval says nothing more.
                 half_width: estimate.half_width.min(1.0),
                 recent_loss: estimate.recent_mean,
                 slices: estimate.slices,
@@ -145,13 +154,13 @@
         self.estimates().map(measurement).collect()
     }
 
-    /// The probability of error that one metric may use: all share what there is.
+    /// The error probability of one metric. All metrics share that of the analysis equally.
     fn error_per_metric(&self) -> f64 {
-        self.parameters.error / self.evidence.len().max(1) as f64
+        self.parameters.error_probability / self.evidence.len().max(1) as f64
     }
 
-    /// The least loss that matters. A part of the service has to lose more than the whole.
-    fn least_loss(&self, metric: &Metric) -> f64 {
+    /// The smallest loss of a metric that fails the canary group. A single class or zone may lose twice as much as the whole service.
+    fn min_relevant_loss(&self, metric: &Metric) -> f64 {
         match metric {
             Metric::Class(_) | Metric::Zone(_) => 2.0 * self.parameters.relevant_loss,
             _ => self.parameters.relevant_loss,
@@ -164,7 +173,7 @@
             let estimate =
                 evidence
                     .test
-                    .estimate(&evidence.prior, self.parameters.relevant_loss, error);
+                    .estimate(&evidence.pre_change, self.parameters.relevant_loss, error);
             (metric, estimate, evidence)
         })
     }
--- a/decide/rollout/src/controller/analysis.rs
+++ b/decide/rollout/src/controller/analysis.rs
@@ -39,7 +39,7 @@
         if self.number != number {
             self.number = number;
             self.analysis
-                .next(stage_names(rollout), error_share(rollout));
+                .begin_stage(stage_names(rollout), error_share(rollout));
             self.crashes_seen = 0;
         }
     }
@@ -68,11 +68,11 @@
 fn analysis_parameters(rollout: &Rollout) -> AnalysisParameters {
     let plan = &rollout.plan;
     AnalysisParameters {
-        error: error_share(rollout),
+        error_probability: error_share(rollout),
         relevant_loss: plan.relevant_loss,
         tolerated_loss: plan.tolerated_loss,
-        warm_up: plan.warm_up_seconds as f64,
-        memory: plan.memory_limit_mb as f64,
+        warm_up_seconds: plan.warm_up_seconds as f64,
+        memory_limit_mb: plan.memory_limit_mb as f64,
         ..AnalysisParameters::default()
     }
 }
