--- a/programs/fleet/src/arguments.rs
+++ b/programs/fleet/src/arguments.rs
@@ -1,18 +1,18 @@
-//! The command line.
+//! Command-line arguments.
 
 use clap::{Parser, Subcommand};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Shows the status and the settings versions of a fleet of front ends, and changes them.
+/// Shows the status of a fleet of front ends, changes its settings and functions, and runs its front ends.
 ///
-/// Exit codes: 0 done, 1 a front end could not be reached, 2 wrong arguments or settings, 3 rejected, 4 not in force in the
-/// time that was waited, 5 proposed and abandoned.
+/// Exit codes: 0 done, 1 a front end could not be reached, 2 invalid arguments or settings, 3 rejected, 4 not in force
+/// within the waiting time, 5 abandoned by the fleet.
 #[derive(Parser)]
 #[command(name = "tansy-fleet", version)]
 pub(crate) struct Arguments {
-    /// Any front end of the fleet, by the address at which its siblings reach it.
+    /// Any front end of the fleet, by the address at which other front ends reach it.
     #[arg(
         long,
         global = true,
@@ -20,7 +20,7 @@
         default_value = "127.0.0.1:7001"
     )]
     pub(crate) at: SocketAddr,
-    /// Print one JSON value.
+    /// Print one JSON value instead of text.
     #[arg(long, global = true)]
     pub(crate) json: bool,
     #[command(subcommand)]
@@ -29,88 +29,88 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Who is in the fleet, what each acts on, and what a change in progress waits for.
+    /// Shows the front ends, their versions, and what a change in progress waits for.
     Status,
-    /// Proposes the settings of a file as the next version, and waits until it is in force.
+    /// Proposes the settings in a file as the next version, and waits until it is in force.
     Propose {
-        /// The settings file; a front end's own fields in it are left out.
+        /// The settings file; fields that belong to a single front end are ignored.
         file: PathBuf,
-        /// The version that the change was made from: another one in force by now means that somebody else changed it.
+        /// The version that the change is based on; the change is rejected if another version is in force.
         #[arg(long)]
         expect: Option<u64>,
-        /// Why, for those who read the history.
+        /// The reason, shown in the history.
         #[arg(long, default_value = "")]
         why: String,
-        /// Only show what would change.
+        /// Only show the changes.
         #[arg(long)]
         dry_run: bool,
         #[command(flatten)]
         wait: Wait,
     },
-    /// Proposes an earlier version's settings again.
+    /// Proposes the settings of an earlier version again.
     Revert {
-        /// Which.
+        /// Number of the earlier version.
         version: u64,
-        /// Only show what would change.
+        /// Only show the changes.
         #[arg(long)]
         dry_run: bool,
         #[command(flatten)]
         wait: Wait,
     },
-    /// The versions that the leader remembers.
+    /// Lists the versions that the leader keeps.
     History,
-    /// What differs between two versions.
+    /// Shows the differences between two versions.
     Diff {
-        /// From this.
+        /// The older version.
         old: u64,
-        /// To this.
+        /// The newer version.
         new: u64,
     },
     /// Abandons the change in progress.
     Abandon,
-    /// Removes a front end from the roster, so that nothing waits for it. Only for one that is surely dead.
+    /// Removes a front end from the roster, so that no change waits for it. Only for a front end that is certainly down for good.
     Dismiss {
-        /// Its name.
+        /// Name of the front end.
         name: String,
     },
-    /// The voters, which keep the agreed log, and which of them leads.
+    /// Lists the voters, which keep the replicated log, and shows which of them is the leader.
     Seats,
-    /// Supervises the front ends of this machine as processes, and controls rollouts where nobody else does, until SIGTERM or
+    /// Runs the front ends of this machine as processes, and controls rollouts if no other controller does, until SIGTERM or
     /// SIGINT.
     Up {
-        /// The machine's file (TOML).
+        /// The machine's configuration file (TOML).
         #[arg(long)]
         fleet: PathBuf,
-        /// What is logged: error, warn, info, debug.
+        /// Log level: error, warn, info or debug.
         #[arg(long, default_value = "info")]
         log: String,
     },
-    /// Controls rollouts where nobody else does, without front ends of its own.
+    /// Controls rollouts if no other controller does, without running front ends.
     Steer {
-        /// Its name among all rollout controllers.
+        /// Name of this rollout controller, unique in the fleet.
         #[arg(long)]
         name: String,
     },
-    /// A change of the program or of settings in stages.
+    /// Changes the program or the settings in stages.
     #[command(visible_alias = "roll")]
     Rollout {
         #[command(subcommand)]
         command: RolloutCommand,
     },
-    /// Functions that are agreed on one by one, beside the versions.
+    /// Changes single functions, independently of settings versions.
     Scope {
         #[command(subcommand)]
         command: ScopeCommand,
     },
-    /// Makes a front end a voter in the place of another, dead or alive, and waits until it is. It has to run with `--state`.
+    /// Replaces a voter, running or not, by another front end, and waits until it is done. The new voter has to run with `--state`.
     #[command(visible_alias = "seat")]
     ReplaceVoter {
-        /// The name of the one that is to become a voter.
+        /// Name of the front end that becomes a voter.
         new: String,
-        /// The name of the voter that it replaces.
+        /// Name of the voter that it replaces.
         #[arg(long, visible_alias = "instead")]
         replaces: String,
-        /// Seconds to wait until it is a voter; 0: not at all.
+        /// Seconds to wait until it is a voter; 0 to not wait.
         #[arg(long, default_value_t = 40.0)]
         wait: f64,
     },
@@ -118,10 +118,10 @@
 
 #[derive(clap::Args)]
 pub(crate) struct Wait {
-    /// Seconds to wait until it is in force; 0: not at all.
+    /// Seconds to wait until the change is in force; 0 to not wait.
     #[arg(long, default_value_t = 15.0)]
     pub(crate) wait: f64,
-    /// The proposal's id: asked again with the same one, it is the same proposal.
+    /// Id of the proposal. A repeated request with the same id is the same proposal.
     #[arg(long)]
     pub(crate) id: Option<u64>,
 }
@@ -132,134 +132,134 @@
         wait_limit(self.wait)
     }
 
-    /// The proposal's id, drawn if none is given.
+    /// The proposal's id, random if none is given.
     pub(crate) fn id_or_random(&self) -> u64 {
         self.id.unwrap_or_else(|| fastrand::u64(1..))
     }
 }
 
-/// So many seconds, and a day at most.
+/// The waiting time of a `--wait` argument, at most a day.
 pub(crate) fn wait_limit(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.clamp(0.0, 86_400.0))
 }
 
-/// What is to be done with functions.
+/// Commands on functions.
 #[derive(Subcommand)]
 pub(crate) enum ScopeCommand {
-    /// Sets one function, and waits until that is in force.
+    /// Sets a function, and waits until the change is in force.
     Set {
-        /// Its name.
+        /// Name of the function.
         name: String,
-        /// Its class.
+        /// Class of the function.
         #[arg(long)]
         class: String,
-        /// Memory of one instance, as 100MB.
+        /// Memory of one instance, for instance 100MB.
         #[arg(long)]
         memory: String,
-        /// Calls that one instance runs at a time.
+        /// Calls that one instance runs concurrently.
         #[arg(long)]
         lanes: Option<u32>,
-        /// Usual time of a load, as 50ms.
+        /// Usual duration of a load, for instance 50ms.
         #[arg(long)]
         load_time: Option<String>,
-        /// A version that is named to clients; may be given again.
+        /// A version announced to clients; may be given several times.
         #[arg(long = "version")]
         versions: Vec<String>,
         #[command(flatten)]
         change: ChangeArguments,
     },
-    /// Removes functions, together or not at all.
+    /// Removes functions, all or none of them.
     Remove {
-        /// Their names.
+        /// Names of the functions.
         #[arg(required = true)]
         names: Vec<String>,
         #[command(flatten)]
         change: ChangeArguments,
     },
-    /// Sets all functions of a file, together or not at all.
+    /// Sets all functions in a file, all or none of them.
     Apply {
-        /// A file with `functions: {...}` as settings have it, and nothing else.
+        /// A file with only `functions: {...}`, in the format of settings files.
         file: PathBuf,
         #[command(flatten)]
         change: ChangeArguments,
     },
-    /// What functions are, and where changes of them stand.
+    /// Shows functions and their changes in progress.
     Show {
-        /// Their names.
+        /// Names of the functions.
         #[arg(required = true)]
         names: Vec<String>,
     },
 }
 
-// What every change of functions takes. A doc comment here would stand in the help of the commands that flatten it.
+// Arguments of all changes of functions. Not a doc comment, since that would replace the help of the commands that flatten them.
 #[derive(clap::Args)]
 pub(crate) struct ChangeArguments {
-    /// Why, for the voters' log.
+    /// The reason, for the voters' log.
     #[arg(long, default_value = "")]
     pub(crate) why: String,
-    /// The revision that the change was made from: another one by now means that somebody else changed it.
+    /// The revision that the change is based on; the change is rejected if a function is at another revision.
     #[arg(long)]
     pub(crate) expect: Option<u64>,
     #[command(flatten)]
     pub(crate) wait: Wait,
 }
 
-/// What is to be done with a rollout.
+/// Commands on rollouts.
 #[derive(Subcommand)]
 pub(crate) enum RolloutCommand {
-    /// Begins a change. It goes on by itself, controlled by whichever supervisor or `tansy-fleet steer` is there.
+    /// Begins a rollout. It is controlled by any running supervisor or `tansy-fleet steer`.
     Begin(BeginArguments),
-    /// Where it stands: stages, old against new, what it waits for.
+    /// Shows the last rollout: its stages, measurements and progress.
     Status {
-        /// Again and again, until it is over.
+        /// Keep showing it until it ends.
         #[arg(long)]
         watch: bool,
     },
-    /// Changes nothing further. What is being rolled back goes on.
+    /// Pauses the rollout. A rollback continues.
     Pause {
-        /// Why.
+        /// The reason.
         #[arg(long, default_value = "an operator's word")]
         why: String,
     },
-    /// Continues it.
+    /// Resumes a paused rollout.
     Resume,
-    /// Rolls it back.
+    /// Rolls the change back.
     Abort {
-        /// Why.
+        /// The reason.
         #[arg(long, default_value = "an operator's word")]
         why: String,
     },
-    /// Writes one page (HTML) on the last rollout: what changed, stage by stage, old against new.
+    /// Writes a report on the last rollout as an HTML page, with the measurements of each stage.
     Report {
-        /// Where to.
+        /// File to write.
         #[arg(long)]
         out: PathBuf,
     },
 }
 
-// A rollout to begin; its help is that of the command.
+// Arguments of `rollout begin`. Not a doc comment, since that would replace the help of the command.
 #[derive(clap::Args)]
 pub(crate) struct BeginArguments {
-    /// The new program's file, at the same place on every machine.
+    /// The new program, at the same path on every machine.
     #[arg(
         long,
         required_unless_present = "settings",
         conflicts_with = "settings"
     )]
     pub(crate) program: Option<PathBuf>,
-    /// The new settings' file.
+    /// The file with the new settings.
     #[arg(long)]
     pub(crate) settings: Option<PathBuf>,
-    /// How it is to go (TOML); what is left out takes its default.
+    /// Plan of the rollout (TOML); missing fields have their defaults.
     #[arg(long)]
     pub(crate) plan: Option<PathBuf>,
     /// Shares of the fleet that are changed by the end of each stage.
     #[arg(long, value_delimiter = ',', default_value = "0.1,0.3,1")]
     pub(crate) stages: Vec<f64>,
-    /// Why, for those who read it later.
+    /// The reason, shown with the rollout.
     #[arg(long, default_value = "")]
     pub(crate) why: String,
-    /// The rollout's own number: asked again with the same one, it is the same rollout.
+    /// Id of the rollout. A repeated request with the same id is the same rollout.
     #[arg(long)]
     pub(crate) id: Option<u64>,
     /// Only show the plan.
--- a/programs/fleet/src/arguments/tests.rs
+++ b/programs/fleet/src/arguments/tests.rs
@@ -1,11 +1,11 @@
-//! Former names of commands and flags are still taken.
+//! Aliases of commands and flags are accepted.
 
 use super::{Arguments, Command, RolloutCommand};
 use clap::{CommandFactory, Parser};
 
 fn parse(arguments: &[&str]) -> Command {
-    let all = ["tansy-fleet"].iter().chain(arguments);
-    match Arguments::try_parse_from(all) {
+    let command_line = ["tansy-fleet"].iter().chain(arguments);
+    match Arguments::try_parse_from(command_line) {
         Ok(arguments) => arguments.command,
         Err(error) => panic!("{arguments:?}: {error}"),
     }
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn replace_voter_is_also_taken_as_seat_instead() {
+fn replace_voter_accepts_the_aliases_seat_and_instead() {
     let forms: [&[&str]; 3] = [
         &["replace-voter", "f5", "--replaces", "f2", "--wait", "3"],
         &["seat", "f5", "--instead", "f2", "--wait", "3"],
@@ -30,21 +30,21 @@
             wait,
         } = parse(form)
         else {
-            panic!("{form:?} is another command");
+            panic!("{form:?} is parsed as another command");
         };
         assert_eq!((new.as_str(), replaces.as_str(), wait), ("f5", "f2", 3.0));
     }
 }
 
 #[test]
-fn rollout_is_also_taken_as_roll() {
+fn rollout_accepts_the_alias_roll() {
     for name in ["rollout", "roll"] {
         let begin = parse(&[name, "begin", "--settings", "a.cue", "--stages", "0.5,1"]);
         let Command::Rollout {
             command: RolloutCommand::Begin(arguments),
         } = begin
         else {
-            panic!("{name} begin is another command");
+            panic!("{name} begin is parsed as another command");
         };
         assert_eq!(arguments.stages, [0.5, 1.0]);
         let status = parse(&[name, "status", "--watch"]);
--- a/programs/fleet/src/client.rs
+++ b/programs/fleet/src/client.rs
@@ -1,4 +1,4 @@
-//! Requests to front ends, several at a time, on an event loop of their own.
+//! A blocking client of front ends, with concurrent requests on its own event loop.
 
 use calloop::signals::{Signal, Signals};
 use calloop::EventLoop;
@@ -17,24 +17,29 @@
 use tansy_net_sockets::interrupt::Uninterrupted;
 use tansy_net_sockets::Spawner;
 
-/// Time for an answer.
+/// Timeout of a request.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for an entry to be persisted by a majority.
+/// Timeout of a proposed entry, which a majority of the voters has to persist.
 const ENTRY_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Answers in the order of the requests; `None`: not yet.
+/// Time after a request's timeout during which its result is still awaited.
+const TIMEOUT_SLACK: Duration = Duration::from_millis(300);
+/// Maximum time in the event loop before the answers are checked.
+const DISPATCH_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Answers in the order of the requests; `None` for one that has not arrived.
 type Answers<T> = Rc<RefCell<Vec<Option<Result<T, RequestError>>>>>;
 
-/// A client of front ends.
+/// A blocking client of front ends.
 pub struct Client {
     event_loop: EventLoop<'static, ()>,
     spawner: Spawner,
-    /// One connection to each front end: one for each request would exhaust a front end that is polled.
+    /// One connection to each front end, since a connection for each request would exhaust the ports when polling.
     links: HashMap<SocketAddr, Rc<Link>>,
 }
 
 impl Client {
-    /// A client with its own event loop.
+    /// Creates a client with its own event loop.
     pub fn new() -> io::Result<Client> {
         let event_loop = EventLoop::try_new().map_err(io::Error::other)?;
         let spawner = Spawner::new(event_loop.handle())?;
@@ -45,83 +50,87 @@
         })
     }
 
-    /// One request to several; the answers are in their order.
-    fn all<T: Message + Default + 'static>(
+    /// Sends one request to several front ends. The answers are in the order of `to`.
+    fn ask_all<T: Message + Default + 'static>(
         &mut self,
         to: &[SocketAddr],
         method: &'static str,
         request: &[u8],
-        within: Duration,
+        timeout: Duration,
     ) -> Vec<Result<T, RequestError>> {
-        let all: Vec<(SocketAddr, Vec<u8>)> = to.iter().map(|at| (*at, request.to_vec())).collect();
-        self.each(&all, method, within)
+        let requests: Vec<(SocketAddr, Vec<u8>)> = to
+            .iter()
+            .map(|address| (*address, request.to_vec()))
+            .collect();
+        self.ask_each(&requests, method, timeout)
     }
 
-    /// To each its own request; the answers are in their order.
-    fn each<T: Message + Default + 'static>(
+    /// Sends each request to its front end. The answers are in the order of `requests`.
+    fn ask_each<T: Message + Default + 'static>(
         &mut self,
-        to: &[(SocketAddr, Vec<u8>)],
+        requests: &[(SocketAddr, Vec<u8>)],
         method: &'static str,
-        within: Duration,
+        timeout: Duration,
     ) -> Vec<Result<T, RequestError>> {
-        let answers: Answers<T> = Rc::new(RefCell::new(to.iter().map(|_| None).collect()));
-        for (index, (address, request)) in to.iter().enumerate() {
-            let fresh = || Link::new(self.spawner.clone(), *address, Limits::default());
-            let link = self.links.entry(*address).or_insert_with(fresh).clone();
+        let answers: Answers<T> = Rc::new(RefCell::new(requests.iter().map(|_| None).collect()));
+        for (index, (address, request)) in requests.iter().enumerate() {
+            let new_link = || Link::new(self.spawner.clone(), *address, Limits::default());
+            let link = self.links.entry(*address).or_insert_with(new_link).clone();
             let (spawner, answers, request) =
                 (self.spawner.clone(), answers.clone(), request.clone());
             let address = *address;
             self.spawner.spawn(async move {
-                let answer = ask(&spawner, &link, method, &request, within).await;
-                let read = answer.and_then(|bytes| {
+                let answer = ask(&spawner, &link, method, &request, timeout).await;
+                let decoded = answer.and_then(|bytes| {
                     let undecodable = |error| {
                         RequestError::Unreachable(format!(
-                            "{address}: an answer that can't be read: {error}"
+                            "{address}: cannot decode the answer: {error}"
                         ))
                     };
                     T::decode(bytes).map_err(undecodable)
                 });
                 if let Some(slot) = answers.borrow_mut().get_mut(index) {
-                    *slot = Some(read);
+                    *slot = Some(decoded);
                 }
             });
         }
-        let end = Instant::now() + within + Duration::from_millis(300);
-        while answers.borrow().iter().any(Option::is_none) && Instant::now() < end {
+        let deadline = Instant::now() + timeout + TIMEOUT_SLACK;
+        while answers.borrow().iter().any(Option::is_none) && Instant::now() < deadline {
             if self
                 .event_loop
-                .dispatch(Some(Duration::from_millis(20)), &mut ())
+                .dispatch(Some(DISPATCH_INTERVAL), &mut ())
                 .is_err()
             {
                 break;
             }
         }
-        let late = |index: usize| {
-            let address = to[index].0;
+        let no_answer = |index: usize| {
+            let address = requests[index].0;
             Err(RequestError::Unreachable(format!("{address}: no answer")))
         };
-        let taken = std::mem::take(&mut *answers.borrow_mut());
-        taken
+        let answers = std::mem::take(&mut *answers.borrow_mut());
+        answers
             .into_iter()
             .enumerate()
-            .map(|(index, answer)| answer.unwrap_or_else(|| late(index)))
+            .map(|(index, answer)| answer.unwrap_or_else(|| no_answer(index)))
             .collect()
     }
 
-    fn one<T: Message + Default + 'static>(
+    /// Sends a request to one front end.
+    fn ask_one<T: Message + Default + 'static>(
         &mut self,
         to: SocketAddr,
         method: &'static str,
         request: &[u8],
-        within: Duration,
+        timeout: Duration,
     ) -> Result<T, RequestError> {
-        let answer = self.all(&[to], method, request, within).pop();
+        let answer = self.ask_all(&[to], method, request, timeout).pop();
         answer.unwrap_or_else(|| Err(RequestError::Unreachable(format!("{to}: no answer"))))
     }
 
-    /// The status of several front ends.
+    /// Returns the status of several front ends.
     pub fn statuses(&mut self, to: &[SocketAddr]) -> Vec<Result<pb::StatusReply, RequestError>> {
-        self.all(
+        self.ask_all(
             to,
             "Status",
             &pb::StatusRequest { fleet: 0 }.encode_to_vec(),
@@ -129,14 +138,14 @@
         )
     }
 
-    /// The status of one front end.
+    /// Returns the status of one front end.
     pub fn status(&mut self, to: SocketAddr) -> Result<pb::StatusReply, RequestError> {
         self.status_within(to, ANSWER_TIMEOUT)
     }
 
-    /// The versions of the settings that a voter remembers.
+    /// Returns the settings versions that the leader keeps.
     pub fn history(&mut self, leader: SocketAddr) -> Result<pb::HistoryReply, RequestError> {
-        self.one(
+        self.ask_one(
             leader,
             "History",
             &pb::HistoryRequest { fleet: 0 }.encode_to_vec(),
@@ -153,63 +162,63 @@
         self.enter_within(leader, entry, ENTRY_TIMEOUT)
     }
 
-    /// The status of one front end, within this time.
+    /// Like [`Client::status`], with this timeout.
     pub fn status_within(
         &mut self,
         to: SocketAddr,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<pb::StatusReply, RequestError> {
-        self.one(
+        self.ask_one(
             to,
             "Status",
             &pb::StatusRequest { fleet: 0 }.encode_to_vec(),
-            within,
+            timeout,
         )
     }
 
-    /// What several front ends know of the last rollout.
+    /// Returns the last rollout as known by several front ends.
     pub fn rollouts(
         &mut self,
         to: &[SocketAddr],
-        within: Duration,
+        timeout: Duration,
     ) -> Vec<Result<pb::RolloutReply, RequestError>> {
-        self.all(
+        self.ask_all(
             to,
             "Roll",
             &pb::RolloutRequest { fleet: 0 }.encode_to_vec(),
-            within,
+            timeout,
         )
     }
 
-    /// The counters of several front ends.
+    /// Returns the counters of several front ends.
     pub fn counts(
         &mut self,
         to: &[SocketAddr],
-        within: Duration,
+        timeout: Duration,
     ) -> Vec<Result<pb::CountsReply, RequestError>> {
-        self.all(
+        self.ask_all(
             to,
             "Counts",
             &pb::CountsRequest { fleet: 0 }.encode_to_vec(),
-            within,
+            timeout,
         )
     }
 
-    /// Proposes a log entry to the leader, within this time.
+    /// Like [`Client::enter`], with this timeout.
     pub fn enter_within(
         &mut self,
         leader: SocketAddr,
         entry: pb::enter_request::Entry,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<pb::EnterReply, RequestError> {
         let request = pb::EnterRequest {
             fleet: 0,
             entry: Some(entry),
         };
-        self.one(leader, "Enter", &request.encode_to_vec(), within)
+        self.ask_one(leader, "Enter", &request.encode_to_vec(), timeout)
     }
 
-    /// Proposes several log entries to the leader at once.
+    /// Proposes several log entries to the leader concurrently.
     pub fn enter_all(
         &mut self,
         leader: SocketAddr,
@@ -222,20 +231,20 @@
             }
             .encode_to_vec()
         };
-        let all: Vec<(SocketAddr, Vec<u8>)> = entries
+        let requests: Vec<(SocketAddr, Vec<u8>)> = entries
             .into_iter()
             .map(|entry| (leader, request(entry)))
             .collect();
-        self.each(&all, "Enter", ENTRY_TIMEOUT)
+        self.ask_each(&requests, "Enter", ENTRY_TIMEOUT)
     }
 
-    /// Functions that are agreed on one by one, and the result of a transaction on them, as a voter knows them.
+    /// Returns functions that are defined by scope, and the result of a transaction on them, as known by the leader.
     pub fn functions(
         &mut self,
         leader: SocketAddr,
         request: pb::FunctionsRequest,
     ) -> Result<pb::FunctionsReply, RequestError> {
-        self.one(
+        self.ask_one(
             leader,
             "Functions",
             &request.encode_to_vec(),
@@ -243,10 +252,10 @@
         )
     }
 
-    /// Sets this flag once the process is asked to end, by SIGTERM or SIGINT.
-    pub fn on_termination(&self, end: Arc<AtomicBool>) -> io::Result<()> {
+    /// Sets this flag when the process receives SIGTERM or SIGINT.
+    pub fn on_termination(&self, terminated: Arc<AtomicBool>) -> io::Result<()> {
         let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT])?;
-        let on_signal = move |_, _: &mut (), _: &mut ()| end.store(true, Ordering::Relaxed);
+        let on_signal = move |_, _: &mut (), _: &mut ()| terminated.store(true, Ordering::Relaxed);
         let inserted = self
             .event_loop
             .handle()
@@ -257,10 +266,10 @@
     }
 
     /// Runs the event loop for this time.
-    pub fn wait(&mut self, span: Duration) {
-        let end = Instant::now() + span;
-        while Instant::now() < end {
-            let remaining = end.saturating_duration_since(Instant::now());
+    pub fn wait(&mut self, duration: Duration) {
+        let deadline = Instant::now() + duration;
+        while Instant::now() < deadline {
+            let remaining = deadline.saturating_duration_since(Instant::now());
             if self.event_loop.dispatch(Some(remaining), &mut ()).is_err() {
                 return;
             }
--- a/programs/fleet/src/error.rs
+++ b/programs/fleet/src/error.rs
@@ -1,45 +1,45 @@
-//! Why a command was not done.
+//! Errors of commands.
 
 use crate::processes::ProcessError;
 use std::path::Path;
 use tansy_net_fleet::client::RequestError;
 
-/// Why a command was not done. The texts are for operators and say what would be right.
+/// Why a command failed. The messages are for operators.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// A front end, or what is needed to reach one, is not available.
+    /// A front end could not be reached, or its answer not be understood.
     #[error("{0}")]
     Unreachable(String),
-    /// The arguments, the settings or a file are wrong.
+    /// The arguments or the settings are invalid.
     #[error("{0}")]
     Invalid(String),
-    /// A file can't be read, written or understood.
+    /// A file could not be read, written or parsed.
     #[error("{path}: {reason}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong with it.
+        /// What is wrong.
         reason: String,
     },
-    /// A process of the machine, or its folder.
+    /// The supervisor could not use its folder, a program or a process.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// The page of a report can't be made.
+    /// The report on a rollout could not be made.
     #[error("{0}")]
     Report(String),
-    /// The fleet refused.
+    /// The fleet rejected the request.
     #[error("{0}")]
     Rejected(String),
-    /// The change was not in force in the time that was waited.
+    /// The change was not in force within the waiting time.
     #[error("{0}")]
     TimedOut(String),
-    /// The change was proposed, and the fleet gave it up.
+    /// The fleet abandoned the change.
     #[error("{0}")]
     Abandoned(String),
 }
 
 impl FleetError {
-    /// The program's exit code.
+    /// Exit code of the program.
     pub fn exit_code(&self) -> u8 {
         match self {
             FleetError::Unreachable(_) => 1,
@@ -78,7 +78,7 @@
     }
 }
 
-/// The text of a file.
+/// Reads a text file.
 pub(crate) fn read_file(path: &Path) -> Result<String, FleetError> {
     std::fs::read_to_string(path).map_err(|error| FleetError::file(path, error))
 }
--- a/programs/fleet/src/lib.rs
+++ b/programs/fleet/src/lib.rs
@@ -1,8 +1,8 @@
-//! `tansy-fleet`: the operators' command line for a fleet of front ends.
+//! `tansy-fleet`: the command line for operators of a fleet of front ends.
 //!
-//! It asks front ends for the fleet's status and history, proposes changes (versions of the settings, functions by scope, staged
-//! rollouts, the replacement of a voter) and waits until they are in force. `tansy-fleet up` is the process supervisor of one machine.
-//! What a change means is decided by the fleet itself; nothing here is needed for a fleet to serve.
+//! It shows the fleet's status and history, proposes changes (settings versions, single functions, staged rollouts, the replacement of
+//! a voter) and waits until they are in force. `tansy-fleet up` is the process supervisor of one machine. A fleet serves calls without
+//! this program.
 
 mod arguments;
 pub mod client;
@@ -20,8 +20,6 @@
 mod versions;
 
 pub use error::FleetError;
-/// The former name of [`rollout`].
-pub use rollout as roll;
 
 use arguments::{Arguments, Command};
 use clap::Parser;
@@ -33,40 +31,40 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Time between two questions about a change in progress.
+/// Time between two requests for the progress of a change.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A command line's connection to the fleet.
-struct Session {
+/// What every command uses.
+struct CommandContext {
     client: Client,
-    /// The front end that is asked first.
-    at: SocketAddr,
+    /// The front end given by `--at`, which is asked first.
+    front_end: SocketAddr,
     output: Output,
 }
 
-impl Session {
-    /// The voter that leads, as the first front end knows it.
+impl CommandContext {
+    /// The address of the leader, as known by the front end that is asked first.
     fn leader(&mut self) -> Result<SocketAddr, FleetError> {
-        self.leader_known_by(self.at)
+        self.leader_known_by(self.front_end)
     }
 
-    fn leader_known_by(&mut self, at: SocketAddr) -> Result<SocketAddr, FleetError> {
-        let status = self.client.status(at)?;
+    fn leader_known_by(&mut self, front_end: SocketAddr) -> Result<SocketAddr, FleetError> {
+        let status = self.client.status(front_end)?;
         parse_address(&status.leader_address)
     }
 
-    /// Waits until the next question about a change in progress.
-    fn pause(&mut self) {
+    /// Waits until it is time for the next request for the progress of a change.
+    fn wait_for_next_poll(&mut self) {
         self.client.wait(POLL_INTERVAL);
     }
 }
 
 fn parse_address(text: &str) -> Result<SocketAddr, FleetError> {
     text.parse()
-        .map_err(|_| FleetError::Unreachable(format!("{text:?} is no address")))
+        .map_err(|_| FleetError::Unreachable(format!("{text:?} is not an address")))
 }
 
-/// Runs the program with these arguments, the first of which is its name.
+/// Runs the program. The first argument is its name.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let arguments = Arguments::parse_from(arguments);
     let output = Output {
@@ -81,45 +79,49 @@
     }
 }
 
-fn run(command: Command, at: SocketAddr, output: Output) -> Result<(), FleetError> {
+fn run(command: Command, front_end: SocketAddr, output: Output) -> Result<(), FleetError> {
     if let Command::Up { fleet, log } = &command {
         return run_machine(fleet, log);
     }
     let client = Client::new().map_err(|error| FleetError::Unreachable(error.to_string()))?;
-    let mut session = Session { client, at, output };
+    let mut context = CommandContext {
+        client,
+        front_end,
+        output,
+    };
     match command {
-        Command::Status => status::status(&mut session),
-        Command::Seats => status::voters(&mut session),
+        Command::Status => status::status(&mut context),
+        Command::Seats => status::voters(&mut context),
         Command::Propose {
             file,
             expect,
             why,
             dry_run,
             wait,
-        } => versions::propose_file(&mut session, &file, expect, why, dry_run, &wait),
+        } => versions::propose_file(&mut context, &file, expect, why, dry_run, &wait),
         Command::Revert {
             version,
             dry_run,
             wait,
-        } => versions::revert(&mut session, version, dry_run, &wait),
-        Command::History => versions::history(&mut session),
-        Command::Diff { old, new } => versions::diff(&mut session, old, new),
-        Command::Abandon => versions::abandon(&mut session),
-        Command::Dismiss { name } => status::dismiss(&mut session, name),
-        // It was run above, without a connection of its own.
+        } => versions::revert(&mut context, version, dry_run, &wait),
+        Command::History => versions::history(&mut context),
+        Command::Diff { old, new } => versions::diff(&mut context, old, new),
+        Command::Abandon => versions::abandon(&mut context),
+        Command::Dismiss { name } => status::dismiss(&mut context, name),
+        // Handled above: it needs no context.
         Command::Up { .. } => Ok(()),
-        Command::Steer { name } => machine::control_rollouts(&name, at),
-        Command::Rollout { command } => rollout::run(&mut session, command),
-        Command::Scope { command } => scopes::run(&mut session, command),
+        Command::Steer { name } => machine::control_rollouts(&name, front_end),
+        Command::Rollout { command } => rollout::run(&mut context, command),
+        Command::Scope { command } => scopes::run(&mut context, command),
         Command::ReplaceVoter {
             new,
             replaces,
             wait,
-        } => replace_voter::run(&mut session, &new, &replaces, wait),
+        } => replace_voter::run(&mut context, &new, &replaces, wait),
     }
 }
 
-/// Runs the supervisor of one machine, with its log on standard error.
+/// Runs the supervisor of one machine. It logs to standard error.
 fn run_machine(file: &Path, log: &str) -> Result<(), FleetError> {
     let filter = tracing_subscriber::EnvFilter::try_new(log)
         .map_err(|error| FleetError::Invalid(format!("--log {log:?}: {error}")))?;
--- a/programs/fleet/src/machine.rs
+++ b/programs/fleet/src/machine.rs
@@ -1,4 +1,4 @@
-//! `up`: the supervisor of one machine's front ends, which also controls rollouts; and `steer`: a controller alone.
+//! `up`: the process supervisor of one machine, which also controls rollouts. `steer`: a rollout controller alone.
 
 mod file;
 mod fleet_state;
@@ -6,7 +6,7 @@
 pub(crate) use fleet_state::sample;
 
 use crate::client::Client;
-use crate::processes::{program_label, ProcessError, Processes, RunningProcess};
+use crate::processes::{program_label, AdoptableProcess, ProcessError, Processes};
 use crate::FleetError;
 use file::MachineFile;
 use fleet_state::{micros, FleetState};
@@ -25,60 +25,61 @@
     Supervisor, SupervisorCommand, SupervisorLimits, Time, SECOND,
 };
 
-/// Time between two looks at the processes.
+/// Time between two checks of the processes.
 const PROCESS_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two questions to the fleet.
+/// Time between two requests to the fleet.
 const FLEET_INTERVAL: Duration = Duration::from_millis(250);
-/// Time for an answer of a front end.
+/// Timeout of a request to a front end.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
-/// Crashes that wait to be reported; the oldest are dropped when there are more.
+/// Maximum number of crashes waiting to be reported; the oldest are dropped.
 const MAX_UNREPORTED: usize = 256;
 
-/// Keeps the front ends of a machine's file running until SIGTERM or SIGINT.
+/// Runs the front ends of a machine's file until SIGTERM or SIGINT.
 pub(crate) fn run(path: &Path) -> Result<(), FleetError> {
     let file = file::read(path)?;
-    let end = Arc::new(AtomicBool::new(false));
+    let terminated = Arc::new(AtomicBool::new(false));
     let mut machine = Machine::start(file)?;
     machine
         .client
-        .on_termination(end.clone())
+        .on_termination(terminated.clone())
         .map_err(FleetError::invalid)?;
     println!("ready fronts={}", machine.file.front_ends.len());
-    machine.serve(&end);
+    machine.serve(&terminated);
     Ok(())
 }
 
-/// Controls rollouts without front ends of its own.
-pub(crate) fn control_rollouts(name: &str, at: SocketAddr) -> Result<(), FleetError> {
+/// Controls rollouts without running front ends, until SIGTERM or SIGINT.
+pub(crate) fn control_rollouts(name: &str, front_end: SocketAddr) -> Result<(), FleetError> {
     let mut client = Client::new().map_err(FleetError::unreachable)?;
-    let end = Arc::new(AtomicBool::new(false));
+    let terminated = Arc::new(AtomicBool::new(false));
     client
-        .on_termination(end.clone())
+        .on_termination(terminated.clone())
         .map_err(FleetError::unreachable)?;
     let mut controller = RolloutController::new(name.to_string());
     let mut fleet = FleetState::default();
-    let began = Instant::now();
-    while !end.load(Ordering::Relaxed) {
-        fleet.refresh(&mut client, &[at], began);
-        fleet.control(&mut client, &mut controller, began);
+    let started_at = Instant::now();
+    while !terminated.load(Ordering::Relaxed) {
+        fleet.refresh(&mut client, &[front_end], started_at);
+        fleet.control(&mut client, &mut controller, started_at);
         client.wait(FLEET_INTERVAL);
     }
     Ok(())
 }
 
-/// The front ends of one machine.
+/// The supervisor of one machine.
 struct Machine {
     file: MachineFile,
-    began: Instant,
+    started_at: Instant,
     processes: Processes,
     supervisor: Supervisor,
     client: Client,
     controller: RolloutController,
     fleet: FleetState,
-    /// Where the program of each label is found.
+    /// Paths of programs, by label.
     programs: BTreeMap<String, PathBuf>,
-    /// The label of the program that is to run outside of rollouts.
+    /// Label of the program that front ends run outside of rollouts.
     current_label: String,
+    /// Crashes that are not in the rollout's log yet, oldest first.
     unreported: Vec<Crash>,
 }
 
@@ -88,8 +89,8 @@
             program_label(&file.program).map_err(|error| FleetError::file(&file.program, error))?;
         let (processes, running) = Processes::open(&file.folder)?;
         let limits = SupervisorLimits {
-            start_timeout: file.ready as Time * SECOND,
-            drain_timeout: file.drain as Time * SECOND,
+            start_timeout: file.ready_timeout_seconds as Time * SECOND,
+            drain_timeout: file.drain_timeout_seconds as Time * SECOND,
             ..SupervisorLimits::default()
         };
         let names = file.front_ends.iter().map(|own| own.name.clone());
@@ -99,35 +100,35 @@
             client: Client::new().map_err(FleetError::invalid)?,
             controller: RolloutController::new(file.name.clone()),
             fleet: FleetState::default(),
-            began: Instant::now(),
+            started_at: Instant::now(),
             unreported: Vec::new(),
             processes,
             current_label: program_label,
             file,
         };
-        for RunningProcess { pid, name, label } in running {
-            tracing::info!(name, pid, label, "found running");
+        for AdoptableProcess { pid, name, label } in running {
+            tracing::info!(name, pid, label, "adopted a running process");
             machine.supervisor.adopt(0, &name, pid, label);
         }
-        // By now the fleet may run another program than that of the file.
+        // The fleet may run another program than the one in the file.
         machine.refresh();
         Ok(machine)
     }
 
-    fn serve(&mut self, end: &AtomicBool) {
+    fn serve(&mut self, terminated: &AtomicBool) {
         let mut next_refresh = Instant::now();
-        let mut ending = false;
-        while !(ending && self.supervisor.is_finished()) {
-            if end.load(Ordering::Relaxed) && !ending {
-                ending = true;
+        let mut shutting_down = false;
+        while !(shutting_down && self.supervisor.is_finished()) {
+            if terminated.load(Ordering::Relaxed) && !shutting_down {
+                shutting_down = true;
                 self.supervise(|supervisor, now, commands| supervisor.shut_down(now, commands));
             }
-            self.watch_processes();
-            if Instant::now() >= next_refresh && !ending {
+            self.check_processes();
+            if Instant::now() >= next_refresh && !shutting_down {
                 next_refresh = Instant::now() + FLEET_INTERVAL;
                 self.refresh();
                 self.fleet
-                    .control(&mut self.client, &mut self.controller, self.began);
+                    .control(&mut self.client, &mut self.controller, self.started_at);
                 self.report_crashes();
             }
             self.supervise(|supervisor, now, commands| supervisor.tick(now, commands));
@@ -135,28 +136,35 @@
         }
     }
 
-    /// Tells the supervisor which processes have ended and which are ready.
-    fn watch_processes(&mut self) {
-        for (pid, kind) in self.processes.ended() {
-            tracing::info!(pid, sort = kind, "ended");
+    /// Tells the supervisor which processes have exited and which are ready.
+    fn check_processes(&mut self) {
+        for (pid, kind) in self.processes.take_exited() {
+            tracing::info!(pid, kind, "process exited");
             let exit = ProcessExit { kind };
             self.supervise(|supervisor, now, commands| {
                 supervisor.on_exit(now, pid, exit, commands);
             });
         }
-        let now = micros(self.began);
+        let now = micros(self.started_at);
         for own in &self.file.front_ends {
-            if self.processes.ready(&own.name) {
+            if self.processes.is_ready(&own.name) {
                 self.supervisor.on_ready(now, &own.name);
             }
         }
     }
 
-    /// Asks the fleet, and passes on what it assigns to these front ends.
+    /// Reads the fleet's state and passes on what it assigns to these front ends.
     fn refresh(&mut self) {
-        let own = self.file.front_ends.iter().map(|own| own.peers);
-        let addresses: Vec<SocketAddr> = self.file.at.iter().copied().chain(own).collect();
-        self.fleet.refresh(&mut self.client, &addresses, self.began);
+        let own = self.file.front_ends.iter().map(|own| own.peer_address);
+        let addresses: Vec<SocketAddr> = self
+            .file
+            .fleet_addresses
+            .iter()
+            .copied()
+            .chain(own)
+            .collect();
+        self.fleet
+            .refresh(&mut self.client, &addresses, self.started_at);
         if let Some((label, path)) = &self.fleet.program {
             self.current_label.clone_from(label);
             add_program(&mut self.programs, label, path);
@@ -174,14 +182,14 @@
         for own in &self.file.front_ends {
             let desired = self.desired(&own.name, rollout, outdated.as_deref());
             self.supervisor
-                .set_desired(self.fleet.asked, &own.name, desired);
+                .set_desired(self.fleet.requested_at, &own.name, desired);
         }
     }
 
-    /// Outside of rollouts, the first front end with another program than the current one: it was started while nobody could say what
-    /// the fleet is to run. Such ones are changed one after the other.
+    /// Outside of rollouts, the first front end that runs another program than the fleet's current one, because it was started while the
+    /// leader could not be reached. Such front ends are replaced one after the other.
     fn outdated(&self, rollout: Option<&Rollout>) -> Option<&str> {
-        if rollout.is_some() || !self.fleet.fresh || self.fleet.program.is_none() {
+        if rollout.is_some() || !self.fleet.is_current || self.fleet.program.is_none() {
             return None;
         }
         let is_outdated = |name: &&str| {
@@ -197,7 +205,7 @@
             .find(is_outdated)
     }
 
-    /// What is assigned to a front end.
+    /// The process that is assigned to a front end.
     fn desired(
         &self,
         name: &str,
@@ -215,17 +223,17 @@
             if rollout.should_be_changed(name) {
                 desired.label.clone_from(label);
             }
-            desired.may_replace = rollout.released.contains(name) && self.fleet.fresh;
+            desired.may_replace = rollout.released.contains(name) && self.fleet.is_current;
         }
         desired
     }
 
-    /// Gives the supervisor an event and runs its commands.
+    /// Passes an event to the supervisor and carries out its commands.
     fn supervise(
         &mut self,
         event: impl FnOnce(&mut Supervisor, Time, &mut Vec<SupervisorCommand>),
     ) {
-        let now = micros(self.began);
+        let now = micros(self.started_at);
         let mut commands = Vec::new();
         event(&mut self.supervisor, now, &mut commands);
         for command in commands {
@@ -255,14 +263,14 @@
         };
         match self.try_start(name, label, &arguments) {
             Ok(pid) => {
-                tracing::info!(name, pid, label, "started");
-                let now = micros(self.began);
+                tracing::info!(name, pid, label, "process started");
+                let now = micros(self.started_at);
                 self.supervisor
                     .on_started(now, name, pid, label.to_string());
             }
             Err(error) => {
                 let reason = error.to_string();
-                tracing::error!(name, why = reason, "could not be started");
+                tracing::error!(name, reason, "process could not be started");
                 self.supervise(|supervisor, now, commands| {
                     supervisor.on_start_failed(now, name, reason, commands);
                 });
@@ -286,9 +294,9 @@
         tracing::warn!(
             name = crash.name,
             pid = crash.process,
-            sort = crash.kind,
-            again = crash.consecutive,
-            "ended by itself"
+            kind = crash.kind,
+            consecutive = crash.consecutive,
+            "process crashed"
         );
         self.unreported.push(crash);
         if self.unreported.len() > MAX_UNREPORTED {
@@ -296,13 +304,13 @@
         }
     }
 
-    /// Enters the crashes during a rollout.
+    /// Reports crashes to the rollout in progress. Without one they are dropped.
     fn report_crashes(&mut self) {
         let rollout = self.fleet.rollout.as_ref();
         if rollout.is_none_or(Rollout::has_ended) {
             self.unreported.clear();
         }
-        let Some(leader) = self.fleet.leader.filter(|_| self.fleet.fresh) else {
+        let Some(leader) = self.fleet.leader.filter(|_| self.fleet.is_current) else {
             return;
         };
         while let Some(crash) = self.unreported.first().cloned() {
@@ -315,7 +323,7 @@
     }
 }
 
-/// Records where a program is found; the first place stands.
+/// Records the path of a program. The first known path is kept.
 fn add_program(programs: &mut BTreeMap<String, PathBuf>, label: &str, path: &str) {
     programs
         .entry(label.to_string())
--- a/programs/fleet/src/machine/file.rs
+++ b/programs/fleet/src/machine/file.rs
@@ -1,4 +1,4 @@
-//! The file of a machine: its supervisor and its front ends.
+//! The configuration file of a machine: its supervisor and its front ends.
 
 use crate::error::read_file;
 use crate::FleetError;
@@ -7,35 +7,35 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// A machine's file (TOML).
+/// A machine's configuration file (TOML).
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct MachineFile {
-    /// The supervisor's name, unique in the fleet.
+    /// Name of the supervisor, unique in the fleet.
     pub(super) name: String,
-    /// The program, until the fleet has another.
+    /// Path of the program to run until a rollout has changed the fleet's program.
     pub(super) program: PathBuf,
-    /// The folder of logs and programs.
+    /// Folder for logs and copies of programs.
     pub(super) folder: PathBuf,
-    /// Front ends that are asked about the fleet, besides the machine's own.
-    #[serde(default)]
-    pub(super) at: Vec<SocketAddr>,
+    /// Fleet addresses of front ends that are asked for the fleet's state, besides the machine's own.
+    #[serde(default, rename = "at")]
+    pub(super) fleet_addresses: Vec<SocketAddr>,
     /// The machine's front ends.
     #[serde(rename = "front")]
     pub(super) front_ends: Vec<FrontEnd>,
-    /// Seconds from a start to ready.
-    #[serde(default = "default_ready")]
-    pub(super) ready: u64,
-    /// Seconds from the request to end to the end.
-    #[serde(default = "default_drain")]
-    pub(super) drain: u64,
+    /// Seconds within which a started process has to be ready.
+    #[serde(default = "default_ready_timeout", rename = "ready")]
+    pub(super) ready_timeout_seconds: u64,
+    /// Seconds within which a process has to exit after SIGTERM.
+    #[serde(default = "default_drain_timeout", rename = "drain")]
+    pub(super) drain_timeout_seconds: u64,
 }
 
-fn default_ready() -> u64 {
+fn default_ready_timeout() -> u64 {
     30
 }
 
-fn default_drain() -> u64 {
+fn default_drain_timeout() -> u64 {
     20
 }
 
@@ -43,30 +43,31 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FrontEnd {
-    /// Its name.
+    /// Name of the front end.
     pub(super) name: String,
-    /// Where other front ends reach it.
-    pub(super) peers: SocketAddr,
-    /// The program's arguments, besides `--name` and `--peers`.
+    /// Fleet address at which other front ends reach it.
+    #[serde(rename = "peers")]
+    pub(super) peer_address: SocketAddr,
+    /// Arguments of the program, besides `--name` and `--peers`.
     #[serde(default)]
     pub(super) arguments: Vec<String>,
 }
 
 impl FrontEnd {
-    /// All arguments of its process.
+    /// All arguments of the program.
     pub(super) fn command_line(&self) -> Vec<String> {
         let mut arguments = self.arguments.clone();
         arguments.extend([
             "--name".into(),
             self.name.clone(),
             "--peers".into(),
-            self.peers.to_string(),
+            self.peer_address.to_string(),
         ]);
         arguments
     }
 }
 
-/// Reads a machine's file. Relative paths in it start at its folder.
+/// Reads a machine's file. Relative paths in it are relative to the file's folder.
 pub(super) fn read(path: &Path) -> Result<MachineFile, FleetError> {
     let text = read_file(path)?;
     let mut file: MachineFile =
@@ -75,7 +76,7 @@
     if names.len() != file.front_ends.len() || names.is_empty() {
         return Err(FleetError::file(
             path,
-            "want one front end or more, each with a name of its own",
+            "at least one front end is required, and each needs a unique name",
         ));
     }
     let folder = path.parent().unwrap_or(Path::new("."));
--- a/programs/fleet/src/machine/fleet_state.rs
+++ b/programs/fleet/src/machine/fleet_state.rs
@@ -1,4 +1,4 @@
-//! What a supervisor or controller knows of the fleet, and the controller's next step.
+//! The fleet's state as known by a supervisor or rollout controller.
 
 use super::ANSWER_TIMEOUT;
 use crate::client::Client;
@@ -11,46 +11,53 @@
     FrontEndObservation, Rollout, RolloutChange, RolloutController, RolloutEntry, Time,
 };
 
-/// What is known of the fleet.
+/// The last known state of the fleet.
 #[derive(Default)]
 pub(super) struct FleetState {
-    /// When the leader was asked last of those times that it answered.
-    pub(super) asked: Time,
+    /// When the last request was made that the leader answered.
+    pub(super) requested_at: Time,
     pub(super) rollout: Option<Rollout>,
-    /// The last answer came from the leader: nothing later was agreed on.
-    pub(super) fresh: bool,
-    /// The label and path of the program that all are to run, by the log.
+    /// Whether the state is from the leader's answer to the last request.
+    pub(super) is_current: bool,
+    /// Label and path of the program that the replicated log has all front ends run.
     pub(super) program: Option<(String, String)>,
     pub(super) leader: Option<SocketAddr>,
-    /// Where each front end is reached.
-    known: BTreeSet<SocketAddr>,
+    /// Fleet addresses of the front ends.
+    front_ends: BTreeSet<SocketAddr>,
 }
 
-/// Microseconds since the start of the program.
-pub(super) fn micros(began: Instant) -> Time {
-    Time::try_from(began.elapsed().as_micros()).unwrap_or(Time::MAX)
+/// Microseconds since the program was started.
+pub(super) fn micros(started_at: Instant) -> Time {
+    Time::try_from(started_at.elapsed().as_micros()).unwrap_or(Time::MAX)
 }
 
 impl FleetState {
-    /// Asks these and all known front ends for the state of the rollout, and one for the front ends that there are.
-    pub(super) fn refresh(&mut self, client: &mut Client, at: &[SocketAddr], began: Instant) {
-        let asked = micros(began);
-        let addresses: BTreeSet<SocketAddr> = at.iter().chain(&self.known).copied().collect();
+    /// Asks all front ends for the state of the rollout, and one of them for the list of front ends. `configured`: front ends that are
+    /// asked in addition to the known ones.
+    pub(super) fn refresh(
+        &mut self,
+        client: &mut Client,
+        configured: &[SocketAddr],
+        started_at: Instant,
+    ) {
+        let requested_at = micros(started_at);
+        let addresses: BTreeSet<SocketAddr> =
+            configured.iter().chain(&self.front_ends).copied().collect();
         let addresses: Vec<SocketAddr> = addresses.into_iter().collect();
         let answers = client.rollouts(&addresses, ANSWER_TIMEOUT);
-        self.fresh = false;
+        self.is_current = false;
         for (address, answer) in addresses.iter().zip(answers) {
             if let Ok(reply) = answer {
                 self.on_reply(*address, reply);
             }
         }
-        if self.fresh {
-            self.asked = asked;
+        if self.is_current {
+            self.requested_at = requested_at;
         }
-        let first = self.leader.or(at.first().copied());
+        let first = self.leader.or(configured.first().copied());
         let status = first.map(|address| client.status_within(address, ANSWER_TIMEOUT));
         if let Some(Ok(status)) = status {
-            self.known = status
+            self.front_ends = status
                 .other_members
                 .iter()
                 .chain(&status.process)
@@ -59,10 +66,10 @@
         }
     }
 
-    /// Takes over a front end's state of the rollout, unless that is older than what is known.
+    /// Takes over the state of the rollout from a front end's answer, unless a later one is known.
     fn on_reply(&mut self, address: SocketAddr, reply: pb::RolloutReply) {
         let Ok(rollout) = of_roll(&reply.rollout) else {
-            tracing::error!(%address, "a rollout that this program can't read: finish the update of `tansy-fleet`");
+            tracing::error!(%address, "cannot decode the rollout; this version of `tansy-fleet` may be too old");
             return;
         };
         let is_later = self.rollout.is_none() || {
@@ -76,48 +83,48 @@
             answered.0 != known.0 || answered >= known
         };
         if reply.is_leader {
-            self.fresh = true;
+            self.is_current = true;
             self.leader = Some(address);
         }
-        if reply.is_leader || (!self.fresh && is_later && rollout.is_some()) {
+        if reply.is_leader || (!self.is_current && is_later && rollout.is_some()) {
             self.rollout = rollout;
             self.program = (!reply.label.is_empty()).then_some((reply.label, reply.path));
         }
     }
 
-    /// Enters the controller's next entry, if it has one.
+    /// Proposes the controller's next entry, if it has one.
     pub(super) fn control(
         &self,
         client: &mut Client,
         controller: &mut RolloutController,
-        began: Instant,
+        started_at: Instant,
     ) {
         let (Some(rollout), Some(leader)) = (&self.rollout, self.leader) else {
             return;
         };
-        if !self.fresh {
+        if !self.is_current {
             return;
         }
         let front_ends = match rollout.has_ended() {
             true => Vec::new(),
             false => self.observe(client, rollout),
         };
-        let Some(entry) = controller.poll(micros(began), rollout, &front_ends) else {
+        let Some(entry) = controller.poll(micros(started_at), rollout, &front_ends) else {
             return;
         };
         let is_heartbeat = matches!(entry, RolloutEntry::Heartbeat { .. });
         let message = Entry::Rollout(roll_entry(&entry, None));
         match client.enter_within(leader, message, ANSWER_TIMEOUT) {
             Ok(_) if is_heartbeat => {}
-            Ok(_) => tracing::info!(?entry, "an entry of the rollout"),
+            Ok(_) => tracing::info!(?entry, "rollout entry applied"),
             Err(error) => {
-                tracing::info!(?entry, %error, "an entry of the rollout was rejected");
+                tracing::info!(?entry, %error, "rollout entry not applied");
             }
         }
     }
 
     fn observe(&self, client: &mut Client, rollout: &Rollout) -> Vec<FrontEndObservation> {
-        let addresses: Vec<SocketAddr> = self.known.iter().copied().collect();
+        let addresses: Vec<SocketAddr> = self.front_ends.iter().copied().collect();
         let is_new = |counts: &pb::CountsReply| match &rollout.change {
             RolloutChange::Program { label, .. } => counts.label == *label,
             RolloutChange::Settings => counts.acts_on_canary,
@@ -129,7 +136,7 @@
     }
 }
 
-/// Samples of those front ends that answer, and whether each is a voter.
+/// Samples the front ends that answer, and tells whether each is a voter.
 pub(crate) fn sample(
     client: &mut Client,
     addresses: &[SocketAddr],
--- a/programs/fleet/src/processes.rs
+++ b/programs/fleet/src/processes.rs
@@ -1,4 +1,4 @@
-//! Processes of front ends: started, found again after a restart of the supervisor, asked to end. They outlive the supervisor.
+//! Processes of front ends. They outlive their supervisor: after a restart it finds them by their environment.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::collections::BTreeMap;
@@ -10,41 +10,44 @@
 use tansy_rollout::ProcessId;
 use xxhash_rust::xxh3::Xxh3;
 
-/// The environment variable of a process with its supervisor's folder and its front end's name.
+/// Environment variable of a process with its supervisor's folder and its front end's name.
 const OWNER_VARIABLE: &str = "TANSY_KEPT";
-/// The environment variable with the label of its program.
+/// Environment variable of a process with the label of its program.
 const LABEL_VARIABLE: &str = "TANSY_LABEL";
-/// What a front end's output begins with once it serves.
+/// Beginning of the line that a front end prints once it serves.
 const READY_PREFIX: &str = "ready ";
-/// Bytes of the output that are searched for it.
+/// Bytes of the output searched for that line.
 const MAX_OUTPUT: u64 = 64 * 1024;
 
-/// Why a process could not be started, or the folder not be taken.
+/// Position of the start time in `/proc/PID/stat`, counted from the field after the process' state.
+const START_TIME_FIELD: usize = 18;
+
+/// Why a process could not be started, or the supervisor's folder not be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// A file can't be read, written or run.
+    /// A file could not be read, written or executed.
     #[error("{path}: {source}", path = path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Another supervisor runs on the folder.
-    #[error("{path}: another supervisor keeps this folder", path = .0.display())]
+    /// Another supervisor uses the folder.
+    #[error("{path}: another supervisor uses this folder", path = .0.display())]
     FolderInUse(PathBuf),
-    /// The file is not the program that it is to be.
-    #[error("{path}: it is another program, {actual}, than {expected}", path = path.display())]
+    /// The file is not the expected program.
+    #[error("{path}: the program's label is {actual}, not {expected}", path = path.display())]
     WrongProgram {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Its label.
+        /// Label of the file.
         actual: String,
-        /// The label that it is to have.
+        /// Label of the expected program.
         expected: String,
     },
-    /// No file is known for the program of this label.
-    #[error("the program {0} is not known here")]
+    /// No path is known for the program with this label.
+    #[error("no path is known for the program with label {0}")]
     UnknownProgram(String),
 }
 
@@ -70,33 +73,33 @@
     }
 }
 
-/// A process under this supervisor.
+/// A process that this supervisor watches.
 #[derive(Debug)]
-struct OwnProcess {
-    /// `None` if an earlier supervisor started it.
+struct WatchedProcess {
+    /// `None` if an earlier supervisor started the process.
     child: Option<Child>,
-    /// When it began, in the kernel's ticks: a process with the same number and another start is another one.
-    began: u64,
+    /// Start time in clock ticks since boot. It tells the process from a later one with the same id.
+    start_ticks: u64,
 }
 
-/// A process that some supervisor started, as the kernel reports it.
+/// A running process that any supervisor on the machine started, as reported by the kernel.
 #[derive(Debug)]
 pub struct SupervisedProcess {
-    /// The process.
+    /// Process id.
     pub pid: ProcessId,
-    /// Its supervisor's folder.
+    /// Folder of its supervisor.
     pub folder: PathBuf,
-    /// Its front end's name.
+    /// Name of its front end.
     pub name: String,
-    /// The label of its program.
+    /// Label of its program.
     pub label: String,
-    /// The name of the file that it runs.
+    /// Name of the file that it executes.
     pub program: String,
 }
 
-/// All processes that any supervisor started, by their environment.
+/// Finds all running processes that any supervisor on the machine started, by their environment.
 pub fn supervised_processes() -> Vec<SupervisedProcess> {
-    let one = |entry: std::fs::DirEntry| {
+    let read = |entry: std::fs::DirEntry| {
         let pid = entry.file_name().to_str()?.parse().ok()?;
         let environment = std::fs::read(entry.path().join("environ")).ok()?;
         let value = |name: &str| {
@@ -130,33 +133,33 @@
         .into_iter()
         .flatten()
         .flatten()
-        .filter_map(one)
+        .filter_map(read)
         .collect()
 }
 
-/// The processes of one supervisor, which is known by its folder.
+/// The processes of one supervisor. The folder identifies the supervisor across restarts.
 #[derive(Debug)]
 pub struct Processes {
     folder: PathBuf,
-    all: BTreeMap<ProcessId, OwnProcess>,
-    /// Locked while this supervisor runs, so that there is no second one on the folder.
+    by_pid: BTreeMap<ProcessId, WatchedProcess>,
+    /// Holds a file lock that keeps a second supervisor from using the folder.
     _lock: File,
 }
 
-/// A process of an earlier supervisor that still runs.
+/// A running process that an earlier supervisor with the same folder started.
 #[derive(Debug)]
-pub struct RunningProcess {
-    /// The process.
+pub struct AdoptableProcess {
+    /// Process id.
     pub pid: ProcessId,
-    /// Its front end's name.
+    /// Name of its front end.
     pub name: String,
-    /// The label of its program.
+    /// Label of its program.
     pub label: String,
 }
 
 impl Processes {
-    /// Locks the folder and finds the processes that an earlier supervisor of it left.
-    pub fn open(folder: &Path) -> Result<(Processes, Vec<RunningProcess>), ProcessError> {
+    /// Locks the folder and finds the processes that an earlier supervisor with this folder left running.
+    pub fn open(folder: &Path) -> Result<(Processes, Vec<AdoptableProcess>), ProcessError> {
         let failed = |error| ProcessError::file(folder, error);
         std::fs::create_dir_all(folder.join("programs")).map_err(failed)?;
         let absolute = folder.canonicalize().map_err(failed)?;
@@ -165,49 +168,56 @@
         locked.map_err(|_| ProcessError::FolderInUse(absolute.clone()))?;
         let mut processes = Processes {
             folder: absolute,
-            all: BTreeMap::new(),
+            by_pid: BTreeMap::new(),
             _lock: lock,
         };
-        let running = processes.find();
+        let running = processes.find_running();
         Ok((processes, running))
     }
 
+    /// The value of [`OWNER_VARIABLE`].
     fn owner(&self, name: &str) -> String {
         format!("{}:{name}", self.folder.display())
     }
 
-    /// Processes whose environment names this folder.
-    fn find(&mut self) -> Vec<RunningProcess> {
-        let mut all = Vec::new();
-        let here = supervised_processes()
+    /// Finds and watches the processes whose environment names this folder.
+    fn find_running(&mut self) -> Vec<AdoptableProcess> {
+        let mut running = Vec::new();
+        let own = supervised_processes()
             .into_iter()
             .filter(|process| process.folder == self.folder);
-        for process in here {
-            let Some(began) = began(process.pid) else {
+        for process in own {
+            let Some(start_ticks) = start_ticks(process.pid) else {
                 continue;
             };
-            self.all
-                .insert(process.pid, OwnProcess { child: None, began });
-            all.push(RunningProcess {
+            self.by_pid.insert(
+                process.pid,
+                WatchedProcess {
+                    child: None,
+                    start_ticks,
+                },
+            );
+            running.push(AdoptableProcess {
                 pid: process.pid,
                 name: process.name,
                 label: process.label,
             });
         }
-        all
+        running
     }
 
-    /// Copies a program to the folder under its label, which has to be that of the file.
+    /// Copies a program into the supervisor's folder, named by its label, unless it is already there. The file has to have the expected
+    /// label.
     pub fn store(&self, expected: &str, path: &Path) -> Result<PathBuf, ProcessError> {
         let stored = self.folder.join("programs").join(expected);
         let failed = |error| ProcessError::file(path, error);
         if !stored.exists() {
-            let part = self
+            let partial_copy = self
                 .folder
                 .join("programs")
                 .join(format!("{expected}.part"));
-            std::fs::copy(path, &part).map_err(failed)?;
-            let actual = program_label(&part).map_err(failed)?;
+            std::fs::copy(path, &partial_copy).map_err(failed)?;
+            let actual = program_label(&partial_copy).map_err(failed)?;
             if actual != expected {
                 return Err(ProcessError::WrongProgram {
                     path: path.to_path_buf(),
@@ -215,12 +225,12 @@
                     expected: expected.to_string(),
                 });
             }
-            std::fs::rename(&part, &stored).map_err(failed)?;
+            std::fs::rename(&partial_copy, &stored).map_err(failed)?;
         }
         Ok(stored)
     }
 
-    /// Starts a process; its output and its log go to files of its front end's name.
+    /// Starts a process. Its output and its log go to files named after the front end.
     pub fn start(
         &mut self,
         name: &str,
@@ -243,15 +253,15 @@
             .stdin(Stdio::null())
             .stdout(output)
             .stderr(log.map_err(failed)?);
-        // In a process group of its own, signals of a terminal don't reach it.
+        // A separate process group keeps the terminal's signals from the process.
         command.process_group(0);
         let child = command.spawn().map_err(failed)?;
         let pid = child.id();
-        let process = OwnProcess {
+        let process = WatchedProcess {
             child: Some(child),
-            began: began(pid).unwrap_or(0),
+            start_ticks: start_ticks(pid).unwrap_or(0),
         };
-        self.all.insert(pid, process);
+        self.by_pid.insert(pid, process);
         Ok(pid)
     }
 
@@ -259,19 +269,19 @@
         self.folder.join(format!("{name}.out"))
     }
 
-    /// Whether the front end's process has printed that it serves.
-    pub fn ready(&self, name: &str) -> bool {
+    /// Whether the front end's process has printed its ready line.
+    pub fn is_ready(&self, name: &str) -> bool {
         let mut text = String::new();
         let file = File::open(self.output_path(name));
         let read = file.and_then(|file| file.take(MAX_OUTPUT).read_to_string(&mut text));
         read.is_ok() && text.lines().any(|line| line.starts_with(READY_PREFIX))
     }
 
-    /// Processes that have ended since the last call, and how.
-    pub fn ended(&mut self) -> Vec<(ProcessId, String)> {
-        let mut ended = Vec::new();
-        for (pid, process) in &mut self.all {
-            let how = match &mut process.child {
+    /// Stops watching the processes that have exited and returns them, with how they exited.
+    pub fn take_exited(&mut self) -> Vec<(ProcessId, String)> {
+        let mut exited = Vec::new();
+        for (pid, process) in &mut self.by_pid {
+            let kind = match &mut process.child {
                 Some(child) => match child.try_wait() {
                     Ok(Some(status)) => Some(match (status.code(), status.signal()) {
                         (Some(code), _) => format!("exit code {code}"),
@@ -281,38 +291,39 @@
                     Ok(None) => None,
                     Err(error) => Some(error.to_string()),
                 },
-                None => (began(*pid) != Some(process.began)).then(|| "ended".to_string()),
+                None => {
+                    (start_ticks(*pid) != Some(process.start_ticks)).then(|| "ended".to_string())
+                }
             };
-            ended.extend(how.map(|how| (*pid, how)));
+            exited.extend(kind.map(|kind| (*pid, kind)));
         }
-        for (pid, _) in &ended {
-            self.all.remove(pid);
+        for (pid, _) in &exited {
+            self.by_pid.remove(pid);
         }
-        ended
+        exited
     }
 
-    /// Sends a signal to a process, unless its number is by now that of another.
+    /// Sends a signal to a process, unless its id has been reused by another one.
     pub fn signal(&self, pid: ProcessId, signal: Signal) {
-        let same = self
-            .all
-            .get(&pid)
-            .is_some_and(|process| process.child.is_some() || began(pid) == Some(process.began));
+        let is_same = self.by_pid.get(&pid).is_some_and(|process| {
+            process.child.is_some() || start_ticks(pid) == Some(process.start_ticks)
+        });
         let raw = i32::try_from(pid).ok().and_then(Pid::from_raw);
-        if let (Some(raw), true) = (raw, same) {
-            // It may have just ended.
+        if let (Some(raw), true) = (raw, is_same) {
+            // The process may have exited in the meantime.
             let _ = kill_process(raw, signal);
         }
     }
 }
 
-/// When a process began, in the kernel's ticks; `None` if there is none, or only a zombie.
-fn began(pid: ProcessId) -> Option<u64> {
+/// The start time of a process in clock ticks since boot; `None` if it does not exist or is a zombie.
+fn start_ticks(pid: ProcessId) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The name in parentheses may hold anything.
-    let mut rest = text.rsplit_once(')')?.1.split_whitespace();
-    let state = rest.next()?;
+    // The command name in parentheses may contain any character.
+    let mut fields = text.rsplit_once(')')?.1.split_whitespace();
+    let state = fields.next()?;
     if state == "Z" || state == "X" {
         return None;
     }
-    rest.nth(18)?.parse().ok()
+    fields.nth(START_TIME_FIELD)?.parse().ok()
 }
--- a/programs/fleet/src/replace_voter.rs
+++ b/programs/fleet/src/replace_voter.rs
@@ -1,84 +1,84 @@
-//! `replace-voter`: makes a front end a voter in the place of another.
+//! `replace-voter`: replaces a voter by another front end.
 
 use crate::arguments::wait_limit;
-use crate::{FleetError, Session};
+use crate::{CommandContext, FleetError};
 use std::net::SocketAddr;
 use std::time::Instant;
 use tansy_fleet_wire::pb;
 use tansy_fleet_wire::pb::enter_request::Entry;
 
-/// How far a replacement has come.
+/// Progress of a replacement.
 enum Progress {
-    /// The new voter learns the log.
+    /// The new voter receives the log and does not vote yet.
     Learning,
-    /// The new voter votes, and so does the old one still.
+    /// Joint consensus: both the new and the old voter vote.
     Joint,
     Done,
     Failed,
 }
 
-/// Asks for the replacement and waits for it so many seconds.
+/// Requests the replacement and waits until it is done, for at most `wait` seconds.
 pub(crate) fn run(
-    session: &mut Session,
+    context: &mut CommandContext,
     new: &str,
     replaced: &str,
     wait: f64,
 ) -> Result<(), FleetError> {
-    let mut leader = session.leader()?;
+    let mut leader = context.leader()?;
     let request = pb::ReplaceVoter {
         new_voter: new.to_string(),
         replaced: replaced.to_string(),
     };
-    session.client.enter(leader, Entry::ReplaceVoter(request))?;
-    let end = Instant::now() + wait_limit(wait);
+    context.client.enter(leader, Entry::ReplaceVoter(request))?;
+    let deadline = Instant::now() + wait_limit(wait);
     let mut learning = true;
-    while Instant::now() < end {
-        leader = current_leader(session, leader);
-        match progress(session, leader, new) {
+    while Instant::now() < deadline {
+        leader = current_leader(context, leader);
+        match progress(context, leader, new) {
             Some(Progress::Learning) => learning = true,
             Some(Progress::Joint) => learning = false,
             Some(Progress::Done) => {
-                session
+                context
                     .output
-                    .done(&format!("{new} is a voter, {replaced} is not any more"));
+                    .done(&format!("{new} has replaced {replaced} as a voter"));
                 return Ok(());
             }
             Some(Progress::Failed) => {
                 return Err(FleetError::Abandoned(format!(
-                    "{new} did not become a voter: was it started with --state?"
+                    "{new} did not become a voter; check that it was started with --state"
                 )))
             }
             None => {}
         }
-        session.pause();
+        context.wait_for_next_poll();
     }
     if wait <= 0.0 {
-        session
+        context
             .output
-            .done(&format!("{new} is to become a voter instead of {replaced}"));
+            .done(&format!("{new} will replace {replaced} as a voter"));
         return Ok(());
     }
     let state = if learning {
-        "still receives the log"
+        "is still receiving the log"
     } else {
-        "is a voter, and so is the other still"
+        "votes, but the replaced voter still does too"
     };
     Err(FleetError::TimedOut(format!(
-        "{new} {state} after {wait} s: `seats` shows the voters"
+        "{new} {state} after {wait} s; `seats` shows the voters"
     )))
 }
 
-/// The leader, or the last known one. A replaced leader hands over, after which another one has to be asked.
-fn current_leader(session: &mut Session, last: SocketAddr) -> SocketAddr {
-    session
+/// The current leader, or the last known one. It changes during the replacement if the replaced voter is the leader.
+fn current_leader(context: &mut CommandContext, last: SocketAddr) -> SocketAddr {
+    context
         .leader()
-        .or_else(|_| session.leader_known_by(last))
+        .or_else(|_| context.leader_known_by(last))
         .unwrap_or(last)
 }
 
-/// How far the replacement is, if the leader says so.
-fn progress(session: &mut Session, leader: SocketAddr, new: &str) -> Option<Progress> {
-    let status = session.client.status(leader).ok()?;
+/// The progress of the replacement, if the leader answers.
+fn progress(context: &mut CommandContext, leader: SocketAddr, new: &str) -> Option<Progress> {
+    let status = context.client.status(leader).ok()?;
     if !status.is_leader {
         return None;
     }
@@ -98,7 +98,7 @@
         .any(|voter| Some(voter) == address.as_ref())
 }
 
-/// Where the front end of this name is reached.
+/// The fleet address of the front end with this name.
 fn address_of(status: &pb::StatusReply, name: &str) -> Option<String> {
     let id = tansy_fleet_node::number(name);
     status
--- a/programs/fleet/src/report.rs
+++ b/programs/fleet/src/report.rs
@@ -1,37 +1,37 @@
-//! The report on a rollout: one self-contained HTML page.
+//! The report on a rollout: a self-contained HTML page.
 
 use crate::FleetError;
 use plotters::prelude::*;
 use tansy_canary::{Measurement, Verdict};
 use tansy_rollout::{Rollout, RolloutChange, RolloutPhase, StageObservation};
 
-/// The verdict on a stage, in words.
+/// The verdict on a stage, for operators.
 pub fn verdict_text(observation: &StageObservation) -> String {
     match &observation.verdict {
         None => "no verdict yet".into(),
         Some(Verdict::Pass) => "no worse".into(),
         Some(Verdict::Fail { reason }) => format!("worse: {reason}"),
-        Some(Verdict::Inconclusive { needs, .. }) => format!("not known yet: {needs}"),
+        Some(Verdict::Inconclusive { needs, .. }) => format!("inconclusive: {needs}"),
         Some(Verdict::SharedFault { slices }) => {
-            format!("both sides in trouble for {slices} slices")
+            format!("changed and unchanged front ends in trouble for {slices} slices")
         }
     }
 }
 
 /// The page up to its first heading.
-const HEAD: &str = "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>Rollout</title><style>body{font:15px sans-serif;\
+const PAGE_HEAD: &str = "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>Rollout</title><style>body{font:15px sans-serif;\
     max-width:60em;margin:2em auto;padding:0 1em}table{border-collapse:collapse}td,th{border-bottom:1px solid #ccc;\
     padding:.2em .8em;text-align:right}td:first-child,th:first-child{text-align:left}</style></head><body>";
 
-/// Text as HTML.
-fn escaped(text: &str) -> String {
+/// Escapes text for HTML.
+fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
         .replace('>', "&gt;")
         .replace('"', "&quot;")
 }
 
-/// The losses with their intervals, as an SVG image.
+/// Draws the losses with their confidence intervals as an SVG image.
 fn loss_chart(measurements: &[Measurement]) -> Result<String, FleetError> {
     let mut svg = String::new();
     {
@@ -42,21 +42,24 @@
     Ok(svg)
 }
 
+/// Half width up to which a confidence interval is drawn, so that a wide one does not flatten the others.
+const MAX_HALF_WIDTH: f64 = 0.2;
+
 type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 type DrawingError<'a> = DrawingAreaErrorKind<<SVGBackend<'a> as DrawingBackend>::ErrorType>;
 
-/// A loss and half of its interval, in points.
-fn points(measurement: &Measurement) -> (f64, f64) {
+/// A loss and the half width of its confidence interval, in percentage points.
+fn loss_points(measurement: &Measurement) -> (f64, f64) {
     (
         measurement.loss * 100.0,
-        measurement.half_width.min(0.2) * 100.0,
+        measurement.half_width.min(MAX_HALF_WIDTH) * 100.0,
     )
 }
 
 fn draw<'a>(area: &Area<'a>, measurements: &[Measurement]) -> Result<(), DrawingError<'a>> {
     area.fill(&WHITE)?;
     let extent = |measurement: &Measurement| {
-        (measurement.loss.abs() + measurement.half_width.min(0.2)) * 100.0
+        (measurement.loss.abs() + measurement.half_width.min(MAX_HALF_WIDTH)) * 100.0
     };
     let limit = measurements.iter().map(extent).fold(1.0, f64::max) * 1.1;
     let count = measurements.len() as f64;
@@ -78,13 +81,13 @@
         .disable_y_mesh()
         .y_labels(measurements.len() * 2 + 1)
         .y_label_formatter(&name)
-        .x_desc("points lost by the new side, with the interval that holds at all samples")
+        .x_desc("loss by the change in percentage points, with its confidence interval")
         .draw()?;
     for (row, measurement) in measurements.iter().enumerate() {
         let y = row as f64;
-        let (x, half) = points(measurement);
-        let color = if x - half > 0.0 { RED } else { BLUE };
-        let interval = vec![(x - half, y), (x + half, y)];
+        let (x, half_width) = loss_points(measurement);
+        let color = if x - half_width > 0.0 { RED } else { BLUE };
+        let interval = vec![(x - half_width, y), (x + half_width, y)];
         chart.draw_series([PathElement::new(interval, color.stroke_width(2))])?;
         chart.draw_series([Circle::new((x, y), 4, color.filled())])?;
     }
@@ -93,36 +96,36 @@
     area.present()
 }
 
-/// The page on a rollout.
+/// Returns the HTML page on a rollout.
 pub fn page(rollout: &Rollout) -> Result<String, FleetError> {
     let change = match &rollout.change {
-        RolloutChange::Program { label, path } => format!("the program {path}, {label}"),
+        RolloutChange::Program { label, path } => format!("program {path} ({label})"),
         RolloutChange::Settings => "settings".to_string(),
     };
     let end = match rollout.phase {
-        RolloutPhase::Completed => "done: all front ends are changed",
-        RolloutPhase::RolledBack => "stopped: all front ends are as they were",
-        RolloutPhase::RollingBack => "rolling back",
-        RolloutPhase::Changing | RolloutPhase::Analysing => "in progress",
+        RolloutPhase::Completed => "Completed: all front ends are changed.",
+        RolloutPhase::RolledBack => "Rolled back: all front ends are unchanged.",
+        RolloutPhase::RollingBack => "Rolling back.",
+        RolloutPhase::Changing | RolloutPhase::Analysing => "In progress.",
     };
-    let mut html = String::from(HEAD);
+    let mut html = String::from(PAGE_HEAD);
     html += &format!(
-        "<h1>Rollout {}</h1><p>Of {}. <b>{}</b></p>",
+        "<h1>Rollout {}</h1><p>Change: {}. <b>{}</b></p>",
         rollout.id,
-        escaped(&change),
+        escape(&change),
         end
     );
-    html += &format!("<p>{}</p>", escaped(&rollout.reason));
+    html += &format!("<p>{}</p>", escape(&rollout.reason));
     for observation in &rollout.observations {
         add_stage(&mut html, rollout, observation)?;
     }
     html += "<h2>Steps</h2><ol>";
     for step in &rollout.steps {
-        html += &format!("<li>{}</li>", escaped(step));
+        html += &format!("<li>{}</li>", escape(step));
     }
-    html += "</ol><details><summary>All as JSON</summary><pre>";
+    html += "</ol><details><summary>Rollout as JSON</summary><pre>";
     let json = serde_json::to_string_pretty(rollout);
-    html += &escaped(&json.map_err(|error| FleetError::Report(error.to_string()))?);
+    html += &escape(&json.map_err(|error| FleetError::Report(error.to_string()))?);
     html += "</pre></details></body></html>";
     Ok(html)
 }
@@ -141,20 +144,20 @@
         .map(|target| target.name.as_str())
         .collect();
     *html += &format!(
-        "<h2>Stage {}</h2><p>{}. Stood for {} s. {}</p>",
+        "<h2>Stage {}</h2><p>{}. Analysed for {} s: {}</p>",
         observation.stage + 1,
-        escaped(&names.join(", ")),
+        escape(&names.join(", ")),
         observation.elapsed_seconds,
-        escaped(&verdict_text(observation))
+        escape(&verdict_text(observation))
     );
     if observation.measurements.is_empty() {
         return Ok(());
     }
-    *html += "<table><tr><th>share lost</th><th>old</th><th>new</th><th>loss, points</th><th>give or take</th><th>slices</th></tr>";
+    *html += "<table><tr><th>metric</th><th>old</th><th>new</th><th>loss, points</th><th>+-</th><th>slices</th></tr>";
     for measurement in &observation.measurements {
         *html += &format!(
             "<tr><td>{}</td><td>{:.3}%</td><td>{:.3}%</td><td>{:+.3}</td><td>{:.3}</td><td>{}</td></tr>",
-            escaped(&measurement.metric),
+            escape(&measurement.metric),
             measurement.baseline_loss_rate * 100.0,
             measurement.canary_loss_rate * 100.0,
             measurement.loss * 100.0,
--- a/programs/fleet/src/rollout.rs
+++ b/programs/fleet/src/rollout.rs
@@ -1,16 +1,16 @@
-//! `rollout`: changes in stages, begun, watched, paused, aborted and reported on.
+//! `rollout`: begins, shows, pauses, resumes, aborts and reports on rollouts.
 
 mod plan;
 mod text;
 mod watch;
 
 pub use plan::stages;
-pub use text::plain;
+pub use text::rollout_text;
 
 use crate::arguments::{BeginArguments, RolloutCommand};
 use crate::error::read_file;
 use crate::processes::program_label;
-use crate::{FleetError, Session};
+use crate::{CommandContext, FleetError};
 use std::path::Path;
 use std::time::Duration;
 use tansy_agreement::log::{Version, VersionedSettings};
@@ -20,59 +20,61 @@
 use tansy_rollout::{Rollout, RolloutChange, RolloutEntry};
 use tansy_settings::agree::version;
 
-/// Time for an answer of a front end.
+/// Timeout of a request to a front end.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs a command.
-pub(crate) fn run(session: &mut Session, command: RolloutCommand) -> Result<(), FleetError> {
+/// Runs a `rollout` command.
+pub(crate) fn run(context: &mut CommandContext, command: RolloutCommand) -> Result<(), FleetError> {
     match command {
-        RolloutCommand::Begin(arguments) => begin(session, arguments),
+        RolloutCommand::Begin(arguments) => begin(context, arguments),
         RolloutCommand::Status { watch: false } => {
-            let rollout = last(session)?;
-            session.output.show(&rollout, || plain(&rollout));
+            let rollout = last_rollout(context)?;
+            context.output.show(&rollout, || rollout_text(&rollout));
             Ok(())
         }
-        RolloutCommand::Status { watch: true } => watch::watch(session),
-        RolloutCommand::Pause { why } => enter(
-            session,
+        RolloutCommand::Status { watch: true } => watch::watch(context),
+        RolloutCommand::Pause { why } => enter_for_last(
+            context,
             |id| RolloutEntry::Pause { id, reason: why },
             "is paused",
         ),
-        RolloutCommand::Resume => enter(session, |id| RolloutEntry::Resume { id }, "continues"),
-        RolloutCommand::Abort { why } => enter(
-            session,
+        RolloutCommand::Resume => {
+            enter_for_last(context, |id| RolloutEntry::Resume { id }, "continues")
+        }
+        RolloutCommand::Abort { why } => enter_for_last(
+            context,
             |id| RolloutEntry::Abort { id, reason: why },
             "is being rolled back",
         ),
-        RolloutCommand::Report { out } => report(session, &out),
+        RolloutCommand::Report { out } => report(context, &out),
     }
 }
 
-/// The change of a rollout, and the settings that go with it.
+/// The change of a rollout, and the settings of a settings change.
 type Change = (RolloutChange, Option<VersionedSettings>);
 
-fn begin(session: &mut Session, arguments: BeginArguments) -> Result<(), FleetError> {
+fn begin(context: &mut CommandContext, arguments: BeginArguments) -> Result<(), FleetError> {
     let mut plan = plan::read(arguments.plan.as_deref())?;
-    plan.stages = stages(plan::targets(session)?, &arguments.stages)?;
-    if let Some(fault) = plan.validation_error() {
-        return Err(FleetError::Invalid(format!("the plan: {fault}")));
+    plan.stages = stages(plan::targets(context)?, &arguments.stages)?;
+    if let Some(error) = plan.validation_error() {
+        return Err(FleetError::Invalid(format!("invalid plan: {error}")));
     }
-    let (what, settings) = change(&arguments)?;
+    let (change, settings) = change(&arguments)?;
     if arguments.dry_run {
-        session.output.show(&plan, || text::plain_plan(&plan));
+        context.output.show(&plan, || text::plan_text(&plan));
         return Ok(());
     }
     let id = arguments.id.unwrap_or_else(|| fastrand::u64(1..1 << 53));
-    let leader = session.leader()?;
+    let leader = context.leader()?;
     let entry = RolloutEntry::Begin {
         id,
-        change: what,
+        change,
         plan,
         reason: arguments.why,
     };
     let entry = Entry::Rollout(roll_entry(&entry, settings.as_ref()));
-    session.client.enter(leader, entry)?;
-    session.output.done(&format!(
+    context.client.enter(leader, entry)?;
+    context.output.done(&format!(
         "rollout {id} has begun; `tansy-fleet rollout status --watch` shows it"
     ));
     Ok(())
@@ -82,7 +84,9 @@
     match (&arguments.program, &arguments.settings) {
         (Some(path), _) => program_change(path),
         (None, Some(path)) => settings_change(path, &arguments.why),
-        (None, None) => Err(FleetError::Invalid("want --program or --settings".into())),
+        (None, None) => Err(FleetError::Invalid(
+            "either --program or --settings is required".into(),
+        )),
     }
 }
 
@@ -109,42 +113,42 @@
     Ok((RolloutChange::Settings, Some(settings)))
 }
 
-/// Writes the page on the last rollout.
-fn report(session: &mut Session, out: &Path) -> Result<(), FleetError> {
-    let rollout = last(session)?;
+/// Writes the report on the last rollout.
+fn report(context: &mut CommandContext, out: &Path) -> Result<(), FleetError> {
+    let rollout = last_rollout(context)?;
     let page = crate::report::page(&rollout)?;
     std::fs::write(out, page).map_err(|error| FleetError::file(out, error))?;
-    session.output.done(&format!(
-        "{} has the report of rollout {}",
-        out.display(),
-        rollout.id
+    context.output.done(&format!(
+        "report of rollout {} written to {}",
+        rollout.id,
+        out.display()
     ));
     Ok(())
 }
 
-/// The last rollout, as the leader has it.
-fn last(session: &mut Session) -> Result<Rollout, FleetError> {
-    let leader = session.leader()?;
-    let reply = session
+/// The last rollout, as known by the leader.
+fn last_rollout(context: &mut CommandContext) -> Result<Rollout, FleetError> {
+    let leader = context.leader()?;
+    let reply = context
         .client
         .rollouts(&[leader], ANSWER_TIMEOUT)
         .pop()
         .unwrap_or_else(|| Err(RequestError::Unreachable("no answer".into())))?;
     let rollout = of_roll(&reply.rollout).map_err(FleetError::unreachable)?;
-    rollout.ok_or_else(|| FleetError::Rejected("there was no rollout yet".into()))
+    rollout.ok_or_else(|| FleetError::Rejected("there has been no rollout".into()))
 }
 
-/// Enters an operator's entry for the last rollout; `result` says what that does.
-fn enter(
-    session: &mut Session,
+/// Enters an operator's entry for the last rollout. `result` describes its effect.
+fn enter_for_last(
+    context: &mut CommandContext,
     entry: impl FnOnce(u64) -> RolloutEntry,
     result: &str,
 ) -> Result<(), FleetError> {
-    let rollout = last(session)?;
-    let leader = session.leader()?;
+    let rollout = last_rollout(context)?;
+    let leader = context.leader()?;
     let entry = Entry::Rollout(roll_entry(&entry(rollout.id), None));
-    session.client.enter(leader, entry)?;
-    session
+    context.client.enter(leader, entry)?;
+    context
         .output
         .done(&format!("rollout {} {result}", rollout.id));
     Ok(())
--- a/programs/fleet/src/rollout/text.rs
+++ b/programs/fleet/src/rollout/text.rs
@@ -1,13 +1,13 @@
-//! Rollouts and plans as lines for people.
+//! Rollouts and plans as text.
 
 use crate::report::verdict_text;
 use tansy_rollout::{Rollout, RolloutChange, RolloutPhase, RolloutPlan, StageObservation};
 
-/// Steps of a rollout that are shown.
-const LAST_STEPS: usize = 8;
+/// Number of latest steps shown.
+const MAX_STEPS: usize = 8;
 
-/// A plan, with its stages.
-pub(super) fn plain_plan(plan: &RolloutPlan) -> String {
+/// The text of a plan.
+pub(super) fn plan_text(plan: &RolloutPlan) -> String {
     let mut lines = Vec::new();
     for (number, stage) in plan.stages.iter().enumerate() {
         let names: Vec<String> = stage
@@ -17,7 +17,7 @@
         lines.push(format!("stage {}: {}", number + 1, names.join(", ")));
     }
     lines.push(format!(
-        "each from {} to {} s; {} of a zone unavailable at once; stopped at a significant loss of {} points",
+        "each stage takes {} to {} s; at most {} of a zone unavailable at a time; rolled back at a significant loss of {} points",
         plan.min_stage_seconds,
         plan.max_stage_seconds,
         plan.max_unavailable,
@@ -26,8 +26,8 @@
     lines.join("\n")
 }
 
-/// A rollout: its state, the last observation of each stage, and the last steps.
-pub fn plain(rollout: &Rollout) -> String {
+/// The text of a rollout: its state, the last observation of each stage, and the latest steps.
+pub fn rollout_text(rollout: &Rollout) -> String {
     let mut lines = vec![headline(rollout)];
     if !rollout.reason.is_empty() {
         lines.push(format!("  {}", rollout.reason));
@@ -36,7 +36,7 @@
     for observation in &rollout.observations {
         add_observation(&mut lines, observation);
     }
-    let hidden = rollout.steps.len().saturating_sub(LAST_STEPS);
+    let hidden = rollout.steps.len().saturating_sub(MAX_STEPS);
     let steps = rollout.steps.iter().skip(hidden);
     lines.extend(steps.map(|step| format!("  - {step}")));
     lines.join("\n")
@@ -51,13 +51,13 @@
     };
     let phase = match rollout.phase {
         RolloutPhase::Changing => "changing front ends",
-        RolloutPhase::Analysing => "under judgement",
-        RolloutPhase::RollingBack => "going back",
+        RolloutPhase::Analysing => "analysing",
+        RolloutPhase::RollingBack => "rolling back",
         RolloutPhase::Completed => "done",
-        RolloutPhase::RolledBack => "stopped: all are as they were",
+        RolloutPhase::RolledBack => "rolled back: all front ends are unchanged",
     };
     format!(
-        "roll {} of {change}: stage {} of {}, {phase}{}",
+        "rollout {} of {change}: stage {} of {}, {phase}{}",
         rollout.id,
         rollout.stage + 1,
         rollout.plan.stages.len(),
@@ -66,7 +66,7 @@
 }
 
 fn progress(rollout: &Rollout) -> String {
-    let moving = if rollout.released.is_empty() {
+    let released = if rollout.released.is_empty() {
         "none".to_string()
     } else {
         rollout
@@ -77,12 +77,12 @@
             .join(", ")
     };
     let controller = if rollout.controller.is_empty() {
-        "none yet, run `tansy-fleet up` or `tansy-fleet steer`"
+        "none yet; run `tansy-fleet up` or `tansy-fleet steer`"
     } else {
         &rollout.controller
     };
     format!(
-        "  changed {} of {}, in progress {moving}; rollout controller: {controller}",
+        "  changed {} of {}, in progress: {released}; controller: {controller}",
         rollout.changed.len(),
         rollout.plan.targets().count(),
     )
--- a/programs/fleet/src/rollout/watch.rs
+++ b/programs/fleet/src/rollout/watch.rs
@@ -1,23 +1,23 @@
-//! `rollout status --watch`: the last rollout again and again until it has ended.
+//! `rollout status --watch`: shows the last rollout until it ends.
 
-use super::{last, plain};
-use crate::{terminal, FleetError, Session};
+use super::{last_rollout, rollout_text};
+use crate::{terminal, CommandContext, FleetError};
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEvent, KeyModifiers};
 use std::io::IsTerminal;
 use std::time::Duration;
 use tansy_rollout::{Rollout, RolloutPhase};
 
-/// Time between two questions.
+/// Time between two requests for the rollout.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
-pub(super) fn watch(session: &mut Session) -> Result<(), FleetError> {
-    let output = session.output;
+pub(super) fn watch(context: &mut CommandContext) -> Result<(), FleetError> {
+    let output = context.output;
     let rollout = if !output.json && std::io::stdout().is_terminal() {
-        let rollout = watch_in_terminal(session)?;
-        output.show(&rollout, || plain(&rollout));
+        let rollout = watch_in_terminal(context)?;
+        output.show(&rollout, || rollout_text(&rollout));
         rollout
     } else {
-        watch_in_lines(session)?
+        watch_in_lines(context)?
     };
     if rollout.phase == RolloutPhase::RolledBack {
         return Err(FleetError::Abandoned(rollout.reason));
@@ -25,21 +25,21 @@
     Ok(())
 }
 
-/// Prints the rollout until it has ended.
-fn watch_in_lines(session: &mut Session) -> Result<Rollout, FleetError> {
+/// Prints the rollout once per interval until it ends.
+fn watch_in_lines(context: &mut CommandContext) -> Result<Rollout, FleetError> {
     loop {
-        let rollout = last(session)?;
-        session.output.show(&rollout, || plain(&rollout));
+        let rollout = last_rollout(context)?;
+        context.output.show(&rollout, || rollout_text(&rollout));
         if rollout.has_ended() {
             return Ok(rollout);
         }
-        session.client.wait(WATCH_INTERVAL);
+        context.client.wait(WATCH_INTERVAL);
     }
 }
 
-/// Draws the rollout until it has ended, or `q` or Ctrl-C is pressed.
-fn watch_in_terminal(session: &mut Session) -> Result<Rollout, FleetError> {
-    let mut rollout = last(session)?;
+/// Draws the rollout until it ends, or until `q` or Ctrl-C is pressed.
+fn watch_in_terminal(context: &mut CommandContext) -> Result<Rollout, FleetError> {
+    let mut rollout = last_rollout(context)?;
     let drawn = ratatui::run(|terminal| -> std::io::Result<()> {
         while !rollout.has_ended() {
             terminal.draw(|frame| terminal::draw(frame, &rollout))?;
@@ -50,8 +50,8 @@
                     }
                 }
             }
-            // The leader may be unreachable for a moment.
-            if let Ok(latest) = last(session) {
+            // The leader may be unreachable temporarily.
+            if let Ok(latest) = last_rollout(context) {
                 rollout = latest;
             }
         }
--- a/programs/fleet/src/rows.rs
+++ b/programs/fleet/src/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the results. Their field names in JSON are part of the command line and stay.
+//! Rows of results. Their JSON format is part of the command line's interface.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -9,31 +9,31 @@
 /// The status of a front end.
 #[derive(Debug, Clone, Serialize)]
 pub struct FrontEndStatus {
-    /// Its name, or where it was looked for.
+    /// Name of the front end, or `?` if it did not answer.
     pub name: String,
-    /// Where its siblings reach it.
+    /// Fleet address of the front end.
     pub address: String,
-    /// Whether it answered; what it said, if not.
+    /// Why it did not answer, or the error that it reports.
     pub error: Option<String>,
-    /// Whether it leads the fleet.
+    /// Whether it is the leader.
     #[serde(rename = "seat")]
     pub leads: bool,
-    /// The revision of the agreed log that it knows.
+    /// Revision of the fleet's state that it knows.
     #[serde(rename = "step")]
     pub revision: u64,
-    /// The version in force there.
+    /// Settings version in force there.
     pub version: u64,
-    /// The version in progress, and its phase.
+    /// Version of the change in progress, and its phase.
     pub next: Option<(u64, String)>,
-    /// Milliseconds left of its lease.
+    /// Remaining lease in milliseconds.
     pub lease_ms: i64,
-    /// Seconds left of its session.
+    /// Remaining session in seconds.
     #[serde(rename = "stay_s")]
     pub session_s: i64,
-    /// Other front ends that it sees.
+    /// Number of other front ends that it sees.
     #[serde(rename = "sees")]
     pub seen_others: usize,
-    /// Functions that it is subscribed to one by one.
+    /// Number of functions that it is subscribed to.
     #[serde(rename = "holds")]
     pub subscriptions: u64,
 }
@@ -41,29 +41,29 @@
 /// The status of a fleet.
 #[derive(Debug, Clone, Serialize)]
 pub struct FleetStatus {
-    /// Its name.
+    /// Name of the fleet.
     pub fleet: String,
-    /// The address of its leader.
+    /// Address of the leader.
     #[serde(rename = "seat")]
     pub leader: String,
-    /// Its front ends, as the one that was asked sees them.
+    /// The front ends that the one asked first sees, and itself.
     #[serde(rename = "fronts")]
     pub front_ends: Vec<FrontEndStatus>,
-    /// Those on the roster that are not seen.
+    /// Front ends on the roster that are not seen.
     pub away: Vec<String>,
-    /// Calls that the change in progress affects.
+    /// Calls that the change in progress affects, as descriptions.
     #[serde(rename = "contested")]
     pub conflicting: Vec<String>,
     /// Front ends that the change in progress waits for.
     pub waits_for: Vec<String>,
-    /// Whether it waits for leases to expire or to be renewed at the new version.
+    /// Whether the change in progress waits until leases expire or are renewed at the new version.
     pub waits_for_leases: bool,
-    /// Functions with a change in progress, and the subscribers that are not known to have it.
+    /// Functions with a change in progress, and the subscribers that have not confirmed it.
     pub changing: BTreeMap<String, Vec<String>>,
 }
 
 impl FrontEndStatus {
-    /// From its answer.
+    /// The status from a front end's answer.
     pub fn of(status: &pb::StatusReply) -> FrontEndStatus {
         let state = status.state.as_ref();
         let phase = |state: &pb::State| match pb::Phase::try_from(state.phase) {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Of a front end that did not answer.
+    /// The status of a front end that did not answer.
     pub fn unreachable(address: String, error: String) -> FrontEndStatus {
         FrontEndStatus {
             name: "?".into(),
@@ -114,8 +114,8 @@
         }
     }
 
-    /// A line on a voter, for people.
-    pub fn voter(&self) -> String {
+    /// The text line of a voter.
+    pub fn voter_line(&self) -> String {
         match &self.error {
             None => format!(
                 "{} at {}{}\n",
@@ -127,7 +127,7 @@
         }
     }
 
-    fn plain(&self) -> String {
+    fn to_line(&self) -> String {
         let remaining = |left: i64, unit: &str| match left {
             0 => "none".to_string(),
             n => format!("{n} {unit}"),
@@ -157,12 +157,12 @@
 }
 
 impl FleetStatus {
-    /// Lines for people.
-    pub fn plain(&self) -> String {
-        let mut text = format!("fleet {}, led from {}\n", self.fleet, self.leader);
+    /// The status as text.
+    pub fn to_text(&self) -> String {
+        let mut text = format!("fleet {}, leader at {}\n", self.fleet, self.leader);
         text += "name           address                      version        lease      stay\n";
         for front_end in &self.front_ends {
-            text += &front_end.plain();
+            text += &front_end.to_line();
             text.push('\n');
         }
         if !self.away.is_empty() {
@@ -170,51 +170,51 @@
         }
         if !self.conflicting.is_empty() {
             text += &format!(
-                "the change under way touches: {}\n",
+                "the change in progress affects: {}\n",
                 self.conflicting.join(", ")
             );
         }
         if self.waits_for_leases {
-            text += "it waits for leases: each comes as far or runs out\n";
+            text += "it waits until leases expire or are renewed at the new version\n";
         }
         if !self.waits_for.is_empty() {
-            let who = self.waits_for.join(", ");
+            let names = self.waits_for.join(", ");
             text += &format!(
-                "it waits for {who}: start them again, or dismiss those that are gone for good\n"
+                "it waits for {names}: restart them, or dismiss those that are down for good\n"
             );
         }
         for (function, behind) in &self.changing {
-            let whom = if behind.is_empty() {
+            let awaited = if behind.is_empty() {
                 "leases".into()
             } else {
                 behind.join(", ")
             };
-            text += &format!("function {function} changes, and waits for {whom}\n");
+            text += &format!("function {function} is changing and waits for {awaited}\n");
         }
         text
     }
 }
 
-/// A field that differs between two versions.
+/// A field that differs between two settings versions.
 #[derive(Debug, Clone, Serialize)]
 pub struct FieldChangeRow {
-    /// Its path.
+    /// Path of the field.
     pub field: String,
-    /// The old value, as a settings file writes it; `None` if it was left out.
+    /// Old value in the syntax of settings files; `None` if unset.
     pub old: Option<String>,
-    /// The new value.
+    /// New value, likewise.
     pub new: Option<String>,
-    /// `free`, `joint` or `strict`: how the two values may stand side by side.
+    /// Whether front ends may use different values at the same time: `free`, `joint` or `strict`.
     #[serde(rename = "kind")]
     pub compatibility: &'static str,
-    /// The calls that it affects.
+    /// Calls that the change affects, as a description.
     pub calls: String,
-    /// Whether a front end takes it up only when it starts.
+    /// Whether a front end applies the new value only when it starts.
     pub at_start: bool,
 }
 
 impl FieldChangeRow {
-    /// From a change.
+    /// The row of a change.
     pub fn of(change: &FieldChange) -> FieldChangeRow {
         let text = |value: &Option<Value>| value.as_ref().map(Value::to_string);
         FieldChangeRow {
@@ -236,8 +236,8 @@
         }
     }
 
-    /// A line for people.
-    pub fn plain(&self) -> String {
+    /// The row as a line of text.
+    pub fn to_line(&self) -> String {
         let none = || "nothing".to_string();
         let old = self.old.clone().unwrap_or_else(none);
         let new = self.new.clone().unwrap_or_else(none);
@@ -254,28 +254,28 @@
     }
 }
 
-/// A version of the settings.
+/// A settings version.
 #[derive(Debug, Clone, Serialize)]
 pub struct VersionRow {
-    /// Its number.
+    /// Number of the version.
     pub version: u64,
-    /// `in force`, `under way`, or nothing.
+    /// `in force`, `under way`, or empty.
     #[serde(rename = "is")]
     pub state: &'static str,
-    /// Why it was proposed.
+    /// Reason given by the operator.
     #[serde(rename = "why")]
     pub reason: String,
-    /// The proposal's id.
+    /// Id of the proposal.
     pub id: u64,
-    /// How many fields it sets.
+    /// Number of fields that it sets.
     pub fields: usize,
 }
 
 impl VersionRow {
-    /// Of a version, beside the numbers of the one in force and of the one in progress.
-    pub fn of(settings: &VersionedSettings, force: u64, next: u64) -> VersionRow {
+    /// The row of a version. `in_force`, `next`: the numbers of the versions in force and in progress.
+    pub fn of(settings: &VersionedSettings, in_force: u64, next: u64) -> VersionRow {
         let version = settings.version.0;
-        let state = if version == force {
+        let state = if version == in_force {
             "in force"
         } else if version == next {
             "under way"
@@ -291,8 +291,8 @@
         }
     }
 
-    /// A line for people.
-    pub fn plain(&self) -> String {
+    /// The row as a line of text.
+    pub fn to_line(&self) -> String {
         format!(
             "{:>6}  {:<10} {:>4} fields  {}",
             self.version, self.state, self.fields, self.reason
--- a/programs/fleet/src/rows/tests.rs
+++ b/programs/fleet/src/rows/tests.rs
@@ -1,4 +1,4 @@
-//! The keys of results in JSON are part of the command line.
+//! The JSON format of results is an interface: renames in the code must not change it.
 
 use super::{FieldChangeRow, FleetStatus, FrontEndStatus, VersionRow};
 use std::collections::BTreeMap;
@@ -18,7 +18,10 @@
         changing: BTreeMap::from([("a".to_string(), vec!["f3".to_string()])]),
     };
     let text = r#"{"fleet":"north","seat":"1.2.3.4:5","fronts":[{"name":"?","address":"1.2.3.4:5","error":"no answer","seat":false,"step":0,"version":0,"next":[3,"joint"],"lease_ms":0,"stay_s":0,"sees":0,"holds":0}],"away":["f2"],"contested":["all calls"],"waits_for":["f3"],"waits_for_leases":true,"changing":{"a":["f3"]}}"#;
-    assert_eq!(serde_json::to_string(&status).expect("plain data"), text);
+    assert_eq!(
+        serde_json::to_string(&status).expect("the value can be encoded"),
+        text
+    );
 }
 
 #[test]
@@ -32,7 +35,10 @@
         at_start: false,
     };
     let text = r#"{"field":"classes.pay.window","old":"30s","new":null,"kind":"joint","calls":"all calls","at_start":false}"#;
-    assert_eq!(serde_json::to_string(&change).expect("plain data"), text);
+    assert_eq!(
+        serde_json::to_string(&change).expect("the value can be encoded"),
+        text
+    );
     let version = VersionRow {
         version: 2,
         state: "in force",
@@ -41,5 +47,8 @@
         fields: 4,
     };
     let text = r#"{"version":2,"is":"in force","why":"shorter","id":7,"fields":4}"#;
-    assert_eq!(serde_json::to_string(&version).expect("plain data"), text);
+    assert_eq!(
+        serde_json::to_string(&version).expect("the value can be encoded"),
+        text
+    );
 }
--- a/programs/fleet/src/scopes.rs
+++ b/programs/fleet/src/scopes.rs
@@ -1,8 +1,8 @@
-//! `scope`: functions that are agreed on one by one: set, removed, shown.
+//! `scope`: sets, removes and shows single functions.
 
 use crate::arguments::{ChangeArguments, ScopeCommand};
 use crate::error::read_file;
-use crate::{FleetError, Session};
+use crate::{CommandContext, FleetError};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,35 +15,35 @@
 use tansy_fleet_wire::{of_scoped, pb, scope_request};
 use tansy_settings::agree::{functions, label};
 
-/// Functions and what they are to be; `None`: removed.
+/// Functions and their new fields; `None` for a function to be removed.
 type Wanted = BTreeMap<String, Option<Fields>>;
 
-/// Functions with a change in progress, and the front ends that each waits for.
-type Waiting = BTreeMap<String, Vec<String>>;
+/// Functions with a change in progress, and the front ends that each change waits for.
+type AwaitedFrontEnds = BTreeMap<String, Vec<String>>;
 
-/// A function as it is shown.
+/// The output row of a function.
 #[derive(Serialize)]
 struct ScopeRow {
     name: String,
-    /// The revision at which it came into force; 0: there is no such function.
+    /// Revision at which the function came into force; 0 if it does not exist.
     revision: u64,
     #[serde(rename = "is")]
     state: &'static str,
     fields: Option<BTreeMap<String, String>>,
-    /// What it is to be while it changes; `None` also if it is to be removed.
+    /// New fields while a change is in progress; `None` also if the function is to be removed.
     next: Option<BTreeMap<String, String>>,
-    /// Subscribers that are not known to have the change.
+    /// Subscribers that have not confirmed the change.
     waits_for: Vec<String>,
 }
 
-fn as_text(fields: &Fields) -> BTreeMap<String, String> {
+fn field_values(fields: &Fields) -> BTreeMap<String, String> {
     fields
         .iter()
         .map(|(name, value)| (name.clone(), value.to_string()))
         .collect()
 }
 
-fn join(fields: &BTreeMap<String, String>) -> String {
+fn fields_text(fields: &BTreeMap<String, String>) -> String {
     let all: Vec<String> = fields
         .iter()
         .map(|(name, value)| format!("{name}: {value}"))
@@ -64,19 +64,19 @@
             name,
             revision: record.revision.0,
             state,
-            fields: record.fields.as_ref().map(as_text),
-            next: record.next().and_then(Option::as_ref).map(as_text),
+            fields: record.fields.as_ref().map(field_values),
+            next: record.next().and_then(Option::as_ref).map(field_values),
             waits_for,
         }
     }
 
-    fn plain(&self) -> String {
+    fn to_text(&self) -> String {
         let mut line = format!("{}: {}, revision {}", self.name, self.state, self.revision);
         if let Some(fields) = &self.fields {
-            line += &format!("\n    {}", join(fields));
+            line += &format!("\n    {}", fields_text(fields));
         }
         if let Some(next) = &self.next {
-            line += &format!("\n    is to be {}", join(next));
+            line += &format!("\n    is to be {}", fields_text(next));
         }
         if !self.waits_for.is_empty() {
             line += &format!("\n    waits for {}", self.waits_for.join(", "));
@@ -85,8 +85,8 @@
     }
 }
 
-/// Runs a command.
-pub(crate) fn run(session: &mut Session, command: ScopeCommand) -> Result<(), FleetError> {
+/// Runs a `scope` command.
+pub(crate) fn run(context: &mut CommandContext, command: ScopeCommand) -> Result<(), FleetError> {
     match command {
         ScopeCommand::Set {
             name,
@@ -110,29 +110,29 @@
             }
             let text = format!("functions: {}: {{{text}}}\n", label(&part(&name)));
             let wanted = parse("the arguments", &text)?;
-            change(session, wanted, &arguments)
+            change(context, wanted, &arguments)
         }
         ScopeCommand::Remove {
             names,
             change: arguments,
         } => {
             let wanted = names.into_iter().map(|name| (name, None)).collect();
-            change(session, wanted, &arguments)
+            change(context, wanted, &arguments)
         }
         ScopeCommand::Apply {
             file,
             change: arguments,
         } => {
             let wanted = read_functions(&file)?;
-            change(session, wanted, &arguments)
+            change(context, wanted, &arguments)
         }
-        ScopeCommand::Show { names } => show(session, &names),
+        ScopeCommand::Show { names } => show(context, &names),
     }
 }
 
-/// The functions of a settings text; `name` is that of its origin.
-fn parse(name: &str, text: &str) -> Result<Wanted, FleetError> {
-    let functions = functions(name, text).map_err(FleetError::invalid)?;
+/// Parses functions from text in the format of settings files. `origin` names the text in errors.
+fn parse(origin: &str, text: &str) -> Result<Wanted, FleetError> {
+    let functions = functions(origin, text).map_err(FleetError::invalid)?;
     let wanted = functions
         .into_iter()
         .map(|(function, fields)| (function, Some(fields)));
@@ -145,36 +145,37 @@
     if wanted.is_empty() {
         return Err(FleetError::file(
             file,
-            "no function is given: want functions: {...}",
+            "no functions; the file has to contain `functions: {...}`",
         ));
     }
     Ok(wanted)
 }
 
-fn show(session: &mut Session, names: &[String]) -> Result<(), FleetError> {
-    let leader = session.leader()?;
-    let (records, waiting) = records(session, leader, names)?;
+fn show(context: &mut CommandContext, names: &[String]) -> Result<(), FleetError> {
+    let leader = context.leader()?;
+    let (records, awaited) = records(context, leader, names)?;
     let rows: Vec<ScopeRow> = names
         .iter()
         .zip(records)
         .map(|(name, record)| {
-            let waits_for = waiting.get(name).cloned().unwrap_or_default();
+            let waits_for = awaited.get(name).cloned().unwrap_or_default();
             ScopeRow::of(name.clone(), &record.unwrap_or_default(), waits_for)
         })
         .collect();
-    session
+    context
         .output
-        .show(&rows, || rows.iter().map(ScopeRow::plain).collect());
+        .show(&rows, || rows.iter().map(ScopeRow::to_text).collect());
     Ok(())
 }
 
-/// The front ends that each changing function waits for. One whose name is not known is shown by its number.
-pub(crate) fn waiting(all: &[pb::BlockedFunction]) -> Waiting {
+/// The front ends that the change of each function waits for. A front end without a known name is shown by its id.
+pub(crate) fn awaited_front_ends(blocked: &[pb::BlockedFunction]) -> AwaitedFrontEnds {
     let name = |entry: &pb::RosterEntry| match entry.name.as_str() {
         "" => format!("{:x}", entry.member.as_ref().map_or(0, |member| member.id)),
         name => name.to_string(),
     };
-    all.iter()
+    blocked
+        .iter()
         .map(|function| {
             let names = function.subscribers_behind.iter().map(name).collect();
             (function.name.clone(), names)
@@ -182,17 +183,17 @@
         .collect()
 }
 
-/// What the leader knows of functions, in their order, and what changes wait for.
+/// The leader's records of functions, in the order of `names`, and the front ends that changes wait for.
 fn records(
-    session: &mut Session,
+    context: &mut CommandContext,
     leader: SocketAddr,
     names: &[String],
-) -> Result<(Vec<Option<ScopeRecord>>, Waiting), FleetError> {
+) -> Result<(Vec<Option<ScopeRecord>>, AwaitedFrontEnds), FleetError> {
     let request = pb::FunctionsRequest {
         names: names.to_vec(),
         ..Default::default()
     };
-    let reply = session.client.functions(leader, request)?;
+    let reply = context.client.functions(leader, request)?;
     let records: Vec<Option<ScopeRecord>> = reply
         .functions
         .into_iter()
@@ -201,37 +202,37 @@
         .map_err(FleetError::unreachable)?;
     if records.len() != names.len() {
         return Err(FleetError::Unreachable(format!(
-            "{leader}: tells of {} functions, not {}",
+            "{leader}: the answer has {} functions instead of {}",
             records.len(),
             names.len()
         )));
     }
-    Ok((records, waiting(&reply.blocked_functions)))
+    Ok((records, awaited_front_ends(&reply.blocked_functions)))
 }
 
-/// Asks for a change of functions, all or none, and waits until it is in force.
+/// Proposes a change of functions, all or none of them, and waits until it is in force.
 fn change(
-    session: &mut Session,
+    context: &mut CommandContext,
     wanted: Wanted,
     arguments: &ChangeArguments,
 ) -> Result<(), FleetError> {
-    let leader = session.leader()?;
+    let leader = context.leader()?;
     let names: Vec<String> = wanted.keys().cloned().collect();
-    let (records, _) = records(session, leader, &names)?;
+    let (records, _) = records(context, leader, &names)?;
     let transaction = ScopeTransaction {
         updates: updates(wanted, records, arguments.expect)?,
         id: arguments.wait.id_or_random(),
         reason: arguments.why.clone(),
     };
     let entry = Entry::ScopeTransaction(scope_request(&transaction));
-    let entered = session.client.enter(leader, entry)?;
+    let entered = context.client.enter(leader, entry)?;
     let pending = PendingChange {
         id: transaction.id,
-        step: entered.revision,
-        began: Instant::now(),
+        revision: entered.revision,
+        proposed_at: Instant::now(),
         names,
     };
-    pending.wait(session, leader, arguments)
+    pending.wait(context, leader, arguments)
 }
 
 fn updates(
@@ -244,7 +245,7 @@
         let base = record.map_or(Revision(0), |record| record.revision);
         if let Some(expected) = expected.filter(|revision| *revision != base.0) {
             return Err(FleetError::Rejected(format!(
-                "function {scope} is at revision {}, not {expected}: look at `scope show` and make the change from that",
+                "function {scope} is at revision {}, not {expected}; see `scope show` and base the change on the current revision",
                 base.0
             )));
         }
@@ -257,78 +258,78 @@
     Ok(updates)
 }
 
-/// A change of functions that the leader has taken.
+/// A change of functions that the leader has accepted.
 struct PendingChange {
     id: u64,
-    /// Its revision in the agreed log.
-    step: u64,
-    began: Instant,
+    /// Revision of the fleet's state at which it was entered.
+    revision: u64,
+    proposed_at: Instant,
     names: Vec<String>,
 }
 
 impl PendingChange {
     fn wait(
         &self,
-        session: &mut Session,
+        context: &mut CommandContext,
         leader: SocketAddr,
         arguments: &ChangeArguments,
     ) -> Result<(), FleetError> {
         let limit = arguments.wait.limit();
         if limit.is_zero() {
-            self.show(session, "asked for");
+            self.show(context, "asked for");
             return Ok(());
         }
-        let mut waiting_for = Waiting::new();
-        while self.began.elapsed() < limit {
+        let mut awaited = AwaitedFrontEnds::new();
+        while self.proposed_at.elapsed() < limit {
             let request = pb::FunctionsRequest {
                 id: self.id,
                 ..Default::default()
             };
-            if let Ok(reply) = session.client.functions(leader, request) {
-                waiting_for = waiting(&reply.blocked_functions);
+            if let Ok(reply) = context.client.functions(leader, request) {
+                awaited = awaited_front_ends(&reply.blocked_functions);
                 match reply.transaction_result {
                     Some(result) if result.joint > 0 => {}
                     Some(result) if result.reverted > 0 => {
                         return Err(FleetError::Abandoned(format!(
-                            "{} of {} changes were abandoned; the leader's log says why",
+                            "{} of {} changes were abandoned; the leader's log has the reason",
                             result.reverted,
                             result.reverted + result.in_force
                         )))
                     }
                     Some(_) => {
-                        self.show(session, "in force");
+                        self.show(context, "in force");
                         return Ok(());
                     }
                     None => {}
                 }
             }
-            session.pause();
+            context.wait_for_next_poll();
         }
-        let behind = self.behind(&waiting_for);
-        if !behind.is_empty() {
-            session.output.remark(
-                "start those that are waited for again, or dismiss those that are gone for good",
+        let awaited = self.awaited_text(&awaited);
+        if !awaited.is_empty() {
+            context.output.note(
+                "restart the front ends that the change waits for, or dismiss those that are down for good",
             );
         }
         Err(FleetError::TimedOut(format!(
-            "not in force after {limit:?}{behind}: `scope show` tells how far it is"
+            "not in force after {limit:?}{awaited}; `scope show` shows the progress"
         )))
     }
 
-    fn show(&self, session: &Session, state: &str) {
-        let elapsed = u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX);
-        let value = serde_json::json!({"step": self.step, "is": state, "ms": elapsed, "functions": self.names});
-        session
+    fn show(&self, context: &CommandContext, state: &str) {
+        let elapsed = u64::try_from(self.proposed_at.elapsed().as_millis()).unwrap_or(u64::MAX);
+        let value = serde_json::json!({"step": self.revision, "is": state, "ms": elapsed, "functions": self.names});
+        context
             .output
             .show(&value, || format!("{} {state}", self.names.join(", ")));
     }
 
-    /// In words, whom the functions of this change wait for.
-    fn behind(&self, waiting: &Waiting) -> String {
-        waiting
+    /// The front ends that the functions of this change wait for, as text.
+    fn awaited_text(&self, awaited: &AwaitedFrontEnds) -> String {
+        awaited
             .iter()
-            .filter(|(name, behind)| self.names.contains(name) && !behind.is_empty())
-            .map(|(name, behind)| format!("; {name} waits for {}", behind.join(", ")))
+            .filter(|(name, front_ends)| self.names.contains(name) && !front_ends.is_empty())
+            .map(|(name, front_ends)| format!("; {name} waits for {}", front_ends.join(", ")))
             .collect()
     }
 }
--- a/programs/fleet/src/status.rs
+++ b/programs/fleet/src/status.rs
@@ -1,51 +1,52 @@
-//! Who is in the fleet: its front ends, its voters, and the removal of one from the roster.
+//! The status of the fleet and of its voters, and the removal of a front end from the roster.
 
 use crate::client::Client;
 use crate::rows::{FleetStatus, FrontEndStatus};
-use crate::{parse_address, scopes, FleetError, Session};
+use crate::{parse_address, scopes, CommandContext, FleetError};
 use std::net::SocketAddr;
 use tansy_fleet_wire::pb;
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_net_fleet::client::RequestError;
 
-/// `status`: prints the front ends, what each acts on, and what a change in progress waits for.
-pub(crate) fn status(session: &mut Session) -> Result<(), FleetError> {
-    let fleet = fleet_status(&mut session.client, session.at)?;
-    session.output.show(&fleet, || fleet.plain());
+/// `status`: prints the front ends, their versions, and what a change in progress waits for.
+pub(crate) fn status(context: &mut CommandContext) -> Result<(), FleetError> {
+    let fleet = fleet_status(&mut context.client, context.front_end)?;
+    context.output.show(&fleet, || fleet.to_text());
     Ok(())
 }
 
 /// `dismiss`: removes a front end from the roster.
-pub(crate) fn dismiss(session: &mut Session, name: String) -> Result<(), FleetError> {
-    let leader = session.leader()?;
-    session.client.enter(leader, Entry::Dismiss(name.clone()))?;
-    session
+pub(crate) fn dismiss(context: &mut CommandContext, name: String) -> Result<(), FleetError> {
+    let leader = context.leader()?;
+    context.client.enter(leader, Entry::Dismiss(name.clone()))?;
+    context
         .output
-        .done(&format!("{name} is removed from the roster"));
+        .done(&format!("{name} was removed from the roster"));
     Ok(())
 }
 
-/// `seats`: prints the voters. A voter knows them by the log, other front ends by their settings.
-pub(crate) fn voters(session: &mut Session) -> Result<(), FleetError> {
-    let leader = session.leader()?;
-    let known = session
+/// `seats`: prints the voters, as known by the leader, or by the front end that is asked first if the leader does not answer. Voters
+/// know them from the log, other front ends from their settings.
+pub(crate) fn voters(context: &mut CommandContext) -> Result<(), FleetError> {
+    let leader = context.leader()?;
+    let known = context
         .client
         .status(leader)
-        .or_else(|_| session.client.status(session.at))?;
+        .or_else(|_| context.client.status(context.front_end))?;
     let addresses = known
         .voter_addresses
         .iter()
         .map(|address| parse_address(address))
         .collect::<Result<Vec<_>, _>>()?;
-    let answers = session.client.statuses(&addresses);
+    let answers = context.client.statuses(&addresses);
     let rows: Vec<FrontEndStatus> = addresses
         .iter()
         .zip(answers)
         .map(|(address, answer)| front_end_status(*address, answer.as_ref()))
         .collect();
-    session
-        .output
-        .show(&rows, || rows.iter().map(FrontEndStatus::voter).collect());
+    context.output.show(&rows, || {
+        rows.iter().map(FrontEndStatus::voter_line).collect()
+    });
     Ok(())
 }
 
@@ -59,9 +60,12 @@
     }
 }
 
-/// The fleet's status, as the front end at this address and all that it knows of answer.
-pub(crate) fn fleet_status(client: &mut Client, at: SocketAddr) -> Result<FleetStatus, FleetError> {
-    let first = client.status(at)?;
+/// The fleet's status, from the answers of the front end at this address and of all front ends that it knows.
+pub(crate) fn fleet_status(
+    client: &mut Client,
+    address: SocketAddr,
+) -> Result<FleetStatus, FleetError> {
+    let first = client.status(address)?;
     let others: Vec<SocketAddr> = first
         .other_members
         .iter()
@@ -79,7 +83,8 @@
     Ok(join(&first, leader, front_ends))
 }
 
-/// `first`: the answer of the front end that was asked first. `leader`: that of the leading voter, which knows what changes wait for.
+/// Combines the answers. `first`: the answer of the front end that was asked first. `leader`: the leader's answer, which tells what
+/// changes wait for.
 fn join(
     first: &pb::StatusReply,
     leader: Option<&pb::StatusReply>,
@@ -114,7 +119,7 @@
         }),
         waits_for_leases: leader.is_some_and(|leader| leader.blocked_by_leases),
         changing: leader
-            .map(|leader| scopes::waiting(&leader.blocked_functions))
+            .map(|leader| scopes::awaited_front_ends(&leader.blocked_functions))
             .unwrap_or_default(),
         front_ends,
     }
--- a/programs/fleet/src/terminal.rs
+++ b/programs/fleet/src/terminal.rs
@@ -1,4 +1,4 @@
-//! The screen of `rollout status --watch`.
+//! The terminal screen of `rollout status --watch`.
 
 use crate::report::verdict_text;
 use ratatui::layout::{Constraint, Layout, Rect};
@@ -8,12 +8,12 @@
 use ratatui::Frame;
 use tansy_rollout::{Rollout, RolloutChange, RolloutPhase};
 
-/// Steps of the rollout that are shown.
-const LAST_STEPS: usize = 7;
+/// Number of latest steps shown.
+const MAX_STEPS: usize = 7;
 
 /// Draws a rollout.
 pub(crate) fn draw(frame: &mut Frame<'_>, rollout: &Rollout) {
-    let [head, bar, middle, steps] = Layout::vertical([
+    let [state, progress, measurements, steps] = Layout::vertical([
         Constraint::Length(4),
         Constraint::Length(3),
         Constraint::Min(8),
@@ -22,14 +22,14 @@
     .areas(frame.area());
     let (phase, color) = match rollout.phase {
         RolloutPhase::Changing => ("changing front ends", Color::Yellow),
-        RolloutPhase::Analysing => ("under analysis", Color::Yellow),
+        RolloutPhase::Analysing => ("analysing", Color::Yellow),
         RolloutPhase::RollingBack => ("rolling back", Color::Red),
         RolloutPhase::Completed => ("done", Color::Green),
-        RolloutPhase::RolledBack => ("stopped", Color::Red),
+        RolloutPhase::RolledBack => ("rolled back", Color::Red),
     };
-    draw_state(frame, head, rollout, phase, color);
-    draw_progress(frame, bar, rollout, color);
-    draw_measurements(frame, middle, rollout);
+    draw_state(frame, state, rollout, phase, color);
+    draw_progress(frame, progress, rollout, color);
+    draw_measurements(frame, measurements, rollout);
     draw_steps(frame, steps, rollout);
 }
 
@@ -51,15 +51,15 @@
 }
 
 fn draw_progress(frame: &mut Frame<'_>, area: Rect, rollout: &Rollout, color: Color) {
-    let all = rollout.plan.targets().count().max(1);
-    let share = (rollout.changed.len() as f64 / all as f64).clamp(0.0, 1.0);
-    let moving: Vec<&str> = rollout.released.iter().map(String::as_str).collect();
+    let target_count = rollout.plan.targets().count().max(1);
+    let share = (rollout.changed.len() as f64 / target_count as f64).clamp(0.0, 1.0);
+    let released: Vec<&str> = rollout.released.iter().map(String::as_str).collect();
     let label = format!(
-        "stage {} of {}: {} of {all} changed, in progress {}",
+        "stage {} of {}: {} of {target_count} changed, in progress: {}",
         rollout.stage + 1,
         rollout.plan.stages.len(),
         rollout.changed.len(),
-        moving.join(" ")
+        released.join(" ")
     );
     let gauge = Gauge::default()
         .block(Block::bordered())
@@ -70,7 +70,7 @@
 }
 
 fn draw_steps(frame: &mut Frame<'_>, area: Rect, rollout: &Rollout) {
-    let hidden = rollout.steps.len().saturating_sub(LAST_STEPS);
+    let hidden = rollout.steps.len().saturating_sub(MAX_STEPS);
     let items = rollout.steps.iter().skip(hidden);
     let list = List::new(items.map(|step| ListItem::new(step.as_str())))
         .block(Block::bordered().title("steps"));
@@ -79,7 +79,7 @@
 
 fn draw_measurements(frame: &mut Frame<'_>, area: Rect, rollout: &Rollout) {
     let Some(observation) = rollout.observations.last() else {
-        let empty = Paragraph::new("nothing is compared yet").block(Block::bordered());
+        let empty = Paragraph::new("no measurements yet").block(Block::bordered());
         return frame.render_widget(empty, area);
     };
     let row = |measurement: &tansy_canary::Measurement| {
@@ -106,14 +106,7 @@
         verdict_text(observation)
     );
     let table = Table::new(observation.measurements.iter().map(row), widths)
-        .header(Row::new([
-            "share lost",
-            "old",
-            "new",
-            "loss",
-            "give or take",
-            "slices",
-        ]))
+        .header(Row::new(["metric", "old", "new", "loss", "+-", "slices"]))
         .block(Block::bordered().title(title));
     frame.render_widget(table, area);
 }
--- a/programs/fleet/src/terminal/tests.rs
+++ b/programs/fleet/src/terminal/tests.rs
@@ -1,4 +1,4 @@
-//! What the terminal shows.
+//! The screen fits terminals of any size and shows the rollout's state.
 
 use super::*;
 use ratatui::backend::TestBackend;
@@ -7,7 +7,7 @@
 use tansy_rollout::{RolloutEntry, RolloutPlan, StageObservation, Target};
 
 #[test]
-fn a_rollout_is_drawn_whole_in_a_small_terminal_too() {
+fn a_rollout_is_drawn_in_a_large_and_a_small_terminal() {
     let target = Target {
         name: "f1".into(),
         zone: "a".into(),
@@ -17,18 +17,19 @@
         stages: vec![vec![target]],
         ..RolloutPlan::default()
     };
-    let what = RolloutChange::Program {
+    let change = RolloutChange::Program {
         label: "l".into(),
         path: "/opt/new".into(),
     };
-    let mut rollout = Rollout::begin(5, what, plan, "why it is done".into()).expect("a plan");
+    let mut rollout =
+        Rollout::begin(5, change, plan, "why it is done".into()).expect("the plan is valid");
     rollout
         .apply(RolloutEntry::TakeControl {
             fence: 1,
             controller: "machine-1".into(),
         })
         .expect("there is no controller yet");
-    let measured = Measurement {
+    let measurement = Measurement {
         metric: "service".into(),
         baseline_loss_rate: 0.01,
         canary_loss_rate: 0.05,
@@ -40,15 +41,16 @@
     rollout.observations.push(StageObservation {
         stage: 0,
         elapsed_seconds: 45,
-        measurements: vec![measured],
+        measurements: vec![measurement],
         verdict: None,
     });
-    for (wide, high) in [(100, 30), (20, 6)] {
-        let mut terminal = Terminal::new(TestBackend::new(wide, high)).expect("a terminal");
+    for (width, height) in [(100, 30), (20, 6)] {
+        let mut terminal =
+            Terminal::new(TestBackend::new(width, height)).expect("the terminal is created");
         terminal
             .draw(|frame| draw(frame, &rollout))
-            .expect("it is drawn");
-        if wide == 100 {
+            .expect("the screen is drawn");
+        if width == 100 {
             let text = terminal.backend().to_string();
             for part in [
                 "machine-1",
--- a/programs/fleet/src/versions.rs
+++ b/programs/fleet/src/versions.rs
@@ -1,10 +1,10 @@
-//! Versions of the settings: proposed, reverted, compared, listed and given up.
+//! Settings versions: `propose`, `revert`, `history`, `diff` and `abandon`.
 
 use crate::arguments::Wait;
 use crate::error::read_file;
 use crate::rows::{FieldChangeRow, FrontEndStatus, VersionRow};
 use crate::status::fleet_status;
-use crate::{FleetError, Session};
+use crate::{CommandContext, FleetError};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Instant;
@@ -14,17 +14,17 @@
 use tansy_fleet_wire::{of_settings, pb};
 use tansy_settings::agree::{compatibility_schema, version, with_defaults};
 
-/// What is to become the next version.
+/// A proposal of the next settings version.
 struct Proposal {
     fields: Fields,
-    /// The version that it was made from, if it is to be that.
+    /// The version that has to be in force, if the operator named one.
     expected: Option<u64>,
     reason: String,
 }
 
 /// `propose`: proposes the settings of a file.
 pub(crate) fn propose_file(
-    session: &mut Session,
+    context: &mut CommandContext,
     file: &Path,
     expected: Option<u64>,
     reason: String,
@@ -37,71 +37,71 @@
         expected,
         reason,
     };
-    propose(session, proposal, dry_run, wait)
+    propose(context, proposal, dry_run, wait)
 }
 
 /// `revert`: proposes the settings of an earlier version.
 pub(crate) fn revert(
-    session: &mut Session,
+    context: &mut CommandContext,
     number: u64,
     dry_run: bool,
     wait: &Wait,
 ) -> Result<(), FleetError> {
-    let (_, remembered) = remembered(session)?;
-    let earlier = find(&remembered, number)?;
+    let (_, versions) = read_history(context)?;
+    let earlier = find(&versions, number)?;
     let proposal = Proposal {
         fields: earlier.fields.clone(),
         expected: None,
         reason: format!("back to version {number}: {}", earlier.reason),
     };
-    propose(session, proposal, dry_run, wait)
+    propose(context, proposal, dry_run, wait)
 }
 
-/// `history`: prints the versions that the leader remembers.
-pub(crate) fn history(session: &mut Session) -> Result<(), FleetError> {
-    let (reply, remembered) = remembered(session)?;
-    let rows: Vec<VersionRow> = remembered
+/// `history`: prints the versions that the leader keeps.
+pub(crate) fn history(context: &mut CommandContext) -> Result<(), FleetError> {
+    let (reply, versions) = read_history(context)?;
+    let rows: Vec<VersionRow> = versions
         .iter()
         .map(|settings| VersionRow::of(settings, reply.in_force, reply.next))
         .collect();
-    session.output.show(&rows, || {
-        rows.iter().map(|row| row.plain() + "\n").collect()
+    context.output.show(&rows, || {
+        rows.iter().map(|row| row.to_line() + "\n").collect()
     });
     Ok(())
 }
 
 /// `diff`: prints what differs between two versions.
-pub(crate) fn diff(session: &mut Session, old: u64, new: u64) -> Result<(), FleetError> {
-    let (_, remembered) = remembered(session)?;
-    let old = find(&remembered, old)?;
-    let new = find(&remembered, new)?;
+pub(crate) fn diff(context: &mut CommandContext, old: u64, new: u64) -> Result<(), FleetError> {
+    let (_, versions) = read_history(context)?;
+    let old = find(&versions, old)?;
+    let new = find(&versions, new)?;
     let rows = differences(&old.fields, &new.fields)?;
-    session.output.show(&rows, || {
-        rows.iter().map(|row| row.plain() + "\n").collect()
+    context.output.show(&rows, || {
+        rows.iter().map(|row| row.to_line() + "\n").collect()
     });
     Ok(())
 }
 
-/// `abandon`: gives up the change in progress.
-pub(crate) fn abandon(session: &mut Session) -> Result<(), FleetError> {
-    let (reply, _) = remembered(session)?;
+/// `abandon`: abandons the change in progress.
+pub(crate) fn abandon(context: &mut CommandContext) -> Result<(), FleetError> {
+    let (reply, _) = read_history(context)?;
     if reply.next == 0 {
-        return Err(FleetError::Rejected("no change is under way".into()));
+        return Err(FleetError::Rejected("no change is in progress".into()));
     }
-    let leader = session.leader()?;
-    session.client.enter(leader, Entry::Abandon(reply.next))?;
-    session
+    let leader = context.leader()?;
+    context.client.enter(leader, Entry::Abandon(reply.next))?;
+    context
         .output
-        .done(&format!("version {} is abandoned", reply.next));
+        .done(&format!("version {} was abandoned", reply.next));
     Ok(())
 }
 
-/// The leader's answer on its history, and the versions in it.
-fn remembered(
-    session: &mut Session,
+/// The leader's history, and the versions in it.
+fn read_history(
+    context: &mut CommandContext,
 ) -> Result<(pb::HistoryReply, Vec<VersionedSettings>), FleetError> {
-    let leader = session.leader()?;
-    let reply = session.client.history(leader)?;
+    let leader = context.leader()?;
+    let reply = context.client.history(leader)?;
     let versions = reply
         .versions
         .iter()
@@ -110,15 +110,15 @@
     Ok((reply, versions))
 }
 
-fn find(remembered: &[VersionedSettings], number: u64) -> Result<&VersionedSettings, FleetError> {
-    let version = remembered
+fn find(versions: &[VersionedSettings], number: u64) -> Result<&VersionedSettings, FleetError> {
+    let version = versions
         .iter()
         .find(|settings| settings.version.0 == number);
     version.ok_or_else(|| {
-        let first = remembered.first().map_or(0, |first| first.version.0);
-        let last = remembered.last().map_or(0, |last| last.version.0);
+        let first = versions.first().map_or(0, |first| first.version.0);
+        let last = versions.last().map_or(0, |last| last.version.0);
         FleetError::Invalid(format!(
-            "version {number} is not remembered: want one from {first} to {last}"
+            "version {number} is not in the history, which has versions {first} to {last}"
         ))
     })
 }
@@ -133,29 +133,29 @@
     Ok(all.iter().map(FieldChangeRow::of).collect())
 }
 
-/// Proposes a version, shows what it changes, and waits until it is in force.
+/// Shows what a proposal changes, proposes it, and waits until it is in force.
 fn propose(
-    session: &mut Session,
+    context: &mut CommandContext,
     proposal: Proposal,
     dry_run: bool,
     wait: &Wait,
 ) -> Result<(), FleetError> {
-    let leader = session.leader()?;
-    let (reply, remembered) = remembered(session)?;
-    let base = find(&remembered, reply.in_force)?;
+    let leader = context.leader()?;
+    let (reply, versions) = read_history(context)?;
+    let base = find(&versions, reply.in_force)?;
     if let Some(expected) = proposal.expected.filter(|number| *number != reply.in_force) {
-        let force = reply.in_force;
+        let in_force = reply.in_force;
         return Err(FleetError::Rejected(format!(
-            "version {force} is in force, not {expected}: look at `diff {expected} {force}` and make the change from that"
+            "version {in_force} is in force, not {expected}; see `diff {expected} {in_force}` and base the change on version {in_force}"
         )));
     }
     let rows = differences(&base.fields, &proposal.fields)?;
     for row in &rows {
-        session.output.remark(&row.plain());
+        context.output.note(&row.to_line());
     }
     if dry_run {
-        if session.output.json {
-            session.output.show(&rows, String::new);
+        if context.output.json {
+            context.output.show(&rows, String::new);
         }
         return Ok(());
     }
@@ -166,19 +166,19 @@
         id: wait.id_or_random(),
     };
     let entry = Entry::Propose(tansy_fleet_wire::settings(&settings));
-    let entered = session.client.enter(leader, entry)?;
-    await_version(session, leader, entered.version, rows, wait)
+    let entered = context.client.enter(leader, entry)?;
+    await_version(context, leader, entered.version, rows, wait)
 }
 
 /// Waits until a proposed version is in force.
 fn await_version(
-    session: &mut Session,
+    context: &mut CommandContext,
     leader: SocketAddr,
     version: u64,
     changes: Vec<FieldChangeRow>,
     wait: &Wait,
 ) -> Result<(), FleetError> {
-    let output = session.output;
+    let output = context.output;
     let limit = wait.limit();
     let began = Instant::now();
     let show = |state: &str| {
@@ -192,7 +192,7 @@
         return Ok(());
     }
     while began.elapsed() < limit {
-        if let Ok(reply) = session.client.status(leader) {
+        if let Ok(reply) = context.client.status(leader) {
             let status = FrontEndStatus::of(&reply);
             if status.next.is_none() && status.version >= version {
                 show("in force");
@@ -200,20 +200,20 @@
             }
             if status.next.is_none() {
                 return Err(FleetError::Abandoned(format!(
-                    "version {version} was abandoned; {} is in force; the leader's log says why",
+                    "version {version} was abandoned and {} is in force; the leader's log has the reason",
                     status.version
                 )));
             }
         }
-        session.pause();
+        context.wait_for_next_poll();
     }
-    let awaited = match fleet_status(&mut session.client, session.at) {
+    let awaited = match fleet_status(&mut context.client, context.front_end) {
         Ok(fleet) if !fleet.waits_for.is_empty() => {
             format!("; it waits for {}", fleet.waits_for.join(", "))
         }
         _ => String::new(),
     };
     Err(FleetError::TimedOut(format!(
-        "version {version} is not in force after {limit:?}{awaited}: `status` tells how far it is"
+        "version {version} is not in force after {limit:?}{awaited}; `status` shows its progress"
     )))
 }
--- a/programs/fleet/tests/rollout.rs
+++ b/programs/fleet/tests/rollout.rs
@@ -1,5 +1,5 @@
-//! Three supervisors with two front ends each: a program changes in stages, also when its controller is killed; one that does
-//! not start goes back; settings are tried and then in force. Judged by the processes that run.
+//! Rollouts of programs and settings by three supervisors with two front ends each. A rollout has to continue when its controller is
+//! killed, and a program that does not start has to be rolled back.
 
 mod support;
 
@@ -31,14 +31,14 @@
 "#;
 const PLAN: &str =
     "least = 1\nlongest = 2\nready = 20\nslice = 1\nwarm_up = 1\nundecided = \"pass\"\n";
-/// A zone for each supervisor.
+/// The zone of each supervisor.
 const ZONES: [&str; 3] = ["a", "b", "c"];
-/// Two front ends for each supervisor.
+/// Front ends of the fleet, two for each supervisor.
 const FRONT_ENDS: usize = 6;
-/// Time for the rollout to reach the state that a test waits for.
+/// Timeout for a rollout to reach the state that a test waits for.
 const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// A process of a front end, as the kernel has it.
+/// A process of a front end, as reported by the kernel.
 #[derive(Debug)]
 struct FrontEndProcess {
     pid: u32,
@@ -46,7 +46,7 @@
     program: String,
 }
 
-/// Three supervisors with two front ends each; all end with it.
+/// Three supervisors with two front ends each. All are killed when it is dropped.
 struct Deployment {
     supervisors: [Option<ServerProcess>; 3],
     addresses: Vec<ReservedAddress>,
@@ -57,8 +57,9 @@
     fn start(name: &str, network: u8) -> Deployment {
         let mut deployment = Deployment {
             supervisors: [None, None, None],
-            addresses: reserve_addresses(network, FRONT_ENDS as u8).expect("ports"),
-            folder: TestFolder::new(&format!("rollout-{name}")).expect("a folder"),
+            addresses: reserve_addresses(network, FRONT_ENDS as u8)
+                .expect("addresses are reserved"),
+            folder: TestFolder::new(&format!("rollout-{name}")).expect("a folder is created"),
         };
         deployment.copy_programs();
         deployment.write("plan.toml", PLAN);
@@ -72,23 +73,25 @@
             deployment.write(&format!("m{index}.toml"), &deployment.machine_file(index));
         }
         (0..ZONES.len()).for_each(|index| deployment.start_supervisor(index));
-        deployment.wait_until("all serve", |deployment| {
+        deployment.wait_until("all front ends serve", |deployment| {
             deployment.programs_by_name().values().flatten().count() == FRONT_ENDS
                 && deployment.acting_front_ends() == FRONT_ENDS
         });
         deployment
     }
 
-    /// The same program twice: with a byte behind its end it is another one by its digest.
+    /// Copies the gateway twice, and appends a byte to the second copy so that it has another digest.
     fn copy_programs(&self) {
-        std::fs::copy(gateway(), self.path("old")).expect("a copy");
-        std::fs::copy(gateway(), self.path("new")).expect("a copy");
+        std::fs::copy(gateway(), self.path("old")).expect("the program is copied");
+        std::fs::copy(gateway(), self.path("new")).expect("the program is copied");
         let mut options = std::fs::OpenOptions::new();
         let new = options.append(true).open(self.path("new"));
-        new.expect("a file").write_all(b"\n").expect("a byte");
+        new.expect("the copy is opened")
+            .write_all(b"\n")
+            .expect("a byte is appended");
     }
 
-    /// What a supervisor is to run.
+    /// The machine file of a supervisor.
     fn machine_file(&self, index: usize) -> String {
         let mut file = format!(
             "name = \"m{index}\"\nprogram = \"old\"\nfolder = \"run{index}\"\nat = [\"{}\"]\n",
@@ -120,7 +123,7 @@
     }
 
     fn write(&self, name: &str, text: &str) {
-        self.folder.write(name, text).expect("a file");
+        self.folder.write(name, text).expect("the file is written");
     }
 
     fn start_supervisor(&mut self, index: usize) {
@@ -128,7 +131,7 @@
         command
             .args(["up", "--log", "error", "--fleet"])
             .arg(self.path(&format!("m{index}.toml")));
-        let process = ServerProcess::start(&mut command).expect("a supervisor");
+        let process = ServerProcess::start(&mut command).expect("the supervisor starts");
         assert_eq!(process.ready_line().trim(), "ready fronts=2");
         self.supervisors[index] = Some(process);
     }
@@ -148,12 +151,12 @@
         .collect()
     }
 
-    /// The programs of the processes of each front end, by its name.
+    /// The programs of each front end's processes, by its name.
     fn programs_by_name(&self) -> BTreeMap<String, Vec<String>> {
         let mut programs: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for process in self.processes() {
-            let of_name = programs.entry(process.name).or_default();
-            of_name.push(process.program);
+            let of_front_end = programs.entry(process.name).or_default();
+            of_front_end.push(process.program);
         }
         programs
     }
@@ -171,34 +174,35 @@
         self.ask(&["roll", "status"]).1
     }
 
-    /// Until it is so; never two processes under one name meanwhile.
-    fn wait_until(&self, state: &str, done: impl Fn(&Deployment) -> bool) {
+    /// Waits until a condition holds. No front end may have two processes meanwhile.
+    fn wait_until(&self, description: &str, condition: impl Fn(&Deployment) -> bool) {
         poll_until(ROLLOUT_TIMEOUT, || {
-            if done(self) {
+            if condition(self) {
                 return Ok(());
             }
             let programs = self.programs_by_name();
-            let twice: Vec<_> = programs.iter().filter(|(_, all)| all.len() > 1).collect();
-            assert!(twice.is_empty(), "{twice:?}");
-            Err(format!("{state}: {programs:?} {}", self.rollout()))
+            let duplicates: Vec<_> = programs.iter().filter(|(_, all)| all.len() > 1).collect();
+            assert!(duplicates.is_empty(), "{duplicates:?}");
+            Err(format!("{description}: {programs:?} {}", self.rollout()))
         });
     }
 
     fn wait_for_phase(&self, phase: &str) {
-        let state = format!("the rollout is {phase}");
-        self.wait_until(&state, |d| d.rollout()["phase"] == phase);
+        let description = format!("the rollout is {phase}");
+        self.wait_until(&description, |d| d.rollout()["phase"] == phase);
     }
 
-    /// Until the rollout has changed a front end.
-    fn wait_for_first_move(&self) {
-        self.wait_until("one is changed", |deployment| {
+    /// Waits until the rollout has changed a front end.
+    fn wait_for_first_change(&self) {
+        self.wait_until("a front end is changed", |deployment| {
             let rollout = deployment.rollout();
             rollout["moved"].as_array().is_some_and(|m| !m.is_empty())
         });
     }
 
     fn all_run(&self, program: &str) -> bool {
-        let label = tansy_fleet::processes::program_label(&self.path(program)).expect("a program");
+        let label = tansy_fleet::processes::program_label(&self.path(program))
+            .expect("the program is readable");
         let programs = self.programs_by_name();
         programs.len() == FRONT_ENDS && programs.values().all(|p| *p == [label.clone()])
     }
@@ -214,7 +218,7 @@
 impl Drop for Deployment {
     fn drop(&mut self) {
         self.supervisors = [None, None, None];
-        // Front ends outlive their supervisor.
+        // Front ends outlive their supervisors.
         for process in self.processes() {
             let pid = i32::try_from(process.pid).ok().and_then(Pid::from_raw);
             let _ = pid.map(|pid| kill_process(pid, Signal::KILL));
@@ -222,26 +226,27 @@
     }
 }
 
-/// A program that ends at once.
+/// Writes a program that exits at once.
 fn write_failing_program(path: &Path) {
     use std::os::unix::fs::PermissionsExt;
-    std::fs::write(path, "#!/bin/sh\nexit 7\n").expect("a file");
-    let mut mode = std::fs::metadata(path).expect("a file").permissions();
+    std::fs::write(path, "#!/bin/sh\nexit 7\n").expect("the program is written");
+    let mut mode = std::fs::metadata(path)
+        .expect("the program exists")
+        .permissions();
     mode.set_mode(0o755);
-    std::fs::set_permissions(path, mode).expect("its mode");
+    std::fs::set_permissions(path, mode).expect("the mode is set");
 }
 
 #[test]
-fn a_program_changes_in_stages_though_its_supervisors_are_killed_and_one_that_does_not_start_goes_back(
-) {
+fn a_program_rollout_survives_its_controller_and_one_that_does_not_start_is_rolled_back() {
     let mut deployment = Deployment::start("program", 111);
     assert!(deployment.all_run("old"));
     let (code, reply) = deployment.begin("--program", "new");
     assert_eq!(code, 0, "{reply}");
     let (code, reply) = deployment.begin("--program", "new");
-    assert_eq!(code, 3, "a second one waits: {reply}");
-    // The controller is killed once the first front ends are changed, and comes back later: its front ends live on.
-    deployment.wait_for_first_move();
+    assert_eq!(code, 3, "a second rollout is rejected: {reply}");
+    // The controller is killed once the first front ends are changed, and restarted. Its front ends keep running.
+    deployment.wait_for_first_change();
     let controller = deployment.rollout()["steerer"]
         .as_str()
         .unwrap_or("")
@@ -249,7 +254,7 @@
     let index = controller
         .trim_start_matches('m')
         .parse::<usize>()
-        .expect("a supervisor");
+        .expect("the controller is a supervisor");
     let before = deployment.processes();
     deployment.kill_supervisor(index);
     assert_eq!(
@@ -259,30 +264,30 @@
     );
     deployment.start_supervisor(index);
     deployment.wait_for_phase("done");
-    deployment.wait_until("all run it", |d| d.all_run("new"));
+    deployment.wait_until("all run the new program", |d| d.all_run("new"));
     assert!(
         deployment.rollout()["fence"].as_u64() > Some(1),
-        "another took over, or the same anew: {}",
+        "another controller, or the restarted one, took over: {}",
         deployment.rollout()
     );
-    // One that does not start.
+    // A program that does not start is rolled back.
     write_failing_program(&deployment.path("bad"));
     let (code, reply) = deployment.begin("--program", "bad");
     assert_eq!(code, 0, "{reply}");
     deployment.wait_for_phase("stopped");
-    deployment.wait_until("all run what they ran", |d| d.all_run("new"));
+    deployment.wait_until("all run the former program", |d| d.all_run("new"));
     let steps = deployment.rollout()["steps"].to_string();
     assert!(steps.contains("exit code 7"), "{steps}");
     let page = deployment.path("report.html").display().to_string();
     assert_eq!(deployment.ask(&["rollout", "report", "--out", &page]).0, 0);
-    let page = std::fs::read_to_string(page).expect("a page");
+    let page = std::fs::read_to_string(page).expect("the report is readable");
     assert!(page.contains("exit code 7") && page.contains("</html>"));
 }
 
 #[test]
-fn settings_are_tried_in_stages_and_strict_ones_are_not() {
+fn settings_are_rolled_out_in_stages_unless_a_change_is_strict() {
     let deployment = Deployment::start("settings", 112);
-    let text = std::fs::read_to_string(deployment.path("a.cue")).expect("a file");
+    let text = std::fs::read_to_string(deployment.path("a.cue")).expect("the file is readable");
     deployment.write(
         "strict.cue",
         &text.replace("group: \"zone\"", "group: \"cell\""),
@@ -299,18 +304,18 @@
         "--wait",
         "0",
     ]);
-    assert_eq!(code, 3, "other settings are tried: {reply}");
+    assert_eq!(code, 3, "a rollout of settings is in progress: {reply}");
     deployment.wait_for_phase("done");
-    deployment.wait_until("it is in force", |deployment| {
+    deployment.wait_until("the settings are in force", |deployment| {
         let (_, status) = deployment.ask(&["status"]);
         let front_ends = front_ends(&status);
         let is_done = |f: &Value| f["version"] == 2 && f["next"].is_null();
         front_ends.len() == FRONT_ENDS && front_ends.iter().all(is_done)
     });
-    // And one that is aborted changes nothing.
+    // An aborted rollout does not change the version in force.
     deployment.write("other.cue", &text.replace("window: 30s", "window: 10s"));
     assert_eq!(deployment.begin("--settings", "other.cue").0, 0);
-    deployment.wait_for_first_move();
+    deployment.wait_for_first_change();
     assert_eq!(
         deployment.ask(&["rollout", "abort", "--why", "a test"]).0,
         0
--- a/programs/fleet/tests/support/front_ends.rs
+++ b/programs/fleet/tests/support/front_ends.rs
@@ -1,4 +1,4 @@
-//! Gateways of one fleet as processes.
+//! A fleet of gateway processes.
 
 use crate::support::{ask, gateway};
 use serde_json::Value;
@@ -19,27 +19,27 @@
 functions: pay: {class: "pay", memory: 100MB}
 fleet: {name: "NAME", seats: [{name: "f0", address: "SEAT"}]}
 "#;
-/// The settings file of a fleet's front ends.
+/// Name of the settings file of a fleet's front ends.
 pub const SETTINGS_FILE: &str = "a.cue";
-/// Time for a fleet to reach the state that a test waits for.
+/// Timeout for a fleet to reach the state that a test waits for.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Gateways of one fleet; all end with it.
+/// Gateways of one fleet. They are killed when it is dropped.
 pub struct Fleet {
-    /// By index; none: it does not run.
+    /// Processes by front-end index; `None` if it does not run.
     pub processes: Vec<Option<ServerProcess>>,
     addresses: Vec<ReservedAddress>,
-    /// Its settings, and the state of its voters.
+    /// Folder for the settings and the state of voters.
     pub folder: TestFolder,
 }
 
 impl Fleet {
-    /// Starts a fleet of this name whose first front end is its voter.
+    /// Starts a fleet with this name. Its first front end is the only voter.
     pub fn start(name: &str, size: u8, network: u8) -> Fleet {
         let mut fleet = Fleet {
             processes: (0..size).map(|_| None).collect(),
-            addresses: reserve_addresses(network, size).expect("ports"),
-            folder: TestFolder::new(&format!("fleet-{name}")).expect("a folder"),
+            addresses: reserve_addresses(network, size).expect("addresses are reserved"),
+            folder: TestFolder::new(&format!("fleet-{name}")).expect("a folder is created"),
         };
         let voter = fleet.address(0).to_string();
         let settings = SETTINGS.replace("NAME", name).replace("SEAT", &voter);
@@ -48,7 +48,7 @@
         fleet
     }
 
-    /// Where its siblings and operators reach a front end.
+    /// Fleet address of a front end.
     pub fn address(&self, index: usize) -> SocketAddr {
         self.addresses[index].address()
     }
@@ -58,18 +58,18 @@
         self.start_front_end_with(index, |_| {});
     }
 
-    /// Starts a front end by a command that the test has changed.
+    /// Starts a front end that does not run, with changes to its command.
     pub fn start_front_end_with(&mut self, index: usize, configure: impl FnOnce(&mut Command)) {
         let settings = self.folder.file(SETTINGS_FILE);
         let (name, peers) = (format!("f{index}"), self.address(index));
         let mut command = front_end_command(&gateway(), &settings, &name, peers);
         configure(&mut command);
-        // The last one may become a voter.
+        // A test may make the last front end a voter, which needs a state file.
         if index == 0 || index + 1 == self.addresses.len() {
             let state = self.folder.file(&format!("seat{index}.redb"));
             command.arg("--state").arg(state);
         }
-        let process = ServerProcess::start(&mut command).expect("a gateway");
+        let process = ServerProcess::start(&mut command).expect("the gateway starts");
         assert!(
             process.ready_line().contains(" peers="),
             "{:?}",
@@ -78,17 +78,17 @@
         self.processes[index] = Some(process);
     }
 
-    /// Kills a front end that runs.
+    /// Kills a front end.
     pub fn kill(&mut self, index: usize) {
         self.processes[index] = None;
     }
 
-    /// Asks the second front end: the exit code and the result.
+    /// Runs `tansy-fleet --json` against the second front end and returns its exit code and output.
     pub fn ask(&self, arguments: &[&str]) -> (i32, Value) {
         ask(self.address(1), arguments)
     }
 
-    /// Until all that run may act and see each other.
+    /// Waits until all running front ends may act and see each other.
     pub fn wait_until_connected(&self) {
         let running = self.processes.iter().flatten().count();
         let connected = |front_end: &Value| {
@@ -100,7 +100,7 @@
         });
     }
 
-    /// Until the fleet has so many front ends, all at this version.
+    /// Waits until the fleet has this many front ends, all at this version.
     pub fn wait_for_version(&self, count: usize, version: u64) {
         self.wait_for_status(|status| {
             let front_ends = front_ends(status);
@@ -108,11 +108,11 @@
         });
     }
 
-    /// Until the status is as wanted.
-    pub fn wait_for_status(&self, done: impl Fn(&Value) -> bool) {
+    /// Waits until the fleet's status meets a condition.
+    pub fn wait_for_status(&self, condition: impl Fn(&Value) -> bool) {
         poll_until(STATUS_TIMEOUT, || {
             let (_, status) = self.ask(&["status"]);
-            if done(&status) {
+            if condition(&status) {
                 Ok(())
             } else {
                 Err(status)
@@ -120,21 +120,22 @@
         });
     }
 
-    /// Writes the fleet's settings with one text in the place of another: the file's path.
+    /// Writes a copy of the fleet's settings with `from` replaced by `to`, and returns its path.
     pub fn write_changed(&self, name: &str, from: &str, to: &str) -> String {
         let text = self.settings();
         assert!(text.contains(from), "{from}");
         self.write(name, &text.replace(from, to))
     }
 
-    /// The text of the fleet's settings.
+    /// Returns the text of the fleet's settings.
     pub fn settings(&self) -> String {
-        std::fs::read_to_string(self.folder.file(SETTINGS_FILE)).expect("a file")
+        std::fs::read_to_string(self.folder.file(SETTINGS_FILE))
+            .expect("the settings file is readable")
     }
 
-    /// Writes a file in the fleet's folder: its path.
+    /// Writes a file into the fleet's folder and returns its path.
     pub fn write(&self, name: &str, text: &str) -> String {
-        let path = self.folder.write(name, text).expect("a file");
+        let path = self.folder.write(name, text).expect("the file is written");
         path.display().to_string()
     }
 }
