--- a/decide/rollout/src/controller.rs
+++ b/decide/rollout/src/controller.rs
@@ -55,7 +55,7 @@
     pre_change_since: Option<Time>,
     last_heartbeat: Option<LastHeartbeat>,
     /// When this controller first saw each released front end.
-    released: BTreeMap<String, Time>,
+    released_at: BTreeMap<String, Time>,
     analysis_start: Option<AnalysisStart>,
     next_sample: Time,
     next_heartbeat: Time,
@@ -74,7 +74,7 @@
             requested_at: Time::MIN,
             pre_change_since: None,
             last_heartbeat: None,
-            released: BTreeMap::new(),
+            released_at: BTreeMap::new(),
             analysis_start: None,
             next_sample: Time::MIN,
             next_heartbeat: Time::MIN,
@@ -134,7 +134,7 @@
             self.fence = None;
             self.analysis = None;
             self.analysis_start = None;
-            self.released.clear();
+            self.released_at.clear();
         }
         let next_fence = rollout.fence + 1;
         let timed_out = self
@@ -243,10 +243,10 @@
         let revision = rollout.revision;
         let fence = rollout.fence;
         let changing = rollout.phase != RolloutPhase::RollingBack;
-        self.released
+        self.released_at
             .retain(|name, _| rollout.released.contains(name));
         for name in &rollout.released {
-            let since = *self.released.entry(name.clone()).or_insert(now);
+            let since = *self.released_at.entry(name.clone()).or_insert(now);
             let is_ready = fleet
                 .front_end(name)
                 .is_some_and(|front_end| front_end.ready && front_end.report.is_canary == changing);
--- a/programs/fleet/src/arguments.rs
+++ b/programs/fleet/src/arguments.rs
@@ -14,12 +14,13 @@
 pub(crate) struct Arguments {
     /// Any front end of the fleet, by the address at which other front ends reach it.
     #[arg(
-        long,
+        long = "at",
+        value_name = "AT",
         global = true,
         env = "TANSY_FLEET",
         default_value = "127.0.0.1:7001"
     )]
-    pub(crate) at: SocketAddr,
+    pub(crate) front_end: SocketAddr,
     /// Print one JSON value instead of text.
     #[arg(long, global = true)]
     pub(crate) json: bool,
@@ -39,8 +40,8 @@
         #[arg(long)]
         expect: Option<u64>,
         /// The reason, shown in the history.
-        #[arg(long, default_value = "")]
-        why: String,
+        #[arg(long = "why", value_name = "WHY", default_value = "")]
+        reason: String,
         /// Only show the changes.
         #[arg(long)]
         dry_run: bool,
@@ -79,8 +80,8 @@
     /// SIGINT.
     Up {
         /// The machine's configuration file (TOML).
-        #[arg(long)]
-        fleet: PathBuf,
+        #[arg(long = "fleet", value_name = "FLEET")]
+        machine_file: PathBuf,
         /// Log level: error, warn, info or debug.
         #[arg(long, default_value = "info")]
         log: String,
@@ -195,8 +196,8 @@
 #[derive(clap::Args)]
 pub(crate) struct ChangeArguments {
     /// The reason, for the voters' log.
-    #[arg(long, default_value = "")]
-    pub(crate) why: String,
+    #[arg(long = "why", value_name = "WHY", default_value = "")]
+    pub(crate) reason: String,
     /// The revision that the change is based on; the change is rejected if a function is at another revision.
     #[arg(long)]
     pub(crate) expect: Option<u64>,
@@ -218,16 +219,16 @@
     /// Pauses the rollout. A rollback continues.
     Pause {
         /// The reason.
-        #[arg(long, default_value = "an operator's word")]
-        why: String,
+        #[arg(long = "why", value_name = "WHY", default_value = "an operator's word")]
+        reason: String,
     },
     /// Resumes a paused rollout.
     Resume,
     /// Rolls the change back.
     Abort {
         /// The reason.
-        #[arg(long, default_value = "an operator's word")]
-        why: String,
+        #[arg(long = "why", value_name = "WHY", default_value = "an operator's word")]
+        reason: String,
     },
     /// Writes a report on the last rollout as an HTML page, with the measurements of each stage.
     Report {
@@ -257,8 +258,8 @@
     #[arg(long, value_delimiter = ',', default_value = "0.1,0.3,1")]
     pub(crate) stages: Vec<f64>,
     /// The reason, shown with the rollout.
-    #[arg(long, default_value = "")]
-    pub(crate) why: String,
+    #[arg(long = "why", value_name = "WHY", default_value = "")]
+    pub(crate) reason: String,
     /// Id of the rollout. A repeated request with the same id is the same rollout.
     #[arg(long)]
     pub(crate) id: Option<u64>,
--- a/programs/fleet/src/lib.rs
+++ b/programs/fleet/src/lib.rs
@@ -70,7 +70,7 @@
     let output = Output {
         json: arguments.json,
     };
-    match run(arguments.command, arguments.at, output) {
+    match run(arguments.command, arguments.front_end, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             output.error(&error);
@@ -80,8 +80,8 @@
 }
 
 fn run(command: Command, front_end: SocketAddr, output: Output) -> Result<(), FleetError> {
-    if let Command::Up { fleet, log } = &command {
-        return run_machine(fleet, log);
+    if let Command::Up { machine_file, log } = &command {
+        return run_machine(machine_file, log);
     }
     let client = Client::new().map_err(|error| FleetError::Unreachable(error.to_string()))?;
     let mut context = CommandContext {
@@ -95,10 +95,10 @@
         Command::Propose {
             file,
             expect,
-            why,
+            reason,
             dry_run,
             wait,
-        } => versions::propose_file(&mut context, &file, expect, why, dry_run, &wait),
+        } => versions::propose_file(&mut context, &file, expect, reason, dry_run, &wait),
         Command::Revert {
             version,
             dry_run,
--- a/programs/fleet/src/machine.rs
+++ b/programs/fleet/src/machine.rs
@@ -9,7 +9,7 @@
 use crate::processes::{program_label, AdoptableProcess, ProcessError, Processes};
 use crate::FleetError;
 use file::MachineFile;
-use fleet_state::{micros, FleetState};
+use fleet_state::{elapsed_micros, FleetState};
 use rustix::process::Signal;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -145,7 +145,7 @@
                 supervisor.on_exit(now, pid, exit, commands);
             });
         }
-        let now = micros(self.started_at);
+        let now = elapsed_micros(self.started_at);
         for own in &self.file.front_ends {
             if self.processes.is_ready(&own.name) {
                 self.supervisor.on_ready(now, &own.name);
@@ -233,7 +233,7 @@
         &mut self,
         event: impl FnOnce(&mut Supervisor, Time, &mut Vec<SupervisorCommand>),
     ) {
-        let now = micros(self.started_at);
+        let now = elapsed_micros(self.started_at);
         let mut commands = Vec::new();
         event(&mut self.supervisor, now, &mut commands);
         for command in commands {
@@ -264,7 +264,7 @@
         match self.try_start(name, label, &arguments) {
             Ok(pid) => {
                 tracing::info!(name, pid, label, "process started");
-                let now = micros(self.started_at);
+                let now = elapsed_micros(self.started_at);
                 self.supervisor
                     .on_started(now, name, pid, label.to_string());
             }
--- a/programs/fleet/src/machine/fleet_state.rs
+++ b/programs/fleet/src/machine/fleet_state.rs
@@ -27,7 +27,7 @@
 }
 
 /// Microseconds since the program was started.
-pub(super) fn micros(started_at: Instant) -> Time {
+pub(super) fn elapsed_micros(started_at: Instant) -> Time {
     Time::try_from(started_at.elapsed().as_micros()).unwrap_or(Time::MAX)
 }
 
@@ -40,7 +40,7 @@
         configured: &[SocketAddr],
         started_at: Instant,
     ) {
-        let requested_at = micros(started_at);
+        let requested_at = elapsed_micros(started_at);
         let addresses: BTreeSet<SocketAddr> =
             configured.iter().chain(&self.front_ends).copied().collect();
         let addresses: Vec<SocketAddr> = addresses.into_iter().collect();
@@ -109,7 +109,7 @@
             true => Vec::new(),
             false => self.observe(client, rollout),
         };
-        let Some(entry) = controller.poll(micros(started_at), rollout, &front_ends) else {
+        let Some(entry) = controller.poll(elapsed_micros(started_at), rollout, &front_ends) else {
             return;
         };
         let is_heartbeat = matches!(entry, RolloutEntry::Heartbeat { .. });
--- a/programs/fleet/src/rollout.rs
+++ b/programs/fleet/src/rollout.rs
@@ -33,17 +33,17 @@
             Ok(())
         }
         RolloutCommand::Status { watch: true } => watch::watch(context),
-        RolloutCommand::Pause { why } => enter_for_last(
+        RolloutCommand::Pause { reason } => enter_for_last(
             context,
-            |id| RolloutEntry::Pause { id, reason: why },
+            |id| RolloutEntry::Pause { id, reason },
             "is paused",
         ),
         RolloutCommand::Resume => {
             enter_for_last(context, |id| RolloutEntry::Resume { id }, "continues")
         }
-        RolloutCommand::Abort { why } => enter_for_last(
+        RolloutCommand::Abort { reason } => enter_for_last(
             context,
-            |id| RolloutEntry::Abort { id, reason: why },
+            |id| RolloutEntry::Abort { id, reason },
             "is being rolled back",
         ),
         RolloutCommand::Report { out } => report(context, &out),
@@ -70,7 +70,7 @@
         id,
         change,
         plan,
-        reason: arguments.why,
+        reason: arguments.reason,
     };
     let entry = Entry::Rollout(roll_entry(&entry, settings.as_ref()));
     context.client.enter(leader, entry)?;
@@ -83,7 +83,7 @@
 fn change(arguments: &BeginArguments) -> Result<Change, FleetError> {
     match (&arguments.program, &arguments.settings) {
         (Some(path), _) => program_change(path),
-        (None, Some(path)) => settings_change(path, &arguments.why),
+        (None, Some(path)) => settings_change(path, &arguments.reason),
         (None, None) => Err(FleetError::Invalid(
             "either --program or --settings is required".into(),
         )),
--- a/programs/fleet/src/scopes.rs
+++ b/programs/fleet/src/scopes.rs
@@ -16,7 +16,7 @@
 use tansy_settings::agree::{functions, label};
 
 /// Functions and their new fields; `None` for a function to be removed.
-type Wanted = BTreeMap<String, Option<Fields>>;
+type DesiredFunctions = BTreeMap<String, Option<Fields>>;
 
 /// Functions with a change in progress, and the front ends that each change waits for.
 type AwaitedFrontEnds = BTreeMap<String, Vec<String>>;
@@ -109,46 +109,46 @@
                 text += &format!(", versions: [{}]", all.join(", "));
             }
             let text = format!("functions: {}: {{{text}}}\n", label(&part(&name)));
-            let wanted = parse("the arguments", &text)?;
-            change(context, wanted, &arguments)
+            let desired = parse("the arguments", &text)?;
+            change(context, desired, &arguments)
         }
         ScopeCommand::Remove {
             names,
             change: arguments,
         } => {
-            let wanted = names.into_iter().map(|name| (name, None)).collect();
-            change(context, wanted, &arguments)
+            let desired = names.into_iter().map(|name| (name, None)).collect();
+            change(context, desired, &arguments)
         }
         ScopeCommand::Apply {
             file,
             change: arguments,
         } => {
-            let wanted = read_functions(&file)?;
-            change(context, wanted, &arguments)
+            let desired = read_functions(&file)?;
+            change(context, desired, &arguments)
         }
         ScopeCommand::Show { names } => show(context, &names),
     }
 }
 
 /// Parses functions from text in the format of settings files. `origin` names the text in errors.
-fn parse(origin: &str, text: &str) -> Result<Wanted, FleetError> {
+fn parse(origin: &str, text: &str) -> Result<DesiredFunctions, FleetError> {
     let functions = functions(origin, text).map_err(FleetError::invalid)?;
-    let wanted = functions
+    let desired = functions
         .into_iter()
         .map(|(function, fields)| (function, Some(fields)));
-    Ok(wanted.collect())
+    Ok(desired.collect())
 }
 
-fn read_functions(file: &Path) -> Result<Wanted, FleetError> {
+fn read_functions(file: &Path) -> Result<DesiredFunctions, FleetError> {
     let text = read_file(file)?;
-    let wanted = parse(&file.display().to_string(), &text)?;
-    if wanted.is_empty() {
+    let desired = parse(&file.display().to_string(), &text)?;
+    if desired.is_empty() {
         return Err(FleetError::file(
             file,
             "no functions; the file has to contain `functions: {...}`",
         ));
     }
-    Ok(wanted)
+    Ok(desired)
 }
 
 fn show(context: &mut CommandContext, names: &[String]) -> Result<(), FleetError> {
@@ -213,16 +213,16 @@
 /// Proposes a change of functions, all or none of them, and waits until it is in force.
 fn change(
     context: &mut CommandContext,
-    wanted: Wanted,
+    desired: DesiredFunctions,
     arguments: &ChangeArguments,
 ) -> Result<(), FleetError> {
     let leader = context.leader()?;
-    let names: Vec<String> = wanted.keys().cloned().collect();
+    let names: Vec<String> = desired.keys().cloned().collect();
     let (records, _) = records(context, leader, &names)?;
     let transaction = ScopeTransaction {
-        updates: updates(wanted, records, arguments.expect)?,
+        updates: updates(desired, records, arguments.expect)?,
         id: arguments.wait.id_or_random(),
-        reason: arguments.why.clone(),
+        reason: arguments.reason.clone(),
     };
     let entry = Entry::ScopeTransaction(scope_request(&transaction));
     let entered = context.client.enter(leader, entry)?;
@@ -236,12 +236,12 @@
 }
 
 fn updates(
-    wanted: Wanted,
+    desired: DesiredFunctions,
     records: Vec<Option<ScopeRecord>>,
     expected: Option<u64>,
 ) -> Result<Vec<ScopeUpdate>, FleetError> {
     let mut updates = Vec::new();
-    for ((scope, fields), record) in wanted.into_iter().zip(records) {
+    for ((scope, fields), record) in desired.into_iter().zip(records) {
         let base = record.map_or(Revision(0), |record| record.revision);
         if let Some(expected) = expected.filter(|revision| *revision != base.0) {
             return Err(FleetError::Rejected(format!(
