--- a/programs/fleet/src/rollout/text.rs
+++ b/programs/fleet/src/rollout/text.rs
@@ -1,13 +1,13 @@
-//! Rollouts and plans as lines for people.
+//! Rollouts and plans as text.
 
 use crate::report::verdict_text;
 use tansy_rollout::{Rollout, RolloutChange, RolloutPhase, RolloutPlan, StageObservation};
 
-/// Steps of a rollout that are shown.
-const LAST_STEPS: usize = 8;
+/// Number of latest steps shown.
+const MAX_STEPS: usize = 8;
 
-/// A plan, with its stages.
-pub(super) fn plain_plan(plan: &RolloutPlan) -> String {
+/// The text of a plan.
+pub(super) fn plan_text(plan: &RolloutPlan) -> String {
     let mut lines = Vec::new();
     for (number, stage) in plan.stages.iter().enumerate() {
         let names: Vec<String> = stage
@@ -26,8 +26,8 @@
     lines.join("\n")
 }
 
-/// A rollout: its state, the last observation of each stage, and the last steps.
-pub fn plain(rollout: &Rollout) -> String {
+/// The text of a rollout: its state, the last observation of each stage, and the latest steps.
+pub fn rollout_text(rollout: &Rollout) -> String {
     let mut lines = vec![headline(rollout)];
     if !rollout.reason.is_empty() {
         lines.push(format!("  {}", rollout.reason));
@@ -36,7 +36,7 @@
     for observation in &rollout.observations {
         add_observation(&mut lines, observation);
     }
-    let hidden = rollout.steps.len().saturating_sub(LAST_STEPS);
+    let hidden = rollout.steps.len().saturating_sub(MAX_STEPS);
     let steps = rollout.steps.iter().skip(hidden);
     lines.extend(steps.map(|step| format!("  - {step}")));
     lines.join("\n")
@@ -66,7 +66,7 @@
 }
 
 fn progress(rollout: &Rollout) -> String {
-    let moving = if rollout.released.is_empty() {
+    let released = if rollout.released.is_empty() {
         "none".to_string()
     } else {
         rollout
@@ -82,7 +82,7 @@
         &rollout.controller
     };
     format!(
-        "  changed {} of {}, in progress {moving}; rollout controller: {controller}",
+        "  changed {} of {}, in progress {released}; rollout controller: {controller}",
         rollout.changed.len(),
         rollout.plan.targets().count(),
     )
