--- a/simulation/src/cli/agree.rs
+++ b/simulation/src/cli/agree.rs
@@ -2,7 +2,7 @@
 
 use super::{lease_span, plot_or_fail, print_json, SeedArguments};
 use crate::fleet::{
-    faults, many, run as simulate, shortest_faults, PlantedDefect, SimulationOptions,
+    faults, many, run as simulate, shortest_faults, InjectedDefect, SimulationOptions,
     SimulationSummary,
 };
 use std::path::PathBuf;
@@ -29,7 +29,7 @@
     seed_arguments: SeedArguments,
     /// Plants a defect: the audit should find violations.
     #[arg(long)]
-    plant: Option<PlantedDefect>,
+    plant: Option<InjectedDefect>,
     /// Simulates one seed alone, and prints the shortest list of faults with which it has a violation, if it has one.
     #[arg(long)]
     seed: Option<u64>,
--- a/simulation/src/cli/size.rs
+++ b/simulation/src/cli/size.rs
@@ -52,7 +52,7 @@
     /// Processes that end without notice in an hour and are back after 2 to 10 s.
     #[arg(long = "away-hour", default_value_t = 0.0)]
     #[serde(rename = "away_hour")]
-    restarts_hour: f64,
+    restarts_per_hour: f64,
     /// Front ends that end without notice and for good when counting begins.
     #[arg(long, default_value_t = 0)]
     dead: usize,
@@ -85,11 +85,11 @@
     /// Share of the changes by scope that go to functions which a front end gets requests for.
     #[arg(long = "held", default_value_t = 0.0)]
     #[serde(rename = "held")]
-    requested: f64,
+    requested_share: f64,
     /// Share of them that go to functions which one that ended for good got requests for.
     #[arg(long = "held-by-dead", default_value_t = 0.0)]
     #[serde(rename = "held_by_dead")]
-    requested_by_dead: f64,
+    requested_by_dead_share: f64,
     /// Front ends of one rack, which end at once, without notice and for good, at a fifth of the time.
     #[arg(long, default_value_t = 0, conflicts_with_all = ["zone", "rolling"])]
     rack: usize,
@@ -200,26 +200,26 @@
     fn scenario(&self) -> ScaleScenario {
         let arguments = &self.arguments;
         ScaleScenario {
-            counted: seconds(arguments.seconds),
+            measured_span: seconds(arguments.seconds),
             regions: arguments.regions.max(1),
-            changes_hour: arguments.changes_hour,
+            changes_per_hour: arguments.changes_hour,
             strict_every: arguments.strict_every,
             burst: arguments.burst,
-            restarts_hour: arguments.restarts_hour,
+            restarts_per_hour: arguments.restarts_per_hour,
             dead: arguments.dead,
             partitioned_regions: arguments.partitioned_regions,
-            partition: seconds(arguments.partition_seconds),
+            partition_span: seconds(arguments.partition_seconds),
             functions: arguments.functions,
             by_scope: arguments.by_scope,
             even_steps: arguments.even_steps,
-            requested: arguments.requested.clamp(0.0, 1.0),
-            requested_by_dead: arguments.requested_by_dead.clamp(0.0, 1.0),
+            requested_share: arguments.requested_share.clamp(0.0, 1.0),
+            requested_by_dead_share: arguments.requested_by_dead_share.clamp(0.0, 1.0),
             rack: arguments.rack,
             zone: arguments.zone,
-            zone_away: seconds(arguments.zone_seconds),
+            zone_downtime: seconds(arguments.zone_seconds),
             with_leader: arguments.with_leader,
             rolling: arguments.rolling.min(self.front_ends),
-            rolling_away: seconds(arguments.rolling_seconds),
+            rolling_downtime: seconds(arguments.rolling_seconds),
         }
     }
 
@@ -238,7 +238,7 @@
             arguments.changes_hour,
             arguments.strict_every,
             arguments.burst,
-            arguments.restarts_hour,
+            arguments.restarts_per_hour,
             arguments.dead,
             arguments.partitioned_regions,
             arguments.partition_seconds,
@@ -301,10 +301,13 @@
     fn scenario_flags(&self) -> String {
         let all = [
             (self.even_steps, " --evenly".into()),
-            (self.requested > 0.0, format!(" --held {}", self.requested)),
             (
-                self.requested_by_dead > 0.0,
-                format!(" --held-by-dead {}", self.requested_by_dead),
+                self.requested_share > 0.0,
+                format!(" --held {}", self.requested_share),
+            ),
+            (
+                self.requested_by_dead_share > 0.0,
+                format!(" --held-by-dead {}", self.requested_by_dead_share),
             ),
             (self.rack > 0, format!(" --rack {}", self.rack)),
             (
--- a/simulation/src/fault.rs
+++ b/simulation/src/fault.rs
@@ -88,10 +88,10 @@
 
 /// Draws what goes wrong in a run: some faults of every sort, all over by `until`. In one of three runs seven in ten front
 /// ends are killed within a second.
-pub fn draw(rng: &mut fastrand::Rng, front_ends: usize, until: Time) -> Vec<Fault> {
+pub fn draw_faults(rng: &mut fastrand::Rng, front_ends: usize, until: Time) -> Vec<Fault> {
     let count = 4 + rng.usize(0..8);
     let mut faults: Vec<Fault> = (0..count)
-        .map(|_| draw_one(rng, front_ends, until))
+        .map(|_| draw_fault(rng, front_ends, until))
         .collect();
     if rng.u32(0..3) == 0 {
         let start = rng.i64(SECOND..until / 2);
@@ -110,7 +110,7 @@
 }
 
 /// Draws one fault that is over by `until`.
-fn draw_one(rng: &mut fastrand::Rng, front_ends: usize, until: Time) -> Fault {
+fn draw_fault(rng: &mut fastrand::Rng, front_ends: usize, until: Time) -> Fault {
     let start = rng.i64(SECOND..until * 3 / 4);
     let longest = (until - start).min(12 * SECOND);
     let duration = rng.i64(SECOND / 50..longest);
--- a/simulation/src/fleet/audit.rs
+++ b/simulation/src/fleet/audit.rs
@@ -1,7 +1,7 @@
 //! The audit: all voters have one log, no front end acts on what contradicts it, and all agree again at the end.
 
 use super::process::{Authority, Process};
-use super::{PlantedDefect, Simulation};
+use super::{InjectedDefect, Simulation};
 use crate::fault::{Time, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use tansy_fleet_node::FleetNode;
 
 /// A front end that lost its lease so shortly before the end is not one that found no way back.
-const SHORT_LOSS: Time = 2 * SECOND;
+const LEASE_LOSS_TOLERANCE: Time = 2 * SECOND;
 
 /// What the audit knows of a run.
 #[derive(Default)]
@@ -114,7 +114,7 @@
                 self.audit_process(process);
             }
         }
-        if joint && self.options.has_defect(PlantedDefect::NoJoint) {
+        if joint && self.options.has_defect(InjectedDefect::SkippedJointPhase) {
             if let Some((leader, _)) = self.leader() {
                 self.request(leader, 0, LogEntry::Advance { from });
             }
@@ -222,8 +222,8 @@
             self.account(index);
             let process = &self.processes[index];
             let applies = process.is_running() && self.result.violations.is_empty();
-            if let (Some(lack), true) = (self.lack_at_end(process), applies) {
-                self.report_violation(index, format!("{lack} after all faults are over"));
+            if let (Some(missing), true) = (self.missing_at_end(process), applies) {
+                self.report_violation(index, format!("{missing} after all faults are over"));
             }
         }
         let agreed = self.audit.agreed.as_ref();
@@ -234,7 +234,7 @@
     }
 
     /// What a process lacks to act on what is agreed on; none: nothing.
-    fn lack_at_end(&self, process: &Process) -> Option<String> {
+    fn missing_at_end(&self, process: &Process) -> Option<String> {
         let agreed = self.audit.agreed.as_ref();
         let agreed_revision = agreed.map(|agreed| agreed.state.revision);
         match process.acting_state(self.now) {
@@ -242,7 +242,7 @@
             Some((state, Authority::Leased)) => {
                 Some(format!("still acts on revision {}", state.revision.0))
             }
-            _ if self.now - process.last_leased < SHORT_LOSS => None,
+            _ if self.now - process.last_leased < LEASE_LOSS_TOLERANCE => None,
             Some((_, Authority::Expired)) | None => Some("has no session".into()),
             Some((_, Authority::SessionOnly)) => Some("has no lease".into()),
         }
--- a/simulation/src/fleet/event.rs
+++ b/simulation/src/fleet/event.rs
@@ -55,7 +55,7 @@
     /// A front end gets a request; with `expire` it is as if its last request of this scope were long ago.
     Request { process: usize, expire: bool },
     /// An operator changes scopes; with `again` as an earlier request did.
-    ChangeScopes { again: Option<u64> },
+    ChangeScopes { repeat_of: Option<u64> },
     /// A planted defect brings a change in force early.
     AdvanceScope { scope: String, since: Revision },
     /// A record that a process wrote is on its disk.
--- a/simulation/src/fleet/lifecycle.rs
+++ b/simulation/src/fleet/lifecycle.rs
@@ -1,7 +1,7 @@
 //! Processes start, end, stand still and go on.
 
 use super::process::{address_of, draw_clock_offset, id_of};
-use super::{settings, PlantedDefect, Simulation};
+use super::{settings, InjectedDefect, Simulation};
 use tansy_agreement::compatibility::Compatibility;
 use tansy_agreement::lease::LeaseTiming;
 use tansy_fleet_node::{FleetNode, FleetNodeConfig, RecoveredState};
@@ -75,7 +75,7 @@
 
     /// What a voter takes strict fields for.
     fn strict_compatibility(&self) -> Compatibility {
-        if self.options.has_defect(PlantedDefect::NoRoster) {
+        if self.options.has_defect(InjectedDefect::IgnoredRoster) {
             Compatibility::Free
         } else {
             Compatibility::Strict
@@ -134,7 +134,7 @@
             return;
         }
         self.disks[index].persist_next();
-        if self.options.has_defect(PlantedDefect::Unsynced) {
+        if self.options.has_defect(InjectedDefect::UnpersistedSends) {
             return;
         }
         if self.processes[index].is_running() {
--- a/simulation/src/fleet/mod.rs
+++ b/simulation/src/fleet/mod.rs
@@ -19,14 +19,14 @@
 mod simulation;
 mod summary;
 
-pub use options::{PlantedDefect, SimulationOptions};
+pub use options::{InjectedDefect, SimulationOptions};
 pub use summary::{many, SimulationResult, SimulationSummary};
 
 pub(crate) use event::Event;
 pub(crate) use process::{address_of, Process};
 pub(crate) use simulation::Simulation;
 
-use crate::fault::{draw, shrink, Fault};
+use crate::fault::{draw_faults, shrink, Fault};
 
 /// Simulates one run.
 pub fn run(options: &SimulationOptions, seed: u64) -> SimulationResult {
@@ -39,7 +39,7 @@
         return Vec::new();
     }
     let mut rng = fastrand::Rng::with_seed(seed);
-    draw(&mut rng, options.front_ends, options.faults_until)
+    draw_faults(&mut rng, options.front_ends, options.faults_until)
 }
 
 /// The shortest list of faults with which a run still violates what the audit checks.
@@ -56,6 +56,6 @@
     faults: &[Fault],
 ) -> SimulationResult {
     let mut simulation = Simulation::new(options, seed, faults);
-    simulation.play();
+    simulation.run_events();
     simulation.into_result()
 }
--- a/simulation/src/fleet/node_step.rs
+++ b/simulation/src/fleet/node_step.rs
@@ -2,7 +2,7 @@
 
 use super::event::{Event, Message};
 use super::process::index_of;
-use super::{PlantedDefect, Simulation};
+use super::{InjectedDefect, Simulation};
 use crate::fault::{Time, SECOND};
 use crate::scale::WIDE_ID;
 use crate::scopes::REPLY_DELAY;
@@ -14,7 +14,7 @@
 /// A revision that no log reaches: a node that is notified of it requests a lease at once.
 const UNREACHABLE: Revision = Revision(u64::MAX);
 /// Messages that the kernel queues for a process that stands still.
-const QUEUED_MESSAGES: usize = 64;
+const MAX_QUEUED_MESSAGES: usize = 64;
 /// How long a write takes at least and at most.
 const WRITE_TIME: std::ops::Range<Time> = SECOND / 2000..SECOND / 20;
 
@@ -25,7 +25,7 @@
             scale.count_message(to, &message.body, message.size());
         }
         match &mut self.processes[to].paused {
-            Some(queued) if queued.len() < QUEUED_MESSAGES => queued.push(message),
+            Some(queued) if queued.len() < MAX_QUEUED_MESSAGES => queued.push(message),
             Some(_) => {}
             None => self.receive(to, message),
         }
@@ -43,9 +43,15 @@
     /// A process takes a message, altered as the planted defect has it.
     pub(super) fn receive(&mut self, to: usize, mut message: Message) {
         match self.options.defect {
-            Some(PlantedDefect::OldReply) => self.renew_reply(to, &mut message.body),
-            Some(PlantedDefect::LateDrop) => self.repeat_unsubscribed(&mut message.body),
-            Some(PlantedDefect::CountedFromAnswer) => self.renew_grant(to, &mut message),
+            Some(InjectedDefect::OldReplyAsCurrent) => {
+                self.mark_reply_current(to, &mut message.body)
+            }
+            Some(InjectedDefect::RepeatedUnsubscribe) => {
+                self.repeat_unsubscribed(&mut message.body)
+            }
+            Some(InjectedDefect::LeaseFromGrantArrival) => {
+                self.match_grant_to_new_request(to, &mut message)
+            }
             _ => {}
         }
         let Message {
@@ -58,8 +64,8 @@
         });
     }
 
-    /// [`PlantedDefect::OldReply`]: a reply is taken for one of the reader's revision.
-    fn renew_reply(&self, to: usize, body: &mut MessageBody) {
+    /// [`InjectedDefect::OldReplyAsCurrent`]: a reply is taken for one of the reader's revision.
+    fn mark_reply_current(&self, to: usize, body: &mut MessageBody) {
         let (MessageBody::SubscribeReply(reply), Some(node)) = (body, &self.processes[to].node)
         else {
             return;
@@ -69,8 +75,8 @@
         reply.revision = reply.revision.max(revision);
     }
 
-    /// [`PlantedDefect::CountedFromAnswer`]: a request of this moment takes the place of the one that was granted.
-    fn renew_grant(&mut self, to: usize, message: &mut Message) {
+    /// [`InjectedDefect::LeaseFromGrantArrival`]: a request of this moment takes the place of the one that was granted.
+    fn match_grant_to_new_request(&mut self, to: usize, message: &mut Message) {
         let MessageBody::Lease(LeaseMessage::Grant(grant)) = &mut message.body else {
             return;
         };
@@ -123,13 +129,13 @@
         self.audit_process(index);
         self.detect_join(index);
         for command in commands {
-            self.carry_out(index, &sender, leader, command);
+            self.execute(index, &sender, leader, command);
         }
     }
 
-    /// Writes the records that a node wants persisted; with [`PlantedDefect::Unsynced`] it is notified at once.
+    /// Writes the records that a node wants persisted; with [`InjectedDefect::UnpersistedSends`] it is notified at once.
     fn write_records(&mut self, index: usize, now: Time, commands: &mut Vec<Command>) {
-        let unsynced = self.options.has_defect(PlantedDefect::Unsynced);
+        let unsynced = self.options.has_defect(InjectedDefect::UnpersistedSends);
         let incarnation = self.processes[index].incarnation;
         // The notification may add further commands, which are looked at in turn.
         let mut next = 0;
@@ -182,7 +188,7 @@
         }
     }
 
-    fn carry_out(&mut self, index: usize, sender: &NodeId, leader: Leader, command: Command) {
+    fn execute(&mut self, index: usize, sender: &NodeId, leader: Leader, command: Command) {
         let message = |body| Message {
             sender: sender.clone(),
             leader,
@@ -213,10 +219,13 @@
         if let Some(scale) = &mut self.scale {
             scale.count_message(index, &message.body, bytes);
         }
-        let delayed = self.options.has_defect(PlantedDefect::OldReply)
+        let delayed = self.options.has_defect(InjectedDefect::OldReplyAsCurrent)
             && matches!(message.body, MessageBody::SubscribeReply(_));
         let sent_at = self.now + if delayed { REPLY_DELAY } else { 0 };
-        for at in self.network.carry(&mut self.rng, sent_at, index, to) {
+        for at in self
+            .network
+            .delivery_times(&mut self.rng, sent_at, index, to)
+        {
             let message = Box::new(message.clone());
             self.schedule(at, Event::Message { to, message });
         }
--- a/simulation/src/fleet/options.rs
+++ b/simulation/src/fleet/options.rs
@@ -6,27 +6,45 @@
 use serde::Serialize;
 use tansy_agreement::lease::LeaseTiming;
 
-/// A defect planted into a run, to see that the audit finds it. `tansy-sim agree --plant` takes them by their names.
+/// A defect injected into a run to check that the audit detects it. `tansy-sim agree --plant` selects it by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
-pub enum PlantedDefect {
-    /// A lease is counted from its grant's arrival, not from before it was requested.
-    CountedFromAnswer,
-    /// A version comes in force without the joint phase.
-    NoJoint,
-    /// A voter sends what its disk has not persisted yet.
-    Unsynced,
-    /// A clock's rate is off by far more than the bound.
-    WildClock,
-    /// Changes of strict fields do not wait for the members of the roster.
-    NoRoster,
-    /// Changes of scopes come in force without waiting for their subscribers.
-    NoHolders,
-    /// A leader that begins takes each front end for one without subscriptions.
-    NoneHold,
-    /// A reply older than its reader's revision is taken for one of that revision.
-    OldReply,
-    /// Scopes that were unsubscribed are unsubscribed again later, out of order.
-    LateDrop,
+pub enum InjectedDefect {
+    /// A lease runs from the arrival of its grant instead of from before its request was sent.
+    #[serde(rename = "CountedFromAnswer")]
+    #[value(name = "counted-from-answer")]
+    LeaseFromGrantArrival,
+    /// A version comes into force without the joint phase.
+    #[serde(rename = "NoJoint")]
+    #[value(name = "no-joint")]
+    SkippedJointPhase,
+    /// A voter sends messages that depend on records its disk has not persisted yet.
+    #[serde(rename = "Unsynced")]
+    #[value(name = "unsynced")]
+    UnpersistedSends,
+    /// Clock rates deviate by far more than the configured bound.
+    #[serde(rename = "WildClock")]
+    #[value(name = "wild-clock")]
+    ClockBeyondBound,
+    /// Changes of strict fields do not wait for the members on the roster.
+    #[serde(rename = "NoRoster")]
+    #[value(name = "no-roster")]
+    IgnoredRoster,
+    /// Changes of scopes come into force without waiting for the scopes' subscribers.
+    #[serde(rename = "NoHolders")]
+    #[value(name = "no-holders")]
+    IgnoredSubscribers,
+    /// A new leader treats every front end as having no subscriptions.
+    #[serde(rename = "NoneHold")]
+    #[value(name = "none-hold")]
+    ForgottenSubscriptions,
+    /// A reply older than the receiver's revision is accepted as current.
+    #[serde(rename = "OldReply")]
+    #[value(name = "old-reply")]
+    OldReplyAsCurrent,
+    /// Every unsubscription is repeated in all later messages, out of order.
+    #[serde(rename = "LateDrop")]
+    #[value(name = "late-drop")]
+    RepeatedUnsubscribe,
 }
 
 /// What is simulated.
@@ -40,10 +58,10 @@
     pub lease: LeaseTiming,
     /// Length of a session.
     pub session: Time,
-    /// Faults are over by then; the run ends [`SimulationOptions::calm`] later.
+    /// Faults are over by then; the run ends [`SimulationOptions::recovery_time`] later.
     pub faults_until: Time,
     /// Time in which all have to agree again.
-    pub calm: Time,
+    pub recovery_time: Time,
     /// Changes proposed.
     pub changes: usize,
     /// Front ends beside the voters that may become voters.
@@ -53,7 +71,7 @@
     /// How messages travel.
     pub network: NetworkProfile,
     /// A defect.
-    pub defect: Option<PlantedDefect>,
+    pub defect: Option<InjectedDefect>,
     /// Nothing goes wrong but that messages are late, lost or duplicated now and then.
     pub quiet: bool,
     /// How front ends come to know each other.
@@ -76,7 +94,7 @@
             },
             session: 6 * SECOND,
             faults_until: 40 * SECOND,
-            calm: 18 * SECOND,
+            recovery_time: 18 * SECOND,
             changes: 12,
             spares: 0,
             replacements: 0,
@@ -90,7 +108,7 @@
     }
 
     /// Whether this defect is planted.
-    pub(crate) fn has_defect(&self, defect: PlantedDefect) -> bool {
+    pub(crate) fn has_defect(&self, defect: InjectedDefect) -> bool {
         self.defect == Some(defect)
     }
 
--- a/simulation/src/fleet/simulation.rs
+++ b/simulation/src/fleet/simulation.rs
@@ -3,7 +3,7 @@
 use super::audit::Audit;
 use super::event::{Event, EventQueue};
 use super::process::{Disk, Process};
-use super::{settings, PlantedDefect, SimulationOptions, SimulationResult};
+use super::{settings, InjectedDefect, SimulationOptions, SimulationResult};
 use crate::fault::{Fault, Time, SECOND};
 use crate::network::Network;
 use crate::scale::{start_time, ScaleMeasurement, SharedDirectories, Tier, FIRST_INCARNATION};
@@ -13,9 +13,9 @@
 use tansy_fleet_node::FleetNode;
 
 /// A run with more violations than these ends.
-const VIOLATIONS: usize = 4;
-/// How far the clock rates are off where [`PlantedDefect::WildClock`] is planted.
-const WILD_RATE: f64 = 0.4;
+const MAX_VIOLATIONS: usize = 4;
+/// How far the clock rates are off where [`InjectedDefect::ClockBeyondBound`] is planted.
+const DEFECT_CLOCK_ERROR: f64 = 0.4;
 
 /// One run.
 pub(crate) struct Simulation<'a> {
@@ -90,7 +90,7 @@
         match &options.scale {
             Some(scenario) => simulation
                 .network
-                .place(scenario.regions, &mut simulation.rng),
+                .place_in_regions(scenario.regions, &mut simulation.rng),
             None => simulation.schedule_faults_and_changes(faults),
         }
         simulation
@@ -131,7 +131,7 @@
             }
         }
         self.schedule_scope_workload();
-        let changes_until = self.options.faults_until + self.options.calm / 4;
+        let changes_until = self.options.faults_until + self.options.recovery_time / 4;
         for _ in 0..self.options.replacements {
             let at = self.rng.i64(SECOND..changes_until);
             self.schedule(at, Event::ReplaceVoter);
@@ -152,9 +152,9 @@
     }
 
     /// Plays the events up to the end of the run, or up to too many violations.
-    pub(crate) fn play(&mut self) {
+    pub(crate) fn run_events(&mut self) {
         while let Some((at, event)) = self.queue.pop() {
-            if at > self.end() || self.result.violations.len() > VIOLATIONS {
+            if at > self.end() || self.result.violations.len() > MAX_VIOLATIONS {
                 break;
             }
             self.now = at;
@@ -163,13 +163,13 @@
             }
             self.on_event(event);
         }
-        if self.result.violations.len() <= VIOLATIONS {
+        if self.result.violations.len() <= MAX_VIOLATIONS {
             self.now = self.end();
         }
     }
 
     fn end(&self) -> Time {
-        let without_scale = self.options.faults_until + self.options.calm;
+        let without_scale = self.options.faults_until + self.options.recovery_time;
         self.scale.as_ref().map_or(without_scale, |scale| scale.end)
     }
 
@@ -204,7 +204,7 @@
             Event::ReplaceVoter => self.replace_voter()?,
             Event::Abandon => self.abandon()?,
             Event::Request { process, expire } => self.request_scope(process, expire),
-            Event::ChangeScopes { again } => self.change_scopes(again),
+            Event::ChangeScopes { repeat_of } => self.change_scopes(repeat_of),
             Event::AdvanceScope { scope, since } => self.advance_scope_early(scope, since),
             Event::Scale(event) => self.on_scale_event(event),
         }
@@ -258,8 +258,8 @@
 
 /// The processes of a run, none of which is started.
 fn draw_processes(options: &SimulationOptions, rng: &mut fastrand::Rng) -> Vec<Process> {
-    let rate_bound = if options.has_defect(PlantedDefect::WildClock) {
-        WILD_RATE
+    let rate_bound = if options.has_defect(InjectedDefect::ClockBeyondBound) {
+        DEFECT_CLOCK_ERROR
     } else {
         options.lease.drift_ppm as f64 / 1e6
     };
--- a/simulation/src/fleet/summary.rs
+++ b/simulation/src/fleet/summary.rs
@@ -84,7 +84,7 @@
     seeds: u64,
     threads: usize,
 ) -> SimulationSummary {
-    let mut results = crate::spread(from, seeds, threads, |seed| run(options, seed));
+    let mut results = crate::run_seeds(from, seeds, threads, |seed| run(options, seed));
     results.sort_by_key(|result| result.seed);
     let in_force_ms: Vec<u64> = results
         .iter()
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -15,16 +15,21 @@
 mod scopes;
 
 /// Simulates seeds `from` to `from + seeds` on so many threads. The order of what comes back is that of the threads.
-fn spread<T: Send>(from: u64, seeds: u64, threads: usize, one: impl Fn(u64) -> T + Sync) -> Vec<T> {
+fn run_seeds<T: Send>(
+    from: u64,
+    seeds: u64,
+    threads: usize,
+    simulate: impl Fn(u64) -> T + Sync,
+) -> Vec<T> {
     let next = std::sync::atomic::AtomicU64::new(0);
     let work = || {
-        let mut own = Vec::new();
+        let mut results = Vec::new();
         loop {
             let offset = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
             if offset >= seeds {
-                return own;
+                return results;
             }
-            own.push(one(from + offset));
+            results.push(simulate(from + offset));
         }
     };
     std::thread::scope(|scope| {
--- a/simulation/src/network.rs
+++ b/simulation/src/network.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkProfile {
     /// Shortest transit time.
-    pub shortest: Time,
+    pub min_transit: Time,
     /// Longest transit time.
-    pub longest: Time,
+    pub max_transit: Time,
     /// Share that is lost.
     pub loss: f64,
     /// Share that arrives twice.
@@ -18,8 +18,8 @@
 impl Default for NetworkProfile {
     fn default() -> NetworkProfile {
         NetworkProfile {
-            shortest: SECOND / 5000,
-            longest: SECOND / 50,
+            min_transit: SECOND / 5000,
+            max_transit: SECOND / 50,
             loss: 0.01,
             duplication: 0.01,
         }
@@ -40,12 +40,12 @@
     profile: NetworkProfile,
     faults: Vec<Fault>,
     /// Transit time between two regions, if there are any; front ends are placed in them in turn.
-    between_regions: Vec<Vec<Time>>,
+    inter_region_transit: Vec<Vec<Time>>,
     partition: Option<RegionPartition>,
 }
 
-/// Shortest and longest transit time between two regions.
-const BETWEEN_REGIONS: (Time, Time) = (SECOND / 25, SECOND * 2 / 25);
+/// Shortest and max_transit transit time between two regions.
+const INTER_REGION_TRANSIT: (Time, Time) = (SECOND / 25, SECOND * 2 / 25);
 
 impl Network {
     /// A network of one region, with those of the faults that concern it.
@@ -55,20 +55,20 @@
         Network {
             profile,
             faults: faults.iter().filter(of_network).cloned().collect(),
-            between_regions: Vec::new(),
+            inter_region_transit: Vec::new(),
             partition: None,
         }
     }
 
     /// Places the front ends in so many regions, and draws the transit time between each two of them.
-    pub fn place(&mut self, regions: usize, rng: &mut fastrand::Rng) {
+    pub fn place_in_regions(&mut self, regions: usize, rng: &mut fastrand::Rng) {
         let regions = regions.max(1);
-        self.between_regions = vec![vec![0; regions]; regions];
+        self.inter_region_transit = vec![vec![0; regions]; regions];
         for first in 0..regions {
             for second in 0..first {
-                let transit = rng.i64(BETWEEN_REGIONS.0..=BETWEEN_REGIONS.1);
-                self.between_regions[first][second] = transit;
-                self.between_regions[second][first] = transit;
+                let transit = rng.i64(INTER_REGION_TRANSIT.0..=INTER_REGION_TRANSIT.1);
+                self.inter_region_transit[first][second] = transit;
+                self.inter_region_transit[second][first] = transit;
             }
         }
     }
@@ -76,7 +76,7 @@
     /// Partitions the last regions, each from all others, in this time.
     pub fn partition_regions(&mut self, regions: usize, start: Time, end: Time) {
         self.partition = Some(RegionPartition {
-            regions: regions.min(self.between_regions.len().saturating_sub(1)),
+            regions: regions.min(self.inter_region_transit.len().saturating_sub(1)),
             start,
             end,
         });
@@ -84,7 +84,7 @@
 
     /// How many regions there are.
     pub fn regions(&self) -> usize {
-        self.between_regions.len().max(1)
+        self.inter_region_transit.len().max(1)
     }
 
     /// The region of a front end.
@@ -114,7 +114,7 @@
     }
 
     /// When the copies of a message that is sent now arrive, as far as they do.
-    pub fn carry(
+    pub fn delivery_times(
         &self,
         rng: &mut fastrand::Rng,
         now: Time,
@@ -128,7 +128,7 @@
             return Vec::new();
         }
         let transit = self
-            .between_regions
+            .inter_region_transit
             .get(self.region(sender))
             .and_then(|others| others.get(self.region(receiver)));
         let delay = delay + transit.copied().unwrap_or(0);
@@ -138,7 +138,7 @@
         let copies = 1 + usize::from(rng.f64() < self.profile.duplication);
         // Each copy takes its own time, so that messages overtake each other.
         (0..copies)
-            .map(|_| now + delay + rng.i64(self.profile.shortest..=self.profile.longest))
+            .map(|_| now + delay + rng.i64(self.profile.min_transit..=self.profile.max_transit))
             .collect()
     }
 
--- a/simulation/src/plot.rs
+++ b/simulation/src/plot.rs
@@ -10,7 +10,7 @@
 /// A plot that could not be drawn.
 #[derive(Debug, thiserror::Error)]
 pub enum PlotError {
-    /// There is nothing to draw: a plot needs the summary of one size at least.
+    /// There is nothing to draw: a plot needs the summary of one size at min_size.
     #[error("no size was simulated")]
     NoSummary,
     /// The file could not be written, or the chart not be laid out.
@@ -35,29 +35,35 @@
 /// Time from a proposal to force everywhere against the fleet's size, median and 99th percentile.
 pub fn in_force(path: &Path, summaries: &[SimulationSummary]) -> Result<(), PlotError> {
     let sizes: Vec<f64> = summaries.iter().map(|s| s.front_ends as f64).collect();
-    let (Some(least), Some(most)) = (
+    let (Some(min_size), Some(max_size)) = (
         sizes.iter().copied().reduce(f64::min),
         sizes.iter().copied().reduce(f64::max),
     ) else {
         return Err(PlotError::NoSummary);
     };
-    let highest = summaries
+    let max_ms = summaries
         .iter()
         .map(|s| s.in_force_ms[1])
         .max()
         .unwrap_or(1)
         .max(1) as f64
         * 1.1;
-    draw_in_force(path, summaries, least, most.max(least + 1.0), highest)
-        .map_err(PlotError::drawing(path))
+    draw_in_force(
+        path,
+        summaries,
+        min_size,
+        max_size.max(min_size + 1.0),
+        max_ms,
+    )
+    .map_err(PlotError::drawing(path))
 }
 
 fn draw_in_force(
     path: &Path,
     summaries: &[SimulationSummary],
-    least: f64,
-    most: f64,
-    highest: f64,
+    min_size: f64,
+    max_size: f64,
+    max_ms: f64,
 ) -> Result<(), DrawingError> {
     let area = SVGBackend::new(path, (720, 420)).into_drawing_area();
     area.fill(&WHITE)?;
@@ -69,7 +75,7 @@
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d((least..most).log_scale(), 0.0..highest)?;
+        .build_cartesian_2d((min_size..max_size).log_scale(), 0.0..max_ms)?;
     let whole = |x: &f64| format!("{x:.0}");
     chart
         .configure_mesh()
--- a/simulation/src/rollout/front_ends.rs
+++ b/simulation/src/rollout/front_ends.rs
@@ -14,17 +14,17 @@
 /// The zone that [`Regression::Zone`] affects.
 const AFFECTED_ZONE: usize = 0;
 /// Milliseconds of the slowest answers.
-const SLOWEST: u64 = 320;
+const SLOWEST_MS: u64 = 320;
 /// Milliseconds of answers, and the share of those not yet counted that took so long; the rest take 10 ms.
-const LATENCIES: [(u64, f64); 5] = [
-    (SLOWEST, 0.005),
+const LATENCY_SHARES: [(u64, f64); 5] = [
+    (SLOWEST_MS, 0.005),
     (160, 0.015),
     (80, 0.06),
     (40, 0.13),
     (20, 0.4),
 ];
 /// Seconds that a restart takes.
-const RESTART: i64 = 3;
+const RESTART_SECONDS: i64 = 3;
 
 /// One simulated front end.
 struct SimulatedFrontEnd {
@@ -69,8 +69,8 @@
 impl FrontEnds {
     /// Draws each front end's rate and usual loss.
     pub(super) fn draw(options: &RolloutOptions, rng: &mut StdRng) -> FrontEnds {
-        let rates = LogNormal::new(0.0, 0.6).expect("a spread");
-        let losses = LogNormal::new(0.0, 0.3).expect("a spread");
+        let rates = LogNormal::new(0.0, 0.6).expect("the parameters are valid");
+        let losses = LogNormal::new(0.0, 0.3).expect("the parameters are valid");
         let all = (0..options.front_ends).map(|index| SimulatedFrontEnd {
             name: format!("f{index}"),
             zone: index % options.zones,
@@ -100,7 +100,7 @@
         conditions: &TrafficConditions,
     ) -> Vec<RequestShare> {
         // Bad moments that a zone shares: they come and go over some seconds.
-        let shock = Normal::new(0.0, 0.004).expect("a spread");
+        let shock = Normal::new(0.0, 0.004).expect("the parameters are valid");
         for loss in &mut self.zone_loss {
             *loss = 0.9 * *loss + shock.sample(rng);
         }
@@ -150,7 +150,7 @@
     pub(super) fn restart(&mut self, name: &str, changed: bool) {
         if let Some(front_end) = self.all.iter_mut().find(|f| f.name == name) {
             front_end.changed = changed;
-            front_end.restarting = RESTART;
+            front_end.restarting = RESTART_SECONDS;
         }
     }
 
@@ -261,8 +261,8 @@
 /// Spreads served requests over the latencies; `slow` is added to the share of the slowest.
 fn record_latencies(rng: &mut StdRng, counters: &mut RequestCounters, served: u64, slow: f64) {
     let mut left = served;
-    for (ms, share) in LATENCIES {
-        let added = if ms == SLOWEST { slow } else { 0.0 };
+    for (ms, share) in LATENCY_SHARES {
+        let added = if ms == SLOWEST_MS { slow } else { 0.0 };
         let count = binomial(rng, left, share + added);
         // The histogram covers all of these values.
         let _ = counters.latency.record_n(ms * 1000, count);
--- a/simulation/src/rollout/mod.rs
+++ b/simulation/src/rollout/mod.rs
@@ -25,7 +25,7 @@
 };
 
 /// A rollout that takes longer than this many seconds ends undecided.
-const LONGEST_ROLLOUT: u64 = 20_000;
+const MAX_ROLLOUT_SECONDS: u64 = 20_000;
 
 /// How a rollout went.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
@@ -49,7 +49,7 @@
 /// Simulates one rollout.
 pub fn run(options: &RolloutOptions, seed: u64) -> RolloutResult {
     let mut simulation = RolloutSimulation::new(options, seed);
-    while !simulation.rollout.has_ended() && simulation.seconds < LONGEST_ROLLOUT {
+    while !simulation.rollout.has_ended() && simulation.seconds < MAX_ROLLOUT_SECONDS {
         simulation.advance_one_second();
         if simulation.rollout.phase == RolloutPhase::RollingBack {
             break;
@@ -69,7 +69,7 @@
     /// Seconds since the rollout began.
     seconds: u64,
     /// When the first stage was first analysed.
-    first_judged: Option<i64>,
+    first_analysed: Option<i64>,
     requests: f64,
     exposed: f64,
 }
@@ -91,7 +91,7 @@
             controller: RolloutController::new("s".into()),
             fixed_rule: FixedRule::default(),
             seconds: 0,
-            first_judged: None,
+            first_analysed: None,
             requests: 0.0,
             exposed: 0.0,
         }
@@ -113,18 +113,18 @@
             };
         }
         self.poll_controller(now);
-        if self.rollout.phase == RolloutPhase::Analysing && self.first_judged.is_none() {
-            self.first_judged = Some(now);
+        if self.rollout.phase == RolloutPhase::Analysing && self.first_analysed.is_none() {
+            self.first_analysed = Some(now);
         }
     }
 
     /// What befalls all traffic in this second.
     fn conditions(&self, now: i64) -> TrafficConditions {
-        let since_judged = self.first_judged.map(|at| now - at);
+        let since_analysed = self.first_analysed.map(|at| now - at);
         let zone_lost = self.options.regression == Regression::ZoneLost
-            && since_judged.is_some_and(|since| (30..90).contains(&since));
+            && since_analysed.is_some_and(|since| (30..90).contains(&since));
         let doubled = self.options.regression == Regression::Doubles
-            && since_judged.is_some_and(|since| since >= 30);
+            && since_analysed.is_some_and(|since| since >= 30);
         TrafficConditions {
             regression: self.options.regression,
             lost_zone: zone_lost.then_some(0),
--- a/simulation/src/rollout/summary.rs
+++ b/simulation/src/rollout/summary.rs
@@ -31,7 +31,7 @@
 /// Simulates seeds from `from` on so many threads; the summary does not depend on their number.
 pub fn many(options: &RolloutOptions, from: u64, rollouts: u64, threads: usize) -> RolloutSummary {
     let mut results: Vec<(u64, RolloutResult)> =
-        crate::spread(from, rollouts, threads, |seed| (seed, run(options, seed)));
+        crate::run_seeds(from, rollouts, threads, |seed| (seed, run(options, seed)));
     results.sort_by_key(|(seed, _)| *seed);
     let with_end = |end: &str| -> Vec<&RolloutResult> {
         let all = results.iter().map(|(_, result)| result);
--- a/simulation/src/scale/losses.rs
+++ b/simulation/src/scale/losses.rs
@@ -50,7 +50,7 @@
             partition.main = main;
             partition.cut = cut;
         }
-        scale.healing = Some(self.now);
+        scale.healing_since = Some(self.now);
     }
 
     /// What was lost on one side of the partition since it began.
@@ -108,7 +108,7 @@
             };
         }
         let (count, earliest_recovery) = match front_ends.checked_div(scenario.zone) {
-            Some(zone) => (zone, self.now + scenario.zone_away),
+            Some(zone) => (zone, self.now + scenario.zone_downtime),
             None => (scenario.rack, self.now + self.options.lease.span),
         };
         LossPlan {
@@ -154,13 +154,13 @@
             let dead = members
                 .into_iter()
                 .map(|member| DeadMember { member, ended: now });
-            scale.dead.extend(dead);
-            scale.gone.extend(&plan.ended);
+            scale.dead_on_roster.extend(dead);
+            scale.dead_front_ends.extend(&plan.ended);
         }
         for process in plan.ended {
             self.schedule(now, Event::Stop { process });
             if scenario.zone > 0 {
-                let at = now + scenario.zone_away + self.rng.i64(0..SECOND);
+                let at = now + scenario.zone_downtime + self.rng.i64(0..SECOND);
                 self.schedule(at, Event::Start { process });
             }
         }
@@ -189,13 +189,13 @@
         }
         if let Some(part) = loss.parts.pop() {
             loss.part = part.clone();
-            let away = scale.scenario.rolling_away;
+            let away = scale.scenario.rolling_downtime;
             return self.restart_part(part, away);
         }
         let is_due = self.now > loss.earliest_recovery;
-        let gone = &scale.gone;
+        let dead = &scale.dead_front_ends;
         let mut processes = self.processes.iter().enumerate();
-        let all_back = processes.all(|(index, p)| p.is_running() || gone.contains(&index));
+        let all_back = processes.all(|(index, p)| p.is_running() || dead.contains(&index));
         if is_due && all_back && self.all_leased() {
             self.report_loss(true);
         }
--- a/simulation/src/scale/measurement.rs
+++ b/simulation/src/scale/measurement.rs
@@ -130,9 +130,9 @@
 pub(crate) struct ScaleMeasurement {
     pub(super) scenario: ScaleScenario,
     /// When all acted.
-    pub(super) joined: Option<Time>,
+    pub(super) all_joined_at: Option<Time>,
     /// When measurement began.
-    pub(super) began: Option<Time>,
+    pub(super) measurement_start: Option<Time>,
     /// When the run ends.
     pub(crate) end: Time,
     pub(super) traffic: Vec<Traffic>,
@@ -142,7 +142,7 @@
     pub(super) durations: Durations,
     /// Requests by which the functions were set up.
     pub(super) set_up_requests: u64,
-    pub(super) dead: Vec<DeadMember>,
+    pub(super) dead_on_roster: Vec<DeadMember>,
     /// When each node last ended.
     pub(super) ended: BTreeMap<u64, Time>,
     pub(super) abandoned: u64,
@@ -151,9 +151,9 @@
     pub(super) before_partition: Vec<AccountedTime>,
     pub(super) partition: Option<PartitionReport>,
     /// When the partition ended, while not all act again.
-    pub(super) healing: Option<Time>,
+    pub(super) healing_since: Option<Time>,
     /// Those that ended for good.
-    pub(super) gone: Vec<usize>,
+    pub(super) dead_front_ends: Vec<usize>,
     pub(super) loss: Option<LossReport>,
     pub(super) ongoing_loss: Option<OngoingLoss>,
     /// Changes of functions that a front end got requests for.
@@ -190,7 +190,7 @@
 
     /// A process has a lease and a session for the first time, so long after its start.
     pub(super) fn record_join(&mut self, after: Time) {
-        let durations = if self.began.is_some() {
+        let durations = if self.measurement_start.is_some() {
             &mut self.durations.join
         } else {
             &mut self.durations.start_join
@@ -232,8 +232,8 @@
         if let (Some(loss), Some(ongoing)) = (&mut self.loss, &self.ongoing_loss) {
             loss.changes_in_force += u64::from(requested >= ongoing.since);
         }
-        let begins = self.began.unwrap_or(0) + self.scenario.counted / 5;
-        let within = requested >= begins && now < begins + self.scenario.partition;
+        let begins = self.measurement_start.unwrap_or(0) + self.scenario.measured_span / 5;
+        let within = requested >= begins && now < begins + self.scenario.partition_span;
         if let (Some(partition), true) = (&mut self.partition, within) {
             if is_strict {
                 partition.strict_in_force += 1;
--- a/simulation/src/scale/mod.rs
+++ b/simulation/src/scale/mod.rs
@@ -3,7 +3,7 @@
 //! Two tiers simulate the same processes. In the **whole** one each finds the others by gossip and keeps a member list of its
 //! own, which takes memory with the square of the fleet. In the **hollow** one all are given one directory that is true but
 //! late; leases, sessions, logs, drains and the audit are the same. What gossip would take is added there as measured in the
-//! whole tier ([`MEMBERSHIP`]).
+//! whole tier ([`IDLE_MEMBERSHIP_TRAFFIC`]).
 //!
 //! Measurement begins once all front ends act, and some time after; what the start took is reported separately.
 
@@ -48,10 +48,10 @@
 
 /// Messages and bytes of membership a front end a second, in and out, in a whole fleet in which nobody comes or goes: the
 /// same at 100 and at 300 (8.1, and 1114 to 1119; three seeds each).
-pub const MEMBERSHIP: (f64, f64) = (8.1, 1118.0);
+pub const IDLE_MEMBERSHIP_TRAFFIC: (f64, f64) = (8.1, 1118.0);
 /// What each process that ends and comes back in an hour adds: at 100 1.7 and 1.8 bytes, at 300 1.9 and 2.2 (600 an hour, two
 /// seeds each); taken as the same at every size.
-pub const MEMBERSHIP_AWAY: (f64, f64) = (0.011, 2.1);
+pub const MEMBERSHIP_TRAFFIC_PER_RESTART: (f64, f64) = (0.011, 2.1);
 
 /// Time in which the processes of a fleet are started.
 pub(crate) fn start_time(front_ends: usize) -> Time {
@@ -61,7 +61,7 @@
 /// Simulates one fleet; [`SimulationOptions::scale`] has to be set.
 pub fn run(options: &SimulationOptions, seed: u64) -> ScaleReport {
     let mut simulation = Simulation::new(options, seed, &[]);
-    simulation.play();
+    simulation.run_events();
     simulation.into_scale_report()
 }
 
@@ -72,7 +72,7 @@
     seeds: u64,
     threads: usize,
 ) -> Vec<(ScaleReport, f64)> {
-    let mut reports = crate::spread(from, seeds, threads, |seed| {
+    let mut reports = crate::run_seeds(from, seeds, threads, |seed| {
         let began = std::time::Instant::now();
         let report = run(options, seed);
         (report, began.elapsed().as_secs_f64())
--- a/simulation/src/scale/observe.rs
+++ b/simulation/src/scale/observe.rs
@@ -9,7 +9,7 @@
 use tansy_membership::MembershipEvent;
 
 /// An operator asks again so long after a rejection, at least, and at most twice as long.
-const RETRY_AFTER: Time = SECOND / 2;
+const MIN_RETRY_DELAY: Time = SECOND / 2;
 
 /// What an answer means for a change.
 enum ChangeAnswer {
@@ -118,7 +118,7 @@
             change: index,
             attempt: change.attempts,
         };
-        let wait = RETRY_AFTER + self.rng.i64(0..RETRY_AFTER);
+        let wait = MIN_RETRY_DELAY + self.rng.i64(0..MIN_RETRY_DELAY);
         self.schedule(self.now + wait, Event::Scale(event));
     }
 
@@ -127,7 +127,7 @@
         let Some(scale) = &mut self.scale else {
             return;
         };
-        let Some(began) = scale.began else {
+        let Some(began) = scale.measurement_start else {
             return;
         };
         match event {
@@ -155,7 +155,8 @@
         };
         scale.record_join(after);
         let scenario = &scale.scenario;
-        let restarted = scale.began.is_some() && (scenario.zone > 0 || scenario.rolling > 0);
+        let restarted =
+            scale.measurement_start.is_some() && (scenario.zone > 0 || scenario.rolling > 0);
         if restarted {
             self.schedule_requests(index);
         }
@@ -211,10 +212,10 @@
         };
         let is_late = now > started_at + START_LIMIT;
         let all_joined = || self.processes.iter().all(|process| process.joined);
-        if scale.joined.is_some() || now <= started_at || !(is_late || all_joined()) {
+        if scale.all_joined_at.is_some() || now <= started_at || !(is_late || all_joined()) {
             return false;
         }
-        scale.joined = Some(now);
+        scale.all_joined_at = Some(now);
         if is_late {
             let missing = self.processes.iter().filter(|p| !p.joined).count();
             scale.notes.push(format!(
@@ -239,7 +240,7 @@
 
     /// Measures the time from the end of a partition until all act again.
     fn check_healed(&mut self) {
-        let healing = self.scale.as_ref().and_then(|scale| scale.healing);
+        let healing = self.scale.as_ref().and_then(|scale| scale.healing_since);
         let Some(since) = healing.filter(|_| self.all_leased()) else {
             return;
         };
@@ -249,7 +250,7 @@
         if let Some(partition) = &mut scale.partition {
             partition.healed_ms = Some(milliseconds(self.now - since));
         }
-        scale.healing = None;
+        scale.healing_since = None;
     }
 
     /// Measures the time until those that ended for good are off the roster.
@@ -257,7 +258,7 @@
         let Some(scale) = &mut self.scale else {
             return;
         };
-        if scale.dead.is_empty() {
+        if scale.dead_on_roster.is_empty() {
             return;
         }
         let leader_log = self.processes[..self.disks.len()]
@@ -265,7 +266,7 @@
             .find_map(|process| process.node.as_ref()?.log());
         if let Some(log) = leader_log {
             let freed = scale
-                .dead
+                .dead_on_roster
                 .extract_if(.., |dead| !log.has_member(dead.member));
             let durations = freed.map(|dead| milliseconds(self.now - dead.ended));
             scale.durations.freed.extend(durations);
--- a/simulation/src/scale/report.rs
+++ b/simulation/src/scale/report.rs
@@ -124,7 +124,7 @@
     pub relay_bytes_s: f64,
     /// Messages of the one with the most.
     pub relay_messages_s: f64,
-    /// Of control, membership's; in the hollow tier `MEMBERSHIP`.
+    /// Of control, membership's; in the hollow tier `IDLE_MEMBERSHIP_TRAFFIC`.
     pub membership_bytes_s: f64,
     /// Messages likewise.
     pub membership_messages_s: f64,
--- a/simulation/src/scale/results.rs
+++ b/simulation/src/scale/results.rs
@@ -1,14 +1,17 @@
 //! The report of a run at scale.
 
 use super::measurement::{ScaleMeasurement, Traffic};
-use super::{DeadHolderReport, Quantiles, ScaleReport, Tier, MEMBERSHIP, MEMBERSHIP_AWAY};
+use super::{
+    DeadHolderReport, Quantiles, ScaleReport, Tier, IDLE_MEMBERSHIP_TRAFFIC,
+    MEMBERSHIP_TRAFFIC_PER_RESTART,
+};
 use crate::fault::{Time, SECOND};
 use crate::fleet::Simulation;
 
 /// Rates of messages of a run, a second.
 struct Rates<'a> {
     /// Seconds counted.
-    counted: f64,
+    measured_span: f64,
     /// Messages and bytes of membership that are added where gossip is not simulated.
     added_messages: f64,
     added_bytes: f64,
@@ -22,11 +25,11 @@
     /// The mean of those that run: one that was away for good takes no part in it.
     fn mean(&self, of: fn(&Traffic) -> u64) -> f64 {
         let sum: u64 = self.running.iter().map(|traffic| of(traffic)).sum();
-        sum as f64 / self.running.len().max(1) as f64 / self.counted
+        sum as f64 / self.running.len().max(1) as f64 / self.measured_span
     }
 
-    fn most(&self, all: &[Traffic], of: fn(&Traffic) -> u64) -> f64 {
-        all.iter().map(of).max().unwrap_or(0) as f64 / self.counted
+    fn max(&self, all: &[Traffic], of: fn(&Traffic) -> u64) -> f64 {
+        all.iter().map(of).max().unwrap_or(0) as f64 / self.measured_span
     }
 }
 
@@ -45,13 +48,13 @@
                 "{open} changes neither in force nor given up at the end"
             ));
         }
-        if !self.dead.is_empty() {
-            let count = self.dead.len();
+        if !self.dead_on_roster.is_empty() {
+            let count = self.dead_on_roster.len();
             notes.push(format!(
                 "{count} of the dead still on the roster at the end"
             ));
         }
-        if self.healing.is_some() {
+        if self.healing_since.is_some() {
             notes.push("not all act again after the cut".into());
         }
         if let Some(loss) = &self.ongoing_loss {
@@ -66,7 +69,7 @@
 
     /// Strict changes that may have waited for dead subscribers; none where there were no such.
     fn dead_holders(&self) -> Option<DeadHolderReport> {
-        if self.scenario.by_scope == 0 || self.gone.is_empty() {
+        if self.scenario.by_scope == 0 || self.dead_front_ends.is_empty() {
             return None;
         }
         let waiting = || self.changes.iter().filter(|change| change.waits_for_dead);
@@ -96,8 +99,8 @@
         let has_violations = !self.result.violations.is_empty();
         notes.append(&mut self.result.violations);
         let ok = !has_violations
-            && scale.began.is_some()
-            && scale.healing.is_none()
+            && scale.measurement_start.is_some()
+            && scale.healing_since.is_none()
             && scale.ongoing_loss.is_none()
             && scale.durations.start_join.len() >= self.processes.len();
         let report = self.traffic_report(&scale);
@@ -105,7 +108,7 @@
         ScaleReport {
             seed: self.result.seed,
             virtual_seconds: self.now as f64 / SECOND as f64,
-            start_seconds: scale.joined.unwrap_or(self.now) as f64 / SECOND as f64,
+            start_seconds: scale.all_joined_at.unwrap_or(self.now) as f64 / SECOND as f64,
             changes_requested: scale.changes.len() as u64,
             changes_of_requested: scale.changes_of_requested,
             changes_abandoned: scale.abandoned,
@@ -135,19 +138,19 @@
             view_members: known as f64 / running + 1.0,
             control_bytes_s: rates.mean(|t| t.bytes) + bytes,
             control_messages_s: rates.mean(|t| t.messages) + messages,
-            relay_bytes_s: rates.most(rates.others, |t| t.bytes) + bytes,
-            relay_messages_s: rates.most(rates.others, |t| t.messages) + messages,
+            relay_bytes_s: rates.max(rates.others, |t| t.bytes) + bytes,
+            relay_messages_s: rates.max(rates.others, |t| t.messages) + messages,
             membership_bytes_s: rates.mean(|t| t.gossip_bytes) + bytes,
             membership_messages_s: rates.mean(|t| t.gossip_messages) + messages,
-            voter_bytes_s: rates.most(rates.voters, |t| t.bytes) + bytes,
-            voter_messages_s: rates.most(rates.voters, |t| t.messages) + messages,
+            voter_bytes_s: rates.max(rates.voters, |t| t.bytes) + bytes,
+            voter_messages_s: rates.max(rates.voters, |t| t.messages) + messages,
             subscriptions: subscribed as f64 / running,
             ..ScaleReport::default()
         }
     }
 
     fn rates<'a>(&self, scale: &'a ScaleMeasurement) -> Rates<'a> {
-        let span: Time = self.now - scale.began.unwrap_or(self.now);
+        let span: Time = self.now - scale.measurement_start.unwrap_or(self.now);
         let voters = self.options.voters.min(scale.traffic.len());
         let (at_voters, others) = scale.traffic.split_at(voters);
         let running = others
@@ -156,13 +159,13 @@
             .filter(|(_, process)| process.node.is_some())
             .map(|(traffic, _)| traffic)
             .collect();
-        let away = scale.scenario.restarts_hour;
+        let away = scale.scenario.restarts_per_hour;
         let is_added = self.options.tier == Tier::Hollow;
         let added = |base: f64, each: f64| if is_added { base + each * away } else { 0.0 };
         Rates {
-            counted: span.max(1) as f64 / SECOND as f64,
-            added_messages: added(MEMBERSHIP.0, MEMBERSHIP_AWAY.0),
-            added_bytes: added(MEMBERSHIP.1, MEMBERSHIP_AWAY.1),
+            measured_span: span.max(1) as f64 / SECOND as f64,
+            added_messages: added(IDLE_MEMBERSHIP_TRAFFIC.0, MEMBERSHIP_TRAFFIC_PER_RESTART.0),
+            added_bytes: added(IDLE_MEMBERSHIP_TRAFFIC.1, MEMBERSHIP_TRAFFIC_PER_RESTART.1),
             others,
             running,
             voters: at_voters,
--- a/simulation/src/scale/scopes.rs
+++ b/simulation/src/scale/scopes.rs
@@ -9,19 +9,19 @@
 use tansy_agreement::scope::{ScopeTransaction, ScopeUpdate};
 
 /// Functions that a front end gets requests for, mean.
-const REQUESTED_FUNCTIONS: usize = 4;
+const MEAN_REQUESTED_FUNCTIONS: usize = 4;
 /// The time in which it gets them.
-const REQUEST_TIME: Time = 3 * SECOND;
+const REQUEST_WINDOW: Time = 3 * SECOND;
 /// Functions that are set up together.
-const SET_UP_TOGETHER: usize = 1500;
+const SETUP_BATCH: usize = 1500;
 /// The number from which on requests that set functions up count.
-const FIRST_SET_UP_REQUEST: u64 = 1 << 32;
+const FIRST_SETUP_REQUEST_ID: u64 = 1 << 32;
 /// Changes one after the other are of functions so far apart; a prime.
 const SCOPE_STRIDE: usize = 7919;
 
 fn draw_requests(rng: &mut fastrand::Rng, now: Time) -> (Time, usize) {
-    let at = now + rng.i64(0..REQUEST_TIME);
-    let scopes = 1 + rng.usize(0..2 * REQUESTED_FUNCTIONS - 1);
+    let at = now + rng.i64(0..REQUEST_WINDOW);
+    let scopes = 1 + rng.usize(0..2 * MEAN_REQUESTED_FUNCTIONS - 1);
     (at, scopes)
 }
 
@@ -42,9 +42,9 @@
         let (Some(scopes), Some(scale)) = (&mut self.scopes, &mut self.scale) else {
             return;
         };
-        let missing: Vec<String> = scopes.missing().take(SET_UP_TOGETHER).collect();
+        let missing: Vec<String> = scopes.missing().take(SETUP_BATCH).collect();
         let is_settled = scopes.is_settled();
-        let is_late = now - scale.joined.unwrap_or(now) > START_LIMIT;
+        let is_late = now - scale.all_joined_at.unwrap_or(now) > START_LIMIT;
         if is_late {
             scale.notes.push(format!(
                 "functions were not set up {} s after all acted",
@@ -58,7 +58,7 @@
             return self.schedule(now + SETTLE_TIME, Event::Scale(ScaleEvent::Begin));
         }
         scale.set_up_requests += u64::from(is_settled);
-        let id = FIRST_SET_UP_REQUEST + scale.set_up_requests;
+        let id = FIRST_SETUP_REQUEST_ID + scale.set_up_requests;
         let next = now + SECOND / 2;
         self.schedule(next, Event::Scale(ScaleEvent::SetUpScopes));
         if is_settled {
@@ -103,20 +103,25 @@
             return;
         };
         let scenario = &scale.scenario;
-        let (requested, by_dead) = (scenario.requested, scenario.requested_by_dead);
+        let (requested, by_dead) = (scenario.requested_share, scenario.requested_by_dead_share);
         let all: Vec<usize> = (0..self.processes.len()).collect();
-        let spread = index.wrapping_mul(SCOPE_STRIDE) % scopes.names.len().max(1);
-        let mut drawn = spread;
+        let default_scope = index.wrapping_mul(SCOPE_STRIDE) % scopes.names.len().max(1);
+        let mut drawn = default_scope;
         if requested + by_dead > 0.0 {
             let share = scopes.rng.f64();
-            let front_ends = if share < by_dead { &scale.gone } else { &all };
+            let front_ends = if share < by_dead {
+                &scale.dead_front_ends
+            } else {
+                &all
+            };
             if share < requested + by_dead {
-                drawn = scopes.draw_requested(front_ends).unwrap_or(spread);
+                drawn = scopes.draw_requested(front_ends).unwrap_or(default_scope);
             }
         }
         let change = &mut scale.changes[index];
         change.scope = Some(drawn);
-        change.waits_for_dead = change.is_strict && scopes.is_requested(&scale.gone, drawn);
+        change.waits_for_dead =
+            change.is_strict && scopes.is_requested(&scale.dead_front_ends, drawn);
         scale.changes_of_requested += u64::from(scopes.is_requested(&all, drawn));
     }
 
--- a/simulation/src/scale/workload.rs
+++ b/simulation/src/scale/workload.rs
@@ -8,23 +8,26 @@
 use tansy_agreement::log::LogEntry;
 
 /// An operator asks again so long after a request that nobody answered.
-const UNANSWERED_AFTER: Time = 5 * SECOND;
+const RESPONSE_TIMEOUT: Time = 5 * SECOND;
 
 impl ScaleScenario {
     fn hours(&self) -> f64 {
-        self.counted as f64 / (3600 * SECOND) as f64
+        self.measured_span as f64 / (3600 * SECOND) as f64
     }
 
     /// When changes are asked for, in order.
     fn change_times(&self, rng: &mut fastrand::Rng, now: Time) -> Vec<Time> {
-        let count = (self.changes_hour * self.hours()).round() as usize;
+        let count = (self.changes_per_hour * self.hours()).round() as usize;
         let mut times: Vec<Time> = (0..count)
-            .map(|_| now + rng.i64(0..self.counted * 4 / 5 + 1))
+            .map(|_| now + rng.i64(0..self.measured_span * 4 / 5 + 1))
             .collect();
-        times.extend(std::iter::repeat_n(now + self.counted * 3 / 10, self.burst));
-        if self.even_steps && self.changes_hour > 0.0 {
-            let step = 3600.0 * SECOND as f64 / self.changes_hour;
-            let count = (self.counted as f64 * 0.8 / step) as usize;
+        times.extend(std::iter::repeat_n(
+            now + self.measured_span * 3 / 10,
+            self.burst,
+        ));
+        if self.even_steps && self.changes_per_hour > 0.0 {
+            let step = 3600.0 * SECOND as f64 / self.changes_per_hour;
+            let count = (self.measured_span as f64 * 0.8 / step) as usize;
             times = (0..count)
                 .map(|index| now + (step * (index as f64 + 0.5)) as Time)
                 .collect();
@@ -53,17 +56,17 @@
             return;
         };
         let scenario = scale.scenario.clone();
-        scale.began = Some(now);
-        scale.end = now + scenario.counted;
+        scale.measurement_start = Some(now);
+        scale.end = now + scenario.measured_span;
         scale.traffic.fill(Traffic::default());
         let mut events = self.draw_changes(&scenario);
         let mut others: Vec<usize> = (self.options.voters..self.options.front_ends).collect();
         self.rng.shuffle(&mut others);
         events.extend(self.end_for_good(&mut others, scenario.dead));
         events.extend(self.draw_restarts(&scenario, &others));
-        let fifth = now + scenario.counted / 5;
-        if scenario.partitioned_regions > 0 && scenario.partition > 0 {
-            let until = fifth + scenario.partition;
+        let fifth = now + scenario.measured_span / 5;
+        if scenario.partitioned_regions > 0 && scenario.partition_span > 0 {
+            let until = fifth + scenario.partition_span;
             self.network
                 .partition_regions(scenario.partitioned_regions, fifth, until);
             events.push((fifth, Event::Scale(ScaleEvent::PartitionBegins)));
@@ -110,8 +113,8 @@
             let member = self.member(process);
             if let Some(scale) = &mut self.scale {
                 let dead = member.map(|member| DeadMember { member, ended: now });
-                scale.dead.extend(dead);
-                scale.gone.push(process);
+                scale.dead_on_roster.extend(dead);
+                scale.dead_front_ends.push(process);
             }
             events.push((now, Event::Stop { process }));
         }
@@ -124,9 +127,9 @@
         if others.is_empty() {
             return events;
         }
-        let count = (scenario.restarts_hour * scenario.hours()).round() as usize;
+        let count = (scenario.restarts_per_hour * scenario.hours()).round() as usize;
         for _ in 0..count {
-            let at = self.now + self.rng.i64(0..scenario.counted * 9 / 10 + 1);
+            let at = self.now + self.rng.i64(0..scenario.measured_span * 9 / 10 + 1);
             let process = others[self.rng.usize(0..others.len())];
             let back = at + self.rng.i64(2 * SECOND..10 * SECOND);
             events.push((at, Event::Stop { process }));
@@ -144,7 +147,7 @@
         if change.attempts != attempt || change.version.is_some() || change.is_over {
             return;
         }
-        let is_first_ask = attempt == 0 && scale.healing.is_none();
+        let is_first_ask = attempt == 0 && scale.healing_since.is_none();
         if let (Some(partition), true) = (&mut scale.partition, is_first_ask) {
             if change.is_strict {
                 partition.strict_requested += 1;
@@ -160,7 +163,7 @@
             change: index,
             attempt: change.attempts,
         };
-        self.schedule(self.now + UNANSWERED_AFTER, Event::Scale(event));
+        self.schedule(self.now + RESPONSE_TIMEOUT, Event::Scale(event));
         if self.scopes.is_none() {
             return self.request_version(index, is_strict);
         }
--- a/simulation/src/scopes/audit.rs
+++ b/simulation/src/scopes/audit.rs
@@ -2,7 +2,7 @@
 
 use super::agreed::AuditKey;
 use super::Scopes;
-use crate::fleet::{Event, PlantedDefect, Simulation};
+use crate::fleet::{Event, InjectedDefect, Simulation};
 use tansy_agreement::log::{ApplyOutcome, Log, Revision};
 use tansy_agreement::scope::{ScopeChange, ScopePhase};
 use tansy_fleet_node::{Command, FleetEvent, FleetNode};
@@ -60,7 +60,9 @@
                 }
             }
             Command::Notify(FleetEvent::Leadership { is_live: true })
-                if self.options.has_defect(PlantedDefect::NoneHold) =>
+                if self
+                    .options
+                    .has_defect(InjectedDefect::ForgottenSubscriptions) =>
             {
                 self.forget_subscriptions(index);
             }
@@ -123,7 +125,7 @@
         };
         let before = scopes.agreed.revision;
         let (changed, violations) = scopes.agreed.follow(log, &self.schema);
-        if self.options.has_defect(PlantedDefect::NoHolders) {
+        if self.options.has_defect(InjectedDefect::IgnoredSubscribers) {
             let is_joint =
                 |change: &ScopeChange| matches!(change.record.phase, ScopePhase::Joint { .. });
             let new = log.state().history.since(before).into_iter().flatten();
--- a/simulation/src/scopes/defects.rs
+++ b/simulation/src/scopes/defects.rs
@@ -35,7 +35,7 @@
 }
 
 impl Simulation<'_> {
-    /// [`crate::fleet::PlantedDefect::NoneHold`]: the leader that begins takes each on its roster for one without
+    /// [`crate::fleet::InjectedDefect::ForgottenSubscriptions`]: the leader that begins takes each on its roster for one without
     /// subscriptions.
     pub(super) fn forget_subscriptions(&mut self, index: usize) {
         let Some(node) = self.processes[index].node.as_ref() else {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// [`crate::fleet::PlantedDefect::NoHolders`]: a change comes in force once every lease expired or was renewed,
+    /// [`crate::fleet::InjectedDefect::IgnoredSubscribers`]: a change comes in force once every lease expired or was renewed,
     /// whoever is subscribed to the scope.
     pub(crate) fn advance_scope_early(&mut self, scope: String, since: Revision) {
         let Some((leader, _)) = self.leader() else {
@@ -79,7 +79,7 @@
         self.request(leader, 0, entry);
     }
 
-    /// [`crate::fleet::PlantedDefect::LateDrop`]: what was unsubscribed once is unsubscribed again with every later
+    /// [`crate::fleet::InjectedDefect::RepeatedUnsubscribe`]: what was unsubscribed once is unsubscribed again with every later
     /// message.
     pub(crate) fn repeat_unsubscribed(&mut self, body: &mut MessageBody) {
         if let (MessageBody::Subscribe(request), Some(scopes)) = (body, &mut self.scopes) {
--- a/simulation/src/scopes/workload.rs
+++ b/simulation/src/scopes/workload.rs
@@ -8,9 +8,9 @@
 use tansy_agreement::subscription::IDLE_TIMEOUT;
 
 /// Requests that a front end gets in a second.
-const REQUESTS: i64 = 3;
+const REQUESTS_PER_SECOND: i64 = 3;
 /// Changes asked for in a run.
-const CHANGES: usize = 40;
+const CHANGES_PER_RUN: usize = 40;
 
 impl Scopes {
     /// Draws a change of one to three scopes.
@@ -56,17 +56,17 @@
         let Some(mut scopes) = self.scopes.take() else {
             return;
         };
-        let end = self.options.faults_until + self.options.calm;
+        let end = self.options.faults_until + self.options.recovery_time;
         for process in 0..self.options.front_ends {
-            for _ in 0..end / SECOND * REQUESTS {
+            for _ in 0..end / SECOND * REQUESTS_PER_SECOND {
                 let at: Time = scopes.rng.i64(SECOND..end);
                 let expire = scopes.rng.u32(0..3) == 0;
                 self.schedule(at, Event::Request { process, expire });
             }
         }
-        for _ in 0..CHANGES {
+        for _ in 0..CHANGES_PER_RUN {
             let at = scopes.rng.i64(2 * SECOND..self.options.faults_until);
-            self.schedule(at, Event::ChangeScopes { again: None });
+            self.schedule(at, Event::ChangeScopes { repeat_of: None });
         }
         self.scopes = Some(scopes);
     }
@@ -88,14 +88,14 @@
     }
 
     /// An operator changes one to three scopes, or repeats an earlier request.
-    pub(crate) fn change_scopes(&mut self, again: Option<u64>) {
+    pub(crate) fn change_scopes(&mut self, repeat_of: Option<u64>) {
         let Some((leader, _)) = self.leader() else {
             return;
         };
         let Some(scopes) = &mut self.scopes else {
             return;
         };
-        let repeated = again.and_then(|id| scopes.transactions.get(&id).cloned());
+        let repeated = repeat_of.and_then(|id| scopes.transactions.get(&id).cloned());
         let transaction = repeated.unwrap_or_else(|| scopes.draw_transaction());
         let id = transaction.id;
         let is_new = scopes
@@ -104,7 +104,12 @@
             .is_none();
         if is_new && scopes.rng.u32(0..3) == 0 {
             let at = self.now + scopes.rng.i64(0..3 * SECOND);
-            self.schedule(at, Event::ChangeScopes { again: Some(id) });
+            self.schedule(
+                at,
+                Event::ChangeScopes {
+                    repeat_of: Some(id),
+                },
+            );
         }
         let transactions = vec![transaction];
         self.request(leader, id, LogEntry::UpdateScopes { transactions });
--- a/simulation/tests/fleet.rs
+++ b/simulation/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Fleets in virtual time: faults cause no violation, planted defects are found, and a run depends on its seed alone.
 
 use tansy_simulation::fleet::{
-    faults, many, run, run_with_faults, shortest_faults, PlantedDefect, SimulationOptions,
+    faults, many, run, run_with_faults, shortest_faults, InjectedDefect, SimulationOptions,
     SimulationSummary,
 };
 
@@ -18,7 +18,7 @@
     summary
 }
 
-fn with_defect(defect: PlantedDefect) -> SimulationOptions {
+fn with_defect(defect: InjectedDefect) -> SimulationOptions {
     SimulationOptions {
         defect: Some(defect),
         ..SimulationOptions::of(7)
@@ -75,7 +75,7 @@
 }
 
 /// The first seed with which a planted defect is found.
-fn seed_that_finds(defect: PlantedDefect, seeds: u64) -> u64 {
+fn seed_that_finds(defect: InjectedDefect, seeds: u64) -> u64 {
     let options = with_defect(defect);
     (1..=seeds)
         .find(|seed| !run(&options, *seed).violations.is_empty())
@@ -85,11 +85,11 @@
 #[test]
 fn each_planted_defect_is_found() {
     for (defect, seeds) in [
-        (PlantedDefect::CountedFromAnswer, 200),
-        (PlantedDefect::NoJoint, 20),
-        (PlantedDefect::Unsynced, 300),
-        (PlantedDefect::WildClock, 300),
-        (PlantedDefect::NoRoster, 100),
+        (InjectedDefect::LeaseFromGrantArrival, 200),
+        (InjectedDefect::SkippedJointPhase, 20),
+        (InjectedDefect::UnpersistedSends, 300),
+        (InjectedDefect::ClockBeyondBound, 300),
+        (InjectedDefect::IgnoredRoster, 100),
     ] {
         seed_that_finds(defect, seeds);
     }
@@ -97,8 +97,8 @@
 
 #[test]
 fn a_violation_comes_with_a_short_list_of_faults_that_still_shows_it() {
-    let options = with_defect(PlantedDefect::CountedFromAnswer);
-    let seed = seed_that_finds(PlantedDefect::CountedFromAnswer, 200);
+    let options = with_defect(InjectedDefect::LeaseFromGrantArrival);
+    let seed = seed_that_finds(InjectedDefect::LeaseFromGrantArrival, 200);
     let (all, shortest) = (faults(&options, seed), shortest_faults(&options, seed));
     assert!(
         shortest.len() < all.len(),
--- a/simulation/tests/message_size.rs
+++ b/simulation/tests/message_size.rs
@@ -1,4 +1,4 @@
-//! The size that the simulation computes of a message is that of the encoded message.
+//! The message size that the simulation computes equals the length of the encoded message.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -7,9 +7,7 @@
 use tansy_agreement::lease::{LeaseGrant, LeaseRequest, Member};
 use tansy_agreement::lease_tree::LeaseMessage;
 use tansy_agreement::log::{Canary, ChangePhase, FleetState, Revision, Version, VersionedSettings};
-use tansy_agreement::scope::{
-    ChangeHistory, ScopeChange, ScopePhase as Stands, ScopeRecord, StateDelta,
-};
+use tansy_agreement::scope::{ChangeHistory, ScopeChange, ScopePhase, ScopeRecord, StateDelta};
 use tansy_agreement::session;
 use tansy_agreement::subscription::{ResyncEpoch, SubscribeReply, SubscribeRequest};
 use tansy_fleet_node::{Leader, MessageBody};
@@ -17,7 +15,7 @@
 use tansy_membership::NodeId;
 use tansy_simulation::message_size::message_size;
 
-/// Numbers of all lengths, nought among them.
+/// A number whose encoded length varies over the full range, zero included.
 fn number(rng: &mut fastrand::Rng) -> u64 {
     if rng.u32(0..8) == 0 {
         0
@@ -100,18 +98,18 @@
     }
 }
 
-fn scoped(rng: &mut fastrand::Rng) -> ScopeRecord {
+fn scope_record(rng: &mut fastrand::Rng) -> ScopeRecord {
     let (since, next) = (Revision(number(rng)), rng.bool().then(|| fields(rng)));
-    let standing = match rng.u32(0..4) {
-        0 => Stands::Settled,
-        1 => Stands::Joint { next, since },
-        2 => Stands::Settling { since },
-        _ => Stands::Reverting { since },
+    let phase = match rng.u32(0..4) {
+        0 => ScopePhase::Settled,
+        1 => ScopePhase::Joint { next, since },
+        2 => ScopePhase::Settling { since },
+        _ => ScopePhase::Reverting { since },
     };
     ScopeRecord {
         revision: Revision(number(rng)),
         fields: rng.bool().then(|| fields(rng)),
-        phase: standing,
+        phase,
     }
 }
 
@@ -120,7 +118,7 @@
         Arc::new(ScopeChange {
             revision: Revision(number(rng)),
             scope: text(rng),
-            record: scoped(rng),
+            record: scope_record(rng),
         })
     };
     let (from, to) = (Revision(number(rng)), Revision(number(rng)));
@@ -138,19 +136,20 @@
     }
 }
 
-fn want(rng: &mut fastrand::Rng) -> SubscribeRequest {
+fn subscribe_request(rng: &mut fastrand::Rng) -> SubscribeRequest {
     let numbers = |rng: &mut fastrand::Rng| {
         (0..rng.usize(0..20))
             .map(|_| number(rng))
             .collect::<Vec<_>>()
     };
-    let (from, epoch, seq, at) = (member(rng), epoch(rng), number(rng), Revision(number(rng)));
+    let (from, epoch, seq, revision) =
+        (member(rng), epoch(rng), number(rng), Revision(number(rng)));
     let scopes = (0..rng.usize(0..5)).map(|_| text(rng)).collect();
     SubscribeRequest {
         from,
         epoch,
         seq,
-        revision: at,
+        revision,
         scopes,
         unsubscribed: numbers(rng),
         full_list: rng.bool().then(|| numbers(rng)),
@@ -158,20 +157,20 @@
 }
 
 fn reply(rng: &mut fastrand::Rng) -> SubscribeReply {
-    let (to, epoch, at) = (member(rng), epoch(rng), Revision(number(rng)));
+    let (to, epoch, revision) = (member(rng), epoch(rng), Revision(number(rng)));
     let seq = rng.bool().then(|| 1 + (number(rng) >> 1));
-    let one = |rng: &mut fastrand::Rng| (text(rng), rng.bool().then(|| scoped(rng)));
+    let one = |rng: &mut fastrand::Rng| (text(rng), rng.bool().then(|| scope_record(rng)));
     SubscribeReply {
         to,
         epoch,
         seq,
-        revision: at,
+        revision,
         scopes: (0..rng.usize(0..5)).map(|_| one(rng)).collect(),
     }
 }
 
-fn line(rng: &mut fastrand::Rng) -> EndpointRecord {
-    let standing = rng
+fn endpoint_record(rng: &mut fastrand::Rng) -> EndpointRecord {
+    let state = rng
         .choice([
             EndpointState::Ready,
             EndpointState::Draining,
@@ -184,7 +183,7 @@
             address: text(rng),
         },
         incarnation: number(rng),
-        state: standing,
+        state,
     }
 }
 
@@ -224,13 +223,13 @@
         }),
         6 => {
             let scopes = rng.bool();
-            let ask = session::SessionRequest {
+            let request = session::SessionRequest {
                 from: member(rng),
                 seq: number(rng),
                 revision: revision(rng),
                 supports_scopes: scopes,
             };
-            MessageBody::SessionRequest(ask, text(rng), number(rng))
+            MessageBody::SessionRequest(request, text(rng), number(rng))
         }
         7 => MessageBody::SessionGrant(session::SessionGrant {
             to: member(rng),
@@ -239,11 +238,13 @@
         }),
         8 => MessageBody::Departed(member(rng)),
         9 => MessageBody::Drains(
-            (0..rng.usize(0..20)).map(|_| line(rng)).collect(),
+            (0..rng.usize(0..20))
+                .map(|_| endpoint_record(rng))
+                .collect(),
             rng.bool(),
         ),
         10 => MessageBody::DrainDigest(number(rng)),
-        11 => MessageBody::Subscribe(want(rng)),
+        11 => MessageBody::Subscribe(subscribe_request(rng)),
         12 => MessageBody::SubscribeReply(reply(rng)),
         _ if rng.bool() => MessageBody::Consensus(bytes(rng)),
         _ => MessageBody::HeaderOnly,
@@ -251,7 +252,7 @@
 }
 
 #[test]
-fn a_letter_is_as_long_as_it_is_counted() {
+fn message_size_matches_the_encoded_length() {
     let mut rng = fastrand::Rng::with_seed(1);
     for _ in 0..4000 {
         let address = match rng.bool() {
@@ -264,17 +265,17 @@
             renewals: rng.u32(0..3),
             address,
         };
-        let root = Leader {
+        let leader = Leader {
             term: number(&mut rng),
             id: number(&mut rng),
         };
         let body = body(&mut rng);
-        let counted = message_size(&from, root, &body);
-        let told = format!("{body:?}");
+        let counted = message_size(&from, leader, &body);
+        let message_debug = format!("{body:?}");
         assert_eq!(
-            encode_message(u64::MAX, &from, root, body).len(),
+            encode_message(u64::MAX, &from, leader, body).len(),
             counted,
-            "{told}"
+            "{message_debug}"
         );
     }
 }
--- a/simulation/tests/scale.rs
+++ b/simulation/tests/scale.rs
@@ -2,7 +2,7 @@
 //! audit finds in it what is planted.
 
 use tansy_simulation::fault::SECOND;
-use tansy_simulation::fleet::{run as agree, PlantedDefect, SimulationOptions};
+use tansy_simulation::fleet::{run as agree, InjectedDefect, SimulationOptions};
 use tansy_simulation::scale::{run, ScaleReport, ScaleScenario, Tier, REGION_NETWORK};
 
 fn options(tier: Tier, front_ends: usize, scenario: ScaleScenario) -> SimulationOptions {
@@ -20,10 +20,10 @@
 
 fn busy() -> ScaleScenario {
     ScaleScenario {
-        counted: 30 * SECOND,
+        measured_span: 30 * SECOND,
         regions: 2,
-        changes_hour: 1200.0,
-        restarts_hour: 240.0,
+        changes_per_hour: 1200.0,
+        restarts_per_hour: 240.0,
         ..ScaleScenario::default()
     }
 }
@@ -41,9 +41,9 @@
 #[test]
 fn the_hollow_tier_measures_what_the_whole_one_does() {
     let scenario = ScaleScenario {
-        counted: 60 * SECOND,
-        changes_hour: 1800.0,
-        restarts_hour: 0.0,
+        measured_span: 60 * SECOND,
+        changes_per_hour: 1800.0,
+        restarts_per_hour: 0.0,
         ..busy()
     };
     let both = |seed| {
@@ -76,7 +76,7 @@
 fn a_run_depends_on_its_seed_alone() {
     let scenario = ScaleScenario {
         partitioned_regions: 1,
-        partition: 8 * SECOND,
+        partition_span: 8 * SECOND,
         dead: 1,
         ..busy()
     };
@@ -89,9 +89,9 @@
 fn a_region_cut_off_loses_its_leases_and_comes_back() {
     let scenario = ScaleScenario {
         partitioned_regions: 1,
-        partition: 10 * SECOND,
+        partition_span: 10 * SECOND,
         regions: 4,
-        restarts_hour: 0.0,
+        restarts_per_hour: 0.0,
         strict_every: 0,
         ..busy()
     };
@@ -112,8 +112,8 @@
     let scenario = ScaleScenario {
         dead: 2,
         regions: 1,
-        restarts_hour: 0.0,
-        counted: 40 * SECOND,
+        restarts_per_hour: 0.0,
+        measured_span: 40 * SECOND,
         ..busy()
     };
     let report = run(&options(Tier::Hollow, 30, scenario), 2);
@@ -136,8 +136,8 @@
     let scenario = ScaleScenario {
         rack: 6,
         regions: 4,
-        counted: 60 * SECOND,
-        restarts_hour: 0.0,
+        measured_span: 60 * SECOND,
+        restarts_per_hour: 0.0,
         ..busy()
     };
     let report = run(&options(Tier::Hollow, 40, scenario.clone()), 1);
@@ -175,9 +175,9 @@
 fn a_zone_that_ends_comes_back_and_is_called_again() {
     let scenario = ScaleScenario {
         zone: 5,
-        zone_away: 8 * SECOND,
+        zone_downtime: 8 * SECOND,
         regions: 4,
-        restarts_hour: 0.0,
+        restarts_per_hour: 0.0,
         by_scope: 100,
         ..busy()
     };
@@ -186,7 +186,7 @@
             Tier::Hollow,
             40,
             ScaleScenario {
-                counted: 60 * SECOND,
+                measured_span: 60 * SECOND,
                 ..scenario
             },
         ),
@@ -216,10 +216,10 @@
 fn a_rolling_restart_takes_one_part_after_the_other() {
     let rolling = |parts| ScaleScenario {
         rolling: parts,
-        rolling_away: 6 * SECOND,
-        restarts_hour: 0.0,
+        rolling_downtime: 6 * SECOND,
+        restarts_per_hour: 0.0,
         strict_every: 1,
-        counted: 120 * SECOND,
+        measured_span: 120 * SECOND,
         ..busy()
     };
     let [four, ten] = [4, 10].map(|parts| run(&options(Tier::Hollow, 40, rolling(parts)), 3));
@@ -244,8 +244,8 @@
 fn a_rolling_restart_that_does_not_end_is_not_ok() {
     let scenario = ScaleScenario {
         rolling: 20,
-        rolling_away: 2 * SECOND,
-        restarts_hour: 0.0,
+        rolling_downtime: 2 * SECOND,
+        restarts_per_hour: 0.0,
         ..busy()
     };
     let report = run(&options(Tier::Hollow, 40, scenario), 3);
@@ -268,9 +268,9 @@
 fn changes_in_even_steps_do_not_meet() {
     let scenario = ScaleScenario {
         regions: 1,
-        restarts_hour: 0.0,
+        restarts_per_hour: 0.0,
         strict_every: 0,
-        changes_hour: 14_400.0,
+        changes_per_hour: 14_400.0,
         ..busy()
     };
     let alike = run(&options(Tier::Hollow, 20, scenario.clone()), 4);
@@ -296,9 +296,9 @@
 #[test]
 fn the_audit_finds_planted_defects_in_the_hollow_tier() {
     for (defect, seeds) in [
-        (PlantedDefect::NoJoint, 20),
-        (PlantedDefect::NoRoster, 100),
-        (PlantedDefect::WildClock, 300),
+        (InjectedDefect::SkippedJointPhase, 20),
+        (InjectedDefect::IgnoredRoster, 100),
+        (InjectedDefect::ClockBeyondBound, 300),
     ] {
         let options = SimulationOptions {
             defect: Some(defect),
--- a/simulation/tests/scopes.rs
+++ b/simulation/tests/scopes.rs
@@ -2,7 +2,7 @@
 //! changes functions one by one.
 
 use tansy_simulation::fault::{Time, SECOND};
-use tansy_simulation::fleet::{many, run, PlantedDefect, SimulationOptions};
+use tansy_simulation::fleet::{many, run, InjectedDefect, SimulationOptions};
 use tansy_simulation::scale::{run as run_at_scale, ScaleScenario, Tier, REGION_NETWORK};
 
 fn with_scopes() -> SimulationOptions {
@@ -84,10 +84,10 @@
 #[test]
 fn each_planted_defect_with_scopes_is_found() {
     for (defect, seeds) in [
-        (PlantedDefect::NoHolders, 20),
-        (PlantedDefect::NoneHold, 60),
-        (PlantedDefect::OldReply, 60),
-        (PlantedDefect::LateDrop, 60),
+        (InjectedDefect::IgnoredSubscribers, 20),
+        (InjectedDefect::ForgottenSubscriptions, 60),
+        (InjectedDefect::OldReplyAsCurrent, 60),
+        (InjectedDefect::RepeatedUnsubscribe, 60),
     ] {
         let planted = SimulationOptions {
             defect: Some(defect),
@@ -109,9 +109,9 @@
 #[test]
 fn a_fleet_at_its_size_changes_functions_one_by_one() {
     let by_scope = ScaleScenario {
-        counted: 20 * SECOND,
+        measured_span: 20 * SECOND,
         regions: 2,
-        changes_hour: 7200.0,
+        changes_per_hour: 7200.0,
         by_scope: 200,
         ..ScaleScenario::default()
     };
@@ -131,15 +131,15 @@
 #[test]
 fn a_strict_change_that_a_dead_front_end_is_subscribed_to_waits_and_others_do_not() {
     let scenario = ScaleScenario {
-        counted: 60 * SECOND,
-        changes_hour: 3600.0,
+        measured_span: 60 * SECOND,
+        changes_per_hour: 3600.0,
         strict_every: 2,
         by_scope: 400,
         dead: 2,
         ..ScaleScenario::default()
     };
     let of_dead = ScaleScenario {
-        requested_by_dead: 0.3,
+        requested_by_dead_share: 0.3,
         ..scenario.clone()
     };
     let dead = run_at_scale(&at_scale(30 * SECOND, of_dead), 1);
@@ -166,7 +166,7 @@
     // Changes of functions to which only live front ends are subscribed wait for nobody.
     let of_live = ScaleScenario {
         dead: 0,
-        requested: 1.0,
+        requested_share: 1.0,
         ..scenario
     };
     let live = run_at_scale(&at_scale(30 * SECOND, of_live), 1);
