--- a/simulation/src/cli/agree.rs
+++ b/simulation/src/cli/agree.rs
@@ -1,4 +1,4 @@
-//! `tansy-sim agree`: fleets through faults.
+//! `tansy-sim agree`: simulates agreement on settings under faults.
 
 use super::{lease_span, plot_or_fail, print_json, SeedArguments};
 use crate::fleet::{
@@ -10,42 +10,42 @@
 
 #[derive(clap::Args)]
 pub(super) struct AgreeArguments {
-    /// Front ends, the voters among them; several sizes are simulated one after the other.
+    /// Number of front ends, voters included; several sizes are simulated one after the other.
     #[arg(long, value_delimiter = ',', default_value = "7")]
     front_ends: Vec<usize>,
-    /// How many of them are voters, which keep the log: 1, 3, 5 or 7.
+    /// Number of voters, which keep the replicated log: 1, 3, 5 or 7.
     #[arg(long = "seats", default_value_t = 1)]
     voters: usize,
-    /// Front ends beside the voters that may become voters.
+    /// Number of further front ends that may become voters.
     #[arg(long, default_value_t = 0)]
     spares: usize,
-    /// How often one of these is to replace a voter.
+    /// Number of voter replacements.
     #[arg(long, default_value_t = 0)]
     replacements: usize,
-    /// How many seeds.
+    /// Number of seeds.
     #[arg(long, default_value_t = 1000)]
     seeds: u64,
     #[command(flatten)]
     seed_arguments: SeedArguments,
-    /// Plants a defect: the audit should find violations.
+    /// Injects a defect, which the audit should detect.
     #[arg(long)]
     plant: Option<InjectedDefect>,
-    /// Simulates one seed alone, and prints the shortest list of faults with which it has a violation, if it has one.
+    /// Simulates only this seed; if it has a violation, prints a minimal list of faults that reproduces one.
     #[arg(long)]
     seed: Option<u64>,
-    /// No faults but lost and duplicated messages.
+    /// Disables all faults except lost and duplicated messages.
     #[arg(long)]
     quiet: bool,
-    /// Functions that are changed by scope beside the versions.
+    /// Number of functions whose settings are changed by scope, in addition to the versions.
     #[arg(long, default_value_t = 0)]
     scopes: usize,
-    /// A lease's length, milliseconds.
+    /// Lease duration in milliseconds.
     #[arg(long, default_value_t = 600)]
     lease: i64,
-    /// One line of JSON for each size.
+    /// Prints one line of JSON for each size.
     #[arg(long)]
     json: bool,
-    /// Draws the time until a change is in force against the fleet's size into this file (SVG).
+    /// Plots the time until a change is in force against the fleet size into this SVG file.
     #[arg(long)]
     plot: Option<PathBuf>,
 }
@@ -97,7 +97,7 @@
     options
 }
 
-/// Simulates one seed, and if it has a violation prints the shortest list of faults with which it has one. Whether it has.
+/// Simulates one seed and returns whether it has a violation; if so, prints a minimal list of faults that reproduces one.
 fn run_one(options: &SimulationOptions, seed: u64) -> bool {
     let result = simulate(options, seed);
     print_json(&result);
--- a/simulation/src/cli/mod.rs
+++ b/simulation/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line of `tansy-sim` and of its former name `tansy-lab`.
+//! The command line of `tansy-sim` and of its alias `tansy-lab`.
 
 mod agree;
 mod roll;
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Fleets of front ends in virtual time.
+/// Simulates fleets of front ends in virtual time.
 #[derive(Parser)]
 struct Arguments {
     #[command(subcommand)]
@@ -19,12 +19,13 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Versions of settings through kills, pauses, cuts and clocks of different rates. Ends with 1 if a run has a violation.
+    /// Simulates agreement on settings under kills, pauses, network faults and clock drift. Exits with 1 if a run has a
+    /// violation.
     Agree(agree::AgreeArguments),
-    /// Rollouts in stages: how often a change with a regression is stopped, and one without effect.
+    /// Simulates staged rollouts: how often changes with and without a regression are stopped.
     Roll(roll::RollArguments),
-    /// A fleet at its size: what control costs, and how long changes take. One line for each size and seed; ends with 1 if
-    /// one was not ok.
+    /// Simulates a large fleet: the cost of control traffic and the time that changes take. Prints one line for each size and
+    /// seed; exits with 1 if a run was not ok.
     Size(size::SizeArguments),
 }
 
@@ -37,19 +38,19 @@
     }
 }
 
-/// Where the seeds begin and on how many threads they are simulated, which each command takes.
+/// Arguments shared by all commands: the first seed and the number of threads.
 #[derive(clap::Args)]
 struct SeedArguments {
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     from: u64,
-    /// Threads, each with one seed at a time; 0: as many as there are cores. The result does not depend on it.
+    /// Threads, each simulating one seed at a time; 0 means one per core. The result does not depend on their number.
     #[arg(long, default_value_t = 0)]
     threads: usize,
 }
 
 impl SeedArguments {
-    /// So many threads as are asked for; for 0 as many as there are cores.
+    /// The number of threads to use, with 0 resolved to the number of cores.
     fn threads(&self) -> usize {
         if self.threads > 0 {
             return self.threads;
@@ -58,15 +59,15 @@
     }
 }
 
-/// The longest lease that a command line may ask for, milliseconds.
+/// Upper bound on the lease duration given on the command line, in milliseconds.
 const LONGEST_LEASE_MS: i64 = 3_600_000;
 
-/// The length of a lease that a command line gives in milliseconds.
+/// Converts a lease duration given in milliseconds, clamped to the permitted range.
 fn lease_span(milliseconds: i64) -> Time {
     milliseconds.clamp(1, LONGEST_LEASE_MS) * 1000
 }
 
-/// Draws a plot into a file, if one is asked for; ends with 2 if that fails.
+/// Draws a plot if a path is given; on failure prints the error and returns exit code 2.
 fn plot_or_fail(
     path: Option<PathBuf>,
     draw: impl FnOnce(&PathBuf) -> Result<(), PlotError>,
@@ -80,7 +81,7 @@
     }
 }
 
-/// One line of JSON.
+/// Prints a value as one line of JSON.
 fn print_json(value: &impl serde::Serialize) {
     println!("{}", serde_json::to_string(value).unwrap_or_default());
 }
--- a/simulation/src/cli/roll.rs
+++ b/simulation/src/cli/roll.rs
@@ -1,4 +1,4 @@
-//! `tansy-sim roll`: changes in stages.
+//! `tansy-sim roll`: simulates staged rollouts.
 
 use super::{plot_or_fail, print_json, SeedArguments};
 use crate::rollout::{many, DecisionRule, Regression, RolloutOptions, RolloutSummary};
@@ -7,32 +7,33 @@
 
 #[derive(clap::Args)]
 pub(super) struct RollArguments {
-    /// Rollouts of each sort.
+    /// Number of rollouts for each combination of rule and regression.
     #[arg(long, default_value_t = 200)]
     rolls: u64,
     #[command(flatten)]
     seed_arguments: SeedArguments,
-    /// Front ends.
+    /// Number of front ends.
     #[arg(long, default_value_t = 30)]
     front_ends: usize,
-    /// Requests a second at a front end of mean traffic.
+    /// Mean request rate of a front end, per second.
     #[arg(long, default_value_t = 40.0)]
     rate: f64,
-    /// Only rollouts of a change without effect.
+    /// Simulates only changes without a regression.
     #[arg(long)]
     null: bool,
-    /// Beside the canary analysis the two fixed rules: a threshold on the difference between the sides, and on that to the own past.
+    /// Also simulates two fixed threshold rules: on the difference between changed and unchanged front ends, and on the
+    /// difference from the loss before the change.
     #[arg(long)]
     plain: bool,
-    /// One line of JSON for each sort.
+    /// Prints one line of JSON for each combination of rule and regression.
     #[arg(long)]
     json: bool,
-    /// Draws the share stopped against the loss into this file (SVG).
+    /// Plots the share of stopped rollouts against the loss into this SVG file.
     #[arg(long)]
     plot: Option<PathBuf>,
 }
 
-/// The changes that are simulated, one after the other.
+/// The simulated regressions.
 const REGRESSIONS: [Regression; 13] = [
     Regression::None,
     Regression::All(0.03),
@@ -49,7 +50,7 @@
     Regression::Doubles,
 ];
 
-/// The rules that are simulated with `--plain`; the first alone without.
+/// The simulated decision rules; without `--plain` only the first.
 const RULES: [DecisionRule; 3] = [
     DecisionRule::Verdict,
     DecisionRule::Threshold(0.01),
--- a/simulation/src/cli/size.rs
+++ b/simulation/src/cli/size.rs
@@ -1,4 +1,4 @@
-//! `tansy-sim size`: a fleet at its size.
+//! `tansy-sim size`: measures control traffic and change latency of large fleets.
 
 use super::{lease_span, print_json, SeedArguments};
 use crate::fault::{Time, SECOND};
@@ -9,109 +9,110 @@
 
 #[derive(clap::Args)]
 pub(super) struct SizeArguments {
-    /// Front ends, the voters among them; several sizes are simulated one after the other.
+    /// Number of front ends, voters included; several sizes are simulated one after the other.
     #[arg(long, value_delimiter = ',', default_value = "300")]
     front_ends: Vec<usize>,
-    /// Whether each front end finds the others itself.
+    /// How front ends discover each other.
     #[arg(long, value_enum, default_value = "whole")]
     tier: Tier,
-    /// How many seeds.
+    /// Number of seeds.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
     #[command(flatten)]
     seed_arguments: SeedArguments,
     #[command(flatten)]
     fleet: FleetArguments,
-    /// One line of JSON for each size and seed.
+    /// Prints one line of JSON for each size and seed.
     #[arg(long)]
     json: bool,
 }
 
-/// The fleet and what befalls it: taken from the command line, and printed with what was measured.
+/// The fleet and its scenario, as given on the command line and repeated in the JSON output.
 #[derive(Clone, clap::Args, Serialize)]
 struct FleetArguments {
-    /// How many of the front ends are voters, which keep the log: 1, 3, 5 or 7.
+    /// Number of voters, which keep the replicated log: 1, 3, 5 or 7.
     #[arg(long = "seats", default_value_t = 5)]
     #[serde(rename = "seats")]
     voters: usize,
-    /// Regions, 40 to 80 ms apart one way; inside one up to 3 ms.
+    /// Number of regions; one-way transit takes 40 to 80 ms between regions and up to 3 ms within one.
     #[arg(long, default_value_t = 1)]
     regions: usize,
-    /// Simulated time that is counted, once all act, seconds.
+    /// Length of the measurement in simulated seconds, after all front ends have joined.
     #[arg(long, default_value_t = 60)]
     seconds: i64,
-    /// Changes requested in an hour.
+    /// Changes requested per hour.
     #[arg(long, default_value_t = 0.0)]
     changes_hour: f64,
-    /// One of so many is of a strict field; 0: none.
+    /// One change in this many is of a strict field; 0 for none.
     #[arg(long, default_value_t = 4)]
     strict_every: usize,
-    /// Changes requested at one moment beside these.
+    /// Number of further changes requested at the same moment.
     #[arg(long, default_value_t = 0)]
     burst: usize,
-    /// Processes that end without notice in an hour and are back after 2 to 10 s.
+    /// Processes that crash per hour and restart after 2 to 10 s.
     #[arg(long = "away-hour", default_value_t = 0.0)]
     #[serde(rename = "away_hour")]
     restarts_per_hour: f64,
-    /// Front ends that end without notice and for good when counting begins.
+    /// Number of front ends that crash permanently when the measurement begins.
     #[arg(long, default_value_t = 0)]
     dead: usize,
-    /// Regions that are partitioned from all others, from a fifth of the time on.
+    /// Number of regions isolated from all others, starting at a fifth of the measurement.
     #[arg(long = "cut-regions", default_value_t = 0)]
     #[serde(rename = "cut_regions")]
     partitioned_regions: usize,
-    /// How long they are, seconds.
+    /// Duration of the partition in seconds.
     #[arg(long = "cut-seconds", default_value_t = 3600)]
     #[serde(rename = "cut_seconds")]
     partition_seconds: i64,
-    /// A session's length, seconds.
+    /// Session duration in seconds.
     #[arg(long = "stay", default_value_t = 3600)]
     #[serde(rename = "stay_seconds")]
     session: i64,
-    /// A lease's length, milliseconds.
+    /// Lease duration in milliseconds.
     #[arg(long, default_value_t = 600)]
     #[serde(rename = "lease_ms")]
     lease: i64,
-    /// Functions in the settings, two fields each.
+    /// Number of functions in the settings, with two fields each.
     #[arg(long, default_value_t = 0)]
     functions: usize,
-    /// Changes go to single functions, of so many, by scope, instead of versions.
+    /// Number of functions changed individually by scope; 0 to change versions instead.
     #[arg(long, default_value_t = 0)]
     by_scope: usize,
-    /// Changes come in even steps over four fifths of the time, at their rate.
+    /// Spaces the changes evenly over the first four fifths of the measurement.
     #[arg(long = "evenly")]
     #[serde(rename = "evenly", serialize_with = "as_number")]
     even_steps: bool,
-    /// Share of the changes by scope that go to functions which a front end gets requests for.
+    /// Share of the scope changes that affect functions for which some front end receives requests.
     #[arg(long = "held", default_value_t = 0.0)]
     #[serde(rename = "held")]
     requested_share: f64,
-    /// Share of them that go to functions which one that ended for good got requests for.
+    /// Share of the scope changes that affect functions for which a permanently crashed front end received requests.
     #[arg(long = "held-by-dead", default_value_t = 0.0)]
     #[serde(rename = "held_by_dead")]
     requested_by_dead_share: f64,
-    /// Front ends of one rack, which end at once, without notice and for good, at a fifth of the time.
+    /// Number of front ends in one rack, all of which crash permanently at a fifth of the measurement.
     #[arg(long, default_value_t = 0, conflicts_with_all = ["zone", "rolling"])]
     rack: usize,
-    /// One of so many zones ends then, and is back later.
+    /// Number of zones, one of which crashes at a fifth of the measurement and restarts later.
     #[arg(long, default_value_t = 0, conflicts_with = "rolling")]
     zone: usize,
-    /// After so long, seconds.
+    /// Time until the crashed zone restarts, in seconds.
     #[arg(long, default_value_t = 20)]
     zone_seconds: i64,
-    /// The rack or zone is that of the leader, else one without voters.
+    /// Crashes the rack or zone of the leader instead of one without voters.
     #[arg(long = "with-root")]
     #[serde(rename = "with_root", serialize_with = "as_number")]
     with_leader: bool,
-    /// Rolling restart from a fifth of the time on, in so many parts, each once the one before acts again.
+    /// Number of batches of a rolling restart that starts at a fifth of the measurement; each batch waits until the previous
+    /// one has joined again.
     #[arg(long, default_value_t = 0)]
     rolling: usize,
-    /// A part is away for so long, seconds; those that end notify the others.
+    /// Downtime of each batch in seconds; its processes shut down gracefully.
     #[arg(long, default_value_t = 2)]
     rolling_seconds: i64,
 }
 
-/// A flag as recorded runs carry it: 0 or 1.
+/// Serializes a flag as 0 or 1, the format of recorded runs.
 #[expect(
     clippy::trivially_copy_pass_by_ref,
     reason = "serde gives serializers a reference"
@@ -120,7 +121,7 @@
     serializer.serialize_u8(u8::from(*flag))
 }
 
-/// One line of JSON: what was asked for, and what was measured.
+/// The JSON output for one size and seed: the arguments and the measurements.
 #[derive(Serialize)]
 struct Line<'a> {
     tool: &'a str,
@@ -134,7 +135,7 @@
     report: &'a ScaleReport,
 }
 
-/// A fleet of one size, as it is simulated.
+/// A fleet of one size with its normalized arguments.
 struct Fleet {
     front_ends: usize,
     tier: Tier,
@@ -165,7 +166,7 @@
 }
 
 impl Fleet {
-    /// Spans of what does not happen are 0.
+    /// Clamps the arguments and sets the durations of unused events to 0.
     fn new(arguments: &SizeArguments, front_ends: usize) -> Fleet {
         let front_ends = front_ends.clamp(2, 1 << 16);
         let fleet = &arguments.fleet;
@@ -196,7 +197,7 @@
         options
     }
 
-    /// What befalls the fleet once all act.
+    /// The scenario that starts once all front ends have joined.
     fn scenario(&self) -> ScaleScenario {
         let arguments = &self.arguments;
         ScaleScenario {
@@ -223,7 +224,7 @@
         }
     }
 
-    /// The command that runs one seed of this fleet again.
+    /// The command line that reproduces one seed of this fleet.
     fn command(&self, seed: u64) -> String {
         let arguments = &self.arguments;
         format!(
@@ -297,7 +298,7 @@
 }
 
 impl FleetArguments {
-    /// The flags of a scenario, as far as they differ from their defaults.
+    /// The scenario flags that differ from their defaults.
     fn scenario_flags(&self) -> String {
         let all = [
             (self.even_steps, " --evenly".into()),
