--- a/simulation/src/bin/tansy-lab.rs
+++ b/simulation/src/bin/tansy-lab.rs
@@ -1,4 +1,4 @@
-//! `tansy-lab`, the former name of `tansy-sim`: takes the same command line.
+//! `tansy-lab`: the former name of `tansy-sim`, with the same command line.
 
 use std::process::ExitCode;
 
--- a/simulation/src/fault.rs
+++ b/simulation/src/fault.rs
@@ -1,64 +1,64 @@
-//! What goes wrong, when, and for how long; and the shortest list of it that still shows a failure.
+//! Faults injected into a run, and the minimization of a list of faults that reproduces a failure.
 
-/// Virtual time, microseconds.
+/// Virtual time in microseconds.
 pub type Time = i64;
-/// A second of it.
+/// One second of virtual time.
 pub const SECOND: Time = 1_000_000;
 
-/// One thing that goes wrong. Processes by their index, as in [`crate::fleet`]: the first voter is number 0.
+/// A fault. Processes are identified by their index, as in [`crate::fleet`]; index 0 is the first voter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// A process ends at once and is started again, from nothing or from what its disk holds.
+    /// A process is killed and later restarted with what its disk has persisted, if it has a disk.
     Kill {
-        /// Which process.
+        /// Index of the affected process.
         process: usize,
-        /// When.
+        /// Start of the fault.
         start: Time,
-        /// How long it is away.
+        /// Time until the restart.
         downtime: Time,
     },
-    /// A process is stopped and goes on where it was.
+    /// A process is suspended and later resumed with its state intact.
     Pause {
-        /// Which process.
+        /// Index of the affected process.
         process: usize,
-        /// When.
+        /// Start of the fault.
         start: Time,
-        /// For how long.
+        /// Duration of the fault.
         duration: Time,
     },
-    /// No message passes from one process to another; the other direction is not affected.
+    /// Messages from one process to another are lost; the reverse direction works.
     LinkCut {
-        /// The process whose messages are lost.
+        /// The sender of the lost messages.
         sender: usize,
-        /// The process that does not get them.
+        /// The receiver of the lost messages.
         receiver: usize,
-        /// When.
+        /// Start of the fault.
         start: Time,
-        /// For how long.
+        /// Duration of the fault.
         duration: Time,
     },
-    /// No message passes between these processes and the others.
+    /// Messages between these processes and all others are lost.
     Partition {
-        /// One side.
+        /// The processes on one side of the partition.
         side: Vec<usize>,
-        /// When.
+        /// Start of the fault.
         start: Time,
-        /// For how long.
+        /// Duration of the fault.
         duration: Time,
     },
-    /// Every message takes longer, by up to a time.
+    /// Every message is delayed by an additional random time.
     Delay {
-        /// When.
+        /// Start of the fault.
         start: Time,
-        /// For how long.
+        /// Duration of the fault.
         duration: Time,
-        /// The most that is added.
+        /// Upper bound on the added delay.
         max_delay: Time,
     },
 }
 
 impl Fault {
-    /// When it begins.
+    /// The start of the fault.
     pub fn start(&self) -> Time {
         match self {
             Fault::Kill { start, .. }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// How long it lasts.
+    /// The duration of the fault.
     pub fn duration(&self) -> Time {
         match self {
             Fault::Kill { downtime, .. } => *downtime,
@@ -80,14 +80,14 @@
         }
     }
 
-    /// Whether it is under way at this time.
+    /// Whether the fault is active at `now`.
     pub fn is_active(&self, now: Time) -> bool {
         self.start() <= now && now < self.start() + self.duration()
     }
 }
 
-/// Draws what goes wrong in a run: some faults of every sort, all over by `until`. In one of three runs seven in ten front
-/// ends are killed within a second.
+/// Draws the faults of a run, which end by `until`. One run in three also kills about 70% of the front ends within one
+/// second.
 pub fn draw_faults(rng: &mut fastrand::Rng, front_ends: usize, until: Time) -> Vec<Fault> {
     let count = 4 + rng.usize(0..8);
     let mut faults: Vec<Fault> = (0..count)
@@ -109,14 +109,14 @@
     faults
 }
 
-/// Draws one fault that is over by `until`.
+/// Draws one fault that ends by `until`.
 fn draw_fault(rng: &mut fastrand::Rng, front_ends: usize, until: Time) -> Fault {
     let start = rng.i64(SECOND..until * 3 / 4);
     let longest = (until - start).min(12 * SECOND);
     let duration = rng.i64(SECOND / 50..longest);
     let process = rng.usize(0..front_ends);
     match rng.u32(0..10) {
-        // A voter that is back at once has granted leases that it knows nothing of.
+        // A voter that restarts quickly has lost track of leases that it granted and that are still valid.
         0 => Fault::Kill {
             process: 0,
             start,
@@ -155,7 +155,7 @@
     }
 }
 
-/// The shortest list that still fails, as far as taking out halves, quarters and so on down to single faults finds it.
+/// Minimizes a list of faults for which `fails` holds by removing ever smaller chunks, down to single faults.
 pub fn shrink(faults: Vec<Fault>, mut fails: impl FnMut(&[Fault]) -> bool) -> Vec<Fault> {
     let mut kept = faults;
     let mut chunk = kept.len().div_ceil(2).max(1);
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -1,8 +1,7 @@
-//! A fleet of front ends in virtual time.
+//! Discrete-event simulation of a fleet of front ends in virtual time.
 //!
-//! The packages under `decide/` run here as they run in a front end; the network, the disks, the clocks and what goes wrong
-//! with them are simulated. A run depends on its seed alone: same seed, same result, on any machine and with any number
-//! of threads.
+//! The crates under `decide/` run unmodified; the network, disks, clocks and their faults are simulated. A run is
+//! deterministic: its result depends only on the seed, not on the machine or the number of threads.
 
 pub mod cli;
 pub mod fault;
@@ -14,7 +13,7 @@
 pub mod scale;
 mod scopes;
 
-/// Simulates seeds `from` to `from + seeds` on so many threads. The order of what comes back is that of the threads.
+/// Simulates the seeds `from..from + seeds` on `threads` threads. The results are in no particular order.
 fn run_seeds<T: Send>(
     from: u64,
     seeds: u64,
--- a/simulation/src/message_size.rs
+++ b/simulation/src/message_size.rs
@@ -1,4 +1,6 @@
-//! What a message takes on a link, without writing it: the bytes of the message of `protocol/fleet`, not of what carries it.
+//! The encoded size of fleet messages, computed without encoding them.
+//!
+//! The size is that of the protobuf message of `protocol/fleet`, without transport overhead.
 
 use std::net::SocketAddr;
 use tansy_agreement::compatibility::{Fields, Value};
@@ -11,18 +13,18 @@
 use tansy_fleet_node::{Leader, MessageBody};
 use tansy_membership::NodeId;
 
-/// Bytes of a message. `tests/message_size.rs` compares it with encoded messages.
+/// The encoded size of a message in bytes. `tests/message_size.rs` checks it against the encoder.
 pub fn message_size(from: &NodeId, leader: Leader, body: &MessageBody) -> usize {
     let sender = fixed(from.id)
         + varint(from.incarnation)
         + varint(from.renewals.into())
         + delimited(address(&from.address));
-    // The format and the fleet's number, which is a hash.
+    // The format version, and the fleet id as a 64-bit hash.
     let header = 2 + 9;
     header + delimited(sender) + varint(leader.term) + fixed(leader.id) + body_size(body)
 }
 
-/// The characters of an address.
+/// The length of an address in text form.
 fn address(address: &SocketAddr) -> usize {
     let SocketAddr::V4(v4) = address else {
         return address.to_string().len();
@@ -37,12 +39,12 @@
     digits + separators + decimal_digits(v4.port())
 }
 
-/// The bytes of seven bits that a number takes.
+/// The number of bytes of a varint.
 fn varint_len(number: u64) -> usize {
     (64 - (number | 1).leading_zeros() as usize).div_ceil(7)
 }
 
-/// A field of a number of variable length; zero is not written.
+/// A varint field; zero is omitted.
 fn varint(number: u64) -> usize {
     if number == 0 {
         0
@@ -51,7 +53,7 @@
     }
 }
 
-/// A field of a number of 64 bits; zero is not written.
+/// A fixed64 field; zero is omitted.
 fn fixed(number: u64) -> usize {
     if number == 0 {
         0
@@ -60,12 +62,12 @@
     }
 }
 
-/// A field with a length before its bytes.
+/// A length-delimited field of `len` bytes.
 fn delimited(len: usize) -> usize {
     1 + varint_len(len as u64) + len
 }
 
-/// The same, where nothing is written for an empty one.
+/// A length-delimited field that is omitted when empty.
 fn text(len: usize) -> usize {
     if len == 0 {
         0
@@ -74,7 +76,7 @@
     }
 }
 
-/// A field of a flag; one that is not set is not written.
+/// A boolean field; `false` is omitted.
 fn flag(set: bool) -> usize {
     if set {
         2
@@ -83,7 +85,7 @@
     }
 }
 
-/// So many numbers of a fixed length, written together.
+/// A packed repeated fixed64 field of `count` numbers.
 fn packed(count: usize) -> usize {
     text(8 * count)
 }
@@ -97,7 +99,7 @@
 }
 
 fn body_size(body: &MessageBody) -> usize {
-    // From the 16th field on its number takes two bytes.
+    // The tag of a field with a number of 16 or more takes two bytes, hence the additional 1 in some arms.
     match body {
         MessageBody::Gossip(bytes) => delimited(bytes.len()),
         MessageBody::Lease(message) => lease_message(message),
@@ -149,7 +151,7 @@
         + delta
 }
 
-/// The endpoints that are not ready; the others are not written.
+/// The drain records; those of ready endpoints are omitted.
 fn drains(records: &[EndpointRecord]) -> usize {
     let record = |record: &EndpointRecord| {
         delimited(
--- a/simulation/src/network.rs
+++ b/simulation/src/network.rs
@@ -1,17 +1,17 @@
-//! The network between processes, as the faults of a run leave it.
+//! The simulated network between processes, with message loss, duplication, delays, link faults and partitions.
 
 use crate::fault::{Fault, Time, SECOND};
 
-/// How messages travel when nothing is wrong.
+/// Transit times and loss in the absence of faults.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkProfile {
-    /// Shortest transit time.
+    /// Minimum transit time.
     pub min_transit: Time,
-    /// Longest transit time.
+    /// Maximum transit time.
     pub max_transit: Time,
-    /// Share that is lost.
+    /// Fraction of messages that are lost.
     pub loss: f64,
-    /// Share that arrives twice.
+    /// Fraction of messages that are delivered twice.
     pub duplication: f64,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Regions that are partitioned from all others between two times: so many, the last ones.
+/// A partition that isolates each of the last `regions` regions from all others, from `start` to `end`.
 #[derive(Clone, Copy, Debug)]
 struct RegionPartition {
     regions: usize,
@@ -34,21 +34,22 @@
     end: Time,
 }
 
-/// Where and when messages get through.
+/// Decides whether and when messages are delivered.
 #[derive(Clone, Debug)]
 pub struct Network {
     profile: NetworkProfile,
     faults: Vec<Fault>,
-    /// Transit time between two regions, if there are any; front ends are placed in them in turn.
+    /// Additional transit time by pair of regions; empty with a single region. Front ends are assigned to regions
+    /// round-robin.
     inter_region_transit: Vec<Vec<Time>>,
     partition: Option<RegionPartition>,
 }
 
-/// Shortest and max_transit transit time between two regions.
+/// Minimum and maximum transit time between two regions.
 const INTER_REGION_TRANSIT: (Time, Time) = (SECOND / 25, SECOND * 2 / 25);
 
 impl Network {
-    /// A network of one region, with those of the faults that concern it.
+    /// A network of one region, subject to the network faults among `faults`.
     pub fn new(profile: NetworkProfile, faults: &[Fault]) -> Network {
         let of_network =
             |fault: &&Fault| !matches!(fault, Fault::Kill { .. } | Fault::Pause { .. });
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Places the front ends in so many regions, and draws the transit time between each two of them.
+    /// Distributes the front ends over `regions` regions and draws the transit time of each pair of regions.
     pub fn place_in_regions(&mut self, regions: usize, rng: &mut fastrand::Rng) {
         let regions = regions.max(1);
         self.inter_region_transit = vec![vec![0; regions]; regions];
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Partitions the last regions, each from all others, in this time.
+    /// Isolates each of the last `regions` regions from all others between `start` and `end`.
     pub fn partition_regions(&mut self, regions: usize, start: Time, end: Time) {
         self.partition = Some(RegionPartition {
             regions: regions.min(self.inter_region_transit.len().saturating_sub(1)),
@@ -82,7 +83,7 @@
         });
     }
 
-    /// How many regions there are.
+    /// The number of regions.
     pub fn regions(&self) -> usize {
         self.inter_region_transit.len().max(1)
     }
@@ -92,19 +93,20 @@
         process % self.regions()
     }
 
-    /// Whether regions are partitioned at this time.
+    /// Whether a partition of regions is active at `now`.
     pub fn is_partitioned(&self, now: Time) -> bool {
         self.partition
             .is_some_and(|p| p.regions > 0 && p.start <= now && now < p.end)
     }
 
-    /// The side of a partition on which a front end is: 0 with most regions, else one for each region partitioned off.
+    /// The side of the partition that a front end is on: 0 for the regions that stay connected, otherwise one side for each
+    /// isolated region.
     pub fn side(&self, process: usize) -> usize {
         let main_regions = self.regions() - self.partitioned_regions();
         (self.region(process) + 1).saturating_sub(main_regions)
     }
 
-    /// How many sides there are.
+    /// The number of sides of the partition.
     pub fn sides(&self) -> usize {
         1 + self.partitioned_regions()
     }
@@ -113,7 +115,7 @@
         self.partition.map_or(0, |partition| partition.regions)
     }
 
-    /// When the copies of a message that is sent now arrive, as far as they do.
+    /// The arrival time of each delivered copy of a message sent at `now`; empty if the message is lost.
     pub fn delivery_times(
         &self,
         rng: &mut fastrand::Rng,
@@ -136,13 +138,13 @@
             return Vec::new();
         }
         let copies = 1 + usize::from(rng.f64() < self.profile.duplication);
-        // Each copy takes its own time, so that messages overtake each other.
+        // Each copy draws its own delay, so that messages can be reordered.
         (0..copies)
             .map(|_| now + delay + rng.i64(self.profile.min_transit..=self.profile.max_transit))
             .collect()
     }
 
-    /// What the faults of this moment add to the transit time; none: they let nothing through.
+    /// The delay that the active faults add to the transit time; `None` if they block the message.
     fn fault_delay(
         &self,
         rng: &mut fastrand::Rng,
--- a/simulation/src/plot.rs
+++ b/simulation/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of what simulations measured, as SVG.
+//! SVG plots of simulation results.
 
 use crate::fleet::SimulationSummary;
 use crate::rollout::{DecisionRule, Regression, RolloutSummary};
@@ -7,18 +7,18 @@
 
 type DrawingError = DrawingAreaErrorKind<std::io::Error>;
 
-/// A plot that could not be drawn.
+/// Why a plot could not be drawn.
 #[derive(Debug, thiserror::Error)]
 pub enum PlotError {
-    /// There is nothing to draw: a plot needs the summary of one size at min_size.
+    /// There are no summaries to plot.
     #[error("no size was simulated")]
     NoSummary,
-    /// The file could not be written, or the chart not be laid out.
+    /// The chart could not be laid out or the file not be written.
     #[error("{}: {source}", path.display())]
     Drawing {
-        /// The file of the plot.
+        /// The output file.
         path: PathBuf,
-        /// What went wrong there.
+        /// The underlying error.
         source: DrawingError,
     },
 }
@@ -32,7 +32,8 @@
     }
 }
 
-/// Time from a proposal to force everywhere against the fleet's size, median and 99th percentile.
+/// Plots the time from the proposal of a version until it is in force at every front end against the fleet size, as median
+/// and 99th percentile.
 pub fn in_force(path: &Path, summaries: &[SimulationSummary]) -> Result<(), PlotError> {
     let sizes: Vec<f64> = summaries.iter().map(|s| s.front_ends as f64).collect();
     let (Some(min_size), Some(max_size)) = (
@@ -109,7 +110,7 @@
     Ok(())
 }
 
-/// Share of rollouts stopped against the share that the change loses, for each rule that was simulated.
+/// Plots the share of stopped rollouts against the share of requests that the change loses, for each decision rule.
 pub fn stopped(path: &Path, summaries: &[RolloutSummary]) -> Result<(), PlotError> {
     let percent_lost = |regression: Regression| match regression {
         Regression::None => Some(0.0),
--- a/simulation/tests/message_size.rs
+++ b/simulation/tests/message_size.rs
@@ -169,7 +169,7 @@
     }
 }
 
-fn endpoint_record(rng: &mut fastrand::Rng) -> EndpointRecord {
+fn record(rng: &mut fastrand::Rng) -> EndpointRecord {
     let state = rng
         .choice([
             EndpointState::Ready,
@@ -238,9 +238,7 @@
         }),
         8 => MessageBody::Departed(member(rng)),
         9 => MessageBody::Drains(
-            (0..rng.usize(0..20))
-                .map(|_| endpoint_record(rng))
-                .collect(),
+            (0..rng.usize(0..20)).map(|_| record(rng)).collect(),
             rng.bool(),
         ),
         10 => MessageBody::DrainDigest(number(rng)),
