--- a/simulation/src/fleet/audit.rs
+++ b/simulation/src/fleet/audit.rs
@@ -1,4 +1,5 @@
-//! The audit: all voters have one log, no front end acts on what contradicts it, and all agree again at the end.
+//! The audit: all voters apply the same log, no front end acts on settings that contradict it, and all processes agree
+//! again at the end.
 
 use super::process::{Authority, Process};
 use super::{InjectedDefect, Simulation};
@@ -11,37 +12,37 @@
 use tansy_agreement::log::{ChangePhase, FleetState, LogEntry, Version};
 use tansy_fleet_node::FleetNode;
 
-/// A front end that lost its lease so shortly before the end is not one that found no way back.
+/// A lease lost within this time before the end of the run is not a violation.
 const LEASE_LOSS_TOLERANCE: Time = 2 * SECOND;
 
-/// What the audit knows of a run.
+/// The state of the audit of a run.
 #[derive(Default)]
 pub(super) struct Audit {
-    /// What is agreed on, as the voter has it that applied most.
+    /// The agreed state, taken from the voter that has applied the most entries.
     agreed: Option<AgreedState>,
-    /// What voters had after each number of entries.
+    /// The log content of the voters, by number of applied entries.
     logs: BTreeMap<u64, AppliedLog>,
-    /// The voters, by what is agreed on.
+    /// The agreed set of voters.
     pub(super) voters: Vec<u64>,
-    /// What was compared: a revision, a version in force, and an authority.
+    /// Comparisons already made: revision acted on, agreed version in force, and authority.
     compared: BTreeSet<(u64, u64, Authority)>,
-    /// When each version was first seen in the agreed log.
+    /// The time at which each version first appeared in the agreed log.
     proposed: BTreeMap<Version, Time>,
-    /// The last version in force that is not everywhere yet, and when it was proposed.
+    /// The latest version in force that some front ends do not act on yet, and the time of its proposal.
     awaited: Option<(Version, Time)>,
-    /// A process that was behind the awaited version when last looked at.
+    /// A process that was behind the awaited version at the last check.
     lagging: usize,
 }
 
-/// What is agreed on.
+/// The agreed state.
 struct AgreedState {
-    /// Entries applied.
+    /// Number of applied entries.
     entries: u64,
     state: Rc<FleetState>,
     has_open_changes: bool,
 }
 
-/// What a voter has after a number of entries.
+/// The log content of a voter after a number of entries.
 #[derive(Clone, PartialEq)]
 struct AppliedLog {
     state: Rc<FleetState>,
@@ -49,18 +50,18 @@
 }
 
 impl Simulation<'_> {
-    /// Compares what a process knows to be agreed on with the others: all have to have one order of it.
+    /// Checks that the log of a process equals that of all others after the same number of entries.
     pub(super) fn audit_log(&mut self, index: usize) {
         let process = &mut self.processes[index];
         let Some((applied, log)) = process.node.as_ref().and_then(FleetNode::applied_log) else {
             return;
         };
-        // A log is another only when more was applied to it.
+        // The log can only have changed if further entries were applied.
         let audited = Some((process.incarnation, applied));
         if std::mem::replace(&mut process.audited, audited) == audited {
             return;
         }
-        // An unchanged state is shared, not copied: there is one for each number of entries.
+        // `logs` holds one state for each number of entries; unchanged states are shared to save memory.
         let agreed = self.audit.agreed.as_ref().map(|agreed| &agreed.state);
         let state = agreed
             .filter(|state| ***state == *log.state())
@@ -87,7 +88,7 @@
         }
     }
 
-    /// More is agreed on than before: everyone is audited by it.
+    /// Advances the agreed state and audits all processes against it.
     fn advance_agreed(
         &mut self,
         index: usize,
@@ -108,7 +109,7 @@
             has_open_changes,
         });
         let scopes_changed = self.follow_scopes(index);
-        // An entry about members changes nothing that is acted on.
+        // Entries that only concern members do not change the settings.
         if scopes_changed || state_changed {
             for process in 0..self.processes.len() {
                 self.audit_process(process);
@@ -130,7 +131,7 @@
         self.audit.voters = voters;
     }
 
-    /// Notes when versions are proposed and come in force.
+    /// Records when versions are proposed and come into force.
     fn track_versions(&mut self, state: &FleetState) {
         let audit = &mut self.audit;
         if let Some((next, _)) = &state.next {
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Measures the time until a version is in force at every front end that runs.
+    /// Measures the time until a version is in force at every running front end.
     pub(super) fn measure_in_force(&mut self) {
         self.measure_scopes_in_force();
         let Some((version, since)) = self.audit.awaited else {
@@ -158,7 +159,7 @@
             }
             _ => false,
         };
-        // The one that was behind is looked at first: while it is, no other needs to be.
+        // Check the process that was last behind first: while it still is, the others need no check.
         let count = self.processes.len();
         let behind = (0..count)
             .map(|offset| (self.audit.lagging + offset) % count)
@@ -175,7 +176,7 @@
         self.audit.awaited = None;
     }
 
-    /// Compares what a process would act on now with what is in force by the agreed log.
+    /// Compares the settings that a process would act on now with those in force according to the agreed log.
     pub(super) fn audit_process(&mut self, index: usize) {
         self.audit_scopes(index);
         let process = &self.processes[index];
@@ -194,7 +195,7 @@
             );
             return self.report_violation(index, violation);
         }
-        // The same revision was compared with the same version before.
+        // Each combination needs only one comparison.
         let comparison = (revision.0, in_force.version.0, authority);
         if !self.audit.compared.insert(comparison) {
             return;
@@ -216,7 +217,8 @@
         }
     }
 
-    /// At the end, once all faults are over, every process has to act on what is agreed on, and every change to be over.
+    /// Checks at the end of the run, after all faults, that every process acts on the agreed state and that no change is
+    /// pending.
     pub(super) fn audit_end(&mut self) {
         for index in 0..self.processes.len() {
             self.account(index);
@@ -233,7 +235,7 @@
         }
     }
 
-    /// What a process lacks to act on what is agreed on; none: nothing.
+    /// Why a process does not act on the agreed state; `None` if it does.
     fn missing_at_end(&self, process: &Process) -> Option<String> {
         let agreed = self.audit.agreed.as_ref();
         let agreed_revision = agreed.map(|agreed| agreed.state.revision);
--- a/simulation/src/fleet/event.rs
+++ b/simulation/src/fleet/event.rs
@@ -9,28 +9,28 @@
 use tansy_fleet_node::{Leader, MessageBody};
 use tansy_membership::NodeId;
 
-/// A message under way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 pub(crate) struct Message {
     pub(crate) sender: NodeId,
-    /// The leader that the sender knows.
+    /// The leader known to the sender.
     pub(crate) leader: Leader,
     pub(crate) body: MessageBody,
 }
 
 impl Message {
-    /// The bytes that it takes on the wire.
+    /// The encoded size in bytes.
     pub(crate) fn size(&self) -> u64 {
         message_size(&self.sender, self.leader, &self.body) as u64
     }
 }
 
-/// Something that happens in a run. Processes by their index.
+/// An event of a run. Processes are identified by their index.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// A message arrives.
+    /// A message arrives at a process.
     Message { to: usize, message: Box<Message> },
-    /// A deadline of a process is due, at this local time.
+    /// A deadline of a process, in its local time, is due.
     Timer {
         process: usize,
         incarnation: u64,
@@ -38,33 +38,33 @@
     },
     /// A process starts.
     Start { process: usize },
-    /// A process ends without notice.
+    /// A process crashes.
     Stop { process: usize },
-    /// A process notifies the others, and ends.
+    /// A process notifies the others and exits.
     Leave { process: usize },
-    /// A process stands still.
+    /// A process is suspended.
     Pause { process: usize },
-    /// A process goes on.
+    /// A suspended process resumes.
     Resume { process: usize },
     /// An operator proposes a version.
     Propose,
-    /// An operator has a voter replaced.
+    /// An operator requests the replacement of a voter.
     ReplaceVoter,
-    /// An operator abandons the change under way.
+    /// An operator abandons the pending version change.
     Abandon,
-    /// A front end gets a request; with `expire` it is as if its last request of this scope were long ago.
+    /// A front end receives a request for a scope; `expire` backdates the request so that the subscription becomes idle.
     Request { process: usize, expire: bool },
-    /// An operator changes scopes; with `again` as an earlier request did.
+    /// An operator changes scopes, or repeats the request with the id `repeat_of`.
     ChangeScopes { repeat_of: Option<u64> },
-    /// A planted defect brings a change in force early.
+    /// An injected defect puts a change into force early.
     AdvanceScope { scope: String, since: Revision },
-    /// A record that a process wrote is on its disk.
+    /// A record written by a process has been persisted.
     Persisted { process: usize, incarnation: u64 },
-    /// An event of a measurement at scale.
+    /// An event of a scenario at scale.
     Scale(ScaleEvent),
 }
 
-/// An event at its time; of two at one time the one that was scheduled first comes first.
+/// A scheduled event. Events at the same time are processed in the order in which they were scheduled.
 struct Scheduled {
     at: Time,
     number: u64,
@@ -72,7 +72,7 @@
 }
 
 impl Ord for Scheduled {
-    /// The first to come is the largest.
+    /// Reversed, because `BinaryHeap` pops the largest element first.
     fn cmp(&self, other: &Scheduled) -> Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
@@ -92,7 +92,7 @@
 
 impl Eq for Scheduled {}
 
-/// The events to come.
+/// The pending events, ordered by time.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Scheduled>,
@@ -109,7 +109,7 @@
         });
     }
 
-    /// The next event and its time.
+    /// Removes the next event and returns it with its time.
     pub(super) fn pop(&mut self) -> Option<(Time, Event)> {
         let next = self.heap.pop()?;
         Some((next.at, next.event))
--- a/simulation/src/fleet/lifecycle.rs
+++ b/simulation/src/fleet/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Processes start, end, stand still and go on.
+//! Starting, stopping, suspending and resuming processes.
 
 use super::process::{address_of, draw_clock_offset, id_of};
 use super::{settings, InjectedDefect, Simulation};
@@ -8,7 +8,7 @@
 use tansy_membership::{GossipTiming, NodeId};
 
 impl Simulation<'_> {
-    /// Starts a process, unless it is started, with what its disk has.
+    /// Starts a process with the state on its disk, unless it is already running.
     pub(super) fn start(&mut self, index: usize) {
         if self.processes[index].node.is_some() {
             return;
@@ -19,7 +19,7 @@
         process.accounted = self.now;
         process.started = self.now;
         process.joined = false;
-        // A new process has a clock of its own beginning.
+        // Monotonic clocks restart at an arbitrary value.
         process.clock_offset = draw_clock_offset(&mut self.rng);
         let local_now = process.local_time(self.now);
         let functions = self
@@ -73,7 +73,7 @@
         }
     }
 
-    /// What a voter takes strict fields for.
+    /// The compatibility that candidates assign to strict fields.
     fn strict_compatibility(&self) -> Compatibility {
         if self.options.has_defect(InjectedDefect::IgnoredRoster) {
             Compatibility::Free
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A process ends; `notified`: the others were notified of it.
+    /// Stops a process; `notified` tells whether it notified the others first.
     pub(super) fn stop(&mut self, index: usize, notified: bool) {
         self.account(index);
         self.on_process_end(index, notified);
@@ -91,7 +91,7 @@
         process.paused = None;
         process.scheduled_deadline = crate::fault::Time::MAX;
         if let Some(disk) = self.disks.get_mut(index) {
-            // What was not persisted is lost, or some of it, or none.
+            // A random prefix of the unpersisted records survives the crash.
             let survives = self.rng.usize(0..=disk.written.len());
             for _ in 0..survives {
                 disk.persist_next();
@@ -101,7 +101,7 @@
         }
     }
 
-    /// A process stands still; one that does already goes on doing so.
+    /// Suspends a process; no effect if it is already suspended.
     pub(super) fn pause(&mut self, index: usize) {
         self.account(index);
         let process = &mut self.processes[index];
@@ -112,7 +112,7 @@
         }
     }
 
-    /// A process goes on: first with what its disk persisted meanwhile, then with the messages that arrived.
+    /// Resumes a process: it first handles the records persisted meanwhile, then the queued messages.
     pub(super) fn resume(&mut self, index: usize) {
         let messages = self.processes[index].paused.take().unwrap_or_default();
         let disk = self.disks.get_mut(index);
@@ -126,8 +126,8 @@
         self.step_node(index, FleetNode::tick);
     }
 
-    /// The next record of a process is on its disk. The disk goes on while the process stands still, which is notified
-    /// of it when it goes on.
+    /// Persists the next record of a process and notifies it. The disk keeps writing while the process is suspended; the
+    /// notification is then deferred until it resumes.
     pub(super) fn on_persisted(&mut self, index: usize, incarnation: u64) {
         let process = &self.processes[index];
         if process.incarnation != incarnation || process.node.is_none() {
@@ -150,7 +150,7 @@
         });
     }
 
-    /// Counts the time that a process was up, and without a lease or a session.
+    /// Updates the uptime totals of a process.
     pub(crate) fn account(&mut self, index: usize) {
         let now = self.now;
         self.processes[index].account(now);
--- a/simulation/src/fleet/mod.rs
+++ b/simulation/src/fleet/mod.rs
@@ -1,12 +1,12 @@
-//! Simulated fleets: settings versions and scopes agreed on by the voters and leased to front ends, through faults.
+//! Simulation of fleets under faults: voters agree on settings versions and scopes and lease them to front ends.
 //!
-//! What is audited is what each front end would act on at every moment, against the agreed log, with all clocks at rates of
-//! their own. The simulation knows the true time; no front end does.
+//! Whenever a process runs or the agreed state changes, the audit compares the settings that front ends would act on with
+//! the agreed log. Every process has its own clock rate; only the simulation knows the true time.
 //!
-//! A run is one `Simulation`: an event queue, the processes, and the network between them. Its concerns are spread over the
-//! modules here: `lifecycle` (start, stop, pause), `node_step` (a node acts, and its commands are carried out), `operator`
-//! (changes that are asked for), `audit` (what is checked). Scopes and the measurements at scale add theirs in [`crate::scale`]
-//! and the crate's `scopes` module.
+//! A run is a `Simulation`: an event queue, the processes and the network between them. Its methods are grouped by module:
+//! `lifecycle` (start, stop, pause), `node_step` (running a node and executing its commands), `operator` (requested
+//! changes) and `audit` (checks). [`crate::scale`] and the `scopes` module of the crate add methods for measurements at
+//! scale and for scopes.
 
 mod audit;
 mod event;
@@ -28,12 +28,12 @@
 
 use crate::fault::{draw_faults, shrink, Fault};
 
-/// Simulates one run.
+/// Simulates the run of a seed with the faults drawn for it.
 pub fn run(options: &SimulationOptions, seed: u64) -> SimulationResult {
     run_with_faults(options, seed, &faults(options, seed))
 }
 
-/// The faults of a run.
+/// Draws the faults of a run; none if [`SimulationOptions::quiet`] is set.
 pub fn faults(options: &SimulationOptions, seed: u64) -> Vec<Fault> {
     if options.quiet {
         return Vec::new();
@@ -42,14 +42,14 @@
     draw_faults(&mut rng, options.front_ends, options.faults_until)
 }
 
-/// The shortest list of faults with which a run still violates what the audit checks.
+/// A minimal list of faults with which the run still has a violation.
 pub fn shortest_faults(options: &SimulationOptions, seed: u64) -> Vec<Fault> {
     shrink(faults(options, seed), |faults| {
         !run_with_faults(options, seed, faults).violations.is_empty()
     })
 }
 
-/// Simulates one run with these faults.
+/// Simulates the run of a seed with the given faults.
 pub fn run_with_faults(
     options: &SimulationOptions,
     seed: u64,
--- a/simulation/src/fleet/node_step.rs
+++ b/simulation/src/fleet/node_step.rs
@@ -1,4 +1,4 @@
-//! A node acts: on a message, on a timer, or on an operator's request; and what it wants is carried out.
+//! Running a node on a message, a timer or an operator request, and executing the resulting commands.
 
 use super::event::{Event, Message};
 use super::process::index_of;
@@ -11,15 +11,15 @@
 use tansy_fleet_node::{Command, FleetNode, Leader, MessageBody};
 use tansy_membership::NodeId;
 
-/// A revision that no log reaches: a node that is notified of it requests a lease at once.
+/// A revision higher than that of any log: a node notified of it requests a lease immediately.
 const UNREACHABLE: Revision = Revision(u64::MAX);
-/// Messages that the kernel queues for a process that stands still.
+/// Size of the socket buffer of a suspended process, in messages.
 const MAX_QUEUED_MESSAGES: usize = 64;
-/// How long a write takes at least and at most.
+/// Range of the duration of a disk write.
 const WRITE_TIME: std::ops::Range<Time> = SECOND / 2000..SECOND / 20;
 
 impl Simulation<'_> {
-    /// A message arrives at a process, or at its socket while it stands still.
+    /// Delivers a message to a process, or to its socket buffer while it is suspended.
     pub(super) fn on_arrival(&mut self, to: usize, message: Message) {
         if let (Some(scale), true) = (&mut self.scale, self.processes[to].node.is_some()) {
             scale.count_message(to, &message.body, message.size());
@@ -31,7 +31,7 @@
         }
     }
 
-    /// A deadline is due. One that was scheduled anew since is over: each that was taken would schedule a further one.
+    /// Handles a timer event. Events of superseded deadlines are ignored, since each handled event schedules a further one.
     pub(super) fn on_timer(&mut self, index: usize, incarnation: u64, deadline: Time) {
         let process = &mut self.processes[index];
         if process.incarnation == incarnation && process.scheduled_deadline == deadline {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// A process takes a message, altered as the planted defect has it.
+    /// Lets a process handle a message, after the injected defect has altered it.
     pub(super) fn receive(&mut self, to: usize, mut message: Message) {
         match self.options.defect {
             Some(InjectedDefect::OldReplyAsCurrent) => {
@@ -64,7 +64,7 @@
         });
     }
 
-    /// [`InjectedDefect::OldReplyAsCurrent`]: a reply is taken for one of the reader's revision.
+    /// Implements [`InjectedDefect::OldReplyAsCurrent`]: raises the revision of a reply to that of the receiver.
     fn mark_reply_current(&self, to: usize, body: &mut MessageBody) {
         let (MessageBody::SubscribeReply(reply), Some(node)) = (body, &self.processes[to].node)
         else {
@@ -75,7 +75,8 @@
         reply.revision = reply.revision.max(revision);
     }
 
-    /// [`InjectedDefect::LeaseFromGrantArrival`]: a request of this moment takes the place of the one that was granted.
+    /// Implements [`InjectedDefect::LeaseFromGrantArrival`]: makes the node send a new request and lets the grant answer that
+    /// one, so that the lease runs from now on.
     fn match_grant_to_new_request(&mut self, to: usize, message: &mut Message) {
         let MessageBody::Lease(LeaseMessage::Grant(grant)) = &mut message.body else {
             return;
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Lets a node act, carries out what it wants and schedules its next deadline; it is audited before and after.
+    /// Runs `act` on a node, schedules its next deadline, audits it and executes its commands.
     pub(crate) fn step_node(
         &mut self,
         index: usize,
@@ -133,11 +134,12 @@
         }
     }
 
-    /// Writes the records that a node wants persisted; with [`InjectedDefect::UnpersistedSends`] it is notified at once.
+    /// Writes the records that a node wants persisted. With [`InjectedDefect::UnpersistedSends`] the node is notified before
+    /// they are persisted.
     fn write_records(&mut self, index: usize, now: Time, commands: &mut Vec<Command>) {
         let unsynced = self.options.has_defect(InjectedDefect::UnpersistedSends);
         let incarnation = self.processes[index].incarnation;
-        // The notification may add further commands, which are looked at in turn.
+        // The notification may append further commands, which this loop also processes.
         let mut next = 0;
         while next < commands.len() {
             if let Command::Persist { record, snapshot } = &commands[next] {
@@ -176,7 +178,7 @@
         self.schedule(self.now + wait, event);
     }
 
-    /// Measures the first lease and session of a process, at scale.
+    /// In runs at scale, detects when a process has its first valid lease and session.
     fn detect_join(&mut self, index: usize) {
         if self.scale.is_none() {
             return;
--- a/simulation/src/fleet/operator.rs
+++ b/simulation/src/fleet/operator.rs
@@ -1,11 +1,11 @@
-//! What operators ask the leader for: versions, replaced voters, abandoned changes.
+//! Operator requests to the leader: new versions, voter replacements and abandoned changes.
 
 use super::process::{address_of, id_of};
 use super::{settings, Simulation};
 use tansy_agreement::log::LogEntry;
 
 impl Simulation<'_> {
-    /// An operator proposes a version; none: nobody leads.
+    /// Proposes a version; `None` if there is no leader.
     pub(super) fn propose(&mut self) -> Option<()> {
         let id = self.rng.u64(1..);
         let (leader, state) = self.leader()?;
@@ -19,7 +19,7 @@
         Some(())
     }
 
-    /// An operator has a voter replaced by a candidate; none: nobody leads, or no voter is known.
+    /// Requests that a random candidate replaces a random voter; `None` if there is no leader or no known voter.
     pub(super) fn replace_voter(&mut self) -> Option<()> {
         let (leader, _) = self.leader()?;
         let candidate = self.rng.usize(0..self.disks.len());
@@ -34,7 +34,7 @@
         Some(())
     }
 
-    /// An operator abandons the change under way, if there is one; none: nobody leads.
+    /// Abandons the pending version change, if there is one; `None` if there is no leader.
     pub(super) fn abandon(&mut self) -> Option<()> {
         let (leader, state) = self.leader()?;
         if let Some((next, _)) = state.next {
@@ -44,7 +44,7 @@
         Some(())
     }
 
-    /// Asks a process to append an entry; an answer has this id.
+    /// Asks a process to append an entry; the response carries `id`.
     pub(crate) fn request(&mut self, leader: usize, id: u64, entry: LogEntry) {
         self.step_node(leader, |node, now, commands| {
             node.request(now, id, entry, commands)
--- a/simulation/src/fleet/options.rs
+++ b/simulation/src/fleet/options.rs
@@ -1,4 +1,4 @@
-//! What is simulated: the fleet, its timing, what goes wrong, and a defect that the audit is to find.
+//! The options of a simulated fleet: size, timing, faults and an injected defect.
 
 use crate::fault::{Time, SECOND};
 use crate::network::NetworkProfile;
@@ -47,43 +47,43 @@
     RepeatedUnsubscribe,
 }
 
-/// What is simulated.
+/// The options of a simulated fleet.
 #[derive(Clone, Debug)]
 pub struct SimulationOptions {
-    /// Front ends, the voters among them.
+    /// Number of front ends, voters included.
     pub front_ends: usize,
-    /// How many of them keep the log.
+    /// Number of voters, which keep the replicated log.
     pub voters: usize,
-    /// Length of a lease and bound on clock rates.
+    /// Lease duration and bound on clock drift.
     pub lease: LeaseTiming,
-    /// Length of a session.
+    /// Session duration.
     pub session: Time,
-    /// Faults are over by then; the run ends [`SimulationOptions::recovery_time`] later.
+    /// The time by which all faults have ended; the run ends [`SimulationOptions::recovery_time`] later.
     pub faults_until: Time,
-    /// Time in which all have to agree again.
+    /// Time after the last fault within which all processes must agree again.
     pub recovery_time: Time,
-    /// Changes proposed.
+    /// Number of proposed versions.
     pub changes: usize,
-    /// Front ends beside the voters that may become voters.
+    /// Number of further front ends that may become voters.
     pub spares: usize,
-    /// How often one of the candidates is to replace a voter.
+    /// Number of requested voter replacements.
     pub replacements: usize,
-    /// How messages travel.
+    /// Transit times and loss of messages.
     pub network: NetworkProfile,
-    /// A defect.
+    /// An injected defect, if any.
     pub defect: Option<InjectedDefect>,
-    /// Nothing goes wrong but that messages are late, lost or duplicated now and then.
+    /// Disables all faults except the message delays, loss and duplication of the network profile.
     pub quiet: bool,
-    /// How front ends come to know each other.
+    /// How front ends discover each other.
     pub tier: Tier,
-    /// Functions that are changed by scope beside the versions; 0: none.
+    /// Number of functions whose settings are changed by scope, in addition to the versions.
     pub scopes: usize,
-    /// Instead of the faults, proposals and times above: this.
+    /// A scenario of a large fleet, which replaces the faults, proposals and times above.
     pub scale: Option<ScaleScenario>,
 }
 
 impl SimulationOptions {
-    /// A fleet of this size, with one voter and leases of 0.6 s.
+    /// The default options for a fleet of this size: one voter and leases of 0.6 s.
     pub fn of(front_ends: usize) -> SimulationOptions {
         SimulationOptions {
             front_ends,
@@ -107,12 +107,12 @@
         }
     }
 
-    /// Whether this defect is planted.
+    /// Whether this defect is injected.
     pub(crate) fn has_defect(&self, defect: InjectedDefect) -> bool {
         self.defect == Some(defect)
     }
 
-    /// How many front ends have a disk: the voters, and those that may become voters.
+    /// Number of processes with a disk: the voters and those that may become voters.
     pub(crate) fn candidates(&self) -> usize {
         (self.voters + self.spares).min(self.front_ends)
     }
--- a/simulation/src/fleet/process.rs
+++ b/simulation/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! A simulated process with its clock, its disk, and what it would act on.
+//! A simulated process with its clock and disk, and the settings it would act on.
 
 use super::event::Message;
 use crate::fault::{Time, SECOND};
@@ -14,7 +14,7 @@
     (octets, 7000).into()
 }
 
-/// The index of the process with this address; out of range for an address of no process.
+/// The index of the process with this address. For an address of no process the index is out of range.
 pub(super) fn index_of(address: SocketAddr) -> usize {
     match address.ip() {
         IpAddr::V4(ip) => ip.octets()[1..]
@@ -24,24 +24,24 @@
     }
 }
 
-/// The node id of the process with this index; a wide one takes as many bytes as a name's hash.
+/// The node id of the process with this index; a wide id has the encoded size of a hash, as real node ids have.
 pub(super) fn id_of(index: usize, wide: bool) -> u64 {
     (index as u64 + 1) | if wide { WIDE_ID } else { 0 }
 }
 
-/// By what a front end acts.
+/// The authority under which a front end acts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Authority {
-    /// A live lease and a live session.
+    /// The lease and the session are valid.
     Leased,
-    /// A live session alone.
+    /// Only the session is valid.
     SessionOnly,
-    /// Neither.
+    /// Neither is valid.
     Expired,
 }
 
 impl Authority {
-    /// What a front end does by it, in the audit's messages; a revision follows.
+    /// The phrase used in messages of the audit, which is followed by a revision.
     pub(super) fn label(self) -> &'static str {
         match self {
             Authority::Leased => "acts under lease and session on the rules",
@@ -51,36 +51,36 @@
     }
 }
 
-/// A process, or the place of one.
+/// A process slot; the process in it may be stopped.
 pub(crate) struct Process {
-    /// None: it is not started.
+    /// The running node; `None` while the process is stopped.
     pub(crate) node: Option<FleetNode>,
     pub(crate) incarnation: u64,
-    /// While it stands still: the messages that arrived since.
+    /// While the process is suspended, the messages that arrived since.
     pub(super) paused: Option<Vec<Message>>,
-    /// Its clock: local time is `clock_offset + clock_rate` times the true one.
+    /// The clock: local time is `clock_offset + clock_rate * true_time`.
     pub(super) clock_rate: f64,
     pub(super) clock_offset: Time,
-    /// The deadline for which a timer is scheduled.
+    /// The deadline, in local time, for which a timer event is scheduled.
     pub(super) scheduled_deadline: Time,
-    /// Time it was up, and of that without a lease and without a session.
+    /// Total uptime, and the parts of it without a lease and without a session.
     pub(crate) up: Time,
     pub(crate) without_lease: Time,
     pub(crate) without_session: Time,
-    /// Until when these times are accounted for.
+    /// The time up to which these totals are updated.
     pub(super) accounted: Time,
-    /// When it last had a lease.
+    /// The last time at which the lease was valid.
     pub(super) last_leased: Time,
-    /// The incarnation, and the entries applied there, when its log was last audited.
+    /// The incarnation and the number of applied entries at the last audit of the log.
     pub(super) audited: Option<(u64, u64)>,
-    /// When it was started.
+    /// The time of the last start.
     pub(crate) started: Time,
-    /// Whether it has had a lease and a session since.
+    /// Whether the process has had a valid lease and session since the last start.
     pub(crate) joined: bool,
 }
 
 impl Process {
-    /// One that is not started, with a clock whose rate is off by at most `rate_bound`.
+    /// A stopped process with a random clock whose rate deviates by at most `rate_bound`.
     pub(super) fn new(rng: &mut fastrand::Rng, incarnation: u64, rate_bound: f64) -> Process {
         Process {
             node: None,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// What its clock shows at this true time.
+    /// The local time at this true time.
     pub(crate) fn local_time(&self, now: Time) -> Time {
         self.clock_offset + (now as f64 * self.clock_rate) as Time
     }
@@ -109,13 +109,13 @@
         self.node.is_some() && self.paused.is_none()
     }
 
-    /// Whether it has a live lease and a live session.
+    /// Whether the lease and the session are valid.
     pub(crate) fn is_leased(&self, now: Time) -> bool {
         self.acting_state(now)
             .is_some_and(|(_, authority)| authority == Authority::Leased)
     }
 
-    /// Whether it runs and acts by its lease on an earlier revision than this.
+    /// Whether the process runs and acts under its lease on a revision earlier than `revision`.
     pub(crate) fn is_behind(&self, now: Time, revision: Revision) -> bool {
         let leased_behind = |(state, authority): (&FleetState, Authority)| {
             authority == Authority::Leased && state.revision < revision
@@ -123,7 +123,8 @@
         self.is_running() && self.acting_state(now).is_some_and(leased_behind)
     }
 
-    /// What it would act on now, and by which authority; none: it knows no state, and takes no request.
+    /// The state that the process would act on now, and under which authority; `None` if it knows no state and therefore
+    /// accepts no requests.
     pub(super) fn acting_state(&self, now: Time) -> Option<(&FleetState, Authority)> {
         let acting = self.node.as_ref()?.active_state(self.local_time(now));
         let authority = match (acting.lease_remaining > 0, acting.session_remaining > 0) {
@@ -134,7 +135,7 @@
         acting.state.map(|state| (state, authority))
     }
 
-    /// Adds the time since the last call to the times up, without a lease and without a session.
+    /// Adds the time since the last call to the uptime totals.
     pub(super) fn account(&mut self, now: Time) {
         let span = now - self.accounted;
         self.accounted = now;
@@ -153,23 +154,23 @@
     }
 }
 
-/// Where the clock of a new process begins.
+/// Draws the clock offset of a new process.
 pub(super) fn draw_clock_offset(rng: &mut fastrand::Rng) -> Time {
     rng.i64(0..1000 * SECOND)
 }
 
-/// A candidate's disk: what is persisted, and what was written and may be lost.
+/// The disk of a voter candidate: persisted state, and written records that a crash may lose.
 #[derive(Default)]
 pub(crate) struct Disk {
     pub(super) persisted: PersistentState,
-    /// Records in their order; with a snapshot in place of all before, where the record is one.
+    /// Written records in order, each with the snapshot that replaces all earlier state if there is one.
     pub(super) written: Vec<(Vec<u8>, Option<Vec<u8>>)>,
-    /// Records that were persisted while the process stood still: it is notified of them when it goes on.
+    /// Number of records persisted while the process was suspended; it is notified of them when it resumes.
     pub(super) unacknowledged: usize,
 }
 
 impl Disk {
-    /// The first record that was written is persisted.
+    /// Persists the oldest written record.
     pub(super) fn persist_next(&mut self) {
         if self.written.is_empty() {
             return;
--- a/simulation/src/fleet/settings.rs
+++ b/simulation/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a simulated fleet: their schema, their first version, and how an operator changes them.
+//! The settings of a simulated fleet: schema, first version and random changes.
 
 use tansy_agreement::compatibility::{
     Compatibility, ExpiredLeasePolicy, Fields, Restrictiveness, Schema, Value,
@@ -6,12 +6,12 @@
 
 const QUOTA: &str = "tenants.acme.quota";
 
-/// How the fields of the simulated settings agree.
+/// The schema of the simulated settings.
 pub(super) fn schema() -> Schema {
     schema_with(Compatibility::Strict)
 }
 
-/// The same, with another compatibility of one field that is strict.
+/// The schema with the given compatibility for the field `classes.*.group`, which is normally strict.
 pub(super) fn schema_with(strict: Compatibility) -> Schema {
     let smallest = |expired| {
         Compatibility::Joint(
@@ -42,7 +42,7 @@
     ])
 }
 
-/// The first version of a fleet's settings; two fields for each function.
+/// The first version of the settings, with two fields for each function.
 pub(super) fn initial_fields(functions: usize) -> Fields {
     let text = |value: &str| Value::Text(value.into());
     let shared = [
@@ -68,7 +68,7 @@
     shared.chain((0..functions).flat_map(of_function)).collect()
 }
 
-/// A version with one to three fields changed.
+/// Draws a new version with one to three changed fields; occasionally a quota is also removed or added.
 pub(super) fn change_fields(rng: &mut fastrand::Rng, from: &Fields) -> Fields {
     let mut fields = from.clone();
     for _ in 0..rng.usize(1..4) {
--- a/simulation/src/fleet/simulation.rs
+++ b/simulation/src/fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! One run: its state, how it is set up, and the loop over its events.
+//! A simulation run: its state, setup and event loop.
 
 use super::audit::Audit;
 use super::event::{Event, EventQueue};
@@ -12,12 +12,12 @@
 use tansy_agreement::log::FleetState;
 use tansy_fleet_node::FleetNode;
 
-/// A run with more violations than these ends.
+/// A run with more violations than this is stopped.
 const MAX_VIOLATIONS: usize = 4;
-/// How far the clock rates are off where [`InjectedDefect::ClockBeyondBound`] is planted.
+/// Bound on the clock rate error with [`InjectedDefect::ClockBeyondBound`].
 const DEFECT_CLOCK_ERROR: f64 = 0.4;
 
-/// One run.
+/// The state of a simulation run.
 pub(crate) struct Simulation<'a> {
     pub(crate) options: &'a SimulationOptions,
     pub(crate) rng: fastrand::Rng,
@@ -26,30 +26,30 @@
     pub(crate) now: Time,
     queue: EventQueue,
     pub(crate) processes: Vec<Process>,
-    /// The disks of the candidates, which are the first processes.
+    /// The disks of the voter candidates, which are the first processes.
     pub(crate) disks: Vec<Disk>,
     pub(crate) schema: Schema,
     pub(super) audit: Audit,
     pub(crate) result: SimulationResult,
-    /// The measurements at scale, where they are asked for.
+    /// The measurement at scale, if there is a scenario.
     pub(crate) scale: Option<Box<ScaleMeasurement>>,
-    /// The directories of the hollow tier.
+    /// The member directories of the hollow tier.
     pub(crate) directories: Option<SharedDirectories>,
     pub(crate) scopes: Option<Scopes>,
     pub(super) sent: SentMessages,
 }
 
-/// Messages sent in a run.
+/// Counts of sent messages.
 #[derive(Default)]
 pub(super) struct SentMessages {
     pub(super) messages: u64,
     pub(super) bytes: u64,
-    /// Those of them from or to a voter.
+    /// Messages from or to a voter.
     pub(super) voter_messages: u64,
 }
 
 impl<'a> Simulation<'a> {
-    /// Draws the run of this seed, and schedules what happens in it.
+    /// Sets up the run of a seed and schedules its events.
     pub(crate) fn new(
         options: &'a SimulationOptions,
         seed: u64,
@@ -146,12 +146,12 @@
         }
     }
 
-    /// Schedules an event; one that is due is the next.
+    /// Schedules an event; a time in the past means now.
     pub(crate) fn schedule(&mut self, at: Time, event: Event) {
         self.queue.push(at.max(self.now), event);
     }
 
-    /// Plays the events up to the end of the run, or up to too many violations.
+    /// Processes events until the end of the run or until there are too many violations.
     pub(crate) fn run_events(&mut self) {
         while let Some((at, event)) = self.queue.pop() {
             if at > self.end() || self.result.violations.len() > MAX_VIOLATIONS {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Handles an event; none: an operator reached no leader, so that nothing changed.
+    /// Handles an event; `None` if an operator request found no leader, so that nothing changed.
     fn handle(&mut self, event: Event) -> Option<()> {
         match event {
             Event::Message { to, message } => self.on_arrival(to, *message),
@@ -211,7 +211,7 @@
         Some(())
     }
 
-    /// The process that leads and runs, and the agreed state there.
+    /// The running process that leads, and its agreed state.
     pub(crate) fn leader(&self) -> Option<(usize, FleetState)> {
         let candidates = self.processes.iter().enumerate().take(self.disks.len());
         candidates.into_iter().find_map(|(index, process)| {
@@ -220,7 +220,7 @@
         })
     }
 
-    /// Records what the audit found.
+    /// Records a violation found by the audit.
     pub(crate) fn report_violation(&mut self, process: usize, violation: String) {
         let milliseconds = self.now / 1000;
         self.result.violations.push(format!(
@@ -228,14 +228,14 @@
         ));
     }
 
-    /// Accounts for the time of all processes.
+    /// Updates the uptime totals of all processes.
     pub(crate) fn account_all(&mut self) {
         for process in &mut self.processes {
             process.account(self.now);
         }
     }
 
-    /// Ends the run.
+    /// Runs the final audit and returns the result.
     pub(super) fn into_result(mut self) -> SimulationResult {
         self.audit_end();
         self.audit_scopes_end();
@@ -256,7 +256,7 @@
     }
 }
 
-/// The processes of a run, none of which is started.
+/// Draws the processes of a run, all of them stopped.
 fn draw_processes(options: &SimulationOptions, rng: &mut fastrand::Rng) -> Vec<Process> {
     let rate_bound = if options.has_defect(InjectedDefect::ClockBeyondBound) {
         DEFECT_CLOCK_ERROR
--- a/simulation/src/fleet/summary.rs
+++ b/simulation/src/fleet/summary.rs
@@ -1,83 +1,83 @@
-//! How a run went, and many runs together.
+//! Results of single runs and summaries over many.
 
 use super::{run, SimulationOptions};
 use crate::scale::Quantiles;
 use serde::Serialize;
 
-/// How a run went.
+/// The result of a run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct SimulationResult {
-    /// Its seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// What the audit found, with its time; empty: nothing.
+    /// The violations found by the audit, with their times.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
-    /// Versions that came in force.
+    /// Number of versions that came into force.
     pub in_force: u64,
-    /// Changes of single scopes that came in force.
+    /// Number of scope changes that came into force.
     pub scopes_in_force: u64,
-    /// Changes of single scopes that were abandoned.
+    /// Number of scope changes that were abandoned.
     #[serde(rename = "scopes_back")]
     pub scopes_reverted: u64,
-    /// Voters that were replaced.
+    /// Number of voters that were replaced.
     pub replaced: u64,
-    /// From a proposal to force at every front end that can be reached, milliseconds each.
+    /// For each version, the time from its proposal until it is in force at every reachable front end, in milliseconds.
     #[serde(rename = "force_ms")]
     pub in_force_ms: Vec<u64>,
-    /// Share of front ends' time up in which they had no live lease.
+    /// Share of the front ends' uptime without a valid lease.
     #[serde(rename = "lapsed")]
     pub without_lease: f64,
-    /// Share of it in which they had no live session.
+    /// Share of the front ends' uptime without a valid session.
     #[serde(rename = "stayless")]
     pub without_session: f64,
-    /// Messages a front end a second.
+    /// Messages per front end and second.
     pub messages: f64,
-    /// Bytes of messages a front end a second, by [`crate::message_size::message_size`].
+    /// Message bytes per front end and second, computed by [`crate::message_size::message_size`].
     pub bytes: f64,
-    /// Messages from or to the voters, a second.
+    /// Messages from or to voters per second.
     #[serde(rename = "seat_messages")]
     pub voter_messages: f64,
 }
 
-/// Many runs together.
+/// A summary of many runs.
 #[derive(Clone, Debug, Serialize)]
 pub struct SimulationSummary {
-    /// Front ends.
+    /// Number of front ends.
     #[serde(rename = "fronts")]
     pub front_ends: usize,
-    /// Runs.
+    /// Number of runs.
     pub seeds: u64,
-    /// Runs with a violation: the seed, and the first one.
+    /// The seed and the first violation of each run that has one.
     #[serde(rename = "broken")]
     pub violations: Vec<(u64, String)>,
-    /// Versions that came in force.
+    /// Number of versions that came into force.
     pub in_force: u64,
-    /// Changes of single scopes that came in force.
+    /// Number of scope changes that came into force.
     pub scopes_in_force: u64,
-    /// Changes of single scopes that were abandoned.
+    /// Number of scope changes that were abandoned.
     #[serde(rename = "scopes_back")]
     pub scopes_reverted: u64,
-    /// Voters that were replaced.
+    /// Number of voters that were replaced.
     pub replaced: u64,
-    /// From a proposal to force everywhere, milliseconds: median, 99th percentile, longest.
+    /// Time from a proposal until the version is in force everywhere, in milliseconds: median, 99th percentile, maximum.
     #[serde(rename = "force_ms")]
     pub in_force_ms: [u64; 3],
-    /// Share of time without a live lease.
+    /// Mean share of uptime without a valid lease.
     #[serde(rename = "lapsed")]
     pub without_lease: f64,
-    /// Share of time without a live session.
+    /// Mean share of uptime without a valid session.
     #[serde(rename = "stayless")]
     pub without_session: f64,
-    /// Messages a front end a second.
+    /// Messages per front end and second.
     pub messages: f64,
-    /// Bytes a front end a second.
+    /// Message bytes per front end and second.
     pub bytes: f64,
-    /// Messages from or to the voters, a second.
+    /// Messages from or to voters per second.
     #[serde(rename = "seat_messages")]
     pub voter_messages: f64,
 }
 
-/// Simulates seeds `from` to `from + seeds` on so many threads. The summary does not depend on their number.
+/// Simulates the seeds `from..from + seeds` on `threads` threads. The summary does not depend on the number of threads.
 pub fn many(
     options: &SimulationOptions,
     from: u64,
--- a/simulation/src/rollout/fixed_rule.rs
+++ b/simulation/src/rollout/fixed_rule.rs
@@ -1,11 +1,12 @@
-//! The fixed rules that the canary analysis is compared with: a stage is decided once, when its shortest time is over.
+//! Fixed threshold rules, as a baseline for the canary analysis. A rule decides each stage once, after its minimum
+//! duration.
 
 use super::{DecisionRule, RolloutOptions};
 use std::collections::BTreeMap;
 use tansy_canary::FrontEndReport;
 use tansy_rollout::{FrontEndObservation, Rollout, RolloutEntry, RolloutPhase};
 
-/// What requests brought, and what they would have brought had none been lost.
+/// The value of served requests, and of all requests.
 #[derive(Clone, Copy, Default)]
 struct ServiceTotal {
     value_served: f64,
@@ -43,19 +44,19 @@
     }
 }
 
-/// What a fixed rule remembers of a rollout.
+/// The state of a fixed rule during a rollout.
 #[derive(Default)]
 pub(super) struct FixedRule {
-    /// The stage under analysis, and when its analysis began.
+    /// The stage under analysis and the start of its analysis.
     stage: Option<(usize, i64)>,
-    /// Totals by front end when that stage began.
+    /// The totals of each front end at the start of that stage.
     at_stage_begin: BTreeMap<String, ServiceTotal>,
-    /// The fleet's loss before the first front end was changed.
+    /// The loss of the fleet before the first front end was changed.
     loss_before: Option<f64>,
 }
 
 impl FixedRule {
-    /// The entry of the rule in place of the controller's; none: nothing is decided yet.
+    /// The entry that replaces the controller's; `None` if the rule has not decided yet.
     pub(super) fn entry(
         &mut self,
         options: &RolloutOptions,
@@ -78,7 +79,7 @@
             return matches!(entry, RolloutEntry::Heartbeat { .. }).then_some(entry);
         }
         let (revision, fence) = (rollout.revision, rollout.fence);
-        // The reason is a key of the printed summary.
+        // The printed summary uses the reason as a key.
         let reason = "the plain rule".to_string();
         Some(if self.is_worse(options.rule, observations) {
             RolloutEntry::Fail {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// The loss of the changed or the unchanged side since the stage began; none: it got no requests.
+    /// The loss of the changed or the unchanged front ends since the start of the stage; `None` without requests.
     fn stage_loss(&self, observations: &[FrontEndObservation], changed: bool) -> Option<f64> {
         let total = observations
             .iter()
--- a/simulation/src/rollout/front_ends.rs
+++ b/simulation/src/rollout/front_ends.rs
@@ -1,4 +1,4 @@
-//! The simulated front ends: their traffic, their losses, and the counters they report.
+//! The simulated front ends: traffic, losses and reported counters.
 
 use super::{Regression, RolloutOptions};
 use rand::rngs::StdRng;
@@ -7,15 +7,15 @@
 use tansy_canary::{FrontEndReport, RequestCounters};
 use tansy_rollout::FrontEndObservation;
 
-/// The classes of requests, and the share of traffic that each has.
+/// The request classes and their shares of the traffic.
 const CLASSES: [(&str, f64); 2] = [("read", 0.8), ("pay", 0.2)];
-/// The class that [`Regression::Class`] affects.
+/// Index of the class that [`Regression::Class`] affects.
 const AFFECTED_CLASS: usize = 1;
-/// The zone that [`Regression::Zone`] affects.
+/// Index of the zone that [`Regression::Zone`] affects.
 const AFFECTED_ZONE: usize = 0;
-/// Milliseconds of the slowest answers.
+/// Latency of the slowest answers, in milliseconds.
 const SLOWEST_MS: u64 = 320;
-/// Milliseconds of answers, and the share of those not yet counted that took so long; the rest take 10 ms.
+/// Latencies in milliseconds, each with its share of the answers not covered by earlier entries. The rest takes 10 ms.
 const LATENCY_SHARES: [(u64, f64); 5] = [
     (SLOWEST_MS, 0.005),
     (160, 0.015),
@@ -23,20 +23,20 @@
     (40, 0.13),
     (20, 0.4),
 ];
-/// Seconds that a restart takes.
+/// Duration of a restart in seconds.
 const RESTART_SECONDS: i64 = 3;
 
-/// One simulated front end.
+/// A simulated front end.
 struct SimulatedFrontEnd {
     name: String,
     zone: usize,
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
-    /// The share it usually loses.
+    /// Share of requests that is normally lost.
     loss: f64,
-    /// Whether it runs the change.
+    /// Whether the front end runs the change.
     changed: bool,
-    /// Seconds until its restart is over; 0: it runs.
+    /// Seconds until the restart completes; 0 while the front end is running.
     restarting: i64,
     started: i64,
     incarnation: u64,
@@ -44,30 +44,30 @@
     counters: BTreeMap<String, RequestCounters>,
 }
 
-/// What befalls all traffic in one second.
+/// The conditions that affect all traffic in one second.
 pub(super) struct TrafficConditions {
     pub(super) regression: Regression,
-    /// A zone that loses most of its requests.
+    /// A failed zone, which loses most of its requests.
     pub(super) lost_zone: Option<usize>,
-    /// The usual traffic times this.
+    /// Factor applied to the normal traffic.
     pub(super) load: f64,
 }
 
-/// The requests of one class that a front end got in a second.
+/// The number of requests of one class at a front end in one second.
 pub(super) struct RequestShare {
     pub(super) requests: u64,
     pub(super) changed: bool,
 }
 
-/// All front ends, and the bad moments that the front ends of a zone share.
+/// All front ends, with the losses that the front ends of a zone share.
 pub(super) struct FrontEnds {
     all: Vec<SimulatedFrontEnd>,
-    /// By zone: what is added to the losses now.
+    /// By zone: the current addition to the loss of its front ends.
     zone_loss: Vec<f64>,
 }
 
 impl FrontEnds {
-    /// Draws each front end's rate and usual loss.
+    /// Draws the request rate and normal loss of each front end.
     pub(super) fn draw(options: &RolloutOptions, rng: &mut StdRng) -> FrontEnds {
         let rates = LogNormal::new(0.0, 0.6).expect("the parameters are valid");
         let losses = LogNormal::new(0.0, 0.3).expect("the parameters are valid");
@@ -92,14 +92,14 @@
         }
     }
 
-    /// A second of traffic at every front end; what each got, by class.
+    /// Simulates one second of traffic and returns the requests by front end and class.
     pub(super) fn serve_one_second(
         &mut self,
         rng: &mut StdRng,
         now: i64,
         conditions: &TrafficConditions,
     ) -> Vec<RequestShare> {
-        // Bad moments that a zone shares: they come and go over some seconds.
+        // The shared loss of a zone is autocorrelated over several seconds.
         let shock = Normal::new(0.0, 0.004).expect("the parameters are valid");
         for loss in &mut self.zone_loss {
             *loss = 0.9 * *loss + shock.sample(rng);
@@ -131,7 +131,7 @@
         shares
     }
 
-    /// The load that falls to each unchanged front end of a zone because the changed ones reject, as a share of its own.
+    /// The load that changed front ends of a zone reject and each unchanged one takes over, as a share of its own load.
     fn shifted_load(&self, zone: usize, regression: Regression) -> f64 {
         let Regression::Shed(share) = regression else {
             return 0.0;
@@ -146,7 +146,7 @@
         share * rate(true) / rate(false).max(1.0)
     }
 
-    /// Starts a front end anew, with the change or without it.
+    /// Restarts a front end with or without the change.
     pub(super) fn restart(&mut self, name: &str, changed: bool) {
         if let Some(front_end) = self.all.iter_mut().find(|f| f.name == name) {
             front_end.changed = changed;
@@ -154,14 +154,14 @@
         }
     }
 
-    /// What the rollout controller sees of each front end.
+    /// The observation of each front end for the rollout controller.
     pub(super) fn observations(&self, now: i64) -> Vec<FrontEndObservation> {
         self.all.iter().map(|f| f.observation(now)).collect()
     }
 }
 
 impl SimulatedFrontEnd {
-    /// A second of a restart; at its end the counters begin anew.
+    /// Advances a restart by one second; when it completes, the counters are reset.
     fn continue_restart(&mut self, now: i64) {
         self.restarting -= 1;
         if self.restarting == 0 {
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Draws and counts the requests of one class in a second; how many there were.
+    /// Draws and counts the requests of one class in one second, and returns their number.
     fn serve_class(
         &mut self,
         rng: &mut StdRng,
@@ -210,7 +210,7 @@
         requests
     }
 
-    /// The share of a class that this front end loses now.
+    /// The current loss of the front end in a class.
     fn loss_of(
         &self,
         now: i64,
@@ -219,12 +219,12 @@
         zone_loss: f64,
         shifted: f64,
     ) -> f64 {
-        // A front end with more requests than it has room for loses a little more.
+        // Overload slightly increases the loss.
         let mut loss = self.loss + zone_loss.max(-self.loss) + 0.1 * (conditions.load - 1.0) * 0.2;
         if conditions.lost_zone == Some(self.zone) {
             loss = 0.7;
         }
-        // A freshly started one has no endpoint state for some seconds.
+        // After a start the front end has no endpoint state for some seconds.
         let fresh = now - self.started < 5;
         loss += if fresh { 0.3 } else { 0.0 };
         if self.changed {
@@ -236,7 +236,7 @@
                 _ => 0.0,
             };
         }
-        // Load shifted from changed front ends makes the unchanged ones lose too.
+        // Load shifted from changed front ends increases the loss of unchanged ones.
         loss += 0.3 * shifted;
         loss.clamp(0.0, 1.0)
     }
@@ -258,13 +258,13 @@
     }
 }
 
-/// Spreads served requests over the latencies; `slow` is added to the share of the slowest.
+/// Distributes served requests over the latencies; `slow` is added to the share of the slowest.
 fn record_latencies(rng: &mut StdRng, counters: &mut RequestCounters, served: u64, slow: f64) {
     let mut left = served;
     for (ms, share) in LATENCY_SHARES {
         let added = if ms == SLOWEST_MS { slow } else { 0.0 };
         let count = binomial(rng, left, share + added);
-        // The histogram covers all of these values.
+        // All these values are within the range of the histogram.
         let _ = counters.latency.record_n(ms * 1000, count);
         left -= count;
     }
--- a/simulation/src/rollout/mod.rs
+++ b/simulation/src/rollout/mod.rs
@@ -1,10 +1,9 @@
-//! Simulated rollouts: front ends that count requests, a change that may cause a regression, the rollout controller, and the
-//! canary analysis.
+//! Simulation of staged rollouts of a change that may cause a regression.
 //!
-//! The counters that the analysis reads are drawn, not simulated request by request: each front end gets requests at a rate of
-//! its own (uneven, some several times the mean), loses a share of its own, which drifts, loses more in bad moments that a zone
-//! shares, and counts them as a process does. The controller and the analysis are the product's own code. With the stage
-//! durations of a plan this simulates a rollout of half an hour in some milliseconds, so that error rates can be estimated.
+//! The rollout controller and the canary analysis are the production code. The request counters that they read are drawn
+//! once a second from distributions instead of being simulated request by request: each front end has its own request rate
+//! and loss, and losses that a zone shares vary over time. This makes it cheap to simulate enough rollouts to estimate the
+//! error rates of the analysis.
 
 mod fixed_rule;
 mod front_ends;
@@ -24,24 +23,24 @@
     SECOND,
 };
 
-/// A rollout that takes longer than this many seconds ends undecided.
+/// A rollout that takes longer than this, in seconds, ends undecided.
 const MAX_ROLLOUT_SECONDS: u64 = 20_000;
 
-/// How a rollout went.
+/// The result of a simulated rollout.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RolloutResult {
-    /// Its end: `done`, `stopped` or `undecided`.
+    /// The outcome: `done`, `stopped` or `undecided`.
     pub end: String,
-    /// The reason that the rollout's log gives for it.
+    /// The reason recorded in the rollout.
     #[serde(rename = "why")]
     pub reason: String,
-    /// The stage in which it ended, from 1.
+    /// The stage in which the rollout ended, counted from 1.
     pub stage: usize,
-    /// Seconds from its beginning to the decision.
+    /// Seconds from the start of the rollout to the decision.
     pub seconds: u64,
-    /// Requests that the changed front ends got.
+    /// Requests received by changed front ends.
     pub exposed: f64,
-    /// All requests in that time.
+    /// Requests received by all front ends.
     #[serde(rename = "calls")]
     pub requests: f64,
 }
@@ -58,7 +57,7 @@
     simulation.into_result()
 }
 
-/// One rollout under way.
+/// A rollout in progress.
 struct RolloutSimulation<'a> {
     options: &'a RolloutOptions,
     rng: StdRng,
@@ -66,9 +65,9 @@
     rollout: Rollout,
     controller: RolloutController,
     fixed_rule: FixedRule,
-    /// Seconds since the rollout began.
+    /// Seconds since the start of the rollout.
     seconds: u64,
-    /// When the first stage was first analysed.
+    /// The second in which the analysis of the first stage began.
     first_analysed: Option<i64>,
     requests: f64,
     exposed: f64,
@@ -118,7 +117,7 @@
         }
     }
 
-    /// What befalls all traffic in this second.
+    /// The conditions that affect all traffic in this second.
     fn conditions(&self, now: i64) -> TrafficConditions {
         let since_analysed = self.first_analysed.map(|at| now - at);
         let zone_lost = self.options.regression == Regression::ZoneLost
@@ -132,7 +131,7 @@
         }
     }
 
-    /// Applies what the controller decides; several entries may follow each other in a second.
+    /// Applies the entries that the controller decides on, of which there may be several in one second.
     fn poll_controller(&mut self, now: i64) {
         let observations = self.front_ends.observations(now);
         for _ in 0..4 {
@@ -149,12 +148,12 @@
                 let changed = self.rollout.phase != RolloutPhase::RollingBack;
                 self.front_ends.restart(name, changed);
             }
-            // An entry that the rollout refuses changes nothing, as in the product.
+            // A rejected entry has no effect, as in production.
             let _ = self.rollout.apply(entry);
         }
     }
 
-    /// The entry of the rule that decides, in place of the controller's own if it is a fixed one.
+    /// The controller's entry, replaced by that of the fixed rule if the options choose one.
     fn decide(
         &mut self,
         observations: &[FrontEndObservation],
--- a/simulation/src/rollout/options.rs
+++ b/simulation/src/rollout/options.rs
@@ -1,65 +1,65 @@
-//! What is simulated: the change, the rule that decides, and the plan.
+//! The options of a simulated rollout: regression, decision rule and plan.
 
 use serde::Serialize;
 use tansy_rollout::{InconclusivePolicy, RolloutPlan, Target};
 
-/// What the change does to a front end that runs it.
+/// The effect of the change on a front end that runs it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub enum Regression {
-    /// Nothing.
+    /// No effect.
     None,
-    /// It loses this share more of its requests.
+    /// The front end loses this additional share of its requests.
     All(f64),
-    /// The same, in one class alone.
+    /// As `All`, but only in one class.
     Class(f64),
-    /// The same, in one zone alone.
+    /// As `All`, but only in one zone.
     Zone(f64),
-    /// The same, from two minutes after its start.
+    /// As `All`, but only from two minutes after the start of the front end.
     Late(f64),
-    /// This share more of its answers is slow.
+    /// An additional share of the answers is slow.
     Slow(f64),
-    /// It rejects this share at once, answers the rest faster, and what it rejects falls to its unchanged siblings.
+    /// The front end immediately rejects this share of its requests, which shifts that load to unchanged front ends.
     Shed(f64),
-    /// It takes a megabyte more each so many seconds.
+    /// The front end leaks one megabyte per this many seconds.
     Leak(f64),
-    /// Nothing; but a zone is lost for a minute in the middle of the first analysis.
+    /// No effect, but a zone fails for a minute during the analysis of the first stage.
     ZoneLost,
-    /// Nothing; but traffic doubles in the middle of it.
+    /// No effect, but traffic doubles during the analysis of the first stage.
     Doubles,
 }
 
-/// How it is decided whether the change does worse.
+/// The rule that decides whether the change is a regression.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub enum DecisionRule {
-    /// The product's canary analysis.
+    /// The production canary analysis.
     Verdict,
-    /// Fixed: over a stage, the changed side's loss exceeds the unchanged side's by this share.
+    /// Fixed threshold: over a stage, the loss of changed front ends exceeds that of unchanged ones by this share.
     Threshold(f64),
-    /// Fixed: the changed side's loss exceeds the fleet's loss before the change by this share.
+    /// Fixed threshold: over a stage, the loss of changed front ends exceeds the fleet's loss before the change by this share.
     OwnPast(f64),
 }
 
-/// What is simulated.
+/// The options of a simulated rollout.
 #[derive(Clone, Debug, Serialize)]
 pub struct RolloutOptions {
-    /// Front ends.
+    /// Number of front ends.
     #[serde(rename = "fronts")]
     pub front_ends: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Requests a second at a front end of mean traffic.
+    /// Median request rate of a front end, per second.
     pub rate: f64,
-    /// The share that is usually lost.
+    /// Median share of requests that a front end normally loses.
     pub loss: f64,
-    /// The change.
+    /// The effect of the change.
     #[serde(rename = "harm")]
     pub regression: Regression,
-    /// The rule.
+    /// The decision rule.
     pub rule: DecisionRule,
-    /// Seconds that a stage lasts at least.
+    /// Minimum duration of a stage in seconds.
     #[serde(rename = "least")]
     pub shortest_stage: u64,
-    /// Seconds that a stage lasts at most.
+    /// Maximum duration of a stage in seconds.
     #[serde(rename = "longest")]
     pub longest_stage: u64,
 }
@@ -79,7 +79,7 @@
     }
 }
 
-/// The plan of a simulation: one front end of each zone, then a fifth, half, all.
+/// The rollout plan: one front end of each zone, then a fifth of the fleet, half of it, and all of it.
 pub fn plan(options: &RolloutOptions) -> RolloutPlan {
     let target = |index: usize| Target {
         name: format!("f{index}"),
--- a/simulation/src/rollout/summary.rs
+++ b/simulation/src/rollout/summary.rs
@@ -1,4 +1,4 @@
-//! Many simulated rollouts together.
+//! The summary of many simulated rollouts.
 
 use super::{run, RolloutOptions, RolloutResult};
 use serde::Serialize;
@@ -7,28 +7,28 @@
 /// The summary of many rollouts.
 #[derive(Clone, Debug, Serialize)]
 pub struct RolloutSummary {
-    /// What was simulated.
+    /// The simulated options.
     #[serde(rename = "play")]
     pub options: RolloutOptions,
     /// Number of rollouts.
     #[serde(rename = "rolls")]
     pub rollouts: u64,
-    /// Share stopped.
+    /// Share of the rollouts that were stopped.
     pub stopped: f64,
-    /// Of those stopped: share in each stage.
+    /// Share of the stopped rollouts that ended in each stage.
     pub stages: Vec<f64>,
-    /// Of those stopped: seconds to the decision, median and 90th percentile.
+    /// Seconds until a stopped rollout was decided: median and 90th percentile.
     pub seconds: [u64; 2],
-    /// Of those stopped: median share of all requests of that time that the changed side got.
+    /// Median, over the stopped rollouts, of the share of requests that reached changed front ends.
     pub exposed: f64,
-    /// Of those done: median seconds.
+    /// Median duration of the completed rollouts in seconds.
     pub done_seconds: u64,
-    /// Reasons, by the text before their first colon, and how often.
+    /// Number of stopped rollouts by reason, cut off at its first colon.
     #[serde(rename = "why")]
     pub reasons: BTreeMap<String, u64>,
 }
 
-/// Simulates seeds from `from` on so many threads; the summary does not depend on their number.
+/// Simulates the seeds `from..from + rollouts` on `threads` threads. The summary does not depend on the number of threads.
 pub fn many(options: &RolloutOptions, from: u64, rollouts: u64, threads: usize) -> RolloutSummary {
     let mut results: Vec<(u64, RolloutResult)> =
         crate::run_seeds(from, rollouts, threads, |seed| (seed, run(options, seed)));
--- a/simulation/src/scopes/agreed.rs
+++ b/simulation/src/scopes/agreed.rs
@@ -1,4 +1,4 @@
-//! The scopes as they are agreed on, followed change by change, and what may be acted on.
+//! The agreed records of the scopes, tracked change by change, and the settings that front ends may act on.
 
 use super::change_number;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,67 +8,67 @@
     qualified_fields, EffectiveSettings, ScopeChange, ScopePhase, ScopeRecord,
 };
 
-/// A scope as it is agreed on, and what may be acted on under a lease.
+/// The agreed record of a scope, and the settings that may be acted on under a lease.
 #[derive(Default)]
 struct AgreedScope {
     record: ScopeRecord,
     permitted: Vec<EffectiveSettings>,
 }
 
-/// With what a front end was audited: another audit with the same finds the same.
+/// The inputs of an audit of a front end; an audit with equal inputs has the same result and is skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AuditKey {
     pub(super) round: u64,
     pub(super) incarnation: u64,
-    /// Counts the changes of the front end's own scopes.
+    /// Number of changes to the scopes known to the front end.
     pub(super) scopes_changed: u64,
     pub(super) has_lease: bool,
     pub(super) has_session: bool,
 }
 
-/// A change of a scope that came in force or was abandoned.
+/// A scope change that came into force or was abandoned.
 pub(super) struct EndedChange {
     pub(super) revision: Revision,
-    /// The number of the change, where its fields carry one.
+    /// The number of the change, if its fields contain one.
     pub(super) number: Option<i64>,
     pub(super) in_force: bool,
 }
 
-/// The scopes as they are agreed on.
+/// The agreed records of all scopes.
 #[derive(Default)]
 pub(super) struct AgreedScopes {
     scopes: BTreeMap<String, AgreedScope>,
     unsettled: BTreeSet<String>,
-    /// Up to this revision all changes are followed.
+    /// The revision up to which changes have been processed.
     pub(super) revision: Revision,
-    /// Counts changes and settlements.
+    /// Number of changes and settlements so far.
     pub(super) round: u64,
-    /// Changes that entered their joint phase, by scope, number and revision.
+    /// The changes that entered the joint phase: scope, number and revision.
     joint: BTreeSet<(String, Option<i64>, Revision)>,
     pub(super) in_force: u64,
     pub(super) reverted: u64,
-    /// Changes that ended and were not measured yet.
+    /// Ended changes that are not measured yet.
     pub(super) ended: Vec<EndedChange>,
 }
 
 impl AgreedScopes {
-    /// Whether no change is under way.
+    /// Whether no change is pending.
     pub(super) fn is_settled(&self) -> bool {
         self.unsettled.is_empty()
     }
 
-    /// The agreed record of a scope; one that was never changed has an empty one.
+    /// The agreed record of a scope; empty if the scope was never changed.
     pub(super) fn record(&self, scope: &str) -> ScopeRecord {
         let agreed = self.scopes.get(scope);
         agreed.map(|s| s.record.clone()).unwrap_or_default()
     }
 
-    /// The fields in force of a scope.
+    /// The fields of a scope that are in force.
     pub(super) fn fields(&self, scope: &str) -> Option<&Fields> {
         self.scopes.get(scope)?.record.fields.as_ref()
     }
 
-    /// Follows a log. Whether anything changed, and the violations in how it did.
+    /// Processes the new changes of a log. Returns whether there were any, and the violations among them.
     pub(super) fn follow(&mut self, log: &Log, schema: &Schema) -> (bool, Vec<String>) {
         let before = self.round;
         let state = log.state();
@@ -166,7 +166,7 @@
         });
     }
 
-    /// Scopes that the catalog has settled may be acted on as they are alone.
+    /// For scopes that the catalog has settled, permits only the settled settings.
     fn settle(&mut self, log: &Log, schema: &Schema, violations: &mut Vec<String>) {
         let is_settled = |name: &&String| {
             let record = log.catalog().get(name);
@@ -190,7 +190,7 @@
         }
     }
 
-    /// The violation in what a front end acts on, if there is one.
+    /// The violation in the settings of a scope that a front end acts on, if there is one.
     pub(super) fn violation(
         &self,
         schema: &Schema,
--- a/simulation/src/scopes/audit.rs
+++ b/simulation/src/scopes/audit.rs
@@ -1,4 +1,4 @@
-//! The audit of scopes in a run, and the measurement of their changes.
+//! The audit of scopes, and the measurement of scope changes.
 
 use super::agreed::AuditKey;
 use super::Scopes;
@@ -7,18 +7,19 @@
 use tansy_agreement::scope::{ScopeChange, ScopePhase};
 use tansy_fleet_node::{Command, FleetEvent, FleetNode};
 
-/// Violations reported of changes that never ended.
+/// Maximum number of reported violations for unfinished changes and lost requests.
 const REPORTED_AT_END: usize = 2;
 
 impl Scopes {
-    /// All voters have one catalog after as many entries; the violation, if they have not.
+    /// Compares the catalog of a voter with that of others after the same number of entries, and returns the violation if they
+    /// differ.
     fn compare_catalog(&mut self, applied: u64, log: &Log) -> Option<String> {
         let known = self.catalogs.entry(applied);
         let known = known.or_insert_with(|| log.catalog().clone());
         (known != log.catalog()).then(|| format!("has another catalog after {applied} entries"))
     }
 
-    /// The changes that never ended, and the requests that were lost.
+    /// Violations for changes that never ended and for accepted requests that were lost.
     fn unfinished(&self, log: &Log) -> Vec<String> {
         let open = log.catalog().unsettled().map(|(name, record)| {
             format!(
@@ -40,7 +41,7 @@
 }
 
 impl Simulation<'_> {
-    /// Audits what a front end answers to operators, and plants a defect where one begins to lead.
+    /// Audits the responses of front ends to operators, and applies the defect that concerns new leaders.
     pub(crate) fn on_scope_command(&mut self, index: usize, command: &Command) {
         let Some(scopes) = &mut self.scopes else {
             return;
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Measures changes of single scopes: those in force at every front end that runs, and those that were abandoned.
+    /// Measures scope changes: when they are in force at every running front end, and which were abandoned.
     pub(crate) fn measure_scopes_in_force(&mut self) {
         let (Some(scopes), Some(scale)) = (&mut self.scopes, &mut self.scale) else {
             return;
@@ -87,7 +88,7 @@
         }
         while let Some((revision, change)) = scopes.awaited.front().copied() {
             let count = self.processes.len();
-            // The one that was behind is looked at first: while it is, no other needs to be.
+            // Check the process that was last behind first: while it still is, the others need no check.
             let behind = (0..count)
                 .map(|offset| (scopes.lagging + offset) % count)
                 .find(|index| self.processes[*index].is_behind(self.now, revision));
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Compares a voter's catalog with the others'.
+    /// Compares the catalog of a voter with those of the others.
     pub(crate) fn compare_catalogs(&mut self, index: usize, applied: u64) {
         let Some(scopes) = self.scopes.as_mut().filter(|s| s.compares_catalogs) else {
             return;
@@ -114,7 +115,8 @@
         }
     }
 
-    /// Follows a voter that applied more than any before. True: all are to be audited anew.
+    /// Processes the changes of a voter that has applied more entries than any before. Returns whether all processes must be
+    /// audited again.
     pub(crate) fn follow_scopes(&mut self, index: usize) -> bool {
         let Some(scopes) = self.scopes.as_mut() else {
             return false;
@@ -134,7 +136,7 @@
                 .map(|change| (change.scope.clone(), change.revision))
                 .collect();
             for (scope, since) in joint {
-                // By then no lease is for an earlier revision.
+                // By that time no lease for an earlier revision remains.
                 let at = self.now + 3 * self.options.lease.span;
                 self.schedule(at, Event::AdvanceScope { scope, since });
             }
@@ -145,7 +147,7 @@
         changed
     }
 
-    /// Audits what a process would act on of each scope that it ever got a request for.
+    /// Audits the settings that a process would act on, for each scope for which it has received a request.
     pub(crate) fn audit_scopes(&mut self, index: usize) {
         let process = &self.processes[index];
         let (Some(scopes), Some(node), true) = (
@@ -178,7 +180,7 @@
         }
     }
 
-    /// At the end, once all faults are over, every change has to be over.
+    /// Checks at the end of the run, after all faults, that every change has ended.
     pub(crate) fn audit_scopes_end(&mut self) {
         let Some(scopes) = self.scopes.as_ref().filter(|s| s.compares_catalogs) else {
             return;
--- a/simulation/src/scopes/defects.rs
+++ b/simulation/src/scopes/defects.rs
@@ -1,4 +1,4 @@
-//! Planted defects that concern scopes.
+//! Injected defects that concern scopes.
 
 use crate::fault::{Time, SECOND};
 use crate::fleet::{address_of, Simulation};
@@ -8,10 +8,10 @@
 use tansy_fleet_node::{Command, FleetNode, Leader, MessageBody};
 use tansy_membership::NodeId;
 
-/// What replies about scopes take longer, where replies older than their reader's revision are to be frequent.
+/// Additional delay of subscription replies, so that replies older than the receiver's revision are frequent.
 pub(crate) const REPLY_DELAY: Time = SECOND * 3 / 10;
 
-/// A front end's full list of subscriptions, which is empty.
+/// A subscribe request with an empty full list of subscriptions.
 fn empty_subscriptions(from: Member, epoch: ResyncEpoch) -> MessageBody {
     MessageBody::Subscribe(SubscribeRequest {
         from,
@@ -35,8 +35,8 @@
 }
 
 impl Simulation<'_> {
-    /// [`crate::fleet::InjectedDefect::ForgottenSubscriptions`]: the leader that begins takes each on its roster for one without
-    /// subscriptions.
+    /// Implements [`crate::fleet::InjectedDefect::ForgottenSubscriptions`]: gives a new leader an empty list of subscriptions
+    /// for every other member on its roster.
     pub(super) fn forget_subscriptions(&mut self, index: usize) {
         let Some(node) = self.processes[index].node.as_ref() else {
             return;
@@ -54,7 +54,7 @@
             let from = NodeId::new(member.id, member.incarnation, address);
             let leader = Leader::default;
             self.step_node(index, |node: &mut FleetNode, now, commands| {
-                // A first request is answered with the epoch that the list has to name.
+                // The reply to a first request contains the epoch that the list must name.
                 let mut replies = Vec::new();
                 let first = empty_subscriptions(member, ResyncEpoch::default());
                 node.on_message(now, &from, leader(), first, &mut replies);
@@ -66,8 +66,8 @@
         }
     }
 
-    /// [`crate::fleet::InjectedDefect::IgnoredSubscribers`]: a change comes in force once every lease expired or was renewed,
-    /// whoever is subscribed to the scope.
+    /// Implements [`crate::fleet::InjectedDefect::IgnoredSubscribers`]: puts a change into force regardless of the scope's
+    /// subscribers, once every older lease has expired or been renewed.
     pub(crate) fn advance_scope_early(&mut self, scope: String, since: Revision) {
         let Some((leader, _)) = self.leader() else {
             return;
@@ -79,8 +79,8 @@
         self.request(leader, 0, entry);
     }
 
-    /// [`crate::fleet::InjectedDefect::RepeatedUnsubscribe`]: what was unsubscribed once is unsubscribed again with every later
-    /// message.
+    /// Implements [`crate::fleet::InjectedDefect::RepeatedUnsubscribe`]: adds all earlier unsubscriptions of a front end to
+    /// each of its requests.
     pub(crate) fn repeat_unsubscribed(&mut self, body: &mut MessageBody) {
         if let (MessageBody::Subscribe(request), Some(scopes)) = (body, &mut self.scopes) {
             let known = scopes.unsubscribed.entry(request.from).or_default();
--- a/simulation/src/scopes/workload.rs
+++ b/simulation/src/scopes/workload.rs
@@ -1,4 +1,4 @@
-//! The requests that front ends get, and the changes that operators ask for.
+//! The workload on scopes: requests at front ends and changes by operators.
 
 use super::{scope_fields, Scopes};
 use crate::fault::{Time, SECOND};
@@ -7,13 +7,13 @@
 use tansy_agreement::scope::{ScopeTransaction, ScopeUpdate};
 use tansy_agreement::subscription::IDLE_TIMEOUT;
 
-/// Requests that a front end gets in a second.
+/// Requests per front end and second.
 const REQUESTS_PER_SECOND: i64 = 3;
-/// Changes asked for in a run.
+/// Changes requested in a run, repetitions not counted.
 const CHANGES_PER_RUN: usize = 40;
 
 impl Scopes {
-    /// Draws a change of one to three scopes.
+    /// Draws a transaction that changes one to three scopes.
     fn draw_transaction(&mut self) -> ScopeTransaction {
         let id = self.transactions.len() as u64 + 1;
         let mut names = self.names.clone();
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Draws a change of a scope; one in six removes it, one in twenty is based on an old revision.
+    /// Draws an update of a scope; one in six removes the fields, one in twenty is based on an outdated revision.
     fn draw_update(&mut self, scope: String, number: i64) -> ScopeUpdate {
         let record = self.agreed.record(&scope);
         let removes = record.fields.is_some() && self.rng.u32(0..6) == 0;
@@ -51,7 +51,7 @@
 }
 
 impl Simulation<'_> {
-    /// Schedules requests and changes.
+    /// Schedules the requests and changes of a run.
     pub(crate) fn schedule_scope_workload(&mut self) {
         let Some(mut scopes) = self.scopes.take() else {
             return;
@@ -71,7 +71,8 @@
         self.scopes = Some(scopes);
     }
 
-    /// A front end gets a request. With `expire` it is as if its last request of this scope were long ago.
+    /// A front end receives a request for a random scope. With `expire` the request is backdated so that the subscription
+    /// becomes idle.
     pub(crate) fn request_scope(&mut self, index: usize, expire: bool) {
         let Some(scopes) = &mut self.scopes else {
             return;
@@ -87,7 +88,7 @@
         });
     }
 
-    /// An operator changes one to three scopes, or repeats an earlier request.
+    /// An operator changes one to three scopes, or repeats the request with the id `repeat_of`.
     pub(crate) fn change_scopes(&mut self, repeat_of: Option<u64>) {
         let Some((leader, _)) = self.leader() else {
             return;
