--- a/simulation/src/cli/roll.rs
+++ b/simulation/src/cli/roll.rs
@@ -15,7 +15,7 @@
     /// Number of front ends.
     #[arg(long, default_value_t = 30)]
     front_ends: usize,
-    /// Mean request rate of a front end, per second.
+    /// Median request rate of a front end, per second.
     #[arg(long, default_value_t = 40.0)]
     rate: f64,
     /// Simulates only changes without a regression.
--- a/simulation/src/scale/directory.rs
+++ b/simulation/src/scale/directory.rs
@@ -1,4 +1,4 @@
-//! The directories of the hollow tier: one for all that reach each other.
+//! The shared member directories of the hollow tier: one for each group of processes that can reach each other.
 
 use super::{DETECTED_DOWN_AFTER, DETECTED_UP_AFTER};
 use crate::fault::Time;
@@ -8,7 +8,7 @@
 use tansy_fleet_node::Directory;
 use tansy_membership::NodeId;
 
-/// A process that began or ended, which the directory has from `due` on.
+/// The start or end of a process, which the directories show from `due` on.
 struct MembershipChange {
     due: Time,
     process: usize,
@@ -16,18 +16,18 @@
     is_up: bool,
 }
 
-/// True but late directories of who is there.
+/// Accurate member directories that are updated with a delay.
 pub(crate) struct SharedDirectories {
     listed: Vec<Option<NodeId>>,
     pending: VecDeque<MembershipChange>,
-    /// One for each side of a partition.
+    /// One directory for each side of a partition.
     sides: Vec<Arc<Directory>>,
-    /// Whether the directories show a partition; they do some time after it began.
+    /// Whether the directories reflect a partition, which they do with a delay.
     shows_partition: bool,
 }
 
 impl SharedDirectories {
-    /// Empty directories for so many front ends.
+    /// Creates empty directories for this number of front ends.
     pub(crate) fn new(front_ends: usize) -> SharedDirectories {
         SharedDirectories {
             listed: vec![None; front_ends],
@@ -37,12 +37,12 @@
         }
     }
 
-    /// A process began.
+    /// Records the start of a process.
     pub(crate) fn on_start(&mut self, now: Time, process: usize, node: NodeId) {
         self.insert(now + DETECTED_UP_AFTER, process, node, true);
     }
 
-    /// A process ended. The others know of one that notified them as soon as of one that began.
+    /// Records the end of a process. A process that notified the others disappears as quickly as a started one appears.
     pub(crate) fn on_end(&mut self, now: Time, process: usize, node: NodeId, notified: bool) {
         let after = if notified {
             DETECTED_UP_AFTER
@@ -63,7 +63,7 @@
         self.pending.insert(index, change);
     }
 
-    /// The directory that a front end is given.
+    /// The directory for a front end.
     pub(crate) fn directory(&self, network: &Network, process: usize) -> Arc<Directory> {
         let side = if self.shows_partition {
             network.side(process)
@@ -73,7 +73,7 @@
         self.sides.get(side).cloned().unwrap_or_default()
     }
 
-    /// Takes up what is due by now. True: the directories changed.
+    /// Applies the changes that are due, and returns whether the directories changed.
     pub(super) fn update(&mut self, network: &Network, now: Time) -> bool {
         let mut changed = false;
         while self.pending.front().is_some_and(|change| change.due <= now) {
@@ -95,7 +95,7 @@
         true
     }
 
-    /// True: the list changed.
+    /// Applies a change, and returns whether the list changed.
     fn apply(&mut self, change: MembershipChange) -> bool {
         let listed = &mut self.listed[change.process];
         let incarnation = listed.as_ref().map(|node| node.incarnation);
--- a/simulation/src/scale/losses.rs
+++ b/simulation/src/scale/losses.rs
@@ -1,4 +1,4 @@
-//! Losses in a run at scale: partitioned regions, a rack or a zone that ends, a rolling restart.
+//! Large failures in a run at scale: partitioned regions, the crash of a rack or zone, and rolling restarts.
 
 use super::measurement::{milliseconds, AccountedTime, DeadMember, OngoingLoss};
 use super::{LossReport, PartitionReport, PartitionSide, ScaleScenario};
@@ -6,11 +6,11 @@
 use crate::fleet::{Event, Process, Simulation};
 use tansy_agreement::lease::Member;
 
-/// What ends in a loss, and how it goes on.
+/// The processes that a failure affects, and its course.
 struct LossPlan {
     ended: Vec<usize>,
     earliest_recovery: Time,
-    /// The parts of a rolling restart, the next one last.
+    /// The batches of a rolling restart in reverse order.
     parts: Vec<Vec<usize>>,
 }
 
@@ -23,7 +23,7 @@
 }
 
 impl Simulation<'_> {
-    /// The time of all processes by now.
+    /// The uptime totals over all processes.
     pub(super) fn accounted_total(&mut self) -> AccountedTime {
         self.account_all();
         self.processes
@@ -53,7 +53,7 @@
         scale.healing_since = Some(self.now);
     }
 
-    /// What was lost on one side of the partition since it began.
+    /// The measurements of one side of the partition since it began.
     fn partition_side(&self, is_cut: bool) -> PartitionSide {
         let Some(scale) = &self.scale else {
             return PartitionSide::default();
@@ -78,7 +78,8 @@
         }
     }
 
-    /// Those of a rack or of a zone, which are in one region: the first there, without voters but for the leader.
+    /// The front ends of a rack or zone: the first `count` non-voters of one region, preceded by the leader if
+    /// `with_leader` is set.
     fn colocated(&self, count: usize, with_leader: bool) -> Vec<usize> {
         let leader = self
             .leader()
@@ -118,7 +119,7 @@
         }
     }
 
-    /// A rack or a zone ends, or a rolling restart begins.
+    /// Begins the crash of a rack or zone, or a rolling restart.
     pub(super) fn begin_loss(&mut self) {
         let accounted_before = self.accounted_total();
         let now = self.now;
@@ -166,12 +167,12 @@
         }
     }
 
-    /// The membership of a process that is started.
+    /// The member identity of a running process.
     pub(super) fn member(&self, index: usize) -> Option<Member> {
         Some(self.processes[index].node.as_ref()?.config().node.member())
     }
 
-    /// Goes on with a rolling restart, and checks whether the fleet has recovered.
+    /// Advances a rolling restart and checks whether the fleet has recovered.
     pub(super) fn continue_loss(&mut self) {
         let Some(scale) = &mut self.scale else {
             return;
@@ -209,7 +210,7 @@
         }
     }
 
-    /// The fleet has recovered from a loss, or the run is over.
+    /// Completes the report of a failure when the fleet has recovered or the run ends.
     pub(super) fn report_loss(&mut self, recovered: bool) {
         let now = self.now;
         let total = self.accounted_total();
--- a/simulation/src/scale/measurement.rs
+++ b/simulation/src/scale/measurement.rs
@@ -1,4 +1,4 @@
-//! What is counted in a run at scale.
+//! The state of the measurement in a run at scale.
 
 use super::{LossReport, PartitionReport, ScaleScenario};
 use crate::fault::Time;
@@ -7,48 +7,48 @@
 use tansy_agreement::log::Version;
 use tansy_fleet_node::MessageBody;
 
-/// What happens in a run at scale.
+/// An event of a run at scale.
 #[derive(Clone, Debug)]
 pub(crate) enum ScaleEvent {
-    /// The whole fleet is looked at.
+    /// Check the whole fleet.
     Check,
-    /// Measurement begins.
+    /// The measurement begins.
     Begin,
-    /// An operator asks for a change.
+    /// An operator requests a change.
     RequestChange {
         change: usize,
         attempt: u64,
     },
     PartitionBegins,
     PartitionEnds,
-    /// A rack, a zone or a rolling restart.
+    /// A rack or zone crashes, or a rolling restart begins.
     Loss,
-    /// The functions that are changed by scope are set up.
+    /// Set up the next batch of functions that are changed by scope.
     SetUpScopes,
-    /// A front end gets requests for its few functions.
+    /// A front end receives its requests for a few functions.
     Requests {
         process: usize,
         scopes: usize,
     },
 }
 
-/// A change that an operator asks for.
+/// A change requested by an operator.
 pub(super) struct RequestedChange {
     pub(super) is_strict: bool,
-    /// When it is first asked for.
+    /// The time of the first request.
     pub(super) requested: Time,
-    /// The version that it became; 0 where it has none of its own.
+    /// The version that the accepted change became; 0 for scope changes, which have no version.
     pub(super) version: Option<Version>,
-    /// In force, or abandoned.
+    /// Whether the change is in force or abandoned.
     pub(super) is_over: bool,
     pub(super) attempts: u64,
-    /// The function that it is of, once that is drawn.
+    /// The function that the change affects, once drawn.
     pub(super) scope: Option<usize>,
-    /// It is strict, and a front end that ended for good got requests for its function.
+    /// Whether the change is strict and a permanently crashed front end received requests for its function.
     pub(super) waits_for_dead: bool,
 }
 
-/// Messages from and to a front end.
+/// Messages sent and received by a front end.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Traffic {
     pub(super) messages: u64,
@@ -57,7 +57,7 @@
     pub(super) gossip_bytes: u64,
 }
 
-/// Time up, and of that without a lease and without a session.
+/// Uptime, and the parts of it without a lease and without a session.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AccountedTime {
     pub(super) up: Time,
@@ -82,41 +82,41 @@
         }
     }
 
-    /// Share of the time up without a lease.
+    /// Share of the uptime without a lease.
     pub(super) fn lease_lost(self) -> f64 {
         self.without_lease as f64 / self.up.max(1) as f64
     }
 
-    /// Share of the time up without a session.
+    /// Share of the uptime without a session.
     pub(super) fn session_lost(self) -> f64 {
         self.without_session as f64 / self.up.max(1) as f64
     }
 }
 
-/// A front end that ended for good and is on the roster still.
+/// A permanently crashed front end that is still on the roster.
 pub(super) struct DeadMember {
     pub(super) member: Member,
     pub(super) ended: Time,
 }
 
-/// A loss from which the fleet has not recovered yet.
+/// A failure from which the fleet has not recovered yet.
 pub(super) struct OngoingLoss {
     pub(super) since: Time,
-    /// Not before this are all taken to act again.
+    /// The fleet does not count as recovered before this time.
     pub(super) earliest_recovery: Time,
     pub(super) accounted_before: AccountedTime,
-    /// Parts that are still to be restarted, the next one last.
+    /// The batches of a rolling restart still to come, in reverse order.
     pub(super) parts: Vec<Vec<usize>>,
-    /// The part that is being restarted.
+    /// The batch being restarted.
     pub(super) part: Vec<usize>,
 }
 
-/// Milliseconds that were measured.
+/// Measured durations in milliseconds.
 #[derive(Default)]
 pub(super) struct Durations {
     pub(super) plain: Vec<u64>,
     pub(super) strict: Vec<u64>,
-    /// Of the strict ones, those that waited for dead subscribers.
+    /// Strict changes that may have waited for crashed subscribers.
     pub(super) waited_for_dead: Vec<u64>,
     pub(super) start_join: Vec<u64>,
     pub(super) join: Vec<u64>,
@@ -125,44 +125,44 @@
     pub(super) detected_down: Vec<u64>,
 }
 
-/// What is counted in a run.
+/// The measurement of a run.
 #[derive(Default)]
 pub(crate) struct ScaleMeasurement {
     pub(super) scenario: ScaleScenario,
-    /// When all acted.
+    /// When all front ends had joined, or the time limit for joining passed.
     pub(super) all_joined_at: Option<Time>,
-    /// When measurement began.
+    /// When the measurement began.
     pub(super) measurement_start: Option<Time>,
-    /// When the run ends.
+    /// The end of the run.
     pub(crate) end: Time,
     pub(super) traffic: Vec<Traffic>,
     pub(super) changes: Vec<RequestedChange>,
-    /// The changes that versions are of.
+    /// The index of the change behind each version.
     pub(super) versions: BTreeMap<Version, usize>,
     pub(super) durations: Durations,
-    /// Requests by which the functions were set up.
+    /// Number of setup transactions so far.
     pub(super) set_up_requests: u64,
     pub(super) dead_on_roster: Vec<DeadMember>,
-    /// When each node last ended.
+    /// The time at which each node last stopped.
     pub(super) ended: BTreeMap<u64, Time>,
     pub(super) abandoned: u64,
     pub(super) rejected: u64,
-    /// By front end, when the partition began.
+    /// The uptime totals of each front end at the start of the partition.
     pub(super) before_partition: Vec<AccountedTime>,
     pub(super) partition: Option<PartitionReport>,
-    /// When the partition ended, while not all act again.
+    /// The end of the partition, until all front ends have recovered from it.
     pub(super) healing_since: Option<Time>,
-    /// Those that ended for good.
+    /// The front ends that crashed permanently.
     pub(super) dead_front_ends: Vec<usize>,
     pub(super) loss: Option<LossReport>,
     pub(super) ongoing_loss: Option<OngoingLoss>,
-    /// Changes of functions that a front end got requests for.
+    /// Number of changes of functions for which some front end had received requests.
     pub(super) changes_of_requested: u64,
     pub(crate) events: u64,
     pub(super) notes: Vec<String>,
 }
 
-/// The milliseconds of a span.
+/// Converts a duration to milliseconds.
 pub(super) fn milliseconds(span: Time) -> u64 {
     (span / 1000) as u64
 }
@@ -177,7 +177,7 @@
         }
     }
 
-    /// A message was sent by, or came to, this front end.
+    /// Counts a message sent or received by a front end.
     pub(crate) fn count_message(&mut self, process: usize, body: &MessageBody, bytes: u64) {
         let traffic = &mut self.traffic[process];
         traffic.messages += 1;
@@ -188,7 +188,7 @@
         }
     }
 
-    /// A process has a lease and a session for the first time, so long after its start.
+    /// Records the time from the start of a process to its first lease and session.
     pub(super) fn record_join(&mut self, after: Time) {
         let durations = if self.measurement_start.is_some() {
             &mut self.durations.join
@@ -198,14 +198,14 @@
         durations.push(milliseconds(after));
     }
 
-    /// A version is in force at all that can be reached.
+    /// Records that a version is in force at every reachable front end.
     pub(crate) fn on_version_in_force(&mut self, now: Time, version: Version) {
         if let Some(change) = self.versions.get(&version) {
             self.on_in_force(now, *change);
         }
     }
 
-    /// A change was abandoned.
+    /// Records that a change was abandoned.
     pub(crate) fn on_abandoned(&mut self, change: usize) {
         if let Some(change) = self.changes.get_mut(change) {
             let was_over = std::mem::replace(&mut change.is_over, true);
@@ -213,7 +213,7 @@
         }
     }
 
-    /// A change is in force at all that can be reached.
+    /// Records that a change is in force at every reachable front end.
     pub(crate) fn on_in_force(&mut self, now: Time, change: usize) {
         let Some(change) = self.changes.get_mut(change) else {
             return;
--- a/simulation/src/scale/mod.rs
+++ b/simulation/src/scale/mod.rs
@@ -1,11 +1,11 @@
-//! A fleet at its size: what control costs a front end, a relay and a voter, and how long changes take.
+//! Measurements of large fleets: the control traffic of front ends, relays and voters, and the time that changes take.
 //!
-//! Two tiers simulate the same processes. In the **whole** one each finds the others by gossip and keeps a member list of its
-//! own, which takes memory with the square of the fleet. In the **hollow** one all are given one directory that is true but
-//! late; leases, sessions, logs, drains and the audit are the same. What gossip would take is added there as measured in the
-//! whole tier ([`IDLE_MEMBERSHIP_TRAFFIC`]).
+//! There are two tiers. In the **whole** tier every process discovers the others by gossip and keeps its own member list,
+//! so that memory grows with the square of the fleet size. In the **hollow** tier all processes share one directory, which
+//! is accurate but updated with a delay; leases, sessions, logs, drains and the audit are the same. The traffic of gossip,
+//! as measured in the whole tier, is added to the results ([`IDLE_MEMBERSHIP_TRAFFIC`]).
 //!
-//! Measurement begins once all front ends act, and some time after; what the start took is reported separately.
+//! The measurement begins some time after all front ends have joined; the time to join is reported separately.
 
 mod directory;
 mod losses;
@@ -28,44 +28,44 @@
 use crate::fault::{Time, SECOND};
 use crate::fleet::{Simulation, SimulationOptions};
 
-/// Time after which the directory has a process that began: the median of whole fleets of 100 and 300 in seven regions.
+/// Delay until the directory contains a started process: the median of the whole tier.
 const DETECTED_UP_AFTER: Time = SECOND * 35 / 100;
-/// Time after which it no longer has one that ended without notice, likewise.
+/// Delay until the directory drops a crashed process: the median of the whole tier.
 const DETECTED_DOWN_AFTER: Time = SECOND * 32 / 10;
-/// Time between two looks at the whole fleet.
+/// Interval between checks of the whole fleet.
 const CHECK_INTERVAL: Time = SECOND / 4;
-/// All act for so long before anything is counted.
+/// Time between the last join or the end of the setup and the start of the measurement.
 const SETTLE_TIME: Time = 10 * SECOND;
-/// The whole fleet has to act after this time, beside the time in which it is started.
+/// Time limit for all front ends to join after the last start, and for setting up functions after that.
 const START_LIMIT: Time = 180 * SECOND;
-/// Processes that are started in a second.
+/// Processes started per second.
 const STARTS_PER_SECOND: i64 = 1000;
 
-/// Processes of a fleet at its size count their incarnations from the microseconds since 1970, as real ones do.
+/// The incarnations of a real process start from its start time in microseconds since 1970; a number of that magnitude
+/// gives messages a realistic size.
 pub(crate) const FIRST_INCARNATION: u64 = 1_796_000_000_000_000;
-/// Their names are hashes: this bit gives a node id as many bytes.
+/// Real node ids are hashes of names; this bit gives simulated ids the same encoded size.
 pub(crate) const WIDE_ID: u64 = 1 << 63;
 
-/// Messages and bytes of membership a front end a second, in and out, in a whole fleet in which nobody comes or goes: the
-/// same at 100 and at 300 (8.1, and 1114 to 1119; three seeds each).
+/// Messages and bytes of membership per front end and second, sent and received, in the whole tier without restarts.
 pub const IDLE_MEMBERSHIP_TRAFFIC: (f64, f64) = (8.1, 1118.0);
-/// What each process that ends and comes back in an hour adds: at 100 1.7 and 1.8 bytes, at 300 1.9 and 2.2 (600 an hour, two
-/// seeds each); taken as the same at every size.
+/// Messages and bytes of membership per front end and second that each restart per hour adds.
 pub const MEMBERSHIP_TRAFFIC_PER_RESTART: (f64, f64) = (0.011, 2.1);
 
-/// Time in which the processes of a fleet are started.
+/// The period over which the processes of a fleet are started.
 pub(crate) fn start_time(front_ends: usize) -> Time {
     (front_ends as i64 * SECOND / STARTS_PER_SECOND).max(SECOND / 2)
 }
 
-/// Simulates one fleet; [`SimulationOptions::scale`] has to be set.
+/// Simulates one fleet; [`SimulationOptions::scale`] must be set.
 pub fn run(options: &SimulationOptions, seed: u64) -> ScaleReport {
     let mut simulation = Simulation::new(options, seed, &[]);
     simulation.run_events();
     simulation.into_scale_report()
 }
 
-/// Simulates seeds `from` to `from + seeds` on so many threads, in their order. With each the seconds it took.
+/// Simulates the seeds `from..from + seeds` on `threads` threads. Returns the reports in the order of their seeds, each
+/// with the elapsed real time in seconds.
 pub fn many(
     options: &SimulationOptions,
     from: u64,
--- a/simulation/src/scale/observe.rs
+++ b/simulation/src/scale/observe.rs
@@ -1,4 +1,4 @@
-//! What is observed of the fleet in a run at scale: answers and events of nodes, joins, ends, and regular looks at all.
+//! Observations in a run at scale: responses and events of nodes, joins and stops of processes, and periodic checks.
 
 use super::measurement::{milliseconds, ScaleEvent};
 use super::{start_time, CHECK_INTERVAL, SETTLE_TIME, START_LIMIT, WIDE_ID};
@@ -8,18 +8,18 @@
 use tansy_fleet_node::{Command, FleetEvent, RequestRejection};
 use tansy_membership::MembershipEvent;
 
-/// An operator asks again so long after a rejection, at least, and at most twice as long.
+/// Minimum delay before an operator repeats a rejected request; the maximum is twice as long.
 const MIN_RETRY_DELAY: Time = SECOND / 2;
 
-/// What an answer means for a change.
+/// The meaning of a response for a requested change.
 enum ChangeAnswer {
     Announced(Version),
-    /// Accepted without a version of its own.
+    /// Accepted as a scope change, which has no version.
     Accepted,
-    /// Rejected since another change goes on or too many wait.
+    /// Rejected because of another pending change or too many waiting requests.
     Busy,
     Failed,
-    /// No answer to the change itself.
+    /// A response that does not concern the change.
     Unrelated,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Simulation<'_> {
-    /// Schedules the first look at the fleet, where one is needed.
+    /// Schedules the first periodic check, if the run needs checks.
     pub(crate) fn schedule_checks(&mut self) {
         if self.scale.is_some() || self.directories.is_some() {
             self.schedule(CHECK_INTERVAL, Event::Scale(ScaleEvent::Check));
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Takes up a node's answers to operators and its events.
+    /// Processes the responses of a node to operators, and its events.
     pub(crate) fn on_scale_command(&mut self, index: usize, command: &Command) {
         let Some(scale) = &mut self.scale else {
             return;
@@ -105,7 +105,7 @@
                 return;
             }
             ChangeAnswer::Accepted => {
-                // It has no number of its own; that it was accepted is all that is known.
+                // Scope changes have no version; version 0 marks the change as accepted.
                 change.version = Some(Version(0));
                 return;
             }
@@ -122,7 +122,7 @@
         self.schedule(self.now + wait, Event::Scale(event));
     }
 
-    /// Measures how long gossip takes, once measurement began.
+    /// Measures how long gossip takes to detect a process, once the measurement has begun.
     fn on_membership_event(&mut self, event: &MembershipEvent) {
         let Some(scale) = &mut self.scale else {
             return;
@@ -147,7 +147,7 @@
         }
     }
 
-    /// A process has a lease and a session for the first time.
+    /// Handles the first lease and session of a process since its start.
     pub(crate) fn on_join(&mut self, index: usize) {
         let after = self.now - self.processes[index].started;
         let Some(scale) = &mut self.scale else {
@@ -162,7 +162,7 @@
         }
     }
 
-    /// A process ends; `notified`: the others were notified of it.
+    /// Handles the end of a process; `notified` tells whether it notified the others.
     pub(crate) fn on_process_end(&mut self, index: usize, notified: bool) {
         let Some(node) = self.processes[index].node.as_ref() else {
             return;
@@ -176,7 +176,7 @@
         }
     }
 
-    /// A regular look at the fleet.
+    /// Performs a periodic check of the fleet.
     fn check_fleet(&mut self) {
         let next = self.now + CHECK_INTERVAL;
         self.schedule(next, Event::Scale(ScaleEvent::Check));
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Detects that all front ends joined, or that it is too late for it. True: one of the two just now.
+    /// Detects that all front ends have joined or that the time limit has passed; returns whether this happened just now.
     fn check_joined(&mut self) -> bool {
         let now = self.now;
         let started_at = start_time(self.options.front_ends);
@@ -232,13 +232,13 @@
         true
     }
 
-    /// Whether all processes that run have a lease and a session.
+    /// Whether all running processes have a lease and a session.
     pub(super) fn all_leased(&self) -> bool {
         let mut running = self.processes.iter().filter(|p| p.is_running());
         running.all(|process| process.is_leased(self.now))
     }
 
-    /// Measures the time from the end of a partition until all act again.
+    /// Measures the time from the end of a partition until all front ends have recovered.
     fn check_healed(&mut self) {
         let healing = self.scale.as_ref().and_then(|scale| scale.healing_since);
         let Some(since) = healing.filter(|_| self.all_leased()) else {
@@ -253,7 +253,7 @@
         scale.healing_since = None;
     }
 
-    /// Measures the time until those that ended for good are off the roster.
+    /// Measures the time until permanently crashed front ends are removed from the roster.
     fn check_freed(&mut self) {
         let Some(scale) = &mut self.scale else {
             return;
--- a/simulation/src/scale/report.rs
+++ b/simulation/src/scale/report.rs
@@ -1,23 +1,23 @@
-//! What a run at scale measured. Recorded runs carry the fields under the names of the `serde` attributes.
+//! The report of a run at scale. The `serde` attributes keep the field names of recorded runs.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// A median and a 99th percentile, and of how many.
+/// Quantiles of measured durations in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Quantiles {
     /// Median.
     pub p50: f64,
     /// 99th percentile.
     pub p99: f64,
-    /// The largest.
+    /// Maximum.
     pub max: f64,
-    /// How many were measured.
+    /// Number of measurements.
     pub count: u64,
 }
 
 impl Quantiles {
-    /// Those of measured milliseconds; none: nothing was measured.
+    /// The quantiles of durations in milliseconds; `None` without measurements.
     pub(crate) fn of(milliseconds: &[u64]) -> Option<Quantiles> {
         let mut histogram = Histogram::<u64>::new_with_bounds(1, 36_000_000, 3).ok()?;
         for milliseconds in milliseconds {
@@ -33,163 +33,164 @@
     }
 }
 
-/// One side of a partition, while it lasts.
+/// One side of a partition, measured for its duration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct PartitionSide {
-    /// Its front ends.
+    /// Number of front ends on this side.
     pub front_ends: usize,
-    /// Share of their time without a live lease.
+    /// Share of their uptime without a valid lease.
     pub lease_lost: f64,
-    /// Share of it without a live session.
+    /// Share of their uptime without a valid session.
     #[serde(rename = "stay_lost")]
     pub session_lost: f64,
 }
 
-/// What was counted while regions were partitioned.
+/// Measurements of a partition between regions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct PartitionReport {
-    /// Those that reach the voters.
+    /// The side of the regions that stay connected to each other.
     pub main: PartitionSide,
-    /// Those that do not.
+    /// The isolated regions.
     pub cut: PartitionSide,
-    /// Changes of plain fields requested meanwhile.
+    /// Changes of plain fields requested during the partition.
     #[serde(rename = "plain_asked")]
     pub plain_requested: u64,
-    /// Of these in force before the partition was over.
+    /// Number of those in force before the partition ended.
     pub plain_in_force: u64,
-    /// Changes of strict fields requested meanwhile.
+    /// Changes of strict fields requested during the partition.
     #[serde(rename = "strict_asked")]
     pub strict_requested: u64,
-    /// Of these in force before the partition was over.
+    /// Number of those in force before the partition ended.
     pub strict_in_force: u64,
-    /// From the end of the partition until all act again with lease and session, milliseconds.
+    /// Time from the end of the partition until all front ends have a lease and a session again, in milliseconds.
     pub healed_ms: Option<u64>,
 }
 
-/// What was counted from the moment on at which a rack or a zone ended, or a rolling restart began.
+/// Measurements from the crash of a rack or zone, or from the start of a rolling restart.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct LossReport {
-    /// Front ends that ended, each counted once.
+    /// Number of front ends that stopped, each counted once.
     pub front_ends: usize,
-    /// Voters among them.
+    /// Number of voters among them.
     #[serde(rename = "seats")]
     pub voters: usize,
-    /// From that moment until all that run act with lease and session, and nobody is still to come back, milliseconds. Where
-    /// nobody comes back a lease's length at least: so long those live that were granted before.
+    /// Time until all running front ends have a lease and a session and no restart is pending, in milliseconds. For a rack,
+    /// which does not restart, at least the duration of a lease, since leases granted before the crash last that long.
     #[serde(rename = "again_ms")]
     pub recovered_ms: Option<u64>,
-    /// Until then, share of front ends' time up without a live lease.
+    /// Share of the front ends' uptime without a valid lease, until the recovery.
     pub lease_lost: f64,
-    /// Share of it without a live session.
+    /// Share of the front ends' uptime without a valid session, until the recovery.
     #[serde(rename = "stay_lost")]
     pub session_lost: f64,
-    /// Changes requested until then.
+    /// Changes requested until the recovery.
     #[serde(rename = "changes_asked")]
     pub changes_requested: u64,
-    /// Changes in force by then, of those requested until then.
+    /// Number of those in force by the recovery.
     pub changes_in_force: u64,
 }
 
-/// Strict changes by scope of functions that a front end which ended for good got requests for.
+/// Strict scope changes of functions for which a permanently crashed front end received requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct DeadHolderReport {
-    /// Asked for.
+    /// Number of requested changes.
     #[serde(rename = "asked")]
     pub requested: u64,
-    /// In force at the end.
+    /// Number of changes in force at the end.
     pub in_force: u64,
-    /// Abandoned by the leader.
+    /// Number of changes abandoned by the leader.
     #[serde(rename = "given_up")]
     pub abandoned: u64,
-    /// From the first request to force at all that can be reached.
+    /// Time from the first request until the change is in force at every reachable front end.
     pub in_force_ms: Option<Quantiles>,
 }
 
-/// What a run measured. Rates are means over the time counted.
+/// The results of a run at scale. Rates are means over the measurement.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ScaleReport {
-    /// Its seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// Simulated time, seconds, the start included.
+    /// Simulated time in seconds, including the start.
     pub virtual_seconds: f64,
-    /// Until all acted, seconds.
+    /// Time until all front ends had joined, in seconds.
     pub start_seconds: f64,
-    /// Members in a front end's view, at the end.
+    /// Mean number of members that a front end knows at the end, itself included.
     pub view_members: f64,
-    /// Bytes of messages, in and out, a front end that is no voter a second, membership's included.
+    /// Mean bytes of messages per non-voter and second, sent and received, membership included.
     pub control_bytes_s: f64,
-    /// Messages likewise.
+    /// The same in messages.
     pub control_messages_s: f64,
-    /// The front end that is no voter with the most bytes.
+    /// Bytes per second at the non-voter with the most bytes.
     pub relay_bytes_s: f64,
-    /// Messages of the one with the most.
+    /// Messages per second at the non-voter with the most messages.
     pub relay_messages_s: f64,
-    /// Of control, membership's; in the hollow tier `IDLE_MEMBERSHIP_TRAFFIC`.
+    /// The part of `control_bytes_s` caused by membership; in the hollow tier calculated from `IDLE_MEMBERSHIP_TRAFFIC`.
     pub membership_bytes_s: f64,
-    /// Messages likewise.
+    /// The same in messages.
     pub membership_messages_s: f64,
-    /// The busiest voter.
+    /// Bytes per second at the voter with the most bytes.
     #[serde(rename = "seat_bytes_s")]
     pub voter_bytes_s: f64,
-    /// Messages likewise.
+    /// Messages per second at the voter with the most messages.
     #[serde(rename = "seat_messages_s")]
     pub voter_messages_s: f64,
-    /// From the first request to force at all that can be reached, all changes.
+    /// Time from the first request until a change is in force at every reachable front end, for all changes.
     pub in_force_ms: Option<Quantiles>,
-    /// Of fields that may be two things at once.
+    /// The same for changes of plain fields, whose old and new value may be in effect at the same time.
     pub plain_in_force_ms: Option<Quantiles>,
-    /// Of strict fields.
+    /// The same for changes of strict fields.
     pub strict_in_force_ms: Option<Quantiles>,
-    /// The same of changes of single functions.
+    /// The same for scope changes.
     pub scope_in_force_ms: Option<Quantiles>,
-    /// Functions that a front end is subscribed to, at the end; mean.
+    /// Mean number of functions that a front end is subscribed to at the end.
     #[serde(rename = "holds")]
     pub subscriptions: f64,
-    /// Changes requested.
+    /// Number of requested changes.
     #[serde(rename = "changes_asked")]
     pub changes_requested: u64,
-    /// In force at the end.
+    /// Number of changes in force at the end.
     pub changes_in_force: u64,
-    /// By scope, of functions that a front end got requests for.
+    /// Number of scope changes of functions for which some front end had received requests.
     #[serde(rename = "changes_of_held")]
     pub changes_of_requested: u64,
-    /// Abandoned by the leader.
+    /// Number of changes abandoned by the leader.
     #[serde(rename = "changes_given_up")]
     pub changes_abandoned: u64,
-    /// Refused since another went on or too many waited, each repeated request counted.
+    /// Number of requests rejected because of another pending change or too many waiting requests, repetitions included.
     #[serde(rename = "changes_refused")]
     pub changes_rejected: u64,
-    /// Neither at the end.
+    /// Number of changes neither in force nor abandoned at the end.
     pub changes_open: u64,
-    /// From a process's start to its first lease and session, in the start of all.
+    /// Time from the start of a process to its first lease and session, for the initial start.
     pub start_join_ms: Option<Quantiles>,
-    /// The same of those that come back.
+    /// The same for processes that restart during the measurement.
     pub join_ms: Option<Quantiles>,
-    /// From the end of a process for good to its end on the roster, when strict changes wait for it no more.
+    /// Time from the permanent crash of a process until it is removed from the roster, after which strict changes no longer
+    /// wait for it.
     pub freed_ms: Option<Quantiles>,
-    /// From a process's start to another's event of it; whole tier.
+    /// Time from the start of a process until another process detects it; only in the whole tier.
     #[serde(rename = "view_up_ms")]
     pub detected_up_ms: Option<Quantiles>,
-    /// From its end to another's event of that; whole tier.
+    /// Time from the end of a process until another process detects it; only in the whole tier.
     #[serde(rename = "view_down_ms")]
     pub detected_down_ms: Option<Quantiles>,
-    /// Share of front ends' time up without a live lease.
+    /// Share of the front ends' uptime without a valid lease.
     pub lease_lost: f64,
-    /// Share of it without a live session.
+    /// Share of the front ends' uptime without a valid session.
     #[serde(rename = "stay_lost")]
     pub session_lost: f64,
-    /// While regions were partitioned.
+    /// Measurements of the partition, if there was one.
     #[serde(rename = "cut")]
     pub partition: Option<PartitionReport>,
-    /// From the end of a rack or a zone, or the beginning of a rolling restart.
+    /// Measurements of the crash of a rack or zone or of the rolling restart, if there was one.
     pub loss: Option<LossReport>,
-    /// Strict changes that may wait for a dead subscriber.
+    /// Strict changes that may have waited for a crashed subscriber.
     #[serde(rename = "dead_held")]
     pub dead_holders: Option<DeadHolderReport>,
-    /// Events simulated.
+    /// Number of simulated events.
     pub events: u64,
-    /// Violations that the audit found, and what was not reached.
+    /// Violations found by the audit, and anything not completed.
     pub notes: Vec<String>,
-    /// There was no violation, and all was reached.
+    /// Whether there were no violations and every phase of the scenario was completed.
     pub ok: bool,
 }
--- a/simulation/src/scale/results.rs
+++ b/simulation/src/scale/results.rs
@@ -1,4 +1,4 @@
-//! The report of a run at scale.
+//! Compiles the report of a run at scale.
 
 use super::measurement::{ScaleMeasurement, Traffic};
 use super::{
@@ -8,21 +8,21 @@
 use crate::fault::{Time, SECOND};
 use crate::fleet::Simulation;
 
-/// Rates of messages of a run, a second.
+/// The inputs for rates of messages per second.
 struct Rates<'a> {
-    /// Seconds counted.
+    /// Duration of the measurement in seconds.
     measured_span: f64,
-    /// Messages and bytes of membership that are added where gossip is not simulated.
+    /// Rates of membership messages and bytes, added if gossip is not simulated.
     added_messages: f64,
     added_bytes: f64,
-    /// The front ends that are no voters; those of them that run.
+    /// The non-voters, and those of them that are running at the end.
     others: &'a [Traffic],
     running: Vec<&'a Traffic>,
     voters: &'a [Traffic],
 }
 
 impl Rates<'_> {
-    /// The mean of those that run: one that was away for good takes no part in it.
+    /// The mean over the running non-voters, without those that crashed permanently.
     fn mean(&self, of: fn(&Traffic) -> u64) -> f64 {
         let sum: u64 = self.running.iter().map(|traffic| of(traffic)).sum();
         sum as f64 / self.running.len().max(1) as f64 / self.measured_span
@@ -34,11 +34,11 @@
 }
 
 impl ScaleMeasurement {
-    /// What is to be said about the run beside its figures.
+    /// Notes on incomplete phases of the run and on added figures.
     fn closing_notes(&self, tier: Tier, open: u64) -> Vec<String> {
         let mut notes = Vec::new();
         if tier == Tier::Hollow {
-            // Recorded runs and the pages made of them carry this text.
+            // This text is part of recorded runs and must not change.
             notes.push(
                 "membership's letters are added as measured in the whole tier, not played".into(),
             );
@@ -67,7 +67,7 @@
         notes
     }
 
-    /// Strict changes that may have waited for dead subscribers; none where there were no such.
+    /// Strict changes that may have waited for crashed subscribers; `None` if there were no such subscribers.
     fn dead_holders(&self) -> Option<DeadHolderReport> {
         if self.scenario.by_scope == 0 || self.dead_front_ends.is_empty() {
             return None;
@@ -85,7 +85,7 @@
 }
 
 impl Simulation<'_> {
-    /// What was measured, at the end of a run.
+    /// Ends the run and compiles its report.
     pub(super) fn into_scale_report(mut self) -> ScaleReport {
         let total = self.accounted_total();
         self.report_loss(false);
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The rates of messages, and what the nodes keep.
+    /// The part of the report on message rates, known members and subscriptions.
     fn traffic_report(&self, scale: &ScaleMeasurement) -> ScaleReport {
         let rates = self.rates(scale);
         let nodes = || self.processes.iter().filter_map(|p| p.node.as_ref());
@@ -173,7 +173,7 @@
     }
 }
 
-/// A report with the measured durations.
+/// Adds the measured durations to a report.
 fn with_durations(report: ScaleReport, scale: &ScaleMeasurement) -> ScaleReport {
     let durations = &scale.durations;
     let all: Vec<u64> = [&durations.plain[..], &durations.strict[..]].concat();
--- a/simulation/src/scale/scenario.rs
+++ b/simulation/src/scale/scenario.rs
@@ -1,21 +1,21 @@
-//! What befalls a fleet at its size, and how its front ends come to know each other.
+//! The scenario of a run at scale, and how its front ends discover each other.
 
 use crate::fault::{Time, SECOND};
 use crate::network::NetworkProfile;
 use serde::Serialize;
 
-/// How front ends come to know each other.
+/// How front ends discover each other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum Tier {
-    /// Each finds the others itself, by gossip.
+    /// Each front end discovers the others by gossip.
     #[default]
     Whole,
-    /// All are given one directory of who is there.
+    /// All front ends share one member directory; gossip is not simulated.
     Hollow,
 }
 
-/// How messages travel inside a region: over connections, so that none is lost or duplicated.
+/// The network within a region. Messages use reliable connections, so that none are lost or duplicated.
 pub const REGION_NETWORK: NetworkProfile = NetworkProfile {
     min_transit: SECOND / 5000,
     max_transit: SECOND * 3 / 1000,
@@ -23,48 +23,49 @@
     duplication: 0.0,
 };
 
-/// What befalls a fleet once all act.
+/// The events in a fleet once all front ends have joined.
 #[derive(Clone, Debug)]
 pub struct ScaleScenario {
-    /// Time that is counted.
+    /// Duration of the measurement.
     pub measured_span: Time,
-    /// Regions, in which the front ends are placed in turn; the voters are the first front ends.
+    /// Number of regions; front ends, of which the voters are the first, are assigned to them round-robin.
     pub regions: usize,
-    /// Changes asked for in an hour.
+    /// Changes requested per hour.
     pub changes_per_hour: f64,
-    /// One of so many is of a strict field; 0: none.
+    /// One change in this many is of a strict field; 0 for none.
     pub strict_every: usize,
-    /// Changes asked for at one moment beside these.
+    /// Number of further changes requested at the same moment.
     pub burst: usize,
-    /// Processes that end without notice in an hour, and are back after 2 to 10 s.
+    /// Processes that crash per hour and restart after 2 to 10 s.
     pub restarts_per_hour: f64,
-    /// Front ends that end without notice at the beginning, and for good.
+    /// Number of front ends that crash permanently when the measurement begins.
     pub dead: usize,
-    /// Regions that are partitioned from all others; the last ones.
+    /// Number of regions isolated from all others; the last ones.
     pub partitioned_regions: usize,
-    /// For so long, from a fifth of the time that is counted.
+    /// Duration of the partition, which begins at a fifth of the measurement.
     pub partition_span: Time,
-    /// Fields beside the few, two of each function.
+    /// Number of functions in the settings, with two fields each.
     pub functions: usize,
-    /// Changes are of single functions, of so many, by scope; 0: of versions.
+    /// Number of functions changed individually by scope; 0 to change versions instead.
     pub by_scope: usize,
-    /// Changes come one after the other in even steps, and not at uniformly drawn times.
+    /// Spaces the changes evenly instead of drawing their times uniformly.
     pub even_steps: bool,
-    /// Share of the changes by scope that go to functions which a uniformly drawn front end gets requests for.
+    /// Share of the scope changes that affect a function for which a uniformly drawn front end receives requests.
     pub requested_share: f64,
-    /// The same of functions which one of those that ended for good got requests for.
+    /// Share of the scope changes that affect a function for which a permanently crashed front end received requests.
     pub requested_by_dead_share: f64,
-    /// Front ends of one rack, which end at once and for good, at a fifth of the time that is counted.
+    /// Number of front ends in one rack, all of which crash permanently at a fifth of the measurement.
     pub rack: usize,
-    /// Of so many zones one ends at once then; 0: none.
+    /// Number of zones, one of which crashes at a fifth of the measurement; 0 for none.
     pub zone: usize,
-    /// After this time the zone's front ends are back.
+    /// Time until the front ends of the crashed zone restart.
     pub zone_downtime: Time,
-    /// The rack or the zone is that of the leader; else one without voters.
+    /// Whether the rack or zone contains the leader; otherwise it contains no voters.
     pub with_leader: bool,
-    /// Rolling restart from then on: the fleet in so many parts, each once the one before acts; 0: none.
+    /// Number of batches of a rolling restart that begins at a fifth of the measurement; each batch waits until the previous
+    /// one has joined again. 0 for none.
     pub rolling: usize,
-    /// A part that is restarted is away for so long.
+    /// Downtime of each batch of the rolling restart.
     pub rolling_downtime: Time,
 }
 
--- a/simulation/src/scale/scopes.rs
+++ b/simulation/src/scale/scopes.rs
@@ -1,4 +1,4 @@
-//! Functions that are changed by scope in a run at scale: how they are set up, requested and changed.
+//! Setup of, requests for and changes of the functions that a run at scale changes by scope.
 
 use super::measurement::{RequestedChange, ScaleEvent};
 use super::{SETTLE_TIME, START_LIMIT};
@@ -8,15 +8,15 @@
 use tansy_agreement::log::{LogEntry, Revision};
 use tansy_agreement::scope::{ScopeTransaction, ScopeUpdate};
 
-/// Functions that a front end gets requests for, mean.
+/// Mean number of functions for which a front end receives requests.
 const MEAN_REQUESTED_FUNCTIONS: usize = 4;
-/// The time in which it gets them.
+/// The requests of a front end come at a random time within this period.
 const REQUEST_WINDOW: Time = 3 * SECOND;
-/// Functions that are set up together.
+/// Number of functions set up in one transaction.
 const SETUP_BATCH: usize = 1500;
-/// The number from which on requests that set functions up count.
+/// The lowest id of setup transactions, above the ids of change requests.
 const FIRST_SETUP_REQUEST_ID: u64 = 1 << 32;
-/// Changes one after the other are of functions so far apart; a prime.
+/// Distance between the functions of successive changes; a prime, so that they cover all functions.
 const SCOPE_STRIDE: usize = 7919;
 
 fn draw_requests(rng: &mut fastrand::Rng, now: Time) -> (Time, usize) {
@@ -35,8 +35,8 @@
         self.schedule(at, Event::Scale(ScaleEvent::Requests { process, scopes }));
     }
 
-    /// Sets up the functions that are changed by scope; then each front end gets requests for a few, and measurement
-    /// begins.
+    /// Sets up the next batch of functions that are changed by scope. After the last batch, schedules the requests at the
+    /// front ends and the start of the measurement.
     pub(super) fn set_up_scopes(&mut self) {
         let now = self.now;
         let (Some(scopes), Some(scale)) = (&mut self.scopes, &mut self.scale) else {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// A front end gets requests for a few functions, those with low numbers most often.
+    /// A front end receives requests for a few functions, drawn with a skew towards low indices.
     pub(super) fn request_skewed(&mut self, process: usize, count: usize) {
         for _ in 0..count {
             let Some(scopes) = &mut self.scopes else {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Draws the function that a change is of, where a share of them goes to what is requested.
+    /// Draws the function of a change, with the configured shares for functions that front ends receive requests for.
     pub(super) fn draw_changed_scope(&mut self, index: usize) {
         let (Some(scopes), Some(scale)) = (&mut self.scopes, &mut self.scale) else {
             return;
@@ -125,7 +125,7 @@
         scale.changes_of_requested += u64::from(scopes.is_requested(&all, drawn));
     }
 
-    /// The change of a single function that an operator asks for.
+    /// The transaction for a requested scope change.
     pub(super) fn scope_transaction(&self, index: usize) -> Option<ScopeTransaction> {
         let scopes = self.scopes.as_ref()?;
         let change: &RequestedChange = self.scale.as_ref()?.changes.get(index)?;
--- a/simulation/src/scale/workload.rs
+++ b/simulation/src/scale/workload.rs
@@ -1,4 +1,4 @@
-//! What happens once measurement begins, and the changes that operators ask for.
+//! The start of the measurement, the events of the scenario, and requested changes.
 
 use super::measurement::{DeadMember, RequestedChange, ScaleEvent, Traffic};
 use super::ScaleScenario;
@@ -7,7 +7,7 @@
 use tansy_agreement::compatibility::Value;
 use tansy_agreement::log::LogEntry;
 
-/// An operator asks again so long after a request that nobody answered.
+/// Time after which an operator repeats an unanswered request.
 const RESPONSE_TIMEOUT: Time = 5 * SECOND;
 
 impl ScaleScenario {
@@ -15,7 +15,7 @@
         self.measured_span as f64 / (3600 * SECOND) as f64
     }
 
-    /// When changes are asked for, in order.
+    /// The times at which changes are requested, in ascending order.
     fn change_times(&self, rng: &mut fastrand::Rng, now: Time) -> Vec<Time> {
         let count = (self.changes_per_hour * self.hours()).round() as usize;
         let mut times: Vec<Time> = (0..count)
@@ -36,14 +36,14 @@
         times
     }
 
-    /// The first change is plain: nothing yet waits for a strict one.
+    /// Whether a change is of a strict field. The first change of each cycle is plain, unless all changes are strict.
     fn is_strict(&self, change: usize) -> bool {
         self.strict_every > 0 && change % self.strict_every == self.strict_every / 2
     }
 }
 
 impl Simulation<'_> {
-    /// Measurement begins, and what is to happen is scheduled.
+    /// Begins the measurement and schedules the events of the scenario.
     pub(super) fn begin_measurement(&mut self) {
         let now = self.now;
         self.account_all();
@@ -105,7 +105,7 @@
         events
     }
 
-    /// The first of these front ends end now, and for good.
+    /// Schedules the permanent crash of the first `count` of these front ends and removes them from the list.
     fn end_for_good(&mut self, others: &mut Vec<usize>, count: usize) -> Vec<(Time, Event)> {
         let now = self.now;
         let mut events = Vec::new();
@@ -121,7 +121,7 @@
         events
     }
 
-    /// Front ends that end without notice and are back some seconds later.
+    /// Draws crashes of front ends that restart some seconds later.
     fn draw_restarts(&mut self, scenario: &ScaleScenario, others: &[usize]) -> Vec<(Time, Event)> {
         let mut events = Vec::new();
         if others.is_empty() {
@@ -138,7 +138,7 @@
         events
     }
 
-    /// An operator asks the leader for a change, unless it was answered or asked for again since.
+    /// Requests a change from the leader, unless it was answered or requested again since.
     pub(super) fn request_change(&mut self, index: usize, attempt: u64) {
         let Some(scale) = &mut self.scale else {
             return;
@@ -158,7 +158,7 @@
         change.attempts += 1;
         let needs_scope = change.scope.is_none();
         let is_strict = change.is_strict;
-        // It is asked for again if no answer comes; the same id makes it one change.
+        // An unanswered request is repeated with the same id, which makes it idempotent.
         let event = ScaleEvent::RequestChange {
             change: index,
             attempt: change.attempts,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Asks the leader for a version with one field changed.
+    /// Requests a version with one changed field from the leader.
     fn request_version(&mut self, index: usize, is_strict: bool) {
         let Some((leader, state)) = self.leader() else {
             return;
