--- a/simulation/src/cli/agree.rs
+++ b/simulation/src/cli/agree.rs
@@ -75,7 +75,7 @@
         summaries.push(summary);
     }
     let plotted = plot_or_fail(arguments.plot, |path| {
-        crate::plot::in_force(path, &summaries)
+        crate::plot::versions_in_force(path, &summaries)
     });
     match plotted {
         Ok(()) => ExitCode::from(u8::from(any_violation)),
--- a/simulation/src/cli/roll.rs
+++ b/simulation/src/cli/roll.rs
@@ -94,7 +94,7 @@
         }
     }
     let plotted = plot_or_fail(arguments.plot, |path| {
-        crate::plot::stopped(path, &summaries)
+        crate::plot::stopped_rollouts(path, &summaries)
     });
     plotted.err().unwrap_or(ExitCode::SUCCESS)
 }
--- a/simulation/src/fleet/process.rs
+++ b/simulation/src/fleet/process.rs
@@ -64,7 +64,7 @@
     /// The deadline, in local time, for which a timer event is scheduled.
     pub(super) scheduled_deadline: Time,
     /// Total uptime, and the parts of it without a lease and without a session.
-    pub(crate) up: Time,
+    pub(crate) uptime: Time,
     pub(crate) without_lease: Time,
     pub(crate) without_session: Time,
     /// The time up to which these totals are updated.
@@ -89,7 +89,7 @@
             clock_rate: 1.0 + (rng.f64() * 2.0 - 1.0) * rate_bound,
             clock_offset: draw_clock_offset(rng),
             scheduled_deadline: Time::MAX,
-            up: 0,
+            uptime: 0,
             without_lease: 0,
             without_session: 0,
             accounted: 0,
@@ -142,7 +142,7 @@
         if !self.is_running() {
             return;
         }
-        self.up += span;
+        self.uptime += span;
         match self.acting_state(now).map(|(_, authority)| authority) {
             Some(Authority::Leased) => self.last_leased = now,
             Some(Authority::SessionOnly) => self.without_lease += span,
--- a/simulation/src/fleet/simulation.rs
+++ b/simulation/src/fleet/simulation.rs
@@ -239,9 +239,9 @@
     pub(super) fn into_result(mut self) -> SimulationResult {
         self.audit_end();
         self.audit_scopes_end();
-        let up: Time = self.processes.iter().map(|p| p.up).sum();
+        let uptime: Time = self.processes.iter().map(|p| p.uptime).sum();
         let share = |of: fn(&Process) -> Time| {
-            self.processes.iter().map(of).sum::<Time>() as f64 / up.max(1) as f64
+            self.processes.iter().map(of).sum::<Time>() as f64 / uptime.max(1) as f64
         };
         let seconds = self.now as f64 / SECOND as f64;
         let front_end_seconds = seconds * self.options.front_ends as f64;
--- a/simulation/src/network.rs
+++ b/simulation/src/network.rs
@@ -51,11 +51,11 @@
 impl Network {
     /// A network of one region, subject to the network faults among `faults`.
     pub fn new(profile: NetworkProfile, faults: &[Fault]) -> Network {
-        let of_network =
+        let is_network_fault =
             |fault: &&Fault| !matches!(fault, Fault::Kill { .. } | Fault::Pause { .. });
         Network {
             profile,
-            faults: faults.iter().filter(of_network).cloned().collect(),
+            faults: faults.iter().filter(is_network_fault).cloned().collect(),
             inter_region_transit: Vec::new(),
             partition: None,
         }
--- a/simulation/src/plot.rs
+++ b/simulation/src/plot.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum PlotError {
     /// There are no summaries to plot.
-    #[error("no size was simulated")]
+    #[error("there are no simulation results to plot")]
     NoSummary,
     /// The chart could not be laid out or the file not be written.
     #[error("{}: {source}", path.display())]
@@ -34,7 +34,7 @@
 
 /// Plots the time from the proposal of a version until it is in force at every front end against the fleet size, as median
 /// and 99th percentile.
-pub fn in_force(path: &Path, summaries: &[SimulationSummary]) -> Result<(), PlotError> {
+pub fn versions_in_force(path: &Path, summaries: &[SimulationSummary]) -> Result<(), PlotError> {
     let sizes: Vec<f64> = summaries.iter().map(|s| s.front_ends as f64).collect();
     let (Some(min_size), Some(max_size)) = (
         sizes.iter().copied().reduce(f64::min),
@@ -111,7 +111,7 @@
 }
 
 /// Plots the share of stopped rollouts against the share of requests that the change loses, for each decision rule.
-pub fn stopped(path: &Path, summaries: &[RolloutSummary]) -> Result<(), PlotError> {
+pub fn stopped_rollouts(path: &Path, summaries: &[RolloutSummary]) -> Result<(), PlotError> {
     let percent_lost = |regression: Regression| match regression {
         Regression::None => Some(0.0),
         Regression::All(share) => Some(share * 100.0),
--- a/simulation/src/scale/losses.rs
+++ b/simulation/src/scale/failures.rs
@@ -1,22 +1,22 @@
 //! Large failures in a run at scale: partitioned regions, the crash of a rack or zone, and rolling restarts.
 
-use super::measurement::{milliseconds, AccountedTime, DeadMember, OngoingLoss};
-use super::{LossReport, PartitionReport, PartitionSide, ScaleScenario};
+use super::measurement::{milliseconds, AccountedTime, DeadMember, OngoingFailure};
+use super::{FailureReport, PartitionReport, PartitionSide, ScaleScenario};
 use crate::fault::{Time, SECOND};
 use crate::fleet::{Event, Process, Simulation};
 use tansy_agreement::lease::Member;
 
 /// The processes that a failure affects, and its course.
-struct LossPlan {
+struct FailurePlan {
     ended: Vec<usize>,
     earliest_recovery: Time,
     /// The batches of a rolling restart in reverse order.
-    parts: Vec<Vec<usize>>,
+    batches: Vec<Vec<usize>>,
 }
 
 fn accounted(process: &Process) -> AccountedTime {
     AccountedTime {
-        up: process.up,
+        uptime: process.uptime,
         without_lease: process.without_lease,
         without_session: process.without_session,
     }
@@ -92,41 +92,41 @@
         leader.into_iter().chain(others).take(count).collect()
     }
 
-    fn plan_loss(&self, scenario: &ScaleScenario) -> LossPlan {
+    fn plan_failure(&self, scenario: &ScaleScenario) -> FailurePlan {
         let front_ends = self.processes.len();
         if scenario.rolling > 0 {
             let is_started = |index: &usize| self.processes[*index].node.is_some();
-            let part = |first| {
+            let batch = |first| {
                 (first..front_ends)
                     .step_by(scenario.rolling)
                     .filter(is_started)
                     .collect()
             };
-            return LossPlan {
+            return FailurePlan {
                 ended: (0..front_ends).filter(is_started).collect(),
                 earliest_recovery: self.now,
-                parts: (0..scenario.rolling).rev().map(part).collect(),
+                batches: (0..scenario.rolling).rev().map(batch).collect(),
             };
         }
         let (count, earliest_recovery) = match front_ends.checked_div(scenario.zone) {
             Some(zone) => (zone, self.now + scenario.zone_downtime),
             None => (scenario.rack, self.now + self.options.lease.span),
         };
-        LossPlan {
+        FailurePlan {
             ended: self.colocated(count, scenario.with_leader),
             earliest_recovery,
-            parts: Vec::new(),
+            batches: Vec::new(),
         }
     }
 
     /// Begins the crash of a rack or zone, or a rolling restart.
-    pub(super) fn begin_loss(&mut self) {
+    pub(super) fn begin_failure(&mut self) {
         let accounted_before = self.accounted_total();
         let now = self.now;
         let Some(scenario) = self.scale.as_ref().map(|scale| scale.scenario.clone()) else {
             return;
         };
-        let plan = self.plan_loss(&scenario);
+        let plan = self.plan_failure(&scenario);
         let members: Vec<Member> = plan
             .ended
             .iter()
@@ -136,17 +136,17 @@
         let Some(scale) = &mut self.scale else {
             return;
         };
-        scale.loss = Some(LossReport {
+        scale.failure = Some(FailureReport {
             front_ends: plan.ended.len(),
             voters: plan.ended.iter().filter(|index| **index < voters).count(),
-            ..LossReport::default()
+            ..FailureReport::default()
         });
-        scale.ongoing_loss = Some(OngoingLoss {
+        scale.ongoing_failure = Some(OngoingFailure {
             since: now,
             earliest_recovery: plan.earliest_recovery,
             accounted_before,
-            parts: plan.parts,
-            part: Vec::new(),
+            remaining_batches: plan.batches,
+            current_batch: Vec::new(),
         });
         if scenario.rolling > 0 {
             return;
@@ -173,37 +173,37 @@
     }
 
     /// Advances a rolling restart and checks whether the fleet has recovered.
-    pub(super) fn continue_loss(&mut self) {
+    pub(super) fn advance_failure(&mut self) {
         let Some(scale) = &mut self.scale else {
             return;
         };
-        let Some(loss) = &mut scale.ongoing_loss else {
+        let Some(failure) = &mut scale.ongoing_failure else {
             return;
         };
         let is_back = |process: &Process| process.is_running() && process.joined;
-        if !loss
-            .part
+        if !failure
+            .current_batch
             .iter()
             .all(|index| is_back(&self.processes[*index]))
         {
             return;
         }
-        if let Some(part) = loss.parts.pop() {
-            loss.part = part.clone();
+        if let Some(batch) = failure.remaining_batches.pop() {
+            failure.current_batch = batch.clone();
             let away = scale.scenario.rolling_downtime;
-            return self.restart_part(part, away);
+            return self.restart_batch(batch, away);
         }
-        let is_due = self.now > loss.earliest_recovery;
+        let is_due = self.now > failure.earliest_recovery;
         let dead = &scale.dead_front_ends;
         let mut processes = self.processes.iter().enumerate();
         let all_back = processes.all(|(index, p)| p.is_running() || dead.contains(&index));
         if is_due && all_back && self.all_leased() {
-            self.report_loss(true);
+            self.report_failure(true);
         }
     }
 
-    fn restart_part(&mut self, part: Vec<usize>, away: Time) {
-        for process in part {
+    fn restart_batch(&mut self, batch: Vec<usize>, away: Time) {
+        for process in batch {
             self.schedule(self.now, Event::Leave { process });
             let at = self.now + away + self.rng.i64(0..SECOND);
             self.schedule(at, Event::Start { process });
@@ -211,24 +211,24 @@
     }
 
     /// Completes the report of a failure when the fleet has recovered or the run ends.
-    pub(super) fn report_loss(&mut self, recovered: bool) {
+    pub(super) fn report_failure(&mut self, recovered: bool) {
         let now = self.now;
         let total = self.accounted_total();
         let Some(scale) = &mut self.scale else {
             return;
         };
-        let (Some(report), Some(loss)) = (&mut scale.loss, &scale.ongoing_loss) else {
+        let (Some(report), Some(failure)) = (&mut scale.failure, &scale.ongoing_failure) else {
             return;
         };
-        let lost = total.minus(loss.accounted_before);
-        report.recovered_ms = recovered.then_some(milliseconds(now - loss.since));
+        let lost = total.minus(failure.accounted_before);
+        report.recovered_ms = recovered.then_some(milliseconds(now - failure.since));
         report.lease_lost = lost.lease_lost();
         report.session_lost = lost.session_lost();
         let requested = scale.changes.iter().map(|change| change.requested);
-        let within = requested.filter(|at| loss.since <= *at && *at <= now);
+        let within = requested.filter(|at| failure.since <= *at && *at <= now);
         report.changes_requested = within.count() as u64;
         if recovered {
-            scale.ongoing_loss = None;
+            scale.ongoing_failure = None;
         }
     }
 }
--- a/simulation/src/scale/measurement.rs
+++ b/simulation/src/scale/measurement.rs
@@ -1,6 +1,6 @@
 //! The state of the measurement in a run at scale.
 
-use super::{LossReport, PartitionReport, ScaleScenario};
+use super::{FailureReport, PartitionReport, ScaleScenario};
 use crate::fault::Time;
 use std::collections::BTreeMap;
 use tansy_agreement::lease::Member;
@@ -22,7 +22,7 @@
     PartitionBegins,
     PartitionEnds,
     /// A rack or zone crashes, or a rolling restart begins.
-    Loss,
+    FailureBegins,
     /// Set up the next batch of functions that are changed by scope.
     SetUpScopes,
     /// A front end receives its requests for a few functions.
@@ -60,7 +60,7 @@
 /// Uptime, and the parts of it without a lease and without a session.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AccountedTime {
-    pub(super) up: Time,
+    pub(super) uptime: Time,
     pub(super) without_lease: Time,
     pub(super) without_session: Time,
 }
@@ -68,7 +68,7 @@
 impl AccountedTime {
     pub(super) fn plus(self, other: AccountedTime) -> AccountedTime {
         AccountedTime {
-            up: self.up + other.up,
+            uptime: self.uptime + other.uptime,
             without_lease: self.without_lease + other.without_lease,
             without_session: self.without_session + other.without_session,
         }
@@ -76,7 +76,7 @@
 
     pub(super) fn minus(self, other: AccountedTime) -> AccountedTime {
         AccountedTime {
-            up: self.up - other.up,
+            uptime: self.uptime - other.uptime,
             without_lease: self.without_lease - other.without_lease,
             without_session: self.without_session - other.without_session,
         }
@@ -84,12 +84,12 @@
 
     /// Share of the uptime without a lease.
     pub(super) fn lease_lost(self) -> f64 {
-        self.without_lease as f64 / self.up.max(1) as f64
+        self.without_lease as f64 / self.uptime.max(1) as f64
     }
 
     /// Share of the uptime without a session.
     pub(super) fn session_lost(self) -> f64 {
-        self.without_session as f64 / self.up.max(1) as f64
+        self.without_session as f64 / self.uptime.max(1) as f64
     }
 }
 
@@ -100,15 +100,15 @@
 }
 
 /// A failure from which the fleet has not recovered yet.
-pub(super) struct OngoingLoss {
+pub(super) struct OngoingFailure {
     pub(super) since: Time,
     /// The fleet does not count as recovered before this time.
     pub(super) earliest_recovery: Time,
     pub(super) accounted_before: AccountedTime,
     /// The batches of a rolling restart still to come, in reverse order.
-    pub(super) parts: Vec<Vec<usize>>,
+    pub(super) remaining_batches: Vec<Vec<usize>>,
     /// The batch being restarted.
-    pub(super) part: Vec<usize>,
+    pub(super) current_batch: Vec<usize>,
 }
 
 /// Measured durations in milliseconds.
@@ -154,8 +154,8 @@
     pub(super) healing_since: Option<Time>,
     /// The front ends that crashed permanently.
     pub(super) dead_front_ends: Vec<usize>,
-    pub(super) loss: Option<LossReport>,
-    pub(super) ongoing_loss: Option<OngoingLoss>,
+    pub(super) failure: Option<FailureReport>,
+    pub(super) ongoing_failure: Option<OngoingFailure>,
     /// Number of changes of functions for which some front end had received requests.
     pub(super) changes_of_requested: u64,
     pub(crate) events: u64,
@@ -229,8 +229,8 @@
         if change.waits_for_dead {
             self.durations.waited_for_dead.push(duration);
         }
-        if let (Some(loss), Some(ongoing)) = (&mut self.loss, &self.ongoing_loss) {
-            loss.changes_in_force += u64::from(requested >= ongoing.since);
+        if let (Some(failure), Some(ongoing)) = (&mut self.failure, &self.ongoing_failure) {
+            failure.changes_in_force += u64::from(requested >= ongoing.since);
         }
         let begins = self.measurement_start.unwrap_or(0) + self.scenario.measured_span / 5;
         let within = requested >= begins && now < begins + self.scenario.partition_span;
--- a/simulation/src/scale/mod.rs
+++ b/simulation/src/scale/mod.rs
@@ -8,7 +8,7 @@
 //! The measurement begins some time after all front ends have joined; the time to join is reported separately.
 
 mod directory;
-mod losses;
+mod failures;
 mod measurement;
 mod observe;
 mod report;
@@ -18,7 +18,7 @@
 mod workload;
 
 pub use report::{
-    DeadHolderReport, LossReport, PartitionReport, PartitionSide, Quantiles, ScaleReport,
+    DeadHolderReport, FailureReport, PartitionReport, PartitionSide, Quantiles, ScaleReport,
 };
 pub use scenario::{ScaleScenario, Tier, REGION_NETWORK};
 
--- a/simulation/src/scale/observe.rs
+++ b/simulation/src/scale/observe.rs
@@ -65,7 +65,7 @@
             ScaleEvent::Requests { process, scopes } => self.request_skewed(process, scopes),
             ScaleEvent::PartitionBegins => self.begin_partition(),
             ScaleEvent::PartitionEnds => self.end_partition(),
-            ScaleEvent::Loss => self.begin_loss(),
+            ScaleEvent::FailureBegins => self.begin_failure(),
         }
     }
 
@@ -181,7 +181,7 @@
         let next = self.now + CHECK_INTERVAL;
         self.schedule(next, Event::Scale(ScaleEvent::Check));
         self.update_directories();
-        self.continue_loss();
+        self.advance_failure();
         if self.check_joined() {
             return;
         }
--- a/simulation/src/scale/report.rs
+++ b/simulation/src/scale/report.rs
@@ -68,7 +68,7 @@
 
 /// Measurements from the crash of a rack or zone, or from the start of a rolling restart.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct LossReport {
+pub struct FailureReport {
     /// Number of front ends that stopped, each counted once.
     pub front_ends: usize,
     /// Number of voters among them.
@@ -183,7 +183,8 @@
     #[serde(rename = "cut")]
     pub partition: Option<PartitionReport>,
     /// Measurements of the crash of a rack or zone or of the rolling restart, if there was one.
-    pub loss: Option<LossReport>,
+    #[serde(rename = "loss")]
+    pub failure: Option<FailureReport>,
     /// Strict changes that may have waited for a crashed subscriber.
     #[serde(rename = "dead_held")]
     pub dead_holders: Option<DeadHolderReport>,
--- a/simulation/src/scale/results.rs
+++ b/simulation/src/scale/results.rs
@@ -16,7 +16,7 @@
     added_messages: f64,
     added_bytes: f64,
     /// The non-voters, and those of them that are running at the end.
-    others: &'a [Traffic],
+    non_voters: &'a [Traffic],
     running: Vec<&'a Traffic>,
     voters: &'a [Traffic],
 }
@@ -57,8 +57,8 @@
         if self.healing_since.is_some() {
             notes.push("not all act again after the cut".into());
         }
-        if let Some(loss) = &self.ongoing_loss {
-            let parts = match loss.parts.len() {
+        if let Some(failure) = &self.ongoing_failure {
+            let parts = match failure.remaining_batches.len() {
                 0 => String::new(),
                 count => format!(", {count} parts not yet restarted"),
             };
@@ -88,7 +88,7 @@
     /// Ends the run and compiles its report.
     pub(super) fn into_scale_report(mut self) -> ScaleReport {
         let total = self.accounted_total();
-        self.report_loss(false);
+        self.report_failure(false);
         let Some(scale) = self.scale.take() else {
             return ScaleReport::default();
         };
@@ -101,7 +101,7 @@
         let ok = !has_violations
             && scale.measurement_start.is_some()
             && scale.healing_since.is_none()
-            && scale.ongoing_loss.is_none()
+            && scale.ongoing_failure.is_none()
             && scale.durations.start_join.len() >= self.processes.len();
         let report = self.traffic_report(&scale);
         let report = with_durations(report, &scale);
@@ -118,7 +118,7 @@
             session_lost: total.session_lost(),
             dead_holders: scale.dead_holders(),
             partition: scale.partition,
-            loss: scale.loss,
+            failure: scale.failure,
             events: scale.events,
             notes,
             ok,
@@ -138,8 +138,8 @@
             view_members: known as f64 / running + 1.0,
             control_bytes_s: rates.mean(|t| t.bytes) + bytes,
             control_messages_s: rates.mean(|t| t.messages) + messages,
-            relay_bytes_s: rates.max(rates.others, |t| t.bytes) + bytes,
-            relay_messages_s: rates.max(rates.others, |t| t.messages) + messages,
+            relay_bytes_s: rates.max(rates.non_voters, |t| t.bytes) + bytes,
+            relay_messages_s: rates.max(rates.non_voters, |t| t.messages) + messages,
             membership_bytes_s: rates.mean(|t| t.gossip_bytes) + bytes,
             membership_messages_s: rates.mean(|t| t.gossip_messages) + messages,
             voter_bytes_s: rates.max(rates.voters, |t| t.bytes) + bytes,
@@ -152,8 +152,8 @@
     fn rates<'a>(&self, scale: &'a ScaleMeasurement) -> Rates<'a> {
         let span: Time = self.now - scale.measurement_start.unwrap_or(self.now);
         let voters = self.options.voters.min(scale.traffic.len());
-        let (at_voters, others) = scale.traffic.split_at(voters);
-        let running = others
+        let (at_voters, non_voters) = scale.traffic.split_at(voters);
+        let running = non_voters
             .iter()
             .zip(&self.processes[self.options.voters..])
             .filter(|(_, process)| process.node.is_some())
@@ -166,7 +166,7 @@
             measured_span: span.max(1) as f64 / SECOND as f64,
             added_messages: added(IDLE_MEMBERSHIP_TRAFFIC.0, MEMBERSHIP_TRAFFIC_PER_RESTART.0),
             added_bytes: added(IDLE_MEMBERSHIP_TRAFFIC.1, MEMBERSHIP_TRAFFIC_PER_RESTART.1),
-            others,
+            non_voters,
             running,
             voters: at_voters,
         }
--- a/simulation/src/scale/workload.rs
+++ b/simulation/src/scale/workload.rs
@@ -48,7 +48,7 @@
         let now = self.now;
         self.account_all();
         for process in &mut self.processes {
-            process.up = 0;
+            process.uptime = 0;
             process.without_lease = 0;
             process.without_session = 0;
         }
@@ -60,10 +60,10 @@
         scale.end = now + scenario.measured_span;
         scale.traffic.fill(Traffic::default());
         let mut events = self.draw_changes(&scenario);
-        let mut others: Vec<usize> = (self.options.voters..self.options.front_ends).collect();
-        self.rng.shuffle(&mut others);
-        events.extend(self.end_for_good(&mut others, scenario.dead));
-        events.extend(self.draw_restarts(&scenario, &others));
+        let mut non_voters: Vec<usize> = (self.options.voters..self.options.front_ends).collect();
+        self.rng.shuffle(&mut non_voters);
+        events.extend(self.crash_permanently(&mut non_voters, scenario.dead));
+        events.extend(self.draw_restarts(&scenario, &non_voters));
         let fifth = now + scenario.measured_span / 5;
         if scenario.partitioned_regions > 0 && scenario.partition_span > 0 {
             let until = fifth + scenario.partition_span;
@@ -73,7 +73,7 @@
             events.push((until, Event::Scale(ScaleEvent::PartitionEnds)));
         }
         if scenario.rack > 0 || scenario.zone > 0 || scenario.rolling > 0 {
-            events.push((fifth, Event::Scale(ScaleEvent::Loss)));
+            events.push((fifth, Event::Scale(ScaleEvent::FailureBegins)));
         }
         for (at, event) in events {
             self.schedule(at, event);
@@ -106,10 +106,14 @@
     }
 
     /// Schedules the permanent crash of the first `count` of these front ends and removes them from the list.
-    fn end_for_good(&mut self, others: &mut Vec<usize>, count: usize) -> Vec<(Time, Event)> {
+    fn crash_permanently(
+        &mut self,
+        non_voters: &mut Vec<usize>,
+        count: usize,
+    ) -> Vec<(Time, Event)> {
         let now = self.now;
         let mut events = Vec::new();
-        for process in others.drain(..count.min(others.len())) {
+        for process in non_voters.drain(..count.min(non_voters.len())) {
             let member = self.member(process);
             if let Some(scale) = &mut self.scale {
                 let dead = member.map(|member| DeadMember { member, ended: now });
@@ -122,15 +126,19 @@
     }
 
     /// Draws crashes of front ends that restart some seconds later.
-    fn draw_restarts(&mut self, scenario: &ScaleScenario, others: &[usize]) -> Vec<(Time, Event)> {
+    fn draw_restarts(
+        &mut self,
+        scenario: &ScaleScenario,
+        non_voters: &[usize],
+    ) -> Vec<(Time, Event)> {
         let mut events = Vec::new();
-        if others.is_empty() {
+        if non_voters.is_empty() {
             return events;
         }
         let count = (scenario.restarts_per_hour * scenario.hours()).round() as usize;
         for _ in 0..count {
             let at = self.now + self.rng.i64(0..scenario.measured_span * 9 / 10 + 1);
-            let process = others[self.rng.usize(0..others.len())];
+            let process = non_voters[self.rng.usize(0..non_voters.len())];
             let back = at + self.rng.i64(2 * SECOND..10 * SECOND);
             events.push((at, Event::Stop { process }));
             events.push((back, Event::Start { process }));
--- a/simulation/tests/fleet.rs
+++ b/simulation/tests/fleet.rs
@@ -1,11 +1,11 @@
-//! Fleets in virtual time: faults cause no violation, planted defects are found, and a run depends on its seed alone.
+//! Simulated fleets: faults cause no violation, injected defects are detected, and runs are deterministic.
 
 use tansy_simulation::fleet::{
     faults, many, run, run_with_faults, shortest_faults, InjectedDefect, SimulationOptions,
     SimulationSummary,
 };
 
-/// Simulates 30 seeds of a fleet through faults; the audit may find nothing in them.
+/// Simulates 30 seeds of a fleet under faults and asserts that the audit finds no violation.
 fn simulate_without_violation(options: &SimulationOptions) -> SimulationSummary {
     let summary = many(options, 1, 30, 2);
     assert!(
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn no_fleet_acts_on_contradicting_rules_through_kills_pauses_cuts_and_clocks() {
+fn faults_and_clock_drift_cause_no_violation() {
     for (front_ends, voters) in [(2, 1), (5, 1), (5, 3), (9, 5), (30, 3)] {
         let summary = simulate_without_violation(&SimulationOptions {
             voters,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn voters_are_replaced_through_the_same_faults() {
+fn voters_are_replaced_under_faults() {
     for (front_ends, voters, spares) in [(6, 1, 2), (8, 3, 3), (11, 5, 3)] {
         let summary = simulate_without_violation(&SimulationOptions {
             voters,
@@ -58,23 +58,25 @@
 }
 
 #[test]
-fn a_run_depends_on_its_seed_alone() {
+fn runs_are_deterministic() {
     let options = SimulationOptions::of(6);
-    let text = |threads| serde_json::to_string(&many(&options, 7, 12, threads)).expect("a summary");
+    let text = |threads| {
+        serde_json::to_string(&many(&options, 7, 12, threads)).expect("the summary serializes")
+    };
     assert_eq!(text(1), text(5));
     assert_ne!(run(&options, 1).messages, run(&options, 2).messages);
 }
 
 #[test]
-fn without_faults_a_change_takes_the_round_trips_of_its_steps() {
+fn without_faults_versions_come_into_force_quickly() {
     let result = run_with_faults(&SimulationOptions::of(40), 3, &[]);
     assert_eq!(result.violations, Vec::<String>::new());
     let longest = result.in_force_ms.iter().max().expect("changes");
-    // A lost report of a front end's revision costs up to a second, after which it is sent again.
+    // A front end's report of its revision is sent again up to a second after it was lost.
     assert!(*longest < 2_600, "{:?}", result.in_force_ms);
 }
 
-/// The first seed with which a planted defect is found.
+/// The first seed with which the audit detects an injected defect.
 fn seed_that_finds(defect: InjectedDefect, seeds: u64) -> u64 {
     let options = with_defect(defect);
     (1..=seeds)
@@ -83,7 +85,7 @@
 }
 
 #[test]
-fn each_planted_defect_is_found() {
+fn each_injected_defect_is_detected() {
     for (defect, seeds) in [
         (InjectedDefect::LeaseFromGrantArrival, 200),
         (InjectedDefect::SkippedJointPhase, 20),
@@ -96,7 +98,7 @@
 }
 
 #[test]
-fn a_violation_comes_with_a_short_list_of_faults_that_still_shows_it() {
+fn minimized_faults_still_reproduce_the_violation() {
     let options = with_defect(InjectedDefect::LeaseFromGrantArrival);
     let seed = seed_that_finds(InjectedDefect::LeaseFromGrantArrival, 200);
     let (all, shortest) = (faults(&options, seed), shortest_faults(&options, seed));
--- a/simulation/tests/former_name.rs
+++ b/simulation/tests/former_name.rs
@@ -1,4 +1,4 @@
-//! The program goes on working under its former name, `tansy-lab`.
+//! `tansy-sim` also works under its former name `tansy-lab`.
 
 use std::process::{Command, Output};
 
@@ -25,10 +25,10 @@
 }
 
 #[test]
-fn the_former_command_line_simulates_the_seeds_it_names() {
+fn the_former_name_simulates_the_requested_seeds() {
     let arguments = ["agree", "--front-ends", "7", "--seeds", "2", "--json"];
     let output = output_of(env!("CARGO_BIN_EXE_tansy-lab"), &arguments);
-    let text = String::from_utf8(output.stdout).expect("text");
+    let text = String::from_utf8(output.stdout).expect("valid UTF-8");
     assert!(output.status.success(), "{text}");
     let summary: serde_json::Value = serde_json::from_str(&text).expect("one line of JSON");
     assert_eq!(summary["fronts"], 7);
--- a/simulation/tests/message_size.rs
+++ b/simulation/tests/message_size.rs
@@ -176,7 +176,7 @@
             EndpointState::Draining,
             EndpointState::Gone,
         ])
-        .expect("one of three");
+        .expect("the choices are not empty");
     EndpointRecord {
         endpoint: Endpoint {
             name: text(rng),
--- a/simulation/tests/rollout.rs
+++ b/simulation/tests/rollout.rs
@@ -1,4 +1,5 @@
-//! Whole rollouts: a regression stops them, a change without effect does not, and neither does a loss that both sides share.
+//! Simulated rollouts are stopped by a regression, but not by a change without effect or by a loss that changed and
+//! unchanged front ends share.
 
 use tansy_simulation::rollout::{many, Regression, RolloutOptions};
 
@@ -16,14 +17,14 @@
 }
 
 #[test]
-fn a_change_without_effect_is_done() {
+fn changes_without_a_regression_complete() {
     for regression in [Regression::None, Regression::ZoneLost, Regression::Doubles] {
         assert_eq!(stopped(regression).0, 0.0, "{regression:?}");
     }
 }
 
 #[test]
-fn a_regression_is_stopped_in_the_first_stage() {
+fn regressions_are_stopped_in_the_first_stage() {
     let regressions = [
         Regression::All(0.03),
         Regression::All(0.1),
@@ -31,7 +32,7 @@
         Regression::Zone(0.05),
         Regression::Slow(0.03),
         Regression::Leak(1.0),
-        // It rejects cheaply, and pushes what it rejects onto its siblings.
+        // Rejections are fast and shift load to unchanged front ends.
         Regression::Shed(0.05),
     ];
     for regression in regressions {
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn a_regression_after_two_minutes_is_stopped_before_the_last_stage() {
+fn a_late_regression_is_stopped_before_the_third_stage() {
     let summary = many(
         &RolloutOptions {
             regression: Regression::Late(0.05),
@@ -58,12 +59,14 @@
 }
 
 #[test]
-fn a_rollout_depends_on_its_seed_alone() {
+fn rollouts_are_deterministic() {
     let options = RolloutOptions {
         regression: Regression::All(0.03),
         front_ends: 9,
         ..RolloutOptions::default()
     };
-    let text = |threads| serde_json::to_string(&many(&options, 3, 6, threads)).expect("a summary");
+    let text = |threads| {
+        serde_json::to_string(&many(&options, 3, 6, threads)).expect("the summary serializes")
+    };
     assert_eq!(text(1), text(4));
 }
--- a/simulation/tests/scale.rs
+++ b/simulation/tests/scale.rs
@@ -1,8 +1,8 @@
-//! Fleets at their size: the hollow tier measures what the whole one does, its runs depend on their seeds alone, and the
-//! audit finds in it what is planted.
+//! Large fleets: both tiers measure the same, runs are deterministic, failures are recovered from, and the audit detects
+//! injected defects in the hollow tier.
 
 use tansy_simulation::fault::SECOND;
-use tansy_simulation::fleet::{run as agree, InjectedDefect, SimulationOptions};
+use tansy_simulation::fleet::{run as run_fleet, InjectedDefect, SimulationOptions};
 use tansy_simulation::scale::{run, ScaleReport, ScaleScenario, Tier, REGION_NETWORK};
 
 fn options(tier: Tier, front_ends: usize, scenario: ScaleScenario) -> SimulationOptions {
@@ -28,8 +28,13 @@
     }
 }
 
-/// The mean of both tiers over these seeds.
-fn near(what: &str, all: &[[ScaleReport; 2]], share: f64, of: fn(&ScaleReport) -> f64) {
+/// Asserts that the mean of a measurement over all seeds differs between the tiers by at most `share` of the whole tier's.
+fn assert_tiers_agree(
+    what: &str,
+    all: &[[ScaleReport; 2]],
+    share: f64,
+    of: fn(&ScaleReport) -> f64,
+) {
     let mean = |tier: usize| all.iter().map(|r| of(&r[tier])).sum::<f64>() / all.len() as f64;
     let (whole, hollow) = (mean(0), mean(1));
     assert!(
@@ -39,7 +44,7 @@
 }
 
 #[test]
-fn the_hollow_tier_measures_what_the_whole_one_does() {
+fn both_tiers_measure_the_same() {
     let scenario = ScaleScenario {
         measured_span: 60 * SECOND,
         changes_per_hour: 1800.0,
@@ -58,22 +63,22 @@
             report.notes
         );
     }
-    near("messages beside membership's", &all, 0.15, |report| {
+    assert_tiers_agree("messages beside membership's", &all, 0.15, |report| {
         report.control_messages_s - report.membership_messages_s
     });
-    near("bytes beside membership's", &all, 0.15, |report| {
+    assert_tiers_agree("bytes beside membership's", &all, 0.15, |report| {
         report.control_bytes_s - report.membership_bytes_s
     });
-    near("messages at the voter", &all, 0.15, |report| {
+    assert_tiers_agree("messages at the voter", &all, 0.15, |report| {
         report.voter_messages_s - report.membership_messages_s
     });
-    near("changes in force", &all, 0.3, |report| {
+    assert_tiers_agree("changes in force", &all, 0.3, |report| {
         report.in_force_ms.expect("changes").p50
     });
 }
 
 #[test]
-fn a_run_depends_on_its_seed_alone() {
+fn runs_are_deterministic() {
     let scenario = ScaleScenario {
         partitioned_regions: 1,
         partition_span: 8 * SECOND,
@@ -86,7 +91,7 @@
 }
 
 #[test]
-fn a_region_cut_off_loses_its_leases_and_comes_back() {
+fn an_isolated_region_loses_its_leases_and_recovers() {
     let scenario = ScaleScenario {
         partitioned_regions: 1,
         partition_span: 10 * SECOND,
@@ -97,7 +102,7 @@
     };
     let report = run(&options(Tier::Hollow, 40, scenario), 3);
     assert!(report.ok, "{:?}", report.notes);
-    let cut = report.partition.expect("a cut");
+    let cut = report.partition.expect("a partition report");
     assert_eq!((cut.main.front_ends, cut.cut.front_ends), (30, 10));
     assert!(cut.cut.lease_lost > 0.6, "{cut:?}");
     assert!(cut.main.lease_lost < 0.2, "{cut:?}");
@@ -108,7 +113,7 @@
 }
 
 #[test]
-fn a_strict_change_waits_for_the_dead_until_their_sessions_expire() {
+fn strict_changes_wait_for_crashed_front_ends_until_their_sessions_expire() {
     let scenario = ScaleScenario {
         dead: 2,
         regions: 1,
@@ -118,8 +123,10 @@
     };
     let report = run(&options(Tier::Hollow, 30, scenario), 2);
     assert!(report.ok, "{:?}", report.notes);
-    let freed = report.freed_ms.expect("the dead leave the roster");
-    // From the last grant before the end a session's length, and the leader's look.
+    let freed = report
+        .freed_ms
+        .expect("crashed front ends leave the roster");
+    // The session lasts from its last grant before the crash; then the leader's periodic check has to notice.
     assert!(
         freed.count == 2 && freed.p50 > 10_000.0 && freed.max < 22_000.0,
         "{freed:?}"
@@ -132,7 +139,7 @@
 }
 
 #[test]
-fn a_rack_that_ends_for_good_leaves_the_roster_and_the_others_act() {
+fn a_crashed_rack_leaves_the_roster_and_the_fleet_recovers() {
     let scenario = ScaleScenario {
         rack: 6,
         regions: 4,
@@ -142,15 +149,22 @@
     };
     let report = run(&options(Tier::Hollow, 40, scenario.clone()), 1);
     assert!(report.ok && report.view_members == 34.0, "{report:?}");
-    let loss = report.loss.expect("a rack");
-    assert_eq!((loss.front_ends, loss.voters), (6, 0));
+    let failure = report.failure.expect("a report of the failure");
+    assert_eq!((failure.front_ends, failure.voters), (6, 0));
     assert!(
-        loss.recovered_ms
+        failure
+            .recovered_ms
             .is_some_and(|ms| (2_000..15_000).contains(&ms)),
-        "{loss:?}"
+        "{failure:?}"
+    );
+    assert_eq!(failure.session_lost, 0.0);
+    assert_eq!(
+        report
+            .freed_ms
+            .expect("the crashed front ends leave the roster")
+            .count,
+        6
     );
-    assert_eq!(loss.session_lost, 0.0);
-    assert_eq!(report.freed_ms.expect("they leave the roster").count, 6);
     let strict = report.strict_in_force_ms.expect("strict changes");
     assert!(strict.max > 8_000.0, "none waited for the rack: {strict:?}");
     let with_leader = run(
@@ -164,15 +178,18 @@
         ),
         1,
     );
-    let loss = with_leader.loss.clone().expect("a rack");
+    let failure = with_leader
+        .failure
+        .clone()
+        .expect("a report of the failure");
     assert!(
-        with_leader.ok && (loss.front_ends, loss.voters) == (6, 1),
+        with_leader.ok && (failure.front_ends, failure.voters) == (6, 1),
         "{with_leader:?}"
     );
 }
 
 #[test]
-fn a_zone_that_ends_comes_back_and_is_called_again() {
+fn a_crashed_zone_restarts_and_receives_requests_again() {
     let scenario = ScaleScenario {
         zone: 5,
         zone_downtime: 8 * SECOND,
@@ -193,18 +210,19 @@
         2,
     );
     assert!(report.ok && report.view_members == 40.0, "{report:?}");
-    let loss = report.loss.expect("a zone");
-    assert_eq!((loss.front_ends, loss.voters), (8, 0));
+    let failure = report.failure.expect("a report of the failure");
+    assert_eq!((failure.front_ends, failure.voters), (8, 0));
     assert!(
-        loss.recovered_ms
+        failure
+            .recovered_ms
             .is_some_and(|ms| (8_000..25_000).contains(&ms)),
-        "{loss:?}"
+        "{failure:?}"
     );
     assert!(
-        loss.changes_requested >= loss.changes_in_force && loss.changes_in_force > 0,
-        "{loss:?}"
+        failure.changes_requested >= failure.changes_in_force && failure.changes_in_force > 0,
+        "{failure:?}"
     );
-    assert_eq!(report.join_ms.expect("they come back").count, 8);
+    assert_eq!(report.join_ms.expect("the front ends restart").count, 8);
     assert!(
         report.subscriptions > 3.0,
         "those that are back have no subscriptions: {}",
@@ -213,7 +231,7 @@
 }
 
 #[test]
-fn a_rolling_restart_takes_one_part_after_the_other() {
+fn a_rolling_restart_takes_one_batch_after_the_other() {
     let rolling = |parts| ScaleScenario {
         rolling: parts,
         rolling_downtime: 6 * SECOND,
@@ -225,23 +243,23 @@
     let [four, ten] = [4, 10].map(|parts| run(&options(Tier::Hollow, 40, rolling(parts)), 3));
     for (report, parts, median) in [(&four, 4, 2_000.0), (&ten, 10, 2_500.0)] {
         assert!(report.ok && report.view_members == 40.0, "{report:?}");
-        let loss = report.loss.as_ref().expect("a restart");
-        assert_eq!((loss.front_ends, loss.voters), (40, 3));
+        let failure = report.failure.as_ref().expect("a report of the failure");
+        assert_eq!((failure.front_ends, failure.voters), (40, 3));
         assert!(
-            loss.recovered_ms.is_some_and(|ms| ms > parts * 6_000),
-            "{loss:?}"
+            failure.recovered_ms.is_some_and(|ms| ms > parts * 6_000),
+            "{failure:?}"
         );
-        assert_eq!(report.join_ms.expect("they come back").count, 40);
-        // Those that end notify the others: a strict change does not wait until they are back.
+        assert_eq!(report.join_ms.expect("the front ends restart").count, 40);
+        // Restarted processes shut down gracefully, so that strict changes do not wait for their return.
         let strict = report.strict_in_force_ms.expect("strict changes");
         assert!(strict.p50 < median && strict.max < 12_000.0, "{strict:?}");
     }
-    let again = |r: &ScaleReport| r.loss.as_ref().and_then(|l| l.recovered_ms);
+    let again = |r: &ScaleReport| r.failure.as_ref().and_then(|l| l.recovered_ms);
     assert!(again(&ten) > again(&four), "{four:?} {ten:?}");
 }
 
 #[test]
-fn a_rolling_restart_that_does_not_end_is_not_ok() {
+fn an_unfinished_rolling_restart_is_not_ok() {
     let scenario = ScaleScenario {
         rolling: 20,
         rolling_downtime: 2 * SECOND,
@@ -250,7 +268,7 @@
     };
     let report = run(&options(Tier::Hollow, 40, scenario), 3);
     assert!(
-        !report.ok && report.loss.is_some_and(|l| l.recovered_ms.is_none()),
+        !report.ok && report.failure.is_some_and(|l| l.recovered_ms.is_none()),
         "{:?}",
         report.notes
     );
@@ -265,7 +283,7 @@
 }
 
 #[test]
-fn changes_in_even_steps_do_not_meet() {
+fn evenly_spaced_changes_do_not_conflict() {
     let scenario = ScaleScenario {
         regions: 1,
         restarts_per_hour: 0.0,
@@ -294,7 +312,7 @@
 }
 
 #[test]
-fn the_audit_finds_planted_defects_in_the_hollow_tier() {
+fn injected_defects_are_detected_in_the_hollow_tier() {
     for (defect, seeds) in [
         (InjectedDefect::SkippedJointPhase, 20),
         (InjectedDefect::IgnoredRoster, 100),
@@ -306,7 +324,7 @@
             ..SimulationOptions::of(7)
         };
         assert!(
-            (1..=seeds).any(|seed| !agree(&options, seed).violations.is_empty()),
+            (1..=seeds).any(|seed| !run_fleet(&options, seed).violations.is_empty()),
             "{defect:?}"
         );
     }
@@ -320,7 +338,7 @@
         ..SimulationOptions::of(9)
     };
     for seed in 1..=20 {
-        let result = agree(&options, seed);
+        let result = run_fleet(&options, seed);
         assert_eq!(result.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
--- a/simulation/tests/scopes.rs
+++ b/simulation/tests/scopes.rs
@@ -1,5 +1,5 @@
-//! Settings by scope in fleets in virtual time: faults cause no violation, planted defects are found, and a fleet at its size
-//! changes functions one by one.
+//! Settings by scope in simulated fleets: faults cause no violation, injected defects are detected, and functions of a large
+//! fleet change independently of each other.
 
 use tansy_simulation::fault::{Time, SECOND};
 use tansy_simulation::fleet::{many, run, InjectedDefect, SimulationOptions};
@@ -13,7 +13,7 @@
     }
 }
 
-/// A hollow fleet of 40 with leases of 2 s.
+/// Options for a fleet of 40 in the hollow tier with leases of 2 s.
 fn at_scale(session: Time, scenario: ScaleScenario) -> SimulationOptions {
     let mut options = SimulationOptions {
         tier: Tier::Hollow,
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn no_front_end_acts_on_what_a_scope_no_longer_is_through_kills_pauses_cuts_and_clocks() {
+fn faults_and_clock_drift_cause_no_violation_with_scopes() {
     let summary = many(&with_scopes(), 1, 20, 2);
     assert!(summary.violations.is_empty(), "{:?}", summary.violations);
     assert!(
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn one_whose_session_expired_and_is_back_acts_on_no_scope_as_it_was() {
+fn a_front_end_back_after_session_expiry_uses_no_outdated_scope() {
     let one = run(
         &SimulationOptions {
             scopes: 12,
@@ -82,32 +82,33 @@
 }
 
 #[test]
-fn each_planted_defect_with_scopes_is_found() {
+fn each_injected_defect_with_scopes_is_detected() {
     for (defect, seeds) in [
         (InjectedDefect::IgnoredSubscribers, 20),
         (InjectedDefect::ForgottenSubscriptions, 60),
         (InjectedDefect::OldReplyAsCurrent, 60),
         (InjectedDefect::RepeatedUnsubscribe, 60),
     ] {
-        let planted = SimulationOptions {
+        let options = SimulationOptions {
             defect: Some(defect),
             ..with_scopes()
         };
-        let found = (1..=seeds).find_map(|seed| run(&planted, seed).violations.first().cloned());
+        let found = (1..=seeds).find_map(|seed| run(&options, seed).violations.first().cloned());
         let violation = found.unwrap_or_else(|| panic!("{defect:?}: no run has a violation"));
         assert!(violation.contains("acts on"), "{defect:?}: {violation}");
     }
 }
 
 #[test]
-fn a_run_with_scopes_depends_on_its_seed_alone() {
-    let text =
-        |threads| serde_json::to_string(&many(&with_scopes(), 3, 4, threads)).expect("a summary");
+fn runs_with_scopes_are_deterministic() {
+    let text = |threads| {
+        serde_json::to_string(&many(&with_scopes(), 3, 4, threads)).expect("the summary serializes")
+    };
     assert_eq!(text(1), text(3));
 }
 
 #[test]
-fn a_fleet_at_its_size_changes_functions_one_by_one() {
+fn functions_of_a_large_fleet_change_individually() {
     let by_scope = ScaleScenario {
         measured_span: 20 * SECOND,
         regions: 2,
@@ -129,7 +130,7 @@
 }
 
 #[test]
-fn a_strict_change_that_a_dead_front_end_is_subscribed_to_waits_and_others_do_not() {
+fn only_changes_with_a_crashed_subscriber_wait() {
     let scenario = ScaleScenario {
         measured_span: 60 * SECOND,
         changes_per_hour: 3600.0,
@@ -144,26 +145,30 @@
     };
     let dead = run_at_scale(&at_scale(30 * SECOND, of_dead), 1);
     assert!(dead.ok, "{:?}", dead.notes);
-    let holders = dead.dead_holders.expect("some are dead");
+    let report = dead.dead_holders.expect("some front ends crashed");
     assert!(
-        holders.requested >= 5 && holders.abandoned + holders.in_force <= holders.requested,
-        "{holders:?}"
+        report.requested >= 5 && report.abandoned + report.in_force <= report.requested,
+        "{report:?}"
     );
     assert!(
-        holders.abandoned > 0 && dead.changes_abandoned == holders.abandoned,
+        report.abandoned > 0 && dead.changes_abandoned == report.abandoned,
         "{dead:?}"
     );
     assert!(
-        holders.in_force_ms.expect("some after the sessions").max > 5_000.0,
-        "{holders:?}"
+        report
+            .in_force_ms
+            .expect("some come into force after the sessions expire")
+            .max
+            > 5_000.0,
+        "{report:?}"
     );
-    // A plain one of a function whose strict change waits has to wait too; all others do not.
+    // Plain changes wait only for a waiting strict change of the same function.
     assert!(dead.in_force_ms.expect("changes").p50 < 1_000.0, "{dead:?}");
     assert!(
         dead.changes_of_requested < dead.changes_requested,
         "{dead:?}"
     );
-    // Changes of functions to which only live front ends are subscribed wait for nobody.
+    // Changes of functions with only live subscribers wait for no crashed front end.
     let of_live = ScaleScenario {
         dead: 0,
         requested_share: 1.0,
--- a/simulation/tests/size_line.rs
+++ b/simulation/tests/size_line.rs
@@ -1,9 +1,9 @@
-//! `tansy-sim size --json` prints what was asked for under the names that recorded runs have.
+//! `tansy-sim size --json` prints its arguments under the names used in recorded runs.
 
 use std::process::Command;
 
 #[test]
-fn the_json_line_carries_the_arguments_under_recorded_names() {
+fn json_output_contains_the_arguments_under_their_recorded_names() {
     let output = Command::new(env!("CARGO_BIN_EXE_tansy-sim"))
         .args(
             "size --front-ends 3 --tier hollow --seats 9 --seconds 5 --stay 20 --lease 700"
@@ -16,7 +16,7 @@
         )
         .output()
         .expect("the program starts");
-    let text = String::from_utf8(output.stdout).expect("text");
+    let text = String::from_utf8(output.stdout).expect("valid UTF-8");
     let line: serde_json::Value = serde_json::from_str(&text).expect("one line of JSON");
     let expected = serde_json::json!({
         "tool": "virtual",
