--- a/simulation/src/rollout/front_ends.rs
+++ b/simulation/src/rollout/front_ends.rs
@@ -54,7 +54,7 @@
 }
 
 /// The number of requests of one class at a front end in one second.
-pub(super) struct RequestShare {
+pub(super) struct ClassRequests {
     pub(super) requests: u64,
     pub(super) changed: bool,
 }
@@ -98,16 +98,16 @@
         rng: &mut StdRng,
         now: i64,
         conditions: &TrafficConditions,
-    ) -> Vec<RequestShare> {
+    ) -> Vec<ClassRequests> {
         // The shared loss of a zone is autocorrelated over several seconds.
-        let shock = Normal::new(0.0, 0.004).expect("the parameters are valid");
+        let zone_noise = Normal::new(0.0, 0.004).expect("the parameters are valid");
         for loss in &mut self.zone_loss {
-            *loss = 0.9 * *loss + shock.sample(rng);
+            *loss = 0.9 * *loss + zone_noise.sample(rng);
         }
         let shifted: Vec<f64> = (0..self.zone_loss.len())
             .map(|zone| self.shifted_load(zone, conditions.regression))
             .collect();
-        let mut shares = Vec::new();
+        let mut served = Vec::new();
         for front_end in &mut self.all {
             if front_end.restarting > 0 {
                 front_end.continue_restart(now);
@@ -122,13 +122,13 @@
             for class in 0..CLASSES.len() {
                 let requests =
                     front_end.serve_class(rng, now, conditions, class, zone_loss, shifted);
-                shares.push(RequestShare {
+                served.push(ClassRequests {
                     requests,
                     changed: front_end.changed,
                 });
             }
         }
-        shares
+        served
     }
 
     /// The load that changed front ends of a zone reject and each unchanged one takes over, as a share of its own load.
@@ -183,8 +183,8 @@
         zone_loss: f64,
         shifted: f64,
     ) -> u64 {
-        let (name, part) = CLASSES[class];
-        let mean = self.rate * part * conditions.load * (1.0 + shifted);
+        let (name, class_share) = CLASSES[class];
+        let mean = self.rate * class_share * conditions.load * (1.0 + shifted);
         let requests = poisson(rng, mean);
         let loss = self.loss_of(now, conditions, class, zone_loss, shifted);
         let (mut slow, mut rejected_share) = (0.0, 0.0);
@@ -192,7 +192,7 @@
             match conditions.regression {
                 Regression::Slow(share) => slow += share,
                 Regression::Shed(share) => rejected_share = share,
-                Regression::Leak(every) => self.memory += part / every,
+                Regression::Leak(seconds_per_mb) => self.memory += class_share / seconds_per_mb,
                 _ => {}
             }
         }
--- a/simulation/src/rollout/mod.rs
+++ b/simulation/src/rollout/mod.rs
@@ -100,13 +100,13 @@
         self.seconds += 1;
         let now = self.seconds as i64;
         let conditions = self.conditions(now);
-        for share in self
+        for class_requests in self
             .front_ends
             .serve_one_second(&mut self.rng, now, &conditions)
         {
-            self.requests += share.requests as f64;
-            self.exposed += if share.changed {
-                share.requests as f64
+            self.requests += class_requests.requests as f64;
+            self.exposed += if class_requests.changed {
+                class_requests.requests as f64
             } else {
                 0.0
             };
--- a/simulation/src/scale/measurement.rs
+++ b/simulation/src/scale/measurement.rs
@@ -141,7 +141,7 @@
     pub(super) versions: BTreeMap<Version, usize>,
     pub(super) durations: Durations,
     /// Number of setup transactions so far.
-    pub(super) set_up_requests: u64,
+    pub(super) setup_transactions: u64,
     pub(super) dead_on_roster: Vec<DeadMember>,
     /// The time at which each node last stopped.
     pub(super) ended: BTreeMap<u64, Time>,
--- a/simulation/src/scale/mod.rs
+++ b/simulation/src/scale/mod.rs
@@ -18,7 +18,7 @@
 mod workload;
 
 pub use report::{
-    DeadHolderReport, FailureReport, PartitionReport, PartitionSide, Quantiles, ScaleReport,
+    DeadSubscriberReport, FailureReport, PartitionReport, PartitionSide, Quantiles, ScaleReport,
 };
 pub use scenario::{ScaleScenario, Tier, REGION_NETWORK};
 
--- a/simulation/src/scale/observe.rs
+++ b/simulation/src/scale/observe.rs
@@ -12,7 +12,7 @@
 const MIN_RETRY_DELAY: Time = SECOND / 2;
 
 /// The meaning of a response for a requested change.
-enum ChangeAnswer {
+enum ChangeResponse {
     Announced(Version),
     /// Accepted as a scope change, which has no version.
     Accepted,
@@ -23,16 +23,16 @@
     Unrelated,
 }
 
-impl ChangeAnswer {
-    fn of(outcome: &Result<ApplyOutcome, RequestRejection>) -> ChangeAnswer {
+impl ChangeResponse {
+    fn of(outcome: &Result<ApplyOutcome, RequestRejection>) -> ChangeResponse {
         match outcome {
             Ok(ApplyOutcome::Announced(version) | ApplyOutcome::Duplicate(version)) => {
-                ChangeAnswer::Announced(*version)
+                ChangeResponse::Announced(*version)
             }
             Ok(ApplyOutcome::ScopesChanged { rejected, .. }) if rejected.is_empty() => {
-                ChangeAnswer::Accepted
+                ChangeResponse::Accepted
             }
-            Ok(_) => ChangeAnswer::Unrelated,
+            Ok(_) => ChangeResponse::Unrelated,
             Err(
                 RequestRejection::Log(
                     EntryRejection::ChangeInProgress { .. }
@@ -41,8 +41,8 @@
                     | EntryRejection::StaleScopeBase { .. },
                 )
                 | RequestRejection::Busy,
-            ) => ChangeAnswer::Busy,
-            Err(_) => ChangeAnswer::Failed,
+            ) => ChangeResponse::Busy,
+            Err(_) => ChangeResponse::Failed,
         }
     }
 }
@@ -77,7 +77,7 @@
         match command {
             Command::Respond { request, outcome } if *request > 0 => {
                 let change = *request as usize - 1;
-                self.on_change_answer(change, ChangeAnswer::of(outcome));
+                self.on_change_response(change, ChangeResponse::of(outcome));
             }
             Command::Notify(FleetEvent::ChangeAbandoned { version, .. })
                 if index < self.options.voters =>
@@ -91,27 +91,27 @@
         }
     }
 
-    fn on_change_answer(&mut self, index: usize, answer: ChangeAnswer) {
+    fn on_change_response(&mut self, index: usize, response: ChangeResponse) {
         let Some(scale) = &mut self.scale else {
             return;
         };
         let Some(change) = scale.changes.get_mut(index) else {
             return;
         };
-        match answer {
-            ChangeAnswer::Announced(version) => {
+        match response {
+            ChangeResponse::Announced(version) => {
                 change.version = Some(version);
                 scale.versions.insert(version, index);
                 return;
             }
-            ChangeAnswer::Accepted => {
+            ChangeResponse::Accepted => {
                 // Scope changes have no version; version 0 marks the change as accepted.
                 change.version = Some(Version(0));
                 return;
             }
-            ChangeAnswer::Unrelated => return,
-            ChangeAnswer::Busy => scale.rejected += u64::from(change.version.is_none()),
-            ChangeAnswer::Failed => {}
+            ChangeResponse::Unrelated => return,
+            ChangeResponse::Busy => scale.rejected += u64::from(change.version.is_none()),
+            ChangeResponse::Failed => {}
         }
         change.attempts += 1;
         let event = ScaleEvent::RequestChange {
--- a/simulation/src/scale/report.rs
+++ b/simulation/src/scale/report.rs
@@ -92,7 +92,7 @@
 
 /// Strict scope changes of functions for which a permanently crashed front end received requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct DeadHolderReport {
+pub struct DeadSubscriberReport {
     /// Number of requested changes.
     #[serde(rename = "asked")]
     pub requested: u64,
@@ -187,7 +187,7 @@
     pub failure: Option<FailureReport>,
     /// Strict changes that may have waited for a crashed subscriber.
     #[serde(rename = "dead_held")]
-    pub dead_holders: Option<DeadHolderReport>,
+    pub dead_subscribers: Option<DeadSubscriberReport>,
     /// Number of simulated events.
     pub events: u64,
     /// Violations found by the audit, and anything not completed.
--- a/simulation/src/scale/results.rs
+++ b/simulation/src/scale/results.rs
@@ -2,7 +2,7 @@
 
 use super::measurement::{ScaleMeasurement, Traffic};
 use super::{
-    DeadHolderReport, Quantiles, ScaleReport, Tier, IDLE_MEMBERSHIP_TRAFFIC,
+    DeadSubscriberReport, Quantiles, ScaleReport, Tier, IDLE_MEMBERSHIP_TRAFFIC,
     MEMBERSHIP_TRAFFIC_PER_RESTART,
 };
 use crate::fault::{Time, SECOND};
@@ -68,14 +68,14 @@
     }
 
     /// Strict changes that may have waited for crashed subscribers; `None` if there were no such subscribers.
-    fn dead_holders(&self) -> Option<DeadHolderReport> {
+    fn dead_subscribers(&self) -> Option<DeadSubscriberReport> {
         if self.scenario.by_scope == 0 || self.dead_front_ends.is_empty() {
             return None;
         }
         let waiting = || self.changes.iter().filter(|change| change.waits_for_dead);
         let in_force = self.durations.waited_for_dead.len() as u64;
         let over = waiting().filter(|change| change.is_over).count() as u64;
-        Some(DeadHolderReport {
+        Some(DeadSubscriberReport {
             requested: waiting().count() as u64,
             in_force,
             abandoned: over - in_force,
@@ -116,7 +116,7 @@
             changes_open: open,
             lease_lost: total.lease_lost(),
             session_lost: total.session_lost(),
-            dead_holders: scale.dead_holders(),
+            dead_subscribers: scale.dead_subscribers(),
             partition: scale.partition,
             failure: scale.failure,
             events: scale.events,
--- a/simulation/src/scale/scopes.rs
+++ b/simulation/src/scale/scopes.rs
@@ -57,8 +57,8 @@
             }
             return self.schedule(now + SETTLE_TIME, Event::Scale(ScaleEvent::Begin));
         }
-        scale.set_up_requests += u64::from(is_settled);
-        let id = FIRST_SETUP_REQUEST_ID + scale.set_up_requests;
+        scale.setup_transactions += u64::from(is_settled);
+        let id = FIRST_SETUP_REQUEST_ID + scale.setup_transactions;
         let next = now + SECOND / 2;
         self.schedule(next, Event::Scale(ScaleEvent::SetUpScopes));
         if is_settled {
--- a/simulation/src/scale/workload.rs
+++ b/simulation/src/scale/workload.rs
@@ -155,8 +155,8 @@
         if change.attempts != attempt || change.version.is_some() || change.is_over {
             return;
         }
-        let is_first_ask = attempt == 0 && scale.healing_since.is_none();
-        if let (Some(partition), true) = (&mut scale.partition, is_first_ask) {
+        let is_first_request = attempt == 0 && scale.healing_since.is_none();
+        if let (Some(partition), true) = (&mut scale.partition, is_first_request) {
             if change.is_strict {
                 partition.strict_requested += 1;
             } else {
--- a/simulation/src/scopes/agreed.rs
+++ b/simulation/src/scopes/agreed.rs
@@ -129,7 +129,9 @@
                 let number = before.next().and_then(change_number);
                 self.end_change(change.revision, number, false);
             }
-            ScopePhase::Settled => violations.push(format!("{scope} was changed to settled")),
+            ScopePhase::Settled => {
+                violations.push(format!("{scope} has a change with the phase settled"))
+            }
         }
     }
 
@@ -225,7 +227,7 @@
                 contradictions.first().and_then(|(path, _)| report(path))
             }
             (None, None) => None,
-            _ => report("which has fields on one side alone"),
+            _ => report("but only one of the two has fields"),
         }
     }
 }
--- a/simulation/tests/scopes.rs
+++ b/simulation/tests/scopes.rs
@@ -145,7 +145,7 @@
     };
     let dead = run_at_scale(&at_scale(30 * SECOND, of_dead), 1);
     assert!(dead.ok, "{:?}", dead.notes);
-    let report = dead.dead_holders.expect("some front ends crashed");
+    let report = dead.dead_subscribers.expect("some front ends crashed");
     assert!(
         report.requested >= 5 && report.abandoned + report.in_force <= report.requested,
         "{report:?}"
@@ -176,7 +176,7 @@
     };
     let live = run_at_scale(&at_scale(30 * SECOND, of_live), 1);
     assert!(
-        live.ok && live.changes_abandoned == 0 && live.dead_holders.is_none(),
+        live.ok && live.changes_abandoned == 0 && live.dead_subscribers.is_none(),
         "{live:?}"
     );
     assert_eq!(live.changes_of_requested, live.changes_requested);
