--- a/simulation/src/fleet/simulation.rs
+++ b/simulation/src/fleet/simulation.rs
@@ -83,7 +83,7 @@
         let scopes = options
             .scale
             .as_ref()
-            .map_or(options.scopes, |scenario| scenario.by_scope);
+            .map_or(options.scopes, |scenario| scenario.scoped_functions);
         simulation.scopes = (scopes > 0)
             .then(|| Scopes::new(scopes, options.front_ends, seed, options.scale.is_none()));
         simulation.schedule_checks();
--- a/simulation/src/plot.rs
+++ b/simulation/src/plot.rs
@@ -70,7 +70,7 @@
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption(
-            "From a proposal to force at every front end",
+            "Time until a version is in force at every front end",
             ("sans-serif", 18),
         )
         .margin(12)
@@ -129,7 +129,7 @@
         line("fixed threshold", |rule| {
             matches!(rule, DecisionRule::Threshold(_))
         }),
-        line("difference to the own past", |rule| {
+        line("difference from the loss before the change", |rule| {
             matches!(rule, DecisionRule::OwnPast(_))
         }),
     ];
@@ -143,14 +143,14 @@
     let area = SVGBackend::new(path, (720, 420)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
-        .caption("Rollouts that were stopped", ("sans-serif", 18))
+        .caption("Stopped rollouts", ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(60)
         .build_cartesian_2d(0.0..20.0, 0.0..105.0)?;
     chart
         .configure_mesh()
-        .x_desc("service lost to the change, percentage points")
+        .x_desc("requests lost to the change, percentage points")
         .y_desc("stopped, percent")
         .draw()?;
     for ((name, points), color) in lines.iter().zip([BLUE, RED, GREEN]) {
--- a/simulation/src/scale/failures.rs
+++ b/simulation/src/scale/failures.rs
@@ -94,23 +94,23 @@
 
     fn plan_failure(&self, scenario: &ScaleScenario) -> FailurePlan {
         let front_ends = self.processes.len();
-        if scenario.rolling > 0 {
+        if scenario.rolling_batches > 0 {
             let is_started = |index: &usize| self.processes[*index].node.is_some();
             let batch = |first| {
                 (first..front_ends)
-                    .step_by(scenario.rolling)
+                    .step_by(scenario.rolling_batches)
                     .filter(is_started)
                     .collect()
             };
             return FailurePlan {
                 ended: (0..front_ends).filter(is_started).collect(),
                 earliest_recovery: self.now,
-                batches: (0..scenario.rolling).rev().map(batch).collect(),
+                batches: (0..scenario.rolling_batches).rev().map(batch).collect(),
             };
         }
-        let (count, earliest_recovery) = match front_ends.checked_div(scenario.zone) {
+        let (count, earliest_recovery) = match front_ends.checked_div(scenario.zones) {
             Some(zone) => (zone, self.now + scenario.zone_downtime),
-            None => (scenario.rack, self.now + self.options.lease.span),
+            None => (scenario.rack_size, self.now + self.options.lease.span),
         };
         FailurePlan {
             ended: self.colocated(count, scenario.with_leader),
@@ -148,10 +148,10 @@
             remaining_batches: plan.batches,
             current_batch: Vec::new(),
         });
-        if scenario.rolling > 0 {
+        if scenario.rolling_batches > 0 {
             return;
         }
-        if scenario.zone == 0 {
+        if scenario.zones == 0 {
             let dead = members
                 .into_iter()
                 .map(|member| DeadMember { member, ended: now });
@@ -160,7 +160,7 @@
         }
         for process in plan.ended {
             self.schedule(now, Event::Stop { process });
-            if scenario.zone > 0 {
+            if scenario.zones > 0 {
                 let at = now + scenario.zone_downtime + self.rng.i64(0..SECOND);
                 self.schedule(at, Event::Start { process });
             }
--- a/simulation/src/scale/observe.rs
+++ b/simulation/src/scale/observe.rs
@@ -155,8 +155,8 @@
         };
         scale.record_join(after);
         let scenario = &scale.scenario;
-        let restarted =
-            scale.measurement_start.is_some() && (scenario.zone > 0 || scenario.rolling > 0);
+        let restarted = scale.measurement_start.is_some()
+            && (scenario.zones > 0 || scenario.rolling_batches > 0);
         if restarted {
             self.schedule_requests(index);
         }
@@ -223,7 +223,7 @@
                 now / SECOND
             ));
         }
-        let (after, next) = if scale.scenario.by_scope > 0 {
+        let (after, next) = if scale.scenario.scoped_functions > 0 {
             (0, ScaleEvent::SetUpScopes)
         } else {
             (SETTLE_TIME, ScaleEvent::Begin)
--- a/simulation/src/scale/results.rs
+++ b/simulation/src/scale/results.rs
@@ -69,7 +69,7 @@
 
     /// Strict changes that may have waited for crashed subscribers; `None` if there were no such subscribers.
     fn dead_subscribers(&self) -> Option<DeadSubscriberReport> {
-        if self.scenario.by_scope == 0 || self.dead_front_ends.is_empty() {
+        if self.scenario.scoped_functions == 0 || self.dead_front_ends.is_empty() {
             return None;
         }
         let waiting = || self.changes.iter().filter(|change| change.waits_for_dead);
@@ -183,7 +183,7 @@
         in_force_ms,
         plain_in_force_ms: Quantiles::of(&durations.plain),
         strict_in_force_ms: Quantiles::of(&durations.strict),
-        scope_in_force_ms: in_force_ms.filter(|_| scale.scenario.by_scope > 0),
+        scope_in_force_ms: in_force_ms.filter(|_| scale.scenario.scoped_functions > 0),
         start_join_ms: Quantiles::of(&durations.start_join),
         join_ms: Quantiles::of(&durations.join),
         freed_ms: Quantiles::of(&durations.freed),
--- a/simulation/src/scale/scenario.rs
+++ b/simulation/src/scale/scenario.rs
@@ -39,7 +39,7 @@
     /// Processes that crash per hour and restart after 2 to 10 s.
     pub restarts_per_hour: f64,
     /// Number of front ends that crash permanently when the measurement begins.
-    pub dead: usize,
+    pub permanent_crashes: usize,
     /// Number of regions isolated from all others; the last ones.
     pub partitioned_regions: usize,
     /// Duration of the partition, which begins at a fifth of the measurement.
@@ -47,7 +47,7 @@
     /// Number of functions in the settings, with two fields each.
     pub functions: usize,
     /// Number of functions changed individually by scope; 0 to change versions instead.
-    pub by_scope: usize,
+    pub scoped_functions: usize,
     /// Spaces the changes evenly instead of drawing their times uniformly.
     pub even_steps: bool,
     /// Share of the scope changes that affect a function for which a uniformly drawn front end receives requests.
@@ -55,16 +55,16 @@
     /// Share of the scope changes that affect a function for which a permanently crashed front end received requests.
     pub requested_by_dead_share: f64,
     /// Number of front ends in one rack, all of which crash permanently at a fifth of the measurement.
-    pub rack: usize,
+    pub rack_size: usize,
     /// Number of zones, one of which crashes at a fifth of the measurement; 0 for none.
-    pub zone: usize,
+    pub zones: usize,
     /// Time until the front ends of the crashed zone restart.
     pub zone_downtime: Time,
     /// Whether the rack or zone contains the leader; otherwise it contains no voters.
     pub with_leader: bool,
     /// Number of batches of a rolling restart that begins at a fifth of the measurement; each batch waits until the previous
     /// one has joined again. 0 for none.
-    pub rolling: usize,
+    pub rolling_batches: usize,
     /// Downtime of each batch of the rolling restart.
     pub rolling_downtime: Time,
 }
@@ -78,19 +78,19 @@
             strict_every: 4,
             burst: 0,
             restarts_per_hour: 0.0,
-            dead: 0,
+            permanent_crashes: 0,
             partitioned_regions: 0,
             partition_span: 0,
             functions: 0,
-            by_scope: 0,
+            scoped_functions: 0,
             even_steps: false,
             requested_share: 0.0,
             requested_by_dead_share: 0.0,
-            rack: 0,
-            zone: 0,
+            rack_size: 0,
+            zones: 0,
             zone_downtime: 0,
             with_leader: false,
-            rolling: 0,
+            rolling_batches: 0,
             rolling_downtime: 0,
         }
     }
--- a/simulation/src/scale/workload.rs
+++ b/simulation/src/scale/workload.rs
@@ -62,7 +62,7 @@
         let mut events = self.draw_changes(&scenario);
         let mut non_voters: Vec<usize> = (self.options.voters..self.options.front_ends).collect();
         self.rng.shuffle(&mut non_voters);
-        events.extend(self.crash_permanently(&mut non_voters, scenario.dead));
+        events.extend(self.crash_permanently(&mut non_voters, scenario.permanent_crashes));
         events.extend(self.draw_restarts(&scenario, &non_voters));
         let fifth = now + scenario.measured_span / 5;
         if scenario.partitioned_regions > 0 && scenario.partition_span > 0 {
@@ -72,7 +72,7 @@
             events.push((fifth, Event::Scale(ScaleEvent::PartitionBegins)));
             events.push((until, Event::Scale(ScaleEvent::PartitionEnds)));
         }
-        if scenario.rack > 0 || scenario.zone > 0 || scenario.rolling > 0 {
+        if scenario.rack_size > 0 || scenario.zones > 0 || scenario.rolling_batches > 0 {
             events.push((fifth, Event::Scale(ScaleEvent::FailureBegins)));
         }
         for (at, event) in events {
--- a/simulation/src/scopes/agreed.rs
+++ b/simulation/src/scopes/agreed.rs
@@ -110,7 +110,7 @@
             ScopePhase::Settling { .. } => {
                 if before.next() != Some(&change.record.fields) {
                     violations.push(format!(
-                        "{scope} came in force in revision {}, but not as the change under way has it",
+                        "{scope} came into force in revision {} with other fields than the pending change",
                         change.revision.0
                     ));
                 }
@@ -121,7 +121,7 @@
             ScopePhase::Reverting { .. } => {
                 if before.next().is_none() || before.fields != change.record.fields {
                     violations.push(format!(
-                        "{scope} was reverted in revision {}, but not from a change under way",
+                        "{scope} was reverted in revision {} without a pending change or to other fields",
                         change.revision.0
                     ));
                 }
@@ -147,7 +147,7 @@
         let number = change_number(next);
         if before.next().is_some() || before.fields != change.record.fields {
             violations.push(format!(
-                "{scope} became joint in revision {} out of order",
+                "{scope} entered the joint phase in revision {} out of order",
                 since.0
             ));
         }
@@ -155,7 +155,9 @@
             other == scope && other_number.is_some() && *other_number == number
         };
         if self.joint.iter().any(is_same) {
-            violations.push(format!("{scope}: change {number:?} became joint twice"));
+            violations.push(format!(
+                "{scope}: change {number:?} entered the joint phase twice"
+            ));
         }
         self.joint.insert((scope.clone(), number, since));
     }
--- a/simulation/src/scopes/audit.rs
+++ b/simulation/src/scopes/audit.rs
@@ -30,7 +30,7 @@
         let lost = |(id, revision): (&u64, &Revision)| match log.catalog().transaction_result(*id) {
             None => Some(format!("lost request {id} of revision {}", revision.0)),
             Some(result) if result.revision != *revision => Some(format!(
-                "has request {id} in revision {}, was {}",
+                "has request {id} in revision {}, but accepted it in {}",
                 result.revision.0, revision.0
             )),
             Some(result) if result.joint > 0 => Some(format!("still has request {id} open")),
@@ -54,7 +54,7 @@
                 let first = *scopes.accepted.entry(*request).or_insert(*revision);
                 if first != *revision {
                     let violation = format!(
-                        "has request {request} in revision {} and {}",
+                        "accepted request {request} in revision {} and again in {}",
                         first.0, revision.0
                     );
                     self.report_violation(index, violation);
--- a/simulation/tests/scale.rs
+++ b/simulation/tests/scale.rs
@@ -82,7 +82,7 @@
     let scenario = ScaleScenario {
         partitioned_regions: 1,
         partition_span: 8 * SECOND,
-        dead: 1,
+        permanent_crashes: 1,
         ..busy()
     };
     let options = options(Tier::Hollow, 30, scenario);
@@ -115,7 +115,7 @@
 #[test]
 fn strict_changes_wait_for_crashed_front_ends_until_their_sessions_expire() {
     let scenario = ScaleScenario {
-        dead: 2,
+        permanent_crashes: 2,
         regions: 1,
         restarts_per_hour: 0.0,
         measured_span: 40 * SECOND,
@@ -141,7 +141,7 @@
 #[test]
 fn a_crashed_rack_leaves_the_roster_and_the_fleet_recovers() {
     let scenario = ScaleScenario {
-        rack: 6,
+        rack_size: 6,
         regions: 4,
         measured_span: 60 * SECOND,
         restarts_per_hour: 0.0,
@@ -191,11 +191,11 @@
 #[test]
 fn a_crashed_zone_restarts_and_receives_requests_again() {
     let scenario = ScaleScenario {
-        zone: 5,
+        zones: 5,
         zone_downtime: 8 * SECOND,
         regions: 4,
         restarts_per_hour: 0.0,
-        by_scope: 100,
+        scoped_functions: 100,
         ..busy()
     };
     let report = run(
@@ -233,7 +233,7 @@
 #[test]
 fn a_rolling_restart_takes_one_batch_after_the_other() {
     let rolling = |parts| ScaleScenario {
-        rolling: parts,
+        rolling_batches: parts,
         rolling_downtime: 6 * SECOND,
         restarts_per_hour: 0.0,
         strict_every: 1,
@@ -261,7 +261,7 @@
 #[test]
 fn an_unfinished_rolling_restart_is_not_ok() {
     let scenario = ScaleScenario {
-        rolling: 20,
+        rolling_batches: 20,
         rolling_downtime: 2 * SECOND,
         restarts_per_hour: 0.0,
         ..busy()
--- a/simulation/tests/scopes.rs
+++ b/simulation/tests/scopes.rs
@@ -113,7 +113,7 @@
         measured_span: 20 * SECOND,
         regions: 2,
         changes_per_hour: 7200.0,
-        by_scope: 200,
+        scoped_functions: 200,
         ..ScaleScenario::default()
     };
     let options = at_scale(20 * SECOND, by_scope);
@@ -135,8 +135,8 @@
         measured_span: 60 * SECOND,
         changes_per_hour: 3600.0,
         strict_every: 2,
-        by_scope: 400,
-        dead: 2,
+        scoped_functions: 400,
+        permanent_crashes: 2,
         ..ScaleScenario::default()
     };
     let of_dead = ScaleScenario {
@@ -170,7 +170,7 @@
     );
     // Changes of functions with only live subscribers wait for no crashed front end.
     let of_live = ScaleScenario {
-        dead: 0,
+        permanent_crashes: 0,
         requested_share: 1.0,
         ..scenario
     };
