--- a/simulation/src/fleet/options.rs
+++ b/simulation/src/fleet/options.rs
@@ -1,4 +1,4 @@
-//! What is simulated: the fleet, its timing, what goes wrong, and a defect that the audit is to find.
+//! The options of a simulated fleet: size, timing, faults and an injected defect.
 
 use crate::fault::{Time, SECOND};
 use crate::network::NetworkProfile;
@@ -6,66 +6,84 @@
 use serde::Serialize;
 use tansy_agreement::lease::LeaseTiming;
 
-/// A defect planted into a run, to see that the audit finds it. `tansy-sim agree --plant` takes them by their names.
+/// A defect injected into a run to check that the audit detects it. `tansy-sim agree --plant` selects it by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
-pub enum PlantedDefect {
-    /// A lease is counted from its grant's arrival, not from before it was requested.
-    CountedFromAnswer,
-    /// A version comes in force without the joint phase.
-    NoJoint,
-    /// A voter sends what its disk has not persisted yet.
-    Unsynced,
-    /// A clock's rate is off by far more than the bound.
-    WildClock,
-    /// Changes of strict fields do not wait for the members of the roster.
-    NoRoster,
-    /// Changes of scopes come in force without waiting for their subscribers.
-    NoHolders,
-    /// A leader that begins takes each front end for one without subscriptions.
-    NoneHold,
-    /// A reply older than its reader's revision is taken for one of that revision.
-    OldReply,
-    /// Scopes that were unsubscribed are unsubscribed again later, out of order.
-    LateDrop,
+pub enum InjectedDefect {
+    /// A lease runs from the arrival of its grant instead of from before its request was sent.
+    #[serde(rename = "CountedFromAnswer")]
+    #[value(name = "counted-from-answer")]
+    LeaseFromGrantArrival,
+    /// A version comes into force without the joint phase.
+    #[serde(rename = "NoJoint")]
+    #[value(name = "no-joint")]
+    SkippedJointPhase,
+    /// A voter sends messages that depend on records its disk has not persisted yet.
+    #[serde(rename = "Unsynced")]
+    #[value(name = "unsynced")]
+    UnpersistedSends,
+    /// Clock rates deviate by far more than the configured bound.
+    #[serde(rename = "WildClock")]
+    #[value(name = "wild-clock")]
+    ClockBeyondBound,
+    /// Changes of strict fields do not wait for the members on the roster.
+    #[serde(rename = "NoRoster")]
+    #[value(name = "no-roster")]
+    IgnoredRoster,
+    /// Changes of scopes come into force without waiting for the scopes' subscribers.
+    #[serde(rename = "NoHolders")]
+    #[value(name = "no-holders")]
+    IgnoredSubscribers,
+    /// A new leader treats every front end as having no subscriptions.
+    #[serde(rename = "NoneHold")]
+    #[value(name = "none-hold")]
+    ForgottenSubscriptions,
+    /// A reply older than the receiver's revision is accepted as current.
+    #[serde(rename = "OldReply")]
+    #[value(name = "old-reply")]
+    OldReplyAsCurrent,
+    /// Every unsubscription is repeated in all later messages, out of order.
+    #[serde(rename = "LateDrop")]
+    #[value(name = "late-drop")]
+    RepeatedUnsubscribe,
 }
 
-/// What is simulated.
+/// The options of a simulated fleet.
 #[derive(Clone, Debug)]
 pub struct SimulationOptions {
-    /// Front ends, the voters among them.
+    /// Number of front ends, voters included.
     pub front_ends: usize,
-    /// How many of them keep the log.
+    /// Number of voters, which keep the replicated log.
     pub voters: usize,
-    /// Length of a lease and bound on clock rates.
+    /// Lease duration and bound on clock drift.
     pub lease: LeaseTiming,
-    /// Length of a session.
+    /// Session duration.
     pub session: Time,
-    /// Faults are over by then; the run ends [`SimulationOptions::calm`] later.
+    /// The time by which all faults have ended; the run ends [`SimulationOptions::recovery_time`] later.
     pub faults_until: Time,
-    /// Time in which all have to agree again.
-    pub calm: Time,
-    /// Changes proposed.
+    /// Time after the last fault within which all processes must agree again.
+    pub recovery_time: Time,
+    /// Number of proposed versions.
     pub changes: usize,
-    /// Front ends beside the voters that may become voters.
+    /// Number of further front ends that may become voters.
     pub spares: usize,
-    /// How often one of the candidates is to replace a voter.
+    /// Number of requested voter replacements.
     pub replacements: usize,
-    /// How messages travel.
+    /// Transit times and loss of messages.
     pub network: NetworkProfile,
-    /// A defect.
-    pub defect: Option<PlantedDefect>,
-    /// Nothing goes wrong but that messages are late, lost or duplicated now and then.
+    /// An injected defect, if any.
+    pub defect: Option<InjectedDefect>,
+    /// Disables all faults except the message delays, loss and duplication of the network profile.
     pub quiet: bool,
-    /// How front ends come to know each other.
+    /// How front ends discover each other.
     pub tier: Tier,
-    /// Functions that are changed by scope beside the versions; 0: none.
+    /// Number of functions whose settings are changed by scope, in addition to the versions.
     pub scopes: usize,
-    /// Instead of the faults, proposals and times above: this.
+    /// A scenario of a large fleet, which replaces the faults, proposals and times above.
     pub scale: Option<ScaleScenario>,
 }
 
 impl SimulationOptions {
-    /// A fleet of this size, with one voter and leases of 0.6 s.
+    /// The default options for a fleet of this size: one voter and leases of 0.6 s.
     pub fn of(front_ends: usize) -> SimulationOptions {
         SimulationOptions {
             front_ends,
@@ -76,7 +94,7 @@
             },
             session: 6 * SECOND,
             faults_until: 40 * SECOND,
-            calm: 18 * SECOND,
+            recovery_time: 18 * SECOND,
             changes: 12,
             spares: 0,
             replacements: 0,
@@ -89,12 +107,12 @@
         }
     }
 
-    /// Whether this defect is planted.
-    pub(crate) fn has_defect(&self, defect: PlantedDefect) -> bool {
+    /// Whether this defect is injected.
+    pub(crate) fn has_defect(&self, defect: InjectedDefect) -> bool {
         self.defect == Some(defect)
     }
 
-    /// How many front ends have a disk: the voters, and those that may become voters.
+    /// Number of processes with a disk: the voters and those that may become voters.
     pub(crate) fn candidates(&self) -> usize {
         (self.voters + self.spares).min(self.front_ends)
     }
--- a/simulation/src/fleet/simulation.rs
+++ b/simulation/src/fleet/simulation.rs
@@ -1,9 +1,9 @@
-//! One run: its state, how it is set up, and the loop over its events.
+//! A simulation run: its state, setup and event loop.
 
 use super::audit::Audit;
 use super::event::{Event, EventQueue};
 use super::process::{Disk, Process};
-use super::{settings, PlantedDefect, SimulationOptions, SimulationResult};
+use super::{settings, InjectedDefect, SimulationOptions, SimulationResult};
 use crate::fault::{Fault, Time, SECOND};
 use crate::network::Network;
 use crate::scale::{start_time, ScaleMeasurement, SharedDirectories, Tier, FIRST_INCARNATION};
@@ -12,12 +12,12 @@
 use tansy_agreement::log::FleetState;
 use tansy_fleet_node::FleetNode;
 
-/// A run with more violations than these ends.
-const VIOLATIONS: usize = 4;
-/// How far the clock rates are off where [`PlantedDefect::WildClock`] is planted.
-const WILD_RATE: f64 = 0.4;
+/// A run with more violations than this is stopped.
+const MAX_VIOLATIONS: usize = 4;
+/// Bound on the clock rate error with [`InjectedDefect::ClockBeyondBound`].
+const DEFECT_CLOCK_ERROR: f64 = 0.4;
 
-/// One run.
+/// The state of a simulation run.
 pub(crate) struct Simulation<'a> {
     pub(crate) options: &'a SimulationOptions,
     pub(crate) rng: fastrand::Rng,
@@ -26,30 +26,30 @@
     pub(crate) now: Time,
     queue: EventQueue,
     pub(crate) processes: Vec<Process>,
-    /// The disks of the candidates, which are the first processes.
+    /// The disks of the voter candidates, which are the first processes.
     pub(crate) disks: Vec<Disk>,
     pub(crate) schema: Schema,
     pub(super) audit: Audit,
     pub(crate) result: SimulationResult,
-    /// The measurements at scale, where they are asked for.
+    /// The measurement at scale, if there is a scenario.
     pub(crate) scale: Option<Box<ScaleMeasurement>>,
-    /// The directories of the hollow tier.
+    /// The member directories of the hollow tier.
     pub(crate) directories: Option<SharedDirectories>,
     pub(crate) scopes: Option<Scopes>,
     pub(super) sent: SentMessages,
 }
 
-/// Messages sent in a run.
+/// Counts of sent messages.
 #[derive(Default)]
 pub(super) struct SentMessages {
     pub(super) messages: u64,
     pub(super) bytes: u64,
-    /// Those of them from or to a voter.
+    /// Messages from or to a voter.
     pub(super) voter_messages: u64,
 }
 
 impl<'a> Simulation<'a> {
-    /// Draws the run of this seed, and schedules what happens in it.
+    /// Sets up the run of a seed and schedules its events.
     pub(crate) fn new(
         options: &'a SimulationOptions,
         seed: u64,
@@ -83,14 +83,14 @@
         let scopes = options
             .scale
             .as_ref()
-            .map_or(options.scopes, |scenario| scenario.by_scope);
+            .map_or(options.scopes, |scenario| scenario.scoped_functions);
         simulation.scopes = (scopes > 0)
             .then(|| Scopes::new(scopes, options.front_ends, seed, options.scale.is_none()));
         simulation.schedule_checks();
         match &options.scale {
             Some(scenario) => simulation
                 .network
-                .place(scenario.regions, &mut simulation.rng),
+                .place_in_regions(scenario.regions, &mut simulation.rng),
             None => simulation.schedule_faults_and_changes(faults),
         }
         simulation
@@ -131,7 +131,7 @@
             }
         }
         self.schedule_scope_workload();
-        let changes_until = self.options.faults_until + self.options.calm / 4;
+        let changes_until = self.options.faults_until + self.options.recovery_time / 4;
         for _ in 0..self.options.replacements {
             let at = self.rng.i64(SECOND..changes_until);
             self.schedule(at, Event::ReplaceVoter);
@@ -146,15 +146,15 @@
         }
     }
 
-    /// Schedules an event; one that is due is the next.
+    /// Schedules an event; a time in the past means now.
     pub(crate) fn schedule(&mut self, at: Time, event: Event) {
         self.queue.push(at.max(self.now), event);
     }
 
-    /// Plays the events up to the end of the run, or up to too many violations.
-    pub(crate) fn play(&mut self) {
+    /// Processes events until the end of the run or until there are too many violations.
+    pub(crate) fn run_events(&mut self) {
         while let Some((at, event)) = self.queue.pop() {
-            if at > self.end() || self.result.violations.len() > VIOLATIONS {
+            if at > self.end() || self.result.violations.len() > MAX_VIOLATIONS {
                 break;
             }
             self.now = at;
@@ -163,13 +163,13 @@
             }
             self.on_event(event);
         }
-        if self.result.violations.len() <= VIOLATIONS {
+        if self.result.violations.len() <= MAX_VIOLATIONS {
             self.now = self.end();
         }
     }
 
     fn end(&self) -> Time {
-        let without_scale = self.options.faults_until + self.options.calm;
+        let without_scale = self.options.faults_until + self.options.recovery_time;
         self.scale.as_ref().map_or(without_scale, |scale| scale.end)
     }
 
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Handles an event; none: an operator reached no leader, so that nothing changed.
+    /// Handles an event; `None` if an operator request found no leader, so that nothing changed.
     fn handle(&mut self, event: Event) -> Option<()> {
         match event {
             Event::Message { to, message } => self.on_arrival(to, *message),
@@ -204,14 +204,14 @@
             Event::ReplaceVoter => self.replace_voter()?,
             Event::Abandon => self.abandon()?,
             Event::Request { process, expire } => self.request_scope(process, expire),
-            Event::ChangeScopes { again } => self.change_scopes(again),
+            Event::ChangeScopes { repeat_of } => self.change_scopes(repeat_of),
             Event::AdvanceScope { scope, since } => self.advance_scope_early(scope, since),
             Event::Scale(event) => self.on_scale_event(event),
         }
         Some(())
     }
 
-    /// The process that leads and runs, and the agreed state there.
+    /// The running process that leads, and its agreed state.
     pub(crate) fn leader(&self) -> Option<(usize, FleetState)> {
         let candidates = self.processes.iter().enumerate().take(self.disks.len());
         candidates.into_iter().find_map(|(index, process)| {
@@ -220,7 +220,7 @@
         })
     }
 
-    /// Records what the audit found.
+    /// Records a violation found by the audit.
     pub(crate) fn report_violation(&mut self, process: usize, violation: String) {
         let milliseconds = self.now / 1000;
         self.result.violations.push(format!(
@@ -228,20 +228,20 @@
         ));
     }
 
-    /// Accounts for the time of all processes.
+    /// Updates the uptime totals of all processes.
     pub(crate) fn account_all(&mut self) {
         for process in &mut self.processes {
             process.account(self.now);
         }
     }
 
-    /// Ends the run.
+    /// Runs the final audit and returns the result.
     pub(super) fn into_result(mut self) -> SimulationResult {
         self.audit_end();
         self.audit_scopes_end();
-        let up: Time = self.processes.iter().map(|p| p.up).sum();
+        let uptime: Time = self.processes.iter().map(|p| p.uptime).sum();
         let share = |of: fn(&Process) -> Time| {
-            self.processes.iter().map(of).sum::<Time>() as f64 / up.max(1) as f64
+            self.processes.iter().map(of).sum::<Time>() as f64 / uptime.max(1) as f64
         };
         let seconds = self.now as f64 / SECOND as f64;
         let front_end_seconds = seconds * self.options.front_ends as f64;
@@ -256,10 +256,10 @@
     }
 }
 
-/// The processes of a run, none of which is started.
+/// Draws the processes of a run, all of them stopped.
 fn draw_processes(options: &SimulationOptions, rng: &mut fastrand::Rng) -> Vec<Process> {
-    let rate_bound = if options.has_defect(PlantedDefect::WildClock) {
-        WILD_RATE
+    let rate_bound = if options.has_defect(InjectedDefect::ClockBeyondBound) {
+        DEFECT_CLOCK_ERROR
     } else {
         options.lease.drift_ppm as f64 / 1e6
     };
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -1,8 +1,7 @@
-//! A fleet of front ends in virtual time.
+//! Discrete-event simulation of a fleet of front ends in virtual time.
 //!
-//! The packages under `decide/` run here as they run in a front end; the network, the disks, the clocks and what goes wrong
-//! with them are simulated. A run depends on its seed alone: same seed, same result, on any machine and with any number
-//! of threads.
+//! The crates under `decide/` run unmodified; the network, disks, clocks and their faults are simulated. A run is
+//! deterministic: its result depends only on the seed, not on the machine or the number of threads.
 
 pub mod cli;
 pub mod fault;
@@ -14,17 +13,22 @@
 pub mod scale;
 mod scopes;
 
-/// Simulates seeds `from` to `from + seeds` on so many threads. The order of what comes back is that of the threads.
-fn spread<T: Send>(from: u64, seeds: u64, threads: usize, one: impl Fn(u64) -> T + Sync) -> Vec<T> {
+/// Simulates the seeds `from..from + seeds` on `threads` threads. The results are in no particular order.
+fn run_seeds<T: Send>(
+    from: u64,
+    seeds: u64,
+    threads: usize,
+    simulate: impl Fn(u64) -> T + Sync,
+) -> Vec<T> {
     let next = std::sync::atomic::AtomicU64::new(0);
     let work = || {
-        let mut own = Vec::new();
+        let mut results = Vec::new();
         loop {
             let offset = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
             if offset >= seeds {
-                return own;
+                return results;
             }
-            own.push(one(from + offset));
+            results.push(simulate(from + offset));
         }
     };
     std::thread::scope(|scope| {
--- a/simulation/src/network.rs
+++ b/simulation/src/network.rs
@@ -1,32 +1,32 @@
-//! The network between processes, as the faults of a run leave it.
+//! The simulated network between processes, with message loss, duplication, delays, link faults and partitions.
 
 use crate::fault::{Fault, Time, SECOND};
 
-/// How messages travel when nothing is wrong.
+/// Transit times and loss in the absence of faults.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkProfile {
-    /// Shortest transit time.
-    pub shortest: Time,
-    /// Longest transit time.
-    pub longest: Time,
-    /// Share that is lost.
+    /// Minimum transit time.
+    pub min_transit: Time,
+    /// Maximum transit time.
+    pub max_transit: Time,
+    /// Fraction of messages that are lost.
     pub loss: f64,
-    /// Share that arrives twice.
+    /// Fraction of messages that are delivered twice.
     pub duplication: f64,
 }
 
 impl Default for NetworkProfile {
     fn default() -> NetworkProfile {
         NetworkProfile {
-            shortest: SECOND / 5000,
-            longest: SECOND / 50,
+            min_transit: SECOND / 5000,
+            max_transit: SECOND / 50,
             loss: 0.01,
             duplication: 0.01,
         }
     }
 }
 
-/// Regions that are partitioned from all others between two times: so many, the last ones.
+/// A partition that isolates each of the last `regions` regions from all others, from `start` to `end`.
 #[derive(Clone, Copy, Debug)]
 struct RegionPartition {
     regions: usize,
@@ -34,57 +34,58 @@
     end: Time,
 }
 
-/// Where and when messages get through.
+/// Decides whether and when messages are delivered.
 #[derive(Clone, Debug)]
 pub struct Network {
     profile: NetworkProfile,
     faults: Vec<Fault>,
-    /// Transit time between two regions, if there are any; front ends are placed in them in turn.
-    between_regions: Vec<Vec<Time>>,
+    /// Additional transit time by pair of regions; empty with a single region. Front ends are assigned to regions
+    /// round-robin.
+    inter_region_transit: Vec<Vec<Time>>,
     partition: Option<RegionPartition>,
 }
 
-/// Shortest and longest transit time between two regions.
-const BETWEEN_REGIONS: (Time, Time) = (SECOND / 25, SECOND * 2 / 25);
+/// Minimum and maximum transit time between two regions.
+const INTER_REGION_TRANSIT: (Time, Time) = (SECOND / 25, SECOND * 2 / 25);
 
 impl Network {
-    /// A network of one region, with those of the faults that concern it.
+    /// A network of one region, subject to the network faults among `faults`.
     pub fn new(profile: NetworkProfile, faults: &[Fault]) -> Network {
-        let of_network =
+        let is_network_fault =
             |fault: &&Fault| !matches!(fault, Fault::Kill { .. } | Fault::Pause { .. });
         Network {
             profile,
-            faults: faults.iter().filter(of_network).cloned().collect(),
-            between_regions: Vec::new(),
+            faults: faults.iter().filter(is_network_fault).cloned().collect(),
+            inter_region_transit: Vec::new(),
             partition: None,
         }
     }
 
-    /// Places the front ends in so many regions, and draws the transit time between each two of them.
-    pub fn place(&mut self, regions: usize, rng: &mut fastrand::Rng) {
+    /// Distributes the front ends over `regions` regions and draws the transit time of each pair of regions.
+    pub fn place_in_regions(&mut self, regions: usize, rng: &mut fastrand::Rng) {
         let regions = regions.max(1);
-        self.between_regions = vec![vec![0; regions]; regions];
+        self.inter_region_transit = vec![vec![0; regions]; regions];
         for first in 0..regions {
             for second in 0..first {
-                let transit = rng.i64(BETWEEN_REGIONS.0..=BETWEEN_REGIONS.1);
-                self.between_regions[first][second] = transit;
-                self.between_regions[second][first] = transit;
+                let transit = rng.i64(INTER_REGION_TRANSIT.0..=INTER_REGION_TRANSIT.1);
+                self.inter_region_transit[first][second] = transit;
+                self.inter_region_transit[second][first] = transit;
             }
         }
     }
 
-    /// Partitions the last regions, each from all others, in this time.
+    /// Isolates each of the last `regions` regions from all others between `start` and `end`.
     pub fn partition_regions(&mut self, regions: usize, start: Time, end: Time) {
         self.partition = Some(RegionPartition {
-            regions: regions.min(self.between_regions.len().saturating_sub(1)),
+            regions: regions.min(self.inter_region_transit.len().saturating_sub(1)),
             start,
             end,
         });
     }
 
-    /// How many regions there are.
+    /// The number of regions.
     pub fn regions(&self) -> usize {
-        self.between_regions.len().max(1)
+        self.inter_region_transit.len().max(1)
     }
 
     /// The region of a front end.
@@ -92,19 +93,20 @@
         process % self.regions()
     }
 
-    /// Whether regions are partitioned at this time.
+    /// Whether a partition of regions is active at `now`.
     pub fn is_partitioned(&self, now: Time) -> bool {
         self.partition
             .is_some_and(|p| p.regions > 0 && p.start <= now && now < p.end)
     }
 
-    /// The side of a partition on which a front end is: 0 with most regions, else one for each region partitioned off.
+    /// The side of the partition that a front end is on: 0 for the regions that stay connected, otherwise one side for each
+    /// isolated region.
     pub fn side(&self, process: usize) -> usize {
         let main_regions = self.regions() - self.partitioned_regions();
         (self.region(process) + 1).saturating_sub(main_regions)
     }
 
-    /// How many sides there are.
+    /// The number of sides of the partition.
     pub fn sides(&self) -> usize {
         1 + self.partitioned_regions()
     }
@@ -113,8 +115,8 @@
         self.partition.map_or(0, |partition| partition.regions)
     }
 
-    /// When the copies of a message that is sent now arrive, as far as they do.
-    pub fn carry(
+    /// The arrival time of each delivered copy of a message sent at `now`; empty if the message is lost.
+    pub fn delivery_times(
         &self,
         rng: &mut fastrand::Rng,
         now: Time,
@@ -128,7 +130,7 @@
             return Vec::new();
         }
         let transit = self
-            .between_regions
+            .inter_region_transit
             .get(self.region(sender))
             .and_then(|others| others.get(self.region(receiver)));
         let delay = delay + transit.copied().unwrap_or(0);
@@ -136,13 +138,13 @@
             return Vec::new();
         }
         let copies = 1 + usize::from(rng.f64() < self.profile.duplication);
-        // Each copy takes its own time, so that messages overtake each other.
+        // Each copy draws its own delay, so that messages can be reordered.
         (0..copies)
-            .map(|_| now + delay + rng.i64(self.profile.shortest..=self.profile.longest))
+            .map(|_| now + delay + rng.i64(self.profile.min_transit..=self.profile.max_transit))
             .collect()
     }
 
-    /// What the faults of this moment add to the transit time; none: they let nothing through.
+    /// The delay that the active faults add to the transit time; `None` if they block the message.
     fn fault_delay(
         &self,
         rng: &mut fastrand::Rng,
--- a/simulation/src/plot.rs
+++ b/simulation/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of what simulations measured, as SVG.
+//! SVG plots of simulation results.
 
 use crate::fleet::SimulationSummary;
 use crate::rollout::{DecisionRule, Regression, RolloutSummary};
@@ -7,18 +7,18 @@
 
 type DrawingError = DrawingAreaErrorKind<std::io::Error>;
 
-/// A plot that could not be drawn.
+/// Why a plot could not be drawn.
 #[derive(Debug, thiserror::Error)]
 pub enum PlotError {
-    /// There is nothing to draw: a plot needs the summary of one size at least.
-    #[error("no size was simulated")]
+    /// There are no summaries to plot.
+    #[error("there are no simulation results to plot")]
     NoSummary,
-    /// The file could not be written, or the chart not be laid out.
+    /// The chart could not be laid out or the file not be written.
     #[error("{}: {source}", path.display())]
     Drawing {
-        /// The file of the plot.
+        /// The output file.
         path: PathBuf,
-        /// What went wrong there.
+        /// The underlying error.
         source: DrawingError,
     },
 }
@@ -32,44 +32,51 @@
     }
 }
 
-/// Time from a proposal to force everywhere against the fleet's size, median and 99th percentile.
-pub fn in_force(path: &Path, summaries: &[SimulationSummary]) -> Result<(), PlotError> {
+/// Plots the time from the proposal of a version until it is in force at every front end against the fleet size, as median
+/// and 99th percentile.
+pub fn versions_in_force(path: &Path, summaries: &[SimulationSummary]) -> Result<(), PlotError> {
     let sizes: Vec<f64> = summaries.iter().map(|s| s.front_ends as f64).collect();
-    let (Some(least), Some(most)) = (
+    let (Some(min_size), Some(max_size)) = (
         sizes.iter().copied().reduce(f64::min),
         sizes.iter().copied().reduce(f64::max),
     ) else {
         return Err(PlotError::NoSummary);
     };
-    let highest = summaries
+    let max_ms = summaries
         .iter()
         .map(|s| s.in_force_ms[1])
         .max()
         .unwrap_or(1)
         .max(1) as f64
         * 1.1;
-    draw_in_force(path, summaries, least, most.max(least + 1.0), highest)
-        .map_err(PlotError::drawing(path))
+    draw_in_force(
+        path,
+        summaries,
+        min_size,
+        max_size.max(min_size + 1.0),
+        max_ms,
+    )
+    .map_err(PlotError::drawing(path))
 }
 
 fn draw_in_force(
     path: &Path,
     summaries: &[SimulationSummary],
-    least: f64,
-    most: f64,
-    highest: f64,
+    min_size: f64,
+    max_size: f64,
+    max_ms: f64,
 ) -> Result<(), DrawingError> {
     let area = SVGBackend::new(path, (720, 420)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption(
-            "From a proposal to force at every front end",
+            "Time until a version is in force at every front end",
             ("sans-serif", 18),
         )
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(60)
-        .build_cartesian_2d((least..most).log_scale(), 0.0..highest)?;
+        .build_cartesian_2d((min_size..max_size).log_scale(), 0.0..max_ms)?;
     let whole = |x: &f64| format!("{x:.0}");
     chart
         .configure_mesh()
@@ -103,8 +110,8 @@
     Ok(())
 }
 
-/// Share of rollouts stopped against the share that the change loses, for each rule that was simulated.
-pub fn stopped(path: &Path, summaries: &[RolloutSummary]) -> Result<(), PlotError> {
+/// Plots the share of stopped rollouts against the share of requests that the change loses, for each decision rule.
+pub fn stopped_rollouts(path: &Path, summaries: &[RolloutSummary]) -> Result<(), PlotError> {
     let percent_lost = |regression: Regression| match regression {
         Regression::None => Some(0.0),
         Regression::All(share) => Some(share * 100.0),
@@ -122,7 +129,7 @@
         line("fixed threshold", |rule| {
             matches!(rule, DecisionRule::Threshold(_))
         }),
-        line("difference to the own past", |rule| {
+        line("difference from the loss before the change", |rule| {
             matches!(rule, DecisionRule::OwnPast(_))
         }),
     ];
@@ -136,14 +143,14 @@
     let area = SVGBackend::new(path, (720, 420)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
-        .caption("Rollouts that were stopped", ("sans-serif", 18))
+        .caption("Stopped rollouts", ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(60)
         .build_cartesian_2d(0.0..20.0, 0.0..105.0)?;
     chart
         .configure_mesh()
-        .x_desc("service lost to the change, percentage points")
+        .x_desc("requests lost to the change, percentage points")
         .y_desc("stopped, percent")
         .draw()?;
     for ((name, points), color) in lines.iter().zip([BLUE, RED, GREEN]) {
--- a/simulation/src/scale/losses.rs
+++ b/simulation/src/scale/failures.rs
@@ -1,29 +1,29 @@
-//! Losses in a run at scale: partitioned regions, a rack or a zone that ends, a rolling restart.
+//! Large failures in a run at scale: partitioned regions, the crash of a rack or zone, and rolling restarts.
 
-use super::measurement::{milliseconds, AccountedTime, DeadMember, OngoingLoss};
-use super::{LossReport, PartitionReport, PartitionSide, ScaleScenario};
+use super::measurement::{milliseconds, AccountedTime, DeadMember, OngoingFailure};
+use super::{FailureReport, PartitionReport, PartitionSide, ScaleScenario};
 use crate::fault::{Time, SECOND};
 use crate::fleet::{Event, Process, Simulation};
 use tansy_agreement::lease::Member;
 
-/// What ends in a loss, and how it goes on.
-struct LossPlan {
+/// The processes that a failure affects, and its course.
+struct FailurePlan {
     ended: Vec<usize>,
     earliest_recovery: Time,
-    /// The parts of a rolling restart, the next one last.
-    parts: Vec<Vec<usize>>,
+    /// The batches of a rolling restart in reverse order.
+    batches: Vec<Vec<usize>>,
 }
 
 fn accounted(process: &Process) -> AccountedTime {
     AccountedTime {
-        up: process.up,
+        uptime: process.uptime,
         without_lease: process.without_lease,
         without_session: process.without_session,
     }
 }
 
 impl Simulation<'_> {
-    /// The time of all processes by now.
+    /// The uptime totals over all processes.
     pub(super) fn accounted_total(&mut self) -> AccountedTime {
         self.account_all();
         self.processes
@@ -50,10 +50,10 @@
             partition.main = main;
             partition.cut = cut;
         }
-        scale.healing = Some(self.now);
+        scale.healing_since = Some(self.now);
     }
 
-    /// What was lost on one side of the partition since it began.
+    /// The measurements of one side of the partition since it began.
     fn partition_side(&self, is_cut: bool) -> PartitionSide {
         let Some(scale) = &self.scale else {
             return PartitionSide::default();
@@ -78,7 +78,8 @@
         }
     }
 
-    /// Those of a rack or of a zone, which are in one region: the first there, without voters but for the leader.
+    /// The front ends of a rack or zone: the first `count` non-voters of one region, preceded by the leader if
+    /// `with_leader` is set.
     fn colocated(&self, count: usize, with_leader: bool) -> Vec<usize> {
         let leader = self
             .leader()
@@ -91,41 +92,41 @@
         leader.into_iter().chain(others).take(count).collect()
     }
 
-    fn plan_loss(&self, scenario: &ScaleScenario) -> LossPlan {
+    fn plan_failure(&self, scenario: &ScaleScenario) -> FailurePlan {
         let front_ends = self.processes.len();
-        if scenario.rolling > 0 {
+        if scenario.rolling_batches > 0 {
             let is_started = |index: &usize| self.processes[*index].node.is_some();
-            let part = |first| {
+            let batch = |first| {
                 (first..front_ends)
-                    .step_by(scenario.rolling)
+                    .step_by(scenario.rolling_batches)
                     .filter(is_started)
                     .collect()
             };
-            return LossPlan {
+            return FailurePlan {
                 ended: (0..front_ends).filter(is_started).collect(),
                 earliest_recovery: self.now,
-                parts: (0..scenario.rolling).rev().map(part).collect(),
+                batches: (0..scenario.rolling_batches).rev().map(batch).collect(),
             };
         }
-        let (count, earliest_recovery) = match front_ends.checked_div(scenario.zone) {
-            Some(zone) => (zone, self.now + scenario.zone_away),
-            None => (scenario.rack, self.now + self.options.lease.span),
+        let (count, earliest_recovery) = match front_ends.checked_div(scenario.zones) {
+            Some(zone) => (zone, self.now + scenario.zone_downtime),
+            None => (scenario.rack_size, self.now + self.options.lease.span),
         };
-        LossPlan {
+        FailurePlan {
             ended: self.colocated(count, scenario.with_leader),
             earliest_recovery,
-            parts: Vec::new(),
+            batches: Vec::new(),
         }
     }
 
-    /// A rack or a zone ends, or a rolling restart begins.
-    pub(super) fn begin_loss(&mut self) {
+    /// Begins the crash of a rack or zone, or a rolling restart.
+    pub(super) fn begin_failure(&mut self) {
         let accounted_before = self.accounted_total();
         let now = self.now;
         let Some(scenario) = self.scale.as_ref().map(|scale| scale.scenario.clone()) else {
             return;
         };
-        let plan = self.plan_loss(&scenario);
+        let plan = self.plan_failure(&scenario);
         let members: Vec<Member> = plan
             .ended
             .iter()
@@ -135,99 +136,99 @@
         let Some(scale) = &mut self.scale else {
             return;
         };
-        scale.loss = Some(LossReport {
+        scale.failure = Some(FailureReport {
             front_ends: plan.ended.len(),
             voters: plan.ended.iter().filter(|index| **index < voters).count(),
-            ..LossReport::default()
+            ..FailureReport::default()
         });
-        scale.ongoing_loss = Some(OngoingLoss {
+        scale.ongoing_failure = Some(OngoingFailure {
             since: now,
             earliest_recovery: plan.earliest_recovery,
             accounted_before,
-            parts: plan.parts,
-            part: Vec::new(),
+            remaining_batches: plan.batches,
+            current_batch: Vec::new(),
         });
-        if scenario.rolling > 0 {
+        if scenario.rolling_batches > 0 {
             return;
         }
-        if scenario.zone == 0 {
+        if scenario.zones == 0 {
             let dead = members
                 .into_iter()
                 .map(|member| DeadMember { member, ended: now });
-            scale.dead.extend(dead);
-            scale.gone.extend(&plan.ended);
+            scale.dead_on_roster.extend(dead);
+            scale.dead_front_ends.extend(&plan.ended);
         }
         for process in plan.ended {
             self.schedule(now, Event::Stop { process });
-            if scenario.zone > 0 {
-                let at = now + scenario.zone_away + self.rng.i64(0..SECOND);
+            if scenario.zones > 0 {
+                let at = now + scenario.zone_downtime + self.rng.i64(0..SECOND);
                 self.schedule(at, Event::Start { process });
             }
         }
     }
 
-    /// The membership of a process that is started.
+    /// The member identity of a running process.
     pub(super) fn member(&self, index: usize) -> Option<Member> {
         Some(self.processes[index].node.as_ref()?.config().node.member())
     }
 
-    /// Goes on with a rolling restart, and checks whether the fleet has recovered.
-    pub(super) fn continue_loss(&mut self) {
+    /// Advances a rolling restart and checks whether the fleet has recovered.
+    pub(super) fn advance_failure(&mut self) {
         let Some(scale) = &mut self.scale else {
             return;
         };
-        let Some(loss) = &mut scale.ongoing_loss else {
+        let Some(failure) = &mut scale.ongoing_failure else {
             return;
         };
         let is_back = |process: &Process| process.is_running() && process.joined;
-        if !loss
-            .part
+        if !failure
+            .current_batch
             .iter()
             .all(|index| is_back(&self.processes[*index]))
         {
             return;
         }
-        if let Some(part) = loss.parts.pop() {
-            loss.part = part.clone();
-            let away = scale.scenario.rolling_away;
-            return self.restart_part(part, away);
+        if let Some(batch) = failure.remaining_batches.pop() {
+            failure.current_batch = batch.clone();
+            let away = scale.scenario.rolling_downtime;
+            return self.restart_batch(batch, away);
         }
-        let is_due = self.now > loss.earliest_recovery;
-        let gone = &scale.gone;
+        let is_due = self.now > failure.earliest_recovery;
+        let dead = &scale.dead_front_ends;
         let mut processes = self.processes.iter().enumerate();
-        let all_back = processes.all(|(index, p)| p.is_running() || gone.contains(&index));
+        let all_back = processes.all(|(index, p)| p.is_running() || dead.contains(&index));
         if is_due && all_back && self.all_leased() {
-            self.report_loss(true);
+            self.report_failure(true);
         }
     }
 
-    fn restart_part(&mut self, part: Vec<usize>, away: Time) {
-        for process in part {
+    fn restart_batch(&mut self, batch: Vec<usize>, away: Time) {
+        for process in batch {
             self.schedule(self.now, Event::Leave { process });
             let at = self.now + away + self.rng.i64(0..SECOND);
             self.schedule(at, Event::Start { process });
         }
     }
 
-    /// The fleet has recovered from a loss, or the run is over.
-    pub(super) fn report_loss(&mut self, recovered: bool) {
+    /// Completes the report of a failure when the fleet has recovered or the run ends.
+    pub(super) fn report_failure(&mut self, recovered: bool) {
         let now = self.now;
         let total = self.accounted_total();
         let Some(scale) = &mut self.scale else {
             return;
         };
-        let (Some(report), Some(loss)) = (&mut scale.loss, &scale.ongoing_loss) else {
+        let (Some(report), Some(failure)) = (&mut scale.failure, &scale.ongoing_failure) else {
             return;
         };
-        let lost = total.minus(loss.accounted_before);
-        report.recovered_ms = recovered.then_some(milliseconds(now - loss.since));
+        let lost = total.minus(failure.accounted_before);
+        report.recovered_ms = recovered.then_some(milliseconds(now - failure.since));
         report.lease_lost = lost.lease_lost();
         report.session_lost = lost.session_lost();
         let requested = scale.changes.iter().map(|change| change.requested);
-        let within = requested.filter(|at| loss.since <= *at && *at <= now);
+        let within = requested.filter(|at| failure.since <= *at && *at <= now);
         report.changes_requested = within.count() as u64;
         if recovered {
-            scale.ongoing_loss = None;
+            scale.ongoing_failure = None;
         }
     }
 }
--- a/simulation/src/scale/observe.rs
+++ b/simulation/src/scale/observe.rs
@@ -1,4 +1,4 @@
-//! What is observed of the fleet in a run at scale: answers and events of nodes, joins, ends, and regular looks at all.
+//! Observations in a run at scale: responses and events of nodes, joins and stops of processes, and periodic checks.
 
 use super::measurement::{milliseconds, ScaleEvent};
 use super::{start_time, CHECK_INTERVAL, SETTLE_TIME, START_LIMIT, WIDE_ID};
@@ -8,31 +8,31 @@
 use tansy_fleet_node::{Command, FleetEvent, RequestRejection};
 use tansy_membership::MembershipEvent;
 
-/// An operator asks again so long after a rejection, at least, and at most twice as long.
-const RETRY_AFTER: Time = SECOND / 2;
+/// Minimum delay before an operator repeats a rejected request; the maximum is twice as long.
+const MIN_RETRY_DELAY: Time = SECOND / 2;
 
-/// What an answer means for a change.
-enum ChangeAnswer {
+/// The meaning of a response for a requested change.
+enum ChangeResponse {
     Announced(Version),
-    /// Accepted without a version of its own.
+    /// Accepted as a scope change, which has no version.
     Accepted,
-    /// Rejected since another change goes on or too many wait.
+    /// Rejected because of another pending change or too many waiting requests.
     Busy,
     Failed,
-    /// No answer to the change itself.
+    /// A response that does not concern the change.
     Unrelated,
 }
 
-impl ChangeAnswer {
-    fn of(outcome: &Result<ApplyOutcome, RequestRejection>) -> ChangeAnswer {
+impl ChangeResponse {
+    fn of(outcome: &Result<ApplyOutcome, RequestRejection>) -> ChangeResponse {
         match outcome {
             Ok(ApplyOutcome::Announced(version) | ApplyOutcome::Duplicate(version)) => {
-                ChangeAnswer::Announced(*version)
+                ChangeResponse::Announced(*version)
             }
             Ok(ApplyOutcome::ScopesChanged { rejected, .. }) if rejected.is_empty() => {
-                ChangeAnswer::Accepted
+                ChangeResponse::Accepted
             }
-            Ok(_) => ChangeAnswer::Unrelated,
+            Ok(_) => ChangeResponse::Unrelated,
             Err(
                 RequestRejection::Log(
                     EntryRejection::ChangeInProgress { .. }
@@ -41,14 +41,14 @@
                     | EntryRejection::StaleScopeBase { .. },
                 )
                 | RequestRejection::Busy,
-            ) => ChangeAnswer::Busy,
-            Err(_) => ChangeAnswer::Failed,
+            ) => ChangeResponse::Busy,
+            Err(_) => ChangeResponse::Failed,
         }
     }
 }
 
 impl Simulation<'_> {
-    /// Schedules the first look at the fleet, where one is needed.
+    /// Schedules the first periodic check, if the run needs checks.
     pub(crate) fn schedule_checks(&mut self) {
         if self.scale.is_some() || self.directories.is_some() {
             self.schedule(CHECK_INTERVAL, Event::Scale(ScaleEvent::Check));
@@ -65,11 +65,11 @@
             ScaleEvent::Requests { process, scopes } => self.request_skewed(process, scopes),
             ScaleEvent::PartitionBegins => self.begin_partition(),
             ScaleEvent::PartitionEnds => self.end_partition(),
-            ScaleEvent::Loss => self.begin_loss(),
+            ScaleEvent::FailureBegins => self.begin_failure(),
         }
     }
 
-    /// Takes up a node's answers to operators and its events.
+    /// Processes the responses of a node to operators, and its events.
     pub(crate) fn on_scale_command(&mut self, index: usize, command: &Command) {
         let Some(scale) = &mut self.scale else {
             return;
@@ -77,7 +77,7 @@
         match command {
             Command::Respond { request, outcome } if *request > 0 => {
                 let change = *request as usize - 1;
-                self.on_change_answer(change, ChangeAnswer::of(outcome));
+                self.on_change_response(change, ChangeResponse::of(outcome));
             }
             Command::Notify(FleetEvent::ChangeAbandoned { version, .. })
                 if index < self.options.voters =>
@@ -91,43 +91,43 @@
         }
     }
 
-    fn on_change_answer(&mut self, index: usize, answer: ChangeAnswer) {
+    fn on_change_response(&mut self, index: usize, response: ChangeResponse) {
         let Some(scale) = &mut self.scale else {
             return;
         };
         let Some(change) = scale.changes.get_mut(index) else {
             return;
         };
-        match answer {
-            ChangeAnswer::Announced(version) => {
+        match response {
+            ChangeResponse::Announced(version) => {
                 change.version = Some(version);
                 scale.versions.insert(version, index);
                 return;
             }
-            ChangeAnswer::Accepted => {
-                // It has no number of its own; that it was accepted is all that is known.
+            ChangeResponse::Accepted => {
+                // Scope changes have no version; version 0 marks the change as accepted.
                 change.version = Some(Version(0));
                 return;
             }
-            ChangeAnswer::Unrelated => return,
-            ChangeAnswer::Busy => scale.rejected += u64::from(change.version.is_none()),
-            ChangeAnswer::Failed => {}
+            ChangeResponse::Unrelated => return,
+            ChangeResponse::Busy => scale.rejected += u64::from(change.version.is_none()),
+            ChangeResponse::Failed => {}
         }
         change.attempts += 1;
         let event = ScaleEvent::RequestChange {
             change: index,
             attempt: change.attempts,
         };
-        let wait = RETRY_AFTER + self.rng.i64(0..RETRY_AFTER);
+        let wait = MIN_RETRY_DELAY + self.rng.i64(0..MIN_RETRY_DELAY);
         self.schedule(self.now + wait, Event::Scale(event));
     }
 
-    /// Measures how long gossip takes, once measurement began.
+    /// Measures how long gossip takes to detect a process, once the measurement has begun.
     fn on_membership_event(&mut self, event: &MembershipEvent) {
         let Some(scale) = &mut self.scale else {
             return;
         };
-        let Some(began) = scale.began else {
+        let Some(began) = scale.measurement_start else {
             return;
         };
         match event {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// A process has a lease and a session for the first time.
+    /// Handles the first lease and session of a process since its start.
     pub(crate) fn on_join(&mut self, index: usize) {
         let after = self.now - self.processes[index].started;
         let Some(scale) = &mut self.scale else {
@@ -155,13 +155,14 @@
         };
         scale.record_join(after);
         let scenario = &scale.scenario;
-        let restarted = scale.began.is_some() && (scenario.zone > 0 || scenario.rolling > 0);
+        let restarted = scale.measurement_start.is_some()
+            && (scenario.zones > 0 || scenario.rolling_batches > 0);
         if restarted {
             self.schedule_requests(index);
         }
     }
 
-    /// A process ends; `notified`: the others were notified of it.
+    /// Handles the end of a process; `notified` tells whether it notified the others.
     pub(crate) fn on_process_end(&mut self, index: usize, notified: bool) {
         let Some(node) = self.processes[index].node.as_ref() else {
             return;
@@ -175,12 +176,12 @@
         }
     }
 
-    /// A regular look at the fleet.
+    /// Performs a periodic check of the fleet.
     fn check_fleet(&mut self) {
         let next = self.now + CHECK_INTERVAL;
         self.schedule(next, Event::Scale(ScaleEvent::Check));
         self.update_directories();
-        self.continue_loss();
+        self.advance_failure();
         if self.check_joined() {
             return;
         }
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Detects that all front ends joined, or that it is too late for it. True: one of the two just now.
+    /// Detects that all front ends have joined or that the time limit has passed; returns whether this happened just now.
     fn check_joined(&mut self) -> bool {
         let now = self.now;
         let started_at = start_time(self.options.front_ends);
@@ -211,10 +212,10 @@
         };
         let is_late = now > started_at + START_LIMIT;
         let all_joined = || self.processes.iter().all(|process| process.joined);
-        if scale.joined.is_some() || now <= started_at || !(is_late || all_joined()) {
+        if scale.all_joined_at.is_some() || now <= started_at || !(is_late || all_joined()) {
             return false;
         }
-        scale.joined = Some(now);
+        scale.all_joined_at = Some(now);
         if is_late {
             let missing = self.processes.iter().filter(|p| !p.joined).count();
             scale.notes.push(format!(
@@ -222,7 +223,7 @@
                 now / SECOND
             ));
         }
-        let (after, next) = if scale.scenario.by_scope > 0 {
+        let (after, next) = if scale.scenario.scoped_functions > 0 {
             (0, ScaleEvent::SetUpScopes)
         } else {
             (SETTLE_TIME, ScaleEvent::Begin)
@@ -231,15 +232,15 @@
         true
     }
 
-    /// Whether all processes that run have a lease and a session.
+    /// Whether all running processes have a lease and a session.
     pub(super) fn all_leased(&self) -> bool {
         let mut running = self.processes.iter().filter(|p| p.is_running());
         running.all(|process| process.is_leased(self.now))
     }
 
-    /// Measures the time from the end of a partition until all act again.
+    /// Measures the time from the end of a partition until all front ends have recovered.
     fn check_healed(&mut self) {
-        let healing = self.scale.as_ref().and_then(|scale| scale.healing);
+        let healing = self.scale.as_ref().and_then(|scale| scale.healing_since);
         let Some(since) = healing.filter(|_| self.all_leased()) else {
             return;
         };
@@ -249,15 +250,15 @@
         if let Some(partition) = &mut scale.partition {
             partition.healed_ms = Some(milliseconds(self.now - since));
         }
-        scale.healing = None;
+        scale.healing_since = None;
     }
 
-    /// Measures the time until those that ended for good are off the roster.
+    /// Measures the time until permanently crashed front ends are removed from the roster.
     fn check_freed(&mut self) {
         let Some(scale) = &mut self.scale else {
             return;
         };
-        if scale.dead.is_empty() {
+        if scale.dead_on_roster.is_empty() {
             return;
         }
         let leader_log = self.processes[..self.disks.len()]
@@ -265,7 +266,7 @@
             .find_map(|process| process.node.as_ref()?.log());
         if let Some(log) = leader_log {
             let freed = scale
-                .dead
+                .dead_on_roster
                 .extract_if(.., |dead| !log.has_member(dead.member));
             let durations = freed.map(|dead| milliseconds(self.now - dead.ended));
             scale.durations.freed.extend(durations);
--- a/simulation/src/scale/workload.rs
+++ b/simulation/src/scale/workload.rs
@@ -1,4 +1,4 @@
-//! What happens once measurement begins, and the changes that operators ask for.
+//! The start of the measurement, the events of the scenario, and requested changes.
 
 use super::measurement::{DeadMember, RequestedChange, ScaleEvent, Traffic};
 use super::ScaleScenario;
@@ -7,24 +7,27 @@
 use tansy_agreement::compatibility::Value;
 use tansy_agreement::log::LogEntry;
 
-/// An operator asks again so long after a request that nobody answered.
-const UNANSWERED_AFTER: Time = 5 * SECOND;
+/// Time after which an operator repeats an unanswered request.
+const RESPONSE_TIMEOUT: Time = 5 * SECOND;
 
 impl ScaleScenario {
     fn hours(&self) -> f64 {
-        self.counted as f64 / (3600 * SECOND) as f64
+        self.measured_span as f64 / (3600 * SECOND) as f64
     }
 
-    /// When changes are asked for, in order.
+    /// The times at which changes are requested, in ascending order.
     fn change_times(&self, rng: &mut fastrand::Rng, now: Time) -> Vec<Time> {
-        let count = (self.changes_hour * self.hours()).round() as usize;
+        let count = (self.changes_per_hour * self.hours()).round() as usize;
         let mut times: Vec<Time> = (0..count)
-            .map(|_| now + rng.i64(0..self.counted * 4 / 5 + 1))
+            .map(|_| now + rng.i64(0..self.measured_span * 4 / 5 + 1))
             .collect();
-        times.extend(std::iter::repeat_n(now + self.counted * 3 / 10, self.burst));
-        if self.even_steps && self.changes_hour > 0.0 {
-            let step = 3600.0 * SECOND as f64 / self.changes_hour;
-            let count = (self.counted as f64 * 0.8 / step) as usize;
+        times.extend(std::iter::repeat_n(
+            now + self.measured_span * 3 / 10,
+            self.burst,
+        ));
+        if self.even_steps && self.changes_per_hour > 0.0 {
+            let step = 3600.0 * SECOND as f64 / self.changes_per_hour;
+            let count = (self.measured_span as f64 * 0.8 / step) as usize;
             times = (0..count)
                 .map(|index| now + (step * (index as f64 + 0.5)) as Time)
                 .collect();
@@ -33,19 +36,19 @@
         times
     }
 
-    /// The first change is plain: nothing yet waits for a strict one.
+    /// Whether a change is of a strict field. The first change of each cycle is plain, unless all changes are strict.
     fn is_strict(&self, change: usize) -> bool {
         self.strict_every > 0 && change % self.strict_every == self.strict_every / 2
     }
 }
 
 impl Simulation<'_> {
-    /// Measurement begins, and what is to happen is scheduled.
+    /// Begins the measurement and schedules the events of the scenario.
     pub(super) fn begin_measurement(&mut self) {
         let now = self.now;
         self.account_all();
         for process in &mut self.processes {
-            process.up = 0;
+            process.uptime = 0;
             process.without_lease = 0;
             process.without_session = 0;
         }
@@ -53,24 +56,24 @@
             return;
         };
         let scenario = scale.scenario.clone();
-        scale.began = Some(now);
-        scale.end = now + scenario.counted;
+        scale.measurement_start = Some(now);
+        scale.end = now + scenario.measured_span;
         scale.traffic.fill(Traffic::default());
         let mut events = self.draw_changes(&scenario);
-        let mut others: Vec<usize> = (self.options.voters..self.options.front_ends).collect();
-        self.rng.shuffle(&mut others);
-        events.extend(self.end_for_good(&mut others, scenario.dead));
-        events.extend(self.draw_restarts(&scenario, &others));
-        let fifth = now + scenario.counted / 5;
-        if scenario.partitioned_regions > 0 && scenario.partition > 0 {
-            let until = fifth + scenario.partition;
+        let mut non_voters: Vec<usize> = (self.options.voters..self.options.front_ends).collect();
+        self.rng.shuffle(&mut non_voters);
+        events.extend(self.crash_permanently(&mut non_voters, scenario.permanent_crashes));
+        events.extend(self.draw_restarts(&scenario, &non_voters));
+        let fifth = now + scenario.measured_span / 5;
+        if scenario.partitioned_regions > 0 && scenario.partition_span > 0 {
+            let until = fifth + scenario.partition_span;
             self.network
                 .partition_regions(scenario.partitioned_regions, fifth, until);
             events.push((fifth, Event::Scale(ScaleEvent::PartitionBegins)));
             events.push((until, Event::Scale(ScaleEvent::PartitionEnds)));
         }
-        if scenario.rack > 0 || scenario.zone > 0 || scenario.rolling > 0 {
-            events.push((fifth, Event::Scale(ScaleEvent::Loss)));
+        if scenario.rack_size > 0 || scenario.zones > 0 || scenario.rolling_batches > 0 {
+            events.push((fifth, Event::Scale(ScaleEvent::FailureBegins)));
         }
         for (at, event) in events {
             self.schedule(at, event);
@@ -102,32 +105,40 @@
         events
     }
 
-    /// The first of these front ends end now, and for good.
-    fn end_for_good(&mut self, others: &mut Vec<usize>, count: usize) -> Vec<(Time, Event)> {
+    /// Schedules the permanent crash of the first `count` of these front ends and removes them from the list.
+    fn crash_permanently(
+        &mut self,
+        non_voters: &mut Vec<usize>,
+        count: usize,
+    ) -> Vec<(Time, Event)> {
         let now = self.now;
         let mut events = Vec::new();
-        for process in others.drain(..count.min(others.len())) {
+        for process in non_voters.drain(..count.min(non_voters.len())) {
             let member = self.member(process);
             if let Some(scale) = &mut self.scale {
                 let dead = member.map(|member| DeadMember { member, ended: now });
-                scale.dead.extend(dead);
-                scale.gone.push(process);
+                scale.dead_on_roster.extend(dead);
+                scale.dead_front_ends.push(process);
             }
             events.push((now, Event::Stop { process }));
         }
         events
     }
 
-    /// Front ends that end without notice and are back some seconds later.
-    fn draw_restarts(&mut self, scenario: &ScaleScenario, others: &[usize]) -> Vec<(Time, Event)> {
+    /// Draws crashes of front ends that restart some seconds later.
+    fn draw_restarts(
+        &mut self,
+        scenario: &ScaleScenario,
+        non_voters: &[usize],
+    ) -> Vec<(Time, Event)> {
         let mut events = Vec::new();
-        if others.is_empty() {
+        if non_voters.is_empty() {
             return events;
         }
-        let count = (scenario.restarts_hour * scenario.hours()).round() as usize;
+        let count = (scenario.restarts_per_hour * scenario.hours()).round() as usize;
         for _ in 0..count {
-            let at = self.now + self.rng.i64(0..scenario.counted * 9 / 10 + 1);
-            let process = others[self.rng.usize(0..others.len())];
+            let at = self.now + self.rng.i64(0..scenario.measured_span * 9 / 10 + 1);
+            let process = non_voters[self.rng.usize(0..non_voters.len())];
             let back = at + self.rng.i64(2 * SECOND..10 * SECOND);
             events.push((at, Event::Stop { process }));
             events.push((back, Event::Start { process }));
@@ -135,7 +146,7 @@
         events
     }
 
-    /// An operator asks the leader for a change, unless it was answered or asked for again since.
+    /// Requests a change from the leader, unless it was answered or requested again since.
     pub(super) fn request_change(&mut self, index: usize, attempt: u64) {
         let Some(scale) = &mut self.scale else {
             return;
@@ -144,8 +155,8 @@
         if change.attempts != attempt || change.version.is_some() || change.is_over {
             return;
         }
-        let is_first_ask = attempt == 0 && scale.healing.is_none();
-        if let (Some(partition), true) = (&mut scale.partition, is_first_ask) {
+        let is_first_request = attempt == 0 && scale.healing_since.is_none();
+        if let (Some(partition), true) = (&mut scale.partition, is_first_request) {
             if change.is_strict {
                 partition.strict_requested += 1;
             } else {
@@ -155,12 +166,12 @@
         change.attempts += 1;
         let needs_scope = change.scope.is_none();
         let is_strict = change.is_strict;
-        // It is asked for again if no answer comes; the same id makes it one change.
+        // An unanswered request is repeated with the same id, which makes it idempotent.
         let event = ScaleEvent::RequestChange {
             change: index,
             attempt: change.attempts,
         };
-        self.schedule(self.now + UNANSWERED_AFTER, Event::Scale(event));
+        self.schedule(self.now + RESPONSE_TIMEOUT, Event::Scale(event));
         if self.scopes.is_none() {
             return self.request_version(index, is_strict);
         }
@@ -175,7 +186,7 @@
         }
     }
 
-    /// Asks the leader for a version with one field changed.
+    /// Requests a version with one changed field from the leader.
     fn request_version(&mut self, index: usize, is_strict: bool) {
         let Some((leader, state)) = self.leader() else {
             return;
