--- a/programs/fleet/src/processes.rs
+++ b/programs/fleet/src/processes.rs
@@ -37,7 +37,7 @@
     #[error("{path}: another supervisor uses this folder", path = .0.display())]
     FolderInUse(PathBuf),
     /// The file is not the expected program.
-    #[error("{path}: the program's label is {actual}, not {expected}", path = path.display())]
+    #[error("{path}: it is another program, {actual}, than {expected}", path = path.display())]
     WrongProgram {
         /// Path of the file.
         path: PathBuf,
@@ -47,7 +47,7 @@
         expected: String,
     },
     /// No path is known for the program with this label.
-    #[error("no path is known for the program with label {0}")]
+    #[error("the program {0} is not known here")]
     UnknownProgram(String),
 }
 
