--- a/decide/membership/src/node_id.rs
+++ b/decide/membership/src/node_id.rs
@@ -13,6 +13,7 @@
     /// Incarnation of the process, which increases with each restart of the front end.
     pub incarnation: u64,
     /// How often the process renewed its identity, because others had declared it down.
+    #[serde(rename = "life")]
     pub renewals: u32,
     /// Address of the front end.
     pub address: SocketAddr,
