--- a/benches/state/src/replicated_log.rs
+++ b/benches/state/src/replicated_log.rs
@@ -7,7 +7,7 @@
 use prost::Message as _;
 use std::path::Path;
 use tansy_agreement::log::{Log, LogEntry, MAX_PAST_VERSIONS};
-use tansy_fleet_wire::{pb, settings, MAX_MESSAGE_BYTES};
+use tansy_fleet_wire::{encode_settings, pb, MAX_MESSAGE_BYTES};
 use tansy_storage::voter_log::LogStorage;
 
 /// Entries that advance a change from its proposal to its being in force.
@@ -42,7 +42,7 @@
 /// Bytes of all versions that a log remembers, as an operator's request for the history returns them.
 fn history_bytes(log: &Log) -> usize {
     let reply = pb::HistoryReply {
-        versions: log.history().map(settings).collect(),
+        versions: log.history().map(encode_settings).collect(),
         in_force: 1,
         next: 0,
     };
--- a/benches/state/src/rollouts/controller_cost.rs
+++ b/benches/state/src/rollouts/controller_cost.rs
@@ -6,7 +6,7 @@
 use crate::measure::{ms, timed, Distribution, MemoryGrowth, OutputRecord};
 use crate::{Args, BenchError};
 use prost::Message;
-use tansy_fleet_wire::roll_entry;
+use tansy_fleet_wire::encode_rollout_entry;
 use tansy_rollout::{FrontEndObservation, Rollout, RolloutController, RolloutEntry, Time, SECOND};
 
 /// Observations between two slices that are timed.
@@ -131,7 +131,7 @@
             let (entry, took) = timed(|| self.poll());
             self.observation_times.add(took);
             if let Some(entry) = entry {
-                let bytes = roll_entry(&entry, None).encode_to_vec().len();
+                let bytes = encode_rollout_entry(&entry, None).encode_to_vec().len();
                 self.entry_bytes.push(bytes);
                 self.apply(entry)?;
             }
--- a/benches/state/src/rollouts/duration.rs
+++ b/benches/state/src/rollouts/duration.rs
@@ -7,7 +7,7 @@
 use crate::measure::OutputRecord;
 use crate::{Args, BenchError};
 use prost::Message;
-use tansy_fleet_wire::roll_entry;
+use tansy_fleet_wire::encode_rollout_entry;
 use tansy_rollout::{
     FrontEndObservation, Rollout, RolloutController, RolloutEntry, RolloutPhase, RolloutRejection,
     Time, SECOND,
@@ -48,7 +48,7 @@
         fleet: &mut RolloutFleet,
         now: Time,
     ) -> Result<(), RolloutRejection> {
-        self.entry_bytes += roll_entry(&entry, None).encode_to_vec().len() as u64;
+        self.entry_bytes += encode_rollout_entry(&entry, None).encode_to_vec().len() as u64;
         if let RolloutEntry::Release { name, .. } = &entry {
             fleet.restart(name, now);
         }
--- a/benches/state/src/rollouts/fleet.rs
+++ b/benches/state/src/rollouts/fleet.rs
@@ -4,7 +4,7 @@
 use crate::inputs::CALLS_S;
 use prost::Message;
 use std::collections::BTreeMap;
-use tansy_fleet_wire::{of_counts, pb};
+use tansy_fleet_wire::{decode_counters, pb};
 use tansy_rollout::{FrontEndObservation, Target, Time, SECOND};
 
 /// Distinct latencies that a front end reports of each class.
@@ -144,7 +144,7 @@
     let observation = |bytes: &Vec<u8>| {
         let reply = pb::CountsReply::decode(bytes.as_slice()).ok()?;
         let is_new = reply.label == NEW_LABEL;
-        of_counts(reply, is_new).ok()
+        decode_counters(reply, is_new).ok()
     };
     replies.iter().filter_map(observation).collect()
 }
--- a/net/fleet/src/service/entries.rs
+++ b/net/fleet/src/service/entries.rs
@@ -11,7 +11,7 @@
 use tansy_agreement::log::{ApplyOutcome, LogEntry, Version};
 use tansy_agreement::scope::ScopeTransaction;
 use tansy_fleet_node::{name_to_id, RequestRejection};
-use tansy_fleet_wire::{of_roll_entry, of_scope_request, of_settings, pb};
+use tansy_fleet_wire::{decode_rollout_entry, decode_scope_transaction, decode_settings, pb};
 use tansy_frames::grpc::Code;
 use tansy_net_sockets::within;
 
@@ -61,7 +61,7 @@
 }
 
 fn propose(transport: &FleetTransport, settings: pb::Settings) -> Result<LogEntry, Rejection> {
-    let settings = of_settings(settings).map_err(Rejection::invalid)?;
+    let settings = decode_settings(settings).map_err(Rejection::invalid)?;
     if settings.id == 0 {
         return Err(Rejection::invalid(
             "a proposal without an id of its own: a retry could not be told from another proposal",
@@ -124,7 +124,7 @@
     transport: &FleetTransport,
     request: pb::RolloutLogEntry,
 ) -> Result<LogEntry, Rejection> {
-    let (entry, fields) = of_roll_entry(request).map_err(Rejection::invalid)?;
+    let (entry, fields) = decode_rollout_entry(request).map_err(Rejection::invalid)?;
     if let Some(fields) = &fields {
         (transport.check)(fields).map_err(Rejection::invalid)?;
         check_no_strict_changes(transport, fields)?;
@@ -159,7 +159,7 @@
     transport: &FleetTransport,
     request: pb::ScopeTransaction,
 ) -> Result<LogEntry, Rejection> {
-    let transaction = of_scope_request(request).map_err(Rejection::invalid)?;
+    let transaction = decode_scope_transaction(request).map_err(Rejection::invalid)?;
     if transaction.id == 0 {
         return Err(Rejection::invalid(
             "a change without an id of its own: a retry could not be told from another change",
--- a/net/fleet/src/service/mod.rs
+++ b/net/fleet/src/service/mod.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use tansy_agreement::lease::{Member, Time};
 use tansy_fleet_node::FleetNode;
-use tansy_fleet_wire::{member, pb, DecodeError, MAX_MESSAGE_BYTES, SERVICE};
+use tansy_fleet_wire::{encode_member, pb, DecodeError, MAX_MESSAGE_BYTES, SERVICE};
 use tansy_frames::grpc::Code;
 use tansy_net_grpc::server::{
     respond_trailers_only, respond_unary, status_trailers, RequestHandler, RequestMessages,
@@ -141,7 +141,7 @@
     let rostered = |behind: Member| {
         let entry = roster.iter().find(|(member, _)| *member == behind);
         pb::RosterEntry {
-            member: Some(member(behind)),
+            member: Some(encode_member(behind)),
             name: entry.map_or("", |(_, name)| name).to_string(),
         }
     };
--- a/net/fleet/src/service/queries.rs
+++ b/net/fleet/src/service/queries.rs
@@ -5,7 +5,7 @@
 use prost::Message;
 use tansy_agreement::log::FleetState;
 use tansy_agreement::scope::MAX_UPDATES_PER_TRANSACTION;
-use tansy_fleet_wire::{pb, scoped, settings};
+use tansy_fleet_wire::{encode_scope_record, encode_settings, pb};
 use tansy_frames::grpc::Code;
 
 /// The versions that the leader retains.
@@ -21,7 +21,7 @@
         let state = log.state();
         let next = state.next.as_ref();
         let reply = pb::HistoryReply {
-            versions: log.history().map(settings).collect(),
+            versions: log.history().map(encode_settings).collect(),
             in_force: state.in_force.version.0,
             next: next.map_or(0, |(next, _)| next.version.0),
         };
@@ -100,7 +100,7 @@
             .ok_or_else(|| Rejection::not_a_voter(node))?;
         let catalog = log.catalog();
         let named = |name: String| pb::NamedFunction {
-            record: catalog.get(&name).map(scoped),
+            record: catalog.get(&name).map(encode_scope_record),
             name,
         };
         let result = catalog.transaction_result(request.id);
--- a/net/fleet/src/service/status.rs
+++ b/net/fleet/src/service/status.rs
@@ -7,7 +7,7 @@
 use tansy_agreement::lease::Time;
 use tansy_agreement::log::ReplacementPhase;
 use tansy_fleet_node::{ActiveState, FleetNode};
-use tansy_fleet_wire::{member, pb, process, state};
+use tansy_fleet_wire::{encode_member, encode_process, encode_state, pb};
 
 pub(super) fn status(transport: &FleetTransport, fleet: u64, bytes: &[u8]) -> Reply {
     let request: pb::StatusRequest = decode(bytes)?;
@@ -23,20 +23,20 @@
     let blockers = node.change_blockers(now);
     let waits_for_leases = blockers.as_ref().is_some_and(|blockers| blockers.leases);
     let waits_for = blockers
-        .map(|blockers| blockers.sessions.into_iter().map(member).collect())
+        .map(|blockers| blockers.sessions.into_iter().map(encode_member).collect())
         .unwrap_or_default();
     pb::StatusReply {
         fleet: transport.fleet.clone(),
         name: setup.name.clone(),
-        process: Some(process(&setup.node)),
+        process: Some(encode_process(&setup.node)),
         leader_address: node.leader_address().to_string(),
         voter_addresses: voters.iter().map(|voter| voter.1.to_string()).collect(),
         is_leader: node.log().is_some(),
         voter_replacement: voter_replacement(node),
-        state: active.state.map(state),
+        state: active.state.map(encode_state),
         lease_remaining: active.lease_remaining,
         session_remaining: active.session_remaining,
-        other_members: node.other_members().map(process).collect(),
+        other_members: node.other_members().map(encode_process).collect(),
         conflicting: conflicting_calls(node, &active),
         roster: roster(node),
         blocked_by_leases: waits_for_leases,
@@ -90,7 +90,7 @@
         return Vec::new();
     };
     let rostered = |(entry, name): (_, &str)| pb::RosterEntry {
-        member: Some(member(entry)),
+        member: Some(encode_member(entry)),
         name: name.into(),
     };
     log.roster().map(rostered).collect()
--- a/programs/fleet/src/machine.rs
+++ b/programs/fleet/src/machine.rs
@@ -17,8 +17,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use tansy_fleet_wire::encode_rollout_entry;
 use tansy_fleet_wire::pb::enter_request::Entry;
-use tansy_fleet_wire::roll_entry;
 use tansy_net_fleet::client::RequestError;
 use tansy_rollout::{
     Crash, DesiredProcess, ProcessExit, Rollout, RolloutChange, RolloutController, RolloutEntry,
@@ -306,7 +306,7 @@
             return;
         };
         while let Some(crash) = self.unreported.first().cloned() {
-            let entry = Entry::Rollout(roll_entry(&RolloutEntry::Crashed(crash), None));
+            let entry = Entry::Rollout(encode_rollout_entry(&RolloutEntry::Crashed(crash), None));
             match self.client.enter_within(leader, entry, ANSWER_TIMEOUT) {
                 Err(RequestError::Unreachable(_)) => return,
                 _ => drop(self.unreported.remove(0)),
--- a/programs/fleet/src/machine/fleet_state.rs
+++ b/programs/fleet/src/machine/fleet_state.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 use tansy_fleet_wire::pb::enter_request::Entry;
-use tansy_fleet_wire::{of_counts, of_roll, pb, roll_entry};
+use tansy_fleet_wire::{decode_counters, decode_rollout, encode_rollout_entry, pb};
 use tansy_rollout::{
     FrontEndObservation, Rollout, RolloutChange, RolloutController, RolloutEntry, Time,
 };
@@ -61,7 +61,7 @@
 
     /// Takes over a front end's state of the rollout, unless that is older than what is known.
     fn on_reply(&mut self, address: SocketAddr, reply: pb::RolloutReply) {
-        let Ok(rollout) = of_roll(&reply.rollout) else {
+        let Ok(rollout) = decode_rollout(&reply.rollout) else {
             tracing::error!(%address, "a rollout that this program can't read: finish the update of `tansy-fleet`");
             return;
         };
@@ -106,7 +106,7 @@
             return;
         };
         let is_heartbeat = matches!(entry, RolloutEntry::Heartbeat { .. });
-        let message = Entry::Rollout(roll_entry(&entry, None));
+        let message = Entry::Rollout(encode_rollout_entry(&entry, None));
         match client.enter_within(leader, message, ANSWER_TIMEOUT) {
             Ok(_) if is_heartbeat => {}
             Ok(_) => tracing::info!(?entry, "an entry of the rollout"),
@@ -142,7 +142,7 @@
             let counts = answer.ok()?;
             let new = is_new(&counts);
             let is_voter = counts.is_voter;
-            let front_end = of_counts(counts, new).ok()?;
+            let front_end = decode_counters(counts, new).ok()?;
             Some((front_end, is_voter))
         })
         .collect()
--- a/programs/fleet/src/rollout.rs
+++ b/programs/fleet/src/rollout.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use tansy_agreement::log::{Version, VersionedSettings};
 use tansy_fleet_wire::pb::enter_request::Entry;
-use tansy_fleet_wire::{of_roll, roll_entry};
+use tansy_fleet_wire::{decode_rollout, encode_rollout_entry};
 use tansy_net_fleet::client::RequestError;
 use tansy_rollout::{Rollout, RolloutChange, RolloutEntry};
 use tansy_settings::agree::version;
@@ -70,7 +70,7 @@
         plan,
         reason: arguments.why,
     };
-    let entry = Entry::Rollout(roll_entry(&entry, settings.as_ref()));
+    let entry = Entry::Rollout(encode_rollout_entry(&entry, settings.as_ref()));
     session.client.enter(leader, entry)?;
     session.output.done(&format!(
         "rollout {id} has begun; `tansy-fleet rollout status --watch` shows it"
@@ -130,7 +130,7 @@
         .rollouts(&[leader], ANSWER_TIMEOUT)
         .pop()
         .unwrap_or_else(|| Err(RequestError::Unreachable("no answer".into())))?;
-    let rollout = of_roll(&reply.rollout).map_err(FleetError::unreachable)?;
+    let rollout = decode_rollout(&reply.rollout).map_err(FleetError::unreachable)?;
     rollout.ok_or_else(|| FleetError::Rejected("there was no rollout yet".into()))
 }
 
@@ -142,7 +142,7 @@
 ) -> Result<(), FleetError> {
     let rollout = last(session)?;
     let leader = session.leader()?;
-    let entry = Entry::Rollout(roll_entry(&entry(rollout.id), None));
+    let entry = Entry::Rollout(encode_rollout_entry(&entry(rollout.id), None));
     session.client.enter(leader, entry)?;
     session
         .output
--- a/programs/fleet/src/scopes.rs
+++ b/programs/fleet/src/scopes.rs
@@ -12,7 +12,7 @@
 use tansy_agreement::log::Revision;
 use tansy_agreement::scope::{ScopePhase, ScopeRecord, ScopeTransaction, ScopeUpdate};
 use tansy_fleet_wire::pb::enter_request::Entry;
-use tansy_fleet_wire::{of_scoped, pb, scope_request};
+use tansy_fleet_wire::{decode_scope_record, encode_scope_transaction, pb};
 use tansy_settings::agree::{functions, label};
 
 /// Functions and what they are to be; `None`: removed.
@@ -196,7 +196,7 @@
     let records: Vec<Option<ScopeRecord>> = reply
         .functions
         .into_iter()
-        .map(|function| function.record.map(of_scoped).transpose())
+        .map(|function| function.record.map(decode_scope_record).transpose())
         .collect::<Result<_, _>>()
         .map_err(FleetError::unreachable)?;
     if records.len() != names.len() {
@@ -223,7 +223,7 @@
         id: arguments.wait.id_or_random(),
         reason: arguments.why.clone(),
     };
-    let entry = Entry::ScopeTransaction(scope_request(&transaction));
+    let entry = Entry::ScopeTransaction(encode_scope_transaction(&transaction));
     let entered = session.client.enter(leader, entry)?;
     let pending = PendingChange {
         id: transaction.id,
--- a/programs/fleet/src/versions.rs
+++ b/programs/fleet/src/versions.rs
@@ -11,7 +11,7 @@
 use tansy_agreement::compatibility::{changed_fields, Fields};
 use tansy_agreement::log::VersionedSettings;
 use tansy_fleet_wire::pb::enter_request::Entry;
-use tansy_fleet_wire::{of_settings, pb};
+use tansy_fleet_wire::{decode_settings, pb};
 use tansy_settings::agree::{compatibility_schema, version, with_defaults};
 
 /// What is to become the next version.
@@ -105,7 +105,7 @@
     let versions = reply
         .versions
         .iter()
-        .map(|settings| of_settings(settings.clone()).map_err(FleetError::unreachable))
+        .map(|settings| decode_settings(settings.clone()).map_err(FleetError::unreachable))
         .collect::<Result<_, _>>()?;
     Ok((reply, versions))
 }
@@ -165,7 +165,7 @@
         reason: proposal.reason,
         id: wait.id_or_random(),
     };
-    let entry = Entry::Propose(tansy_fleet_wire::settings(&settings));
+    let entry = Entry::Propose(tansy_fleet_wire::encode_settings(&settings));
     let entered = session.client.enter(leader, entry)?;
     await_version(session, leader, entered.version, rows, wait)
 }
--- a/programs/scale/src/fleet/operator.rs
+++ b/programs/scale/src/fleet/operator.rs
@@ -8,7 +8,7 @@
 use tansy_agreement::log::{Version, VersionedSettings};
 use tansy_fleet_node::name_to_id;
 use tansy_fleet_wire::pb::enter_request::Entry;
-use tansy_fleet_wire::{of_state, pb, settings};
+use tansy_fleet_wire::{decode_state, encode_settings, pb};
 use tansy_net_fleet::client::RequestError;
 use tansy_net_sockets::clock;
 
@@ -45,7 +45,7 @@
         let status = self
             .client
             .status_within(self.leader_address, REQUEST_TIMEOUT)?;
-        let state = of_state(status.state.ok_or(Error::NoVersion)?)?;
+        let state = decode_state(status.state.ok_or(Error::NoVersion)?)?;
         if state.next.is_some() {
             return Err(Error::ChangeInProgress);
         }
@@ -144,7 +144,7 @@
             reason: reason.into(),
             id,
         };
-        let entry = |fleet: &TestFleet| Entry::Propose(settings(&proposed(fleet)));
+        let entry = |fleet: &TestFleet| Entry::Propose(encode_settings(&proposed(fleet)));
         let version = self.retry(entry, Error::ProposalRefused)?.version;
         self.in_force = VersionedSettings {
             version: Version(version),
@@ -186,7 +186,7 @@
     pub fn propose_burst(&mut self, versions: Vec<Fields>) -> VersionBurst {
         let version = self.in_force.version;
         let entry = |fields: Fields| {
-            Entry::Propose(settings(&VersionedSettings {
+            Entry::Propose(encode_settings(&VersionedSettings {
                 version,
                 fields,
                 reason: "burst".into(),
--- a/programs/scale/src/fleet/scope_updates.rs
+++ b/programs/scale/src/fleet/scope_updates.rs
@@ -12,7 +12,7 @@
 use tansy_agreement::scope::{ScopePhase, ScopeTransaction, ScopeUpdate};
 use tansy_fleet_node::name_to_id;
 use tansy_fleet_wire::pb::enter_request::Entry;
-use tansy_fleet_wire::{of_scoped, pb, scope_request};
+use tansy_fleet_wire::{decode_scope_record, encode_scope_transaction, pb};
 use tansy_net_fleet::client::RequestError;
 use tansy_net_sockets::clock;
 
@@ -167,7 +167,7 @@
         let reply = self.client.functions(self.leader_address(), request)?;
         let received = reply.functions.len();
         let status = |function: pb::NamedFunction| -> Result<ScopeStatus, Error> {
-            let record = function.record.map(of_scoped).transpose()?;
+            let record = function.record.map(decode_scope_record).transpose()?;
             let record = record.unwrap_or_default();
             Ok(ScopeStatus {
                 is_changing: matches!(record.phase, ScopePhase::Joint { .. }),
@@ -195,7 +195,9 @@
             updates,
             reason: "measured".into(),
         };
-        self.enter(Entry::ScopeTransaction(scope_request(&transaction)))?;
+        self.enter(Entry::ScopeTransaction(encode_scope_transaction(
+            &transaction,
+        )))?;
         Ok(watched)
     }
 
@@ -206,7 +208,7 @@
     ) -> Result<(WatchedUpdates, Vec<RequestError>), Error> {
         let watched = self.watch(&updates)?;
         let entry = |update: ScopeUpdate| {
-            Entry::ScopeTransaction(scope_request(&ScopeTransaction {
+            Entry::ScopeTransaction(encode_scope_transaction(&ScopeTransaction {
                 id: name_to_id(&format!("{}/{}", watched.id, update.scope)),
                 updates: vec![update],
                 reason: "burst".into(),
--- a/programs/scenario/src/agreement/operator.rs
+++ b/programs/scenario/src/agreement/operator.rs
@@ -121,7 +121,7 @@
                 reason: REASON.into(),
                 id,
             };
-            let entry = Entry::Propose(tansy_fleet_wire::settings(&settings));
+            let entry = Entry::Propose(tansy_fleet_wire::encode_settings(&settings));
             let Ok(reply) = self.client.enter(leader, entry) else {
                 self.client.wait(PROPOSAL_RETRY);
                 continue;
--- a/programs/scenario/src/rollout/cluster.rs
+++ b/programs/scenario/src/rollout/cluster.rs
@@ -13,7 +13,7 @@
 use tansy_audit::Link;
 use tansy_fleet::client::Client;
 use tansy_fleet::processes::{supervised_processes, SupervisedProcess};
-use tansy_fleet_wire::of_roll;
+use tansy_fleet_wire::decode_rollout;
 use tansy_rollout::Rollout;
 use tansy_test_support::address::ReservedAddress;
 use tansy_test_support::process::ServerProcess;
@@ -195,7 +195,7 @@
             .into_iter()
             .flatten()
             .find(|reply| reply.is_leader)?;
-        of_roll(&leader.rollout).ok().flatten()
+        decode_rollout(&leader.rollout).ok().flatten()
     }
 
     /// The processes of front ends, as the kernel has them.
--- a/programs/scenario/src/rollout/proposal.rs
+++ b/programs/scenario/src/rollout/proposal.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 use tansy_fleet::processes::program_label;
 use tansy_fleet::rollout::stages;
+use tansy_fleet_wire::encode_rollout_entry;
 use tansy_fleet_wire::pb::enter_request::Entry;
-use tansy_fleet_wire::roll_entry;
 use tansy_rollout::{InconclusivePolicy, RolloutChange, RolloutEntry, RolloutPlan, Target};
 
 /// Share of the front ends that run the new program after each stage.
@@ -38,7 +38,7 @@
             let Some((leader, _)) = fleet::leader(&mut self.client, &voters) else {
                 continue;
             };
-            let entry = Entry::Rollout(roll_entry(&entry, None));
+            let entry = Entry::Rollout(encode_rollout_entry(&entry, None));
             if self.client.enter(leader, entry).is_ok() {
                 return Ok(());
             }
--- a/protocol/fleet/src/fleet_state.rs
+++ b/protocol/fleet/src/fleet_state.rs
@@ -6,7 +6,7 @@
 use tansy_agreement::scope::ChangeHistory;
 
 /// Encodes a version of the settings.
-pub fn settings(settings: &VersionedSettings) -> pb::Settings {
+pub fn encode_settings(settings: &VersionedSettings) -> pb::Settings {
     pb::Settings {
         version: settings.version.0,
         fields: fields(&settings.fields),
@@ -16,7 +16,7 @@
 }
 
 /// Decodes a version of the settings.
-pub fn of_settings(settings: pb::Settings) -> Result<VersionedSettings, DecodeError> {
+pub fn decode_settings(settings: pb::Settings) -> Result<VersionedSettings, DecodeError> {
     let fields = of_fields(settings.fields)?;
     Ok(VersionedSettings {
         version: Version(settings.version),
@@ -27,7 +27,7 @@
 }
 
 /// Encodes the state that a front end acts on.
-pub fn state(state: &FleetState) -> pb::State {
+pub fn encode_state(state: &FleetState) -> pb::State {
     let next = state.next.as_ref();
     // Left out where it says nothing: programs that know no scopes do not read it.
     let versions_revision = if state.versions_revision == state.revision {
@@ -37,8 +37,8 @@
     };
     pb::State {
         revision: state.revision.0,
-        in_force: Some(settings(&state.in_force)),
-        next: next.map(|(next, _)| settings(next)),
+        in_force: Some(encode_settings(&state.in_force)),
+        next: next.map(|(next, _)| encode_settings(next)),
         phase: phase(next.map(|(_, phase)| phase)) as i32,
         canary: state.canary.as_ref().map(|canary| pb::Canary {
             fields: fields(&canary.fields),
@@ -79,12 +79,12 @@
 }
 
 /// Decodes the state that a front end acts on.
-pub fn of_state(state: pb::State) -> Result<FleetState, DecodeError> {
+pub fn decode_state(state: pb::State) -> Result<FleetState, DecodeError> {
     let phase = of_phase(state.phase)?;
     let in_force = state.in_force;
-    let in_force = of_settings(in_force.ok_or(DecodeError::MissingPart("version in force"))?)?;
+    let in_force = decode_settings(in_force.ok_or(DecodeError::MissingPart("version in force"))?)?;
     let next = match (state.next, phase) {
-        (Some(next), Some(phase)) => Some((of_settings(next)?, phase)),
+        (Some(next), Some(phase)) => Some((decode_settings(next)?, phase)),
         (None, None) => None,
         _ => return Err(DecodeError::MissingPart("version in progress")),
     };
--- a/protocol/fleet/src/identity.rs
+++ b/protocol/fleet/src/identity.rs
@@ -6,7 +6,7 @@
 use tansy_membership::NodeId;
 
 /// Encodes the identity of a process.
-pub fn process(node: &NodeId) -> pb::Process {
+pub fn encode_process(node: &NodeId) -> pb::Process {
     pb::Process {
         id: node.id,
         incarnation: node.incarnation,
@@ -29,7 +29,7 @@
 }
 
 /// Encodes a member.
-pub fn member(member: Member) -> pb::Member {
+pub fn encode_member(member: Member) -> pb::Member {
     pb::Member {
         id: member.id,
         incarnation: member.incarnation,
--- a/protocol/fleet/src/leases.rs
+++ b/protocol/fleet/src/leases.rs
@@ -1,7 +1,7 @@
 //! Leases of the lease tree and sessions with the leader.
 
-use crate::fleet_state::{of_state, state};
-use crate::identity::{member, of_member};
+use crate::fleet_state::{decode_state, encode_state};
+use crate::identity::{encode_member, of_member};
 use crate::scopes::{delta, of_delta};
 use crate::{pb, DecodeError};
 use tansy_agreement::lease::{LeaseGrant, LeaseRequest};
@@ -17,23 +17,23 @@
     use pb::envelope::Body;
     match message {
         LeaseMessage::Request(request) => Body::LeaseRequest(pb::LeaseRequest {
-            from: Some(member(request.from)),
+            from: Some(encode_member(request.from)),
             seq: request.seq,
             acknowledged: request.acknowledged.0,
             known: request.known.0,
             accepts_deltas: request.accepts_deltas,
         }),
         LeaseMessage::Grant(grant) => Body::LeaseGrant(pb::LeaseGrant {
-            to: Some(member(grant.to)),
+            to: Some(encode_member(grant.to)),
             seq: grant.seq,
             span: grant.span,
             revision: grant.revision.0,
-            state: grant.state.as_ref().map(state),
+            state: grant.state.as_ref().map(encode_state),
             delta: grant.delta.as_ref().map(delta),
         }),
         LeaseMessage::Revision(revision) => Body::Revision(revision.0),
         LeaseMessage::Acknowledge { from, revision } => Body::Acknowledge(pb::Acknowledge {
-            from: Some(member(from)),
+            from: Some(encode_member(from)),
             revision: revision.0,
         }),
     }
@@ -56,7 +56,7 @@
         seq: grant.seq,
         span: grant.span,
         revision: Revision(revision),
-        state: grant.state.map(of_state).transpose()?,
+        state: grant.state.map(decode_state).transpose()?,
         delta: grant
             .delta
             .map(|delta| of_delta(delta, revision))
@@ -77,7 +77,7 @@
     drain_digest: u64,
 ) -> pb::SessionRequest {
     pb::SessionRequest {
-        from: Some(member(request.from)),
+        from: Some(encode_member(request.from)),
         seq: request.seq,
         revision: request.revision.0,
         name,
@@ -99,7 +99,7 @@
 
 pub(crate) fn session_grant(grant: SessionGrant) -> pb::SessionGrant {
     pb::SessionGrant {
-        to: Some(member(grant.to)),
+        to: Some(encode_member(grant.to)),
         seq: grant.seq,
         span: grant.span,
     }
--- a/protocol/fleet/src/lib.rs
+++ b/protocol/fleet/src/lib.rs
@@ -22,11 +22,13 @@
 }
 
 pub use error::DecodeError;
-pub use fleet_state::{of_settings, of_state, settings, state};
-pub use identity::{member, process};
+pub use fleet_state::{decode_settings, decode_state, encode_settings, encode_state};
+pub use identity::{encode_member, encode_process};
 pub use message::{decode_message, encode_message};
-pub use rollout::{of_counts, of_roll, of_roll_entry, roll_entry};
-pub use scopes::{of_scope_request, of_scoped, scope_request, scoped};
+pub use rollout::{decode_counters, decode_rollout, decode_rollout_entry, encode_rollout_entry};
+pub use scopes::{
+    decode_scope_record, decode_scope_transaction, encode_scope_record, encode_scope_transaction,
+};
 
 /// The version of the message format; messages of any other are rejected.
 pub const FORMAT_VERSION: u32 = 1;
--- a/protocol/fleet/src/message.rs
+++ b/protocol/fleet/src/message.rs
@@ -1,7 +1,7 @@
 //! The envelope of a message: its header, and the body by its kind.
 
 use crate::drains::{drains, of_drains};
-use crate::identity::{member, of_member, of_process, process};
+use crate::identity::{encode_member, encode_process, of_member, of_process};
 use crate::leases::{
     lease_body, of_acknowledge, of_lease_grant, of_lease_request, of_session_grant,
     of_session_request, session_grant, session_request,
@@ -21,7 +21,7 @@
     pb::Envelope {
         format_version: FORMAT_VERSION,
         fleet,
-        from: Some(process(from)),
+        from: Some(encode_process(from)),
         leader_term: leader.term,
         leader_id: leader.id,
         body: Some(encode_body(body)),
@@ -37,7 +37,7 @@
             Body::SessionRequest(session_request(request, name, digest))
         }
         MessageBody::SessionGrant(grant) => Body::SessionGrant(session_grant(grant)),
-        MessageBody::Departed(departed) => Body::Departed(member(departed)),
+        MessageBody::Departed(departed) => Body::Departed(encode_member(departed)),
         MessageBody::Drains(records, reply_requested) => {
             Body::Drains(drains(records, reply_requested))
         }
--- a/protocol/fleet/src/rollout.rs
+++ b/protocol/fleet/src/rollout.rs
@@ -1,6 +1,6 @@
 //! Entries of a rollout, its state, and the observations that its analysis reads.
 
-use crate::fleet_state::{of_settings, settings};
+use crate::fleet_state::{decode_settings, encode_settings};
 use crate::values::bounded_text;
 use crate::{pb, DecodeError};
 use std::collections::BTreeMap;
@@ -13,26 +13,29 @@
 const MAX_LATENCIES: usize = 4096;
 
 /// Encodes an entry of a rollout; `fields` are those of a rollout of settings that starts.
-pub fn roll_entry(entry: &RolloutEntry, fields: Option<&VersionedSettings>) -> pb::RolloutLogEntry {
+pub fn encode_rollout_entry(
+    entry: &RolloutEntry,
+    fields: Option<&VersionedSettings>,
+) -> pb::RolloutLogEntry {
     pb::RolloutLogEntry {
         // Plain data always has an encoding.
         entry: serde_json::to_string(entry).unwrap_or_default(),
-        fields: fields.map(settings),
+        fields: fields.map(encode_settings),
     }
 }
 
 /// Decodes an entry of a rollout.
-pub fn of_roll_entry(
+pub fn decode_rollout_entry(
     rollout: pb::RolloutLogEntry,
 ) -> Result<(RolloutEntry, Option<Fields>), DecodeError> {
     let entry = serde_json::from_str(&rollout.entry)
         .map_err(|error| DecodeError::Malformed(format!("a rollout's entry: {error}")))?;
-    let settings = rollout.fields.map(of_settings).transpose()?;
+    let settings = rollout.fields.map(decode_settings).transpose()?;
     Ok((entry, settings.map(|settings| settings.fields)))
 }
 
 /// Decodes the last rollout that a voter knows; `None`: there was none.
-pub fn of_roll(text: &str) -> Result<Option<Rollout>, DecodeError> {
+pub fn decode_rollout(text: &str) -> Result<Option<Rollout>, DecodeError> {
     if text.is_empty() {
         return Ok(None);
     }
@@ -42,7 +45,10 @@
 }
 
 /// Decodes a front end's counters as an observation of a rollout's stage. `new`: whether it is in the new group.
-pub fn of_counts(reply: pb::CountsReply, new: bool) -> Result<FrontEndObservation, DecodeError> {
+pub fn decode_counters(
+    reply: pb::CountsReply,
+    new: bool,
+) -> Result<FrontEndObservation, DecodeError> {
     let mut classes = BTreeMap::new();
     for mut class in reply.classes {
         let name = std::mem::take(&mut class.class);
--- a/protocol/fleet/src/scopes.rs
+++ b/protocol/fleet/src/scopes.rs
@@ -28,7 +28,7 @@
 }
 
 /// Encodes the record of a function.
-pub fn scoped(record: &ScopeRecord) -> pb::ScopeRecord {
+pub fn encode_scope_record(record: &ScopeRecord) -> pb::ScopeRecord {
     let phase = match record.phase {
         ScopePhase::Settled => pb::ScopePhase::Settled,
         ScopePhase::Joint { .. } => pb::ScopePhase::Joint,
@@ -45,7 +45,7 @@
 }
 
 /// Decodes the record of a function.
-pub fn of_scoped(record: pb::ScopeRecord) -> Result<ScopeRecord, DecodeError> {
+pub fn decode_scope_record(record: pb::ScopeRecord) -> Result<ScopeRecord, DecodeError> {
     let fields = of_scope_fields(record.fields)?;
     let next = of_scope_fields(record.next)?;
     let since = Revision(record.since);
@@ -67,7 +67,7 @@
     let change = |change: &Arc<ScopeChange>| pb::ScopeChange {
         revision: change.revision.0,
         scope: change.scope.clone(),
-        record: Some(scoped(&change.record)),
+        record: Some(encode_scope_record(&change.record)),
     };
     pb::StateDelta {
         from: delta.from.0,
@@ -100,7 +100,8 @@
 
 fn of_change(change: pb::ScopeChange) -> Result<Arc<ScopeChange>, DecodeError> {
     let record = change.record;
-    let record = of_scoped(record.ok_or(DecodeError::MissingPart("settings of a function"))?)?;
+    let record =
+        decode_scope_record(record.ok_or(DecodeError::MissingPart("settings of a function"))?)?;
     Ok(Arc::new(ScopeChange {
         revision: Revision(change.revision),
         scope: of_scope_name(change.scope)?,
@@ -109,7 +110,7 @@
 }
 
 /// Encodes a transaction.
-pub fn scope_request(transaction: &ScopeTransaction) -> pb::ScopeTransaction {
+pub fn encode_scope_transaction(transaction: &ScopeTransaction) -> pb::ScopeTransaction {
     let update = |update: &ScopeUpdate| pb::ScopeUpdate {
         scope: update.scope.clone(),
         base: update.base.0,
@@ -123,7 +124,7 @@
 }
 
 /// Decodes a transaction.
-pub fn of_scope_request(
+pub fn decode_scope_transaction(
     transaction: pb::ScopeTransaction,
 ) -> Result<ScopeTransaction, DecodeError> {
     if transaction.updates.len() > MAX_UPDATES_PER_TRANSACTION {
--- a/protocol/fleet/src/subscriptions.rs
+++ b/protocol/fleet/src/subscriptions.rs
@@ -1,7 +1,7 @@
 //! Subscriptions of front ends to functions that are agreed on one by one.
 
-use crate::identity::{member, of_member};
-use crate::scopes::{of_scope_name, of_scoped, scoped};
+use crate::identity::{encode_member, of_member};
+use crate::scopes::{decode_scope_record, encode_scope_record, of_scope_name};
 use crate::{pb, DecodeError};
 use tansy_agreement::log::Revision;
 use tansy_agreement::scope::ScopeRecord;
@@ -28,7 +28,7 @@
 pub(crate) fn subscribe(request: SubscribeRequest) -> pb::SubscribeRequest {
     let full_list = request.full_list;
     pb::SubscribeRequest {
-        from: Some(member(request.from)),
+        from: Some(encode_member(request.from)),
         epoch: Some(epoch(request.epoch)),
         seq: request.seq,
         revision: request.revision.0,
@@ -65,10 +65,10 @@
 pub(crate) fn subscribe_reply(reply: SubscribeReply) -> pb::SubscribeReply {
     let named = |(name, record): (String, Option<ScopeRecord>)| pb::NamedFunction {
         name,
-        record: record.as_ref().map(scoped),
+        record: record.as_ref().map(encode_scope_record),
     };
     pb::SubscribeReply {
-        to: Some(member(reply.to)),
+        to: Some(encode_member(reply.to)),
         epoch: Some(epoch(reply.epoch)),
         seq: reply.seq.unwrap_or(0),
         revision: reply.revision.0,
@@ -82,7 +82,7 @@
     }
     let named = |named: pb::NamedFunction| {
         let name = of_scope_name(named.name)?;
-        Ok((name, named.record.map(of_scoped).transpose()?))
+        Ok((name, named.record.map(decode_scope_record).transpose()?))
     };
     let scopes = reply.scopes.into_iter().map(named);
     let scopes = scopes.collect::<Result<_, _>>()?;
--- a/protocol/fleet/tests/transactions.rs
+++ b/protocol/fleet/tests/transactions.rs
@@ -6,7 +6,7 @@
 use tansy_agreement::scope::{
     ScopeTransaction, ScopeUpdate, MAX_NAME_BYTES, MAX_UPDATES_PER_TRANSACTION,
 };
-use tansy_fleet_wire::{of_scope_request, pb, scope_request, DecodeError};
+use tansy_fleet_wire::{decode_scope_transaction, encode_scope_transaction, pb, DecodeError};
 
 fn transaction() -> ScopeTransaction {
     let fields = [
@@ -29,9 +29,9 @@
 
 #[test]
 fn a_transaction_decodes_to_what_was_encoded() {
-    let bytes = scope_request(&transaction()).encode_to_vec();
+    let bytes = encode_scope_transaction(&transaction()).encode_to_vec();
     let decoded = pb::ScopeTransaction::decode(&bytes[..]).expect("it decodes");
-    assert_eq!(of_scope_request(decoded), Ok(transaction()));
+    assert_eq!(decode_scope_transaction(decoded), Ok(transaction()));
 }
 
 #[test]
@@ -53,21 +53,21 @@
         }),
     ];
     for (part, change) in invalid {
-        let mut encoded = scope_request(&transaction());
+        let mut encoded = encode_scope_transaction(&transaction());
         change(&mut encoded);
         assert_eq!(
-            of_scope_request(encoded),
+            decode_scope_transaction(encoded),
             Err(DecodeError::MissingPart(part))
         );
     }
-    let mut without_value = scope_request(&transaction());
+    let mut without_value = encode_scope_transaction(&transaction());
     let fields = without_value.updates[0]
         .fields
         .as_mut()
         .expect("they are set");
     fields.fields.insert("memory".into(), pb::Value::default());
     assert!(matches!(
-        of_scope_request(without_value),
+        decode_scope_transaction(without_value),
         Err(DecodeError::MissingPart(_))
     ));
 }
--- a/tests/compatibility/src/fleet/requests.rs
+++ b/tests/compatibility/src/fleet/requests.rs
@@ -42,12 +42,12 @@
 }
 
 fn settings() -> pb::Settings {
-    tansy_fleet_wire::settings(&state_with_scopes().in_force)
+    tansy_fleet_wire::encode_settings(&state_with_scopes().in_force)
 }
 
 fn rostered_member() -> pb::RosterEntry {
     pb::RosterEntry {
-        member: Some(tansy_fleet_wire::member(subscribe_request().from)),
+        member: Some(tansy_fleet_wire::encode_member(subscribe_request().from)),
         name: "front-1".into(),
     }
 }
@@ -61,9 +61,9 @@
 }
 
 fn status() -> Vec<Encoded> {
-    let process = tansy_fleet_wire::process(&sender());
-    let state = tansy_fleet_wire::state(&state_with_scopes());
-    let member = tansy_fleet_wire::member(subscribe_request().from);
+    let process = tansy_fleet_wire::encode_process(&sender());
+    let state = tansy_fleet_wire::encode_state(&state_with_scopes());
+    let member = tansy_fleet_wire::encode_member(subscribe_request().from);
     vec![
         encoded("status-request", pb::StatusRequest { fleet: FLEET }),
         encoded(
@@ -114,7 +114,8 @@
 }
 
 fn entries() -> Vec<Encoded> {
-    let fields = tansy_fleet_wire::scoped(&scoped(scope::ScopePhase::Settled, true)).fields;
+    let fields =
+        tansy_fleet_wire::encode_scope_record(&scoped(scope::ScopePhase::Settled, true)).fields;
     vec![
         encoded("enter-propose", enter(Entry::Propose(settings()))),
         encoded("enter-abandon", enter(Entry::Abandon(8))),
@@ -237,7 +238,7 @@
                     .iter()
                     .map(|record| pb::NamedFunction {
                         name: "f".into(),
-                        record: Some(tansy_fleet_wire::scoped(record)),
+                        record: Some(tansy_fleet_wire::encode_scope_record(record)),
                     })
                     .collect(),
                 transaction_result: Some(pb::TransactionResult {
--- a/tests/compatibility/src/json.rs
+++ b/tests/compatibility/src/json.rs
@@ -7,7 +7,7 @@
 };
 use tansy_agreement::log::LogEntry;
 use tansy_fleet::rows::{FieldChangeRow, FleetStatus, FrontEndStatus, VersionRow};
-use tansy_fleet_wire::{pb, roll_entry};
+use tansy_fleet_wire::{encode_rollout_entry, pb};
 use tansy_rollout::{
     InconclusivePolicy, Rollout, RolloutChange, RolloutEntry, RolloutPhase, RolloutPlan,
 };
@@ -89,7 +89,9 @@
 /// Each entry as it travels.
 pub fn rollout_entry_lines() -> Vec<String> {
     let all = rollout_entries();
-    all.iter().map(|e| roll_entry(e, None).entry).collect()
+    all.iter()
+        .map(|e| encode_rollout_entry(e, None).entry)
+        .collect()
 }
 
 /// Each rollout as it travels.
@@ -99,11 +101,11 @@
 
 /// What `status`, `diff` and `history` of `tansy-fleet --json` print, of a fleet with something in every field.
 pub fn printed() -> Vec<String> {
-    let state = tansy_fleet_wire::state(&fleet::messages::state_with_scopes());
+    let state = tansy_fleet_wire::encode_state(&fleet::messages::state_with_scopes());
     let front = |phase: pb::Phase| {
         FrontEndStatus::of(&pb::StatusReply {
             name: "front-1".into(),
-            process: Some(tansy_fleet_wire::process(&fleet::messages::sender())),
+            process: Some(tansy_fleet_wire::encode_process(&fleet::messages::sender())),
             is_leader: true,
             state: Some(pb::State {
                 phase: phase as i32,
--- a/tests/compatibility/tests/json.rs
+++ b/tests/compatibility/tests/json.rs
@@ -4,7 +4,7 @@
 //! --json` prints of a fleet, its changes and its history; all of `src/json.rs`, by `examples/record.rs`.
 
 use tansy_compatibility_tests::{fixture, json};
-use tansy_fleet_wire::{of_roll, of_roll_entry, pb};
+use tansy_fleet_wire::{decode_rollout, decode_rollout_entry, pb};
 
 fn compare(name: &str, present: &[String]) {
     let recorded = fixture::text(name);
@@ -21,7 +21,7 @@
     let recorded = fixture::text(name);
     for (line, expected) in recorded.lines().zip(json::rollout_entries()) {
         let entry = line.to_string();
-        let read = of_roll_entry(pb::RolloutLogEntry {
+        let read = decode_rollout_entry(pb::RolloutLogEntry {
             entry,
             fields: None,
         });
@@ -34,7 +34,7 @@
     let name = "rollouts.jsonl";
     compare(name, &json::rollout_lines());
     for (line, expected) in fixture::text(name).lines().zip(json::rollouts()) {
-        assert_eq!(of_roll(line), Ok(Some(expected)));
+        assert_eq!(decode_rollout(line), Ok(Some(expected)));
     }
 }
 
--- a/tests/path/src/scoped_fleet.rs
+++ b/tests/path/src/scoped_fleet.rs
@@ -8,7 +8,7 @@
 use tansy_agreement::scope::{ScopeTransaction, ScopeUpdate};
 use tansy_fleet::client::Client;
 use tansy_fleet_wire::pb::enter_request::Entry;
-use tansy_fleet_wire::{of_scoped, pb, scope_request};
+use tansy_fleet_wire::{decode_scope_record, encode_scope_transaction, pb};
 use tansy_test_support::address::ReservedAddress;
 use tansy_test_support::folder::TestFolder;
 
@@ -81,7 +81,7 @@
             updates,
             reason: "a test".into(),
         };
-        let entry = Entry::ScopeTransaction(scope_request(&transaction));
+        let entry = Entry::ScopeTransaction(encode_scope_transaction(&transaction));
         self.enter(entry);
         self.wait_until_in_force(transaction.id, names.len() as u32);
     }
@@ -107,7 +107,9 @@
         let reply = self.client.functions(self.voter_address.address(), request);
         let known = reply.expect("the voter answers").functions;
         let record = known.into_iter().find_map(|function| function.record);
-        record.map_or(Revision(0), |r| of_scoped(r).expect("it reads").revision)
+        record.map_or(Revision(0), |r| {
+            decode_scope_record(r).expect("it reads").revision
+        })
     }
 
     fn wait_until_in_force(&mut self, transaction: u64, functions: u32) {
