--- a/net/fleet/src/client.rs
+++ b/net/fleet/src/client.rs
@@ -25,7 +25,7 @@
 }
 
 /// Sends a message to a method of the service; returns the reply's message.
-pub async fn ask(
+pub async fn send_request(
     spawner: &Spawner,
     link: &Rc<Link>,
     method: &str,
--- a/net/fleet/src/config.rs
+++ b/net/fleet/src/config.rs
@@ -48,11 +48,11 @@
     /// Tried before a link, where many front ends of one process share their connections.
     pub carrier: Option<MessageCarrier>,
     /// Of proposed versions.
-    pub check: ValidateVersion,
+    pub validate_version: ValidateVersion,
     /// Of functions that are agreed on one by one.
-    pub check_function: ValidateFunction,
+    pub validate_function: ValidateFunction,
     /// Of calls.
-    pub counts: ReadCounters,
+    pub read_counters: ReadCounters,
 }
 
 /// Why a node can't be started.
--- a/net/fleet/src/links.rs
+++ b/net/fleet/src/links.rs
@@ -1,6 +1,6 @@
 //! Links to the other front ends, with bounds on what is in flight.
 
-use crate::client::{ask, RequestError};
+use crate::client::{send_request, RequestError};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -55,7 +55,9 @@
         peer.last_used.set(clock::now());
         let spawner = self.spawner.clone();
         self.spawner.spawn(async move {
-            if let Err(error) = ask(&spawner, &peer.link, "Tell", &bytes, MESSAGE_TIMEOUT).await {
+            if let Err(error) =
+                send_request(&spawner, &peer.link, "Tell", &bytes, MESSAGE_TIMEOUT).await
+            {
                 peer.log_failure(to, &error);
             }
             peer.in_flight.set(peer.in_flight.get() - 1);
--- a/net/fleet/src/service/entries.rs
+++ b/net/fleet/src/service/entries.rs
@@ -67,7 +67,7 @@
             "a proposal without an id of its own: a retry could not be told from another proposal",
         ));
     }
-    (transport.check)(&settings.fields).map_err(Rejection::invalid)?;
+    (transport.validate_version)(&settings.fields).map_err(Rejection::invalid)?;
     Ok(LogEntry::Propose {
         id: settings.id,
         base: settings.version,
@@ -126,7 +126,7 @@
 ) -> Result<LogEntry, Rejection> {
     let (entry, fields) = decode_rollout_entry(request).map_err(Rejection::invalid)?;
     if let Some(fields) = &fields {
-        (transport.check)(fields).map_err(Rejection::invalid)?;
+        (transport.validate_version)(fields).map_err(Rejection::invalid)?;
         check_no_strict_changes(transport, fields)?;
     }
     Ok(LogEntry::Rollout {
@@ -183,7 +183,7 @@
         };
         for update in &transaction.updates {
             if let Some(fields) = &update.fields {
-                (transport.check_function)(&update.scope, fields, state)
+                (transport.validate_function)(&update.scope, fields, state)
                     .map_err(Rejection::invalid)?;
             }
         }
--- a/net/fleet/src/service/mod.rs
+++ b/net/fleet/src/service/mod.rs
@@ -107,7 +107,7 @@
 }
 
 fn accept_message(transport: &Rc<FleetTransport>, bytes: &[u8]) -> Reply {
-    match transport.on_datagram(bytes) {
+    match transport.receive_message(bytes) {
         Ok(()) => Ok(pb::Accepted {}.encode_to_vec()),
         Err(error) => {
             let code = match error {
--- a/net/fleet/src/service/queries.rs
+++ b/net/fleet/src/service/queries.rs
@@ -33,7 +33,7 @@
 pub(super) fn counts(transport: &FleetTransport, fleet: u64, bytes: &[u8]) -> Reply {
     let request: pb::CountsRequest = decode(bytes)?;
     check_fleet(transport, request.fleet, fleet)?;
-    let mut reply = (transport.counts)();
+    let mut reply = (transport.read_counters)();
     let traffic = transport.traffic();
     reply.traffic = Some(pb::TrafficCounters {
         received: traffic.received,
--- a/net/fleet/src/transport.rs
+++ b/net/fleet/src/transport.rs
@@ -45,9 +45,9 @@
 pub struct FleetTransport {
     pub(crate) spawner: Spawner,
     pub(crate) fleet: String,
-    pub(crate) check: ValidateVersion,
-    pub(crate) check_function: ValidateFunction,
-    pub(crate) counts: ReadCounters,
+    pub(crate) validate_version: ValidateVersion,
+    pub(crate) validate_function: ValidateFunction,
+    pub(crate) read_counters: ReadCounters,
     /// Why the state can't be applied, if so.
     pub(crate) error: RefCell<Option<String>>,
     node: RefCell<FleetNode>,
@@ -79,9 +79,9 @@
             links: PeerLinks::new(spawner.clone(), config.proxies),
             spawner,
             fleet: config.fleet,
-            check: config.check,
-            check_function: config.check_function,
-            counts: config.counts,
+            validate_version: config.validate_version,
+            validate_function: config.validate_function,
+            read_counters: config.read_counters,
             error: RefCell::new(None),
             node: RefCell::new(node),
             apply_state,
@@ -181,7 +181,7 @@
     }
 
     /// Accepts a message, of this node's listener or of another carrier.
-    pub fn on_datagram(self: &Rc<Self>, bytes: &[u8]) -> Result<(), DecodeError> {
+    pub fn receive_message(self: &Rc<Self>, bytes: &[u8]) -> Result<(), DecodeError> {
         let mut traffic = self.traffic.get();
         traffic.received += 1;
         traffic.received_bytes += bytes.len() as u64;
--- a/net/fleet/tests/connections.rs
+++ b/net/fleet/tests/connections.rs
@@ -49,9 +49,9 @@
         voter: None,
         proxies: Default::default(),
         carrier: None,
-        check: Rc::new(|_| Ok(())),
-        check_function: Rc::new(|_, _, _| Ok(())),
-        counts: Rc::new(Default::default),
+        validate_version: Rc::new(|_| Ok(())),
+        validate_function: Rc::new(|_, _, _| Ok(())),
+        read_counters: Rc::new(Default::default),
     };
     let _transport =
         FleetTransport::start(spawner, listener, config, Rc::new(|_, _| None)).expect("a node");
--- a/programs/fleet/src/client.rs
+++ b/programs/fleet/src/client.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tansy_fleet_wire::pb;
-use tansy_net_fleet::client::{ask, RequestError};
+use tansy_net_fleet::client::{send_request, RequestError};
 use tansy_net_grpc::link::{Limits, Link};
 use tansy_net_sockets::interrupt::Uninterrupted;
 use tansy_net_sockets::Spawner;
@@ -72,7 +72,7 @@
                 (self.spawner.clone(), answers.clone(), request.clone());
             let address = *address;
             self.spawner.spawn(async move {
-                let answer = ask(&spawner, &link, method, &request, within).await;
+                let answer = send_request(&spawner, &link, method, &request, within).await;
                 let read = answer.and_then(|bytes| {
                     let undecodable = |error| {
                         RequestError::Unreachable(format!(
--- a/programs/gateway/src/fleet/mod.rs
+++ b/programs/gateway/src/fleet/mod.rs
@@ -120,9 +120,9 @@
         voter,
         proxies: placement.via.clone(),
         carrier: None,
-        check: Rc::new(check_version),
-        check_function: Rc::new(check_function),
-        counts: Rc::new(move || counters::counters(&counted_driver, &zone, &label)),
+        validate_version: Rc::new(check_version),
+        validate_function: Rc::new(check_function),
+        read_counters: Rc::new(move || counters::counters(&counted_driver, &zone, &label)),
     };
     let state_applier = applier.clone();
     let apply_state =
--- a/programs/scale/src/hollow/front_ends.rs
+++ b/programs/scale/src/hollow/front_ends.rs
@@ -87,7 +87,7 @@
         let node = self.running.borrow().get(&front_end).cloned();
         // The node counts an undecodable message; the sender's process takes no answer to it.
         node.into_iter()
-            .for_each(|node| drop(node.on_datagram(message)));
+            .for_each(|node| drop(node.receive_message(message)));
     }
 
     /// Starts a front end without any state, at the address that it had before.
@@ -138,9 +138,9 @@
             voter: None,
             proxies: Default::default(),
             carrier: Some(Rc::new(carry)),
-            check: Rc::new(|_| Ok(())),
-            check_function: Rc::new(|_, _, _| Ok(())),
-            counts: Rc::new(Default::default),
+            validate_version: Rc::new(|_| Ok(())),
+            validate_function: Rc::new(|_, _, _| Ok(())),
+            read_counters: Rc::new(Default::default),
         })
     }
 
