--- a/net/platform/src/client/connection.rs
+++ b/net/platform/src/client/connection.rs
@@ -306,7 +306,7 @@
 fn take_request(reader: &mut Reader, parse: ParseRequest<'_>) -> Option<Incoming> {
     match reader.message(|message| (parse(&message), message.keep_alive)) {
         Ok(Some((Ok(request), keep_alive))) => {
-            if reader.bytes_beyond() > 0 {
+            if reader.trailing_bytes() > 0 {
                 return Some(Incoming::Invalid(Rejection::Pipelined));
             }
             reader.discard_message();
--- a/protocol/http1/src/reader.rs
+++ b/protocol/http1/src/reader.rs
@@ -49,7 +49,7 @@
         self.buffer.len()
     }
     /// Bytes that are buffered beyond the whole message at the front, if there is one.
-    pub fn bytes_beyond(&self) -> usize {
+    pub fn trailing_bytes(&self) -> usize {
         self.end
             .map_or(0, |end| self.buffer.len().saturating_sub(end))
     }
--- a/protocol/http1/tests/reading.rs
+++ b/protocol/http1/tests/reading.rs
@@ -126,7 +126,7 @@
         reader.message(|message| message.keep_alive),
         Ok(Some(false))
     );
-    assert_eq!(reader.bytes_beyond(), 3);
+    assert_eq!(reader.trailing_bytes(), 3);
     reader.discard_message();
     assert_eq!((reader.len(), reader.message(|_| ())), (3, Ok(None)));
 }
