--- a/net/inference/src/answers.rs
+++ b/net/inference/src/answers.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's final answers in gRPC's terms.
+//! Converts the dispatcher's final answers to gRPC trailers and in-band stream errors.
 
 use crate::trailers::{forwarded_trailers, BINARY};
 use base64::Engine as _;
@@ -45,13 +45,13 @@
     nanos: i32,
 }
 
-/// A span in whole milliseconds, rounded up: earlier would be too early.
-fn millis(span: i64) -> i64 {
-    span.max(0).saturating_add(999) / 1000
+/// Converts microseconds to milliseconds, rounded up so that a client does not retry too early.
+fn millis_rounded_up(micros: i64) -> i64 {
+    micros.max(0).saturating_add(999) / 1000
 }
 
-/// The code of a failure, and its text.
-fn failure(reason: FailureReason) -> (Code, &'static str) {
+/// The gRPC status code and the message of a failure.
+fn failure_status(reason: FailureReason) -> (Code, &'static str) {
     match reason {
         FailureReason::Deadline => (
             Code::DeadlineExceeded,
@@ -72,11 +72,11 @@
     }
 }
 
-/// The text of a refusal.
+/// The status message of a refused call.
 pub const REFUSAL: &str =
     "refused: no worker could take the call in its time; it did not run, or a repeat is harmless";
 
-/// The trailers of a unary call's final answer; of `Served` and `WorkerStatus` the worker's own.
+/// The trailers of a unary call's final answer. `Served` and `WorkerStatus` forward the worker's trailers.
 pub fn unary_trailers(answer: Answer, model: &str, worker: Option<&HeaderMap>) -> HeaderMap {
     match answer {
         Answer::Served | Answer::WorkerStatus => worker
@@ -84,7 +84,7 @@
             .unwrap_or_else(|| status_trailers(Code::Ok, "")),
         Answer::Refused { retry_after } => refusal_trailers(retry_after),
         Answer::Failed(reason) => {
-            let (code, text) = failure(reason);
+            let (code, text) = failure_status(reason);
             no_retry_trailers(code, text)
         }
         Answer::UnknownFunction => {
@@ -94,19 +94,19 @@
     }
 }
 
-/// A status, and the advice not to try again.
+/// A status whose pushback tells the client not to retry.
 fn no_retry_trailers(code: Code, text: &str) -> HeaderMap {
     let mut map = status_trailers(code, text);
     map.insert(names::RETRY_PUSHBACK, HeaderValue::from(-1));
     map
 }
 
-/// A refusal with its advice in both forms: the pushback of gRPC's retries, and `google.rpc.RetryInfo`.
+/// A refusal that states its retry delay twice: as gRPC retry pushback and as `google.rpc.RetryInfo`.
 fn refusal_trailers(retry_after: i64) -> HeaderMap {
     let mut map = status_trailers(Code::Unavailable, REFUSAL);
     map.insert(
         names::RETRY_PUSHBACK,
-        HeaderValue::from(millis(retry_after)),
+        HeaderValue::from(millis_rounded_up(retry_after)),
     );
     let delay = Duration {
         seconds: retry_after / 1_000_000,
@@ -130,11 +130,11 @@
     map
 }
 
-/// A refusal or failure within a stream.
+/// A refusal or failure of a streamed call, sent to the client as a message of the stream.
 pub struct StreamError {
-    /// Its text.
+    /// The error text.
     pub text: String,
-    /// The advice, if there is one.
+    /// How long the client should wait before it retries; `None` for a failure.
     pub retry_after_ms: Option<i64>,
 }
 
@@ -147,7 +147,7 @@
     }
 }
 
-/// The refusal or failure of a streamed call; `None`: it was served.
+/// The refusal or failure of a streamed call; `None` if it was served.
 pub fn stream_error(
     answer: Answer,
     model: &str,
@@ -168,9 +168,9 @@
         }
         Answer::Refused { retry_after } => Some(StreamError {
             text: REFUSAL.into(),
-            retry_after_ms: Some(millis(retry_after)),
+            retry_after_ms: Some(millis_rounded_up(retry_after)),
         }),
-        Answer::Failed(reason) => Some(StreamError::failed(failure(reason).1.into())),
+        Answer::Failed(reason) => Some(StreamError::failed(failure_status(reason).1.into())),
         Answer::UnknownFunction => Some(StreamError::failed(format!(
             "failed: no function {model:?} in the settings"
         ))),
--- a/net/inference/src/answers/tests.rs
+++ b/net/inference/src/answers/tests.rs
@@ -1,9 +1,9 @@
-//! Final answers as their clients read them.
+//! Tests that clients can read the retry advice in the trailers of refused and failed calls.
 
 use super::*;
 
 #[test]
-fn a_refusal_says_when_to_come_back_in_both_forms() {
+fn a_refusal_states_its_retry_delay_as_pushback_and_as_retry_info() {
     let map = unary_trailers(
         Answer::Refused {
             retry_after: 1_500_001,
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_failure_promises_nothing_and_asks_for_no_repeat() {
+fn a_failure_tells_the_client_not_to_retry() {
     for (reason, code) in [
         (FailureReason::Deadline, "4"),
         (FailureReason::ConnectionLost, "10"),
--- a/net/inference/src/attempts.rs
+++ b/net/inference/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: one request to a worker, from its command to its one end.
+//! Attempts: each sends a call's request to one worker and reports exactly one end.
 
 use crate::call::{CallContext, CancelSignal};
 use crate::messages::{stream_response, unary_response};
@@ -14,9 +14,10 @@
 use tansy_net_grpc::exchange::{Ending, Exchange, ExchangeEvent, Progress};
 use tansy_net_grpc::link::{Connection, Link};
 
-/// Learns of what happens to attempts and control requests. The driver is one; this module does not depend on it.
+/// Receives the events of attempts and control requests. The driver implements it, so that this module need not depend on
+/// the driver.
 pub trait AttemptObserver {
-    /// Something happened to an attempt that is not its end.
+    /// An attempt has made progress: its HEADERS were sent or a response message arrived.
     fn attempt_event(self: &Rc<Self>, input: Input);
     /// An attempt has ended.
     fn attempt_ended(
@@ -35,28 +36,28 @@
     );
 }
 
-/// One attempt as it is sent.
+/// The parameters of one attempt.
 pub struct Attempt {
-    /// Its call.
+    /// The call that the attempt belongs to.
     pub call: Rc<CallContext>,
-    /// Its number.
+    /// The attempt's number within its call.
     pub number: u32,
-    /// What is left of the time of its call, microseconds.
+    /// The rest of the call's time budget, microseconds.
     pub budget: i64,
-    /// Bytes of one response message at most.
+    /// The most bytes of one response message.
     pub max_message_bytes: usize,
 }
 
 /// The end of an attempt or a control request.
 pub struct AttemptEnd {
-    /// How it ended.
+    /// The outcome.
     pub outcome: AttemptOutcome,
-    /// Its trailers, if any came.
+    /// The trailers, if any arrived.
     pub trailers: Option<HeaderMap>,
 }
 
 impl AttemptEnd {
-    /// An end without trailers.
+    /// Creates an end without trailers.
     pub fn without_trailers(outcome: AttemptOutcome) -> AttemptEnd {
         AttemptEnd {
             outcome,
@@ -64,10 +65,10 @@
         }
     }
 
-    /// The end of an exchange; `last`: the last message of its answer had come.
-    pub fn new(ending: Ending, progress: Progress, last: bool) -> AttemptEnd {
+    /// Converts the end of an exchange. `is_complete`: the final message of the response had arrived.
+    pub fn new(ending: Ending, progress: Progress, is_complete: bool) -> AttemptEnd {
         let stage = match progress {
-            _ if last => ResponseStage::Last,
+            _ if is_complete => ResponseStage::Last,
             Progress::Nothing => ResponseStage::Nothing,
             Progress::Headers => ResponseStage::Headers,
             Progress::Messages => ResponseStage::Messages,
@@ -86,14 +87,14 @@
             Ending::NeverLeft => AttemptOutcome::NeverLeft,
             Ending::NoTrailers => AttemptOutcome::NoTrailers { stage },
             Ending::InvalidResponse(error) => {
-                tracing::debug!(%error, "a worker's answer was refused");
+                tracing::debug!(%error, "invalid response from a worker");
                 AttemptOutcome::InvalidResponse { stage }
             }
             Ending::Cancelled => AttemptOutcome::Cancelled,
         })
     }
 
-    /// What its trailers stated.
+    /// The trailers as the dispatcher reads them; the default if none arrived.
     pub fn stated_trailers(&self) -> Trailers {
         self.trailers
             .as_ref()
@@ -102,7 +103,7 @@
     }
 }
 
-/// Sends one attempt and reports what comes of it.
+/// Sends one attempt and reports its events and its end.
 pub async fn run_attempt<O: AttemptObserver>(
     observer: Rc<O>,
     attempt: Attempt,
@@ -135,7 +136,7 @@
         call.unary,
         attempt.max_message_bytes,
     );
-    // Not queued: nothing of it can leave.
+    // The request was not queued, so that no part of it can be sent.
     let Ok(mut exchange) = started else {
         return AttemptEnd::without_trailers(AttemptOutcome::NeverLeft);
     };
@@ -163,7 +164,7 @@
     }
 }
 
-/// The next event of an exchange, after what its signal asks for.
+/// Applies the requests of the signal, then polls the exchange for its next event.
 fn poll_exchange<O: AttemptObserver>(
     observer: &Rc<O>,
     attempt: &Attempt,
@@ -187,7 +188,7 @@
     exchange.poll_event(cx)
 }
 
-/// Reports a response message, which the dispatcher may have forwarded. `ended`: the last message had come before it.
+/// Reports a response message, which the dispatcher may have forwarded. `ended`: the final message arrived before it.
 fn forward<O: AttemptObserver>(
     observer: &Rc<O>,
     attempt: &Attempt,
@@ -205,11 +206,11 @@
         attempt: attempt.number,
         last,
     });
-    // What the dispatcher did not have forwarded must not be taken for a later message.
+    // A message that the dispatcher did not forward must not be mistaken for a later one.
     call.staged.borrow_mut().take();
 }
 
-/// Ready once the client has room for a further message, or the attempt is to be cancelled.
+/// Ready once the client's queue has room for another message, or cancellation of the attempt was requested.
 fn poll_client_capacity(
     call: &CallContext,
     signal: &CancelSignal,
@@ -223,7 +224,7 @@
     }
 }
 
-/// A connection that can take a stream now; or how the attempt ended without one.
+/// Waits for a connection that can open a stream; returns the outcome of the attempt if there is none.
 pub(crate) async fn connect(
     link: &Rc<Link>,
     signal: &CancelSignal,
@@ -250,7 +251,7 @@
     ready.await.map(|()| connection)
 }
 
-/// The head of a request to a worker.
+/// The headers of a request to a worker.
 pub(crate) fn request_head(
     link: &Link,
     path: &str,
@@ -265,7 +266,7 @@
         .scheme("http")
         .authority(authority)
         .path_and_query(path);
-    // A socket address and a path of ours always make a URI.
+    // A socket address and a constant path always form a valid URI.
     *request.uri_mut() = uri.build().unwrap_or_default();
     let headers = request.headers_mut();
     if let Some(metadata) = metadata {
@@ -277,7 +278,7 @@
         HeaderValue::from_static("application/grpc"),
     );
     if let Some(mut value) = budget.and_then(|b| HeaderValue::from_str(&format_timeout(b)).ok()) {
-        // Never the same twice: it would only push useful entries out of the header table (RFC 7541, 7.1.3).
+        // Timeouts rarely repeat: indexing them would evict useful entries from the header table (RFC 7541, 7.1.3).
         value.set_sensitive(true);
         headers.insert(HeaderName::from_static("grpc-timeout"), value);
     }
--- a/net/inference/src/call.rs
+++ b/net/inference/src/call.rs
@@ -1,4 +1,4 @@
-//! What is kept of a call on its way, and the signal by which its attempt is cancelled.
+//! The state of a call in progress, and the signal that cancels its attempt.
 
 use crate::response_queue::ResponseQueue;
 use bytes::Bytes;
@@ -8,33 +8,33 @@
 use std::task::{Context, Waker};
 use tansy_dispatch::CallId;
 
-/// A call on its way.
+/// The state of a call in progress.
 pub struct CallContext {
-    /// Its number.
+    /// The call's number at the dispatcher.
     pub id: CallId,
     /// The name of the function.
     pub model: String,
-    /// The client's id for it.
+    /// The id that the client gave its request.
     pub request_id: String,
-    /// The path of the method.
+    /// The path of the called method.
     pub path: &'static str,
-    /// The request, framed.
+    /// The framed request message.
     pub body: Bytes,
-    /// The client's metadata.
+    /// The client's application metadata.
     pub metadata: HeaderMap,
-    /// Whether it has one answer, not a stream of messages.
+    /// Whether the call is unary; otherwise its response is a stream of messages.
     pub unary: bool,
-    /// Where its answer goes.
+    /// The queue of messages for the client.
     pub responses: Rc<ResponseQueue>,
-    /// A response message that the dispatcher was given, until it has it forwarded.
+    /// The response message that was reported to the dispatcher, until the dispatcher has it forwarded.
     pub staged: RefCell<Option<Bytes>>,
-    /// The last message was forwarded.
+    /// Whether the final message of a streamed response was received.
     pub complete: Cell<bool>,
     /// The trailers of the attempt that ended last.
     pub trailers: RefCell<Option<HeaderMap>>,
 }
 
-/// Has the task of an attempt or a control request cancel it, or report whether it has been sent.
+/// Tells the task of an attempt or a control request to cancel it, or to confirm that it has been sent.
 #[derive(Default)]
 pub struct CancelSignal {
     cancelled: Cell<bool>,
@@ -43,24 +43,24 @@
 }
 
 impl CancelSignal {
-    /// Has it cancelled.
+    /// Requests cancellation.
     pub fn cancel(&self) {
         self.cancelled.set(true);
         self.wake();
     }
 
-    /// Has it report whether its HEADERS have left; if not, it is cancelled.
+    /// Requests confirmation that the HEADERS have been sent; if they have not, the task cancels the request.
     pub fn confirm(&self) {
         self.confirmation_requested.set(true);
         self.wake();
     }
 
-    /// Whether a confirmation was asked for since the last time.
+    /// Takes the request for confirmation, if one was made since the last call.
     pub fn take_confirmation_request(&self) -> bool {
         self.confirmation_requested.take()
     }
 
-    /// Whether it is to be cancelled; wakes the task when it is.
+    /// Whether cancellation was requested. If not, the task is woken by the next signal.
     pub fn poll_cancelled(&self, cx: &Context<'_>) -> bool {
         if !self.cancelled.get() {
             let mut waker = self.waker.borrow_mut();
--- a/net/inference/src/clients.rs
+++ b/net/inference/src/clients.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: read, checked, given to the driver, answered.
+//! Serves the requests of clients: reads and checks them, starts calls at the driver, and writes the responses.
 
 use crate::call::CallContext;
 use crate::driver::Driver;
@@ -24,15 +24,15 @@
 };
 use tansy_net_sockets::within;
 
-/// Calls that may be open on one stream; its further requests are not read until one ends.
+/// Calls that may be open on one stream. Further requests of the stream are read once a call ends.
 const MAX_CALLS_PER_STREAM: usize = 4096;
-/// Time for the message of a unary call to come in.
+/// Time within which the message of a unary request must arrive.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
 
 const INFER: &str = "/inference.GRPCInferenceService/ModelInfer";
 const STREAM: &str = "/inference.GRPCInferenceService/ModelStreamInfer";
 
-/// The handler of a driver's listener.
+/// A request handler that serves clients through this driver.
 pub fn handler(driver: Rc<Driver>) -> RequestHandler {
     Rc::new(move |request, respond| {
         let task = serve(driver.clone(), request, respond);
@@ -46,7 +46,7 @@
     if let Err(status) = check_grpc(&parts.method, &parts.headers) {
         let mut response = Response::new(());
         *response.status_mut() = status;
-        // Fails only if the client has gone.
+        // Fails only if the client has left.
         let _ = respond.send_response(response, true);
         return;
     }
@@ -71,7 +71,7 @@
     }
 }
 
-/// Whether a request is one of gRPC; else the status of HTTP that says what it is not.
+/// Checks that a request is a gRPC request; otherwise returns the HTTP status to respond with.
 fn check_grpc(method: &Method, headers: &HeaderMap) -> Result<(), StatusCode> {
     let content_type = headers
         .get(http::header::CONTENT_TYPE)
@@ -88,37 +88,41 @@
     Ok(())
 }
 
-/// The time that a client gives its request, microseconds.
+/// The timeout that the client states in `grpc-timeout`, microseconds.
 fn stated_timeout(headers: &HeaderMap) -> Result<Option<i64>, RequestStatus> {
     let Some(value) = headers.get("grpc-timeout") else {
         return Ok(None);
     };
     let micros = parse_timeout(value.as_bytes());
     micros.map(Some).ok_or_else(|| {
-        let message = format!("grpc-timeout {value:?}: want up to 8 digits and one of H M S m u n");
+        let message =
+            format!("invalid grpc-timeout {value:?}: want up to 8 digits and one of H M S m u n");
         RequestStatus::new(Code::InvalidArgument, message)
     })
 }
 
-/// The one message of a unary request.
-async fn read_one(driver: &Driver, body: RecvStream) -> Result<Option<Bytes>, RequestStatus> {
+/// Reads the message of a unary request; `None` if the client sent none.
+async fn read_unary_message(
+    driver: &Driver,
+    body: RecvStream,
+) -> Result<Option<Bytes>, RequestStatus> {
     let mut messages = RequestMessages::new(body, driver.options.clients.message_bytes);
     let mut first: Option<Bytes> = None;
     let mut read = |cx: &mut Context<'_>| {
         let message = messages.poll_unary(&mut first, cx);
         message.map_err(RequestStatus::from)
     };
-    // Nearly always whole at once; only a slow one costs a timer.
-    let now = poll_fn(|cx| Poll::Ready(read(cx))).await;
-    if let Poll::Ready(done) = now {
-        return done;
+    // The message has usually arrived in full with the headers, so that no timer is needed.
+    let first_poll = poll_fn(|cx| Poll::Ready(read(cx))).await;
+    if let Poll::Ready(message) = first_poll {
+        return message;
     }
     let limit = driver.spawner.sleep(MESSAGE_TIMEOUT);
-    let late = || {
-        let message = "the request's message did not come in time";
+    let timed_out = || {
+        let message = "the request message did not arrive in time";
         Err(RequestStatus::new(Code::DeadlineExceeded, message))
     };
-    within(limit, poll_fn(read)).await.unwrap_or_else(late)
+    within(limit, poll_fn(read)).await.unwrap_or_else(timed_out)
 }
 
 struct IncomingRequest {
@@ -129,7 +133,7 @@
 }
 
 impl IncomingRequest {
-    /// A request as the dispatcher wants it; on a stream the parameter `timeout` is read too.
+    /// Converts a request to a call of the dispatcher. On a stream the request parameter `timeout` is read too.
     fn call(&self, id: CallId, request: &scan::InferRequest<'_>, on_stream: bool) -> Call {
         let keys = self.driver.metadata_keys();
         let stated = |key: &str| -> Option<String> {
@@ -139,7 +143,7 @@
         };
         let class_name = stated(&keys.class);
         let tenant_name = stated(&keys.tenant);
-        // The outer `None`: the call names none. The inner one: the settings do not know the name.
+        // An outer `None` means that the call states no name, an inner `None` that the settings do not define the name.
         let (class, tenant) = self.driver.with_dispatcher(|dispatcher| {
             let class = class_name.as_deref().map(|c| dispatcher.class_index(c));
             let tenant = tenant_name.as_deref().map(|t| dispatcher.tenant_index(t));
@@ -165,8 +169,8 @@
         }
     }
 
-    /// The time of a call. The time-out of a whole stream bounds each of its calls; the clock of both began with the
-    /// headers.
+    /// The time budget of a call, microseconds. The timeout of a stream limits each of its calls. Time is counted from the
+    /// arrival of the headers.
     fn call_budget(&self, request: &scan::InferRequest<'_>, on_stream: bool) -> Option<i64> {
         let elapsed = i64::try_from(self.received.elapsed().as_micros()).unwrap_or(i64::MAX);
         let left = self
@@ -209,29 +213,29 @@
 
     async fn unary(self, body: RecvStream, mut respond: SendResponse<Bytes>) {
         let responses = Rc::new(ResponseQueue::default());
-        let message = read_one(&self.driver, body).await;
+        let message = read_unary_message(&self.driver, body).await;
         if let Err(status) = message.and_then(|message| self.start_unary(message, &responses)) {
             return respond_trailers_only(&mut respond, status.trailers());
         }
-        let end = poll_fn(|cx| {
-            if let Some(end) = take_unary_end(&responses) {
-                return Poll::Ready(Some(end));
+        let response = poll_fn(|cx| {
+            if let Some(response) = take_unary_response(&responses) {
+                return Poll::Ready(Some(response));
             }
             responses.set_reader(cx);
             // The client has reset the stream, or its connection has ended.
             respond.poll_reset(cx).map(|_| None)
         });
-        let Some(end) = end.await else {
+        let Some(response) = response.await else {
             return self.driver.client_left(responses.abandon());
         };
-        let Some(message) = end.message else {
-            return respond_trailers_only(&mut respond, end.trailers);
+        let Some(message) = response.message else {
+            return respond_trailers_only(&mut respond, response.trailers);
         };
-        // Fails only if the client has gone.
+        // Fails only if the client has left.
         if let Ok(mut send) = respond.send_response(response_headers(), false) {
             let _ = send
                 .send_data(message, false)
-                .and_then(|()| send.send_trailers(end.trailers));
+                .and_then(|()| send.send_trailers(response.trailers));
         }
     }
 
@@ -240,8 +244,9 @@
         message: Option<Bytes>,
         responses: &Rc<ResponseQueue>,
     ) -> Result<(), RequestStatus> {
-        let message =
-            message.ok_or_else(|| RequestStatus::new(Code::InvalidArgument, "no message came"))?;
+        let message = message.ok_or_else(|| {
+            RequestStatus::new(Code::InvalidArgument, "the request has no message")
+        })?;
         let request = scan::InferRequest::parse(&message)?;
         self.start(&message, &request, responses, true);
         Ok(())
@@ -265,7 +270,7 @@
             if send.poll_reset(cx).is_ready() {
                 return Poll::Ready(None);
             }
-            match write(&mut send, &mut unsent, &responses, cx) {
+            match write_queued(&mut send, &mut unsent, &responses, cx) {
                 Err(_) => Poll::Ready(None),
                 Ok(true) if messages.is_none() && responses.open_calls() == 0 => {
                     Poll::Ready(Some(status_trailers(Code::Ok, "")))
@@ -274,15 +279,15 @@
             }
         })
         .await;
-        // Whatever is open now has lost its client.
+        // Calls that are still open have lost their client.
         self.driver.client_left(responses.abandon());
         if let Some(trailers) = end {
             let _ = send.send_trailers(trailers);
         }
     }
 
-    /// Reads what has come on a stream; `messages` is taken when the client has sent its last. At the limit of open calls
-    /// nothing is read; the end of a call wakes this task.
+    /// Reads the messages that have arrived on a stream. `messages` becomes `None` at the end of the client's messages. At
+    /// the limit of open calls nothing is read; the end of a call wakes this task.
     fn read_stream(
         &self,
         messages: &mut Option<RequestMessages>,
@@ -303,7 +308,7 @@
         Ok(())
     }
 
-    /// One request of a stream. What is wrong with it is answered in band; the stream goes on.
+    /// Starts the call of one message of a stream. A malformed message is answered in band and does not end the stream.
     fn start_streamed(&self, message: &Bytes, responses: &Rc<ResponseQueue>) {
         match scan::InferRequest::parse(message) {
             Ok(request) => self.start(message, &request, responses, false),
@@ -314,9 +319,9 @@
         }
     }
 
-    /// A question that the front end answers itself.
+    /// Serves a method that the front end answers without a worker.
     async fn query(self, method: &str, body: RecvStream, mut respond: SendResponse<Bytes>) {
-        let answer = match read_one(&self.driver, body).await {
+        let answer = match read_unary_message(&self.driver, body).await {
             Ok(message) => queries::answer(&self.driver, method, &message.unwrap_or_default()),
             Err(status) => Err(status),
         };
@@ -332,15 +337,15 @@
     }
 }
 
-/// The end of a unary call: at most one message, and the trailers.
-struct UnaryEnd {
+/// The response of a unary call: at most one message, and the trailers.
+struct UnaryResponse {
     message: Option<Bytes>,
     trailers: HeaderMap,
 }
 
-fn take_unary_end(responses: &ResponseQueue) -> Option<UnaryEnd> {
+fn take_unary_response(responses: &ResponseQueue) -> Option<UnaryResponse> {
     if let Some(trailers) = responses.take_status() {
-        return Some(UnaryEnd {
+        return Some(UnaryResponse {
             message: None,
             trailers,
         });
@@ -349,14 +354,15 @@
     let trailers = responses
         .take_status()
         .unwrap_or_else(|| status_trailers(Code::Internal, "no status"));
-    Some(UnaryEnd {
+    Some(UnaryResponse {
         message: Some(message),
         trailers,
     })
 }
 
-/// Writes what waits, as far as the client takes it; true: all of it. An error: the client has gone.
-fn write(
+/// Writes queued messages as far as flow control allows. Returns whether all were written, or an error if the client has
+/// left.
+fn write_queued(
     send: &mut SendStream<Bytes>,
     unsent: &mut Bytes,
     responses: &ResponseQueue,
--- a/net/inference/src/control.rs
+++ b/net/inference/src/control.rs
@@ -1,4 +1,4 @@
-//! Control requests: a probe, a load or an unload, from its command to its one end.
+//! Control requests to workers (probe, load, unload). Each reports exactly one end.
 
 use crate::attempts::{connect, request_head, AttemptEnd, AttemptObserver};
 use crate::call::CancelSignal;
@@ -14,14 +14,14 @@
 use tansy_net_grpc::exchange::{Ending, Exchange, ExchangeEvent};
 use tansy_net_grpc::link::Link;
 
-/// A control request as it is sent.
+/// The method path and the body of a control request.
 pub struct ControlMessage {
     path: &'static str,
     body: Bytes,
 }
 
 impl ControlMessage {
-    /// `ServerReady`, whose trailers carry the load report.
+    /// A `ServerReady` request; the trailers of its response carry the worker's load report.
     pub fn probe() -> ControlMessage {
         ControlMessage {
             path: "/inference.GRPCInferenceService/ServerReady",
@@ -29,7 +29,7 @@
         }
     }
 
-    /// `RepositoryModelLoad` with the parameter `instances`.
+    /// A `RepositoryModelLoad` request with the parameter `instances`.
     pub fn load(function: &str, instances: u32) -> ControlMessage {
         use pb::model_repository_parameter::ParameterChoice;
         let count = ParameterChoice::Int64Param(i64::from(instances));
@@ -47,7 +47,7 @@
         }
     }
 
-    /// `RepositoryModelUnload`.
+    /// A `RepositoryModelUnload` request.
     pub fn unload(function: &str) -> ControlMessage {
         let message = pb::RepositoryModelUnloadRequest {
             model_name: function.into(),
@@ -60,8 +60,8 @@
     }
 }
 
-/// Bytes of an answer to a control request at most; it holds nothing.
-const MAX_ANSWER_BYTES: usize = 64 * 1024;
+/// The most bytes of a response to a control request; its result is in the trailers.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
 /// Sends one control request and reports its end.
 pub async fn run_control_request<O: AttemptObserver>(
@@ -82,7 +82,7 @@
         Err(outcome) => return AttemptEnd::without_trailers(outcome),
     };
     let head = request_head(link, message.path, None, None);
-    let started = Exchange::start(connection, head, message.body, true, MAX_ANSWER_BYTES);
+    let started = Exchange::start(connection, head, message.body, true, MAX_RESPONSE_BYTES);
     let Ok(mut exchange) = started else {
         return AttemptEnd::without_trailers(AttemptOutcome::NeverLeft);
     };
@@ -96,7 +96,7 @@
         if let ExchangeEvent::Ended(ending, progress) = event.await {
             if let Ending::Status(code, _) = &ending {
                 if *code != Code::Ok {
-                    tracing::debug!(path = message.path, ?code, "a control request failed");
+                    tracing::debug!(path = message.path, ?code, "control request failed");
                 }
             }
             return AttemptEnd::new(ending, progress, false);
--- a/net/inference/src/directory.rs
+++ b/net/inference/src/directory.rs
@@ -1,30 +1,30 @@
-//! Functions that the settings in force do not name.
+//! The interface for looking up functions that the settings in force do not name.
 
 use std::rc::Rc;
 use tansy_dispatch::FunctionShape;
 
-/// What is known of a function that the settings in force do not name.
+/// The result of looking up a function that the settings in force do not name.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DirectoryEntry {
-    /// Its calls are accepted.
+    /// Calls of the function are accepted.
     Known {
-        /// Its class, by name.
+        /// The name of the function's class.
         class: Rc<str>,
-        /// Its shape.
+        /// The lanes, memory and load time of the function.
         shape: FunctionShape,
     },
-    /// Its calls are refused: front ends can't be sure that they agree on it.
+    /// Calls of the function are refused, because the front ends may not agree on its settings.
     Refused,
-    /// There is no such function.
+    /// The function does not exist.
     Unknown,
-    /// It was asked for: its calls wait, until [`Driver::resolve_pending`](crate::Driver::resolve_pending) finds more or
-    /// their time is up.
+    /// The function's settings were requested. Its calls wait until
+    /// [`Driver::resolve_pending`](crate::Driver::resolve_pending) resolves them or their time budget ends.
     Pending,
 }
 
-/// Knows functions that the settings in force do not name. It is asked for each call of one, at the moment when that call
-/// comes or goes on, and by its own clock.
+/// Looks up functions that the settings in force do not name. The driver queries it when a call of such a function arrives
+/// and when a waiting call is resumed; the directory reads its own clock.
 pub trait FunctionDirectory {
-    /// What is known of this function now.
+    /// Looks up a function as of now.
     fn lookup(&self, function: &str) -> DirectoryEntry;
 }
--- a/net/inference/src/driver.rs
+++ b/net/inference/src/driver.rs
@@ -21,8 +21,8 @@
 use tansy_net_sockets::{clock, Spawner};
 use tansyrouter::Time;
 
-/// The loop may sleep a little past a timer, microseconds, so that the tick of the timer wheel has begun.
-const PAST_DUE: u64 = 50;
+/// Microseconds that the event loop sleeps past a timer's due time, so that the tick of the timer wheel has begun.
+const TIMER_SLACK_US: u64 = 50;
 
 struct DriverState {
     dispatcher: Dispatcher,
@@ -38,7 +38,7 @@
 }
 
 impl DriverState {
-    /// One step of the dispatcher, written to the recording if there is one.
+    /// Runs one step of the dispatcher and writes it to the recording, if recording is enabled.
     fn step(&mut self, now: Time, input: Input, commands: &mut Vec<Command>) {
         let recorded = self.recording.is_some().then(|| input.clone());
         self.dispatcher.step(now, input, commands);
@@ -49,18 +49,18 @@
                 commands: commands.clone(),
             };
             if let Err(error) = writeln!(recording, "{}", step.to_line()) {
-                tracing::error!(%error, "the record can't be written; recording ends");
+                tracing::error!(%error, "cannot write the recording; recording stopped");
                 self.recording = None;
             }
         }
     }
 }
 
-/// The driver of one front end.
+/// Connects one front end's dispatcher to its network connections.
 pub struct Driver {
-    /// Starts its tasks.
+    /// Spawns the tasks of calls, attempts and control requests.
     pub spawner: Spawner,
-    /// Its bounds and names.
+    /// Limits and metadata keys.
     pub options: DriverOptions,
     keys: RefCell<Rc<MetadataKeys>>,
     epoch: i64,
@@ -69,7 +69,7 @@
 }
 
 impl Driver {
-    /// A driver of a dispatcher. `recording` gets every step of the dispatcher as a line.
+    /// Creates a driver for a dispatcher. If `recording` is given, each step of the dispatcher is written to it as a line.
     pub fn new(
         spawner: Spawner,
         dispatcher: Dispatcher,
@@ -99,18 +99,17 @@
         })
     }
 
-    /// The dispatcher's clock.
+    /// The current time on the dispatcher's clock, which starts at zero when the driver is created.
     pub fn now(&self) -> Time {
         Time(clock::now() - self.epoch)
     }
 
-    /// By which keys calls state what they are.
+    /// The metadata keys from which calls take their class, tenant and work estimate.
     pub fn metadata_keys(&self) -> Rc<MetadataKeys> {
         self.keys.borrow().clone()
     }
 
-    /// Applies this configuration from now on, and each of `scheduled` when so many microseconds have passed. On an error
-    /// nothing changes.
+    /// Applies a configuration now, and each of `scheduled` after its delay in microseconds. On an error nothing changes.
     pub fn apply_settings(
         &self,
         effective: EffectiveConfig,
@@ -120,7 +119,7 @@
         let now = self.now();
         let scheduled = scheduled
             .into_iter()
-            .map(|(after, config)| (now.plus(after), config))
+            .map(|(delay, config)| (now.plus(delay), config))
             .collect();
         self.state
             .borrow_mut()
@@ -130,25 +129,25 @@
         Ok(())
     }
 
-    /// The settings in force are valid for longer: the scheduled ones apply so long from now, one figure for each. False:
-    /// some apply already.
-    pub fn extend_expiry(&self, after: &[i64]) -> bool {
+    /// Postpones the scheduled configurations: each applies after its delay in `delays`, microseconds from now. Returns
+    /// false if one of them applies already.
+    pub fn extend_expiry(&self, delays: &[i64]) -> bool {
         let now = self.now();
-        let expiries: Vec<Time> = after.iter().map(|after| now.plus(*after)).collect();
+        let expiries: Vec<Time> = delays.iter().map(|delay| now.plus(*delay)).collect();
         self.state
             .borrow_mut()
             .dispatcher
             .extend_expiry(now, &expiries)
     }
 
-    /// How long the loop may sleep before it has to call [`Driver::tick`].
+    /// How long the event loop may sleep before it must call [`Driver::tick`]; `None` if no timer is pending.
     pub fn sleep(&self) -> Option<Duration> {
         let due = self.state.borrow().dispatcher.next_due()?;
         let left = due.since(self.now()).max(0) as u64;
-        Some(Duration::from_micros(left + PAST_DUE))
+        Some(Duration::from_micros(left + TIMER_SLACK_US))
     }
 
-    /// Lets the dispatcher's timers run if one is due.
+    /// Runs the dispatcher's timers if one is due.
     pub fn tick(self: &Rc<Self>) {
         let due = self.state.borrow().dispatcher.next_due();
         if due.is_some_and(|at| at <= self.now()) {
@@ -156,7 +155,7 @@
         }
     }
 
-    /// Takes up the full list of workers.
+    /// Replaces the list of workers.
     pub fn set_workers(self: &Rc<Self>, workers: Vec<WorkerEndpoint>) {
         let mut moved = Vec::new();
         {
@@ -165,7 +164,7 @@
                 .iter()
                 .map(|worker| (worker.record.name.clone(), worker.address))
                 .collect();
-            // A worker that came back elsewhere is reached there, and no longer where it was.
+            // Retires the link to a worker whose address changed; its next attempt connects to the new address.
             let DriverState {
                 links, addresses, ..
             } = &mut *state;
@@ -186,17 +185,18 @@
         });
     }
 
-    /// Reads the dispatcher.
+    /// Calls `read` with the dispatcher.
     pub fn with_dispatcher<T>(&self, read: impl FnOnce(&Dispatcher) -> T) -> T {
         read(&self.state.borrow().dispatcher)
     }
 
-    /// Has final answers counted by class from now on.
+    /// Enables counters of final answers by class.
     pub fn enable_class_counters(&self) {
         self.state.borrow_mut().dispatcher.enable_class_counters();
     }
 
-    /// Has answers that are counted by class valued by these classes, by name, whatever the settings in force say.
+    /// Values the answers that are counted by class according to these classes, by name, instead of those of the settings
+    /// in force.
     pub fn set_valuation_classes(&self, classes: BTreeMap<String, tansyrouter::Class>) {
         self.state
             .borrow_mut()
@@ -204,27 +204,26 @@
             .set_valuation_classes(classes);
     }
 
-    /// The counters, and calls still open.
+    /// The counters and the number of open calls.
     pub fn counters(&self) -> (Counters, u64) {
         let state = self.state.borrow();
         let open = state.dispatcher.open_calls() as u64;
         (state.dispatcher.counters().clone(), open)
     }
 
-    /// Calls of functions that the settings in force do not name are looked up so from now on. Only the first directory
-    /// counts.
+    /// Sets the directory for functions that the settings in force do not name. Later calls of this method have no effect.
     pub fn set_directory(&self, directory: Rc<dyn FunctionDirectory>) {
         let _ = self.directory.set(directory);
     }
 
-    /// Looks up again the functions that calls wait for.
+    /// Repeats the lookup of functions for which calls wait, and resumes the calls of those that are resolved.
     pub fn resolve_pending(self: &Rc<Self>) {
         let functions: Vec<String> = self.with_dispatcher(|dispatcher| {
             let awaited = dispatcher.awaited_functions();
             awaited.map(str::to_string).collect()
         });
         for function in functions {
-            // A version may name it by now.
+            // The settings may have come to name the function since its call arrived.
             let configured = self.configured_function(&function);
             match configured.or_else(|| self.lookup(&function)) {
                 None | Some(FunctionLookup::Pending) => {}
@@ -233,7 +232,7 @@
         }
     }
 
-    /// A function that the settings in force name, as a lookup would give it.
+    /// The lookup result of a function that the settings in force name; `None` if they do not name it.
     fn configured_function(&self, function: &str) -> Option<FunctionLookup> {
         self.with_dispatcher(|dispatcher| {
             let spec = dispatcher
@@ -251,14 +250,14 @@
         })
     }
 
-    /// Whether calls of this function would be accepted now, as far as its settings say; what is not known yet is asked
-    /// for.
+    /// Whether the settings or the directory allow calls of this function now. The directory may start to fetch a function
+    /// that it does not know yet.
     pub fn is_known(&self, function: &str) -> bool {
         self.with_dispatcher(|dispatcher| dispatcher.is_configured(function))
             || matches!(self.lookup(function), Some(FunctionLookup::Known { .. }))
     }
 
-    /// What is known of a function; `None`: the settings in force name it, or there is no directory.
+    /// Looks a function up in the directory; `None` if the settings in force name it or no directory is set.
     fn lookup(&self, function: &str) -> Option<FunctionLookup> {
         let directory = self.directory.get()?;
         if self.with_dispatcher(|dispatcher| dispatcher.is_configured(function)) {
@@ -266,7 +265,7 @@
         }
         Some(match directory.lookup(function) {
             DirectoryEntry::Known { class, shape } => {
-                // A class that the settings in force don't have says nothing of what its calls are.
+                // Calls of a class that the settings in force do not define are refused.
                 let class = self.with_dispatcher(|dispatcher| dispatcher.class_index(&class));
                 class.map_or(FunctionLookup::Refused, |class| FunctionLookup::Known {
                     class,
@@ -279,7 +278,7 @@
         })
     }
 
-    /// Starts a call; its answer comes to its response queue.
+    /// Starts a call. The answer goes to the call's response queue.
     pub fn start_call(self: &Rc<Self>, make: impl FnOnce(CallId) -> (CallContext, Call)) {
         let id = {
             let mut state = self.state.borrow_mut();
@@ -295,7 +294,7 @@
         });
     }
 
-    /// The client of these calls has left.
+    /// Reports that the client of these calls has left.
     pub fn client_left(self: &Rc<Self>, calls: Vec<CallId>) {
         for call in calls {
             self.state.borrow_mut().calls.remove(&call);
@@ -303,7 +302,8 @@
         }
     }
 
-    /// Gives the dispatcher an input and executes its commands. Inputs that arise meanwhile follow in order.
+    /// Passes an input to the dispatcher and executes the resulting commands. Inputs that arise meanwhile are processed
+    /// afterwards, in order.
     pub fn feed(self: &Rc<Self>, input: Input) {
         if !self.state.borrow_mut().inputs.push(input) {
             return;
--- a/net/inference/src/driver/commands.rs
+++ b/net/inference/src/driver/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of the dispatcher, executed.
+//! Executes the dispatcher's commands.
 
 use super::{Driver, DriverState};
 use crate::answers;
@@ -60,7 +60,7 @@
                 failed_loads,
             } => {
                 tracing::warn!(%worker, %function, status = %outcome, count = failed_loads,
-                    "a load request left no instance (an OK has to carry tansy-instances); load requests there back off");
+                    "load request left no instance (an OK reply must carry tansy-instances); backing off load requests of this function to this worker");
             }
             Command::FetchWorkerList | Command::SubscribeWorkerList => self.repeat_worker_list(),
         }
@@ -152,12 +152,12 @@
     fn drop_connection(&self, worker: &str) {
         let link = self.state.borrow().links.get(worker).cloned();
         if let Some(link) = link {
-            tracing::info!(%worker, "its connection takes nothing and is dropped");
+            tracing::info!(%worker, "dropping a connection that accepts no data");
             link.drop_connection();
         }
     }
 
-    /// The list comes unasked here; asked for, it comes again as it stands.
+    /// Feeds the current worker list again. The host pushes changes by itself, so that nothing has to be fetched.
     fn repeat_worker_list(self: &Rc<Self>) {
         let workers = self
             .state
@@ -174,14 +174,14 @@
 
     fn link(&self, state: &mut DriverState, worker: &str) -> Option<Rc<Link>> {
         let address = *state.addresses.get(worker)?;
-        let fresh = || Link::new(self.spawner.clone(), address, self.options.workers);
+        let new_link = || Link::new(self.spawner.clone(), address, self.options.workers);
         let links = &mut state.links;
-        let link = links.entry(worker.to_string()).or_insert_with(fresh);
+        let link = links.entry(worker.to_string()).or_insert_with(new_link);
         Some(link.clone())
     }
 }
 
-/// Gives a call's client its final answer.
+/// Sends a call's final answer to its client.
 fn finish(call: &CallContext, answer: Answer) {
     let trailers = call.trailers.borrow();
     if call.unary {
--- a/net/inference/src/messages.rs
+++ b/net/inference/src/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of workers as the client gets them: with its own id.
+//! Checks the response messages of workers and restores the client's request id in them.
 
 use crate::call::CallContext;
 use bytes::Bytes;
@@ -6,21 +6,21 @@
 use tansy_inference::{amend, scan};
 use thiserror::Error;
 
-/// A message of a worker that is no answer.
+/// Why a message from a worker is not a valid response.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// A message of a streamed answer is malformed.
-    #[error("a piece that is no message: {0}")]
+    /// A message of a streamed response is malformed.
+    #[error("malformed stream response: {0}")]
     MalformedStreamResponse(scan::Malformed),
-    /// The answer of a unary call is malformed.
-    #[error("an answer that is no message: {0}")]
+    /// The response of a unary call is malformed.
+    #[error("malformed response: {0}")]
     MalformedResponse(scan::Malformed),
-    /// The worker reports an error in band.
-    #[error("the worker reports: {0}")]
+    /// The worker reports an error in a message of the stream.
+    #[error("the worker reports an error: {0}")]
     WorkerError(String),
 }
 
-/// A message of a streamed answer, framed for the client, and whether it is the last one.
+/// A message of a streamed response, framed for the client, and whether it is the last one.
 pub fn stream_response(call: &CallContext, message: &Bytes) -> Result<(Bytes, bool), MessageError> {
     let read =
         scan::StreamResponse::parse(message).map_err(MessageError::MalformedStreamResponse)?;
@@ -34,7 +34,7 @@
     Ok((frame(&amended), read.last))
 }
 
-/// The answer of a unary call, framed for the client.
+/// The response of a unary call, framed for the client.
 pub fn unary_response(call: &CallContext, message: &Bytes) -> Result<Bytes, MessageError> {
     let id = scan::response_id(message).map_err(MessageError::MalformedResponse)?;
     Ok(if id == call.request_id {
--- a/net/inference/src/options.rs
+++ b/net/inference/src/options.rs
@@ -1,18 +1,18 @@
-//! Bounds and names of a front end that are not the dispatcher's.
+//! Limits of connections, and the metadata keys of calls.
 
 use std::net::SocketAddr;
 use tansy_dispatch::WorkerRecord;
 use tansy_net_grpc::link::Limits as LinkLimits;
 use tansy_net_grpc::server::Limits;
 
-/// Metadata keys, and request parameters of the same names, by which a call states what it is.
+/// The metadata keys, and request parameters of the same names, that state a call's class, tenant and work estimate.
 #[derive(Clone, Debug)]
 pub struct MetadataKeys {
-    /// The class, by name.
+    /// The key whose value is the name of the call's class.
     pub class: String,
-    /// The tenant, by name.
+    /// The key whose value is the name of the call's tenant.
     pub tenant: String,
-    /// An estimate of the work, milliseconds.
+    /// The key whose value is the estimated work, milliseconds.
     pub work_ms: String,
 }
 
@@ -26,22 +26,22 @@
     }
 }
 
-/// A worker and where it is.
+/// A worker and its address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerEndpoint {
-    /// Its entry in the list.
+    /// The worker's entry in the worker list.
     pub record: WorkerRecord,
-    /// Its address.
+    /// The address that attempts and control requests connect to.
     pub address: SocketAddr,
 }
 
-/// Bounds and names of a front end.
+/// Limits of a front end's connections, and the metadata keys of its calls.
 #[derive(Clone, Debug, Default)]
 pub struct DriverOptions {
-    /// Bounds of clients' connections.
+    /// Limits of client connections.
     pub clients: Limits,
-    /// Bounds of workers' connections.
+    /// Limits of worker connections.
     pub workers: LinkLimits,
-    /// By which keys calls state what they are.
+    /// The metadata keys at start; [`Driver::apply_settings`](crate::Driver::apply_settings) replaces them.
     pub keys: MetadataKeys,
 }
--- a/net/inference/src/queries.rs
+++ b/net/inference/src/queries.rs
@@ -1,4 +1,4 @@
-//! Questions of clients that the front end answers itself: liveness, readiness, metadata, the index of functions.
+//! Requests that the front end answers without a worker: liveness, readiness, metadata and the repository index.
 
 use crate::driver::Driver;
 use crate::request_status::RequestStatus;
@@ -7,7 +7,7 @@
 use tansy_frames::grpc::Code;
 use tansy_inference::inference as pb;
 
-/// The name by which the front end introduces itself.
+/// The server and platform name in metadata responses.
 const PLATFORM: &str = "tansyrouter";
 
 fn decode<M: Message + Default>(message: &[u8]) -> Result<M, RequestStatus> {
@@ -16,7 +16,7 @@
     })
 }
 
-/// The encoded answer to one of the service's methods that are no calls.
+/// The encoded response to a method of the service other than the inference methods.
 pub(crate) fn answer(
     driver: &Driver,
     method: &str,
@@ -38,7 +38,7 @@
             "ModelMetadata" => model_metadata(dispatcher, &decode(message)?)?.encode_to_vec(),
             "RepositoryIndex" => repository_index(dispatcher, &decode(message)?).encode_to_vec(),
             "RepositoryModelLoad" | "RepositoryModelUnload" => {
-                let reason = "what is loaded where is the front ends' to decide";
+                let reason = "front ends decide where functions are loaded";
                 return Err(RequestStatus::new(Code::PermissionDenied, reason));
             }
             _ => return Err(RequestStatus::new(Code::Unimplemented, "unknown method")),
--- a/net/inference/src/request_status.rs
+++ b/net/inference/src/request_status.rs
@@ -1,11 +1,11 @@
-//! The status of a request that never becomes a call.
+//! The status of a request that is rejected, or answered by the front end, without becoming a call.
 
 use http::HeaderMap;
 use tansy_frames::grpc::{Code, FrameError};
 use tansy_inference::scan;
 use tansy_net_grpc::server::{status_trailers, StreamError};
 
-/// The status of a request that never becomes a call.
+/// The gRPC status of a request that does not become a call.
 pub(crate) struct RequestStatus {
     code: Code,
     message: String,
@@ -19,7 +19,7 @@
         }
     }
 
-    /// The trailers of a response that is this status alone.
+    /// The trailers of a response that consists of this status only.
     pub(crate) fn trailers(&self) -> HeaderMap {
         status_trailers(self.code, &self.message)
     }
@@ -30,7 +30,7 @@
         match error {
             StreamError::ClientLeft => RequestStatus::new(Code::Cancelled, "the client left"),
             StreamError::SecondMessage => {
-                RequestStatus::new(Code::InvalidArgument, "two messages in a unary request")
+                RequestStatus::new(Code::InvalidArgument, "a unary request with two messages")
             }
             StreamError::Truncated => {
                 RequestStatus::new(Code::InvalidArgument, "the stream ended within a message")
--- a/net/inference/src/response_queue.rs
+++ b/net/inference/src/response_queue.rs
@@ -1,5 +1,5 @@
-//! Where the messages for one client stream wait until it takes them, bounded: an attempt whose client does not
-//! read is not read either.
+//! The bounded queue of messages for one client stream. While it is full, the responses of workers are not read, so that
+//! a slow client slows its workers down.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -8,7 +8,7 @@
 use std::task::{Context, Poll, Waker};
 use tansy_dispatch::CallId;
 
-/// Bytes that may wait for a client before its calls' workers are no longer read.
+/// Queued bytes from which the responses of workers are no longer read.
 const CAPACITY: usize = 256 * 1024;
 
 #[derive(Default)]
@@ -29,12 +29,12 @@
     }
 }
 
-/// The messages for one client stream.
+/// The queue of messages for one client stream, the status that ends it, and its open calls.
 #[derive(Default)]
 pub struct ResponseQueue(RefCell<QueueState>);
 
 impl ResponseQueue {
-    /// Adds a message, already framed.
+    /// Appends a framed message.
     pub fn push(&self, message: Bytes) {
         let mut state = self.0.borrow_mut();
         state.bytes += message.len();
@@ -42,14 +42,14 @@
         state.wake_reader();
     }
 
-    /// Sets the status that ends the stream once all messages are out; the first one counts.
+    /// Sets the status that ends the stream after all queued messages. Only the first status is kept.
     pub fn set_status(&self, trailers: HeaderMap) {
         let mut state = self.0.borrow_mut();
         state.status.get_or_insert(trailers);
         state.wake_reader();
     }
 
-    /// Ready once there is room for a message.
+    /// Ready once the queue has room for a message.
     pub fn poll_capacity(&self, cx: &Context<'_>) -> Poll<()> {
         let mut state = self.0.borrow_mut();
         if state.bytes < CAPACITY {
@@ -61,7 +61,7 @@
         Poll::Pending
     }
 
-    /// The next message for the client.
+    /// Takes the next message for the client.
     pub fn pop(&self) -> Option<Bytes> {
         let mut state = self.0.borrow_mut();
         let message = state.messages.pop_front()?;
@@ -72,7 +72,7 @@
         Some(message)
     }
 
-    /// The status of the stream, if it has one and no message is left.
+    /// Takes the status of the stream, if it is set and no message is queued.
     pub fn take_status(&self) -> Option<HeaderMap> {
         let mut state = self.0.borrow_mut();
         if state.messages.is_empty() {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Wakes this task when there is something new.
+    /// Registers this task to be woken when a message, a status or the end of a call is added.
     pub fn set_reader(&self, cx: &Context<'_>) {
         let mut state = self.0.borrow_mut();
         let known = state.reader.as_ref();
@@ -91,24 +91,24 @@
         }
     }
 
-    /// A call whose answer comes here was started.
+    /// Records that a call whose answer goes to this queue was started.
     pub fn call_started(&self, call: CallId) {
         self.0.borrow_mut().open.insert(call);
     }
 
-    /// A call has its answer.
+    /// Records that a call was answered.
     pub fn call_answered(&self, call: CallId) {
         let mut state = self.0.borrow_mut();
         state.open.remove(&call);
         state.wake_reader();
     }
 
-    /// Calls without an answer.
+    /// The number of unanswered calls.
     pub fn open_calls(&self) -> usize {
         self.0.borrow().open.len()
     }
 
-    /// The client has left: drops all that waits, and gives the calls without an answer.
+    /// Drops the queued messages after the client has left, and returns the unanswered calls.
     pub fn abandon(&self) -> Vec<CallId> {
         let mut state = self.0.borrow_mut();
         state.messages.clear();
--- a/net/inference/src/status.rs
+++ b/net/inference/src/status.rs
@@ -1,4 +1,4 @@
-//! The status port of the gateway: whether it lives, whether it accepts calls, and its counters.
+//! The HTTP status port of the gateway: liveness, readiness and counters.
 
 use crate::driver::Driver;
 use std::io;
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use tansy_net_grpc::status_server;
 
-/// Serves the status port of a driver.
+/// Starts serving the status port of a driver.
 pub fn start(driver: Rc<Driver>, listener: TcpListener) -> io::Result<()> {
     let spawner = driver.spawner.clone();
     let answers = Rc::new(move |path: &str| answer(&driver, path));
@@ -28,7 +28,7 @@
     }
 }
 
-/// The counters, and a line for each worker whose loads leave no instance.
+/// The counters, and a line for each worker and function whose last load left no instance.
 fn counters(driver: &Driver) -> String {
     let (counters, open) = driver.counters();
     driver.with_dispatcher(|dispatcher| {
--- a/net/inference/src/trailers.rs
+++ b/net/inference/src/trailers.rs
@@ -1,4 +1,4 @@
-//! Trailers of workers, and the metadata that is forwarded.
+//! Reads the trailers of workers, and selects the metadata that is forwarded between clients and workers.
 
 use base64::alphabet;
 use base64::engine::{DecodePaddingMode, GeneralPurpose, GeneralPurposeConfig};
@@ -9,7 +9,7 @@
 use tansy_inference::names;
 use tansy_inference::orca::OrcaLoadReport;
 
-/// Base64 as gRPC's `-bin` keys have it: read with padding or without, written without.
+/// Base64 as used by gRPC's `-bin` keys: decoded with or without padding, encoded without.
 pub const BINARY: GeneralPurpose = GeneralPurpose::new(
     &alphabet::STANDARD,
     GeneralPurposeConfig::new()
@@ -17,14 +17,14 @@
         .with_decode_padding_mode(DecodePaddingMode::Indifferent),
 );
 
-/// Bytes of a load report that are read at most.
+/// The most bytes of an encoded load report; a longer one is ignored.
 const MAX_REPORT_BYTES: usize = 4096;
 
 fn text<'a>(map: &'a HeaderMap, key: &str) -> Option<&'a str> {
     map.get(key).and_then(|v| v.to_str().ok()).map(str::trim)
 }
 
-/// Reads the trailers of an answer. What can't be read counts as not stated.
+/// Reads the trailers of a response. Unreadable values are treated as absent.
 pub fn read_trailers(map: &HeaderMap) -> Trailers {
     let cache_status = match text(map, names::CACHE_STATUS) {
         Some("warm") => CacheStatus::Warm,
@@ -45,31 +45,31 @@
         instances: text(map, names::INSTANCE_COUNT).and_then(|t| t.parse().ok()),
         report: map
             .get(names::LOAD_REPORT)
-            .and_then(|v| report(v.as_bytes())),
+            .and_then(|v| decode_report(v.as_bytes())),
     }
 }
 
-fn report(value: &[u8]) -> Option<LoadReport> {
+fn decode_report(value: &[u8]) -> Option<LoadReport> {
     if value.len() > MAX_REPORT_BYTES {
         return None;
     }
     let orca = OrcaLoadReport::decode(&*BINARY.decode(value).ok()?).ok()?;
-    // Absent numbers are 0 on this wire, so only the named ones differ from "not reported".
-    let figure = |x: f64| Some(x).filter(|x| x.is_finite() && *x >= 0.0);
-    let named = |key: &str| orca.named_metrics.get(key).copied().and_then(figure);
+    // In proto3 an absent number decodes to 0, so that only the named metrics can be told from unreported ones.
+    let valid = |x: f64| Some(x).filter(|x| x.is_finite() && *x >= 0.0);
+    let named = |key: &str| orca.named_metrics.get(key).copied().and_then(valid);
     Some(LoadReport {
         queued: named("queued"),
         in_flight: named("held"),
-        busy: figure(orca.cpu_utilization),
-        memory_pinned: figure(orca.mem_utilization),
+        busy: valid(orca.cpu_utilization),
+        memory_pinned: valid(orca.mem_utilization),
         loads: named("loads"),
         mean_ms: named("mean_ms"),
-        served_per_s: figure(orca.rps_fractional),
-        errors_per_s: figure(orca.eps),
+        served_per_s: valid(orca.rps_fractional),
+        errors_per_s: valid(orca.eps),
     })
 }
 
-/// Whether a key is the call's own metadata: neither HTTP's nor gRPC's nor ours.
+/// Whether a key is application metadata: not reserved by HTTP, gRPC or this project.
 fn is_forwarded(key: &str) -> bool {
     let reserved = matches!(
         key,
@@ -86,7 +86,7 @@
         && key != names::LOAD_REPORT
 }
 
-/// A call's own metadata, as it is forwarded to the worker.
+/// The application metadata of a call, which is forwarded to the worker.
 pub fn forwarded_metadata(map: &HeaderMap) -> HeaderMap {
     map.iter()
         .filter(|(k, _)| is_forwarded(k.as_str()))
@@ -94,7 +94,7 @@
         .collect()
 }
 
-/// A worker's status and own metadata, as they are forwarded to the client.
+/// The status and the application metadata of a worker's response, which are forwarded to the client.
 pub fn forwarded_trailers(map: &HeaderMap) -> HeaderMap {
     const STATUS: [&str; 3] = ["grpc-status", "grpc-message", "grpc-status-details-bin"];
     let forwarded = |k: &str| is_forwarded(k) || STATUS.contains(&k);
--- a/net/inference/src/trailers/tests.rs
+++ b/net/inference/src/trailers/tests.rs
@@ -1,9 +1,9 @@
-//! Trailers of workers, read.
+//! Tests that load reports decode with or without padding and that invalid trailer values are ignored.
 
 use super::*;
 
 #[test]
-fn a_report_is_read_with_padding_or_without_and_nonsense_is_left_out() {
+fn a_report_is_read_with_or_without_padding_and_invalid_values_are_ignored() {
     let sent = OrcaLoadReport {
         cpu_utilization: 0.5,
         named_metrics: [("queued".to_string(), 3.0), ("loads".to_string(), -1.0)].into(),
