--- a/net/fleet/src/client.rs
+++ b/net/fleet/src/client.rs
@@ -1,4 +1,4 @@
-//! A request to a method of the service, and its reply.
+//! Sends requests to the methods of the fleet service.
 
 use bytes::Bytes;
 use http::{HeaderValue, Method, Request, Version};
@@ -13,18 +13,18 @@
 use tansy_net_sockets::{within, Spawner};
 use thiserror::Error;
 
-/// Why there is no reply.
+/// Why a request has no reply.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
     /// The peer could not be reached, or did not reply in time.
     #[error("{0}")]
     Unreachable(String),
-    /// The peer rejects the request.
+    /// The peer rejected the request.
     #[error("{1} ({0:?})")]
     Rejected(Code, String),
 }
 
-/// Sends a message to a method of the service; returns the reply's message.
+/// Sends a request to a method of the service and returns the message of the reply.
 pub async fn send_request(
     spawner: &Spawner,
     link: &Rc<Link>,
@@ -35,7 +35,7 @@
     let reply = within(spawner.sleep(limit), exchange(link, method, frame(body))).await;
     reply.unwrap_or_else(|| {
         Err(RequestError::Unreachable(format!(
-            "no answer of {} in {limit:?}",
+            "no reply from {} within {limit:?}",
             link.address()
         )))
     })
@@ -56,7 +56,7 @@
         match poll_fn(|cx| exchange.poll_event(cx)).await {
             ExchangeEvent::Message(message) => reply = Some(message),
             ExchangeEvent::Ended(Ending::Status(Code::Ok, _), _) => {
-                return reply.ok_or(unreachable("an empty answer"))
+                return reply.ok_or(unreachable("the reply has no message"))
             }
             ExchangeEvent::Ended(Ending::Status(code, trailers), _) => {
                 let text = trailers.get("grpc-message");
@@ -65,7 +65,7 @@
                 return Err(RequestError::Rejected(code, text));
             }
             ExchangeEvent::Ended(ending, _) => {
-                return Err(unreachable(&format!("it ended with {ending:?}")))
+                return Err(unreachable(&format!("the request ended with {ending:?}")))
             }
         }
     }
@@ -78,7 +78,7 @@
     let authority = link.address().to_string();
     let uri = http::Uri::builder().scheme("http").authority(authority);
     let uri = uri.path_and_query(format!("{SERVICE}{method}"));
-    // A socket address and a path of the service always make a URI.
+    // A socket address and a path of the service always form a valid URI.
     *request.uri_mut() = uri.build().unwrap_or_default();
     let headers = request.headers_mut();
     headers.insert(http::header::TE, HeaderValue::from_static("trailers"));
--- a/net/fleet/src/config.rs
+++ b/net/fleet/src/config.rs
@@ -1,4 +1,4 @@
-//! What a node in a fleet is started with, the host's functions that it calls, and why it can't be started.
+//! The configuration of a fleet node, the host's callbacks, and the errors of starting a node.
 
 use std::collections::HashMap;
 use std::io;
@@ -13,49 +13,49 @@
 use tansy_fleet_wire::pb;
 use thiserror::Error;
 
-/// Why fields make no valid settings.
+/// The reason for which fields do not form valid settings.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0}")]
 pub struct InvalidFields(pub String);
 
-/// Checks the fields of a version as a whole.
+/// Validates all fields of a proposed version.
 pub type ValidateVersion = Rc<dyn Fn(&Fields) -> Result<(), InvalidFields>>;
 
-/// Checks the fields of a function by themselves, with the classes of this state.
+/// Validates the fields of one function against the classes that the given state defines.
 pub type ValidateFunction = Rc<dyn Fn(&str, &Fields, &FleetState) -> Result<(), InvalidFields>>;
 
-/// Applies the state that the node may act on by now. It is called before any message that follows from the state is sent;
-/// it returns why the state can't be applied, if so.
+/// Applies the state that the node may act on now. Called before any message that follows from the state is sent. Returns the
+/// reason if the state can't be applied.
 pub type ApplyState = Rc<dyn Fn(&FleetNode, Time) -> Option<String>>;
 
-/// Reads the front end's counters and its program's label; the node's name and state are filled in.
+/// Reads the front end's counters and its program's label. The transport fills in the node's name and state.
 pub type ReadCounters = Rc<dyn Fn() -> pb::CountsReply>;
 
-/// Carries a message by another way than a link to its address; false: it knows no way there. Nothing depends on a message's
-/// arrival.
+/// Sends a message other than through a link to its address. Returns false if it has no route to that address. Delivery need
+/// not be reliable.
 pub type MessageCarrier = Rc<dyn Fn(SocketAddr, &[u8]) -> bool>;
 
 /// The configuration of a front end's node.
 pub struct TransportConfig {
-    /// That of the state machine; its own address is filled in.
+    /// The configuration of the state machine. Its own address is set from the listener.
     pub node: FleetNodeConfig,
-    /// The fleet's name in words.
+    /// The fleet's name.
     pub fleet: String,
-    /// A voter's file, and the fields of the first version of a new fleet.
+    /// A voter's file, and the fields of the first version if the file is new.
     pub voter: Option<(PathBuf, Fields)>,
-    /// Front ends that are reached through another address than their own.
+    /// Addresses to connect to instead of a front end's own address, by that address.
     pub proxies: HashMap<SocketAddr, SocketAddr>,
-    /// Tried before a link, where many front ends of one process share their connections.
+    /// Tried before a link, if many front ends in one process share their connections.
     pub carrier: Option<MessageCarrier>,
-    /// Of proposed versions.
+    /// Validates proposed versions.
     pub validate_version: ValidateVersion,
-    /// Of functions that are agreed on one by one.
+    /// Validates functions that have a scope of their own.
     pub validate_function: ValidateFunction,
-    /// Of calls.
+    /// Reads the counters of calls.
     pub read_counters: ReadCounters,
 }
 
-/// Why a node can't be started.
+/// An error of starting a node.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The listener or the event loop failed.
@@ -69,7 +69,7 @@
         /// The cause.
         source: tansy_storage::store::Error,
     },
-    /// The voter's file holds no valid state.
+    /// The voter's file does not contain a valid state.
     #[error("{}: {source}", .path.display())]
     Corrupt {
         /// The file.
--- a/net/fleet/src/events.rs
+++ b/net/fleet/src/events.rs
@@ -1,8 +1,8 @@
-//! The node's events as log lines for operators.
+//! Logs the node's events for operators.
 
 use tansy_fleet_node::FleetEvent;
 
-/// Logs an event. Operators' pages quote these lines.
+/// Logs an event. The operators' documentation quotes these lines.
 pub(crate) fn log_event(event: &FleetEvent) {
     match event {
         FleetEvent::Membership(event) => tracing::info!(member = ?event, "membership changed"),
--- a/net/fleet/src/lib.rs
+++ b/net/fleet/src/lib.rs
@@ -1,14 +1,14 @@
-//! The network side of a front end's node in a fleet: it carries messages over gRPC, keeps a voter's log on disk, and answers
-//! operators. Decisions are those of `tansy-fleet-node`; this crate feeds it and carries out its commands.
+//! The network side of a front end's node in a fleet: it sends and receives messages over gRPC, persists a voter's log, and
+//! serves operators. `tansy-fleet-node` makes all decisions; this crate feeds its state machine and executes its commands.
 //!
-//! In layers, each of which uses only those above it:
+//! The modules in layers, each of which uses only those above it:
 //!
-//! - [`client`]: a request and its reply, for messages and for operators.
-//! - [`voter_storage`]: a voter's log on a thread of its own, since a sync takes as long as it takes.
-//! - [`config`]: what a node is started with, and why it can't be.
-//! - [`transport`]: feeds the node and carries out its commands.
+//! - [`client`]: sends a request and waits for the reply; peers and operators' tools use it.
+//! - [`voter_storage`]: persists a voter's log on a separate thread, so that a slow sync does not block the event loop.
+//! - [`config`]: the configuration of a node, and the errors of starting it.
+//! - [`transport`]: feeds the node's state machine and executes its commands.
 //! - `service`: the methods that peers and operators call.
-//! - `start`: starts all of it on a listener.
+//! - `start`: starts the storage, the server and the timers of a node.
 
 pub mod client;
 pub mod config;
--- a/net/fleet/src/links.rs
+++ b/net/fleet/src/links.rs
@@ -1,4 +1,4 @@
-//! Links to the other front ends, with bounds on what is in flight.
+//! Links to the other front ends, with a limit on the messages in flight to each.
 
 use crate::client::{send_request, RequestError};
 use std::cell::{Cell, RefCell};
@@ -10,28 +10,28 @@
 use tansy_net_grpc::link::{Limits, Link};
 use tansy_net_sockets::{clock, Spawner};
 
-/// Messages in flight to one front end; further ones are dropped, as a network drops them.
+/// The most messages in flight to one front end; further ones are dropped.
 const MAX_IN_FLIGHT: usize = 64;
-/// After this time a message that is not accepted is of no use.
+/// Time after which sending a message is abandoned, since the message would be outdated.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(1);
-/// A link that nothing was sent on for so long is closed.
+/// Time after which an unused link is closed, microseconds.
 const IDLE_TIMEOUT: Time = 60_000_000;
-/// Time between two log lines about a front end that rejects messages.
+/// The shortest time between two log lines about a front end that rejects messages, microseconds.
 const LOG_INTERVAL: Time = 10_000_000;
 
 /// A link to one front end.
 struct PeerLink {
     link: Rc<Link>,
     in_flight: Cell<usize>,
-    /// When a rejection was logged last.
+    /// When a rejection was last logged.
     rejection_logged: Cell<Option<Time>>,
     last_used: Cell<Time>,
 }
 
-/// Links by the front ends' own addresses.
+/// The links to other front ends, by the front ends' own addresses.
 pub(crate) struct PeerLinks {
     spawner: Spawner,
-    /// Front ends that are reached through another address than their own.
+    /// Addresses to connect to instead of a front end's own address, by that address.
     proxies: HashMap<SocketAddr, SocketAddr>,
     links: RefCell<HashMap<SocketAddr, Rc<PeerLink>>>,
 }
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Sends a message; false: it is dropped, since too many are in flight.
+    /// Sends a message. Returns false if the message was dropped because too many are in flight.
     pub(crate) fn send(&self, to: SocketAddr, bytes: Vec<u8>) -> bool {
         let peer = self.link(to);
         if peer.in_flight.get() >= MAX_IN_FLIGHT {
@@ -85,7 +85,7 @@
         links.values().all(|peer| peer.in_flight.get() == 0)
     }
 
-    /// Closes links that were not used for a while.
+    /// Closes links that have been unused for [`IDLE_TIMEOUT`].
     pub(crate) fn close_idle(&self) {
         let now = clock::now();
         self.links.borrow_mut().retain(|_, peer| {
@@ -97,7 +97,7 @@
         });
     }
 
-    /// Drops all links at once, with what is in flight.
+    /// Drops all links immediately, with the messages in flight.
     pub(crate) fn drop_all(&self) {
         let mut links = self.links.borrow_mut();
         links
--- a/net/fleet/src/pending.rs
+++ b/net/fleet/src/pending.rs
@@ -1,4 +1,4 @@
-//! Requests for log entries that wait for their outcome.
+//! Requests for log entries whose outcome is pending.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -7,12 +7,12 @@
 use tansy_agreement::log::ApplyOutcome;
 use tansy_fleet_node::RequestRejection;
 
-/// The most requests that may wait at once.
+/// The most requests that may be pending at once.
 const MAX_PENDING: usize = 256;
 
 type Outcome = Result<ApplyOutcome, RequestRejection>;
 
-/// A request that waits, and its outcome once there is one.
+/// A pending request, and its outcome once it is known.
 #[derive(Default)]
 pub(crate) struct PendingRequest {
     outcome: RefCell<Option<Outcome>>,
@@ -29,7 +29,7 @@
     }
 }
 
-/// All requests that wait, by number.
+/// All pending requests, by number.
 #[derive(Default)]
 pub(crate) struct PendingRequests {
     requests: RefCell<HashMap<u64, Rc<PendingRequest>>>,
@@ -37,7 +37,7 @@
 }
 
 impl PendingRequests {
-    /// Adds a request; `None`: too many wait.
+    /// Adds a request; `None` if too many are pending.
     pub(crate) fn add(&self) -> Option<(u64, Rc<PendingRequest>)> {
         let mut requests = self.requests.borrow_mut();
         if requests.len() >= MAX_PENDING {
@@ -50,7 +50,7 @@
         Some((number, request))
     }
 
-    /// Completes a request and wakes whoever waits for it.
+    /// Completes a request and wakes the task that waits for it.
     pub(crate) fn complete(&self, number: u64, outcome: Outcome) {
         let request = self.requests.borrow_mut().remove(&number);
         if let Some(request) = request {
--- a/net/fleet/src/service/entries.rs
+++ b/net/fleet/src/service/entries.rs
@@ -1,4 +1,4 @@
-//! Requests for entries of the agreed log.
+//! Operators' requests that append an entry to the replicated log.
 
 use super::{check_fleet, decode, Rejection, Reply};
 use crate::transport::FleetTransport;
@@ -15,7 +15,7 @@
 use tansy_frames::grpc::Code;
 use tansy_net_sockets::within;
 
-/// Time for an entry to be persisted.
+/// Time within which an entry must be persisted.
 const ENTRY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Appends an entry to the log and waits for its outcome.
@@ -31,7 +31,7 @@
     let pending = pending.ok_or_else(|| {
         Rejection::new(
             Code::ResourceExhausted,
-            "too many requests wait: ask again later",
+            "too many requests are pending: retry later",
         )
     })?;
     let outcome = poll_fn(|cx| pending.poll(cx));
@@ -39,14 +39,14 @@
     let outcome = outcome.ok_or_else(|| {
         Rejection::new(
             Code::Unavailable,
-            "the voter's disk did not accept it in time: retry with the same id to learn the result",
+            "the entry was not persisted in time: retry with the same id to learn the result",
         )
     })?;
     let applied = outcome.map_err(rejection)?;
     Ok(enter_reply(&applied).encode_to_vec())
 }
 
-/// The log entry of a request, once its fields are checked.
+/// Validates a request and converts it to a log entry.
 fn log_entry(transport: &FleetTransport, entry: Entry) -> Result<LogEntry, Rejection> {
     match entry {
         Entry::Propose(settings) => propose(transport, settings),
@@ -64,7 +64,7 @@
     let settings = decode_settings(settings).map_err(Rejection::invalid)?;
     if settings.id == 0 {
         return Err(Rejection::invalid(
-            "a proposal without an id of its own: a retry could not be told from another proposal",
+            "the proposal has no id: a retry could not be told from a new proposal",
         ));
     }
     (transport.validate_version)(&settings.fields).map_err(Rejection::invalid)?;
@@ -79,7 +79,7 @@
 fn dismiss(transport: &FleetTransport, name: &str) -> Result<LogEntry, Rejection> {
     transport.with_node(|node, _| {
         let Some(log) = node.log() else {
-            // The node rejects any entry where it does not lead, and names the leader.
+            // This node does not lead: it rejects any entry and names the leader.
             let version = Version(0);
             return Ok(LogEntry::Abandon { version });
         };
@@ -93,7 +93,7 @@
     })
 }
 
-/// Starts the replacement of a voter, alive or dead, by a front end that is present.
+/// Starts the replacement of a voter, which may be down, by a front end that is up.
 fn replace_voter(
     transport: &FleetTransport,
     request: &pb::ReplaceVoter,
@@ -108,7 +108,7 @@
         Rejection::new(
             Code::NotFound,
             format!(
-                "no front end named {:?} is there: start it with --state, then ask again",
+                "no front end named {:?} is up: start it with --state, then retry",
                 request.new_voter
             ),
         )
@@ -135,7 +135,8 @@
     })
 }
 
-/// Whether some front ends may act on these settings while others act on those in force: strict fields must not differ.
+/// Rejects settings that differ from those in force in strict fields: front ends must not act on both at the same time, which
+/// a rollout in stages requires.
 fn check_no_strict_changes(transport: &FleetTransport, fields: &Fields) -> Result<(), Rejection> {
     let strict = transport.with_node(|node, now| {
         let state = node.active_state(now).state?;
@@ -149,7 +150,7 @@
     match strict {
         Some(paths) if !paths.is_empty() => Err(Rejection::new(
             Code::FailedPrecondition,
-            format!("{paths}: strict, never two things at once, so that it can't be tried in stages: propose it alone"),
+            format!("{paths}: strict fields can't differ between front ends, so a rollout can't change them in stages: propose the change instead"),
         )),
         _ => Ok(()),
     }
@@ -162,7 +163,7 @@
     let transaction = decode_scope_transaction(request).map_err(Rejection::invalid)?;
     if transaction.id == 0 {
         return Err(Rejection::invalid(
-            "a change without an id of its own: a retry could not be told from another change",
+            "the change has no id: a retry could not be told from a new change",
         ));
     }
     check_functions(transport, &transaction)?;
@@ -171,13 +172,14 @@
     })
 }
 
-/// Whether the functions would be valid after the transaction.
+/// Validates the fields that the transaction gives its functions.
 fn check_functions(
     transport: &FleetTransport,
     transaction: &ScopeTransaction,
 ) -> Result<(), Rejection> {
     transport.with_node(|node, now| {
-        // Without a state the classes are not known here: the leader checks them, or the node names the leader.
+        // Without a state the classes are unknown here, so that the fields can't be validated. A node that does not lead
+        // rejects the entry and names the leader.
         let Some(state) = node.active_state(now).state else {
             return Ok(());
         };
--- a/net/fleet/src/service/mod.rs
+++ b/net/fleet/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! The methods of the fleet's service: messages of peers, and operators' requests.
+//! The methods of the fleet service: messages from peers and requests from operators.
 
 mod entries;
 mod queries;
@@ -24,10 +24,10 @@
 use tansy_net_sockets::within;
 use thiserror::Error;
 
-/// Time for a request to arrive in full.
+/// Time within which a request must arrive in full.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a request is rejected, as its status says it.
+/// The status with which a request is rejected.
 #[derive(Debug, Error)]
 #[error("{reason}")]
 struct Rejection {
@@ -41,14 +41,17 @@
         Rejection { code, reason }
     }
 
-    /// A request that is wrong by itself.
+    /// Rejects an invalid request.
     fn invalid(reason: impl Display) -> Rejection {
         Rejection::new(Code::InvalidArgument, reason.to_string())
     }
 
-    /// A request for what only voters know.
+    /// Rejects a request that only voters can serve.
     fn not_a_voter(node: &FleetNode) -> Rejection {
-        let reason = format!("this front end keeps no log: ask {}", node.leader_address());
+        let reason = format!(
+            "this front end is not a voter and has no log: ask {}",
+            node.leader_address()
+        );
         Rejection::new(Code::FailedPrecondition, reason)
     }
 }
@@ -56,7 +59,7 @@
 /// An encoded reply.
 type Reply = Result<Vec<u8>, Rejection>;
 
-/// Serves the methods for the fleet of this number.
+/// The request handler of a node; `fleet` is the hash of the fleet's name.
 pub(crate) fn handler(transport: Rc<FleetTransport>, fleet: u64) -> RequestHandler {
     Rc::new(move |request, respond| {
         let transport = transport.clone();
@@ -78,7 +81,7 @@
     let message = poll_fn(|cx| messages.poll_unary(&mut first, cx));
     let message = within(transport.spawner.sleep(REQUEST_TIMEOUT), message).await;
     let Some(Ok(Some(message))) = message else {
-        let status = status_trailers(Code::InvalidArgument, "no message came whole");
+        let status = status_trailers(Code::InvalidArgument, "no complete message was received");
         return respond_trailers_only(&mut respond, status);
     };
     match call(transport, fleet, method, &message).await {
@@ -101,7 +104,7 @@
         "Functions" => queries::functions(transport, fleet, message),
         _ => Err(Rejection::new(
             Code::Unimplemented,
-            format!("{method:?} is no method of a fleet's front end"),
+            format!("the fleet service has no method {method:?}"),
         )),
     }
 }
@@ -123,16 +126,16 @@
     M::decode(bytes).map_err(Rejection::invalid)
 }
 
-/// An operator may leave the fleet out (0); a request for another fleet is rejected.
+/// Rejects a request for another fleet. Operators may omit the fleet (0).
 fn check_fleet(transport: &FleetTransport, requested: u64, fleet: u64) -> Result<(), Rejection> {
     if requested == 0 || requested == fleet {
         return Ok(());
     }
-    let reason = format!("this front end is of the fleet {:?}", transport.fleet);
+    let reason = format!("this front end belongs to the fleet {:?}", transport.fleet);
     Err(Rejection::new(Code::FailedPrecondition, reason))
 }
 
-/// Functions with a change under way, with the subscribers that each waits for, by name.
+/// Functions with a change in progress, each with the subscribers that have not acknowledged it.
 fn changing_functions(node: &FleetNode, now: Time) -> Vec<pb::BlockedFunction> {
     let roster: Vec<(Member, &str)> = match node.log() {
         Some(log) => log.roster().collect(),
--- a/net/fleet/src/service/queries.rs
+++ b/net/fleet/src/service/queries.rs
@@ -1,4 +1,4 @@
-//! What operators read beside the status: versions, counters, the last rollout, functions.
+//! Operators' queries other than the status: versions, counters, the last rollout, functions.
 
 use super::{changing_functions, check_fleet, decode, Rejection, Reply};
 use crate::transport::FleetTransport;
@@ -62,7 +62,7 @@
     state.next.is_none() && canary.is_some_and(|canary| canary.members.contains(name))
 }
 
-/// The last rollout.
+/// The last rollout, and the program that all front ends are to run.
 pub(super) fn rollout(transport: &FleetTransport, fleet: u64, bytes: &[u8]) -> Reply {
     let request: pb::RolloutRequest = decode(bytes)?;
     check_fleet(transport, request.fleet, fleet)?;
@@ -84,14 +84,14 @@
     })
 }
 
-/// Functions that are agreed on one by one, and the result of a transaction.
+/// The records of functions that have a scope of their own, and the result of a transaction.
 pub(super) fn functions(transport: &FleetTransport, fleet: u64, bytes: &[u8]) -> Reply {
     let request: pb::FunctionsRequest = decode(bytes)?;
     check_fleet(transport, request.fleet, fleet)?;
     let requested = request.names.len();
     if requested > MAX_UPDATES_PER_TRANSACTION {
         return Err(Rejection::invalid(format!(
-            "{requested} functions are asked for: want at most {MAX_UPDATES_PER_TRANSACTION}"
+            "{requested} functions requested: want at most {MAX_UPDATES_PER_TRANSACTION}"
         )));
     }
     transport.with_node(|node, now| {
--- a/net/fleet/src/service/status.rs
+++ b/net/fleet/src/service/status.rs
@@ -1,4 +1,4 @@
-//! The state that a front end acts on, and the members that it sees.
+//! The status of a front end: the state that it acts on, and the members that it knows.
 
 use super::{changing_functions, check_fleet, decode, Reply};
 use crate::transport::FleetTransport;
--- a/net/fleet/src/start.rs
+++ b/net/fleet/src/start.rs
@@ -19,13 +19,14 @@
 use tansy_net_sockets::socket::descriptors;
 use tansy_net_sockets::Spawner;
 
-/// Connections of peers and operators that are accepted however few descriptors there are.
+/// Connections of peers and operators that are accepted regardless of the descriptor limit.
 const MIN_CONNECTIONS: usize = 2048;
 
-/// Bounds of what peers and operators send.
+/// Limits of connections from peers and operators.
 ///
-/// Each front end has a connection to the leader, which has one back: as many are accepted as the roster holds, as far as half
-/// of the descriptors go. A front end that finds no room never becomes active, since it gets no session.
+/// Every front end connects to the leader, and the leader to every front end. A node therefore accepts as many connections as
+/// the roster may have members, up to half of its descriptors. A front end whose connection is not accepted gets no session
+/// and never becomes active.
 fn limits() -> Limits {
     Limits {
         connections: (descriptors() / 2).clamp(MIN_CONNECTIONS, MAX_MEMBERS),
@@ -38,7 +39,7 @@
 }
 
 impl FleetTransport {
-    /// Starts a node on a listener whose address its peers know.
+    /// Starts a node on a listener. Peers must be able to reach the listener's address.
     pub fn start(
         spawner: Spawner,
         listener: TcpListener,
@@ -75,7 +76,7 @@
     }
 }
 
-/// A voter's storage and what was recovered from it.
+/// An opened voter storage, the state recovered from it, and the channel of results.
 struct OpenVoter {
     storage: VoterStorage,
     recovered: RecoveredState,
--- a/net/fleet/src/transport.rs
+++ b/net/fleet/src/transport.rs
@@ -1,4 +1,4 @@
-//! Feeds the node's state machine and carries out its commands.
+//! Feeds the node's state machine and executes its commands.
 
 use crate::config::{
     ApplyState, MessageCarrier, ReadCounters, TransportConfig, ValidateFunction, ValidateVersion,
@@ -23,32 +23,32 @@
 use tansy_net_grpc::server::Server;
 use tansy_net_sockets::{clock, within, Spawner};
 
-/// The most time between two looks at the state machine's timers.
+/// The longest time between two checks of the state machine's timers, microseconds.
 const MAX_TIMER_SLEEP: Time = 50_000;
-/// The least time between two looks.
+/// The shortest time between two checks, microseconds.
 const MIN_TIMER_SLEEP: Time = 500;
 
-/// Messages of this node since it was started, and their bytes.
+/// Messages received and sent by this node since its start, and their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCounters {
-    /// Received from others, those that could not be decoded among them.
+    /// Messages received, including those that could not be decoded.
     pub received: u64,
-    /// Their bytes.
+    /// Bytes of the messages received.
     pub received_bytes: u64,
-    /// Sent, whether they arrive or not; without those dropped here.
+    /// Messages sent, whether or not they were delivered; excludes messages dropped before sending.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of the messages sent.
     pub sent_bytes: u64,
 }
 
-/// A front end's node in a fleet, on the network.
+/// A front end's node in a fleet with its connections, storage and timers.
 pub struct FleetTransport {
     pub(crate) spawner: Spawner,
     pub(crate) fleet: String,
     pub(crate) validate_version: ValidateVersion,
     pub(crate) validate_function: ValidateFunction,
     pub(crate) read_counters: ReadCounters,
-    /// Why the state can't be applied, if so.
+    /// Why the current state can't be applied, if it can't.
     pub(crate) error: RefCell<Option<String>>,
     node: RefCell<FleetNode>,
     apply_state: ApplyState,
@@ -60,13 +60,14 @@
     traffic: Cell<TrafficCounters>,
     stopped: Cell<bool>,
     server: RefCell<Option<Rc<Server>>>,
-    /// The next deadline may have come nearer, and who is to look at it anew.
+    /// Set when the next deadline may have moved earlier.
     timers_changed: Cell<bool>,
+    /// Wakes the timer task when `timers_changed` is set.
     timer_waker: RefCell<Option<Waker>>,
 }
 
 impl FleetTransport {
-    /// A node that serves nobody yet, with a voter's storage and what was recovered from it.
+    /// Creates a node that accepts no connections yet. A voter passes its storage and the state recovered from it.
     pub(crate) fn new(
         spawner: Spawner,
         config: TransportConfig,
@@ -97,7 +98,7 @@
         })
     }
 
-    /// Sets the server that is closed with the node.
+    /// Sets the server, which is closed when the node leaves or shuts down.
     pub(crate) fn set_server(&self, server: Rc<Server>) {
         *self.server.borrow_mut() = Some(server);
     }
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Whether the state machine's next deadline may have come nearer.
+    /// Ready when the state machine's next deadline may have moved earlier.
     fn poll_timers_changed(&self, cx: &Context<'_>) -> Poll<()> {
         if self.timers_changed.take() {
             return Poll::Ready(());
@@ -129,12 +130,12 @@
         Poll::Pending
     }
 
-    /// Reads the state machine.
+    /// Calls `read` with the state machine and the current time.
     pub fn with_node<T>(&self, read: impl FnOnce(&FleetNode, Time) -> T) -> T {
         read(&self.node.borrow(), clock::now())
     }
 
-    /// Admission of a call, now, of a function that the versions do not name.
+    /// Decides on the admission of a call of a function that the versions do not name.
     pub fn admit(self: &Rc<Self>, function: &str) -> Admission {
         let mut commands = Vec::new();
         let (admission, deadline) = {
@@ -142,7 +143,7 @@
             let now = clock::now();
             let scopes_before = node.admission_changes();
             let mut admission = node.admit(now, function, &mut commands);
-            // The leader answers its own subscription at once.
+            // At the leader, a new subscription is answered immediately.
             if admission == Admission::Wait && node.admission_changes() != scopes_before {
                 admission = node.admit(now, function, &mut commands);
             }
@@ -157,12 +158,12 @@
         admission
     }
 
-    /// Updates the node's table of workers from a list that was read.
+    /// Updates the node's table of workers from a new worker list.
     pub fn update_endpoints(self: &Rc<Self>, records: Vec<EndpointRecord>) {
         self.drive(|node, now, commands| node.update_endpoints(now, records, commands));
     }
 
-    /// Notifies the others that it leaves, and accepts no more connections.
+    /// Leaves the fleet: notifies the other front ends and stops accepting connections.
     pub fn leave(self: &Rc<Self>) {
         self.drive(FleetNode::leave);
         if let Some(server) = &*self.server.borrow() {
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Stops at once, as a process that is killed: nobody is notified, nothing is sent or accepted any more.
+    /// Stops immediately, like a killed process: notifies no one, and sends and accepts nothing more.
     pub fn shut_down(&self) {
         self.stopped.set(true);
         if let Some(server) = self.server.borrow_mut().take() {
@@ -180,7 +181,7 @@
         self.links.drop_all();
     }
 
-    /// Accepts a message, of this node's listener or of another carrier.
+    /// Processes a message that arrived at this node's listener or through a message carrier.
     pub fn receive_message(self: &Rc<Self>, bytes: &[u8]) -> Result<(), DecodeError> {
         let mut traffic = self.traffic.get();
         traffic.received += 1;
@@ -192,7 +193,7 @@
         Ok(())
     }
 
-    /// The messages that passed.
+    /// The counters of messages received and sent.
     pub fn traffic(&self) -> TrafficCounters {
         self.traffic.get()
     }
@@ -202,19 +203,19 @@
         self.links.is_idle()
     }
 
-    /// Messages that were dropped because too many were in flight.
+    /// The number of messages dropped because too many were in flight.
     pub fn dropped(&self) -> u64 {
         self.dropped.get()
     }
 
-    /// Requests a log entry; `None`: too many requests wait.
+    /// Requests a log entry; `None` if too many requests are pending.
     pub(crate) fn request(self: &Rc<Self>, entry: LogEntry) -> Option<Rc<PendingRequest>> {
         let (number, pending) = self.pending.add()?;
         self.drive(|node, now, commands| node.request(now, number, entry, commands));
         Some(pending)
     }
 
-    /// Passes on the result of persisting a record.
+    /// Reports the result of persisting a record to the state machine.
     pub(crate) fn on_persisted(self: &Rc<Self>, result: PersistResult) {
         let result = result.map_err(|error| StorageFailure(error.to_string()));
         self.drive(|node, now, commands| node.on_persisted(now, result, commands));
@@ -228,8 +229,8 @@
         {
             let mut node = self.node.borrow_mut();
             step(&mut node, clock::now(), &mut commands);
-            // The state is applied before any message about it is sent: acknowledging a revision promises not to act on any
-            // earlier one.
+            // The state must be applied before any message about it is sent: a node that acknowledges a revision promises not
+            // to act on an earlier one.
             *self.error.borrow_mut() = (self.apply_state)(&node, clock::now());
         }
         self.execute_all(commands);
--- a/net/fleet/src/voter_storage.rs
+++ b/net/fleet/src/voter_storage.rs
@@ -1,6 +1,6 @@
-//! A voter's log on a thread of its own.
+//! Persists a voter's log on a separate thread.
 //!
-//! A write that fails for a while is retried until it succeeds: to the voter that is a slow disk, and it acknowledges no record
+//! Writes with transient errors are retried until they succeed. The voter sees only a slow disk: it acknowledges no record
 //! before the record is persisted.
 
 use calloop::channel::{channel, Channel};
@@ -12,17 +12,17 @@
 use tansy_storage::voter_log::{RecoveredRecords, RetryingLogStorage};
 use thiserror::Error as ThisError;
 
-/// Time between the first two attempts; it doubles with each further one.
+/// The delay before the first retry of a write. It doubles with each further retry.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The most time between two attempts.
+/// The longest delay between two retries.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Time between two log lines about a disk that goes on failing.
+/// The shortest time between two log lines about writes that keep failing.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Why a record is not persisted.
+/// Why a record was not persisted.
 #[derive(Debug, ThisError)]
 pub enum PersistError {
-    /// The storage failed for good.
+    /// The storage failed permanently.
     #[error(transparent)]
     Storage(#[from] Error),
     /// The storage's thread has ended after an earlier failure.
@@ -33,16 +33,16 @@
 /// The result of persisting a record.
 pub type PersistResult = Result<(), PersistError>;
 
-/// A record, and the snapshot that replaces it and all before it, if any.
+/// A record, and optionally a snapshot that replaces this record and all earlier ones.
 struct Entry {
     record: Vec<u8>,
     snapshot: Option<Vec<u8>>,
 }
 
-/// A voter's log. Records are persisted one after another; the result of each arrives on the event loop.
+/// A voter's log. Records are persisted in order, and the result of each is sent to the event loop.
 pub struct VoterStorage {
     entries: mpsc::Sender<Entry>,
-    /// Nobody waits for results any more: a failing write is given up.
+    /// Set once the results are no longer needed; a failing write is then not retried.
     cancelled: Arc<AtomicBool>,
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl VoterStorage {
-    /// Opens or creates the file: the storage, what was recovered, and the channel of results.
+    /// Opens or creates the file. Returns the storage, the recovered records and the channel of results.
     pub fn open(
         path: &Path,
     ) -> Result<(VoterStorage, RecoveredRecords, Channel<PersistResult>), Error> {
@@ -62,14 +62,14 @@
         Ok((storage, recovered, results))
     }
 
-    /// Starts the thread on an open log.
+    /// Starts the storage thread on an open log.
     pub fn start(mut log: RetryingLogStorage) -> (VoterStorage, Channel<PersistResult>) {
         let (entries, received) = mpsc::channel::<Entry>();
         let (sender, results) = channel();
         let cancelled = Arc::new(AtomicBool::new(false));
         let thread_cancelled = cancelled.clone();
-        // The thread ends with the sender, or with a permanent error: the state after that is known once the file is read
-        // again.
+        // The thread ends when the storage is dropped, and after a permanent error: what the file contains then is known
+        // only once it is read again.
         std::thread::spawn(move || {
             while let Ok(entry) = received.recv() {
                 let result = persist(&mut log, &entry, &thread_cancelled);
@@ -82,13 +82,13 @@
         (VoterStorage { entries, cancelled }, results)
     }
 
-    /// Persists a record; false: the thread has ended.
+    /// Queues a record to be persisted; returns false if the thread has ended.
     pub fn persist(&self, record: Vec<u8>, snapshot: Option<Vec<u8>>) -> bool {
         self.entries.send(Entry { record, snapshot }).is_ok()
     }
 }
 
-/// Retries until the record is persisted, the error is permanent, or it is cancelled.
+/// Appends a record to the log, with retries until it is persisted, a permanent error occurs, or retries are cancelled.
 fn persist(
     log: &mut RetryingLogStorage,
     entry: &Entry,
--- a/net/fleet/tests/connections.rs
+++ b/net/fleet/tests/connections.rs
@@ -1,4 +1,4 @@
-//! A voter has a connection with each front end of its fleet: it must have room for as many as there are.
+//! Tests that a voter accepts a connection from every front end of a large fleet.
 
 use calloop::EventLoop;
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
@@ -14,16 +14,16 @@
 use tansy_net_fleet::{FleetTransport, TransportConfig};
 use tansy_net_sockets::Spawner;
 
-/// More front ends than the least number of connections that a node accepts.
+/// More front ends than the number of connections that a node accepts regardless of its descriptors.
 const FRONT_ENDS: usize = 2048 + 256;
-/// Nothing here is checked for its time; this is far beyond what any step takes.
+/// Fails a connection that hangs; the test checks no timing.
 const TIMEOUT: Duration = Duration::from_secs(60);
-/// What a client of HTTP/2 sends first: its preface, and settings that change nothing.
+/// The HTTP/2 client preface and an empty SETTINGS frame.
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0";
-/// The type of a frame of settings.
+/// The type of SETTINGS frames.
 const SETTINGS: u8 = 4;
 
-/// Runs a node on this listener until it is stopped.
+/// Runs a node on this listener until `stopped` is set.
 fn serve(listener: TcpListener, stopped: &AtomicBool) {
     let mut event_loop: EventLoop<'static, ()> = EventLoop::try_new().expect("a loop");
     let spawner = Spawner::new(event_loop.handle()).expect("a spawner");
@@ -58,11 +58,11 @@
     while !stopped.load(Ordering::Relaxed) {
         event_loop
             .dispatch(Some(Duration::from_millis(20)), &mut ())
-            .expect("it goes on");
+            .expect("the loop runs");
     }
 }
 
-/// A front end's connection, once it is answered with settings.
+/// Opens a connection as a front end does, and waits for the node's SETTINGS frame.
 fn connect(to: SocketAddr) -> Result<TcpStream, std::io::Error> {
     let mut socket = TcpStream::connect(to)?;
     socket.set_read_timeout(Some(TIMEOUT))?;
@@ -75,7 +75,7 @@
 
 #[test]
 fn a_voter_accepts_connections_of_more_than_two_thousand_front_ends() {
-    // Both ends are in this process, and a node uses up to half of its descriptors.
+    // Both ends of each connection are in this process, and a node uses up to half of its descriptors.
     let limit = getrlimit(Resource::Nofile);
     setrlimit(
         Resource::Nofile,
