--- a/protocol/conf/src/convert.rs
+++ b/protocol/conf/src/convert.rs
@@ -1,4 +1,4 @@
-//! Into the router's settings.
+//! Converts the JSON settings and load reports to the router's types.
 
 use crate::error::SettingsError;
 use crate::schema::{Class, InstanceSettings, ServiceSettings, Tenant};
@@ -6,15 +6,15 @@
 use tansyrouter as router;
 use tansyrouter::Micros;
 
-/// The effect of a class whose requests carry a key by which workers drop repeats.
+/// The effect of a class whose requests carry an idempotency key, by which workers recognize duplicates.
 pub const KEYED_EFFECT: &str = "idempotency_key";
 
-/// Seconds as microseconds.
+/// Converts seconds to microseconds.
 pub fn micros(seconds: f64) -> Micros {
     (seconds * 1e6).round() as Micros
 }
 
-/// A load report from fields by their names in the settings; a field that is not known is left out.
+/// Builds a load report from fields under their names in the settings. Unknown fields are ignored.
 pub fn load_report<'a>(fields: impl Iterator<Item = (&'a str, Option<f64>)>) -> router::LoadReport {
     let mut report = router::LoadReport::default();
     for (name, value) in fields {
@@ -34,10 +34,7 @@
     report
 }
 
-/// The router's settings, or the first value that makes no sense.
-///
-/// One literal over 50 lines: each of the router's settings has its line here, and the compiler sees that none is
-/// missing.
+/// Converts to the router's settings; an error names the first invalid value.
 pub fn router_settings(settings: &InstanceSettings) -> Result<router::Settings, SettingsError> {
     validate(settings)?;
     let (limits, rules) = (&settings.policy_limits, &settings.rules);
--- a/protocol/conf/src/error.rs
+++ b/protocol/conf/src/error.rs
@@ -1,12 +1,12 @@
-//! Settings that make no sense.
+//! The errors of validating settings.
 
-/// A value that makes no sense: its key, the value, and what would be right.
+/// An invalid value: its key, the value, and what is allowed instead.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// There are no classes.
+    /// The settings define no class.
     #[error("classes: []; want one class at least")]
     NoClasses,
-    /// A class without a name, or with another's.
+    /// A class without a name, or with the name of an earlier class.
     #[error("{key}: {name:?}; want a name of its own")]
     DuplicateName {
         /// The key.
@@ -14,35 +14,35 @@
         /// The name.
         name: String,
     },
-    /// A number below its least value, or beyond any that could be meant.
+    /// A number outside its range.
     #[error("{key}: {value}; want a number from {least} to {most}")]
     OutOfRange {
         /// The key.
         key: String,
         /// The number.
         value: f64,
-        /// The least that is allowed.
+        /// The least allowed value.
         least: f64,
-        /// The most that is allowed.
+        /// The greatest allowed value.
         most: f64,
     },
-    /// A number that is not positive, or beyond any that could be meant.
+    /// A number that is not positive, or too large.
     #[error("{key}: {value}; want a number above 0, up to {most}")]
     NotPositive {
         /// The key.
         key: String,
         /// The number.
         value: f64,
-        /// The most that is allowed.
+        /// The greatest allowed value.
         most: f64,
     },
-    /// A count of zero.
+    /// A count that must not be zero.
     #[error("{key}: 0; want 1 at least")]
     ZeroCount {
         /// The key.
         key: &'static str,
     },
-    /// A group that there is not.
+    /// An unknown group.
     #[error("{key}: {group:?}; want all, zone or cell")]
     UnknownGroup {
         /// The key.
@@ -50,7 +50,7 @@
         /// The group.
         group: String,
     },
-    /// An effect that there is not.
+    /// An unknown effect.
     #[error(
         "class {class:?}: effect: {effect:?}; want read_like, idempotency_key or non_idempotent"
     )]
--- a/protocol/conf/src/lib.rs
+++ b/protocol/conf/src/lib.rs
@@ -1,9 +1,9 @@
-//! The settings of an instance, in the one form that the simulator's first message and the platform's configuration
-//! share, read into the router's. Nothing is decided here: what is absent takes the wire page's defaults.
+//! The settings of a front end, in the JSON form that the simulator's first message and the platform's configuration share,
+//! and their conversion to the router's settings. Absent fields take the defaults of that form.
 //!
 //! - [`InstanceSettings`]: the settings as JSON.
-//! - [`validate`]: the first value that makes no sense, as a [`SettingsError`].
-//! - [`router_settings`]: the router's settings. [`load_report`]: a worker's load report.
+//! - [`validate`]: reports the first invalid value as a [`SettingsError`].
+//! - [`router_settings`]: converts to the router's settings. [`load_report`]: reads a worker's load report.
 
 mod convert;
 mod error;
--- a/protocol/conf/src/schema.rs
+++ b/protocol/conf/src/schema.rs
@@ -1,5 +1,5 @@
-//! The settings as JSON. Fields have the names that the simulator's first message and the platform's configuration give
-//! them.
+//! The JSON schema of the settings. Field names are those of the simulator's first message and of the platform's
+//! configuration.
 
 use serde::Deserialize;
 
@@ -7,54 +7,54 @@
     1.0
 }
 
-/// The settings of an instance. Times are in seconds; what is absent takes the wire page's defaults.
+/// The settings of a front end. Times are in seconds; absent fields take the defaults given here.
 #[derive(Clone, Debug, Deserialize)]
 pub struct InstanceSettings {
-    /// This front end's number among its siblings.
+    /// The index of this front end, from 0.
     #[serde(default, rename = "me")]
     pub index: usize,
-    /// How many there are.
+    /// The number of front ends, including this one.
     #[serde(default = "one_usize")]
     pub siblings: usize,
-    /// Its zone, as an index into `zones`.
+    /// The zone of this front end, as an index into `zones`.
     #[serde(default)]
     pub locality: usize,
-    /// Names of the zones.
+    /// The names of the zones.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Names of the machine kinds.
+    /// The names of the machine kinds.
     #[serde(default)]
     pub machine_types: Vec<String>,
-    /// The classes.
+    /// The classes of requests; at least one.
     pub classes: Vec<Class>,
     /// The tenants.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
-    /// Priority weight of a request over its tenant's share.
+    /// The value of a request over its tenant's quota, as a share of its usual value.
     #[serde(default)]
     pub over_share_worth: f64,
-    /// What value is counted by: `work`, or requests.
+    /// `work` weights a request's value by its work; otherwise all requests of a class count the same.
     #[serde(default)]
     pub value_by: String,
-    /// How the list of workers comes: `on_request`, or unasked.
+    /// `on_request` if the front end fetches the list of workers; otherwise the list is pushed.
     #[serde(default)]
     pub discovery: String,
-    /// What is allowed.
+    /// Limits that the site sets.
     #[serde(default)]
     pub policy_limits: PolicyLimits,
-    /// The prices.
+    /// The prices of actions.
     #[serde(default)]
     pub prices: Prices,
-    /// Figures of the rules.
+    /// Parameters of worker start, drain and overload.
     #[serde(default)]
     pub rules: RuleSettings,
-    /// Figures of this kind of service.
+    /// Parameters of loading and of instances.
     #[serde(default)]
     pub specifics: ServiceSettings,
-    /// Load reports of workers.
+    /// The load reports of workers.
     #[serde(default)]
     pub telemetry: Telemetry,
-    /// Seconds between two batches.
+    /// Least seconds between two batches of events.
     #[serde(default)]
     pub tick_s: f64,
 }
@@ -66,31 +66,31 @@
 /// A class of requests.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Class {
-    /// Its name.
+    /// The name, unique among the classes.
     #[serde(default)]
     pub name: String,
-    /// Latency objective, seconds: the full value is earned up to here.
+    /// The latency objective, seconds. An answer within it earns the full value.
     pub aim_s: f64,
-    /// The objective grows by this multiple of the work.
+    /// Multiple of a request's work by which its objective is extended.
     #[serde(default)]
     pub aim_stretch: f64,
-    /// Seconds a client waits in all.
+    /// Seconds after which the client stops waiting.
     pub deadline_s: f64,
-    /// What a repeat of a request does.
+    /// The effect of a repeated request: `read_like`, `idempotency_key` or `non_idempotent`.
     pub effect: String,
-    /// Which workers drop repeats together: `all`, `zone` or `cell`.
+    /// The scope within which workers deduplicate requests: `all`, `zone` or `cell`.
     #[serde(default)]
     pub group: String,
-    /// For how many seconds they drop repeats.
+    /// Seconds for which workers deduplicate requests.
     #[serde(default)]
     pub repeat_window_s: f64,
-    /// Priority weight of a request.
+    /// The priority weight of a request.
     #[serde(default = "one")]
     pub gain: f64,
-    /// Share of the value that is earned after the objective.
+    /// The share of the value that an answer earns after the objective.
     #[serde(default)]
     pub late_worth: f64,
-    /// Answers stream.
+    /// Whether responses are streamed.
     #[serde(default)]
     pub streamed: bool,
 }
@@ -98,40 +98,40 @@
 /// A tenant.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Tenant {
-    /// Its name.
+    /// The name.
     #[serde(default)]
     pub name: String,
-    /// Part of the service.
+    /// The tenant's share of the service.
     #[serde(default)]
     pub fraction: f64,
-    /// Requests a second within its share.
+    /// The quota, requests per second.
     #[serde(default)]
     pub quota_per_s: f64,
 }
 
-/// What the site allows.
+/// Limits that the site sets.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct PolicyLimits {
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Seconds for a connection.
+    /// Seconds within which a connection must be established.
     pub connect_timeout_s: f64,
     /// Seconds after which an idle connection is closed.
     pub keepalive_s: f64,
-    /// Attempts a request may have.
+    /// The most attempts of a request.
     pub max_attempts: Option<u32>,
-    /// Longest advice not to try again that clients follow, seconds.
+    /// The longest retry delay that clients respect, seconds.
     pub max_retry_after_s: f64,
-    /// Requests held at once.
+    /// The most open requests of a front end.
     pub most_held: Option<usize>,
-    /// Requests on one connection.
+    /// The most concurrent requests on one connection.
     pub multiplex: Option<usize>,
-    /// Probes are allowed.
+    /// Whether workers may be probed.
     pub probes: bool,
-    /// Advice not to try again reaches clients.
+    /// Whether refusals can state a retry delay.
     pub retry_after: bool,
-    /// Two attempts at once are allowed.
+    /// Whether a request may have two attempts at once (hedging).
     pub second_copies: bool,
 }
 
@@ -139,68 +139,68 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Prices {
-    /// Of crossing zones.
+    /// The price of an attempt in another zone.
     pub cross_zone: f64,
-    /// Of a fetch from the store.
+    /// The price of fetching a function from the store.
     pub origin: f64,
-    /// Of a probe or a load request.
+    /// The price of a probe or a load request.
     pub probe: f64,
 }
 
-/// Figures of the rules.
+/// Parameters of worker start, drain and overload.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct RuleSettings {
-    /// Seconds past the deadline.
+    /// Seconds after the deadline within which an answer must be sent.
     pub answer_slack_s: f64,
-    /// Seconds between two requests for the list.
+    /// The most seconds between two fetches of the list of workers.
     pub ask_within_s: f64,
-    /// Share of its capacity that a worker has at its start.
+    /// The share of its capacity that a worker has when it starts.
     pub cold_from: f64,
-    /// Seconds within which nothing more is sent to a draining worker.
+    /// Seconds within which the front end must stop sending to a draining worker.
     pub drain_grace_s: f64,
-    /// Overload multiple at which a cold worker fails.
+    /// The multiple of its capacity at which an overloaded worker fails while it warms up.
     pub fall_multiple: f64,
-    /// Seconds of that overload until it does.
+    /// Seconds of such overload after which the worker fails.
     pub fall_s: f64,
-    /// Seconds until a worker has all of its capacity.
+    /// Seconds from a worker's start until it has its full capacity.
     pub warm_up_s: f64,
 }
 
-/// Figures of this kind of service.
+/// Parameters of loading and of instances.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct ServiceSettings {
     /// Seconds that an idle instance is kept.
     pub idle_life_s: f64,
-    /// Memory by machine kind.
+    /// The memory of a worker by machine kind, MB.
     pub kind_memory_mb: Vec<f64>,
-    /// Load requests that are free.
+    /// Load requests allowed in each period without regard to arrivals.
     pub load_free: f64,
-    /// Load requests for each request.
+    /// Load requests allowed for each request that arrives.
     pub load_part: f64,
-    /// The window that they are counted in, seconds.
+    /// The period in which load requests are limited, seconds; 0: no limit.
     pub load_period_s: f64,
     /// Seconds that a load request may take.
     pub load_wait_s: f64,
-    /// Load requests are allowed.
+    /// Whether load requests are allowed.
     pub orders: bool,
-    /// Price of idle memory.
+    /// The price of idle memory.
     pub price_of_idle: f64,
-    /// Answers report whether the instance was warm.
+    /// Whether responses report if the instance was warm.
     pub says_warm: bool,
-    /// Answers report how many other calls ran.
+    /// Whether responses report the number of concurrent calls.
     pub tells_crowd: bool,
-    /// What a worker does on a miss.
+    /// `miss` if a worker rejects a call of a function that is not loaded; otherwise the worker loads it.
     pub when_absent: String,
 }
 
-/// Load reports.
+/// The load reports of workers.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Telemetry {
-    /// Their fields.
+    /// The names of the reported fields.
     pub fields: Vec<String>,
-    /// How they come.
+    /// `piggyback` if responses carry reports, `pull` if probes fetch them; otherwise there are none.
     pub how: String,
 }
--- a/protocol/conf/src/validate.rs
+++ b/protocol/conf/src/validate.rs
@@ -1,12 +1,12 @@
-//! Which values make no sense.
+//! Validates the JSON settings.
 
 use crate::error::SettingsError;
 use crate::schema::{Class, InstanceSettings};
 
-/// A span or a figure beyond this is longer or larger than anything it could be meant for.
-const MOST: f64 = 1e9;
+/// The greatest number that any setting accepts.
+const MAX_NUMBER: f64 = 1e9;
 
-/// The first value of the settings that makes no sense.
+/// Checks all values of the settings and returns the first invalid one.
 pub fn validate(settings: &InstanceSettings) -> Result<(), SettingsError> {
     if settings.classes.is_empty() {
         return Err(SettingsError::NoClasses);
@@ -15,29 +15,29 @@
         validate_class(&settings.classes, index)?;
     }
     validate_counts(settings)?;
-    validate_figures(settings)
+    validate_numbers(settings)
 }
 
 fn at_least(key: &str, value: f64, least: f64) -> Result<(), SettingsError> {
-    if (least..=MOST).contains(&value) {
+    if (least..=MAX_NUMBER).contains(&value) {
         return Ok(());
     }
     Err(SettingsError::OutOfRange {
         key: key.to_string(),
         value,
         least,
-        most: MOST,
+        most: MAX_NUMBER,
     })
 }
 
 fn positive(key: &str, value: f64) -> Result<(), SettingsError> {
-    if value > 0.0 && value <= MOST {
+    if value > 0.0 && value <= MAX_NUMBER {
         return Ok(());
     }
     Err(SettingsError::NotPositive {
         key: key.to_string(),
         value,
-        most: MOST,
+        most: MAX_NUMBER,
     })
 }
 
@@ -81,11 +81,11 @@
     }
 }
 
-fn validate_figures(settings: &InstanceSettings) -> Result<(), SettingsError> {
+fn validate_numbers(settings: &InstanceSettings) -> Result<(), SettingsError> {
     let limits = &settings.policy_limits;
     let rules = &settings.rules;
     let specifics = &settings.specifics;
-    let figures = [
+    let numbers = [
         ("policy_limits.connect_timeout_s", limits.connect_timeout_s),
         ("policy_limits.keepalive_s", limits.keepalive_s),
         ("policy_limits.max_retry_after_s", limits.max_retry_after_s),
@@ -103,7 +103,7 @@
         ("specifics.load_wait_s", specifics.load_wait_s),
         ("tick_s", settings.tick_s),
     ];
-    figures
+    numbers
         .iter()
         .try_for_each(|(key, value)| at_least(key, *value, 0.0))
 }
--- a/protocol/conf/tests/absurd.rs
+++ b/protocol/conf/tests/invalid_values.rs
@@ -1,8 +1,8 @@
-//! Settings that make no sense end with the key, its value and what would be right; keys that are not known are ignored.
+//! Tests that an invalid value is reported with its key, the value and what is allowed, and that unknown keys are ignored.
 
 use tansy_conf::{router_settings, InstanceSettings};
 
-const GOOD: &str = r#"{"siblings":3,"unheard_of":{"x":[1]},"classes":[{"name":"call","aim_s":1,"deadline_s":2,
+const VALID: &str = r#"{"siblings":3,"unheard_of":{"x":[1]},"classes":[{"name":"call","aim_s":1,"deadline_s":2,
     "effect":"idempotency_key","group":"zone","repeat_window_s":3}],
     "policy_limits":{"max_attempts":2,"connect_timeout_s":0.25,"keepalive_s":30},
     "rules":{"cold_from":0.3,"fall_multiple":4,"fall_s":3,"warm_up_s":5},"specifics":{"idle_life_s":10}}"#;
@@ -15,13 +15,10 @@
 }
 
 #[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
-)]
-fn each_absurd_value_is_named() {
-    assert_eq!(read(GOOD), Ok(()));
-    for (good, bad, said) in [
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
+fn each_invalid_value_is_reported_with_its_key() {
+    assert_eq!(read(VALID), Ok(()));
+    for (valid, invalid, expected) in [
         (
             r#""aim_s":1"#,
             r#""aim_s":0"#,
@@ -85,16 +82,16 @@
         ),
         (r#""aim_s":1,"#, "", "missing field `aim_s`"),
     ] {
-        let text = GOOD.replace(good, bad);
-        assert_ne!(text, GOOD, "{good}");
-        let why = read(&text).expect_err(bad);
-        assert!(why.contains(said), "{bad}: {why}");
+        let text = VALID.replace(valid, invalid);
+        assert_ne!(text, VALID, "{valid}");
+        let error = read(&text).expect_err(invalid);
+        assert!(error.contains(expected), "{invalid}: {error}");
     }
-    let none = GOOD.replace(
+    let duplicate = VALID.replace(
         r#"{"name":"call""#,
         r#"{"name":"a","aim_s":1,"deadline_s":1,"effect":"read_like"},{"name":"a""#,
     );
-    assert!(read(&none)
+    assert!(read(&duplicate)
         .unwrap_err()
         .contains("classes[1].name: \"a\"; want a name of its own"));
 }
