--- a/protocol/fleet/src/error.rs
+++ b/protocol/fleet/src/error.rs
@@ -1,4 +1,4 @@
-//! The reasons for which a message is rejected.
+//! The errors of decoding messages.
 
 use crate::FORMAT_VERSION;
 use thiserror::Error;
@@ -6,18 +6,18 @@
 /// Why a message is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// The bytes are no message at all.
-    #[error("a message that can't be decoded: {0}")]
+    /// The bytes can't be decoded.
+    #[error("malformed message: {0}")]
     Malformed(String),
-    /// The message has another format version: one of the two programs is too old.
+    /// The message has another format version.
     #[error(
-        "a message of format {0}, this program knows format {FORMAT_VERSION}: one of the two is too old"
+        "message has format version {0}, but this program requires version {FORMAT_VERSION}: update the older program"
     )]
     UnknownFormat(u32),
     /// The message belongs to another fleet.
-    #[error("a message of another fleet: two fleets are connected to each other; look at fleet.name and fleet.seats")]
+    #[error("message of another fleet: two fleets are connected to each other; check fleet.name and fleet.seats")]
     OtherFleet,
-    /// A required part is missing or out of bounds.
-    #[error("a message without a valid {0}")]
+    /// A required part is missing or invalid.
+    #[error("message without a valid {0}")]
     MissingPart(&'static str),
 }
--- a/protocol/fleet/src/fleet_state.rs
+++ b/protocol/fleet/src/fleet_state.rs
@@ -1,6 +1,6 @@
-//! Versions of settings and the state that a front end acts on.
+//! Encodes and decodes versions of the settings and the fleet's state.
 
-use crate::values::{bounded_text, fields, of_fields};
+use crate::values::{bounded_text, decode_fields, encode_fields};
 use crate::{pb, DecodeError};
 use tansy_agreement::log::{Canary, ChangePhase, FleetState, Revision, Version, VersionedSettings};
 use tansy_agreement::scope::ChangeHistory;
@@ -9,7 +9,7 @@
 pub fn encode_settings(settings: &VersionedSettings) -> pb::Settings {
     pb::Settings {
         version: settings.version.0,
-        fields: fields(&settings.fields),
+        fields: encode_fields(&settings.fields),
         reason: settings.reason.clone(),
         id: settings.id,
     }
@@ -17,7 +17,7 @@
 
 /// Decodes a version of the settings.
 pub fn decode_settings(settings: pb::Settings) -> Result<VersionedSettings, DecodeError> {
-    let fields = of_fields(settings.fields)?;
+    let fields = decode_fields(settings.fields)?;
     Ok(VersionedSettings {
         version: Version(settings.version),
         fields,
@@ -29,7 +29,7 @@
 /// Encodes the state that a front end acts on.
 pub fn encode_state(state: &FleetState) -> pb::State {
     let next = state.next.as_ref();
-    // Left out where it says nothing: programs that know no scopes do not read it.
+    // Omitted if it equals the revision; programs that do not support scopes ignore it.
     let versions_revision = if state.versions_revision == state.revision {
         0
     } else {
@@ -39,9 +39,9 @@
         revision: state.revision.0,
         in_force: Some(encode_settings(&state.in_force)),
         next: next.map(|(next, _)| encode_settings(next)),
-        phase: phase(next.map(|(_, phase)| phase)) as i32,
+        phase: encode_phase(next.map(|(_, phase)| phase)) as i32,
         canary: state.canary.as_ref().map(|canary| pb::Canary {
-            fields: fields(&canary.fields),
+            fields: encode_fields(&canary.fields),
             members: canary.members.iter().cloned().collect(),
         }),
         versions_revision,
@@ -49,7 +49,7 @@
     }
 }
 
-fn phase(phase: Option<&ChangePhase>) -> pb::Phase {
+fn encode_phase(phase: Option<&ChangePhase>) -> pb::Phase {
     match phase {
         None => pb::Phase::None,
         Some(ChangePhase::Announced) => pb::Phase::Notified,
@@ -58,7 +58,7 @@
     }
 }
 
-fn of_phase(phase: i32) -> Result<Option<ChangePhase>, DecodeError> {
+fn decode_phase(phase: i32) -> Result<Option<ChangePhase>, DecodeError> {
     match pb::Phase::try_from(phase) {
         Ok(pb::Phase::None) => Ok(None),
         Ok(pb::Phase::Notified) => Ok(Some(ChangePhase::Announced)),
@@ -68,19 +68,19 @@
     }
 }
 
-fn of_canary(canary: pb::Canary) -> Result<Box<Canary>, DecodeError> {
+fn decode_canary(canary: pb::Canary) -> Result<Box<Canary>, DecodeError> {
     let members = canary.members.into_iter();
     let members = members.map(|name| bounded_text(name, "name"));
     let members = members.collect::<Result<_, _>>()?;
     Ok(Box::new(Canary {
-        fields: of_fields(canary.fields)?,
+        fields: decode_fields(canary.fields)?,
         members,
     }))
 }
 
 /// Decodes the state that a front end acts on.
 pub fn decode_state(state: pb::State) -> Result<FleetState, DecodeError> {
-    let phase = of_phase(state.phase)?;
+    let phase = decode_phase(state.phase)?;
     let in_force = state.in_force;
     let in_force = decode_settings(in_force.ok_or(DecodeError::MissingPart("version in force"))?)?;
     let next = match (state.next, phase) {
@@ -101,7 +101,7 @@
         revision,
         in_force,
         next,
-        canary: state.canary.map(of_canary).transpose()?,
+        canary: state.canary.map(decode_canary).transpose()?,
         versions_revision,
         scopes_since,
         history: ChangeHistory::after(revision),
--- a/protocol/fleet/src/identity.rs
+++ b/protocol/fleet/src/identity.rs
@@ -1,4 +1,4 @@
-//! Processes and members.
+//! Encodes and decodes the identities of processes and members.
 
 use crate::{pb, DecodeError};
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
     }
 }
 
-pub(crate) fn of_process(process: pb::Process) -> Result<NodeId, DecodeError> {
+pub(crate) fn decode_process(process: pb::Process) -> Result<NodeId, DecodeError> {
     let address: SocketAddr = process
         .address
         .parse()
@@ -28,7 +28,7 @@
     })
 }
 
-/// Encodes a member.
+/// Encodes the identity of a member.
 pub fn encode_member(member: Member) -> pb::Member {
     pb::Member {
         id: member.id,
@@ -36,7 +36,7 @@
     }
 }
 
-pub(crate) fn of_member(member: Option<pb::Member>) -> Result<Member, DecodeError> {
+pub(crate) fn decode_member(member: Option<pb::Member>) -> Result<Member, DecodeError> {
     let member = member.ok_or(DecodeError::MissingPart("member"))?;
     Ok(Member {
         id: member.id,
--- a/protocol/fleet/src/leases.rs
+++ b/protocol/fleet/src/leases.rs
@@ -1,8 +1,8 @@
-//! Leases of the lease tree and sessions with the leader.
+//! Encodes and decodes the messages of leases and of sessions with the leader.
 
 use crate::fleet_state::{decode_state, encode_state};
-use crate::identity::{encode_member, of_member};
-use crate::scopes::{delta, of_delta};
+use crate::identity::{decode_member, encode_member};
+use crate::scopes::{decode_delta, encode_delta};
 use crate::{pb, DecodeError};
 use tansy_agreement::lease::{LeaseGrant, LeaseRequest};
 use tansy_agreement::lease_tree;
@@ -10,10 +10,10 @@
 use tansy_agreement::scope::StateDelta;
 use tansy_agreement::session::{SessionGrant, SessionRequest};
 
-/// The lease messages of a fleet: about its state, with deltas of its functions.
+/// The lease messages of a fleet, which carry the fleet's state and deltas of its functions.
 type LeaseMessage = lease_tree::LeaseMessage<FleetState, StateDelta>;
 
-pub(crate) fn lease_body(message: LeaseMessage) -> pb::envelope::Body {
+pub(crate) fn encode_lease_body(message: LeaseMessage) -> pb::envelope::Body {
     use pb::envelope::Body;
     match message {
         LeaseMessage::Request(request) => Body::LeaseRequest(pb::LeaseRequest {
@@ -29,7 +29,7 @@
             span: grant.span,
             revision: grant.revision.0,
             state: grant.state.as_ref().map(encode_state),
-            delta: grant.delta.as_ref().map(delta),
+            delta: grant.delta.as_ref().map(encode_delta),
         }),
         LeaseMessage::Revision(revision) => Body::Revision(revision.0),
         LeaseMessage::Acknowledge { from, revision } => Body::Acknowledge(pb::Acknowledge {
@@ -39,9 +39,9 @@
     }
 }
 
-pub(crate) fn of_lease_request(request: pb::LeaseRequest) -> Result<LeaseMessage, DecodeError> {
+pub(crate) fn decode_lease_request(request: pb::LeaseRequest) -> Result<LeaseMessage, DecodeError> {
     Ok(LeaseMessage::Request(LeaseRequest {
-        from: of_member(request.from)?,
+        from: decode_member(request.from)?,
         seq: request.seq,
         acknowledged: Revision(request.acknowledged),
         known: Revision(request.known),
@@ -49,29 +49,31 @@
     }))
 }
 
-pub(crate) fn of_lease_grant(grant: pb::LeaseGrant) -> Result<LeaseMessage, DecodeError> {
+pub(crate) fn decode_lease_grant(grant: pb::LeaseGrant) -> Result<LeaseMessage, DecodeError> {
     let revision = grant.revision;
     Ok(LeaseMessage::Grant(LeaseGrant {
-        to: of_member(grant.to)?,
+        to: decode_member(grant.to)?,
         seq: grant.seq,
         span: grant.span,
         revision: Revision(revision),
         state: grant.state.map(decode_state).transpose()?,
         delta: grant
             .delta
-            .map(|delta| of_delta(delta, revision))
+            .map(|delta| decode_delta(delta, revision))
             .transpose()?,
     }))
 }
 
-pub(crate) fn of_acknowledge(acknowledge: pb::Acknowledge) -> Result<LeaseMessage, DecodeError> {
+pub(crate) fn decode_acknowledge(
+    acknowledge: pb::Acknowledge,
+) -> Result<LeaseMessage, DecodeError> {
     Ok(LeaseMessage::Acknowledge {
-        from: of_member(acknowledge.from)?,
+        from: decode_member(acknowledge.from)?,
         revision: Revision(acknowledge.revision),
     })
 }
 
-pub(crate) fn session_request(
+pub(crate) fn encode_session_request(
     request: SessionRequest,
     name: String,
     drain_digest: u64,
@@ -86,18 +88,18 @@
     }
 }
 
-pub(crate) fn of_session_request(
+pub(crate) fn decode_session_request(
     request: &pb::SessionRequest,
 ) -> Result<SessionRequest, DecodeError> {
     Ok(SessionRequest {
-        from: of_member(request.from)?,
+        from: decode_member(request.from)?,
         seq: request.seq,
         revision: Revision(request.revision),
         supports_scopes: request.supports_scopes,
     })
 }
 
-pub(crate) fn session_grant(grant: SessionGrant) -> pb::SessionGrant {
+pub(crate) fn encode_session_grant(grant: SessionGrant) -> pb::SessionGrant {
     pb::SessionGrant {
         to: Some(encode_member(grant.to)),
         seq: grant.seq,
@@ -105,9 +107,9 @@
     }
 }
 
-pub(crate) fn of_session_grant(grant: pb::SessionGrant) -> Result<SessionGrant, DecodeError> {
+pub(crate) fn decode_session_grant(grant: pb::SessionGrant) -> Result<SessionGrant, DecodeError> {
     Ok(SessionGrant {
-        to: of_member(grant.to)?,
+        to: decode_member(grant.to)?,
         seq: grant.seq,
         span: grant.span,
     })
--- a/protocol/fleet/src/lib.rs
+++ b/protocol/fleet/src/lib.rs
@@ -1,8 +1,8 @@
-//! The wire format of a fleet: messages between its front ends and requests of its operators, encoded from and decoded to the
-//! types of `tansy-agreement`.
+//! The wire format of messages between the front ends of a fleet and of its operators' requests. Functions encode from and
+//! decode to the types of `tansy-agreement`.
 //!
-//! Decoding checks what it reads: lengths, depths, and that required parts are there. The crate opens no connection and keeps
-//! no state; `tansy-net-fleet` carries the bytes.
+//! Decoding validates lengths, nesting depths and the presence of required parts. The crate performs no I/O and keeps no
+//! state; `tansy-net-fleet` sends and receives the messages.
 
 mod drains;
 mod error;
@@ -30,11 +30,11 @@
     decode_scope_record, decode_scope_transaction, encode_scope_record, encode_scope_transaction,
 };
 
-/// The version of the message format; messages of any other are rejected.
+/// The version of the message format. Messages of other versions are rejected.
 pub const FORMAT_VERSION: u32 = 1;
 /// The most bytes of a message.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 /// The most bytes of a name, an address or a reason.
 pub const MAX_TEXT_BYTES: usize = 4096;
-/// The path of the service, before the name of a method.
+/// The path prefix of the methods of the service.
 pub const SERVICE: &str = "/tansy.fleet.Fleet/";
--- a/protocol/fleet/src/message.rs
+++ b/protocol/fleet/src/message.rs
@@ -1,12 +1,14 @@
-//! The envelope of a message: its header, and the body by its kind.
+//! Encodes and decodes the envelope of a message: its header and its body.
 
-use crate::drains::{drains, of_drains};
-use crate::identity::{encode_member, encode_process, of_member, of_process};
+use crate::drains::{decode_drains, encode_drains};
+use crate::identity::{decode_member, decode_process, encode_member, encode_process};
 use crate::leases::{
-    lease_body, of_acknowledge, of_lease_grant, of_lease_request, of_session_grant,
-    of_session_request, session_grant, session_request,
+    decode_acknowledge, decode_lease_grant, decode_lease_request, decode_session_grant,
+    decode_session_request, encode_lease_body, encode_session_grant, encode_session_request,
+};
+use crate::subscriptions::{
+    decode_subscribe, decode_subscribe_reply, encode_subscribe, encode_subscribe_reply,
 };
-use crate::subscriptions::{of_subscribe, of_subscribe_reply, subscribe, subscribe_reply};
 use crate::values::bounded_text;
 use crate::{pb, DecodeError, FORMAT_VERSION};
 use pb::envelope::Body;
@@ -16,7 +18,7 @@
 use tansy_fleet_node::{Leader, MessageBody};
 use tansy_membership::NodeId;
 
-/// Encodes a message of `from`, which takes `leader` for the fleet's leader.
+/// Encodes a message from the node `from`. `leader` is the fleet's leader as far as the sender knows.
 pub fn encode_message(fleet: u64, from: &NodeId, leader: Leader, body: MessageBody) -> Vec<u8> {
     pb::Envelope {
         format_version: FORMAT_VERSION,
@@ -32,24 +34,24 @@
 fn encode_body(body: MessageBody) -> Body {
     match body {
         MessageBody::Gossip(bytes) => Body::Gossip(bytes),
-        MessageBody::Lease(message) => lease_body(message),
+        MessageBody::Lease(message) => encode_lease_body(message),
         MessageBody::SessionRequest(request, name, digest) => {
-            Body::SessionRequest(session_request(request, name, digest))
+            Body::SessionRequest(encode_session_request(request, name, digest))
         }
-        MessageBody::SessionGrant(grant) => Body::SessionGrant(session_grant(grant)),
+        MessageBody::SessionGrant(grant) => Body::SessionGrant(encode_session_grant(grant)),
         MessageBody::Departed(departed) => Body::Departed(encode_member(departed)),
         MessageBody::Drains(records, reply_requested) => {
-            Body::Drains(drains(records, reply_requested))
+            Body::Drains(encode_drains(records, reply_requested))
         }
         MessageBody::DrainDigest(digest) => Body::DrainDigest(digest),
         MessageBody::Consensus(bytes) => Body::Consensus(bytes),
         MessageBody::HeaderOnly => Body::HeaderOnly(true),
-        MessageBody::Subscribe(request) => Body::Subscribe(subscribe(request)),
-        MessageBody::SubscribeReply(reply) => Body::SubscribeReply(subscribe_reply(reply)),
+        MessageBody::Subscribe(request) => Body::Subscribe(encode_subscribe(request)),
+        MessageBody::SubscribeReply(reply) => Body::SubscribeReply(encode_subscribe_reply(reply)),
     }
 }
 
-/// Decodes a message of this fleet: its sender, the leader that the sender knows, and the body.
+/// Decodes a message of this fleet. Returns the sender, the leader as far as the sender knows, and the body.
 pub fn decode_message(
     fleet: u64,
     bytes: &[u8],
@@ -66,7 +68,7 @@
         id: envelope.leader_id,
     };
     let from = envelope.from.ok_or(DecodeError::MissingPart("sender"))?;
-    let from = of_process(from)?;
+    let from = decode_process(from)?;
     let body = envelope.body.ok_or(DecodeError::MissingPart("body"))?;
     Ok((from, leader, decode_body(body)?))
 }
@@ -74,25 +76,25 @@
 fn decode_body(body: Body) -> Result<MessageBody, DecodeError> {
     Ok(match body {
         Body::Gossip(bytes) => MessageBody::Gossip(bytes),
-        Body::LeaseRequest(request) => MessageBody::Lease(of_lease_request(request)?),
-        Body::LeaseGrant(grant) => MessageBody::Lease(of_lease_grant(grant)?),
+        Body::LeaseRequest(request) => MessageBody::Lease(decode_lease_request(request)?),
+        Body::LeaseGrant(grant) => MessageBody::Lease(decode_lease_grant(grant)?),
         Body::Revision(revision) => MessageBody::Lease(LeaseMessage::Revision(Revision(revision))),
-        Body::Acknowledge(acknowledge) => MessageBody::Lease(of_acknowledge(acknowledge)?),
+        Body::Acknowledge(acknowledge) => MessageBody::Lease(decode_acknowledge(acknowledge)?),
         Body::SessionRequest(request) => {
-            let session = of_session_request(&request)?;
+            let session = decode_session_request(&request)?;
             let name = bounded_text(request.name, "name")?;
             MessageBody::SessionRequest(session, name, request.drain_digest)
         }
-        Body::SessionGrant(grant) => MessageBody::SessionGrant(of_session_grant(grant)?),
-        Body::Departed(departed) => MessageBody::Departed(of_member(Some(departed))?),
+        Body::SessionGrant(grant) => MessageBody::SessionGrant(decode_session_grant(grant)?),
+        Body::Departed(departed) => MessageBody::Departed(decode_member(Some(departed))?),
         Body::Drains(drains) => {
-            let (records, reply_requested) = of_drains(drains)?;
+            let (records, reply_requested) = decode_drains(drains)?;
             MessageBody::Drains(records, reply_requested)
         }
         Body::DrainDigest(digest) => MessageBody::DrainDigest(digest),
         Body::Consensus(bytes) => MessageBody::Consensus(bytes),
         Body::HeaderOnly(_) => MessageBody::HeaderOnly,
-        Body::Subscribe(request) => MessageBody::Subscribe(of_subscribe(request)?),
-        Body::SubscribeReply(reply) => MessageBody::SubscribeReply(of_subscribe_reply(reply)?),
+        Body::Subscribe(request) => MessageBody::Subscribe(decode_subscribe(request)?),
+        Body::SubscribeReply(reply) => MessageBody::SubscribeReply(decode_subscribe_reply(reply)?),
     })
 }
--- a/protocol/fleet/src/rollout.rs
+++ b/protocol/fleet/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Entries of a rollout, its state, and the observations that its analysis reads.
+//! Encodes and decodes rollout entries, the state of a rollout, and the counters that the analysis of a rollout reads.
 
 use crate::fleet_state::{decode_settings, encode_settings};
 use crate::values::bounded_text;
@@ -12,7 +12,7 @@
 /// The most distinct latencies that a class may report.
 const MAX_LATENCIES: usize = 4096;
 
-/// Encodes an entry of a rollout; `fields` are those of a rollout of settings that starts.
+/// Encodes a rollout entry. `fields` is the version to roll out, with the entry that starts a rollout of settings.
 pub fn encode_rollout_entry(
     entry: &RolloutEntry,
     fields: Option<&VersionedSettings>,
@@ -24,41 +24,41 @@
     }
 }
 
-/// Decodes an entry of a rollout.
+/// Decodes a rollout entry and the fields that it carries, if any.
 pub fn decode_rollout_entry(
     rollout: pb::RolloutLogEntry,
 ) -> Result<(RolloutEntry, Option<Fields>), DecodeError> {
     let entry = serde_json::from_str(&rollout.entry)
-        .map_err(|error| DecodeError::Malformed(format!("a rollout's entry: {error}")))?;
+        .map_err(|error| DecodeError::Malformed(format!("rollout entry: {error}")))?;
     let settings = rollout.fields.map(decode_settings).transpose()?;
     Ok((entry, settings.map(|settings| settings.fields)))
 }
 
-/// Decodes the last rollout that a voter knows; `None`: there was none.
+/// Decodes the last rollout that a voter knows; `None` if there was none.
 pub fn decode_rollout(text: &str) -> Result<Option<Rollout>, DecodeError> {
     if text.is_empty() {
         return Ok(None);
     }
     serde_json::from_str(text)
         .map(Some)
-        .map_err(|error| DecodeError::Malformed(format!("a rollout: {error}")))
+        .map_err(|error| DecodeError::Malformed(format!("rollout: {error}")))
 }
 
-/// Decodes a front end's counters as an observation of a rollout's stage. `new`: whether it is in the new group.
+/// Decodes a front end's counters as an observation during a rollout. `is_canary`: the front end is in the canary group.
 pub fn decode_counters(
     reply: pb::CountsReply,
-    new: bool,
+    is_canary: bool,
 ) -> Result<FrontEndObservation, DecodeError> {
     let mut classes = BTreeMap::new();
     for mut class in reply.classes {
         let name = std::mem::take(&mut class.class);
-        let counters = request_counters(class)?;
+        let counters = decode_request_counters(class)?;
         classes.insert(bounded_text(name, "class")?, counters);
     }
     let report = FrontEndReport {
         name: bounded_text(reply.name, "name")?,
         zone: bounded_text(reply.zone, "zone")?,
-        is_canary: new,
+        is_canary,
         incarnation: reply.incarnation,
         uptime_seconds: reply.uptime as f64 / 1e6,
         classes,
@@ -71,7 +71,7 @@
     })
 }
 
-fn request_counters(class: pb::ClassCounters) -> Result<RequestCounters, DecodeError> {
+fn decode_request_counters(class: pb::ClassCounters) -> Result<RequestCounters, DecodeError> {
     if class.latencies.len() != class.latency_counts.len() || class.latencies.len() > MAX_LATENCIES
     {
         return Err(DecodeError::MissingPart("list of latencies"));
@@ -89,7 +89,7 @@
         ..Default::default()
     };
     for (latency, calls) in class.latencies.into_iter().zip(class.latency_counts) {
-        // A histogram of two digits grows by some bytes for each time it doubles, so that no latency can exhaust memory.
+        // A histogram's memory grows with the logarithm of the largest latency, so that no value can exhaust memory.
         counters
             .latency
             .record_n(latency, calls)
--- a/protocol/fleet/src/scopes.rs
+++ b/protocol/fleet/src/scopes.rs
@@ -1,6 +1,7 @@
-//! Functions that are agreed on one by one: their records, their history, and transactions that change them.
+//! Encodes and decodes the records of functions, deltas of those records, and transactions that change functions. Each
+//! function is a scope: it is agreed on separately from the versions of the settings.
 
-use crate::values::{bounded_text, fields, of_fields};
+use crate::values::{bounded_text, decode_fields, encode_fields};
 use crate::{pb, DecodeError};
 use std::sync::Arc;
 use tansy_agreement::compatibility::Fields;
@@ -10,21 +11,22 @@
     MAX_NAME_BYTES, MAX_UPDATES_PER_TRANSACTION,
 };
 
-pub(crate) fn of_scope_name(name: String) -> Result<String, DecodeError> {
+/// Checks that a function's name has a valid length.
+pub(crate) fn check_scope_name(name: String) -> Result<String, DecodeError> {
     if name.is_empty() || name.len() > MAX_NAME_BYTES {
         return Err(DecodeError::MissingPart("function's name"));
     }
     Ok(name)
 }
 
-fn scope_fields(scope: &Fields) -> pb::Fields {
+fn encode_scope_fields(scope: &Fields) -> pb::Fields {
     pb::Fields {
-        fields: fields(scope),
+        fields: encode_fields(scope),
     }
 }
 
-fn of_scope_fields(scope: Option<pb::Fields>) -> Result<Option<Fields>, DecodeError> {
-    scope.map(|scope| of_fields(scope.fields)).transpose()
+fn decode_scope_fields(scope: Option<pb::Fields>) -> Result<Option<Fields>, DecodeError> {
+    scope.map(|scope| decode_fields(scope.fields)).transpose()
 }
 
 /// Encodes the record of a function.
@@ -37,17 +39,20 @@
     };
     pb::ScopeRecord {
         revision: record.revision.0,
-        fields: record.fields.as_ref().map(scope_fields),
+        fields: record.fields.as_ref().map(encode_scope_fields),
         phase: phase as i32,
-        next: record.next().and_then(Option::as_ref).map(scope_fields),
+        next: record
+            .next()
+            .and_then(Option::as_ref)
+            .map(encode_scope_fields),
         since: record.phase.since().map_or(0, |since| since.0),
     }
 }
 
 /// Decodes the record of a function.
 pub fn decode_scope_record(record: pb::ScopeRecord) -> Result<ScopeRecord, DecodeError> {
-    let fields = of_scope_fields(record.fields)?;
-    let next = of_scope_fields(record.next)?;
+    let fields = decode_scope_fields(record.fields)?;
+    let next = decode_scope_fields(record.next)?;
     let since = Revision(record.since);
     let phase = match pb::ScopePhase::try_from(record.phase) {
         Ok(pb::ScopePhase::Settled) => ScopePhase::Settled,
@@ -63,7 +68,7 @@
     })
 }
 
-pub(crate) fn delta(delta: &StateDelta) -> pb::StateDelta {
+pub(crate) fn encode_delta(delta: &StateDelta) -> pb::StateDelta {
     let change = |change: &Arc<ScopeChange>| pb::ScopeChange {
         revision: change.revision.0,
         scope: change.scope.clone(),
@@ -76,9 +81,9 @@
     }
 }
 
-/// Decodes the delta of a grant at the revision `to`.
-pub(crate) fn of_delta(delta: pb::StateDelta, to: u64) -> Result<StateDelta, DecodeError> {
-    // Of two changes of a scope at one revision the later one can't be determined; one out of order would be skipped.
+/// Decodes the delta of a lease grant for the revision `to`.
+pub(crate) fn decode_delta(delta: pb::StateDelta, to: u64) -> Result<StateDelta, DecodeError> {
+    // Changes must be sorted and within the range of the delta: a receiver would skip a change that is out of order.
     let ordered = delta
         .changes
         .is_sorted_by(|earlier, later| earlier.revision <= later.revision);
@@ -90,7 +95,7 @@
     if !spans || !ordered || !within || delta.changes.len() > MAX_HISTORY {
         return Err(DecodeError::MissingPart("order of changes"));
     }
-    let changes = delta.changes.into_iter().map(of_change);
+    let changes = delta.changes.into_iter().map(decode_change);
     Ok(StateDelta {
         from: Revision(delta.from),
         to: Revision(delta.to),
@@ -98,13 +103,13 @@
     })
 }
 
-fn of_change(change: pb::ScopeChange) -> Result<Arc<ScopeChange>, DecodeError> {
+fn decode_change(change: pb::ScopeChange) -> Result<Arc<ScopeChange>, DecodeError> {
     let record = change.record;
     let record =
         decode_scope_record(record.ok_or(DecodeError::MissingPart("settings of a function"))?)?;
     Ok(Arc::new(ScopeChange {
         revision: Revision(change.revision),
-        scope: of_scope_name(change.scope)?,
+        scope: check_scope_name(change.scope)?,
         record,
     }))
 }
@@ -114,7 +119,7 @@
     let update = |update: &ScopeUpdate| pb::ScopeUpdate {
         scope: update.scope.clone(),
         base: update.base.0,
-        fields: update.fields.as_ref().map(scope_fields),
+        fields: update.fields.as_ref().map(encode_scope_fields),
     };
     pb::ScopeTransaction {
         id: transaction.id,
@@ -131,9 +136,9 @@
         return Err(DecodeError::MissingPart("number of changes"));
     }
     let update = |update: pb::ScopeUpdate| {
-        let fields = of_scope_fields(update.fields)?;
+        let fields = decode_scope_fields(update.fields)?;
         Ok(ScopeUpdate {
-            scope: of_scope_name(update.scope)?,
+            scope: check_scope_name(update.scope)?,
             base: Revision(update.base),
             fields,
         })
--- a/protocol/fleet/src/subscriptions.rs
+++ b/protocol/fleet/src/subscriptions.rs
@@ -1,7 +1,7 @@
-//! Subscriptions of front ends to functions that are agreed on one by one.
+//! Encodes and decodes front ends' subscriptions to functions.
 
-use crate::identity::{encode_member, of_member};
-use crate::scopes::{decode_scope_record, encode_scope_record, of_scope_name};
+use crate::identity::{decode_member, encode_member};
+use crate::scopes::{check_scope_name, decode_scope_record, encode_scope_record};
 use crate::{pb, DecodeError};
 use tansy_agreement::log::Revision;
 use tansy_agreement::scope::ScopeRecord;
@@ -10,14 +10,14 @@
     MAX_UNSUBSCRIBES_PER_REQUEST,
 };
 
-fn epoch(epoch: ResyncEpoch) -> pb::ResyncEpoch {
+fn encode_epoch(epoch: ResyncEpoch) -> pb::ResyncEpoch {
     pb::ResyncEpoch {
         term: epoch.term,
         count: epoch.count,
     }
 }
 
-fn of_epoch(epoch: Option<pb::ResyncEpoch>) -> Result<ResyncEpoch, DecodeError> {
+fn decode_epoch(epoch: Option<pb::ResyncEpoch>) -> Result<ResyncEpoch, DecodeError> {
     let epoch = epoch.ok_or(DecodeError::MissingPart("epoch"))?;
     Ok(ResyncEpoch {
         term: epoch.term,
@@ -25,11 +25,11 @@
     })
 }
 
-pub(crate) fn subscribe(request: SubscribeRequest) -> pb::SubscribeRequest {
+pub(crate) fn encode_subscribe(request: SubscribeRequest) -> pb::SubscribeRequest {
     let full_list = request.full_list;
     pb::SubscribeRequest {
         from: Some(encode_member(request.from)),
-        epoch: Some(epoch(request.epoch)),
+        epoch: Some(encode_epoch(request.epoch)),
         seq: request.seq,
         revision: request.revision.0,
         scopes: request.scopes,
@@ -38,7 +38,9 @@
     }
 }
 
-pub(crate) fn of_subscribe(request: pb::SubscribeRequest) -> Result<SubscribeRequest, DecodeError> {
+pub(crate) fn decode_subscribe(
+    request: pb::SubscribeRequest,
+) -> Result<SubscribeRequest, DecodeError> {
     let full_list = request.full_list.map(|list| list.numbers);
     let listed = full_list.as_ref().map_or(0, Vec::len);
     if request.scopes.len() > MAX_SCOPES_PER_REQUEST
@@ -49,11 +51,11 @@
     } else if request.seq == 0 {
         return Err(DecodeError::MissingPart("sequence number"));
     }
-    let scopes = request.scopes.into_iter().map(of_scope_name);
+    let scopes = request.scopes.into_iter().map(check_scope_name);
     let scopes = scopes.collect::<Result<_, _>>()?;
     Ok(SubscribeRequest {
-        from: of_member(request.from)?,
-        epoch: of_epoch(request.epoch)?,
+        from: decode_member(request.from)?,
+        epoch: decode_epoch(request.epoch)?,
         seq: request.seq,
         revision: Revision(request.revision),
         scopes,
@@ -62,33 +64,35 @@
     })
 }
 
-pub(crate) fn subscribe_reply(reply: SubscribeReply) -> pb::SubscribeReply {
+pub(crate) fn encode_subscribe_reply(reply: SubscribeReply) -> pb::SubscribeReply {
     let named = |(name, record): (String, Option<ScopeRecord>)| pb::NamedFunction {
         name,
         record: record.as_ref().map(encode_scope_record),
     };
     pb::SubscribeReply {
         to: Some(encode_member(reply.to)),
-        epoch: Some(epoch(reply.epoch)),
+        epoch: Some(encode_epoch(reply.epoch)),
         seq: reply.seq.unwrap_or(0),
         revision: reply.revision.0,
         scopes: reply.scopes.into_iter().map(named).collect(),
     }
 }
 
-pub(crate) fn of_subscribe_reply(reply: pb::SubscribeReply) -> Result<SubscribeReply, DecodeError> {
+pub(crate) fn decode_subscribe_reply(
+    reply: pb::SubscribeReply,
+) -> Result<SubscribeReply, DecodeError> {
     if reply.scopes.len() > MAX_SCOPES_PER_REQUEST {
         return Err(DecodeError::MissingPart("number of functions"));
     }
     let named = |named: pb::NamedFunction| {
-        let name = of_scope_name(named.name)?;
+        let name = check_scope_name(named.name)?;
         Ok((name, named.record.map(decode_scope_record).transpose()?))
     };
     let scopes = reply.scopes.into_iter().map(named);
     let scopes = scopes.collect::<Result<_, _>>()?;
     Ok(SubscribeReply {
-        to: of_member(reply.to)?,
-        epoch: of_epoch(reply.epoch)?,
+        to: decode_member(reply.to)?,
+        epoch: decode_epoch(reply.epoch)?,
         seq: Some(reply.seq).filter(|seq| *seq != 0),
         revision: Revision(reply.revision),
         scopes,
--- a/protocol/fleet/src/values.rs
+++ b/protocol/fleet/src/values.rs
@@ -1,12 +1,12 @@
-//! Field values and texts, with the bounds that decoding checks.
+//! Encodes and decodes field values, and checks the length of texts and the depth of lists.
 
 use crate::{pb, DecodeError, MAX_TEXT_BYTES};
 use tansy_agreement::compatibility::{Fields, Value};
 
-/// How deep lists may nest.
+/// The greatest nesting depth of lists.
 const MAX_LIST_DEPTH: usize = 8;
 
-/// Checks a text's length; `part` names it in the error.
+/// Checks the length of a text. `part` names the text in the error.
 pub(crate) fn bounded_text(text: String, part: &'static str) -> Result<String, DecodeError> {
     if text.len() > MAX_TEXT_BYTES {
         return Err(DecodeError::MissingPart(part));
@@ -14,7 +14,7 @@
     Ok(text)
 }
 
-pub(crate) fn value(field: &Value) -> pb::Value {
+pub(crate) fn encode_value(field: &Value) -> pb::Value {
     use pb::value::Kind;
     let kind = match field {
         Value::Flag(flag) => Kind::Flag(*flag),
@@ -24,13 +24,13 @@
         Value::Number(number) => Kind::Number(*number),
         Value::Text(text) => Kind::Text(text.clone()),
         Value::List(items) => Kind::List(pb::Values {
-            values: items.iter().map(value).collect(),
+            values: items.iter().map(encode_value).collect(),
         }),
     };
     pb::Value { kind: Some(kind) }
 }
 
-fn of_value(value: pb::Value, depth: usize) -> Result<Value, DecodeError> {
+fn decode_value(value: pb::Value, depth: usize) -> Result<Value, DecodeError> {
     use pb::value::Kind;
     Ok(match value.kind.ok_or(DecodeError::MissingPart("value"))? {
         Kind::Flag(flag) => Value::Flag(flag),
@@ -45,25 +45,25 @@
         }
         Kind::List(list) => {
             let items = list.values.into_iter();
-            let items = items.map(|item| of_value(item, depth - 1));
+            let items = items.map(|item| decode_value(item, depth - 1));
             Value::List(items.collect::<Result<_, _>>()?)
         }
     })
 }
 
-/// Encodes fields under their paths or names.
-pub(crate) fn fields<M: FromIterator<(String, pb::Value)>>(fields: &Fields) -> M {
-    let field = |(path, field): (&String, &Value)| (path.clone(), value(field));
+/// Encodes fields with their paths or names as keys.
+pub(crate) fn encode_fields<M: FromIterator<(String, pb::Value)>>(fields: &Fields) -> M {
+    let field = |(path, field): (&String, &Value)| (path.clone(), encode_value(field));
     fields.iter().map(field).collect()
 }
 
-pub(crate) fn of_fields(
+pub(crate) fn decode_fields(
     fields: impl IntoIterator<Item = (String, pb::Value)>,
 ) -> Result<Fields, DecodeError> {
     let field = |(path, value)| {
         Ok((
             bounded_text(path, "field's path")?,
-            of_value(value, MAX_LIST_DEPTH)?,
+            decode_value(value, MAX_LIST_DEPTH)?,
         ))
     };
     fields.into_iter().map(field).collect()
--- a/protocol/fleet/tests/messages.rs
+++ b/protocol/fleet/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages decode to what was encoded; what this program did not encode is rejected with a reason and harms nothing.
+//! Tests that messages decode to what was encoded, also by earlier programs, and that invalid messages are rejected.
 
 #[path = "../../../tests/compatibility/src/fleet/messages.rs"]
 mod samples;
@@ -28,8 +28,8 @@
     }
 }
 
-/// Messages as a program of each format version encoded them. `RECORD=1` records those of this program, which is right only
-/// with a new format version.
+/// Guards against changes of the format: messages recorded with this format version must still decode. `RECORD=1` records
+/// them anew, which is correct only together with a new format version.
 #[test]
 fn messages_recorded_by_an_earlier_program_decode() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -71,7 +71,7 @@
         decode_message(FLEET, &nobody.encode_to_vec()),
         Err(DecodeError::MissingPart("sender"))
     );
-    // A body that a later program knows and this one does not.
+    // A body that only a later program knows decodes as absent.
     envelope.body = None;
     assert_eq!(
         decode_message(FLEET, &envelope.encode_to_vec()),
@@ -98,7 +98,7 @@
 
 type InvalidMessage = (MessageBody, &'static str);
 
-/// Subscriptions that are out of bounds, and the part that is.
+/// Invalid subscription messages, each with the part that is invalid.
 fn invalid_subscriptions() -> Vec<InvalidMessage> {
     vec![
         (
@@ -164,11 +164,11 @@
     }))
 }
 
-/// Grants whose changes or versions are out of order, and the part that is.
+/// Grants whose changes or versions are out of order, each with the part that is invalid.
 fn invalid_grants() -> Vec<InvalidMessage> {
     let grant_delta = |delta| grant(None, Some(delta));
-    let mut backwards = delta();
-    backwards.changes.reverse();
+    let mut reversed = delta();
+    reversed.changes.reverse();
     let later_versions = FleetState {
         versions_revision: Revision(20),
         ..state_with_scopes()
@@ -196,7 +196,7 @@
             }),
             "order of changes",
         ),
-        (grant_delta(backwards), "order of changes"),
+        (grant_delta(reversed), "order of changes"),
         (
             grant(Some(later_versions), None),
             "revision of the versions",
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn messages_about_functions_that_are_out_of_bounds_are_rejected_with_the_reason() {
+fn invalid_subscriptions_and_grants_are_rejected_with_the_reason() {
     for (body, part) in [invalid_subscriptions(), invalid_grants()].concat() {
         assert_eq!(
             decode_message(FLEET, &encode(body.clone())),
@@ -215,8 +215,8 @@
     }
 }
 
-/// Cuts the bytes off, inserts one or changes one.
-fn damage(bytes: &mut Vec<u8>, rng: &mut fastrand::Rng) {
+/// Truncates the bytes, inserts a byte or changes one.
+fn corrupt(bytes: &mut Vec<u8>, rng: &mut fastrand::Rng) {
     match rng.u32(0..4) {
         0 => bytes.truncate(rng.usize(0..=bytes.len())),
         1 => bytes.insert(rng.usize(0..=bytes.len()), rng.u8(..)),
@@ -229,14 +229,14 @@
 }
 
 #[test]
-fn arbitrary_bytes_never_panic() {
+fn corrupted_messages_never_panic() {
     let mut rng = fastrand::Rng::with_seed(4);
     let whole: Vec<Vec<u8>> = bodies().into_iter().map(encode).collect();
     let (mut decoded, mut rejected) = (0, 0);
     for round in 0..40_000 {
         let mut bytes = whole[round % whole.len()].clone();
         for _ in 0..rng.usize(1..4) {
-            damage(&mut bytes, &mut rng);
+            corrupt(&mut bytes, &mut rng);
         }
         match decode_message(FLEET, &bytes) {
             Ok(_) => decoded += 1,
--- a/protocol/fleet/tests/transactions.rs
+++ b/protocol/fleet/tests/transactions.rs
@@ -1,4 +1,4 @@
-//! Transactions of functions decode to what was encoded, and invalid ones are rejected.
+//! Tests that transactions decode to what was encoded, and that invalid ones are rejected.
 
 use prost::Message;
 use tansy_agreement::compatibility::Value;
