--- a/protocol/frames/src/grpc.rs
+++ b/protocol/frames/src/grpc.rs
@@ -1,10 +1,10 @@
-//! gRPC over HTTP/2: length-prefixed messages, status codes, the time-out header, percent-encoded messages.
-//! Source: gRPC, "PROTOCOL-HTTP2".
+//! gRPC over HTTP/2: length-prefixed messages, status codes, the timeout header and percent-encoded status messages
+//! (gRPC, "PROTOCOL-HTTP2").
 
 use bytes::{Buf, Bytes, BytesMut};
 use thiserror::Error;
 
-/// Status codes (gRPC, "Status codes and their use").
+/// A status code (gRPC, "Status codes and their use").
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[allow(missing_docs)]
 pub enum Code {
@@ -28,7 +28,7 @@
 }
 
 impl Code {
-    /// The code of a `grpc-status` value; an unknown or unreadable one is `Unknown`, as the protocol asks.
+    /// Parses a `grpc-status` value. An unknown or unreadable value gives `Unknown`, as the protocol requires.
     pub fn parse(value: &[u8]) -> Code {
         use Code::*;
         const ALL: [Code; 17] = [
@@ -55,40 +55,40 @@
             .and_then(|s| s.parse::<usize>().ok());
         number.and_then(|n| ALL.get(n)).copied().unwrap_or(Unknown)
     }
-    /// Its number, as in a header.
+    /// The code's number, as sent in `grpc-status`.
     pub fn number(self) -> u8 {
         self as u8
     }
 }
 
-/// Bytes that are not messages.
+/// Why bytes are not a valid gRPC message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum FrameError {
     /// A message over the limit.
     #[error("a message of {length} bytes, over the limit of {limit}")]
     TooLong {
-        /// Bytes announced.
+        /// The length in the message's prefix.
         length: usize,
-        /// Bytes allowed.
+        /// The most bytes allowed.
         limit: usize,
     },
-    /// The compressed flag is set though no encoding was agreed.
-    #[error("a compressed message, and no grpc-encoding is supported here")]
+    /// The compressed flag is set, but no compression is supported.
+    #[error("a compressed message, but no grpc-encoding is supported")]
     Compressed,
-    /// A flag byte that the protocol does not know.
-    #[error("a message flag of {0}, which the protocol does not know")]
+    /// The flag byte is neither 0 nor 1.
+    #[error("an unknown message flag: {0}")]
     UnknownFlag(u8),
 }
 
-/// Bytes before each message: a flag, and its length.
-const PREFIX: usize = 5;
+/// Bytes before each message: a flag byte and a 4-byte length.
+const PREFIX_BYTES: usize = 5;
 
 struct Prefix {
     flag: u8,
     length: usize,
 }
 
-/// Reads messages from the bytes of a stream, keeping no more than one message at a time.
+/// Splits the bytes of a stream into messages.
 #[derive(Debug)]
 pub struct Assembler {
     buffer: BytesMut,
@@ -96,18 +96,18 @@
 }
 
 impl Assembler {
-    /// An assembler with a limit on one message, bytes.
+    /// Creates an assembler that rejects messages of more than `limit` bytes.
     pub fn new(limit: usize) -> Assembler {
         Assembler {
             buffer: BytesMut::new(),
             limit,
         }
     }
-    /// Takes the next bytes of the stream.
+    /// Appends the next bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
-    /// The next whole message, if it is there.
+    /// Takes the next message; `None` if it is incomplete.
     pub fn next_message(&mut self) -> Result<Option<Bytes>, FrameError> {
         let Some(prefix) = self.prefix() else {
             return Ok(None);
@@ -124,23 +124,23 @@
                 limit: self.limit,
             });
         }
-        if self.buffer.len() < PREFIX + length {
+        if self.buffer.len() < PREFIX_BYTES + length {
             return Ok(None);
         }
-        self.buffer.advance(PREFIX);
+        self.buffer.advance(PREFIX_BYTES);
         Ok(Some(self.buffer.split_to(length).freeze()))
     }
-    /// Whether [`Assembler::next_message`] would give a message or an error.
+    /// Whether [`Assembler::next_message`] would return a message or an error.
     pub fn has_message(&self) -> bool {
         let Some(prefix) = self.prefix() else {
             return false;
         };
-        let whole = self.buffer.len() >= PREFIX + prefix.length;
-        prefix.flag != 0 || prefix.length > self.limit || whole
+        let is_complete = self.buffer.len() >= PREFIX_BYTES + prefix.length;
+        prefix.flag != 0 || prefix.length > self.limit || is_complete
     }
 
     fn prefix(&self) -> Option<Prefix> {
-        let (flag, length) = self.buffer.get(..PREFIX)?.split_first()?;
+        let (flag, length) = self.buffer.get(..PREFIX_BYTES)?.split_first()?;
         let length = length
             .iter()
             .fold(0, |length, byte| length << 8 | usize::from(*byte));
@@ -150,22 +150,22 @@
         })
     }
 
-    /// Whether no part of a message is left over.
+    /// Whether no bytes are buffered.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 }
 
-/// A message with its prefix.
+/// Encodes a message with its prefix, uncompressed.
 pub fn frame(message: &[u8]) -> Bytes {
-    let mut framed = BytesMut::with_capacity(PREFIX + message.len());
+    let mut framed = BytesMut::with_capacity(PREFIX_BYTES + message.len());
     framed.extend_from_slice(&[0]);
     framed.extend_from_slice(&(message.len() as u32).to_be_bytes());
     framed.extend_from_slice(message);
     framed.freeze()
 }
 
-/// Reads `grpc-timeout`: up to 8 digits and a unit; microseconds, rounded down.
+/// Parses `grpc-timeout`, up to 8 digits and a unit, to microseconds, rounded down.
 pub fn parse_timeout(value: &[u8]) -> Option<i64> {
     let (unit, digits) = value.split_last()?;
     if digits.is_empty() || digits.len() > 8 || !digits.iter().all(u8::is_ascii_digit) {
@@ -185,7 +185,7 @@
     })
 }
 
-/// Writes a time-out of so many microseconds in at most 8 digits, rounded down; never negative.
+/// Formats microseconds as a `grpc-timeout` of at most 8 digits, rounded down. Negative values give 0.
 pub fn format_timeout(micros: i64) -> String {
     let micros = micros.max(0);
     for (unit, size) in [('u', 1), ('m', 1_000), ('S', 1_000_000), ('M', 60_000_000)] {
@@ -196,7 +196,7 @@
     format!("{}H", (micros / 3_600_000_000).min(99_999_999))
 }
 
-/// Percent-encodes a `grpc-message`.
+/// Percent-encodes a text for `grpc-message`.
 pub fn encode_message(text: &str) -> String {
     let mut encoded = String::with_capacity(text.len());
     for byte in text.bytes() {
--- a/protocol/frames/src/lib.rs
+++ b/protocol/frames/src/lib.rs
@@ -1,5 +1,5 @@
-//! Framing without I/O: HTTP/2 frame headers as they pass on a connection (RFC 9113, section 4.1), messages in
-//! gRPC's length-prefixed form, and gRPC's time-out header.
+//! Framing without I/O: HTTP/2 frame headers observed on a connection (RFC 9113, section 4.1), and gRPC's length-prefixed
+//! messages, status codes and timeout header.
 //!
 //! ```
 //! use tansy_frames::grpc::{frame, Assembler};
--- a/protocol/frames/src/tap.rs
+++ b/protocol/frames/src/tap.rs
@@ -1,10 +1,10 @@
-//! Follows one direction of an HTTP/2 connection by its frame headers alone.
+//! Observes the frames in one direction of an HTTP/2 connection by parsing only frame headers.
 //!
-//! What a socket took or gave is the only proof of what a peer can have seen: a request whose HEADERS never left
-//! did not run, a stream above a GOAWAY's last id did not either, and an attempt is closed for the worker only
-//! once its RST_STREAM has gone out. An HTTP/2 library answers none of these exactly, so its bytes are watched.
+//! Only the bytes written to and read from the socket prove what a peer can have seen: a request did not run if its HEADERS
+//! were not sent or its stream id is above the last id of a GOAWAY, and a worker can see that an attempt was cancelled only
+//! after its RST_STREAM was sent. HTTP/2 libraries do not report this exactly.
 
-/// The preface that a client sends first (RFC 9113, section 3.4).
+/// The client connection preface (RFC 9113, section 3.4).
 pub const PREFACE: &[u8; 24] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
 /// Frame types (RFC 9113, section 6).
@@ -20,77 +20,79 @@
     pub const CONTINUATION: u8 = 9;
 }
 
-/// The largest stream id: its first bit is reserved.
-const MAX_STREAM: u32 = 0x7fff_ffff;
+/// The bits of a stream id; the highest bit of its field is reserved.
+const STREAM_ID_MASK: u32 = 0x7fff_ffff;
 
-/// Flag END_STREAM of DATA and HEADERS.
+/// The flag END_STREAM of DATA and HEADERS.
 pub const END_STREAM: u8 = 1;
 
-/// A frame that has passed whole, with the first bytes of its payload.
+/// A completely transferred frame, with the first bytes of its payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// Its type; see [`kind`].
+    /// The frame type; see [`kind`].
     pub kind: u8,
-    /// Its flags.
+    /// The flags.
     pub flags: u8,
-    /// Its stream; 0: the connection.
+    /// The stream id; 0 for frames of the connection.
     pub stream: u32,
-    /// Length of its payload in bytes.
+    /// The length of the payload in bytes.
     pub length: u32,
-    /// The payload's first 8 bytes, zero past its end.
-    pub first: [u8; FIRST],
+    /// The first 8 bytes of the payload, padded with zeros if it is shorter.
+    pub payload_start: [u8; PAYLOAD_START_BYTES],
 }
 
 impl Frame {
     /// The last stream id of a GOAWAY (RFC 9113, section 6.8).
     pub fn last_stream(&self) -> Option<u32> {
-        (self.kind == kind::GOAWAY && self.length >= 8).then(|| word(&self.first[..4]) & MAX_STREAM)
+        (self.kind == kind::GOAWAY && self.length >= 8)
+            .then(|| read_u32(&self.payload_start[..4]) & STREAM_ID_MASK)
     }
     /// The error code of a RST_STREAM or GOAWAY (RFC 9113, section 7).
     pub fn code(&self) -> Option<u32> {
         match self.kind {
-            kind::RST_STREAM if self.length >= 4 => Some(word(&self.first[..4])),
-            kind::GOAWAY if self.length >= 8 => Some(word(&self.first[4..])),
+            kind::RST_STREAM if self.length >= 4 => Some(read_u32(&self.payload_start[..4])),
+            kind::GOAWAY if self.length >= 8 => Some(read_u32(&self.payload_start[4..])),
             _ => None,
         }
     }
 }
 
-fn word(bytes: &[u8]) -> u32 {
+/// Reads the first 4 bytes as a big-endian number.
+fn read_u32(bytes: &[u8]) -> u32 {
     bytes
         .iter()
         .take(4)
-        .fold(0, |word, byte| word << 8 | u32::from(*byte))
+        .fold(0, |value, byte| value << 8 | u32::from(*byte))
 }
 
-/// Bytes of the head of a frame.
-const HEAD: usize = 9;
-/// Bytes of a payload that are kept.
-const FIRST: usize = 8;
+/// The length of a frame header.
+const HEADER_BYTES: usize = 9;
+/// Bytes of a payload that are kept: enough for the fields of RST_STREAM and GOAWAY.
+const PAYLOAD_START_BYTES: usize = 8;
 
-/// Follows the frames of one direction; keeps a few bytes, whatever passes.
+/// Parses the frames of one direction in constant memory.
 #[derive(Clone, Debug)]
 pub struct Tap {
-    /// Bytes of the preface still to come.
+    /// Bytes of the preface that have not arrived yet.
     preface_left: usize,
-    head: [u8; HEAD],
-    head_read: usize,
-    first: [u8; FIRST],
+    header: [u8; HEADER_BYTES],
+    header_read: usize,
+    payload_start: [u8; PAYLOAD_START_BYTES],
     payload_read: usize,
 }
 
 impl Tap {
-    /// The direction from client to server, which begins with the preface.
+    /// Observes the direction from client to server, which begins with the preface.
     pub fn from_client() -> Tap {
         Tap {
             preface_left: PREFACE.len(),
-            head: [0; HEAD],
-            head_read: 0,
-            first: [0; FIRST],
+            header: [0; HEADER_BYTES],
+            header_read: 0,
+            payload_start: [0; PAYLOAD_START_BYTES],
             payload_read: 0,
         }
     }
-    /// The direction from server to client.
+    /// Observes the direction from server to client.
     pub fn from_server() -> Tap {
         Tap {
             preface_left: 0,
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Takes the next bytes that passed; `on_frame` gets each frame that they complete.
+    /// Parses the next transferred bytes and calls `on_frame` for each frame that they complete.
     pub fn feed(&mut self, mut bytes: &[u8], mut on_frame: impl FnMut(Frame)) {
         while !bytes.is_empty() {
             if self.preface_left > 0 {
@@ -107,51 +109,52 @@
                 bytes = &bytes[skipped..];
                 continue;
             }
-            bytes = self.read_head(bytes);
-            if self.head_read < HEAD {
+            bytes = self.read_header(bytes);
+            if self.header_read < HEADER_BYTES {
                 return;
             }
             bytes = self.read_payload(bytes);
             if self.payload_read == self.length() {
                 on_frame(self.frame());
-                self.head_read = 0;
+                self.header_read = 0;
                 self.payload_read = 0;
-                self.first = [0; FIRST];
+                self.payload_start = [0; PAYLOAD_START_BYTES];
             }
         }
     }
 
-    /// Reads what is missing of the head; the bytes that follow it.
-    fn read_head<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
-        let read = (HEAD - self.head_read).min(bytes.len());
-        let (head, rest) = bytes.split_at(read);
-        self.head[self.head_read..self.head_read + read].copy_from_slice(head);
-        self.head_read += read;
+    /// Reads the missing part of the frame header and returns the bytes after it.
+    fn read_header<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+        let read = (HEADER_BYTES - self.header_read).min(bytes.len());
+        let (header, rest) = bytes.split_at(read);
+        self.header[self.header_read..self.header_read + read].copy_from_slice(header);
+        self.header_read += read;
         rest
     }
 
-    /// Reads what is missing of the payload; the bytes that follow it.
+    /// Reads the missing part of the payload and returns the bytes after it.
     fn read_payload<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let read = (self.length() - self.payload_read).min(bytes.len());
-        if self.payload_read < FIRST {
-            let kept = read.min(FIRST - self.payload_read);
-            self.first[self.payload_read..self.payload_read + kept].copy_from_slice(&bytes[..kept]);
+        if self.payload_read < PAYLOAD_START_BYTES {
+            let kept = read.min(PAYLOAD_START_BYTES - self.payload_read);
+            self.payload_start[self.payload_read..self.payload_read + kept]
+                .copy_from_slice(&bytes[..kept]);
         }
         self.payload_read += read;
         &bytes[read..]
     }
 
     fn length(&self) -> usize {
-        (word(&self.head[..4]) >> 8) as usize
+        (read_u32(&self.header[..4]) >> 8) as usize
     }
 
     fn frame(&self) -> Frame {
         Frame {
-            kind: self.head[3],
-            flags: self.head[4],
-            stream: word(&self.head[5..]) & MAX_STREAM,
+            kind: self.header[3],
+            flags: self.header[4],
+            stream: read_u32(&self.header[5..]) & STREAM_ID_MASK,
             length: self.length() as u32,
-            first: self.first,
+            payload_start: self.payload_start,
         }
     }
 }
--- a/protocol/frames/tests/grpc.rs
+++ b/protocol/frames/tests/grpc.rs
@@ -1,11 +1,11 @@
-//! Messages in frames of gRPC, and the time-out header.
+//! Tests gRPC message framing, the timeout header and the encoding of status messages.
 
 use tansy_frames::grpc::{
     encode_message, format_timeout, frame, parse_timeout, Assembler, FrameError,
 };
 
 #[test]
-fn messages_come_out_whole_however_they_are_cut() {
+fn messages_are_reassembled_from_chunks_of_any_size() {
     let all = [frame(b"one"), frame(b""), frame(&[9; 1000])].concat();
     for step in 1..all.len() {
         let mut assembler = Assembler::new(1000);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_message_are_rejected_before_they_are_kept() {
+fn invalid_prefixes_are_rejected_before_the_message_is_buffered() {
     let mut assembler = Assembler::new(10);
     assembler.push(&[0, 0, 0, 0, 11]);
     assert_eq!(
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn timeouts_at_the_ends_of_the_range() {
+fn timeouts_are_parsed_and_formatted_within_their_range() {
     assert_eq!(parse_timeout(b"1n"), Some(0));
     assert_eq!(parse_timeout(b"99999999H"), Some(359_999_996_400_000_000));
     assert_eq!(parse_timeout(b"250m"), Some(250_000));
