--- a/protocol/http1/src/lib.rs
+++ b/protocol/http1/src/lib.rs
@@ -1,5 +1,6 @@
-//! Strict HTTP/1.1 for one request at a time on a connection: a bounded buffer in, whole messages out, or the reason to
-//! reject the connection. It holds no socket and no clock. What could be read in two ways is not read at all.
+//! Strict HTTP/1.1 without I/O, for one request at a time on a connection. [`Reader`] buffers a bounded number of bytes and
+//! returns complete messages, or the reason to reject the connection. Messages with an ambiguous length are rejected, so
+//! that no other party can read them differently (request smuggling).
 //!
 //! ```
 //! use tansy_http1::{Limits, Reader};
@@ -10,7 +11,7 @@
 //! assert_eq!(target, Ok(Some("/alive".to_string())));
 //! ```
 //!
-//! - [`Reader`]: the messages of one side of a connection. [`write_response`], [`write_get`]: what this project sends.
+//! - [`Reader`]: parses the messages of one direction. [`write_response`], [`write_get`]: write messages.
 
 mod reader;
 mod writer;
@@ -21,37 +22,37 @@
 /// Limits of one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of its start line and headers.
+    /// The most bytes of the start line and headers.
     pub head: usize,
-    /// Bytes of its body.
+    /// The most bytes of the body.
     pub body: usize,
 }
 
-/// Why a message is not read.
+/// Why a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
-    /// It is no HTTP/1.1 message.
+    /// The bytes are not an HTTP/1.1 message.
     #[error("not an HTTP/1.1 message")]
     Malformed,
-    /// Its head is over the limit, or has too many headers.
-    #[error("a head over the limit")]
+    /// The head is over the limit, or has too many headers.
+    #[error("message head over the limit")]
     HeadTooLong,
-    /// Its body is over the limit.
-    #[error("a body over the limit")]
+    /// The body is over the limit.
+    #[error("message body over the limit")]
     BodyTooLong,
-    /// It has a Transfer-Encoding: its length could be read in two ways.
-    #[error("Transfer-Encoding; want Content-Length alone")]
+    /// The message has a Transfer-Encoding, which makes its length ambiguous.
+    #[error("Transfer-Encoding is not supported; want Content-Length only")]
     TransferEncoding,
-    /// Its Content-Length is no plain number, or one of several.
-    #[error("Content-Length; want one plain decimal number")]
+    /// The Content-Length is not a decimal number, or occurs more than once.
+    #[error("invalid Content-Length; want one plain decimal number")]
     ContentLength,
-    /// It has to state its length and does not.
-    #[error("no Content-Length")]
+    /// The message requires a Content-Length and has none.
+    #[error("missing Content-Length")]
     MissingLength,
 }
 
 impl ParseError {
-    /// The status of the response to it.
+    /// The HTTP status of the response to such a request.
     pub fn status(self) -> u16 {
         match self {
             ParseError::Malformed | ParseError::ContentLength => 400,
@@ -63,28 +64,28 @@
     }
 }
 
-/// A header: name and value.
+/// A header's name and value.
 pub type Header<'a> = (&'a str, &'a [u8]);
 
-/// A whole message.
+/// A complete message.
 #[derive(Debug)]
 pub struct Message<'a> {
-    /// A request's method; empty for a response.
+    /// The method of a request; empty for a response.
     pub method: &'a str,
-    /// A request's target; empty for a response.
+    /// The target of a request; empty for a response.
     pub target: &'a str,
-    /// A response's status; 0 for a request.
+    /// The status of a response; 0 for a request.
     pub status: u16,
-    /// Its headers, in order.
+    /// The headers, in the order received.
     pub headers: &'a [Header<'a>],
-    /// Its body.
+    /// The body.
     pub body: &'a [u8],
     /// Whether the sender keeps the connection open.
     pub keep_alive: bool,
 }
 
 impl<'a> Message<'a> {
-    /// The value of a header that occurs once; none if it is absent, repeated or not UTF-8.
+    /// The value of a header that occurs once; `None` if it is absent, repeated or not UTF-8.
     pub fn single_header(&self, name: &str) -> Option<&'a str> {
         let mut values = self
             .headers
--- a/protocol/http1/src/reader.rs
+++ b/protocol/http1/src/reader.rs
@@ -1,25 +1,25 @@
-//! Reading: bytes as they come to whole messages.
+//! Parses the messages of one direction of a connection.
 
 use crate::{Header, Limits, Message, ParseError};
 use std::ops::Range;
 
-/// Headers of one message at most.
+/// The most headers of one message.
 const MAX_HEADERS: usize = 32;
 
-/// Reads the messages of one side of one connection.
+/// Parses the messages of one direction of a connection.
 #[derive(Debug)]
 pub struct Reader {
     limits: Limits,
     reads_responses: bool,
     buffer: Vec<u8>,
-    /// Where the message at the front ends, once its head has been read.
+    /// The end of the first message in the buffer, once its head has been parsed.
     end: Option<usize>,
-    /// Up to here there is no end of a head.
+    /// Bytes already searched for the end of the head.
     scanned: usize,
 }
 
 impl Reader {
-    /// Reads requests.
+    /// Creates a reader of requests.
     pub fn for_requests(limits: Limits) -> Reader {
         Reader {
             limits,
@@ -29,31 +29,31 @@
             scanned: 0,
         }
     }
-    /// Reads responses.
+    /// Creates a reader of responses.
     pub fn for_responses(limits: Limits) -> Reader {
         Reader {
             reads_responses: true,
             ..Reader::for_requests(limits)
         }
     }
-    /// Adds bytes that came. Ask [`Reader::message`] before more are added: it bounds what is buffered.
+    /// Appends received bytes. Call [`Reader::message`] after each append, since it enforces the limits on the buffer.
     pub fn push_bytes(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
-    /// Whether nothing is buffered.
+    /// Whether no bytes are buffered.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
-    /// Bytes that are buffered.
+    /// The number of buffered bytes.
     pub fn len(&self) -> usize {
         self.buffer.len()
     }
-    /// Bytes that are buffered beyond the whole message at the front, if there is one.
+    /// The number of buffered bytes after the first message; 0 until its head has been parsed.
     pub fn trailing_bytes(&self) -> usize {
         self.end
             .map_or(0, |end| self.buffer.len().saturating_sub(end))
     }
-    /// Drops the message at the front.
+    /// Drops the first message from the buffer.
     pub fn discard_message(&mut self) {
         if let Some(end) = self.end.take() {
             self.buffer.drain(..end.min(self.buffer.len()));
@@ -62,16 +62,16 @@
         self.scanned = 0;
     }
 
-    /// The whole message at the front, given to `read`; none: more has to come.
+    /// Passes the first message in the buffer to `read`; `None` if the message is incomplete.
     pub fn message<T>(
         &mut self,
         read: impl FnOnce(Message<'_>) -> T,
     ) -> Result<Option<T>, ParseError> {
-        let is_whole = match self.end {
+        let is_complete = match self.end {
             Some(end) => self.buffer.len() >= end,
             None => self.has_head()?,
         };
-        if !is_whole {
+        if !is_complete {
             return Ok(None);
         }
         let mut raw = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -108,7 +108,7 @@
         })))
     }
 
-    /// Whether the head is there in whole; looks at each byte once.
+    /// Whether the buffer holds a complete head. Each byte is searched only once.
     fn has_head(&mut self) -> Result<bool, ParseError> {
         let from = self.scanned.saturating_sub(3);
         let end = self.buffer[from..]
@@ -116,7 +116,7 @@
             .position(|part| part == b"\r\n\r\n")
             .map(|position| from + position + 4);
         let first = self.buffer.first().copied().unwrap_or(b'A');
-        // Nothing that starts otherwise becomes a message, however long one waits.
+        // A message starts with an upper-case letter: anything else is rejected without waiting for more bytes.
         if !first.is_ascii_uppercase() {
             return Err(ParseError::Malformed);
         }
@@ -131,7 +131,7 @@
     }
 }
 
-/// The start line and the headers of a message, and the bytes that they take up.
+/// The parsed start line and headers of a message, and their length in bytes.
 struct Head<'h, 'b> {
     method: &'b str,
     target: &'b str,
@@ -173,7 +173,7 @@
     }))
 }
 
-/// Only HTTP/1.1 is read.
+/// Rejects versions other than HTTP/1.1.
 fn check_version(minor: Option<u8>) -> Result<(), ParseError> {
     if minor == Some(1) {
         Ok(())
@@ -189,7 +189,7 @@
     }
 }
 
-/// Where the body is: by one Content-Length, and by nothing else.
+/// The range of the body in the buffer, determined by a single Content-Length.
 fn body_range(
     headers: &[Header<'_>],
     from: usize,
@@ -217,7 +217,7 @@
     Ok(from..from + length as usize)
 }
 
-/// A plain decimal number: digits, and nothing before or after them.
+/// Parses a decimal number of up to 19 digits without sign or spaces.
 pub fn parse_decimal(text: &[u8]) -> Option<u64> {
     if text.is_empty() || text.len() > 19 || !text.iter().all(u8::is_ascii_digit) {
         return None;
--- a/protocol/http1/src/writer.rs
+++ b/protocol/http1/src/writer.rs
@@ -1,6 +1,6 @@
-//! Writing: responses, and requests without a body.
+//! Writes responses, and requests without a body.
 
-/// The reason phrase of a status that this project sends.
+/// The reason phrase of a status code.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -22,7 +22,7 @@
     }
 }
 
-/// Writes a response. `extra_headers`: whole header lines, each with its end.
+/// Writes a response. `extra_headers` holds complete header lines, each with its CRLF.
 pub fn write_response(
     buffer: &mut Vec<u8>,
     status: u16,
--- a/protocol/http1/tests/reading.rs
+++ b/protocol/http1/tests/reading.rs
@@ -1,4 +1,4 @@
-//! Requests and responses are read however they are cut, and what could be read in two ways is not.
+//! Tests that messages are parsed from chunks of any size, and that ambiguous, oversized or malformed ones are rejected.
 
 use tansy_http1::{write_response, Limits, ParseError, Reader};
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_request_is_read_however_it_is_cut_into_pieces() {
+fn a_request_is_read_from_chunks_of_any_size() {
     let text = b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nX-A: 1\r\n\r\nhello";
     assert_eq!(read(text), Ok(Some(("/a".into(), b"hello".to_vec(), true))));
     let mut rng = fastrand::Rng::with_seed(7);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn what_can_be_read_in_two_ways_is_not_read() {
+fn ambiguous_or_malformed_requests_are_rejected() {
     let with = |headers: &str| read(format!("POST /a HTTP/1.1\r\n{headers}\r\n").as_bytes());
     assert_eq!(
         with("Content-Length: 0\r\nTransfer-Encoding: chunked\r\n"),
@@ -57,7 +57,7 @@
         with("Content-Length: 0\r\nContent-Length: 0\r\n"),
         Err(ParseError::ContentLength)
     );
-    for odd in [
+    for value in [
         "-1",
         "+1",
         "1,1",
@@ -68,9 +68,9 @@
         "1.0",
     ] {
         assert_eq!(
-            with(&format!("Content-Length: {odd}\r\n")),
+            with(&format!("Content-Length: {value}\r\n")),
             Err(ParseError::ContentLength),
-            "{odd:?}"
+            "{value:?}"
         );
     }
     assert_eq!(with("Content-Length: 65\r\n"), Err(ParseError::BodyTooLong));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_head_that_never_ends_is_bounded_and_noise_is_seen_at_its_first_byte() {
+fn an_endless_head_is_rejected_at_the_limit() {
     let mut reader = Reader::for_requests(LIMITS);
     reader.push_bytes(b"GET / HTTP/1.1\r\n");
     for _ in 0..100 {
@@ -97,11 +97,11 @@
         }
         reader.push_bytes(b"X-A: bbbbbbbb\r\n");
     }
-    panic!("not bounded");
+    panic!("the head was not limited");
 }
 
 #[test]
-fn noise_never_panics() {
+fn corrupted_bytes_never_panic() {
     let mut rng = fastrand::Rng::with_seed(11);
     assert_eq!(read(b"\x16\x03\x01"), Err(ParseError::Malformed));
     for _ in 0..20_000 {
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn what_follows_a_message_is_told() {
+fn bytes_after_a_message_are_counted_and_kept() {
     let mut reader = Reader::for_requests(LIMITS);
     reader.push_bytes(b"GET /alive HTTP/1.1\r\nConnection: close\r\n\r\nGET");
     assert_eq!(
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn an_answer_is_written_and_read_back() {
+fn a_written_response_is_read_back() {
     let mut out = Vec::new();
     write_response(&mut out, 200, "", b"{}", true);
     let mut reader = Reader::for_responses(LIMITS);
--- a/protocol/resp/src/lib.rs
+++ b/protocol/resp/src/lib.rs
@@ -1,4 +1,5 @@
-//! RESP arrays of bulk strings, as workers read and answer them: bounded, without sockets.
+//! RESP arrays of bulk strings, the format of requests to workers and of their replies: a bounded parser and a writer
+//! without I/O.
 //!
 //! ```
 //! use tansy_resp::{Limits, Reader};
@@ -15,46 +16,46 @@
 /// Limits of one array.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of one string.
+    /// The most bytes of one string.
     pub string: usize,
-    /// Strings of one array.
+    /// The most strings of one array.
     pub strings: usize,
 }
 
-/// Digits of a length at most.
+/// The most digits of a length.
 const MAX_DIGITS: usize = 16;
 
-/// Why what came is no array of bulk strings within the limits.
+/// Why received bytes are not an array of bulk strings within the limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
-    /// Another type of value than the one that has to come.
+    /// A value of an unexpected type.
     #[error("type {:?}; want {:?}", char::from(*.actual), char::from(*.expected))]
     UnexpectedType {
-        /// Its type byte.
+        /// The received type byte.
         actual: u8,
-        /// The type byte that has to come: `*` or `$`.
+        /// The expected type byte: `*` or `$`.
         expected: u8,
     },
-    /// A length that is not decimal digits and a line end.
-    #[error("a length; want up to 16 decimal digits and CRLF")]
+    /// A length that is not decimal digits followed by CRLF.
+    #[error("invalid length; want up to 16 decimal digits and CRLF")]
     MalformedLength,
     /// An array without strings, or with too many.
     #[error("an array of {length} strings; want 1 to {limit}")]
     ArrayLength {
-        /// Its strings.
+        /// The stated number of strings.
         length: usize,
-        /// The most that is read.
+        /// The most strings allowed.
         limit: usize,
     },
     /// A string over the limit.
     #[error("a string of {length} bytes; want {limit} at most")]
     StringTooLong {
-        /// Its bytes.
+        /// The stated number of bytes.
         length: usize,
-        /// The most that is read.
+        /// The most bytes allowed.
         limit: usize,
     },
-    /// A string that does not end after its stated length.
+    /// A string without CRLF after its stated length.
     #[error("a string without CRLF after its stated length")]
     MissingStringEnd,
 }
@@ -69,23 +70,23 @@
     }
 }
 
-/// Reads the arrays of one side of one connection.
+/// Parses the arrays of one direction of a connection.
 #[derive(Debug)]
 pub struct Reader {
     limits: Limits,
     buffer: Vec<u8>,
-    /// Where the array being read starts; what lies before is dropped when more comes.
+    /// The start of the current array. Earlier bytes are dropped when more are appended.
     array_start: usize,
-    /// Strings of the array being read, once its first line is.
+    /// The number of strings in the current array, once its first line is parsed.
     wanted: Option<usize>,
-    /// Those that have come.
+    /// The strings of the current array parsed so far, as ranges of `buffer`.
     strings: Vec<Range<usize>>,
-    /// Up to here the array has been read.
+    /// The end of the parsed part of `buffer`.
     cursor: usize,
 }
 
 impl Reader {
-    /// A reader at the start of a connection.
+    /// Creates a reader for a new connection.
     pub fn new(limits: Limits) -> Reader {
         Reader {
             limits,
@@ -97,31 +98,32 @@
         }
     }
 
-    /// Adds bytes that came; ask for [`Reader::next_array`] until it has none before more are added.
+    /// Appends received bytes. Call [`Reader::next_array`] until it returns `None` before the next append, so that the buffer
+    /// stays within its limits.
     pub fn push_bytes(&mut self, bytes: &[u8]) {
-        let read = self.array_start;
-        if read > 0 {
-            self.buffer.drain(..read);
+        let consumed = self.array_start;
+        if consumed > 0 {
+            self.buffer.drain(..consumed);
             self.strings
                 .iter_mut()
-                .for_each(|range| *range = range.start - read..range.end - read);
-            (self.cursor, self.array_start) = (self.cursor - read, 0);
+                .for_each(|range| *range = range.start - consumed..range.end - consumed);
+            (self.cursor, self.array_start) = (self.cursor - consumed, 0);
             self.buffer.shrink_to(4096);
         }
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether an array has begun and not ended.
+    /// Whether the buffer holds a part of an incomplete array.
     pub fn has_partial(&self) -> bool {
         self.buffer.len() > self.array_start
     }
 
-    /// Bytes of memory that the buffer takes up.
+    /// The allocated size of the buffer in bytes.
     pub fn buffer_capacity(&self) -> usize {
         self.buffer.capacity()
     }
 
-    /// The next array, whole; none: more has to come. After an error nothing more can be read.
+    /// Takes the next array; `None` if it is incomplete. After an error the reader must not be used any more.
     pub fn next_array(&mut self) -> Result<Option<Vec<&[u8]>>, ParseError> {
         let wanted = match self.wanted {
             Some(wanted) => wanted,
@@ -152,7 +154,7 @@
         ))
     }
 
-    /// Where the next string lies; none: more has to come.
+    /// The range of the next string; `None` if it is incomplete.
     fn next_string(&mut self) -> Result<Option<Range<usize>>, ParseError> {
         let start = self.cursor;
         let Some(length) = self.length_line(b'$')? else {
@@ -164,7 +166,7 @@
         }
         let (from, to) = (self.cursor, self.cursor + length);
         let Some(end) = self.buffer.get(to..to + 2) else {
-            // What is wrong already need not come in whole.
+            // A wrong first byte of the end is an error before the second byte arrives.
             if self.buffer.get(to).is_some_and(|byte| *byte != b'\r') {
                 return Err(ParseError::MissingStringEnd);
             }
@@ -178,7 +180,7 @@
         Ok(Some(from..to))
     }
 
-    /// A line of a type and a length; none: more has to come.
+    /// Parses a line of a type byte and a length; `None` if it is incomplete.
     fn length_line(&mut self, expected: u8) -> Result<Option<usize>, ParseError> {
         let rest = &self.buffer[self.cursor..];
         if let Some(&actual) = rest.first().filter(|byte| **byte != expected) {
--- a/protocol/resp/tests/arrays.rs
+++ b/protocol/resp/tests/arrays.rs
@@ -1,4 +1,4 @@
-//! Arrays are read however they are cut, and what is none is an error at once.
+//! Tests that arrays are parsed from chunks of any size, and that invalid ones are rejected as early as possible.
 
 use tansy_resp::{write_array, Limits, ParseError, Reader};
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn arrays_are_read_however_they_are_cut_into_pieces() {
+fn arrays_are_read_from_chunks_of_any_size() {
     let sent: Vec<Vec<Vec<u8>>> = vec![
         vec![
             b"9b".to_vec(),
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn lengths_that_do_not_fit_are_errors_at_once() {
+fn invalid_arrays_are_rejected_before_they_are_complete() {
     let unexpected = |actual, expected| ParseError::UnexpectedType { actual, expected };
     let array = |length| ParseError::ArrayLength { length, limit: 4 };
     let long = ParseError::StringTooLong {
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_array_that_stops_short_is_partial_and_its_memory_is_bounded() {
+fn incomplete_arrays_are_reported_and_the_buffer_stays_bounded() {
     let mut reader = Reader::new(LIMITS);
     reader.push_bytes(b"*4\r\n$3\r\nab");
     assert_eq!(all(&mut reader), Ok(vec![]));
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn noise_never_panics() {
+fn corrupted_bytes_never_panic() {
     let mut rng = fastrand::Rng::with_seed(5);
     for _ in 0..20_000 {
         let mut text = Vec::new();
