--- a/protocol/inference/src/amend.rs
+++ b/protocol/inference/src/amend.rs
@@ -1,8 +1,8 @@
-//! Amends an encoded message by appending to it.
+//! Changes fields of an encoded message by appending to it.
 //!
-//! A parser takes the last of several values of a scalar field, merges several occurrences of a message field, and
-//! takes the last of several map entries with one key (Protocol Buffers, "Last One Wins"). So a message can be given
-//! an id or a final flag without decoding the tensors in it.
+//! A protobuf parser takes the last value of a scalar field, merges the occurrences of a message field, and takes the last
+//! map entry of each key (Protocol Buffers, "Last One Wins"). The id and the final flag of a message can therefore be
+//! replaced without decoding its tensors.
 
 use crate::inference as pb;
 use crate::names;
@@ -21,7 +21,6 @@
     };
     let mut amended = Vec::with_capacity(encoded.len() + more.encoded_len());
     amended.extend_from_slice(encoded);
-    // Encoding to a vector cannot run out of room.
     amended.extend_from_slice(&more.encode_to_vec());
     amended
 }
@@ -44,7 +43,7 @@
     }
 }
 
-/// A refusal or failure within a stream: the text, the id, the final flag and the advice, if any.
+/// Encodes a refusal or failure as a message of a stream: the error text, the id, the final flag and the retry delay, if any.
 pub fn stream_error(model: &str, id: &str, text: String, retry_after_ms: Option<i64>) -> Vec<u8> {
     use pb::infer_parameter::ParameterChoice;
     let mut parameters = BTreeMap::from([(names::FINAL_RESPONSE.to_string(), flag(true))]);
@@ -67,7 +66,7 @@
     .encode_to_vec()
 }
 
-/// An empty last message.
+/// Encodes an empty message with the final flag.
 pub fn empty_final_response(model: &str, id: &str) -> Vec<u8> {
     stream_error(model, id, String::new(), None)
 }
--- a/protocol/inference/src/lib.rs
+++ b/protocol/inference/src/lib.rs
@@ -1,9 +1,9 @@
-//! Messages of the Open Inference Protocol v2 and of ORCA load reports, and the few places where a gateway reads
-//! them without decoding what it only forwards.
+//! Messages of the Open Inference Protocol v2 and of ORCA load reports, and functions that read and change the fields that a
+//! gateway needs without decoding the rest of a message.
 //!
-//! - [`inference`], [`orca`]: the messages, compiled from this package's own `proto/`.
-//! - [`scan`]: reads a `ModelInferRequest` or a streamed answer in place and checks all of its wire format.
-//! - [`amend`]: changes single fields of an encoded message by appending to it, as protobuf's encoding allows.
+//! - [`inference`], [`orca`]: the messages, compiled from `proto/`.
+//! - [`scan`]: reads a `ModelInferRequest` or a response message in place and validates its wire format.
+//! - [`amend`]: changes single fields of an encoded message by appending to it.
 //! - [`names`]: method paths, trailer keys and parameter names.
 //!
 //! ```
--- a/protocol/inference/src/scan.rs
+++ b/protocol/inference/src/scan.rs
@@ -1,8 +1,8 @@
-//! Reads a message in place: every field's wire format is checked against the schema, nothing is copied.
+//! Reads a message in place, without copying, and validates the wire format of every field against the schema.
 //!
-//! A gateway passes tensors on as they came; decoding and encoding them again would cost more than all its
-//! decisions. What it needs is the function's name, the id and the parameters. Still nothing malformed may reach
-//! a worker, so the whole message is walked. Source: Protocol Buffers, "Encoding".
+//! A gateway needs only the function's name, the id and the parameters of a message, and forwards its tensors unchanged.
+//! Decoding and encoding the tensors would dominate the cost of a call. The whole message is still validated, so that no
+//! malformed message is forwarded (Protocol Buffers, "Encoding").
 
 mod schema;
 mod wire;
@@ -12,13 +12,13 @@
 use thiserror::Error;
 use wire::{Field, Fields};
 
-/// A message that does not follow the encoding or the schema.
+/// Why a message does not conform to the encoding or the schema.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{reason} at byte {offset}")]
 pub struct Malformed {
-    /// Byte offset in the message.
+    /// The byte offset of the error in the message.
     pub offset: usize,
-    /// What is wrong there.
+    /// The error.
     pub reason: &'static str,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl ParameterValue<'_> {
-    /// The value as a whole number, if it is one or spells one.
+    /// The value as an integer, if it is one or a text that parses as one.
     pub fn as_int(&self) -> Option<i64> {
         match *self {
             ParameterValue::Int(value) => Some(value),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The value as a truth value, if it is one or spells one.
+    /// The value as a bool, if it is one or a text that parses as one.
     pub fn as_bool(&self) -> Option<bool> {
         match *self {
             ParameterValue::Bool(value) => Some(value),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The value as text, if it is text.
+    /// The value, if it is text.
     pub fn as_str(&self) -> Option<&str> {
         match self {
             ParameterValue::Str(text) => Some(text),
@@ -66,23 +66,23 @@
     }
 }
 
-/// What is read of a `ModelInferRequest`.
+/// The fields that are read from a `ModelInferRequest`.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct InferRequest<'a> {
-    /// Field 1.
+    /// `model_name`.
     pub model: &'a str,
-    /// Field 2.
+    /// `model_version`.
     pub version: &'a str,
-    /// Field 3.
+    /// `id`.
     pub id: &'a str,
-    /// Field 4, in the order sent; a later entry of the same name counts.
+    /// `parameters`, in the order sent. Of several entries with one name the last counts.
     pub parameters: Vec<(&'a str, ParameterValue<'a>)>,
-    /// How many input tensors there are.
+    /// The number of input tensors.
     pub inputs: usize,
 }
 
 impl<'a> InferRequest<'a> {
-    /// Reads `bytes`; every field is checked.
+    /// Reads an encoded request and validates every field.
     pub fn parse(bytes: &'a [u8]) -> Result<InferRequest<'a>, Malformed> {
         let mut request = InferRequest::default();
         let mut fields = Fields::new(bytes, 0);
@@ -113,21 +113,21 @@
     }
 }
 
-/// What is read of a `ModelStreamInferResponse`.
+/// The fields that are read from a `ModelStreamInferResponse`.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct StreamResponse<'a> {
-    /// Field 1.
+    /// `error_message`.
     pub error: &'a str,
-    /// Field 3 of `infer_response`.
+    /// `id` of `infer_response`.
     pub id: &'a str,
-    /// Whether `infer_response` is there.
+    /// Whether `infer_response` is present.
     pub response: bool,
-    /// Whether the parameter `triton_final_response` is set and true.
+    /// Whether the parameter `triton_final_response` is true.
     pub last: bool,
 }
 
 impl<'a> StreamResponse<'a> {
-    /// Reads `bytes`: what a worker sends as one message of a streamed answer.
+    /// Reads an encoded message of a streamed response and validates every field.
     pub fn parse(bytes: &'a [u8]) -> Result<StreamResponse<'a>, Malformed> {
         let mut response = StreamResponse::default();
         let mut fields = Fields::new(bytes, 0);
@@ -163,14 +163,14 @@
     }
 }
 
-/// Checks a whole `ModelInferResponse` and gives its id.
+/// Validates an encoded `ModelInferResponse` and returns its id.
 pub fn response_id(bytes: &[u8]) -> Result<&str, Malformed> {
     let mut response = StreamResponse::default();
     response.parse_infer_response(Fields::new(bytes, 0))?;
     Ok(response.id)
 }
 
-/// One entry of `map<string, InferParameter>`.
+/// Reads one entry of a `map<string, InferParameter>`.
 fn parameter<'a>(field: &Field<'a>) -> Result<(&'a str, ParameterValue<'a>), Malformed> {
     let mut key = "";
     let mut value = ParameterValue::Str("");
--- a/protocol/inference/src/scan/schema.rs
+++ b/protocol/inference/src/scan/schema.rs
@@ -1,9 +1,9 @@
-//! Messages that are only checked against the schema: nothing of them is read.
+//! Validates messages whose fields are not read.
 
 use super::wire::Fields;
 use super::{parameter, Malformed};
 
-/// What a field of a message that is only checked must hold.
+/// The type of a field in a message that is only validated.
 #[derive(Clone, Copy)]
 pub(super) enum FieldType {
     Text,
@@ -14,12 +14,12 @@
     Fixed32s,
     /// Repeated 8-byte values, packed or not.
     Fixed64s,
-    /// An entry of a map of parameters.
+    /// An entry of a `map<string, InferParameter>`.
     Parameter,
     Message(Schema),
 }
 
-/// The fields of a message, by number. Fields that are not in it are skipped.
+/// The fields of a message, by number. Other fields are skipped.
 pub(super) type Schema = &'static [(u32, FieldType)];
 
 /// `InferInputTensor`, and `InferOutputTensor`, which has the same fields.
@@ -46,7 +46,7 @@
     (8, FieldType::Bytes),
 ];
 
-/// Checks a message against a schema.
+/// Validates a message against a schema.
 pub(super) fn check(mut fields: Fields<'_>, schema: Schema) -> Result<(), Malformed> {
     while let Some(field) = fields.next()? {
         let Some((_, kind)) = schema.iter().find(|(number, _)| *number == field.number) else {
--- a/protocol/inference/src/scan/wire.rs
+++ b/protocol/inference/src/scan/wire.rs
@@ -1,8 +1,8 @@
-//! The fields of one encoded message. Source: Protocol Buffers, "Encoding".
+//! Splits an encoded message into fields (Protocol Buffers, "Encoding").
 
 use super::Malformed;
 
-/// Wire types, by what they hold.
+/// Wire types.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum WireType {
     Varint,
@@ -13,14 +13,15 @@
     EndGroup,
 }
 
-/// One field as it stands in the message.
+/// One encoded field.
 pub(super) struct Field<'a> {
     pub number: u32,
     wire_type: WireType,
-    /// Of a varint or a fixed value.
+    /// The value of a varint, fixed32 or fixed64 field.
     value: u64,
-    /// Of a length-delimited value.
+    /// The content of a length-delimited field.
     bytes: &'a [u8],
+    /// The offset of the value in the outermost message.
     offset: usize,
 }
 
@@ -36,7 +37,7 @@
         if self.wire_type == wire_type {
             return Ok(());
         }
-        self.malformed("a field of another wire type than the schema's")
+        self.malformed("a field whose wire type differs from the schema")
     }
 
     pub fn varint(&self) -> Result<u64, Malformed> {
@@ -62,7 +63,7 @@
         Ok(Fields::new(self.bytes()?, self.offset))
     }
 
-    /// Checks repeated varints, packed or not.
+    /// Validates repeated varints, packed or not.
     pub fn check_varints(&self) -> Result<(), Malformed> {
         if self.wire_type == WireType::Varint {
             return Ok(());
@@ -74,12 +75,12 @@
         Ok(())
     }
 
-    /// Checks repeated 4-byte values, packed or not.
+    /// Validates repeated 4-byte values, packed or not.
     pub fn check_fixed32(&self) -> Result<(), Malformed> {
         self.check_fixed(WireType::Fixed32, 4)
     }
 
-    /// Checks repeated 8-byte values, packed or not.
+    /// Validates repeated 8-byte values, packed or not.
     pub fn check_fixed64(&self) -> Result<(), Malformed> {
         self.check_fixed(WireType::Fixed64, 8)
     }
@@ -88,19 +89,19 @@
         if self.wire_type == unpacked || self.bytes()?.len() % size == 0 {
             return Ok(());
         }
-        self.malformed("packed values cut short")
+        self.malformed("truncated packed values")
     }
 }
 
-/// Reads the fields of one message, in the order sent.
+/// Reads the fields of one message in order.
 pub(super) struct Fields<'a> {
     bytes: &'a [u8],
     position: usize,
-    /// Offset of `bytes` in the outermost message.
+    /// The offset of `bytes` in the outermost message.
     base: usize,
 }
 
-/// Groups inside groups that are followed; the schema has none, so more is abuse.
+/// The depth to which nested groups are skipped; the schema has no groups.
 const MAX_GROUP_DEPTH: usize = 16;
 
 impl<'a> Fields<'a> {
@@ -136,7 +137,7 @@
         let mut value = 0u64;
         for index in 0..10 {
             let Some(byte) = self.bytes.get(self.position) else {
-                return self.malformed("a varint cut short");
+                return self.malformed("a truncated varint");
             };
             self.position += 1;
             if index == 9 && *byte > 1 {
@@ -160,7 +161,7 @@
         Ok(taken)
     }
 
-    /// A value of so many bytes, little-endian.
+    /// Reads a little-endian value of `size` bytes.
     fn fixed(&mut self, size: usize) -> Result<u64, Malformed> {
         let bytes = self.take(size)?;
         let value = bytes.iter().rev();
@@ -204,12 +205,12 @@
                 field.wire_type = WireType::Fixed32;
                 field.value = self.fixed(4)?;
             }
-            _ => return self.malformed("a wire type that does not exist here"),
+            _ => return self.malformed("an invalid wire type"),
         }
         Ok(Some(field))
     }
 
-    /// Skips the rest of a group of this number, to its end.
+    /// Skips the rest of the group with this field number, including its end.
     fn skip_group(&mut self, number: u32, depth: usize) -> Result<(), Malformed> {
         loop {
             match self.next_at_depth(depth + 1)? {
@@ -218,7 +219,7 @@
                     if field.number == number {
                         return Ok(());
                     }
-                    return self.malformed("a group ended by another");
+                    return self.malformed("a group ended by another group's end tag");
                 }
                 Some(_) => {}
             }
--- a/protocol/inference/tests/amend.rs
+++ b/protocol/inference/tests/amend.rs
@@ -1,4 +1,4 @@
-//! Messages amended by appending, read by the library and by the scanner.
+//! Tests that the protobuf library and the scanner read an amended message alike.
 
 use prost::Message;
 use std::collections::BTreeMap;
--- a/protocol/inference/tests/scan.rs
+++ b/protocol/inference/tests/scan.rs
@@ -1,4 +1,4 @@
-//! The scanner against the protobuf library.
+//! Compares the scanner with the protobuf library.
 
 use prost::Message;
 use std::collections::BTreeMap;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn messages_that_the_library_encodes_are_read_back() {
+fn fields_of_an_encoded_request_are_read() {
     let bytes = request().encode_to_vec();
     let read = InferRequest::parse(&bytes).unwrap();
     assert_eq!(
@@ -60,17 +60,17 @@
 }
 
 #[test]
-fn every_cut_of_a_message_agrees_with_the_library() {
+fn scanner_and_library_agree_on_truncated_requests() {
     let bytes = request().encode_to_vec();
     for end in 0..bytes.len() {
-        let ours = InferRequest::parse(&bytes[..end]).is_ok();
-        let theirs = pb::ModelInferRequest::decode(&bytes[..end]).is_ok();
-        assert_eq!(ours, theirs, "cut at {end}");
+        let scanner = InferRequest::parse(&bytes[..end]).is_ok();
+        let library = pb::ModelInferRequest::decode(&bytes[..end]).is_ok();
+        assert_eq!(scanner, library, "truncated at {end}");
     }
 }
 
 #[test]
-fn flipped_bytes_are_never_accepted_where_the_library_refuses() {
+fn corrupted_requests_are_rejected_where_the_library_rejects_them() {
     let whole = request().encode_to_vec();
     for at in 0..whole.len() {
         for bit in 0..8 {
@@ -87,12 +87,12 @@
 }
 
 #[test]
-fn groups_are_skipped_to_a_depth_and_no_further() {
+fn groups_are_skipped_to_a_limited_depth() {
     let nested = |n: usize| [vec![0x7b; n], vec![0x7c; n]].concat();
     assert!(InferRequest::parse(&nested(3)).is_ok());
     assert!(InferRequest::parse(&nested(1000)).is_err());
     assert!(
         InferRequest::parse(&[0x7c]).is_err(),
-        "an end without a start"
+        "an end tag without a start tag"
     );
 }
