--- a/protocol/platform/src/config.rs
+++ b/protocol/platform/src/config.rs
@@ -1,43 +1,43 @@
-//! The configuration file, as JSON.
+//! The configuration file, in JSON.
 
 use crate::endpoints::EndpointUpdates;
 use serde::{Deserialize, Deserializer};
 use std::net::SocketAddr;
 use tansy_conf::InstanceSettings;
 
-/// What the machine allows.
+/// The resources that the front end may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
-    /// Cores.
+    /// The number of CPU cores.
     #[serde(default)]
     pub cores: f64,
     /// Memory, MB.
     #[serde(default)]
     pub memory_mb: f64,
-    /// File descriptors.
+    /// The number of file descriptors.
     pub sockets: usize,
 }
 
-/// The whole file. Fields that are not known are ignored.
+/// The configuration file. Unknown fields are ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Config {
     /// The front end's name.
     #[serde(default)]
     pub name: String,
-    /// Where clients connect.
+    /// The address to listen on for clients.
     #[serde(deserialize_with = "listen")]
     pub listen: SocketAddr,
-    /// For random numbers: hex digits, new with each start.
+    /// The seed of the random number generator: hex digits, different at each start.
     #[serde(default)]
     pub seed: String,
-    /// What the machine allows.
+    /// The resources that the front end may use.
     pub limits: Limits,
-    /// Where the list of workers comes from.
+    /// The address of the coordinator, which serves the worker list.
     #[serde(deserialize_with = "coordinator")]
     pub coordinator: SocketAddr,
-    /// The list so far.
+    /// The worker list at the start.
     pub known: EndpointUpdates,
-    /// The settings of this instance.
+    /// The settings of this front end.
     pub settings: InstanceSettings,
 }
 
@@ -45,7 +45,7 @@
     let text = String::deserialize(from)?;
     text.parse().map_err(|_| {
         serde::de::Error::custom(format!(
-            "{key}: {text:?}; want an address as 127.0.0.1:4222"
+            "{key}: {text:?}; want an address such as 127.0.0.1:4222"
         ))
     })
 }
@@ -56,32 +56,32 @@
     address(from, "coordinator")
 }
 
-/// Why a configuration can't be used.
+/// Why a configuration is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It is no JSON, or not of the file's form.
+    /// The text is not JSON, or lacks required fields.
     #[error("{0}")]
     Form(#[from] serde_json::Error),
-    /// A value of the settings makes no sense.
+    /// A value of the settings is invalid.
     #[error("settings.{0}")]
     Settings(#[from] tansy_conf::SettingsError),
 }
 
 impl Config {
-    /// Reads the file's text.
+    /// Parses and validates the text of the file.
     pub fn read(text: &str) -> Result<Config, ConfigError> {
         let config: Config = serde_json::from_str(text)?;
         tansy_conf::validate(&config.settings)?;
         Ok(config)
     }
 
-    /// The seed as a number; what is no hex number counts by its bytes.
+    /// The seed as a number. A text that is not a hex number is hashed.
     pub fn seed(&self) -> u64 {
-        let by_bytes = || {
+        let hash = || {
             self.seed.bytes().fold(0u64, |hash, byte| {
                 hash.wrapping_mul(31).wrapping_add(byte.into())
             })
         };
-        u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| by_bytes())
+        u64::from_str_radix(&self.seed, 16).unwrap_or_else(|_| hash())
     }
 }
--- a/protocol/platform/src/endpoints.rs
+++ b/protocol/platform/src/endpoints.rs
@@ -1,31 +1,30 @@
-//! The coordinator's numbered events to changes of the list of workers.
+//! Converts the coordinator's numbered events to changes of the worker list.
 //!
-//! A worker is its id and its address: a machine that comes under the id of another, or under its address, is another
-//! worker, and nothing that is open to the one is the other's. Its name for the dispatcher is its id alone: addresses
-//! differ from front end to front end, and every one has to give a worker the same number. One that comes elsewhere under
-//! the same id is therefore first reported gone, then reported as started just now.
+//! A worker is identified by its id and its address. The dispatcher knows it by its id alone, because front ends may see
+//! different addresses but must give the worker the same number. A worker whose address changes is therefore first
+//! reported gone, then reported as just started, so that no open connection or request is attributed to the new machine.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use tansy_dispatch::{WorkerRecord, WorkerState};
 
-/// A reply of the coordinator, and `known` of the configuration.
+/// A reply of the coordinator; also the form of `known` in the configuration.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointUpdates {
-    /// The last event's number.
+    /// The number of the last event.
     pub index: u64,
-    /// The events.
+    /// The events, by increasing number.
     #[serde(default)]
     pub updates: Vec<EndpointEvent>,
 }
 
-/// One event.
+/// An event of the coordinator.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointEvent {
-    /// Its number.
+    /// The number of the event.
     pub index: u64,
-    /// Changes of workers; events of other kinds have none.
+    /// Changes of workers; absent in events of other kinds.
     #[serde(default)]
     pub endpoints: Option<Endpoints>,
 }
@@ -33,37 +32,37 @@
 /// Changes of workers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Endpoints {
-    /// It carries the whole list.
+    /// Whether `servers` is the full list.
     #[serde(default)]
     pub full: bool,
-    /// The workers.
+    /// The changed workers, or all of them.
     #[serde(default)]
     pub servers: Vec<Server>,
 }
 
-/// One worker.
+/// The state of a worker.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Server {
-    /// Its id.
+    /// The id.
     pub id: String,
-    /// Its address; may be left out for one that is gone.
+    /// The address; if absent, the last known one applies.
     #[serde(default)]
     pub addr: Option<SocketAddr>,
-    /// Its zone, by name.
+    /// The name of the zone.
     #[serde(default)]
     pub zone: String,
-    /// Its kind of machine, by name.
+    /// The name of the machine kind.
     #[serde(default)]
     pub kind: String,
-    /// Its cell.
+    /// The cell.
     #[serde(default)]
     pub cell: u64,
     /// `Ready`, `Terminating` or `Gone`.
     pub state: String,
-    /// A figure to compare its size with others'.
+    /// The size relative to other workers.
     #[serde(default = "one")]
     pub weight: f64,
-    /// Unix millisecond of a late start; 0: long ago.
+    /// The start time in Unix milliseconds, if recent; otherwise 0.
     #[serde(default)]
     pub started_ms: f64,
 }
@@ -72,16 +71,16 @@
     1.0
 }
 
-/// One change for the dispatcher.
+/// A change of a worker, for the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointChange {
     /// The worker's entry in the list.
     pub endpoint: WorkerRecord,
-    /// Where it is.
+    /// The worker's address.
     pub address: SocketAddr,
 }
 
-/// The list as far as its events have come.
+/// The worker list, as of the last event applied.
 #[derive(Debug, Default)]
 pub struct EndpointList {
     zones: Vec<String>,
@@ -92,7 +91,7 @@
 }
 
 impl EndpointList {
-    /// An empty list; zones and kinds are named as in the settings.
+    /// Creates an empty list. `zones` and `kinds` are the names in the settings, by index.
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> EndpointList {
         EndpointList {
             zones,
@@ -100,18 +99,18 @@
             ..EndpointList::default()
         }
     }
-    /// The number of the last event taken.
+    /// The number of the last event applied.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// Workers that are not gone.
+    /// The number of workers that are not gone.
     pub fn worker_count(&self) -> usize {
         self.workers.len()
     }
 
-    /// Takes a reply; the changes of each event later than those taken before, in order, each with whether it is the whole
-    /// list. `unix_ms`: the Unix clock now.
+    /// Applies a reply. Returns the changes of each event that was not applied before, in order, each with a flag that is set
+    /// if the changes are the full list. `unix_ms` is the current Unix time.
     pub fn apply(
         &mut self,
         updates: &EndpointUpdates,
@@ -134,16 +133,16 @@
                 all.push((endpoints.full, changes));
             }
         }
-        // Numbers without events: there are none up to there.
+        // No further events exist up to the number of the reply.
         self.index = self.index.max(updates.index);
         all
     }
 
-    /// The end of the worker that stood under this one's id at another address.
+    /// If the worker's address changed: the change that reports it gone at the previous address.
     fn moved(&self, server: &Server) -> Option<EndpointChange> {
-        let before = *self.workers.get(&server.id)?;
-        server.addr.filter(|address| *address != before)?;
-        Some(self.change(server, before, WorkerState::Gone, None))
+        let previous = *self.workers.get(&server.id)?;
+        server.addr.filter(|address| *address != previous)?;
+        Some(self.change(server, previous, WorkerState::Gone, None))
     }
 
     fn apply_event(
--- a/protocol/platform/src/lib.rs
+++ b/protocol/platform/src/lib.rs
@@ -1,8 +1,9 @@
-//! The platform's protocol without sockets: the configuration, a client's fields to a call, a worker's reply to an outcome
-//! and its trailers, the coordinator's events to changes of the list. Nothing is decided here.
+//! The platform's protocol without I/O.
 //!
-//! - [`config`]: the configuration file. [`request`]: a client's request. [`reply`]: a worker's reply.
-//! - [`endpoints`]: the coordinator's events.
+//! - [`config`]: reads the configuration file.
+//! - [`request`]: parses a client's request to a call, and writes the fields of an attempt.
+//! - [`reply`]: parses a worker's reply to an outcome and trailers.
+//! - [`endpoints`]: converts the coordinator's events to changes of the worker list.
 
 pub mod config;
 pub mod endpoints;
--- a/protocol/platform/src/reply.rs
+++ b/protocol/platform/src/reply.rs
@@ -1,30 +1,31 @@
-//! A worker's reply to the outcome and trailers that the dispatcher takes.
+//! Converts a worker's reply to the outcome and trailers that the dispatcher expects.
 //!
-//! | word | as | it can have run |
+//! | status word | outcome | may have run |
 //! |---|---|---|
-//! | `200` | OK with an answer | yes |
-//! | `404` | the promise that it is not loaded | no |
-//! | `503` | the promise that it was rejected | no |
-//! | `504` | the promise that its time was over | no |
-//! | `500`, and any other | an error | yes |
+//! | `200` | OK with a response | yes |
+//! | `404` | never ran: the function is not loaded | no |
+//! | `503` | never ran: the worker rejected the call | no |
+//! | `504` | never ran: the call's time had expired | no |
+//! | `500` and any other | an error | yes |
 
 use tansy_dispatch::{AttemptOutcome, CacheStatus, LoadReport, NeverRan, ResponseStage, Trailers};
 
-/// What a reply says.
+/// A parsed reply.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkerReply {
-    /// How the attempt or control request ended.
+    /// The outcome of the attempt or control request.
     pub outcome: AttemptOutcome,
-    /// What came with it.
+    /// The reply's fields as trailers.
     pub trailers: Trailers,
 }
 
-/// gRPC's numbers, which the dispatcher takes for statuses.
+// gRPC status codes, as the dispatcher expects them.
 const OK: u8 = 0;
 const INTERNAL: u8 = 13;
 const UNAVAILABLE: u8 = 14;
 
-/// Reads a reply's word and fields. `reports_concurrency`: the settings say that replies report other calls.
+/// Parses the status word and the fields of a reply. `reports_concurrency`: the settings state that replies report the
+/// number of concurrent calls.
 pub fn parse_reply(word: &[u8], fields: &[u8], reports_concurrency: bool) -> WorkerReply {
     let mut trailers = Trailers {
         concurrent_calls: reports_concurrency.then_some(0),
@@ -74,7 +75,7 @@
     }
 }
 
-/// A load report: `name:value;name:value`, with the settings' names or the simulator's.
+/// Parses a load report, `name:value;name:value`. Two sets of names are accepted for the same metrics.
 fn load_report(text: &str) -> LoadReport {
     let fields = text.split(';').filter_map(|field| field.split_once(':'));
     let fields = fields.map(|(name, value)| {
--- a/protocol/platform/src/request.rs
+++ b/protocol/platform/src/request.rs
@@ -1,48 +1,48 @@
-//! A client's request to a call: only the protocol's exact form is one.
+//! Parses a client's request to a call. Requests that deviate from the protocol's exact form are rejected.
 
 use tansy_conf::{InstanceSettings, KEYED_EFFECT};
 use tansy_dispatch::FunctionShape;
 use tansyrouter::Micros;
 
-/// Digits of an id.
+/// The number of hex digits of an id.
 pub const ID_DIGITS: usize = 16;
-/// A request's id as it came.
+/// A request's id, as hex digits.
 pub type RequestId = [u8; ID_DIGITS];
 
-/// What of a request is not of the protocol's form, and what would be right.
+/// The part of a request that is invalid, and the form that is required.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The method.
+    /// The method is not POST.
     #[error("method: want POST")]
     Method,
-    /// The path.
+    /// The path is not that of a call.
     #[error("path: want /ops/FUNCTION/call")]
     Path,
-    /// The request's id.
+    /// The request id is missing, repeated or malformed.
     #[error("X-Request-Id: want 16 lower-case hex digits, once")]
     RequestId,
-    /// No class, or several.
+    /// The class is missing or repeated.
     #[error("X-Class: want one of the settings, once")]
     MissingClass,
-    /// A class that the settings do not name.
+    /// The settings do not define the class.
     #[error("X-Class: want one of the settings")]
     UnknownClass,
-    /// How long the client waits.
+    /// The timeout is missing, malformed or out of range.
     #[error("X-Timeout-Ms: want milliseconds, up to the class's deadline")]
     Timeout,
-    /// No shape of the function, or several.
+    /// The extras are missing or repeated.
     #[error("X-Extras: want memory_mb and lanes")]
     MissingExtras,
-    /// The shape of the function.
+    /// The extras are malformed or out of range.
     #[error("X-Extras: want memory_mb:MB;lanes:N in their ranges")]
     Extras,
-    /// The key of a class that wants one.
+    /// The idempotency key is missing or malformed, and the class requires one.
     #[error("Idempotency-Key: want up to 128 letters, digits, '-' or '_', once, with this class")]
     IdempotencyKey,
 }
 
 impl RequestError {
-    /// The HTTP status of the response to it.
+    /// The HTTP status of the response to such a request.
     pub fn status(self) -> u16 {
         match self {
             RequestError::Method => 405,
@@ -55,23 +55,23 @@
 /// A call as a client requested it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallRequest {
-    /// The request's id.
+    /// The id of the request.
     pub id: RequestId,
-    /// The function, 16 hex digits.
+    /// The function's id, 16 hex digits.
     pub function: String,
-    /// The class, as an index into the settings' classes.
+    /// The class, as an index into the classes of the settings.
     pub class: usize,
-    /// How long the client waits, microseconds.
+    /// The client's timeout, microseconds.
     pub budget: Micros,
-    /// What it states of its function.
+    /// The function's memory, lanes and load time, as stated by the client.
     pub shape: FunctionShape,
-    /// The key by which workers drop its repeats, as it came; a keyed class has one.
+    /// The idempotency key; present if the class is keyed.
     pub key: Option<String>,
 }
 
 impl CallRequest {
-    /// The fields of an attempt that a worker is sent, `class` being the class's name and `patience_ms` what is left of the
-    /// client's time, milliseconds.
+    /// The fields of an attempt as sent to a worker. `class` is the name of the class, `patience_ms` the rest of the client's
+    /// timeout in milliseconds.
     pub fn fields(&self, class: &str, patience_ms: i64) -> String {
         let key = self
             .key
@@ -88,11 +88,11 @@
 struct Class {
     name: String,
     deadline: Micros,
-    /// Its requests carry a key.
+    /// Whether requests must carry an idempotency key.
     is_keyed: bool,
 }
 
-/// Classes and limits that requests are validated against.
+/// The classes and limits that requests are validated against.
 #[derive(Clone, Debug)]
 pub struct RequestSchema {
     classes: Vec<Class>,
@@ -100,11 +100,11 @@
     max_load_ms: f64,
 }
 
-/// Memory of one instance at most where the settings name no kind of machine, MB.
+/// The most memory of an instance if the settings define no machine kind, MB.
 const DEFAULT_MAX_MEMORY_MB: f64 = 1e6;
-/// Characters of an idempotency key at most.
+/// The most characters of an idempotency key.
 const MAX_KEY_LENGTH: usize = 128;
-/// Lanes of one instance at most: as many as instances can be requested at once, squared.
+/// The most lanes of an instance.
 const MAX_LANES: f64 = 256.0;
 
 fn parse_hex_id(text: &str) -> Option<RequestId> {
@@ -113,13 +113,13 @@
     bytes.iter().all(is_digit).then_some(bytes)
 }
 
-/// Whether a text can pass as one value of a list of fields.
+/// Whether a text is valid as an idempotency key, which is sent to workers as one value in a list of fields.
 fn is_token(text: &str) -> bool {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
     !text.is_empty() && text.len() <= MAX_KEY_LENGTH && text.bytes().all(is_plain)
 }
 
-/// A plain positive number: digits, with a fraction perhaps.
+/// Parses a positive decimal number without sign or exponent.
 fn parse_positive(text: &str) -> Option<f64> {
     let is_plain = text.len() <= 16
         && text.starts_with(|first: char| first.is_ascii_digit())
@@ -131,7 +131,7 @@
         .filter(|number: &f64| is_plain && number.is_finite() && *number > 0.0)
 }
 
-/// The function that a path names.
+/// The function in a path of the form `/ops/FUNCTION/call`.
 fn parse_path(target: &str) -> Option<&str> {
     let mut parts = target.split('/');
     let (lead, ops, function, tail) = (parts.next(), parts.next(), parts.next(), parts.next());
@@ -141,7 +141,7 @@
 }
 
 impl RequestSchema {
-    /// From the settings.
+    /// Creates the schema of the settings.
     pub fn new(settings: &InstanceSettings) -> RequestSchema {
         let largest = settings
             .specifics
@@ -166,14 +166,14 @@
         }
     }
 
-    /// A class's name.
+    /// The name of a class; empty if the index is out of range.
     pub fn class(&self, index: usize) -> &str {
         self.classes
             .get(index)
             .map_or("", |class| class.name.as_str())
     }
 
-    /// Reads a request by its method, target and the one value of each header.
+    /// Parses a request. `header` returns the value of a header, or `None` if it is absent or repeated.
     pub fn read<'a>(
         &self,
         method: &str,
@@ -193,7 +193,7 @@
         let budget = header("x-timeout-ms")
             .and_then(parse_positive)
             .map(|ms| (ms * 1e3) as Micros);
-        // A client waits no longer than its class does, but for the rounding of the figure.
+        // The timeout may not exceed the deadline of the class, apart from rounding.
         let max_budget = class.deadline + 1_000;
         let budget = budget.filter(|budget| (1..=max_budget).contains(budget));
         let budget = budget.ok_or(RequestError::Timeout)?;
--- a/protocol/platform/tests/noise.rs
+++ b/protocol/platform/tests/corrupted_input.rs
@@ -1,15 +1,14 @@
-//! Any bytes in the places where the platform's protocol is read: no panic, nothing kept that was not told, and whole
-//! messages read the same however they are cut.
+//! Tests the parsers with corrupted input: they never panic, and the worker list holds exactly what the events state.
 
 use std::collections::BTreeSet;
 use tansy_platform::{parse_reply, Config, EndpointList, EndpointUpdates, RequestSchema};
 
-const GOOD: &str = r#"{"name":"n","listen":"127.0.0.1:1","seed":"1","limits":{"sockets":64},"coordinator":"127.0.0.1:2",
+const VALID: &str = r#"{"name":"n","listen":"127.0.0.1:1","seed":"1","limits":{"sockets":64},"coordinator":"127.0.0.1:2",
     "known":{"index":1,"updates":[]},"settings":{"classes":[{"name":"call","aim_s":1,"deadline_s":2,
     "effect":"idempotency_key"}]}}"#;
 
-/// A text with some bytes changed, left out or said twice.
-fn spoil(rng: &mut fastrand::Rng, text: &str) -> Vec<u8> {
+/// A text with some bytes changed, removed or duplicated.
+fn corrupt(rng: &mut fastrand::Rng, text: &str) -> Vec<u8> {
     let mut bytes = text.as_bytes().to_vec();
     for _ in 0..rng.usize(1..6) {
         let at = rng
@@ -25,12 +24,12 @@
 }
 
 #[test]
-fn configurations_and_their_settings() {
+fn corrupted_configurations_never_panic() {
     let mut rng = fastrand::Rng::with_seed(5);
     for _ in 0..20_000 {
-        let text = String::from_utf8_lossy(&spoil(&mut rng, GOOD)).into_owned();
+        let text = String::from_utf8_lossy(&corrupt(&mut rng, VALID)).into_owned();
         if let Ok(config) = Config::read(&text) {
-            // What is read can be made settings of.
+            // Converting an accepted configuration must not panic either.
             let _ = tansy_conf::router_settings(&config.settings);
             let _ = (RequestSchema::new(&config.settings), config.seed());
         }
@@ -38,14 +37,14 @@
 }
 
 #[test]
-fn answers_of_workers() {
+fn corrupted_replies_guarantee_nothing_unless_their_status_word_does() {
     let mut rng = fastrand::Rng::with_seed(6);
     for _ in 0..50_000 {
-        let fields = spoil(
+        let fields = corrupt(
             &mut rng,
             "n=ready,peers_in=3,replicas=2,l=inflight:7;util:0.61",
         );
-        let word = spoil(&mut rng, "200");
+        let word = corrupt(&mut rng, "200");
         let got = parse_reply(&word, &fields, rng.bool());
         assert!(
             got.trailers.never_ran.is_none() || [&b"404"[..], b"503", b"504"].contains(&&word[..])
@@ -54,33 +53,33 @@
 }
 
 #[test]
-fn requests_of_clients() {
+fn corrupted_requests_never_inject_fields() {
     let mut rng = fastrand::Rng::with_seed(7);
-    let config = Config::read(GOOD).expect("good");
+    let config = Config::read(VALID).expect("a valid configuration");
     let schema = RequestSchema::new(&config.settings);
-    let good = [
+    let valid = [
         ("x-class", "call"),
         ("x-request-id", "9b1f03aa5c7e2d41"),
         ("x-timeout-ms", "1500"),
         ("x-extras", "memory_mb:512;lanes:2"),
         ("idempotency-key", "045fa587"),
     ];
-    let mut taken = 0;
+    let mut accepted = 0;
     for _ in 0..50_000 {
-        let odd = rng.usize(..good.len());
-        let value = String::from_utf8_lossy(&spoil(&mut rng, good[odd].1)).into_owned();
+        let corrupted = rng.usize(..valid.len());
+        let value = String::from_utf8_lossy(&corrupt(&mut rng, valid[corrupted].1)).into_owned();
         let header = |name: &str| {
-            let index = good.iter().position(|header| header.0 == name)?;
-            Some(if index == odd {
+            let index = valid.iter().position(|header| header.0 == name)?;
+            Some(if index == corrupted {
                 value.as_str()
             } else {
-                good[index].1
+                valid[index].1
             })
         };
         if let Ok(request) = schema.read("POST", "/ops/7f3a9c21e0b4d655/call", header) {
-            taken += 1;
+            accepted += 1;
             let fields = request.fields(schema.class(request.class), 1);
-            // One field more than was meant would be another's.
+            // A header value must not add a field.
             assert_eq!(fields.split(',').count(), 4, "{fields}");
             assert!(
                 fields.split(',').all(|f| f.split('=').count() == 2),
@@ -88,11 +87,11 @@
             );
         }
     }
-    assert!(taken > 1000, "{taken}");
+    assert!(accepted > 1000, "{accepted}");
 }
 
 #[test]
-fn lists_hold_what_was_told_last_and_no_more() {
+fn the_list_holds_exactly_the_workers_of_the_events() {
     let mut rng = fastrand::Rng::with_seed(8);
     for _ in 0..200 {
         let mut list = EndpointList::new(vec!["a".into()], vec![]);
@@ -131,7 +130,7 @@
             assert_eq!(
                 !changes.is_empty(),
                 index > last,
-                "an event counts once, in its order"
+                "an event is applied once, in order"
             );
             if index > last {
                 if full {
--- a/protocol/platform/tests/endpoints.rs
+++ b/protocol/platform/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! The coordinator's events are taken once, in order, and give each worker one name.
+//! Tests that the coordinator's events are applied once and in order, and that a worker keeps its name.
 
 use tansy_dispatch::WorkerState;
 use tansy_platform::{EndpointChange, EndpointList, EndpointUpdates};
@@ -19,7 +19,7 @@
     ]}}]}"#;
 
 #[test]
-fn events_are_taken_once_and_in_order() {
+fn events_are_applied_once_and_in_order() {
     let mut list = EndpointList::new(
         vec!["west".into(), "east".into()],
         vec!["std".into(), "big".into()],
@@ -40,7 +40,7 @@
     assert_eq!(got[0].1[1].endpoint.age, Some(500_000));
     assert!(
         list.apply(&updates(FIRST), 2000.0).is_empty(),
-        "an event held already"
+        "an event that was already applied"
     );
     let drains = r#"{"index":2,"updates":[{"index":2,"endpoints":{"servers":[{"id":"s-a","state":"Terminating"}]}}]}"#;
     let got = list.apply(&updates(drains), 2000.0);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn another_address_is_another_worker() {
+fn a_changed_address_is_reported_as_a_gone_and_a_new_worker() {
     let mut list = EndpointList::new(vec![], vec![]);
     list.apply(&updates(FIRST), 0.0);
     let moved = r#"{"index":2,"updates":[{"index":2,"endpoints":{"servers":[
@@ -69,7 +69,11 @@
         ]
         .map(|(n, s)| (n.to_string(), s))
     );
-    assert_eq!(got.len(), 2, "the end comes first, by itself");
+    assert_eq!(
+        got.len(),
+        2,
+        "the worker is first reported gone, separately"
+    );
     assert_eq!(
         (got[0].1[0].address.to_string(), got[1].1[0].endpoint.age),
         ("127.0.0.2:1".into(), Some(0))
--- a/protocol/platform/tests/reply.rs
+++ b/protocol/platform/tests/reply.rs
@@ -1,11 +1,11 @@
-//! A reply's word and fields to the outcome and trailers that the dispatcher takes.
+//! Tests the conversion of a worker's reply to an outcome and trailers.
 
 use tansy_dispatch::outcome::classify;
 use tansy_dispatch::{AttemptOutcome, CacheStatus, ResponseStage};
 use tansy_platform::parse_reply;
 
 #[test]
-fn an_answer_tells_of_its_instance_and_its_worker() {
+fn fields_are_read_as_trailers_and_load_report() {
     let reply = parse_reply(
         b"200",
         b"n=ready,peers_in=3,l=inflight:7;util:0.61;x0:0.5;x1:2",
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn only_the_pages_words_promise_that_nothing_ran() {
+fn only_404_503_and_504_guarantee_that_nothing_ran() {
     for (word, never) in [
         ("200", false),
         ("404", true),
--- a/protocol/platform/tests/request.rs
+++ b/protocol/platform/tests/request.rs
@@ -1,4 +1,4 @@
-//! A client's request to a call: the page's exact form, and nothing else.
+//! Tests that a client's request is accepted in the protocol's exact form only.
 
 use tansy_dispatch::FunctionShape;
 use tansy_platform::{CallRequest, RequestError, RequestSchema};
@@ -10,7 +10,7 @@
     RequestSchema::new(&serde_json::from_str(conf).unwrap())
 }
 
-const GOOD: [(&str, &str); 4] = [
+const VALID: [(&str, &str); 4] = [
     ("x-class", "call"),
     ("x-request-id", "9b1f03aa5c7e2d41"),
     ("x-timeout-ms", "1500"),
@@ -23,12 +23,12 @@
 ) -> Result<CallRequest, RequestError> {
     schema().read("POST", target, |name| match change {
         Some((changed, value)) if changed == name => value,
-        _ => GOOD.iter().find(|g| g.0 == name).map(|g| g.1),
+        _ => VALID.iter().find(|g| g.0 == name).map(|g| g.1),
     })
 }
 
 #[test]
-fn the_pages_form_is_a_call() {
+fn a_valid_request_is_accepted() {
     let request = read("/ops/7f3a9c21e0b4d655/call", None).unwrap();
     assert_eq!(request.budget, 1_500_000);
     assert_eq!(
@@ -46,13 +46,13 @@
 }
 
 #[test]
-fn a_keyed_class_wants_its_key_and_hands_it_on_as_it_came() {
+fn a_keyed_class_requires_an_idempotency_key_and_forwards_it_unchanged() {
     let schema = schema();
     let read = |class: &'static str, key: Option<&'static str>| {
         let header = |name: &str| match name {
             "x-class" => Some(class),
             "idempotency-key" => key,
-            _ => GOOD.iter().find(|g| g.0 == name).map(|g| g.1),
+            _ => VALID.iter().find(|g| g.0 == name).map(|g| g.1),
         };
         schema.read("POST", "/ops/7f3a9c21e0b4d655/call", header)
     };
@@ -79,11 +79,8 @@
 }
 
 #[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "one table or one history, read from top to bottom"
-)]
-fn nothing_else_is() {
+#[expect(clippy::too_many_lines, reason = "tables of cases")]
+fn invalid_requests_are_rejected() {
     let path = "/ops/7f3a9c21e0b4d655/call";
     for target in [
         "/",
@@ -98,7 +95,7 @@
     ] {
         assert_eq!(read(target, None).unwrap_err().status(), 404, "{target}");
     }
-    let odd: &[(&str, &[&str])] = &[
+    let invalid: &[(&str, &[&str])] = &[
         ("x-class", &["", "Call", "other", "call "]),
         (
             "x-request-id",
@@ -143,7 +140,7 @@
             ],
         ),
     ];
-    for (name, values) in odd {
+    for (name, values) in invalid {
         for value in *values {
             assert!(
                 read(path, Some((name, Some(value)))).is_err(),
