--- a/net/fleet/src/config.rs
+++ b/net/fleet/src/config.rs
@@ -41,7 +41,7 @@
     pub node: FleetNodeConfig,
     /// The fleet's name.
     pub fleet: String,
-    /// A voter's file, and the fields of the first version if the file is new.
+    /// A voter's file, and the fields of the first version of a new fleet.
     pub voter: Option<(PathBuf, Fields)>,
     /// Addresses to connect to instead of a front end's own address, by that address.
     pub proxies: HashMap<SocketAddr, SocketAddr>,
--- a/protocol/conf/src/lib.rs
+++ b/protocol/conf/src/lib.rs
@@ -2,7 +2,7 @@
 //! and their conversion to the router's settings. Absent fields take the defaults of that form.
 //!
 //! - [`InstanceSettings`]: the settings as JSON.
-//! - [`validate`]: reports the first invalid value as a [`SettingsError`].
+//! - [`validate()`]: reports the first invalid value as a [`SettingsError`].
 //! - [`router_settings`]: converts to the router's settings. [`load_report`]: reads a worker's load report.
 
 mod convert;
--- a/protocol/inference/src/scan/wire.rs
+++ b/protocol/inference/src/scan/wire.rs
@@ -2,7 +2,7 @@
 
 use super::Malformed;
 
-/// Wire types.
+/// The wire types of protobuf.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum WireType {
     Varint,
