--- a/net/fleet/src/service/queries.rs
+++ b/net/fleet/src/service/queries.rs
@@ -1,11 +1,11 @@
-//! What operators read beside the status: versions, counters, the last rollout, functions.
+//! Operators' queries other than the status: versions, counters, the last rollout, functions.
 
 use super::{changing_functions, check_fleet, decode, Rejection, Reply};
 use crate::transport::FleetTransport;
 use prost::Message;
 use tansy_agreement::log::FleetState;
 use tansy_agreement::scope::MAX_UPDATES_PER_TRANSACTION;
-use tansy_fleet_wire::{pb, scoped, settings};
+use tansy_fleet_wire::{encode_scope_record, encode_settings, pb};
 use tansy_frames::grpc::Code;
 
 /// The versions that the leader retains.
@@ -21,7 +21,7 @@
         let state = log.state();
         let next = state.next.as_ref();
         let reply = pb::HistoryReply {
-            versions: log.history().map(settings).collect(),
+            versions: log.history().map(encode_settings).collect(),
             in_force: state.in_force.version.0,
             next: next.map_or(0, |(next, _)| next.version.0),
         };
@@ -33,7 +33,7 @@
 pub(super) fn counts(transport: &FleetTransport, fleet: u64, bytes: &[u8]) -> Reply {
     let request: pb::CountsRequest = decode(bytes)?;
     check_fleet(transport, request.fleet, fleet)?;
-    let mut reply = (transport.counts)();
+    let mut reply = (transport.read_counters)();
     let traffic = transport.traffic();
     reply.traffic = Some(pb::TrafficCounters {
         received: traffic.received,
@@ -62,7 +62,7 @@
     state.next.is_none() && canary.is_some_and(|canary| canary.members.contains(name))
 }
 
-/// The last rollout.
+/// The last rollout, and the program that all front ends are to run.
 pub(super) fn rollout(transport: &FleetTransport, fleet: u64, bytes: &[u8]) -> Reply {
     let request: pb::RolloutRequest = decode(bytes)?;
     check_fleet(transport, request.fleet, fleet)?;
@@ -84,14 +84,14 @@
     })
 }
 
-/// Functions that are agreed on one by one, and the result of a transaction.
+/// The records of functions that have a scope of their own, and the result of a transaction.
 pub(super) fn functions(transport: &FleetTransport, fleet: u64, bytes: &[u8]) -> Reply {
     let request: pb::FunctionsRequest = decode(bytes)?;
     check_fleet(transport, request.fleet, fleet)?;
     let requested = request.names.len();
     if requested > MAX_UPDATES_PER_TRANSACTION {
         return Err(Rejection::invalid(format!(
-            "{requested} functions are asked for: want at most {MAX_UPDATES_PER_TRANSACTION}"
+            "{requested} functions requested: want at most {MAX_UPDATES_PER_TRANSACTION}"
         )));
     }
     transport.with_node(|node, now| {
@@ -100,7 +100,7 @@
             .ok_or_else(|| Rejection::not_a_voter(node))?;
         let catalog = log.catalog();
         let named = |name: String| pb::NamedFunction {
-            record: catalog.get(&name).map(scoped),
+            record: catalog.get(&name).map(encode_scope_record),
             name,
         };
         let result = catalog.transaction_result(request.id);
--- a/programs/fleet/src/rollout.rs
+++ b/programs/fleet/src/rollout.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use tansy_agreement::log::{Version, VersionedSettings};
 use tansy_fleet_wire::pb::enter_request::Entry;
-use tansy_fleet_wire::{of_roll, roll_entry};
+use tansy_fleet_wire::{decode_rollout, encode_rollout_entry};
 use tansy_net_fleet::client::RequestError;
 use tansy_rollout::{Rollout, RolloutChange, RolloutEntry};
 use tansy_settings::agree::version;
@@ -72,7 +72,7 @@
         plan,
         reason: arguments.reason,
     };
-    let entry = Entry::Rollout(roll_entry(&entry, settings.as_ref()));
+    let entry = Entry::Rollout(encode_rollout_entry(&entry, settings.as_ref()));
     context.client.enter(leader, entry)?;
     context.output.done(&format!(
         "rollout {id} has begun; `tansy-fleet rollout status --watch` shows it"
@@ -134,7 +134,7 @@
         .rollouts(&[leader], ANSWER_TIMEOUT)
         .pop()
         .unwrap_or_else(|| Err(RequestError::Unreachable("no answer".into())))?;
-    let rollout = of_roll(&reply.rollout).map_err(FleetError::unreachable)?;
+    let rollout = decode_rollout(&reply.rollout).map_err(FleetError::unreachable)?;
     rollout.ok_or_else(|| FleetError::Rejected("there has been no rollout".into()))
 }
 
@@ -146,7 +146,7 @@
 ) -> Result<(), FleetError> {
     let rollout = last_rollout(context)?;
     let leader = context.leader()?;
-    let entry = Entry::Rollout(roll_entry(&entry(rollout.id), None));
+    let entry = Entry::Rollout(encode_rollout_entry(&entry(rollout.id), None));
     context.client.enter(leader, entry)?;
     context
         .output
--- a/protocol/fleet/src/identity.rs
+++ b/protocol/fleet/src/identity.rs
@@ -1,4 +1,4 @@
-//! Processes and members.
+//! Encodes and decodes the identities of processes and members.
 
 use crate::{pb, DecodeError};
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use tansy_membership::NodeId;
 
 /// Encodes the identity of a process.
-pub fn process(node: &NodeId) -> pb::Process {
+pub fn encode_process(node: &NodeId) -> pb::Process {
     pb::Process {
         id: node.id,
         incarnation: node.incarnation,
@@ -15,7 +15,7 @@
     }
 }
 
-pub(crate) fn of_process(process: pb::Process) -> Result<NodeId, DecodeError> {
+pub(crate) fn decode_process(process: pb::Process) -> Result<NodeId, DecodeError> {
     let address: SocketAddr = process
         .address
         .parse()
@@ -28,15 +28,15 @@
     })
 }
 
-/// Encodes a member.
-pub fn member(member: Member) -> pb::Member {
+/// Encodes the identity of a member.
+pub fn encode_member(member: Member) -> pb::Member {
     pb::Member {
         id: member.id,
         incarnation: member.incarnation,
     }
 }
 
-pub(crate) fn of_member(member: Option<pb::Member>) -> Result<Member, DecodeError> {
+pub(crate) fn decode_member(member: Option<pb::Member>) -> Result<Member, DecodeError> {
     let member = member.ok_or(DecodeError::MissingPart("member"))?;
     Ok(Member {
         id: member.id,
