--- a/programs/fleet/tests/support/mod.rs
+++ b/programs/fleet/tests/support/mod.rs
@@ -13,5 +13,6 @@
 /// Runs `tansy-fleet --json` against this front end: its exit code and its result.
 pub fn ask(front_end: SocketAddr, arguments: &[&str]) -> (i32, serde_json::Value) {
     let mut program = Command::new(env!("CARGO_BIN_EXE_tansy-fleet"));
-    fleet::ask(&mut program, front_end, arguments).unwrap_or_else(|error| panic!("{error}"))
+    fleet::run_operator_command(&mut program, front_end, arguments)
+        .unwrap_or_else(|error| panic!("{error}"))
 }
--- a/tests/compatibility/tests/programs.rs
+++ b/tests/compatibility/tests/programs.rs
@@ -73,7 +73,7 @@
     fn ask(&self, arguments: &[&str]) -> (i32, Value) {
         let mut program = Command::new(env!("CARGO_BIN_EXE_compatibility-fleet"));
         program.current_dir(self.folder.path());
-        let result = fleet::ask(&mut program, self.address.address(), arguments);
+        let result = fleet::run_operator_command(&mut program, self.address.address(), arguments);
         result.unwrap_or_else(|error| panic!("{error}"))
     }
 
--- a/tests/support/src/fleet.rs
+++ b/tests/support/src/fleet.rs
@@ -12,7 +12,7 @@
 
 /// Why an operator's command gave no result.
 #[derive(Debug, thiserror::Error)]
-pub enum AskError {
+pub enum OperatorCommandError {
     /// The program could not be run.
     #[error("{program}: {source}")]
     Start {
@@ -70,11 +70,11 @@
 
 /// Runs an operator's command (`tansy-fleet --json`) against the front end at this address: its exit code (-1 if a signal ended
 /// it) and the result that it printed.
-pub fn ask(
+pub fn run_operator_command(
     operator_program: &mut Command,
     front_end: SocketAddr,
     arguments: &[&str],
-) -> Result<(i32, Value), AskError> {
+) -> Result<(i32, Value), OperatorCommandError> {
     operator_program
         .args(["--json", "--at", &front_end.to_string()])
         .args(arguments);
@@ -82,12 +82,12 @@
     let result = operator_program.output();
     let result = match result {
         Ok(result) => result,
-        Err(source) => return Err(AskError::Start { program, source }),
+        Err(source) => return Err(OperatorCommandError::Start { program, source }),
     };
     let output = String::from_utf8_lossy(&result.stdout).into_owned();
     match serde_json::from_str(&output) {
         Ok(value) => Ok((result.status.code().unwrap_or(-1), value)),
-        Err(source) => Err(AskError::Output {
+        Err(source) => Err(OperatorCommandError::Output {
             program,
             source,
             output,
