--- a/programs/fleet/tests/rollout.rs
+++ b/programs/fleet/tests/rollout.rs
@@ -14,7 +14,9 @@
 use support::{ask, gateway};
 use tansy_fleet::processes::supervised_processes;
 use tansy_test_support::address::ReservedAddress;
-use tansy_test_support::fleet::{error_contains, front_ends, may_act, reserve_addresses, ANY_PORT};
+use tansy_test_support::fleet::{
+    error_contains, front_ends, holds_lease_and_session, reserve_addresses, ANY_PORT,
+};
 use tansy_test_support::folder::TestFolder;
 use tansy_test_support::process::ServerProcess;
 use tansy_test_support::wait::poll_until;
@@ -164,7 +166,10 @@
 
     fn acting_front_ends(&self) -> usize {
         let (_, status) = self.ask(&["status"]);
-        front_ends(&status).iter().filter(|f| may_act(f)).count()
+        front_ends(&status)
+            .iter()
+            .filter(|f| holds_lease_and_session(f))
+            .count()
     }
 
     fn rollout(&self) -> Value {
--- a/programs/fleet/tests/support/front_ends.rs
+++ b/programs/fleet/tests/support/front_ends.rs
@@ -6,7 +6,9 @@
 use std::process::Command;
 use std::time::Duration;
 use tansy_test_support::address::ReservedAddress;
-use tansy_test_support::fleet::{front_end_command, front_ends, may_act, reserve_addresses};
+use tansy_test_support::fleet::{
+    front_end_command, front_ends, holds_lease_and_session, reserve_addresses,
+};
 use tansy_test_support::folder::TestFolder;
 use tansy_test_support::process::ServerProcess;
 use tansy_test_support::wait::poll_until;
@@ -92,7 +94,8 @@
     pub fn wait_until_connected(&self) {
         let running = self.processes.iter().flatten().count();
         let connected = |front_end: &Value| {
-            may_act(front_end) && front_end["sees"].as_u64() == Some(running as u64 - 1)
+            holds_lease_and_session(front_end)
+                && front_end["sees"].as_u64() == Some(running as u64 - 1)
         };
         self.wait_for_status(|status| {
             let front_ends = front_ends(status);
--- a/tests/compatibility/tests/programs.rs
+++ b/tests/compatibility/tests/programs.rs
@@ -12,7 +12,9 @@
 use std::time::Duration;
 use tansy_compatibility_tests::fixture;
 use tansy_test_support::address::ReservedAddress;
-use tansy_test_support::fleet::{self, front_end_command, may_act, reserve_addresses};
+use tansy_test_support::fleet::{
+    self, front_end_command, holds_lease_and_session, reserve_addresses,
+};
 use tansy_test_support::folder::TestFolder;
 use tansy_test_support::process::ServerProcess;
 use tansy_test_support::wait::poll_until;
@@ -53,7 +55,9 @@
             address,
             folder,
         };
-        front_end.wait_for(&["status"], |status| may_act(&status["fronts"][0]));
+        front_end.wait_for(&["status"], |status| {
+            holds_lease_and_session(&status["fronts"][0])
+        });
         front_end
     }
 
--- a/tests/support/src/fleet.rs
+++ b/tests/support/src/fleet.rs
@@ -101,7 +101,7 @@
 }
 
 /// Whether a front end in the result of `status` may act: it holds a lease and a session.
-pub fn may_act(front_end: &Value) -> bool {
+pub fn holds_lease_and_session(front_end: &Value) -> bool {
     front_end["lease_ms"].as_i64() > Some(0) && front_end["stay_s"].as_i64() > Some(0)
 }
 
