--- a/tests/support/src/fleet.rs
+++ b/tests/support/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Front ends of one fleet as processes, and what an operator asks them.
+//! Front ends of one fleet as processes, and the operator's commands to them.
 
 use crate::address::ReservedAddress;
 use serde_json::Value;
@@ -10,7 +10,7 @@
 /// A loopback address on which the kernel chooses the port.
 pub const ANY_PORT: &str = "127.0.0.1:0";
 
-/// Why an operator's command gave no result.
+/// Why an operator's command returned no result.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorCommandError {
     /// The program could not be run.
@@ -18,31 +18,31 @@
     Start {
         /// The program and its arguments.
         program: String,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// What it printed is no JSON.
+    /// The program's output is not valid JSON.
     #[error("{program}: {source}: {output:?}")]
     Output {
         /// The program and its arguments.
         program: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: serde_json::Error,
-        /// What it printed.
+        /// The program's standard output.
         output: String,
     },
 }
 
-/// The path of a program that the workspace builds beside the running test, or none if it is not built yet.
+/// The path of a program of the workspace, in the profile of the running test; `None` if it has not been built.
 pub fn built_program(name: &str) -> Option<PathBuf> {
     let test = std::env::current_exe().ok()?;
-    // Tests stand in the folder `deps` within the folder of the programs.
+    // Cargo puts test executables into `deps`, a subfolder of the programs' folder.
     let path = test.parent()?.parent()?.join(name);
     path.exists().then_some(path)
 }
 
-/// Reserves an address for each front end of a fleet, on hosts that no other test process of this machine uses for the same
-/// `network`. A front end keeps its address when it is started again.
+/// Reserves an address for each front end of a fleet, on the loopback hosts `127.network.P.1` to `127.network.P.count`. `P` is derived
+/// from the process id, so that tests that run at the same time rarely share hosts. A front end keeps its address over restarts.
 pub fn reserve_addresses(network: u8, count: u8) -> io::Result<Vec<ReservedAddress>> {
     let process = (std::process::id() % 250) as u8;
     (1..=count)
@@ -50,7 +50,7 @@
         .collect()
 }
 
-/// The command that starts a front end of a fleet by its name: its other ports are chosen by the kernel, it logs nothing.
+/// The command that starts a front end of a fleet under this name, with logging off. The kernel chooses the ports for clients and HTTP.
 pub fn front_end_command(
     gateway: &Path,
     settings: &Path,
@@ -63,13 +63,13 @@
         .arg(settings)
         .args(["--name", name, "--peers", &peers.to_string()])
         .args(["--listen", ANY_PORT, "--http", ANY_PORT, "--log", "off"])
-        // The test's own environment must not make it another kind of gateway.
+        // Names the configuration for `--platform`; the test's own environment must have no influence.
         .env_remove("EDGE_CONFIG");
     command
 }
 
-/// Runs an operator's command (`tansy-fleet --json`) against the front end at this address: its exit code (-1 if a signal ended
-/// it) and the result that it printed.
+/// Runs an operator's command (`tansy-fleet --json`) against the front end at this address. Returns the exit code (-1 if a signal
+/// ended the program) and the result that it printed.
 pub fn run_operator_command(
     operator_program: &mut Command,
     front_end: SocketAddr,
@@ -95,17 +95,17 @@
     }
 }
 
-/// The front ends in the result of the command `status`.
+/// The front ends in the result of the `status` command.
 pub fn front_ends(status: &Value) -> &[Value] {
     status["fronts"].as_array().map_or(&[], Vec::as_slice)
 }
 
-/// Whether a front end in the result of `status` may act: it holds a lease and a session.
+/// Whether a front end in the result of `status` holds a lease and a session, both of which it needs to take calls.
 pub fn holds_lease_and_session(front_end: &Value) -> bool {
     front_end["lease_ms"].as_i64() > Some(0) && front_end["stay_s"].as_i64() > Some(0)
 }
 
-/// Whether the error in a command's result has these words.
+/// Whether the error in a command's result contains this text.
 pub fn error_contains(result: &Value, words: &str) -> bool {
     result["error"]
         .as_str()
--- a/tests/support/src/lib.rs
+++ b/tests/support/src/lib.rs
@@ -1,19 +1,19 @@
-//! What tests and test programs with real sockets share.
+//! Helpers shared by tests and test programs that use real sockets and processes.
 //!
-//! - [`address`]: addresses that are known before the program that listens there starts.
-//! - [`platform_configuration`]: configurations of front ends that speak the platform's protocol.
-//! - [`process`]: programs that say where they serve, and end with the test.
-//! - [`fleet`]: front ends of a fleet as processes, and what an operator asks them.
-//! - [`folder`]: folders that end with the test.
-//! - [`wait`]: waiting for a state that another process reaches by itself.
+//! - [`address`]: reserved TCP addresses, known before the program that listens on them starts.
+//! - [`platform_configuration`]: configurations for front ends that speak the platform's protocol.
+//! - [`process`]: child processes that print their addresses once they serve, and are killed at the end of the test.
+//! - [`fleet`]: front ends of one fleet as processes, and the operator's commands to them.
+//! - [`folder`]: temporary folders that are removed at the end of a test.
+//! - [`wait`]: polling for a state that another thread or process reaches.
 //!
-//! It is not for product code, and decides nothing that a test judges.
+//! Product code must not depend on this crate. It contains no logic that is under test.
 //!
 //! ```
 //! use tansy_test_support::address::ReservedAddress;
 //!
 //! let reserved = ReservedAddress::on([127, 0, 0, 1])?;
-//! // A program that is started now can be told this address, and nobody else is given it.
+//! // A program under test can be started with this address; the kernel gives its port to no other socket.
 //! let listener = std::net::TcpListener::bind(reserved.address())?;
 //! assert_eq!(listener.local_addr()?, reserved.address());
 //! # Ok::<(), std::io::Error>(())
--- a/tests/support/src/platform_configuration.rs
+++ b/tests/support/src/platform_configuration.rs
@@ -1,23 +1,23 @@
-//! Configurations of front ends that speak the platform's protocol, as the JSON text that `EDGE_CONFIG` names.
+//! Configurations for front ends that speak the platform's protocol: the JSON file whose path is in `EDGE_CONFIG`.
 //!
-//! One text serves all tests; what they vary is a field of [`PlatformConfiguration`], and the rest stands here once. The text is
-//! formatted by hand because tests cut it in two, replace parts of it and compare it byte for byte.
+//! Values that differ between tests are fields of [`PlatformConfiguration`]; all others are constant. The text is formatted by hand
+//! instead of with `serde_json`, because tests truncate it, replace parts of it and compare it byte for byte.
 
 use std::net::SocketAddr;
 
-/// The state that the list gives to a worker.
+/// The state of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerState {
-    /// It takes work.
+    /// The worker takes calls.
     Ready,
-    /// It drains: it finishes what it has and takes no more.
+    /// The worker drains: it finishes its calls and takes no new ones.
     Terminating,
-    /// It has left.
+    /// The worker has left.
     Gone,
 }
 
 impl WorkerState {
-    /// Its name in the list.
+    /// The name of the state in the endpoint list.
     pub fn name(self) -> &'static str {
         match self {
             WorkerState::Ready => "Ready",
@@ -27,16 +27,16 @@
     }
 }
 
-/// One worker's entry in the list.
+/// A worker's entry in the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerEntry {
-    /// Its id.
+    /// The worker's id.
     pub id: String,
-    /// Where front ends reach it.
+    /// The address on which the worker listens.
     pub address: SocketAddr,
-    /// Its state.
+    /// The worker's state.
     pub state: WorkerState,
-    /// Unix millisecond of its start; 0: long ago.
+    /// When the worker started, in Unix milliseconds; 0 means long ago.
     pub started_ms: u64,
 }
 
@@ -56,41 +56,41 @@
     }
 }
 
-/// Entries as the elements of a JSON array, without its brackets.
+/// The entries as elements of a JSON array, without the brackets.
 pub fn worker_list(workers: &[WorkerEntry]) -> String {
     let entries: Vec<String> = workers.iter().map(WorkerEntry::json).collect();
     entries.join(",")
 }
 
-/// What tests vary in the configuration of a front end.
+/// The values in a front end's configuration that differ between tests.
 #[derive(Clone, Debug)]
 pub struct PlatformConfiguration {
-    /// Its number among the front ends; its name follows from it.
+    /// The front-end index; the front end's name is derived from it.
     pub index: usize,
-    /// How many front ends there are.
+    /// Number of front ends.
     pub front_ends: usize,
-    /// For its random numbers.
+    /// Seed of the front end's random numbers.
     pub seed: u64,
-    /// Its memory, MB.
+    /// Memory limit, MB.
     pub memory_mb: u32,
-    /// Descriptors that it may hold.
+    /// Limit on open file descriptors.
     pub sockets: usize,
-    /// Its coordinator.
+    /// The coordinator's address.
     pub coordinator: SocketAddr,
-    /// The workers that it knows at its start.
+    /// The endpoint list at the start.
     pub workers: Vec<WorkerEntry>,
-    /// A connection to a worker that is not up by then has failed.
+    /// Timeout for connecting to a worker, seconds.
     pub connect_timeout_s: f64,
-    /// Seconds after which a worker closes a connection that carried nothing.
+    /// Seconds after which a worker closes an idle connection.
     pub keepalive_s: f64,
-    /// Calls that one connection to a worker may carry at a time.
+    /// Concurrent calls on one connection to a worker.
     pub multiplex: u32,
-    /// Seconds for which workers drop the repeats of a keyed request, in the digits that the text is to have.
+    /// Seconds for which workers drop repeats of a keyed request; inserted into the text as it is.
     pub repeat_window_s: String,
 }
 
 impl PlatformConfiguration {
-    /// The text, for a front end that listens here.
+    /// The JSON text for a front end that listens on this address.
     pub fn text(&self, listen: SocketAddr) -> String {
         let PlatformConfiguration {
             index,
@@ -119,7 +119,7 @@
         )
     }
 
-    /// The classes of calls: one that may be repeated, one that may not, and one whose repeats workers drop.
+    /// Three classes of calls: safe to repeat, unsafe to repeat, and keyed (workers drop repeats).
     fn classes(&self) -> String {
         let repeats = format!(
             r#""repeat_window_s":{},"group":"all","#,
@@ -134,7 +134,7 @@
     }
 }
 
-/// One class; `repeats` are the fields of a class whose repeats workers drop.
+/// One class as a JSON object; `repeats` has the additional fields of a keyed class, each with a trailing comma.
 fn class(name: &str, effect: &str, repeats: &str) -> String {
     format!(
         r#"{{"name":"{name}","aim_s":0.8,"deadline_s":2.0,"effect":"{effect}","late_worth":0.1,{repeats}"gain":1}}"#
--- a/tests/support/src/process.rs
+++ b/tests/support/src/process.rs
@@ -1,58 +1,58 @@
-//! Programs that print a line `ready NAME=ADDRESS ...` once they serve.
+//! Child processes that print a line `ready NAME=ADDRESS ...` once they serve.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::io::{self, BufRead, BufReader, Read};
 use std::net::SocketAddr;
 use std::process::{Child, ChildStdout, Command, ExitStatus, Stdio};
 
-/// Why a program can't be used.
+/// Why a child process could not be started, read or controlled.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// It could not be started, or its output not be read.
+    /// The program could not be started, or its output could not be read.
     #[error("{program}: {source}")]
     Start {
         /// The program and its arguments.
         program: String,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Its first line is not the one that says where it serves.
-    #[error("{program}: its first line is {line:?}; want `ready NAME=ADDRESS ...`")]
+    /// The first line of the program's output is not its `ready` line.
+    #[error("{program}: the first line is {line:?}, expected `ready NAME=ADDRESS ...`")]
     NotReady {
         /// The program and its arguments.
         program: String,
-        /// The line; empty if it ended without any.
+        /// The first line; empty if the program ended without output.
         line: String,
     },
-    /// The line names no such address.
+    /// The `ready` line has no valid address of this name.
     #[error("no address {name}= in {line:?}")]
     NoAddress {
-        /// The name.
+        /// The name of the address.
         name: String,
-        /// The line.
+        /// The `ready` line.
         line: String,
     },
-    /// It could not be signalled or waited for.
-    #[error("the process {pid}: {source}")]
+    /// The process could not be signalled or waited for.
+    #[error("process {pid}: {source}")]
     Control {
-        /// Its id.
+        /// The process id.
         pid: u32,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// A process that has said where it serves. It is killed when the value is dropped.
+/// A child process that has printed its `ready` line. It is killed when the value is dropped.
 #[derive(Debug)]
 pub struct ServerProcess {
     child: Child,
-    /// None once the test has closed it.
+    /// `None` once the test has closed it.
     output: Option<BufReader<ChildStdout>>,
     ready_line: String,
 }
 
 impl ServerProcess {
-    /// Starts a program, and waits for its `ready` line. Its standard output is piped, the rest is as the command says.
+    /// Starts a program and waits for its `ready` line. Pipes the standard output; all else is as `command` has it.
     pub fn start(command: &mut Command) -> Result<ServerProcess, ProcessError> {
         let program = format!("{command:?}");
         let start_error = |source| ProcessError::Start {
@@ -66,7 +66,7 @@
         let stdout = child
             .stdout
             .take()
-            .ok_or_else(|| start_error(io::Error::other("its output is not piped")))?;
+            .ok_or_else(|| start_error(io::Error::other("the standard output is not piped")))?;
         let mut process = ServerProcess {
             child,
             output: None,
@@ -85,12 +85,12 @@
         }
     }
 
-    /// The line in which it said where it serves.
+    /// The `ready` line, with its line break.
     pub fn ready_line(&self) -> &str {
         &self.ready_line
     }
 
-    /// The address of this name on its `ready` line.
+    /// The address of this name on the `ready` line.
     pub fn address(&self, name: &str) -> Result<SocketAddr, ProcessError> {
         self.ready_line
             .split_whitespace()
@@ -102,35 +102,36 @@
             })
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) -> Result<(), ProcessError> {
         kill_process(Pid::from_child(&self.child), signal)
             .map_err(|error| self.control_error(error.into()))
     }
 
-    /// Whether it has ended.
+    /// Whether the process has ended.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Kills it, and waits until it has ended.
+    /// Kills the process, and waits until it has ended.
     pub fn kill(&mut self) {
-        // Both fail only where it has ended before.
+        // Both fail only if the process has been waited for before.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Closes the reader of its output: what it prints from now on has nowhere to go.
+    /// Closes the read end of the output pipe: the process's next writes to it fail.
     pub fn close_output(&mut self) {
         self.output = None;
     }
 
-    /// Waits until it ends by itself: how it ended, and what it printed after its `ready` line, if its output is not closed.
+    /// Waits until the process ends by itself. Returns the exit status, and the output after the `ready` line; the output is empty if
+    /// it has been closed.
     pub fn wait(&mut self) -> Result<(ExitStatus, String), ProcessError> {
         let mut rest = String::new();
         if let Some(output) = &mut self.output {
@@ -142,7 +143,7 @@
         Ok((status, rest))
     }
 
-    /// Asks it to end with SIGTERM, and waits as [`ServerProcess::wait`] does.
+    /// Sends SIGTERM, and waits as [`ServerProcess::wait`] does.
     pub fn stop(&mut self) -> Result<(ExitStatus, String), ProcessError> {
         self.signal(Signal::TERM)?;
         self.wait()
--- a/tests/support/tests/folder.rs
+++ b/tests/support/tests/folder.rs
@@ -1,4 +1,4 @@
-//! A test's folder lasts as long as its value.
+//! A test's folder is removed with its value.
 
 use tansy_test_support::folder::TestFolder;
 
@@ -7,7 +7,7 @@
     let folder = TestFolder::new("folder-test").expect("a folder");
     let file = folder.write("a.txt", "text").expect("a file");
     assert_eq!(file, folder.file("a.txt"));
-    assert_eq!(std::fs::read_to_string(&file).expect("it is there"), "text");
+    assert_eq!(std::fs::read_to_string(&file).expect("a file"), "text");
     let path = folder.path().to_path_buf();
     drop(folder);
     assert!(!path.exists());
--- a/tests/support/tests/wait.rs
+++ b/tests/support/tests/wait.rs
@@ -1,4 +1,4 @@
-//! A check is repeated until it succeeds, and fails with the state that it found.
+//! `poll_until` repeats a check until it succeeds, and panics with the last state after the time limit.
 
 use std::time::Duration;
 use tansy_test_support::wait::poll_until;
@@ -19,6 +19,6 @@
 
 #[test]
 #[should_panic(expected = "not ready")]
-fn a_check_that_never_succeeds_fails_with_its_state() {
+fn a_check_that_never_succeeds_panics_with_its_state() {
     poll_until::<(), _>(Duration::ZERO, || Err("not ready"));
 }
