--- a/programs/gateway/tests/soak.rs
+++ b/programs/gateway/tests/soak.rs
@@ -12,7 +12,7 @@
         front_ends: 10,
         workers: 6,
         clients: 3,
-        span: Duration::from_secs(8),
+        duration: Duration::from_secs(8),
     };
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
--- a/tests/soak/src/main.rs
+++ b/tests/soak/src/main.rs
@@ -56,7 +56,7 @@
             front_ends: arguments.front_ends,
             workers: arguments.workers,
             clients: arguments.clients,
-            span: Duration::from_secs(arguments.seconds),
+            duration: Duration::from_secs(arguments.seconds),
         };
         match runtime.block_on(run(&options)) {
             Ok(outcome) => all_hold &= print_outcome(seed, &outcome, arguments.show),
--- a/tests/soak/src/runner.rs
+++ b/tests/soak/src/runner.rs
@@ -33,7 +33,7 @@
     /// Clients of each front end.
     pub clients: usize,
     /// How long faults go on.
-    pub span: Duration,
+    pub duration: Duration,
 }
 
 /// The result of a run.
@@ -70,7 +70,7 @@
     let environment = Environment::start(options, &mut random).await?;
     let watchdog = tokio::spawn(watch_harness(environment.facts.clone()));
     let front_ends = environment.start_front_ends(&mut random).await?;
-    let until = Instant::now() + options.span;
+    let until = Instant::now() + options.duration;
     let mut tasks = JoinSet::new();
     environment.spawn_clients(&mut tasks, options.clients, &mut random, until + SETTLE);
     environment.spawn_faults(&mut tasks, &mut random, until);
