--- a/tests/soak/src/abuse.rs
+++ b/tests/soak/src/abuse.rs
@@ -1,5 +1,5 @@
-//! Clients that send what can't be read, half of it, too much at once, or nothing: each is owed an answer or a close soon, and
-//! none may be served.
+//! Clients that send malformed, incomplete or oversized requests, or nothing. The front end has to answer each or close its
+//! connection in time, and must serve none.
 
 use crate::endpoints::{Endpoint, EndpointTable};
 use crate::facts::{Fact, Facts, FrontEndIndex};
@@ -9,12 +9,12 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Such a client is answered or closed by then.
+/// Within this time the front end answers a malformed request or closes its connection.
 pub const RESPONSE_DUE_WITHIN: Duration = Duration::from_secs(3);
-/// The answer is awaited for so much longer, to see how late it comes.
+/// How much longer the client waits, to measure how late an answer comes.
 const EXTRA_WAIT: Duration = Duration::from_secs(2);
 
-/// What one of them sends: never a request in the page's form.
+/// Draws the bytes that a client sends: never a valid request.
 fn draw_bytes(random: &mut fastrand::Rng) -> Vec<u8> {
     let head = "POST /ops/0000000000000001/call HTTP/1.1\r\nHost: app.svc\r\nX-Class: safe\r\n";
     let rest = "X-Request-Id: ffffffffffffffff\r\nX-Timeout-Ms: 900\r\nX-Extras: memory_mb:300;lanes:2\r\n";
@@ -35,7 +35,7 @@
     text.into_bytes()
 }
 
-/// Sends such bytes to front ends until the end.
+/// Sends malformed requests to random front ends until `until`.
 pub async fn run(
     facts: Arc<Facts>,
     endpoints: Arc<EndpointTable>,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Sends such bytes on a connection of their own, and records what came back; none: it was not connected.
+/// Sends bytes on a new connection and records what came back. Returns `None` if the connection failed.
 async fn send_malformed(
     facts: Arc<Facts>,
     front_end: FrontEndIndex,
@@ -63,7 +63,7 @@
     let connected = timeout(RESPONSE_DUE_WITHIN, TcpStream::connect(endpoint.address)).await;
     let mut socket = connected.ok()?.ok()?;
     let began = Instant::now();
-    // One that is closed meanwhile has been answered.
+    // A write fails if the front end has closed the connection, which is a valid reaction; the read below sees it.
     let _ = socket.write_all(&bytes).await;
     let mut first = [0u8; 12];
     let read = timeout(RESPONSE_DUE_WITHIN + EXTRA_WAIT, socket.read(&mut first)).await;
--- a/tests/soak/src/clients.rs
+++ b/tests/soak/src/clients.rs
@@ -1,4 +1,5 @@
-//! Clients: each sends a request at a time to its front end, keeps its connection or not, waits or leaves.
+//! Clients: each sends one request at a time to its front end, reuses connections or opens new ones, and waits for the answer or
+//! disconnects before it.
 
 use crate::discovery::read_head;
 use crate::endpoints::{Endpoint, EndpointTable};
@@ -11,35 +12,36 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// A request on an idle connection that the front end closes within this time, as the request is on its way, is sent once more.
+/// If the front end closes an idle connection within this time after a request was sent on it, the close and the request may have
+/// crossed, and the client sends the request again.
 pub const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
-/// An answer that comes so long after its request's time is late, and no more than that.
+/// How long after a request's timeout an answer still counts as in time.
 pub const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// A client waits for so much longer than that, as this machine itself may be late.
+/// How long a client waits beyond the timeout and [`ANSWER_SLACK`], as the machine itself may be slow.
 const EXTRA_WAIT: Duration = Duration::from_millis(300);
-/// For how many milliseconds a new connection is left idle, if it is: about as long as a front end permits.
+/// Idle time of a new connection, milliseconds: about as long as a front end permits.
 const IDLE_NEW_MS: std::ops::Range<u64> = 2200..2400;
-/// For how many milliseconds a connection that was answered is left idle, if it is.
+/// Idle time of a connection that has carried a request, milliseconds.
 const IDLE_LONG_MS: std::ops::Range<u64> = 2500..4000;
-/// Functions that are called.
+/// Number of functions that clients call.
 const FUNCTIONS: u64 = 6;
 
-/// A connection that is not made by then is given up.
+/// Timeout for connecting to a front end.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One client.
 pub struct Client {
-    /// Where it records what it sees.
+    /// Where the client records what it observes.
     pub facts: Arc<Facts>,
-    /// The front ends.
+    /// The endpoints of all front ends.
     pub endpoints: Arc<EndpointTable>,
-    /// The one that it sends to.
+    /// The front end that the client sends to.
     pub front_end: FrontEndIndex,
-    /// The last id given to any client's request, and one more.
-    pub ids: Arc<AtomicU64>,
-    /// Its choices.
+    /// The next request id, shared by all clients.
+    pub next_id: Arc<AtomicU64>,
+    /// The client's random numbers.
     pub random: fastrand::Rng,
-    /// Until then it sends.
+    /// When the client stops sending.
     pub until: Instant,
 }
 
@@ -51,33 +53,33 @@
     body: String,
 }
 
-/// An answer that came whole.
+/// A complete answer.
 struct Answer {
     status: u16,
     body: Vec<u8>,
-    /// The connection stays.
+    /// Whether the front end keeps the connection open.
     keep_alive: bool,
 }
 
-/// How one request ended for its client.
+/// How a request ended for its client.
 enum RequestEnd {
-    /// Answered; the connection stays.
+    /// Answered; the connection stays open.
     KeepAlive,
-    /// Answered or not; the connection is gone.
+    /// Answered or not; the connection is closed.
     Closed,
-    /// The connection was closed as the request was sent: it is sent once more.
+    /// The front end closed the idle connection while the request was on its way: the client sends the request again.
     CloseRace,
 }
 
 struct Connection {
     socket: TcpStream,
     process: u64,
-    /// It has been idle, with no request open.
+    /// Whether the connection has been idle, with no request open on it.
     was_idle: bool,
 }
 
 impl Client {
-    /// Sends until its time is over.
+    /// Sends requests until `self.until`.
     pub async fn run(mut self) {
         let mut connection = None;
         while Instant::now() < self.until {
@@ -105,7 +107,7 @@
         })
     }
 
-    /// Sends one request, on the last connection if there is one: the connection for the next, if it stays.
+    /// Sends one request, on `last` if that connects to the present process. Returns the connection if it stays open.
     async fn send_next(&mut self, last: Option<Connection>) -> Option<Connection> {
         let process = self.endpoint().process;
         let mut connection = match last.filter(|last| last.process == process) {
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Lets a connection be idle now and then.
+    /// Leaves a connection idle for a while, with a small probability.
     async fn idle(&mut self, connection: &mut Connection) {
         let idle_ms = match (connection.was_idle, self.random.u32(0..40)) {
             (false, 0) => self.random.u64(IDLE_NEW_MS),
@@ -143,7 +145,7 @@
     }
 
     fn draw_request(&mut self) -> Request {
-        let id = self.ids.fetch_add(1, Ordering::Relaxed);
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (effect, class) = match self.random.u32(0..5) {
             0 | 1 => (Effect::Safe, "safe"),
             2 | 3 => (Effect::Unsafe, "once"),
@@ -175,11 +177,11 @@
         }
     }
 
-    /// Sends a request and waits for its end.
+    /// Sends a request and waits until it has ended.
     async fn exchange(&mut self, connection: &mut Connection, request: &Request) -> RequestEnd {
         let sent = self.write(&mut connection.socket, &request.text).await;
         if sent.is_err() {
-            // It was never whole on a connection that stood.
+            // The front end never received the whole request, so nothing is recorded.
             return RequestEnd::Closed;
         }
         let sent = Instant::now();
@@ -192,10 +194,10 @@
             timeout: request.timeout,
             idle_before,
         });
-        let patience = self.draw_patience(request.timeout);
-        match timeout(patience, read_answer(&mut connection.socket)).await {
+        let wait = self.draw_wait(request.timeout);
+        match timeout(wait, read_answer(&mut connection.socket)).await {
             Err(_) => {
-                self.leave(connection, request, patience);
+                self.disconnect(connection, request, wait);
                 RequestEnd::Closed
             }
             Ok(Ok(answer)) => self.on_answer(&answer, request),
@@ -214,9 +216,9 @@
         }
     }
 
-    /// How long it waits for an answer: one in ten leaves early; of the others every second stays beyond its time, as if it
-    /// had not noticed.
-    fn draw_patience(&mut self, timeout: Duration) -> Duration {
+    /// Draws how long the client waits for an answer: a tenth of the requests is abandoned early, half of them at the timeout, and
+    /// the rest after [`ANSWER_SLACK`] and [`EXTRA_WAIT`], so that a late answer is seen.
+    fn draw_wait(&mut self, timeout: Duration) -> Duration {
         match self.random.u32(0..10) {
             0 => timeout.mul_f64(self.random.f64()),
             1..=5 => timeout,
@@ -224,14 +226,14 @@
         }
     }
 
-    /// Closes or resets its connection with a request open on it.
-    fn leave(&mut self, connection: &mut Connection, request: &Request, waited: Duration) {
+    /// Closes or resets the connection while a request is open on it.
+    fn disconnect(&mut self, connection: &mut Connection, request: &Request, waited: Duration) {
         let socket = &mut connection.socket;
         if self.random.bool() {
             reset_on_close(socket);
         }
-        // Closed before it is recorded, so that its end can't seem earlier than it was.
-        if let Ok(closed) = std::mem::replace(socket, unconnected()).into_std() {
+        // The connection is closed before the fact is recorded: a recorded end must not be earlier than the real one.
+        if let Ok(closed) = std::mem::replace(socket, unconnected_socket()).into_std() {
             drop(closed);
         }
         let id = request.id;
@@ -255,7 +257,7 @@
         }
     }
 
-    /// Writes a request, one in eight in two pieces.
+    /// Writes a request; every eighth is split into two writes with a pause between them.
     async fn write(&mut self, socket: &mut TcpStream, text: &[u8]) -> std::io::Result<()> {
         if self.random.u32(0..8) > 0 {
             return socket.write_all(text).await;
@@ -267,15 +269,15 @@
     }
 }
 
-/// A socket in the place of one that is closed.
-fn unconnected() -> TcpStream {
+/// An unconnected socket, to replace one that is closed.
+fn unconnected_socket() -> TcpStream {
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.set_nonblocking(true).expect("a socket");
-    TcpStream::from_std(socket.into()).expect("within a runtime")
+    TcpStream::from_std(socket.into()).expect("a runtime")
 }
 
-/// Reads a whole answer.
+/// Reads a complete answer.
 async fn read_answer(socket: &mut TcpStream) -> Result<Answer, ConnectionEnd> {
     let mut first = [0u8; 1];
     match socket.read(&mut first).await {
--- a/tests/soak/src/configuration.rs
+++ b/tests/soak/src/configuration.rs
@@ -1,40 +1,40 @@
-//! The configuration that the soak's front ends are started with, and its figures that the invariants refer to.
+//! The configuration of the soak's front ends, and the parts of it that the invariants depend on.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use tansy_test_support::platform_configuration::{PlatformConfiguration, WorkerEntry};
 
-/// Seconds after which a worker closes a connection that carried nothing.
+/// Seconds after which a worker closes an idle connection.
 pub const KEEPALIVE_S: f64 = 3.0;
-/// Workers drop the repeats of a keyed request for so long.
+/// How long workers drop repeats of a keyed request.
 pub const REPEAT_WINDOW: Duration = Duration::from_secs(1);
 
-/// Memory of a front end, MB.
+/// Memory limit of a front end, MB.
 const MEMORY_MB: u32 = 64;
-/// Calls that one connection to a worker may carry at a time.
+/// Concurrent calls on one connection to a worker.
 const MULTIPLEX: u32 = 16;
 
-/// What the configurations of one run differ in.
+/// The values that differ between the configurations of one run.
 #[derive(Clone, Debug)]
 pub struct FrontEndParameters {
-    /// Its number among the front ends.
+    /// The front-end index.
     pub index: usize,
-    /// How many front ends there are.
+    /// Number of front ends.
     pub front_ends: usize,
-    /// For its random numbers.
+    /// Seed of the front end's random numbers.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Limit on open file descriptors.
     pub sockets: usize,
-    /// Its coordinator.
+    /// The coordinator's address.
     pub coordinator: SocketAddr,
-    /// The workers as of its start.
+    /// The endpoint list at the start.
     pub workers: Vec<WorkerEntry>,
-    /// A connection to a worker that is not up by then has failed.
+    /// Timeout for connecting to a worker, seconds.
     pub connect_timeout_s: f64,
 }
 
 impl FrontEndParameters {
-    /// The whole configuration.
+    /// The complete configuration.
     pub fn configuration(self) -> PlatformConfiguration {
         PlatformConfiguration {
             index: self.index,
--- a/tests/soak/src/discovery.rs
+++ b/tests/soak/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The coordinator: numbered events, served to each process on a listener of its own, with the faults of a real one.
+//! A stand-in for the coordinator: it numbers the changes of the endpoint list as events, serves them to each process on a separate
+//! listener, and can be slow, silent or cut off.
 
 use crate::error::SoakError;
 use crate::facts::{Fact, Facts, FrontEndIndex, WorkerId};
@@ -12,32 +13,32 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, timeout};
 
-/// How the coordinator behaves.
+/// How the coordinator answers polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// It answers.
-    Plain,
-    /// It takes polls and says nothing.
+    /// Polls are answered without a fault.
+    Healthy,
+    /// Polls are read and not answered.
     Silent,
-    /// It breaks off in the middle of a reply.
-    Cut,
-    /// Each reply comes so much later.
-    Slow(Duration),
+    /// Replies are cut off in the middle, and the connection is closed.
+    Truncated,
+    /// Replies are delayed by this time.
+    Delayed(Duration),
 }
 
-/// The list of workers, and how the coordinator behaves.
+/// The endpoint list with its events, and the present mode of the coordinator.
 pub struct Discovery {
     facts: Arc<Facts>,
     workers: Mutex<Vec<WorkerEntry>>,
-    /// The entry that each event changed.
+    /// The changed entry of each event; event N is at position N - 1.
     events: Mutex<Vec<WorkerEntry>>,
     newest_event: watch::Sender<u64>,
     mode: watch::Sender<DiscoveryMode>,
 }
 
-/// The coordinator of one process; it closes when this value is dropped.
+/// The coordinator's listener for one process. It and its connections are closed when this value is dropped.
 pub struct CoordinatorListener {
-    /// Where it listens.
+    /// The address of the listener.
     pub address: SocketAddr,
     task: AbortHandle,
 }
@@ -48,46 +49,46 @@
     }
 }
 
-/// The process that a coordinator serves.
+/// The process that a listener serves. Each process counts events from the list that it was started with, which has index 1.
 #[derive(Clone, Copy)]
 struct Subscriber {
     front_end: FrontEndIndex,
     process: u64,
-    /// The last event in the list that it was started with, which is its own first event.
+    /// The last event in the list that the process was started with.
     known_event: u64,
 }
 
 impl Subscriber {
-    /// The number that it gives to an event.
-    fn own_number(&self, event: u64) -> u64 {
+    /// The process's index for an event.
+    fn index_of(&self, event: u64) -> u64 {
         event - self.known_event + 1
     }
 
-    /// The event that it gives this number.
-    fn event(&self, own_number: u64) -> u64 {
-        self.known_event + own_number - 1
+    /// The event for an index of the process.
+    fn event(&self, index: u64) -> u64 {
+        self.known_event + index - 1
     }
 }
 
 impl Discovery {
-    /// With the first list.
+    /// A coordinator with this endpoint list and no events.
     pub fn new(facts: Arc<Facts>, workers: Vec<WorkerEntry>) -> Arc<Discovery> {
         Arc::new(Discovery {
             facts,
             workers: Mutex::new(workers),
             events: Mutex::default(),
             newest_event: watch::channel(0).0,
-            mode: watch::channel(DiscoveryMode::Plain).0,
+            mode: watch::channel(DiscoveryMode::Healthy).0,
         })
     }
 
-    /// The workers as they stand, and the number of the last event.
+    /// The present endpoint list, and the number of the last event.
     pub fn snapshot(&self) -> (Vec<WorkerEntry>, u64) {
         let workers = self.workers.lock().expect("not poisoned");
         (workers.clone(), *self.newest_event.borrow())
     }
 
-    /// Changes a worker's entry.
+    /// Changes a worker's entry, as a new event.
     pub fn change_worker(&self, worker: WorkerId, state: WorkerState, started_ms: u64) {
         let mut workers = self.workers.lock().expect("not poisoned");
         let entry = &mut workers[worker];
@@ -104,14 +105,14 @@
         self.newest_event.send_replace(event);
     }
 
-    /// Sets how it behaves from now on.
+    /// Sets how polls are answered from now on.
     pub fn set_mode(&self, mode: DiscoveryMode) {
-        let answers = matches!(mode, DiscoveryMode::Plain | DiscoveryMode::Slow(_));
+        let answers = matches!(mode, DiscoveryMode::Healthy | DiscoveryMode::Delayed(_));
         self.facts.record(Fact::DiscoveryAvailability { answers });
         self.mode.send_replace(mode);
     }
 
-    /// A coordinator for a process that was started with the list as of `known_event`.
+    /// Opens a listener for a process that was started with the list as of `known_event`.
     pub async fn listen(
         self: &Arc<Self>,
         front_end: FrontEndIndex,
@@ -135,7 +136,7 @@
         })
     }
 
-    /// Serves all connections of one listener; they end with it.
+    /// Serves all connections of a listener. They are closed when this task is aborted.
     async fn accept(self: Arc<Self>, listener: TcpListener, subscriber: Subscriber) {
         let mut connections = JoinSet::new();
         while let Ok((socket, _)) = listener.accept().await {
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Answers the polls of one connection until either side ends it.
+    /// Answers the polls on a connection until either side closes it.
     async fn serve(&self, mut socket: TcpStream, subscriber: Subscriber) -> Option<()> {
         let Subscriber {
             front_end, process, ..
@@ -159,7 +160,7 @@
                 event: acknowledged,
             });
             let wait = Duration::from_millis(query_parameter(&head, "wait_ms=")?);
-            // Ends early with an event, or after the time that was asked for.
+            // The poll is answered at the next event, or after the time that it asked for.
             let _ = timeout(wait, newest_event.wait_for(|newest| *newest > acknowledged)).await;
             let (reply, event) = self.reply(acknowledged, subscriber);
             let mode = *self.mode.borrow();
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Sends a reply as the mode has it; none: the connection ends.
+    /// Sends a reply as the mode demands. Returns `None` if the connection has to be closed.
     async fn send_reply(
         &self,
         socket: &mut TcpStream,
@@ -180,17 +181,17 @@
         mode: DiscoveryMode,
     ) -> Option<()> {
         match mode {
-            DiscoveryMode::Plain => socket.write_all(reply).await.ok(),
-            DiscoveryMode::Slow(by) => {
+            DiscoveryMode::Healthy => socket.write_all(reply).await.ok(),
+            DiscoveryMode::Delayed(by) => {
                 sleep(by).await;
                 socket.write_all(reply).await.ok()
             }
-            DiscoveryMode::Cut => {
+            DiscoveryMode::Truncated => {
                 socket.write_all(&reply[..reply.len() / 2]).await.ok()?;
                 None
             }
             DiscoveryMode::Silent => {
-                // The poll is never answered; its connection stays open for as long as that lasts.
+                // The poll is never answered; its connection stays open until the mode changes.
                 let mut mode = self.mode.subscribe();
                 let _ = mode.wait_for(|mode| *mode != DiscoveryMode::Silent).await;
                 None
@@ -198,19 +199,19 @@
         }
     }
 
-    /// The reply to a poll, and the last event in it.
+    /// The reply to a poll, and the number of the last event in it.
     fn reply(&self, acknowledged: u64, subscriber: Subscriber) -> (Vec<u8>, u64) {
         let events = self.events.lock().expect("not poisoned");
         let later = events.iter().enumerate().skip(acknowledged as usize);
         let updates: Vec<String> = later
             .map(|(position, worker)| {
-                let index = subscriber.own_number(position as u64 + 1);
+                let index = subscriber.index_of(position as u64 + 1);
                 let entry = worker.json();
                 format!(r#"{{"index":{index},"endpoints":{{"full":false,"servers":[{entry}]}}}}"#)
             })
             .collect();
         let newest = events.len() as u64;
-        let index = subscriber.own_number(newest);
+        let index = subscriber.index_of(newest);
         let body = format!(r#"{{"index":{index},"updates":[{}]}}"#, updates.join(","));
         let text = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -220,13 +221,13 @@
     }
 }
 
-/// A numeric parameter in the target of a request; `name` ends with `=`.
+/// The value of a numeric query parameter; `name` ends with `=`.
 fn query_parameter(head: &str, name: &str) -> Option<u64> {
     let rest = head.split(name).nth(1)?;
     rest.split(['&', ' ']).next()?.parse().ok()
 }
 
-/// Reads up to the end of a message's head.
+/// Reads up to and including the blank line that ends the head of an HTTP message.
 pub async fn read_head(socket: &mut TcpStream) -> Option<String> {
     let mut text = Vec::new();
     while !text.ends_with(b"\r\n\r\n") {
--- a/tests/soak/src/endpoints.rs
+++ b/tests/soak/src/endpoints.rs
@@ -1,27 +1,27 @@
-//! Where clients reach each front end, and whether they may.
+//! The addresses of the front ends, and whether clients may send to them.
 
 use crate::facts::FrontEndIndex;
 use std::net::SocketAddr;
 use std::sync::RwLock;
 
-/// What clients know of a front end.
+/// A front end as its clients see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Its address.
+    /// The front end's address, the same for all its processes.
     pub address: SocketAddr,
-    /// Which of its processes serves.
+    /// The number of the process that serves.
     pub process: u64,
-    /// New requests go there.
+    /// Whether clients may send new requests.
     pub open: bool,
 }
 
-/// The endpoints of all front ends. As a load balancer's table, it changes while clients use it.
+/// The endpoints of all front ends. Like the table of a load balancer, it changes while clients use it.
 pub struct EndpointTable {
     endpoints: Vec<RwLock<Endpoint>>,
 }
 
 impl EndpointTable {
-    /// None of them is open.
+    /// A table in which no endpoint is open yet.
     pub fn new(addresses: impl IntoIterator<Item = SocketAddr>) -> EndpointTable {
         let closed = |address| {
             RwLock::new(Endpoint {
@@ -35,17 +35,17 @@
         }
     }
 
-    /// How many front ends there are.
+    /// Number of front ends.
     pub fn front_ends(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// The endpoint as it stands.
+    /// The present endpoint of a front end.
     pub fn get(&self, front_end: FrontEndIndex) -> Endpoint {
         *self.endpoints[front_end].read().expect("not poisoned")
     }
 
-    /// Replaces an endpoint.
+    /// Replaces the endpoint of a front end.
     pub fn set(&self, front_end: FrontEndIndex, endpoint: Endpoint) {
         *self.endpoints[front_end].write().expect("not poisoned") = endpoint;
     }
--- a/tests/soak/src/error.rs
+++ b/tests/soak/src/error.rs
@@ -1,42 +1,42 @@
-//! Why a run could not go on.
+//! Errors that end a run.
 
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A part of the run that could not be started; it says nothing about the front ends under test.
+/// A part of the run could not be started. Such an error is a failure of the harness, not of the front ends under test.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakError {
-    /// No listener, or no reservation, on this address.
+    /// A part of the harness could not listen on an address, or reserve it.
     #[error("{part}, {address}: {source}")]
     Listen {
-        /// Who was to listen there.
+        /// The part of the harness.
         part: &'static str,
-        /// The address; port 0 is any.
+        /// The address; with port 0 the kernel chooses the port.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// A file or folder of the run could not be written.
     #[error("{}: {source}", path.display())]
     File {
-        /// Its path.
+        /// The path of the file or folder.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The front end's program could not be started.
     #[error("{}: {source}", program.display())]
     StartProgram {
-        /// Its path.
+        /// The path of the program.
         program: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
 impl SoakError {
-    /// For `map_err`: this part could not listen on this address.
+    /// Converts an error of listening on, or reserving, an address; for `map_err`.
     pub(crate) fn listen(
         part: &'static str,
         address: SocketAddr,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// For `map_err`: this file or folder could not be written.
+    /// Converts an error of writing a file or folder; for `map_err`.
     pub(crate) fn file(path: impl Into<PathBuf>) -> impl FnOnce(io::Error) -> SoakError {
         let path = path.into();
         move |source| SoakError::File { path, source }
--- a/tests/soak/src/facts.rs
+++ b/tests/soak/src/facts.rs
@@ -1,36 +1,36 @@
-//! What was seen on the sockets and of the processes, with the time: the only thing that the oracle judges from.
+//! Facts: timestamped observations of sockets and processes. They are the only input of the oracle.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A request's id.
+/// The id of a request.
 pub type RequestId = u64;
-/// A front end's number; a restarted process keeps it.
+/// The front-end index; all processes of a front end have the same.
 pub type FrontEndIndex = usize;
-/// A worker's number.
+/// The number of a worker.
 pub type WorkerId = usize;
 
-/// What running a request twice would do.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It may run again.
+    /// The request may run more than once.
     Safe,
-    /// It must not run twice.
+    /// The request must not run twice.
     Unsafe,
-    /// Workers drop its repeats for a while ([`crate::configuration::REPEAT_WINDOW`]).
+    /// Workers drop repeats of the request for [`crate::configuration::REPEAT_WINDOW`].
     Keyed,
 }
 
-/// How a client's connection ended with a request open on it.
+/// How the front end ended a client's connection while a request was open on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The front end closed or reset it, with nothing of an answer.
+    /// The connection was closed or reset before the first byte of a response.
     Closed,
-    /// The response was cut short.
+    /// The connection ended within a response.
     Truncated,
 }
 
-/// One thing that was seen.
+/// One observation.
 #[derive(Clone, Debug)]
 pub enum Fact {
     /// A client wrote the last byte of a request.
@@ -39,42 +39,43 @@
         id: RequestId,
         /// The front end that it was sent to.
         front_end: FrontEndIndex,
-        /// The number of its process.
+        /// The number of the front end's process.
         process: u64,
-        /// What running it twice would do.
+        /// Whether the request may be repeated.
         effect: Effect,
-        /// How long its client waits.
+        /// The request's timeout.
         timeout: Duration,
-        /// The connection had been idle before: its end within the crossing time makes the client send once more.
+        /// Whether the connection was idle before: if it then ends within [`crate::clients::CLOSE_RACE_WINDOW`], the client sends
+        /// the request again.
         idle_before: bool,
     },
-    /// A client read a whole response.
+    /// A client read a complete response.
     ResponseReceived {
         /// The request.
         id: RequestId,
-        /// Its status.
+        /// The response status.
         status: u16,
-        /// The body is the one that a worker makes for this request.
+        /// Whether the body is the one that a worker returns for this request.
         body_matches: bool,
     },
-    /// The client closed or reset its connection with the request open on it.
+    /// The client closed or reset its connection while the request was open on it.
     ClientDisconnected {
         /// The request.
         id: RequestId,
     },
-    /// The front end ended the client's connection with the request open on it.
+    /// The front end ended the client's connection while the request was open on it.
     ConnectionLost {
         /// The request.
         id: RequestId,
-        /// How.
+        /// How the connection ended.
         end: ConnectionEnd,
     },
-    /// The client gave up: no response came until long after its timeout.
+    /// The client stopped waiting: no response came within the timeout and the slack after it.
     ResponseTimedOut {
         /// The request.
         id: RequestId,
     },
-    /// A worker's proxy read a whole attempt.
+    /// A worker's proxy read a complete attempt.
     AttemptStarted {
         /// The request.
         id: RequestId,
@@ -82,18 +83,18 @@
         worker: WorkerId,
         /// The proxy's connection.
         connection: u64,
-        /// The timeout that the worker was given, in milliseconds.
+        /// The timeout in the attempt, in milliseconds.
         timeout_ms: u64,
-        /// It may have waited in the kernel's queue of connections while the proxy accepted none.
+        /// Whether the attempt may have waited in the listen backlog while the proxy accepted no connections.
         maybe_queued: bool,
     },
-    /// An attempt ended: the worker's answer was written, it was given up, or its connection ended.
+    /// An attempt ended: the proxy read the worker's answer or the front end's cancellation, or the connection ended.
     AttemptEnded {
         /// The request.
         id: RequestId,
         /// The proxy's connection.
         connection: u64,
-        /// The worker said that it did not run.
+        /// Whether the worker answered that the attempt did not run.
         never_ran: bool,
     },
     /// A worker's proxy read a request to load at least one instance.
@@ -107,37 +108,37 @@
     ConnectionAccepted {
         /// The proxy's connection.
         connection: u64,
-        /// The other side's port.
+        /// The front end's port.
         port: u16,
     },
     /// A worker's state changed at the coordinator.
     WorkerStateChanged {
-        /// The event's number.
+        /// The number of the event.
         event: u64,
         /// The worker.
         worker: WorkerId,
-        /// It takes work.
+        /// Whether the worker takes calls.
         ready: bool,
     },
     /// The coordinator read a poll, which acknowledges the events up to this one.
     PollReceived {
         /// The front end.
         front_end: FrontEndIndex,
-        /// The number of its process.
+        /// The number of the front end's process.
         process: u64,
         /// The last event that the front end has received.
         event: u64,
     },
-    /// The coordinator answers whole replies from now on, however slowly, or does not.
+    /// The coordinator's mode changed.
     DiscoveryAvailability {
-        /// It does.
+        /// Whether the coordinator sends complete replies from now on, delayed or not.
         answers: bool,
     },
     /// The coordinator began a reply with the events up to this one.
     PollReplyStarted {
         /// The front end.
         front_end: FrontEndIndex,
-        /// The number of its process.
+        /// The number of the front end's process.
         process: u64,
         /// The last event of the reply.
         event: u64,
@@ -146,54 +147,54 @@
     ProcessStarted {
         /// The front end.
         front_end: FrontEndIndex,
-        /// The number of its process.
+        /// The number of the front end's process.
         process: u64,
     },
-    /// It answered a liveness request.
+    /// A process answered a liveness request for the first time.
     ProcessReady {
         /// The front end.
         front_end: FrontEndIndex,
-        /// The number of its process.
+        /// The number of the front end's process.
         process: u64,
     },
-    /// A signal was sent to it.
+    /// A signal was sent to a process.
     SignalSent {
         /// The front end.
         front_end: FrontEndIndex,
-        /// The number of its process.
+        /// The number of the front end's process.
         process: u64,
-        /// Which.
+        /// The signal.
         signal: Signal,
     },
-    /// It ended.
+    /// A process ended.
     ProcessExited {
         /// The front end.
         front_end: FrontEndIndex,
-        /// The number of its process.
+        /// The number of the front end's process.
         process: u64,
-        /// Its exit code; none: a signal ended it.
+        /// The exit code; `None` if a signal ended the process.
         code: Option<i32>,
-        /// The last line of its standard output.
+        /// The last line of the standard output.
         last_line: String,
     },
-    /// What a front end did with a client that sent what is no request.
+    /// A front end reacted to a malformed request, or did not.
     MalformedRequest {
         /// The front end.
         front_end: FrontEndIndex,
-        /// The number of its process.
+        /// The number of the front end's process.
         process: u64,
-        /// How long after it had connected it was answered or closed; none: not at all.
+        /// Time from the connect to the answer or close; `None` if neither came while the client waited.
         after: Option<Duration>,
-        /// It was served.
+        /// Whether the front end answered with status 200.
         served: bool,
     },
-    /// This harness itself ran late by so much: what happened in that time is recorded late.
+    /// The harness itself was delayed by this time; facts of that time may be recorded late.
     HarnessDelayed(Duration),
-    /// A fault of the network, of discovery or of clients began or ended, in words.
+    /// A fault of the network, of discovery or of clients began or ended; the text describes it.
     FaultChanged(String),
 }
 
-/// A signal that the soak sends.
+/// A signal that the harness sends to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// SIGTERM.
@@ -208,36 +209,36 @@
     Continue,
 }
 
-/// The facts of one run, in the order in which they were seen.
+/// The facts of one run, in the order in which they were recorded.
 #[derive(Debug)]
 pub struct Facts {
-    began: Instant,
+    started: Instant,
     all: Mutex<Vec<(Duration, Fact)>>,
 }
 
 impl Default for Facts {
     fn default() -> Facts {
         Facts {
-            began: Instant::now(),
+            started: Instant::now(),
             all: Mutex::default(),
         }
     }
 }
 
 impl Facts {
-    /// Time since the run began.
+    /// Time since the start of the run.
     pub fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started.elapsed()
     }
 
-    /// Records a fact as of now.
+    /// Records a fact with the present time.
     pub fn record(&self, fact: Fact) {
         let mut all = self.all.lock().unwrap_or_else(PoisonError::into_inner);
-        let now = self.began.elapsed();
+        let now = self.started.elapsed();
         all.push((now, fact));
     }
 
-    /// All that was recorded.
+    /// Removes and returns all recorded facts.
     pub fn take(&self) -> Vec<(Duration, Fact)> {
         std::mem::take(&mut *self.all.lock().unwrap_or_else(PoisonError::into_inner))
     }
--- a/tests/soak/src/fault_schedule.rs
+++ b/tests/soak/src/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, drawn from the seed: faults of the network, of discovery and of processes, which overlap in time.
+//! Random fault injection: faults of the network, of discovery and of processes, drawn from the seed, which overlap in time.
 
 use crate::discovery::{Discovery, DiscoveryMode};
 use crate::endpoints::EndpointTable;
@@ -12,17 +12,17 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// A front end whose coordinator has moved loses the old one after so long.
-const OLD_COORDINATOR: Duration = Duration::from_millis(1500);
-/// Connections of one idle crowd.
-const CROWD: usize = 120;
-/// A connection of an idle crowd that is not made by then is given up.
-const CROWD_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
+/// How long the old coordinator of a front end stays available after a reload.
+const OLD_COORDINATOR_LIFETIME: Duration = Duration::from_millis(1500);
+/// Number of connections that are opened and left idle at once.
+const IDLE_CONNECTIONS: usize = 120;
+/// Timeout for opening an idle connection.
+const IDLE_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A fault of system calls, and the probability that a process has it.
+/// A fault of system calls, and the probability that a process is started with it.
 struct SystemCallFault {
     probability: f64,
-    /// In the form of `tests/fault-shim`.
+    /// A rule in the syntax of `tests/fault-shim`.
     rule: &'static str,
 }
 
@@ -46,12 +46,12 @@
     fault(0.2, "clock:STEP:by=-3600:from=3"),
 ];
 
-/// A duration between two numbers of milliseconds.
-fn draw_span(random: &mut fastrand::Rng, milliseconds: Range<u64>) -> Duration {
+/// A random duration from a range of milliseconds.
+fn draw_duration(random: &mut fastrand::Rng, milliseconds: Range<u64>) -> Duration {
     Duration::from_millis(random.u64(milliseconds))
 }
 
-/// The faults of one process's system calls, as `FAULT_RULES` has them.
+/// Draws the system call faults of a process, as the value of `FAULT_RULES`.
 pub fn draw_system_call_faults(random: &mut fastrand::Rng) -> String {
     let drawn: Vec<&str> = SYSTEM_CALL_FAULTS
         .iter()
@@ -61,20 +61,20 @@
     drawn.join(";")
 }
 
-/// Faults of one front end's processes until the end; then the one that runs is ended in good order.
+/// Injects faults into a front end's processes until `until`, restarting them as needed; then ends the last one with SIGTERM.
 pub async fn run_process_faults(
     mut front_end: FrontEnd,
     mut random: fastrand::Rng,
     until: Instant,
 ) {
     while Instant::now() < until {
-        sleep(draw_span(&mut random, 800..5000)).await;
+        sleep(draw_duration(&mut random, 800..5000)).await;
         front_end.reap_if_ended().await;
         if front_end.is_running() && Instant::now() < until {
             inject_process_fault(&mut front_end, &mut random).await;
         }
         if !front_end.is_running() {
-            sleep(draw_span(&mut random, 0..500)).await;
+            sleep(draw_duration(&mut random, 0..500)).await;
             let rules = draw_system_call_faults(&mut random);
             let seed = random.u64(1..u64::MAX);
             if front_end.start(&rules, seed).await.is_err() {
@@ -87,30 +87,30 @@
     front_end.terminate(Duration::ZERO).await;
 }
 
-/// Suspends, kills, ends or reloads a front end's process.
+/// Suspends, kills, terminates or reloads a front end's process.
 async fn inject_process_fault(front_end: &mut FrontEnd, random: &mut fastrand::Rng) {
     match random.u32(0..10) {
-        0..=3 => front_end.suspend(draw_span(random, 200..1500)).await,
+        0..=3 => front_end.suspend(draw_duration(random, 200..1500)).await,
         4 => front_end.kill().await,
         5 => front_end.terminate(Duration::ZERO).await,
-        6 => front_end.terminate(draw_span(random, 100..900)).await,
+        6 => front_end.terminate(draw_duration(random, 100..900)).await,
         7 => {
-            // A reload that fails leaves the configuration as it was.
+            // If a reload fails, the front end keeps its configuration.
             let _ = front_end.reload().await;
             front_end.terminate(Duration::ZERO).await;
         }
         _ => {
             for _ in 0..random.u32(1..4) {
                 let _ = front_end.reload().await;
-                sleep(draw_span(random, 0..300)).await;
+                sleep(draw_duration(random, 0..300)).await;
             }
-            sleep(OLD_COORDINATOR).await;
+            sleep(OLD_COORDINATOR_LIFETIME).await;
             front_end.close_old_coordinators();
         }
     }
 }
 
-/// Faults of the network between front ends and workers until the end.
+/// Injects network faults between front ends and workers until `until`.
 pub async fn run_network_faults(
     facts: Arc<Facts>,
     proxies: Arc<Vec<Proxy>>,
@@ -118,35 +118,35 @@
     until: Instant,
 ) {
     while Instant::now() < until {
-        sleep(draw_span(&mut random, 200..1200)).await;
+        sleep(draw_duration(&mut random, 200..1200)).await;
         let worker = random.usize(0..proxies.len());
         let mode = draw_network_mode(&mut random);
         facts.record(Fact::FaultChanged(format!("worker {worker}: {mode:?}")));
         proxies[worker].set_mode(mode);
-        // Some last through a whole shutdown.
-        let longest = if random.u32(0..6) == 0 { 5000 } else { 1500 };
-        sleep(draw_span(&mut random, 200..longest)).await;
-        proxies[worker].set_mode(NetworkMode::Plain);
-        facts.record(Fact::FaultChanged(format!("worker {worker}: plain")));
+        // Some faults last longer than a whole shutdown.
+        let longest_ms = if random.u32(0..6) == 0 { 5000 } else { 1500 };
+        sleep(draw_duration(&mut random, 200..longest_ms)).await;
+        proxies[worker].set_mode(NetworkMode::Healthy);
+        facts.record(Fact::FaultChanged(format!("worker {worker}: healthy")));
     }
     for proxy in proxies.iter() {
-        proxy.set_mode(NetworkMode::Plain);
+        proxy.set_mode(NetworkMode::Healthy);
     }
 }
 
 fn draw_network_mode(random: &mut fastrand::Rng) -> NetworkMode {
     match random.u32(0..7) {
         0 => NetworkMode::Partitioned,
-        1 => NetworkMode::ResetNew,
-        2 => NetworkMode::LateConnections,
-        3 => NetworkMode::ResetUnderCalls,
-        4 => NetworkMode::HalfAnswers,
-        5 => NetworkMode::SlowAnswers(draw_span(random, 50..1500)),
+        1 => NetworkMode::ResetOnAccept,
+        2 => NetworkMode::DelayedAccepts,
+        3 => NetworkMode::ResetDuringCalls,
+        4 => NetworkMode::TruncatedAnswers,
+        5 => NetworkMode::DelayedAnswers(draw_duration(random, 50..1500)),
         _ => NetworkMode::Partitioned,
     }
 }
 
-/// Faults of discovery until the end.
+/// Injects faults of discovery until `until`.
 pub async fn run_discovery_faults(
     facts: Arc<Facts>,
     discovery: Arc<Discovery>,
@@ -154,23 +154,23 @@
     until: Instant,
 ) {
     while Instant::now() < until {
-        sleep(draw_span(&mut random, 500..3000)).await;
+        sleep(draw_duration(&mut random, 500..3000)).await;
         let mode = match random.u32(0..4) {
             0 => DiscoveryMode::Silent,
-            1 => DiscoveryMode::Cut,
-            _ => DiscoveryMode::Slow(draw_span(&mut random, 100..2500)),
+            1 => DiscoveryMode::Truncated,
+            _ => DiscoveryMode::Delayed(draw_duration(&mut random, 100..2500)),
         };
         facts.record(Fact::FaultChanged(format!("discovery: {mode:?}")));
         discovery.set_mode(mode);
-        // Some last longer than an event may take to reach a front end.
-        sleep(draw_span(&mut random, 500..9000)).await;
-        discovery.set_mode(DiscoveryMode::Plain);
-        facts.record(Fact::FaultChanged("discovery: plain".into()));
+        // Some faults last longer than an event may take to reach a front end.
+        sleep(draw_duration(&mut random, 500..9000)).await;
+        discovery.set_mode(DiscoveryMode::Healthy);
+        facts.record(Fact::FaultChanged("discovery: healthy".into()));
     }
-    discovery.set_mode(DiscoveryMode::Plain);
+    discovery.set_mode(DiscoveryMode::Healthy);
 }
 
-/// Workers drain and come back, as long ago started or as started now, until the end.
+/// Drains workers and returns them to service until `until`; half of them return as newly started.
 pub async fn run_worker_drains(
     discovery: Arc<Discovery>,
     workers: usize,
@@ -179,8 +179,8 @@
 ) {
     let mut drained: Vec<usize> = Vec::new();
     while Instant::now() < until {
-        sleep(draw_span(&mut random, 300..1500)).await;
-        // At least half of them take work.
+        sleep(draw_duration(&mut random, 300..1500)).await;
+        // At least half of the workers stay ready.
         if drained.len() * 2 < workers && random.bool() {
             let worker = random.usize(0..workers);
             if !drained.contains(&worker) {
@@ -198,28 +198,28 @@
     }
 }
 
-/// Crowds of clients that connect and say nothing, until the end.
-pub async fn run_idle_crowds(
+/// Opens many connections to a front end at once and leaves them idle, again and again until `until`.
+pub async fn run_idle_connections(
     facts: Arc<Facts>,
     endpoints: Arc<EndpointTable>,
     mut random: fastrand::Rng,
     until: Instant,
 ) {
     while Instant::now() < until {
-        sleep(draw_span(&mut random, 2000..6000)).await;
+        sleep(draw_duration(&mut random, 2000..6000)).await;
         let front_end = random.usize(0..endpoints.front_ends());
         let address = endpoints.get(front_end).address;
         facts.record(Fact::FaultChanged(format!(
-            "front end {front_end}: an idle crowd"
+            "front end {front_end}: idle connections"
         )));
-        let mut crowd = Vec::new();
-        for _ in 0..CROWD {
+        let mut idle = Vec::new();
+        for _ in 0..IDLE_CONNECTIONS {
             let connected =
-                tokio::time::timeout(CROWD_CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+                tokio::time::timeout(IDLE_CONNECT_TIMEOUT, TcpStream::connect(address)).await;
             if let Ok(Ok(socket)) = connected {
-                crowd.push(socket);
+                idle.push(socket);
             }
         }
-        sleep(draw_span(&mut random, 100..3000)).await;
+        sleep(draw_duration(&mut random, 100..3000)).await;
     }
 }
--- a/tests/soak/src/lib.rs
+++ b/tests/soak/src/lib.rs
@@ -1,15 +1,16 @@
-//! A randomized fault soak. Front ends run as real processes on loopback, under clients that never rest, while processes
-//! are stopped, ended, killed and reloaded, the network to workers fails, discovery is slow or silent, system calls fail
-//! and the wall clock is stepped, two or three at a time. What sockets and processes showed is judged by invariants.
+//! A randomized fault soak. Front ends run as real processes on loopback under constant load from clients. Meanwhile processes are
+//! suspended, terminated, killed and reloaded, the network to workers fails, discovery is slow or silent, system calls fail, and the
+//! wall clock is stepped; several of these faults overlap. An oracle then checks the observed facts against invariants.
 //!
-//! It is for faults that overlap at random; a known race has a test of its own (`programs/gateway/tests/platform`), and it
-//! measures no speed.
+//! The soak looks for failures under faults that overlap at random. Known races have tests of their own
+//! (`programs/gateway/tests/platform`). The soak does not measure performance.
 //!
-//! - [`run`]: one run. [`SoakError`]: why it could not go on.
-//! - [`facts`]: what was seen. [`oracle`]: the invariants.
-//! - [`fault_schedule`]: what goes wrong. [`shim`]: the library that has system calls fail.
-//! - [`process`], [`clients`], [`abuse`], [`worker`], [`proxy`], [`discovery`]: those who take part.
-//! - [`configuration`], [`endpoints`]: what front ends are started with, and where clients reach them.
+//! - [`run`]: one run. [`SoakError`]: an error that ends a run.
+//! - [`facts`]: observations of a run. [`oracle`]: the invariants.
+//! - [`fault_schedule`]: the random faults. [`shim`]: builds the preloaded library that makes system calls fail.
+//! - [`process`], [`clients`], [`abuse`], [`worker`], [`proxy`], [`discovery`]: front ends, clients, clients with malformed requests,
+//!   workers, the proxies before them, and the coordinator.
+//! - [`configuration`], [`endpoints`]: the front ends' configurations, and the addresses that clients use.
 
 pub mod abuse;
 pub mod clients;
--- a/tests/soak/src/main.rs
+++ b/tests/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `tansy-soak`: runs the fault soak over a range of seeds, and prints the invariants that did not hold.
+//! `tansy-soak`: runs the fault soak over a range of seeds, and prints the invariants that were violated.
 
 use clap::Parser;
 use std::collections::BTreeMap;
@@ -8,33 +8,33 @@
 use tansy_soak::oracle::{Oracle, Violation};
 use tansy_soak::{run, Options, SoakOutcome};
 
-/// Randomized faults over real front-end processes on loopback, judged by invariants.
+/// Runs real front-end processes on loopback under randomized faults, and checks invariants.
 ///
-/// Exit codes: 0 if all held, 1 if something did not, 2 if a run could not go on.
+/// Exit codes: 0 if all invariants hold, 1 if one is violated, 2 if a run failed.
 #[derive(Parser)]
 struct Arguments {
-    /// The program of the front end.
+    /// Path of the front end's program.
     #[arg(long)]
     gateway: PathBuf,
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds.
+    /// Number of runs, each with the next seed.
     #[arg(long, default_value_t = 1)]
     runs: u64,
-    /// Front ends.
+    /// Number of front ends.
     #[arg(long, default_value_t = 12)]
     front_ends: usize,
-    /// Workers.
+    /// Number of workers.
     #[arg(long, default_value_t = 8)]
     workers: usize,
     /// Clients of each front end.
     #[arg(long, default_value_t = 4)]
     clients: usize,
-    /// Seconds in which faults go on.
+    /// Seconds for which faults are injected.
     #[arg(long, default_value_t = 15)]
     seconds: u64,
-    /// Violations of each run that are shown with their timelines.
+    /// Violations of each invariant that are printed with their timelines.
     #[arg(long, default_value_t = 3)]
     show: usize,
 }
@@ -75,18 +75,23 @@
     ExitCode::from(2)
 }
 
-/// Prints a run's counts and violations; true: every invariant holds. Logs of a run without violations are removed.
+/// Prints the counts and violations of a run, and removes the logs of a run without violations. Returns whether all invariants hold,
+/// doubtful violations aside.
 fn print_outcome(seed: u64, outcome: &SoakOutcome, show: usize) -> bool {
     let oracle = &outcome.oracle;
-    let sure = oracle.violations().iter().filter(|v| !v.doubtful).count();
-    print_counts(seed, oracle, sure);
+    let certain = oracle.violations().iter().filter(|v| !v.doubtful).count();
+    print_counts(seed, oracle, certain);
     let mut kinds = BTreeMap::new();
     for violation in oracle.violations() {
-        let (sure, doubtful) = kinds.entry(violation.invariant).or_insert((0, 0));
-        *if violation.doubtful { doubtful } else { sure } += 1;
+        let (certain, doubtful) = kinds.entry(violation.invariant).or_insert((0, 0));
+        *if violation.doubtful {
+            doubtful
+        } else {
+            certain
+        } += 1;
     }
-    for (invariant, (sure, doubtful)) in &kinds {
-        println!("  {invariant:?}: {sure}, doubtful {doubtful}");
+    for (invariant, (certain, doubtful)) in &kinds {
+        println!("  {invariant:?}: {certain}, doubtful {doubtful}");
         let examples = oracle
             .violations()
             .iter()
@@ -100,15 +105,15 @@
     } else {
         println!("  logs: {}", outcome.folder.display());
     }
-    sure == 0
+    certain == 0
 }
 
-fn print_counts(seed: u64, oracle: &Oracle, sure: usize) {
+fn print_counts(seed: u64, oracle: &Oracle, certain: usize) {
     let counts = &oracle.counts;
     println!(
-        "seed {seed}: {sure} violations, {} doubtful; {} sent, {:?}, {} disconnected, {} excused, {} attempts, {} processes, \
+        "seed {seed}: {certain} violations, {} doubtful; {} sent, {:?}, {} disconnected, {} excused, {} attempts, {} processes, \
          {} signals, {} fault changes",
-        oracle.violations().len() - sure,
+        oracle.violations().len() - certain,
         counts.sent,
         counts.statuses,
         counts.disconnected,
--- a/tests/soak/src/oracle/collect.rs
+++ b/tests/soak/src/oracle/collect.rs
@@ -29,7 +29,7 @@
             Fact::AttemptStarted { id, .. } => {
                 self.counts.attempts += 1;
                 self.attempts.entry(id).or_default().push(Attempt {
-                    began: at,
+                    started: at,
                     ended: None,
                 });
             }
@@ -76,7 +76,7 @@
 
     fn collect_attempt_end(&mut self, at: Duration, id: RequestId, never_ran: bool) {
         let attempts = self.attempts.get_mut(&id).into_iter().flatten();
-        // Two at once are a violation of their own; the end belongs to the first that is open.
+        // If two attempts are open, which is a violation itself, the end is attributed to the earlier one.
         for attempt in attempts {
             if attempt.ended.is_none() {
                 attempt.ended = Some((at, never_ran));
--- a/tests/soak/src/oracle/mod.rs
+++ b/tests/soak/src/oracle/mod.rs
@@ -1,7 +1,7 @@
-//! The invariants, checked on the facts of a run alone.
+//! The oracle checks the facts of a run against invariants.
 //!
-//! [`Oracle::judge`] collects the facts by request and by process (`collect`), then checks what requests show (`requests`) and
-//! what processes show (`processes`).
+//! [`Oracle::evaluate`] collects the facts by request and by process (`collect`), then checks the invariants of requests (`requests`)
+//! and of processes (`processes`).
 
 mod collect;
 mod processes;
@@ -12,77 +12,77 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// A worker's timeout may be longer than the time that the client has left by so much.
+/// By how much the timeout in an attempt may exceed the client's remaining time.
 const TIMEOUT_SLACK: Duration = Duration::from_millis(150);
-/// Facts of two sockets may be recorded in the other order by so much.
+/// By how much facts of different sockets may be recorded out of order.
 const ORDER_SLACK: Duration = Duration::from_millis(100);
-/// What a harness that ran late by this much saw then is doubtful.
-const DOUBTFUL: Duration = Duration::from_millis(40);
+/// Shortest delay of the harness that makes violations of that time doubtful.
+const DOUBTFUL_DELAY: Duration = Duration::from_millis(40);
 
-/// Which invariant.
+/// An invariant that the oracle checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
     /// Every request gets an answer.
     Answered,
-    /// In its time.
+    /// Every answer comes within the request's timeout.
     InTime,
-    /// A proper one.
+    /// Every answer has a valid status and the expected body.
     ProperAnswer,
-    /// No effect twice.
+    /// A request whose effect must not happen twice is not sent again after it may have run.
     NoEffectTwice,
-    /// Never two attempts at once.
+    /// A request never has two attempts at once.
     OneAttempt,
-    /// Nothing is begun for a client that has gone or was answered.
+    /// No attempt starts after the client was answered, disconnected or timed out.
     ClientPresent,
-    /// A worker is given no more time than the client has left.
+    /// The timeout in an attempt is not longer than the client's remaining time.
     AttemptTimeout,
-    /// Nothing goes to a worker that is known to drain.
+    /// A front end sends no attempts to a worker that it knows to drain.
     Drain,
-    /// Events of the endpoint list reach every front end.
+    /// Every event of the endpoint list reaches every front end in time.
     ListReceived,
-    /// Processes end only when signalled to, and in good order.
+    /// A process ends only after a signal, and with the exit status that the signal implies.
     Process,
-    /// They are ready in time.
+    /// A process is ready in time.
     Ready,
-    /// Those who send no requests are answered or closed soon, and never served.
+    /// A malformed request is never served, and is answered or its connection closed in time.
     Abuse,
-    /// The program's own checks found nothing.
+    /// A process reports no violation of its own checks when it ends.
     SelfChecks,
 }
 
-/// An invariant that did not hold.
+/// A violation of an invariant.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// Which.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// When it was seen.
+    /// The time of the violation, since the start of the run.
     pub at: Duration,
-    /// The request, if it is about one.
+    /// The request, if the invariant is one of requests.
     pub id: Option<RequestId>,
-    /// What was seen.
+    /// What was observed.
     pub description: String,
-    /// The harness itself ran late then.
+    /// Whether the harness itself was delayed at that time, so that the violation may not be real.
     pub doubtful: bool,
 }
 
-/// How often each end was seen.
+/// Counts of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    /// Requests sent.
+    /// Requests that clients sent.
     pub sent: usize,
-    /// Of them answered, by status.
+    /// Complete responses by status.
     pub statuses: BTreeMap<u16, usize>,
-    /// Clients that disconnected before a response.
+    /// Requests whose client disconnected before a response.
     pub disconnected: usize,
-    /// Excused ends: the process was killed, or it closed an idle connection as the request was sent.
+    /// Requests without an answer that violate no invariant, for example because their process was killed.
     pub excused: usize,
-    /// Attempts.
+    /// Attempts that proxies read.
     pub attempts: usize,
     /// Processes started.
     pub processes: usize,
     /// Signals sent.
     pub signals: usize,
-    /// Faults of the network, of discovery and of clients that began or ended.
+    /// Beginnings and ends of faults of the network, of discovery and of clients.
     pub fault_changes: usize,
 }
 
@@ -99,11 +99,11 @@
     idle_before: bool,
 }
 
-/// One attempt of a request at a worker.
+/// An attempt of a request at a worker.
 #[derive(Clone, Copy)]
 struct Attempt {
-    began: Duration,
-    /// When it ended, and whether the worker promised that it never ran.
+    started: Duration,
+    /// When the attempt ended, and whether the worker answered that it did not run.
     ended: Option<(Duration, bool)>,
 }
 
@@ -113,18 +113,18 @@
     sent: HashMap<RequestId, Vec<Sent>>,
     attempts: HashMap<RequestId, Vec<Attempt>>,
     processes: HashMap<ProcessId, Lifetime>,
-    /// When each request's client had its end: answered, disconnected, or timed out.
+    /// When each request ended for its client: answered, disconnected, or timed out.
     ends: HashMap<RequestId, Duration>,
-    /// The states of each worker by event, and whether it takes work then.
+    /// The state changes of each worker: the event, and whether the worker takes calls from then on.
     states: HashMap<WorkerId, Vec<(u64, bool)>>,
     violations: Vec<Violation>,
-    /// What was counted.
+    /// Counts of the run.
     pub counts: Counts,
 }
 
 impl Oracle {
-    /// Collects these facts, and checks the invariants on them.
-    pub fn judge(facts: Vec<(Duration, Fact)>) -> Oracle {
+    /// Collects the facts of a run, and checks the invariants on them.
+    pub fn evaluate(facts: Vec<(Duration, Fact)>) -> Oracle {
         let mut oracle = Oracle {
             facts,
             sent: HashMap::new(),
@@ -147,12 +147,12 @@
         oracle
     }
 
-    /// What did not hold.
+    /// All violations, with the doubtful ones.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// The facts of one request, and those of its processes around it.
+    /// The facts of a request, and those of its processes from 2 s before it until its end, as lines of text.
     pub fn timeline(&self, id: RequestId) -> Vec<String> {
         let processes: Vec<ProcessId> = self
             .sent
@@ -161,12 +161,12 @@
             .flatten()
             .map(|sent| sent.process)
             .collect();
-        let mine: Vec<_> = self
+        let own: Vec<_> = self
             .facts
             .iter()
             .filter(|(_, fact)| request_of(fact) == Some(id))
             .collect();
-        let (Some(first), Some(last)) = (mine.first(), mine.last()) else {
+        let (Some(first), Some(last)) = (own.first(), own.last()) else {
             return Vec::new();
         };
         let around = first.0.saturating_sub(Duration::from_secs(2))..=last.0;
@@ -196,7 +196,7 @@
         });
     }
 
-    /// The last time that a request was sent before this moment, as far as the order is known.
+    /// The last time that the request was sent before `at`, with a tolerance of [`ORDER_SLACK`].
     fn sent_before(&self, id: RequestId, at: Duration) -> Option<Sent> {
         let all = self.sent.get(&id)?;
         all.iter()
@@ -206,15 +206,17 @@
             .copied()
     }
 
-    /// Marks what was seen while the harness itself ran late.
+    /// Marks violations around the times at which the harness itself was delayed, for invariants that depend on time.
     fn mark_doubtful(&mut self) {
-        let late = self.facts.iter().filter_map(|(at, fact)| match fact {
-            Fact::HarnessDelayed(by) if *by >= DOUBTFUL => Some((at.saturating_sub(*by), *at)),
+        let delays = self.facts.iter().filter_map(|(at, fact)| match fact {
+            Fact::HarnessDelayed(by) if *by >= DOUBTFUL_DELAY => {
+                Some((at.saturating_sub(*by), *at))
+            }
             _ => None,
         });
-        let late: Vec<_> = late.collect();
+        let delays: Vec<_> = delays.collect();
         for violation in &mut self.violations {
-            let timed = !matches!(
+            let depends_on_time = !matches!(
                 violation.invariant,
                 Invariant::Process | Invariant::SelfChecks
             );
@@ -222,12 +224,12 @@
                 *from <= violation.at + ORDER_SLACK
                     && violation.at <= *to + TIMEOUT_SLACK + ORDER_SLACK
             };
-            violation.doubtful = timed && late.iter().any(near);
+            violation.doubtful = depends_on_time && delays.iter().any(near);
         }
     }
 }
 
-/// The request that a fact is about, if it is about one.
+/// The request of a fact, for facts of requests.
 fn request_of(fact: &Fact) -> Option<RequestId> {
     match fact {
         Fact::RequestSent { id, .. }
@@ -241,7 +243,7 @@
     }
 }
 
-/// The process whose life a fact changes, if it changes one.
+/// The process of a fact, for starts, signals and ends of processes.
 fn changed_process(fact: &Fact) -> Option<ProcessId> {
     match *fact {
         Fact::ProcessStarted { front_end, process }
--- a/tests/soak/src/oracle/processes.rs
+++ b/tests/soak/src/oracle/processes.rs
@@ -1,4 +1,4 @@
-//! What processes show: ends, readiness, endpoint lists, and clients that send no requests.
+//! The invariants of processes: ends, readiness, endpoint lists, and malformed requests.
 
 use super::{Invariant, Oracle, ProcessId};
 use crate::abuse::RESPONSE_DUE_WITHIN;
@@ -7,10 +7,10 @@
 use crate::process::READY_WITHIN;
 use std::time::Duration;
 
-/// A front end has received an event so long after it happened, whatever the coordinator does.
+/// Within this time after an event a front end has to receive it, not counting times when the coordinator or the process was down.
 const NOTIFIED_WITHIN: Duration = Duration::from_millis(8000);
 
-/// One process of a front end.
+/// The lifetime of a process of a front end.
 #[derive(Default)]
 pub(super) struct Lifetime {
     pub started: Duration,
@@ -18,22 +18,23 @@
     pub terminated: Option<Duration>,
     pub killed: Option<Duration>,
     pub exited: Option<Duration>,
-    /// When it was stopped (SIGSTOP).
+    /// The intervals from SIGSTOP to SIGCONT.
     pub stops: Vec<(Duration, Duration)>,
+    /// The time of SIGSTOP, while the process is stopped.
     pub stopped_since: Option<Duration>,
-    /// The last event that it had received, and since when.
+    /// The time of each poll, and the last event that it acknowledged.
     pub polled: Vec<(Duration, u64)>,
-    /// The last event that it can have been notified of, and since when.
+    /// The time of each reply to a poll, and the last event in it.
     pub notified: Vec<(Duration, u64)>,
 }
 
 impl Lifetime {
-    /// How long it was stopped in all.
+    /// The total time for which the process was stopped.
     pub fn time_stopped(&self) -> Duration {
         self.stops.iter().map(|(from, to)| *to - *from).sum()
     }
 
-    /// Whether it was stopped then, or had just been resumed, and so could not answer in time what was due.
+    /// Whether the process was stopped at this time or resumed less than [`ANSWER_SLACK`] before, and could not answer in time.
     pub fn was_stopped(&self, at: Duration) -> bool {
         let stopped = self.stopped_since.is_some_and(|since| since <= at);
         stopped
@@ -45,7 +46,7 @@
 }
 
 impl Oracle {
-    /// A client that sends no request is answered or closed soon, and never served.
+    /// Checks that a malformed request was answered or its connection closed in time, and that it was not served.
     pub(super) fn check_abuse(
         &mut self,
         at: Duration,
@@ -64,7 +65,7 @@
         let Some(lifetime) = self.processes.get(&process) else {
             return;
         };
-        // One that was stopped meanwhile could not answer.
+        // A process that was stopped in the meantime could not answer.
         let stopped = lifetime
             .stops
             .iter()
@@ -80,7 +81,7 @@
         }
     }
 
-    /// A process ends only when signalled to, and its own checks found nothing.
+    /// Checks that a process ended after a signal, and that it reports no violation of its own checks.
     pub(super) fn check_exit(
         &mut self,
         at: Duration,
@@ -92,12 +93,12 @@
             return;
         };
         let (terminated, killed) = (lifetime.terminated.is_some(), lifetime.killed.is_some());
-        let in_order = match code {
+        let is_expected = match code {
             Some(0) => terminated,
             Some(_) => false,
             None => killed,
         };
-        if !in_order {
+        if !is_expected {
             let description = format!(
                 "front end {} process {} ended with {code:?}",
                 process.0, process.1
@@ -120,14 +121,14 @@
         }
     }
 
-    /// Each event of the endpoint list reaches each front end in time.
+    /// Checks that each event of the endpoint list reached each process in time.
     pub(super) fn check_list(&mut self, facts: &[(Duration, Fact)]) {
-        let listed = facts.iter().filter_map(|(at, fact)| match fact {
+        let events = facts.iter().filter_map(|(at, fact)| match fact {
             Fact::WorkerStateChanged { event, .. } => Some((*at, *event)),
             _ => None,
         });
-        let listed: Vec<_> = listed.collect();
-        let down = outages(facts);
+        let events: Vec<_> = events.collect();
+        let outages = outages(facts);
         let mut late = Vec::new();
         for (process, lifetime) in &self.processes {
             let Some(ready) = lifetime.ready else {
@@ -137,8 +138,8 @@
                 .into_iter()
                 .flatten()
                 .min();
-            for (at, event) in &listed {
-                let outage: Duration = down
+            for (at, event) in &events {
+                let outage: Duration = outages
                     .iter()
                     .filter(|outage| outage.1 > *at)
                     .map(|outage| outage.1 - outage.0.max(*at))
@@ -163,7 +164,7 @@
         });
     }
 
-    /// Each process is ready in time.
+    /// Checks that each process was ready in time.
     pub(super) fn check_ready(&mut self) {
         let mut slow = Vec::new();
         for (process, lifetime) in &self.processes {
@@ -184,7 +185,7 @@
     }
 }
 
-/// The times in which the coordinator gave no whole answer.
+/// The intervals in which the coordinator sent no complete replies.
 fn outages(facts: &[(Duration, Fact)]) -> Vec<(Duration, Duration)> {
     let mut outages = Vec::new();
     let mut since = None;
--- a/tests/soak/src/oracle/requests.rs
+++ b/tests/soak/src/oracle/requests.rs
@@ -1,4 +1,4 @@
-//! What requests show: answers, attempts, repeats and drains.
+//! The invariants of requests: answers, attempts, repeats and drains.
 
 use super::{Attempt, Invariant, Oracle, ORDER_SLACK, TIMEOUT_SLACK};
 use crate::clients::{ANSWER_SLACK, CLOSE_RACE_WINDOW};
@@ -6,15 +6,15 @@
 use crate::facts::{ConnectionEnd, Effect, Fact, RequestId, WorkerId};
 use std::time::Duration;
 
-/// An attempt may begin so long after its client has gone.
-const GONE_SLACK: Duration = Duration::from_millis(100);
-/// A call may come so long after its front end received the event of the drain.
+/// How long after its request has ended for the client an attempt may still start.
+const CLIENT_END_SLACK: Duration = Duration::from_millis(100);
+/// How long after a front end acknowledged a drain its attempts may still reach the worker.
 const DRAIN_SLACK: Duration = Duration::from_millis(300);
-/// Requests are taken until then after SIGTERM; later ones need no answer.
-const TAKEN_AFTER_TERM: Duration = Duration::from_millis(700);
+/// Requests that are sent later than this after SIGTERM need no answer.
+const ACCEPTED_AFTER_TERM: Duration = Duration::from_millis(700);
 
 impl Oracle {
-    /// Checks one fact against all that was collected.
+    /// Checks a fact against the collected facts.
     pub(super) fn check(&mut self, at: Duration, fact: &Fact) {
         match *fact {
             Fact::ResponseReceived {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// An answer is a proper one, and comes in the client's time.
+    /// Checks an answer's status, body and time.
     fn check_answer(&mut self, at: Duration, id: RequestId, status: u16, body_matches: bool) {
         let Some(sent) = self.sent_before(id, at) else {
             return;
@@ -89,7 +89,7 @@
         }
     }
 
-    /// A request ended without an answer, by its connection's end (some) or by its time.
+    /// Reports a request without an answer, unless that is excused. `end` is `None` if the client timed out.
     fn check_lost(&mut self, at: Duration, id: RequestId, end: Option<ConnectionEnd>) {
         let Some(sent) = self.sent_before(id, at) else {
             return;
@@ -101,13 +101,13 @@
             .killed
             .is_some_and(|killed| killed <= at + ORDER_SLACK)
             && lifetime.terminated.is_none();
-        let came_too_late = lifetime
+        let sent_after_shutdown = lifetime
             .terminated
-            .is_some_and(|terminated| sent.at > terminated + TAKEN_AFTER_TERM);
+            .is_some_and(|terminated| sent.at > terminated + ACCEPTED_AFTER_TERM);
         let lost_close_race =
             end == Some(ConnectionEnd::Closed) && at.saturating_sub(sent.at) <= CLOSE_RACE_WINDOW;
         let stopped = end.is_none() && lifetime.was_stopped(at);
-        if was_killed || came_too_late || lost_close_race || stopped {
+        if was_killed || sent_after_shutdown || lost_close_race || stopped {
             self.counts.excused += 1;
             return;
         }
@@ -126,7 +126,7 @@
         self.report(Invariant::Answered, at, Some(id), description);
     }
 
-    /// An attempt is for a client that is still there, and has no more time than that.
+    /// Checks that an attempt's timeout is within the client's remaining time, and that the request has not ended for the client.
     fn check_attempt(&mut self, at: Duration, id: RequestId, timeout_ms: u64) {
         let Some(sent) = self.sent_before(id, at) else {
             return;
@@ -138,14 +138,14 @@
                 format!("a worker was given {timeout:?}, the client had {remaining:?} left");
             self.report(Invariant::AttemptTimeout, at, Some(id), description);
         }
-        let gone = self.ends.get(&id).copied();
-        if let Some(gone) = gone.filter(|gone| at > *gone + GONE_SLACK) {
-            let description = format!("an attempt began {:?} after its client's end", at - gone);
+        let end = self.ends.get(&id).copied();
+        if let Some(end) = end.filter(|end| at > *end + CLIENT_END_SLACK) {
+            let description = format!("an attempt began {:?} after its client's end", at - end);
             self.report(Invariant::ClientPresent, at, Some(id), description);
         }
     }
 
-    /// A further attempt does no effect twice, and is never beside another.
+    /// Checks that a further attempt can't repeat an effect, and that no other attempt is open.
     fn check_repeat(&mut self, at: Duration, id: RequestId) {
         let Some(sent) = self.sent_before(id, at) else {
             return;
@@ -155,7 +155,7 @@
             .get(&id)
             .into_iter()
             .flatten()
-            .filter(|attempt| attempt.began < at)
+            .filter(|attempt| attempt.started < at)
             .copied()
             .collect();
         for earlier in before {
@@ -164,7 +164,7 @@
                 let description = "an attempt began while another was open".to_string();
                 self.report(Invariant::OneAttempt, at, Some(id), description);
             }
-            let after = at.saturating_sub(earlier.began);
+            let after = at.saturating_sub(earlier.started);
             let twice = match sent.effect {
                 Effect::Safe => false,
                 Effect::Unsafe => true,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Nothing goes to a worker that its front end knew to drain.
+    /// Checks that the front end did not know the attempt's worker to drain.
     fn check_drain(&mut self, at: Duration, id: RequestId, worker: WorkerId) {
         let Some(sent) = self.sent_before(id, at) else {
             return;
@@ -198,7 +198,7 @@
         };
         let notified = lifetime.notified.iter().filter(|(time, _)| *time <= at);
         let newest = notified.map(|(_, event)| *event).max().unwrap_or(known);
-        // Not ready by all that it knew, from well before until now.
+        // A violation needs the worker to be draining in every list that the front end may have had since `known`.
         let states = self.states.get(&worker).map_or(&[][..], Vec::as_slice);
         let state = states.iter().rev().find(|(event, _)| *event <= known);
         let is_ready = state.is_none_or(|(_, ready)| *ready);
--- a/tests/soak/src/process.rs
+++ b/tests/soak/src/process.rs
@@ -1,7 +1,7 @@
-//! Front ends as real processes: started, signalled, restarted under their addresses.
+//! Front ends as real processes, which are started, signalled, and restarted on the same address.
 //!
-//! `ServerProcess` of the tests' support does not fit here: the program says nothing on its output before its last line, it is
-//! ready when it answers `/alive` as the platform asks it, and all waits are bounded and beside other tasks.
+//! `ServerProcess` of `tansy-test-support` can't be used here: with `--platform` a front end prints no `ready` line, and is ready once
+//! it answers `/alive`. All waits here are asynchronous and have timeouts.
 
 use crate::configuration::FrontEndParameters;
 use crate::discovery::{CoordinatorListener, Discovery};
@@ -24,35 +24,36 @@
 use tokio::process::{Child, ChildStdout, Command};
 use tokio::time::{sleep, timeout};
 
-/// A front end is ready by then.
+/// Within this time after its start a front end has to be ready.
 pub const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Pause between two requests that ask whether it is ready.
+/// Pause between two liveness requests to a front end that is not ready yet.
 const READY_INTERVAL: Duration = Duration::from_millis(20);
-/// One such request fails after so long.
+/// Timeout of a liveness request.
 const ALIVE_TIMEOUT: Duration = Duration::from_secs(1);
-/// New connections come for so long after SIGTERM, and requests for so long after that.
-const CONNECTIONS_AFTER: Duration = Duration::from_millis(300);
-const REQUESTS_AFTER: Duration = Duration::from_millis(200);
-/// SIGKILL comes so long after SIGTERM: the longest deadline, taken as 3 s, and 0.7 s.
-const KILL_AFTER: Duration = Duration::from_millis(3700);
-/// Addresses of front ends in one network of loopback.
-const ADDRESSES_OF_A_NETWORK: usize = 250;
+/// How long clients open new connections after SIGTERM.
+const CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(300);
+/// How long clients send requests after [`CONNECTIONS_AFTER_TERM`].
+const REQUESTS_AFTER_CONNECTIONS: Duration = Duration::from_millis(200);
+/// Time between SIGTERM and SIGKILL: the longest deadline, taken as 3 s, plus 0.7 s.
+const KILL_AFTER_TERM: Duration = Duration::from_millis(3700);
+/// Front ends per /24 network of loopback addresses.
+const ADDRESSES_PER_NETWORK: usize = 250;
 
-/// What every front end is started with.
+/// The settings that are the same for all front ends of a run.
 pub struct LaunchSettings {
-    /// The program.
+    /// The path of the program.
     pub gateway: PathBuf,
-    /// Where configurations and logs go.
+    /// The folder for configurations and logs.
     pub folder: PathBuf,
-    /// How a connection to a worker is bounded, seconds.
+    /// Timeout for connecting to a worker, seconds.
     pub connect_timeout_s: f64,
-    /// Front ends in all.
+    /// Number of front ends.
     pub front_ends: usize,
-    /// Descriptors that each may hold.
+    /// Limit on open file descriptors of each front end.
     pub sockets: usize,
 }
 
-/// One front end, over all its processes.
+/// A front end, over all its processes.
 pub struct FrontEnd {
     facts: Arc<Facts>,
     discovery: Arc<Discovery>,
@@ -60,7 +61,7 @@
     launch: Arc<LaunchSettings>,
     index: FrontEndIndex,
     address: SocketAddr,
-    /// Its processes are counted from 1.
+    /// The number of the present or last process, counted from 1; 0 before the first.
     process_number: u64,
     process: Option<Process>,
 }
@@ -69,9 +70,9 @@
 struct Process {
     child: Child,
     stdout: BufReader<ChildStdout>,
-    /// The coordinators that it was configured with, the last one in force.
+    /// The coordinators that the process was configured with; it uses the last one.
     coordinators: Vec<CoordinatorListener>,
-    /// The last event in the list that it was started with.
+    /// The last event in the endpoint list that the process was started with.
     known_event: u64,
     configuration: PlatformConfiguration,
     configuration_path: PathBuf,
@@ -84,7 +85,7 @@
 }
 
 impl FrontEnd {
-    /// One that is not started yet.
+    /// A front end without a process.
     pub fn new(
         facts: Arc<Facts>,
         discovery: Arc<Discovery>,
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Says whether clients may send to its present process.
+    /// Sets whether clients may send to the present process.
     fn set_open(&self, open: bool) {
         let endpoint = Endpoint {
             address: self.address,
@@ -115,7 +116,7 @@
         self.endpoints.set(self.index, endpoint);
     }
 
-    /// Starts the next process, with these rules for its system calls, and waits until it is ready.
+    /// Starts the next process, with these system call faults, and waits until it is ready, has ended, or [`READY_WITHIN`] is over.
     pub async fn start(&mut self, rules: &str, seed: u64) -> Result<(), SoakError> {
         self.process_number += 1;
         let (workers, known_event) = self.discovery.snapshot();
@@ -153,7 +154,7 @@
         Ok(())
     }
 
-    /// A file of this run.
+    /// The path of a file in the run's folder.
     fn file(&self, name: &str) -> PathBuf {
         self.launch.folder.join(name)
     }
@@ -181,14 +182,14 @@
             .spawn()
             .map_err(start_error)?;
         let stdout = child.stdout.take();
-        let stdout =
-            stdout.ok_or_else(|| start_error(io::Error::other("its output is not piped")))?;
+        let stdout = stdout
+            .ok_or_else(|| start_error(io::Error::other("the standard output is not piped")))?;
         Ok((child, stdout))
     }
 
     async fn wait_until_ready(&mut self) {
-        let began = Instant::now();
-        while began.elapsed() < READY_WITHIN {
+        let started = Instant::now();
+        while started.elapsed() < READY_WITHIN {
             if is_alive(self.address).await {
                 self.facts.record(Fact::ProcessReady {
                     front_end: self.index,
@@ -222,18 +223,19 @@
             process: self.process_number,
             signal,
         });
-        // The end of one that has ended by itself is recorded when it is reaped.
+        // Fails if the process has ended by itself; that is recorded when the process is reaped.
         let _ = kill_process(pid, number);
     }
 
-    /// Stops it for so long, and lets it go on.
-    pub async fn suspend(&mut self, span: Duration) {
+    /// Suspends the process for this time (SIGSTOP, SIGCONT).
+    pub async fn suspend(&mut self, duration: Duration) {
         self.signal(Signal::Stop);
-        sleep(span).await;
+        sleep(duration).await;
         self.signal(Signal::Continue);
     }
 
-    /// Gives it a new configuration: another coordinator, while the old one goes on for now.
+    /// Reloads the configuration with another coordinator (SIGHUP). The old coordinator stays available until
+    /// [`FrontEnd::close_old_coordinators`].
     pub async fn reload(&mut self) -> Result<(), SoakError> {
         let Some(process) = self.process.as_mut() else {
             return Ok(());
@@ -253,7 +255,7 @@
         Ok(())
     }
 
-    /// Closes the coordinators that it was configured with before the last.
+    /// Closes all coordinators of the process except the last.
     pub fn close_old_coordinators(&mut self) {
         if let Some(process) = self.process.as_mut() {
             let last = process.coordinators.len().saturating_sub(1);
@@ -261,7 +263,8 @@
         }
     }
 
-    /// Ends it as a planned restart does, suspended for a part of that time unless it is zero.
+    /// Ends the process as a planned restart does: SIGTERM, then SIGKILL if it still runs after [`KILL_AFTER_TERM`]. Right after SIGTERM
+    /// the process is suspended for `suspended`, unless that is zero.
     pub async fn terminate(&mut self, suspended: Duration) {
         if self.process.is_none() {
             return;
@@ -271,9 +274,13 @@
         if !suspended.is_zero() {
             self.suspend(suspended).await;
         }
-        sleep((CONNECTIONS_AFTER + REQUESTS_AFTER).saturating_sub(signalled.elapsed())).await;
+        sleep(
+            (CONNECTIONS_AFTER_TERM + REQUESTS_AFTER_CONNECTIONS)
+                .saturating_sub(signalled.elapsed()),
+        )
+        .await;
         self.set_open(false);
-        let remaining = KILL_AFTER.saturating_sub(signalled.elapsed());
+        let remaining = KILL_AFTER_TERM.saturating_sub(signalled.elapsed());
         let Some(process) = self.process.as_mut() else {
             return;
         };
@@ -283,14 +290,14 @@
         self.reap().await;
     }
 
-    /// Kills it outright; the requests that it had are lost.
+    /// Kills the process without warning; its open requests are lost.
     pub async fn kill(&mut self) {
         self.signal(Signal::Kill);
         self.set_open(false);
         self.reap().await;
     }
 
-    /// Waits for its end, and records it.
+    /// Waits until the process has ended, and records its end.
     async fn reap(&mut self) {
         let Some(mut process) = self.process.take() else {
             return;
@@ -307,20 +314,20 @@
         });
     }
 
-    /// Reaps it if it has ended by itself.
+    /// Reaps the process if it has ended by itself.
     pub async fn reap_if_ended(&mut self) {
         if self.process.as_mut().is_some_and(Process::has_ended) {
             self.reap().await;
         }
     }
 
-    /// Whether a process runs.
+    /// Whether the front end has a process that has not been reaped.
     pub fn is_running(&self) -> bool {
         self.process.is_some()
     }
 }
 
-/// Whether the front end at this address answers that it is alive.
+/// Whether the front end at this address answers a liveness request with status 200.
 async fn is_alive(address: SocketAddr) -> bool {
     let answered = async {
         let mut socket = TcpStream::connect(address).await.ok()?;
@@ -335,19 +342,19 @@
     matches!(timeout(ALIVE_TIMEOUT, answered).await, Ok(Some(())))
 }
 
-/// Reserves the front ends' addresses, each on a loopback host of its own: connections that go out from 127.0.0.1 can't take
-/// their ports while a front end is down.
+/// Reserves the front ends' addresses, each on a separate loopback host: while a front end is down, outgoing connections from 127.0.0.1
+/// can't take its port.
 pub fn reserve_addresses(count: usize) -> Result<Vec<ReservedAddress>, SoakError> {
     let reserve = |index: usize| {
-        let network = 1 + (index / ADDRESSES_OF_A_NETWORK) as u8;
-        let host = [127, 0, network, 1 + (index % ADDRESSES_OF_A_NETWORK) as u8];
+        let network = 1 + (index / ADDRESSES_PER_NETWORK) as u8;
+        let host = [127, 0, network, 1 + (index % ADDRESSES_PER_NETWORK) as u8];
         let address = SocketAddr::from((Ipv4Addr::from(host), 0));
         ReservedAddress::on(host).map_err(SoakError::listen("a front end", address))
     };
     (0..count).map(reserve).collect()
 }
 
-/// Creates the folder of a run.
+/// Creates the folder for the configurations and logs of a run.
 pub fn create_folder(seed: u64) -> Result<PathBuf, SoakError> {
     let name = format!("tansy-soak-{}-{seed}", std::process::id());
     let folder = std::env::temp_dir().join(name);
--- a/tests/soak/src/proxy.rs
+++ b/tests/soak/src/proxy.rs
@@ -1,9 +1,9 @@
-//! A proxy between front ends and one worker: it records what comes for the worker, and has the network fail.
+//! A proxy between front ends and one worker. It records the commands to the worker and their ends, and injects network faults.
 
 use crate::configuration::KEEPALIVE_S;
 use crate::error::SoakError;
 use crate::facts::{Fact, Facts, RequestId, WorkerId};
-use crate::worker::{field, BOUNDS};
+use crate::worker::{field, RESP_LIMITS};
 use std::collections::HashSet;
 use std::io;
 use std::net::SocketAddr;
@@ -16,50 +16,50 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// How the network to the worker fails.
+/// The fault of the network to the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NetworkMode {
-    /// It does not.
-    Plain,
-    /// Connections stay open and nothing passes.
+    /// No fault.
+    Healthy,
+    /// Connections stay open, and no bytes pass.
     Partitioned,
-    /// New connections are reset at once.
-    ResetNew,
-    /// Connections that are made wait for the kernel to try again.
-    LateConnections,
-    /// A connection is reset once a call has come on it.
-    ResetUnderCalls,
-    /// The connection ends in the middle of an answer.
-    HalfAnswers,
-    /// Answers come so much later.
-    SlowAnswers(Duration),
+    /// New connections are reset when they are accepted.
+    ResetOnAccept,
+    /// The listen backlog is full: new connections wait until the kernel retries them.
+    DelayedAccepts,
+    /// A connection is reset once a call was read from it.
+    ResetDuringCalls,
+    /// Connections are closed in the middle of an answer.
+    TruncatedAnswers,
+    /// Answers are delayed by this time.
+    DelayedAnswers(Duration),
 }
 
-/// Connections that the kernel completes while none is accepted, less one: as many as may come at once while some are.
+/// Length of the listen backlog; Linux queues one connection more.
 const BACKLOG: i32 = 64;
 
-/// A connection to a listener with room in its queue is made by then.
-const FILL_WITHIN: Duration = Duration::from_millis(20);
+/// Timeout for connecting to a listener whose backlog has room.
+const FILL_CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Connections that had waited in the queue, or that the other side took for made as it was full, are accepted by then; what
-/// was sent on the latter comes when the kernel tries again.
-const QUEUE_WITHIN: Duration = Duration::from_millis(1500);
+/// Within this time after accepting resumes, a connection may be one that was in the backlog, or one that its client took for
+/// established while the backlog was full. The client's kernel retransmits what was sent on the latter.
+const BACKLOG_DRAINED_WITHIN: Duration = Duration::from_millis(1500);
 
-/// Bytes that are read at a time.
+/// Bytes per read.
 const READ_SIZE: usize = 16 * 1024;
 
-/// Connections of all proxies are numbered together.
-static CONNECTIONS: AtomicU64 = AtomicU64::new(1);
+/// The number of the next connection, over all proxies.
+static NEXT_CONNECTION: AtomicU64 = AtomicU64::new(1);
 
 /// The proxy of one worker.
 pub struct Proxy {
-    /// Where front ends reach the worker.
+    /// The address on which front ends reach the worker.
     pub address: SocketAddr,
     mode: watch::Sender<NetworkMode>,
 }
 
 impl Proxy {
-    /// Starts the proxy of the worker at this address.
+    /// Starts a proxy for the worker at `worker_address`.
     pub fn start(
         facts: Arc<Facts>,
         worker: WorkerId,
@@ -67,7 +67,7 @@
     ) -> Result<Proxy, SoakError> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let (listener, address) = listen(any).map_err(SoakError::listen("a proxy", any))?;
-        let (mode, mode_receiver) = watch::channel(NetworkMode::Plain);
+        let (mode, mode_receiver) = watch::channel(NetworkMode::Healthy);
         let acceptor = Acceptor {
             facts,
             worker,
@@ -80,13 +80,13 @@
         Ok(Proxy { address, mode })
     }
 
-    /// Sets how the network fails from now on.
+    /// Sets the fault of the network from now on.
     pub fn set_mode(&self, mode: NetworkMode) {
         self.mode.send_replace(mode);
     }
 }
 
-/// A listener with a queue of [`BACKLOG`], and its address.
+/// A listener with a backlog of [`BACKLOG`], and its address.
 fn listen(address: SocketAddr) -> io::Result<(TcpListener, SocketAddr)> {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
     socket.bind(&address.into())?;
@@ -97,22 +97,22 @@
     Ok((listener, address))
 }
 
-/// Accepts the connections to one worker, or leaves them in the kernel's queue.
+/// Accepts the connections to one worker, or leaves them in the listen backlog.
 struct Acceptor {
     facts: Arc<Facts>,
     worker: WorkerId,
     worker_address: SocketAddr,
     address: SocketAddr,
     mode: watch::Receiver<NetworkMode>,
-    /// When connections were last accepted again.
+    /// When accepting last resumed after [`NetworkMode::DelayedAccepts`].
     resumed: Option<Instant>,
 }
 
 impl Acceptor {
     async fn run(mut self, listener: TcpListener) {
         loop {
-            if *self.mode.borrow() == NetworkMode::LateConnections {
-                self.hold_back().await;
+            if *self.mode.borrow() == NetworkMode::DelayedAccepts {
+                self.pause().await;
             }
             let Ok((socket, _)) = listener.accept().await else {
                 continue;
@@ -120,111 +120,114 @@
             let connection = ProxiedConnection {
                 facts: self.facts.clone(),
                 worker: self.worker,
-                number: CONNECTIONS.fetch_add(1, Ordering::Relaxed),
+                number: NEXT_CONNECTION.fetch_add(1, Ordering::Relaxed),
                 mode: self.mode.clone(),
                 open: HashSet::new(),
-                maybe_queued: self.resumed.is_some_and(|at| at.elapsed() < QUEUE_WITHIN),
+                maybe_queued: self
+                    .resumed
+                    .is_some_and(|at| at.elapsed() < BACKLOG_DRAINED_WITHIN),
             };
             tokio::spawn(connection.run(socket, self.worker_address));
         }
     }
 
-    /// Accepts nothing while connections are to be late.
-    async fn hold_back(&mut self) {
-        // The kernel completes no connection beyond these until they are accepted.
-        let filled = fill_queue(self.address).await;
+    /// Accepts no connections while the mode is [`NetworkMode::DelayedAccepts`].
+    async fn pause(&mut self) {
+        // With a full backlog the kernel completes no further handshakes.
+        let fillers = fill_backlog(self.address).await;
         let mut mode = self.mode.clone();
-        let late = NetworkMode::LateConnections;
-        let _ = mode.wait_for(|mode| *mode != late).await;
-        drop(filled);
+        let delayed = NetworkMode::DelayedAccepts;
+        let _ = mode.wait_for(|mode| *mode != delayed).await;
+        drop(fillers);
         self.resumed = Some(Instant::now());
     }
 }
 
-/// Fills the queue of a listener whose connections are not accepted.
-async fn fill_queue(address: SocketAddr) -> Vec<TcpStream> {
-    let mut filled = Vec::new();
-    while let Ok(Ok(socket)) = timeout(FILL_WITHIN, TcpStream::connect(address)).await {
-        filled.push(socket);
+/// Connects to a listener that accepts nothing until its backlog is full. Returns the connections.
+async fn fill_backlog(address: SocketAddr) -> Vec<TcpStream> {
+    let mut fillers = Vec::new();
+    while let Ok(Ok(socket)) = timeout(FILL_CONNECT_TIMEOUT, TcpStream::connect(address)).await {
+        fillers.push(socket);
     }
-    filled
+    fillers
 }
 
-/// Has a socket end by a reset when it is closed.
+/// Makes a later close of the socket reset the connection.
 pub fn reset_on_close(socket: &TcpStream) {
-    // Fails only for a socket that has gone.
+    // Fails only if the connection has ended.
     let _ = socket2::SockRef::from(socket).set_linger(Some(Duration::ZERO));
 }
 
-/// One connection of a front end to the worker.
+/// A connection of a front end to the worker.
 struct ProxiedConnection {
     facts: Arc<Facts>,
     worker: WorkerId,
     number: u64,
     mode: watch::Receiver<NetworkMode>,
-    /// Requests that came and have no answer yet.
+    /// Attempts that have no answer yet.
     open: HashSet<RequestId>,
-    /// What is read first may have waited for this connection to be accepted.
+    /// Whether the bytes of the first read may have waited in the listen backlog.
     maybe_queued: bool,
 }
 
-/// How relaying goes on.
-enum Relay {
+/// The next step of the relay loop.
+enum Next {
     Continue,
+    /// Close both connections.
     Close,
-    /// The connection to the front end ends by a reset.
+    /// Reset the connection to the front end and close the one to the worker.
     Reset,
 }
 
-/// The sockets of a connection, and what has been read and not passed on.
-struct Relayed {
+/// The two sockets of a proxied connection, and the bytes that were read and not relay yet.
+struct Relay {
     front_end: TcpStream,
     worker: TcpStream,
     commands: Reader,
     answers: Reader,
     to_worker: Vec<u8>,
     to_front_end: Vec<u8>,
-    /// The other end has lost the connection without a word.
-    forgotten: bool,
-    /// When answers that are slow may pass.
-    release: Instant,
+    /// Whether the connection relays nothing any more and stays open, as if the worker had lost it without a FIN or RST.
+    half_open: bool,
+    /// When delayed answers may be relay.
+    release_at: Instant,
     last_used: Instant,
 }
 
-impl Relayed {
-    fn new(front_end: TcpStream, worker: TcpStream) -> Relayed {
+impl Relay {
+    fn new(front_end: TcpStream, worker: TcpStream) -> Relay {
         let now = Instant::now();
-        Relayed {
+        Relay {
             front_end,
             worker,
-            commands: Reader::new(BOUNDS),
-            answers: Reader::new(BOUNDS),
+            commands: Reader::new(RESP_LIMITS),
+            answers: Reader::new(RESP_LIMITS),
             to_worker: Vec::new(),
             to_front_end: Vec::new(),
-            forgotten: false,
-            release: now,
+            half_open: false,
+            release_at: now,
             last_used: now,
         }
     }
 
-    /// Whether slow answers are kept back for now.
-    fn keeps_answers_back(&self) -> bool {
-        !self.to_front_end.is_empty() && Instant::now() < self.release
+    /// Whether answers wait for their delay to pass.
+    fn delays_answers(&self) -> bool {
+        !self.to_front_end.is_empty() && Instant::now() < self.release_at
     }
 
-    /// Passes on what was kept back.
+    /// Writes all buffered bytes to both sides.
     async fn flush(&mut self) -> io::Result<()> {
         let commands = std::mem::take(&mut self.to_worker);
-        let sent = self.worker.write_all(&commands).await;
+        let to_worker = self.worker.write_all(&commands).await;
         let answers = std::mem::take(&mut self.to_front_end);
-        let given = self.front_end.write_all(&answers).await;
-        sent.and(given)
+        let to_front_end = self.front_end.write_all(&answers).await;
+        to_worker.and(to_front_end)
     }
 }
 
 impl ProxiedConnection {
     async fn run(mut self, front_end: TcpStream, worker_address: SocketAddr) {
-        if *self.mode.borrow() == NetworkMode::ResetNew {
+        if *self.mode.borrow() == NetworkMode::ResetOnAccept {
             return reset_on_close(&front_end);
         }
         let _ = front_end.set_nodelay(true);
@@ -236,7 +239,7 @@
         }
         if let Ok(worker) = TcpStream::connect(worker_address).await {
             let _ = worker.set_nodelay(true);
-            self.relay(Relayed::new(front_end, worker)).await;
+            self.relay(Relay::new(front_end, worker)).await;
         }
         for id in self.open.drain() {
             self.facts.record(Fact::AttemptEnded {
@@ -247,92 +250,87 @@
         }
     }
 
-    /// Relays both ways until either side or a fault ends the connection.
-    async fn relay(&mut self, mut relayed: Relayed) {
+    /// Relays in both directions until either side or a fault ends the connection.
+    async fn relay(&mut self, mut relay: Relay) {
         let (mut command_bytes, mut answer_bytes) = (vec![0u8; READ_SIZE], vec![0u8; READ_SIZE]);
         let mut modes = self.mode.clone();
         loop {
             let configured = *modes.borrow_and_update();
-            let mode = if relayed.forgotten {
+            let mode = if relay.half_open {
                 NetworkMode::Partitioned
             } else {
                 configured
             };
-            let kept_back = relayed.keeps_answers_back();
-            if mode != NetworkMode::Partitioned && !kept_back && relayed.flush().await.is_err() {
+            let delayed = relay.delays_answers();
+            if mode != NetworkMode::Partitioned && !delayed && relay.flush().await.is_err() {
                 return;
             }
-            let idle_until = relayed.last_used + Duration::from_secs_f64(KEEPALIVE_S);
+            let idle_until = relay.last_used + Duration::from_secs_f64(KEEPALIVE_S);
             let next = tokio::select! {
-                read = relayed.front_end.read(&mut command_bytes) => match read {
-                    Ok(length @ 1..) => self.on_commands(&mut relayed, &command_bytes[..length], mode),
-                    _ => Relay::Close,
+                read = relay.front_end.read(&mut command_bytes) => match read {
+                    Ok(length @ 1..) => self.on_commands(&mut relay, &command_bytes[..length], mode),
+                    _ => Next::Close,
                 },
-                read = relayed.worker.read(&mut answer_bytes) => match read {
-                    Ok(length @ 1..) => self.on_answers(&mut relayed, &answer_bytes[..length], mode).await,
-                    _ => Relay::Close,
+                read = relay.worker.read(&mut answer_bytes) => match read {
+                    Ok(length @ 1..) => self.on_answers(&mut relay, &answer_bytes[..length], mode).await,
+                    _ => Next::Close,
                 },
-                _ = modes.changed() => Relay::Continue,
-                () = sleep_until(relayed.release), if kept_back => Relay::Continue,
-                () = sleep_until(idle_until), if self.open.is_empty() && !relayed.forgotten => {
-                    self.on_idle(&mut relayed)
+                _ = modes.changed() => Next::Continue,
+                () = sleep_until(relay.release_at), if delayed => Next::Continue,
+                () = sleep_until(idle_until), if self.open.is_empty() && !relay.half_open => {
+                    self.on_idle(&mut relay)
                 }
             };
             match next {
-                Relay::Continue => {}
-                Relay::Close => return,
-                Relay::Reset => return reset_on_close(&relayed.front_end),
+                Next::Continue => {}
+                Next::Close => return,
+                Next::Reset => return reset_on_close(&relay.front_end),
             }
         }
     }
 
-    /// Bytes came from the front end.
-    fn on_commands(&mut self, relayed: &mut Relayed, bytes: &[u8], mode: NetworkMode) -> Relay {
-        relayed.last_used = Instant::now();
-        relayed.commands.push_bytes(bytes);
-        while let Ok(Some(words)) = relayed.commands.next_array() {
+    /// Handles bytes from the front end.
+    fn on_commands(&mut self, relay: &mut Relay, bytes: &[u8], mode: NetworkMode) -> Next {
+        relay.last_used = Instant::now();
+        relay.commands.push_bytes(bytes);
+        while let Ok(Some(words)) = relay.commands.next_array() {
             self.record_command(&words);
         }
         self.maybe_queued = false;
-        relayed.to_worker.extend_from_slice(bytes);
-        if mode == NetworkMode::ResetUnderCalls && !self.open.is_empty() {
-            Relay::Reset
+        relay.to_worker.extend_from_slice(bytes);
+        if mode == NetworkMode::ResetDuringCalls && !self.open.is_empty() {
+            Next::Reset
         } else {
-            Relay::Continue
+            Next::Continue
         }
     }
 
-    /// Bytes came from the worker.
-    async fn on_answers(
-        &mut self,
-        relayed: &mut Relayed,
-        bytes: &[u8],
-        mode: NetworkMode,
-    ) -> Relay {
-        relayed.last_used = Instant::now();
-        if mode == NetworkMode::HalfAnswers && !self.open.is_empty() {
+    /// Handles bytes from the worker.
+    async fn on_answers(&mut self, relay: &mut Relay, bytes: &[u8], mode: NetworkMode) -> Next {
+        relay.last_used = Instant::now();
+        if mode == NetworkMode::TruncatedAnswers && !self.open.is_empty() {
             let half = &bytes[..bytes.len() / 2];
-            self.record_answers(&mut relayed.answers, half);
-            let _ = relayed.front_end.write_all(half).await;
-            return Relay::Close;
+            self.record_answers(&mut relay.answers, half);
+            let _ = relay.front_end.write_all(half).await;
+            return Next::Close;
         }
-        if let (NetworkMode::SlowAnswers(by), true) = (mode, relayed.to_front_end.is_empty()) {
-            relayed.release = Instant::now() + by;
+        if let (NetworkMode::DelayedAnswers(by), true) = (mode, relay.to_front_end.is_empty()) {
+            relay.release_at = Instant::now() + by;
         }
-        self.record_answers(&mut relayed.answers, bytes);
-        relayed.to_front_end.extend_from_slice(bytes);
-        Relay::Continue
+        self.record_answers(&mut relay.answers, bytes);
+        relay.to_front_end.extend_from_slice(bytes);
+        Next::Continue
     }
 
-    /// The connection has carried nothing for as long as the worker keeps it: it is closed, reset or forgotten.
-    fn on_idle(&self, relayed: &mut Relayed) -> Relay {
+    /// Handles a connection that has been idle for the worker's keepalive time: it is closed, reset, or left half-open.
+    fn on_idle(&self, relay: &mut Relay) -> Next {
         match self.number % 3 {
             0 => {
-                relayed.forgotten = true;
-                Relay::Continue
+                relay.half_open = true;
+                Next::Continue
             }
-            1 => Relay::Reset,
-            _ => Relay::Close,
+            1 => Next::Reset,
+            _ => Next::Close,
         }
     }
 
@@ -340,8 +338,8 @@
         match *words {
             [b"fire", id, fields, _] => {
                 let Some(id) = request_id(id) else { return };
-                let patience = String::from_utf8(field(fields, b"patience=")).ok();
-                let timeout_ms = patience.and_then(|text| text.parse().ok());
+                let timeout = String::from_utf8(field(fields, b"patience=")).ok();
+                let timeout_ms = timeout.and_then(|text| text.parse().ok());
                 self.open.insert(id);
                 self.facts.record(Fact::AttemptStarted {
                     id,
--- a/tests/soak/src/runner.rs
+++ b/tests/soak/src/runner.rs
@@ -1,4 +1,4 @@
-//! One run: its parts are started, its clients and faults go on for the time that was asked for, its facts are judged.
+//! One run of the soak: starts all parts, runs clients and faults for the given time, and checks the facts.
 
 use crate::clients::Client;
 use crate::discovery::Discovery;
@@ -19,52 +19,52 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// One run.
+/// The options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program of the front end.
+    /// Path of the front end's program.
     pub gateway: PathBuf,
-    /// Seeds all that is drawn at random.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Front ends.
+    /// Number of front ends.
     pub front_ends: usize,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
     /// Clients of each front end.
     pub clients: usize,
-    /// How long faults go on.
+    /// How long faults are injected.
     pub duration: Duration,
 }
 
 /// The result of a run.
 pub struct SoakOutcome {
-    /// The facts, judged.
+    /// The oracle, with the facts and the violations in them.
     pub oracle: Oracle,
-    /// Logs and configurations of the run's processes.
+    /// The folder with logs and configurations of the run's processes.
     pub folder: PathBuf,
 }
 
-/// Descriptors that front ends may hold, one figure a run.
+/// Limits on open file descriptors; each run uses one of them for all front ends.
 const SOCKET_LIMITS: [usize; 3] = [100, 160, 400];
-/// Seconds after which a connection to a worker has failed: shorter than the kernel's first retry, or longer.
+/// Timeouts for connecting to a worker: shorter and longer than the kernel's first SYN retransmission (1 s).
 const CONNECT_TIMEOUTS_S: [f64; 2] = [0.25, 1.3];
-/// How often the harness checks whether it runs in time.
+/// Sleep of the watchdog that measures delays of the harness itself.
 const WATCHDOG_INTERVAL: Duration = Duration::from_millis(5);
-/// Clients go on for so long after the last fault has begun.
+/// How long clients continue after the time for new faults is over.
 const SETTLE: Duration = Duration::from_secs(2);
 
-/// What the parts of a run share.
+/// The state that the parts of a run share.
 struct Environment {
     facts: Arc<Facts>,
     discovery: Arc<Discovery>,
     proxies: Arc<Vec<Proxy>>,
     endpoints: Arc<EndpointTable>,
     launch: Arc<LaunchSettings>,
-    /// The front ends' addresses are theirs while their processes are down.
+    /// Keeps the front ends' ports reserved while their processes are down.
     _reserved: Vec<ReservedAddress>,
 }
 
-/// Plays one run.
+/// Runs the soak once.
 pub async fn run(options: &Options) -> Result<SoakOutcome, SoakError> {
     let mut random = fastrand::Rng::with_seed(options.seed);
     let environment = Environment::start(options, &mut random).await?;
@@ -84,13 +84,13 @@
     while tasks.join_next().await.is_some() {}
     watchdog.abort();
     Ok(SoakOutcome {
-        oracle: Oracle::judge(environment.facts.take()),
+        oracle: Oracle::evaluate(environment.facts.take()),
         folder: environment.launch.folder.clone(),
     })
 }
 
 impl Environment {
-    /// Starts the workers with their proxies and the coordinator, and chooses what front ends are started with.
+    /// Starts the workers and their proxies, creates the coordinator, and draws the settings of the front ends.
     async fn start(
         options: &Options,
         random: &mut fastrand::Rng,
@@ -142,7 +142,7 @@
         Ok(front_ends)
     }
 
-    /// Starts so many clients of each front end.
+    /// Starts `clients` clients for each front end.
     fn spawn_clients(
         &self,
         tasks: &mut JoinSet<()>,
@@ -150,14 +150,14 @@
         random: &mut fastrand::Rng,
         until: Instant,
     ) {
-        let ids = Arc::new(AtomicU64::new(1));
+        let next_id = Arc::new(AtomicU64::new(1));
         for front_end in 0..self.launch.front_ends {
             for _ in 0..clients {
                 let client = Client {
                     facts: self.facts.clone(),
                     endpoints: self.endpoints.clone(),
                     front_end,
-                    ids: ids.clone(),
+                    next_id: next_id.clone(),
                     random: random.fork(),
                     until,
                 };
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Starts all faults but those of the front ends' processes.
+    /// Starts all faults except those of the front ends' processes.
     fn spawn_faults(&self, tasks: &mut JoinSet<()>, random: &mut fastrand::Rng, until: Instant) {
         let (facts, endpoints) = (&self.facts, &self.endpoints);
         for _ in 0..2 {
@@ -196,7 +196,7 @@
             random.fork(),
             until,
         ));
-        tasks.spawn(faults::run_idle_crowds(
+        tasks.spawn(faults::run_idle_connections(
             facts.clone(),
             endpoints.clone(),
             random.fork(),
@@ -205,7 +205,7 @@
     }
 }
 
-/// Starts so many workers, each behind a proxy: the proxies, and the workers' entries in the list.
+/// Starts `count` workers, each behind a proxy. Returns the proxies, and the workers' entries in the endpoint list.
 async fn start_workers(
     facts: &Arc<Facts>,
     count: usize,
@@ -226,14 +226,14 @@
     Ok((proxies, workers))
 }
 
-/// Records when this harness itself ran late.
+/// Records delays of the harness itself.
 async fn watch_harness(facts: Arc<Facts>) {
     loop {
-        let began = Instant::now();
+        let started = Instant::now();
         sleep(WATCHDOG_INTERVAL).await;
-        let late = began.elapsed().saturating_sub(WATCHDOG_INTERVAL);
-        if late > WATCHDOG_INTERVAL * 4 {
-            facts.record(Fact::HarnessDelayed(late));
+        let delay = started.elapsed().saturating_sub(WATCHDOG_INTERVAL);
+        if delay > WATCHDOG_INTERVAL * 4 {
+            facts.record(Fact::HarnessDelayed(delay));
         }
     }
 }
--- a/tests/soak/src/shim.rs
+++ b/tests/soak/src/shim.rs
@@ -1,40 +1,39 @@
-//! The preloaded library that has system calls fail: built with the compiler alone, once for each version of its source.
+//! Builds `tests/fault-shim`, the preloaded library that makes system calls fail: with `rustc` alone, once per version of its source.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// Its source.
+/// The source of the library; its hash is part of the library's file name.
 const SOURCE: &str = include_str!("../../fault-shim/src/lib.rs");
 
 /// Why the library can't be built.
 #[derive(Debug, thiserror::Error)]
 enum BuildError {
-    /// The compiler can't be run.
+    /// The compiler could not be run.
     #[error("{compiler}: {error}")]
     RunCompiler {
-        /// Its path.
+        /// The compiler's name or path.
         compiler: String,
-        /// What the system says.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// The compiler refuses the source.
+    /// The compiler reported errors.
     #[error("{0}")]
     Compile(String),
-    /// The library can't be moved to its place.
+    /// The built library could not be renamed.
     #[error(transparent)]
     Move(std::io::Error),
 }
 
-/// The library's path; it is built at the first call.
+/// The path of the library, which is built at the first call.
 pub fn library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
-    LIBRARY
-        .get_or_init(|| build(&std::env::temp_dir()).expect("the compiler that built this program"))
+    LIBRARY.get_or_init(|| build(&std::env::temp_dir()).expect("the fault shim is built by rustc"))
 }
 
-/// Builds the library into a folder, unless it is there, and gives its path.
+/// Builds the library into a folder, unless it has been built before, and returns its path.
 fn build(folder: &Path) -> Result<PathBuf, BuildError> {
     let mut hasher = DefaultHasher::new();
     SOURCE.hash(&mut hasher);
@@ -43,8 +42,8 @@
         return Ok(library);
     }
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("../fault-shim/src/lib.rs");
-    // Other processes may build it at the same time; it appears whole, by a new name.
-    let own = folder.join(format!(
+    // Built under a name of this process and then renamed, since other processes may build the library at the same time.
+    let temporary = folder.join(format!(
         "libtansy_fault_shim-{}.building.so",
         std::process::id()
     ));
@@ -59,7 +58,7 @@
             "tansy_fault_shim",
         ])
         .args(["-C", "opt-level=2", "-C", "panic=abort", "-o"])
-        .arg(&own)
+        .arg(&temporary)
         .arg(&source)
         .output()
         .map_err(|error| BuildError::RunCompiler { compiler, error })?;
@@ -67,6 +66,6 @@
         let messages = String::from_utf8_lossy(&output.stderr).into_owned();
         return Err(BuildError::Compile(messages));
     }
-    std::fs::rename(&own, &library).map_err(BuildError::Move)?;
+    std::fs::rename(&temporary, &library).map_err(BuildError::Move)?;
     Ok(library)
 }
--- a/tests/soak/src/worker.rs
+++ b/tests/soak/src/worker.rs
@@ -1,4 +1,4 @@
-//! Workers: each loads functions, serves calls after some time, and now and then misses, fails, or answers twice.
+//! Workers: each loads functions and serves calls with a random delay; some calls miss, fail, or get an irregular answer.
 
 use crate::error::SoakError;
 use std::collections::HashSet;
@@ -10,28 +10,28 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// Bounds of what is read.
-pub const BOUNDS: Limits = Limits {
+/// Limits of the RESP arrays that are read.
+pub const RESP_LIMITS: Limits = Limits {
     string: 64 * 1024,
     strings: 4,
 };
-/// Milliseconds that a call takes, at least and at most.
+/// Duration of a call, milliseconds.
 const CALL_MS: std::ops::Range<u64> = 3..40;
-/// Milliseconds that a load takes.
+/// Duration of a load, milliseconds.
 const LOAD_MS: u64 = 30;
-/// Of so many calls one is not simply served.
+/// On average one call in this many has an irregular answer.
 const IRREGULAR_ONE_IN: u32 = 25;
-/// An irregular answer that is late comes after so long: most clients have gone by then.
+/// Delay of a late answer; most clients have stopped waiting by then.
 const LATE_ANSWER: Duration = Duration::from_secs(3);
 
-/// One array as bytes.
+/// The bytes of a RESP array.
 pub fn array(words: &[&[u8]]) -> Vec<u8> {
     let mut bytes = Vec::new();
     tansy_resp::write_array(&mut bytes, words);
     bytes
 }
 
-/// The answer to one command, and when.
+/// The answer to a command, and the delay before it is sent.
 struct Reply {
     after: Duration,
     bytes: Vec<u8>,
@@ -47,13 +47,12 @@
     }
 }
 
-/// A call as the worker reads it.
+/// A call to a worker.
 #[derive(Clone, Copy)]
 struct Call<'a> {
     id: &'a [u8],
     body: &'a [u8],
-    /// How long it takes.
-    takes: Duration,
+    duration: Duration,
 }
 
 impl Call<'_> {
@@ -71,7 +70,7 @@
     random: Mutex<fastrand::Rng>,
 }
 
-/// Starts a worker on a port of its own.
+/// Starts a worker and returns its address; the kernel chooses the port.
 pub async fn start(seed: u64) -> Result<SocketAddr, SoakError> {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = TcpListener::bind(any).await;
@@ -92,7 +91,7 @@
 }
 
 impl Worker {
-    /// Answers the commands of one connection; answers may overtake each other.
+    /// Answers the commands of a connection, each after its delay, so that answers may be out of order.
     async fn serve(self: Arc<Self>, socket: TcpStream) {
         let (mut from_peer, mut to_peer) = socket.into_split();
         let (replies, mut due) = mpsc::unbounded_channel::<Vec<u8>>();
@@ -103,7 +102,7 @@
                 }
             }
         });
-        let mut reader = Reader::new(BOUNDS);
+        let mut reader = Reader::new(RESP_LIMITS);
         let mut buffer = vec![0u8; 16 * 1024];
         while let Ok(length @ 1..) = from_peer.read(&mut buffer).await {
             reader.push_bytes(&buffer[..length]);
@@ -114,7 +113,7 @@
                 let replies = replies.clone();
                 tokio::spawn(async move {
                     tokio::time::sleep(reply.after).await;
-                    // Fails once the connection has ended.
+                    // Fails if the connection has ended.
                     let _ = replies.send(reply.bytes);
                 });
             }
@@ -138,43 +137,43 @@
     fn call(&self, id: &[u8], fields: &[u8], body: &[u8]) -> Reply {
         let function = field(fields, b"asset=");
         let mut random = self.random.lock().expect("not poisoned");
-        let takes = Duration::from_millis(random.u64(CALL_MS));
-        let call = Call { id, body, takes };
+        let duration = Duration::from_millis(random.u64(CALL_MS));
+        let call = Call { id, body, duration };
         if !self.is_loaded(&function) {
             return Reply::after(Duration::ZERO, call.refused(b"404"));
         }
         if random.u32(0..IRREGULAR_ONE_IN) > 0 {
-            return Reply::after(takes, call.served());
+            return Reply::after(duration, call.served());
         }
         self.irregular_reply(call, &function, &mut random)
     }
 
-    /// A call that fails, or whose answer is not the one that it should have.
+    /// The reply to a call that fails, or whose answer is late or violates the protocol.
     fn irregular_reply(
         &self,
         call: Call<'_>,
         function: &[u8],
         random: &mut fastrand::Rng,
     ) -> Reply {
-        let Call { id, takes, .. } = call;
+        let Call { id, duration, .. } = call;
         match random.u32(0..7) {
             0 => {
-                // It has been unloaded meanwhile.
+                // As if the function had been unloaded in the meantime.
                 self.unload(function);
                 Reply::after(Duration::ZERO, call.refused(b"404"))
             }
             1 => Reply::after(Duration::ZERO, call.refused(b"503")),
-            2 => Reply::after(takes, call.refused(b"500")),
+            2 => Reply::after(duration, call.refused(b"500")),
             3 => {
                 let second = array(&[id, b"200", b"n=ready", b"another"]);
-                Reply::after(takes, [call.served(), second].concat())
+                Reply::after(duration, [call.served(), second].concat())
             }
-            // What can't be read ends all that is open on its connection.
-            4 => Reply::after(takes, [b"*4\r\n$16\r\nnoise", id].concat()),
+            // Malformed RESP ends all calls on the connection.
+            4 => Reply::after(duration, [b"*4\r\n$16\r\nnoise", id].concat()),
             5 => {
-                // An answer ahead, for an id that nobody sent.
-                let ahead = array(&[b"0123456789abcdef", b"200", b"n=ready", b"ahead"]);
-                Reply::after(takes, [ahead, call.served()].concat())
+                // An answer to an unknown id, before the right one.
+                let unknown = array(&[b"0123456789abcdef", b"200", b"n=ready", b"ahead"]);
+                Reply::after(duration, [unknown, call.served()].concat())
             }
             _ => Reply::after(LATE_ANSWER, call.served()),
         }
@@ -206,7 +205,7 @@
     }
 }
 
-/// The value of a field in a list of fields.
+/// The value of a field in a comma-separated list, or an empty value. `name` ends with `=`.
 pub fn field(fields: &[u8], name: &[u8]) -> Vec<u8> {
     let found = fields
         .split(|b| *b == b',')
--- a/tests/soak/tests/configuration.rs
+++ b/tests/soak/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The text of a front end's configuration, byte for byte.
+//! The text of a front end's configuration stays the same, byte for byte.
 
 use std::net::SocketAddr;
 use tansy_soak::configuration::FrontEndParameters;
@@ -10,7 +10,7 @@
     text.parse().expect("an address")
 }
 
-fn text() -> String {
+fn configuration_text() -> String {
     let worker = |id: &str, port: u16, state, started_ms| WorkerEntry {
         id: id.to_string(),
         address: SocketAddr::from(([127, 0, 0, 1], port)),
@@ -34,12 +34,12 @@
 }
 
 #[test]
-fn the_text_is_as_it_always_was() {
-    assert_eq!(text(), EXPECTED);
+fn the_configuration_text_is_unchanged() {
+    assert_eq!(configuration_text(), EXPECTED);
 }
 
 #[test]
-fn a_workers_entry_is_as_it_always_was() {
+fn the_entry_of_a_worker_is_unchanged() {
     let worker = WorkerEntry {
         id: "s-7".to_string(),
         address: address("127.0.0.1:40005"),
--- a/tests/soak/tests/oracle.rs
+++ b/tests/soak/tests/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle finds each planted violation, and nothing in a run in good order.
+//! The oracle finds a violation of each invariant, and none in a correct run.
 
 use std::time::Duration;
 use tansy_soak::facts::{ConnectionEnd, Effect, Fact, Signal};
@@ -62,7 +62,8 @@
     }
 }
 
-/// What the oracle finds in a run of one process, started at 0, with these facts at these milliseconds.
+/// The invariants, doubtful ones aside, that a run of one process violates. The process starts at 0; facts have their time in
+/// milliseconds.
 fn found(facts: Vec<(u64, Fact)>) -> Vec<Invariant> {
     let started = Fact::ProcessStarted {
         front_end: FRONT_END,
@@ -74,7 +75,7 @@
     };
     let mut all = vec![(ms(0), started), (ms(20), ready)];
     all.extend(facts.into_iter().map(|(at, fact)| (ms(at), fact)));
-    let oracle = Oracle::judge(all);
+    let oracle = Oracle::evaluate(all);
     oracle
         .violations()
         .iter()
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn a_run_in_good_order_has_no_violation() {
+fn a_correct_run_has_no_violation() {
     let facts = vec![
         (100, request_sent(Effect::Unsafe)),
         (101, attempt_started(1, 990)),
@@ -124,7 +125,7 @@
         (301, process_exited(None, "")),
     ];
     assert_eq!(found(killed), []);
-    // What was sent in the window of a planned restart is owed, also if SIGKILL comes at its end.
+    // A request that was sent shortly after SIGTERM needs an answer, even if SIGKILL follows.
     let restarted = vec![
         (100, signal_sent(Signal::Terminate)),
         (500, request_sent(Effect::Safe)),
@@ -154,7 +155,7 @@
 }
 
 #[test]
-fn an_improper_answer_is_found() {
+fn an_answer_with_a_wrong_status_or_body_is_found() {
     assert_eq!(
         found(vec![
             (100, request_sent(Effect::Safe)),
@@ -192,7 +193,7 @@
 
 #[test]
 fn a_keyed_request_sent_again_after_its_window_is_found() {
-    for (again, wanted) in [(1100, vec![]), (1300, vec![Invariant::NoEffectTwice])] {
+    for (again, expected) in [(1100, vec![]), (1300, vec![Invariant::NoEffectTwice])] {
         let facts = vec![
             (100, request_sent(Effect::Keyed)),
             (101, attempt_started(1, 990)),
@@ -201,7 +202,7 @@
             (again + 1, attempt_ended(2, false)),
             (again + 2, response(200)),
         ];
-        assert_eq!(found(facts), wanted, "{again} ms");
+        assert_eq!(found(facts), expected, "{again} ms");
     }
 }
 
@@ -219,33 +220,33 @@
 }
 
 #[test]
-fn an_attempt_for_a_client_that_has_gone_is_found() {
-    for (at, wanted) in [(380, vec![]), (420, vec![Invariant::ClientPresent])] {
-        let gone = vec![
+fn an_attempt_after_the_client_has_disconnected_is_found() {
+    for (at, expected) in [(380, vec![]), (420, vec![Invariant::ClientPresent])] {
+        let facts = vec![
             (100, request_sent(Effect::Safe)),
             (300, Fact::ClientDisconnected { id: ID }),
             (at, attempt_started(1, 100)),
         ];
-        assert_eq!(found(gone), wanted, "{at} ms");
+        assert_eq!(found(facts), expected, "{at} ms");
     }
 }
 
 #[test]
-fn a_worker_given_too_much_time_is_found() {
-    for (timeout_ms, wanted) in [(1040, vec![]), (1060, vec![Invariant::AttemptTimeout])] {
+fn an_attempt_with_too_long_a_timeout_is_found() {
+    for (timeout_ms, expected) in [(1040, vec![]), (1060, vec![Invariant::AttemptTimeout])] {
         let facts = vec![
             (100, request_sent(Effect::Safe)),
             (200, attempt_started(1, timeout_ms)),
             (210, attempt_ended(1, false)),
             (211, response(200)),
         ];
-        assert_eq!(found(facts), wanted, "{timeout_ms} ms");
+        assert_eq!(found(facts), expected, "{timeout_ms} ms");
     }
 }
 
 #[test]
-fn work_for_a_worker_known_to_drain_is_found() {
-    for (at, wanted) in [(1250, vec![]), (1400, vec![Invariant::Drain])] {
+fn an_attempt_at_a_worker_known_to_drain_is_found() {
+    for (at, expected) in [(1250, vec![]), (1400, vec![Invariant::Drain])] {
         let facts = vec![
             (
                 500,
@@ -268,7 +269,7 @@
             (at + 1, attempt_ended(1, false)),
             (at + 2, response(200)),
         ];
-        assert_eq!(found(facts), wanted, "{at} ms");
+        assert_eq!(found(facts), expected, "{at} ms");
     }
 }
 
@@ -293,7 +294,7 @@
         found(vec![(500, listed.clone()), (900, received(1)), end.clone()]),
         []
     );
-    // While the coordinator answers nothing, nothing can be received.
+    // The time for an event is extended by an outage of the coordinator.
     let (down, up) = (
         Fact::DiscoveryAvailability { answers: false },
         Fact::DiscoveryAvailability { answers: true },
@@ -309,7 +310,7 @@
 }
 
 #[test]
-fn a_process_that_ends_by_itself_or_in_disorder_is_found() {
+fn a_process_that_ends_without_a_signal_or_with_violations_is_found() {
     assert_eq!(
         found(vec![(500, process_exited(Some(1), ""))]),
         [Invariant::Process]
@@ -317,19 +318,19 @@
     assert_eq!(
         found(vec![(500, process_exited(Some(0), ""))]),
         [Invariant::Process],
-        "nobody asked it to"
+        "exit code 0 without SIGTERM"
     );
-    let own = "account taken=1 guarded=0 open=0 violations=2";
+    let account = "account taken=1 guarded=0 open=0 violations=2";
     let facts = vec![
         (500, signal_sent(Signal::Terminate)),
-        (900, process_exited(Some(0), own)),
+        (900, process_exited(Some(0), account)),
     ];
     assert_eq!(found(facts), [Invariant::SelfChecks]);
 }
 
 #[test]
-fn one_that_is_never_ready_is_found() {
-    let oracle = Oracle::judge(vec![(
+fn a_process_that_is_never_ready_is_found() {
+    let oracle = Oracle::evaluate(vec![(
         ms(0),
         Fact::ProcessStarted {
             front_end: FRONT_END,
@@ -347,7 +348,7 @@
 }
 
 #[test]
-fn a_client_that_sends_no_request_and_is_served_or_left_open_is_found() {
+fn a_malformed_request_that_is_served_or_left_open_is_found() {
     let malformed = |after, served| Fact::MalformedRequest {
         front_end: FRONT_END,
         process: PROCESS,
@@ -366,7 +367,7 @@
 }
 
 #[test]
-fn what_is_seen_while_the_harness_runs_late_is_doubtful_and_still_reported() {
+fn a_violation_while_the_harness_is_delayed_is_reported_as_doubtful() {
     let facts = vec![
         (
             ms(0),
@@ -388,7 +389,7 @@
         (ms(320), attempt_ended(1, false)),
         (ms(330), response(200)),
     ];
-    let oracle = Oracle::judge(facts);
+    let oracle = Oracle::evaluate(facts);
     let found: Vec<_> = oracle
         .violations()
         .iter()
