--- a/tests/fault-shim/src/lib.rs
+++ b/tests/fault-shim/src/lib.rs
@@ -1,22 +1,23 @@
-//! System calls that fail, for tests of whole programs: loaded with `LD_PRELOAD`, it stands between the program and the C
-//! library. It has no dependencies, so that a test can build it with the compiler alone.
+//! Fault injection for tests of whole programs. Loaded with `LD_PRELOAD`, this library interposes functions of the C library and makes
+//! some of their calls fail. It has no dependencies, so that a test can build it with `rustc` alone.
 //!
-//! `FAULT_RULES` names the faults, separated by `;`. A rule is `CALL:FAULT:KEY=VALUE:...`:
+//! `FAULT_RULES` is a list of rules separated by `;`. A rule is `CALL:FAULT:KEY=VALUE:...`:
 //!
-//! - `CALL`: `socket`, `connect`, `accept`, `recv`, `send`, `read`, `write` (to files), `sync` or `clock`.
-//! - `FAULT`: a name of [`ERRORS`], `SHORT` (one byte is moved; `recv`, `send`), or `STEP` (`clock`).
-//! - `first=N`: the first N calls fail. `rate=X`: each call fails with this probability.
-//! - `from=S`, `until=S`: seconds since the process began during which the rule holds.
+//! - `CALL`: `socket`, `connect`, `accept` (accept4), `recv`, `send`, `read`, `write` (pwrite64), `sync` (fsync, fdatasync) or `clock`
+//!   (clock_gettime of the wall clock).
+//! - `FAULT`: a name of [`ERRORS`], `SHORT` (at most one byte is transferred; `recv`, `send`), or `STEP` (`clock`).
+//! - `first=N`: the first N calls fail. `rate=X`: each call fails with probability X. Without either, all calls fail.
+//! - `from=S`, `until=S`: the rule is active from and until this time, in seconds after the rules were parsed, at the first intercepted call.
 //! - `by=S`: seconds by which `STEP` moves the wall clock.
 //!
-//! `FAULT_SEED` seeds the probabilities. A rule that can't be read ends the process, as a fault that is not injected would
-//! look like one that was survived.
+//! `FAULT_SEED` seeds the random numbers for `rate`. An invalid rule aborts the process: if it were ignored, a test would pass without
+//! its fault.
 
 use std::ffi::{c_char, c_int, c_long, c_void, CStr};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::OnceLock;
 
-/// Names of errors, with Linux's numbers.
+/// The errors that rules can name, with Linux's numbers.
 const ERRORS: [(&str, c_int); 16] = [
     ("EINTR", 4),
     ("EIO", 5),
@@ -35,13 +36,14 @@
     ("ETIMEDOUT", 110),
     ("EHOSTUNREACH", 113),
 ];
-/// `RTLD_NEXT`: the library behind this one.
-const NEXT: *mut c_void = -1isize as *mut c_void;
-/// `CLOCK_REALTIME` and `CLOCK_MONOTONIC`.
-const REALTIME: c_int = 0;
-const MONOTONIC: c_int = 1;
-/// Bytes of a call that is cut short.
-const SHORT: usize = 1;
+/// `EFAULT`, for a null pointer.
+const EFAULT: c_int = 14;
+/// Pseudo-handle of `dlsym`: the next definition of the symbol after this library's.
+const RTLD_NEXT: *mut c_void = -1isize as *mut c_void;
+const CLOCK_REALTIME: c_int = 0;
+const CLOCK_MONOTONIC: c_int = 1;
+/// Most bytes that a call with the fault `SHORT` transfers.
+const SHORT_LENGTH: usize = 1;
 
 extern "C" {
     fn dlsym(handle: *mut c_void, symbol: *const c_char) -> *mut c_void;
@@ -55,7 +57,7 @@
     nanoseconds: c_long,
 }
 
-/// Which system calls a rule is about.
+/// The group of functions that a rule applies to.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Call {
     Socket,
@@ -69,7 +71,7 @@
     Clock,
 }
 
-/// What happens to a call.
+/// The fault of a call.
 #[derive(Clone, Copy)]
 enum Fault {
     Error(c_int),
@@ -80,28 +82,31 @@
 struct Rule {
     call: Call,
     fault: Fault,
-    /// Calls that fail before the rule is used up; none: it is not counted.
+    /// Number of calls that fail; `None`: [`Rule::rate`] decides for each call.
     first: Option<usize>,
-    seen: AtomicUsize,
+    /// Calls that were counted for `first`.
+    calls: AtomicUsize,
+    /// Probability with which a call fails.
     rate: f64,
-    from: f64,
-    until: f64,
-    step_by: f64,
+    from_s: f64,
+    until_s: f64,
+    step_s: f64,
 }
 
 struct Rules {
     rules: Vec<Rule>,
-    random: AtomicU64,
-    began: f64,
+    random_state: AtomicU64,
+    /// Monotonic time at which the rules were parsed, seconds.
+    started_s: f64,
 }
 
-fn unreadable(rule: &str) -> ! {
-    eprintln!("FAULT_RULES: {rule:?} can't be read");
+fn abort_on_invalid(rule: &str) -> ! {
+    eprintln!("FAULT_RULES: invalid rule {rule:?}");
     std::process::abort();
 }
 
 impl Rule {
-    fn read(text: &str) -> Rule {
+    fn parse(text: &str) -> Rule {
         let mut parts = text.split(':');
         let call = match parts.next() {
             Some("socket") => Call::Socket,
@@ -113,41 +118,41 @@
             Some("write") => Call::Write,
             Some("sync") => Call::Sync,
             Some("clock") => Call::Clock,
-            _ => unreadable(text),
+            _ => abort_on_invalid(text),
         };
         let fault = match parts.next() {
             Some("SHORT") => Fault::Short,
             Some("STEP") => Fault::Step,
             Some(name) => match ERRORS.iter().find(|e| e.0 == name) {
                 Some(error) => Fault::Error(error.1),
-                None => unreadable(text),
+                None => abort_on_invalid(text),
             },
-            None => unreadable(text),
+            None => abort_on_invalid(text),
         };
         let mut rule = Rule {
             call,
             fault,
             first: None,
-            seen: AtomicUsize::new(0),
+            calls: AtomicUsize::new(0),
             rate: 1.0,
-            from: 0.0,
-            until: f64::MAX,
-            step_by: 0.0,
+            from_s: 0.0,
+            until_s: f64::MAX,
+            step_s: 0.0,
         };
         for part in parts {
             let Some((key, value)) = part.split_once('=') else {
-                unreadable(text)
+                abort_on_invalid(text)
             };
             let Ok(number) = value.parse::<f64>() else {
-                unreadable(text)
+                abort_on_invalid(text)
             };
             match key {
                 "first" => rule.first = Some(number as usize),
                 "rate" => rule.rate = number,
-                "from" => rule.from = number,
-                "until" => rule.until = number,
-                "by" => rule.step_by = number,
-                _ => unreadable(text),
+                "from" => rule.from_s = number,
+                "until" => rule.until_s = number,
+                "by" => rule.step_s = number,
+                _ => abort_on_invalid(text),
             }
         }
         rule
@@ -155,7 +160,8 @@
 }
 
 impl Rules {
-    fn read() -> Rules {
+    /// Parses `FAULT_RULES` and `FAULT_SEED`.
+    fn from_environment() -> Rules {
         let text = std::env::var("FAULT_RULES").unwrap_or_default();
         let seed: u64 = std::env::var("FAULT_SEED")
             .ok()
@@ -164,97 +170,100 @@
         let rules = text
             .split(';')
             .filter(|r| !r.is_empty())
-            .map(Rule::read)
+            .map(Rule::parse)
             .collect();
         Rules {
             rules,
-            random: AtomicU64::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1),
-            began: monotonic(),
+            random_state: AtomicU64::new(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1),
+            started_s: monotonic_s(),
         }
     }
 
-    /// A number from 0 up to 1 (xorshift64*).
-    fn draw(&self) -> f64 {
-        let mut state = self.random.load(Ordering::Relaxed);
+    /// A random number in `[0, 1)` (xorshift64*).
+    fn random(&self) -> f64 {
+        let mut state = self.random_state.load(Ordering::Relaxed);
         state ^= state >> 12;
         state ^= state << 25;
         state ^= state >> 27;
-        self.random.store(state, Ordering::Relaxed);
+        self.random_state.store(state, Ordering::Relaxed);
         (state.wrapping_mul(0x2545_F491_4F6C_DD1D) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn holds(&self, rule: &Rule) -> bool {
-        let age = monotonic() - self.began;
-        age >= rule.from && age < rule.until
+    fn is_active(&self, rule: &Rule) -> bool {
+        let elapsed_s = monotonic_s() - self.started_s;
+        elapsed_s >= rule.from_s && elapsed_s < rule.until_s
     }
 
-    /// What happens to this call, if a rule has it fail.
+    /// The fault of a call, from the first active rule that applies to it.
     fn fault(&self, call: Call) -> Option<Fault> {
         let mut rules = self
             .rules
             .iter()
-            .filter(|r| r.call == call && self.holds(r));
-        let strikes = |r: &&Rule| match r.first {
-            Some(first) => r.seen.fetch_add(1, Ordering::Relaxed) < first,
-            None => self.draw() < r.rate,
+            .filter(|r| r.call == call && self.is_active(r));
+        let applies = |r: &&Rule| match r.first {
+            Some(first) => r.calls.fetch_add(1, Ordering::Relaxed) < first,
+            None => self.random() < r.rate,
         };
-        rules.find(strikes).map(|r| r.fault)
+        rules.find(applies).map(|r| r.fault)
     }
 
-    /// Seconds by which the wall clock is off now.
-    fn clock_step(&self) -> f64 {
+    /// Seconds by which the wall clock is moved at present.
+    fn clock_step_s(&self) -> f64 {
         self.rules
             .iter()
-            .filter(|r| r.call == Call::Clock && self.holds(r))
-            .map(|r| r.step_by)
+            .filter(|r| r.call == Call::Clock && self.is_active(r))
+            .map(|r| r.step_s)
             .sum()
     }
 }
 
 fn rules() -> &'static Rules {
     static RULES: OnceLock<Rules> = OnceLock::new();
-    RULES.get_or_init(Rules::read)
+    RULES.get_or_init(Rules::from_environment)
 }
 
-/// The C library's function of this name.
+/// The C library's function of this name. Its address is cached in `slot`.
 ///
 /// # Safety
 /// `F` has to be the type of that function.
-unsafe fn next<F: Copy>(slot: &'static OnceLock<usize>, name: &CStr) -> F {
-    let address = *slot.get_or_init(|| dlsym(NEXT, name.as_ptr()) as usize);
+unsafe fn next_symbol<F: Copy>(slot: &'static OnceLock<usize>, name: &CStr) -> F {
+    let address = *slot.get_or_init(|| dlsym(RTLD_NEXT, name.as_ptr()) as usize);
     assert!(address != 0, "the C library has no {name:?}");
     std::mem::transmute_copy::<usize, F>(&address)
 }
 
 type ClockGettime = unsafe extern "C" fn(c_int, *mut Timespec) -> c_int;
 
-fn real_clock(clock: c_int, time: &mut Timespec) -> c_int {
+/// Calls the C library's `clock_gettime`.
+fn real_clock_gettime(clock: c_int, time: &mut Timespec) -> c_int {
     static SLOT: OnceLock<usize> = OnceLock::new();
     // SAFETY: the type is that of clock_gettime, and `time` is a timespec.
-    unsafe { next::<ClockGettime>(&SLOT, c"clock_gettime")(clock, time) }
+    unsafe { next_symbol::<ClockGettime>(&SLOT, c"clock_gettime")(clock, time) }
 }
 
-fn monotonic() -> f64 {
+/// The monotonic clock, seconds.
+fn monotonic_s() -> f64 {
     let mut time = Timespec {
         seconds: 0,
         nanoseconds: 0,
     };
-    real_clock(MONOTONIC, &mut time);
+    real_clock_gettime(CLOCK_MONOTONIC, &mut time);
     time.seconds as f64 + time.nanoseconds as f64 / 1e9
 }
 
+/// Sets `errno` and returns -1.
 fn fail(error: c_int) -> isize {
-    // SAFETY: the C library's own place for this thread's error.
+    // SAFETY: the returned pointer is valid for this thread.
     unsafe { *__errno_location() = error };
     -1
 }
 
-/// The length that a call moves, or its error.
-fn length(call: Call, wanted: usize) -> Result<usize, c_int> {
+/// The length to pass to the C library, or the error with which the call fails.
+fn faulted_length(call: Call, requested: usize) -> Result<usize, c_int> {
     match rules().fault(call) {
         Some(Fault::Error(error)) => Err(error),
-        Some(Fault::Short) => Ok(wanted.min(SHORT)),
-        Some(Fault::Step) | None => Ok(wanted),
+        Some(Fault::Short) => Ok(requested.min(SHORT_LENGTH)),
+        Some(Fault::Step) | None => Ok(requested),
     }
 }
 
@@ -263,44 +272,44 @@
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: c_int, time: *mut Timespec) -> c_int {
     let Some(time) = time.as_mut() else {
-        return fail(14) as c_int;
+        return fail(EFAULT) as c_int;
     };
-    let done = real_clock(clock, time);
-    if done == 0 && clock == REALTIME {
-        let step = rules().clock_step();
-        time.seconds += step as c_long;
+    let result = real_clock_gettime(clock, time);
+    if result == 0 && clock == CLOCK_REALTIME {
+        let step_s = rules().clock_step_s();
+        time.seconds += step_s as c_long;
     }
-    done
+    result
 }
 
 /// # Safety
-/// As of socket(2).
+/// As for socket(2).
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     static SLOT: OnceLock<usize> = OnceLock::new();
     if let Some(Fault::Error(error)) = rules().fault(Call::Socket) {
         return fail(error) as c_int;
     }
-    next::<unsafe extern "C" fn(c_int, c_int, c_int) -> c_int>(&SLOT, c"socket")(
+    next_symbol::<unsafe extern "C" fn(c_int, c_int, c_int) -> c_int>(&SLOT, c"socket")(
         domain, kind, protocol,
     )
 }
 
 /// # Safety
-/// As of connect(2).
+/// As for connect(2).
 #[no_mangle]
 pub unsafe extern "C" fn connect(fd: c_int, address: *const c_void, length: u32) -> c_int {
     static SLOT: OnceLock<usize> = OnceLock::new();
     if let Some(Fault::Error(error)) = rules().fault(Call::Connect) {
         return fail(error) as c_int;
     }
-    next::<unsafe extern "C" fn(c_int, *const c_void, u32) -> c_int>(&SLOT, c"connect")(
+    next_symbol::<unsafe extern "C" fn(c_int, *const c_void, u32) -> c_int>(&SLOT, c"connect")(
         fd, address, length,
     )
 }
 
 /// # Safety
-/// As of accept4(2).
+/// As for accept4(2).
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     fd: c_int,
@@ -313,98 +322,98 @@
         return fail(error) as c_int;
     }
     type Accept = unsafe extern "C" fn(c_int, *mut c_void, *mut u32, c_int) -> c_int;
-    next::<Accept>(&SLOT, c"accept4")(fd, address, length, flags)
+    next_symbol::<Accept>(&SLOT, c"accept4")(fd, address, length, flags)
 }
 
 /// # Safety
-/// As of recv(2).
+/// As for recv(2).
 #[no_mangle]
 pub unsafe extern "C" fn recv(
     fd: c_int,
     buffer: *mut c_void,
-    wanted: usize,
+    requested: usize,
     flags: c_int,
 ) -> isize {
     static SLOT: OnceLock<usize> = OnceLock::new();
-    match length(Call::Receive, wanted) {
+    match faulted_length(Call::Receive, requested) {
         Err(error) => fail(error),
         Ok(length) => {
             type Receive = unsafe extern "C" fn(c_int, *mut c_void, usize, c_int) -> isize;
-            next::<Receive>(&SLOT, c"recv")(fd, buffer, length, flags)
+            next_symbol::<Receive>(&SLOT, c"recv")(fd, buffer, length, flags)
         }
     }
 }
 
 /// # Safety
-/// As of send(2).
+/// As for send(2).
 #[no_mangle]
 pub unsafe extern "C" fn send(
     fd: c_int,
     buffer: *const c_void,
-    wanted: usize,
+    requested: usize,
     flags: c_int,
 ) -> isize {
     static SLOT: OnceLock<usize> = OnceLock::new();
-    match length(Call::Send, wanted) {
+    match faulted_length(Call::Send, requested) {
         Err(error) => fail(error),
         Ok(length) => {
             type Send = unsafe extern "C" fn(c_int, *const c_void, usize, c_int) -> isize;
-            next::<Send>(&SLOT, c"send")(fd, buffer, length, flags)
+            next_symbol::<Send>(&SLOT, c"send")(fd, buffer, length, flags)
         }
     }
 }
 
 /// # Safety
-/// As of read(2).
+/// As for read(2).
 #[no_mangle]
-pub unsafe extern "C" fn read(fd: c_int, buffer: *mut c_void, wanted: usize) -> isize {
+pub unsafe extern "C" fn read(fd: c_int, buffer: *mut c_void, requested: usize) -> isize {
     static SLOT: OnceLock<usize> = OnceLock::new();
-    match length(Call::Read, wanted) {
+    match faulted_length(Call::Read, requested) {
         Err(error) => fail(error),
         Ok(length) => {
             type Read = unsafe extern "C" fn(c_int, *mut c_void, usize) -> isize;
-            next::<Read>(&SLOT, c"read")(fd, buffer, length)
+            next_symbol::<Read>(&SLOT, c"read")(fd, buffer, length)
         }
     }
 }
 
 /// # Safety
-/// As of pwrite(2).
+/// As for pwrite(2).
 #[no_mangle]
 pub unsafe extern "C" fn pwrite64(
     fd: c_int,
     buffer: *const c_void,
-    wanted: usize,
+    requested: usize,
     offset: i64,
 ) -> isize {
     static SLOT: OnceLock<usize> = OnceLock::new();
-    match length(Call::Write, wanted) {
+    match faulted_length(Call::Write, requested) {
         Err(error) => fail(error),
         Ok(length) => {
             type Write = unsafe extern "C" fn(c_int, *const c_void, usize, i64) -> isize;
-            next::<Write>(&SLOT, c"pwrite64")(fd, buffer, length, offset)
+            next_symbol::<Write>(&SLOT, c"pwrite64")(fd, buffer, length, offset)
         }
     }
 }
 
 /// # Safety
-/// As of fdatasync(2).
+/// As for fdatasync(2).
 #[no_mangle]
 pub unsafe extern "C" fn fdatasync(fd: c_int) -> c_int {
     static SLOT: OnceLock<usize> = OnceLock::new();
     if let Some(Fault::Error(error)) = rules().fault(Call::Sync) {
         return fail(error) as c_int;
     }
-    next::<unsafe extern "C" fn(c_int) -> c_int>(&SLOT, c"fdatasync")(fd)
+    next_symbol::<unsafe extern "C" fn(c_int) -> c_int>(&SLOT, c"fdatasync")(fd)
 }
 
 /// # Safety
-/// As of fsync(2).
+/// As for fsync(2).
 #[no_mangle]
 pub unsafe extern "C" fn fsync(fd: c_int) -> c_int {
     static SLOT: OnceLock<usize> = OnceLock::new();
     if let Some(Fault::Error(error)) = rules().fault(Call::Sync) {
         return fail(error) as c_int;
     }
-    next::<unsafe extern "C" fn(c_int) -> c_int>(&SLOT, c"fsync")(fd)
+    next_symbol::<unsafe extern "C" fn(c_int) -> c_int>(&SLOT, c"fsync")(fd)
 }
