--- a/tests/path/build.rs
+++ b/tests/path/build.rs
@@ -1,4 +1,4 @@
-//! Generates the unmodified client from the project's .proto.
+//! Generates the gRPC client of the tests from `inference.proto`.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let dir = "../../protocol/inference/proto";
--- a/tests/path/src/gateway.rs
+++ b/tests/path/src/gateway.rs
@@ -1,7 +1,7 @@
-//! A gateway on a thread of its own.
+//! A gateway on a separate thread.
 
 use crate::worker_list::{ListedWorker, WorkerListFile};
-use crate::{until, Client};
+use crate::{wait_until, Client};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,28 +11,28 @@
 use tansy_gateway::{fleet::FleetPlacement, Gateway, Options};
 use tansy_settings::agree;
 
-/// The longest time for which the gateway waits for events before it looks for jobs of the test.
-const TURN: Duration = Duration::from_millis(5);
-/// The name of the settings in messages about them.
+/// The longest time for which the gateway waits for events before it runs jobs of the test.
+const MAX_EVENT_WAIT: Duration = Duration::from_millis(5);
+/// The file name of the settings in error messages.
 const SETTINGS_NAME: &str = "test.cue";
 
 type GatewayJob = Box<dyn FnOnce(&Gateway) + Send>;
 
 /// A front end's place in its fleet.
 pub struct FleetMember {
-    /// Its name.
+    /// The name of the front end.
     pub name: String,
-    /// Where its siblings reach it.
+    /// The address for the other front ends.
     pub listen: SocketAddr,
-    /// The file of a voter.
+    /// The state file, for a voter.
     pub state: Option<PathBuf>,
 }
 
-/// A gateway on a thread of its own, which ends with this value.
+/// A gateway on a separate thread, which ends when this value is dropped.
 pub struct GatewayThread {
-    /// Its gRPC port.
+    /// The address for gRPC.
     pub grpc: SocketAddr,
-    /// Its side port.
+    /// The address for HTTP.
     pub http: SocketAddr,
     stop: Arc<AtomicBool>,
     last_account: Arc<Mutex<String>>,
@@ -42,7 +42,7 @@
 }
 
 impl GatewayThread {
-    /// Starts it with settings and workers.
+    /// Starts a gateway with settings and workers.
     pub fn start(settings: &str, workers: &[ListedWorker]) -> GatewayThread {
         GatewayThread::spawn(read_settings(settings), workers, None)
     }
@@ -87,9 +87,11 @@
                 .send((gateway.grpc(), gateway.http()))
                 .expect("the test waits for the addresses");
             while !stopped.load(Ordering::Relaxed) {
-                gateway.turn(TURN).expect("the loop turns");
+                gateway
+                    .turn(MAX_EVENT_WAIT)
+                    .expect("the loop dispatches events");
                 queue.try_iter().for_each(|job| job(&gateway));
-                *account.lock().expect("no test panicked with it") = gateway.account();
+                *account.lock().expect("no panic") = gateway.account();
             }
         });
         let (grpc, http) = addresses.recv().expect("the gateway starts");
@@ -104,40 +106,40 @@
         }
     }
 
-    /// Does something with the gateway on its thread, and gives what it gives.
+    /// Runs a job with the gateway on its thread, and returns its result.
     pub fn with<T: Send + 'static>(&self, job: impl FnOnce(&Gateway) -> T + Send + 'static) -> T {
         let (done, result) = mpsc::channel();
         self.post(move |gateway| drop(done.send(job(gateway))));
         result.recv().expect("the gateway runs")
     }
 
-    /// Does something on the gateway's thread, without waiting for it.
+    /// Queues a job for the gateway's thread, without waiting for it.
     pub fn post(&self, job: impl FnOnce(&Gateway) + Send + 'static) {
         self.jobs.send(Box::new(job)).expect("the gateway runs");
     }
 
-    /// Calls whose function is being looked up.
+    /// Number of calls whose function is being looked up.
     pub fn pending_calls(&self) -> usize {
         self.with(|gateway| gateway.driver().with_dispatcher(|d| d.pending_calls()))
     }
 
-    /// Returns once a call waits for the lookup of its function, within a test's client.
+    /// Waits, within a test's client, until a call waits for the lookup of its function.
     pub async fn until_call_is_pending(&self) {
         while self.pending_calls() == 0 {
             tokio::task::yield_now().await;
         }
     }
 
-    /// Replaces its list of workers.
-    pub fn list(&self, workers: &[ListedWorker]) {
+    /// Replaces the gateway's worker list.
+    pub fn set_workers(&self, workers: &[ListedWorker]) {
         self.workers.replace(workers);
     }
 
-    /// The account, once no call waits or runs. It is read on the gateway's thread: an answer that a client has received is
-    /// accounted only after the turn in which it was written.
+    /// The account, once no call waits or runs. It is read on the gateway's thread, because the gateway accounts for an answer only at
+    /// the end of the turn in which it was written.
     pub fn account(&self) -> Account {
         let mut line = String::new();
-        until("the gateway is idle", || {
+        wait_until("the gateway is idle", || {
             let (account, idle) = self.with(|gateway| (gateway.account(), gateway.idle()));
             line = account;
             idle
@@ -145,17 +147,17 @@
         Account(line)
     }
 
-    /// The account after the gateway's last turn.
-    pub fn peek(&self) -> Account {
+    /// The account after the gateway's last turn; calls may be open.
+    pub fn last_account(&self) -> Account {
         Account(self.last_account.lock().expect("no panic").clone())
     }
 
-    /// A client on a connection of its own.
+    /// A client with a new connection.
     pub async fn client(&self) -> Client {
         let channel = tonic::transport::Channel::from_shared(format!("http://{}", self.grpc));
         let channel = channel.expect("an address").tcp_nodelay(true);
         let channel = channel.connect().await;
-        Client::new(channel.expect("the gateway takes connections"))
+        Client::new(channel.expect("the gateway accepts connections"))
     }
 }
 
@@ -168,7 +170,7 @@
     }
 }
 
-/// The settings, with ports that the kernel chooses.
+/// Reads settings, and lets the kernel choose the ports.
 fn read_settings(text: &str) -> tansy_settings::Settings {
     let settings = tansy_settings::settings(SETTINGS_NAME, text);
     let mut settings = settings.unwrap_or_else(|error| panic!("{error}"));
@@ -177,12 +179,12 @@
     settings
 }
 
-/// An account's line.
+/// The line of an account.
 #[derive(Debug, Clone)]
 pub struct Account(String);
 
 impl Account {
-    /// A count by name.
+    /// The count of this name.
     pub fn get(&self, name: &str) -> u64 {
         let mut words = self.0.split_whitespace();
         let count = words.find_map(|word| word.strip_prefix(name)?.strip_prefix('='));
@@ -192,7 +194,7 @@
             .expect("a number")
     }
 
-    /// What was taken is answered or departed, and no guard had to act.
+    /// Checks that every call that was taken has exactly one end or is open, and that no guard intervened.
     pub fn check(&self) {
         let ended: u64 = ["served", "refused", "failed", "departed", "open"]
             .iter()
@@ -204,7 +206,7 @@
 }
 
 impl From<String> for Account {
-    /// An account that another process printed.
+    /// Wraps a line that another process printed.
     fn from(line: String) -> Account {
         Account(line)
     }
--- a/tests/path/src/lib.rs
+++ b/tests/path/src/lib.rs
@@ -1,12 +1,12 @@
-//! What the tests of whole paths share: a gateway on a thread, stand-in workers on another, scripted peers that speak
-//! HTTP/2 frame by frame, and an unmodified gRPC client.
+//! Helpers for end-to-end tests: a gateway on one thread, stand-in workers on another, scripted peers that speak HTTP/2 frame by frame,
+//! and an unmodified gRPC client.
 //!
-//! - [`gateway`]: a gateway on a thread of its own, and its account.
-//! - [`worker_list`]: the file in which it finds its workers.
-//! - [`scoped_fleet`]: a fleet of two such gateways that agrees on functions one by one.
-//! - [`workers`]: stand-in workers on a thread of their own.
-//! - [`messages`]: requests, and what answers carry.
-//! - [`peer`]: clients and workers by script.
+//! - [`gateway`]: a gateway on a separate thread, and its account.
+//! - [`worker_list`]: the gateway's worker list file.
+//! - [`scoped_fleet`]: a fleet of two gateways that agrees on functions one by one.
+//! - [`workers`]: stand-in workers on a separate thread.
+//! - [`messages`]: requests, and accessors for responses.
+//! - [`peer`]: scripted clients and workers.
 
 pub mod gateway;
 pub mod messages;
@@ -21,17 +21,17 @@
 pub use worker_list::ListedWorker;
 pub use workers::Workers;
 
-/// The service's messages and its client, as the client library generates them.
+/// The generated messages and client of the inference service.
 #[allow(missing_docs, dead_code, clippy::all)]
 pub mod pb {
     tonic::include_proto!("inference");
 }
 
-/// The client, on a connection of its own.
+/// The gRPC client.
 pub type Client =
     pb::grpc_inference_service_client::GrpcInferenceServiceClient<tonic::transport::Channel>;
 
-/// Functions and classes of most tests: `echo` is safe, `keyed` keyed, `post` must not run twice.
+/// The settings of most tests: the function `echo` is safe to repeat, `keyed` is keyed, and `post` must not run twice.
 pub const SETTINGS: &str = r#"
 classes: {
     safe:   {aim: 2s, deadline: 3s, late_worth: 0.5}
@@ -45,30 +45,30 @@
 }
 "#;
 
-/// So many workers, at most three, and a gateway that knows them, with [`SETTINGS`].
+/// Starts `workers` stand-in workers, and a gateway with [`SETTINGS`] that lists them.
 pub fn start(workers: usize) -> (GatewayThread, Workers) {
     let workers = Workers::start(workers);
     (GatewayThread::start(SETTINGS, &workers.listed()), workers)
 }
 
-/// [`SETTINGS`] that name `echo` alone.
+/// [`SETTINGS`] without the functions other than `echo`.
 pub fn settings_of_echo() -> String {
     let lines = SETTINGS.lines();
     let lines = lines.filter(|line| !line.contains("    keyed: {c") && !line.contains("    post:"));
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// Waits until something holds; fails after 10 s.
-pub fn until(state: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition is true, and panics with its description after 10 s.
+pub fn wait_until(condition: &str, mut is_true: impl FnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(10);
-    while !holds() {
-        assert!(Instant::now() < end, "still not: {state}");
+    while !is_true() {
+        assert!(Instant::now() < end, "not within 10 s: {condition}");
         std::thread::yield_now();
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// Runs a test's client on one thread, for at most 20 s.
+/// Runs a test's client on the current thread, and panics after 20 s.
 pub fn run<T>(test: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -77,6 +77,6 @@
     runtime.block_on(async {
         tokio::time::timeout(Duration::from_secs(20), test)
             .await
-            .expect("in time")
+            .expect("the client ends within 20 s")
     })
 }
--- a/tests/path/src/messages.rs
+++ b/tests/path/src/messages.rs
@@ -1,15 +1,15 @@
-//! Requests, and what answers carry.
+//! Requests, and accessors for responses.
 
 use crate::pb;
 
-/// A parameter.
+/// A request parameter.
 pub fn parameter(choice: pb::infer_parameter::ParameterChoice) -> pb::InferParameter {
     pb::InferParameter {
         parameter_choice: Some(choice),
     }
 }
 
-/// A request with one tensor of 3 numbers and whole-number parameters.
+/// A request with a tensor of three numbers and integer parameters.
 pub fn request(function: &str, id: &str, parameters: &[(&str, i64)]) -> pb::ModelInferRequest {
     use pb::infer_parameter::ParameterChoice::Int64Param;
     let input = pb::model_infer_request::InferInputTensor {
@@ -34,10 +34,10 @@
     }
 }
 
-/// Whether a piece is its call's last.
-pub fn is_last(piece: &pb::ModelStreamInferResponse) -> bool {
+/// Whether a streamed message is the last of its call.
+pub fn is_last(message: &pb::ModelStreamInferResponse) -> bool {
     use pb::infer_parameter::ParameterChoice::BoolParam;
-    let flag = piece
+    let flag = message
         .infer_response
         .as_ref()
         .and_then(|response| response.parameters.get("triton_final_response"));
@@ -47,16 +47,16 @@
     )
 }
 
-/// The id that a piece carries.
-pub fn id(piece: &pb::ModelStreamInferResponse) -> &str {
-    piece
+/// The request id in a streamed message.
+pub fn id(message: &pb::ModelStreamInferResponse) -> &str {
+    message
         .infer_response
         .as_ref()
         .map_or("", |response| response.id.as_str())
 }
 
-/// The server's advice when to call again, as a status carries it.
+/// The retry pushback in the metadata of a status.
 pub fn retry_pushback(status: &tonic::Status) -> Option<&str> {
-    let advice = status.metadata().get("grpc-retry-pushback-ms")?;
-    advice.to_str().ok()
+    let pushback = status.metadata().get("grpc-retry-pushback-ms")?;
+    pushback.to_str().ok()
 }
--- a/tests/path/src/peer.rs
+++ b/tests/path/src/peer.rs
@@ -1,4 +1,4 @@
-//! A peer that speaks HTTP/2 frame by frame, as no library would: it does what its script says, and nothing else.
+//! Scripted peers that write and read HTTP/2 frame by frame, for behaviour that no HTTP/2 library has.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -19,21 +19,21 @@
 /// A frame with its payload.
 #[derive(Debug, Clone)]
 pub struct Frame {
-    /// Its type.
+    /// The frame type.
     pub kind: u8,
-    /// Its flags.
+    /// The frame's flags.
     pub flags: u8,
-    /// Its stream.
+    /// The stream id.
     pub stream: u32,
-    /// Its payload.
+    /// The payload.
     pub payload: Vec<u8>,
 }
 
-/// One connection of a peer.
+/// A connection of a peer.
 pub struct Http2Connection(TcpStream);
 
 impl Http2Connection {
-    /// Of a connection that stands; reads give up after 5 s.
+    /// Wraps an established connection, with a read timeout of 5 s.
     pub fn new(socket: TcpStream) -> Http2Connection {
         socket
             .set_read_timeout(Some(Duration::from_secs(5)))
@@ -46,16 +46,16 @@
     pub fn send(&mut self, kind: u8, flags: u8, stream: u32, payload: &[u8]) {
         let length = (payload.len() as u32).to_be_bytes();
         let frame = [&length[1..], &[kind, flags], &stream.to_be_bytes(), payload].concat();
-        // The other side may have gone; the script's next read shows it.
+        // Fails if the other side has closed the connection; the script's next read then returns `None`.
         let _ = self.0.write_all(&frame);
     }
 
-    /// Sends bytes as they are.
+    /// Sends raw bytes.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         let _ = self.0.write_all(bytes);
     }
 
-    /// The next frame; none: the connection ended.
+    /// Reads the next frame. Returns `None` if the connection has ended or the read times out.
     pub fn frame(&mut self) -> Option<Frame> {
         let mut head = [0; 9];
         self.0.read_exact(&mut head).ok()?;
@@ -71,7 +71,8 @@
         })
     }
 
-    /// The streams of the next `count` requests that are whole, settings acknowledged on the way.
+    /// Reads until `count` requests are complete, and returns their streams. Acknowledges SETTINGS and PING. Returns fewer streams if
+    /// the connection ends.
     pub fn requests(&mut self, count: usize) -> Vec<u32> {
         let mut streams = Vec::new();
         while streams.len() < count {
@@ -93,7 +94,7 @@
         self.send(kind::RST_STREAM, 0, stream, &code.to_be_bytes());
     }
 
-    /// GOAWAY with the last stream that was taken.
+    /// Sends GOAWAY with code NO_ERROR and the last stream that is processed.
     pub fn goaway(&mut self, last: u32) {
         self.send(
             kind::GOAWAY,
@@ -103,25 +104,25 @@
         );
     }
 
-    /// Response headers.
+    /// Sends response headers.
     pub fn headers(&mut self, stream: u32) {
         let block = [&[0x88][..], &literal("content-type", "application/grpc")].concat();
         self.send(kind::HEADERS, 4, stream, &block);
     }
 
-    /// A message, framed.
+    /// Sends a message with its gRPC frame header.
     pub fn message(&mut self, stream: u32, message: &[u8]) {
         let head = [&[0][..], &(message.len() as u32).to_be_bytes()].concat();
         self.send(kind::DATA, 0, stream, &[&head, message].concat());
     }
 
-    /// Trailers that end a stream.
+    /// Sends trailers, which end the stream.
     pub fn trailers(&mut self, stream: u32, fields: &[(&str, &str)]) {
         let block: Vec<u8> = fields.iter().flat_map(|(k, v)| literal(k, v)).collect();
         self.send(kind::HEADERS, 5, stream, &block);
     }
 
-    /// A whole unary answer.
+    /// Sends a complete unary answer.
     pub fn answer(&mut self, stream: u32) {
         self.headers(stream);
         // ModelInferResponse with model_name "echo".
@@ -130,7 +131,7 @@
     }
 }
 
-/// A header field, literal without indexing, no Huffman code (RFC 7541, section 6.2.2).
+/// A header field as a literal without indexing and without Huffman coding (RFC 7541, section 6.2.2).
 pub fn literal(name: &str, value: &str) -> Vec<u8> {
     let text = |text: &str| {
         [
@@ -142,15 +143,15 @@
     [vec![0], text(name), text(value)].concat()
 }
 
-/// A worker by script: called with each connection's number and its wire, after the preface and settings.
+/// A scripted worker.
 pub struct ScriptedWorker {
-    /// Where it listens.
+    /// The address of the worker.
     pub address: SocketAddr,
-    /// What the script reports.
+    /// Reports of the script.
     pub reports: mpsc::Receiver<String>,
 }
 
-/// Starts a worker by script.
+/// Starts a scripted worker. The script is called for each connection, after the preface and SETTINGS, with the connection's number.
 pub fn worker(
     mut script: impl FnMut(usize, Http2Connection, &mpsc::Sender<String>) + Send + 'static,
 ) -> ScriptedWorker {
@@ -160,27 +161,27 @@
     std::thread::spawn(move || {
         for (number, socket) in listener.incoming().enumerate() {
             let Ok(socket) = socket else { return };
-            let mut wire = Http2Connection::new(socket);
+            let mut connection = Http2Connection::new(socket);
             let mut preface = [0; 24];
-            if wire.0.read_exact(&mut preface).is_err() {
+            if connection.0.read_exact(&mut preface).is_err() {
                 continue;
             }
-            wire.send(kind::SETTINGS, 0, 0, &[]);
-            script(number, wire, &reporter);
+            connection.send(kind::SETTINGS, 0, 0, &[]);
+            script(number, connection, &reporter);
         }
     });
     ScriptedWorker { address, reports }
 }
 
-/// A client by script: the connection after preface and settings.
+/// Connects a scripted client, and sends the preface and SETTINGS.
 pub fn client(address: SocketAddr) -> Http2Connection {
-    let mut wire = Http2Connection::new(TcpStream::connect(address).expect("a connection"));
-    wire.send_bytes(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
-    wire.send(kind::SETTINGS, 0, 0, &[]);
-    wire
+    let mut connection = Http2Connection::new(TcpStream::connect(address).expect("a connection"));
+    connection.send_bytes(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
+    connection.send(kind::SETTINGS, 0, 0, &[]);
+    connection
 }
 
-/// The header block of a gRPC request, with further fields.
+/// The header block of a gRPC request, with additional fields.
 pub fn request_block(path: &str, more: &[(&str, &str)]) -> Vec<u8> {
     let fields = [
         (":method", "POST"),
--- a/tests/path/src/scoped_fleet.rs
+++ b/tests/path/src/scoped_fleet.rs
@@ -1,6 +1,6 @@
-//! A fleet that agrees on functions one by one: a voter, a front end beside it, and a worker.
+//! A fleet that agrees on functions one by one: a voter, another front end, and a worker.
 
-use crate::{settings_of_echo, until, FleetMember, GatewayThread, ListedWorker, Workers};
+use crate::{settings_of_echo, wait_until, FleetMember, GatewayThread, ListedWorker, Workers};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use tansy_agreement::compatibility::Fields;
@@ -12,20 +12,20 @@
 use tansy_test_support::address::ReservedAddress;
 use tansy_test_support::folder::TestFolder;
 
-/// Functions of the worker beside `echo`, which the settings name.
+/// The worker's functions that the settings don't name; `echo` is the one that they name.
 pub const SCOPED_FUNCTIONS: [&str; 8] = ["a0", "a1", "a2", "a3", "a4", "b0", "b1", "b2"];
 
-/// A voter, a front end beside it, and a worker.
+/// A voter, another front end, and a worker.
 pub struct ScopedFleet {
-    /// The front end that keeps the agreed log.
+    /// The front end that is the fleet's only voter.
     pub voter: GatewayThread,
     /// The other front end.
     pub front_end: GatewayThread,
-    /// The worker of both.
+    /// The worker of both front ends.
     pub workers: Workers,
-    /// The settings of both.
+    /// The settings of both front ends.
     pub settings: String,
-    /// The voter's file, and files of the test.
+    /// The folder for the voter's state and for files of the test.
     pub folder: TestFolder,
     voter_address: ReservedAddress,
     client: Client,
@@ -33,7 +33,7 @@
 }
 
 impl ScopedFleet {
-    /// Starts a fleet of this name, and waits until both front ends take calls.
+    /// Starts a fleet, and waits until both front ends take calls.
     pub fn start(name: &str) -> ScopedFleet {
         let folder = TestFolder::new(&format!("scoped-{name}")).expect("a folder");
         let voter_address = ReservedAddress::on([127, 0, 0, 1]).expect("a port");
@@ -56,16 +56,16 @@
             client: Client::new().expect("a client"),
             transactions: 0,
         };
-        fleet.both().into_iter().for_each(wait_until_it_takes_calls);
+        fleet.both().into_iter().for_each(wait_until_ready);
         fleet
     }
 
-    /// The voter and the other front end.
+    /// Both front ends, the voter first.
     pub fn both(&self) -> [&GatewayThread; 2] {
         [&self.voter, &self.front_end]
     }
 
-    /// Changes these functions and waits until that is in force; no fields: removes them.
+    /// Sets these functions, or removes them if `fields` is `None`, and waits until the change is in force.
     pub fn set(&mut self, names: &[&str], fields: Option<&Fields>) {
         self.transactions += 1;
         let mut updates = Vec::new();
@@ -86,33 +86,35 @@
         self.wait_until_in_force(transaction.id, names.len() as u32);
     }
 
-    /// Enters a transaction, by its id the same one each time, until the voter accepts it.
+    /// Sends an entry until the voter accepts it. The transaction's id makes repeats harmless.
     fn enter(&mut self, entry: Entry) {
         let voter = self.voter_address.address();
-        until("the voter accepts it", || {
+        wait_until("the voter accepts the entry", || {
             match self.client.enter(voter, entry.clone()) {
                 Ok(_) => true,
-                Err(error) if is_lost_lead(&error.to_string()) => false,
-                Err(error) => panic!("it is entered: {error}"),
+                Err(error) if is_lost_leadership(&error.to_string()) => false,
+                Err(error) => panic!("the entry is rejected: {error}"),
             }
         });
     }
 
-    /// The revision of a function that is known, or zero.
+    /// The revision of a function, or zero if the voter does not know it.
     fn revision(&mut self, name: &str) -> Revision {
         let request = pb::FunctionsRequest {
             names: vec![name.to_string()],
             ..Default::default()
         };
         let reply = self.client.functions(self.voter_address.address(), request);
-        let known = reply.expect("the voter answers").functions;
-        let record = known.into_iter().find_map(|function| function.record);
-        record.map_or(Revision(0), |r| of_scoped(r).expect("it reads").revision)
+        let functions = reply.expect("the voter answers").functions;
+        let record = functions.into_iter().find_map(|function| function.record);
+        record.map_or(Revision(0), |r| {
+            of_scoped(r).expect("a valid record").revision
+        })
     }
 
     fn wait_until_in_force(&mut self, transaction: u64, functions: u32) {
         let voter = self.voter_address.address();
-        until("it is in force", || {
+        wait_until("the transaction is in force", || {
             let request = pb::FunctionsRequest {
                 id: transaction,
                 ..Default::default()
@@ -124,9 +126,9 @@
     }
 }
 
-/// Whether an entry is rejected because the voter, whose process was held up by a busy machine, has lost its lead or has just
-/// gained it again and not heard from the other front end yet.
-fn is_lost_lead(rejection: &str) -> bool {
+/// Whether an entry was rejected because the voter, delayed by a busy machine, has lost its leadership, or has just regained it and not
+/// heard from the other front end yet.
+fn is_lost_leadership(rejection: &str) -> bool {
     rejection.contains("does not lead the fleet") || rejection.contains("ask again in a moment")
 }
 
@@ -146,9 +148,9 @@
     GatewayThread::start_in_fleet(settings, workers, member)
 }
 
-/// Until it holds a lease and a session, and knows the worker.
-fn wait_until_it_takes_calls(gateway: &GatewayThread) {
-    until("it takes calls", || {
+/// Waits until a front end holds a lease and a session, and knows the worker.
+fn wait_until_ready(gateway: &GatewayThread) {
+    wait_until("the front end takes calls", || {
         gateway.with(|gateway| {
             gateway
                 .driver()
--- a/tests/path/src/worker_list.rs
+++ b/tests/path/src/worker_list.rs
@@ -1,13 +1,13 @@
-//! The file in which a gateway of a test finds its workers.
+//! The worker list file of a test's gateway.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Numbers files and their texts, so that no two are alike.
-static NEXT: AtomicU64 = AtomicU64::new(0);
+/// The next number for a file name or for the comment in a file, so that no two are equal.
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
 
-/// A worker as the file lists it.
+/// A worker's entry in the file.
 #[derive(Debug, Clone)]
 pub struct ListedWorker {
     name: String,
@@ -16,7 +16,7 @@
 }
 
 impl ListedWorker {
-    /// A worker that takes calls.
+    /// An entry for a worker that takes calls.
     pub fn ready(name: &str, address: SocketAddr) -> ListedWorker {
         ListedWorker {
             name: name.into(),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// A worker that ends its calls and takes no new ones.
+    /// An entry for a worker that finishes its calls and takes no new ones.
     pub fn draining(name: &str, address: SocketAddr) -> ListedWorker {
         ListedWorker {
             state: "draining",
@@ -34,15 +34,15 @@
     }
 }
 
-/// A file that lists workers. It is removed when the value is dropped.
+/// A worker list file, removed when the value is dropped.
 pub struct WorkerListFile {
     path: PathBuf,
 }
 
 impl WorkerListFile {
-    /// Writes a file of its own.
+    /// Writes a new file.
     pub fn write(workers: &[ListedWorker]) -> WorkerListFile {
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
         let name = format!("tansy-path-{}-{number}.cue", std::process::id());
         let path = std::env::temp_dir().join(name);
         let file = WorkerListFile { path };
@@ -50,17 +50,17 @@
         file
     }
 
-    /// Its path.
+    /// The path of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Replaces the list as a whole: nobody reads half of it.
+    /// Replaces the file atomically, so that no reader sees half of it.
     pub fn replace(&self, workers: &[ListedWorker]) {
-        let fresh = self.path.with_extension("new");
-        std::fs::write(&fresh, text(workers))
-            .and_then(|()| std::fs::rename(&fresh, &self.path))
-            .expect("the list can be written");
+        let temporary = self.path.with_extension("new");
+        std::fs::write(&temporary, text(workers))
+            .and_then(|()| std::fs::rename(&temporary, &self.path))
+            .expect("the worker list is written");
     }
 }
 
@@ -70,12 +70,13 @@
     }
 }
 
+/// The text of the file. A unique comment makes every text differ from the one before.
 fn text(workers: &[ListedWorker]) -> String {
     let entry = |worker: &ListedWorker| {
         let (name, address, state) = (&worker.name, worker.address, worker.state);
         format!("{{name: \"{name}\", address: \"{address}\", state: \"{state}\"}}")
     };
     let entries: Vec<String> = workers.iter().map(entry).collect();
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     format!("workers: [{}] // {number}\n", entries.join(", "))
 }
--- a/tests/path/src/workers.rs
+++ b/tests/path/src/workers.rs
@@ -1,4 +1,4 @@
-//! Stand-in workers on a thread of their own.
+//! Stand-in workers on a separate thread.
 
 use crate::worker_list::ListedWorker;
 use calloop::EventLoop;
@@ -12,20 +12,20 @@
 
 type Job = Box<dyn FnOnce(&[Rc<Standin>]) + Send>;
 
-/// Stand-in workers on a thread of their own.
+/// Stand-in workers on a separate thread, which ends when this value is dropped.
 pub struct Workers {
-    /// Their addresses.
+    /// The addresses of the workers.
     pub addresses: Vec<SocketAddr>,
     jobs: mpsc::Sender<Job>,
 }
 
 impl Workers {
-    /// Starts so many.
+    /// Starts `count` workers with the functions of [`crate::SETTINGS`].
     pub fn start(count: usize) -> Workers {
         Workers::with_functions(count, &["echo", "keyed", "post"])
     }
 
-    /// Starts so many that run these functions.
+    /// Starts `count` workers with these functions.
     pub fn with_functions(count: usize, functions: &[&str]) -> Workers {
         let functions: Vec<String> = functions.iter().map(|name| name.to_string()).collect();
         let (jobs, queue) = mpsc::channel::<Job>();
@@ -41,11 +41,11 @@
             let workers: Vec<Rc<Standin>> = (0..count).map(start).collect();
             started
                 .send(workers.iter().map(|worker| worker.address()).collect())
-                .expect("the test waits");
+                .expect("the test waits for the addresses");
             loop {
                 event_loop
                     .dispatch(Some(Duration::from_millis(2)), &mut ())
-                    .expect("the loop turns");
+                    .expect("the loop dispatches events");
                 loop {
                     match queue.try_recv() {
                         Ok(job) => job(&workers),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// All of them as a gateway's list has them, `w0` first, ready.
+    /// The entries of all workers for a worker list: `w0`, `w1` and so on, all ready.
     pub fn listed(&self) -> Vec<ListedWorker> {
         let addresses = self.addresses.iter().enumerate();
         addresses
@@ -69,7 +69,7 @@
             .collect()
     }
 
-    /// Does something with the workers on their thread, and gives what it gives.
+    /// Runs a job with the workers on their thread, and returns its result.
     pub fn with<T: Send + 'static>(
         &self,
         job: impl FnOnce(&[Rc<Standin>]) -> T + Send + 'static,
@@ -80,16 +80,16 @@
         result.recv().expect("the workers run")
     }
 
-    /// Sets a fault at all of them.
-    pub fn fault(&self, word: &'static str) {
+    /// Sets a fault at all workers.
+    pub fn fault(&self, fault: &'static str) {
         self.with(move |workers| {
             for worker in workers {
-                worker.faults.set(word).expect("a fault");
+                worker.faults.set(fault).expect("a known fault");
             }
         });
     }
 
-    /// Calls that began to run at each.
+    /// For each worker, the number of calls that started to run.
     pub fn ran(&self) -> Vec<u64> {
         self.with(|workers| {
             workers
--- a/tests/path/tests/abuse.rs
+++ b/tests/path/tests/abuse.rs
@@ -1,4 +1,4 @@
-//! Clients that do what no client should.
+//! Malformed, oversized, slow and idle clients: each affects only its own call or connection.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -13,7 +13,7 @@
     (GatewayThread::start(settings, &workers.listed()), workers)
 }
 
-fn still_serves(gateway: &GatewayThread) {
+fn check_still_serves(gateway: &GatewayThread) {
     run(async {
         let mut client = gateway.client().await;
         assert_eq!(
@@ -29,8 +29,8 @@
     gateway.account().check();
 }
 
-/// Reads until the other side ends; fails if it does not within 10 s.
-fn ended(socket: &mut TcpStream) {
+/// Reads until the other side closes the connection; panics if a read takes longer than 10 s.
+fn wait_until_closed(socket: &mut TcpStream) {
     socket
         .set_read_timeout(Some(Duration::from_secs(10)))
         .unwrap();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn garbage_ends_its_connection_only() {
+fn garbage_closes_only_its_own_connection() {
     let (gateway, _workers) = start(SETTINGS);
     for garbage in [
         &b"GET / HTTP/1.1\r\n\r\n"[..],
@@ -55,27 +55,27 @@
     ] {
         let mut socket = TcpStream::connect(gateway.grpc).unwrap();
         socket.write_all(garbage).unwrap();
-        ended(&mut socket);
+        wait_until_closed(&mut socket);
     }
-    still_serves(&gateway);
+    check_still_serves(&gateway);
 }
 
 #[test]
-fn a_preface_that_is_never_finished_is_not_waited_for() {
+fn an_incomplete_preface_times_out() {
     let (gateway, _workers) = start(&format!("{SETTINGS}\nfront: preface: 100ms\n"));
     let mut socket = TcpStream::connect(gateway.grpc).unwrap();
     socket.write_all(b"PRI * HTTP").unwrap();
-    let began = Instant::now();
-    ended(&mut socket);
-    assert!(began.elapsed() < Duration::from_secs(5));
-    still_serves(&gateway);
+    let started = Instant::now();
+    wait_until_closed(&mut socket);
+    assert!(started.elapsed() < Duration::from_secs(5));
+    check_still_serves(&gateway);
 }
 
 #[test]
 fn a_huge_header_is_refused_and_the_connection_goes_on() {
     let (gateway, workers) = start(SETTINGS);
     let mut connection = peer::client(gateway.grpc);
-    // 200 fields of 200 bytes: 40 KB, over the 16 KiB allowed, in continuation frames.
+    // 250 fields with values of 120 bytes: over 30 KB in CONTINUATION frames, where 16 KiB are allowed.
     let value = "v".repeat(120);
     let more: Vec<(String, String)> = (0..250)
         .map(|n| (format!("x-{n}"), value.clone()))
@@ -87,7 +87,7 @@
         let end = if number + 1 == chunks.len() { 4 } else { 0 };
         connection.send(if number == 0 { kind::HEADERS } else { 9 }, end, 1, chunk);
     }
-    // Answered by an error of HTTP, a reset or the end of the connection: never by a call.
+    // The answer is an HTTP error, a reset or the end of the connection; the call never runs.
     let mut answered = false;
     while let Some(frame) = connection.frame() {
         if frame.stream == 1 || frame.kind == kind::GOAWAY {
@@ -97,11 +97,11 @@
     }
     assert!(answered);
     assert_eq!(workers.ran(), [0]);
-    still_serves(&gateway);
+    check_still_serves(&gateway);
 }
 
 #[test]
-fn a_message_of_a_hundred_megabytes_is_refused_before_it_is_held() {
+fn a_message_of_a_hundred_megabytes_is_refused_before_it_is_buffered() {
     let (gateway, workers) = start(SETTINGS);
     run(async {
         let mut client = gateway.client().await.max_encoding_message_size(usize::MAX);
@@ -119,7 +119,7 @@
         );
     });
     assert_eq!(workers.ran(), [0]);
-    still_serves(&gateway);
+    check_still_serves(&gateway);
 }
 
 #[test]
@@ -127,7 +127,7 @@
     let (gateway, workers) = start(SETTINGS);
     let mut connection = peer::client(gateway.grpc);
     connection.send(kind::HEADERS, 4, 1, &peer::request_block(INFER, &[]));
-    // A field 5 whose length runs over the message's end.
+    // Field 5 with a length beyond the end of the message.
     connection.send(kind::DATA, 1, 1, b"\x00\x00\x00\x00\x03\x2a\x7f\x00");
     loop {
         let frame = connection.frame().expect("an answer");
@@ -137,7 +137,7 @@
         }
     }
     assert_eq!(workers.ran(), [0]);
-    still_serves(&gateway);
+    check_still_serves(&gateway);
     assert_eq!(gateway.account().get("taken"), 1);
 }
 
@@ -151,7 +151,7 @@
         1,
         &peer::request_block("/inference.GRPCInferenceService/ModelStreamInfer", &[]),
     );
-    // ModelInferRequest: echo, pieces = 100000, one raw input of 30,000 bytes: 3 GB if all of it were read.
+    // A ModelInferRequest for echo with pieces = 100000 and a raw input of 30,000 bytes: 3 GB of responses in total.
     let raw = vec![7u8; 30_000];
     let length = [0xb0u8, 0xea, 0x01];
     let message = [
@@ -166,8 +166,8 @@
     for part in all.chunks(16_000) {
         connection.send(kind::DATA, 0, 1, part);
     }
-    // It has sent its call and reads nothing; others are served meanwhile.
-    tansy_path_tests::until("its call runs", || workers.ran()[0] > 0);
+    // While this client reads nothing, other calls are served.
+    tansy_path_tests::wait_until("the call runs", || workers.ran()[0] > 0);
     run(async {
         let mut client = gateway.client().await;
         for _ in 0..40 {
@@ -177,10 +177,10 @@
                 .unwrap();
         }
     });
-    let pieces = gateway.peek().get("pieces");
+    let pieces = gateway.last_account().get("pieces");
     assert!(
         pieces < 200,
-        "{pieces} pieces of 30 KB wait for a client that reads none"
+        "{pieces} responses of 30 KB are buffered for a client that reads none"
     );
     drop(connection);
     let account = gateway.account();
@@ -195,13 +195,13 @@
 }
 
 #[test]
-fn ten_thousand_idle_connections_leave_room_for_one_that_calls() {
-    // Both ends are in this process.
+fn calls_are_served_beside_ten_thousand_idle_connections() {
+    // This process has both ends of each connection, so that each takes two descriptors.
     let allowed = rlimit::increase_nofile_limit(30_000).unwrap_or(1024);
     let count = 10_000.min(allowed.saturating_sub(200) / 2) as usize;
     let (gateway, _workers) = start(SETTINGS);
     let idle: Vec<peer::Http2Connection> = (0..count).map(|_| peer::client(gateway.grpc)).collect();
-    still_serves(&gateway);
+    check_still_serves(&gateway);
     assert_eq!(idle.len(), count);
     assert!(count >= 400, "only {allowed} descriptors allowed");
 }
--- a/tests/path/tests/failures.rs
+++ b/tests/path/tests/failures.rs
@@ -1,4 +1,4 @@
-//! What fails, and what is said of it.
+//! Failures of workers, connections and clients, and the status that each call gets.
 
 #[path = "failures/unsafe_calls.rs"]
 mod unsafe_calls;
@@ -7,22 +7,22 @@
 use std::time::Duration;
 use tansy_path_tests::peer::{self, Http2Connection};
 use tansy_path_tests::{
-    id, is_last, request, run, start, until, GatewayThread, ListedWorker, SETTINGS,
+    id, is_last, request, run, start, wait_until, GatewayThread, ListedWorker, SETTINGS,
 };
 use tokio_stream::StreamExt;
 use tonic::Code;
 
-/// Settings for scripted peers, which know of no load requests and probes.
+/// Settings for scripted workers, which support neither load requests nor probes.
 fn settings_without_control() -> String {
     format!("{SETTINGS}\nworker: {{may_order: false, may_probe: false}}\n")
 }
 
 #[test]
-fn a_worker_silent_halfway_through_a_stream_ends_the_call_and_the_stream_lives_on() {
+fn a_worker_that_falls_silent_during_a_call_fails_the_call_and_not_the_stream() {
     let (gateway, workers) = start(1);
     run(async {
         let mut client = gateway.client().await;
-        // Connected and loaded before, so that the call's short time goes to its answer alone, on a busy machine too.
+        // Connects and loads first, so that the short timeout below covers only the answer, even on a busy machine.
         client
             .model_infer(request("echo", "warm", &[]))
             .await
@@ -30,7 +30,7 @@
         workers.fault("silent-after=2");
         let (sender, calls) = tokio::sync::mpsc::unbounded_channel();
         let calls = tokio_stream::wrappers::UnboundedReceiverStream::new(calls);
-        let mut pieces = client.model_stream_infer(calls).await.unwrap().into_inner();
+        let mut messages = client.model_stream_infer(calls).await.unwrap().into_inner();
         sender
             .send(request(
                 "echo",
@@ -40,9 +40,9 @@
             .unwrap();
         let mut received = Vec::new();
         loop {
-            let piece = pieces.next().await.unwrap().unwrap();
-            received.push((piece.error_message.clone(), is_last(&piece)));
-            if is_last(&piece) {
+            let message = messages.next().await.unwrap().unwrap();
+            received.push((message.error_message.clone(), is_last(&message)));
+            if is_last(&message) {
                 break;
             }
         }
@@ -53,9 +53,13 @@
         );
         workers.fault("clear");
         sender.send(request("echo", "again", &[])).unwrap();
-        let piece = pieces.next().await.unwrap().unwrap();
+        let message = messages.next().await.unwrap().unwrap();
         assert_eq!(
-            (id(&piece), piece.error_message.as_str(), is_last(&piece)),
+            (
+                id(&message),
+                message.error_message.as_str(),
+                is_last(&message)
+            ),
             ("again", "", true)
         );
     });
@@ -65,18 +69,18 @@
 }
 
 #[test]
-fn a_cut_after_the_last_piece_and_before_the_trailers_is_a_call_served_once() {
+fn a_call_that_is_cut_between_its_last_message_and_the_trailers_is_served_once() {
     let (gateway, workers) = start(1);
     workers.fault("cut-after=3");
     run(async {
         let mut client = gateway.client().await;
         let call = vec![request("post", "p", &[("pieces", 3)])];
-        let pieces = client
+        let messages = client
             .model_stream_infer(tokio_stream::iter(call))
             .await
             .unwrap()
             .into_inner();
-        let all: Vec<_> = pieces.map(|p| p.unwrap()).collect().await;
+        let all: Vec<_> = messages.map(|p| p.unwrap()).collect().await;
         assert_eq!(all.len(), 3, "{all:?}");
         assert!(is_last(&all[2]) && all.iter().all(|p| p.error_message.is_empty()));
     });
@@ -87,7 +91,7 @@
 }
 
 #[test]
-fn a_cancel_that_crosses_the_last_piece_counts_once() {
+fn a_cancel_that_crosses_the_last_message_is_counted_once() {
     let (gateway, workers) = start(1);
     run(async {
         let mut client = gateway.client().await;
@@ -99,14 +103,14 @@
             let mut client = client.clone();
             let call = async move {
                 let call = vec![request("echo", "x", &[("pieces", 2)])];
-                let mut pieces = client
+                let mut messages = client
                     .model_stream_infer(tokio_stream::iter(call))
                     .await
                     .unwrap()
                     .into_inner();
-                while pieces.next().await.is_some() {}
+                while messages.next().await.is_some() {}
             };
-            // Around the time that such a call takes: before, at and after its last piece.
+            // Around the duration of such a call: before, at and after its last message.
             let _ = tokio::time::timeout(Duration::from_micros(500 + round * 40), call).await;
         }
     });
@@ -121,13 +125,13 @@
         0,
         "{account:?}"
     );
-    until("the worker is idle", || {
+    wait_until("the worker is idle", || {
         workers.with(|w| w.iter().all(|w| w.calls_in_flight() == 0))
     });
 }
 
 #[test]
-fn a_client_that_goes_away_leaves_nothing_behind() {
+fn a_call_whose_client_disconnects_is_counted_as_departed() {
     let (gateway, _workers) = start(1);
     run(async {
         let mut client = gateway.client().await;
@@ -139,39 +143,39 @@
     assert_eq!(account.get("departed"), 1);
 }
 
-/// A scripted worker that does something to its first connection's requests and answers all later ones.
+/// A scripted worker: `script` handles the first requests of its first connection; requests on later connections are answered.
 fn worker_with_faulty_start(
     requests: usize,
     script: impl Fn(&mut Http2Connection, &[u32]) + Send + 'static,
 ) -> peer::ScriptedWorker {
-    peer::worker(move |connection, mut wire, reports: &Sender<String>| {
-        if connection == 0 {
-            let streams = wire.requests(requests);
+    peer::worker(move |number, mut connection, reports: &Sender<String>| {
+        if number == 0 {
+            let streams = connection.requests(requests);
             let _ = reports.send(format!("first {}", streams.len()));
-            script(&mut wire, &streams);
+            script(&mut connection, &streams);
             return;
         }
         loop {
-            let streams = wire.requests(1);
+            let streams = connection.requests(1);
             if streams.is_empty() {
                 return;
             }
             let _ = reports.send("again".into());
-            streams.iter().for_each(|stream| wire.answer(*stream));
+            streams.iter().for_each(|stream| connection.answer(*stream));
         }
     })
 }
 
 #[test]
-fn goaway_with_streams_above_and_below() {
-    let (go, wait) = std::sync::mpsc::channel::<()>();
-    let worker = worker_with_faulty_start(2, move |wire, streams| {
-        wait.recv().expect("the test says when");
-        wire.goaway(streams[0]);
+fn goaway_repeats_only_the_unsafe_call_above_its_last_stream() {
+    let (send_goaway, wait) = std::sync::mpsc::channel::<()>();
+    let worker = worker_with_faulty_start(2, move |connection, streams| {
+        wait.recv().expect("the test sends the signal");
+        connection.goaway(streams[0]);
     });
-    let good = worker_with_faulty_start(0, |wire, _| {
-        while let [stream] = wire.requests(1)[..] {
-            wire.answer(stream);
+    let good = worker_with_faulty_start(0, |connection, _| {
+        while let [stream] = connection.requests(1)[..] {
+            connection.answer(stream);
         }
     });
     let gateway = GatewayThread::start(
@@ -186,34 +190,34 @@
             let call = async move { client.model_infer(request("post", id, &[])).await };
             tasks.spawn(async { call.await.map_or_else(|s| s.code(), |_| Code::Ok) });
         }
-        // Both are at the worker; another one is known; then the GOAWAY.
+        // GOAWAY is sent once both calls are at the worker and the gateway knows another worker.
         let mut first = None;
         while first.is_none() {
             first = worker.reports.try_recv().ok();
             tokio::task::yield_now().await;
         }
-        gateway.list(&[
+        gateway.set_workers(&[
             ListedWorker::ready("w", worker.address),
             ListedWorker::ready("good", good.address),
         ]);
-        while gateway.peek().get("workers") < 2 {
+        while gateway.last_account().get("workers") < 2 {
             tokio::task::yield_now().await;
         }
-        go.send(()).expect("the script waits");
+        send_goaway.send(()).expect("the script waits");
         tasks.join_all().await
     });
     codes.sort_by_key(|code| *code as i32);
     assert_eq!(
         codes,
         [Code::Ok, Code::Aborted],
-        "the one above is sent again, the one below may have run"
+        "the call above the last stream is sent again, the one below may have run"
     );
     gateway.account().check();
 }
 
 #[test]
 fn a_safe_call_is_sent_again_after_any_failure() {
-    let worker = worker_with_faulty_start(1, |wire, streams| wire.reset(streams[0], 2));
+    let worker = worker_with_faulty_start(1, |connection, streams| connection.reset(streams[0], 2));
     let gateway = GatewayThread::start(
         &settings_without_control(),
         &[ListedWorker::ready("w", worker.address)],
@@ -236,7 +240,7 @@
 }
 
 #[test]
-fn a_drain_while_calls_are_queued_is_kept_and_every_call_ends() {
+fn a_drain_while_calls_are_queued_is_respected_and_every_call_is_served() {
     let (gateway, workers) = start(2);
     run(async {
         let client = gateway.client().await;
@@ -245,15 +249,15 @@
             let mut client = client.clone();
             let mut call =
                 tonic::Request::new(request("echo", &number.to_string(), &[("work_ms", 20)]));
-            // It is not of interest here how fast the machine is.
+            // Long enough for a slow machine.
             call.set_timeout(Duration::from_secs(15));
             tasks.spawn(async move { client.model_infer(call).await });
         }
-        // Some are served, most still wait, when the drain is listed.
+        // The drain is listed when some calls are served and most still wait.
         for _ in 0..40 {
             tasks.join_next().await.unwrap().unwrap().unwrap();
         }
-        gateway.list(&[
+        gateway.set_workers(&[
             ListedWorker::draining("w0", workers.addresses[0]),
             ListedWorker::ready("w1", workers.addresses[1]),
         ]);
@@ -272,7 +276,7 @@
         assert_eq!(
             (after[0], after[1]),
             (before[0], before[1] + 50),
-            "nothing new to the worker that drains"
+            "the draining worker must get no new calls"
         );
     });
     let account = gateway.account();
--- a/tests/path/tests/failures/unsafe_calls.rs
+++ b/tests/path/tests/failures/unsafe_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that must not run twice, whose first attempt fails in every way.
+//! Unsafe calls whose first attempt fails: only those that can't have run are sent again.
 
 use crate::{settings_without_control, worker_with_faulty_start};
 use std::time::Duration;
@@ -6,9 +6,10 @@
 use tansy_path_tests::{request, run, GatewayThread, ListedWorker};
 use tonic::Code;
 
-/// The code of an unsafe call whose first attempt ended so, and how often a worker got it.
+/// Makes an unsafe call whose first attempt ends as `script` does. Returns its status code and its number of attempts.
 fn unsafe_call(script: impl Fn(&mut Http2Connection, u32) + Send + 'static) -> (Code, usize) {
-    let worker = worker_with_faulty_start(1, move |wire, streams| script(wire, streams[0]));
+    let worker =
+        worker_with_faulty_start(1, move |connection, streams| script(connection, streams[0]));
     let gateway = GatewayThread::start(
         &settings_without_control(),
         &[ListedWorker::ready("w", worker.address)],
@@ -24,32 +25,32 @@
     (code, worker.reports.try_iter().count())
 }
 
-/// Answers that say that the call did not run.
+/// Checks answers that prove that the call did not run.
 fn check_calls_known_not_to_have_run() {
-    let refused = unsafe_call(|wire, stream| {
-        wire.reset(stream, 7);
+    let refused = unsafe_call(|connection, stream| {
+        connection.reset(stream, 7);
         std::thread::sleep(Duration::from_millis(50));
     });
     assert_eq!(refused, (Code::Ok, 2), "REFUSED_STREAM");
-    let promised = unsafe_call(|wire, stream| {
-        wire.headers(stream);
-        wire.trailers(
+    let promised = unsafe_call(|connection, stream| {
+        connection.headers(stream);
+        connection.trailers(
             stream,
             &[("grpc-status", "14"), ("tansy-never-ran", "turned-away")],
         );
         std::thread::sleep(Duration::from_millis(50));
     });
-    assert_eq!(promised, (Code::Ok, 2), "the worker's promise");
-    let below = unsafe_call(|wire, _| wire.goaway(0));
+    assert_eq!(promised, (Code::Ok, 2), "the worker's tansy-never-ran");
+    let below = unsafe_call(|connection, _| connection.goaway(0));
     assert_eq!(below, (Code::Ok, 2), "GOAWAY below");
 }
 
-/// Connections that end, and streams that are reset, while the call may run.
-fn check_calls_that_were_cut() {
+/// Checks connections that end, and streams that are reset, while the call may be running.
+fn check_interrupted_calls() {
     assert_eq!(
-        unsafe_call(|wire, stream| wire.goaway(stream)),
+        unsafe_call(|connection, stream| connection.goaway(stream)),
         (Code::Aborted, 1),
-        "GOAWAY at our stream, then the end"
+        "GOAWAY at the call's stream, then a close"
     );
     assert_eq!(
         unsafe_call(|_, _| {}),
@@ -57,13 +58,13 @@
         "cut before headers"
     );
     assert_eq!(
-        unsafe_call(|wire, stream| wire.headers(stream)),
+        unsafe_call(|connection, stream| connection.headers(stream)),
         (Code::Aborted, 1),
         "cut after headers"
     );
-    let message = unsafe_call(|wire, stream| {
-        wire.headers(stream);
-        wire.message(stream, b"\x0a\x04echo");
+    let message = unsafe_call(|connection, stream| {
+        connection.headers(stream);
+        connection.message(stream, b"\x0a\x04echo");
     });
     assert_eq!(
         message,
@@ -72,57 +73,57 @@
     );
     for code in [0, 1, 2, 8, 11] {
         assert_eq!(
-            unsafe_call(move |wire, stream| wire.reset(stream, code)),
+            unsafe_call(move |connection, stream| connection.reset(stream, code)),
             (Code::Internal, 1),
             "RST with {code}"
         );
     }
 }
 
-/// Statuses that prove nothing, and the function's own.
+/// Checks statuses that don't prove that the call did not run, and a status of the function itself.
 fn check_calls_that_may_have_run() {
-    let after = unsafe_call(|wire, stream| {
-        wire.headers(stream);
-        wire.reset(stream, 7);
+    let after = unsafe_call(|connection, stream| {
+        connection.headers(stream);
+        connection.reset(stream, 7);
     });
     assert_eq!(
         after,
         (Code::Internal, 1),
         "REFUSED_STREAM after headers proves nothing"
     );
-    let status = unsafe_call(|wire, stream| {
-        wire.headers(stream);
-        wire.trailers(stream, &[("grpc-status", "14")]);
+    let status = unsafe_call(|connection, stream| {
+        connection.headers(stream);
+        connection.trailers(stream, &[("grpc-status", "14")]);
     });
     assert_eq!(
         status,
         (Code::Internal, 1),
-        "UNAVAILABLE without the promise"
+        "UNAVAILABLE without tansy-never-ran"
     );
-    let own = unsafe_call(|wire, stream| {
-        wire.headers(stream);
-        wire.trailers(stream, &[("grpc-status", "9"), ("grpc-message", "no")]);
+    let own = unsafe_call(|connection, stream| {
+        connection.headers(stream);
+        connection.trailers(stream, &[("grpc-status", "9"), ("grpc-message", "no")]);
     });
     assert_eq!(
         own,
         (Code::FailedPrecondition, 1),
-        "the function's own verdict"
+        "a status of the function itself"
     );
 }
 
-/// Answers that no worker should give.
+/// Checks answers that violate the protocol.
 fn check_invalid_answers() {
-    let twice = unsafe_call(|wire, stream| {
-        wire.headers(stream);
-        wire.message(stream, b"\x0a\x04echo");
-        wire.message(stream, b"\x0a\x04echo");
-        wire.trailers(stream, &[("grpc-status", "0")]);
+    let twice = unsafe_call(|connection, stream| {
+        connection.headers(stream);
+        connection.message(stream, b"\x0a\x04echo");
+        connection.message(stream, b"\x0a\x04echo");
+        connection.trailers(stream, &[("grpc-status", "0")]);
         std::thread::sleep(Duration::from_millis(50));
     });
     assert_eq!(twice, (Code::Internal, 1), "a worker that answers twice");
-    let bare = unsafe_call(|wire, stream| {
-        wire.headers(stream);
-        wire.send(
+    let bare = unsafe_call(|connection, stream| {
+        connection.headers(stream);
+        connection.send(
             peer::kind::DATA,
             1,
             stream,
@@ -131,15 +132,15 @@
         std::thread::sleep(Duration::from_millis(50));
     });
     assert_eq!(bare, (Code::Internal, 1), "no trailers");
-    let corrupt = unsafe_call(|wire, stream| {
-        wire.headers(stream);
-        wire.send(peer::kind::DATA, 0, stream, b"\x07\x00\x00\x00\x00");
+    let corrupt = unsafe_call(|connection, stream| {
+        connection.headers(stream);
+        connection.send(peer::kind::DATA, 0, stream, b"\x07\x00\x00\x00\x00");
         std::thread::sleep(Duration::from_millis(50));
     });
     assert_eq!(corrupt, (Code::Internal, 1), "a frame that is no message");
-    let empty = unsafe_call(|wire, stream| {
-        wire.headers(stream);
-        wire.trailers(stream, &[("grpc-status", "0")]);
+    let empty = unsafe_call(|connection, stream| {
+        connection.headers(stream);
+        connection.trailers(stream, &[("grpc-status", "0")]);
         std::thread::sleep(Duration::from_millis(50));
     });
     assert_eq!(empty, (Code::Internal, 1), "OK without an answer");
@@ -148,7 +149,7 @@
 #[test]
 fn an_unsafe_call_is_sent_again_only_if_it_is_known_not_to_have_run() {
     check_calls_known_not_to_have_run();
-    check_calls_that_were_cut();
+    check_interrupted_calls();
     check_calls_that_may_have_run();
     check_invalid_answers();
 }
--- a/tests/path/tests/scoped_fleet.rs
+++ b/tests/path/tests/scoped_fleet.rs
@@ -1,4 +1,4 @@
-//! Functions that a fleet agrees on one by one: a voter and a front end with real peers, an unmodified client, and a worker.
+//! Functions that a fleet agrees on one by one, with a voter and another front end on real sockets, an unmodified client and a worker.
 
 use rustix::process::Signal;
 use std::io::{Read, Write};
@@ -7,13 +7,15 @@
 use std::time::{Duration, Instant};
 use tansy_agreement::compatibility::{Fields, Value};
 use tansy_path_tests::scoped_fleet::{ScopedFleet, SCOPED_FUNCTIONS};
-use tansy_path_tests::{pb, request, retry_pushback, run, until, Account, Client, GatewayThread};
+use tansy_path_tests::{
+    pb, request, retry_pushback, run, wait_until, Account, Client, GatewayThread,
+};
 use tansy_test_support::fleet::{built_program, front_end_command};
 use tansy_test_support::process::ServerProcess;
 use tonic::{Code, Status};
 
-/// What the front end answers a first call in, at the longest.
-const FIRST_CALL: Duration = Duration::from_millis(490);
+/// Longest time to the answer to the first call of a function.
+const MAX_FIRST_CALL_TIME: Duration = Duration::from_millis(490);
 
 fn fields(class: &str, lanes: i64) -> Fields {
     let text = |text: &str| Value::Text(text.into());
@@ -26,13 +28,13 @@
     .into()
 }
 
-/// How a call ends, and after which time.
+/// Makes a call. Returns its result and its duration.
 fn call(gateway: &GatewayThread, function: &str) -> (Result<String, Status>, Duration) {
     run(async {
         let mut client = gateway.client().await;
-        let began = Instant::now();
-        let end = client.model_infer(request(function, "mine", &[])).await;
-        (end.map(|reply| reply.into_inner().id), began.elapsed())
+        let started = Instant::now();
+        let result = client.model_infer(request(function, "mine", &[])).await;
+        (result.map(|reply| reply.into_inner().id), started.elapsed())
     })
 }
 
@@ -43,7 +45,7 @@
 }
 
 #[test]
-fn a_fleet_that_agrees_on_no_function_by_itself_serves_as_before() {
+fn a_fleet_without_scoped_functions_serves_those_of_its_settings() {
     let fleet = ScopedFleet::start("bare");
     for gateway in fleet.both() {
         assert_eq!(
@@ -84,13 +86,15 @@
     })
 }
 
-/// Functions that are changed, removed, and set for the first time after they were called.
+/// Changes a function, removes one, and sets one that was called before it existed.
 fn check_changed_functions(fleet: &mut ScopedFleet) {
     fleet.set(&["a0"], Some(&fields("safe", 3)));
     fleet.set(&["a1"], None);
     fleet.set(&["b0"], Some(&fields("safe", 64)));
     for gateway in fleet.both() {
-        until("it has come as far", || code(gateway, "b0") == Code::Ok);
+        wait_until("the last change is in force", || {
+            code(gateway, "b0") == Code::Ok
+        });
         assert_eq!(
             [code(gateway, "a0"), code(gateway, "a1")],
             [Code::Ok, Code::NotFound]
@@ -100,10 +104,10 @@
 }
 
 #[test]
-fn the_first_call_of_a_function_is_served_once_the_seat_has_said_what_it_is() {
+fn the_first_call_of_a_function_is_served_once_the_voter_has_described_it() {
     let mut fleet = ScopedFleet::start("first");
     fleet.set(&SCOPED_FUNCTIONS[..5], Some(&fields("unsafe", 64)));
-    // The quickest of five first calls: a machine that is busy with other things may hold up one or another.
+    // The quickest of five first calls counts, as a busy machine may delay some of them.
     let first_call = |function: &&str| {
         let (end, took) = call(&fleet.front_end, function);
         assert_eq!(end.as_deref().ok(), Some("mine"), "{function}: {end:?}");
@@ -111,10 +115,10 @@
     };
     let calls = SCOPED_FUNCTIONS[..5].iter();
     let quickest = calls.map(first_call).min().expect("five");
-    assert!(quickest < FIRST_CALL, "{quickest:?}");
+    assert!(quickest < MAX_FIRST_CALL_TIME, "{quickest:?}");
     let ran: u64 = fleet.workers.ran().iter().sum();
     assert_eq!(ran, 5, "each ran once");
-    // The voter asks itself; what was not set is known not to be there; what the settings name is as it was.
+    // The voter serves scoped functions too; a function that was not set is not found; one of the settings is still served.
     assert_eq!(
         [code(&fleet.voter, "a0"), code(&fleet.voter, "a1")],
         [Code::Ok, Code::Ok]
@@ -125,9 +129,9 @@
             [Code::NotFound, Code::Ok]
         );
     }
-    // Whoever asks whether it is ready has it asked for.
+    // A request whether a function is ready starts its lookup.
     let ready = |name: &str| is_model_ready(&fleet.voter, name);
-    until("it is known", || ready("a2"));
+    wait_until("a2 is known", || ready("a2"));
     assert_eq!([ready("echo"), ready("nothing")], [true, false]);
     check_changed_functions(&mut fleet);
     for gateway in fleet.both() {
@@ -135,7 +139,7 @@
     }
 }
 
-/// Holds a gateway's thread up until the sender is dropped, as if its process were stopped.
+/// Blocks a gateway's thread until the returned sender is dropped, as if its process were stopped.
 fn suspend(gateway: &GatewayThread) -> mpsc::Sender<()> {
     let (resume, wait) = mpsc::channel();
     let (suspended, is_suspended) = mpsc::channel();
@@ -147,33 +151,33 @@
     resume
 }
 
-/// A first call that is refused with advice: after which time.
+/// Makes a first call that is refused with a retry pushback. Returns its duration.
 fn refused_first_call(gateway: &GatewayThread, function: &str) -> Duration {
     let (end, took) = call(gateway, function);
-    let status = end.expect_err("nobody says what it is");
-    let advice = retry_pushback(&status).and_then(|advice| advice.parse().ok());
-    let advice: i64 = advice.expect("advice");
+    let status = end.expect_err("the voter does not answer");
+    let pushback = retry_pushback(&status).and_then(|text| text.parse().ok());
+    let pushback: i64 = pushback.expect("a retry pushback");
     assert!(
-        status.code() == Code::Unavailable && advice > 0,
+        status.code() == Code::Unavailable && pushback > 0,
         "{status:?}"
     );
     took
 }
 
-/// A client that leaves while its call waits for the voter's answer.
-fn leave_while_waiting(gateway: &GatewayThread, function: &str) {
+/// Makes a call and disconnects while it waits for the voter's answer.
+fn disconnect_while_waiting(gateway: &GatewayThread, function: &str) {
     run(async {
         let mut client = gateway.client().await;
         tokio::select! {
-            end = client.model_infer(request(function, "x", &[])) => panic!("it waits: {end:?}"),
+            end = client.model_infer(request(function, "x", &[])) => panic!("the call does not wait: {end:?}"),
             () = gateway.until_call_is_pending() => {}
         }
     });
-    until("nothing waits", || gateway.pending_calls() == 0);
+    wait_until("no call waits", || gateway.pending_calls() == 0);
 }
 
 #[test]
-fn without_the_seat_what_is_held_is_served_and_a_first_call_is_refused_in_its_time() {
+fn without_the_voter_known_functions_are_served_and_a_first_call_is_refused_in_time() {
     let mut fleet = ScopedFleet::start("gone");
     fleet.set(&SCOPED_FUNCTIONS, Some(&fields("unsafe", 64)));
     let front_end = &fleet.front_end;
@@ -182,13 +186,13 @@
     let calls = SCOPED_FUNCTIONS[3..].iter();
     let quickest = calls.map(|function| refused_first_call(front_end, function));
     let quickest = quickest.min().expect("five");
-    assert!(quickest < FIRST_CALL, "{quickest:?}");
+    assert!(quickest < MAX_FIRST_CALL_TIME, "{quickest:?}");
     assert_eq!(code(front_end, "a0"), Code::Ok);
     let ran_before: u64 = fleet.workers.ran().iter().sum();
-    leave_while_waiting(front_end, "a1");
+    disconnect_while_waiting(front_end, "a1");
     drop(resume);
-    // The voter answers late for that one too, and then for this one.
-    until("it is served again", || code(front_end, "a2") == Code::Ok);
+    // The voter now answers the lookup of the abandoned call as well.
+    wait_until("a2 is served", || code(front_end, "a2") == Code::Ok);
     let account = front_end.account();
     account.check();
     assert_eq!(account.get("departed"), 1);
@@ -196,11 +200,11 @@
     assert_eq!(
         (ran, account.get("served")),
         (ran_before + 1, 3),
-        "nothing ran for who had left"
+        "the abandoned call must not run"
     );
 }
 
-/// Starts a third front end as a process.
+/// Starts a third front end of the fleet as a process.
 fn start_process(fleet: &ScopedFleet) -> ServerProcess {
     let settings = fleet.folder.write("f2.cue", &fleet.settings);
     let workers = format!(
@@ -218,22 +222,22 @@
 async fn connect(address: SocketAddr) -> Client {
     let channel = tonic::transport::Channel::from_shared(format!("http://{address}"));
     let channel = channel.expect("an address").connect().await;
-    Client::new(channel.expect("it takes connections"))
+    Client::new(channel.expect("the gateway accepts connections"))
 }
 
-fn account(side_port: SocketAddr) -> String {
-    let mut socket = TcpStream::connect(side_port).expect("the side port");
+fn account(http: SocketAddr) -> String {
+    let mut socket = TcpStream::connect(http).expect("a connection");
     socket
         .write_all(b"GET /account HTTP/1.1\r\nhost: t\r\nconnection: close\r\n\r\n")
-        .expect("it is taken");
+        .expect("the request is written");
     let mut text = String::new();
     let _ = socket.read_to_string(&mut text);
     text
 }
 
-/// Suspends the voter once this front end asks it about functions.
-async fn suspend_once_asked(client: &mut Client, voter: &GatewayThread) -> mpsc::Sender<()> {
-    // It acts, and knows that functions are agreed on one by one.
+/// Suspends the voter, again and again until a call at the front end waits for a lookup instead of ending with NOT_FOUND.
+async fn suspend_during_lookup(client: &mut Client, voter: &GatewayThread) -> mpsc::Sender<()> {
+    // Once `echo` is served, the front end holds a lease and a session.
     while client
         .model_infer(request("echo", "warm", &[]))
         .await
@@ -242,7 +246,7 @@
     loop {
         let resume = suspend(voter);
         let end = client.model_infer(request("a0", "mine", &[])).await;
-        // One that came before it knew of them was told at once that there is none.
+        // Until the front end knows that functions are agreed on one by one, it answers NOT_FOUND without a lookup.
         if end.is_err_and(|status| status.code() == Code::Unavailable) {
             return resume;
         }
@@ -250,25 +254,25 @@
 }
 
 #[test]
-fn sigterm_while_a_call_waits_gives_it_one_answer_and_the_process_ends_in_peace() {
+fn a_call_that_waits_at_sigterm_is_answered_once_and_the_process_exits_cleanly() {
     let mut fleet = ScopedFleet::start("term");
     fleet.set(&["a0"], Some(&fields("unsafe", 64)));
     let mut process = start_process(&fleet);
     let grpc = process.address("grpc").expect("an address");
-    let side_port = process.address("http").expect("an address");
+    let http = process.address("http").expect("an address");
     let resume = run(async {
         let mut client = connect(grpc).await;
-        let resume = suspend_once_asked(&mut client, &fleet.voter).await;
+        let resume = suspend_during_lookup(&mut client, &fleet.voter).await;
         let call =
             tokio::spawn(async move { client.model_infer(request("a0", "mine", &[])).await });
         tokio::task::spawn_blocking(move || {
-            until("it waits", || account(side_port).contains("parked=1"))
+            wait_until("the call waits", || account(http).contains("parked=1"))
         })
         .await
-        .expect("it waits");
-        process.signal(Signal::TERM).expect("it runs");
-        let end = call.await.expect("it ends");
-        let status = end.expect_err("nobody says what it is");
+        .expect("the call waits");
+        process.signal(Signal::TERM).expect("the process runs");
+        let end = call.await.expect("the call ends");
+        let status = end.expect_err("the voter does not answer");
         assert_eq!(
             (status.code(), retry_pushback(&status)),
             (Code::Unavailable, Some("0")),
@@ -276,7 +280,7 @@
         );
         resume
     });
-    let (status, rest) = process.wait().expect("it ends");
+    let (status, rest) = process.wait().expect("an exit status");
     assert!(status.success());
     let account = Account::from(rest.clone());
     let ends = ["served", "refused", "failed", "departed"];
--- a/tests/path/tests/scopes.rs
+++ b/tests/path/tests/scopes.rs
@@ -1,4 +1,4 @@
-//! Calls of functions that the settings don't name, looked up by a script: what waits, and how each wait ends.
+//! Calls of functions that the settings don't name, with a scripted function directory: which calls wait, and how each wait ends.
 
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
@@ -6,13 +6,13 @@
 use tansy_dispatch::{FunctionShape, Input};
 use tansy_net_inference::{DirectoryEntry, FunctionDirectory};
 use tansy_path_tests::{
-    id, is_last, request, retry_pushback, run, settings_of_echo, until, GatewayThread, Workers,
-    SETTINGS,
+    id, is_last, request, retry_pushback, run, settings_of_echo, wait_until, GatewayThread,
+    Workers, SETTINGS,
 };
 use tokio_stream::StreamExt;
 use tonic::{Code, Status};
 
-/// What the scripted directory answers for every function that it is asked for.
+/// The answer of the scripted directory to every lookup.
 #[derive(Clone, Copy, PartialEq)]
 enum DirectoryAnswer {
     Class(&'static str),
@@ -49,15 +49,15 @@
     }
 }
 
-/// A gateway whose settings name `echo` alone, one worker that has `post` as well, and a directory that answers for that.
-struct Scene {
+/// A gateway whose settings name only `echo`, a worker that also has `post`, and a scripted directory.
+struct TestSetup {
     gateway: GatewayThread,
     workers: Workers,
     script: Arc<Mutex<Script>>,
 }
 
-impl Scene {
-    fn start(answer: DirectoryAnswer) -> Scene {
+impl TestSetup {
+    fn start(answer: DirectoryAnswer) -> TestSetup {
         let workers = Workers::start(1);
         let gateway = GatewayThread::start(&settings_of_echo(), &workers.listed());
         let script = Arc::new(Mutex::new(Script {
@@ -66,14 +66,14 @@
         }));
         let shared = script.clone();
         gateway.with(move |g| g.driver().set_directory(Rc::new(ScriptedDirectory(shared))));
-        Scene {
+        TestSetup {
             gateway,
             workers,
             script,
         }
     }
 
-    /// The directory answers this from now on, and the functions of calls that wait are looked up again.
+    /// Changes the directory's answer, and repeats the lookups of waiting calls.
     fn set_answer(&self, answer: DirectoryAnswer) {
         self.script.lock().expect("no panic").answer = answer;
         self.gateway.with(|g| g.driver().resolve_pending());
@@ -83,9 +83,11 @@
         self.script.lock().expect("no panic").lookups.clone()
     }
 
-    /// Until so many calls wait.
+    /// Waits until this many calls wait.
     fn wait_for_pending_calls(&self, calls: usize) {
-        until("they wait", || self.gateway.pending_calls() == calls);
+        wait_until("the number of waiting calls is reached", || {
+            self.gateway.pending_calls() == calls
+        });
     }
 
     fn counts(&self, names: [&str; 4]) -> [u64; 4] {
@@ -94,12 +96,12 @@
         names.map(|name| account.get(name))
     }
 
-    /// How a call of `post` ends.
+    /// Calls `post`, and returns the result.
     fn call_post(&self) -> Result<String, Status> {
         self.call_post_during(|| {})
     }
 
-    /// How a call of `post` ends while the test does something to it.
+    /// Calls `post` and runs `during` in the meantime. Returns the result of the call.
     fn call_post_during(&self, during: impl FnOnce()) -> Result<String, Status> {
         std::thread::scope(|threads| {
             let call = threads.spawn(|| {
@@ -115,7 +117,7 @@
     }
 }
 
-/// How 20 unary calls and 20 calls of a stream of `echo` end.
+/// Makes 20 unary and 20 streamed calls of `echo`, and returns their results.
 fn call_echo(gateway: &GatewayThread) -> Vec<Result<String, Code>> {
     run(async {
         let mut client = gateway.client().await;
@@ -142,128 +144,128 @@
 }
 
 #[test]
-fn functions_that_the_settings_name_are_never_looked_up_and_end_as_without_a_lookup() {
-    let scene = Scene::start(DirectoryAnswer::Refused);
+fn functions_of_the_settings_are_never_looked_up_and_are_served_as_without_a_directory() {
+    let setup = TestSetup::start(DirectoryAnswer::Refused);
     let workers = Workers::start(1);
-    let bare = GatewayThread::start(SETTINGS, &workers.listed());
-    assert_eq!(call_echo(&scene.gateway), call_echo(&bare));
-    assert_eq!(scene.lookups(), Vec::<String>::new());
+    let without_directory = GatewayThread::start(SETTINGS, &workers.listed());
+    assert_eq!(call_echo(&setup.gateway), call_echo(&without_directory));
+    assert_eq!(setup.lookups(), Vec::<String>::new());
     let counts = |gateway: &GatewayThread| {
         ["taken", "served", "refused", "attempts", "pieces"].map(|name| gateway.account().get(name))
     };
-    assert_eq!(counts(&scene.gateway), counts(&bare));
+    assert_eq!(counts(&setup.gateway), counts(&without_directory));
 }
 
 #[test]
 fn a_call_that_waited_is_served_once_its_function_is_known() {
-    let scene = Scene::start(DirectoryAnswer::Pending);
-    let end = scene.call_post_during(|| {
-        scene.wait_for_pending_calls(1);
-        scene.set_answer(DirectoryAnswer::Pending);
-        scene.set_answer(DirectoryAnswer::Class("unsafe"));
+    let setup = TestSetup::start(DirectoryAnswer::Pending);
+    let end = setup.call_post_during(|| {
+        setup.wait_for_pending_calls(1);
+        setup.set_answer(DirectoryAnswer::Pending);
+        setup.set_answer(DirectoryAnswer::Class("unsafe"));
     });
     assert_eq!(end.unwrap(), "mine");
-    assert_eq!(scene.workers.ran(), [1]);
+    assert_eq!(setup.workers.ran(), [1]);
     assert_eq!(
-        scene.counts(["taken", "served", "refused", "unknown"]),
+        setup.counts(["taken", "served", "refused", "unknown"]),
         [1, 1, 0, 0]
     );
-    // It is looked up again for each of its calls, and needs not wait.
-    let before = scene.lookups().len();
-    assert_eq!(scene.call_post().unwrap(), "mine");
-    assert_eq!(scene.lookups().len(), before + 1);
+    // Each further call looks the function up once and does not wait.
+    let before = setup.lookups().len();
+    assert_eq!(setup.call_post().unwrap(), "mine");
+    assert_eq!(setup.lookups().len(), before + 1);
 }
 
 #[test]
-fn a_call_whose_function_stays_unknown_is_refused_with_advice_within_half_a_second() {
-    let scene = Scene::start(DirectoryAnswer::Pending);
-    // The quickest of five: a machine that is busy with other things may hold up one or another.
+fn a_call_whose_lookup_stays_pending_is_refused_with_a_pushback_within_half_a_second() {
+    let setup = TestSetup::start(DirectoryAnswer::Pending);
+    // The quickest of five calls counts, as a busy machine may delay some of them.
     let refused = || {
-        let began = Instant::now();
-        let status = scene.call_post().unwrap_err();
+        let started = Instant::now();
+        let status = setup.call_post().unwrap_err();
         assert_eq!(
             (status.code(), retry_pushback(&status).is_some()),
             (Code::Unavailable, true),
             "{status:?}"
         );
-        began.elapsed()
+        started.elapsed()
     };
     let quickest = (0..5).map(|_| refused()).min().unwrap();
     assert!(quickest < Duration::from_millis(500), "{quickest:?}");
-    assert_eq!(scene.workers.ran(), [0]);
+    assert_eq!(setup.workers.ran(), [0]);
     assert_eq!(
-        scene.counts(["taken", "refused", "contested", "attempts"]),
+        setup.counts(["taken", "refused", "contested", "attempts"]),
         [5, 5, 5, 0]
     );
 }
 
 #[test]
-fn what_is_found_ends_the_wait_with_the_answer_that_it_would_have_had_at_once() {
+fn a_late_lookup_ends_a_call_as_an_immediate_one_does() {
     let cases = [
         (DirectoryAnswer::Refused, Code::Unavailable, true),
         (DirectoryAnswer::Unknown, Code::NotFound, true),
-        // A class that the settings don't have says nothing.
+        // A class that the settings don't define is treated like a refused lookup.
         (DirectoryAnswer::Class("nobody's"), Code::Unavailable, true),
     ];
-    for (answer, code, advised) in cases {
-        let scene = Scene::start(answer);
-        let at_once = scene.call_post().unwrap_err();
-        scene.set_answer(DirectoryAnswer::Pending);
-        let later = scene.call_post_during(|| {
-            scene.wait_for_pending_calls(1);
-            scene.set_answer(answer);
+    for (answer, code, has_pushback) in cases {
+        let setup = TestSetup::start(answer);
+        let at_once = setup.call_post().unwrap_err();
+        setup.set_answer(DirectoryAnswer::Pending);
+        let later = setup.call_post_during(|| {
+            setup.wait_for_pending_calls(1);
+            setup.set_answer(answer);
         });
         let later = later.unwrap_err();
         assert_eq!(
             (later.code(), retry_pushback(&later).is_some()),
-            (code, advised),
+            (code, has_pushback),
             "{later:?}"
         );
         assert_eq!(
             (later.code(), later.message()),
             (at_once.code(), at_once.message())
         );
-        assert_eq!(scene.workers.ran(), [0]);
+        assert_eq!(setup.workers.ran(), [0]);
         let unknown = if answer == DirectoryAnswer::Unknown {
             2
         } else {
             0
         };
         assert_eq!(
-            scene.counts(["taken", "refused", "unknown", "attempts"]),
+            setup.counts(["taken", "refused", "unknown", "attempts"]),
             [2 - unknown, 2 - unknown, unknown, 0]
         );
     }
 }
 
 #[test]
-fn a_client_that_leaves_while_its_call_waits_has_nothing_sent_to_a_worker() {
-    let scene = Scene::start(DirectoryAnswer::Pending);
+fn a_waiting_call_whose_client_disconnects_is_not_sent_to_a_worker() {
+    let setup = TestSetup::start(DirectoryAnswer::Pending);
     run(async {
-        let mut client = scene.gateway.client().await;
+        let mut client = setup.gateway.client().await;
         tokio::select! {
-            end = client.model_infer(request("post", "x", &[])) => panic!("nothing ends it: {end:?}"),
-            () = scene.gateway.until_call_is_pending() => {}
+            end = client.model_infer(request("post", "x", &[])) => panic!("the call does not wait: {end:?}"),
+            () = setup.gateway.until_call_is_pending() => {}
         }
     });
-    scene.wait_for_pending_calls(0);
-    scene.set_answer(DirectoryAnswer::Class("unsafe"));
+    setup.wait_for_pending_calls(0);
+    setup.set_answer(DirectoryAnswer::Class("unsafe"));
     assert_eq!(
-        scene.counts(["taken", "departed", "refused", "attempts"]),
+        setup.counts(["taken", "departed", "refused", "attempts"]),
         [1, 1, 0, 0]
     );
-    assert_eq!(scene.workers.ran(), [0]);
+    assert_eq!(setup.workers.ran(), [0]);
 }
 
 #[test]
-fn a_close_while_calls_wait_gives_each_its_one_answer_at_once() {
-    let scene = Scene::start(DirectoryAnswer::Pending);
-    let end = scene.call_post_during(|| {
-        scene.wait_for_pending_calls(1);
-        scene
+fn a_shutdown_answers_each_waiting_call_once_and_immediately() {
+    let setup = TestSetup::start(DirectoryAnswer::Pending);
+    let end = setup.call_post_during(|| {
+        setup.wait_for_pending_calls(1);
+        setup
             .gateway
             .with(|g| g.driver().feed(Input::Shutdown { grace: 10_000_000 }));
-        scene.set_answer(DirectoryAnswer::Class("unsafe"));
+        setup.set_answer(DirectoryAnswer::Class("unsafe"));
     });
     let status = end.unwrap_err();
     assert_eq!(
@@ -271,34 +273,34 @@
         (Code::Unavailable, Some("0")),
         "{status:?}"
     );
-    let late = scene.call_post().unwrap_err();
+    let late = setup.call_post().unwrap_err();
     assert_eq!(
         (late.code(), retry_pushback(&late)),
         (Code::Unavailable, Some("0")),
         "{late:?}"
     );
     assert_eq!(
-        scene.counts(["taken", "refused", "served", "attempts"]),
+        setup.counts(["taken", "refused", "served", "attempts"]),
         [2, 2, 0, 0]
     );
-    assert_eq!(scene.workers.ran(), [0]);
+    assert_eq!(setup.workers.ran(), [0]);
 }
 
 #[test]
-fn calls_of_one_stream_wait_each_by_itself() {
-    let scene = Scene::start(DirectoryAnswer::Pending);
+fn calls_of_one_stream_wait_independently() {
+    let setup = TestSetup::start(DirectoryAnswer::Pending);
     run(async {
-        let mut client = scene.gateway.client().await;
+        let mut client = setup.gateway.client().await;
         let calls = [("echo", "named"), ("post", "a"), ("post", "b")];
         let calls = calls.map(|(function, id)| request(function, id, &[]));
         let reply = client.model_stream_infer(tokio_stream::iter(calls)).await;
         let mut pieces = reply.unwrap().into_inner();
         let first = pieces.next().await.unwrap().unwrap();
         assert_eq!((id(&first), first.error_message.as_str()), ("named", ""));
-        while scene.gateway.pending_calls() < 2 {
+        while setup.gateway.pending_calls() < 2 {
             tokio::task::yield_now().await;
         }
-        scene.set_answer(DirectoryAnswer::Class("safe"));
+        setup.set_answer(DirectoryAnswer::Class("safe"));
         let rest = pieces.map(|piece| piece.unwrap()).filter(is_last);
         let mut rest: Vec<_> = rest.collect().await;
         rest.sort_by_key(|piece| id(piece).to_string());
@@ -309,7 +311,7 @@
         assert_eq!(rest, [("a", ""), ("b", "")]);
     });
     assert_eq!(
-        scene.counts(["taken", "served", "refused", "unknown"]),
+        setup.counts(["taken", "served", "refused", "unknown"]),
         [3, 3, 0, 0]
     );
 }
--- a/tests/path/tests/served.rs
+++ b/tests/path/tests/served.rs
@@ -1,4 +1,4 @@
-//! What is served, and how it is said.
+//! Unary and streamed calls that are served, and the status of those that are not.
 
 use std::time::{Duration, Instant};
 use tansy_path_tests::{id, is_last, pb, request, run, start, Client};
@@ -6,7 +6,7 @@
 use tonic::Code;
 
 #[test]
-fn a_unary_call_comes_back_with_its_tensors_and_its_id() {
+fn a_unary_call_returns_its_tensors_and_its_id() {
     let (gateway, _workers) = start(2);
     run(async {
         let mut client = gateway.client().await;
@@ -35,7 +35,7 @@
     assert_eq!((account.get("taken"), account.get("served")), (1, 1));
 }
 
-/// Operators' loads and unloads are not for clients.
+/// Checks that clients may not load or unload functions.
 async fn check_loads_are_denied(client: &mut Client) {
     let load = pb::RepositoryModelLoadRequest {
         model_name: "echo".into(),
@@ -68,7 +68,7 @@
     reply.unwrap().into_inner().ready
 }
 
-/// Names and states of all functions.
+/// The names and states of all functions.
 async fn repository_index(client: &mut Client) -> Vec<(String, String)> {
     let request = pb::RepositoryIndexRequest::default();
     let index = client.repository_index(request).await;
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn what_is_not_served_has_its_own_status_and_reaches_no_worker() {
+fn unserved_requests_have_their_own_status_and_reach_no_worker() {
     let (gateway, workers) = start(1);
     run(async {
         let mut client = gateway.client().await;
@@ -99,29 +99,29 @@
     assert_eq!(workers.ran(), [0]);
 }
 
-/// What a client learns from a piece of a stream.
+/// The parts of a streamed message that the tests compare.
 #[derive(Debug)]
-struct ReceivedPiece {
+struct ReceivedMessage {
     id: String,
     error: String,
     is_last: bool,
     outputs: usize,
 }
 
-impl From<pb::ModelStreamInferResponse> for ReceivedPiece {
-    fn from(piece: pb::ModelStreamInferResponse) -> ReceivedPiece {
-        let response = piece.infer_response.as_ref();
-        ReceivedPiece {
-            id: id(&piece).into(),
-            is_last: is_last(&piece),
+impl From<pb::ModelStreamInferResponse> for ReceivedMessage {
+    fn from(message: pb::ModelStreamInferResponse) -> ReceivedMessage {
+        let response = message.infer_response.as_ref();
+        ReceivedMessage {
+            id: id(&message).into(),
+            is_last: is_last(&message),
             outputs: response.map_or(0, |response| response.outputs.len()),
-            error: piece.error_message,
+            error: message.error_message,
         }
     }
 }
 
-/// A call whose last piece has nothing but the sign that it is the last.
-fn request_with_empty_last_piece() -> pb::ModelInferRequest {
+/// A call whose last message has no output, only the flag that it is the last.
+fn request_with_empty_last_message() -> pb::ModelInferRequest {
     let mut request = request("echo", "empty", &[("pieces", 2)]);
     let flag = pb::infer_parameter::ParameterChoice::BoolParam(true);
     request.parameters.insert(
@@ -140,31 +140,31 @@
             request("echo", "slow", &[("pieces", 4), ("work_ms", 900)]),
             request("echo", "fast", &[("pieces", 3)]),
             request("nothing", "unknown", &[]),
-            request_with_empty_last_piece(),
+            request_with_empty_last_message(),
         ];
         let reply = client.model_stream_infer(tokio_stream::iter(calls)).await;
-        let mut pieces = reply.unwrap().into_inner();
-        let mut received: Vec<ReceivedPiece> = Vec::new();
-        while let Some(piece) = pieces.next().await {
-            received.push(piece.unwrap().into());
+        let mut messages = reply.unwrap().into_inner();
+        let mut received: Vec<ReceivedMessage> = Vec::new();
+        while let Some(message) = messages.next().await {
+            received.push(message.unwrap().into());
         }
         let of = |id: &str| received.iter().filter(|p| p.id == id).collect::<Vec<_>>();
         for (name, count) in [("slow", 4), ("fast", 3), ("unknown", 1), ("empty", 3)] {
             let all = of(name);
             assert_eq!(all.len(), count, "{name}: {received:?}");
-            let ends: Vec<bool> = all.iter().map(|piece| piece.is_last).collect();
+            let ends: Vec<bool> = all.iter().map(|message| message.is_last).collect();
             assert!(
                 ends[count - 1] && !ends[..count - 1].contains(&true),
                 "{name}: {received:?}"
             );
         }
         assert!(of("unknown")[0].error.starts_with("failed:"));
-        assert_eq!(of("empty")[2].outputs, 0, "the empty last piece");
-        // The slow call's pieces come while the others are served: each leaves the moment it arrives.
+        assert_eq!(of("empty")[2].outputs, 0, "the empty last message");
+        // The slow call's last message comes after the fast call has ended: messages are forwarded as they arrive.
         let at = |id: &str, index: usize| {
-            let pieces = &mut received.iter();
-            pieces
-                .position(|piece| std::ptr::eq(piece, of(id)[index]))
+            let messages = &mut received.iter();
+            messages
+                .position(|message| std::ptr::eq(message, of(id)[index]))
                 .unwrap()
         };
         assert!(at("fast", 2) < at("slow", 3), "{received:?}");
@@ -189,7 +189,7 @@
         let calls = (0..2000).map(|number: usize| {
             let mut client = client.clone();
             let mut call = tonic::Request::new(request("echo", &number.to_string(), &[]));
-            // It is not of interest here how fast the machine is.
+            // Long enough for a slow machine.
             call.set_timeout(Duration::from_secs(60));
             async move { client.model_infer(call).await.map(|r| r.into_inner().id) }
         });
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_call_s_own_time_is_kept_at_both_ends_of_the_range() {
+fn a_call_timeout_is_kept_at_both_ends_of_its_range() {
     let (gateway, workers) = start(1);
     run(async {
         let mut client = gateway.client().await;
@@ -230,20 +230,20 @@
         assert_eq!(
             workers.ran(),
             [0],
-            "what had no time never reached the worker"
+            "a call without time left reached the worker"
         );
         assert_eq!(timed("99999999H", 0).await.unwrap().into_inner().id, "t");
         let started = Instant::now();
         let late = timed("200m", 1000).await.unwrap_err();
         assert!(
             started.elapsed().as_millis() < 200,
-            "before the client's time is up: {:?}",
+            "refused only after the client's timeout: {:?}",
             started.elapsed()
         );
         assert_eq!(
             late.code(),
             Code::Unavailable,
-            "a safe call's refusal: {late:?}"
+            "the refusal of a safe call: {late:?}"
         );
         let bad = timed("1 s", 0).await.unwrap_err();
         assert_eq!(bad.code(), Code::InvalidArgument, "{bad:?}");
--- a/tests/path/tests/storms.rs
+++ b/tests/path/tests/storms.rs
@@ -1,4 +1,5 @@
-//! Peers that answer at once and wrongly: what a front end sends them in five seconds is bounded, whatever waits.
+//! Workers that answer immediately and wrongly must not cause retry storms: what a front end sends them is bounded, even while calls
+//! wait.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,12 +7,12 @@
 use std::time::{Duration, Instant};
 use tansy_path_tests::{request, Account, Client, GatewayThread, ListedWorker, Workers};
 
-/// How long each worker gets calls.
-const CALLS_FOR: Duration = Duration::from_secs(5);
-/// Calls open at once.
-const OPEN_CALLS: usize = 32;
-/// Between the end of a client's call and its next one.
-const BETWEEN_CALLS: Duration = Duration::from_millis(100);
+/// How long clients call each worker.
+const TEST_DURATION: Duration = Duration::from_secs(5);
+/// Number of concurrent calls.
+const CONCURRENT_CALLS: usize = 32;
+/// Pause of a client between two calls.
+const CALL_INTERVAL: Duration = Duration::from_millis(100);
 
 const SETTINGS: &str = r#"
 classes: patient: {aim: 1s, deadline: 30s, late_worth: 0.5}
@@ -21,8 +22,8 @@
 }
 "#;
 
-/// One call after the other until this time, each with the time that is left.
-async fn call_again_and_again(mut client: Client, index: usize, end: Instant) {
+/// Makes one call after the other until `end`, each with the remaining time as its timeout.
+async fn call_repeatedly(mut client: Client, index: usize, end: Instant) {
     let function = if index.is_multiple_of(2) {
         "echo"
     } else {
@@ -35,12 +36,12 @@
         call.set_timeout(left);
         let _ = client.model_infer(call).await;
         number += 1;
-        // A client that is answered at once does not ask at its own loop's speed either.
-        tokio::time::sleep(BETWEEN_CALLS).await;
+        // Without a pause a client whose calls fail immediately would loop without limit.
+        tokio::time::sleep(CALL_INTERVAL).await;
     }
 }
 
-/// Keeps calls open for five seconds on a gateway with one worker at this address: its account.
+/// Makes concurrent calls for [`TEST_DURATION`] to a gateway whose only worker has this address. Returns the gateway's account.
 fn call_worker_at(address: SocketAddr) -> Account {
     let gateway = GatewayThread::start(SETTINGS, &[ListedWorker::ready("w", address)]);
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -49,10 +50,10 @@
         .expect("a runtime");
     runtime.block_on(async {
         let client = gateway.client().await;
-        let end = Instant::now() + CALLS_FOR;
+        let end = Instant::now() + TEST_DURATION;
         let mut tasks = tokio::task::JoinSet::new();
-        for index in 0..OPEN_CALLS {
-            tasks.spawn(call_again_and_again(client.clone(), index, end));
+        for index in 0..CONCURRENT_CALLS {
+            tasks.spawn(call_repeatedly(client.clone(), index, end));
         }
         tasks.join_all().await;
     });
@@ -67,18 +68,18 @@
     call_worker_at(workers.addresses[0])
 }
 
-/// The most load requests in five seconds at one worker with two functions: each instance at once, once more, and after half a
-/// second, one, two and four; what its probes and trials leave between.
-const MOST_LOADS: u64 = 2 * 8;
+/// Most load requests within [`TEST_DURATION`] to a worker with two functions. Per function: one at once, one retry, further ones with a
+/// backoff that doubles from 0.5 s, and some after probes.
+const MAX_LOADS: u64 = 2 * 8;
 
-fn check_loads_are_few(peer: &str, account: &Account) {
+fn check_bounded(peer: &str, account: &Account) {
     assert!(
-        account.get("loads") + account.get("asks") <= MOST_LOADS,
+        account.get("loads") + account.get("asks") <= MAX_LOADS,
         "{peer}: {account:?}"
     );
     assert!(
         account.get("loads") >= 2,
-        "{peer} was asked to load at all: {account:?}"
+        "{peer} got too few load requests: {account:?}"
     );
     assert!(account.get("probes") <= 12, "{peer}: {account:?}");
     assert!(
@@ -88,8 +89,8 @@
 }
 
 #[test]
-fn a_worker_that_is_no_model_server_is_ordered_seldom() {
-    // OK with the request's bytes, UNIMPLEMENTED, UNAVAILABLE, PERMISSION_DENIED, RESOURCE_EXHAUSTED, INTERNAL.
+fn a_worker_that_is_no_model_server_gets_few_load_requests() {
+    // OK with an echo of the request's bytes, UNIMPLEMENTED, UNAVAILABLE, PERMISSION_DENIED, RESOURCE_EXHAUSTED, INTERNAL.
     let peers = [
         "hollow",
         "hollow=12",
@@ -101,29 +102,29 @@
     let peers = peers.map(|word| (word, std::thread::spawn(move || call_faulty_worker(word))));
     for (word, thread) in peers {
         let account = thread.join().expect("no panic");
-        check_loads_are_few(word, &account);
+        check_bounded(word, &account);
         assert_eq!(account.get("attempts"), 0, "{word}: {account:?}");
         assert!(account.get("vain") > 0, "{word}: {account:?}");
     }
 }
 
 #[test]
-fn a_worker_that_boasts_of_loads_and_misses_every_call_is_ordered_seldom() {
+fn a_worker_that_reports_loads_and_misses_every_call_gets_few_load_requests() {
     let account = call_faulty_worker("boast");
-    check_loads_are_few("boast", &account);
-    // Each load request reported an instance; the calls that then miss are those that were under way.
-    assert!(account.get("attempts") <= MOST_LOADS * 4, "{account:?}");
+    check_bounded("boast", &account);
+    // Each load request reports an instance; only calls that are sent before the next miss use it.
+    assert!(account.get("attempts") <= MAX_LOADS * 4, "{account:?}");
 }
 
 #[test]
-fn a_worker_that_turns_every_stream_away_is_ordered_seldom() {
+fn a_worker_that_rejects_every_stream_gets_few_load_requests() {
     for word in ["refuse", "reset=1"] {
         let account = call_faulty_worker(word);
-        check_loads_are_few(word, &account);
+        check_bounded(word, &account);
     }
 }
 
-/// A listener that ends each connection at once; counts them.
+/// Starts a listener that closes each connection immediately. Returns its address and the count of connections.
 fn start_closing_listener() -> (SocketAddr, Arc<AtomicU64>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn a_port_that_ends_or_refuses_every_connection_is_tried_seldom() {
+fn a_port_that_closes_or_refuses_every_connection_gets_few_connects() {
     let (address, count) = start_closing_listener();
     let account = call_worker_at(address);
     let connects = count.load(Ordering::Relaxed);
@@ -147,11 +148,11 @@
         connects <= 24 && connects > 0,
         "{connects} connections in 5 s: {account:?}"
     );
-    check_loads_are_few("closer", &account);
+    check_bounded("closer", &account);
     let refused = {
-        // Bound, then closed: nobody listens there.
+        // Bound, then closed, so that connections are refused.
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.local_addr().expect("an address")
     };
-    check_loads_are_few("refused connect", &call_worker_at(refused));
+    check_bounded("refused connect", &call_worker_at(refused));
 }
