--- a/tests/fault-shim/src/lib.rs
+++ b/tests/fault-shim/src/lib.rs
@@ -7,7 +7,7 @@
 //!   (clock_gettime of the wall clock).
 //! - `FAULT`: a name of [`ERRORS`], `SHORT` (at most one byte is transferred; `recv`, `send`), or `STEP` (`clock`).
 //! - `first=N`: the first N calls fail. `rate=X`: each call fails with probability X. Without either, all calls fail.
-//! - `from=S`, `until=S`: the rule is active from and until this time, in seconds after the rules were parsed, at the first intercepted call.
+//! - `from=S`, `until=S`: the rule is active from and until this time, in seconds after the first intercepted call.
 //! - `by=S`: seconds by which `STEP` moves the wall clock.
 //!
 //! `FAULT_SEED` seeds the random numbers for `rate`. An invalid rule aborts the process: if it were ignored, a test would pass without
