--- a/tests/compatibility/src/entries.rs
+++ b/tests/compatibility/src/entries.rs
@@ -1,4 +1,4 @@
-//! One entry of each kind that a fleet agrees on, in an order in which each is taken.
+//! Log entries of every kind, in an order in which a fleet accepts each.
 
 use std::net::SocketAddr;
 use tansy_agreement::compatibility::{Fields, Value};
@@ -8,13 +8,13 @@
 use tansy_canary::{Measurement, Verdict};
 use tansy_rollout::{Crash, RolloutChange, RolloutEntry, RolloutPlan, StageObservation, Target};
 
-/// Where a voter is reached.
+/// The address of a voter.
 pub fn address(voter: u64) -> SocketAddr {
     ([10, 0, 0, voter as u8], 7000).into()
 }
 
-/// The fields that the fleet begins with: a value of each sort.
-pub fn first_fields() -> Fields {
+/// The fleet's initial settings, with a value of each type.
+pub fn initial_fields() -> Fields {
     let fields = [
         ("classes.a%2eb.window", Value::Span(5_000_000)),
         ("front.siblings", Value::Int(-3)),
@@ -32,14 +32,14 @@
     fields.map(|(path, v)| (path.to_string(), v)).into()
 }
 
-/// The fields of a version that another number of attempts makes.
+/// The initial settings with another number of attempts.
 pub fn with_attempts(attempts: i64) -> Fields {
-    let mut fields = first_fields();
+    let mut fields = initial_fields();
     fields.insert("worker.max_attempts".into(), Value::Int(attempts));
     fields
 }
 
-/// Settings of one function.
+/// The settings of a function.
 pub fn function(class: &str, lanes: i64) -> Fields {
     [
         ("class".to_string(), Value::Text(class.into())),
@@ -69,7 +69,7 @@
     }
 }
 
-/// Changes of versions: in force, given up while front ends were notified, given up while joint.
+/// Changes of versions: one in force, one abandoned while front ends were notified, one abandoned while joint.
 fn versions() -> Vec<LogEntry> {
     let member = |id, incarnation| Member { id, incarnation };
     let join = |id, name: &str| LogEntry::Join {
@@ -96,7 +96,7 @@
     ]
 }
 
-fn change(scope: &str, base: u64, fields: Option<Fields>) -> ScopeUpdate {
+fn update(scope: &str, base: u64, fields: Option<Fields>) -> ScopeUpdate {
     ScopeUpdate {
         scope: scope.into(),
         base: Revision(base),
@@ -104,7 +104,7 @@
     }
 }
 
-fn request(id: u64, updates: Vec<ScopeUpdate>, reason: &str) -> ScopeTransaction {
+fn transaction(id: u64, updates: Vec<ScopeUpdate>, reason: &str) -> ScopeTransaction {
     ScopeTransaction {
         id,
         updates,
@@ -112,45 +112,42 @@
     }
 }
 
-/// Changes of functions: in force, given up, removed, and two that stay under way.
+/// Changes of functions: in force, reverted, removed, and some that stay pending.
 fn scopes() -> Vec<LogEntry> {
-    let since = |scope: &str, step| (scope.to_string(), Revision(step));
-    let carry = |force: Vec<_>, settled: Vec<_>| LogEntry::AdvanceScopes {
-        in_force: force,
-        settled,
-    };
+    let since = |scope: &str, revision| (scope.to_string(), Revision(revision));
+    let advance = |in_force: Vec<_>, settled: Vec<_>| LogEntry::AdvanceScopes { in_force, settled };
     vec![
         LogEntry::UpdateScopes {
             transactions: vec![
-                request(
+                transaction(
                     31,
                     vec![
-                        change("chat", 0, Some(function("fast", 1))),
-                        change("image", 0, Some(function("slow", -1))),
+                        update("chat", 0, Some(function("fast", 1))),
+                        update("image", 0, Some(function("slow", -1))),
                     ],
                     "two functions",
                 ),
-                request(
+                transaction(
                     32,
-                    vec![change("sound", 0, Some(function("slow", 2)))],
+                    vec![update("sound", 0, Some(function("slow", 2)))],
                     "a third",
                 ),
             ],
         },
-        carry(
+        advance(
             vec![since("chat", 11), since("image", 11), since("sound", 11)],
             vec![],
         ),
-        carry(
+        advance(
             vec![],
             vec![since("chat", 12), since("image", 12), since("sound", 12)],
         ),
         LogEntry::UpdateScopes {
-            transactions: vec![request(
+            transactions: vec![transaction(
                 33,
                 vec![
-                    change("chat", 12, Some(function("fast", 9))),
-                    change("image", 12, None),
+                    update("chat", 12, Some(function("fast", 9))),
+                    update("image", 12, None),
                 ],
                 "one changes, one is removed",
             )],
@@ -158,11 +155,11 @@
         LogEntry::RevertScopes {
             scopes: vec![since("chat", 13)],
         },
-        carry(vec![since("image", 13)], vec![]),
+        advance(vec![since("image", 13)], vec![]),
         LogEntry::UpdateScopes {
-            transactions: vec![request(
+            transactions: vec![transaction(
                 34,
-                vec![change("sound", 12, Some(function("fast", 3)))],
+                vec![update("sound", 12, Some(function("fast", 3)))],
                 "under way",
             )],
         },
@@ -194,7 +191,7 @@
     }
 }
 
-/// The observation of a stage: a verdict of each sort.
+/// An observation of a stage with this verdict.
 fn observation(stage: usize, verdict: Option<Verdict>) -> Option<Box<StageObservation>> {
     Some(Box::new(StageObservation {
         stage,
@@ -212,7 +209,7 @@
     }))
 }
 
-/// A rollout of settings that is aborted.
+/// An aborted rollout of settings.
 fn rollout_of_settings() -> Vec<LogEntry> {
     let name = || "front-1".to_string();
     let (fence, id) = (1, 41);
@@ -257,24 +254,24 @@
     ]
 }
 
-/// The id of the rollout of a program.
+/// The id of the program's rollout.
 const ROLLOUT_OF_PROGRAM: u64 = 42;
 
-/// A rollout of a program that stands in its second stage, where a process ended and it was stopped and let on.
+/// A rollout of a program in its second stage, in which a process crashed and the rollout was paused and resumed.
 fn rollout_of_program() -> Vec<LogEntry> {
     let mut entries = first_stage_of_program(1);
     entries.extend(second_stage_of_program(1));
     entries
 }
 
-fn beat(fence: u64, observation: Option<Box<StageObservation>>) -> LogEntry {
+fn heartbeat(fence: u64, observation: Option<Box<StageObservation>>) -> LogEntry {
     rollout(RolloutEntry::Heartbeat { fence, observation })
 }
 
 fn first_stage_of_program(fence: u64) -> Vec<LogEntry> {
     let id = ROLLOUT_OF_PROGRAM;
-    let beat = |observation| beat(fence, observation);
-    let open = |slices| Verdict::Inconclusive {
+    let heartbeat = |observation| heartbeat(fence, observation);
+    let inconclusive = |slices| Verdict::Inconclusive {
         needs: "more calls".into(),
         slices,
     };
@@ -297,23 +294,23 @@
             fence,
             name: "front-1".into(),
         }),
-        beat(None),
+        heartbeat(None),
         rollout(RolloutEntry::MarkReady {
             revision: 3,
             fence,
             name: "front-1".into(),
         }),
         rollout(RolloutEntry::BeginAnalysis { revision: 4, fence }),
-        beat(observation(0, Some(open(None)))),
-        beat(observation(0, Some(open(Some(9))))),
-        beat(observation(0, Some(Verdict::SharedFault { slices: 2 }))),
-        beat(observation(
+        heartbeat(observation(0, Some(inconclusive(None)))),
+        heartbeat(observation(0, Some(inconclusive(Some(9))))),
+        heartbeat(observation(0, Some(Verdict::SharedFault { slices: 2 }))),
+        heartbeat(observation(
             0,
             Some(Verdict::Fail {
                 reason: "slower".into(),
             }),
         )),
-        beat(observation(0, Some(Verdict::Pass))),
+        heartbeat(observation(0, Some(Verdict::Pass))),
     ]
 }
 
@@ -341,31 +338,28 @@
             reason: "look at it".into(),
         }),
         rollout(RolloutEntry::Resume { id }),
-        beat(fence, observation(1, None)),
+        heartbeat(fence, observation(1, None)),
     ]
 }
 
-/// A replacement of a voter that is given up, and one that is made.
+/// A cancelled replacement of a voter, and a completed one.
 fn replacement() -> Vec<LogEntry> {
-    let (new, instead) = (4, 3);
+    let (new, replaced) = (4, 3);
     let begin = |new| LogEntry::BeginVoterReplacement {
         new,
         address: address(new),
-        replaced: instead,
+        replaced,
     };
     vec![
         begin(5),
         LogEntry::CancelVoterReplacement { new: 5 },
         begin(new),
-        LogEntry::EnterJointConsensus {
-            new,
-            replaced: instead,
-        },
+        LogEntry::EnterJointConsensus { new, replaced },
         LogEntry::CompleteVoterReplacement { new },
     ]
 }
 
-/// All entries, in their order. With the last two the rollout goes back.
+/// All entries in log order. The last one makes the rollout revert.
 pub fn entries() -> Vec<LogEntry> {
     let last = vec![
         propose(24, 2, 8, "under way"),
--- a/tests/compatibility/src/fixture.rs
+++ b/tests/compatibility/src/fixture.rs
@@ -1,23 +1,23 @@
-//! The files under `fixtures/`.
+//! Access to the files under `fixtures/`.
 //!
-//! Bytes stand in text files, one message a line: its name, a space, its bytes in hexadecimal. Lines that begin with `#` say
-//! how the file was made.
+//! Binary messages are stored as text, one per line: the name, a space, and the bytes in hexadecimal. Lines that start with `#` are
+//! comments.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
 
-/// Where a fixture is.
+/// The path of a fixture.
 pub fn path(name: &str) -> PathBuf {
     PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/fixtures")).join(name)
 }
 
-/// A fixture's text.
+/// The text of a fixture.
 pub fn text(name: &str) -> String {
     let path = path(name);
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// The messages of a file, in its order, with their names.
+/// The messages in a fixture with their names, in file order.
 pub fn messages(name: &str) -> Vec<(String, Vec<u8>)> {
     let line = |line: &str| {
         let (key, hex) = line.split_once(' ').unwrap_or((line, ""));
@@ -28,14 +28,17 @@
     lines.map(line).collect()
 }
 
-/// Bytes that are written in hexadecimal.
+/// Decodes hexadecimal digits.
 pub fn bytes(hex: &str) -> Vec<u8> {
-    assert!(hex.len().is_multiple_of(2), "half a byte: {hex}");
+    assert!(
+        hex.len().is_multiple_of(2),
+        "odd number of hexadecimal digits: {hex}"
+    );
     let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal");
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-/// Bytes in hexadecimal.
+/// Encodes bytes as hexadecimal digits.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
         // Writing to a string can't fail.
--- a/tests/compatibility/src/fleet/messages.rs
+++ b/tests/compatibility/src/fleet/messages.rs
@@ -1,6 +1,6 @@
-//! A message of each kind, as front ends of a fleet write them to each other.
+//! Messages of every kind between front ends of a fleet.
 //!
-//! The tests of `protocol/fleet` include this file too: what is recorded there and here is the same.
+//! The tests of `protocol/fleet` include this file too, so that both use the same messages.
 
 use tansy_agreement::compatibility::Value;
 use tansy_agreement::endpoints::{Endpoint, EndpointRecord, EndpointState};
@@ -13,16 +13,16 @@
 use tansy_fleet_node::{Leader, MessageBody};
 use tansy_membership::NodeId;
 
-/// The fleet's number in the messages.
+/// The fleet id in the messages.
 pub const FLEET: u64 = 77;
 
-/// Who leads, in the messages.
+/// The leader in the messages.
 pub const LEADER: Leader = Leader {
     term: 3,
     id: u64::MAX,
 };
 
-/// A state with a value of each kind, a change under way and a canary.
+/// A state with a value of each type, a pending change and a canary.
 pub fn state() -> FleetState {
     let fields = [
         ("classes.a%2eb.window", Value::Span(5)),
@@ -71,13 +71,13 @@
     }
 }
 
-/// A message of each kind.
+/// The bodies of messages of every kind.
 pub fn bodies() -> Vec<MessageBody> {
     let mut all = vec![MessageBody::Gossip(vec![0, 255, 3])];
     all.extend(lease_messages());
     all.push(session_request(false));
-    all.extend(messages_of_members());
-    all.extend(messages_about_scopes());
+    all.extend(member_messages());
+    all.extend(scope_messages());
     all
 }
 
@@ -132,7 +132,7 @@
     MessageBody::SessionRequest(request, "front-1".into(), 99)
 }
 
-fn messages_of_members() -> Vec<MessageBody> {
+fn member_messages() -> Vec<MessageBody> {
     vec![
         MessageBody::SessionGrant(session::SessionGrant {
             to: member(),
@@ -153,8 +153,8 @@
     ]
 }
 
-/// Of programs that agree on functions one by one.
-fn messages_about_scopes() -> Vec<MessageBody> {
+/// Messages of versions that agree on functions one by one.
+fn scope_messages() -> Vec<MessageBody> {
     vec![
         lease_request(true),
         lease_grant(None, Some(delta())),
@@ -179,7 +179,7 @@
     ]
 }
 
-/// A state since functions are agreed on one by one.
+/// A state of versions that agree on functions one by one.
 pub fn state_with_scopes() -> FleetState {
     FleetState {
         versions_revision: Revision(17),
@@ -188,7 +188,7 @@
     }
 }
 
-/// The record of a function in this phase.
+/// The record of a function in this phase, with settings if `fields` is true.
 pub fn scoped(phase: scope::ScopePhase, fields: bool) -> ScopeRecord {
     let all = || {
         [
@@ -204,7 +204,7 @@
     }
 }
 
-/// A record for each phase of a function.
+/// Records of functions in every phase.
 pub fn scope_records() -> Vec<ScopeRecord> {
     let next = |fields| scoped(scope::ScopePhase::Settled, fields).fields;
     vec![
@@ -243,7 +243,7 @@
     ]
 }
 
-/// A change of a function in each phase.
+/// A delta with a function in every phase.
 pub fn delta() -> StateDelta {
     let change = |(index, record): (usize, ScopeRecord)| {
         std::sync::Arc::new(ScopeChange {
@@ -281,7 +281,7 @@
     }
 }
 
-/// The reply with a record of each phase, and a function that is not there.
+/// A reply with a record of every phase, and a function that does not exist.
 pub fn subscribe_reply() -> SubscribeReply {
     let mut scopes: Vec<_> = scope_records()
         .into_iter()
@@ -309,7 +309,7 @@
     }
 }
 
-/// Who sent the messages.
+/// The sender of the messages.
 pub fn sender() -> NodeId {
     NodeId {
         id: 5,
--- a/tests/compatibility/src/fleet/mod.rs
+++ b/tests/compatibility/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Messages, requests and replies of front ends and operators of a fleet.
+//! Messages between front ends of a fleet, and the requests of operators with their replies.
 
 pub mod messages;
 pub mod requests;
--- a/tests/compatibility/src/fleet/requests.rs
+++ b/tests/compatibility/src/fleet/requests.rs
@@ -1,21 +1,21 @@
-//! A request and a reply of each method, as front ends and operators of a fleet write them.
+//! A request and a reply of each method that front ends and operators of a fleet call.
 
 use super::messages::{scope_records, scoped, sender, state_with_scopes, subscribe_request, FLEET};
 use tansy_agreement::scope;
 use tansy_fleet_wire::pb;
 use tansy_fleet_wire::pb::enter_request::Entry;
 
-/// Whether the present program reads bytes as one message.
-pub type Reads = Box<dyn Fn(&[u8]) -> bool>;
+/// Whether bytes decode to an expected message.
+pub type DecodeCheck = Box<dyn Fn(&[u8]) -> bool>;
 
-/// A request or reply, with its bytes and how they are read back.
+/// An encoded request or reply, with a check of its decoding.
 pub struct Encoded {
-    /// Its name in the fixture.
+    /// The name of the message in the fixture.
     pub name: &'static str,
-    /// As the present program writes it.
+    /// The bytes that the present version writes.
     pub bytes: Vec<u8>,
-    /// Whether bytes are read as this message.
-    pub is: Reads,
+    /// Whether bytes decode to this message.
+    pub decodes: DecodeCheck,
 }
 
 fn encoded<M: prost::Message + Default + PartialEq + 'static>(
@@ -25,11 +25,11 @@
     Encoded {
         name,
         bytes: message.encode_to_vec(),
-        is: Box::new(move |bytes| M::decode(bytes).is_ok_and(|read| read == message)),
+        decodes: Box::new(move |bytes| M::decode(bytes).is_ok_and(|read| read == message)),
     }
 }
 
-/// A request and a reply of each method beside the messages', with something in every field.
+/// A request and a reply of each method except the request of `Tell`, with a value in every field.
 pub fn requests() -> Vec<Encoded> {
     let mut all = vec![encoded("taken", pb::Accepted {})];
     all.extend(status());
@@ -53,7 +53,7 @@
 }
 
 /// A function whose change waits for a front end.
-fn waiting_function() -> pb::BlockedFunction {
+fn blocked_function() -> pb::BlockedFunction {
     pb::BlockedFunction {
         name: "f".into(),
         subscribers_behind: vec![rostered_member()],
@@ -92,7 +92,7 @@
                     is_voting: true,
                 }),
                 subscriptions: 9,
-                blocked_functions: vec![waiting_function()],
+                blocked_functions: vec![blocked_function()],
             },
         ),
     ]
@@ -246,7 +246,7 @@
                     in_force: 2,
                     reverted: 3,
                 }),
-                blocked_functions: vec![waiting_function()],
+                blocked_functions: vec![blocked_function()],
             },
         ),
     ]
--- a/tests/compatibility/src/inference.rs
+++ b/tests/compatibility/src/inference.rs
@@ -1,4 +1,4 @@
-//! A message of each kind of the inference protocol, with a parameter and a tensor of each sort, and a load report.
+//! Messages of every kind of the inference protocol, with parameters and tensors of every type, and a load report.
 
 use prost::Message;
 use std::collections::BTreeMap;
@@ -77,8 +77,8 @@
     }
 }
 
-/// A piece of a worker's streamed answer.
-pub fn piece() -> pb::ModelStreamInferResponse {
+/// A message of a worker's streamed answer.
+pub fn stream_response() -> pb::ModelStreamInferResponse {
     pb::ModelStreamInferResponse {
         error_message: "an error".into(),
         infer_response: Some(response()),
@@ -101,17 +101,20 @@
     }
 }
 
-/// All of them, and what the gateway makes of them, as they are written.
+/// All messages, and those that the gateway makes of them, encoded and with their names.
 pub fn messages() -> Vec<(&'static str, Vec<u8>)> {
-    let (piece, response) = (piece().encode_to_vec(), response().encode_to_vec());
+    let (stream_response, response) = (
+        stream_response().encode_to_vec(),
+        response().encode_to_vec(),
+    );
     vec![
         ("request", request().encode_to_vec()),
         (
             "amended-piece",
-            amend::stream_response(&piece, "ours", false),
+            amend::stream_response(&stream_response, "ours", false),
         ),
         ("amended-response", amend::infer_response(&response, "ours")),
-        ("piece", piece),
+        ("piece", stream_response),
         ("response", response),
         (
             "stream-error",
--- a/tests/compatibility/src/json.rs
+++ b/tests/compatibility/src/json.rs
@@ -1,5 +1,4 @@
-//! JSON that programs read: a rollout's entries and state, as they travel and as the report has them, and the lines that
-//! `tansy-fleet --json` prints.
+//! JSON that other programs read: entries and states of rollouts as in messages and reports, and the output of `tansy-fleet --json`.
 
 use crate::{fleet, voters};
 use tansy_agreement::compatibility::{
@@ -12,14 +11,14 @@
     InconclusivePolicy, Rollout, RolloutChange, RolloutEntry, RolloutPhase, RolloutPlan,
 };
 
-/// The entries of the rollouts of `voters`, and one whose plan has no default.
+/// The rollout entries of `voters`, and for each inconclusive policy an entry whose plan has no default value.
 pub fn rollout_entries() -> Vec<RolloutEntry> {
     let of = |entry| match entry {
         LogEntry::Rollout { entry, .. } => Some(*entry),
         _ => None,
     };
     let mut all: Vec<RolloutEntry> = voters::entries().into_iter().filter_map(of).collect();
-    for undecided in [
+    for inconclusive in [
         InconclusivePolicy::Hold,
         InconclusivePolicy::RollBack,
         InconclusivePolicy::Pass,
@@ -40,7 +39,7 @@
                 tolerated_loss: 0.0625,
                 warm_up_seconds: 11,
                 memory_limit_mb: 1025,
-                inconclusive: undecided,
+                inconclusive,
             },
             reason: "é".into(),
         });
@@ -48,7 +47,7 @@
     all
 }
 
-/// The rollouts after each of their entries, and one that is done.
+/// The state of each rollout after each of its entries, and a completed rollout.
 pub fn rollouts() -> Vec<Rollout> {
     let mut all: Vec<Rollout> = Vec::new();
     for entry in rollout_entries() {
@@ -67,10 +66,10 @@
             }
             (entry, Some(last)) => {
                 let mut next = last.clone();
-                next.apply(entry).expect("a step of the rollout");
+                next.apply(entry).expect("a valid entry");
                 all.push(next);
             }
-            (entry, None) => panic!("{entry:?} before the beginning"),
+            (entry, None) => panic!("{entry:?} before the first Begin"),
         }
     }
     let last = all.last().cloned().expect("a rollout");
@@ -83,24 +82,24 @@
 }
 
 fn line(value: &impl serde::Serialize) -> String {
-    serde_json::to_string(value).expect("plain data")
+    serde_json::to_string(value).expect("serializable data")
 }
 
-/// Each entry as it travels.
+/// Each entry as JSON, as in messages.
 pub fn rollout_entry_lines() -> Vec<String> {
     let all = rollout_entries();
     all.iter().map(|e| roll_entry(e, None).entry).collect()
 }
 
-/// Each rollout as it travels.
+/// Each state of a rollout as JSON, as in messages.
 pub fn rollout_lines() -> Vec<String> {
     rollouts().iter().map(line).collect()
 }
 
-/// What `status`, `diff` and `history` of `tansy-fleet --json` print, of a fleet with something in every field.
-pub fn printed() -> Vec<String> {
+/// The output of the commands `status`, `diff` and `history` of `tansy-fleet --json`, with a value in every field.
+pub fn printed_lines() -> Vec<String> {
     let state = tansy_fleet_wire::state(&fleet::messages::state_with_scopes());
-    let front = |phase: pb::Phase| {
+    let front_end = |phase: pb::Phase| {
         FrontEndStatus::of(&pb::StatusReply {
             name: "front-1".into(),
             process: Some(tansy_fleet_wire::process(&fleet::messages::sender())),
@@ -116,15 +115,15 @@
             ..Default::default()
         })
     };
-    let silent = FrontEndStatus::unreachable("10.0.0.2:7000".into(), "no answer".into());
-    let of_fleet = FleetStatus {
+    let unreachable = FrontEndStatus::unreachable("10.0.0.2:7000".into(), "no answer".into());
+    let fleet_status = FleetStatus {
         fleet: "pool".into(),
         leader: "10.0.0.1:7000".into(),
         front_ends: vec![
-            front(pb::Phase::Notified),
-            front(pb::Phase::Joint),
-            front(pb::Phase::Reverting),
-            silent,
+            front_end(pb::Phase::Notified),
+            front_end(pb::Phase::Joint),
+            front_end(pb::Phase::Reverting),
+            unreachable,
         ],
         away: vec!["front-3".into()],
         conflicting: vec!["class chat".into()],
@@ -132,7 +131,7 @@
         waits_for_leases: true,
         changing: [("f".to_string(), vec!["front-2".to_string()])].into(),
     };
-    let touches = [
+    let affected = [
         AffectedCalls::All,
         AffectedCalls::Class("a".into()),
         AffectedCalls::Tenant("b".into()),
@@ -144,18 +143,18 @@
         Compatibility::Strict,
         Compatibility::Free,
     ];
-    let change = |(touch, kind): (AffectedCalls, Compatibility)| {
+    let change = |(affected, compatibility): (AffectedCalls, Compatibility)| {
         FieldChangeRow::of(&FieldChange {
             path: "front.streams".into(),
             old: None,
             new: Some(Value::Span(250_000)),
-            compatibility: kind,
-            affected: touch,
+            compatibility,
+            affected,
         })
     };
-    let changes: Vec<FieldChangeRow> = touches.into_iter().zip(kinds).map(change).collect();
+    let changes: Vec<FieldChangeRow> = affected.into_iter().zip(kinds).map(change).collect();
     let version =
-        |force, next| VersionRow::of(&fleet::messages::state_with_scopes().in_force, force, next);
+        |now, next| VersionRow::of(&fleet::messages::state_with_scopes().in_force, now, next);
     let history = [version(7, 0), version(6, 7), version(8, 0)];
-    vec![line(&of_fleet), line(&changes), line(&history)]
+    vec![line(&fleet_status), line(&changes), line(&history)]
 }
--- a/tests/compatibility/src/lib.rs
+++ b/tests/compatibility/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stored data and messages that earlier programs wrote, and what the tests share to read them.
+//! Helpers for compatibility tests with stored data and messages of earlier versions.
 //!
-//! The files under `fixtures/` are what a program of their day wrote. A fixture is never regenerated: a program that can't
-//! read one can't be started in the place of the one that wrote it. A new form gets a new file beside the old one.
-//! `examples/record.rs` writes those that are not there; it never writes over a file.
+//! The files under `fixtures/` were written by the version that was current when they were added. A fixture is never regenerated: a
+//! version that can't read it can't replace the one that wrote it. A new format gets an additional file. `examples/record.rs` writes
+//! missing fixtures and never overwrites one.
 
 pub mod entries;
 pub mod fixture;
--- a/tests/compatibility/src/membership.rs
+++ b/tests/compatibility/src/membership.rs
@@ -1,27 +1,27 @@
-//! Datagrams of membership: two front ends get to know each other, look at each other, and one leaves.
+//! Membership datagrams: two front ends discover each other, probe each other, and one leaves.
 
 use tansy_membership::{GossipTiming, Membership, NodeId};
 
-/// The fleet's number in the datagrams.
+/// The fleet id in the datagrams.
 pub const FLEET: u64 = 77;
 
-/// A front end's process.
-pub fn name(id: u64) -> NodeId {
+/// The node id of a front end's process.
+pub fn node_id(id: u64) -> NodeId {
     NodeId::new(id, 3, ([10, 0, 0, id as u8], 7000).into())
 }
 
-/// One that knows nobody; its random choices are seeded.
+/// A front end that knows no others yet, with a fixed seed.
 pub fn member(id: u64) -> Membership {
-    Membership::new(FLEET, name(id), GossipTiming::default(), id)
+    Membership::new(FLEET, node_id(id), GossipTiming::default(), id)
 }
 
-/// All datagrams in their order, each with who sends and who takes it: `1-to-2`.
-pub fn conversation() -> Vec<(String, Vec<u8>)> {
+/// All datagrams in order, each with its sender and receiver, for example `1-to-2`.
+pub fn datagrams() -> Vec<(String, Vec<u8>)> {
     let mut all = [member(1), member(2)];
     let mut sent = Vec::new();
-    all[0].join(0, name(2));
+    all[0].join(0, node_id(2));
     deliver(&mut all, 0, &mut sent);
-    // Three looks of each at the other.
+    // Long enough for three probes in each direction.
     for now in (0..=1_500_000).step_by(50_000) {
         all.iter_mut().for_each(|m| m.tick(now));
         deliver(&mut all, now, &mut sent);
--- a/tests/compatibility/src/run.rs
+++ b/tests/compatibility/src/run.rs
@@ -1,4 +1,4 @@
-//! A run as `--record` writes it: calls of four classes at four workers that answer in many ways.
+//! A run as `--record` writes it: calls of four functions at four workers, with various outcomes.
 
 use crate::fixture;
 use std::collections::VecDeque;
@@ -9,14 +9,16 @@
 };
 use tansyrouter::Time;
 
-/// Calls of the run.
+/// Number of calls in the run.
 const CALLS: u64 = 60;
+/// Timers that are due later than this don't fire, microseconds.
+const END_US: i64 = 10_000_000;
 
-/// A front end's dispatcher before the run.
-pub fn front() -> Dispatcher {
+/// The dispatcher at the start of the run.
+pub fn dispatcher() -> Dispatcher {
     let settings = tansy_settings::settings("run.cue", &fixture::text("run.cue"));
     let settings = settings.unwrap_or_else(|error| panic!("{error}"));
-    Dispatcher::new(settings.dispatch, Time(0)).expect("settings that make sense")
+    Dispatcher::new(settings.dispatch, Time(0)).expect("valid settings")
 }
 
 pub(crate) fn listed(number: usize, state: WorkerState) -> WorkerRecord {
@@ -47,8 +49,8 @@
     }
 }
 
-/// How the n-th attempt or control request ends.
-fn end(number: usize) -> (AttemptOutcome, Trailers) {
+/// The outcome of the n-th command.
+fn outcome(number: usize) -> (AttemptOutcome, Trailers) {
     let trailers = Trailers {
         cache_status: CacheStatus::Warm,
         instances: Some(1),
@@ -75,15 +77,15 @@
     }
 }
 
-/// Calls at a dispatcher, and the ends of what it sends.
+/// Feeds calls and the outcomes of commands to a dispatcher, and records the steps.
 struct Recorder {
     dispatcher: Dispatcher,
     inputs: VecDeque<Input>,
     steps: Vec<RecordedStep>,
     now: i64,
-    /// Calls that were made.
+    /// Number of calls so far.
     calls: u64,
-    /// Commands that were carried out.
+    /// Number of commands so far.
     commands: usize,
 }
 
@@ -96,7 +98,7 @@
                 .collect(),
         };
         Recorder {
-            dispatcher: front(),
+            dispatcher: dispatcher(),
             inputs: VecDeque::from([list]),
             steps: Vec::new(),
             now: 0,
@@ -105,7 +107,7 @@
         }
     }
 
-    /// What is queued, else the next call, else the next timer of the first ten seconds.
+    /// The next queued input, else the next call, else a tick for the next timer until [`END_US`].
     fn next_input(&mut self) -> Option<Input> {
         if let Some(input) = self.inputs.pop_front() {
             return Some(input);
@@ -114,7 +116,7 @@
             return Some(self.next_call());
         }
         let due = self.dispatcher.next_due();
-        let due = due.filter(|due| due.0 < 10_000_000)?;
+        let due = due.filter(|due| due.0 < END_US)?;
         self.now = self.now.max(due.0);
         Some(Input::Tick)
     }
@@ -123,7 +125,7 @@
         self.calls += 1;
         let number = self.calls;
         if number == CALLS / 2 {
-            // One worker drains half-way.
+            // A worker starts to drain in the middle of the run.
             self.inputs.push_back(Input::Workers {
                 full: false,
                 workers: vec![listed(0, WorkerState::Draining)],
@@ -150,10 +152,10 @@
         self.now += 1_700;
     }
 
-    /// Queues the end of what a command begins.
+    /// Queues the outcome of a command.
     fn carry_out(&mut self, command: &Command) {
         self.commands += 1;
-        let (outcome, trailers) = end(self.commands);
+        let (outcome, trailers) = outcome(self.commands);
         match *command {
             Command::SendAttempt { call, attempt, .. } => {
                 self.inputs.push_back(Input::AttemptEnded {
@@ -177,7 +179,7 @@
     }
 }
 
-/// The steps of the run, as the present program decides.
+/// The steps of the run, with the decisions of the present version.
 pub fn recorded() -> Vec<RecordedStep> {
     let mut recorder = Recorder::new();
     while let Some(input) = recorder.next_input() {
--- a/tests/compatibility/src/shape.rs
+++ b/tests/compatibility/src/shape.rs
@@ -1,9 +1,9 @@
-//! What of a `.proto` file counts on the wire: package, paths of methods, and of each message its fields by number, with
-//! label and type. Lines of text, so that a difference can be read.
+//! The shape of a `.proto` file: everything that matters on the wire, as lines of text. It has the package, the paths of the methods,
+//! and the number, label and type of every field.
 //!
-//! Where names count, a message stands by its full name. Where they don't it stands by its place on the way from the
-//! service's methods through the fields in the order of their numbers: other names, or another order of the file, give the
-//! same lines.
+//! If names are significant, types are identified by their full names. Otherwise a type is identified by the order in which it is
+//! reached from the service's methods, through fields in the order of their numbers; other names or another order of the file then
+//! give the same lines.
 
 use protox::prost_reflect::prost_types::field_descriptor_proto::{Label, Type};
 use protox::prost_reflect::prost_types::{
@@ -13,29 +13,29 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::path::Path;
 
-/// Whether messages, fields and the values of enumerations stand by their names.
+/// Whether the names of messages, fields and enum values are part of the shape.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Names {
-    /// They do.
-    Count,
-    /// They may change.
-    Free,
+    /// Names are part of the shape.
+    Significant,
+    /// Names may change.
+    Ignored,
 }
 
-/// The shape of one file in a folder.
+/// The shape of a file in a folder.
 pub fn shape(folder: &Path, file: &str, names: Names) -> String {
     let set = protox::compile([folder.join(file)], [folder]).unwrap_or_else(|e| panic!("{e}"));
-    let described = set.file.into_iter().find(|f| f.name() == file);
-    let described = described.expect("the file that was compiled");
+    let descriptor = set.file.into_iter().find(|f| f.name() == file);
+    let descriptor = descriptor.expect("the compiled file");
     let mut shape = Shape {
         names,
         messages: BTreeMap::new(),
         enums: BTreeMap::new(),
-        places: BTreeMap::new(),
-        waiting: VecDeque::new(),
-        lines: vec![format!("package {}", described.package())],
+        type_ids: BTreeMap::new(),
+        pending: VecDeque::new(),
+        lines: vec![format!("package {}", descriptor.package())],
     };
-    shape.file(&described);
+    shape.add_file(&descriptor);
     shape.lines.join("\n") + "\n"
 }
 
@@ -43,135 +43,143 @@
     names: Names,
     messages: BTreeMap<String, DescriptorProto>,
     enums: BTreeMap<String, EnumDescriptorProto>,
-    /// By what a type is called in the lines, by its full name.
-    places: BTreeMap<String, String>,
-    waiting: VecDeque<String>,
+    /// The identifier of each type in the lines, by the type's full name.
+    type_ids: BTreeMap<String, String>,
+    /// Types that have an identifier and are not described yet.
+    pending: VecDeque<String>,
     lines: Vec<String>,
 }
 
 impl Shape {
-    fn file(&mut self, file: &FileDescriptorProto) {
+    fn add_file(&mut self, file: &FileDescriptorProto) {
         let package = format!(".{}", file.package());
         for message in &file.message_type {
             self.collect(&package, message);
         }
-        for one in &file.enum_type {
-            self.enums
-                .insert(format!("{package}.{}", one.name()), one.clone());
+        for enumeration in &file.enum_type {
+            self.enums.insert(
+                format!("{package}.{}", enumeration.name()),
+                enumeration.clone(),
+            );
         }
         for service in &file.service {
             let mut methods: Vec<_> = service.method.iter().collect();
             methods.sort_by_key(|m| m.name());
             for method in methods {
-                let streams = |yes: bool| if yes { "stream " } else { "" };
-                let (to, from) = (
-                    self.place(method.input_type()),
-                    self.place(method.output_type()),
+                let stream = |is_stream: bool| if is_stream { "stream " } else { "" };
+                let (input, output) = (
+                    self.type_id(method.input_type()),
+                    self.type_id(method.output_type()),
                 );
                 let line = format!(
-                    "rpc /{}.{}/{} {}{to} -> {}{from}",
+                    "rpc /{}.{}/{} {}{input} -> {}{output}",
                     file.package(),
                     service.name(),
                     method.name(),
-                    streams(method.client_streaming()),
-                    streams(method.server_streaming()),
+                    stream(method.client_streaming()),
+                    stream(method.server_streaming()),
                 );
                 self.lines.push(line);
             }
         }
-        self.reached();
-        // Those that no method leads to; without names they can't be told apart, so that there may be none.
+        self.describe_pending();
+        // Types that no method reaches. They can only be identified by name.
         let rest = self.messages.keys().chain(self.enums.keys());
         let rest: Vec<String> = rest
-            .filter(|n| !self.places.contains_key(*n))
+            .filter(|n| !self.type_ids.contains_key(*n))
             .cloned()
             .collect();
         assert!(
-            rest.is_empty() || self.names == Names::Count,
-            "no method leads to {rest:?}"
+            rest.is_empty() || self.names == Names::Significant,
+            "no method reaches {rest:?}"
         );
         for name in rest {
-            self.place(&name);
+            self.type_id(&name);
         }
-        self.reached();
+        self.describe_pending();
     }
 
-    fn collect(&mut self, within: &str, message: &DescriptorProto) {
-        let name = format!("{within}.{}", message.name());
+    /// Collects a message and the types nested in it.
+    fn collect(&mut self, parent: &str, message: &DescriptorProto) {
+        let name = format!("{parent}.{}", message.name());
         for nested in &message.nested_type {
             self.collect(&name, nested);
         }
-        for one in &message.enum_type {
-            self.enums
-                .insert(format!("{name}.{}", one.name()), one.clone());
+        for enumeration in &message.enum_type {
+            self.enums.insert(
+                format!("{name}.{}", enumeration.name()),
+                enumeration.clone(),
+            );
         }
         self.messages.insert(name, message.clone());
     }
 
-    /// What a type is called in the lines; one that is new is described later on.
-    fn place(&mut self, name: &str) -> String {
-        if let Some(known) = self.places.get(name) {
+    /// The identifier of a type in the lines. A new type becomes pending.
+    fn type_id(&mut self, name: &str) -> String {
+        if let Some(known) = self.type_ids.get(name) {
             return known.clone();
         }
-        let place = match self.names {
-            Names::Count => name.to_string(),
-            Names::Free => format!("#{}", self.places.len()),
+        let id = match self.names {
+            Names::Significant => name.to_string(),
+            Names::Ignored => format!("#{}", self.type_ids.len()),
         };
-        self.places.insert(name.to_string(), place.clone());
-        self.waiting.push_back(name.to_string());
-        place
+        self.type_ids.insert(name.to_string(), id.clone());
+        self.pending.push_back(name.to_string());
+        id
     }
 
-    fn reached(&mut self) {
-        while let Some(name) = self.waiting.pop_front() {
-            let place = self.places[&name].clone();
-            if let Some(one) = self.enums.get(&name).cloned() {
-                self.lines.push(format!("enum {place}"));
+    /// Adds the lines of all pending types, and of the types that they reach.
+    fn describe_pending(&mut self) {
+        while let Some(name) = self.pending.pop_front() {
+            let id = self.type_ids[&name].clone();
+            if let Some(enumeration) = self.enums.get(&name).cloned() {
+                self.lines.push(format!("enum {id}"));
                 let value = |v: &EnumValueDescriptorProto| match self.names {
-                    Names::Count => format!("  {} {}", v.number(), v.name()),
-                    Names::Free => format!("  {}", v.number()),
+                    Names::Significant => format!("  {} {}", v.number(), v.name()),
+                    Names::Ignored => format!("  {}", v.number()),
                 };
-                let values: Vec<String> = one.value.iter().map(value).collect();
+                let values: Vec<String> = enumeration.value.iter().map(value).collect();
                 self.lines.extend(values);
                 continue;
             }
             let message = self.messages.get(&name).cloned();
-            let message = message.unwrap_or_else(|| panic!("{name} is of another file"));
-            let map = message.options.as_ref().is_some_and(|o| o.map_entry());
-            let sort = if map { "entry" } else { "message" };
-            self.lines.push(format!("{sort} {place}"));
+            let message = message.unwrap_or_else(|| panic!("{name} is defined in another file"));
+            let is_map_entry = message.options.as_ref().is_some_and(|o| o.map_entry());
+            let kind = if is_map_entry { "entry" } else { "message" };
+            self.lines.push(format!("{kind} {id}"));
             let mut fields = message.field.clone();
             fields.sort_by_key(|f| f.number());
             for field in &fields {
-                let line = self.field(field, &fields);
+                let line = self.field_line(field, &fields);
                 self.lines.push(line);
             }
         }
     }
 
-    /// `  number label type`, the first number of its `oneof` if it stands in one, its name where names count.
-    fn field(&mut self, field: &FieldDescriptorProto, all: &[FieldDescriptorProto]) -> String {
+    /// The line of a field: `  number label type`, then `oneof` and the first number of its oneof, if any, and the name if names are
+    /// significant.
+    fn field_line(&mut self, field: &FieldDescriptorProto, all: &[FieldDescriptorProto]) -> String {
         let label = match field.label() {
             Label::Repeated => "repeated",
             Label::Optional if field.proto3_optional() => "optional",
             Label::Optional => "single",
             Label::Required => "required",
         };
-        let sort = field.r#type().as_str_name();
-        let sort = sort.trim_start_matches("TYPE_").to_lowercase();
-        let of = match field.r#type() {
-            Type::Message | Type::Enum => format!(" {}", self.place(field.type_name())),
+        let kind = field.r#type().as_str_name();
+        let kind = kind.trim_start_matches("TYPE_").to_lowercase();
+        let type_id = match field.r#type() {
+            Type::Message | Type::Enum => format!(" {}", self.type_id(field.type_name())),
             _ => String::new(),
         };
         let oneof = field.oneof_index.and_then(|index| {
-            let mut same = all.iter().filter(|f| f.oneof_index == Some(index));
-            same.next().map(|f| format!(" oneof {}", f.number()))
+            let mut members = all.iter().filter(|f| f.oneof_index == Some(index));
+            members.next().map(|f| format!(" oneof {}", f.number()))
         });
         let name = match self.names {
-            Names::Count => format!(" {}", field.name()),
-            Names::Free => String::new(),
+            Names::Significant => format!(" {}", field.name()),
+            Names::Ignored => String::new(),
         };
         let oneof = oneof.unwrap_or_default();
-        format!("  {} {label} {sort}{of}{oneof}{name}", field.number())
+        format!("  {} {label} {kind}{type_id}{oneof}{name}", field.number())
     }
 }
--- a/tests/compatibility/src/steps.rs
+++ b/tests/compatibility/src/steps.rs
@@ -1,4 +1,4 @@
-//! A step of a recorded run with each kind of input, command and end.
+//! Steps of a recorded run with every kind of input, command and outcome.
 
 use crate::run::{call, listed};
 use tansy_dispatch::record::RecordedStep;
@@ -17,7 +17,7 @@
     load_time: Some(70_000),
 };
 
-/// A worker's report of its load, with a value of its own in every field.
+/// A worker's load report, with a different value in every field.
 pub fn load_report() -> LoadReport {
     LoadReport {
         queued: Some(1.0),
@@ -31,7 +31,7 @@
     }
 }
 
-/// What a worker reports with an answer, with something in every field.
+/// The trailers of a worker's answer, with a value in every field.
 pub fn trailers(cache_status: CacheStatus, never_ran: Option<NeverRan>) -> Trailers {
     Trailers {
         cache_status,
@@ -85,9 +85,9 @@
         };
         ended(AttemptOutcome::Cancelled, trailers)
     }));
-    let promises = [NeverRan::NotLoaded, NeverRan::TurnedAway, NeverRan::Expired];
-    all.extend(promises.map(|promise| {
-        let never_ran = Some(promise);
+    let reasons = [NeverRan::NotLoaded, NeverRan::TurnedAway, NeverRan::Expired];
+    all.extend(reasons.map(|reason| {
+        let never_ran = Some(reason);
         let trailers = Trailers {
             never_ran,
             ..loading
@@ -230,7 +230,7 @@
     ]
 }
 
-/// A step with each kind of input, and one with all kinds of commands.
+/// A step for each kind of input, and one step with all kinds of commands.
 pub fn each_kind() -> Vec<RecordedStep> {
     let step = |input| RecordedStep {
         at: 1,
--- a/tests/compatibility/tests/capacity_runs.rs
+++ b/tests/compatibility/tests/capacity_runs.rs
@@ -1,12 +1,12 @@
-//! Every file of runs under `docs/capacity/runs` is read still, each line as one run.
+//! Every file of runs under `docs/capacity/runs` can be read, each line as one run.
 
 use std::path::Path;
 use tansy_capacity::runs::read_lines;
 
 #[test]
-fn every_run_that_is_kept_is_read() {
-    // The runs that each file had when this test was written; runs are added, never taken away.
-    let least = [
+fn every_stored_run_is_read() {
+    // Lower bounds on the number of runs per file; runs are only ever added.
+    let min_runs = [
         ("causes.jsonl", 4),
         ("processes.jsonl", 3),
         ("roles.jsonl", 10),
@@ -18,10 +18,10 @@
         ("virtual.jsonl", 17),
     ];
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/capacity/runs");
-    for (name, least) in least {
+    for (name, min_runs) in min_runs {
         let text = std::fs::read_to_string(folder.join(name)).expect(name);
         let runs = read_lines(name, &text).unwrap_or_else(|e| panic!("{}", e.join("\n")));
-        assert!(runs.len() >= least, "{name}: {} runs", runs.len());
+        assert!(runs.len() >= min_runs, "{name}: {} runs", runs.len());
         for run in &runs {
             assert!(
                 !run.tool().is_empty() && !run.command().is_empty(),
--- a/tests/compatibility/tests/fleet.rs
+++ b/tests/compatibility/tests/fleet.rs
@@ -1,8 +1,7 @@
-//! Messages, requests and replies between front ends and operators of a fleet are read as they were written, and are written
-//! as they were.
+//! Messages between front ends of a fleet, and requests and replies of operators: earlier versions' bytes are read, and the present
+//! version writes the same.
 //!
-//! `fixtures/fleet-letters.txt` and `fixtures/fleet-requests.txt` hold the messages of `src/fleet/`, by
-//! `examples/record.rs`.
+//! `fixtures/fleet-letters.txt` and `fixtures/fleet-requests.txt` have the messages of `src/fleet/`, written by `examples/record.rs`.
 
 use tansy_compatibility_tests::fixture;
 use tansy_compatibility_tests::fleet::messages::{bodies, sender, FLEET, LEADER};
@@ -10,7 +9,7 @@
 use tansy_fleet_wire::{decode_message, encode_message};
 
 #[test]
-fn letters_are_read_and_written_as_before() {
+fn messages_are_read_and_written_as_before() {
     let recorded = fixture::messages("fleet-letters.txt");
     assert_eq!(recorded.len(), bodies().len());
     for ((name, bytes), body) in recorded.into_iter().zip(bodies()) {
@@ -34,7 +33,10 @@
     assert_eq!(recorded.len(), requests().len());
     for ((name, bytes), present) in recorded.into_iter().zip(requests()) {
         assert_eq!(name, present.name);
-        assert!((present.is)(&bytes), "{name} is read as another message");
+        assert!(
+            (present.decodes)(&bytes),
+            "{name} does not decode to the expected message"
+        );
         assert_eq!(fixture::hex(&present.bytes), fixture::hex(&bytes), "{name}");
     }
 }
--- a/tests/compatibility/tests/inference.rs
+++ b/tests/compatibility/tests/inference.rs
@@ -1,6 +1,6 @@
 //! Messages of the inference protocol are read and written as before, by the scanner and by the generated types.
 //!
-//! `fixtures/inference.txt` holds the messages of `src/inference.rs`, by `examples/record.rs`.
+//! `fixtures/inference.txt` has the messages of `src/inference.rs`, written by `examples/record.rs`.
 
 use prost::Message;
 use std::collections::BTreeMap;
@@ -34,8 +34,8 @@
     assert_eq!(request, Ok(expected::request()));
     let response = pb::ModelInferResponse::decode(bytes("response"));
     assert_eq!(response, Ok(expected::response()));
-    let piece = pb::ModelStreamInferResponse::decode(bytes("piece"));
-    assert_eq!(piece, Ok(expected::piece()));
+    let stream_response = pb::ModelStreamInferResponse::decode(bytes("piece"));
+    assert_eq!(stream_response, Ok(expected::stream_response()));
     let report = orca::OrcaLoadReport::decode(bytes("load-report"));
     assert_eq!(report, Ok(expected::report()));
 }
@@ -44,7 +44,7 @@
 fn messages_are_scanned_as_before() {
     let recorded = recorded();
     let request = InferRequest::parse(&recorded["request"]).expect("a request");
-    // In the order of the names, as they were sent.
+    // Sorted by name, as they were encoded.
     let parameters = vec![
         ("flag", ParameterValue::Bool(true)),
         ("int", ParameterValue::Int(-7)),
@@ -60,7 +60,7 @@
         inputs: 1,
     };
     assert_eq!(request, expected);
-    let piece = |name: &str, error, id, last| {
+    let check = |name: &str, error, id, last| {
         let expected = StreamResponse {
             error,
             id,
@@ -73,11 +73,11 @@
             "{name}"
         );
     };
-    piece("piece", "an error", "theirs", false);
-    piece("amended-piece", "an error", "ours", false);
-    piece("stream-error", "refused", "ours", true);
-    piece("stream-error-for-good", "refused", "ours", true);
-    piece("empty-final", "", "ours", true);
+    check("piece", "an error", "theirs", false);
+    check("amended-piece", "an error", "ours", false);
+    check("stream-error", "refused", "ours", true);
+    check("stream-error-for-good", "refused", "ours", true);
+    check("empty-final", "", "ours", true);
     assert_eq!(response_id(&recorded["response"]), Ok("theirs"));
     assert_eq!(response_id(&recorded["amended-response"]), Ok("ours"));
 }
--- a/tests/compatibility/tests/json.rs
+++ b/tests/compatibility/tests/json.rs
@@ -1,7 +1,7 @@
-//! JSON that programs read is read and written as before.
+//! JSON of earlier versions is read, and the present version writes the same text.
 //!
-//! `fixtures/rollout-entries.jsonl` and `rollouts.jsonl` are what travels of a rollout, `printed.jsonl` what `tansy-fleet
-//! --json` prints of a fleet, its changes and its history; all of `src/json.rs`, by `examples/record.rs`.
+//! `fixtures/rollout-entries.jsonl` and `rollouts.jsonl` have rollouts as in messages, and `printed.jsonl` the output of
+//! `tansy-fleet --json`; all are from `src/json.rs`, written by `examples/record.rs`.
 
 use tansy_compatibility_tests::{fixture, json};
 use tansy_fleet_wire::{of_roll, of_roll_entry, pb};
@@ -39,6 +39,6 @@
 }
 
 #[test]
-fn what_is_printed_of_a_fleet_is_as_before() {
-    compare("printed.jsonl", &json::printed());
+fn the_output_of_operator_commands_is_unchanged() {
+    compare("printed.jsonl", &json::printed_lines());
 }
--- a/tests/compatibility/tests/membership.rs
+++ b/tests/compatibility/tests/membership.rs
@@ -1,49 +1,50 @@
-//! Datagrams of membership are read as they were meant, and are written as they were.
+//! Membership datagrams of earlier versions are read, and the present version writes the same bytes.
 //!
-//! `fixtures/membership.txt` holds those of two front ends in `src/membership.rs`, by `examples/record.rs`.
+//! `fixtures/membership.txt` has the datagrams of `src/membership.rs`, written by `examples/record.rs`.
 
 use tansy_compatibility_tests::fixture;
-use tansy_compatibility_tests::membership::{conversation, member, name};
+use tansy_compatibility_tests::membership::{datagrams, member, node_id};
 use tansy_membership::{MembershipEvent, NodeId};
 
 #[test]
-fn datagrams_are_written_as_before() {
+fn the_bytes_of_datagrams_are_unchanged() {
     let hex = |all: Vec<(String, Vec<u8>)>| {
-        let line = |(way, bytes): (String, Vec<u8>)| format!("{way} {}", fixture::hex(&bytes));
+        let line =
+            |(direction, bytes): (String, Vec<u8>)| format!("{direction} {}", fixture::hex(&bytes));
         all.into_iter().map(line).collect::<Vec<_>>()
     };
-    assert_eq!(
-        hex(conversation()),
-        hex(fixture::messages("membership.txt"))
-    );
+    assert_eq!(hex(datagrams()), hex(fixture::messages("membership.txt")));
 }
 
 #[test]
-fn datagrams_of_an_earlier_program_make_it_known_and_let_it_leave() {
+fn recorded_datagrams_report_a_front_end_up_and_down() {
     let mut second = member(2);
     let mut events = Vec::new();
-    for (way, bytes) in fixture::messages("membership.txt") {
-        if way == "1-to-2" {
+    for (direction, bytes) in fixture::messages("membership.txt") {
+        if direction == "1-to-2" {
             second.on_datagram(0, &bytes).expect("a datagram");
             events.extend(second.take_events());
         }
     }
     assert_eq!(
         events,
-        [MembershipEvent::Up(name(1)), MembershipEvent::Down(name(1))]
+        [
+            MembershipEvent::Up(node_id(1)),
+            MembershipEvent::Down(node_id(1))
+        ]
     );
 }
 
 #[test]
-fn a_name_is_read_and_written_as_before() {
-    // Number, process, life and address, by postcard.
+fn the_encoding_of_a_node_id_is_unchanged() {
+    // Id, incarnation, renewals and address, encoded by postcard.
     let recorded = fixture::bytes("05ac02070100000000000000000000000000000001d936");
-    let name = NodeId {
+    let node_id = NodeId {
         id: 5,
         incarnation: 300,
         renewals: 7,
         address: "[::1]:7001".parse().expect("an address"),
     };
-    assert_eq!(postcard::from_bytes(&recorded), Ok(name.clone()));
-    assert_eq!(postcard::to_stdvec(&name), Ok(recorded));
+    assert_eq!(postcard::from_bytes(&recorded), Ok(node_id.clone()));
+    assert_eq!(postcard::to_stdvec(&node_id), Ok(recorded));
 }
--- a/tests/compatibility/tests/programs.rs
+++ b/tests/compatibility/tests/programs.rs
@@ -1,7 +1,7 @@
-//! What the programs print for programs has the keys, and the sorts of values, that it had.
+//! The machine-readable output of the programs keeps its keys and the types of its values.
 //!
-//! A fleet of one front end on loopback is asked as operators ask it. `fixtures/printed-keys.txt` has for each command its
-//! exit code and the path and sort of every value that it printed, as the program of the day did.
+//! The tests run operators' commands against a fleet of one front end. `fixtures/printed-keys.txt` has for each command the exit code,
+//! and the path and type of every value in the output of the version that was recorded.
 
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -24,10 +24,10 @@
 functions: chat: {class: "chat", memory: 1MB}
 fleet: {name: "pool", seats: [{name: "f0", address: "SEAT"}]}
 "#;
-/// Time for the front end to begin to act.
+/// Limit on waiting for the front end.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A running front end, which ends with this.
+/// A running front end, which is killed when this value is dropped.
 struct FrontEnd {
     process: ServerProcess,
     address: ReservedAddress,
@@ -43,7 +43,7 @@
         let gateway = Path::new(env!("CARGO_BIN_EXE_compatibility-gateway"));
         let mut command = front_end_command(gateway, &settings, "f0", address.address());
         command.arg("--state").arg(folder.file("f0.redb"));
-        let process = ServerProcess::start(&mut command).expect("it starts");
+        let process = ServerProcess::start(&mut command).expect("a front end");
         let line = process.ready_line();
         let keys: Vec<&str> = line
             .split_whitespace()
@@ -61,11 +61,11 @@
         front_end
     }
 
-    /// Asks until the answer is as wanted.
-    fn wait_for(&self, arguments: &[&str], is_wanted: impl Fn(&Value) -> bool) {
+    /// Repeats a command until its result is as expected.
+    fn wait_for(&self, arguments: &[&str], is_expected: impl Fn(&Value) -> bool) {
         poll_until(TIMEOUT, || {
-            let (_, value) = self.ask(arguments);
-            if is_wanted(&value) {
+            let (_, value) = self.run_command(arguments);
+            if is_expected(&value) {
                 Ok(())
             } else {
                 Err(format!("{arguments:?}: {value}"))
@@ -73,8 +73,8 @@
         });
     }
 
-    /// The exit code and what is printed.
-    fn ask(&self, arguments: &[&str]) -> (i32, Value) {
+    /// Runs an operator's command. Returns its exit code and its output.
+    fn run_command(&self, arguments: &[&str]) -> (i32, Value) {
         let mut program = Command::new(env!("CARGO_BIN_EXE_compatibility-fleet"));
         program.current_dir(self.folder.path());
         let result = fleet::run_operator_command(&mut program, self.address.address(), arguments);
@@ -83,7 +83,7 @@
 
     fn get(&self, target: &str) -> String {
         let mut stream = TcpStream::connect(self.process.address("http").expect("an address"))
-            .expect("the side port");
+            .expect("a connection");
         let request = format!("GET {target} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
         stream.write_all(request.as_bytes()).expect("a request");
         stream.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
@@ -97,9 +97,9 @@
     SETTINGS.replace("SEAT", &voter.to_string())
 }
 
-/// The path and sort of every value within this one.
-fn keys(path: &str, value: &Value, all: &mut BTreeSet<String>) {
-    let sort = match value {
+/// Collects the path and type of a value and of all values in it.
+fn collect_keys(path: &str, value: &Value, all: &mut BTreeSet<String>) {
+    let kind = match value {
         Value::Null => "null",
         Value::Bool(_) => "bool",
         Value::Number(_) => "number",
@@ -107,14 +107,14 @@
         Value::Array(_) => "array",
         Value::Object(_) => "object",
     };
-    all.insert(format!("  {path} {sort}"));
+    all.insert(format!("  {path} {kind}"));
     match value {
         Value::Array(items) => items
             .iter()
-            .for_each(|v| keys(&format!("{path}[]"), v, all)),
+            .for_each(|v| collect_keys(&format!("{path}[]"), v, all)),
         Value::Object(fields) => {
             for (name, field) in fields {
-                keys(&format!("{path}.{name}"), field, all);
+                collect_keys(&format!("{path}.{name}"), field, all);
             }
         }
         _ => {}
@@ -122,11 +122,11 @@
 }
 
 #[test]
-fn what_the_programs_print_has_the_keys_that_it_had() {
+fn the_keys_of_printed_values_are_unchanged() {
     let front_end = FrontEnd::start("printed");
     let changed = settings(front_end.address.address()).replace("2s", "3s");
     let changed = front_end.folder.write("changed.cue", &changed);
-    changed.expect("room on the disk");
+    changed.expect("a file");
     let mut printed = String::new();
     for arguments in [
         &["status"][..],
@@ -144,12 +144,12 @@
         &["roll", "status"],
     ] {
         if arguments.starts_with(&["scope", "remove"]) {
-            // A function may change again only once its last change is settled.
+            // A function can change again only once its last change is in force.
             front_end.wait_for(&["scope", "show", "f"], |f| f[0]["is"] == "in force");
         }
-        let (code, value) = front_end.ask(arguments);
+        let (code, value) = front_end.run_command(arguments);
         let mut all = BTreeSet::new();
-        keys("", &value, &mut all);
+        collect_keys("", &value, &mut all);
         let lines: Vec<String> = all.into_iter().collect();
         printed += &format!(
             "{}: exit {code}\n{}\n",
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn the_side_port_answers_as_before() {
+fn the_http_port_answers_as_before() {
     let front_end = FrontEnd::start("side-port");
     let account = front_end.get("/account");
     let (head, body) = account.split_once("\r\n\r\n").expect("an answer");
--- a/tests/compatibility/tests/proto_shapes.rs
+++ b/tests/compatibility/tests/proto_shapes.rs
@@ -1,7 +1,7 @@
-//! Every `.proto` file of the project has the shape that it had when the first fixtures were recorded.
+//! Every `.proto` file of the project keeps its recorded shape.
 //!
-//! `fixtures/*.shape` were written by `examples/record.rs`. A field that is added is added to the file; no line is changed
-//! or removed. In `fleet.proto` the names of messages and fields may change, in the other files they are not ours to change.
+//! `fixtures/*.shape` were written by `examples/record.rs`. A new field gets a new line there; no line is changed or removed. Names of
+//! messages and fields may change in `fleet.proto`; the other files are public protocols, whose names are fixed.
 
 use std::path::{Path, PathBuf};
 use tansy_compatibility_tests::fixture;
@@ -25,7 +25,7 @@
     compare(
         "protocol/fleet/proto",
         "fleet.proto",
-        Names::Free,
+        Names::Ignored,
         "fleet.shape",
     );
 }
@@ -35,7 +35,7 @@
     compare(
         "protocol/inference/proto",
         "inference.proto",
-        Names::Count,
+        Names::Significant,
         "inference.shape",
     );
 }
@@ -45,14 +45,14 @@
     compare(
         "protocol/inference/proto",
         "orca.proto",
-        Names::Count,
+        Names::Significant,
         "orca.shape",
     );
 }
 
-/// A file that no test compares would change unseen.
+/// A `.proto` file without a recorded shape could change unnoticed.
 #[test]
-fn no_other_file_is_there() {
+fn every_proto_file_has_a_recorded_shape() {
     fn walk(folder: &Path, found: &mut Vec<String>) {
         for entry in std::fs::read_dir(folder).expect("a folder").flatten() {
             let (path, name) = (entry.path(), entry.file_name().into_string());
@@ -70,15 +70,15 @@
     assert_eq!(found, ["fleet.proto", "inference.proto", "orca.proto"]);
 }
 
-/// The comparison itself: it passes over names and the order of the file, and over nothing else.
+/// Checks the comparison itself: without names, only the names and the order of the file are ignored.
 #[test]
 fn other_names_and_another_order_give_the_same_shape() {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let shape = |messages: &str| {
         let head = "syntax = \"proto3\"; package p; service S { rpc Do(A) returns (stream B); }";
         let text = format!("{head}\n{messages}");
-        std::fs::write(folder.join("shape.proto"), text).expect("room on the disk");
-        shape(&folder, "shape.proto", Names::Free)
+        std::fs::write(folder.join("shape.proto"), text).expect("a file");
+        shape(&folder, "shape.proto", Names::Ignored)
     };
     let first = shape(
         "message A { E e = 1; map<string, B> all = 2; oneof x { bool f = 3; A a = 4; } }
--- a/tests/compatibility/tests/recorded_run.rs
+++ b/tests/compatibility/tests/recorded_run.rs
@@ -1,7 +1,7 @@
-//! A run that `--record` wrote is read, is written the same again, and plays to the same decisions.
+//! Recorded runs of earlier versions are read, written with the same bytes, and replayed with the same decisions.
 //!
-//! `fixtures/run.jsonl` is the run of `src/run.rs` with the settings `run.cue`, `steps.jsonl` a step of each kind, of `src/steps.rs`; both by
-//! `examples/record.rs`.
+//! `fixtures/run.jsonl` has the run of `src/run.rs` with the settings `run.cue`, and `steps.jsonl` the steps of `src/steps.rs`; both were
+//! written by `examples/record.rs`.
 
 use tansy_compatibility_tests::{fixture, run, steps};
 use tansy_dispatch::record::{replay, RecordedStep};
@@ -21,21 +21,21 @@
 }
 
 #[test]
-fn a_step_of_each_kind_is_read_and_written_as_before() {
+fn steps_of_every_kind_are_read_and_written_as_before() {
     assert_eq!(read("steps.jsonl"), steps::each_kind());
     compare(&steps::each_kind(), "steps.jsonl");
 }
 
 #[test]
-fn a_run_is_read_and_plays_to_the_same_decisions() {
+fn a_replayed_run_makes_the_same_decisions() {
     let steps = read("run.jsonl");
     compare(&steps, "run.jsonl");
-    let mut dispatcher = run::front();
-    let played: Vec<RecordedStep> = replay(&mut dispatcher, steps.into_iter()).collect();
-    compare(&played, "run.jsonl");
+    let mut dispatcher = run::dispatcher();
+    let replayed: Vec<RecordedStep> = replay(&mut dispatcher, steps.into_iter()).collect();
+    compare(&replayed, "run.jsonl");
 }
 
 #[test]
-fn the_same_calls_and_answers_make_the_same_run() {
+fn the_same_calls_and_outcomes_make_the_same_run() {
     compare(&run::recorded(), "run.jsonl");
 }
--- a/tests/compatibility/tests/settings.rs
+++ b/tests/compatibility/tests/settings.rs
@@ -1,8 +1,8 @@
-//! Settings files are read as before: names, defaults and units of all fields.
+//! Settings files are read as before: the names, defaults and units of all fields.
 //!
-//! `fixtures/settings-full.cue` has every field of the schema, `settings-least.cue` only what must be there; of each the
-//! `.fields` beside it has all fields with their values as `tansy_settings::agree` gives them, by `examples/record.rs`. The
-//! other files were written by hand.
+//! `fixtures/settings-full.cue` has every field of the schema, `settings-least.cue` only the required ones. For each, the `.fields` file
+//! has the values of all fields as `tansy_settings::agree` returns them, written by `examples/record.rs`. The other files were written
+//! by hand.
 
 use tansy_agreement::compatibility::Value;
 use tansy_compatibility_tests::fixture;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn all_fields_have_their_names_values_and_defaults() {
+fn the_names_values_and_defaults_of_all_fields_are_unchanged() {
     for name in ["settings-full", "settings-least"] {
         let file = format!("{name}.cue");
         let fields = agree::fields(&file, &fixture::text(&file));
@@ -27,9 +27,9 @@
     }
 }
 
-/// What a fleet agrees on of a file: nothing that is a front end's own.
+/// A version has the fields that a fleet agrees on, without those of a single front end.
 #[test]
-fn a_version_of_a_file_is_as_before() {
+fn the_version_of_a_settings_file_is_unchanged() {
     let file = "settings-full.cue";
     let version = agree::version(file, &fixture::text(file)).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(
@@ -38,7 +38,7 @@
     );
 }
 
-fn workers_of_the_file() -> [ConfiguredWorker; 2] {
+fn expected_workers() -> [ConfiguredWorker; 2] {
     let first = WorkerRecord {
         name: "w1".into(),
         kind: 1,
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_file_becomes_the_same_settings() {
+fn a_settings_file_gives_the_same_settings() {
     let all = read("settings-full.cue");
     let fleet = Fleet {
         name: "pool".into(),
@@ -88,7 +88,7 @@
         clock_ppm: 500,
     };
     assert_eq!(all.fleet, Some(fleet));
-    assert_eq!(all.workers, workers_of_the_file());
+    assert_eq!(all.workers, expected_workers());
     let gateway = &all.gateway;
     assert_eq!((gateway.listen.port(), gateway.http.port()), (9001, 9000));
     assert_eq!((gateway.drain, gateway.preface), (11_000_000, 6_000_000));
@@ -129,17 +129,14 @@
 }
 
 #[test]
-fn a_list_of_workers_is_read_as_before() {
+fn a_worker_list_is_read_as_before() {
     let zones = ["a".to_string(), "b".to_string()];
     let list = workers("workers.cue", &fixture::text("workers.cue"), &zones, 1);
-    assert_eq!(
-        list.unwrap_or_else(|e| panic!("{e}")),
-        workers_of_the_file()
-    );
+    assert_eq!(list.unwrap_or_else(|e| panic!("{e}")), expected_workers());
 }
 
 #[test]
-fn a_file_of_functions_is_read_as_before() {
+fn a_functions_file_is_read_as_before() {
     let text = |all: &[&str]| Value::List(all.iter().map(|t| Value::Text(t.to_string())).collect());
     let file = "functions.cue";
     let all = agree::functions(file, &fixture::text(file)).unwrap_or_else(|e| panic!("{e}"));
--- a/tests/compatibility/tests/text_wires.rs
+++ b/tests/compatibility/tests/text_wires.rs
@@ -1,5 +1,5 @@
-//! Messages whose bytes can be read as they stand here: RESP, gRPC's frames and headers, and the platform's calls, answers
-//! and list. What is expected was taken from the program of the day that wrote the first fixtures.
+//! Wire formats whose bytes are written out here: RESP, gRPC frames and headers, and the platform's settings, calls, answers and endpoint
+//! list. The expected values are those of the version that recorded the first fixtures.
 
 use tansy_compatibility_tests::fixture;
 use tansy_compatibility_tests::steps::trailers;
@@ -41,7 +41,7 @@
     let read = assembler
         .next_message()
         .expect("a message")
-        .expect("the whole of it");
+        .expect("a complete message");
     assert_eq!(read.as_ref(), message);
     assert!(assembler.is_empty());
     assert_eq!(grpc::Code::parse(b"14"), grpc::Code::Unavailable);
@@ -81,10 +81,10 @@
 }
 
 fn config() -> Config {
-    Config::read(&fixture::text("platform.json")).expect("settings of an earlier program")
+    Config::read(&fixture::text("platform.json")).expect("valid settings")
 }
 
-/// Every key of the platform's settings file has a value of its own, so that none is read as another.
+/// Every key of the platform's settings file has a different value, so that a swap of two keys is found.
 #[test]
 fn the_platforms_settings_are_read_as_before() {
     let config = config();
@@ -106,8 +106,8 @@
     assert_eq!(settings.policy_limits.keepalive_s, 6.0);
     assert_eq!(settings.policy_limits.multiplex, Some(10));
     assert_eq!(settings.telemetry.fields, ["depth", "x0"]);
-    // What is decided by; it is compared as it is printed, since not all of it can be compared.
-    let read = tansy_conf::router_settings(settings).expect("settings that can be used");
+    // The decision module's settings are compared by their debug output, because not all their types implement `PartialEq`.
+    let read = tansy_conf::router_settings(settings).expect("valid settings");
     assert_eq!(
         format!("{read:#?}"),
         format!("{:#?}", expected_router_settings())
@@ -194,7 +194,7 @@
 
 #[test]
 fn the_platforms_list_is_read_as_before() {
-    let line = |name: &str, host: u8, (kind, cell, zone, state, age, share)| EndpointChange {
+    let change = |name: &str, host: u8, (kind, cell, zone, state, age, share)| EndpointChange {
         endpoint: WorkerRecord {
             name: name.into(),
             kind,
@@ -208,22 +208,22 @@
     };
     let config = config();
     let mut list = EndpointList::new(config.settings.zones, config.settings.machine_types);
-    let whole = vec![
-        line("s-a", 2, (1, 2, 1, WorkerState::Ready, None, 4.0)),
-        line("s-b", 3, (0, 3, 0, WorkerState::Ready, Some(500_000), 1.0)),
-        line("s-c", 4, (0, 0, 0, WorkerState::Draining, None, 1.0)),
+    let full_list = vec![
+        change("s-a", 2, (1, 2, 1, WorkerState::Ready, None, 4.0)),
+        change("s-b", 3, (0, 3, 0, WorkerState::Ready, Some(500_000), 1.0)),
+        change("s-c", 4, (0, 0, 0, WorkerState::Draining, None, 1.0)),
     ];
-    assert_eq!(list.apply(&config.known, 2000.0), [(true, whole)]);
+    assert_eq!(list.apply(&config.known, 2000.0), [(true, full_list)]);
     let later = r#"{"index":9,"updates":[{"index":2,"endpoints":{"servers":[{"id":"s-a","state":"Gone"}]}},{"index":3}]}"#;
     let later: EndpointUpdates = serde_json::from_str(later).expect("a reply of the coordinator");
-    let gone = vec![line("s-a", 2, (0, 0, 0, WorkerState::Gone, None, 1.0))];
+    let gone = vec![change("s-a", 2, (0, 0, 0, WorkerState::Gone, None, 1.0))];
     assert_eq!(list.apply(&later, 2000.0), [(false, gone)]);
     assert_eq!((list.index(), list.worker_count()), (9, 2));
 }
 
 #[test]
 fn calls_of_the_platform_are_read_and_written_as_before() {
-    let shapes = RequestSchema::new(&config().settings);
+    let schema = RequestSchema::new(&config().settings);
     let header = |name: &str| match name {
         "x-class" => Some("once"),
         "x-request-id" => Some("9b1f03aa5c7e2d41"),
@@ -232,7 +232,7 @@
         "idempotency-key" => Some("045fa587-5B_"),
         _ => None,
     };
-    let asked = shapes.read("POST", "/ops/7f3a9c21e0b4d655/call", header);
+    let request = schema.read("POST", "/ops/7f3a9c21e0b4d655/call", header);
     let expected = CallRequest {
         id: *b"9b1f03aa5c7e2d41",
         function: "7f3a9c21e0b4d655".into(),
@@ -249,7 +249,7 @@
         expected.fields("once", 70),
         "sort=once,asset=7f3a9c21e0b4d655,patience=70,op=045fa587-5B_"
     );
-    assert_eq!(asked, Ok(expected));
+    assert_eq!(request, Ok(expected));
 }
 
 #[test]
@@ -260,10 +260,10 @@
         outcome: AttemptOutcome::Status { code, stage },
         trailers: trailers(cache_status, never_ran),
     };
-    let read = |word: &str, fields: &str| {
-        tansy_platform::parse_reply(word.as_bytes(), fields.as_bytes(), true)
+    let read = |status: &str, fields: &str| {
+        tansy_platform::parse_reply(status.as_bytes(), fields.as_bytes(), true)
     };
-    for (word, code, stage, never_ran) in [
+    for (status, code, stage, never_ran) in [
         ("200", 0, ResponseStage::Last, None),
         ("404", 14, ResponseStage::Headers, Some(NeverRan::NotLoaded)),
         (
@@ -276,7 +276,7 @@
         ("500", 13, ResponseStage::Headers, None),
     ] {
         let expected = expected(code, stage, never_ran, CacheStatus::Warm);
-        assert_eq!(read(word, &fields), expected, "{word}");
+        assert_eq!(read(status, &fields), expected, "{status}");
     }
     for (word, cache_status) in [
         ("ready", CacheStatus::Warm),
--- a/tests/compatibility/tests/voters.rs
+++ b/tests/compatibility/tests/voters.rs
@@ -1,8 +1,8 @@
-//! What a voter stored is read, and is what the same fleet stores today.
+//! Stored state of voters: earlier versions' files are read, and the present version stores the same bytes.
 //!
-//! `fixtures/voter-1.redb` is the file of a voter that was there from the beginning, `voter-4.redb` that of one that took the
-//! place of voter 3 and learnt the log as a whole. `voter-*.txt` are the writes that went into them. `examples/record.rs`
-//! wrote them, of the fleet in `src/voters.rs`.
+//! `fixtures/voter-1.redb` is the file of an initial voter, `voter-4.redb` that of a voter that replaced voter 3 and received the log as a
+//! snapshot. `voter-*.txt` have the writes that are in those files. `examples/record.rs` wrote all of them, for the fleet in
+//! `src/voters.rs`.
 
 use std::path::PathBuf;
 use tansy_agreement::compatibility::Value;
@@ -16,30 +16,29 @@
 use tansy_rollout::{Crash, RolloutChange, RolloutPhase};
 use tansy_storage::voter_log::LogStorage;
 
-/// What a voter's file holds; a copy is opened, as opening writes to it.
+/// The content of a voter's file. Opens a copy, because opening a file writes to it.
 fn stored(voter: u64, test: &str) -> PersistentState {
     let copy = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}-{voter}.redb"));
     std::fs::copy(fixture::path(&format!("voter-{voter}.redb")), &copy).expect("a copy");
-    let (_, recovered) = LogStorage::open(&copy).expect("a file of an earlier program");
+    let (_, recovered) = LogStorage::open(&copy).expect("a valid file");
     PersistentState {
         snapshot: recovered.snapshot,
         records: recovered.records,
     }
 }
 
-/// Its log, as far as the file says that it is agreed on.
+/// The log of a voter up to the last entry that its file records as committed.
 fn log(voter: u64, saved: &PersistentState) -> Log {
-    let mut replica =
-        Replica::new(voters::setup(voter, 2), saved, 0).expect("records of an earlier program");
+    let mut replica = Replica::new(voters::config(voter, 2), saved, 0).expect("valid records");
     let mut effects = Vec::new();
     replica.tick(0, &mut effects);
-    replica.log().expect("it was begun").clone()
+    replica.log().expect("a log").clone()
 }
 
-/// The log that the entries make, without anything that is stored.
+/// The log after the first `entries` entries, computed without stored state.
 fn expected(entries: usize) -> Log {
     let voters = (1..=3).map(|voter| (voter, address(voter)));
-    let mut log = Log::new(voters::first_fields(), voters);
+    let mut log = Log::new(voters::initial_fields(), voters);
     for entry in voters::entries().into_iter().take(entries) {
         let text = format!("{entry:?}");
         log.apply(entry).unwrap_or_else(|e| panic!("{text}: {e}"));
@@ -47,16 +46,15 @@
     log
 }
 
-/// Entries that the last record of a file does not say to be agreed on: the last one, and for voter 4 what it says is told
-/// with the next.
-const BEHIND: usize = 1;
+/// Number of entries at the end of each file that no record marks as committed.
+const UNCOMMITTED_ENTRIES: usize = 1;
 
 #[test]
-fn a_file_holds_the_writes_that_went_into_it() {
+fn the_writes_in_a_voter_file_are_read() {
     for voter in [1, 4] {
         let mut expected = PersistentState::default();
-        for (sort, bytes) in fixture::messages(&format!("voter-{voter}.txt")) {
-            match sort.as_str() {
+        for (kind, bytes) in fixture::messages(&format!("voter-{voter}.txt")) {
+            match kind.as_str() {
                 "record" => expected.records.push(bytes),
                 _ => {
                     expected.snapshot = Some(bytes);
@@ -69,16 +67,20 @@
 }
 
 #[test]
-fn the_log_of_a_file_is_the_one_that_its_entries_make() {
+fn the_log_of_a_file_is_that_of_its_entries() {
     let entries = voters::entries().len();
     for voter in [1, 4] {
         let log = log(voter, &stored(voter, "whole"));
-        assert_eq!(log, expected(entries - BEHIND), "voter {voter}");
+        assert_eq!(
+            log,
+            expected(entries - UNCOMMITTED_ENTRIES),
+            "voter {voter}"
+        );
     }
 }
 
 #[test]
-fn versions_roster_and_voters_of_a_file_are_as_they_were() {
+fn versions_roster_and_voters_of_a_file_are_as_recorded() {
     for voter in [1, 4] {
         let log = log(voter, &stored(voter, "versions"));
         let state = log.state();
@@ -94,7 +96,7 @@
         );
         assert_eq!(state.in_force.fields, voters::with_attempts(4));
         assert_eq!(state.in_force.reason, "more attempts");
-        let (next, phase) = state.next.as_ref().expect("a change under way");
+        let (next, phase) = state.next.as_ref().expect("a pending change");
         assert_eq!((next.version, *phase), (Version(5), ChangePhase::Joint));
         assert_eq!(attempts(&next.fields), Value::Int(8));
         assert_eq!(state.canary, None);
@@ -102,30 +104,30 @@
             .history()
             .map(|s| (s.version.0, s.reason.as_str()))
             .collect();
-        let before = [
+        let expected = [
             (1, "the first"),
             (2, "more attempts"),
             (3, "given up while told"),
             (4, "given up while joint"),
             (5, "under way"),
         ];
-        assert_eq!(history, before);
+        assert_eq!(history, expected);
         let member = |id| Member { id, incarnation: 1 };
         let roster: Vec<_> = log.roster().collect();
         assert_eq!(
             roster,
             [(member(11), "front-1"), (member(u64::MAX), "front-3")]
         );
-        let keepers = [1, 2, 4].map(|n| (n, address(n)));
+        let voters = [1, 2, 4].map(|n| (n, address(n)));
         assert_eq!(
             (log.voters(), log.voter_replacement()),
-            (&keepers.into(), None)
+            (&voters.into(), None)
         );
     }
 }
 
 #[test]
-fn functions_of_a_file_are_as_they_were() {
+fn functions_of_a_file_are_as_recorded() {
     for voter in [1, 4] {
         let log = log(voter, &stored(voter, "functions"));
         let scoped = |revision, fields, phase| ScopeRecord {
@@ -133,7 +135,7 @@
             fields,
             phase,
         };
-        let back = ScopePhase::Reverting {
+        let reverting = ScopePhase::Reverting {
             since: Revision(14),
         };
         let settling = ScopePhase::Settling {
@@ -146,24 +148,24 @@
         let catalog = log.catalog();
         let (chat, sound) = (voters::function("fast", 1), voters::function("slow", 2));
         let all = [
-            ("chat".to_string(), scoped(12, Some(chat), back)),
+            ("chat".to_string(), scoped(12, Some(chat), reverting)),
             ("image".to_string(), scoped(15, None, settling)),
             ("sound".to_string(), scoped(12, Some(sound), joint)),
         ];
         assert_eq!(catalog.all(), &all.into(), "voter {voter}");
         assert_eq!(catalog.scopes_since(), Some(Revision(11)));
-        let request = |id, step, (joint, force, back)| TransactionResult {
+        let result = |id, revision, (joint, in_force, reverted)| TransactionResult {
             id,
-            revision: Revision(step),
+            revision: Revision(revision),
             joint,
-            in_force: force,
-            reverted: back,
+            in_force,
+            reverted,
         };
         for expected in [
-            request(31, 11, (0, 2, 0)),
-            request(32, 11, (0, 1, 0)),
-            request(33, 13, (0, 1, 1)),
-            request(34, 16, (1, 0, 0)),
+            result(31, 11, (0, 2, 0)),
+            result(32, 11, (0, 1, 0)),
+            result(33, 13, (0, 1, 1)),
+            result(34, 16, (1, 0, 0)),
         ] {
             assert_eq!(catalog.transaction_result(expected.id), Some(&expected));
         }
@@ -171,15 +173,15 @@
 }
 
 #[test]
-fn the_rollout_of_a_file_stands_where_it_stood() {
+fn the_rollout_of_a_file_is_as_recorded() {
     for voter in [1, 4] {
         let log = log(voter, &stored(voter, "rollout"));
         let rollout = log.rollout().expect("a rollout");
-        let what = RolloutChange::Program {
+        let change = RolloutChange::Program {
             label: "0123abcd".into(),
             path: "/opt/tansy/0123abcd".into(),
         };
-        assert_eq!((rollout.id, &rollout.change), (42, &what));
+        assert_eq!((rollout.id, &rollout.change), (42, &change));
         assert_eq!((rollout.phase, rollout.stage), (RolloutPhase::Changing, 1));
         assert_eq!(
             (rollout.revision, rollout.fence, rollout.heartbeat),
@@ -188,36 +190,36 @@
         assert_eq!((rollout.paused, rollout.analyses), (false, 1));
         assert_eq!(rollout.changed, ["front-1".to_string()].into());
         assert_eq!(rollout.released, ["front-2".to_string()].into());
-        let fallen = Crash {
+        let crash = Crash {
             name: "front-2".into(),
             process: 7,
             kind: "signal 6".into(),
             consecutive: 2,
         };
-        assert_eq!(rollout.crashes, [fallen]);
-        let seen: Vec<_> = rollout
+        assert_eq!(rollout.crashes, [crash]);
+        let verdicts: Vec<_> = rollout
             .observations
             .iter()
             .map(|s| (s.stage, &s.verdict))
             .collect();
-        assert_eq!(seen, [(0, &Some(Verdict::Pass)), (1, &None)]);
+        assert_eq!(verdicts, [(0, &Some(Verdict::Pass)), (1, &None)]);
         assert_eq!(log.program(), None);
     }
 }
 
 #[test]
-fn voters_go_on_from_their_files() {
-    // Two of three: enough for a leader.
+fn voters_continue_from_their_files() {
+    // Two of three voters are a majority.
     let files = [1, 4].map(|voter| (voter, stored(voter, "go-on")));
     let mut fleet = Fleet::new(&files.into(), 2);
-    fleet.agree(LogEntry::Abandon {
+    fleet.commit(LogEntry::Abandon {
         version: Version(5),
     });
     let mut expected = expected(voters::entries().len());
-    let back = expected.apply(LogEntry::Abandon {
+    let applied = expected.apply(LogEntry::Abandon {
         version: Version(5),
     });
-    back.expect("it is under way");
+    applied.expect("a pending change");
     for voter in [1, 4] {
         assert_eq!(fleet.voter(voter).log(), Some(&expected), "voter {voter}");
     }
@@ -228,9 +230,13 @@
     let fleet = voters::recorded();
     for voter in [1, 4] {
         let mut written = Vec::new();
-        for (record, whole) in fleet.writes(voter) {
+        for (record, snapshot) in fleet.writes(voter) {
             written.push(format!("record {}", fixture::hex(record)));
-            written.extend(whole.iter().map(|w| format!("whole {}", fixture::hex(w))));
+            written.extend(
+                snapshot
+                    .iter()
+                    .map(|s| format!("whole {}", fixture::hex(s))),
+            );
         }
         let recorded = fixture::text(&format!("voter-{voter}.txt"));
         let recorded: Vec<&str> = recorded.lines().skip(1).collect();
