--- a/tests/compatibility/tests/programs.rs
+++ b/tests/compatibility/tests/programs.rs
@@ -22,7 +22,7 @@
 const SETTINGS: &str = r#"
 classes: chat: {aim: 1s, deadline: 2s}
 functions: chat: {class: "chat", memory: 1MB}
-fleet: {name: "pool", seats: [{name: "f0", address: "SEAT"}]}
+fleet: {name: "pool", seats: [{name: "f0", address: "VOTER"}]}
 "#;
 /// Limit on waiting for the front end.
 const TIMEOUT: Duration = Duration::from_secs(30);
@@ -94,7 +94,7 @@
 }
 
 fn settings(voter: SocketAddr) -> String {
-    SETTINGS.replace("SEAT", &voter.to_string())
+    SETTINGS.replace("VOTER", &voter.to_string())
 }
 
 /// Collects the path and type of a value and of all values in it.
--- a/tests/path/src/scoped_fleet.rs
+++ b/tests/path/src/scoped_fleet.rs
@@ -45,7 +45,7 @@
             settings_of_echo()
         );
         let list = workers.listed();
-        let state = Some(folder.file("seat.redb"));
+        let state = Some(folder.file("voter.redb"));
         let fleet = ScopedFleet {
             voter: start_member(&settings, &list, "f0", address, state),
             front_end: start_member(&settings, &list, "f1", ([127, 0, 0, 1], 0).into(), None),
