--- a/tests/soak/src/process.rs
+++ b/tests/soak/src/process.rs
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Ends the process as a planned restart does: SIGTERM, then SIGKILL if it still runs after [`KILL_AFTER_TERM`]. Right after SIGTERM
+    /// Ends the process as a planned restart does: SIGTERM, then SIGKILL if it still runs after `KILL_AFTER_TERM`. Right after SIGTERM
     /// the process is suspended for `suspended`, unless that is zero.
     pub async fn terminate(&mut self, suspended: Duration) {
         if self.process.is_none() {
