--- a/benches/state/src/scopes/subscriptions.rs
+++ b/benches/state/src/scopes/subscriptions.rs
@@ -13,7 +13,7 @@
     Admission, ResyncEpoch, ScopeSubscriptions, SubscribeReply, SubscribeRequest,
     SubscriptionLimits,
 };
-use tansy_settings::agree;
+use tansy_settings::agreement;
 use tansyrouter::{Micros, SECOND};
 
 /// Calls of subscribed functions that are timed.
@@ -192,7 +192,7 @@
     output: &mut OutputRecord,
 ) -> Result<(), BenchError> {
     let names = inputs::names(args.functions, args.seed);
-    let schema = agree::compatibility_schema();
+    let schema = agreement::compatibility_schema();
     let mut order: Vec<&String> = names.iter().collect();
     fastrand::Rng::with_seed(args.seed).shuffle(&mut order);
     let (subscribed, others) = order.split_at(args.subscriptions.min(names.len()));
--- a/benches/state/src/settings_change.rs
+++ b/benches/state/src/settings_change.rs
@@ -8,7 +8,7 @@
 };
 use tansy_agreement::log::{ChangePhase, FleetState, Log, LogEntry, Version};
 use tansy_dispatch::{ConflictingScopes, DispatchConfig, Dispatcher, EffectiveConfig, Input};
-use tansy_settings::agree;
+use tansy_settings::agreement;
 use tansyrouter::{Micros, Time, SECOND};
 
 /// After this time without a new lease the settings of a front end without one apply.
@@ -46,14 +46,14 @@
     fn new() -> SettingsPreparer {
         SettingsPreparer {
             own_fields: Fields::from([("front.me".to_string(), Value::Int(7))]),
-            schema: agree::compatibility_schema(),
+            schema: agreement::compatibility_schema(),
             times: PreparationTimes::default(),
         }
     }
 
     /// Completes the fields of a version by their defaults.
     fn complete(&mut self, fields: &mut Fields) -> Result<(), BenchError> {
-        let (completed, took) = timed(|| agree::with_defaults(fields));
+        let (completed, took) = timed(|| agreement::with_defaults(fields));
         self.times.completing += took;
         let (completed, _) =
             completed.map_err(|e| BenchError::failed("the version's fields", e))?;
@@ -62,7 +62,7 @@
     }
 
     fn convert(&mut self, fields: &Fields) -> Result<DispatchConfig, BenchError> {
-        let (settings, took) = timed(|| agree::effective_settings(&self.own_fields, fields));
+        let (settings, took) = timed(|| agreement::effective_settings(&self.own_fields, fields));
         self.times.converting += took;
         self.times.conversions += 1;
         let settings = settings.map_err(|e| BenchError::failed("the version's settings", e))?;
--- a/benches/state/tests/state.rs
+++ b/benches/state/tests/state.rs
@@ -10,7 +10,7 @@
 use tansy_bench_state::{inputs, measure_in_process, Args, Measurement};
 use tansy_fleet_wire::MAX_MESSAGE_BYTES;
 use tansy_frames::grpc::FrameError;
-use tansy_settings::agree;
+use tansy_settings::agreement;
 
 fn run(words: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_tansy-bench-state"))
@@ -249,14 +249,15 @@
 #[test]
 fn the_version_is_what_a_settings_file_gives() {
     let version = inputs::version(&inputs::names(30, 3));
-    let text = agree::text(&version);
+    let text = agreement::to_text(&version);
     assert_eq!(
-        agree::version("bench.cue", &text).expect("right settings"),
+        agreement::parse_version("bench.cue", &text).expect("right settings"),
         version
     );
-    let (filled, strange) = agree::with_defaults(&version).expect("right settings");
+    let (filled, strange) = agreement::with_defaults(&version).expect("right settings");
     assert!(strange.is_empty());
-    let settings = agree::effective_settings(&Default::default(), &filled).expect("right settings");
+    let settings =
+        agreement::effective_settings(&Default::default(), &filled).expect("right settings");
     assert_eq!(settings.dispatch.functions.len(), 30);
 }
 
--- a/programs/fleet/src/rollout.rs
+++ b/programs/fleet/src/rollout.rs
@@ -18,7 +18,7 @@
 use tansy_fleet_wire::{of_roll, roll_entry};
 use tansy_net_fleet::client::RequestError;
 use tansy_rollout::{Rollout, RolloutChange, RolloutEntry};
-use tansy_settings::agree::version;
+use tansy_settings::agreement::parse_version;
 
 /// Time for an answer of a front end.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -102,7 +102,7 @@
     let text = read_file(path)?;
     let settings = VersionedSettings {
         version: Version(0),
-        fields: version(&path.display().to_string(), &text).map_err(FleetError::invalid)?,
+        fields: parse_version(&path.display().to_string(), &text).map_err(FleetError::invalid)?,
         reason: reason.to_string(),
         id: 0,
     };
--- a/programs/fleet/src/rows.rs
+++ b/programs/fleet/src/rows.rs
@@ -232,7 +232,7 @@
                 AffectedCalls::Tenant(name) => format!("calls of tenant {name}"),
                 AffectedCalls::Function(name) => format!("calls of {name}"),
             },
-            at_start: tansy_settings::agree::applies_at_start(&change.path),
+            at_start: tansy_settings::agreement::applies_at_start(&change.path),
         }
     }
 
--- a/programs/fleet/src/scopes.rs
+++ b/programs/fleet/src/scopes.rs
@@ -13,7 +13,7 @@
 use tansy_agreement::scope::{ScopePhase, ScopeRecord, ScopeTransaction, ScopeUpdate};
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_fleet_wire::{of_scoped, pb, scope_request};
-use tansy_settings::agree::{functions, label};
+use tansy_settings::agreement::{field_label, parse_functions};
 
 /// Functions and what they are to be; `None`: removed.
 type Wanted = BTreeMap<String, Option<Fields>>;
@@ -108,7 +108,10 @@
                 let all: Vec<String> = versions.iter().map(|version| quote(version)).collect();
                 text += &format!(", versions: [{}]", all.join(", "));
             }
-            let text = format!("functions: {}: {{{text}}}\n", label(&escape_name(&name)));
+            let text = format!(
+                "functions: {}: {{{text}}}\n",
+                field_label(&escape_name(&name))
+            );
             let wanted = parse("the arguments", &text)?;
             change(session, wanted, &arguments)
         }
@@ -132,7 +135,7 @@
 
 /// The functions of a settings text; `name` is that of its origin.
 fn parse(name: &str, text: &str) -> Result<Wanted, FleetError> {
-    let functions = functions(name, text).map_err(FleetError::invalid)?;
+    let functions = parse_functions(name, text).map_err(FleetError::invalid)?;
     let wanted = functions
         .into_iter()
         .map(|(function, fields)| (function, Some(fields)));
--- a/programs/fleet/src/versions.rs
+++ b/programs/fleet/src/versions.rs
@@ -12,7 +12,7 @@
 use tansy_agreement::log::VersionedSettings;
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_fleet_wire::{of_settings, pb};
-use tansy_settings::agree::{compatibility_schema, version, with_defaults};
+use tansy_settings::agreement::{compatibility_schema, parse_version, with_defaults};
 
 /// What is to become the next version.
 struct Proposal {
@@ -33,7 +33,7 @@
 ) -> Result<(), FleetError> {
     let text = read_file(file)?;
     let proposal = Proposal {
-        fields: version(&file.display().to_string(), &text).map_err(FleetError::invalid)?,
+        fields: parse_version(&file.display().to_string(), &text).map_err(FleetError::invalid)?,
         expected,
         reason,
     };
--- a/programs/gateway/src/cli/placement.rs
+++ b/programs/gateway/src/cli/placement.rs
@@ -4,7 +4,7 @@
 use super::error::UsageError;
 use crate::fleet::FleetPlacement;
 use tansy_agreement::compatibility::{Fields, Value};
-use tansy_settings::{agree, Fleet, Settings};
+use tansy_settings::{agreement, Fleet, Settings};
 
 /// The text of the settings, and the name of its file.
 pub(super) struct SettingsSource {
@@ -41,7 +41,7 @@
     };
     Ok(Some(FleetPlacement {
         own,
-        first: agree::version(&source.name, &source.text)?,
+        first: agreement::parse_version(&source.name, &source.text)?,
         via: arguments.via.iter().copied().collect(),
         zone,
     }))
@@ -79,7 +79,7 @@
 
 /// All fields of the settings' text, with those that arguments override.
 fn own_fields(source: &SettingsSource, settings: &Settings) -> Result<Fields, UsageError> {
-    let mut own = agree::fields(&source.name, &source.text)?;
+    let mut own = agreement::parse_fields(&source.name, &source.text)?;
     let number = i64::try_from(settings.dispatch.settings.front_end_index).unwrap_or(i64::MAX);
     let listen = settings.gateway.listen.to_string();
     let http = settings.gateway.http.to_string();
--- a/programs/gateway/src/fleet/effective.rs
+++ b/programs/gateway/src/fleet/effective.rs
@@ -8,7 +8,7 @@
 use tansy_agreement::log::{ChangePhase, FleetState};
 use tansy_dispatch::{ConflictingScopes, EffectiveConfig};
 use tansy_net_inference::{Driver, MetadataKeys};
-use tansy_settings::agree;
+use tansy_settings::agreement;
 
 /// What a front end holds of the leader.
 #[derive(Clone, Copy)]
@@ -55,7 +55,7 @@
         &self,
         first: &Fields,
     ) -> Result<(EffectiveConfig, MetadataKeys), GatewayError> {
-        let (filled, _) = agree::with_defaults(first)?;
+        let (filled, _) = agreement::with_defaults(first)?;
         self.config(&rules_after_expiry(&self.schema, &filled))
     }
 
@@ -66,18 +66,18 @@
         driver: &Driver,
     ) -> Result<ConfigSet, GatewayError> {
         let state = &state.for_member(&self.name);
-        let (in_force, mut unknown) = agree::with_defaults(&state.in_force.fields)?;
+        let (in_force, mut unknown) = agreement::with_defaults(&state.in_force.fields)?;
         let mut filled = state.clone();
         filled.in_force.fields = in_force;
         if let Some((next, phase)) = &mut filled.next {
-            let (fields, unknown_next) = agree::with_defaults(&next.fields)?;
+            let (fields, unknown_next) = agreement::with_defaults(&next.fields)?;
             next.fields = fields;
             if *phase == ChangePhase::Joint {
                 unknown.extend(unknown_next);
             }
         }
         // Front ends of a canary are valued by the settings in force, as the others are.
-        let in_force = agree::effective_settings(&self.own, &filled.in_force.fields)?.dispatch;
+        let in_force = agreement::effective_settings(&self.own, &filled.in_force.fields)?.dispatch;
         let classes = in_force.classes.into_iter();
         driver.set_valuation_classes(classes.zip(in_force.settings.classes).collect());
         let mut rules = filled.rules(&self.schema);
@@ -98,7 +98,7 @@
         &self,
         rules: &EffectiveRules,
     ) -> Result<(EffectiveConfig, MetadataKeys), GatewayError> {
-        let settings = agree::effective_settings(&self.own, &rules.fields)?;
+        let settings = agreement::effective_settings(&self.own, &rules.fields)?;
         let mut conflicting = ConflictingScopes {
             unknown_names: rules.rejects_unknown_names,
             retry_after: self.retry_after,
--- a/programs/gateway/src/fleet/lookup.rs
+++ b/programs/gateway/src/fleet/lookup.rs
@@ -8,7 +8,7 @@
 use tansy_dispatch::FunctionShape;
 use tansy_net_fleet::FleetTransport;
 use tansy_net_inference::{DirectoryEntry, FunctionDirectory};
-use tansy_settings::agree;
+use tansy_settings::agreement;
 
 /// Looks functions up at the node.
 pub(super) struct ScopeLookup {
@@ -56,7 +56,7 @@
 }
 
 fn read_function(name: &str, fields: &Fields) -> DirectoryEntry {
-    match agree::function(name, fields) {
+    match agreement::read_function(name, fields) {
         Ok(function) => DirectoryEntry::Known {
             class: function.class.into(),
             shape: FunctionShape {
--- a/programs/gateway/src/fleet/mod.rs
+++ b/programs/gateway/src/fleet/mod.rs
@@ -26,7 +26,7 @@
 use tansy_net_fleet::{FleetTransport, InvalidFields, TransportConfig};
 use tansy_net_inference::Driver;
 use tansy_net_sockets::Spawner;
-use tansy_settings::{agree, ConfiguredWorker, Fleet};
+use tansy_settings::{agreement, ConfiguredWorker, Fleet};
 
 /// The share of a lease, in tenths, in the time within which no two front ends contradict each other.
 const LEASE_TENTHS: i64 = 3;
@@ -70,7 +70,7 @@
         lease: timing(fleet.max_divergence * LEASE_TENTHS / 10),
         session: timing(fleet.session),
         gossip: tansy_membership::GossipTiming::default(),
-        schema: agree::compatibility_schema(),
+        schema: agreement::compatibility_schema(),
         seed: id ^ incarnation,
     }
 }
@@ -152,12 +152,12 @@
 }
 
 fn check_version(fields: &Fields) -> Result<(), InvalidFields> {
-    agree::check(fields).map_err(invalid_fields)
+    agreement::validate(fields).map_err(invalid_fields)
 }
 
 /// Whether a function's fields are valid, of a class that the settings in force and those under way have.
 fn check_function(name: &str, fields: &Fields, state: &FleetState) -> Result<(), InvalidFields> {
-    let function = agree::function(name, fields).map_err(invalid_fields)?;
+    let function = agreement::read_function(name, fields).map_err(invalid_fields)?;
     let prefix = format!("classes.{}.", escape_name(&function.class));
     let has_class = |settings: &VersionedSettings| {
         let first = settings.fields.range(prefix.clone()..).next();
--- a/programs/scale/src/fleet/mod.rs
+++ b/programs/scale/src/fleet/mod.rs
@@ -133,7 +133,7 @@
             .collect();
         let text = shape.settings_text(&voters);
         std::fs::write(folder.join("scale.cue"), &text)?;
-        let fields = tansy_settings::agree::version("scale.cue", &text)?;
+        let fields = tansy_settings::agreement::parse_version("scale.cue", &text)?;
         let (event_sender, events) = channel();
         Ok(TestFleet {
             shape,
--- a/programs/scale/src/fleet/scope_updates.rs
+++ b/programs/scale/src/fleet/scope_updates.rs
@@ -108,7 +108,7 @@
             .map(|index| function_setting(&function_name(index)))
             .collect();
         let text = format!("functions: {{\n{settings}}}\n");
-        let functions_by_name = tansy_settings::agree::functions("scopes", &text)?;
+        let functions_by_name = tansy_settings::agreement::parse_functions("scopes", &text)?;
         let new_functions: Vec<ScopeUpdate> = functions_by_name
             .into_iter()
             .map(|(scope, fields)| ScopeUpdate {
--- a/programs/scale/src/run/mod.rs
+++ b/programs/scale/src/run/mod.rs
@@ -102,7 +102,7 @@
     report_arguments(arguments, &shape, report);
     let began = Instant::now();
     let text = shape.settings_text(&[("f0".into(), ([127, 0, 0, 1], 1).into())]);
-    let fields = tansy_settings::agree::version("scale.cue", &text)?;
+    let fields = tansy_settings::agreement::parse_version("scale.cue", &text)?;
     let grant_bytes = GrantBytes::of(&fields);
     report.put("letter_bytes", grant_bytes.steady);
     report.put("change_letter_bytes", grant_bytes.changing);
--- a/programs/scenario/src/agreement/mod.rs
+++ b/programs/scenario/src/agreement/mod.rs
@@ -150,7 +150,7 @@
             if let Some(version) = next_versions.next() {
                 let text = version.text(&options, &cluster.peers);
                 let change = ProposedChange {
-                    fields: tansy_settings::agree::version(SETTINGS_NAME, &text)?,
+                    fields: tansy_settings::agreement::parse_version(SETTINGS_NAME, &text)?,
                     claim: version.claim(),
                 };
                 let ended = |_| ScenarioError::ThreadEnded("operator's");
--- a/settings/src/agree/effective.rs
+++ b/settings/src/agreement/effective.rs
@@ -1,6 +1,6 @@
 //! The settings that a front end acts on, from a version that is agreed on and the fields of its own file.
 
-use super::{fields, is_own_field, text, unknown_fields};
+use super::{is_own_field, parse_fields, to_text, unknown_fields};
 use crate::Errors;
 use std::collections::BTreeSet;
 use tansy_agreement::compatibility::{AffectedCalls, Fields, Value};
@@ -13,24 +13,24 @@
     for path in &unknown {
         known.remove(path);
     }
-    let mut filled = fields("the version", &text(&known))?;
+    let mut filled = parse_fields("the version", &to_text(&known))?;
     filled.retain(|path, _| !is_own_field(path));
     let affected = unknown.iter().map(|path| AffectedCalls::of_path(path));
     Ok((filled, affected.collect()))
 }
 
 /// Checks that a version makes valid settings, for a program that knows all of its fields.
-pub fn check(version: &Fields) -> Result<(), Errors> {
+pub fn validate(version: &Fields) -> Result<(), Errors> {
     let (filled, _) = with_defaults(version)?;
     effective_settings(&Fields::new(), &filled).map(drop)
 }
 
 /// A function of its fields, by their names under `functions.NAME`, with the schema's defaults filled in. A field that this
 /// program's schema does not know is an error, since its meaning for the function's calls is not known here.
-pub fn function(name: &str, fields: &Fields) -> Result<crate::Function, Errors> {
+pub fn read_function(name: &str, fields: &Fields) -> Result<crate::Function, Errors> {
     crate::checked(
         &format!("functions.{name}"),
-        &text(fields),
+        &to_text(fields),
         "#Function",
         crate::read::one_function,
     )
@@ -55,7 +55,7 @@
         let siblings = Value::Int((number + 1).max(*siblings));
         fields.insert("front.siblings".into(), siblings);
     }
-    crate::settings("the version in use", &text(&fields))
+    crate::settings("the version in use", &to_text(&fields))
 }
 
 /// The paths of effects that are `keyed` while their class has no window: the stricter window of a keyed class and another one is
--- a/settings/src/agree/mod.rs
+++ b/settings/src/agreement/mod.rs
@@ -1,10 +1,10 @@
 //! The compatibility of each field of the schema between front ends of a fleet, and a text's fields in the form that agreement
 //! works on.
 //!
-//! `tests/agree.rs` walks the schema and checks that every field of it is listed here.
+//! `tests/agreement.rs` walks the schema and checks that every field of it is listed here.
 //!
-//! - [`compatibility_schema`]: how each field may differ. [`fields`], [`version()`]: the fields of a text and of its version.
-//! - [`effective_settings`]: the settings that a front end acts on. [`text()`]: fields as the text of settings.
+//! - [`compatibility_schema`]: how each field may differ. [`parse_fields`], [`parse_version`]: the fields of a text and of its version.
+//! - [`effective_settings`]: the settings that a front end acts on. [`to_text`]: fields as the text of settings.
 
 mod compatibility;
 mod effective;
@@ -13,9 +13,9 @@
 mod version;
 
 pub use compatibility::compatibility_schema;
-pub use effective::{check, effective_settings, function, with_defaults};
-pub use text::{label, text};
-pub use version::{fields, functions, unknown_fields, version};
+pub use effective::{effective_settings, read_function, validate, with_defaults};
+pub use text::{field_label, to_text};
+pub use version::{parse_fields, parse_functions, parse_version, unknown_fields};
 
 /// Whether a field is each front end's own: versions do not contain it, and no change of it is agreed on.
 pub fn is_own_field(path: &str) -> bool {
--- a/settings/src/agree/text.rs
+++ b/settings/src/agreement/text.rs
@@ -3,7 +3,7 @@
 use tansy_agreement::compatibility::{self, Fields};
 
 /// Writes fields as the text of settings.
-pub fn text(fields: &Fields) -> String {
+pub fn to_text(fields: &Fields) -> String {
     let mut text = String::new();
     let mut open: Vec<&str> = Vec::new();
     for (path, value) in fields {
@@ -15,10 +15,14 @@
             text += &format!("{}}}\n", "    ".repeat(open.len()));
         }
         for part in &parts[same..] {
-            text += &format!("{}{}: {{\n", "    ".repeat(open.len()), label(part));
+            text += &format!("{}{}: {{\n", "    ".repeat(open.len()), field_label(part));
             open.push(part);
         }
-        text += &format!("{}{}: {value}\n", "    ".repeat(open.len()), label(last));
+        text += &format!(
+            "{}{}: {value}\n",
+            "    ".repeat(open.len()),
+            field_label(last)
+        );
     }
     while open.pop().is_some() {
         text += &format!("{}}}\n", "    ".repeat(open.len()));
@@ -27,7 +31,7 @@
 }
 
 /// A part of a path as a label of the text.
-pub fn label(part: &str) -> String {
+pub fn field_label(part: &str) -> String {
     let name = compatibility::unescape_name(part);
     let plain = name.starts_with(|letter: char| letter.is_ascii_lowercase())
         && name
--- a/settings/src/agree/version.rs
+++ b/settings/src/agreement/version.rs
@@ -9,22 +9,22 @@
 use tansy_syntax::{parse, Span};
 
 /// A text's fields by their paths, with the schema's defaults filled in; all errors are reported at once.
-pub fn fields(name: &str, text: &str) -> Result<Fields, Errors> {
+pub fn parse_fields(name: &str, text: &str) -> Result<Fields, Errors> {
     crate::checked(name, text, "#Settings", |node, _| Some(flattened(node)))
 }
 
 /// The fields of a version, of a text that is valid as a whole: those that are written in it and are not each front end's own.
 /// Whoever reads the version fills in the defaults, so that it contains no field that only its proposer's program knows and
 /// nobody has set.
-pub fn version(name: &str, text: &str) -> Result<Fields, Errors> {
-    let mut fields = fields(name, text)?;
+pub fn parse_version(name: &str, text: &str) -> Result<Fields, Errors> {
+    let mut fields = parse_fields(name, text)?;
     let is_written = is_written(text);
     fields.retain(|path, _| !is_own_field(path) && is_written(path));
     Ok(fields)
 }
 
 /// The functions of a file that lists functions: of each the fields that are written there, by their names under it.
-pub fn functions(name: &str, text: &str) -> Result<BTreeMap<String, Fields>, Errors> {
+pub fn parse_functions(name: &str, text: &str) -> Result<BTreeMap<String, Fields>, Errors> {
     let fields = crate::checked(name, text, "#FunctionList", |node, _| Some(flattened(node)))?;
     let is_written = is_written(text);
     let mut functions: BTreeMap<String, Fields> = BTreeMap::new();
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -5,7 +5,7 @@
 //! decided or tuned here: what is left out takes the schema's default.
 //!
 //! It is not for reading files, and it does not apply settings: a text comes in, and a program's own types go out. How the front
-//! ends of a fleet agree on settings is in [`agree`], as far as it depends on the schema.
+//! ends of a fleet agree on settings is in [`agreement`], as far as it depends on the schema.
 //!
 //! ```
 //! let text = "classes: chat: {aim: 1s, deadline: 2s}\nfunctions: echo: {class: \"chat\", memory: 1MB}\n";
@@ -17,7 +17,7 @@
 //! # Ok::<(), tansy_settings::Errors>(())
 //! ```
 
-pub mod agree;
+pub mod agreement;
 mod read;
 mod record;
 mod types;
--- a/settings/tests/agree.rs
+++ b/settings/tests/agreement.rs
@@ -5,9 +5,9 @@
     changed_fields, contradictions, joint_rules, rules_after_expiry, AffectedCalls, Compatibility,
     EffectiveRules, Fields, Value,
 };
-use tansy_settings::agree::{
-    compatibility_schema, effective_settings, fields, function, text, unknown_fields, version,
-    with_defaults,
+use tansy_settings::agreement::{
+    compatibility_schema, effective_settings, parse_fields, parse_version, read_function, to_text,
+    unknown_fields, with_defaults,
 };
 
 /// A text in which every field of the schema stands, optional ones among them.
@@ -23,7 +23,7 @@
 "#;
 
 fn fields_of(text: &str) -> Fields {
-    fields("t.cue", text).unwrap_or_else(|error| panic!("{error}"))
+    parse_fields("t.cue", text).unwrap_or_else(|error| panic!("{error}"))
 }
 
 fn full_with(from: &str, to: &str) -> Fields {
@@ -157,7 +157,7 @@
 functions: "f \"g\"": {class: "a.b%", memory: 1GB}
 worker: cold_from: 0.25
 "#;
-    let version_fields = version("t.cue", file).expect("it is right");
+    let version_fields = parse_version("t.cue", file).expect("it is right");
     let paths: Vec<&str> = version_fields.keys().map(String::as_str).collect();
     let class = "classes.a%2eb%25";
     let wanted = [
@@ -175,7 +175,7 @@
     );
     // The text of it is read to the same, and so is what is filled in.
     assert_eq!(
-        version("t.cue", &text(&version_fields)).expect("its text is right"),
+        parse_version("t.cue", &to_text(&version_fields)).expect("its text is right"),
         version_fields
     );
     let (filled_fields, affected) = with_defaults(&version_fields).expect("it loads");
@@ -183,7 +183,7 @@
     assert_eq!(filled_fields["worker.max_attempts"], Value::Int(4));
     assert!(!filled_fields.contains_key("front.me"));
     assert_eq!(
-        fields("t.cue", &text(&filled_fields))
+        parse_fields("t.cue", &to_text(&filled_fields))
             .map(|mut f| f.remove("front.siblings"))
             .ok(),
         Some(Some(Value::Int(3)))
@@ -192,7 +192,7 @@
 
 #[test]
 fn a_version_of_a_later_program_rejects_affected_calls_only() {
-    let mut version_fields = version("t.cue", FULL).expect("it is right");
+    let mut version_fields = parse_version("t.cue", FULL).expect("it is right");
     assert_eq!(unknown_fields(&version_fields), Vec::<String>::new());
     version_fields.insert("classes.chat.sorrow".into(), Value::Int(3));
     version_fields.insert("worker.mood".into(), Value::Text("blue".into()));
@@ -276,7 +276,7 @@
             .unwrap_or_else(|error| panic!("{error}"));
         let (spec, function) = (
             &whole.dispatch.functions[0],
-            function("f", &fields).unwrap_or_else(|error| panic!("{error}")),
+            read_function("f", &fields).unwrap_or_else(|error| panic!("{error}")),
         );
         assert_eq!(whole.dispatch.classes[spec.class], function.class);
         assert_eq!(
@@ -293,7 +293,7 @@
         ("class", Value::Text("chat".into())),
         ("memory", Value::Bytes(1_000)),
     ]);
-    assert!(function("f", &valid).is_ok());
+    assert!(read_function("f", &valid).is_ok());
     let cases: [(&str, Option<Value>, &str); 7] = [
         ("memory", None, "memory"),
         ("class", None, "class"),
@@ -311,7 +311,7 @@
         let mut invalid = valid.clone();
         invalid.remove(field);
         invalid.extend(value.map(|v| (field.to_string(), v)));
-        let error = function("f", &invalid).expect_err(field).to_string();
+        let error = read_function("f", &invalid).expect_err(field).to_string();
         assert!(
             error.contains("functions.f") && error.contains(wanted),
             "{field}: {error}"
--- a/tests/compatibility/examples/record.rs
+++ b/tests/compatibility/examples/record.rs
@@ -6,7 +6,7 @@
 use tansy_compatibility_tests::shape::{shape, Names};
 use tansy_compatibility_tests::{fixture, fleet, inference, json, membership, run, steps, voters};
 use tansy_dispatch::record::RecordedStep;
-use tansy_settings::agree;
+use tansy_settings::agreement;
 use tansy_storage::voter_log::LogStorage;
 
 /// Calls `write` with the path of a fixture, if that is not there.
@@ -85,12 +85,12 @@
     );
     for name in ["settings-full", "settings-least"] {
         let file = format!("{name}.cue");
-        let fields = agree::fields(&file, &fixture::text(&file)).expect("a right file");
-        text(&format!("{name}.fields"), agree::text(&fields));
+        let fields = agreement::parse_fields(&file, &fixture::text(&file)).expect("a right file");
+        text(&format!("{name}.fields"), agreement::to_text(&fields));
     }
     let file = "settings-full.cue";
-    let version = agree::version(file, &fixture::text(file)).expect("a right file");
-    text("settings-full.version", agree::text(&version));
+    let version = agreement::parse_version(file, &fixture::text(file)).expect("a right file");
+    text("settings-full.version", agreement::to_text(&version));
     let lines = |steps: Vec<RecordedStep>| steps.iter().map(|s| s.to_line() + "\n").collect();
     text("run.jsonl", lines(run::recorded()));
     text("steps.jsonl", lines(steps::each_kind()));
--- a/tests/compatibility/tests/settings.rs
+++ b/tests/compatibility/tests/settings.rs
@@ -1,13 +1,13 @@
 //! Settings files are read as before: names, defaults and units of all fields.
 //!
 //! `fixtures/settings-full.cue` has every field of the schema, `settings-least.cue` only what must be there; of each the
-//! `.fields` beside it has all fields with their values as `tansy_settings::agree` gives them, by `examples/record.rs`. The
+//! `.fields` beside it has all fields with their values as `tansy_settings::agreement` gives them, by `examples/record.rs`. The
 //! other files were written by hand.
 
 use tansy_agreement::compatibility::Value;
 use tansy_compatibility_tests::fixture;
 use tansy_dispatch::{FunctionSpec, WorkerRecord, WorkerState};
-use tansy_settings::{agree, settings, workers, ConfiguredWorker, Fleet, Settings, Voter};
+use tansy_settings::{agreement, settings, workers, ConfiguredWorker, Fleet, Settings, Voter};
 
 fn read(name: &str) -> Settings {
     settings(name, &fixture::text(name)).unwrap_or_else(|e| panic!("{e}"))
@@ -17,10 +17,10 @@
 fn all_fields_have_their_names_values_and_defaults() {
     for name in ["settings-full", "settings-least"] {
         let file = format!("{name}.cue");
-        let fields = agree::fields(&file, &fixture::text(&file));
+        let fields = agreement::parse_fields(&file, &fixture::text(&file));
         let fields = fields.unwrap_or_else(|e| panic!("{e}"));
         assert_eq!(
-            agree::text(&fields),
+            agreement::to_text(&fields),
             fixture::text(&format!("{name}.fields")),
             "{name}"
         );
@@ -31,9 +31,10 @@
 #[test]
 fn a_version_of_a_file_is_as_before() {
     let file = "settings-full.cue";
-    let version = agree::version(file, &fixture::text(file)).unwrap_or_else(|e| panic!("{e}"));
+    let version =
+        agreement::parse_version(file, &fixture::text(file)).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(
-        agree::text(&version),
+        agreement::to_text(&version),
         fixture::text("settings-full.version")
     );
 }
@@ -142,7 +143,8 @@
 fn a_file_of_functions_is_read_as_before() {
     let text = |all: &[&str]| Value::List(all.iter().map(|t| Value::Text(t.to_string())).collect());
     let file = "functions.cue";
-    let all = agree::functions(file, &fixture::text(file)).unwrap_or_else(|e| panic!("{e}"));
+    let all =
+        agreement::parse_functions(file, &fixture::text(file)).unwrap_or_else(|e| panic!("{e}"));
     let first = [
         ("class", Value::Text("overlay".into())),
         ("lanes", Value::Int(4)),
--- a/tests/path/src/gateway.rs
+++ b/tests/path/src/gateway.rs
@@ -9,7 +9,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 use tansy_gateway::{fleet::FleetPlacement, Gateway, Options};
-use tansy_settings::agree;
+use tansy_settings::agreement;
 
 /// The longest time for which the gateway waits for events before it looks for jobs of the test.
 const TURN: Duration = Duration::from_millis(5);
@@ -57,8 +57,9 @@
         let fleet = read.fleet.as_mut().expect("the settings name a fleet");
         (fleet.node_name, fleet.listen, fleet.state) = (member.name, member.listen, member.state);
         let placement = FleetPlacement {
-            own: agree::fields(SETTINGS_NAME, settings).unwrap_or_else(|error| panic!("{error}")),
-            first: agree::version(SETTINGS_NAME, settings)
+            own: agreement::parse_fields(SETTINGS_NAME, settings)
+                .unwrap_or_else(|error| panic!("{error}")),
+            first: agreement::parse_version(SETTINGS_NAME, settings)
                 .unwrap_or_else(|error| panic!("{error}")),
             ..FleetPlacement::default()
         };
