--- a/benches/state/src/endpoint_lists.rs
+++ b/benches/state/src/endpoint_lists.rs
@@ -46,7 +46,7 @@
     let text = list_file(args.instances, args.seed);
     let zones = ["local".to_string()];
     let growth = MemoryGrowth::begin();
-    let (read, took) = timed(|| tansy_settings::workers("workers.cue", &text, &zones, 0));
+    let (read, took) = timed(|| tansy_settings::parse_workers("workers.cue", &text, &zones, 0));
     let workers = read.map_err(|e| BenchError::failed("the list", e))?;
     output.count("file_bytes", text.len());
     output.figure("read_ms", ms(took));
--- a/programs/gateway/src/cli/mod.rs
+++ b/programs/gateway/src/cli/mod.rs
@@ -53,7 +53,7 @@
 
 fn run_gateway(arguments: Arguments) -> Result<ExitCode, UsageError> {
     let source = read_settings(&arguments)?;
-    let mut settings = tansy_settings::settings(&source.name, &source.text)?;
+    let mut settings = tansy_settings::parse_settings(&source.name, &source.text)?;
     override_settings(&arguments, &mut settings)?;
     if arguments.check {
         let classes = settings.dispatch.classes.len();
--- a/programs/gateway/src/cli/placement.rs
+++ b/programs/gateway/src/cli/placement.rs
@@ -4,7 +4,7 @@
 use super::error::UsageError;
 use crate::fleet::FleetPlacement;
 use tansy_agreement::compatibility::{Fields, Value};
-use tansy_settings::{agreement, Fleet, Settings};
+use tansy_settings::{agreement, FleetSettings, Settings};
 
 /// The text of the settings, and the name of its file.
 pub(super) struct SettingsSource {
@@ -47,7 +47,7 @@
     }))
 }
 
-fn override_fleet(arguments: &Arguments, fleet: &mut Fleet) {
+fn override_fleet(arguments: &Arguments, fleet: &mut FleetSettings) {
     if let Some(name) = &arguments.name {
         fleet.node_name = name.clone();
     }
@@ -55,11 +55,11 @@
         fleet.listen = peers;
     }
     if let Some(state) = &arguments.state {
-        fleet.state = Some(state.clone());
+        fleet.state_file = Some(state.clone());
     }
 }
 
-fn check_fleet(fleet: &Fleet) -> Result<(), UsageError> {
+fn check_fleet(fleet: &FleetSettings) -> Result<(), UsageError> {
     if fleet.node_name.is_empty() {
         return Err(UsageError::NoName);
     }
--- a/programs/gateway/src/fleet/applier.rs
+++ b/programs/gateway/src/fleet/applier.rs
@@ -14,7 +14,7 @@
 use tansy_dispatch::{ConflictingScopes, EffectiveConfig, WorkerState};
 use tansy_fleet_node::{FleetNode, FleetNodeConfig};
 use tansy_net_inference::{Driver, WorkerEndpoint};
-use tansy_settings::{ConfiguredWorker, Fleet};
+use tansy_settings::{ConfiguredWorker, FleetSettings};
 
 /// What the dispatcher acts on.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 impl ConfigApplier {
     pub(super) fn new(
         driver: Rc<Driver>,
-        fleet: &Fleet,
+        fleet: &FleetSettings,
         placement: &FleetPlacement,
         node: &FleetNodeConfig,
     ) -> ConfigApplier {
--- a/programs/gateway/src/fleet/mod.rs
+++ b/programs/gateway/src/fleet/mod.rs
@@ -26,7 +26,7 @@
 use tansy_net_fleet::{FleetTransport, InvalidFields, TransportConfig};
 use tansy_net_inference::Driver;
 use tansy_net_sockets::Spawner;
-use tansy_settings::{agreement, ConfiguredWorker, Fleet};
+use tansy_settings::{agreement, ConfiguredWorker, FleetSettings};
 
 /// The share of a lease, in tenths, in the time within which no two front ends contradict each other.
 const LEASE_TENTHS: i64 = 3;
@@ -48,7 +48,7 @@
 }
 
 /// The configuration of the node of a process that starts now.
-pub fn peer(fleet: &Fleet, address: SocketAddr) -> FleetNodeConfig {
+pub fn peer(fleet: &FleetSettings, address: SocketAddr) -> FleetNodeConfig {
     // A later process of a name must have a larger incarnation; the wall clock does not go back by as much as a restart takes.
     let since = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
@@ -58,7 +58,7 @@
     let voters = fleet.voters.iter();
     let timing = |span| LeaseTiming {
         span,
-        drift_ppm: fleet.clock_ppm,
+        drift_ppm: fleet.clock_drift_ppm,
     };
     FleetNodeConfig {
         fleet: name_to_id(&fleet.name),
@@ -102,7 +102,7 @@
     spawner: Spawner,
     driver: Rc<Driver>,
     listener: TcpListener,
-    fleet: &Fleet,
+    fleet: &FleetSettings,
     placement: &FleetPlacement,
 ) -> Result<FleetMember, GatewayError> {
     let node = peer(fleet, listener.local_addr()?);
@@ -133,12 +133,12 @@
 }
 
 /// The file of the agreed log: a voter needs one, and any other front end that has one may become a voter.
-fn voter_file(fleet: &Fleet) -> Result<Option<PathBuf>, GatewayError> {
+fn voter_file(fleet: &FleetSettings) -> Result<Option<PathBuf>, GatewayError> {
     let is_voter = fleet
         .voters
         .iter()
         .any(|voter| voter.name == fleet.node_name);
-    match &fleet.state {
+    match &fleet.state_file {
         Some(path) => Ok(Some(path.clone())),
         None if is_voter => Err(GatewayError::NoStateFile {
             name: fleet.node_name.clone(),
--- a/programs/gateway/src/gateway.rs
+++ b/programs/gateway/src/gateway.rs
@@ -18,7 +18,7 @@
 use tansy_net_sockets::interrupt::IgnoreInterrupts;
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::Spawner;
-use tansy_settings::{ConfiguredWorker, Fleet, Settings};
+use tansy_settings::{ConfiguredWorker, FleetSettings, Settings};
 use tansyrouter::Time;
 
 /// Time between two log lines with the totals.
@@ -55,7 +55,7 @@
         let grpc_address = grpc.local_addr()?;
         let http_address = http.local_addr()?;
         let sources = WorkerSources::new(workers, &config, options);
-        let drain = gateway.drain;
+        let drain = gateway.drain_timeout;
         let record = options.record.as_deref();
         let driver = start_driver(&spawner, config, setup(gateway), record)?;
         // Before any call is accepted: until the node has a lease and a session, no version may be acted on.
@@ -193,19 +193,19 @@
     })
 }
 
-fn setup(gateway: tansy_settings::Gateway) -> DriverOptions {
+fn setup(gateway: tansy_settings::GatewaySettings) -> DriverOptions {
     DriverOptions {
         clients: Limits {
-            connections: gateway.connections,
-            streams: gateway.streams,
-            header_bytes: gateway.headers,
+            connections: gateway.max_connections,
+            streams: gateway.max_streams,
+            header_bytes: gateway.max_header_bytes,
             stream_window: gateway.stream_window,
-            message_bytes: gateway.message,
-            preface_timeout: Duration::from_micros(gateway.preface.max(0) as u64),
+            message_bytes: gateway.max_message_bytes,
+            preface_timeout: Duration::from_micros(gateway.preface_timeout.max(0) as u64),
         },
         workers: LinkLimits {
             stream_window: gateway.worker_window,
-            header_bytes: gateway.headers,
+            header_bytes: gateway.max_header_bytes,
         },
         keys: MetadataKeys {
             class: gateway.class_key,
@@ -240,7 +240,7 @@
 fn join_fleet(
     spawner: &Spawner,
     driver: &Rc<Driver>,
-    fleet: Option<&Fleet>,
+    fleet: Option<&FleetSettings>,
     options: &Options,
 ) -> Result<Option<(Rc<fleet::FleetMember>, SocketAddr)>, GatewayError> {
     let (Some(fleet), Some(placement)) = (fleet, &options.fleet) else {
--- a/programs/gateway/src/worker_list.rs
+++ b/programs/gateway/src/worker_list.rs
@@ -46,7 +46,7 @@
         }
         let text = std::fs::read_to_string(&self.path).map_err(file_error)?;
         let name = self.path.display().to_string();
-        let workers = tansy_settings::workers(&name, &text, &self.zones, self.home_zone)?;
+        let workers = tansy_settings::parse_workers(&name, &text, &self.zones, self.home_zone)?;
         self.last_read = current;
         Ok(Some(workers))
     }
--- a/programs/scale/src/hollow/front_ends.rs
+++ b/programs/scale/src/hollow/front_ends.rs
@@ -25,7 +25,7 @@
 /// All hollow front ends of one process, by their index in the fleet.
 pub(super) struct HollowFrontEnds {
     spawner: Spawner,
-    fleet: tansy_settings::Fleet,
+    fleet: tansy_settings::FleetSettings,
     network: u8,
     first: u32,
     per_process: u32,
@@ -51,7 +51,7 @@
 impl HollowFrontEnds {
     pub(super) fn new(
         spawner: Spawner,
-        fleet: tansy_settings::Fleet,
+        fleet: tansy_settings::FleetSettings,
         network: u8,
         first: u32,
         per_process: u32,
--- a/programs/scale/src/hollow/process.rs
+++ b/programs/scale/src/hollow/process.rs
@@ -113,7 +113,7 @@
 ) -> Result<Rc<HollowFrontEnds>, Error> {
     let name = settings.display().to_string();
     let text = std::fs::read_to_string(settings)?;
-    let fleet = tansy_settings::settings(&name, &text)?.fleet;
+    let fleet = tansy_settings::parse_settings(&name, &text)?.fleet;
     let fleet = fleet.ok_or(Error::NoFleet)?;
     let front_ends = HollowFrontEnds::new(spawner.clone(), fleet, network, first, per_process);
     let front_ends = Rc::new(front_ends);
--- a/programs/scenario/src/agreement/mod.rs
+++ b/programs/scenario/src/agreement/mod.rs
@@ -66,7 +66,7 @@
     let versions = versions::draw(options);
     let mut cluster = Cluster::start(options, versions[0])?;
     let text = versions[0].text(options, &cluster.peers);
-    let settings = tansy_settings::settings(SETTINGS_NAME, &text)?;
+    let settings = tansy_settings::parse_settings(SETTINGS_NAME, &text)?;
     let clients = load::spawn(load_plan(&cluster, &settings));
     let observers = load::spawn(observer_plan(&cluster, &settings));
     let (changes, requests) = mpsc::channel();
--- a/programs/scenario/src/faults/mod.rs
+++ b/programs/scenario/src/faults/mod.rs
@@ -53,7 +53,7 @@
 pub fn run(scenario: &FaultScenario, options: &FaultOptions) -> Result<FaultReport, ScenarioError> {
     let workers = options.workers.unwrap_or(scenario.workers);
     let cores = options.cores.unwrap_or(scenario.cores);
-    let settings = tansy_settings::settings(scenario.settings_name, scenario.settings_text)?;
+    let settings = tansy_settings::parse_settings(scenario.settings_name, scenario.settings_text)?;
     let mut group = ProcessGroup::start(scenario, workers, cores)?;
     let plan = LoadPlan {
         fronts: group.client_addresses().to_vec(),
--- a/programs/scenario/src/rollout/mod.rs
+++ b/programs/scenario/src/rollout/mod.rs
@@ -95,7 +95,7 @@
 fn read_settings(cluster: &Cluster) -> Result<Settings, ScenarioError> {
     let path = cluster.folder.settings(0);
     let text = std::fs::read_to_string(&path).map_err(ScenarioError::file(&path))?;
-    Ok(tansy_settings::settings(SETTINGS_NAME, &text)?)
+    Ok(tansy_settings::parse_settings(SETTINGS_NAME, &text)?)
 }
 
 fn load_plan(
--- a/programs/worker/src/lib.rs
+++ b/programs/worker/src/lib.rs
@@ -144,7 +144,7 @@
         path: path.clone(),
         error,
     })?;
-    let settings = tansy_settings::settings(&path.display().to_string(), &text)?;
+    let settings = tansy_settings::parse_settings(&path.display().to_string(), &text)?;
     let front = &settings.dispatch;
     let function = |spec: &tansy_settings::FunctionSpec| Function {
         name: spec.name.clone(),
--- a/settings/src/agreement/effective.rs
+++ b/settings/src/agreement/effective.rs
@@ -27,7 +27,7 @@
 
 /// A function of its fields, by their names under `functions.NAME`, with the schema's defaults filled in. A field that this
 /// program's schema does not know is an error, since its meaning for the function's calls is not known here.
-pub fn read_function(name: &str, fields: &Fields) -> Result<crate::Function, Errors> {
+pub fn read_function(name: &str, fields: &Fields) -> Result<crate::FunctionSettings, Errors> {
     crate::checked(
         &format!("functions.{name}"),
         &to_text(fields),
@@ -55,7 +55,7 @@
         let siblings = Value::Int((number + 1).max(*siblings));
         fields.insert("front.siblings".into(), siblings);
     }
-    crate::settings("the version in use", &to_text(&fields))
+    crate::parse_settings("the version in use", &to_text(&fields))
 }
 
 /// The paths of effects that are `keyed` while their class has no window: the stricter window of a keyed class and another one is
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -9,10 +9,10 @@
 //!
 //! ```
 //! let text = "classes: chat: {aim: 1s, deadline: 2s}\nfunctions: echo: {class: \"chat\", memory: 1MB}\n";
-//! let settings = tansy_settings::settings("example.cue", text)?;
+//! let settings = tansy_settings::parse_settings("example.cue", text)?;
 //! assert_eq!(settings.dispatch.classes, ["chat"]);
 //!
-//! let errors = tansy_settings::settings("example.cue", "front: {streams: 0}\n").unwrap_err();
+//! let errors = tansy_settings::parse_settings("example.cue", "front: {streams: 0}\n").unwrap_err();
 //! assert!(errors.to_string().starts_with("example.cue:1:18: front.streams: 0 does not fit"));
 //! # Ok::<(), tansy_settings::Errors>(())
 //! ```
@@ -25,7 +25,9 @@
 
 pub use tansy_dispatch::FunctionSpec;
 pub use tansyrouter::MissPolicy;
-pub use types::{ConfiguredWorker, Fleet, Function, Gateway, Settings, Voter};
+pub use types::{
+    ConfiguredWorker, FleetSettings, FunctionSettings, GatewaySettings, Settings, Voter,
+};
 
 use tansy_syntax::{parse, Diagnostic, Source, Span};
 use value::{concrete, definition, evaluate, unify, Node, SCHEMA};
@@ -53,12 +55,12 @@
 impl std::error::Error for Errors {}
 
 /// The settings of a text; errors show `name` as its file.
-pub fn settings(name: &str, text: &str) -> Result<Settings, Errors> {
+pub fn parse_settings(name: &str, text: &str) -> Result<Settings, Errors> {
     checked(name, text, "#Settings", read::settings)
 }
 
 /// The workers of a list's text. Zones are those of `zones`; a worker that names none is in `zones[home]`.
-pub fn workers(
+pub fn parse_workers(
     name: &str,
     text: &str,
     zones: &[String],
--- a/settings/src/read/fleet.rs
+++ b/settings/src/read/fleet.rs
@@ -1,12 +1,15 @@
 //! The fleet that a front end is in.
 
 use crate::record::{address, RecordReader};
-use crate::types::{Fleet, Voter};
+use crate::types::{FleetSettings, Voter};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use tansy_syntax::Diagnostic;
 
-pub(super) fn fleet(record: RecordReader<'_>, errors: &mut Vec<Diagnostic>) -> Option<Fleet> {
+pub(super) fn fleet(
+    record: RecordReader<'_>,
+    errors: &mut Vec<Diagnostic>,
+) -> Option<FleetSettings> {
     let mut voters = Vec::new();
     for (index, item) in record.list("seats")?.iter().enumerate() {
         let voter = RecordReader::of(item)?;
@@ -20,17 +23,17 @@
     check_voters(record, &voters, errors);
     let listen = address(record, "listen", "fleet.listen", errors);
     let text = |name: &str| record.text(name).map(str::to_string);
-    Some(Fleet {
+    Some(FleetSettings {
         name: text("name")?,
         node_name: text("me")?,
         listen: listen?,
         voters,
-        state: text("state")
+        state_file: text("state")
             .filter(|state| !state.is_empty())
             .map(Into::into),
         max_divergence: record.int("within")?,
         session: record.int("stay")?,
-        clock_ppm: record.int("clock_ppm")?,
+        clock_drift_ppm: record.int("clock_ppm")?,
     })
 }
 
--- a/settings/src/read/functions.rs
+++ b/settings/src/read/functions.rs
@@ -1,7 +1,7 @@
 //! Functions: those of all settings, and one that is agreed on by itself.
 
 use crate::record::{index_of, texts, RecordReader};
-use crate::types::Function;
+use crate::types::FunctionSettings;
 use crate::value::Node;
 use tansy_dispatch::FunctionSpec;
 use tansy_syntax::Diagnostic;
@@ -41,14 +41,14 @@
 }
 
 /// Reads a function that is agreed on by itself.
-pub(crate) fn one_function(node: &Node, errors: &mut Vec<Diagnostic>) -> Option<Function> {
+pub(crate) fn one_function(node: &Node, errors: &mut Vec<Diagnostic>) -> Option<FunctionSettings> {
     let record = RecordReader::of(node)?;
     let class = record.text("class")?;
     if class.is_empty() {
         let help = "want the name of a class, as class: \"chat\"";
         errors.push(record.error("class", "class", "no class is named".into(), help));
     }
-    Some(Function {
+    Some(FunctionSettings {
         class: class.to_string(),
         lanes: u32::try_from(record.int("lanes")?).ok()?,
         memory_mb: record.int("memory")? as f64 / 1e6,
--- a/settings/src/read/gateway.rs
+++ b/settings/src/read/gateway.rs
@@ -1,7 +1,7 @@
 //! The gateway around the dispatcher.
 
 use crate::record::{address, RecordReader};
-use crate::types::Gateway;
+use crate::types::GatewaySettings;
 use std::net::SocketAddr;
 use tansy_syntax::Diagnostic;
 
@@ -36,18 +36,18 @@
     front: RecordReader<'_>,
     worker: RecordReader<'_>,
     addresses: &Addresses,
-) -> Option<Gateway> {
-    Some(Gateway {
+) -> Option<GatewaySettings> {
+    Some(GatewaySettings {
         listen: addresses.listen?,
         http: addresses.http?,
-        drain: front.int("drain")?,
-        connections: usize::try_from(front.int("connections")?).ok()?,
-        streams: u32::try_from(front.int("streams")?).ok()?,
-        message: usize::try_from(front.int("message")?).ok()?,
-        headers: u32::try_from(front.int("headers")?).ok()?,
+        drain_timeout: front.int("drain")?,
+        max_connections: usize::try_from(front.int("connections")?).ok()?,
+        max_streams: u32::try_from(front.int("streams")?).ok()?,
+        max_message_bytes: usize::try_from(front.int("message")?).ok()?,
+        max_header_bytes: u32::try_from(front.int("headers")?).ok()?,
         stream_window: u32::try_from(front.int("stream_window")?).ok()?,
         worker_window: u32::try_from(worker.int("stream_window")?).ok()?,
-        preface: front.int("preface")?,
+        preface_timeout: front.int("preface")?,
         class_key: front.text("class_key")?.to_ascii_lowercase(),
         tenant_key: front.text("tenant_key")?.to_ascii_lowercase(),
         work_key: front.text("work_key")?.to_ascii_lowercase(),
--- a/settings/src/types.rs
+++ b/settings/src/types.rs
@@ -5,27 +5,27 @@
 
 /// The settings of the gateway around the dispatcher.
 #[derive(Clone, Debug)]
-pub struct Gateway {
+pub struct GatewaySettings {
     /// Address of the gRPC port.
     pub listen: SocketAddr,
     /// Address of the HTTP/1.1 side port.
     pub http: SocketAddr,
     /// Time for open calls at a shutdown, microseconds.
-    pub drain: i64,
+    pub drain_timeout: i64,
     /// Connections of clients at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Streams of one connection.
-    pub streams: u32,
+    pub max_streams: u32,
     /// Bytes of one message.
-    pub message: usize,
+    pub max_message_bytes: usize,
     /// Bytes of one request's headers.
-    pub headers: u32,
+    pub max_header_bytes: u32,
     /// Bytes unread for one of a client's streams.
     pub stream_window: u32,
     /// Bytes unread for one of a worker's streams.
     pub worker_window: u32,
     /// Time to send a connection's preface, microseconds.
-    pub preface: i64,
+    pub preface_timeout: i64,
     /// The metadata key of a call's class.
     pub class_key: String,
     /// The metadata key of its tenant.
@@ -56,7 +56,7 @@
 
 /// The fleet that a front end is in.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fleet {
+pub struct FleetSettings {
     /// Its name.
     pub name: String,
     /// The front end's name in it.
@@ -66,13 +66,13 @@
     /// The voters.
     pub voters: Vec<Voter>,
     /// The file of the agreed log; absent: it keeps none.
-    pub state: Option<std::path::PathBuf>,
+    pub state_file: Option<std::path::PathBuf>,
     /// The longest time for which two front ends may contradict each other, microseconds.
     pub max_divergence: i64,
     /// How long a front end that is cut off goes on with strict fields (its session), microseconds; changes of them wait for it.
     pub session: i64,
     /// Bound on the error of any clock's rate, parts in a million.
-    pub clock_ppm: i64,
+    pub clock_drift_ppm: i64,
 }
 
 /// All settings.
@@ -81,16 +81,16 @@
     /// Of the dispatcher and its router.
     pub dispatch: DispatchConfig,
     /// Of the gateway around it.
-    pub gateway: Gateway,
+    pub gateway: GatewaySettings,
     /// Workers that stand in the settings themselves.
     pub workers: Vec<ConfiguredWorker>,
     /// The fleet, if it is in one.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<FleetSettings>,
 }
 
 /// A function that is agreed on by itself.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Function {
+pub struct FunctionSettings {
     /// Its class, by name.
     pub class: String,
     /// Calls that one instance serves at a time.
--- a/settings/tests/settings.rs
+++ b/settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings files: which are accepted, and how errors are reported.
 
 use tansy_dispatch::WorkerState;
-use tansy_settings::{settings, workers};
+use tansy_settings::{parse_settings, parse_workers};
 use tansyrouter::{DedupGroup, Effect};
 
 const FULL: &str = r#"
@@ -23,7 +23,7 @@
 
 #[test]
 fn a_full_file_is_read() {
-    let all = settings("t.cue", FULL).unwrap_or_else(|error| panic!("{error}"));
+    let all = parse_settings("t.cue", FULL).unwrap_or_else(|error| panic!("{error}"));
     let router = &all.dispatch.settings;
     assert_eq!(
         (router.front_end_index, router.front_ends, router.zone),
@@ -71,7 +71,7 @@
     "classes: {c: {aim: 1s, deadline: 2s}}\nfunctions: {f: {class: \"c\", memory: 1MB}}\n";
 
 fn errors(extra: &str) -> Vec<String> {
-    match settings("t.cue", &format!("{MINIMAL}{extra}")) {
+    match parse_settings("t.cue", &format!("{MINIMAL}{extra}")) {
         Ok(_) => Vec::new(),
         Err(errors) => errors.to_string().lines().map(str::to_string).collect(),
     }
@@ -112,9 +112,9 @@
 #[test]
 fn all_errors_are_reported_at_once_in_order() {
     let text = "classes: {c: {aim: 3s, deadline: 2s, effect: \"keyed\"}}\nfunctions: {f: {class: \"d\", memory: 0B}}\nfront: {me: -1, siblings: \"two\"}";
-    let errors = settings("t.cue", text).unwrap_err();
+    let errors = parse_settings("t.cue", text).unwrap_err();
     assert_eq!(errors.list.len(), 3, "{errors}");
-    let errors = settings(
+    let errors = parse_settings(
         "t.cue",
         &text
             .replace("0B", "1B")
@@ -137,7 +137,7 @@
                 characters[(seed >> 33) as usize % characters.len()]
             })
             .collect();
-        let _ = settings("t.cue", &text);
+        let _ = parse_settings("t.cue", &text);
     }
 }
 
@@ -147,7 +147,7 @@
     let text =
         "workers: [\n {name: \"w1\", address: \"127.0.0.1:9001\", zone: \"b\", started: 2s}\n \
                 {name: \"w2\", address: \"[::1]:9002\", state: \"draining\"}\n]";
-    let list = workers("w.cue", text, &zones, 0).unwrap_or_else(|error| panic!("{error}"));
+    let list = parse_workers("w.cue", text, &zones, 0).unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(
         (
             list[0].record.zone,
@@ -165,6 +165,6 @@
         (0, None, WorkerState::Draining)
     );
     let twice = text.replace("w2", "w1").replace("\"b\"", "\"c\"");
-    let errors = workers("w.cue", &twice, &zones, 0).unwrap_err();
+    let errors = parse_workers("w.cue", &twice, &zones, 0).unwrap_err();
     assert_eq!(errors.list.len(), 2, "{errors}");
 }
--- a/tests/compatibility/src/run.rs
+++ b/tests/compatibility/src/run.rs
@@ -14,7 +14,7 @@
 
 /// A front end's dispatcher before the run.
 pub fn front() -> Dispatcher {
-    let settings = tansy_settings::settings("run.cue", &fixture::text("run.cue"));
+    let settings = tansy_settings::parse_settings("run.cue", &fixture::text("run.cue"));
     let settings = settings.unwrap_or_else(|error| panic!("{error}"));
     Dispatcher::new(settings.dispatch, Time(0)).expect("settings that make sense")
 }
--- a/tests/compatibility/tests/settings.rs
+++ b/tests/compatibility/tests/settings.rs
@@ -7,10 +7,12 @@
 use tansy_agreement::compatibility::Value;
 use tansy_compatibility_tests::fixture;
 use tansy_dispatch::{FunctionSpec, WorkerRecord, WorkerState};
-use tansy_settings::{agreement, settings, workers, ConfiguredWorker, Fleet, Settings, Voter};
+use tansy_settings::{
+    agreement, parse_settings, parse_workers, ConfiguredWorker, FleetSettings, Settings, Voter,
+};
 
 fn read(name: &str) -> Settings {
-    settings(name, &fixture::text(name)).unwrap_or_else(|e| panic!("{e}"))
+    parse_settings(name, &fixture::text(name)).unwrap_or_else(|e| panic!("{e}"))
 }
 
 #[test]
@@ -75,7 +77,7 @@
 #[test]
 fn a_file_becomes_the_same_settings() {
     let all = read("settings-full.cue");
-    let fleet = Fleet {
+    let fleet = FleetSettings {
         name: "pool".into(),
         node_name: "front-1".into(),
         listen: ([127, 0, 0, 1], 7001).into(),
@@ -83,18 +85,27 @@
             name: "front-1".into(),
             address: ([127, 0, 0, 1], 7001).into(),
         }],
-        state: Some("/var/lib/tansy/front-1.redb".into()),
+        state_file: Some("/var/lib/tansy/front-1.redb".into()),
         max_divergence: 3_000_000,
         session: 7_200_000_000,
-        clock_ppm: 500,
+        clock_drift_ppm: 500,
     };
     assert_eq!(all.fleet, Some(fleet));
     assert_eq!(all.workers, workers_of_the_file());
     let gateway = &all.gateway;
     assert_eq!((gateway.listen.port(), gateway.http.port()), (9001, 9000));
-    assert_eq!((gateway.drain, gateway.preface), (11_000_000, 6_000_000));
-    assert_eq!((gateway.connections, gateway.streams), (20002, 10003));
-    assert_eq!((gateway.message, gateway.headers), (5 << 20, 17 << 10));
+    assert_eq!(
+        (gateway.drain_timeout, gateway.preface_timeout),
+        (11_000_000, 6_000_000)
+    );
+    assert_eq!(
+        (gateway.max_connections, gateway.max_streams),
+        (20002, 10003)
+    );
+    assert_eq!(
+        (gateway.max_message_bytes, gateway.max_header_bytes),
+        (5 << 20, 17 << 10)
+    );
     assert_eq!(
         (gateway.stream_window, gateway.worker_window),
         (65 << 10, 257 << 10)
@@ -132,7 +143,7 @@
 #[test]
 fn a_list_of_workers_is_read_as_before() {
     let zones = ["a".to_string(), "b".to_string()];
-    let list = workers("workers.cue", &fixture::text("workers.cue"), &zones, 1);
+    let list = parse_workers("workers.cue", &fixture::text("workers.cue"), &zones, 1);
     assert_eq!(
         list.unwrap_or_else(|e| panic!("{e}")),
         workers_of_the_file()
--- a/tests/path/src/gateway.rs
+++ b/tests/path/src/gateway.rs
@@ -55,7 +55,8 @@
     ) -> GatewayThread {
         let mut read = read_settings(settings);
         let fleet = read.fleet.as_mut().expect("the settings name a fleet");
-        (fleet.node_name, fleet.listen, fleet.state) = (member.name, member.listen, member.state);
+        (fleet.node_name, fleet.listen, fleet.state_file) =
+            (member.name, member.listen, member.state);
         let placement = FleetPlacement {
             own: agreement::parse_fields(SETTINGS_NAME, settings)
                 .unwrap_or_else(|error| panic!("{error}")),
@@ -171,7 +172,7 @@
 
 /// The settings, with ports that the kernel chooses.
 fn read_settings(text: &str) -> tansy_settings::Settings {
-    let settings = tansy_settings::settings(SETTINGS_NAME, text);
+    let settings = tansy_settings::parse_settings(SETTINGS_NAME, text);
     let mut settings = settings.unwrap_or_else(|error| panic!("{error}"));
     settings.gateway.listen = ([127, 0, 0, 1], 0).into();
     settings.gateway.http = ([127, 0, 0, 1], 0).into();
