--- a/programs/gateway/src/cli/mod.rs
+++ b/programs/gateway/src/cli/mod.rs
@@ -5,7 +5,7 @@
 mod placement;
 
 use crate::logs::LossyStderr;
-use crate::{platform, Gateway, Options, EMBEDDED};
+use crate::{platform, Gateway, Options, EMBEDDED_SETTINGS};
 use arguments::{Arguments, LogFormat};
 use clap::Parser;
 use error::UsageError;
@@ -80,7 +80,7 @@
     let Some(path) = &arguments.settings else {
         return Ok(SettingsSource {
             name: "embedded.cue".into(),
-            text: EMBEDDED.to_string(),
+            text: EMBEDDED_SETTINGS.to_string(),
         });
     };
     match std::fs::read_to_string(path) {
@@ -114,12 +114,12 @@
 }
 
 fn print_ready(gateway: &Gateway) {
-    let peers = gateway.peers();
+    let peers = gateway.peer_address();
     let peers = peers.map_or(String::new(), |address| format!(" peers={address}"));
     print_line(&format!(
         "ready grpc={} http={}{peers}",
-        gateway.grpc(),
-        gateway.http()
+        gateway.grpc_address(),
+        gateway.http_address()
     ));
 }
 
@@ -131,7 +131,7 @@
     };
     let path = std::env::var_os("EDGE_CONFIG").ok_or(UsageError::NoPlatformConfig)?;
     let path = PathBuf::from(path);
-    let config = platform::read_first(&path)?;
+    let config = platform::read_at_start(&path)?;
     if check {
         let classes = config.settings.classes.len();
         let index = config.known.index;
--- a/programs/gateway/src/cli/placement.rs
+++ b/programs/gateway/src/cli/placement.rs
@@ -40,9 +40,9 @@
         _ => String::new(),
     };
     Ok(Some(FleetPlacement {
-        own,
-        first: agreement::parse_version(&source.name, &source.text)?,
-        via: arguments.via.iter().copied().collect(),
+        own_fields: own,
+        initial_version: agreement::parse_version(&source.name, &source.text)?,
+        proxies: arguments.via.iter().copied().collect(),
         zone,
     }))
 }
--- a/programs/gateway/src/fleet/mod.rs
+++ b/programs/gateway/src/fleet/mod.rs
@@ -32,23 +32,23 @@
 const LEASE_TENTHS: i64 = 3;
 
 /// The variable by which a supervisor passes the label of the program that a process runs.
-pub const LABEL: &str = "TANSY_LABEL";
+pub const LABEL_VARIABLE: &str = "TANSY_LABEL";
 
 /// A gateway's placement in a fleet, beside its settings.
 #[derive(Debug, Default, Clone)]
 pub struct FleetPlacement {
     /// All fields of its own file, with those that the command line overrides.
-    pub own: Fields,
+    pub own_fields: Fields,
     /// The first version of a new fleet: the fields that stand in the file.
-    pub first: Fields,
+    pub initial_version: Fields,
     /// Front ends and workers that are reached through another address than their own.
-    pub via: HashMap<SocketAddr, SocketAddr>,
+    pub proxies: HashMap<SocketAddr, SocketAddr>,
     /// Its zone.
     pub zone: String,
 }
 
 /// The configuration of the node of a process that starts now.
-pub fn peer(fleet: &FleetSettings, address: SocketAddr) -> FleetNodeConfig {
+pub fn node_config(fleet: &FleetSettings, address: SocketAddr) -> FleetNodeConfig {
     // A later process of a name must have a larger incarnation; the wall clock does not go back by as much as a restart takes.
     let since = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
@@ -105,20 +105,20 @@
     fleet: &FleetSettings,
     placement: &FleetPlacement,
 ) -> Result<FleetMember, GatewayError> {
-    let node = peer(fleet, listener.local_addr()?);
-    let voter = voter_file(fleet)?.map(|path| (path, placement.first.clone()));
+    let node = node_config(fleet, listener.local_addr()?);
+    let voter = voter_file(fleet)?.map(|path| (path, placement.initial_version.clone()));
     let applier = ConfigApplier::new(driver.clone(), fleet, placement, &node);
     let applier = Rc::new(applier);
-    applier.apply_initial(&placement.first)?;
+    applier.apply_initial(&placement.initial_version)?;
     driver.enable_class_counters();
     let counted_driver = driver.clone();
     let zone = placement.zone.clone();
-    let label = std::env::var(LABEL).unwrap_or_default();
+    let label = std::env::var(LABEL_VARIABLE).unwrap_or_default();
     let config = TransportConfig {
         node,
         fleet: fleet.name.clone(),
         voter,
-        proxies: placement.via.clone(),
+        proxies: placement.proxies.clone(),
         carrier: None,
         check: Rc::new(check_version),
         check_function: Rc::new(check_function),
--- a/programs/gateway/src/gateway.rs
+++ b/programs/gateway/src/gateway.rs
@@ -88,17 +88,17 @@
     }
 
     /// The address of the gRPC port.
-    pub fn grpc(&self) -> SocketAddr {
+    pub fn grpc_address(&self) -> SocketAddr {
         self.grpc
     }
 
     /// The address of the side port.
-    pub fn http(&self) -> SocketAddr {
+    pub fn http_address(&self) -> SocketAddr {
         self.http
     }
 
     /// Where its peers reach it, if it is in a fleet.
-    pub fn peers(&self) -> Option<SocketAddr> {
+    pub fn peer_address(&self) -> Option<SocketAddr> {
         self.fleet.as_ref().map(|(_, address)| *address)
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// Whether no call, attempt or load request is open.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.driver.with_dispatcher(Dispatcher::is_idle)
     }
 
--- a/programs/gateway/src/lib.rs
+++ b/programs/gateway/src/lib.rs
@@ -22,7 +22,7 @@
 pub use gateway::Gateway;
 
 /// The built-in settings of `--embedded`.
-pub const EMBEDDED: &str = include_str!("embedded.cue");
+pub const EMBEDDED_SETTINGS: &str = include_str!("embedded.cue");
 
 /// The options of a run beside its settings.
 #[derive(Debug, Default)]
--- a/programs/gateway/src/platform/configuration.rs
+++ b/programs/gateway/src/platform/configuration.rs
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 /// As [`read`], after retries of some seconds.
-pub fn read_first(path: &Path) -> Result<Config, ConfigurationError> {
+pub fn read_at_start(path: &Path) -> Result<Config, ConfigurationError> {
     let text = retry(START_WITHIN, "the configuration", || {
         std::fs::read_to_string(path)
     });
--- a/programs/gateway/src/platform/mod.rs
+++ b/programs/gateway/src/platform/mod.rs
@@ -1,6 +1,6 @@
 //! A front end on the platform: its configuration, one listener, the coordinator's endpoint list, signals.
 //!
-//! - [`read`], [`read_first`]: the configuration file.
+//! - [`read`], [`read_at_start`]: the configuration file.
 //! - [`Platform::start`]: the listener, the dispatcher's driver and the endpoint poll, on one event loop.
 //! - [`Platform::run`]: serves until SIGTERM, then shuts down gracefully (`lifecycle`).
 //!
@@ -10,7 +10,7 @@
 mod error;
 mod lifecycle;
 
-pub use configuration::{read, read_first};
+pub use configuration::{read, read_at_start};
 pub use error::{ConfigurationError, PlatformError};
 pub use lifecycle::Signals;
 
--- a/programs/scale/src/hollow/front_ends.rs
+++ b/programs/scale/src/hollow/front_ends.rs
@@ -14,7 +14,7 @@
 use tansy_agreement::compatibility::Fields;
 use tansy_agreement::log::Revision;
 use tansy_fleet_node::FleetNode;
-use tansy_gateway::fleet::peer;
+use tansy_gateway::fleet::node_config;
 use tansy_net_fleet::{FleetTransport, TransportConfig};
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::{clock, Spawner};
@@ -133,7 +133,7 @@
             true
         };
         Ok(TransportConfig {
-            node: peer(&fleet, address),
+            node: node_config(&fleet, address),
             fleet: fleet.name.clone(),
             voter: None,
             proxies: Default::default(),
--- a/tests/path/src/gateway.rs
+++ b/tests/path/src/gateway.rs
@@ -58,9 +58,9 @@
         (fleet.node_name, fleet.listen, fleet.state_file) =
             (member.name, member.listen, member.state);
         let placement = FleetPlacement {
-            own: agreement::parse_fields(SETTINGS_NAME, settings)
+            own_fields: agreement::parse_fields(SETTINGS_NAME, settings)
                 .unwrap_or_else(|error| panic!("{error}")),
-            first: agreement::parse_version(SETTINGS_NAME, settings)
+            initial_version: agreement::parse_version(SETTINGS_NAME, settings)
                 .unwrap_or_else(|error| panic!("{error}")),
             ..FleetPlacement::default()
         };
@@ -86,7 +86,7 @@
         let thread = std::thread::spawn(move || {
             let mut gateway = Gateway::start(settings, &options).expect("the gateway starts");
             started
-                .send((gateway.grpc(), gateway.http()))
+                .send((gateway.grpc_address(), gateway.http_address()))
                 .expect("the test waits for the addresses");
             while !stopped.load(Ordering::Relaxed) {
                 gateway.turn(TURN).expect("the loop turns");
@@ -140,7 +140,7 @@
     pub fn account(&self) -> Account {
         let mut line = String::new();
         until("the gateway is idle", || {
-            let (account, idle) = self.with(|gateway| (gateway.account(), gateway.idle()));
+            let (account, idle) = self.with(|gateway| (gateway.account(), gateway.is_idle()));
             line = account;
             idle
         });
