--- a/programs/fleet/tests/fleet.rs
+++ b/programs/fleet/tests/fleet.rs
@@ -217,7 +217,7 @@
         (
             &["scope", "set", "e", "--class", "none", "--memory", "1GB"],
             3,
-            "\"none\" is not there",
+            "\"none\" does not exist",
         ),
         (
             &["scope", "set", "e", "--class", "chat", "--memory", "0B"],
--- a/programs/gateway/src/cli/arguments.rs
+++ b/programs/gateway/src/cli/arguments.rs
@@ -1,86 +1,88 @@
-//! The program's arguments.
+//! Command line arguments.
 
 use clap::{Parser, ValueEnum};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// A front end for gRPC inference calls of functions that are loaded on demand.
+/// A front end that dispatches gRPC inference calls to workers, which load functions on demand.
 ///
-/// It takes calls by the Open Inference Protocol v2, decides where each goes, and streams the results back. Once it
-/// serves it prints `ready grpc=ADDRESS http=ADDRESS` on standard output; logs go to standard error.
+/// It accepts calls of the Open Inference Protocol v2, chooses a worker for each, and streams the results back. When it is
+/// ready to serve, it prints `ready grpc=ADDRESS http=ADDRESS` to standard output; logs go to standard error.
 ///
-/// Exit codes: 0 after SIGTERM or SIGINT, 1 if it could not go on, 2 for wrong arguments or settings.
+/// Exit codes: 0 after SIGTERM or SIGINT, 1 if it can't start or fails, 2 for invalid arguments or settings.
 #[derive(Parser)]
 #[command(name = "tansy-gateway", version)]
 pub(super) struct Arguments {
     /// The settings file.
     #[arg(long, required_unless_present_any = ["embedded", "platform"])]
     pub(super) settings: Option<PathBuf>,
-    /// Start four stand-in workers in this process, with built-in settings unless --settings names others.
+    /// Start four stand-in workers in this process; without --settings, use built-in settings.
     #[arg(long)]
     pub(super) embedded: bool,
-    /// Serve on the platform: all else comes from the file that EDGE_CONFIG names; no other port is opened.
+    /// Serve on the platform, with the configuration file that EDGE_CONFIG names; only its port is opened.
     #[arg(long, conflicts_with_all = ["settings", "embedded", "workers", "listen", "http", "shared", "record", "me",
         "siblings", "name", "peers", "state", "via"])]
     pub(super) platform: bool,
-    /// The file with the list of workers; it is read again when it changes.
+    /// The worker list file, which is read again when it changes.
     #[arg(long)]
     pub(super) workers: Option<PathBuf>,
-    /// This front end's number among its siblings, from 0; goes before the settings.
+    /// Index of this front end among all front ends, from 0; overrides the settings.
     #[arg(long)]
     pub(super) me: Option<usize>,
-    /// How many front ends there are; goes before the settings.
+    /// Number of front ends; overrides the settings.
     #[arg(long)]
     pub(super) siblings: Option<usize>,
-    /// Address of the gRPC port; goes before the settings. Port 0: any free one.
+    /// Address of the gRPC port; overrides the settings. Port 0 selects a free port.
     #[arg(long)]
     pub(super) listen: Option<SocketAddr>,
-    /// Address of the HTTP/1.1 side port (/live, /ready, /account); goes before the settings.
+    /// Address of the HTTP/1.1 side port (/live, /ready, /account); overrides the settings.
     #[arg(long)]
     pub(super) http: Option<SocketAddr>,
-    /// Let several processes take connections from the same ports (SO_REUSEPORT).
+    /// Let several processes listen on the same ports (SO_REUSEPORT).
     #[arg(long)]
     pub(super) shared: bool,
-    /// Record the dispatcher's inputs in this file, for replay.
+    /// Record the dispatcher's inputs to this file, for replay.
     #[arg(long)]
     pub(super) record: Option<PathBuf>,
-    /// This front end's name in the fleet that its settings name; goes before the settings.
+    /// Name of this front end in its fleet; overrides the settings.
     #[arg(long)]
     pub(super) name: Option<String>,
-    /// Address at which its siblings reach it; goes before the settings. A name keeps its address.
+    /// Address at which the other front ends of the fleet reach this one; overrides the settings. A front end must keep its
+    /// address when it restarts under the same name.
     #[arg(long)]
     pub(super) peers: Option<SocketAddr>,
-    /// The file in which a voter keeps the agreed log; goes before the settings.
+    /// The file in which a voter stores the replicated log; overrides the settings.
     #[arg(long)]
     pub(super) state: Option<PathBuf>,
-    /// Reach the sibling or worker at the first address through the second, as `127.0.0.1:7001=127.0.0.1:9001`.
-    #[arg(long, hide = true, value_parser = proxy)]
+    /// Connect to the front end or worker at the first address through the second, for example
+    /// `127.0.0.1:7001=127.0.0.1:9001`.
+    #[arg(long, hide = true, value_parser = parse_proxy)]
     pub(super) via: Vec<(SocketAddr, SocketAddr)>,
-    /// Check the settings, say what they hold, and end.
+    /// Check the settings, print a summary, and exit.
     #[arg(long)]
     pub(super) check: bool,
-    /// Form of the logs.
+    /// Log format.
     #[arg(long, value_enum, default_value = "plain")]
     pub(super) logs: LogFormat,
-    /// What is logged: error, warn, info, debug (a line for each call), trace, or filters as `tansy_net_inference=debug`.
+    /// Log level (error, warn, info, debug with a line for each call, trace) or filters such as `tansy_net_inference=debug`.
     #[arg(long, default_value = "info")]
     pub(super) log: String,
 }
 
-/// The form of the log lines.
+/// The format of log lines.
 #[derive(Clone, Copy, ValueEnum)]
 pub(super) enum LogFormat {
     Plain,
     Json,
 }
 
-/// The value of `--via` is not two addresses.
+/// The value of `--via` is not a pair of addresses.
 #[derive(Debug, Error)]
-#[error("want two addresses, as 127.0.0.1:7001=127.0.0.1:9001")]
+#[error("expected two addresses, for example 127.0.0.1:7001=127.0.0.1:9001")]
 struct InvalidProxy;
 
-fn proxy(text: &str) -> Result<(SocketAddr, SocketAddr), InvalidProxy> {
+fn parse_proxy(text: &str) -> Result<(SocketAddr, SocketAddr), InvalidProxy> {
     let (from, to) = text.split_once('=').ok_or(InvalidProxy)?;
     let from = from.parse().map_err(|_| InvalidProxy)?;
     let to = to.parse().map_err(|_| InvalidProxy)?;
--- a/programs/gateway/src/cli/mod.rs
+++ b/programs/gateway/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The program's arguments, logs and exit codes.
+//! Command line, logging and exit codes of the program.
 
 mod arguments;
 mod error;
@@ -18,7 +18,7 @@
 use tansy_settings::Settings;
 use tracing_subscriber::EnvFilter;
 
-/// Runs the program with its arguments, the first its name.
+/// Runs the program with its arguments, the first of which is the program's name.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let arguments = Arguments::parse_from(arguments);
     let run = start_logs(&arguments).and_then(|()| {
@@ -73,7 +73,7 @@
         fleet,
     };
     let run = Gateway::start(settings, &options).and_then(|gateway| gateway.run(print_ready));
-    Ok(exit(run))
+    Ok(exit_code(run))
 }
 
 fn read_settings(arguments: &Arguments) -> Result<SettingsSource, UsageError> {
@@ -95,14 +95,14 @@
     }
 }
 
-/// Arguments go before the settings.
+/// Replaces settings by the arguments that override them.
 fn override_settings(arguments: &Arguments, settings: &mut Settings) -> Result<(), UsageError> {
     let router = &mut settings.dispatch.settings;
     router.front_end_index = arguments.me.unwrap_or(router.front_end_index);
     let siblings = router.front_ends.max(router.front_end_index + 1);
     router.front_ends = arguments.siblings.unwrap_or(siblings);
     if router.front_end_index >= router.front_ends {
-        return Err(UsageError::Number {
+        return Err(UsageError::IndexOutOfRange {
             me: router.front_end_index,
             siblings: router.front_ends,
         });
@@ -123,11 +123,11 @@
     ));
 }
 
-/// Serves on the platform.
+/// Runs a front end on the platform.
 fn run_platform(check: bool) -> Result<ExitCode, UsageError> {
     let signals = match platform::Signals::new() {
         Ok(signals) => signals,
-        Err(error) => return Ok(exit(Err::<String, _>(error))),
+        Err(error) => return Ok(exit_code(Err::<String, _>(error))),
     };
     let path = std::env::var_os("EDGE_CONFIG").ok_or(UsageError::NoPlatformConfig)?;
     let path = PathBuf::from(path);
@@ -142,11 +142,13 @@
         return Ok(ExitCode::SUCCESS);
     }
     let run = platform::Platform::start(&config);
-    Ok(exit(run.and_then(|platform| platform.run(&path, signals))))
+    Ok(exit_code(
+        run.and_then(|platform| platform.run(&path, signals)),
+    ))
 }
 
-/// The end of a run: the account's line, or why it could not go on.
-fn exit(run: Result<String, impl Display>) -> ExitCode {
+/// Prints the account line or the error with which a run ended, and returns the exit code.
+fn exit_code(run: Result<String, impl Display>) -> ExitCode {
     match run {
         Ok(account) => {
             print_line(&format!("account {account}"));
@@ -159,7 +161,7 @@
     }
 }
 
-/// Prints a line on standard output. A reader that went away is no reason to stop serving, nor to panic.
+/// Prints a line to standard output. Errors are ignored: the gateway goes on serving when standard output has been closed.
 fn print_line(line: &str) {
     let mut out = std::io::stdout();
     let _ = writeln!(out, "{line}").and_then(|()| out.flush());
--- a/programs/gateway/src/cli/placement.rs
+++ b/programs/gateway/src/cli/placement.rs
@@ -1,4 +1,4 @@
-//! The placement in a fleet, of the arguments and the settings.
+//! The placement in a fleet, from the arguments and the settings.
 
 use super::arguments::Arguments;
 use super::error::UsageError;
@@ -6,24 +6,24 @@
 use tansy_agreement::compatibility::{Fields, Value};
 use tansy_settings::{agreement, FleetSettings, Settings};
 
-/// The text of the settings, and the name of its file.
+/// The text of the settings and the name of their file.
 pub(super) struct SettingsSource {
     pub(super) name: String,
     pub(super) text: String,
 }
 
-/// The placement in the fleet that the settings name, if they name one; arguments go before the settings.
+/// The placement in the fleet that the settings name, if they name one. Arguments override the settings.
 pub(super) fn placement(
     arguments: &Arguments,
     source: &SettingsSource,
     settings: &mut Settings,
 ) -> Result<Option<FleetPlacement>, UsageError> {
     let Some(fleet) = &mut settings.fleet else {
-        let for_a_fleet = arguments.name.is_some()
+        let needs_fleet = arguments.name.is_some()
             || arguments.peers.is_some()
             || arguments.state.is_some()
             || !arguments.via.is_empty();
-        return if for_a_fleet {
+        return if needs_fleet {
             Err(UsageError::NoFleet)
         } else {
             Ok(None)
@@ -34,13 +34,13 @@
     }
     override_fleet(arguments, fleet);
     check_fleet(fleet)?;
-    let own = own_fields(source, settings)?;
-    let zone = match own.get("front.zone") {
+    let own_fields = own_fields(source, settings)?;
+    let zone = match own_fields.get("front.zone") {
         Some(Value::Text(zone)) => zone.clone(),
         _ => String::new(),
     };
     Ok(Some(FleetPlacement {
-        own_fields: own,
+        own_fields,
         initial_version: agreement::parse_version(&source.name, &source.text)?,
         proxies: arguments.via.iter().copied().collect(),
         zone,
@@ -63,11 +63,11 @@
     if fleet.node_name.is_empty() {
         return Err(UsageError::NoName);
     }
-    let elsewhere = fleet
+    let mismatch = fleet
         .voters
         .iter()
         .find(|voter| voter.name == fleet.node_name && voter.address != fleet.listen);
-    match elsewhere {
+    match mismatch {
         Some(voter) => Err(UsageError::VoterAddress {
             listen: fleet.listen,
             name: voter.name.clone(),
@@ -77,13 +77,13 @@
     }
 }
 
-/// All fields of the settings' text, with those that arguments override.
+/// All fields of the settings' text, with the values of the arguments that override them.
 fn own_fields(source: &SettingsSource, settings: &Settings) -> Result<Fields, UsageError> {
     let mut own = agreement::parse_fields(&source.name, &source.text)?;
-    let number = i64::try_from(settings.dispatch.settings.front_end_index).unwrap_or(i64::MAX);
+    let index = i64::try_from(settings.dispatch.settings.front_end_index).unwrap_or(i64::MAX);
     let listen = settings.gateway.listen.to_string();
     let http = settings.gateway.http.to_string();
-    own.insert("front.me".into(), Value::Int(number));
+    own.insert("front.me".into(), Value::Int(index));
     own.insert("front.listen".into(), Value::Text(listen));
     own.insert("front.http".into(), Value::Text(http));
     Ok(own)
--- a/programs/gateway/src/embedded.rs
+++ b/programs/gateway/src/embedded.rs
@@ -1,4 +1,4 @@
-//! Stand-in workers in the gateway's own process, for `--embedded`.
+//! Stand-in workers inside the gateway's process, for `--embedded`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use tansy_settings::ConfiguredWorker;
 use tansy_standin_worker::{Function, Profile, Standin, WhenAbsent};
 
-/// How many of them are started.
+/// Number of workers that are started.
 const WORKERS: usize = 4;
 
-/// Starts the workers, each of which serves all functions.
+/// Starts the workers; each of them serves all functions.
 pub(crate) fn start_workers(
     spawner: &Spawner,
     functions: &[FunctionSpec],
--- a/programs/gateway/src/error.rs
+++ b/programs/gateway/src/error.rs
@@ -1,11 +1,11 @@
-//! Why a gateway can't start, or stops.
+//! Errors of a gateway.
 
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a gateway can't start, or stops.
+/// The reason why a gateway can't start, or stops serving.
 #[derive(Debug, Error)]
 pub enum GatewayError {
     /// A system call failed.
@@ -14,13 +14,13 @@
     /// The event loop failed.
     #[error(transparent)]
     EventLoop(#[from] calloop::Error),
-    /// Signals can't be added to the event loop.
+    /// The signal source can't be added to the event loop.
     #[error("{0}")]
     Signals(String),
     /// A port can't be bound.
     #[error("{setting} {address}: {source}")]
     Listen {
-        /// The setting that names the address.
+        /// The setting that contains the address.
         setting: &'static str,
         /// The address.
         address: SocketAddr,
@@ -38,14 +38,14 @@
     /// The dispatcher rejects its configuration.
     #[error(transparent)]
     Config(#[from] tansy_dispatch::ConfigError),
-    /// Settings, a version of them, or a list of workers are invalid.
+    /// The settings, a version of them, or the worker list are invalid.
     #[error(transparent)]
     Settings(#[from] tansy_settings::Errors),
-    /// The node in the fleet can't start.
+    /// The fleet node can't start.
     #[error(transparent)]
     Fleet(#[from] tansy_net_fleet::StartError),
-    /// A voter has no file for the agreed log.
-    #[error("fleet.state: the voter {name:?} keeps the agreed log: want its file, as --state voter.redb")]
+    /// A voter has no file for the replicated log.
+    #[error("fleet.state: the voter {name:?} stores the replicated log and needs a file for it, for example --state voter.redb")]
     NoStateFile {
         /// The voter's name.
         name: String,
--- a/programs/gateway/src/fleet/applier.rs
+++ b/programs/gateway/src/fleet/applier.rs
@@ -1,4 +1,4 @@
-//! Applies to the dispatcher what the node may act on: configurations and workers.
+//! Applies the configurations and workers that the node currently allows to the dispatcher.
 
 use super::effective::{Authority, ConfigBuilder, ConfigSet};
 use super::FleetPlacement;
@@ -16,7 +16,7 @@
 use tansy_net_inference::{Driver, WorkerEndpoint};
 use tansy_settings::{ConfiguredWorker, FleetSettings};
 
-/// What the dispatcher acts on.
+/// The state that the dispatcher's configuration was computed for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Applied {
     revision: u64,
@@ -24,7 +24,7 @@
     session: bool,
 }
 
-/// The configurations of a revision, or why there are none.
+/// The configurations of a revision, or the error for which they can't be computed.
 struct ComputedConfigs {
     revision: u64,
     result: Result<ConfigSet, Rc<GatewayError>>,
@@ -35,13 +35,13 @@
     builder: ConfigBuilder,
     applied: Cell<Option<Applied>>,
     computed: RefCell<Option<ComputedConfigs>>,
-    /// Workers that are reached through another address than their own.
+    /// The addresses through which workers are reached, by the workers' own addresses.
     proxies: HashMap<SocketAddr, SocketAddr>,
-    /// The last list that was read.
+    /// The last worker list that was read.
     workers: RefCell<Vec<ConfiguredWorker>>,
-    /// The node's count of changes of draining workers, when they were applied last.
+    /// The node's number of changes to draining workers when the workers were last applied.
     drain_changes: Cell<u64>,
-    /// The node's count of changes of functions, when pending calls were looked up last.
+    /// The node's number of changes to functions when pending calls were last resolved.
     scope_changes: Cell<u64>,
 }
 
@@ -69,13 +69,14 @@
         }
     }
 
-    /// Applies the configuration before any state is known.
-    pub(super) fn apply_initial(&self, first: &Fields) -> Result<(), GatewayError> {
-        let (config, names) = self.builder.initial(first)?;
-        Ok(self.driver.apply_settings(config, names, Vec::new())?)
+    /// Applies the configuration that is used until the node knows a state of the fleet.
+    pub(super) fn apply_initial(&self, initial_version: &Fields) -> Result<(), GatewayError> {
+        let (config, keys) = self.builder.initial(initial_version)?;
+        Ok(self.driver.apply_settings(config, keys, Vec::new())?)
     }
 
-    /// The node may act on another state by now; returns why it can't be applied, if so.
+    /// Applies the node's state after it may have changed, and resolves pending calls if it has. Returns the error for which
+    /// the state can't be applied, if any.
     pub(super) fn on_state_changed(&self, node: &FleetNode, now: Time) -> Option<String> {
         let applied_before = self.applied.get();
         let error = self.apply(node, now);
@@ -88,7 +89,7 @@
                 .with_dispatcher(|dispatcher| dispatcher.pending_calls())
                 > 0
         {
-            // After the node's turn: the lookup of each pending call asks the node again.
+            // Runs as a task of its own, since the node is borrowed here and each lookup queries it again.
             let driver = self.driver.clone();
             self.driver
                 .spawner
@@ -97,7 +98,7 @@
         error
     }
 
-    /// Applies the state that the node may act on; returns why it can't be applied, if so.
+    /// Applies the state that the node may act on. Returns the error for which it can't be applied, if any.
     fn apply(&self, node: &FleetNode, now: Time) -> Option<String> {
         if node.drain_changes() != self.drain_changes.get() {
             self.apply_workers(node);
@@ -121,7 +122,7 @@
         self.error()
     }
 
-    /// The configurations of a state, computed once for each revision; `None`: there are none.
+    /// The configurations of a state, computed once for each revision; `None` if they can't be computed.
     fn configs(&self, state: &FleetState) -> Option<ConfigSet> {
         let revision = state.revision.0;
         let computed = self.computed.borrow().as_ref().map(|known| known.revision);
@@ -143,7 +144,8 @@
         });
     }
 
-    /// Gives the dispatcher the configuration in effect, and those that follow by themselves.
+    /// Applies the configuration in effect to the dispatcher, and the ones that replace it when the lease and the session
+    /// expire.
     fn adopt(&self, applied: Applied, configs: &ConfigSet, expiries: Vec<(i64, Authority)>) {
         let authority = match (applied.lease, applied.session) {
             (true, true) => Authority::LeaseAndSession,
@@ -155,7 +157,7 @@
             .map(|(remaining, authority)| (remaining, configs.of(authority).clone()));
         let adopted = self.driver.apply_settings(
             configs.of(authority).clone(),
-            configs.names.clone(),
+            configs.keys.clone(),
             following.collect(),
         );
         self.applied.set(Some(applied));
@@ -165,14 +167,14 @@
         }
     }
 
-    /// Why the state can't be applied, if so.
+    /// The error for which the state can't be applied, if any.
     fn error(&self) -> Option<String> {
         let computed = self.computed.borrow();
         let error = computed.as_ref()?.result.as_ref().err()?;
         Some(error.to_string())
     }
 
-    /// Rejects all calls, since the state can't be applied.
+    /// Makes the dispatcher reject all calls, for a state that can't be applied.
     fn reject_all(&self) {
         let config = self
             .driver
@@ -186,20 +188,20 @@
             config,
             conflicting,
         };
-        let names = self.driver.metadata_keys();
-        // The dispatcher acts on this configuration already, so that it can't be rejected.
+        let keys = self.driver.metadata_keys();
+        // Can't fail, since the dispatcher has accepted this configuration before.
         let _ = self
             .driver
-            .apply_settings(config, (*names).clone(), Vec::new());
+            .apply_settings(config, (*keys).clone(), Vec::new());
         self.applied.set(None);
     }
 
-    /// Sets the workers of the list; they are applied by [`Self::apply_workers`].
+    /// Stores the workers of the list, which [`Self::apply_workers`] applies.
     pub(super) fn set_workers(&self, workers: Vec<ConfiguredWorker>) {
         *self.workers.borrow_mut() = workers;
     }
 
-    /// Gives the dispatcher the workers, in the states of the list and of what any front end saw.
+    /// Applies the workers to the dispatcher. A worker's state combines the list with what other front ends have reported.
     pub(super) fn apply_workers(&self, node: &FleetNode) {
         self.drain_changes.set(node.drain_changes());
         let worker = |configured: &ConfiguredWorker| {
@@ -226,7 +228,8 @@
     }
 }
 
-/// When the authority ends, and what it is after that, in order; a lease that outlasts the session ends with it.
+/// The times after which the authority changes, each with the authority that follows, in order. A lease that would outlast the
+/// session ends with the session.
 fn expiries(applied: Applied, lease: i64, session: i64) -> Vec<(i64, Authority)> {
     let mut expiries = Vec::new();
     if applied.lease && applied.session && lease < session {
@@ -238,7 +241,7 @@
     expiries
 }
 
-/// A worker of the list as the node knows it.
+/// Converts a worker of the list to the node's form.
 pub(super) fn endpoint_record(worker: &ConfiguredWorker) -> EndpointRecord {
     let state = match worker.record.state {
         WorkerState::Ready => EndpointState::Ready,
--- a/programs/gateway/src/fleet/counters.rs
+++ b/programs/gateway/src/fleet/counters.rs
@@ -1,10 +1,10 @@
-//! The counters that operators and the analysis of rollouts read.
+//! The counters that operators and the canary analysis of rollouts read.
 
 use tansy_dispatch::ClassCounters;
 use tansy_fleet_wire::pb;
 use tansy_net_inference::Driver;
 
-/// The counters of this front end; its node fills in its name and state.
+/// The counters of this front end. The node fills in the front end's name and state.
 pub(super) fn counters(driver: &Driver, zone: &str, label: &str) -> pb::CountsReply {
     let (account, _) = driver.counters();
     let classes = driver.with_dispatcher(|dispatcher| {
@@ -42,7 +42,7 @@
     }
 }
 
-/// The resident memory of this process; 0: it can't be determined.
+/// Resident memory of this process, or 0 if it can't be determined.
 fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
--- a/programs/gateway/src/fleet/effective.rs
+++ b/programs/gateway/src/fleet/effective.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's configurations that follow from the fleet's state, by what a front end holds.
+//! Computes the dispatcher's configurations from the fleet's state, one for each combination of lease and session.
 
 use crate::GatewayError;
 use std::collections::BTreeSet;
@@ -10,14 +10,14 @@
 use tansy_net_inference::{Driver, MetadataKeys};
 use tansy_settings::agreement;
 
-/// What a front end holds of the leader.
+/// The grants from the leader that a front end holds.
 #[derive(Clone, Copy)]
 pub(super) enum Authority {
     /// A lease and a session.
     LeaseAndSession,
-    /// A session alone: the lease has expired.
+    /// Only a session: the lease has expired.
     SessionOnly,
-    /// Neither.
+    /// Neither a lease nor a session.
     Expired,
 }
 
@@ -27,7 +27,7 @@
     leased: EffectiveConfig,
     without_lease: EffectiveConfig,
     expired: EffectiveConfig,
-    pub(super) names: MetadataKeys,
+    pub(super) keys: MetadataKeys,
 }
 
 impl ConfigSet {
@@ -40,26 +40,26 @@
     }
 }
 
-/// Computes configurations of the fleet's state and the front end's own fields.
+/// Computes configurations from the fleet's state and the front end's own fields.
 pub(super) struct ConfigBuilder {
     pub(super) name: String,
     pub(super) own: Fields,
     pub(super) schema: Schema,
-    /// When a rejected call may be repeated, about.
+    /// Approximate time after which a rejected call may be retried, microseconds.
     pub(super) retry_after: i64,
 }
 
 impl ConfigBuilder {
-    /// The configuration before any state is known: the most restrictive one.
+    /// The configuration that applies until a state of the fleet is known, which is the most restrictive one.
     pub(super) fn initial(
         &self,
-        first: &Fields,
+        initial_version: &Fields,
     ) -> Result<(EffectiveConfig, MetadataKeys), GatewayError> {
-        let (filled, _) = agreement::with_defaults(first)?;
+        let (filled, _) = agreement::with_defaults(initial_version)?;
         self.config(&rules_after_expiry(&self.schema, &filled))
     }
 
-    /// The configurations of a state; the driver's dispatcher values calls by its settings in force.
+    /// The configurations of a state. Also sets the classes by which the driver values calls to those of the settings in force.
     pub(super) fn config_set(
         &self,
         state: &FleetState,
@@ -76,13 +76,14 @@
                 unknown.extend(unknown_next);
             }
         }
-        // Front ends of a canary are valued by the settings in force, as the others are.
+        // Front ends with canary settings value calls by the settings in force too, so that their counters are comparable with
+        // those of the other front ends.
         let in_force = agreement::effective_settings(&self.own, &filled.in_force.fields)?.dispatch;
         let classes = in_force.classes.into_iter();
         driver.set_valuation_classes(classes.zip(in_force.settings.classes).collect());
         let mut rules = filled.rules(&self.schema);
         rules.rejected.extend(unknown);
-        let (leased, names) = self.config(&rules)?;
+        let (leased, keys) = self.config(&rules)?;
         let (without_lease, _) = self.config(&rules_without_lease(&self.schema, rules))?;
         let expired = rules_after_expiry(&self.schema, &filled.in_force.fields);
         let (expired, _) = self.config(&expired)?;
@@ -90,7 +91,7 @@
             leased,
             without_lease,
             expired,
-            names,
+            keys,
         })
     }
 
@@ -107,13 +108,13 @@
         for affected in &rules.rejected {
             match affected {
                 AffectedCalls::All => conflicting.all = true,
-                AffectedCalls::Class(name) => add(&mut conflicting.classes, name),
-                AffectedCalls::Tenant(name) => add(&mut conflicting.tenants, name),
-                AffectedCalls::Function(name) => add(&mut conflicting.functions, name),
+                AffectedCalls::Class(name) => insert(&mut conflicting.classes, name),
+                AffectedCalls::Tenant(name) => insert(&mut conflicting.tenants, name),
+                AffectedCalls::Function(name) => insert(&mut conflicting.functions, name),
             }
         }
         let gateway = settings.gateway;
-        let names = MetadataKeys {
+        let keys = MetadataKeys {
             class: gateway.class_key,
             tenant: gateway.tenant_key,
             work_ms: gateway.work_key,
@@ -124,11 +125,11 @@
                 config,
                 conflicting,
             },
-            names,
+            keys,
         ))
     }
 }
 
-fn add(names: &mut BTreeSet<String>, name: &str) {
+fn insert(names: &mut BTreeSet<String>, name: &str) {
     names.insert(name.to_string());
 }
--- a/programs/gateway/src/fleet/lookup.rs
+++ b/programs/gateway/src/fleet/lookup.rs
@@ -1,4 +1,4 @@
-//! Functions that are agreed on one by one, for the calls that name them.
+//! Looks up functions whose settings the fleet agrees on one by one, when a call names them.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -10,10 +10,10 @@
 use tansy_net_inference::{DirectoryEntry, FunctionDirectory};
 use tansy_settings::agreement;
 
-/// Looks functions up at the node.
+/// Looks up functions at the node.
 pub(super) struct ScopeLookup {
     transport: Weak<FleetTransport>,
-    /// The results by function, valid as long as the function's fields are the same.
+    /// The result for each function with the fields that it was read from; a result is valid while the fields stay the same.
     cache: RefCell<HashMap<String, (Fields, DirectoryEntry)>>,
 }
 
@@ -24,7 +24,7 @@
         };
         match transport.admit(function) {
             Admission::Admit(fields) => self.read(function, fields),
-            // The versions list all functions, and this one is not among them.
+            // `Unscoped`: the settings versions list all functions, and this function is not one of them.
             Admission::Unscoped | Admission::Unknown => DirectoryEntry::Unknown,
             Admission::Reject(_) => DirectoryEntry::Refused,
             Admission::Wait => DirectoryEntry::Pending,
--- a/programs/gateway/src/fleet/mod.rs
+++ b/programs/gateway/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! A gateway in a fleet: its dispatcher acts on what its lease and its session allow.
+//! A gateway as a member of a fleet. Its lease and its session determine which settings its dispatcher may apply.
 //!
-//! - `applier`: gives the dispatcher the configuration that is in effect now, and those that follow once the lease and the
-//!   session expire.
+//! - `applier`: applies the current configuration to the dispatcher, with those that replace it when the lease and the session
+//!   expire.
 //! - `effective`: computes these configurations from the fleet's state.
-//! - `lookup`: functions that are agreed on one by one.
+//! - `lookup`: looks up functions whose settings the fleet agrees on one by one.
 //! - `counters`: the counters that operators and rollouts read.
 
 mod applier;
@@ -28,28 +28,29 @@
 use tansy_net_sockets::Spawner;
 use tansy_settings::{agreement, ConfiguredWorker, FleetSettings};
 
-/// The share of a lease, in tenths, in the time within which no two front ends contradict each other.
+/// The duration of a lease, in tenths of the longest time for which two front ends may contradict each other.
 const LEASE_TENTHS: i64 = 3;
 
-/// The variable by which a supervisor passes the label of the program that a process runs.
+/// The environment variable in which a supervisor passes the label of the program version that a process runs.
 pub const LABEL_VARIABLE: &str = "TANSY_LABEL";
 
-/// A gateway's placement in a fleet, beside its settings.
+/// The part of a gateway's fleet membership that is not in its fleet settings.
 #[derive(Debug, Default, Clone)]
 pub struct FleetPlacement {
-    /// All fields of its own file, with those that the command line overrides.
+    /// All fields of its settings file, with the values that the command line overrides.
     pub own_fields: Fields,
-    /// The first version of a new fleet: the fields that stand in the file.
+    /// The version with which a new fleet starts: the fields that are written in the file.
     pub initial_version: Fields,
-    /// Front ends and workers that are reached through another address than their own.
+    /// The addresses through which front ends and workers are reached, by their own addresses.
     pub proxies: HashMap<SocketAddr, SocketAddr>,
     /// Its zone.
     pub zone: String,
 }
 
-/// The configuration of the node of a process that starts now.
+/// The configuration of the fleet node of a process that starts now.
 pub fn node_config(fleet: &FleetSettings, address: SocketAddr) -> FleetNodeConfig {
-    // A later process of a name must have a larger incarnation; the wall clock does not go back by as much as a restart takes.
+    // A restarted process must have a larger incarnation than its predecessor. This assumes that the wall clock is not set back
+    // by more than the time that a restart takes.
     let since = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
@@ -75,19 +76,20 @@
     }
 }
 
-/// A gateway's member of its fleet.
+/// A gateway's membership in its fleet.
 pub struct FleetMember {
     transport: Rc<FleetTransport>,
     applier: Rc<ConfigApplier>,
 }
 
 impl FleetMember {
-    /// Its node on the network.
+    /// The node's network transport.
     pub fn transport(&self) -> &Rc<FleetTransport> {
         &self.transport
     }
 
-    /// Applies a list of workers: the peers are notified of those that drain, and those that any peer saw drain do so here.
+    /// Applies a list of workers. Peers are notified of the workers that drain, and workers that a peer has reported as draining
+    /// drain here too.
     pub fn update_workers(&self, workers: Vec<ConfiguredWorker>) {
         let records = workers.iter().map(applier::endpoint_record).collect();
         self.applier.set_workers(workers);
@@ -97,7 +99,7 @@
     }
 }
 
-/// Starts the gateway's node. Until it has a lease and a session, the dispatcher acts on no version.
+/// Starts the gateway's node. Until it has a lease and a session, the dispatcher applies no version of the settings.
 pub fn start(
     spawner: Spawner,
     driver: Rc<Driver>,
@@ -132,7 +134,7 @@
     Ok(FleetMember { transport, applier })
 }
 
-/// The file of the agreed log: a voter needs one, and any other front end that has one may become a voter.
+/// The file of the replicated log. A voter needs one; any other front end that has one may become a voter.
 fn voter_file(fleet: &FleetSettings) -> Result<Option<PathBuf>, GatewayError> {
     let is_voter = fleet
         .voters
@@ -155,7 +157,7 @@
     agreement::validate(fields).map_err(invalid_fields)
 }
 
-/// Whether a function's fields are valid, of a class that the settings in force and those under way have.
+/// Checks that a function's fields are valid, and that its class exists both in the settings in force and in the next settings.
 fn check_function(name: &str, fields: &Fields, state: &FleetState) -> Result<(), InvalidFields> {
     let function = agreement::read_function(name, fields).map_err(invalid_fields)?;
     let prefix = format!("classes.{}.", escape_name(&function.class));
@@ -172,7 +174,7 @@
     {
         None => Ok(()),
         Some(version) => Err(InvalidFields(format!(
-            "functions.{name}.class: {:?} is not there: want a class of version {}",
+            "functions.{name}.class: {:?} does not exist: expected a class of version {}",
             function.class, version.version.0
         ))),
     }
--- a/programs/gateway/src/gateway.rs
+++ b/programs/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway that serves: its event loop, its ports, its place in a fleet.
+//! A running gateway: its event loop, its ports, its workers and its membership in a fleet.
 
 use crate::worker_list::{ApplyWorkers, WorkerListFile};
 use crate::{embedded, fleet, GatewayError, Options};
@@ -21,14 +21,20 @@
 use tansy_settings::{ConfiguredWorker, FleetSettings, Settings};
 use tansyrouter::Time;
 
-/// Time between two log lines with the totals.
+/// Interval at which the totals are logged.
 const TOTALS_INTERVAL: Duration = Duration::from_secs(10);
-/// Time for the messages by which a front end leaves its fleet.
+/// Longest iteration of the event loop while the gateway serves.
+const IDLE_TURN: Duration = Duration::from_secs(60);
+/// Longest iteration of the event loop while open calls end.
+const DRAIN_TURN: Duration = Duration::from_millis(20);
+/// Longest iteration of the event loop while the front end leaves its fleet.
+const LEAVE_TURN: Duration = Duration::from_millis(5);
+/// Time to send the messages with which a front end leaves its fleet.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time beyond the drain time for the last replies to leave with their connections.
+/// Time after the drain time for the last replies to be written and their connections to be closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A gateway that serves.
+/// A running gateway.
 pub struct Gateway {
     event_loop: EventLoop<'static, ()>,
     driver: Rc<Driver>,
@@ -36,11 +42,12 @@
     grpc: SocketAddr,
     http: SocketAddr,
     fleet: Option<(Rc<fleet::FleetMember>, SocketAddr)>,
-    drain: i64,
+    /// Time to finish open calls at a shutdown, microseconds.
+    drain_timeout: i64,
 }
 
 impl Gateway {
-    /// Binds the ports and starts to serve; connections to workers are made once there are calls.
+    /// Binds the ports and starts to serve. Connections to workers are opened when calls need them.
     pub fn start(settings: Settings, options: &Options) -> Result<Gateway, GatewayError> {
         let event_loop: EventLoop<'static, ()> = EventLoop::try_new()?;
         let spawner = Spawner::new(event_loop.handle())?;
@@ -55,10 +62,10 @@
         let grpc_address = grpc.local_addr()?;
         let http_address = http.local_addr()?;
         let sources = WorkerSources::new(workers, &config, options);
-        let drain = gateway.drain_timeout;
+        let drain_timeout = gateway.drain_timeout;
         let record = options.record.as_deref();
-        let driver = start_driver(&spawner, config, setup(gateway), record)?;
-        // Before any call is accepted: until the node has a lease and a session, no version may be acted on.
+        let driver = start_driver(&spawner, config, driver_options(gateway), record)?;
+        // The node starts before any call is accepted: without a lease and a session, no version of the settings may be applied.
         let fleet = join_fleet(&spawner, &driver, fleet.as_ref(), options)?;
         let member = fleet.as_ref().map(|(member, _)| member.clone());
         sources.start(&spawner, &driver, apply_workers(driver.clone(), member))?;
@@ -78,7 +85,7 @@
             grpc: grpc_address,
             http: http_address,
             fleet,
-            drain,
+            drain_timeout,
         })
     }
 
@@ -92,29 +99,31 @@
         self.grpc
     }
 
-    /// The address of the side port.
+    /// The address of the HTTP/1.1 side port.
     pub fn http_address(&self) -> SocketAddr {
         self.http
     }
 
-    /// Where its peers reach it, if it is in a fleet.
+    /// The address at which peers reach the gateway, if it is a member of a fleet.
     pub fn peer_address(&self) -> Option<SocketAddr> {
         self.fleet.as_ref().map(|(_, address)| *address)
     }
 
-    /// Serves until SIGTERM or SIGINT, then finishes open calls within the drain time; returns the account's line. `ready` is
-    /// called once the signals are handled: a signal before that would end the process at once.
+    /// Serves until SIGTERM or SIGINT, then finishes open calls within the drain time and returns the account line. `ready` is
+    /// called once the signals are handled; an earlier signal terminates the process immediately.
     pub fn run(mut self, ready: impl FnOnce(&Gateway)) -> Result<String, GatewayError> {
         let stop_requested = self.watch_signals()?;
         ready(&self);
         while !stop_requested.get() {
-            self.turn(Duration::from_secs(60))?;
+            self.turn(IDLE_TURN)?;
         }
         tracing::info!(
             open = self.driver.counters().1,
             "shutting down: no new calls"
         );
-        self.driver.feed(Input::Shutdown { grace: self.drain });
+        self.driver.feed(Input::Shutdown {
+            grace: self.drain_timeout,
+        });
         self.server.close();
         self.finish_calls()?;
         self.leave_fleet()?;
@@ -133,19 +142,20 @@
         Ok(stop_requested)
     }
 
-    /// The last replies leave with the connections; a client that does not read does not delay the end.
+    /// Waits until all calls have ended and all client connections are closed. The wait is bounded, so that a client that does
+    /// not read its reply can't delay the shutdown.
     fn finish_calls(&mut self) -> Result<(), GatewayError> {
-        let drain = Duration::from_micros(self.drain.max(0) as u64);
+        let drain = Duration::from_micros(self.drain_timeout.max(0) as u64);
         let end = Instant::now() + drain + CLOSE_TIMEOUT;
         while Instant::now() < end
             && !(self.driver.with_dispatcher(Dispatcher::is_idle) && self.server.connections() == 0)
         {
-            self.turn(Duration::from_millis(20))?;
+            self.turn(DRAIN_TURN)?;
         }
         Ok(())
     }
 
-    /// Every call has ended: from here on no peer needs to wait for this front end.
+    /// Leaves the fleet once all calls have ended, so that no change of the settings has to wait for this front end.
     fn leave_fleet(&mut self) -> Result<(), GatewayError> {
         let Some((member, _)) = &self.fleet else {
             return Ok(());
@@ -154,13 +164,12 @@
         transport.leave();
         let end = Instant::now() + LEAVE_TIMEOUT;
         while Instant::now() < end && !transport.is_idle() {
-            self.event_loop
-                .dispatch(Some(Duration::from_millis(5)), &mut ())?;
+            self.event_loop.dispatch(Some(LEAVE_TURN), &mut ())?;
         }
         Ok(())
     }
 
-    /// The account's line.
+    /// The counters of calls, the number of open calls and the number of ready workers, as one line.
     pub fn account(&self) -> String {
         let (account, open) = self.driver.counters();
         let workers = self.driver.with_dispatcher(Dispatcher::ready_workers);
@@ -172,7 +181,7 @@
         self.driver.with_dispatcher(Dispatcher::is_idle)
     }
 
-    /// One turn of the event loop, of at most this time.
+    /// Runs one iteration of the event loop, which waits for at most `max`.
     pub fn turn(&mut self, max: Duration) -> Result<(), GatewayError> {
         let sleep = self.driver.sleep().map_or(max, |sleep| sleep.min(max));
         self.event_loop.dispatch(Some(sleep), &mut ())?;
@@ -193,7 +202,7 @@
     })
 }
 
-fn setup(gateway: tansy_settings::GatewaySettings) -> DriverOptions {
+fn driver_options(gateway: tansy_settings::GatewaySettings) -> DriverOptions {
     DriverOptions {
         clients: Limits {
             connections: gateway.max_connections,
@@ -215,11 +224,11 @@
     }
 }
 
-/// Starts the dispatcher; its inputs are recorded to `record`, if given.
+/// Starts the driver of a new dispatcher, whose inputs are recorded to the file `record`, if given.
 fn start_driver(
     spawner: &Spawner,
     config: DispatchConfig,
-    setup: DriverOptions,
+    options: DriverOptions,
     record: Option<&Path>,
 ) -> Result<Rc<Driver>, GatewayError> {
     let record: Option<Box<dyn Write>> = match record {
@@ -233,10 +242,10 @@
         None => None,
     };
     let dispatcher = Dispatcher::new(config, Time(0))?;
-    Ok(Driver::new(spawner.clone(), dispatcher, setup, record))
+    Ok(Driver::new(spawner.clone(), dispatcher, options, record))
 }
 
-/// Starts the node in the fleet that the settings name; with the address where its peers reach it.
+/// Joins the fleet that the settings name. Returns the member and the address at which its peers reach it.
 fn join_fleet(
     spawner: &Spawner,
     driver: &Rc<Driver>,
@@ -252,19 +261,19 @@
     Ok(Some((Rc::new(member), address)))
 }
 
-/// Where the gateway's workers come from.
+/// The sources of the gateway's worker list.
 struct WorkerSources {
-    /// Those of the settings.
-    fixed: Vec<ConfiguredWorker>,
-    /// The functions of embedded workers; `None`: there are none.
+    /// Workers that the settings list.
+    configured: Vec<ConfiguredWorker>,
+    /// The functions of the embedded workers; `None` without embedded workers.
     embedded: Option<Vec<FunctionSpec>>,
-    /// The list's file.
+    /// The worker list file.
     file: Option<WorkerListFile>,
 }
 
 impl WorkerSources {
     fn new(
-        fixed: Vec<ConfiguredWorker>,
+        configured: Vec<ConfiguredWorker>,
         config: &DispatchConfig,
         options: &Options,
     ) -> WorkerSources {
@@ -273,13 +282,13 @@
             WorkerListFile::new(path.clone(), config.zones.clone(), home_zone)
         };
         WorkerSources {
-            fixed,
+            configured,
             embedded: options.embedded.then(|| config.functions.clone()),
             file: options.workers.as_ref().map(file),
         }
     }
 
-    /// Applies the workers of the settings and the embedded ones, and those of the list's file whenever it changes.
+    /// Applies the workers of the settings, the embedded workers, and those of the worker list file whenever it changes.
     fn start(
         mut self,
         spawner: &Spawner,
@@ -287,20 +296,21 @@
         apply: ApplyWorkers,
     ) -> Result<(), GatewayError> {
         if let Some(functions) = &self.embedded {
-            self.fixed
+            self.configured
                 .extend(embedded::start_workers(spawner, functions)?);
         }
         match self.file {
-            Some(file) => file.watch(driver.clone(), self.fixed, apply),
+            Some(file) => file.watch(driver.clone(), self.configured, apply),
             None => {
-                apply(self.fixed);
+                apply(self.configured);
                 Ok(())
             }
         }
     }
 }
 
-/// In a fleet the node passes on which workers drain, and knows which the others saw drain.
+/// Returns the function that applies a list of workers. In a fleet it goes through the node, which exchanges with its peers
+/// which workers drain.
 fn apply_workers(driver: Rc<Driver>, member: Option<Rc<fleet::FleetMember>>) -> ApplyWorkers {
     let worker = |configured: ConfiguredWorker| WorkerEndpoint {
         record: configured.record,
--- a/programs/gateway/src/lib.rs
+++ b/programs/gateway/src/lib.rs
@@ -1,11 +1,10 @@
-//! The gateway as a library: a front end that serves, made of its settings. The program around it reads arguments and waits for
-//! signals.
+//! The gateway as a library: a front end that is started from its settings and serves inference calls.
 //!
-//! - [`cli`]: arguments, logs and exit codes.
+//! - [`cli`]: command line, logging and exit codes of the program.
 //! - `gateway`: the event loop, the ports, startup and shutdown.
-//! - [`fleet`]: the gateway's place in a fleet, if its settings name one.
-//! - [`platform`]: the same for the platform, where all comes from one configuration file.
-//! - [`logs`]: standard error that never blocks the service.
+//! - [`fleet`]: membership in a fleet, if the settings name one.
+//! - [`platform`]: a front end on the platform, which reads everything from one configuration file.
+//! - [`logs`]: log output to standard error that never blocks the event loop.
 
 pub mod cli;
 mod embedded;
@@ -21,20 +20,20 @@
 pub use error::GatewayError;
 pub use gateway::Gateway;
 
-/// The built-in settings of `--embedded`.
+/// The settings that `--embedded` uses by default.
 pub const EMBEDDED_SETTINGS: &str = include_str!("embedded.cue");
 
-/// The options of a run beside its settings.
+/// Options of a gateway that are not part of its settings.
 #[derive(Debug, Default)]
 pub struct Options {
-    /// Start workers in this process.
+    /// Start stand-in workers in this process.
     pub embedded: bool,
-    /// Several processes may listen on the ports.
+    /// Let several processes listen on the same ports (`SO_REUSEPORT`).
     pub shared: bool,
-    /// The file with the list of workers; it is polled for changes.
+    /// The worker list file, which is polled for changes.
     pub workers: Option<PathBuf>,
-    /// Where the dispatcher's inputs are recorded.
+    /// The file to which the dispatcher's inputs are recorded.
     pub record: Option<PathBuf>,
-    /// Its placement in the fleet that its settings name.
+    /// The gateway's placement in the fleet that its settings name.
     pub fleet: Option<fleet::FleetPlacement>,
 }
--- a/programs/gateway/src/logs.rs
+++ b/programs/gateway/src/logs.rs
@@ -1,36 +1,36 @@
-//! Standard error as the output of logs, without ever blocking.
+//! Log output to standard error that never blocks.
 //!
-//! Whoever reads standard error may stop reading while it stays open. The thread that logs is the one that serves, so that a
-//! line that would have to wait is dropped and counted.
+//! A reader of standard error may keep it open and stop reading. Logging runs on the thread of the event loop, so a line that
+//! can't be written immediately is dropped and counted.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{self, Stderr, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What a pipe accepts without blocking once it is writable (`PIPE_BUF`).
-const CHUNK: usize = 4096;
-/// How often an interrupted poll is repeated.
-const MAX_INTERRUPTIONS: usize = 4;
+/// Bytes that a writable pipe accepts without blocking (`PIPE_BUF`).
+const CHUNK_BYTES: usize = 4096;
+/// Number of attempts at a poll that signals interrupt.
+const MAX_POLL_ATTEMPTS: usize = 4;
 
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Writes to standard error, and never waits for it.
+/// A writer to standard error that drops lines instead of blocking.
 #[derive(Debug)]
 pub struct LossyStderr(Stderr);
 
 impl LossyStderr {
-    /// Standard error.
+    /// Creates a writer to this process's standard error.
     pub fn new() -> LossyStderr {
         LossyStderr(io::stderr())
     }
 
-    /// Whether a chunk is accepted without blocking.
+    /// Whether standard error accepts a chunk without blocking.
     fn is_writable(&self) -> bool {
         let no_wait = Timespec {
             tv_sec: 0,
             tv_nsec: 0,
         };
-        for _ in 0..MAX_INTERRUPTIONS {
+        for _ in 0..MAX_POLL_ATTEMPTS {
             let mut descriptors = [PollFd::new(&self.0, PollFlags::OUT)];
             match poll(&mut descriptors, Some(&no_wait)) {
                 Err(rustix::io::Errno::INTR) => {}
@@ -58,14 +58,14 @@
 }
 
 impl Write for LossyStderr {
-    /// Writes a whole line, or drops the rest of it.
+    /// Writes a line, or as much of it as standard error accepts, and drops the rest.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let dropped = DROPPED_LINES.swap(0, Ordering::Relaxed);
         if dropped > 0 && !self.write_notice(dropped) {
             DROPPED_LINES.fetch_add(dropped + 1, Ordering::Relaxed);
             return Ok(line.len());
         }
-        for chunk in line.chunks(CHUNK) {
+        for chunk in line.chunks(CHUNK_BYTES) {
             if !self.write_chunk(chunk) {
                 DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
                 break;
--- a/programs/gateway/src/platform/configuration.rs
+++ b/programs/gateway/src/platform/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration file of the platform, read at the start and again at SIGHUP.
+//! The platform's configuration file, which is read at the start and again on SIGHUP.
 
 use super::error::ConfigurationError;
 use super::START_WITHIN;
@@ -10,15 +10,15 @@
 /// Reads the configuration.
 ///
 /// # Errors
-/// The file that can't be read, or what is wrong in it.
+/// If the file can't be read or its content is invalid.
 pub fn read(path: &Path) -> Result<Config, ConfigurationError> {
     parse(path, std::fs::read_to_string(path))
 }
 
-/// Reads the configuration at the start, when no descriptor may be left for a moment.
+/// Reads the configuration at the start, with retries for failures such as a temporary lack of descriptors.
 ///
 /// # Errors
-/// As [`read`], after retries of some seconds.
+/// If the file still can't be read after the retries, or its content is invalid.
 pub fn read_at_start(path: &Path) -> Result<Config, ConfigurationError> {
     let text = retry(START_WITHIN, "the configuration", || {
         std::fs::read_to_string(path)
--- a/programs/gateway/src/platform/error.rs
+++ b/programs/gateway/src/platform/error.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why the configuration of a front end on the platform can't be used.
+/// The reason why the configuration of a front end on the platform can't be used.
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
     /// The file can't be read.
@@ -16,17 +16,17 @@
         /// The cause.
         source: io::Error,
     },
-    /// The file is no valid configuration.
+    /// The file is not a valid configuration.
     #[error("{}: {source}", .path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// What is wrong, and where.
+        /// The error and its place.
         source: tansy_platform::ConfigError,
     },
 }
 
-/// Why a front end on the platform can't start, or stops.
+/// The reason why a front end on the platform can't start, or stops serving.
 #[derive(Debug, Error)]
 pub enum PlatformError {
     /// A system call failed.
@@ -35,10 +35,10 @@
     /// The event loop failed.
     #[error(transparent)]
     EventLoop(#[from] calloop::Error),
-    /// Signals can't be added to the event loop.
+    /// The signal source can't be added to the event loop.
     #[error("{0}")]
     Signals(String),
-    /// The settings in the configuration make no sense.
+    /// The settings in the configuration are invalid.
     #[error("settings: {0}")]
     Settings(#[from] tansy_conf::SettingsError),
     /// The port can't be bound.
--- a/programs/gateway/src/platform/lifecycle.rs
+++ b/programs/gateway/src/platform/lifecycle.rs
@@ -1,7 +1,8 @@
 //! Signals, reloads and the graceful shutdown of a front end on the platform.
 //!
-//! SIGHUP reads the configuration again and moves the endpoint poll. SIGTERM and SIGINT begin the shutdown: the front end
-//! serves on for [`SHUTDOWN_WINDOW`], then accepts no more, answers every open call within its time, and ends.
+//! On SIGHUP the front end reads its configuration again and polls the coordinator that it names. On SIGTERM and SIGINT it
+//! serves for another [`SHUTDOWN_WINDOW`], then stops accepting connections, answers every open call before its deadline, and
+//! exits.
 
 use super::configuration::read;
 use super::{retry_loop, Platform, PlatformError};
@@ -14,29 +15,32 @@
 use tansy_net_sockets::interrupt::IgnoreInterrupts;
 use tansyrouter::Micros;
 
-/// After SIGTERM the platform still opens connections for 0.4 s and sends requests for 0.2 s more; both are served.
+/// Time for which the front end serves after SIGTERM. The platform still opens connections for 0.4 s, and sends requests for
+/// another 0.2 s.
 const SHUTDOWN_WINDOW: Duration = Duration::from_millis(800);
-/// Time between the longest deadline and the platform's kill: what is open is answered well before.
+/// Time after the longest deadline until which open calls are answered at a shutdown.
 const KILL_GRACE: Duration = Duration::from_millis(400);
-/// Pause before an unreadable configuration is read again ...
+/// Pause before a failed reload of the configuration is retried.
 const RELOAD_RETRY: Duration = Duration::from_millis(100);
-/// ... and how often that is done: no descriptor may have been left, or the file be half written.
+/// Attempts at a reload, which may fail for lack of descriptors or because the file is only partly written.
 const RELOAD_ATTEMPTS: u32 = 20;
-/// The longest turn of the loop while nothing is due.
+/// Longest iteration of the event loop while no reload is due.
 const IDLE_TURN: Duration = Duration::from_secs(60);
-/// A turn of the loop while the last connections are accepted.
+/// Longest iteration of the event loop while the last connections are accepted.
 const ACCEPT_TURN: Duration = Duration::from_millis(5);
-/// A turn of the loop while open calls are answered.
+/// Longest iteration of the event loop while open calls are answered.
 const DRAIN_TURN: Duration = Duration::from_millis(20);
 
-/// Signals to this process: from here on they wait to be handled, and end nothing by themselves.
+/// The handled signals of this process. Once this value exists, they stay pending until the event loop reads them, and no
+/// longer terminate the process.
 pub struct Signals(Source);
 
 impl Signals {
-    /// To be made before all else, so that no signal comes too early.
+    /// Blocks the signals and opens a descriptor to read them. Must be called first at the start: an earlier signal terminates
+    /// the process.
     ///
     /// # Errors
-    /// The system call that failed.
+    /// If a system call fails.
     pub fn new() -> Result<Signals, PlatformError> {
         let source = retry_loop("signals", || {
             Source::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])
@@ -45,23 +49,24 @@
     }
 }
 
-/// What signals have requested.
+/// Actions that signals have requested.
 #[derive(Default)]
 struct Requested {
     stop: Cell<bool>,
     reload: Cell<bool>,
 }
 
-/// A reload of the configuration.
+/// The state of a reload of the configuration and its retries.
 struct Reload {
     path: PathBuf,
+    /// Time of the next attempt; `None` if no reload is due.
     due: Option<Instant>,
     attempts_left: u32,
 }
 
 impl Platform {
-    /// Reads the configuration again and takes the coordinator and its list from it. Returns whether the file was valid; if
-    /// not, everything stays as it was.
+    /// Reads the configuration again and applies its coordinator and its endpoint list. Returns whether the file was valid; if
+    /// it was not, nothing changes.
     pub fn reload(&self, path: &Path) -> bool {
         match read(path) {
             Ok(config) => {
@@ -76,10 +81,10 @@
         }
     }
 
-    /// Serves until SIGTERM or SIGINT, shuts down gracefully, and returns the line of counters.
+    /// Serves until SIGTERM or SIGINT, shuts down gracefully, and returns the account line.
     ///
     /// # Errors
-    /// The event loop's, which ends the process.
+    /// If the event loop fails.
     pub fn run(mut self, path: &Path, signals: Signals) -> Result<String, PlatformError> {
         let requested = self.watch_signals(signals)?;
         let mut reload = Reload {
@@ -112,7 +117,7 @@
         Ok(requested)
     }
 
-    /// One turn, and the reload if one was requested meanwhile.
+    /// Runs one iteration of the event loop, and then the reload of the configuration if it is due.
     fn turn_and_reload(
         &mut self,
         max: Duration,
@@ -139,7 +144,7 @@
         Ok(())
     }
 
-    /// Serves through the window, accepts what the kernel has taken, answers open calls, and ends.
+    /// Serves through the shutdown window, accepts the connections that the kernel has queued, and answers all open calls.
     fn shut_down(
         mut self,
         requested: &Requested,
@@ -149,7 +154,7 @@
         let end = began + self.deadline + KILL_GRACE;
         tracing::info!(open = self.driver.counters().1, "stopping");
         self.serve_window(began, requested, reload)?;
-        // What the machine has taken for us is ours: it is read, and served, before calls are refused.
+        // Clients whose connections the kernel has accepted may have sent requests: they are served before calls are refused.
         while !self.clients.stop_accepting() && Instant::now() < end {
             self.turn_and_reload(ACCEPT_TURN, requested, reload)?;
         }
--- a/programs/gateway/src/platform/mod.rs
+++ b/programs/gateway/src/platform/mod.rs
@@ -1,10 +1,9 @@
-//! A front end on the platform: its configuration, one listener, the coordinator's endpoint list, signals.
+//! A front end on the platform. It has one configuration file and one listener, and takes its workers from the coordinator's
+//! endpoint list. It runs as a single process and is not a member of a fleet.
 //!
-//! - [`read`], [`read_at_start`]: the configuration file.
-//! - [`Platform::start`]: the listener, the dispatcher's driver and the endpoint poll, on one event loop.
+//! - [`read`], [`read_at_start`]: read the configuration file.
+//! - [`Platform::start`]: starts the listener, the dispatcher's driver and the endpoint poller on one event loop.
 //! - [`Platform::run`]: serves until SIGTERM, then shuts down gracefully (`lifecycle`).
-//!
-//! It is one process without children, and no part of a fleet.
 
 mod configuration;
 mod error;
@@ -25,13 +24,13 @@
 use tansy_platform::{Config, EndpointList};
 use tansyrouter::{Micros, Time};
 
-/// The platform's longest deadline is taken as no less than this.
+/// Lower bound of the longest call time that is assumed, microseconds.
 const MIN_DEADLINE: Micros = 3_000_000;
-/// At a start what fails for a moment is tried for so long: a front end is to be ready in 30 s.
+/// Time for which a failed system call is retried at the start; the platform expects a front end to be ready within 30 s.
 const START_WITHIN: Duration = Duration::from_secs(20);
-/// How often connections to workers are maintained.
+/// Interval at which connections to workers are maintained.
 const MAINTAIN_EVERY: Duration = Duration::from_millis(100);
-/// How often the totals are logged.
+/// Interval at which the totals are logged.
 const TOTALS_EVERY: Duration = Duration::from_secs(10);
 
 /// A front end on the platform.
@@ -46,10 +45,10 @@
 }
 
 impl Platform {
-    /// Listens, and begins to poll the endpoint list.
+    /// Binds the port and starts to poll the endpoint list.
     ///
     /// # Errors
-    /// Settings that make no sense, a port that can't be bound, or a system call that failed.
+    /// If the settings are invalid, the port can't be bound, or a system call fails.
     pub fn start(config: &Config) -> Result<Platform, PlatformError> {
         let event_loop: EventLoop<'static, ()> = retry_loop("the event loop", EventLoop::try_new)?;
         let spawner = retry(START_WITHIN, "the tasks", || {
@@ -66,7 +65,7 @@
         })?;
         let address = listener.local_addr()?;
         let dispatcher = Dispatcher::new(dispatch, Time(0))?;
-        // The machine's bound goes before the stated one where it is lower.
+        // The process's descriptor limit applies if it is lower than the configured number of sockets.
         let limits = ServingLimits::new(config, descriptor_limit());
         let driver = Driver::new(spawner.clone(), dispatcher, limits, Instant::now());
         let list = EndpointList::new(
@@ -86,7 +85,7 @@
         })
     }
 
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -96,20 +95,20 @@
         &self.driver
     }
 
-    /// The connections of clients.
+    /// The listener and its client connections.
     pub fn clients(&self) -> &Rc<ClientListener> {
         &self.clients
     }
 
-    /// The poll of the endpoint list.
+    /// The poller of the endpoint list.
     pub fn poller(&self) -> &Rc<EndpointPoller> {
         &self.poller
     }
 
-    /// One turn of the loop, at most so long.
+    /// Runs one iteration of the event loop, which waits for at most `max`.
     ///
     /// # Errors
-    /// The event loop's.
+    /// If the event loop fails.
     pub fn turn(&mut self, max: Duration) -> Result<(), PlatformError> {
         let sleep = self.driver.next_timer_in().map_or(max, |s| s.min(max));
         let next = self
@@ -126,7 +125,7 @@
     }
 }
 
-/// What the dispatcher is configured with.
+/// The dispatcher's configuration.
 fn dispatch_config(config: &Config) -> Result<DispatchConfig, PlatformError> {
     let settings = tansy_conf::router_settings(&config.settings)?;
     let deadlines = settings.classes.iter().map(|class| class.deadline);
@@ -143,7 +142,7 @@
     })
 }
 
-/// Maintains the connections to workers, and logs the totals now and then.
+/// Maintains the connections to workers and logs the totals, each at its interval.
 async fn maintain(driver: Rc<Driver>) {
     let mut logged_at = Instant::now();
     loop {
@@ -159,7 +158,7 @@
     }
 }
 
-/// As [`retry`], of what the loop library makes.
+/// Like [`retry`], for functions that return an error of the event loop library.
 fn retry_loop<T>(
     subject: &str,
     mut make: impl FnMut() -> calloop::Result<T>,
--- a/programs/gateway/src/worker_list.rs
+++ b/programs/gateway/src/worker_list.rs
@@ -1,4 +1,4 @@
-//! The file with the list of workers, which is read again when it changes.
+//! The worker list file, which is read again when it changes.
 
 use crate::GatewayError;
 use std::path::PathBuf;
@@ -8,18 +8,19 @@
 use tansy_net_inference::Driver;
 use tansy_settings::ConfiguredWorker;
 
-/// Time between two looks at the file.
+/// Interval at which the file is checked for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Takes a whole list of workers.
+/// Applies a complete list of workers.
 pub(crate) type ApplyWorkers = Rc<dyn Fn(Vec<ConfiguredWorker>)>;
 
-/// The file, and when it was changed last.
+/// The worker list file.
 pub(crate) struct WorkerListFile {
     path: PathBuf,
     zones: Vec<String>,
-    /// The index of the zone of workers that name none.
+    /// Index of the zone of workers that do not name one.
     home_zone: usize,
+    /// Modification time and length of the file when it was last read.
     last_read: Option<(SystemTime, u64)>,
 }
 
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Reads the file if it has changed; `None`: it has not.
+    /// Reads the file if it has changed; returns `None` otherwise.
     fn read_if_changed(&mut self) -> Result<Option<Vec<ConfiguredWorker>>, GatewayError> {
         let file_error = |source| GatewayError::File {
             path: self.path.clone(),
@@ -51,25 +52,26 @@
         Ok(Some(workers))
     }
 
-    /// Applies the fixed workers and those of the file, now and after each change of the file. The first reading must succeed:
-    /// a gateway that starts without workers by a slip serves nobody.
+    /// Applies the `configured` workers and those of the file, now and after each change of the file.
+    ///
+    /// The first read must succeed, so that a wrong path is reported instead of starting a gateway without workers.
     pub(crate) fn watch(
         mut self,
         driver: Rc<Driver>,
-        fixed: Vec<ConfiguredWorker>,
+        configured: Vec<ConfiguredWorker>,
         apply: ApplyWorkers,
     ) -> Result<(), GatewayError> {
-        let with_fixed = move |listed: Vec<ConfiguredWorker>| {
-            let fixed = fixed.iter().cloned();
-            fixed.chain(listed).collect::<Vec<ConfiguredWorker>>()
+        let with_configured = move |listed: Vec<ConfiguredWorker>| {
+            let configured = configured.iter().cloned();
+            configured.chain(listed).collect::<Vec<ConfiguredWorker>>()
         };
-        apply(with_fixed(self.read_if_changed()?.unwrap_or_default()));
+        apply(with_configured(self.read_if_changed()?.unwrap_or_default()));
         let spawner = driver.spawner.clone();
         spawner.spawn(async move {
             loop {
                 driver.spawner.sleep(POLL_INTERVAL).await;
                 match self.read_if_changed() {
-                    Ok(Some(listed)) => apply(with_fixed(listed)),
+                    Ok(Some(listed)) => apply(with_configured(listed)),
                     Ok(None) => {}
                     Err(error) => {
                         tracing::warn!(%error, "worker list can't be read: the previous one stays");
