--- a/lang/syntax/src/ast.rs
+++ b/lang/syntax/src/ast.rs
@@ -1,8 +1,8 @@
-//! The syntax tree of records, as they are written in a file.
+//! The syntax tree of records.
 
 use crate::diagnostic::Span;
 
-/// A node and its place.
+/// A node and its place in a source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spanned<T> {
     /// The node.
@@ -11,7 +11,7 @@
     pub span: Span,
 }
 
-/// A bound's operator.
+/// The operator of a bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub enum Relation {
@@ -22,27 +22,27 @@
     Not,
 }
 
-/// A field's name.
+/// The label of a field.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Label {
     /// `name:` or `"name":`
     Name(String),
-    /// `[string]:`, every field not named.
+    /// `[string]:`, which stands for all fields that are not named.
     Any,
 }
 
-/// One field of a record.
+/// A field of a record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decl {
-    /// Its name.
+    /// The field's label.
     pub label: Spanned<Label>,
-    /// It may be left out.
+    /// Whether the field may be left out.
     pub optional: bool,
-    /// Its value.
+    /// The field's value.
     pub value: Spanned<Expr>,
 }
 
-/// A value as it is written.
+/// An expression for a value.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
 pub enum Expr {
@@ -54,14 +54,15 @@
     /// Bytes.
     Size(i64),
     Text(String),
-    /// A type, a field or a definition, by its path.
+    /// A reference to a type, a field or a definition, by its path.
     Name(Vec<String>),
     Record(Vec<Decl>),
+    /// The items, and the constraint on further items.
     List(Vec<Spanned<Expr>>, Option<Box<Spanned<Expr>>>),
     Bound(Relation, Box<Spanned<Expr>>),
     Default(Box<Spanned<Expr>>),
     Or(Vec<Spanned<Expr>>),
     And(Vec<Spanned<Expr>>),
-    /// What could not be parsed; an error was reported for it.
+    /// Text that could not be parsed, for which an error has been reported.
     Error,
 }
--- a/lang/syntax/src/diagnostic.rs
+++ b/lang/syntax/src/diagnostic.rs
@@ -1,29 +1,29 @@
-//! Errors that say what, where, and what would be right.
+//! Diagnostics with a place, a message and a hint.
 
 use std::fmt;
 
-/// Bytes of a source, from `start` up to `end`.
+/// A range of bytes in a source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, PartialOrd, Ord)]
 pub struct Span {
     /// The source's index in the list of sources.
     pub source: usize,
-    /// First byte.
+    /// Offset of the first byte.
     pub start: usize,
-    /// Byte after the last.
+    /// Offset after the last byte.
     pub end: usize,
 }
 
-/// A text and its name.
+/// A text with its name.
 #[derive(Clone, Debug)]
 pub struct Source {
-    /// Its name, as errors give it.
+    /// The name that errors show, usually the file name.
     pub name: String,
-    /// Its text.
+    /// The text.
     pub text: String,
 }
 
 impl Source {
-    /// Line and column of a byte, both from 1; columns count characters.
+    /// Line and column of a byte offset, both starting at 1. Columns count characters.
     pub fn position(&self, byte: usize) -> (usize, usize) {
         let mut byte = byte.min(self.text.len());
         while !self.text.is_char_boundary(byte) {
@@ -36,21 +36,21 @@
     }
 }
 
-/// One error or warning.
+/// An error or a warning.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// Its place in a source.
+    /// The place in a source.
     pub span: Span,
-    /// The field's path, as in `classes.overlay.aim`; may be empty.
+    /// The field's path, such as `classes.overlay.aim`; may be empty.
     pub path: String,
-    /// What is wrong.
+    /// Description of the problem.
     pub message: String,
-    /// What would be right; may be empty.
+    /// What is expected instead; may be empty.
     pub help: String,
 }
 
 impl Diagnostic {
-    /// An error at a place.
+    /// Creates a diagnostic without a path and a hint.
     pub fn new(span: Span, message: impl Into<String>) -> Diagnostic {
         Diagnostic {
             span,
@@ -60,20 +60,20 @@
         }
     }
 
-    /// With the field's path.
-    pub fn at(mut self, path: &str) -> Diagnostic {
+    /// Sets the field's path.
+    pub fn with_path(mut self, path: &str) -> Diagnostic {
         self.path = path.into();
         self
     }
 
-    /// With what would be right.
-    pub fn help(mut self, help: impl Into<String>) -> Diagnostic {
+    /// Sets the hint.
+    pub fn with_help(mut self, help: impl Into<String>) -> Diagnostic {
         self.help = help.into();
         self
     }
 
-    /// As a line: `file:line:column: path: what; what would be right`.
-    pub fn show<'a>(&'a self, sources: &'a [Source]) -> DisplayDiagnostic<'a> {
+    /// Formats the diagnostic as a line: `file:line:column: path: message; help`.
+    pub fn display<'a>(&'a self, sources: &'a [Source]) -> DisplayDiagnostic<'a> {
         DisplayDiagnostic {
             diagnostic: self,
             sources,
@@ -81,7 +81,7 @@
     }
 }
 
-/// A diagnostic with the sources that its span refers to.
+/// A diagnostic with the list of sources that its span refers to, for display.
 pub struct DisplayDiagnostic<'a> {
     diagnostic: &'a Diagnostic,
     sources: &'a [Source],
--- a/lang/syntax/src/lexer.rs
+++ b/lang/syntax/src/lexer.rs
@@ -1,21 +1,21 @@
-//! Tokens, with numbers that carry units.
+//! The lexer: tokens of a text, including numbers with units.
 
 use crate::diagnostic::{Diagnostic, Span};
 use logos::Logos;
 use std::fmt;
 
-/// A number's text without its separators.
+/// The text of a number without its `_` separators.
 fn digits(text: &str) -> String {
     text.chars().filter(|c| *c != '_').collect()
 }
 
-/// A number with a unit, in the smallest unit.
+/// Converts a number with a unit to the smallest unit.
 fn scaled(text: &str, units: &[(&str, f64)]) -> Option<i64> {
     let split = text.find(|c: char| c.is_ascii_alphabetic())?;
     let (number, unit) = text.split_at(split);
     let (_, factor) = *units.iter().find(|(name, _)| *name == unit)?;
     let number = digits(number);
-    // Whole numbers stay exact; the product of others is rounded.
+    // Integers are converted exactly; fractions are rounded.
     if let (Ok(whole), true) = (number.parse::<i64>(), factor.fract() == 0.0) {
         return whole.checked_mul(factor as i64);
     }
@@ -23,7 +23,7 @@
     (value.is_finite() && value.abs() < 9e18).then_some(value.round() as i64)
 }
 
-/// A duration in microseconds.
+/// Converts a duration to microseconds.
 fn duration(lex: &mut logos::Lexer<'_, Token>) -> Option<i64> {
     scaled(
         lex.slice(),
@@ -37,7 +37,7 @@
     )
 }
 
-/// A size in bytes.
+/// Converts a size to bytes.
 fn size(lex: &mut logos::Lexer<'_, Token>) -> Option<i64> {
     const KIB: f64 = 1024.0;
     let units = [
@@ -52,7 +52,7 @@
     scaled(lex.slice(), &units)
 }
 
-/// A string without its quotes and escapes.
+/// Removes the quotes of a string and resolves its escapes.
 fn string(lex: &mut logos::Lexer<'_, Token>) -> Option<String> {
     let inner = lex.slice().strip_prefix('"')?.strip_suffix('"')?;
     let mut text = String::with_capacity(inner.len());
@@ -77,7 +77,7 @@
     Some(text)
 }
 
-/// A token.
+/// A token of the settings language.
 #[derive(Logos, Clone, Debug, PartialEq)]
 #[logos(skip r"[ \t\r]+")]
 #[logos(skip(r"//[^\n]*", allow_greedy = true))]
@@ -179,7 +179,7 @@
     }
 }
 
-/// Whether a value can end with this token, so that a new line after it ends the field.
+/// Whether a value can end with this token. A new line after such a token ends the field.
 fn ends_value(token: &Token) -> bool {
     use Token::*;
     matches!(
@@ -198,12 +198,12 @@
     )
 }
 
-/// Whether a value can go on with this token on a new line.
+/// Whether this token at the start of a line continues the value of the previous line.
 fn continues_value(token: &Token) -> bool {
     matches!(token, Token::Or | Token::And)
 }
 
-/// The tokens of a text; a new line after a value is a comma, as in CUE.
+/// Splits a text into tokens. A new line after a value becomes a comma, as in CUE.
 pub fn lex(text: &str, source: usize) -> (Vec<(Token, Span)>, Vec<Diagnostic>) {
     let mut tokens: Vec<(Token, Span)> = Vec::new();
     let mut diagnostics: Vec<Diagnostic> = Vec::new();
@@ -226,22 +226,23 @@
                 }
                 tokens.push((token, span));
             }
-            Err(()) => diagnostics.push(not_a_token(&text[range], span)),
+            Err(()) => diagnostics.push(invalid_token(&text[range], span)),
         }
     }
     (tokens, diagnostics)
 }
 
 /// The error for a piece of text that no token matches.
-fn not_a_token(piece: &str, span: Span) -> Diagnostic {
-    let diagnostic = Diagnostic::new(span, format!("{piece:?} is no token"));
+fn invalid_token(piece: &str, span: Span) -> Diagnostic {
+    let diagnostic = Diagnostic::new(span, format!("{piece:?} is not a valid token"));
     if piece.starts_with(|c: char| c.is_ascii_digit() || c == '-') {
-        diagnostic.help(
-            "a number is whole or has a point, with one of us ms s m h or B KB MB GB KiB MiB GiB",
+        diagnostic.with_help(
+            "expected an integer or a decimal number, optionally with a unit: us ms s m h or B KB MB GB KiB MiB GiB",
         )
     } else if piece.starts_with('"') {
-        diagnostic
-            .help("a string ends on its line; \\n \\t \\r \\\" \\\\ and \\uXXXX are its escapes")
+        diagnostic.with_help(
+            "expected a string that ends on the same line; its escapes are \\n \\t \\r \\\" \\\\ \\/ and \\uXXXX",
+        )
     } else {
         diagnostic
     }
--- a/lang/syntax/src/lib.rs
+++ b/lang/syntax/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the settings language and the matching language share: the lexer with its literals and units, the records'
-//! parser, and diagnostics with file, line and column.
+//! Syntax of the settings language: a lexer for literals with units, a parser for records, and diagnostics with file, line and
+//! column.
 //!
-//! It knows syntax only: what fields there are and which values fit them is for the languages to check.
+//! The crate handles syntax only. Which fields exist and which values are valid is checked by its users.
 //!
 //! ```
 //! let (fields, diagnostics) = tansy_syntax::parse("pool: {idle: 10s}", 0);
@@ -9,13 +9,13 @@
 //!
 //! let source = tansy_syntax::Source { name: "a.cue".into(), text: "idle: 10x".into() };
 //! let (_, diagnostics) = tansy_syntax::parse(&source.text, 0);
-//! assert!(diagnostics[0].show(&[source]).to_string().starts_with("a.cue:1:"));
+//! assert!(diagnostics[0].display(&[source]).to_string().starts_with("a.cue:1:"));
 //! ```
 //!
-//! - [`lexer`]: a text's tokens.
-//! - [`parser`]: tokens to fields.
-//! - [`ast`]: fields and their values.
-//! - [`diagnostic`]: errors with their places.
+//! - [`lexer`]: splits a text into tokens.
+//! - [`parser`]: parses tokens to fields.
+//! - [`ast`]: the syntax tree of fields and their values.
+//! - [`diagnostic`]: errors with their places in the source.
 
 pub mod ast;
 pub mod diagnostic;
--- a/lang/syntax/src/parser/grammar.rs
+++ b/lang/syntax/src/parser/grammar.rs
@@ -1,4 +1,4 @@
-//! The rules of the grammar, each a parser of its own.
+//! One parser for each rule of the grammar.
 
 use crate::ast::{Decl, Expr, Label, Relation, Spanned};
 use crate::diagnostic::Span;
@@ -8,7 +8,7 @@
 
 type Extra<'a> = extra::Err<Rich<'a, Token, SimpleSpan>>;
 
-/// A node with its place in the source.
+/// Adds its place in the source to a node.
 fn spanned<T>(source: usize, node: T, range: SimpleSpan) -> Spanned<T> {
     let span = Span {
         source,
@@ -18,14 +18,14 @@
     Spanned { node, span }
 }
 
-/// All of a text: its fields.
+/// The fields of a whole text.
 pub(super) fn file<'a, I>(source: usize) -> impl Parser<'a, I, Vec<Decl>, Extra<'a>>
 where
     I: ValueInput<'a, Token = Token, Span = SimpleSpan>,
 {
     let label =
         name().map_with(move |node, extra| spanned(source, Label::Name(node), extra.span()));
-    // A field that can't be parsed is skipped up to the next line, so that the rest is checked too.
+    // A field that can't be parsed is skipped up to the next comma or new line, so that later errors are found too.
     let skip = any()
         .and_is(just(Token::Comma).not())
         .repeated()
@@ -75,7 +75,7 @@
     choice((word(), definition(), text))
 }
 
-/// A field of a record in a value: it may be `[string]:` too.
+/// The label of a field in a nested record, which may also be `[string]:`.
 fn record_label<'a, I>(source: usize) -> impl Parser<'a, I, Spanned<Label>, Extra<'a>> + Clone
 where
     I: ValueInput<'a, Token = Token, Span = SimpleSpan>,
@@ -113,7 +113,7 @@
     })
 }
 
-/// Alternatives of conjunctions.
+/// A value: a disjunction of conjunctions.
 fn value<'a, I>(source: usize) -> impl Parser<'a, I, Spanned<Expr>, Extra<'a>> + Clone
 where
     I: ValueInput<'a, Token = Token, Span = SimpleSpan>,
@@ -153,7 +153,7 @@
     })
 }
 
-/// `{` fields `}`; one that can't be parsed is an error as a whole.
+/// `{` fields `}`. A record that can't be parsed is skipped as a whole.
 fn record<'a, I>(
     source: usize,
     value: impl Parser<'a, I, Spanned<Expr>, Extra<'a>> + Clone + 'a,
@@ -180,7 +180,7 @@
         .recover_with(via_parser(skipped))
 }
 
-/// `[` values, and `...value` for further ones `]`.
+/// `[` values, optionally with `...value` for further values `]`.
 fn list<'a, I>(
     value: impl Parser<'a, I, Spanned<Expr>, Extra<'a>> + Clone + 'a,
 ) -> impl Parser<'a, I, Expr, Extra<'a>> + Clone
@@ -217,7 +217,7 @@
     .labelled("a value")
 }
 
-/// A name with the fields below it.
+/// A reference: a name, with the names of nested fields.
 fn path<'a, I>() -> impl Parser<'a, I, Expr, Extra<'a>> + Clone
 where
     I: ValueInput<'a, Token = Token, Span = SimpleSpan>,
@@ -232,7 +232,7 @@
         .map(|(first, rest)| Expr::Name(std::iter::once(first).chain(rest).collect()))
 }
 
-/// A relation and a literal.
+/// A bound: a relation and a literal.
 fn bound<'a, I>(source: usize) -> impl Parser<'a, I, Expr, Extra<'a>> + Clone
 where
     I: ValueInput<'a, Token = Token, Span = SimpleSpan>,
--- a/lang/syntax/src/parser/mod.rs
+++ b/lang/syntax/src/parser/mod.rs
@@ -1,4 +1,4 @@
-//! The grammar of records.
+//! The parser for records, with this grammar:
 //!
 //! ```text
 //! file  = fields
@@ -20,14 +20,14 @@
 use chumsky::error::RichPattern;
 use chumsky::prelude::*;
 
-/// The deepest nesting of brackets that is parsed; more is refused, so that no text exhausts the stack.
+/// Maximum nesting depth of brackets, which bounds the stack that the parser uses.
 const MAX_DEPTH: usize = 64;
 
-/// The fields of a text, as far as they can be parsed, and all errors in it, by their place.
+/// Parses the fields of a text. Returns the fields that could be parsed, and all errors in the order of their places.
 pub fn parse(text: &str, source: usize) -> (Vec<Decl>, Vec<Diagnostic>) {
     let (tokens, mut diagnostics) = lex(text, source);
     if let Some(span) = first_too_deep(&tokens) {
-        let message = format!("more than {MAX_DEPTH} brackets inside each other");
+        let message = format!("brackets are nested more than {MAX_DEPTH} levels deep");
         diagnostics.push(Diagnostic::new(span, message));
         return (Vec::new(), diagnostics);
     }
@@ -43,7 +43,7 @@
     (fields.unwrap_or_default(), diagnostics)
 }
 
-/// The first token inside too many brackets.
+/// The place of the first bracket that exceeds the maximum depth.
 fn first_too_deep(tokens: &[(Token, Span)]) -> Option<Span> {
     let mut depth = 0usize;
     for (token, span) in tokens {
@@ -59,7 +59,7 @@
     None
 }
 
-/// An error of the grammar, with what it expected there.
+/// Converts a parser error to a diagnostic that lists the expected tokens.
 fn diagnostic(error: &Rich<'_, Token, SimpleSpan>, source: usize) -> Diagnostic {
     let span = Span {
         source,
@@ -81,9 +81,9 @@
         .collect();
     expected.sort();
     expected.dedup();
-    let diagnostic = Diagnostic::new(span, format!("{actual} can't stand here"));
+    let diagnostic = Diagnostic::new(span, format!("unexpected {actual}"));
     if expected.is_empty() {
         return diagnostic;
     }
-    diagnostic.help(format!("want {}", expected.join(", ")))
+    diagnostic.with_help(format!("expected one of: {}", expected.join(", ")))
 }
--- a/lang/syntax/tests/lexer.rs
+++ b/lang/syntax/tests/lexer.rs
@@ -1,4 +1,4 @@
-//! Tokens, their units, and new lines.
+//! Tests of tokens, number units, and the handling of new lines.
 
 use tansy_syntax::{lex, Token};
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_new_line_ends_a_value_unless_it_goes_on() {
+fn a_new_line_ends_a_value_unless_the_next_line_continues_it() {
     use Token::*;
     let word = |name: &str| Word(name.into());
     assert_eq!(
--- a/lang/syntax/tests/parser.rs
+++ b/lang/syntax/tests/parser.rs
@@ -1,9 +1,9 @@
-//! Records as they are parsed, and errors with their places.
+//! Tests of parsed records, and of errors with their places.
 
 use tansy_syntax::{parse, Expr, Label, Source};
 
 #[test]
-fn records_lists_bounds_and_defaults_are_read() {
+fn records_lists_bounds_and_defaults_are_parsed() {
     let text =
         "a: {b: 1, c?: int & >=1 | *2\n d: [1, 2, ...int]}\n#X: {[string]: a.b}\n\"e f\": *true | false";
     let (fields, diagnostics) = parse(text, 0);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn depth_is_bounded() {
+fn nesting_depth_is_bounded() {
     let (_, diagnostics) = parse(&format!("a: {}", "[".repeat(100_000)), 0);
     assert_eq!(diagnostics.len(), 1);
 }
--- a/programs/gateway/tests/fleet.rs
+++ b/programs/gateway/tests/fleet.rs
@@ -57,8 +57,8 @@
     );
     let two_voters = settings("two.cue", &two_voters);
     let cases: [(&str, &[&str], &str); 5] = [
-        (&fleet, &[], "want one, as --name a"),
-        (&fleet, &["--name", "a"], "want the same address"),
+        (&fleet, &[], "expected a name, for example --name a"),
+        (&fleet, &["--name", "a"], "expected the same address"),
         (
             &fleet,
             &["--name", "b", "--record", "/tmp/none"],
@@ -67,12 +67,12 @@
         (
             &alone,
             &["--name", "b"],
-            "want fleet: {...} in the settings",
+            "expected fleet: {...} in the settings",
         ),
         (
             &two_voters,
             &["--name", "b"],
-            "want 1, 3, 5 or 7 front ends that keep the agreed log",
+            "expected 1, 3, 5 or 7 front ends that store the replicated log",
         ),
     ];
     for (file, arguments, words) in cases {
--- a/settings/src/agreement/compatibility.rs
+++ b/settings/src/agreement/compatibility.rs
@@ -1,19 +1,19 @@
-//! The compatibility of each field of the schema between front ends of a fleet.
+//! The compatibility rule of each field of the schema.
 
 use tansy_agreement::compatibility::Compatibility::{Free, Strict};
 use tansy_agreement::compatibility::{
     Compatibility, ExpiredLeasePolicy, Restrictiveness, Schema, Value,
 };
 
-/// A pattern of paths, and how the fields of these paths may differ.
+/// A pattern of field paths, and how these fields may differ between front ends.
 type Rule = (&'static str, Compatibility);
 
-/// The least share or multiple that the schema accepts.
+/// The smallest share or multiple that the schema accepts.
 const MIN_FACTOR: f64 = 0.000001;
-/// A time longer than any, microseconds.
+/// Upper bound of all durations, microseconds.
 const MAX_TIME: i64 = 1_000_000_000_000_000;
 
-/// The smaller value is the stricter one; `strictest` holds without a lease.
+/// The smaller of two values is the stricter one; `strictest` applies without a lease.
 fn smallest(strictest: Value) -> Compatibility {
     Compatibility::Joint(
         Restrictiveness::Smallest,
@@ -21,7 +21,7 @@
     )
 }
 
-/// The larger value is the stricter one; `strictest` holds without a lease.
+/// The larger of two values is the stricter one; `strictest` applies without a lease.
 fn largest(strictest: Value) -> Compatibility {
     Compatibility::Joint(
         Restrictiveness::Largest,
@@ -29,7 +29,7 @@
     )
 }
 
-/// The compatibility of all fields. The first pattern that a path matches counts.
+/// The compatibility of all fields. The first pattern that matches a path applies.
 pub fn compatibility_schema() -> Schema {
     let rules = gateway()
         .into_iter()
@@ -40,24 +40,24 @@
     Schema::new(rules.chain(fleet()))
 }
 
-/// Of the gateway. A front end's own fields are free: its number, its addresses, its sizes.
+/// Rules of the gateway's fields. Fields that each front end sets for itself, such as its index, addresses and sizes, are free.
 fn gateway() -> [Rule; 5] {
     [
         // All front ends must count a call under the same class and tenant.
         ("front.class_key", Strict),
         ("front.tenant_key", Strict),
-        // Budgets are divided by it: the larger number leaves the smaller parts.
+        // Budgets are divided by the number of front ends: a larger number gives each of them a smaller share.
         ("front.siblings", largest(Value::Int(100_000))),
         ("front.*", Free),
         ("zones", Free),
     ]
 }
 
-/// Of classes.
+/// Rules of classes.
 fn classes() -> [Rule; 9] {
     let effects = Restrictiveness::Ranked(&["unsafe", "keyed", "safe"]);
     [
-        // Whether a call may be repeated.
+        // Determines whether a call may be retried.
         (
             "classes.*.effect",
             Compatibility::Joint(
@@ -76,7 +76,7 @@
     ]
 }
 
-/// Of tenants, and the weights of calls.
+/// Rules of tenants, and of the weights of calls.
 fn tenants() -> [Rule; 4] {
     [
         ("tenants.*.quota_per_s", smallest(Value::Number(MIN_FACTOR))),
@@ -86,10 +86,10 @@
     ]
 }
 
-/// Of functions.
+/// Rules of functions.
 fn functions() -> [Rule; 5] {
     [
-        // A function's class determines whether its calls may be repeated.
+        // A function's class determines whether its calls may be retried.
         ("functions.*.class", Strict),
         ("functions.*.lanes", smallest(Value::Int(1))),
         ("functions.*.memory", Free),
@@ -98,7 +98,7 @@
     ]
 }
 
-/// Of workers: limits of the load on them, by all front ends together.
+/// Rules of the fields that limit the load that all front ends together put on workers.
 fn workers() -> [Rule; 13] {
     [
         ("worker.max_attempts", smallest(Value::Int(1))),
@@ -117,12 +117,12 @@
     ]
 }
 
-/// Of what each front end reads by itself.
+/// Rules of the fields that each front end reads from its own file.
 fn fleet() -> [Rule; 2] {
     [
-        // Lists of workers have incarnations of their own.
+        // Differences between worker lists are resolved by the workers' incarnations.
         ("workers", Free),
-        // Each front end has its own settings of the fleet.
+        // Each front end has its own fleet settings.
         ("fleet.*", Free),
     ]
 }
--- a/settings/src/agreement/effective.rs
+++ b/settings/src/agreement/effective.rs
@@ -1,12 +1,14 @@
-//! The settings that a front end acts on, from a version that is agreed on and the fields of its own file.
+//! Computes the settings that a front end applies from an agreed version and the fields of its own file.
 
 use super::{is_own_field, parse_fields, to_text, unknown_fields};
 use crate::Errors;
 use std::collections::BTreeSet;
 use tansy_agreement::compatibility::{AffectedCalls, Fields, Value};
 
-/// All fields of a version, with this program's defaults filled in. Fields that the schema does not know are left out; the calls
-/// that they affect have to be rejected, since their meaning is not known here.
+/// All fields of a version, with this program's defaults filled in, and the calls that must be rejected.
+///
+/// Fields that this program's schema does not know are left out. The calls that they affect must be rejected, since this
+/// program can't know what the fields mean for them.
 pub fn with_defaults(version: &Fields) -> Result<(Fields, BTreeSet<AffectedCalls>), Errors> {
     let unknown = unknown_fields(version);
     let mut known = version.clone();
@@ -19,31 +21,32 @@
     Ok((filled, affected.collect()))
 }
 
-/// Checks that a version makes valid settings, for a program that knows all of its fields.
+/// Checks that the known fields of a version are valid settings.
 pub fn validate(version: &Fields) -> Result<(), Errors> {
     let (filled, _) = with_defaults(version)?;
     effective_settings(&Fields::new(), &filled).map(drop)
 }
 
-/// A function of its fields, by their names under `functions.NAME`, with the schema's defaults filled in. A field that this
-/// program's schema does not know is an error, since its meaning for the function's calls is not known here.
+/// Reads a function from its fields, whose names are relative to `functions.NAME`, with the schema's defaults filled in. A field
+/// that this program's schema does not know is an error, since this program can't know what it means for the function's calls.
 pub fn read_function(name: &str, fields: &Fields) -> Result<crate::FunctionSettings, Errors> {
-    crate::checked(
+    crate::parse_as(
         &format!("functions.{name}"),
         &to_text(fields),
         "#Function",
-        crate::read::one_function,
+        crate::read::function_settings,
     )
 }
 
-/// The settings that a front end acts on: these rules, with the fields of its own file that are its own.
+/// The settings that a front end applies: the fields of `rules`, and its own values of the fields that each front end sets for
+/// itself.
 pub fn effective_settings(own_fields: &Fields, rules: &Fields) -> Result<crate::Settings, Errors> {
     let mut fields = rules.clone();
     fields.retain(|path, _| !is_own_field(path));
     let unkeyed = keyed_without_window(&fields);
     let not_repeatable = |path| (path, Value::Text("unsafe".into()));
     fields.extend(unkeyed.into_iter().map(not_repeatable));
-    // Its workers and its fleet are read with its file alone.
+    // Workers and fleet settings are read from the front end's file only.
     let separate = |path: &str| path == "workers" || path.starts_with("fleet.");
     let own_fields = own_fields.iter();
     let own_fields = own_fields.filter(|(path, _)| is_own_field(path) && !separate(path));
@@ -51,15 +54,16 @@
     if let (Some(Value::Int(number)), Some(Value::Int(siblings))) =
         (fields.get("front.me"), fields.get("front.siblings"))
     {
-        // One front end more than a version counts has a smaller part for each, never a larger one.
+        // A front end whose index is beyond the number of front ends raises that number, so that its share of a budget is never
+        // too large.
         let siblings = Value::Int((number + 1).max(*siblings));
         fields.insert("front.siblings".into(), siblings);
     }
     crate::parse_settings("the version in use", &to_text(&fields))
 }
 
-/// The paths of effects that are `keyed` while their class has no window: the stricter window of a keyed class and another one is
-/// none, and workers without a window drop no repeat.
+/// The paths of `keyed` effects of classes without a deduplication window. They occur when a keyed class is combined with a
+/// version in which the class has no window: workers then drop no duplicates, so the calls must not be retried.
 fn keyed_without_window(fields: &Fields) -> Vec<String> {
     let without_window = |path: &str| {
         let window = fields.get(&path.replace(".effect", ".window"));
--- a/settings/src/agreement/flatten.rs
+++ b/settings/src/agreement/flatten.rs
@@ -1,16 +1,16 @@
-//! The fields of a record by their paths, in the form that agreement works on.
+//! Converts a record to fields by their paths, the form in which front ends agree on settings.
 
 use crate::value::{Kind, Node, Scalar};
 use tansy_agreement::compatibility::{self, Fields, Value};
 
 /// All fields of a record, by their paths.
-pub(super) fn flattened(node: &Node) -> Fields {
+pub(super) fn flatten(node: &Node) -> Fields {
     let mut fields = Fields::new();
-    flatten(node, String::new(), &mut fields);
+    flatten_into(node, String::new(), &mut fields);
     fields
 }
 
-fn flatten(node: &Node, path: String, into: &mut Fields) {
+fn flatten_into(node: &Node, path: String, into: &mut Fields) {
     let Kind::Record(record) = &node.kind else {
         into.extend(value(node).map(|v| (path, v)));
         return;
@@ -22,11 +22,11 @@
         } else {
             format!("{path}.{name}")
         };
-        flatten(&field.node, under, into);
+        flatten_into(&field.node, under, into);
     }
 }
 
-/// A value without constraints; `None`: it is none.
+/// Converts a concrete node to a value; `None` if the node is not concrete.
 fn value(node: &Node) -> Option<Value> {
     match &node.kind {
         Kind::Scalar(Scalar::Bool(flag)) => Some(Value::Flag(*flag)),
@@ -36,7 +36,7 @@
         Kind::Scalar(Scalar::Float(number)) => Some(Value::Number(*number)),
         Kind::Scalar(Scalar::Text(text)) => Some(Value::Text(text.clone())),
         Kind::List(items, _) => Some(Value::List(items.iter().filter_map(value).collect())),
-        // A record within a list, as a worker of a list: its fields, each with its name.
+        // A record within a list, such as a worker, becomes a list of pairs of field name and value.
         Kind::Record(record) => {
             let named = record.fields.iter().filter_map(|(name, field)| {
                 let name = Value::Text(name.clone());
--- a/settings/src/agreement/mod.rs
+++ b/settings/src/agreement/mod.rs
@@ -1,10 +1,10 @@
-//! The compatibility of each field of the schema between front ends of a fleet, and a text's fields in the form that agreement
-//! works on.
+//! The schema-dependent part of the agreement on settings between the front ends of a fleet.
 //!
-//! `tests/agreement.rs` walks the schema and checks that every field of it is listed here.
-//!
-//! - [`compatibility_schema`]: how each field may differ. [`parse_fields`], [`parse_version`]: the fields of a text and of its version.
-//! - [`effective_settings`]: the settings that a front end acts on. [`to_text`]: fields as the text of settings.
+//! - [`compatibility_schema`]: how each field may differ between front ends. `tests/agreement.rs` checks that every field of
+//!   the schema has a rule.
+//! - [`parse_fields`], [`parse_version`]: the fields of a text, and those that are part of a settings version.
+//! - [`effective_settings`]: the settings that a front end applies.
+//! - [`to_text`]: converts fields to the text of settings.
 
 mod compatibility;
 mod effective;
@@ -17,7 +17,7 @@
 pub use text::{field_label, to_text};
 pub use version::{parse_fields, parse_functions, parse_version, unknown_fields};
 
-/// Whether a field is each front end's own: versions do not contain it, and no change of it is agreed on.
+/// Whether each front end sets a field for itself. Versions do not contain such a field, and changes of it are not agreed on.
 pub fn is_own_field(path: &str) -> bool {
     let front = path.strip_prefix("front.");
     let front_fields = ["listen", "http", "me", "zone", "seed", "tick"];
@@ -27,7 +27,7 @@
         || front.is_some_and(|field| front_fields.contains(&field))
 }
 
-/// Whether a front end applies a change of this field only when it starts: sizes of what it creates then.
+/// Whether a front end applies a change of a field only when it restarts. These fields configure what is created at the start.
 pub fn applies_at_start(path: &str) -> bool {
     let front_fields = [
         "connections",
--- a/settings/src/agreement/text.rs
+++ b/settings/src/agreement/text.rs
@@ -1,8 +1,8 @@
-//! Fields as the text of settings.
+//! Converts fields to the text of settings.
 
 use tansy_agreement::compatibility::{self, Fields};
 
-/// Writes fields as the text of settings.
+/// Converts fields to the text of settings, with nested records for the parts of their paths.
 pub fn to_text(fields: &Fields) -> String {
     let mut text = String::new();
     let mut open: Vec<&str> = Vec::new();
@@ -30,7 +30,7 @@
     text
 }
 
-/// A part of a path as a label of the text.
+/// Converts a part of a path to a field label, quoted if necessary.
 pub fn field_label(part: &str) -> String {
     let name = compatibility::unescape_name(part);
     let plain = name.starts_with(|letter: char| letter.is_ascii_lowercase())
--- a/settings/src/agreement/version.rs
+++ b/settings/src/agreement/version.rs
@@ -1,6 +1,7 @@
-//! The fields of a text, those that its version contains, and those that this program's schema does not know.
+//! Parses the fields of a text, selects those that are part of a version, and finds those that this program's schema does not
+//! know.
 
-use super::flatten::flattened;
+use super::flatten::flatten;
 use super::is_own_field;
 use crate::value::{definition, evaluate, Kind, SCHEMA};
 use crate::{Errors, SCHEMA_TEXT};
@@ -8,14 +9,16 @@
 use tansy_agreement::compatibility::{self, Fields};
 use tansy_syntax::{parse, Span};
 
-/// A text's fields by their paths, with the schema's defaults filled in; all errors are reported at once.
+/// Parses the fields of a text by their paths, with the schema's defaults filled in. All errors are reported at once.
 pub fn parse_fields(name: &str, text: &str) -> Result<Fields, Errors> {
-    crate::checked(name, text, "#Settings", |node, _| Some(flattened(node)))
+    crate::parse_as(name, text, "#Settings", |node, _| Some(flatten(node)))
 }
 
-/// The fields of a version, of a text that is valid as a whole: those that are written in it and are not each front end's own.
-/// Whoever reads the version fills in the defaults, so that it contains no field that only its proposer's program knows and
-/// nobody has set.
+/// Parses the fields of a version from a valid text: those that are written in it, without the ones that each front end sets
+/// for itself.
+///
+/// Defaults are filled in by each reader of the version. Otherwise a newer program would propose defaults of fields that older
+/// programs do not know, although nobody has set them.
 pub fn parse_version(name: &str, text: &str) -> Result<Fields, Errors> {
     let mut fields = parse_fields(name, text)?;
     let is_written = is_written(text);
@@ -23,9 +26,9 @@
     Ok(fields)
 }
 
-/// The functions of a file that lists functions: of each the fields that are written there, by their names under it.
+/// Parses a text that lists functions. Returns the fields that are written for each function, with names relative to it.
 pub fn parse_functions(name: &str, text: &str) -> Result<BTreeMap<String, Fields>, Errors> {
-    let fields = crate::checked(name, text, "#FunctionList", |node, _| Some(flattened(node)))?;
+    let fields = crate::parse_as(name, text, "#FunctionList", |node, _| Some(flatten(node)))?;
     let is_written = is_written(text);
     let mut functions: BTreeMap<String, Fields> = BTreeMap::new();
     for (path, value) in fields.into_iter().filter(|(path, _)| is_written(path)) {
@@ -39,7 +42,7 @@
     Ok(functions)
 }
 
-/// Whether a path's field is written in a text that is valid as a whole.
+/// Returns a function that tells whether the field at a path is written in a valid text.
 fn is_written(text: &str) -> impl Fn(&String) -> bool {
     let (schema, mut errors) = parse(SCHEMA_TEXT, SCHEMA);
     let (file, _) = parse(text, 1);
@@ -57,7 +60,7 @@
                     let field = record.fields.get(&compatibility::unescape_name(part));
                     field.map(|field| &field.node)
                 }
-                // A field of a reference or an alternative counts as written.
+                // Fields inside a reference or a disjunction count as written.
                 other => return other.is_some(),
             };
         }
@@ -65,7 +68,7 @@
     }
 }
 
-/// Those fields of a version that this program's schema does not know.
+/// The paths of a version's fields that this program's schema does not know.
 pub fn unknown_fields(fields: &Fields) -> Vec<String> {
     let (schema, mut errors) = parse(SCHEMA_TEXT, SCHEMA);
     let settings = definition("#Settings", &schema, &mut errors);
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,11 +1,11 @@
 //! Settings as CUE-like typed records.
 //!
-//! A file is parsed, evaluated, unified with the schema of this package (`schema.cue`), made concrete and read into the program's
-//! own types. All errors are reported at once, each with file, line, column, the field's path and what would be right. Nothing is
-//! decided or tuned here: what is left out takes the schema's default.
+//! A text is parsed, evaluated, unified with this crate's schema (`schema.cue`), made concrete and converted to Rust types. All
+//! errors are reported at once, each with file, line, column, the field's path and the expected value. Fields that are left out
+//! take the schema's defaults.
 //!
-//! It is not for reading files, and it does not apply settings: a text comes in, and a program's own types go out. How the front
-//! ends of a fleet agree on settings is in [`agreement`], as far as it depends on the schema.
+//! The crate does no I/O: it neither reads files nor applies settings. [`agreement`] contains the schema-dependent part of the
+//! agreement on settings between the front ends of a fleet.
 //!
 //! ```
 //! let text = "classes: chat: {aim: 1s, deadline: 2s}\nfunctions: echo: {class: \"chat\", memory: 1MB}\n";
@@ -30,15 +30,15 @@
 };
 
 use tansy_syntax::{parse, Diagnostic, Source, Span};
-use value::{concrete, definition, evaluate, unify, Node, SCHEMA};
+use value::{definition, evaluate, make_concrete, unify, Node, SCHEMA};
 
 const SCHEMA_TEXT: &str = include_str!("schema.cue");
 
-/// All errors of a text.
+/// All errors found in a text.
 #[derive(Debug, Clone)]
 pub struct Errors {
     sources: Vec<Source>,
-    /// In the order of the text.
+    /// The errors, in the order of the text.
     pub list: Vec<Diagnostic>,
 }
 
@@ -47,34 +47,35 @@
         let lines: Vec<String> = self
             .list
             .iter()
-            .map(|error| error.show(&self.sources).to_string())
+            .map(|error| error.display(&self.sources).to_string())
             .collect();
         f.write_str(&lines.join("\n"))
     }
 }
 impl std::error::Error for Errors {}
 
-/// The settings of a text; errors show `name` as its file.
+/// Parses a text as settings. Errors show `name` as the file name.
 pub fn parse_settings(name: &str, text: &str) -> Result<Settings, Errors> {
-    checked(name, text, "#Settings", read::settings)
+    parse_as(name, text, "#Settings", read::settings)
 }
 
-/// The workers of a list's text. Zones are those of `zones`; a worker that names none is in `zones[home]`.
+/// Parses a text as a worker list. The zones must be among `zones`; a worker without a zone is in `zones[home]`.
 pub fn parse_workers(
     name: &str,
     text: &str,
     zones: &[String],
     home: usize,
 ) -> Result<Vec<ConfiguredWorker>, Errors> {
-    checked(name, text, "#WorkerList", |node, errors| {
+    parse_as(name, text, "#WorkerList", |node, errors| {
         read::worker_list(node, zones, home, errors)
     })
 }
 
-fn checked<T>(
+/// Parses a text, unifies it with a definition of the schema, and converts the result with `read` if it is valid.
+fn parse_as<T>(
     name: &str,
     text: &str,
-    wanted: &str,
+    definition_name: &str,
     read: impl FnOnce(&Node, &mut Vec<Diagnostic>) -> Option<T>,
 ) -> Result<T, Errors> {
     let source = |name: &str, text: &str| Source {
@@ -91,9 +92,9 @@
         end: text.len(),
     };
     let written = evaluate(&fields, &schema, whole, &mut errors);
-    let wanted = definition(wanted, &schema, &mut errors);
-    let unified = unify(written, wanted, "", &mut errors);
-    let node = concrete(unified, "", Span { end: 0, ..whole }, &mut errors);
+    let expected = definition(definition_name, &schema, &mut errors);
+    let unified = unify(written, expected, "", &mut errors);
+    let node = make_concrete(unified, "", Span { end: 0, ..whole }, &mut errors);
     let value = if errors.is_empty() {
         read(&node, &mut errors)
     } else {
--- a/settings/src/read/classes.rs
+++ b/settings/src/read/classes.rs
@@ -1,4 +1,4 @@
-//! Classes and tenants.
+//! Reads classes and tenants.
 
 use crate::record::RecordReader;
 use tansy_syntax::Diagnostic;
@@ -30,11 +30,11 @@
         effect,
         priority_weight: record.number("worth")?,
         late_weight: record.number("late_worth")?,
-        streamed: record.flag("streamed")?,
+        streamed: record.bool("streamed")?,
     })
 }
 
-/// What a repeat of a call does.
+/// The effect of a retried call.
 fn effect(record: RecordReader<'_>) -> Option<router::Effect> {
     let window = record.int("window")?;
     let group = match record.text("group")? {
@@ -49,7 +49,7 @@
     })
 }
 
-/// Checks that the workers of a keyed class drop repeats for some time.
+/// Checks that a keyed class has a deduplication window.
 fn check_window(
     record: RecordReader<'_>,
     name: &str,
@@ -60,8 +60,8 @@
         errors.push(record.error(
             "window",
             &format!("classes.{name}.window"),
-            "a keyed class without a window".to_string(),
-            "want how long its workers drop repeats, as window: 30s",
+            "a keyed class needs a window".to_string(),
+            "expected the time for which its workers drop duplicates, for example window: 30s",
         ));
     }
 }
@@ -77,7 +77,7 @@
             "aim",
             &format!("classes.{name}.aim"),
             "the aim is after the deadline".to_string(),
-            "want an aim of at most the deadline",
+            "expected an aim of at most the deadline",
         ));
     }
     Some(())
--- a/settings/src/read/fleet.rs
+++ b/settings/src/read/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet that a front end is in.
+//! Reads the fleet settings.
 
 use crate::record::{address, RecordReader};
 use crate::types::{FleetSettings, Voter};
@@ -12,7 +12,7 @@
 ) -> Option<FleetSettings> {
     let mut voters = Vec::new();
     for (index, item) in record.list("seats")?.iter().enumerate() {
-        let voter = RecordReader::of(item)?;
+        let voter = RecordReader::new(item)?;
         let path = format!("fleet.seats[{index}].address");
         let address = address(voter, "address", &path, errors);
         voters.push(Voter {
@@ -40,15 +40,15 @@
 fn check_voters(record: RecordReader<'_>, voters: &[Voter], errors: &mut Vec<Diagnostic>) {
     let names: BTreeSet<&str> = voters.iter().map(|voter| voter.name.as_str()).collect();
     let addresses: BTreeSet<SocketAddr> = voters.iter().map(|voter| voter.address).collect();
-    let each_once = names.len() == voters.len() && addresses.len() == voters.len();
-    if ![1, 3, 5, 7].contains(&voters.len()) || !each_once {
+    let all_distinct = names.len() == voters.len() && addresses.len() == voters.len();
+    if ![1, 3, 5, 7].contains(&voters.len()) || !all_distinct {
         let problem = format!(
             "{} seats, {} names, {} addresses",
             voters.len(),
             names.len(),
             addresses.len()
         );
-        let help = "want 1, 3, 5 or 7 front ends that keep the agreed log, each once, as \
+        let help = "expected 1, 3, 5 or 7 front ends that store the replicated log, each listed once, for example \
                     seats: [{name: \"a\", address: \"127.0.0.1:7001\"}]";
         errors.push(record.error("seats", "fleet.seats", problem, help));
     }
--- a/settings/src/read/functions.rs
+++ b/settings/src/read/functions.rs
@@ -1,12 +1,12 @@
-//! Functions: those of all settings, and one that is agreed on by itself.
+//! Reads functions: the list in the settings, and a single function whose settings a fleet agrees on separately.
 
-use crate::record::{index_of, texts, RecordReader};
+use crate::record::{index_of, strings, RecordReader};
 use crate::types::FunctionSettings;
 use crate::value::Node;
 use tansy_dispatch::FunctionSpec;
 use tansy_syntax::Diagnostic;
 
-/// Reads all functions; one with an error is left out.
+/// Reads all functions, and leaves out those with errors.
 pub(super) fn functions(
     records: &[(&str, RecordReader<'_>)],
     classes: &[String],
@@ -26,8 +26,8 @@
 ) -> Option<FunctionSpec> {
     let path = format!("functions.{name}.class");
     if record.text("class") == Some("") {
-        let help = format!("want one of {}", classes.join(", "));
-        errors.push(record.error("class", &path, "no class is named".into(), &help));
+        let help = format!("expected one of {}", classes.join(", "));
+        errors.push(record.error("class", &path, "the class is empty".into(), &help));
         return None;
     }
     Some(FunctionSpec {
@@ -36,23 +36,26 @@
         lanes: u32::try_from(record.int("lanes")?).ok()?,
         memory_mb: record.int("memory")? as f64 / 1e6,
         load_time: record.int("load_time"),
-        versions: texts(record.list("versions")?),
+        versions: strings(record.list("versions")?),
     })
 }
 
-/// Reads a function that is agreed on by itself.
-pub(crate) fn one_function(node: &Node, errors: &mut Vec<Diagnostic>) -> Option<FunctionSettings> {
-    let record = RecordReader::of(node)?;
+/// Reads a function whose settings a fleet agrees on separately.
+pub(crate) fn function_settings(
+    node: &Node,
+    errors: &mut Vec<Diagnostic>,
+) -> Option<FunctionSettings> {
+    let record = RecordReader::new(node)?;
     let class = record.text("class")?;
     if class.is_empty() {
-        let help = "want the name of a class, as class: \"chat\"";
-        errors.push(record.error("class", "class", "no class is named".into(), help));
+        let help = "expected the name of a class, for example class: \"chat\"";
+        errors.push(record.error("class", "class", "the class is empty".into(), help));
     }
     Some(FunctionSettings {
         class: class.to_string(),
         lanes: u32::try_from(record.int("lanes")?).ok()?,
         memory_mb: record.int("memory")? as f64 / 1e6,
         load_time: record.int("load_time"),
-        versions: texts(record.list("versions")?),
+        versions: strings(record.list("versions")?),
     })
 }
--- a/settings/src/read/gateway.rs
+++ b/settings/src/read/gateway.rs
@@ -1,17 +1,17 @@
-//! The gateway around the dispatcher.
+//! Reads the settings of the gateway around the dispatcher.
 
 use crate::record::{address, RecordReader};
 use crate::types::GatewaySettings;
 use std::net::SocketAddr;
 use tansy_syntax::Diagnostic;
 
-/// The addresses that a front end serves on.
+/// The addresses on which a front end serves. An address is `None` if an error has been reported for it.
 pub(super) struct Addresses {
     listen: Option<SocketAddr>,
     http: Option<SocketAddr>,
 }
 
-/// Reads the addresses; a field is empty where its error is reported.
+/// Reads the addresses.
 pub(super) fn addresses(front: RecordReader<'_>, errors: &mut Vec<Diagnostic>) -> Addresses {
     Addresses {
         listen: address(front, "listen", "front.listen", errors),
@@ -19,13 +19,13 @@
     }
 }
 
-/// Checks the front end's number among its siblings.
-pub(super) fn check_number(front: RecordReader<'_>, errors: &mut Vec<Diagnostic>) -> Option<()> {
-    let number = front.int("me")?;
+/// Checks that the front end's index is below the number of front ends.
+pub(super) fn check_index(front: RecordReader<'_>, errors: &mut Vec<Diagnostic>) -> Option<()> {
+    let index = front.int("me")?;
     let siblings = front.int("siblings")?;
-    if number >= siblings {
-        let problem = format!("front end {number} of {siblings}");
-        let help = "want a number below siblings, from 0";
+    if index >= siblings {
+        let problem = format!("front end {index} of {siblings}");
+        let help = "expected a number below siblings, from 0";
         errors.push(front.error("me", "front.me", problem, help));
     }
     Some(())
--- a/settings/src/read/mod.rs
+++ b/settings/src/read/mod.rs
@@ -1,7 +1,7 @@
-//! Concrete values as the program's own types, with the checks that span several fields.
+//! Converts concrete values to Rust types, and checks the constraints between fields.
 //!
-//! - [`gateway`], [`classes`], [`functions`], [`workers`], [`fleet`]: a part each. [`router`]: the router's settings, from
-//!   several.
+//! - [`gateway`], [`classes`], [`functions`], [`workers`], [`fleet`]: one section of the settings each.
+//! - [`router`]: the router's settings, which come from several sections.
 
 mod classes;
 mod fleet;
@@ -10,18 +10,18 @@
 mod router;
 mod workers;
 
-pub(crate) use functions::one_function;
+pub(crate) use functions::function_settings;
 pub(crate) use workers::worker_list;
 
-use crate::record::{index_of, texts, RecordReader};
+use crate::record::{index_of, strings, RecordReader};
 use crate::types::Settings;
 use crate::value::Node;
 use tansy_dispatch::DispatchConfig;
 use tansy_syntax::Diagnostic;
 
-/// The records of the settings that are read by several parts.
+/// The records of the settings that are used in more than one place.
 struct Sections<'a> {
-    all: RecordReader<'a>,
+    root: RecordReader<'a>,
     front: RecordReader<'a>,
     worker: RecordReader<'a>,
     prices: RecordReader<'a>,
@@ -31,14 +31,14 @@
     tenants: Vec<(&'a str, RecordReader<'a>)>,
 }
 
-/// Reads all settings. Each part reports its own errors; the first that can't be read at all ends the reading.
+/// Reads all settings. Each section reports all of its errors; a section that can't be read at all ends the reading.
 pub(crate) fn settings(node: &Node, errors: &mut Vec<Diagnostic>) -> Option<Settings> {
-    let sections = Sections::of(node)?;
-    sections.check_given(errors);
+    let sections = Sections::new(node)?;
+    sections.check_not_empty(errors);
     let (front, zones) = (sections.front, &sections.zones);
-    // Errors are reported already where there is no such zone.
+    // The error of an unknown zone has been reported, so any index serves to find further errors.
     let home_zone = index_of(front, "zone", "front.zone", zones, 0, errors).unwrap_or(0);
-    gateway::check_number(front, errors)?;
+    gateway::check_index(front, errors)?;
     let classes = classes::classes(&sections.classes, errors)?;
     let class_names = names(&sections.classes);
     let functions = functions::functions(&sections.functions, &class_names, errors);
@@ -46,7 +46,7 @@
     let workers = worker_list(node, zones, home_zone, errors)?;
     let settings = router::router_settings(&sections, home_zone, classes)?;
     let gateway = gateway::gateway(front, sections.worker, &addresses)?;
-    let fleet = match sections.all.inner("fleet") {
+    let fleet = match sections.root.record("fleet") {
         Some(record) => Some(fleet::fleet(record, errors)?),
         None => None,
     };
@@ -68,31 +68,31 @@
 }
 
 impl<'a> Sections<'a> {
-    fn of(node: &'a Node) -> Option<Sections<'a>> {
-        let all = RecordReader::of(node)?;
+    fn new(node: &'a Node) -> Option<Sections<'a>> {
+        let root = RecordReader::new(node)?;
         Some(Sections {
-            all,
-            front: all.inner("front")?,
-            worker: all.inner("worker")?,
-            prices: all.inner("prices")?,
-            zones: texts(all.list("zones")?),
-            classes: all.records("classes")?,
-            functions: all.records("functions")?,
-            tenants: all.records("tenants")?,
+            root,
+            front: root.record("front")?,
+            worker: root.record("worker")?,
+            prices: root.record("prices")?,
+            zones: strings(root.list("zones")?),
+            classes: root.records("classes")?,
+            functions: root.records("functions")?,
+            tenants: root.records("tenants")?,
         })
     }
 
-    /// Checks that there are classes and functions.
-    fn check_given(&self, errors: &mut Vec<Diagnostic>) {
+    /// Checks that the settings have at least one class and one function.
+    fn check_not_empty(&self, errors: &mut Vec<Diagnostic>) {
         if self.classes.is_empty() {
-            let help = "want at least one class of calls";
-            let problem = "no class is given".into();
-            errors.push(self.all.error("classes", "classes", problem, help));
+            let help = "expected at least one class of calls";
+            let problem = "no class is defined".into();
+            errors.push(self.root.error("classes", "classes", problem, help));
         }
         if self.functions.is_empty() {
-            let help = "want at least one function";
-            let problem = "no function is given".into();
-            errors.push(self.all.error("functions", "functions", problem, help));
+            let help = "expected at least one function";
+            let problem = "no function is defined".into();
+            errors.push(self.root.error("functions", "functions", problem, help));
         }
     }
 }
--- a/settings/src/read/router.rs
+++ b/settings/src/read/router.rs
@@ -1,4 +1,4 @@
-//! The router's settings.
+//! Reads the router's settings.
 
 use super::classes::tenants;
 use super::Sections;
@@ -6,13 +6,13 @@
 use crate::value::{Kind, Node, Scalar};
 use tansyrouter as router;
 
-/// Reads the router's settings: one field a line, so that the compiler sees that none is missing.
+/// Reads the router's settings.
 pub(super) fn router_settings(
     sections: &Sections<'_>,
     zone: usize,
     classes: Vec<router::Class>,
 ) -> Option<router::Settings> {
-    let (all, front) = (sections.all, sections.front);
+    let (root, front) = (sections.root, sections.front);
     let (worker, prices) = (sections.worker, sections.prices);
     Some(router::Settings {
         front_end_index: usize::try_from(front.int("me")?).ok()?,
@@ -20,17 +20,17 @@
         zone,
         classes,
         tenants: tenants(&sections.tenants)?,
-        over_quota_weight: all.number("over_quota_worth")?,
-        weight_by_work: all.flag("worth_by_work")?,
-        list_pushed: front.flag("list_pushed")?,
+        over_quota_weight: root.number("over_quota_worth")?,
+        weight_by_work: root.bool("worth_by_work")?,
+        list_pushed: front.bool("list_pushed")?,
         max_list_poll_interval: front.int("ask_within")?,
         max_retry_after: front.int("max_stay_away")?,
         answer_slack: front.int("answer_slack")?,
         tick: front.int("tick")?,
-        may_cancel: worker.flag("may_cancel")?,
-        may_probe: worker.flag("may_probe")?,
-        may_load: worker.flag("may_order")?,
-        // Never: no call has two attempts open at once.
+        may_cancel: worker.bool("may_cancel")?,
+        may_probe: worker.bool("may_probe")?,
+        may_load: worker.bool("may_order")?,
+        // The dispatcher never has two attempts of a call open at once.
         may_hedge: false,
         max_attempts: u32::try_from(worker.int("max_attempts")?).ok()?,
         max_open_requests: usize::try_from(front.int("max_held")?).ok()?,
@@ -39,8 +39,8 @@
         idle_timeout: worker.int("idle_life")?,
         load_timeout: worker.int("order_timeout")?,
         load_budget: load_budget(worker)?,
-        reports_warm: worker.flag("tells_warm")?,
-        reports_concurrency: worker.flag("tells_crowd")?,
+        reports_warm: worker.bool("tells_warm")?,
+        reports_concurrency: worker.bool("tells_crowd")?,
         reports: reports(worker)?,
         kind_memory_mb: kind_memory_mb(worker)?,
         cross_zone_price: prices.number("cross_zone")?,
@@ -55,7 +55,7 @@
     })
 }
 
-/// What a worker does on a call of a function that is not loaded there.
+/// The behaviour of a worker on a call of a function that it has not loaded.
 fn miss_policy(worker: RecordReader<'_>) -> Option<router::MissPolicy> {
     Some(match worker.text("when_absent")? {
         "miss" => router::MissPolicy::Miss,
@@ -63,7 +63,7 @@
     })
 }
 
-/// How workers report their load.
+/// The way in which workers report their load.
 fn reports(worker: RecordReader<'_>) -> Option<router::Reports> {
     Some(match worker.text("reports")? {
         "pulled" => router::Reports::Pulled,
@@ -72,9 +72,9 @@
     })
 }
 
-/// The bound of load requests, if one is set.
+/// The budget for load requests, if one is set.
 fn load_budget(worker: RecordReader<'_>) -> Option<Option<router::LoadBudget>> {
-    let Some(record) = worker.inner("ration") else {
+    let Some(record) = worker.record("ration") else {
         return Some(None);
     };
     Some(Some(router::LoadBudget {
@@ -84,7 +84,7 @@
     }))
 }
 
-/// Memory of the kinds of machines, MB.
+/// Memory of each kind of worker machine, MB.
 fn kind_memory_mb(worker: RecordReader<'_>) -> Option<Vec<f64>> {
     let megabytes = |node: &Node| match node.kind {
         Kind::Scalar(Scalar::Size(bytes)) => Some(bytes as f64 / 1e6),
--- a/settings/src/read/workers.rs
+++ b/settings/src/read/workers.rs
@@ -1,4 +1,4 @@
-//! Lists of workers.
+//! Reads worker lists.
 
 use crate::record::{address, index_of, RecordReader};
 use crate::types::ConfiguredWorker;
@@ -8,23 +8,23 @@
 use tansy_dispatch::{WorkerRecord, WorkerState};
 use tansy_syntax::Diagnostic;
 
-/// Reads a list of workers; a worker that names no zone is in `home_zone`.
+/// Reads a worker list. A worker without a zone is in `home_zone`.
 pub(crate) fn worker_list(
     node: &Node,
     zones: &[String],
     home_zone: usize,
     errors: &mut Vec<Diagnostic>,
 ) -> Option<Vec<ConfiguredWorker>> {
-    let all = RecordReader::of(node)?;
+    let root = RecordReader::new(node)?;
     let mut workers: Vec<ConfiguredWorker> = Vec::new();
     let mut names = BTreeSet::new();
-    for (index, item) in all.list("workers")?.iter().enumerate() {
-        let record = RecordReader::of(item)?;
+    for (index, item) in root.list("workers")?.iter().enumerate() {
+        let record = RecordReader::new(item)?;
         let path = |field: &str| format!("workers[{index}].{field}");
         let name = record.text("name")?;
         if !names.insert(name) {
-            let problem = format!("a second worker named {name:?}");
-            let help = "want a name of its own for each";
+            let problem = format!("another worker is named {name:?}");
+            let help = "expected a unique name for each worker";
             errors.push(record.error("name", &path("name"), problem, help));
         }
         let address = address(record, "address", &path("address"), errors);
--- a/settings/src/record.rs
+++ b/settings/src/record.rs
@@ -1,11 +1,11 @@
-//! Reads fields of concrete records.
+//! Typed access to the fields of concrete records.
 
 use crate::value::{Kind, Node, Record, Scalar};
 use std::net::SocketAddr;
 use tansy_syntax::Diagnostic;
 
-/// Reads the fields of a concrete record. The schema has checked names and types, so that `None` stands only where an error is
-/// reported already or a field is absent.
+/// Reads the fields of a concrete record. The schema has already checked names and types, so a field is `None` only if it is
+/// absent or an error has been reported for it.
 #[derive(Clone, Copy)]
 pub(crate) struct RecordReader<'a> {
     record: &'a Record,
@@ -13,7 +13,7 @@
 }
 
 impl<'a> RecordReader<'a> {
-    pub(crate) fn of(node: &'a Node) -> Option<RecordReader<'a>> {
+    pub(crate) fn new(node: &'a Node) -> Option<RecordReader<'a>> {
         match &node.kind {
             Kind::Record(record) => Some(RecordReader { record, node }),
             _ => None,
@@ -24,8 +24,8 @@
         self.record.fields.get(name).map(|field| &field.node)
     }
 
-    pub(crate) fn inner(self, name: &str) -> Option<RecordReader<'a>> {
-        self.node(name).and_then(RecordReader::of)
+    pub(crate) fn record(self, name: &str) -> Option<RecordReader<'a>> {
+        self.node(name).and_then(RecordReader::new)
     }
 
     fn scalar(self, name: &str) -> Option<&'a Scalar> {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// A whole number, duration (microseconds) or size (bytes).
+    /// An integer, a duration in microseconds or a size in bytes.
     pub(crate) fn int(self, name: &str) -> Option<i64> {
         match self.scalar(name)? {
             Scalar::Int(int) | Scalar::Duration(int) | Scalar::Size(int) => Some(*int),
@@ -58,7 +58,7 @@
         }
     }
 
-    pub(crate) fn flag(self, name: &str) -> Option<bool> {
+    pub(crate) fn bool(self, name: &str) -> Option<bool> {
         match self.scalar(name)? {
             Scalar::Bool(flag) => Some(*flag),
             _ => None,
@@ -73,24 +73,26 @@
     }
 
     pub(crate) fn records(self, name: &str) -> Option<Vec<(&'a str, RecordReader<'a>)>> {
-        let inner = self.inner(name)?;
+        let inner = self.record(name)?;
         inner
             .record
             .fields
             .iter()
-            .map(|(name, field)| Some((name.as_str(), RecordReader::of(&field.node)?)))
+            .map(|(name, field)| Some((name.as_str(), RecordReader::new(&field.node)?)))
             .collect()
     }
 
-    /// An error at a field, or at the record if the field is absent.
+    /// Creates an error at the place of a field, or of the record if the field is absent.
     pub(crate) fn error(self, name: &str, path: &str, problem: String, help: &str) -> Diagnostic {
         let span = self.node(name).unwrap_or(self.node).span;
-        Diagnostic::new(span, problem).at(path).help(help)
+        Diagnostic::new(span, problem)
+            .with_path(path)
+            .with_help(help)
     }
 }
 
-/// The texts of a list.
-pub(crate) fn texts(nodes: &[Node]) -> Vec<String> {
+/// The strings of a list.
+pub(crate) fn strings(nodes: &[Node]) -> Vec<String> {
     let text = |node: &Node| match &node.kind {
         Kind::Scalar(Scalar::Text(text)) => Some(text.clone()),
         _ => None,
@@ -98,7 +100,7 @@
     nodes.iter().filter_map(text).collect()
 }
 
-/// An address with a port.
+/// Reads a field as an address with a port.
 pub(crate) fn address(
     record: RecordReader<'_>,
     name: &str,
@@ -108,13 +110,14 @@
     let text = record.text(name)?;
     let address = text.parse::<SocketAddr>().ok();
     if address.is_none() {
-        let help = "want an address and a port, as \"127.0.0.1:8001\" or \"[::1]:8001\"";
-        errors.push(record.error(name, path, format!("{text:?} is no address"), help));
+        let help =
+            "expected an address and a port, for example \"127.0.0.1:8001\" or \"[::1]:8001\"";
+        errors.push(record.error(name, path, format!("{text:?} is not an address"), help));
     }
     address
 }
 
-/// The index of a name among the known ones; that of an empty name is `default`.
+/// Reads a field as a name and returns its index in `known`, or `default` if the name is empty.
 pub(crate) fn index_of(
     record: RecordReader<'_>,
     name: &str,
@@ -129,8 +132,8 @@
     }
     let index = known.iter().position(|known| known == text);
     if index.is_none() {
-        let help = format!("want one of {}", known.join(", "));
-        errors.push(record.error(name, path, format!("{text:?} is not there"), &help));
+        let help = format!("expected one of {}", known.join(", "));
+        errors.push(record.error(name, path, format!("{text:?} does not exist"), &help));
     }
     index
 }
--- a/settings/src/schema.cue
+++ b/settings/src/schema.cue
@@ -1,14 +1,14 @@
 // The schema of a front end's settings. A settings file is unified with #Settings.
 
 #Class: {
-    aim:         duration & >0s              // full worth is earned up to here after arrival
-    aim_stretch: number & >=0 | *0           // the aim grows by this multiple of the call's own work
-    deadline:    duration & >0s              // how long a client waits over all its tries
-    effect:      *"safe" | "keyed" | "unsafe" // what a repeat does
-    group:       *"all" | "zone" | "cell"    // keyed: the workers that drop repeats
-    window:      duration & >=0s | *0s       // keyed: for how long they do
+    aim:         duration & >0s              // latency objective: an answer within this time has full worth
+    aim_stretch: number & >=0 | *0           // added to the aim, as a multiple of the call's work
+    deadline:    duration & >0s              // time that a client waits, over all attempts
+    effect:      *"safe" | "keyed" | "unsafe" // effect of a retried call
+    group:       *"all" | "zone" | "cell"    // keyed: the workers among which duplicates are dropped
+    window:      duration & >=0s | *0s       // keyed: how long duplicates are dropped
     worth:       number & >=0 | *1
-    late_worth:  number & >=0 & <=1 | *0     // share of the worth left after the aim
+    late_worth:  number & >=0 & <=1 | *0     // share of the worth that remains after the aim
     streamed:    bool | *false
 }
 
@@ -19,22 +19,22 @@
 
 #Function: {
     class:      string
-    lanes:      int & >=1 & <=4096 | *1      // calls that one instance runs at a time
+    lanes:      int & >=1 & <=4096 | *1      // calls that one instance runs concurrently
     memory:     size & >0B                   // of one instance
-    load_time?: duration & >0s               // usually
+    load_time?: duration & >0s               // typical duration of a load
     versions:   [...string] | *["1"]
 }
 
 #Worker: {
     name:     string & !=""
     address:  string
-    zone:     string | *""                   // the front end's own, if left out
+    zone:     string | *""                   // default: the front end's zone
     kind:     int & >=0 & <=1000000 | *0
     cell:     int & >=0 | *0
     state:    *"ready" | "draining" | "gone"
-    incarnation: int & >=0 | *0              // which process of it: a later one is larger
-    started?: duration & >=0s                // how long ago; left out: long ago
-    share:    number & >0 | *1               // to compare its size with others'
+    incarnation: int & >=0 | *0              // larger for a later process under the same name
+    started?: duration & >=0s                // time since its start; default: long ago
+    share:    number & >0 | *1               // size relative to other workers
 }
 
 #Ration: {
@@ -46,24 +46,24 @@
 #Front: {
     listen:         string | *"127.0.0.1:8001"
     http:           string | *"127.0.0.1:8000"
-    me:             int & >=0 & <=100000 | *0  // this front end's number among its siblings
-    siblings:       int & >=1 & <=100000 | *1
-    zone:           string | *""               // the first of zones, if left out
+    me:             int & >=0 & <=100000 | *0  // index of this front end among its siblings, from 0
+    siblings:       int & >=1 & <=100000 | *1  // number of front ends, this one included
+    zone:           string | *""               // default: the first of zones
     seed:           int & >=0 | *1
-    drain:          duration & >=0s | *10s     // after SIGTERM, what is held may take so long
-    longest:        duration & >0s | *1h       // a call's time, whatever its client says
+    drain:          duration & >=0s | *10s     // time to finish open calls after SIGTERM
+    longest:        duration & >0s | *1h       // upper bound of a call's time
     max_held:       int & >=1 & <=1000000 | *20000
     connections:    int & >=1 & <=1000000 | *20000
-    streams:        int & >=1 & <=1000000 | *10000 // of one connection
+    streams:        int & >=1 & <=1000000 | *10000 // per connection
     message:        size & >=1KiB & <=1GiB | *4MiB
     headers:        size & >=1KiB & <=1MiB | *16KiB
     stream_window:  size & >=16KiB & <=16MiB | *64KiB
     preface:        duration & >0s | *5s       // time to send a connection's preface
-    max_stay_away:  duration & >=0s | *10s     // the longest advice to stay away that clients heed
-    answer_slack:   duration & >=0s | *10ms    // a final answer so long after its client's time still counts
-    tick:           duration & >0s | *1ms      // least time between two batches of events
-    list_pushed:    bool | *true               // the list of workers comes unasked
-    ask_within:     duration & >0s | *10s      // where it must be asked for: how often
+    max_stay_away:  duration & >=0s | *10s     // longest retry delay that clients respect
+    answer_slack:   duration & >=0s | *10ms    // a final answer this long after the call's deadline still counts
+    tick:           duration & >0s | *1ms      // minimum time between two batches of events
+    list_pushed:    bool | *true               // the worker list is pushed to the front end
+    ask_within:     duration & >0s | *10s      // interval at which the worker list is polled if it is not pushed
     class_key:      string | *"tansy-class"    // metadata key or request parameter
     tenant_key:     string | *"tansy-tenant"
     work_key:       string | *"tansy-work-ms"
@@ -72,7 +72,7 @@
 #Workers: {
     connect_timeout: duration & >0s | *250ms
     stream_window:   size & >=16KiB & <=16MiB | *256KiB
-    idle_life:       duration & >0s | *10s     // least time that an idle instance stays
+    idle_life:       duration & >0s | *10s     // minimum time that an idle instance stays loaded
     order_timeout:   duration & >0s | *10s
     when_absent:     *"load" | "miss"
     tells_warm:      bool | *true
@@ -100,19 +100,19 @@
 
 #Seat: {
     name:    string & !=""
-    address: string                          // where its siblings reach it
+    address: string                          // at which the other front ends reach it
 }
 
-// Front ends that agree on versions of the settings. What stands here is each front end's own.
+// A fleet of front ends that agree on versions of the settings. Each front end sets these fields for itself.
 #Fleet: {
-    name:      string & !=""                 // front ends of another fleet are turned away
-    me:        string | *""                  // this front end's name in it
-    listen:    string | *"127.0.0.1:0"       // where its siblings reach it
-    seats:     [...#Seat] | *[]              // who keeps the agreed log
-    state:     string | *""                  // a voter's file
-    within:    duration & >=500ms & <=1h | *2s // no two contradict each other for longer
-    stay:      duration & >=1s & <=168h | *1h // one cut off goes on with strict fields for so long, and changes of them wait
-    clock_ppm: int & >=0 & <=100000 | *1000  // bound on the error of any clock's rate, parts in a million
+    name:      string & !=""                 // messages from other fleets are rejected
+    me:        string | *""                  // this front end's name in the fleet
+    listen:    string | *"127.0.0.1:0"       // at which the other front ends reach it
+    seats:     [...#Seat] | *[]              // the voters, which store the replicated log
+    state:     string | *""                  // file of a voter's replicated log
+    within:    duration & >=500ms & <=1h | *2s // longest time for which two front ends may contradict each other
+    stay:      duration & >=1s & <=168h | *1h // time for which a disconnected front end keeps using strict fields; changes of them wait for it
+    clock_ppm: int & >=0 & <=100000 | *1000  // bound on the rate error of any front end's clock, parts per million
 }
 
 #Settings: {
@@ -129,12 +129,12 @@
     fleet?:           #Fleet
 }
 
-// The file of functions that are agreed on one by one.
+// The file of functions whose settings a fleet agrees on one by one.
 #FunctionList: {
     functions: {[string]: #Function}
 }
 
-// The file of a list of workers.
+// The worker list file.
 #WorkerList: {
     workers: [...#Worker]
 }
--- a/settings/src/types.rs
+++ b/settings/src/types.rs
@@ -1,4 +1,4 @@
-//! The settings as the program's own types.
+//! The settings as Rust types.
 
 use std::net::SocketAddr;
 use tansy_dispatch::DispatchConfig;
@@ -10,95 +10,96 @@
     pub listen: SocketAddr,
     /// Address of the HTTP/1.1 side port.
     pub http: SocketAddr,
-    /// Time for open calls at a shutdown, microseconds.
+    /// Time to finish open calls at a shutdown, microseconds.
     pub drain_timeout: i64,
-    /// Connections of clients at once.
+    /// Maximum number of client connections.
     pub max_connections: usize,
-    /// Streams of one connection.
+    /// Maximum number of concurrent streams of a connection.
     pub max_streams: u32,
-    /// Bytes of one message.
+    /// Maximum size of a message, bytes.
     pub max_message_bytes: usize,
-    /// Bytes of one request's headers.
+    /// Maximum size of a request's headers, bytes.
     pub max_header_bytes: u32,
-    /// Bytes unread for one of a client's streams.
+    /// HTTP/2 flow-control window of a client's stream, bytes.
     pub stream_window: u32,
-    /// Bytes unread for one of a worker's streams.
+    /// HTTP/2 flow-control window of a worker's stream, bytes.
     pub worker_window: u32,
-    /// Time to send a connection's preface, microseconds.
+    /// Time within which a client must send the connection preface, microseconds.
     pub preface_timeout: i64,
-    /// The metadata key of a call's class.
+    /// Metadata key of a call's class.
     pub class_key: String,
-    /// The metadata key of its tenant.
+    /// Metadata key of a call's tenant.
     pub tenant_key: String,
-    /// The metadata key of its work.
+    /// Metadata key of a call's expected work.
     pub work_key: String,
 }
 
-/// A worker as the settings or the file of workers name it.
+/// A worker as the settings or the worker list file describe it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfiguredWorker {
-    /// What the dispatcher knows of it.
+    /// The dispatcher's record of the worker.
     pub record: tansy_dispatch::WorkerRecord,
-    /// Its address.
+    /// The worker's address.
     pub address: SocketAddr,
-    /// Larger for a later process of the same worker.
+    /// Incarnation of the worker, which is larger for a later process under the same name.
     pub incarnation: u64,
 }
 
-/// A voter: a front end that keeps the agreed log.
+/// A voter: a front end that stores the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Voter {
-    /// Its name.
+    /// The voter's name.
     pub name: String,
-    /// Where its peers reach it.
+    /// The address at which peers reach the voter.
     pub address: SocketAddr,
 }
 
-/// The fleet that a front end is in.
+/// A front end's settings of its fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetSettings {
-    /// Its name.
+    /// The fleet's name.
     pub name: String,
-    /// The front end's name in it.
+    /// The front end's name in the fleet.
     pub node_name: String,
-    /// Where its peers reach it.
+    /// The address at which the front end listens for its peers.
     pub listen: SocketAddr,
     /// The voters.
     pub voters: Vec<Voter>,
-    /// The file of the agreed log; absent: it keeps none.
+    /// The file of the replicated log; `None` if the front end does not store the log.
     pub state_file: Option<std::path::PathBuf>,
     /// The longest time for which two front ends may contradict each other, microseconds.
     pub max_divergence: i64,
-    /// How long a front end that is cut off goes on with strict fields (its session), microseconds; changes of them wait for it.
+    /// Duration of a session, microseconds: a disconnected front end keeps using its strict fields for this time, and changes of
+    /// strict fields wait for it.
     pub session: i64,
-    /// Bound on the error of any clock's rate, parts in a million.
+    /// Bound on the rate error of any front end's clock, parts per million.
     pub clock_drift_ppm: i64,
 }
 
 /// All settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Of the dispatcher and its router.
+    /// Settings of the dispatcher and its router.
     pub dispatch: DispatchConfig,
-    /// Of the gateway around it.
+    /// Settings of the gateway around the dispatcher.
     pub gateway: GatewaySettings,
-    /// Workers that stand in the settings themselves.
+    /// Workers that the settings list.
     pub workers: Vec<ConfiguredWorker>,
-    /// The fleet, if it is in one.
+    /// Settings of the fleet, if the front end is a member of one.
     pub fleet: Option<FleetSettings>,
 }
 
-/// A function that is agreed on by itself.
+/// A function whose settings a fleet agrees on separately from its other settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FunctionSettings {
-    /// Its class, by name.
+    /// Name of the function's class.
     pub class: String,
-    /// Calls that one instance serves at a time.
+    /// Number of calls that one instance serves concurrently.
     pub lanes: u32,
     /// Memory of one instance, MB.
     pub memory_mb: f64,
-    /// Usual time of a load, microseconds, if known.
+    /// Typical duration of a load, microseconds, if known.
     pub load_time: Option<i64>,
-    /// The versions that clients are shown.
+    /// The versions that are reported to clients.
     pub versions: Vec<String>,
 }
--- a/settings/src/value/describe.rs
+++ b/settings/src/value/describe.rs
@@ -1,8 +1,8 @@
-//! Values and constraints in words, for errors.
+//! Descriptions of values and constraints for error messages.
 
 use super::{Bound, Kind, Node, Scalar};
 
-/// What a node allows, in words.
+/// Describes the values that a node allows.
 pub fn describe(node: &Node) -> String {
     match &node.kind {
         Kind::Any => "any value".into(),
@@ -16,7 +16,7 @@
             }
             words
         }
-        Kind::Record(_) => "fields in { }".into(),
+        Kind::Record(_) => "a record in { }".into(),
         Kind::List(..) => "a list in [ ]".into(),
         Kind::Or(alternatives) => describe_alternatives(alternatives),
         Kind::Invalid => "something else".into(),
@@ -26,7 +26,7 @@
 fn describe_alternatives(alternatives: &[(bool, Node)]) -> String {
     let is_scalar = |node: &Node| matches!(node.kind, Kind::Scalar(_));
     let all_scalars = alternatives.iter().all(|(_, node)| is_scalar(node));
-    // A default beside a type adds nothing to what is allowed.
+    // A default next to a type is left out, since it allows no further value.
     let shown = alternatives
         .iter()
         .filter(|(default, node)| all_scalars || !*default || !is_scalar(node));
@@ -34,7 +34,7 @@
     shown.join(" or ")
 }
 
-/// What was written, in words.
+/// Describes a value that is written in a file.
 pub(super) fn describe_written(node: &Node) -> String {
     match &node.kind {
         Kind::Scalar(Scalar::Text(text)) => format!("the string {text:?}"),
@@ -44,7 +44,7 @@
     }
 }
 
-/// "did you mean", if a known name is similar; else empty.
+/// A suggestion of a similar known name, or an empty string.
 pub(super) fn suggest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> String {
     let scored = known.map(|known| (strsim::damerau_levenshtein(name, known), known));
     let nearest = scored
--- a/settings/src/value/evaluate.rs
+++ b/settings/src/value/evaluate.rs
@@ -1,4 +1,4 @@
-//! Evaluation of what is written: expressions become nodes, references are resolved.
+//! Evaluates expressions to nodes and resolves references.
 
 use super::describe::suggest;
 use super::unify::unify;
@@ -6,26 +6,26 @@
 use tansy_syntax::ast::{Decl, Expr, Label, Relation, Spanned};
 use tansy_syntax::{Diagnostic, Span};
 
-/// How many references may lead to each other; more are taken for a circle.
-const MAX_REFERENCES: usize = 64;
+/// Maximum length of a chain of references; a longer chain is reported as a cycle.
+const MAX_REFERENCE_DEPTH: usize = 64;
 
-/// The types that a file can name.
+/// Names of the types that a file can refer to.
 const TYPE_NAMES: [&str; 6] = ["bool", "int", "number", "duration", "size", "string"];
 
-/// The fields that a name may refer to, the innermost record first.
+/// The fields of a record, to which names inside it can refer, and the enclosing scope.
 struct Scope<'a> {
     fields: &'a [Decl],
     outer: Option<&'a Scope<'a>>,
 }
 
 impl<'a> Scope<'a> {
-    /// This scope and all around it.
+    /// This scope and all enclosing ones, the innermost first.
     fn chain(&'a self) -> impl Iterator<Item = &'a Scope<'a>> {
         std::iter::successors(Some(self), |scope| scope.outer)
     }
 }
 
-/// Evaluates a file's fields, which may refer to the schema's definitions.
+/// Evaluates the fields of a file, which can refer to definitions of the schema.
 pub fn evaluate(file: &[Decl], schema: &[Decl], span: Span, errors: &mut Vec<Diagnostic>) -> Node {
     let outer = Scope {
         fields: schema,
@@ -39,7 +39,7 @@
     Node::new(Kind::Record(record), span)
 }
 
-/// A definition of the schema.
+/// Evaluates a definition of the schema.
 pub fn definition(name: &str, schema: &[Decl], errors: &mut Vec<Diagnostic>) -> Node {
     let scope = Scope {
         fields: schema,
@@ -64,7 +64,7 @@
         let node = value(&declaration.value, scope, references, errors);
         match &declaration.label.node {
             Label::Any => record.any = Some(Box::new(node)),
-            // Definitions are names to refer to, not fields.
+            // Definitions can be referred to, but are not fields of the record.
             Label::Name(name) if name.starts_with('#') => {}
             Label::Name(name) => {
                 let node = match record.fields.shift_remove(name) {
@@ -148,7 +148,7 @@
     errors: &mut Vec<Diagnostic>,
 ) -> Node {
     let name = path.join(".");
-    if references > MAX_REFERENCES {
+    if references > MAX_REFERENCE_DEPTH {
         errors.push(Diagnostic::new(span, format!("`{name}` refers to itself")));
         return Node::new(Kind::Invalid, span);
     }
@@ -157,8 +157,8 @@
             return field_of(declaration, path, span, scope, references, errors);
         }
     }
-    match Type::named(&name) {
-        Some(named) => Node::new(Kind::Typed(Some(named), Vec::new()), span),
+    match Type::from_name(&name) {
+        Some(scalar_type) => Node::new(Kind::Typed(Some(scalar_type), Vec::new()), span),
         None => {
             errors.push(unknown_name(&name, span, scope));
             Node::new(Kind::Invalid, span)
@@ -181,8 +181,8 @@
         })
 }
 
-/// The value at a path whose first part is this declaration of the scope. Fields of records that stand as they are written can
-/// be reached by their path.
+/// Evaluates the field at a path whose first part is `declaration`. A path leads through records that are written as literals;
+/// at a value of any other form, such as a reference, that value is the result and the rest of the path is ignored.
 fn field_of(
     mut declaration: &Decl,
     path: &[String],
@@ -198,9 +198,9 @@
         };
         let Some(next) = find(fields, part) else {
             let name = path.join(".");
-            let problem = format!("`{name}`: no field `{part}` is written there");
+            let problem = format!("`{name}`: the record has no field `{part}`");
             let help = suggest(part, names(fields));
-            errors.push(Diagnostic::new(span, problem).help(help));
+            errors.push(Diagnostic::new(span, problem).with_help(help));
             return Node::new(Kind::Invalid, span);
         };
         records.push(fields);
@@ -209,7 +209,7 @@
     value_within(&records, scope, &declaration.value, references + 1, errors)
 }
 
-/// Evaluates a value inside the records that lead to it.
+/// Evaluates an expression in the scope of the nested records that contain it.
 fn value_within(
     records: &[&[Decl]],
     outer: &Scope<'_>,
@@ -233,9 +233,9 @@
     let known = scope.chain().flat_map(|scope| names(scope.fields));
     let suggestion = suggest(name, TYPE_NAMES.into_iter().chain(known));
     let help = if suggestion.is_empty() {
-        format!("a string is written \"{name}\"")
+        format!("write a string as \"{name}\"")
     } else {
         suggestion
     };
-    Diagnostic::new(span, format!("`{name}` is not known here")).help(help)
+    Diagnostic::new(span, format!("unknown name `{name}`")).with_help(help)
 }
--- a/settings/src/value/mod.rs
+++ b/settings/src/value/mod.rs
@@ -1,12 +1,12 @@
-//! Values, types and constraints as one lattice: what is written is evaluated, unified with the schema, and made concrete.
-//! Errors are collected; none ends the work.
+//! Values, types and constraints as nodes of one lattice, as in CUE. A file is evaluated, unified with the schema, and made
+//! concrete. Errors are collected, so that all of them are reported.
 
 mod concrete;
 mod describe;
 mod evaluate;
 mod unify;
 
-pub use concrete::concrete;
+pub use concrete::make_concrete;
 pub use describe::describe;
 pub use evaluate::{definition, evaluate};
 pub use unify::unify;
@@ -15,7 +15,7 @@
 use tansy_syntax::ast::Relation;
 use tansy_syntax::Span;
 
-/// The schema's index among the sources.
+/// Index of the schema in the list of sources.
 pub const SCHEMA: usize = 0;
 
 /// A value without parts.
@@ -43,7 +43,7 @@
 }
 
 impl Type {
-    pub(super) fn named(name: &str) -> Option<Type> {
+    pub(super) fn from_name(name: &str) -> Option<Type> {
         Some(match name {
             "bool" => Type::Bool,
             "int" => Type::Int,
@@ -118,7 +118,7 @@
     (1, "B"),
 ];
 
-/// The largest unit that divides the amount; `zero`: that of zero.
+/// The largest unit that divides an amount, or `zero` if the amount is 0.
 fn largest_unit(
     amount: i64,
     units: &[(i64, &'static str)],
@@ -128,7 +128,7 @@
     units.iter().find(divides).copied().unwrap_or(zero)
 }
 
-/// One bound.
+/// A bound on a scalar.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bound {
     pub(super) relation: Relation,
@@ -167,53 +167,53 @@
     }
 }
 
-/// A record's fields.
+/// The fields of a record.
 #[derive(Clone, Debug, PartialEq, Default)]
 pub struct Record {
-    /// By name, in the order written.
+    /// The fields by name, in the order in which they are written.
     pub fields: IndexMap<String, Field>,
-    /// The constraint of every other field.
+    /// The constraint on all other fields, from `[string]:`.
     pub any: Option<Box<Node>>,
-    /// No other field is allowed.
+    /// Whether no other fields are allowed.
     pub closed: bool,
 }
 
-/// One field.
+/// A field of a record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Field {
-    /// Its value.
+    /// The field's value or constraint.
     pub node: Node,
-    /// It may be left out.
+    /// Whether the field may be left out.
     pub optional: bool,
-    /// Where its name is written.
+    /// Place of the field's name.
     pub span: Span,
 }
 
-/// A value, or the constraints that are known of it.
+/// A value, or the constraints on it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Kind {
-    /// No constraint is known.
+    /// Any value: there is no constraint.
     Any,
-    /// A value.
+    /// A single scalar.
     Scalar(Scalar),
-    /// A type with bounds; without a type, bounds alone.
+    /// The scalars of a type, or of all types, that are within the bounds.
     Typed(Option<Type>, Vec<Bound>),
-    /// Fields.
+    /// A record.
     Record(Record),
-    /// Values, and the constraint of further ones.
+    /// A list: its items, and the constraint on further items if these are allowed.
     List(Vec<Node>, Option<Box<Node>>),
-    /// Alternatives; `true` marks a default.
+    /// A disjunction of alternatives; `true` marks a default.
     Or(Vec<(bool, Node)>),
-    /// Invalid; the error is reported already.
+    /// An invalid value, for which an error has been reported.
     Invalid,
 }
 
-/// A value and where it is written.
+/// A value or constraint with its place in a source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    /// The value.
+    /// The value or constraint.
     pub kind: Kind,
-    /// Where it is written.
+    /// Its place.
     pub span: Span,
 }
 
@@ -223,7 +223,7 @@
     }
 }
 
-/// The path of a field or an item's field.
+/// The path of a field `name` below `path`.
 fn join(path: &str, name: &str) -> String {
     if path.is_empty() {
         name.to_string()
--- a/settings/src/value/unify.rs
+++ b/settings/src/value/unify.rs
@@ -1,41 +1,41 @@
-//! Unification: the values that two nodes both allow.
+//! Unifies nodes: computes the values that both of two nodes allow.
 
 use super::describe::{describe_written, suggest};
 use super::{describe, join, Bound, Field, Kind, Node, Record, Scalar, Type, SCHEMA};
 use tansy_syntax::{Diagnostic, Span};
 
-/// What both allow. Errors point at `written`, and say what `wanted` allows.
-pub fn unify(written: Node, wanted: Node, path: &str, errors: &mut Vec<Diagnostic>) -> Node {
-    // Errors show the place in the file, never the one in the schema.
+/// The values that both nodes allow. Errors are reported at the place of `written`, and describe what `expected` allows.
+pub fn unify(written: Node, expected: Node, path: &str, errors: &mut Vec<Diagnostic>) -> Node {
+    // Errors are reported at a place in the file, never in the schema.
     let span = if written.span.source == SCHEMA {
-        wanted.span
+        expected.span
     } else {
         written.span
     };
-    let kind = match (written.kind, wanted.kind) {
+    let kind = match (written.kind, expected.kind) {
         (Kind::Invalid, _) | (_, Kind::Invalid) => Kind::Invalid,
         (Kind::Any, kind) | (kind, Kind::Any) => kind,
         (Kind::Or(list), kind) => {
-            let other = Node::new(kind, wanted.span);
-            Alternatives::of(list, other, Side::Written).unify(span, path, errors)
+            let other = Node::new(kind, expected.span);
+            Alternatives::new(list, other, Side::Written).unify(span, path, errors)
         }
         (kind, Kind::Or(list)) => {
             let other = Node::new(kind, written.span);
-            Alternatives::of(list, other, Side::Wanted).unify(span, path, errors)
+            Alternatives::new(list, other, Side::Expected).unify(span, path, errors)
         }
-        (Kind::Record(written), Kind::Record(wanted)) => {
-            Kind::Record(records(written, wanted, path, errors))
+        (Kind::Record(written), Kind::Record(expected)) => {
+            Kind::Record(records(written, expected, path, errors))
         }
-        (Kind::List(written, written_rest), Kind::List(wanted, wanted_rest)) => {
+        (Kind::List(written, written_rest), Kind::List(expected, expected_rest)) => {
             let written = List(written, written_rest);
-            lists(written, List(wanted, wanted_rest), span, path, errors)
+            lists(written, List(expected, expected_rest), span, path, errors)
         }
-        (written, wanted) => match scalars(written, wanted) {
+        (written, expected) => match scalars(written, expected) {
             Ok(kind) => kind,
             Err(sides) => {
                 let written = Node::new(sides.written, span);
-                let wanted = Node::new(sides.wanted, span);
-                errors.push(mismatch(&written, &wanted, span, path));
+                let expected = Node::new(sides.expected, span);
+                errors.push(mismatch(&written, &expected, span, path));
                 Kind::Invalid
             }
         },
@@ -43,47 +43,49 @@
     Node { kind, span }
 }
 
-fn mismatch(written: &Node, wanted: &Node, span: Span, path: &str) -> Diagnostic {
+fn mismatch(written: &Node, expected: &Node, span: Span, path: &str) -> Diagnostic {
     let problem = format!("{} does not fit", describe_written(written));
-    let help = format!("want {}", describe(wanted));
-    Diagnostic::new(span, problem).at(path).help(help)
+    let help = format!("expected {}", describe(expected));
+    Diagnostic::new(span, problem)
+        .with_path(path)
+        .with_help(help)
 }
 
-/// Two sides that have no value in common.
-struct NothingCommon {
+/// Two nodes that have no value in common.
+struct Conflict {
     written: Kind,
-    wanted: Kind,
+    expected: Kind,
 }
 
-impl NothingCommon {
-    fn of(written: Kind, wanted: Kind) -> Box<NothingCommon> {
-        Box::new(NothingCommon { written, wanted })
+impl Conflict {
+    fn of(written: Kind, expected: Kind) -> Box<Conflict> {
+        Box::new(Conflict { written, expected })
     }
 }
 
-/// Unifies scalars and types; both sides again, if they have nothing in common. A scalar that does not fit a type is the first of
-/// them, whichever side it stood on.
-fn scalars(written: Kind, wanted: Kind) -> Result<Kind, Box<NothingCommon>> {
-    match (written, wanted) {
-        (Kind::Scalar(written), Kind::Scalar(wanted)) if equal(&written, &wanted) => {
+/// Unifies scalars and types, or returns both sides if they have no value in common. Of a scalar and a type that does not contain
+/// it, the scalar is returned as the written side, whichever side it was on.
+fn scalars(written: Kind, expected: Kind) -> Result<Kind, Box<Conflict>> {
+    match (written, expected) {
+        (Kind::Scalar(written), Kind::Scalar(expected)) if equal(&written, &expected) => {
             Ok(Kind::Scalar(written))
         }
         (Kind::Scalar(scalar), Kind::Typed(scalar_type, bounds))
         | (Kind::Typed(scalar_type, bounds), Kind::Scalar(scalar)) => {
-            let of_type = scalar_type.is_none_or(|known| known.contains(&scalar));
-            if of_type && bounds.iter().all(|bound| bound.contains(&scalar)) {
+            let has_type = scalar_type.is_none_or(|known| known.contains(&scalar));
+            if has_type && bounds.iter().all(|bound| bound.contains(&scalar)) {
                 Ok(Kind::Scalar(scalar))
             } else {
-                Err(NothingCommon::of(
+                Err(Conflict::of(
                     Kind::Scalar(scalar),
                     Kind::Typed(scalar_type, bounds),
                 ))
             }
         }
-        (Kind::Typed(written, written_bounds), Kind::Typed(wanted, wanted_bounds)) => {
-            types((written, written_bounds), (wanted, wanted_bounds))
+        (Kind::Typed(written, written_bounds), Kind::Typed(expected, expected_bounds)) => {
+            types((written, written_bounds), (expected, expected_bounds))
         }
-        (written, wanted) => Err(NothingCommon::of(written, wanted)),
+        (written, expected) => Err(Conflict::of(written, expected)),
     }
 }
 
@@ -91,41 +93,41 @@
 
 fn types(
     (written, mut written_bounds): TypeAndBounds,
-    (wanted, wanted_bounds): TypeAndBounds,
-) -> Result<Kind, Box<NothingCommon>> {
-    let both = match (written, wanted) {
-        (Some(written), Some(wanted)) => written.intersect(wanted).map(Some),
-        (written, wanted) => Some(written.or(wanted)),
+    (expected, expected_bounds): TypeAndBounds,
+) -> Result<Kind, Box<Conflict>> {
+    let both = match (written, expected) {
+        (Some(written), Some(expected)) => written.intersect(expected).map(Some),
+        (written, expected) => Some(written.or(expected)),
     };
     match both {
         Some(both) => {
-            written_bounds.extend(wanted_bounds);
+            written_bounds.extend(expected_bounds);
             Ok(Kind::Typed(both, written_bounds))
         }
-        None => Err(NothingCommon::of(
+        None => Err(Conflict::of(
             Kind::Typed(written, written_bounds),
-            Kind::Typed(wanted, wanted_bounds),
+            Kind::Typed(expected, expected_bounds),
         )),
     }
 }
 
-fn equal(written: &Scalar, wanted: &Scalar) -> bool {
-    match (written, wanted) {
+fn equal(written: &Scalar, expected: &Scalar) -> bool {
+    match (written, expected) {
         (Scalar::Int(int), Scalar::Float(float)) | (Scalar::Float(float), Scalar::Int(int)) => {
             *int as f64 == *float
         }
-        _ => written == wanted,
+        _ => written == expected,
     }
 }
 
-/// The side of a unification on which alternatives stand.
+/// The side of a unification that is a disjunction.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Side {
     Written,
-    Wanted,
+    Expected,
 }
 
-/// Alternatives, and the other side.
+/// The alternatives of a disjunction, and the node that they are unified with.
 struct Alternatives {
     list: Vec<(bool, Node)>,
     other: Node,
@@ -133,11 +135,11 @@
 }
 
 impl Alternatives {
-    fn of(list: Vec<(bool, Node)>, other: Node, side: Side) -> Alternatives {
+    fn new(list: Vec<(bool, Node)>, other: Node, side: Side) -> Alternatives {
         Alternatives { list, other, side }
     }
 
-    /// The alternatives that fit the other side.
+    /// The alternatives that have values in common with the other side.
     fn unify(self, span: Span, path: &str, errors: &mut Vec<Diagnostic>) -> Kind {
         let mut fitting: Vec<(bool, Node)> = Vec::new();
         let mut nearest: Option<Vec<Diagnostic>> = None;
@@ -155,12 +157,12 @@
         }
         match fitting.len() {
             0 => {
-                // Of alternatives of the same shape, the mismatches inside say more.
+                // The errors inside an alternative of the same shape are more specific than a mismatch of the whole.
                 let mismatches = nearest.unwrap_or_else(|| vec![self.mismatch(span, path)]);
                 errors.extend(mismatches);
                 Kind::Invalid
             }
-            // A single one is the value, unless it is only a type that the default would have filled.
+            // The only remaining alternative is the result, and need not be marked as a default.
             1 => fitting.remove(0).1.kind,
             _ if fitting
                 .iter()
@@ -175,7 +177,7 @@
     fn unify_one(&self, node: Node, path: &str, errors: &mut Vec<Diagnostic>) -> Node {
         match self.side {
             Side::Written => unify(node, self.other.clone(), path, errors),
-            Side::Wanted => unify(self.other.clone(), node, path, errors),
+            Side::Expected => unify(self.other.clone(), node, path, errors),
         }
     }
 
@@ -189,53 +191,53 @@
         let alternatives = Node::new(Kind::Or(self.list.clone()), span);
         match self.side {
             Side::Written => mismatch(&alternatives, &self.other, span, path),
-            Side::Wanted => mismatch(&self.other, &alternatives, span, path),
+            Side::Expected => mismatch(&self.other, &alternatives, span, path),
         }
     }
 }
 
-/// How deep the deepest of these errors is.
+/// Length of the longest path of these errors, as a measure of how deep in the value they are.
 fn depth(errors: &[Diagnostic]) -> Option<usize> {
     errors.iter().map(|error| error.path.len()).max()
 }
 
 fn records(
     mut written: Record,
-    wanted: Record,
+    expected: Record,
     path: &str,
     errors: &mut Vec<Diagnostic>,
 ) -> Record {
     let mut record = Record {
-        closed: written.closed || wanted.closed,
+        closed: written.closed || expected.closed,
         ..Record::default()
     };
     for (name, field) in std::mem::take(&mut written.fields) {
-        if let Some(field) = known_field(&name, field, &wanted, path, errors) {
+        if let Some(field) = known_field(&name, field, &expected, path, errors) {
             record.fields.insert(name, field);
         }
     }
-    for (name, field) in wanted.fields {
+    for (name, field) in expected.fields {
         if !record.fields.contains_key(&name) {
             record.fields.insert(name, field);
         }
     }
-    record.any = match (written.any, wanted.any) {
-        (Some(written), Some(wanted)) => Some(Box::new(unify(*written, *wanted, path, errors))),
-        (written, wanted) => written.or(wanted),
+    record.any = match (written.any, expected.any) {
+        (Some(written), Some(expected)) => Some(Box::new(unify(*written, *expected, path, errors))),
+        (written, expected) => written.or(expected),
     };
     record
 }
 
-/// A field that is written, unified with what is wanted of it; `None`: it is not allowed.
+/// Unifies a written field with the constraint on it. Returns `None`, and reports an error, if the field is not allowed.
 fn known_field(
     name: &str,
     field: Field,
-    wanted: &Record,
+    expected: &Record,
     path: &str,
     errors: &mut Vec<Diagnostic>,
 ) -> Option<Field> {
     let path = join(path, name);
-    match (wanted.fields.get(name), &wanted.any) {
+    match (expected.fields.get(name), &expected.any) {
         (Some(known), _) => Some(Field {
             node: unify(field.node, known.node.clone(), &path, errors),
             optional: field.optional && known.optional,
@@ -245,44 +247,46 @@
             node: unify(field.node, (**any).clone(), &path, errors),
             ..field
         }),
-        (None, None) if wanted.closed => {
-            errors.push(unknown_field(name, field.span, wanted, &path));
+        (None, None) if expected.closed => {
+            errors.push(unknown_field(name, field.span, expected, &path));
             None
         }
         (None, None) => Some(field),
     }
 }
 
-fn unknown_field(name: &str, span: Span, wanted: &Record, path: &str) -> Diagnostic {
-    let known: Vec<&str> = wanted.fields.keys().map(String::as_str).collect();
+fn unknown_field(name: &str, span: Span, expected: &Record, path: &str) -> Diagnostic {
+    let known: Vec<&str> = expected.fields.keys().map(String::as_str).collect();
     let suggestion = suggest(name, known.iter().copied());
     let help = if suggestion.is_empty() {
-        format!("the fields are {}", known.join(", "))
+        format!("expected one of {}", known.join(", "))
     } else {
         suggestion
     };
-    let problem = format!("no field `{name}` belongs here");
-    Diagnostic::new(span, problem).at(path).help(help)
+    let problem = format!("unknown field `{name}`");
+    Diagnostic::new(span, problem)
+        .with_path(path)
+        .with_help(help)
 }
 
-/// The items of a list, and the constraint of further ones.
+/// The items of a list, and the constraint on further items.
 struct List(Vec<Node>, Option<Box<Node>>);
 
 fn lists(
     List(written, written_rest): List,
-    List(wanted, wanted_rest): List,
+    List(expected, expected_rest): List,
     span: Span,
     path: &str,
     errors: &mut Vec<Diagnostic>,
 ) -> Kind {
     let written_count = written.len();
-    let wanted_count = wanted.len();
-    if wanted_count > written_count && written_rest.is_none()
-        || written_count > wanted_count && wanted_rest.is_none()
+    let expected_count = expected.len();
+    if expected_count > written_count && written_rest.is_none()
+        || written_count > expected_count && expected_rest.is_none()
     {
-        let problem = format!("a list of {written_count} does not fit");
-        let error = Diagnostic::new(span, problem).at(path);
-        errors.push(error.help(format!("want {wanted_count} values")));
+        let problem = format!("a list of {written_count} values does not fit");
+        let error = Diagnostic::new(span, problem).with_path(path);
+        errors.push(error.with_help(format!("expected {expected_count} values")));
         return Kind::Invalid;
     }
     let further = |rest: &Option<Box<Node>>| match rest {
@@ -291,15 +295,15 @@
     };
     let mut items = Vec::new();
     let mut written = written.into_iter();
-    let mut wanted = wanted.into_iter();
-    for index in 0..written_count.max(wanted_count) {
+    let mut expected = expected.into_iter();
+    for index in 0..written_count.max(expected_count) {
         let item_path = format!("{path}[{index}]");
         let written = written.next().unwrap_or_else(|| further(&written_rest));
-        let wanted = wanted.next().unwrap_or_else(|| further(&wanted_rest));
-        items.push(unify(written, wanted, &item_path, errors));
+        let expected = expected.next().unwrap_or_else(|| further(&expected_rest));
+        items.push(unify(written, expected, &item_path, errors));
     }
-    let rest = match (written_rest, wanted_rest) {
-        (Some(written), Some(wanted)) => Some(Box::new(unify(*written, *wanted, path, errors))),
+    let rest = match (written_rest, expected_rest) {
+        (Some(written), Some(expected)) => Some(Box::new(unify(*written, *expected, path, errors))),
         _ => None,
     };
     Kind::List(items, rest)
--- a/settings/tests/agreement.rs
+++ b/settings/tests/agreement.rs
@@ -1,4 +1,4 @@
-//! Every field of the schema says how it agrees, and what it says is what two front ends would need.
+//! Tests that every field of the schema has a compatibility rule, and that the rules prevent contradictions between front ends.
 
 use std::collections::BTreeSet;
 use tansy_agreement::compatibility::{
@@ -10,7 +10,7 @@
     unknown_fields, with_defaults,
 };
 
-/// A text in which every field of the schema stands, optional ones among them.
+/// A text that sets every field without a default, including the optional ones.
 const FULL: &str = r#"
 front: {zone: "a"}
 zones: ["a"]
@@ -31,7 +31,7 @@
     fields_of(&FULL.replace(from, to))
 }
 
-/// The names in the schema's text that stand before a colon, with the record that they stand in.
+/// The field names in the schema's text, each with the name of its definition.
 fn schema_fields() -> Vec<String> {
     let mut all = Vec::new();
     let mut record = String::new();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn every_field_of_the_schema_says_how_it_agrees() {
+fn every_field_of_the_schema_has_a_compatibility_rule() {
     let full = fields_of(FULL);
     let at = |record: &str| match record {
         "Class" => Some("classes.chat."),
@@ -76,7 +76,7 @@
         }
     }
     assert!(found.len() > 60, "{} fields", found.len());
-    // What no pattern names would be strict for every call. These alone are meant to be.
+    // A field that no pattern matches is strict. Only these fields are meant to be strict.
     let strict: Vec<&String> = full
         .keys()
         .filter(|p| *compatibility_schema().compatibility(p) == Compatibility::Strict)
@@ -117,15 +117,15 @@
             &EffectiveRules::from_fields(&new)
         )
         .is_empty(),
-        "side by side they contradict"
+        "the versions contradict each other"
     );
 }
 
 #[test]
-fn what_a_front_end_without_a_lease_does_contradicts_none_of_these() {
+fn rules_after_expiry_contradict_no_other_version() {
     let known = fields_of(&FULL.replace("worker: ration: {free: 3, part: 0.5, period: 10s}", ""));
     let rules = rules_after_expiry(&compatibility_schema(), &known);
-    for force in [
+    for in_force in [
         fields_of(FULL),
         full_with("effect: \"keyed\"", "effect: \"unsafe\""),
         full_with("quota_per_s: 10", "quota_per_s: 1"),
@@ -138,29 +138,29 @@
         full_with("free: 3", "free: 0"),
     ] {
         assert_eq!(
-            contradictions(&compatibility_schema(), &force, &rules),
+            contradictions(&compatibility_schema(), &in_force, &rules),
             vec![]
         );
     }
     assert_eq!(
         rules.fields["worker.may_order"],
         Value::Flag(false),
-        "it loads nothing"
+        "without a lease it sends no load requests"
     );
 }
 
 #[test]
-fn a_version_contains_the_written_fields_without_defaults_and_without_a_front_ends_own() {
+fn a_version_contains_the_written_fields_without_defaults_and_own_fields() {
     let file = r#"
 front: {siblings: 3, me: 1, listen: "127.0.0.1:9"}
 classes: "a.b%": {aim: 1s, deadline: 2s}
 functions: "f \"g\"": {class: "a.b%", memory: 1GB}
 worker: cold_from: 0.25
 "#;
-    let version_fields = parse_version("t.cue", file).expect("it is right");
+    let version_fields = parse_version("t.cue", file).expect("a valid text");
     let paths: Vec<&str> = version_fields.keys().map(String::as_str).collect();
     let class = "classes.a%2eb%25";
-    let wanted = [
+    let expected = [
         &format!("{class}.aim"),
         &format!("{class}.deadline"),
         "front.siblings",
@@ -168,17 +168,17 @@
         "functions.f \"g\".memory",
         "worker.cold_from",
     ];
-    assert_eq!(paths, wanted);
+    assert_eq!(paths, expected);
     assert_eq!(
         AffectedCalls::of_path(paths[0]),
         AffectedCalls::Class("a.b%".into())
     );
-    // The text of it is read to the same, and so is what is filled in.
+    // The version and the fields with defaults survive the conversion to text and back.
     assert_eq!(
-        parse_version("t.cue", &to_text(&version_fields)).expect("its text is right"),
+        parse_version("t.cue", &to_text(&version_fields)).expect("a valid text"),
         version_fields
     );
-    let (filled_fields, affected) = with_defaults(&version_fields).expect("it loads");
+    let (filled_fields, affected) = with_defaults(&version_fields).expect("a valid version");
     assert!(affected.is_empty());
     assert_eq!(filled_fields["worker.max_attempts"], Value::Int(4));
     assert!(!filled_fields.contains_key("front.me"));
@@ -191,12 +191,13 @@
 }
 
 #[test]
-fn a_version_of_a_later_program_rejects_affected_calls_only() {
-    let mut version_fields = parse_version("t.cue", FULL).expect("it is right");
+fn unknown_fields_of_a_version_reject_only_the_affected_calls() {
+    let mut version_fields = parse_version("t.cue", FULL).expect("a valid text");
     assert_eq!(unknown_fields(&version_fields), Vec::<String>::new());
     version_fields.insert("classes.chat.sorrow".into(), Value::Int(3));
     version_fields.insert("worker.mood".into(), Value::Text("blue".into()));
-    let (filled_fields, affected) = with_defaults(&version_fields).expect("the rest loads");
+    let (filled_fields, affected) =
+        with_defaults(&version_fields).expect("the known fields are valid");
     assert_eq!(
         affected,
         BTreeSet::from([AffectedCalls::All, AffectedCalls::Class("chat".into())])
@@ -205,7 +206,7 @@
 }
 
 #[test]
-fn rules_of_any_step_make_settings() {
+fn the_rules_of_every_phase_are_valid_settings() {
     let own = fields_of(&FULL.replace(
         "front: {zone: \"a\"}",
         "front: {zone: \"a\", me: 2, siblings: 5}",
@@ -229,22 +230,22 @@
         );
         assert_eq!(
             effective.dispatch.settings.front_end_index, 2,
-            "it is its own"
+            "each front end has its own index"
         );
     }
-    // Keyed at one and safe at the other is a class whose workers drop no repeat: no second attempt.
+    // A class that is keyed in one version and safe in the other has no deduplication window, so its calls must not be retried.
     let both = effective_settings(
         &own,
         &joint_rules(&compatibility_schema(), &now, &safe).fields,
     )
-    .expect("it makes sense");
+    .expect("valid settings");
     assert_eq!(
         both.dispatch.settings.classes[0].effect,
         tansyrouter::Effect::Unsafe
     );
 }
 
-/// A function's fields, as they stand by themselves.
+/// The fields of a function, with names relative to it.
 fn fields_by_name(fields: &[(&str, Value)]) -> Fields {
     fields
         .iter()
@@ -253,7 +254,7 @@
 }
 
 #[test]
-fn a_function_by_itself_reads_as_it_does_among_all_settings() {
+fn a_single_function_is_read_as_in_a_settings_file() {
     let text = |t: &str| Value::Text(t.into());
     let least = fields_by_name(&[
         ("class", text("chat")),
@@ -288,7 +289,7 @@
 }
 
 #[test]
-fn a_function_by_itself_that_makes_no_sense_is_reported_with_what_would_be_right() {
+fn an_invalid_single_function_is_reported_with_the_expected_value() {
     let valid = fields_by_name(&[
         ("class", Value::Text("chat".into())),
         ("memory", Value::Bytes(1_000)),
@@ -300,20 +301,20 @@
         (
             "class",
             Some(Value::Text(String::new())),
-            "want the name of a class",
+            "expected the name of a class",
         ),
         ("lanes", Some(Value::Int(0)), "lanes"),
         ("lanes", Some(Value::Text("many".into())), "lanes"),
         ("load_time", Some(Value::Span(0)), "load_time"),
         ("colour", Some(Value::Text("red".into())), "colour"),
     ];
-    for (field, value, wanted) in cases {
+    for (field, value, expected) in cases {
         let mut invalid = valid.clone();
         invalid.remove(field);
         invalid.extend(value.map(|v| (field.to_string(), v)));
         let error = read_function("f", &invalid).expect_err(field).to_string();
         assert!(
-            error.contains("functions.f") && error.contains(wanted),
+            error.contains("functions.f") && error.contains(expected),
             "{field}: {error}"
         );
     }
--- a/settings/tests/settings.rs
+++ b/settings/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Settings files: which are accepted, and how errors are reported.
+//! Tests of which settings files are accepted, and of how errors are reported.
 
 use tansy_dispatch::WorkerState;
 use tansy_settings::{parse_settings, parse_workers};
 use tansyrouter::{DedupGroup, Effect};
 
 const FULL: &str = r#"
-// A pool of two rooms.
+// Settings with references, definitions and all kinds of effects.
 #Quick: {aim: 250ms, deadline: 1s}
 front: {me: 1, siblings: 3, zone: "b"}
 zones: ["a", "b"]
@@ -78,33 +78,33 @@
 }
 
 #[test]
-fn the_minimal_file_is_enough() {
+fn a_minimal_file_is_valid() {
     assert_eq!(errors(""), [""; 0]);
 }
 
 #[test]
-fn each_error_names_its_place_its_path_and_what_would_be_right() {
+fn each_error_names_its_place_its_path_and_the_expected_value() {
     let cases = [
-        ("front: {conections: 5}", "t.cue:3:9: front.conections: no field `conections` belongs here; did you mean `connections`?"),
-        ("front: {drain: \"10s\"}", "t.cue:3:16: front.drain: the string \"10s\" does not fit; want a duration such as 750ms, at least 0s"),
-        ("front: {streams: 0}", "t.cue:3:18: front.streams: 0 does not fit; want a whole number, at least 1 and at most 1000000"),
-        ("worker: {when_absent: \"wait\"}", "t.cue:3:23: worker.when_absent: the string \"wait\" does not fit; want \"load\" or \"miss\""),
-        ("tenants: {t: {}}", "t.cue:3:14: tenants.t.quota_per_s: no value is given; want a number, at least 0.000001"),
-        ("front: {zone: \"x\"}", "t.cue:3:15: front.zone: \"x\" is not there; want one of local"),
-        ("front: {listen: \"8001\"}", "t.cue:3:17: front.listen: \"8001\" is no address; want an address and a port, as \"127.0.0.1:8001\" or \"[::1]:8001\""),
-        ("front: {drain: 10}", "t.cue:3:16: front.drain: 10 does not fit; want a duration such as 750ms, at least 0s"),
-        ("front: {me: 1}", "t.cue:3:13: front.me: front end 1 of 1; want a number below siblings, from 0"),
-        ("front: {drain: soon}", "t.cue:3:16: `soon` is not known here; a string is written \"soon\""),
-        ("front: {drain: }", "t.cue:3:16: "),
-        ("zones: [\"a\", 5]", "t.cue:3:14: zones[1]: 5 does not fit; want a string"),
-        ("front: 5", "t.cue:3:8: front: 5 does not fit; want fields in { }"),
+        ("front: {conections: 5}", "t.cue:3:9: front.conections: unknown field `conections`; did you mean `connections`?"),
+        ("front: {drain: \"10s\"}", "t.cue:3:16: front.drain: the string \"10s\" does not fit; expected a duration such as 750ms, at least 0s"),
+        ("front: {streams: 0}", "t.cue:3:18: front.streams: 0 does not fit; expected a whole number, at least 1 and at most 1000000"),
+        ("worker: {when_absent: \"wait\"}", "t.cue:3:23: worker.when_absent: the string \"wait\" does not fit; expected \"load\" or \"miss\""),
+        ("tenants: {t: {}}", "t.cue:3:14: tenants.t.quota_per_s: the value is missing; expected a number, at least 0.000001"),
+        ("front: {zone: \"x\"}", "t.cue:3:15: front.zone: \"x\" does not exist; expected one of local"),
+        ("front: {listen: \"8001\"}", "t.cue:3:17: front.listen: \"8001\" is not an address; expected an address and a port, for example \"127.0.0.1:8001\" or \"[::1]:8001\""),
+        ("front: {drain: 10}", "t.cue:3:16: front.drain: 10 does not fit; expected a duration such as 750ms, at least 0s"),
+        ("front: {me: 1}", "t.cue:3:13: front.me: front end 1 of 1; expected a number below siblings, from 0"),
+        ("front: {drain: soon}", "t.cue:3:16: unknown name `soon`; write a string as \"soon\""),
+        ("front: {drain: }", "t.cue:3:16: unexpected `}`; expected one of: "),
+        ("zones: [\"a\", 5]", "t.cue:3:14: zones[1]: 5 does not fit; expected a string"),
+        ("front: 5", "t.cue:3:8: front: 5 does not fit; expected a record in { }"),
         ("a: a", "t.cue:3:4: `a` refers to itself"),
     ];
-    for (extra, want) in cases {
+    for (extra, expected) in cases {
         let got = errors(extra);
         assert!(
-            got.iter().any(|line| line.starts_with(want)),
-            "{extra}\n want {want}\n  got {got:#?}"
+            got.iter().any(|line| line.starts_with(expected)),
+            "{extra}\n expected {expected}\n got {got:#?}"
         );
     }
 }
@@ -121,11 +121,15 @@
             .replace("me: -1, siblings: \"two\"", ""),
     )
     .unwrap_err();
-    assert_eq!(errors.list.len(), 3, "the checks across fields: {errors}");
+    assert_eq!(
+        errors.list.len(),
+        3,
+        "errors in constraints between fields: {errors}"
+    );
 }
 
 #[test]
-fn no_text_makes_it_panic() {
+fn no_text_causes_a_panic() {
     let characters: Vec<char> = "{}[]:,?*&|.\"#a1 \n>=ms/\\".chars().collect();
     let mut seed = 7u64;
     for _ in 0..600 {
