--- a/programs/gateway/tests/fleet.rs
+++ b/programs/gateway/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The gateway's place in a fleet: one that makes no sense is refused, and on the platform it has none.
+//! Tests that invalid fleet settings and arguments are rejected, and that a front end on the platform accepts no fleet arguments.
 
 use std::process::{Command, Output};
 use tansy_test_support::fleet::ANY_PORT;
@@ -16,7 +16,7 @@
         .args(arguments)
         .env_remove("EDGE_CONFIG")
         .output()
-        .expect("it starts")
+        .expect("the program starts")
 }
 
 fn errors(output: &Output) -> String {
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn on_the_platform_there_is_no_fleet() {
+fn fleet_arguments_are_rejected_on_the_platform() {
     for [option, value] in [
         ["--peers", "127.0.0.1:0"],
         ["--name", "a"],
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_place_in_a_fleet_that_makes_no_sense_is_refused_with_what_would() {
+fn invalid_fleet_arguments_are_rejected_with_the_expected_value() {
     let folder = TestFolder::new("gateway-fleet").expect("a folder");
     let settings = |name: &str, text: &str| {
         let path = folder.write(name, text).expect("a file");
@@ -75,13 +75,13 @@
             "expected 1, 3, 5 or 7 front ends that store the replicated log",
         ),
     ];
-    for (file, arguments, words) in cases {
+    for (file, arguments, message) in cases {
         let output = run(&[&["--settings", file][..], arguments].concat());
         let errors = errors(&output);
         assert_eq!(output.status.code(), Some(2), "{arguments:?}: {errors}");
-        assert!(errors.contains(words), "{arguments:?}: {errors}");
+        assert!(errors.contains(message), "{arguments:?}: {errors}");
     }
-    // A voter without its file can't begin.
+    // A voter can't start without the file of its log.
     let voter = ["--settings", &fleet, "--name", "a", "--peers"];
     let ports = ["127.0.0.1:7001", "--listen", ANY_PORT, "--http", ANY_PORT];
     let output = run(&[voter, ports].concat());
--- a/programs/gateway/tests/platform/departures.rs
+++ b/programs/gateway/tests/platform/departures.rs
@@ -125,7 +125,7 @@
 fn a_held_call_as_its_load_ends() {
     crossings(|end, client_first| {
         let mut worker = ManualWorker::start();
-        worker.loads_at_once = false;
+        worker.loads_immediately = false;
         let mut front_end = ManualFrontEnd::start(&configuration_at(&[worker.address]));
         let client = front_end.send(&call(1));
         let load = front_end.next_command(&mut worker, "provision");
@@ -157,7 +157,7 @@
             let mut stays = None;
             let other = || match ends {
                 "reset" => worker.reset(command.connection),
-                "closed" => worker.end(command.connection),
+                "closed" => worker.close(command.connection),
                 status => worker.answer(&command, status, "-"),
             };
             in_order(client_first, || stays = end.of(client), other);
--- a/programs/gateway/tests/platform/harness/client.rs
+++ b/programs/gateway/tests/platform/harness/client.rs
@@ -1,4 +1,4 @@
-//! Calls as the platform's clients send them, and a client's connection.
+//! Calls in the form in which the platform's clients send them, and client connections.
 
 use super::http::read_head;
 use std::collections::HashMap;
@@ -16,7 +16,7 @@
     pub body: String,
 }
 
-/// A safe call of function 7 with this id.
+/// A safe call of function 7 with the given id.
 pub fn call(id: u64) -> Call {
     Call {
         id,
@@ -28,18 +28,18 @@
 }
 
 impl Call {
-    /// The same of a class that must not be repeated.
+    /// The same call in the class `once`, whose calls must not be retried.
     pub fn once(self) -> Call {
         Call {
             class: "once",
             ..self
         }
     }
-    /// The same with another timeout.
+    /// The same call with another timeout.
     pub fn with_timeout_ms(self, timeout_ms: u64) -> Call {
         Call { timeout_ms, ..self }
     }
-    /// Its headers, but for `Host` and the idempotency key.
+    /// The call's headers, without `Host` and the idempotency key.
     pub fn headers(&self) -> HashMap<&'static str, String> {
         HashMap::from([
             ("X-Class", self.class.to_string()),
@@ -49,7 +49,7 @@
             ("Content-Length", self.body.len().to_string()),
         ])
     }
-    /// Its bytes with these headers, and more lines behind them.
+    /// The request with the given headers, followed by further header lines.
     pub fn text_with(&self, headers: &HashMap<&'static str, String>, more: &str) -> String {
         let lines: String = headers
             .iter()
@@ -60,7 +60,7 @@
             self.function, self.body
         )
     }
-    /// Its bytes.
+    /// The request.
     pub fn text(&self) -> String {
         let key = if self.class == "keyed" {
             format!("Idempotency-Key: k{}\r\n", self.id)
@@ -77,7 +77,7 @@
 }
 
 impl Client {
-    /// Connects to this address.
+    /// Connects to an address.
     pub fn to(address: SocketAddr) -> Client {
         let socket = TcpStream::connect(address).unwrap();
         socket
@@ -85,12 +85,12 @@
             .unwrap();
         Client { socket }
     }
-    /// Sends these bytes.
+    /// Sends a text; errors are ignored.
     pub fn send(&mut self, text: &str) {
-        // One that is turned away meanwhile may find its connection closed.
+        // The front end may have closed the connection before the whole request is written.
         let _ = self.socket.write_all(text.as_bytes());
     }
-    /// The next answer: status and body; none: the connection ended first.
+    /// Reads the status and body of the next answer; `None` if the connection ends first.
     pub fn answer(&mut self) -> Option<(u16, String)> {
         let head = read_head(&self.socket)?;
         let status = head.split(' ').nth(1)?.parse().ok()?;
@@ -104,11 +104,11 @@
         self.socket.read_exact(&mut body).ok()?;
         Some((status, String::from_utf8(body).ok()?))
     }
-    /// The status of the next answer; none: the connection ended first.
+    /// Reads the status of the next answer; `None` if the connection ends first.
     pub fn answer_status(&mut self) -> Option<u16> {
         Some(self.answer()?.0)
     }
-    /// Whether the other side has ended the connection already.
+    /// Whether the front end has closed the connection.
     pub fn ended(&self) -> bool {
         self.socket.set_nonblocking(true).unwrap();
         let ended = matches!(self.socket.peek(&mut [0u8]), Ok(0))
@@ -116,7 +116,7 @@
         self.socket.set_nonblocking(false).unwrap();
         ended
     }
-    /// Whether the connection ends, rather than staying silent for so long.
+    /// Whether the front end closes the connection before it has been silent for `span`.
     pub fn ends_within(&mut self, span: Duration) -> bool {
         self.socket.set_read_timeout(Some(span)).unwrap();
         let mut buffer = [0u8; 4096];
--- a/programs/gateway/tests/platform/harness/configuration.rs
+++ b/programs/gateway/tests/platform/harness/configuration.rs
@@ -1,4 +1,4 @@
-//! The configurations that these tests start front ends with.
+//! Configurations of the front ends under test.
 
 use super::network::unused_address;
 use super::worker::Worker;
@@ -9,16 +9,17 @@
     worker_list, PlatformConfiguration, WorkerEntry, WorkerState,
 };
 
-/// Where front ends listen that may choose their port.
+/// The listen address of front ends on a free port.
 pub const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// A configuration around these workers.
+/// A configuration with the given workers.
 pub fn configuration_for(workers: &[&Worker]) -> PlatformConfiguration {
     let addresses: Vec<SocketAddr> = workers.iter().map(|worker| worker.address).collect();
     configuration_at(&addresses)
 }
 
-/// A configuration around workers at these addresses, whose list stays as it is known: nobody listens at its coordinator.
+/// A configuration with workers at the given addresses. Its coordinator's address is unused, so that the endpoint list does not
+/// change.
 pub fn configuration_at(workers: &[SocketAddr]) -> PlatformConfiguration {
     let entry = |(number, address): (usize, &SocketAddr)| WorkerEntry {
         id: format!("s-{number}"),
@@ -41,7 +42,7 @@
     }
 }
 
-/// The configuration's workers as the list has them once they are all in this state.
+/// The configuration's workers in the form of the endpoint list, all of them in the given state.
 pub fn workers_in_state(configuration: &PlatformConfiguration, state: WorkerState) -> String {
     let changed = |worker: &WorkerEntry| WorkerEntry {
         state,
@@ -51,12 +52,12 @@
     worker_list(&workers)
 }
 
-/// Writes the configuration of a front end that listens here to a file of its own.
+/// Writes the configuration of a front end that listens at `listen` to a new file.
 pub fn write_configuration(configuration: &PlatformConfiguration, listen: SocketAddr) -> PathBuf {
     write_text(&configuration.text(listen))
 }
 
-/// Writes a text to a file of its own.
+/// Writes a text to a new file.
 pub fn write_text(text: &str) -> PathBuf {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
--- a/programs/gateway/tests/platform/harness/coordinator.rs
+++ b/programs/gateway/tests/platform/harness/coordinator.rs
@@ -1,20 +1,20 @@
-//! A coordinator on threads of its own, whose replies the test writes.
+//! A coordinator that runs on its own threads and whose replies are written by the test.
 
 use super::http::read_head;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::Duration;
 
-/// A coordinator that hands each poll's target to the test, which answers it with whole bytes.
+/// A coordinator that passes each poll to the test, which writes the reply to the poll's connection.
 pub struct Coordinator {
-    /// Where it listens.
+    /// The coordinator's address.
     pub address: SocketAddr,
-    /// The polls that the test has not taken yet, each with its connection.
+    /// The targets of the polls that the test has not received yet, each with its connection.
     pub polls: Receiver<(String, TcpStream)>,
 }
 
 impl Coordinator {
-    /// Starts one.
+    /// Starts a coordinator.
     pub fn start() -> Coordinator {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -22,13 +22,13 @@
         std::thread::spawn(move || {
             for socket in listener.incoming().flatten() {
                 let sender = sender.clone();
-                std::thread::spawn(move || hand_over_polls(&socket, &sender));
+                std::thread::spawn(move || forward_polls(&socket, &sender));
             }
         });
         Coordinator { address, polls }
     }
 
-    /// The next poll.
+    /// Waits for the next poll.
     pub fn next_poll(&self) -> (String, TcpStream) {
         self.polls
             .recv_timeout(Duration::from_secs(10))
@@ -36,8 +36,8 @@
     }
 }
 
-/// Hands the polls of one connection to the test until either side ends it.
-fn hand_over_polls(socket: &TcpStream, sender: &Sender<(String, TcpStream)>) {
+/// Passes the polls of one connection to the test until either side closes it.
+fn forward_polls(socket: &TcpStream, sender: &Sender<(String, TcpStream)>) {
     while let Some(head) = read_head(socket) {
         let target = head.split(' ').nth(1).unwrap_or("").to_string();
         let Ok(clone) = socket.try_clone() else {
@@ -49,7 +49,7 @@
     }
 }
 
-/// An event that changes a worker's state, as the body of a reply.
+/// The body of a reply with an event that sets a worker's state.
 pub fn worker_event(index: u64, id: &str, address: SocketAddr, state: &str) -> String {
     format!(
         r#"{{"index":{index},"updates":[{{"index":{index},"endpoints":{{"full":false,"servers":[
--- a/programs/gateway/tests/platform/harness/front_end.rs
+++ b/programs/gateway/tests/platform/harness/front_end.rs
@@ -1,4 +1,4 @@
-//! A front end on a thread of its own.
+//! A front end that runs on its own thread.
 
 use super::client::{Call, Client};
 use super::configuration::{write_configuration, ANY_PORT};
@@ -12,16 +12,16 @@
 use tansy_gateway::platform::{read, Platform};
 use tansy_test_support::platform_configuration::PlatformConfiguration;
 
-/// The sizes of a front end's tables when it was stopped.
+/// The sizes of a front end's tables at the time when it was stopped.
 #[derive(Debug)]
 pub struct TableSizes {
-    /// Calls, ids, load requests, connections to workers.
+    /// Open calls, call ids, load requests and connections to workers.
     pub driver: [usize; 4],
-    /// Functions whose names it holds.
+    /// Number of function names.
     pub functions: usize,
-    /// Workers whose names it holds.
+    /// Number of worker names.
     pub workers: usize,
-    /// Connections of clients.
+    /// Number of client connections.
     pub clients: usize,
 }
 
@@ -38,11 +38,11 @@
     }
 }
 
-/// A front end that runs; its thread ends with the value.
+/// A running front end. It is stopped when the value is dropped.
 pub struct FrontEnd {
-    /// Where it listens.
+    /// The front end's address.
     pub address: SocketAddr,
-    /// Its configuration's file.
+    /// The configuration file.
     pub path: PathBuf,
     stop: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
@@ -50,7 +50,7 @@
 }
 
 impl FrontEnd {
-    /// Starts one.
+    /// Starts a front end.
     pub fn start(configuration: &PlatformConfiguration) -> FrontEnd {
         let path = write_configuration(configuration, ANY_PORT);
         let (stop, reload): (Arc<AtomicBool>, Arc<AtomicBool>) = Default::default();
@@ -78,23 +78,23 @@
         }
     }
 
-    /// Has it read its configuration again, as SIGHUP does.
+    /// Makes the front end read its configuration again, as on SIGHUP.
     pub fn reload(&self) {
         self.reload.store(true, Ordering::SeqCst);
     }
 
-    /// Stops it.
+    /// Stops the front end and returns the sizes of its tables.
     pub fn stop(mut self) -> TableSizes {
         self.stop.store(true, Ordering::SeqCst);
         self.thread.take().unwrap().join().unwrap()
     }
 
-    /// A client's connection to it.
+    /// Opens a client connection.
     pub fn connect(&self) -> Client {
         Client::to(self.address)
     }
 
-    /// One call on a connection of its own: its status and body.
+    /// Sends a call on a new connection and returns the status and body of the answer.
     pub fn call(&self, call: &Call) -> (u16, String) {
         let mut client = self.connect();
         client.send(&call.text());
--- a/programs/gateway/tests/platform/harness/http.rs
+++ b/programs/gateway/tests/platform/harness/http.rs
@@ -1,9 +1,9 @@
-//! Heads and replies of HTTP/1.1 as the platform's coordinators and clients use them.
+//! HTTP/1.1 messages of the platform's coordinators and clients.
 
 use std::io::Read;
 use std::net::TcpStream;
 
-/// Reads up to the end of a message's head; none: the connection ended first.
+/// Reads the start line and headers of a message; `None` if the connection ends first.
 pub fn read_head(mut socket: &TcpStream) -> Option<String> {
     let mut text = Vec::new();
     let mut byte = [0u8; 1];
@@ -16,7 +16,7 @@
     String::from_utf8(text).ok()
 }
 
-/// A whole reply with this body.
+/// A reply with status 200 and the given body.
 pub fn reply(body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
--- a/programs/gateway/tests/platform/harness/manual.rs
+++ b/programs/gateway/tests/platform/harness/manual.rs
@@ -1,12 +1,12 @@
-//! A front end whose loop the test runs step by step in its own thread, and workers and coordinators that do nothing unless the
-//! test says so: what the test has written is in the kernel before the front end's loop runs once, so that two things cross in
-//! the order that the test says.
+//! A front end whose event loop is run step by step on the test's thread, and workers and coordinators that act only when the
+//! test calls them. What the test writes is in the kernel before the event loop runs, so that a test can produce two concurrent
+//! events in a defined order.
 
 use super::client::{Call, Client};
 use super::configuration::{write_text, ANY_PORT};
 use super::http::reply;
 use super::network::{addresses, wait_until_delivered};
-use super::worker::{array, loaded, WorkerCommand, BOUNDS};
+use super::worker::{array, loaded, WorkerCommand, COMMAND_LIMITS};
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,12 +16,12 @@
 use tansy_resp::Reader;
 use tansy_test_support::platform_configuration::PlatformConfiguration;
 
-/// A turn of a loop that has nothing to do for a millisecond takes no longer on a machine that is not busy.
-const TURN: Duration = Duration::from_millis(2);
+/// Longest duration of an idle iteration of the event loop on a machine that is not overloaded.
+const MAX_TURN: Duration = Duration::from_millis(2);
 
-/// A front end whose loop runs only when the test says so.
+/// A front end whose event loop runs only when the test calls it.
 pub struct ManualFrontEnd {
-    /// The front end itself.
+    /// The front end.
     pub platform: Platform,
     path: PathBuf,
 }
@@ -33,32 +33,32 @@
 }
 
 impl ManualFrontEnd {
-    /// Starts one; its loop has not run.
+    /// Starts a front end, without running its event loop.
     pub fn start(configuration: &PlatformConfiguration) -> ManualFrontEnd {
         ManualFrontEnd::with_text(&configuration.text(ANY_PORT))
     }
 
-    /// From a configuration's text.
+    /// Starts a front end from the text of a configuration, without running its event loop.
     pub fn with_text(text: &str) -> ManualFrontEnd {
         let path = write_text(text);
         let platform = Platform::start(&read(&path).unwrap()).unwrap();
         ManualFrontEnd { platform, path }
     }
 
-    /// Puts another configuration in the place of the first and has it read.
+    /// Replaces the configuration file and makes the front end read it.
     pub fn reload(&mut self, configuration: &PlatformConfiguration) {
         std::fs::write(&self.path, configuration.text(ANY_PORT)).unwrap();
         assert!(self.platform.reload(&self.path));
     }
 
-    /// A client that has connected and sent a call; the loop has not run.
+    /// Connects a client that sends a call, without running the event loop.
     pub fn send(&self, call: &Call) -> Client {
         let mut client = Client::to(self.platform.address());
         client.send(&call.text());
         client
     }
 
-    /// Turns the loop until the check finds something, at most ten seconds.
+    /// Runs the event loop until `check` returns a value, for at most ten seconds.
     pub fn until<T>(
         &mut self,
         description: &str,
@@ -74,9 +74,9 @@
         }
     }
 
-    /// Turns the loop until the check finds something, which has to come while the loop runs for less than `span`. Of
-    /// each turn no more than [`TURN`] counts: a machine that is not busy measures time, and one that is busy does not count
-    /// the time that it does not give us.
+    /// Runs the event loop until `check` returns a value, which it must do before the loop has run for `span`. At most
+    /// [`MAX_TURN`] is counted for each iteration, so that time during which an overloaded machine does not run the test is not
+    /// counted.
     pub fn while_runs<T>(
         &mut self,
         span: Duration,
@@ -94,11 +94,11 @@
                 "not while the loop ran for {span:?}: {description}"
             );
             self.platform.turn(Duration::from_millis(1)).unwrap();
-            ran += began.elapsed().min(TURN);
+            ran += began.elapsed().min(MAX_TURN);
         }
     }
 
-    /// The answer to a client, whose status it gives.
+    /// Runs the event loop until a client has its answer, and returns the status.
     pub fn answer(&mut self, client: &mut Client) -> u16 {
         client.socket.set_nonblocking(true).unwrap();
         self.until("an answer", |_| readable(&client.socket));
@@ -106,12 +106,12 @@
         client.answer().expect("an answer").0
     }
 
-    /// The next command of this name; what else has come is let go.
+    /// Runs the event loop until a worker receives a command with the given name. Other commands are discarded.
     pub fn next_command(&mut self, worker: &mut ManualWorker, name: &str) -> WorkerCommand {
         self.until(name, |_| worker.next_command(name))
     }
 
-    /// Turns the loop for so long, as time passes for what must not happen.
+    /// Runs the event loop for `span`, to check that something does not happen.
     pub fn run_for(&mut self, span: Duration) {
         let end = Instant::now() + span;
         while Instant::now() < end {
@@ -120,7 +120,7 @@
     }
 }
 
-/// Whether there is something to read, an end included, as [`ManualFrontEnd::until`] takes it.
+/// Returns a value if a socket has data to read or has been closed, as a check for [`ManualFrontEnd::until`].
 pub fn readable(socket: &TcpStream) -> Option<()> {
     match socket.peek(&mut [0u8]) {
         Err(error) if error.kind() == ErrorKind::WouldBlock => None,
@@ -129,31 +129,32 @@
 }
 
 struct WorkerConnection {
-    /// None: the test has reset it.
+    /// `None` after the test has closed or reset the connection.
     socket: Option<TcpStream>,
     reader: Reader,
 }
 
-/// A worker that reads and answers only when the test says so.
+/// A worker that reads and answers only when the test calls it.
 pub struct ManualWorker {
     listener: TcpListener,
-    /// Where it listens.
+    /// The worker's address.
     pub address: SocketAddr,
     connections: Vec<WorkerConnection>,
-    /// Every command that came, and those that the test has not looked at.
+    /// All commands that were received.
     pub log: Vec<WorkerCommand>,
+    /// Commands that the test has not taken yet.
     inbox: VecDeque<WorkerCommand>,
-    /// Loads are done at once.
-    pub loads_at_once: bool,
+    /// Whether load commands are answered as soon as they are read.
+    pub loads_immediately: bool,
 }
 
 impl ManualWorker {
-    /// Starts one that does loads at once.
+    /// Starts a worker that answers load commands immediately.
     pub fn start() -> ManualWorker {
         ManualWorker::on_listener(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    /// On a listener of the test's making.
+    /// Starts a worker on the test's listener.
     pub fn on_listener(listener: TcpListener) -> ManualWorker {
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap();
@@ -163,32 +164,32 @@
             connections: Vec::new(),
             log: Vec::new(),
             inbox: VecDeque::new(),
-            loads_at_once: true,
+            loads_immediately: true,
         }
     }
 
-    /// Takes a connection that waits, if there is one.
+    /// Accepts a queued connection, if there is one.
     pub fn accept(&mut self) -> bool {
         let Ok((socket, _)) = self.listener.accept() else {
             return false;
         };
         socket.set_nonblocking(true).unwrap();
-        // What is written is to be in the kernel at the other end, not behind an acknowledgement that is late.
+        // Without this, written bytes may be delayed until the previous ones are acknowledged.
         socket.set_nodelay(true).unwrap();
         self.connections.push(WorkerConnection {
             socket: Some(socket),
-            reader: Reader::new(BOUNDS),
+            reader: Reader::new(COMMAND_LIMITS),
         });
         true
     }
 
-    /// Accepts and reads all that waits.
+    /// Accepts all queued connections and reads all received commands.
     pub fn read_all(&mut self) {
         while self.accept() {}
         self.read();
     }
 
-    /// Reads all that waits on the connections accepted.
+    /// Reads all commands that were received on accepted connections.
     pub fn read(&mut self) {
         let mut buffer = [0u8; 4096];
         for (number, connection) in self.connections.iter_mut().enumerate() {
@@ -201,7 +202,7 @@
             while let Ok(Some(strings)) = connection.reader.next_array() {
                 let command = WorkerCommand::read(number, &strings);
                 self.log.push(command.clone());
-                if self.loads_at_once && command.name() == "provision" {
+                if self.loads_immediately && command.name() == "provision" {
                     socket.write_all(&loaded(&command)).unwrap();
                 } else {
                     self.inbox.push_back(command);
@@ -210,7 +211,7 @@
         }
     }
 
-    /// The next command of this name.
+    /// Takes the next command with the given name. Commands before it are discarded.
     pub fn next_command(&mut self, name: &str) -> Option<WorkerCommand> {
         self.read_all();
         while let Some(command) = self.inbox.pop_front() {
@@ -221,7 +222,7 @@
         None
     }
 
-    /// Answers a command; it is in the kernel when this returns.
+    /// Answers a command. The answer is in the kernel when this returns.
     pub fn answer(&mut self, command: &WorkerCommand, status: &str, fields: &str) {
         let body = if status == "200" {
             command.words.get(3).map_or("", String::as_str)
@@ -231,7 +232,7 @@
         let bytes = array(&[command.id(), status, fields, body]);
         self.write(command.connection, &bytes);
     }
-    /// Writes to a connection; it is in the kernel when this returns, unless the other side has gone.
+    /// Writes to a connection. The bytes are in the kernel when this returns, unless the front end has closed the connection.
     pub fn write(&mut self, connection: usize, bytes: &[u8]) {
         let _ = self.connections[connection]
             .socket
@@ -240,41 +241,41 @@
             .write_all(bytes);
     }
 
-    /// Serves a call.
+    /// Answers a call with success.
     pub fn serve(&mut self, call: &WorkerCommand) {
         self.answer(call, "200", "n=ready");
     }
 
-    /// Ends a connection by a reset.
+    /// Resets a connection.
     pub fn reset(&mut self, connection: usize) {
         let socket = self.connections[connection]
             .socket
             .take()
-            .expect("not reset twice");
+            .expect("the connection is open");
         reset_on_close(&socket);
     }
-    /// Ends a connection in good order.
-    pub fn end(&mut self, connection: usize) {
+    /// Closes a connection.
+    pub fn close(&mut self, connection: usize) {
         drop(
             self.connections[connection]
                 .socket
                 .take()
-                .expect("not ended twice"),
+                .expect("the connection is open"),
         );
     }
 
-    /// Connections that were accepted.
+    /// Number of connections that were accepted.
     pub fn connections(&self) -> usize {
         self.connections.len()
     }
-    /// How many commands of this name came in all.
+    /// Number of received commands with the given name.
     pub fn count(&self, name: &str) -> usize {
         self.log
             .iter()
             .filter(|command| command.name() == name)
             .count()
     }
-    /// How many calls came for this id.
+    /// Number of received calls with the given id.
     pub fn calls(&self, id: u64) -> usize {
         let id = format!("{id:016x}");
         self.log
@@ -284,27 +285,27 @@
     }
 }
 
-/// Has a socket end by a reset when it is closed.
+/// Makes a socket send a reset when it is closed.
 pub fn reset_on_close(socket: &TcpStream) {
     socket2::SockRef::from(socket)
         .set_linger(Some(Duration::ZERO))
         .unwrap();
 }
 
-/// A coordinator that reads and answers only when the test says so.
+/// A coordinator that reads and answers only when the test calls it.
 pub struct ManualCoordinator {
     listener: TcpListener,
-    /// Where it listens.
+    /// The coordinator's address.
     pub address: SocketAddr,
     connections: Vec<TcpStream>,
-    /// Polls that came, by their targets.
+    /// Targets of the polls that were received.
     pub polls: Vec<String>,
-    /// Connections that came.
-    pub connected: usize,
+    /// Number of connections that were accepted.
+    pub accepted: usize,
 }
 
 impl ManualCoordinator {
-    /// Starts one.
+    /// Starts a coordinator.
     pub fn start() -> ManualCoordinator {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
@@ -314,23 +315,23 @@
             address,
             connections: Vec::new(),
             polls: Vec::new(),
-            connected: 0,
+            accepted: 0,
         }
     }
 
-    /// Accepts and reads what waits; the number of the connection with a new poll, if there is one.
+    /// Accepts queued connections and reads from all of them. Returns the index of a connection with a new poll, if any.
     pub fn next_poll(&mut self) -> Option<usize> {
         while let Ok((socket, _)) = self.listener.accept() {
             socket.set_nonblocking(true).unwrap();
             self.connections.push(socket);
-            self.connected += 1;
+            self.accepted += 1;
         }
         let mut buffer = [0u8; 4096];
         for (number, socket) in self.connections.iter_mut().enumerate() {
             let Ok(read @ 1..) = socket.read(&mut buffer) else {
                 continue;
             };
-            // A poll is one small write.
+            // A poll fits into one read.
             let text = String::from_utf8_lossy(&buffer[..read]).into_owned();
             assert!(text.ends_with("\r\n\r\n"), "{text}");
             self.polls
@@ -340,32 +341,32 @@
         None
     }
 
-    /// Writes to a connection; it is in the kernel when this returns.
+    /// Writes to a connection. The bytes have reached the front end's socket when this returns.
     pub fn write(&mut self, connection: usize, bytes: &[u8]) {
         self.connections[connection].write_all(bytes).unwrap();
         wait_until_delivered(&self.connections[connection]);
     }
-    /// Writes what the kernel takes at this moment; none: the other side has gone.
+    /// Writes as many bytes as the kernel accepts and returns their number; `None` if the front end has closed the connection.
     pub fn write_some(&mut self, connection: usize, bytes: &[u8]) -> Option<usize> {
         match self.connections[connection].write(bytes) {
             Err(error) if error.kind() == ErrorKind::WouldBlock => Some(0),
             written => written.ok(),
         }
     }
-    /// A whole reply, unless the other side has given the connection up.
+    /// Writes a complete reply; errors are ignored, since the front end may have closed the connection.
     pub fn try_reply(&mut self, connection: usize, body: &str) {
         let _ = self.connections[connection].write_all(&reply(body));
     }
-    /// A whole reply.
+    /// Writes a complete reply.
     pub fn reply(&mut self, connection: usize, body: &str) {
         self.write(connection, &reply(body));
     }
-    /// A connection's addresses, ours first.
+    /// The coordinator's and the front end's address of a connection.
     pub fn addresses(&self, connection: usize) -> (SocketAddr, SocketAddr) {
         addresses(&self.connections[connection])
     }
-    /// Ends a connection.
-    pub fn end(&mut self, connection: usize) {
+    /// Closes a connection.
+    pub fn close(&mut self, connection: usize) {
         self.connections[connection]
             .shutdown(std::net::Shutdown::Both)
             .unwrap();
--- a/programs/gateway/tests/platform/harness/mod.rs
+++ b/programs/gateway/tests/platform/harness/mod.rs
@@ -1,11 +1,13 @@
-//! The surroundings of a front end under test, all on loopback and on ports that the kernel chooses.
+//! The environment of a front end under test, on loopback and on ports that the kernel chooses.
 //!
-//! - [`front_end`]: a front end on a thread of its own. [`process`]: the program as a process. [`manual`]: one whose loop the test
-//!   runs step by step, with a worker and a coordinator that do nothing by themselves.
-//! - [`worker`], [`coordinator`], [`client`]: what it talks to. [`http`]: what these read and write.
-//! - [`configuration`]: what it is started with.
-//! - [`scenarios`]: states that several tests start from.
-//! - [`network`]: what the kernel knows of a connection.
+//! - [`front_end`]: a front end on its own thread.
+//! - [`process`]: the program as a separate process.
+//! - [`manual`]: a front end whose event loop the test runs step by step, with a worker and a coordinator that act only when the
+//!   test calls them.
+//! - [`worker`], [`coordinator`], [`client`]: the peers of a front end; [`http`]: their HTTP messages.
+//! - [`configuration`]: configurations of front ends.
+//! - [`scenarios`]: initial states that several tests share.
+//! - [`network`]: the kernel's state of TCP connections.
 
 pub mod client;
 pub mod configuration;
@@ -29,7 +31,7 @@
 
 use std::time::{Duration, Instant};
 
-/// Waits until a condition holds, at most ten seconds.
+/// Waits until a condition holds, for at most ten seconds.
 pub fn until(description: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(10);
     while !holds() {
--- a/programs/gateway/tests/platform/harness/process.rs
+++ b/programs/gateway/tests/platform/harness/process.rs
@@ -1,8 +1,8 @@
-//! The program as a process of its own, which the test stops and lets go on: what happens meanwhile is all in the kernel
-//! before its loop runs again.
+//! The program as a separate process, which tests can suspend and resume. Everything that happens while it is suspended is in
+//! the kernel before its event loop runs again.
 //!
-//! `ServerProcess` of the tests' support does not fit here: with `--platform` the program prints no `ready` line, and tests signal
-//! it before it serves.
+//! `ServerProcess` of `tansy-test-support` is not used, because with `--platform` the program prints no `ready` line, and because
+//! tests send signals before it serves.
 
 use super::client::{call, Client};
 use super::configuration::write_configuration;
@@ -14,33 +14,33 @@
 use tansy_test_support::address::ReservedAddress;
 use tansy_test_support::platform_configuration::PlatformConfiguration;
 
-/// A front end's process; it ends with the value.
+/// A front end process. It is killed when the value is dropped.
 pub struct GatewayProcess {
     child: Child,
-    /// Where it listens.
+    /// The front end's address.
     pub address: SocketAddr,
-    /// Its configuration's file.
+    /// The configuration file.
     pub path: PathBuf,
-    /// Where the program chose its address itself.
+    /// Keeps the address reserved if it was chosen by [`GatewayProcess::start`].
     _reserved: Option<ReservedAddress>,
 }
 
 impl Drop for GatewayProcess {
     fn drop(&mut self) {
-        // Both fail only where it has ended before.
+        // Both fail only if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.path);
     }
 }
 
-/// An address at which nobody listens, for a program of the test.
+/// Reserves an unused address for a program that the test starts.
 pub fn reserve() -> ReservedAddress {
     ReservedAddress::on([127, 0, 0, 1]).unwrap()
 }
 
 impl GatewayProcess {
-    /// Started, and it has answered that it is alive.
+    /// Starts a front end and waits until it answers a liveness check.
     pub fn start(configuration: &PlatformConfiguration) -> GatewayProcess {
         let reserved = reserve();
         let address = reserved.address();
@@ -51,12 +51,12 @@
         process
     }
 
-    /// Started.
+    /// Starts a front end without waiting for it.
     pub fn spawn(path: PathBuf, address: SocketAddr) -> GatewayProcess {
         GatewayProcess::spawn_with(path, address, |_| {})
     }
 
-    /// Started, with more on its command line or in its environment.
+    /// Starts a front end after `more` has added arguments or environment variables.
     pub fn spawn_with(
         path: PathBuf,
         address: SocketAddr,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Started with these faults of its system calls (`tests/fault-shim`).
+    /// Starts a front end whose system calls fail according to `rules` (`tests/fault-shim`).
     pub fn spawn_with_faults(
         configuration: &PlatformConfiguration,
         address: SocketAddr,
@@ -87,7 +87,7 @@
         GatewayProcess::spawn_with_faults_and_options(configuration, address, rules, |_| {})
     }
 
-    /// The same, with more on its command line or in its environment.
+    /// Starts a front end with faults, after `more` has added arguments or environment variables.
     pub fn spawn_with_faults_and_options(
         configuration: &PlatformConfiguration,
         address: SocketAddr,
@@ -107,9 +107,9 @@
         )
     }
 
-    /// Waits until it has answered that it is alive.
+    /// Waits until the front end answers a liveness check.
     pub fn wait_until_alive(&self) {
-        until("it listens", || {
+        until("the front end listens", || {
             std::net::TcpStream::connect(self.address).is_ok()
         });
         let mut alive = Client::to(self.address);
@@ -117,33 +117,34 @@
         assert_eq!(alive.answer_status(), Some(200));
     }
 
-    /// Its id.
+    /// The process id.
     pub fn pid(&self) -> Pid {
         Pid::from_child(&self.child)
     }
-    /// Sends it a signal.
+    /// Sends a signal.
     pub fn signal(&self, signal: Signal) {
         kill_process(self.pid(), signal).unwrap();
     }
 
-    /// Suspends it: its loop does not run until [`GatewayProcess::resume`].
+    /// Suspends the process until [`GatewayProcess::resume`].
     pub fn suspend(&self) {
         self.signal(Signal::STOP);
-        until("it is suspended", || self.state() == "T");
+        until("the process is suspended", || self.state() == "T");
     }
-    /// Lets it go on.
+    /// Resumes the process.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Its state in the kernel's table: `S` waits, `T` is suspended.
+    /// The process state in `/proc`: `S` for sleeping, `T` for suspended.
     pub fn state(&self) -> String {
         let stat =
             std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
         let after = stat.rsplit(')').next().unwrap_or("").trim_start();
         after.split(' ').next().unwrap_or("").to_string()
     }
-    /// Whether it takes up signals by itself: these three, and not all, as a process does that is about to become it.
+    /// Whether the process blocks exactly the three signals that the program handles. Before it executes the program, a new
+    /// process blocks all signals.
     pub fn handles_signals(&self) -> bool {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
             .unwrap_or_default();
@@ -151,15 +152,15 @@
         let bits = [Signal::HUP, Signal::INT, Signal::TERM].map(|s| 1u64 << (s.as_raw() - 1));
         line.and_then(|l| u64::from_str_radix(l.trim(), 16).ok()) == Some(bits.iter().sum())
     }
-    /// Processor time it has used, hundredths of a second.
+    /// Processor time that the process has used, hundredths of a second.
     pub fn cpu_ticks(&self) -> u64 {
         cpu_ticks(self.child.id())
     }
-    /// Descriptors it holds.
+    /// Number of open descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
-    /// It may hold so many descriptors from here on.
+    /// Sets the limit on open descriptors.
     pub fn limit_descriptors(&self, descriptors: u64) {
         let limit = Rlimit {
             current: Some(descriptors),
@@ -168,26 +169,26 @@
         prlimit(Some(self.pid()), Resource::Nofile, limit).unwrap();
     }
 
-    /// Its exit code once it has ended; none: a signal ended it.
+    /// Waits for the process and returns its exit code; `None` if a signal terminated it.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.wait().code()
     }
-    /// How it ends.
+    /// Waits until the process exits.
     pub fn wait(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
-    /// Kills it outright, and waits until it has ended.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
         self.signal(Signal::KILL);
         self.wait();
     }
-    /// Sends it SIGTERM: its exit code; none: a signal ended it.
+    /// Sends SIGTERM and returns the exit code; `None` if a signal terminated the process.
     pub fn terminate(&mut self) -> Option<i32> {
         self.signal(Signal::TERM);
         self.exit_code()
     }
 
-    /// A client's connection that has been answered one call.
+    /// Opens a client connection and completes one call on it.
     pub fn warm_client(&self) -> Client {
         let mut client = Client::to(self.address);
         client.send(&call(1).text());
@@ -196,7 +197,7 @@
     }
 }
 
-/// Processor time that a process has used, hundredths of a second.
+/// Processor time that a process has used, in hundredths of a second.
 pub fn cpu_ticks(pid: u32) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
     let after_name = stat.rsplit(')').next().unwrap_or("");
--- a/programs/gateway/tests/platform/harness/scenarios.rs
+++ b/programs/gateway/tests/platform/harness/scenarios.rs
@@ -1,4 +1,4 @@
-//! States of a front end under step-by-step control that several tests start from.
+//! Initial states of a manually run front end that several tests share.
 
 use super::client::{call, Client};
 use super::configuration::configuration_at;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tansy_test_support::platform_configuration::PlatformConfiguration;
 
-/// A front end with one worker and a coordinator that answers.
+/// A front end with one worker and a coordinator.
 pub struct ManualSetup {
     pub front_end: ManualFrontEnd,
     pub coordinator: ManualCoordinator,
@@ -17,7 +17,7 @@
 }
 
 impl ManualSetup {
-    /// Starts them; the front end's loop has not run.
+    /// Starts all three, without running the front end's event loop.
     pub fn start() -> ManualSetup {
         let (coordinator, worker) = (ManualCoordinator::start(), ManualWorker::start());
         let configuration = PlatformConfiguration {
@@ -32,20 +32,20 @@
     }
 }
 
-/// A worker whose two lanes are taken by calls 1 and 2, and call 3 held behind them.
+/// A worker whose two lanes are occupied by calls 1 and 2, while call 3 waits in the front end.
 pub struct SaturatedWorker {
     pub front_end: ManualFrontEnd,
     pub worker: ManualWorker,
-    /// Calls 1 and 2 as the worker has them.
+    /// The commands of calls 1 and 2 that the worker received.
     pub open_calls: [WorkerCommand; 2],
-    /// Their clients.
+    /// The clients of calls 1 and 2.
     pub open_clients: Vec<Client>,
     /// The client of call 3.
     pub held_client: Client,
 }
 
 impl SaturatedWorker {
-    /// Brings it about; with none the list stays as it is known.
+    /// Creates the state. Without a coordinator the endpoint list does not change.
     pub fn start(coordinator: Option<SocketAddr>) -> SaturatedWorker {
         let mut worker = ManualWorker::start();
         let mut configuration = configuration_at(&[worker.address]);
@@ -57,10 +57,10 @@
             front_end.next_command(&mut worker, "fire"),
         ];
         let held_client = front_end.send(&call(3));
-        front_end.until("the third call is taken", |platform| {
+        front_end.until("the third call is accepted", |platform| {
             (platform.driver().table_sizes()[1] == 3).then_some(())
         });
-        assert_eq!(worker.calls(3), 0, "it is held");
+        assert_eq!(worker.calls(3), 0, "the third call is not sent");
         SaturatedWorker {
             front_end,
             worker,
@@ -71,20 +71,20 @@
     }
 }
 
-/// A call whose attempt waits for a connection that is not answered.
+/// A call whose attempt waits for a connection that the worker's kernel does not accept yet.
 pub struct LateConnection {
     pub front_end: ManualFrontEnd,
     pub worker: ManualWorker,
     pub client: Client,
-    /// It takes the place in the listener's queue.
+    /// A connection that fills the listener's queue.
     pub filler: TcpStream,
 }
 
 impl LateConnection {
-    /// Brings it about; with none the list stays as it is known.
+    /// Creates the state. Without a coordinator the endpoint list does not change.
     pub fn start(coordinator: Option<SocketAddr>) -> LateConnection {
-        let mut worker = ManualWorker::on_listener(listener_with_room_for_one());
-        worker.loads_at_once = false;
+        let mut worker = ManualWorker::on_listener(listener_with_queue_of_one());
+        worker.loads_immediately = false;
         let mut configuration = PlatformConfiguration {
             connect_timeout_s: 5.0,
             ..configuration_at(&[worker.address])
@@ -95,7 +95,7 @@
         let load = front_end.next_command(&mut worker, "provision");
         let filler = TcpStream::connect(worker.address).unwrap();
         worker.answer(&load, "200", "replicas=1");
-        front_end.until("the attempt waits", |platform| {
+        front_end.until("the attempt waits for a connection", |platform| {
             (platform.driver().worker_connections() == 2).then_some(())
         });
         front_end.run_for(Duration::from_millis(20));
@@ -108,9 +108,9 @@
     }
 }
 
-/// A listener whose queue holds one connection. Once that is taken the next is not answered until the queue is free, and is
-/// then tried again by the kernel a second after the first time.
-pub fn listener_with_room_for_one() -> TcpListener {
+/// A listener whose queue holds one connection. While the queue is full, the kernel does not answer further connection attempts.
+/// The client's kernel retries them after one second.
+pub fn listener_with_queue_of_one() -> TcpListener {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket
         .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
@@ -119,17 +119,17 @@
     socket.into()
 }
 
-/// Accepts until a late connection has come up behind the one that was in its way; the loop does not run.
+/// Accepts connections until the late one has been established, without running the event loop.
 pub fn accept_late_connection(worker: &mut ManualWorker, connections: usize) {
-    until("the late connection has come up", || {
+    until("the late connection is established", || {
         worker.accept();
         worker.connections() == connections
     });
 }
 
-/// Carries both out in the order asked for.
-pub fn in_order(first_goes_first: bool, first: impl FnOnce(), second: impl FnOnce()) {
-    if first_goes_first {
+/// Runs both functions, `first` before `second` if `in_given_order` is set, and in reverse order otherwise.
+pub fn in_order(in_given_order: bool, first: impl FnOnce(), second: impl FnOnce()) {
+    if in_given_order {
         first();
         second();
     } else {
--- a/programs/gateway/tests/platform/harness/worker.rs
+++ b/programs/gateway/tests/platform/harness/worker.rs
@@ -1,4 +1,4 @@
-//! A worker on threads of its own, which answers each command as the test's script says.
+//! A worker that runs on its own threads and answers each command according to a script.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,26 +8,26 @@
 use std::time::Duration;
 use tansy_resp::{Limits, Reader};
 
-/// Bounds of the commands that workers of these tests read.
-pub const BOUNDS: Limits = Limits {
+/// Limits of the commands that workers of these tests accept.
+pub const COMMAND_LIMITS: Limits = Limits {
     string: 64 * 1024,
     strings: 4,
 };
 
-/// The timeout that a worker is given may be longer than the time that is left by so much.
+/// Tolerance of tests for a timeout that a worker is given beyond the remaining time of the call, milliseconds.
 pub const PATIENCE_SLACK_MS: u64 = 150;
 
-/// One command that reached a worker.
+/// A command that a worker received.
 #[derive(Clone, Debug)]
 pub struct WorkerCommand {
-    /// Number of its connection, in the order accepted.
+    /// Index of the connection, in the order in which connections were accepted.
     pub connection: usize,
-    /// Its strings.
+    /// The strings of the command.
     pub words: Vec<String>,
 }
 
 impl WorkerCommand {
-    /// Reads one from the strings of an array.
+    /// Creates a command from the strings of an array.
     pub fn read(connection: usize, strings: &[&[u8]]) -> WorkerCommand {
         let words = strings
             .iter()
@@ -36,17 +36,17 @@
         WorkerCommand { connection, words }
     }
 
-    /// Its name on the wire.
+    /// The command's name on the wire.
     pub fn name(&self) -> &str {
         &self.words[0]
     }
 
-    /// The id of its request, or its tag.
+    /// The request id or the tag of the command.
     pub fn id(&self) -> &str {
         &self.words[1]
     }
 
-    /// The timeout that came with a call, milliseconds.
+    /// The timeout of a call, milliseconds.
     pub fn patience_ms(&self) -> u64 {
         let value = self.words[2]
             .split(',')
@@ -55,10 +55,10 @@
     }
 }
 
-/// What a worker does about a command: bytes to write, and whether the connection goes on.
+/// Determines the bytes that a worker writes on a command, and whether it keeps the connection open.
 pub type Script = Box<dyn FnMut(&WorkerCommand) -> (Vec<u8>, bool) + Send>;
 
-/// One array as bytes.
+/// Encodes an array of strings.
 pub fn array(words: &[&str]) -> Vec<u8> {
     let mut bytes = Vec::new();
     let words: Vec<&[u8]> = words.iter().map(|word| word.as_bytes()).collect();
@@ -66,7 +66,8 @@
     bytes
 }
 
-/// A script that loads at once and serves each call with its own body; `irregular` may do otherwise for one `fire`.
+/// A script that answers loads immediately and each call with the call's own body. `irregular` can override the answer to a
+/// `fire` command.
 pub fn serving(
     mut irregular: impl FnMut(&WorkerCommand) -> Option<(Vec<u8>, bool)> + Send + 'static,
 ) -> Script {
@@ -82,12 +83,13 @@
     array(&[command.id(), "200", "n=ready", &command.words[3]])
 }
 
-/// The answer to a load that is done.
+/// The answer to a load that has succeeded.
 pub fn loaded(command: &WorkerCommand) -> Vec<u8> {
     array(&[command.id(), "200", "replicas=1", ""])
 }
 
-/// A worker that serves, and answers the calls whose id ends so only when the test sends a word for each.
+/// A worker that delays the answers to calls whose ids have one of the given last digits. The test releases each of them by
+/// sending to the returned channel.
 pub fn held_back(id_endings: &'static [char]) -> (Worker, Sender<()>) {
     let (release, released) = channel::<()>();
     let worker = Worker::start(serving(move |command| {
@@ -99,23 +101,23 @@
     (worker, release)
 }
 
-/// A worker that runs.
+/// A running worker.
 pub struct Worker {
-    /// Where it listens.
+    /// The worker's address.
     pub address: SocketAddr,
-    /// Every command that came.
+    /// All commands that were received.
     pub log: Arc<Mutex<Vec<WorkerCommand>>>,
-    /// Connections that ended.
+    /// Number of connections that have ended.
     pub ended: Arc<AtomicU64>,
 }
 
 impl Worker {
-    /// Starts one that serves every call.
+    /// Starts a worker that serves every call.
     pub fn plain() -> Worker {
         Worker::start(serving(|_| None))
     }
 
-    /// Starts one.
+    /// Starts a worker with a script.
     pub fn start(script: Script) -> Worker {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let worker = Worker {
@@ -144,7 +146,7 @@
         script: &Mutex<Script>,
         log: &Mutex<Vec<WorkerCommand>>,
     ) -> std::io::Result<()> {
-        let mut reader = Reader::new(BOUNDS);
+        let mut reader = Reader::new(COMMAND_LIMITS);
         let mut buffer = [0u8; 4096];
         loop {
             let length = socket.read(&mut buffer)?;
@@ -155,16 +157,16 @@
             while let Ok(Some(strings)) = reader.next_array() {
                 let command = WorkerCommand::read(connection, &strings);
                 log.lock().unwrap().push(command.clone());
-                let (bytes, goes_on) = (script.lock().unwrap())(&command);
+                let (bytes, keep_open) = (script.lock().unwrap())(&command);
                 socket.write_all(&bytes)?;
-                if !goes_on {
+                if !keep_open {
                     return Ok(());
                 }
             }
         }
     }
 
-    /// The commands of one name so far.
+    /// The commands with the given name that were received so far.
     pub fn commands(&self, name: &str) -> Vec<WorkerCommand> {
         let log = self.log.lock().unwrap();
         let named = log.iter().filter(|command| command.name() == name);
--- a/programs/gateway/tests/platform/links.rs
+++ b/programs/gateway/tests/platform/links.rs
@@ -142,7 +142,7 @@
     if resets {
         worker.reset(command.connection);
     } else {
-        worker.end(command.connection);
+        worker.close(command.connection);
     }
     second.socket.set_nonblocking(true).unwrap();
     let mut again = None;
--- a/programs/gateway/tests/platform/main.rs
+++ b/programs/gateway/tests/platform/main.rs
@@ -1,6 +1,6 @@
-//! The platform's protocol on loopback: what good and bad clients, workers and coordinators get.
+//! Tests of a front end on the platform with correct and faulty clients, workers and coordinators on loopback.
 //!
-//! Each module tests one concern; [`harness`] is what they share.
+//! Each module tests one concern. [`harness`] contains the shared support code.
 
 mod configuration;
 mod departures;
--- a/programs/gateway/tests/platform/watch.rs
+++ b/programs/gateway/tests/platform/watch.rs
@@ -5,7 +5,7 @@
 use crate::harness::manual::{ManualCoordinator, ManualFrontEnd, ManualWorker};
 use crate::harness::network::socket_state;
 use crate::harness::scenarios::{
-    accept_late_connection, in_order, listener_with_room_for_one, LateConnection, ManualSetup,
+    accept_late_connection, in_order, listener_with_queue_of_one, LateConnection, ManualSetup,
     SaturatedWorker,
 };
 use crate::harness::*;
@@ -116,7 +116,7 @@
     for drains in [false, true] {
         let (mut coordinator, mut worker) = (
             ManualCoordinator::start(),
-            ManualWorker::on_listener(listener_with_room_for_one()),
+            ManualWorker::on_listener(listener_with_queue_of_one()),
         );
         let _filler = std::net::TcpStream::connect(worker.address).unwrap();
         let configuration = PlatformConfiguration {
@@ -153,7 +153,7 @@
 ) {
     let (own, other) = coordinator.addresses(connection);
     if refuses {
-        coordinator.end(connection);
+        coordinator.close(connection);
     } else {
         // The same number again, an earlier one, and none of the events that it has.
         coordinator.reply(connection, r#"{"index":1,"updates":[]}"#);
@@ -282,10 +282,10 @@
     } = ManualSetup::start();
     let connection = next_poll(&mut front_end, &mut coordinator);
     coordinator.reply(connection, &drain_event(&worker, true));
-    coordinator.end(connection);
+    coordinator.close(connection);
     next_poll(&mut front_end, &mut coordinator);
     assert_last_poll_follows(&coordinator, 2);
-    assert_eq!(coordinator.connected, 2);
+    assert_eq!(coordinator.accepted, 2);
 }
 
 /// The state of the poll when a new configuration comes.
@@ -335,7 +335,7 @@
             ManualCoordinator::start(),
             ManualWorker::start(),
         );
-        let unanswered = listener_with_room_for_one();
+        let unanswered = listener_with_queue_of_one();
         let _filler = std::net::TcpStream::connect(unanswered.local_addr().unwrap()).unwrap();
         let coordinator = match at {
             PollState::Connecting => unanswered.local_addr().unwrap(),
@@ -369,10 +369,10 @@
         });
         front_end.reload(&configuration);
         next_poll(&mut front_end, &mut new);
-        let connected = new.connected;
+        let accepted = new.accepted;
         front_end.reload(&configuration);
         front_end.run_for(Duration::from_millis(60));
         new.next_poll();
-        assert_eq!(new.connected, connected, "{at:?}: the same address again");
+        assert_eq!(new.accepted, accepted, "{at:?}: the same address again");
     }
 }
--- a/programs/gateway/tests/soak.rs
+++ b/programs/gateway/tests/soak.rs
@@ -1,11 +1,11 @@
-//! A short run of the fault soak (`tests/soak`): front ends as processes under overlapping faults break no invariant.
+//! A short run of the fault soak (`tests/soak`): front end processes under overlapping faults violate no invariant.
 
 use std::path::PathBuf;
 use std::time::Duration;
 use tansy_soak::{run, Options};
 
 #[test]
-fn some_seconds_of_overlapping_faults_break_no_invariant() {
+fn overlapping_faults_violate_no_invariant() {
     let options = Options {
         gateway: PathBuf::from(env!("CARGO_BIN_EXE_tansy-gateway")),
         seed: 40,
@@ -18,11 +18,11 @@
         .enable_all()
         .build()
         .expect("a runtime");
-    let outcome = runtime.block_on(run(&options)).expect("it is played");
+    let outcome = runtime.block_on(run(&options)).expect("the soak runs");
     let oracle = &outcome.oracle;
     assert!(
         oracle.counts.sent > 500 && oracle.counts.signals > 10,
-        "too little came: {:?}",
+        "too few calls or signals were sent: {:?}",
         oracle.counts
     );
     for violation in oracle.violations() {
@@ -33,7 +33,7 @@
             .flat_map(|id| oracle.timeline(id))
             .for_each(|line| println!("  {line}"));
     }
-    let sure = oracle.violations().iter().filter(|v| !v.doubtful).count();
-    assert_eq!(sure, 0, "logs: {}", outcome.folder.display());
+    let certain = oracle.violations().iter().filter(|v| !v.doubtful).count();
+    assert_eq!(certain, 0, "logs: {}", outcome.folder.display());
     let _ = std::fs::remove_dir_all(&outcome.folder);
 }
--- a/programs/gateway/tests/system_calls.rs
+++ b/programs/gateway/tests/system_calls.rs
@@ -1,4 +1,4 @@
-//! The gRPC front under system calls that fail for a moment: who waits in the kernel's queue is served, and signals are taken.
+//! Tests of the gRPC port with system calls that fail temporarily: queued connections are served, and signals are handled.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -7,15 +7,15 @@
 use tansy_test_support::fleet::ANY_PORT;
 use tansy_test_support::process::ServerProcess;
 
-/// What a client of HTTP/2 begins with: the preface and an empty SETTINGS frame (RFC 9113, section 3.4).
+/// The connection preface of an HTTP/2 client with an empty SETTINGS frame (RFC 9113, section 3.4).
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0";
-/// Bytes of a frame's head.
-const FRAME_HEAD: usize = 9;
+/// Size of a frame header, bytes.
+const FRAME_HEADER_BYTES: usize = 9;
 
 struct Gateway(ServerProcess);
 
 impl Gateway {
-    /// With stand-in workers in its process, and these faults of its system calls.
+    /// Starts a gateway with embedded workers, whose system calls fail according to `rules`.
     fn with_faults(rules: &str) -> Gateway {
         let mut command = Command::new(env!("CARGO_BIN_EXE_tansy-gateway"));
         command
@@ -23,33 +23,38 @@
             .args(["--log", "off"])
             .env("LD_PRELOAD", tansy_soak::shim::library())
             .env("FAULT_RULES", rules);
-        Gateway(ServerProcess::start(&mut command).expect("it starts"))
+        Gateway(ServerProcess::start(&mut command).expect("the gateway starts"))
     }
 
-    /// Whether a new connection gets the first frame of the server.
-    fn greets(&self) -> bool {
+    /// Whether the server sends its first frame on a new connection.
+    fn accepts_connection(&self) -> bool {
         let mut socket = TcpStream::connect(self.0.address("grpc").expect("an address"))
-            .expect("the kernel takes it");
+            .expect("the kernel accepts the connection");
         socket
             .set_read_timeout(Some(Duration::from_secs(3)))
             .expect("a socket");
-        socket.write_all(PREFACE).expect("the kernel takes it");
-        socket.read_exact(&mut [0u8; FRAME_HEAD]).is_ok()
+        socket
+            .write_all(PREFACE)
+            .expect("the kernel accepts the connection");
+        socket.read_exact(&mut [0u8; FRAME_HEADER_BYTES]).is_ok()
     }
 }
 
 #[test]
-fn a_connection_that_waits_while_accept_fails_is_served() {
+fn a_queued_connection_is_served_after_accept_has_failed() {
     for error in ["ECONNABORTED", "ENFILE", "EMFILE", "ENOBUFS", "EINTR"] {
         let gateway = Gateway::with_faults(&format!("accept:{error}:first=1"));
-        assert!(gateway.greets(), "{error}: nobody comes for it");
+        assert!(
+            gateway.accepts_connection(),
+            "{error}: the connection is not served"
+        );
     }
 }
 
 #[test]
-fn signals_whose_read_is_interrupted_end_it_in_good_order() {
+fn an_interrupted_read_of_a_signal_does_not_prevent_a_graceful_shutdown() {
     let mut gateway = Gateway::with_faults("read:EINTR:rate=0.7");
-    assert!(gateway.greets());
-    let (status, _) = gateway.0.stop().expect("it ends");
+    assert!(gateway.accepts_connection());
+    let (status, _) = gateway.0.stop().expect("the gateway exits");
     assert_eq!(status.code(), Some(0));
 }
