--- a/programs/gateway/tests/platform/configuration.rs
+++ b/programs/gateway/tests/platform/configuration.rs
@@ -1,4 +1,4 @@
-//! The text of the configuration that these tests start front ends with, byte for byte.
+//! Tests that the text of the front ends' test configuration is unchanged, byte for byte.
 
 use crate::harness::configuration::workers_in_state;
 use crate::harness::{configuration_at, PlatformConfiguration, ANY_PORT};
@@ -18,12 +18,12 @@
 }
 
 #[test]
-fn the_text_is_as_it_always_was() {
+fn the_text_is_unchanged() {
     assert_eq!(configuration().text(ANY_PORT), EXPECTED);
 }
 
 #[test]
-fn the_workers_in_a_state_are_as_they_always_were() {
+fn the_list_of_workers_in_a_state_is_unchanged() {
     let expected = r#"{"id":"s-0","addr":"127.0.0.1:40003","zone":"a","kind":"k","cell":0,"state":"Gone","weight":1,"started_ms":0},{"id":"s-1","addr":"127.0.0.1:40004","zone":"a","kind":"k","cell":0,"state":"Gone","weight":1,"started_ms":0}"#;
     assert_eq!(
         workers_in_state(&configuration(), WorkerState::Gone),
--- a/programs/gateway/tests/platform/departures.rs
+++ b/programs/gateway/tests/platform/departures.rs
@@ -1,5 +1,5 @@
-//! A client's end against everything that would begin an attempt for it. Both are in the kernel before the loop runs, in
-//! either order; where the client stays, the same events do begin the attempt.
+//! Tests of clients that disconnect at the same time as an event that would start an attempt for their call. Both events are in
+//! the kernel, in either order, before the event loop runs. If the client stays, the same event must start the attempt.
 
 use crate::harness::manual::{reset_on_close, ManualFrontEnd, ManualWorker};
 use crate::harness::network;
@@ -9,18 +9,18 @@
 use crate::harness::*;
 use std::time::Duration;
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Departure {
     Close,
     Reset,
-    /// It does not: the same events without the crossing.
+    /// The client stays connected, as a control.
     Stays,
 }
 
 impl Departure {
-    /// Ends a client; one that stays is kept.
-    fn of(self, client: Client) -> Option<Client> {
+    /// Disconnects a client, or returns it if it stays.
+    fn apply(self, client: Client) -> Option<Client> {
         if self == Departure::Reset {
             reset_on_close(&client.socket);
         }
@@ -32,27 +32,27 @@
     }
 }
 
-/// The client's end and the other event, in both orders, with both ends, and without an end.
-fn crossings(mut run: impl FnMut(Departure, bool)) {
-    for end in [Departure::Stays, Departure::Close, Departure::Reset] {
+/// Runs a test with every departure and with both orders of the departure and the other event.
+fn with_all_orders(mut run: impl FnMut(Departure, bool)) {
+    for departure in [Departure::Stays, Departure::Close, Departure::Reset] {
         for client_first in [true, false] {
-            run(end, client_first);
+            run(departure, client_first);
         }
     }
 }
 
-/// The call with this id, sent on so often before, is sent on now if its client stays, and only then.
+/// Checks that the call with the given id, which was sent `before` times, is sent again if and only if its client stays.
 fn assert_sent_if_client_stays(
     front_end: &mut ManualFrontEnd,
     worker: &mut ManualWorker,
     id: u64,
-    end: Departure,
+    departure: Departure,
     before: usize,
     name: &str,
 ) {
     let open = |front_end: &ManualFrontEnd| front_end.platform.driver().table_sizes()[1];
     let others = open(front_end).saturating_sub(1);
-    if end == Departure::Stays {
+    if departure == Departure::Stays {
         front_end.until(name, |_| {
             worker.read_all();
             (worker.calls(id) > before).then_some(())
@@ -64,39 +64,39 @@
     assert_eq!(
         worker.calls(id),
         before,
-        "{name}, {end:?}: sent on for a client that has gone"
+        "{name}, {departure:?}: sent for a client that has disconnected"
     );
     assert!(
         open(front_end) <= others,
-        "{name}, {end:?}: the call is still open"
+        "{name}, {departure:?}: the call is still open"
     );
 }
 
 #[test]
-fn a_request_not_read_yet() {
-    for end in [Departure::Stays, Departure::Close, Departure::Reset] {
+fn a_request_that_has_not_been_read() {
+    for departure in [Departure::Stays, Departure::Close, Departure::Reset] {
         let mut worker = ManualWorker::start();
         let mut front_end = ManualFrontEnd::start(&configuration_at(&[worker.address]));
         let mut warm = front_end.send(&call(1));
         let command = front_end.next_command(&mut worker, "fire");
         worker.serve(&command);
         assert_eq!(front_end.answer(&mut warm), 200);
-        let stays = end.of(front_end.send(&call(2)));
+        let stays = departure.apply(front_end.send(&call(2)));
         assert_sent_if_client_stays(
             &mut front_end,
             &mut worker,
             2,
-            end,
+            departure,
             0,
-            "a request not read yet",
+            "a request that has not been read",
         );
         drop(stays);
     }
 }
 
 #[test]
-fn a_held_call_as_a_lane_comes_free() {
-    crossings(|end, client_first| {
+fn a_waiting_call_when_a_lane_becomes_free() {
+    with_all_orders(|departure, client_first| {
         let SaturatedWorker {
             mut front_end,
             mut worker,
@@ -107,23 +107,23 @@
         let mut stays = None;
         in_order(
             client_first,
-            || stays = end.of(held_client),
+            || stays = departure.apply(held_client),
             || worker.serve(&open_calls[0]),
         );
         assert_sent_if_client_stays(
             &mut front_end,
             &mut worker,
             3,
-            end,
+            departure,
             0,
-            "a held call as a lane comes free",
+            "a waiting call when a lane becomes free",
         );
     });
 }
 
 #[test]
-fn a_held_call_as_its_load_ends() {
-    crossings(|end, client_first| {
+fn a_waiting_call_when_its_load_ends() {
+    with_all_orders(|departure, client_first| {
         let mut worker = ManualWorker::start();
         worker.loads_immediately = false;
         let mut front_end = ManualFrontEnd::start(&configuration_at(&[worker.address]));
@@ -132,43 +132,43 @@
         let mut stays = None;
         in_order(
             client_first,
-            || stays = end.of(client),
+            || stays = departure.apply(client),
             || worker.answer(&load, "200", "replicas=1"),
         );
         assert_sent_if_client_stays(
             &mut front_end,
             &mut worker,
             1,
-            end,
+            departure,
             0,
-            "a held call as its load ends",
+            "a waiting call when its load ends",
         );
     });
 }
 
 #[test]
-fn an_attempt_that_ends_so_that_another_would_follow() {
-    for ends in ["404", "500", "503", "reset", "closed"] {
-        crossings(|end, client_first| {
+fn a_failed_attempt_that_would_be_retried() {
+    for attempt_end in ["404", "500", "503", "reset", "closed"] {
+        with_all_orders(|departure, client_first| {
             let mut worker = ManualWorker::start();
             let mut front_end = ManualFrontEnd::start(&configuration_at(&[worker.address]));
             let client = front_end.send(&call(1));
             let command = front_end.next_command(&mut worker, "fire");
             let mut stays = None;
-            let other = || match ends {
+            let other = || match attempt_end {
                 "reset" => worker.reset(command.connection),
                 "closed" => worker.close(command.connection),
                 status => worker.answer(&command, status, "-"),
             };
-            in_order(client_first, || stays = end.of(client), other);
-            assert_sent_if_client_stays(&mut front_end, &mut worker, 1, end, 1, ends);
+            in_order(client_first, || stays = departure.apply(client), other);
+            assert_sent_if_client_stays(&mut front_end, &mut worker, 1, departure, 1, attempt_end);
         });
     }
 }
 
 #[test]
-fn an_attempt_on_a_connection_that_comes_up_late() {
-    for end in [Departure::Stays, Departure::Close, Departure::Reset] {
+fn an_attempt_on_a_late_connection() {
+    for departure in [Departure::Stays, Departure::Close, Departure::Reset] {
         let LateConnection {
             mut front_end,
             mut worker,
@@ -176,14 +176,14 @@
             filler: _filler,
         } = LateConnection::start(None);
         accept_late_connection(&mut worker, 3);
-        let stays = end.of(client);
+        let stays = departure.apply(client);
         assert_sent_if_client_stays(
             &mut front_end,
             &mut worker,
             1,
-            end,
+            departure,
             0,
-            "a connection that comes up late",
+            "a late connection",
         );
         drop(stays);
     }
@@ -191,12 +191,12 @@
 
 #[test]
 fn an_answer_that_is_being_written() {
-    for end in [Departure::Close, Departure::Reset] {
+    for departure in [Departure::Close, Departure::Reset] {
         let mut worker = ManualWorker::start();
         let mut front_end = ManualFrontEnd::start(&configuration_at(&[worker.address]));
         let client = front_end.send(&call(1));
         let command = front_end.next_command(&mut worker, "fire");
-        // More than the kernel takes for a client that reads nothing.
+        // More than the kernel buffers for a client that does not read.
         let body = "x".repeat(250_000);
         socket2::SockRef::from(&client.socket)
             .set_recv_buffer_size(4096)
@@ -206,7 +206,7 @@
             &array(&[command.id(), "200", "n=ready", &body]),
         );
         front_end.run_for(Duration::from_millis(20));
-        end.of(client);
+        departure.apply(client);
         let mut next = front_end.send(&call(2));
         let command = front_end.next_command(&mut worker, "fire");
         worker.serve(&command);
--- a/programs/gateway/tests/platform/deploy.rs
+++ b/programs/gateway/tests/platform/deploy.rs
@@ -1,5 +1,5 @@
-//! What the deploy file promises of `run`, seen from outside on the program by itself: the process that `run` becomes,
-//! its linkage, children, descriptors, sockets, threads and files. A part that is off there and opens one fails this.
+//! Tests that the command `run` of the deploy file starts a single process with one listener: no child processes, no further
+//! sockets, descriptors or files, and no static linkage.
 
 use crate::harness::process::reserve;
 use crate::harness::*;
@@ -10,8 +10,8 @@
 use std::process::{Child, Command, Stdio};
 use tansy_test_support::address::ReservedAddress;
 
-/// A line of the deploy file, without its quotes.
-fn deployed(key: &str) -> String {
+/// The value of a key in the deploy file, without quotes.
+fn deploy_value(key: &str) -> String {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/balancer.toml");
     let text = fs::read_to_string(&file).expect("the deploy file");
     let line = text
@@ -20,7 +20,7 @@
     line.expect("the key").trim().trim_matches('"').to_string()
 }
 
-/// A directory of its own with the program where the deploy file wants it; it goes with the value.
+/// A temporary directory with the program at the path that the deploy file names. It is removed when the value is dropped.
 struct DeployRoot {
     path: PathBuf,
 }
@@ -37,7 +37,7 @@
         DeployRoot { path: root }
     }
 
-    /// A shell that runs one line here, with little else in its environment.
+    /// Starts a shell in this directory that runs one line with a minimal environment.
     fn shell(&self, line: &str, config: &Path) -> RunningShell {
         let child = Command::new("/bin/sh")
             .args(["-c", line])
@@ -76,7 +76,7 @@
     }
 }
 
-/// A process that ends with the value, and its own children before it.
+/// A shell that is killed with its child processes when the value is dropped.
 struct RunningShell {
     child: Child,
 }
@@ -94,7 +94,7 @@
     }
 }
 
-/// Fields of a `stat` file from the state on: state, parent.
+/// The state and the parent's id from a `stat` file of a process.
 fn stat(path: &Path) -> Option<(String, u32)> {
     let text = fs::read_to_string(path).ok()?;
     let mut words = text.rsplit(')').next()?.split_whitespace();
@@ -109,8 +109,8 @@
         .collect()
 }
 
-/// What is against the deploy terms at this process, which should listen at this port alone.
-fn against_terms(pid: u32, port: u16) -> Vec<String> {
+/// Violations of the platform's deploy terms by a process, which should listen on the given port only.
+fn term_violations(pid: u32, port: u16) -> Vec<String> {
     let proc = PathBuf::from(format!("/proc/{pid}"));
     let mut found = Vec::new();
     let exe = fs::read_link(proc.join("exe")).unwrap_or_default();
@@ -127,20 +127,20 @@
             .map(|child| format!("child {child}")),
     );
     let descriptors = Descriptors::of(&proc);
-    found.extend(descriptors.against_terms);
+    found.extend(descriptors.unexpected);
     found.extend(unexpected_sockets(&proc, &descriptors.socket_inodes, port));
     found
 }
 
-/// The descriptors of a process.
+/// The open descriptors of a process.
 struct Descriptors {
-    /// Those that are neither sockets nor what an event loop needs.
-    against_terms: Vec<String>,
+    /// Descriptors that are neither sockets nor used by an event loop.
+    unexpected: Vec<String>,
     socket_inodes: BTreeSet<String>,
 }
 
 impl Descriptors {
-    /// What a loop may wait for.
+    /// Descriptors that an event loop uses.
     const EVENT_LOOP: [&'static str; 4] = [
         "anon_inode:[eventpoll]",
         "anon_inode:[eventfd]",
@@ -148,19 +148,19 @@
         "anon_inode:[timerfd]",
     ];
 
-    /// Reads them from the process's directory in `/proc`.
+    /// Reads the descriptors from the process's directory in `/proc`.
     fn of(proc: &Path) -> Descriptors {
-        // What whoever runs the tests leaves open to all below is not the program's.
-        let inherited = fs::read_dir("/proc/self/fd").expect("our descriptors");
+        // Descriptors that the test process has inherited too are not opened by the program.
+        let inherited = fs::read_dir("/proc/self/fd").expect("the test's descriptors");
         let inherited: BTreeSet<PathBuf> = inherited
             .flatten()
             .filter_map(|fd| fs::read_link(fd.path()).ok())
             .collect();
         let mut descriptors = Descriptors {
-            against_terms: Vec::new(),
+            unexpected: Vec::new(),
             socket_inodes: BTreeSet::new(),
         };
-        let own = fs::read_dir(proc.join("fd")).expect("its descriptors");
+        let own = fs::read_dir(proc.join("fd")).expect("the process's descriptors");
         for fd in own.flatten() {
             let target = fs::read_link(fd.path()).unwrap_or_default();
             if !inherited.contains(&target) {
@@ -178,15 +178,15 @@
             self.socket_inodes.insert(inode.to_string());
         } else if !Self::EVENT_LOOP.contains(&target) && target != "/dev/null" && !target.is_empty()
         {
-            self.against_terms.push(format!("descriptor of {target}"));
+            self.unexpected.push(format!("descriptor of {target}"));
         }
     }
 }
 
-/// The process's sockets but for the listener at this port and the connections over TCP.
+/// The process's sockets other than the listener on the given port and TCP connections.
 fn unexpected_sockets(proc: &Path, inodes: &BTreeSet<String>, port: u16) -> Vec<String> {
     let mut found = Vec::new();
-    // The columns of the kernel's tables: address, state and inode; for Unix sockets the inode alone.
+    // The columns of the kernel's tables differ: address, state and inode, or for Unix sockets only the inode.
     for table in ["tcp", "tcp6", "udp", "udp6", "raw", "packet", "unix"] {
         let text = fs::read_to_string(proc.join("net").join(table)).unwrap_or_default();
         for line in text.lines().skip(1) {
@@ -208,9 +208,9 @@
     found
 }
 
-fn threads_wait(pid: u32) -> bool {
+fn all_threads_sleep(pid: u32) -> bool {
     let tasks = fs::read_dir(format!("/proc/{pid}/task"))
-        .expect("its threads")
+        .expect("the threads of the process")
         .flatten();
     tasks
         .into_iter()
@@ -218,47 +218,53 @@
 }
 
 #[test]
-fn run_becomes_one_process_with_one_listener_and_nothing_else() {
+fn the_run_command_starts_one_process_with_one_listener() {
     let worker = Worker::plain();
     let root = DeployRoot::new("run");
     let reserved = reserve();
     let port = reserved.address();
     let config = write_configuration(&configuration_for(&[&worker]), port);
     let before = root.files();
-    let running = root.shell(&deployed("run"), &config);
-    until("it listens", || std::net::TcpStream::connect(port).is_ok());
+    let running = root.shell(&deploy_value("run"), &config);
+    until("the program listens", || {
+        std::net::TcpStream::connect(port).is_ok()
+    });
     let mut client = Client::to(port);
     for id in 1..=20 {
         client.send(&call(id).text());
         assert_eq!(client.answer_status(), Some(200));
     }
     let pid = Pid::from_child(&running.child);
-    kill_process(pid, Signal::HUP).expect("it runs");
+    kill_process(pid, Signal::HUP).expect("the program runs");
     client.send(&call(21).text());
     assert_eq!(client.answer_status(), Some(200), "after SIGHUP");
-    // The shell's own id: it has become the program.
+    // The shell has replaced itself by the program, which has the shell's process id.
     assert_eq!(
-        against_terms(running.child.id(), port.port()),
+        term_violations(running.child.id(), port.port()),
         Vec::<String>::new()
     );
-    until("every thread waits", || threads_wait(running.child.id()));
-    assert_eq!(root.files(), before, "files come and go");
+    until("all threads sleep", || {
+        all_threads_sleep(running.child.id())
+    });
+    assert_eq!(root.files(), before, "the program created or removed files");
     fs::remove_file(config).expect("the configuration");
 }
 
 #[test]
-fn what_is_against_the_terms_is_seen() {
+fn violations_of_the_deploy_terms_are_detected() {
     let root = DeployRoot::new("planted");
     let none = root.path.join("none");
     let reserved = [reserve(), reserve()];
     let [grpc, http] = reserved.each_ref().map(ReservedAddress::address);
-    // Two listeners and a file open for its output, under a shell that does not become the program.
+    // The program has two listeners and an open output file, and is a child of a shell that keeps running.
     let line = format!(
         "target/release/tansy-gateway --embedded --listen {grpc} --http {http} >tmp/out 2>&1; true"
     );
     let shell = root.shell(&line, &none);
-    until("it listens", || std::net::TcpStream::connect(http).is_ok());
-    let of_shell = against_terms(shell.child.id(), grpc.port());
+    until("the program listens", || {
+        std::net::TcpStream::connect(http).is_ok()
+    });
+    let of_shell = term_violations(shell.child.id(), grpc.port());
     assert!(
         of_shell.iter().any(|f| f.starts_with("child")),
         "{of_shell:?}"
@@ -268,7 +274,7 @@
         "{of_shell:?}"
     );
     let program = children(shell.child.id())[0];
-    let of_program = against_terms(program, grpc.port());
+    let of_program = term_violations(program, grpc.port());
     assert!(
         of_program
             .iter()
--- a/programs/gateway/tests/platform/descriptors.rs
+++ b/programs/gateway/tests/platform/descriptors.rs
@@ -1,4 +1,5 @@
-//! Clients that take every descriptor they can get, while the list's source is down and workers are replaced.
+//! Tests of a front end whose descriptors are exhausted by client connections, also while the coordinator is unreachable or
+//! workers are replaced.
 
 use crate::harness::manual::{reset_on_close, ManualFrontEnd, ManualWorker};
 use crate::harness::process::{cpu_ticks, reserve, GatewayProcess};
@@ -10,8 +11,9 @@
 
 const SOCKETS: usize = 96;
 
-/// Clients that fill what there is: a third says nothing, a third half a request, a third is idle after an answer.
-fn fill(process: &GatewayProcess) -> Vec<Client> {
+/// Opens as many client connections as the front end has descriptors. A third sends nothing, a third sends half a request, and a
+/// third is idle after an answer.
+fn exhaust_descriptors(process: &GatewayProcess) -> Vec<Client> {
     let half = call(1).text()[..60].to_string();
     let mut all = Vec::new();
     for number in 0..SOCKETS {
@@ -27,14 +29,14 @@
 }
 
 #[test]
-fn the_list_its_new_worker_and_an_honest_client_get_theirs() {
+fn the_endpoint_poll_a_new_worker_and_a_new_client_get_descriptors() {
     let (old, new) = (Worker::plain(), Worker::plain());
-    // Nobody listens there yet.
-    let waits = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    waits
+    // The coordinator's address is bound, but does not accept connections yet.
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    socket
         .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
         .unwrap();
-    let coordinator = waits.local_addr().unwrap().as_socket().unwrap();
+    let coordinator = socket.local_addr().unwrap().as_socket().unwrap();
     let configuration = PlatformConfiguration {
         sockets: SOCKETS,
         coordinator,
@@ -42,41 +44,49 @@
     };
     let process = GatewayProcess::start(&configuration);
     process.limit_descriptors(SOCKETS as u64);
-    let filling = fill(&process);
-    assert_eq!(honest(&process, 1), 200, "beside all that");
+    let filling = exhaust_descriptors(&process);
+    assert_eq!(
+        new_client_status(&process, 1),
+        200,
+        "with exhausted descriptors"
+    );
     assert_eq!(old.commands("fire").len(), 1);
-    waits.listen(16).unwrap();
-    let listener = TcpListener::from(waits);
-    let (mut asked, _) = listener.accept().unwrap();
+    socket.listen(16).unwrap();
+    let listener = TcpListener::from(socket);
+    let (mut poll, _) = listener.accept().unwrap();
     let event = format!(
         r#"{{"index":2,"updates":[{{"index":2,"endpoints":{{"full":true,"servers":[
         {{"id":"s-9","addr":"{}","zone":"a","kind":"k","state":"Ready"}}]}}}}]}}"#,
         new.address
     );
-    std::io::Write::write_all(&mut asked, &reply(&event)).unwrap();
+    std::io::Write::write_all(&mut poll, &reply(&event)).unwrap();
     until("the new worker is called", || {
-        honest(&process, 2) == 200 && !new.commands("fire").is_empty()
+        new_client_status(&process, 2) == 200 && !new.commands("fire").is_empty()
     });
-    let more = fill(&process);
-    assert_eq!(honest(&process, 3), 200, "and again");
+    let more = exhaust_descriptors(&process);
+    assert_eq!(
+        new_client_status(&process, 3),
+        200,
+        "with further connections"
+    );
     drop((filling, more));
     assert!(process.descriptors() <= SOCKETS);
     assert!(
         process.cpu_ticks() < 100,
-        "{} hundredths of a second of CPU: it spins",
+        "busy loop: {} hundredths of a second of CPU time",
         process.cpu_ticks()
     );
 }
 
-/// The status of a new client's call, which is not made to wait until those in its way give up.
-fn honest(process: &GatewayProcess, id: u64) -> u16 {
+/// The status of a call by a new client, which must not wait until other connections time out.
+fn new_client_status(process: &GatewayProcess, id: u64) -> u16 {
     let began = Instant::now();
     let once = || {
         let mut client = Client::to(process.address);
         client.send(&call(id).text());
         client.answer_status()
     };
-    // A request that crosses the close of its connection, silent until then, is sent once more: the page's clients do.
+    // Like the platform's clients, the client retries once if its connection is closed before it is answered.
     let status = once().or_else(once).unwrap_or(0);
     assert!(
         began.elapsed() < Duration::from_millis(1200),
@@ -87,35 +97,35 @@
 }
 
 #[test]
-fn without_a_descriptor_for_a_worker_a_call_is_refused_and_the_worker_is_not_blamed() {
+fn a_lack_of_descriptors_refuses_a_call_and_does_not_count_against_the_worker() {
     let worker = Worker::plain();
     let process = GatewayProcess::start(&configuration_for(&[&worker]));
     let mut client = Client::to(process.address);
     client.send("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(client.answer_status(), Some(200));
-    // Not one more.
+    // The front end can open no further descriptor.
     process.limit_descriptors(0);
     client.send(&call(1).with_timeout_ms(300).text());
     assert_eq!(
         client.answer_status(),
         Some(503),
-        "nothing was sent: trying again is harmless"
+        "nothing was sent, so the call may be retried"
     );
     process.limit_descriptors(256);
     client.send(&call(2).text());
     assert_eq!(client.answer_status(), Some(200));
-    // A worker under suspicion is asked whether it answers, at no load.
-    let asks = worker
+    // A worker that is suspected of a failure is probed by a load command with no replicas.
+    let probes = worker
         .commands("provision")
         .into_iter()
         .filter(|command| command.words[2].ends_with("replicas=0"));
-    assert_eq!(asks.count(), 0);
+    assert_eq!(probes.count(), 0);
 }
 
 #[test]
-fn a_connection_with_a_request_in_its_buffer_is_not_the_one_to_make_room() {
+fn a_connection_with_an_unread_request_is_not_evicted() {
     let mut worker = ManualWorker::start();
-    // Room for ten clients.
+    // The limit on sockets leaves ten client connections.
     let mut front_end = ManualFrontEnd::start(&PlatformConfiguration {
         sockets: 56,
         ..configuration_at(&[worker.address])
@@ -129,7 +139,7 @@
         idle.push(client);
     }
     assert_eq!(front_end.platform.clients().len(), 10);
-    // The oldest asks again as a new client comes; the loop learns of both at once.
+    // The client with the oldest connection sends a call while a new client connects. The event loop sees both at once.
     let mut new = front_end.send(&call(20));
     idle[0].send(&call(21).text());
     for _ in 0..2 {
@@ -140,13 +150,13 @@
         (front_end.answer(&mut new), front_end.answer(&mut idle[0])),
         (200, 200)
     );
-    front_end.until("another gives way", |platform| {
+    front_end.until("another connection is evicted", |platform| {
         (platform.clients().len() <= 10).then_some(())
     });
 }
 
 #[test]
-fn a_flood_of_clients_that_connect_and_reset() {
+fn clients_that_connect_and_reset_do_not_exhaust_descriptors() {
     let worker = Worker::plain();
     let process = GatewayProcess::start(&PlatformConfiguration {
         sockets: SOCKETS,
@@ -160,12 +170,12 @@
             reset_on_close(&client);
         }
         process.resume();
-        assert_eq!(honest(&process, round), 200, "round {round}");
+        assert_eq!(new_client_status(&process, round), 200, "round {round}");
     }
 }
 
 #[test]
-fn without_descriptors_accepting_rests_and_serving_goes_on() {
+fn a_lack_of_descriptors_pauses_accepting_but_not_serving() {
     let worker = Worker::plain();
     let reserved = reserve();
     let port = reserved.address();
@@ -180,30 +190,24 @@
         .stdout(Stdio::null())
         .spawn()
         .unwrap();
-    until("it listens", || std::net::TcpStream::connect(port).is_ok());
+    until("the front end listens", || {
+        std::net::TcpStream::connect(port).is_ok()
+    });
     let mut open = Client::to(port);
     open.send(&call(1).text());
     assert_eq!(open.answer_status(), Some(200));
-    // Far more than there are descriptors for; they say nothing, and give way or are closed in time.
+    // More silent connections than there are descriptors. They are evicted or closed by a timeout.
     let silent: Vec<Client> = (0..60).map(|_| Client::to(port)).collect();
     open.send(&call(2).text());
-    assert_eq!(
-        open.answer_status(),
-        Some(200),
-        "on a connection that stands"
-    );
+    assert_eq!(open.answer_status(), Some(200), "on an open connection");
     let mut new = Client::to(port);
     new.send(&call(3).text());
-    assert_eq!(
-        new.answer_status(),
-        Some(200),
-        "on a new one, behind them all"
-    );
+    assert_eq!(new.answer_status(), Some(200), "on a new connection");
     drop(silent);
     let ticks = cpu_ticks(child.id());
     assert!(
         ticks < 60,
-        "{ticks} hundredths of a second of CPU: it spins"
+        "busy loop: {ticks} hundredths of a second of CPU time"
     );
     kill_process(Pid::from_child(&child), Signal::TERM).unwrap();
     assert_eq!(child.wait().unwrap().code(), Some(0));
--- a/programs/gateway/tests/platform/faults.rs
+++ b/programs/gateway/tests/platform/faults.rs
@@ -1,5 +1,5 @@
-//! System calls that fail, connections and lists that come late: what is taken is answered in its client's time, and workers
-//! are given no more time than there is.
+//! Tests with failing system calls, late connections and slow coordinators: accepted calls are answered before their deadlines,
+//! and workers are given no more time than remains.
 
 use crate::harness::manual::ManualCoordinator;
 use crate::harness::process::{reserve, GatewayProcess};
@@ -11,8 +11,8 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn an_interrupted_read_of_signals_ends_nothing() {
-    // The worker answers once the program has been told to end.
+fn an_interrupted_read_of_signals_does_not_end_the_program() {
+    // The worker answers after the program has received SIGTERM.
     let (release, released) = std::sync::mpsc::channel::<()>();
     let worker = Worker::start(serving(move |_| {
         let _ = released.recv_timeout(Duration::from_secs(5));
@@ -20,7 +20,7 @@
     }));
     let reserved = reserve();
     let address = reserved.address();
-    // Most reads of the signals' descriptor are interrupted.
+    // Most reads of the signal descriptor are interrupted.
     let mut process = GatewayProcess::spawn_with_faults(
         &configuration_for(&[&worker]),
         address,
@@ -29,12 +29,14 @@
     process.wait_until_alive();
     let mut client = Client::to(address);
     client.send(&call(1).text());
-    until("the call is out", || !worker.commands("fire").is_empty());
+    until("the worker has the call", || {
+        !worker.commands("fire").is_empty()
+    });
     process.signal(Signal::HUP);
     process.signal(Signal::TERM);
     release.send(()).unwrap();
     assert_eq!(client.answer_status(), Some(200));
-    // It serves through its window, and ends in good order.
+    // The program serves through its shutdown window and exits normally.
     let mut later = Client::to(address);
     later.send(&call(2).text());
     release.send(()).unwrap();
@@ -43,7 +45,7 @@
 }
 
 #[test]
-fn a_worker_is_told_the_time_that_is_left_when_its_late_connection_is_up() {
+fn a_late_connection_reduces_the_timeout_that_the_worker_is_given() {
     let LateConnection {
         mut front_end,
         mut worker,
@@ -54,37 +56,37 @@
     front_end.run_for(Duration::from_millis(600));
     accept_late_connection(&mut worker, 3);
     let command = front_end.next_command(&mut worker, "fire");
-    // The call has 2 s from before it was chosen; a little of it is kept for the answer's way.
+    // The call has a timeout of 2 s, which began before `chosen`.
     let left = 2000 - chosen.elapsed().as_millis() as u64;
     let given = command.patience_ms();
     assert!(
         given <= left + PATIENCE_SLACK_MS,
-        "told {given} ms where the client had {left} left"
+        "the worker was given {given} ms with {left} ms left"
     );
 }
 
 #[test]
-fn a_list_that_is_told_slowly_is_heard_all_the_same() {
+fn slow_replies_of_the_coordinator_are_applied() {
     let ManualSetup {
         mut front_end,
         mut coordinator,
         worker: _worker,
     } = ManualSetup::start();
     let drains = r#"{"index":2,"updates":[{"index":2,"endpoints":{"servers":[{"id":"s-0","state":"Terminating"}]}}]}"#;
-    // Each reply takes this long from its poll.
-    let slow = Duration::from_millis(1700);
+    // Time from each poll to its reply.
+    let reply_delay = Duration::from_millis(1700);
     let mut due: Vec<(Instant, usize)> = Vec::new();
     let began = Instant::now();
     while front_end.platform.poller().index() < 2 {
-        // An event counts as told 7 s after it happened, whatever discovery does.
+        // The platform expects an event to be applied within 7 s.
         assert!(
             began.elapsed() < Duration::from_secs(7),
-            "never heard; asked {} times",
+            "the event was not applied in time, after {} polls",
             coordinator.polls.len()
         );
         front_end.run_for(Duration::from_millis(10));
         if let Some(connection) = coordinator.next_poll() {
-            due.push((Instant::now() + slow, connection));
+            due.push((Instant::now() + reply_delay, connection));
         }
         if due.first().is_some_and(|d| d.0 <= Instant::now()) {
             let (_, connection) = due.remove(0);
@@ -94,7 +96,7 @@
 }
 
 #[test]
-fn a_start_bears_what_accept_bears() {
+fn temporary_failures_of_system_calls_do_not_end_the_start() {
     let worker = Worker::plain();
     let configuration = configuration_for(&[&worker]);
     for rules in [
@@ -115,7 +117,7 @@
 }
 
 #[test]
-fn a_start_waits_for_the_process_before_it_to_leave_the_address() {
+fn a_start_waits_until_the_previous_process_releases_the_address() {
     let worker = Worker::plain();
     let configuration = configuration_for(&[&worker]);
     let mut before = GatewayProcess::start(&configuration);
@@ -123,8 +125,8 @@
         write_configuration(&configuration, before.address),
         before.address,
     );
-    // It has come as far as the address, which is in use.
-    until("it waits", || {
+    // The new process tries to bind the address, which is in use.
+    until("the new process waits", || {
         after.handles_signals() && after.state() == "S"
     });
     assert_eq!(before.terminate(), Some(0));
@@ -133,7 +135,7 @@
 }
 
 #[test]
-fn logs_that_nobody_reads_do_not_stop_service() {
+fn unread_logs_do_not_block_the_service() {
     let worker = Worker::plain();
     let reserved = reserve();
     let address = reserved.address();
@@ -142,12 +144,12 @@
     let mut process = GatewayProcess::spawn_with(path, address, |command| {
         let (read, write) = std::io::pipe().unwrap();
         command.args(["--log", "debug"]).stderr(write);
-        // Open, and never read.
+        // The reading end stays open, but is never read.
         logs = Some(read);
     });
     process.wait_until_alive();
     let mut client = Client::to(address);
-    // Each call is worth some hundred bytes of logs; a pipe holds 64 KiB.
+    // Each call produces some hundred bytes of logs; a pipe holds 64 KiB.
     for id in 1..=600 {
         client.send(&call(id).text());
         assert_eq!(client.answer_status(), Some(200), "call {id}");
@@ -156,19 +158,19 @@
     drop(logs);
 }
 
-/// The age, in microseconds, that the log gives for a worker as it is listed.
+/// The age of a worker, in microseconds, in the log line of its listing.
 fn logged_age_us(log: PipeReader, worker: &str) -> i64 {
     let mut lines = BufReader::new(log).lines().map_while(Result::ok);
     let line = lines
         .find(|line| line.contains("is listed") && line.contains(worker))
-        .expect("it is listed");
+        .expect("a log line of the worker's listing");
     let age = line.split("age=Some(").nth(1).unwrap();
     age.split(')').next().unwrap().parse().unwrap()
 }
 
 #[test]
-fn a_stepped_wall_clock_makes_no_worker_older() {
-    // Stepped in service, and wrong at the start and set right in service.
+fn a_step_of_the_wall_clock_does_not_change_the_age_of_workers() {
+    // `from`: the clock is stepped while the program runs. `until`: it is wrong at the start and corrected later.
     for (when, by) in [
         ("from", 3600),
         ("from", -3600),
@@ -196,7 +198,7 @@
         process.wait_until_alive();
         let began = Instant::now();
         let mut polled = None;
-        until("it polls after the step", || {
+        until("a poll after the step", || {
             polled = coordinator.next_poll().or(polled);
             began.elapsed() > Duration::from_millis(500) && polled.is_some()
         });
@@ -213,20 +215,20 @@
         let age = logged_age_us(logs, "s-9");
         assert!(
             (0..2_000_000).contains(&age),
-            "a worker that started now is {age} us old, clock off by {by} s {when} 0.3 s"
+            "a worker that has just started is {age} us old, clock off by {by} s {when} 0.3 s"
         );
         assert_eq!(process.terminate(), Some(0));
     }
 }
 
 #[test]
-fn a_long_backlog_of_changes_is_heard() {
+fn a_long_backlog_of_events_is_applied() {
     let ManualSetup {
         mut front_end,
         mut coordinator,
         worker: _worker,
     } = ManualSetup::start();
-    // What a rollout of thousands of workers leaves behind while the coordinator is out of reach.
+    // The events of a rollout of thousands of workers, during which the coordinator is unreachable.
     const EVENTS: u64 = 9_000;
     let event = |index: u64| {
         let state = ["Terminating", "Gone", "Ready"][index as usize % 3];
@@ -240,20 +242,20 @@
     let body = format!(r#"{{"index":{EVENTS},"updates":[{}]}}"#, events.join(","));
     assert!(body.len() > 1_500_000, "{}", body.len());
     let bytes = reply(&body);
-    // The connection of the poll, and how much of the reply has been written.
+    // The connection of the poll, and the number of bytes of the reply that have been written.
     let mut writing: Option<(usize, usize)> = None;
     let began = Instant::now();
     while front_end.platform.poller().index() < EVENTS {
         assert!(
             began.elapsed() < Duration::from_secs(7),
-            "never heard; asked {} times",
+            "the events were not applied in time, after {} polls",
             coordinator.polls.len()
         );
         front_end.run_for(Duration::from_millis(1));
         if let Some(connection) = coordinator.next_poll() {
             writing = Some((connection, 0));
         }
-        // As much as the kernel takes, turn by turn.
+        // Writes as much as the kernel accepts in each iteration.
         if let Some((connection, written)) = writing {
             writing = coordinator
                 .write_some(connection, &bytes[written..])
--- a/programs/gateway/tests/platform/idle_clients.rs
+++ b/programs/gateway/tests/platform/idle_clients.rs
@@ -1,11 +1,11 @@
-//! Clients that are silent or slow: they are closed in time, make room for others, and cost no memory.
+//! Tests of silent and slow clients: their connections time out, are evicted in favour of others, and do not accumulate memory.
 
 use crate::harness::*;
 use std::io::{ErrorKind, Read, Write};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Sends a byte now and then, never a whole request, until the connection ends or five seconds are over.
+/// Sends single bytes, never a whole request, until the connection ends or five seconds have passed.
 fn trickle(client: &mut Client, began: Instant) {
     let text = call(2).text();
     let mut bytes = text.bytes();
@@ -26,8 +26,8 @@
     }
 }
 
-/// On a thread of its own: whether a client's connection is ended, and after how long.
-fn end_of_client(mut client: Client, trickles: bool) -> JoinHandle<(bool, Duration)> {
+/// Watches a client's connection on a new thread. The result tells whether the connection has ended, and after what time.
+fn watch_client(mut client: Client, trickles: bool) -> JoinHandle<(bool, Duration)> {
     std::thread::spawn(move || {
         let began = Instant::now();
         if trickles {
@@ -39,19 +39,19 @@
 }
 
 #[test]
-fn silent_and_trickling_clients_are_closed_in_time_and_honest_idle_ones_are_not() {
+fn silent_and_slow_clients_time_out_and_idle_clients_do_not() {
     let worker = Worker::plain();
     let front_end = FrontEnd::start(&configuration_for(&[&worker]));
-    let mut honest = front_end.connect();
-    honest.send(&call(1).text());
-    assert_eq!(honest.answer_status(), Some(200));
-    let idle = Instant::now();
+    let mut idle = front_end.connect();
+    idle.send(&call(1).text());
+    assert_eq!(idle.answer_status(), Some(200));
+    let idle_since = Instant::now();
     let mut half = front_end.connect();
     half.send(&call(3).text()[..40]);
     let all = [
-        end_of_client(front_end.connect(), false),
-        end_of_client(front_end.connect(), true),
-        end_of_client(half, false),
+        watch_client(front_end.connect(), false),
+        watch_client(front_end.connect(), true),
+        watch_client(half, false),
     ];
     for one in all {
         let (ended, took) = one.join().unwrap();
@@ -60,19 +60,18 @@
             "{ended} after {took:?}"
         );
     }
-    // A connection that has been answered may be idle for the page's four seconds.
-    let left = Duration::from_secs(4).saturating_sub(idle.elapsed());
-    assert!(!honest.ends_within(left));
-    honest
-        .socket
+    // After an answer, the platform's clients may leave a connection idle for four seconds.
+    let left = Duration::from_secs(4).saturating_sub(idle_since.elapsed());
+    assert!(!idle.ends_within(left));
+    idle.socket
         .set_read_timeout(Some(Duration::from_secs(5)))
         .unwrap();
-    honest.send(&call(4).text());
-    assert_eq!(honest.answer_status(), Some(200));
+    idle.send(&call(4).text());
+    assert_eq!(idle.answer_status(), Some(200));
 }
 
 #[test]
-fn silent_connections_make_room_and_memory_stays_flat() {
+fn silent_connections_are_evicted_and_tables_do_not_grow() {
     let worker = Worker::plain();
     let configuration = PlatformConfiguration {
         sockets: 64,
@@ -81,14 +80,14 @@
     let front_end = FrontEnd::start(&configuration);
     let silent: Vec<Client> = (0..100).map(|_| front_end.connect()).collect();
     for id in 0..300 {
-        let ever_new = Call {
+        let new_function = Call {
             function: id,
             ..call(id)
         };
         assert_eq!(
-            front_end.call(&ever_new).0,
+            front_end.call(&new_function).0,
             200,
-            "call {id} beside 100 silent connections"
+            "call {id} with 100 silent connections"
         );
     }
     drop(silent);
--- a/programs/gateway/tests/platform/polls.rs
+++ b/programs/gateway/tests/platform/polls.rs
@@ -1,4 +1,4 @@
-//! Polls of the coordinator: broken replies, stalled ones, and another coordinator.
+//! Tests of polls of the coordinator: truncated and stalled replies, and a change of the coordinator.
 
 use crate::harness::configuration::workers_in_state;
 use crate::harness::*;
@@ -6,7 +6,7 @@
 use tansy_test_support::platform_configuration::WorkerState;
 
 #[test]
-fn a_poll_that_breaks_or_stalls_is_asked_again_from_the_last_whole_event() {
+fn a_truncated_or_stalled_poll_is_retried_from_the_last_complete_event() {
     let (worker, coordinator) = (Worker::plain(), Coordinator::start());
     let configuration = PlatformConfiguration {
         coordinator: coordinator.address,
@@ -18,7 +18,7 @@
         target.starts_with("/v2/stream?follow=1&wait_ms="),
         "{target}"
     );
-    // Broken off in the middle of an event.
+    // The reply is truncated in the middle of an event.
     let gone = format!(
         r#"{{"index":2,"updates":[{{"index":2,"endpoints":{{"full":false,"servers":[{}]}}}}]}}"#,
         workers_in_state(&configuration, WorkerState::Gone)
@@ -28,14 +28,14 @@
     socket.shutdown(std::net::Shutdown::Both).unwrap();
     let (target, mut stalled) = coordinator.next_poll();
     assert!(target.contains("follow=1&"), "{target}");
-    // Half an event, and then nothing.
+    // The reply stalls in the middle of an event.
     stalled.write_all(&whole[..whole.len() / 2]).unwrap();
     let (target, mut socket) = coordinator.next_poll();
     assert!(target.contains("follow=1&"), "{target}");
     assert_eq!(
         front_end.call(&call(1)).0,
         200,
-        "half an event says nothing"
+        "an incomplete event is not applied"
     );
     socket.write_all(&whole).unwrap();
     let (target, _socket) = coordinator.next_poll();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_new_configuration_moves_the_poll_and_a_bad_one_changes_nothing() {
+fn a_new_configuration_moves_the_poll_and_an_invalid_one_changes_nothing() {
     let (worker, old, new) = (Worker::plain(), Coordinator::start(), Coordinator::start());
     let mut configuration = PlatformConfiguration {
         coordinator: old.address,
@@ -68,10 +68,13 @@
     std::fs::write(&front_end.path, &text[..text.len() / 2]).unwrap();
     front_end.reload();
     assert_eq!(front_end.call(&call(1)).0, 200);
-    assert!(new.polls.try_recv().is_err(), "half a file");
+    assert!(
+        new.polls.try_recv().is_err(),
+        "an incomplete file was applied"
+    );
     std::fs::write(&front_end.path, &text).unwrap();
     front_end.reload();
     let (target, _socket) = new.next_poll();
-    assert!(target.contains("follow=5&"), "the numbers go on: {target}");
+    assert!(target.contains("follow=5&"), "the index is kept: {target}");
     assert_eq!(front_end.call(&call(2)).0, 200);
 }
--- a/programs/gateway/tests/platform/suspension.rs
+++ b/programs/gateway/tests/platform/suspension.rs
@@ -1,4 +1,5 @@
-//! A process that stands still for a while: what came meanwhile waits in the kernel, and is answered in its client's time.
+//! Tests of a suspended process: requests and answers that arrive meanwhile wait in the kernel, and are handled before the
+//! clients' deadlines.
 
 use crate::harness::process::GatewayProcess;
 use crate::harness::worker::PATIENCE_SLACK_MS;
@@ -6,10 +7,10 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn time_counts_from_the_last_byte_of_a_request_that_waited_in_the_kernel() {
+fn the_timeout_of_a_request_includes_its_time_in_the_kernel() {
     let worker = Worker::plain();
     let mut process = GatewayProcess::start(&configuration_for(&[&worker]));
-    // A connection that was answered before, and one that is not accepted yet.
+    // One connection has been used before, and two are not accepted yet.
     let mut known = process.warm_client();
     process.suspend();
     let mut fresh = Client::to(process.address);
@@ -18,7 +19,7 @@
     fresh.send(&call(3).with_timeout_ms(2000).text());
     short.send(&call(4).with_timeout_ms(300).text());
     let sent = Instant::now();
-    until("they have waited", || {
+    until("the requests have waited", || {
         sent.elapsed() > Duration::from_millis(900)
     });
     let waited = sent.elapsed().as_millis() as u64;
@@ -29,34 +30,36 @@
     let status = short.answer_status();
     assert!(
         matches!(status, Some(503 | 504)),
-        "its time was over: {status:?}"
+        "the deadline had passed: {status:?}"
     );
     let calls = worker.commands("fire");
-    assert_eq!(calls.len(), 3, "a call whose time was over was sent on");
+    assert_eq!(calls.len(), 3, "a call was sent after its deadline");
     for command in &calls[1..] {
         let (given, left) = (command.patience_ms(), 2000 - waited);
         assert!(
             given <= left + PATIENCE_SLACK_MS,
-            "told {given} ms where the client had {left} left"
+            "the worker was given {given} ms with {left} ms left"
         );
     }
     assert_eq!(process.terminate(), Some(0));
 }
 
 #[test]
-fn an_answer_that_came_while_the_process_stood_still_is_given() {
+fn an_answer_that_arrives_during_a_suspension_is_returned() {
     for (safe, suspended_ms) in [(true, 600), (false, 600), (true, 1500), (false, 1500)] {
-        // The first call warms the worker; the second is answered when the test says so.
+        // The first call loads the function; the second is answered when the test releases it.
         let (worker, release) = held_back(&['2']);
         let mut process = GatewayProcess::start(&configuration_for(&[&worker]));
         let mut client = process.warm_client();
         let second = call(2).with_timeout_ms(2000);
         client.send(&if safe { second } else { second.once() }.text());
-        until("the call is out", || worker.commands("fire").len() == 2);
+        until("the worker has the call", || {
+            worker.commands("fire").len() == 2
+        });
         process.suspend();
         let suspended = Instant::now();
         release.send(()).unwrap();
-        until("it has stood still", || {
+        until("the suspension has lasted long enough", || {
             suspended.elapsed() > Duration::from_millis(suspended_ms)
         });
         process.resume();
@@ -69,18 +72,18 @@
         assert_eq!(
             worker.commands("fire").len(),
             2,
-            "safe: {safe}: sent again though it was answered"
+            "safe: {safe}: retried although it had been answered"
         );
         assert_eq!(process.terminate(), Some(0));
     }
 }
 
 #[test]
-fn a_request_whose_rest_came_while_the_process_stood_still_is_served() {
+fn a_request_that_is_completed_during_a_suspension_is_served() {
     let worker = Worker::plain();
     let mut process = GatewayProcess::start(&configuration_for(&[&worker]));
     let warm = process.warm_client();
-    // On a connection that was answered, and on new ones.
+    // One connection has been used before, and the others are new.
     let mut clients = vec![warm];
     clients.extend((0..6).map(|_| Client::to(process.address)));
     let began = Instant::now();
@@ -92,8 +95,8 @@
         .iter_mut()
         .zip(&texts)
         .for_each(|(client, text)| client.send(&text[..60]));
-    // A request may be in the making for 2 s, the first of a connection for 2.3 s.
-    until("half of it has been read for long", || {
+    // The timeout for reading a request is 2 s, and 2.3 s for the first request of a connection.
+    until("the first halves have been read", || {
         began.elapsed() > Duration::from_millis(1300)
     });
     process.suspend();
@@ -101,7 +104,7 @@
         .iter_mut()
         .zip(&texts)
         .for_each(|(client, text)| client.send(&text[60..]));
-    until("its time to be whole is over", || {
+    until("the timeout for reading a request has passed", || {
         began.elapsed() > Duration::from_millis(2500)
     });
     process.resume();
