--- a/programs/gateway/tests/platform/harness/mod.rs
+++ b/programs/gateway/tests/platform/harness/mod.rs
@@ -27,7 +27,7 @@
 pub use http::reply;
 pub use network::unused_address;
 pub use tansy_test_support::platform_configuration::PlatformConfiguration;
-pub use worker::{array, held_back, served, serving, Worker};
+pub use worker::{array, served, serving, worker_with_delayed_answers, Worker};
 
 use std::time::{Duration, Instant};
 
--- a/programs/gateway/tests/platform/harness/worker.rs
+++ b/programs/gateway/tests/platform/harness/worker.rs
@@ -90,7 +90,7 @@
 
 /// A worker that delays the answers to calls whose ids have one of the given last digits. The test releases each of them by
 /// sending to the returned channel.
-pub fn held_back(id_endings: &'static [char]) -> (Worker, Sender<()>) {
+pub fn worker_with_delayed_answers(id_endings: &'static [char]) -> (Worker, Sender<()>) {
     let (release, released) = channel::<()>();
     let worker = Worker::start(serving(move |command| {
         if command.id().ends_with(id_endings) {
--- a/programs/gateway/tests/platform/links.rs
+++ b/programs/gateway/tests/platform/links.rs
@@ -1,5 +1,5 @@
-//! Connections to workers: what was chosen for one may no longer leave when it can, and what comes on one may be for
-//! another.
+//! Tests of connections to workers: attempts that wait too long for a connection are not sent, and late answers are not taken
+//! for those of other attempts.
 
 use crate::harness::manual::{readable, ManualFrontEnd, ManualWorker};
 use crate::harness::*;
@@ -14,35 +14,35 @@
 }
 
 #[test]
-fn a_further_attempt_that_could_leave_only_after_the_window_does_not() {
-    for behind in [false, true] {
+fn a_retry_is_not_sent_after_the_deduplication_window() {
+    for after_window in [false, true] {
         let mut worker = ManualWorker::start();
         let mut front_end = ManualFrontEnd::start(&configuration_at(&[worker.address]));
         let mut client = front_end.send(&keyed(1));
         let first = front_end.next_command(&mut worker, "fire");
         assert!(
             first.words[2].ends_with(",op=k1"),
-            "the key goes on as it came: {:?}",
+            "the idempotency key is forwarded unchanged: {:?}",
             first.words
         );
         let began = Instant::now();
-        // It may have run; the class's repeats are dropped for one second.
+        // The call may have run. Workers drop duplicates of this class for one second.
         worker.answer(&first, "500", "-");
-        front_end.until("a further attempt is chosen", |platform| {
+        front_end.until("a retry is scheduled", |platform| {
             (platform.driver().worker_connections() == 3).then_some(())
         });
-        if behind {
-            // Its connection stands, in the kernel; the loop does not run.
+        if after_window {
+            // The connection of the retry is established in the kernel while the event loop does not run.
             until("the window is over", || {
                 began.elapsed() > Duration::from_millis(1050)
             });
             assert_eq!(
                 front_end.answer(&mut client),
                 503,
-                "refused: its repeats are dropped everywhere"
+                "no worker would drop a duplicate any more"
             );
             worker.read_all();
-            assert_eq!(worker.calls(1), 1, "a repeat after the window");
+            assert_eq!(worker.calls(1), 1, "a retry after the window");
         } else {
             let second = front_end.next_command(&mut worker, "fire");
             worker.serve(&second);
@@ -55,10 +55,10 @@
 fn a_late_answer_is_not_taken_for_another_call_of_the_same_id() {
     let mut worker = ManualWorker::start();
     let mut front_end = ManualFrontEnd::start(&configuration_at(&[worker.address]));
-    // Of a class that is not taken back from a worker for its silence, which a slow machine may look like.
+    // Calls of this class are not cancelled and retried when their worker is silent, as it may seem to be on a slow machine.
     let client = front_end.send(&call(1).once());
     let first = front_end.next_command(&mut worker, "fire");
-    // The connection is known to lead somewhere after that call was sent on it: it stays in use.
+    // An answer on the same connection shows that the connection works, so that it stays in use.
     let mut other = front_end.send(&call(9).once());
     let command = front_end.next_command(&mut worker, "fire");
     worker.serve(&command);
@@ -82,19 +82,22 @@
     assert_eq!(front_end.answer(&mut again), 200);
     assert_ne!(
         first.connection, second.connection,
-        "on one connection the two can't be told apart"
+        "on one connection the two answers can't be told apart"
     );
 }
 
 #[test]
-fn answers_that_come_when_nobody_waits_for_them_change_nothing() {
+fn late_and_duplicate_answers_are_ignored() {
     let mut worker = ManualWorker::start();
     let mut front_end = ManualFrontEnd::start(&configuration_at(&[worker.address]));
     let mut client = front_end.send(&call(1).with_timeout_ms(150));
     let first = front_end.next_command(&mut worker, "fire");
     let status = front_end.answer(&mut client);
-    assert!(status == 503 || status == 504, "{status}: its time is up");
-    // Too late, twice, and once more some milliseconds later.
+    assert!(
+        status == 503 || status == 504,
+        "{status}: the deadline has passed"
+    );
+    // Two late answers, and a third one some milliseconds later.
     worker.serve(&first);
     worker.serve(&first);
     front_end.run_for(Duration::from_millis(10));
@@ -107,11 +110,11 @@
     assert_eq!(front_end.platform.driver().table_sizes()[..3], [0, 0, 0]);
 }
 
-/// Longer than this an answer has to be out before its call is taken back from a worker for its silence.
-const SILENCE: Duration = Duration::from_millis(20);
+/// Minimum time without an answer after which a call is cancelled at a silent worker and retried.
+const MIN_SILENCE: Duration = Duration::from_millis(20);
 
-/// How often a call was sent once more though no connection had ended under its last attempt: that was taken back.
-fn taken_back(front_end: &ManualFrontEnd) -> usize {
+/// Number of attempts that were cancelled at a silent worker and retried, rather than ended by their connection.
+fn cancelled_attempts(front_end: &ManualFrontEnd) -> usize {
     let reasons = front_end.platform.driver().reasons.to_string();
     let total = |name: &str| {
         let mut entries = reasons
@@ -119,14 +122,18 @@
             .filter_map(|entry| entry.split_once('='));
         entries.find_map(|(entry, total)| (entry == name).then(|| total.parse::<usize>().unwrap()))
     };
-    // Its answer may still be read before the call goes again.
+    // The answer to a cancelled attempt may still be read before the call is retried.
     let names = ["repeated.no_answer_in_time", "repeated.ok"];
     names.into_iter().filter_map(total).sum()
 }
 
-/// A connection ends, closed or reset while idle, and a call is picked for it before the loop knows; nothing of the call
-/// was read, but that can't be proved.
-fn ends_as_a_request_is_picked(cancels: bool, resets: bool, class: &'static str) {
+/// A worker closes or resets an idle connection, and a call is assigned to it before the event loop notices. The worker reads
+/// nothing of the call, but the front end can't know that.
+fn check_connection_that_ends_as_a_call_is_assigned(
+    cancels: bool,
+    resets: bool,
+    class: &'static str,
+) {
     let name = format!("cancels: {cancels}, resets: {resets}, {class}");
     let mut worker = ManualWorker::start();
     let configuration = configuration_at(&[worker.address]).text(ANY_PORT);
@@ -145,13 +152,13 @@
         worker.close(command.connection);
     }
     second.socket.set_nonblocking(true).unwrap();
-    let mut again = None;
+    let mut retried_after = None;
     front_end.until("an answer", |_| {
         while let Some(command) = worker.next_command("fire") {
             worker.serve(&command);
         }
         if worker.calls(2) > 1 {
-            again.get_or_insert_with(|| began.elapsed());
+            retried_after.get_or_insert_with(|| began.elapsed());
         }
         readable(&second.socket)
     });
@@ -160,30 +167,30 @@
         status == 200 || class == "once" && (status == 502 || status == 503),
         "{name}: {status}"
     );
-    let taken_back = taken_back(&front_end);
+    let cancelled = cancelled_attempts(&front_end);
     assert!(
-        taken_back == 0 || cancels && class == "safe",
-        "{name}: taken back"
+        cancelled == 0 || cancels && class == "safe",
+        "{name}: {cancelled} attempts cancelled"
     );
     assert!(
-        worker.calls(2) <= 1 + taken_back,
-        "{name}: {} sends, {taken_back} taken back",
+        worker.calls(2) <= 1 + cancelled,
+        "{name}: {} sends, {cancelled} attempts cancelled",
         worker.calls(2)
     );
     assert!(
-        again.is_none_or(|after| after > SILENCE),
-        "{name}: sent again after {again:?}"
+        retried_after.is_none_or(|after| after > MIN_SILENCE),
+        "{name}: retried after {retried_after:?}"
     );
 }
 
 #[test]
-fn a_connection_that_ends_as_a_request_is_picked_for_it() {
-    // A safe call may be taken back from a worker for its silence, which a machine that gives this thread no time looks
-    // like; where the platform does not cancel, none is.
+fn a_connection_that_ends_as_a_call_is_assigned_to_it() {
+    // A safe call may be cancelled and retried when its worker is silent, as it may seem to be on an overloaded machine. If the
+    // platform does not support cancellation, no call is.
     for cancels in [false, true] {
         for resets in [false, true] {
             for class in ["safe", "once"] {
-                ends_as_a_request_is_picked(cancels, resets, class);
+                check_connection_that_ends_as_a_call_is_assigned(cancels, resets, class);
             }
         }
     }
--- a/programs/gateway/tests/platform/requests.rs
+++ b/programs/gateway/tests/platform/requests.rs
@@ -1,11 +1,11 @@
-//! What clients send: good calls are served, and what is not a call goes to no worker.
+//! Tests of client requests: valid calls are served, and invalid ones are not sent to any worker.
 
 use crate::harness::*;
 use std::io::Write;
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_call_is_served_with_the_workers_body_and_the_connection_goes_on() {
+fn calls_are_answered_with_the_workers_body_on_a_persistent_connection() {
     let worker = Worker::plain();
     let front_end = FrontEnd::start(&configuration_for(&[&worker]));
     let mut client = front_end.connect();
@@ -28,19 +28,19 @@
 
 const INVALID_TIMEOUTS: [&str; 6] = ["0", "-5", "abc", "1e9", "99999999", "nan"];
 
-/// Texts that are not a call in the page's form, each for one reason.
+/// Requests that violate the platform's protocol, each in one way.
 fn malformed_requests() -> Vec<String> {
-    let good = call(1);
-    let text = good.text();
+    let valid = call(1);
+    let text = valid.text();
     let with = |name: &'static str, value: &str| {
-        let mut headers = good.headers();
+        let mut headers = valid.headers();
         headers.insert(name, value.to_string());
-        good.text_with(&headers, "")
+        valid.text_with(&headers, "")
     };
     let without = |name: &'static str| {
-        let mut headers = good.headers();
+        let mut headers = valid.headers();
         headers.remove(name);
-        good.text_with(&headers, "")
+        valid.text_with(&headers, "")
     };
     let mut malformed = vec![
         "\u{16}\u{3}\u{1}noise\r\n\r\n".to_string(),
@@ -48,8 +48,8 @@
         text.replace("HTTP/1.1", "HTTP/1.0"),
         text.replace("/call", "/other"),
         text.replace("POST", "PUT"),
-        good.text_with(&good.headers(), "Transfer-Encoding: chunked\r\n"),
-        good.text_with(&good.headers(), "Content-Length: 6\r\n"),
+        valid.text_with(&valid.headers(), "Transfer-Encoding: chunked\r\n"),
+        valid.text_with(&valid.headers(), "Content-Length: 6\r\n"),
         format!("POST / HTTP/1.1\r\nX: {}", "y".repeat(100_000)),
         with("Content-Length", "60000000"),
         format!("{text}{}", call(2).text()),
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn what_is_not_the_pages_form_goes_to_no_worker() {
+fn malformed_requests_are_sent_to_no_worker() {
     let worker = Worker::plain();
     let front_end = FrontEnd::start(&configuration_for(&[&worker]));
     for text in malformed_requests() {
@@ -100,11 +100,15 @@
         assert!(began.elapsed() < Duration::from_secs(3));
     }
     assert_eq!(front_end.call(&call(9)).0, 200);
-    assert_eq!(worker.commands("fire").len(), 1, "only the good one");
+    assert_eq!(
+        worker.commands("fire").len(),
+        1,
+        "only the valid call is sent"
+    );
 }
 
 #[test]
-fn a_body_of_60_mb_gets_its_answer_while_it_is_still_being_sent() {
+fn a_body_of_60_mb_is_answered_while_it_is_still_being_sent() {
     let worker = Worker::plain();
     let front_end = FrontEnd::start(&configuration_for(&[&worker]));
     let mut client = front_end.connect();
@@ -135,12 +139,12 @@
 }
 
 #[test]
-fn the_id_of_an_open_request_is_turned_away_and_the_open_one_is_served() {
-    let (worker, release) = held_back(&['1']);
+fn a_second_call_with_the_id_of_an_open_call_is_rejected() {
+    let (worker, release) = worker_with_delayed_answers(&['1']);
     let front_end = FrontEnd::start(&configuration_for(&[&worker]));
     let mut first = front_end.connect();
     first.send(&call(1).text());
-    until("the first call is out", || {
+    until("the worker has the first call", || {
         worker.commands("fire").len() == 1
     });
     let other = Call {
@@ -151,13 +155,13 @@
     release.send(()).unwrap();
     assert_eq!(first.answer(), Some((200, "body 1".into())));
     assert_eq!(worker.commands("fire").len(), 1);
-    // Once it is answered its id is free again.
+    // No id stays in use after its call is answered.
     assert_eq!(front_end.call(&call(2)).0, 200);
     assert_eq!(front_end.stop().driver, [0, 0, 0, 1]);
 }
 
 #[test]
-fn a_client_that_leaves_or_sends_more_has_its_attempt_given_up() {
+fn the_attempt_of_a_client_that_disconnects_or_pipelines_is_cancelled() {
     for more in [false, true] {
         let worker = Worker::start(serving(|command| {
             (command.id().ends_with('1')).then(|| (Vec::new(), true))
@@ -165,13 +169,15 @@
         let front_end = FrontEnd::start(&configuration_for(&[&worker]));
         let mut client = front_end.connect();
         client.send(&call(1).text());
-        until("the call is out", || worker.commands("fire").len() == 1);
+        until("the worker has the call", || {
+            worker.commands("fire").len() == 1
+        });
         if more {
             client.send(&call(3).text());
             assert_eq!(client.answer_status(), Some(400));
         }
         drop(client);
-        until("it is given up", || {
+        until("the attempt is cancelled", || {
             worker.commands("never_mind").len() == 1
         });
         assert_eq!(
@@ -182,7 +188,7 @@
         assert_eq!(
             worker.commands("fire").len(),
             2,
-            "what came beside an open call goes nowhere"
+            "a request that was pipelined behind an open call is not sent"
         );
     }
 }
--- a/programs/gateway/tests/platform/settings.rs
+++ b/programs/gateway/tests/platform/settings.rs
@@ -1,41 +1,41 @@
-//! Settings of any customer: drawn at random within what is valid, each tried with a few calls. Every call has one answer
-//! in its time, under the names that the settings give, and a configuration that makes no sense ends the start.
+//! Tests with random valid settings: every call is answered before its deadline, with the names that the settings define. A front
+//! end does not start with an invalid configuration.
 
 use crate::harness::manual::{readable, ManualFrontEnd, ManualWorker};
 use crate::harness::*;
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A class that was drawn.
+/// A randomly generated class.
 #[derive(Clone, Debug)]
-struct DrawnClass {
+struct RandomClass {
     name: String,
-    /// Its calls carry an idempotency key.
+    /// Whether calls of the class have an idempotency key.
     keyed: bool,
     deadline_ms: u64,
 }
 
-/// A configuration that was drawn.
-struct DrawnSettings {
+/// A randomly generated configuration.
+struct RandomSettings {
     text: String,
-    classes: Vec<DrawnClass>,
-    attempts: u64,
+    classes: Vec<RandomClass>,
+    max_attempts: u64,
 }
 
-/// A name that no part of the program could know.
-fn draw_name(rng: &mut fastrand::Rng) -> String {
+/// Generates a name.
+fn random_name(rng: &mut fastrand::Rng) -> String {
     (0..rng.usize(1..12))
         .map(|_| *rng.choice(b"abcxyz-_.0189").unwrap_or(&b'x') as char)
         .collect()
 }
 
-/// Draws a whole configuration of a front end with one worker.
-fn draw_settings(rng: &mut fastrand::Rng, listen: &str, worker: &ManualWorker) -> DrawnSettings {
+/// Generates the configuration of a front end with one worker.
+fn random_settings(rng: &mut fastrand::Rng, listen: &str, worker: &ManualWorker) -> RandomSettings {
     let zones: Vec<String> = (0..rng.usize(0..4))
-        .map(|_| format!("\"{}\"", draw_name(rng)))
+        .map(|_| format!("\"{}\"", random_name(rng)))
         .collect();
     let (class_texts, classes): (Vec<String>, Vec<_>) = (0..rng.usize(1..6))
-        .map(|number| draw_class(rng, number))
+        .map(|number| random_class(rng, number))
         .unzip();
     let siblings = *rng.choice(&[1usize, 2, 30, 300]).unwrap_or(&1);
     let attempts = rng.u64(1..6);
@@ -55,21 +55,21 @@
         rng.usize(0..siblings),
         zones.join(","),
         class_texts.join(","),
-        draw_name(rng),
-        draw_limits_and_rules(rng, attempts),
-        draw_specifics(rng),
+        random_name(rng),
+        random_limits_and_rules(rng, attempts),
+        random_specifics(rng),
         rng.f64() * 0.01,
     );
-    DrawnSettings {
+    RandomSettings {
         text,
         classes,
-        attempts,
+        max_attempts: attempts,
     }
 }
 
-/// Draws a class: its text, and what the test has to know of it.
-fn draw_class(rng: &mut fastrand::Rng, number: usize) -> (String, DrawnClass) {
-    let name = format!("{}{number}", draw_name(rng));
+/// Generates a class. Returns its text and the values that the test needs.
+fn random_class(rng: &mut fastrand::Rng, number: usize) -> (String, RandomClass) {
+    let name = format!("{}{number}", random_name(rng));
     let deadline_ms = rng.u64(200..900);
     let effect = *rng
         .choice(&["read_like", "idempotency_key", "non_idempotent"])
@@ -85,7 +85,7 @@
         rng.f64() * 9.0,
         if rng.bool() { 0.0 } else { rng.f64() * 3.0 },
     );
-    let class = DrawnClass {
+    let class = RandomClass {
         name,
         keyed: effect == "idempotency_key",
         deadline_ms,
@@ -93,8 +93,8 @@
     (text, class)
 }
 
-/// Draws the fields `policy_limits`, `prices` and `rules`.
-fn draw_limits_and_rules(rng: &mut fastrand::Rng, attempts: u64) -> String {
+/// Generates the fields `policy_limits`, `prices` and `rules`.
+fn random_limits_and_rules(rng: &mut fastrand::Rng, attempts: u64) -> String {
     format!(
         r#""policy_limits":{{"cancel":{},"connect_timeout_s":{},"keepalive_s":{},"max_attempts":{attempts},"multiplex":{},
         "retry_after":{},"max_retry_after_s":{}}},
@@ -117,8 +117,8 @@
     )
 }
 
-/// Draws the field `specifics`.
-fn draw_specifics(rng: &mut fastrand::Rng) -> String {
+/// Generates the field `specifics`.
+fn random_specifics(rng: &mut fastrand::Rng) -> String {
     format!(
         r#""specifics":{{"idle_life_s":{},"kind_memory_mb":[],"load_wait_s":{},"orders":true,"says_warm":{},"tells_crowd":{},
         "load_free":{},"load_part":{},"load_period_s":{},"when_absent":"{}"}}"#,
@@ -133,21 +133,21 @@
     )
 }
 
-/// A call that a client has sent.
+/// A call that a client has sent and that is not answered yet.
 struct OpenCall {
     client: Client,
     id: u64,
-    class: DrawnClass,
+    class: RandomClass,
 }
 
 /// Sends a call of one of the classes.
 fn send_call(
     rng: &mut fastrand::Rng,
-    drawn: &DrawnSettings,
+    settings: &RandomSettings,
     front_end: &ManualFrontEnd,
     id: u64,
 ) -> OpenCall {
-    let class = rng.choice(&drawn.classes).expect("one").clone();
+    let class = rng.choice(&settings.classes).expect("a class").clone();
     let key = if class.keyed {
         format!("Idempotency-Key: {id:x}\r\n")
     } else {
@@ -165,7 +165,8 @@
     OpenCall { client, id, class }
 }
 
-/// Waits for a call's answer in its time: the status. Of some rounds all attempts are turned away, missed, or fail.
+/// Waits for the answer to a call, which must arrive before the deadline, and returns its status. Depending on `irregular`, the
+/// worker rejects all attempts, does not know the function, fails, or serves the calls.
 fn answer_in_time(
     front_end: &mut ManualFrontEnd,
     worker: &mut ManualWorker,
@@ -200,7 +201,7 @@
     status
 }
 
-/// The attempts of a call name its class, and are no more than the settings allow.
+/// Checks that the attempts of a call name its class, and that there are no more of them than the settings allow.
 fn assert_attempts(worker: &ManualWorker, open: &OpenCall, attempts: u64, round: usize) {
     let sort = format!("sort={},", open.class.name);
     let id = format!("{:016x}", open.id);
@@ -219,31 +220,28 @@
 }
 
 #[test]
-fn a_few_calls_of_every_class_under_any_settings() {
+fn calls_are_answered_in_time_with_random_settings() {
     let mut rng = fastrand::Rng::with_seed(33);
     let mut served = 0;
     for round in 0..60 {
         let mut worker = ManualWorker::start();
-        let drawn = draw_settings(&mut rng, "127.0.0.1:0", &worker);
-        let mut front_end = ManualFrontEnd::with_text(&drawn.text);
+        let settings = random_settings(&mut rng, "127.0.0.1:0", &worker);
+        let mut front_end = ManualFrontEnd::with_text(&settings.text);
         let mut open: Vec<OpenCall> = (0..6)
-            .map(|id| send_call(&mut rng, &drawn, &front_end, id))
+            .map(|id| send_call(&mut rng, &settings, &front_end, id))
             .collect();
         let irregular = rng.usize(0..5);
         for call in &mut open {
             let status = answer_in_time(&mut front_end, &mut worker, call, irregular, round);
             served += u32::from(status == 200);
-            assert_attempts(&worker, call, drawn.attempts, round);
+            assert_attempts(&worker, call, settings.max_attempts, round);
         }
     }
-    assert!(
-        served > 100,
-        "{served} of 360 served: most are to be served"
-    );
+    assert!(served > 100, "only {served} of 360 calls were served");
 }
 
 #[test]
-fn a_configuration_that_makes_no_sense_ends_the_start_with_one_line() {
+fn an_invalid_configuration_ends_the_start_with_one_line() {
     let worker = Worker::plain();
     let text = configuration_for(&[&worker]).text(ANY_PORT);
     for (valid, invalid, message) in [
--- a/programs/gateway/tests/platform/shutdown.rs
+++ b/programs/gateway/tests/platform/shutdown.rs
@@ -1,4 +1,5 @@
-//! SIGTERM and SIGHUP against whatever else is under way: nothing taken is lost, and what comes meanwhile is obeyed.
+//! Tests of SIGTERM and SIGHUP at the same time as other events: no accepted call is lost, and changes during the shutdown are
+//! applied.
 
 use crate::harness::coordinator::worker_event;
 use crate::harness::process::{reserve, GatewayProcess};
@@ -8,14 +9,14 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Longer than new requests come after SIGTERM, and than the program takes them.
+/// A time after SIGTERM that is longer than the program's shutdown window.
 const WINDOW: Duration = Duration::from_millis(900);
 
-/// Suspends the program once it has been signalled to end, until its window is over.
-fn suspended_through_the_window(process: &GatewayProcess, meanwhile: impl FnOnce()) {
+/// Sends SIGTERM, and suspends the program from the start to the end of its shutdown window.
+fn suspend_through_window(process: &GatewayProcess, meanwhile: impl FnOnce()) {
     process.signal(Signal::TERM);
     let signalled = Instant::now();
-    // It serves in the window: it has taken the signal up.
+    // The program serves this call in the window, after it has handled the signal.
     let mut client = Client::to(process.address);
     client.send(&call(900).text());
     assert_eq!(client.answer_status(), Some(200));
@@ -26,12 +27,12 @@
 }
 
 #[test]
-fn what_waits_to_be_accepted_when_the_window_ends_is_answered() {
+fn connections_that_are_queued_at_the_end_of_the_window_are_answered() {
     let worker = Worker::plain();
     let mut process = GatewayProcess::start(&configuration_for(&[&worker]));
     let mut clients = Vec::new();
-    suspended_through_the_window(&process, || {
-        // Far more than are accepted in one turn.
+    suspend_through_window(&process, || {
+        // More connections than are accepted in one iteration of the event loop.
         for id in 0..60 {
             let mut client = Client::to(process.address);
             client.send(&call(1000 + id).text());
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn a_request_in_the_buffer_of_a_connection_that_is_being_closed_is_answered() {
+fn unread_requests_at_the_end_of_the_window_are_answered() {
     let worker = Worker::plain();
     let mut process = GatewayProcess::start(&configuration_for(&[&worker]));
     let mut idle: Vec<Client> = (0..8).map(|_| Client::to(process.address)).collect();
@@ -59,8 +60,8 @@
     let mut half = Client::to(process.address);
     let text = call(500).text();
     half.send(&text[..50]);
-    suspended_through_the_window(&process, || {
-        // On four that were answered before, and four that never sent a byte.
+    suspend_through_window(&process, || {
+        // Four of the connections have been used before, and four are new.
         idle.iter_mut()
             .zip(100..)
             .for_each(|(client, id)| client.send(&call(id).text()));
@@ -71,19 +72,19 @@
     }
     assert!(
         half.answer().is_some(),
-        "a request that was being read when the window ended has its answer"
+        "a request that was partly read at the end of the window is answered"
     );
     assert_eq!(process.exit_code(), Some(0));
 }
 
 #[test]
-fn signals_before_the_loop_runs_wait_for_it() {
+fn signals_before_the_event_loop_runs_are_handled_later() {
     let worker = Worker::plain();
     for signal in [Signal::TERM, Signal::HUP] {
         let configuration = configuration_for(&[&worker]);
         let reserved = reserve();
         let address = reserved.address();
-        // It waits for its configuration until the test writes it.
+        // The configuration is a FIFO, so that the program waits until the test writes it.
         let path = write_configuration(&configuration, address);
         let text = std::fs::read(&path).unwrap();
         std::fs::remove_file(&path).unwrap();
@@ -96,7 +97,7 @@
         )
         .unwrap();
         let mut process = GatewayProcess::spawn(path.clone(), address);
-        until("it takes signals up itself", || process.handles_signals());
+        until("the program handles signals", || process.handles_signals());
         process.signal(signal);
         let write = || {
             std::fs::OpenOptions::new()
@@ -108,8 +109,10 @@
         };
         write();
         if signal == Signal::HUP {
-            // It has read the first to its end, and reads it once more.
-            until("it listens", || TcpStream::connect(address).is_ok());
+            // The program has read the configuration, and reads it again on SIGHUP.
+            until("the program listens", || {
+                TcpStream::connect(address).is_ok()
+            });
             write();
             process.signal(Signal::TERM);
         }
@@ -119,16 +122,19 @@
 }
 
 #[test]
-fn calls_that_are_out_or_held_are_answered_and_a_second_signal_changes_nothing() {
-    // It answers calls of odd ids only when the test says so, one by one.
-    let (worker, release) = held_back(&['1', '3', '5']);
+fn open_calls_are_answered_and_a_second_signal_changes_nothing() {
+    // The worker answers these calls only when the test releases them, one by one.
+    let (worker, release) = worker_with_delayed_answers(&['1', '3', '5']);
     let mut process = GatewayProcess::start(&configuration_for(&[&worker]));
-    // Two lanes: the third is held. Of a class that is not taken back for silence, which a slow machine may look like.
+    // The worker has two lanes, so the third call waits. Calls of this class are not cancelled and retried when their worker is
+    // silent, as it may seem to be on a slow machine.
     let mut open: Vec<Client> = (0..3).map(|_| Client::to(process.address)).collect();
     open.iter_mut()
         .zip([1, 3, 5])
         .for_each(|(client, id)| client.send(&call(id).once().text()));
-    until("one is out", || !worker.commands("fire").is_empty());
+    until("the worker has a call", || {
+        !worker.commands("fire").is_empty()
+    });
     process.signal(Signal::TERM);
     let mut during = Client::to(process.address);
     during.send("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -141,7 +147,7 @@
         .map(|client| client.answer_status())
         .collect();
     assert_eq!(process.exit_code(), Some(0));
-    // What was out is served. What was held is, or on a slow machine is refused for the sake of others, and then unsent.
+    // Calls that were sent are served. The waiting call is served too, or on a slow machine refused without being sent.
     for (id, answer) in [1, 3, 5].into_iter().zip(answers) {
         let id = format!("{id:016x}");
         let sent = worker
@@ -158,7 +164,7 @@
 }
 
 #[test]
-fn a_load_that_is_out_is_waited_for() {
+fn a_shutdown_waits_for_an_open_load() {
     let (release, released) = std::sync::mpsc::channel::<()>();
     let worker = Worker::start(Box::new(move |command| match command.name() {
         "provision" => {
@@ -171,7 +177,7 @@
     let mut process = GatewayProcess::start(&configuration_for(&[&worker]));
     let mut client = Client::to(process.address);
     client.send(&call(1).text());
-    until("the load is out", || {
+    until("the worker has the load command", || {
         worker.commands("provision").len() == 1
     });
     process.signal(Signal::TERM);
@@ -183,7 +189,7 @@
 }
 
 #[test]
-fn a_configuration_is_taken_up_in_the_window_and_beside_its_signal() {
+fn a_configuration_is_applied_during_the_window() {
     for in_one_turn in [true, false] {
         let (worker, old, new) = (Worker::plain(), Coordinator::start(), Coordinator::start());
         let mut configuration = PlatformConfiguration {
@@ -213,7 +219,7 @@
 }
 
 #[test]
-fn a_drain_that_is_told_in_the_window_is_obeyed() {
+fn a_drain_event_during_the_window_is_applied() {
     let (leaves, stays, coordinator) = (Worker::plain(), Worker::plain(), Coordinator::start());
     let configuration = PlatformConfiguration {
         coordinator: coordinator.address,
@@ -224,7 +230,7 @@
     let event = worker_event(2, "s-0", leaves.address, "Terminating");
     let whole = reply(&event);
     let (first, rest) = whole.split_at(whole.len() / 2);
-    // Half of the reply before SIGTERM, the rest in the window.
+    // The first half of the reply arrives before SIGTERM, and the rest in the window.
     socket.write_all(first).unwrap();
     process.signal(Signal::TERM);
     socket.write_all(rest).unwrap();
@@ -253,7 +259,7 @@
 }
 
 #[test]
-fn a_configuration_that_cannot_be_opened_is_tried_again() {
+fn a_failed_read_of_the_configuration_is_retried() {
     let (worker, old, new) = (Worker::plain(), Coordinator::start(), Coordinator::start());
     let mut configuration = PlatformConfiguration {
         coordinator: old.address,
@@ -263,12 +269,14 @@
     let _held = old.next_poll();
     configuration.coordinator = new.address;
     std::fs::write(&process.path, configuration.text(process.address)).unwrap();
-    // Not one more, as when clients have taken all.
+    // The program can open no further descriptor.
     process.suspend();
     process.limit_descriptors(0);
     process.signal(Signal::HUP);
     process.resume();
-    until("it has taken the signal up", || process.state() == "S");
+    until("the program has handled the signal", || {
+        process.state() == "S"
+    });
     let mut client = Client::to(process.address);
     client.send(&call(1).text());
     assert!(TcpStream::connect(process.address).is_ok());
@@ -279,9 +287,9 @@
 }
 
 #[test]
-fn sigterm_serves_through_the_window_and_ends_well() {
+fn after_sigterm_the_program_serves_through_the_window_and_exits() {
     let worker = Worker::plain();
-    // The platform signals no front end that has not answered whether it is alive.
+    // The platform sends signals only to front ends that have answered a liveness check.
     let mut process = GatewayProcess::start(&configuration_for(&[&worker]));
     let address = process.address;
     process.signal(Signal::HUP);
@@ -290,7 +298,7 @@
     assert_eq!(
         open.answer_status(),
         Some(200),
-        "a configuration read again ends nothing"
+        "a reload does not close connections"
     );
     let signalled = Instant::now();
     process.signal(Signal::TERM);
@@ -300,7 +308,7 @@
         assert_eq!(open.answer_status(), Some(200), "on an open connection");
         let mut new = Client::to(address);
         new.send(&call(id + 1).text());
-        assert_eq!(new.answer_status(), Some(200), "on a new one");
+        assert_eq!(new.answer_status(), Some(200), "on a new connection");
         id += 2;
     }
     assert_eq!(process.exit_code(), Some(0));
--- a/programs/gateway/tests/platform/suspension.rs
+++ b/programs/gateway/tests/platform/suspension.rs
@@ -48,7 +48,7 @@
 fn an_answer_that_arrives_during_a_suspension_is_returned() {
     for (safe, suspended_ms) in [(true, 600), (false, 600), (true, 1500), (false, 1500)] {
         // The first call loads the function; the second is answered when the test releases it.
-        let (worker, release) = held_back(&['2']);
+        let (worker, release) = worker_with_delayed_answers(&['2']);
         let mut process = GatewayProcess::start(&configuration_for(&[&worker]));
         let mut client = process.warm_client();
         let second = call(2).with_timeout_ms(2000);
--- a/programs/gateway/tests/platform/together.rs
+++ b/programs/gateway/tests/platform/together.rs
@@ -1,6 +1,6 @@
-//! Several front ends as processes of their own over the same workers and the same list, under clients that never rest: one is
-//! ended in good order and starts again, one is killed, one stands still for a while, a worker drains. Judged from what clients
-//! got and what workers saw.
+//! Tests several front end processes with shared workers and a shared coordinator under continuous load. One front end is
+//! restarted gracefully, one is killed and restarted, one is suspended, and a worker drains. The test checks the answers that
+//! clients receive and the commands that workers receive.
 
 use crate::harness::http::read_head;
 use crate::harness::process::{reserve, GatewayProcess};
@@ -18,12 +18,12 @@
 const FRONT_ENDS: usize = 4;
 const CLIENTS_EACH: usize = 2;
 
-/// A coordinator that serves one list to all who poll it.
+/// A coordinator that serves the same events to all front ends.
 #[derive(Clone)]
 struct SharedCoordinator {
     address: SocketAddr,
     events: Arc<Mutex<Vec<String>>>,
-    /// The last event that each poll had, in the order in which they came.
+    /// The index of the last event of each reply, in the order of the replies.
     replied: Arc<Mutex<Vec<u64>>>,
 }
 
@@ -58,7 +58,7 @@
                 .parse()
                 .ok()?;
             let began = Instant::now();
-            // The first event is in the configuration.
+            // Event 1 is in the configuration.
             let (newest, updates) = loop {
                 let events = self.events.lock().unwrap();
                 if events.len() + 1 > follow || began.elapsed() > Duration::from_millis(900) {
@@ -74,15 +74,15 @@
         }
     }
 
-    /// Replies so far that went up to the newest event.
+    /// Number of replies so far that included the newest event.
     fn replies_with_newest(&self) -> usize {
-        // The first event is in the configuration.
+        // Event 1 is in the configuration.
         let newest = self.events.lock().unwrap().len() as u64 + 1;
         let replied = self.replied.lock().unwrap();
         replied.iter().filter(|event| **event == newest).count()
     }
 
-    /// Adds an event in which a worker changes its state.
+    /// Adds an event that sets a worker's state.
     fn publish(&self, id: &str, address: SocketAddr, state: &str) {
         let mut events = self.events.lock().unwrap();
         let index = events.len() + 2;
@@ -93,61 +93,64 @@
     }
 }
 
-/// What clients know of a front end.
+/// The state of a front end from the clients' view.
 struct FrontEndStatus {
     address: SocketAddr,
-    /// New requests go there.
+    /// Whether clients send new requests to the front end.
     open: AtomicBool,
-    /// It has been killed: what it held is lost, and no fault.
-    killed: AtomicU64,
+    /// How often the front end has been killed. Calls that were open then need no answer.
+    kills: AtomicU64,
 }
 
-/// One call's end, as its client saw it.
+/// The outcome of a call for its client.
 #[derive(Debug)]
-enum CallEnd {
+enum CallOutcome {
+    /// The status, and whether the body is that of the call.
     Answer(u16, bool),
+    /// The connection ended without an answer.
     Lost,
 }
 
 struct Clients {
     front_ends: Vec<FrontEndStatus>,
-    next: AtomicU64,
+    next_id: AtomicU64,
     stop: AtomicBool,
     answered: AtomicU64,
-    ends: Mutex<HashMap<u64, (usize, CallEnd)>>,
-    /// Held to write by a test that closes a front end: no client is between checking and sending then.
-    gate: RwLock<()>,
+    /// The index of the front end and the outcome of each call, by the call's id.
+    outcomes: Mutex<HashMap<u64, (usize, CallOutcome)>>,
+    /// Locked for writing while a front end is closed, so that no client is between the check of `open` and its send.
+    send_lock: RwLock<()>,
 }
 
 impl Clients {
-    /// Of these front ends; none runs yet.
-    fn of(front_ends: Vec<FrontEndStatus>) -> Clients {
+    /// Creates the clients of the front ends, without starting them.
+    fn new(front_ends: Vec<FrontEndStatus>) -> Clients {
         Clients {
             front_ends,
-            next: AtomicU64::new(1),
+            next_id: AtomicU64::new(1),
             stop: AtomicBool::new(false),
             answered: AtomicU64::new(0),
-            ends: Mutex::default(),
-            gate: RwLock::default(),
+            outcomes: Mutex::default(),
+            send_lock: RwLock::default(),
         }
     }
 
-    /// Starts one that calls this front end without pause until all are to stop.
+    /// Starts a client that sends calls to a front end continuously until `stop` is set.
     fn run(self: &Arc<Self>, at: usize) -> JoinHandle<()> {
         let clients = self.clone();
         std::thread::spawn(move || {
             let mut connection: Option<Client> = None;
             while !clients.stop.load(Ordering::SeqCst) {
                 let front_end = &clients.front_ends[at];
-                let gate = clients.gate.read().unwrap();
+                let sending = clients.send_lock.read().unwrap();
                 if !front_end.open.load(Ordering::SeqCst) {
-                    drop(gate);
+                    drop(sending);
                     connection = None;
                     std::thread::yield_now();
                     continue;
                 }
-                let id = clients.next.fetch_add(1, Ordering::SeqCst);
-                let killed = front_end.killed.load(Ordering::SeqCst);
+                let id = clients.next_id.fetch_add(1, Ordering::SeqCst);
+                let kills = front_end.kills.load(Ordering::SeqCst);
                 let call = Call {
                     function: id % 3,
                     ..call(id)
@@ -161,50 +164,51 @@
                     .take()
                     .unwrap_or_else(|| Client::to(front_end.address));
                 client.send(&call.text());
-                drop(gate);
-                let end = match client.answer() {
+                drop(sending);
+                let outcome = match client.answer() {
                     Some((status, body)) => {
                         connection = Some(client);
                         clients.answered.fetch_add(1, Ordering::SeqCst);
-                        CallEnd::Answer(status, body == call.body)
+                        CallOutcome::Answer(status, body == call.body)
                     }
-                    None if front_end.killed.load(Ordering::SeqCst) > killed => continue,
-                    None => CallEnd::Lost,
+                    None if front_end.kills.load(Ordering::SeqCst) > kills => continue,
+                    None => CallOutcome::Lost,
                 };
-                clients.ends.lock().unwrap().insert(id, (at, end));
-                // An answer may say that the connection ends.
+                clients.outcomes.lock().unwrap().insert(id, (at, outcome));
+                // The front end may close the connection after an answer.
                 connection = connection.filter(|client| !client.ended());
             }
         })
     }
 
-    /// No request goes there from here on.
+    /// Stops clients from sending requests to a front end.
     fn close(&self, at: usize) {
-        let _none = self.gate.write().unwrap();
+        let _no_client_sends = self.send_lock.write().unwrap();
         self.front_ends[at].open.store(false, Ordering::SeqCst);
     }
+    /// Lets clients send requests to a front end again.
     fn open(&self, at: usize) {
         self.front_ends[at].open.store(true, Ordering::SeqCst);
     }
-    /// Waits until so many more calls have been answered.
+    /// Waits until `calls` more calls have been answered.
     fn wait_for_more(&self, calls: u64) {
-        let until_then = self.answered.load(Ordering::SeqCst) + calls;
-        until("calls go on", || {
-            self.answered.load(Ordering::SeqCst) >= until_then
+        let target = self.answered.load(Ordering::SeqCst) + calls;
+        until("further calls are answered", || {
+            self.answered.load(Ordering::SeqCst) >= target
         });
     }
 }
 
-/// The front ends' processes, each under an address of its own.
+/// The front end processes, each with its own address.
 struct Fleet {
     configuration: PlatformConfiguration,
-    /// The addresses are the front ends' while their processes are down.
+    /// Keeps the addresses reserved while their processes are not running.
     reserved: Vec<ReservedAddress>,
     processes: Vec<GatewayProcess>,
 }
 
 impl Fleet {
-    /// Starts all of them.
+    /// Starts all front ends.
     fn start(configuration: PlatformConfiguration) -> Fleet {
         let reserved: Vec<ReservedAddress> = (0..FRONT_ENDS).map(|_| reserve()).collect();
         let addresses = reserved.iter().map(ReservedAddress::address);
@@ -218,23 +222,23 @@
         }
     }
 
-    /// What clients know of them.
+    /// The initial states of the front ends for their clients.
     fn statuses(&self) -> Vec<FrontEndStatus> {
         let status = |reserved: &ReservedAddress| FrontEndStatus {
             address: reserved.address(),
             open: AtomicBool::new(true),
-            killed: AtomicU64::new(0),
+            kills: AtomicU64::new(0),
         };
         self.reserved.iter().map(status).collect()
     }
 
-    /// Starts the next process of one whose last has ended.
+    /// Starts a new process of a front end whose process has ended.
     fn start_again(&mut self, at: usize) {
         let address = self.reserved[at].address();
         self.processes[at] = start_process(&self.configuration, address);
     }
 
-    /// One is told to end while calls come, and starts again under its address.
+    /// Shuts a front end down gracefully while it receives calls, and restarts it at the same address.
     fn restart(&mut self, at: usize, clients: &Clients, round: usize) {
         let process = &mut self.processes[at];
         process.signal(Signal::TERM);
@@ -245,18 +249,18 @@
         clients.open(at);
     }
 
-    /// One is killed outright, with a call of each of its clients in its buffers, and starts again.
+    /// Kills a front end while each of its clients has an open call, and restarts it.
     fn kill_and_restart(&mut self, at: usize, clients: &Clients) {
         self.processes[at].suspend();
         clients.wait_for_more(60);
         clients.close(at);
-        clients.front_ends[at].killed.fetch_add(1, Ordering::SeqCst);
+        clients.front_ends[at].kills.fetch_add(1, Ordering::SeqCst);
         self.processes[at].kill();
         self.start_again(at);
         clients.open(at);
     }
 
-    /// One stands still while the others go on, and a worker drains or comes back meanwhile.
+    /// Suspends a front end while the others continue, and changes a worker's state before it resumes.
     fn suspend_through_an_event(
         &self,
         at: usize,
@@ -279,7 +283,7 @@
     process
 }
 
-/// Nothing goes to a worker while calls go on.
+/// Checks that a draining worker receives no calls and no loads while further calls are served.
 fn assert_nothing_sent(worker: &Worker, clients: &Clients, round: usize) {
     let calls = worker.commands("fire").len();
     let loads = worker.commands("provision").len();
@@ -287,42 +291,42 @@
     assert_eq!(
         worker.commands("fire").len(),
         calls,
-        "round {round}: calls to a worker that drains"
+        "round {round}: calls were sent to a draining worker"
     );
     assert_eq!(
         worker.commands("provision").len(),
         loads,
-        "round {round}: loads at a worker that drains"
+        "round {round}: loads were sent to a draining worker"
     );
 }
 
-/// Every call has an answer of its own, nearly all of them served.
-fn assert_answered(ends: &HashMap<u64, (usize, CallEnd)>) {
+/// Checks that every call has its own answer, and that at least 90 % of them were served.
+fn assert_answered(outcomes: &HashMap<u64, (usize, CallOutcome)>) {
     let mut served = 0;
-    for (id, (at, end)) in ends {
-        match end {
-            CallEnd::Answer(200, own) => {
-                assert!(own, "call {id} at {at}: another's body");
+    for (id, (at, outcome)) in outcomes {
+        match outcome {
+            CallOutcome::Answer(200, own) => {
+                assert!(own, "call {id} at {at}: the body of another call");
                 served += 1;
             }
-            CallEnd::Answer(status, _) => {
+            CallOutcome::Answer(status, _) => {
                 assert!(
                     [502, 503, 504].contains(status),
                     "call {id} at {at}: {status}"
                 )
             }
-            CallEnd::Lost => panic!("call {id} at {at}: no answer"),
+            CallOutcome::Lost => panic!("call {id} at {at}: no answer"),
         }
     }
     assert!(
-        served * 10 >= ends.len() * 9,
-        "{served} of {} served",
-        ends.len()
+        served * 10 >= outcomes.len() * 9,
+        "{served} of {} calls were served",
+        outcomes.len()
     );
 }
 
-/// Whatever happened, no call that must not be repeated ran twice, at any worker, through any front end.
-fn assert_no_effect_twice(workers: &[Worker]) {
+/// Checks that no call that must not be retried reached the workers twice.
+fn assert_no_duplicates(workers: &[Worker]) {
     let mut ran = HashSet::new();
     for command in workers.iter().flat_map(|worker| worker.commands("fire")) {
         let id = u64::from_str_radix(command.id(), 16).unwrap();
@@ -331,14 +335,14 @@
 }
 
 #[test]
-fn some_end_some_are_killed_and_one_stands_still() {
+fn restarts_kills_and_suspensions_of_front_ends_lose_no_calls() {
     let workers: Vec<Worker> = (0..3).map(|_| Worker::plain()).collect();
     let coordinator = SharedCoordinator::start();
     let mut fleet = Fleet::start(PlatformConfiguration {
         coordinator: coordinator.address,
         ..configuration_for(&workers.iter().collect::<Vec<_>>())
     });
-    let clients = Arc::new(Clients::of(fleet.statuses()));
+    let clients = Arc::new(Clients::new(fleet.statuses()));
     let threads: Vec<_> = (0..FRONT_ENDS * CLIENTS_EACH)
         .map(|number| clients.run(number % FRONT_ENDS))
         .collect();
@@ -349,8 +353,8 @@
         let drains = round % 2 == 0;
         let state = if drains { "Terminating" } else { "Ready" };
         fleet.suspend_through_an_event(2, &clients, &coordinator, &workers[0], state);
-        // Each has polled again with that event in hand: the answer to its next poll has been asked for.
-        until("all have polled with the event", || {
+        // A front end polls again once it has applied the event, so two replies for each show that all have applied it.
+        until("all front ends have applied the event", || {
             coordinator.replies_with_newest() >= 2 * FRONT_ENDS
         });
         if drains {
@@ -364,6 +368,6 @@
     for mut process in fleet.processes {
         assert_eq!(process.terminate(), Some(0));
     }
-    assert_answered(&clients.ends.lock().unwrap());
-    assert_no_effect_twice(&workers);
+    assert_answered(&clients.outcomes.lock().unwrap());
+    assert_no_duplicates(&workers);
 }
--- a/programs/gateway/tests/platform/watch.rs
+++ b/programs/gateway/tests/platform/watch.rs
@@ -1,5 +1,5 @@
-//! The poll of the list: what it brings goes before what else is ready, a new configuration takes it over at any point, and
-//! a coordinator that brings nothing is not asked at the loop's speed.
+//! Tests of the poll of the endpoint list: its events are applied before other events that are ready, a new configuration
+//! redirects it in any state, and a coordinator without events is polled with pauses.
 
 use crate::harness::coordinator::worker_event;
 use crate::harness::manual::{ManualCoordinator, ManualFrontEnd, ManualWorker};
@@ -11,20 +11,20 @@
 use crate::harness::*;
 use std::time::{Duration, Instant};
 
-/// The event in which the worker drains, or stays as it is.
+/// An event that makes the worker drain, or that does not change its state.
 fn drain_event(worker: &ManualWorker, drains: bool) -> String {
     let state = if drains { "Terminating" } else { "Ready" };
     worker_event(2, "s-0", worker.address, state)
 }
 
-/// The connection of the next poll.
+/// Runs the event loop until the next poll, and returns the index of its connection.
 fn next_poll(front_end: &mut ManualFrontEnd, coordinator: &mut ManualCoordinator) -> usize {
     front_end.until("a poll", |_| coordinator.next_poll())
 }
 
-/// What follows an event that has just been sent: a worker that drains gets no call and no load more, once the list has
-/// been read and for as long as anything could wait here; one that does not gets the call.
-fn assert_obeyed(
+/// Checks the effect of an event that has just been sent. A draining worker receives no further call or load, and a worker that
+/// does not drain receives the call.
+fn assert_applied(
     drains: bool,
     front_end: &mut ManualFrontEnd,
     coordinator: &mut ManualCoordinator,
@@ -34,15 +34,15 @@
         front_end.next_command(worker, "fire");
         return;
     }
-    let had = (worker.count("fire"), worker.count("provision"));
+    let before = (worker.count("fire"), worker.count("provision"));
     next_poll(front_end, coordinator);
     front_end.run_for(Duration::from_millis(60));
     worker.read_all();
-    assert_eq!((worker.count("fire"), worker.count("provision")), had);
+    assert_eq!((worker.count("fire"), worker.count("provision")), before);
 }
 
 #[test]
-fn a_drain_goes_before_a_held_call_whose_lane_comes_free() {
+fn a_drain_is_applied_before_a_waiting_call_is_sent() {
     for drains in [false, true] {
         for list_first in [true, false] {
             let mut coordinator = ManualCoordinator::start();
@@ -60,14 +60,14 @@
                 || coordinator.reply(connection, &event),
                 || worker.serve(&open_calls[0]),
             );
-            assert_obeyed(drains, &mut front_end, &mut coordinator, &mut worker);
+            assert_applied(drains, &mut front_end, &mut coordinator, &mut worker);
             assert!(!drains || worker.calls(3) == 0, "list first: {list_first}");
         }
     }
 }
 
 #[test]
-fn a_drain_goes_before_a_load_and_an_attempt_on_a_connection_just_made() {
+fn a_drain_is_applied_before_a_new_load_or_attempt() {
     for drains in [false, true] {
         for function in [7, 8] {
             let ManualSetup {
@@ -80,20 +80,20 @@
             let command = front_end.next_command(&mut worker, "fire");
             worker.serve(&command);
             assert_eq!(front_end.answer(&mut first), 200);
-            // Another function has to be loaded; the same one sent: the connections stand already.
+            // The same function is sent immediately, and another one is loaded first. The connections exist already.
             let _second = front_end.send(&Call {
                 function,
                 ..call(2)
             });
             let event = drain_event(&worker, drains);
             coordinator.reply(connection, &event);
-            assert_obeyed(drains, &mut front_end, &mut coordinator, &mut worker);
+            assert_applied(drains, &mut front_end, &mut coordinator, &mut worker);
         }
     }
 }
 
 #[test]
-fn a_drain_goes_before_an_attempt_whose_connection_has_just_come_up() {
+fn a_drain_is_applied_before_an_attempt_on_a_late_connection() {
     for drains in [false, true] {
         let mut coordinator = ManualCoordinator::start();
         let LateConnection {
@@ -106,13 +106,13 @@
         accept_late_connection(&mut worker, 3);
         let event = drain_event(&worker, drains);
         coordinator.reply(connection, &event);
-        assert_obeyed(drains, &mut front_end, &mut coordinator, &mut worker);
+        assert_applied(drains, &mut front_end, &mut coordinator, &mut worker);
         assert!(!drains || worker.calls(1) == 0);
     }
 }
 
 #[test]
-fn a_drain_goes_before_a_load_whose_connection_has_just_come_up() {
+fn a_drain_is_applied_before_a_load_on_a_late_connection() {
     for drains in [false, true] {
         let (mut coordinator, mut worker) = (
             ManualCoordinator::start(),
@@ -127,25 +127,25 @@
         let mut front_end = ManualFrontEnd::start(&configuration);
         let connection = next_poll(&mut front_end, &mut coordinator);
         let _client = front_end.send(&call(1).with_timeout_ms(2000));
-        front_end.until("the load waits", |platform| {
+        front_end.until("the load waits for a connection", |platform| {
             (platform.driver().worker_connections() == 1).then_some(())
         });
         front_end.run_for(Duration::from_millis(20));
         accept_late_connection(&mut worker, 2);
         let event = drain_event(&worker, drains);
         coordinator.reply(connection, &event);
-        assert_obeyed(drains, &mut front_end, &mut coordinator, &mut worker);
+        assert_applied(drains, &mut front_end, &mut coordinator, &mut worker);
         assert!(!drains || worker.count("provision") == 0);
     }
 }
 
-/// The pause after the first poll that brings nothing; it doubles up to the longest one.
+/// The pause after the first poll without events. It doubles up to [`MAX_PAUSE`].
 const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// A poll that takes as long as the longest pause is followed at once, and the pauses begin anew.
+/// The longest pause. A poll that takes at least this long is followed by the next without a pause, which resets the pauses.
 const MAX_PAUSE: Duration = Duration::from_millis(200);
 
-/// Brings nothing to a poll, and waits until that has been read.
-fn bring_nothing(
+/// Answers a poll without an event, or closes its connection if `refuses`, and waits until the front end has noticed.
+fn end_poll_without_event(
     front_end: &mut ManualFrontEnd,
     coordinator: &mut ManualCoordinator,
     connection: usize,
@@ -155,62 +155,65 @@
     if refuses {
         coordinator.close(connection);
     } else {
-        // The same number again, an earlier one, and none of the events that it has.
+        // The index is that of the front end, and there are no events.
         coordinator.reply(connection, r#"{"index":1,"updates":[]}"#);
     }
-    front_end.until("it is read", |_| {
+    front_end.until("the reply is read", |_| {
         socket_state(other, own)
             .is_none_or(|state| state.unread == 0 && !(refuses && state.established))
             .then_some(())
     });
-    // What was read in one turn may be handled in the next.
+    // Data that was read in one iteration may be handled in the next.
     front_end.platform.turn(Duration::ZERO).unwrap();
 }
 
-/// Brings nothing until the longest pause has been kept six times: the connection of the poll that follows.
+/// Ends polls without events until the longest pause has been observed six times. Returns the connection of the next poll.
 fn assert_pauses(
     front_end: &mut ManualFrontEnd,
     coordinator: &mut ManualCoordinator,
     refuses: bool,
 ) -> usize {
     let mut connection = next_poll(front_end, coordinator);
-    // No earlier than this the poll that is out was begun, and the pause that is to follow it, if that is known.
+    // The earliest time at which the open poll can have started, and the pause that is expected after it, if known.
     let (mut begun, mut pause) = (Instant::now(), None);
     let (mut rounds, mut longest) = (0, 0);
     while longest < 6 {
         rounds += 1;
-        assert!(rounds < 100, "too slow to judge: {longest} pauses");
+        assert!(
+            rounds < 100,
+            "the machine is too slow: only {longest} pauses observed"
+        );
         let Some(least) = pause else {
             front_end.run_for(MAX_PAUSE);
             begun = Instant::now();
-            bring_nothing(front_end, coordinator, connection, refuses);
-            let description = "a poll behind a long one";
+            end_poll_without_event(front_end, coordinator, connection, refuses);
+            let description = "a poll after a long one";
             connection =
                 front_end.while_runs(MAX_PAUSE / 2, description, |_| coordinator.next_poll());
             pause = Some(FIRST_PAUSE);
             continue;
         };
-        let brought = Instant::now();
-        bring_nothing(front_end, coordinator, connection, refuses);
-        // This machine may have kept the poll for so long that no pause is due: what follows is not known then.
-        let judged = begun.elapsed() < MAX_PAUSE;
+        let ended = Instant::now();
+        end_poll_without_event(front_end, coordinator, connection, refuses);
+        // On a slow machine the poll may have taken so long that no pause follows. The next pause is unknown then.
+        let pause_expected = begun.elapsed() < MAX_PAUSE;
         connection = front_end.while_runs(MAX_PAUSE * 3 / 2, "a poll", |_| coordinator.next_poll());
-        let waited = brought.elapsed();
-        if !judged {
+        let waited = ended.elapsed();
+        if !pause_expected {
             pause = None;
             continue;
         }
         assert!(
             waited >= least,
-            "asked again after {waited:?}, not {least:?}, refused: {refuses}"
+            "polled again after {waited:?}, expected at least {least:?}, refused: {refuses}"
         );
         longest += u32::from(least == MAX_PAUSE);
-        (begun, pause) = (brought + least, Some((least * 2).min(MAX_PAUSE)));
+        (begun, pause) = (ended + least, Some((least * 2).min(MAX_PAUSE)));
     }
     connection
 }
 
-/// The last poll follows this event.
+/// Checks that the last poll asked for the events after the given one.
 fn assert_last_poll_follows(coordinator: &ManualCoordinator, event: u64) {
     let follow = format!("follow={event}&");
     let last = coordinator.polls.last();
@@ -222,7 +225,7 @@
 }
 
 #[test]
-fn a_coordinator_that_brings_nothing_is_asked_seldom_and_one_that_is_back_is_heard_soon() {
+fn polls_without_events_are_paused_and_polls_with_events_are_not() {
     for refuses in [false, true] {
         let ManualSetup {
             mut front_end,
@@ -232,8 +235,8 @@
         let connection = assert_pauses(&mut front_end, &mut coordinator, refuses);
         let event = drain_event(&worker, true);
         coordinator.reply(connection, &event);
-        // Without a pause.
-        front_end.while_runs(MAX_PAUSE / 2, "a poll behind an event", |_| {
+        // A poll with an event is followed by the next without a pause.
+        front_end.while_runs(MAX_PAUSE / 2, "a poll after an event", |_| {
             coordinator.next_poll()
         });
         assert_eq!(front_end.platform.poller().index(), 2);
@@ -242,7 +245,7 @@
 }
 
 #[test]
-fn numbers_that_repeat_go_back_or_jump() {
+fn event_indexes_that_repeat_decrease_or_skip() {
     let ManualSetup {
         mut front_end,
         mut coordinator,
@@ -266,7 +269,7 @@
                 .driver()
                 .with_dispatcher(|dispatcher| dispatcher.ready_workers()),
             0,
-            "an old event says nothing"
+            "an old event is not applied"
         );
     }
     next_poll(&mut front_end, &mut coordinator);
@@ -274,7 +277,7 @@
 }
 
 #[test]
-fn a_reply_on_a_connection_that_ends_behind_it_counts() {
+fn a_reply_before_the_end_of_its_connection_is_applied() {
     let ManualSetup {
         mut front_end,
         mut coordinator,
@@ -288,10 +291,10 @@
     assert_eq!(coordinator.accepted, 2);
 }
 
-/// The state of the poll when a new configuration comes.
+/// The state of the poll when a new configuration is read.
 #[derive(Clone, Copy, Debug)]
 enum PollState {
-    Out,
+    Waiting,
     HalfReply,
     Connecting,
     Refused,
@@ -300,15 +303,15 @@
 
 impl PollState {
     const ALL: [PollState; 5] = [
-        PollState::Out,
+        PollState::Waiting,
         PollState::HalfReply,
         PollState::Connecting,
         PollState::Refused,
         PollState::WholeReplyUnread,
     ];
 
-    /// Brings the poll of a front end that was configured for it to this state.
-    fn bring_about(
+    /// Brings the poll of a front end to this state. The front end's configuration must name a matching coordinator.
+    fn set_up(
         self,
         front_end: &mut ManualFrontEnd,
         coordinator: &mut ManualCoordinator,
@@ -328,8 +331,8 @@
 }
 
 #[test]
-fn a_new_configuration_takes_the_watch_over_wherever_it_is() {
-    for at in PollState::ALL {
+fn a_new_configuration_redirects_the_poll_in_any_state() {
+    for state in PollState::ALL {
         let (mut old, mut new, worker) = (
             ManualCoordinator::start(),
             ManualCoordinator::start(),
@@ -337,7 +340,7 @@
         );
         let unanswered = listener_with_queue_of_one();
         let _filler = std::net::TcpStream::connect(unanswered.local_addr().unwrap()).unwrap();
-        let coordinator = match at {
+        let coordinator = match state {
             PollState::Connecting => unanswered.local_addr().unwrap(),
             PollState::Refused => unused_address(),
             _ => old.address,
@@ -348,23 +351,24 @@
             ..configuration_at(&[worker.address])
         };
         let mut front_end = ManualFrontEnd::start(&configuration);
-        at.bring_about(&mut front_end, &mut old, &worker);
+        state.set_up(&mut front_end, &mut old, &worker);
         configuration.coordinator = new.address;
         let moved = Instant::now();
         front_end.reload(&configuration);
         next_poll(&mut front_end, &mut new);
         assert!(
             moved.elapsed() < Duration::from_millis(100),
-            "{at:?}: {:?}",
+            "{state:?}: {:?}",
             moved.elapsed()
         );
         let follow =
-            new.polls[0].contains("follow=1&") || matches!(at, PollState::WholeReplyUnread);
-        assert!(follow, "{at:?}: {:?}", new.polls);
-        // There and back before the loop runs; then the same address once more, which moves nothing.
-        let back = ManualCoordinator::start();
+            new.polls[0].contains("follow=1&") || matches!(state, PollState::WholeReplyUnread);
+        assert!(follow, "{state:?}: {:?}", new.polls);
+        // The configuration changes to a third coordinator and back before the event loop runs. After that, reading the same
+        // address again changes nothing.
+        let other = ManualCoordinator::start();
         front_end.reload(&PlatformConfiguration {
-            coordinator: back.address,
+            coordinator: other.address,
             ..configuration_at(&[worker.address])
         });
         front_end.reload(&configuration);
@@ -373,6 +377,9 @@
         front_end.reload(&configuration);
         front_end.run_for(Duration::from_millis(60));
         new.next_poll();
-        assert_eq!(new.accepted, accepted, "{at:?}: the same address again");
+        assert_eq!(
+            new.accepted, accepted,
+            "{state:?}: the address is unchanged"
+        );
     }
 }
--- a/programs/gateway/tests/platform/worker_answers.rs
+++ b/programs/gateway/tests/platform/worker_answers.rs
@@ -1,18 +1,18 @@
-//! What workers answer, or do not: late, twice, cut short, unreadable, or never.
+//! Tests of irregular answers of workers: late, duplicate, truncated, malformed or missing ones.
 
 use crate::harness::*;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_spoilt_answer_is_not_served_and_ends_all_that_is_open_on_its_connection() {
-    let spoilt: [&[u8]; 4] = [
+fn a_malformed_answer_fails_all_calls_on_its_connection() {
+    let malformed: [&[u8]; 4] = [
         b"noise\r\n",
         b"*4\r\n$3000000000\r\nxx",
         b"*4\r\n$16\r\nnot sixteen bytes long\r\n",
         b"*999\r\n",
     ];
-    for bytes in spoilt {
+    for bytes in malformed {
         let worker = Worker::start(serving(move |command| match command.id() {
             "0000000000000001" => Some((bytes.to_vec(), true)),
             "0000000000000002" => Some((Vec::new(), true)),
@@ -21,10 +21,20 @@
         let front_end = FrontEnd::start(&configuration_for(&[&worker]));
         let mut waiting = front_end.connect();
         waiting.send(&call(2).once().text());
-        until("one call is out", || worker.commands("fire").len() == 1);
-        assert_eq!(front_end.call(&call(1).once()).0, 502, "it may have run");
-        assert_eq!(waiting.answer_status(), Some(502), "so may the other");
-        until("the connection is spent", || {
+        until("the worker has a call", || {
+            worker.commands("fire").len() == 1
+        });
+        assert_eq!(
+            front_end.call(&call(1).once()).0,
+            502,
+            "the call may have run"
+        );
+        assert_eq!(
+            waiting.answer_status(),
+            Some(502),
+            "the other call may have run too"
+        );
+        until("the connection is closed", || {
             worker.ended.load(Ordering::SeqCst) > 0
         });
         assert_eq!(front_end.call(&call(3)).0, 200);
@@ -32,13 +42,13 @@
         assert_eq!(calls.len(), 3, "an unsafe call is sent once");
         assert_ne!(
             calls[2].connection, calls[1].connection,
-            "a spent connection is of no further use"
+            "the connection is not used again"
         );
     }
 }
 
 #[test]
-fn an_answer_that_stops_short_ends_its_connection() {
+fn a_truncated_answer_ends_its_connection() {
     let worker = Worker::start(serving(|command| {
         (command.id().ends_with('1')).then(|| (served(command)[..20].to_vec(), true))
     }));
@@ -47,13 +57,13 @@
     assert_eq!(front_end.call(&call(1).once()).0, 502);
     assert!(
         began.elapsed() < Duration::from_millis(1200),
-        "not sat on until the deadline"
+        "the call fails before its deadline"
     );
     assert_eq!(front_end.call(&call(2)).0, 200);
 }
 
 #[test]
-fn extra_copies_and_unknown_ids_are_let_go() {
+fn duplicate_answers_and_unknown_ids_are_ignored() {
     let worker = Worker::start(serving(|command| {
         let mut answers = array(&["ffffffffffffffff", "200", "n=ready", "whose"]);
         answers.extend(served(command));
@@ -71,23 +81,23 @@
 }
 
 #[test]
-fn a_further_attempt_never_shares_a_connection_with_an_earlier_one() {
-    let mut tries = 0;
+fn a_retry_does_not_share_a_connection_with_an_earlier_attempt() {
+    let mut attempts = 0;
     let worker = Worker::start(serving(move |command| {
-        tries += 1;
-        // Turned away, and a late copy of that behind it.
-        let away = [
+        attempts += 1;
+        // A rejection, followed by a duplicate of it.
+        let rejection = [
             array(&[command.id(), "503", "-", ""]),
             array(&[command.id(), "503", "-", ""]),
         ]
         .concat();
-        (tries == 1).then_some((away, true))
+        (attempts == 1).then_some((rejection, true))
     }));
     let front_end = FrontEnd::start(&configuration_for(&[&worker]));
     assert_eq!(
         front_end.call(&call(1).once()),
         (200, "body 1".into()),
-        "turned away never ran: it may go again"
+        "a rejected attempt has not run, so it may be retried"
     );
     let calls = worker.commands("fire");
     assert_eq!(calls.len(), 2);
@@ -95,18 +105,22 @@
 }
 
 #[test]
-fn a_refused_connect_never_ran_and_a_cut_one_may_have() {
+fn a_call_may_have_run_if_its_connection_is_cut_but_not_if_it_is_refused() {
     let front_end = FrontEnd::start(&configuration_at(&[unused_address()]));
     let refused = call(1).with_timeout_ms(600).once();
-    assert_eq!(front_end.call(&refused).0, 503, "trying again is harmless");
+    assert_eq!(front_end.call(&refused).0, 503, "the call may be retried");
     let worker = Worker::start(serving(|_| Some((Vec::new(), false))));
     let front_end = FrontEnd::start(&configuration_for(&[&worker]));
-    assert_eq!(front_end.call(&call(2).once()).0, 502, "it may have run");
+    assert_eq!(
+        front_end.call(&call(2).once()).0,
+        502,
+        "the call may have run"
+    );
     assert_eq!(worker.commands("fire").len(), 1);
 }
 
 #[test]
-fn idle_connections_to_workers_are_closed_before_the_worker_would() {
+fn idle_connections_to_workers_are_closed_before_the_keepalive_time() {
     let worker = Worker::plain();
     let front_end = FrontEnd::start(&PlatformConfiguration {
         keepalive_s: 0.6,
@@ -114,7 +128,7 @@
     });
     assert_eq!(front_end.call(&call(1)).0, 200);
     let began = Instant::now();
-    until("both are closed", || {
+    until("both connections are closed", || {
         worker.ended.load(Ordering::SeqCst) == 2
     });
     assert!(
@@ -126,10 +140,10 @@
 }
 
 #[test]
-fn a_connection_gone_silent_takes_nothing_new_and_a_late_answer_is_nobodys() {
+fn a_silent_connection_is_not_used_again_and_late_answers_are_ignored() {
     for late in [false, true] {
         let worker = Worker::start(Box::new(move |command| match command.name() {
-            // The first connection that brings a call never answers one, but may once it is given up.
+            // This call is not answered, except in the variant in which its cancellation is.
             "fire" if command.id().ends_with('1') => (Vec::new(), true),
             "never_mind" if late => (array(&[command.id(), "200", "n=ready", "late"]), true),
             "fire" => (served(command), true),
@@ -141,9 +155,9 @@
         assert_eq!(
             front_end.call(&silent).0,
             504,
-            "its time is up, and it may have run"
+            "the deadline has passed, and the call may have run"
         );
-        until("it is given up", || {
+        until("the attempt is cancelled", || {
             worker.commands("never_mind").len() == 1
         });
         for id in 2..6 {
@@ -155,7 +169,7 @@
             calls[1..]
                 .iter()
                 .all(|command| command.connection != calls[0].connection),
-            "sent on a connection that was silent: {calls:?}"
+            "a call was sent on the silent connection: {calls:?}"
         );
     }
 }
