--- a/lang/syntax/src/lexer.rs
+++ b/lang/syntax/src/lexer.rs
@@ -5,16 +5,16 @@
 use std::fmt;
 
 /// The text of a number without its `_` separators.
-fn digits(text: &str) -> String {
+fn strip_separators(text: &str) -> String {
     text.chars().filter(|c| *c != '_').collect()
 }
 
 /// Converts a number with a unit to the smallest unit.
-fn scaled(text: &str, units: &[(&str, f64)]) -> Option<i64> {
+fn parse_with_unit(text: &str, units: &[(&str, f64)]) -> Option<i64> {
     let split = text.find(|c: char| c.is_ascii_alphabetic())?;
     let (number, unit) = text.split_at(split);
     let (_, factor) = *units.iter().find(|(name, _)| *name == unit)?;
-    let number = digits(number);
+    let number = strip_separators(number);
     // Integers are converted exactly; fractions are rounded.
     if let (Ok(whole), true) = (number.parse::<i64>(), factor.fract() == 0.0) {
         return whole.checked_mul(factor as i64);
@@ -24,8 +24,8 @@
 }
 
 /// Converts a duration to microseconds.
-fn duration(lex: &mut logos::Lexer<'_, Token>) -> Option<i64> {
-    scaled(
+fn parse_duration(lex: &mut logos::Lexer<'_, Token>) -> Option<i64> {
+    parse_with_unit(
         lex.slice(),
         &[
             ("us", 1.0),
@@ -38,7 +38,7 @@
 }
 
 /// Converts a size to bytes.
-fn size(lex: &mut logos::Lexer<'_, Token>) -> Option<i64> {
+fn parse_size(lex: &mut logos::Lexer<'_, Token>) -> Option<i64> {
     const KIB: f64 = 1024.0;
     let units = [
         ("B", 1.0),
@@ -49,11 +49,11 @@
         ("MiB", KIB * KIB),
         ("GiB", KIB * KIB * KIB),
     ];
-    scaled(lex.slice(), &units)
+    parse_with_unit(lex.slice(), &units)
 }
 
 /// Removes the quotes of a string and resolves its escapes.
-fn string(lex: &mut logos::Lexer<'_, Token>) -> Option<String> {
+fn parse_string(lex: &mut logos::Lexer<'_, Token>) -> Option<String> {
     let inner = lex.slice().strip_prefix('"')?.strip_suffix('"')?;
     let mut text = String::with_capacity(inner.len());
     let mut chars = inner.chars();
@@ -89,17 +89,17 @@
     Word(String),
     #[regex(r"#[A-Za-z_][A-Za-z0-9_]*", |lex| lex.slice().to_string())]
     Definition(String),
-    #[regex(r#""([^"\\\n]|\\[^\n])*""#, string)]
+    #[regex(r#""([^"\\\n]|\\[^\n])*""#, parse_string)]
     Text(String),
-    #[regex(r"-?[0-9][0-9_]*", |lex| digits(lex.slice()).parse().ok())]
+    #[regex(r"-?[0-9][0-9_]*", |lex| strip_separators(lex.slice()).parse().ok())]
     Int(i64),
-    #[regex(r"-?[0-9][0-9_]*\.[0-9]+([eE][+-]?[0-9]+)?", |lex| digits(lex.slice()).parse().ok())]
+    #[regex(r"-?[0-9][0-9_]*\.[0-9]+([eE][+-]?[0-9]+)?", |lex| strip_separators(lex.slice()).parse().ok())]
     Float(f64),
     /// Microseconds.
-    #[regex(r"-?[0-9][0-9_]*(\.[0-9]+)?(us|ms|s|m|h)", duration)]
+    #[regex(r"-?[0-9][0-9_]*(\.[0-9]+)?(us|ms|s|m|h)", parse_duration)]
     Duration(i64),
     /// Bytes.
-    #[regex(r"[0-9][0-9_]*(\.[0-9]+)?([KMG]i?)?B", size)]
+    #[regex(r"[0-9][0-9_]*(\.[0-9]+)?([KMG]i?)?B", parse_size)]
     Size(i64),
     #[token("true", |_| true)]
     #[token("false", |_| false)]
--- a/lang/syntax/src/parser/grammar.rs
+++ b/lang/syntax/src/parser/grammar.rs
@@ -119,7 +119,7 @@
     I: ValueInput<'a, Token = Token, Span = SimpleSpan>,
 {
     recursive(move |value| {
-        let plain = choice((
+        let primary = choice((
             literal(),
             path(),
             record(source, value.clone()),
@@ -128,14 +128,13 @@
             group(value),
         ))
         .map_with(move |node, extra| spanned(source, node, extra.span()));
-        let one = just(Token::Star)
-            .or_not()
-            .then(plain)
-            .map_with(move |(star, value), extra| match star {
+        let operand = just(Token::Star).or_not().then(primary).map_with(
+            move |(star, value), extra| match star {
                 Some(_) => spanned(source, Expr::Default(Box::new(value)), extra.span()),
                 None => value,
-            });
-        let all = one
+            },
+        );
+        let conjunction = operand
             .separated_by(just(Token::And))
             .at_least(1)
             .collect::<Vec<_>>()
@@ -143,7 +142,8 @@
                 1 => list.remove(0),
                 _ => spanned(source, Expr::And(list), extra.span()),
             });
-        all.separated_by(just(Token::Or))
+        conjunction
+            .separated_by(just(Token::Or))
             .at_least(1)
             .collect::<Vec<_>>()
             .map_with(move |mut list, extra| match list.len() {
--- a/lang/syntax/src/parser/mod.rs
+++ b/lang/syntax/src/parser/mod.rs
@@ -1,15 +1,15 @@
 //! The parser for records, with this grammar:
 //!
 //! ```text
-//! file  = fields
-//! fields = { field ("," | new line) }
-//! field  = label ["?"] ":" (field | value)
-//! label = word | definition | string | "[" "string" "]"
-//! value = all { "|" all }
-//! all   = one { "&" one }
-//! one   = ["*"] ( literal | path | "{" fields "}" | "[" values ["..." value] "]" | bound | "(" value ")" )
-//! bound = (">=" | ">" | "<=" | "<" | "!=") literal
-//! path  = (word | definition) { "." word }
+//! file        = fields
+//! fields      = { field ("," | new line) }
+//! field       = label ["?"] ":" (field | value)
+//! label       = word | definition | string | "[" "string" "]"
+//! value       = conjunction { "|" conjunction }
+//! conjunction = operand { "&" operand }
+//! operand     = ["*"] ( literal | path | "{" fields "}" | "[" values ["..." value] "]" | bound | "(" value ")" )
+//! bound       = (">=" | ">" | "<=" | "<" | "!=") literal
+//! path        = (word | definition) { "." word }
 //! ```
 
 mod grammar;
@@ -26,7 +26,7 @@
 /// Parses the fields of a text. Returns the fields that could be parsed, and all errors in the order of their places.
 pub fn parse(text: &str, source: usize) -> (Vec<Decl>, Vec<Diagnostic>) {
     let (tokens, mut diagnostics) = lex(text, source);
-    if let Some(span) = first_too_deep(&tokens) {
+    if let Some(span) = first_excess_bracket(&tokens) {
         let message = format!("brackets are nested more than {MAX_DEPTH} levels deep");
         diagnostics.push(Diagnostic::new(span, message));
         return (Vec::new(), diagnostics);
@@ -38,13 +38,13 @@
         .collect();
     let input = tokens.as_slice().map(end, |(token, span)| (token, span));
     let (fields, errors) = grammar::file(source).parse(input).into_output_errors();
-    diagnostics.extend(errors.iter().map(|error| diagnostic(error, source)));
+    diagnostics.extend(errors.iter().map(|error| to_diagnostic(error, source)));
     diagnostics.sort_by_key(|diagnostic| diagnostic.span);
     (fields.unwrap_or_default(), diagnostics)
 }
 
 /// The place of the first bracket that exceeds the maximum depth.
-fn first_too_deep(tokens: &[(Token, Span)]) -> Option<Span> {
+fn first_excess_bracket(tokens: &[(Token, Span)]) -> Option<Span> {
     let mut depth = 0usize;
     for (token, span) in tokens {
         match token {
@@ -60,7 +60,7 @@
 }
 
 /// Converts a parser error to a diagnostic that lists the expected tokens.
-fn diagnostic(error: &Rich<'_, Token, SimpleSpan>, source: usize) -> Diagnostic {
+fn to_diagnostic(error: &Rich<'_, Token, SimpleSpan>, source: usize) -> Diagnostic {
     let span = Span {
         source,
         start: error.span().start,
--- a/programs/gateway/src/cli/mod.rs
+++ b/programs/gateway/src/cli/mod.rs
@@ -141,9 +141,9 @@
         ));
         return Ok(ExitCode::SUCCESS);
     }
-    let run = platform::Platform::start(&config);
+    let run = platform::PlatformFrontEnd::start(&config);
     Ok(exit_code(
-        run.and_then(|platform| platform.run(&path, signals)),
+        run.and_then(|front_end| front_end.run(&path, signals)),
     ))
 }
 
--- a/programs/gateway/src/platform/configuration.rs
+++ b/programs/gateway/src/platform/configuration.rs
@@ -1,7 +1,7 @@
 //! The platform's configuration file, which is read at the start and again on SIGHUP.
 
 use super::error::ConfigurationError;
-use super::START_WITHIN;
+use super::START_RETRY_TIME;
 use std::io;
 use std::path::Path;
 use tansy_net_sockets::socket::retry;
@@ -20,7 +20,7 @@
 /// # Errors
 /// If the file still can't be read after the retries, or its content is invalid.
 pub fn read_at_start(path: &Path) -> Result<Config, ConfigurationError> {
-    let text = retry(START_WITHIN, "the configuration", || {
+    let text = retry(START_RETRY_TIME, "the configuration", || {
         std::fs::read_to_string(path)
     });
     parse(path, text)
--- a/programs/gateway/src/platform/lifecycle.rs
+++ b/programs/gateway/src/platform/lifecycle.rs
@@ -5,7 +5,7 @@
 //! exits.
 
 use super::configuration::read;
-use super::{retry_loop, Platform, PlatformError};
+use super::{retry_calloop, PlatformError, PlatformFrontEnd};
 use calloop::signals::{Signal, Signals as Source};
 use std::cell::Cell;
 use std::path::{Path, PathBuf};
@@ -42,7 +42,7 @@
     /// # Errors
     /// If a system call fails.
     pub fn new() -> Result<Signals, PlatformError> {
-        let source = retry_loop("signals", || {
+        let source = retry_calloop("signals", || {
             Source::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])
         })?;
         Ok(Signals(source))
@@ -64,7 +64,7 @@
     attempts_left: u32,
 }
 
-impl Platform {
+impl PlatformFrontEnd {
     /// Reads the configuration again and applies its coordinator and its endpoint list. Returns whether the file was valid; if
     /// it was not, nothing changes.
     pub fn reload(&self, path: &Path) -> bool {
--- a/programs/gateway/src/platform/mod.rs
+++ b/programs/gateway/src/platform/mod.rs
@@ -2,8 +2,8 @@
 //! endpoint list. It runs as a single process and is not a member of a fleet.
 //!
 //! - [`read`], [`read_at_start`]: read the configuration file.
-//! - [`Platform::start`]: starts the listener, the dispatcher's driver and the endpoint poller on one event loop.
-//! - [`Platform::run`]: serves until SIGTERM, then shuts down gracefully (`lifecycle`).
+//! - [`PlatformFrontEnd::start`]: starts the listener, the dispatcher's driver and the endpoint poller on one event loop.
+//! - [`PlatformFrontEnd::run`]: serves until SIGTERM, then shuts down gracefully (`lifecycle`).
 
 mod configuration;
 mod error;
@@ -27,14 +27,14 @@
 /// Lower bound of the longest call time that is assumed, microseconds.
 const MIN_DEADLINE: Micros = 3_000_000;
 /// Time for which a failed system call is retried at the start; the platform expects a front end to be ready within 30 s.
-const START_WITHIN: Duration = Duration::from_secs(20);
+const START_RETRY_TIME: Duration = Duration::from_secs(20);
 /// Interval at which connections to workers are maintained.
-const MAINTAIN_EVERY: Duration = Duration::from_millis(100);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval at which the totals are logged.
-const TOTALS_EVERY: Duration = Duration::from_secs(10);
+const TOTALS_INTERVAL: Duration = Duration::from_secs(10);
 
 /// A front end on the platform.
-pub struct Platform {
+pub struct PlatformFrontEnd {
     event_loop: EventLoop<'static, ()>,
     driver: Rc<Driver>,
     clients: Rc<ClientListener>,
@@ -44,19 +44,20 @@
     deadline: Duration,
 }
 
-impl Platform {
+impl PlatformFrontEnd {
     /// Binds the port and starts to poll the endpoint list.
     ///
     /// # Errors
     /// If the settings are invalid, the port can't be bound, or a system call fails.
-    pub fn start(config: &Config) -> Result<Platform, PlatformError> {
-        let event_loop: EventLoop<'static, ()> = retry_loop("the event loop", EventLoop::try_new)?;
-        let spawner = retry(START_WITHIN, "the tasks", || {
+    pub fn start(config: &Config) -> Result<PlatformFrontEnd, PlatformError> {
+        let event_loop: EventLoop<'static, ()> =
+            retry_calloop("the event loop", EventLoop::try_new)?;
+        let spawner = retry(START_RETRY_TIME, "the task spawner", || {
             Spawner::new(event_loop.handle())
         })?;
         let dispatch = dispatch_config(config)?;
         let max_call_time = dispatch.max_call_time;
-        let listener = retry(START_WITHIN, "the listener", || {
+        let listener = retry(START_RETRY_TIME, "the listener", || {
             listen(config.listen, false)
         })
         .map_err(|source| PlatformError::Listen {
@@ -75,7 +76,7 @@
         let poller = EndpointPoller::start(driver.clone(), list, config.coordinator, &config.known);
         let clients = ClientListener::start(driver.clone(), listener)?;
         spawner.spawn(maintain(driver.clone()));
-        Ok(Platform {
+        Ok(PlatformFrontEnd {
             event_loop,
             driver,
             clients,
@@ -146,9 +147,9 @@
 async fn maintain(driver: Rc<Driver>) {
     let mut logged_at = Instant::now();
     loop {
-        driver.spawner.sleep(MAINTAIN_EVERY).await;
+        driver.spawner.sleep(MAINTENANCE_INTERVAL).await;
         driver.maintain_connections();
-        if logged_at.elapsed() >= TOTALS_EVERY {
+        if logged_at.elapsed() >= TOTALS_INTERVAL {
             logged_at = Instant::now();
             let (account, open) = driver.counters();
             let violations = driver.violations();
@@ -159,9 +160,11 @@
 }
 
 /// Like [`retry`], for functions that return an error of the event loop library.
-fn retry_loop<T>(
+fn retry_calloop<T>(
     subject: &str,
     mut make: impl FnMut() -> calloop::Result<T>,
 ) -> Result<T, PlatformError> {
-    Ok(retry(START_WITHIN, subject, || make().map_err(io_error))?)
+    Ok(retry(START_RETRY_TIME, subject, || {
+        make().map_err(io_error)
+    })?)
 }
--- a/programs/gateway/tests/platform/harness/front_end.rs
+++ b/programs/gateway/tests/platform/harness/front_end.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use std::time::Duration;
-use tansy_gateway::platform::{read, Platform};
+use tansy_gateway::platform::{read, PlatformFrontEnd};
 use tansy_test_support::platform_configuration::PlatformConfiguration;
 
 /// The sizes of a front end's tables at the time when it was stopped.
@@ -26,7 +26,7 @@
 }
 
 impl TableSizes {
-    fn of(platform: &Platform) -> TableSizes {
+    fn of(platform: &PlatformFrontEnd) -> TableSizes {
         let driver = platform.driver();
         let (functions, workers) = driver.with_dispatcher(|dispatcher| dispatcher.name_counts());
         TableSizes {
@@ -58,7 +58,7 @@
         let thread = std::thread::spawn({
             let (stop, reload, path) = (stop.clone(), reload.clone(), path.clone());
             move || {
-                let mut platform = Platform::start(&read(&path).unwrap()).unwrap();
+                let mut platform = PlatformFrontEnd::start(&read(&path).unwrap()).unwrap();
                 sender.send(platform.address()).unwrap();
                 while !stop.load(Ordering::SeqCst) {
                     platform.turn(Duration::from_millis(5)).unwrap();
--- a/programs/gateway/tests/platform/harness/manual.rs
+++ b/programs/gateway/tests/platform/harness/manual.rs
@@ -12,7 +12,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
-use tansy_gateway::platform::{read, Platform};
+use tansy_gateway::platform::{read, PlatformFrontEnd};
 use tansy_resp::Reader;
 use tansy_test_support::platform_configuration::PlatformConfiguration;
 
@@ -22,7 +22,7 @@
 /// A front end whose event loop runs only when the test calls it.
 pub struct ManualFrontEnd {
     /// The front end.
-    pub platform: Platform,
+    pub platform: PlatformFrontEnd,
     path: PathBuf,
 }
 
@@ -41,7 +41,7 @@
     /// Starts a front end from the text of a configuration, without running its event loop.
     pub fn with_text(text: &str) -> ManualFrontEnd {
         let path = write_text(text);
-        let platform = Platform::start(&read(&path).unwrap()).unwrap();
+        let platform = PlatformFrontEnd::start(&read(&path).unwrap()).unwrap();
         ManualFrontEnd { platform, path }
     }
 
@@ -62,7 +62,7 @@
     pub fn until<T>(
         &mut self,
         description: &str,
-        mut check: impl FnMut(&Platform) -> Option<T>,
+        mut check: impl FnMut(&PlatformFrontEnd) -> Option<T>,
     ) -> T {
         let end = Instant::now() + Duration::from_secs(10);
         loop {
@@ -81,7 +81,7 @@
         &mut self,
         span: Duration,
         description: &str,
-        mut check: impl FnMut(&Platform) -> Option<T>,
+        mut check: impl FnMut(&PlatformFrontEnd) -> Option<T>,
     ) -> T {
         let mut ran = Duration::ZERO;
         loop {
--- a/settings/src/value/evaluate.rs
+++ b/settings/src/value/evaluate.rs
@@ -46,7 +46,7 @@
         outer: None,
     };
     let path = [name.to_string()];
-    reference(&path, Span::default(), &scope, 0, errors)
+    resolve_reference(&path, Span::default(), &scope, 0, errors)
 }
 
 fn record(
@@ -98,7 +98,7 @@
         Expr::Duration(duration) => Kind::Scalar(Scalar::Duration(*duration)),
         Expr::Size(bytes) => Kind::Scalar(Scalar::Size(*bytes)),
         Expr::Text(text) => Kind::Scalar(Scalar::Text(text.clone())),
-        Expr::Name(path) => reference(path, span, scope, references, errors).kind,
+        Expr::Name(path) => resolve_reference(path, span, scope, references, errors).kind,
         Expr::Record(fields) => {
             let inner = Scope {
                 fields,
@@ -140,7 +140,7 @@
     }
 }
 
-fn reference(
+fn resolve_reference(
     path: &[String],
     span: Span,
     scope: &Scope<'_>,
@@ -154,7 +154,7 @@
     }
     for scope in scope.chain() {
         if let Some(declaration) = find(scope.fields, &path[0]) {
-            return field_of(declaration, path, span, scope, references, errors);
+            return evaluate_path(declaration, path, span, scope, references, errors);
         }
     }
     match Type::from_name(&name) {
@@ -183,7 +183,7 @@
 
 /// Evaluates the field at a path whose first part is `declaration`. A path leads through records that are written as literals;
 /// at a value of any other form, such as a reference, that value is the result and the rest of the path is ignored.
-fn field_of(
+fn evaluate_path(
     mut declaration: &Decl,
     path: &[String],
     span: Span,
--- a/settings/src/value/unify.rs
+++ b/settings/src/value/unify.rs
@@ -24,13 +24,13 @@
             Alternatives::new(list, other, Side::Expected).unify(span, path, errors)
         }
         (Kind::Record(written), Kind::Record(expected)) => {
-            Kind::Record(records(written, expected, path, errors))
+            Kind::Record(unify_records(written, expected, path, errors))
         }
         (Kind::List(written, written_rest), Kind::List(expected, expected_rest)) => {
             let written = List(written, written_rest);
-            lists(written, List(expected, expected_rest), span, path, errors)
+            unify_lists(written, List(expected, expected_rest), span, path, errors)
         }
-        (written, expected) => match scalars(written, expected) {
+        (written, expected) => match unify_scalars(written, expected) {
             Ok(kind) => kind,
             Err(sides) => {
                 let written = Node::new(sides.written, span);
@@ -65,9 +65,9 @@
 
 /// Unifies scalars and types, or returns both sides if they have no value in common. Of a scalar and a type that does not contain
 /// it, the scalar is returned as the written side, whichever side it was on.
-fn scalars(written: Kind, expected: Kind) -> Result<Kind, Box<Conflict>> {
+fn unify_scalars(written: Kind, expected: Kind) -> Result<Kind, Box<Conflict>> {
     match (written, expected) {
-        (Kind::Scalar(written), Kind::Scalar(expected)) if equal(&written, &expected) => {
+        (Kind::Scalar(written), Kind::Scalar(expected)) if equal_scalars(&written, &expected) => {
             Ok(Kind::Scalar(written))
         }
         (Kind::Scalar(scalar), Kind::Typed(scalar_type, bounds))
@@ -83,7 +83,7 @@
             }
         }
         (Kind::Typed(written, written_bounds), Kind::Typed(expected, expected_bounds)) => {
-            types((written, written_bounds), (expected, expected_bounds))
+            unify_types((written, written_bounds), (expected, expected_bounds))
         }
         (written, expected) => Err(Conflict::of(written, expected)),
     }
@@ -91,7 +91,7 @@
 
 type TypeAndBounds = (Option<Type>, Vec<Bound>);
 
-fn types(
+fn unify_types(
     (written, mut written_bounds): TypeAndBounds,
     (expected, expected_bounds): TypeAndBounds,
 ) -> Result<Kind, Box<Conflict>> {
@@ -111,7 +111,7 @@
     }
 }
 
-fn equal(written: &Scalar, expected: &Scalar) -> bool {
+fn equal_scalars(written: &Scalar, expected: &Scalar) -> bool {
     match (written, expected) {
         (Scalar::Int(int), Scalar::Float(float)) | (Scalar::Float(float), Scalar::Int(int)) => {
             *int as f64 == *float
@@ -201,7 +201,7 @@
     errors.iter().map(|error| error.path.len()).max()
 }
 
-fn records(
+fn unify_records(
     mut written: Record,
     expected: Record,
     path: &str,
@@ -212,7 +212,7 @@
         ..Record::default()
     };
     for (name, field) in std::mem::take(&mut written.fields) {
-        if let Some(field) = known_field(&name, field, &expected, path, errors) {
+        if let Some(field) = unify_field(&name, field, &expected, path, errors) {
             record.fields.insert(name, field);
         }
     }
@@ -229,7 +229,7 @@
 }
 
 /// Unifies a written field with the constraint on it. Returns `None`, and reports an error, if the field is not allowed.
-fn known_field(
+fn unify_field(
     name: &str,
     field: Field,
     expected: &Record,
@@ -272,7 +272,7 @@
 /// The items of a list, and the constraint on further items.
 struct List(Vec<Node>, Option<Box<Node>>);
 
-fn lists(
+fn unify_lists(
     List(written, written_rest): List,
     List(expected, expected_rest): List,
     span: Span,
