--- a/programs/fleet/src/scopes.rs
+++ b/programs/fleet/src/scopes.rs
@@ -13,7 +13,7 @@
 use tansy_agreement::scope::{ScopePhase, ScopeRecord, ScopeTransaction, ScopeUpdate};
 use tansy_fleet_wire::pb::enter_request::Entry;
 use tansy_fleet_wire::{decode_scope_record, encode_scope_transaction, pb};
-use tansy_settings::agree::{functions, label};
+use tansy_settings::agreement::{field_label, parse_functions};
 
 /// Functions and their new fields; `None` for a function to be removed.
 type DesiredFunctions = BTreeMap<String, Option<Fields>>;
@@ -108,7 +108,10 @@
                 let all: Vec<String> = versions.iter().map(|version| quote(version)).collect();
                 text += &format!(", versions: [{}]", all.join(", "));
             }
-            let text = format!("functions: {}: {{{text}}}\n", label(&escape_name(&name)));
+            let text = format!(
+                "functions: {}: {{{text}}}\n",
+                field_label(&escape_name(&name))
+            );
             let desired = parse("the arguments", &text)?;
             change(context, desired, &arguments)
         }
@@ -132,7 +135,7 @@
 
 /// Parses functions from text in the format of settings files. `origin` names the text in errors.
 fn parse(origin: &str, text: &str) -> Result<DesiredFunctions, FleetError> {
-    let functions = functions(origin, text).map_err(FleetError::invalid)?;
+    let functions = parse_functions(origin, text).map_err(FleetError::invalid)?;
     let desired = functions
         .into_iter()
         .map(|(function, fields)| (function, Some(fields)));
--- a/programs/gateway/src/fleet/mod.rs
+++ b/programs/gateway/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! A gateway in a fleet: its dispatcher acts on what its lease and its session allow.
+//! A gateway as a member of a fleet. Its lease and its session determine which settings its dispatcher may apply.
 //!
-//! - `applier`: gives the dispatcher the configuration that is in effect now, and those that follow once the lease and the
-//!   session expire.
+//! - `applier`: applies the current configuration to the dispatcher, with those that replace it when the lease and the session
+//!   expire.
 //! - `effective`: computes these configurations from the fleet's state.
-//! - `lookup`: functions that are agreed on one by one.
+//! - `lookup`: looks up functions whose settings the fleet agrees on one by one.
 //! - `counters`: the counters that operators and rollouts read.
 
 mod applier;
@@ -26,30 +26,31 @@
 use tansy_net_fleet::{FleetTransport, InvalidFields, TransportConfig};
 use tansy_net_inference::Driver;
 use tansy_net_sockets::Spawner;
-use tansy_settings::{agree, ConfiguredWorker, Fleet};
+use tansy_settings::{agreement, ConfiguredWorker, FleetSettings};
 
-/// The share of a lease, in tenths, in the time within which no two front ends contradict each other.
+/// The duration of a lease, in tenths of the longest time for which two front ends may contradict each other.
 const LEASE_TENTHS: i64 = 3;
 
-/// The variable by which a supervisor passes the label of the program that a process runs.
-pub const LABEL: &str = "TANSY_LABEL";
+/// The environment variable in which a supervisor passes the label of the program version that a process runs.
+pub const LABEL_VARIABLE: &str = "TANSY_LABEL";
 
-/// A gateway's placement in a fleet, beside its settings.
+/// The part of a gateway's fleet membership that is not in its fleet settings.
 #[derive(Debug, Default, Clone)]
 pub struct FleetPlacement {
-    /// All fields of its own file, with those that the command line overrides.
-    pub own: Fields,
-    /// The first version of a new fleet: the fields that stand in the file.
-    pub first: Fields,
-    /// Front ends and workers that are reached through another address than their own.
-    pub via: HashMap<SocketAddr, SocketAddr>,
+    /// All fields of its settings file, with the values that the command line overrides.
+    pub own_fields: Fields,
+    /// The version with which a new fleet starts: the fields that are written in the file.
+    pub initial_version: Fields,
+    /// The addresses through which front ends and workers are reached, by their own addresses.
+    pub proxies: HashMap<SocketAddr, SocketAddr>,
     /// Its zone.
     pub zone: String,
 }
 
-/// The configuration of the node of a process that starts now.
-pub fn peer(fleet: &Fleet, address: SocketAddr) -> FleetNodeConfig {
-    // A later process of a name must have a larger incarnation; the wall clock does not go back by as much as a restart takes.
+/// The configuration of the fleet node of a process that starts now.
+pub fn node_config(fleet: &FleetSettings, address: SocketAddr) -> FleetNodeConfig {
+    // A restarted process must have a larger incarnation than its predecessor. This assumes that the wall clock is not set back
+    // by more than the time that a restart takes.
     let since = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
@@ -58,7 +59,7 @@
     let voters = fleet.voters.iter();
     let timing = |span| LeaseTiming {
         span,
-        drift_ppm: fleet.clock_ppm,
+        drift_ppm: fleet.clock_drift_ppm,
     };
     FleetNodeConfig {
         fleet: name_to_id(&fleet.name),
@@ -70,24 +71,25 @@
         lease: timing(fleet.max_divergence * LEASE_TENTHS / 10),
         session: timing(fleet.session),
         gossip: tansy_membership::GossipTiming::default(),
-        schema: agree::compatibility_schema(),
+        schema: agreement::compatibility_schema(),
         seed: id ^ incarnation,
     }
 }
 
-/// A gateway's member of its fleet.
+/// A gateway's membership in its fleet.
 pub struct FleetMember {
     transport: Rc<FleetTransport>,
     applier: Rc<ConfigApplier>,
 }
 
 impl FleetMember {
-    /// Its node on the network.
+    /// The node's network transport.
     pub fn transport(&self) -> &Rc<FleetTransport> {
         &self.transport
     }
 
-    /// Applies a list of workers: the peers are notified of those that drain, and those that any peer saw drain do so here.
+    /// Applies a list of workers. Peers are notified of the workers that drain, and workers that a peer has reported as draining
+    /// drain here too.
     pub fn update_workers(&self, workers: Vec<ConfiguredWorker>) {
         let records = workers.iter().map(applier::endpoint_record).collect();
         self.applier.set_workers(workers);
@@ -97,28 +99,28 @@
     }
 }
 
-/// Starts the gateway's node. Until it has a lease and a session, the dispatcher acts on no version.
+/// Starts the gateway's node. Until it has a lease and a session, the dispatcher applies no version of the settings.
 pub fn start(
     spawner: Spawner,
     driver: Rc<Driver>,
     listener: TcpListener,
-    fleet: &Fleet,
+    fleet: &FleetSettings,
     placement: &FleetPlacement,
 ) -> Result<FleetMember, GatewayError> {
-    let node = peer(fleet, listener.local_addr()?);
-    let voter = voter_file(fleet)?.map(|path| (path, placement.first.clone()));
+    let node = node_config(fleet, listener.local_addr()?);
+    let voter = voter_file(fleet)?.map(|path| (path, placement.initial_version.clone()));
     let applier = ConfigApplier::new(driver.clone(), fleet, placement, &node);
     let applier = Rc::new(applier);
-    applier.apply_initial(&placement.first)?;
+    applier.apply_initial(&placement.initial_version)?;
     driver.enable_class_counters();
     let counted_driver = driver.clone();
     let zone = placement.zone.clone();
-    let label = std::env::var(LABEL).unwrap_or_default();
+    let label = std::env::var(LABEL_VARIABLE).unwrap_or_default();
     let config = TransportConfig {
         node,
         fleet: fleet.name.clone(),
         voter,
-        proxies: placement.via.clone(),
+        proxies: placement.proxies.clone(),
         carrier: None,
         validate_version: Rc::new(check_version),
         validate_function: Rc::new(check_function),
@@ -132,13 +134,13 @@
     Ok(FleetMember { transport, applier })
 }
 
-/// The file of the agreed log: a voter needs one, and any other front end that has one may become a voter.
-fn voter_file(fleet: &Fleet) -> Result<Option<PathBuf>, GatewayError> {
+/// The file of the replicated log. A voter needs one; any other front end that has one may become a voter.
+fn voter_file(fleet: &FleetSettings) -> Result<Option<PathBuf>, GatewayError> {
     let is_voter = fleet
         .voters
         .iter()
         .any(|voter| voter.name == fleet.node_name);
-    match &fleet.state {
+    match &fleet.state_file {
         Some(path) => Ok(Some(path.clone())),
         None if is_voter => Err(GatewayError::NoStateFile {
             name: fleet.node_name.clone(),
@@ -152,12 +154,12 @@
 }
 
 fn check_version(fields: &Fields) -> Result<(), InvalidFields> {
-    agree::check(fields).map_err(invalid_fields)
+    agreement::validate(fields).map_err(invalid_fields)
 }
 
-/// Whether a function's fields are valid, of a class that the settings in force and those under way have.
+/// Checks that a function's fields are valid, and that its class exists both in the settings in force and in the next settings.
 fn check_function(name: &str, fields: &Fields, state: &FleetState) -> Result<(), InvalidFields> {
-    let function = agree::function(name, fields).map_err(invalid_fields)?;
+    let function = agreement::read_function(name, fields).map_err(invalid_fields)?;
     let prefix = format!("classes.{}.", escape_name(&function.class));
     let has_class = |settings: &VersionedSettings| {
         let first = settings.fields.range(prefix.clone()..).next();
@@ -172,7 +174,7 @@
     {
         None => Ok(()),
         Some(version) => Err(InvalidFields(format!(
-            "functions.{name}.class: {:?} is not there: want a class of version {}",
+            "functions.{name}.class: {:?} does not exist: expected a class of version {}",
             function.class, version.version.0
         ))),
     }
--- a/programs/gateway/src/platform/mod.rs
+++ b/programs/gateway/src/platform/mod.rs
@@ -1,16 +1,15 @@
-//! A front end on the platform: its configuration, one listener, the coordinator's endpoint list, signals.
+//! A front end on the platform. It has one configuration file and one listener, and takes its workers from the coordinator's
+//! endpoint list. It runs as a single process and is not a member of a fleet.
 //!
-//! - [`read`], [`read_first`]: the configuration file.
-//! - [`Platform::start`]: the listener, the dispatcher's driver and the endpoint poll, on one event loop.
-//! - [`Platform::run`]: serves until SIGTERM, then shuts down gracefully (`lifecycle`).
-//!
-//! It is one process without children, and no part of a fleet.
+//! - [`read`], [`read_at_start`]: read the configuration file.
+//! - [`PlatformFrontEnd::start`]: starts the listener, the dispatcher's driver and the endpoint poller on one event loop.
+//! - [`PlatformFrontEnd::run`]: serves until SIGTERM, then shuts down gracefully (`lifecycle`).
 
 mod configuration;
 mod error;
 mod lifecycle;
 
-pub use configuration::{read, read_first};
+pub use configuration::{read, read_at_start};
 pub use error::{ConfigurationError, PlatformError};
 pub use lifecycle::Signals;
 
@@ -25,17 +24,17 @@
 use tansy_platform::{Config, EndpointList};
 use tansyrouter::{Micros, Time};
 
-/// The platform's longest deadline is taken as no less than this.
+/// Lower bound of the longest call time that is assumed, microseconds.
 const MIN_DEADLINE: Micros = 3_000_000;
-/// At a start what fails for a moment is tried for so long: a front end is to be ready in 30 s.
-const START_WITHIN: Duration = Duration::from_secs(20);
-/// How often connections to workers are maintained.
-const MAINTAIN_EVERY: Duration = Duration::from_millis(100);
-/// How often the totals are logged.
-const TOTALS_EVERY: Duration = Duration::from_secs(10);
+/// Time for which a failed system call is retried at the start; the platform expects a front end to be ready within 30 s.
+const START_RETRY_TIME: Duration = Duration::from_secs(20);
+/// Interval at which connections to workers are maintained.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which the totals are logged.
+const TOTALS_INTERVAL: Duration = Duration::from_secs(10);
 
 /// A front end on the platform.
-pub struct Platform {
+pub struct PlatformFrontEnd {
     event_loop: EventLoop<'static, ()>,
     driver: Rc<Driver>,
     clients: Rc<ClientListener>,
@@ -45,19 +44,20 @@
     deadline: Duration,
 }
 
-impl Platform {
-    /// Listens, and begins to poll the endpoint list.
+impl PlatformFrontEnd {
+    /// Binds the port and starts to poll the endpoint list.
     ///
     /// # Errors
-    /// Settings that make no sense, a port that can't be bound, or a system call that failed.
-    pub fn start(config: &Config) -> Result<Platform, PlatformError> {
-        let event_loop: EventLoop<'static, ()> = retry_loop("the event loop", EventLoop::try_new)?;
-        let spawner = retry(START_WITHIN, "the tasks", || {
+    /// If the settings are invalid, the port can't be bound, or a system call fails.
+    pub fn start(config: &Config) -> Result<PlatformFrontEnd, PlatformError> {
+        let event_loop: EventLoop<'static, ()> =
+            retry_calloop("the event loop", EventLoop::try_new)?;
+        let spawner = retry(START_RETRY_TIME, "the task spawner", || {
             Spawner::new(event_loop.handle())
         })?;
         let dispatch = dispatch_config(config)?;
         let max_call_time = dispatch.max_call_time;
-        let listener = retry(START_WITHIN, "the listener", || {
+        let listener = retry(START_RETRY_TIME, "the listener", || {
             listen(config.listen, false)
         })
         .map_err(|source| PlatformError::Listen {
@@ -66,7 +66,7 @@
         })?;
         let address = listener.local_addr()?;
         let dispatcher = Dispatcher::new(dispatch, Time(0))?;
-        // The machine's bound goes before the stated one where it is lower.
+        // The process's descriptor limit applies if it is lower than the configured number of sockets.
         let limits = ServingLimits::new(config, descriptor_limit());
         let driver = Driver::new(spawner.clone(), dispatcher, limits, Instant::now());
         let list = EndpointList::new(
@@ -76,7 +76,7 @@
         let poller = EndpointPoller::start(driver.clone(), list, config.coordinator, &config.known);
         let clients = ClientListener::start(driver.clone(), listener)?;
         spawner.spawn(maintain(driver.clone()));
-        Ok(Platform {
+        Ok(PlatformFrontEnd {
             event_loop,
             driver,
             clients,
@@ -86,7 +86,7 @@
         })
     }
 
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -96,20 +96,20 @@
         &self.driver
     }
 
-    /// The connections of clients.
+    /// The listener and its client connections.
     pub fn clients(&self) -> &Rc<ClientListener> {
         &self.clients
     }
 
-    /// The poll of the endpoint list.
+    /// The poller of the endpoint list.
     pub fn poller(&self) -> &Rc<EndpointPoller> {
         &self.poller
     }
 
-    /// One turn of the loop, at most so long.
+    /// Runs one iteration of the event loop, which waits for at most `max`.
     ///
     /// # Errors
-    /// The event loop's.
+    /// If the event loop fails.
     pub fn turn(&mut self, max: Duration) -> Result<(), PlatformError> {
         let sleep = self.driver.next_timer_in().map_or(max, |s| s.min(max));
         let next = self
@@ -126,7 +126,7 @@
     }
 }
 
-/// What the dispatcher is configured with.
+/// The dispatcher's configuration.
 fn dispatch_config(config: &Config) -> Result<DispatchConfig, PlatformError> {
     let settings = tansy_conf::router_settings(&config.settings)?;
     let deadlines = settings.classes.iter().map(|class| class.deadline);
@@ -143,13 +143,13 @@
     })
 }
 
-/// Maintains the connections to workers, and logs the totals now and then.
+/// Maintains the connections to workers and logs the totals, each at its interval.
 async fn maintain(driver: Rc<Driver>) {
     let mut logged_at = Instant::now();
     loop {
-        driver.spawner.sleep(MAINTAIN_EVERY).await;
+        driver.spawner.sleep(MAINTENANCE_INTERVAL).await;
         driver.maintain_connections();
-        if logged_at.elapsed() >= TOTALS_EVERY {
+        if logged_at.elapsed() >= TOTALS_INTERVAL {
             logged_at = Instant::now();
             let (account, open) = driver.counters();
             let violations = driver.violations();
@@ -159,10 +159,12 @@
     }
 }
 
-/// As [`retry`], of what the loop library makes.
-fn retry_loop<T>(
+/// Like [`retry`], for functions that return an error of the event loop library.
+fn retry_calloop<T>(
     subject: &str,
     mut make: impl FnMut() -> calloop::Result<T>,
 ) -> Result<T, PlatformError> {
-    Ok(retry(START_WITHIN, subject, || make().map_err(io_error))?)
+    Ok(retry(START_RETRY_TIME, subject, || {
+        make().map_err(io_error)
+    })?)
 }
--- a/programs/scale/src/hollow/front_ends.rs
+++ b/programs/scale/src/hollow/front_ends.rs
@@ -14,7 +14,7 @@
 use tansy_agreement::compatibility::Fields;
 use tansy_agreement::log::Revision;
 use tansy_fleet_node::FleetNode;
-use tansy_gateway::fleet::peer;
+use tansy_gateway::fleet::node_config;
 use tansy_net_fleet::{FleetTransport, TransportConfig};
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::{clock, Spawner};
@@ -25,7 +25,7 @@
 /// All hollow front ends of one process, by their index in the fleet.
 pub(super) struct HollowFrontEnds {
     spawner: Spawner,
-    fleet: tansy_settings::Fleet,
+    fleet: tansy_settings::FleetSettings,
     network: u8,
     first: u32,
     per_process: u32,
@@ -51,7 +51,7 @@
 impl HollowFrontEnds {
     pub(super) fn new(
         spawner: Spawner,
-        fleet: tansy_settings::Fleet,
+        fleet: tansy_settings::FleetSettings,
         network: u8,
         first: u32,
         per_process: u32,
@@ -133,7 +133,7 @@
             true
         };
         Ok(TransportConfig {
-            node: peer(&fleet, address),
+            node: node_config(&fleet, address),
             fleet: fleet.name.clone(),
             voter: None,
             proxies: Default::default(),
--- a/programs/scenario/src/agreement/mod.rs
+++ b/programs/scenario/src/agreement/mod.rs
@@ -66,7 +66,7 @@
     let versions = versions::draw(options);
     let mut cluster = Cluster::start(options, versions[0])?;
     let text = versions[0].text(options, &cluster.peers);
-    let settings = tansy_settings::settings(SETTINGS_NAME, &text)?;
+    let settings = tansy_settings::parse_settings(SETTINGS_NAME, &text)?;
     let clients = load::spawn(load_plan(&cluster, &settings));
     let observers = load::spawn(observer_plan(&cluster, &settings));
     let (changes, requests) = mpsc::channel();
@@ -150,7 +150,7 @@
             if let Some(version) = next_versions.next() {
                 let text = version.text(&options, &cluster.peers);
                 let change = ProposedChange {
-                    fields: tansy_settings::agree::version(SETTINGS_NAME, &text)?,
+                    fields: tansy_settings::agreement::parse_version(SETTINGS_NAME, &text)?,
                     claim: version.claim(),
                 };
                 let ended = |_| ScenarioError::ThreadEnded("operator's");
--- a/settings/src/agree/text.rs
+++ b/settings/src/agreement/text.rs
@@ -1,9 +1,9 @@
-//! Fields as the text of settings.
+//! Converts fields to the text of settings.
 
 use tansy_agreement::compatibility::{self, Fields};
 
-/// Writes fields as the text of settings.
-pub fn text(fields: &Fields) -> String {
+/// Converts fields to the text of settings, with nested records for the parts of their paths.
+pub fn to_text(fields: &Fields) -> String {
     let mut text = String::new();
     let mut open: Vec<&str> = Vec::new();
     for (path, value) in fields {
@@ -15,10 +15,14 @@
             text += &format!("{}}}\n", "    ".repeat(open.len()));
         }
         for part in &parts[same..] {
-            text += &format!("{}{}: {{\n", "    ".repeat(open.len()), label(part));
+            text += &format!("{}{}: {{\n", "    ".repeat(open.len()), field_label(part));
             open.push(part);
         }
-        text += &format!("{}{}: {value}\n", "    ".repeat(open.len()), label(last));
+        text += &format!(
+            "{}{}: {value}\n",
+            "    ".repeat(open.len()),
+            field_label(last)
+        );
     }
     while open.pop().is_some() {
         text += &format!("{}}}\n", "    ".repeat(open.len()));
@@ -26,8 +30,8 @@
     text
 }
 
-/// A part of a path as a label of the text.
-pub fn label(part: &str) -> String {
+/// Converts a part of a path to a field label, quoted if necessary.
+pub fn field_label(part: &str) -> String {
     let name = compatibility::unescape_name(part);
     let plain = name.starts_with(|letter: char| letter.is_ascii_lowercase())
         && name
--- a/tests/compatibility/src/run.rs
+++ b/tests/compatibility/src/run.rs
@@ -16,7 +16,7 @@
 
 /// The dispatcher at the start of the run.
 pub fn dispatcher() -> Dispatcher {
-    let settings = tansy_settings::settings("run.cue", &fixture::text("run.cue"));
+    let settings = tansy_settings::parse_settings("run.cue", &fixture::text("run.cue"));
     let settings = settings.unwrap_or_else(|error| panic!("{error}"));
     Dispatcher::new(settings.dispatch, Time(0)).expect("valid settings")
 }
--- a/tests/path/src/gateway.rs
+++ b/tests/path/src/gateway.rs
@@ -9,7 +9,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 use tansy_gateway::{fleet::FleetPlacement, Gateway, Options};
-use tansy_settings::agree;
+use tansy_settings::agreement;
 
 /// The longest time for which the gateway waits for events before it runs jobs of the test.
 const MAX_EVENT_WAIT: Duration = Duration::from_millis(5);
@@ -55,10 +55,12 @@
     ) -> GatewayThread {
         let mut read = read_settings(settings);
         let fleet = read.fleet.as_mut().expect("the settings name a fleet");
-        (fleet.node_name, fleet.listen, fleet.state) = (member.name, member.listen, member.state);
+        (fleet.node_name, fleet.listen, fleet.state_file) =
+            (member.name, member.listen, member.state);
         let placement = FleetPlacement {
-            own: agree::fields(SETTINGS_NAME, settings).unwrap_or_else(|error| panic!("{error}")),
-            first: agree::version(SETTINGS_NAME, settings)
+            own_fields: agreement::parse_fields(SETTINGS_NAME, settings)
+                .unwrap_or_else(|error| panic!("{error}")),
+            initial_version: agreement::parse_version(SETTINGS_NAME, settings)
                 .unwrap_or_else(|error| panic!("{error}")),
             ..FleetPlacement::default()
         };
@@ -84,7 +86,7 @@
         let thread = std::thread::spawn(move || {
             let mut gateway = Gateway::start(settings, &options).expect("the gateway starts");
             started
-                .send((gateway.grpc(), gateway.http()))
+                .send((gateway.grpc_address(), gateway.http_address()))
                 .expect("the test waits for the addresses");
             while !stopped.load(Ordering::Relaxed) {
                 gateway
@@ -140,7 +142,7 @@
     pub fn account(&self) -> Account {
         let mut line = String::new();
         wait_until("the gateway is idle", || {
-            let (account, idle) = self.with(|gateway| (gateway.account(), gateway.idle()));
+            let (account, idle) = self.with(|gateway| (gateway.account(), gateway.is_idle()));
             line = account;
             idle
         });
@@ -172,7 +174,7 @@
 
 /// Reads settings, and lets the kernel choose the ports.
 fn read_settings(text: &str) -> tansy_settings::Settings {
-    let settings = tansy_settings::settings(SETTINGS_NAME, text);
+    let settings = tansy_settings::parse_settings(SETTINGS_NAME, text);
     let mut settings = settings.unwrap_or_else(|error| panic!("{error}"));
     settings.gateway.listen = ([127, 0, 0, 1], 0).into();
     settings.gateway.http = ([127, 0, 0, 1], 0).into();
