--- a/programs/scale/src/error.rs
+++ b/programs/scale/src/error.rs
@@ -35,7 +35,7 @@
     Interrupted,
     /// An address could not be reserved for a real front end.
     #[error("{address}: {source}")]
-    Reserve {
+    ReserveAddress {
         /// The address.
         address: SocketAddr,
         /// The system's error.
@@ -61,7 +61,7 @@
     },
     /// A process was started without a pipe that is read.
     #[error("{0}")]
-    NoPipe(&'static str),
+    MissingPipe(&'static str),
     /// A command is for a process of hollow front ends that was not started.
     #[error("no such process")]
     NoSuchProcess,
@@ -86,14 +86,14 @@
         function: String,
     },
     /// A condition did not hold in time.
-    #[error("timed out waiting for {awaited}: {acting} of {alive} act")]
+    #[error("timed out waiting for {awaited}: {joined} of {running} act")]
     Timeout {
         /// What was waited for.
         awaited: &'static str,
         /// Front ends that hold a lease and a session.
-        acting: usize,
+        joined: usize,
         /// Front ends that run.
-        alive: usize,
+        running: usize,
     },
     /// The leader has no settings yet.
     #[error("the leader has no version of the settings")]
@@ -127,7 +127,7 @@
     },
     /// The leader's answer has another number of functions than the request.
     #[error("the leader answered for {received} functions, not {requested}")]
-    FunctionCount {
+    FunctionCountMismatch {
         /// Functions in the answer.
         received: usize,
         /// Functions in the request.
@@ -151,7 +151,7 @@
     KernelCounters(&'static str),
     /// A line on standard input is no command.
     #[error("a command that can't be read: {0}")]
-    UnreadableCommand(serde_json::Error),
+    InvalidCommand(serde_json::Error),
     /// A command came before the one that sets a hollow process up.
     #[error("a command before the one that sets the process up")]
     NotInitialized,
--- a/programs/scale/src/fleet/events.rs
+++ b/programs/scale/src/fleet/events.rs
@@ -14,9 +14,9 @@
 
 impl TestFleet {
     /// Waits until all front ends that run act.
-    pub fn wait_until_all_act(&mut self, end: Instant) -> Result<(), Error> {
+    pub fn wait_until_all_joined(&mut self, end: Instant) -> Result<(), Error> {
         self.wait_until(end, "all front ends to act", |fleet| {
-            fleet.acting.len() == fleet.alive.len()
+            fleet.joined.len() == fleet.running.len()
         })
     }
 
@@ -31,8 +31,8 @@
             if Instant::now() >= end {
                 return Err(Error::Timeout {
                     awaited,
-                    acting: self.acting.len(),
-                    alive: self.alive.len(),
+                    joined: self.joined.len(),
+                    running: self.running.len(),
                 });
             }
             self.poll_events(POLL_INTERVAL)?;
@@ -89,9 +89,9 @@
                 process.in_force = InForce { version, since: at };
             }
             HollowEvent::Counted(counters) => process.counters = Some(counters),
-            HollowEvent::Watching { id, holders } => {
+            HollowEvent::Watching { id, subscribers } => {
                 if let Some(watch) = self.watches.get_mut(&id) {
-                    watch.holders.insert(index, holders);
+                    watch.subscribers.insert(index, subscribers);
                 }
             }
             HollowEvent::Applied { id, position, at } => {
@@ -107,7 +107,7 @@
                 self.failure = Some(Error::StaleAdmission { name, function });
             }
             HollowEvent::Failed(reason) => self.failure = Some(Error::HollowFailed(reason)),
-            HollowEvent::Acting {
+            HollowEvent::Joined {
                 front_end,
                 started_at,
                 at,
@@ -129,18 +129,18 @@
         if front_end.incarnation != incarnation || front_end.child.is_none() {
             return;
         }
-        let joined_after = front_end.apply(event, at);
+        let join_ms = front_end.apply(event, at);
         if matches!(event, FrontEndEvent::Exited) {
             let exited = Error::FrontEndExited(self.names[index].clone());
             self.failure.get_or_insert(exited);
         }
-        if let Some(ms) = joined_after {
+        if let Some(ms) = join_ms {
             self.on_join(index as u32, ms);
         }
     }
 
     fn on_join(&mut self, front_end: u32, ms: f64) {
-        self.acting.insert(front_end);
+        self.joined.insert(front_end);
         self.joins.push(Join { front_end, ms });
     }
 }
--- a/programs/scale/src/fleet/mod.rs
+++ b/programs/scale/src/fleet/mod.rs
@@ -35,7 +35,7 @@
 use tansy_test_support::address::ReservedAddress;
 
 /// Front ends that start at a time: a fleet does not start at once either, and what is measured comes after.
-const MAX_STARTING: usize = 64;
+const MAX_CONCURRENT_STARTS: usize = 64;
 /// Time for a process of hollow front ends to answer a command.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(30);
 
@@ -70,8 +70,8 @@
     names: Vec<String>,
     real: Vec<RealFrontEnd>,
     hollow: Vec<HollowProcess>,
-    acting: BTreeSet<u32>,
-    alive: BTreeSet<u32>,
+    joined: BTreeSet<u32>,
+    running: BTreeSet<u32>,
     folder: PathBuf,
     events: Receiver<ProcessEvent>,
     event_sender: Sender<ProcessEvent>,
@@ -97,18 +97,18 @@
         let mut fleet = TestFleet::prepare(shape)?;
         let (voters, real) = (shape.voters as u32, shape.real as u32);
         (0..voters).try_for_each(|index| fleet.start_front_end(index))?;
-        fleet.wait_until_all_act(end)?;
+        fleet.wait_until_all_joined(end)?;
         fleet.refresh_leader()?;
         progress(format!("{} voters act", shape.voters));
         (voters..real).try_for_each(|index| fleet.start_front_end(index))?;
         fleet.start_hollow_processes(end)?;
         for index in real..shape.front_ends as u32 {
             fleet.wait_until(end, "front ends to act", |fleet| {
-                fleet.alive.len() < fleet.acting.len() + MAX_STARTING
+                fleet.running.len() < fleet.joined.len() + MAX_CONCURRENT_STARTS
             })?;
             fleet.start_front_end(index)?;
         }
-        fleet.wait_until_all_act(end)?;
+        fleet.wait_until_all_joined(end)?;
         progress(format!("{} front ends act", shape.front_ends));
         Ok(fleet)
     }
@@ -143,8 +143,8 @@
             leader_address: real[0].address(),
             real,
             hollow: Vec::new(),
-            acting: BTreeSet::new(),
-            alive: BTreeSet::new(),
+            joined: BTreeSet::new(),
+            running: BTreeSet::new(),
             folder,
             events,
             event_sender,
@@ -179,7 +179,7 @@
 
     /// Starts a front end; only a voter has state from before.
     pub fn start_front_end(&mut self, front_end: u32) -> Result<(), Error> {
-        self.alive.insert(front_end);
+        self.running.insert(front_end);
         let index = front_end as usize;
         let name = &self.names[index];
         if self.shape.is_real(front_end) {
@@ -193,8 +193,8 @@
 
     /// Kills a front end; the others are not notified.
     pub fn kill(&mut self, front_end: u32) -> Result<(), Error> {
-        self.alive.remove(&front_end);
-        self.acting.remove(&front_end);
+        self.running.remove(&front_end);
+        self.joined.remove(&front_end);
         let index = front_end as usize;
         if !self.shape.is_real(front_end) {
             let process = self.shape.hollow_process_of(index);
@@ -268,8 +268,8 @@
     }
 
     /// Front ends that run and act, but for the voters.
-    pub fn acting_non_voters(&self) -> Vec<u32> {
-        self.acting
+    pub fn joined_non_voters(&self) -> Vec<u32> {
+        self.joined
             .iter()
             .copied()
             .filter(|front_end| *front_end as usize >= self.shape.voters)
@@ -277,13 +277,13 @@
     }
 
     /// Whether a front end runs and acts.
-    pub fn is_acting(&self, front_end: u32) -> bool {
-        self.acting.contains(&front_end)
+    pub fn has_joined(&self, front_end: u32) -> bool {
+        self.joined.contains(&front_end)
     }
 
     /// How many front ends run.
-    pub fn alive(&self) -> usize {
-        self.alive.len()
+    pub fn running_count(&self) -> usize {
+        self.running.len()
     }
 
     /// The names, by index.
@@ -294,15 +294,15 @@
     /// Since when a version, or a later one, is in force at all that act; none: it is not at some.
     pub fn in_force_since(&self, version: u64) -> Option<i64> {
         let per_process = self.shape.hollow_per_process();
-        let has_acting = |process: usize| {
+        let has_joined_member = |process: usize| {
             let first = (self.shape.real + process * per_process) as u32;
-            let mut acting = self.acting.range(first..first + per_process as u32);
-            acting.next().is_some()
+            let mut joined = self.joined.range(first..first + per_process as u32);
+            joined.next().is_some()
         };
         let real = (0..).zip(&self.real);
-        let real = real.filter(|(index, _)| self.acting.contains(index));
+        let real = real.filter(|(index, _)| self.joined.contains(index));
         let hollow = self.hollow.iter().enumerate();
-        let hollow = hollow.filter(|(process, _)| has_acting(*process));
+        let hollow = hollow.filter(|(process, _)| has_joined_member(*process));
         let reports: Vec<InForce> = real
             .map(|(_, front_end)| front_end.in_force)
             .chain(hollow.map(|(_, process)| process.in_force))
@@ -339,7 +339,7 @@
 /// A free port on the loopback address of a real front end.
 fn reserve_address(front_end: u32) -> Result<ReservedAddress, Error> {
     let host = loopback_address(network(), front_end);
-    ReservedAddress::on(host.octets()).map_err(|source| Error::Reserve {
+    ReservedAddress::on(host.octets()).map_err(|source| Error::ReserveAddress {
         address: SocketAddr::from((host, 0)),
         source,
     })
--- a/programs/scale/src/fleet/operator.rs
+++ b/programs/scale/src/fleet/operator.rs
@@ -87,7 +87,7 @@
         let behind = self
             .real
             .iter()
-            .filter(|front_end| front_end.is_acting && front_end.in_force.version < version)
+            .filter(|front_end| front_end.has_joined && front_end.in_force.version < version)
             .count();
         let processes = self
             .hollow
@@ -130,8 +130,8 @@
     }
 
     /// Enters an entry in the leader's log. An entry that was not taken is entered again with the same id, maybe at another leader.
-    pub(super) fn enter(&mut self, entry: Entry) -> Result<pb::EnterReply, Error> {
-        self.retry(|_| entry.clone(), Error::EntryRefused)
+    pub(super) fn append(&mut self, entry: Entry) -> Result<pb::EnterReply, Error> {
+        self.append_with_retry(|_| entry.clone(), Error::EntryRefused)
     }
 
     /// Proposes a version of the settings that is based on the one in force.
@@ -145,7 +145,9 @@
             id,
         };
         let entry = |fleet: &TestFleet| Entry::Propose(encode_settings(&proposed(fleet)));
-        let version = self.retry(entry, Error::ProposalRefused)?.version;
+        let version = self
+            .append_with_retry(entry, Error::ProposalRefused)?
+            .version;
         self.in_force = VersionedSettings {
             version: Version(version),
             ..proposed(self)
@@ -157,7 +159,7 @@
     }
 
     /// Enters an entry, which is made anew for each attempt, until the leader takes it.
-    fn retry(
+    fn append_with_retry(
         &mut self,
         entry: impl Fn(&TestFleet) -> Entry,
         refused: fn(RequestError) -> Error,
--- a/programs/scale/src/fleet/process.rs
+++ b/programs/scale/src/fleet/process.rs
@@ -55,7 +55,7 @@
     pub(super) has_lease: bool,
     pub(super) has_session: bool,
     /// Has held a lease and a session at the same time since its start.
-    pub(super) is_acting: bool,
+    pub(super) has_joined: bool,
     pub(super) in_force: InForce,
 }
 
@@ -68,7 +68,7 @@
             started_at: 0,
             has_lease: false,
             has_session: false,
-            is_acting: false,
+            has_joined: false,
             in_force: InForce::default(),
         }
     }
@@ -94,11 +94,11 @@
         }
         self.incarnation += 1;
         self.started_at = clock::now();
-        (self.has_lease, self.has_session, self.is_acting) = (false, false, false);
+        (self.has_lease, self.has_session, self.has_joined) = (false, false, false);
         self.in_force = InForce::default();
         let mut child = command.spawn()?;
         let logs = child.stderr.take();
-        let logs = logs.ok_or(Error::NoPipe("no logs of a front end"))?;
+        let logs = logs.ok_or(Error::MissingPipe("no logs of a front end"))?;
         self.child = Some(child);
         let (events, incarnation) = (events.clone(), self.incarnation);
         std::thread::spawn(move || {
@@ -131,10 +131,10 @@
             FrontEndEvent::Session { is_held } => self.has_session = *is_held,
             FrontEndEvent::Exited => {}
         }
-        if self.is_acting || !self.has_lease || !self.has_session {
+        if self.has_joined || !self.has_lease || !self.has_session {
             return None;
         }
-        self.is_acting = true;
+        self.has_joined = true;
         Some((at - self.started_at) as f64 / 1e3)
     }
 }
@@ -200,7 +200,7 @@
             .stdout(Stdio::piped());
         let mut child = command.spawn()?;
         let commands = child.stdin.take();
-        let output = child.stdout.take().ok_or(Error::NoPipe("no output"))?;
+        let output = child.stdout.take().ok_or(Error::MissingPipe("no output"))?;
         let events = events.clone();
         std::thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
--- a/programs/scale/src/fleet/scope_updates.rs
+++ b/programs/scale/src/fleet/scope_updates.rs
@@ -58,7 +58,7 @@
 #[derive(Default)]
 pub(super) struct ScopeWatch {
     /// By process: how many front ends subscribe to each function.
-    pub(super) holders: BTreeMap<usize, Vec<usize>>,
+    pub(super) subscribers: BTreeMap<usize, Vec<usize>>,
     /// By process and function: when all of them acted on the update.
     pub(super) applied_at: BTreeMap<(usize, usize), i64>,
 }
@@ -66,16 +66,17 @@
 impl ScopeWatch {
     /// When the last holder of a function acted on its update.
     fn applied_by_all(&self, position: usize) -> Applied {
-        let is_held = |holders: &&Vec<usize>| holders.get(position).is_some_and(|count| *count > 0);
+        let is_held =
+            |subscribers: &&Vec<usize>| subscribers.get(position).is_some_and(|count| *count > 0);
         let times: Option<Vec<i64>> = self
-            .holders
+            .subscribers
             .iter()
-            .filter(|(_, holders)| is_held(holders))
+            .filter(|(_, subscribers)| is_held(subscribers))
             .map(|(process, _)| self.applied_at.get(&(*process, position)).copied())
             .collect();
         match times.map(|times| times.into_iter().max()) {
             None => Applied::Pending,
-            Some(None) => Applied::NoHolder,
+            Some(None) => Applied::NoSubscriber,
             Some(Some(at)) => Applied::At(at),
         }
     }
@@ -86,7 +87,7 @@
     /// Some do not.
     Pending,
     /// No front end subscribes to it.
-    NoHolder,
+    NoSubscriber,
     /// All do, since this time.
     At(i64),
 }
@@ -179,7 +180,7 @@
         let statuses = statuses.collect::<Result<Vec<_>, Error>>()?;
         let requested = names.len();
         if received != requested {
-            return Err(Error::FunctionCount {
+            return Err(Error::FunctionCountMismatch {
                 received,
                 requested,
             });
@@ -195,7 +196,7 @@
             updates,
             reason: "measured".into(),
         };
-        self.enter(Entry::ScopeTransaction(encode_scope_transaction(
+        self.append(Entry::ScopeTransaction(encode_scope_transaction(
             &transaction,
         )))?;
         Ok(watched)
@@ -233,7 +234,7 @@
         let end = Instant::now() + COMMAND_TIMEOUT;
         self.wait_until(end, "hollow processes to watch for a change", |fleet| {
             let watch = fleet.watches.get(&id);
-            watch.is_none_or(|watch| watch.holders.len() == fleet.hollow.len())
+            watch.is_none_or(|watch| watch.subscribers.len() == fleet.hollow.len())
         })?;
         Ok(WatchedUpdates {
             id,
@@ -264,7 +265,7 @@
             let at_leader = (*at_leader)?;
             match watch?.applied_by_all(position) {
                 Applied::Pending => None,
-                Applied::NoHolder => Some(at_leader),
+                Applied::NoSubscriber => Some(at_leader),
                 Applied::At(at) => Some(at),
             }
         };
--- a/programs/scale/src/fleet/shape.rs
+++ b/programs/scale/src/fleet/shape.rs
@@ -9,11 +9,11 @@
 use tansy_fleet_node::name_to_id;
 
 /// Hollow front ends of one process, at least: one thread runs them all.
-const MIN_PER_PROCESS: usize = 4;
+const MIN_HOLLOW_PER_PROCESS: usize = 4;
 /// Hollow front ends of one process, at most.
-const MAX_PER_PROCESS: usize = 100;
+const MAX_HOLLOW_PER_PROCESS: usize = 100;
 /// Processes over which hollow front ends are spread between these bounds.
-const TARGET_PROCESSES: usize = 8;
+const TARGET_HOLLOW_PROCESSES: usize = 8;
 
 /// What a fleet is made of.
 #[derive(Clone, Copy, Debug)]
@@ -41,8 +41,8 @@
     /// Hollow front ends of one process.
     pub fn hollow_per_process(&self) -> usize {
         self.hollow()
-            .div_ceil(TARGET_PROCESSES)
-            .clamp(MIN_PER_PROCESS, MAX_PER_PROCESS)
+            .div_ceil(TARGET_HOLLOW_PROCESSES)
+            .clamp(MIN_HOLLOW_PER_PROCESS, MAX_HOLLOW_PER_PROCESS)
     }
 
     /// Processes of hollow front ends.
--- a/programs/scale/src/hollow/front_ends.rs
+++ b/programs/scale/src/hollow/front_ends.rs
@@ -41,7 +41,7 @@
     /// The version that was reported last.
     reported_version: Cell<u64>,
     /// Number of separately agreed functions, and the seed by which front ends choose theirs.
-    call_choice: Cell<Option<(usize, u64)>>,
+    call_parameters: Cell<Option<(usize, u64)>>,
     called: RefCell<BTreeMap<u32, Vec<String>>>,
     /// The revisions that front ends act on.
     revisions: RefCell<BTreeMap<u32, Revision>>,
@@ -69,7 +69,7 @@
             addresses: RefCell::default(),
             ended: RefCell::default(),
             reported_version: Cell::new(0),
-            call_choice: Cell::new(None),
+            call_parameters: Cell::new(None),
             called: RefCell::default(),
             revisions: RefCell::default(),
             watches: Watches::default(),
@@ -106,11 +106,11 @@
         self.started_at.borrow_mut().insert(front_end, started_at);
         let config = self.transport_config(name, address)?;
         let process = self.clone();
-        let on_state = Rc::new(move |node: &FleetNode, now: i64| {
-            process.on_state(front_end, started_at, node, now);
+        let on_state_change = Rc::new(move |node: &FleetNode, now: i64| {
+            process.on_state_change(front_end, started_at, node, now);
             None
         });
-        let node = FleetTransport::start(self.spawner.clone(), listener, config, on_state)?;
+        let node = FleetTransport::start(self.spawner.clone(), listener, config, on_state_change)?;
         self.running.borrow_mut().insert(front_end, node);
         Ok(())
     }
@@ -161,7 +161,11 @@
 
     /// Each front end calls its functions in turn, at a steady rate.
     pub(super) fn start_calls(self: &Rc<Self>, functions: usize, seed: u64) {
-        if self.call_choice.replace(Some((functions, seed))).is_some() {
+        if self
+            .call_parameters
+            .replace(Some((functions, seed)))
+            .is_some()
+        {
             return;
         }
         let process = self.clone();
@@ -190,7 +194,7 @@
 
     /// The functions that a front end calls.
     fn called_by(&self, front_end: u32) -> Vec<String> {
-        let Some((functions, seed)) = self.call_choice.get() else {
+        let Some((functions, seed)) = self.call_parameters.get() else {
             return Vec::new();
         };
         let choose = || {
@@ -238,7 +242,7 @@
     }
 
     /// A front end's state may have changed.
-    fn on_state(&self, front_end: u32, started_at: i64, node: &FleetNode, now: i64) {
+    fn on_state_change(&self, front_end: u32, started_at: i64, node: &FleetNode, now: i64) {
         // A front end that was killed, or started again since, reports nothing.
         if self.started_at.borrow().get(&front_end) != Some(&started_at) {
             return;
@@ -250,7 +254,7 @@
             .borrow_mut()
             .insert(front_end, state.revision);
         let is_new_revision = previous != Some(state.revision);
-        self.watches.on_state(
+        self.watches.on_state_change(
             front_end,
             node,
             now,
@@ -265,7 +269,7 @@
         }
         self.in_force.borrow_mut().insert(front_end, version);
         if before.is_none() {
-            HollowEvent::Acting {
+            HollowEvent::Joined {
                 front_end,
                 started_at,
                 at: now,
@@ -296,8 +300,8 @@
             .keys()
             .map(|front_end| self.called_by(*front_end).len())
             .sum();
-        counters.least_view = views.iter().min().copied().unwrap_or(0);
-        counters.most_view = views.iter().max().copied().unwrap_or(0);
+        counters.smallest_view = views.iter().min().copied().unwrap_or(0);
+        counters.largest_view = views.iter().max().copied().unwrap_or(0);
         for node in running.values() {
             let (lease, session) = node.with_node(|node, now| {
                 let active = node.active_state(now);
--- a/programs/scale/src/hollow/process.rs
+++ b/programs/scale/src/hollow/process.rs
@@ -62,7 +62,7 @@
     std::thread::spawn(move || {
         for line in io::stdin().lock().lines() {
             let Ok(line) = line else { return };
-            let command = serde_json::from_str(&line).map_err(Error::UnreadableCommand);
+            let command = serde_json::from_str(&line).map_err(Error::InvalidCommand);
             if sender.send(command).is_err() {
                 return;
             }
--- a/programs/scale/src/hollow/protocol.rs
+++ b/programs/scale/src/hollow/protocol.rs
@@ -59,7 +59,7 @@
     Ready(SocketAddr),
     /// A front end holds its first lease and session.
     #[serde(rename = "Acts")]
-    Acting {
+    Joined {
         /// Its index.
         #[serde(rename = "place")]
         front_end: u32,
@@ -82,7 +82,8 @@
         /// The watch.
         id: u64,
         /// How many front ends subscribe to each function, in the order of the command.
-        holders: Vec<usize>,
+        #[serde(rename = "holders")]
+        subscribers: Vec<usize>,
     },
     /// All front ends that subscribed to a function when the watch began, and still live, act on its new fields, which are in force.
     #[serde(rename = "Acted")]
@@ -127,9 +128,11 @@
     /// Front ends that run.
     pub alive: usize,
     /// Members in the smallest view of the fleet, but for the viewer.
-    pub least_view: usize,
+    #[serde(rename = "least_view")]
+    pub smallest_view: usize,
     /// Members in the largest view of the fleet, but for the viewer.
-    pub most_view: usize,
+    #[serde(rename = "most_view")]
+    pub largest_view: usize,
     /// Front ends without a lease at this moment.
     pub without_lease: usize,
     /// Front ends without a session at this moment.
--- a/programs/scale/src/hollow/watch.rs
+++ b/programs/scale/src/hollow/watch.rs
@@ -116,7 +116,7 @@
     pub(super) fn insert(&self, id: u64, functions: Vec<WatchedFunction>) {
         HollowEvent::Watching {
             id,
-            holders: functions
+            subscribers: functions
                 .iter()
                 .map(|function| function.pending.len())
                 .collect(),
@@ -140,7 +140,7 @@
     }
 
     /// A front end's state may have changed.
-    pub(super) fn on_state(
+    pub(super) fn on_state_change(
         &self,
         front_end: u32,
         node: &FleetNode,
--- a/programs/scale/src/run/changes.rs
+++ b/programs/scale/src/run/changes.rs
@@ -13,15 +13,15 @@
 /// Changes that are timed in all, if there were fewer in the counted time: three of each kind.
 const TIMED_CHANGES: usize = 9;
 /// Failed changes, after which no further one is timed.
-const MAX_FAILED: usize = 3;
+const MAX_FAILED_CHANGES: usize = 3;
 /// Functions that were changed last, which others are changed before.
-const MAX_RECENT: usize = 12;
+const MAX_RECENT_CHANGES: usize = 12;
 /// Time between two timed changes.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(200);
 /// Time between two checks of a change.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Time for the leader to recover after it refused a version.
-const REFUSED_DELAY: Duration = Duration::from_secs(1);
+const RETRY_DELAY_AFTER_REFUSAL: Duration = Duration::from_secs(1);
 
 /// A change in progress.
 pub(super) struct PendingChange {
@@ -66,7 +66,7 @@
     pub(super) fn time_changes(&mut self) -> Result<(), Error> {
         let kinds = FieldKind::shuffled(&mut self.rng);
         let mut done = self.in_force_times.len() + self.failed_changes;
-        while done < TIMED_CHANGES && self.failed_changes < MAX_FAILED {
+        while done < TIMED_CHANGES && self.failed_changes < MAX_FAILED_CHANGES {
             self.propose(kinds[done % kinds.len()])?;
             self.finish_change()?;
             self.fleet.run_for(CHANGE_INTERVAL)?;
@@ -90,7 +90,7 @@
             }
             Err(error) => {
                 self.record_refusal(&error)?;
-                self.fleet.run_for(REFUSED_DELAY)?;
+                self.fleet.run_for(RETRY_DELAY_AFTER_REFUSAL)?;
                 let _ = self.fleet.refresh_leader();
             }
         }
@@ -167,7 +167,7 @@
     /// A function that was not changed recently, since it may have to settle. Those that many call come more often.
     fn choose_function(&mut self) -> usize {
         let functions = self.arguments.scopes;
-        let max_recent = MAX_RECENT.min(functions / 2);
+        let max_recent = MAX_RECENT_CHANGES.min(functions / 2);
         let chosen = loop {
             let function = skewed_choice(&mut self.rng, functions);
             if !self.recently_changed.contains(&function) {
--- a/programs/scale/src/run/joins.rs
+++ b/programs/scale/src/run/joins.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 /// Hollow front ends that start anew, at most.
-const HOLLOW_JOINS: usize = 10;
+const MAX_HOLLOW_JOINS: usize = 10;
 /// Real front ends that start anew, at most.
-const REAL_JOINS: usize = 3;
+const MAX_REAL_JOINS: usize = 3;
 /// Time between two joins: the fleet learns of the first one before the next.
 const JOIN_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -16,20 +16,20 @@
     /// Kills and starts front ends, one after another.
     pub(super) fn time_joins(&mut self, report: &mut Report) -> Result<(), Error> {
         let shape = self.fleet.shape;
-        let mut candidates = self.fleet.acting_non_voters();
+        let mut candidates = self.fleet.joined_non_voters();
         self.rng.shuffle(&mut candidates);
         let (real, hollow): (Vec<u32>, Vec<u32>) = candidates
             .into_iter()
             .partition(|front_end| shape.is_real(*front_end));
         // Of a small fleet not all at nearly the same time.
-        let hollow_joins = hollow.len().div_ceil(3).min(HOLLOW_JOINS);
+        let hollow_joins = hollow.len().div_ceil(3).min(MAX_HOLLOW_JOINS);
         let hollow = hollow.into_iter().take(hollow_joins);
-        for front_end in hollow.chain(real.into_iter().take(REAL_JOINS)) {
+        for front_end in hollow.chain(real.into_iter().take(MAX_REAL_JOINS)) {
             self.fleet.kill(front_end)?;
             self.fleet.start_front_end(front_end)?;
             let end = Instant::now() + JOIN_TIMEOUT;
             self.fleet
-                .wait_until(end, "one that joins", |fleet| fleet.is_acting(front_end))?;
+                .wait_until(end, "one that joins", |fleet| fleet.has_joined(front_end))?;
             self.fleet.run_for(JOIN_INTERVAL)?;
         }
         let joins = &self.fleet.joins;
--- a/programs/scale/src/run/deaths.rs
+++ b/programs/scale/src/run/kills.rs
@@ -15,7 +15,7 @@
 
 /// What was measured beside the change that a killed front end blocks.
 #[derive(Default)]
-pub(super) struct Unaffected {
+pub(super) struct UnaffectedChanges {
     /// Milliseconds of changes of functions to which no killed front end subscribed.
     pub(super) times: Vec<f64>,
     /// Of those, in force before the blocked change.
@@ -34,19 +34,19 @@
 
 impl Measurement {
     /// Kills front ends that are no voters; milliseconds until a change of a strict field is in force, if it was timed.
-    pub(super) fn time_deaths(&mut self, count: usize) -> Result<Option<f64>, Error> {
+    pub(super) fn time_change_after_kill(&mut self, count: usize) -> Result<Option<f64>, Error> {
         let shape = self.fleet.shape;
-        let mut candidates = self.fleet.acting_non_voters();
+        let mut candidates = self.fleet.joined_non_voters();
         self.rng.shuffle(&mut candidates);
         // Hollow ones first: there are few real ones to be measured.
         candidates.sort_by_key(|front_end| shape.is_real(*front_end));
         if candidates.len() < count {
             return Ok(None);
         }
-        let died_at = clock::now();
+        let killed_at = clock::now();
         candidates.truncate(count);
         if self.arguments.scopes > 0 {
-            return self.time_deaths_by_function(&candidates);
+            return self.time_function_change_after_kill(&candidates);
         }
         self.kill_all(&candidates)?;
         if self.arguments.session_seconds > MAX_SESSION_WAIT_SECONDS {
@@ -60,7 +60,7 @@
         let time = self.in_force_times.drain(before..).next();
         Ok(time
             .zip(requested_at)
-            .map(|((_, ms), requested_at)| ms + (requested_at - died_at) as f64 / 1e3))
+            .map(|((_, ms), requested_at)| ms + (requested_at - killed_at) as f64 / 1e3))
     }
 
     fn kill_all(&mut self, front_ends: &[u32]) -> Result<(), Error> {
@@ -70,7 +70,7 @@
 
     /// Kills hollow front ends; milliseconds until the class of a function can be changed to which one of them
     /// subscribed, while functions to which none did are changed one after another.
-    fn time_deaths_by_function(&mut self, killed: &[u32]) -> Result<Option<f64>, Error> {
+    fn time_function_change_after_kill(&mut self, killed: &[u32]) -> Result<Option<f64>, Error> {
         let shape = self.fleet.shape;
         let mut hollow = killed.iter().filter(|index| !shape.is_real(**index));
         let Some(first) = hollow.next() else {
@@ -82,7 +82,7 @@
         let Some(functions) = self.affected_functions(*first, killed) else {
             return Ok(None);
         };
-        let died_at = clock::now();
+        let killed_at = clock::now();
         self.kill_all(killed)?;
         if self.arguments.session_seconds > MAX_SESSION_WAIT_SECONDS {
             return Ok(None);
@@ -94,8 +94,8 @@
         let unaffected = self.in_force_times.drain(counted..);
         let times = unaffected.map(|(_, ms)| ms);
         self.unaffected.times.extend(times);
-        let since_death = (updates.requested_at - died_at) as f64 / 1e3;
-        Ok(ms.map(|ms| ms + since_death))
+        let since_kill = (updates.requested_at - killed_at) as f64 / 1e3;
+        Ok(ms.map(|ms| ms + since_kill))
     }
 
     /// Which functions are blocked, and which are not; none: the first front end calls no function.
@@ -104,7 +104,7 @@
         let called = |front_end: &u32| called_functions(seed, *front_end, functions);
         let subscribed: BTreeSet<usize> = killed.iter().flat_map(called).collect();
         let blocked = called(&first).into_iter().next()?;
-        let candidates = self.fleet.acting_non_voters();
+        let candidates = self.fleet.joined_non_voters();
         let others: BTreeSet<usize> = candidates
             .iter()
             .filter(|front_end| !killed.contains(front_end))
--- a/programs/scale/src/run/mod.rs
+++ b/programs/scale/src/run/mod.rs
@@ -4,7 +4,7 @@
 //! - `message_size`: whether the settings fit in a message.
 //! - `sample`, `window`: what the settled fleet costs.
 //! - `field_change`, `changes`, `burst`: how soon changes are in force.
-//! - `joins`, `deaths`: front ends that start anew or are killed for good.
+//! - `joins`, `kills`: front ends that start anew or are killed for good.
 //! - `report`: the JSON line.
 //!
 //! It starts no process itself and knows no message of the fleet: that is [`crate::fleet`]'s part.
@@ -12,9 +12,9 @@
 mod arguments;
 mod burst;
 mod changes;
-mod deaths;
 mod field_change;
 mod joins;
+mod kills;
 mod message_size;
 mod report;
 mod sample;
@@ -26,8 +26,8 @@
 use crate::hollow::protocol::HollowCounters;
 use crate::Error;
 use changes::PendingChange;
-use deaths::Unaffected;
 use field_change::FieldKind;
+use kills::UnaffectedChanges;
 use message_size::GrantBytes;
 use report::{quantiles, round, Report};
 use std::collections::VecDeque;
@@ -50,11 +50,11 @@
 const RNG_SALT: u64 = 0x5ca1e;
 
 /// Time for a fleet to start: a part of it for any fleet.
-const START_BASE: Duration = Duration::from_secs(60);
+const START_TIMEOUT_BASE: Duration = Duration::from_secs(60);
 /// And for each front end.
-const START_PER_FRONT_END: Duration = Duration::from_millis(400);
+const START_TIMEOUT_PER_FRONT_END: Duration = Duration::from_millis(400);
 /// And for each function: every real front end reads and checks the settings.
-const START_PER_FUNCTION: Duration = Duration::from_millis(5);
+const START_TIMEOUT_PER_FUNCTION: Duration = Duration::from_millis(5);
 
 /// A measurement in progress.
 struct Measurement {
@@ -68,9 +68,9 @@
     in_force_times: Vec<(FieldKind, f64)>,
     /// Changes that did not come in force.
     failed_changes: usize,
-    unaffected: Unaffected,
+    unaffected: UnaffectedChanges,
     /// Whether the settings are too large to be changed.
-    is_failed: bool,
+    is_change_too_large: bool,
     /// What did not go well.
     issues: Vec<String>,
     /// Functions that were changed last.
@@ -122,7 +122,8 @@
     report.put("changes_in_force", measurement.in_force_times.len());
     report.put("changes_not", measurement.failed_changes);
     report.put("wall_seconds", round(began.elapsed().as_secs_f64()));
-    let is_ok = result.is_ok() && !measurement.is_failed && measurement.failed_changes == 0;
+    let is_ok =
+        result.is_ok() && !measurement.is_change_too_large && measurement.failed_changes == 0;
     if let Err(error) = result {
         measurement.issues.push(error.to_string());
     }
@@ -151,9 +152,9 @@
 }
 
 fn start_timeout(shape: &FleetShape) -> Duration {
-    START_BASE
-        + START_PER_FRONT_END * shape.front_ends as u32
-        + START_PER_FUNCTION * shape.functions as u32
+    START_TIMEOUT_BASE
+        + START_TIMEOUT_PER_FRONT_END * shape.front_ends as u32
+        + START_TIMEOUT_PER_FUNCTION * shape.functions as u32
 }
 
 impl Measurement {
@@ -166,8 +167,8 @@
             pending: None,
             in_force_times: Vec::new(),
             failed_changes: 0,
-            unaffected: Unaffected::default(),
-            is_failed: false,
+            unaffected: UnaffectedChanges::default(),
+            is_change_too_large: false,
             issues: Vec::new(),
             recently_changed: VecDeque::new(),
             restarts: VecDeque::new(),
@@ -180,7 +181,7 @@
             return;
         }
         let functions = self.fleet.shape.functions;
-        self.is_failed = true;
+        self.is_change_too_large = true;
         self.issues.push(format!(
             "a change of {functions} functions is a message of {bytes} bytes, which may have {MAX_MESSAGE_BYTES}: it can't come \
              in force"
@@ -194,9 +195,9 @@
         if self.arguments.scopes > 0 {
             self.set_functions(report)?;
         }
-        let mut freed = None;
+        let mut unblocked_ms = None;
         if self.arguments.dead > 0 {
-            freed = self.time_deaths(self.arguments.dead)?;
+            unblocked_ms = self.time_change_after_kill(self.arguments.dead)?;
         }
         let settle = Duration::from_secs(self.arguments.settle);
         self.fleet.run_for(settle)?;
@@ -215,10 +216,10 @@
         }
         self.time_joins(report)?;
         self.arguments.print_progress("joins are timed");
-        if freed.is_none() && self.arguments.session_seconds <= MAX_SESSION_WAIT_SECONDS {
-            freed = self.time_deaths(1)?;
+        if unblocked_ms.is_none() && self.arguments.session_seconds <= MAX_SESSION_WAIT_SECONDS {
+            unblocked_ms = self.time_change_after_kill(1)?;
         }
-        self.report_deaths(report, freed);
+        self.report_kills(report, unblocked_ms);
         Ok(())
     }
 
@@ -227,7 +228,7 @@
     /// An incomplete view costs time, not agreement: it is reported, and no failure of the run.
     fn wait_for_views(&mut self, report: &mut Report) -> Result<(), Error> {
         let (mut grown_at, mut largest) = (Instant::now(), 0);
-        let others = self.fleet.alive() - 1;
+        let others = self.fleet.running_count() - 1;
         loop {
             let smallest = self.smallest_view()?;
             report.put("view_members", smallest);
@@ -253,7 +254,7 @@
         let statuses = self.fleet.client.statuses(&addresses);
         let real = statuses.into_iter().flatten();
         let real = real.map(|status| status.other_members.len());
-        let hollow = hollow.iter().map(|process| process.least_view);
+        let hollow = hollow.iter().map(|process| process.smallest_view);
         Ok(hollow.chain(real).min().unwrap_or(0))
     }
 
@@ -282,8 +283,8 @@
         Ok(())
     }
 
-    fn report_deaths(&self, report: &mut Report, freed: Option<f64>) {
-        report.put("freed_ms", freed.map(round));
+    fn report_kills(&self, report: &mut Report, unblocked_ms: Option<f64>) {
+        report.put("freed_ms", unblocked_ms.map(round));
         if self.arguments.scopes == 0 {
             return;
         }
--- a/programs/scale/src/run/sample.rs
+++ b/programs/scale/src/run/sample.rs
@@ -131,7 +131,7 @@
     }
 
     /// A mean over all front ends but the voters; none: there are no others.
-    fn mean_of_all(
+    fn mean_of_non_voters(
         &self,
         hollow_sum: f64,
         voters: usize,
@@ -188,11 +188,11 @@
         let window = Window::between(before, after);
         // A change in progress does not matter: the leader is known by then.
         let _ = self.fleet.refresh_leader();
-        self.report_all(report, &window);
+        self.report_non_voters(report, &window);
         self.report_real(report, &window);
         self.report_hollow(report, &window);
         self.report_leader(report, &window);
-        self.report_wire(report, &window, before, after);
+        self.report_loopback(report, &window, before, after);
         let mean_of_both = |counter: fn(&HollowCounters) -> usize| {
             let hollow = before.hollow.iter().chain(&after.hollow);
             hollow.map(counter).sum::<usize>() as f64 / 2.0
@@ -215,10 +215,11 @@
     }
 
     /// Means over all front ends but the voters.
-    fn report_all(&self, report: &mut Report, window: &Window) {
+    fn report_non_voters(&self, report: &mut Report, window: &Window) {
         let voters = self.fleet.shape.voters;
-        let bytes = window.mean_of_all(window.hollow.bytes, voters, |rates| rates.bytes);
-        let messages = window.mean_of_all(window.hollow.messages, voters, |rates| rates.messages);
+        let bytes = window.mean_of_non_voters(window.hollow.bytes, voters, |rates| rates.bytes);
+        let messages =
+            window.mean_of_non_voters(window.hollow.messages, voters, |rates| rates.messages);
         report.put("control_bytes_s", bytes);
         report.put("control_messages_s", messages);
     }
@@ -270,7 +271,13 @@
     }
 
     /// Bytes of the loopback device. Hollow front ends use it in another way than real ones: only fleets without them are reported.
-    fn report_wire(&self, report: &mut Report, window: &Window, before: &Sample, after: &Sample) {
+    fn report_loopback(
+        &self,
+        report: &mut Report,
+        window: &Window,
+        before: &Sample,
+        after: &Sample,
+    ) {
         let bytes = (after.loopback_bytes - before.loopback_bytes) as f64;
         let per_front_end = bytes / window.seconds / after.real.len().max(1) as f64;
         let has_no_hollow = self.fleet.shape.hollow() == 0;
--- a/programs/scale/src/run/window.rs
+++ b/programs/scale/src/run/window.rs
@@ -22,8 +22,8 @@
     pub(super) fn run_window(&mut self) -> Result<(), Error> {
         let began = Instant::now();
         let seconds = self.arguments.seconds as f64;
-        let mut changes = spread(self.arguments.changes_hour, seconds);
-        let mut kills = spread(self.arguments.away_hour, seconds);
+        let mut changes = evenly_spaced(self.arguments.changes_hour, seconds);
+        let mut kills = evenly_spaced(self.arguments.away_hour, seconds);
         let kinds = FieldKind::shuffled(&mut self.rng);
         loop {
             let now = began.elapsed().as_secs_f64();
@@ -31,9 +31,9 @@
                 return Ok(());
             }
             if kills.next_if(|due| *due <= now).is_some() {
-                self.kill_for_a_while()?;
+                self.kill_temporarily()?;
             }
-            self.start_next_due()?;
+            self.restart_next_due()?;
             self.check_change();
             // One change at a time: the next waits for it.
             if self.pending.is_none() && changes.next_if(|due| *due <= now).is_some() {
@@ -45,9 +45,9 @@
     }
 
     /// Kills a random front end that is no voter. Hollow ones if there are any: a real one counts anew then, and is not measured.
-    fn kill_for_a_while(&mut self) -> Result<(), Error> {
+    fn kill_temporarily(&mut self) -> Result<(), Error> {
         let shape = self.fleet.shape;
-        let mut candidates = self.fleet.acting_non_voters();
+        let mut candidates = self.fleet.joined_non_voters();
         if candidates
             .iter()
             .any(|front_end| !shape.is_real(*front_end))
@@ -68,7 +68,7 @@
     }
 
     /// Starts one killed front end whose time has come.
-    fn start_next_due(&mut self) -> Result<(), Error> {
+    fn restart_next_due(&mut self) -> Result<(), Error> {
         let now = Instant::now();
         let next = self.restarts.iter().position(|restart| restart.due <= now);
         match next.and_then(|position| self.restarts.remove(position)) {
@@ -84,12 +84,12 @@
         }
         self.finish_change()?;
         let end = Instant::now() + super::JOIN_TIMEOUT;
-        self.fleet.wait_until_all_act(end)
+        self.fleet.wait_until_all_joined(end)
     }
 }
 
 /// When events are due, in seconds, if so many in an hour are evenly spread over this time.
-fn spread(per_hour: u64, seconds: f64) -> Peekable<impl Iterator<Item = f64>> {
+fn evenly_spaced(per_hour: u64, seconds: f64) -> Peekable<impl Iterator<Item = f64>> {
     let count = (per_hour as f64 * seconds / 3600.0).round() as usize;
     (0..count)
         .map(move |index| (index as f64 + 0.5) / count as f64 * seconds)
