--- a/programs/scale/src/lib.rs
+++ b/programs/scale/src/lib.rs
@@ -1,16 +1,17 @@
-//! Measures what a fleet of front ends costs at a size, on one machine: a few real gateways as processes, and many hollow front ends
-//! that run the same fleet node with real messages, take no calls and share processes.
+//! Measures the cost of a fleet at a given size on one machine.
 //!
-//! - [`run`]: the measurement, from arguments to its JSON line.
-//! - [`fleet`]: the processes of a run, and an operator's requests to them.
+//! A few front ends are real gateways, each in a process of its own. The others are hollow: they run the gateway's fleet node and exchange
+//! real messages, but take no calls, and many of them share a process.
+//!
+//! - [`run`]: the measurement, from its arguments to its JSON line.
+//! - [`fleet`]: the child processes of a run, and the operator's requests to them.
 //! - [`hollow`]: a process of hollow front ends.
-//! - [`scopes`]: functions that are agreed on one by one, and which front end calls which.
+//! - [`scopes`]: functions that are scopes of their own, and which front end calls which of them.
 //! - [`system`]: the kernel's counters of processes and of the machine.
 //!
-//! It is a tool for tests and capacity planning, and no part of the product: nothing of it runs in a gateway that serves calls.
+//! This is a tool for tests and capacity planning; a gateway that serves calls does not use it.
 //!
-//! Its processes are this program under other names, `gateway` and `hollow`, so that it needs no second file. Arguments that can't be
-//! read end it with exit code 2:
+//! Child processes run this executable again with the command `gateway` or `hollow`. Invalid arguments end the program with exit code 2:
 //!
 //! ```
 //! use std::process::ExitCode;
@@ -35,9 +36,9 @@
 use std::ffi::OsString;
 use std::process::ExitCode;
 
-/// Measures what a fleet of front ends costs at a size.
+/// Measures the cost of a fleet of front ends at a given size.
 ///
-/// Exit codes: 0 measured and all went well, 1 not all did, 2 for wrong arguments and for what this machine can't bear.
+/// Exit codes: 0 if the measurement succeeded, 1 if a part of it failed, 2 for invalid arguments or a fleet too large for this machine.
 #[derive(Parser)]
 #[command(name = "tansy-scale", version)]
 struct CommandLine {
@@ -47,19 +48,19 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Real front ends beside hollow ones: what control costs each, and how soon changes are in force.
+    /// Starts real and hollow front ends; measures their control traffic and how long changes take to be in force.
     Run(run::Arguments),
-    /// What state and decisions cost as functions, instances and front ends grow.
+    /// Measures the cost of state and decisions by the number of functions, instances and front ends.
     State(tansy_bench_state::Args),
     #[command(flatten)]
     Capacity(tansy_capacity::Command),
 }
 
-/// Runs the program with its arguments, the first its name.
+/// Runs the program; the first argument is the name of the executable.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let arguments: Vec<OsString> = arguments.into_iter().collect();
     match arguments.get(1).and_then(|argument| argument.to_str()) {
-        Some("gateway") => gateway(arguments),
+        Some("gateway") => run_gateway(arguments),
         Some("hollow") => hollow::process::main(),
         _ => match CommandLine::try_parse_from(arguments) {
             Ok(line) => run_command(line.command),
@@ -68,10 +69,10 @@
     }
 }
 
-/// Runs a gateway that does not outlive the measurement, however that ends.
-fn gateway(arguments: Vec<OsString>) -> ExitCode {
+/// Runs a gateway that the kernel kills when the measurement ends for any reason.
+fn run_gateway(arguments: Vec<OsString>) -> ExitCode {
     if let Err(error) = set_parent_process_death_signal(Some(Signal::KILL)) {
-        eprintln!("a gateway that could outlive its run is not started: {error}");
+        eprintln!("the gateway is not started, since it could outlive the measurement: {error}");
         return ExitCode::from(1);
     }
     tansy_gateway::cli::main(arguments.into_iter().skip(1))
@@ -85,10 +86,10 @@
     }
 }
 
-/// Prints help, or in one line what is wrong with the arguments.
+/// Prints help, or one line about what is wrong with the arguments.
 fn report_usage(error: &clap::Error) -> ExitCode {
     if let ErrorKind::DisplayHelp | ErrorKind::DisplayVersion = error.kind() {
-        // A reader that went away is no reason for another exit code.
+        // A closed standard output does not change the exit code.
         let _ = error.print();
         return ExitCode::SUCCESS;
     }
--- a/programs/scale/src/main.rs
+++ b/programs/scale/src/main.rs
@@ -1,4 +1,4 @@
-//! `tansy-scale`: what a fleet of front ends costs at a size.
+//! `tansy-scale`: measures the cost of a fleet of front ends at a given size.
 
 use std::process::ExitCode;
 
--- a/programs/scale/src/system.rs
+++ b/programs/scale/src/system.rs
@@ -2,23 +2,23 @@
 
 use std::fs::{read_dir, read_link, read_to_string};
 
-/// Seconds of CPU that a process used since it began; none: there is no such process.
+/// Returns the CPU seconds that a process has used, or `None` if it does not exist.
 pub fn cpu_seconds(pid: u32) -> Option<f64> {
     let text = read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The name in parentheses may hold anything.
+    // The command name in parentheses may contain spaces and parentheses.
     let mut rest = text.rsplit_once(')')?.1.split_whitespace().skip(11);
     let (user, system): (u64, u64) = (rest.next()?.parse().ok()?, rest.next()?.parse().ok()?);
     Some((user + system) as f64 / rustix::param::clock_ticks_per_second().max(1) as f64)
 }
 
-/// Megabytes (of 1,000,000) that a process holds in memory.
+/// Returns the resident memory of a process in megabytes (1,000,000 bytes).
 pub fn memory_mb(pid: u32) -> Option<f64> {
     let text = read_to_string(format!("/proc/{pid}/statm")).ok()?;
     let pages: u64 = text.split_whitespace().nth(1)?.parse().ok()?;
     Some((pages * rustix::param::page_size() as u64) as f64 / 1e6)
 }
 
-/// Sockets that a process holds open.
+/// Counts the open sockets of a process.
 pub fn sockets(pid: u32) -> Option<usize> {
     let descriptors = read_dir(format!("/proc/{pid}/fd")).ok()?;
     let is_socket = |entry: &std::fs::DirEntry| {
@@ -27,16 +27,16 @@
     Some(descriptors.flatten().filter(is_socket).count())
 }
 
-/// CPU time of all cores since the machine started, in clock ticks.
+/// CPU time of all cores since boot, in clock ticks.
 #[derive(Clone, Copy, Debug)]
 pub struct CpuTicks {
-    /// Ticks in which a core was busy.
+    /// Time that is neither idle nor spent waiting for I/O.
     pub busy: u64,
-    /// All ticks.
+    /// Time in all states.
     pub total: u64,
 }
 
-/// The machine's CPU time so far; none: `/proc/stat` can't be read.
+/// Reads the machine's CPU time, or returns `None` if `/proc/stat` can't be read.
 pub fn machine_cpu() -> Option<CpuTicks> {
     let text = read_to_string("/proc/stat").ok()?;
     let ticks: Vec<u64> = text
@@ -52,7 +52,7 @@
     Some(CpuTicks { busy, total })
 }
 
-/// Bytes that passed the loopback device, sent and received counted each.
+/// Returns the bytes received plus the bytes sent on the loopback device.
 pub fn loopback_bytes() -> Option<u64> {
     let text = read_to_string("/proc/net/dev").ok()?;
     let line = text.lines().find_map(|l| l.trim().strip_prefix("lo:"))?;
@@ -63,7 +63,7 @@
     Some(counters.first()? + counters.get(8)?)
 }
 
-/// Bytes of memory that the machine has.
+/// Returns the memory of the machine in bytes.
 pub fn memory_bytes() -> Option<u64> {
     let text = read_to_string("/proc/meminfo").ok()?;
     let line = text.lines().find_map(|l| l.strip_prefix("MemTotal:"))?;
@@ -71,7 +71,7 @@
     Some(kibibytes * 1024)
 }
 
-/// Cores that this process may use.
+/// Returns the number of cores that this process may use.
 pub fn cores() -> usize {
     std::thread::available_parallelism().map_or(1, |n| n.get())
 }
