--- a/programs/scale/src/hollow/front_ends.rs
+++ b/programs/scale/src/hollow/front_ends.rs
@@ -1,4 +1,4 @@
-//! The front ends of one process, their calls and their settings in force.
+//! The front ends of one process, the functions they call and the settings they have in force.
 
 use super::protocol::{HollowCounters, HollowEvent};
 use super::transport::HollowTransport;
@@ -31,19 +31,19 @@
     per_process: u32,
     transport: RefCell<Option<Rc<HollowTransport>>>,
     running: RefCell<BTreeMap<u32, Rc<FleetTransport>>>,
-    /// Versions in force. Apart from `running`, since nodes report them while they are borrowed.
+    /// Versions in force. Not a part of `running`, which may be borrowed while a node reports a version.
     in_force: RefCell<BTreeMap<u32, u64>>,
     started_at: RefCell<BTreeMap<u32, i64>>,
-    /// Addresses of front ends that have been started before.
+    /// Addresses of all front ends that were ever started; a restarted one listens at the same address.
     addresses: RefCell<BTreeMap<u32, SocketAddr>>,
     /// Traffic of front ends that were killed.
-    ended: RefCell<HollowCounters>,
-    /// The version that was reported last.
+    stopped_traffic: RefCell<HollowCounters>,
+    /// The last reported version.
     reported_version: Cell<u64>,
-    /// Number of separately agreed functions, and the seed by which front ends choose theirs.
+    /// Number of functions that are scopes of their own, and the seed by which front ends choose which to call.
     call_parameters: Cell<Option<(usize, u64)>>,
     called: RefCell<BTreeMap<u32, Vec<String>>>,
-    /// The revisions that front ends act on.
+    /// The revision of each front end's active state.
     revisions: RefCell<BTreeMap<u32, Revision>>,
     watches: Watches,
 }
@@ -67,7 +67,7 @@
             in_force: RefCell::default(),
             started_at: RefCell::default(),
             addresses: RefCell::default(),
-            ended: RefCell::default(),
+            stopped_traffic: RefCell::default(),
             reported_version: Cell::new(0),
             call_parameters: Cell::new(None),
             called: RefCell::default(),
@@ -82,15 +82,15 @@
         *self.transport.borrow_mut() = Some(Rc::new(transport));
     }
 
-    /// A message for one of the front ends has arrived.
+    /// Passes a message to the front end that it is for, if that runs.
     pub(super) fn receive(&self, front_end: u32, message: &[u8]) {
         let node = self.running.borrow().get(&front_end).cloned();
-        // The node counts an undecodable message; the sender's process takes no answer to it.
+        // The node counts undecodable messages, and the sender expects no answer.
         node.into_iter()
             .for_each(|node| drop(node.receive_message(message)));
     }
 
-    /// Starts a front end without any state, at the address that it had before.
+    /// Starts a front end without state from before, at the address that it listened at before, if any.
     pub(super) fn start(self: &Rc<Self>, front_end: u32, name: String) -> Result<(), Error> {
         let known = self.addresses.borrow().get(&front_end).copied();
         let any_port = SocketAddr::from((loopback_address(self.network, front_end), 0));
@@ -124,7 +124,7 @@
         fleet.node_name = name;
         let transport = self.transport.borrow().clone().ok_or(Error::NotConnected)?;
         let (network, first, per_process) = (self.network, self.first, self.per_process);
-        let carry = move |to: SocketAddr, message: &[u8]| {
+        let send_to_hollow = move |to: SocketAddr, message: &[u8]| {
             let hollow = front_end_at(network, to).and_then(|index| index.checked_sub(first));
             let Some(hollow) = hollow else {
                 return false;
@@ -137,20 +137,20 @@
             fleet: fleet.name.clone(),
             voter: None,
             proxies: Default::default(),
-            carrier: Some(Rc::new(carry)),
+            carrier: Some(Rc::new(send_to_hollow)),
             validate_version: Rc::new(|_| Ok(())),
             validate_function: Rc::new(|_, _, _| Ok(())),
             read_counters: Rc::new(Default::default),
         })
     }
 
-    /// Ends a front end at once; the others are not notified.
+    /// Stops a front end without notifying the others.
     pub(super) fn kill(&self, front_end: u32) {
         let Some(node) = self.running.borrow_mut().remove(&front_end) else {
             return;
         };
         node.shut_down();
-        add_traffic(&mut self.ended.borrow_mut(), &node);
+        add_traffic(&mut self.stopped_traffic.borrow_mut(), &node);
         self.started_at.borrow_mut().remove(&front_end);
         self.in_force.borrow_mut().remove(&front_end);
         self.revisions.borrow_mut().remove(&front_end);
@@ -159,7 +159,7 @@
         self.watches.remove_front_end(front_end, now);
     }
 
-    /// Each front end calls its functions in turn, at a steady rate.
+    /// Makes each front end call its functions in turn, at a fixed rate.
     pub(super) fn start_calls(self: &Rc<Self>, functions: usize, seed: u64) {
         if self
             .call_parameters
@@ -192,7 +192,7 @@
         }
     }
 
-    /// The functions that a front end calls.
+    /// Returns the functions that a front end calls.
     fn called_by(&self, front_end: u32) -> Vec<String> {
         let Some((functions, seed)) = self.call_parameters.get() else {
             return Vec::new();
@@ -210,7 +210,7 @@
             .clone()
     }
 
-    /// Watches for changes of functions, at all front ends that subscribe to them now.
+    /// Watches for updates of functions at all front ends that subscribe to them now.
     pub(super) fn watch(&self, id: u64, functions: Vec<(String, Fields)>) {
         let (running, now) = (self.running.borrow(), clock::now());
         let revision = |node: &FleetNode, now| {
@@ -241,9 +241,9 @@
         self.watches.remove(id);
     }
 
-    /// A front end's state may have changed.
+    /// Updates the watches, and reports a join or a new version in force, after a front end's state may have changed.
     fn on_state_change(&self, front_end: u32, started_at: i64, node: &FleetNode, now: i64) {
-        // A front end that was killed, or started again since, reports nothing.
+        // Ignores reports of a front end that was killed or restarted since.
         if self.started_at.borrow().get(&front_end) != Some(&started_at) {
             return;
         }
@@ -263,8 +263,8 @@
         );
         let version = state.in_force.version.0;
         let before = self.in_force.borrow().get(&front_end).copied();
-        let can_act = active.lease_remaining > 0 && active.session_remaining > 0;
-        if before == Some(version) || (before.is_none() && !can_act) {
+        let has_joined = active.lease_remaining > 0 && active.session_remaining > 0;
+        if before == Some(version) || (before.is_none() && !has_joined) {
             return;
         }
         self.in_force.borrow_mut().insert(front_end, version);
@@ -287,10 +287,10 @@
         }
     }
 
-    /// The counters over all front ends.
+    /// Returns the counters of the process.
     pub(super) fn counters(&self) -> HollowCounters {
         let running = self.running.borrow();
-        let mut counters = self.ended.borrow().clone();
+        let mut counters = self.stopped_traffic.borrow().clone();
         let views: Vec<usize> = running
             .values()
             .map(|node| node.with_node(|node, _| node.other_members().count()))
@@ -321,7 +321,7 @@
     }
 }
 
-/// Adds the messages of one front end.
+/// Adds a front end's traffic to the counters.
 fn add_traffic(counters: &mut HollowCounters, node: &Rc<FleetTransport>) {
     let traffic = node.traffic();
     counters.received += traffic.received;
--- a/programs/scale/src/hollow/mod.rs
+++ b/programs/scale/src/hollow/mod.rs
@@ -1,15 +1,15 @@
-//! A process of hollow front ends: each runs the gateway's fleet node on the gateway's fleet transport, and takes no calls.
+//! A process of hollow front ends, each of which runs the gateway's fleet node on the gateway's fleet transport but takes no calls.
 //!
-//! The parent sends commands as JSON lines on standard input and reads events as JSON lines from standard output. The process ends when
-//! its input does, so that it never outlives its parent.
+//! The parent writes commands as JSON lines to standard input and reads events as JSON lines from standard output. The process exits when
+//! its input is closed, so that it never outlives its parent.
 //!
 //! - [`protocol`]: commands, events and counters.
-//! - [`process`]: the event loop, and what each command does.
-//! - `front_ends`: the front ends of one process, their calls and their settings in force.
-//! - `watch`: when a change of a separately agreed function takes effect at those that subscribe to it.
+//! - [`process`]: the event loop, and how commands are executed.
+//! - `front_ends`: the front ends of one process, the functions they call and the settings they have in force.
+//! - `watch`: detects when an update of a function takes effect at the front ends that subscribe to it.
 //! - `transport`: messages between hollow front ends.
 //!
-//! It measures nothing but its own counters, and judges nothing: the parent does both.
+//! The process only reports counters and events; the parent evaluates them.
 
 pub mod process;
 pub mod protocol;
@@ -20,16 +20,16 @@
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Front ends that have a loopback address each.
+/// Maximum number of front ends, so that each has a loopback address of its own.
 pub const MAX_FRONT_ENDS: usize = 65_000;
 
-/// The loopback address of a front end; `network`, the second octet, keeps runs at the same time apart.
+/// Returns the loopback address of a front end. `network` is the second octet and separates concurrent runs.
 pub fn loopback_address(network: u8, front_end: u32) -> Ipv4Addr {
     let [.., high, low] = (front_end + 1).to_be_bytes();
     Ipv4Addr::new(127, network, high, low)
 }
 
-/// The front end with this address; none: it is no address of this run's network.
+/// Returns the front end with this address, or `None` if the address is not in this run's network.
 fn front_end_at(network: u8, address: SocketAddr) -> Option<u32> {
     let IpAddr::V4(ip) = address.ip() else {
         return None;
--- a/programs/scale/src/hollow/process.rs
+++ b/programs/scale/src/hollow/process.rs
@@ -1,4 +1,4 @@
-//! The event loop of a process of hollow front ends, and what each command does.
+//! The event loop of a process of hollow front ends, which executes its commands.
 
 use super::front_ends::HollowFrontEnds;
 use super::protocol::{HollowCommand, HollowEvent};
@@ -16,10 +16,10 @@
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::Spawner;
 
-/// The longest time between two checks of whether the process is to end.
+/// Maximum time between two checks of whether the process is to exit.
 const DISPATCH_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Runs a process of hollow front ends until its input ends.
+/// Runs a process of hollow front ends until its input is closed or a command fails.
 pub fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
@@ -40,7 +40,7 @@
         .handle()
         .insert_source(read_commands(), move |event, (), ()| match event {
             Event::Msg(command) => {
-                let done = command.and_then(|command| run(&spawner, &mut front_ends, command));
+                let done = command.and_then(|command| execute(&spawner, &mut front_ends, command));
                 if done.is_err() {
                     *result_sink.borrow_mut() = Some(done);
                 }
@@ -56,7 +56,7 @@
     }
 }
 
-/// The commands on standard input; the channel closes when the input ends.
+/// Reads commands from standard input on a thread; the channel is closed at the end of the input.
 fn read_commands() -> Channel<Result<HollowCommand, Error>> {
     let (sender, commands) = channel();
     std::thread::spawn(move || {
@@ -71,7 +71,7 @@
     commands
 }
 
-fn run(
+fn execute(
     spawner: &Spawner,
     front_ends: &mut Option<Rc<HollowFrontEnds>>,
     command: HollowCommand,
--- a/programs/scale/src/hollow/protocol.rs
+++ b/programs/scale/src/hollow/protocol.rs
@@ -1,6 +1,6 @@
-//! The lines between a measurement and a process of hollow front ends.
+//! The JSON lines between a measurement and its processes of hollow front ends.
 //!
-//! Both ends are the same program, but the serialized names are part of recorded traces: they do not change when a type is renamed.
+//! The serialized names are part of recorded traces and stay the same when a type or a field is renamed.
 
 use serde::{Deserialize, Serialize};
 use std::io::Write;
@@ -11,53 +11,53 @@
 /// A command to a process of hollow front ends.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum HollowCommand {
-    /// Sets the process up; the first command of all.
+    /// Initializes the process; always the first command.
     #[serde(rename = "Begin")]
     Initialize {
         /// The fleet's settings file.
         settings: PathBuf,
-        /// The second octet of all front ends' addresses.
+        /// The second octet of the loopback addresses of all front ends.
         #[serde(rename = "net")]
         network: u8,
         /// The index of the first hollow front end.
         first: u32,
-        /// Hollow front ends of one process; they are assigned in the order of the processes.
+        /// Number of hollow front ends in a process. Processes hold consecutive indices in their order.
         #[serde(rename = "each")]
         per_process: u32,
     },
-    /// Where all processes of hollow front ends take messages, in their order; before any front end starts.
+    /// Connects to all processes of hollow front ends, whose listening addresses are given in order. Sent before any front end starts.
     #[serde(rename = "Mesh")]
     Connect(Vec<SocketAddr>),
-    /// Starts front ends without any state: their indices and names.
+    /// Starts front ends, given by index and name, without state from before.
     Start(Vec<(u32, String)>),
-    /// Ends a front end without a goodbye, as a killed process.
+    /// Stops a front end without notifying the others, like a killed process.
     Kill(u32),
-    /// From now on each front end calls a few of the separately agreed functions.
+    /// Makes each front end call some of the functions that are scopes of their own.
     Call {
-        /// How many functions there are.
+        /// Number of these functions.
         functions: usize,
-        /// The seed by which each front end chooses its own.
+        /// Seed of each front end's choice of functions.
         seed: u64,
     },
-    /// Asks for [`HollowEvent::Applied`] once all that subscribe to one of these functions act on the given fields.
+    /// Requests [`HollowEvent::Applied`] for each function once all its subscribers have the given fields in force.
     Watch {
-        /// The watch.
+        /// Identifies the watch.
         id: u64,
-        /// Names of functions that are about to change, with the fields that they change to.
+        /// Names of the functions that are about to change, with their new fields.
         functions: Vec<(String, Fields)>,
     },
     /// Ends a watch.
     Unwatch(u64),
-    /// Asks for [`HollowEvent::Counted`].
+    /// Requests [`HollowEvent::Counted`].
     Count,
 }
 
-/// An event of a process of hollow front ends. Times are microseconds of the clock that all processes of the machine share.
+/// An event of a process of hollow front ends. Times are microseconds of a clock that all processes of the machine share.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum HollowEvent {
-    /// The process takes messages at this address.
+    /// The process listens for messages at this address.
     Ready(SocketAddr),
-    /// A front end holds its first lease and session.
+    /// A front end holds a lease and a session for the first time since its start.
     #[serde(rename = "Acts")]
     Joined {
         /// Its index.
@@ -66,37 +66,37 @@
         /// When it started.
         #[serde(rename = "since")]
         started_at: i64,
-        /// When it held both.
+        /// When it first held both.
         at: i64,
     },
-    /// The lowest version in force at any acting front end of the process has changed.
+    /// The lowest version in force at the joined front ends of the process has changed.
     #[serde(rename = "Force")]
     InForce {
         /// The version.
         version: u64,
-        /// When.
+        /// When it changed.
         at: i64,
     },
-    /// A watch has begun.
+    /// A watch has started.
     Watching {
-        /// The watch.
+        /// Identifies the watch.
         id: u64,
-        /// How many front ends subscribe to each function, in the order of the command.
+        /// Number of front ends that subscribe to each function, in the order of the command.
         #[serde(rename = "holders")]
         subscribers: Vec<usize>,
     },
-    /// All front ends that subscribed to a function when the watch began, and still live, act on its new fields, which are in force.
+    /// All front ends that subscribed to a function when the watch started, and still run, have its new fields in force.
     #[serde(rename = "Acted")]
     Applied {
-        /// The watch.
+        /// Identifies the watch.
         id: u64,
         /// The position of the function in the command.
         #[serde(rename = "nth")]
         position: usize,
-        /// When the last one did.
+        /// When the last front end applied the fields.
         at: i64,
     },
-    /// A front end admitted calls by a function's former class while another one knew the new class to be in force.
+    /// A front end admitted calls by the old class of a function after another one had learned that the new class is in force.
     #[serde(rename = "Broken")]
     StaleAdmission {
         /// The front end.
@@ -105,9 +105,9 @@
         /// The function.
         function: String,
     },
-    /// The process's counters.
+    /// The counters of the process.
     Counted(HollowCounters),
-    /// The process ends with this error.
+    /// The process exits with this error.
     Failed(String),
 }
 
@@ -117,7 +117,7 @@
         let Ok(line) = serde_json::to_string(self) else {
             return;
         };
-        // A failure means that the parent is gone; the input ends as well then.
+        // Writing fails only after the parent has exited, which closes the input too.
         let _ = writeln!(std::io::stdout().lock(), "{line}");
     }
 }
@@ -127,36 +127,36 @@
 pub struct HollowCounters {
     /// Front ends that run.
     pub alive: usize,
-    /// Members in the smallest view of the fleet, but for the viewer.
+    /// Number of other members in the smallest membership view of any front end.
     #[serde(rename = "least_view")]
     pub smallest_view: usize,
-    /// Members in the largest view of the fleet, but for the viewer.
+    /// Number of other members in the largest membership view of any front end.
     #[serde(rename = "most_view")]
     pub largest_view: usize,
-    /// Front ends without a lease at this moment.
+    /// Front ends that hold no lease.
     pub without_lease: usize,
-    /// Front ends without a session at this moment.
+    /// Front ends that have no session.
     #[serde(rename = "without_stay")]
     pub without_session: usize,
-    /// Subscriptions to separately agreed functions.
+    /// Subscriptions to functions, summed over front ends.
     #[serde(rename = "holds")]
     pub subscriptions: usize,
-    /// Separately agreed functions that front ends call.
+    /// Functions that front ends call, summed over front ends.
     #[serde(rename = "calls")]
     pub called_functions: usize,
-    /// Messages received, those of ended front ends among them.
+    /// Messages received, including those of stopped front ends.
     #[serde(rename = "taken")]
     pub received: u64,
     /// Bytes of received messages.
     #[serde(rename = "taken_bytes")]
     pub received_bytes: u64,
-    /// Messages sent, those of ended front ends among them.
+    /// Messages sent, including those of stopped front ends.
     pub sent: u64,
     /// Bytes of sent messages.
     pub sent_bytes: u64,
     /// Messages dropped before they were sent.
     pub dropped: u64,
-    /// Seconds of CPU of the process.
+    /// CPU seconds of the process.
     #[serde(rename = "cpu_s")]
     pub cpu_seconds: f64,
 }
--- a/programs/scale/src/hollow/transport.rs
+++ b/programs/scale/src/hollow/transport.rs
@@ -1,7 +1,7 @@
-//! Messages between hollow front ends: one connection for each direction between two of their processes.
+//! Messages between hollow front ends, over one connection for each direction between two of their processes.
 //!
-//! A connection for each pair of front ends, as real ones have it, would be a million sockets for a thousand. A frame is the message's
-//! length and the index of the receiving front end, four bytes each in network order, then the message.
+//! Real front ends have a connection for each pair of them; a thousand hollow ones would need a million sockets. A frame consists of the
+//! message's length and the index of the receiving front end, four bytes each in network byte order, and the message.
 
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction};
@@ -15,15 +15,15 @@
 use tansy_net_sockets::socket::Socket;
 use tansy_net_sockets::{Spawner, Yield};
 
-/// Bytes of a frame before the message.
+/// Size of a frame's header in bytes.
 const HEADER_BYTES: usize = 8;
-/// Bytes queued to one process at most; messages beyond are dropped, as a network drops them.
+/// Maximum number of bytes queued for one process; messages that exceed it are dropped.
 const MAX_QUEUED_BYTES: usize = 4 * MAX_MESSAGE_BYTES;
-/// Bytes read from a connection at a time.
+/// Size of the read buffer in bytes.
 const READ_BYTES: usize = 64 * 1024;
 
 /// Handles a message for the front end with this index.
-pub(super) type Receive = Rc<dyn Fn(u32, &[u8])>;
+pub(super) type MessageHandler = Rc<dyn Fn(u32, &[u8])>;
 
 /// The outgoing connection to one process.
 #[derive(Default)]
@@ -40,14 +40,14 @@
 }
 
 impl HollowTransport {
-    /// Connects to each of these processes, this one among them.
+    /// Connects to each of these processes, including this one.
     pub(super) fn connect(spawner: &Spawner, processes: &[SocketAddr]) -> HollowTransport {
         let connect = |address: &SocketAddr| {
             let connection = Rc::new(Connection::default());
             let (writer, address, shared) = (spawner.clone(), *address, connection.clone());
             spawner.spawn(async move {
-                // A process that has ended takes no messages; its front ends are down.
-                let _ = write(&writer, address, &shared).await;
+                // A failed connection means that the process has exited; messages to its front ends are dropped.
+                let _ = write_queued(&writer, address, &shared).await;
                 shared.is_closed.set(true);
                 shared.queue.take();
             });
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Sends a message to a front end of this process.
+    /// Queues a message for a front end of the process with the given index, or drops it.
     pub(super) fn send(&self, process: usize, front_end: u32, message: &[u8]) {
         let frame_bytes = HEADER_BYTES + message.len();
         let connection = self
@@ -79,13 +79,18 @@
         }
     }
 
-    /// Messages that were dropped.
+    /// Returns the number of dropped messages.
     pub(super) fn dropped(&self) -> u64 {
         self.dropped.get()
     }
 }
 
-async fn write(spawner: &Spawner, address: SocketAddr, connection: &Connection) -> io::Result<()> {
+/// Connects to a process, and writes queued frames until the connection fails.
+async fn write_queued(
+    spawner: &Spawner,
+    address: SocketAddr,
+    connection: &Connection,
+) -> io::Result<()> {
     let socket = Socket::connect(spawner.handle(), address)?;
     poll_fn(|cx| socket.poll_connected(cx)).await?;
     let mut chunk = Vec::new();
@@ -108,8 +113,12 @@
     }
 }
 
-/// Accepts connections, and hands over the messages that arrive on them.
-pub(super) fn listen(spawner: &Spawner, listener: TcpListener, receive: Receive) -> io::Result<()> {
+/// Accepts connections, and passes their messages to `receive`.
+pub(super) fn listen(
+    spawner: &Spawner,
+    listener: TcpListener,
+    receive: MessageHandler,
+) -> io::Result<()> {
     listener.set_nonblocking(true)?;
     let connection_spawner = spawner.clone();
     let source = Generic::new(listener, Interest::READ, Mode::Level);
@@ -120,7 +129,8 @@
                 let _ = socket.set_nodelay(true);
                 if let Ok(socket) = Socket::new(connection_spawner.handle(), socket) {
                     let receive = receive.clone();
-                    connection_spawner.spawn(async move { drop(read(&socket, &receive).await) });
+                    connection_spawner
+                        .spawn(async move { drop(read_frames(&socket, &receive).await) });
                 }
             }
             Ok(PostAction::Continue)
@@ -130,7 +140,7 @@
         .map_err(|error| io::Error::other(error.to_string()))
 }
 
-async fn read(socket: &Socket, receive: &Receive) -> io::Result<()> {
+async fn read_frames(socket: &Socket, receive: &MessageHandler) -> io::Result<()> {
     let mut unparsed = Vec::new();
     let mut buffer = vec![0; READ_BYTES];
     let mut fairness = Yield::new();
@@ -154,14 +164,14 @@
     }
 }
 
-/// The receiver of the first frame, and the frame's length; none: it has not arrived wholly.
+/// Returns the receiving front end and the length of the first frame, or `None` if the frame is incomplete.
 fn parse_frame(bytes: &[u8]) -> io::Result<Option<(u32, usize)>> {
     let Some((length, rest)) = bytes.split_first_chunk::<4>() else {
         return Ok(None);
     };
     let length = u32::from_be_bytes(*length) as usize;
     if length > MAX_MESSAGE_BYTES {
-        return Err(io::Error::other("a message longer than any may be"));
+        return Err(io::Error::other("a frame exceeds the maximum message size"));
     }
     let Some((front_end, _)) = rest.split_first_chunk::<4>() else {
         return Ok(None);
--- a/programs/scale/src/hollow/watch.rs
+++ b/programs/scale/src/hollow/watch.rs
@@ -1,4 +1,4 @@
-//! When a change of a separately agreed function takes effect at the front ends that subscribe to it.
+//! Detects when an update of a function takes effect at the front ends that subscribe to it.
 
 use super::protocol::HollowEvent;
 use std::cell::RefCell;
@@ -10,16 +10,16 @@
 use tansy_fleet_node::FleetNode;
 use tansy_net_fleet::FleetTransport;
 
-/// A function whose change is watched for.
+/// A function for whose update a watch waits.
 pub(super) struct WatchedFunction {
     name: String,
     target: Fields,
-    /// Only changes after this revision count.
+    /// Changes up to this revision are ignored.
     since: Revision,
-    /// Front ends that subscribed to the function as the watch began, and do not act on the change yet.
+    /// Front ends that subscribed to the function when the watch started and have not applied the update yet.
     pub(super) pending: BTreeSet<u32>,
     is_reported: bool,
-    /// A front end of this process knows that the change is in force.
+    /// Whether a front end of this process has learned that the update is in force.
     is_known_in_force: bool,
 }
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Whether a front end received the change as one in force; none: it may have received it within a snapshot.
+    /// Whether a front end knows that the update is in force. `None` if its history starts too late to tell, as after a snapshot.
     fn is_in_force_at(&self, node: &FleetNode, now: i64) -> Option<bool> {
         let Some(state) = node.active_state(now).state else {
             return Some(false);
@@ -51,7 +51,7 @@
             .map(|mut changes| changes.any(|change| is_this_change(change)))
     }
 
-    /// Whether a front end subscribes to the function and does not act on the change yet.
+    /// Whether a front end subscribes to the function and has not applied the update yet.
     pub(super) fn is_behind(&self, node: &FleetNode, now: i64) -> bool {
         let Some(settings) = node.effective_settings(now, &self.name) else {
             return false;
@@ -61,7 +61,7 @@
             || self.is_in_force_at(node, now) == Some(false)
     }
 
-    /// Whether a front end admits calls by another class than the new one.
+    /// Whether a front end admits calls of the function by a class other than the new one.
     fn admits_by_other_class(&self, node: &FleetNode, now: i64) -> bool {
         let class = |fields: &Fields| fields.get("class").cloned();
         node.effective_settings(now, &self.name)
@@ -70,7 +70,7 @@
             .is_some_and(|fields| class(&fields) != class(&self.target))
     }
 
-    /// Reports once that no front end is behind.
+    /// Reports, at most once, that all subscribers have applied the update.
     fn report_if_applied(&mut self, id: u64, position: usize, at: i64) {
         if self.pending.is_empty() && !std::mem::replace(&mut self.is_reported, true) {
             HollowEvent::Applied { id, position, at }.send();
@@ -85,7 +85,7 @@
         .send();
     }
 
-    /// Looks at one front end's new revision for calls that it, or another one, admits by the former class.
+    /// Checks at a front end's new revision whether any front end still admits calls by the old class although the update is in force.
     fn check_admission(
         &mut self,
         front_end: u32,
@@ -107,12 +107,12 @@
     }
 }
 
-/// All watches of a process, by their id.
+/// All watches of a process, by id.
 #[derive(Default)]
 pub(super) struct Watches(RefCell<BTreeMap<u64, Vec<WatchedFunction>>>);
 
 impl Watches {
-    /// Begins a watch, and reports how many front ends subscribe to each function.
+    /// Starts a watch, and reports how many front ends subscribe to each function.
     pub(super) fn insert(&self, id: u64, functions: Vec<WatchedFunction>) {
         HollowEvent::Watching {
             id,
@@ -129,7 +129,7 @@
         self.0.borrow_mut().remove(&id);
     }
 
-    /// A killed front end is not waited for.
+    /// Stops waiting for a killed front end.
     pub(super) fn remove_front_end(&self, front_end: u32, now: i64) {
         for (id, functions) in self.0.borrow_mut().iter_mut() {
             for (position, function) in functions.iter_mut().enumerate() {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// A front end's state may have changed.
+    /// Updates all watches after a front end's state may have changed.
     pub(super) fn on_state_change(
         &self,
         front_end: u32,
