--- a/programs/scale/src/fleet/events.rs
+++ b/programs/scale/src/fleet/events.rs
@@ -1,4 +1,4 @@
-//! Waiting for what child processes report.
+//! Waits for reports of child processes and applies them.
 
 use super::process::{FrontEndEvent, InForce, ProcessEvent};
 use super::{Join, TestFleet};
@@ -7,20 +7,20 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// How often signals are checked for while nothing is reported.
+/// Time between two checks for signals while no process reports anything.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time for the event loop on which signals arrive.
-const SIGNAL_POLL: Duration = Duration::from_micros(200);
+/// Time in which the client's event loop may receive signals, per check.
+const SIGNAL_POLL_TIMEOUT: Duration = Duration::from_micros(200);
 
 impl TestFleet {
-    /// Waits until all front ends that run act.
+    /// Waits until all running front ends have joined.
     pub fn wait_until_all_joined(&mut self, end: Instant) -> Result<(), Error> {
-        self.wait_until(end, "all front ends to act", |fleet| {
+        self.wait_until(end, "all front ends to join", |fleet| {
             fleet.joined.len() == fleet.running.len()
         })
     }
 
-    /// Waits until a condition holds, at most until this time.
+    /// Waits until a condition holds; fails at `end`.
     pub fn wait_until(
         &mut self,
         end: Instant,
@@ -40,7 +40,7 @@
         Ok(())
     }
 
-    /// Lets this time pass while reports are handled.
+    /// Handles reports for this time.
     pub fn run_for(&mut self, span: Duration) -> Result<(), Error> {
         let end = Instant::now() + span;
         while Instant::now() < end {
@@ -50,14 +50,14 @@
         Ok(())
     }
 
-    /// Handles all reports that are there, or the first one within this time and those that are there by then.
+    /// Waits up to `span` for a report, then handles it and all others that have arrived. Fails if the run can't go on.
     pub fn poll_events(&mut self, span: Duration) -> Result<(), Error> {
         let mut next = self.events.recv_timeout(span).ok();
         while let Some(event) = next {
             self.on_event(event);
             next = self.events.try_recv().ok();
         }
-        self.client.wait(SIGNAL_POLL);
+        self.client.wait(SIGNAL_POLL_TIMEOUT);
         if self.is_interrupted.load(Ordering::Relaxed) {
             return Err(Error::Interrupted);
         }
@@ -125,7 +125,7 @@
         let Some(front_end) = self.real.get_mut(index) else {
             return;
         };
-        // Reports of a process that was killed, or replaced since, are late.
+        // Ignores late reports of a process that was killed or restarted since.
         if front_end.incarnation != incarnation || front_end.child.is_none() {
             return;
         }
--- a/programs/scale/src/fleet/mod.rs
+++ b/programs/scale/src/fleet/mod.rs
@@ -1,12 +1,12 @@
-//! A fleet of child processes on this machine: real front ends, hollow ones, and an operator's requests to them.
+//! A fleet of child processes on this machine, and an operator's requests to it.
 //!
-//! - [`shape`]: how many front ends of each kind, their names, and the settings.
-//! - `process`: how child processes start, and what they report.
-//! - `events`: waiting for reports.
-//! - `operator`: the leader, and changes of the settings' version.
-//! - [`scope_updates`]: changes of functions that are agreed on one by one.
+//! - [`shape`]: the number of front ends of each kind, their names, and the settings.
+//! - `process`: starts child processes and parses what they report.
+//! - `events`: waits for reports and applies them.
+//! - `operator`: finds the leader and proposes versions of the settings.
+//! - [`scope_updates`]: updates functions that are scopes of their own.
 //!
-//! It records what the processes report; what is measured, and when front ends are killed, is decided in [`crate::run`].
+//! This module only controls processes and records their reports; [`crate::run`] decides what is measured and when front ends are killed.
 
 mod events;
 mod operator;
@@ -34,17 +34,17 @@
 use tansy_net_sockets::clock;
 use tansy_test_support::address::ReservedAddress;
 
-/// Front ends that start at a time: a fleet does not start at once either, and what is measured comes after.
+/// Maximum number of front ends that start at the same time; limits the load of joins.
 const MAX_CONCURRENT_STARTS: usize = 64;
-/// Time for a process of hollow front ends to answer a command.
+/// Timeout for a process of hollow front ends to answer a command.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A front end that held a lease and a session for the first time since its start.
+/// A front end that joined: it holds a lease and a session for the first time since its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Join {
     /// Its index.
     pub front_end: u32,
-    /// Milliseconds since its start.
+    /// Milliseconds from its start.
     pub ms: f64,
 }
 
@@ -55,39 +55,41 @@
     pub index: usize,
     /// Its process id.
     pub pid: u32,
-    /// Where its fleet transport listens.
+    /// The address of its fleet transport.
     pub address: SocketAddr,
 }
 
-/// All processes of a run; they end when it is dropped.
+/// All processes of a run; dropping it kills them.
 pub struct TestFleet {
-    /// What it is made of.
+    /// The number of front ends of each kind, and their settings.
     pub shape: FleetShape,
-    /// Front ends that joined, in order.
+    /// Joins, in order.
     pub joins: Vec<Join>,
     /// The operator's client.
     pub client: Client,
     names: Vec<String>,
     real: Vec<RealFrontEnd>,
     hollow: Vec<HollowProcess>,
+    /// Running front ends that have joined since their start.
     joined: BTreeSet<u32>,
+    /// Front ends that were started and not killed.
     running: BTreeSet<u32>,
     folder: PathBuf,
     events: Receiver<ProcessEvent>,
     event_sender: Sender<ProcessEvent>,
     /// Set by SIGINT and SIGTERM.
     is_interrupted: Arc<AtomicBool>,
-    /// Why the run can't go on, until that is returned.
+    /// An error that ends the run; returned by the next poll for events.
     failure: Option<Error>,
     leader_address: SocketAddr,
     in_force: VersionedSettings,
-    /// Requests of the operator so far.
+    /// Number of the operator's requests so far.
     requests: u64,
     watches: BTreeMap<u64, ScopeWatch>,
 }
 
 impl TestFleet {
-    /// Starts all front ends, and waits until all act, at most for this time.
+    /// Starts all front ends, and waits until all have joined; fails after `limit`.
     pub fn start(
         shape: FleetShape,
         limit: Duration,
@@ -99,25 +101,25 @@
         (0..voters).try_for_each(|index| fleet.start_front_end(index))?;
         fleet.wait_until_all_joined(end)?;
         fleet.refresh_leader()?;
-        progress(format!("{} voters act", shape.voters));
+        progress(format!("{} voters have joined", shape.voters));
         (voters..real).try_for_each(|index| fleet.start_front_end(index))?;
         fleet.start_hollow_processes(end)?;
         for index in real..shape.front_ends as u32 {
-            fleet.wait_until(end, "front ends to act", |fleet| {
+            fleet.wait_until(end, "front ends to join", |fleet| {
                 fleet.running.len() < fleet.joined.len() + MAX_CONCURRENT_STARTS
             })?;
             fleet.start_front_end(index)?;
         }
         fleet.wait_until_all_joined(end)?;
-        progress(format!("{} front ends act", shape.front_ends));
+        progress(format!("{} front ends have joined", shape.front_ends));
         Ok(fleet)
     }
 
-    /// Reserves addresses and writes the settings; no process runs yet.
+    /// Reserves addresses and writes the settings without starting any process.
     fn prepare(shape: FleetShape) -> Result<TestFleet, Error> {
         let client = Client::new()?;
         let is_interrupted = Arc::new(AtomicBool::new(false));
-        // Before any thread starts, which inherit the mask of signals.
+        // Threads inherit the signal mask, so it is set before any starts.
         client.on_termination(is_interrupted.clone())?;
         let folder = std::env::temp_dir().join(format!("tansy-scale-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
@@ -161,7 +163,7 @@
         })
     }
 
-    /// Starts the processes of hollow front ends, and connects them with each other.
+    /// Starts the processes of hollow front ends, and connects them to each other.
     fn start_hollow_processes(&mut self, end: Instant) -> Result<(), Error> {
         let initialize = initialize_command(&self.shape, network(), &self.folder);
         for process in 0..self.shape.hollow_processes() {
@@ -177,7 +179,7 @@
         self.broadcast(&connect)
     }
 
-    /// Starts a front end; only a voter has state from before.
+    /// Starts a front end. Only a voter keeps its state over a restart.
     pub fn start_front_end(&mut self, front_end: u32) -> Result<(), Error> {
         self.running.insert(front_end);
         let index = front_end as usize;
@@ -191,7 +193,7 @@
         self.send(self.shape.hollow_process_of(index), &start)
     }
 
-    /// Kills a front end; the others are not notified.
+    /// Kills a front end without notifying the others.
     pub fn kill(&mut self, front_end: u32) -> Result<(), Error> {
         self.running.remove(&front_end);
         self.joined.remove(&front_end);
@@ -219,14 +221,14 @@
             .try_for_each(|process| process.send(command))
     }
 
-    /// The counters of each process of hollow front ends, as of now.
+    /// Requests the current counters of each process of hollow front ends.
     pub fn hollow_counters(&mut self) -> Result<Vec<HollowCounters>, Error> {
         for process in &mut self.hollow {
             process.counters = None;
             process.send(&HollowCommand::Count)?;
         }
         let end = Instant::now() + COMMAND_TIMEOUT;
-        self.wait_until(end, "what hollow front ends counted", |fleet| {
+        self.wait_until(end, "the counters of hollow front ends", |fleet| {
             fleet
                 .hollow
                 .iter()
@@ -238,7 +240,7 @@
             .collect())
     }
 
-    /// Process ids of the processes of hollow front ends.
+    /// Returns the ids of the processes of hollow front ends.
     pub fn hollow_pids(&self) -> Vec<u32> {
         self.hollow
             .iter()
@@ -246,7 +248,7 @@
             .collect()
     }
 
-    /// Real front ends that run.
+    /// Returns the real front ends that run.
     pub fn running_real(&self) -> Vec<RunningFrontEnd> {
         let running = |(index, front_end): (usize, &RealFrontEnd)| {
             Some(RunningFrontEnd {
@@ -258,7 +260,7 @@
         self.real.iter().enumerate().filter_map(running).collect()
     }
 
-    /// Addresses of real front ends that run.
+    /// Returns the addresses of the real front ends that run.
     pub fn real_addresses(&self) -> Vec<SocketAddr> {
         let running = self.running_real();
         running
@@ -267,7 +269,7 @@
             .collect()
     }
 
-    /// Front ends that run and act, but for the voters.
+    /// Returns the front ends that run and have joined, without the voters.
     pub fn joined_non_voters(&self) -> Vec<u32> {
         self.joined
             .iter()
@@ -276,22 +278,22 @@
             .collect()
     }
 
-    /// Whether a front end runs and acts.
+    /// Whether a front end runs and has joined since its start.
     pub fn has_joined(&self, front_end: u32) -> bool {
         self.joined.contains(&front_end)
     }
 
-    /// How many front ends run.
+    /// Returns the number of front ends that run.
     pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
-    /// The names, by index.
+    /// Returns the names of all front ends, by index.
     pub fn names(&self) -> &[String] {
         &self.names
     }
 
-    /// Since when a version, or a later one, is in force at all that act; none: it is not at some.
+    /// Returns since when all joined front ends have this version or a later one in force, or `None` if some do not.
     pub fn in_force_since(&self, version: u64) -> Option<i64> {
         let per_process = self.shape.hollow_per_process();
         let has_joined_member = |process: usize| {
@@ -331,12 +333,12 @@
     }
 }
 
-/// The second octet of all front ends' addresses; it keeps runs at the same time apart.
+/// Returns the second octet of the loopback addresses of all front ends, which separates concurrent runs.
 fn network() -> u8 {
     1 + (std::process::id() % 200) as u8
 }
 
-/// A free port on the loopback address of a real front end.
+/// Reserves a free port on the loopback address of a real front end.
 fn reserve_address(front_end: u32) -> Result<ReservedAddress, Error> {
     let host = loopback_address(network(), front_end);
     ReservedAddress::on(host.octets()).map_err(|source| Error::ReserveAddress {
--- a/programs/scale/src/fleet/operator.rs
+++ b/programs/scale/src/fleet/operator.rs
@@ -1,4 +1,4 @@
-//! An operator's requests: who leads, what is in force, and changes of the settings' version.
+//! An operator's requests: find the leader, read the settings in force, and propose versions of the settings.
 
 use super::TestFleet;
 use crate::Error;
@@ -12,9 +12,9 @@
 use tansy_net_fleet::client::RequestError;
 use tansy_net_sockets::clock;
 
-/// Time for a request.
+/// Timeout of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Attempts to enter an entry in the log, while the leader may change.
+/// Maximum number of attempts to append an entry to the log.
 const MAX_ATTEMPTS: usize = 5;
 /// Time between two attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
@@ -22,22 +22,22 @@
 /// A version of the settings that was proposed.
 #[derive(Clone, Copy, Debug)]
 pub struct Proposal {
-    /// Its number.
+    /// The number of the version.
     pub version: u64,
     /// When it was requested, in microseconds of the machine's clock.
     pub requested_at: i64,
 }
 
-/// Versions that were proposed at once.
+/// Versions that were proposed at the same time.
 pub struct VersionBurst {
-    /// When they were requested.
+    /// When they were requested, in microseconds of the machine's clock.
     pub requested_at: i64,
     /// The number of each version, or why it was refused.
     pub versions: Vec<Result<u64, RequestError>>,
 }
 
 impl TestFleet {
-    /// Asks which voter leads, and what is in force there; fails while a change is in progress.
+    /// Updates the leader's address and the settings in force. Fails while a change is in progress, with the address updated.
     pub fn refresh_leader(&mut self) -> Result<(), Error> {
         let first = self.real[0].address();
         let status = self.client.status_within(first, REQUEST_TIMEOUT)?;
@@ -53,7 +53,7 @@
         Ok(())
     }
 
-    /// The index of the leader.
+    /// Returns the index of the leader.
     pub fn leader(&self) -> usize {
         self.real
             .iter()
@@ -61,17 +61,17 @@
             .unwrap_or(0)
     }
 
-    /// Where the leader's fleet transport listens.
+    /// Returns the address of the leader's fleet transport.
     pub fn leader_address(&self) -> SocketAddr {
         self.leader_address
     }
 
-    /// The fields in force when the leader was last asked.
+    /// Returns the fields that were last proposed, or were in force at the last [`TestFleet::refresh_leader`].
     pub fn fields(&self) -> &Fields {
         &self.in_force.fields
     }
 
-    /// A request id that was not used before.
+    /// Returns a new request id, which is not 0.
     pub(super) fn next_request_id(&mut self) -> u64 {
         let now = clock::now();
         self.request_id_at(now).max(1)
@@ -82,7 +82,7 @@
         name_to_id(&format!("{}/{}/{now}", self.shape.seed, self.requests))
     }
 
-    /// What a change that is not in force waits for, in words.
+    /// Describes what blocks a version that is not in force.
     pub fn describe_wait(&mut self, version: u64) -> String {
         let behind = self
             .real
@@ -99,8 +99,8 @@
         let without_session: usize = counters.iter().map(|count| count.without_session).sum();
         let leader = self.describe_leader_wait();
         format!(
-            "{behind} real front ends and some of {processes} hollow processes are behind, {without_lease} hollow ones have \
-             no lease, {without_session} no session; {leader}"
+            "{behind} real front ends and some hollow ones in {processes} processes do not have it in force; of the hollow ones \
+             {without_lease} have no lease and {without_session} no session; {leader}"
         )
     }
 
@@ -110,7 +110,7 @@
             .status_within(self.leader_address, REQUEST_TIMEOUT);
         let status = match status {
             Ok(status) => status,
-            Err(error) => return format!("the leader: {error}"),
+            Err(error) => return format!("the leader does not answer: {error}"),
         };
         let waits = if status.blocked_by_leases {
             "waits"
@@ -118,10 +118,10 @@
             "does not wait"
         };
         let sessions = status.blocking_members.len();
-        format!("the leader {waits} for leases and for {sessions} sessions")
+        format!("the leader {waits} for leases, and {sessions} sessions block the change")
     }
 
-    /// Abandons a change that is in progress.
+    /// Asks the leader to abandon a version that is in progress.
     pub fn abandon(&mut self, version: u64) {
         let abandon = Entry::Abandon(version);
         let _ = self
@@ -129,12 +129,12 @@
             .enter_within(self.leader_address, abandon, REQUEST_TIMEOUT);
     }
 
-    /// Enters an entry in the leader's log. An entry that was not taken is entered again with the same id, maybe at another leader.
+    /// Appends an entry to the leader's log. Retries use the same id, and may go to another leader.
     pub(super) fn append(&mut self, entry: Entry) -> Result<pb::EnterReply, Error> {
         self.append_with_retry(|_| entry.clone(), Error::EntryRefused)
     }
 
-    /// Proposes a version of the settings that is based on the one in force.
+    /// Proposes a version of the settings based on the one in force.
     pub fn propose(&mut self, fields: Fields, reason: &str) -> Result<Proposal, Error> {
         let requested_at = clock::now();
         let id = self.request_id_at(requested_at);
@@ -158,7 +158,7 @@
         })
     }
 
-    /// Enters an entry, which is made anew for each attempt, until the leader takes it.
+    /// Appends an entry, which is built for each attempt, with retries until the leader accepts it.
     fn append_with_retry(
         &mut self,
         entry: impl Fn(&TestFleet) -> Entry,
@@ -175,7 +175,7 @@
                 Err(error) => error,
             };
             self.run_for(RETRY_DELAY)?;
-            // Another voter may lead by now, with another version in force.
+            // The leader and the version in force may have changed.
             let _ = self.refresh_leader();
             if attempt == MAX_ATTEMPTS {
                 return Err(refused(error));
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Proposes versions at once, all based on the one in force.
+    /// Proposes versions at the same time, all based on the one in force.
     pub fn propose_burst(&mut self, versions: Vec<Fields>) -> VersionBurst {
         let version = self.in_force.version;
         let entry = |fields: Fields| {
--- a/programs/scale/src/fleet/process.rs
+++ b/programs/scale/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! The child processes of a run: how they start, and what they report.
+//! Starts the child processes of a run, and parses what they report.
 
 use super::FleetShape;
 use crate::hollow::protocol::{HollowCommand, HollowCounters, HollowEvent};
@@ -11,11 +11,11 @@
 use tansy_net_sockets::clock;
 use tansy_test_support::address::ReservedAddress;
 
-/// What a child process reported.
+/// A report of a child process.
 pub(super) enum ProcessEvent {
     /// A process of hollow front ends sent an event.
     Hollow { process: usize, event: HollowEvent },
-    /// A process of hollow front ends has closed its output.
+    /// A process of hollow front ends closed its output.
     HollowExited { process: usize },
     /// A real front end logged a change of its state, or exited.
     Real {
@@ -28,17 +28,17 @@
 
 /// A change of a real front end's state.
 pub(super) enum FrontEndEvent {
-    /// This version is in force there.
+    /// The front end has this version in force.
     InForce { version: u64 },
-    /// Whether it holds a lease.
+    /// The front end acquired or lost its lease.
     Lease { is_held: bool },
-    /// Whether it has a session with the leader.
+    /// The front end established or lost its session with the leader.
     Session { is_held: bool },
-    /// It has ended.
+    /// The process closed its logs.
     Exited,
 }
 
-/// A version of the settings, and since when it is in force.
+/// A version of the settings, and since when it is in force, in microseconds of the machine's clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct InForce {
     pub(super) version: u64,
@@ -49,12 +49,12 @@
 pub(super) struct RealFrontEnd {
     address: ReservedAddress,
     pub(super) child: Option<Child>,
-    /// Counts its starts: reports of earlier ones are ignored.
+    /// Number of starts; reports of an earlier one are ignored.
     pub(super) incarnation: u64,
     pub(super) started_at: i64,
     pub(super) has_lease: bool,
     pub(super) has_session: bool,
-    /// Has held a lease and a session at the same time since its start.
+    /// Whether it has held a lease and a session at the same time since its start.
     pub(super) has_joined: bool,
     pub(super) in_force: InForce,
 }
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Where other front ends reach it.
+    /// Returns the address of its fleet transport.
     pub(super) fn address(&self) -> SocketAddr {
         self.address.address()
     }
 
-    /// Starts the process; a voter keeps its log in a file of the folder.
+    /// Starts the process. A voter keeps its replicated log in a file in `folder`.
     pub(super) fn start(
         &mut self,
         index: usize,
@@ -98,7 +98,7 @@
         self.in_force = InForce::default();
         let mut child = command.spawn()?;
         let logs = child.stderr.take();
-        let logs = logs.ok_or(Error::MissingPipe("no logs of a front end"))?;
+        let logs = logs.ok_or(Error::MissingPipe("the logs of a front end are not piped"))?;
         self.child = Some(child);
         let (events, incarnation) = (events.clone(), self.incarnation);
         std::thread::spawn(move || {
@@ -120,7 +120,7 @@
         Ok(())
     }
 
-    /// Applies a report; milliseconds since its start if it acts for the first time since.
+    /// Applies a report. Returns the milliseconds since the start if the front end has joined with this report.
     pub(super) fn apply(&mut self, event: &FrontEndEvent, at: i64) -> Option<f64> {
         match event {
             FrontEndEvent::InForce { version } => {
@@ -139,7 +139,7 @@
     }
 }
 
-/// This program as a gateway, whose logs report leases, sessions and versions.
+/// Returns the command that runs this executable as a gateway whose logs report leases, sessions and versions.
 fn gateway_command(name: &str, address: SocketAddr, folder: &Path) -> Result<Command, Error> {
     let mut command = Command::new(std::env::current_exe()?);
     command.arg("gateway");
@@ -155,7 +155,7 @@
     Ok(command)
 }
 
-/// The change of state that a line of a gateway's logs reports.
+/// Parses a line of a gateway's logs, if it reports a change of state.
 fn front_end_event(line: &str) -> Option<FrontEndEvent> {
     let line: serde_json::Value = serde_json::from_str(line).ok()?;
     let fields = line.get("fields")?;
@@ -179,16 +179,16 @@
 pub(super) struct HollowProcess {
     pub(super) child: Child,
     commands: Option<ChildStdin>,
-    /// Where it takes messages, once it is ready.
+    /// The address at which it listens for messages, once it is ready.
     pub(super) address: Option<SocketAddr>,
-    /// The lowest version in force at its front ends.
+    /// The lowest version that its joined front ends have in force.
     pub(super) in_force: InForce,
-    /// Its answer to the last request for counters.
+    /// The answer to the last request for counters.
     pub(super) counters: Option<HollowCounters>,
 }
 
 impl HollowProcess {
-    /// Starts the process, which waits for [`HollowCommand::Initialize`].
+    /// Starts the process; its first command must be [`HollowCommand::Initialize`].
     pub(super) fn start(
         process: usize,
         events: &Sender<ProcessEvent>,
@@ -200,7 +200,9 @@
             .stdout(Stdio::piped());
         let mut child = command.spawn()?;
         let commands = child.stdin.take();
-        let output = child.stdout.take().ok_or(Error::MissingPipe("no output"))?;
+        let output = child.stdout.take().ok_or(Error::MissingPipe(
+            "the output of a process of hollow front ends is not piped",
+        ))?;
         let events = events.clone();
         std::thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
@@ -232,7 +234,7 @@
     }
 }
 
-/// The command that sets up the processes of a fleet's hollow front ends.
+/// Returns the command that initializes the processes of a fleet's hollow front ends.
 pub(super) fn initialize_command(shape: &FleetShape, network: u8, folder: &Path) -> HollowCommand {
     HollowCommand::Initialize {
         settings: folder.join("scale.cue"),
--- a/programs/scale/src/fleet/scope_updates.rs
+++ b/programs/scale/src/fleet/scope_updates.rs
@@ -1,4 +1,4 @@
-//! Changes of functions that are agreed on one by one, and when they are in force.
+//! Updates functions that are scopes of their own, and determines when the updates are in force.
 
 use super::shape::function_setting;
 use super::{TestFleet, COMMAND_TIMEOUT};
@@ -16,62 +16,62 @@
 use tansy_net_fleet::client::RequestError;
 use tansy_net_sockets::clock;
 
-/// Functions that are set with one request: far below its limits.
+/// Maximum number of functions set in one request.
 const MAX_PER_REQUEST: usize = 1000;
-/// Time for the functions of a request to come in force.
+/// Timeout for the functions of a request to be in force.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time for all hollow front ends to subscribe to what they call.
+/// Timeout for all hollow front ends to subscribe to the functions that they call.
 const SUBSCRIBE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time between two checks of whether functions are in force.
-const IN_FORCE_POLL: Duration = Duration::from_millis(100);
+const IN_FORCE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between two checks of whether hollow front ends have subscribed.
-const SUBSCRIBE_POLL: Duration = Duration::from_millis(500);
+const SUBSCRIBE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Updates of functions that were requested and are watched.
+/// Requested updates of functions for which a watch is active.
 pub struct WatchedUpdates {
-    /// The watch.
+    /// Identifies the watch.
     id: u64,
     /// When they were requested, in microseconds of the machine's clock.
     pub requested_at: i64,
-    /// Names of the functions, with the fields that are to be in force.
+    /// Names of the functions, with their new fields.
     pub targets: Vec<(String, Fields)>,
-    /// When each one was first observed in force at the leader.
+    /// When each update was first seen in force at the leader.
     in_force_at_leader: Vec<Option<i64>>,
-    /// Which of them the leader abandoned.
+    /// Whether the leader abandoned each update.
     abandoned: Vec<bool>,
 }
 
 impl WatchedUpdates {
-    /// How many the leader abandoned.
+    /// Returns the number of updates that the leader abandoned.
     pub fn abandoned(&self) -> usize {
         let abandoned = self.abandoned.iter();
         abandoned.filter(|is_abandoned| **is_abandoned).count()
     }
 
-    /// Milliseconds from the request to this time.
+    /// Returns the milliseconds from the request to `at`.
     pub fn ms_until(&self, at: i64) -> f64 {
         (at - self.requested_at) as f64 / 1e3
     }
 }
 
-/// What processes of hollow front ends reported for a watch.
+/// Reports of processes of hollow front ends for a watch.
 #[derive(Default)]
 pub(super) struct ScopeWatch {
-    /// By process: how many front ends subscribe to each function.
+    /// By process, the number of front ends that subscribe to each function.
     pub(super) subscribers: BTreeMap<usize, Vec<usize>>,
-    /// By process and function: when all of them acted on the update.
+    /// By process and position of the function, when all subscribers of that process had applied the update.
     pub(super) applied_at: BTreeMap<(usize, usize), i64>,
 }
 
 impl ScopeWatch {
-    /// When the last holder of a function acted on its update.
+    /// Determines when the last subscriber of a function applied its update.
     fn applied_by_all(&self, position: usize) -> Applied {
-        let is_held =
+        let has_subscribers =
             |subscribers: &&Vec<usize>| subscribers.get(position).is_some_and(|count| *count > 0);
         let times: Option<Vec<i64>> = self
             .subscribers
             .iter()
-            .filter(|(_, subscribers)| is_held(subscribers))
+            .filter(|(_, subscribers)| has_subscribers(subscribers))
             .map(|(process, _)| self.applied_at.get(&(*process, position)).copied())
             .collect();
         match times.map(|times| times.into_iter().max()) {
@@ -82,28 +82,29 @@
     }
 }
 
-/// Whether all front ends that subscribe to a function act on its update.
+/// Whether all front ends that subscribe to a function have applied its update.
 enum Applied {
-    /// Some do not.
+    /// Some have not.
     Pending,
-    /// No front end subscribes to it.
+    /// No front end subscribes to the function.
     NoSubscriber,
-    /// All do, since this time.
+    /// All have, since this time.
     At(i64),
 }
 
-/// What the leader has of a function.
+/// The leader's record of a function.
 pub struct ScopeStatus {
     /// The revision of its last change.
     pub revision: Revision,
-    /// The fields in force; none: it is not set.
+    /// The fields in force; `None` if the function is not set.
     pub fields: Option<Fields>,
     /// Whether a change is in progress.
     is_changing: bool,
 }
 
 impl TestFleet {
-    /// Sets functions one by one, as an operator does, and has hollow front ends call them until all have subscribed.
+    /// Sets functions as scopes of their own and makes hollow front ends call them. Waits until the front ends have subscribed to all
+    /// functions that they call.
     pub fn set_functions(&mut self, functions: usize, seed: u64) -> Result<(), Error> {
         let settings: String = (0..functions)
             .map(|index| function_setting(&function_name(index)))
@@ -125,6 +126,7 @@
         self.wait_for_subscriptions()
     }
 
+    /// Sets functions in one transaction, and waits until all are in force.
     fn set_in_one_request(&mut self, updates: &[ScopeUpdate]) -> Result<(), Error> {
         let mut watched = self.update_functions(updates.to_vec())?;
         let end = Instant::now() + IN_FORCE_TIMEOUT;
@@ -139,7 +141,7 @@
                     abandoned: watched.abandoned(),
                 });
             }
-            self.run_for(IN_FORCE_POLL)?;
+            self.run_for(IN_FORCE_POLL_INTERVAL)?;
         }
     }
 
@@ -155,11 +157,11 @@
             if Instant::now() >= end {
                 return Err(Error::NotSubscribed { subscribed, called });
             }
-            self.run_for(SUBSCRIBE_POLL)?;
+            self.run_for(SUBSCRIBE_POLL_INTERVAL)?;
         }
     }
 
-    /// What the leader has of functions.
+    /// Requests the leader's records of functions, in the order of `names`.
     pub fn function_statuses(&mut self, names: &[String]) -> Result<Vec<ScopeStatus>, Error> {
         let request = pb::FunctionsRequest {
             names: names.to_vec(),
@@ -188,7 +190,7 @@
         Ok(statuses)
     }
 
-    /// Requests updates in one transaction.
+    /// Starts a watch and requests updates in one transaction.
     pub fn update_functions(&mut self, updates: Vec<ScopeUpdate>) -> Result<WatchedUpdates, Error> {
         let watched = self.watch(&updates)?;
         let transaction = ScopeTransaction {
@@ -202,7 +204,7 @@
         Ok(watched)
     }
 
-    /// Requests updates at once, each in a transaction of its own; also returns why some were refused.
+    /// Starts a watch and requests updates at the same time, each in a transaction of its own. Also returns the errors of refused ones.
     pub fn update_burst(
         &mut self,
         updates: Vec<ScopeUpdate>,
@@ -221,7 +223,7 @@
         Ok((watched, refused))
     }
 
-    /// Has processes of hollow front ends watch for updates, before they are requested.
+    /// Makes processes of hollow front ends watch for updates that are about to be requested.
     fn watch(&mut self, updates: &[ScopeUpdate]) -> Result<WatchedUpdates, Error> {
         let id = self.next_request_id();
         let targets: Vec<(String, Fields)> = updates
@@ -232,10 +234,14 @@
         let functions = targets.clone();
         self.broadcast(&HollowCommand::Watch { id, functions })?;
         let end = Instant::now() + COMMAND_TIMEOUT;
-        self.wait_until(end, "hollow processes to watch for a change", |fleet| {
-            let watch = fleet.watches.get(&id);
-            watch.is_none_or(|watch| watch.subscribers.len() == fleet.hollow.len())
-        })?;
+        self.wait_until(
+            end,
+            "processes of hollow front ends to start a watch",
+            |fleet| {
+                let watch = fleet.watches.get(&id);
+                watch.is_none_or(|watch| watch.subscribers.len() == fleet.hollow.len())
+            },
+        )?;
         Ok(WatchedUpdates {
             id,
             requested_at: clock::now(),
@@ -251,14 +257,14 @@
         self.broadcast(&HollowCommand::Unwatch(watched.id))
     }
 
-    /// Since when each update is in force: at the leader, and at all front ends that subscribe to the function.
+    /// Returns since when each update is in force at the leader and at all hollow front ends that subscribe to the function.
     ///
-    /// Where no front end subscribes to it: since it was observed at the leader, which is asked every 10 ms or so.
+    /// Without such a subscriber this is the time at which a call of this method first saw the update at the leader.
     pub fn functions_in_force(
         &mut self,
         watched: &mut WatchedUpdates,
     ) -> Result<Vec<Option<i64>>, Error> {
-        self.ask_leader(watched)?;
+        self.query_leader(watched)?;
         let watch = self.watches.get(&watched.id);
         let in_force_at_leader = watched.in_force_at_leader.iter().enumerate();
         let since = |(position, at_leader): (usize, &Option<i64>)| {
@@ -272,8 +278,8 @@
         Ok(in_force_at_leader.map(since).collect())
     }
 
-    /// Asks the leader for the updates that were not observed in force or abandoned before.
-    fn ask_leader(&mut self, watched: &mut WatchedUpdates) -> Result<(), Error> {
+    /// Queries the leader about updates that are not known to be in force or abandoned.
+    fn query_leader(&mut self, watched: &mut WatchedUpdates) -> Result<(), Error> {
         let open: Vec<usize> = (0..watched.targets.len())
             .filter(|position| watched.in_force_at_leader[*position].is_none())
             .filter(|position| !watched.abandoned[*position])
--- a/programs/scale/src/fleet/shape.rs
+++ b/programs/scale/src/fleet/shape.rs
@@ -1,4 +1,4 @@
-//! What a fleet is made of: how many front ends of each kind, their names, and the settings.
+//! The size and the settings of a fleet: the number of front ends of each kind, their names, and the settings text.
 
 #[cfg(test)]
 mod tests;
@@ -8,19 +8,19 @@
 use tansy_agreement::lease_tree::LeaseTopology;
 use tansy_fleet_node::name_to_id;
 
-/// Hollow front ends of one process, at least: one thread runs them all.
+/// Minimum number of hollow front ends in a process.
 const MIN_HOLLOW_PER_PROCESS: usize = 4;
-/// Hollow front ends of one process, at most.
+/// Maximum number of hollow front ends in a process; they share one thread.
 const MAX_HOLLOW_PER_PROCESS: usize = 100;
-/// Processes over which hollow front ends are spread between these bounds.
+/// Number of processes over which hollow front ends are distributed within these limits.
 const TARGET_HOLLOW_PROCESSES: usize = 8;
 
-/// What a fleet is made of.
+/// The size of a fleet, and the parameters of its settings.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetShape {
-    /// Front ends in all.
+    /// Number of front ends.
     pub front_ends: usize,
-    /// Of them real, the voters among them.
+    /// Real front ends, including the voters.
     pub real: usize,
     /// Front ends that keep the replicated log.
     pub voters: usize,
@@ -28,29 +28,29 @@
     pub seed: u64,
     /// The session timeout `fleet.stay`, in seconds.
     pub session_seconds: u64,
-    /// Functions of the settings.
+    /// Functions in the settings.
     pub functions: usize,
 }
 
 impl FleetShape {
-    /// Hollow front ends in all.
+    /// Returns the number of hollow front ends.
     pub fn hollow(&self) -> usize {
         self.front_ends - self.real
     }
 
-    /// Hollow front ends of one process.
+    /// Returns the number of hollow front ends in each process but the last, which may have fewer.
     pub fn hollow_per_process(&self) -> usize {
         self.hollow()
             .div_ceil(TARGET_HOLLOW_PROCESSES)
             .clamp(MIN_HOLLOW_PER_PROCESS, MAX_HOLLOW_PER_PROCESS)
     }
 
-    /// Processes of hollow front ends.
+    /// Returns the number of processes of hollow front ends.
     pub fn hollow_processes(&self) -> usize {
         self.hollow().div_ceil(self.hollow_per_process())
     }
 
-    /// The process of a hollow front end.
+    /// Returns the index of the process that runs a hollow front end.
     pub(super) fn hollow_process_of(&self, front_end: usize) -> usize {
         (front_end - self.real) / self.hollow_per_process()
     }
@@ -60,7 +60,7 @@
         (front_end as usize) < self.real
     }
 
-    /// The text of the settings, with the voters' names and addresses.
+    /// Returns the text of the settings, with the names and addresses of the voters.
     pub fn settings_text(&self, voters: &[(String, SocketAddr)]) -> String {
         let functions: String = (0..self.functions)
             .map(|index| function_setting(&settings_function(index)))
@@ -79,17 +79,19 @@
     }
 }
 
-/// The name of a function of the settings.
+/// Returns the name of a function in the settings.
 pub fn settings_function(index: usize) -> String {
     format!("f{index:06}")
 }
 
-/// The line that sets a function.
+/// Returns the settings line that defines a function.
 pub(super) fn function_setting(name: &str) -> String {
     format!("    {name}: {{class: \"c\", lanes: 8, memory: 100MB, load_time: 400ms}}\n")
 }
 
-/// Names by index: the voters', those of other real front ends, half of them such that grant leases, then the hollow ones'.
+/// Returns the names of the voters, of the other real front ends and of the hollow ones, in the order of their indices.
+///
+/// As far as the fleet has them, half of the real front ends that are not voters grant leases to others.
 pub(super) fn front_end_names(shape: &FleetShape) -> Vec<String> {
     let mut rng = fastrand::Rng::with_seed(shape.seed);
     let names: Vec<String> = (0..shape.front_ends)
@@ -119,7 +121,7 @@
         .collect()
 }
 
-/// Which of these front ends grant leases to others, where the one at this index leads.
+/// Returns for each of these front ends whether it grants leases to others when the one at index `leader` leads.
 pub fn lease_granters(names: &[String], leader: usize) -> Vec<bool> {
     let ids: Vec<u64> = names.iter().map(|name| name_to_id(name)).collect();
     let topology = LeaseTopology::new(ids[leader], ids.iter().copied());
--- a/programs/scale/src/fleet/shape/tests.rs
+++ b/programs/scale/src/fleet/shape/tests.rs
@@ -1,4 +1,4 @@
-//! Names and settings of a fleet as recorded runs have them: the same seed gives the same fleet.
+//! Guards against changes of names and settings, which would make recorded runs unrepeatable.
 
 use super::{front_end_names, FleetShape};
 
@@ -15,14 +15,14 @@
 fn a_seed_gives_the_same_names_in_every_release() {
     let names = front_end_names(&SHAPE);
     assert_eq!(names[..6], ["f0", "f1", "f2", "f30", "f31", "f14"]);
-    // Each name once, hollow ones in order.
+    // Hollow front ends have the remaining names, in order.
     let mut hollow: Vec<String> = (3..40).map(|index| format!("f{index}")).collect();
     hollow.retain(|name| !names[..6].contains(name));
     assert_eq!(names[6..], hollow);
 }
 
 #[test]
-fn settings_name_the_voters_and_all_functions() {
+fn settings_contain_the_voters_and_all_functions() {
     let voters = [
         ("f0".into(), ([127, 0, 0, 1], 4000).into()),
         ("f1".into(), ([127, 0, 0, 2], 4001).into()),
