--- a/programs/scale/src/run/arguments.rs
+++ b/programs/scale/src/run/arguments.rs
@@ -1,48 +1,48 @@
-//! The arguments of a measurement, and what they must be.
+//! The command line arguments of a measurement, and their validation.
 
 use crate::fleet::FleetShape;
 use crate::hollow::MAX_FRONT_ENDS;
 use crate::system;
 use std::time::Duration;
 
-/// Processes of a run, at most.
+/// Maximum number of processes of a run.
 const MAX_PROCESSES: usize = 300;
-/// Changes requested at once, at most: the leader lets so many wait, and more.
+/// Maximum number of changes in a burst; the leader queues at least as many.
 const MAX_BURST: usize = 200;
-/// Seconds in which events are counted, at most: a day.
+/// Maximum length of the measured window in seconds: a day.
 const MAX_SECONDS: u64 = 86_400;
-/// Functions of the settings, at most.
+/// Maximum number of functions in the settings.
 const MAX_FUNCTIONS: usize = 1_000_000;
-/// Separately agreed functions, at most.
+/// Maximum number of functions that are scopes of their own.
 const MAX_SCOPES: usize = 100_000;
-/// Session timeout in seconds, at most: a week.
+/// Maximum session timeout in seconds: a week.
 const MAX_SESSION_SECONDS: u64 = 604_800;
-/// Seconds to settle, at most: an hour.
+/// Maximum settling time in seconds: an hour.
 const MAX_SETTLE_SECONDS: u64 = 3600;
 
-/// Memory of a real front end without any other, in megabytes.
+/// Memory of a real front end alone, in megabytes.
 const REAL_BASE_MB: f64 = 20.0;
 /// Memory of a real front end for each other front end, in kilobytes.
 const REAL_PEER_KB: f64 = 80.0;
-/// Memory of a real front end for each function, in kilobytes: it is read, and kept several times over.
+/// Memory of a real front end for each function, of which it holds several copies, in kilobytes.
 const REAL_FUNCTION_KB: f64 = 5.0;
-/// Memory of a hollow front end without any other, in megabytes.
+/// Memory of a hollow front end alone, in megabytes.
 const HOLLOW_BASE_MB: f64 = 0.5;
 /// Memory of a hollow front end for each other front end, in kilobytes.
 const HOLLOW_PEER_KB: f64 = 1.5;
-/// Memory of a hollow front end for the connections with a real one, in kilobytes.
-const HOLLOW_LINK_KB: f64 = 40.0;
-/// Memory of a hollow front end for each function, in kilobytes: two versions may be in use.
+/// Memory of a hollow front end for its connections to each real one, in kilobytes.
+const HOLLOW_CONNECTION_KB: f64 = 40.0;
+/// Memory of a hollow front end for each function, of which it may hold two versions, in kilobytes.
 const HOLLOW_FUNCTION_KB: f64 = 0.6;
-/// Memory of a process of hollow front ends without them, in megabytes.
+/// Memory of a process of hollow front ends apart from the front ends, in megabytes.
 const HOLLOW_PROCESS_MB: f64 = 15.0;
-/// Memory of a voter for each separately agreed function, in kilobytes: in the log and its file.
+/// Memory of a voter for each function that is a scope of its own, in kilobytes.
 const VOTER_SCOPE_KB: f64 = 5.0;
 
-/// Why arguments are not accepted.
+/// Why arguments are rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ArgumentError {
-    /// One value is out of its range.
+    /// A value is out of its range.
     #[error("{option} {value}: want {wanted}")]
     OutOfRange {
         /// The option.
@@ -52,84 +52,83 @@
         /// The values that are accepted.
         wanted: String,
     },
-    /// The fleet needs more than this machine has.
+    /// The fleet needs more memory or processes than a run may use.
     #[error(
         "--front-ends {front_ends} --real {real}: would take about {megabytes:.0} MB in {processes} processes: want at most \
          {available:.0} MB, half of this machine's, and {MAX_PROCESSES} processes"
     )]
     TooLarge {
-        /// Front ends in all.
+        /// Number of front ends.
         front_ends: usize,
-        /// Of them real.
+        /// Number of real front ends.
         real: usize,
-        /// Estimated memory.
+        /// Estimated memory in megabytes.
         megabytes: f64,
         /// Processes that would run.
         processes: usize,
-        /// Memory that a run may take.
+        /// Memory in megabytes that a run may use.
         available: f64,
     },
 }
 
-/// What is to be measured.
+/// Options of a measurement.
 #[derive(clap::Args, Clone, Debug)]
 pub struct Arguments {
-    /// Front ends in all, the voters among them.
+    /// Number of front ends, including the voters.
     #[arg(long)]
     pub(super) front_ends: usize,
-    /// Of them gateways as processes of their own; all others are hollow.
+    /// Number of real front ends, which are gateways in processes of their own; the others are hollow.
     #[arg(long)]
     pub(super) real: usize,
-    /// Of all random choices.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     pub(super) seed: u64,
-    /// Seconds for which it is counted what the settled fleet costs.
+    /// Length in seconds of the window in which the cost of the settled fleet is measured.
     #[arg(long, default_value_t = 30)]
     pub(super) seconds: u64,
-    /// Functions that the settings hold.
+    /// Number of functions in the settings.
     #[arg(long, default_value_t = 10)]
     pub(super) functions: usize,
-    /// Functions that are set one by one, each by itself; the settings hold one more then, which is never changed. 0: none,
-    /// and changes are versions.
+    /// Number of functions that are separate scopes, which changes update; the settings then hold one other function, which is never
+    /// changed. With 0, changes are versions of the settings.
     #[arg(long, default_value_t = 0)]
     pub(super) scopes: usize,
-    /// Changes of different functions that are asked for at once, after those that are timed one by one.
+    /// Number of changes of different functions requested at the same time, after the changes that are timed one by one.
     #[arg(long, default_value_t = 0)]
     pub(super) burst: usize,
-    /// Changes proposed in an hour, evenly spread over the counted time.
+    /// Changes per hour, evenly spaced in the measured window.
     #[arg(long, default_value_t = 0)]
     pub(super) changes_hour: u64,
-    /// Front ends killed in an hour, evenly spread over the counted time, hollow ones if there are any; each is back after
-    /// 2 to 4 s.
+    /// Front ends killed per hour, evenly spaced in the measured window, hollow ones if possible; each is restarted after 2 to 4 s.
     #[arg(long, default_value_t = 0)]
     pub(super) away_hour: u64,
-    /// Front ends killed for good before it is counted.
+    /// Number of front ends killed before the measured window and not restarted.
     #[arg(long, default_value_t = 0)]
     pub(super) dead: usize,
-    /// Session timeout in seconds (`fleet.stay`): for so long a dead front end holds up changes of strict fields.
+    /// Session timeout in seconds (`fleet.stay`), for which a dead front end blocks changes of strict fields.
     #[arg(long = "stay", value_name = "STAY", default_value_t = 10)]
     pub(super) session_seconds: u64,
-    /// Voters, which are real front ends: 1, 3, 5 or 7 [default: 3, or 1 with fewer than 3 real ones].
+    /// Number of voters, which are real front ends: 1, 3, 5 or 7 [default: 3, or 1 with fewer than 3 real ones].
     #[arg(long = "seats", value_name = "SEATS")]
     pub(super) voters: Option<usize>,
-    /// Seconds between all views being whole and the counted time.
+    /// Seconds from complete membership views to the measured window.
     ///
-    /// A lease is renewed every 0.15 s, a session at least every quarter of its timeout or 30 s; a join is gossiped again
-    /// for some rounds of 0.2 s, and a suspicion that arose meanwhile is settled within 2 s.
+    /// Gossip about joins and suspicions ends within a few seconds; leases are renewed every 0.15 s, and sessions after a quarter of their
+    /// timeout or 30 s, whichever is less.
     #[arg(long, default_value_t = 15)]
     pub(super) settle: u64,
-    /// Print the JSON line alone.
+    /// Print only the JSON line, without progress.
     #[arg(long)]
     pub(super) json: bool,
 }
 
 impl Arguments {
-    /// The fleet that these arguments ask for.
+    /// Validates the arguments, and returns the size of the fleet.
     pub(super) fn shape(&self) -> Result<FleetShape, ArgumentError> {
         let default_voters = if self.real >= 3 { 3 } else { 1 };
         let voters = self.voters.unwrap_or(default_voters);
         self.check_front_ends(voters)?;
-        self.check_load()?;
+        self.check_workload()?;
         self.check_times(voters)?;
         let shape = FleetShape {
             front_ends: self.front_ends,
@@ -166,7 +165,7 @@
             || format!("at most {MAX_FRONT_ENDS}, one loopback address each"),
         )?;
         require((1..=front_ends).contains(&real), "--real", real, || {
-            format!("1 to {front_ends}, the front ends there are")
+            format!("1 to {front_ends}, the number of front ends")
         })?;
         let is_valid = [1, 3, 5, 7].contains(&voters) && voters <= real;
         require(is_valid, "--seats", voters, || {
@@ -174,7 +173,7 @@
         })
     }
 
-    fn check_load(&self) -> Result<(), ArgumentError> {
+    fn check_workload(&self) -> Result<(), ArgumentError> {
         let is_valid = (1..=MAX_SECONDS).contains(&self.seconds);
         require(is_valid, "--seconds", self.seconds as usize, || {
             format!("1 to {MAX_SECONDS}")
@@ -189,7 +188,7 @@
         })?;
         let max_burst = MAX_BURST.min(self.scopes.max(self.functions));
         require(self.burst <= max_burst, "--burst", self.burst, || {
-            format!("at most {max_burst}, each of another function")
+            format!("at most {max_burst}, each for a different function")
         })
     }
 
@@ -205,11 +204,11 @@
         })?;
         let max_dead = (self.front_ends - voters) / 2;
         require(self.dead <= max_dead, "--dead", self.dead, || {
-            format!("at most {max_dead}, half of those that are no voters")
+            format!("at most {max_dead}, half of the front ends that are not voters")
         })
     }
 
-    /// The command line that repeats this measurement.
+    /// Returns the command line that repeats this measurement.
     pub(super) fn command_line(&self, shape: &FleetShape) -> String {
         let mut command = format!(
             "tansy-scale run --front-ends {} --real {} --seed {} --seconds {} --functions {} --stay {} --seats {} --settle {}",
@@ -235,12 +234,12 @@
         command
     }
 
-    /// How long a front end that was killed can block a change.
+    /// Returns how long a killed front end can block a change.
     pub(super) fn session_timeout(&self) -> Duration {
         Duration::from_secs(self.session_seconds)
     }
 
-    /// Prints how far the measurement is, unless only the JSON line is wanted.
+    /// Prints progress, unless only the JSON line is requested.
     pub(super) fn print_progress(&self, text: &str) {
         if !self.json {
             eprintln!("{text}");
@@ -264,7 +263,7 @@
     })
 }
 
-/// Megabytes that a run takes at most, from what front ends took where it was measured.
+/// Estimates the maximum memory of a run in megabytes.
 fn estimated_megabytes(shape: &FleetShape, scopes: usize) -> f64 {
     let front_ends = shape.front_ends as f64;
     let real = shape.real as f64;
@@ -273,7 +272,7 @@
     let real_mb =
         REAL_BASE_MB + front_ends * REAL_PEER_KB / 1e3 + functions * REAL_FUNCTION_KB / 1e3;
     let hollow_kb =
-        front_ends * HOLLOW_PEER_KB + real * HOLLOW_LINK_KB + functions * HOLLOW_FUNCTION_KB;
+        front_ends * HOLLOW_PEER_KB + real * HOLLOW_CONNECTION_KB + functions * HOLLOW_FUNCTION_KB;
     let hollow_mb = HOLLOW_BASE_MB + hollow_kb / 1e3;
     let processes_mb = shape.hollow_processes() as f64 * HOLLOW_PROCESS_MB;
     real * real_mb + (front_ends - real) * hollow_mb + processes_mb + scopes_mb
--- a/programs/scale/src/run/burst.rs
+++ b/programs/scale/src/run/burst.rs
@@ -1,4 +1,4 @@
-//! Changes of different functions that are requested at once.
+//! Times changes of different functions that are requested at the same time.
 
 use super::field_change::{other_load_time, FieldKind};
 use super::report::{quantiles, round, Report};
@@ -13,19 +13,19 @@
 
 /// Time between two checks of a burst.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Different refusals whose text is reported; all others are counted.
+/// Maximum number of different refusal texts to report.
 const MAX_REFUSAL_TEXTS: usize = 3;
 
-/// How the changes of a burst have ended.
+/// The outcome of a burst of changes.
 struct BurstResult {
-    /// Milliseconds until each of those that came in force did.
+    /// Milliseconds until each change was in force, for those that came in force.
     times: Vec<f64>,
-    /// Why the others were refused.
+    /// Errors of refused changes.
     refused: Vec<RequestError>,
 }
 
 impl Measurement {
-    /// Times a burst of changes.
+    /// Requests a burst of changes, and reports how long they take to be in force.
     pub(super) fn time_burst(&mut self, report: &mut Report) -> Result<(), Error> {
         let count = self.arguments.burst;
         let kinds = FieldKind::shuffled(&mut self.rng);
@@ -54,7 +54,7 @@
         Ok(())
     }
 
-    /// Functions that are agreed on one by one, each in a transaction of its own.
+    /// Updates functions that are scopes of their own, each in a separate transaction.
     fn function_burst(
         &mut self,
         count: usize,
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Versions of the settings, each of which changes another function.
+    /// Proposes versions of the settings, each of which changes a different function.
     fn version_burst(&mut self, count: usize, end: Instant) -> Result<BurstResult, Error> {
         let fields = self.fleet.fields().clone();
         let version = |function: usize| -> Fields {
--- a/programs/scale/src/run/changes.rs
+++ b/programs/scale/src/run/changes.rs
@@ -1,4 +1,4 @@
-//! Changes one after another, and how long each takes to be in force.
+//! Times changes that are requested one after another, until each is in force.
 
 use super::field_change::FieldKind;
 use super::report::{quantiles, Report};
@@ -10,18 +10,18 @@
 use std::time::{Duration, Instant};
 use tansy_agreement::scope::ScopeUpdate;
 
-/// Changes that are timed in all, if there were fewer in the counted time: three of each kind.
+/// Number of changes to time, three of each kind, including those of the measured window.
 const TIMED_CHANGES: usize = 9;
-/// Failed changes, after which no further one is timed.
+/// Number of failed changes after which no further one is requested.
 const MAX_FAILED_CHANGES: usize = 3;
-/// Functions that were changed last, which others are changed before.
+/// Maximum number of recently changed functions that are not chosen again.
 const MAX_RECENT_CHANGES: usize = 12;
 /// Time between two timed changes.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(200);
 /// Time between two checks of a change.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Time for the leader to recover after it refused a version.
-const RETRY_DELAY_AFTER_REFUSAL: Duration = Duration::from_secs(1);
+/// Delay after the leader refused a version.
+const REFUSAL_DELAY: Duration = Duration::from_secs(1);
 
 /// A change in progress.
 pub(super) struct PendingChange {
@@ -32,23 +32,23 @@
     deadline: Instant,
 }
 
-/// What was requested.
+/// A requested change.
 enum ChangeRequest {
     /// A version of the settings.
     Version(u64),
-    /// An update of a function that is agreed on by itself.
+    /// An update of a function that is a scope of its own.
     Function(WatchedUpdates),
 }
 
-/// How a change of a function has ended.
+/// The outcome of a function's update.
 pub(super) enum UpdateOutcome {
-    /// It is in force, after these milliseconds.
+    /// In force, this many milliseconds after the request.
     InForce(f64),
-    /// The leader abandoned it.
+    /// Abandoned by the leader.
     Abandoned,
 }
 
-/// How a change of one function has ended; none: it is in progress, or the leader can't be asked now.
+/// Returns the outcome of one function's update, or `None` while it is in progress or the leader is not reachable.
 pub(super) fn update_outcome(
     fleet: &mut TestFleet,
     updates: &mut WatchedUpdates,
@@ -62,7 +62,7 @@
 }
 
 impl Measurement {
-    /// Times changes one by one, beside those of the counted time.
+    /// Times changes one by one until there are enough together with those of the measured window.
     pub(super) fn time_changes(&mut self) -> Result<(), Error> {
         let kinds = FieldKind::shuffled(&mut self.rng);
         let mut done = self.in_force_times.len() + self.failed_changes;
@@ -90,14 +90,14 @@
             }
             Err(error) => {
                 self.record_refusal(&error)?;
-                self.fleet.run_for(RETRY_DELAY_AFTER_REFUSAL)?;
+                self.fleet.run_for(REFUSAL_DELAY)?;
                 let _ = self.fleet.refresh_leader();
             }
         }
         Ok(())
     }
 
-    /// Requests a change of one field of this kind, of one function by itself.
+    /// Requests a change of one field of this kind, in one function.
     pub(super) fn propose_function(
         &mut self,
         kind: FieldKind,
@@ -128,20 +128,21 @@
         });
     }
 
+    /// Records a refused request as a failed change, unless the run can't go on.
     fn record_refusal(&mut self, error: &Error) -> Result<(), Error> {
-        // What ends the run is reported as such.
+        // An error that ends the run, such as an exited process, takes precedence.
         self.fleet.poll_events(Duration::ZERO)?;
         self.record_failure(error.to_string());
         Ok(())
     }
 
-    /// Counts a change that did not come in force.
+    /// Records a change that did not come in force.
     pub(super) fn record_failure(&mut self, issue: String) {
         self.failed_changes += 1;
         self.issues.push(issue);
     }
 
-    /// The leader's fields of a function with another value of one field of this kind.
+    /// Builds an update that changes one field of this kind in the leader's record of a function.
     pub(super) fn function_update(
         &mut self,
         kind: FieldKind,
@@ -164,7 +165,7 @@
         })
     }
 
-    /// A function that was not changed recently, since it may have to settle. Those that many call come more often.
+    /// Chooses a function, with a preference for widely called ones. Recently changed ones are excluded, since they may still settle.
     fn choose_function(&mut self) -> usize {
         let functions = self.arguments.scopes;
         let max_recent = MAX_RECENT_CHANGES.min(functions / 2);
@@ -190,7 +191,7 @@
         Ok(())
     }
 
-    /// Records the change in progress if it has ended.
+    /// Records the outcome of the change in progress, if it has one.
     pub(super) fn check_change(&mut self) {
         let Some(mut change) = self.pending.take() else {
             return;
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Whether a version is in force, or did not come in force in time.
+    /// Returns whether a version has come in force or has timed out, and records which.
     fn check_version(&mut self, change: &PendingChange, version: u64) -> bool {
         if let Some(at) = self.fleet.in_force_since(version) {
             let ms = (at - change.requested_at) as f64 / 1e3;
@@ -221,7 +222,7 @@
         }
         let waits = self.fleet.describe_wait(version);
         self.record_failure(format!(
-            "version {version} ({:?} field) was not in force in time: {waits}",
+            "version {version} ({:?} field) timed out before it was in force: {waits}",
             change.kind
         ));
         self.fleet.abandon(version);
@@ -229,7 +230,7 @@
         true
     }
 
-    /// Whether an update of a function is in force, was abandoned, or did not come in force in time.
+    /// Returns whether a function's update has come in force, was abandoned or has timed out, and records which.
     fn check_function(
         &mut self,
         kind: FieldKind,
@@ -243,7 +244,7 @@
             }
             Some(UpdateOutcome::Abandoned) => Some("was abandoned"),
             None if Instant::now() < deadline => return false,
-            None => Some("was not in force in time"),
+            None => Some("timed out before it was in force"),
         };
         if let Some(failure) = failure {
             let names: String = updates.targets.iter().map(|(name, _)| &**name).collect();
@@ -253,7 +254,7 @@
         true
     }
 
-    /// Reports how long changes took to be in force.
+    /// Reports how long changes took to be in force, in all and by kind of field.
     pub(super) fn report_changes(&self, report: &mut Report) {
         let times = |kind: FieldKind| {
             let times = self.in_force_times.iter();
--- a/programs/scale/src/run/field_change.rs
+++ b/programs/scale/src/run/field_change.rs
@@ -1,4 +1,4 @@
-//! Changes of one field, of each kind by what it takes to put it in force.
+//! Changes of one field, by the field's compatibility.
 
 use crate::fleet::shape::settings_function;
 use tansy_agreement::compatibility::{Fields, Value};
@@ -6,23 +6,23 @@
 /// Kinds of fields by their [`Compatibility`](tansy_agreement::compatibility::Compatibility).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FieldKind {
-    /// Old and new value may be in use side by side.
+    /// Front ends may use the old and the new value at the same time.
     Free,
-    /// The more restrictive value holds while two are in use.
+    /// The more restrictive value applies during the change.
     Joint,
-    /// Two values are never in use; affected calls are rejected meanwhile.
+    /// Front ends never use both values at the same time; affected calls are rejected during the change.
     Strict,
 }
 
 impl FieldKind {
-    /// All kinds, in a random order.
+    /// Returns all kinds in a random order.
     pub(super) fn shuffled(rng: &mut fastrand::Rng) -> [FieldKind; 3] {
         let mut kinds = [FieldKind::Free, FieldKind::Joint, FieldKind::Strict];
         rng.shuffle(&mut kinds);
         kinds
     }
 
-    /// A version's fields with another value of one of this kind; `count` changes came before.
+    /// Changes one field of this kind in a version. `count` must differ between changes, so that their values differ.
     pub(super) fn change_version(self, mut fields: Fields, count: usize) -> Fields {
         let (path, value) = match self {
             FieldKind::Free => {
@@ -43,7 +43,7 @@
         fields
     }
 
-    /// A function's fields, by their names under it, with another value of one of this kind.
+    /// Changes one field of this kind in a function. The keys of `fields` are names relative to the function.
     pub(super) fn change_function(self, mut fields: Fields, count: usize) -> Fields {
         let (name, value) = match self {
             FieldKind::Free => ("load_time", other_load_time(count)),
@@ -55,7 +55,7 @@
     }
 }
 
-/// A load time that differs from the settings' one and from that of every other count.
+/// Returns a load time that differs from the one in the settings and from those for other counts.
 pub(super) fn other_load_time(count: usize) -> Value {
     Value::Span(400_001 + count as i64)
 }
--- a/programs/scale/src/run/joins.rs
+++ b/programs/scale/src/run/joins.rs
@@ -1,19 +1,19 @@
-//! Front ends that start anew, and how long each takes to act.
+//! Restarts front ends, and times how long each takes to join.
 
 use super::report::{quantiles, Report};
 use super::{Measurement, JOIN_TIMEOUT};
 use crate::Error;
 use std::time::{Duration, Instant};
 
-/// Hollow front ends that start anew, at most.
+/// Maximum number of hollow front ends to restart.
 const MAX_HOLLOW_JOINS: usize = 10;
-/// Real front ends that start anew, at most.
+/// Maximum number of real front ends to restart.
 const MAX_REAL_JOINS: usize = 3;
-/// Time between two joins: the fleet learns of the first one before the next.
+/// Time between two joins, in which the fleet learns of the first one.
 const JOIN_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Measurement {
-    /// Kills and starts front ends, one after another.
+    /// Kills and restarts front ends one after another, and reports the times of their joins.
     pub(super) fn time_joins(&mut self, report: &mut Report) -> Result<(), Error> {
         let shape = self.fleet.shape;
         let mut candidates = self.fleet.joined_non_voters();
@@ -21,7 +21,7 @@
         let (real, hollow): (Vec<u32>, Vec<u32>) = candidates
             .into_iter()
             .partition(|front_end| shape.is_real(*front_end));
-        // Of a small fleet not all at nearly the same time.
+        // At most a third, so that a small fleet keeps most of its front ends.
         let hollow_joins = hollow.len().div_ceil(3).min(MAX_HOLLOW_JOINS);
         let hollow = hollow.into_iter().take(hollow_joins);
         for front_end in hollow.chain(real.into_iter().take(MAX_REAL_JOINS)) {
@@ -29,7 +29,9 @@
             self.fleet.start_front_end(front_end)?;
             let end = Instant::now() + JOIN_TIMEOUT;
             self.fleet
-                .wait_until(end, "one that joins", |fleet| fleet.has_joined(front_end))?;
+                .wait_until(end, "a restarted front end to join", |fleet| {
+                    fleet.has_joined(front_end)
+                })?;
             self.fleet.run_for(JOIN_INTERVAL)?;
         }
         let joins = &self.fleet.joins;
--- a/programs/scale/src/run/kills.rs
+++ b/programs/scale/src/run/kills.rs
@@ -1,4 +1,4 @@
-//! Front ends that are killed for good, and how long they block changes of strict fields.
+//! Kills front ends without a restart, and times how long they block changes of strict fields.
 
 use super::changes::{update_outcome, UpdateOutcome};
 use super::field_change::FieldKind;
@@ -13,32 +13,32 @@
 /// Time between two checks of the blocked change.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What was measured beside the change that a killed front end blocks.
+/// Changes that were timed while a killed front end blocked another one.
 #[derive(Default)]
 pub(super) struct UnaffectedChanges {
-    /// Milliseconds of changes of functions to which no killed front end subscribed.
+    /// Milliseconds until changes of functions to which no killed front end subscribed were in force.
     pub(super) times: Vec<f64>,
-    /// Of those, in force before the blocked change.
+    /// Number of these changes that were in force before the blocked one.
     pub(super) in_force_before: usize,
-    /// How often the leader abandoned the blocked change, which was requested again.
+    /// Number of times the leader abandoned the blocked change, which was then requested again.
     pub(super) abandoned: usize,
 }
 
-/// Functions to be changed after front ends were killed.
+/// Functions to change after front ends were killed.
 struct AffectedFunctions {
-    /// One to which a killed front end subscribed.
+    /// A function to which a killed front end subscribed.
     blocked: usize,
-    /// Those to which only others subscribed, in a random order.
+    /// Functions to which only other front ends subscribe, in a random order.
     unaffected: std::vec::IntoIter<usize>,
 }
 
 impl Measurement {
-    /// Kills front ends that are no voters; milliseconds until a change of a strict field is in force, if it was timed.
+    /// Kills front ends that are not voters. Returns the milliseconds until a change of a strict field is in force, if that was timed.
     pub(super) fn time_change_after_kill(&mut self, count: usize) -> Result<Option<f64>, Error> {
         let shape = self.fleet.shape;
         let mut candidates = self.fleet.joined_non_voters();
         self.rng.shuffle(&mut candidates);
-        // Hollow ones first: there are few real ones to be measured.
+        // Hollow front ends first, since few real ones are measured.
         candidates.sort_by_key(|front_end| shape.is_real(*front_end));
         if candidates.len() < count {
             return Ok(None);
@@ -56,7 +56,7 @@
         self.propose(FieldKind::Strict)?;
         let requested_at = self.pending.as_ref().map(|change| change.requested_at);
         self.finish_change()?;
-        // Nothing blocks the other changes: this one is not counted among them.
+        // Excluded from the times of the other changes, which no killed front end blocks.
         let time = self.in_force_times.drain(before..).next();
         Ok(time
             .zip(requested_at)
@@ -68,13 +68,13 @@
         front_ends.try_for_each(|front_end| self.fleet.kill(*front_end))
     }
 
-    /// Kills hollow front ends; milliseconds until the class of a function can be changed to which one of them
-    /// subscribed, while functions to which none did are changed one after another.
+    /// Kills front ends. Returns the milliseconds until a change of the class of a function to which one of them subscribed is in force.
+    /// Meanwhile other functions, to which none of them subscribed, are changed one after another.
     fn time_function_change_after_kill(&mut self, killed: &[u32]) -> Result<Option<f64>, Error> {
         let shape = self.fleet.shape;
         let mut hollow = killed.iter().filter(|index| !shape.is_real(**index));
         let Some(first) = hollow.next() else {
-            let issue = "real front ends subscribe to no function here: no death is timed";
+            let issue = "no hollow front end was killed and real ones subscribe to no function: no blocked change is timed";
             self.issues.push(issue.into());
             self.kill_all(killed)?;
             return Ok(None);
@@ -88,7 +88,7 @@
             return Ok(None);
         }
         let counted = self.in_force_times.len();
-        let (updates, ms) = self.time_blocked(functions)?;
+        let (updates, ms) = self.time_blocked_change(functions)?;
         self.fleet.unwatch(&updates)?;
         self.finish_change()?;
         let unaffected = self.in_force_times.drain(counted..);
@@ -98,7 +98,7 @@
         Ok(ms.map(|ms| ms + since_kill))
     }
 
-    /// Which functions are blocked, and which are not; none: the first front end calls no function.
+    /// Returns a function that `first` blocks and those that no killed front end blocks, or `None` if `first` calls no function.
     fn affected_functions(&mut self, first: u32, killed: &[u32]) -> Option<AffectedFunctions> {
         let (seed, functions) = (self.arguments.seed, self.arguments.scopes);
         let called = |front_end: &u32| called_functions(seed, *front_end, functions);
@@ -118,8 +118,8 @@
         })
     }
 
-    /// Changes the blocked function, and others meanwhile; milliseconds from its last request, if it is in force in time.
-    fn time_blocked(
+    /// Changes the blocked function, and others meanwhile. Returns the milliseconds from its last request if it came in force in time.
+    fn time_blocked_change(
         &mut self,
         mut functions: AffectedFunctions,
     ) -> Result<(WatchedUpdates, Option<f64>), Error> {
@@ -127,7 +127,7 @@
         let kinds = FieldKind::shuffled(&mut self.rng);
         let counted = self.in_force_times.len();
         self.unaffected.in_force_before = 0;
-        let mut updates = self.request_blocked(functions.blocked)?;
+        let mut updates = self.request_blocked_change(functions.blocked)?;
         loop {
             self.fleet.poll_events(CHECK_INTERVAL)?;
             match update_outcome(&mut self.fleet, &mut updates) {
@@ -135,14 +135,14 @@
                 Some(UpdateOutcome::Abandoned) => {
                     self.unaffected.abandoned += 1;
                     self.fleet.unwatch(&updates)?;
-                    updates = self.request_blocked(functions.blocked)?;
+                    updates = self.request_blocked_change(functions.blocked)?;
                 }
                 None => {}
             }
             if Instant::now() >= end {
                 let name = function_name(functions.blocked);
                 self.record_failure(format!(
-                    "a change of {name}, to which a dead front end subscribed, was not in force"
+                    "a change of {name}, to which a dead front end subscribed, timed out before it was in force"
                 ));
                 return Ok((updates, None));
             }
@@ -160,12 +160,12 @@
         }
     }
 
-    fn request_blocked(&mut self, function: usize) -> Result<WatchedUpdates, Error> {
+    fn request_blocked_change(&mut self, function: usize) -> Result<WatchedUpdates, Error> {
         let update = self.function_update(FieldKind::Strict, function)?;
         self.fleet.update_functions(vec![update])
     }
 
-    /// Whether the leader has the update of a function in force by now.
+    /// Whether the leader has the update of a function in force.
     fn is_in_force_at_leader(
         &mut self,
         updates: &WatchedUpdates,
--- a/programs/scale/src/run/message_size.rs
+++ b/programs/scale/src/run/message_size.rs
@@ -1,4 +1,4 @@
-//! How large the messages are that carry a version of the settings.
+//! Sizes of the messages that carry a version of the settings.
 
 use tansy_agreement::compatibility::Fields;
 use tansy_agreement::lease::{LeaseGrant, Member};
@@ -9,16 +9,16 @@
 use tansy_fleet_wire::encode_message;
 use tansy_membership::NodeId;
 
-/// Bytes of the lease grants that carry a complete version.
+/// Sizes in bytes of lease grants that carry a complete version.
 pub(super) struct GrantBytes {
-    /// While the version is in force alone.
+    /// With a version in force and no change in progress.
     pub(super) steady: usize,
-    /// While it is changed to one of the same size.
+    /// During a change to a version of the same size.
     pub(super) changing: usize,
 }
 
 impl GrantBytes {
-    /// Encodes both messages.
+    /// Encodes both messages to determine their sizes.
     pub(super) fn of(fields: &Fields) -> GrantBytes {
         let settings = VersionedSettings {
             version: Version(1),
--- a/programs/scale/src/run/mod.rs
+++ b/programs/scale/src/run/mod.rs
@@ -1,13 +1,14 @@
-//! The measurement: a fleet is started, left to settle, and counted over a time; then changes, joins and a death are timed.
+//! The measurement. Starts a fleet, lets it settle, samples its counters over a time window, then times changes, joins and the effect of
+//! killed front ends.
 //!
-//! - `arguments`: the arguments, and what they must be.
-//! - `message_size`: whether the settings fit in a message.
-//! - `sample`, `window`: what the settled fleet costs.
-//! - `field_change`, `changes`, `burst`: how soon changes are in force.
-//! - `joins`, `kills`: front ends that start anew or are killed for good.
+//! - `arguments`: command line arguments and their validation.
+//! - `message_size`: sizes of the messages that carry the settings.
+//! - `sample`, `window`: the cost of the settled fleet.
+//! - `field_change`, `changes`, `burst`: how long changes take to be in force.
+//! - `joins`, `kills`: front ends that are restarted, or killed and not restarted.
 //! - `report`: the JSON line.
 //!
-//! It starts no process itself and knows no message of the fleet: that is [`crate::fleet`]'s part.
+//! [`crate::fleet`] controls the processes and sends requests to them.
 
 mod arguments;
 mod burst;
@@ -36,24 +37,24 @@
 use tansy_fleet_wire::MAX_MESSAGE_BYTES;
 use window::Restart;
 
-/// Time for a change to be in force, beyond the session timeout.
+/// Timeout for a change to be in force, in addition to the session timeout.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time for a front end that starts to act.
+/// Timeout for a started front end to join.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(30);
-/// The longest session timeout that is waited for after a front end was killed for good, in seconds.
+/// Longest session timeout, in seconds, for which changes that a killed front end blocks are timed.
 const MAX_SESSION_WAIT_SECONDS: u64 = 60;
-/// Incomplete views are waited for while the smallest has grown within this time.
+/// Time without growth of the smallest view after which the wait for complete views ends.
 const VIEW_GROWTH_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time between two checks of views.
-const VIEW_POLL: Duration = Duration::from_secs(1);
-/// Keeps these random choices apart from others by the same seed.
+const VIEW_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Separates this random sequence from others with the same seed.
 const RNG_SALT: u64 = 0x5ca1e;
 
-/// Time for a fleet to start: a part of it for any fleet.
+/// Timeout for a fleet to start: the part that does not depend on its size.
 const START_TIMEOUT_BASE: Duration = Duration::from_secs(60);
-/// And for each front end.
+/// The part of the start timeout for each front end.
 const START_TIMEOUT_PER_FRONT_END: Duration = Duration::from_millis(400);
-/// And for each function: every real front end reads and checks the settings.
+/// The part of the start timeout for each function; every real front end parses the settings.
 const START_TIMEOUT_PER_FUNCTION: Duration = Duration::from_millis(5);
 
 /// A measurement in progress.
@@ -64,21 +65,21 @@
     /// Changes requested so far.
     changes: usize,
     pending: Option<PendingChange>,
-    /// Milliseconds until changes were in force.
+    /// Milliseconds until each change was in force.
     in_force_times: Vec<(FieldKind, f64)>,
     /// Changes that did not come in force.
     failed_changes: usize,
     unaffected: UnaffectedChanges,
-    /// Whether the settings are too large to be changed.
+    /// Whether a change of the settings exceeds the largest message.
     is_change_too_large: bool,
-    /// What did not go well.
+    /// Problems for the report.
     issues: Vec<String>,
-    /// Functions that were changed last.
+    /// Functions that were changed most recently, the last at the back.
     recently_changed: VecDeque<usize>,
     restarts: VecDeque<Restart>,
 }
 
-/// Measures, and prints the JSON line.
+/// Runs the measurement, and prints its JSON line.
 pub fn main(arguments: &Arguments) -> ExitCode {
     let shape = match arguments.shape() {
         Ok(shape) => shape,
@@ -97,7 +98,7 @@
     ExitCode::from(u8::from(!is_ok))
 }
 
-/// Whether all went well.
+/// Runs the measurement; returns whether it succeeded.
 fn measure(arguments: &Arguments, shape: FleetShape, report: &mut Report) -> Result<bool, Error> {
     report_arguments(arguments, &shape, report);
     let began = Instant::now();
@@ -175,7 +176,7 @@
         }
     }
 
-    /// The run fails, but is measured, if a change of its settings fits in no message.
+    /// Marks the run as failed, but continues it, if a change of the settings exceeds the largest message.
     fn check_change_size(&mut self, bytes: usize) {
         if bytes <= MAX_MESSAGE_BYTES {
             return;
@@ -183,15 +184,16 @@
         let functions = self.fleet.shape.functions;
         self.is_change_too_large = true;
         self.issues.push(format!(
-            "a change of {functions} functions is a message of {bytes} bytes, which may have {MAX_MESSAGE_BYTES}: it can't come \
-             in force"
+            "a change of settings with {functions} functions needs a message of {bytes} bytes, above the limit of \
+             {MAX_MESSAGE_BYTES}: it can't come in force"
         ));
     }
 
     fn run(&mut self, report: &mut Report) -> Result<(), Error> {
         self.fleet.joins.clear();
         self.wait_for_views(report)?;
-        self.arguments.print_progress("all views are whole");
+        self.arguments
+            .print_progress("membership views are checked");
         if self.arguments.scopes > 0 {
             self.set_functions(report)?;
         }
@@ -205,7 +207,7 @@
         self.run_window()?;
         let after = self.sample()?;
         self.report_window(report, &before, &after);
-        self.arguments.print_progress("counted");
+        self.arguments.print_progress("counters are sampled");
         self.finish_window()?;
         self.time_changes()?;
         self.report_changes(report);
@@ -223,9 +225,9 @@
         Ok(())
     }
 
-    /// Waits until the views of all front ends are complete, or the smallest does not grow any more.
+    /// Waits until the membership views of all front ends are complete, or the smallest stops growing.
     ///
-    /// An incomplete view costs time, not agreement: it is reported, and no failure of the run.
+    /// Incomplete views do not affect agreement, so they are reported but do not fail the run.
     fn wait_for_views(&mut self, report: &mut Report) -> Result<(), Error> {
         let (mut grown_at, mut largest) = (Instant::now(), 0);
         let others = self.fleet.running_count() - 1;
@@ -239,15 +241,15 @@
                 (grown_at, largest) = (Instant::now(), smallest);
             } else if grown_at.elapsed() >= VIEW_GROWTH_TIMEOUT {
                 self.issues.push(format!(
-                    "the smallest view has {smallest} of {others} others, and grows no more"
+                    "the smallest membership view stopped growing at {smallest} of {others} other members"
                 ));
                 return Ok(());
             }
-            self.fleet.run_for(VIEW_POLL)?;
+            self.fleet.run_for(VIEW_POLL_INTERVAL)?;
         }
     }
 
-    /// Members in the smallest view of any front end, but for the viewer.
+    /// Returns the number of other members in the smallest view of any front end.
     fn smallest_view(&mut self) -> Result<usize, Error> {
         let hollow = self.fleet.hollow_counters()?;
         let addresses = self.fleet.real_addresses();
@@ -258,13 +260,14 @@
         Ok(hollow.chain(real).min().unwrap_or(0))
     }
 
-    /// Sets functions one by one, and reports to how many of them front ends subscribe.
+    /// Sets functions as scopes of their own, and reports the number of subscriptions of front ends.
     fn set_functions(&mut self, report: &mut Report) -> Result<(), Error> {
         let began = Instant::now();
         let (functions, seed) = (self.arguments.scopes, self.arguments.seed);
         self.fleet.set_functions(functions, seed)?;
-        self.arguments
-            .print_progress("functions are set one by one, and subscribed to");
+        self.arguments.print_progress(
+            "functions are set as separate scopes, and hollow front ends subscribe to them",
+        );
         report.put("set_s", round(began.elapsed().as_secs_f64()));
         let counters = self.fleet.hollow_counters()?;
         let sum = |counter: fn(&HollowCounters) -> usize| {
@@ -272,7 +275,7 @@
         };
         let alive = sum(|process| process.alive);
         let subscriptions = sum(|process| process.subscriptions);
-        // Real ones take no calls here: they are not waited for.
+        // Real front ends receive no calls during a measurement, so their subscriptions are not awaited.
         let addresses = self.fleet.real_addresses();
         let statuses = self.fleet.client.statuses(&addresses);
         let real = statuses.into_iter().flatten();
--- a/programs/scale/src/run/report.rs
+++ b/programs/scale/src/run/report.rs
@@ -1,9 +1,9 @@
-//! The JSON line that a measurement prints, and the statistics in it.
+//! The JSON line that a measurement prints, and its statistics.
 
 use serde::Serialize;
 use serde_json::{json, Map, Value};
 
-/// The JSON line, as far as it is known.
+/// The fields of the JSON line that are known so far.
 #[derive(Default)]
 pub(super) struct Report(Map<String, Value>);
 
@@ -13,7 +13,7 @@
         self.0.insert(name.into(), json!(value));
     }
 
-    /// Adds to what did not go well.
+    /// Adds a problem to the notes.
     pub(super) fn add_issue(&mut self, issue: String) {
         let issues = self.0.entry("notes").or_insert_with(|| json!([]));
         if let Some(issues) = issues.as_array_mut() {
@@ -21,24 +21,24 @@
         }
     }
 
-    /// The line.
+    /// Returns the complete line.
     pub(super) fn into_json(self) -> Value {
         Value::Object(self.0)
     }
 }
 
-/// To three digits after the point.
+/// Rounds to three decimal places.
 pub(super) fn round(value: f64) -> f64 {
     (value * 1000.0).round() / 1000.0
 }
 
-/// The rounded mean; none: there are no values.
+/// Returns the rounded mean, or `None` without values.
 pub(super) fn mean(values: impl IntoIterator<Item = f64>) -> Option<f64> {
     let values: Vec<f64> = values.into_iter().collect();
     (!values.is_empty()).then(|| round(values.iter().sum::<f64>() / values.len() as f64))
 }
 
-/// The median and the 99th percentile, by rank.
+/// Returns the median and the 99th percentile by nearest rank; null without values.
 pub(super) fn quantiles(values: impl IntoIterator<Item = f64>) -> Value {
     let mut values: Vec<f64> = values.into_iter().collect();
     values.sort_by(f64::total_cmp);
--- a/programs/scale/src/run/sample.rs
+++ b/programs/scale/src/run/sample.rs
@@ -1,4 +1,4 @@
-//! Counters of all processes at one moment, and the rates between two of them.
+//! Samples of the counters of all processes, and the rates between two samples.
 
 use super::report::{mean, round, Report};
 use super::Measurement;
@@ -11,16 +11,16 @@
 use tansy_fleet_wire::pb;
 use tansy_net_sockets::clock;
 
-/// Time for real front ends to answer a request for their counters.
+/// Timeout for real front ends to answer a request for their counters.
 const COUNTERS_TIMEOUT: Duration = Duration::from_secs(10);
-/// Share of all cores, and of the one core of a process with one thread, in percent, beyond which times are not to be trusted.
+/// CPU use in percent, of the machine or of a single-threaded process, above which measured times are unreliable.
 const SATURATED_PERCENT: f64 = 80.0;
 
-/// Counters of all processes at one moment.
+/// The counters of all processes at one time.
 pub(super) struct Sample {
-    /// When, in microseconds of the machine's clock.
+    /// The time of the sample, in microseconds of the machine's clock.
     at: i64,
-    /// By index of a real front end.
+    /// By index of the real front end.
     real: BTreeMap<usize, RealSample>,
     /// By process of hollow front ends.
     hollow: Vec<HollowCounters>,
@@ -35,7 +35,7 @@
     traffic: pb::TrafficCounters,
 }
 
-/// What a real front end did in a second between two samples.
+/// CPU use and traffic per second of a real front end between two samples.
 struct RealRates {
     pid: u32,
     cpu_percent: f64,
@@ -43,13 +43,13 @@
     bytes: f64,
 }
 
-/// What hollow front ends did in a second between two samples, all together.
+/// CPU use and traffic per second of all hollow front ends together between two samples.
 #[derive(Default)]
 struct HollowRates {
     messages: f64,
     bytes: f64,
     cpu_percent: f64,
-    /// CPU of the process that used most.
+    /// CPU use of the busiest process.
     busiest_percent: f64,
 }
 
@@ -61,14 +61,14 @@
     dropped: u64,
 }
 
-/// The difference between two samples.
+/// The rates and totals between two samples.
 struct Window {
     seconds: f64,
-    /// By index of a real front end that ran all the time.
+    /// By index of the real front end; contains only those that ran in the whole window.
     real: BTreeMap<usize, RealRates>,
     hollow: HollowRates,
     totals: MessageTotals,
-    /// Hollow front ends that ran at its end.
+    /// Number of hollow front ends that ran at the end of the window.
     hollow_alive: usize,
 }
 
@@ -82,7 +82,7 @@
             hollow_alive: after.hollow.iter().map(|process| process.alive).sum(),
         };
         for (index, after) in &after.real {
-            // A process that started meanwhile counts from 0.
+            // The counters of a process that was started in the window began at 0.
             let before = before.real.get(index);
             if let Some(before) = before.filter(|before| before.pid == after.pid) {
                 window.add_real(*index, before, after);
@@ -130,7 +130,7 @@
         rates.busiest_percent = rates.busiest_percent.max(cpu_percent);
     }
 
-    /// A mean over all front ends but the voters; none: there are no others.
+    /// Returns a mean over all front ends that are not voters, or `None` if all are.
     fn mean_of_non_voters(
         &self,
         hollow_sum: f64,
@@ -183,22 +183,22 @@
         })
     }
 
-    /// Reports what the fleet cost between two samples.
+    /// Reports the cost of the fleet between two samples.
     pub(super) fn report_window(&mut self, report: &mut Report, before: &Sample, after: &Sample) {
         let window = Window::between(before, after);
-        // A change in progress does not matter: the leader is known by then.
+        // A change in progress makes this fail, but only after the leader's address is updated.
         let _ = self.fleet.refresh_leader();
         self.report_non_voters(report, &window);
         self.report_real(report, &window);
         self.report_hollow(report, &window);
         self.report_leader(report, &window);
         self.report_loopback(report, &window, before, after);
-        let mean_of_both = |counter: fn(&HollowCounters) -> usize| {
+        let mean_of_samples = |counter: fn(&HollowCounters) -> usize| {
             let hollow = before.hollow.iter().chain(&after.hollow);
             hollow.map(counter).sum::<usize>() as f64 / 2.0
         };
-        let without_lease = mean_of_both(|process| process.without_lease);
-        let without_session = mean_of_both(|process| process.without_session);
+        let without_lease = mean_of_samples(|process| process.without_lease);
+        let without_session = mean_of_samples(|process| process.without_session);
         report.put("without_lease", without_lease);
         report.put("without_stay", without_session);
         report.put("letters_taken", window.totals.received);
@@ -214,7 +214,7 @@
         report.put("saturated", is_saturated);
     }
 
-    /// Means over all front ends but the voters.
+    /// Reports means over all front ends that are not voters.
     fn report_non_voters(&self, report: &mut Report, window: &Window) {
         let voters = self.fleet.shape.voters;
         let bytes = window.mean_of_non_voters(window.hollow.bytes, voters, |rates| rates.bytes);
@@ -224,7 +224,7 @@
         report.put("control_messages_s", messages);
     }
 
-    /// Means over real front ends but the voters: those that grant leases, and the others.
+    /// Reports means over real front ends that are not voters, separately for those that grant leases and the others.
     fn report_real(&self, report: &mut Report, window: &Window) {
         let voters = self.fleet.shape.voters;
         let grants = lease_granters(self.fleet.names(), self.fleet.leader());
@@ -247,7 +247,7 @@
         report.put("connections", mean(sockets.map(|count| count as f64)));
     }
 
-    /// Means over hollow front ends.
+    /// Reports means over hollow front ends.
     fn report_hollow(&self, report: &mut Report, window: &Window) {
         let cpu = window.mean_of_hollow(window.hollow.cpu_percent);
         let pids = self.fleet.hollow_pids().into_iter();
@@ -270,7 +270,8 @@
         report.put("seat_connections", sockets);
     }
 
-    /// Bytes of the loopback device. Hollow front ends use it in another way than real ones: only fleets without them are reported.
+    /// Reports the bytes on the loopback device for each front end. Null for fleets with hollow front ends, which use connections
+    /// differently from real ones.
     fn report_loopback(
         &self,
         report: &mut Report,
--- a/programs/scale/src/run/window.rs
+++ b/programs/scale/src/run/window.rs
@@ -1,4 +1,4 @@
-//! The counted time, with changes and front ends that come and go spread over it.
+//! The measured window, in which settings are changed and front ends are killed and restarted at even intervals.
 
 use super::field_change::FieldKind;
 use super::Measurement;
@@ -6,19 +6,19 @@
 use std::iter::Peekable;
 use std::time::{Duration, Instant};
 
-/// A killed front end is started again after this time in seconds, and up to as much again.
-const MIN_RESTART_SECONDS: f64 = 2.0;
-/// Time between two checks of what is due.
+/// Minimum time in seconds from a kill to the restart; the maximum is twice as long.
+const MIN_RESTART_DELAY_SECONDS: f64 = 2.0;
+/// Time between two checks for due events.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A killed front end that is to be started again.
+/// A killed front end that is to be restarted.
 pub(super) struct Restart {
     due: Instant,
     pub(super) front_end: u32,
 }
 
 impl Measurement {
-    /// Lets the counted time pass.
+    /// Runs the measured window.
     pub(super) fn run_window(&mut self) -> Result<(), Error> {
         let began = Instant::now();
         let seconds = self.arguments.seconds as f64;
@@ -35,7 +35,7 @@
             }
             self.restart_next_due()?;
             self.check_change();
-            // One change at a time: the next waits for it.
+            // Changes do not overlap: a due one waits for the one in progress.
             if self.pending.is_none() && changes.next_if(|due| *due <= now).is_some() {
                 self.propose(kinds[self.changes % kinds.len()])?;
             }
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Kills a random front end that is no voter. Hollow ones if there are any: a real one counts anew then, and is not measured.
+    /// Kills a random front end that is not a voter and schedules its restart. Hollow ones are preferred, since a restart resets the
+    /// counters of a real one, which is then not measured.
     fn kill_temporarily(&mut self) -> Result<(), Error> {
         let shape = self.fleet.shape;
         let mut candidates = self.fleet.joined_non_voters();
@@ -59,7 +60,7 @@
         }
         let front_end = candidates[self.rng.usize(0..candidates.len())];
         self.fleet.kill(front_end)?;
-        let delay = Duration::from_secs_f64(MIN_RESTART_SECONDS * (1.0 + self.rng.f64()));
+        let delay = Duration::from_secs_f64(MIN_RESTART_DELAY_SECONDS * (1.0 + self.rng.f64()));
         self.restarts.push_back(Restart {
             due: Instant::now() + delay,
             front_end,
@@ -67,7 +68,7 @@
         Ok(())
     }
 
-    /// Starts one killed front end whose time has come.
+    /// Restarts one killed front end that is due.
     fn restart_next_due(&mut self) -> Result<(), Error> {
         let now = Instant::now();
         let next = self.restarts.iter().position(|restart| restart.due <= now);
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Starts all killed front ends, and waits until all act and no change is in progress.
+    /// Restarts all killed front ends, and waits until all have joined and no change is in progress.
     pub(super) fn finish_window(&mut self) -> Result<(), Error> {
         while let Some(restart) = self.restarts.pop_front() {
             self.fleet.start_front_end(restart.front_end)?;
@@ -88,7 +89,7 @@
     }
 }
 
-/// When events are due, in seconds, if so many in an hour are evenly spread over this time.
+/// Returns the times, in seconds, of events at this hourly rate that are evenly spaced in a window of this length.
 fn evenly_spaced(per_hour: u64, seconds: f64) -> Peekable<impl Iterator<Item = f64>> {
     let count = (per_hour as f64 * seconds / 3600.0).round() as usize;
     (0..count)
