--- a/programs/scale/tests/pipe_protocol.rs
+++ b/programs/scale/tests/pipe_protocol.rs
@@ -1,20 +1,20 @@
-//! The lines between a measurement and its processes of hollow front ends, byte for byte as they are written today.
+//! Guards against changes of the JSON lines between a measurement and its processes of hollow front ends, which recorded traces contain.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use tansy_scale::hollow::protocol::{HollowCommand, HollowEvent};
 
-/// A line is read, and written again as it was.
+/// Decodes each line, and checks that encoding it again gives the same line.
 fn assert_unchanged<T: DeserializeOwned + Serialize>(lines: &[&str]) {
     for line in lines {
-        let read: T = serde_json::from_str(line).unwrap_or_else(|e| panic!("{e}: {line}"));
-        let written = serde_json::to_string(&read).expect("it can be written");
-        assert_eq!(written, *line);
+        let decoded: T = serde_json::from_str(line).unwrap_or_else(|e| panic!("{e}: {line}"));
+        let encoded = serde_json::to_string(&decoded).expect("the message can be encoded");
+        assert_eq!(encoded, *line);
     }
 }
 
 #[test]
-fn commands_keep_their_lines() {
+fn commands_keep_their_json_form() {
     assert_unchanged::<HollowCommand>(&[
         r#"{"Begin":{"settings":"/tmp/scale.cue","net":7,"first":3,"each":4}}"#,
         r#"{"Mesh":["127.0.0.1:4000","127.0.0.1:4001"]}"#,
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn events_keep_their_lines() {
+fn events_keep_their_json_form() {
     assert_unchanged::<HollowEvent>(&[
         r#"{"Ready":"127.0.0.1:4000"}"#,
         r#"{"Acts":{"place":3,"since":10,"at":20}}"#,
--- a/programs/scale/tests/run.rs
+++ b/programs/scale/tests/run.rs
@@ -1,4 +1,4 @@
-//! The program as a process: a small run from its start to its line, wrong arguments, and runs that are ended early.
+//! Runs the program as a process: complete measurements of a small fleet, invalid arguments, and interrupted runs.
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
@@ -7,7 +7,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// No check rests on how soon something happens, only on that it does; this is far beyond.
+/// Timeout of every wait. No check depends on how soon something happens.
 const TIMEOUT: Duration = Duration::from_secs(180);
 
 fn start(arguments: &str) -> Child {
@@ -16,7 +16,7 @@
         .args(arguments.split_whitespace())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped());
-    command.spawn().expect("it starts")
+    command.spawn().expect("the program starts")
 }
 
 /// A process as the kernel lists it.
@@ -26,7 +26,7 @@
     started_at: u64,
 }
 
-/// None: there is no such process.
+/// Reads `/proc/PID/stat`; `None` if the process does not exist.
 fn process_stat(pid: u32) -> Option<ProcessStat> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<&str> = text.rsplit_once(')')?.1.split_whitespace().collect();
@@ -37,10 +37,10 @@
     })
 }
 
-/// A process id and when its process started: the kernel may reuse the id.
+/// The id and the start time of a process; the kernel may reuse the id.
 type ProcessId = (u32, u64);
 
-/// Processes that this one started.
+/// Returns the child processes of a process.
 fn children(parent: u32) -> BTreeSet<ProcessId> {
     let entries = std::fs::read_dir("/proc").into_iter().flatten().flatten();
     let pids = entries.filter_map(|entry| entry.file_name().to_str()?.parse::<u32>().ok());
@@ -65,42 +65,42 @@
     }
 }
 
-/// A run that has ended.
+/// A run whose processes have all exited.
 struct FinishedRun {
     code: Option<i32>,
     stdout: String,
     stderr: String,
-    /// Its processes, all of which have ended.
+    /// The child processes of the run.
     children: BTreeSet<ProcessId>,
 }
 
 impl FinishedRun {
-    /// Waits until a run and all its processes have ended; some of them may be known before.
+    /// Waits until a run and all its child processes have exited, including those that are already known.
     fn wait_for(mut run: Child, mut known_children: BTreeSet<ProcessId>) -> FinishedRun {
         let pid = run.id();
-        wait_until("the run", || {
+        wait_until("the end of the run", || {
             known_children.extend(children(pid));
-            run.try_wait().expect("it is known").is_some()
+            run.try_wait().expect("the status is known").is_some()
         });
-        // One that is left would hold the pipes open.
-        wait_until("its processes' end", || {
+        // A child process that is left over would keep the pipes open.
+        wait_until("the end of the child processes", || {
             !known_children.iter().any(|child| is_running(*child))
         });
         FinishedRun {
             stdout: read_all(run.stdout.take()),
             stderr: read_all(run.stderr.take()),
-            code: run.wait().expect("it ended").code(),
+            code: run.wait().expect("the run has exited").code(),
             children: known_children,
         }
     }
 
-    /// Its JSON line.
+    /// Parses the JSON line.
     fn report(&self) -> Value {
         let last = self.stdout.lines().last().unwrap_or_default();
         serde_json::from_str(last).unwrap_or_else(|error| panic!("{error}: {:?}", self.stdout))
     }
 
-    /// Its JSON line, which says that all went well.
+    /// Parses the JSON line, and checks that the run succeeded.
     fn successful_report(&self) -> Value {
         let report = self.report();
         assert_eq!(
@@ -115,8 +115,8 @@
 
 fn read_all(pipe: Option<impl Read>) -> String {
     let mut text = String::new();
-    let mut pipe = pipe.expect("it is piped");
-    pipe.read_to_string(&mut text).expect("text");
+    let mut pipe = pipe.expect("the output is piped");
+    pipe.read_to_string(&mut text).expect("the output is text");
     text
 }
 
@@ -126,7 +126,7 @@
     }
 }
 
-/// A median above 0 and a 99th percentile that is not below it.
+/// Checks that the median is above 0 and the 99th percentile not below it.
 fn assert_quantiles(report: &Value, names: &[&str]) {
     for name in names {
         let (median, p99) = (report[name]["p50"].as_f64(), report[name]["p99"].as_f64());
@@ -134,18 +134,19 @@
     }
 }
 
-/// No front end is away while it is counted: what is sent is received, but for what is in transit at the samples.
+/// Checks that messages that are sent are received, except for those in transit at the samples. Requires that no front end is restarted
+/// in the measured window.
 fn assert_sent_is_received(report: &Value) {
     let received = report["letters_taken"].as_f64().expect("a number");
     let sent = report["letters_sent"].as_f64().expect("a number");
     assert!(
         sent > 100.0 && (received - sent).abs() / sent < 0.05,
-        "{received} taken of {sent} sent"
+        "{received} received of {sent} sent"
     );
 }
 
 #[test]
-fn a_small_fleet_is_measured_and_no_process_is_left() {
+fn measures_a_small_fleet_and_leaves_no_process() {
     let arguments =
         "run --front-ends 12 --real 3 --seats 1 --seed 7 --seconds 5 --settle 2 --stay 4 --changes-hour 1440 --json";
     let run = FinishedRun::wait_for(start(arguments), BTreeSet::new());
@@ -182,11 +183,11 @@
         "{report}"
     );
     assert_sent_is_received(&report);
-    // 3 real ones and 3 processes of hollow ones, all ended by now.
+    // 3 real front ends and 3 processes of hollow ones.
     assert!(run.children.len() >= 6, "{:?}", run.children);
 }
 
-/// What the settled fleet costs was measured.
+/// Checks that the cost of the settled fleet was measured.
 fn assert_costs(report: &Value) {
     assert_positive(
         report,
@@ -210,7 +211,7 @@
 }
 
 #[test]
-fn functions_change_one_by_one_and_a_dead_front_end_holds_up_only_what_it_held() {
+fn a_dead_front_end_blocks_only_functions_to_which_it_subscribed() {
     let arguments = "run --front-ends 12 --real 3 --seats 1 --seed 7 --seconds 4 --settle 1 --stay 20 --scopes 40 --changes-hour 1800 \
              --dead 1 --burst 8 --json";
     let run = FinishedRun::wait_for(start(arguments), BTreeSet::new());
@@ -231,9 +232,9 @@
         (&8.into(), &0.into()),
         "{report}"
     );
-    // Of 40 functions each hollow one calls 10.
+    // Each hollow front end calls 10 of the 40 functions.
     assert_eq!(report["holds"], 10.0, "{report}");
-    // The voter still had the one that the dead one held as it was, after others were in force.
+    // Other functions were changed while the dead front end blocked the one to which it had subscribed.
     assert!(report["others_before"].as_u64() > Some(0), "{report}");
     assert_positive(&report, &["freed_ms", "set_s"]);
     for name in [
@@ -247,13 +248,13 @@
 }
 
 #[test]
-fn a_run_that_is_ended_early_leaves_no_process() {
+fn an_interrupted_run_leaves_no_process() {
     for signal in [Signal::INT, Signal::TERM, Signal::KILL] {
         let child = start("run --front-ends 12 --real 3 --json");
-        // 3 real ones, and 3 processes of hollow ones.
-        wait_until("its processes", || children(child.id()).len() >= 6);
+        // 3 real front ends and 3 processes of hollow ones.
+        wait_until("the child processes", || children(child.id()).len() >= 6);
         let known_children = children(child.id());
-        kill_process(Pid::from_child(&child), signal).expect("it runs");
+        kill_process(Pid::from_child(&child), signal).expect("the program runs");
         let folder = std::env::temp_dir().join(format!("tansy-scale-{}", child.id()));
         let run = FinishedRun::wait_for(child, known_children);
         if signal != Signal::KILL {
@@ -267,13 +268,13 @@
             assert!(notes.contains("interrupted"), "{report}");
             assert!(!folder.exists(), "{}", folder.display());
         }
-        // One that is killed at once can't.
+        // A run that is ended by SIGKILL can't remove its folder.
         let _ = std::fs::remove_dir_all(folder);
     }
 }
 
-/// Arguments, and a part of the line that they get.
-const WRONG_ARGUMENTS: &[(&str, &str)] = &[
+/// Invalid arguments, and a part of the error message for each.
+const INVALID_ARGUMENTS: &[(&str, &str)] = &[
     (
         "run --front-ends 1 --real 1",
         "--front-ends 1: want at least 2",
@@ -338,8 +339,8 @@
 ];
 
 #[test]
-fn wrong_arguments_get_one_line() {
-    for (arguments, expected) in WRONG_ARGUMENTS {
+fn invalid_arguments_are_reported_in_one_line() {
+    for (arguments, expected) in INVALID_ARGUMENTS {
         let run = FinishedRun::wait_for(start(arguments), BTreeSet::new());
         let stderr = &run.stderr;
         assert_eq!(
