--- a/programs/scale/src/run/mod.rs
+++ b/programs/scale/src/run/mod.rs
@@ -1,20 +1,21 @@
-//! The measurement: a fleet is started, left to settle, and counted over a time; then changes, joins and a death are timed.
+//! The measurement. Starts a fleet, lets it settle, samples its counters over a time window, then times changes, joins and the effect of
+//! killed front ends.
 //!
-//! - `arguments`: the arguments, and what they must be.
-//! - `message_size`: whether the settings fit in a message.
-//! - `sample`, `window`: what the settled fleet costs.
-//! - `field_change`, `changes`, `burst`: how soon changes are in force.
-//! - `joins`, `deaths`: front ends that start anew or are killed for good.
+//! - `arguments`: command line arguments and their validation.
+//! - `message_size`: sizes of the messages that carry the settings.
+//! - `sample`, `window`: the cost of the settled fleet.
+//! - `field_change`, `changes`, `burst`: how long changes take to be in force.
+//! - `joins`, `kills`: front ends that are restarted, or killed and not restarted.
 //! - `report`: the JSON line.
 //!
-//! It starts no process itself and knows no message of the fleet: that is [`crate::fleet`]'s part.
+//! [`crate::fleet`] controls the processes and sends requests to them.
 
 mod arguments;
 mod burst;
 mod changes;
-mod deaths;
 mod field_change;
 mod joins;
+mod kills;
 mod message_size;
 mod report;
 mod sample;
@@ -26,8 +27,8 @@
 use crate::hollow::protocol::HollowCounters;
 use crate::Error;
 use changes::PendingChange;
-use deaths::Unaffected;
 use field_change::FieldKind;
+use kills::UnaffectedChanges;
 use message_size::GrantBytes;
 use report::{quantiles, round, Report};
 use std::collections::VecDeque;
@@ -36,25 +37,25 @@
 use tansy_fleet_wire::MAX_MESSAGE_BYTES;
 use window::Restart;
 
-/// Time for a change to be in force, beyond the session timeout.
+/// Timeout for a change to be in force, in addition to the session timeout.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time for a front end that starts to act.
+/// Timeout for a started front end to join.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(30);
-/// The longest session timeout that is waited for after a front end was killed for good, in seconds.
+/// Longest session timeout, in seconds, for which changes that a killed front end blocks are timed.
 const MAX_SESSION_WAIT_SECONDS: u64 = 60;
-/// Incomplete views are waited for while the smallest has grown within this time.
+/// Time without growth of the smallest view after which the wait for complete views ends.
 const VIEW_GROWTH_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time between two checks of views.
-const VIEW_POLL: Duration = Duration::from_secs(1);
-/// Keeps these random choices apart from others by the same seed.
+const VIEW_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Separates this random sequence from others with the same seed.
 const RNG_SALT: u64 = 0x5ca1e;
 
-/// Time for a fleet to start: a part of it for any fleet.
-const START_BASE: Duration = Duration::from_secs(60);
-/// And for each front end.
-const START_PER_FRONT_END: Duration = Duration::from_millis(400);
-/// And for each function: every real front end reads and checks the settings.
-const START_PER_FUNCTION: Duration = Duration::from_millis(5);
+/// Timeout for a fleet to start: the part that does not depend on its size.
+const START_TIMEOUT_BASE: Duration = Duration::from_secs(60);
+/// The part of the start timeout for each front end.
+const START_TIMEOUT_PER_FRONT_END: Duration = Duration::from_millis(400);
+/// The part of the start timeout for each function; every real front end parses the settings.
+const START_TIMEOUT_PER_FUNCTION: Duration = Duration::from_millis(5);
 
 /// A measurement in progress.
 struct Measurement {
@@ -64,21 +65,21 @@
     /// Changes requested so far.
     changes: usize,
     pending: Option<PendingChange>,
-    /// Milliseconds until changes were in force.
+    /// Milliseconds until each change was in force.
     in_force_times: Vec<(FieldKind, f64)>,
     /// Changes that did not come in force.
     failed_changes: usize,
-    unaffected: Unaffected,
-    /// Whether the settings are too large to be changed.
-    is_failed: bool,
-    /// What did not go well.
+    unaffected: UnaffectedChanges,
+    /// Whether a change of the settings exceeds the largest message.
+    is_change_too_large: bool,
+    /// Problems for the report.
     issues: Vec<String>,
-    /// Functions that were changed last.
+    /// Functions that were changed most recently, the last at the back.
     recently_changed: VecDeque<usize>,
     restarts: VecDeque<Restart>,
 }
 
-/// Measures, and prints the JSON line.
+/// Runs the measurement, and prints its JSON line.
 pub fn main(arguments: &Arguments) -> ExitCode {
     let shape = match arguments.shape() {
         Ok(shape) => shape,
@@ -97,7 +98,7 @@
     ExitCode::from(u8::from(!is_ok))
 }
 
-/// Whether all went well.
+/// Runs the measurement; returns whether it succeeded.
 fn measure(arguments: &Arguments, shape: FleetShape, report: &mut Report) -> Result<bool, Error> {
     report_arguments(arguments, &shape, report);
     let began = Instant::now();
@@ -122,7 +123,8 @@
     report.put("changes_in_force", measurement.in_force_times.len());
     report.put("changes_not", measurement.failed_changes);
     report.put("wall_seconds", round(began.elapsed().as_secs_f64()));
-    let is_ok = result.is_ok() && !measurement.is_failed && measurement.failed_changes == 0;
+    let is_ok =
+        result.is_ok() && !measurement.is_change_too_large && measurement.failed_changes == 0;
     if let Err(error) = result {
         measurement.issues.push(error.to_string());
     }
@@ -151,9 +153,9 @@
 }
 
 fn start_timeout(shape: &FleetShape) -> Duration {
-    START_BASE
-        + START_PER_FRONT_END * shape.front_ends as u32
-        + START_PER_FUNCTION * shape.functions as u32
+    START_TIMEOUT_BASE
+        + START_TIMEOUT_PER_FRONT_END * shape.front_ends as u32
+        + START_TIMEOUT_PER_FUNCTION * shape.functions as u32
 }
 
 impl Measurement {
@@ -166,37 +168,38 @@
             pending: None,
             in_force_times: Vec::new(),
             failed_changes: 0,
-            unaffected: Unaffected::default(),
-            is_failed: false,
+            unaffected: UnaffectedChanges::default(),
+            is_change_too_large: false,
             issues: Vec::new(),
             recently_changed: VecDeque::new(),
             restarts: VecDeque::new(),
         }
     }
 
-    /// The run fails, but is measured, if a change of its settings fits in no message.
+    /// Marks the run as failed, but continues it, if a change of the settings exceeds the largest message.
     fn check_change_size(&mut self, bytes: usize) {
         if bytes <= MAX_MESSAGE_BYTES {
             return;
         }
         let functions = self.fleet.shape.functions;
-        self.is_failed = true;
+        self.is_change_too_large = true;
         self.issues.push(format!(
-            "a change of {functions} functions is a message of {bytes} bytes, which may have {MAX_MESSAGE_BYTES}: it can't come \
-             in force"
+            "a change of settings with {functions} functions needs a message of {bytes} bytes, above the limit of \
+             {MAX_MESSAGE_BYTES}: it can't come in force"
         ));
     }
 
     fn run(&mut self, report: &mut Report) -> Result<(), Error> {
         self.fleet.joins.clear();
         self.wait_for_views(report)?;
-        self.arguments.print_progress("all views are whole");
+        self.arguments
+            .print_progress("membership views are checked");
         if self.arguments.scopes > 0 {
             self.set_functions(report)?;
         }
-        let mut freed = None;
+        let mut unblocked_ms = None;
         if self.arguments.dead > 0 {
-            freed = self.time_deaths(self.arguments.dead)?;
+            unblocked_ms = self.time_change_after_kill(self.arguments.dead)?;
         }
         let settle = Duration::from_secs(self.arguments.settle);
         self.fleet.run_for(settle)?;
@@ -204,7 +207,7 @@
         self.run_window()?;
         let after = self.sample()?;
         self.report_window(report, &before, &after);
-        self.arguments.print_progress("counted");
+        self.arguments.print_progress("counters are sampled");
         self.finish_window()?;
         self.time_changes()?;
         self.report_changes(report);
@@ -215,19 +218,19 @@
         }
         self.time_joins(report)?;
         self.arguments.print_progress("joins are timed");
-        if freed.is_none() && self.arguments.session_seconds <= MAX_SESSION_WAIT_SECONDS {
-            freed = self.time_deaths(1)?;
+        if unblocked_ms.is_none() && self.arguments.session_seconds <= MAX_SESSION_WAIT_SECONDS {
+            unblocked_ms = self.time_change_after_kill(1)?;
         }
-        self.report_deaths(report, freed);
+        self.report_kills(report, unblocked_ms);
         Ok(())
     }
 
-    /// Waits until the views of all front ends are complete, or the smallest does not grow any more.
+    /// Waits until the membership views of all front ends are complete, or the smallest stops growing.
     ///
-    /// An incomplete view costs time, not agreement: it is reported, and no failure of the run.
+    /// Incomplete views do not affect agreement, so they are reported but do not fail the run.
     fn wait_for_views(&mut self, report: &mut Report) -> Result<(), Error> {
         let (mut grown_at, mut largest) = (Instant::now(), 0);
-        let others = self.fleet.alive() - 1;
+        let others = self.fleet.running_count() - 1;
         loop {
             let smallest = self.smallest_view()?;
             report.put("view_members", smallest);
@@ -238,32 +241,33 @@
                 (grown_at, largest) = (Instant::now(), smallest);
             } else if grown_at.elapsed() >= VIEW_GROWTH_TIMEOUT {
                 self.issues.push(format!(
-                    "the smallest view has {smallest} of {others} others, and grows no more"
+                    "the smallest membership view stopped growing at {smallest} of {others} other members"
                 ));
                 return Ok(());
             }
-            self.fleet.run_for(VIEW_POLL)?;
+            self.fleet.run_for(VIEW_POLL_INTERVAL)?;
         }
     }
 
-    /// Members in the smallest view of any front end, but for the viewer.
+    /// Returns the number of other members in the smallest view of any front end.
     fn smallest_view(&mut self) -> Result<usize, Error> {
         let hollow = self.fleet.hollow_counters()?;
         let addresses = self.fleet.real_addresses();
         let statuses = self.fleet.client.statuses(&addresses);
         let real = statuses.into_iter().flatten();
         let real = real.map(|status| status.other_members.len());
-        let hollow = hollow.iter().map(|process| process.least_view);
+        let hollow = hollow.iter().map(|process| process.smallest_view);
         Ok(hollow.chain(real).min().unwrap_or(0))
     }
 
-    /// Sets functions one by one, and reports to how many of them front ends subscribe.
+    /// Sets functions as scopes of their own, and reports the number of subscriptions of front ends.
     fn set_functions(&mut self, report: &mut Report) -> Result<(), Error> {
         let began = Instant::now();
         let (functions, seed) = (self.arguments.scopes, self.arguments.seed);
         self.fleet.set_functions(functions, seed)?;
-        self.arguments
-            .print_progress("functions are set one by one, and subscribed to");
+        self.arguments.print_progress(
+            "functions are set as separate scopes, and hollow front ends subscribe to them",
+        );
         report.put("set_s", round(began.elapsed().as_secs_f64()));
         let counters = self.fleet.hollow_counters()?;
         let sum = |counter: fn(&HollowCounters) -> usize| {
@@ -271,7 +275,7 @@
         };
         let alive = sum(|process| process.alive);
         let subscriptions = sum(|process| process.subscriptions);
-        // Real ones take no calls here: they are not waited for.
+        // Real front ends receive no calls during a measurement, so their subscriptions are not awaited.
         let addresses = self.fleet.real_addresses();
         let statuses = self.fleet.client.statuses(&addresses);
         let real = statuses.into_iter().flatten();
@@ -282,8 +286,8 @@
         Ok(())
     }
 
-    fn report_deaths(&self, report: &mut Report, freed: Option<f64>) {
-        report.put("freed_ms", freed.map(round));
+    fn report_kills(&self, report: &mut Report, unblocked_ms: Option<f64>) {
+        report.put("freed_ms", unblocked_ms.map(round));
         if self.arguments.scopes == 0 {
             return;
         }
