--- a/programs/scenario/src/agreement/cluster.rs
+++ b/programs/scenario/src/agreement/cluster.rs
@@ -4,10 +4,10 @@
 use super::options::ScenarioOptions;
 use super::versions::SettingsVersion;
 use super::{WORKERS, WORKER_CORES};
-use crate::endpoint_list::{self, zone_of_half, ListedWorker};
+use crate::endpoint_list::{self, zone_by_half, ListedWorker};
 use crate::error::ScenarioError;
 use crate::fault_proxy::FaultProxyThread;
-use crate::fleet::{self, ReadinessTimeout};
+use crate::fleet::{self, ReadinessPolling};
 use crate::process::{self, GatewayAddresses};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -19,12 +19,12 @@
 use tansy_test_support::process::ServerProcess;
 
 /// A fleet has to be ready within this time.
-const READINESS: ReadinessTimeout = ReadinessTimeout {
-    within: Duration::from_secs(20),
+const READINESS: ReadinessPolling = ReadinessPolling {
+    timeout: Duration::from_secs(20),
     interval: Duration::from_millis(50),
 };
 /// Workers lose the answers of this function.
-const LOSE_ANSWERS: &str = "/fault/lose=lost";
+const LOSE_ANSWERS_PATH: &str = "/fault/lose=lost";
 
 /// All processes; they end with this value.
 pub(super) struct Cluster {
@@ -43,7 +43,7 @@
     /// Each front end's ways through the proxy, as its command line names them: `TARGET=ADDRESS`.
     routes: Vec<Vec<String>>,
     /// Each front end's endpoint list.
-    pub lists: Vec<Vec<ListedWorker>>,
+    pub endpoint_lists: Vec<Vec<ListedWorker>>,
     pub drains: DrainTracker,
     /// Processes killed so far.
     pub killed: usize,
@@ -80,7 +80,7 @@
         std::fs::create_dir_all(&folder).map_err(ScenarioError::file(&folder))?;
         let network = [127, 1 + (pid % 200) as u8, 1 + (seed as u32 % 250) as u8];
         let host = |front: usize| [network[0], network[1], network[2], 1 + front as u8];
-        let reserved = fleet::reserve((0..options.front_ends).map(host))?;
+        let reserved = fleet::reserve_addresses((0..options.front_ends).map(host))?;
         Ok(Cluster {
             options: options.clone(),
             proxy: Arc::new(FaultProxyThread::start()),
@@ -92,7 +92,7 @@
             client_addresses: Vec::new(),
             folder,
             routes: Vec::new(),
-            lists: Vec::new(),
+            endpoint_lists: Vec::new(),
             drains: DrainTracker::default(),
             killed: 0,
         })
@@ -119,7 +119,7 @@
     fn start_worker(&mut self, worker: usize) -> Result<(), ScenarioError> {
         let settings = self.settings_without_fleet_path();
         let process = process::start_worker(&settings, worker, WORKER_CORES)?;
-        process::control(&process, LOSE_ANSWERS)?;
+        process::control(&process, LOSE_ANSWERS_PATH)?;
         self.workers.push(process);
         Ok(())
     }
@@ -137,11 +137,11 @@
             list.push(ListedWorker {
                 draining: Some(false),
                 incarnation: Some(0),
-                ..ListedWorker::new(address, zone_of_half(worker, WORKERS))
+                ..ListedWorker::new(address, zone_by_half(worker, WORKERS))
             });
             routes.push(format!("{target}={route}"));
         }
-        self.lists.push(list);
+        self.endpoint_lists.push(list);
         self.write_list(front)?;
         for (to, target) in self.peers.iter().enumerate() {
             if to != front {
@@ -214,7 +214,7 @@
 
     /// Writes a front end's endpoint list.
     pub fn write_list(&self, front: usize) -> Result<(), ScenarioError> {
-        endpoint_list::replace(&self.folder, front, &self.lists[front])
+        endpoint_list::replace(&self.folder, front, &self.endpoint_lists[front])
     }
 
     /// Records an event that no socket shows.
--- a/programs/scenario/src/agreement/drains.rs
+++ b/programs/scenario/src/agreement/drains.rs
@@ -18,7 +18,7 @@
 pub(super) struct DrainTracker {
     drains: Vec<Drain>,
     /// When each front end was last started, resumed, or had a link changed.
-    disturbed: BTreeMap<usize, Instant>,
+    disturbed_at: BTreeMap<usize, Instant>,
     stopped: BTreeSet<usize>,
     /// Worker and front end of the marks that were given out.
     marked: BTreeSet<(usize, usize)>,
@@ -36,7 +36,7 @@
 
     /// Messages to or from a front end may have been delayed until now.
     pub fn on_disturbed(&mut self, front: usize) {
-        self.disturbed.insert(front, Instant::now());
+        self.disturbed_at.insert(front, Instant::now());
     }
 
     pub fn on_stopped(&mut self, front: usize) {
@@ -58,8 +58,8 @@
         let mut marks = Vec::new();
         for drain in &self.drains {
             for &front in running.iter().filter(|front| !self.stopped.contains(front)) {
-                let disturbed = self.disturbed.get(&front).copied();
-                let since = disturbed.map_or(drain.since, |at| at.max(drain.since));
+                let disturbed_at = self.disturbed_at.get(&front).copied();
+                let since = disturbed_at.map_or(drain.since, |at| at.max(drain.since));
                 let worker = drain.worker;
                 if now - since >= CONTRADICTION_LIMIT && self.marked.insert((worker, front)) {
                     marks.push(Mark::Draining { front, worker });
--- a/programs/scenario/src/agreement/mod.rs
+++ b/programs/scenario/src/agreement/mod.rs
@@ -21,7 +21,7 @@
 pub use options::ScenarioOptions;
 pub use report::ScenarioReport;
 
-use crate::audit::crowded_rules;
+use crate::audit::oversubscribed_audit_rules;
 use crate::error::ScenarioError;
 use crate::load::{self, LoadFunction, LoadPlan};
 use crate::process;
@@ -49,12 +49,12 @@
 /// How often it is checked who must know of a drain.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// The observed function whose class changes, and the one whose answers are lost.
-const CLASS_FUNCTION: &str = "flip";
+const CHANGING_CLASS_FUNCTION: &str = "flip";
 const LOST_ANSWERS_FUNCTION: &str = "lost";
 /// Calls of the observed functions a second to each front end.
 const OBSERVED_RATE: u64 = 20;
 /// Of a call's time, a front end reserves this part at most for the answer's way, and for its own.
-const RESERVE: f64 = 0.2;
+const MAX_RESERVE_SHARE: f64 = 0.2;
 /// The first version of the settings.
 const FIRST_VERSION: u64 = 1;
 
@@ -63,7 +63,7 @@
 /// # Errors
 /// A process, the proxy, the clients or the operator fail; violations of rules are no error.
 pub fn run(options: &ScenarioOptions) -> Result<ScenarioReport, ScenarioError> {
-    let versions = versions::draw(options);
+    let versions = versions::generate(options);
     let mut cluster = Cluster::start(options, versions[0])?;
     let text = versions[0].text(options, &cluster.peers);
     let settings = tansy_settings::settings(SETTINGS_NAME, &text)?;
@@ -71,7 +71,7 @@
     let observers = load::spawn(observer_plan(&cluster, &settings));
     let (changes, requests) = mpsc::channel();
     let operator = spawn_operator(&cluster, requests);
-    play_script(&mut cluster, &versions, &changes)?;
+    run_script(&mut cluster, &versions, &changes)?;
     drop(changes);
     let ended = |_| ScenarioError::ThreadEnded("operator's");
     let operator = operator.join().map_err(ended)??;
@@ -86,12 +86,12 @@
     let options = &cluster.options;
     let functions = settings.dispatch.functions.iter();
     LoadPlan {
-        fronts: cluster.client_addresses.clone(),
+        front_ends: cluster.client_addresses.clone(),
         functions: functions
             .filter(|function| !is_observed(&function.name))
             .map(|function| LoadFunction::with_deadline(function, settings))
             .collect(),
-        work: 5..=20,
+        work_ms: 5..=20,
         rate: options.rate,
         seconds: options.rounds as f64 * ROUND_SECONDS + RECOVERY_SECONDS,
         seed: options.seed,
@@ -111,10 +111,10 @@
         functions: observed
             .map(|function| LoadFunction {
                 name: function.name.clone(),
-                timeout: 0,
+                timeout_us: 0,
             })
             .collect(),
-        work: 1..=1,
+        work_ms: 1..=1,
         rate: OBSERVED_RATE * cluster.options.front_ends as u64,
         seed: plan.seed ^ 1,
         id_prefix: "witness",
@@ -124,7 +124,7 @@
 }
 
 fn is_observed(function: &str) -> bool {
-    function == CLASS_FUNCTION || function == LOST_ANSWERS_FUNCTION
+    function == CHANGING_CLASS_FUNCTION || function == LOST_ANSWERS_FUNCTION
 }
 
 type OperatorThread = JoinHandle<Result<OperatorResult, ScenarioError>>;
@@ -136,7 +136,7 @@
 }
 
 /// Performs each step when its time has come.
-fn play_script(
+fn run_script(
     cluster: &mut Cluster,
     versions: &[SettingsVersion],
     changes: &mpsc::Sender<ProposedChange>,
@@ -144,7 +144,7 @@
     let options = cluster.options.clone();
     let mut next_versions = versions.iter().skip(1);
     let started = Instant::now();
-    for timed in script::draw(&options) {
+    for timed in script::generate(&options) {
         wait_until(cluster, started + Duration::from_secs_f64(timed.at))?;
         if timed.step == ScriptStep::Propose && options.changes {
             if let Some(version) = next_versions.next() {
@@ -186,14 +186,17 @@
     load: &load::LoadResult,
 ) -> Result<ScenarioReport, ScenarioError> {
     let entries = cluster.proxy.take_entries()?;
-    let (audit, calls) = audit_with_history(&entries, &crowded_rules(settings, WORKER_CORES));
+    let (audit, calls) = audit_with_history(
+        &entries,
+        &oversubscribed_audit_rules(settings, WORKER_CORES),
+    );
     let mut claims = operator.claims;
     claims.entry(FIRST_VERSION).or_insert(first.claim());
     let observations = Observations {
-        flip: CLASS_FUNCTION.into(),
+        flip: CHANGING_CLASS_FUNCTION.into(),
         lost: LOST_ANSWERS_FUNCTION.into(),
         claims,
-        reserve: RESERVE,
+        reserve: MAX_RESERVE_SHARE,
     };
     let contradictions = find_contradictions(&entries, &calls, &observations);
     // Its files are of no use any more; where they can't be removed they stay.
--- a/programs/scenario/src/agreement/operator.rs
+++ b/programs/scenario/src/agreement/operator.rs
@@ -18,11 +18,11 @@
 /// Seconds before the end of a round by which the operator is done with its change.
 const ROUND_MARGIN_SECONDS: f64 = 0.6;
 /// Time until the leader is looked for again.
-const LEADER_RETRY: Duration = Duration::from_millis(20);
+const LEADER_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// Time until a proposal is sent again.
-const PROPOSAL_RETRY: Duration = Duration::from_millis(50);
+const PROPOSAL_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Time between two questions whether a version is in force.
-const FORCE_INTERVAL: Duration = Duration::from_millis(10);
+const IN_FORCE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// The reason that proposals carry.
 const REASON: &str = "the day's";
 
@@ -37,7 +37,7 @@
 /// What became of a proposal.
 pub(super) struct ProposalResult {
     /// Milliseconds until it was in force; none: it never was.
-    pub force_ms: Option<u64>,
+    pub in_force_ms: Option<u64>,
 }
 
 /// What the operator did, and what the auditor has to know of it.
@@ -77,25 +77,25 @@
             claims: BTreeMap::new(),
         };
         for change in changes {
-            let proposal = self.introduce(&change, &mut result.claims)?;
+            let proposal = self.propose_and_wait(&change, &mut result.claims)?;
             result.proposals.push(proposal);
         }
         Ok(result)
     }
 
-    fn introduce(
+    fn propose_and_wait(
         &mut self,
         change: &ProposedChange,
         claims: &mut BTreeMap<u64, Claim>,
     ) -> Result<ProposalResult, ScenarioError> {
         let started = Instant::now();
         let deadline = started + Duration::from_secs_f64(ROUND_SECONDS - ROUND_MARGIN_SECONDS);
-        let mut result = ProposalResult { force_ms: None };
+        let mut result = ProposalResult { in_force_ms: None };
         let Some(version) = self.propose(change, claims, deadline)? else {
             return Ok(result);
         };
         if self.wait_until_in_force(version, deadline)? {
-            result.force_ms = Some(started.elapsed().as_millis() as u64);
+            result.in_force_ms = Some(started.elapsed().as_millis() as u64);
         }
         Ok(result)
     }
@@ -112,7 +112,7 @@
         let proposed_at = self.proxy.now()?;
         while Instant::now() < deadline {
             let Some((leader, base)) = self.leader_and_version() else {
-                self.client.wait(LEADER_RETRY);
+                self.client.wait(LEADER_RETRY_INTERVAL);
                 continue;
             };
             let settings = VersionedSettings {
@@ -123,7 +123,7 @@
             };
             let entry = Entry::Propose(tansy_fleet_wire::settings(&settings));
             let Ok(reply) = self.client.enter(leader, entry) else {
-                self.client.wait(PROPOSAL_RETRY);
+                self.client.wait(PROPOSAL_RETRY_INTERVAL);
                 continue;
             };
             let version = reply.version;
@@ -142,7 +142,7 @@
         deadline: Instant,
     ) -> Result<bool, ScenarioError> {
         while Instant::now() < deadline {
-            let leader = fleet::leader(&mut self.client, &self.voters);
+            let leader = fleet::find_leader(&mut self.client, &self.voters);
             let state = leader.and_then(|(_, status)| status.state);
             if let Some(state) = state.filter(|state| state.next.is_none()) {
                 let in_force = state.in_force.is_some_and(|force| force.version >= version);
@@ -151,14 +151,14 @@
                 }
                 return Ok(in_force);
             }
-            self.client.wait(FORCE_INTERVAL);
+            self.client.wait(IN_FORCE_POLL_INTERVAL);
         }
         Ok(false)
     }
 
     /// The leader, and the version in force there.
     fn leader_and_version(&mut self) -> Option<(SocketAddr, u64)> {
-        let (leader, status) = fleet::leader(&mut self.client, &self.voters)?;
+        let (leader, status) = fleet::find_leader(&mut self.client, &self.voters)?;
         Some((leader, status.state?.in_force?.version))
     }
 }
--- a/programs/scenario/src/agreement/report.rs
+++ b/programs/scenario/src/agreement/report.rs
@@ -15,13 +15,13 @@
     /// Proposals that did not: given up, or rejected since another was in progress.
     pub not_in_force: usize,
     /// Milliseconds from each proposal to its force, sorted.
-    pub force_ms: Vec<u64>,
+    pub in_force_ms: Vec<u64>,
     /// Processes killed.
     pub killed: usize,
     /// Share of the clients' calls that were served.
     pub served_share: f64,
     /// Calls of the observed functions that showed which settings were acted on.
-    pub shown: usize,
+    pub conclusive_calls: usize,
     /// Longest contradiction of a strict field, milliseconds.
     pub strict_ms: f64,
     /// Longest contradiction of a joint field, milliseconds.
@@ -43,11 +43,11 @@
         contradictions: &Contradictions,
         killed: usize,
     ) -> ScenarioReport {
-        let mut force_ms: Vec<u64> = proposals
+        let mut in_force_ms: Vec<u64> = proposals
             .iter()
-            .filter_map(|proposal| proposal.force_ms)
+            .filter_map(|proposal| proposal.in_force_ms)
             .collect();
-        force_ms.sort_unstable();
+        in_force_ms.sort_unstable();
         let longest = contradictions.strict.max(contradictions.joint);
         let too_long = longest > CONTRADICTION_LIMIT.as_micros() as i64;
         let mut violations: Vec<String> = audit.violations.iter().map(violation_text).collect();
@@ -55,15 +55,15 @@
             violations.extend(contradictions.descriptions.iter().cloned());
         }
         ScenarioReport {
-            in_force: force_ms.len(),
-            not_in_force: proposals.len() - force_ms.len(),
+            in_force: in_force_ms.len(),
+            not_in_force: proposals.len() - in_force_ms.len(),
             killed,
             served_share: load.served_share(),
-            shown: contradictions.shown,
+            conclusive_calls: contradictions.shown,
             strict_ms: contradictions.strict as f64 / 1000.0,
             joint_ms: contradictions.joint as f64 / 1000.0,
             violations,
-            force_ms,
+            in_force_ms,
         }
     }
 }
--- a/programs/scenario/src/agreement/script.rs
+++ b/programs/scenario/src/agreement/script.rs
@@ -8,8 +8,8 @@
 /// A minority of the front ends is at most so much larger than this part of them.
 const MINORITY_DIVISOR: usize = 3;
 /// Interruptions and returns of a flapping link, and the seconds between them.
-const FLAPS: usize = 6;
-const FLAP_SECONDS: f64 = 0.25;
+const FLAP_STEPS: usize = 6;
+const FLAP_INTERVAL_SECONDS: f64 = 0.25;
 /// The kinds of rounds that follow each other.
 const ROUND_KINDS: usize = 5;
 
@@ -61,7 +61,7 @@
 }
 
 /// The script of a run, by time. The order of the draws is part of what a seed means.
-pub(super) fn draw(options: &ScenarioOptions) -> Vec<TimedStep> {
+pub(super) fn generate(options: &ScenarioOptions) -> Vec<TimedStep> {
     let mut script = ScriptBuilder::new(options);
     for round in 0..options.rounds {
         script.add_round(round, (round + options.seed as usize) % ROUND_KINDS);
@@ -75,9 +75,9 @@
 
 /// When a fault begins, and how much longer than the least time of its kind it lasts.
 #[derive(Clone, Copy)]
-struct FaultTime {
+struct FaultTiming {
     at: f64,
-    extra: f64,
+    extra_seconds: f64,
 }
 
 struct ScriptBuilder {
@@ -108,9 +108,9 @@
     fn add_round(&mut self, round: usize, kind: usize) {
         let proposed = round as f64 * ROUND_SECONDS + 0.5 + self.rng.f64() * 0.5;
         self.add(proposed, ScriptStep::Propose);
-        let time = FaultTime {
+        let time = FaultTiming {
             at: proposed - 0.15 + self.rng.f64() * 0.5,
-            extra: 0.05 + self.rng.f64() * 1.2,
+            extra_seconds: 0.05 + self.rng.f64() * 1.2,
         };
         let front = self.rng.usize(0..self.front_ends);
         match kind {
@@ -125,7 +125,7 @@
     }
 
     /// Kills one front end, or most of them.
-    fn add_kills(&mut self, round: usize, time: FaultTime) {
+    fn add_kills(&mut self, round: usize, time: FaultTiming) {
         let kills = if round.is_multiple_of(2) {
             (self.front_ends * 7).div_ceil(10)
         } else {
@@ -139,18 +139,21 @@
             let at = time.at + self.rng.f64() * 0.2;
             let restart_delay = self.rng.f64() * 0.5;
             self.add(at, ScriptStep::Kill(front));
-            let restarted = at + 0.3 + time.extra + restart_delay;
+            let restarted = at + 0.3 + time.extra_seconds + restart_delay;
             self.add(restarted, ScriptStep::Restart(front));
         }
     }
 
-    fn add_stop(&mut self, front: usize, time: FaultTime) {
+    fn add_stop(&mut self, front: usize, time: FaultTiming) {
         self.add(time.at, ScriptStep::Stop(front));
-        self.add(time.at + 1.2 + time.extra, ScriptStep::Resume(front));
+        self.add(
+            time.at + 1.2 + time.extra_seconds,
+            ScriptStep::Resume(front),
+        );
     }
 
     /// Cuts off a minority: both ways, or one way alone.
-    fn add_partition(&mut self, time: FaultTime) {
+    fn add_partition(&mut self, time: FaultTiming) {
         let minority: BTreeSet<usize> = (0..1 + self.front_ends / MINORITY_DIVISOR)
             .map(|_| self.rng.usize(0..self.front_ends))
             .collect();
@@ -168,24 +171,24 @@
     }
 
     /// Two front ends don't reach each other.
-    fn add_broken_pair(&mut self, front: usize, time: FaultTime) {
+    fn add_broken_pair(&mut self, front: usize, time: FaultTiming) {
         let distance = 1 + self.rng.usize(0..self.front_ends - 1);
         let other = (front + distance) % self.front_ends;
         self.add_pause(front, other, time);
         self.add_pause(other, front, time);
     }
 
-    fn add_pause(&mut self, from: usize, to: usize, time: FaultTime) {
+    fn add_pause(&mut self, from: usize, to: usize, time: FaultTiming) {
         self.add(time.at, ScriptStep::SetLinkPaused(from, to, true));
-        let end = time.at + 1.0 + time.extra;
+        let end = time.at + 1.0 + time.extra_seconds;
         self.add(end, ScriptStep::SetLinkPaused(from, to, false));
     }
 
     /// The link between a front end and the first voter is interrupted several times.
-    fn add_flapping_link(&mut self, time: FaultTime) {
+    fn add_flapping_link(&mut self, time: FaultTiming) {
         let front = 1 + self.rng.usize(0..self.front_ends - 1);
-        for flap in 0..FLAPS {
-            let at = time.at + flap as f64 * FLAP_SECONDS;
+        for flap in 0..FLAP_STEPS {
+            let at = time.at + flap as f64 * FLAP_INTERVAL_SECONDS;
             let paused = flap.is_multiple_of(2);
             self.add(at, ScriptStep::SetLinkPaused(front, 0, paused));
             self.add(at, ScriptStep::SetLinkPaused(0, front, paused));
--- a/programs/scenario/src/agreement/script/tests.rs
+++ b/programs/scenario/src/agreement/script/tests.rs
@@ -65,7 +65,7 @@
 #[test]
 fn a_seed_means_the_same_steps_at_the_same_moments_as_ever() {
     for recorded in &RECORDED {
-        let script = draw(&options(recorded));
+        let script = generate(&options(recorded));
         let lines = script
             .iter()
             .map(|timed| format!("{:?} {}\n", timed.at, timed.step));
@@ -78,7 +78,7 @@
 #[test]
 fn a_seed_means_the_same_versions_as_ever() {
     for recorded in &RECORDED {
-        let versions = versions::draw(&options(recorded));
+        let versions = versions::generate(&options(recorded));
         let lines = versions.iter().map(|version| {
             format!(
                 "{} {} {}\n",
--- a/programs/scenario/src/agreement/steps.rs
+++ b/programs/scenario/src/agreement/steps.rs
@@ -75,7 +75,7 @@
     }
 
     fn drain(&mut self, front: usize, worker: usize) -> Result<(), ScenarioError> {
-        self.lists[front][worker].draining = Some(true);
+        self.endpoint_lists[front][worker].draining = Some(true);
         record_marks(
             &[Mark::Draining { front, worker }],
             |mark| self.mark(mark),
@@ -87,21 +87,25 @@
 
     fn end_drain(&mut self, worker: usize) -> Result<(), ScenarioError> {
         self.drains.end(worker);
-        for list in &mut self.lists {
+        for list in &mut self.endpoint_lists {
             let listed = &mut list[worker];
             listed.draining = Some(false);
             listed.incarnation = listed.incarnation.map(|incarnation| incarnation + 1);
         }
         // One that reads it notifies its peers, whose own lists are not written yet: all are marked first.
-        let fronts = 0..self.lists.len();
-        let marks: Vec<Mark> = fronts
+        let front_ends = 0..self.endpoint_lists.len();
+        let marks: Vec<Mark> = front_ends
             .clone()
             .map(|front| Mark::Returns { front, worker })
             .collect();
         record_marks(
             &marks,
             |mark| self.mark(mark),
-            || fronts.clone().try_for_each(|front| self.write_list(front)),
+            || {
+                front_ends
+                    .clone()
+                    .try_for_each(|front| self.write_list(front))
+            },
         )
     }
 
--- a/programs/scenario/src/agreement/versions.rs
+++ b/programs/scenario/src/agreement/versions.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use tansy_audit::versions::Claim;
 
-const TEMPLATE: &str = include_str!("settings.cue");
+const SETTINGS_TEMPLATE: &str = include_str!("settings.cue");
 /// Added to the seed, so that versions and faults are drawn independently.
 const SEED_MASK: u64 = 0xa9ee;
 /// Deadlines of the two classes that the observed function may have, as in the template, microseconds.
@@ -32,7 +32,7 @@
         objective_ms: FIRST_OBJECTIVE_MS,
     };
 
-    fn draw_next(self, rng: &mut fastrand::Rng) -> SettingsVersion {
+    fn generate_next(self, rng: &mut fastrand::Rng) -> SettingsVersion {
         let mut next = self;
         match rng.u32(0..4) {
             0 => next.long_deadline = !self.long_deadline,
@@ -62,7 +62,7 @@
     pub fn text(self, options: &ScenarioOptions, peers: &[SocketAddr]) -> String {
         let class = if self.long_deadline { "long" } else { "short" };
         let effect = if self.safe { "safe" } else { "unsafe" };
-        TEMPLATE
+        SETTINGS_TEMPLATE
             .replace("FLIP", class)
             .replace("EFFECT", effect)
             .replace("AIM", &format!("{}ms", self.objective_ms))
@@ -72,11 +72,11 @@
 }
 
 /// The first version, and one for each round.
-pub(super) fn draw(options: &ScenarioOptions) -> Vec<SettingsVersion> {
+pub(super) fn generate(options: &ScenarioOptions) -> Vec<SettingsVersion> {
     let mut rng = fastrand::Rng::with_seed(options.seed ^ SEED_MASK);
     let mut versions = vec![SettingsVersion::FIRST];
     for round in 0..options.rounds {
-        versions.push(versions[round].draw_next(&mut rng));
+        versions.push(versions[round].generate_next(&mut rng));
     }
     versions
 }
--- a/programs/scenario/src/audit.rs
+++ b/programs/scenario/src/audit.rs
@@ -5,11 +5,11 @@
 use tansy_settings::{FunctionSpec, Settings};
 
 /// The time by which a changed endpoint list has been read, microseconds: gateways look at it every 200 ms, and the machine may be busy.
-const LIST_READ_US: i64 = 400_000;
+const MAX_LIST_READ_DELAY_US: i64 = 400_000;
 /// The proxy's clock against the processes', microseconds: time for a wake-up on a busy machine.
 const CLOCK_SLACK_US: i64 = 15_000;
 /// The same where a scenario has more processes than the machine has cores.
-const CROWDED_CLOCK_SLACK_US: i64 = 60_000;
+const OVERSUBSCRIBED_CLOCK_SLACK_US: i64 = 60_000;
 
 /// Does what the marks say, and records each: before it, if it allows something, else after it.
 ///
@@ -30,17 +30,17 @@
 }
 
 /// The rules' figures for these settings and workers of so many cores.
-pub fn rules(settings: &Settings, cores: f64) -> Rules {
+pub fn audit_rules(settings: &Settings, cores: f64) -> Rules {
     let front = &settings.dispatch.settings;
     let function = |function: &FunctionSpec| {
         let class = &front.classes[function.class];
-        let figures = (effect(class.effect), class.deadline);
+        let figures = (audited_effect(class.effect), class.deadline);
         (function.name.clone(), figures)
     };
     let functions = settings.dispatch.functions.iter().map(function);
     Rules {
         functions: functions.collect::<BTreeMap<_, _>>(),
-        list_read: LIST_READ_US,
+        list_read: MAX_LIST_READ_DELAY_US,
         drain_grace: front.drain_grace,
         slow_start: SlowStart {
             initial_share: front.slow_start_from,
@@ -62,14 +62,14 @@
 }
 
 /// The same for a scenario with more processes than cores, where a wake-up may take longer.
-pub fn crowded_rules(settings: &Settings, cores: f64) -> Rules {
+pub fn oversubscribed_audit_rules(settings: &Settings, cores: f64) -> Rules {
     Rules {
-        slack: CROWDED_CLOCK_SLACK_US,
-        ..rules(settings, cores)
+        slack: OVERSUBSCRIBED_CLOCK_SLACK_US,
+        ..audit_rules(settings, cores)
     }
 }
 
-fn effect(effect: tansyrouter::Effect) -> Effect {
+fn audited_effect(effect: tansyrouter::Effect) -> Effect {
     match effect {
         tansyrouter::Effect::Safe => Effect::Safe,
         tansyrouter::Effect::Keyed { window, .. } => Effect::Keyed(window),
--- a/programs/scenario/src/cli/agreement.rs
+++ b/programs/scenario/src/cli/agreement.rs
@@ -29,9 +29,11 @@
     violations: usize,
     in_force: usize,
     not_in_force: usize,
-    force_ms: &'a [u64],
+    #[serde(rename = "force_ms")]
+    in_force_ms: &'a [u64],
     killed: usize,
-    shown: usize,
+    #[serde(rename = "shown")]
+    conclusive_calls: usize,
 }
 
 /// Runs the scenario, and prints its result.
@@ -45,7 +47,7 @@
         arguments.max_printed,
     );
     // A run in which nothing changed, or whose observed functions showed nothing, proves nothing.
-    let ok = violations == 0 && report.in_force > 0 && report.shown > 0;
+    let ok = violations == 0 && report.in_force > 0 && report.conclusive_calls > 0;
     let line = ResultLine {
         scenario: "agree",
         seed: options.seed,
@@ -57,9 +59,9 @@
         violations,
         in_force: report.in_force,
         not_in_force: report.not_in_force,
-        force_ms: &report.force_ms,
+        in_force_ms: &report.in_force_ms,
         killed: report.killed,
-        shown: report.shown,
+        conclusive_calls: report.conclusive_calls,
     };
     if arguments.json {
         print_json(&line);
@@ -111,10 +113,10 @@
         "changes: in force {} not {} ({:?} ms); contradiction {:.1} ms of {} allowed, shown by {} calls",
         line.in_force,
         line.not_in_force,
-        line.force_ms,
+        line.in_force_ms,
         line.contradiction_ms,
         line.limit_ms,
-        line.shown
+        line.conclusive_calls
     );
     let baseline = line.baseline_served_share.map_or(String::new(), |share| {
         format!(", without changes {share:.4}")
--- a/programs/scenario/src/cli/mod.rs
+++ b/programs/scenario/src/cli/mod.rs
@@ -12,9 +12,9 @@
 use std::process::ExitCode;
 
 /// The scenario could not be run.
-const NOT_RUN: u8 = 1;
+const EXIT_ERROR: u8 = 1;
 /// A rule was broken.
-const VIOLATED: u8 = 3;
+const EXIT_VIOLATIONS: u8 = 3;
 
 /// Why a scenario was not run to its end.
 #[derive(Debug, thiserror::Error)]
@@ -43,7 +43,7 @@
 fn run(arguments: &Arguments) -> ExitCode {
     run_scenario(arguments).unwrap_or_else(|error| {
         eprintln!("{error}");
-        ExitCode::from(NOT_RUN)
+        ExitCode::from(EXIT_ERROR)
     })
 }
 
@@ -58,7 +58,7 @@
 }
 
 fn exit_code(ok: bool) -> ExitCode {
-    ExitCode::from(if ok { 0 } else { VIOLATED })
+    ExitCode::from(if ok { 0 } else { EXIT_VIOLATIONS })
 }
 
 /// Prints the violations of a run and of the same run without changes, the first ones in full; gives their number.
--- a/programs/scenario/src/defect/delay_proxy.rs
+++ b/programs/scenario/src/defect/delay_proxy.rs
@@ -9,7 +9,7 @@
 /// The gateway's option that leads a worker's address over another one: `--via WORKER=ADDRESS`.
 const VIA_OPTION: &str = "--via";
 /// Bytes read at a time.
-const CHUNK: usize = 64 * 1024;
+const CHUNK_BYTES: usize = 64 * 1024;
 
 type Delay = Arc<dyn Fn() -> Option<Duration> + Send + Sync>;
 type Refusal = Arc<dyn Fn() -> bool + Send + Sync>;
@@ -40,7 +40,7 @@
 }
 
 /// Leads every way to a worker in a gateway's arguments over a proxy of its own. What can't be led over one stays as it is.
-pub(super) fn insert(arguments: &mut [OsString], faults: ConnectionFaults) {
+pub(super) fn route_through_proxies(arguments: &mut [OsString], faults: ConnectionFaults) {
     for index in 1..arguments.len() {
         if arguments[index - 1] != VIA_OPTION {
             continue;
@@ -52,14 +52,14 @@
         let Ok(target) = target.parse::<SocketAddr>() else {
             continue;
         };
-        if let Ok(address) = listen(target, faults.clone()) {
+        if let Ok(address) = start_proxy(target, faults.clone()) {
             arguments[index] = format!("{worker}={address}").into();
         }
     }
 }
 
 /// Starts a proxy for one target; gives its address.
-fn listen(target: SocketAddr, faults: ConnectionFaults) -> io::Result<SocketAddr> {
+fn start_proxy(target: SocketAddr, faults: ConnectionFaults) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     let address = listener.local_addr()?;
     std::thread::spawn(move || {
@@ -85,13 +85,13 @@
         return;
     };
     let refuses = faults.refuses.clone();
-    std::thread::spawn(move || copy(&from, &to, |_| None, &refuses));
+    std::thread::spawn(move || copy_one_way(&from, &to, |_| None, &refuses));
     let due = |arrived| (faults.delay)().map(|delay| arrived + delay);
-    copy(&worker, client, due, &faults.refuses);
+    copy_one_way(&worker, client, due, &faults.refuses);
 }
 
 /// Copies one way; what arrived at some time leaves not before it is due.
-fn copy(
+fn copy_one_way(
     mut from: &TcpStream,
     mut to: &TcpStream,
     due: impl Fn(Instant) -> Option<Instant> + Send,
@@ -111,7 +111,7 @@
             // It may be closed already.
             let _ = to.shutdown(Shutdown::Both);
         });
-        let mut buffer = vec![0; CHUNK];
+        let mut buffer = vec![0; CHUNK_BYTES];
         while let Ok(length) = from.read(&mut buffer) {
             let chunk = (Instant::now(), buffer[..length].to_vec());
             if length == 0 || sender.send(chunk).is_err() {
--- a/programs/scenario/src/defect/mod.rs
+++ b/programs/scenario/src/defect/mod.rs
@@ -9,7 +9,7 @@
 mod delay_proxy;
 mod marker;
 
-pub use marker::with_defect;
+pub use marker::append_defect_marker;
 
 use clap::ValueEnum;
 use delay_proxy::ConnectionFaults;
@@ -19,17 +19,17 @@
 use std::time::{Duration, Instant};
 
 /// By how much slow workers' answers are late.
-const DELAY: Duration = Duration::from_millis(700);
+const ANSWER_DELAY: Duration = Duration::from_millis(700);
 /// From when on the late slowdown delays answers.
-const LATE_START: Duration = Duration::from_secs(14);
+const SLOWDOWN_ONSET: Duration = Duration::from_secs(14);
 /// How long a crashing process lives.
-const CRASH_AFTER: Duration = Duration::from_secs(3);
+const CRASH_DELAY: Duration = Duration::from_secs(3);
 /// Bytes leaked at a time.
-const LEAKED_BYTES: usize = 300_000;
+const LEAK_CHUNK_BYTES: usize = 300_000;
 /// Time between two leaks.
 const LEAK_INTERVAL: Duration = Duration::from_millis(100);
 /// Workers can't be reached for so long...
-const REFUSAL: Duration = Duration::from_secs(1);
+const REFUSAL_DURATION: Duration = Duration::from_secs(1);
 /// ... out of each of these.
 const REFUSAL_PERIOD: Duration = Duration::from_secs(3);
 
@@ -46,7 +46,7 @@
     /// It loses its workers every few seconds.
     #[serde(rename = "refuse")]
     #[value(name = "refuse")]
-    LostWorkers,
+    UnreachableWorkers,
     /// It ends by itself soon after its start.
     #[serde(rename = "crash")]
     Crash,
@@ -70,7 +70,7 @@
         match self {
             InjectedDefect::None => "none",
             InjectedDefect::SlowAnswers => "slow",
-            InjectedDefect::LostWorkers => "refuse",
+            InjectedDefect::UnreachableWorkers => "refuse",
             InjectedDefect::Crash => "crash",
             InjectedDefect::MemoryLeak => "leak",
             InjectedDefect::ZonePause => "zone",
@@ -89,22 +89,25 @@
     let started = Instant::now();
     let mut arguments: Vec<OsString> = arguments.collect();
     // A file that can't be read names none.
-    let name = marker::own_defect().ok().flatten().unwrap_or_default();
+    let name = marker::read_own_defect().ok().flatten().unwrap_or_default();
     match InjectedDefect::from_str(&name, false).unwrap_or(InjectedDefect::None) {
         InjectedDefect::None | InjectedDefect::ZonePause => {}
         InjectedDefect::SlowAnswers => {
-            delay_proxy::insert(&mut arguments, ConnectionFaults::delay(|| Some(DELAY)));
+            delay_proxy::route_through_proxies(
+                &mut arguments,
+                ConnectionFaults::delay(|| Some(ANSWER_DELAY)),
+            );
         }
         InjectedDefect::LateSlowdown => {
-            let delay = move || (started.elapsed() >= LATE_START).then_some(DELAY);
-            delay_proxy::insert(&mut arguments, ConnectionFaults::delay(delay));
+            let delay = move || (started.elapsed() >= SLOWDOWN_ONSET).then_some(ANSWER_DELAY);
+            delay_proxy::route_through_proxies(&mut arguments, ConnectionFaults::delay(delay));
         }
-        InjectedDefect::LostWorkers => {
+        InjectedDefect::UnreachableWorkers => {
             let refuses = move || {
                 let in_period = started.elapsed().as_millis() % REFUSAL_PERIOD.as_millis();
-                in_period < REFUSAL.as_millis()
+                in_period < REFUSAL_DURATION.as_millis()
             };
-            delay_proxy::insert(&mut arguments, ConnectionFaults::refusal(refuses));
+            delay_proxy::route_through_proxies(&mut arguments, ConnectionFaults::refusal(refuses));
         }
         InjectedDefect::Crash => drop(std::thread::spawn(crash)),
         InjectedDefect::MemoryLeak => drop(std::thread::spawn(leak)),
@@ -113,14 +116,14 @@
 }
 
 fn crash() {
-    std::thread::sleep(CRASH_AFTER);
+    std::thread::sleep(CRASH_DELAY);
     std::process::abort();
 }
 
 fn leak() {
     let mut leaked = Vec::new();
     loop {
-        leaked.push(vec![1_u8; LEAKED_BYTES]);
+        leaked.push(vec![1_u8; LEAK_CHUNK_BYTES]);
         std::thread::sleep(LEAK_INTERVAL);
     }
 }
--- a/programs/scenario/src/defect/tests.rs
+++ b/programs/scenario/src/defect/tests.rs
@@ -1,6 +1,6 @@
 //! Names of defects, and the file that names one.
 
-use super::marker::{defect_in, with_defect};
+use super::marker::{append_defect_marker, parse_defect_marker};
 use super::InjectedDefect;
 use clap::ValueEnum;
 
@@ -17,14 +17,14 @@
 
 #[test]
 fn the_end_of_a_program_names_its_defect() {
-    let program = with_defect(b"a program", "slow");
+    let program = append_defect_marker(b"a program", "slow");
     assert_eq!(program, b"a program\nTANSY-DAY-PLANT=slow");
-    assert_eq!(defect_in(&program).as_deref(), Some("slow"));
-    assert_eq!(defect_in(b"a program"), None);
+    assert_eq!(parse_defect_marker(&program).as_deref(), Some("slow"));
+    assert_eq!(parse_defect_marker(b"a program"), None);
 }
 
 #[test]
 fn the_last_name_counts() {
-    let program = with_defect(&with_defect(b"a program", "slow"), "");
-    assert_eq!(defect_in(&program).as_deref(), Some(""));
+    let program = append_defect_marker(&append_defect_marker(b"a program", "slow"), "");
+    assert_eq!(parse_defect_marker(&program).as_deref(), Some(""));
 }
--- a/programs/scenario/src/endpoint_list.rs
+++ b/programs/scenario/src/endpoint_list.rs
@@ -52,7 +52,7 @@
 }
 
 /// The zone of a worker where the first half of them is in one zone and the rest in the other.
-pub fn zone_of_half(worker: usize, workers: usize) -> &'static str {
+pub fn zone_by_half(worker: usize, workers: usize) -> &'static str {
     if worker < workers / 2 {
         "room-a"
     } else {
--- a/programs/scenario/src/error.rs
+++ b/programs/scenario/src/error.rs
@@ -52,10 +52,10 @@
     #[error("the {0} thread ended early")]
     ThreadEnded(&'static str),
     /// Front ends did not all join the fleet in time.
-    #[error("the fleet did not form within {within:?}: {statuses}")]
+    #[error("the fleet did not form within {timeout:?}: {statuses}")]
     FleetNotReady {
         /// The time that was waited.
-        within: Duration,
+        timeout: Duration,
         /// The last status of each front end, or why there is none.
         statuses: String,
     },
--- a/programs/scenario/src/fault_proxy.rs
+++ b/programs/scenario/src/fault_proxy.rs
@@ -27,7 +27,7 @@
     }
 
     /// Runs a function on the proxy's thread, and waits for its result.
-    fn with<T: Send + 'static>(
+    fn run_on_proxy_thread<T: Send + 'static>(
         &self,
         job: impl FnOnce(&Rc<FaultProxy>) -> T + Send + 'static,
     ) -> Result<T, ScenarioError> {
@@ -42,7 +42,7 @@
     /// # Errors
     /// The proxy has ended, or can't listen.
     pub fn route(&self, link: Link, target: SocketAddr) -> Result<SocketAddr, ScenarioError> {
-        Ok(self.with(move |proxy| proxy.route(link, target))??)
+        Ok(self.run_on_proxy_thread(move |proxy| proxy.route(link, target))??)
     }
 
     /// Ends all connections of a route.
@@ -50,7 +50,7 @@
     /// # Errors
     /// The proxy has ended.
     pub fn cut(&self, link: Link) -> Result<(), ScenarioError> {
-        self.with(move |proxy| proxy.cut(link))
+        self.run_on_proxy_thread(move |proxy| proxy.cut(link))
     }
 
     /// Pauses what passes on a route, both ways, or lets it go on.
@@ -58,7 +58,7 @@
     /// # Errors
     /// The proxy has ended.
     pub fn set_paused(&self, link: Link, paused: bool) -> Result<(), ScenarioError> {
-        self.with(move |proxy| proxy.set_paused(link, paused))
+        self.run_on_proxy_thread(move |proxy| proxy.set_paused(link, paused))
     }
 
     /// Records an event that no socket shows.
@@ -66,7 +66,7 @@
     /// # Errors
     /// The proxy has ended.
     pub fn mark(&self, mark: Mark) -> Result<(), ScenarioError> {
-        self.with(move |proxy| proxy.mark(mark))
+        self.run_on_proxy_thread(move |proxy| proxy.mark(mark))
     }
 
     /// Records an event that no socket shows, of a moment that has passed.
@@ -74,7 +74,7 @@
     /// # Errors
     /// The proxy has ended.
     pub fn mark_at(&self, at: i64, mark: Mark) -> Result<(), ScenarioError> {
-        self.with(move |proxy| proxy.mark_at(at, mark))
+        self.run_on_proxy_thread(move |proxy| proxy.mark_at(at, mark))
     }
 
     /// Microseconds since the recording began.
@@ -82,7 +82,7 @@
     /// # Errors
     /// The proxy has ended.
     pub fn now(&self) -> Result<i64, ScenarioError> {
-        self.with(|proxy| proxy.now())
+        self.run_on_proxy_thread(|proxy| proxy.now())
     }
 
     /// Takes out what was recorded so far, by time.
@@ -90,7 +90,7 @@
     /// # Errors
     /// The proxy has ended.
     pub fn take_entries(&self) -> Result<Vec<Entry>, ScenarioError> {
-        let mut entries = self.with(|proxy| proxy.take_entries())?;
+        let mut entries = self.run_on_proxy_thread(|proxy| proxy.take_entries())?;
         entries.sort_by_key(|entry| entry.at);
         Ok(entries)
     }
--- a/programs/scenario/src/faults/definition.rs
+++ b/programs/scenario/src/faults/definition.rs
@@ -19,7 +19,7 @@
     /// Calls a second, likewise.
     pub rate: u64,
     /// Milliseconds of work of a call.
-    pub work: RangeInclusive<i64>,
+    pub work_ms: RangeInclusive<i64>,
     /// What goes wrong, and at which part of the scenario's time (0 to 1).
     pub script: &'static [(f64, FaultStep)],
 }
@@ -32,7 +32,7 @@
     workers: 6,
     cores: 8.0,
     rate: 1400,
-    work: 5..=40,
+    work_ms: 5..=40,
     script: ALL_FAULTS_SCRIPT,
 };
 
@@ -43,7 +43,7 @@
     gateways: 4,
     cores: 4.0,
     rate: 160,
-    work: 150..=250,
+    work_ms: 150..=250,
     script: COLD_ZONE_SCRIPT,
     ..ALL_FAULTS
 };
--- a/programs/scenario/src/faults/mod.rs
+++ b/programs/scenario/src/faults/mod.rs
@@ -9,10 +9,10 @@
 mod script;
 
 pub use definition::{FaultScenario, ALL_FAULTS, COLD_ZONE};
-pub use process_group::{FinishedGroup, ProcessGroup};
+pub use process_group::{GroupResult, ProcessGroup};
 pub use script::{perform, FaultStep};
 
-use crate::audit::rules;
+use crate::audit::audit_rules;
 use crate::error::ScenarioError;
 use crate::load::{self, LoadFunction, LoadPlan, LoadResult};
 use std::sync::mpsc;
@@ -56,9 +56,9 @@
     let settings = tansy_settings::settings(scenario.settings_name, scenario.settings_text)?;
     let mut group = ProcessGroup::start(scenario, workers, cores)?;
     let plan = LoadPlan {
-        fronts: group.client_addresses().to_vec(),
+        front_ends: group.client_addresses().to_vec(),
         functions: LoadFunction::all(&settings),
-        work: scenario.work.clone(),
+        work_ms: scenario.work_ms.clone(),
         rate: options.rate.unwrap_or(scenario.rate),
         seconds: options.seconds,
         seed: options.seed,
@@ -72,11 +72,11 @@
         // Until the clients end.
         passed.iter().for_each(drop);
     } else {
-        play_script(&mut group, scenario.script, &passed)?;
+        run_script(&mut group, scenario.script, &passed)?;
     }
     let load = load::join(clients)?;
     let finished = group.finish()?;
-    let audit = audit(&finished.entries, &rules(&settings, cores));
+    let audit = audit(&finished.entries, &audit_rules(&settings, cores));
     Ok(FaultReport {
         load,
         counters: finished.counters,
@@ -85,7 +85,7 @@
 }
 
 /// Performs each step once its part of the time has passed, until the clients end.
-fn play_script(
+fn run_script(
     group: &mut ProcessGroup,
     script: &[(f64, FaultStep)],
     passed: &mpsc::Receiver<f64>,
--- a/programs/scenario/src/faults/process_group.rs
+++ b/programs/scenario/src/faults/process_group.rs
@@ -2,7 +2,7 @@
 
 use super::definition::FaultScenario;
 use crate::audit::record_marks;
-use crate::endpoint_list::{self, zone_of_half, ListedWorker};
+use crate::endpoint_list::{self, zone_by_half, ListedWorker};
 use crate::error::ScenarioError;
 use crate::fault_proxy::FaultProxyThread;
 use crate::process::{self, GatewayAddresses};
@@ -22,12 +22,12 @@
     /// Where clients reach each gateway, through the proxy.
     client_addresses: Vec<SocketAddr>,
     /// Each gateway's endpoint list.
-    lists: Vec<Vec<ListedWorker>>,
+    endpoint_lists: Vec<Vec<ListedWorker>>,
     folder: PathBuf,
 }
 
 /// What is left when all processes have ended.
-pub struct FinishedGroup {
+pub struct GroupResult {
     /// What passed the proxy.
     pub entries: Vec<Entry>,
     /// The counters of each gateway that was running, as it printed them.
@@ -52,7 +52,7 @@
             gateways: Vec::new(),
             gateway_addresses: Vec::new(),
             client_addresses: Vec::new(),
-            lists: vec![Vec::new(); scenario.gateways],
+            endpoint_lists: vec![Vec::new(); scenario.gateways],
             folder,
         };
         let settings = group.settings_path();
@@ -79,11 +79,11 @@
     ) -> Result<(), ScenarioError> {
         let process = process::start_worker(&self.settings_path(), worker, cores)?;
         let target = process.address("grpc")?;
-        for (front, list) in self.lists.iter_mut().enumerate() {
+        for (front, list) in self.endpoint_lists.iter_mut().enumerate() {
             let address = self.proxy.route(Link::Worker { front, worker }, target)?;
             list.push(ListedWorker {
                 draining: Some(false),
-                ..ListedWorker::new(address, zone_of_half(worker, workers))
+                ..ListedWorker::new(address, zone_by_half(worker, workers))
             });
         }
         self.workers.push(process);
@@ -126,7 +126,7 @@
     }
 
     fn write_list(&self, front: usize) -> Result<(), ScenarioError> {
-        endpoint_list::replace(&self.folder, front, &self.lists[front])
+        endpoint_list::replace(&self.folder, front, &self.endpoint_lists[front])
     }
 
     /// Where clients reach each gateway, through the proxy.
@@ -149,7 +149,7 @@
         worker: usize,
         draining: bool,
     ) -> Result<(), ScenarioError> {
-        self.lists[front][worker].draining = Some(draining);
+        self.endpoint_lists[front][worker].draining = Some(draining);
         let mark = if draining {
             Mark::Draining { front, worker }
         } else {
@@ -169,8 +169,8 @@
     pub fn restart_worker(&mut self, worker: usize) -> Result<(), ScenarioError> {
         self.control(worker, "/restart")?;
         self.proxy.mark(Mark::Started { worker })?;
-        for front in 0..self.lists.len() {
-            self.lists[front][worker].started = Some(Instant::now());
+        for front in 0..self.endpoint_lists.len() {
+            self.endpoint_lists[front][worker].started = Some(Instant::now());
             self.write_list(front)?;
         }
         Ok(())
@@ -209,7 +209,7 @@
     ///
     /// # Errors
     /// A gateway can't be asked to end, or the proxy has ended.
-    pub fn finish(mut self) -> Result<FinishedGroup, ScenarioError> {
+    pub fn finish(mut self) -> Result<GroupResult, ScenarioError> {
         let mut counters = Vec::new();
         for gateway in self.gateways.iter_mut().flatten() {
             let (_, output) = gateway.stop()?;
@@ -223,6 +223,6 @@
         let entries = self.proxy.take_entries()?;
         // Its files are of no use any more; where they can't be removed they stay.
         let _ = std::fs::remove_dir_all(&self.folder);
-        Ok(FinishedGroup { entries, counters })
+        Ok(GroupResult { entries, counters })
     }
 }
--- a/programs/scenario/src/fleet.rs
+++ b/programs/scenario/src/fleet.rs
@@ -30,7 +30,9 @@
 ///
 /// Each name keeps its address over its processes. The hosts are loopback addresses that nothing else here connects from: what
 /// the kernel gives to connections is never one of these while a process is away.
-pub(crate) fn reserve(hosts: impl Iterator<Item = [u8; 4]>) -> io::Result<Vec<ReservedAddress>> {
+pub(crate) fn reserve_addresses(
+    hosts: impl Iterator<Item = [u8; 4]>,
+) -> io::Result<Vec<ReservedAddress>> {
     hosts.map(ReservedAddress::on).collect()
 }
 
@@ -40,7 +42,7 @@
 }
 
 /// The leader of a fleet, as far as any voter says of itself, and its status.
-pub(crate) fn leader(
+pub(crate) fn find_leader(
     client: &mut Client,
     voters: &[SocketAddr],
 ) -> Option<(SocketAddr, StatusReply)> {
@@ -53,9 +55,9 @@
 }
 
 /// How long, and how often, front ends are asked whether they are ready.
-pub(crate) struct ReadinessTimeout {
+pub(crate) struct ReadinessPolling {
     /// The longest time that is waited.
-    pub within: Duration,
+    pub timeout: Duration,
     /// Time between two questions.
     pub interval: Duration,
 }
@@ -64,7 +66,7 @@
 pub(crate) fn wait_until_ready(
     client: &mut Client,
     members: &[SocketAddr],
-    timeout: &ReadinessTimeout,
+    polling: &ReadinessPolling,
 ) -> Result<(), ScenarioError> {
     let started = Instant::now();
     let is_ready = |status: &StatusReply| {
@@ -80,12 +82,12 @@
         {
             return Ok(());
         }
-        if started.elapsed() > timeout.within {
+        if started.elapsed() > polling.timeout {
             return Err(ScenarioError::FleetNotReady {
-                within: timeout.within,
+                timeout: polling.timeout,
                 statuses: format!("{statuses:?}"),
             });
         }
-        client.wait(timeout.interval);
+        client.wait(polling.interval);
     }
 }
--- a/programs/scenario/src/load/call.rs
+++ b/programs/scenario/src/load/call.rs
@@ -17,7 +17,7 @@
 const SLOW_READER_SHARE: f64 = 0.02;
 const SLOW_READ_MS: std::ops::Range<u64> = 5..60;
 /// The most messages of a streamed answer.
-const MOST_MESSAGES: i64 = 5;
+const MAX_MESSAGES: i64 = 5;
 
 /// The choices of one call.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,12 +26,12 @@
     pub first_link: usize,
     pub function: String,
     /// Microseconds; 0: none is said.
-    pub timeout: i64,
+    pub timeout_us: i64,
     pub streamed: bool,
     /// Messages of the answer.
     pub messages: i64,
     /// Milliseconds.
-    pub work: i64,
+    pub work_ms: i64,
     pub cancel_after: Option<Duration>,
     /// Time that the client takes for each message.
     pub read_delay: Option<Duration>,
@@ -39,7 +39,7 @@
 
 impl PlannedCall {
     /// Draws a call. The order of the draws is part of what a seed means.
-    pub fn draw(plan: &LoadPlan, links: usize, rng: &mut fastrand::Rng) -> PlannedCall {
+    pub fn generate(plan: &LoadPlan, links: usize, rng: &mut fastrand::Rng) -> PlannedCall {
         let first_link = rng.usize(..links);
         // Some functions are called more often than others.
         let skew = rng.f64() * if plan.simple_calls { 1.0 } else { rng.f64() };
@@ -48,11 +48,11 @@
         let varied = !plan.simple_calls;
         let streamed = varied && rng.f64() < STREAMED_SHARE;
         let messages = if streamed {
-            rng.i64(1..=MOST_MESSAGES)
+            rng.i64(1..=MAX_MESSAGES)
         } else {
             1
         };
-        let work = rng.i64(plan.work.clone());
+        let work_ms = rng.i64(plan.work_ms.clone());
         let cancelled = varied && rng.f64() < CANCELLED_SHARE;
         let cancel_after = cancelled.then(|| Duration::from_micros(rng.u64(CANCEL_AFTER_US)));
         let slow = varied && rng.f64() < SLOW_READER_SHARE;
@@ -60,10 +60,10 @@
         PlannedCall {
             first_link,
             function: function.name,
-            timeout: function.timeout,
+            timeout_us: function.timeout_us,
             streamed,
             messages,
-            work,
+            work_ms,
             cancel_after,
             read_delay,
         }
@@ -86,9 +86,9 @@
             id: format!("{id_prefix}-{number}"),
             parameters: BTreeMap::from([
                 ("pieces".to_string(), integer(self.messages)),
-                ("work_ms".to_string(), integer(self.work)),
+                ("work_ms".to_string(), integer(self.work_ms)),
                 // Without one, the class's deadline holds.
-                ("timeout".to_string(), integer(self.timeout.max(0))),
+                ("timeout".to_string(), integer(self.timeout_us.max(0))),
             ]),
             inputs: vec![input],
             ..Default::default()
--- a/programs/scenario/src/load/call/tests.rs
+++ b/programs/scenario/src/load/call/tests.rs
@@ -12,14 +12,14 @@
 ];
 
 fn plan(simple_calls: bool) -> LoadPlan {
-    let function = |name: &str, timeout| LoadFunction {
+    let function = |name: &str, timeout_us| LoadFunction {
         name: name.into(),
-        timeout,
+        timeout_us,
     };
     LoadPlan {
-        fronts: vec![SocketAddr::from(([127, 0, 0, 1], 1)); 3],
+        front_ends: vec![SocketAddr::from(([127, 0, 0, 1], 1)); 3],
         functions: vec![function("a", 1000), function("b", 2000), function("c", 0)],
-        work: 5..=40,
+        work_ms: 5..=40,
         rate: 1,
         seconds: 1.0,
         seed: 9,
@@ -36,15 +36,15 @@
         let mut rng = fastrand::Rng::with_seed(plan.seed);
         let mut text = String::new();
         for _ in 0..500 {
-            let call = PlannedCall::draw(&plan, 12, &mut rng);
+            let call = PlannedCall::generate(&plan, 12, &mut rng);
             text += &format!(
                 "{} {} {} {} {} {} {:?} {:?}\n",
                 call.first_link,
                 call.function,
-                call.timeout,
+                call.timeout_us,
                 call.streamed,
                 call.messages,
-                call.work,
+                call.work_ms,
                 call.cancel_after,
                 call.read_delay
             );
--- a/programs/scenario/src/load/exchange.rs
+++ b/programs/scenario/src/load/exchange.rs
@@ -16,7 +16,7 @@
 /// The code of a RST_STREAM for a stream that was not processed.
 const REFUSED_STREAM: u32 = 7;
 /// The longest message that a client reads.
-const LONGEST_MESSAGE: usize = 1 << 20;
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 /// The authority is part of the recorded bytes.
 const UNARY_URI: &str = "http://day/inference.GRPCInferenceService/ModelInfer";
 const STREAM_URI: &str = "http://day/inference.GRPCInferenceService/ModelStreamInfer";
@@ -50,7 +50,7 @@
     }
     let request = request_head(call);
     let unary = !call.streamed;
-    let Ok(mut exchange) = Exchange::start(connection, request, body, unary, LONGEST_MESSAGE)
+    let Ok(mut exchange) = Exchange::start(connection, request, body, unary, MAX_MESSAGE_BYTES)
     else {
         return CallOutcome::NotSent;
     };
@@ -80,8 +80,8 @@
     let headers = request.headers_mut();
     headers.insert("te", HeaderValue::from_static("trailers"));
     headers.insert("content-type", HeaderValue::from_static("application/grpc"));
-    if !call.streamed && call.timeout > 0 {
-        if let Ok(value) = HeaderValue::from_str(&format_timeout(call.timeout)) {
+    if !call.streamed && call.timeout_us > 0 {
+        if let Ok(value) = HeaderValue::from_str(&format_timeout(call.timeout_us)) {
             headers.insert("grpc-timeout", value);
         }
     }
--- a/programs/scenario/src/load/mod.rs
+++ b/programs/scenario/src/load/mod.rs
@@ -26,26 +26,26 @@
 use tansy_net_sockets::Spawner;
 
 /// Connections that a client tries at most, one after the other, while it reaches none.
-const CONNECTION_TRIES: usize = 4;
+const MAX_CONNECTION_ATTEMPTS: usize = 4;
 /// Connections to each front end.
-const CONNECTIONS: usize = 4;
+const CONNECTIONS_PER_FRONT_END: usize = 4;
 /// Seconds after the end of the plan by which calls are answered or count as lost.
 const GRACE_SECONDS: f64 = 5.0;
 /// Time between two looks at the calls that are still open when all have been sent.
-const DRAIN_INTERVAL: Duration = Duration::from_millis(2);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 /// Progress is reported in such parts of the plan's time.
-const PROGRESS_PARTS: f64 = 1000.0;
+const PROGRESS_STEPS: f64 = 1000.0;
 
 /// What the open calls share.
 struct CallStatistics {
-    open: Cell<u64>,
+    open_calls: Cell<u64>,
     result: RefCell<LoadResult>,
 }
 
 impl CallStatistics {
     fn record(&self, outcome: CallOutcome, latency: Duration, first_message: Option<u64>) {
-        self.open.set(self.open.get() - 1);
+        self.open_calls.set(self.open_calls.get() - 1);
         let mut result = self.result.borrow_mut();
         match outcome {
             CallOutcome::Served => {
@@ -98,7 +98,7 @@
         }
         event_loop.dispatch(Some(clients.time_to_next()), &mut ())?;
     }
-    let open = clients.statistics.open.get();
+    let open = clients.statistics.open_calls.get();
     // Ends the open calls; none of them is counted any more.
     drop(event_loop);
     let mut result = clients.statistics.result.replace(LoadResult::new()?);
@@ -117,21 +117,23 @@
     started: Instant,
     sent: u64,
     /// Calls to be sent, and the seconds for it: less than the plan's once it is stopped.
-    total: u64,
+    call_count: u64,
     seconds: f64,
     /// The last reported progress, in its parts.
-    reported: u64,
+    reported_steps: u64,
 }
 
 impl<'a> Clients<'a> {
     fn new(plan: &'a LoadPlan, spawner: Spawner) -> Result<Clients<'a>, ScenarioError> {
         let link = |index: usize| {
-            let front = plan.fronts[index / CONNECTIONS];
+            let front = plan.front_ends[index / CONNECTIONS_PER_FRONT_END];
             Link::new(spawner.clone(), front, Limits::default())
         };
-        let links = (0..plan.fronts.len() * CONNECTIONS).map(link).collect();
+        let links = (0..plan.front_ends.len() * CONNECTIONS_PER_FRONT_END)
+            .map(link)
+            .collect();
         let statistics = Rc::new(CallStatistics {
-            open: Cell::new(0),
+            open_calls: Cell::new(0),
             result: RefCell::new(LoadResult::new()?),
         });
         Ok(Clients {
@@ -142,21 +144,21 @@
             rng: fastrand::Rng::with_seed(plan.seed),
             started: Instant::now(),
             sent: 0,
-            total: plan.total(),
+            call_count: plan.call_count(),
             seconds: plan.seconds,
-            reported: 0,
+            reported_steps: 0,
         })
     }
 
     /// Whether all calls are sent, and answered or given up.
     fn are_done(&self) -> bool {
         let in_grace = self.started.elapsed().as_secs_f64() < self.seconds + GRACE_SECONDS;
-        self.sent >= self.total && !(self.statistics.open.get() > 0 && in_grace)
+        self.sent >= self.call_count && !(self.statistics.open_calls.get() > 0 && in_grace)
     }
 
     fn apply_stop(&mut self) {
-        if self.sent < self.total && self.plan.is_stopped() {
-            self.total = self.sent;
+        if self.sent < self.call_count && self.plan.is_stopped() {
+            self.call_count = self.sent;
             self.seconds = self.started.elapsed().as_secs_f64();
         }
     }
@@ -167,14 +169,16 @@
 
     /// Begins the next call if its time has come.
     fn send_if_due(&mut self) -> bool {
-        if self.sent >= self.total || self.next_due() > Instant::now() {
+        if self.sent >= self.call_count || self.next_due() > Instant::now() {
             return false;
         }
-        let call = PlannedCall::draw(self.plan, self.links.len(), &mut self.rng);
+        let call = PlannedCall::generate(self.plan, self.links.len(), &mut self.rng);
         let request = call.request(self.plan.id_prefix, self.sent);
         // A client that reaches nobody asks the next front end.
-        let links: Vec<Rc<Link>> = (0..CONNECTION_TRIES)
-            .map(|attempt| (call.first_link + attempt * (CONNECTIONS + 1)) % self.links.len())
+        let links: Vec<Rc<Link>> = (0..MAX_CONNECTION_ATTEMPTS)
+            .map(|attempt| {
+                (call.first_link + attempt * (CONNECTIONS_PER_FRONT_END + 1)) % self.links.len()
+            })
             .map(|index| self.links[index].clone())
             .collect();
         let statistics = self.statistics.clone();
@@ -187,19 +191,19 @@
     /// The part of the plan's time that has passed, once it is larger than the last one reported.
     fn new_progress(&mut self) -> Option<f64> {
         let share = self.started.elapsed().as_secs_f64() / self.plan.seconds;
-        let parts = (share * PROGRESS_PARTS) as u64;
-        if parts <= self.reported {
+        let parts = (share * PROGRESS_STEPS) as u64;
+        if parts <= self.reported_steps {
             return None;
         }
-        self.reported = parts;
-        Some(parts as f64 / PROGRESS_PARTS)
+        self.reported_steps = parts;
+        Some(parts as f64 / PROGRESS_STEPS)
     }
 
     fn time_to_next(&self) -> Duration {
-        if self.sent < self.total {
+        if self.sent < self.call_count {
             self.next_due().saturating_duration_since(Instant::now())
         } else {
-            DRAIN_INTERVAL
+            DRAIN_POLL_INTERVAL
         }
     }
 }
@@ -212,7 +216,7 @@
     call: PlannedCall,
     request: bytes::Bytes,
 ) {
-    statistics.open.set(statistics.open.get() + 1);
+    statistics.open_calls.set(statistics.open_calls.get() + 1);
     let started = Instant::now();
     let mut first_message = None;
     let attempts = async {
--- a/programs/scenario/src/load/plan.rs
+++ b/programs/scenario/src/load/plan.rs
@@ -12,7 +12,7 @@
     /// Its name.
     pub name: String,
     /// What clients say that they wait, microseconds; 0: nothing, so that the class's deadline holds.
-    pub timeout: i64,
+    pub timeout_us: i64,
 }
 
 impl LoadFunction {
@@ -20,7 +20,7 @@
     pub fn with_deadline(function: &FunctionSpec, settings: &Settings) -> LoadFunction {
         LoadFunction {
             name: function.name.clone(),
-            timeout: settings.dispatch.settings.classes[function.class].deadline,
+            timeout_us: settings.dispatch.settings.classes[function.class].deadline,
         }
     }
 
@@ -37,11 +37,11 @@
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
     /// Where the front ends are.
-    pub fronts: Vec<SocketAddr>,
+    pub front_ends: Vec<SocketAddr>,
     /// The functions; the first ones are called most often.
     pub functions: Vec<LoadFunction>,
     /// Milliseconds of work of a call.
-    pub work: RangeInclusive<i64>,
+    pub work_ms: RangeInclusive<i64>,
     /// Calls a second.
     pub rate: u64,
     /// Seconds.
@@ -58,7 +58,7 @@
 
 impl LoadPlan {
     /// How many calls there are if nothing stops the plan.
-    pub(super) fn total(&self) -> u64 {
+    pub(super) fn call_count(&self) -> u64 {
         (self.rate as f64 * self.seconds) as u64
     }
 
--- a/programs/scenario/src/load/result.rs
+++ b/programs/scenario/src/load/result.rs
@@ -3,9 +3,9 @@
 use hdrhistogram::{CreationError, Histogram};
 
 /// The longest latency that is counted as it is, microseconds.
-const LONGEST_LATENCY_US: u64 = 60_000_000;
+const MAX_LATENCY_US: u64 = 60_000_000;
 /// Significant digits of counted latencies.
-const LATENCY_DIGITS: u8 = 3;
+const LATENCY_SIGNIFICANT_DIGITS: u8 = 3;
 
 /// What the clients of a scenario observed.
 #[derive(Debug)]
@@ -30,7 +30,8 @@
 
 impl LoadResult {
     pub(super) fn new() -> Result<LoadResult, CreationError> {
-        let histogram = || Histogram::new_with_bounds(1, LONGEST_LATENCY_US, LATENCY_DIGITS);
+        let histogram =
+            || Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_SIGNIFICANT_DIGITS);
         Ok(LoadResult {
             begun: 0,
             served: 0,
--- a/programs/scenario/src/rollout/cluster.rs
+++ b/programs/scenario/src/rollout/cluster.rs
@@ -1,11 +1,11 @@
 //! The processes of the scenario: workers, and a supervisor for the front ends of each zone, with the proxy between them.
 
-use super::files::{MachineFrontEnd, ScenarioFolder};
+use super::files::{ScenarioFolder, SupervisedFrontEnd};
 use super::options::ScenarioOptions;
 use super::{zone_of, VOTERS, WORKERS_PER_ZONE, WORKER_CORES, ZONES};
 use crate::error::ScenarioError;
 use crate::fault_proxy::FaultProxyThread;
-use crate::fleet::{self, ReadinessTimeout};
+use crate::fleet::{self, ReadinessPolling};
 use crate::process;
 use rustix::process::{kill_process, Pid, Signal};
 use std::net::SocketAddr;
@@ -19,12 +19,12 @@
 use tansy_test_support::process::ServerProcess;
 
 /// A fleet has to be ready within this time.
-const READINESS: ReadinessTimeout = ReadinessTimeout {
-    within: Duration::from_secs(40),
+const READINESS: ReadinessPolling = ReadinessPolling {
+    timeout: Duration::from_secs(40),
     interval: Duration::from_millis(100),
 };
 /// Time for voters to answer what they know of the rollout.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(800);
 /// Loopback addresses that are set aside for each front end.
 const HOSTS_PER_FRONT_END: u8 = 4;
 
@@ -52,7 +52,7 @@
                 let offset = HOSTS_PER_FRONT_END * front as u8 + address_use as u8;
                 [127, 2 + pid, 1 + seed, 1 + offset]
             };
-            fleet::reserve((0..options.front_ends).map(host))
+            fleet::reserve_addresses((0..options.front_ends).map(host))
         };
         Ok(FrontEndAddresses {
             peers: reserve(AddressUse::Peers)?,
@@ -95,7 +95,7 @@
         cluster.folder.write_settings(options, &cluster.peers)?;
         cluster.folder.write_programs(options)?;
         cluster.start_workers()?;
-        cluster.write_machines(options)?;
+        cluster.write_supervisor_configs(options)?;
         for zone in 0..ZONES.len() {
             let supervisor = cluster.start_supervisor(zone)?;
             cluster.supervisors.push(Some(supervisor));
@@ -119,23 +119,24 @@
     }
 
     /// Writes each supervisor's list of front ends, with their routes through the proxy.
-    fn write_machines(&mut self, options: &ScenarioOptions) -> Result<(), ScenarioError> {
+    fn write_supervisor_configs(&mut self, options: &ScenarioOptions) -> Result<(), ScenarioError> {
         let workers = self.worker_addresses()?;
-        let mut machines: Vec<Vec<MachineFrontEnd>> = ZONES.iter().map(|_| Vec::new()).collect();
+        let mut configs: Vec<Vec<SupervisedFrontEnd>> = ZONES.iter().map(|_| Vec::new()).collect();
         for front in 0..options.front_ends {
             let routes = self.worker_routes(front, &workers)?;
             let grpc = self.addresses.grpc[front].address();
             let client_address = self.proxy.route(Link::Client { front }, grpc)?;
             self.client_addresses.push(client_address);
-            machines[zone_of(front)].push(MachineFrontEnd {
+            configs[zone_of(front)].push(SupervisedFrontEnd {
                 index: front,
                 peer_address: self.peers[front],
                 arguments: self.gateway_arguments(front, routes),
             });
         }
-        for (zone, front_ends) in machines.iter().enumerate() {
+        for (zone, front_ends) in configs.iter().enumerate() {
             let voters = &self.peers[..VOTERS];
-            self.folder.write_machine(zone, voters, front_ends)?;
+            self.folder
+                .write_supervisor_config(zone, voters, front_ends)?;
         }
         Ok(())
     }
@@ -181,8 +182,8 @@
 
     /// Starts the supervisor of a zone.
     pub fn start_supervisor(&self, zone: usize) -> Result<ServerProcess, ScenarioError> {
-        let machine = self.folder.machine(zone).display().to_string();
-        let arguments = ["fleet", "up", "--log", "error", "--fleet", &machine];
+        let config = self.folder.supervisor_config(zone).display().to_string();
+        let arguments = ["fleet", "up", "--log", "error", "--fleet", &config];
         let log_file = self.folder.supervisor_log(zone);
         process::start_logged(&arguments.map(str::to_string), Some(&log_file))
     }
@@ -190,7 +191,7 @@
     /// The rollout, as the leader knows it; none: no voter leads at the moment, or there was none.
     pub fn rollout(&mut self) -> Option<Rollout> {
         let voters = self.peers[..VOTERS].to_vec();
-        let replies = self.client.rollouts(&voters, ANSWER_TIMEOUT);
+        let replies = self.client.rollouts(&voters, REPLY_TIMEOUT);
         let leader = replies
             .into_iter()
             .flatten()
--- a/programs/scenario/src/rollout/faults.rs
+++ b/programs/scenario/src/rollout/faults.rs
@@ -10,36 +10,36 @@
 use tansy_rollout::{Rollout, RolloutPhase};
 
 /// The supervisor is killed within this part of a stage's least time.
-const KILL_WINDOW: f64 = 0.5;
+const KILL_WINDOW_SHARE: f64 = 0.5;
 /// A killed supervisor is back after this many seconds, and up to so many more.
-const RESTART_SECONDS: f64 = 1.0;
-const RESTART_EXTRA_SECONDS: f64 = 3.0;
+const MIN_RESTART_SECONDS: f64 = 1.0;
+const MAX_EXTRA_RESTART_SECONDS: f64 = 3.0;
 /// A zone's workers pause so long after the first analysis began, and for so long.
 const PAUSE_DELAY: Duration = Duration::from_secs(3);
-const PAUSE: Duration = Duration::from_secs(5);
+const PAUSE_DURATION: Duration = Duration::from_secs(5);
 
 /// The supervisor of the rollout controller: killed at some moment after the first front end was changed, and started again.
 enum ControllerFault {
     /// No front end was changed yet.
     Waiting,
-    Due(Instant),
-    Dead {
+    Scheduled(Instant),
+    Down {
         zone: usize,
         restart: Instant,
     },
-    Over,
+    Done,
 }
 
 /// A zone's workers stand still.
 #[derive(Clone, Copy)]
 enum ZonePause {
     /// It has no such fault, or the analysis has not begun.
-    None,
-    Due(Instant),
+    NotScheduled,
+    Scheduled(Instant),
     Paused {
         until: Instant,
     },
-    Over,
+    Done,
 }
 
 /// The faults of a run.
@@ -60,7 +60,7 @@
             min_stage_seconds: options.min_stage_seconds as f64,
             pauses_zone: options.defect == InjectedDefect::ZonePause,
             controller: ControllerFault::Waiting,
-            zone_pause: ZonePause::None,
+            zone_pause: ZonePause::NotScheduled,
             killed: 0,
         }
     }
@@ -69,15 +69,15 @@
     pub fn on_rollout(&mut self, cluster: &mut Cluster, rollout: &Rollout) {
         let now = Instant::now();
         if matches!(self.controller, ControllerFault::Waiting) && !rollout.released.is_empty() {
-            let delay = self.rng.f64() * KILL_WINDOW * self.min_stage_seconds;
-            self.controller = ControllerFault::Due(now + Duration::from_secs_f64(delay));
+            let delay = self.rng.f64() * KILL_WINDOW_SHARE * self.min_stage_seconds;
+            self.controller = ControllerFault::Scheduled(now + Duration::from_secs_f64(delay));
         }
-        if matches!(self.controller, ControllerFault::Due(at) if now >= at) {
+        if matches!(self.controller, ControllerFault::Scheduled(at) if now >= at) {
             self.kill_controller(cluster, rollout);
         }
         let analysing = rollout.phase == RolloutPhase::Analysing;
-        if self.pauses_zone && analysing && matches!(self.zone_pause, ZonePause::None) {
-            self.zone_pause = ZonePause::Due(now + PAUSE_DELAY);
+        if self.pauses_zone && analysing && matches!(self.zone_pause, ZonePause::NotScheduled) {
+            self.zone_pause = ZonePause::Scheduled(now + PAUSE_DELAY);
         }
     }
 
@@ -91,30 +91,34 @@
         };
         supervisor.kill();
         self.killed += 1;
-        let delay = RESTART_SECONDS + self.rng.f64() * RESTART_EXTRA_SECONDS;
+        let delay = MIN_RESTART_SECONDS + self.rng.f64() * MAX_EXTRA_RESTART_SECONDS;
         let restart = Instant::now() + Duration::from_secs_f64(delay);
-        self.controller = ControllerFault::Dead { zone, restart };
+        self.controller = ControllerFault::Down { zone, restart };
     }
 
     /// Injects and ends what is due.
-    pub fn on_time(&mut self, cluster: &mut Cluster) -> Result<(), ScenarioError> {
+    pub fn run_due(&mut self, cluster: &mut Cluster) -> Result<(), ScenarioError> {
         let now = Instant::now();
-        if let ControllerFault::Dead { zone, restart } = self.controller {
+        if let ControllerFault::Down { zone, restart } = self.controller {
             if now >= restart {
                 cluster.supervisors[zone] = Some(cluster.start_supervisor(zone)?);
-                self.controller = ControllerFault::Over;
+                self.controller = ControllerFault::Done;
             }
         }
         match self.zone_pause {
             // The moment has passed unnoticed: too late to begin.
-            ZonePause::Due(at) if now >= at + PAUSE => self.zone_pause = ZonePause::Over,
-            ZonePause::Due(at) if now >= at => {
+            ZonePause::Scheduled(at) if now >= at + PAUSE_DURATION => {
+                self.zone_pause = ZonePause::Done
+            }
+            ZonePause::Scheduled(at) if now >= at => {
                 signal_first_zone(cluster, Signal::STOP)?;
-                self.zone_pause = ZonePause::Paused { until: at + PAUSE };
+                self.zone_pause = ZonePause::Paused {
+                    until: at + PAUSE_DURATION,
+                };
             }
             ZonePause::Paused { until } if now >= until => {
                 signal_first_zone(cluster, Signal::CONT)?;
-                self.zone_pause = ZonePause::Over;
+                self.zone_pause = ZonePause::Done;
             }
             _ => {}
         }
--- a/programs/scenario/src/rollout/files.rs
+++ b/programs/scenario/src/rollout/files.rs
@@ -2,7 +2,7 @@
 
 use super::options::ScenarioOptions;
 use super::{zone_of, VOTERS, ZONES};
-use crate::defect::with_defect;
+use crate::defect::append_defect_marker;
 use crate::endpoint_list::{self, ListedWorker};
 use crate::error::ScenarioError;
 use crate::fleet::{voter_list, without_fleet};
@@ -11,7 +11,7 @@
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 
-const TEMPLATE: &str = include_str!("settings.cue");
+const SETTINGS_TEMPLATE: &str = include_str!("settings.cue");
 /// The mode of a program's file.
 const PROGRAM_MODE: u32 = 0o755;
 /// Seconds for a front end to be ready, and to end.
@@ -53,7 +53,7 @@
     }
 
     /// A supervisor's list of the front ends of its zone.
-    pub fn machine(&self, zone: usize) -> PathBuf {
+    pub fn supervisor_config(&self, zone: usize) -> PathBuf {
         self.0.join(format!("machine-{}.toml", ZONES[zone]))
     }
 
@@ -76,7 +76,7 @@
         peers: &[SocketAddr],
     ) -> Result<(), ScenarioError> {
         for (zone, name) in ZONES.iter().enumerate() {
-            let text = TEMPLATE
+            let text = SETTINGS_TEMPLATE
                 .replace("ZONE", name)
                 .replace("SIBLINGS", &options.front_ends.to_string())
                 .replace("SEATS", &voter_list(peers, VOTERS));
@@ -96,7 +96,7 @@
 
     fn write_program(&self, path: &Path, source: &Path, defect: &str) -> Result<(), ScenarioError> {
         let program = std::fs::read(source).map_err(ScenarioError::file(source))?;
-        write(path, with_defect(&program, defect))?;
+        write(path, append_defect_marker(&program, defect))?;
         std::fs::set_permissions(path, Permissions::from_mode(PROGRAM_MODE))
             .map_err(ScenarioError::file(path))
     }
@@ -111,11 +111,11 @@
     }
 
     /// Writes a supervisor's list of the front ends of its zone.
-    pub fn write_machine(
+    pub fn write_supervisor_config(
         &self,
         zone: usize,
         voters: &[SocketAddr],
-        front_ends: &[MachineFrontEnd],
+        front_ends: &[SupervisedFrontEnd],
     ) -> Result<(), ScenarioError> {
         let name = ZONES[zone];
         let voters: Vec<String> = voters.iter().map(|voter| format!("\"{voter}\"")).collect();
@@ -126,12 +126,12 @@
         for front_end in front_ends {
             text += &front_end.text();
         }
-        write(&self.machine(zone), text)
+        write(&self.supervisor_config(zone), text)
     }
 }
 
 /// A front end in a supervisor's list.
-pub(super) struct MachineFrontEnd {
+pub(super) struct SupervisedFrontEnd {
     pub index: usize,
     /// Where its peers reach it.
     pub peer_address: SocketAddr,
@@ -139,7 +139,7 @@
     pub arguments: Vec<String>,
 }
 
-impl MachineFrontEnd {
+impl SupervisedFrontEnd {
     fn text(&self) -> String {
         // Of arguments without special characters, the debug form is that of TOML.
         format!(
--- a/programs/scenario/src/rollout/mod.rs
+++ b/programs/scenario/src/rollout/mod.rs
@@ -20,7 +20,7 @@
 pub use options::ScenarioOptions;
 pub use report::{RolloutVerdict, ScenarioReport};
 
-use crate::audit::{crowded_rules, violation_text};
+use crate::audit::{oversubscribed_audit_rules, violation_text};
 use crate::error::ScenarioError;
 use crate::load::{self, LoadFunction, LoadPlan};
 use crate::process;
@@ -76,7 +76,7 @@
     let load = load::join(clients)?;
     observer.observe(&cluster)?;
     let verdict = RolloutVerdict::of(rollout.as_ref());
-    let diverging = diverging_front_ends(&cluster, verdict, &new_program);
+    let diverging = convergence_violation(&cluster, verdict, &new_program);
     process::stop_together(&mut cluster.supervisors)?;
     let mut violations = audit_recording(&cluster, &settings)?;
     violations.append(&mut observer.violations);
@@ -105,9 +105,9 @@
     stop: Arc<AtomicBool>,
 ) -> LoadPlan {
     LoadPlan {
-        fronts: cluster.client_addresses.clone(),
+        front_ends: cluster.client_addresses.clone(),
         functions: LoadFunction::all(settings),
-        work: 5..=20,
+        work_ms: 5..=20,
         rate: options.rate,
         seconds: options.baseline_seconds.unwrap_or(options.max_seconds),
         seed: options.seed,
@@ -137,19 +137,19 @@
             rollout = cluster.rollout().or(rollout);
         }
         if let Some(rollout) = &rollout {
-            if is_settled(rollout) {
+            if is_idle(rollout) {
                 break;
             }
             faults.on_rollout(cluster, rollout);
         }
-        faults.on_time(cluster)?;
+        faults.run_due(cluster)?;
         std::thread::sleep(OBSERVATION_INTERVAL);
     }
     Ok(rollout)
 }
 
 /// Whether nothing more happens by itself.
-fn is_settled(rollout: &Rollout) -> bool {
+fn is_idle(rollout: &Rollout) -> bool {
     rollout.has_ended() || rollout.paused && rollout.released.is_empty()
 }
 
@@ -161,7 +161,7 @@
 }
 
 /// Waits until all front ends run the program that the log says; gives the violation if they don't.
-fn diverging_front_ends(
+fn convergence_violation(
     cluster: &Cluster,
     verdict: RolloutVerdict,
     new_program: &str,
@@ -194,6 +194,9 @@
 /// The violations that the auditor finds in what passed the proxy, in words.
 fn audit_recording(cluster: &Cluster, settings: &Settings) -> Result<Vec<String>, ScenarioError> {
     let entries = cluster.proxy.take_entries()?;
-    let (audit, _) = audit_with_history(&entries, &crowded_rules(settings, WORKER_CORES));
+    let (audit, _) = audit_with_history(
+        &entries,
+        &oversubscribed_audit_rules(settings, WORKER_CORES),
+    );
     Ok(audit.violations.iter().map(violation_text).collect())
 }
--- a/programs/scenario/src/rollout/observer.rs
+++ b/programs/scenario/src/rollout/observer.rs
@@ -11,10 +11,10 @@
 use tansy_audit::Mark;
 use tansy_fleet::processes::SupervisedProcess;
 
-/// A front end that accepts no connection within this time is away.
+/// A front end that accepts no connection within this time is unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Front ends of a zone that may be away at once.
-const MAX_AWAY: usize = 1;
+/// Front ends of a zone that may be unreachable at once.
+const MAX_UNREACHABLE: usize = 1;
 
 /// The observations so far.
 pub(super) struct Observer {
@@ -24,8 +24,8 @@
     /// Front ends' processes that were running, by their ids.
     processes: BTreeMap<u32, SupervisedProcess>,
     /// Sum of the shares of front ends that ran the new program, and their number.
-    exposed: f64,
-    observations: f64,
+    exposed_share_sum: f64,
+    observation_count: f64,
     /// Least share of a zone's front ends that accepted connections.
     pub min_capacity: f64,
     /// What must not be, in words.
@@ -38,8 +38,8 @@
             options: options.clone(),
             new_program,
             processes: BTreeMap::new(),
-            exposed: 0.0,
-            observations: 0.0,
+            exposed_share_sum: 0.0,
+            observation_count: 0.0,
             min_capacity: 1.0,
             violations: Vec::new(),
         }
@@ -47,20 +47,20 @@
 
     /// Average share of the front ends that ran the new program.
     pub fn exposed_share(&self) -> f64 {
-        self.exposed / self.observations.max(1.0)
+        self.exposed_share_sum / self.observation_count.max(1.0)
     }
 
     /// Observes once.
     pub fn observe(&mut self, cluster: &Cluster) -> Result<(), ScenarioError> {
         let running = cluster.processes();
-        self.check_names(&running);
+        self.check_unique_names(&running);
         self.mark_crashes(cluster, &running)?;
         let accepting = self.accepting(cluster);
         let on_new = running
             .iter()
             .filter(|process| process.program == self.new_program);
-        self.exposed += on_new.count() as f64 / self.options.front_ends as f64;
-        self.observations += 1.0;
+        self.exposed_share_sum += on_new.count() as f64 / self.options.front_ends as f64;
+        self.observation_count += 1.0;
         self.processes = running
             .into_iter()
             .map(|process| (process.pid, process))
@@ -75,7 +75,7 @@
     }
 
     /// No two processes may have one name.
-    fn check_names(&mut self, running: &[SupervisedProcess]) {
+    fn check_unique_names(&mut self, running: &[SupervisedProcess]) {
         let mut names = BTreeSet::new();
         for process in running {
             if !names.insert(process.name.as_str()) {
@@ -117,16 +117,16 @@
     }
 
     fn check_capacity(&mut self, zone: usize, accepting: &[bool]) {
-        let of_zone: Vec<bool> = (0..accepting.len())
+        let zone_front_ends: Vec<bool> = (0..accepting.len())
             .filter(|front| zone_of(*front) == zone)
             .map(|front| accepting[front])
             .collect();
-        let away = of_zone.iter().filter(|accepts| !**accepts).count();
-        let capacity = 1.0 - away as f64 / of_zone.len() as f64;
+        let unreachable = zone_front_ends.iter().filter(|accepts| !**accepts).count();
+        let capacity = 1.0 - unreachable as f64 / zone_front_ends.len() as f64;
         self.min_capacity = self.min_capacity.min(capacity);
-        if away > MAX_AWAY {
+        if unreachable > MAX_UNREACHABLE {
             self.violations.push(format!(
-                "{away} front ends of zone {} took no connections at once",
+                "{unreachable} front ends of zone {} took no connections at once",
                 ZONES[zone]
             ));
         }
--- a/programs/scenario/src/rollout/proposal.rs
+++ b/programs/scenario/src/rollout/proposal.rs
@@ -35,7 +35,7 @@
         let voters = self.peers[..VOTERS].to_vec();
         let deadline = Instant::now() + BEGIN_TIMEOUT;
         while Instant::now() < deadline {
-            let Some((leader, _)) = fleet::leader(&mut self.client, &voters) else {
+            let Some((leader, _)) = fleet::find_leader(&mut self.client, &voters) else {
                 continue;
             };
             let entry = Entry::Rollout(roll_entry(&entry, None));
--- a/programs/scenario/tests/marks.rs
+++ b/programs/scenario/tests/marks.rs
@@ -5,7 +5,7 @@
 use tansy_scenario::audit::record_marks;
 
 /// The order of marks and of the action, which is `None`.
-fn order(marks: &[Mark]) -> Vec<Option<Mark>> {
+fn recorded_order(marks: &[Mark]) -> Vec<Option<Mark>> {
     let events = RefCell::new(Vec::new());
     let add = |event| -> Result<(), ()> {
         events.borrow_mut().push(event);
@@ -28,7 +28,7 @@
         },
     );
     assert_eq!(
-        order(&[one.clone(), other.clone()]),
+        recorded_order(&[one.clone(), other.clone()]),
         [Some(one), Some(other), None]
     );
 }
@@ -36,7 +36,7 @@
 #[test]
 fn a_process_is_awake_before_it_is_woken() {
     assert_eq!(
-        order(&[Mark::Resumed { front: 2 }]),
+        recorded_order(&[Mark::Resumed { front: 2 }]),
         [Some(Mark::Resumed { front: 2 }), None]
     );
 }
@@ -47,7 +47,10 @@
         front: 0,
         worker: 1,
     };
-    assert_eq!(order(std::slice::from_ref(&leaves)), [None, Some(leaves)]);
+    assert_eq!(
+        recorded_order(std::slice::from_ref(&leaves)),
+        [None, Some(leaves)]
+    );
 }
 
 #[test]
--- a/programs/scenario/tests/scenario.rs
+++ b/programs/scenario/tests/scenario.rs
@@ -19,7 +19,7 @@
     (output.status.code(), text)
 }
 
-fn count(text: &str, line: &str, name: &str) -> u64 {
+fn printed_count(text: &str, line: &str, name: &str) -> u64 {
     let line = text
         .lines()
         .find(|l| l.starts_with(line))
@@ -43,15 +43,15 @@
         "{text}"
     );
     let (begun, started) = (
-        count(&text, "clients:", "begun"),
-        count(&text, "sockets:", "started"),
+        printed_count(&text, "clients:", "begun"),
+        printed_count(&text, "sockets:", "started"),
     );
     assert_eq!(begun, 1500, "{text}");
     // What was begun while a front end was dead never started; the rest did.
     assert!(started > 1300 && started <= begun, "{text}");
-    assert!(count(&text, "sockets:", "served") > 1200, "{text}");
+    assert!(printed_count(&text, "sockets:", "served") > 1200, "{text}");
     assert!(
-        count(&text, "sockets:", "repeats") > 0,
+        printed_count(&text, "sockets:", "repeats") > 0,
         "faults led to further attempts: {text}"
     );
     assert!(
@@ -69,12 +69,12 @@
         "{text}"
     );
     // The workers that came back are loaded anew and used: the warm zone alone has too few lanes for this load.
-    assert!(count(&text, "sockets:", "loads") > 30, "{text}");
-    assert!(count(&text, "sockets:", "served") > 1400, "{text}");
+    assert!(printed_count(&text, "sockets:", "loads") > 30, "{text}");
+    assert!(printed_count(&text, "sockets:", "served") > 1400, "{text}");
 }
 
 /// A short run of versions: kills of all, a stop, links paused; the last line of its output.
-fn agree(more: &[&str]) -> (Option<i32>, serde_json::Value, String) {
+fn run_agreement(more: &[&str]) -> (Option<i32>, serde_json::Value, String) {
     let common = [
         "--scenario",
         "agree",
@@ -95,7 +95,7 @@
 
 #[test]
 fn front_ends_agree_on_versions_while_each_of_them_is_killed() {
-    let (code, line, text) = agree(&["--rounds", "3", "--seed", "5"]);
+    let (code, line, text) = run_agreement(&["--rounds", "3", "--seed", "5"]);
     assert_eq!(code, Some(0), "{text}");
     assert!(line["ok"] == true && line["breaches"] == 0, "{text}");
     assert!(
@@ -110,7 +110,7 @@
 
 #[test]
 fn a_front_end_that_acts_on_its_own_file_is_found() {
-    let (code, line, text) = agree(&["--rounds", "3", "--seed", "3", "--outsider"]);
+    let (code, line, text) = run_agreement(&["--rounds", "3", "--seed", "3", "--outsider"]);
     assert_eq!(code, Some(3), "{text}");
     assert!(line["contradiction_ms"].as_f64() > Some(2000.0), "{text}");
 }
