--- a/programs/scenario/src/load/call.rs
+++ b/programs/scenario/src/load/call.rs
@@ -1,4 +1,4 @@
-//! One call of a client: its choices, all made by the seed, and its request.
+//! A call of a client: its random parameters and its request message.
 
 use super::plan::LoadPlan;
 use bytes::Bytes;
@@ -10,38 +10,39 @@
 
 /// Share of the calls that are streamed.
 const STREAMED_SHARE: f64 = 0.7;
-/// Share of the calls that the client cancels, and after how many microseconds.
+/// Share of the calls that the client cancels.
 const CANCELLED_SHARE: f64 = 0.05;
+/// Time until the client cancels such a call.
 const CANCEL_AFTER_US: std::ops::Range<u64> = 200..40_000;
-/// Share of the calls whose client reads slowly, and its milliseconds for each message.
+/// Share of the calls whose client reads slowly.
 const SLOW_READER_SHARE: f64 = 0.02;
+/// Time that such a client takes for each message.
 const SLOW_READ_MS: std::ops::Range<u64> = 5..60;
-/// The most messages of a streamed answer.
+/// Maximum number of messages of a streamed answer.
 const MAX_MESSAGES: i64 = 5;
 
-/// The choices of one call.
+/// The parameters of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct PlannedCall {
-    /// Index of the connection that is tried first.
+    /// Index of the connection to try first.
     pub first_link: usize,
     pub function: String,
-    /// Microseconds; 0: none is said.
+    /// Timeout that the client sends; 0: none.
     pub timeout_us: i64,
     pub streamed: bool,
-    /// Messages of the answer.
+    /// Number of messages of the answer.
     pub messages: i64,
-    /// Milliseconds.
     pub work_ms: i64,
     pub cancel_after: Option<Duration>,
-    /// Time that the client takes for each message.
+    /// Time that the client takes to process each message.
     pub read_delay: Option<Duration>,
 }
 
 impl PlannedCall {
-    /// Draws a call. The order of the draws is part of what a seed means.
+    /// Generates a random call. The order of the draws must not change, or a seed gives other calls than before.
     pub fn generate(plan: &LoadPlan, links: usize, rng: &mut fastrand::Rng) -> PlannedCall {
         let first_link = rng.usize(..links);
-        // Some functions are called more often than others.
+        // Unless calls are simple, the product of two uniform numbers favours the first functions.
         let skew = rng.f64() * if plan.simple_calls { 1.0 } else { rng.f64() };
         let index = (skew * plan.functions.len() as f64) as usize;
         let function = plan.functions[index.min(plan.functions.len() - 1)].clone();
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The framed request of the call with this number.
+    /// The call's request message, framed for gRPC.
     pub fn request(&self, id_prefix: &str, number: u64) -> Bytes {
         let input = pb::model_infer_request::InferInputTensor {
             name: "x".into(),
@@ -87,7 +88,7 @@
             parameters: BTreeMap::from([
                 ("pieces".to_string(), integer(self.messages)),
                 ("work_ms".to_string(), integer(self.work_ms)),
-                // Without one, the class's deadline holds.
+                // 0: the deadline of the function's class applies.
                 ("timeout".to_string(), integer(self.timeout_us.max(0))),
             ]),
             inputs: vec![input],
--- a/programs/scenario/src/load/call/tests.rs
+++ b/programs/scenario/src/load/call/tests.rs
@@ -1,11 +1,11 @@
-//! The calls that a seed means.
+//! Generated calls for a seed stay the same.
 
 use super::*;
 use crate::load::plan::LoadFunction;
 use crate::testing::fnv1a;
 use std::net::SocketAddr;
 
-/// Recorded from an earlier program: the same seed goes on meaning the same calls.
+/// `simple_calls` and the hash of the calls that an earlier version generated.
 const RECORDED: [(bool, u64); 2] = [
     (false, 0x07b2_c227_3424_5507),
     (true, 0x6ab9_096f_2a23_f138),
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_seed_means_the_same_calls_as_ever() {
+fn a_seed_gives_the_recorded_calls() {
     for (simple_calls, recorded) in RECORDED {
         let plan = plan(simple_calls);
         let mut rng = fastrand::Rng::with_seed(plan.seed);
--- a/programs/scenario/src/load/exchange.rs
+++ b/programs/scenario/src/load/exchange.rs
@@ -1,4 +1,4 @@
-//! A call on one connection, and how it ended.
+//! Sends a call on one connection and determines its outcome.
 
 use super::call::PlannedCall;
 use bytes::Bytes;
@@ -13,15 +13,15 @@
 use tansy_net_grpc::link::Link;
 use tansy_net_sockets::Spawner;
 
-/// The code of a RST_STREAM for a stream that was not processed.
+/// HTTP/2 error code REFUSED_STREAM: the server did not process the stream.
 const REFUSED_STREAM: u32 = 7;
-/// The longest message that a client reads.
+/// Maximum size of a message that a client reads.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// The authority is part of the recorded bytes.
+/// The authority is part of the recorded traffic.
 const UNARY_URI: &str = "http://day/inference.GRPCInferenceService/ModelInfer";
 const STREAM_URI: &str = "http://day/inference.GRPCInferenceService/ModelStreamInfer";
 
-/// How a call ended at its client.
+/// The outcome of a call for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallOutcome {
     Served,
@@ -29,11 +29,11 @@
     Failed,
     Cancelled,
     Lost,
-    /// No connection could be had, or the server says that it did not process the call.
+    /// No connection was available, or the server reported that it did not process the call.
     NotSent,
 }
 
-/// Sends a call on one connection, and reads its answer. `first_message` gets the microseconds until the first message.
+/// Sends a call on one connection and reads its answer. Stores the microseconds until the first message in `first_message`.
 pub(super) async fn send(
     spawner: &Spawner,
     link: &Rc<Link>,
@@ -88,7 +88,7 @@
     request
 }
 
-/// What the last message of a stream says of its call.
+/// The outcome that a message of a stream reports; the last one is the call's outcome.
 fn streamed_outcome(message: Bytes) -> CallOutcome {
     let response = ModelStreamInferResponse::decode(message).unwrap_or_default();
     match response.error_message.as_str() {
@@ -104,7 +104,7 @@
         Ending::Status(Code::Ok, _) => CallOutcome::Served,
         Ending::Status(Code::Unavailable, _) => CallOutcome::Refused,
         Ending::Status(..) => CallOutcome::Failed,
-        // The server says that it has not processed it.
+        // The server did not process the call.
         Ending::RefusedByGoaway | Ending::NotSent | Ending::Reset(REFUSED_STREAM) => {
             CallOutcome::NotSent
         }
--- a/programs/scenario/src/load/mod.rs
+++ b/programs/scenario/src/load/mod.rs
@@ -1,9 +1,9 @@
-//! The clients of a scenario: so many calls a second, some cancelled, some read slowly.
+//! The load generator: clients that send calls at a constant rate, cancel some, and read some answers slowly.
 //!
-//! - `plan`: what they send.
-//! - `call`: one call, drawn by the seed.
-//! - `exchange`: a call on a connection.
-//! - `result`: what they observed.
+//! - `plan`: rate, functions and other parameters of the load.
+//! - `call`: generates a random call.
+//! - `exchange`: sends a call on a connection.
+//! - `result`: counters and latencies.
 
 mod call;
 mod exchange;
@@ -25,19 +25,18 @@
 use tansy_net_grpc::link::{Limits, Link};
 use tansy_net_sockets::Spawner;
 
-/// Connections that a client tries at most, one after the other, while it reaches none.
+/// Maximum number of connections that a client tries in turn until it reaches a front end.
 const MAX_CONNECTION_ATTEMPTS: usize = 4;
-/// Connections to each front end.
 const CONNECTIONS_PER_FRONT_END: usize = 4;
-/// Seconds after the end of the plan by which calls are answered or count as lost.
+/// Time after the end of the plan until unanswered calls count as lost.
 const GRACE_SECONDS: f64 = 5.0;
-/// Time between two looks at the calls that are still open when all have been sent.
+/// Time between two checks for open calls after the last one was sent.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
-/// Progress is reported in such parts of the plan's time.
+/// Number of progress reports over the plan's time.
 const PROGRESS_STEPS: f64 = 1000.0;
 
-/// What the open calls share.
+/// State shared by the open calls.
 struct CallStatistics {
     open_calls: Cell<u64>,
     result: RefCell<LoadResult>,
@@ -64,7 +63,7 @@
     }
 }
 
-/// Runs the clients on a thread of their own.
+/// Runs the clients on a new thread.
 pub(crate) fn spawn(plan: LoadPlan) -> JoinHandle<Result<LoadResult, ScenarioError>> {
     std::thread::spawn(move || {
         let (progress, _receiver) = mpsc::channel();
@@ -72,15 +71,15 @@
     })
 }
 
-/// The result of the clients' thread.
+/// Waits for the clients' thread and returns its result.
 pub(crate) fn join(
     clients: JoinHandle<Result<LoadResult, ScenarioError>>,
 ) -> Result<LoadResult, ScenarioError> {
     let result = clients.join();
-    result.map_err(|_| ScenarioError::ThreadEnded("clients'"))?
+    result.map_err(|_| ScenarioError::ThreadEnded("load generator"))?
 }
 
-/// Runs the clients on this thread; `progress` gets the part of the plan's time that has passed, again and again.
+/// Runs the clients on this thread; sends the elapsed share of the plan's time to `progress` repeatedly.
 ///
 /// # Errors
 /// The event loop fails.
@@ -93,13 +92,13 @@
             continue;
         }
         if let Some(passed) = clients.new_progress() {
-            // Whoever listens may have ended.
+            // The receiver may have been dropped.
             let _ = progress.send(passed);
         }
         event_loop.dispatch(Some(clients.time_to_next()), &mut ())?;
     }
     let open = clients.statistics.open_calls.get();
-    // Ends the open calls; none of them is counted any more.
+    // Drops the open calls, so that none is counted twice.
     drop(event_loop);
     let mut result = clients.statistics.result.replace(LoadResult::new()?);
     result.begun = clients.sent;
@@ -107,7 +106,7 @@
     Ok(result)
 }
 
-/// The clients, on one event loop.
+/// All clients, which share one event loop.
 struct Clients<'a> {
     plan: &'a LoadPlan,
     spawner: Spawner,
@@ -116,18 +115,19 @@
     rng: fastrand::Rng,
     started: Instant,
     sent: u64,
-    /// Calls to be sent, and the seconds for it: less than the plan's once it is stopped.
+    /// Number of calls to send; less than the plan's once the plan is stopped.
     call_count: u64,
+    /// Time in which the calls are due; shorter than the plan's once the plan is stopped.
     seconds: f64,
-    /// The last reported progress, in its parts.
+    /// The last reported progress, in units of 1 / [`PROGRESS_STEPS`].
     reported_steps: u64,
 }
 
 impl<'a> Clients<'a> {
     fn new(plan: &'a LoadPlan, spawner: Spawner) -> Result<Clients<'a>, ScenarioError> {
         let link = |index: usize| {
-            let front = plan.front_ends[index / CONNECTIONS_PER_FRONT_END];
-            Link::new(spawner.clone(), front, Limits::default())
+            let address = plan.front_ends[index / CONNECTIONS_PER_FRONT_END];
+            Link::new(spawner.clone(), address, Limits::default())
         };
         let links = (0..plan.front_ends.len() * CONNECTIONS_PER_FRONT_END)
             .map(link)
@@ -150,7 +150,7 @@
         })
     }
 
-    /// Whether all calls are sent, and answered or given up.
+    /// Whether all calls were sent, and are answered or past the grace time.
     fn are_done(&self) -> bool {
         let in_grace = self.started.elapsed().as_secs_f64() < self.seconds + GRACE_SECONDS;
         self.sent >= self.call_count && !(self.statistics.open_calls.get() > 0 && in_grace)
@@ -167,14 +167,14 @@
         self.started + Duration::from_nanos(NANOS_PER_SECOND * self.sent / self.plan.rate)
     }
 
-    /// Begins the next call if its time has come.
+    /// Starts the next call if it is due.
     fn send_if_due(&mut self) -> bool {
         if self.sent >= self.call_count || self.next_due() > Instant::now() {
             return false;
         }
         let call = PlannedCall::generate(self.plan, self.links.len(), &mut self.rng);
         let request = call.request(self.plan.id_prefix, self.sent);
-        // A client that reaches nobody asks the next front end.
+        // If a connection fails, the client tries the next front end.
         let links: Vec<Rc<Link>> = (0..MAX_CONNECTION_ATTEMPTS)
             .map(|attempt| {
                 (call.first_link + attempt * (CONNECTIONS_PER_FRONT_END + 1)) % self.links.len()
@@ -188,15 +188,15 @@
         true
     }
 
-    /// The part of the plan's time that has passed, once it is larger than the last one reported.
+    /// The elapsed share of the plan's time, if a further step has passed since the last report.
     fn new_progress(&mut self) -> Option<f64> {
         let share = self.started.elapsed().as_secs_f64() / self.plan.seconds;
-        let parts = (share * PROGRESS_STEPS) as u64;
-        if parts <= self.reported_steps {
+        let steps = (share * PROGRESS_STEPS) as u64;
+        if steps <= self.reported_steps {
             return None;
         }
-        self.reported_steps = parts;
-        Some(parts as f64 / PROGRESS_STEPS)
+        self.reported_steps = steps;
+        Some(steps as f64 / PROGRESS_STEPS)
     }
 
     fn time_to_next(&self) -> Duration {
@@ -208,7 +208,7 @@
     }
 }
 
-/// Performs one client's call on the first of the connections that can be had.
+/// Performs a call on the first connection that is available, and records its outcome.
 async fn perform(
     spawner: Spawner,
     statistics: Rc<CallStatistics>,
--- a/programs/scenario/src/load/plan.rs
+++ b/programs/scenario/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! What the clients of a scenario send.
+//! Parameters of the load generator.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -9,9 +9,9 @@
 /// A function that clients call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadFunction {
-    /// Its name.
+    /// Name of the function.
     pub name: String,
-    /// What clients say that they wait, microseconds; 0: nothing, so that the class's deadline holds.
+    /// Timeout that clients send; 0: none, so that the class's deadline applies.
     pub timeout_us: i64,
 }
 
@@ -33,31 +33,31 @@
     }
 }
 
-/// What the clients of a scenario send.
+/// Parameters of the load.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// Where the front ends are.
+    /// Addresses of the front ends.
     pub front_ends: Vec<SocketAddr>,
-    /// The functions; the first ones are called most often.
+    /// Functions to call; the first ones are called most often.
     pub functions: Vec<LoadFunction>,
-    /// Milliseconds of work of a call.
+    /// Range of a call's work.
     pub work_ms: RangeInclusive<i64>,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: u64,
-    /// Seconds.
+    /// Time during which calls are sent.
     pub seconds: f64,
-    /// Seed of all random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// The calls' ids begin with this.
+    /// Prefix of the calls' ids.
     pub id_prefix: &'static str,
-    /// Calls are unary, read at once and never cancelled; functions are called equally often.
+    /// All calls are unary, read at once and never cancelled, and all functions are called equally often.
     pub simple_calls: bool,
-    /// No call is begun once this is set.
+    /// Stops the plan once set: no further calls are started.
     pub stop: Option<Arc<AtomicBool>>,
 }
 
 impl LoadPlan {
-    /// How many calls there are if nothing stops the plan.
+    /// Number of calls if the plan is not stopped.
     pub(super) fn call_count(&self) -> u64 {
         (self.rate as f64 * self.seconds) as u64
     }
--- a/programs/scenario/src/load/result.rs
+++ b/programs/scenario/src/load/result.rs
@@ -1,30 +1,29 @@
-//! What the clients of a scenario observed.
+//! Results of the load generator.
 
 use hdrhistogram::{CreationError, Histogram};
 
-/// The longest latency that is counted as it is, microseconds.
+/// Maximum recorded latency; longer ones are recorded as this one.
 const MAX_LATENCY_US: u64 = 60_000_000;
-/// Significant digits of counted latencies.
 const LATENCY_SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What the clients of a scenario observed.
+/// Counters and latencies of the calls.
 #[derive(Debug)]
 pub struct LoadResult {
-    /// Calls begun.
+    /// Calls started.
     pub begun: u64,
-    /// Answered in full.
+    /// Calls answered in full.
     pub served: u64,
-    /// Refused.
+    /// Calls refused by a front end.
     pub refused: u64,
-    /// Failed.
+    /// Calls that ended with another error.
     pub failed: u64,
-    /// Cancelled by plan.
+    /// Calls that the client cancelled.
     pub cancelled: u64,
-    /// No connection, or it was lost.
+    /// Calls without an answer: no connection, a lost one, or no answer by the end of the run.
     pub lost: u64,
-    /// Microseconds until the last message, of served calls.
+    /// Microseconds until the last message of served calls.
     pub latency: Histogram<u64>,
-    /// Microseconds until the first message, of served streams.
+    /// Microseconds until the first message of served calls.
     pub first_message: Histogram<u64>,
 }
 
