--- a/programs/scenario/src/faults/all_faults.cue
+++ b/programs/scenario/src/faults/all_faults.cue
@@ -1,4 +1,4 @@
-// The settings of the scenario with every fault: two rooms, three kinds of calls, every rule with a figure.
+// Settings of the scenario with every fault: two zones, and a class for each kind of effect.
 zones: ["room-a", "room-b"]
 classes: {
     read:  {aim: 400ms, deadline: 1500ms, late_worth: 0.3, streamed: true}
@@ -6,7 +6,7 @@
     post:  {aim: 600ms, deadline: 2s, late_worth: 0.3, effect: "unsafe"}
 }
 #Model: {lanes: 16, memory: 300MB, load_time: 80ms}
-// The clients ask for the first ones most often.
+// Clients call the first functions most often.
 functions: {
     "read-0": #Model & {class: "read"}
     "post-0": #Model & {class: "post"}
--- a/programs/scenario/src/faults/cold_zone.cue
+++ b/programs/scenario/src/faults/cold_zone.cue
@@ -1,5 +1,5 @@
-// The settings of a zone that comes back cold: no ration, calls that take long, a long objective, so that neither load requests
-// nor slow answers keep load from the workers that have just started. Rule 4 alone does.
+// Settings of the scenario in which a zone restarts cold. Without a ration of load requests, and with long calls and objectives,
+// only slow start (rule 4 of the audit) limits the load on workers that have just started.
 zones: ["room-a", "room-b"]
 classes: {
     read:  {aim: 4s, deadline: 6s, late_worth: 0.3, streamed: true}
--- a/programs/scenario/src/faults/definition.rs
+++ b/programs/scenario/src/faults/definition.rs
@@ -1,4 +1,4 @@
-//! The scenarios that inject faults: processes, load and script of each.
+//! Definitions of the fault scenarios: processes, load and script.
 
 use super::script::{FaultStep, ALL_FAULTS_SCRIPT, COLD_ZONE_SCRIPT};
 use std::ops::RangeInclusive;
@@ -6,25 +6,25 @@
 /// A scenario that injects faults.
 #[derive(Debug)]
 pub struct FaultScenario {
-    /// Its settings' file name, for errors.
+    /// File name of the settings, for error messages.
     pub settings_name: &'static str,
-    /// Its settings' text.
+    /// Text of the settings.
     pub settings_text: &'static str,
-    /// Front ends.
+    /// Number of front ends.
     pub gateways: usize,
-    /// Workers, unless the command line says otherwise.
+    /// Default number of workers.
     pub workers: usize,
-    /// Seconds of work that a worker does a second, likewise.
+    /// Default number of cores of a worker: seconds of work that it can do per second.
     pub cores: f64,
-    /// Calls a second, likewise.
+    /// Default number of calls per second.
     pub rate: u64,
-    /// Milliseconds of work of a call.
+    /// Range of a call's work.
     pub work_ms: RangeInclusive<i64>,
-    /// What goes wrong, and at which part of the scenario's time (0 to 1).
+    /// Fault steps, each with its time as a share of the scenario's length (0 to 1).
     pub script: &'static [(f64, FaultStep)],
 }
 
-/// Every fault in turn, two front ends.
+/// Every fault in turn, with two front ends.
 pub const ALL_FAULTS: FaultScenario = FaultScenario {
     settings_name: "all_faults.cue",
     settings_text: include_str!("all_faults.cue"),
@@ -36,7 +36,7 @@
     script: ALL_FAULTS_SCRIPT,
 };
 
-/// A zone of three workers comes back cold, under more load than the warm zone can serve, from four front ends.
+/// A zone of three workers restarts cold while four front ends have more load than the other zone can serve.
 pub const COLD_ZONE: FaultScenario = FaultScenario {
     settings_name: "cold_zone.cue",
     settings_text: include_str!("cold_zone.cue"),
--- a/programs/scenario/src/faults/mod.rs
+++ b/programs/scenario/src/faults/mod.rs
@@ -1,7 +1,7 @@
 //! Scenarios that inject faults between front ends, workers and clients.
 //!
 //! - `definition`: processes, load and script of each scenario.
-//! - `script`: which fault comes when.
+//! - `script`: the faults and their times.
 //! - `process_group`: the processes and the proxy between them.
 
 mod definition;
@@ -18,38 +18,38 @@
 use std::sync::mpsc;
 use tansy_audit::{audit, Audit};
 
-/// What of a scenario the command line decides.
+/// Options of a fault scenario.
 #[derive(Clone, Debug)]
 pub struct FaultOptions {
-    /// Seed of the clients' random choices.
+    /// Seed of the load generator.
     pub seed: u64,
-    /// Seconds.
+    /// Length of the scenario.
     pub seconds: f64,
-    /// Calls a second; none: the scenario's.
+    /// Calls per second; `None`: the scenario's default.
     pub rate: Option<u64>,
-    /// Workers; none: the scenario's.
+    /// Number of workers; `None`: the scenario's default.
     pub workers: Option<usize>,
-    /// Seconds of work that a worker does a second; none: the scenario's.
+    /// Cores of a worker; `None`: the scenario's default.
     pub cores: Option<f64>,
-    /// No fault is injected.
+    /// Whether to inject no faults.
     pub without_faults: bool,
 }
 
-/// The result of a scenario.
+/// The result of a fault scenario.
 #[derive(Debug)]
 pub struct FaultReport {
-    /// What the clients observed.
+    /// Results of the load generator.
     pub load: LoadResult,
     /// The counters of each gateway, as it printed them.
     pub counters: Vec<String>,
-    /// What the auditor found.
+    /// Results of the audit.
     pub audit: Audit,
 }
 
 /// Runs a scenario.
 ///
 /// # Errors
-/// A process, the proxy or the clients fail; violations of rules are no error.
+/// A process, the proxy or the load generator fails. Rule violations are part of the report.
 pub fn run(scenario: &FaultScenario, options: &FaultOptions) -> Result<FaultReport, ScenarioError> {
     let workers = options.workers.unwrap_or(scenario.workers);
     let cores = options.cores.unwrap_or(scenario.cores);
@@ -69,7 +69,7 @@
     let (progress, passed) = mpsc::channel();
     let clients = std::thread::spawn(move || load::run(&plan, &progress));
     if options.without_faults {
-        // Until the clients end.
+        // Waits until the clients are done.
         passed.iter().for_each(drop);
     } else {
         run_script(&mut group, scenario.script, &passed)?;
@@ -84,7 +84,7 @@
     })
 }
 
-/// Performs each step once its part of the time has passed, until the clients end.
+/// Performs each step when it is due, until the clients are done.
 fn run_script(
     group: &mut ProcessGroup,
     script: &[(f64, FaultStep)],
--- a/programs/scenario/src/faults/process_group.rs
+++ b/programs/scenario/src/faults/process_group.rs
@@ -1,4 +1,4 @@
-//! The processes of a scenario that injects faults, and the proxy between them.
+//! The processes of a fault scenario, and the proxy between them.
 
 use super::definition::FaultScenario;
 use crate::audit::record_marks;
@@ -12,30 +12,30 @@
 use tansy_audit::{Entry, Link, Mark};
 use tansy_test_support::process::ServerProcess;
 
-/// Workers and gateways, with the proxy between all of them.
+/// Workers and gateways, connected through a fault proxy.
 pub struct ProcessGroup {
     proxy: FaultProxyThread,
     workers: Vec<ServerProcess>,
-    /// None while a gateway is dead.
+    /// `None` while a gateway is killed.
     gateways: Vec<Option<ServerProcess>>,
     gateway_addresses: Vec<GatewayAddresses>,
-    /// Where clients reach each gateway, through the proxy.
+    /// The proxy's address for clients of each gateway.
     client_addresses: Vec<SocketAddr>,
     /// Each gateway's endpoint list.
     endpoint_lists: Vec<Vec<ListedWorker>>,
     folder: PathBuf,
 }
 
-/// What is left when all processes have ended.
+/// The results of a group whose processes have exited.
 pub struct GroupResult {
-    /// What passed the proxy.
+    /// The proxy's recording.
     pub entries: Vec<Entry>,
-    /// The counters of each gateway that was running, as it printed them.
+    /// The counters that each running gateway printed when it exited.
     pub counters: Vec<String>,
 }
 
 impl ProcessGroup {
-    /// Starts workers and gateways, with the proxy between all of them.
+    /// Starts the proxy, the workers and the gateways.
     ///
     /// # Errors
     /// A process or the proxy does not start, or a file can't be written.
@@ -129,7 +129,7 @@
         endpoint_list::replace(&self.folder, front, &self.endpoint_lists[front])
     }
 
-    /// Where clients reach each gateway, through the proxy.
+    /// The proxy's address for clients of each gateway.
     pub fn client_addresses(&self) -> &[SocketAddr] {
         &self.client_addresses
     }
@@ -139,7 +139,7 @@
         &self.proxy
     }
 
-    /// Says in one front end's endpoint list whether a worker drains.
+    /// Changes a worker between draining and ready in one front end's endpoint list.
     ///
     /// # Errors
     /// The list can't be written.
@@ -162,10 +162,10 @@
         )
     }
 
-    /// Restarts a worker in cold state, and says so in all endpoint lists.
+    /// Restarts a worker without loaded functions, and updates its start time in all endpoint lists.
     ///
     /// # Errors
-    /// The worker does not restart, or a list can't be written.
+    /// The restart request fails, or a list can't be written.
     pub fn restart_worker(&mut self, worker: usize) -> Result<(), ScenarioError> {
         self.control(worker, "/restart")?;
         self.proxy.mark(Mark::Started { worker })?;
@@ -176,10 +176,10 @@
         Ok(())
     }
 
-    /// Asks for a path on a worker's control port.
+    /// Sends a request to a worker's control port.
     ///
     /// # Errors
-    /// The worker does not answer, or refuses.
+    /// See [`process::control`].
     pub fn control(&self, worker: usize, path: &str) -> Result<(), ScenarioError> {
         process::control(&self.workers[worker], path)
     }
@@ -187,7 +187,7 @@
     /// Kills a front end.
     ///
     /// # Errors
-    /// The proxy has ended.
+    /// The proxy's thread has exited.
     pub fn kill_front_end(&mut self, front: usize) -> Result<(), ScenarioError> {
         if let Some(mut gateway) = self.gateways[front].take() {
             gateway.kill();
@@ -195,20 +195,20 @@
         self.proxy.mark(Mark::Killed { front })
     }
 
-    /// Starts it again at its addresses.
+    /// Starts a killed front end again at the same addresses.
     ///
     /// # Errors
-    /// It does not start.
+    /// The process does not start.
     pub fn restart_front_end(&mut self, front: usize) -> Result<(), ScenarioError> {
         let addresses = self.gateway_addresses[front];
         self.gateways[front] = Some(self.start_gateway(front, addresses)?);
         Ok(())
     }
 
-    /// Ends the gateways, and gives the recording and their counters; workers that failed under overload are marked.
+    /// Stops the gateways and returns their counters and the recording, with an overload mark for each worker that has exited.
     ///
     /// # Errors
-    /// A gateway can't be asked to end, or the proxy has ended.
+    /// A gateway can't be stopped, or the proxy's thread has exited.
     pub fn finish(mut self) -> Result<GroupResult, ScenarioError> {
         let mut counters = Vec::new();
         for gateway in self.gateways.iter_mut().flatten() {
@@ -221,7 +221,7 @@
             }
         }
         let entries = self.proxy.take_entries()?;
-        // Its files are of no use any more; where they can't be removed they stay.
+        // Failure only leaves temporary files behind.
         let _ = std::fs::remove_dir_all(&self.folder);
         Ok(GroupResult { entries, counters })
     }
--- a/programs/scenario/src/faults/script.rs
+++ b/programs/scenario/src/faults/script.rs
@@ -1,29 +1,29 @@
-//! What goes wrong, and when: moments as parts of the scenario's time, so that a short run has all of it too.
+//! Scripts of the fault scenarios. Times are shares of the scenario's length, so that a run of any length has every step.
 
 use super::process_group::ProcessGroup;
 use crate::error::ScenarioError;
 use tansy_audit::Link;
 
-/// One fault, or its end.
+/// A fault, or the end of one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultStep {
-    /// A worker's fault, as its control port calls it.
+    /// Sets a worker's fault, by its name on the control port.
     WorkerFault(usize, &'static str),
-    /// The proxy ends all connections from one front end to a worker.
+    /// Closes all connections from a front end to a worker.
     CutLink(usize, usize),
-    /// The proxy pauses all that passes between one front end and a worker, or lets it go on.
+    /// Pauses or resumes the traffic between a front end and a worker.
     SetLinkPaused(usize, usize, bool),
-    /// A front end's endpoint list says that a worker drains, or takes work.
+    /// Changes a worker between draining and ready in a front end's endpoint list.
     SetDraining(usize, usize, bool),
-    /// A worker restarts, empty and cold.
+    /// Restarts a worker without loaded functions.
     RestartWorker(usize),
-    /// A front end is killed.
+    /// Kills a front end.
     KillFrontEnd(usize),
-    /// It is started again.
+    /// Starts a killed front end again.
     RestartFrontEnd(usize),
 }
 
-/// Every fault: when (a part of the scenario's time, 0 to 1) and which.
+/// Steps of the scenario with every fault, with their times.
 pub const ALL_FAULTS_SCRIPT: &[(f64, FaultStep)] = &[
     (0.10, FaultStep::WorkerFault(0, "silent")),
     (0.20, FaultStep::WorkerFault(0, "clear")),
@@ -33,7 +33,7 @@
     (0.25, FaultStep::CutLink(1, 5)),
     (0.26, FaultStep::CutLink(0, 3)),
     (0.27, FaultStep::CutLink(1, 1)),
-    // One front end reads of a drain at once, the other late.
+    // The front ends learn of the drain at different times.
     (0.28, FaultStep::SetDraining(0, 2, true)),
     (0.34, FaultStep::SetDraining(1, 2, true)),
     (0.42, FaultStep::SetDraining(0, 2, false)),
@@ -53,7 +53,7 @@
     (0.98, FaultStep::WorkerFault(4, "clear")),
 ];
 
-/// A zone comes back cold, all its workers at once.
+/// Restarts all workers of a zone at once.
 pub const COLD_ZONE_SCRIPT: &[(f64, FaultStep)] = &[
     (0.35, FaultStep::RestartWorker(3)),
     (0.35, FaultStep::RestartWorker(4)),
@@ -63,7 +63,7 @@
 /// Performs a step.
 ///
 /// # Errors
-/// A process or the proxy does not do what it is asked for.
+/// A process or the proxy fails.
 pub fn perform(group: &mut ProcessGroup, step: FaultStep) -> Result<(), ScenarioError> {
     match step {
         FaultStep::WorkerFault(worker, fault) => group.control(worker, &format!("/fault/{fault}")),
