--- a/programs/scenario/src/agreement/cluster.rs
+++ b/programs/scenario/src/agreement/cluster.rs
@@ -1,4 +1,4 @@
-//! The processes of the scenario: workers, front ends, and the proxy between all of them.
+//! The processes of the scenario: workers, front ends, and the proxy between them.
 
 use super::drains::DrainTracker;
 use super::options::ScenarioOptions;
@@ -18,34 +18,34 @@
 use tansy_test_support::address::ReservedAddress;
 use tansy_test_support::process::ServerProcess;
 
-/// A fleet has to be ready within this time.
+/// When and how often to check that the fleet is ready.
 const READINESS: ReadinessPolling = ReadinessPolling {
     timeout: Duration::from_secs(20),
     interval: Duration::from_millis(50),
 };
-/// Workers lose the answers of this function.
+/// Path on a worker's control port that makes it lose the answers of the function `lost`.
 const LOSE_ANSWERS_PATH: &str = "/fault/lose=lost";
 
-/// All processes; they end with this value.
+/// All processes of the scenario, which are killed when the cluster is dropped.
 pub(super) struct Cluster {
     pub options: ScenarioOptions,
     pub proxy: Arc<FaultProxyThread>,
     pub workers: Vec<ServerProcess>,
-    /// None while a front end is dead.
+    /// `None` while a front end is killed.
     pub gateways: Vec<Option<ServerProcess>>,
-    /// Where each front end listens for its peers, over all its processes.
+    /// Address where each front end listens for its peers, which stays the same across restarts.
     pub peers: Vec<SocketAddr>,
     _reserved: Vec<ReservedAddress>,
     pub gateway_addresses: Vec<GatewayAddresses>,
-    /// Where clients reach each front end, through the proxy.
+    /// The proxy's address for clients of each front end.
     pub client_addresses: Vec<SocketAddr>,
     pub folder: PathBuf,
-    /// Each front end's ways through the proxy, as its command line names them: `TARGET=ADDRESS`.
+    /// Each front end's routes through the proxy, as values of `--via`: `TARGET=ADDRESS`.
     routes: Vec<Vec<String>>,
     /// Each front end's endpoint list.
     pub endpoint_lists: Vec<Vec<ListedWorker>>,
     pub drains: DrainTracker,
-    /// Processes killed so far.
+    /// Number of processes killed so far.
     pub killed: usize,
 }
 
@@ -102,7 +102,7 @@
         self.folder.join("settings.cue")
     }
 
-    /// The settings of processes that are in no fleet.
+    /// Path of the settings of processes that belong to no fleet.
     fn settings_without_fleet_path(&self) -> PathBuf {
         self.folder.join("settings-without-fleet.cue")
     }
@@ -124,14 +124,14 @@
         Ok(())
     }
 
-    /// Leads a front end's ways to workers and peers through the proxy, and writes its endpoint list.
+    /// Routes a front end's connections to workers and peers through the proxy, and writes its endpoint list.
     fn route_front_end(&mut self, front: usize) -> Result<(), ScenarioError> {
         let mut list = Vec::new();
         let mut routes = Vec::new();
         for (worker, process) in self.workers.iter().enumerate() {
             let target = process.address("grpc")?;
             let route = self.proxy.route(Link::Worker { front, worker }, target)?;
-            // One in no fleet has no routes; the lists of the others say where a worker is, the same to all.
+            // Members use `--via`, so that their lists have the same addresses; the outsider has no `--via` arguments.
             let outsider = self.options.is_outsider(front);
             let address = if outsider { route } else { target };
             list.push(ListedWorker {
@@ -217,7 +217,7 @@
         endpoint_list::replace(&self.folder, front, &self.endpoint_lists[front])
     }
 
-    /// Records an event that no socket shows.
+    /// Records an event that is not visible in the traffic.
     pub fn mark(&self, mark: Mark) -> Result<(), ScenarioError> {
         self.proxy.mark(mark)
     }
--- a/programs/scenario/src/agreement/drains.rs
+++ b/programs/scenario/src/agreement/drains.rs
@@ -1,7 +1,7 @@
-//! Which front ends must know of which drain by now.
+//! Tracks which front ends must know of which drain.
 //!
-//! One front end reads of a drain in its own endpoint list, and the others have to learn of it from the fleet within the limit. One
-//! that was killed, stopped or cut off has that time from the end of the disturbance on.
+//! One front end reads of a drain in its endpoint list; the others must learn of it from the fleet within [`CONTRADICTION_LIMIT`]. For
+//! a front end that was killed, stopped or had a link paused, the time starts at the end of that disturbance.
 
 use super::CONTRADICTION_LIMIT;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,14 +13,14 @@
     since: Instant,
 }
 
-/// Drains in progress, and what was done to the front ends that have to learn of them.
+/// Drains in progress, and the disturbances of the front ends that must learn of them.
 #[derive(Default)]
 pub(super) struct DrainTracker {
     drains: Vec<Drain>,
     /// When each front end was last started, resumed, or had a link changed.
     disturbed_at: BTreeMap<usize, Instant>,
     stopped: BTreeSet<usize>,
-    /// Worker and front end of the marks that were given out.
+    /// Worker and front end of the marks that were already returned.
     marked: BTreeSet<(usize, usize)>,
 }
 
@@ -34,7 +34,7 @@
         self.drains.retain(|drain| drain.worker != worker);
     }
 
-    /// Messages to or from a front end may have been delayed until now.
+    /// Restarts the front end's time limit: its messages may have been delayed until now.
     pub fn on_disturbed(&mut self, front: usize) {
         self.disturbed_at.insert(front, Instant::now());
     }
@@ -52,7 +52,7 @@
         self.stopped.remove(&front);
     }
 
-    /// The marks of the front ends that must know of a drain since now: they have had the time, undisturbed.
+    /// Marks for the front ends that were undisturbed for the time limit, and so must know of a drain from now on.
     pub fn new_marks(&mut self, running: &[usize]) -> Vec<Mark> {
         let now = Instant::now();
         let mut marks = Vec::new();
--- a/programs/scenario/src/agreement/mod.rs
+++ b/programs/scenario/src/agreement/mod.rs
@@ -1,12 +1,12 @@
-//! Versions of settings under load, through faults between front ends, judged from the sockets.
+//! Changes of a fleet's settings under load, with faults between the front ends.
 //!
-//! A fleet of real gateways, each reached by its peers through routes of the proxy of its own, so that each direction between two can
-//! be paused. An operator proposes a version every few seconds; each round something goes wrong around it: processes are killed and
-//! start again, or are stopped and resumed, links are paused one way or both.
+//! The proxy has a separate route for each pair and direction of front ends, so that each can be paused independently. An operator
+//! proposes a version of the settings in each round, while front ends are killed and restarted or stopped and resumed, or links
+//! between them are paused. The audit looks for front ends that act on contradicting versions.
 //!
-//! - `options`, `report`: what is run, and its result.
-//! - `cluster`: the processes; `steps`: what is done to them; `script`: when.
-//! - `versions`: the settings that are proposed; `operator`: who proposes them.
+//! - `options`, `report`: the scenario's options and result.
+//! - `cluster`: the processes; `script`: the steps and their times; `steps`: performs them.
+//! - `versions`: the proposed settings; `operator`: proposes them.
 //! - `drains`: which front ends must know of a drain.
 
 mod cluster;
@@ -36,24 +36,25 @@
 use tansy_settings::Settings;
 use versions::SettingsVersion;
 
-/// No two front ends may contradict each other for longer.
+/// Maximum time for which front ends may act on contradicting versions.
 pub const CONTRADICTION_LIMIT: Duration = Duration::from_secs(2);
-/// A change is proposed in each of these.
+/// Length of a round, in which one change is proposed.
 const ROUND_SECONDS: f64 = 4.0;
-/// Time after the last round for all to agree again.
+/// Time after the last round for the fleet to recover.
 const RECOVERY_SECONDS: f64 = 3.0;
 const WORKERS: usize = 6;
 const WORKER_CORES: f64 = 16.0;
-/// The name of the settings in errors.
+/// File name of the settings in error messages.
 const SETTINGS_NAME: &str = "settings.cue";
-/// How often it is checked who must know of a drain.
+/// Time between two checks of which front ends must know of a drain.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The observed function whose class changes, and the one whose answers are lost.
+/// The observed function whose class changes between versions.
 const CHANGING_CLASS_FUNCTION: &str = "flip";
+/// The observed function whose answers the workers lose.
 const LOST_ANSWERS_FUNCTION: &str = "lost";
-/// Calls of the observed functions a second to each front end.
+/// Calls of the observed functions per second and front end.
 const OBSERVED_RATE: u64 = 20;
-/// Of a call's time, a front end reserves this part at most for the answer's way, and for its own.
+/// Maximum share of a call's time that a front end reserves for itself and for returning the answer.
 const MAX_RESERVE_SHARE: f64 = 0.2;
 /// The first version of the settings.
 const FIRST_VERSION: u64 = 1;
@@ -61,7 +62,7 @@
 /// Runs the scenario.
 ///
 /// # Errors
-/// A process, the proxy, the clients or the operator fail; violations of rules are no error.
+/// A process, the proxy, the load generator or the operator fails. Rule violations are part of the report.
 pub fn run(options: &ScenarioOptions) -> Result<ScenarioReport, ScenarioError> {
     let versions = versions::generate(options);
     let mut cluster = Cluster::start(options, versions[0])?;
@@ -73,7 +74,7 @@
     let operator = spawn_operator(&cluster, requests);
     run_script(&mut cluster, &versions, &changes)?;
     drop(changes);
-    let ended = |_| ScenarioError::ThreadEnded("operator's");
+    let ended = |_| ScenarioError::ThreadEnded("operator");
     let operator = operator.join().map_err(ended)??;
     let load = load::join(clients)?;
     load::join(observers)?;
@@ -81,7 +82,7 @@
     report(&cluster, &settings, versions[0], operator, &load)
 }
 
-/// The calls that are counted.
+/// The load of the functions that are not observed.
 fn load_plan(cluster: &Cluster, settings: &Settings) -> LoadPlan {
     let options = &cluster.options;
     let functions = settings.dispatch.functions.iter();
@@ -101,13 +102,13 @@
     }
 }
 
-/// The calls of the observed functions, which show by which settings a front end acts.
+/// The load of the observed functions, whose calls show which settings a front end acts on.
 fn observer_plan(cluster: &Cluster, settings: &Settings) -> LoadPlan {
     let functions = settings.dispatch.functions.iter();
     let observed = functions.filter(|function| is_observed(&function.name));
     let plan = load_plan(cluster, settings);
     LoadPlan {
-        // Without a timeout of the client's, that of the class shows.
+        // Without a client timeout, the deadline of the class is visible in the traffic.
         functions: observed
             .map(|function| LoadFunction {
                 name: function.name.clone(),
@@ -135,7 +136,7 @@
     std::thread::spawn(move || Operator::new(proxy, voters)?.run(&requests))
 }
 
-/// Performs each step when its time has come.
+/// Performs each step when it is due, and sends the proposals to the operator.
 fn run_script(
     cluster: &mut Cluster,
     versions: &[SettingsVersion],
@@ -153,7 +154,7 @@
                     fields: tansy_settings::agree::version(SETTINGS_NAME, &text)?,
                     claim: version.claim(),
                 };
-                let ended = |_| ScenarioError::ThreadEnded("operator's");
+                let ended = |_| ScenarioError::ThreadEnded("operator");
                 changes.send(change).map_err(ended)?;
             }
         }
@@ -165,7 +166,7 @@
     Ok(())
 }
 
-/// Marks drains until a moment has come.
+/// Waits until `due`, and marks drains meanwhile.
 fn wait_until(cluster: &mut Cluster, due: Instant) -> Result<(), ScenarioError> {
     loop {
         cluster.mark_known_drains()?;
@@ -177,7 +178,7 @@
     }
 }
 
-/// Audits what passed.
+/// Audits the proxy's recording and builds the report.
 fn report(
     cluster: &Cluster,
     settings: &Settings,
@@ -199,7 +200,7 @@
         reserve: MAX_RESERVE_SHARE,
     };
     let contradictions = find_contradictions(&entries, &calls, &observations);
-    // Its files are of no use any more; where they can't be removed they stay.
+    // Failure only leaves temporary files behind.
     let _ = std::fs::remove_dir_all(&cluster.folder);
     Ok(ScenarioReport::new(
         &operator.proposals,
--- a/programs/scenario/src/agreement/operator.rs
+++ b/programs/scenario/src/agreement/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: proposes versions, and asks the leader until each is in force or given up.
+//! The operator: proposes versions, and polls the leader until each is in force or abandoned.
 
 use super::ROUND_SECONDS;
 use crate::error::ScenarioError;
@@ -15,35 +15,35 @@
 use tansy_fleet::client::Client;
 use tansy_fleet_wire::pb::enter_request::Entry;
 
-/// Seconds before the end of a round by which the operator is done with its change.
+/// Time before the end of a round at which the operator gives up on its change.
 const ROUND_MARGIN_SECONDS: f64 = 0.6;
-/// Time until the leader is looked for again.
+/// Time until the operator looks for the leader again.
 const LEADER_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// Time until a proposal is sent again.
 const PROPOSAL_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two questions whether a version is in force.
+/// Time between two checks whether a version is in force.
 const IN_FORCE_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The reason that proposals carry.
+/// Reason text in proposals.
 const REASON: &str = "the day's";
 
-/// A change that the operator proposes.
+/// A change to propose.
 pub(super) struct ProposedChange {
-    /// The fields of the settings.
+    /// Fields of the settings.
     pub fields: Fields,
-    /// What the auditor has to know of them.
+    /// The version's observable behaviour, for the audit.
     pub claim: Claim,
 }
 
-/// What became of a proposal.
+/// The outcome of a proposal.
 pub(super) struct ProposalResult {
-    /// Milliseconds until it was in force; none: it never was.
+    /// Milliseconds until it was in force; `None` if it was not in time.
     pub in_force_ms: Option<u64>,
 }
 
-/// What the operator did, and what the auditor has to know of it.
+/// Outcomes of all proposals, and the claims for the audit.
 pub(super) struct OperatorResult {
     pub proposals: Vec<ProposalResult>,
-    /// By version, without the first one.
+    /// Claims by version, without the first version.
     pub claims: BTreeMap<u64, Claim>,
 }
 
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Proposes each change that comes, one after the other, until there will be no more.
+    /// Proposes each received change in turn, until the channel is closed.
     pub fn run(
         &mut self,
         changes: &mpsc::Receiver<ProposedChange>,
@@ -100,14 +100,14 @@
         Ok(result)
     }
 
-    /// Proposes a change until the leader accepts it; gives its version.
+    /// Proposes a change until a leader accepts it; returns its version.
     fn propose(
         &mut self,
         change: &ProposedChange,
         claims: &mut BTreeMap<u64, Claim>,
         deadline: Instant,
     ) -> Result<Option<u64>, ScenarioError> {
-        // The leader may be away, or another change in progress: proposed again with the same id it is the same proposal.
+        // Retries keep the id, so that a proposal whose reply was lost is not applied twice.
         let id = fastrand::u64(1..);
         let proposed_at = self.proxy.now()?;
         while Instant::now() < deadline {
@@ -135,7 +135,7 @@
         Ok(None)
     }
 
-    /// Asks the leader until a version is in force, or given up, or the time is over.
+    /// Polls the leader until no change is in progress or the time is up; returns whether the version is in force.
     fn wait_until_in_force(
         &mut self,
         version: u64,
@@ -156,7 +156,7 @@
         Ok(false)
     }
 
-    /// The leader, and the version in force there.
+    /// The leader's address, and the version in force at the leader.
     fn leader_and_version(&mut self) -> Option<(SocketAddr, u64)> {
         let (leader, status) = fleet::find_leader(&mut self.client, &self.voters)?;
         Some((leader, status.state?.in_force?.version))
--- a/programs/scenario/src/agreement/options.rs
+++ b/programs/scenario/src/agreement/options.rs
@@ -1,35 +1,35 @@
-//! What of the scenario the command line decides.
+//! Options of the scenario.
 
 use std::path::PathBuf;
 
-/// What of the scenario the command line decides.
+/// Options of the agreement scenario.
 #[derive(Clone, Debug)]
 pub struct ScenarioOptions {
-    /// Seed of all random choices.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Front ends; the first ones are the voters.
+    /// Number of front ends; the first ones are voters.
     pub front_ends: usize,
-    /// How many of them are.
+    /// Number of voters.
     pub voters: usize,
-    /// Rounds of one change and some faults each.
+    /// Number of rounds, each with one change and some faults.
     pub rounds: usize,
-    /// Calls a second, beside those of the observed functions.
+    /// Calls per second, without those of the observed functions.
     pub rate: u64,
-    /// Versions change.
+    /// Whether changes are proposed.
     pub changes: bool,
-    /// A defect that the audit has to find: the last front end is in no fleet and acts on its own file.
+    /// Keeps the last front end out of the fleet, so that it acts on its own settings, which the audit must detect.
     pub outsider: bool,
-    /// Where each front end's logs are written; none: errors alone are logged.
+    /// Folder for the front ends' logs; `None`: front ends log only errors, to stderr.
     pub log_folder: Option<PathBuf>,
 }
 
 impl ScenarioOptions {
-    /// Whether this front end is in no fleet.
+    /// Whether a front end is kept out of the fleet.
     pub(super) fn is_outsider(&self, front: usize) -> bool {
         self.outsider && front + 1 == self.front_ends
     }
 
-    /// The front ends that are in the fleet.
+    /// Indices of the front ends in the fleet.
     pub(super) fn members(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.front_ends).filter(|front| !self.is_outsider(*front))
     }
--- a/programs/scenario/src/agreement/report.rs
+++ b/programs/scenario/src/agreement/report.rs
@@ -10,23 +10,23 @@
 /// The result of the scenario.
 #[derive(Clone, Debug)]
 pub struct ScenarioReport {
-    /// Versions that came into force.
+    /// Number of versions that came into force.
     pub in_force: usize,
-    /// Proposals that did not: given up, or rejected since another was in progress.
+    /// Number of proposals that did not come into force in time.
     pub not_in_force: usize,
-    /// Milliseconds from each proposal to its force, sorted.
+    /// Milliseconds from each proposal until it was in force, sorted.
     pub in_force_ms: Vec<u64>,
-    /// Processes killed.
+    /// Number of processes killed.
     pub killed: usize,
     /// Share of the clients' calls that were served.
     pub served_share: f64,
-    /// Calls of the observed functions that showed which settings were acted on.
+    /// Number of calls of the observed functions that showed which settings the front end acted on.
     pub conclusive_calls: usize,
     /// Longest contradiction of a strict field, milliseconds.
     pub strict_ms: f64,
     /// Longest contradiction of a joint field, milliseconds.
     pub joint_ms: f64,
-    /// Violations of the five rules, and contradictions, in words.
+    /// Texts of the rule violations, and of the contradictions if one was too long.
     pub violations: Vec<String>,
 }
 
--- a/programs/scenario/src/agreement/script.rs
+++ b/programs/scenario/src/agreement/script.rs
@@ -1,40 +1,41 @@
-//! What happens when: a proposal and some faults in each round, drawn by the seed.
+//! The random script of a run: one proposal and some faults in each round.
 
 use super::options::ScenarioOptions;
 use super::{ROUND_SECONDS, WORKERS};
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// A minority of the front ends is at most so much larger than this part of them.
+/// A partition cuts off at most `1 + front_ends / MINORITY_DIVISOR` front ends.
 const MINORITY_DIVISOR: usize = 3;
-/// Interruptions and returns of a flapping link, and the seconds between them.
+/// Number of state changes of a flapping link, alternately paused and resumed.
 const FLAP_STEPS: usize = 6;
+/// Time between two state changes.
 const FLAP_INTERVAL_SECONDS: f64 = 0.25;
-/// The kinds of rounds that follow each other.
+/// Number of kinds of rounds, which take turns.
 const ROUND_KINDS: usize = 5;
 
-/// What happens at one moment.
+/// A step of the script.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ScriptStep {
     /// The operator proposes the next version.
     Propose,
-    /// A front end is killed.
+    /// Kills a front end.
     Kill(usize),
-    /// A killed front end is started again.
+    /// Starts a killed front end again.
     Restart(usize),
-    /// A front end's process is stopped (SIGSTOP).
+    /// Stops a front end's process (SIGSTOP).
     Stop(usize),
-    /// A stopped front end is resumed.
+    /// Resumes a stopped front end (SIGCONT).
     Resume(usize),
-    /// Messages from one front end to another are held back, or let go on.
+    /// Pauses or resumes messages from one front end to another.
     SetLinkPaused(usize, usize, bool),
-    /// One front end's endpoint list, and no other's, says that a worker drains.
+    /// Marks a worker as draining in the endpoint list of one front end alone.
     Drain(usize, usize),
-    /// All lists say that a worker takes work again, as another process.
+    /// Lists a worker as ready, with a new incarnation, in all endpoint lists.
     EndDrain(usize),
 }
 
-/// The words of the printed steps; scripts read them.
+/// The printed form of steps, which scripts read.
 impl fmt::Display for ScriptStep {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -52,15 +53,15 @@
     }
 }
 
-/// A step, and when it happens.
+/// A step with its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct TimedStep {
-    /// Seconds since the beginning.
+    /// Seconds since the start of the script.
     pub at: f64,
     pub step: ScriptStep,
 }
 
-/// The script of a run, by time. The order of the draws is part of what a seed means.
+/// Generates the script of a run, sorted by time. The order of the draws must not change, or a seed gives another script than before.
 pub(super) fn generate(options: &ScenarioOptions) -> Vec<TimedStep> {
     let mut script = ScriptBuilder::new(options);
     for round in 0..options.rounds {
@@ -73,7 +74,7 @@
     script.steps
 }
 
-/// When a fault begins, and how much longer than the least time of its kind it lasts.
+/// Start of a fault, and the time that is added to the minimum length of its kind.
 #[derive(Clone, Copy)]
 struct FaultTiming {
     at: f64,
@@ -83,7 +84,7 @@
 struct ScriptBuilder {
     rng: fastrand::Rng,
     front_ends: usize,
-    /// Front ends that were not killed yet come first, so that each is killed in time.
+    /// Front ends that were not killed yet, in random order; they are killed first, so that a long run kills each.
     not_killed: Vec<usize>,
     steps: Vec<TimedStep>,
 }
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Kills one front end, or most of them.
+    /// Kills 70 % of the front ends in even rounds, one in odd rounds.
     fn add_kills(&mut self, round: usize, time: FaultTiming) {
         let kills = if round.is_multiple_of(2) {
             (self.front_ends * 7).div_ceil(10)
@@ -152,7 +153,7 @@
         );
     }
 
-    /// Cuts off a minority: both ways, or one way alone.
+    /// Cuts off a random minority in both directions or in one.
     fn add_partition(&mut self, time: FaultTiming) {
         let minority: BTreeSet<usize> = (0..1 + self.front_ends / MINORITY_DIVISOR)
             .map(|_| self.rng.usize(0..self.front_ends))
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Two front ends don't reach each other.
+    /// Cuts the link between two front ends in both directions.
     fn add_broken_pair(&mut self, front: usize, time: FaultTiming) {
         let distance = 1 + self.rng.usize(0..self.front_ends - 1);
         let other = (front + distance) % self.front_ends;
@@ -184,7 +185,7 @@
         self.add(end, ScriptStep::SetLinkPaused(from, to, false));
     }
 
-    /// The link between a front end and the first voter is interrupted several times.
+    /// Interrupts the link between a front end and the first voter several times.
     fn add_flapping_link(&mut self, time: FaultTiming) {
         let front = 1 + self.rng.usize(0..self.front_ends - 1);
         for flap in 0..FLAP_STEPS {
@@ -195,7 +196,7 @@
         }
     }
 
-    /// One front end reads of a drain that no other's list ever names; a round later the worker is back.
+    /// Drains a worker in the list of one front end alone, until just before the end of the round.
     fn add_drain(&mut self, round: usize) {
         let worker = round % (WORKERS - 2);
         let front = self.rng.usize(0..self.front_ends);
--- a/programs/scenario/src/agreement/script/tests.rs
+++ b/programs/scenario/src/agreement/script/tests.rs
@@ -1,10 +1,10 @@
-//! The faults and versions that a seed means.
+//! Generated scripts and versions for a seed stay the same.
 
 use super::*;
 use crate::agreement::versions;
 use crate::testing::fnv1a;
 
-/// Of a recording made by an earlier program.
+/// Arguments, and hashes of what an earlier version generated for them.
 struct Recorded {
     seed: u64,
     front_ends: usize,
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_seed_means_the_same_steps_at_the_same_moments_as_ever() {
+fn a_seed_gives_the_recorded_steps_and_times() {
     for recorded in &RECORDED {
         let script = generate(&options(recorded));
         let lines = script
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_seed_means_the_same_versions_as_ever() {
+fn a_seed_gives_the_recorded_versions() {
     for recorded in &RECORDED {
         let versions = versions::generate(&options(recorded));
         let lines = versions.iter().map(|version| {
--- a/programs/scenario/src/agreement/settings.cue
+++ b/programs/scenario/src/agreement/settings.cue
@@ -1,10 +1,10 @@
-// The settings of the scenario in which versions change. FLIP, EFFECT, AIM, SIBLINGS and SEATS are filled in.
+// Settings template of the agreement scenario; FLIP, EFFECT, AIM, SIBLINGS and SEATS are replaced.
 zones: ["room-a", "room-b"]
 classes: {
     read:  {aim: AIM, deadline: 1500ms, late_worth: 0.3, streamed: true}
     book:  {aim: 400ms, deadline: 1500ms, late_worth: 0.3, effect: "keyed", window: 20s}
     post:  {aim: 600ms, deadline: 2s, late_worth: 0.3, effect: "unsafe"}
-    // Of the observed functions: distinguished by their deadlines, and by whether a lost answer is asked for again.
+    // Classes of the observed functions: told apart by their deadlines, and by whether a call is retried after its answer was lost.
     long:  {aim: 1s, deadline: 3s}
     short: {aim: 1s, deadline: 2s}
     maybe: {aim: 1s, deadline: 1500ms, effect: "EFFECT"}
--- a/programs/scenario/src/agreement/steps.rs
+++ b/programs/scenario/src/agreement/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of the script, done to the cluster.
+//! Performs the steps of the script.
 
 use super::cluster::Cluster;
 use super::script::ScriptStep;
@@ -8,7 +8,7 @@
 use tansy_audit::{Link, Mark};
 
 impl Cluster {
-    /// Performs a step; proposals are the operator's.
+    /// Performs a step; proposals are left to the operator.
     pub fn perform(&mut self, step: ScriptStep) -> Result<(), ScenarioError> {
         match step {
             ScriptStep::Propose => Ok(()),
@@ -92,7 +92,7 @@
             listed.draining = Some(false);
             listed.incarnation = listed.incarnation.map(|incarnation| incarnation + 1);
         }
-        // One that reads it notifies its peers, whose own lists are not written yet: all are marked first.
+        // The first front end that reads its list notifies its peers before their lists are written: all are marked first.
         let front_ends = 0..self.endpoint_lists.len();
         let marks: Vec<Mark> = front_ends
             .clone()
@@ -109,7 +109,7 @@
         )
     }
 
-    /// Marks drains for those front ends that must know of them by now.
+    /// Records marks for the front ends that must know of a drain from now on.
     pub fn mark_known_drains(&mut self) -> Result<(), ScenarioError> {
         let gateways = &self.gateways;
         let members = self.options.members();
--- a/programs/scenario/src/agreement/versions.rs
+++ b/programs/scenario/src/agreement/versions.rs
@@ -1,4 +1,4 @@
-//! The versions of the settings that are proposed: which fields differ follows from the seed.
+//! The random versions of the settings that are proposed.
 
 use super::options::ScenarioOptions;
 use crate::fleet::voter_list;
@@ -6,9 +6,9 @@
 use tansy_audit::versions::Claim;
 
 const SETTINGS_TEMPLATE: &str = include_str!("settings.cue");
-/// Added to the seed, so that versions and faults are drawn independently.
+/// XORed with the seed, so that versions and faults use different random sequences.
 const SEED_MASK: u64 = 0xa9ee;
-/// Deadlines of the two classes that the observed function may have, as in the template, microseconds.
+/// Deadlines of the classes `long` and `short` in the settings template, microseconds.
 const LONG_DEADLINE_US: i64 = 3_000_000;
 const SHORT_DEADLINE_US: i64 = 2_000_000;
 const FIRST_OBJECTIVE_MS: u32 = 400;
@@ -17,11 +17,11 @@
 /// The fields in which versions differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SettingsVersion {
-    /// The observed function with a changing class has the one with the long deadline (a strict field).
+    /// Whether the observed function with the changing class has class `long` (a strict field).
     pub long_deadline: bool,
-    /// Calls of the observed function whose answers are lost may be repeated (a joint field).
+    /// Whether the observed function whose answers are lost is safe to retry (a joint field).
     pub safe: bool,
-    /// The latency objective of the other calls, milliseconds (a free field).
+    /// Latency objective of class `read` (a free field).
     pub objective_ms: u32,
 }
 
@@ -46,7 +46,7 @@
         next
     }
 
-    /// What the auditor has to know of it.
+    /// The version's observable behaviour, for the audit.
     pub fn claim(self) -> Claim {
         Claim {
             deadline: if self.long_deadline {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The text of its settings.
+    /// The settings file of the version.
     pub fn text(self, options: &ScenarioOptions, peers: &[SocketAddr]) -> String {
         let class = if self.long_deadline { "long" } else { "short" };
         let effect = if self.safe { "safe" } else { "unsafe" };
@@ -71,7 +71,7 @@
     }
 }
 
-/// The first version, and one for each round.
+/// Generates the first version and one for each round.
 pub(super) fn generate(options: &ScenarioOptions) -> Vec<SettingsVersion> {
     let mut rng = fastrand::Rng::with_seed(options.seed ^ SEED_MASK);
     let mut versions = vec![SettingsVersion::FIRST];
