--- a/programs/scenario/src/rollout/cluster.rs
+++ b/programs/scenario/src/rollout/cluster.rs
@@ -1,4 +1,4 @@
-//! The processes of the scenario: workers, and a supervisor for the front ends of each zone, with the proxy between them.
+//! The processes of the scenario: workers, a supervisor for the front ends of each zone, and the proxy between them.
 
 use super::files::{ScenarioFolder, SupervisedFrontEnd};
 use super::options::ScenarioOptions;
@@ -18,17 +18,17 @@
 use tansy_test_support::address::ReservedAddress;
 use tansy_test_support::process::ServerProcess;
 
-/// A fleet has to be ready within this time.
+/// When and how often to check that the fleet is ready.
 const READINESS: ReadinessPolling = ReadinessPolling {
     timeout: Duration::from_secs(40),
     interval: Duration::from_millis(100),
 };
-/// Time for voters to answer what they know of the rollout.
+/// Timeout of requests for the rollout's state.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(800);
-/// Loopback addresses that are set aside for each front end.
+/// Number of loopback addresses reserved for each front end.
 const HOSTS_PER_FRONT_END: u8 = 4;
 
-/// What each of a front end's addresses is for.
+/// The purpose of a front end's address; the value is its offset in the front end's range.
 #[derive(Clone, Copy)]
 enum AddressUse {
     Peers = 0,
@@ -36,7 +36,7 @@
     Http = 2,
 }
 
-/// Addresses of all front ends, over all their processes.
+/// Addresses of all front ends, which stay the same across restarts.
 struct FrontEndAddresses {
     peers: Vec<ReservedAddress>,
     grpc: Vec<ReservedAddress>,
@@ -62,17 +62,17 @@
     }
 }
 
-/// All processes; they end with this value, and its files go.
+/// All processes of the scenario. Dropping the cluster kills them and removes the files.
 pub(super) struct Cluster {
     pub folder: ScenarioFolder,
     pub proxy: FaultProxyThread,
     pub workers: Vec<ServerProcess>,
-    /// Where each front end listens for its peers.
+    /// Address where each front end listens for its peers.
     pub peers: Vec<SocketAddr>,
     addresses: FrontEndAddresses,
-    /// Where clients reach each front end, through the proxy.
+    /// The proxy's address for clients of each front end.
     pub client_addresses: Vec<SocketAddr>,
-    /// By zone; none while one is dead.
+    /// By zone; `None` while a supervisor is killed.
     pub supervisors: Vec<Option<ServerProcess>>,
     pub client: Client,
 }
@@ -118,7 +118,7 @@
         workers.map(|worker| Ok(worker.address("grpc")?)).collect()
     }
 
-    /// Writes each supervisor's list of front ends, with their routes through the proxy.
+    /// Writes each supervisor's configuration, with the front ends' routes through the proxy.
     fn write_supervisor_configs(&mut self, options: &ScenarioOptions) -> Result<(), ScenarioError> {
         let workers = self.worker_addresses()?;
         let mut configs: Vec<Vec<SupervisedFrontEnd>> = ZONES.iter().map(|_| Vec::new()).collect();
@@ -141,7 +141,7 @@
         Ok(())
     }
 
-    /// A front end's ways to workers through the proxy, as its command line names them: `TARGET=ADDRESS`.
+    /// A front end's routes to workers through the proxy, as values of `--via`: `TARGET=ADDRESS`.
     fn worker_routes(
         &self,
         front: usize,
@@ -175,7 +175,7 @@
         arguments
     }
 
-    /// Where a front end listens for clients.
+    /// Address where a front end listens for clients.
     pub fn grpc_address(&self, front: usize) -> SocketAddr {
         self.addresses.grpc[front].address()
     }
@@ -188,7 +188,7 @@
         process::start_logged(&arguments.map(str::to_string), Some(&log_file))
     }
 
-    /// The rollout, as the leader knows it; none: no voter leads at the moment, or there was none.
+    /// The rollout's state at the leader; `None` if no voter leads or no rollout was started.
     pub fn rollout(&mut self) -> Option<Rollout> {
         let voters = self.peers[..VOTERS].to_vec();
         let replies = self.client.rollouts(&voters, REPLY_TIMEOUT);
@@ -199,7 +199,7 @@
         of_roll(&leader.rollout).ok().flatten()
     }
 
-    /// The processes of front ends, as the kernel has them.
+    /// The running front-end processes, from `/proc`.
     pub fn processes(&self) -> Vec<SupervisedProcess> {
         let folder = self.folder.path();
         let all = supervised_processes().into_iter();
@@ -215,10 +215,10 @@
         }
         for process in self.processes() {
             let pid = i32::try_from(process.pid).ok().and_then(Pid::from_raw);
-            // One that has ended meanwhile can't be killed.
+            // Fails if the process has exited meanwhile.
             let _ = pid.map(|pid| kill_process(pid, Signal::KILL));
         }
-        // Files that can't be removed stay.
+        // Failure only leaves temporary files behind.
         let _ = std::fs::remove_dir_all(self.folder.path());
     }
 }
--- a/programs/scenario/src/rollout/faults.rs
+++ b/programs/scenario/src/rollout/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a run: the rollout controller's supervisor is killed, and a zone's workers pause.
+//! Faults of a run: kills the supervisor that runs the rollout controller, and pauses the workers of a zone.
 
 use super::cluster::Cluster;
 use super::options::ScenarioOptions;
@@ -9,18 +9,20 @@
 use std::time::{Duration, Instant};
 use tansy_rollout::{Rollout, RolloutPhase};
 
-/// The supervisor is killed within this part of a stage's least time.
+/// The supervisor is killed within this share of the minimum stage length, after the first release.
 const KILL_WINDOW_SHARE: f64 = 0.5;
-/// A killed supervisor is back after this many seconds, and up to so many more.
+/// Minimum time until a killed supervisor is started again.
 const MIN_RESTART_SECONDS: f64 = 1.0;
+/// Maximum random time that is added to it.
 const MAX_EXTRA_RESTART_SECONDS: f64 = 3.0;
-/// A zone's workers pause so long after the first analysis began, and for so long.
+/// Time from the start of the first analysis until a zone's workers are paused.
 const PAUSE_DELAY: Duration = Duration::from_secs(3);
+/// How long they are paused.
 const PAUSE_DURATION: Duration = Duration::from_secs(5);
 
-/// The supervisor of the rollout controller: killed at some moment after the first front end was changed, and started again.
+/// State of the controller fault: the supervisor is killed some time after the first release, and started again later.
 enum ControllerFault {
-    /// No front end was changed yet.
+    /// No front end was released yet.
     Waiting,
     Scheduled(Instant),
     Down {
@@ -30,10 +32,10 @@
     Done,
 }
 
-/// A zone's workers stand still.
+/// State of the pause of a zone's workers.
 #[derive(Clone, Copy)]
 enum ZonePause {
-    /// It has no such fault, or the analysis has not begun.
+    /// The run has no such fault, or the first analysis has not started.
     NotScheduled,
     Scheduled(Instant),
     Paused {
@@ -42,14 +44,14 @@
     Done,
 }
 
-/// The faults of a run.
+/// Injects the faults of a run.
 pub(super) struct Faults {
     rng: fastrand::Rng,
     min_stage_seconds: f64,
     pauses_zone: bool,
     controller: ControllerFault,
     zone_pause: ZonePause,
-    /// Supervisors killed so far.
+    /// Number of supervisors killed so far.
     pub killed: usize,
 }
 
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Schedules and injects what depends on the rollout's state.
+    /// Schedules faults by the rollout's state, and kills the controller's supervisor when it is due.
     pub fn on_rollout(&mut self, cluster: &mut Cluster, rollout: &Rollout) {
         let now = Instant::now();
         if matches!(self.controller, ControllerFault::Waiting) && !rollout.released.is_empty() {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Kills the supervisor that runs the rollout controller, if one does.
+    /// Kills the supervisor that runs the rollout controller, if there is one.
     fn kill_controller(&mut self, cluster: &mut Cluster, rollout: &Rollout) {
         let Some(zone) = ZONES.iter().position(|zone| *zone == rollout.controller) else {
             return;
@@ -96,7 +98,7 @@
         self.controller = ControllerFault::Down { zone, restart };
     }
 
-    /// Injects and ends what is due.
+    /// Starts and ends the faults that are due.
     pub fn run_due(&mut self, cluster: &mut Cluster) -> Result<(), ScenarioError> {
         let now = Instant::now();
         if let ControllerFault::Down { zone, restart } = self.controller {
@@ -106,7 +108,7 @@
             }
         }
         match self.zone_pause {
-            // The moment has passed unnoticed: too late to begin.
+            // The whole pause has been missed.
             ZonePause::Scheduled(at) if now >= at + PAUSE_DURATION => {
                 self.zone_pause = ZonePause::Done
             }
@@ -126,7 +128,7 @@
     }
 }
 
-/// Signals the workers of the first zone.
+/// Sends a signal to the workers of the first zone.
 fn signal_first_zone(cluster: &Cluster, signal: Signal) -> Result<(), ScenarioError> {
     for worker in cluster.workers.iter().step_by(ZONES.len()) {
         worker.signal(signal)?;
--- a/programs/scenario/src/rollout/files.rs
+++ b/programs/scenario/src/rollout/files.rs
@@ -1,4 +1,4 @@
-//! The files of the scenario: settings of each zone, both programs, the endpoint list, and the supervisors' lists of front ends.
+//! Files of the scenario: the settings of each zone, both programs, the endpoint list, and the supervisors' configurations.
 
 use super::options::ScenarioOptions;
 use super::{zone_of, VOTERS, ZONES};
@@ -12,13 +12,14 @@
 use std::path::{Path, PathBuf};
 
 const SETTINGS_TEMPLATE: &str = include_str!("settings.cue");
-/// The mode of a program's file.
+/// File mode of the programs.
 const PROGRAM_MODE: u32 = 0o755;
-/// Seconds for a front end to be ready, and to end.
+/// Supervisors' timeout for a front end to become ready.
 const READY_SECONDS: u32 = 20;
+/// Supervisors' timeout for a front end to drain.
 const DRAIN_SECONDS: u32 = 8;
 
-/// The folder of a run.
+/// The temporary folder of a run.
 pub(super) struct ScenarioFolder(PathBuf);
 
 impl ScenarioFolder {
@@ -34,12 +35,12 @@
         &self.0
     }
 
-    /// The settings of a zone's front ends.
+    /// Path of the settings of a zone's front ends.
     pub fn settings(&self, zone: usize) -> PathBuf {
         self.0.join(format!("{}.cue", ZONES[zone]))
     }
 
-    /// The settings of a zone's workers, which are in no fleet.
+    /// Path of the settings of a zone's workers, which belong to no fleet.
     pub fn settings_without_fleet(&self, zone: usize) -> PathBuf {
         self.0.join(format!("without-fleet-{}.cue", ZONES[zone]))
     }
@@ -52,7 +53,7 @@
         self.0.join(format!("seat-{front}.redb"))
     }
 
-    /// A supervisor's list of the front ends of its zone.
+    /// Path of the configuration of a zone's supervisor.
     pub fn supervisor_config(&self, zone: usize) -> PathBuf {
         self.0.join(format!("machine-{}.toml", ZONES[zone]))
     }
@@ -61,7 +62,7 @@
         self.0.join(format!("{}.log", ZONES[zone]))
     }
 
-    /// The program that is rolled out.
+    /// Path of the program to roll out.
     pub fn new_program(&self) -> PathBuf {
         self.0.join("new")
     }
@@ -86,7 +87,7 @@
         Ok(())
     }
 
-    /// Writes the old program, and the new one with its defect.
+    /// Writes the old program and the new one, whose marker names its defect.
     pub fn write_programs(&self, options: &ScenarioOptions) -> Result<(), ScenarioError> {
         let this_program = std::env::current_exe()?;
         let old_source = options.old_program.as_ref().unwrap_or(&this_program);
@@ -110,7 +111,7 @@
         write(&self.endpoint_list(), endpoint_list::text(&workers))
     }
 
-    /// Writes a supervisor's list of the front ends of its zone.
+    /// Writes the configuration of a zone's supervisor.
     pub fn write_supervisor_config(
         &self,
         zone: usize,
@@ -130,18 +131,18 @@
     }
 }
 
-/// A front end in a supervisor's list.
+/// A front end in a supervisor's configuration.
 pub(super) struct SupervisedFrontEnd {
     pub index: usize,
-    /// Where its peers reach it.
+    /// Address where it listens for its peers.
     pub peer_address: SocketAddr,
-    /// Its command line, without the program.
+    /// Command line arguments.
     pub arguments: Vec<String>,
 }
 
 impl SupervisedFrontEnd {
     fn text(&self) -> String {
-        // Of arguments without special characters, the debug form is that of TOML.
+        // Without special characters in the arguments, the debug format of the list is valid TOML.
         format!(
             "[[front]]\nname = \"f{}\"\npeers = \"{}\"\narguments = {:?}\n",
             self.index, self.peer_address, self.arguments
--- a/programs/scenario/src/rollout/mod.rs
+++ b/programs/scenario/src/rollout/mod.rs
@@ -1,13 +1,13 @@
-//! A new program in stages over front ends in three zones, under load and faults, judged from the sockets.
+//! A staged rollout of a new program to front ends in three zones, under load and faults.
 //!
-//! Three supervisors run the front ends of a zone each. The new program is this one with an injected defect, or none. The supervisor
-//! that runs the rollout controller is killed in every run. What is judged: calls and attempts as they pass the proxy, by the auditor;
-//! which front ends accept connections; which processes run, by the kernel.
+//! Each of three supervisors runs the front ends of a zone. The new program is this executable, with or without an injected defect.
+//! Every run kills the supervisor that runs the rollout controller. The audit checks the recorded calls and attempts; the observer
+//! checks which front ends accept connections and which processes run.
 //!
-//! - `options`, `report`: what is run, and its result.
-//! - `cluster`: the processes; `files`: what they read.
-//! - `proposal`: the rollout that is begun.
-//! - `faults`: what goes wrong; `observer`: what is observed from outside.
+//! - `options`, `report`: the scenario's options and result.
+//! - `cluster`: the processes; `files`: their configuration files and executables.
+//! - `proposal`: starts the rollout.
+//! - `faults`: injects faults; `observer`: observes processes and connections.
 
 mod cluster;
 mod faults;
@@ -42,11 +42,11 @@
 const VOTERS: usize = ZONES.len();
 const WORKERS_PER_ZONE: usize = 2;
 const WORKER_CORES: f64 = 16.0;
-/// The name of the settings in errors.
+/// File name of the settings in error messages.
 const SETTINGS_NAME: &str = "settings.cue";
 /// Time between two observations.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(50);
-/// After the rollout's end all front ends have to run its program within this time.
+/// Time after the end of the rollout by which all front ends must run the resulting program.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The zone of a front end or a worker.
@@ -57,7 +57,7 @@
 /// Runs the scenario.
 ///
 /// # Errors
-/// A process, the proxy or the clients fail; violations of rules are no error.
+/// A process, the proxy or the load generator fails. Rule violations are part of the report.
 pub fn run(options: &ScenarioOptions) -> Result<ScenarioReport, ScenarioError> {
     let mut cluster = Cluster::start(options)?;
     let settings = read_settings(&cluster)?;
@@ -71,7 +71,7 @@
     let rollout = watch_rollout(&mut cluster, options, &mut faults, &mut observer, started)?;
     resume_workers(&cluster)?;
     let seconds = started.elapsed().as_secs_f64();
-    // The last calls are answered before anything ends.
+    // Waits for the last calls before the front ends are stopped.
     stop.store(true, Ordering::Relaxed);
     let load = load::join(clients)?;
     observer.observe(&cluster)?;
@@ -117,7 +117,7 @@
     }
 }
 
-/// Begins the rollout, and injects faults until it is over or the time is; gives its last known state.
+/// Starts the rollout and injects faults until the rollout is idle or the time is up; returns its last known state.
 fn watch_rollout(
     cluster: &mut Cluster,
     options: &ScenarioOptions,
@@ -148,7 +148,7 @@
     Ok(rollout)
 }
 
-/// Whether nothing more happens by itself.
+/// Whether the rollout has ended, or is paused with no release in progress.
 fn is_idle(rollout: &Rollout) -> bool {
     rollout.has_ended() || rollout.paused && rollout.released.is_empty()
 }
@@ -160,7 +160,7 @@
     Ok(())
 }
 
-/// Waits until all front ends run the program that the log says; gives the violation if they don't.
+/// Waits until all front ends run the program that the verdict implies; returns a violation if they don't in time.
 fn convergence_violation(
     cluster: &Cluster,
     verdict: RolloutVerdict,
@@ -173,12 +173,12 @@
     };
     let diverging = || {
         let processes = cluster.processes();
-        let others = processes
+        let wrong = processes
             .iter()
             .filter(|process| (process.program == new_program) != expects_new);
-        others.count()
+        wrong.count()
     };
-    // What was started last may still be on its way.
+    // The last front ends may still be restarting.
     let deadline = Instant::now() + CONVERGENCE_TIMEOUT;
     while diverging() > 0 && Instant::now() < deadline {
         std::thread::sleep(OBSERVATION_INTERVAL);
@@ -186,12 +186,12 @@
     match diverging() {
         0 => None,
         count => Some(format!(
-            "{count} front ends are on the other side than the log says"
+            "{count} front ends run the wrong program after a rollout with the verdict {verdict}"
         )),
     }
 }
 
-/// The violations that the auditor finds in what passed the proxy, in words.
+/// Audits the proxy's recording; returns the texts of the violations.
 fn audit_recording(cluster: &Cluster, settings: &Settings) -> Result<Vec<String>, ScenarioError> {
     let entries = cluster.proxy.take_entries()?;
     let (audit, _) = audit_with_history(
--- a/programs/scenario/src/rollout/observer.rs
+++ b/programs/scenario/src/rollout/observer.rs
@@ -1,4 +1,4 @@
-//! What is observed from outside while the scenario runs: which processes run, and which front ends accept connections.
+//! Observes which front-end processes run, and which front ends accept connections.
 
 use super::cluster::Cluster;
 use super::options::ScenarioOptions;
@@ -11,24 +11,24 @@
 use tansy_audit::Mark;
 use tansy_fleet::processes::SupervisedProcess;
 
-/// A front end that accepts no connection within this time is unreachable.
+/// A front end that does not accept a connection within this time counts as unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Front ends of a zone that may be unreachable at once.
+/// Maximum number of a zone's front ends that may be unreachable at the same time.
 const MAX_UNREACHABLE: usize = 1;
 
-/// The observations so far.
+/// Collects observations and violations.
 pub(super) struct Observer {
     options: ScenarioOptions,
-    /// The name of the new program's file, as processes show it.
+    /// Label of the new program.
     new_program: String,
-    /// Front ends' processes that were running, by their ids.
+    /// Front-end processes of the last observation, by process id.
     processes: BTreeMap<u32, SupervisedProcess>,
-    /// Sum of the shares of front ends that ran the new program, and their number.
+    /// Sum over all observations of the share of front ends that ran the new program.
     exposed_share_sum: f64,
     observation_count: f64,
-    /// Least share of a zone's front ends that accepted connections.
+    /// Minimum share of a zone's front ends that accepted connections.
     pub min_capacity: f64,
-    /// What must not be, in words.
+    /// Texts of the violations.
     pub violations: Vec<String>,
 }
 
@@ -50,7 +50,7 @@
         self.exposed_share_sum / self.observation_count.max(1.0)
     }
 
-    /// Observes once.
+    /// Makes one observation.
     pub fn observe(&mut self, cluster: &Cluster) -> Result<(), ScenarioError> {
         let running = cluster.processes();
         self.check_unique_names(&running);
@@ -65,7 +65,7 @@
             .into_iter()
             .map(|process| (process.pid, process))
             .collect();
-        // One that crashes takes its share of the capacity with it.
+        // Crashing front ends reduce the capacity by themselves.
         if self.options.defect != InjectedDefect::Crash {
             for zone in 0..ZONES.len() {
                 self.check_capacity(zone, &accepting);
@@ -74,18 +74,19 @@
         Ok(())
     }
 
-    /// No two processes may have one name.
+    /// Checks that no two running processes have the same name.
     fn check_unique_names(&mut self, running: &[SupervisedProcess]) {
         let mut names = BTreeSet::new();
         for process in running {
             if !names.insert(process.name.as_str()) {
-                let violation = format!("two processes under {}", process.name);
+                let violation =
+                    format!("two processes named {} run at the same time", process.name);
                 self.violations.push(violation);
             }
         }
     }
 
-    /// One that ends in the middle of its calls answers none of them; only those with the defect do.
+    /// Marks processes with the crash defect that have exited, so that the audit expects no answers from them.
     fn mark_crashes(
         &self,
         cluster: &Cluster,
@@ -97,8 +98,8 @@
         let ended = self
             .processes
             .values()
-            .filter(|known| !running.iter().any(|process| process.pid == known.pid))
-            .filter(|known| known.program == self.new_program);
+            .filter(|previous| !running.iter().any(|process| process.pid == previous.pid))
+            .filter(|previous| previous.program == self.new_program);
         for process in ended {
             if let Ok(front) = process.name.trim_start_matches('f').parse::<usize>() {
                 cluster.proxy.mark(Mark::Killed { front })?;
@@ -107,7 +108,7 @@
         Ok(())
     }
 
-    /// Whether each front end accepts connections.
+    /// Tries to connect to each front end; returns whether it accepted.
     fn accepting(&self, cluster: &Cluster) -> Vec<bool> {
         let accepts = |front: usize| {
             let address = cluster.grpc_address(front);
@@ -126,7 +127,7 @@
         self.min_capacity = self.min_capacity.min(capacity);
         if unreachable > MAX_UNREACHABLE {
             self.violations.push(format!(
-                "{unreachable} front ends of zone {} took no connections at once",
+                "{unreachable} front ends of zone {} accepted no connections at the same time",
                 ZONES[zone]
             ));
         }
--- a/programs/scenario/src/rollout/options.rs
+++ b/programs/scenario/src/rollout/options.rs
@@ -1,31 +1,31 @@
-//! What of the scenario the command line decides.
+//! Options of the scenario.
 
 use crate::defect::InjectedDefect;
 use std::path::PathBuf;
 
-/// What of the scenario the command line decides.
+/// Options of the rollout scenario.
 #[derive(Clone, Debug)]
 pub struct ScenarioOptions {
-    /// Seed of all random choices.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// What is wrong with the new program.
+    /// Defect of the new program.
     pub defect: InjectedDefect,
-    /// Front ends, the same number in each zone.
+    /// Number of front ends, a multiple of the number of zones.
     pub front_ends: usize,
-    /// Calls a second.
+    /// Calls per second.
     pub rate: u64,
-    /// Seconds that a stage lasts at least.
+    /// Minimum length of a stage.
     pub min_stage_seconds: u64,
-    /// An earlier build of this program, to be the old one; none: this one.
+    /// An earlier build to use as the old program; `None`: this executable.
     pub old_program: Option<PathBuf>,
-    /// Seconds by which the rollout has to be over.
+    /// Maximum length of the rollout.
     pub max_seconds: f64,
-    /// Nothing is rolled out, for so many seconds.
+    /// Length of a baseline run, without a rollout; `None`: a run with a rollout.
     pub baseline_seconds: Option<f64>,
 }
 
 impl ScenarioOptions {
-    /// Whether nothing is rolled out.
+    /// Whether this is a baseline run, without a rollout.
     pub(super) fn is_baseline(&self) -> bool {
         self.baseline_seconds.is_some()
     }
--- a/programs/scenario/src/rollout/proposal.rs
+++ b/programs/scenario/src/rollout/proposal.rs
@@ -1,4 +1,4 @@
-//! The rollout that is begun, and its plan.
+//! Starts the rollout.
 
 use super::cluster::Cluster;
 use super::options::ScenarioOptions;
@@ -12,15 +12,15 @@
 use tansy_fleet_wire::roll_entry;
 use tansy_rollout::{InconclusivePolicy, RolloutChange, RolloutEntry, RolloutPlan, Target};
 
-/// Share of the front ends that run the new program after each stage.
+/// Cumulative share of the front ends that run the new program after each stage.
 const STAGE_SHARES: [f64; 3] = [0.25, 0.5, 1.0];
-/// A rollout has to be accepted within this time.
+/// Maximum time until a leader accepts the rollout.
 const BEGIN_TIMEOUT: Duration = Duration::from_secs(10);
-/// The reason that the rollout carries.
+/// Reason text in the rollout's entry.
 const REASON: &str = "the day's";
 
 impl Cluster {
-    /// Begins the rollout of the new program.
+    /// Starts the rollout of the new program.
     pub fn begin_rollout(&mut self, options: &ScenarioOptions) -> Result<(), ScenarioError> {
         let path = self.folder.new_program();
         let entry = RolloutEntry::Begin {
--- a/programs/scenario/src/rollout/report.rs
+++ b/programs/scenario/src/rollout/report.rs
@@ -11,7 +11,7 @@
     Done,
     /// All front ends run the old program again.
     Stopped,
-    /// Neither, when the time was over.
+    /// Neither, when the time was up.
     Undecided,
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Its name in results.
+/// The verdict's name in results.
 impl fmt::Display for RolloutVerdict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -41,25 +41,25 @@
 pub struct ScenarioReport {
     /// How the rollout ended.
     pub verdict: RolloutVerdict,
-    /// What the clients observed.
+    /// Calls that got no answer.
     pub lost: u64,
     /// Share of the clients' calls that were served.
     pub served_share: f64,
     /// Average share of the front ends that ran the new program.
     pub exposed_share: f64,
-    /// Seconds from the beginning of the rollout to its end.
+    /// Length of the run.
     pub seconds: f64,
-    /// Supervisors killed.
+    /// Number of supervisors killed.
     pub killed: usize,
-    /// Least share of a zone's front ends that accepted connections, while nothing but the rollout was wrong.
+    /// Minimum share of a zone's front ends that accepted connections; not measured with the crash defect.
     pub min_capacity: f64,
-    /// Violations in words.
+    /// Texts of the violations.
     pub violations: Vec<String>,
-    /// The rollout as it is agreed on.
+    /// Last known replicated state of the rollout.
     pub rollout: Option<Rollout>,
 }
 
-/// What the run measured, beside the rollout itself.
+/// Measurements of a run.
 pub(super) struct Measurements<'a> {
     pub load: &'a LoadResult,
     pub seconds: f64,
@@ -84,21 +84,21 @@
         }
     }
 
-    /// Why the rollout ended as it did; empty if nothing was rolled out.
+    /// Reason for the rollout's end; empty for a baseline run.
     pub fn reason(&self) -> &str {
         self.rollout
             .as_ref()
             .map_or("", |rollout| rollout.reason.as_str())
     }
 
-    /// Stages that passed their analysis.
+    /// Number of stages that have an observation.
     pub fn stages(&self) -> usize {
         self.rollout
             .as_ref()
             .map_or(0, |rollout| rollout.observations.len())
     }
 
-    /// The rollout's steps in words.
+    /// Texts of the rollout's steps.
     pub fn steps(&self) -> &[String] {
         self.rollout
             .as_ref()
--- a/programs/scenario/src/rollout/settings.cue
+++ b/programs/scenario/src/rollout/settings.cue
@@ -1,4 +1,4 @@
-// The settings of the scenario in which the program changes in stages. ZONE, SIBLINGS and SEATS are filled in.
+// Settings template of the rollout scenario; ZONE, SIBLINGS and SEATS are replaced.
 zones: ["a", "b", "c"]
 classes: {
     read: {aim: 500ms, deadline: 2s, late_worth: 0.3, streamed: true}
