--- a/programs/scenario/src/cli/agreement.rs
+++ b/programs/scenario/src/cli/agreement.rs
@@ -1,4 +1,4 @@
-//! The scenario `agree`: a run with changes, then the same run without.
+//! The scenario `agree`: a run with changes of the settings, then a baseline run without.
 
 use super::arguments::{ArgumentError, Arguments};
 use super::{exit_code, print_json, print_violations, CommandError};
@@ -12,7 +12,7 @@
 const ROUNDS: RangeInclusive<usize> = 1..=1000;
 const VOTERS: [usize; 4] = [1, 3, 5, 7];
 
-/// The result as it is printed, with the field names that scripts read.
+/// The printed result, with the field names that scripts read.
 #[derive(serde::Serialize)]
 struct ResultLine<'a> {
     scenario: &'static str,
@@ -36,7 +36,7 @@
     conclusive_calls: usize,
 }
 
-/// Runs the scenario, and prints its result.
+/// Runs the scenario and prints its result.
 pub(super) fn run(arguments: &Arguments) -> Result<ExitCode, CommandError> {
     let options = options(arguments)?;
     let report = agreement::run(&options)?;
@@ -46,7 +46,7 @@
         baseline.as_ref().map(|run| run.violations.as_slice()),
         arguments.max_printed,
     );
-    // A run in which nothing changed, or whose observed functions showed nothing, proves nothing.
+    // Without a change in force, or without conclusive calls, contradictions could not have been detected.
     let ok = violations == 0 && report.in_force > 0 && report.conclusive_calls > 0;
     let line = ResultLine {
         scenario: "agree",
@@ -92,7 +92,7 @@
     })
 }
 
-/// The same run without changes, unless it is left out.
+/// Runs the scenario without changes, unless `--no-plain` is given.
 fn run_baseline(
     arguments: &Arguments,
     options: &ScenarioOptions,
--- a/programs/scenario/src/cli/arguments.rs
+++ b/programs/scenario/src/cli/arguments.rs
@@ -4,83 +4,83 @@
 use clap::{Parser, ValueEnum};
 use std::path::PathBuf;
 
-/// The steps of the fault scenarios name workers up to this number.
+/// The scripts of the fault scenarios use workers 0 to 5.
 const MIN_WORKERS: usize = 6;
 
-/// Runs a scenario with real processes on loopback: gateways and stand-in workers, clients that cancel and read slowly, silence, cuts,
-/// a drain that one front end learns of late, a cold restart, a front end killed and started again, a connection paused. All traffic
-/// passes a proxy; an auditor that shares no code with the gateway's request table checks the rules from it.
+/// Runs a scenario with real processes on loopback: gateways, stand-in workers and clients, with injected faults such as unresponsive
+/// workers, closed and paused connections, late drains, cold restarts and killed front ends. All traffic passes a proxy that records
+/// it; an auditor, which shares no code with the gateway's request table, checks the recording against the rules.
 ///
 /// Exit codes: 0 no rule broken, 1 the scenario could not be run, 3 a rule was broken.
 #[derive(Parser)]
 #[command(version)]
 pub(super) struct Arguments {
-    /// `bad`: every fault in turn. `cold-room`: half of the workers come back cold under more load than the rest can serve.
-    /// `agree`: versions of settings change in a fleet of front ends, through faults between them.
-    /// `roll`: a new program, with a defect or none, in stages over front ends in three zones.
+    /// `bad`: every fault in turn. `cold-room`: half of the workers restart cold under more load than the rest can serve.
+    /// `agree`: the settings of a fleet of front ends change, with faults between the front ends.
+    /// `roll`: a staged rollout of a new program, with or without a defect, to front ends in three zones.
     #[arg(long, value_enum, default_value = "bad")]
     pub scenario: Scenario,
-    /// Calls a second [default: the scenario's].
+    /// Calls per second [default: the scenario's].
     #[arg(long)]
     pub rate: Option<u64>,
-    /// Seconds.
+    /// Length of a `bad` or `cold-room` run in seconds.
     #[arg(long, default_value_t = 30.0)]
     pub seconds: f64,
-    /// Seed of the random choices.
+    /// Seed of the random number generators.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// Workers, half of them in each of two zones [default: the scenario's].
     #[arg(long)]
     pub workers: Option<usize>,
-    /// Cores of a worker: seconds of work that it does a second [default: the scenario's].
+    /// Cores of each worker: seconds of work that it can do per second [default: the scenario's].
     #[arg(long)]
     pub cores: Option<f64>,
-    /// No fault is injected.
+    /// `bad`, `cold-room`: inject no faults.
     #[arg(long = "quiet")]
     pub without_faults: bool,
     /// Front ends of `agree` [default: 7] or `roll` [default: 12].
     #[arg(long)]
     pub front_ends: Option<usize>,
-    /// `roll`: what is wrong with the new program.
+    /// `roll`: the defect of the new program.
     #[arg(long = "plant", value_enum, default_value = "none")]
     pub defect: InjectedDefect,
-    /// `roll`: seconds that a stage lasts at least.
+    /// `roll`: minimum length of a stage in seconds.
     #[arg(long = "least", default_value_t = 20)]
     pub min_stage_seconds: u64,
-    /// `roll`: an earlier build of this program, to be the old one.
+    /// `roll`: an earlier build of this program, used as the old program.
     #[arg(long = "old")]
     pub old_program: Option<PathBuf>,
-    /// `roll`: seconds by which it has to be over.
+    /// `roll`: maximum length of the rollout in seconds.
     #[arg(long = "longest", default_value_t = 420.0)]
     pub max_seconds: f64,
     /// `roll`: write the report of the rollout (HTML) to this file.
     #[arg(long)]
     pub report: Option<PathBuf>,
-    /// `agree`: how many front ends are voters: 1, 3, 5 or 7.
+    /// `agree`: number of voters: 1, 3, 5 or 7.
     #[arg(long = "seats", default_value_t = 3)]
     pub voters: usize,
-    /// Rounds of `agree`, one change and some faults each.
+    /// `agree`: number of rounds, each with one change and some faults.
     #[arg(long, default_value_t = 5)]
     pub rounds: usize,
-    /// `agree`: the last front end is in no fleet, a defect that has to be found.
+    /// `agree`: keep the last front end out of the fleet, which the audit must detect.
     #[arg(long)]
     pub outsider: bool,
-    /// `agree`, `roll`: leave out the same run without changes.
+    /// `agree`, `roll`: skip the baseline run.
     #[arg(long = "no-plain")]
     pub no_baseline: bool,
-    /// `agree`: write each front end's logs to this directory, and print each step.
+    /// `agree`: write the front ends' logs to this directory and print each step.
     #[arg(long = "logs")]
     pub log_folder: Option<PathBuf>,
-    /// `agree`: print the result as one JSON line, last.
+    /// `agree`: print the result as one line of JSON, last.
     #[arg(long)]
     pub json: bool,
-    /// Violations that are printed in full.
+    /// Maximum number of violations to print.
     #[arg(long = "show", default_value_t = 20)]
     pub max_printed: usize,
 }
 
 impl Arguments {
-    /// Checks what holds for all scenarios.
+    /// Checks the arguments that several scenarios share.
     pub fn check(&self) -> Result<(), ArgumentError> {
         match self.workers {
             Some(workers) if workers < MIN_WORKERS => Err(ArgumentError::Workers { workers }),
@@ -102,20 +102,20 @@
     Rollout,
 }
 
-/// Arguments that no scenario can be run with. The texts say what would be right.
+/// Invalid arguments. The messages name the valid ranges.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ArgumentError {
-    /// The steps name more workers.
-    #[error("--workers {workers}: the script needs at least {MIN_WORKERS}")]
+    /// Fewer workers than the scripts use.
+    #[error("--workers {workers}: must be at least {MIN_WORKERS}")]
     Workers { workers: usize },
-    /// The size of `agree`.
-    #[error("--front-ends {front_ends} --rounds {rounds}: want 3 to 40, and 1 to 1000")]
+    /// Number of front ends or rounds of `agree` out of range.
+    #[error("--front-ends {front_ends} --rounds {rounds}: must be 3 to 40 front ends and 1 to 1000 rounds")]
     AgreementSize { front_ends: usize, rounds: usize },
-    /// The voters of `agree`.
-    #[error("--seats {voters}: want 1, 3, 5 or 7, and no more than front ends")]
+    /// Invalid number of voters of `agree`.
+    #[error("--seats {voters}: must be 1, 3, 5 or 7, and at most the number of front ends")]
     Voters { voters: usize },
-    /// The size of `roll`.
-    #[error("--front-ends {front_ends} --least {min_stage_seconds}: want 6 to 48, a multiple of 3, and 1 or more")]
+    /// Number of front ends or stage length of `roll` out of range.
+    #[error("--front-ends {front_ends} --least {min_stage_seconds}: must be 6 to 48 front ends, a multiple of 3, and at least 1 second")]
     RolloutSize {
         front_ends: usize,
         min_stage_seconds: u64,
--- a/programs/scenario/src/cli/faults.rs
+++ b/programs/scenario/src/cli/faults.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 use tansy_audit::Audit;
 
-/// Runs a scenario, and prints its result.
+/// Runs a scenario and prints its result.
 pub(super) fn run(
     scenario: &FaultScenario,
     arguments: &Arguments,
--- a/programs/scenario/src/cli/mod.rs
+++ b/programs/scenario/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line of `tansy-scenario` and of its former name `tansy-day`.
+//! The command line of `tansy-scenario`, also under its former name `tansy-day`.
 
 mod agreement;
 mod arguments;
@@ -11,12 +11,12 @@
 use clap::Parser;
 use std::process::ExitCode;
 
-/// The scenario could not be run.
+/// Exit code if the scenario could not be run.
 const EXIT_ERROR: u8 = 1;
-/// A rule was broken.
+/// Exit code if a rule was broken.
 const EXIT_VIOLATIONS: u8 = 3;
 
-/// Why a scenario was not run to its end.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error(transparent)]
@@ -25,10 +25,9 @@
     Scenario(#[from] ScenarioError),
 }
 
-/// Runs the program of the process's command line.
+/// Runs the program that the process's first argument names, or else a scenario.
 ///
-/// The processes of a scenario are this program under other names, so that a scenario needs no second file: where the first argument
-/// names such a role, the rest of the command line is that program's.
+/// A scenario starts this executable again for its gateways, workers and supervisors, so it needs no other executable.
 pub fn main() -> ExitCode {
     let role = std::env::args_os().nth(1);
     let arguments = std::env::args_os().skip(1);
@@ -61,7 +60,7 @@
     ExitCode::from(if ok { 0 } else { EXIT_VIOLATIONS })
 }
 
-/// Prints the violations of a run and of the same run without changes, the first ones in full; gives their number.
+/// Prints up to `max_printed` violations of a run and of its baseline run; returns the number of all.
 fn print_violations<'a>(
     run: &'a [String],
     baseline: Option<&'a [String]>,
@@ -74,7 +73,7 @@
     count
 }
 
-/// One line of JSON.
+/// Prints a value as one line of JSON.
 fn print_json(value: &impl serde::Serialize) {
     println!("{}", serde_json::to_string(value).unwrap_or_default());
 }
--- a/programs/scenario/src/cli/rollout.rs
+++ b/programs/scenario/src/cli/rollout.rs
@@ -1,4 +1,4 @@
-//! The scenario `roll`: a rollout of a new program, then as long a run without.
+//! The scenario `roll`: a rollout of a new program, then a baseline run without.
 
 use super::arguments::{ArgumentError, Arguments};
 use super::{exit_code, print_json, print_violations, CommandError};
@@ -14,10 +14,10 @@
 const DEFAULT_RATE: u64 = 400;
 const FRONT_ENDS: RangeInclusive<usize> = 6..=48;
 const ZONES: usize = 3;
-/// The run without a rollout is as long as the rollout was, within these bounds.
+/// Bounds of the baseline run's length, which otherwise is that of the rollout.
 const BASELINE_SECONDS: RangeInclusive<f64> = 5.0..=60.0;
 
-/// The result as it is printed, with the field names that scripts read.
+/// The printed result, with the field names that scripts read.
 #[derive(serde::Serialize)]
 struct ResultLine<'a> {
     scenario: &'static str,
@@ -43,7 +43,7 @@
     reason: &'a str,
 }
 
-/// Runs the scenario, and prints its result.
+/// Runs the scenario and prints its result.
 pub(super) fn run(arguments: &Arguments) -> Result<ExitCode, CommandError> {
     let options = options(arguments)?;
     let report = rollout::run(&options)?;
@@ -93,8 +93,8 @@
 fn options(arguments: &Arguments) -> Result<ScenarioOptions, ArgumentError> {
     let front_ends = arguments.front_ends.unwrap_or(DEFAULT_FRONT_ENDS);
     let min_stage_seconds = arguments.min_stage_seconds;
-    let same_in_each_zone = front_ends.is_multiple_of(ZONES);
-    if !FRONT_ENDS.contains(&front_ends) || !same_in_each_zone || min_stage_seconds == 0 {
+    let zones_are_equal = front_ends.is_multiple_of(ZONES);
+    if !FRONT_ENDS.contains(&front_ends) || !zones_are_equal || min_stage_seconds == 0 {
         return Err(ArgumentError::RolloutSize {
             front_ends,
             min_stage_seconds,
@@ -112,7 +112,7 @@
     })
 }
 
-/// A run without a rollout, unless it is left out.
+/// Runs the scenario without a rollout, unless `--no-plain` is given.
 fn run_baseline(
     arguments: &Arguments,
     options: &ScenarioOptions,
@@ -130,7 +130,7 @@
     Ok(Some(rollout::run(&options)?))
 }
 
-/// Why the page of a rollout was not written.
+/// Why the rollout's report page was not written.
 #[derive(Debug, thiserror::Error)]
 enum PageError {
     #[error(transparent)]
