--- a/programs/scenario/src/defect/delay_proxy.rs
+++ b/programs/scenario/src/defect/delay_proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy between a gateway and its workers, in the gateway's own process, that delays answers or refuses connections.
+//! A TCP proxy between a gateway and its workers, inside the gateway's process, that delays answers or refuses connections.
 
 use std::ffi::OsString;
 use std::io::{self, Read, Write};
@@ -6,20 +6,20 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
 
-/// The gateway's option that leads a worker's address over another one: `--via WORKER=ADDRESS`.
+/// The gateway's option that replaces a worker's address: `--via WORKER=ADDRESS`.
 const VIA_OPTION: &str = "--via";
-/// Bytes read at a time.
+/// Maximum number of bytes of one read.
 const CHUNK_BYTES: usize = 64 * 1024;
 
 type Delay = Arc<dyn Fn() -> Option<Duration> + Send + Sync>;
 type Refusal = Arc<dyn Fn() -> bool + Send + Sync>;
 
-/// What the proxy does to connections, asked for at each moment.
+/// The faults of proxied connections; the functions are called again for each decision.
 #[derive(Clone)]
 pub(super) struct ConnectionFaults {
-    /// By how much answers are late.
+    /// Delay of data from workers, if any.
     delay: Delay,
-    /// Whether workers can't be reached now.
+    /// Whether connections are refused, and open ones closed, at present.
     refuses: Refusal,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Leads every way to a worker in a gateway's arguments over a proxy of its own. What can't be led over one stays as it is.
+/// Inserts a proxy for each `--via` address in a gateway's arguments. An argument that can't be parsed or proxied stays unchanged.
 pub(super) fn route_through_proxies(arguments: &mut [OsString], faults: ConnectionFaults) {
     for index in 1..arguments.len() {
         if arguments[index - 1] != VIA_OPTION {
@@ -58,7 +58,7 @@
     }
 }
 
-/// Starts a proxy for one target; gives its address.
+/// Starts a proxy for one target; returns its address.
 fn start_proxy(target: SocketAddr, faults: ConnectionFaults) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     let address = listener.local_addr()?;
@@ -71,7 +71,7 @@
     Ok(address)
 }
 
-/// Forwards one connection, both ways, until one side ends it.
+/// Forwards one connection in both directions until one side closes it.
 fn forward(client: &TcpStream, target: SocketAddr, faults: &ConnectionFaults) {
     if (faults.refuses)() {
         return;
@@ -79,7 +79,7 @@
     let Ok(worker) = TcpStream::connect(target) else {
         return;
     };
-    // Without it messages are late, and nothing is lost.
+    // Failure only delays small messages.
     let _ = (client.set_nodelay(true), worker.set_nodelay(true));
     let (Ok(from), Ok(to)) = (client.try_clone(), worker.try_clone()) else {
         return;
@@ -90,14 +90,14 @@
     copy_one_way(&worker, client, due, &faults.refuses);
 }
 
-/// Copies one way; what arrived at some time leaves not before it is due.
+/// Copies one direction; data is forwarded no earlier than `due` of its arrival time.
 fn copy_one_way(
     mut from: &TcpStream,
     mut to: &TcpStream,
     due: impl Fn(Instant) -> Option<Instant> + Send,
     refuses: &Refusal,
 ) {
-    // Order is preserved, so that what waits holds up what comes after it; the time of its arrival counts.
+    // Delays count from the arrival time, so that delayed chunks, which are sent in order, don't add up their delays.
     let (sender, queue) = mpsc::channel::<(Instant, Vec<u8>)>();
     std::thread::scope(|scope| {
         scope.spawn(move || {
@@ -108,7 +108,7 @@
                     break;
                 }
             }
-            // It may be closed already.
+            // Fails if the peer has closed the connection.
             let _ = to.shutdown(Shutdown::Both);
         });
         let mut buffer = vec![0; CHUNK_BYTES];
--- a/programs/scenario/src/defect/marker.rs
+++ b/programs/scenario/src/defect/marker.rs
@@ -1,19 +1,19 @@
-//! The defect that a program's file names, behind the program itself.
+//! The marker at the end of an executable that names its defect.
 
 use std::fs::File;
 use std::io::{self, Read, Seek, SeekFrom};
 
-/// Stands before the defect's name. Earlier builds read the same bytes.
+/// Precedes the defect's name. Earlier builds, which can be the old program of a rollout, read the same bytes.
 const MARKER: &[u8] = b"\nTANSY-DAY-PLANT=";
-/// The longest end of a file that holds the marker and a name.
+/// Bytes at the end of the file in which the marker is searched for.
 const TAIL_BYTES: u64 = 64;
 
-/// The program's bytes with a defect's name behind them.
+/// Appends the marker and a defect's name to an executable.
 pub fn append_defect_marker(program: &[u8], name: &str) -> Vec<u8> {
     [program, MARKER, name.as_bytes()].concat()
 }
 
-/// The defect's name in this program's own file.
+/// Reads the defect's name from this process's executable.
 pub(super) fn read_own_defect() -> io::Result<Option<String>> {
     let mut file = File::open("/proc/self/exe")?;
     let length = file.metadata()?.len();
@@ -23,7 +23,7 @@
     Ok(parse_defect_marker(&end))
 }
 
-/// The defect's name at the end of a program's file.
+/// The defect's name after the last marker, if one is present.
 pub(super) fn parse_defect_marker(end: &[u8]) -> Option<String> {
     let mut windows = end.windows(MARKER.len());
     let at = windows.rposition(|window| window == MARKER)?;
--- a/programs/scenario/src/defect/mod.rs
+++ b/programs/scenario/src/defect/mod.rs
@@ -1,9 +1,9 @@
-//! A gateway with an injected defect: the program's own file says at its end which one.
+//! A gateway with an injected defect, which a marker at the end of its executable selects.
 //!
-//! The defects are of a new program that treats its connections or its memory badly; the gateway's code is the same. What it gets
-//! from its workers passes a proxy in this process that delays or ends it; or the process ends, or takes memory, by itself.
+//! The gateway's code is unchanged. Its connections to workers pass a proxy in the same process that delays answers or refuses
+//! connections, or the process crashes or leaks memory.
 //!
-//! - `marker`: which defect a program's file names.
+//! - `marker`: the marker in the executable.
 //! - `delay_proxy`: the proxy.
 
 mod delay_proxy;
@@ -18,54 +18,53 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// By how much slow workers' answers are late.
+/// Delay of answers with the slow defects.
 const ANSWER_DELAY: Duration = Duration::from_millis(700);
-/// From when on the late slowdown delays answers.
+/// Time from the process's start until [`InjectedDefect::LateSlowdown`] delays answers.
 const SLOWDOWN_ONSET: Duration = Duration::from_secs(14);
-/// How long a crashing process lives.
+/// Time from the process's start until [`InjectedDefect::Crash`] aborts it.
 const CRASH_DELAY: Duration = Duration::from_secs(3);
-/// Bytes leaked at a time.
+/// Bytes of one leaked allocation.
 const LEAK_CHUNK_BYTES: usize = 300_000;
-/// Time between two leaks.
+/// Time between two leaked allocations.
 const LEAK_INTERVAL: Duration = Duration::from_millis(100);
-/// Workers can't be reached for so long...
+/// Workers are unreachable for this time at the start of each [`REFUSAL_PERIOD`].
 const REFUSAL_DURATION: Duration = Duration::from_secs(1);
-/// ... out of each of these.
 const REFUSAL_PERIOD: Duration = Duration::from_secs(3);
 
-/// What is wrong with the new program of a rollout, or with its surroundings.
+/// The defect of a rollout's new program, or of its environment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, ValueEnum)]
 pub enum InjectedDefect {
-    /// Nothing.
+    /// No defect.
     #[serde(rename = "none")]
     None,
-    /// Answers of its workers reach it late.
+    /// Delays all answers of workers.
     #[serde(rename = "slow")]
     #[value(name = "slow")]
     SlowAnswers,
-    /// It loses its workers every few seconds.
+    /// Makes all workers unreachable for a second, every few seconds.
     #[serde(rename = "refuse")]
     #[value(name = "refuse")]
     UnreachableWorkers,
-    /// It ends by itself soon after its start.
+    /// Aborts the process a few seconds after its start.
     #[serde(rename = "crash")]
     Crash,
-    /// It takes more and more memory.
+    /// Leaks memory steadily.
     #[serde(rename = "leak")]
     #[value(name = "leak")]
     MemoryLeak,
-    /// Nothing; but the workers of a zone stand still for some seconds in the first analysis.
+    /// No defect of the program; the workers of one zone are stopped for some seconds during the first analysis.
     #[serde(rename = "zone")]
     #[value(name = "zone")]
     ZonePause,
-    /// Answers reach it late from some time after its start on.
+    /// Delays answers of workers from some seconds after the start on.
     #[serde(rename = "late")]
     #[value(name = "late")]
     LateSlowdown,
 }
 
 impl InjectedDefect {
-    /// Its name on the command line, in results and in a program's file.
+    /// Name on the command line, in results and in an executable's marker.
     pub fn name(self) -> &'static str {
         match self {
             InjectedDefect::None => "none",
@@ -78,17 +77,17 @@
         }
     }
 
-    /// Whether a rollout of a program with it has to be completed, not stopped.
+    /// Whether a rollout must complete in spite of the defect.
     pub fn is_harmless(self) -> bool {
         matches!(self, InjectedDefect::None | InjectedDefect::ZonePause)
     }
 }
 
-/// Runs the gateway, with the defect that this program's file names, if it names one.
+/// Runs the gateway with the defect that this executable's marker names, if any.
 pub fn run_gateway(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     let started = Instant::now();
     let mut arguments: Vec<OsString> = arguments.collect();
-    // A file that can't be read names none.
+    // No defect if the executable can't be read.
     let name = marker::read_own_defect().ok().flatten().unwrap_or_default();
     match InjectedDefect::from_str(&name, false).unwrap_or(InjectedDefect::None) {
         InjectedDefect::None | InjectedDefect::ZonePause => {}
