--- a/programs/scenario/src/audit.rs
+++ b/programs/scenario/src/audit.rs
@@ -1,41 +1,43 @@
-//! What a scenario gives the auditor, and how violations are printed.
+//! The auditor's rules for a scenario, its marks, and the text of violations.
 
 use std::collections::BTreeMap;
 use tansy_audit::{Effect, LoadBudget, Mark, Overload, Rules, SlowStart, Violation};
 use tansy_settings::{FunctionSpec, Settings};
 
-/// The time by which a changed endpoint list has been read, microseconds: gateways look at it every 200 ms, and the machine may be busy.
+/// Maximum time until gateways have read a changed endpoint list, microseconds: they poll it every 200 ms.
 const MAX_LIST_READ_DELAY_US: i64 = 400_000;
-/// The proxy's clock against the processes', microseconds: time for a wake-up on a busy machine.
+/// Allowed difference between the proxy's timestamps and the processes', microseconds: covers wake-up latency.
 const CLOCK_SLACK_US: i64 = 15_000;
-/// The same where a scenario has more processes than the machine has cores.
+/// Like [`CLOCK_SLACK_US`], where the scenario runs more processes than the machine has cores.
 const OVERSUBSCRIBED_CLOCK_SLACK_US: i64 = 60_000;
 
-/// Does what the marks say, and records each: before it, if it allows something, else after it.
+/// Performs an action and records its marks: those that allow something before the action, the others after it.
+///
+/// A front end may act on the change at once, so the recording must never show it acting on a permission that is not marked yet.
 ///
 /// # Errors
-/// The first error of the recording or of the action; what comes after it is left out.
+/// The first error of the recording or of the action; later marks are not recorded.
 pub fn record_marks<E>(
     marks: &[Mark],
     record: impl Fn(Mark) -> Result<(), E>,
     action: impl FnOnce() -> Result<(), E>,
 ) -> Result<(), E> {
     let matching = |allows: bool| {
-        let chosen = marks.iter().filter(move |mark| mark.allows() == allows);
-        chosen.cloned()
+        let selected = marks.iter().filter(move |mark| mark.allows() == allows);
+        selected.cloned()
     };
     matching(true).try_for_each(&record)?;
     action()?;
     matching(false).try_for_each(&record)
 }
 
-/// The rules' figures for these settings and workers of so many cores.
+/// The auditor's rules for these settings, with `cores` cores a worker.
 pub fn audit_rules(settings: &Settings, cores: f64) -> Rules {
     let front = &settings.dispatch.settings;
     let function = |function: &FunctionSpec| {
         let class = &front.classes[function.class];
-        let figures = (audited_effect(class.effect), class.deadline);
-        (function.name.clone(), figures)
+        let rule = (audited_effect(class.effect), class.deadline);
+        (function.name.clone(), rule)
     };
     let functions = settings.dispatch.functions.iter().map(function);
     Rules {
@@ -61,7 +63,7 @@
     }
 }
 
-/// The same for a scenario with more processes than cores, where a wake-up may take longer.
+/// [`audit_rules`] with more clock slack, for scenarios that run more processes than the machine has cores.
 pub fn oversubscribed_audit_rules(settings: &Settings, cores: f64) -> Rules {
     Rules {
         slack: OVERSUBSCRIBED_CLOCK_SLACK_US,
@@ -77,7 +79,7 @@
     }
 }
 
-/// One violation as it is printed.
+/// The printed text of a violation.
 pub fn violation_text(violation: &Violation) -> String {
     format!(
         "rule {} at {:.3} s, {}: {}",
--- a/programs/scenario/src/bin/tansy-day.rs
+++ b/programs/scenario/src/bin/tansy-day.rs
@@ -1,4 +1,4 @@
-//! `tansy-day`, the former name of `tansy-scenario`: takes the same command line.
+//! `tansy-day`: the former name of `tansy-scenario`, with the same command line.
 
 use std::process::ExitCode;
 
--- a/programs/scenario/src/endpoint_list.rs
+++ b/programs/scenario/src/endpoint_list.rs
@@ -1,27 +1,27 @@
-//! Endpoint lists: the files from which gateways read where the workers are.
+//! Endpoint lists: the files from which gateways read the addresses of the workers.
 
 use crate::error::ScenarioError;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-/// What an endpoint list says of a worker beyond its name.
+/// A worker's entry in an endpoint list, without its name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedWorker {
-    /// Where the gateway reaches it.
+    /// Address where the gateway reaches the worker.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: &'static str,
-    /// It gets nothing new; none: the list does not say whether.
+    /// Whether the worker is draining; `None` leaves the state out of the entry.
     pub draining: Option<bool>,
-    /// Which process of its name it is; none: the list does not say.
+    /// Incarnation of the worker, raised when another process takes its name; `None` leaves it out of the entry.
     pub incarnation: Option<u64>,
-    /// When it started, if lately.
+    /// When the worker started; `None` leaves its age out of the entry.
     pub started: Option<Instant>,
 }
 
 impl ListedWorker {
-    /// A worker that takes calls, of which the list says no more than where it is.
+    /// An entry with nothing but the address and the zone.
     pub fn new(address: SocketAddr, zone: &'static str) -> ListedWorker {
         ListedWorker {
             address,
@@ -51,7 +51,7 @@
     }
 }
 
-/// The zone of a worker where the first half of them is in one zone and the rest in the other.
+/// The zone of a worker: `room-a` for the first half of the workers, `room-b` for the rest.
 pub fn zone_by_half(worker: usize, workers: usize) -> &'static str {
     if worker < workers / 2 {
         "room-a"
@@ -60,23 +60,23 @@
     }
 }
 
-/// The file of a front end's own list in the scenario's folder.
+/// The path of a front end's endpoint list in the scenario's folder.
 pub fn path(folder: &Path, front: usize) -> PathBuf {
     folder.join(format!("list-{front}.cue"))
 }
 
-/// Replaces a front end's own list at once: no reader meets half of it.
+/// Replaces a front end's endpoint list atomically, so that a reader never sees part of it.
 ///
 /// # Errors
 /// The files can't be written.
 pub fn replace(folder: &Path, front: usize, workers: &[ListedWorker]) -> Result<(), ScenarioError> {
     let file = path(folder, front);
-    let fresh = folder.join(format!("new-{front}"));
-    std::fs::write(&fresh, text(workers)).map_err(ScenarioError::file(&fresh))?;
-    std::fs::rename(&fresh, &file).map_err(ScenarioError::file(&file))
+    let temporary = folder.join(format!("new-{front}"));
+    std::fs::write(&temporary, text(workers)).map_err(ScenarioError::file(&temporary))?;
+    std::fs::rename(&temporary, &file).map_err(ScenarioError::file(&file))
 }
 
-/// The text of a list.
+/// The text of an endpoint list.
 pub fn text(workers: &[ListedWorker]) -> String {
     let lines: Vec<String> = workers
         .iter()
--- a/programs/scenario/src/error.rs
+++ b/programs/scenario/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a scenario can't be run to its end.
+//! Errors that stop a scenario.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -6,63 +6,63 @@
 use tansy_fleet::FleetError;
 use tansy_test_support::process::ProcessError;
 
-/// Why a scenario can't be run to its end. That rules were violated is no error but a result.
+/// Why a scenario could not run to completion. Rule violations are part of a scenario's report, not errors.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// A system call failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// A file of the scenario can't be read or written.
+    /// A file could not be read or written.
     #[error("{}: {source}", .path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// Error of the file system.
         source: std::io::Error,
     },
-    /// The event loop of the clients failed.
+    /// The load generator's event loop failed.
     #[error(transparent)]
     EventLoop(#[from] calloop::Error),
-    /// A process can't be started, signalled or ended.
+    /// A process could not be started, signalled or stopped.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// The settings of the scenario are invalid.
+    /// The scenario's settings are invalid.
     #[error(transparent)]
     Settings(#[from] tansy_settings::Errors),
-    /// The plan of the rollout is invalid.
+    /// The rollout plan is invalid.
     #[error(transparent)]
     Rollout(#[from] FleetError),
-    /// Latencies can't be counted.
+    /// A latency histogram could not be created.
     #[error(transparent)]
     Histogram(#[from] hdrhistogram::CreationError),
-    /// A worker did not answer a request on its control port with status 200.
-    #[error("{worker} on {path}: {answer}")]
+    /// A request to a worker's control port got another status than 200.
+    #[error("worker {worker:?}: GET {path} on its control port failed: {response}")]
     WorkerControl {
         /// The worker's `ready` line.
         worker: String,
-        /// The path that was asked for.
+        /// The requested path.
         path: String,
-        /// What it answered.
-        answer: String,
+        /// The whole HTTP response.
+        response: String,
     },
-    /// The fault proxy's thread has ended.
-    #[error("the fault proxy has ended")]
+    /// The fault proxy's thread has exited.
+    #[error("the fault proxy's thread has exited")]
     ProxyEnded,
-    /// A thread of the scenario panicked or ended before it was asked to.
-    #[error("the {0} thread ended early")]
+    /// A thread of the scenario panicked or exited too early.
+    #[error("the {0} thread panicked or exited too early")]
     ThreadEnded(&'static str),
-    /// Front ends did not all join the fleet in time.
-    #[error("the fleet did not form within {timeout:?}: {statuses}")]
+    /// Not all front ends became ready members of the fleet in time.
+    #[error("not all front ends of the fleet were ready within {timeout:?}: {statuses}")]
     FleetNotReady {
-        /// The time that was waited.
+        /// How long the scenario waited.
         timeout: Duration,
-        /// The last status of each front end, or why there is none.
+        /// The last status of each front end, or the error of its status request.
         statuses: String,
     },
-    /// No voter accepted the rollout in time.
-    #[error("no voter accepted the rollout; asked {voters:?}")]
+    /// No leader accepted the rollout in time.
+    #[error("no leader among the voters {voters:?} accepted the rollout")]
     RolloutNotStarted {
-        /// The voters that were asked.
+        /// Addresses of the voters.
         voters: Vec<SocketAddr>,
     },
 }
--- a/programs/scenario/src/fault_proxy.rs
+++ b/programs/scenario/src/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! The fault proxy on a thread of its own.
+//! Runs the fault proxy on a separate thread.
 
 use crate::error::ScenarioError;
 use calloop::EventLoop;
@@ -10,23 +10,23 @@
 use tansy_net_sockets::Spawner;
 use tansy_standin_relay::FaultProxy;
 
-/// The longest time between two looks at the queue of jobs.
+/// Maximum time between two checks of the job queue.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 type Job = Box<dyn FnOnce(&Rc<FaultProxy>) + Send>;
 
-/// A handle on a fault proxy that runs on a thread of its own. The thread ends with the handle.
+/// Handle of a fault proxy that runs on a separate thread. The thread exits when the handle is dropped.
 pub struct FaultProxyThread(mpsc::Sender<Job>);
 
 impl FaultProxyThread {
-    /// A proxy without routes.
+    /// Starts a proxy without routes.
     pub fn start() -> FaultProxyThread {
         let (jobs, queue) = mpsc::channel::<Job>();
         std::thread::spawn(move || run(&queue));
         FaultProxyThread(jobs)
     }
 
-    /// Runs a function on the proxy's thread, and waits for its result.
+    /// Runs a function on the proxy's thread and returns its result.
     fn run_on_proxy_thread<T: Send + 'static>(
         &self,
         job: impl FnOnce(&Rc<FaultProxy>) -> T + Send + 'static,
@@ -37,42 +37,42 @@
         result.recv().map_err(|_| ScenarioError::ProxyEnded)
     }
 
-    /// Leads connections to a new listener on to a target; gives the listener's address.
+    /// Opens a listener whose connections are forwarded to `target`; returns the listener's address.
     ///
     /// # Errors
-    /// The proxy has ended, or can't listen.
+    /// The proxy's thread has exited, or the listener can't be opened.
     pub fn route(&self, link: Link, target: SocketAddr) -> Result<SocketAddr, ScenarioError> {
         Ok(self.run_on_proxy_thread(move |proxy| proxy.route(link, target))??)
     }
 
-    /// Ends all connections of a route.
+    /// Closes all connections of a route.
     ///
     /// # Errors
-    /// The proxy has ended.
+    /// The proxy's thread has exited.
     pub fn cut(&self, link: Link) -> Result<(), ScenarioError> {
         self.run_on_proxy_thread(move |proxy| proxy.cut(link))
     }
 
-    /// Pauses what passes on a route, both ways, or lets it go on.
+    /// Pauses or resumes a route in both directions.
     ///
     /// # Errors
-    /// The proxy has ended.
+    /// The proxy's thread has exited.
     pub fn set_paused(&self, link: Link, paused: bool) -> Result<(), ScenarioError> {
         self.run_on_proxy_thread(move |proxy| proxy.set_paused(link, paused))
     }
 
-    /// Records an event that no socket shows.
+    /// Records an event that is not visible in the traffic.
     ///
     /// # Errors
-    /// The proxy has ended.
+    /// The proxy's thread has exited.
     pub fn mark(&self, mark: Mark) -> Result<(), ScenarioError> {
         self.run_on_proxy_thread(move |proxy| proxy.mark(mark))
     }
 
-    /// Records an event that no socket shows, of a moment that has passed.
+    /// Records such an event at an earlier time: `at` is in microseconds since the recording began.
     ///
     /// # Errors
-    /// The proxy has ended.
+    /// The proxy's thread has exited.
     pub fn mark_at(&self, at: i64, mark: Mark) -> Result<(), ScenarioError> {
         self.run_on_proxy_thread(move |proxy| proxy.mark_at(at, mark))
     }
@@ -80,15 +80,15 @@
     /// Microseconds since the recording began.
     ///
     /// # Errors
-    /// The proxy has ended.
+    /// The proxy's thread has exited.
     pub fn now(&self) -> Result<i64, ScenarioError> {
         self.run_on_proxy_thread(|proxy| proxy.now())
     }
 
-    /// Takes out what was recorded so far, by time.
+    /// Removes and returns the recorded entries, sorted by time.
     ///
     /// # Errors
-    /// The proxy has ended.
+    /// The proxy's thread has exited.
     pub fn take_entries(&self) -> Result<Vec<Entry>, ScenarioError> {
         let mut entries = self.run_on_proxy_thread(|proxy| proxy.take_entries())?;
         entries.sort_by_key(|entry| entry.at);
--- a/programs/scenario/src/fleet.rs
+++ b/programs/scenario/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What the scenarios with a fleet of front ends share: texts of its settings, reserved addresses, and waiting until it is ready.
+//! Helpers for scenarios with a fleet of front ends: settings text, reserved addresses, and readiness.
 
 use crate::error::ScenarioError;
 use std::io;
@@ -8,7 +8,7 @@
 use tansy_fleet_wire::pb::StatusReply;
 use tansy_test_support::address::ReservedAddress;
 
-/// The voters as a settings file lists them; each front end `fN` has the Nth address.
+/// The value of `fleet.seats` in the settings; front end `fN` has the address `peers[N]`.
 pub(crate) fn voter_list(peers: &[SocketAddr], voters: usize) -> String {
     let voter = |(index, address): (usize, &SocketAddr)| {
         format!("{{name: \"f{index}\", address: \"{address}\"}}")
@@ -17,7 +17,7 @@
     entries.join(", ")
 }
 
-/// The settings without the fleet, for processes that are in none.
+/// The settings without the `fleet` line, for processes that belong to no fleet.
 pub(crate) fn without_fleet(settings: &str) -> String {
     let lines: Vec<&str> = settings
         .lines()
@@ -28,20 +28,20 @@
 
 /// Reserves one address for each host.
 ///
-/// Each name keeps its address over its processes. The hosts are loopback addresses that nothing else here connects from: what
-/// the kernel gives to connections is never one of these while a process is away.
+/// A front end keeps its address across restarts. The hosts are loopback addresses that no connection of the scenario is made from,
+/// so the kernel can't assign a reserved port to an outgoing connection while the front end is down.
 pub(crate) fn reserve_addresses(
     hosts: impl Iterator<Item = [u8; 4]>,
 ) -> io::Result<Vec<ReservedAddress>> {
     hosts.map(ReservedAddress::on).collect()
 }
 
-/// The addresses themselves.
+/// The socket addresses of the reservations.
 pub(crate) fn addresses(reserved: &[ReservedAddress]) -> Vec<SocketAddr> {
     reserved.iter().map(ReservedAddress::address).collect()
 }
 
-/// The leader of a fleet, as far as any voter says of itself, and its status.
+/// Address and status of the voter that reports itself as the leader, if one does.
 pub(crate) fn find_leader(
     client: &mut Client,
     voters: &[SocketAddr],
@@ -54,15 +54,15 @@
     })
 }
 
-/// How long, and how often, front ends are asked whether they are ready.
+/// Timeout and poll interval of [`wait_until_ready`].
 pub(crate) struct ReadinessPolling {
-    /// The longest time that is waited.
+    /// Maximum time until the fleet is ready.
     pub timeout: Duration,
-    /// Time between two questions.
+    /// Time between two status requests.
     pub interval: Duration,
 }
 
-/// Waits until all members of a fleet have found each other and may act.
+/// Waits until each member of a fleet has a lease and a session, and knows all other members.
 pub(crate) fn wait_until_ready(
     client: &mut Client,
     members: &[SocketAddr],
--- a/programs/scenario/src/lib.rs
+++ b/programs/scenario/src/lib.rs
@@ -1,22 +1,22 @@
-//! Scenarios with real processes on loopback, judged from what passed on the sockets.
+//! End-to-end scenarios with real processes on loopback, audited from the recorded network traffic.
 //!
-//! A scenario starts gateways and stand-in workers as processes, leads all traffic between them and their clients through a fault proxy,
-//! injects faults at moments that the seed decides, and gives the recording to the auditor of `tansy-audit`. It shows what the whole
-//! system does; it is not for measuring throughput, and not for faults in virtual time (`tansy-simulation`).
+//! A scenario starts gateways and stand-in workers as processes, routes all traffic between them and their clients through a fault proxy,
+//! injects faults from a script, and passes the recorded traffic to the auditor of `tansy-audit`. Scenarios test the behaviour of the
+//! whole system; they are not throughput benchmarks, and `tansy-simulation` tests faults in virtual time.
 //!
-//! - [`faults`]: every fault in turn; a zone that comes back cold.
-//! - [`agreement`]: versions of settings under load, through faults between front ends.
-//! - [`rollout`]: a new program in stages, through faults; [`defect`]: what may be wrong with it.
-//! - [`load`]: the clients.
-//! - [`fault_proxy`], [`process`], [`endpoint_list`]: what the scenarios are made of.
-//! - [`audit`]: what the auditor is given, and how violations are printed.
+//! - [`faults`]: every fault in turn, and a cold restart of a zone.
+//! - [`agreement`]: changes of the fleet's settings under load, with faults between front ends.
+//! - [`rollout`]: a staged rollout of a new program, with faults; [`defect`]: the defects that the program may have.
+//! - [`load`]: the load generator.
+//! - [`fault_proxy`], [`process`], [`endpoint_list`]: parts that the scenarios share.
+//! - [`audit`]: the auditor's rules, and the text of violations.
 //! - [`cli`]: the command line.
 //!
 //! ```
 //! use tansy_scenario::audit::record_marks;
 //! use tansy_audit::Mark;
 //!
-//! // What forbids something is recorded once it is in effect.
+//! // A mark that forbids something is recorded after it has taken effect.
 //! let events = std::cell::RefCell::new(Vec::new());
 //! let drain = Mark::Draining { front: 0, worker: 1 };
 //! record_marks(
--- a/programs/scenario/src/main.rs
+++ b/programs/scenario/src/main.rs
@@ -1,4 +1,4 @@
-//! `tansy-scenario`: runs a scenario with real processes on loopback and audits what passed on the sockets.
+//! `tansy-scenario`: runs a scenario with real processes on loopback and audits the recorded network traffic.
 
 use std::process::ExitCode;
 
--- a/programs/scenario/src/process.rs
+++ b/programs/scenario/src/process.rs
@@ -1,6 +1,6 @@
-//! Processes of a scenario: this program in the role of a gateway, a worker or a process supervisor.
+//! Processes of a scenario: this executable in the role of a gateway, a worker or a process supervisor.
 //!
-//! A scenario needs no second file: [`crate::cli::main`] hands over to the program that the first argument names.
+//! [`crate::cli::main`] runs the program that the first argument names, so a scenario needs no other executable.
 
 use crate::error::ScenarioError;
 use rustix::process::Signal;
@@ -11,29 +11,29 @@
 use std::process::Command;
 use tansy_test_support::process::ServerProcess;
 
-/// Any port of loopback.
+/// An address of loopback with a port that the kernel selects.
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Where a gateway listens for clients.
+/// Addresses where a gateway listens for clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GatewayAddresses {
-    /// For calls.
+    /// Address for calls.
     pub grpc: SocketAddr,
-    /// For health checks and counters.
+    /// Address for health checks and counters.
     pub http: SocketAddr,
 }
 
 impl GatewayAddresses {
-    /// Any ports of loopback.
+    /// Loopback with ports that the kernel selects.
     pub const ANY: GatewayAddresses = GatewayAddresses {
         grpc: ANY_PORT,
         http: ANY_PORT,
     };
 
-    /// Where a gateway says that it listens.
+    /// Reads the addresses from a gateway's `ready` line.
     ///
     /// # Errors
-    /// Its `ready` line names no such addresses.
+    /// The line lacks an address.
     pub fn of(gateway: &ServerProcess) -> Result<GatewayAddresses, ScenarioError> {
         Ok(GatewayAddresses {
             grpc: gateway.address("grpc")?,
@@ -42,18 +42,18 @@
     }
 }
 
-/// Starts this program with the arguments, the first of which is its role, and waits for its `ready` line.
+/// Starts this executable with the arguments, the first of which names its role, and waits for its `ready` line.
 ///
 /// # Errors
-/// The program can't be started, or ended without a `ready` line.
+/// The process can't be started, or exits without a `ready` line.
 pub fn start(arguments: &[String]) -> Result<ServerProcess, ScenarioError> {
     start_logged(arguments, None)
 }
 
-/// Starts this program as [`start`] does; its logs are appended to a file, if one is given.
+/// Like [`start`]; appends the process's logs to `log_file`, if given.
 ///
 /// # Errors
-/// The file can't be opened; or as [`start`].
+/// The log file can't be opened, or [`start`] fails.
 pub fn start_logged(
     arguments: &[String],
     log_file: Option<&Path>,
@@ -67,10 +67,10 @@
     Ok(ServerProcess::start(&mut command)?)
 }
 
-/// Starts a worker with this settings file, and so many cores.
+/// Starts a worker with a settings file and a number of cores.
 ///
 /// # Errors
-/// As [`start`].
+/// See [`start`].
 pub fn start_worker(
     settings: &Path,
     worker: usize,
@@ -87,10 +87,10 @@
     ])
 }
 
-/// Asks all processes to end together, since each waits for its own calls; then waits for each.
+/// Signals all processes to terminate, then waits for each, so that they drain their calls at the same time.
 ///
 /// # Errors
-/// One can't be signalled or waited for.
+/// A process can't be signalled or waited for.
 pub fn stop_together(processes: &mut [Option<ServerProcess>]) -> Result<(), ScenarioError> {
     for process in processes.iter().flatten() {
         process.signal(Signal::TERM)?;
@@ -101,21 +101,21 @@
     Ok(())
 }
 
-/// Asks for a path on a worker's control port.
+/// Sends a GET request for a path to a worker's control port.
 ///
 /// # Errors
-/// The port can't be reached, or the answer has another status than 200.
+/// The port can't be reached, or the response has another status than 200.
 pub fn control(worker: &ServerProcess, path: &str) -> Result<(), ScenarioError> {
     let mut stream = TcpStream::connect(worker.address("control")?)?;
     write!(stream, "GET {path} HTTP/1.1\r\nConnection: close\r\n\r\n")?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer)?;
-    if answer.starts_with("HTTP/1.1 200") {
+    let mut response = String::new();
+    stream.read_to_string(&mut response)?;
+    if response.starts_with("HTTP/1.1 200") {
         return Ok(());
     }
     Err(ScenarioError::WorkerControl {
         worker: worker.ready_line().trim().to_string(),
         path: path.to_string(),
-        answer,
+        response,
     })
 }
