--- a/programs/scenario/tests/former_name.rs
+++ b/programs/scenario/tests/former_name.rs
@@ -1,4 +1,4 @@
-//! The program goes on working under its former name, `tansy-day`.
+//! The program works under its former name, `tansy-day`.
 
 use std::process::{Command, Output};
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_former_name_takes_the_same_command_line() {
+fn the_former_name_accepts_the_same_command_line() {
     let lines: [&[&str]; 5] = [
         &["--workers", "3"],
         &["--scenario", "agree", "--rounds", "0"],
@@ -19,12 +19,12 @@
         &["--scenario", "no-such-scenario"],
     ];
     for arguments in lines {
-        let now = output_of(env!("CARGO_BIN_EXE_tansy-scenario"), arguments);
+        let current = output_of(env!("CARGO_BIN_EXE_tansy-scenario"), arguments);
         let former = output_of(env!("CARGO_BIN_EXE_tansy-day"), arguments);
         assert!(!former.status.success(), "{arguments:?}");
-        assert_eq!(now.status.code(), former.status.code(), "{arguments:?}");
-        assert_eq!(now.stdout, former.stdout, "{arguments:?}");
-        assert_eq!(now.stderr, former.stderr, "{arguments:?}");
+        assert_eq!(current.status.code(), former.status.code(), "{arguments:?}");
+        assert_eq!(current.stdout, former.stdout, "{arguments:?}");
+        assert_eq!(current.stderr, former.stderr, "{arguments:?}");
     }
 }
 
--- a/programs/scenario/tests/marks.rs
+++ b/programs/scenario/tests/marks.rs
@@ -1,10 +1,10 @@
-//! Marks against what the processes may do: a front end that is allowed something may do it at once.
+//! Order of marks and actions: a front end may act at once on a change that allows something, so such a mark comes first.
 
 use std::cell::RefCell;
 use tansy_audit::Mark;
 use tansy_scenario::audit::record_marks;
 
-/// The order of marks and of the action, which is `None`.
+/// The order in which marks and the action, as `None`, happen.
 fn recorded_order(marks: &[Mark]) -> Vec<Option<Mark>> {
     let events = RefCell::new(Vec::new());
     let add = |event| -> Result<(), ()> {
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_worker_takes_work_again_for_all_before_any_list_says_so() {
+fn a_worker_is_marked_as_returned_for_all_before_any_list_changes() {
     let (one, other) = (
         Mark::Returns {
             front: 0,
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_process_is_awake_before_it_is_woken() {
+fn a_process_is_marked_as_resumed_before_it_is_resumed() {
     assert_eq!(
         recorded_order(&[Mark::Resumed { front: 2 }]),
         [Some(Mark::Resumed { front: 2 }), None]
@@ -42,14 +42,14 @@
 }
 
 #[test]
-fn a_worker_leaves_once_a_list_says_so() {
-    let leaves = Mark::Draining {
+fn a_worker_is_marked_as_draining_after_the_list_has_changed() {
+    let draining = Mark::Draining {
         front: 0,
         worker: 1,
     };
     assert_eq!(
-        recorded_order(std::slice::from_ref(&leaves)),
-        [None, Some(leaves)]
+        recorded_order(std::slice::from_ref(&draining)),
+        [None, Some(draining)]
     );
 }
 
--- a/programs/scenario/tests/scenario.rs
+++ b/programs/scenario/tests/scenario.rs
@@ -1,12 +1,12 @@
-//! Short scenarios with the real programs: every step of the scripts, no rule broken.
+//! Short runs of the scenarios with real processes, which must break no rule.
 
 use std::process::Command;
 
-/// One scenario at a time: each has as many processes as a small machine bears.
+/// Serializes the scenarios, each of which has many processes.
 static SCENARIO: std::sync::Mutex<()> = std::sync::Mutex::new(());
 
 fn run(arguments: &[&str]) -> (Option<i32>, String) {
-    let _one = SCENARIO.lock().unwrap_or_else(|e| e.into_inner());
+    let _guard = SCENARIO.lock().unwrap_or_else(|e| e.into_inner());
     let output = Command::new(env!("CARGO_BIN_EXE_tansy-scenario"))
         .args(arguments)
         .output()
@@ -47,7 +47,7 @@
         printed_count(&text, "sockets:", "started"),
     );
     assert_eq!(begun, 1500, "{text}");
-    // What was begun while a front end was dead never started; the rest did.
+    // Calls sent while a front end was killed may never start.
     assert!(started > 1300 && started <= begun, "{text}");
     assert!(printed_count(&text, "sockets:", "served") > 1200, "{text}");
     assert!(
@@ -61,19 +61,19 @@
 }
 
 #[test]
-fn a_zone_that_comes_back_cold_is_not_pushed_over() {
+fn a_zone_that_restarts_cold_is_not_overloaded() {
     let (code, text) = run(&["--scenario", "cold-room", "--seconds", "10", "--seed", "3"]);
     assert_eq!(code, Some(0), "{text}");
     assert!(
         text.contains("verdict: no rule broken, no call with two attempts open"),
         "{text}"
     );
-    // The workers that came back are loaded anew and used: the warm zone alone has too few lanes for this load.
+    // The restarted workers are loaded again and used: the other zone alone has too few lanes for this load.
     assert!(printed_count(&text, "sockets:", "loads") > 30, "{text}");
     assert!(printed_count(&text, "sockets:", "served") > 1400, "{text}");
 }
 
-/// A short run of versions: kills of all, a stop, links paused; the last line of its output.
+/// Runs `agree` with further arguments; returns the exit code, the JSON result and the whole output.
 fn run_agreement(more: &[&str]) -> (Option<i32>, serde_json::Value, String) {
     let common = [
         "--scenario",
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn front_ends_agree_on_versions_while_each_of_them_is_killed() {
+fn front_ends_agree_on_versions_while_each_is_killed() {
     let (code, line, text) = run_agreement(&["--rounds", "3", "--seed", "5"]);
     assert_eq!(code, Some(0), "{text}");
     assert!(line["ok"] == true && line["breaches"] == 0, "{text}");
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_front_end_that_acts_on_its_own_file_is_found() {
+fn a_front_end_outside_the_fleet_is_detected() {
     let (code, line, text) = run_agreement(&["--rounds", "3", "--seed", "3", "--outsider"]);
     assert_eq!(code, Some(3), "{text}");
     assert!(line["contradiction_ms"].as_f64() > Some(2000.0), "{text}");
