--- a/programs/scenario/src/agreement/script.rs
+++ b/programs/scenario/src/agreement/script.rs
@@ -7,6 +7,28 @@
 
 /// A partition cuts off at most `1 + front_ends / MINORITY_DIVISOR` front ends.
 const MINORITY_DIVISOR: usize = 3;
+/// Time from the start of a round until its proposal, and the random time that is added to it.
+const MIN_PROPOSAL_DELAY_SECONDS: f64 = 0.5;
+const MAX_EXTRA_PROPOSAL_DELAY_SECONDS: f64 = 0.5;
+/// Faults start between this time before the proposal and [`FAULT_START_RANGE_SECONDS`] later.
+const FAULT_LEAD_SECONDS: f64 = 0.15;
+const FAULT_START_RANGE_SECONDS: f64 = 0.5;
+/// Time that is added to the minimum length of a fault, and the random time on top.
+const MIN_EXTRA_SECONDS: f64 = 0.05;
+const EXTRA_RANGE_SECONDS: f64 = 1.2;
+/// The kills of a round are spread over this time.
+const KILL_SPREAD_SECONDS: f64 = 0.2;
+/// Minimum time until a killed front end is started again, and the random time that is added to it.
+const MIN_DOWN_SECONDS: f64 = 0.3;
+const DOWN_RANGE_SECONDS: f64 = 0.5;
+/// Minimum time for which a front end's process is stopped.
+const MIN_STOP_SECONDS: f64 = 1.2;
+/// Minimum time for which a link is paused.
+const MIN_PAUSE_SECONDS: f64 = 1.0;
+/// Time from the start of a round until a worker is drained.
+const DRAIN_DELAY_SECONDS: f64 = 0.3;
+/// Time before the end of a round at which the drain ends.
+const DRAIN_END_MARGIN_SECONDS: f64 = 0.1;
 /// Number of state changes of a flapping link, alternately paused and resumed.
 const FLAP_STEPS: usize = 6;
 /// Time between two state changes.
@@ -107,11 +129,13 @@
     }
 
     fn add_round(&mut self, round: usize, kind: usize) {
-        let proposed = round as f64 * ROUND_SECONDS + 0.5 + self.rng.f64() * 0.5;
+        let proposed = round as f64 * ROUND_SECONDS
+            + MIN_PROPOSAL_DELAY_SECONDS
+            + self.rng.f64() * MAX_EXTRA_PROPOSAL_DELAY_SECONDS;
         self.add(proposed, ScriptStep::Propose);
         let time = FaultTiming {
-            at: proposed - 0.15 + self.rng.f64() * 0.5,
-            extra_seconds: 0.05 + self.rng.f64() * 1.2,
+            at: proposed - FAULT_LEAD_SECONDS + self.rng.f64() * FAULT_START_RANGE_SECONDS,
+            extra_seconds: MIN_EXTRA_SECONDS + self.rng.f64() * EXTRA_RANGE_SECONDS,
         };
         let front = self.rng.usize(0..self.front_ends);
         match kind {
@@ -125,7 +149,7 @@
         }
     }
 
-    /// Kills 70 % of the front ends in even rounds, one in odd rounds.
+    /// Kills at least 70 % of the front ends in even rounds, one in odd rounds.
     fn add_kills(&mut self, round: usize, time: FaultTiming) {
         let kills = if round.is_multiple_of(2) {
             (self.front_ends * 7).div_ceil(10)
@@ -137,10 +161,10 @@
                 Some(front) => front,
                 None => self.rng.usize(0..self.front_ends),
             };
-            let at = time.at + self.rng.f64() * 0.2;
-            let restart_delay = self.rng.f64() * 0.5;
+            let at = time.at + self.rng.f64() * KILL_SPREAD_SECONDS;
+            let restart_delay = self.rng.f64() * DOWN_RANGE_SECONDS;
             self.add(at, ScriptStep::Kill(front));
-            let restarted = at + 0.3 + time.extra_seconds + restart_delay;
+            let restarted = at + MIN_DOWN_SECONDS + time.extra_seconds + restart_delay;
             self.add(restarted, ScriptStep::Restart(front));
         }
     }
@@ -148,7 +172,7 @@
     fn add_stop(&mut self, front: usize, time: FaultTiming) {
         self.add(time.at, ScriptStep::Stop(front));
         self.add(
-            time.at + 1.2 + time.extra_seconds,
+            time.at + MIN_STOP_SECONDS + time.extra_seconds,
             ScriptStep::Resume(front),
         );
     }
@@ -181,7 +205,7 @@
 
     fn add_pause(&mut self, from: usize, to: usize, time: FaultTiming) {
         self.add(time.at, ScriptStep::SetLinkPaused(from, to, true));
-        let end = time.at + 1.0 + time.extra_seconds;
+        let end = time.at + MIN_PAUSE_SECONDS + time.extra_seconds;
         self.add(end, ScriptStep::SetLinkPaused(from, to, false));
     }
 
@@ -201,8 +225,9 @@
         let worker = round % (WORKERS - 2);
         let front = self.rng.usize(0..self.front_ends);
         let at = round as f64 * ROUND_SECONDS;
-        self.add(at + 0.3, ScriptStep::Drain(front, worker));
-        self.add(at + ROUND_SECONDS - 0.1, ScriptStep::EndDrain(worker));
+        self.add(at + DRAIN_DELAY_SECONDS, ScriptStep::Drain(front, worker));
+        let end = at + ROUND_SECONDS - DRAIN_END_MARGIN_SECONDS;
+        self.add(end, ScriptStep::EndDrain(worker));
     }
 }
 
