--- a/programs/scenario/src/agreement/cluster.rs
+++ b/programs/scenario/src/agreement/cluster.rs
@@ -1,13 +1,13 @@
-//! The processes of the scenario: workers, front ends, and the proxy between all of them.
+//! The processes of the scenario: workers, front ends, and the proxy between them.
 
 use super::drains::DrainTracker;
 use super::options::ScenarioOptions;
 use super::versions::SettingsVersion;
 use super::{WORKERS, WORKER_CORES};
-use crate::endpoint_list::{self, zone_of_half, ListedWorker};
+use crate::endpoint_list::{self, zone_by_half, ListedWorker};
 use crate::error::ScenarioError;
 use crate::fault_proxy::FaultProxyThread;
-use crate::fleet::{self, ReadinessTimeout};
+use crate::fleet::{self, ReadinessPolling};
 use crate::process::{self, GatewayAddresses};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,34 +18,34 @@
 use tansy_test_support::address::ReservedAddress;
 use tansy_test_support::process::ServerProcess;
 
-/// A fleet has to be ready within this time.
-const READINESS: ReadinessTimeout = ReadinessTimeout {
-    within: Duration::from_secs(20),
+/// When and how often to check that the fleet is ready.
+const READINESS: ReadinessPolling = ReadinessPolling {
+    timeout: Duration::from_secs(20),
     interval: Duration::from_millis(50),
 };
-/// Workers lose the answers of this function.
-const LOSE_ANSWERS: &str = "/fault/lose=lost";
+/// Path on a worker's control port that makes it lose the answers of the function `lost`.
+const LOSE_ANSWERS_PATH: &str = "/fault/lose=lost";
 
-/// All processes; they end with this value.
+/// All processes of the scenario, which are killed when the cluster is dropped.
 pub(super) struct Cluster {
     pub options: ScenarioOptions,
     pub proxy: Arc<FaultProxyThread>,
     pub workers: Vec<ServerProcess>,
-    /// None while a front end is dead.
+    /// `None` while a front end is killed.
     pub gateways: Vec<Option<ServerProcess>>,
-    /// Where each front end listens for its peers, over all its processes.
+    /// Address where each front end listens for its peers, which stays the same across restarts.
     pub peers: Vec<SocketAddr>,
     _reserved: Vec<ReservedAddress>,
     pub gateway_addresses: Vec<GatewayAddresses>,
-    /// Where clients reach each front end, through the proxy.
+    /// The proxy's address for clients of each front end.
     pub client_addresses: Vec<SocketAddr>,
     pub folder: PathBuf,
-    /// Each front end's ways through the proxy, as its command line names them: `TARGET=ADDRESS`.
+    /// Each front end's routes through the proxy, as values of `--via`: `TARGET=ADDRESS`.
     routes: Vec<Vec<String>>,
     /// Each front end's endpoint list.
-    pub lists: Vec<Vec<ListedWorker>>,
+    pub endpoint_lists: Vec<Vec<ListedWorker>>,
     pub drains: DrainTracker,
-    /// Processes killed so far.
+    /// Number of processes killed so far.
     pub killed: usize,
 }
 
@@ -80,7 +80,7 @@
         std::fs::create_dir_all(&folder).map_err(ScenarioError::file(&folder))?;
         let network = [127, 1 + (pid % 200) as u8, 1 + (seed as u32 % 250) as u8];
         let host = |front: usize| [network[0], network[1], network[2], 1 + front as u8];
-        let reserved = fleet::reserve((0..options.front_ends).map(host))?;
+        let reserved = fleet::reserve_addresses((0..options.front_ends).map(host))?;
         Ok(Cluster {
             options: options.clone(),
             proxy: Arc::new(FaultProxyThread::start()),
@@ -92,7 +92,7 @@
             client_addresses: Vec::new(),
             folder,
             routes: Vec::new(),
-            lists: Vec::new(),
+            endpoint_lists: Vec::new(),
             drains: DrainTracker::default(),
             killed: 0,
         })
@@ -102,7 +102,7 @@
         self.folder.join("settings.cue")
     }
 
-    /// The settings of processes that are in no fleet.
+    /// Path of the settings of processes that belong to no fleet.
     fn settings_without_fleet_path(&self) -> PathBuf {
         self.folder.join("settings-without-fleet.cue")
     }
@@ -119,29 +119,29 @@
     fn start_worker(&mut self, worker: usize) -> Result<(), ScenarioError> {
         let settings = self.settings_without_fleet_path();
         let process = process::start_worker(&settings, worker, WORKER_CORES)?;
-        process::control(&process, LOSE_ANSWERS)?;
+        process::control(&process, LOSE_ANSWERS_PATH)?;
         self.workers.push(process);
         Ok(())
     }
 
-    /// Leads a front end's ways to workers and peers through the proxy, and writes its endpoint list.
+    /// Routes a front end's connections to workers and peers through the proxy, and writes its endpoint list.
     fn route_front_end(&mut self, front: usize) -> Result<(), ScenarioError> {
         let mut list = Vec::new();
         let mut routes = Vec::new();
         for (worker, process) in self.workers.iter().enumerate() {
             let target = process.address("grpc")?;
             let route = self.proxy.route(Link::Worker { front, worker }, target)?;
-            // One in no fleet has no routes; the lists of the others say where a worker is, the same to all.
+            // Members use `--via`, so that their lists have the same addresses; the outsider has no `--via` arguments.
             let outsider = self.options.is_outsider(front);
             let address = if outsider { route } else { target };
             list.push(ListedWorker {
                 draining: Some(false),
                 incarnation: Some(0),
-                ..ListedWorker::new(address, zone_of_half(worker, WORKERS))
+                ..ListedWorker::new(address, zone_by_half(worker, WORKERS))
             });
             routes.push(format!("{target}={route}"));
         }
-        self.lists.push(list);
+        self.endpoint_lists.push(list);
         self.write_list(front)?;
         for (to, target) in self.peers.iter().enumerate() {
             if to != front {
@@ -214,10 +214,10 @@
 
     /// Writes a front end's endpoint list.
     pub fn write_list(&self, front: usize) -> Result<(), ScenarioError> {
-        endpoint_list::replace(&self.folder, front, &self.lists[front])
+        endpoint_list::replace(&self.folder, front, &self.endpoint_lists[front])
     }
 
-    /// Records an event that no socket shows.
+    /// Records an event that is not visible in the traffic.
     pub fn mark(&self, mark: Mark) -> Result<(), ScenarioError> {
         self.proxy.mark(mark)
     }
--- a/programs/scenario/src/agreement/mod.rs
+++ b/programs/scenario/src/agreement/mod.rs
@@ -1,12 +1,12 @@
-//! Versions of settings under load, through faults between front ends, judged from the sockets.
+//! Changes of a fleet's settings under load, with faults between the front ends.
 //!
-//! A fleet of real gateways, each reached by its peers through routes of the proxy of its own, so that each direction between two can
-//! be paused. An operator proposes a version every few seconds; each round something goes wrong around it: processes are killed and
-//! start again, or are stopped and resumed, links are paused one way or both.
+//! The proxy has a separate route for each pair and direction of front ends, so that each can be paused independently. An operator
+//! proposes a version of the settings in each round, while front ends are killed and restarted or stopped and resumed, or links
+//! between them are paused. The audit looks for front ends that act on contradicting versions.
 //!
-//! - `options`, `report`: what is run, and its result.
-//! - `cluster`: the processes; `steps`: what is done to them; `script`: when.
-//! - `versions`: the settings that are proposed; `operator`: who proposes them.
+//! - `options`, `report`: the scenario's options and result.
+//! - `cluster`: the processes; `script`: the steps and their times; `steps`: performs them.
+//! - `versions`: the proposed settings; `operator`: proposes them.
 //! - `drains`: which front ends must know of a drain.
 
 mod cluster;
@@ -21,7 +21,7 @@
 pub use options::ScenarioOptions;
 pub use report::ScenarioReport;
 
-use crate::audit::crowded_rules;
+use crate::audit::oversubscribed_audit_rules;
 use crate::error::ScenarioError;
 use crate::load::{self, LoadFunction, LoadPlan};
 use crate::process;
@@ -36,34 +36,35 @@
 use tansy_settings::Settings;
 use versions::SettingsVersion;
 
-/// No two front ends may contradict each other for longer.
+/// Maximum time for which front ends may act on contradicting versions.
 pub const CONTRADICTION_LIMIT: Duration = Duration::from_secs(2);
-/// A change is proposed in each of these.
+/// Length of a round, in which one change is proposed.
 const ROUND_SECONDS: f64 = 4.0;
-/// Time after the last round for all to agree again.
+/// Time after the last round for the fleet to recover.
 const RECOVERY_SECONDS: f64 = 3.0;
 const WORKERS: usize = 6;
 const WORKER_CORES: f64 = 16.0;
-/// The name of the settings in errors.
+/// File name of the settings in error messages.
 const SETTINGS_NAME: &str = "settings.cue";
-/// How often it is checked who must know of a drain.
+/// Time between two checks of which front ends must know of a drain.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The observed function whose class changes, and the one whose answers are lost.
-const CLASS_FUNCTION: &str = "flip";
+/// The observed function whose class changes between versions.
+const CHANGING_CLASS_FUNCTION: &str = "flip";
+/// The observed function whose answers the workers lose.
 const LOST_ANSWERS_FUNCTION: &str = "lost";
-/// Calls of the observed functions a second to each front end.
+/// Calls of the observed functions per second and front end.
 const OBSERVED_RATE: u64 = 20;
-/// Of a call's time, a front end reserves this part at most for the answer's way, and for its own.
-const RESERVE: f64 = 0.2;
+/// Maximum share of a call's time that a front end reserves for itself and for returning the answer.
+const MAX_RESERVE_SHARE: f64 = 0.2;
 /// The first version of the settings.
 const FIRST_VERSION: u64 = 1;
 
 /// Runs the scenario.
 ///
 /// # Errors
-/// A process, the proxy, the clients or the operator fail; violations of rules are no error.
+/// A process, the proxy, the load generator or the operator fails. Rule violations are part of the report.
 pub fn run(options: &ScenarioOptions) -> Result<ScenarioReport, ScenarioError> {
-    let versions = versions::draw(options);
+    let versions = versions::generate(options);
     let mut cluster = Cluster::start(options, versions[0])?;
     let text = versions[0].text(options, &cluster.peers);
     let settings = tansy_settings::parse_settings(SETTINGS_NAME, &text)?;
@@ -71,9 +72,9 @@
     let observers = load::spawn(observer_plan(&cluster, &settings));
     let (changes, requests) = mpsc::channel();
     let operator = spawn_operator(&cluster, requests);
-    play_script(&mut cluster, &versions, &changes)?;
+    run_script(&mut cluster, &versions, &changes)?;
     drop(changes);
-    let ended = |_| ScenarioError::ThreadEnded("operator's");
+    let ended = |_| ScenarioError::ThreadEnded("operator");
     let operator = operator.join().map_err(ended)??;
     let load = load::join(clients)?;
     load::join(observers)?;
@@ -81,17 +82,17 @@
     report(&cluster, &settings, versions[0], operator, &load)
 }
 
-/// The calls that are counted.
+/// The load of the functions that are not observed.
 fn load_plan(cluster: &Cluster, settings: &Settings) -> LoadPlan {
     let options = &cluster.options;
     let functions = settings.dispatch.functions.iter();
     LoadPlan {
-        fronts: cluster.client_addresses.clone(),
+        front_ends: cluster.client_addresses.clone(),
         functions: functions
             .filter(|function| !is_observed(&function.name))
             .map(|function| LoadFunction::with_deadline(function, settings))
             .collect(),
-        work: 5..=20,
+        work_ms: 5..=20,
         rate: options.rate,
         seconds: options.rounds as f64 * ROUND_SECONDS + RECOVERY_SECONDS,
         seed: options.seed,
@@ -101,20 +102,20 @@
     }
 }
 
-/// The calls of the observed functions, which show by which settings a front end acts.
+/// The load of the observed functions, whose calls show which settings a front end acts on.
 fn observer_plan(cluster: &Cluster, settings: &Settings) -> LoadPlan {
     let functions = settings.dispatch.functions.iter();
     let observed = functions.filter(|function| is_observed(&function.name));
     let plan = load_plan(cluster, settings);
     LoadPlan {
-        // Without a timeout of the client's, that of the class shows.
+        // Without a client timeout, the deadline of the class is visible in the traffic.
         functions: observed
             .map(|function| LoadFunction {
                 name: function.name.clone(),
-                timeout: 0,
+                timeout_us: 0,
             })
             .collect(),
-        work: 1..=1,
+        work_ms: 1..=1,
         rate: OBSERVED_RATE * cluster.options.front_ends as u64,
         seed: plan.seed ^ 1,
         id_prefix: "witness",
@@ -124,7 +125,7 @@
 }
 
 fn is_observed(function: &str) -> bool {
-    function == CLASS_FUNCTION || function == LOST_ANSWERS_FUNCTION
+    function == CHANGING_CLASS_FUNCTION || function == LOST_ANSWERS_FUNCTION
 }
 
 type OperatorThread = JoinHandle<Result<OperatorResult, ScenarioError>>;
@@ -135,8 +136,8 @@
     std::thread::spawn(move || Operator::new(proxy, voters)?.run(&requests))
 }
 
-/// Performs each step when its time has come.
-fn play_script(
+/// Performs each step when it is due, and sends the proposals to the operator.
+fn run_script(
     cluster: &mut Cluster,
     versions: &[SettingsVersion],
     changes: &mpsc::Sender<ProposedChange>,
@@ -144,7 +145,7 @@
     let options = cluster.options.clone();
     let mut next_versions = versions.iter().skip(1);
     let started = Instant::now();
-    for timed in script::draw(&options) {
+    for timed in script::generate(&options) {
         wait_until(cluster, started + Duration::from_secs_f64(timed.at))?;
         if timed.step == ScriptStep::Propose && options.changes {
             if let Some(version) = next_versions.next() {
@@ -153,7 +154,7 @@
                     fields: tansy_settings::agreement::parse_version(SETTINGS_NAME, &text)?,
                     claim: version.claim(),
                 };
-                let ended = |_| ScenarioError::ThreadEnded("operator's");
+                let ended = |_| ScenarioError::ThreadEnded("operator");
                 changes.send(change).map_err(ended)?;
             }
         }
@@ -165,7 +166,7 @@
     Ok(())
 }
 
-/// Marks drains until a moment has come.
+/// Waits until `due`, and marks drains meanwhile.
 fn wait_until(cluster: &mut Cluster, due: Instant) -> Result<(), ScenarioError> {
     loop {
         cluster.mark_known_drains()?;
@@ -177,7 +178,7 @@
     }
 }
 
-/// Audits what passed.
+/// Audits the proxy's recording and builds the report.
 fn report(
     cluster: &Cluster,
     settings: &Settings,
@@ -186,17 +187,20 @@
     load: &load::LoadResult,
 ) -> Result<ScenarioReport, ScenarioError> {
     let entries = cluster.proxy.take_entries()?;
-    let (audit, calls) = audit_with_history(&entries, &crowded_rules(settings, WORKER_CORES));
+    let (audit, calls) = audit_with_history(
+        &entries,
+        &oversubscribed_audit_rules(settings, WORKER_CORES),
+    );
     let mut claims = operator.claims;
     claims.entry(FIRST_VERSION).or_insert(first.claim());
     let observations = Observations {
-        flip: CLASS_FUNCTION.into(),
+        flip: CHANGING_CLASS_FUNCTION.into(),
         lost: LOST_ANSWERS_FUNCTION.into(),
         claims,
-        reserve: RESERVE,
+        reserve: MAX_RESERVE_SHARE,
     };
     let contradictions = find_contradictions(&entries, &calls, &observations);
-    // Its files are of no use any more; where they can't be removed they stay.
+    // Failure only leaves temporary files behind.
     let _ = std::fs::remove_dir_all(&cluster.folder);
     Ok(ScenarioReport::new(
         &operator.proposals,
--- a/programs/scenario/src/agreement/report.rs
+++ b/programs/scenario/src/agreement/report.rs
@@ -10,23 +10,23 @@
 /// The result of the scenario.
 #[derive(Clone, Debug)]
 pub struct ScenarioReport {
-    /// Versions that came into force.
+    /// Number of versions that came into force.
     pub in_force: usize,
-    /// Proposals that did not: given up, or rejected since another was in progress.
+    /// Number of proposals that did not come into force in time.
     pub not_in_force: usize,
-    /// Milliseconds from each proposal to its force, sorted.
-    pub force_ms: Vec<u64>,
-    /// Processes killed.
+    /// Milliseconds from each proposal until it was in force, sorted.
+    pub in_force_ms: Vec<u64>,
+    /// Number of processes killed.
     pub killed: usize,
     /// Share of the clients' calls that were served.
     pub served_share: f64,
-    /// Calls of the observed functions that showed which settings were acted on.
-    pub shown: usize,
+    /// Number of calls of the observed functions that showed which settings the front end acted on.
+    pub conclusive_calls: usize,
     /// Longest contradiction of a strict field, milliseconds.
     pub strict_ms: f64,
     /// Longest contradiction of a joint field, milliseconds.
     pub joint_ms: f64,
-    /// Violations of the five rules, and contradictions, in words.
+    /// Texts of the rule violations, and of the contradictions if one was too long.
     pub violations: Vec<String>,
 }
 
@@ -43,11 +43,11 @@
         contradictions: &Contradictions,
         killed: usize,
     ) -> ScenarioReport {
-        let mut force_ms: Vec<u64> = proposals
+        let mut in_force_ms: Vec<u64> = proposals
             .iter()
-            .filter_map(|proposal| proposal.force_ms)
+            .filter_map(|proposal| proposal.in_force_ms)
             .collect();
-        force_ms.sort_unstable();
+        in_force_ms.sort_unstable();
         let longest = contradictions.strict.max(contradictions.joint);
         let too_long = longest > CONTRADICTION_LIMIT.as_micros() as i64;
         let mut violations: Vec<String> = audit.violations.iter().map(violation_text).collect();
@@ -55,15 +55,15 @@
             violations.extend(contradictions.descriptions.iter().cloned());
         }
         ScenarioReport {
-            in_force: force_ms.len(),
-            not_in_force: proposals.len() - force_ms.len(),
+            in_force: in_force_ms.len(),
+            not_in_force: proposals.len() - in_force_ms.len(),
             killed,
             served_share: load.served_share(),
-            shown: contradictions.shown,
+            conclusive_calls: contradictions.shown,
             strict_ms: contradictions.strict as f64 / 1000.0,
             joint_ms: contradictions.joint as f64 / 1000.0,
             violations,
-            force_ms,
+            in_force_ms,
         }
     }
 }
--- a/programs/scenario/src/cli/agreement.rs
+++ b/programs/scenario/src/cli/agreement.rs
@@ -1,4 +1,4 @@
-//! The scenario `agree`: a run with changes, then the same run without.
+//! The scenario `agree`: a run with changes of the settings, then a baseline run without.
 
 use super::arguments::{ArgumentError, Arguments};
 use super::{exit_code, print_json, print_violations, CommandError};
@@ -12,7 +12,7 @@
 const ROUNDS: RangeInclusive<usize> = 1..=1000;
 const VOTERS: [usize; 4] = [1, 3, 5, 7];
 
-/// The result as it is printed, with the field names that scripts read.
+/// The printed result, with the field names that scripts read.
 #[derive(serde::Serialize)]
 struct ResultLine<'a> {
     scenario: &'static str,
@@ -29,12 +29,14 @@
     violations: usize,
     in_force: usize,
     not_in_force: usize,
-    force_ms: &'a [u64],
+    #[serde(rename = "force_ms")]
+    in_force_ms: &'a [u64],
     killed: usize,
-    shown: usize,
+    #[serde(rename = "shown")]
+    conclusive_calls: usize,
 }
 
-/// Runs the scenario, and prints its result.
+/// Runs the scenario and prints its result.
 pub(super) fn run(arguments: &Arguments) -> Result<ExitCode, CommandError> {
     let options = options(arguments)?;
     let report = agreement::run(&options)?;
@@ -44,8 +46,8 @@
         baseline.as_ref().map(|run| run.violations.as_slice()),
         arguments.max_printed,
     );
-    // A run in which nothing changed, or whose observed functions showed nothing, proves nothing.
-    let ok = violations == 0 && report.in_force > 0 && report.shown > 0;
+    // Without a change in force, or without conclusive calls, contradictions could not have been detected.
+    let ok = violations == 0 && report.in_force > 0 && report.conclusive_calls > 0;
     let line = ResultLine {
         scenario: "agree",
         seed: options.seed,
@@ -57,9 +59,9 @@
         violations,
         in_force: report.in_force,
         not_in_force: report.not_in_force,
-        force_ms: &report.force_ms,
+        in_force_ms: &report.in_force_ms,
         killed: report.killed,
-        shown: report.shown,
+        conclusive_calls: report.conclusive_calls,
     };
     if arguments.json {
         print_json(&line);
@@ -90,7 +92,7 @@
     })
 }
 
-/// The same run without changes, unless it is left out.
+/// Runs the scenario without changes, unless `--no-plain` is given.
 fn run_baseline(
     arguments: &Arguments,
     options: &ScenarioOptions,
@@ -111,10 +113,10 @@
         "changes: in force {} not {} ({:?} ms); contradiction {:.1} ms of {} allowed, shown by {} calls",
         line.in_force,
         line.not_in_force,
-        line.force_ms,
+        line.in_force_ms,
         line.contradiction_ms,
         line.limit_ms,
-        line.shown
+        line.conclusive_calls
     );
     let baseline = line.baseline_served_share.map_or(String::new(), |share| {
         format!(", without changes {share:.4}")
--- a/programs/scenario/src/defect/mod.rs
+++ b/programs/scenario/src/defect/mod.rs
@@ -1,15 +1,15 @@
-//! A gateway with an injected defect: the program's own file says at its end which one.
+//! A gateway with an injected defect, which a marker at the end of its executable selects.
 //!
-//! The defects are of a new program that treats its connections or its memory badly; the gateway's code is the same. What it gets
-//! from its workers passes a proxy in this process that delays or ends it; or the process ends, or takes memory, by itself.
+//! The gateway's code is unchanged. Its connections to workers pass a proxy in the same process that delays answers or refuses
+//! connections, or the process crashes or leaks memory.
 //!
-//! - `marker`: which defect a program's file names.
+//! - `marker`: the marker in the executable.
 //! - `delay_proxy`: the proxy.
 
 mod delay_proxy;
 mod marker;
 
-pub use marker::with_defect;
+pub use marker::append_defect_marker;
 
 use clap::ValueEnum;
 use delay_proxy::ConnectionFaults;
@@ -18,59 +18,58 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// By how much slow workers' answers are late.
-const DELAY: Duration = Duration::from_millis(700);
-/// From when on the late slowdown delays answers.
-const LATE_START: Duration = Duration::from_secs(14);
-/// How long a crashing process lives.
-const CRASH_AFTER: Duration = Duration::from_secs(3);
-/// Bytes leaked at a time.
-const LEAKED_BYTES: usize = 300_000;
-/// Time between two leaks.
+/// Delay of answers with the slow defects.
+const ANSWER_DELAY: Duration = Duration::from_millis(700);
+/// Time from the process's start until [`InjectedDefect::LateSlowdown`] delays answers.
+const SLOWDOWN_ONSET: Duration = Duration::from_secs(14);
+/// Time from the process's start until [`InjectedDefect::Crash`] aborts it.
+const CRASH_DELAY: Duration = Duration::from_secs(3);
+/// Bytes of one leaked allocation.
+const LEAK_CHUNK_BYTES: usize = 300_000;
+/// Time between two leaked allocations.
 const LEAK_INTERVAL: Duration = Duration::from_millis(100);
-/// Workers can't be reached for so long...
-const REFUSAL: Duration = Duration::from_secs(1);
-/// ... out of each of these.
+/// Workers are unreachable for this time at the start of each [`REFUSAL_PERIOD`].
+const REFUSAL_DURATION: Duration = Duration::from_secs(1);
 const REFUSAL_PERIOD: Duration = Duration::from_secs(3);
 
-/// What is wrong with the new program of a rollout, or with its surroundings.
+/// The defect of a rollout's new program, or of its environment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, ValueEnum)]
 pub enum InjectedDefect {
-    /// Nothing.
+    /// No defect.
     #[serde(rename = "none")]
     None,
-    /// Answers of its workers reach it late.
+    /// Delays all answers of workers.
     #[serde(rename = "slow")]
     #[value(name = "slow")]
     SlowAnswers,
-    /// It loses its workers every few seconds.
+    /// Makes all workers unreachable for a second, every few seconds.
     #[serde(rename = "refuse")]
     #[value(name = "refuse")]
-    LostWorkers,
-    /// It ends by itself soon after its start.
+    UnreachableWorkers,
+    /// Aborts the process a few seconds after its start.
     #[serde(rename = "crash")]
     Crash,
-    /// It takes more and more memory.
+    /// Leaks memory steadily.
     #[serde(rename = "leak")]
     #[value(name = "leak")]
     MemoryLeak,
-    /// Nothing; but the workers of a zone stand still for some seconds in the first analysis.
+    /// No defect of the program; the workers of one zone are stopped for some seconds during the first analysis.
     #[serde(rename = "zone")]
     #[value(name = "zone")]
     ZonePause,
-    /// Answers reach it late from some time after its start on.
+    /// Delays answers of workers from some seconds after the start on.
     #[serde(rename = "late")]
     #[value(name = "late")]
     LateSlowdown,
 }
 
 impl InjectedDefect {
-    /// Its name on the command line, in results and in a program's file.
+    /// Name on the command line, in results and in an executable's marker.
     pub fn name(self) -> &'static str {
         match self {
             InjectedDefect::None => "none",
             InjectedDefect::SlowAnswers => "slow",
-            InjectedDefect::LostWorkers => "refuse",
+            InjectedDefect::UnreachableWorkers => "refuse",
             InjectedDefect::Crash => "crash",
             InjectedDefect::MemoryLeak => "leak",
             InjectedDefect::ZonePause => "zone",
@@ -78,33 +77,36 @@
         }
     }
 
-    /// Whether a rollout of a program with it has to be completed, not stopped.
+    /// Whether a rollout must complete in spite of the defect.
     pub fn is_harmless(self) -> bool {
         matches!(self, InjectedDefect::None | InjectedDefect::ZonePause)
     }
 }
 
-/// Runs the gateway, with the defect that this program's file names, if it names one.
+/// Runs the gateway with the defect that this executable's marker names, if any.
 pub fn run_gateway(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     let started = Instant::now();
     let mut arguments: Vec<OsString> = arguments.collect();
-    // A file that can't be read names none.
-    let name = marker::own_defect().ok().flatten().unwrap_or_default();
+    // No defect if the executable can't be read.
+    let name = marker::read_own_defect().ok().flatten().unwrap_or_default();
     match InjectedDefect::from_str(&name, false).unwrap_or(InjectedDefect::None) {
         InjectedDefect::None | InjectedDefect::ZonePause => {}
         InjectedDefect::SlowAnswers => {
-            delay_proxy::insert(&mut arguments, ConnectionFaults::delay(|| Some(DELAY)));
+            delay_proxy::route_through_proxies(
+                &mut arguments,
+                ConnectionFaults::delay(|| Some(ANSWER_DELAY)),
+            );
         }
         InjectedDefect::LateSlowdown => {
-            let delay = move || (started.elapsed() >= LATE_START).then_some(DELAY);
-            delay_proxy::insert(&mut arguments, ConnectionFaults::delay(delay));
+            let delay = move || (started.elapsed() >= SLOWDOWN_ONSET).then_some(ANSWER_DELAY);
+            delay_proxy::route_through_proxies(&mut arguments, ConnectionFaults::delay(delay));
         }
-        InjectedDefect::LostWorkers => {
+        InjectedDefect::UnreachableWorkers => {
             let refuses = move || {
                 let in_period = started.elapsed().as_millis() % REFUSAL_PERIOD.as_millis();
-                in_period < REFUSAL.as_millis()
+                in_period < REFUSAL_DURATION.as_millis()
             };
-            delay_proxy::insert(&mut arguments, ConnectionFaults::refusal(refuses));
+            delay_proxy::route_through_proxies(&mut arguments, ConnectionFaults::refusal(refuses));
         }
         InjectedDefect::Crash => drop(std::thread::spawn(crash)),
         InjectedDefect::MemoryLeak => drop(std::thread::spawn(leak)),
@@ -113,14 +115,14 @@
 }
 
 fn crash() {
-    std::thread::sleep(CRASH_AFTER);
+    std::thread::sleep(CRASH_DELAY);
     std::process::abort();
 }
 
 fn leak() {
     let mut leaked = Vec::new();
     loop {
-        leaked.push(vec![1_u8; LEAKED_BYTES]);
+        leaked.push(vec![1_u8; LEAK_CHUNK_BYTES]);
         std::thread::sleep(LEAK_INTERVAL);
     }
 }
--- a/programs/scenario/src/faults/mod.rs
+++ b/programs/scenario/src/faults/mod.rs
@@ -1,7 +1,7 @@
 //! Scenarios that inject faults between front ends, workers and clients.
 //!
 //! - `definition`: processes, load and script of each scenario.
-//! - `script`: which fault comes when.
+//! - `script`: the faults and their times.
 //! - `process_group`: the processes and the proxy between them.
 
 mod definition;
@@ -9,56 +9,56 @@
 mod script;
 
 pub use definition::{FaultScenario, ALL_FAULTS, COLD_ZONE};
-pub use process_group::{FinishedGroup, ProcessGroup};
+pub use process_group::{GroupResult, ProcessGroup};
 pub use script::{perform, FaultStep};
 
-use crate::audit::rules;
+use crate::audit::audit_rules;
 use crate::error::ScenarioError;
 use crate::load::{self, LoadFunction, LoadPlan, LoadResult};
 use std::sync::mpsc;
 use tansy_audit::{audit, Audit};
 
-/// What of a scenario the command line decides.
+/// Options of a fault scenario.
 #[derive(Clone, Debug)]
 pub struct FaultOptions {
-    /// Seed of the clients' random choices.
+    /// Seed of the load generator.
     pub seed: u64,
-    /// Seconds.
+    /// Length of the scenario.
     pub seconds: f64,
-    /// Calls a second; none: the scenario's.
+    /// Calls per second; `None`: the scenario's default.
     pub rate: Option<u64>,
-    /// Workers; none: the scenario's.
+    /// Number of workers; `None`: the scenario's default.
     pub workers: Option<usize>,
-    /// Seconds of work that a worker does a second; none: the scenario's.
+    /// Cores of a worker; `None`: the scenario's default.
     pub cores: Option<f64>,
-    /// No fault is injected.
+    /// Whether to inject no faults.
     pub without_faults: bool,
 }
 
-/// The result of a scenario.
+/// The result of a fault scenario.
 #[derive(Debug)]
 pub struct FaultReport {
-    /// What the clients observed.
+    /// Results of the load generator.
     pub load: LoadResult,
     /// The counters of each gateway, as it printed them.
     pub counters: Vec<String>,
-    /// What the auditor found.
+    /// Results of the audit.
     pub audit: Audit,
 }
 
 /// Runs a scenario.
 ///
 /// # Errors
-/// A process, the proxy or the clients fail; violations of rules are no error.
+/// A process, the proxy or the load generator fails. Rule violations are part of the report.
 pub fn run(scenario: &FaultScenario, options: &FaultOptions) -> Result<FaultReport, ScenarioError> {
     let workers = options.workers.unwrap_or(scenario.workers);
     let cores = options.cores.unwrap_or(scenario.cores);
     let settings = tansy_settings::parse_settings(scenario.settings_name, scenario.settings_text)?;
     let mut group = ProcessGroup::start(scenario, workers, cores)?;
     let plan = LoadPlan {
-        fronts: group.client_addresses().to_vec(),
+        front_ends: group.client_addresses().to_vec(),
         functions: LoadFunction::all(&settings),
-        work: scenario.work.clone(),
+        work_ms: scenario.work_ms.clone(),
         rate: options.rate.unwrap_or(scenario.rate),
         seconds: options.seconds,
         seed: options.seed,
@@ -69,14 +69,14 @@
     let (progress, passed) = mpsc::channel();
     let clients = std::thread::spawn(move || load::run(&plan, &progress));
     if options.without_faults {
-        // Until the clients end.
+        // Waits until the clients are done.
         passed.iter().for_each(drop);
     } else {
-        play_script(&mut group, scenario.script, &passed)?;
+        run_script(&mut group, scenario.script, &passed)?;
     }
     let load = load::join(clients)?;
     let finished = group.finish()?;
-    let audit = audit(&finished.entries, &rules(&settings, cores));
+    let audit = audit(&finished.entries, &audit_rules(&settings, cores));
     Ok(FaultReport {
         load,
         counters: finished.counters,
@@ -84,8 +84,8 @@
     })
 }
 
-/// Performs each step once its part of the time has passed, until the clients end.
-fn play_script(
+/// Performs each step when it is due, until the clients are done.
+fn run_script(
     group: &mut ProcessGroup,
     script: &[(f64, FaultStep)],
     passed: &mpsc::Receiver<f64>,
--- a/programs/scenario/src/load/mod.rs
+++ b/programs/scenario/src/load/mod.rs
@@ -1,9 +1,9 @@
-//! The clients of a scenario: so many calls a second, some cancelled, some read slowly.
+//! The load generator: clients that send calls at a constant rate, cancel some, and read some answers slowly.
 //!
-//! - `plan`: what they send.
-//! - `call`: one call, drawn by the seed.
-//! - `exchange`: a call on a connection.
-//! - `result`: what they observed.
+//! - `plan`: rate, functions and other parameters of the load.
+//! - `call`: generates a random call.
+//! - `exchange`: sends a call on a connection.
+//! - `result`: counters and latencies.
 
 mod call;
 mod exchange;
@@ -25,27 +25,26 @@
 use tansy_net_grpc::link::{Limits, Link};
 use tansy_net_sockets::Spawner;
 
-/// Connections that a client tries at most, one after the other, while it reaches none.
-const CONNECTION_TRIES: usize = 4;
-/// Connections to each front end.
-const CONNECTIONS: usize = 4;
-/// Seconds after the end of the plan by which calls are answered or count as lost.
+/// Maximum number of connections that a client tries in turn until it reaches a front end.
+const MAX_CONNECTION_ATTEMPTS: usize = 4;
+const CONNECTIONS_PER_FRONT_END: usize = 4;
+/// Time after the end of the plan until unanswered calls count as lost.
 const GRACE_SECONDS: f64 = 5.0;
-/// Time between two looks at the calls that are still open when all have been sent.
-const DRAIN_INTERVAL: Duration = Duration::from_millis(2);
+/// Time between two checks for open calls after the last one was sent.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
-/// Progress is reported in such parts of the plan's time.
-const PROGRESS_PARTS: f64 = 1000.0;
+/// Number of progress reports over the plan's time.
+const PROGRESS_STEPS: f64 = 1000.0;
 
-/// What the open calls share.
+/// State shared by the open calls.
 struct CallStatistics {
-    open: Cell<u64>,
+    open_calls: Cell<u64>,
     result: RefCell<LoadResult>,
 }
 
 impl CallStatistics {
     fn record(&self, outcome: CallOutcome, latency: Duration, first_message: Option<u64>) {
-        self.open.set(self.open.get() - 1);
+        self.open_calls.set(self.open_calls.get() - 1);
         let mut result = self.result.borrow_mut();
         match outcome {
             CallOutcome::Served => {
@@ -64,7 +63,7 @@
     }
 }
 
-/// Runs the clients on a thread of their own.
+/// Runs the clients on a new thread.
 pub(crate) fn spawn(plan: LoadPlan) -> JoinHandle<Result<LoadResult, ScenarioError>> {
     std::thread::spawn(move || {
         let (progress, _receiver) = mpsc::channel();
@@ -72,15 +71,15 @@
     })
 }
 
-/// The result of the clients' thread.
+/// Waits for the clients' thread and returns its result.
 pub(crate) fn join(
     clients: JoinHandle<Result<LoadResult, ScenarioError>>,
 ) -> Result<LoadResult, ScenarioError> {
     let result = clients.join();
-    result.map_err(|_| ScenarioError::ThreadEnded("clients'"))?
+    result.map_err(|_| ScenarioError::ThreadEnded("load generator"))?
 }
 
-/// Runs the clients on this thread; `progress` gets the part of the plan's time that has passed, again and again.
+/// Runs the clients on this thread; sends the elapsed share of the plan's time to `progress` repeatedly.
 ///
 /// # Errors
 /// The event loop fails.
@@ -93,13 +92,13 @@
             continue;
         }
         if let Some(passed) = clients.new_progress() {
-            // Whoever listens may have ended.
+            // The receiver may have been dropped.
             let _ = progress.send(passed);
         }
         event_loop.dispatch(Some(clients.time_to_next()), &mut ())?;
     }
-    let open = clients.statistics.open.get();
-    // Ends the open calls; none of them is counted any more.
+    let open = clients.statistics.open_calls.get();
+    // Drops the open calls, so that none is counted twice.
     drop(event_loop);
     let mut result = clients.statistics.result.replace(LoadResult::new()?);
     result.begun = clients.sent;
@@ -107,7 +106,7 @@
     Ok(result)
 }
 
-/// The clients, on one event loop.
+/// All clients, which share one event loop.
 struct Clients<'a> {
     plan: &'a LoadPlan,
     spawner: Spawner,
@@ -116,22 +115,25 @@
     rng: fastrand::Rng,
     started: Instant,
     sent: u64,
-    /// Calls to be sent, and the seconds for it: less than the plan's once it is stopped.
-    total: u64,
+    /// Number of calls to send; less than the plan's once the plan is stopped.
+    call_count: u64,
+    /// Time in which the calls are due; shorter than the plan's once the plan is stopped.
     seconds: f64,
-    /// The last reported progress, in its parts.
-    reported: u64,
+    /// The last reported progress, in units of 1 / [`PROGRESS_STEPS`].
+    reported_steps: u64,
 }
 
 impl<'a> Clients<'a> {
     fn new(plan: &'a LoadPlan, spawner: Spawner) -> Result<Clients<'a>, ScenarioError> {
         let link = |index: usize| {
-            let front = plan.fronts[index / CONNECTIONS];
-            Link::new(spawner.clone(), front, Limits::default())
+            let address = plan.front_ends[index / CONNECTIONS_PER_FRONT_END];
+            Link::new(spawner.clone(), address, Limits::default())
         };
-        let links = (0..plan.fronts.len() * CONNECTIONS).map(link).collect();
+        let links = (0..plan.front_ends.len() * CONNECTIONS_PER_FRONT_END)
+            .map(link)
+            .collect();
         let statistics = Rc::new(CallStatistics {
-            open: Cell::new(0),
+            open_calls: Cell::new(0),
             result: RefCell::new(LoadResult::new()?),
         });
         Ok(Clients {
@@ -142,21 +144,21 @@
             rng: fastrand::Rng::with_seed(plan.seed),
             started: Instant::now(),
             sent: 0,
-            total: plan.total(),
+            call_count: plan.call_count(),
             seconds: plan.seconds,
-            reported: 0,
+            reported_steps: 0,
         })
     }
 
-    /// Whether all calls are sent, and answered or given up.
+    /// Whether all calls were sent, and are answered or past the grace time.
     fn are_done(&self) -> bool {
         let in_grace = self.started.elapsed().as_secs_f64() < self.seconds + GRACE_SECONDS;
-        self.sent >= self.total && !(self.statistics.open.get() > 0 && in_grace)
+        self.sent >= self.call_count && !(self.statistics.open_calls.get() > 0 && in_grace)
     }
 
     fn apply_stop(&mut self) {
-        if self.sent < self.total && self.plan.is_stopped() {
-            self.total = self.sent;
+        if self.sent < self.call_count && self.plan.is_stopped() {
+            self.call_count = self.sent;
             self.seconds = self.started.elapsed().as_secs_f64();
         }
     }
@@ -165,16 +167,18 @@
         self.started + Duration::from_nanos(NANOS_PER_SECOND * self.sent / self.plan.rate)
     }
 
-    /// Begins the next call if its time has come.
+    /// Starts the next call if it is due.
     fn send_if_due(&mut self) -> bool {
-        if self.sent >= self.total || self.next_due() > Instant::now() {
+        if self.sent >= self.call_count || self.next_due() > Instant::now() {
             return false;
         }
-        let call = PlannedCall::draw(self.plan, self.links.len(), &mut self.rng);
+        let call = PlannedCall::generate(self.plan, self.links.len(), &mut self.rng);
         let request = call.request(self.plan.id_prefix, self.sent);
-        // A client that reaches nobody asks the next front end.
-        let links: Vec<Rc<Link>> = (0..CONNECTION_TRIES)
-            .map(|attempt| (call.first_link + attempt * (CONNECTIONS + 1)) % self.links.len())
+        // If a connection fails, the client tries the next front end.
+        let links: Vec<Rc<Link>> = (0..MAX_CONNECTION_ATTEMPTS)
+            .map(|attempt| {
+                (call.first_link + attempt * (CONNECTIONS_PER_FRONT_END + 1)) % self.links.len()
+            })
             .map(|index| self.links[index].clone())
             .collect();
         let statistics = self.statistics.clone();
@@ -184,27 +188,27 @@
         true
     }
 
-    /// The part of the plan's time that has passed, once it is larger than the last one reported.
+    /// The elapsed share of the plan's time, if a further step has passed since the last report.
     fn new_progress(&mut self) -> Option<f64> {
         let share = self.started.elapsed().as_secs_f64() / self.plan.seconds;
-        let parts = (share * PROGRESS_PARTS) as u64;
-        if parts <= self.reported {
+        let steps = (share * PROGRESS_STEPS) as u64;
+        if steps <= self.reported_steps {
             return None;
         }
-        self.reported = parts;
-        Some(parts as f64 / PROGRESS_PARTS)
+        self.reported_steps = steps;
+        Some(steps as f64 / PROGRESS_STEPS)
     }
 
     fn time_to_next(&self) -> Duration {
-        if self.sent < self.total {
+        if self.sent < self.call_count {
             self.next_due().saturating_duration_since(Instant::now())
         } else {
-            DRAIN_INTERVAL
+            DRAIN_POLL_INTERVAL
         }
     }
 }
 
-/// Performs one client's call on the first of the connections that can be had.
+/// Performs a call on the first connection that is available, and records its outcome.
 async fn perform(
     spawner: Spawner,
     statistics: Rc<CallStatistics>,
@@ -212,7 +216,7 @@
     call: PlannedCall,
     request: bytes::Bytes,
 ) {
-    statistics.open.set(statistics.open.get() + 1);
+    statistics.open_calls.set(statistics.open_calls.get() + 1);
     let started = Instant::now();
     let mut first_message = None;
     let attempts = async {
--- a/programs/scenario/src/rollout/cluster.rs
+++ b/programs/scenario/src/rollout/cluster.rs
@@ -1,11 +1,11 @@
-//! The processes of the scenario: workers, and a supervisor for the front ends of each zone, with the proxy between them.
+//! The processes of the scenario: workers, a supervisor for the front ends of each zone, and the proxy between them.
 
-use super::files::{MachineFrontEnd, ScenarioFolder};
+use super::files::{ScenarioFolder, SupervisedFrontEnd};
 use super::options::ScenarioOptions;
 use super::{zone_of, VOTERS, WORKERS_PER_ZONE, WORKER_CORES, ZONES};
 use crate::error::ScenarioError;
 use crate::fault_proxy::FaultProxyThread;
-use crate::fleet::{self, ReadinessTimeout};
+use crate::fleet::{self, ReadinessPolling};
 use crate::process;
 use rustix::process::{kill_process, Pid, Signal};
 use std::net::SocketAddr;
@@ -18,17 +18,17 @@
 use tansy_test_support::address::ReservedAddress;
 use tansy_test_support::process::ServerProcess;
 
-/// A fleet has to be ready within this time.
-const READINESS: ReadinessTimeout = ReadinessTimeout {
-    within: Duration::from_secs(40),
+/// When and how often to check that the fleet is ready.
+const READINESS: ReadinessPolling = ReadinessPolling {
+    timeout: Duration::from_secs(40),
     interval: Duration::from_millis(100),
 };
-/// Time for voters to answer what they know of the rollout.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Loopback addresses that are set aside for each front end.
+/// Timeout of requests for the rollout's state.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(800);
+/// Number of loopback addresses reserved for each front end.
 const HOSTS_PER_FRONT_END: u8 = 4;
 
-/// What each of a front end's addresses is for.
+/// The purpose of a front end's address; the value is its offset in the front end's range.
 #[derive(Clone, Copy)]
 enum AddressUse {
     Peers = 0,
@@ -36,7 +36,7 @@
     Http = 2,
 }
 
-/// Addresses of all front ends, over all their processes.
+/// Addresses of all front ends, which stay the same across restarts.
 struct FrontEndAddresses {
     peers: Vec<ReservedAddress>,
     grpc: Vec<ReservedAddress>,
@@ -52,7 +52,7 @@
                 let offset = HOSTS_PER_FRONT_END * front as u8 + address_use as u8;
                 [127, 2 + pid, 1 + seed, 1 + offset]
             };
-            fleet::reserve((0..options.front_ends).map(host))
+            fleet::reserve_addresses((0..options.front_ends).map(host))
         };
         Ok(FrontEndAddresses {
             peers: reserve(AddressUse::Peers)?,
@@ -62,17 +62,17 @@
     }
 }
 
-/// All processes; they end with this value, and its files go.
+/// All processes of the scenario. Dropping the cluster kills them and removes the files.
 pub(super) struct Cluster {
     pub folder: ScenarioFolder,
     pub proxy: FaultProxyThread,
     pub workers: Vec<ServerProcess>,
-    /// Where each front end listens for its peers.
+    /// Address where each front end listens for its peers.
     pub peers: Vec<SocketAddr>,
     addresses: FrontEndAddresses,
-    /// Where clients reach each front end, through the proxy.
+    /// The proxy's address for clients of each front end.
     pub client_addresses: Vec<SocketAddr>,
-    /// By zone; none while one is dead.
+    /// By zone; `None` while a supervisor is killed.
     pub supervisors: Vec<Option<ServerProcess>>,
     pub client: Client,
 }
@@ -95,7 +95,7 @@
         cluster.folder.write_settings(options, &cluster.peers)?;
         cluster.folder.write_programs(options)?;
         cluster.start_workers()?;
-        cluster.write_machines(options)?;
+        cluster.write_supervisor_configs(options)?;
         for zone in 0..ZONES.len() {
             let supervisor = cluster.start_supervisor(zone)?;
             cluster.supervisors.push(Some(supervisor));
@@ -118,29 +118,30 @@
         workers.map(|worker| Ok(worker.address("grpc")?)).collect()
     }
 
-    /// Writes each supervisor's list of front ends, with their routes through the proxy.
-    fn write_machines(&mut self, options: &ScenarioOptions) -> Result<(), ScenarioError> {
+    /// Writes each supervisor's configuration, with the front ends' routes through the proxy.
+    fn write_supervisor_configs(&mut self, options: &ScenarioOptions) -> Result<(), ScenarioError> {
         let workers = self.worker_addresses()?;
-        let mut machines: Vec<Vec<MachineFrontEnd>> = ZONES.iter().map(|_| Vec::new()).collect();
+        let mut configs: Vec<Vec<SupervisedFrontEnd>> = ZONES.iter().map(|_| Vec::new()).collect();
         for front in 0..options.front_ends {
             let routes = self.worker_routes(front, &workers)?;
             let grpc = self.addresses.grpc[front].address();
             let client_address = self.proxy.route(Link::Client { front }, grpc)?;
             self.client_addresses.push(client_address);
-            machines[zone_of(front)].push(MachineFrontEnd {
+            configs[zone_of(front)].push(SupervisedFrontEnd {
                 index: front,
                 peer_address: self.peers[front],
                 arguments: self.gateway_arguments(front, routes),
             });
         }
-        for (zone, front_ends) in machines.iter().enumerate() {
+        for (zone, front_ends) in configs.iter().enumerate() {
             let voters = &self.peers[..VOTERS];
-            self.folder.write_machine(zone, voters, front_ends)?;
+            self.folder
+                .write_supervisor_config(zone, voters, front_ends)?;
         }
         Ok(())
     }
 
-    /// A front end's ways to workers through the proxy, as its command line names them: `TARGET=ADDRESS`.
+    /// A front end's routes to workers through the proxy, as values of `--via`: `TARGET=ADDRESS`.
     fn worker_routes(
         &self,
         front: usize,
@@ -174,23 +175,23 @@
         arguments
     }
 
-    /// Where a front end listens for clients.
+    /// Address where a front end listens for clients.
     pub fn grpc_address(&self, front: usize) -> SocketAddr {
         self.addresses.grpc[front].address()
     }
 
     /// Starts the supervisor of a zone.
     pub fn start_supervisor(&self, zone: usize) -> Result<ServerProcess, ScenarioError> {
-        let machine = self.folder.machine(zone).display().to_string();
-        let arguments = ["fleet", "up", "--log", "error", "--fleet", &machine];
+        let config = self.folder.supervisor_config(zone).display().to_string();
+        let arguments = ["fleet", "up", "--log", "error", "--fleet", &config];
         let log_file = self.folder.supervisor_log(zone);
         process::start_logged(&arguments.map(str::to_string), Some(&log_file))
     }
 
-    /// The rollout, as the leader knows it; none: no voter leads at the moment, or there was none.
+    /// The rollout's state at the leader; `None` if no voter leads or no rollout was started.
     pub fn rollout(&mut self) -> Option<Rollout> {
         let voters = self.peers[..VOTERS].to_vec();
-        let replies = self.client.rollouts(&voters, ANSWER_TIMEOUT);
+        let replies = self.client.rollouts(&voters, REPLY_TIMEOUT);
         let leader = replies
             .into_iter()
             .flatten()
@@ -198,7 +199,7 @@
         decode_rollout(&leader.rollout).ok().flatten()
     }
 
-    /// The processes of front ends, as the kernel has them.
+    /// The running front-end processes, from `/proc`.
     pub fn processes(&self) -> Vec<SupervisedProcess> {
         let folder = self.folder.path();
         let all = supervised_processes().into_iter();
@@ -214,10 +215,10 @@
         }
         for process in self.processes() {
             let pid = i32::try_from(process.pid).ok().and_then(Pid::from_raw);
-            // One that has ended meanwhile can't be killed.
+            // Fails if the process has exited meanwhile.
             let _ = pid.map(|pid| kill_process(pid, Signal::KILL));
         }
-        // Files that can't be removed stay.
+        // Failure only leaves temporary files behind.
         let _ = std::fs::remove_dir_all(self.folder.path());
     }
 }
--- a/programs/scenario/src/rollout/faults.rs
+++ b/programs/scenario/src/rollout/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a run: the rollout controller's supervisor is killed, and a zone's workers pause.
+//! Faults of a run: kills the supervisor that runs the rollout controller, and pauses the workers of a zone.
 
 use super::cluster::Cluster;
 use super::options::ScenarioOptions;
@@ -9,47 +9,49 @@
 use std::time::{Duration, Instant};
 use tansy_rollout::{Rollout, RolloutPhase};
 
-/// The supervisor is killed within this part of a stage's least time.
-const KILL_WINDOW: f64 = 0.5;
-/// A killed supervisor is back after this many seconds, and up to so many more.
-const RESTART_SECONDS: f64 = 1.0;
-const RESTART_EXTRA_SECONDS: f64 = 3.0;
-/// A zone's workers pause so long after the first analysis began, and for so long.
+/// The supervisor is killed within this share of the minimum stage length, after the first release.
+const KILL_WINDOW_SHARE: f64 = 0.5;
+/// Minimum time until a killed supervisor is started again.
+const MIN_RESTART_SECONDS: f64 = 1.0;
+/// Maximum random time that is added to it.
+const MAX_EXTRA_RESTART_SECONDS: f64 = 3.0;
+/// Time from the start of the first analysis until a zone's workers are paused.
 const PAUSE_DELAY: Duration = Duration::from_secs(3);
-const PAUSE: Duration = Duration::from_secs(5);
+/// How long they are paused.
+const PAUSE_DURATION: Duration = Duration::from_secs(5);
 
-/// The supervisor of the rollout controller: killed at some moment after the first front end was changed, and started again.
+/// State of the controller fault: the supervisor is killed some time after the first release, and started again later.
 enum ControllerFault {
-    /// No front end was changed yet.
+    /// No front end was released yet.
     Waiting,
-    Due(Instant),
-    Dead {
+    Scheduled(Instant),
+    Down {
         zone: usize,
         restart: Instant,
     },
-    Over,
+    Done,
 }
 
-/// A zone's workers stand still.
+/// State of the pause of a zone's workers.
 #[derive(Clone, Copy)]
 enum ZonePause {
-    /// It has no such fault, or the analysis has not begun.
-    None,
-    Due(Instant),
+    /// The run has no such fault, or the first analysis has not started.
+    NotScheduled,
+    Scheduled(Instant),
     Paused {
         until: Instant,
     },
-    Over,
+    Done,
 }
 
-/// The faults of a run.
+/// Injects the faults of a run.
 pub(super) struct Faults {
     rng: fastrand::Rng,
     min_stage_seconds: f64,
     pauses_zone: bool,
     controller: ControllerFault,
     zone_pause: ZonePause,
-    /// Supervisors killed so far.
+    /// Number of supervisors killed so far.
     pub killed: usize,
 }
 
@@ -60,28 +62,28 @@
             min_stage_seconds: options.min_stage_seconds as f64,
             pauses_zone: options.defect == InjectedDefect::ZonePause,
             controller: ControllerFault::Waiting,
-            zone_pause: ZonePause::None,
+            zone_pause: ZonePause::NotScheduled,
             killed: 0,
         }
     }
 
-    /// Schedules and injects what depends on the rollout's state.
+    /// Schedules faults by the rollout's state, and kills the controller's supervisor when it is due.
     pub fn on_rollout(&mut self, cluster: &mut Cluster, rollout: &Rollout) {
         let now = Instant::now();
         if matches!(self.controller, ControllerFault::Waiting) && !rollout.released.is_empty() {
-            let delay = self.rng.f64() * KILL_WINDOW * self.min_stage_seconds;
-            self.controller = ControllerFault::Due(now + Duration::from_secs_f64(delay));
+            let delay = self.rng.f64() * KILL_WINDOW_SHARE * self.min_stage_seconds;
+            self.controller = ControllerFault::Scheduled(now + Duration::from_secs_f64(delay));
         }
-        if matches!(self.controller, ControllerFault::Due(at) if now >= at) {
+        if matches!(self.controller, ControllerFault::Scheduled(at) if now >= at) {
             self.kill_controller(cluster, rollout);
         }
         let analysing = rollout.phase == RolloutPhase::Analysing;
-        if self.pauses_zone && analysing && matches!(self.zone_pause, ZonePause::None) {
-            self.zone_pause = ZonePause::Due(now + PAUSE_DELAY);
+        if self.pauses_zone && analysing && matches!(self.zone_pause, ZonePause::NotScheduled) {
+            self.zone_pause = ZonePause::Scheduled(now + PAUSE_DELAY);
         }
     }
 
-    /// Kills the supervisor that runs the rollout controller, if one does.
+    /// Kills the supervisor that runs the rollout controller, if there is one.
     fn kill_controller(&mut self, cluster: &mut Cluster, rollout: &Rollout) {
         let Some(zone) = ZONES.iter().position(|zone| *zone == rollout.controller) else {
             return;
@@ -91,30 +93,34 @@
         };
         supervisor.kill();
         self.killed += 1;
-        let delay = RESTART_SECONDS + self.rng.f64() * RESTART_EXTRA_SECONDS;
+        let delay = MIN_RESTART_SECONDS + self.rng.f64() * MAX_EXTRA_RESTART_SECONDS;
         let restart = Instant::now() + Duration::from_secs_f64(delay);
-        self.controller = ControllerFault::Dead { zone, restart };
+        self.controller = ControllerFault::Down { zone, restart };
     }
 
-    /// Injects and ends what is due.
-    pub fn on_time(&mut self, cluster: &mut Cluster) -> Result<(), ScenarioError> {
+    /// Starts and ends the faults that are due.
+    pub fn run_due(&mut self, cluster: &mut Cluster) -> Result<(), ScenarioError> {
         let now = Instant::now();
-        if let ControllerFault::Dead { zone, restart } = self.controller {
+        if let ControllerFault::Down { zone, restart } = self.controller {
             if now >= restart {
                 cluster.supervisors[zone] = Some(cluster.start_supervisor(zone)?);
-                self.controller = ControllerFault::Over;
+                self.controller = ControllerFault::Done;
             }
         }
         match self.zone_pause {
-            // The moment has passed unnoticed: too late to begin.
-            ZonePause::Due(at) if now >= at + PAUSE => self.zone_pause = ZonePause::Over,
-            ZonePause::Due(at) if now >= at => {
+            // The whole pause has been missed.
+            ZonePause::Scheduled(at) if now >= at + PAUSE_DURATION => {
+                self.zone_pause = ZonePause::Done
+            }
+            ZonePause::Scheduled(at) if now >= at => {
                 signal_first_zone(cluster, Signal::STOP)?;
-                self.zone_pause = ZonePause::Paused { until: at + PAUSE };
+                self.zone_pause = ZonePause::Paused {
+                    until: at + PAUSE_DURATION,
+                };
             }
             ZonePause::Paused { until } if now >= until => {
                 signal_first_zone(cluster, Signal::CONT)?;
-                self.zone_pause = ZonePause::Over;
+                self.zone_pause = ZonePause::Done;
             }
             _ => {}
         }
@@ -122,7 +128,7 @@
     }
 }
 
-/// Signals the workers of the first zone.
+/// Sends a signal to the workers of the first zone.
 fn signal_first_zone(cluster: &Cluster, signal: Signal) -> Result<(), ScenarioError> {
     for worker in cluster.workers.iter().step_by(ZONES.len()) {
         worker.signal(signal)?;
