--- a/programs/capacity/src/check.rs
+++ b/programs/capacity/src/check.rs
@@ -3,7 +3,7 @@
 use crate::error::Errors;
 use crate::files::{entries, file_name, read};
 use crate::generate::{outputs, read_store, stray_plots, OutputFile};
-use crate::runs::{read_lines, RunStore};
+use crate::runs::{parse_runs, RunStore};
 use std::fmt;
 use std::io;
 use std::path::Path;
@@ -113,7 +113,7 @@
             continue;
         }
         let file = format!("capacity/runs/{}", file_name(&path));
-        let runs = read_lines(&file, &read(&path)?)?;
+        let runs = parse_runs(&file, &read(&path)?)?;
         let count = runs.iter().filter(|run| !store.contains(run)).count();
         if count > 0 {
             errors.push(Difference::Unrecorded { file, count });
--- a/programs/capacity/src/lib.rs
+++ b/programs/capacity/src/lib.rs
@@ -14,7 +14,7 @@
 //!
 //! ```
 //! use tansy_capacity::figures::{Definitions, Evaluation, Overrides};
-//! use tansy_capacity::runs::read_lines;
+//! use tansy_capacity::runs::parse_runs;
 //!
 //! let definitions = r#"
 //! [[slopes]]
@@ -41,7 +41,7 @@
 //!     ))
 //!     .to_vec();
 //!
-//! let runs = read_lines("runs.jsonl", &lines.join("\n"))?;
+//! let runs = parse_runs("runs.jsonl", &lines.join("\n"))?;
 //! let definitions = Definitions::read("figures.toml", definitions)?;
 //! let evaluation = Evaluation::new("figures.toml", definitions, &runs)?;
 //! let both_ways = evaluation.estimate_figures(&Overrides::new()).remove(0).expect("five sizes are enough");
--- a/programs/capacity/src/record.rs
+++ b/programs/capacity/src/record.rs
@@ -3,7 +3,7 @@
 use crate::command::RecordArgs;
 use crate::error::{CapacityError, Errors};
 use crate::files::{read, write};
-use crate::runs::{read_lines, Machine, RunStore};
+use crate::runs::{parse_runs, Machine, RunStore};
 use std::fmt;
 use std::path::PathBuf;
 
@@ -63,7 +63,7 @@
     let mut added = 0;
     let mut errors = Errors::default();
     for file in files {
-        match read(file).and_then(|text| read_lines(&file.display().to_string(), &text)) {
+        match read(file).and_then(|text| parse_runs(&file.display().to_string(), &text)) {
             Ok(runs) => {
                 for run in runs {
                     added += usize::from(store.add(run));
--- a/programs/capacity/src/runs/mod.rs
+++ b/programs/capacity/src/runs/mod.rs
@@ -5,5 +5,5 @@
 mod store;
 
 pub use machine::{Machine, MachineError};
-pub use run::{read_lines, required_fields, Run, RunError, UnknownTool};
+pub use run::{parse_runs, required_fields, Run, RunError, UnknownTool};
 pub use store::RunStore;
--- a/programs/capacity/src/runs/run.rs
+++ b/programs/capacity/src/runs/run.rs
@@ -187,7 +187,7 @@
 }
 
 /// Reads lines of runs; empty ones are passed over.
-pub fn read_lines(name: &str, text: &str) -> Result<Vec<Run>, Errors> {
+pub fn parse_runs(name: &str, text: &str) -> Result<Vec<Run>, Errors> {
     let mut runs = Vec::new();
     let mut errors = Errors::default();
     for (index, line) in text.lines().enumerate() {
--- a/programs/capacity/tests/documentation/record.rs
+++ b/programs/capacity/tests/documentation/record.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{docs, messages, record_runs, run_line};
 use std::fs;
-use tansy_capacity::runs::{read_lines, RunStore};
+use tansy_capacity::runs::{parse_runs, RunStore};
 
 #[test]
 fn the_same_run_twice_is_one_and_lines_stay_as_written() {
@@ -42,7 +42,7 @@
         ("{\"tool\"", "[\"tool\"", "right is one JSON object a line"),
     ] {
         let text = format!("\n{}\n", good.replacen(from, to, 1));
-        let lines = messages(read_lines("runs.jsonl", &text), from);
+        let lines = messages(parse_runs("runs.jsonl", &text), from);
         assert!(
             lines.len() == 1 && lines[0].starts_with("runs.jsonl:2: "),
             "{lines:?}"
--- a/tests/compatibility/tests/capacity_runs.rs
+++ b/tests/compatibility/tests/capacity_runs.rs
@@ -1,7 +1,7 @@
 //! Every file of runs under `docs/capacity/runs` is read still, each line as one run.
 
 use std::path::Path;
-use tansy_capacity::runs::read_lines;
+use tansy_capacity::runs::parse_runs;
 
 #[test]
 fn every_run_that_is_kept_is_read() {
@@ -20,7 +20,7 @@
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/capacity/runs");
     for (name, least) in least {
         let text = std::fs::read_to_string(folder.join(name)).expect(name);
-        let runs = read_lines(name, &text).unwrap_or_else(|e| panic!("{}", e.join("\n")));
+        let runs = parse_runs(name, &text).unwrap_or_else(|e| panic!("{}", e.join("\n")));
         assert!(runs.len() >= least, "{name}: {} runs", runs.len());
         for run in &runs {
             assert!(
