--- a/programs/capacity/src/check.rs
+++ b/programs/capacity/src/check.rs
@@ -1,8 +1,8 @@
 //! `page --check`: generates everything in memory and compares it with the files that are there.
 
 use crate::error::Errors;
-use crate::files::{entries, file_name, read};
-use crate::generate::{outputs, read_store, stray_plots, OutputFile};
+use crate::files::{file_name, read_file, sorted_entries};
+use crate::generate::{generate_files, orphaned_plots, read_store, GeneratedFile};
 use crate::runs::{parse_runs, RunStore};
 use std::fmt;
 use std::io;
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 /// Characters of a line that a difference shows.
-const SHOWN_CHARACTERS: usize = 160;
+const MAX_SHOWN_CHARACTERS: usize = 160;
 
 /// The result of `page --check` if nothing differs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,9 +44,9 @@
         file: String,
         /// The line, from 1.
         line: usize,
-        /// The beginning of the line that is there.
+        /// The truncated of the line that is there.
         found: String,
-        /// The beginning of the line that should be there.
+        /// The truncated of the line that should be there.
         expected: String,
     },
     /// All lines are equal, and the texts are not.
@@ -67,7 +67,7 @@
     },
     /// The plot would not be made.
     #[error("{file}: of no slope; `page` takes it away")]
-    StrayPlot {
+    OrphanedPlot {
         /// The plot's path under the folder of documentation.
         file: String,
     },
@@ -90,15 +90,15 @@
         errors.push(difference);
     }
     check_recorded(docs, &store, &mut errors)?;
-    let files = outputs(docs, &store)?;
+    let files = generate_files(docs, &store)?;
     for file in &files {
-        if let Some(difference) = compare_output(docs, file) {
+        if let Some(difference) = compare_generated(docs, file) {
             errors.push(difference);
         }
     }
-    for path in stray_plots(docs, &files)? {
+    for path in orphaned_plots(docs, &files)? {
         let file = path.display().to_string();
-        errors.push(Difference::StrayPlot { file });
+        errors.push(Difference::OrphanedPlot { file });
     }
     errors.into_result(CheckSummary {
         plot_count: files.len() - 1,
@@ -108,12 +108,12 @@
 
 /// Checks that all runs under `capacity/runs` are recorded.
 fn check_recorded(docs: &Path, store: &RunStore, errors: &mut Errors) -> Result<(), Errors> {
-    for path in entries(&docs.join("capacity/runs"))? {
+    for path in sorted_entries(&docs.join("capacity/runs"))? {
         if path.extension().is_none_or(|e| e != "jsonl") {
             continue;
         }
         let file = format!("capacity/runs/{}", file_name(&path));
-        let runs = parse_runs(&file, &read(&path)?)?;
+        let runs = parse_runs(&file, &read_file(&path)?)?;
         let count = runs.iter().filter(|run| !store.contains(run)).count();
         if count > 0 {
             errors.push(Difference::Unrecorded { file, count });
@@ -122,7 +122,7 @@
     Ok(())
 }
 
-fn compare_output(docs: &Path, output: &OutputFile) -> Option<Difference> {
+fn compare_generated(docs: &Path, output: &GeneratedFile) -> Option<Difference> {
     let file = output.path.display().to_string();
     match std::fs::read_to_string(docs.join(&output.path)) {
         Ok(found) => compare(&file, &output.text, &found),
@@ -147,16 +147,16 @@
                 return Some(Difference::Line {
                     file,
                     line,
-                    found: beginning(found),
-                    expected: beginning(expected),
+                    found: truncated(found),
+                    expected: truncated(expected),
                 })
             }
         }
     }
 }
 
-fn beginning(line: Option<&str>) -> String {
+fn truncated(line: Option<&str>) -> String {
     line.map_or("nothing".into(), |text| {
-        text.chars().take(SHOWN_CHARACTERS).collect()
+        text.chars().take(MAX_SHOWN_CHARACTERS).collect()
     })
 }
--- a/programs/capacity/src/command.rs
+++ b/programs/capacity/src/command.rs
@@ -32,11 +32,15 @@
 #[derive(Args)]
 pub struct RecordArgs {
     /// The file that keeps them; begun if it is not there.
-    #[arg(long, default_value = "docs/capacity/slopes.json")]
-    pub into: PathBuf,
+    #[arg(
+        long = "into",
+        value_name = "INTO",
+        default_value = "docs/capacity/slopes.json"
+    )]
+    pub store: PathBuf,
     /// Leave out the runs that it holds by now.
-    #[arg(long)]
-    pub anew: bool,
+    #[arg(long = "anew")]
+    pub overwrite: bool,
     /// Files of runs, one JSON object a line; each line is added as written, the same one twice is one.
     #[arg(required = true)]
     pub files: Vec<PathBuf>,
--- a/programs/capacity/src/error.rs
+++ b/programs/capacity/src/error.rs
@@ -16,7 +16,7 @@
 pub enum CapacityError {
     /// A file or folder can't be read, written or removed.
     #[error("{}: {source}", .path.display())]
-    File {
+    Io {
         /// The file or folder.
         path: PathBuf,
         /// The cause.
@@ -58,7 +58,7 @@
         "{}: its runs are of a machine of {} cores and {} GiB, this has {} and {}; right is the same, or --anew",
         .path.display(), .recorded.cores, .recorded.memory_gb, .current.cores, .current.memory_gb
     )]
-    OtherMachine {
+    MachineMismatch {
         /// The file of recorded runs.
         path: PathBuf,
         /// The machine of its runs.
@@ -111,8 +111,8 @@
 
 impl CapacityError {
     /// Adds the path to an error of reading, writing or removing it.
-    pub(crate) fn file(path: &Path) -> impl FnOnce(io::Error) -> CapacityError + '_ {
-        |source| CapacityError::File {
+    pub(crate) fn io(path: &Path) -> impl FnOnce(io::Error) -> CapacityError + '_ {
+        |source| CapacityError::Io {
             path: path.to_path_buf(),
             source,
         }
--- a/programs/capacity/src/figures/definitions.rs
+++ b/programs/capacity/src/figures/definitions.rs
@@ -99,15 +99,15 @@
 }
 
 /// The text that definitions are read from, and the errors found in it.
-struct Reader<'a> {
+struct DefinitionParser<'a> {
     file: &'a str,
     text: &'a str,
     errors: Errors,
 }
 
-impl Reader<'_> {
+impl DefinitionParser<'_> {
     /// Adds an error at a byte of the text.
-    fn reject(&mut self, offset: usize, source: DefinitionError) {
+    fn report(&mut self, offset: usize, source: DefinitionError) {
         let before = self.text.get(..offset);
         self.errors.push(CapacityError::Definition {
             file: self.file.into(),
@@ -126,10 +126,10 @@
             let offset = id.span().start;
             let id = id.get_ref();
             if !is_identifier(id) {
-                self.reject(offset, DefinitionError::InvalidId(id.clone()));
+                self.report(offset, DefinitionError::InvalidId(id.clone()));
             }
             if names.contains(&id.as_str()) {
-                self.reject(offset, DefinitionError::DuplicateId(id.clone()));
+                self.report(offset, DefinitionError::DuplicateId(id.clone()));
             }
             names.push(id);
         }
@@ -142,7 +142,7 @@
                 slope: slope.id().into(),
                 source,
             };
-            self.reject(slope.id.span().start, error);
+            self.report(slope.id.span().start, error);
         }
         for number in slope.budget.iter().chain([&slope.target_size]) {
             self.check_number(definitions, number);
@@ -151,25 +151,25 @@
 
     fn check_number(&mut self, definitions: &Definitions, number: &Spanned<Number>) {
         if let Err(error) = definitions.resolve(number.get_ref(), &Overrides::new()) {
-            self.reject(number.span().start, error.into());
+            self.report(number.span().start, error.into());
         }
     }
 
     /// Parses the terms of a figure; they can name the figures defined before it.
-    fn read_figure(&mut self, definitions: &Definitions, written: FigureFile) -> Figure {
+    fn parse_figure(&mut self, definitions: &Definitions, written: FigureFile) -> Figure {
         let mut terms = Vec::new();
         for text in &written.terms {
             match Term::parse(text.get_ref(), definitions) {
                 Ok(term) => terms.push(term),
                 Err(source) => {
                     let term = text.get_ref().clone();
-                    self.reject(text.span().start, DefinitionError::Term { term, source });
+                    self.report(text.span().start, DefinitionError::Term { term, source });
                 }
             }
         }
         if written.terms.is_empty() {
             let id = written.id.get_ref().clone();
-            self.reject(written.id.span().start, DefinitionError::NoTerms(id));
+            self.report(written.id.span().start, DefinitionError::NoTerms(id));
         }
         if let Some(number) = &written.budget {
             self.check_number(definitions, number);
@@ -193,8 +193,8 @@
 
 impl Definitions {
     /// Reads `figures.toml`.
-    pub fn read(name: &str, text: &str) -> Result<Definitions, Errors> {
-        let mut reader = Reader {
+    pub fn parse(name: &str, text: &str) -> Result<Definitions, Errors> {
+        let mut parser = DefinitionParser {
             file: name,
             text,
             errors: Errors::default(),
@@ -203,11 +203,11 @@
             Ok(file) => file,
             Err(error) => {
                 let offset = error.span().map_or(0, |span| span.start);
-                reader.reject(offset, DefinitionError::Format(error));
-                return Err(reader.errors);
+                parser.report(offset, DefinitionError::Format(error));
+                return Err(parser.errors);
             }
         };
-        reader.check_ids(&file);
+        parser.check_ids(&file);
         let mut definitions = Definitions {
             given: file.given,
             assumptions: file.assumptions,
@@ -215,13 +215,13 @@
             figures: Vec::new(),
         };
         for slope in &definitions.slopes {
-            reader.check_slope(&definitions, slope);
+            parser.check_slope(&definitions, slope);
         }
         for written in file.figures {
-            let figure = reader.read_figure(&definitions, written);
+            let figure = parser.parse_figure(&definitions, written);
             definitions.figures.push(figure);
         }
-        reader.errors.into_result(definitions)
+        parser.errors.into_result(definitions)
     }
 
     /// The value of a number, looked up if it is a name.
--- a/programs/capacity/src/figures/estimate.rs
+++ b/programs/capacity/src/figures/estimate.rs
@@ -10,7 +10,7 @@
     /// The value with its interval.
     pub interval: Interval,
     /// Whether a fit that it depends on missed its hold-out.
-    pub missed: bool,
+    pub missed_hold_out: bool,
 }
 
 /// A value, or the reason that there is none.
@@ -27,7 +27,7 @@
     UnknownNumber(#[from] UnknownNumber),
     /// There is no such figure before this one.
     #[error("no such figure")]
-    NoSuchFigure,
+    UnknownFigure,
     /// The slope has no fit.
     #[error("{slope}: {source}")]
     NoFit {
@@ -60,7 +60,7 @@
                 low: value,
                 high: value,
             },
-            missed: false,
+            missed_hold_out: false,
         }
     }
 
@@ -71,7 +71,7 @@
                 low: self.interval.low + other.interval.low,
                 high: self.interval.high + other.interval.high,
             },
-            missed: self.missed || other.missed,
+            missed_hold_out: self.missed_hold_out || other.missed_hold_out,
         }
     }
 
@@ -100,7 +100,7 @@
                 low: ends.into_iter().fold(f64::INFINITY, f64::min),
                 high: ends.into_iter().fold(f64::NEG_INFINITY, f64::max),
             },
-            missed: self.missed || other.missed,
+            missed_hold_out: self.missed_hold_out || other.missed_hold_out,
         }
     }
 
--- a/programs/capacity/src/figures/evaluation.rs
+++ b/programs/capacity/src/figures/evaluation.rs
@@ -75,7 +75,7 @@
                 low: interval.low.max(0.0),
                 high: interval.high.max(0.0),
             },
-            missed: fit.hold_out.missed(),
+            missed_hold_out: fit.hold_out.missed(),
         })
     }
 
@@ -124,7 +124,7 @@
     pub fn underlying_slopes<'a>(&'a self, figure: &'a Figure) -> Vec<&'a str> {
         let mut slopes: Vec<&str> = Vec::new();
         for reference in figure.terms.iter().flat_map(|term| term.references()) {
-            let more = match reference {
+            let referenced = match reference {
                 Reference::Slope(id) => vec![id],
                 Reference::Figure(index) => self
                     .definitions
@@ -132,7 +132,7 @@
                     .get(index)
                     .map_or(vec![], |earlier| self.underlying_slopes(earlier)),
             };
-            for id in more {
+            for id in referenced {
                 if !slopes.contains(&id) {
                     slopes.push(id);
                 }
--- a/programs/capacity/src/figures/expression.rs
+++ b/programs/capacity/src/figures/expression.rs
@@ -166,7 +166,7 @@
             Factor::Figure(index) => figures
                 .get(*index)
                 .cloned()
-                .unwrap_or(Err(EstimateError::NoSuchFigure)),
+                .unwrap_or(Err(EstimateError::UnknownFigure)),
             Factor::Slope(id, size) => {
                 evaluation.estimate_slope(id, definitions.resolve(size, overrides)?)
             }
--- a/programs/capacity/src/figures/verdict.rs
+++ b/programs/capacity/src/figures/verdict.rs
@@ -32,7 +32,10 @@
     let interval = estimate.interval;
     if interval.mid > budget {
         Verdict::Fails
-    } else if interval.mid > budget * TIGHT_SHARE || interval.high > budget || estimate.missed {
+    } else if interval.mid > budget * TIGHT_SHARE
+        || interval.high > budget
+        || estimate.missed_hold_out
+    {
         Verdict::Tight
     } else {
         Verdict::Holds
--- a/programs/capacity/src/fit/form.rs
+++ b/programs/capacity/src/fit/form.rs
@@ -4,61 +4,61 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
     /// `a`.
-    Flat,
+    Constant,
     /// `a + b ln x`.
-    Log,
+    Logarithmic,
     /// `a + b x`.
     Linear,
     /// `a + b x ln x`: worse than linear.
-    LinearLog,
+    Linearithmic,
     /// `a + b x^2`: worse than linear, as when each has to do with each.
-    Square,
+    Quadratic,
 }
 
 impl Form {
     /// All, simplest first.
     pub const ALL: [Form; 5] = [
-        Form::Flat,
-        Form::Log,
+        Form::Constant,
+        Form::Logarithmic,
         Form::Linear,
-        Form::LinearLog,
-        Form::Square,
+        Form::Linearithmic,
+        Form::Quadratic,
     ];
 
     /// `z(x)`, the transformed size that the coefficient `b` multiplies.
     pub(super) fn transform(self, size: f64) -> f64 {
         match self {
-            Form::Flat => 0.0,
-            Form::Log => size.ln(),
+            Form::Constant => 0.0,
+            Form::Logarithmic => size.ln(),
             Form::Linear => size,
-            Form::LinearLog => size * size.ln(),
-            Form::Square => size * size,
+            Form::Linearithmic => size * size.ln(),
+            Form::Quadratic => size * size,
         }
     }
 
     /// Whether it is defined at a size.
     pub fn is_defined_at(self, size: f64) -> bool {
-        size > 0.0 || !matches!(self, Form::Log | Form::LinearLog)
+        size > 0.0 || !matches!(self, Form::Logarithmic | Form::Linearithmic)
     }
 
     /// Its word on the page.
     pub fn name(self) -> &'static str {
         match self {
-            Form::Flat => "flat",
-            Form::Log => "log",
+            Form::Constant => "flat",
+            Form::Logarithmic => "log",
             Form::Linear => "linear",
-            Form::LinearLog | Form::Square => "worse",
+            Form::Linearithmic | Form::Quadratic => "worse",
         }
     }
 
     /// `z(x)` as a formula shows it.
     pub fn term(self) -> &'static str {
         match self {
-            Form::Flat => "",
-            Form::Log => "ln x",
+            Form::Constant => "",
+            Form::Logarithmic => "ln x",
             Form::Linear => "x",
-            Form::LinearLog => "x ln x",
-            Form::Square => "x^2",
+            Form::Linearithmic => "x ln x",
+            Form::Quadratic => "x^2",
         }
     }
 }
--- a/programs/capacity/src/fit/line.rs
+++ b/programs/capacity/src/fit/line.rs
@@ -4,7 +4,7 @@
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
 /// Level of the prediction interval, both sides together.
-const LEVEL: f64 = 0.95;
+const CONFIDENCE_LEVEL: f64 = 0.95;
 
 /// A value with its 95% prediction interval: where a further run would lie.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,9 +31,9 @@
     point_count: f64,
     mean_z: f64,
     /// Sum of the squared deviations of `z` from its mean.
-    spread_z: f64,
+    squared_deviations_z: f64,
     /// Standard deviation of the residuals; not a number without a degree of freedom.
-    deviation: f64,
+    residual_deviation: f64,
     /// Quantile of Student's t for both sides of the interval; not a number without a degree of freedom.
     t_quantile: f64,
 }
@@ -42,25 +42,25 @@
     /// Least squares over all points, each run counted once. None if the points are too few for the form.
     pub fn least_squares(form: Form, points: &[Point]) -> Option<FittedLine> {
         let point_count = points.len() as f64;
-        let freedom = point_count - if form == Form::Flat { 1.0 } else { 2.0 };
-        if freedom < 0.0 || points.iter().any(|p| !form.is_defined_at(p.x)) {
+        let degrees_of_freedom = point_count - if form == Form::Constant { 1.0 } else { 2.0 };
+        if degrees_of_freedom < 0.0 || points.iter().any(|p| !form.is_defined_at(p.x)) {
             return None;
         }
         let mean_z = points.iter().map(|p| form.transform(p.x)).sum::<f64>() / point_count;
         let mean_y = points.iter().map(|p| p.y).sum::<f64>() / point_count;
-        let spread_z = points
+        let squared_deviations_z = points
             .iter()
             .map(|p| (form.transform(p.x) - mean_z).powi(2))
             .sum::<f64>();
         let coefficient = match form {
-            Form::Flat => 0.0,
-            _ if spread_z <= 0.0 => return None,
+            Form::Constant => 0.0,
+            _ if squared_deviations_z <= 0.0 => return None,
             _ => {
                 points
                     .iter()
                     .map(|p| (form.transform(p.x) - mean_z) * (p.y - mean_y))
                     .sum::<f64>()
-                    / spread_z
+                    / squared_deviations_z
             }
         };
         let intercept = mean_y - coefficient * mean_z;
@@ -75,16 +75,16 @@
             rms: (squares / point_count).sqrt(),
             point_count,
             mean_z,
-            spread_z,
-            deviation: residual_deviation(squares, freedom),
-            t_quantile: t_quantile(freedom),
+            squared_deviations_z,
+            residual_deviation: residual_standard_deviation(squares, degrees_of_freedom),
+            t_quantile: t_quantile(degrees_of_freedom),
         })
     }
 
     /// The prediction at a size.
     pub fn predict(&self, size: f64) -> f64 {
         match self.form {
-            Form::Flat => self.intercept,
+            Form::Constant => self.intercept,
             form => self.intercept + self.coefficient * form.transform(size),
         }
     }
@@ -92,16 +92,18 @@
     /// The prediction at a size, and the interval in which a further run lies 95 times of 100. None where the form is
     /// not defined, or no degree of freedom is left to estimate the spread.
     pub fn predict_interval(&self, size: f64) -> Option<Interval> {
-        let has_spread = self.deviation.is_finite() && self.t_quantile.is_finite();
-        if !self.form.is_defined_at(size) || !has_spread {
+        let has_variance_estimate =
+            self.residual_deviation.is_finite() && self.t_quantile.is_finite();
+        if !self.form.is_defined_at(size) || !has_variance_estimate {
             return None;
         }
         let leverage = match self.form {
-            Form::Flat => 0.0,
-            form => (form.transform(size) - self.mean_z).powi(2) / self.spread_z,
+            Form::Constant => 0.0,
+            form => (form.transform(size) - self.mean_z).powi(2) / self.squared_deviations_z,
         };
-        let half_width =
-            self.t_quantile * self.deviation * (1.0 + 1.0 / self.point_count + leverage).sqrt();
+        let half_width = self.t_quantile
+            * self.residual_deviation
+            * (1.0 + 1.0 / self.point_count + leverage).sqrt();
         let mid = self.predict(size);
         Some(Interval {
             mid,
@@ -111,20 +113,21 @@
     }
 
     /// Whether the cost grows, at the 97.5% level. A flat form counts without growing.
-    pub(super) fn is_significant(&self) -> bool {
-        let standard_error = self.deviation / self.spread_z.sqrt();
-        self.form == Form::Flat || self.coefficient > self.t_quantile * standard_error
+    pub(super) fn is_candidate(&self) -> bool {
+        let standard_error = self.residual_deviation / self.squared_deviations_z.sqrt();
+        self.form == Form::Constant || self.coefficient > self.t_quantile * standard_error
     }
 }
 
-fn residual_deviation(squares: f64, freedom: f64) -> f64 {
-    if freedom > 0.0 {
-        (squares / freedom).sqrt()
+fn residual_standard_deviation(squares: f64, degrees_of_freedom: f64) -> f64 {
+    if degrees_of_freedom > 0.0 {
+        (squares / degrees_of_freedom).sqrt()
     } else {
         f64::NAN
     }
 }
 
-fn t_quantile(freedom: f64) -> f64 {
-    StudentsT::new(0.0, 1.0, freedom).map_or(f64::NAN, |t| t.inverse_cdf((1.0 + LEVEL) / 2.0))
+fn t_quantile(degrees_of_freedom: f64) -> f64 {
+    StudentsT::new(0.0, 1.0, degrees_of_freedom)
+        .map_or(f64::NAN, |t| t.inverse_cdf((1.0 + CONFIDENCE_LEVEL) / 2.0))
 }
--- a/programs/capacity/src/fit/mod.rs
+++ b/programs/capacity/src/fit/mod.rs
@@ -28,13 +28,13 @@
 use thiserror::Error;
 
 /// The fewest sizes for a fit: one is the hold-out, and a line through two has no residual.
-pub const LEAST_SIZES: usize = 4;
+pub const MIN_SIZES: usize = 4;
 /// A simpler form is taken when its error is at most this many times that of the best.
-const NEAR_TIE: f64 = 1.1;
+const MAX_ERROR_RATIO: f64 = 1.1;
 /// A difference of errors that rounding alone explains, as a share of the mean.
-const ROUNDING: f64 = 1e-9;
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 /// An error at the hold-out size up to this share is no miss, however narrow the interval.
-const TOLERATED_ERROR: f64 = 0.1;
+const MAX_RELATIVE_ERROR: f64 = 0.1;
 
 /// One run: the output measured at a size.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -65,7 +65,7 @@
     /// Whether the fit missed it: outside the interval, and by more than a tenth.
     pub fn missed(&self) -> bool {
         let within = self.predicted.low <= self.measured && self.measured <= self.predicted.high;
-        !within && self.error().abs() > TOLERATED_ERROR
+        !within && self.error().abs() > MAX_RELATIVE_ERROR
     }
 }
 
@@ -93,7 +93,7 @@
 /// The reason that points have no fit.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum FitError {
-    /// Fewer sizes than [`LEAST_SIZES`] were measured, or no form is a candidate; with the number of sizes.
+    /// Fewer sizes than [`MIN_SIZES`] were measured, or no form is a candidate; with the number of sizes.
     #[error("{}", too_few_sizes(*.0))]
     TooFewSizes(usize),
     /// The hold-out size was not measured.
@@ -104,14 +104,14 @@
 fn too_few_sizes(measured: usize) -> String {
     match measured {
         0 => "not measured".into(),
-        n => format!("too few sizes to claim anything ({n} of {LEAST_SIZES} at least)"),
+        n => format!("too few sizes to claim anything ({n} of {MIN_SIZES} at least)"),
     }
 }
 
 /// Chooses the form for points. The hold-out is the given size, or else the largest.
 pub fn fit(points: &[Point], hold_out: Option<f64>) -> Result<Fit, FitError> {
-    let sizes = sizes(points);
-    let hold_out = hold_out_size(&sizes, hold_out)?;
+    let sizes = distinct_sizes(points);
+    let hold_out = choose_hold_out_size(&sizes, hold_out)?;
     let (hold_out_points, fitted_points): (Vec<Point>, Vec<Point>) =
         points.iter().partition(|p| p.x == hold_out);
     let fitted_sizes: Vec<f64> = sizes.iter().copied().filter(|x| *x != hold_out).collect();
@@ -122,7 +122,7 @@
     let scale = mean(&fitted_points).abs();
     let candidates = candidates(&validation_errors, &fitted_points, hold_out);
     let no_form = FitError::TooFewSizes(sizes.len());
-    let line = simplest_of_best(&candidates, scale).ok_or(no_form)?;
+    let line = simplest_within_tolerance(&candidates, scale).ok_or(no_form)?;
     let predicted = line.predict_interval(hold_out).ok_or(no_form)?;
     Ok(Fit {
         line,
@@ -141,7 +141,7 @@
 }
 
 /// The distinct sizes of points, least first.
-pub fn sizes(points: &[Point]) -> Vec<f64> {
+pub fn distinct_sizes(points: &[Point]) -> Vec<f64> {
     let mut sizes: Vec<f64> = points.iter().map(|p| p.x).collect();
     sizes.sort_by(f64::total_cmp);
     sizes.dedup();
@@ -149,13 +149,13 @@
 }
 
 /// The hold-out size, if that and enough others were measured.
-fn hold_out_size(sizes: &[f64], wanted: Option<f64>) -> Result<f64, FitError> {
+fn choose_hold_out_size(sizes: &[f64], wanted: Option<f64>) -> Result<f64, FitError> {
     let largest = *sizes.last().ok_or(FitError::TooFewSizes(0))?;
     let size = wanted.unwrap_or(largest);
     if !sizes.contains(&size) {
         return Err(FitError::HoldOutNotMeasured(size));
     }
-    if sizes.len() < LEAST_SIZES {
+    if sizes.len() < MIN_SIZES {
         return Err(FitError::TooFewSizes(sizes.len()));
     }
     Ok(size)
@@ -169,7 +169,7 @@
 ) -> Vec<(FittedLine, f64)> {
     let fitted = |form: Form| {
         FittedLine::least_squares(form, points)
-            .filter(|l| l.is_significant() && l.predict_interval(hold_out_size).is_some())
+            .filter(|l| l.is_candidate() && l.predict_interval(hold_out_size).is_some())
     };
     errors
         .iter()
@@ -178,14 +178,14 @@
 }
 
 /// The simplest candidate whose error is near the least.
-fn simplest_of_best(candidates: &[(FittedLine, f64)], scale: f64) -> Option<FittedLine> {
+fn simplest_within_tolerance(candidates: &[(FittedLine, f64)], scale: f64) -> Option<FittedLine> {
     let least = candidates
         .iter()
         .map(|(_, error)| *error)
         .fold(f64::INFINITY, f64::min);
     candidates
         .iter()
-        .find(|(_, error)| *error <= least * NEAR_TIE + scale * ROUNDING)
+        .find(|(_, error)| *error <= least * MAX_ERROR_RATIO + scale * ROUNDING_TOLERANCE)
         .map(|(line, _)| *line)
 }
 
--- a/programs/capacity/src/format.rs
+++ b/programs/capacity/src/format.rs
@@ -75,7 +75,7 @@
     match estimate {
         Ok(estimate) => {
             let value = interval(estimate.interval);
-            let remark = if estimate.missed {
+            let remark = if estimate.missed_hold_out {
                 ", by a fit that missed the size kept out"
             } else {
                 ""
@@ -89,7 +89,7 @@
 /// A fit's form with its coefficients.
 pub(crate) fn formula(fit: &Fit) -> String {
     let line = &fit.line;
-    if line.form == Form::Flat {
+    if line.form == Form::Constant {
         return number(line.intercept);
     }
     let sign = if line.coefficient < 0.0 { '-' } else { '+' };
--- a/programs/capacity/src/generate.rs
+++ b/programs/capacity/src/generate.rs
@@ -2,8 +2,8 @@
 
 use crate::error::{CapacityError, Errors};
 use crate::figures::{Definitions, Evaluation};
-use crate::files::{entries, file_name, read, write};
-use crate::page::page;
+use crate::files::{file_name, read_file, sorted_entries, write_file};
+use crate::page;
 use crate::plot;
 use crate::runs::RunStore;
 use std::fmt;
@@ -32,7 +32,7 @@
 }
 
 /// A generated file.
-pub(crate) struct OutputFile {
+pub(crate) struct GeneratedFile {
     /// Its path under the folder of documentation.
     pub(crate) path: PathBuf,
     pub(crate) text: String,
@@ -41,15 +41,15 @@
 /// Generates the page and its plots in the folder of documentation, and removes plots that no slope has any more.
 pub fn generate(docs: &Path) -> Result<PageSummary, Errors> {
     let (store, _) = read_store(docs)?;
-    let files = outputs(docs, &store)?;
+    let files = generate_files(docs, &store)?;
     let img = docs.join("img");
-    std::fs::create_dir_all(&img).map_err(CapacityError::file(&img))?;
-    for path in stray_plots(docs, &files)? {
+    std::fs::create_dir_all(&img).map_err(CapacityError::io(&img))?;
+    for path in orphaned_plots(docs, &files)? {
         let path = docs.join(path);
-        std::fs::remove_file(&path).map_err(CapacityError::file(&path))?;
+        std::fs::remove_file(&path).map_err(CapacityError::io(&path))?;
     }
     for file in &files {
-        write(&docs.join(&file.path), &file.text)?;
+        write_file(&docs.join(&file.path), &file.text)?;
     }
     Ok(PageSummary {
         plot_count: files.len() - 1,
@@ -60,23 +60,28 @@
 /// The recorded runs, and the text of their file.
 pub(crate) fn read_store(docs: &Path) -> Result<(RunStore, String), Errors> {
     let path = docs.join("capacity/slopes.json");
-    let text = read(&path)?;
-    Ok((RunStore::read(&file_name(&path), &text)?, text))
+    let text = read_file(&path)?;
+    Ok((RunStore::parse(&file_name(&path), &text)?, text))
 }
 
 /// The page, first, and its plots.
-pub(crate) fn outputs(docs: &Path, store: &RunStore) -> Result<Vec<OutputFile>, Errors> {
+pub(crate) fn generate_files(docs: &Path, store: &RunStore) -> Result<Vec<GeneratedFile>, Errors> {
     let figures = docs.join("capacity/figures.toml");
     let template = docs.join("capacity/CAPACITY.in.md");
-    let definitions = Definitions::read(&file_name(&figures), &read(&figures)?)?;
+    let definitions = Definitions::parse(&file_name(&figures), &read_file(&figures)?)?;
     let evaluation = Evaluation::new(&file_name(&figures), definitions, &store.runs)?;
-    let text = page(&file_name(&template), &read(&template)?, &evaluation, store)?;
-    let mut files = vec![OutputFile {
+    let text = page::render(
+        &file_name(&template),
+        &read_file(&template)?,
+        &evaluation,
+        store,
+    )?;
+    let mut files = vec![GeneratedFile {
         path: PathBuf::from("CAPACITY.md"),
         text,
     }];
-    for plot in plot::all(&evaluation)? {
-        files.push(OutputFile {
+    for plot in plot::render_all(&evaluation)? {
+        files.push(GeneratedFile {
             path: Path::new("img").join(plot.file_name),
             text: plot.svg,
         });
@@ -85,9 +90,9 @@
 }
 
 /// Plots in the folder of images that no slope has: paths under the folder of documentation.
-pub(crate) fn stray_plots(docs: &Path, files: &[OutputFile]) -> Result<Vec<PathBuf>, Errors> {
+pub(crate) fn orphaned_plots(docs: &Path, files: &[GeneratedFile]) -> Result<Vec<PathBuf>, Errors> {
     let is_plot = |name: &str| name.starts_with("capacity-") && name.ends_with(".svg");
-    Ok(entries(&docs.join("img"))?
+    Ok(sorted_entries(&docs.join("img"))?
         .iter()
         .filter_map(|path| path.file_name()?.to_str())
         .filter(|name| is_plot(name))
--- a/programs/capacity/src/lib.rs
+++ b/programs/capacity/src/lib.rs
@@ -42,7 +42,7 @@
 //!     .to_vec();
 //!
 //! let runs = parse_runs("runs.jsonl", &lines.join("\n"))?;
-//! let definitions = Definitions::read("figures.toml", definitions)?;
+//! let definitions = Definitions::parse("figures.toml", definitions)?;
 //! let evaluation = Evaluation::new("figures.toml", definitions, &runs)?;
 //! let both_ways = evaluation.estimate_figures(&Overrides::new()).remove(0).expect("five sizes are enough");
 //! assert!((both_ways.interval.mid - 48_000.0).abs() < 1e-6);
--- a/programs/capacity/src/page/judgement.rs
+++ b/programs/capacity/src/page/budget.rs
@@ -8,24 +8,24 @@
 const NO_VALUE: &str = "not told";
 
 /// A figure's estimate beside its budget.
-pub(super) struct Judgement {
+pub(super) struct BudgetComparison {
     pub(super) verdict: Verdict,
     /// The estimate as a share of the budget.
     pub(super) share: f64,
 }
 
 /// A figure beside its budget; none without a budget or an estimate.
-pub(super) fn judge(
+pub(super) fn compare_with_budget(
     definitions: &Definitions,
     figure: &Figure,
     estimate: &EstimateResult,
     overrides: &Overrides,
-) -> Option<Judgement> {
+) -> Option<BudgetComparison> {
     let budget = definitions
         .resolve(figure.budget.as_ref()?, overrides)
         .ok()?;
     let estimate = *estimate.as_ref().ok()?;
-    Some(Judgement {
+    Some(BudgetComparison {
         verdict: verdict(estimate, budget),
         share: estimate.interval.mid / budget,
     })
@@ -37,11 +37,11 @@
     figure: &Figure,
     estimate: &EstimateResult,
 ) -> String {
-    overridden_verdict(evaluation, figure, estimate, &Overrides::new())
+    figure_verdict_with(evaluation, figure, estimate, &Overrides::new())
 }
 
 /// The verdict on a figure with some numbers replaced.
-pub(super) fn overridden_verdict(
+pub(super) fn figure_verdict_with(
     evaluation: &Evaluation,
     figure: &Figure,
     estimate: &EstimateResult,
@@ -50,9 +50,9 @@
     if figure.budget.is_none() {
         return NO_BUDGET.into();
     }
-    judge(&evaluation.definitions, figure, estimate, overrides).map_or_else(
+    compare_with_budget(&evaluation.definitions, figure, estimate, overrides).map_or_else(
         || NO_VALUE.into(),
-        |judgement| judgement.verdict.to_string(),
+        |comparison| comparison.verdict.to_string(),
     )
 }
 
--- a/programs/capacity/src/page/figure_tables.rs
+++ b/programs/capacity/src/page/figure_tables.rs
@@ -1,17 +1,17 @@
 //! Tables of figures: a role's, by share of the budget, and as assumptions change.
 
-use super::judgement::{figure_budget, figure_verdict, judge, overridden_verdict};
+use super::budget::{compare_with_budget, figure_budget, figure_verdict, figure_verdict_with};
 use super::placeholder::PlaceholderError;
 use super::table::table;
 use crate::figures::{Assumption, EstimateResult, Evaluation, Figure, Overrides};
 use crate::format;
 
 /// The given number that the fleet is grown by.
-const FLEET_SIZE: &str = "front_ends";
+const FLEET_SIZE_NAME: &str = "front_ends";
 /// How many times the fleet is grown at most in search of the size at which a budget is used up.
-const LARGEST_GROWTH: f64 = 100.0;
+const MAX_GROWTH_FACTOR: f64 = 100.0;
 /// Halvings of the search.
-const SEARCH_STEPS: usize = 60;
+const BISECTION_STEPS: usize = 60;
 
 const ROLE_COLUMNS: [&str; 6] = [
     "what",
@@ -30,7 +30,7 @@
 ];
 
 /// The figures of a role beside their budgets.
-pub(super) fn role(evaluation: &Evaluation, role: &str) -> Result<String, PlaceholderError> {
+pub(super) fn role_table(evaluation: &Evaluation, role: &str) -> Result<String, PlaceholderError> {
     let figures = &evaluation.definitions.figures;
     let estimates = evaluation.estimate_figures(&Overrides::new());
     let rows: Vec<Vec<String>> = figures
@@ -72,7 +72,7 @@
 }
 
 /// Each assumption, and the figures that change at half and at double of it.
-pub(super) fn assumptions(evaluation: &Evaluation) -> String {
+pub(super) fn assumption_table(evaluation: &Evaluation) -> String {
     let estimates = evaluation.estimate_figures(&Overrides::new());
     let rows: Vec<Vec<String>> = evaluation
         .definitions
@@ -122,7 +122,7 @@
             }
             Err(error) => error.to_string(),
         };
-        let verdict = overridden_verdict(evaluation, figure, after, overrides);
+        let verdict = figure_verdict_with(evaluation, figure, after, overrides);
         texts.push(format!("`{}` {value}, {verdict}", figure.id));
     }
     if texts.is_empty() {
@@ -133,21 +133,23 @@
 }
 
 /// Figures by their share of the budget, largest first, and the fleet at which each budget is used up.
-pub(super) fn budget_shares(evaluation: &Evaluation) -> String {
+pub(super) fn budget_share_table(evaluation: &Evaluation) -> String {
     let definitions = &evaluation.definitions;
     let estimates = evaluation.estimate_figures(&Overrides::new());
     let mut rows: Vec<(f64, Vec<String>)> = Vec::new();
     for (index, (figure, estimate)) in definitions.figures.iter().zip(&estimates).enumerate() {
-        let Some(judgement) = judge(definitions, figure, estimate, &Overrides::new()) else {
+        let Some(comparison) =
+            compare_with_budget(definitions, figure, estimate, &Overrides::new())
+        else {
             continue;
         };
         let row = vec![
             format!("`{}`: {}, {}", figure.id, figure.role, figure.description),
-            format::share(judgement.share),
-            judgement.verdict.to_string(),
-            exhausting_fleet(evaluation, index),
+            format::share(comparison.share),
+            comparison.verdict.to_string(),
+            fleet_size_at_budget(evaluation, index),
         ];
-        rows.push((judgement.share, row));
+        rows.push((comparison.share, row));
     }
     if rows.is_empty() {
         return "No figure with a budget has been measured.".into();
@@ -158,20 +160,20 @@
 }
 
 /// The fleet at which a figure reaches its budget, from a single front end to the largest growth of the given fleet.
-fn exhausting_fleet(evaluation: &Evaluation, index: usize) -> String {
-    let Some(given) = evaluation.definitions.given.get(FLEET_SIZE).copied() else {
+fn fleet_size_at_budget(evaluation: &Evaluation, index: usize) -> String {
+    let Some(given) = evaluation.definitions.given.get(FLEET_SIZE_NAME).copied() else {
         return "-".into();
     };
     let share = |growth: f64| share_of_budget(evaluation, index, given * growth);
     let smallest_growth = 1.0 / given;
-    match (share(smallest_growth), share(LARGEST_GROWTH)) {
+    match (share(smallest_growth), share(MAX_GROWTH_FACTOR)) {
         (Some(low), Some(high)) if low == high => "does not depend on it".into(),
         (Some(low), _) if low > 1.0 => "at any".into(),
         (_, Some(high)) if high <= 1.0 => {
-            format!("over {}", format::number(given * LARGEST_GROWTH))
+            format!("over {}", format::number(given * MAX_GROWTH_FACTOR))
         }
         (Some(_), Some(_)) => {
-            let growth = largest_growth_within(smallest_growth, LARGEST_GROWTH, share);
+            let growth = max_growth_within_budget(smallest_growth, MAX_GROWTH_FACTOR, share);
             format::number((given * growth).floor())
         }
         _ => "-".into(),
@@ -180,18 +182,18 @@
 
 /// A figure's share of its budget with a fleet of another size.
 fn share_of_budget(evaluation: &Evaluation, index: usize, front_ends: f64) -> Option<f64> {
-    let overrides = Overrides::from([(FLEET_SIZE, front_ends)]);
+    let overrides = Overrides::from([(FLEET_SIZE_NAME, front_ends)]);
     let definitions = &evaluation.definitions;
     let figure = definitions.figures.get(index)?;
     let estimates = evaluation.estimate_figures(&overrides);
-    let judgement = judge(definitions, figure, estimates.get(index)?, &overrides)?;
-    Some(judgement.share)
+    let comparison = compare_with_budget(definitions, figure, estimates.get(index)?, &overrides)?;
+    Some(comparison.share)
 }
 
 /// By halving: the growth at which the share passes 1 between two growths.
-fn largest_growth_within(low: f64, high: f64, share: impl Fn(f64) -> Option<f64>) -> f64 {
+fn max_growth_within_budget(low: f64, high: f64, share: impl Fn(f64) -> Option<f64>) -> f64 {
     let (mut low, mut high) = (low, high);
-    for _ in 0..SEARCH_STEPS {
+    for _ in 0..BISECTION_STEPS {
         let middle = (low * high).sqrt();
         match share(middle) {
             Some(share) if share <= 1.0 => low = middle,
--- a/programs/capacity/src/page/inline.rs
+++ b/programs/capacity/src/page/inline.rs
@@ -1,6 +1,6 @@
 //! Placeholders that become a few words within a sentence.
 
-use super::judgement::target_size;
+use super::budget::target_size;
 use super::placeholder::PlaceholderError;
 use crate::figures::{matches_filter, EstimateResult, Evaluation, Figure, Overrides};
 use crate::format;
@@ -11,7 +11,7 @@
 const NOT_MEASURED: &str = "not measured";
 
 /// The date of the last recorded run, the machine, and the number of runs.
-pub(super) fn measured(store: &RunStore) -> String {
+pub(super) fn measurement_summary(store: &RunStore) -> String {
     let machine = &store.machine;
     format!(
         "{}, {} cores, {} GiB, {} runs, {} of them ok",
@@ -24,7 +24,7 @@
 }
 
 /// A slope's form, coefficients, and value at the size asked for.
-pub(super) fn slope(evaluation: &Evaluation, id: &str) -> Result<String, PlaceholderError> {
+pub(super) fn slope_summary(evaluation: &Evaluation, id: &str) -> Result<String, PlaceholderError> {
     let (slope, measurement) = evaluation.slope(id)?;
     let fit = match &measurement.fit {
         Ok(fit) => fit,
@@ -42,7 +42,7 @@
 }
 
 /// A figure's value with its interval.
-pub(super) fn figure(evaluation: &Evaluation, id: &str) -> Result<String, PlaceholderError> {
+pub(super) fn figure_value(evaluation: &Evaluation, id: &str) -> Result<String, PlaceholderError> {
     let (figure, estimate) = find_figure(evaluation, id)?;
     Ok(format::estimate(&estimate, &figure.unit))
 }
@@ -65,7 +65,7 @@
 }
 
 /// A figure's terms, each with its value, and their sum.
-pub(super) fn sum(evaluation: &Evaluation, id: &str) -> Result<String, PlaceholderError> {
+pub(super) fn figure_sum(evaluation: &Evaluation, id: &str) -> Result<String, PlaceholderError> {
     let (figure, total) = find_figure(evaluation, id)?;
     let mut text = String::new();
     let terms = evaluation.estimate_terms(figure);
@@ -89,7 +89,7 @@
 }
 
 /// Mean and range of a field over the runs of a tool with these inputs.
-pub(super) fn run_field(
+pub(super) fn run_field_summary(
     store: &RunStore,
     tool: &str,
     field: &str,
@@ -126,23 +126,23 @@
 }
 
 fn mean_and_range(values: &[f64]) -> String {
-    let Some(least) = values.iter().copied().reduce(f64::min) else {
+    let Some(minimum) = values.iter().copied().reduce(f64::min) else {
         return NOT_MEASURED.into();
     };
-    let most = values.iter().copied().fold(least, f64::max);
+    let maximum = values.iter().copied().fold(minimum, f64::max);
     let mean = format::number(values.iter().sum::<f64>() / values.len() as f64);
     match values.len() {
         1 => format!("{mean} (1 run)"),
         count => format!(
             "{mean} ({} to {}, {count} runs)",
-            format::number(least),
-            format::number(most)
+            format::number(minimum),
+            format::number(maximum)
         ),
     }
 }
 
 /// A slope's plot, or that there is none yet.
-pub(super) fn plot(evaluation: &Evaluation, id: &str) -> Result<String, PlaceholderError> {
+pub(super) fn plot_image(evaluation: &Evaluation, id: &str) -> Result<String, PlaceholderError> {
     let (slope, measurement) = evaluation.slope(id)?;
     if slope.plot.is_none() {
         return Err(PlaceholderError::NoPlot(id.into()));
--- a/programs/capacity/src/page/mod.rs
+++ b/programs/capacity/src/page/mod.rs
@@ -15,9 +15,9 @@
 //! | `{{table assumptions}}` | each assumption, and the figures that change at half and at double of it |
 //! | `{{table first}}` | figures by their share of the budget, and the fleet at which it is used up |
 
+mod budget;
 mod figure_tables;
 mod inline;
-mod judgement;
 mod placeholder;
 mod slope_tables;
 mod table;
@@ -30,7 +30,7 @@
 use thiserror::Error;
 
 /// The first line of the page.
-const HEAD: &str =
+const GENERATED_NOTICE: &str =
     "<!-- Made by `tansy-scale page` from docs/capacity; change the template there, not this. -->\n";
 
 /// An error in a template.
@@ -50,16 +50,16 @@
 }
 
 /// The page from its template. `name` is the template's file.
-pub fn page(
+pub fn render(
     name: &str,
     template: &str,
     evaluation: &Evaluation,
     store: &RunStore,
 ) -> Result<String, Errors> {
-    let mut page = String::from(HEAD);
+    let mut page = String::from(GENERATED_NOTICE);
     let mut errors = Errors::default();
     for (index, line) in template.lines().enumerate() {
-        for source in fill_line(line, evaluation, store, &mut page) {
+        for source in expand_line(line, evaluation, store, &mut page) {
             errors.push(CapacityError::Template {
                 file: name.into(),
                 line: index + 1,
@@ -72,7 +72,7 @@
 }
 
 /// Appends a line to the page with its placeholders replaced; returns the errors in them.
-fn fill_line(
+fn expand_line(
     line: &str,
     evaluation: &Evaluation,
     store: &RunStore,
@@ -89,8 +89,8 @@
             errors.push(TemplateError::Unclosed);
             return errors;
         };
-        match placeholder::fill(text.trim(), evaluation, store) {
-            Ok(filled) => page.push_str(&filled),
+        match placeholder::expand(text.trim(), evaluation, store) {
+            Ok(expansion) => page.push_str(&expansion),
             Err(source) => errors.push(TemplateError::Placeholder {
                 text: text.into(),
                 source,
--- a/programs/capacity/src/page/placeholder.rs
+++ b/programs/capacity/src/page/placeholder.rs
@@ -1,6 +1,6 @@
 //! Placeholders, and which text each becomes.
 
-use super::{figure_tables, inline, judgement, slope_tables};
+use super::{budget, figure_tables, inline, slope_tables};
 use crate::figures::{Evaluation, UnknownSlope};
 use crate::format;
 use crate::runs::RunStore;
@@ -51,27 +51,27 @@
 }
 
 /// The text that a placeholder becomes.
-pub(super) fn fill(
+pub(super) fn expand(
     text: &str,
     evaluation: &Evaluation,
     store: &RunStore,
 ) -> Result<String, PlaceholderError> {
     let words: Vec<&str> = text.split_whitespace().collect();
     match &words[..] {
-        ["measured"] => Ok(inline::measured(store)),
-        ["slope", id] => inline::slope(evaluation, id),
+        ["measured"] => Ok(inline::measurement_summary(store)),
+        ["slope", id] => inline::slope_summary(evaluation, id),
         ["at", id, size] => slope_at(evaluation, id, size),
-        ["figure", id] => inline::figure(evaluation, id),
-        ["sum", id] => inline::sum(evaluation, id),
+        ["figure", id] => inline::figure_value(evaluation, id),
+        ["sum", id] => inline::figure_sum(evaluation, id),
         ["verdict", id] => verdict(evaluation, id),
-        ["run", tool, field, inputs @ ..] => inline::run_field(store, tool, field, inputs),
-        ["plot", id] => inline::plot(evaluation, id),
-        ["table", "slopes"] => Ok(slope_tables::fits(evaluation)),
-        ["table", "commands"] => Ok(slope_tables::commands(evaluation)),
-        ["table", "assumptions"] => Ok(figure_tables::assumptions(evaluation)),
-        ["table", "first"] => Ok(figure_tables::budget_shares(evaluation)),
+        ["run", tool, field, inputs @ ..] => inline::run_field_summary(store, tool, field, inputs),
+        ["plot", id] => inline::plot_image(evaluation, id),
+        ["table", "slopes"] => Ok(slope_tables::fit_table(evaluation)),
+        ["table", "commands"] => Ok(slope_tables::command_table(evaluation)),
+        ["table", "assumptions"] => Ok(figure_tables::assumption_table(evaluation)),
+        ["table", "first"] => Ok(figure_tables::budget_share_table(evaluation)),
         ["table", role @ ..] if !role.is_empty() => {
-            figure_tables::role(evaluation, &role.join(" "))
+            figure_tables::role_table(evaluation, &role.join(" "))
         }
         _ => Err(PlaceholderError::Unknown),
     }
@@ -89,8 +89,8 @@
 
 fn verdict(evaluation: &Evaluation, id: &str) -> Result<String, PlaceholderError> {
     if let Ok((slope, _)) = evaluation.slope(id) {
-        return Ok(judgement::slope_verdict(evaluation, slope));
+        return Ok(budget::slope_verdict(evaluation, slope));
     }
     let (figure, estimate) = inline::find_figure(evaluation, id)?;
-    Ok(judgement::figure_verdict(evaluation, figure, &estimate))
+    Ok(budget::figure_verdict(evaluation, figure, &estimate))
 }
--- a/programs/capacity/src/page/slope_tables.rs
+++ b/programs/capacity/src/page/slope_tables.rs
@@ -1,6 +1,6 @@
 //! Tables of slopes: their fits, and how each is measured again.
 
-use super::judgement::{slope_budget, slope_verdict, target_size};
+use super::budget::{slope_budget, slope_verdict, target_size};
 use super::table::table;
 use crate::figures::{Evaluation, Measurement, Slope};
 use crate::fit::{Fit, FitError, FittedLine, Form, HoldOut};
@@ -29,7 +29,7 @@
 ];
 
 /// All slopes: their fits, values and verdicts.
-pub(super) fn fits(evaluation: &Evaluation) -> String {
+pub(super) fn fit_table(evaluation: &Evaluation) -> String {
     let rows: Vec<Vec<String>> = evaluation
         .slopes()
         .map(|(slope, measurement)| fit_row(evaluation, slope, measurement))
@@ -38,12 +38,12 @@
 }
 
 fn fit_row(evaluation: &Evaluation, slope: &Slope, measurement: &Measurement) -> Vec<String> {
-    let largest = slope.max_size.map_or_else(String::new, |size| {
+    let size_limit = slope.max_size.map_or_else(String::new, |size| {
         format!(" up to {}", format::number(size))
     });
     let mut row = vec![
         format!("`{}`: {}", slope.id(), slope.description),
-        format!("`{}`{largest}", slope.input),
+        format!("`{}`{size_limit}", slope.input),
     ];
     row.extend(match &measurement.fit {
         Ok(fit) => fit_cells(evaluation, slope, fit),
@@ -59,7 +59,7 @@
     let line = &fit.line;
     let hold_out = &fit.hold_out;
     let size = target_size(evaluation, slope);
-    let (least, most) = fit.size_range;
+    let (smallest, largest) = fit.size_range;
     let residual = format::number(line.rms);
     let relative = format::share(fit.relative_rms);
     let predicted = format::interval(hold_out.predicted);
@@ -70,14 +70,14 @@
         format!(
             "{}, {} to {} ({})",
             fit.size_count - 1,
-            format::number(least),
-            format::number(most),
+            format::number(smallest),
+            format::number(largest),
             fit.run_count
         ),
         format::number(hold_out.size),
         format!("{predicted}, {measured}"),
         hold_out_error(hold_out),
-        value_at_target(evaluation, slope, size, most),
+        value_at_target(evaluation, slope, size, largest),
         fit.runner_up
             .as_ref()
             .map_or_else(|| "-".into(), |line| value_in_form(line, size)),
@@ -113,7 +113,7 @@
     let mut estimate = evaluation.estimate_slope(slope.id(), size);
     if let Ok(estimate) = &mut estimate {
         // That the fit missed is in the column of errors.
-        estimate.missed = false;
+        estimate.missed_hold_out = false;
     }
     let value = format::estimate(&estimate, &slope.unit);
     let beyond = if size > largest {
@@ -129,14 +129,14 @@
 
 fn value_in_form(line: &FittedLine, size: f64) -> String {
     let form = match line.form {
-        Form::Flat => "flat",
+        Form::Constant => "flat",
         form => form.term(),
     };
     format!("{} ({form})", format::number(line.predict(size).max(0.0)))
 }
 
 /// All slopes: how each is measured again, and which of its runs count.
-pub(super) fn commands(evaluation: &Evaluation) -> String {
+pub(super) fn command_table(evaluation: &Evaluation) -> String {
     let rows: Vec<Vec<String>> = evaluation
         .slopes()
         .map(|(slope, measurement)| command_row(slope, measurement))
--- a/programs/capacity/src/plot/data.rs
+++ b/programs/capacity/src/plot/data.rs
@@ -6,7 +6,7 @@
 /// Steps of a drawn curve.
 const CURVE_STEPS: usize = 60;
 /// The least length of an axis that begins at 0.
-const LEAST_LENGTH: f64 = 1e-9;
+const MIN_AXIS_LENGTH: f64 = 1e-9;
 
 /// The data of a plot.
 pub(super) struct PlotData<'a> {
@@ -37,8 +37,8 @@
 /// The sizes that a plot shows, on its axis.
 #[derive(Clone, Copy)]
 struct SizeRange {
-    least: f64,
-    most: f64,
+    smallest: f64,
+    largest: f64,
     is_log: bool,
 }
 
@@ -75,8 +75,8 @@
         let sizes = || measurement.points.iter().map(|point| point.x);
         let are_positive = sizes().all(|size| size > 0.0) && target > 0.0;
         SizeRange {
-            least: sizes().fold(target, f64::min),
-            most: sizes().fold(target, f64::max),
+            smallest: sizes().fold(target, f64::min),
+            largest: sizes().fold(target, f64::max),
             is_log: axes != Axes::Plain && are_positive,
         }
     }
@@ -85,17 +85,20 @@
     fn at_step(self, step: usize) -> f64 {
         let share = step as f64 / CURVE_STEPS as f64;
         if self.is_log {
-            self.least * (self.most / self.least).powf(share)
+            self.smallest * (self.largest / self.smallest).powf(share)
         } else {
-            self.least + (self.most - self.least) * share
+            self.smallest + (self.largest - self.smallest) * share
         }
     }
 
     fn axis(self) -> Axis {
         let (low, high) = if self.is_log {
-            (self.least * 0.9, self.most.max(self.least * 1.01) * 1.1)
+            (
+                self.smallest * 0.9,
+                self.largest.max(self.smallest * 1.01) * 1.1,
+            )
         } else {
-            (0.0, self.most.max(LEAST_LENGTH) * 1.05)
+            (0.0, self.largest.max(MIN_AXIS_LENGTH) * 1.05)
         };
         Axis {
             low,
@@ -141,7 +144,7 @@
     let (low, high) = if is_log {
         (bottom * 0.7, top * 1.4)
     } else {
-        (0.0, top.max(LEAST_LENGTH) * 1.1)
+        (0.0, top.max(MIN_AXIS_LENGTH) * 1.1)
     };
     Axis { low, high, is_log }
 }
--- a/programs/capacity/src/plot/draw.rs
+++ b/programs/capacity/src/plot/draw.rs
@@ -11,7 +11,7 @@
 /// Width and height of a plot.
 const PLOT_SIZE: (u32, u32) = (720, 420);
 /// The length of a line in the legend.
-const LEGEND_LINE: i32 = 20;
+const LEGEND_LINE_LENGTH: i32 = 20;
 
 type Area<'b> = DrawingArea<SVGBackend<'b>, Shift>;
 type Chart<'a, 'b, X, Y> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<X, Y>>;
@@ -127,13 +127,13 @@
         chart
             .draw_series(circles)?
             .label("measured")
-            .legend(|(x, y)| Circle::new((x + LEGEND_LINE / 2, y), 3, BLACK.filled()));
+            .legend(|(x, y)| Circle::new((x + LEGEND_LINE_LENGTH / 2, y), 3, BLACK.filled()));
         if hold_out.is_some() {
             let crosses = held_out.into_iter().map(|p| Cross::new(p, 4, MAGENTA));
             chart
                 .draw_series(crosses)?
                 .label("measured, kept out of the fit")
-                .legend(|(x, y)| Cross::new((x + LEGEND_LINE / 2, y), 4, MAGENTA));
+                .legend(|(x, y)| Cross::new((x + LEGEND_LINE_LENGTH / 2, y), 4, MAGENTA));
         }
         Ok(())
     }
@@ -156,5 +156,5 @@
 }
 
 fn legend_line((x, y): (i32, i32), color: RGBColor) -> PathElement<(i32, i32)> {
-    PathElement::new(vec![(x, y), (x + LEGEND_LINE, y)], color)
+    PathElement::new(vec![(x, y), (x + LEGEND_LINE_LENGTH, y)], color)
 }
--- a/programs/capacity/src/plot/mod.rs
+++ b/programs/capacity/src/plot/mod.rs
@@ -36,7 +36,7 @@
 }
 
 /// The plots of all slopes that have one and were measured.
-pub fn all(evaluation: &Evaluation) -> Result<Vec<Plot>, Errors> {
+pub fn render_all(evaluation: &Evaluation) -> Result<Vec<Plot>, Errors> {
     let mut plots = Vec::new();
     for (slope, measurement) in evaluation.slopes() {
         let Some(axes) = slope.plot.filter(|_| !measurement.points.is_empty()) else {
--- a/programs/capacity/src/record.rs
+++ b/programs/capacity/src/record.rs
@@ -2,7 +2,7 @@
 
 use crate::command::RecordArgs;
 use crate::error::{CapacityError, Errors};
-use crate::files::{read, write};
+use crate::files::{read_file, write_file};
 use crate::runs::{parse_runs, Machine, RunStore};
 use std::fmt;
 use std::path::PathBuf;
@@ -30,7 +30,7 @@
     if added > 0 {
         store.date = today;
     }
-    write(&args.into, &store.to_json())?;
+    write_file(&args.store, &store.to_json())?;
     Ok(RecordSummary {
         added,
         total: store.runs.len(),
@@ -40,17 +40,17 @@
 /// The recorded runs, or none. Runs of two machines are not mixed.
 fn open_store(args: &RecordArgs, today: &str) -> Result<RunStore, Errors> {
     let machine = Machine::current().map_err(CapacityError::from)?;
-    if args.anew || !args.into.exists() {
+    if args.overwrite || !args.store.exists() {
         return Ok(RunStore {
             date: today.into(),
             machine,
             runs: Vec::new(),
         });
     }
-    let store = RunStore::read(&args.into.display().to_string(), &read(&args.into)?)?;
+    let store = RunStore::parse(&args.store.display().to_string(), &read_file(&args.store)?)?;
     if store.machine != machine {
-        return Err(Errors::from(CapacityError::OtherMachine {
-            path: args.into.clone(),
+        return Err(Errors::from(CapacityError::MachineMismatch {
+            path: args.store.clone(),
             recorded: store.machine,
             current: machine,
         }));
@@ -63,13 +63,13 @@
     let mut added = 0;
     let mut errors = Errors::default();
     for file in files {
-        match read(file).and_then(|text| parse_runs(&file.display().to_string(), &text)) {
+        match read_file(file).and_then(|text| parse_runs(&file.display().to_string(), &text)) {
             Ok(runs) => {
                 for run in runs {
                     added += usize::from(store.add(run));
                 }
             }
-            Err(more) => errors.append(more),
+            Err(file_errors) => errors.append(file_errors),
         }
     }
     errors.into_result(added)
--- a/programs/capacity/src/runs/run.rs
+++ b/programs/capacity/src/runs/run.rs
@@ -72,7 +72,7 @@
 
 impl Run {
     /// Parses and checks a line of JSON.
-    pub fn read(line: &str) -> Result<Run, RunError> {
+    pub fn parse(line: &str) -> Result<Run, RunError> {
         let value: Value = serde_json::from_str(line)?;
         let fields = value.as_object().ok_or(RunError::NotAnObject)?;
         check_required(fields)?;
@@ -176,8 +176,8 @@
 
 /// Whether a command line is there and names no absolute paths.
 fn is_portable_command(text: &str) -> bool {
-    let names_paths = text.split([' ', '=']).any(|word| word.starts_with('/'));
-    !text.is_empty() && !names_paths
+    let has_absolute_path = text.split([' ', '=']).any(|word| word.starts_with('/'));
+    !text.is_empty() && !has_absolute_path
 }
 
 /// Whether a name is that of a quantile, such as `p99`.
@@ -194,7 +194,7 @@
         if line.trim().is_empty() {
             continue;
         }
-        match Run::read(line) {
+        match Run::parse(line) {
             Ok(run) => runs.push(run),
             Err(source) => errors.push(CapacityError::Run {
                 file: name.into(),
--- a/programs/capacity/src/runs/store.rs
+++ b/programs/capacity/src/runs/store.rs
@@ -28,7 +28,7 @@
 
 impl RunStore {
     /// Reads the file's text; each run in it is checked as when it was added.
-    pub fn read(name: &str, text: &str) -> Result<RunStore, Errors> {
+    pub fn parse(name: &str, text: &str) -> Result<RunStore, Errors> {
         let file: RunStoreFile =
             serde_json::from_str(text).map_err(|source| CapacityError::RunStore {
                 file: name.into(),
@@ -37,7 +37,7 @@
         let mut runs = Vec::new();
         let mut errors = Errors::default();
         for (index, raw) in file.runs.iter().enumerate() {
-            match Run::read(raw.get()) {
+            match Run::parse(raw.get()) {
                 Ok(run) => runs.push(run),
                 Err(source) => errors.push(CapacityError::RecordedRun {
                     file: name.into(),
--- a/programs/capacity/tests/documentation/definitions.rs
+++ b/programs/capacity/tests/documentation/definitions.rs
@@ -101,7 +101,7 @@
     let text =
         "[given]\nsize = 3\n\n[[figures]]\nid = \"sum\"\nrole = \"fleet\"\nwhat = \"a sum\"\n\
         unit = \"of 1\"\nby = \"nothing\"\nterms = []\n";
-    let errors = Definitions::read("figures.toml", text).expect_err("no terms");
+    let errors = Definitions::parse("figures.toml", text).expect_err("no terms");
     let errors: Vec<&CapacityError> = errors.iter().collect();
     assert!(
         matches!(
--- a/programs/capacity/tests/documentation/page.rs
+++ b/programs/capacity/tests/documentation/page.rs
@@ -52,13 +52,19 @@
 
 #[test]
 fn verdicts_go_by_figure_interval_and_missed_fits() {
-    let verdict_on = |mid: f64, high: f64, missed: bool| {
+    let verdict_on = |mid: f64, high: f64, missed_hold_out: bool| {
         let interval = Interval {
             mid,
             low: 0.0,
             high,
         };
-        verdict(Estimate { interval, missed }, 30.0)
+        verdict(
+            Estimate {
+                interval,
+                missed_hold_out,
+            },
+            30.0,
+        )
     };
     assert_eq!(verdict_on(20.0, 30.0, false), Verdict::Holds);
     assert_eq!(verdict_on(20.1, 30.0, false), Verdict::Tight);
--- a/programs/capacity/tests/documentation/record.rs
+++ b/programs/capacity/tests/documentation/record.rs
@@ -11,7 +11,7 @@
     let text = fs::read_to_string(docs.join("capacity/slopes.json")).unwrap();
     assert!(text.contains(&run_line(300, 2)));
     assert_eq!(
-        RunStore::read("slopes.json", &text).unwrap().to_json(),
+        RunStore::parse("slopes.json", &text).unwrap().to_json(),
         text
     );
 }
@@ -70,7 +70,7 @@
 fn runs_of_another_machine_are_not_mixed_with_these() {
     let docs = docs("machine");
     let path = docs.join("capacity/slopes.json");
-    let mut store = RunStore::read("slopes.json", &fs::read_to_string(&path).unwrap()).unwrap();
+    let mut store = RunStore::parse("slopes.json", &fs::read_to_string(&path).unwrap()).unwrap();
     store.machine.cores += 1;
     fs::write(&path, store.to_json()).unwrap();
     let lines = record_runs(&docs).expect_err("another machine");
--- a/programs/capacity/tests/documentation/support.rs
+++ b/programs/capacity/tests/documentation/support.rs
@@ -81,8 +81,8 @@
 /// Records the runs of a folder of documentation: the summary or the errors as they are printed.
 pub fn record_runs(docs: &Path) -> Result<String, Vec<String>> {
     let summary = record(&RecordArgs {
-        into: docs.join("capacity/slopes.json"),
-        anew: false,
+        store: docs.join("capacity/slopes.json"),
+        overwrite: false,
         files: vec![docs.join("capacity/runs/virtual.jsonl")],
     });
     summary
--- a/programs/capacity/tests/fit.rs
+++ b/programs/capacity/tests/fit.rs
@@ -48,7 +48,7 @@
     assert!((fit.line.coefficient - 0.4).abs() < 0.02);
     let (count, fit) = fits_named("worse", |x| 100.0 + 0.001 * x * x, 30.0);
     assert!(count >= 95, "x^2 in {count} of 100");
-    assert_eq!(fit.line.form, Form::Square);
+    assert_eq!(fit.line.form, Form::Quadratic);
 }
 
 /// The simplest form within a tenth of the best error is chosen, even if another is a little better.
@@ -84,7 +84,7 @@
 #[test]
 fn a_cost_that_falls_with_size_is_flat() {
     let chosen = fit(&noisy_points(|x| 500.0 - 0.05 * x, 1.0, 1), None).expect("six sizes");
-    assert_eq!(chosen.line.form, Form::Flat);
+    assert_eq!(chosen.line.form, Form::Constant);
     assert!(chosen.relative_rms > 0.01, "the residual shows it");
 }
 
@@ -92,8 +92,8 @@
 #[test]
 fn the_interval_covers_95_of_100_further_runs() {
     for (form, truth) in [
-        (Form::Flat, (|_| 400.0) as fn(f64) -> f64),
-        (Form::Log, |x| 100.0 + 50.0 * x.ln()),
+        (Form::Constant, (|_| 400.0) as fn(f64) -> f64),
+        (Form::Logarithmic, |x| 100.0 + 50.0 * x.ln()),
         (Form::Linear, |x| 100.0 + 2.0 * x),
     ] {
         let noise = Normal::new(0.0, 20.0).expect("a deviation above nothing");
