--- a/programs/capacity/src/fit/form.rs
+++ b/programs/capacity/src/fit/form.rs
@@ -1,6 +1,6 @@
-//! The forms of growth that are tried, each `a + b z(x)`.
+//! The functional forms of the regression, each `a + b z(x)`.
 
-/// How a cost grows, simplest first.
+/// How a cost grows with size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
     /// `a`.
@@ -9,14 +9,14 @@
     Logarithmic,
     /// `a + b x`.
     Linear,
-    /// `a + b x ln x`: worse than linear.
+    /// `a + b x ln x`.
     Linearithmic,
-    /// `a + b x^2`: worse than linear, as when each has to do with each.
+    /// `a + b x^2`, as when every member communicates with every other.
     Quadratic,
 }
 
 impl Form {
-    /// All, simplest first.
+    /// All forms, simplest first.
     pub const ALL: [Form; 5] = [
         Form::Constant,
         Form::Logarithmic,
@@ -25,7 +25,7 @@
         Form::Quadratic,
     ];
 
-    /// `z(x)`, the transformed size that the coefficient `b` multiplies.
+    /// The regressor `z(x)`.
     pub(super) fn transform(self, size: f64) -> f64 {
         match self {
             Form::Constant => 0.0,
@@ -36,12 +36,12 @@
         }
     }
 
-    /// Whether it is defined at a size.
+    /// Whether `z` is defined at a size.
     pub fn is_defined_at(self, size: f64) -> bool {
         size > 0.0 || !matches!(self, Form::Logarithmic | Form::Linearithmic)
     }
 
-    /// Its word on the page.
+    /// The name shown on the page.
     pub fn name(self) -> &'static str {
         match self {
             Form::Constant => "flat",
@@ -51,7 +51,7 @@
         }
     }
 
-    /// `z(x)` as a formula shows it.
+    /// `z(x)` as shown in formulas.
     pub fn term(self) -> &'static str {
         match self {
             Form::Constant => "",
--- a/programs/capacity/src/fit/line.rs
+++ b/programs/capacity/src/fit/line.rs
@@ -1,45 +1,46 @@
-//! Least squares through points in one form, and prediction intervals by Student's t.
+//! Ordinary least squares for one form, with prediction intervals by Student's t-distribution.
 
 use super::{Form, Point};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// Level of the prediction interval, both sides together.
+/// Confidence level of the two-sided prediction interval.
 const CONFIDENCE_LEVEL: f64 = 0.95;
 
-/// A value with its 95% prediction interval: where a further run would lie.
+/// A value with its 95% prediction interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Interval {
     /// The prediction.
     pub mid: f64,
-    /// The interval's lower end.
+    /// The lower bound.
     pub low: f64,
-    /// The interval's upper end.
+    /// The upper bound.
     pub high: f64,
 }
 
-/// A form with its coefficients and the statistics that its interval is computed from.
+/// A form with fitted coefficients, and the statistics needed for prediction intervals.
 #[derive(Clone, Copy, Debug)]
 pub struct FittedLine {
     /// The form.
     pub form: Form,
-    /// `a`: the value at `z = 0`.
+    /// The intercept `a`.
     pub intercept: f64,
-    /// `b`: the factor of `z`; 0 when flat.
+    /// The coefficient `b`; 0 for the constant form.
     pub coefficient: f64,
-    /// Root of the mean square of the residuals, in units of the output.
+    /// Root mean square of the residuals, in units of the output.
     pub rms: f64,
     point_count: f64,
     mean_z: f64,
     /// Sum of the squared deviations of `z` from its mean.
     squared_deviations_z: f64,
-    /// Standard deviation of the residuals; not a number without a degree of freedom.
+    /// Standard deviation of the residuals; NaN without degrees of freedom.
     residual_deviation: f64,
-    /// Quantile of Student's t for both sides of the interval; not a number without a degree of freedom.
+    /// Quantile of Student's t-distribution for the two-sided interval; NaN without degrees of freedom.
     t_quantile: f64,
 }
 
 impl FittedLine {
-    /// Least squares over all points, each run counted once. None if the points are too few for the form.
+    /// Fits a form to the points, with equal weights. Returns `None` if the points do not determine the coefficients or
+    /// the form is not defined at one of them.
     pub fn least_squares(form: Form, points: &[Point]) -> Option<FittedLine> {
         let point_count = points.len() as f64;
         let degrees_of_freedom = point_count - if form == Form::Constant { 1.0 } else { 2.0 };
@@ -89,8 +90,8 @@
         }
     }
 
-    /// The prediction at a size, and the interval in which a further run lies 95 times of 100. None where the form is
-    /// not defined, or no degree of freedom is left to estimate the spread.
+    /// The prediction at a size, with the interval in which a further run lies with 95% probability. Returns `None` if
+    /// the form is not defined at the size, or no degree of freedom is left to estimate the variance.
     pub fn predict_interval(&self, size: f64) -> Option<Interval> {
         let has_variance_estimate =
             self.residual_deviation.is_finite() && self.t_quantile.is_finite();
@@ -112,7 +113,7 @@
         })
     }
 
-    /// Whether the cost grows, at the 97.5% level. A flat form counts without growing.
+    /// Whether the form may be chosen: it is constant, or its coefficient is positive at the 97.5% level.
     pub(super) fn is_candidate(&self) -> bool {
         let standard_error = self.residual_deviation / self.squared_deviations_z.sqrt();
         self.form == Form::Constant || self.coefficient > self.t_quantile * standard_error
--- a/programs/capacity/src/fit/mod.rs
+++ b/programs/capacity/src/fit/mod.rs
@@ -1,12 +1,12 @@
-//! How a cost grows with size: one of a few forms, by least squares over all points, without I/O.
+//! Regression of a cost on size: least squares in one of a few functional forms.
 //!
-//! Each form is `a + b z(x)`. The choice between them:
+//! Each form is `a + b z(x)`. The form is selected as follows:
 //!
-//! 1. One size, the hold-out, takes no part in the fit and is predicted by it.
-//! 2. A form other than flat is a candidate if `b` is positive at the 97.5% level by Student's t. A cost that falls with
-//!    size is therefore flat.
-//! 3. The candidate with the least cross-validation error is chosen: each size in turn is left out and its mean predicted
-//!    from the rest, RMS over sizes. A simpler candidate whose error is at most a tenth larger is preferred to it.
+//! 1. One size, the hold-out, is excluded from the fit, and is compared with the prediction of the fit.
+//! 2. A form other than the constant one is a candidate if `b` is positive at the 97.5% level by Student's t-test. A cost
+//!    that falls with size is therefore fitted as constant.
+//! 3. Each candidate is cross-validated: each size in turn is left out and its mean predicted from the other sizes. The
+//!    error is the RMS over sizes. The simplest candidate is chosen whose error is at most 10% above the smallest.
 //!
 //! ```
 //! use tansy_capacity::fit::{fit, Form, Point};
@@ -27,16 +27,16 @@
 
 use thiserror::Error;
 
-/// The fewest sizes for a fit: one is the hold-out, and a line through two has no residual.
+/// The minimum number of sizes for a fit: one is the hold-out, and a line through two has no residuals.
 pub const MIN_SIZES: usize = 4;
-/// A simpler form is taken when its error is at most this many times that of the best.
+/// The simplest form is chosen whose error is at most this multiple of the smallest.
 const MAX_ERROR_RATIO: f64 = 1.1;
-/// A difference of errors that rounding alone explains, as a share of the mean.
+/// Differences of errors up to this fraction of the mean are attributed to floating-point rounding.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
-/// An error at the hold-out size up to this share is no miss, however narrow the interval.
+/// A relative error at the hold-out size up to this value is not a miss, even if outside the interval.
 const MAX_RELATIVE_ERROR: f64 = 0.1;
 
-/// One run: the output measured at a size.
+/// The output of one run at a size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
     /// The size.
@@ -45,55 +45,55 @@
     pub y: f64,
 }
 
-/// The size that takes no part in a fit and is predicted by it.
+/// The size excluded from a fit, to validate its prediction.
 #[derive(Clone, Copy, Debug)]
 pub struct HoldOut {
     /// The size.
     pub size: f64,
-    /// The mean of the outputs measured there.
+    /// The mean of the outputs measured at the size.
     pub measured: f64,
-    /// The fit's prediction there.
+    /// The fit's prediction at the size.
     pub predicted: Interval,
 }
 
 impl HoldOut {
-    /// Predicted against measured, as a share of the measured: 0.1 is a tenth too much.
+    /// The relative error of the prediction: 0.1 if it is 10% too high.
     pub fn error(&self) -> f64 {
         (self.predicted.mid - self.measured) / self.measured.abs().max(f64::MIN_POSITIVE)
     }
 
-    /// Whether the fit missed it: outside the interval, and by more than a tenth.
+    /// Whether the measured value is outside the prediction interval and the relative error is above 10%.
     pub fn missed(&self) -> bool {
         let within = self.predicted.low <= self.measured && self.measured <= self.predicted.high;
         !within && self.error().abs() > MAX_RELATIVE_ERROR
     }
 }
 
-/// A form chosen, and the evidence for it.
+/// The selected form, with statistics on the quality of the fit.
 #[derive(Clone, Debug)]
 pub struct Fit {
-    /// The form chosen, fitted to all sizes but the hold-out.
+    /// The selected form, fitted to all sizes except the hold-out.
     pub line: FittedLine,
-    /// RMS of the residuals as a share of the mean.
+    /// RMS of the residuals, relative to the mean output.
     pub relative_rms: f64,
-    /// The cross-validation error of each form that could be fitted, in units of the output.
+    /// The cross-validation error of each form that can be fitted, in units of the output.
     pub validation_errors: Vec<(Form, f64)>,
-    /// The candidate in another form with the least cross-validation error.
+    /// The candidate of another form with the smallest cross-validation error.
     pub runner_up: Option<FittedLine>,
-    /// The size that took no part.
+    /// The size excluded from the fit.
     pub hold_out: HoldOut,
-    /// Number of sizes measured, with the hold-out.
+    /// Number of sizes measured, including the hold-out.
     pub size_count: usize,
     /// Number of runs in the fit.
     pub run_count: usize,
-    /// The least and the largest size in the fit.
+    /// The smallest and the largest size in the fit.
     pub size_range: (f64, f64),
 }
 
-/// The reason that points have no fit.
+/// The reason that points can't be fitted.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum FitError {
-    /// Fewer sizes than [`MIN_SIZES`] were measured, or no form is a candidate; with the number of sizes.
+    /// Fewer sizes than [`MIN_SIZES`] were measured, or no form is a candidate. Holds the number of sizes.
     #[error("{}", too_few_sizes(*.0))]
     TooFewSizes(usize),
     /// The hold-out size was not measured.
@@ -108,7 +108,7 @@
     }
 }
 
-/// Chooses the form for points. The hold-out is the given size, or else the largest.
+/// Selects a form and fits it to the points. The hold-out is the given size, by default the largest.
 pub fn fit(points: &[Point], hold_out: Option<f64>) -> Result<Fit, FitError> {
     let sizes = distinct_sizes(points);
     let hold_out = choose_hold_out_size(&sizes, hold_out)?;
@@ -121,9 +121,9 @@
         .collect();
     let scale = mean(&fitted_points).abs();
     let candidates = candidates(&validation_errors, &fitted_points, hold_out);
-    let no_form = FitError::TooFewSizes(sizes.len());
-    let line = simplest_within_tolerance(&candidates, scale).ok_or(no_form)?;
-    let predicted = line.predict_interval(hold_out).ok_or(no_form)?;
+    let no_candidate = FitError::TooFewSizes(sizes.len());
+    let line = simplest_within_tolerance(&candidates, scale).ok_or(no_candidate)?;
+    let predicted = line.predict_interval(hold_out).ok_or(no_candidate)?;
     Ok(Fit {
         line,
         relative_rms: line.rms / scale.max(f64::MIN_POSITIVE),
@@ -140,7 +140,7 @@
     })
 }
 
-/// The distinct sizes of points, least first.
+/// The distinct sizes of the points, in ascending order.
 pub fn distinct_sizes(points: &[Point]) -> Vec<f64> {
     let mut sizes: Vec<f64> = points.iter().map(|p| p.x).collect();
     sizes.sort_by(f64::total_cmp);
@@ -148,10 +148,10 @@
     sizes
 }
 
-/// The hold-out size, if that and enough others were measured.
-fn choose_hold_out_size(sizes: &[f64], wanted: Option<f64>) -> Result<f64, FitError> {
+/// The hold-out size. Fails if it or enough other sizes were not measured.
+fn choose_hold_out_size(sizes: &[f64], requested: Option<f64>) -> Result<f64, FitError> {
     let largest = *sizes.last().ok_or(FitError::TooFewSizes(0))?;
-    let size = wanted.unwrap_or(largest);
+    let size = requested.unwrap_or(largest);
     if !sizes.contains(&size) {
         return Err(FitError::HoldOutNotMeasured(size));
     }
@@ -161,7 +161,7 @@
     Ok(size)
 }
 
-/// The forms that are significant and have an interval at the hold-out size, fitted, each with its validation error.
+/// The fitted candidates that have a prediction interval at the hold-out size, each with its cross-validation error.
 fn candidates(
     errors: &[(Form, f64)],
     points: &[Point],
@@ -177,23 +177,23 @@
         .collect()
 }
 
-/// The simplest candidate whose error is near the least.
+/// The simplest candidate whose error is within the tolerance of the smallest.
 fn simplest_within_tolerance(candidates: &[(FittedLine, f64)], scale: f64) -> Option<FittedLine> {
-    let least = candidates
+    let smallest_error = candidates
         .iter()
         .map(|(_, error)| *error)
         .fold(f64::INFINITY, f64::min);
     candidates
         .iter()
-        .find(|(_, error)| *error <= least * MAX_ERROR_RATIO + scale * ROUNDING_TOLERANCE)
+        .find(|(_, error)| *error <= smallest_error * MAX_ERROR_RATIO + scale * ROUNDING_TOLERANCE)
         .map(|(line, _)| *line)
 }
 
-/// The candidate with the least error of those in another form.
-fn runner_up(candidates: &[(FittedLine, f64)], taken: Form) -> Option<FittedLine> {
+/// The candidate with the smallest error among those of other forms.
+fn runner_up(candidates: &[(FittedLine, f64)], chosen: Form) -> Option<FittedLine> {
     candidates
         .iter()
-        .filter(|(line, _)| line.form != taken)
+        .filter(|(line, _)| line.form != chosen)
         .min_by(|a, b| a.1.total_cmp(&b.1))
         .map(|(line, _)| *line)
 }
@@ -202,7 +202,7 @@
     points.iter().map(|p| p.y).sum::<f64>() / points.len().max(1) as f64
 }
 
-/// The cross-validation error: each size in turn is left out and its mean predicted from the rest, RMS of the errors.
+/// The cross-validation error of a form: the RMS error of predicting the mean at each size from the other sizes.
 fn validation_error(form: Form, points: &[Point], sizes: &[f64]) -> Option<f64> {
     let mut squares = 0.0;
     for size in sizes {
