--- a/programs/capacity/src/plot/data.rs
+++ b/programs/capacity/src/plot/data.rs
@@ -1,14 +1,14 @@
-//! The data of a plot, and the ranges of its axes.
+//! The data series and axis ranges of a plot.
 
 use crate::figures::{Axes, Evaluation, Measurement, Overrides, Slope, UnknownNumber};
 use crate::fit::{Fit, Interval};
 
-/// Steps of a drawn curve.
+/// Number of segments of the fitted curve.
 const CURVE_STEPS: usize = 60;
-/// The least length of an axis that begins at 0.
+/// Minimum length of an axis that starts at 0, so that its range is never empty.
 const MIN_AXIS_LENGTH: f64 = 1e-9;
 
-/// The data of a plot.
+/// The data series and axes of a plot.
 pub(super) struct PlotData<'a> {
     pub(super) slope: &'a Slope,
     pub(super) measurement: &'a Measurement,
@@ -16,11 +16,11 @@
     pub(super) budget: Option<f64>,
     pub(super) x_axis: Axis,
     pub(super) y_axis: Axis,
-    /// The fit's predictions, by size.
+    /// The fit's predictions, in ascending order of size.
     pub(super) curve: Vec<CurvePoint>,
 }
 
-/// The range of an axis; its ends are a little beyond the data, and never equal.
+/// The range of an axis: the data with a margin, never empty.
 #[derive(Clone, Copy)]
 pub(super) struct Axis {
     pub(super) low: f64,
@@ -34,7 +34,7 @@
     pub(super) interval: Interval,
 }
 
-/// The sizes that a plot shows, on its axis.
+/// The range of sizes that a plot shows.
 #[derive(Clone, Copy)]
 struct SizeRange {
     smallest: f64,
@@ -70,7 +70,7 @@
 }
 
 impl SizeRange {
-    /// From the least to the largest of the sizes that were measured and the one asked for.
+    /// The range of the measured sizes and the target size.
     fn new(measurement: &Measurement, target: f64, axes: Axes) -> SizeRange {
         let sizes = || measurement.points.iter().map(|point| point.x);
         let are_positive = sizes().all(|size| size > 0.0) && target > 0.0;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The size at a step of the curve, evenly spaced on the axis.
+    /// The size at a step of the curve; steps are evenly spaced on the axis.
     fn at_step(self, step: usize) -> f64 {
         let share = step as f64 / CURVE_STEPS as f64;
         if self.is_log {
@@ -108,7 +108,7 @@
     }
 }
 
-/// The fit's predictions over the sizes of a plot; empty without a fit.
+/// The fit's predictions over the range of sizes; empty without a fit.
 fn curve(evaluation: &Evaluation, slope: &Slope, sizes: SizeRange) -> Vec<CurvePoint> {
     (0..=CURVE_STEPS)
         .filter_map(|step| {
@@ -122,7 +122,7 @@
         .collect()
 }
 
-/// The axis of the output, with all measurements, the predictions and the budget on it.
+/// The output axis; it includes the measurements, the predictions and the budget.
 fn output_axis(
     measurement: &Measurement,
     curve: &[CurvePoint],
--- a/programs/capacity/src/plot/draw.rs
+++ b/programs/capacity/src/plot/draw.rs
@@ -1,4 +1,4 @@
-//! Drawing of a plot's data.
+//! Drawing of a plot as SVG.
 
 use super::data::{CurvePoint, PlotData};
 use super::PlotError;
@@ -8,21 +8,21 @@
 use plotters::prelude::*;
 use std::io;
 
-/// Width and height of a plot.
+/// Width and height of a plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (720, 420);
-/// The length of a line in the legend.
+/// Length of a line in the legend, in pixels.
 const LEGEND_LINE_LENGTH: i32 = 20;
 
 type Area<'b> = DrawingArea<SVGBackend<'b>, Shift>;
 type Chart<'a, 'b, X, Y> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<X, Y>>;
 type DrawResult = Result<(), DrawingAreaErrorKind<io::Error>>;
 
-/// An axis of plain numbers, linear or logarithmic.
+/// A numeric axis, linear or logarithmic.
 trait NumberAxis: Ranged<ValueType = f64> + ValueFormatter<f64> {}
 impl<T: Ranged<ValueType = f64> + ValueFormatter<f64>> NumberAxis for T {}
 
 impl PlotData<'_> {
-    /// The plot as the text of an SVG file.
+    /// Renders the plot as an SVG document.
     pub(super) fn to_svg(&self) -> Result<String, PlotError> {
         let mut svg = String::new();
         let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
@@ -72,7 +72,7 @@
             .draw()
     }
 
-    /// The fit's interval as an area, and its predictions as a line.
+    /// Draws the prediction interval as an area and the predictions as a line.
     fn draw_fit<'b: 'a, 'a, X: NumberAxis, Y: NumberAxis>(
         &self,
         chart: &mut Chart<'a, 'b, X, Y>,
@@ -109,7 +109,7 @@
         Ok(())
     }
 
-    /// The measurements; the hold-out has marks of its own.
+    /// Draws the measurements; those at the hold-out size are marked with crosses.
     fn draw_points<'b: 'a, 'a, X: NumberAxis, Y: NumberAxis>(
         &self,
         chart: &mut Chart<'a, 'b, X, Y>,
@@ -138,7 +138,7 @@
         Ok(())
     }
 
-    /// An output, moved onto the axis if it is beyond it.
+    /// Clamps an output to the range of the axis.
     fn clamp(&self, output: f64) -> f64 {
         output.clamp(self.y_axis.low, self.y_axis.high)
     }
--- a/programs/capacity/src/plot/mod.rs
+++ b/programs/capacity/src/plot/mod.rs
@@ -1,4 +1,4 @@
-//! The plot of a slope as SVG: measurements, the fit with its interval up to the target size, and the budget.
+//! SVG plots of slopes: measurements, the fit with its prediction interval up to the target size, and the budget.
 
 mod data;
 mod draw;
@@ -10,19 +10,19 @@
 use std::io;
 use thiserror::Error;
 
-/// A plot of the page.
+/// A rendered plot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plot {
-    /// Its file, in the folder of images.
+    /// The file name in the `img` folder.
     pub file_name: String,
-    /// The file's text.
+    /// The SVG document.
     pub svg: String,
 }
 
-/// The reason that a plot can't be drawn.
+/// An error in drawing a plot.
 #[derive(Debug, Error)]
 pub enum PlotError {
-    /// The target size or the budget is not known.
+    /// The target size or the budget is an undefined name.
     #[error(transparent)]
     UnknownNumber(#[from] UnknownNumber),
     /// The drawing library failed.
@@ -35,7 +35,7 @@
     format!("capacity-{}.svg", slope.id())
 }
 
-/// The plots of all slopes that have one and were measured.
+/// Renders the plots of all measured slopes that define one.
 pub fn render_all(evaluation: &Evaluation) -> Result<Vec<Plot>, Errors> {
     let mut plots = Vec::new();
     for (slope, measurement) in evaluation.slopes() {
