--- a/programs/capacity/tests/fit.rs
+++ b/programs/capacity/tests/fit.rs
@@ -34,7 +34,7 @@
         fits.len(),
         fits.last()
             .cloned()
-            .expect("at smallest_error one fit has the form"),
+            .expect("at least one fit has the form"),
     )
 }
 
