--- a/programs/capacity/src/check.rs
+++ b/programs/capacity/src/check.rs
@@ -1,4 +1,4 @@
-//! `page --check`: generates everything in memory and compares it with the files that are there.
+//! The command `page --check`: compares freshly generated files with those on disk.
 
 use crate::error::Errors;
 use crate::files::{file_name, read_file, sorted_entries};
@@ -9,15 +9,15 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// Characters of a line that a difference shows.
+/// Longer lines are truncated in a reported difference.
 const MAX_SHOWN_CHARACTERS: usize = 160;
 
-/// The result of `page --check` if nothing differs.
+/// The result of `page --check` if all files are up to date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CheckSummary {
-    /// Plots beside the page.
+    /// Number of plots compared.
     pub plot_count: usize,
-    /// Runs that they are made from.
+    /// Number of recorded runs.
     pub run_count: usize,
 }
 
@@ -29,59 +29,59 @@
         } = self;
         write!(
             f,
-            "CAPACITY.md and {plot_count} plots are what {run_count} runs give"
+            "CAPACITY.md and {plot_count} plots are up to date with {run_count} runs"
         )
     }
 }
 
-/// How a file differs from the one that the recorded runs give.
+/// A file that is out of date.
 #[derive(Debug, Error)]
 pub enum Difference {
     /// A line differs.
-    #[error("{file}:{line}: there is {found:?}, right is {expected:?}")]
+    #[error("{file}:{line}: found {found:?}, expected {expected:?}")]
     Line {
-        /// The file's path under the folder of documentation.
+        /// The file's path relative to the documentation folder.
         file: String,
         /// The line, from 1.
         line: usize,
-        /// The truncated of the line that is there.
+        /// The line on disk, truncated.
         found: String,
-        /// The truncated of the line that should be there.
+        /// The generated line, truncated.
         expected: String,
     },
-    /// All lines are equal, and the texts are not.
-    #[error("{file}:{line}: differs in how it ends")]
+    /// All lines are equal, but the line endings differ.
+    #[error("{file}:{line}: all lines are equal, but their endings differ")]
     End {
-        /// The file's path under the folder of documentation.
+        /// The file's path relative to the documentation folder.
         file: String,
-        /// The line after the last, from 1.
+        /// The number of the line after the last one.
         line: usize,
     },
     /// The file can't be read.
-    #[error("{file}: {source}; right is what `page` makes")]
+    #[error("{file}: {source}; run `page` to generate it")]
     Unreadable {
-        /// The file's path under the folder of documentation.
+        /// The file's path relative to the documentation folder.
         file: String,
         /// The cause.
         source: io::Error,
     },
-    /// The plot would not be made.
-    #[error("{file}: of no slope; `page` takes it away")]
+    /// A plot that no slope produces.
+    #[error("{file}: no slope has this plot; run `page` to delete it")]
     OrphanedPlot {
-        /// The plot's path under the folder of documentation.
+        /// The plot's path relative to the documentation folder.
         file: String,
     },
-    /// Runs of a file were never recorded.
-    #[error("{file}: {count} of its runs are not in slopes.json; right is `record` of it")]
+    /// A file contains runs that are not recorded.
+    #[error("{file}: {count} of its runs are not in slopes.json; add them with `record`")]
     Unrecorded {
-        /// The file's path under the folder of documentation.
+        /// The file's path relative to the documentation folder.
         file: String,
-        /// How many.
+        /// Number of unrecorded runs.
         count: usize,
     },
 }
 
-/// Generates everything in memory and compares it with the files that are there: an error for each that differs.
+/// Checks that the recorded runs, the page and its plots are up to date. Returns an error for each file that is not.
 pub fn check(docs: &Path) -> Result<CheckSummary, Errors> {
     let (store, store_text) = read_store(docs)?;
     let mut errors = Errors::default();
@@ -130,7 +130,7 @@
     }
 }
 
-/// The first difference of two texts.
+/// The first difference between two texts, or `None` if they are equal.
 fn compare(file: &str, expected: &str, found: &str) -> Option<Difference> {
     if expected == found {
         return None;
--- a/programs/capacity/src/command.rs
+++ b/programs/capacity/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands of the program, and their exit codes.
+//! Command-line arguments and exit codes.
 
 use crate::check::check;
 use crate::error::Errors;
@@ -8,46 +8,46 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// What is done with the page; one more program may take these among its own commands.
+/// The subcommands; another program can include them with `#[command(flatten)]`.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Makes docs/CAPACITY.md and its plots from docs/capacity.
+    /// Generates CAPACITY.md and its plots from the recorded runs.
     Page(PageArgs),
-    /// Checks runs and adds them to those that the page is made from.
+    /// Validates runs and adds them to the recorded runs.
     Record(RecordArgs),
 }
 
-/// Of `page`.
+/// Arguments of `page`.
 #[derive(Args)]
 pub struct PageArgs {
-    /// Make everything again in memory and compare: a line for each file that differs, exit code 1.
+    /// Write nothing; report each file that is out of date and exit with code 1 if any is.
     #[arg(long)]
     pub check: bool,
-    /// The folder of CAPACITY.md, capacity/ and img/.
+    /// The documentation folder, which contains CAPACITY.md, capacity/ and img/.
     #[arg(long, default_value = "docs")]
     pub docs: PathBuf,
 }
 
-/// Of `record`.
+/// Arguments of `record`.
 #[derive(Args)]
 pub struct RecordArgs {
-    /// The file that keeps them; begun if it is not there.
+    /// The file of recorded runs; created if it does not exist.
     #[arg(
         long = "into",
         value_name = "INTO",
         default_value = "docs/capacity/slopes.json"
     )]
     pub store: PathBuf,
-    /// Leave out the runs that it holds by now.
+    /// Discard the runs already in the file.
     #[arg(long = "anew")]
     pub overwrite: bool,
-    /// Files of runs, one JSON object a line; each line is added as written, the same one twice is one.
+    /// Files of runs, one JSON object a line; duplicates are ignored.
     #[arg(required = true)]
     pub files: Vec<PathBuf>,
 }
 
 impl Command {
-    /// Runs it and prints a summary, or a line for each error. Exit codes: 0 done, 1 something was wrong or differs.
+    /// Runs the command and prints a summary to stdout, or each error to stderr. Exits with 0 on success and 1 on error.
     pub fn run(&self) -> ExitCode {
         match self.execute() {
             Ok(summary) => {
--- a/programs/capacity/src/error.rs
+++ b/programs/capacity/src/error.rs
@@ -1,5 +1,5 @@
-//! Errors in runs, definitions and pages. Each prints as one line: the file, the line where there is one, the fault, and
-//! the remedy.
+//! Errors of all commands. Each prints as one line with the file, the line number if known, the cause, and what was
+//! expected.
 
 use crate::check::Difference;
 use crate::figures::{DefinitionError, MeasurementError};
@@ -11,10 +11,10 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// An error in a file.
+/// An error of a command.
 #[derive(Debug, Error)]
 pub enum CapacityError {
-    /// A file or folder can't be read, written or removed.
+    /// Reading, writing or deleting a file or folder failed.
     #[error("{}: {source}", .path.display())]
     Io {
         /// The file or folder.
@@ -22,7 +22,7 @@
         /// The cause.
         source: io::Error,
     },
-    /// A line of a file of runs is not a valid run.
+    /// A line in a file of runs is not a valid run.
     #[error("{file}:{line}: {source}")]
     Run {
         /// The file's name.
@@ -32,8 +32,8 @@
         /// The cause.
         source: RunError,
     },
-    /// The file of recorded runs is not in its format.
-    #[error("{file}:{}: {source}; right is {{\"day\": ..., \"machine\": ..., \"runs\": [...]}}", .source.line())]
+    /// The file of recorded runs is malformed.
+    #[error("{file}:{}: {source}; expected {{\"day\": ..., \"machine\": ..., \"runs\": [...]}}", .source.line())]
     RunStore {
         /// The file's name.
         file: String,
@@ -50,23 +50,23 @@
         /// The cause.
         source: RunError,
     },
-    /// The machine can't be described.
+    /// The properties of this machine could not be determined.
     #[error(transparent)]
     Machine(#[from] MachineError),
     /// The recorded runs were measured on another machine.
     #[error(
-        "{}: its runs are of a machine of {} cores and {} GiB, this has {} and {}; right is the same, or --anew",
+        "{}: recorded on a machine with {} cores and {} GiB, this one has {} and {}; use the same machine, or --anew",
         .path.display(), .recorded.cores, .recorded.memory_gb, .current.cores, .current.memory_gb
     )]
     MachineMismatch {
         /// The file of recorded runs.
         path: PathBuf,
-        /// The machine of its runs.
+        /// The machine on which its runs were measured.
         recorded: Machine,
         /// This machine.
         current: Machine,
     },
-    /// A definition is wrong.
+    /// A definition in `figures.toml` is invalid.
     #[error("{file}:{line}: {source}")]
     Definition {
         /// The file's name.
@@ -76,27 +76,27 @@
         /// The cause.
         source: DefinitionError,
     },
-    /// The runs of a slope do not belong together.
+    /// The runs of a slope can't be combined.
     #[error("{file}: slope {slope}: {source}")]
     Measurement {
-        /// The name of the file that defines the slope.
+        /// The name of the file in which the slope is defined.
         file: String,
-        /// The slope.
+        /// The id of the slope.
         slope: String,
         /// The cause.
         source: MeasurementError,
     },
-    /// A placeholder of the template is wrong.
+    /// A placeholder in the template is invalid.
     #[error("{file}:{line}: {source}")]
     Template {
-        /// The template's name.
+        /// The template's file name.
         file: String,
         /// The line, from 1.
         line: usize,
         /// The cause.
         source: TemplateError,
     },
-    /// A plot can't be drawn.
+    /// Drawing a plot failed.
     #[error("{file}: {source}")]
     Plot {
         /// The plot's file name.
@@ -104,13 +104,13 @@
         /// The cause.
         source: PlotError,
     },
-    /// A file is not up to date.
+    /// A generated or recorded file is out of date.
     #[error(transparent)]
     Difference(#[from] Difference),
 }
 
 impl CapacityError {
-    /// Adds the path to an error of reading, writing or removing it.
+    /// Attaches a path to an I/O error, for use with `map_err`.
     pub(crate) fn io(path: &Path) -> impl FnOnce(io::Error) -> CapacityError + '_ {
         |source| CapacityError::Io {
             path: path.to_path_buf(),
@@ -119,22 +119,22 @@
     }
 }
 
-/// All errors found, in the order of the text.
+/// All errors found, in the order in which they were found.
 #[derive(Debug, Default)]
 pub struct Errors(Vec<CapacityError>);
 
 impl Errors {
-    /// The errors one by one.
+    /// Iterates over the errors.
     pub fn iter(&self) -> impl Iterator<Item = &CapacityError> {
         self.0.iter()
     }
 
-    /// The lines that the errors print as.
+    /// The message of each error.
     pub fn messages(&self) -> Vec<String> {
         self.iter().map(ToString::to_string).collect()
     }
 
-    /// The lines that the errors print as, as one text.
+    /// The messages joined with a separator.
     pub fn join(&self, separator: &str) -> String {
         self.messages().join(separator)
     }
@@ -147,7 +147,7 @@
         self.0.append(&mut other.0);
     }
 
-    /// The value if nothing was wrong, or else the errors.
+    /// `Ok(value)` if no error was added, else the errors.
     pub(crate) fn into_result<T>(self, value: T) -> Result<T, Errors> {
         if self.0.is_empty() {
             Ok(value)
--- a/programs/capacity/src/figures/definitions.rs
+++ b/programs/capacity/src/figures/definitions.rs
@@ -1,4 +1,4 @@
-//! The content of `figures.toml`: reading, validation, and lookup by name.
+//! Parsing and validation of `figures.toml`, and lookup of its definitions by name.
 
 use super::expression::{Term, TermError};
 use super::file::{Assumption, FigureFile, FiguresFile, Number, Slope};
@@ -8,23 +8,23 @@
 use thiserror::Error;
 use toml::Spanned;
 
-/// Values by name that replace given numbers and assumptions.
+/// Values that replace given numbers and assumptions, by name.
 pub type Overrides<'a> = BTreeMap<&'a str, f64>;
 
-/// A value computed from slopes, given numbers and assumptions: a line of a role's table.
+/// A value computed from slopes, given numbers, assumptions and other figures.
 #[derive(Debug)]
 pub struct Figure {
-    /// Its name in terms.
+    /// The name by which terms refer to it.
     pub id: String,
-    /// The role whose cost it is.
+    /// The kind of process that bears the cost; figures are grouped by role.
     pub role: String,
-    /// Its title on the page.
+    /// The description on the page.
     pub description: String,
     /// The unit of its value.
     pub unit: String,
-    /// Its budget: a number or the name of a given one.
+    /// The budget: a number, or the name of a given number or an assumption.
     pub budget: Option<Number>,
-    /// The mechanism that carries it.
+    /// The mechanism that causes the cost.
     pub mechanism: String,
     pub(super) terms: Vec<Term>,
 }
@@ -32,73 +32,73 @@
 /// The content of `figures.toml`.
 #[derive(Debug)]
 pub struct Definitions {
-    /// Sizes and budgets that were asked for.
+    /// Target sizes and budgets, by name.
     pub given: BTreeMap<String, f64>,
-    /// Numbers that were not measured.
+    /// Inputs of figures that were not measured.
     pub assumptions: Vec<Assumption>,
-    /// Measured outputs by size.
+    /// Measured outputs as functions of an input.
     pub slopes: Vec<Slope>,
-    /// Values computed from the rest, for each role.
+    /// Values computed from the other definitions.
     pub figures: Vec<Figure>,
 }
 
-/// A name that is neither of a given number nor of an assumption.
+/// A name that is neither a given number nor an assumption.
 #[derive(Clone, Debug, PartialEq, Error)]
-#[error("{name}: right is a number, or one of {}", .known.join(", "))]
+#[error("{name}: expected a number, or one of {}", .known.join(", "))]
 pub struct UnknownNumber {
-    /// The name.
+    /// The undefined name.
     pub name: String,
-    /// The names that there are.
+    /// The defined names.
     pub known: Vec<String>,
 }
 
-/// A name that is of no slope.
+/// A name that is not a slope.
 #[derive(Clone, Debug, PartialEq, Error)]
-#[error("{id} is no slope; right is one of {}", .known.join(", "))]
+#[error("{id} is not a slope; expected one of {}", .known.join(", "))]
 pub struct UnknownSlope {
-    /// The name.
+    /// The undefined name.
     pub id: String,
-    /// The slopes that there are.
+    /// The ids of the defined slopes.
     pub known: Vec<String>,
 }
 
 /// An error in a definition.
 #[derive(Debug, Error)]
 pub enum DefinitionError {
-    /// The file is not in its format.
+    /// The file is not valid TOML, or has a wrong structure.
     #[error("{}", .0.message().replace('\n', "; "))]
     Format(toml::de::Error),
-    /// A name with other characters than a term can have.
-    #[error("{0:?} is no name; right are letters, digits and _, such as memory_mb")]
+    /// An id with characters that are not allowed in terms.
+    #[error("{0:?} is not a valid id; expected letters, digits and _, such as memory_mb")]
     InvalidId(String),
-    /// A name that stands for something already.
-    #[error("{0} is there twice; right is a name of its own")]
+    /// An id that is already defined.
+    #[error("{0} is defined twice; ids must be unique")]
     DuplicateId(String),
-    /// A slope of runs that no tool prints.
+    /// A slope with an unknown tool.
     #[error("{slope}: {source}")]
     UnknownTool {
-        /// The slope.
+        /// The id of the slope.
         slope: String,
-        /// The tool.
+        /// The cause.
         source: UnknownTool,
     },
-    /// A size or budget that is not known.
+    /// A size or budget that is an undefined name.
     #[error(transparent)]
     UnknownNumber(#[from] UnknownNumber),
     /// A term that can't be parsed.
     #[error("{term:?}: {source}")]
     Term {
-        /// The term as written.
+        /// The text of the term.
         term: String,
         /// The cause.
         source: TermError,
     },
     /// A figure without terms.
-    #[error("{0} has no terms; right is at least one")]
+    #[error("{0} has no terms; expected at least one")]
     NoTerms(String),
 }
 
-/// The text that definitions are read from, and the errors found in it.
+/// Collects the errors found while the text is parsed.
 struct DefinitionParser<'a> {
     file: &'a str,
     text: &'a str,
@@ -106,7 +106,7 @@
 }
 
 impl DefinitionParser<'_> {
-    /// Adds an error at a byte of the text.
+    /// Adds an error at a byte offset of the text.
     fn report(&mut self, offset: usize, source: DefinitionError) {
         let before = self.text.get(..offset);
         self.errors.push(CapacityError::Definition {
@@ -116,7 +116,7 @@
         });
     }
 
-    /// Checks that names can stand in terms, and each for one thing only.
+    /// Checks that ids are valid in terms and unique.
     fn check_ids(&mut self, file: &FiguresFile) {
         let mut names: Vec<&str> = file.given.keys().map(String::as_str).collect();
         let assumptions = file.assumptions.iter().map(|a| &a.id);
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Checks the tool of a slope, and its numbers.
+    /// Checks the tool, the target size and the budget of a slope.
     fn check_slope(&mut self, definitions: &Definitions, slope: &Slope) {
         if let Err(source) = required_fields(&slope.tool) {
             let error = DefinitionError::UnknownTool {
@@ -155,10 +155,10 @@
         }
     }
 
-    /// Parses the terms of a figure; they can name the figures defined before it.
-    fn parse_figure(&mut self, definitions: &Definitions, written: FigureFile) -> Figure {
+    /// Parses a figure; its terms may refer to the figures in `definitions`, which precede it.
+    fn parse_figure(&mut self, definitions: &Definitions, unparsed: FigureFile) -> Figure {
         let mut terms = Vec::new();
-        for text in &written.terms {
+        for text in &unparsed.terms {
             match Term::parse(text.get_ref(), definitions) {
                 Ok(term) => terms.push(term),
                 Err(source) => {
@@ -167,20 +167,20 @@
                 }
             }
         }
-        if written.terms.is_empty() {
-            let id = written.id.get_ref().clone();
-            self.report(written.id.span().start, DefinitionError::NoTerms(id));
+        if unparsed.terms.is_empty() {
+            let id = unparsed.id.get_ref().clone();
+            self.report(unparsed.id.span().start, DefinitionError::NoTerms(id));
         }
-        if let Some(number) = &written.budget {
+        if let Some(number) = &unparsed.budget {
             self.check_number(definitions, number);
         }
         Figure {
-            id: written.id.into_inner(),
-            role: written.role,
-            description: written.description,
-            unit: written.unit,
-            budget: written.budget.map(Spanned::into_inner),
-            mechanism: written.mechanism,
+            id: unparsed.id.into_inner(),
+            role: unparsed.role,
+            description: unparsed.description,
+            unit: unparsed.unit,
+            budget: unparsed.budget.map(Spanned::into_inner),
+            mechanism: unparsed.mechanism,
             terms,
         }
     }
@@ -192,7 +192,7 @@
 }
 
 impl Definitions {
-    /// Reads `figures.toml`.
+    /// Parses and validates `figures.toml`. `name` is the file name for errors.
     pub fn parse(name: &str, text: &str) -> Result<Definitions, Errors> {
         let mut parser = DefinitionParser {
             file: name,
@@ -217,14 +217,14 @@
         for slope in &definitions.slopes {
             parser.check_slope(&definitions, slope);
         }
-        for written in file.figures {
-            let figure = parser.parse_figure(&definitions, written);
+        for unparsed in file.figures {
+            let figure = parser.parse_figure(&definitions, unparsed);
             definitions.figures.push(figure);
         }
         parser.errors.into_result(definitions)
     }
 
-    /// The value of a number, looked up if it is a name.
+    /// The value of a literal or named number.
     pub fn resolve(&self, number: &Number, overrides: &Overrides) -> Result<f64, UnknownNumber> {
         match number {
             Number::Plain(value) => Ok(*value),
@@ -235,7 +235,7 @@
         }
     }
 
-    /// The value of a name: overridden, given or assumed.
+    /// The value of a name: an override, a given number or an assumption, in this order of precedence.
     pub(super) fn lookup(&self, name: &str, overrides: &Overrides) -> Option<f64> {
         let assumption = || self.assumptions.iter().find(|a| a.id() == name);
         overrides
@@ -245,13 +245,13 @@
             .or_else(|| Some(assumption()?.value))
     }
 
-    /// The names of given numbers and of assumptions.
+    /// The names of all given numbers and assumptions.
     pub(super) fn number_names(&self) -> Vec<String> {
         let assumed = self.assumptions.iter().map(|a| a.id().to_string());
         self.given.keys().cloned().chain(assumed).collect()
     }
 
-    /// The position of a slope.
+    /// The index of a slope in `slopes`.
     pub(super) fn slope_index(&self, id: &str) -> Result<usize, UnknownSlope> {
         self.slopes
             .iter()
--- a/programs/capacity/src/figures/estimate.rs
+++ b/programs/capacity/src/figures/estimate.rs
@@ -1,47 +1,47 @@
-//! Values that depend on fits, and their interval arithmetic.
+//! Estimated values and their interval arithmetic.
 
 use super::definitions::{UnknownNumber, UnknownSlope};
 use crate::fit::{FitError, Form, Interval};
 use thiserror::Error;
 
-/// A value that depends on fits.
+/// A value computed from fits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     /// The value with its interval.
     pub interval: Interval,
-    /// Whether a fit that it depends on missed its hold-out.
+    /// Whether any of the fits missed its hold-out.
     pub missed_hold_out: bool,
 }
 
-/// A value, or the reason that there is none.
+/// An estimate, or the reason that the value can't be computed.
 pub type EstimateResult = Result<Estimate, EstimateError>;
 
-/// The reason that there is no value.
+/// The reason that a value can't be computed.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum EstimateError {
-    /// There is no such slope.
+    /// The slope is not defined.
     #[error(transparent)]
     UnknownSlope(#[from] UnknownSlope),
-    /// There is no such number.
+    /// The number is not defined.
     #[error(transparent)]
     UnknownNumber(#[from] UnknownNumber),
-    /// There is no such figure before this one.
+    /// The figure is not defined before the one that refers to it.
     #[error("no such figure")]
     UnknownFigure,
     /// The slope has no fit.
     #[error("{slope}: {source}")]
     NoFit {
-        /// The slope.
+        /// The id of the slope.
         slope: String,
-        /// The reason.
+        /// The cause.
         source: FitError,
     },
-    /// The slope's form is not defined at the size, or has no interval there.
+    /// The fitted form is not defined at the size, or has no prediction interval there.
     #[error("{slope}: no {} at {size}", .form.name())]
     UndefinedAt {
-        /// The slope.
+        /// The id of the slope.
         slope: String,
-        /// The form of its fit.
+        /// The fitted form.
         form: Form,
         /// The size.
         size: f64,
@@ -52,7 +52,7 @@
 }
 
 impl Estimate {
-    /// A number that is known.
+    /// A value without uncertainty.
     pub(super) fn exact(value: f64) -> Estimate {
         Estimate {
             interval: Interval {
--- a/programs/capacity/src/figures/evaluation.rs
+++ b/programs/capacity/src/figures/evaluation.rs
@@ -1,4 +1,4 @@
-//! The values of slopes and figures.
+//! Evaluation of slopes and figures.
 
 use super::definitions::{Definitions, Figure, Overrides, UnknownSlope};
 use super::estimate::{Estimate, EstimateError, EstimateResult};
@@ -9,17 +9,17 @@
 use crate::fit::Interval;
 use crate::runs::Run;
 
-/// The definitions with the measurements from recorded runs.
+/// Definitions with the measurements of their slopes.
 #[derive(Debug)]
 pub struct Evaluation {
     /// The content of `figures.toml`.
     pub definitions: Definitions,
-    /// For each slope, in their order.
+    /// The measurement of each slope, in the order of `definitions.slopes`.
     pub measurements: Vec<Measurement>,
 }
 
 impl Evaluation {
-    /// Fits each slope to its runs. `name` is the file that defines the slopes.
+    /// Selects the runs of each slope and fits them. `name` is the file name of the definitions, for errors.
     pub fn new(name: &str, definitions: Definitions, runs: &[Run]) -> Result<Evaluation, Errors> {
         let mut errors = Errors::default();
         let mut measurements = Vec::new();
@@ -39,18 +39,18 @@
         })
     }
 
-    /// All slopes with their measurements.
+    /// Iterates over the slopes and their measurements.
     pub fn slopes(&self) -> impl Iterator<Item = (&Slope, &Measurement)> {
         self.definitions.slopes.iter().zip(&self.measurements)
     }
 
-    /// A slope with its measurement.
+    /// The slope with this id, and its measurement.
     pub fn slope(&self, id: &str) -> Result<(&Slope, &Measurement), UnknownSlope> {
         let index = self.definitions.slope_index(id)?;
         Ok((&self.definitions.slopes[index], &self.measurements[index]))
     }
 
-    /// A slope's value at a size.
+    /// The prediction of a slope at a size.
     pub fn estimate_slope(&self, id: &str, size: f64) -> EstimateResult {
         let (_, measurement) = self.slope(id)?;
         let fit = match &measurement.fit {
@@ -69,7 +69,7 @@
         };
         let interval = fit.line.predict_interval(size).ok_or_else(undefined)?;
         Ok(Estimate {
-            // A cost is never negative, whatever a straight line predicts.
+            // A fit may predict negative values outside the measured range, but a cost is never negative.
             interval: Interval {
                 mid: interval.mid.max(0.0),
                 low: interval.low.max(0.0),
@@ -79,7 +79,7 @@
         })
     }
 
-    /// The values of all figures, in their order.
+    /// The values of all figures, in the order of `definitions.figures`.
     pub fn estimate_figures(&self, overrides: &Overrides) -> Vec<EstimateResult> {
         let mut estimates: Vec<EstimateResult> = Vec::new();
         for figure in &self.definitions.figures {
@@ -88,7 +88,7 @@
         estimates
     }
 
-    /// A figure's value, from those of the figures before it.
+    /// The value of a figure. `earlier` holds the values of the figures defined before it.
     fn sum_terms(
         &self,
         figure: &Figure,
@@ -108,7 +108,7 @@
         Ok(sum)
     }
 
-    /// Each term of a figure, as written, with its value without the sign.
+    /// The text of each term of a figure, with its value regardless of a leading `-`.
     pub fn estimate_terms<'a>(&'a self, figure: &'a Figure) -> Vec<(&'a str, EstimateResult)> {
         let overrides = Overrides::new();
         let figures = self.estimate_figures(&overrides);
@@ -120,7 +120,7 @@
             .collect()
     }
 
-    /// The slopes that a figure depends on, directly and through other figures.
+    /// The ids of the slopes that a figure depends on, directly or through other figures.
     pub fn underlying_slopes<'a>(&'a self, figure: &'a Figure) -> Vec<&'a str> {
         let mut slopes: Vec<&str> = Vec::new();
         for reference in figure.terms.iter().flat_map(|term| term.references()) {
--- a/programs/capacity/src/figures/expression.rs
+++ b/programs/capacity/src/figures/expression.rs
@@ -1,4 +1,4 @@
-//! Terms of figures: parsing and evaluation.
+//! Parsing and evaluation of the terms of figures.
 
 use super::definitions::{Definitions, Overrides, UnknownNumber, UnknownSlope};
 use super::estimate::{Estimate, EstimateError, EstimateResult};
@@ -9,29 +9,29 @@
 /// An error in a term.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum TermError {
-    /// A slope that is not defined.
+    /// The term refers to an undefined slope.
     #[error(transparent)]
     UnknownSlope(#[from] UnknownSlope),
-    /// A slope's size that is not known.
+    /// The size of a slope is an undefined name.
     #[error(transparent)]
     UnknownNumber(#[from] UnknownNumber),
-    /// A factor of no kind.
+    /// A factor is neither a number, a slope, a figure nor a defined name.
     #[error(
-        "{text:?} is no factor; right is a number, a slope at a size as in bytes(15000), an earlier figure, or one of {}",
+        "{text:?} is not a factor; expected a number, a slope at a size as in bytes(15000), an earlier figure, or one of {}",
         .known.join(", ")
     )]
     UnknownFactor {
-        /// The factor as written.
+        /// The text of the factor.
         text: String,
-        /// The names of given numbers and of assumptions.
+        /// The names of all given numbers and assumptions.
         known: Vec<String>,
     },
 }
 
-/// A product, added to or subtracted from the rest of a figure.
+/// A product that is added to or subtracted from the value of a figure.
 #[derive(Debug)]
 pub(super) struct Term {
-    /// The term as written.
+    /// The text of the term.
     pub(super) text: String,
     /// Whether it is subtracted.
     pub(super) is_negative: bool,
@@ -47,16 +47,16 @@
 #[derive(Debug)]
 enum Factor {
     Literal(f64),
-    /// Of the given numbers or of the assumptions.
+    /// The name of a given number or of an assumption.
     Named(String),
-    /// A figure that was defined before, by its position.
+    /// The index of a figure defined earlier.
     Figure(usize),
-    /// A slope at a size.
+    /// The id of a slope, and the size at which it is evaluated.
     Slope(String, Number),
 }
 
 impl Term {
-    /// Parses a term; the names in it are of definitions so far.
+    /// Parses a term that may refer to the given definitions.
     pub(super) fn parse(text: &str, definitions: &Definitions) -> Result<Term, TermError> {
         let trimmed = text.trim();
         let unsigned = trimmed.strip_prefix('-');
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Its value without the sign. `figures` are the values of the figures before it.
+    /// The value regardless of a leading `-`. `figures` holds the values of the figures that it may refer to.
     pub(super) fn evaluate_unsigned(
         &self,
         evaluation: &Evaluation,
@@ -99,7 +99,7 @@
         Ok(product)
     }
 
-    /// The slopes and figures that it names.
+    /// The slopes and figures that the term refers to.
     pub(super) fn references(&self) -> impl Iterator<Item = Reference<'_>> {
         self.factors.iter().filter_map(|(_, factor)| match factor {
             Factor::Slope(id, _) => Some(Reference::Slope(id)),
--- a/programs/capacity/src/figures/file.rs
+++ b/programs/capacity/src/figures/file.rs
@@ -1,12 +1,15 @@
-//! The format of `figures.toml`.
+//! The schema of `figures.toml`.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use toml::Spanned;
 
-/// The whole file.
+/// The root table.
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct File")]
+#[serde(
+    deny_unknown_fields,
+    expecting = "tables given, assumptions, slopes and figures"
+)]
 pub(super) struct FiguresFile {
     #[serde(default)]
     pub(super) given: BTreeMap<String, f64>,
@@ -18,13 +21,13 @@
     pub(super) figures: Vec<FigureFile>,
 }
 
-/// A number that was not measured and that figures depend on.
+/// An input of figures that was not measured.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Assumption {
-    /// Its name in terms.
+    /// The name by which terms refer to it.
     pub id: Spanned<String>,
-    /// Its title on the page.
+    /// The description on the page.
     #[serde(rename = "what")]
     pub description: String,
     /// The number.
@@ -37,51 +40,51 @@
 }
 
 impl Assumption {
-    /// Its name in terms.
+    /// The id without its position in the file.
     pub fn id(&self) -> &str {
         self.id.get_ref()
     }
 }
 
-/// How one measured output depends on one input.
+/// A measured output as a function of an input.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slope {
-    /// Its name in terms.
+    /// The name by which terms refer to it.
     pub id: Spanned<String>,
-    /// Its title on the page.
+    /// The description on the page.
     #[serde(rename = "what")]
     pub description: String,
-    /// The tool whose runs count.
+    /// The tool whose runs are used.
     pub tool: String,
-    /// The input, by its field's name.
+    /// The field of the input, as a dotted path.
     #[serde(rename = "x")]
     pub input: String,
-    /// The output, by its field's dotted path.
+    /// The field of the output, as a dotted path.
     #[serde(rename = "y")]
     pub output: String,
-    /// Other fields that a run has to have; `"any"` lets one differ.
+    /// Required values of other fields; `"any"` accepts all values.
     #[serde(default)]
     pub filter: BTreeMap<String, toml::Value>,
     /// The unit of the output.
     pub unit: String,
-    /// The size that is planned for: a number or the name of a given one.
+    /// The size at which the output is predicted.
     #[serde(rename = "at")]
     pub target_size: Spanned<Number>,
-    /// The budget there: a number or the name of a given one.
+    /// The budget at the target size.
     pub budget: Option<Spanned<Number>>,
-    /// The hold-out size of the fit, if not the largest.
+    /// The hold-out size of the fit; the largest size by default.
     #[serde(rename = "held_out")]
     pub hold_out: Option<f64>,
-    /// Runs of larger sizes are ignored, so that they do not bend a line for small ones.
+    /// Runs of larger sizes are ignored.
     #[serde(rename = "most")]
     pub max_size: Option<f64>,
-    /// Axes of its plot, if it has one.
+    /// The axes of the plot; no plot is generated if absent.
     pub plot: Option<Axes>,
 }
 
 impl Slope {
-    /// Its name in terms.
+    /// The id without its position in the file.
     pub fn id(&self) -> &str {
         self.id.get_ref()
     }
@@ -93,15 +96,15 @@
 pub enum Axes {
     /// Both linear.
     Plain,
-    /// Size on a logarithmic axis.
+    /// The size logarithmic, the output linear.
     LogX,
     /// Both logarithmic.
     LogLog,
 }
 
-/// A number, or the name of a given one.
+/// A literal number, or the name of one.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(untagged, expecting = "right is a number, or a name from [given]")]
+#[serde(untagged, expecting = "expected a number, or a name from [given]")]
 pub enum Number {
     /// A literal.
     Plain(f64),
@@ -109,7 +112,7 @@
     Named(String),
 }
 
-/// A figure as it is written.
+/// A figure whose terms are not yet parsed.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FigureFile {
--- a/programs/capacity/src/figures/measurement.rs
+++ b/programs/capacity/src/figures/measurement.rs
@@ -1,11 +1,12 @@
-//! The runs of a slope, selected by its filter, and the fit through them.
+//! Selection of the runs of a slope, and their fit.
 
 use super::file::Slope;
 use crate::fit::{fit, Fit, FitError, Point};
 use crate::runs::Run;
 use thiserror::Error;
 
-/// The inputs of a run: runs of one slope differ in none but its own input, unless its filter says so.
+/// The fields of runs that are inputs. The runs of a slope must agree in all of them except its own input and those in
+/// its filter.
 const INPUTS: [&str; 28] = [
     "front_ends",
     "functions",
@@ -37,26 +38,28 @@
     "held_by_dead",
 ];
 
-/// A slope's runs and the fit through them.
+/// The runs of a slope and their fit.
 #[derive(Debug)]
 pub struct Measurement {
-    /// A point for each run.
+    /// A point for each run used.
     pub points: Vec<Point>,
     /// Runs ignored because they failed.
     pub failed_runs: usize,
     /// Runs ignored because they lack the input or the output.
     pub incomplete_runs: usize,
-    /// The command of the run at the largest size.
+    /// The command line of the run at the largest size.
     pub command: String,
-    /// The fit, or the reason that there is none.
+    /// The fit, or the reason that the points can't be fitted.
     pub fit: Result<Fit, FitError>,
 }
 
 /// The reason that runs can't be combined in one slope.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum MeasurementError {
-    /// They differ in an input that is neither that of the slope nor in its filter.
-    #[error("its runs differ in {input} ({first}, {second}); right is one value of it in filter, or \"any\"")]
+    /// They differ in an input that is neither the input of the slope nor in its filter.
+    #[error(
+        "its runs differ in {input} ({first}, {second}); set one value in its filter, or \"any\""
+    )]
     DifferentInputs {
         /// The input's field.
         input: &'static str,
@@ -68,7 +71,7 @@
 }
 
 impl Measurement {
-    /// Selects the runs of a slope and fits a form to them.
+    /// Selects the runs of a slope and fits their outputs.
     pub(super) fn new(slope: &Slope, runs: &[Run]) -> Result<Measurement, MeasurementError> {
         let selected: Vec<(&Run, Option<Point>)> = runs
             .iter()
@@ -95,7 +98,7 @@
 }
 
 impl Slope {
-    /// Whether a run is one of the slope's.
+    /// Whether a run matches the tool, the filter and the maximum size of the slope.
     fn selects(&self, run: &Run) -> bool {
         let is_small_enough = |max: f64| run.number(&self.input).is_none_or(|size| size <= max);
         let passes =
@@ -105,7 +108,7 @@
             && self.filter.iter().all(passes)
     }
 
-    /// The point that a run measured, if it has both fields.
+    /// The input and output of a run; `None` if either is absent.
     fn point(&self, run: &Run) -> Option<Point> {
         Some(Point {
             x: run.number(&self.input)?,
@@ -114,7 +117,7 @@
     }
 }
 
-/// Checks that runs have the same inputs, but for the slope's own and those of its filter.
+/// Checks that runs have equal inputs, except the slope's own input and those in its filter.
 fn check_inputs(slope: &Slope, runs: &[(&Run, Point)]) -> Result<(), MeasurementError> {
     for input in INPUTS {
         if input == slope.input || slope.filter.contains_key(input) {
@@ -138,11 +141,11 @@
     Ok(())
 }
 
-/// Whether a run's field has the value that a filter asks for.
+/// Whether the value of a run's field matches that of a filter. `"any"` matches every value.
 pub fn matches_filter(field: Option<&serde_json::Value>, wanted: &toml::Value) -> bool {
     match (field, wanted) {
         (_, toml::Value::String(any)) if any == "any" => true,
-        // An input that was added later was 0 before.
+        // Runs recorded before an input was introduced lack its field; its value was 0.
         (None, toml::Value::Integer(0)) => true,
         (Some(serde_json::Value::String(field)), toml::Value::String(wanted)) => field == wanted,
         (Some(serde_json::Value::Bool(field)), toml::Value::Boolean(wanted)) => field == wanted,
--- a/programs/capacity/src/figures/mod.rs
+++ b/programs/capacity/src/figures/mod.rs
@@ -1,12 +1,13 @@
-//! Slopes, assumptions and figures, as `figures.toml` defines them, and their values.
+//! The definitions in `figures.toml` and their evaluation.
 //!
-//! - [`Definitions`]: the file, read and checked.
-//! - [`Measurement`]: the runs of a slope and the fit through them.
+//! - [`Definitions`]: the parsed and validated file.
+//! - [`Measurement`]: the runs of a slope and their fit.
 //! - [`Evaluation`]: the values of slopes and figures, each an [`Estimate`] or an [`EstimateError`].
-//! - [`Verdict`]: an estimate beside its budget.
+//! - [`Verdict`]: whether an estimate is within its budget.
 //!
-//! A figure is a sum of terms, each a product of factors joined by `*` and `/`, the first perhaps after `-`. A factor is
-//! a number, a given size, an assumption, an earlier figure, or a slope at a size: `bytes(front_ends)`, `seat(15000)`.
+//! A figure is a sum of terms. A term is a product of factors joined by `*` and `/`, with an optional leading `-`. A
+//! factor is a literal, a given number, an assumption, an earlier figure, or a slope at a size, such as
+//! `bytes(front_ends)` or `bytes(15000)`.
 
 mod definitions;
 mod estimate;
--- a/programs/capacity/src/figures/verdict.rs
+++ b/programs/capacity/src/figures/verdict.rs
@@ -1,19 +1,19 @@
-//! An estimate beside its budget.
+//! Comparison of an estimate with its budget.
 
 use super::estimate::Estimate;
 use std::fmt;
 
-/// A figure over this share of its budget is tight.
+/// The fraction of the budget above which an estimate is tight.
 const TIGHT_SHARE: f64 = 2.0 / 3.0;
 
 /// Whether a value is within its budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
-    /// At most two thirds of the budget, with its whole interval under it.
+    /// At most two thirds of the budget, and the interval within the budget.
     Holds,
-    /// Over two thirds of the budget, or its interval crosses it, or a fit that it depends on missed its hold-out.
+    /// Above two thirds of the budget, or the interval exceeds the budget, or a fit missed its hold-out.
     Tight,
-    /// Over the budget.
+    /// Above the budget.
     Fails,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// The verdict on an estimate beside a budget.
+/// Compares an estimate with a budget.
 pub fn verdict(estimate: Estimate, budget: f64) -> Verdict {
     let interval = estimate.interval;
     if interval.mid > budget {
--- a/programs/capacity/src/files.rs
+++ b/programs/capacity/src/files.rs
@@ -1,4 +1,4 @@
-//! Reading and writing with errors that name the file.
+//! File access whose errors carry the path.
 
 use crate::error::{CapacityError, Errors};
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
     Ok(std::fs::write(path, text).map_err(CapacityError::io(path))?)
 }
 
-/// The paths of a folder's entries, in order; none if there is no folder.
+/// The paths of the entries of a folder, sorted; empty if the folder does not exist.
 pub(crate) fn sorted_entries(folder: &Path) -> Result<Vec<PathBuf>, Errors> {
     if !folder.is_dir() {
         return Ok(Vec::new());
@@ -22,7 +22,7 @@
     Ok(paths)
 }
 
-/// A path's last part, as messages name it.
+/// The last component of a path, for messages.
 pub(crate) fn file_name(path: &Path) -> String {
     path.file_name().map_or_else(
         || path.display().to_string(),
--- a/programs/capacity/src/format.rs
+++ b/programs/capacity/src/format.rs
@@ -1,16 +1,17 @@
-//! Numbers as the page and its plots show them.
+//! Formatting of numbers for the page and its plots.
 
 use crate::figures::EstimateResult;
 use crate::fit::{Fit, Form, Interval};
 
-/// Shares from here on are shown as multiples.
+/// Ratios from this value on are shown as multiples instead of percentages.
 const LARGE_SHARE: f64 = 10.0;
-/// Numbers with more decimal places are shown in powers of ten.
+/// Numbers that need more decimal places are shown in scientific notation.
 const MAX_DECIMALS: i32 = 9;
-/// From here on four digits count, the rest is rounded away.
+/// Numbers from this value on are rounded to four significant digits.
 const ROUNDED_FROM: f64 = 1e5;
 
-/// A number with commas: three significant digits below 100, whole from there, four significant digits from 100,000 on.
+/// A number with digits grouped by commas: three significant digits below 100, an integer from there, and four
+/// significant digits from 100,000 on.
 pub(crate) fn number(value: f64) -> String {
     if value == 0.0 {
         return "0".into();
@@ -36,7 +37,7 @@
     }
 }
 
-/// An integer's digits, perhaps after a sign, in groups of three.
+/// Groups the digits of an integer with an optional minus sign by threes.
 fn with_commas(text: &str) -> String {
     let (sign, digits) = match text.strip_prefix('-') {
         Some(digits) => ("-", digits),
@@ -52,7 +53,7 @@
     grouped
 }
 
-/// A share in percent, or as a multiple if it is large.
+/// A ratio in percent, or as a multiple if it is large.
 pub(crate) fn share(share: f64) -> String {
     if share < LARGE_SHARE {
         format!("{:.1}%", share * 100.0)
@@ -61,7 +62,7 @@
     }
 }
 
-/// A value with its interval, if that is not empty.
+/// A value, followed by its interval unless the value is exact.
 pub(crate) fn interval(value: Interval) -> String {
     let mid = number(value.mid);
     if value.low == value.high {
@@ -70,7 +71,7 @@
     format!("{mid} ({} to {})", number(value.low), number(value.high))
 }
 
-/// An estimate with its unit and a remark if a fit missed, or the reason that there is none.
+/// An estimate with its unit and a note if a fit missed its hold-out, or the error.
 pub(crate) fn estimate(estimate: &EstimateResult, unit: &str) -> String {
     match estimate {
         Ok(estimate) => {
@@ -86,7 +87,7 @@
     }
 }
 
-/// A fit's form with its coefficients.
+/// The fitted equation, such as `11 + 2 x`.
 pub(crate) fn formula(fit: &Fit) -> String {
     let line = &fit.line;
     if line.form == Form::Constant {
@@ -101,7 +102,7 @@
     )
 }
 
-/// A budget with its unit, or a dash.
+/// A budget with its unit, or `-` if absent.
 pub(crate) fn budget(value: Option<f64>, unit: &str) -> String {
     value.map_or_else(|| "-".into(), |budget| format!("{} {unit}", number(budget)))
 }
--- a/programs/capacity/src/generate.rs
+++ b/programs/capacity/src/generate.rs
@@ -1,4 +1,4 @@
-//! `page`: generates the page and its plots from the recorded runs, the definitions and the template.
+//! The command `page`: generates the page and its plots from the recorded runs, the definitions and the template.
 
 use crate::error::{CapacityError, Errors};
 use crate::figures::{Definitions, Evaluation};
@@ -12,9 +12,9 @@
 /// The result of `page`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PageSummary {
-    /// Plots beside the page.
+    /// Number of plots generated.
     pub plot_count: usize,
-    /// Runs that they are made from.
+    /// Number of recorded runs.
     pub run_count: usize,
 }
 
@@ -26,19 +26,19 @@
         } = self;
         write!(
             f,
-            "made CAPACITY.md and {plot_count} plots from {run_count} runs"
+            "generated CAPACITY.md and {plot_count} plots from {run_count} runs"
         )
     }
 }
 
 /// A generated file.
 pub(crate) struct GeneratedFile {
-    /// Its path under the folder of documentation.
+    /// Path relative to the documentation folder.
     pub(crate) path: PathBuf,
     pub(crate) text: String,
 }
 
-/// Generates the page and its plots in the folder of documentation, and removes plots that no slope has any more.
+/// Writes the page and its plots to the documentation folder, and deletes plots that no slope produces.
 pub fn generate(docs: &Path) -> Result<PageSummary, Errors> {
     let (store, _) = read_store(docs)?;
     let files = generate_files(docs, &store)?;
@@ -57,14 +57,14 @@
     })
 }
 
-/// The recorded runs, and the text of their file.
+/// Reads the recorded runs; also returns the text of their file.
 pub(crate) fn read_store(docs: &Path) -> Result<(RunStore, String), Errors> {
     let path = docs.join("capacity/slopes.json");
     let text = read_file(&path)?;
     Ok((RunStore::parse(&file_name(&path), &text)?, text))
 }
 
-/// The page, first, and its plots.
+/// Generates all files in memory: the page, then the plots.
 pub(crate) fn generate_files(docs: &Path, store: &RunStore) -> Result<Vec<GeneratedFile>, Errors> {
     let figures = docs.join("capacity/figures.toml");
     let template = docs.join("capacity/CAPACITY.in.md");
@@ -89,7 +89,7 @@
     Ok(files)
 }
 
-/// Plots in the folder of images that no slope has: paths under the folder of documentation.
+/// Paths, relative to the documentation folder, of plots in `img` that are not among the generated files.
 pub(crate) fn orphaned_plots(docs: &Path, files: &[GeneratedFile]) -> Result<Vec<PathBuf>, Errors> {
     let is_plot = |name: &str| name.starts_with("capacity-") && name.ends_with(".svg");
     Ok(sorted_entries(&docs.join("img"))?
--- a/programs/capacity/src/lib.rs
+++ b/programs/capacity/src/lib.rs
@@ -1,16 +1,16 @@
-//! The capacity page: records measured runs, fits slopes to them, compares figures with their budgets, generates the page
-//! with its plots, and checks that it is up to date.
+//! Capacity planning from measurements: records benchmark runs, fits how costs grow with size, compares the extrapolated
+//! costs with their budgets, and generates a Markdown page with plots. CI checks that the page matches the recorded runs.
 //!
-//! It is for planning a fleet from measurements, and for a check in CI that page, plots and runs agree. It measures
-//! nothing itself and starts no process: `tansy-scale` and `tansy-sim` print the runs. It reads and writes files under one
-//! folder of documentation only.
+//! The crate measures nothing: `tansy-scale` and `tansy-sim` print the runs, one JSON object a line. It reads the given
+//! run files, and reads and writes files under a documentation folder.
 //!
-//! - [`runs`]: runs as measuring commands print them, and the file of recorded runs.
-//! - [`fit`]: how a cost grows with size.
-//! - [`figures`]: the definitions in `figures.toml`, and their values.
-//! - [`page`], [`plot`]: the page and its plots.
+//! - [`runs`]: parsing of runs, and the file of recorded runs.
+//! - [`fit`]: the regression of a cost on size.
+//! - [`figures`]: the definitions in `figures.toml` and their evaluation. A *slope* is a measured output as a function of
+//!   one input; a *figure* is a value computed from slopes, assumptions and given numbers.
+//! - [`page`], [`plot`]: rendering of the page and its plots.
 //!
-//! Its program is `tansy-capacity`; `tansy-scale` has the same [`Command`]s among its own.
+//! The commands are available as `tansy-capacity` and as subcommands of `tansy-scale`, which includes [`Command`].
 //!
 //! ```
 //! use tansy_capacity::figures::{Definitions, Evaluation, Overrides};
--- a/programs/capacity/src/main.rs
+++ b/programs/capacity/src/main.rs
@@ -1,8 +1,8 @@
-//! The program `tansy-capacity`.
+//! The command-line program `tansy-capacity`.
 
 use clap::Parser;
 
-/// Keeps measured runs and makes the capacity page from them.
+/// Records benchmark runs and generates the capacity page from them.
 #[derive(Parser)]
 #[command(name = "tansy-capacity", version)]
 struct Arguments {
--- a/programs/capacity/src/page/budget.rs
+++ b/programs/capacity/src/page/budget.rs
@@ -1,4 +1,4 @@
-//! Slopes and figures beside their budgets.
+//! Comparison of slopes and figures with their budgets.
 
 use crate::figures::{
     verdict, Definitions, EstimateResult, Evaluation, Figure, Number, Overrides, Slope, Verdict,
@@ -7,14 +7,14 @@
 const NO_BUDGET: &str = "no budget";
 const NO_VALUE: &str = "not told";
 
-/// A figure's estimate beside its budget.
+/// The comparison of a figure's estimate with its budget.
 pub(super) struct BudgetComparison {
     pub(super) verdict: Verdict,
-    /// The estimate as a share of the budget.
+    /// The ratio of the estimate to the budget.
     pub(super) share: f64,
 }
 
-/// A figure beside its budget; none without a budget or an estimate.
+/// Compares a figure with its budget; `None` without a budget or an estimate.
 pub(super) fn compare_with_budget(
     definitions: &Definitions,
     figure: &Figure,
@@ -31,7 +31,7 @@
     })
 }
 
-/// The verdict on a figure as the page shows it; without a budget or an estimate the page says so.
+/// The verdict on a figure, or a note that it has no budget or no value.
 pub(super) fn figure_verdict(
     evaluation: &Evaluation,
     figure: &Figure,
@@ -40,7 +40,7 @@
     figure_verdict_with(evaluation, figure, estimate, &Overrides::new())
 }
 
-/// The verdict on a figure with some numbers replaced.
+/// Like [`figure_verdict`], with overrides.
 pub(super) fn figure_verdict_with(
     evaluation: &Evaluation,
     figure: &Figure,
@@ -56,7 +56,7 @@
     )
 }
 
-/// The verdict on a slope at its target size.
+/// The verdict on a slope at its target size, or a note that it has no budget or no value.
 pub(super) fn slope_verdict(evaluation: &Evaluation, slope: &Slope) -> String {
     if slope.budget.is_none() {
         return NO_BUDGET.into();
@@ -68,12 +68,12 @@
     }
 }
 
-/// The target size of a slope.
+/// The target size of a slope; NaN if it is not defined.
 pub(super) fn target_size(evaluation: &Evaluation, slope: &Slope) -> f64 {
     resolve(evaluation, slope.target_size.get_ref()).unwrap_or(f64::NAN)
 }
 
-/// The budget of a slope at its target size.
+/// The budget of a slope.
 pub(super) fn slope_budget(evaluation: &Evaluation, slope: &Slope) -> Option<f64> {
     resolve(evaluation, slope.budget.as_ref()?.get_ref())
 }
--- a/programs/capacity/src/page/figure_tables.rs
+++ b/programs/capacity/src/page/figure_tables.rs
@@ -1,4 +1,4 @@
-//! Tables of figures: a role's, by share of the budget, and as assumptions change.
+//! Tables of figures: by role, by share of the budget, and by sensitivity to assumptions.
 
 use super::budget::{compare_with_budget, figure_budget, figure_verdict, figure_verdict_with};
 use super::placeholder::PlaceholderError;
@@ -6,11 +6,11 @@
 use crate::figures::{Assumption, EstimateResult, Evaluation, Figure, Overrides};
 use crate::format;
 
-/// The given number that the fleet is grown by.
+/// The given number that is the size of the fleet.
 const FLEET_SIZE_NAME: &str = "front_ends";
-/// How many times the fleet is grown at most in search of the size at which a budget is used up.
+/// The search for the fleet size at which a budget is used up stops at this multiple of the given size.
 const MAX_GROWTH_FACTOR: f64 = 100.0;
-/// Halvings of the search.
+/// Number of bisection steps in the search.
 const BISECTION_STEPS: usize = 60;
 
 const ROLE_COLUMNS: [&str; 6] = [
@@ -29,7 +29,7 @@
     "front ends at which it is used up, all else as given",
 ];
 
-/// The figures of a role beside their budgets.
+/// The table of the figures of a role with their budgets.
 pub(super) fn role_table(evaluation: &Evaluation, role: &str) -> Result<String, PlaceholderError> {
     let figures = &evaluation.definitions.figures;
     let estimates = evaluation.estimate_figures(&Overrides::new());
@@ -71,7 +71,7 @@
     ]
 }
 
-/// Each assumption, and the figures that change at half and at double of it.
+/// The table of assumptions, each with the figures that change if it is halved or doubled.
 pub(super) fn assumption_table(evaluation: &Evaluation) -> String {
     let estimates = evaluation.estimate_figures(&Overrides::new());
     let rows: Vec<Vec<String>> = evaluation
@@ -102,7 +102,7 @@
     ]
 }
 
-/// The figures that change with some numbers replaced, each with its value and verdict then.
+/// The figures that the overrides change, each with its new value and verdict.
 fn changed_figures(
     evaluation: &Evaluation,
     overrides: &Overrides,
@@ -132,7 +132,8 @@
     }
 }
 
-/// Figures by their share of the budget, largest first, and the fleet at which each budget is used up.
+/// The table of figures in descending order of their share of the budget, with the fleet size at which the budget is
+/// used up.
 pub(super) fn budget_share_table(evaluation: &Evaluation) -> String {
     let definitions = &evaluation.definitions;
     let estimates = evaluation.estimate_figures(&Overrides::new());
@@ -159,7 +160,7 @@
     table(&SHARE_COLUMNS, &rows)
 }
 
-/// The fleet at which a figure reaches its budget, from a single front end to the largest growth of the given fleet.
+/// The fleet size at which a figure reaches its budget, between one front end and the maximum growth of the given fleet.
 fn fleet_size_at_budget(evaluation: &Evaluation, index: usize) -> String {
     let Some(given) = evaluation.definitions.given.get(FLEET_SIZE_NAME).copied() else {
         return "-".into();
@@ -180,7 +181,7 @@
     }
 }
 
-/// A figure's share of its budget with a fleet of another size.
+/// The share of its budget that a figure takes at a fleet size.
 fn share_of_budget(evaluation: &Evaluation, index: usize, front_ends: f64) -> Option<f64> {
     let overrides = Overrides::from([(FLEET_SIZE_NAME, front_ends)]);
     let definitions = &evaluation.definitions;
@@ -190,7 +191,7 @@
     Some(comparison.share)
 }
 
-/// By halving: the growth at which the share passes 1 between two growths.
+/// The largest growth factor between `low` and `high` with a share of at most 1, by bisection on a logarithmic scale.
 fn max_growth_within_budget(low: f64, high: f64, share: impl Fn(f64) -> Option<f64>) -> f64 {
     let (mut low, mut high) = (low, high);
     for _ in 0..BISECTION_STEPS {
--- a/programs/capacity/src/page/inline.rs
+++ b/programs/capacity/src/page/inline.rs
@@ -1,4 +1,4 @@
-//! Placeholders that become a few words within a sentence.
+//! Placeholders that expand to text within a sentence.
 
 use super::budget::target_size;
 use super::placeholder::PlaceholderError;
@@ -23,7 +23,7 @@
     )
 }
 
-/// A slope's form, coefficients, and value at the size asked for.
+/// A slope's form, coefficients, and value at the target size.
 pub(super) fn slope_summary(evaluation: &Evaluation, id: &str) -> Result<String, PlaceholderError> {
     let (slope, measurement) = evaluation.slope(id)?;
     let fit = match &measurement.fit {
@@ -47,7 +47,7 @@
     Ok(format::estimate(&estimate, &figure.unit))
 }
 
-/// A figure by its name, with its value.
+/// The figure with this id, and its value.
 pub(super) fn find_figure<'a>(
     evaluation: &'a Evaluation,
     id: &str,
@@ -64,20 +64,20 @@
         })
 }
 
-/// A figure's terms, each with its value, and their sum.
+/// The terms of a figure with their values, and their sum.
 pub(super) fn figure_sum(evaluation: &Evaluation, id: &str) -> Result<String, PlaceholderError> {
     let (figure, total) = find_figure(evaluation, id)?;
     let mut text = String::new();
     let terms = evaluation.estimate_terms(figure);
-    for (index, (written, estimate)) in terms.into_iter().enumerate() {
-        let negated = written.trim().strip_prefix('-');
+    for (index, (term_text, estimate)) in terms.into_iter().enumerate() {
+        let negated = term_text.trim().strip_prefix('-');
         let sign = match (index, negated) {
             (0, None) => "",
             (0, Some(_)) => "-",
             (_, Some(_)) => " - ",
             (_, None) => " + ",
         };
-        let term = negated.map_or(written, str::trim);
+        let term = negated.map_or(term_text, str::trim);
         let value = match estimate {
             Ok(estimate) => format::number(estimate.interval.mid),
             Err(error) => error.to_string(),
@@ -88,7 +88,7 @@
     Ok(format!("{text} = {total}"))
 }
 
-/// Mean and range of a field over the runs of a tool with these inputs.
+/// The mean and range of a field over the runs of a tool with the given inputs.
 pub(super) fn run_field_summary(
     store: &RunStore,
     tool: &str,
@@ -112,7 +112,7 @@
     Ok(mean_and_range(&values))
 }
 
-/// The name and value of an input, written as `NAME=VALUE`.
+/// Parses an input in the form `NAME=VALUE`.
 fn parse_input(input: &str) -> Result<(&str, toml::Value), PlaceholderError> {
     let (name, text) = input
         .split_once('=')
@@ -141,7 +141,7 @@
     }
 }
 
-/// A slope's plot, or that there is none yet.
+/// The Markdown image of a slope's plot, or a note if the slope was not measured.
 pub(super) fn plot_image(evaluation: &Evaluation, id: &str) -> Result<String, PlaceholderError> {
     let (slope, measurement) = evaluation.slope(id)?;
     if slope.plot.is_none() {
--- a/programs/capacity/src/page/mod.rs
+++ b/programs/capacity/src/page/mod.rs
@@ -1,19 +1,20 @@
-//! The page: a template's prose, with each placeholder `{{...}}` replaced.
+//! Rendering of the page from a Markdown template, in which placeholders `{{...}}` are expanded.
 //!
-//! | placeholder | becomes |
+//! | placeholder | expansion |
 //! |---|---|
-//! | `{{measured}}` | date of the last run, machine, number of runs |
-//! | `{{slope ID}}` | form, coefficients, and value at the target size |
+//! | `{{measured}}` | date of the last recorded run, machine, number of runs |
+//! | `{{slope ID}}` | a slope's form, coefficients, and value at the target size |
 //! | `{{at ID SIZE}}` | a slope's value at another size, with its interval |
 //! | `{{figure ID}}` | a figure's value with its interval |
 //! | `{{sum ID}}` | a figure's terms, each with its value |
-//! | `{{verdict ID}}` | holds, tight or fails: of a figure, or of a slope that has a budget |
+//! | `{{verdict ID}}` | the verdict on a figure or slope |
 //! | `{{run TOOL FIELD NAME=VALUE...}}` | mean and range of a field over the runs with these inputs |
 //! | `{{plot ID}}` | a slope's plot |
-//! | `{{table slopes}}`, `{{table commands}}` | all slopes: their fits; how each is measured again |
-//! | `{{table ROLE}}` | the figures of a role beside their budgets |
-//! | `{{table assumptions}}` | each assumption, and the figures that change at half and at double of it |
-//! | `{{table first}}` | figures by their share of the budget, and the fleet at which it is used up |
+//! | `{{table slopes}}` | the fits of all slopes |
+//! | `{{table commands}}` | the commands that repeat the measurements of all slopes |
+//! | `{{table ROLE}}` | the figures of a role with their budgets |
+//! | `{{table assumptions}}` | each assumption, with the figures that change if it is halved or doubled |
+//! | `{{table first}}` | figures by their share of the budget, and the fleet size at which the budget is used up |
 
 mod budget;
 mod figure_tables;
@@ -29,7 +30,7 @@
 use crate::runs::RunStore;
 use thiserror::Error;
 
-/// The first line of the page.
+/// The first line of the page, which warns against manual edits.
 const GENERATED_NOTICE: &str =
     "<!-- Made by `tansy-scale page` from docs/capacity; change the template there, not this. -->\n";
 
@@ -37,9 +38,9 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum TemplateError {
     /// A placeholder does not end on its line.
-    #[error("{{{{ without }}}}; right is both on one line")]
+    #[error("{{{{ without }}}}; expected both on one line")]
     Unclosed,
-    /// A placeholder can't be replaced.
+    /// A placeholder can't be expanded.
     #[error("{{{{{text}}}}}: {source}")]
     Placeholder {
         /// The text between the braces.
@@ -49,7 +50,7 @@
     },
 }
 
-/// The page from its template. `name` is the template's file.
+/// Renders the page from its template. `name` is the template's file name, for errors.
 pub fn render(
     name: &str,
     template: &str,
@@ -71,7 +72,7 @@
     errors.into_result(page)
 }
 
-/// Appends a line to the page with its placeholders replaced; returns the errors in them.
+/// Appends a line with its placeholders expanded to the page, and returns the errors in them.
 fn expand_line(
     line: &str,
     evaluation: &Evaluation,
--- a/programs/capacity/src/page/placeholder.rs
+++ b/programs/capacity/src/page/placeholder.rs
@@ -1,4 +1,4 @@
-//! Placeholders, and which text each becomes.
+//! Parsing and dispatch of placeholders.
 
 use super::{budget, figure_tables, inline, slope_tables};
 use crate::figures::{Evaluation, UnknownSlope};
@@ -9,48 +9,46 @@
 /// An error in a placeholder.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum PlaceholderError {
-    /// It is none of those that there are.
+    /// No such placeholder exists.
     #[error(
-        "no such placeholder; right is measured, slope ID, at ID SIZE, figure ID, sum ID, verdict ID, \
+        "no such placeholder; expected measured, slope ID, at ID SIZE, figure ID, sum ID, verdict ID, \
          run TOOL FIELD NAME=VALUE..., plot ID, table slopes, commands, assumptions, first or a role"
     )]
     Unknown,
-    /// It names a slope that is not defined.
+    /// The placeholder refers to an undefined slope.
     #[error(transparent)]
     UnknownSlope(#[from] UnknownSlope),
-    /// It names a figure that is not defined.
-    #[error("{id} is no figure; right is one of {}", .known.join(", "))]
+    /// The placeholder refers to an undefined figure.
+    #[error("{id} is not a figure; expected one of {}", .known.join(", "))]
     UnknownFigure {
-        /// The name.
+        /// The undefined name.
         id: String,
-        /// The figures that there are.
+        /// The ids of the defined figures.
         known: Vec<String>,
     },
-    /// It names a table that there is not.
+    /// The placeholder refers to an unknown table.
     #[error(
-        "{name} is no table; right is slopes, commands, assumptions, first, {}",
+        "{name} is not a table; expected slopes, commands, assumptions, first, {}",
         .roles.join(", ")
     )]
     UnknownTable {
-        /// The name.
+        /// The undefined name.
         name: String,
-        /// The roles that have a table.
+        /// The roles of the defined figures.
         roles: Vec<String>,
     },
-    /// A slope's size is no number.
-    #[error("{0} is no size; right is a number")]
+    /// The size of a slope is not a number.
+    #[error("{0} is not a size; expected a number")]
     InvalidSize(String),
-    /// An input of runs has no value.
-    #[error("{0} is no input; right is NAME=VALUE")]
+    /// An input of runs is not in the form `NAME=VALUE`.
+    #[error("{0} is not an input; expected NAME=VALUE")]
     InvalidInput(String),
-    /// It asks for the plot of a slope that has none.
-    #[error(
-        "{0} has no plot; right is plot = \"log-log\", \"log-x\" or \"plain\" in figures.toml"
-    )]
+    /// The slope defines no plot.
+    #[error("{0} has no plot; set plot = \"log-log\", \"log-x\" or \"plain\" in figures.toml")]
     NoPlot(String),
 }
 
-/// The text that a placeholder becomes.
+/// Expands the text between the braces of a placeholder.
 pub(super) fn expand(
     text: &str,
     evaluation: &Evaluation,
--- a/programs/capacity/src/page/slope_tables.rs
+++ b/programs/capacity/src/page/slope_tables.rs
@@ -1,4 +1,4 @@
-//! Tables of slopes: their fits, and how each is measured again.
+//! Tables of slopes: their fits, and the commands that repeat their measurements.
 
 use super::budget::{slope_budget, slope_verdict, target_size};
 use super::table::table;
@@ -28,7 +28,7 @@
     "left out, without the field",
 ];
 
-/// All slopes: their fits, values and verdicts.
+/// The table of all slopes with their fits, values and verdicts.
 pub(super) fn fit_table(evaluation: &Evaluation) -> String {
     let rows: Vec<Vec<String>> = evaluation
         .slopes()
@@ -54,7 +54,7 @@
     row
 }
 
-/// The cells from the form to the next best form.
+/// The cells of the columns from the form to the next best form.
 fn fit_cells(evaluation: &Evaluation, slope: &Slope, fit: &Fit) -> Vec<String> {
     let line = &fit.line;
     let hold_out = &fit.hold_out;
@@ -84,7 +84,7 @@
     ]
 }
 
-/// The cells from the form to the next best form, of a slope without a fit.
+/// The same cells as [`fit_cells`], for a slope without a fit.
 fn cells_without_fit(error: FitError, run_count: usize) -> Vec<String> {
     let none = || String::from("-");
     vec![
@@ -108,11 +108,11 @@
     format!("{}{missed}", format::share(hold_out.error()))
 }
 
-/// The value at the target size, and how far that is beyond the largest of the fit.
+/// The value at the target size, and by which factor that exceeds the largest fitted size.
 fn value_at_target(evaluation: &Evaluation, slope: &Slope, size: f64, largest: f64) -> String {
     let mut estimate = evaluation.estimate_slope(slope.id(), size);
     if let Ok(estimate) = &mut estimate {
-        // That the fit missed is in the column of errors.
+        // The error column already shows that the fit missed its hold-out.
         estimate.missed_hold_out = false;
     }
     let value = format::estimate(&estimate, &slope.unit);
@@ -135,7 +135,7 @@
     format!("{} ({form})", format::number(line.predict(size).max(0.0)))
 }
 
-/// All slopes: how each is measured again, and which of its runs count.
+/// The table of all slopes with the commands that measure them, and the numbers of used and ignored runs.
 pub(super) fn command_table(evaluation: &Evaluation) -> String {
     let rows: Vec<Vec<String>> = evaluation
         .slopes()
--- a/programs/capacity/src/page/table.rs
+++ b/programs/capacity/src/page/table.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-/// A table with these column titles.
+/// Formats a Markdown table.
 pub(super) fn table(titles: &[&str], rows: &[Vec<String>]) -> String {
     let separator = "---|".repeat(titles.len());
     let mut text = format!("| {} |\n|{separator}", titles.join(" | "));
--- a/programs/capacity/src/record.rs
+++ b/programs/capacity/src/record.rs
@@ -1,4 +1,4 @@
-//! `record`: checks runs and adds them to the file of recorded runs.
+//! The command `record`: validates runs and adds them to the file of recorded runs.
 
 use crate::command::RecordArgs;
 use crate::error::{CapacityError, Errors};
@@ -10,19 +10,19 @@
 /// The result of `record`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordSummary {
-    /// Runs that were not in the file before.
+    /// Number of runs that were not in the file before.
     pub added: usize,
-    /// Runs in the file now.
+    /// Number of runs in the file now.
     pub total: usize,
 }
 
 impl fmt::Display for RecordSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} runs added, {} kept", self.added, self.total)
+        write!(f, "{} runs added, {} recorded", self.added, self.total)
     }
 }
 
-/// Adds runs to the file of recorded runs. If a line of any file is invalid, nothing is added.
+/// Adds runs to the file of recorded runs. If any line of any file is invalid, the file is left unchanged.
 pub fn record(args: &RecordArgs) -> Result<RecordSummary, Errors> {
     let today = time::OffsetDateTime::now_utc().date().to_string();
     let mut store = open_store(args, &today)?;
@@ -37,7 +37,7 @@
     })
 }
 
-/// The recorded runs, or none. Runs of two machines are not mixed.
+/// Reads the recorded runs, or creates an empty store. Fails if they were measured on another machine.
 fn open_store(args: &RecordArgs, today: &str) -> Result<RunStore, Errors> {
     let machine = Machine::current().map_err(CapacityError::from)?;
     if args.overwrite || !args.store.exists() {
@@ -58,7 +58,7 @@
     Ok(store)
 }
 
-/// Adds the runs of all files; how many were new.
+/// Adds the runs of all files, and returns how many were new.
 fn add_files(store: &mut RunStore, files: &[PathBuf]) -> Result<usize, Errors> {
     let mut added = 0;
     let mut errors = Errors::default();
--- a/programs/capacity/src/runs/machine.rs
+++ b/programs/capacity/src/runs/machine.rs
@@ -4,29 +4,29 @@
 use std::io;
 use thiserror::Error;
 
-/// Where the kernel gives the machine's memory.
+/// The kernel's file with the size of the memory.
 const MEMORY_FILE: &str = "/proc/meminfo";
 
-/// Where runs were measured. No names, no paths.
+/// The machine that runs were measured on, without identifying names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
-    /// Cores that the system gives to a process.
+    /// Number of cores available to the process.
     pub cores: usize,
     /// Memory in GiB.
     pub memory_gb: u64,
 }
 
-/// The reason that the machine can't be described.
+/// An error in determining the properties of the machine.
 #[derive(Debug, Error)]
 pub enum MachineError {
     /// The number of cores is not available.
     #[error("cores: {0}")]
     Cores(io::Error),
-    /// The kernel's file can't be read.
+    /// `/proc/meminfo` can't be read.
     #[error("{MEMORY_FILE}: {0}")]
     Memory(io::Error),
-    /// The kernel's file does not give the memory.
+    /// `/proc/meminfo` has no valid `MemTotal` line.
     #[error("{MEMORY_FILE}: no line MemTotal: with a number of kB")]
     NoMemoryTotal,
 }
--- a/programs/capacity/src/runs/mod.rs
+++ b/programs/capacity/src/runs/mod.rs
@@ -1,4 +1,4 @@
-//! Runs as measuring commands print them, one JSON object a line, and the file of recorded runs.
+//! Runs as the measuring tools print them, one JSON object a line, and the file of recorded runs.
 
 mod machine;
 mod run;
--- a/programs/capacity/src/runs/run.rs
+++ b/programs/capacity/src/runs/run.rs
@@ -1,58 +1,58 @@
-//! One run: a line of JSON that a measuring command prints, and its validation.
+//! A run: a line of JSON that a measuring tool prints, and its validation.
 
 use crate::error::{CapacityError, Errors};
 use serde_json::{Map, Value};
 use thiserror::Error;
 
-/// The commands that measure, and the fields without which a run of each says nothing.
+/// The measuring tools, and the fields that a successful run of each must have.
 const TOOLS: [(&str, &[&str]); 3] = [
     ("run", &["front_ends", "seed"]),
     ("virtual", &["front_ends", "seed"]),
     ("state", &["what", "seed"]),
 ];
-/// The fields of each run, be it a failed one.
+/// The fields that every run must have, including failed ones.
 const COMMON_FIELDS: [&str; 2] = ["command", "ok"];
 
-/// A tool that is none of the measuring commands.
+/// A tool name that is not known.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("tool {0:?} is not known; right are \"run\", \"virtual\", \"state\"")]
+#[error("tool {0:?} is not known; expected \"run\", \"virtual\" or \"state\"")]
 pub struct UnknownTool(pub String);
 
 /// An error in a run.
 #[derive(Debug, Error)]
 pub enum RunError {
     /// The line is not JSON.
-    #[error("{0}; right is one JSON object a line, with finite numbers")]
+    #[error("{0}; expected one JSON object a line, with finite numbers")]
     Json(#[from] serde_json::Error),
-    /// The line is JSON of another kind.
-    #[error("no object; right is {{\"tool\": \"run\", ...}}")]
+    /// The line is valid JSON but not an object.
+    #[error("not a JSON object; expected {{\"tool\": \"run\", ...}}")]
     NotAnObject,
-    /// No measuring command prints such runs.
+    /// The tool is not known.
     #[error(transparent)]
     UnknownTool(#[from] UnknownTool),
-    /// A field that the tool's runs have is absent.
-    #[error("{field} is not there; a line of {tool:?} has command, ok, {}", .required.join(", "))]
+    /// A required field is absent or null.
+    #[error("field {field} is missing; a run of {tool:?} must have command, ok, {}", .required.join(", "))]
     MissingField {
         /// The field.
         field: &'static str,
         /// The tool.
         tool: String,
-        /// The fields that a run of the tool has beside those of all.
+        /// The required fields of the tool, besides those common to all.
         required: &'static [&'static str],
     },
-    /// A field has a value of another kind.
-    #[error("{field} is {value}; right is {expected}")]
+    /// The value of a field is invalid.
+    #[error("{field} is {value}; expected {expected}")]
     InvalidField {
         /// The field's dotted path.
         field: String,
-        /// Its value.
+        /// The value found.
         value: Value,
-        /// The expected kind of value.
+        /// A description of valid values.
         expected: &'static str,
     },
 }
 
-/// The fields that a run of a tool has.
+/// The fields that a successful run of a tool must have, besides the common ones.
 pub fn required_fields(tool: &str) -> Result<&'static [&'static str], UnknownTool> {
     TOOLS
         .iter()
@@ -61,17 +61,17 @@
         .ok_or_else(|| UnknownTool(tool.into()))
 }
 
-/// One run, as it was written.
+/// A run, with its original text.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The line.
+    /// The line as it was printed.
     pub text: String,
-    /// The line's JSON.
+    /// The parsed line.
     pub value: Value,
 }
 
 impl Run {
-    /// Parses and checks a line of JSON.
+    /// Parses and validates a line of JSON.
     pub fn parse(line: &str) -> Result<Run, RunError> {
         let value: Value = serde_json::from_str(line)?;
         let fields = value.as_object().ok_or(RunError::NotAnObject)?;
@@ -85,24 +85,24 @@
         })
     }
 
-    /// A number by its dotted path.
+    /// The number at a dotted path, such as `in_force_ms.p99`.
     pub fn number(&self, path: &str) -> Option<f64> {
         path.split('.')
             .try_fold(&self.value, |value, name| value.get(name))?
             .as_f64()
     }
 
-    /// The tool that made it.
+    /// The tool that printed the run.
     pub fn tool(&self) -> &str {
         self.string("tool")
     }
 
-    /// The command line that measures it again.
+    /// The command line that repeats the measurement.
     pub fn command(&self) -> &str {
         self.string("command")
     }
 
-    /// Whether it went as it should.
+    /// Whether the run succeeded.
     pub fn ok(&self) -> bool {
         self.value.get("ok") == Some(&Value::Bool(true))
     }
@@ -112,7 +112,7 @@
     }
 }
 
-/// Checks that the fields are there which a run of its tool has; a failed run needs those of all runs only.
+/// Checks that the required fields are present; a failed run needs only the common ones.
 fn check_required(fields: &Map<String, Value>) -> Result<(), RunError> {
     let tool = fields.get("tool").and_then(Value::as_str).unwrap_or("");
     let of_tool = required_fields(tool)?;
@@ -129,7 +129,7 @@
     }
 }
 
-/// Checks a field, and those in it by their dotted paths.
+/// Checks the value of a field and, if it is an object, of each nested field. `name` is the dotted path.
 fn check_field(name: &str, value: &Value) -> Result<(), RunError> {
     let expect = |valid: bool, expected: &'static str| {
         if valid {
@@ -142,20 +142,20 @@
         })
     };
     match (name, value) {
-        ("tool" | "what" | "tier", _) => expect(value.is_string(), "a word"),
+        ("tool" | "what" | "tier", _) => expect(value.is_string(), "a string"),
         ("ok", _) => expect(value.is_boolean(), "true or false"),
         ("notes", _) => expect(
             is_string_list(value),
-            "a list of texts, such as [\"1 change refused\"]",
+            "a list of strings, such as [\"1 change refused\"]",
         ),
         ("command", _) => expect(
             is_portable_command(value.as_str().unwrap_or("")),
-            "the command line that measures it again, without absolute paths",
+            "the command line that repeats the measurement, without absolute paths",
         ),
         (_, Value::Object(parts)) => parts
             .iter()
             .try_for_each(|(part, value)| check_field(&format!("{name}.{part}"), value)),
-        // What was not measured may be null; a quantile that is there is a number.
+        // Values that were not measured may be null, except quantiles, which are left out instead.
         (_, Value::Null) => expect(
             !name.rsplit('.').next().is_some_and(is_quantile),
             "a finite number",
@@ -163,7 +163,7 @@
         (_, Value::String(_) | Value::Bool(_)) => Ok(()),
         _ => expect(
             value.as_f64().is_some_and(f64::is_finite),
-            "a finite number, or the field left out",
+            "a finite number, or no such field",
         ),
     }
 }
@@ -174,19 +174,19 @@
         .is_some_and(|items| items.iter().all(Value::is_string))
 }
 
-/// Whether a command line is there and names no absolute paths.
+/// Whether a command line is not empty and contains no absolute paths.
 fn is_portable_command(text: &str) -> bool {
     let has_absolute_path = text.split([' ', '=']).any(|word| word.starts_with('/'));
     !text.is_empty() && !has_absolute_path
 }
 
-/// Whether a name is that of a quantile, such as `p99`.
+/// Whether a field is a quantile, such as `p99`.
 fn is_quantile(name: &str) -> bool {
     name.strip_prefix('p')
         .is_some_and(|digits| digits.parse::<u32>().is_ok())
 }
 
-/// Reads lines of runs; empty ones are passed over.
+/// Parses runs, one a line; skips empty lines. `name` is the file name for errors.
 pub fn parse_runs(name: &str, text: &str) -> Result<Vec<Run>, Errors> {
     let mut runs = Vec::new();
     let mut errors = Errors::default();
--- a/programs/capacity/src/runs/store.rs
+++ b/programs/capacity/src/runs/store.rs
@@ -8,16 +8,19 @@
 /// Recorded runs: the file `slopes.json`.
 #[derive(Clone, Debug)]
 pub struct RunStore {
-    /// The date on which the last of them was added.
+    /// The date of the last addition.
     pub date: String,
-    /// Where they were measured.
+    /// The machine on which the runs were measured.
     pub machine: Machine,
     /// The runs, in the order in which they were added.
     pub runs: Vec<Run>,
 }
 
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct KeptFile")]
+#[serde(
+    deny_unknown_fields,
+    expecting = "an object with day, machine and runs"
+)]
 struct RunStoreFile<'a> {
     #[serde(rename = "day")]
     date: String,
@@ -27,7 +30,7 @@
 }
 
 impl RunStore {
-    /// Reads the file's text; each run in it is checked as when it was added.
+    /// Parses the file's text and validates each run.
     pub fn parse(name: &str, text: &str) -> Result<RunStore, Errors> {
         let file: RunStoreFile =
             serde_json::from_str(text).map_err(|source| CapacityError::RunStore {
@@ -53,12 +56,12 @@
         })
     }
 
-    /// Whether a run is among them.
+    /// Whether the store contains an equal run.
     pub fn contains(&self, run: &Run) -> bool {
         self.runs.iter().any(|r| r.value == run.value)
     }
 
-    /// Adds a run unless it is among them. Whether it was added.
+    /// Adds a run unless the store contains it, and returns whether it was added.
     pub fn add(&mut self, run: Run) -> bool {
         let is_new = !self.contains(&run);
         if is_new {
@@ -67,7 +70,7 @@
         is_new
     }
 
-    /// The same store without the runs that are in it twice.
+    /// A copy of the store without duplicate runs.
     pub fn deduplicated(&self) -> RunStore {
         let mut store = RunStore {
             runs: Vec::new(),
@@ -79,7 +82,7 @@
         store
     }
 
-    /// The file's text, a run a line.
+    /// The file's text, with one line for each run in its original text.
     pub fn to_json(&self) -> String {
         let date = serde_json::Value::from(self.date.as_str());
         let machine = serde_json::to_string(&self.machine).unwrap_or_default();
--- a/programs/capacity/tests/documentation/check.rs
+++ b/programs/capacity/tests/documentation/check.rs
@@ -1,4 +1,4 @@
-//! `page --check` finds each file that is not up to date.
+//! `page --check` reports each file that is out of date.
 
 use crate::support::{docs, messages, replace_in, run_line};
 use std::fs;
@@ -6,7 +6,7 @@
 use tansy_capacity::check;
 
 #[test]
-fn files_changed_by_hand_are_found() {
+fn modified_files_are_reported() {
     type Change = fn(&Path);
     let changes: [(&str, &str, Change); 7] = [
         ("page", "CAPACITY.md:", |docs| {
--- a/programs/capacity/tests/documentation/definitions.rs
+++ b/programs/capacity/tests/documentation/definitions.rs
@@ -1,40 +1,40 @@
-//! Errors in `figures.toml` and in the template name the file, the line, the fault and the remedy.
+//! Errors in `figures.toml` and in the template report the file, the line, the cause and what was expected.
 
 use crate::support::{docs, messages, replace_in};
 use tansy_capacity::figures::{DefinitionError, Definitions};
 use tansy_capacity::{generate, CapacityError};
 
-/// File, text in it, its replacement, and the error that this gives.
+/// File, text in it, its replacement, and the resulting error message.
 const FAULTS: [(&str, &str, &str, &str); 10] = [
     (
         "figures.toml",
         "bytes(front_ends)",
         "bites(front_ends)",
-        "bites is no slope; right is one of bytes",
+        "bites is not a slope; expected one of bytes",
     ),
     (
         "figures.toml",
         "share * ",
         "chair * ",
-        "\"chair\" is no factor; right is a number",
+        "\"chair\" is not a factor; expected a number",
     ),
     (
         "figures.toml",
         "id = \"twice\"",
         "id = \"half\"",
-        "half is there twice",
+        "half is defined twice",
     ),
     (
         "figures.toml",
         "tool = \"virtual\"",
         "tool = \"vitual\"",
-        "tool \"vitual\" is not known; right are",
+        "tool \"vitual\" is not known; expected \"run\"",
     ),
     (
         "figures.toml",
         "at = \"front_ends\"",
         "at = []",
-        "right is a number, or a name from [given]",
+        "expected a number, or a name from [given]",
     ),
     (
         "figures.toml",
@@ -46,25 +46,25 @@
         "figures.toml",
         "at = \"front_ends\"",
         "at = \"back_ends\"",
-        "back_ends: right is a number, or one of budget",
+        "back_ends: expected a number, or one of budget",
     ),
     (
         "CAPACITY.in.md",
         "{{verdict half}}",
         "{{verdict whole}}",
-        "whole is no figure; right is one of half, twice",
+        "whole is not a figure; expected one of half, twice",
     ),
     (
         "CAPACITY.in.md",
         "{{measured}}",
         "{{weighed}}",
-        "no such placeholder; right is measured",
+        "no such placeholder; expected measured",
     ),
     (
         "CAPACITY.in.md",
         "{{measured}}",
         "{{measured",
-        "right is both on one line",
+        "expected both on one line",
     ),
 ];
 
@@ -95,9 +95,9 @@
     assert!(generate(&docs).is_ok(), "a filter that lets tiers differ");
 }
 
-/// A caller can match on an error; its line is that of the definition, from 1.
+/// Callers can match on the variant of an error; line numbers start at 1.
 #[test]
-fn an_error_carries_file_line_and_cause() {
+fn errors_contain_file_line_and_cause() {
     let text =
         "[given]\nsize = 3\n\n[[figures]]\nid = \"sum\"\nrole = \"fleet\"\nwhat = \"a sum\"\n\
         unit = \"of 1\"\nby = \"nothing\"\nterms = []\n";
--- a/programs/capacity/tests/documentation/main.rs
+++ b/programs/capacity/tests/documentation/main.rs
@@ -1,4 +1,4 @@
-//! The commands on folders of documentation: the one of this repository, and made-up ones.
+//! Runs the commands on this repository's documentation and on generated folders.
 
 mod check;
 mod definitions;
--- a/programs/capacity/tests/documentation/page.rs
+++ b/programs/capacity/tests/documentation/page.rs
@@ -1,4 +1,4 @@
-//! The page of this repository is up to date, and a generated page has the values and verdicts of its runs.
+//! The page of this repository is up to date, and a generated page contains the expected values and verdicts.
 
 use crate::support::{docs, messages, record_runs, replace_in, run_line};
 use std::fs;
@@ -10,29 +10,29 @@
 #[test]
 fn the_page_of_this_repository_is_up_to_date() {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs");
-    check(&docs).unwrap_or_else(|errors| panic!("`page` makes it anew; these differ:\n{errors}"));
+    check(&docs).unwrap_or_else(|errors| panic!("run `page` to update these files:\n{errors}"));
 }
 
 #[test]
-fn figures_come_from_runs_and_verdicts_from_figures() {
+fn generated_page_contains_values_and_verdicts() {
     let docs = docs("figures");
     let page = fs::read_to_string(docs.join("CAPACITY.md")).unwrap();
     for part in [
-        "linear: 11 + 2 x", // the form, with its coefficients
+        "linear: 11 + 2 x", // the form with its coefficients
         "15 runs, 15 of them ok",
         "times the fit's largest | 37,099 (x ln x)", // the value in the next best form
         "30,011 ",                                   // bytes at 15,000
         " - `10 / 2` (5) = 15,0",
         "holds **fails** **tight**", // 15,000 of 40,000; 30,000 of 20,000; 30,000 of 40,000
         "211 (210 to 212, 3 runs)",  // the field at one size
-        "`half` 7,498 ",             // at half of the assumption
+        "`half` 7,498 ",             // at half the assumed value
         "`tansy-lab size --front-ends 4000`",
         "](img/capacity-bytes.svg)",
     ] {
         assert!(page.contains(part), "{part:?} is not in:\n{page}");
     }
     assert!(check(&docs).is_ok());
-    // Without the largest size the next one is the hold-out.
+    // If the largest size is excluded, the next one is the hold-out.
     replace_in(
         docs.join("capacity/figures.toml"),
         "plot =",
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn verdicts_go_by_figure_interval_and_missed_fits() {
+fn verdicts_depend_on_value_interval_and_missed_hold_out() {
     let verdict_on = |mid: f64, high: f64, missed_hold_out: bool| {
         let interval = Interval {
             mid,
@@ -74,7 +74,7 @@
     assert_eq!(verdict_on(30.1, 60.0, true), Verdict::Fails);
 }
 
-/// Runs that differ in an input outside the filter are no slope; with too few sizes there is no fit.
+/// Runs that differ in an input outside the slope's filter are rejected; too few sizes give no fit.
 #[test]
 fn runs_with_different_inputs_and_too_few_sizes_are_reported() {
     let apart = docs("apart");
--- a/programs/capacity/tests/documentation/record.rs
+++ b/programs/capacity/tests/documentation/record.rs
@@ -1,13 +1,16 @@
-//! `record` adds each run once, as it was written, and nothing of files with an invalid line.
+//! `record` adds each run once with its original text, and adds nothing if any line is invalid.
 
 use crate::support::{docs, messages, record_runs, run_line};
 use std::fs;
 use tansy_capacity::runs::{parse_runs, RunStore};
 
 #[test]
-fn the_same_run_twice_is_one_and_lines_stay_as_written() {
+fn duplicate_runs_are_ignored_and_original_text_is_kept() {
     let docs = docs("twice");
-    assert_eq!(record_runs(&docs).as_deref(), Ok("0 runs added, 15 kept"));
+    assert_eq!(
+        record_runs(&docs).as_deref(),
+        Ok("0 runs added, 15 recorded")
+    );
     let text = fs::read_to_string(docs.join("capacity/slopes.json")).unwrap();
     assert!(text.contains(&run_line(300, 2)));
     assert_eq!(
@@ -25,21 +28,21 @@
             "\"vertical\"",
             "tool \"vertical\" is not known",
         ),
-        ("\"seed\":1,", "", "seed is not there"),
+        ("\"seed\":1,", "", "field seed is missing"),
         ("212}", "1e999}", "out of range"),
         (
             "212}",
             "null}",
-            "in_force_ms.p99 is null; right is a finite number",
+            "in_force_ms.p99 is null; expected a finite number",
         ),
-        ("\"ok\":true", "\"ok\":1", "ok is 1; right is true or false"),
-        ("[]", "[1]", "notes is [1]; right is a list of texts"),
+        ("\"ok\":true", "\"ok\":1", "ok is 1; expected true or false"),
+        ("[]", "[1]", "notes is [1]; expected a list of strings"),
         (
             "tansy-lab size",
             "/home/me/tansy-lab size",
             "without absolute paths",
         ),
-        ("{\"tool\"", "[\"tool\"", "right is one JSON object a line"),
+        ("{\"tool\"", "[\"tool\"", "expected one JSON object a line"),
     ] {
         let text = format!("\n{}\n", good.replacen(from, to, 1));
         let lines = messages(parse_runs("runs.jsonl", &text), from);
@@ -67,7 +70,7 @@
 }
 
 #[test]
-fn runs_of_another_machine_are_not_mixed_with_these() {
+fn runs_of_another_machine_are_rejected() {
     let docs = docs("machine");
     let path = docs.join("capacity/slopes.json");
     let mut store = RunStore::parse("slopes.json", &fs::read_to_string(&path).unwrap()).unwrap();
@@ -75,7 +78,7 @@
     fs::write(&path, store.to_json()).unwrap();
     let lines = record_runs(&docs).expect_err("another machine");
     assert!(
-        lines.len() == 1 && lines[0].ends_with("right is the same, or --anew"),
+        lines.len() == 1 && lines[0].ends_with("use the same machine, or --anew"),
         "{lines:?}"
     );
     assert_eq!(fs::read_to_string(&path).unwrap(), store.to_json());
--- a/programs/capacity/tests/documentation/support.rs
+++ b/programs/capacity/tests/documentation/support.rs
@@ -1,4 +1,4 @@
-//! A folder of documentation with made-up runs, shared by the tests. The runs are recorded nowhere else.
+//! Documentation folders with synthetic runs, shared by the tests.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -51,7 +51,7 @@
     {{sum half}} {{verdict half}} {{verdict twice}} {{verdict bytes}}\n\n{{table assumptions}}\n\n{{table first}}\n\n\
     {{at bytes 1000}} {{run virtual in_force_ms.p99 front_ends=100}} {{plot bytes}}\n\n{{table commands}}\n";
 
-/// A made-up run of a fleet of a size, as one line of JSON.
+/// A synthetic run at a size, as a line of JSON.
 pub fn run_line(size: u32, seed: u32) -> String {
     let output = 10 + 2 * size + (seed + size / 100) % 3;
     format!(
@@ -60,7 +60,7 @@
     )
 }
 
-/// A folder of documentation with made-up runs, its page generated.
+/// Creates a documentation folder with synthetic runs and a generated page.
 pub fn docs(name: &str) -> PathBuf {
     let docs = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = fs::remove_dir_all(&docs);
@@ -73,12 +73,15 @@
         .flat_map(|size| [1, 2, 3].map(|seed| run_line(*size, seed)))
         .collect();
     fs::write(docs.join("capacity/runs/virtual.jsonl"), lines.join("\n")).unwrap();
-    assert_eq!(record_runs(&docs).as_deref(), Ok("15 runs added, 15 kept"));
+    assert_eq!(
+        record_runs(&docs).as_deref(),
+        Ok("15 runs added, 15 recorded")
+    );
     generate(&docs).unwrap();
     docs
 }
 
-/// Records the runs of a folder of documentation: the summary or the errors as they are printed.
+/// Records the runs of a documentation folder, and returns the printed summary or error messages.
 pub fn record_runs(docs: &Path) -> Result<String, Vec<String>> {
     let summary = record(&RecordArgs {
         store: docs.join("capacity/slopes.json"),
@@ -90,12 +93,12 @@
         .map_err(|errors| errors.messages())
 }
 
-/// The errors of an operation that has to fail, as they are printed.
+/// The error messages of an operation that must fail.
 pub fn messages<T: std::fmt::Debug>(result: Result<T, Errors>, operation: &str) -> Vec<String> {
     result.expect_err(operation).messages()
 }
 
-/// Replaces a text that a file contains, once.
+/// Replaces the first occurrence of a text in a file; panics if there is none.
 pub fn replace_in(path: PathBuf, from: &str, to: &str) {
     let text = fs::read_to_string(&path).unwrap();
     assert!(
