--- a/programs/capacity/tests/fit.rs
+++ b/programs/capacity/tests/fit.rs
@@ -32,9 +32,7 @@
         .collect();
     (
         fits.len(),
-        fits.last()
-            .cloned()
-            .expect("at least one fit has the form"),
+        fits.last().cloned().expect("at least one fit has the form"),
     )
 }
 
