--- a/programs/capacity/src/page/placeholder.rs
+++ b/programs/capacity/src/page/placeholder.rs
@@ -1,6 +1,6 @@
-//! Placeholders, and which text each becomes.
+//! Parsing and dispatch of placeholders.
 
-use super::{figure_tables, inline, judgement, slope_tables};
+use super::{budget, figure_tables, inline, slope_tables};
 use crate::figures::{Evaluation, UnknownSlope};
 use crate::format;
 use crate::runs::RunStore;
@@ -9,69 +9,67 @@
 /// An error in a placeholder.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum PlaceholderError {
-    /// It is none of those that there are.
+    /// No such placeholder exists.
     #[error(
-        "no such placeholder; right is measured, slope ID, at ID SIZE, figure ID, sum ID, verdict ID, \
+        "no such placeholder; expected measured, slope ID, at ID SIZE, figure ID, sum ID, verdict ID, \
          run TOOL FIELD NAME=VALUE..., plot ID, table slopes, commands, assumptions, first or a role"
     )]
     Unknown,
-    /// It names a slope that is not defined.
+    /// The placeholder refers to an undefined slope.
     #[error(transparent)]
     UnknownSlope(#[from] UnknownSlope),
-    /// It names a figure that is not defined.
-    #[error("{id} is no figure; right is one of {}", .known.join(", "))]
+    /// The placeholder refers to an undefined figure.
+    #[error("{id} is not a figure; expected one of {}", .known.join(", "))]
     UnknownFigure {
-        /// The name.
+        /// The undefined name.
         id: String,
-        /// The figures that there are.
+        /// The ids of the defined figures.
         known: Vec<String>,
     },
-    /// It names a table that there is not.
+    /// The placeholder refers to an unknown table.
     #[error(
-        "{name} is no table; right is slopes, commands, assumptions, first, {}",
+        "{name} is not a table; expected slopes, commands, assumptions, first, {}",
         .roles.join(", ")
     )]
     UnknownTable {
-        /// The name.
+        /// The undefined name.
         name: String,
-        /// The roles that have a table.
+        /// The roles of the defined figures.
         roles: Vec<String>,
     },
-    /// A slope's size is no number.
-    #[error("{0} is no size; right is a number")]
+    /// The size of a slope is not a number.
+    #[error("{0} is not a size; expected a number")]
     InvalidSize(String),
-    /// An input of runs has no value.
-    #[error("{0} is no input; right is NAME=VALUE")]
+    /// An input of runs is not in the form `NAME=VALUE`.
+    #[error("{0} is not an input; expected NAME=VALUE")]
     InvalidInput(String),
-    /// It asks for the plot of a slope that has none.
-    #[error(
-        "{0} has no plot; right is plot = \"log-log\", \"log-x\" or \"plain\" in figures.toml"
-    )]
+    /// The slope defines no plot.
+    #[error("{0} has no plot; set plot = \"log-log\", \"log-x\" or \"plain\" in figures.toml")]
     NoPlot(String),
 }
 
-/// The text that a placeholder becomes.
-pub(super) fn fill(
+/// Expands the text between the braces of a placeholder.
+pub(super) fn expand(
     text: &str,
     evaluation: &Evaluation,
     store: &RunStore,
 ) -> Result<String, PlaceholderError> {
     let words: Vec<&str> = text.split_whitespace().collect();
     match &words[..] {
-        ["measured"] => Ok(inline::measured(store)),
-        ["slope", id] => inline::slope(evaluation, id),
+        ["measured"] => Ok(inline::measurement_summary(store)),
+        ["slope", id] => inline::slope_summary(evaluation, id),
         ["at", id, size] => slope_at(evaluation, id, size),
-        ["figure", id] => inline::figure(evaluation, id),
-        ["sum", id] => inline::sum(evaluation, id),
+        ["figure", id] => inline::figure_value(evaluation, id),
+        ["sum", id] => inline::figure_sum(evaluation, id),
         ["verdict", id] => verdict(evaluation, id),
-        ["run", tool, field, inputs @ ..] => inline::run_field(store, tool, field, inputs),
-        ["plot", id] => inline::plot(evaluation, id),
-        ["table", "slopes"] => Ok(slope_tables::fits(evaluation)),
-        ["table", "commands"] => Ok(slope_tables::commands(evaluation)),
-        ["table", "assumptions"] => Ok(figure_tables::assumptions(evaluation)),
-        ["table", "first"] => Ok(figure_tables::budget_shares(evaluation)),
+        ["run", tool, field, inputs @ ..] => inline::run_field_summary(store, tool, field, inputs),
+        ["plot", id] => inline::plot_image(evaluation, id),
+        ["table", "slopes"] => Ok(slope_tables::fit_table(evaluation)),
+        ["table", "commands"] => Ok(slope_tables::command_table(evaluation)),
+        ["table", "assumptions"] => Ok(figure_tables::assumption_table(evaluation)),
+        ["table", "first"] => Ok(figure_tables::budget_share_table(evaluation)),
         ["table", role @ ..] if !role.is_empty() => {
-            figure_tables::role(evaluation, &role.join(" "))
+            figure_tables::role_table(evaluation, &role.join(" "))
         }
         _ => Err(PlaceholderError::Unknown),
     }
@@ -89,8 +87,8 @@
 
 fn verdict(evaluation: &Evaluation, id: &str) -> Result<String, PlaceholderError> {
     if let Ok((slope, _)) = evaluation.slope(id) {
-        return Ok(judgement::slope_verdict(evaluation, slope));
+        return Ok(budget::slope_verdict(evaluation, slope));
     }
     let (figure, estimate) = inline::find_figure(evaluation, id)?;
-    Ok(judgement::figure_verdict(evaluation, figure, &estimate))
+    Ok(budget::figure_verdict(evaluation, figure, &estimate))
 }
--- a/programs/capacity/src/page/slope_tables.rs
+++ b/programs/capacity/src/page/slope_tables.rs
@@ -1,6 +1,6 @@
-//! Tables of slopes: their fits, and how each is measured again.
+//! Tables of slopes: their fits, and the commands that repeat their measurements.
 
-use super::judgement::{slope_budget, slope_verdict, target_size};
+use super::budget::{slope_budget, slope_verdict, target_size};
 use super::table::table;
 use crate::figures::{Evaluation, Measurement, Slope};
 use crate::fit::{Fit, FitError, FittedLine, Form, HoldOut};
@@ -28,8 +28,8 @@
     "left out, without the field",
 ];
 
-/// All slopes: their fits, values and verdicts.
-pub(super) fn fits(evaluation: &Evaluation) -> String {
+/// The table of all slopes with their fits, values and verdicts.
+pub(super) fn fit_table(evaluation: &Evaluation) -> String {
     let rows: Vec<Vec<String>> = evaluation
         .slopes()
         .map(|(slope, measurement)| fit_row(evaluation, slope, measurement))
@@ -38,12 +38,12 @@
 }
 
 fn fit_row(evaluation: &Evaluation, slope: &Slope, measurement: &Measurement) -> Vec<String> {
-    let largest = slope.max_size.map_or_else(String::new, |size| {
+    let size_limit = slope.max_size.map_or_else(String::new, |size| {
         format!(" up to {}", format::number(size))
     });
     let mut row = vec![
         format!("`{}`: {}", slope.id(), slope.description),
-        format!("`{}`{largest}", slope.input),
+        format!("`{}`{size_limit}", slope.input),
     ];
     row.extend(match &measurement.fit {
         Ok(fit) => fit_cells(evaluation, slope, fit),
@@ -54,12 +54,12 @@
     row
 }
 
-/// The cells from the form to the next best form.
+/// The cells of the columns from the form to the next best form.
 fn fit_cells(evaluation: &Evaluation, slope: &Slope, fit: &Fit) -> Vec<String> {
     let line = &fit.line;
     let hold_out = &fit.hold_out;
     let size = target_size(evaluation, slope);
-    let (least, most) = fit.size_range;
+    let (smallest, largest) = fit.size_range;
     let residual = format::number(line.rms);
     let relative = format::share(fit.relative_rms);
     let predicted = format::interval(hold_out.predicted);
@@ -70,21 +70,21 @@
         format!(
             "{}, {} to {} ({})",
             fit.size_count - 1,
-            format::number(least),
-            format::number(most),
+            format::number(smallest),
+            format::number(largest),
             fit.run_count
         ),
         format::number(hold_out.size),
         format!("{predicted}, {measured}"),
         hold_out_error(hold_out),
-        value_at_target(evaluation, slope, size, most),
+        value_at_target(evaluation, slope, size, largest),
         fit.runner_up
             .as_ref()
             .map_or_else(|| "-".into(), |line| value_in_form(line, size)),
     ]
 }
 
-/// The cells from the form to the next best form, of a slope without a fit.
+/// The same cells as [`fit_cells`], for a slope without a fit.
 fn cells_without_fit(error: FitError, run_count: usize) -> Vec<String> {
     let none = || String::from("-");
     vec![
@@ -108,12 +108,12 @@
     format!("{}{missed}", format::share(hold_out.error()))
 }
 
-/// The value at the target size, and how far that is beyond the largest of the fit.
+/// The value at the target size, and by which factor that exceeds the largest fitted size.
 fn value_at_target(evaluation: &Evaluation, slope: &Slope, size: f64, largest: f64) -> String {
     let mut estimate = evaluation.estimate_slope(slope.id(), size);
     if let Ok(estimate) = &mut estimate {
-        // That the fit missed is in the column of errors.
-        estimate.missed = false;
+        // The error column already shows that the fit missed its hold-out.
+        estimate.missed_hold_out = false;
     }
     let value = format::estimate(&estimate, &slope.unit);
     let beyond = if size > largest {
@@ -129,14 +129,14 @@
 
 fn value_in_form(line: &FittedLine, size: f64) -> String {
     let form = match line.form {
-        Form::Flat => "flat",
+        Form::Constant => "flat",
         form => form.term(),
     };
     format!("{} ({form})", format::number(line.predict(size).max(0.0)))
 }
 
-/// All slopes: how each is measured again, and which of its runs count.
-pub(super) fn commands(evaluation: &Evaluation) -> String {
+/// The table of all slopes with the commands that measure them, and the numbers of used and ignored runs.
+pub(super) fn command_table(evaluation: &Evaluation) -> String {
     let rows: Vec<Vec<String>> = evaluation
         .slopes()
         .map(|(slope, measurement)| command_row(slope, measurement))
--- a/programs/capacity/src/record.rs
+++ b/programs/capacity/src/record.rs
@@ -1,28 +1,28 @@
-//! `record`: checks runs and adds them to the file of recorded runs.
+//! The command `record`: validates runs and adds them to the file of recorded runs.
 
 use crate::command::RecordArgs;
 use crate::error::{CapacityError, Errors};
-use crate::files::{read, write};
-use crate::runs::{read_lines, Machine, RunStore};
+use crate::files::{read_file, write_file};
+use crate::runs::{parse_runs, Machine, RunStore};
 use std::fmt;
 use std::path::PathBuf;
 
 /// The result of `record`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordSummary {
-    /// Runs that were not in the file before.
+    /// Number of runs that were not in the file before.
     pub added: usize,
-    /// Runs in the file now.
+    /// Number of runs in the file now.
     pub total: usize,
 }
 
 impl fmt::Display for RecordSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} runs added, {} kept", self.added, self.total)
+        write!(f, "{} runs added, {} recorded", self.added, self.total)
     }
 }
 
-/// Adds runs to the file of recorded runs. If a line of any file is invalid, nothing is added.
+/// Adds runs to the file of recorded runs. If any line of any file is invalid, the file is left unchanged.
 pub fn record(args: &RecordArgs) -> Result<RecordSummary, Errors> {
     let today = time::OffsetDateTime::now_utc().date().to_string();
     let mut store = open_store(args, &today)?;
@@ -30,27 +30,27 @@
     if added > 0 {
         store.date = today;
     }
-    write(&args.into, &store.to_json())?;
+    write_file(&args.store, &store.to_json())?;
     Ok(RecordSummary {
         added,
         total: store.runs.len(),
     })
 }
 
-/// The recorded runs, or none. Runs of two machines are not mixed.
+/// Reads the recorded runs, or creates an empty store. Fails if they were measured on another machine.
 fn open_store(args: &RecordArgs, today: &str) -> Result<RunStore, Errors> {
     let machine = Machine::current().map_err(CapacityError::from)?;
-    if args.anew || !args.into.exists() {
+    if args.overwrite || !args.store.exists() {
         return Ok(RunStore {
             date: today.into(),
             machine,
             runs: Vec::new(),
         });
     }
-    let store = RunStore::read(&args.into.display().to_string(), &read(&args.into)?)?;
+    let store = RunStore::parse(&args.store.display().to_string(), &read_file(&args.store)?)?;
     if store.machine != machine {
-        return Err(Errors::from(CapacityError::OtherMachine {
-            path: args.into.clone(),
+        return Err(Errors::from(CapacityError::MachineMismatch {
+            path: args.store.clone(),
             recorded: store.machine,
             current: machine,
         }));
@@ -58,18 +58,18 @@
     Ok(store)
 }
 
-/// Adds the runs of all files; how many were new.
+/// Adds the runs of all files, and returns how many were new.
 fn add_files(store: &mut RunStore, files: &[PathBuf]) -> Result<usize, Errors> {
     let mut added = 0;
     let mut errors = Errors::default();
     for file in files {
-        match read(file).and_then(|text| read_lines(&file.display().to_string(), &text)) {
+        match read_file(file).and_then(|text| parse_runs(&file.display().to_string(), &text)) {
             Ok(runs) => {
                 for run in runs {
                     added += usize::from(store.add(run));
                 }
             }
-            Err(more) => errors.append(more),
+            Err(file_errors) => errors.append(file_errors),
         }
     }
     errors.into_result(added)
