--- a/programs/gateway/src/embedded.rs
+++ b/programs/gateway/src/embedded.rs
@@ -6,7 +6,7 @@
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::Spawner;
 use tansy_settings::ConfiguredWorker;
-use tansy_standin_worker::{Function, Profile, Standin, WhenAbsent};
+use tansy_standin_worker::{Function, MissPolicy, Profile, Standin};
 
 /// How many of them are started.
 const WORKERS: usize = 4;
@@ -50,21 +50,21 @@
         name: spec.name.clone(),
         memory_mb: spec.memory_mb,
         lanes: spec.lanes,
-        load: spec.load_time.unwrap_or(100_000),
-        work: 2_000,
+        load_time: spec.load_time.unwrap_or(100_000),
+        default_work: 2_000,
     };
     Profile {
         name,
         functions: functions.iter().map(function).collect(),
         memory_mb: 4_000.0,
-        idle_life: 10_000_000,
-        loads: 2,
-        queue: 1000,
-        when_absent: WhenAbsent::Load,
+        idle_timeout: 10_000_000,
+        max_concurrent_loads: 2,
+        max_waiting_calls: 1000,
+        miss_policy: MissPolicy::Load,
         cores: 4.0,
-        cold_from: 1.0,
-        warm_up: 1,
-        fall_multiple: f64::MAX,
-        fall_after: 1_000_000,
+        slow_start_from: 1.0,
+        slow_start_window: 1,
+        overload_multiple: f64::MAX,
+        overload_window: 1_000_000,
     }
 }
--- a/programs/worker/src/lib.rs
+++ b/programs/worker/src/lib.rs
@@ -16,7 +16,7 @@
 use tansy_net_sockets::interrupt::IgnoreInterrupts;
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::Spawner;
-use tansy_standin_worker::{Function, Profile, Standin, WhenAbsent};
+use tansy_standin_worker::{Function, MissPolicy, Profile, Standin};
 use tracing_subscriber::EnvFilter;
 
 /// A stand-in worker: the Open Inference Protocol with functions that are loaded on demand.
@@ -150,25 +150,25 @@
         name: spec.name.clone(),
         memory_mb: spec.memory_mb,
         lanes: spec.lanes,
-        load: spec.load_time.unwrap_or(100_000),
-        work: (arguments.work_ms * 1000.0) as i64,
+        load_time: spec.load_time.unwrap_or(100_000),
+        default_work: (arguments.work_ms * 1000.0) as i64,
     };
     Ok(Profile {
         name: arguments.name.clone(),
         functions: front.functions.iter().map(function).collect(),
         memory_mb: arguments.memory_mb,
-        idle_life: front.settings.idle_timeout,
-        loads: arguments.loads.max(1),
-        queue: arguments.queue,
-        when_absent: match front.settings.miss_policy {
-            tansy_settings::MissPolicy::Load => WhenAbsent::Load,
-            tansy_settings::MissPolicy::Miss => WhenAbsent::Miss,
+        idle_timeout: front.settings.idle_timeout,
+        max_concurrent_loads: arguments.loads.max(1),
+        max_waiting_calls: arguments.queue,
+        miss_policy: match front.settings.miss_policy {
+            tansy_settings::MissPolicy::Load => MissPolicy::Load,
+            tansy_settings::MissPolicy::Miss => MissPolicy::Miss,
         },
         cores: arguments.cores,
-        cold_from: front.settings.slow_start_from,
-        warm_up: front.settings.slow_start_window,
-        fall_multiple: front.settings.overload_multiple,
-        fall_after: front.settings.overload_window,
+        slow_start_from: front.settings.slow_start_from,
+        slow_start_window: front.settings.slow_start_window,
+        overload_multiple: front.settings.overload_multiple,
+        overload_window: front.settings.overload_window,
     })
 }
 
@@ -201,10 +201,10 @@
         .handle()
         .insert_source(signals, move |_, _, ()| on_signal.set(true))
         .map_err(|error| RunError::Signals(error.to_string()))?;
-    while !stop.get() && !standin.fallen() {
+    while !stop.get() && !standin.failed_under_overload() {
         event_loop.dispatch(Some(Duration::from_millis(500)), &mut ())?;
     }
-    Ok(match standin.fallen() {
+    Ok(match standin.failed_under_overload() {
         true => Ended::Fallen,
         false => Ended::BySignal,
     })
--- a/standins/worker/src/lib.rs
+++ b/standins/worker/src/lib.rs
@@ -18,5 +18,5 @@
 pub mod state;
 
 pub use fault::{FaultError, Faults};
-pub use profile::{Function, Profile, WhenAbsent};
+pub use profile::{Function, MissPolicy, Profile};
 pub use standin::Standin;
--- a/standins/worker/src/profile.rs
+++ b/standins/worker/src/profile.rs
@@ -10,14 +10,14 @@
     /// Calls that one instance runs at a time.
     pub lanes: u32,
     /// Time of a load, microseconds.
-    pub load: i64,
+    pub load_time: i64,
     /// Work of a call that names none, microseconds.
-    pub work: i64,
+    pub default_work: i64,
 }
 
 /// What a call of a function that is not loaded does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WhenAbsent {
+pub enum MissPolicy {
     /// Loads it and waits.
     Load,
     /// Is answered `not-loaded`.
@@ -34,21 +34,21 @@
     /// Its memory, MB.
     pub memory_mb: f64,
     /// An idle instance is unloaded after so long, microseconds.
-    pub idle_life: i64,
+    pub idle_timeout: i64,
     /// Loads that run at a time.
-    pub loads: usize,
+    pub max_concurrent_loads: usize,
     /// Calls that may wait.
-    pub queue: usize,
+    pub max_waiting_calls: usize,
     /// What a call of an absent function does.
-    pub when_absent: WhenAbsent,
+    pub miss_policy: MissPolicy,
     /// Work that it does a second when warm, in seconds of work: its cores.
     pub cores: f64,
     /// Share of its capacity at a fresh start; 1: it starts warm.
-    pub cold_from: f64,
+    pub slow_start_from: f64,
     /// It has all of its capacity after this time, microseconds.
-    pub warm_up: i64,
-    /// Cold, it fails when sent more than this multiple of its present capacity over [`Profile::fall_after`].
-    pub fall_multiple: f64,
+    pub slow_start_window: i64,
+    /// Cold, it fails when sent more than this multiple of its present capacity over [`Profile::overload_window`].
+    pub overload_multiple: f64,
     /// The time over which a cold worker's load is summed, microseconds.
-    pub fall_after: i64,
+    pub overload_window: i64,
 }
--- a/standins/worker/src/standin.rs
+++ b/standins/worker/src/standin.rs
@@ -118,8 +118,8 @@
     }
 
     /// Whether it failed under overload: while cold it was sent more than it can serve.
-    pub fn fallen(&self) -> bool {
-        self.state.borrow().fallen()
+    pub fn failed_under_overload(&self) -> bool {
+        self.state.borrow().failed_under_overload()
     }
 
     /// Serves a control port: `GET /fault/WORD`, `/cut`, `/shed`, `/restart`, `/state`.
@@ -152,7 +152,7 @@
     fn describe(&self) -> String {
         let (waiting, running, loads) = self.state.borrow().load_figures();
         let ran = self.calls_run.get();
-        let fallen = self.fallen();
+        let fallen = self.failed_under_overload();
         format!("waiting={waiting} running={running} loads={loads} ran={ran} fallen={fallen}\n")
     }
 
--- a/standins/worker/src/state/loading.rs
+++ b/standins/worker/src/state/loading.rs
@@ -109,7 +109,7 @@
     }
 
     fn begin_loads(&mut self, now: i64) {
-        while self.loading.len() < self.profile.loads {
+        while self.loading.len() < self.profile.max_concurrent_loads {
             let Some(name) = self.load_queue.pop_front() else {
                 return;
             };
@@ -118,7 +118,7 @@
             };
             pool.queued_loads -= 1;
             pool.loading += 1;
-            let end = now + self.profile.functions[pool.function].load;
+            let end = now + self.profile.functions[pool.function].load_time;
             self.loading.push((end, name));
         }
     }
@@ -130,7 +130,7 @@
             .pools
             .values()
             .filter(|pool| pool.loaded > 0 && pool.running == 0)
-            .map(|pool| pool.idle_since + self.profile.idle_life);
+            .map(|pool| pool.idle_since + self.profile.idle_timeout);
         loads.chain(idle).min()
     }
 
@@ -144,7 +144,7 @@
         }
         for pool in self.pools.values_mut() {
             let idle = pool.loaded > 0 && pool.running == 0;
-            if idle && pool.idle_since + self.profile.idle_life <= now {
+            if idle && pool.idle_since + self.profile.idle_timeout <= now {
                 pool.loaded = 0;
             }
         }
--- a/standins/worker/src/state/mod.rs
+++ b/standins/worker/src/state/mod.rs
@@ -4,7 +4,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::profile::{Function, Profile, WhenAbsent};
+use crate::profile::{Function, MissPolicy, Profile};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Names a call at this worker.
@@ -79,7 +79,11 @@
             (function.name.clone(), pool)
         };
         let pools = profile.functions.iter().enumerate().map(pool).collect();
-        let started_at = if warm { now - profile.warm_up } else { now };
+        let started_at = if warm {
+            now - profile.slow_start_window
+        } else {
+            now
+        };
         WorkerState {
             profile,
             started_at,
@@ -99,16 +103,16 @@
     }
 
     /// Whether it failed under overload: while cold it was sent more than it can serve.
-    pub fn fallen(&self) -> bool {
+    pub fn failed_under_overload(&self) -> bool {
         self.fallen
     }
 
     /// Its capacity now, as a share of all.
     pub fn capacity_share(&self, now: i64) -> f64 {
         let age = (now - self.started_at).max(0) as f64;
-        let warm_up = self.profile.warm_up.max(1) as f64;
-        let from = self.profile.cold_from;
-        (from + (1.0 - from) * age / warm_up).min(1.0)
+        let slow_start_window = self.profile.slow_start_window.max(1) as f64;
+        let from = self.profile.slow_start_from;
+        (from + (1.0 - from) * age / slow_start_window).min(1.0)
     }
 
     /// How long work takes now: a cold worker is slower.
@@ -120,7 +124,7 @@
     pub fn usual_work(&self, function: &str) -> i64 {
         self.pools
             .get(function)
-            .map_or(0, |pool| self.profile.functions[pool.function].work)
+            .map_or(0, |pool| self.profile.functions[pool.function].default_work)
     }
 
     /// A call arrives that will take this much work, microseconds.
@@ -134,7 +138,7 @@
             pool.running += 1;
             return Admission::Run(CacheStatus::Warm);
         }
-        if waiting >= self.profile.queue {
+        if waiting >= self.profile.max_waiting_calls {
             return Admission::Rejected;
         }
         if pool.loaded + pool.loading + pool.queued_loads > 0 {
@@ -144,7 +148,7 @@
                 _ => CacheStatus::Warm,
             });
         }
-        if self.profile.when_absent == WhenAbsent::Miss {
+        if self.profile.miss_policy == MissPolicy::Miss {
             return Admission::NotLoaded;
         }
         if !self.load(function, now) {
@@ -159,8 +163,8 @@
     /// A cold worker fails when sent more than a multiple of what it can do.
     fn check_cold_load(&mut self, work: i64, now: i64) {
         let age = now - self.started_at;
-        let span = self.profile.fall_after;
-        if age >= self.profile.warm_up {
+        let span = self.profile.overload_window;
+        if age >= self.profile.slow_start_window {
             self.recent_work.clear();
             return;
         }
@@ -171,7 +175,7 @@
         }
         let sent: i64 = self.recent_work.iter().map(|(_, work)| work).sum();
         let capacity = self.capacity_share(now) * self.profile.cores * span as f64;
-        if age >= span && sent as f64 > self.profile.fall_multiple * capacity {
+        if age >= span && sent as f64 > self.profile.overload_multiple * capacity {
             self.fallen = true;
         }
     }
--- a/standins/worker/src/state/tests.rs
+++ b/standins/worker/src/state/tests.rs
@@ -1,29 +1,29 @@
 //! Admission, loading and cold starts, by hand-made times.
 
 use super::{Admission, CacheStatus, WorkerState};
-use crate::profile::{Function, Profile, WhenAbsent};
+use crate::profile::{Function, MissPolicy, Profile};
 
 fn profile() -> Profile {
     let function = |name: &str, lanes| Function {
         name: name.into(),
         memory_mb: 400.0,
         lanes,
-        load: 100,
-        work: 10,
+        load_time: 100,
+        default_work: 10,
     };
     Profile {
         name: "w".into(),
         functions: vec![function("a", 1), function("b", 2), function("c", 1)],
         memory_mb: 1000.0,
-        idle_life: 1000,
-        loads: 1,
-        queue: 3,
-        when_absent: WhenAbsent::Load,
+        idle_timeout: 1000,
+        max_concurrent_loads: 1,
+        max_waiting_calls: 3,
+        miss_policy: MissPolicy::Load,
         cores: 2.0,
-        cold_from: 0.2,
-        warm_up: 10_000,
-        fall_multiple: 2.0,
-        fall_after: 1_000,
+        slow_start_from: 0.2,
+        slow_start_window: 10_000,
+        overload_multiple: 2.0,
+        overload_window: 1_000,
     }
 }
 
@@ -85,11 +85,11 @@
         for call in 0..11 {
             worker.admit(call, "a", work, call as i64 * 100);
         }
-        assert_eq!(worker.fallen(), falls, "{work}");
+        assert_eq!(worker.failed_under_overload(), falls, "{work}");
     }
     let mut worker = WorkerState::new(profile(), 0, true);
     for call in 0..11 {
         worker.admit(call, "a", 1_000, call as i64 * 100);
     }
-    assert!(!worker.fallen());
+    assert!(!worker.failed_under_overload());
 }
--- a/tests/path/src/workers.rs
+++ b/tests/path/src/workers.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tansy_net_sockets::socket::listen;
 use tansy_net_sockets::Spawner;
-use tansy_standin_worker::{Function, Profile, Standin, WhenAbsent};
+use tansy_standin_worker::{Function, MissPolicy, Profile, Standin};
 
 type Job = Box<dyn FnOnce(&[Rc<Standin>]) + Send>;
 
@@ -105,21 +105,21 @@
         name: name.clone(),
         memory_mb: 100.0,
         lanes: 64,
-        load: 5_000,
-        work: 1_000,
+        load_time: 5_000,
+        default_work: 1_000,
     };
     Profile {
         name: format!("w{index}"),
         functions: functions.iter().map(function).collect(),
         memory_mb: 10_000.0,
-        idle_life: 10_000_000,
-        loads: 4,
-        queue: 10_000,
-        when_absent: WhenAbsent::Load,
+        idle_timeout: 10_000_000,
+        max_concurrent_loads: 4,
+        max_waiting_calls: 10_000,
+        miss_policy: MissPolicy::Load,
         cores: 64.0,
-        cold_from: 1.0,
-        warm_up: 1,
-        fall_multiple: f64::MAX,
-        fall_after: 1_000_000,
+        slow_start_from: 1.0,
+        slow_start_window: 1,
+        overload_multiple: f64::MAX,
+        overload_window: 1_000_000,
     }
 }
