--- a/programs/scenario/src/agreement/steps.rs
+++ b/programs/scenario/src/agreement/steps.rs
@@ -96,7 +96,7 @@
         let fronts = 0..self.lists.len();
         let marks: Vec<Mark> = fronts
             .clone()
-            .map(|front| Mark::Returns { front, worker })
+            .map(|front| Mark::DrainEnded { front, worker })
             .collect();
         record_marks(
             &marks,
--- a/programs/scenario/src/audit.rs
+++ b/programs/scenario/src/audit.rs
@@ -20,8 +20,10 @@
     record: impl Fn(Mark) -> Result<(), E>,
     action: impl FnOnce() -> Result<(), E>,
 ) -> Result<(), E> {
-    let matching = |allows: bool| {
-        let chosen = marks.iter().filter(move |mark| mark.allows() == allows);
+    let matching = |lifts_restriction: bool| {
+        let chosen = marks
+            .iter()
+            .filter(move |mark| mark.lifts_restriction() == lifts_restriction);
         chosen.cloned()
     };
     matching(true).try_for_each(&record)?;
--- a/programs/scenario/src/faults/process_group.rs
+++ b/programs/scenario/src/faults/process_group.rs
@@ -153,7 +153,7 @@
         let mark = if draining {
             Mark::Draining { front, worker }
         } else {
-            Mark::Returns { front, worker }
+            Mark::DrainEnded { front, worker }
         };
         record_marks(
             &[mark],
--- a/programs/scenario/tests/marks.rs
+++ b/programs/scenario/tests/marks.rs
@@ -18,11 +18,11 @@
 #[test]
 fn a_worker_takes_work_again_for_all_before_any_list_says_so() {
     let (one, other) = (
-        Mark::Returns {
+        Mark::DrainEnded {
             front: 0,
             worker: 1,
         },
-        Mark::Returns {
+        Mark::DrainEnded {
             front: 1,
             worker: 1,
         },
--- a/standins/audit/src/auditor/mod.rs
+++ b/standins/audit/src/auditor/mod.rs
@@ -109,7 +109,7 @@
             Mark::Draining { front, worker } => {
                 self.draining.insert((front, worker), at);
             }
-            Mark::Returns { front, worker } => {
+            Mark::DrainEnded { front, worker } => {
                 self.draining.remove(&(front, worker));
             }
             Mark::Started { worker } => self.starts.push((at, worker)),
--- a/standins/audit/src/record.rs
+++ b/standins/audit/src/record.rs
@@ -35,7 +35,7 @@
         worker: usize,
     },
     /// A front end's endpoint list says that a worker takes work again.
-    Returns {
+    DrainEnded {
         /// The front end.
         front: usize,
         /// The worker.
@@ -81,8 +81,8 @@
 impl Mark {
     /// Whether it allows what was forbidden until now. Such a mark is recorded before anybody can act on it, any other one once
     /// it is in effect: a front end may act at once on what it reads, and the relay may see that before a later mark.
-    pub fn allows(&self) -> bool {
-        matches!(self, Mark::Returns { .. } | Mark::Resumed { .. })
+    pub fn lifts_restriction(&self) -> bool {
+        matches!(self, Mark::DrainEnded { .. } | Mark::Resumed { .. })
     }
 }
 
