--- a/programs/scenario/src/agreement/mod.rs
+++ b/programs/scenario/src/agreement/mod.rs
@@ -32,7 +32,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use tansy_audit::audit_with_history;
-use tansy_audit::versions::{versions as find_contradictions, Observations};
+use tansy_audit::contradictions::{find_contradictions, Observations};
 use tansy_settings::Settings;
 use versions::SettingsVersion;
 
@@ -190,10 +190,10 @@
     let mut claims = operator.claims;
     claims.entry(FIRST_VERSION).or_insert(first.claim());
     let observations = Observations {
-        flip: CLASS_FUNCTION.into(),
-        lost: LOST_ANSWERS_FUNCTION.into(),
-        claims,
-        reserve: RESERVE,
+        class_function: CLASS_FUNCTION.into(),
+        lost_answers_function: LOST_ANSWERS_FUNCTION.into(),
+        settings_by_version: claims,
+        timeout_margin: RESERVE,
     };
     let contradictions = find_contradictions(&entries, &calls, &observations);
     // Its files are of no use any more; where they can't be removed they stay.
--- a/programs/scenario/src/agreement/operator.rs
+++ b/programs/scenario/src/agreement/operator.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use tansy_agreement::compatibility::Fields;
 use tansy_agreement::log::{Version, VersionedSettings};
-use tansy_audit::versions::Claim;
+use tansy_audit::contradictions::ObservedSettings;
 use tansy_audit::Mark;
 use tansy_fleet::client::Client;
 use tansy_fleet_wire::pb::enter_request::Entry;
@@ -31,7 +31,7 @@
     /// The fields of the settings.
     pub fields: Fields,
     /// What the auditor has to know of them.
-    pub claim: Claim,
+    pub claim: ObservedSettings,
 }
 
 /// What became of a proposal.
@@ -44,7 +44,7 @@
 pub(super) struct OperatorResult {
     pub proposals: Vec<ProposalResult>,
     /// By version, without the first one.
-    pub claims: BTreeMap<u64, Claim>,
+    pub claims: BTreeMap<u64, ObservedSettings>,
 }
 
 /// The operator of a fleet.
@@ -86,7 +86,7 @@
     fn introduce(
         &mut self,
         change: &ProposedChange,
-        claims: &mut BTreeMap<u64, Claim>,
+        claims: &mut BTreeMap<u64, ObservedSettings>,
     ) -> Result<ProposalResult, ScenarioError> {
         let started = Instant::now();
         let deadline = started + Duration::from_secs_f64(ROUND_SECONDS - ROUND_MARGIN_SECONDS);
@@ -104,7 +104,7 @@
     fn propose(
         &mut self,
         change: &ProposedChange,
-        claims: &mut BTreeMap<u64, Claim>,
+        claims: &mut BTreeMap<u64, ObservedSettings>,
         deadline: Instant,
     ) -> Result<Option<u64>, ScenarioError> {
         // The leader may be away, or another change in progress: proposed again with the same id it is the same proposal.
--- a/programs/scenario/src/agreement/report.rs
+++ b/programs/scenario/src/agreement/report.rs
@@ -4,7 +4,7 @@
 use super::CONTRADICTION_LIMIT;
 use crate::audit::violation_text;
 use crate::load::LoadResult;
-use tansy_audit::versions::Contradictions;
+use tansy_audit::contradictions::Contradictions;
 use tansy_audit::Audit;
 
 /// The result of the scenario.
@@ -48,7 +48,9 @@
             .filter_map(|proposal| proposal.force_ms)
             .collect();
         force_ms.sort_unstable();
-        let longest = contradictions.strict.max(contradictions.joint);
+        let longest = contradictions
+            .longest_strict
+            .max(contradictions.longest_joint);
         let too_long = longest > CONTRADICTION_LIMIT.as_micros() as i64;
         let mut violations: Vec<String> = audit.violations.iter().map(violation_text).collect();
         if too_long {
@@ -59,9 +61,9 @@
             not_in_force: proposals.len() - force_ms.len(),
             killed,
             served_share: load.served_share(),
-            shown: contradictions.shown,
-            strict_ms: contradictions.strict as f64 / 1000.0,
-            joint_ms: contradictions.joint as f64 / 1000.0,
+            shown: contradictions.observed_calls,
+            strict_ms: contradictions.longest_strict as f64 / 1000.0,
+            joint_ms: contradictions.longest_joint as f64 / 1000.0,
             violations,
             force_ms,
         }
--- a/programs/scenario/src/agreement/versions.rs
+++ b/programs/scenario/src/agreement/versions.rs
@@ -3,7 +3,7 @@
 use super::options::ScenarioOptions;
 use crate::fleet::voter_list;
 use std::net::SocketAddr;
-use tansy_audit::versions::Claim;
+use tansy_audit::contradictions::ObservedSettings;
 
 const TEMPLATE: &str = include_str!("settings.cue");
 /// Added to the seed, so that versions and faults are drawn independently.
@@ -47,8 +47,8 @@
     }
 
     /// What the auditor has to know of it.
-    pub fn claim(self) -> Claim {
-        Claim {
+    pub fn claim(self) -> ObservedSettings {
+        ObservedSettings {
             deadline: if self.long_deadline {
                 LONG_DEADLINE_US
             } else {
--- a/standins/audit/src/versions.rs
+++ b/standins/audit/src/contradictions.rs
@@ -15,7 +15,7 @@
 
 /// What a version of the settings claims of the two observed functions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Claim {
+pub struct ObservedSettings {
     /// The deadline of the first function's class, microseconds.
     pub deadline: i64,
     /// Calls of the second may be repeated.
@@ -26,24 +26,24 @@
 #[derive(Clone, Debug)]
 pub struct Observations {
     /// The function whose class changes.
-    pub flip: String,
+    pub class_function: String,
     /// The function whose answers are lost.
-    pub lost: String,
+    pub lost_answers_function: String,
     /// By version.
-    pub claims: BTreeMap<u64, Claim>,
+    pub settings_by_version: BTreeMap<u64, ObservedSettings>,
     /// A timeout as a worker is given it is less than the class's deadline by at most this part.
-    pub reserve: f64,
+    pub timeout_margin: f64,
 }
 
 /// How long front ends contradicted each other.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Contradictions {
     /// Calls of the observed functions that showed which settings were acted on.
-    pub shown: usize,
+    pub observed_calls: usize,
     /// Longest time for which two front ends acted on a strict field's two values, microseconds; 0: never.
-    pub strict: i64,
+    pub longest_strict: i64,
     /// Longest time after a stricter value was in force at which a front end took a call by the looser one; 0: never.
-    pub joint: i64,
+    pub longest_joint: i64,
     /// In words, where either is above zero.
     pub descriptions: Vec<String>,
 }
@@ -123,7 +123,7 @@
 struct Evidence<'a> {
     strict: Vec<StrictEvidence<'a>>,
     loose: Vec<LooseEvidence<'a>>,
-    shown: usize,
+    observed_calls: usize,
 }
 
 impl<'a> Evidence<'a> {
@@ -138,7 +138,7 @@
                 continue;
             };
             let decided_from = timeline.decided_from(call);
-            if call.function == observations.flip {
+            if call.function == observations.class_function {
                 let deadline = observations.deadline_of(timeout.unwrap_or(0));
                 evidence
                     .strict
@@ -149,7 +149,7 @@
                         deadline,
                         id: &call.id,
                     }));
-            } else if call.function == observations.lost {
+            } else if call.function == observations.lost_answers_function {
                 let may_have_run = call.attempts.iter().filter(|a| !a.2).count();
                 if may_have_run > 1 {
                     evidence.loose.push(LooseEvidence {
@@ -158,10 +158,11 @@
                         id: &call.id,
                     });
                 }
-                evidence.shown += usize::from(may_have_run > 1 || call.end == CallEnd::Failed);
+                evidence.observed_calls +=
+                    usize::from(may_have_run > 1 || call.end == CallEnd::Failed);
             }
         }
-        evidence.shown += evidence.strict.len();
+        evidence.observed_calls += evidence.strict.len();
         evidence
     }
 
@@ -182,11 +183,14 @@
     /// The deadline that a worker's timeout comes from.
     fn deadline_of(&self, timeout: i64) -> Option<i64> {
         let timeout = timeout as f64;
-        let fits = |claim: &&Claim| {
+        let fits = |claim: &&ObservedSettings| {
             let deadline = claim.deadline as f64;
-            timeout <= deadline && timeout > deadline * (1.0 - self.reserve)
+            timeout <= deadline && timeout > deadline * (1.0 - self.timeout_margin)
         };
-        self.claims.values().find(fits).map(|claim| claim.deadline)
+        self.settings_by_version
+            .values()
+            .find(fits)
+            .map(|claim| claim.deadline)
     }
 }
 
@@ -198,7 +202,7 @@
 }
 
 /// Compares the observed functions' calls with the versions' claims. The fleet begins with version 1.
-pub fn versions(
+pub fn find_contradictions(
     entries: &[Entry],
     calls: &[CallHistory],
     observations: &Observations,
@@ -206,15 +210,15 @@
     let timeline = Timeline::read(entries);
     let evidence = Evidence::collect(calls, observations, &timeline);
     let mut contradictions = Contradictions {
-        shown: evidence.shown,
+        observed_calls: evidence.observed_calls,
         ..Contradictions::default()
     };
     let starts = timeline.proposed.iter().copied();
     let ends = starts.clone().skip(1).map(|next| next.1).chain([i64::MAX]);
     let mut before = 1;
     for ((version, from), to) in starts.zip(ends) {
-        let old = observations.claims.get(&before);
-        let (Some(old), Some(new)) = (old, observations.claims.get(&version)) else {
+        let old = observations.settings_by_version.get(&before);
+        let (Some(old), Some(new)) = (old, observations.settings_by_version.get(&version)) else {
             continue;
         };
         let proposal = Proposal { version, from, to };
@@ -238,8 +242,8 @@
         &mut self,
         evidence: &Evidence<'_>,
         proposal: &Proposal,
-        old: &Claim,
-        new: &Claim,
+        old: &ObservedSettings,
+        new: &ObservedSettings,
     ) {
         let by = |deadline| evidence.by_deadline(deadline, proposal.from, proposal.to);
         let Some(first_new) = by(new.deadline).min_by_key(|call| call.sent_at) else {
@@ -251,7 +255,9 @@
         let Some(last_old) = last_old.filter(|call| call.decided_from > first_new.sent_at) else {
             return;
         };
-        self.strict = self.strict.max(last_old.decided_from - first_new.sent_at);
+        self.longest_strict = self
+            .longest_strict
+            .max(last_old.decided_from - first_new.sent_at);
         self.descriptions.push(format!(
             "version {}: front end {} admitted {} under it at {:.3} s, front end {} admitted {} under the one before at {:.3} s",
             proposal.version,
@@ -274,7 +280,7 @@
         let Some(late) = late else {
             return;
         };
-        self.joint = self.joint.max(late.decided_from - in_force);
+        self.longest_joint = self.longest_joint.max(late.decided_from - in_force);
         self.descriptions.push(format!(
             "version {} is in force at {:.3} s: front end {} admitted {} as safe at {:.3} s",
             proposal.version,
--- a/standins/audit/src/lib.rs
+++ b/standins/audit/src/lib.rs
@@ -9,15 +9,15 @@
 //! - [`rules`]: the figures that the rules are checked with.
 //! - [`report`]: what an audit gives.
 //! - [`mod@auditor`]: streams to calls and attempts, and the rules checked on them, a module a rule.
-//! - [`mod@versions`]: whether two front ends acted on contradicting settings, by rules that show in the bytes.
+//! - [`mod@contradictions`]: whether two front ends acted on contradicting settings, by rules that show in the bytes.
 //!
 //! It is not for live traffic: a recording is read whole, after the run.
 
 pub mod auditor;
+pub mod contradictions;
 pub mod record;
 pub mod report;
 pub mod rules;
-pub mod versions;
 pub mod wire;
 
 pub use auditor::{audit, audit_with_history};
