--- a/programs/scenario/src/audit.rs
+++ b/programs/scenario/src/audit.rs
@@ -42,7 +42,7 @@
     let functions = settings.dispatch.functions.iter().map(function);
     Rules {
         functions: functions.collect::<BTreeMap<_, _>>(),
-        list_read: LIST_READ_US,
+        list_read_delay: LIST_READ_US,
         drain_grace: front.drain_grace,
         slow_start: SlowStart {
             initial_share: front.slow_start_from,
@@ -58,15 +58,15 @@
             per_call: budget.arrival_share,
             period: budget.period,
         }),
-        connect: front.connect_timeout,
-        slack: CLOCK_SLACK_US,
+        connect_time: front.connect_timeout,
+        clock_tolerance: CLOCK_SLACK_US,
     }
 }
 
 /// The same for a scenario with more processes than cores, where a wake-up may take longer.
 pub fn crowded_rules(settings: &Settings, cores: f64) -> Rules {
     Rules {
-        slack: CROWDED_CLOCK_SLACK_US,
+        clock_tolerance: CROWDED_CLOCK_SLACK_US,
         ..rules(settings, cores)
     }
 }
--- a/programs/scenario/src/cli/faults.rs
+++ b/programs/scenario/src/cli/faults.rs
@@ -64,7 +64,7 @@
         audit.started,
         ends.join(" "),
         audit.attempts,
-        audit.repeats,
+        audit.retries,
         audit.loads
     );
 }
--- a/standins/audit/src/auditor/answers.rs
+++ b/standins/audit/src/auditor/answers.rs
@@ -98,7 +98,7 @@
         if call.final_answers > 1 {
             violations.push((1, "a second final answer".into()));
         }
-        if at > call.due + self.rules.slack && call.end == CallEnd::Open && !excused {
+        if at > call.due + self.rules.clock_tolerance && call.end == CallEnd::Open && !excused {
             let late = at - call.due;
             let reason = format!("its final answer comes {late} us after its client's timeout");
             violations.push((1, reason));
@@ -119,7 +119,9 @@
     /// Calls without a final answer in their client's time, when the recording ends.
     pub(super) fn unanswered(&self, end: i64) -> Vec<Violation> {
         let overdue = |call: &Call| {
-            call.end == CallEnd::Open && end > call.due + self.rules.slack && !self.was_paused(call)
+            call.end == CallEnd::Open
+                && end > call.due + self.rules.clock_tolerance
+                && !self.was_paused(call)
         };
         let calls = self.calls.iter().filter(|(_, call)| overdue(call));
         calls
--- a/standins/audit/src/auditor/attempts.rs
+++ b/standins/audit/src/auditor/attempts.rs
@@ -66,7 +66,8 @@
     }
 
     fn is_past_drain_grace(&self, at: i64, front: usize, worker: usize) -> bool {
-        let grace = self.rules.list_read + self.rules.drain_grace + self.rules.slack;
+        let grace =
+            self.rules.list_read_delay + self.rules.drain_grace + self.rules.clock_tolerance;
         let since = self.draining.get(&(front, worker));
         since.is_some_and(|since| at > since + grace)
     }
@@ -79,12 +80,12 @@
         };
         let mut violations: Vec<(u8, &str)> = Vec::new();
         let ended = call.ended_at.filter(|_| call.end != CallEnd::Killed);
-        if ended.is_some_and(|ended| at > ended + self.rules.slack) {
+        if ended.is_some_and(|ended| at > ended + self.rules.clock_tolerance) {
             violations.push((1, "an attempt after the final answer"));
         }
         let effect = self.rules.effect(&call.function);
         violations.extend(harmful_repeat(call, effect, at).map(|reason| (2, reason)));
-        self.report.repeats += usize::from(!call.attempts.is_empty());
+        self.report.retries += usize::from(!call.attempts.is_empty());
         call.attempts.push(attempt);
         stream.call_ids = vec![id.clone()];
         for (rule, reason) in violations {
@@ -140,7 +141,7 @@
         let mut violations = Vec::new();
         for (id, call) in &self.calls {
             for (index, next) in call.attempts.iter().enumerate() {
-                let latest = next.sent_at + self.rules.slack;
+                let latest = next.sent_at + self.rules.clock_tolerance;
                 let mut earlier = call.attempts[..index].iter();
                 let Some(open) = earlier.find(|a| a.ended_at.is_none_or(|end| end > latest)) else {
                     continue;
--- a/standins/audit/src/auditor/load_budget.rs
+++ b/standins/audit/src/auditor/load_budget.rs
@@ -19,15 +19,17 @@
         for (index, (at, front)) in self.load_requests.iter().enumerate() {
             let born = self.last_kill(*front, *at);
             // Decided in two windows, they may leave within one: what is sure to be of one window is counted.
-            let surely_within =
-                |time: i64| time >= born && time <= *at && at - time < period - self.rules.connect;
+            let surely_within = |time: i64| {
+                time >= born && time <= *at && at - time < period - self.rules.connect_time
+            };
             let requests = self.load_requests[..=index]
                 .iter()
                 .filter(|(time, by)| by == front && surely_within(*time))
                 .count();
             // A call that came just before the window's edge at the relay may have come just after it at the front end.
-            let maybe_within =
-                |time: i64| time >= born && time <= *at && at - time < period + self.rules.slack;
+            let maybe_within = |time: i64| {
+                time >= born && time <= *at && at - time < period + self.rules.clock_tolerance
+            };
             let accepted = self
                 .calls
                 .values()
--- a/standins/audit/src/report.rs
+++ b/standins/audit/src/report.rs
@@ -42,7 +42,7 @@
     /// Attempts sent to workers.
     pub attempts: usize,
     /// Attempts beyond each call's first.
-    pub repeats: usize,
+    pub retries: usize,
     /// Load requests.
     pub loads: usize,
     /// Violations, by time.
--- a/standins/audit/src/rules.rs
+++ b/standins/audit/src/rules.rs
@@ -50,7 +50,7 @@
     /// By function: its class's effect and deadline.
     pub functions: BTreeMap<String, (Effect, i64)>,
     /// The longest time between the change of an endpoint list and its reading.
-    pub list_read: i64,
+    pub list_read_delay: i64,
     /// After reading that a worker drains, nothing new goes to it once this has passed.
     pub drain_grace: i64,
     /// The capacity of a worker that has just started.
@@ -60,9 +60,9 @@
     /// Load requests that a front end may send; none: they are not checked.
     pub load_budget: Option<LoadBudget>,
     /// A load request may leave so long after it was decided: its connection has to be made first.
-    pub connect: i64,
+    pub connect_time: i64,
     /// The largest difference between a relay's clock and a peer's.
-    pub slack: i64,
+    pub clock_tolerance: i64,
 }
 
 impl Rules {
--- a/standins/audit/tests/violations.rs
+++ b/standins/audit/tests/violations.rs
@@ -18,7 +18,7 @@
             .iter()
             .map(|(name, effect)| (name.to_string(), (*effect, 2_000_000)))
             .collect(),
-        list_read: 100_000,
+        list_read_delay: 100_000,
         drain_grace: 500_000,
         slow_start: SlowStart {
             initial_share: 0.25,
@@ -34,8 +34,8 @@
             per_call: 0.5,
             period: 1_000_000,
         }),
-        connect: 100_000,
-        slack: 5_000,
+        connect_time: 100_000,
+        clock_tolerance: 5_000,
     }
 }
 
