--- a/standins/audit/src/lib.rs
+++ b/standins/audit/src/lib.rs
@@ -1,17 +1,18 @@
-//! Checks the routing rules against a recording of socket traffic alone.
+//! Checks the routing rules against recorded socket traffic.
 //!
-//! The crate shares no code with the gateway's request table: it reads the bytes that passed a relay (HTTP/2 frames, header
-//! blocks, messages decoded in full), joins the two legs of a call by the request's id, and looks for violations. What the
-//! sockets can't show (when an endpoint list was changed, when a process was killed) is recorded as marks.
+//! The auditor is independent of the gateway's own request table: it decodes the bytes that passed through a fault proxy
+//! (HTTP/2 frames, header blocks, protobuf messages), matches a client's call with the attempts at workers by request id,
+//! and reports violations. Events that sockets don't show, such as a changed endpoint list or a killed process, are
+//! recorded as marks.
 //!
-//! - [`record`]: what a relay records.
-//! - [`wire`]: bytes to streams with headers, messages and ends.
-//! - [`rules`]: the figures that the rules are checked with.
-//! - [`report`]: what an audit gives.
-//! - [`mod@auditor`]: streams to calls and attempts, and the rules checked on them, a module a rule.
-//! - [`mod@contradictions`]: whether two front ends acted on contradicting settings, by rules that show in the bytes.
+//! - [`record`]: the entries of a recording.
+//! - [`wire`]: decodes the bytes of a connection into stream events.
+//! - [`rules`]: the parameters of the rules.
+//! - [`report`]: the result of an audit.
+//! - [`mod@auditor`]: reconstructs calls and attempts from stream events, and checks the rules.
+//! - [`mod@contradictions`]: detects front ends that acted on contradicting settings at the same time.
 //!
-//! It is not for live traffic: a recording is read whole, after the run.
+//! A recording is audited as a whole after the run; live traffic can't be audited.
 
 pub mod auditor;
 pub mod contradictions;
--- a/standins/audit/src/record.rs
+++ b/standins/audit/src/record.rs
@@ -1,6 +1,6 @@
-//! What a relay records: connections, their bytes, and marks of what no socket shows.
+//! The entries of a recording: connections, their bytes, and marks for events that sockets don't show.
 
-/// Which two ends a connection joins.
+/// The two ends of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Link {
     /// A client and a front end.
@@ -15,38 +15,38 @@
         /// The worker's number.
         worker: usize,
     },
-    /// One front end and another: what they write to each other is not audited.
+    /// Two front ends. Their traffic is not audited.
     Peer {
-        /// Who connects.
+        /// The number of the front end that connects.
         from: usize,
-        /// To whom.
+        /// The number of the front end that it connects to.
         to: usize,
     },
 }
 
-/// An event that no socket shows.
+/// An event that sockets don't show.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Mark {
-    /// A front end's endpoint list now says that a worker drains or is gone.
+    /// A front end's endpoint list shows a worker as draining or gone.
     Draining {
         /// The front end.
         front: usize,
         /// The worker.
         worker: usize,
     },
-    /// A front end's endpoint list says that a worker takes work again.
+    /// A front end's endpoint list shows that a worker accepts work again.
     DrainEnded {
         /// The front end.
         front: usize,
         /// The worker.
         worker: usize,
     },
-    /// A worker has started, empty and cold.
+    /// A worker started cold, with no functions loaded.
     Started {
         /// The worker.
         worker: usize,
     },
-    /// A worker failed under more load than a cold worker can serve.
+    /// A worker that was still cold failed under overload.
     Overloaded {
         /// The worker.
         worker: usize,
@@ -56,53 +56,55 @@
         /// The front end.
         front: usize,
     },
-    /// A front end's process was stopped (SIGSTOP): it does nothing until it is resumed.
+    /// A front end's process was stopped by SIGSTOP.
     Stopped {
         /// The front end.
         front: usize,
     },
-    /// It was resumed.
+    /// A stopped front end's process was resumed by SIGCONT.
     Resumed {
         /// The front end.
         front: usize,
     },
     /// A version of the settings was proposed.
     Proposed {
-        /// Its number.
+        /// The version's number.
         version: u64,
     },
-    /// Operators were notified that it is in force.
+    /// A proposed version was reported as in force.
     InForce {
-        /// Its number.
+        /// The version's number.
         version: u64,
     },
 }
 
 impl Mark {
-    /// Whether it allows what was forbidden until now. Such a mark is recorded before anybody can act on it, any other one once
-    /// it is in effect: a front end may act at once on what it reads, and the relay may see that before a later mark.
+    /// Whether the event permits something that was forbidden before it.
+    ///
+    /// Such a mark is recorded before the event, since a front end may react before a mark that is recorded after the event.
+    /// Other marks are recorded once the event has taken effect.
     pub fn lifts_restriction(&self) -> bool {
         matches!(self, Mark::DrainEnded { .. } | Mark::Resumed { .. })
     }
 }
 
-/// One event of a connection, or a mark.
+/// An event of a connection, or a mark.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A connection was made through the relay.
+    /// A connection through the proxy was opened.
     Open(Link),
-    /// Bytes passed; `true`: from the side that connected.
+    /// Bytes were forwarded; `true` if they came from the side that connected.
     Bytes(bool, Vec<u8>),
-    /// The connection ended: by the side that connected, by the other, or (none) by the relay.
+    /// The connection was closed by the side that connected (`true`), by the other side (`false`) or by the proxy (`None`).
     Close(Option<bool>),
-    /// An event that no socket shows.
+    /// An event that sockets don't show.
     Mark(Mark),
 }
 
 /// One entry of the recording.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Microseconds since the recording began.
+    /// Time since the start of the recording, microseconds.
     pub at: i64,
     /// The connection's number; 0 for marks.
     pub connection: u64,
--- a/standins/audit/src/report.rs
+++ b/standins/audit/src/report.rs
@@ -1,34 +1,34 @@
-//! What an audit gives: totals, violations, and each call's history.
+//! The result of an audit: totals, violations, and the history of each call.
 
 use std::collections::BTreeMap;
 
 /// One violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The rule's number; 0: two attempts open at once.
+    /// The rule's number; 0 stands for two attempts of a call open at the same time.
     pub rule: u8,
-    /// When, in microseconds of the recording.
+    /// Time since the start of the recording, microseconds.
     pub at: i64,
-    /// The call's id, or the worker or front end.
+    /// The id of the call, or the worker or front end concerned.
     pub subject: String,
-    /// In words.
+    /// A description of the violation.
     pub reason: String,
 }
 
-/// How a call ended at its client.
+/// How a call ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallEnd {
-    /// An answer.
+    /// The call was answered successfully.
     Served,
-    /// A refusal.
+    /// The front end refused the call.
     Refused,
-    /// A failure.
+    /// The front end reported a failure.
     Failed,
-    /// The client cancelled or disconnected before.
+    /// The client cancelled the call or disconnected before an answer.
     Left,
-    /// Its front end was killed.
+    /// The front end was killed before it answered.
     Killed,
-    /// None of these.
+    /// The call had not ended when the recording did.
     Open,
 }
 
@@ -37,31 +37,31 @@
 pub struct Audit {
     /// Calls started.
     pub started: usize,
-    /// Calls by how they ended.
+    /// Number of calls by how they ended.
     pub ends: BTreeMap<CallEnd, usize>,
     /// Attempts sent to workers.
     pub attempts: usize,
     /// Attempts beyond each call's first.
     pub retries: usize,
-    /// Load requests.
+    /// Load requests sent to workers.
     pub loads: usize,
-    /// Violations, by time.
+    /// Violations, ordered by time.
     pub violations: Vec<Violation>,
 }
 
 /// The history of one call.
 #[derive(Clone, Debug)]
 pub struct CallHistory {
-    /// Its id.
+    /// The request's id.
     pub id: String,
-    /// The front end that its client asked.
+    /// The front end that received the call.
     pub front: usize,
-    /// When the call reached that front end.
+    /// When the call arrived at the front end, microseconds of the recording.
     pub at: i64,
-    /// Its function.
+    /// The called function.
     pub function: String,
-    /// How it ended.
+    /// How the call ended.
     pub end: CallEnd,
-    /// Each attempt: when it left, the timeout that the worker was given, and whether it is known not to have run.
+    /// For each attempt: when it was sent, the timeout passed to the worker, and whether it is known not to have run.
     pub attempts: Vec<(i64, Option<i64>, bool)>,
 }
--- a/standins/audit/src/rules.rs
+++ b/standins/audit/src/rules.rs
@@ -1,72 +1,72 @@
-//! The figures that the rules are checked with.
+//! The parameters of the rules.
 
 use std::collections::BTreeMap;
 
-/// What a repeated attempt of a function's call does.
+/// The effect of executing a call of a function more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: any call may be repeated.
+    /// No additional effect: any call may be retried.
     Safe,
-    /// Workers drop a repeat of the same key within so many microseconds.
+    /// Workers drop a retry with the same key within this window, microseconds.
     Keyed(i64),
-    /// It acts twice.
+    /// The effect happens again.
     Unsafe,
 }
 
-/// The capacity of a worker that has just started: it grows evenly to all of it.
+/// The slow start of a worker, during which its capacity grows linearly.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStart {
-    /// The share of its capacity at first.
+    /// Share of the full capacity at the start.
     pub initial_share: f64,
-    /// The time until it has all of it, microseconds.
+    /// Time until the full capacity is reached, microseconds.
     pub window: i64,
-    /// All of it: seconds of work a second.
+    /// Full capacity, in seconds of work per second.
     pub cores: f64,
 }
 
-/// When a worker that has just started fails under overload.
+/// The overload at which a worker fails during its slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Overload {
-    /// It is sent more than this multiple of its present capacity.
+    /// Work sent to the worker, as a multiple of its current capacity.
     pub multiple: f64,
-    /// The time over which its work is summed, microseconds.
+    /// Window over which the work is summed, microseconds.
     pub window: i64,
 }
 
-/// Load requests that a front end may send in any period.
+/// The number of load requests that a front end may send in any period.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadBudget {
-    /// So many whatever it takes.
+    /// Load requests allowed regardless of the number of calls.
     pub free: f64,
-    /// So many more for each call that it took.
+    /// Additional load requests allowed for each accepted call.
     pub per_call: f64,
-    /// The period, microseconds.
+    /// Length of the period, microseconds.
     pub period: i64,
 }
 
-/// The rules' figures; all durations in microseconds.
+/// The parameters of all rules. Durations are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// By function: its class's effect and deadline.
+    /// The effect and the deadline of each function's class.
     pub functions: BTreeMap<String, (Effect, i64)>,
-    /// The longest time between the change of an endpoint list and its reading.
+    /// Longest time from the change of an endpoint list until a front end has read it.
     pub list_read_delay: i64,
-    /// After reading that a worker drains, nothing new goes to it once this has passed.
+    /// Time after which nothing new may be sent to a worker that is listed as draining.
     pub drain_grace: i64,
-    /// The capacity of a worker that has just started.
+    /// The slow start of workers.
     pub slow_start: SlowStart,
-    /// The load that a worker that has just started can serve.
+    /// The overload at which a worker fails during its slow start.
     pub overload: Overload,
-    /// Load requests that a front end may send; none: they are not checked.
+    /// The budget for load requests; `None` disables the check.
     pub load_budget: Option<LoadBudget>,
-    /// A load request may leave so long after it was decided: its connection has to be made first.
+    /// Longest delay of a load request between its decision and its sending, since a connection may have to be made first.
     pub connect_time: i64,
-    /// The largest difference between a relay's clock and a peer's.
+    /// Largest difference between the times that the proxy and a process see for the same event.
     pub clock_tolerance: i64,
 }
 
 impl Rules {
-    /// What repeating a call of the function does; a function that isn't listed counts as unsafe.
+    /// The effect of executing a call of the function more than once; unlisted functions count as unsafe.
     pub(crate) fn effect(&self, function: &str) -> Effect {
         self.functions
             .get(function)
--- a/standins/audit/src/wire.rs
+++ b/standins/audit/src/wire.rs
@@ -1,4 +1,4 @@
-//! One connection's bytes to streams with headers, messages and ends.
+//! Decodes the bytes of an HTTP/2 connection into stream events.
 
 use fluke_hpack::decoder::DecoderError;
 use fluke_hpack::Decoder;
@@ -7,39 +7,39 @@
 /// An event on a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamEvent {
-    /// A header block: the request's or the response's headers, or trailers.
+    /// The fields of a header block: request headers, response headers or trailers.
     Headers(Vec<(String, String)>),
-    /// A whole gRPC message.
+    /// A complete gRPC message.
     Message(Vec<u8>),
-    /// The side that this came from sends no more on the stream.
+    /// END_STREAM: the sender has finished the stream.
     End,
-    /// RST_STREAM with its code.
+    /// RST_STREAM with its error code.
     Reset(u32),
-    /// GOAWAY: streams above this one were not taken.
+    /// GOAWAY with its last stream; streams above it were not processed.
     Goaway(u32),
 }
 
-/// Why a direction can't be read any further.
+/// Why the bytes of a direction can't be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
     /// A frame is shorter than its fixed fields.
-    #[error("{0} cut short")]
-    CutShort(&'static str),
-    /// A frame has the PADDED flag and no length of the padding.
-    #[error("a padded frame without a length")]
+    #[error("{0} frame is too short")]
+    FrameTooShort(&'static str),
+    /// A frame with the PADDED flag has no pad length.
+    #[error("padded frame without a pad length")]
     NoPadLength,
-    /// The padding is longer than the frame.
-    #[error("more padding than frame")]
+    /// The padding is longer than the payload.
+    #[error("padding is longer than the frame's payload")]
     PaddingTooLong,
-    /// HPACK can't decode the block.
-    #[error("a header block that can't be read: {0:?}")]
+    /// A header block is not valid HPACK.
+    #[error("header block can't be decoded: {0:?}")]
     HeaderBlock(DecoderError),
 }
 
-/// Length of the preface that the side which connects sends first.
-const PREFACE: usize = 24;
-/// Length of a frame's header.
-const FRAME_HEADER: usize = 9;
+/// Length of the client's connection preface, bytes.
+const PREFACE_LENGTH: usize = 24;
+/// Length of a frame header, bytes.
+const FRAME_HEADER_LENGTH: usize = 9;
 
 const DATA: u8 = 0;
 const HEADERS: u8 = 1;
@@ -52,7 +52,7 @@
 const PADDED: u8 = 8;
 const PRIORITY: u8 = 0x20;
 
-/// A frame with its payload.
+/// An HTTP/2 frame.
 struct Frame<'a> {
     kind: u8,
     flags: u8,
@@ -60,32 +60,32 @@
     payload: &'a [u8],
 }
 
-/// A header block whose CONTINUATION frames may still come.
+/// A header block that may be continued by CONTINUATION frames.
 struct HeaderBlock {
     stream: u32,
-    /// Of its HEADERS frame.
+    /// The flags of its HEADERS frame.
     flags: u8,
     bytes: Vec<u8>,
 }
 
-/// One direction of a connection.
+/// Decoder for one direction of a connection.
 pub struct Direction {
-    /// Bytes of the preface that are still to come.
+    /// Bytes of the connection preface not yet received.
     preface: usize,
     buffer: Vec<u8>,
     decoder: Decoder<'static>,
     block: Option<HeaderBlock>,
-    /// By stream: bytes of a message that isn't whole yet.
+    /// Bytes of an incomplete gRPC message, by stream.
     partial: BTreeMap<u32, Vec<u8>>,
-    /// Set once it can't be read any more.
+    /// The error that ended the decoding, if any.
     pub error: Option<WireError>,
 }
 
 impl Direction {
-    /// From the side that connected (which sends the preface first), or to it.
+    /// Creates a decoder. `from_client`: for the direction from the side that connected, which begins with the preface.
     pub fn new(from_client: bool) -> Direction {
         Direction {
-            preface: if from_client { PREFACE } else { 0 },
+            preface: if from_client { PREFACE_LENGTH } else { 0 },
             buffer: Vec::new(),
             decoder: Decoder::new(),
             block: None,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Takes bytes; gives the events that they complete, with their streams (0: the connection).
+    /// Decodes more bytes, and returns the events that they complete with their streams; stream 0 is the connection.
     pub fn read(&mut self, bytes: &[u8]) -> Vec<(u32, StreamEvent)> {
         let mut events = Vec::new();
         if self.error.is_some() {
@@ -106,10 +106,10 @@
         self.buffer.drain(..skip);
         let buffer = std::mem::take(&mut self.buffer);
         let mut at = 0;
-        while let Some(header) = buffer.get(at..at + FRAME_HEADER) {
+        while let Some(header) = buffer.get(at..at + FRAME_HEADER_LENGTH) {
             let length = u32::from_be_bytes([0, header[0], header[1], header[2]]) as usize;
             let stream = u32::from_be_bytes([header[5], header[6], header[7], header[8]]);
-            let start = at + FRAME_HEADER;
+            let start = at + FRAME_HEADER_LENGTH;
             let Some(payload) = buffer.get(start..start + length) else {
                 break;
             };
@@ -139,7 +139,7 @@
             HEADERS => {
                 let mut data = unpad(frame)?;
                 if frame.flags & PRIORITY != 0 {
-                    data = data.get(5..).ok_or(WireError::CutShort("HEADERS"))?;
+                    data = data.get(5..).ok_or(WireError::FrameTooShort("HEADERS"))?;
                 }
                 self.block = Some(HeaderBlock {
                     stream: frame.stream,
@@ -155,11 +155,11 @@
                 self.end_headers(frame.flags, events)?;
             }
             RST_STREAM => {
-                let code = word(frame.payload).ok_or(WireError::CutShort("RST_STREAM"))?;
+                let code = read_u32(frame.payload).ok_or(WireError::FrameTooShort("RST_STREAM"))?;
                 events.push((frame.stream, StreamEvent::Reset(code)));
             }
             GOAWAY => {
-                let last = word(frame.payload).ok_or(WireError::CutShort("GOAWAY"))?;
+                let last = read_u32(frame.payload).ok_or(WireError::FrameTooShort("GOAWAY"))?;
                 events.push((0, StreamEvent::Goaway(last & 0x7fff_ffff)));
             }
             _ => {}
@@ -175,7 +175,7 @@
         let data = unpad(frame)?;
         let partial = self.partial.entry(frame.stream).or_default();
         partial.extend_from_slice(data);
-        while let Some(length) = partial.get(1..5).and_then(word) {
+        while let Some(length) = partial.get(1..5).and_then(read_u32) {
             let end = 5 + length as usize;
             let Some(message) = partial.get(5..end) else {
                 break;
@@ -190,7 +190,7 @@
         Ok(())
     }
 
-    /// Decodes the header block, if the frame with these flags is its last.
+    /// Decodes the header block if `flags` contains END_HEADERS.
     fn end_headers(
         &mut self,
         flags: u8,
@@ -217,12 +217,12 @@
     }
 }
 
-/// The first four bytes as a number.
-fn word(bytes: &[u8]) -> Option<u32> {
-    bytes.first_chunk().map(|word| u32::from_be_bytes(*word))
+/// The first four bytes as a big-endian integer.
+fn read_u32(bytes: &[u8]) -> Option<u32> {
+    bytes.first_chunk().map(|bytes| u32::from_be_bytes(*bytes))
 }
 
-/// A frame's payload without its padding.
+/// The payload of a frame without padding.
 fn unpad<'a>(frame: &Frame<'a>) -> Result<&'a [u8], WireError> {
     if frame.flags & PADDED == 0 {
         return Ok(frame.payload);
