--- a/standins/audit/src/auditor/answers.rs
+++ b/standins/audit/src/auditor/answers.rs
@@ -1,4 +1,4 @@
-//! Rule 1: a client gets one final answer within its time, or a refusal that is harmless to repeat (rule 2).
+//! Rule 1: each call gets exactly one final answer within its timeout. Rule 2: a refused call is safe to retry.
 
 use super::calls::{integer_parameter, Call, Stream};
 use super::Auditor;
@@ -8,7 +8,7 @@
 use tansy_inference::inference as pb;
 
 impl Auditor<'_> {
-    /// A call has reached its front end.
+    /// Records a call that arrived at a front end.
     pub(super) fn on_call(
         &mut self,
         at: i64,
@@ -31,7 +31,7 @@
         let timeout = [own_timeout, stream.timeout].into_iter().flatten().min();
         stream.call_ids.push(request.id.clone());
         self.report.started += 1;
-        // What was written to a process that was killed meanwhile reached nobody.
+        // The front end was killed after the connection was opened, so no process received the call.
         let killed = self
             .kills
             .iter()
@@ -50,16 +50,16 @@
             attempts: Vec::new(),
         };
         if self.calls.insert(request.id.clone(), call).is_some() {
-            let reason = "the driver used an id twice: the recording can't be audited";
+            let reason = "request id used by two calls: the recording can't be audited";
             self.violation(1, at, request.id, reason);
         }
     }
 
-    /// A message for a client on a streamed call.
+    /// Checks a message to a client on a streamed call.
     pub(super) fn on_stream_answer(&mut self, at: i64, message: &[u8]) {
         use pb::infer_parameter::ParameterChoice::BoolParam;
         let Ok(message) = pb::ModelStreamInferResponse::decode(message) else {
-            return self.violation(1, at, "", "a stream message that can't be decoded");
+            return self.violation(1, at, "", "stream message can't be decoded");
         };
         let response = message.infer_response.unwrap_or_default();
         let is_final = response
@@ -86,11 +86,11 @@
         }
     }
 
-    /// A final answer has reached a client.
+    /// Checks a final answer to a client.
     pub(super) fn on_final_answer(&mut self, at: i64, id: &str, end: CallEnd) {
         let excused = self.calls.get(id).is_some_and(|call| self.was_paused(call));
         let Some(call) = self.calls.get_mut(id) else {
-            let reason = "an answer to a call that was never started";
+            let reason = "an answer to an unknown call";
             return self.violation(1, at, id, reason);
         };
         call.final_answers += 1;
@@ -100,7 +100,7 @@
         }
         if at > call.due + self.rules.clock_tolerance && call.end == CallEnd::Open && !excused {
             let late = at - call.due;
-            let reason = format!("its final answer comes {late} us after its client's timeout");
+            let reason = format!("final answer {late} us after the client's timeout");
             violations.push((1, reason));
         }
         if end == CallEnd::Refused
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Calls without a final answer in their client's time, when the recording ends.
+    /// Calls that have no final answer although their timeout passed before the end of the recording.
     pub(super) fn unanswered(&self, end: i64) -> Vec<Violation> {
         let overdue = |call: &Call| {
             call.end == CallEnd::Open
@@ -129,7 +129,7 @@
                 rule: 1,
                 at: call.due,
                 subject: id.clone(),
-                reason: "no final answer within its client's timeout".to_string(),
+                reason: "no final answer within the client's timeout".to_string(),
             })
             .collect()
     }
--- a/standins/audit/src/auditor/attempts.rs
+++ b/standins/audit/src/auditor/attempts.rs
@@ -1,5 +1,5 @@
-//! What is sent to workers: one attempt at a time (rule 0), repeats only where harmless (rule 2), nothing new to a worker
-//! after its drain grace (rule 3).
+//! Rules for requests to workers: one attempt of a call at a time (rule 0), retries only where they are harmless (rule 2),
+//! no new requests to a draining worker after the grace period (rule 3).
 
 use super::calls::{integer_parameter, Attempt, Call, Stream};
 use super::Auditor;
@@ -10,7 +10,7 @@
 use tansy_inference::inference as pb;
 
 impl Auditor<'_> {
-    /// An attempt or a load request has left for a worker.
+    /// Checks an attempt or a load request to a worker.
     pub(super) fn on_worker_request(
         &mut self,
         at: i64,
@@ -75,7 +75,7 @@
     fn on_attempt(&mut self, id: String, attempt: Attempt, stream: &mut Stream) {
         let at = attempt.sent_at;
         let Some(call) = self.calls.get_mut(&id) else {
-            let reason = "an attempt of a call that no client has started";
+            let reason = "an attempt of an unknown call";
             return self.violation(1, at, id, reason);
         };
         let mut violations: Vec<(u8, &str)> = Vec::new();
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A stream has ended: an attempt is over, or a client has left. `never_ran`: the worker promises that it did nothing.
+    /// Ends the attempts or calls of a stream. `never_ran`: the worker guarantees that it did not run the attempt.
     pub(super) fn on_stream_end(&mut self, at: i64, link: Link, stream: &Stream, never_ran: bool) {
         for id in &stream.call_ids {
             let Some(call) = self.calls.get_mut(id) else {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Whether the worker has begun to answer on the stream.
+    /// Whether the worker has started a response on the stream.
     pub(super) fn has_response(&self, stream: &Stream) -> bool {
         let calls = stream.call_ids.iter().filter_map(|id| self.calls.get(id));
         calls
@@ -126,7 +126,7 @@
             .any(|attempt| attempt.has_response)
     }
 
-    /// The worker has begun to answer on the stream.
+    /// Records that the worker has started a response on the stream.
     pub(super) fn mark_response(&mut self, stream: &Stream) {
         for id in &stream.call_ids {
             let call = self.calls.get_mut(id);
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Rule 0. The relay reads two connections in no order of its own, so ends and beginnings are compared at the end.
+    /// Rule 0: attempts that were sent while an earlier one was open. Checked on the complete recording, because the order of
+    /// entries of different connections is not reliable.
     pub(super) fn overlapping_attempts(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
         for (id, call) in &self.calls {
@@ -162,13 +163,13 @@
     }
 }
 
-/// Why a further attempt now may do harm, if it may.
+/// The reason why another attempt at this time may be harmful, or `None` if it is harmless.
 fn harmful_repeat(call: &Call, effect: Effect, at: i64) -> Option<&'static str> {
     let first_run = call.attempts.iter().find(|attempt| !attempt.never_ran)?;
     match effect {
-        Effect::Unsafe => Some("a further attempt of an unsafe call that may have run"),
+        Effect::Unsafe => Some("retry of an unsafe call that may have run"),
         Effect::Keyed(window) if at > first_run.sent_at + window => {
-            Some("a further attempt of a keyed call after its window")
+            Some("retry of a keyed call after its deduplication window")
         }
         _ => None,
     }
--- a/standins/audit/src/auditor/calls.rs
+++ b/standins/audit/src/auditor/calls.rs
@@ -1,4 +1,4 @@
-//! What the auditor keeps of connections, streams, calls and attempts, and how it reads their fields.
+//! The auditor's records of connections, streams, calls and attempts, and parsers for their fields.
 
 use crate::record::Link;
 use crate::report::{CallEnd, CallHistory};
@@ -13,20 +13,22 @@
     pub worker: usize,
     pub sent_at: i64,
     pub ended_at: Option<i64>,
-    /// Whether the worker is known not to have run it.
+    /// Whether the worker is known not to have run the attempt.
     pub never_ran: bool,
-    /// Whether any response headers or messages came.
+    /// Whether response headers or messages arrived.
     pub has_response: bool,
+    /// The requested work, microseconds.
     pub work: i64,
+    /// The timeout passed to the worker, microseconds.
     pub timeout: Option<i64>,
 }
 
-/// One call as its client sees it, with its attempts.
+/// A call as seen by its client, with its attempts.
 pub(super) struct Call {
     pub front: usize,
     pub at: i64,
     pub function: String,
-    /// When its client's time is over.
+    /// When the client's timeout expires.
     pub due: i64,
     pub end: CallEnd,
     pub ended_at: Option<i64>,
@@ -35,7 +37,7 @@
 }
 
 impl Call {
-    /// Ends it, if it hasn't ended yet.
+    /// Ends the call, unless it has ended before.
     pub fn finish(&mut self, end: CallEnd, at: i64) {
         if self.end == CallEnd::Open {
             self.end = end;
@@ -43,17 +45,17 @@
         }
     }
 
-    /// The last attempt that was sent on a stream which began then.
+    /// The last attempt that was sent at or after `began`, the start of a stream.
     pub fn last_attempt_since(&self, began: i64) -> Option<&Attempt> {
         self.attempts.iter().rfind(|a| a.sent_at >= began)
     }
 
-    /// The same, to be changed.
+    /// Mutable variant of [`Call::last_attempt_since`].
     pub fn last_attempt_since_mut(&mut self, began: i64) -> Option<&mut Attempt> {
         self.attempts.iter_mut().rfind(|a| a.sent_at >= began)
     }
 
-    /// Its history under that id.
+    /// The call's history, as call `id`.
     pub fn history(&self, id: &str) -> CallHistory {
         let attempts = self.attempts.iter();
         CallHistory {
@@ -72,10 +74,11 @@
 /// One HTTP/2 stream of a connection.
 #[derive(Default)]
 pub(super) struct Stream {
-    /// The method's name, without its service.
+    /// The method's name without the service.
     pub method: String,
+    /// The value of `grpc-timeout`, microseconds.
     pub timeout: Option<i64>,
-    /// The calls that were sent on it.
+    /// The ids of the calls that were sent on the stream.
     pub call_ids: Vec<String>,
     pub answered: bool,
     pub began: i64,
@@ -83,25 +86,25 @@
 }
 
 impl Stream {
-    /// Whether it carries calls.
+    /// Whether the stream's method carries calls.
     pub fn is_inference(&self) -> bool {
         self.method == "ModelInfer" || self.method == "ModelStreamInfer"
     }
 }
 
-/// One connection through the relay.
+/// A connection through the proxy.
 pub(super) struct Connection {
     pub link: Link,
     pub opened: i64,
-    /// From the side that connected.
+    /// Decoder for the direction from the side that connected.
     pub upstream: Direction,
-    /// To the side that connected.
+    /// Decoder for the direction to the side that connected.
     pub downstream: Direction,
     pub streams: BTreeMap<u32, Stream>,
 }
 
 impl Connection {
-    /// A connection that has just been made.
+    /// Creates the record of a connection opened at `opened`.
     pub fn new(link: Link, opened: i64) -> Connection {
         Connection {
             link,
@@ -113,7 +116,7 @@
     }
 }
 
-/// A parameter's whole number.
+/// The value of an integer parameter.
 pub(super) fn integer_parameter(parameter: Option<&pb::InferParameter>) -> Option<i64> {
     use pb::infer_parameter::ParameterChoice::{Int64Param, Uint64Param};
     match parameter?.parameter_choice.as_ref()? {
@@ -123,7 +126,7 @@
     }
 }
 
-/// A `grpc-timeout` header in microseconds.
+/// Parses a `grpc-timeout` header to microseconds.
 pub(super) fn parse_timeout(text: &str) -> Option<i64> {
     let (digits, unit) = text.split_at(text.len().checked_sub(1)?);
     let count: i64 = digits.parse().ok()?;
@@ -138,7 +141,7 @@
     })
 }
 
-/// The first header of that name.
+/// The value of the first header called `name`.
 pub(super) fn header<'a>(fields: &'a [(String, String)], name: &str) -> Option<&'a str> {
     fields
         .iter()
--- a/standins/audit/src/auditor/load_budget.rs
+++ b/standins/audit/src/auditor/load_budget.rs
@@ -1,11 +1,11 @@
-//! Rule 5: a front end sends load requests only in proportion to the calls it accepted.
+//! Rule 5: a front end sends load requests in proportion to the calls it accepted.
 
 use super::Auditor;
 use crate::report::Violation;
 use crate::rules::LoadBudget;
 
 impl Auditor<'_> {
-    /// Load requests against calls accepted, by front end, in every window that ends with a load request.
+    /// Load requests that exceed the front end's budget in the period before them.
     pub(super) fn excess_load_requests(&self) -> Vec<Violation> {
         let Some(LoadBudget {
             free,
@@ -17,18 +17,20 @@
         };
         let mut violations = Vec::new();
         for (index, (at, front)) in self.load_requests.iter().enumerate() {
-            let born = self.last_kill(*front, *at);
-            // Decided in two windows, they may leave within one: what is sure to be of one window is counted.
+            let process_start = self.last_kill(*front, *at);
+            // Sending may be delayed while a connection is made, so only requests that were surely decided within the period count.
             let surely_within = |time: i64| {
-                time >= born && time <= *at && at - time < period - self.rules.connect_time
+                time >= process_start && time <= *at && at - time < period - self.rules.connect_time
             };
             let requests = self.load_requests[..=index]
                 .iter()
                 .filter(|(time, by)| by == front && surely_within(*time))
                 .count();
-            // A call that came just before the window's edge at the relay may have come just after it at the front end.
+            // Calls near the start of the period count, because the front end may have received them later than the proxy.
             let maybe_within = |time: i64| {
-                time >= born && time <= *at && at - time < period + self.rules.clock_tolerance
+                time >= process_start
+                    && time <= *at
+                    && at - time < period + self.rules.clock_tolerance
             };
             let accepted = self
                 .calls
@@ -47,7 +49,7 @@
         violations
     }
 
-    /// When the front end was last killed, up to then: it came back as another, with an empty budget.
+    /// When the front end was last killed up to `until`, or 0. A restarted process begins with a new budget.
     fn last_kill(&self, front: usize, until: i64) -> i64 {
         let kills = self.kills.iter();
         kills
--- a/standins/audit/src/auditor/mod.rs
+++ b/standins/audit/src/auditor/mod.rs
@@ -1,7 +1,8 @@
-//! Streams to calls and attempts, and the rules checked on them.
+//! Reconstructs calls and attempts from stream events, and checks the rules on them.
 //!
-//! `Auditor` reads entries one by one. Its parts: `streams` (frames to events of a call), `answers` (rule 1, what a client
-//! gets), `attempts` (rules 0, 2 and 3, what a worker is sent), `cold_start` (rule 4) and `load_budget` (rule 5).
+//! `Auditor` processes the entries in order. Module `streams` maps stream events to calls and attempts. The rules are in
+//! `answers` (rule 1, final answers to clients), `attempts` (rules 0, 2 and 3, requests to workers), `cold_start` (rule 4)
+//! and `load_budget` (rule 5).
 
 mod answers;
 mod attempts;
@@ -21,7 +22,7 @@
     audit_with_history(entries, rules).0
 }
 
-/// Audits a recording, and gives the history of each call, in the order in which they came.
+/// Audits a recording, and also returns the history of each call, ordered by arrival.
 pub fn audit_with_history(entries: &[Entry], rules: &Rules) -> (Audit, Vec<CallHistory>) {
     let mut auditor = Auditor::new(rules);
     for entry in entries {
@@ -34,11 +35,11 @@
     (auditor.conclude(end), histories)
 }
 
-/// While a front end's process did nothing.
+/// A period in which a front end's process was stopped.
 struct Pause {
     front: usize,
     from: i64,
-    /// When it was resumed or killed.
+    /// When the process was resumed or killed; `None` while it is stopped.
     to: Option<i64>,
 }
 
@@ -47,13 +48,13 @@
     rules: &'a Rules,
     connections: BTreeMap<u64, Connection>,
     calls: BTreeMap<String, Call>,
-    /// By front end and worker: since when the front end's list says that the worker drains.
+    /// When a front end's list began to show a worker as draining, by front end and worker.
     draining: BTreeMap<(usize, usize), i64>,
-    /// When workers started.
+    /// Start times with the worker.
     starts: Vec<(i64, usize)>,
-    /// When front ends sent load requests.
+    /// Times of load requests with the front end that sent them.
     load_requests: Vec<(i64, usize)>,
-    /// When front ends were killed.
+    /// Times at which front ends were killed, with the front end.
     kills: Vec<(i64, usize)>,
     pauses: Vec<Pause>,
     report: Audit,
@@ -117,7 +118,7 @@
                 4,
                 at,
                 format!("worker {worker}"),
-                "failed under overload: sent more than a cold worker can do",
+                "failed under overload: sent more work than a cold worker can serve",
             ),
             Mark::Killed { front } => self.on_killed(at, front),
             Mark::Stopped { front } => self.pauses.push(Pause {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Whether its front end's process was stopped in the call's time: it can't have met the deadline.
+    /// Whether the front end's process was stopped between the call's arrival and its deadline, which excuses a late answer.
     fn was_paused(&self, call: &Call) -> bool {
         self.pauses.iter().any(|pause| {
             pause.front == call.front
@@ -154,7 +155,7 @@
         })
     }
 
-    /// Checks what only the whole recording shows. `end` is its last entry's time.
+    /// Runs the checks that need the complete recording, and returns the result. `end` is the time of the last entry.
     fn conclude(mut self, end: i64) -> Audit {
         for call in self.calls.values() {
             *self.report.ends.entry(call.end).or_default() += 1;
--- a/standins/audit/src/auditor/streams.rs
+++ b/standins/audit/src/auditor/streams.rs
@@ -1,4 +1,4 @@
-//! From bytes and stream events to the events of calls and attempts.
+//! Maps the bytes and stream events of connections to events of calls and attempts.
 
 use super::calls::{header, parse_timeout, Stream};
 use super::Auditor;
@@ -6,7 +6,7 @@
 use crate::report::CallEnd;
 use crate::wire::StreamEvent;
 
-/// HTTP/2's REFUSED_STREAM: the peer promises that it did nothing with the stream.
+/// The HTTP/2 error code REFUSED_STREAM: the peer did not process the stream.
 const REFUSED_STREAM: u32 = 7;
 
 impl Auditor<'_> {
@@ -28,13 +28,13 @@
         }
     }
 
-    /// A connection has ended: `by` the side that connected, the other, or (none) the relay.
+    /// Ends the open streams of a closed connection. `by` is as in [`Event::Close`](crate::record::Event::Close).
     pub(super) fn on_close(&mut self, at: i64, id: u64, by: Option<bool>) {
         let Some(connection) = self.connections.remove(&id) else {
             return;
         };
         if matches!(connection.link, Link::Client { .. }) && by != Some(true) {
-            // A front end that drops its clients still owes them their answers.
+            // A front end that closes a client's connection must still answer its calls, so they stay open.
             return;
         }
         for stream in connection.streams.values().filter(|s| !s.closed) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The peer took no stream above `last`.
+    /// Ends the streams above `last`, which the peer did not process.
     fn on_goaway(&mut self, at: i64, id: u64, last: u32) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Something came from the side that connected.
+    /// Processes a stream event from the side that connected.
     fn on_request(&mut self, at: i64, id: u64, number: u32, event: StreamEvent) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -89,10 +89,10 @@
             }
             _ => {}
         }
-        self.put_back(id, number, stream);
+        self.restore_stream(id, number, stream);
     }
 
-    /// Something came from the side that was connected to.
+    /// Processes a stream event from the side that accepted the connection.
     fn on_response(&mut self, at: i64, id: u64, number: u32, event: StreamEvent) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -119,16 +119,17 @@
             }
             _ => {}
         }
-        self.put_back(id, number, stream);
+        self.restore_stream(id, number, stream);
     }
 
-    fn put_back(&mut self, id: u64, number: u32, stream: Stream) {
+    /// Stores a stream that was taken out of its connection while its event was processed.
+    fn restore_stream(&mut self, id: u64, number: u32, stream: Stream) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.streams.insert(number, stream);
         }
     }
 
-    /// Headers or trailers have reached a client; a status ends a call that isn't streamed.
+    /// Processes headers or trailers to a client; a status ends a unary call.
     fn on_client_headers(&mut self, at: i64, stream: &mut Stream, fields: &[(String, String)]) {
         let Some(status) = header(fields, "grpc-status").filter(|_| stream.method == "ModelInfer")
         else {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Headers or trailers came from a worker; a status ends the attempt.
+    /// Processes headers or trailers from a worker; a status ends the attempt.
     fn on_worker_headers(
         &mut self,
         at: i64,
