--- a/standins/audit/src/contradictions.rs
+++ b/standins/audit/src/contradictions.rs
@@ -1,63 +1,67 @@
-//! Whether two front ends acted on contradicting settings, from what passed on the sockets.
+//! Detects front ends that acted on contradicting settings at the same time.
 //!
-//! Two functions are observed. Of one, versions name one of two classes in turn (a strict field), whose deadlines differ:
-//! the timeout that a worker is given with a call's first attempt shows by which class the front end took the call. Of the
-//! other, the class's effect is safe and unsafe in turn (a joint field), and workers lose every answer: a second attempt
-//! after one that may have run shows that the front end took the call as safe.
+//! Versions of the settings differ for two observed functions, whose calls show which version a front end applied:
 //!
-//! A front end decides on a call between its arrival and its first attempt. Of the old settings the arrival is taken, of
-//! the new ones the attempt, so that what is measured is the least time for which both were acted on. While a process is
-//! stopped it decides nothing: what arrived then was decided after it was resumed.
+//! - The class of the first function changes (a strict field) between two classes with different deadlines. The timeout
+//!   passed to the worker with a call's first attempt shows the class.
+//! - The class of the second function changes its effect between safe and unsafe (a joint field), and workers lose all its
+//!   answers. A second attempt after one that may have run shows that the call was treated as safe.
+//!
+//! A front end applies its settings to a call between the call's arrival and the first attempt. The arrival is used for
+//! calls under the old settings and the first attempt for calls under the new ones, so that the result is a lower bound
+//! of the overlap. A stopped process handles calls that arrive meanwhile after it is resumed.
 
 use crate::record::{Entry, Event, Mark};
 use crate::report::{CallEnd, CallHistory};
 use std::collections::BTreeMap;
 
-/// What a version of the settings claims of the two observed functions.
+/// The settings of the two observed functions in a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservedSettings {
-    /// The deadline of the first function's class, microseconds.
+    /// The deadline of the class of [`Observations::class_function`], microseconds.
     pub deadline: i64,
-    /// Calls of the second may be repeated.
+    /// Whether calls of [`Observations::lost_answers_function`] are safe to retry.
     pub safe: bool,
 }
 
-/// The observed functions, and what versions claim of them.
+/// The observed functions, and their settings in each version.
 #[derive(Clone, Debug)]
 pub struct Observations {
     /// The function whose class changes.
     pub class_function: String,
     /// The function whose answers are lost.
     pub lost_answers_function: String,
-    /// By version.
+    /// The observed settings of each version.
     pub settings_by_version: BTreeMap<u64, ObservedSettings>,
-    /// A timeout as a worker is given it is less than the class's deadline by at most this part.
+    /// The timeout passed to a worker is shorter than the class's deadline by at most this fraction.
     pub timeout_margin: f64,
 }
 
-/// How long front ends contradicted each other.
+/// How long front ends acted on contradicting settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Contradictions {
-    /// Calls of the observed functions that showed which settings were acted on.
+    /// Calls of the observed functions that showed which settings were applied.
     pub observed_calls: usize,
-    /// Longest time for which two front ends acted on a strict field's two values, microseconds; 0: never.
+    /// Longest time for which two front ends applied different values of a strict field, microseconds; 0 if they never did.
     pub longest_strict: i64,
-    /// Longest time after a stricter value was in force at which a front end took a call by the looser one; 0: never.
+    /// Longest time after a stricter value of a joint field was in force at which a front end still applied the looser one,
+    /// microseconds; 0 if none did.
     pub longest_joint: i64,
-    /// In words, where either is above zero.
+    /// A description of each contradiction.
     pub descriptions: Vec<String>,
 }
 
-/// What the marks say of versions and of stopped processes.
+/// Proposals and pauses, from the marks of a recording.
 #[derive(Default)]
 struct Timeline {
-    /// Versions in the order of their proposals, and when.
+    /// Versions and the times of their proposals, in order.
     proposed: Vec<(u64, i64)>,
+    /// When each version came into force.
     in_force: BTreeMap<u64, i64>,
     pauses: Vec<Pause>,
 }
 
-/// While a front end's process did nothing.
+/// A period in which a front end's process was stopped.
 struct Pause {
     front: usize,
     from: i64,
@@ -92,8 +96,8 @@
         timeline
     }
 
-    /// The earliest time at which the front end can have decided on a call.
-    fn decided_from(&self, call: &CallHistory) -> i64 {
+    /// The earliest time at which the front end can have handled a call.
+    fn earliest_decision(&self, call: &CallHistory) -> i64 {
         let pause = self
             .pauses
             .iter()
@@ -102,23 +106,23 @@
     }
 }
 
-/// A call that shows by which deadline its front end took it.
+/// A call that shows which deadline its front end applied.
 struct StrictEvidence<'a> {
-    decided_from: i64,
+    earliest_decision: i64,
     sent_at: i64,
     front: usize,
     deadline: i64,
     id: &'a str,
 }
 
-/// A call that shows that its front end took it as safe.
+/// A call that shows that its front end treated it as safe.
 struct LooseEvidence<'a> {
-    decided_from: i64,
+    earliest_decision: i64,
     front: usize,
     id: &'a str,
 }
 
-/// What the observed functions' calls show.
+/// The calls of the observed functions that show which settings were applied.
 #[derive(Default)]
 struct Evidence<'a> {
     strict: Vec<StrictEvidence<'a>>,
@@ -137,13 +141,13 @@
             let Some((sent_at, timeout, _)) = call.attempts.first().copied() else {
                 continue;
             };
-            let decided_from = timeline.decided_from(call);
+            let earliest_decision = timeline.earliest_decision(call);
             if call.function == observations.class_function {
                 let deadline = observations.deadline_of(timeout.unwrap_or(0));
                 evidence
                     .strict
                     .extend(deadline.map(|deadline| StrictEvidence {
-                        decided_from,
+                        earliest_decision,
                         sent_at,
                         front: call.front,
                         deadline,
@@ -153,7 +157,7 @@
                 let may_have_run = call.attempts.iter().filter(|a| !a.2).count();
                 if may_have_run > 1 {
                     evidence.loose.push(LooseEvidence {
-                        decided_from,
+                        earliest_decision,
                         front: call.front,
                         id: &call.id,
                     });
@@ -166,7 +170,7 @@
         evidence
     }
 
-    /// Calls by that deadline, decided in the window.
+    /// Calls under `deadline` that were handled in the window.
     fn by_deadline(
         &self,
         deadline: i64,
@@ -174,34 +178,36 @@
         to: i64,
     ) -> impl Iterator<Item = &StrictEvidence<'a>> {
         self.strict.iter().filter(move |call| {
-            call.deadline == deadline && call.decided_from >= from && call.decided_from < to
+            call.deadline == deadline
+                && call.earliest_decision >= from
+                && call.earliest_decision < to
         })
     }
 }
 
 impl Observations {
-    /// The deadline that a worker's timeout comes from.
+    /// The deadline that a worker's timeout was derived from.
     fn deadline_of(&self, timeout: i64) -> Option<i64> {
         let timeout = timeout as f64;
-        let fits = |claim: &&ObservedSettings| {
-            let deadline = claim.deadline as f64;
+        let matches_timeout = |settings: &&ObservedSettings| {
+            let deadline = settings.deadline as f64;
             timeout <= deadline && timeout > deadline * (1.0 - self.timeout_margin)
         };
         self.settings_by_version
             .values()
-            .find(fits)
-            .map(|claim| claim.deadline)
+            .find(matches_timeout)
+            .map(|settings| settings.deadline)
     }
 }
 
-/// A proposed version, until the next proposal.
+/// A proposed version, and the time from its proposal to the next one.
 struct Proposal {
     version: u64,
     from: i64,
     to: i64,
 }
 
-/// Compares the observed functions' calls with the versions' claims. The fleet begins with version 1.
+/// Finds contradictions between the calls of different front ends. The fleet starts with version 1.
 pub fn find_contradictions(
     entries: &[Entry],
     calls: &[CallHistory],
@@ -215,9 +221,9 @@
     };
     let starts = timeline.proposed.iter().copied();
     let ends = starts.clone().skip(1).map(|next| next.1).chain([i64::MAX]);
-    let mut before = 1;
+    let mut previous = 1;
     for ((version, from), to) in starts.zip(ends) {
-        let old = observations.settings_by_version.get(&before);
+        let old = observations.settings_by_version.get(&previous);
         let (Some(old), Some(new)) = (old, observations.settings_by_version.get(&version)) else {
             continue;
         };
@@ -230,14 +236,14 @@
             if !new.safe {
                 contradictions.add_joint(&evidence, &proposal, in_force);
             }
-            before = version;
+            previous = version;
         }
     }
     contradictions
 }
 
 impl Contradictions {
-    /// A front end took a call by the old deadline after another had taken one by the new.
+    /// Adds the time for which a front end still applied the old deadline after another had applied the new one.
     fn add_strict(
         &mut self,
         evidence: &Evidence<'_>,
@@ -245,49 +251,52 @@
         old: &ObservedSettings,
         new: &ObservedSettings,
     ) {
-        let by = |deadline| evidence.by_deadline(deadline, proposal.from, proposal.to);
-        let Some(first_new) = by(new.deadline).min_by_key(|call| call.sent_at) else {
+        let calls_under = |deadline| evidence.by_deadline(deadline, proposal.from, proposal.to);
+        let Some(first_new) = calls_under(new.deadline).min_by_key(|call| call.sent_at) else {
             return;
         };
-        let last_old = by(old.deadline)
+        let last_old = calls_under(old.deadline)
             .filter(|call| call.front != first_new.front)
-            .max_by_key(|call| call.decided_from);
-        let Some(last_old) = last_old.filter(|call| call.decided_from > first_new.sent_at) else {
+            .max_by_key(|call| call.earliest_decision);
+        let Some(last_old) = last_old.filter(|call| call.earliest_decision > first_new.sent_at)
+        else {
             return;
         };
         self.longest_strict = self
             .longest_strict
-            .max(last_old.decided_from - first_new.sent_at);
+            .max(last_old.earliest_decision - first_new.sent_at);
         self.descriptions.push(format!(
-            "version {}: front end {} admitted {} under it at {:.3} s, front end {} admitted {} under the one before at {:.3} s",
+            "version {}: front end {} admitted {} under it at {:.3} s, front end {} admitted {} under the previous version at {:.3} s",
             proposal.version,
             first_new.front,
             first_new.id,
             first_new.sent_at as f64 / 1e6,
             last_old.front,
             last_old.id,
-            last_old.decided_from as f64 / 1e6
+            last_old.earliest_decision as f64 / 1e6
         ));
     }
 
-    /// A front end took a call as safe after a version that says otherwise was in force.
+    /// Adds the time for which a front end still treated calls as safe after a version that makes them unsafe was in force.
     fn add_joint(&mut self, evidence: &Evidence<'_>, proposal: &Proposal, in_force: i64) {
         let late = evidence
             .loose
             .iter()
-            .filter(|call| call.decided_from > in_force && call.decided_from < proposal.to)
-            .max_by_key(|call| call.decided_from);
+            .filter(|call| {
+                call.earliest_decision > in_force && call.earliest_decision < proposal.to
+            })
+            .max_by_key(|call| call.earliest_decision);
         let Some(late) = late else {
             return;
         };
-        self.longest_joint = self.longest_joint.max(late.decided_from - in_force);
+        self.longest_joint = self.longest_joint.max(late.earliest_decision - in_force);
         self.descriptions.push(format!(
-            "version {} is in force at {:.3} s: front end {} admitted {} as safe at {:.3} s",
+            "version {} was in force at {:.3} s, front end {} admitted {} as safe at {:.3} s",
             proposal.version,
             in_force as f64 / 1e6,
             late.front,
             late.id,
-            late.decided_from as f64 / 1e6
+            late.earliest_decision as f64 / 1e6
         ));
     }
 }
--- a/standins/audit/tests/violations.rs
+++ b/standins/audit/tests/violations.rs
@@ -1,4 +1,4 @@
-//! Recordings with one violation each, and the same recordings without it.
+//! Each rule on a recording that violates it and on a similar one that doesn't.
 
 use prost::Message;
 use std::collections::BTreeMap;
@@ -39,14 +39,15 @@
     }
 }
 
-/// A recording that is written as it goes.
+/// Builds a recording; entries get the current time `at`.
 #[derive(Default)]
 struct Recording {
     entries: Vec<Entry>,
     at: i64,
 }
 
-fn literal(name: &str, value: &str) -> Vec<u8> {
+/// A literal HPACK header field without indexing.
+fn header_field(name: &str, value: &str) -> Vec<u8> {
     let text = |t: &str| [&[t.len() as u8][..], t.as_bytes()].concat();
     [vec![0], text(name), text(value)].concat()
 }
@@ -80,19 +81,22 @@
             Event::Bytes(true, b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_vec()),
         );
     }
-    fn up(&mut self, connection: u64, bytes: Vec<u8>) {
+    /// Bytes from the side that connected.
+    fn from_connecting_side(&mut self, connection: u64, bytes: Vec<u8>) {
         self.write(connection, Event::Bytes(true, bytes));
     }
-    fn down(&mut self, connection: u64, bytes: Vec<u8>) {
+    /// Bytes to the side that connected.
+    fn to_connecting_side(&mut self, connection: u64, bytes: Vec<u8>) {
         self.write(connection, Event::Bytes(false, bytes));
     }
-    fn ask(&mut self, connection: u64, stream: u32, method: &str, body: &[u8]) {
-        let block = literal(
+    /// A unary request.
+    fn request(&mut self, connection: u64, stream: u32, method: &str, body: &[u8]) {
+        let block = header_field(
             ":path",
             &format!("/inference.GRPCInferenceService/{method}"),
         );
-        self.up(connection, frame(1, 4, stream, &block));
-        self.up(connection, frame(0, 1, stream, &message(body)));
+        self.from_connecting_side(connection, frame(1, 4, stream, &block));
+        self.from_connecting_side(connection, frame(0, 1, stream, &message(body)));
     }
     fn infer(&mut self, connection: u64, stream: u32, function: &str, id: &str, work_ms: i64) {
         use pb::infer_parameter::ParameterChoice::Int64Param;
@@ -105,25 +109,28 @@
             parameters: BTreeMap::from([("work_ms".to_string(), work)]),
             ..Default::default()
         };
-        self.ask(connection, stream, "ModelInfer", &request.encode_to_vec());
+        self.request(connection, stream, "ModelInfer", &request.encode_to_vec());
     }
     fn status(&mut self, connection: u64, stream: u32, fields: &[(&str, &str)]) {
-        let block: Vec<u8> = fields.iter().flat_map(|(k, v)| literal(k, v)).collect();
-        self.down(connection, frame(1, 5, stream, &block));
+        let block: Vec<u8> = fields
+            .iter()
+            .flat_map(|(k, v)| header_field(k, v))
+            .collect();
+        self.to_connecting_side(connection, frame(1, 5, stream, &block));
     }
     fn load(&mut self, connection: u64, stream: u32) {
         let request = pb::RepositoryModelLoadRequest {
             model_name: "read".into(),
             ..Default::default()
         };
-        self.ask(
+        self.request(
             connection,
             stream,
             "RepositoryModelLoad",
             &request.encode_to_vec(),
         );
     }
-    /// A client's connection (1) and two workers' (2, 3), all of front end 0.
+    /// A client's connection (1) and connections to two workers (2, 3), all of front end 0.
     fn start() -> Recording {
         let mut recording = Recording::default();
         recording.open(1, Link::Client { front: 0 });
@@ -143,7 +150,7 @@
         );
         recording
     }
-    /// The rules that are violated.
+    /// The numbers of the violated rules.
     fn violated(&self) -> Vec<u8> {
         audit(&self.entries, &rules())
             .violations
@@ -157,7 +164,7 @@
 const REFUSED: &[(&str, &str)] = &[("grpc-status", "14")];
 
 #[test]
-fn a_call_served_violates_nothing() {
+fn a_served_call_violates_no_rule() {
     let mut recording = Recording::start();
     recording.infer(1, 1, "post", "a", 1);
     recording.infer(2, 1, "post", "a", 1);
@@ -177,7 +184,7 @@
 }
 
 #[test]
-fn rule_1_late_twice_never_and_after_the_end() {
+fn rule_1_final_answer_is_late_or_missing_or_followed_by_an_attempt() {
     for (late, violated) in [(1_900_000, vec![]), (2_100_000, vec![1])] {
         let mut recording = Recording::start();
         recording.infer(1, 1, "read", "a", 1);
@@ -190,7 +197,7 @@
     never.at = 3_000_000;
     never.write(0, Event::Mark(Mark::Started { worker: 5 }));
     assert_eq!(never.violated(), [1]);
-    // A front end that drops its client's connection still owes the answer; one that was killed does not.
+    // A front end that closes its client's connection must still answer; a killed one need not.
     let mut dropped = Recording::start();
     dropped.infer(1, 1, "read", "a", 1);
     dropped.write(1, Event::Close(Some(false)));
@@ -213,8 +220,8 @@
 }
 
 #[test]
-fn rule_2_again_only_if_it_never_ran() {
-    let again = |function: &str, first: &dyn Fn(&mut Recording), gap: i64| {
+fn rule_2_retries_only_of_calls_that_are_safe_to_repeat() {
+    let retry = |function: &str, first: &dyn Fn(&mut Recording), gap: i64| {
         let mut recording = Recording::start();
         recording.infer(1, 1, function, "a", 1);
         recording.infer(2, 1, function, "a", 1);
@@ -228,33 +235,35 @@
         recording.violated()
     };
     let reset = |code: u32| {
-        move |recording: &mut Recording| recording.down(2, frame(3, 0, 1, &code.to_be_bytes()))
+        move |recording: &mut Recording| {
+            recording.to_connecting_side(2, frame(3, 0, 1, &code.to_be_bytes()))
+        }
     };
     let cut = |recording: &mut Recording| recording.write(2, Event::Close(Some(false)));
     let goaway = |last: u32| {
         move |recording: &mut Recording| {
-            recording.down(
+            recording.to_connecting_side(
                 2,
                 frame(7, 0, 0, &[last.to_be_bytes(), 0u32.to_be_bytes()].concat()),
             )
         }
     };
-    let promise = |recording: &mut Recording| {
+    let never_ran = |recording: &mut Recording| {
         recording.status(
             2,
             1,
             &[("grpc-status", "14"), ("tansy-never-ran", "not-loaded")],
         )
     };
-    assert_eq!(again("post", &reset(7), 1000), [0u8; 0]);
-    assert_eq!(again("post", &goaway(0), 1000), [0u8; 0]);
-    assert_eq!(again("post", &promise, 1000), [0u8; 0]);
-    assert_eq!(again("post", &reset(2), 1000), [2]);
-    assert_eq!(again("post", &cut, 1000), [2]);
-    assert_eq!(again("read", &cut, 1000), [0u8; 0]);
-    assert_eq!(again("book", &cut, 1000), [0u8; 0]);
-    assert_eq!(again("book", &cut, 1_200_000), [2]);
-    // A refusal says that a repeat is harmless.
+    assert_eq!(retry("post", &reset(7), 1000), [0u8; 0]);
+    assert_eq!(retry("post", &goaway(0), 1000), [0u8; 0]);
+    assert_eq!(retry("post", &never_ran, 1000), [0u8; 0]);
+    assert_eq!(retry("post", &reset(2), 1000), [2]);
+    assert_eq!(retry("post", &cut, 1000), [2]);
+    assert_eq!(retry("read", &cut, 1000), [0u8; 0]);
+    assert_eq!(retry("book", &cut, 1000), [0u8; 0]);
+    assert_eq!(retry("book", &cut, 1_200_000), [2]);
+    // A refusal allows the client to retry, so an unsafe call that may have run must not be refused.
     let mut refused = Recording::start();
     refused.infer(1, 1, "post", "a", 1);
     refused.infer(2, 1, "post", "a", 1);
@@ -264,7 +273,7 @@
 }
 
 #[test]
-fn two_attempts_open_at_once() {
+fn rule_0_two_attempts_open_at_once() {
     let mut recording = Recording::start();
     recording.infer(1, 1, "read", "a", 1);
     recording.infer(2, 1, "read", "a", 1);
@@ -278,7 +287,7 @@
 }
 
 #[test]
-fn rule_3_nothing_new_after_the_grace() {
+fn rule_3_no_requests_to_a_draining_worker_after_the_grace_period() {
     for (at, violated) in [(590_000, vec![]), (620_000, vec![3, 3])] {
         let mut recording = Recording::start();
         recording.infer(1, 1, "read", "a", 1);
@@ -298,8 +307,9 @@
 }
 
 #[test]
-fn rule_4_a_cold_worker_by_all_front_ends_together() {
-    // At 1.2 s it has 0.25 + 0.75 x 0.3 of one core: 0.475 s of work a second, 0.95 s at twice that.
+fn rule_4_overload_of_a_cold_worker_by_several_front_ends() {
+    // 1.2 s into its slow start the worker has a capacity of 0.25 + 0.75 x 0.3 = 0.475 cores; it fails above twice that, 0.95 s
+    // of work per second.
     for (each, violated) in [(440, vec![]), (490, vec![4])] {
         let mut recording = Recording::start();
         recording.open(4, Link::Client { front: 1 });
@@ -323,7 +333,7 @@
 }
 
 #[test]
-fn rule_5_load_requests_against_calls_accepted() {
+fn rule_5_load_requests_exceed_the_budget_for_accepted_calls() {
     for (requests, violated) in [(2, vec![]), (3, vec![5])] {
         let mut recording = Recording::start();
         for call in 0..2 {
