--- a/standins/audit/tests/violations.rs
+++ b/standins/audit/tests/violations.rs
@@ -82,11 +82,11 @@
         );
     }
     /// Bytes from the side that connected.
-    fn from_connecting_side(&mut self, connection: u64, bytes: Vec<u8>) {
+    fn client_bytes(&mut self, connection: u64, bytes: Vec<u8>) {
         self.write(connection, Event::Bytes(true, bytes));
     }
     /// Bytes to the side that connected.
-    fn to_connecting_side(&mut self, connection: u64, bytes: Vec<u8>) {
+    fn server_bytes(&mut self, connection: u64, bytes: Vec<u8>) {
         self.write(connection, Event::Bytes(false, bytes));
     }
     /// A unary request.
@@ -95,8 +95,8 @@
             ":path",
             &format!("/inference.GRPCInferenceService/{method}"),
         );
-        self.from_connecting_side(connection, frame(1, 4, stream, &block));
-        self.from_connecting_side(connection, frame(0, 1, stream, &message(body)));
+        self.client_bytes(connection, frame(1, 4, stream, &block));
+        self.client_bytes(connection, frame(0, 1, stream, &message(body)));
     }
     fn infer(&mut self, connection: u64, stream: u32, function: &str, id: &str, work_ms: i64) {
         use pb::infer_parameter::ParameterChoice::Int64Param;
@@ -116,7 +116,7 @@
             .iter()
             .flat_map(|(k, v)| header_field(k, v))
             .collect();
-        self.to_connecting_side(connection, frame(1, 5, stream, &block));
+        self.server_bytes(connection, frame(1, 5, stream, &block));
     }
     fn load(&mut self, connection: u64, stream: u32) {
         let request = pb::RepositoryModelLoadRequest {
@@ -236,13 +236,13 @@
     };
     let reset = |code: u32| {
         move |recording: &mut Recording| {
-            recording.to_connecting_side(2, frame(3, 0, 1, &code.to_be_bytes()))
+            recording.server_bytes(2, frame(3, 0, 1, &code.to_be_bytes()))
         }
     };
     let cut = |recording: &mut Recording| recording.write(2, Event::Close(Some(false)));
     let goaway = |last: u32| {
         move |recording: &mut Recording| {
-            recording.to_connecting_side(
+            recording.server_bytes(
                 2,
                 frame(7, 0, 0, &[last.to_be_bytes(), 0u32.to_be_bytes()].concat()),
             )
