--- a/standins/relay/src/forward.rs
+++ b/standins/relay/src/forward.rs
@@ -1,22 +1,22 @@
-//! One direction of a connection through the proxy.
+//! Forwards one direction of a proxied connection.
 
 use std::task::{Context, Poll};
 use tansy_net_sockets::socket::Socket;
 
-/// Bytes read at a time.
-pub(crate) const CHUNK: usize = 64 * 1024;
-/// Bytes that are buffered at most while a connection is paused.
-const PAUSED_BUFFER: usize = 4 * 1024 * 1024;
+/// Largest number of bytes read at once, and the buffer limit while a connection isn't paused.
+pub(crate) const CHUNK_BYTES: usize = 64 * 1024;
+/// Buffer limit while a connection is paused, bytes.
+const PAUSED_BUFFER_BYTES: usize = 4 * 1024 * 1024;
 
-/// Reads from one side and writes to the other.
+/// Reads bytes from one side of a connection and writes them to the other.
 pub(crate) struct Forwarder {
-    /// Whether it reads from the side that connected.
+    /// Whether the bytes come from the side that connected.
     pub from_client: bool,
-    /// Bytes are reported when read, not when passed on.
+    /// Whether bytes are reported when they are read, rather than when they are written.
     report_at_read: bool,
     buffer: Vec<u8>,
-    /// Bytes of the buffer that are passed on.
-    sent: usize,
+    /// Number of bytes of the buffer that were written.
+    written: usize,
 }
 
 impl Forwarder {
@@ -25,11 +25,11 @@
             from_client,
             report_at_read,
             buffer: Vec::new(),
-            sent: 0,
+            written: 0,
         }
     }
 
-    /// Reads and passes on as far as it goes; some: one side has ended (`true`: the one that connected).
+    /// Forwards until neither side is ready. Returns the side that ended the connection, if any: `true` for the one that connected.
     pub fn poll(
         &mut self,
         from: &Socket,
@@ -37,39 +37,43 @@
         paused: bool,
         chunk: &mut [u8],
         cx: &Context<'_>,
-        on_passed: &mut impl FnMut(&[u8]),
+        report: &mut impl FnMut(&[u8]),
     ) -> Option<bool> {
-        let limit = if paused { PAUSED_BUFFER } else { CHUNK };
+        let limit = if paused {
+            PAUSED_BUFFER_BYTES
+        } else {
+            CHUNK_BYTES
+        };
         loop {
-            let mut moved = false;
-            if self.buffer.len() - self.sent < limit {
+            let mut progress = false;
+            if self.buffer.len() - self.written < limit {
                 match from.poll_read(cx, chunk) {
                     Poll::Ready(Ok(length)) if length > 0 => {
-                        self.buffer.drain(..std::mem::take(&mut self.sent));
+                        self.buffer.drain(..std::mem::take(&mut self.written));
                         self.buffer.extend_from_slice(&chunk[..length]);
                         if self.report_at_read {
-                            on_passed(&chunk[..length]);
+                            report(&chunk[..length]);
                         }
-                        moved = true;
+                        progress = true;
                     }
                     Poll::Ready(_) => return Some(self.from_client),
                     Poll::Pending => {}
                 }
             }
-            if !paused && self.sent < self.buffer.len() {
-                match to.poll_write(cx, &self.buffer[self.sent..]) {
+            if !paused && self.written < self.buffer.len() {
+                match to.poll_write(cx, &self.buffer[self.written..]) {
                     Poll::Ready(Ok(length)) => {
                         if !self.report_at_read {
-                            on_passed(&self.buffer[self.sent..self.sent + length]);
+                            report(&self.buffer[self.written..self.written + length]);
                         }
-                        self.sent += length;
-                        moved = true;
+                        self.written += length;
+                        progress = true;
                     }
                     Poll::Ready(Err(_)) => return Some(!self.from_client),
                     Poll::Pending => {}
                 }
             }
-            if !moved {
+            if !progress {
                 return None;
             }
         }
--- a/standins/relay/src/lib.rs
+++ b/standins/relay/src/lib.rs
@@ -1,12 +1,12 @@
-//! A fault proxy between processes: it records what passes, and cuts or pauses connections on demand.
+//! A TCP proxy for tests that records the traffic between processes, and closes or pauses connections on demand.
 //!
-//! It changes no byte. What it records is read by `tansy-audit`; it checks nothing itself.
+//! Bytes are forwarded unchanged. The recording is checked by `tansy-audit`.
 
 mod forward;
 
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction};
-use forward::{Forwarder, CHUNK};
+use forward::{Forwarder, CHUNK_BYTES};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::future::poll_fn;
@@ -19,10 +19,10 @@
 use tansy_net_sockets::socket::Socket;
 use tansy_net_sockets::Spawner;
 
-/// Where the connections of a listener go, and the faults that apply to them.
+/// The target of a listener's connections, and the faults that apply to them.
 struct Route {
     target: Cell<SocketAddr>,
-    /// Counts cuts: a connection ends when it has changed.
+    /// Number of cuts so far. A connection ends when the number changes.
     cuts: Cell<u64>,
     paused: Cell<bool>,
     wakers: RefCell<Vec<Waker>>,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Wakes a task when a fault is set or cleared.
+    /// Registers a task to be woken when a fault is set or cleared.
     fn register(&self, cx: &Context<'_>) {
         let mut wakers = self.wakers.borrow_mut();
         if !wakers.iter().any(|waker| waker.will_wake(cx.waker())) {
@@ -51,44 +51,44 @@
     }
 }
 
-/// A fault proxy with its recording.
+/// A fault proxy and its recording.
 pub struct FaultProxy {
     spawner: Spawner,
     epoch: Instant,
-    /// Connections so far.
-    connections: Cell<u64>,
+    /// Number of accepted connections.
+    accepted: Cell<u64>,
     entries: RefCell<Vec<Entry>>,
     routes: RefCell<BTreeMap<Link, Rc<Route>>>,
 }
 
 impl FaultProxy {
-    /// A proxy without routes.
+    /// Creates a proxy without routes.
     pub fn new(spawner: Spawner) -> Rc<FaultProxy> {
         Rc::new(FaultProxy {
             spawner,
             epoch: Instant::now(),
-            connections: Cell::new(0),
+            accepted: Cell::new(0),
             entries: RefCell::new(Vec::new()),
             routes: RefCell::new(BTreeMap::new()),
         })
     }
 
-    /// Microseconds since the recording began.
+    /// Time since the start of the recording, microseconds.
     pub fn now(&self) -> i64 {
         i64::try_from(self.epoch.elapsed().as_micros()).unwrap_or(i64::MAX)
     }
 
-    /// Takes out what was recorded so far.
+    /// Removes and returns the entries recorded so far.
     pub fn take_entries(&self) -> Vec<Entry> {
         std::mem::take(&mut self.entries.borrow_mut())
     }
 
-    /// Records an event that no socket shows.
+    /// Records an event that sockets don't show.
     pub fn mark(&self, mark: Mark) {
         self.record(0, Event::Mark(mark));
     }
 
-    /// Records an event that no socket shows, of a moment that has passed.
+    /// Records an earlier event that sockets don't show, at the given time of the recording.
     pub fn mark_at(&self, at: i64, mark: Mark) {
         self.entries.borrow_mut().push(Entry {
             at,
@@ -97,7 +97,7 @@
         });
     }
 
-    /// Leads connections to a new listener on to a target; gives the listener's address.
+    /// Creates a listener whose connections are forwarded to a target, and returns its address.
     pub fn route(self: &Rc<Self>, link: Link, target: SocketAddr) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         listener.set_nonblocking(true)?;
@@ -121,7 +121,7 @@
             .map_err(|error| io::Error::other(error.to_string()))
     }
 
-    /// Ends all connections of a route.
+    /// Closes all connections of a route.
     pub fn cut(&self, link: Link) {
         if let Some(route) = self.routes.borrow().get(&link) {
             route.cuts.set(route.cuts.get() + 1);
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Pauses what passes on a route, both ways, or lets it go on.
+    /// Pauses or resumes forwarding on a route in both directions.
     pub fn set_paused(&self, link: Link, paused: bool) {
         if let Some(route) = self.routes.borrow().get(&link) {
             route.paused.set(paused);
@@ -146,24 +146,24 @@
         });
     }
 
-    /// Connects to the route's target, and forwards until one side or the proxy ends the connection.
-    async fn forward(self: Rc<Self>, link: Link, route: Rc<Route>, near: TcpStream) {
-        let connection = self.connections.get() + 1;
-        self.connections.set(connection);
-        let Some((near, far)) = self.connect(&route, near) else {
+    /// Connects to the route's target, and forwards until one side or the proxy closes the connection.
+    async fn forward(self: Rc<Self>, link: Link, route: Rc<Route>, client: TcpStream) {
+        let connection = self.accepted.get() + 1;
+        self.accepted.set(connection);
+        let Some((client, server)) = self.connect(&route, client) else {
             return;
         };
         self.record(connection, Event::Open(link));
         let cuts = route.cuts.get();
-        // The audit is of what the front end did and what it could know: its end of the proxy is recorded.
-        let front_connects = matches!(link, Link::Worker { .. });
-        // What front ends write to each other is not audited, and would be most of the recording.
+        // Bytes are recorded when the front end sends or receives them, because the audit concerns what the front end did and knew.
+        let front_end_connects = matches!(link, Link::Worker { .. });
+        // Traffic between front ends is not audited, and would be most of the recording.
         let is_recorded = !matches!(link, Link::Peer { .. });
         let mut forwarders = [
-            Forwarder::new(true, front_connects),
-            Forwarder::new(false, !front_connects),
+            Forwarder::new(true, front_end_connects),
+            Forwarder::new(false, !front_end_connects),
         ];
-        let mut chunk = vec![0; CHUNK];
+        let mut chunk = vec![0; CHUNK_BYTES];
         let ended_by = poll_fn(|cx| {
             route.register(cx);
             if route.cuts.get() != cuts {
@@ -172,16 +172,16 @@
             for forwarder in &mut forwarders {
                 let from_client = forwarder.from_client;
                 let (from, to) = match from_client {
-                    true => (&near, &far),
-                    false => (&far, &near),
+                    true => (&client, &server),
+                    false => (&server, &client),
                 };
-                let mut on_passed = |bytes: &[u8]| {
+                let mut record_bytes = |bytes: &[u8]| {
                     if is_recorded {
                         self.record(connection, Event::Bytes(from_client, bytes.to_vec()));
                     }
                 };
                 let paused = route.paused.get();
-                let ended = forwarder.poll(from, to, paused, &mut chunk, cx, &mut on_passed);
+                let ended = forwarder.poll(from, to, paused, &mut chunk, cx, &mut record_bytes);
                 if ended.is_some() {
                     return Poll::Ready(ended);
                 }
@@ -192,13 +192,15 @@
         self.record(connection, Event::Close(ended_by));
     }
 
-    /// The sockets of both sides. On loopback a connection is made or refused at once.
-    fn connect(&self, route: &Route, near: TcpStream) -> Option<(Socket, Socket)> {
-        let far = TcpStream::connect(route.target.get()).ok()?;
-        let _ = near.set_nodelay(true).and_then(|()| far.set_nodelay(true));
+    /// Connects to the target, and returns the sockets of both sides. The connect blocks, which is short on loopback.
+    fn connect(&self, route: &Route, client: TcpStream) -> Option<(Socket, Socket)> {
+        let server = TcpStream::connect(route.target.get()).ok()?;
+        let _ = client
+            .set_nodelay(true)
+            .and_then(|()| server.set_nodelay(true));
         let handle = self.spawner.handle();
-        let near = Socket::new(handle, near);
-        let far = Socket::new(handle, far);
-        near.ok().zip(far.ok())
+        let client = Socket::new(handle, client);
+        let server = Socket::new(handle, server);
+        client.ok().zip(server.ok())
     }
 }
