--- a/standins/worker/src/answer.rs
+++ b/standins/worker/src/answer.rs
@@ -1,4 +1,4 @@
-//! The messages of an answer.
+//! The messages of a response to an inference call.
 
 use bytes::Bytes;
 use prost::Message;
@@ -7,7 +7,7 @@
 use tansy_inference::inference as pb;
 use tansy_inference::names;
 
-/// Every input as an output of the same name, datatype, shape and contents.
+/// The response to a request: each input as an output with the same name, datatype, shape and contents.
 pub(crate) fn echo(message: &Bytes) -> pb::ModelInferResponse {
     let request = pb::ModelInferRequest::decode(message.clone()).unwrap_or_default();
     let output = |input: pb::model_infer_request::InferInputTensor| {
@@ -42,7 +42,7 @@
     }
 }
 
-/// The response as one message of a stream. `last`: none follows.
+/// The response as a framed message of a stream. `last`: no further message follows.
 pub(crate) fn stream_message(response: &pb::ModelInferResponse, last: bool) -> Bytes {
     use pb::infer_parameter::ParameterChoice;
     let mut response = response.clone();
--- a/standins/worker/src/fault.rs
+++ b/standins/worker/src/fault.rs
@@ -1,28 +1,28 @@
-//! Injected faults of a stand-in worker, set while it runs.
+//! Faults that can be injected into a running stand-in worker.
 
 use std::cell::{Cell, RefCell};
 
-/// The highest gRPC status.
+/// The highest gRPC status code.
 const HIGHEST_STATUS: u32 = 16;
 
-/// A word that sets no fault.
+/// An invalid fault on the control port.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FaultError {
-    /// The fault needs a whole number.
-    #[error("{word:?}: want {name}=NUMBER")]
+    /// The fault needs an integer.
+    #[error("{word:?}: expected {name}=NUMBER")]
     NotANumber {
-        /// The word as it came.
+        /// The text that was received.
         word: String,
-        /// The fault's name in it.
+        /// The name of the fault.
         name: String,
     },
-    /// `slow` needs a factor above 0.
-    #[error("{0:?}: want slow=FACTOR above 0")]
+    /// `slow` needs a positive factor.
+    #[error("{0:?}: expected slow=FACTOR with a factor above 0")]
     NotAFactor(String),
-    /// `lose` needs a function.
-    #[error("{0:?}: want lose=FUNCTION")]
+    /// `lose` needs the name of a function.
+    #[error("{0:?}: expected lose=FUNCTION")]
     NoFunction(String),
-    /// No fault has that name.
+    /// No fault with this name exists.
     #[error("unknown fault {0:?}")]
     Unknown(String),
 }
@@ -34,42 +34,43 @@
         .ok_or_else(|| FaultError::NotAFactor(word.to_string()))
 }
 
-/// Faults that last until they are cleared.
+/// The active faults. A fault stays active until all are cleared.
 #[derive(Debug, Default)]
 pub struct Faults {
-    /// Takes calls and answers none.
+    /// Accepts calls and never answers them.
     pub silent: Cell<bool>,
-    /// Sends nothing more after so many messages of an answer.
+    /// Stops responding after this number of response messages.
     pub silent_after: Cell<Option<u32>>,
-    /// Cuts the connection after so many messages of an answer.
+    /// Closes all connections after this number of response messages.
     pub cut_after: Cell<Option<u32>>,
-    /// Work takes this many times as long; 0 counts as 1.
-    pub slow: Cell<f64>,
-    /// Answers new streams with RST_STREAM, REFUSED_STREAM.
+    /// Factor by which work takes longer; 0 counts as 1.
+    pub slowdown: Cell<f64>,
+    /// Resets new streams with REFUSED_STREAM.
     pub refuse: Cell<bool>,
-    /// Answers new streams with RST_STREAM of this code.
+    /// Resets new streams with this error code.
     pub reset: Cell<Option<u32>>,
-    /// Sends a frame that is no message in place of the first one.
+    /// Sends invalid bytes in place of each response message.
     pub corrupt: Cell<bool>,
-    /// Answers unary calls twice.
-    pub twice: Cell<bool>,
-    /// Ends answers without trailers.
+    /// Sends the message of a unary response twice.
+    pub duplicate_message: Cell<bool>,
+    /// Ends responses without trailers.
     pub no_trailers: Cell<bool>,
-    /// Answers with this status and nothing else.
+    /// Answers calls with this status and no message.
     pub status: Cell<Option<u8>>,
-    /// Is no model server: answers every method at once with OK and the request's own bytes.
-    pub hollow: Cell<bool>,
-    /// Answers every method at once with this status.
-    pub hollow_status: Cell<Option<u8>>,
-    /// Reports every load as done at once, and misses every call.
-    pub boast: Cell<bool>,
-    /// Calls of this function run, and their answers are lost: RST_STREAM, INTERNAL_ERROR.
-    pub lose: RefCell<Option<String>>,
+    /// Answers every method at once with OK and the bytes of the request, as a server of another protocol might.
+    pub echo_request: Cell<bool>,
+    /// Answers every method at once with this status and no message.
+    pub fixed_status: Cell<Option<u8>>,
+    /// Reports every load as finished at once, and rejects every call as not loaded.
+    pub false_load_success: Cell<bool>,
+    /// Resets the streams of this function's calls with INTERNAL_ERROR once they run.
+    pub lost_function: RefCell<Option<String>>,
 }
 
 impl Faults {
-    /// Sets or clears a fault by a word: `silent`, `silent-after=N`, `cut-after=N`, `slow=X`, `refuse`, `reset=CODE`,
-    /// `corrupt`, `twice`, `no-trailers`, `status=CODE`, `hollow`, `hollow=CODE`, `boast`, `lose=FUNCTION`, or `clear` for none.
+    /// Sets a fault by its name on the control port: `silent`, `silent-after=N`, `cut-after=N`, `slow=X`, `refuse`,
+    /// `reset=CODE`, `corrupt`, `twice`, `no-trailers`, `status=CODE`, `hollow`, `hollow=CODE`, `boast` or `lose=FUNCTION`.
+    /// `clear` clears all faults.
     pub fn set(&self, word: &str) -> Result<(), FaultError> {
         let (name, value) = match word.split_once('=') {
             Some((name, value)) => (name, Some(value)),
@@ -86,23 +87,23 @@
             "silent" => self.silent.set(true),
             "silent-after" => self.silent_after.set(Some(number()?)),
             "cut-after" => self.cut_after.set(Some(number()?)),
-            "slow" => self.slow.set(parse_factor(word, value)?),
+            "slow" => self.slowdown.set(parse_factor(word, value)?),
             "refuse" => self.refuse.set(true),
             "reset" => self.reset.set(Some(number()?)),
             "corrupt" => self.corrupt.set(true),
-            "twice" => self.twice.set(true),
+            "twice" => self.duplicate_message.set(true),
             "no-trailers" => self.no_trailers.set(true),
             "status" => self.status.set(Some(number()?.min(HIGHEST_STATUS) as u8)),
-            "hollow" if value.is_none() => self.hollow.set(true),
+            "hollow" if value.is_none() => self.echo_request.set(true),
             "hollow" => {
                 let status = number()?.min(HIGHEST_STATUS) as u8;
-                self.hollow_status.set(Some(status));
+                self.fixed_status.set(Some(status));
             }
-            "boast" => self.boast.set(true),
+            "boast" => self.false_load_success.set(true),
             "lose" => {
                 let function = value.filter(|function| !function.is_empty());
                 let function = function.ok_or_else(|| FaultError::NoFunction(word.to_string()))?;
-                *self.lose.borrow_mut() = Some(function.to_string());
+                *self.lost_function.borrow_mut() = Some(function.to_string());
             }
             "clear" => self.clear(),
             _ => return Err(FaultError::Unknown(word.to_string())),
@@ -115,22 +116,22 @@
         self.silent.set(false);
         self.silent_after.set(None);
         self.cut_after.set(None);
-        self.slow.set(1.0);
+        self.slowdown.set(1.0);
         self.refuse.set(false);
         self.reset.set(None);
         self.corrupt.set(false);
-        self.twice.set(false);
+        self.duplicate_message.set(false);
         self.no_trailers.set(false);
         self.status.set(None);
-        self.hollow.set(false);
-        self.hollow_status.set(None);
-        self.boast.set(false);
-        self.lose.take();
+        self.echo_request.set(false);
+        self.fixed_status.set(None);
+        self.false_load_success.set(false);
+        self.lost_function.take();
     }
 
-    /// How many times as long work takes.
-    pub fn slowness(&self) -> f64 {
-        Some(self.slow.get())
+    /// The factor by which work takes longer.
+    pub fn slowdown_factor(&self) -> f64 {
+        Some(self.slowdown.get())
             .filter(|factor| *factor > 0.0)
             .unwrap_or(1.0)
     }
--- a/standins/worker/src/fault/tests.rs
+++ b/standins/worker/src/fault/tests.rs
@@ -1,9 +1,9 @@
-//! The words of faults.
+//! Setting and clearing faults by their names on the control port.
 
 use super::Faults;
 
 #[test]
-fn faults_are_set_by_words_and_bad_words_are_refused() {
+fn faults_are_set_and_cleared_by_name_and_invalid_ones_are_rejected() {
     let faults = Faults::default();
     for word in [
         "silent",
@@ -21,7 +21,7 @@
         (
             faults.silent.get(),
             faults.silent_after.get(),
-            faults.slowness()
+            faults.slowdown_factor()
         ),
         (true, Some(2), 2.5)
     );
@@ -30,16 +30,16 @@
         (
             faults.silent.get(),
             faults.silent_after.get(),
-            faults.slowness(),
+            faults.slowdown_factor(),
             faults.status.get()
         ),
         (false, None, 1.0, None)
     );
     assert!(
-        !faults.hollow.get()
-            && !faults.boast.get()
-            && faults.hollow_status.get().is_none()
-            && faults.lose.borrow().is_none()
+        !faults.echo_request.get()
+            && !faults.false_load_success.get()
+            && faults.fixed_status.get().is_none()
+            && faults.lost_function.borrow().is_none()
     );
     for word in [
         "",
--- a/standins/worker/src/infer.rs
+++ b/standins/worker/src/infer.rs
@@ -1,4 +1,4 @@
-//! One inference call: admission, work, and its answer with the injected faults.
+//! Inference calls: admission, simulated work, and the response with injected faults.
 
 use crate::answer::{echo, stream_message, without_outputs};
 use crate::standin::{CallGuard, Standin};
@@ -20,14 +20,14 @@
     poll_write, respond_trailers_only, response_headers, status_trailers,
 };
 
-/// What a request says of its answer.
+/// The parameters of a request that control its response.
 struct InferParameters {
     function: String,
-    /// Messages of a streamed answer.
-    pieces: u32,
-    /// The last message of a streamed answer is one without outputs.
+    /// Number of messages in a streamed response.
+    messages: u32,
+    /// Whether a streamed response ends with a message without outputs.
     empty_final: bool,
-    /// Microseconds.
+    /// The requested work, microseconds.
     work: Option<i64>,
 }
 
@@ -37,7 +37,7 @@
         let empty_final = request.parameter(names::EMPTY_FINAL_RESPONSE);
         InferParameters {
             function: request.model.to_string(),
-            pieces: number(names::RESPONSE_MESSAGES)
+            messages: number(names::RESPONSE_MESSAGES)
                 .map_or(1, |count| count.clamp(0, 100_000) as u32),
             empty_final: empty_final
                 .and_then(|value| value.as_bool())
@@ -47,7 +47,7 @@
     }
 }
 
-/// Serves a call. `unary`: by one message, otherwise by a stream.
+/// Serves a call. `unary`: with a single message, otherwise with a stream of messages.
 pub(crate) async fn infer(
     standin: Rc<Standin>,
     unary: bool,
@@ -62,13 +62,13 @@
         }
     };
     let function = &parameters.function;
-    let usual_work = || standin.state.borrow().usual_work(function);
-    let work = parameters.work.unwrap_or_else(usual_work);
+    let default_work = || standin.state.borrow().default_work(function);
+    let work = parameters.work.unwrap_or_else(default_work);
     let call = standin.next_id();
-    let crowd = standin.state.borrow().calls_of(function);
+    let concurrent_calls = standin.state.borrow().concurrent_calls(function);
     let now = standin.now();
     let admission = standin.state.borrow_mut().admit(call, function, work, now);
-    let (status, runs) = match admission {
+    let (status, starts_now) = match admission {
         Admission::Run(status) => (status, true),
         Admission::Wait(status) => (status, false),
         rejected => {
@@ -79,11 +79,11 @@
         standin: standin.clone(),
         call,
         function: function.clone(),
-        running: runs,
+        running: starts_now,
         generation: standin.generation.get(),
     };
     standin.on_state_change();
-    if !runs {
+    if !starts_now {
         if !wait_for_lane(&standin, call, &mut respond).await {
             return;
         }
@@ -93,13 +93,13 @@
     if serve_fault(&standin, function, &mut respond) {
         return;
     }
-    let mut answer = Answer::new(&standin, unary, &parameters, &message, &mut respond);
-    if answer.run(work).await {
-        answer.finish(status, crowd).await;
+    let mut response = Response::new(&standin, unary, &parameters, &message, &mut respond);
+    if response.run(work).await {
+        response.finish(status, concurrent_calls).await;
     }
 }
 
-/// Trailers of a call that isn't run.
+/// Trailers of a call that was not admitted.
 fn rejection(standin: &Standin, admission: Admission, function: &str) -> HeaderMap {
     let (reason, message) = match admission {
         Admission::NotLoaded => ("not-loaded", "not loaded here"),
@@ -114,7 +114,7 @@
     map
 }
 
-/// Waits until the call may run; false: its client has cancelled it. What waits is dropped then; what runs goes on.
+/// Waits until the call may run. Returns `false` if the client cancels it before; a running call is not interrupted.
 async fn wait_for_lane(standin: &Standin, call: CallId, respond: &mut SendResponse<Bytes>) -> bool {
     poll_fn(|cx| match standin.poll_ready(call, cx.waker(), true) {
         Some(_) => Poll::Ready(true),
@@ -123,7 +123,7 @@
     .await
 }
 
-/// Answers by the faults of a call that runs; false: there is none.
+/// Answers a running call according to the faults that replace its response. Returns `false` if no such fault is active.
 fn serve_fault(standin: &Standin, function: &str, respond: &mut SendResponse<Bytes>) -> bool {
     let faults = &standin.faults;
     if let Some(code) = faults.status.get() {
@@ -133,52 +133,52 @@
         respond_trailers_only(respond, map);
         return true;
     }
-    if faults.lose.borrow().as_deref() == Some(function) {
+    if faults.lost_function.borrow().as_deref() == Some(function) {
         respond.send_reset(Reason::INTERNAL_ERROR);
         return true;
     }
     false
 }
 
-/// An answer that is being sent.
-struct Answer<'a> {
+/// A response that is being sent.
+struct Response<'a> {
     standin: &'a Standin,
     respond: &'a mut SendResponse<Bytes>,
     response: pb::ModelInferResponse,
-    /// Messages, with a part of the work before each.
+    /// Number of messages; an equal share of the work precedes each.
     steps: u32,
     empty_final: bool,
-    /// Of a streamed answer.
+    /// The stream of a streamed response, once its headers are sent.
     stream: Option<SendStream<Bytes>>,
     unary: bool,
 }
 
-impl<'a> Answer<'a> {
+impl<'a> Response<'a> {
     fn new(
         standin: &'a Standin,
         unary: bool,
         parameters: &InferParameters,
         message: &Bytes,
         respond: &'a mut SendResponse<Bytes>,
-    ) -> Answer<'a> {
-        Answer {
+    ) -> Response<'a> {
+        Response {
             standin,
             respond,
             response: echo(message),
-            steps: if unary { 1 } else { parameters.pieces },
+            steps: if unary { 1 } else { parameters.messages },
             empty_final: parameters.empty_final,
             stream: None,
             unary,
         }
     }
 
-    /// Works, and sends the messages of a streamed answer; false: a fault ends the answer here.
+    /// Simulates the work, and sends the messages of a streamed response. Returns `false` if a fault ended the response.
     async fn run(&mut self, work: i64) -> bool {
         let faults = &self.standin.faults;
         let now = self.standin.now();
         let duration = self.standin.state.borrow().duration_of(work, now);
-        let span = duration as f64 * faults.slowness();
-        let step = Duration::from_micros((span / f64::from(self.steps.max(1))) as u64);
+        let total = duration as f64 * faults.slowdown_factor();
+        let step = Duration::from_micros((total / f64::from(self.steps.max(1))) as u64);
         if !self.unary {
             self.stream = self.respond.send_response(response_headers(), false).ok();
         }
@@ -194,12 +194,12 @@
                 self.standin.drop_connections();
                 return false;
             }
-            if !self.send_piece(index).await {
+            if !self.send_message(index).await {
                 break;
             }
         }
         if faults.cut_after.get() == Some(self.steps) {
-            // What was sent leaves first: only the trailers are lost.
+            // Gives the messages time to be sent, so that only the trailers are lost.
             self.standin.spawner.sleep(Duration::from_millis(5)).await;
             self.standin.drop_connections();
             return false;
@@ -207,6 +207,7 @@
         true
     }
 
+    /// Waits until the client cancels the call.
     async fn until_cancelled(&mut self) {
         match &mut self.stream {
             Some(stream) => poll_fn(|cx| stream.poll_reset(cx).map(drop)).await,
@@ -214,29 +215,29 @@
         }
     }
 
-    /// Sends a message of a streamed answer; false: the client has gone.
-    async fn send_piece(&mut self, index: u32) -> bool {
+    /// Sends a message of a streamed response. Returns `false` if the client has cancelled or disconnected.
+    async fn send_message(&mut self, index: u32) -> bool {
         let Some(stream) = &mut self.stream else {
             return true;
         };
         let last = index + 1 == self.steps && !self.empty_final;
-        let piece = match self.standin.faults.corrupt.get() {
+        let message = match self.standin.faults.corrupt.get() {
             true => Bytes::from_static(&[9, 0, 0, 0, 0]),
             false => stream_message(&self.response, last),
         };
-        write(stream, piece).await
+        write(stream, message).await
     }
 
-    /// Sends what is left of the answer, and its trailers.
-    async fn finish(self, status: CacheStatus, crowd: u32) {
+    /// Sends the rest of the response and its trailers.
+    async fn finish(self, status: CacheStatus, concurrent_calls: u32) {
         let mut map = self.standin.reported_trailers(Code::Ok, "");
-        let instance = match status {
+        let cache_status = match status {
             CacheStatus::Warm => "warm",
-            CacheStatus::BeganLoad => "began-load",
+            CacheStatus::StartedLoad => "began-load",
             CacheStatus::AwaitedLoad => "awaited-load",
         };
-        map.insert(names::CACHE_STATUS, HeaderValue::from_static(instance));
-        map.insert(names::CONCURRENT_CALLS, HeaderValue::from(crowd));
+        map.insert(names::CACHE_STATUS, HeaderValue::from_static(cache_status));
+        map.insert(names::CONCURRENT_CALLS, HeaderValue::from(concurrent_calls));
         let stream = match self.stream {
             Some(mut stream) => {
                 if self.empty_final || self.steps == 0 {
@@ -248,7 +249,7 @@
             None => send_unary(self.standin, self.respond, &self.response),
         };
         if let Some(mut stream) = stream {
-            // Fails only if the client has gone.
+            // Fails only if the client has cancelled or disconnected.
             let _ = match self.standin.faults.no_trailers.get() {
                 true => stream.send_data(Bytes::new(), true),
                 false => stream.send_trailers(map),
@@ -257,7 +258,7 @@
     }
 }
 
-/// Sends the message of an answer that isn't streamed; none: the client has gone.
+/// Sends the message of a unary response. Returns `None` if the client has cancelled or disconnected.
 fn send_unary(
     standin: &Standin,
     respond: &mut SendResponse<Bytes>,
@@ -268,14 +269,14 @@
         true => Bytes::from_static(&[0, 0, 0, 0, 1, 0xff]),
         false => frame(&response.encode_to_vec()),
     };
-    if standin.faults.twice.get() {
+    if standin.faults.duplicate_message.get() {
         let _ = stream.send_data(bytes.clone(), false);
     }
     stream.send_data(bytes, false).ok()?;
     Some(stream)
 }
 
-/// Sends as the client takes it; false: the client has gone.
+/// Writes within the client's flow-control window. Returns `false` if the client has cancelled or disconnected.
 async fn write(stream: &mut SendStream<Bytes>, mut bytes: Bytes) -> bool {
     poll_fn(|cx| poll_write(stream, &mut bytes, cx))
         .await
--- a/standins/worker/src/lib.rs
+++ b/standins/worker/src/lib.rs
@@ -1,13 +1,13 @@
-//! The stand-in worker: the Open Inference Protocol with functions that have memory, lanes and load times, and with
-//! faults on demand. It computes nothing: every input tensor comes back as an output.
+//! A stand-in worker for tests and demonstrations.
 //!
-//! - [`profile`]: what a worker is configured as.
-//! - [`state`]: what is loaded, which calls run, which wait; no I/O and no clock.
-//! - [`fault`]: injected faults, and the words that set them.
-//! - [`standin`]: a worker on a listener, with its control port and its timers.
-//! - `serve`, `infer` and `answer`: the protocol's methods and messages.
+//! It serves the Open Inference Protocol, and simulates functions with memory, lanes and load times. No model is run: the
+//! response contains each input tensor as an output. Faults can be injected while it runs.
 //!
-//! It is for tests and demonstrations, not for models.
+//! - [`profile`]: the worker's configuration.
+//! - [`state`]: loaded instances, running calls and waiting calls, without I/O or a clock.
+//! - [`fault`]: injected faults and their names on the control port.
+//! - [`standin`]: the server with its control port and timers.
+//! - `serve`, `infer` and `answer`: the protocol's methods and messages.
 
 mod answer;
 pub mod fault;
--- a/standins/worker/src/profile.rs
+++ b/standins/worker/src/profile.rs
@@ -1,54 +1,54 @@
-//! What a stand-in worker is configured as.
+//! The configuration of a stand-in worker.
 
 /// A function that the worker can load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Function {
-    /// Its name.
+    /// The function's name.
     pub name: String,
     /// Memory of one instance, MB.
     pub memory_mb: f64,
-    /// Calls that one instance runs at a time.
+    /// Calls that one instance runs concurrently.
     pub lanes: u32,
-    /// Time of a load, microseconds.
+    /// Time to load an instance, microseconds.
     pub load_time: i64,
-    /// Work of a call that names none, microseconds.
+    /// Work of a call that doesn't specify it, microseconds.
     pub default_work: i64,
 }
 
-/// What a call of a function that is not loaded does.
+/// How a call is handled whose function is not loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MissPolicy {
-    /// Loads it and waits.
+    /// The function is loaded while the call waits.
     Load,
-    /// Is answered `not-loaded`.
+    /// The call is rejected with `not-loaded`.
     Miss,
 }
 
 /// A worker's configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Profile {
-    /// Its name.
+    /// The worker's name.
     pub name: String,
-    /// The functions it can load.
+    /// The functions that the worker can load.
     pub functions: Vec<Function>,
-    /// Its memory, MB.
+    /// Memory for instances, MB.
     pub memory_mb: f64,
-    /// An idle instance is unloaded after so long, microseconds.
+    /// Time after which an idle instance is unloaded, microseconds.
     pub idle_timeout: i64,
-    /// Loads that run at a time.
+    /// Largest number of concurrent loads.
     pub max_concurrent_loads: usize,
-    /// Calls that may wait.
+    /// Largest number of waiting calls.
     pub max_waiting_calls: usize,
-    /// What a call of an absent function does.
+    /// How a call is handled whose function is not loaded.
     pub miss_policy: MissPolicy,
-    /// Work that it does a second when warm, in seconds of work: its cores.
+    /// Capacity of a warm worker, in seconds of work per second.
     pub cores: f64,
-    /// Share of its capacity at a fresh start; 1: it starts warm.
+    /// Share of the capacity that a cold worker starts with; 1 disables the slow start.
     pub slow_start_from: f64,
-    /// It has all of its capacity after this time, microseconds.
+    /// Time after which a cold worker has its full capacity, microseconds.
     pub slow_start_window: i64,
-    /// Cold, it fails when sent more than this multiple of its present capacity over [`Profile::overload_window`].
+    /// A cold worker fails when the work sent to it in [`Profile::overload_window`] exceeds this multiple of its capacity.
     pub overload_multiple: f64,
-    /// The time over which a cold worker's load is summed, microseconds.
+    /// Window over which the work sent to a cold worker is summed, microseconds.
     pub overload_window: i64,
 }
--- a/standins/worker/src/serve.rs
+++ b/standins/worker/src/serve.rs
@@ -17,10 +17,10 @@
     respond_trailers_only, respond_unary as unary, status_trailers, Limits, RequestMessages,
 };
 
-/// Marks the id of a load request: those of calls, which share a table with them, are below.
-const LOAD_REQUEST: u64 = 1 << 63;
+/// Set in the ids of load requests, to distinguish them from ids of calls in the same table.
+const LOAD_REQUEST_BIT: u64 = 1 << 63;
 
-/// Serves one request.
+/// Serves a request.
 pub(crate) async fn serve(
     standin: Rc<Standin>,
     request: Request<RecvStream>,
@@ -47,7 +47,7 @@
     serve_method(standin, &method, message, respond).await;
 }
 
-/// Answers by the faults that apply to all methods; gives the response back if there is none.
+/// Answers a request according to the faults that apply to all methods. Returns `respond` if no such fault is active.
 async fn serve_fault(
     standin: &Standin,
     method: &str,
@@ -60,23 +60,23 @@
     } else if faults.refuse.get() {
         respond.send_reset(Reason::REFUSED_STREAM);
     } else if faults.silent.get() {
-        // Until the client cancels.
+        // The stream stays open until the client cancels it.
         poll_fn(|cx| respond.poll_reset(cx).map(drop)).await;
-    } else if faults.hollow.get() {
+    } else if faults.echo_request.get() {
         unary(respond, message, status_trailers(Code::Ok, ""));
-    } else if let Some(code) = faults.hollow_status.get() {
+    } else if let Some(code) = faults.fixed_status.get() {
         let code = Code::parse(code.to_string().as_bytes());
         respond_trailers_only(&mut respond, status_trailers(code, "as the fault says"));
-    } else if faults.boast.get() {
-        boast(standin, method, respond);
+    } else if faults.false_load_success.get() {
+        respond_false_load_success(standin, method, respond);
     } else {
         return Some(respond);
     }
     None
 }
 
-/// Reports loads as done that aren't.
-fn boast(standin: &Standin, method: &str, mut respond: SendResponse<Bytes>) {
+/// Reports loads as finished without loading anything, and rejects calls as not loaded.
+fn respond_false_load_success(standin: &Standin, method: &str, mut respond: SendResponse<Bytes>) {
     match method {
         "RepositoryModelLoad" => unary(respond, &[], instance_trailers(standin, 1)),
         "ServerReady" => unary(respond, &[8, 1], status_trailers(Code::Ok, "")),
@@ -120,14 +120,14 @@
     }
 }
 
-/// Trailers of a load or an unload: a load report and the instances that are loaded.
+/// Trailers of the answer to a load or unload: a load report and the number of loaded instances.
 fn instance_trailers(standin: &Standin, instances: u32) -> HeaderMap {
     let mut map = standin.reported_trailers(Code::Ok, "");
     map.insert(names::INSTANCE_COUNT, HeaderValue::from(instances));
     map
 }
 
-/// Loads instances and answers once they are loaded.
+/// Loads instances, and answers when the load has finished.
 async fn load(standin: &Standin, message: Bytes, mut respond: SendResponse<Bytes>) {
     use pb::model_repository_parameter::ParameterChoice;
     let request = pb::RepositoryModelLoadRequest::decode(message).unwrap_or_default();
@@ -136,7 +136,7 @@
         Some(ParameterChoice::Int64Param(count)) => u32::try_from(count).unwrap_or(0),
         _ => 1,
     };
-    let id = LOAD_REQUEST | standin.next_id();
+    let id = LOAD_REQUEST_BIT | standin.next_id();
     let now = standin.now();
     let loaded = standin
         .state
@@ -151,7 +151,7 @@
                 None => respond.poll_reset(cx).map(|_| None),
             })
             .await;
-            standin.stop_waiting(id);
+            standin.remove_waker(id);
             loaded
         }
     };
--- a/standins/worker/src/standin.rs
+++ b/standins/worker/src/standin.rs
@@ -1,4 +1,4 @@
-//! A stand-in worker on a listener, with its control port and its timers.
+//! The server of a stand-in worker, with its control port and timers.
 
 use crate::fault::Faults;
 use crate::profile::Profile;
@@ -22,35 +22,35 @@
 use tansy_net_grpc::status_server;
 use tansy_net_sockets::{within, Spawner};
 
-/// How long the timers sleep when none is due, microseconds.
-const IDLE_SLEEP: i64 = 3_600_000_000;
-/// Added to each sleep, so that the timer is due when it ends, microseconds.
-const SLEEP_MARGIN: i64 = 100;
+/// Sleep when no timer is set, microseconds.
+const IDLE_SLEEP_US: i64 = 3_600_000_000;
+/// Added to each sleep so that the timer has expired when the sleep ends, microseconds.
+const SLEEP_MARGIN_US: i64 = 100;
 
-/// A stand-in worker on a listener.
+/// A stand-in worker that serves a listener.
 pub struct Standin {
     pub(crate) spawner: Spawner,
     address: SocketAddr,
-    /// Injected faults.
+    /// The injected faults.
     pub faults: Faults,
     pub(crate) state: RefCell<WorkerState>,
     server: RefCell<Option<Rc<Server>>>,
     epoch: Instant,
     next_id: Cell<u64>,
-    /// Calls and load requests that wait.
+    /// Wakers of the tasks of waiting calls and load requests.
     waiting: RefCell<HashMap<u64, Waker>>,
-    /// Calls that may run, and load requests that are done with their instances.
+    /// Calls that may run (with 0) and finished load requests, with their number of loaded instances.
     ready: RefCell<HashMap<u64, u32>>,
     timer_waker: RefCell<Option<Waker>>,
     state_changed: Cell<bool>,
-    /// Counts restarts.
+    /// Number of restarts.
     pub(crate) generation: Cell<u64>,
-    /// Calls that ran to their end, or that began to.
+    /// Number of calls that began to run.
     pub calls_run: Cell<u64>,
 }
 
 impl Standin {
-    /// Serves a listener. `warm`: it counts as having run for long.
+    /// Starts serving a listener. `warm`: starts with full capacity, without a slow start.
     pub fn start(
         spawner: Spawner,
         listener: TcpListener,
@@ -84,26 +84,26 @@
         Ok(standin)
     }
 
-    /// Where it listens.
+    /// The address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Ends all its connections at once.
+    /// Closes all connections immediately.
     pub fn drop_connections(&self) {
         if let Some(server) = &*self.server.borrow() {
             server.drop_connections();
         }
     }
 
-    /// Asks its clients by GOAWAY to open no new stream on the connections that are open.
+    /// Sends GOAWAY on all open connections, so that clients open no new streams on them.
     pub fn drain_connections(&self) {
         if let Some(server) = &*self.server.borrow() {
             server.drain_connections();
         }
     }
 
-    /// Starts anew, empty and cold: connections end, instances are gone.
+    /// Simulates a restart: closes all connections, unloads all instances and begins a slow start.
     pub fn restart(&self) {
         let profile = self.state.borrow().profile().clone();
         self.generation.set(self.generation.get() + 1);
@@ -111,13 +111,13 @@
         self.drop_connections();
     }
 
-    /// Calls that wait or run.
+    /// Number of waiting and running calls.
     pub fn calls_in_flight(&self) -> usize {
-        let (waiting, running, _) = self.state.borrow().load_figures();
+        let (waiting, running, _) = self.state.borrow().load_counts();
         waiting + running as usize
     }
 
-    /// Whether it failed under overload: while cold it was sent more than it can serve.
+    /// Whether the worker was overloaded during its slow start.
     pub fn failed_under_overload(&self) -> bool {
         self.state.borrow().failed_under_overload()
     }
@@ -125,11 +125,11 @@
     /// Serves a control port: `GET /fault/WORD`, `/cut`, `/shed`, `/restart`, `/state`.
     pub fn control(self: &Rc<Self>, listener: TcpListener) -> io::Result<()> {
         let inner = self.clone();
-        let answers = Rc::new(move |path: &str| inner.on_control(path));
-        status_server::start(self.spawner.clone(), listener, answers)
+        let handler = Rc::new(move |path: &str| inner.on_control(path));
+        status_server::start(self.spawner.clone(), listener, handler)
     }
 
-    /// Carries out a control request; gives the HTTP status and the body.
+    /// Handles a control request, and returns the HTTP status and the body.
     fn on_control(&self, path: &str) -> (&'static str, String) {
         match path {
             "/cut" => self.drop_connections(),
@@ -149,24 +149,26 @@
         ("200 OK", "done\n".to_string())
     }
 
+    /// The body of `/state`.
     fn describe(&self) -> String {
-        let (waiting, running, loads) = self.state.borrow().load_figures();
+        let (waiting, running, loads) = self.state.borrow().load_counts();
         let ran = self.calls_run.get();
-        let fallen = self.failed_under_overload();
-        format!("waiting={waiting} running={running} loads={loads} ran={ran} fallen={fallen}\n")
+        let failed = self.failed_under_overload();
+        format!("waiting={waiting} running={running} loads={loads} ran={ran} fallen={failed}\n")
     }
 
-    /// Microseconds since it was started.
+    /// Time since the start of the server, microseconds.
     pub(crate) fn now(&self) -> i64 {
         i64::try_from(self.epoch.elapsed().as_micros()).unwrap_or(i64::MAX)
     }
 
-    /// An id for a call or a load request.
+    /// A new id for a call or a load request.
     pub(crate) fn next_id(&self) -> u64 {
         self.next_id.replace(self.next_id.get() + 1)
     }
 
-    /// Whether it may go on: gives the instances of a load request, 0 for a call. Otherwise its task is woken later.
+    /// The number of loaded instances of a finished load request, or 0 for a call that may run. Otherwise returns `None`, and wakes
+    /// the task later. `keep`: the entry stays for a later poll or drop.
     pub(crate) fn poll_ready(&self, id: u64, waker: &Waker, keep: bool) -> Option<u32> {
         let ready = match keep {
             true => self.ready.borrow().get(&id).copied(),
@@ -178,12 +180,12 @@
         ready
     }
 
-    /// Forgets a waker.
-    pub(crate) fn stop_waiting(&self, id: u64) {
+    /// Removes the waker of a call or load request.
+    pub(crate) fn remove_waker(&self, id: u64) {
         self.waiting.borrow_mut().remove(&id);
     }
 
-    /// Wakes the calls that may run now, and the timers: the state has changed.
+    /// Wakes calls that may run, and the timer task, after a change of the state.
     pub(crate) fn on_state_change(&self) {
         self.wake_started();
         self.state_changed.set(true);
@@ -206,9 +208,10 @@
         }
     }
 
+    /// The current ORCA load report, encoded for a binary header.
     fn load_report(&self) -> HeaderValue {
         let (state, now) = (self.state.borrow(), self.now());
-        let (waiting, running, loads) = state.load_figures();
+        let (waiting, running, loads) = state.load_counts();
         let capacity = state.capacity_share(now) * state.profile().cores;
         let metrics = [
             ("queued", waiting as f64),
@@ -227,7 +230,7 @@
         HeaderValue::from_str(&text).unwrap_or_else(|_| HeaderValue::from_static(""))
     }
 
-    /// Trailers with a load report.
+    /// Status trailers with a load report.
     pub(crate) fn reported_trailers(&self, code: Code, message: &str) -> HeaderMap {
         let mut map = status_trailers(code, message);
         map.insert(names::LOAD_REPORT, self.load_report());
@@ -235,22 +238,22 @@
     }
 }
 
-/// A call at the worker: when its task ends, also when that is dropped, the call leaves the worker's state.
+/// Removes a call from the worker's state when its task ends or is dropped.
 pub(crate) struct CallGuard {
     pub standin: Rc<Standin>,
     pub call: CallId,
     pub function: String,
     pub running: bool,
-    /// The worker's generation when the call arrived.
+    /// The worker's generation at the arrival of the call.
     pub generation: u64,
 }
 
 impl Drop for CallGuard {
     fn drop(&mut self) {
         let standin = &self.standin;
-        standin.stop_waiting(self.call);
+        standin.remove_waker(self.call);
         let started = standin.ready.borrow_mut().remove(&self.call).is_some();
-        // What ran before a restart took no lane of what came after.
+        // A call from before a restart holds no lane in the new state.
         if self.generation == standin.generation.get() {
             let (now, ran) = (standin.now(), self.running || started);
             standin
@@ -262,7 +265,7 @@
     }
 }
 
-/// Runs the timers of the worker's state.
+/// Drives the timers of the worker's state.
 async fn run_timers(standin: Rc<Standin>) {
     loop {
         let now = standin.now();
@@ -273,8 +276,10 @@
             standin.wake(request, instances);
         }
         let next = standin.state.borrow().next_timer();
-        let span = next.map_or(IDLE_SLEEP, |time| (time - now).max(0) + SLEEP_MARGIN);
-        let sleep = standin.spawner.sleep(Duration::from_micros(span as u64));
+        let sleep_us = next.map_or(IDLE_SLEEP_US, |time| (time - now).max(0) + SLEEP_MARGIN_US);
+        let sleep = standin
+            .spawner
+            .sleep(Duration::from_micros(sleep_us as u64));
         let changed = poll_fn(|cx| {
             if standin.state_changed.replace(false) {
                 return Poll::Ready(());
--- a/standins/worker/src/state/loading.rs
+++ b/standins/worker/src/state/loading.rs
@@ -1,10 +1,10 @@
-//! Loading and unloading of instances within the worker's memory.
+//! Loading and unloading of instances within the memory of the worker.
 
 use super::{InstancePool, LoadId, WorkerState};
 
 impl WorkerState {
-    /// A request to have at least so many instances; 0 only asks. Some: as many are loaded; none:
-    /// [`WorkerState::take_finished_loads`] gives the answer later.
+    /// Requests at least `instances` loaded instances; 0 is a query. Returns the number of loaded instances, or `None` if
+    /// [`WorkerState::take_finished_loads`] returns it later.
     pub fn request_load(
         &mut self,
         id: LoadId,
@@ -22,20 +22,20 @@
         let missing = instances.saturating_sub(pool.loaded + pool.loading + pool.queued_loads);
         pool.load_requests.push(id);
         for _ in 0..missing {
-            if !self.load(function, now) {
+            if !self.queue_load(function, now) {
                 break;
             }
         }
         let pool = self.pools.get_mut(function)?;
         if pool.loading + pool.queued_loads == 0 {
-            // No memory: what is loaded is the answer.
+            // No load could be queued for lack of memory.
             pool.load_requests.retain(|request| *request != id);
             return Some(pool.loaded);
         }
         None
     }
 
-    /// Unloads a function's idle instances; gives how many stay loaded.
+    /// Unloads a function's idle instances, and returns the number that stay loaded.
     pub fn unload(&mut self, function: &str) -> u32 {
         let Some(pool) = self.pools.get_mut(function) else {
             return 0;
@@ -45,39 +45,40 @@
         pool.loaded
     }
 
-    /// A function's loaded instances.
+    /// Number of loaded instances of a function.
     pub fn loaded(&self, function: &str) -> u32 {
         self.pools.get(function).map_or(0, |pool| pool.loaded)
     }
 
-    /// Load requests that are carried out, with the instances that are loaded.
+    /// Removes and returns the finished load requests, with the number of loaded instances.
     pub fn take_finished_loads(&mut self) -> Vec<(LoadId, u32)> {
         std::mem::take(&mut self.finished_loads)
     }
 
-    /// Memory of instances that are loaded or will be, MB.
+    /// Memory of instances that are loaded, loading or queued to load, MB.
     fn reserved_memory(&self) -> f64 {
-        let of = |pool: &InstancePool| {
+        let memory = |pool: &InstancePool| {
             f64::from(pool.loaded + pool.loading + pool.queued_loads) * self.instance_memory(pool)
         };
-        self.pools.values().map(of).sum()
+        self.pools.values().map(memory).sum()
     }
 
+    /// Memory of one instance, MB.
     fn instance_memory(&self, pool: &InstancePool) -> f64 {
         self.profile.functions[pool.function].memory_mb
     }
 
-    /// Share of its memory that can't be freed.
+    /// Share of the memory that can't be freed: instances of functions with running calls, and instances being loaded.
     pub fn pinned_memory(&self) -> f64 {
-        let of = |pool: &InstancePool| {
+        let memory = |pool: &InstancePool| {
             let busy = if pool.running > 0 { pool.loaded } else { 0 };
             f64::from(busy + pool.loading) * self.instance_memory(pool)
         };
-        self.pools.values().map(of).sum::<f64>() / self.profile.memory_mb.max(1.0)
+        self.pools.values().map(memory).sum::<f64>() / self.profile.memory_mb.max(1.0)
     }
 
-    /// Queues a load of one instance, if there is memory; false: there is none.
-    pub(super) fn load(&mut self, function: &str, now: i64) -> bool {
+    /// Queues a load of one instance, evicting idle functions if necessary. Returns `false` if there is not enough memory.
+    pub(super) fn queue_load(&mut self, function: &str, now: i64) -> bool {
         let Some(pool) = self.pools.get(function) else {
             return false;
         };
@@ -91,11 +92,11 @@
             pool.queued_loads += 1;
         }
         self.load_queue.push_back(function.to_string());
-        self.begin_loads(now);
+        self.start_queued_loads(now);
         true
     }
 
-    /// Unloads the function, other than that one, which is idle for the longest; false: none is.
+    /// Unloads the function that has been idle for the longest, other than `except`. Returns `false` if none is idle.
     fn evict_longest_idle(&mut self, except: &str) -> bool {
         let idle = self
             .pools
@@ -108,7 +109,8 @@
         true
     }
 
-    fn begin_loads(&mut self, now: i64) {
+    /// Starts queued loads up to the limit of concurrent loads.
+    fn start_queued_loads(&mut self, now: i64) {
         while self.loading.len() < self.profile.max_concurrent_loads {
             let Some(name) = self.load_queue.pop_front() else {
                 return;
@@ -123,7 +125,7 @@
         }
     }
 
-    /// When [`WorkerState::on_timer`] is due next.
+    /// When [`WorkerState::on_timer`] has to be called next.
     pub fn next_timer(&self) -> Option<i64> {
         let loads = self.loading.iter().map(|(end, _)| *end);
         let idle = self
@@ -134,13 +136,13 @@
         loads.chain(idle).min()
     }
 
-    /// Ends the loads that are due, and unloads what was idle for its time.
+    /// Finishes loads that are due, and unloads instances whose idle timeout has passed.
     pub fn on_timer(&mut self, now: i64) {
         while let Some(index) = self.loading.iter().position(|(end, _)| *end <= now) {
             let (_, name) = self.loading.swap_remove(index);
             self.on_loaded(&name, now);
             self.start_waiting(&name);
-            self.begin_loads(now);
+            self.start_queued_loads(now);
         }
         for pool in self.pools.values_mut() {
             let idle = pool.loaded > 0 && pool.running == 0;
--- a/standins/worker/src/state/mod.rs
+++ b/standins/worker/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What a worker has loaded, which calls run on it and which wait. Time is an argument; the state holds no clock.
+//! The state of a worker: loaded instances, running calls and waiting calls. Times are passed in; nothing reads a clock.
 
 mod loading;
 #[cfg(test)]
@@ -7,34 +7,34 @@
 use crate::profile::{Function, MissPolicy, Profile};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Names a call at this worker.
+/// Identifies a call at this worker.
 pub type CallId = u64;
-/// Names a load request at this worker.
+/// Identifies a load request at this worker.
 pub type LoadId = u64;
 
-/// In which state a call found its function.
+/// The state of a function when a call arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheStatus {
     /// An instance was loaded.
     Warm,
-    /// The call began a load.
-    BeganLoad,
-    /// The call waited for a load begun before.
+    /// The call started a load.
+    StartedLoad,
+    /// The call waited for a load that was already queued or running.
     AwaitedLoad,
 }
 
-/// What is done with a call that arrives.
+/// The decision on an arriving call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs at once.
+    /// The call runs immediately.
     Run(CacheStatus),
-    /// It waits; [`WorkerState::take_started`] gives it when it runs.
+    /// The call waits; [`WorkerState::take_started`] returns it when it may run.
     Wait(CacheStatus),
     /// The function is not loaded.
     NotLoaded,
-    /// No room to wait, or no memory.
+    /// Too many calls wait, or there is no memory for an instance.
     Rejected,
-    /// No such function.
+    /// The worker is not configured with the function.
     UnknownFunction,
 }
 
@@ -49,27 +49,28 @@
     running: u32,
     waiting: VecDeque<CallId>,
     idle_since: i64,
-    /// Load requests that are answered when the next load ends.
+    /// Load requests that are answered when the next load finishes.
     load_requests: Vec<LoadId>,
 }
 
-/// A worker's state.
+/// The state of a worker.
 pub struct WorkerState {
     profile: Profile,
     started_at: i64,
     pools: BTreeMap<String, InstancePool>,
-    /// Loads under way, by when they end.
+    /// Running loads: when each finishes, and its function.
     loading: Vec<(i64, String)>,
+    /// Functions with a queued load, in order.
     load_queue: VecDeque<String>,
-    /// Work that was sent while cold, by when.
+    /// Arrival times and work of recent calls, during the slow start.
     recent_work: VecDeque<(i64, i64)>,
-    fallen: bool,
+    failed_under_overload: bool,
     started_calls: Vec<CallId>,
     finished_loads: Vec<(LoadId, u32)>,
 }
 
 impl WorkerState {
-    /// A worker that has just started, empty. `warm`: it counts as having run for long.
+    /// Creates a worker without instances. `warm`: starts with full capacity, without a slow start.
     pub fn new(profile: Profile, now: i64, warm: bool) -> WorkerState {
         let pool = |(index, function): (usize, &Function)| {
             let pool = InstancePool {
@@ -91,23 +92,23 @@
             loading: Vec::new(),
             load_queue: VecDeque::new(),
             recent_work: VecDeque::new(),
-            fallen: false,
+            failed_under_overload: false,
             started_calls: Vec::new(),
             finished_loads: Vec::new(),
         }
     }
 
-    /// Its configuration.
+    /// The worker's configuration.
     pub fn profile(&self) -> &Profile {
         &self.profile
     }
 
-    /// Whether it failed under overload: while cold it was sent more than it can serve.
+    /// Whether the worker was overloaded during its slow start.
     pub fn failed_under_overload(&self) -> bool {
-        self.fallen
+        self.failed_under_overload
     }
 
-    /// Its capacity now, as a share of all.
+    /// The current capacity, as a share of the full capacity.
     pub fn capacity_share(&self, now: i64) -> f64 {
         let age = (now - self.started_at).max(0) as f64;
         let slow_start_window = self.profile.slow_start_window.max(1) as f64;
@@ -115,21 +116,21 @@
         (from + (1.0 - from) * age / slow_start_window).min(1.0)
     }
 
-    /// How long work takes now: a cold worker is slower.
+    /// How long the work takes at the current capacity, microseconds.
     pub fn duration_of(&self, work: i64, now: i64) -> i64 {
         (work as f64 / self.capacity_share(now).max(0.01)) as i64
     }
 
-    /// Usual work of a function's call.
-    pub fn usual_work(&self, function: &str) -> i64 {
+    /// Work of a call of the function that doesn't specify it, microseconds.
+    pub fn default_work(&self, function: &str) -> i64 {
         self.pools
             .get(function)
             .map_or(0, |pool| self.profile.functions[pool.function].default_work)
     }
 
-    /// A call arrives that will take this much work, microseconds.
+    /// Decides on an arriving call that needs `work` microseconds.
     pub fn admit(&mut self, call: CallId, function: &str, work: i64, now: i64) -> Admission {
-        self.check_cold_load(work, now);
+        self.check_overload(work, now);
         let waiting: usize = self.pools.values().map(|pool| pool.waiting.len()).sum();
         let Some(pool) = self.pools.get_mut(function) else {
             return Admission::UnknownFunction;
@@ -151,36 +152,36 @@
         if self.profile.miss_policy == MissPolicy::Miss {
             return Admission::NotLoaded;
         }
-        if !self.load(function, now) {
+        if !self.queue_load(function, now) {
             return Admission::Rejected;
         }
         if let Some(pool) = self.pools.get_mut(function) {
             pool.waiting.push_back(call);
         }
-        Admission::Wait(CacheStatus::BeganLoad)
+        Admission::Wait(CacheStatus::StartedLoad)
     }
 
-    /// A cold worker fails when sent more than a multiple of what it can do.
-    fn check_cold_load(&mut self, work: i64, now: i64) {
+    /// Records the work of an arriving call, and detects overload during the slow start.
+    fn check_overload(&mut self, work: i64, now: i64) {
         let age = now - self.started_at;
-        let span = self.profile.overload_window;
+        let window = self.profile.overload_window;
         if age >= self.profile.slow_start_window {
             self.recent_work.clear();
             return;
         }
         self.recent_work.push_back((now, work));
-        let is_old = |first: &(i64, i64)| now - first.0 > span;
+        let is_old = |first: &(i64, i64)| now - first.0 > window;
         while self.recent_work.front().is_some_and(is_old) {
             self.recent_work.pop_front();
         }
         let sent: i64 = self.recent_work.iter().map(|(_, work)| work).sum();
-        let capacity = self.capacity_share(now) * self.profile.cores * span as f64;
-        if age >= span && sent as f64 > self.profile.overload_multiple * capacity {
-            self.fallen = true;
+        let capacity = self.capacity_share(now) * self.profile.cores * window as f64;
+        if age >= window && sent as f64 > self.profile.overload_multiple * capacity {
+            self.failed_under_overload = true;
         }
     }
 
-    /// A call has left: it ran to its end, or it was cancelled while it waited.
+    /// Removes a call. `ran`: it was running; otherwise it was waiting and has been cancelled.
     pub fn finish(&mut self, call: CallId, function: &str, ran: bool, now: i64) {
         let Some(pool) = self.pools.get_mut(function) else {
             return;
@@ -196,7 +197,7 @@
         self.start_waiting(function);
     }
 
-    /// Gives free lanes to the calls that wait, in order.
+    /// Starts waiting calls on free lanes, in order of arrival.
     fn start_waiting(&mut self, function: &str) {
         let Some(pool) = self.pools.get_mut(function) else {
             return;
@@ -211,20 +212,20 @@
         }
     }
 
-    /// Calls that waited and run now.
+    /// Removes and returns the waiting calls that were started.
     pub fn take_started(&mut self) -> Vec<CallId> {
         std::mem::take(&mut self.started_calls)
     }
 
-    /// Waiting calls, running calls, loads under way or waiting.
-    pub fn load_figures(&self) -> (usize, u32, usize) {
+    /// The numbers of waiting calls, running calls, and running or queued loads.
+    pub fn load_counts(&self) -> (usize, u32, usize) {
         let waiting = self.pools.values().map(|pool| pool.waiting.len()).sum();
         let running = self.pools.values().map(|pool| pool.running).sum();
         (waiting, running, self.loading.len() + self.load_queue.len())
     }
 
-    /// Calls of a function that run or wait here.
-    pub fn calls_of(&self, function: &str) -> u32 {
+    /// Number of running and waiting calls of a function.
+    pub fn concurrent_calls(&self, function: &str) -> u32 {
         self.pools
             .get(function)
             .map_or(0, |pool| pool.running + pool.waiting.len() as u32)
--- a/standins/worker/src/state/tests.rs
+++ b/standins/worker/src/state/tests.rs
@@ -1,4 +1,4 @@
-//! Admission, loading and cold starts, by hand-made times.
+//! Admission, loading and slow start at given times.
 
 use super::{Admission, CacheStatus, WorkerState};
 use crate::profile::{Function, MissPolicy, Profile};
@@ -28,11 +28,11 @@
 }
 
 #[test]
-fn a_lane_runs_one_call_and_the_rest_wait_in_order() {
+fn calls_wait_in_order_for_a_free_lane() {
     let mut worker = WorkerState::new(profile(), 0, true);
     assert_eq!(
         worker.admit(1, "a", 10, 0),
-        Admission::Wait(CacheStatus::BeganLoad)
+        Admission::Wait(CacheStatus::StartedLoad)
     );
     assert_eq!(
         worker.admit(2, "a", 10, 5),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn idle_instances_make_room_and_busy_ones_do_not() {
+fn idle_instances_are_evicted_and_busy_ones_are_not() {
     let mut worker = WorkerState::new(profile(), 0, true);
     assert_eq!(worker.request_load(7, "a", 1, 0), None);
     assert_eq!(worker.request_load(8, "b", 1, 0), None);
@@ -78,14 +78,15 @@
 }
 
 #[test]
-fn a_cold_worker_falls_when_pushed_and_a_warm_one_does_not() {
-    // At 1,000 us of 10,000 it has 28% of two cores: 560 us of work in 1,000 us, 1,120 at twice that.
-    for (work, falls) in [(100, false), (140, true)] {
+fn a_cold_worker_fails_under_overload_and_a_warm_one_does_not() {
+    // 1,000 us into its slow start of 10,000 us the worker has 28% of two cores, 560 us of work in 1,000 us. It fails above twice
+    // that, 1,120 us.
+    for (work, fails) in [(100, false), (140, true)] {
         let mut worker = WorkerState::new(profile(), 0, false);
         for call in 0..11 {
             worker.admit(call, "a", work, call as i64 * 100);
         }
-        assert_eq!(worker.failed_under_overload(), falls, "{work}");
+        assert_eq!(worker.failed_under_overload(), fails, "{work}");
     }
     let mut worker = WorkerState::new(profile(), 0, true);
     for call in 0..11 {
