--- a/programs/worker/src/lib.rs
+++ b/programs/worker/src/lib.rs
@@ -1,6 +1,6 @@
-//! The stand-in worker as a program: arguments, signals, exit codes.
+//! Runs the stand-in worker of `tansy-standin-worker` as a program: arguments, signals and exit codes.
 //!
-//! The worker itself is `tansy-standin-worker`; functions come from the gateway's settings file.
+//! The functions are read from the gateway's settings file.
 
 use calloop::signals::{Signal, Signals};
 use calloop::EventLoop;
@@ -19,57 +19,63 @@
 use tansy_standin_worker::{Function, MissPolicy, Profile, Standin};
 use tracing_subscriber::EnvFilter;
 
-/// A stand-in worker: the Open Inference Protocol with functions that are loaded on demand.
+/// Load time of a function whose settings don't specify one.
+const DEFAULT_LOAD_TIME_US: i64 = 100_000;
+/// Longest wait of the event loop before it checks whether the worker has to stop.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+
+/// A stand-in worker that serves the Open Inference Protocol with functions that are loaded on demand.
 ///
-/// It computes nothing: every input tensor comes back as an output. Functions, their memory, lanes and load times are
-/// those of the gateway's settings file. Request parameters `pieces` and `work_ms` shape an answer. Faults are set on
-/// the control port: GET /fault/silent, silent-after=N, cut-after=N, slow=X, refuse, reset=CODE, corrupt, twice,
-/// no-trailers, status=CODE or clear; GET /cut, /shed (GOAWAY), /restart (empty and cold), /state.
+/// No model is run: the response contains each input tensor as an output. The functions with their memory, lanes and load
+/// times are read from the gateway's settings file. The request parameters `pieces` (number of response messages) and
+/// `work_ms` control a response. Faults are set on the control port with GET /fault/FAULT: silent, silent-after=N,
+/// cut-after=N, slow=X, refuse, reset=CODE, corrupt, twice, no-trailers, status=CODE, or clear. Other requests are GET /cut
+/// (close all connections), /shed (send GOAWAY), /restart (restart cold, with no functions loaded) and /state.
 ///
-/// Once it serves it prints `ready grpc=ADDRESS control=ADDRESS` on standard output. Exit codes: 0 after SIGTERM or
-/// SIGINT, 1 if it could not go on or fell over, 2 for wrong arguments or settings.
+/// Once the worker is serving, it prints `ready grpc=ADDRESS control=ADDRESS` on standard output. Exit codes: 0 after
+/// SIGTERM or SIGINT, 1 if it can't start, stops on an error or fails under overload, 2 for invalid arguments or settings.
 #[derive(Parser)]
 #[command(name = "tansy-worker", version)]
 struct Arguments {
-    /// The gateway's settings file, for the functions.
+    /// The gateway's settings file, which defines the functions.
     #[arg(long)]
     settings: PathBuf,
-    /// Its name.
+    /// Name of the worker.
     #[arg(long, default_value = "worker")]
     name: String,
-    /// Address of the gRPC port; port 0: any free one.
+    /// Address of the gRPC port; port 0 selects a free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// Address of the control port.
+    /// Address of the control port; port 0 selects a free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     control: SocketAddr,
-    /// Memory, MB.
+    /// Memory for instances, MB.
     #[arg(long, default_value_t = 8000.0)]
     memory_mb: f64,
-    /// Loads at a time.
+    /// Largest number of concurrent loads.
     #[arg(long, default_value_t = 4)]
     loads: usize,
-    /// Calls that may wait.
+    /// Largest number of waiting calls.
     #[arg(long, default_value_t = 1000)]
     queue: usize,
-    /// Cores: work it does a second when warm, in seconds.
+    /// Cores: capacity of the warm worker, in seconds of work per second.
     #[arg(long, default_value_t = 4.0)]
     cores: f64,
-    /// Work of a call that names none, milliseconds.
+    /// Work of a call that doesn't specify it, milliseconds.
     #[arg(long, default_value_t = 2.0)]
     work_ms: f64,
-    /// Start cold, as the settings' worker record has it; otherwise it is taken as having run for long.
+    /// Start cold, with the slow start of the settings; otherwise the worker starts with full capacity.
     #[arg(long)]
     cold: bool,
-    /// What is logged.
+    /// Log filter, such as `info` or `tansy_net_grpc=debug`.
     #[arg(long, default_value = "warn")]
     log: String,
 }
 
-/// Wrong arguments or settings: exit code 2.
+/// Invalid arguments or settings; exit code 2.
 #[derive(Debug, thiserror::Error)]
 enum ArgumentError {
-    #[error("--log {0:?}: no filter")]
+    #[error("--log {0:?}: not a valid log filter")]
     LogFilter(String),
     #[error("--settings {}: {error}", path.display())]
     ReadSettings {
@@ -80,7 +86,7 @@
     Settings(#[from] tansy_settings::Errors),
 }
 
-/// The worker can't start or go on: exit code 1.
+/// A failure to start or to continue; exit code 1.
 #[derive(Debug, thiserror::Error)]
 enum RunError {
     #[error("--listen {address}: {error}")]
@@ -101,7 +107,7 @@
     Io(#[from] std::io::Error),
 }
 
-/// Runs the program with its arguments, the first its name.
+/// Runs the program. The first argument is the program's name.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let arguments = Arguments::parse_from(arguments);
     let profile = match start_logging(&arguments).and_then(|()| read_profile(&arguments)) {
@@ -112,10 +118,10 @@
         }
     };
     match run(&arguments, profile) {
-        Ok(Ended::BySignal) => ExitCode::SUCCESS,
-        Ok(Ended::Fallen) => {
+        Ok(StopReason::Signal) => ExitCode::SUCCESS,
+        Ok(StopReason::FailedUnderOverload) => {
             let name = &arguments.name;
-            eprintln!("{name}: fell over: sent more than a cold worker bears");
+            eprintln!("{name}: failed under overload: sent more work than a cold worker can serve");
             ExitCode::from(1)
         }
         Err(error) => {
@@ -125,7 +131,7 @@
     }
 }
 
-/// Logs on standard error by the filter of `--log`.
+/// Starts logging to standard error with the filter of `--log`.
 fn start_logging(arguments: &Arguments) -> Result<(), ArgumentError> {
     let filter = EnvFilter::try_new(format!("calloop=error,{}", arguments.log))
         .map_err(|_| ArgumentError::LogFilter(arguments.log.clone()))?;
@@ -137,7 +143,7 @@
     Ok(())
 }
 
-/// The worker's configuration, from the arguments and the gateway's settings file.
+/// Builds the worker's configuration from the arguments and the gateway's settings file.
 fn read_profile(arguments: &Arguments) -> Result<Profile, ArgumentError> {
     let path = &arguments.settings;
     let text = std::fs::read_to_string(path).map_err(|error| ArgumentError::ReadSettings {
@@ -145,43 +151,43 @@
         error,
     })?;
     let settings = tansy_settings::settings(&path.display().to_string(), &text)?;
-    let front = &settings.dispatch;
+    let dispatch = &settings.dispatch;
     let function = |spec: &tansy_settings::FunctionSpec| Function {
         name: spec.name.clone(),
         memory_mb: spec.memory_mb,
         lanes: spec.lanes,
-        load_time: spec.load_time.unwrap_or(100_000),
+        load_time: spec.load_time.unwrap_or(DEFAULT_LOAD_TIME_US),
         default_work: (arguments.work_ms * 1000.0) as i64,
     };
     Ok(Profile {
         name: arguments.name.clone(),
-        functions: front.functions.iter().map(function).collect(),
+        functions: dispatch.functions.iter().map(function).collect(),
         memory_mb: arguments.memory_mb,
-        idle_timeout: front.settings.idle_timeout,
+        idle_timeout: dispatch.settings.idle_timeout,
         max_concurrent_loads: arguments.loads.max(1),
         max_waiting_calls: arguments.queue,
-        miss_policy: match front.settings.miss_policy {
+        miss_policy: match dispatch.settings.miss_policy {
             tansy_settings::MissPolicy::Load => MissPolicy::Load,
             tansy_settings::MissPolicy::Miss => MissPolicy::Miss,
         },
         cores: arguments.cores,
-        slow_start_from: front.settings.slow_start_from,
-        slow_start_window: front.settings.slow_start_window,
-        overload_multiple: front.settings.overload_multiple,
-        overload_window: front.settings.overload_window,
+        slow_start_from: dispatch.settings.slow_start_from,
+        slow_start_window: dispatch.settings.slow_start_window,
+        overload_multiple: dispatch.settings.overload_multiple,
+        overload_window: dispatch.settings.overload_window,
     })
 }
 
-/// Why the worker has stopped.
-enum Ended {
+/// Why the worker stopped.
+enum StopReason {
     /// SIGTERM or SIGINT.
-    BySignal,
-    /// It was sent more than a cold worker bears.
-    Fallen,
+    Signal,
+    /// Overload during the slow start.
+    FailedUnderOverload,
 }
 
-/// Serves until a signal, or until it falls over.
-fn run(arguments: &Arguments, profile: Profile) -> Result<Ended, RunError> {
+/// Serves until a signal arrives or the worker fails under overload.
+fn run(arguments: &Arguments, profile: Profile) -> Result<StopReason, RunError> {
     let mut event_loop: EventLoop<'static, ()> = EventLoop::try_new()?;
     let spawner = Spawner::new(event_loop.handle())?;
     let address = arguments.listen;
@@ -194,18 +200,18 @@
     standin.control(control)?;
     println!("ready grpc={grpc_address} control={control_address}");
     std::io::stdout().flush()?;
-    let stop = Rc::new(Cell::new(false));
-    let on_signal = stop.clone();
+    let signalled = Rc::new(Cell::new(false));
+    let on_signal = signalled.clone();
     let signals = IgnoreInterrupts(Signals::new(&[Signal::SIGTERM, Signal::SIGINT])?);
     event_loop
         .handle()
         .insert_source(signals, move |_, _, ()| on_signal.set(true))
         .map_err(|error| RunError::Signals(error.to_string()))?;
-    while !stop.get() && !standin.failed_under_overload() {
-        event_loop.dispatch(Some(Duration::from_millis(500)), &mut ())?;
+    while !signalled.get() && !standin.failed_under_overload() {
+        event_loop.dispatch(Some(POLL_INTERVAL), &mut ())?;
     }
     Ok(match standin.failed_under_overload() {
-        true => Ended::Fallen,
-        false => Ended::BySignal,
+        true => StopReason::FailedUnderOverload,
+        false => StopReason::Signal,
     })
 }
